--- a/cmd/wirehost/main.go
+++ b/cmd/cresshub-simhost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts balancers for the simulator: batches of events on standard input, one reply
+// Command cresshub-simhost hosts balancers for the simulator: batches of events on standard input, one reply
 // a batch on standard output. It takes no decisions.
 package main
 
@@ -10,13 +10,13 @@
 	"os"
 	"runtime/debug"
 
-	"cresshub/internal/wire"
+	"cresshub/internal/proxy/simwire"
 )
 
 func main() {
 	debug.SetGCPercent(400) // many small long-lived instances: collect less often, memory is plenty
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "cresshub-simhost:", err)
 		os.Exit(1)
 	}
 }
@@ -24,7 +24,7 @@
 // serve answers each line of in with one line on out until the input ends between two lines.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	host := wire.NewHost()
+	host := simwire.NewHost()
 	var long []byte
 	for {
 		line, err := r.ReadSlice('\n')
--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -17,11 +17,11 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/config"
 	"cresshub/internal/http1"
 	"cresshub/internal/nettest"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/daemon"
 	"cresshub/internal/ring"
-	"cresshub/internal/serve"
 )
 
 // The benchmarks drive requests over real loopback sockets, one after the other on kept connections, to a
@@ -92,7 +92,7 @@
 	// The ledger on, with all three of its replicas in this process: what the other two cost is in it too.
 	b.Run("cresshub-ledger", func(b *testing.B) {
 		gossip, door := free(b), free(b)
-		var first *serve.Proxy
+		var first *daemon.Proxy
 		for i, seeds := range []string{"", gossip, gossip} {
 			text := fmt.Sprintf("name = \"m-%d\"\n", i)
 			bind := "127.0.0.1:0"
@@ -111,7 +111,7 @@
 			}
 		}
 		for begun := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-			var page serve.LedgerPage
+			var page daemon.LedgerPage
 			a, err := http.Get("http://" + door + "/_ledger")
 			if err == nil {
 				err = json.NewDecoder(a.Body).Decode(&page)
@@ -139,7 +139,7 @@
 }
 
 // proxy runs a proxy in this process with a configuration; end ends it as SIGINT does.
-func proxy(b *testing.B, text string) (p *serve.Proxy, end func()) {
+func proxy(b *testing.B, text string) (p *daemon.Proxy, end func()) {
 	b.Helper()
 	file := filepath.Join(b.TempDir(), "c.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -149,7 +149,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	if p, err = serve.New(cfg, io.Discard); err != nil {
+	if p, err = daemon.New(cfg, io.Discard); err != nil {
 		b.Fatal(err)
 	}
 	signals := make(chan os.Signal, 1)
--- a/cmd/cresshub/main.go
+++ b/cmd/cresshub/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"cresshub/internal/cli"
+	"cresshub/internal/proxy/cli"
 )
 
 func main() {
--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -1,5 +1,5 @@
-// Package architecture holds the rule on imports that docs/ARCHITECTURE.md states: it reads the page's own
-// list, so that page and code cannot part.
+// Package architecture has no code but a test: it compares the imports of each package with the list in
+// docs/PACKAGES.md, so that page and code cannot part.
 package architecture
 
 import (
@@ -19,14 +19,13 @@
 
 // table reads the entries "- `package`: what it does. Imports: `one`, `another`." in their order.
 func table(t *testing.T) (order []string, may map[string][]string) {
-	page, err := os.ReadFile(filepath.Join(root, "docs/ARCHITECTURE.md"))
+	page, err := os.ReadFile(filepath.Join(root, "docs/PACKAGES.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	may = map[string][]string{}
 	quoted := regexp.MustCompile("`([^`]+)`")
-	_, list, _ := strings.Cut(string(page), "## Packages")
-	list, _, _ = strings.Cut(list, "## What holds")
+	_, list, _ := strings.Cut(string(page), "## List")
 	for _, entry := range strings.Split(list, "\n- `")[1:] {
 		name, rest, _ := strings.Cut(entry, "`")
 		order = append(order, name)
@@ -75,7 +74,7 @@
 	for name, all := range found {
 		at := slices.Index(order, name)
 		if at < 0 {
-			t.Errorf("%s is not in the list of docs/ARCHITECTURE.md", name)
+			t.Errorf("%s is not in the list of docs/PACKAGES.md", name)
 			continue
 		}
 		for _, i := range all {
--- a/internal/labcli/compare.go
+++ b/internal/labcli/compare.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/cli"
 	"cresshub/internal/lab"
+	"cresshub/internal/proxy/cli"
 )
 
 func newCompare() *cobra.Command {
--- a/internal/labcli/labcli.go
+++ b/internal/labcli/labcli.go
@@ -18,9 +18,9 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/cli"
 	"cresshub/internal/emulator"
 	"cresshub/internal/lab"
+	"cresshub/internal/proxy/cli"
 )
 
 // Main runs one call and returns its exit status: 0 done, 1 failed, 2 wrong use.
--- a/internal/labcli/rig.go
+++ b/internal/labcli/rig.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/cli"
+	"cresshub/internal/proxy/cli"
 	"cresshub/internal/rig"
 )
 
--- a/internal/labcli/rigowner.go
+++ b/internal/labcli/rigowner.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/cli"
 	"cresshub/internal/emulator"
+	"cresshub/internal/proxy/cli"
 	"cresshub/internal/rig"
 )
 
--- a/internal/labcli/swim.go
+++ b/internal/labcli/swim.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/cli"
 	"cresshub/internal/emulator"
+	"cresshub/internal/proxy/cli"
 )
 
 func newSwim() *cobra.Command {
--- a/internal/labcli/tools.go
+++ b/internal/labcli/tools.go
@@ -19,9 +19,9 @@
 	"github.com/vbauerster/mpb/v8"
 	"github.com/vbauerster/mpb/v8/decor"
 
-	"cresshub/internal/cli"
 	"cresshub/internal/emulator"
 	"cresshub/internal/lab"
+	"cresshub/internal/proxy/cli"
 	"cresshub/internal/standin"
 )
 
--- a/internal/operator/operator.go
+++ b/internal/proxy/adminapi/operator.go
@@ -1,6 +1,6 @@
-// Package operator is the operators' door: an address of its own that takes one call a connection, however
+// Package adminapi is the operators' door: an address of its own that takes one call a connection, however
 // busy the proxy is with its clients.
-package operator
+package adminapi
 
 import (
 	"encoding/json"
@@ -16,9 +16,9 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/counters"
 	"cresshub/internal/http1"
-	"cresshub/internal/logging"
+	"cresshub/internal/proxy/logging"
+	"cresshub/internal/proxy/stats"
 	"cresshub/internal/ring"
 )
 
@@ -44,7 +44,7 @@
 // Door takes the operators' calls.
 type Door struct {
 	proxy Proxy
-	count *counters.Set
+	count *stats.Set
 	log   *slog.Logger
 	l     net.Listener
 
@@ -79,7 +79,7 @@
 }
 
 // New returns a door at a listener; Serve opens it.
-func New(l net.Listener, proxy Proxy, count *counters.Set, log *slog.Logger) *Door {
+func New(l net.Listener, proxy Proxy, count *stats.Set, log *slog.Logger) *Door {
 	return &Door{proxy: proxy, count: count, log: log, l: l}
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/proxy/adminapi/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package adminapi
 
 import (
 	"fmt"
@@ -11,9 +11,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"cresshub/internal/counters"
 	"cresshub/internal/http1"
 	"cresshub/internal/nettest"
+	"cresshub/internal/proxy/stats"
 )
 
 type proxy struct {
@@ -25,12 +25,12 @@
 func (p *proxy) LameDuck(on bool)       { p.lame.Store(on); p.calls.Add(1) }
 func (p *proxy) Gauges() map[string]int { return map[string]int{"known_zone_servers": 3} }
 
-func door(t *testing.T) (*proxy, *counters.Set, string) {
+func door(t *testing.T) (*proxy, *stats.Set, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, count := &proxy{}, counters.New([]string{"lookup"})
+	p, count := &proxy{}, stats.New([]string{"lookup"})
 	d := New(l, p, count, slog.New(slog.DiscardHandler))
 	go d.Serve()
 	t.Cleanup(d.Close)
--- a/internal/cli/config.go
+++ b/internal/proxy/cli/config.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/config"
 	"cresshub/internal/keyed"
+	"cresshub/internal/proxy/config"
 )
 
 func newConfig() *cobra.Command {
--- a/internal/cli/ledger.go
+++ b/internal/proxy/cli/ledger.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/serve"
+	"cresshub/internal/proxy/daemon"
 )
 
 func newLedger() *cobra.Command {
@@ -30,7 +30,7 @@
 			if period != 0 {
 				q.Set("period", fmt.Sprint(period))
 			}
-			var page serve.LedgerPage
+			var page daemon.LedgerPage
 			if err := doorPage(door, "/_ledger?"+q.Encode(), "holds no ledger (ledger.bind is empty there)",
 				&page); err != nil {
 				return err
@@ -64,7 +64,7 @@
 			for key, v := range map[string]int64{"period": int64(period), "n": n, "bytes_in": in, "bytes_out": out} {
 				q.Set(key, fmt.Sprint(v))
 			}
-			var r serve.Corrected
+			var r daemon.Corrected
 			err := doorCall(http.MethodPost, door, "/_ledger/correct?"+q.Encode(),
 				"holds no ledger (ledger.bind is empty there)", &r)
 			if err != nil {
@@ -91,7 +91,7 @@
 	return c
 }
 
-func printLedger(c *cobra.Command, page *serve.LedgerPage) error {
+func printLedger(c *cobra.Command, page *daemon.LedgerPage) error {
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	if v := page.Ledger; v != nil {
 		fmt.Fprintln(w, "PERIOD\tCLOSED\tTENANT\tCLASS\tANSWER\tN\tBYTES IN\tBYTES OUT\tCORRECTED")
--- a/internal/cli/root.go
+++ b/internal/proxy/cli/root.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/config"
+	"cresshub/internal/proxy/config"
 )
 
 // usageError is a call that cannot be understood.
--- a/internal/cli/serve.go
+++ b/internal/proxy/cli/serve.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/config"
-	"cresshub/internal/serve"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/daemon"
 )
 
 // Signals listens for those that a serving program minds. It is called before anything else, for a signal
@@ -40,8 +40,8 @@
 			if err != nil {
 				return err
 			}
-			serve.Confine(cfg.Limits, 1)
-			proxy, err := serve.New(cfg, os.Stderr)
+			daemon.Confine(cfg.Limits, 1)
+			proxy, err := daemon.New(cfg, os.Stderr)
 			if err != nil {
 				return err
 			}
--- a/internal/config/config_test.go
+++ b/internal/proxy/config/config_test.go
@@ -15,7 +15,7 @@
 
 	"cresshub/balance"
 	"cresshub/internal/keyed"
-	"cresshub/internal/wire"
+	"cresshub/internal/proxy/simwire"
 )
 
 const settings = `{"azs":["kita","chuo"],"kinds":["m2"],"balancers":4,"rank":2,"locality":1,"tick-ms":5,
@@ -65,7 +65,7 @@
 func TestPlatformSettingsAreUnchanged(t *testing.T) {
 	for _, text := range []string{settings, `{"grades":[{"aim-ms":1,"deadline-ms":2,"effect":"at_most_once",
 		"name":"x"}],"locality":3}`} {
-		want, err := wire.ReadSettings([]byte(text))
+		want, err := simwire.ReadSettings([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -241,7 +241,7 @@
 
 // The page and the first file come from the same tags as the checks.
 func TestPagesAreFresh(t *testing.T) {
-	page, err := os.ReadFile("../../docs/CONFIGURATION.md")
+	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -11,8 +11,8 @@
 
 	"cresshub/balance"
 	"cresshub/internal/keyed"
-	"cresshub/internal/registry"
-	"cresshub/internal/wire"
+	"cresshub/internal/proxy/serverlist"
+	"cresshub/internal/proxy/simwire"
 )
 
 // readPlatform reads the platform's file, whose settings are the simulator's, as values of the same keys
@@ -48,7 +48,7 @@
 	if len(file.Settings) == 0 {
 		return nil, fmt.Errorf("field %q is missing", "settings")
 	}
-	set, err := wire.ReadSettings(file.Settings)
+	set, err := simwire.ReadSettings(file.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("field %q: %w", "settings", err)
 	}
@@ -77,7 +77,7 @@
 }
 
 // fromSettings tells the simulator's settings by the keys of the file; Settings is its inverse.
-func fromSettings(s *wire.Settings, put func(key string, v any)) {
+func fromSettings(s *simwire.Settings, put func(key string, v any)) {
 	hall := "#" + strconv.Itoa(s.Zone)
 	if s.Zone >= 0 && s.Zone < len(s.ZoneNames) {
 		hall = s.ZoneNames[s.Zone]
@@ -111,8 +111,9 @@
 	for i, k := range s.Classes {
 		for key, v := range map[string]any{
 			"name": s.ClassNames[i], "aim": k.Aim, "aim_stretch": k.AimStretch, "deadline": k.Deadline,
-			"effect": wordFor(wire.Effects, k.Effect), "group": wordFor(wire.Groups, k.Group), "window": k.Window,
-			"worth": k.Worth, "late_worth": k.LateWorth, "stream": k.Stream,
+			"effect": wordFor(simwire.Effects, k.Effect), "group": wordFor(simwire.Groups, k.Group),
+			"window": k.Window,
+			"worth":  k.Worth, "late_worth": k.LateWorth, "stream": k.Stream,
 		} {
 			put(fmt.Sprintf("class.%d.%s", i, key), v)
 		}
@@ -134,9 +135,9 @@
 }
 
 // Settings is what the decisions are told, with the names and figures that the sockets need beside.
-func (c *Config) Settings() wire.Settings {
+func (c *Config) Settings() simwire.Settings {
 	p := &c.Policy
-	s := wire.Settings{
+	s := simwire.Settings{
 		Settings: balance.Settings{
 			Seed: c.Seeded(), Rank: p.Rank, Peers: p.Instances, Zone: c.hall(), Tick: p.Tick,
 			Prices: balance.Prices{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
@@ -154,8 +155,8 @@
 	for _, k := range c.Classes {
 		s.ClassNames = append(s.ClassNames, k.Name)
 		s.Classes = append(s.Classes, balance.Class{
-			Aim: k.Aim, AimStretch: k.Stretch, Deadline: k.Deadline, Effect: wire.Effects[k.Effect],
-			Group: wire.Groups[k.Group], Window: k.Window, Worth: k.Worth, LateWorth: k.LateWorth, Stream: k.Stream,
+			Aim: k.Aim, AimStretch: k.Stretch, Deadline: k.Deadline, Effect: simwire.Effects[k.Effect],
+			Group: simwire.Groups[k.Group], Window: k.Window, Worth: k.Worth, LateWorth: k.LateWorth, Stream: k.Stream,
 		})
 	}
 	for _, t := range c.Tenants {
@@ -166,7 +167,7 @@
 		return s
 	}
 	for _, w := range p.Report {
-		s.Report = append(s.Report, wire.Fields[w])
+		s.Report = append(s.Report, simwire.Fields[w])
 		s.ReportNames = append(s.ReportNames, w)
 	}
 	return s
@@ -196,7 +197,7 @@
 	if len(c.Servers) == 0 {
 		return nil
 	}
-	list := registry.Document{Snapshot: true}
+	list := serverlist.Document{Snapshot: true}
 	named := map[string]bool{}
 	for _, s := range c.Servers {
 		key := s.Name + " " + s.Address
@@ -204,7 +205,7 @@
 		if _, ok := since[key]; !ok {
 			since[key] = now
 		}
-		e := registry.Endpoint{Name: s.Name, Address: s.Address, Zone: s.Hall, Type: s.Kind, Group: s.Cell,
+		e := serverlist.Endpoint{Name: s.Name, Address: s.Address, Zone: s.Hall, Type: s.Kind, Group: s.Cell,
 			Status: "in_service", Weight: s.Weight}
 		if !since[key].IsZero() {
 			e.SinceMS = float64(since[key].UnixMilli())
--- a/internal/config/reference.go
+++ b/internal/proxy/config/reference.go
@@ -35,7 +35,7 @@
 const preface = `# Configuration
 
 Every key of cresshub.toml. This page is written by "cresshub config docs" from the program itself and a
-test fails where it is stale; change the tags in internal/config/config.go, not this page.
+test fails where it is stale; change the tags in internal/proxy/config/config.go, not this page.
 
 - **Form.** TOML. Times and sizes carry a unit ("250ms", "64KiB"); a bare number where a unit belongs is an
   error. An unknown key is an error and gets the likely one. All mistakes of a file are told in one go.
--- a/internal/serve/confine.go
+++ b/internal/proxy/daemon/confine.go
@@ -1,4 +1,4 @@
-package serve
+package daemon
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"cresshub/internal/config"
+	"cresshub/internal/proxy/config"
 )
 
 // Confine keeps the process within its limits on cores and memory, of which it has a part.
@@ -21,8 +21,8 @@
 	}
 }
 
-// descriptors is how many the process may hold: what it was told or what the system allows, if less.
-func descriptors(told int) int {
+// descriptorLimit is how many the process may hold: what it was told or what the system allows, if less.
+func descriptorLimit(told int) int {
 	var lim syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err == nil && lim.Cur < math.MaxInt32 {
 		if told <= 0 || int(lim.Cur) < told {
--- a/internal/serve/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -1,4 +1,4 @@
-package serve
+package daemon
 
 import (
 	"net/url"
--- a/internal/serve/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -1,4 +1,4 @@
-package serve
+package daemon
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"time"
 
 	"cresshub/internal/chore"
-	"cresshub/internal/ingress"
 	"cresshub/internal/ledger"
 	"cresshub/internal/membership"
 	"cresshub/internal/placement"
 	"cresshub/internal/promise"
+	"cresshub/internal/proxy/ingress"
 	"cresshub/internal/replica"
 )
 
--- a/internal/serve/owner.go
+++ b/internal/proxy/daemon/owner.go
@@ -1,4 +1,4 @@
-package serve
+package daemon
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"net/url"
 
-	"cresshub/internal/config"
-	"cresshub/internal/discovery"
 	"cresshub/internal/owner"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/discovery"
 	"cresshub/internal/replica"
 )
 
--- a/internal/serve/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -1,4 +1,4 @@
-package serve
+package daemon
 
 import (
 	"errors"
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/config"
 	"cresshub/internal/keyed"
-	"cresshub/internal/logging"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/logging"
 )
 
 // reload takes over what changed. A configuration that cannot be used changes nothing, and neither does
--- a/internal/serve/reload_test.go
+++ b/internal/proxy/daemon/reload_test.go
@@ -1,4 +1,4 @@
-package serve
+package daemon
 
 import (
 	"io"
@@ -7,7 +7,7 @@
 	"syscall"
 	"testing"
 
-	"cresshub/internal/config"
+	"cresshub/internal/proxy/config"
 )
 
 // A new process may join, leave and be counted while the configuration is read again. The race detector sees
--- a/internal/serve/serve.go
+++ b/internal/proxy/daemon/serve.go
@@ -1,6 +1,6 @@
-// Package serve runs one client proxy: it wires the parts from a checked configuration, minds signals,
+// Package daemon runs one client proxy: it wires the parts from a checked configuration, minds signals,
 // takes over what a changed configuration may change, and returns once nothing is owed.
-package serve
+package daemon
 
 import (
 	"context"
@@ -13,18 +13,18 @@
 	"time"
 
 	"cresshub/internal/bodies"
-	"cresshub/internal/config"
-	"cresshub/internal/counters"
-	"cresshub/internal/decide"
-	"cresshub/internal/discovery"
-	"cresshub/internal/drain"
 	"cresshub/internal/fleet"
-	"cresshub/internal/ingress"
-	"cresshub/internal/logging"
-	"cresshub/internal/operator"
 	"cresshub/internal/owner"
-	"cresshub/internal/sockets"
-	"cresshub/internal/upstream"
+	"cresshub/internal/proxy/adminapi"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/discovery"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/drain"
+	"cresshub/internal/proxy/ingress"
+	"cresshub/internal/proxy/logging"
+	"cresshub/internal/proxy/stats"
+	"cresshub/internal/proxy/upstream"
 )
 
 // closing bounds how long the end waits for whoever reads the log.
@@ -35,18 +35,18 @@
 	cfg      *config.Config // as it is now; of whoever calls New and Run alone
 	begun    *config.Config // as it was at the start, where what takes a restart stands for good
 	log      *logging.Logger
-	count    *counters.Set
-	decider  *decide.Decider
+	count    *stats.Set
+	decider  *dispatch.Decider
 	pool     *upstream.Pool
 	list     *discovery.Client
 	server   *ingress.Server
 	listener net.Listener
-	door     *operator.Door // nil where there is none
+	door     *adminapi.Door // nil where there is none
 	fleet    *fleet.Fleet   // nil where there is none
 	ledger   *ledgerPart    // nil where there is none
 	owner    *owner.Owner   // nil where there is none
 	times    atomic.Pointer[config.Shutdown]
-	budget   *sockets.Budget
+	budget   *descriptors.Budget
 	bodies   *bodies.Budget
 	upgrade  upgrade
 	since    map[string]time.Time // when servers of the file were first named, by name and address
@@ -56,8 +56,8 @@
 func (p *Proxy) Follow() { p.list.Follow() }
 
 // Probe asks a server for its load.
-func (p *Proxy) Probe(s decide.ServerID) {
-	p.pool.Probe(s, func(res decide.Result, took time.Duration, load []float64) {
+func (p *Proxy) Probe(s dispatch.ServerID) {
+	p.pool.Probe(s, func(res dispatch.Result, took time.Duration, load []float64) {
 		p.decider.Probed(s, res, took, load)
 	})
 }
@@ -65,7 +65,7 @@
 // New wires a proxy and listens; it serves once Run is called. The log goes to w.
 func New(cfg *config.Config, w io.Writer) (*Proxy, error) {
 	set := cfg.Settings()
-	p := &Proxy{cfg: cfg, begun: cfg, count: counters.New(set.ClassNames), since: map[string]time.Time{}}
+	p := &Proxy{cfg: cfg, begun: cfg, count: stats.New(set.ClassNames), since: map[string]time.Time{}}
 	p.times.Store(&cfg.Shutdown)
 	p.log = logging.New(w, logging.Options{
 		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), Repeat: cfg.Log.Repeat,
@@ -74,13 +74,13 @@
 	log := p.log.With(logging.Name, cfg.Name)
 	p.log.Logger = log
 	var err error
-	if p.decider, err = decide.New(set.Settings, cfg.Policy.Travel, p); err != nil {
+	if p.decider, err = dispatch.New(set.Settings, cfg.Policy.Travel, p); err != nil {
 		return nil, err
 	}
 	if err := p.join(); err != nil {
 		return nil, err
 	}
-	budget := sockets.NewBudget(p.descriptors(), cfg.Limits.Clients, cfg.Limits.Crowded)
+	budget := descriptors.NewBudget(p.descriptors(), cfg.Limits.Clients, cfg.Limits.Crowded)
 	p.budget = budget
 	p.list = discovery.New(cfg.Discovery.Address, cfg.Upstream.DialLimit(), listLimits(cfg),
 		discovery.Names{Zones: set.ZoneNames, Kinds: set.KindNames}, budget, p.count, log)
@@ -107,7 +107,7 @@
 	if list := cfg.ServerList(time.Time{}, p.since); list != nil {
 		known = list
 	}
-	var servers []decide.Server
+	var servers []dispatch.Server
 	if known != nil {
 		if servers, err = p.list.Known(known); err != nil {
 			return nil, fmt.Errorf("the list of known servers: %w", err)
@@ -120,7 +120,7 @@
 			p.listener.Close()
 			return nil, fmt.Errorf("operator: %w", err)
 		}
-		p.door = operator.New(door, p, p.count, log)
+		p.door = adminapi.New(door, p, p.count, log)
 	}
 	err = p.joinFleet()
 	if err == nil {
@@ -208,7 +208,7 @@
 		case sig := <-signals:
 			switch {
 			case sig == syscall.SIGUSR1:
-				p.count.Log(p.log.Logger, "asked", decide.ResultNames)
+				p.count.Log(p.log.Logger, "asked", dispatch.ResultNames)
 			case sig == syscall.SIGHUP: // also while ending: what is owed still needs the list
 				p.reload(reread())
 			case over == nil:
@@ -228,7 +228,7 @@
 	if offer := p.upgrade.offer.Load(); offer != nil {
 		offer.Close()
 	}
-	p.count.Log(p.log.Logger, "exit", decide.ResultNames)
+	p.count.Log(p.log.Logger, "exit", dispatch.ResultNames)
 	p.log.Close(closing)
 }
 
--- a/internal/serve/silence_test.go
+++ b/internal/proxy/daemon/silence_test.go
@@ -1,11 +1,11 @@
-package serve
+package daemon
 
 import (
 	"testing"
 	"time"
 
 	"cresshub/balance"
-	"cresshub/internal/config"
+	"cresshub/internal/proxy/config"
 )
 
 // platform is the configuration as the platform gives it, with all else by default.
--- a/internal/serve/upgrade.go
+++ b/internal/proxy/daemon/upgrade.go
@@ -1,4 +1,4 @@
-package serve
+package daemon
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"cresshub/internal/handover"
-	"cresshub/internal/logging"
-	"cresshub/internal/operator"
+	"cresshub/internal/proxy/adminapi"
+	"cresshub/internal/proxy/handover"
+	"cresshub/internal/proxy/logging"
 )
 
 // upgrade is what the proxy knows of the process before it and of those after it.
@@ -76,9 +76,9 @@
 
 // descriptors is how many connections and files the process may hold beside its door.
 func (p *Proxy) descriptors() int {
-	n := int(float64(descriptors(p.begun.Limits.Sockets)) * p.upgrade.part())
+	n := int(float64(descriptorLimit(p.begun.Limits.Sockets)) * p.upgrade.part())
 	if p.begun.Operator != "" {
-		n -= operator.Callers + 1 // and its listener
+		n -= adminapi.Callers + 1 // and its listener
 	}
 	return n
 }
--- a/internal/sockets/sockets.go
+++ b/internal/proxy/descriptors/sockets.go
@@ -1,5 +1,5 @@
-// Package sockets keeps the program under its limit on descriptors.
-package sockets
+// Package descriptors keeps the program under its limit on descriptors.
+package descriptors
 
 import "sync"
 
--- a/internal/sockets/sockets_test.go
+++ b/internal/proxy/descriptors/sockets_test.go
@@ -1,4 +1,4 @@
-package sockets
+package descriptors
 
 import "testing"
 
--- a/internal/discovery/discovery.go
+++ b/internal/proxy/discovery/discovery.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/counters"
-	"cresshub/internal/decide"
-	"cresshub/internal/logging"
-	"cresshub/internal/registry"
-	"cresshub/internal/sockets"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/logging"
+	"cresshub/internal/proxy/serverlist"
+	"cresshub/internal/proxy/stats"
 )
 
 // Limits are what discovery may keep this side waiting for; they may change while it is followed.
@@ -40,7 +40,7 @@
 
 // Sink takes in what discovery says.
 type Sink interface {
-	Listed(whole bool, list []decide.Server)
+	Listed(whole bool, list []dispatch.Server)
 	ListFailed()
 }
 
@@ -53,8 +53,8 @@
 	limits  atomic.Pointer[Limits]
 	sink    Sink
 	changed func() // called after each list
-	budget  *sockets.Budget
-	count   *counters.Set
+	budget  *descriptors.Budget
+	count   *stats.Set
 	log     *slog.Logger
 	asked   chan struct{}
 	moved   chan string
@@ -82,10 +82,10 @@
 	index     int64
 	source    int64  // number of the watch that is believed
 	origin    string // where the list comes from
-	byName    map[string]decide.ServerID
-	taken     map[decide.ServerID]string
-	inService map[decide.ServerID]string   // of those in service
-	listed    map[string]registry.Endpoint // by name, for whoever takes over from this process
+	byName    map[string]dispatch.ServerID
+	taken     map[dispatch.ServerID]string
+	inService map[dispatch.ServerID]string   // of those in service
+	listed    map[string]serverlist.Endpoint // by name, for whoever takes over from this process
 }
 
 // watch is one call to discovery that stays open.
@@ -100,8 +100,8 @@
 }
 
 // New returns a Client that knows no server and asks nothing before Follow.
-func New(address string, dial time.Duration, limits Limits, names Names, budget *sockets.Budget,
-	count *counters.Set, log *slog.Logger) *Client {
+func New(address string, dial time.Duration, limits Limits, names Names, budget *descriptors.Budget,
+	count *stats.Set, log *slog.Logger) *Client {
 	c := &Client{
 		address: address, budget: budget, count: count, log: log,
 		connect: func(ctx context.Context, address string) (net.Conn, error) {
@@ -112,8 +112,8 @@
 		ended:  make(chan *watch),
 		origin: address,
 		names:  Names{slices.Clone(names.Zones), slices.Clone(names.Kinds)},
-		byName: map[string]decide.ServerID{}, taken: map[decide.ServerID]string{},
-		inService: map[decide.ServerID]string{}, listed: map[string]registry.Endpoint{},
+		byName: map[string]dispatch.ServerID{}, taken: map[dispatch.ServerID]string{},
+		inService: map[dispatch.ServerID]string{}, listed: map[string]serverlist.Endpoint{},
 	}
 	c.SetLimits(limits)
 	return c
--- a/internal/discovery/discovery_test.go
+++ b/internal/proxy/discovery/discovery_test.go
@@ -11,17 +11,17 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/balance"
-	"cresshub/internal/counters"
-	"cresshub/internal/decide"
 	"cresshub/internal/nettest"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/stats"
 	"cresshub/internal/ring"
-	"cresshub/internal/sockets"
 )
 
 func client(address string) *Client {
 	return New(address, time.Second, Limits{Silence: 3 * time.Second, MaxList: 1 << 20},
 		Names{Zones: []string{"kita", "chuo"}, Kinds: []string{"m1", "m2"}},
-		sockets.NewBudget(100, 0.6, 0.25), &counters.Set{}, slog.New(slog.DiscardHandler))
+		descriptors.NewBudget(100, 0.6, 0.25), &stats.Set{}, slog.New(slog.DiscardHandler))
 }
 
 func TestTake(t *testing.T) {
@@ -30,16 +30,19 @@
 	c := client("")
 	for _, step := range []struct {
 		in    string
-		want  decide.Server // but for its ID
+		want  dispatch.Server // but for its ID
 		alive string
 	}{
-		{fmt.Sprintf(line, 4, true, "a", 1, "chuo", "in_service"), decide.Server{Zone: 1, State: balance.Up}, "a"},
-		{fmt.Sprintf(line, 5, false, "b", 2, "elsewhere", "in_service"), decide.Server{Zone: 2}, "ab"},
-		{fmt.Sprintf(line, 6, false, "a", 1, "kita", "terminating"), decide.Server{State: balance.Draining}, "b"},
-		{fmt.Sprintf(line, 7, false, "b", 2, "kita", "terminated"), decide.Server{State: balance.Removed}, ""},
-		{fmt.Sprintf(line, 8, false, "a", 1, "kita", "in_service"), decide.Server{}, "a"},
-		{fmt.Sprintf(line, 2, true, "b", 2, "kita", "in_service"), decide.Server{}, "b"},
-		{fmt.Sprintf(line, 9, false, "b", 2, "kita", "terminated"), decide.Server{State: balance.Removed}, ""},
+		{
+			fmt.Sprintf(line, 4, true, "a", 1, "chuo", "in_service"),
+			dispatch.Server{Zone: 1, State: balance.Up}, "a",
+		},
+		{fmt.Sprintf(line, 5, false, "b", 2, "elsewhere", "in_service"), dispatch.Server{Zone: 2}, "ab"},
+		{fmt.Sprintf(line, 6, false, "a", 1, "kita", "terminating"), dispatch.Server{State: balance.Draining}, "b"},
+		{fmt.Sprintf(line, 7, false, "b", 2, "kita", "terminated"), dispatch.Server{State: balance.Removed}, ""},
+		{fmt.Sprintf(line, 8, false, "a", 1, "kita", "in_service"), dispatch.Server{}, "a"},
+		{fmt.Sprintf(line, 2, true, "b", 2, "kita", "in_service"), dispatch.Server{}, "b"},
+		{fmt.Sprintf(line, 9, false, "b", 2, "kita", "terminated"), dispatch.Server{State: balance.Removed}, ""},
 	} {
 		_, list, err := c.take(nil, []byte(step.in))
 		if err != nil || len(list) != 1 {
@@ -86,8 +89,8 @@
 	failed chan bool
 }
 
-func (s *sink) Listed(whole bool, list []decide.Server) { s.listed <- fmt.Sprint(whole, len(list)) }
-func (s *sink) ListFailed()                             { s.failed <- true }
+func (s *sink) Listed(whole bool, list []dispatch.Server) { s.listed <- fmt.Sprint(whole, len(list)) }
+func (s *sink) ListFailed()                               { s.failed <- true }
 
 // A watch that ends or answers badly is told as failed, and may be asked again.
 func TestWatch(t *testing.T) {
--- a/internal/discovery/list.go
+++ b/internal/proxy/discovery/list.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"cresshub/balance"
-	"cresshub/internal/decide"
-	"cresshub/internal/registry"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/serverlist"
 )
 
 var states = map[string]balance.ServerState{
@@ -22,13 +22,13 @@
 }
 
 // Known takes in the list as it was held before the start and returns it for the decisions.
-func (c *Client) Known(raw []byte) ([]decide.Server, error) {
+func (c *Client) Known(raw []byte) ([]dispatch.Server, error) {
 	_, list, err := c.take(nil, raw)
 	return list, err
 }
 
 // Address returns where a server listens; false where it is not in service.
-func (c *Client) Address(s decide.ServerID) (string, bool) {
+func (c *Client) Address(s dispatch.ServerID) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a, ok := c.inService[s]
@@ -39,12 +39,12 @@
 // there is none.
 func (c *Client) Export() ([]byte, error) {
 	c.mu.Lock()
-	doc := registry.Document{Index: c.index, Snapshot: true, Endpoints: slices.Collect(maps.Values(c.listed))}
+	doc := serverlist.Document{Index: c.index, Snapshot: true, Endpoints: slices.Collect(maps.Values(c.listed))}
 	c.mu.Unlock()
 	if len(doc.Endpoints) == 0 {
 		return nil, nil
 	}
-	slices.SortFunc(doc.Endpoints, func(a, b registry.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(doc.Endpoints, func(a, b serverlist.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	return json.Marshal(doc)
 }
 
@@ -77,7 +77,7 @@
 }
 
 // Name returns what a server is called, or "" where no list holds it.
-func (c *Client) Name(s decide.ServerID) string {
+func (c *Client) Name(s dispatch.ServerID) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.taken[s]
@@ -88,8 +88,8 @@
 // take applies one document: from here on no attempt begins at a server that it takes out of service.
 // With its first one a watch becomes the source; the one before it is not heard any more. A change whose
 // count lies below what was told is taken in, with errFell: what lies between it and the list is unknown.
-func (c *Client) take(w *watch, raw []byte) (whole bool, list []decide.Server, err error) {
-	var doc registry.Document
+func (c *Client) take(w *watch, raw []byte) (whole bool, list []dispatch.Server, err error) {
+	var doc serverlist.Document
 	if err := json.Unmarshal(raw, &doc); err != nil {
 		return false, nil, err
 	}
@@ -121,7 +121,7 @@
 	}
 	for i := range doc.Endpoints {
 		e := &doc.Endpoints[i]
-		s := decide.Server{
+		s := dispatch.Server{
 			ID: c.id(e.Name), Zone: place(&c.names.Zones, e.Zone), Kind: place(&c.names.Kinds, e.Type),
 			Cell: e.Group, State: states[e.Status], Rating: e.Weight,
 			Started: time.Duration(math.Round(e.SinceMS*1000)) * time.Microsecond,
@@ -152,13 +152,13 @@
 
 // id gives a name its number: the same at every client proxy, for the decisions place keys by it. Only
 // where two names meet in one number does it depend on which was seen first.
-func (c *Client) id(name string) decide.ServerID {
+func (c *Client) id(name string) dispatch.ServerID {
 	if s, ok := c.byName[name]; ok {
 		return s
 	}
 	h := fnv.New32a()
 	io.WriteString(h, name)
-	s := decide.ServerID(h.Sum32())
+	s := dispatch.ServerID(h.Sum32())
 	for c.taken[s] != "" {
 		s++
 	}
--- a/internal/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -15,9 +15,9 @@
 
 	"cresshub/internal/http1"
 	"cresshub/internal/lease"
-	"cresshub/internal/logging"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/logging"
 	"cresshub/internal/ring"
-	"cresshub/internal/sockets"
 )
 
 func (c *Client) leave(w *watch) {
@@ -105,10 +105,10 @@
 }
 
 func (c *Client) watch(ctx context.Context, w *watch) error {
-	if !c.budget.Take(sockets.Servers) {
+	if !c.budget.Take(descriptors.Servers) {
 		return errors.New("no socket left")
 	}
-	defer c.budget.Give(sockets.Servers)
+	defer c.budget.Give(descriptors.Servers)
 	raw, err := c.connect(ctx, w.address)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 		return errCut
--- a/internal/decide/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -1,6 +1,6 @@
 // This file has the lock, the clock and the timers of a Decider, and carries out what balance asks for.
 
-package decide
+package dispatch
 
 import (
 	"container/heap"
--- a/internal/decide/decide.go
+++ b/internal/proxy/dispatch/decide.go
@@ -1,8 +1,8 @@
-// Package decide puts a blocking face on the decisions of package balance. A request's goroutine asks
+// Package dispatch puts a blocking face on the decisions of package balance. A request's goroutine asks
 // Pick what to do next and Reports how its attempts end; Tick lets time pass. Events, actions, the
 // lock, timers, ids and the clock stay in here, and nothing in here knows which protocol a request
 // came by.
-package decide
+package dispatch
 
 import (
 	"container/heap"
--- a/internal/decide/orders_test.go
+++ b/internal/proxy/dispatch/orders_test.go
@@ -1,4 +1,4 @@
-package decide
+package dispatch
 
 import (
 	"fmt"
--- a/internal/ingress/answer.go
+++ b/internal/proxy/ingress/answer.go
@@ -5,10 +5,10 @@
 	"strconv"
 	"time"
 
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
-	"cresshub/internal/logging"
-	"cresshub/internal/upstream"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/logging"
+	"cresshub/internal/proxy/upstream"
 )
 
 // answer finds a request's final answer. What of its body is not kept is in u, nil where that is nothing.
@@ -81,7 +81,7 @@
 }
 
 // run does what the decisions say until they end the request.
-func (s *Server) run(c *client, id string, r decide.Request, message *http1.Request, u *upload) final {
+func (s *Server) run(c *client, id string, r dispatch.Request, message *http1.Request, u *upload) final {
 	handled := s.Count.Class(r.Class)
 	select {
 	case <-c.woken: // left over from the request before
@@ -99,7 +99,7 @@
 	}()
 	for {
 		switch step := s.Decider.Pick(call); step.Kind {
-		case decide.Send:
+		case dispatch.Send:
 			t := &try{Attempt: upstream.Attempt{Server: step.Server, Request: message, By: step.By,
 				Until: step.Until}}
 			if u != nil {
@@ -115,15 +115,15 @@
 			tries = append(tries, t)
 			s.hold(id, false) // it may outlast its client
 			s.Pool.Start(&t.Attempt)
-		case decide.Cancel:
+		case dispatch.Cancel:
 			tries[step.Attempt].Cancel()
-		case decide.Answer:
+		case dispatch.Answer:
 			s.Count.Served.Add()
 			s.ended(c, "served", 200, tries, step.Attempt)
 			a := tries[step.Attempt].out.Answer
 			a.Header = a.Header.EndToEnd("X-Server-Load")
 			return final{a, &tries[step.Attempt].out, &handled.Passed, &handled.Failed}
-		case decide.Refuse:
+		case dispatch.Refuse:
 			s.Count.Refused.Add()
 			s.ended(c, "refused", 503, tries, len(tries)-1)
 			a := plain(503, "refused", false)
@@ -132,15 +132,15 @@
 				a.Header = append(a.Header, http1.Field{Name: "Retry-After", Value: wait})
 			}
 			return final{answer: a, count: &handled.Dropped}
-		case decide.Fail:
+		case dispatch.Fail:
 			s.Count.Failed.Add()
 			status, reason := 502, "failed"
-			if n := len(tries); n > 0 && tries[n-1].out.Result == decide.TimedOut {
+			if n := len(tries); n > 0 && tries[n-1].out.Result == dispatch.TimedOut {
 				status, reason = 504, "no answer in time"
 			}
 			s.ended(c, "failed", status, tries, len(tries)-1)
 			return final{answer: plain(status, reason, false), count: &handled.Failed}
-		case decide.Gone:
+		case dispatch.Gone:
 			s.Count.Gone.Add()
 			s.ended(c, "gone", 0, tries, len(tries)-1)
 			if step.Attempt >= 0 {
--- a/internal/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/config"
-	"cresshub/internal/logging"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/logging"
 	"cresshub/internal/ring"
 )
 
--- a/internal/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -4,8 +4,8 @@
 	"net"
 	"time"
 
-	"cresshub/internal/drain"
-	"cresshub/internal/sockets"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/drain"
 )
 
 // sweepEvery is how often a drain looks for connections to close.
@@ -100,6 +100,6 @@
 	c.idle = false
 	delete(s.clients, c)
 	c.Close()
-	s.Budget.Give(sockets.Clients)
+	s.Budget.Give(descriptors.Clients)
 	return true
 }
--- a/internal/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/drain"
 	"cresshub/internal/http1"
 	"cresshub/internal/nettest"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/drain"
 	"cresshub/internal/ring"
-	"cresshub/internal/sockets"
 )
 
 // held is a zone server whose answers wait until release is closed.
@@ -300,7 +300,7 @@
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		c := &client{Conn: ring.NewConn(near), woken: make(chan struct{}, 1), idle: true, fresh: true}
 		nettest.Until(t, "it is there", func() bool { return !c.Still() })
-		if !r.Budget.Take(sockets.Clients) {
+		if !r.Budget.Take(descriptors.Clients) {
 			t.Fatal("no place")
 		}
 		r.serve(c)
--- a/internal/ingress/exchange.go
+++ b/internal/proxy/ingress/exchange.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/logging"
-	"cresshub/internal/sockets"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/logging"
 )
 
 func (s *Server) serve(c *client) {
@@ -56,7 +56,7 @@
 			delete(s.clients, c)
 			s.mu.Unlock()
 			c.Close()
-			s.Budget.Give(sockets.Clients)
+			s.Budget.Give(descriptors.Clients)
 		}
 	}()
 	if silent {
--- a/internal/ingress/ingress.go
+++ b/internal/proxy/ingress/ingress.go
@@ -12,15 +12,15 @@
 	"time"
 
 	"cresshub/internal/bodies"
-	"cresshub/internal/config"
-	"cresshub/internal/counters"
-	"cresshub/internal/decide"
-	"cresshub/internal/drain"
 	"cresshub/internal/http1"
-	"cresshub/internal/logging"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/drain"
+	"cresshub/internal/proxy/logging"
+	"cresshub/internal/proxy/stats"
+	"cresshub/internal/proxy/upstream"
 	"cresshub/internal/ring"
-	"cresshub/internal/sockets"
-	"cresshub/internal/upstream"
 )
 
 const readyPath = "/health/ready"
@@ -44,16 +44,16 @@
 
 // Options are what a Server works with.
 type Options struct {
-	Decider *decide.Decider
+	Decider *dispatch.Decider
 	Pool    *upstream.Pool
-	Name    func(decide.ServerID) string // what a zone server is called
-	Classes []string                     // names in the order of the settings
+	Name    func(dispatch.ServerID) string // what a zone server is called
+	Classes []string                       // names in the order of the settings
 	Tenants []string
 	Limits  config.Clients
 	Drain   func() drain.Times // as they are now
-	Budget  *sockets.Budget
+	Budget  *descriptors.Budget
 	Bodies  *bodies.Budget
-	Count   *counters.Set
+	Count   *stats.Set
 	Used    func(Use) // told of every final answer that was written; nil where nobody counts use
 	Log     *slog.Logger
 }
@@ -66,7 +66,7 @@
 	}
 	s.SetLimits(o.Limits)
 	s.drain.Store(&drain.State{})
-	o.Budget.OnShort(sockets.Clients, s.closeOne)
+	o.Budget.OnShort(descriptors.Clients, s.closeOne)
 	return s
 }
 
@@ -97,7 +97,7 @@
 			continue
 		}
 		s.Count.Accepted.Add()
-		if !s.Budget.Take(sockets.Clients) {
+		if !s.Budget.Take(descriptors.Clients) {
 			s.Count.TurnedAway.Add()
 			select {
 			case s.away <- struct{}{}:
--- a/internal/ingress/pass.go
+++ b/internal/proxy/ingress/pass.go
@@ -5,17 +5,17 @@
 	"net"
 	"time"
 
-	"cresshub/internal/counters"
 	"cresshub/internal/http1"
-	"cresshub/internal/upstream"
+	"cresshub/internal/proxy/stats"
+	"cresshub/internal/proxy/upstream"
 )
 
 // final is a request's final answer and what belongs to it.
 type final struct {
 	answer *http1.Response   // nil where nobody waits for one
 	from   *upstream.Outcome // what the answer is of, to be released; nil where it is our own
-	count  *counters.Counter // where it counts once it is written; nil where it is of no class
-	failed *counters.Counter // where it counts instead if its server breaks it off; set where from is
+	count  *stats.Counter    // where it counts once it is written; nil where it is of no class
+	failed *stats.Counter    // where it counts instead if its server breaks it off; set where from is
 }
 
 // sendBuffer bounds what the system keeps of an answer that streams. With more a slow client is written to in
--- a/internal/ingress/request.go
+++ b/internal/proxy/ingress/request.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
+	"cresshub/internal/proxy/dispatch"
 )
 
 const idField = "X-Request-ID"
@@ -23,7 +23,7 @@
 
 // parse reads what the decisions need to know of a request. A status other than 0 says what is wrong; the
 // class is set all the same, to -1 where none is named.
-func (s *Server) parse(q *http1.Request, arrived time.Time) (r decide.Request, status int, reason string) {
+func (s *Server) parse(q *http1.Request, arrived time.Time) (r dispatch.Request, status int, reason string) {
 	var known bool
 	if r.Class, known = s.classes[q.Header.Get("X-Priority-Class")]; !known {
 		r.Class = -1
--- a/internal/ingress/request_test.go
+++ b/internal/proxy/ingress/request_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
+	"cresshub/internal/proxy/dispatch"
 )
 
 func TestParse(t *testing.T) {
@@ -22,26 +22,26 @@
 	for _, c := range []struct {
 		method, target string
 		header         http1.Header
-		want           decide.Request
+		want           dispatch.Request
 		status         int
 	}{
 		{"GET", "/api?key=1f", head("1", "lookup", "acme", "0.480"),
-			decide.Request{Tenant: 1, Key: 0x1f, HasKey: true, Deadline: in(480 * time.Millisecond)}, 0},
+			dispatch.Request{Tenant: 1, Key: 0x1f, HasKey: true, Deadline: in(480 * time.Millisecond)}, 0},
 		{"POST", "/api?other=2",
 			append(head("1", "assign", "x", "1e9"), http1.Field{Name: "X-Retried", Value: "1"}),
-			decide.Request{Class: 1, Deadline: in(longest), Repeat: true}, 0},
+			dispatch.Request{Class: 1, Deadline: in(longest), Repeat: true}, 0},
 		{"GET", "/", append(head("1", "lookup", "x", "1"), http1.Field{Name: "X-Timeout", Value: "2"}),
-			decide.Request{}, 400},
+			dispatch.Request{}, 400},
 		{"GET", "/", append(head("1", "lookup", "x", "1"), http1.Field{Name: "X-Request-Id", Value: "2"}),
-			decide.Request{}, 400},
-		{"DELETE", "/", head("1", "lookup", "acme", "1"), decide.Request{}, 405},
-		{"GET", "/", head("", "lookup", "acme", "1"), decide.Request{}, 400},
-		{"GET", "/", head("1", "", "acme", "1"), decide.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "", "1"), decide.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "acme", ""), decide.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "acme", "-1"), decide.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "acme", "NaN"), decide.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "acme", "Inf"), decide.Request{}, 400},
+			dispatch.Request{}, 400},
+		{"DELETE", "/", head("1", "lookup", "acme", "1"), dispatch.Request{}, 405},
+		{"GET", "/", head("", "lookup", "acme", "1"), dispatch.Request{}, 400},
+		{"GET", "/", head("1", "", "acme", "1"), dispatch.Request{}, 400},
+		{"GET", "/", head("1", "lookup", "", "1"), dispatch.Request{}, 400},
+		{"GET", "/", head("1", "lookup", "acme", ""), dispatch.Request{}, 400},
+		{"GET", "/", head("1", "lookup", "acme", "-1"), dispatch.Request{}, 400},
+		{"GET", "/", head("1", "lookup", "acme", "NaN"), dispatch.Request{}, 400},
+		{"GET", "/", head("1", "lookup", "acme", "Inf"), dispatch.Request{}, 400},
 	} {
 		got, status, _ := s.parse(&http1.Request{Method: c.method, Target: c.target, Header: c.header}, arrived)
 		if status != c.status {
--- a/internal/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -9,13 +9,13 @@
 
 	"cresshub/balance"
 	"cresshub/internal/bodies"
-	"cresshub/internal/config"
-	"cresshub/internal/counters"
-	"cresshub/internal/decide"
-	"cresshub/internal/drain"
 	"cresshub/internal/nettest"
-	"cresshub/internal/sockets"
-	"cresshub/internal/upstream"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/drain"
+	"cresshub/internal/proxy/stats"
+	"cresshub/internal/proxy/upstream"
 )
 
 // rig is a proxy without discovery: what it lists, and when a look-up is answered, a test says.
@@ -26,12 +26,12 @@
 	ended    chan struct{} // closed when Shutdown has returned
 
 	mu     sync.Mutex
-	listed map[decide.ServerID]string
+	listed map[dispatch.ServerID]string
 	looked func(n int) // called on each look-up of an address with its number from 1 on
 	looks  int
 }
 
-func (r *rig) Address(s decide.ServerID) (string, bool) {
+func (r *rig) Address(s dispatch.ServerID) (string, bool) {
 	r.mu.Lock()
 	r.looks++
 	n, looked, a := r.looks, r.looked, r.listed[s]
@@ -42,17 +42,17 @@
 	return a, a != ""
 }
 
-func (r *rig) Probe(decide.ServerID) {}
-func (r *rig) Follow()               {}
+func (r *rig) Probe(dispatch.ServerID) {}
+func (r *rig) Follow()                 {}
 
 // list has the proxy told of servers, which take the numbers from 1 on.
 func (r *rig) list(addresses ...string) {
-	var list []decide.Server
+	var list []dispatch.Server
 	r.mu.Lock()
 	for i, a := range addresses {
-		id := decide.ServerID(i + 1)
+		id := dispatch.ServerID(i + 1)
 		r.listed[id] = a
-		list = append(list, decide.Server{ID: id, Rating: 1})
+		list = append(list, dispatch.Server{ID: id, Rating: 1})
 	}
 	r.mu.Unlock()
 	r.Decider.Listed(true, list)
@@ -71,18 +71,18 @@
 	if change != nil {
 		change(&set)
 	}
-	r := &rig{listed: map[decide.ServerID]string{}, ended: make(chan struct{})}
-	decider, err := decide.New(set, 20*time.Millisecond, r)
+	r := &rig{listed: map[dispatch.ServerID]string{}, ended: make(chan struct{})}
+	decider, err := dispatch.New(set, 20*time.Millisecond, r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	budget, room, count := sockets.NewBudget(200, 0.6, 0.9), bodies.NewBudget(1<<20), counters.New(
+	budget, room, count := descriptors.NewBudget(200, 0.6, 0.9), bodies.NewBudget(1<<20), stats.New(
 		[]string{"lookup", "assign"})
 	wait := nettest.Patience
 	limits := upstream.Limits{Dial: wait, Reuse: wait, Probe: wait, Hold: time.Second, Stall: wait}
 	pool := upstream.New(r, limits, nil, budget, room, count)
 	r.Server = New(Options{
-		Decider: decider, Pool: pool, Name: func(decide.ServerID) string { return "s" },
+		Decider: decider, Pool: pool, Name: func(dispatch.ServerID) string { return "s" },
 		Classes: []string{"lookup", "assign"}, Tenants: []string{"acme"},
 		Limits: config.Clients{First: wait, Request: wait, Stall: wait, Idle: wait, Write: wait,
 			Half: wait, Silent: wait, Rested: wait, Away: wait, AwayAtOne: 8,
--- a/internal/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
+	"cresshub/internal/proxy/dispatch"
 )
 
 const (
@@ -76,7 +76,7 @@
 	server *Server
 	client *client
 	body   *http1.Body
-	call   *decide.Call
+	call   *dispatch.Call
 	wait   time.Duration // the client waits for an answer so long from its last byte on
 
 	begun atomic.Bool   // an attempt reads it
--- a/internal/ingress/used.go
+++ b/internal/proxy/ingress/used.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/cespare/xxhash/v2"
 
-	"cresshub/internal/counters"
 	"cresshub/internal/http1"
+	"cresshub/internal/proxy/stats"
 )
 
 // Use is one final answer that was written, as a ledger counts it.
@@ -37,7 +37,7 @@
 }
 
 // used counts a request's use once its final answer has been written, as the figure that counted it says.
-func (s *Server) used(c *client, by *counters.Counter, out int64) {
+func (s *Server) used(c *client, by *stats.Counter, out int64) {
 	u := c.use
 	if u == nil || by == nil {
 		return
--- a/internal/ingress/wait_test.go
+++ b/internal/proxy/ingress/wait_test.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"cresshub/internal/bodies"
-	"cresshub/internal/config"
-	"cresshub/internal/counters"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/stats"
 	"cresshub/internal/ring"
-	"cresshub/internal/sockets"
 )
 
 func pair() (*client, net.Conn) {
@@ -57,8 +57,8 @@
 func server() *Server {
 	return New(Options{Limits: config.Clients{AwayAtOne: 1, Silent: 50 * time.Millisecond,
 		Half: 500 * time.Millisecond, Rested: 20 * time.Millisecond},
-		Bodies: bodies.NewBudget(1 << 20), Budget: sockets.NewBudget(100, 0.6, 0.25),
-		Count: &counters.Set{}, Log: slog.New(slog.DiscardHandler)})
+		Bodies: bodies.NewBudget(1 << 20), Budget: descriptors.NewBudget(100, 0.6, 0.25),
+		Count: &stats.Set{}, Log: slog.New(slog.DiscardHandler)})
 }
 
 // Places go first from those that never asked, then from those stuck in a request, then from those that
--- a/internal/registry/registry.go
+++ b/internal/proxy/serverlist/registry.go
@@ -1,6 +1,6 @@
-// Package registry is the form in which discovery tells the list of servers, which the configuration's own
+// Package serverlist is the form in which discovery tells the list of servers, which the configuration's own
 // servers and what an old process hands over take too.
-package registry
+package serverlist
 
 // Document is a list, whole or only what changed.
 type Document struct {
--- a/internal/wire/decode.go
+++ b/internal/proxy/simwire/decode.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's JSON lines. It is the only place that knows their
+// Package simwire reads and writes the simulator's JSON lines. It is the only place that knows their
 // words; it takes no decisions.
-package wire
+package simwire
 
 import (
 	"cmp"
--- a/internal/wire/values.go
+++ b/internal/proxy/simwire/values.go
@@ -1,6 +1,6 @@
 // This file reads single values of the simulator's words.
 
-package wire
+package simwire
 
 import (
 	"errors"
--- a/internal/wire/wire_test.go
+++ b/internal/proxy/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/counters/counters.go
+++ b/internal/proxy/stats/counters.go
@@ -1,5 +1,5 @@
-// Package counters counts what the program takes in, sends and answers.
-package counters
+// Package stats counts what the program takes in, sends and answers.
+package stats
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"slices"
 	"sync/atomic"
 
-	"cresshub/internal/logging"
+	"cresshub/internal/proxy/logging"
 )
 
 // Counter is one figure; it only rises.
--- a/internal/counters/counters_test.go
+++ b/internal/proxy/stats/counters_test.go
@@ -1,4 +1,4 @@
-package counters
+package stats
 
 import (
 	"bytes"
--- a/internal/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -4,9 +4,9 @@
 	"io"
 	"testing"
 
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
 	"cresshub/internal/nettest"
+	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/ring"
 )
 
@@ -45,8 +45,8 @@
 		}
 		<-wrote
 		a.Cancel()
-		if out := <-done; out.Result != decide.Withdrawn || out.Answer != nil || p.bodies.Used() != 0 {
-			t.Errorf("after %d pieces: %s, %d bytes kept", begun+1, decide.ResultNames[out.Result], p.bodies.Used())
+		if out := <-done; out.Result != dispatch.Withdrawn || out.Answer != nil || p.bodies.Used() != 0 {
+			t.Errorf("after %d pieces: %s, %d bytes kept", begun+1, dispatch.ResultNames[out.Result], p.bodies.Used())
 		}
 		for range 2 - begun {
 			on <- true
@@ -64,8 +64,8 @@
 		}
 		out := <-done
 		a.Cancel()
-		if out.Result != decide.Served || string(out.Answer.Body) != "body" {
-			t.Errorf("after the last byte: %s", decide.ResultNames[out.Result])
+		if out.Result != dispatch.Served || string(out.Answer.Body) != "body" {
+			t.Errorf("after the last byte: %s", dispatch.ResultNames[out.Result])
 		}
 		p.Release(&out)
 	}
@@ -88,8 +88,8 @@
 		p := pool(&place{address: address}, nettest.Patience)
 		for range 2 {
 			_, done := attempt(p, ever())
-			if out := <-done; out.Result != decide.Served || string(out.Answer.Body) != "own" {
-				t.Errorf("more %q: %s", more, decide.ResultNames[out.Result])
+			if out := <-done; out.Result != dispatch.Served || string(out.Answer.Body) != "own" {
+				t.Errorf("more %q: %s", more, dispatch.ResultNames[out.Result])
 			}
 		}
 		if n := p.count.Opened.Load(); n != 2 {
@@ -117,8 +117,8 @@
 			}
 		}
 		_, done = attempt(p, ever())
-		if out := <-done; out.Result != decide.TurnedAway {
-			t.Errorf("%s: %s", name, decide.ResultNames[out.Result])
+		if out := <-done; out.Result != dispatch.TurnedAway {
+			t.Errorf("%s: %s", name, dispatch.ResultNames[out.Result])
 		}
 		if len(old.Got("")) != 1 || len(fresh.Got("")) != 0 {
 			t.Errorf("%s: %d came to the old address, %d to the new", name, len(old.Got("")), len(fresh.Got("")))
--- a/internal/upstream/crossings_test.go
+++ b/internal/proxy/upstream/crossings_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
 	"cresshub/internal/nettest"
+	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/ring"
 )
 
@@ -72,7 +72,7 @@
 	p.SetLimits(l)
 	probed := make(chan bool)
 	ask := func() { _, done := attempt(p, ever()); <-done }
-	p.Probe(0, func(decide.Result, time.Duration, []float64) { probed <- true })
+	p.Probe(0, func(dispatch.Result, time.Duration, []float64) { probed <- true })
 	<-probed
 	ask() // on the same
 	ask() // on one of its own
@@ -147,8 +147,8 @@
 			c.nc.SetReadDeadline(time.Unix(1, 0))
 			p.mu.Unlock()
 			out := <-next
-			if out.Result != decide.Served || string(out.Answer.Body) != "own" {
-				t.Errorf("%s %+v", decide.ResultNames[out.Result], out.Answer)
+			if out.Result != dispatch.Served || string(out.Answer.Body) != "own" {
+				t.Errorf("%s %+v", dispatch.ResultNames[out.Result], out.Answer)
 			}
 			want := "0"
 			if name == "nothing" || name == "a sweep" || name == "a reclaim" {
--- a/internal/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
+	"cresshub/internal/proxy/dispatch"
 )
 
 // exchange sends one request and reads its answer, or of a large one the beginning. again tells whether the
@@ -22,16 +22,16 @@
 	address, listed := c.pool.dir.Address(a.Server)
 	switch {
 	case a.ctx.Err() != nil:
-		return Outcome{Result: decide.Withdrawn}, true
+		return Outcome{Result: dispatch.Withdrawn}, true
 	case !listed || address != c.address:
-		return Outcome{Result: decide.TurnedAway}, false
+		return Outcome{Result: dispatch.TurnedAway}, false
 	case !time.Now().Before(a.Until), !a.By.IsZero() && !time.Now().Before(a.By):
-		return Outcome{Result: decide.NotSent}, true
+		return Outcome{Result: dispatch.NotSent}, true
 	case !a.fate.CompareAndSwap(waiting, begun):
-		return Outcome{Result: decide.Withdrawn}, true
+		return Outcome{Result: dispatch.Withdrawn}, true
 	}
 	stop := context.AfterFunc(a.ctx, func() { c.nc.Close() })
-	if res := c.send(a); res != decide.Served { // the last byte was not written: it never ran
+	if res := c.send(a); res != dispatch.Served { // the last byte was not written: it never ran
 		stop()
 		return Outcome{Result: res}, false
 	}
@@ -53,13 +53,13 @@
 	}
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Outcome{Result: decide.TimedOut}, false
+		return Outcome{Result: dispatch.TimedOut}, false
 	case errors.As(err, new(*http1.Malformed)):
 		// The server is there and has read the request, so it is not broken off: one spoilt answer is no
 		// reason to leave a server alone.
-		return Outcome{Result: a.ended(decide.ErrorAnswer)}, false
+		return Outcome{Result: a.ended(dispatch.ErrorAnswer)}, false
 	case err != nil:
-		return Outcome{Result: a.ended(decide.Broken)}, false
+		return Outcome{Result: a.ended(dispatch.Broken)}, false
 	}
 	out.Result, out.Answer = a.classify(answer), answer
 	out.Load = c.pool.report.read(answer, a.probe)
@@ -69,7 +69,7 @@
 	}
 	if !whole {
 		c.pool.Release(&out)
-		return Outcome{Result: decide.Withdrawn}, false
+		return Outcome{Result: dispatch.Withdrawn}, false
 	}
 	answer.Streams, answer.Length = true, body.Length()
 	out.Rest = &Stream{conn: c, body: body, over: make(chan bool, 1)}
@@ -77,7 +77,7 @@
 }
 
 // send writes the attempt's request. It returns Served once the last byte is out, else how the attempt ended.
-func (c *conn) send(a *Attempt) decide.Result {
+func (c *conn) send(a *Attempt) dispatch.Result {
 	c.nc.SetDeadline(a.Until)
 	if a.Upload != nil {
 		c.nc.SetDeadline(time.Now().Add(c.pool.limits.Load().Stall))
@@ -90,20 +90,20 @@
 		if err = c.upload(a, w); err != nil {
 			// The client stopped, or the server would not have the body. Neither is a reason to take the
 			// server for one out of reach: a bad client would have it left alone.
-			return a.ended(decide.NotSent)
+			return a.ended(dispatch.NotSent)
 		}
 	}
 	if err == nil {
 		err = c.nc.Flush()
 	}
 	if err != nil {
-		return a.ended(decide.NoConnection)
+		return a.ended(dispatch.NoConnection)
 	}
 	if a.Upload != nil {
 		a.Until = a.Upload.Sent()
 		c.nc.SetDeadline(a.Until)
 	}
-	return decide.Served
+	return dispatch.Served
 }
 
 var errTaken = errors.New("another attempt has the body")
@@ -240,21 +240,21 @@
 }
 
 // ended is how the attempt ended whose connection broke: given up by us, or as told.
-func (a *Attempt) ended(broke decide.Result) decide.Result {
+func (a *Attempt) ended(broke dispatch.Result) dispatch.Result {
 	if a.ctx.Err() != nil {
-		return decide.Withdrawn
+		return dispatch.Withdrawn
 	}
 	return broke
 }
 
-func (a *Attempt) classify(r *http1.Response) decide.Result {
+func (a *Attempt) classify(r *http1.Response) dispatch.Result {
 	switch {
 	case r.Status == 200:
-		return decide.Served
+		return dispatch.Served
 	case a.probe && r.Status == 503:
-		return decide.TurnedAway // too many probes at once: no sign of ill health, which an error would be
+		return dispatch.TurnedAway // too many probes at once: no sign of ill health, which an error would be
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Not-Processed") == "1":
-		return decide.TurnedAway
+		return dispatch.TurnedAway
 	}
-	return decide.ErrorAnswer
+	return dispatch.ErrorAnswer
 }
--- a/internal/upstream/rest_test.go
+++ b/internal/proxy/upstream/rest_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
 	"cresshub/internal/nettest"
+	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/ring"
 )
 
@@ -49,8 +49,8 @@
 			until := time.Now().Add(2 * time.Second)
 			_, done := attempt(p, until)
 			out := <-done
-			if out.Result != decide.Served || out.Rest == nil {
-				t.Fatalf("%s, %+v", decide.ResultNames[out.Result], out)
+			if out.Result != dispatch.Served || out.Rest == nil {
+				t.Fatalf("%s, %+v", dispatch.ResultNames[out.Result], out)
 			}
 			close(begun)
 			go func() {
--- a/internal/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -15,16 +15,16 @@
 	"time"
 
 	"cresshub/internal/bodies"
-	"cresshub/internal/counters"
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/stats"
 	"cresshub/internal/ring"
-	"cresshub/internal/sockets"
 )
 
 // Directory knows where servers are. A server that drains or is gone has no address.
 type Directory interface {
-	Address(decide.ServerID) (string, bool)
+	Address(dispatch.ServerID) (string, bool)
 }
 
 // Limits are the pool's figures; they may change while it is in use.
@@ -41,25 +41,25 @@
 type Pool struct {
 	dir    Directory
 	limits atomic.Pointer[Limits]
-	budget *sockets.Budget
-	count  *counters.Set
+	budget *descriptors.Budget
+	count  *stats.Set
 	report reportForm
 	bodies *bodies.Budget
 
 	mu   sync.Mutex
-	idle map[decide.ServerID][]*conn // the last used at the end
+	idle map[dispatch.ServerID][]*conn // the last used at the end
 }
 
 // New returns a pool without connections. report is the values of a load report in the order to hand them
 // on, by their settings' names.
-func New(dir Directory, limits Limits, report []string, budget *sockets.Budget, room *bodies.Budget,
-	count *counters.Set) *Pool {
+func New(dir Directory, limits Limits, report []string, budget *descriptors.Budget, room *bodies.Budget,
+	count *stats.Set) *Pool {
 	p := &Pool{
 		dir: dir, budget: budget, count: count, report: newReportForm(report), bodies: room,
-		idle: map[decide.ServerID][]*conn{},
+		idle: map[dispatch.ServerID][]*conn{},
 	}
 	p.SetLimits(limits)
-	budget.OnShort(sockets.Servers, p.closeOne)
+	budget.OnShort(descriptors.Servers, p.closeOne)
 	return p
 }
 
@@ -68,7 +68,7 @@
 
 // Outcome is how an exchange ended, or that its answer has begun. Whoever gets one gives it back to Release.
 type Outcome struct {
-	Result decide.Result
+	Result dispatch.Result
 	Answer *http1.Response // of a Served one
 	Rest   *Stream         // what follows Answer's Body; nil where that is all
 	Load   []float64       // nil where no load report came
@@ -97,7 +97,7 @@
 
 // Attempt is one try of a request at one server.
 type Attempt struct {
-	Server  decide.ServerID
+	Server  dispatch.ServerID
 	Request *http1.Request // without X-Timeout
 	Upload  Upload         // what follows Request's Body; nil where that is all
 	By      time.Time      // it must not begin later; zero where that is no matter
@@ -139,7 +139,9 @@
 }
 
 // Probe asks a server for its load and returns; done is called once, from another goroutine.
-func (p *Pool) Probe(s decide.ServerID, done func(res decide.Result, took time.Duration, load []float64)) {
+func (p *Pool) Probe(
+	s dispatch.ServerID, done func(res dispatch.Result, took time.Duration, load []float64),
+) {
 	began := time.Now()
 	a := &Attempt{Server: s, probe: true, Until: began.Add(p.limits.Load().Probe)}
 	a.Done = func(o Outcome) {
@@ -155,7 +157,7 @@
 // reported counts probes that were answered without a load report that can be read: without reports
 // the decisions are blind.
 func (p *Pool) reported(o Outcome) {
-	if o.Result == decide.Served && o.Load == nil && p.report.size > 0 {
+	if o.Result == dispatch.Served && o.Load == nil && p.report.size > 0 {
 		p.count.Blind.Add()
 	}
 }
@@ -166,7 +168,7 @@
 	a.arm()
 	address, ok := p.dir.Address(a.Server)
 	if !ok {
-		go a.Done(Outcome{Result: decide.TurnedAway})
+		go a.Done(Outcome{Result: dispatch.TurnedAway})
 		return
 	}
 	if p.handIdle(a, address) {
@@ -262,7 +264,7 @@
 // conn is one connection to a server. The pool's lock guards since and next.
 type conn struct {
 	pool    *Pool
-	server  decide.ServerID
+	server  dispatch.ServerID
 	address string
 	nc      *ring.Conn
 	ended   sync.Once
@@ -275,7 +277,7 @@
 func (c *conn) close() {
 	c.ended.Do(func() {
 		c.nc.Close()
-		c.pool.budget.Give(sockets.Servers)
+		c.pool.budget.Give(descriptors.Servers)
 	})
 }
 
@@ -343,9 +345,9 @@
 var dialer = net.Dialer{KeepAlive: -1} // every exchange has a deadline of its own
 
 // dial opens the connection; where that fails the attempt provably never ran.
-func (c *conn) dial(a *Attempt) (decide.Result, bool) {
-	if !c.pool.budget.Take(sockets.Servers) {
-		return decide.NotSent, false
+func (c *conn) dial(a *Attempt) (dispatch.Result, bool) {
+	if !c.pool.budget.Take(descriptors.Servers) {
+		return dispatch.NotSent, false
 	}
 	until := time.Now().Add(c.pool.limits.Load().Dial)
 	latest := a.Until
@@ -364,12 +366,12 @@
 		c.pool.count.Opened.Add()
 		return 0, true
 	}
-	c.pool.budget.Give(sockets.Servers)
+	c.pool.budget.Give(descriptors.Servers)
 	switch {
 	case a.ctx.Err() != nil:
-		return decide.Withdrawn, false
+		return dispatch.Withdrawn, false
 	case cut && ctx.Err() != nil:
-		return decide.NotSent, false // its own time was over before the server's
+		return dispatch.NotSent, false // its own time was over before the server's
 	}
-	return decide.NoConnection, false
+	return dispatch.NoConnection, false
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -12,12 +12,12 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/internal/bodies"
-	"cresshub/internal/counters"
-	"cresshub/internal/decide"
 	"cresshub/internal/http1"
 	"cresshub/internal/nettest"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/stats"
 	"cresshub/internal/ring"
-	"cresshub/internal/sockets"
 )
 
 type place struct {
@@ -26,7 +26,7 @@
 	asked   func()      // called on each look-up
 }
 
-func (p *place) Address(decide.ServerID) (string, bool) {
+func (p *place) Address(dispatch.ServerID) (string, bool) {
 	if p.asked != nil {
 		p.asked()
 	}
@@ -36,8 +36,8 @@
 func pool(p *place, reuse time.Duration) *Pool {
 	return New(p, Limits{Dial: nettest.Patience, Reuse: reuse, Probe: nettest.Patience,
 		Hold: 100 * time.Millisecond, Stall: nettest.Patience},
-		[]string{"active", "waiting", "cpu"}, sockets.NewBudget(100, 0.6, 0.25), bodies.NewBudget(1<<20),
-		&counters.Set{})
+		[]string{"active", "waiting", "cpu"}, descriptors.NewBudget(100, 0.6, 0.25), bodies.NewBudget(1<<20),
+		&stats.Set{})
 }
 
 func attempt(p *Pool, until time.Time) (*Attempt, chan Outcome) {
@@ -54,38 +54,38 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string // "" breaks, "silence" says nothing
-		want         decide.Result
+		want         dispatch.Result
 	}{
-		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", decide.Served},
-		{"error", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", decide.ErrorAnswer},
-		{"turned away", "HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", decide.TurnedAway},
-		{"over already", "HTTP/1.1 504 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", decide.TurnedAway},
-		{"a proxy's 503", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", decide.ErrorAnswer},
-		{"broken", "", decide.Broken},
-		{"broken in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", decide.Broken},
-		{"malformed", "hello\r\n\r\n", decide.ErrorAnswer}, // the server itself is there
-		{"ended by close", "HTTP/1.1 200 OK\r\n\r\nbody", decide.Served},
-		{"ended by a reset", "HTTP/1.1 200 OK\r\n\r\nbody RESET", decide.Broken},
-		{"a reset in place of a body", "HTTP/1.1 200 OK\r\n\r\nRESET", decide.Broken},
-		{"a reset after much", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 30_000) + "RESET", decide.Broken},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody", decide.ErrorAnswer},
-		{"30 MB that are a lie", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\nbody", decide.Broken},
+		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", dispatch.Served},
+		{"error", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorAnswer},
+		{"turned away", "HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.TurnedAway},
+		{"over already", "HTTP/1.1 504 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.TurnedAway},
+		{"a proxy's 503", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorAnswer},
+		{"broken", "", dispatch.Broken},
+		{"broken in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", dispatch.Broken},
+		{"malformed", "hello\r\n\r\n", dispatch.ErrorAnswer}, // the server itself is there
+		{"ended by close", "HTTP/1.1 200 OK\r\n\r\nbody", dispatch.Served},
+		{"ended by a reset", "HTTP/1.1 200 OK\r\n\r\nbody RESET", dispatch.Broken},
+		{"a reset in place of a body", "HTTP/1.1 200 OK\r\n\r\nRESET", dispatch.Broken},
+		{"a reset after much", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 30_000) + "RESET", dispatch.Broken},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody", dispatch.ErrorAnswer},
+		{"30 MB that are a lie", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.Broken},
 		{"30 MB that begin", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + strings.Repeat("x", 5000),
-			decide.Served},
-		{"30 MB of an error", "HTTP/1.1 500 x\r\nContent-Length: 30000000\r\n\r\nbody", decide.ErrorAnswer},
+			dispatch.Served},
+		{"30 MB of an error", "HTTP/1.1 500 x\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.ErrorAnswer},
 		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: and more\r\n", 10_000),
-			decide.ErrorAnswer},
-		{"a line without end", "HTTP/1.1 200 " + strings.Repeat("O", 200_000), decide.ErrorAnswer},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", decide.ErrorAnswer},
+			dispatch.ErrorAnswer},
+		{"a line without end", "HTTP/1.1 200 " + strings.Repeat("O", 200_000), dispatch.ErrorAnswer},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", dispatch.ErrorAnswer},
 		{"a length beside chunks", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nx",
-			decide.ErrorAnswer},
-		{"shorter than it said", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", decide.Broken},
-		{"longer than it said", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbody", decide.Served},
+			dispatch.ErrorAnswer},
+		{"shorter than it said", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", dispatch.Broken},
+		{"longer than it said", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbody", dispatch.Served},
 		{"a chunk without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\nbody",
-			decide.ErrorAnswer},
-		{"a chunk cut off", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody", decide.Broken},
-		{"interim answers", "HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", decide.Served},
-		{"silent", "silence", decide.TimedOut},
+			dispatch.ErrorAnswer},
+		{"a chunk cut off", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody", dispatch.Broken},
+		{"interim answers", "HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", dispatch.Served},
+		{"silent", "silence", dispatch.TimedOut},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -103,14 +103,14 @@
 				}
 			})
 			until := ever()
-			if c.want == decide.TimedOut {
+			if c.want == dispatch.TimedOut {
 				until = time.Now().Add(2 * time.Second)
 			}
 			p := pool(&place{address: address}, time.Hour)
 			_, done := attempt(p, until)
 			got := <-done
 			if got.Result != c.want {
-				t.Errorf("%s", decide.ResultNames[got.Result])
+				t.Errorf("%s", dispatch.ResultNames[got.Result])
 			}
 			p.Release(&got)
 		})
@@ -119,8 +119,8 @@
 
 func TestNoConnection(t *testing.T) {
 	_, done := attempt(pool(&place{address: "127.0.0.1:1"}, time.Hour), ever()) // no test listens there
-	if got := <-done; got.Result != decide.NoConnection {
-		t.Error(decide.ResultNames[got.Result])
+	if got := <-done; got.Result != dispatch.NoConnection {
+		t.Error(dispatch.ResultNames[got.Result])
 	}
 }
 
@@ -135,8 +135,8 @@
 		}
 	}
 	_, done := attempt(pool(where, time.Hour), ever())
-	if got := <-done; got.Result != decide.TurnedAway || len(x.Got("")) != 0 {
-		t.Errorf("%s, %d sent", decide.ResultNames[got.Result], len(x.Got("")))
+	if got := <-done; got.Result != dispatch.TurnedAway || len(x.Got("")) != 0 {
+		t.Errorf("%s, %d sent", dispatch.ResultNames[got.Result], len(x.Got("")))
 	}
 }
 
@@ -150,8 +150,8 @@
 		p := pool(&place{address: x.Address}, c.reuse)
 		for range 5 {
 			_, done := attempt(p, ever())
-			if got := <-done; got.Result != decide.Served {
-				t.Error(decide.ResultNames[got.Result])
+			if got := <-done; got.Result != dispatch.Served {
+				t.Error(dispatch.ResultNames[got.Result])
 			}
 		}
 		if got := x.Opened.Load(); got != c.want {
@@ -170,8 +170,8 @@
 	p := pool(&place{address: address}, time.Hour)
 	for range 3 {
 		_, done := attempt(p, ever())
-		if got := <-done; got.Result != decide.Served {
-			t.Error(decide.ResultNames[got.Result])
+		if got := <-done; got.Result != dispatch.Served {
+			t.Error(dispatch.ResultNames[got.Result])
 		}
 		nettest.Until(t, "the pool hears of the close", func() bool {
 			p.mu.Lock()
@@ -209,8 +209,8 @@
 	a, done := attempt(pool(&place{address: x.Address}, time.Hour), ever())
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("")) == 1 })
 	a.Cancel()
-	if got := <-done; got.Result != decide.Withdrawn {
-		t.Error(decide.ResultNames[got.Result])
+	if got := <-done; got.Result != dispatch.Withdrawn {
+		t.Error(dispatch.ResultNames[got.Result])
 	}
 	<-x.Left
 }
@@ -232,8 +232,8 @@
 	x := nettest.Serve(t, nettest.Zone(nil))
 	got := make(chan string, 1)
 	p := pool(&place{address: x.Address}, time.Hour)
-	p.Probe(0, func(res decide.Result, _ time.Duration, load []float64) {
-		got <- fmt.Sprint(decide.ResultNames[res], load)
+	p.Probe(0, func(res dispatch.Result, _ time.Duration, load []float64) {
+		got <- fmt.Sprint(dispatch.ResultNames[res], load)
 	})
 	if diff := cmp.Diff("served[0 0 0]", <-got); diff != "" {
 		t.Error(diff)
@@ -243,12 +243,13 @@
 // A server that has too many probes at once says 503; were that an error, three would eject it.
 func TestProbeTurnedAway(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return &http1.Response{Status: 503} })
-	got := make(chan decide.Result, 1)
-	pool(&place{address: x.Address}, time.Hour).Probe(0, func(res decide.Result, _ time.Duration, _ []float64) {
+	got := make(chan dispatch.Result, 1)
+	p := pool(&place{address: x.Address}, time.Hour)
+	p.Probe(0, func(res dispatch.Result, _ time.Duration, _ []float64) {
 		got <- res
 	})
-	if res := <-got; res != decide.TurnedAway {
-		t.Error(decide.ResultNames[res])
+	if res := <-got; res != dispatch.TurnedAway {
+		t.Error(dispatch.ResultNames[res])
 	}
 }
 
@@ -306,7 +307,7 @@
 			p.SetLimits(l)
 			_, done := attempt(p, ever())
 			out := <-done
-			if out.Result != decide.Served || out.Rest == nil {
+			if out.Result != dispatch.Served || out.Rest == nil {
 				t.Fatalf("%+v", out)
 			}
 			n, err := io.Copy(io.Discard, out.Rest)
--- a/internal/rig/ledger_faults_test.go
+++ b/internal/rig/ledger_faults_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/serve"
+	"cresshub/internal/proxy/daemon"
 )
 
 // Case 1: kill -9 of the leader in the midst of a stream of batches, of a follower, and of both followers one
@@ -26,7 +26,7 @@
 			begun := time.Now()
 			next := leader(t, r)
 			untilLedger(t, []*Member{next}, 5*time.Second, fmt.Sprintf("%s killed, batches go on", victim.Name),
-				func(_ *Member, p *serve.LedgerPage) error { return beyond(p, before+10) })
+				func(_ *Member, p *daemon.LedgerPage) error { return beyond(p, before+10) })
 			if took := time.Since(begun); i == 0 && took > 5*time.Second {
 				t.Errorf("a new leader took %v", took)
 			}
@@ -48,7 +48,7 @@
 	same(t, r, l)
 }
 
-func readable(_ *Member, p *serve.LedgerPage) error {
+func readable(_ *Member, p *daemon.LedgerPage) error {
 	if p.Ledger == nil {
 		return fmt.Errorf("not read")
 	}
@@ -62,7 +62,7 @@
 	return p.Group.Applied
 }
 
-func beyond(p *serve.LedgerPage, index uint64) error {
+func beyond(p *daemon.LedgerPage, index uint64) error {
 	if p.Group.Applied < index {
 		return fmt.Errorf("applied %d, not %d", p.Group.Applied, index)
 	}
@@ -82,11 +82,11 @@
 		r.Kill(wiped)
 		must(t, r.Restart(ctx(t), wiped, false, true))
 		untilLedger(t, []*Member{leader(t, r)}, 20*time.Second, "three voters, the wiped one anew",
-			func(_ *Member, p *serve.LedgerPage) error { return whole(r, p) })
+			func(_ *Member, p *daemon.LedgerPage) error { return whole(r, p) })
 		gone := without(replicas(t, r), talked...)[0]
 		r.Kill(gone)
 		untilLedger(t, []*Member{leader(t, r)}, 30*time.Second, "three voters without the gone one",
-			func(_ *Member, p *serve.LedgerPage) error {
+			func(_ *Member, p *daemon.LedgerPage) error {
 				for _, v := range p.Group.Voters {
 					if v == gone.Name {
 						return fmt.Errorf("voters %v", p.Group.Voters)
@@ -102,12 +102,12 @@
 
 // whole tells whether a group has three voters on the disks that their members have now, all caught up, and
 // no learner. p is the leader's page.
-func whole(r *Rig, p *serve.LedgerPage) error {
+func whole(r *Rig, p *daemon.LedgerPage) error {
 	if len(p.Group.Replicas) != 3 {
 		return fmt.Errorf("replicas %+v", p.Group.Replicas)
 	}
 	for _, v := range p.Group.Replicas {
-		var own serve.LedgerPage
+		var own daemon.LedgerPage
 		m := r.Member(v.Member)
 		if m == nil || m.State() != Up || m.Ask("/_ledger?period=1&tenant=-", &own) != nil ||
 			own.Group.Disk != v.Disk || v.Learner || v.Behind > 50 {
@@ -136,7 +136,7 @@
 			}
 			time.Sleep(pollEvery)
 		}
-		var p serve.LedgerPage
+		var p daemon.LedgerPage
 		must(t, old.Ask("/_ledger", &p))
 		promised := p.Here.Promised
 		untilLedger(t, rest, 10*time.Second, "the majority reads and goes on", readable)
@@ -168,7 +168,7 @@
 			faults(m, `{"sync_delay_ms": 200}`)
 			// What is applied tells that batches go on; a read at a leader whose syncs are slow may be too late
 			// for the door.
-			var p serve.LedgerPage
+			var p daemon.LedgerPage
 			must(t, leader(t, r).Ask("/_ledger?period=1&tenant=-", &p))
 			before, begun := p.Group.Applied, time.Now()
 			for p.Group.Applied < before+5 {
@@ -181,7 +181,7 @@
 			t.Logf("%s is slow, batches go on after %v", m.Name, time.Since(begun))
 			faults(m, `{"full": true}`)
 			stalls := func(_ *Member) error {
-				var p serve.LedgerPage
+				var p daemon.LedgerPage
 				if err := m.Ask("/_ledger?period=1&tenant=-", &p); err != nil || p.Group.Stalled == "" {
 					return fmt.Errorf("it does not say that it stands: %+v (%v)", p.Group, err)
 				}
@@ -233,7 +233,7 @@
 	must(t, r.Term(a, nil))
 	must(t, r.Restart(ctx(t), a, false, false))
 	untilLedger(t, r.Running(), 10*time.Second, "the first answer's period has closed",
-		func(_ *Member, p *serve.LedgerPage) error {
+		func(_ *Member, p *daemon.LedgerPage) error {
 			if p.Ledger.Open == first {
 				return fmt.Errorf("period %d is open", first)
 			}
--- a/internal/rig/ledger_test.go
+++ b/internal/rig/ledger_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cresshub/internal/ledger"
-	"cresshub/internal/serve"
+	"cresshub/internal/proxy/daemon"
 )
 
 // ledgerKeys are the keys of the members' ledger in these tests.
@@ -33,8 +33,8 @@
 	return r
 }
 
-func ledgerPage(m *Member, query string) (serve.LedgerPage, error) {
-	var p serve.LedgerPage
+func ledgerPage(m *Member, query string) (daemon.LedgerPage, error) {
+	var p daemon.LedgerPage
 	err := m.Ask("/_ledger"+query, &p)
 	if err == nil && p.Problem != "" {
 		err = fmt.Errorf("%s", p.Problem)
@@ -44,7 +44,7 @@
 
 // untilLedger waits until holds is true of every running member's page.
 func untilLedger(t *testing.T, ms []*Member, limit time.Duration, what string,
-	holds func(*Member, *serve.LedgerPage) error) time.Duration {
+	holds func(*Member, *daemon.LedgerPage) error) time.Duration {
 	t.Helper()
 	begun := time.Now()
 	for {
@@ -77,7 +77,7 @@
 
 func formed(t *testing.T, r *Rig) {
 	t.Helper()
-	has := func(_ *Member, p *serve.LedgerPage) error {
+	has := func(_ *Member, p *daemon.LedgerPage) error {
 		if p.Group.Role != "none" && len(p.Group.Voters) < 3 {
 			return fmt.Errorf("voters %v", p.Group.Voters)
 		}
@@ -95,7 +95,7 @@
 func settled(t *testing.T, r *Rig, l *Clients, limit time.Duration) {
 	t.Helper()
 	_, sum := l.Answers()
-	untilLedger(t, r.Running(), limit, "all is promised", func(_ *Member, p *serve.LedgerPage) error {
+	untilLedger(t, r.Running(), limit, "all is promised", func(_ *Member, p *daemon.LedgerPage) error {
 		if p.Here.Waiting+p.Here.InMemory > 0 {
 			return fmt.Errorf("%d wait, %d in memory", p.Here.Waiting, p.Here.InMemory)
 		}
@@ -116,7 +116,7 @@
 // totals are the ledger's answers by key, over all periods and corrections, as one member reads them.
 func totals(t *testing.T, m *Member) map[ledger.Key]int64 {
 	t.Helper()
-	var p serve.LedgerPage
+	var p daemon.LedgerPage
 	var err error
 	for range 100 {
 		if p, err = ledgerPage(m, ""); err == nil {
@@ -160,7 +160,7 @@
 	t.Helper()
 	for range 400 {
 		for _, m := range r.Running() {
-			var p serve.LedgerPage
+			var p daemon.LedgerPage
 			if m.Ask("/_ledger?period=1&tenant=-", &p) == nil && p.Group.Role == "leader" {
 				return m
 			}
--- a/internal/rig/owner.go
+++ b/internal/rig/owner.go
@@ -11,7 +11,7 @@
 
 	"cresshub/internal/ledger"
 	"cresshub/internal/owner"
-	"cresshub/internal/serve"
+	"cresshub/internal/proxy/daemon"
 	"cresshub/internal/standin"
 )
 
@@ -118,7 +118,7 @@
 // counted is how many answers the ledger has, by whichever member can read it; -1 where none can.
 func (r *Rig) counted() int64 {
 	for _, m := range r.Running() {
-		var p serve.LedgerPage
+		var p daemon.LedgerPage
 		if m.Ask("/_ledger", &p) == nil && p.Ledger != nil {
 			return p.Ledger.Figures.Answers
 		}
@@ -144,7 +144,7 @@
 
 // asTheLedger holds the sink's entries to the ledger's rows, period by period.
 func (r *Rig) asTheLedger() error {
-	var page serve.LedgerPage
+	var page daemon.LedgerPage
 	var o owner.Page
 	for try := 0; ; try++ {
 		m := r.Running()[try%len(r.Running())]
--- a/internal/rig/ownertrial.go
+++ b/internal/rig/ownertrial.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cresshub/internal/serve"
+	"cresshub/internal/proxy/daemon"
 )
 
 // OwnerTrialOptions are how owners are tried: with a lease and an election timeout, so many pauses, cuts and
@@ -136,7 +136,7 @@
 // they are not killed.
 func (r *Rig) spare(ctx context.Context) ([]*Member, error) {
 	for ctx.Err() == nil {
-		var p serve.LedgerPage
+		var p daemon.LedgerPage
 		if err := r.Members[0].Ask("/_ledger?period=1&tenant=-", &p); err != nil {
 			return nil, err
 		}
--- a/internal/rig/soak.go
+++ b/internal/rig/soak.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cresshub/internal/serve"
+	"cresshub/internal/proxy/daemon"
 )
 
 // soakKeys bound what the ledger keeps so that it is full after a minute: from then on memory and disk are to
@@ -107,7 +107,7 @@
 			return s, err
 		}
 		s.Disk = max(s.Disk, bytes>>10)
-		var p serve.LedgerPage
+		var p daemon.LedgerPage
 		if err := m.Ask("/_ledger?period=1&tenant=-", &p); err == nil {
 			s.Applied = max(s.Applied, p.Group.Applied)
 		}
