--- a/cmd/cresshub/fleet_test.go
+++ b/cmd/cresshub/fleet_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/fleet"
+	"cresshub/internal/cluster/gossip"
 	"cresshub/internal/nettest"
 )
 
@@ -42,7 +42,7 @@
 		}
 		all = append(all, startMember(t, fmt.Sprintf("m-%d", i), discovery, seeds+extra))
 	}
-	settled(t, all, 10*time.Second, func(p fleet.Page) bool { return alive(p) == n })
+	settled(t, all, 10*time.Second, func(p gossip.Page) bool { return alive(p) == n })
 	return all
 }
 
@@ -71,8 +71,8 @@
 }
 
 // view asks a member's door for its view; ok is false where the door does not answer.
-func (m *member) view() (fleet.Page, bool) {
-	var p fleet.Page
+func (m *member) view() (gossip.Page, bool) {
+	var p gossip.Page
 	c := http.Client{Timeout: time.Second}
 	a, err := c.Get("http://" + m.door + "/_fleet")
 	if err != nil {
@@ -82,7 +82,7 @@
 	return p, a.StatusCode == 200 && json.NewDecoder(a.Body).Decode(&p) == nil
 }
 
-func alive(p fleet.Page) int {
+func alive(p gossip.Page) int {
 	n := 0
 	for _, m := range p.Members {
 		if m.Status == "alive" {
@@ -92,17 +92,17 @@
 	return n
 }
 
-func status(p fleet.Page, name string) (fleet.Member, bool) {
-	i := slices.IndexFunc(p.Members, func(m fleet.Member) bool { return m.Name == name })
+func status(p gossip.Page, name string) (gossip.Member, bool) {
+	i := slices.IndexFunc(p.Members, func(m gossip.Member) bool { return m.Name == name })
 	if i < 0 {
-		return fleet.Member{}, false
+		return gossip.Member{}, false
 	}
 	return p.Members[i], true
 }
 
 // settled waits until holds is true of every member's view, polling every 20 ms up to limit, and says
 // how long it took.
-func settled(t *testing.T, of []*member, limit time.Duration, holds func(fleet.Page) bool) time.Duration {
+func settled(t *testing.T, of []*member, limit time.Duration, holds func(gossip.Page) bool) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for polls := 0; ; polls++ {
@@ -138,7 +138,7 @@
 	if err := killed.cmd.Process.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	took := settled(t, rest, 3*time.Second, func(p fleet.Page) bool {
+	took := settled(t, rest, 3*time.Second, func(p gossip.Page) bool {
 		m, ok := status(p, killed.name)
 		return ok && m.Status == "dead"
 	})
@@ -148,7 +148,7 @@
 	if err := leaving.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	took = settled(t, others, time.Second, func(p fleet.Page) bool {
+	took = settled(t, others, time.Second, func(p gossip.Page) bool {
 		m, ok := status(p, leaving.name)
 		return ok && m.Status == "left"
 	})
--- a/internal/fleet/delegates.go
+++ b/internal/cluster/gossip/delegates.go
@@ -1,11 +1,11 @@
-package fleet
+package gossip
 
 import (
 	"encoding/json"
 
 	"github.com/hashicorp/memberlist"
 
-	"cresshub/internal/membership"
+	"cresshub/internal/cluster/membership"
 )
 
 // events takes memberlist's news of members. memberlist calls it under its own lock: it must not call
--- a/internal/fleet/fleet.go
+++ b/internal/cluster/gossip/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet keeps this proxy's view of the other proxies: SWIM membership on
+// Package gossip keeps this proxy's view of the other proxies: SWIM membership on
 // github.com/hashicorp/memberlist (Das, Gupta and Motivala, DSN 2002, with Lifeguard's refinements), the
 // view's decisions in package membership, and the I/O around both: join by seeds, metadata, re-joins that
 // heal partitions, a graceful leave.
@@ -6,7 +6,7 @@
 // The view is read by Snapshot (members by name, each with its state and the age of that state in
 // milliseconds) and followed by Changes (a bounded stream; a reader that falls behind loses changes, never
 // blocks the gossip, and sees the count of lost ones in Counters).
-package fleet
+package gossip
 
 import (
 	"encoding/json"
@@ -22,7 +22,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"cresshub/internal/membership"
+	"cresshub/internal/cluster/membership"
 )
 
 // Options are what a fleet member is told; Check says what is wrong with them.
--- a/internal/fleet/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"cresshub/internal/membership"
+	"cresshub/internal/cluster/membership"
 )
 
 // fewMembers is up to how many members a fleet is small.
--- a/internal/fleet/joins.go
+++ b/internal/cluster/gossip/joins.go
@@ -1,11 +1,11 @@
-package fleet
+package gossip
 
 import (
 	"math/rand/v2"
 	"net"
 	"time"
 
-	"cresshub/internal/membership"
+	"cresshub/internal/cluster/membership"
 )
 
 // claimed is the address at which another member held our name in the last join, or "".
--- a/internal/fleet/locks_test.go
+++ b/internal/cluster/gossip/locks_test.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"cresshub/internal/membership"
+	"cresshub/internal/cluster/membership"
 )
 
 func member(t *testing.T, name string, seeds ...string) *Fleet {
--- a/internal/fleet/meta.go
+++ b/internal/cluster/gossip/meta.go
@@ -1,10 +1,10 @@
-package fleet
+package gossip
 
 import (
 	"encoding/json"
 	"errors"
 
-	"cresshub/internal/membership"
+	"cresshub/internal/cluster/membership"
 )
 
 // wireMeta is the metadata's form on the wire, JSON, at most memberlist.MetaMaxSize bytes.
--- a/internal/fleet/relay.go
+++ b/internal/cluster/gossip/relay.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"context"
--- a/internal/fleet/wire_test.go
+++ b/internal/cluster/gossip/wire_test.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 	"github.com/hashicorp/memberlist"
 
-	"cresshub/internal/membership"
+	"cresshub/internal/cluster/membership"
 )
 
 func message(t testing.TB, kind byte, body any) []byte {
--- a/internal/chore/chore.go
+++ b/internal/cluster/groupstate/chore.go
@@ -1,6 +1,6 @@
-// Package chore is what the fleet's chores leave in the replicated log: who owns them, how far the export of
-// the ledger has come, and the list of zone servers that the owner asked for. It is pure: no I/O, clock or
-// goroutines; the same log gives the same state everywhere.
+// Package groupstate is what the fleet's chores leave in the replicated log: who owns them, how far the
+// export of the ledger has come, and the list of zone servers that the owner asked for. It is pure: no I/O,
+// clock or goroutines; the same log gives the same state everywhere.
 //
 // Every entry of a chore carries the fencing token of the grant it was made under (Kleppmann, "How to do
 // distributed locking", 2016; Burrows, Chubby, OSDI 2006, calls it a sequencer). One whose token is not that
@@ -9,7 +9,7 @@
 // A period is exported in three steps: an Intent, which freezes what is sent; the sending; and a Done. What
 // an intent left open the next owner sends again, the same bytes under the same ids, so that the sink can
 // tell a repeat. Periods go out in their order, each once no late answer can count in it any more.
-package chore
+package groupstate
 
 import (
 	"encoding/json"
@@ -17,8 +17,8 @@
 
 	"github.com/hashicorp/go-msgpack/v2/codec"
 
-	"cresshub/internal/lease"
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
 )
 
 // Owner is the chore that the fleet's one owner holds the lease of: all others are done under it.
--- a/internal/chore/chore_test.go
+++ b/internal/cluster/groupstate/chore_test.go
@@ -1,4 +1,4 @@
-package chore
+package groupstate
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"cresshub/internal/lease"
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
 )
 
 var set = ledger.Settings{Keep: 3, Remember: 1, IDs: 100, Tenants: 10, Members: 10}
--- a/internal/chore/follow.go
+++ b/internal/cluster/groupstate/follow.go
@@ -1,4 +1,4 @@
-package chore
+package groupstate
 
 import "time"
 
--- a/internal/chore/read.go
+++ b/internal/cluster/groupstate/read.go
@@ -1,4 +1,4 @@
-package chore
+package groupstate
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 
 	"github.com/hashicorp/go-msgpack/v2/codec"
 
-	"cresshub/internal/lease"
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
 )
 
 // What a query asks for; "" is the ledger, by ledger.Query.
--- a/internal/owner/export.go
+++ b/internal/cluster/leaseholder/export.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/chore"
-	"cresshub/internal/lease"
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
 )
 
 // Entry is what the billing sink is sent of one period and tenant, or one correction. Its ID makes it one of
@@ -127,8 +127,8 @@
 		}
 		e.greeted = token
 	}
-	var s chore.Statement
-	if err := e.owner.read(e.Within, chore.Query{Ask: chore.AskStatement}, &s); err != nil {
+	var s groupstate.Statement
+	if err := e.owner.read(e.Within, groupstate.Query{Ask: groupstate.AskStatement}, &s); err != nil {
 		return false, fmt.Errorf("the ledger could not be read: %w", err)
 	}
 	if s.Grant.Token != token || s.Grant.Holder != e.owner.o.Name {
@@ -147,15 +147,15 @@
 		if err := e.sendAll(token, Entries(s.Period, s.Rows)); err != nil {
 			return false, fmt.Errorf("period %d: %w", s.Period, err)
 		}
-		return true, e.owner.enter(token, (&chore.Done{Member: me, Token: token, Period: s.Period}).Encode())
+		return true, e.owner.enter(token, (&groupstate.Done{Member: me, Token: token, Period: s.Period}).Encode())
 	case s.Due > 0:
-		return true, e.owner.enter(token, (&chore.Intent{Member: me, Token: token, Period: s.Due}).Encode())
+		return true, e.owner.enter(token, (&groupstate.Intent{Member: me, Token: token, Period: s.Due}).Encode())
 	case len(s.Fixes) > 0:
 		if err := e.sendAll(token, corrections(s.Fixes)); err != nil {
 			return false, fmt.Errorf("corrections: %w", err)
 		}
 		upTo := s.Fixes[len(s.Fixes)-1].Seq
-		return true, e.owner.enter(token, (&chore.Settled{Member: me, Token: token, UpTo: upTo}).Encode())
+		return true, e.owner.enter(token, (&groupstate.Settled{Member: me, Token: token, UpTo: upTo}).Encode())
 	}
 	return false, nil
 }
@@ -176,7 +176,7 @@
 	return out
 }
 
-func corrections(fixes []chore.Fix) []Entry {
+func corrections(fixes []groupstate.Fix) []Entry {
 	var out []Entry
 	for _, f := range fixes {
 		out = append(out, Entry{ID: fmt.Sprintf("%d/correction/%s", f.Period, f.ID), Period: f.Period,
--- a/internal/owner/faults.go
+++ b/internal/cluster/leaseholder/faults.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"encoding/json"
--- a/internal/owner/list.go
+++ b/internal/cluster/leaseholder/list.go
@@ -1,11 +1,11 @@
-package owner
+package leaseholder
 
 import (
 	"bytes"
 	"sync"
 	"time"
 
-	"cresshub/internal/chore"
+	"cresshub/internal/cluster/groupstate"
 )
 
 // Feed is where a member's list of servers comes from.
@@ -39,7 +39,7 @@
 	owner *Owner
 
 	mu       sync.Mutex
-	follower *chore.Follower
+	follower *groupstate.Follower
 	fed      Feed
 	known    bool // fed was said
 	ran      time.Time
@@ -55,7 +55,7 @@
 
 func (l *List) begin(w *Owner) {
 	l.owner = w
-	l.follower = chore.NewFollower(0, l.MaxAge, l.Spread)
+	l.follower = groupstate.NewFollower(0, l.MaxAge, l.Spread)
 	l.feed()
 }
 
@@ -119,7 +119,7 @@
 	if err != nil || raw == nil {
 		return err
 	}
-	c := &chore.List{Member: l.owner.o.Name, Token: token, Index: index}
+	c := &groupstate.List{Member: l.owner.o.Name, Token: token, Index: index}
 	if token != l.token || index != l.index || !bytes.Equal(raw, l.told) {
 		c.Raw = raw
 	}
@@ -143,12 +143,12 @@
 			return
 		case <-tick.C:
 		}
-		q := chore.Query{Ask: chore.AskList, After: l.changed}
-		var v chore.ListView
+		q := groupstate.Query{Ask: groupstate.AskList, After: l.changed}
+		var v groupstate.ListView
 		if got, ok := l.owner.o.Store.Peek(q.Encode()); ok {
-			v, _ = got.(chore.ListView)
+			v, _ = got.(groupstate.ListView)
 		} else if l.owner.read(max(l.Poll, 500*time.Millisecond), q, &v) != nil {
-			v = chore.ListView{}
+			v = groupstate.ListView{}
 		}
 		l.take(v)
 		l.feed()
@@ -156,7 +156,7 @@
 }
 
 // take takes in the list as the store has it.
-func (l *List) take(v chore.ListView) {
+func (l *List) take(v groupstate.ListView) {
 	if v.Version == 0 {
 		return
 	}
--- a/internal/owner/owner.go
+++ b/internal/cluster/leaseholder/owner.go
@@ -1,11 +1,11 @@
-// Package owner runs the fleet's chores on the one member that holds their lease: the export of the ledger to
-// a billing sink, and asking discovery for all. Who holds the lease is decided by package lease, what the
-// chores leave in the log by package chore; this package does the calls, each with a time limit, none beyond
-// the lease, and each with the lease's fencing token.
+// Package leaseholder runs the fleet's chores on the one member that holds their lease: the export of the
+// ledger to a billing sink, and asking discovery for all. Who holds the lease is decided by package lease,
+// what the chores leave in the log by package chore; this package does the calls, each with a time limit,
+// none beyond the lease, and each with the lease's fencing token.
 //
 // Members that hold a replica of the group stand for owner, three or five of them: what they need to know is
 // in their own copy of the log.
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/chore"
-	"cresshub/internal/lease"
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/lease"
 )
 
 // Store is the replicated store as the chores use it.
@@ -90,7 +90,7 @@
 
 // New returns an owner's part; Run must follow.
 func New(o Options) (*Owner, error) {
-	m, err := lease.NewMember(o.Lease, o.Name, chore.Owner)
+	m, err := lease.NewMember(o.Lease, o.Name, groupstate.Owner)
 	if err != nil {
 		return nil, fmt.Errorf("owner.%w", err)
 	}
@@ -165,7 +165,7 @@
 
 // learn takes the grant from this member's own copy of the log.
 func (w *Owner) learn() {
-	v, ok := w.o.Store.Peek(chore.Query{Ask: chore.AskGrant}.Encode())
+	v, ok := w.o.Store.Peek(groupstate.Query{Ask: groupstate.AskGrant}.Encode())
 	g, is := v.(lease.Grant)
 	if !ok || !is {
 		return
@@ -180,7 +180,7 @@
 	defer w.done.Done()
 	ctx, cancel := context.WithTimeout(w.ctx, w.o.Lease.Lease)
 	defer cancel()
-	raw, err := w.o.Store.Propose(ctx, chore.Lease(c))
+	raw, err := w.o.Store.Propose(ctx, groupstate.Lease(c))
 	var r lease.Result
 	if err == nil {
 		err = json.Unmarshal(raw, &r)
@@ -247,7 +247,7 @@
 	w.o.Log.Info("owner: the lease is given back", "token", was, "why", why)
 	ctx, cancel := context.WithTimeout(context.Background(), w.o.Lease.Lease/2)
 	defer cancel()
-	if _, err := w.o.Store.Propose(ctx, chore.Lease(c)); err != nil {
+	if _, err := w.o.Store.Propose(ctx, groupstate.Lease(c)); err != nil {
 		w.o.Log.Debug("owner: the lease was not given back; it ends by itself", "err", err)
 	}
 }
@@ -317,27 +317,27 @@
 	ctx, cancel := context.WithTimeout(w.ctx, left)
 	defer cancel()
 	raw, err := w.o.Store.Propose(ctx, command)
-	var r chore.Result
+	var r groupstate.Result
 	if err == nil {
 		err = json.Unmarshal(raw, &r)
 	}
 	switch {
 	case err != nil:
 		return err
-	case r.Status == chore.Stale:
+	case r.Status == groupstate.Stale:
 		w.mu.Lock()
 		w.fig.Stale++
 		w.mu.Unlock()
 		w.Fenced(token, r.Why)
 		return errStale
-	case r.Status != chore.Taken:
+	case r.Status != groupstate.Taken:
 		return errors.New(r.Why)
 	}
 	return nil
 }
 
 // read asks the store, within a time.
-func (w *Owner) read(within time.Duration, q chore.Query, into any) error {
+func (w *Owner) read(within time.Duration, q groupstate.Query, into any) error {
 	ctx, cancel := context.WithTimeout(w.ctx, within)
 	defer cancel()
 	raw, err := w.o.Store.Read(ctx, q.Encode())
--- a/internal/owner/owner_test.go
+++ b/internal/cluster/leaseholder/owner_test.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -10,22 +10,22 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/chore"
-	"cresshub/internal/lease"
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
 	"cresshub/internal/standin"
 )
 
 // memory is a store of one copy in this process, which members may be cut off from.
 type memory struct {
 	mu    sync.Mutex
-	m     *chore.Machine
+	m     *groupstate.Machine
 	index uint64
 	cut   map[string]bool
 }
 
 func newMemory(t *testing.T) *memory {
-	m, err := chore.New(ledger.Settings{Keep: 100, Remember: 1, IDs: 10, Tenants: 10, Members: 10})
+	m, err := groupstate.New(ledger.Settings{Keep: 100, Remember: 1, IDs: 10, Tenants: 10, Members: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	s.apply((&ledger.Close{Period: p, AtMS: 1}).Encode())
 }
 
-func (s *memory) view() chore.View {
+func (s *memory) view() groupstate.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.m.View()
@@ -253,7 +253,7 @@
 	if err := a.o.Export.send(old, nil); !errors.Is(err, ErrNotOwner) {
 		t.Errorf("a sends: %v", err)
 	}
-	if r := string(s.apply((&chore.Done{Member: "a", Token: old, Period: 1}).Encode())); r == "" ||
+	if r := string(s.apply((&groupstate.Done{Member: "a", Token: old, Period: 1}).Encode())); r == "" ||
 		s.view().Figures.Stale != 1 {
 		t.Errorf("a's entry: %s", r)
 	}
--- a/internal/owner/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -1,23 +1,23 @@
-package owner
+package leaseholder
 
 import (
 	"time"
 
-	"cresshub/internal/chore"
+	"cresshub/internal/cluster/groupstate"
 )
 
 // Page is what /_owner shows.
 type Page struct {
-	Self      string      `json:"self"`
-	Holder    string      `json:"holder"` // as this member knows; "" where nobody holds the lease
-	Token     uint64      `json:"token"`
-	Here      bool        `json:"here"` // this member acts as the owner
-	LeaseLeft int64       `json:"lease_left_ms"`
-	Chores    []Status    `json:"chores"`
-	Figures   Figures     `json:"figures"`
-	List      *ListStatus `json:"list,omitempty"`
-	Store     *chore.View `json:"store,omitempty"`
-	Problem   string      `json:"problem,omitempty"` // why the store could not be read
+	Self      string           `json:"self"`
+	Holder    string           `json:"holder"` // as this member knows; "" where nobody holds the lease
+	Token     uint64           `json:"token"`
+	Here      bool             `json:"here"` // this member acts as the owner
+	LeaseLeft int64            `json:"lease_left_ms"`
+	Chores    []Status         `json:"chores"`
+	Figures   Figures          `json:"figures"`
+	List      *ListStatus      `json:"list,omitempty"`
+	Store     *groupstate.View `json:"store,omitempty"`
+	Problem   string           `json:"problem,omitempty"` // why the store could not be read
 }
 
 // Status is how one chore goes, as its owner sees it.
@@ -48,8 +48,8 @@
 // Page is how things stand. The store is read linearizably.
 func (w *Owner) Page() Page {
 	p := Page{Self: w.o.Name, Chores: []Status{}}
-	var v chore.View
-	if err := w.read(readWithin, chore.Query{Ask: chore.AskView}, &v); err != nil {
+	var v groupstate.View
+	if err := w.read(readWithin, groupstate.Query{Ask: groupstate.AskView}, &v); err != nil {
 		p.Problem = err.Error()
 	} else {
 		p.Store = &v
--- a/internal/promise/closer.go
+++ b/internal/cluster/pending/closer.go
@@ -1,10 +1,10 @@
-package promise
+package pending
 
 import (
 	"context"
 	"time"
 
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/ledger"
 )
 
 // Closer closes periods: whoever leads the group proposes it once the open period has lasted. The log decides
--- a/internal/promise/figures.go
+++ b/internal/cluster/pending/figures.go
@@ -1,4 +1,4 @@
-package promise
+package pending
 
 import (
 	"time"
--- a/internal/promise/flush.go
+++ b/internal/cluster/pending/flush.go
@@ -1,4 +1,4 @@
-package promise
+package pending
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/ledger"
 )
 
 func (r *Recorder) flushing() {
--- a/internal/promise/recorder.go
+++ b/internal/cluster/pending/recorder.go
@@ -1,7 +1,7 @@
-// Package promise carries this member's counts to the ledger's group: it sums them, keeps each batch in a
+// Package pending carries this member's counts to the ledger's group: it sums them, keeps each batch in a
 // file of its own until the group has committed it, and sends it again until then. A count is promised once
 // its batch is committed; what is not promised is told by Figures.
-package promise
+package pending
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	bolt "go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/ledger"
 )
 
 const (
--- a/internal/replica/calls.go
+++ b/internal/cluster/raftgroup/calls.go
@@ -1,4 +1,4 @@
-package replica
+package raftgroup
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/placement"
+	"cresshub/internal/cluster/placement"
 )
 
 // Propose has a command committed by a group, wherever its leader is, and returns what became of it as JSON.
--- a/internal/replica/founding.go
+++ b/internal/cluster/raftgroup/founding.go
@@ -1,11 +1,11 @@
-package replica
+package raftgroup
 
 import (
 	"context"
 	"fmt"
 	"slices"
 
-	"cresshub/internal/placement"
+	"cresshub/internal/cluster/placement"
 )
 
 // found founds a group that nobody has. It is founded once: by the member that ranks first among the live
--- a/internal/replica/groupcalls.go
+++ b/internal/cluster/raftgroup/groupcalls.go
@@ -1,4 +1,4 @@
-package replica
+package raftgroup
 
 import (
 	"context"
--- a/internal/replica/groupplace.go
+++ b/internal/cluster/raftgroup/groupplace.go
@@ -1,4 +1,4 @@
-package replica
+package raftgroup
 
 import (
 	"time"
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"cresshub/internal/placement"
+	"cresshub/internal/cluster/placement"
 )
 
 // place makes the next change that placement wants, on the leader.
--- a/internal/replica/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -1,11 +1,11 @@
-// Package replica keeps replicated logs among members of the fleet: groups of three or five replicas, each
+// Package raftgroup keeps replicated logs among members of the fleet: groups of three or five replicas, each
 // with a log that Raft (Ongaro and Ousterhout, USENIX ATC 2014) keeps the same on all of them, on
 // go.etcd.io/raft, stored by go.etcd.io/bbolt. What a group's log says is applied to a Machine; what was
 // committed is on the synced disks of a majority and survives the loss of any one machine with its disk.
 //
 // raft decides and this package does the I/O around it: disk, streams between members, time. Where replicas
 // stand and when one is replaced is decided by package placement from the fleet view.
-package replica
+package raftgroup
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"cresshub/internal/placement"
+	"cresshub/internal/cluster/placement"
 )
 
 // Peer is a member of the fleet as the view has it.
--- a/internal/replica/host_test.go
+++ b/internal/cluster/raftgroup/host_test.go
@@ -1,4 +1,4 @@
-package replica
+package raftgroup
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"cresshub/internal/placement"
+	"cresshub/internal/cluster/placement"
 )
 
 // adder is a machine that sums numbers.
--- a/internal/replica/raftlog.go
+++ b/internal/cluster/raftgroup/raftlog.go
@@ -1,4 +1,4 @@
-package replica
+package raftgroup
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"log/slog"
 	"slices"
 
-	"cresshub/internal/placement"
+	"cresshub/internal/cluster/placement"
 )
 
 // raftLog is raft's own log, at debug but for what stops a replica.
--- a/internal/emulator/lists.go
+++ b/internal/emulator/lists.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cresshub/balance"
-	"cresshub/internal/chore"
+	"cresshub/internal/cluster/groupstate"
 )
 
 // ListsOptions are a model of how a fleet's proxies come by the list of servers: each by a watch of its own
@@ -50,7 +50,7 @@
 
 type listsProxy struct {
 	agent    *balance.Balancer
-	follower *chore.Follower
+	follower *groupstate.Follower
 	life     int32
 	own      bool // asks by itself
 	watching bool
@@ -153,7 +153,7 @@
 		panic(err) // the same settings for all, which a test takes
 	}
 	*p = listsProxy{agent: agent, life: p.life + 1, own: !s.o.Owner,
-		follower: chore.NewFollower(s.clock(), s.o.MaxAge, time.Duration(s.within(s.o.MaxAge)))}
+		follower: groupstate.NewFollower(s.clock(), s.o.MaxAge, time.Duration(s.within(s.o.MaxAge)))}
 	s.do(i, agent.List(s.clock(), balance.ListCached, nil, s.acts[:0]))
 }
 
@@ -215,7 +215,7 @@
 			if !s.o.Owner {
 				break
 			}
-			told := chore.ListView{Version: s.version}
+			told := groupstate.ListView{Version: s.version}
 			if p := &s.proxies[i]; !s.stalled && p.follower.Learn(s.clock(), told, 0) {
 				p.listed = true
 			}
--- a/internal/faultnet/relay.go
+++ b/internal/faultnet/relay.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/fleet"
+	"cresshub/internal/cluster/gossip"
 )
 
 // relay is what one member sends through.
@@ -91,7 +91,7 @@
 		if err != nil {
 			continue
 		}
-		if to, payload, err := fleet.ParseRelayDatagram(b[:size]); err == nil {
+		if to, payload, err := gossip.ParseRelayDatagram(b[:size]); err == nil {
 			r.net.send(r.name, to, payload)
 		}
 	}
--- a/internal/proxy/cli/fleet.go
+++ b/internal/proxy/cli/fleet.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/fleet"
+	"cresshub/internal/cluster/gossip"
 )
 
 func newFleet() *cobra.Command {
@@ -21,7 +21,7 @@
 		Use: "members", Short: "Print each member as this proxy sees it: state, age, incarnation",
 		Example: "  cresshub fleet members --door 127.0.0.1:9901", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var page fleet.Page
+			var page gossip.Page
 			err := doorPage(door, "/_fleet", "keeps no view of a fleet (fleet.bind is empty there)", &page)
 			if err != nil {
 				return err
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/owner"
+	"cresshub/internal/cluster/leaseholder"
 )
 
 func newOwner() *cobra.Command {
@@ -19,7 +19,7 @@
 		Use: "status", Short: "Print the owner, its token, what is left of its lease, and each chore's last run",
 		Example: "  cresshub owner status --door 127.0.0.1:9901 --json", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var p owner.Page
+			var p leaseholder.Page
 			if err := doorPage(door, "/_owner", "does no chores (owner.chores is empty there)", &p); err != nil {
 				return err
 			}
@@ -35,7 +35,7 @@
 	return c
 }
 
-func printOwner(c *cobra.Command, p *owner.Page) error {
+func printOwner(c *cobra.Command, p *leaseholder.Page) error {
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	holder, left := p.Holder, "known there alone"
 	if holder == "" {
--- a/internal/proxy/config/fleet.go
+++ b/internal/proxy/config/fleet.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
+	"cresshub/internal/cluster/lease"
 	"cresshub/internal/keyed"
-	"cresshub/internal/lease"
 )
 
 // fleet holds the fleet's keys to each other, and to the platform, which bars talk among proxies.
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -5,8 +5,8 @@
 	"runtime/debug"
 	"time"
 
-	"cresshub/internal/fleet"
-	"cresshub/internal/membership"
+	"cresshub/internal/cluster/gossip"
+	"cresshub/internal/cluster/membership"
 )
 
 // leaveWithin bounds how long a leave waits for the news to spread at SIGTERM.
@@ -26,7 +26,7 @@
 	if p.ledger != nil {
 		ledgerAt, disk = p.ledger.host.Address(), p.ledger.host.ID()
 	}
-	f, err := fleet.Start(fleet.Options{Ledger: ledgerAt, Disk: disk,
+	f, err := gossip.Start(gossip.Options{Ledger: ledgerAt, Disk: disk,
 		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Seeds: c.Seeds, Label: c.Label,
 		Version: version, Hall: p.cfg.Policy.Hall, Probe: c.Probe, ProbeTimeout: c.Timeout, Gossip: c.Gossip,
 		SuspicionMult: c.Suspicion, Rejoin: c.Rejoin, SyncEach: c.SyncEach, Relay: c.Relay,
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -9,13 +9,13 @@
 	"strconv"
 	"time"
 
-	"cresshub/internal/chore"
-	"cresshub/internal/ledger"
-	"cresshub/internal/membership"
-	"cresshub/internal/placement"
-	"cresshub/internal/promise"
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/ledger"
+	"cresshub/internal/cluster/membership"
+	"cresshub/internal/cluster/pending"
+	"cresshub/internal/cluster/placement"
+	"cresshub/internal/cluster/raftgroup"
 	"cresshub/internal/proxy/ingress"
-	"cresshub/internal/replica"
 )
 
 const (
@@ -29,8 +29,8 @@
 
 // ledgerPart is this proxy's part in the ledger.
 type ledgerPart struct {
-	host *replica.Host
-	rec  *promise.Recorder
+	host *raftgroup.Host
+	rec  *pending.Recorder
 	stop chan struct{}
 }
 
@@ -45,27 +45,27 @@
 	if err := set.Check(); err != nil {
 		return err
 	}
-	var faults replica.Faults
+	var faults raftgroup.Faults
 	if c.Faults != "" {
-		faults = replica.FileFaults{Path: c.Faults}
+		faults = raftgroup.FileFaults{Path: c.Faults}
 	}
 	l := &ledgerPart{stop: make(chan struct{})}
 	var err error
-	l.host, err = replica.Open(replica.Options{
+	l.host, err = raftgroup.Open(raftgroup.Options{
 		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Dir: c.Data, Label: p.cfg.Fleet.Label,
 		Hall: p.cfg.Policy.Hall, Replicas: c.Replicas, Expect: c.Expect, CatchUp: c.CatchUp,
 		Heartbeat: c.Heartbeat, Election: c.Election, GoneAfter: p.cfg.Fleet.GoneAfter,
 		SnapshotEntries: c.SnapEvery, SnapshotBytes: int64(c.SnapBytes), Relay: p.cfg.Fleet.Relay,
 		Groups: []string{ledgerGroup}, Faults: faults, Log: p.log.Logger,
-		Machine: func(string) replica.Machine {
-			m, _ := chore.New(set) // checked above
+		Machine: func(string) raftgroup.Machine {
+			m, _ := groupstate.New(set) // checked above
 			return m
 		},
 	})
 	if err != nil {
 		return err
 	}
-	l.rec, err = promise.Open(promise.Options{Member: p.cfg.Name, Dir: c.Data, Flush: c.Flush,
+	l.rec, err = pending.Open(pending.Options{Member: p.cfg.Name, Dir: c.Data, Flush: c.Flush,
 		Most: int64(c.Outbox), Faults: faults, Log: p.log.Logger, Propose: l.propose})
 	if err != nil {
 		l.host.Close()
@@ -76,7 +76,7 @@
 }
 
 func (l *ledgerPart) propose(ctx context.Context, command []byte) (ledger.Result, error) {
-	return promise.Result(l.host.Propose(ctx, ledgerGroup, command))
+	return pending.Result(l.host.Propose(ctx, ledgerGroup, command))
 }
 
 // countUse is what the clients' front tells of each final answer, nil where nobody counts.
@@ -100,7 +100,7 @@
 		return err
 	}
 	l.rec.Run()
-	closer := promise.Closer{Period: p.cfg.Ledger.Period, Stop: l.stop, Propose: l.propose,
+	closer := pending.Closer{Period: p.cfg.Ledger.Period, Stop: l.stop, Propose: l.propose,
 		Leads: func() bool { return l.host.Leads(ledgerGroup) },
 		Open: func() (uint64, bool) {
 			v, ok := l.host.Peek(ledgerGroup, openQuery)
@@ -119,14 +119,14 @@
 var openQuery, _ = json.Marshal(ledger.Query{Tenant: "-", Period: 1})
 
 // peers is the fleet view as replicas are placed by it.
-func (p *Proxy) peers() []replica.Peer {
+func (p *Proxy) peers() []raftgroup.Peer {
 	if p.fleet == nil {
 		return nil
 	}
-	var out []replica.Peer
+	var out []raftgroup.Peer
 	for _, m := range p.fleet.Members() {
 		live := m.Status == membership.Alive || m.Status == membership.Suspect
-		out = append(out, replica.Peer{Address: m.Meta.Ledger, Member: placement.Member{Name: m.Name,
+		out = append(out, raftgroup.Peer{Address: m.Meta.Ledger, Member: placement.Member{Name: m.Name,
 			Replica: m.Meta.Disk, Hall: m.Meta.Hall, Gone: m.Gone,
 			Live: live && m.Meta.Phase != membership.Leaving}})
 	}
@@ -135,10 +135,10 @@
 
 // LedgerPage is what /_ledger shows.
 type LedgerPage struct {
-	Group   replica.Status  `json:"group"`
-	Here    promise.Figures `json:"here"`
-	Ledger  *ledger.View    `json:"ledger,omitempty"`
-	Problem string          `json:"problem,omitempty"` // why the ledger could not be read
+	Group   raftgroup.Status `json:"group"`
+	Here    pending.Figures  `json:"here"`
+	Ledger  *ledger.View     `json:"ledger,omitempty"`
+	Problem string           `json:"problem,omitempty"` // why the ledger could not be read
 }
 
 // page reads the ledger linearizably: what it shows holds all that was promised when it was asked.
@@ -161,7 +161,7 @@
 	}
 	if err != nil {
 		page.Problem = err.Error()
-		if errors.Is(err, replica.ErrNotLeader) {
+		if errors.Is(err, raftgroup.ErrNotLeader) {
 			page.Problem = "the group has no leader that was reached"
 		}
 	}
@@ -203,7 +203,7 @@
 	defer cancel()
 	r, err := l.propose(ctx, c.Encode())
 	switch {
-	case errors.Is(err, replica.ErrUnknown):
+	case errors.Is(err, raftgroup.ErrUnknown):
 		return Corrected{r, "whether it was entered is not known; call again with the same id"}
 	case err != nil:
 		return Corrected{r, err.Error()}
--- a/internal/proxy/daemon/owner.go
+++ b/internal/proxy/daemon/owner.go
@@ -6,14 +6,14 @@
 	"math/rand/v2"
 	"net/url"
 
-	"cresshub/internal/owner"
+	"cresshub/internal/cluster/leaseholder"
+	"cresshub/internal/cluster/raftgroup"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/discovery"
-	"cresshub/internal/replica"
 )
 
 // store is the ledger's group as the chores use it.
-type store struct{ host *replica.Host }
+type store struct{ host *raftgroup.Host }
 
 func (s store) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
 	return s.host.Propose(ctx, ledgerGroup, command)
@@ -28,7 +28,7 @@
 // listSource is the list of servers as the chores use it.
 type listSource struct{ *discovery.Client }
 
-func (l listSource) Feed(f owner.Feed) {
+func (l listSource) Feed(f leaseholder.Feed) {
 	l.Client.Feed(discovery.Feed{Held: f.Held, Token: f.Token})
 }
 
@@ -38,19 +38,19 @@
 	if len(c.Chores) == 0 || p.ledger == nil {
 		return nil
 	}
-	o := owner.Options{Name: p.cfg.Name, Lease: p.cfg.LeaseSettings(), Store: store{p.ledger.host},
+	o := leaseholder.Options{Name: p.cfg.Name, Lease: p.cfg.LeaseSettings(), Store: store{p.ledger.host},
 		Log: p.log.Logger}
 	if c.Faults != "" {
-		o.Faults = owner.FileFaults{Path: c.Faults}
+		o.Faults = leaseholder.FileFaults{Path: c.Faults}
 	}
 	if c.Does(config.ChoreExport) {
-		o.Export = &owner.Export{Sink: c.Sink, Within: c.Call, AtOnce: c.AtOnce}
+		o.Export = &leaseholder.Export{Sink: c.Sink, Within: c.Call, AtOnce: c.AtOnce}
 	}
 	if c.Does(config.ChoreList) {
-		o.List = &owner.List{Source: listSource{p.list}, MaxAge: c.MaxAge, Spread: rand.N(c.MaxAge),
+		o.List = &leaseholder.List{Source: listSource{p.list}, MaxAge: c.MaxAge, Spread: rand.N(c.MaxAge),
 			Poll: c.Poll, Silence: p.cfg.Discovery.Silence}
 	}
-	w, err := owner.New(o)
+	w, err := leaseholder.New(o)
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/daemon/serve.go
+++ b/internal/proxy/daemon/serve.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"cresshub/internal/bodies"
-	"cresshub/internal/fleet"
-	"cresshub/internal/owner"
+	"cresshub/internal/cluster/gossip"
+	"cresshub/internal/cluster/leaseholder"
 	"cresshub/internal/proxy/adminapi"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/descriptors"
@@ -41,10 +41,10 @@
 	list     *discovery.Client
 	server   *ingress.Server
 	listener net.Listener
-	door     *adminapi.Door // nil where there is none
-	fleet    *fleet.Fleet   // nil where there is none
-	ledger   *ledgerPart    // nil where there is none
-	owner    *owner.Owner   // nil where there is none
+	door     *adminapi.Door     // nil where there is none
+	fleet    *gossip.Fleet      // nil where there is none
+	ledger   *ledgerPart        // nil where there is none
+	owner    *leaseholder.Owner // nil where there is none
 	times    atomic.Pointer[config.Shutdown]
 	budget   *descriptors.Budget
 	bodies   *bodies.Budget
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"time"
 
+	"cresshub/internal/cluster/lease"
 	"cresshub/internal/http1"
-	"cresshub/internal/lease"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/logging"
 	"cresshub/internal/ring"
--- a/internal/rig/clients.go
+++ b/internal/rig/clients.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/ledger"
 )
 
 // Tenants are those whose requests the load sends.
--- a/internal/rig/ledger_test.go
+++ b/internal/rig/ledger_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/ledger"
+	"cresshub/internal/cluster/ledger"
 	"cresshub/internal/proxy/daemon"
 )
 
--- a/internal/rig/measure.go
+++ b/internal/rig/measure.go
@@ -14,11 +14,11 @@
 	"text/tabwriter"
 	"time"
 
-	"cresshub/internal/chore"
-	"cresshub/internal/ledger"
-	"cresshub/internal/placement"
-	"cresshub/internal/promise"
-	"cresshub/internal/replica"
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/ledger"
+	"cresshub/internal/cluster/pending"
+	"cresshub/internal/cluster/placement"
+	"cresshub/internal/cluster/raftgroup"
 )
 
 // MeasureOptions are how the ledger is measured: its replicas in this process, on a real disk, without the
@@ -48,8 +48,8 @@
 
 // measured is one member of the measurement.
 type measured struct {
-	host *replica.Host
-	rec  *promise.Recorder
+	host *raftgroup.Host
+	rec  *pending.Recorder
 }
 
 type measure struct {
@@ -59,12 +59,12 @@
 	gone    map[string]bool
 }
 
-func (m *measure) view() []replica.Peer {
+func (m *measure) view() []raftgroup.Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []replica.Peer
+	var out []raftgroup.Peer
 	for name, x := range m.members {
-		out = append(out, replica.Peer{Address: x.host.Address(), Member: placement.Member{Name: name,
+		out = append(out, raftgroup.Peer{Address: x.host.Address(), Member: placement.Member{Name: name,
 			Replica: x.host.ID(), Live: !m.gone[name], Gone: m.gone[name]}})
 	}
 	return out
@@ -75,20 +75,20 @@
 	log := slog.New(slog.DiscardHandler)
 	x := &measured{}
 	var err error
-	x.host, err = replica.Open(replica.Options{Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure",
+	x.host, err = raftgroup.Open(raftgroup.Options{Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure",
 		Replicas: 3, Expect: 3, CatchUp: 100, Heartbeat: 100 * time.Millisecond, Election: time.Second,
 		GoneAfter: time.Hour, SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Groups: []string{measureGroup},
-		Log: log, Machine: func(string) replica.Machine {
-			l, _ := chore.New(ledger.Settings{Keep: 1440, Remember: 2, IDs: 1_000_000, Tenants: 10_000,
+		Log: log, Machine: func(string) raftgroup.Machine {
+			l, _ := groupstate.New(ledger.Settings{Keep: 1440, Remember: 2, IDs: 1_000_000, Tenants: 10_000,
 				Members: 4096})
 			return l
 		}})
 	if err != nil {
 		return err
 	}
-	x.rec, err = promise.Open(promise.Options{Member: name, Dir: dir, Flush: 100 * time.Millisecond,
+	x.rec, err = pending.Open(pending.Options{Member: name, Dir: dir, Flush: 100 * time.Millisecond,
 		Most: 64 << 20, Log: log, Propose: func(ctx context.Context, b []byte) (ledger.Result, error) {
-			return promise.Result(x.host.Propose(ctx, measureGroup, b))
+			return pending.Result(x.host.Propose(ctx, measureGroup, b))
 		}})
 	if err != nil {
 		return errors.Join(err, x.host.Close())
@@ -144,7 +144,7 @@
 func (m *measure) count(ctx context.Context, rate int, lasting time.Duration) {
 	start := time.Now()
 	done := 0
-	var all []*promise.Recorder
+	var all []*pending.Recorder
 	for _, x := range m.members {
 		all = append(all, x.rec)
 	}
--- a/internal/rig/owner.go
+++ b/internal/rig/owner.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/ledger"
-	"cresshub/internal/owner"
+	"cresshub/internal/cluster/leaseholder"
+	"cresshub/internal/cluster/ledger"
 	"cresshub/internal/proxy/daemon"
 	"cresshub/internal/standin"
 )
@@ -39,7 +39,7 @@
 `
 
 // OwnerPage is what a member's door says of the chores.
-func OwnerPage(m *Member) (p owner.Page, err error) {
+func OwnerPage(m *Member) (p leaseholder.Page, err error) {
 	err = m.Ask("/_owner", &p)
 	if err == nil && p.Problem != "" {
 		err = errors.New(p.Problem)
@@ -56,7 +56,7 @@
 			if slices.Contains(not, m) {
 				continue
 			}
-			var p owner.Page
+			var p leaseholder.Page
 			if last = m.Ask("/_owner", &p); last == nil && p.Here {
 				return m, p.Token, nil
 			}
@@ -74,7 +74,7 @@
 		return err
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if os.Remove(faults+owner.Standing) == nil {
+		if os.Remove(faults+leaseholder.Standing) == nil {
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
@@ -145,7 +145,7 @@
 // asTheLedger holds the sink's entries to the ledger's rows, period by period.
 func (r *Rig) asTheLedger() error {
 	var page daemon.LedgerPage
-	var o owner.Page
+	var o leaseholder.Page
 	for try := 0; ; try++ {
 		m := r.Running()[try%len(r.Running())]
 		var err error
@@ -165,7 +165,7 @@
 		if p.ID > o.Store.Exported {
 			continue
 		}
-		for _, e := range owner.Entries(p.ID, p.Rows) {
+		for _, e := range leaseholder.Entries(p.ID, p.Rows) {
 			got, ok := entries[e.ID]
 			if !ok || len(got.Lines) != len(e.Lines) {
 				return fmt.Errorf("period %d, %s: the sink has %+v, the ledger %+v", p.ID, e.Tenant, got, e)
@@ -284,7 +284,7 @@
 
 // stepsDown waits until a member says that it does not own the chores under a token any more.
 func (r *Rig) stepsDown(ctx context.Context, m *Member, token uint64) error {
-	var p owner.Page
+	var p leaseholder.Page
 	var err error
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if err = m.Ask("/_owner", &p); err == nil && (!p.Here || p.Token > token) {
--- a/internal/rig/play.go
+++ b/internal/rig/play.go
@@ -12,8 +12,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"cresshub/internal/cluster/gossip"
 	"cresshub/internal/faultnet"
-	"cresshub/internal/fleet"
 )
 
 // settleWithin bounds how long the members may take to see each other at the start.
@@ -305,7 +305,7 @@
 	}
 }
 
-func (p *player) sample(at time.Duration, by string, v fleet.Page) {
+func (p *player) sample(at time.Duration, by string, v gossip.Page) {
 	sees := map[string]string{}
 	alive := 0
 	for _, m := range v.Members {
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"cresshub/internal/cluster/gossip"
 	"cresshub/internal/faultnet"
-	"cresshub/internal/fleet"
 )
 
 // binary is the program, built once for all tests of the package.
@@ -85,7 +85,7 @@
 	return r
 }
 
-func until(t *testing.T, ms []*Member, limit time.Duration, what string, holds func(fleet.Page) error) {
+func until(t *testing.T, ms []*Member, limit time.Duration, what string, holds func(gossip.Page) error) {
 	t.Helper()
 	took, err := Until(ctx(t), ms, limit, holds)
 	if err != nil {
@@ -223,7 +223,7 @@
 			until(t, r.Running(), 3*time.Second, "dead everywhere", Sees("dead", m.Name))
 		}
 		must(t, r.Restart(ctx(t), m, c.moved, c.wiped))
-		until(t, r.Members, 10*time.Second, c.name, func(p fleet.Page) error {
+		until(t, r.Members, 10*time.Second, c.name, func(p gossip.Page) error {
 			now, _ := Of(p, m.Name)
 			if now.Incarnation <= before.Incarnation || now.Address != m.Gossip {
 				return fmt.Errorf("%s is %+v, was %+v", m.Name, now, before)
@@ -247,8 +247,8 @@
 	r := start(t, Options{Members: 7})
 	m := r.Members[4]
 	must(t, m.Drain(true))
-	phase := func(want string) func(fleet.Page) error {
-		return func(p fleet.Page) error {
+	phase := func(want string) func(gossip.Page) error {
+		return func(p gossip.Page) error {
 			if s, _ := Of(p, m.Name); s.Phase != want || s.Status != "alive" {
 				return fmt.Errorf("%s is %s and %s", m.Name, s.Status, s.Phase)
 			}
--- a/internal/rig/views.go
+++ b/internal/rig/views.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/fleet"
+	"cresshub/internal/cluster/gossip"
 )
 
 // pollEvery is how often a condition is looked at.
@@ -65,13 +65,13 @@
 }
 
 // Views are the pages of the members that run, by their name.
-type Views map[string]fleet.Page
+type Views map[string]gossip.Page
 
 // Of returns what a view says of a member; false where it does not hold it.
-func Of(p fleet.Page, name string) (fleet.Member, bool) {
-	i := slices.IndexFunc(p.Members, func(m fleet.Member) bool { return m.Name == name })
+func Of(p gossip.Page, name string) (gossip.Member, bool) {
+	i := slices.IndexFunc(p.Members, func(m gossip.Member) bool { return m.Name == name })
 	if i < 0 {
-		return fleet.Member{}, false
+		return gossip.Member{}, false
 	}
 	return p.Members[i], true
 }
@@ -94,7 +94,7 @@
 	out := Views{}
 	for _, m := range ms {
 		all.Go(func() {
-			var p fleet.Page
+			var p gossip.Page
 			if m.Ask("/_fleet", &p) == nil {
 				mu.Lock()
 				defer mu.Unlock()
@@ -109,7 +109,7 @@
 // Until looks at the views of the given members until holds is true of every one of them, and says how long
 // that took. A member without a view does not hold. The error tells what each said last.
 func Until(ctx context.Context, ms []*Member, limit time.Duration,
-	holds func(fleet.Page) error) (time.Duration, error) {
+	holds func(gossip.Page) error) (time.Duration, error) {
 	start := time.Now()
 	for {
 		views := Look(ms)
@@ -138,8 +138,8 @@
 }
 
 // Sees returns a condition: a view holds each of the named members in that status.
-func Sees(status string, names ...string) func(fleet.Page) error {
-	return func(p fleet.Page) error {
+func Sees(status string, names ...string) func(gossip.Page) error {
+	return func(p gossip.Page) error {
 		for _, name := range names {
 			if m, ok := Of(p, name); !ok || m.Status != status {
 				return fmt.Errorf("%s is %q, not %q", name, m.Status, status)
@@ -150,8 +150,8 @@
 }
 
 // One returns a condition: a view holds exactly the named members alive, and nobody else alive or suspect.
-func One(names ...string) func(fleet.Page) error {
-	return func(p fleet.Page) error {
+func One(names ...string) func(gossip.Page) error {
+	return func(p gossip.Page) error {
 		n := 0
 		for _, m := range p.Members {
 			if m.Status == "alive" || m.Status == "suspect" {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"cresshub/internal/cluster/lease"
 	"cresshub/internal/http1"
-	"cresshub/internal/lease"
 	"cresshub/internal/ring"
 )
 
--- a/internal/standin/sink.go
+++ b/internal/standin/sink.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/lease"
+	"cresshub/internal/cluster/lease"
 )
 
 // SinkEntry is what the billing sink stores: sums of one period and tenant, or a correction.
