--- a/cmd/cresshub-fleet/main.go
+++ b/cmd/cresshub-fleet/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"cresshub/internal/fleetcli"
+	"cresshub/internal/router/cli"
 )
 
-func main() { os.Exit(fleetcli.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/faultinject/network.go
+++ b/internal/faultinject/network.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"cresshub/internal/peerlink"
+	"cresshub/internal/router/transport"
 )
 
 // Network is the machine's network with the faults of a process. Connections come from the machine's own IP,
@@ -19,7 +19,7 @@
 	plain  string // address whose connections have no faults: that of clients
 }
 
-var _ peerlink.Network = (*Network)(nil)
+var _ transport.Network = (*Network)(nil)
 
 // Network returns the network of a machine. Connections accepted at the plain address have no faults, but
 // accepting them may fail.
--- a/internal/fleetsim/arrivals.go
+++ b/internal/fleetsim/arrivals.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // arrivals plans the requests of a kind: a Poisson process over all proxies.
@@ -38,17 +38,17 @@
 }
 
 // request draws one request. A thing of the last shared part has the same parts before it each time.
-func (f *fleet) request(k *Kind, number int, sizes [][]int, random *rand.Rand) *pairing.Request {
-	r := &pairing.Request{Service: f.service, Idempotent: true}
+func (f *fleet) request(k *Kind, number int, sizes [][]int, random *rand.Rand) *scheduler.Request {
+	r := &scheduler.Request{Service: f.service, Idempotent: true}
 	last := random.IntN(k.Shared[len(k.Shared)-1].Things)
 	for i := range k.Shared {
 		thing := last % len(sizes[i])
 		id := fmt.Sprintf("%s.%d.%d", k.Name, i, thing)
-		r.Parts = append(r.Parts, pairing.Part{ID: id, Tokens: sizes[i][thing]})
+		r.Parts = append(r.Parts, scheduler.Part{ID: id, Tokens: sizes[i][thing]})
 		r.PromptTokens += sizes[i][thing]
 	}
 	own := 1 + int(bounded(logNormal(random, k.Own, k.Spread), k.MostOwn))
-	r.Parts = append(r.Parts, pairing.Part{ID: fmt.Sprintf("%s.own.%d", k.Name, number), Tokens: own})
+	r.Parts = append(r.Parts, scheduler.Part{ID: fmt.Sprintf("%s.own.%d", k.Name, number), Tokens: own})
 	r.PromptTokens += own
 	r.OutputTokens = 1 + int(logNormal(random, k.Output, k.Spread))
 	return r
--- a/internal/fleetsim/cache.go
+++ b/internal/fleetsim/cache.go
@@ -3,7 +3,7 @@
 import (
 	"container/list"
 
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // cache is a server's memory for parts of prompts. A part can be reused only with all before it. Those unused
@@ -24,7 +24,7 @@
 }
 
 // held returns how many tokens of a prompt need not be read, and how many parts those are.
-func (c *cache) held(parts []pairing.Part) (tokens, count int) {
+func (c *cache) held(parts []scheduler.Part) (tokens, count int) {
 	name := ""
 	for _, part := range parts {
 		name += "/" + part.ID
@@ -38,7 +38,7 @@
 }
 
 // keep holds the parts of a prompt as the newest.
-func (c *cache) keep(parts []pairing.Part) {
+func (c *cache) keep(parts []scheduler.Part) {
 	name := ""
 	for _, part := range parts {
 		name += "/" + part.ID
--- a/internal/fleetsim/clairvoyant.go
+++ b/internal/fleetsim/clairvoyant.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 // queues is what a clairvoyant knows of all servers at any time, by their ids.
@@ -43,18 +43,18 @@
 func (c *clairvoyant) Update(_ time.Duration, table *catalog.Table) { c.table = table }
 
 // Split splits all but short prompts, as the real policy does.
-func (c *clairvoyant) Split(_ time.Duration, r *pairing.Request) bool {
+func (c *clairvoyant) Split(_ time.Duration, r *scheduler.Request) bool {
 	const shortPrompt = 2000
 	return r.PromptTokens > shortPrompt
 }
 
 // Choose sends a call to the server that will be done with it first.
-func (c *clairvoyant) Choose(now time.Duration, r *pairing.Request, role pairing.Role,
-	reader *catalog.Server) *pairing.Call {
+func (c *clairvoyant) Choose(now time.Duration, r *scheduler.Request, role scheduler.Role,
+	reader *catalog.Server) *scheduler.Call {
 	var best *catalog.Server
 	var done time.Duration
 	for _, s := range c.table.Service(r.Service.Name) {
-		if (s.Stage == catalog.Reading) != (role == pairing.Read) {
+		if (s.Stage == catalog.Reading) != (role == scheduler.Read) {
 			continue
 		}
 		at := c.doneAt(now, s, r, role, reader)
@@ -71,15 +71,15 @@
 	for _, name := range chainOf(r) {
 		q.held[name] = true
 	}
-	return &pairing.Call{Server: best, Role: role}
+	return &scheduler.Call{Server: best, Role: role}
 }
 
 // doneAt is when a server will have read a request, or made its first token.
-func (c *clairvoyant) doneAt(now time.Duration, s *catalog.Server, r *pairing.Request, role pairing.Role,
+func (c *clairvoyant) doneAt(now time.Duration, s *catalog.Server, r *scheduler.Request, role scheduler.Role,
 	reader *catalog.Server) time.Duration {
 	q := c.queues.of(s.ID)
 	begin := max(now, q.free)
-	if role == pairing.Write {
+	if role == scheduler.Write {
 		ms := float64(r.PromptTokens) * c.engine.TokenBytes * 8 / (c.engine.LinkMegabits * 1000)
 		if s.Zone != reader.Zone {
 			ms *= farMove
@@ -93,7 +93,7 @@
 		}
 	}
 	unread, pace := float64(tokens-held), 1.0
-	if role == pairing.Serve {
+	if role == scheduler.Serve {
 		pace = writerPace
 	}
 	pairs := unread*float64(held) + unread*unread/2
@@ -101,7 +101,7 @@
 }
 
 // chainOf returns the names of a prompt's parts, each with all before it.
-func chainOf(r *pairing.Request) []string {
+func chainOf(r *scheduler.Request) []string {
 	names, name := make([]string, len(r.Parts)), ""
 	for i, part := range r.Parts {
 		name += "/" + part.ID
@@ -111,10 +111,10 @@
 }
 
 // Told is of no use here.
-func (c *clairvoyant) Told(time.Duration, string, pairing.Load) {}
+func (c *clairvoyant) Told(time.Duration, string, scheduler.Load) {}
 
 // FirstEvent is of no use here.
-func (c *clairvoyant) FirstEvent(time.Duration, *pairing.Call) {}
+func (c *clairvoyant) FirstEvent(time.Duration, *scheduler.Call) {}
 
 // Done is of no use here.
-func (c *clairvoyant) Done(time.Duration, *pairing.Call, pairing.Outcome) {}
+func (c *clairvoyant) Done(time.Duration, *scheduler.Call, scheduler.Outcome) {}
--- a/internal/fleetsim/engine.go
+++ b/internal/fleetsim/engine.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 // Engine says how a model server works.
@@ -31,8 +31,8 @@
 
 // job is a request at a server.
 type job struct {
-	role    pairing.Role
-	request *pairing.Request
+	role    scheduler.Role
+	request *scheduler.Request
 	unread  int // tokens
 	tokens  int // still to make
 	urgency int // prompts that are not begun are read in the order of their urgency, 0 first
@@ -61,12 +61,12 @@
 
 // load is what the server tells of itself with an answer: a running request counts itself, a read that has
 // ended does not.
-func (s *server) load(role pairing.Role) pairing.Load {
+func (s *server) load(role scheduler.Role) scheduler.Load {
 	running := len(s.running)
-	if role == pairing.Read {
+	if role == scheduler.Read {
 		running--
 	}
-	return pairing.Load{Running: running, Waiting: len(s.waiting), Slots: s.engine.Slots}
+	return scheduler.Load{Running: running, Waiting: len(s.waiting), Slots: s.engine.Slots}
 }
 
 // take lets a job wait for a slot, after the time it takes to set it up.
@@ -108,7 +108,7 @@
 		if j.gone {
 			continue
 		}
-		if j.role != pairing.Write {
+		if j.role != scheduler.Write {
 			s.countRead(j)
 		}
 		j.pinned = j.unread + j.tokens
@@ -164,7 +164,7 @@
 		j.begun = j.begun || part > 0
 		j.unread -= part
 		read += part
-		if j.role != pairing.Read {
+		if j.role != scheduler.Read {
 			making++
 		}
 	}
@@ -207,15 +207,15 @@
 // token makes one token, or ends a read, and tells whether the job goes on.
 func (s *server) token(j *job) bool {
 	if j.first != nil {
-		if j.role != pairing.Write {
+		if j.role != scheduler.Write {
 			s.cache.keep(j.request.Parts)
 		}
 		j.first()
 		j.first = nil
 	}
 	j.tokens--
-	if j.role == pairing.Read || j.tokens > 0 {
-		return j.role != pairing.Read
+	if j.role == scheduler.Read || j.tokens > 0 {
+		return j.role != scheduler.Read
 	}
 	j.last()
 	return false
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/fleetconfig"
 )
 
 const (
--- a/internal/fleetsim/policy.go
+++ b/internal/fleetsim/policy.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -14,11 +14,11 @@
 // Policy is what decides at a proxy. *pairing.Chooser is one.
 type Policy interface {
 	Update(now time.Duration, table *catalog.Table)
-	Split(now time.Duration, r *pairing.Request) bool
-	Choose(now time.Duration, r *pairing.Request, role pairing.Role, reader *catalog.Server) *pairing.Call
-	Told(now time.Duration, server string, load pairing.Load)
-	FirstEvent(now time.Duration, call *pairing.Call)
-	Done(now time.Duration, call *pairing.Call, outcome pairing.Outcome)
+	Split(now time.Duration, r *scheduler.Request) bool
+	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role, reader *catalog.Server) *scheduler.Call
+	Told(now time.Duration, server string, load scheduler.Load)
+	FirstEvent(now time.Duration, call *scheduler.Call)
+	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
 }
 
 // Maker makes the policies of proxies.
@@ -29,28 +29,28 @@
 
 // Pairing is the real one.
 func Pairing() Maker {
-	return Maker{"pairing", func(zone string, seed uint64) Policy { return pairing.New(zone, seed) }}
+	return Maker{"pairing", func(zone string, seed uint64) Policy { return scheduler.New(zone, seed) }}
 }
 
 // Rivals are the policies that it is measured against.
 func Rivals() []Maker {
 	return []Maker{
-		rival("random", func(s *simple, all []*catalog.Server, _ *pairing.Request) *catalog.Server {
+		rival("random", func(s *simple, all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
 			return all[s.random.IntN(len(all))]
 		}),
-		rival("round robin", func(s *simple, all []*catalog.Server, _ *pairing.Request) *catalog.Server {
+		rival("round robin", func(s *simple, all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
 			s.turn++
 			return all[s.turn%len(all)]
 		}),
 		rival("two choices", (*simple).twoChoices),
-		rival("least known queue", func(s *simple, all []*catalog.Server, _ *pairing.Request) *catalog.Server {
+		rival("least known queue", func(s *simple, all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
 			return s.least(all)
 		}),
 		rival("prefix hash, bounded load", (*simple).boundedHash),
 	}
 }
 
-type pick func(s *simple, all []*catalog.Server, r *pairing.Request) *catalog.Server
+type pick func(s *simple, all []*catalog.Server, r *scheduler.Request) *catalog.Server
 
 // simple is a policy that always splits, and knows of a server the calls that it told and its own since.
 type simple struct {
@@ -75,13 +75,13 @@
 func (s *simple) Update(_ time.Duration, table *catalog.Table) { s.table = table }
 
 // Split tells whether there are readers.
-func (s *simple) Split(_ time.Duration, r *pairing.Request) bool {
-	return len(s.servers(r, pairing.Read)) > 0
+func (s *simple) Split(_ time.Duration, r *scheduler.Request) bool {
+	return len(s.servers(r, scheduler.Read)) > 0
 }
 
-func (s *simple) servers(r *pairing.Request, role pairing.Role) []*catalog.Server {
+func (s *simple) servers(r *scheduler.Request, role scheduler.Role) []*catalog.Server {
 	stage := catalog.Writing
-	if role == pairing.Read {
+	if role == scheduler.Read {
 		stage = catalog.Reading
 	}
 	var all []*catalog.Server
@@ -95,20 +95,20 @@
 
 // Choose sends a call.
 func (s *simple) Choose(
-	_ time.Duration, r *pairing.Request, role pairing.Role, _ *catalog.Server,
-) *pairing.Call {
+	_ time.Duration, r *scheduler.Request, role scheduler.Role, _ *catalog.Server,
+) *scheduler.Call {
 	all := s.servers(r, role)
 	if len(all) == 0 {
 		return nil
 	}
 	to := s.pick(s, all, r)
 	s.own[to.ID]++
-	return &pairing.Call{Server: to, Role: role}
+	return &scheduler.Call{Server: to, Role: role}
 }
 
 func (s *simple) known(x *catalog.Server) int { return s.told[x.ID] + s.own[x.ID] }
 
-func (s *simple) twoChoices(all []*catalog.Server, _ *pairing.Request) *catalog.Server {
+func (s *simple) twoChoices(all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
 	x, y := all[s.random.IntN(len(all))], all[s.random.IntN(len(all))]
 	if s.known(y) < s.known(x) {
 		return y
@@ -134,7 +134,7 @@
 
 // boundedHash is the first server by rendezvous hashing of the shared parts that has no more than bound times
 // the mean of the calls known.
-func (s *simple) boundedHash(all []*catalog.Server, r *pairing.Request) *catalog.Server {
+func (s *simple) boundedHash(all []*catalog.Server, r *scheduler.Request) *catalog.Server {
 	if all[0].Stage == catalog.Writing {
 		return s.twoChoices(all, r)
 	}
@@ -161,14 +161,14 @@
 }
 
 // Told takes a told load.
-func (s *simple) Told(_ time.Duration, server string, load pairing.Load) {
+func (s *simple) Told(_ time.Duration, server string, load scheduler.Load) {
 	s.told[server] = max(0, load.Running+load.Waiting-s.own[server])
 }
 
 // FirstEvent is of no use here.
-func (s *simple) FirstEvent(time.Duration, *pairing.Call) {}
+func (s *simple) FirstEvent(time.Duration, *scheduler.Call) {}
 
 // Done ends a call.
-func (s *simple) Done(_ time.Duration, call *pairing.Call, _ pairing.Outcome) {
+func (s *simple) Done(_ time.Duration, call *scheduler.Call, _ scheduler.Outcome) {
 	s.own[call.Server.ID]--
 }
--- a/internal/fleetsim/proxy.go
+++ b/internal/fleetsim/proxy.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 const tries = 2 // servers that a request may be sent to, for each of its roles
@@ -20,15 +20,15 @@
 type visit struct {
 	proxy    *proxy
 	kind     *Kind
-	request  *pairing.Request
+	request  *scheduler.Request
 	came     time.Duration
 	attempts int
 	over     bool
-	call     *pairing.Call
+	call     *scheduler.Call
 	job      *job
 }
 
-func (p *proxy) take(k *Kind, r *pairing.Request) {
+func (p *proxy) take(k *Kind, r *scheduler.Request) {
 	f := p.fleet
 	f.count.Requests++
 	f.count.Owed += k.Worth
@@ -41,11 +41,11 @@
 func (v *visit) route() {
 	v.proxy.refresh()
 	if v.proxy.policy.Split(v.proxy.fleet.clock.now, v.request) {
-		v.send(pairing.Read, nil)
+		v.send(scheduler.Read, nil)
 		return
 	}
 	v.proxy.fleet.count.Direct++
-	v.send(pairing.Serve, nil)
+	v.send(scheduler.Serve, nil)
 }
 
 // refresh tells the policy all loads, in the scenarios that ask for it.
@@ -54,12 +54,12 @@
 		return
 	}
 	for _, s := range p.fleet.live() {
-		p.policy.Told(p.fleet.clock.now, s.ID, s.load(pairing.Serve))
+		p.policy.Told(p.fleet.clock.now, s.ID, s.load(scheduler.Serve))
 	}
 }
 
 // exchange lets the other proxies hear a load that was told here.
-func (p *proxy) exchange(server string, load pairing.Load) {
+func (p *proxy) exchange(server string, load scheduler.Load) {
 	f := p.fleet
 	if f.scenario.Exchange == 0 {
 		return
@@ -76,11 +76,11 @@
 
 // hearer is a policy that takes in what other proxies were told.
 type hearer interface {
-	Heard(at time.Duration, server string, load pairing.Load)
+	Heard(at time.Duration, server string, load scheduler.Load)
 }
 
 // send makes one call.
-func (v *visit) send(role pairing.Role, reader *server) {
+func (v *visit) send(role scheduler.Role, reader *server) {
 	f := v.proxy.fleet
 	v.proxy.refresh()
 	var holder *catalog.Server
@@ -98,9 +98,9 @@
 }
 
 // arrive begins the call's job at its server.
-func (v *visit) arrive(call *pairing.Call, to, reader *server) {
+func (v *visit) arrive(call *scheduler.Call, to, reader *server) {
 	if to.dead {
-		v.back(to, func() { v.retry(call, pairing.Unreachable) })
+		v.back(to, func() { v.retry(call, scheduler.Unreachable) })
 		return
 	}
 	j := &job{role: call.Role, request: v.request, tokens: v.request.OutputTokens, urgency: v.urgency(call)}
@@ -108,7 +108,7 @@
 	ended := false
 	j.first = func() {
 		load := to.load(call.Role)
-		ended = call.Role == pairing.Read
+		ended = call.Role == scheduler.Read
 		v.back(to, func() { v.first(call, to, load) })
 	}
 	j.last = func() {
@@ -117,19 +117,19 @@
 	}
 	to.failAll = append(to.failAll, func() {
 		if !ended {
-			v.back(to, func() { v.retry(call, pairing.Broken) })
+			v.back(to, func() { v.retry(call, scheduler.Broken) })
 		}
 	})
-	if call.Role != pairing.Write {
+	if call.Role != scheduler.Write {
 		to.take(j)
 	} else if reader.dead || !to.fetch(j, reader) {
 		ended = true
-		v.back(to, func() { v.retry(call, pairing.HandleFailed) })
+		v.back(to, func() { v.retry(call, scheduler.HandleFailed) })
 	}
 }
 
 // urgency is that of a call: the route's, and less for each thousand tokens to be read.
-func (v *visit) urgency(call *pairing.Call) int {
+func (v *visit) urgency(call *scheduler.Call) int {
 	const tokensPerStep, last = 1000, 9
 	tokens, _ := call.Expected()
 	return min(v.kind.Urgency+tokens/tokensPerStep, last)
@@ -140,7 +140,7 @@
 }
 
 // first is the first sign of an answer: a token, or the end of a read.
-func (v *visit) first(call *pairing.Call, from *server, load pairing.Load) {
+func (v *visit) first(call *scheduler.Call, from *server, load scheduler.Load) {
 	if v.over || v.call != call {
 		return
 	}
@@ -148,9 +148,9 @@
 	policy.Told(f.clock.now, call.Server.ID, load)
 	v.proxy.exchange(call.Server.ID, load)
 	policy.FirstEvent(f.clock.now, call)
-	if call.Role == pairing.Read {
-		policy.Done(f.clock.now, call, pairing.Served)
-		v.send(pairing.Write, from)
+	if call.Role == scheduler.Read {
+		policy.Done(f.clock.now, call, scheduler.Served)
+		v.send(scheduler.Write, from)
 		return
 	}
 	took := f.clock.now - v.came
@@ -167,16 +167,16 @@
 
 const lateWorth = 0.3
 
-func (v *visit) last(call *pairing.Call) {
+func (v *visit) last(call *scheduler.Call) {
 	if v.over || v.call != call {
 		return
 	}
 	v.over = true
-	v.proxy.policy.Done(v.proxy.fleet.clock.now, call, pairing.Served)
+	v.proxy.policy.Done(v.proxy.fleet.clock.now, call, scheduler.Served)
 }
 
 // retry ends a call that failed and sends the request anew.
-func (v *visit) retry(call *pairing.Call, outcome pairing.Outcome) {
+func (v *visit) retry(call *scheduler.Call, outcome scheduler.Outcome) {
 	if v.over || v.call != call {
 		return
 	}
@@ -202,7 +202,7 @@
 	if v.over || v.kind.Name == "" {
 		return
 	}
-	v.proxy.policy.Done(v.proxy.fleet.clock.now, v.call, pairing.Abandoned)
+	v.proxy.policy.Done(v.proxy.fleet.clock.now, v.call, scheduler.Abandoned)
 	if v.job != nil {
 		v.job.gone = true
 	}
--- a/internal/fleetsim/sharing.go
+++ b/internal/fleetsim/sharing.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // shareSpan is how often proxies tell what they have under way.
@@ -11,10 +11,10 @@
 
 // sharer is a policy that hears what the other proxies have under way.
 type sharer interface {
-	Changes(all bool) []pairing.Contribution
-	Share(now time.Duration, others []pairing.Contribution, whole bool)
-	TakeNewPrompts() []pairing.NewPrompts
-	NoteNewPrompts(all []pairing.NewPrompts)
+	Changes(all bool) []scheduler.Contribution
+	Share(now time.Duration, others []scheduler.Contribution, whole bool)
+	TakeNewPrompts() []scheduler.NewPrompts
+	NoteNewPrompts(all []scheduler.NewPrompts)
 	KnowHolders(now time.Duration)
 }
 
@@ -33,15 +33,15 @@
 // shareWork lets each proxy hear after a while what all others have under way now, and what they have sent to
 // servers for the first time since the last call.
 func (f *fleet) shareWork() {
-	own := make([]map[string]pairing.Contribution, len(f.proxies))
-	prompts := make([][]pairing.NewPrompts, len(f.proxies))
-	sum := map[string]pairing.Contribution{}
+	own := make([]map[string]scheduler.Contribution, len(f.proxies))
+	prompts := make([][]scheduler.NewPrompts, len(f.proxies))
+	sum := map[string]scheduler.Contribution{}
 	for i, p := range f.proxies {
 		s, ok := p.policy.(sharer)
 		if !ok {
 			return
 		}
-		own[i], prompts[i] = map[string]pairing.Contribution{}, s.TakeNewPrompts()
+		own[i], prompts[i] = map[string]scheduler.Contribution{}, s.TakeNewPrompts()
 		for _, one := range s.Changes(true) {
 			own[i][one.Server] = one
 			sum[one.Server] = plus(sum[one.Server], one, 1)
@@ -55,9 +55,9 @@
 }
 
 // hear tells one proxy the sum less its own part, and the others' prompts.
-func (f *fleet) hear(s sharer, number int, sum, own map[string]pairing.Contribution,
-	prompts [][]pairing.NewPrompts) {
-	others := make([]pairing.Contribution, 0, len(sum))
+func (f *fleet) hear(s sharer, number int, sum, own map[string]scheduler.Contribution,
+	prompts [][]scheduler.NewPrompts) {
+	others := make([]scheduler.Contribution, 0, len(sum))
 	for server, all := range sum {
 		all.Server = server
 		others = append(others, plus(all, own[server], -1))
@@ -71,7 +71,7 @@
 }
 
 // plus adds a contribution times a factor to another one.
-func plus(to, one pairing.Contribution, times int) pairing.Contribution {
+func plus(to, one scheduler.Contribution, times int) scheduler.Contribution {
 	to.Reading += time.Duration(times) * one.Reading
 	to.Calls += times * one.Calls
 	return to
--- a/internal/fleetstandin/breaks_test.go
+++ b/internal/fleetstandin/breaks_test.go
@@ -7,9 +7,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // What a right router does breaks nothing, and is counted.
@@ -213,8 +213,8 @@
 
 func TestAnotherConfigurationReadBackIsSeen(t *testing.T) {
 	w := newWorld(t)
-	w.control.set(func(*callserver.Call) *http1.Response {
-		return callserver.JSON(200, []byte(`{"edition":1,"routes":[],
+	w.control.set(func(*controlserver.Call) *http1.Response {
+		return controlserver.JSON(200, []byte(`{"edition":1,"routes":[],
 		"depots_list":[]}`))
 	})
 	w.Assert(w.operator.ReadBack(w.bounded()), qt.IsNil)
--- a/internal/fleetstandin/client.go
+++ b/internal/fleetstandin/client.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/fleetconfig"
 )
 
 const (
--- a/internal/fleetstandin/configs.go
+++ b/internal/fleetstandin/configs.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // configVersion is a configuration that an operator sent.
--- a/internal/fleetstandin/controlcaller.go
+++ b/internal/fleetstandin/controlcaller.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlclient"
 )
 
 // The bounds of the pause between two calls of a caller that meets failures.
@@ -28,13 +28,13 @@
 // call makes one call at the address that is chosen now. It returns nil where there is no clear answer; then
 // the next call goes to another address.
 func (c *controlCaller) call(ctx context.Context, patience time.Duration,
-	call callclient.Call) *http1.Response {
+	call controlclient.Call) *http1.Response {
 	if c.chosen == "" && !c.choose("") {
 		return nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	answer, err := callclient.Do(bounded, c.chosen, call)
+	answer, err := controlclient.Do(bounded, c.chosen, call)
 	if c.loses != nil && c.loses() {
 		c.choose(c.chosen)
 		return nil
--- a/internal/fleetstandin/entry.go
+++ b/internal/fleetstandin/entry.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/callclient"
+	"cresshub/internal/router/controlclient"
 )
 
 const (
@@ -61,7 +61,7 @@
 func (e *Entry) ask(ctx context.Context, proxy Proxy) {
 	bounded, cancel := context.WithTimeout(ctx, readyInterval)
 	defer cancel()
-	answer, err := callclient.Do(bounded, proxy.Ready, callclient.Call{Method: "GET", Target: readyPath})
+	answer, err := controlclient.Do(bounded, proxy.Ready, controlclient.Call{Method: "GET", Target: readyPath})
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err == nil && answer.Status == 200 {
--- a/internal/fleetstandin/handles.go
+++ b/internal/fleetstandin/handles.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/callclient"
+	"cresshub/internal/router/controlclient"
 )
 
 // fetchTimeout bounds the move of a prompt's memory; a longer one is not begun.
@@ -20,7 +20,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	answer, err := callclient.Do(ctx, address, callclient.Call{Method: "DELETE", Target: handlePath + handle})
+	answer, err := controlclient.Do(ctx, address, controlclient.Call{Method: "DELETE", Target: handlePath + handle})
 	if err != nil || answer.Status != 200 {
 		return false
 	}
--- a/internal/fleetstandin/heartbeat.go
+++ b/internal/fleetstandin/heartbeat.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 	"time"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlclient"
 )
 
 const (
@@ -70,7 +70,7 @@
 func (s *Server) beat(ctx context.Context, caller *controlCaller) bool {
 	told := s.heartbeat()
 	body, _ := json.Marshal(told)
-	call := callclient.Call{Method: "PUT", Target: serversPath + s.id, Body: body,
+	call := controlclient.Call{Method: "PUT", Target: serversPath + s.id, Body: body,
 		Header: http1.Header{jsonType()}}
 	answer := caller.call(ctx, heartbeatTimeout, call)
 	if answer == nil || answer.Status/100 != 2 || len(answer.Body) > largestAck {
@@ -133,7 +133,7 @@
 
 // sayFarewell tells the fleet that the server ends; without an answer it ends all the same.
 func (s *Server) sayFarewell(ctx context.Context, caller *controlCaller) {
-	call := callclient.Call{Method: "DELETE", Target: serversPath + s.id}
+	call := controlclient.Call{Method: "DELETE", Target: serversPath + s.id}
 	for began := time.Now(); time.Since(began) < departureTime && ctx.Err() == nil; {
 		if caller.call(ctx, heartbeatTimeout, call) != nil {
 			return
--- a/internal/fleetstandin/model_test.go
+++ b/internal/fleetstandin/model_test.go
@@ -10,14 +10,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlclient"
 )
 
 // send makes a call to a server and returns the answer.
 func (w *world) send(server *Server, method, target, body string, header ...http1.Field) *http1.Response {
-	answer, err := callclient.Do(w.bounded(), server.Address(),
-		callclient.Call{Method: method, Target: target, Header: header, Body: []byte(body)})
+	answer, err := controlclient.Do(w.bounded(), server.Address(),
+		controlclient.Call{Method: method, Target: target, Header: header, Body: []byte(body)})
 	w.Assert(err, qt.IsNil)
 	return answer
 }
--- a/internal/fleetstandin/observations.go
+++ b/internal/fleetstandin/observations.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
 )
 
 // Bounds are the figures that the rules are judged by.
 type Bounds struct {
-	nodesettings.Bounds
+	agentsettings.Bounds
 	Back    time.Duration // after a version's effect was seen, an older one must not be met at that machine
 	Recover time.Duration // after all processes are back, requests must be served
 }
--- a/internal/fleetstandin/operator.go
+++ b/internal/fleetstandin/operator.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/callclient"
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlclient"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // operatorTimeout is when an operator's call without an answer goes to another proxy.
@@ -48,7 +48,7 @@
 
 // Refresh has the next change build on the configuration that the fleet shows now.
 func (o *Operator) Refresh(ctx context.Context) error {
-	answer, err := o.callUntilClear(ctx, operatorTimeout, callclient.Call{Method: "GET", Target: configPath})
+	answer, err := o.callUntilClear(ctx, operatorTimeout, controlclient.Call{Method: "GET", Target: configPath})
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 		base = current.Version
 	}
 	sent := o.observations.configSent(config, base, method == "PATCH")
-	call := callclient.Call{Method: method, Target: configPath, Body: body,
+	call := controlclient.Call{Method: method, Target: configPath, Body: body,
 		Header: http1.Header{jsonType(), field("If-Match", strconv.FormatInt(base, 10))}}
 	answer, err := o.callUntilClear(ctx, document.patience(), call)
 	if err != nil {
@@ -144,7 +144,7 @@
 
 // callUntilClear makes a call at one proxy after the other until one answers it for good.
 func (o *Operator) callUntilClear(ctx context.Context, patience time.Duration,
-	call callclient.Call) (*http1.Response, error) {
+	call controlclient.Call) (*http1.Response, error) {
 	for odd := 0; ; {
 		answer := o.caller.call(ctx, patience, call)
 		if answer != nil {
@@ -170,7 +170,7 @@
 
 // ReadBack reads the configuration and checks that it is the newest one acknowledged.
 func (o *Operator) ReadBack(ctx context.Context) error {
-	call := callclient.Call{Method: "GET", Target: configPath}
+	call := controlclient.Call{Method: "GET", Target: configPath}
 	answer, err := o.callUntilClear(ctx, operatorTimeout, call)
 	if err != nil {
 		o.observations.Broken(Config, "the configuration can't be read back: %v", err)
--- a/internal/fleetstandin/registration_test.go
+++ b/internal/fleetstandin/registration_test.go
@@ -8,12 +8,12 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callserver"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlserver"
 )
 
 // told decodes the heartbeats among some calls.
-func told(w *world, calls []*callserver.Call) []heartbeat {
+func told(w *world, calls []*controlserver.Call) []heartbeat {
 	var all []heartbeat
 	for _, call := range calls {
 		var beat heartbeat
@@ -40,15 +40,15 @@
 	w := newWorld(t)
 	var failing bool
 	second := newFakeControl(w.C)
-	second.set(func(*callserver.Call) *http1.Response {
+	second.set(func(*controlserver.Call) *http1.Response {
 		if failing {
-			return callserver.Text(503, "not now")
+			return controlserver.Text(503, "not now")
 		}
-		return callserver.JSON(200, []byte("{}"))
+		return controlserver.JSON(200, []byte("{}"))
 	})
-	w.control.set(func(*callserver.Call) *http1.Response {
+	w.control.set(func(*controlserver.Call) *http1.Response {
 		answer, _ := json.Marshal(map[string]string{"forward_to": second.address})
-		return callserver.JSON(200, answer)
+		return controlserver.JSON(200, answer)
 	})
 	w.until("the second one is called", func() bool { return len(second.got("PUT")) > 10 })
 	at := len(w.control.got("PUT"))
@@ -92,14 +92,14 @@
 func TestOperatorMovesOnUntilAClearAnswer(t *testing.T) {
 	w := newWorld(t)
 	calls := 0
-	w.control.set(func(call *callserver.Call) *http1.Response {
+	w.control.set(func(call *controlserver.Call) *http1.Response {
 		if call.Path != configPath {
-			return callserver.JSON(200, []byte("{}"))
+			return controlserver.JSON(200, []byte("{}"))
 		}
 		if calls++; calls < 3 {
-			return callserver.Text(503, "not now")
+			return controlserver.Text(503, "not now")
 		}
-		return callserver.JSON(200, []byte("{}"))
+		return controlserver.JSON(200, []byte("{}"))
 	})
 	w.Assert(w.operator.Put(w.bounded(), testDocument(4)), qt.IsNil)
 	w.Assert(calls, qt.Equals, 3)
@@ -110,11 +110,11 @@
 
 func TestOperatorTakesARefusalAsFinal(t *testing.T) {
 	w := newWorld(t)
-	w.control.set(func(call *callserver.Call) *http1.Response {
+	w.control.set(func(call *controlserver.Call) *http1.Response {
 		if call.Path != configPath {
-			return callserver.JSON(200, []byte("{}"))
+			return controlserver.JSON(200, []byte("{}"))
 		}
-		return callserver.Text(412, "edition 9 is current")
+		return controlserver.Text(412, "edition 9 is current")
 	})
 	err := w.operator.Put(w.bounded(), testDocument(4))
 	w.Assert(err, qt.ErrorMatches, `edition 4 was refused with 412 \(edition 9 is current\); .*`)
--- a/internal/fleetstandin/request.go
+++ b/internal/fleetstandin/request.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // Kind is a kind of requests that clients send.
--- a/internal/fleetstandin/world_test.go
+++ b/internal/fleetstandin/world_test.go
@@ -12,10 +12,10 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // patience bounds every wait of a test; no verdict depends on how much of it is used.
@@ -38,7 +38,7 @@
 )
 
 var testBounds = Bounds{
-	Bounds: nodesettings.Bounds{Drain: 20 * time.Millisecond, Config: 20 * time.Millisecond, Lost: time.Second,
+	Bounds: agentsettings.Bounds{Drain: 20 * time.Millisecond, Config: 20 * time.Millisecond, Lost: time.Second,
 		Grace: time.Second, Ack: time.Second, RetryRatio: 0.1, RetryWindow: time.Minute, RetrySlack: 4,
 		Lease: time.Minute, Fenced: true},
 	Recover: time.Millisecond,
@@ -149,9 +149,9 @@
 type fakeControl struct {
 	address string
 	mu      sync.Mutex
-	calls   []*callserver.Call
+	calls   []*controlserver.Call
 	config  []byte // that was last sent
-	answer  callserver.Handler
+	answer  controlserver.Handler
 }
 
 func newFakeControl(c *qt.C) *fakeControl {
@@ -161,13 +161,13 @@
 }
 
 // listenFor answers calls on loopback until the test ends.
-func listenFor(c *qt.C, handle callserver.Handler) string {
+func listenFor(c *qt.C, handle controlserver.Handler) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		(&callserver.Server{MaxBody: 1 << 20, Handle: handle}).Serve(listener)
+		(&controlserver.Server{MaxBody: 1 << 20, Handle: handle}).Serve(listener)
 	}()
 	c.Cleanup(func() {
 		listener.Close()
@@ -178,7 +178,7 @@
 
 func (f *fakeControl) addresses() []string { return []string{f.address} }
 
-func (f *fakeControl) handle(call *callserver.Call) *http1.Response {
+func (f *fakeControl) handle(call *controlserver.Call) *http1.Response {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, call)
@@ -188,22 +188,22 @@
 	case call.Path == configPath && call.Method == "PUT":
 		f.config = call.Body
 	case call.Path == configPath:
-		return callserver.JSON(200, f.config)
+		return controlserver.JSON(200, f.config)
 	}
-	return callserver.JSON(200, []byte("{}"))
+	return controlserver.JSON(200, []byte("{}"))
 }
 
-func (f *fakeControl) set(answer callserver.Handler) {
+func (f *fakeControl) set(answer controlserver.Handler) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answer = answer
 }
 
 // got returns the calls whose method and path begin so.
-func (f *fakeControl) got(prefix string) []*callserver.Call {
+func (f *fakeControl) got(prefix string) []*controlserver.Call {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var calls []*callserver.Call
+	var calls []*controlserver.Call
 	for _, call := range f.calls {
 		if strings.HasPrefix(fmt.Sprint(call.Method, " ", call.Path), prefix) {
 			calls = append(calls, call)
--- a/internal/fleettrial/configuration.go
+++ b/internal/fleettrial/configuration.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/fleetstandin"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // The places and services of a trial.
--- a/internal/fleettrial/machine.go
+++ b/internal/fleettrial/machine.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"cresshub/internal/fleetstandin"
-	"cresshub/internal/nodesettings"
 	"cresshub/internal/program"
+	"cresshub/internal/router/agentsettings"
 )
 
 // startTime bounds how long a process may take until it listens.
@@ -72,7 +72,7 @@
 	options := &m.fleet.options
 	command := program.Command{
 		Path: options.Program, Args: []string{"router"}, Ready: `"node: started"`,
-		Env: []string{nodesettings.PathVariable + "=" + m.settingsPath()}, Log: m.fleet.logOf(m.Name),
+		Env: []string{agentsettings.PathVariable + "=" + m.settingsPath()}, Log: m.fleet.logOf(m.Name),
 	}
 	if options.Faulty {
 		command.Args, command.Input, command.LogBuffer = []string{"faulty-router"}, true, faultyLogBuffer
--- a/internal/fleettrial/ready.go
+++ b/internal/fleettrial/ready.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/fleetstandin"
+	"cresshub/internal/router/controlclient"
 )
 
 // lookInterval is how often a wait looks again.
@@ -101,7 +101,7 @@
 func (m *Machine) unready(ctx context.Context) string {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	answer, err := callclient.Do(bounded, m.Ready, callclient.Call{Method: "GET", Target: "/api/ready"})
+	answer, err := controlclient.Do(bounded, m.Ready, controlclient.Call{Method: "GET", Target: "/api/ready"})
 	switch {
 	case err != nil:
 		return err.Error()
@@ -115,7 +115,7 @@
 func (m *Machine) knownServers(ctx context.Context) ([]string, error) {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	answer, err := callclient.Do(bounded, m.Control, callclient.Call{Method: "GET", Target: "/api/servers"})
+	answer, err := controlclient.Do(bounded, m.Control, controlclient.Call{Method: "GET", Target: "/api/servers"})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleettrial/rig_test.go
+++ b/internal/fleettrial/rig_test.go
@@ -16,7 +16,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"cresshub/internal/fleetstandin"
-	_ "cresshub/internal/node" // the program under test is built of it: a change of it makes results stale
+	_ "cresshub/internal/router/agent" // the program under test is built of it: a change of it makes results stale
 )
 
 const (
--- a/internal/fleettrial/soak_checks.go
+++ b/internal/fleettrial/soak_checks.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/fleetstandin"
+	"cresshub/internal/router/controlclient"
 )
 
 const (
@@ -40,7 +40,7 @@
 func (m *Machine) ask(ctx context.Context, path string) []byte {
 	bounded, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
-	answer, err := callclient.Do(bounded, m.Control, callclient.Call{Method: "GET", Target: path})
+	answer, err := controlclient.Do(bounded, m.Control, controlclient.Call{Method: "GET", Target: path})
 	if err != nil || answer.Status != 200 {
 		return nil
 	}
--- a/internal/fleettrial/trial_test.go
+++ b/internal/fleettrial/trial_test.go
@@ -8,9 +8,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/fleetstandin"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlclient"
 )
 
 // The whole path: the processes find each other and the servers, a configuration is adopted, and clients of
@@ -56,7 +56,7 @@
 func (r *rig) put(ifMatch, document string) int {
 	ctx, cancel := context.WithTimeout(r.ctx, 5*time.Second)
 	defer cancel()
-	answer, err := callclient.Do(ctx, r.Machines[len(r.Machines)-1].Control, callclient.Call{Method: "PUT",
+	answer, err := controlclient.Do(ctx, r.Machines[len(r.Machines)-1].Control, controlclient.Call{Method: "PUT",
 		Target: "/api/config", Header: http1.Header{{Name: "If-Match", Value: ifMatch}}, Body: []byte(document)})
 	r.Assert(err, qt.IsNil)
 	return answer.Status
--- a/internal/nodesim/machine.go
+++ b/internal/nodesim/machine.go
@@ -12,8 +12,8 @@
 
 	"github.com/rs/zerolog"
 
-	"cresshub/internal/node"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agent"
+	"cresshub/internal/router/agentsettings"
 	"cresshub/internal/simnet"
 )
 
@@ -34,9 +34,9 @@
 
 // process is one run of the program on a machine.
 type process struct {
-	node     *node.Node
+	node     *agent.Node
 	network  *simnet.Process
-	settings *nodesettings.Settings
+	settings *agentsettings.Settings
 	stop     chan struct{}
 	stopped  atomic.Bool
 	ended    chan struct{}
@@ -83,7 +83,7 @@
 func (m *Machine) Control() string { return m.IP + ":" + strconv.Itoa(controlPort) }
 
 // Node returns the process that runs.
-func (m *Machine) Node() *node.Node { return m.process.Load().node }
+func (m *Machine) Node() *agent.Node { return m.process.Load().node }
 
 // Runs tells whether a process runs.
 func (m *Machine) Runs() bool {
@@ -91,8 +91,8 @@
 	return p != nil && !p.stopped.Load()
 }
 
-func (m *Machine) settings(first bool) *nodesettings.Settings {
-	s := &nodesettings.Settings{
+func (m *Machine) settings(first bool) *agentsettings.Settings {
+	s := &agentsettings.Settings{
 		Name: m.Name, Role: "router", IP: m.IP, Zone: m.Zone, Region: "home", Control: m.Control(),
 		Ready: m.IP + ":" + strconv.Itoa(readyPort), InnerPorts: [2]int{innerPort, innerPort},
 		Seeds: m.Seeds, FirstStart: first, Counted: m.HasDisk, Beat: Beat, DiskBytes: 64 << 20,
@@ -106,8 +106,8 @@
 }
 
 // Bounds are the figures of the rules, as the settings files give them by default.
-func Bounds() nodesettings.Bounds {
-	return nodesettings.Bounds{
+func Bounds() agentsettings.Bounds {
+	return agentsettings.Bounds{
 		SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Touch: 3 * time.Second, Ack: 4 * time.Second,
 		CatchUp: 4 * time.Second, Drain: 2 * time.Second, Grace: 8 * time.Second, Lost: 200 * time.Millisecond,
 		Config: 2 * time.Second, Outer: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second,
@@ -123,12 +123,12 @@
 	p := &process{network: m.host.NewProcess(), settings: m.settings(first), stop: make(chan struct{}),
 		ended: make(chan struct{})}
 	log := zerolog.New(&machineLog{m, p})
-	options := []node.Option{node.WithNetwork(p.network)}
+	options := []agent.Option{agent.WithNetwork(p.network)}
 	if m.fleet.Options.Stages {
-		options = append(options, node.WithStageOrders())
+		options = append(options, agent.WithStageOrders())
 	}
 	var err error
-	if p.node, err = node.New(p.settings, log, options...); err != nil {
+	if p.node, err = agent.New(p.settings, log, options...); err != nil {
 		m.fleet.TB.Fatalf("%s: %v", m.Name, err)
 	}
 	m.process.Store(p)
--- a/internal/nodesim/operator.go
+++ b/internal/nodesim/operator.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/fleetstandin"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlclient"
 	"cresshub/internal/simnet"
 )
 
@@ -57,10 +57,10 @@
 }
 
 // call returns the call by which a change is asked for.
-func (f *Fleet) call(c Change) callclient.Call {
+func (f *Fleet) call(c Change) controlclient.Call {
 	header := http1.Header{{Name: "If-Match", Value: strconv.FormatInt(c.Base, 10)},
 		{Name: "Content-Type", Value: "application/json"}}
-	call := callclient.Call{Method: "PUT", Target: "/api/config", Header: header}
+	call := controlclient.Call{Method: "PUT", Target: "/api/config", Header: header}
 	if !c.isPatch() {
 		call.Body = f.document(c)
 		return call
@@ -145,7 +145,7 @@
 // Get reads the configuration at a machine once.
 func (o *Operator) Get(m *Machine) (version int64, status int) {
 	call := o.history.beginGet(o.fleet.Now(), m.Name)
-	answer, err := callFrom(o.network, m.Control(), callclient.Call{Method: "GET", Target: "/api/config"})
+	answer, err := callFrom(o.network, m.Control(), controlclient.Call{Method: "GET", Target: "/api/config"})
 	if err != nil || answer.Status != 200 {
 		if err == nil {
 			status = answer.Status
--- a/internal/nodesim/patch_test.go
+++ b/internal/nodesim/patch_test.go
@@ -10,16 +10,16 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/http1"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/controlclient"
+	"cresshub/internal/router/peerproto"
 )
 
 // patch sends a body as a patch to one machine and returns the status.
 func (o *Operator) patch(m *Machine, ifMatch int64, body string) int {
 	header := http1.Header{{Name: "If-Match", Value: strconv.FormatInt(ifMatch, 10)}}
 	answer, err := callFrom(o.network, m.Control(),
-		callclient.Call{Method: "PATCH", Target: "/api/config", Header: header, Body: []byte(body)})
+		controlclient.Call{Method: "PATCH", Target: "/api/config", Header: header, Body: []byte(body)})
 	if err != nil {
 		return 0
 	}
@@ -106,9 +106,9 @@
 
 // feedBytes is how many bytes of feeds a machine has sent to its followers.
 func (o *Operator) feedBytes(c *qt.C, m *Machine) int {
-	answer, err := callFrom(o.network, m.Control(), callclient.Call{Method: "GET", Target: "/metrics"})
+	answer, err := callFrom(o.network, m.Control(), controlclient.Call{Method: "GET", Target: "/metrics"})
 	c.Assert(err, qt.IsNil)
-	line := fmt.Sprintf(`cresshub_peer_sent_bytes_total{kind="%d"} `, peerwire.KindFeed)
+	line := fmt.Sprintf(`cresshub_peer_sent_bytes_total{kind="%d"} `, peerproto.KindFeed)
 	_, rest, found := strings.Cut(string(answer.Body), line)
 	if !found {
 		return 0
@@ -127,7 +127,7 @@
 		c := qt.New(t)
 		f := New(t, Options{Disks: 3, Others: 4, Seed: 5})
 		operator := f.AddOperator(&History{})
-		put := callclient.Call{Method: "PUT", Target: "/api/config", Body: []byte(largeDocument(routes)),
+		put := controlclient.Call{Method: "PUT", Target: "/api/config", Body: []byte(largeDocument(routes)),
 			Header: http1.Header{{Name: "If-Match", Value: "0"}}}
 		f.Await("the document is taken", 10*time.Second, func() string {
 			answer, err := callFrom(operator.network, f.Machines[0].Control(), put)
--- a/internal/nodesim/server.go
+++ b/internal/nodesim/server.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/callclient"
+	"cresshub/internal/router/controlclient"
 	"cresshub/internal/simnet"
 )
 
@@ -184,5 +184,5 @@
 	s.mu.Lock()
 	s.state = gone
 	s.mu.Unlock()
-	return s.tell(callclient.Call{Method: "DELETE", Target: "/api/servers/" + s.ID}, first)
+	return s.tell(controlclient.Call{Method: "DELETE", Target: "/api/servers/" + s.ID}, first)
 }
--- a/internal/nodesim/server_calls.go
+++ b/internal/nodesim/server_calls.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/callclient"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlclient"
 	"cresshub/internal/simnet"
 )
 
@@ -41,11 +41,11 @@
 		s.fleet.TB.Error(err)
 		return false
 	}
-	return s.tell(callclient.Call{Method: "PUT", Target: "/api/servers/" + s.ID, Body: body}, first)
+	return s.tell(controlclient.Call{Method: "PUT", Target: "/api/servers/" + s.ID, Body: body}, first)
 }
 
 // tell makes a call at machine after machine, those named first, until one acknowledges it.
-func (s *Server) tell(call callclient.Call, first []string) bool {
+func (s *Server) tell(call controlclient.Call, first []string) bool {
 	targets := slices.Clone(first)
 	s.mu.Lock()
 	if s.forward != "" && !s.Alternate {
@@ -68,7 +68,7 @@
 	return false
 }
 
-func (s *Server) call(target string, call callclient.Call) bool {
+func (s *Server) call(target string, call controlclient.Call) bool {
 	answer, err := callFrom(s.network, target, call)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,13 +103,13 @@
 }
 
 // callFrom makes a call as a process of the network, within callTimeout.
-func callFrom(process *simnet.Process, target string, call callclient.Call) (*http1.Response, error) {
+func callFrom(process *simnet.Process, target string, call controlclient.Call) (*http1.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	dial := func(_ context.Context, address string) (net.Conn, error) {
 		return process.Dial(address, callTimeout)
 	}
-	return callclient.DoOver(ctx, dial, target, call)
+	return controlclient.DoOver(ctx, dial, target, call)
 }
 
 // Late is a heartbeat that is long on its way.
--- a/internal/nodesim/server_orders.go
+++ b/internal/nodesim/server_orders.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/callserver"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlserver"
 )
 
 // Order is a stage order that reached a server.
@@ -50,8 +50,8 @@
 				return
 			}
 			from, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-			handle := func(call *callserver.Call) *http1.Response { return s.answer(from, call) }
-			server := &callserver.Server{MaxBody: 4096, Handle: handle}
+			handle := func(call *controlserver.Call) *http1.Response { return s.answer(from, call) }
+			server := &controlserver.Server{MaxBody: 4096, Handle: handle}
 			server.Serve(&oneConnection{Listener: listener, conn: c})
 		}
 	}()
@@ -74,22 +74,22 @@
 }
 
 // answer answers a call of another machine.
-func (s *Server) answer(from string, call *callserver.Call) *http1.Response {
+func (s *Server) answer(from string, call *controlserver.Call) *http1.Response {
 	if call.Method == "POST" && call.Path == "/api/order" {
 		return s.takeOrder(from, call)
 	}
-	answer := callserver.Text(200, "well")
+	answer := controlserver.Text(200, "well")
 	answer.Header = append(answer.Header, http1.Field{Name: "Cresshub-Server-Id", Value: s.ID})
 	return answer
 }
 
-func (s *Server) takeOrder(from string, call *callserver.Call) *http1.Response {
+func (s *Server) takeOrder(from string, call *controlserver.Call) *http1.Response {
 	var body struct {
 		Order, Stage, Holder string
 		Fence                uint64
 	}
 	if json.Unmarshal(call.Body, &body) != nil || body.Holder == "" || body.Fence == 0 {
-		return callserver.Text(400, "no holder or no fence")
+		return controlserver.Text(400, "no holder or no fence")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 			s.stage, s.switching = body.Stage, false
 		})
 	}
-	return callserver.Text(status, "")
+	return controlserver.Text(status, "")
 }
 
 // judge returns the status for an order; the lock is held.
--- a/internal/node/chain_calls.go
+++ b/internal/router/agent/chain_calls.go
@@ -1,28 +1,28 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/chain"
-	"cresshub/internal/directory"
-	"cresshub/internal/fleetconfig"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/chain"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
 )
 
-func (m *chainMember) propose(proposal *peerwire.Proposal, timeout time.Duration) *peerwire.Result {
+func (m *chainMember) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	change := chain.Proposal{Expected: proposal.Expected, Version: proposal.Version, Body: proposal.Body}
 	return m.request(timeout, func(now time.Duration, number uint64) chain.Effects {
 		return m.machine.Propose(now, number, change)
 	})
 }
 
-func (m *chainMember) read(timeout time.Duration) *peerwire.Result {
+func (m *chainMember) read(timeout time.Duration) *peerproto.Result {
 	return m.request(timeout, m.machine.Read)
 }
 
 // request runs a call on the state machine and waits for its reply.
 func (m *chainMember) request(timeout time.Duration,
-	call func(now time.Duration, number uint64) chain.Effects) *peerwire.Result {
+	call func(now time.Duration, number uint64) chain.Effects) *peerproto.Result {
 	answer := make(chan chain.Reply, 1)
 	m.waitersMu.Lock()
 	m.last++
@@ -58,17 +58,17 @@
 	}
 }
 
-func resultOf(reply *chain.Reply) *peerwire.Result {
-	result := &peerwire.Result{Version: reply.Entry.Version}
+func resultOf(reply *chain.Reply) *peerproto.Result {
+	result := &peerproto.Result{Version: reply.Entry.Version}
 	switch reply.Outcome {
 	case chain.Applied:
 		document, _, err := fleetconfig.DecodeStored(reply.Entry.Body)
 		if err != nil {
 			return unavailable(err.Error())
 		}
-		result.Outcome, result.Body = peerwire.OutcomeTaken, document
+		result.Outcome, result.Body = peerproto.OutcomeTaken, document
 	case chain.Conflict, chain.Invalid:
-		result.Outcome = peerwire.OutcomeConflict
+		result.Outcome = peerproto.OutcomeConflict
 	default:
 		return unavailable("the machines that keep the configuration did not agree")
 	}
@@ -105,15 +105,15 @@
 // noControlState is the part of a machine without a disk.
 type noControlState struct{}
 
-func (noControlState) propose(*peerwire.Proposal, time.Duration) *peerwire.Result {
+func (noControlState) propose(*peerproto.Proposal, time.Duration) *peerproto.Result {
 	return unavailable("this machine has no disk")
 }
 
-func (noControlState) patch(*peerwire.Proposal, time.Duration) *peerwire.Result {
+func (noControlState) patch(*peerproto.Proposal, time.Duration) *peerproto.Result {
 	return unavailable("this machine has no disk")
 }
 
-func (noControlState) read(time.Duration) *peerwire.Result {
+func (noControlState) read(time.Duration) *peerproto.Result {
 	return unavailable("this machine has no disk")
 }
 
--- a/internal/node/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -1,14 +1,14 @@
-package node
+package agent
 
 import (
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/chain"
 	"cresshub/internal/invariant"
-	"cresshub/internal/peerlink"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/chain"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
 	"cresshub/internal/segmentlog"
 )
 
@@ -44,7 +44,7 @@
 	identity string
 
 	linksMu sync.Mutex
-	links   map[string]*peerlink.Link // by IP of another member
+	links   map[string]*transport.Link // by IP of another member
 
 	waitersMu sync.Mutex
 	waiters   map[uint64]chan chain.Reply
@@ -152,7 +152,7 @@
 	for i := range effects.Messages {
 		envelope := &effects.Messages[i]
 		if envelope.To.Address != "" && envelope.To.Address != m.node.settings.IP {
-			m.linkTo(envelope.To.Address).Send(peerwire.KindChain, encodeChain(&envelope.Message))
+			m.linkTo(envelope.To.Address).Send(peerproto.KindChain, encodeChain(&envelope.Message))
 		}
 	}
 	for _, reply := range effects.Replies {
@@ -208,13 +208,13 @@
 	}
 }
 
-func (m *chainMember) linkTo(ip string) *peerlink.Link {
+func (m *chainMember) linkTo(ip string) *transport.Link {
 	m.linksMu.Lock()
 	defer m.linksMu.Unlock()
 	link := m.links[ip]
 	if link == nil {
-		hello := func() []byte { return peerwire.Encode(&peerwire.Hello{ID: m.node.id}) }
-		link = m.node.endpoint.NewLink(m.node.innerAddress(ip), hello, func(peerwire.Frame) {}, func(bool) {})
+		hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: m.node.id}) }
+		link = m.node.endpoint.NewLink(m.node.innerAddress(ip), hello, func(peerproto.Frame) {}, func(bool) {})
 		m.links[ip] = link
 	}
 	return link
--- a/internal/node/chain_open.go
+++ b/internal/router/agent/chain_open.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
-	"cresshub/internal/chain"
-	"cresshub/internal/peerlink"
+	"cresshub/internal/router/chain"
+	"cresshub/internal/router/transport"
 	"cresshub/internal/segmentlog"
 )
 
@@ -55,7 +55,7 @@
 
 func newChainMember(n *Node) *chainMember {
 	return &chainMember{
-		node: n, founder: n.founds(), links: map[string]*peerlink.Link{},
+		node: n, founder: n.founds(), links: map[string]*transport.Link{},
 		events: make(chan func(time.Duration) chain.Effects, chainQueue),
 		ended:  make(chan struct{}), free: make(chan struct{}),
 		waiters: map[uint64]chan chain.Reply{}, committed: make(chan []byte, 1),
--- a/internal/node/chain_patch.go
+++ b/internal/router/agent/chain_patch.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/chain"
-	"cresshub/internal/fleetconfig"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/chain"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
 )
 
 // digestOfStored names the change that an entry of the chain came from.
@@ -14,7 +14,7 @@
 // patch applies a patch to the version that it builds on and proposes the whole configuration that results.
 // Where that version is not current any more the patch can't be applied; it was acknowledged before, or it is
 // refused.
-func (m *chainMember) patch(change *peerwire.Proposal, timeout time.Duration) *peerwire.Result {
+func (m *chainMember) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	patch, err := fleetconfig.ParsePatch(change.Expected, change.Body)
 	if err != nil {
 		return invalidChange(err)
@@ -35,20 +35,20 @@
 	if err != nil {
 		return invalidChange(err)
 	}
-	return m.propose(&peerwire.Proposal{Expected: patch.Base, Version: patch.Version,
+	return m.propose(&peerproto.Proposal{Expected: patch.Base, Version: patch.Version,
 		Body: fleetconfig.EncodeStored(patch, config.Raw())}, left)
 }
 
 // versionAt returns the configuration of a version if it is in force here or current, else nil. The result is
 // not nil where that can't be told.
 func (m *chainMember) versionAt(version int64,
-	timeout time.Duration) (*fleetconfig.Config, *peerwire.Result) {
+	timeout time.Duration) (*fleetconfig.Config, *peerproto.Result) {
 	if config := m.node.state.Config(); config != nil && config.Version == version {
 		return config, nil
 	}
 	current := m.read(timeout)
 	switch {
-	case current.Outcome != peerwire.OutcomeTaken:
+	case current.Outcome != peerproto.OutcomeTaken:
 		return nil, unavailable("the current configuration can't be read: " + current.Reason)
 	case current.Version != version:
 		return nil, nil
@@ -63,7 +63,7 @@
 }
 
 // confirm asks whether a patch was acknowledged before.
-func (m *chainMember) confirm(patch *fleetconfig.Patch, timeout time.Duration) *peerwire.Result {
+func (m *chainMember) confirm(patch *fleetconfig.Patch, timeout time.Duration) *peerproto.Result {
 	name := chain.ChangeName{Expected: patch.Base, Version: patch.Version,
 		Digest: digestOfStored(fleetconfig.EncodePatch(patch))}
 	return m.request(timeout, func(now time.Duration, number uint64) chain.Effects {
@@ -71,6 +71,6 @@
 	})
 }
 
-func invalidChange(err error) *peerwire.Result {
-	return &peerwire.Result{Outcome: peerwire.OutcomeInvalid, Reason: err.Error()}
+func invalidChange(err error) *peerproto.Result {
+	return &peerproto.Result{Outcome: peerproto.OutcomeInvalid, Reason: err.Error()}
 }
--- a/internal/node/chain_wire.go
+++ b/internal/router/agent/chain_wire.go
@@ -1,13 +1,13 @@
-package node
+package agent
 
 import (
-	"cresshub/internal/chain"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/chain"
+	"cresshub/internal/router/peerproto"
 )
 
 // encodeChain returns a message of the chain in the form in which it is sent.
 func encodeChain(m *chain.Message) []byte {
-	return peerwire.Encode(&peerwire.ChainMessage{
+	return peerproto.Encode(&peerproto.ChainMessage{
 		Kind: int(m.Kind), From: string(m.From), Epoch: int64(m.Epoch), Address: m.Address, HasDisk: m.HasDisk,
 		EntryEpoch: int64(m.EntryEpoch), Open: m.Open, Leaving: m.Leaving, Stalled: m.Stalled, Sealed: m.Sealed,
 		Hears: textsOf(m.Hears), View: encodeView(&m.View), Ballot: encodeBallot(m.Ballot),
@@ -20,8 +20,8 @@
 
 // decodeChain reads a message of the chain.
 func decodeChain(body []byte) (chain.Message, error) {
-	var m peerwire.ChainMessage
-	if err := peerwire.Decode(body, &m); err != nil {
+	var m peerproto.ChainMessage
+	if err := peerproto.Decode(body, &m); err != nil {
 		return chain.Message{}, err
 	}
 	return chain.Message{
@@ -35,15 +35,15 @@
 	}, nil
 }
 
-func encodeHistory(history []chain.PastEntry) []peerwire.PastEntry {
-	encoded := make([]peerwire.PastEntry, len(history))
+func encodeHistory(history []chain.PastEntry) []peerproto.PastEntry {
+	encoded := make([]peerproto.PastEntry, len(history))
 	for i := range history {
-		encoded[i] = peerwire.PastEntry{Version: history[i].Version, Digest: history[i].Digest[:]}
+		encoded[i] = peerproto.PastEntry{Version: history[i].Version, Digest: history[i].Digest[:]}
 	}
 	return encoded
 }
 
-func decodeHistory(encoded []peerwire.PastEntry) []chain.PastEntry {
+func decodeHistory(encoded []peerproto.PastEntry) []chain.PastEntry {
 	if len(encoded) == 0 {
 		return nil
 	}
@@ -55,17 +55,17 @@
 	return history
 }
 
-func encodeView(v *chain.View) peerwire.ChainView {
-	encoded := peerwire.ChainView{Epoch: int64(v.Epoch), Members: memberInfos(v.Members),
+func encodeView(v *chain.View) peerproto.ChainView {
+	encoded := peerproto.ChainView{Epoch: int64(v.Epoch), Members: memberInfos(v.Members),
 		Chain: textsOf(v.Chain), Fresh: textsOf(v.Fresh), Sources: textsOf(v.Sources)}
 	for _, past := range v.Unopened {
 		encoded.Unopened = append(encoded.Unopened,
-			peerwire.PastChain{Epoch: int64(past.Epoch), Chain: textsOf(past.Chain)})
+			peerproto.PastChain{Epoch: int64(past.Epoch), Chain: textsOf(past.Chain)})
 	}
 	return encoded
 }
 
-func decodeView(v *peerwire.ChainView) chain.View {
+func decodeView(v *peerproto.ChainView) chain.View {
 	view := chain.View{Epoch: uint64(v.Epoch), Chain: identitiesOf(v.Chain), Fresh: identitiesOf(v.Fresh),
 		Sources: identitiesOf(v.Sources)}
 	for _, member := range v.Members {
@@ -78,19 +78,19 @@
 	return view
 }
 
-func memberInfos(members []chain.Member) []peerwire.MemberInfo {
-	infos := make([]peerwire.MemberInfo, len(members))
+func memberInfos(members []chain.Member) []peerproto.MemberInfo {
+	infos := make([]peerproto.MemberInfo, len(members))
 	for i, member := range members {
-		infos[i] = peerwire.MemberInfo{ID: string(member.ID), Address: member.Address}
+		infos[i] = peerproto.MemberInfo{ID: string(member.ID), Address: member.Address}
 	}
 	return infos
 }
 
-func encodeBallot(b chain.Ballot) peerwire.ChainBallot {
-	return peerwire.ChainBallot{Round: int64(b.Round), Member: string(b.Member)}
+func encodeBallot(b chain.Ballot) peerproto.ChainBallot {
+	return peerproto.ChainBallot{Round: int64(b.Round), Member: string(b.Member)}
 }
 
-func decodeBallot(b peerwire.ChainBallot) chain.Ballot {
+func decodeBallot(b peerproto.ChainBallot) chain.Ballot {
 	return chain.Ballot{Round: uint64(b.Round), Member: chain.MemberID(b.Member)}
 }
 
--- a/internal/node/chain_wire_test.go
+++ b/internal/router/agent/chain_wire_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"reflect"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/chain"
+	"cresshub/internal/router/chain"
 )
 
 // TestChainMessagesKeepEveryField fills every field of a message by reflection, so that a new field that is
--- a/internal/node/compare.go
+++ b/internal/router/agent/compare.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerlink"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
 )
 
 const (
@@ -50,13 +50,13 @@
 
 // compareWith repairs this copy and a hub's from each other.
 func (n *Node) compareWith(h *hub) {
-	request := &peerwire.Comparison{Digest: n.digest()}
-	frame, err := h.link.Call(peerwire.KindCompare, peerwire.Encode(request), compareTimeout)
+	request := &peerproto.Comparison{Digest: n.digest()}
+	frame, err := h.link.Call(peerproto.KindCompare, peerproto.Encode(request), compareTimeout)
 	if err != nil {
 		return
 	}
-	var answer peerwire.Comparison
-	if peerwire.Decode(frame.Body, &answer) != nil {
+	var answer peerproto.Comparison
+	if peerproto.Decode(frame.Body, &answer) != nil {
 		return
 	}
 	if h.current().holds && n.isHub() {
@@ -68,12 +68,12 @@
 	n.mergeHeard(answer.Records)
 	var mine []directory.Record
 	n.state.read(func(d *directory.Directory) { mine = valuesOf(d.InRanges(answer.Ranges)) })
-	h.link.Call(peerwire.KindUpsert, peerwire.Encode(&peerwire.Records{Records: mine}), compareTimeout)
+	h.link.Call(peerproto.KindUpsert, peerproto.Encode(&peerproto.Records{Records: mine}), compareTimeout)
 }
 
-func (n *Node) takeCompare(c *peerlink.Conn, frame peerwire.Frame) {
-	var request peerwire.Comparison
-	if peerwire.Decode(frame.Body, &request) != nil || len(request.Digest) != directory.Ranges {
+func (n *Node) takeCompare(c *transport.Conn, frame peerproto.Frame) {
+	var request peerproto.Comparison
+	if peerproto.Decode(frame.Body, &request) != nil || len(request.Digest) != directory.Ranges {
 		c.Close()
 		return
 	}
@@ -81,13 +81,13 @@
 	for i, sum := range request.Digest {
 		theirs[i] = uint64(sum)
 	}
-	answer := &peerwire.Comparison{}
+	answer := &peerproto.Comparison{}
 	n.state.read(func(d *directory.Directory) {
 		if answer.Ranges = d.Digest().Differing(theirs); len(answer.Ranges) > 0 {
 			answer.Records = valuesOf(d.InRanges(answer.Ranges))
 		}
 	})
-	c.Answer(frame, peerwire.KindComparison, peerwire.Encode(answer))
+	c.Answer(frame, peerproto.KindComparison, peerproto.Encode(answer))
 }
 
 func (n *Node) digest() []int64 {
--- a/internal/node/control.go
+++ b/internal/router/agent/control.go
@@ -1,12 +1,12 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/callserver"
 	"cresshub/internal/http1"
-	"cresshub/internal/peerlink"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
 )
 
 // controlTimeout bounds a call on the configuration; the operator gives up after a second.
@@ -15,11 +15,11 @@
 // controlState is the part of a process that keeps the configuration where the machine has a disk.
 type controlState interface {
 	// propose asks for a change and returns how it ended.
-	propose(proposal *peerwire.Proposal, timeout time.Duration) *peerwire.Result
+	propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result
 	// patch asks for a change of named items and returns how it ended.
-	patch(change *peerwire.Proposal, timeout time.Duration) *peerwire.Result
+	patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result
 	// read returns the newest acknowledged configuration.
-	read(timeout time.Duration) *peerwire.Result
+	read(timeout time.Duration) *peerproto.Result
 	// take takes a message of another member.
 	take(peer string, body []byte)
 	// start begins to take part until done closes.
@@ -38,7 +38,7 @@
 }
 
 // handleCall answers a call at the control address.
-func (n *Node) handleCall(call *callserver.Call) *http1.Response {
+func (n *Node) handleCall(call *controlserver.Call) *http1.Response {
 	switch {
 	case len(call.Path) > len(serversPath) && call.Path[:len(serversPath)] == serversPath:
 		return n.callServers(call)
@@ -51,26 +51,26 @@
 	case call.Path == configPath:
 		return n.callConfig(call)
 	}
-	return callserver.Text(404, "no such call; see api/control.openapi.yaml")
+	return controlserver.Text(404, "no such call; see api/control.openapi.yaml")
 }
 
 // answerControl runs another process's call on the configuration.
-func (n *Node) answerControl(c *peerlink.Conn, frame peerwire.Frame) {
+func (n *Node) answerControl(c *transport.Conn, frame peerproto.Frame) {
 	result := unavailable("this machine does not keep the configuration")
-	var proposal peerwire.Proposal
+	var proposal peerproto.Proposal
 	switch {
 	case !n.control.member():
-	case frame.Kind == peerwire.KindRead:
+	case frame.Kind == peerproto.KindRead:
 		result = n.control.read(controlTimeout)
-	case peerwire.Decode(frame.Body, &proposal) != nil:
-	case frame.Kind == peerwire.KindPatch:
+	case peerproto.Decode(frame.Body, &proposal) != nil:
+	case frame.Kind == peerproto.KindPatch:
 		result = n.control.patch(&proposal, controlTimeout)
 	default:
 		result = n.control.propose(&proposal, controlTimeout)
 	}
-	c.Answer(frame, peerwire.KindResult, peerwire.Encode(result))
+	c.Answer(frame, peerproto.KindResult, peerproto.Encode(result))
 }
 
-func unavailable(reason string) *peerwire.Result {
-	return &peerwire.Result{Outcome: peerwire.OutcomeUnavailable, Reason: reason}
+func unavailable(reason string) *peerproto.Result {
+	return &peerproto.Result{Outcome: peerproto.OutcomeUnavailable, Reason: reason}
 }
--- a/internal/node/control_call.go
+++ b/internal/router/agent/control_call.go
@@ -1,9 +1,9 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 // controlHedge is how long one member has to answer a call on the configuration until another one is asked
@@ -12,14 +12,14 @@
 
 // controlCall is a call on the configuration.
 type controlCall struct {
-	kind peerwire.Kind
+	kind peerproto.Kind
 	body []byte
-	here func() *peerwire.Result // runs it in this process
+	here func() *peerproto.Result // runs it in this process
 }
 
 // onControlState has members run a call, this process first where it is one. A member that hangs, as one does
 // whose disk hangs, delays the call only by controlHedge.
-func (n *Node) onControlState(call controlCall) *peerwire.Result {
+func (n *Node) onControlState(call controlCall) *peerproto.Result {
 	tries := n.controlTries(call)
 	if len(tries) == 0 {
 		return unavailable("no machine that keeps the configuration is reached")
@@ -28,12 +28,12 @@
 }
 
 // controlTry has one member run a call.
-type controlTry func() *peerwire.Result
+type controlTry func() *peerproto.Result
 
 // firstClearAnswer starts tries one after the other, each when the one before has no answer after
 // controlHedge or gave none that is clear, and returns the first clear one.
-func firstClearAnswer(tries []controlTry) *peerwire.Result {
-	answers := make(chan *peerwire.Result, len(tries))
+func firstClearAnswer(tries []controlTry) *peerproto.Result {
+	answers := make(chan *peerproto.Result, len(tries))
 	deadline := time.NewTimer(controlTimeout)
 	defer deadline.Stop()
 	result := unavailable("no machine that keeps the configuration answered in time")
@@ -48,7 +48,7 @@
 		select {
 		case result = <-answers:
 			ended++
-			if result.Outcome != peerwire.OutcomeUnavailable {
+			if result.Outcome != peerproto.OutcomeUnavailable {
 				return result
 			}
 		case <-hedge:
@@ -68,20 +68,20 @@
 	now := n.now()
 	for _, h := range n.currentHubs() {
 		if h.answers(now) {
-			tries = append(tries, func() *peerwire.Result { return askMember(h, call) })
+			tries = append(tries, func() *peerproto.Result { return askMember(h, call) })
 		}
 	}
 	return tries
 }
 
 // askMember has another process run a call.
-func askMember(h *hub, call controlCall) *peerwire.Result {
+func askMember(h *hub, call controlCall) *peerproto.Result {
 	frame, err := h.link.Call(call.kind, call.body, controlTimeout)
 	if err != nil {
 		return unavailable(err.Error())
 	}
-	var answer peerwire.Result
-	if err := peerwire.Decode(frame.Body, &answer); err != nil {
+	var answer peerproto.Result
+	if err := peerproto.Decode(frame.Body, &answer); err != nil {
 		return unavailable(err.Error())
 	}
 	return &answer
--- /dev/null
+++ b/internal/router/agent/control_call_test.go
@@ -0,0 +1,51 @@
+package agent
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"cresshub/internal/router/peerproto"
+)
+
+// TestAHangingMemberDelaysACallOnlyALittle asks members of which some hang or can't agree.
+func TestAHangingMemberDelaysACallOnlyALittle(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		members []peerproto.Outcome // 0 for one that hangs
+		outcome peerproto.Outcome
+		took    time.Duration
+	}{
+		{"the first answers", []peerproto.Outcome{peerproto.OutcomeTaken, 0}, peerproto.OutcomeTaken, 0},
+		{"the first hangs", []peerproto.Outcome{0, peerproto.OutcomeConflict},
+			peerproto.OutcomeConflict, controlHedge},
+		{"two hang", []peerproto.Outcome{0, 0, peerproto.OutcomeTaken}, peerproto.OutcomeTaken, 2 * controlHedge},
+		{"the first can't agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeTaken},
+			peerproto.OutcomeTaken, 0},
+		{"none can agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeUnavailable},
+			peerproto.OutcomeUnavailable, 0},
+		{"all hang", []peerproto.Outcome{0, 0}, peerproto.OutcomeUnavailable, controlTimeout},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				end := make(chan struct{})
+				defer close(end)
+				var tries []controlTry
+				for _, outcome := range test.members {
+					tries = append(tries, func() *peerproto.Result {
+						if outcome == 0 {
+							<-end
+						}
+						return &peerproto.Result{Outcome: outcome}
+					})
+				}
+				began := time.Now()
+				answer := firstClearAnswer(tries)
+				qt.Check(t, answer.Outcome, qt.Equals, test.outcome)
+				qt.Check(t, time.Since(began), qt.Equals, test.took)
+			})
+		})
+	}
+}
--- a/internal/node/demand.go
+++ b/internal/router/agent/demand.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"sync"
 	"time"
 
-	"cresshub/internal/peerwire"
-	"cresshub/internal/stageplan"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/roleplan"
 )
 
 const (
@@ -19,17 +19,17 @@
 	node *Node
 
 	mu      sync.Mutex
-	mine    *peerwire.Demands
+	mine    *peerproto.Demands
 	proxies map[string]toldDemand // by id of the proxy's record
 }
 
 type toldDemand struct {
 	at      time.Duration
-	demands *peerwire.Demands
+	demands *peerproto.Demands
 }
 
 func newDemandTable(n *Node) *demandTable {
-	return &demandTable{node: n, mine: &peerwire.Demands{}, proxies: map[string]toldDemand{}}
+	return &demandTable{node: n, mine: &peerproto.Demands{}, proxies: map[string]toldDemand{}}
 }
 
 // measure follows this proxy's own demand until done closes.
@@ -42,10 +42,10 @@
 			return
 		case <-ticker.C:
 		}
-		demands := &peerwire.Demands{}
+		demands := &peerproto.Demands{}
 		for _, d := range b.node.workload.Demands() {
 			demands.Services = append(demands.Services,
-				peerwire.Demand{Service: d.Service, Reading: d.Reading, Writing: d.Writing})
+				peerproto.Demand{Service: d.Service, Reading: d.Reading, Writing: d.Writing})
 		}
 		b.mu.Lock()
 		b.mine = demands
@@ -54,7 +54,7 @@
 	}
 }
 
-func (b *demandTable) own() *peerwire.Demands {
+func (b *demandTable) own() *peerproto.Demands {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.mine
@@ -62,8 +62,8 @@
 
 // take notes what another proxy told.
 func (b *demandTable) take(peer string, now time.Duration, body []byte) {
-	var demands peerwire.Demands
-	if peerwire.Decode(body, &demands) != nil {
+	var demands peerproto.Demands
+	if peerproto.Decode(body, &demands) != nil {
 		return
 	}
 	b.mu.Lock()
@@ -72,10 +72,10 @@
 }
 
 // of sums up the demand for a service over the proxies that were heard of lately.
-func (b *demandTable) of(service string, now time.Duration) stageplan.Demand {
+func (b *demandTable) of(service string, now time.Duration) roleplan.Demand {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var sum stageplan.Demand
+	var sum roleplan.Demand
 	for id, told := range b.proxies {
 		if now-told.at > demandLife {
 			delete(b.proxies, id)
--- a/internal/node/disk_member.go
+++ b/internal/router/agent/disk_member.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
 const (
@@ -91,15 +91,15 @@
 	return noControlState{}
 }
 
-func (d *diskMember) propose(proposal *peerwire.Proposal, timeout time.Duration) *peerwire.Result {
+func (d *diskMember) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	return d.current().propose(proposal, timeout)
 }
 
-func (d *diskMember) patch(change *peerwire.Proposal, timeout time.Duration) *peerwire.Result {
+func (d *diskMember) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	return d.current().patch(change, timeout)
 }
 
-func (d *diskMember) read(timeout time.Duration) *peerwire.Result { return d.current().read(timeout) }
+func (d *diskMember) read(timeout time.Duration) *peerproto.Result { return d.current().read(timeout) }
 
 func (d *diskMember) take(peer string, body []byte) { d.current().take(peer, body) }
 
--- a/internal/node/end_plan_test.go
+++ b/internal/router/agent/end_plan_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"testing"
--- a/internal/node/feed.go
+++ b/internal/router/agent/feed.go
@@ -1,18 +1,18 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerlink"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
 )
 
 // feedInterval is how often a feed without changes tells that it is alive.
 const feedInterval = 400 * time.Millisecond
 
 // serveFeed sends the changes of this copy to a follower until its connection ends.
-func (n *Node) serveFeed(c *peerlink.Conn, request *peerwire.Follow, cancel <-chan struct{}) {
+func (n *Node) serveFeed(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
 	place, version := uint64(request.Place), request.Version
 	if request.Feed != n.id {
 		place = 0
@@ -26,7 +26,7 @@
 		if config := n.state.Config(); config != nil && config.Version > version {
 			piece.Config, piece.Version = n.newsOfConfig(config, version), config.Version
 		}
-		if !c.Send(peerwire.Frame{Kind: peerwire.KindFeed, Body: peerwire.Encode(piece)}) {
+		if !c.Send(peerproto.Frame{Kind: peerproto.KindFeed, Body: peerproto.Encode(piece)}) {
 			return
 		}
 		place, version, epoch = uint64(piece.To), piece.Version, piece.Epoch
@@ -38,7 +38,7 @@
 
 // awaitNews returns once there is something to tell a follower, or it is time to tell that there is
 // nothing. It returns false when the feed is to end.
-func (n *Node) awaitNews(c *peerlink.Conn, cancel, changed <-chan struct{}, ticker *time.Ticker,
+func (n *Node) awaitNews(c *transport.Conn, cancel, changed <-chan struct{}, ticker *time.Ticker,
 	place uint64, version, epoch int64) bool {
 	for {
 		select {
@@ -65,14 +65,14 @@
 }
 
 // feedPiece returns what a follower at a place has not heard yet.
-func (n *Node) feedPiece(place uint64, epoch int64) *peerwire.Feed {
+func (n *Node) feedPiece(place uint64, epoch int64) *peerproto.Feed {
 	n.state.mu.Lock()
 	defer n.state.mu.Unlock()
 	d := n.state.directory
 	if place > d.Number() {
 		place = 0
 	}
-	piece := &peerwire.Feed{Feed: n.id, From: int64(place), To: int64(d.Number()), Epoch: n.state.view.epoch}
+	piece := &peerproto.Feed{Feed: n.id, From: int64(place), To: int64(d.Number()), Epoch: n.state.view.epoch}
 	piece.Records = valuesOf(d.Since(place))
 	if epoch != n.state.view.epoch {
 		piece.Members = n.state.view.members
--- a/internal/node/follow.go
+++ b/internal/router/agent/follow.go
@@ -1,13 +1,13 @@
-package node
+package agent
 
 import (
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/fleetconfig"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
 )
 
 const (
@@ -95,8 +95,8 @@
 // sendFollow asks the present source for its feed; followMu is held.
 func (n *Node) sendFollow() {
 	f := &n.following
-	request := peerwire.Follow{Feed: f.feed, Place: int64(f.place), Version: n.state.version()}
-	f.source.link.Send(peerwire.KindFollow, peerwire.Encode(&request))
+	request := peerproto.Follow{Feed: f.feed, Place: int64(f.place), Version: n.state.version()}
+	f.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
 }
 
 // chooseSource names the hub to follow: by rendezvous hashing over those that answer and reach a majority,
@@ -137,23 +137,23 @@
 }
 
 // takeFromHub takes a frame that answers no call: a piece of the feed.
-func (n *Node) takeFromHub(h *hub, frame peerwire.Frame) {
-	if frame.Kind == peerwire.KindWork {
+func (n *Node) takeFromHub(h *hub, frame peerproto.Frame) {
+	if frame.Kind == peerproto.KindWork {
 		n.takeWork(h, frame)
 		return
 	}
-	if frame.Kind != peerwire.KindFeed {
+	if frame.Kind != peerproto.KindFeed {
 		return
 	}
-	var piece peerwire.Feed
-	if peerwire.Decode(frame.Body, &piece) != nil {
+	var piece peerproto.Feed
+	if peerproto.Decode(frame.Body, &piece) != nil {
 		h.link.Reset()
 		return
 	}
 	n.takePiece(h, &piece)
 }
 
-func (n *Node) takePiece(h *hub, piece *peerwire.Feed) {
+func (n *Node) takePiece(h *hub, piece *peerproto.Feed) {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
 	f := &n.following
@@ -240,12 +240,12 @@
 	}
 	defer n.fetching.Store(false)
 	before := n.state.version()
-	frame, err := h.link.Call(peerwire.KindConfigFetch, nil, fetchTimeout)
+	frame, err := h.link.Call(peerproto.KindConfigFetch, nil, fetchTimeout)
 	if err != nil || n.state.version() > before {
 		return
 	}
-	var result peerwire.Result
-	if peerwire.Decode(frame.Body, &result) == nil && result.Outcome == peerwire.OutcomeTaken &&
+	var result peerproto.Result
+	if peerproto.Decode(frame.Body, &result) == nil && result.Outcome == peerproto.OutcomeTaken &&
 		result.Version > n.state.version() {
 		n.takePacked(result.Body)
 	}
--- a/internal/node/front_state.go
+++ b/internal/router/agent/front_state.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/directory"
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // Config returns the configuration in force, nil until one is known.
--- a/internal/node/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"sync"
 	"time"
 
-	"cresshub/internal/peerlink"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
 )
 
 const (
@@ -18,7 +18,7 @@
 // hub is the link to one hub.
 type hub struct {
 	ip   string
-	link *peerlink.Link
+	link *transport.Link
 	stop chan struct{}
 
 	mu    sync.Mutex
@@ -48,8 +48,8 @@
 
 func (n *Node) newHub(ip string) *hub {
 	h := &hub{ip: ip, stop: make(chan struct{})}
-	hello := func() []byte { return peerwire.Encode(&peerwire.Hello{ID: n.id}) }
-	other := func(frame peerwire.Frame) { n.takeFromHub(h, frame) }
+	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: n.id}) }
+	other := func(frame peerproto.Frame) { n.takeFromHub(h, frame) }
 	up := make(chan struct{}, 1)
 	h.link = n.endpoint.NewLink(n.innerAddress(ip), hello, other, func(isUp bool) {
 		h.mu.Lock()
@@ -68,11 +68,11 @@
 // pingHub keeps the link known to be alive and learns from the answers.
 func (n *Node) pingHub(h *hub, up <-chan struct{}) {
 	for {
-		frame, err := h.link.Call(peerwire.KindPing, peerwire.Encode(n.demand.own()), pingTimeout)
+		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(n.demand.own()), pingTimeout)
 		switch err {
 		case nil:
 			n.takeStatus(h, frame)
-		case peerlink.ErrTimeout:
+		case transport.ErrTimeout:
 			h.link.Reset()
 		}
 		select {
@@ -97,9 +97,9 @@
 	return eagerPingInterval
 }
 
-func (n *Node) takeStatus(h *hub, frame peerwire.Frame) {
-	var status peerwire.Status
-	if peerwire.Decode(frame.Body, &status) != nil {
+func (n *Node) takeStatus(h *hub, frame peerproto.Frame) {
+	var status peerproto.Status
+	if peerproto.Decode(frame.Body, &status) != nil {
 		h.link.Reset()
 		return
 	}
--- a/internal/node/hub_push.go
+++ b/internal/router/agent/hub_push.go
@@ -1,10 +1,10 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
 // pushTimeout bounds one call that hands records over.
@@ -48,8 +48,8 @@
 		return false
 	}
 	if len(records) > 0 {
-		body := peerwire.Encode(&peerwire.Records{Records: records})
-		if _, err := h.link.Call(peerwire.KindUpsert, body, pushTimeout); err != nil {
+		body := peerproto.Encode(&peerproto.Records{Records: records})
+		if _, err := h.link.Call(peerproto.KindUpsert, body, pushTimeout); err != nil {
 			return false
 		}
 	}
--- a/internal/node/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"cresshub/internal/directory"
+	"cresshub/internal/router/directory"
 )
 
 // The hubs are the processes that all others report to and follow: those that keep the control state, and the
--- a/internal/node/inspect.go
+++ b/internal/router/agent/inspect.go
@@ -1,9 +1,9 @@
-package node
+package agent
 
 import (
-	"cresshub/internal/catalog"
-	"cresshub/internal/directory"
-	"cresshub/internal/peerlink"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/transport"
 )
 
 // What a process that runs many nodes may look at in each of them.
@@ -38,7 +38,7 @@
 }
 
 // Traffic returns what went between this process and others.
-func (n *Node) Traffic() peerlink.Traffic { return n.endpoint.Traffic() }
+func (n *Node) Traffic() transport.Traffic { return n.endpoint.Traffic() }
 
 // Records returns how many records of servers, processes and orders are kept, and how many are of live ones.
 func (n *Node) Records() (all, live int) {
--- a/internal/node/inspection.go
+++ b/internal/router/agent/inspection.go
@@ -1,12 +1,12 @@
-package node
+package agent
 
 import (
 	"encoding/json"
 	"slices"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/directory"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/directory"
 )
 
 // The calls by which people look into a process. They change nothing and need no other process.
@@ -59,7 +59,7 @@
 	directory.Ready: "ready", directory.Draining: "draining", directory.Lost: "lost", directory.Ended: "ended",
 }
 
-func (n *Node) listMembers(call *callserver.Call) *http1.Response {
+func (n *Node) listMembers(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
 		return onlyGet()
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func (n *Node) listServers(call *callserver.Call) *http1.Response {
+func (n *Node) listServers(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
 		return onlyGet()
 	}
@@ -120,9 +120,9 @@
 func listing(list any) *http1.Response {
 	document, err := json.Marshal(list)
 	if err != nil {
-		return callserver.Text(500, err.Error())
+		return controlserver.Text(500, err.Error())
 	}
-	return callserver.JSON(200, document)
+	return controlserver.JSON(200, document)
 }
 
-func onlyGet() *http1.Response { return callserver.Text(405, "use GET to read the list") }
+func onlyGet() *http1.Response { return controlserver.Text(405, "use GET to read the list") }
--- a/internal/node/inspection_test.go
+++ b/internal/router/agent/inspection_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"encoding/json"
@@ -7,15 +7,15 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/rs/zerolog"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/directory"
-	"cresshub/internal/nodesettings"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
 // inspected returns a process that knows some records and does nothing.
 func inspected(c *qt.C, records ...directory.Record) *Node {
-	settings, err := nodesettings.Parse([]byte(`{"office":"front-a","ip":"127.0.0.1","inner_ports":[1,2],
+	settings, err := agentsettings.Parse([]byte(`{"office":"front-a","ip":"127.0.0.1","inner_ports":[1,2],
 		"counters":{"control":"127.0.0.1:3"}}`))
 	c.Assert(err, qt.IsNil)
 	n, err := New(settings, zerolog.Nop())
@@ -26,7 +26,7 @@
 
 // get reads a list into an answer.
 func get(c *qt.C, n *Node, path string, into any) {
-	answer := n.handleCall(&callserver.Call{Method: "GET", Path: path})
+	answer := n.handleCall(&controlserver.Call{Method: "GET", Path: path})
 	c.Assert(answer.Status, qt.Equals, 200)
 	c.Assert(answer.Header.Get("Content-Type"), qt.Equals, "application/json")
 	c.Assert(json.Unmarshal(answer.Body, into), qt.IsNil)
@@ -40,7 +40,7 @@
 		directory.Record{Kind: directory.KindProxy, ID: "p1", Sequence: 1, State: directory.Ready,
 			Address: "127.0.0.2", Name: "front-b", Control: "127.0.0.2:3", Member: "disk-1"},
 		directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 1, State: directory.Ready})
-	n.state.learnView(4, []peerwire.MemberInfo{{ID: "disk-1", Address: "127.0.0.2"}})
+	n.state.learnView(4, []peerproto.MemberInfo{{ID: "disk-1", Address: "127.0.0.2"}})
 	var list memberList
 	get(c, n, "/api/members", &list)
 	c.Assert(list, qt.DeepEquals, memberList{Asked: n.id, Epoch: 4, Members: []listedMember{
@@ -74,7 +74,7 @@
 	c := qt.New(t)
 	n := inspected(c)
 	for _, path := range []string{"/api/members", "/api/servers"} {
-		answer := n.handleCall(&callserver.Call{Method: "PUT", Path: path})
+		answer := n.handleCall(&controlserver.Call{Method: "PUT", Path: path})
 		c.Check(answer.Status, qt.Equals, 405)
 		var list map[string]any
 		get(c, n, path, &list)
--- a/internal/node/introductions.go
+++ b/internal/router/agent/introductions.go
@@ -1,12 +1,12 @@
-package node
+package agent
 
 import (
 	"net"
 	"slices"
 	"time"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
 // A process that starts knows only its seeds, and these may know as little as itself: they may have no disk
@@ -97,12 +97,12 @@
 // introduce tells one process the view.
 func (i *introducer) introduce(ip string) {
 	n := i.node
-	hello := peerwire.Encode(&peerwire.Hello{ID: n.id})
-	body := peerwire.Encode(n.status())
-	frame, err := n.endpoint.CallOnce(n.innerAddress(ip), hello, peerwire.KindIntroduce, body, introduceTimeout)
+	hello := peerproto.Encode(&peerproto.Hello{ID: n.id})
+	body := peerproto.Encode(n.status())
+	frame, err := n.endpoint.CallOnce(n.innerAddress(ip), hello, peerproto.KindIntroduce, body, introduceTimeout)
 	result := introductionResult{ip: ip}
-	var status peerwire.Status
-	if err == nil && peerwire.Decode(frame.Body, &status) == nil {
+	var status peerproto.Status
+	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
 		result.answered = status.Epoch > 0
 		n.learnStatusView(&status)
 	}
@@ -171,7 +171,7 @@
 }
 
 // learnStatusView takes in the view that another process told, and calls its members where it is news.
-func (n *Node) learnStatusView(status *peerwire.Status) {
+func (n *Node) learnStatusView(status *peerproto.Status) {
 	if n.state.learnView(status.Epoch, status.Members) {
 		n.updateHubs()
 	}
--- a/internal/node/introductions_test.go
+++ b/internal/router/agent/introductions_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
-func membersAt(ips ...string) []peerwire.MemberInfo {
-	var members []peerwire.MemberInfo
+func membersAt(ips ...string) []peerproto.MemberInfo {
+	var members []peerproto.MemberInfo
 	for i, ip := range ips {
-		members = append(members, peerwire.MemberInfo{ID: fmt.Sprint("m", i), Address: ip})
+		members = append(members, peerproto.MemberInfo{ID: fmt.Sprint("m", i), Address: ip})
 	}
 	return members
 }
--- a/internal/node/leave_test.go
+++ b/internal/router/agent/leave_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/chain"
+	"cresshub/internal/router/chain"
 	"cresshub/internal/segmentlog"
 )
 
--- a/internal/node/lifecycle.go
+++ b/internal/router/agent/lifecycle.go
@@ -1,24 +1,24 @@
-package node
+package agent
 
 import (
 	"slices"
 	"time"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/directory"
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/directory"
 )
 
 // handleReady tells the platform whether clients are to be sent here.
-func (n *Node) handleReady(call *callserver.Call) *http1.Response {
+func (n *Node) handleReady(call *controlserver.Call) *http1.Response {
 	if call.Path != "/api/ready" {
-		return callserver.Text(404, "call /api/ready")
+		return controlserver.Text(404, "call /api/ready")
 	}
 	if reason := n.unready(); reason != "" {
-		return callserver.Text(503, reason)
+		return controlserver.Text(503, reason)
 	}
-	return callserver.Text(200, "ready")
+	return controlserver.Text(200, "ready")
 }
 
 // unready tells why no clients are to be sent here, "" where they are.
@@ -41,7 +41,7 @@
 }
 
 // Reload takes changed settings in: the seeds.
-func (n *Node) Reload(settings *nodesettings.Settings) {
+func (n *Node) Reload(settings *agentsettings.Settings) {
 	if slices.Equal(n.seeds(), settings.Seeds) {
 		return
 	}
--- a/internal/node/lifecycle_test.go
+++ b/internal/router/agent/lifecycle_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callserver"
+	"cresshub/internal/router/controlserver"
 )
 
 // neededMember keeps a part of the control state that others do not hold until needed closes.
@@ -52,7 +52,7 @@
 func TestAProcessThatEndsIsNotReadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newTestNode(t)
-		ready := &callserver.Call{Method: "GET", Path: "/api/ready"}
+		ready := &controlserver.Call{Method: "GET", Path: "/api/ready"}
 		ended := make(chan struct{})
 		go func() {
 			n.end(&listeners{})
--- a/internal/node/majority.go
+++ b/internal/router/agent/majority.go
@@ -1,16 +1,16 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 // contactLife is how long the last answer of a member shows that it can be reached.
 const contactLife = 1500 * time.Millisecond
 
 // anyMember tells whether a condition holds for another member of the view to which there is a link.
-func (n *Node) anyMember(holds func(peerwire.MemberInfo, *hub) bool) bool {
+func (n *Node) anyMember(holds func(peerproto.MemberInfo, *hub) bool) bool {
 	for _, member := range n.state.currentView().members {
 		if h := n.hubAt(member.Address); h != nil && holds(member, h) {
 			return true
@@ -21,7 +21,7 @@
 
 // majorityOf tells whether more than half of the members of the view fulfil a condition. This process
 // fulfils it where it is a member itself. Without a view there is no majority of it.
-func (n *Node) majorityOf(members []peerwire.MemberInfo, fulfils func(*hub) bool) bool {
+func (n *Node) majorityOf(members []peerproto.MemberInfo, fulfils func(*hub) bool) bool {
 	count := 0
 	for _, member := range members {
 		if member.Address == n.settings.IP {
--- a/internal/node/node.go
+++ b/internal/router/agent/node.go
@@ -1,6 +1,6 @@
-// Package node is one process of the fleet: it knows the servers and the other processes, takes part in
+// Package agent is one process of the fleet: it knows the servers and the other processes, takes part in
 // keeping the configuration where its machine has a disk, and carries the traffic of clients.
-package node
+package agent
 
 import (
 	"cmp"
@@ -14,12 +14,12 @@
 
 	"github.com/rs/zerolog"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/directory"
-	"cresshub/internal/fleetconfig"
-	"cresshub/internal/front"
-	"cresshub/internal/nodesettings"
-	"cresshub/internal/peerlink"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/dataplane"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/transport"
 	"cresshub/internal/segmentlog"
 )
 
@@ -31,18 +31,18 @@
 
 // Node is one process of the fleet.
 type Node struct {
-	settings  *nodesettings.Settings
+	settings  *agentsettings.Settings
 	log       zerolog.Logger
 	acceptLog zerolog.Logger // bounded in its lines
-	network   peerlink.Network
+	network   transport.Network
 	files     segmentlog.FS
-	endpoint  *peerlink.Endpoint
+	endpoint  *transport.Endpoint
 	id        string // of this process's record in the directory
 	started   time.Time
 	state     *state
 	control   controlState
-	front     *front.Front // nil where the role does not serve clients
-	workload  Workload     // the front where there is one
+	front     *dataplane.Front // nil where the role does not serve clients
+	workload  Workload         // the front where there is one
 	// ordersStages tells that model servers get their stages from this process while it has that duty.
 	ordersStages bool
 	demand       *demandTable
@@ -71,7 +71,7 @@
 	following following
 
 	followersMu sync.Mutex
-	followers   map[*peerlink.Conn]chan struct{} // ends the feed of a follower
+	followers   map[*transport.Conn]chan struct{} // ends the feed of a follower
 
 	promptsSaved int // how many prompts and their holders were last saved; of the goroutine that saves
 
@@ -88,19 +88,19 @@
 }
 
 // New returns a process that does nothing yet.
-func New(settings *nodesettings.Settings, log zerolog.Logger, options ...Option) (*Node, error) {
+func New(settings *agentsettings.Settings, log zerolog.Logger, options ...Option) (*Node, error) {
 	n := &Node{
-		settings: settings, log: log, network: peerlink.HostNetwork{}, files: segmentlog.OSFS{},
+		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: mostAcceptLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
-		hubs: map[string]*hub{}, progress: make(chan struct{}), followers: map[*peerlink.Conn]chan struct{}{},
+		hubs: map[string]*hub{}, progress: make(chan struct{}), followers: map[*transport.Conn]chan struct{}{},
 		heard: map[string]time.Duration{}, knownProxies: newKnownProxies(),
 		askedOrphans: map[string]bool{},
 	}
 	for _, option := range options {
 		option(n)
 	}
-	n.endpoint = peerlink.NewEndpoint(n.network)
+	n.endpoint = transport.NewEndpoint(n.network)
 	n.endpoint.AcceptFailed = n.acceptFailed
 	n.seedList.Store(&settings.Seeds)
 	n.self = directory.Record{
@@ -111,7 +111,7 @@
 	n.demand = newDemandTable(n)
 	n.work = newWorkTable(n)
 	if settings.Front != "" {
-		n.front = front.New(settings, (*frontState)(n), log)
+		n.front = dataplane.New(settings, (*frontState)(n), log)
 		if settings.FirstStart {
 			n.front.AloneAtStart()
 		}
@@ -202,11 +202,11 @@
 }
 
 // newCallServer returns a server of calls whose bodies have so many bytes at most.
-func (n *Node) newCallServer(handle callserver.Handler, maxBody int64) *callserver.Server {
-	return &callserver.Server{MaxBody: maxBody, Handle: handle, Failed: n.acceptFailed, Broke: n.callBroke}
+func (n *Node) newCallServer(handle controlserver.Handler, maxBody int64) *controlserver.Server {
+	return &controlserver.Server{MaxBody: maxBody, Handle: handle, Failed: n.acceptFailed, Broke: n.callBroke}
 }
 
 // frontState is the part of a Node that the front sees.
 type frontState Node
 
-var _ front.State = (*frontState)(nil)
+var _ dataplane.State = (*frontState)(nil)
--- a/internal/node/node_test.go
+++ b/internal/router/agent/node_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"testing"
@@ -7,27 +7,27 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/rs/zerolog"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/directory"
-	"cresshub/internal/nodesettings"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
 // newTestNode returns a process that was not run: it listens to nobody and calls nobody. It is the only
 // member of the view that it knows.
 func newTestNode(t *testing.T) *Node {
-	settings := &nodesettings.Settings{
+	settings := &agentsettings.Settings{
 		Name: "n", IP: "127.0.0.1", Control: "127.0.0.1:1", InnerPorts: [2]int{2, 3}, Beat: time.Second,
 		Seeds: []string{"127.0.0.1:1"},
 	}
 	n, err := New(settings, zerolog.Nop())
 	qt.Assert(t, err, qt.IsNil)
-	n.state.learnView(1, []peerwire.MemberInfo{{ID: "m0", Address: settings.IP}})
+	n.state.learnView(1, []peerproto.MemberInfo{{ID: "m0", Address: settings.IP}})
 	return n
 }
 
-func heartbeat(state string, postmark string) *callserver.Call {
-	return &callserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte(
+func heartbeat(state string, postmark string) *controlserver.Call {
+	return &controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte(
 		`{"depot":"s","address":"10.0.0.1:80","bays":4,"state":"` + state + `","postmark":` + postmark + `}`)}
 }
 
@@ -41,7 +41,7 @@
 	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0)
 	c.Assert(n.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
 	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("a late call"))
-	c.Assert(n.handleCall(&callserver.Call{Method: "DELETE", Path: serversPath + "a"}).Status, qt.Equals, 200)
+	c.Assert(n.handleCall(&controlserver.Call{Method: "DELETE", Path: serversPath + "a"}).Status, qt.Equals, 200)
 	c.Assert(n.handleCall(heartbeat("ready", "9")).Status, qt.Equals, 200)
 	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("it has ended"))
 }
@@ -49,19 +49,19 @@
 func TestCallsThatAreWrong(t *testing.T) {
 	n := newTestNode(t)
 	for _, test := range []struct {
-		call   callserver.Call
+		call   controlserver.Call
 		status int
 		body   string
 	}{
-		{callserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{")}, 400, "(?s)document: .*"},
-		{callserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{}")}, 400,
+		{controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{")}, 400, "(?s)document: .*"},
+		{controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{}")}, 400,
 			"(?s)depot: .*address: .*"},
-		{callserver.Call{Method: "PUT", Path: serversPath + "a/b"}, 404, "(?s).*"},
-		{callserver.Call{Method: "POST", Path: serversPath + "a"}, 405, "(?s).*"},
-		{callserver.Call{Method: "PUT", Path: "/api/config", Body: []byte(`{"edition":1}`)}, 400, "(?s)If-Match.*"},
-		{callserver.Call{Method: "DELETE", Path: "/api/config"}, 405, "(?s).*"},
-		{callserver.Call{Method: "GET", Path: "/api/config"}, 503, "(?s).*"},
-		{callserver.Call{Method: "GET", Path: "/api/nothing"}, 404, "(?s).*"},
+		{controlserver.Call{Method: "PUT", Path: serversPath + "a/b"}, 404, "(?s).*"},
+		{controlserver.Call{Method: "POST", Path: serversPath + "a"}, 405, "(?s).*"},
+		{controlserver.Call{Method: "PUT", Path: "/api/config", Body: []byte(`{"edition":1}`)}, 400, "(?s)If-Match.*"},
+		{controlserver.Call{Method: "DELETE", Path: "/api/config"}, 405, "(?s).*"},
+		{controlserver.Call{Method: "GET", Path: "/api/config"}, 503, "(?s).*"},
+		{controlserver.Call{Method: "GET", Path: "/api/nothing"}, 404, "(?s).*"},
 	} {
 		answer := n.handleCall(&test.call)
 		qt.Check(t, answer.Status, qt.Equals, test.status, qt.Commentf("%s %s", test.call.Method, test.call.Path))
@@ -74,7 +74,7 @@
 func TestDrainWithoutHubsIsNotAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(t)
-	n.state.learnView(2, []peerwire.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
+	n.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
 	n.hubs["127.0.0.9"] = &hub{ip: "127.0.0.9"}
 	c.Assert(n.awaitMajority(1, 0), qt.IsFalse)
 	n.hubs["127.0.0.9"].state.pushed = 1
--- a/internal/node/observe.go
+++ b/internal/router/agent/observe.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"net"
@@ -6,12 +6,12 @@
 	"strconv"
 	"sync/atomic"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/directory"
 	"cresshub/internal/http1"
 	"cresshub/internal/invariant"
 	"cresshub/internal/metrics"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
 // metricsPath is where a process tells its figures, at the control address and at the port for metrics.
@@ -52,12 +52,12 @@
 	directory.KindServer: "server", directory.KindProxy: "proxy", directory.KindOrder: "order",
 }
 
-var controlOutcomes = map[peerwire.Outcome]string{
-	peerwire.OutcomeTaken: "taken", peerwire.OutcomeConflict: "refused", peerwire.OutcomeUnavailable: "unclear",
-	peerwire.OutcomeInvalid: "invalid",
+var controlOutcomes = map[peerproto.Outcome]string{
+	peerproto.OutcomeTaken: "taken", peerproto.OutcomeConflict: "refused", peerproto.OutcomeUnavailable: "unclear",
+	peerproto.OutcomeInvalid: "invalid",
 }
 
-func (n *Node) observeConfigCall(call string, result *peerwire.Result) {
+func (n *Node) observeConfigCall(call string, result *peerproto.Result) {
 	n.figures.configCalls.With(metrics.Label{Name: "call", Value: call},
 		metrics.Label{Name: "outcome", Value: controlOutcomes[result.Outcome]}).Add(1)
 }
@@ -83,7 +83,7 @@
 
 // callBroke notes a call that brought out a mistake of the program. A broken invariant panics in tests only,
 // and is to end them.
-func (n *Node) callBroke(mistake *callserver.Mistake) {
+func (n *Node) callBroke(mistake *controlserver.Mistake) {
 	if violation, ok := mistake.Value.(*invariant.Violation); ok {
 		panic(violation)
 	}
@@ -107,12 +107,12 @@
 }
 
 // showMetrics answers a call for the figures.
-func (n *Node) showMetrics(call *callserver.Call) *http1.Response {
+func (n *Node) showMetrics(call *controlserver.Call) *http1.Response {
 	if call.Path != metricsPath {
-		return callserver.Text(404, "call "+metricsPath)
+		return controlserver.Text(404, "call "+metricsPath)
 	}
 	if call.Method != "GET" {
-		return callserver.Text(405, "use GET to read the figures")
+		return controlserver.Text(405, "use GET to read the figures")
 	}
 	page := &metrics.Page{}
 	n.WriteMetrics(page)
--- a/internal/node/observe_test.go
+++ b/internal/router/agent/observe_test.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callserver"
+	"cresshub/internal/router/controlserver"
 )
 
 // TestMetricsExplainRefusedServers: the reason why a server was sent elsewhere can be read afterwards.
@@ -15,7 +15,7 @@
 	n.handleCall(heartbeat("ready", "1"))
 	n.ending.Store(true)
 	n.handleCall(heartbeat("ready", "2"))
-	answer := n.handleCall(&callserver.Call{Method: "GET", Path: metricsPath})
+	answer := n.handleCall(&controlserver.Call{Method: "GET", Path: metricsPath})
 	c.Assert(answer.Status, qt.Equals, 200)
 	page := string(answer.Body)
 	for _, line := range []string{
@@ -28,5 +28,5 @@
 	} {
 		c.Check(page, qt.Contains, line+"\n")
 	}
-	c.Check(n.handleCall(&callserver.Call{Method: "PUT", Path: metricsPath}).Status, qt.Equals, 405)
+	c.Check(n.handleCall(&controlserver.Call{Method: "PUT", Path: metricsPath}).Status, qt.Equals, 405)
 }
--- a/internal/node/options.go
+++ b/internal/router/agent/options.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/front"
-	"cresshub/internal/pairing"
-	"cresshub/internal/peerlink"
+	"cresshub/internal/router/dataplane"
+	"cresshub/internal/router/scheduler"
+	"cresshub/internal/router/transport"
 	"cresshub/internal/segmentlog"
 )
 
@@ -15,42 +15,42 @@
 	WorkChanged() <-chan struct{}
 	// WorkChanges returns what is under way at the servers where that has changed since the last call, or
 	// wherever there is anything.
-	WorkChanges(all bool) []pairing.Contribution
+	WorkChanges(all bool) []scheduler.Contribution
 	// ShareWork takes in what all other processes together have under way.
-	ShareWork(others []pairing.Contribution, whole bool, prompts []pairing.NewPrompts)
+	ShareWork(others []scheduler.Contribution, whole bool, prompts []scheduler.NewPrompts)
 	// NewPrompts returns what was sent to servers to be read for the first time since the last call.
-	NewPrompts() []pairing.NewPrompts
+	NewPrompts() []scheduler.NewPrompts
 	// KnownPrompts returns what is known of which servers hold what.
-	KnownPrompts() []pairing.NewPrompts
+	KnownPrompts() []scheduler.NewPrompts
 	// CatchUp takes in all that another process knows of which servers hold what.
-	CatchUp(known []pairing.NewPrompts)
+	CatchUp(known []scheduler.NewPrompts)
 	// SinceAnswer returns how long ago a server last answered a request well, and whether it has.
 	SinceAnswer(server string) (time.Duration, bool)
 	// Demands returns what is under way at each service with model servers, as means.
-	Demands() []front.Demand
+	Demands() []dataplane.Demand
 }
 
-var _ Workload = (*front.Front)(nil)
+var _ Workload = (*dataplane.Front)(nil)
 
 // noWorkload is the workload of a process that does not serve clients.
 type noWorkload struct{}
 
-func (noWorkload) WorkChanged() <-chan struct{}            { return nil }
-func (noWorkload) WorkChanges(bool) []pairing.Contribution { return nil }
-func (noWorkload) NewPrompts() []pairing.NewPrompts        { return nil }
-func (noWorkload) KnownPrompts() []pairing.NewPrompts      { return nil }
-func (noWorkload) CatchUp([]pairing.NewPrompts)            {}
-func (noWorkload) Demands() []front.Demand                 { return nil }
+func (noWorkload) WorkChanged() <-chan struct{}              { return nil }
+func (noWorkload) WorkChanges(bool) []scheduler.Contribution { return nil }
+func (noWorkload) NewPrompts() []scheduler.NewPrompts        { return nil }
+func (noWorkload) KnownPrompts() []scheduler.NewPrompts      { return nil }
+func (noWorkload) CatchUp([]scheduler.NewPrompts)            {}
+func (noWorkload) Demands() []dataplane.Demand               { return nil }
 
 func (noWorkload) SinceAnswer(string) (time.Duration, bool) { return 0, false }
 
-func (noWorkload) ShareWork([]pairing.Contribution, bool, []pairing.NewPrompts) {}
+func (noWorkload) ShareWork([]scheduler.Contribution, bool, []scheduler.NewPrompts) {}
 
 // Option changes a process before it runs.
 type Option func(*Node)
 
 // WithNetwork lets a process use another network than the machine's.
-func WithNetwork(network peerlink.Network) Option { return func(n *Node) { n.network = network } }
+func WithNetwork(network transport.Network) Option { return func(n *Node) { n.network = network } }
 
 // WithFiles lets a process keep its disk in another file system than the machine's.
 func WithFiles(files segmentlog.FS) Option { return func(n *Node) { n.files = files } }
--- a/internal/node/orphans.go
+++ b/internal/router/agent/orphans.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cresshub/internal/directory"
 	"cresshub/internal/http1"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
 // A process whose watcher is gone is an orphan. A server calls another proxy after its next heartbeat has
@@ -71,7 +71,7 @@
 func (n *Node) ranksFirst(id string) bool {
 	now := n.now()
 	own := orphanRank(id, n.settings.IP)
-	return !n.anyMember(func(member peerwire.MemberInfo, h *hub) bool {
+	return !n.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
 		return h.answers(now) && orphanRank(id, member.Address) > own
 	})
 }
--- a/internal/node/orphans_test.go
+++ b/internal/router/agent/orphans_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/directory"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/directory"
 )
 
 // healthNetwork reaches servers by their addresses. Each answers a health check with its id; one without an
--- a/internal/node/packed_config.go
+++ b/internal/router/agent/packed_config.go
@@ -1,10 +1,10 @@
-package node
+package agent
 
 import (
 	"sync"
 
-	"cresshub/internal/fleetconfig"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
 )
 
 // packedConfig keeps the newest configuration in the form in which it is sent to followers, so that it is
@@ -20,7 +20,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.packed == nil || p.version != config.Version {
-		p.version, p.packed = config.Version, peerwire.Pack(config.Raw())
+		p.version, p.packed = config.Version, peerproto.Pack(config.Raw())
 	}
 	return p.packed
 }
@@ -32,7 +32,7 @@
 	if len(patches) == 0 || patches[len(patches)-1].Version != config.Version {
 		return n.packed.of(config)
 	}
-	return peerwire.PackPatches(&peerwire.Patches{Patches: patches})
+	return peerproto.PackPatches(&peerproto.Patches{Patches: patches})
 }
 
 // takePacked puts a packed document, or patches, that another process holds to be in force in force here.
@@ -40,11 +40,11 @@
 	if len(packed) == 0 {
 		return
 	}
-	if peerwire.ArePatches(packed) {
+	if peerproto.ArePatches(packed) {
 		n.takePatches(packed)
 		return
 	}
-	document, err := peerwire.Unpack(packed)
+	document, err := peerproto.Unpack(packed)
 	if err != nil {
 		n.log.Error().Err(err).Msg("feed: a configuration can't be unpacked")
 		return
@@ -55,7 +55,7 @@
 // takePatches puts patches in force. One that does not build on the version in force here is left: the hub
 // tells its version with each answer to a ping, and the whole document is asked for.
 func (n *Node) takePatches(packed []byte) {
-	news, err := peerwire.UnpackPatches(packed)
+	news, err := peerproto.UnpackPatches(packed)
 	if err != nil {
 		n.log.Error().Err(err).Msg("feed: patches of the configuration can't be unpacked")
 		return
--- a/internal/node/peers.go
+++ b/internal/router/agent/peers.go
@@ -1,47 +1,47 @@
-package node
+package agent
 
 import (
 	"maps"
 	"time"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerlink"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
 )
 
 // heardLife is how long it is remembered that a process called whose record has not come.
 const heardLife = 10 * time.Second
 
 // Handle takes a frame of another process.
-func (n *Node) Handle(c *peerlink.Conn, frame peerwire.Frame) {
+func (n *Node) Handle(c *transport.Conn, frame peerproto.Frame) {
 	n.noteHeard(c.Peer())
 	switch frame.Kind {
-	case peerwire.KindPing:
+	case peerproto.KindPing:
 		n.demand.take(c.Peer(), n.now(), frame.Body)
-		c.Answer(frame, peerwire.KindPong, peerwire.Encode(n.status()))
-	case peerwire.KindIntroduce:
+		c.Answer(frame, peerproto.KindPong, peerproto.Encode(n.status()))
+	case peerproto.KindIntroduce:
 		n.takeIntroduction(c, frame)
-	case peerwire.KindUpsert:
+	case peerproto.KindUpsert:
 		n.takeUpsert(c, frame)
-	case peerwire.KindFollow:
+	case peerproto.KindFollow:
 		n.takeFollow(c, frame)
-	case peerwire.KindCompare:
+	case peerproto.KindCompare:
 		n.takeCompare(c, frame)
-	case peerwire.KindConfigFetch:
-		c.Answer(frame, peerwire.KindResult, peerwire.Encode(n.configInForce()))
-	case peerwire.KindPropose, peerwire.KindPatch, peerwire.KindRead:
+	case peerproto.KindConfigFetch:
+		c.Answer(frame, peerproto.KindResult, peerproto.Encode(n.configInForce()))
+	case peerproto.KindPropose, peerproto.KindPatch, peerproto.KindRead:
 		go n.answerControl(c, frame)
-	case peerwire.KindWork:
+	case peerproto.KindWork:
 		n.work.fromFollower(c, frame.Body)
-	case peerwire.KindHubWork:
+	case peerproto.KindHubWork:
 		n.work.fromHub(c, frame.Body)
-	case peerwire.KindChain:
+	case peerproto.KindChain:
 		n.control.take(c.Peer(), frame.Body)
 	}
 }
 
 // Gone notes that the connection of another process has ended.
-func (n *Node) Gone(c *peerlink.Conn) {
+func (n *Node) Gone(c *transport.Conn) {
 	n.work.forget(c)
 	n.followersMu.Lock()
 	defer n.followersMu.Unlock()
@@ -51,32 +51,32 @@
 	}
 }
 
-func (n *Node) status() *peerwire.Status {
+func (n *Node) status() *peerproto.Status {
 	v := n.state.currentView()
-	return &peerwire.Status{ID: n.id, Version: n.state.version(), Epoch: v.epoch, Members: v.members,
+	return &peerproto.Status{ID: n.id, Version: n.state.version(), Epoch: v.epoch, Members: v.members,
 		HoldsSnapshot: n.state.isSynced(), ReachesMajority: n.reachesFleet()}
 }
 
 // takeIntroduction learns the view of a process that sought this one out.
-func (n *Node) takeIntroduction(c *peerlink.Conn, frame peerwire.Frame) {
-	var status peerwire.Status
-	if peerwire.Decode(frame.Body, &status) != nil {
+func (n *Node) takeIntroduction(c *transport.Conn, frame peerproto.Frame) {
+	var status peerproto.Status
+	if peerproto.Decode(frame.Body, &status) != nil {
 		c.Close()
 		return
 	}
 	n.learnStatusView(&status)
-	c.Answer(frame, peerwire.KindPong, peerwire.Encode(n.status()))
+	c.Answer(frame, peerproto.KindPong, peerproto.Encode(n.status()))
 }
 
-func (n *Node) takeUpsert(c *peerlink.Conn, frame peerwire.Frame) {
-	var upsert peerwire.Records
-	if peerwire.Decode(frame.Body, &upsert) != nil {
+func (n *Node) takeUpsert(c *transport.Conn, frame peerproto.Frame) {
+	var upsert peerproto.Records
+	if peerproto.Decode(frame.Body, &upsert) != nil {
 		c.Close()
 		return
 	}
 	n.mergeHeard(upsert.Records)
 	n.endPredecessors(c.Peer())
-	c.Answer(frame, peerwire.KindDone, nil)
+	c.Answer(frame, peerproto.KindDone, nil)
 }
 
 // endPredecessors marks earlier processes of the same machine as lost, now that this one has called. That is
@@ -97,9 +97,9 @@
 	})
 }
 
-func (n *Node) takeFollow(c *peerlink.Conn, frame peerwire.Frame) {
-	var request peerwire.Follow
-	if peerwire.Decode(frame.Body, &request) != nil {
+func (n *Node) takeFollow(c *transport.Conn, frame peerproto.Frame) {
+	var request peerproto.Follow
+	if peerproto.Decode(frame.Body, &request) != nil {
 		c.Close()
 		return
 	}
@@ -115,12 +115,12 @@
 }
 
 // configInForce returns the configuration in force, packed.
-func (n *Node) configInForce() *peerwire.Result {
+func (n *Node) configInForce() *peerproto.Result {
 	config := n.state.Config()
 	if config == nil {
-		return &peerwire.Result{Outcome: peerwire.OutcomeUnavailable, Reason: "no configuration is known here"}
+		return &peerproto.Result{Outcome: peerproto.OutcomeUnavailable, Reason: "no configuration is known here"}
 	}
-	return &peerwire.Result{Outcome: peerwire.OutcomeTaken, Version: config.Version, Body: n.packed.of(config)}
+	return &peerproto.Result{Outcome: peerproto.OutcomeTaken, Version: config.Version, Body: n.packed.of(config)}
 }
 
 // noteHeard notes that a process has called.
--- a/internal/node/predecessors_test.go
+++ b/internal/router/agent/predecessors_test.go
@@ -1,11 +1,11 @@
-package node
+package agent
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/directory"
+	"cresshub/internal/router/directory"
 )
 
 // TestLateNewsOfAnEarlierProcessEndsNobody: what an earlier process of a machine sent may come after its
--- a/internal/node/recent_patches.go
+++ b/internal/router/agent/recent_patches.go
@@ -1,10 +1,10 @@
-package node
+package agent
 
 import (
 	"slices"
 
-	"cresshub/internal/fleetconfig"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
 )
 
 // The bounds of the patches that are kept for followers. One that is further behind gets the whole document.
@@ -16,7 +16,7 @@
 // recentPatches are the patches that led to the configuration in force, the oldest first. Each builds on the
 // one before.
 type recentPatches struct {
-	patches []peerwire.Patch
+	patches []peerproto.Patch
 	bytes   int
 }
 
@@ -27,7 +27,7 @@
 		*r = recentPatches{}
 		return
 	}
-	r.patches = append(r.patches, peerwire.Patch{Base: patch.Base, Version: patch.Version, Body: patch.Body})
+	r.patches = append(r.patches, peerproto.Patch{Base: patch.Base, Version: patch.Version, Body: patch.Body})
 	r.bytes += len(patch.Body)
 	for len(r.patches) > recentPatchCount || r.bytes > recentPatchBytes {
 		r.bytes -= len(r.patches[0].Body)
@@ -36,8 +36,8 @@
 }
 
 // since returns the patches that lead from a version to the one in force, none where that isn't known.
-func (r *recentPatches) since(version int64) []peerwire.Patch {
-	at := slices.IndexFunc(r.patches, func(p peerwire.Patch) bool { return p.Base == version })
+func (r *recentPatches) since(version int64) []peerproto.Patch {
+	at := slices.IndexFunc(r.patches, func(p peerproto.Patch) bool { return p.Base == version })
 	if at < 0 {
 		return nil
 	}
--- a/internal/node/recent_patches_test.go
+++ b/internal/router/agent/recent_patches_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetconfig"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
 )
 
 // firstDocument returns a configuration of so many routes.
@@ -68,16 +68,16 @@
 	oldest := config.Version - recentPatchCount
 	for version, patched := range map[int64]bool{
 		0: false, 1: false, oldest - 1: false, oldest: true, config.Version - 1: true, config.Version: false} {
-		got := peerwire.ArePatches(n.newsOfConfig(config, version))
+		got := peerproto.ArePatches(n.newsOfConfig(config, version))
 		c.Check(got, qt.Equals, patched, qt.Commentf("%d", version))
 	}
 	adoptPatch(c, n, fmt.Sprintf(`{"edition":500,"deliver":{"depots_list":[{"name":"t","note":%q}]}}`,
 		strings.Repeat("x", recentPatchBytes)))
-	c.Assert(peerwire.ArePatches(n.newsOfConfig(n.state.Config(), config.Version)), qt.IsFalse)
+	c.Assert(peerproto.ArePatches(n.newsOfConfig(n.state.Config(), config.Version)), qt.IsFalse)
 	whole, err := fleetconfig.Parse([]byte(`{"edition":501,"depots_list":[]}`))
 	c.Assert(err, qt.IsNil)
 	n.adopt(whole)
-	c.Assert(peerwire.ArePatches(n.newsOfConfig(whole, 500)), qt.IsFalse)
+	c.Assert(peerproto.ArePatches(n.newsOfConfig(whole, 500)), qt.IsFalse)
 }
 
 // TestDamagedPatchesAreLeft takes patches that are cut, or build on another version, for none.
@@ -85,13 +85,13 @@
 	c := qt.New(t)
 	n := newTestNode(t)
 	n.takeConfig(firstDocument(3))
-	packed := peerwire.PackPatches(&peerwire.Patches{Patches: []peerwire.Patch{
+	packed := peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 1, Version: 2, Body: []byte(`{"edition":2}`)}, {Base: 2, Version: 3, Body: []byte(`{`)}}})
 	for cut := 1; cut < len(packed); cut++ {
 		n.takePacked(packed[:cut])
 		c.Assert(n.state.version(), qt.Equals, int64(1))
 	}
-	n.takePacked(peerwire.PackPatches(&peerwire.Patches{Patches: []peerwire.Patch{
+	n.takePacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 4, Version: 5, Body: []byte(`{"edition":5}`)}}}))
 	c.Assert(n.state.version(), qt.Equals, int64(1))
 	n.takePacked(packed)
--- a/internal/node/registration.go
+++ b/internal/router/agent/registration.go
@@ -1,15 +1,15 @@
-package node
+package agent
 
 import (
 	"encoding/json"
 	"strings"
 	"time"
 
-	"cresshub/internal/callserver"
-	"cresshub/internal/catalog"
-	"cresshub/internal/directory"
 	"cresshub/internal/http1"
 	"cresshub/internal/pathreader"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/directory"
 )
 
 const (
@@ -20,22 +20,22 @@
 )
 
 // callServers answers heartbeats and deregistrations of servers.
-func (n *Node) callServers(call *callserver.Call) *http1.Response {
+func (n *Node) callServers(call *controlserver.Call) *http1.Response {
 	id := strings.TrimPrefix(call.Path, serversPath)
 	if id == "" || strings.Contains(id, "/") {
-		return callserver.Text(404, "no server id in the path; call "+serversPath+"ID")
+		return controlserver.Text(404, "no server id in the path; call "+serversPath+"ID")
 	}
 	switch call.Method {
 	case "PUT":
 		record, err := readHeartbeat(id, call.Body)
 		if err != nil {
-			return callserver.Text(400, err.Error())
+			return controlserver.Text(400, err.Error())
 		}
 		return n.takeHeartbeat(record)
 	case "DELETE":
 		return n.deregister(id)
 	}
-	return callserver.Text(405, "use PUT for a heartbeat and DELETE for the end")
+	return controlserver.Text(405, "use PUT for a heartbeat and DELETE for the end")
 }
 
 func readHeartbeat(id string, body []byte) (*directory.Record, error) {
@@ -84,13 +84,13 @@
 	}
 	n.figures.heartbeat("acknowledged")
 	if late {
-		return callserver.JSON(200, []byte("{}"))
+		return controlserver.JSON(200, []byte("{}"))
 	}
 	answer, err := json.Marshal(map[string]string{"forward_to": n.settings.Control})
 	if err != nil {
-		return callserver.Text(500, err.Error())
+		return controlserver.Text(500, err.Error())
 	}
-	return callserver.JSON(200, answer)
+	return controlserver.JSON(200, answer)
 }
 
 // knowsFleet tells whether this process knows whom to tell of servers. Before the first view of the fleet is
@@ -137,7 +137,7 @@
 	}
 	n.figures.heartbeat("end_acknowledged")
 	n.log.Info().Str("server", id).Msg("servers: ended")
-	return callserver.JSON(200, []byte("{}"))
+	return controlserver.JSON(200, []byte("{}"))
 }
 
 // refuseHeartbeat sends a server to another proxy, and tells why in figures and log.
@@ -149,7 +149,7 @@
 
 // busy asks the caller to try another proxy.
 func busy() *http1.Response {
-	answer := callserver.Text(503, "not now; call another proxy")
+	answer := controlserver.Text(503, "not now; call another proxy")
 	answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
 	answer.Close = true
 	return answer
--- a/internal/node/saved_directory.go
+++ b/internal/router/agent/saved_directory.go
@@ -1,12 +1,12 @@
-package node
+package agent
 
 import (
 	"errors"
 	"io/fs"
 	"time"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
 // A machine with a disk saves the records of servers, so that after a loss of all processes the first
@@ -120,8 +120,8 @@
 // loadPrompts takes in what was known of which servers hold what.
 func (n *Node) loadPrompts() {
 	body, err := n.saved().read(savedPrompts)
-	var work peerwire.Work
-	if err != nil || n.front == nil || peerwire.Decode(body, &work) != nil {
+	var work peerproto.Work
+	if err != nil || n.front == nil || peerproto.Decode(body, &work) != nil {
 		return
 	}
 	n.front.CatchUp(decodePrompts(work.Prompts))
@@ -140,7 +140,7 @@
 	if count == n.promptsSaved {
 		return
 	}
-	body := peerwire.Encode(&peerwire.Work{Known: true, Prompts: encodePrompts(known)})
+	body := peerproto.Encode(&peerproto.Work{Known: true, Prompts: encodePrompts(known)})
 	if n.saved().write(savedPrompts, body) == nil {
 		n.promptsSaved = count
 	}
--- a/internal/node/saved_directory_test.go
+++ b/internal/router/agent/saved_directory_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/directory"
+	"cresshub/internal/router/directory"
 	"cresshub/internal/segmentlog"
 )
 
--- a/internal/node/saved_files.go
+++ b/internal/router/agent/saved_files.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"encoding/binary"
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cresshub/internal/directory"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 	"cresshub/internal/segmentlog"
 )
 
@@ -33,15 +33,15 @@
 	if err != nil {
 		return nil, err
 	}
-	var records peerwire.Records
-	if err := peerwire.Decode(body, &records); err != nil {
+	var records peerproto.Records
+	if err := peerproto.Decode(body, &records); err != nil {
 		return nil, fmt.Errorf("%w (%v)", errSavedDamaged, err)
 	}
 	return records.Records, nil
 }
 
 func (s savedFiles) writeRecords(name string, records []directory.Record) error {
-	return s.write(name, peerwire.Encode(&peerwire.Records{Records: records}))
+	return s.write(name, peerproto.Encode(&peerproto.Records{Records: records}))
 }
 
 // read returns the content of a file.
--- a/internal/node/stages.go
+++ b/internal/router/agent/stages.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"encoding/json"
@@ -6,13 +6,13 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/directory"
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
 	"cresshub/internal/invariant"
-	"cresshub/internal/peerwire"
-	"cresshub/internal/stageplan"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/roleplan"
 )
 
 const (
@@ -98,14 +98,14 @@
 
 func (s *stageDuty) balance(service *fleetconfig.Service) {
 	n := s.node
-	var servers []stageplan.Server
+	var servers []roleplan.Server
 	addresses := map[string]string{}
 	n.state.read(func(d *directory.Directory) {
 		for _, r := range d.LiveServers() {
 			if r.Service != service.Name || r.State != directory.Ready || r.Stage == "" {
 				continue
 			}
-			known := stageplan.Server{ID: r.ID, Zone: r.Zone, Stage: catalog.Stage(r.Stage), Slots: r.Slots}
+			known := roleplan.Server{ID: r.ID, Zone: r.Zone, Stage: catalog.Stage(r.Stage), Slots: r.Slots}
 			if d.Changing(r) {
 				known.Changing, known.Stage = true, catalog.Stage(d.Get(directory.OrderID(r.ID)).Stage)
 			}
@@ -113,12 +113,12 @@
 			addresses[r.ID] = r.Address
 		}
 	})
-	orders := stageplan.Plan(servers, n.demand.of(service.Name, n.now()))
+	orders := roleplan.Plan(servers, n.demand.of(service.Name, n.now()))
 	if len(orders) == 0 {
 		return
 	}
 	confirmed := n.now()
-	if n.control.read(confirmTimeout).Outcome != peerwire.OutcomeTaken || s.member.fence.Load() != s.fence {
+	if n.control.read(confirmTimeout).Outcome != peerproto.OutcomeTaken || s.member.fence.Load() != s.fence {
 		return // before anything is announced: another machine may hold the duty
 	}
 	s.announce(service, orders)
@@ -134,7 +134,7 @@
 }
 
 // announce tells all proxies that servers are about to change, so that they get nothing new.
-func (s *stageDuty) announce(service *fleetconfig.Service, orders []stageplan.Order) {
+func (s *stageDuty) announce(service *fleetconfig.Service, orders []roleplan.Order) {
 	n := s.node
 	now := n.now()
 	var place uint64
@@ -160,7 +160,7 @@
 	Fence  uint64 `json:"fence"`
 }
 
-func (s *stageDuty) send(order stageplan.Order, address string, confirmed time.Duration) {
+func (s *stageDuty) send(order roleplan.Order, address string, confirmed time.Duration) {
 	n := s.node
 	invariant.Holds(s.fence > 0 && s.fence >= n.figures.lastFence.Load(), invariant.FenceRises,
 		"an order under fence %d follows one under %d", s.fence, n.figures.lastFence.Load())
@@ -190,7 +190,7 @@
 }
 
 // withdraw ends the announcement of an order that is not carried out, so that its server gets requests again.
-func (s *stageDuty) withdraw(order stageplan.Order) {
+func (s *stageDuty) withdraw(order roleplan.Order) {
 	n := s.node
 	now := n.now()
 	n.state.change(now, func(d *directory.Directory) {
--- a/internal/node/state.go
+++ b/internal/router/agent/state.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"slices"
@@ -6,11 +6,11 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/directory"
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/invariant"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
 )
 
 // proxyCountMemory is how long a higher count of live proxies is remembered, because those that are cut off
@@ -20,12 +20,12 @@
 // view names the machines that keep the control state, as far as this process has heard.
 type view struct {
 	epoch   int64
-	members []peerwire.MemberInfo
+	members []peerproto.MemberInfo
 }
 
 // hasMember tells whether the machine with an IP keeps the control state.
 func (v *view) hasMember(ip string) bool {
-	return slices.ContainsFunc(v.members, func(m peerwire.MemberInfo) bool { return m.Address == ip })
+	return slices.ContainsFunc(v.members, func(m peerproto.MemberInfo) bool { return m.Address == ip })
 }
 
 // state is what a process knows of the fleet. Readers of requests get immutable snapshots without a lock.
@@ -132,14 +132,14 @@
 }
 
 // patchesSince returns the patches that lead from a version to the one in force, none where that isn't known.
-func (s *state) patchesSince(version int64) []peerwire.Patch {
+func (s *state) patchesSince(version int64) []peerproto.Patch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.patches.since(version)
 }
 
 // learnView takes in who keeps the control state and tells whether that is news.
-func (s *state) learnView(epoch int64, members []peerwire.MemberInfo) bool {
+func (s *state) learnView(epoch int64, members []peerproto.MemberInfo) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if epoch <= s.view.epoch || len(members) == 0 {
--- a/internal/node/watch.go
+++ b/internal/router/agent/watch.go
@@ -1,9 +1,9 @@
-package node
+package agent
 
 import (
 	"time"
 
-	"cresshub/internal/directory"
+	"cresshub/internal/router/directory"
 )
 
 const (
--- a/internal/node/work.go
+++ b/internal/router/agent/work.go
@@ -1,12 +1,12 @@
-package node
+package agent
 
 import (
 	"sync"
 	"time"
 
-	"cresshub/internal/pairing"
-	"cresshub/internal/peerlink"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/scheduler"
+	"cresshub/internal/router/transport"
 )
 
 // Proxies tell each other what they have under way at model servers, so that each one knows the servers'
@@ -23,10 +23,10 @@
 )
 
 // workSum is what processes have under way, by server.
-type workSum map[string]peerwire.WorkAtOne
+type workSum map[string]peerproto.WorkAtOne
 
 // take puts changes in.
-func (s workSum) take(work *peerwire.Work) {
+func (s workSum) take(work *peerproto.Work) {
 	if work.Whole {
 		clear(s)
 	}
@@ -45,17 +45,17 @@
 
 	mu        sync.Mutex
 	own       workSum
-	followers map[*peerlink.Conn]workSum
-	hubs      map[*peerlink.Conn]workSum
+	followers map[*transport.Conn]workSum
+	hubs      map[*transport.Conn]workSum
 	changed   map[string]bool // servers of which something changed since the last distribution
 	// localPrompts and hubPrompts are to be distributed: those of this process and its followers, and those
 	// that other hubs told of.
-	localPrompts, hubPrompts []peerwire.PromptsAtOne
+	localPrompts, hubPrompts []peerproto.PromptsAtOne
 }
 
 func newWorkTable(n *Node) *workTable {
-	return &workTable{node: n, own: workSum{}, followers: map[*peerlink.Conn]workSum{},
-		hubs: map[*peerlink.Conn]workSum{}, changed: map[string]bool{}}
+	return &workTable{node: n, own: workSum{}, followers: map[*transport.Conn]workSum{},
+		hubs: map[*transport.Conn]workSum{}, changed: map[string]bool{}}
 }
 
 // report tells what this process has under way whenever that changes, until done closes.
@@ -75,27 +75,27 @@
 			last = n.now()
 		}
 		prompts := encodePrompts(n.workload.NewPrompts())
-		work := &peerwire.Work{Whole: whole, Servers: encodeWork(changes), Prompts: prompts}
+		work := &peerproto.Work{Whole: whole, Servers: encodeWork(changes), Prompts: prompts}
 		if n.isHub() {
 			b.takeOwn(work)
 			b.distribute(whole)
 		} else if whole || len(changes) > 0 {
-			n.sendToSource(peerwire.KindWork, peerwire.Encode(work))
+			n.sendToSource(peerproto.KindWork, peerproto.Encode(work))
 		}
 		time.Sleep(workSpan)
 	}
 }
 
-func encodeWork(changes []pairing.Contribution) []peerwire.WorkAtOne {
-	servers := make([]peerwire.WorkAtOne, len(changes))
+func encodeWork(changes []scheduler.Contribution) []peerproto.WorkAtOne {
+	servers := make([]peerproto.WorkAtOne, len(changes))
 	for i, c := range changes {
-		servers[i] = peerwire.WorkAtOne{Server: c.Server, ReadingMs: int(c.Reading.Milliseconds()), Calls: c.Calls}
+		servers[i] = peerproto.WorkAtOne{Server: c.Server, ReadingMs: int(c.Reading.Milliseconds()), Calls: c.Calls}
 	}
 	return servers
 }
 
-func encodePrompts(all []pairing.NewPrompts) []peerwire.PromptsAtOne {
-	encoded := make([]peerwire.PromptsAtOne, len(all))
+func encodePrompts(all []scheduler.NewPrompts) []peerproto.PromptsAtOne {
+	encoded := make([]peerproto.PromptsAtOne, len(all))
 	for i, at := range all {
 		encoded[i].Server = at.Server
 		for _, name := range at.Names {
@@ -105,8 +105,8 @@
 	return encoded
 }
 
-func decodePrompts(all []peerwire.PromptsAtOne) []pairing.NewPrompts {
-	decoded := make([]pairing.NewPrompts, len(all))
+func decodePrompts(all []peerproto.PromptsAtOne) []scheduler.NewPrompts {
+	decoded := make([]scheduler.NewPrompts, len(all))
 	for i, at := range all {
 		decoded[i].Server = at.Server
 		for _, name := range at.Names {
@@ -116,17 +116,17 @@
 	return decoded
 }
 
-func decodeWork(servers []peerwire.WorkAtOne) []pairing.Contribution {
-	changes := make([]pairing.Contribution, len(servers))
+func decodeWork(servers []peerproto.WorkAtOne) []scheduler.Contribution {
+	changes := make([]scheduler.Contribution, len(servers))
 	for i, at := range servers {
 		reading := time.Duration(at.ReadingMs) * time.Millisecond
-		changes[i] = pairing.Contribution{Server: at.Server, Reading: reading, Calls: at.Calls}
+		changes[i] = scheduler.Contribution{Server: at.Server, Reading: reading, Calls: at.Calls}
 	}
 	return changes
 }
 
 // sendToSource sends a frame to the hub that this process follows.
-func (n *Node) sendToSource(kind peerwire.Kind, body []byte) {
+func (n *Node) sendToSource(kind peerproto.Kind, body []byte) {
 	n.followMu.Lock()
 	source := n.following.source
 	n.followMu.Unlock()
@@ -136,12 +136,12 @@
 }
 
 // takeWork takes in what a hub told of all other proxies.
-func (n *Node) takeWork(h *hub, frame peerwire.Frame) {
+func (n *Node) takeWork(h *hub, frame peerproto.Frame) {
 	n.followMu.Lock()
 	isSource := n.following.source == h
 	n.followMu.Unlock()
-	var work peerwire.Work
-	if !isSource || peerwire.Decode(frame.Body, &work) != nil {
+	var work peerproto.Work
+	if !isSource || peerproto.Decode(frame.Body, &work) != nil {
 		return
 	}
 	if work.Known {
@@ -152,33 +152,33 @@
 }
 
 // tellKnown hands a new follower what is known of which servers hold what.
-func (n *Node) tellKnown(c *peerlink.Conn) {
+func (n *Node) tellKnown(c *transport.Conn) {
 	if !n.state.isSynced() {
 		return
 	}
-	work := &peerwire.Work{Known: true, Prompts: encodePrompts(n.workload.KnownPrompts())}
-	c.Send(peerwire.Frame{Kind: peerwire.KindWork, Body: peerwire.Encode(work)})
+	work := &peerproto.Work{Known: true, Prompts: encodePrompts(n.workload.KnownPrompts())}
+	c.Send(peerproto.Frame{Kind: peerproto.KindWork, Body: peerproto.Encode(work)})
 }
 
-func (b *workTable) takeOwn(work *peerwire.Work) {
+func (b *workTable) takeOwn(work *peerproto.Work) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.note(b.own, work)
 	b.localPrompts = append(b.localPrompts, work.Prompts...)
 }
 
-func (b *workTable) fromFollower(c *peerlink.Conn, body []byte) {
+func (b *workTable) fromFollower(c *transport.Conn, body []byte) {
 	b.takeFrom(b.followers, &b.localPrompts, c, body)
 }
 
-func (b *workTable) fromHub(c *peerlink.Conn, body []byte) {
+func (b *workTable) fromHub(c *transport.Conn, body []byte) {
 	b.takeFrom(b.hubs, &b.hubPrompts, c, body)
 }
 
-func (b *workTable) takeFrom(sums map[*peerlink.Conn]workSum, prompts *[]peerwire.PromptsAtOne,
-	c *peerlink.Conn, body []byte) {
-	var work peerwire.Work
-	if peerwire.Decode(body, &work) != nil {
+func (b *workTable) takeFrom(sums map[*transport.Conn]workSum, prompts *[]peerproto.PromptsAtOne,
+	c *transport.Conn, body []byte) {
+	var work peerproto.Work
+	if peerproto.Decode(body, &work) != nil {
 		c.Close()
 		return
 	}
@@ -192,7 +192,7 @@
 }
 
 // note puts changes into a sum and remembers what to distribute; the lock is held.
-func (b *workTable) note(sum workSum, work *peerwire.Work) {
+func (b *workTable) note(sum workSum, work *peerproto.Work) {
 	if work.Whole {
 		for server := range sum {
 			b.changed[server] = true
@@ -205,10 +205,10 @@
 }
 
 // forget drops what a process had under way whose connection has ended.
-func (b *workTable) forget(c *peerlink.Conn) {
+func (b *workTable) forget(c *transport.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, sums := range []map[*peerlink.Conn]workSum{b.followers, b.hubs} {
+	for _, sums := range []map[*transport.Conn]workSum{b.followers, b.hubs} {
 		for server := range sums[c] {
 			b.changed[server] = true
 		}
@@ -227,14 +227,14 @@
 	total := b.sumHubs(local)
 	whole = whole && len(total) <= wholeMost
 	prompts := append(b.localPrompts, b.hubPrompts...)
-	hubWork := peerwire.Work{Whole: whole, Servers: b.selected(local, nil, whole), Prompts: b.localPrompts}
-	encoded := peerwire.Encode(&hubWork)
+	hubWork := peerproto.Work{Whole: whole, Servers: b.selected(local, nil, whole), Prompts: b.localPrompts}
+	encoded := peerproto.Encode(&hubWork)
 	for _, h := range b.node.currentHubs() {
-		h.link.Send(peerwire.KindHubWork, encoded)
+		h.link.Send(peerproto.KindHubWork, encoded)
 	}
 	for c, sum := range b.followers {
-		work := peerwire.Work{Whole: whole, Servers: b.selected(total, sum, whole), Prompts: prompts}
-		c.Send(peerwire.Frame{Kind: peerwire.KindWork, Body: peerwire.Encode(&work)})
+		work := peerproto.Work{Whole: whole, Servers: b.selected(total, sum, whole), Prompts: prompts}
+		c.Send(peerproto.Frame{Kind: peerproto.KindWork, Body: peerproto.Encode(&work)})
 	}
 	others := decodeWork(b.selected(total, b.own, whole))
 	b.node.workload.ShareWork(others, whole, decodePrompts(prompts))
@@ -265,17 +265,17 @@
 func (s workSum) add(other workSum) {
 	for server, at := range other {
 		sum := s[server]
-		s[server] = peerwire.WorkAtOne{Server: server, ReadingMs: sum.ReadingMs + at.ReadingMs,
+		s[server] = peerproto.WorkAtOne{Server: server, ReadingMs: sum.ReadingMs + at.ReadingMs,
 			Calls: sum.Calls + at.Calls}
 	}
 }
 
 // selected returns a sum less what one process has itself, at all servers or at those that have changed.
-func (b *workTable) selected(sum, without workSum, whole bool) []peerwire.WorkAtOne {
-	servers := []peerwire.WorkAtOne{}
+func (b *workTable) selected(sum, without workSum, whole bool) []peerproto.WorkAtOne {
+	servers := []peerproto.WorkAtOne{}
 	add := func(server string) {
 		at, less := sum[server], without[server]
-		servers = append(servers, peerwire.WorkAtOne{Server: server,
+		servers = append(servers, peerproto.WorkAtOne{Server: server,
 			ReadingMs: max(at.ReadingMs-less.ReadingMs, 0), Calls: max(at.Calls-less.Calls, 0)})
 	}
 	if whole {
--- a/internal/nodesettings/nodesettings.go
+++ b/internal/router/agentsettings/nodesettings.go
@@ -1,5 +1,5 @@
-// Package nodesettings reads the settings file of a process of the fleet.
-package nodesettings
+// Package agentsettings reads the settings file of a process of the fleet.
+package agentsettings
 
 import (
 	"fmt"
--- a/internal/fleetcli/config.go
+++ b/internal/router/cli/config.go
@@ -1,11 +1,11 @@
-package fleetcli
+package cli
 
 import (
 	"fmt"
 	"os"
 	"strings"
 
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // configCommand groups the commands on configurations.
--- a/internal/fleetcli/controlcall.go
+++ b/internal/router/cli/controlcall.go
@@ -1,4 +1,4 @@
-package fleetcli
+package cli
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/callclient"
+	"cresshub/internal/router/controlclient"
 )
 
 // controlTimeout bounds a call at a control address.
@@ -38,7 +38,7 @@
 func (f *controlFlags) fetch(path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	answer, err := callclient.Do(ctx, f.Control, callclient.Call{Method: "GET", Target: path})
+	answer, err := controlclient.Do(ctx, f.Control, controlclient.Call{Method: "GET", Target: path})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleetcli/faulty_router.go
+++ b/internal/router/cli/faulty_router.go
@@ -1,13 +1,13 @@
 //go:build !router_only
 
-package fleetcli
+package cli
 
 import (
 	"os"
 
 	"cresshub/internal/faultinject"
-	"cresshub/internal/node"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agent"
+	"cresshub/internal/router/agentsettings"
 )
 
 // faultyRouterCommand runs one process of the fleet with faults that lines on standard input put into it.
@@ -26,9 +26,9 @@
 		}
 	}
 	go func() { _ = faults.Obey(os.Stdin) }() // it ends with its parent's end of the pipe
-	return c.serve(o, func(settings *nodesettings.Settings) []node.Option {
-		return []node.Option{
-			node.WithNetwork(faults.Network(settings.IP, settings.Front)), node.WithFiles(faults.Files()),
+	return c.serve(o, func(settings *agentsettings.Settings) []agent.Option {
+		return []agent.Option{
+			agent.WithNetwork(faults.Network(settings.IP, settings.Front)), agent.WithFiles(faults.Files()),
 		}
 	})
 }
--- a/internal/fleetcli/fleetcli.go
+++ b/internal/router/cli/fleetcli.go
@@ -1,5 +1,5 @@
-// Package fleetcli is the command line of the router fleet.
-package fleetcli
+// Package cli is the command line of the router fleet.
+package cli
 
 import (
 	"fmt"
--- a/internal/fleetcli/inspection_test.go
+++ b/internal/router/cli/inspection_test.go
@@ -1,4 +1,4 @@
-package fleetcli
+package cli
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callserver"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlserver"
 )
 
 // answers is a process that answers each path with a document, until the test ends.
@@ -22,11 +22,11 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		(&callserver.Server{Handle: func(call *callserver.Call) *http1.Response {
+		(&controlserver.Server{Handle: func(call *controlserver.Call) *http1.Response {
 			if document, ok := documents[call.Path]; ok {
-				return callserver.JSON(200, []byte(document))
+				return controlserver.JSON(200, []byte(document))
 			}
-			return callserver.Text(503, "not now")
+			return controlserver.Text(503, "not now")
 		}}).Serve(listener)
 	}()
 	c.Cleanup(func() {
--- a/internal/fleetcli/late.go
+++ b/internal/router/cli/late.go
@@ -1,4 +1,4 @@
-package fleetcli
+package cli
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"os"
 	"strings"
 
-	"cresshub/internal/calllog"
+	"cresshub/internal/router/latereport"
 )
 
 // lateCommand tells why answers were late.
@@ -17,32 +17,32 @@
 
 // Run prints a row for each route with its late answers by cause.
 func (c *lateCommand) Run(o *output) error {
-	var calls []calllog.Call
+	var calls []latereport.Call
 	for _, path := range c.Files {
 		file, err := os.Open(path)
 		if err != nil {
 			return err
 		}
-		some, err := calllog.Read(file)
+		some, err := latereport.Read(file)
 		file.Close()
 		if err != nil {
 			return err
 		}
 		calls = append(calls, some...)
 	}
-	summary := calllog.Summarize(calls)
+	summary := latereport.Summarize(calls)
 	if c.JSON {
 		return json.NewEncoder(o.out).Encode(summary)
 	}
 	fmt.Fprintf(o.out, "%d calls; the quickest readings take %.4f ms a token\n\n", len(calls), summary.TokenMs)
 	header := []string{"ROUTE", "TARGET", "ANSWERED", "LATE"}
-	for _, cause := range calllog.Causes {
+	for _, cause := range latereport.Causes {
 		header = append(header, strings.ToUpper(string(cause)))
 	}
 	t := newTable(header...)
 	for _, route := range summary.Routes {
 		row := []any{route.Name, fmt.Sprintf("%.0f ms", route.TargetMs), route.Answered, route.Late}
-		for _, cause := range calllog.Causes {
+		for _, cause := range latereport.Causes {
 			row = append(row, route.Causes[cause])
 		}
 		t.add(row...)
--- a/internal/fleetcli/members.go
+++ b/internal/router/cli/members.go
@@ -1,4 +1,4 @@
-package fleetcli
+package cli
 
 // membersCommand lists the processes of the fleet.
 type membersCommand struct{ controlFlags }
--- a/internal/fleetcli/reload.go
+++ b/internal/router/cli/reload.go
@@ -1,10 +1,10 @@
-package fleetcli
+package cli
 
 import (
 	"os"
 	"time"
 
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
 )
 
 // reloader takes changed settings over. The file may be looked at while it is being written: one that can't
@@ -12,8 +12,8 @@
 // few milliseconds only once.
 type reloader struct {
 	changedAt func() time.Time // when the file was last written, the zero time where that can't be told
-	load      func() (*nodesettings.Settings, error)
-	take      func(*nodesettings.Settings)
+	load      func() (*agentsettings.Settings, error)
+	take      func(*agentsettings.Settings)
 	failed    func(error)
 
 	seen    time.Time // when the file that was last read had been written
@@ -24,8 +24,8 @@
 // looksAfterChange is how many looks after a change read the file once more.
 const looksAfterChange = 2
 
-func newReloader(take func(*nodesettings.Settings), failed func(error)) *reloader {
-	return &reloader{changedAt: settingsWritten, load: nodesettings.Load, take: take, failed: failed}
+func newReloader(take func(*agentsettings.Settings), failed func(error)) *reloader {
+	return &reloader{changedAt: settingsWritten, load: agentsettings.Load, take: take, failed: failed}
 }
 
 // look reads the file where it may have changed. It is called in regular intervals.
@@ -58,7 +58,7 @@
 }
 
 func settingsWritten() time.Time {
-	info, err := os.Stat(os.Getenv(nodesettings.PathVariable))
+	info, err := os.Stat(os.Getenv(agentsettings.PathVariable))
 	if err != nil {
 		return time.Time{}
 	}
--- a/internal/fleetcli/reload_test.go
+++ b/internal/router/cli/reload_test.go
@@ -1,4 +1,4 @@
-package fleetcli
+package cli
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
 )
 
 // settingsFile is a settings file that a test writes.
@@ -22,14 +22,14 @@
 func (f *settingsFile) reloader() *reloader {
 	return &reloader{
 		changedAt: func() time.Time { return f.written },
-		load: func() (*nodesettings.Settings, error) {
+		load: func() (*agentsettings.Settings, error) {
 			f.reads++
 			if f.name == "" {
 				return nil, errors.New("half written")
 			}
-			return &nodesettings.Settings{Name: f.name}, nil
+			return &agentsettings.Settings{Name: f.name}, nil
 		},
-		take:   func(s *nodesettings.Settings) { f.taken = append(f.taken, s.Name) },
+		take:   func(s *agentsettings.Settings) { f.taken = append(f.taken, s.Name) },
 		failed: func(err error) { f.told = append(f.told, err.Error()) },
 	}
 }
--- a/internal/fleetcli/router.go
+++ b/internal/router/cli/router.go
@@ -1,4 +1,4 @@
-package fleetcli
+package cli
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 
 	"cresshub/internal/invariant"
 	"cresshub/internal/logwriter"
-	"cresshub/internal/node"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agent"
+	"cresshub/internal/router/agentsettings"
 )
 
 const (
@@ -43,11 +43,11 @@
 // Run serves until SIGTERM or SIGINT.
 func (c *routerCommand) Run(o *output) error { return c.serve(o, noOptions) }
 
-func noOptions(*nodesettings.Settings) []node.Option { return nil }
+func noOptions(*agentsettings.Settings) []agent.Option { return nil }
 
 // serve runs a process with options that may depend on its settings.
-func (c *routerCommand) serve(o *output, more func(*nodesettings.Settings) []node.Option) error {
-	settings, err := nodesettings.Load()
+func (c *routerCommand) serve(o *output, more func(*agentsettings.Settings) []agent.Option) error {
+	settings, err := agentsettings.Load()
 	if err != nil {
 		o.code = exitSettings
 		return err
@@ -62,8 +62,8 @@
 	defer lines.Close(logPatience)
 	log := zerolog.New(lines).Level(level)
 	logViolations(log)
-	options := append(more(settings), node.WithMetricsPort(c.MetricsPort))
-	process, err := node.New(settings, log, options...)
+	options := append(more(settings), agent.WithMetricsPort(c.MetricsPort))
+	process, err := agent.New(settings, log, options...)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 }
 
 // mind reloads settings that changed and closes stop at the first signal to end.
-func mind(process *node.Node, signals <-chan os.Signal, stop chan<- struct{}) {
+func mind(process *agent.Node, signals <-chan os.Signal, stop chan<- struct{}) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	settings := newReloader(process.Reload, process.ReloadFailed)
--- a/internal/fleetcli/servers.go
+++ b/internal/router/cli/servers.go
@@ -1,4 +1,4 @@
-package fleetcli
+package cli
 
 // serversCommand lists the servers.
 type serversCommand struct{ controlFlags }
--- a/internal/fleetcli/signals.go
+++ b/internal/router/cli/signals.go
@@ -1,4 +1,4 @@
-package fleetcli
+package cli
 
 import (
 	"os"
--- a/internal/fleetcli/signals_test.go
+++ b/internal/router/cli/signals_test.go
@@ -1,6 +1,6 @@
 //go:build !router_only
 
-package fleetcli
+package cli
 
 import (
 	"os"
@@ -13,7 +13,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
 )
 
 // TestHangupAtTheStartEndsNoProcess: SIGHUP may come while a process is still reading its settings. The
@@ -23,7 +23,7 @@
 	path := filepath.Join(t.TempDir(), "settings.json")
 	c.Assert(syscall.Mkfifo(path, 0o600), qt.IsNil)
 	command := exec.Command(os.Args[0], "router")
-	command.Env = append(os.Environ(), asProgram+"=1", nodesettings.PathVariable+"="+path)
+	command.Env = append(os.Environ(), asProgram+"=1", agentsettings.PathVariable+"="+path)
 	var problem strings.Builder
 	command.Stderr = &problem
 	c.Assert(command.Start(), qt.IsNil)
--- a/internal/fleetcli/try_none.go
+++ b/internal/router/cli/try_none.go
@@ -1,6 +1,6 @@
 //go:build router_only
 
-package fleetcli
+package cli
 
 import "github.com/alecthomas/kong"
 
--- a/internal/callclient/callclient.go
+++ b/internal/router/controlclient/callclient.go
@@ -1,6 +1,6 @@
-// Package callclient makes HTTP/1.1 calls with small bodies: to the control addresses of the fleet's
+// Package controlclient makes HTTP/1.1 calls with small bodies: to the control addresses of the fleet's
 // processes, and to its servers. Each call opens a connection of its own.
-package callclient
+package controlclient
 
 import (
 	"bufio"
--- a/internal/callclient/callclient_test.go
+++ b/internal/router/controlclient/callclient_test.go
@@ -1,4 +1,4 @@
-package callclient
+package controlclient
 
 import (
 	"context"
@@ -11,21 +11,21 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/callserver"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/controlserver"
 )
 
 // patience bounds every call of a test; no verdict depends on how much of it is used.
 const patience = 10 * time.Second
 
 // serve answers calls on loopback until the test ends, and returns the address.
-func serve(c *qt.C, handle callserver.Handler) string {
+func serve(c *qt.C, handle controlserver.Handler) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		(&callserver.Server{MaxBody: 1 << 20, Handle: handle}).Serve(listener)
+		(&controlserver.Server{MaxBody: 1 << 20, Handle: handle}).Serve(listener)
 	}()
 	c.Cleanup(func() {
 		listener.Close()
@@ -43,10 +43,10 @@
 func TestCallIsAnsweredWhole(t *testing.T) {
 	c := qt.New(t)
 	large := strings.Repeat("x", 200<<10)
-	address := serve(c, func(call *callserver.Call) *http1.Response {
+	address := serve(c, func(call *controlserver.Call) *http1.Response {
 		c.Check(call.Method, qt.Equals, "PUT")
 		c.Check(call.Header.Get("If-Match"), qt.Equals, "3")
-		return callserver.Text(200, call.Path+string(call.Body))
+		return controlserver.Text(200, call.Path+string(call.Body))
 	})
 	answer, err := Do(bounded(c), address, Call{Method: "PUT", Target: "/a?b",
 		Header: http1.Header{{Name: "If-Match", Value: "3"}}, Body: []byte(large)})
@@ -59,9 +59,9 @@
 	c := qt.New(t)
 	calls := 0
 	var address string
-	address = serve(c, func(call *callserver.Call) *http1.Response {
+	address = serve(c, func(call *controlserver.Call) *http1.Response {
 		calls++
-		answer := callserver.Text(307, "there")
+		answer := controlserver.Text(307, "there")
 		answer.Header = append(answer.Header, http1.Field{Name: "Location", Value: "http://" + address + "/next"})
 		return answer
 	})
--- a/internal/callserver/callserver.go
+++ b/internal/router/controlserver/callserver.go
@@ -1,6 +1,6 @@
-// Package callserver answers HTTP/1.1 calls whose bodies are small enough to be kept whole: those of
+// Package controlserver answers HTTP/1.1 calls whose bodies are small enough to be kept whole: those of
 // servers, of the operator and of the platform.
-package callserver
+package controlserver
 
 import (
 	"errors"
--- a/internal/callserver/callserver_test.go
+++ b/internal/router/controlserver/callserver_test.go
@@ -1,4 +1,4 @@
-package callserver
+package controlserver
 
 import (
 	"errors"
--- a/internal/front/answer_test.go
+++ b/internal/router/dataplane/answer_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/scheduler"
 )
 
 // sized answers with a body of that size, told or in chunks, and breaks off before the last part of it.
@@ -120,7 +120,7 @@
 
 func TestLargeAnswerWithoutMemoryIsPassedOnAsItComes(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", sized(50_000, true, true))
-	r := newRig(t, func(settings *nodesettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 10_000 }, s)
+	r := newRig(t, func(settings *agentsettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 10_000 }, s)
 	r.Assert(len(r.dial().ask("GET", "/safe/", "a", "").Body), qt.Equals, 50_000)
 }
 
@@ -246,7 +246,7 @@
 			r.Assert(p.ask("POST", "/"+route+"/", "b", "").Status, qt.Equals, test.status)
 			r.Assert(s.got(), qt.HasLen, test.arrivals)
 			r.settled()
-			r.Assert(r.chooser.outcomes()[1], qt.Equals, pairing.Abandoned) // no fault of the server
+			r.Assert(r.chooser.outcomes()[1], qt.Equals, scheduler.Abandoned) // no fault of the server
 		})
 	}
 }
--- a/internal/front/attempts.go
+++ b/internal/router/dataplane/attempts.go
@@ -1,6 +1,6 @@
-package front
+package dataplane
 
-import "cresshub/internal/pairing"
+import "cresshub/internal/router/scheduler"
 
 // attempts counts the arrivals of one request at servers. The first call that has the prompt read and that a
 // server takes up is no arrival; later ones are, as is each one that a server rejects. The first arrival is
@@ -15,29 +15,29 @@
 
 // permitted tells whether a call in that role leaves the request within its servers. A call that reads needs
 // room for the one that writes as well.
-func (a *attempts) permitted(role pairing.Role) bool { return a.after(role) <= a.most }
+func (a *attempts) permitted(role scheduler.Role) bool { return a.after(role) <= a.most }
 
 // price is how many repeats have to be taken from the budget before a call in that role.
-func (a *attempts) price(role pairing.Role) int { return max(a.after(role)-1-a.paid, 0) + a.owed }
+func (a *attempts) price(role scheduler.Role) int { return max(a.after(role)-1-a.paid, 0) + a.owed }
 
 // pay notes that the price of a call in that role was taken from the budget.
-func (a *attempts) pay(role pairing.Role) {
+func (a *attempts) pay(role scheduler.Role) {
 	a.paid += a.price(role) - a.owed
 	a.owed = 0
 }
 
 // after is the number of arrivals once the call, and where it reads the one that writes after it, has been
 // taken.
-func (a *attempts) after(role pairing.Role) int {
-	if role == pairing.Read && a.readTaken {
+func (a *attempts) after(role scheduler.Role) int {
+	if role == scheduler.Read && a.readTaken {
 		return a.arrivals + 2
 	}
 	return a.arrivals + 1
 }
 
 // taken counts a call that a server took up, or may have.
-func (a *attempts) taken(role pairing.Role) {
-	if role == pairing.Read && !a.readTaken {
+func (a *attempts) taken(role scheduler.Role) {
+	if role == scheduler.Read && !a.readTaken {
 		a.readTaken = true
 		return
 	}
--- a/internal/front/bench_test.go
+++ b/internal/router/dataplane/bench_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/catalog"
 )
 
 // BenchmarkPlain is one request and its answer, with client and server in this process.
@@ -51,7 +51,7 @@
 				return ok("x")(q, w)
 			})
 			defer close(goOn)
-			r := newRig(b, func(s *nodesettings.Settings, _ *fakeState) { s.Descriptors = 4100 }, s)
+			r := newRig(b, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 4100 }, s)
 			before := inUse()
 			for range clients {
 				p, err := net.Dial("tcp", r.address)
--- a/internal/front/breakpoints_test.go
+++ b/internal/router/dataplane/breakpoints_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/catalog"
 )
 
 // brokenAt answers the first request with so many bytes of what h writes and then breaks off, and the others
--- a/internal/front/budget_test.go
+++ b/internal/router/dataplane/budget_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
 )
 
 const window = 10 * time.Second
@@ -112,7 +112,7 @@
 
 func TestSlackShareStaysWhenProxiesAreCutOff(t *testing.T) {
 	c := qt.New(t)
-	b := newBudgets(nodesettings.Bounds{RetryRatio: 0, RetrySlack: 100, RetryWindow: window})
+	b := newBudgets(agentsettings.Bounds{RetryRatio: 0, RetrySlack: 100, RetryWindow: window})
 	now := time.Minute
 	b.request(now, "s", 10)
 	c.Assert(takeAll(b, now, 1), qt.Equals, 6) // 0.6 * 100 / 10, though only one is believed live now
@@ -124,7 +124,7 @@
 
 func TestSlackIsLeftAloneAfterTheStart(t *testing.T) {
 	c := qt.New(t)
-	b := newBudgets(nodesettings.Bounds{RetryRatio: 0.5, RetrySlack: 100, RetryWindow: window})
+	b := newBudgets(agentsettings.Bounds{RetryRatio: 0.5, RetrySlack: 100, RetryWindow: window})
 	for range 10 {
 		b.request(0, "s", 1)
 	}
@@ -135,7 +135,7 @@
 
 func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
 	c := qt.New(t)
-	b := newBudgets(nodesettings.Bounds{RetrySlack: 10, RetryWindow: window})
+	b := newBudgets(agentsettings.Bounds{RetrySlack: 10, RetryWindow: window})
 	c.Assert(takeAll(b, time.Minute, 1), qt.Equals, 6)
 	c.Assert(b.has(time.Minute, "other", 1), qt.IsTrue)
 }
--- a/internal/front/budgets.go
+++ b/internal/router/dataplane/budgets.go
@@ -1,10 +1,10 @@
-package front
+package dataplane
 
 import (
 	"sync"
 	"time"
 
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
 )
 
 // slackMargin is for how much longer than the window the shared slack is left alone after the start. A proxy
@@ -13,14 +13,14 @@
 
 // budgets holds the retry budget of each service. It is safe for concurrent use.
 type budgets struct {
-	bounds nodesettings.Bounds
+	bounds agentsettings.Bounds
 
 	mu       sync.Mutex
 	proxies  peak
 	services map[string]*budget
 }
 
-func newBudgets(bounds nodesettings.Bounds) *budgets {
+func newBudgets(bounds agentsettings.Bounds) *budgets {
 	return &budgets{bounds: bounds, services: map[string]*budget{}}
 }
 
--- a/internal/front/call.go
+++ b/internal/router/dataplane/call.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 const (
@@ -23,8 +23,8 @@
 // call is one call of a request to one server.
 type call struct {
 	delivery *delivery
-	choice   *pairing.Call
-	role     pairing.Role
+	choice   *scheduler.Call
+	role     scheduler.Role
 	conn     *connection
 	tainted  bool // the connection must not be used again
 	spoilt   bool // the connection's messages are out of step, so that it ends with this one
@@ -52,12 +52,12 @@
 // end tells the decisions how the call ended, and keeps or closes its connection.
 func (c *call) end(f *failure) *failure {
 	c.delivery.underWay = nil
-	outcome := pairing.Served
+	outcome := scheduler.Served
 	if f != nil {
 		outcome = f.outcome
 	}
 	if c.delivery.reason() != goingOn && f != nil {
-		f.outcome, outcome = pairing.Abandoned, pairing.Abandoned
+		f.outcome, outcome = scheduler.Abandoned, scheduler.Abandoned
 	}
 	c.delivery.front.decider.done(c.choice, outcome)
 	c.delivery.front.calls.count(c.role, outcome)
@@ -68,7 +68,7 @@
 }
 
 // logEnd tells of the call beside what the decision reckoned with; package calllog reads these lines.
-func (c *call) logEnd(outcome pairing.Outcome) {
+func (c *call) logEnd(outcome scheduler.Outcome) {
 	event := c.delivery.front.log.Debug()
 	if !event.Enabled() {
 		return
@@ -149,7 +149,7 @@
 	case err == nil:
 		return nil
 	case c.conn.sent == 0:
-		return &failure{outcome: pairing.Abandoned, fate: notSent, stale: c.conn.reused}
+		return &failure{outcome: scheduler.Abandoned, fate: notSent, stale: c.conn.reused}
 	}
 	return c.broken(err)
 }
@@ -167,9 +167,9 @@
 		m.Header = append(m.Header, http1.Field{Name: priorityHeader, Value: priority})
 	}
 	switch c.role {
-	case pairing.Read:
+	case scheduler.Read:
 		m.Header = append(m.Header, http1.Field{Name: stageHeader, Value: readingStage})
-	case pairing.Write:
+	case scheduler.Write:
 		m.Header = append(m.Header, http1.Field{Name: kvFromHeader, Value: c.delivery.ticket.source()})
 	}
 	return c.delivery.relay.resume(m)
@@ -179,7 +179,7 @@
 func (c *call) silentUntil() time.Time {
 	d := c.delivery
 	_, expected := c.choice.Expected()
-	if c.role == pairing.Read {
+	if c.role == scheduler.Read {
 		usual := d.front.readTimes.expected(d.request.service.Name)
 		return c.started.Add(readPatience(max(usual, c.choice.Longest()), d.left()))
 	}
@@ -196,7 +196,7 @@
 	d := c.delivery
 	until := d.waitUntil()
 	over := d.reason() != goingOn || !time.Now().Before(until)
-	if over || c.role == pairing.Read || d.mayTryAgain() && d.relay.mayGoOn() && c.hasAlternative() {
+	if over || c.role == scheduler.Read || d.mayTryAgain() && d.relay.mayGoOn() && c.hasAlternative() {
 		return false
 	}
 	again := time.Now().Add(streamPatience(d.request.route.GapTarget))
@@ -244,11 +244,11 @@
 	f := c.brokenOff()
 	c.suspect(err)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		f.outcome = pairing.Silent
+		f.outcome = scheduler.Silent
 		return f
 	}
 	if c.conn.reused && !c.begun && !errors.As(err, new(*http1.Malformed)) {
-		f.stale, f.outcome = true, pairing.Abandoned
+		f.stale, f.outcome = true, scheduler.Abandoned
 	}
 	return f
 }
@@ -261,4 +261,4 @@
 	}
 }
 
-func (c *call) brokenOff() *failure { return &failure{outcome: pairing.Broken, fate: mayHaveRun} }
+func (c *call) brokenOff() *failure { return &failure{outcome: scheduler.Broken, fate: mayHaveRun} }
--- a/internal/front/chooser_test.go
+++ b/internal/router/dataplane/chooser_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 // fakeChooser takes the first server in the table that was not tried, and notes what it is told. The
@@ -17,26 +17,26 @@
 	table    *catalog.Table
 	noSplit  bool
 	wait     time.Duration
-	open     map[*pairing.Call]bool
-	ended    []pairing.Outcome
+	open     map[*scheduler.Call]bool
+	ended    []scheduler.Outcome
 	unpaired int // calls ended twice, or never begun
 	begun    int // first events
-	loads    []pairing.Load
+	loads    []scheduler.Load
 	panics   atomic.Bool
 	// panicsInCalls has it panic while a call is under way.
 	panicsInCalls atomic.Bool
 }
 
-func newFakeChooser() *fakeChooser { return &fakeChooser{open: map[*pairing.Call]bool{}} }
+func newFakeChooser() *fakeChooser { return &fakeChooser{open: map[*scheduler.Call]bool{}} }
 
 func (f *fakeChooser) Update(_ time.Duration, table *catalog.Table) { f.table = table }
 
-func (f *fakeChooser) Split(_ time.Duration, r *pairing.Request) bool {
+func (f *fakeChooser) Split(_ time.Duration, r *scheduler.Request) bool {
 	return !f.noSplit && f.first(r, catalog.Reading) != nil
 }
 
-func (f *fakeChooser) Choose(_ time.Duration, r *pairing.Request, role pairing.Role,
-	reader *catalog.Server) *pairing.Call {
+func (f *fakeChooser) Choose(_ time.Duration, r *scheduler.Request, role scheduler.Role,
+	reader *catalog.Server) *scheduler.Call {
 	if f.panics.Load() {
 		panic("a mistake")
 	}
@@ -44,14 +44,14 @@
 	if r.Service.Engine != nil {
 		stage = catalog.Writing
 	}
-	if role == pairing.Read {
+	if role == scheduler.Read {
 		stage = catalog.Reading
 	}
 	server := f.first(r, stage)
 	if server == nil {
 		return nil
 	}
-	call := &pairing.Call{Server: server, Role: role}
+	call := &scheduler.Call{Server: server, Role: role}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.open[call] = true
@@ -59,7 +59,7 @@
 }
 
 // first returns the first server that may be sent to.
-func (f *fakeChooser) first(r *pairing.Request, stage catalog.Stage) *catalog.Server {
+func (f *fakeChooser) first(r *scheduler.Request, stage catalog.Stage) *catalog.Server {
 	for _, s := range f.table.Service(r.Service.Name) {
 		if s.Stage == stage && !slices.Contains(r.Tried, s.ID) {
 			return s
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (f *fakeChooser) Told(_ time.Duration, _ string, load pairing.Load) {
+func (f *fakeChooser) Told(_ time.Duration, _ string, load scheduler.Load) {
 	if f.panicsInCalls.Load() {
 		panic("a mistake")
 	}
@@ -77,13 +77,13 @@
 	f.loads = append(f.loads, load)
 }
 
-func (f *fakeChooser) FirstEvent(time.Duration, *pairing.Call) {
+func (f *fakeChooser) FirstEvent(time.Duration, *scheduler.Call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun++
 }
 
-func (f *fakeChooser) Done(_ time.Duration, call *pairing.Call, outcome pairing.Outcome) {
+func (f *fakeChooser) Done(_ time.Duration, call *scheduler.Call, outcome scheduler.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.open[call] {
@@ -93,11 +93,11 @@
 	f.ended = append(f.ended, outcome)
 }
 
-func (f *fakeChooser) Crowded(time.Duration, *pairing.Request) (time.Duration, bool) {
+func (f *fakeChooser) Crowded(time.Duration, *scheduler.Request) (time.Duration, bool) {
 	return f.wait, f.wait == 0
 }
 
-func (f *fakeChooser) Alternative(_ time.Duration, r *pairing.Request, server string) (exists, free bool) {
+func (f *fakeChooser) Alternative(_ time.Duration, r *scheduler.Request, server string) (exists, free bool) {
 	for _, s := range f.table.Service(r.Service.Name) {
 		exists = exists || s.ID != server && s.Stage != catalog.Reading && !slices.Contains(r.Tried, s.ID)
 	}
@@ -105,7 +105,7 @@
 }
 
 // outcomes returns how the calls have ended, in their order.
-func (f *fakeChooser) outcomes() []pairing.Outcome {
+func (f *fakeChooser) outcomes() []scheduler.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.ended)
@@ -118,18 +118,18 @@
 	return len(f.open) == 0 && f.unpaired == 0
 }
 
-func (f *fakeChooser) Changes(bool) []pairing.Contribution { return nil }
+func (f *fakeChooser) Changes(bool) []scheduler.Contribution { return nil }
 
-func (f *fakeChooser) Share(time.Duration, []pairing.Contribution, bool) {}
+func (f *fakeChooser) Share(time.Duration, []scheduler.Contribution, bool) {}
 
 func (f *fakeChooser) KnowHolders(time.Duration) {}
 
-func (f *fakeChooser) TakeNewPrompts() []pairing.NewPrompts { return nil }
+func (f *fakeChooser) TakeNewPrompts() []scheduler.NewPrompts { return nil }
 
-func (f *fakeChooser) NoteNewPrompts([]pairing.NewPrompts) {}
+func (f *fakeChooser) NoteNewPrompts([]scheduler.NewPrompts) {}
 
 func (f *fakeChooser) AnsweredAt(string) (time.Duration, bool) { return 0, false }
 
-func (f *fakeChooser) KnownPrompts(int) []pairing.NewPrompts { return nil }
+func (f *fakeChooser) KnownPrompts(int) []scheduler.NewPrompts { return nil }
 
 func (f *fakeChooser) CaughtUp(time.Duration) {}
--- a/internal/front/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"cresshub/internal/http1"
 	"cresshub/internal/invariant"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // The bounds of the time that a connection may take to come about.
@@ -36,7 +36,7 @@
 // connect gets a connection to the server.
 func (c *call) connect() *failure {
 	d := c.delivery
-	abandoned := &failure{outcome: pairing.Abandoned, fate: notSent}
+	abandoned := &failure{outcome: scheduler.Abandoned, fate: notSent}
 	dial, cancel := context.WithDeadline(context.Background(), c.connectUntil())
 	defer cancel()
 	if !d.attach(canceller(cancel)) {
@@ -48,7 +48,7 @@
 		return abandoned
 	case err != nil:
 		c.suspect(err)
-		return &failure{outcome: pairing.Unreachable, fate: notSent}
+		return &failure{outcome: scheduler.Unreachable, fate: notSent}
 	}
 	c.conn, c.tainted = conn, true
 	invariant.Holds(conn.server == c.choice.Server.ID, invariant.ConnectionOfServer,
--- a/internal/front/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/catalog"
 )
 
 // deadlineOf is the time that a call was given, in milliseconds; 0 where none is told.
--- a/internal/front/decider.go
+++ b/internal/router/dataplane/decider.go
@@ -1,31 +1,31 @@
-package front
+package dataplane
 
 import (
 	"math/rand/v2"
 	"sync"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 // chooser is what the data plane asks of the decisions; *pairing.Chooser in the program.
 type chooser interface {
 	Update(now time.Duration, table *catalog.Table)
-	Split(now time.Duration, r *pairing.Request) bool
-	Choose(now time.Duration, r *pairing.Request, role pairing.Role, reader *catalog.Server) *pairing.Call
-	Told(now time.Duration, server string, load pairing.Load)
+	Split(now time.Duration, r *scheduler.Request) bool
+	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role, reader *catalog.Server) *scheduler.Call
+	Told(now time.Duration, server string, load scheduler.Load)
 	AnsweredAt(server string) (time.Duration, bool)
-	FirstEvent(now time.Duration, call *pairing.Call)
-	Done(now time.Duration, call *pairing.Call, outcome pairing.Outcome)
-	Crowded(now time.Duration, r *pairing.Request) (wait time.Duration, free bool)
-	Alternative(now time.Duration, r *pairing.Request, server string) (exists, free bool)
-	Changes(all bool) []pairing.Contribution
-	Share(now time.Duration, others []pairing.Contribution, whole bool)
+	FirstEvent(now time.Duration, call *scheduler.Call)
+	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
+	Crowded(now time.Duration, r *scheduler.Request) (wait time.Duration, free bool)
+	Alternative(now time.Duration, r *scheduler.Request, server string) (exists, free bool)
+	Changes(all bool) []scheduler.Contribution
+	Share(now time.Duration, others []scheduler.Contribution, whole bool)
 	KnowHolders(now time.Duration)
-	TakeNewPrompts() []pairing.NewPrompts
-	NoteNewPrompts(all []pairing.NewPrompts)
-	KnownPrompts(most int) []pairing.NewPrompts
+	TakeNewPrompts() []scheduler.NewPrompts
+	NoteNewPrompts(all []scheduler.NewPrompts)
+	KnownPrompts(most int) []scheduler.NewPrompts
 	CaughtUp(now time.Duration)
 }
 
@@ -45,7 +45,7 @@
 
 func newDecider(zone string, state State, now func() time.Duration) *decider {
 	return &decider{state: state, now: now, demand: newDemandMeter(), changed: make(chan struct{}, 1),
-		chooser: pairing.New(zone, rand.Uint64())}
+		chooser: scheduler.New(zone, rand.Uint64())}
 }
 
 // lock takes the lock and hands the chooser a newer table where there is one.
@@ -59,13 +59,13 @@
 	return now, d.mu.Unlock
 }
 
-func (d *decider) split(r *pairing.Request) bool {
+func (d *decider) split(r *scheduler.Request) bool {
 	now, unlock := d.lock()
 	defer unlock()
 	return d.chooser.Split(now, r)
 }
 
-func (d *decider) choose(r *pairing.Request, role pairing.Role, reader *catalog.Server) *pairing.Call {
+func (d *decider) choose(r *scheduler.Request, role scheduler.Role, reader *catalog.Server) *scheduler.Call {
 	now, unlock := d.lock()
 	defer unlock()
 	call := d.chooser.Choose(now, r, role, reader)
@@ -75,19 +75,19 @@
 	return call
 }
 
-func (d *decider) told(server string, load pairing.Load) {
+func (d *decider) told(server string, load scheduler.Load) {
 	now, unlock := d.lock()
 	defer unlock()
 	d.chooser.Told(now, server, load)
 }
 
-func (d *decider) firstEvent(call *pairing.Call) {
+func (d *decider) firstEvent(call *scheduler.Call) {
 	now, unlock := d.lock()
 	defer unlock()
 	d.chooser.FirstEvent(now, call)
 }
 
-func (d *decider) done(call *pairing.Call, outcome pairing.Outcome) {
+func (d *decider) done(call *scheduler.Call, outcome scheduler.Outcome) {
 	now, unlock := d.lock()
 	defer unlock()
 	d.chooser.Done(now, call, outcome)
@@ -95,7 +95,7 @@
 }
 
 // meter counts a call to a model server as begun, or as ended where change is -1.
-func (d *decider) meter(now time.Duration, call *pairing.Call, change int) {
+func (d *decider) meter(now time.Duration, call *scheduler.Call, change int) {
 	if call.Server.Stage != catalog.NoStage {
 		d.demand.add(now, call.Server.Service, call.Role, change)
 		d.noteChange()
@@ -109,13 +109,13 @@
 	}
 }
 
-func (d *decider) crowded(r *pairing.Request) (wait time.Duration, free bool) {
+func (d *decider) crowded(r *scheduler.Request) (wait time.Duration, free bool) {
 	now, unlock := d.lock()
 	defer unlock()
 	return d.chooser.Crowded(now, r)
 }
 
-func (d *decider) alternative(r *pairing.Request, server string) (exists, free bool) {
+func (d *decider) alternative(r *scheduler.Request, server string) (exists, free bool) {
 	now, unlock := d.lock()
 	defer unlock()
 	return d.chooser.Alternative(now, r, server)
--- a/internal/front/delivery.go
+++ b/internal/router/dataplane/delivery.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"io"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 const (
@@ -92,7 +92,7 @@
 func (d *delivery) endInterrupted() {
 	if c := d.underWay; c != nil {
 		c.tainted = true
-		c.end(&failure{outcome: pairing.Abandoned, fate: mayHaveRun})
+		c.end(&failure{outcome: scheduler.Abandoned, fate: mayHaveRun})
 	}
 }
 
@@ -154,16 +154,16 @@
 		d.dropTicket()
 	}
 	if d.ticket != nil {
-		if c := d.chosen(pairing.Write); c != nil {
+		if c := d.chosen(scheduler.Write); c != nil {
 			return c
 		}
 		d.dropTicket()
 	}
-	return d.chosen(pairing.Serve)
+	return d.chosen(scheduler.Serve)
 }
 
 // chosen draws the server for a call in that role, if the request may be sent once more.
-func (d *delivery) chosen(role pairing.Role) *call {
+func (d *delivery) chosen(role scheduler.Role) *call {
 	if !d.attempts.permitted(role) {
 		d.trace.endFor(endTriesUsed)
 		return nil
@@ -175,7 +175,7 @@
 	}
 	if !d.pay(role) {
 		d.trace.endFor(endRetryBudget)
-		d.front.decider.done(choice, pairing.Abandoned)
+		d.front.decider.done(choice, scheduler.Abandoned)
 		return nil
 	}
 	d.trace.endFor("")
@@ -184,7 +184,7 @@
 }
 
 // pay takes what the call costs from the retry budget.
-func (d *delivery) pay(role pairing.Role) bool {
+func (d *delivery) pay(role scheduler.Role) bool {
 	f, price := d.front, d.attempts.price(role)
 	if !f.budgets.take(f.now(), d.request.service.Name, f.state.Proxies(), price) {
 		return false
@@ -208,20 +208,20 @@
 		d.kept = f.kept
 	}
 	switch {
-	case f.outcome == pairing.Unreachable || f.outcome == pairing.Abandoned && f.fate == notSent:
+	case f.outcome == scheduler.Unreachable || f.outcome == scheduler.Abandoned && f.fate == notSent:
 		d.unreachable++
 	case f.fate == notRun:
 		d.attempts.rejected()
 	case f.fate == mayHaveRun:
 		d.attempts.taken(c.role)
 	}
-	if !f.stale && f.outcome != pairing.HandleFailed {
+	if !f.stale && f.outcome != scheduler.HandleFailed {
 		d.request.pairing.Tried = append(d.request.pairing.Tried, c.choice.Server.ID)
 	}
 	switch {
 	case d.relay.begun:
 		d.ticket = nil // the server that began the stream has taken the memory
-	case c.role == pairing.Write && f.spent():
+	case c.role == scheduler.Write && f.spent():
 		d.dropTicket()
 	}
 	switch {
--- a/internal/front/demand.go
+++ b/internal/router/dataplane/demand.go
@@ -1,10 +1,10 @@
-package front
+package dataplane
 
 import (
 	"sync"
 	"time"
 
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // demandGain is the weight of the newest span in the mean that Demand returns.
@@ -36,7 +36,7 @@
 func newDemandMeter() *demandMeter { return &demandMeter{services: map[string]*meteredService{}} }
 
 // add notes that a call of a role has begun, or ended where change is -1.
-func (m *demandMeter) add(now time.Duration, service string, role pairing.Role, change int) {
+func (m *demandMeter) add(now time.Duration, service string, role scheduler.Role, change int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.services[service]
@@ -46,7 +46,7 @@
 	}
 	s.integrate(now)
 	s.mean.Known = true
-	if role == pairing.Read {
+	if role == scheduler.Read {
 		s.reading += change
 	} else {
 		s.writing += change
--- a/internal/front/denied_test.go
+++ b/internal/router/dataplane/denied_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
 )
 
 // properRequests are requests within the limits of testLimits, at their edges too.
@@ -51,10 +51,10 @@
 func TestProperRequestsAreNotDenied(t *testing.T) {
 	serve := ok("served")
 	for name, text := range properRequests {
-		for state, change := range map[string]func(*nodesettings.Settings, *fakeState){
+		for state, change := range map[string]func(*agentsettings.Settings, *fakeState){
 			"serves":           nil,
-			"no configuration": func(_ *nodesettings.Settings, s *fakeState) { s.config = nil },
-			"no servers":       func(_ *nodesettings.Settings, s *fakeState) { s.table = nil },
+			"no configuration": func(_ *agentsettings.Settings, s *fakeState) { s.config = nil },
+			"no servers":       func(_ *agentsettings.Settings, s *fakeState) { s.table = nil },
 		} {
 			t.Run(name+", "+state, func(t *testing.T) {
 				servers := append(lookups(t, serve), newServer(t, "i-w", "language", "writing", serve))
@@ -80,7 +80,7 @@
 func TestLargeRequestsBeforeAConfiguration(t *testing.T) {
 	large := requestText("POST", "/unsafe/", strings.Repeat("x", 6<<20))
 	for _, text := range []string{longestHead(60 << 10), large} {
-		r := newRig(t, func(_ *nodesettings.Settings, s *fakeState) { s.config = nil })
+		r := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.config = nil })
 		p := r.dial()
 		go io.WriteString(p, text)
 		answer, _, err := http1.ReadResponseHead(p.in, "GET")
--- a/internal/front/descriptors_test.go
+++ b/internal/router/dataplane/descriptors_test.go
@@ -1,18 +1,18 @@
-package front
+package dataplane
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
 )
 
 // TestClientsAndServersLeaveDescriptors: however many connections clients and servers take, other processes,
 // heartbeats and operators get through.
 func TestClientsAndServersLeaveDescriptors(t *testing.T) {
 	for _, descriptors := range []int{600, 1024, 4100, 65536} {
-		f := &Front{settings: &nodesettings.Settings{Descriptors: descriptors}}
+		f := &Front{settings: &agentsettings.Settings{Descriptors: descriptors}}
 		left := descriptors - reservedDescriptors - 2*f.descriptorShare()
 		qt.Check(t, left >= (descriptors-reservedDescriptors)/controlPart, qt.IsTrue,
 			qt.Commentf("%d of %d are left", left, descriptors))
--- a/internal/front/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -1,20 +1,20 @@
-package front
+package dataplane
 
 import (
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // failure says how a call ended that did not bring the whole answer.
 type failure struct {
-	outcome pairing.Outcome
+	outcome scheduler.Outcome
 	fate    fate
 	kept    *keptAnswer // the server's own failure, to be passed on where nothing more is tried
 	stale   bool        // an idle connection ended before a byte of the answer: no fault of the server
 }
 
 // spent tells whether the memory that the call named may have been taken.
-func (f *failure) spent() bool { return f.fate == mayHaveRun || f.outcome == pairing.HandleFailed }
+func (f *failure) spent() bool { return f.fate == mayHaveRun || f.outcome == scheduler.HandleFailed }
 
 // gone hints that another incarnation has the server's address. A model server may as well have changed its
 // stage, so of those nothing is said.
@@ -25,11 +25,11 @@
 }
 
 // rejection tells a server that could not fetch the memory from one that is full.
-func (c *call) rejection(head *http1.Response) pairing.Outcome {
+func (c *call) rejection(head *http1.Response) scheduler.Outcome {
 	load, told := parseLoad(head.Header.Get(loadHeader))
 	full := told && (load.Waiting > 0 || load.Running >= load.Slots)
-	if c.role == pairing.Write && !full {
-		return pairing.HandleFailed
+	if c.role == scheduler.Write && !full {
+		return scheduler.HandleFailed
 	}
-	return pairing.Rejected
+	return scheduler.Rejected
 }
--- a/internal/front/front.go
+++ b/internal/router/dataplane/front.go
@@ -1,8 +1,8 @@
-// Package front is the data plane of a node: it takes clients' HTTP/1.1 requests, passes each to servers of
-// its route's service, and passes the answer back. Which server a request goes to is decided by package
+// Package dataplane is the data plane of a node: it takes clients' HTTP/1.1 requests, passes each to servers
+// of its route's service, and passes the answer back. Which server a request goes to is decided by package
 // pairing. What may be sent again, and what the client is told when nothing more is tried, follows from one
 // question: whether the request may have run.
-package front
+package dataplane
 
 import (
 	"net"
@@ -14,10 +14,10 @@
 
 	"cresshub/internal/acceptloop"
 	"cresshub/internal/bodies"
-	"cresshub/internal/catalog"
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/fleetconfig"
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // Front is the data plane. Its methods are safe for concurrent use.
 type Front struct {
-	settings *nodesettings.Settings
+	settings *agentsettings.Settings
 	state    State
 	log      zerolog.Logger
 	started  time.Time
@@ -69,7 +69,7 @@
 }
 
 // New returns a Front. It opens nothing before Serve.
-func New(settings *nodesettings.Settings, state State, log zerolog.Logger) *Front {
+func New(settings *agentsettings.Settings, state State, log zerolog.Logger) *Front {
 	f := &Front{
 		settings: settings, state: state, log: log, started: time.Now(),
 		budgets: newBudgets(settings.Bounds), bodies: bodies.NewBudget(settings.MemoryBytes / bodiesPart),
--- a/internal/front/gone_test.go
+++ b/internal/router/dataplane/gone_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	qt "github.com/frankban/quicktest"
 	"golang.org/x/sys/unix"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 // leaving are the ways in which a client goes.
@@ -85,7 +85,7 @@
 				r.Assert(freed(readers) <= 1, qt.IsTrue)
 				r.Assert(calls(), qt.Equals, test.calls)
 				outcomes := r.chooser.outcomes()
-				r.Assert(outcomes[len(outcomes)-1], qt.Equals, pairing.Abandoned)
+				r.Assert(outcomes[len(outcomes)-1], qt.Equals, scheduler.Abandoned)
 			})
 		}
 	}
@@ -135,6 +135,6 @@
 	p.Close()
 	r.until("the client is gone", func() bool { return len(r.front.all()) == 0 })
 	r.settled()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Abandoned})
+	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 	r.Assert(other.got(), qt.HasLen, 0)
 }
--- a/internal/front/leave_test.go
+++ b/internal/router/dataplane/leave_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	qt "github.com/frankban/quicktest"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/scheduler"
 )
 
 func TestClientThatLeavesEndsItsCall(t *testing.T) {
@@ -43,7 +43,7 @@
 			r.settled()
 			r.until("the client is gone", func() bool { return len(r.front.all()) == 0 })
 			r.Assert(arrivals(servers), qt.Equals, 1)
-			r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Abandoned})
+			r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 			r.Assert(r.front.Stats().ClientsLeft, qt.Equals, int64(1))
 		})
 	}
@@ -77,7 +77,7 @@
 					p.Close()
 					r.Assert(<-gone, qt.Equals, "a")
 					r.settled()
-					r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Abandoned})
+					r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 					r.until("the client is gone", func() bool { return len(r.front.all()) == 0 })
 					r.Assert(s.got(), qt.HasLen, 1)
 				})
@@ -215,7 +215,7 @@
 func TestConnectionsToAServerAreShared(t *testing.T) {
 	ended := make(chan string, 9)
 	s := newServer(t, "i-1", "lookup", "", silence(ended))
-	r := newRig(t, func(_ *nodesettings.Settings, state *fakeState) { state.proxies = 50 }, s) // 100 / 50 each
+	r := newRig(t, func(_ *agentsettings.Settings, state *fakeState) { state.proxies = 50 }, s) // 100 / 50 each
 	var waiting []*person
 	for range 2 {
 		p := r.dial()
--- a/internal/front/malformed_test.go
+++ b/internal/router/dataplane/malformed_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"io"
@@ -7,14 +7,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // shortLimits let a client that is slow be seen soon.
-func shortLimits(t *testing.T) func(*nodesettings.Settings, *fakeState) {
-	return func(_ *nodesettings.Settings, state *fakeState) {
+func shortLimits(t *testing.T) func(*agentsettings.Settings, *fakeState) {
+	return func(_ *agentsettings.Settings, state *fakeState) {
 		config, err := fleetconfig.Parse([]byte(testConfig(
 			`{"envelope_bytes":1000,"contents_bytes":100,"envelope_ms":50,"idle_ms":50}`)))
 		qt.New(t).Assert(err, qt.IsNil)
@@ -87,7 +87,7 @@
 }
 
 func TestClientsBeyondTheDescriptorsAreClosed(t *testing.T) {
-	r := newRig(t, func(s *nodesettings.Settings, _ *fakeState) { s.Descriptors = 0 })
+	r := newRig(t, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 0 })
 	var some []*person
 	for range 16 {
 		p := r.dial()
--- a/internal/front/names.go
+++ b/internal/router/dataplane/names.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 // Header fields of the fleet.
 const (
--- a/internal/front/observe.go
+++ b/internal/router/dataplane/observe.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"strconv"
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 
 	"cresshub/internal/metrics"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // ending is what became of a request in the end.
@@ -104,7 +104,7 @@
 	byOutcome [len(roleNames)][len(outcomeNames)]atomic.Int64
 }
 
-func (c *callCounts) count(role pairing.Role, outcome pairing.Outcome) {
+func (c *callCounts) count(role scheduler.Role, outcome scheduler.Outcome) {
 	c.byOutcome[role][outcome].Add(1)
 }
 
--- a/internal/front/observe_test.go
+++ b/internal/router/dataplane/observe_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/rs/zerolog"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/metrics"
+	"cresshub/internal/router/catalog"
 )
 
 // logLines is a log that tests read.
--- a/internal/front/panic_test.go
+++ b/internal/router/dataplane/panic_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"testing"
--- a/internal/front/plain_test.go
+++ b/internal/router/dataplane/plain_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 func TestPassesARequestAndItsAnswer(t *testing.T) {
@@ -38,7 +38,7 @@
 	r.Assert(left > 1000 && left < 4000, qt.IsTrue, qt.Commentf("%d ms left", left))
 	r.Assert(r.front.Stats().Dialled, qt.Equals, int64(1))
 	r.settled()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Served, pairing.Served})
+	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Served, scheduler.Served})
 }
 
 func TestFieldsOfOursDoNotComeFromClients(t *testing.T) {
@@ -126,14 +126,14 @@
 }
 
 func TestWithoutAConfiguration(t *testing.T) {
-	r := newRig(t, func(_ *nodesettings.Settings, s *fakeState) { s.config = nil })
+	r := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.config = nil })
 	answer := r.dial().ask("GET", "/safe/", "a1", "")
 	r.Assert(answer.Status, qt.Equals, 503)
 	r.Assert(answer.Header.Get("Retry-After"), qt.Equals, "0.300")
 }
 
 func TestNoTable(t *testing.T) {
-	r := newRig(t, func(_ *nodesettings.Settings, s *fakeState) { s.table = nil })
+	r := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.table = nil })
 	r.Assert(r.dial().ask("GET", "/safe/", "a1", "").Status, qt.Equals, 503)
 }
 
@@ -215,7 +215,7 @@
 
 func TestNoMemoryForABody(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
-	r := newRig(t, func(settings *nodesettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 5000 }, s)
+	r := newRig(t, func(settings *agentsettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 5000 }, s)
 	answer := r.dial().ask("POST", "/unsafe/", "a1", strings.Repeat("x", 6000))
 	r.Assert(answer.Status, qt.Equals, 503)
 	r.Assert(answer.Close, qt.IsTrue)
@@ -228,5 +228,5 @@
 	s := newServer(t, "i-1", "lookup", "", status(200, stamp, "Cresshub-Server-Load: 3,1,8"))
 	r := newRig(t, nil, s)
 	r.dial().ask("GET", "/safe/", "a1", "")
-	r.Assert(r.chooser.loads, qt.DeepEquals, []pairing.Load{{Running: 3, Waiting: 1, Slots: 8}})
+	r.Assert(r.chooser.loads, qt.DeepEquals, []scheduler.Load{{Running: 3, Waiting: 1, Slots: 8}})
 }
--- a/internal/front/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/invariant"
+	"cresshub/internal/router/catalog"
 )
 
 const (
--- a/internal/front/priority.go
+++ b/internal/router/dataplane/priority.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 const (
 	// leastUrgent is the last of the priorities that a model server knows; 0 is the first.
