--- a/internal/front/repeat_test.go
+++ b/internal/router/dataplane/repeat_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"bufio"
@@ -9,9 +9,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 const stamp = "Cresshub-Server-Stamp: s"
@@ -40,50 +40,50 @@
 		answers  []handler // of the servers, in turn; the last one for all further calls
 		status   int
 		arrivals int
-		outcomes []pairing.Outcome
+		outcomes []scheduler.Outcome
 	}
-	served, broken, not, failed := pairing.Served, pairing.Broken, pairing.Rejected, pairing.Failed
+	served, broken, not, failed := scheduler.Served, scheduler.Broken, scheduler.Rejected, scheduler.Failed
 	for _, test := range []row{
-		{"reset", "unsafe", []handler{breakOff, good}, 502, 1, []pairing.Outcome{broken}},
-		{"nonsense", "unsafe", []handler{nonsense, good}, 502, 1, []pairing.Outcome{broken}},
-		{"half an answer", "unsafe", []handler{cutting(halfAnswer), good}, 502, 1, []pairing.Outcome{broken}},
-		{"full", "unsafe", []handler{full, good}, 200, 2, []pairing.Outcome{not, served}},
-		{"full thrice", "unsafe", []handler{full}, 503, 3, []pairing.Outcome{not, not, not}},
-		{"full, then reset", "unsafe", []handler{full, breakOff, good}, 502, 2, []pairing.Outcome{not, broken}},
+		{"reset", "unsafe", []handler{breakOff, good}, 502, 1, []scheduler.Outcome{broken}},
+		{"nonsense", "unsafe", []handler{nonsense, good}, 502, 1, []scheduler.Outcome{broken}},
+		{"half an answer", "unsafe", []handler{cutting(halfAnswer), good}, 502, 1, []scheduler.Outcome{broken}},
+		{"full", "unsafe", []handler{full, good}, 200, 2, []scheduler.Outcome{not, served}},
+		{"full thrice", "unsafe", []handler{full}, 503, 3, []scheduler.Outcome{not, not, not}},
+		{"full, then reset", "unsafe", []handler{full, breakOff, good}, 502, 2, []scheduler.Outcome{not, broken}},
 		{"429 with a promise", "unsafe", []handler{status(429, "Cresshub-Not-Run: 1"), good}, 200, 2,
-			[]pairing.Outcome{not, served}},
-		{"elsewhere", "unsafe", []handler{elsewhere, good}, 200, 2, []pairing.Outcome{pairing.Misdirected, served}},
+			[]scheduler.Outcome{not, served}},
+		{"elsewhere", "unsafe", []handler{elsewhere, good}, 200, 2, []scheduler.Outcome{scheduler.Misdirected, served}},
 		{"elsewhere without a word", "unsafe", []handler{status(421), good}, 200, 2,
-			[]pairing.Outcome{pairing.Misdirected, served}},
+			[]scheduler.Outcome{scheduler.Misdirected, served}},
 		{"elsewhere thrice", "unsafe", []handler{elsewhere}, 503, 3,
-			[]pairing.Outcome{pairing.Misdirected, pairing.Misdirected, pairing.Misdirected}},
-		{"503 without a promise", "unsafe", []handler{status(503), good}, 502, 1, []pairing.Outcome{broken}},
-		{"429 without a promise", "unsafe", []handler{status(429), good}, 502, 1, []pairing.Outcome{broken}},
-		{"408 without a promise", "unsafe", []handler{status(408), good}, 502, 1, []pairing.Outcome{broken}},
-		{"its own failure", "unsafe", []handler{failure500, good}, 500, 1, []pairing.Outcome{failed}},
-		{"its own deadline", "unsafe", []handler{status(504), good}, 504, 1, []pairing.Outcome{failed}},
-		{"no stamp", "unsafe", []handler{status(200), good}, 502, 1, []pairing.Outcome{broken}},
+			[]scheduler.Outcome{scheduler.Misdirected, scheduler.Misdirected, scheduler.Misdirected}},
+		{"503 without a promise", "unsafe", []handler{status(503), good}, 502, 1, []scheduler.Outcome{broken}},
+		{"429 without a promise", "unsafe", []handler{status(429), good}, 502, 1, []scheduler.Outcome{broken}},
+		{"408 without a promise", "unsafe", []handler{status(408), good}, 502, 1, []scheduler.Outcome{broken}},
+		{"its own failure", "unsafe", []handler{failure500, good}, 500, 1, []scheduler.Outcome{failed}},
+		{"its own deadline", "unsafe", []handler{status(504), good}, 504, 1, []scheduler.Outcome{failed}},
+		{"no stamp", "unsafe", []handler{status(200), good}, 502, 1, []scheduler.Outcome{broken}},
 		{"encoded", "unsafe", []handler{status(200, stamp, "Content-Encoding: gzip"), good}, 502, 1,
-			[]pairing.Outcome{broken}},
-		{"not found", "unsafe", []handler{status(404), good}, 404, 1, []pairing.Outcome{served}},
+			[]scheduler.Outcome{broken}},
+		{"not found", "unsafe", []handler{status(404), good}, 404, 1, []scheduler.Outcome{served}},
 		{"a request without an id", "unsafe", []handler{status(400, "Cresshub-Not-Run: 1"), good}, 400, 1,
-			[]pairing.Outcome{served}},
+			[]scheduler.Outcome{served}},
 		{"a firm stream broken before its first event", "firm", []handler{breakOff, good}, 502, 1,
-			[]pairing.Outcome{broken}},
+			[]scheduler.Outcome{broken}},
 
-		{"reset", "safe", []handler{breakOff, good}, 200, 2, []pairing.Outcome{broken, served}},
-		{"nonsense", "safe", []handler{nonsense, good}, 200, 2, []pairing.Outcome{broken, served}},
-		{"half an answer", "safe", []handler{cutting(halfAnswer), good}, 200, 2, []pairing.Outcome{broken, served}},
-		{"reset thrice", "safe", []handler{breakOff}, 502, 3, []pairing.Outcome{broken, broken, broken}},
-		{"reset, then full", "safe", []handler{breakOff, full}, 502, 3, []pairing.Outcome{broken, not, not}},
-		{"its own failure", "safe", []handler{failure500, good}, 200, 2, []pairing.Outcome{failed, served}},
+		{"reset", "safe", []handler{breakOff, good}, 200, 2, []scheduler.Outcome{broken, served}},
+		{"nonsense", "safe", []handler{nonsense, good}, 200, 2, []scheduler.Outcome{broken, served}},
+		{"half an answer", "safe", []handler{cutting(halfAnswer), good}, 200, 2, []scheduler.Outcome{broken, served}},
+		{"reset thrice", "safe", []handler{breakOff}, 502, 3, []scheduler.Outcome{broken, broken, broken}},
+		{"reset, then full", "safe", []handler{breakOff, full}, 502, 3, []scheduler.Outcome{broken, not, not}},
+		{"its own failure", "safe", []handler{failure500, good}, 200, 2, []scheduler.Outcome{failed, served}},
 		{"its own failure thrice", "safe", []handler{failure500}, 500, 3,
-			[]pairing.Outcome{failed, failed, failed}},
+			[]scheduler.Outcome{failed, failed, failed}},
 		{"its own failure, then reset", "safe", []handler{failure500, breakOff}, 500, 3,
-			[]pairing.Outcome{failed, broken, broken}},
-		{"503 without a promise", "safe", []handler{status(503), good}, 200, 2, []pairing.Outcome{broken, served}},
+			[]scheduler.Outcome{failed, broken, broken}},
+		{"503 without a promise", "safe", []handler{status(503), good}, 200, 2, []scheduler.Outcome{broken, served}},
 		{"a stream broken before its first event", "stream", []handler{breakOff, good}, 200, 2,
-			[]pairing.Outcome{broken, served}},
+			[]scheduler.Outcome{broken, served}},
 	} {
 		t.Run(test.route+" "+test.name, func(t *testing.T) {
 			servers := lookups(t, inTurn(test.answers...))
@@ -133,7 +133,7 @@
 	r := newRig(t, slack(0), dead, alive)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
 	r.settled()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Unreachable, pairing.Served})
+	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Unreachable, scheduler.Served})
 
 	r = newRig(t, nil, dead)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 503)
@@ -158,7 +158,7 @@
 			r.Assert(arrivals(servers), qt.Equals, test.arrivals)
 			<-ended // the connection does not outlive its request
 			r.settled()
-			r.Assert(r.chooser.outcomes()[0], qt.Equals, pairing.Silent)
+			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.Silent)
 		})
 	}
 }
--- a/internal/front/request.go
+++ b/internal/router/dataplane/request.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"math/rand/v2"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/scheduler"
 )
 
 const (
@@ -34,7 +34,7 @@
 	config  *fleetconfig.Config
 	route   *fleetconfig.Route // nil where there is none
 	service *fleetconfig.Service
-	pairing pairing.Request
+	pairing scheduler.Request
 }
 
 // newRequest finds the route of a request and draws its service.
@@ -94,8 +94,8 @@
 }
 
 // pairingRequest reads what the decisions need of a request's header. What cannot be read is left out.
-func pairingRequest(header http1.Header, service *fleetconfig.Service) pairing.Request {
-	r := pairing.Request{Service: service}
+func pairingRequest(header http1.Header, service *fleetconfig.Service) scheduler.Request {
+	r := scheduler.Request{Service: service}
 	in, out, _ := strings.Cut(header.Get(tokensHeader), ",")
 	r.PromptTokens = wholeNumber(in)
 	r.OutputTokens = wholeNumber(out)
@@ -109,7 +109,7 @@
 			r.Parts = nil
 			return r
 		}
-		r.Parts = append(r.Parts, pairing.Part{ID: id, Tokens: wholeNumber(tokens)})
+		r.Parts = append(r.Parts, scheduler.Part{ID: id, Tokens: wholeNumber(tokens)})
 	}
 	return r
 }
@@ -123,20 +123,20 @@
 }
 
 // parseLoad reads Cresshub-Server-Load.
-func parseLoad(text string) (pairing.Load, bool) {
+func parseLoad(text string) (scheduler.Load, bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
-		return pairing.Load{}, false
+		return scheduler.Load{}, false
 	}
 	var numbers [3]int
 	for i, part := range parts {
 		n, err := strconv.Atoi(strings.TrimSpace(part))
 		if err != nil || n < 0 {
-			return pairing.Load{}, false
+			return scheduler.Load{}, false
 		}
 		numbers[i] = n
 	}
-	return pairing.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
+	return scheduler.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
 // ours are the fields that the system sets at servers; what a client sends in them goes no further. It could
--- a/internal/front/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"testing"
@@ -6,9 +6,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/scheduler"
 )
 
 func TestPickTarget(t *testing.T) {
@@ -25,11 +25,11 @@
 	service := &fleetconfig.Service{Name: "s"}
 	r := pairingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
 		{Name: "Cresshub-Prompt-Prefix", Value: "5c1e07a2:800, 91bd3f06:410"}}, service)
-	c.Assert(r, qt.DeepEquals, pairing.Request{Service: service, PromptTokens: 1460, OutputTokens: 80,
-		Parts: []pairing.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}})
+	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service, PromptTokens: 1460, OutputTokens: 80,
+		Parts: []scheduler.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}})
 	r = pairingRequest(http1.Header{{Name: "Cresshub-Tokens", Value: "x"},
 		{Name: "Cresshub-Prompt-Prefix", Value: "5c1e07a2"}}, service)
-	c.Assert(r, qt.DeepEquals, pairing.Request{Service: service})
+	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service})
 }
 
 func TestDeadline(t *testing.T) {
@@ -49,7 +49,7 @@
 	c := qt.New(t)
 	load, ok := parseLoad("3, 0,8")
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(load, qt.Equals, pairing.Load{Running: 3, Slots: 8})
+	c.Assert(load, qt.Equals, scheduler.Load{Running: 3, Slots: 8})
 	for _, text := range []string{"", "1,2", "1,2,x", "1,2,-3", "1,2,3,4"} {
 		_, ok := parseLoad(text)
 		c.Assert(ok, qt.IsFalse, qt.Commentf("%q", text))
--- a/internal/front/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/rs/zerolog"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // patience bounds every wait of a test; no verdict depends on how much of it is used.
@@ -113,11 +113,11 @@
 }
 
 // newRig starts a Front; change may alter its settings and state before.
-func newRig(t testing.TB, change func(*nodesettings.Settings, *fakeState), servers ...*server) *rig {
+func newRig(t testing.TB, change func(*agentsettings.Settings, *fakeState), servers ...*server) *rig {
 	c := qt.New(t)
 	config, err := fleetconfig.Parse([]byte(testConfig(testLimits)))
 	c.Assert(err, qt.IsNil)
-	settings, err := nodesettings.Parse([]byte(testSettings))
+	settings, err := agentsettings.Parse([]byte(testSettings))
 	c.Assert(err, qt.IsNil)
 	state := &fakeState{config: config, proxies: 1, table: tableOf(servers)}
 	if change != nil {
@@ -139,8 +139,8 @@
 }
 
 // slack gives the tests' proxies together so many repeats besides.
-func slack(repeats float64) func(*nodesettings.Settings, *fakeState) {
-	return func(settings *nodesettings.Settings, _ *fakeState) { settings.Bounds.RetrySlack = repeats }
+func slack(repeats float64) func(*agentsettings.Settings, *fakeState) {
+	return func(settings *agentsettings.Settings, _ *fakeState) { settings.Bounds.RetrySlack = repeats }
 }
 
 func tableOf(servers []*server) *catalog.Table {
--- a/internal/front/servers_test.go
+++ b/internal/router/dataplane/servers_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"sync"
 	"testing"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/catalog"
 )
 
 // server is one that a test scripts.
--- a/internal/front/sharing.go
+++ b/internal/router/dataplane/sharing.go
@@ -1,9 +1,9 @@
-package front
+package dataplane
 
 import (
 	"time"
 
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // mostKnown bounds how many prompts and their holders are handed on.
@@ -14,7 +14,7 @@
 
 // WorkChanges returns what this proxy has under way at the servers where that has changed since the last
 // call, or wherever it has anything.
-func (f *Front) WorkChanges(all bool) []pairing.Contribution {
+func (f *Front) WorkChanges(all bool) []scheduler.Contribution {
 	d := f.decider
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -22,7 +22,7 @@
 }
 
 // NewPrompts returns what this proxy has sent to servers to be read for the first time since the last call.
-func (f *Front) NewPrompts() []pairing.NewPrompts {
+func (f *Front) NewPrompts() []scheduler.NewPrompts {
 	d := f.decider
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -31,7 +31,7 @@
 
 // ShareWork takes in what all other proxies together have under way at some servers; with whole, they have
 // nothing under way elsewhere. It also takes in what they have sent to servers for the first time.
-func (f *Front) ShareWork(others []pairing.Contribution, whole bool, prompts []pairing.NewPrompts) {
+func (f *Front) ShareWork(others []scheduler.Contribution, whole bool, prompts []scheduler.NewPrompts) {
 	now, unlock := f.decider.lock()
 	defer unlock()
 	f.decider.chooser.Share(now, others, whole)
@@ -54,7 +54,7 @@
 }
 
 // KnownPrompts returns what is known of which servers hold what.
-func (f *Front) KnownPrompts() []pairing.NewPrompts {
+func (f *Front) KnownPrompts() []scheduler.NewPrompts {
 	d := f.decider
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // CatchUp takes in all that another proxy, or this one before its last end, knew of which servers hold what.
-func (f *Front) CatchUp(known []pairing.NewPrompts) {
+func (f *Front) CatchUp(known []scheduler.NewPrompts) {
 	now, unlock := f.decider.lock()
 	defer unlock()
 	f.decider.chooser.NoteNewPrompts(known)
--- a/internal/front/split.go
+++ b/internal/router/dataplane/split.go
@@ -1,17 +1,17 @@
-package front
+package dataplane
 
 import (
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // readPrompt has a server read the prompt. Where that fails the request goes on without: the call does not
 // run the request, so it may be repeated as long as the budget allows.
 func (d *delivery) readPrompt() {
 	for d.ticket == nil && !d.over() && d.unreachable < mostUnreachable {
-		c := d.chosen(pairing.Read)
+		c := d.chosen(scheduler.Read)
 		if c == nil {
 			return
 		}
@@ -36,11 +36,11 @@
 	case notRun:
 		d.attempts.rejected()
 	case mayHaveRun:
-		d.attempts.taken(pairing.Read)
+		d.attempts.taken(scheduler.Read)
 		if !c.begun { // it may have stood in the server's queue, which makes the next call a repeat
 			d.attempts.owed++
 		}
-		return f.outcome != pairing.Silent // so much time is lost that no second reader is waited for
+		return f.outcome != scheduler.Silent // so much time is lost that no second reader is waited for
 	}
 	return true
 }
@@ -55,7 +55,7 @@
 	if f == nil {
 		f = c.takeTicket(head, body)
 	}
-	if f == nil || f.outcome == pairing.Silent {
+	if f == nil || f.outcome == scheduler.Silent {
 		c.delivery.front.readTimes.note(c.delivery.request.service.Name, time.Since(c.started))
 	}
 	return c.end(f)
@@ -71,19 +71,19 @@
 	switch {
 	case v == misdirected:
 		c.gone()
-		return &failure{outcome: pairing.Misdirected, fate: notRun}
+		return &failure{outcome: scheduler.Misdirected, fate: notRun}
 	case v == rejected:
-		return &failure{outcome: pairing.Rejected, fate: notRun}
+		return &failure{outcome: scheduler.Rejected, fate: notRun}
 	case err != nil:
 		return c.broken(err)
 	case head.Status >= 500:
-		return &failure{outcome: pairing.Failed, fate: mayHaveRun}
+		return &failure{outcome: scheduler.Failed, fate: mayHaveRun}
 	}
 	handle, ok := parseHandle(kept.body)
 	if head.Status != 200 || !ok {
 		return c.brokenOff()
 	}
-	d.attempts.taken(pairing.Read)
+	d.attempts.taken(scheduler.Read)
 	d.ticket = newTicket(c.choice.Server, handle, d.request.tryID, d.request.service.Engine.HandleLife)
 	return nil
 }
--- a/internal/front/split_test.go
+++ b/internal/router/dataplane/split_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 // readsPrompt answers as a reading server does.
@@ -67,7 +67,7 @@
 func TestWhatFollowsAFailedSplit(t *testing.T) {
 	handle, written := readsPrompt("h"), events(1, 2, true)
 	lapsed := status(503, "Cresshub-Not-Run: 1", "Cresshub-Server-Load: 1,0,8")
-	read, write, serve := pairing.Read, pairing.Write, pairing.Serve
+	read, write, serve := scheduler.Read, scheduler.Write, scheduler.Serve
 	for _, test := range []struct {
 		name    string
 		route   string
@@ -75,42 +75,42 @@
 		write   []handler
 		slack   float64
 		status  int
-		roles   []pairing.Role // of the calls that came, readings first
+		roles   []scheduler.Role // of the calls that came, readings first
 		repeats int64
 		freed   int
 	}{
 		{"a reader is full", "modelfirm", []handler{full, handle}, []handler{written}, 100, 200,
-			[]pairing.Role{read, read, write}, 1, 0},
+			[]scheduler.Role{read, read, write}, 1, 0},
 		{"a reader is full and no repeat is left", "modelfirm", []handler{full}, []handler{written}, 0, 503,
-			[]pairing.Role{read}, 0, 0},
+			[]scheduler.Role{read}, 0, 0},
 		{"a reader is full and one server is allowed", "single", []handler{full}, []handler{written}, 100, 503,
-			[]pairing.Role{read}, 0, 0},
+			[]scheduler.Role{read}, 0, 0},
 		{"a reader breaks off and no repeat is left", "modelfirm", []handler{breakOff}, []handler{written}, 0, 503,
-			[]pairing.Role{read}, 0, 0},
+			[]scheduler.Role{read}, 0, 0},
 		{"a reader breaks off and a repeat is left", "modelfirm", []handler{breakOff, handle}, []handler{written},
-			100, 200, []pairing.Role{read, read, write}, 2, 0},
+			100, 200, []scheduler.Role{read, read, write}, 2, 0},
 		{"a reader breaks off and one server is allowed", "single", []handler{breakOff}, []handler{written},
-			100, 200, []pairing.Role{read, serve}, 1, 0},
+			100, 200, []scheduler.Role{read, serve}, 1, 0},
 		{"a reader talks nonsense", "modelfirm", []handler{ok("{}")}, []handler{written}, 0, 200,
-			[]pairing.Role{read, serve}, 0, 0},
+			[]scheduler.Role{read, serve}, 0, 0},
 		{"a reader fails", "modelfirm", []handler{failure500}, []handler{written}, 0, 200,
-			[]pairing.Role{read, serve}, 0, 0},
+			[]scheduler.Role{read, serve}, 0, 0},
 		{"a reader is another one", "modelfirm", []handler{elsewhere, handle}, []handler{written}, 100, 200,
-			[]pairing.Role{read, read, write}, 1, 0},
+			[]scheduler.Role{read, read, write}, 1, 0},
 		{"the handle has lapsed", "modelfirm", []handler{handle}, []handler{lapsed, written}, 100, 200,
-			[]pairing.Role{read, write, serve}, 1, 1},
+			[]scheduler.Role{read, write, serve}, 1, 1},
 		{"the handle has lapsed and no repeat is left", "modelfirm", []handler{handle}, []handler{lapsed}, 0, 503,
-			[]pairing.Role{read, write}, 0, 1},
+			[]scheduler.Role{read, write}, 0, 1},
 		{"a writer is full", "modelfirm", []handler{handle}, []handler{full, written}, 100, 200,
-			[]pairing.Role{read, write, write}, 1, 0},
+			[]scheduler.Role{read, write, write}, 1, 0},
 		{"all writers are full", "modelfirm", []handler{handle}, []handler{full}, 100, 503,
-			[]pairing.Role{read, write, write, write}, 2, 1},
+			[]scheduler.Role{read, write, write, write}, 2, 1},
 		{"a writer breaks off", "modelfirm", []handler{handle}, []handler{breakOff, written}, 100, 502,
-			[]pairing.Role{read, write}, 0, 1},
+			[]scheduler.Role{read, write}, 0, 1},
 		{"a writer breaks off and may run twice", "model", []handler{handle}, []handler{breakOff, written},
-			100, 200, []pairing.Role{read, write, serve}, 1, 1},
+			100, 200, []scheduler.Role{read, write, serve}, 1, 1},
 		{"a stream breaks off and goes on", "model", []handler{handle},
-			[]handler{streams("s1", false, event(1)), goesOn(2)}, 100, 200, []pairing.Role{read, write, serve}, 1, 0},
+			[]handler{streams("s1", false, event(1)), goesOn(2)}, 100, 200, []scheduler.Role{read, write, serve}, 1, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			readers, writers := pair(t, inTurn(test.read...), inTurn(test.write...))
@@ -141,17 +141,17 @@
 }
 
 // roles tells the roles of all calls that came.
-func roles(readers, writers []*server) (roles []pairing.Role) {
+func roles(readers, writers []*server) (roles []scheduler.Role) {
 	for _, s := range append(readers, writers...) {
 		for _, q := range s.got() {
 			switch {
 			case q.Method == "DELETE":
 			case q.Header.Get(stageHeader) != "":
-				roles = append(roles, pairing.Read)
+				roles = append(roles, scheduler.Read)
 			case q.Header.Get(kvFromHeader) != "":
-				roles = append(roles, pairing.Write)
+				roles = append(roles, scheduler.Write)
 			default:
-				roles = append(roles, pairing.Serve)
+				roles = append(roles, scheduler.Serve)
 			}
 		}
 	}
@@ -166,14 +166,14 @@
 	answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 1000")
 	r.Assert(answer.Status, qt.Equals, 200)
 	r.Assert(<-ended, qt.Equals, "a")
-	r.Assert(roles(readers, writers), qt.DeepEquals, []pairing.Role{pairing.Read, pairing.Serve})
+	r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Read, scheduler.Serve})
 }
 
 func TestWithoutReadersOrWriters(t *testing.T) {
 	_, writers := pair(t, breakOff, events(1, 2, true))
 	r := newRig(t, nil, writers...)
 	r.Assert(r.dial().ask("POST", "/modelfirm/", "a", "").Status, qt.Equals, 200)
-	r.Assert(roles(nil, writers), qt.DeepEquals, []pairing.Role{pairing.Serve})
+	r.Assert(roles(nil, writers), qt.DeepEquals, []scheduler.Role{scheduler.Serve})
 
 	readers, _ := pair(t, readsPrompt("h"), breakOff)
 	r = newRig(t, nil, readers...)
@@ -192,8 +192,8 @@
 		p.Close()
 		r.Assert(<-ended, qt.Equals, "a")
 		r.settled()
-		r.Assert(roles(readers, writers), qt.DeepEquals, []pairing.Role{pairing.Read})
-		r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Abandoned})
+		r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Read})
+		r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 	})
 	t.Run("while it is written", func(t *testing.T) {
 		readers, writers := pair(t, readsPrompt("h"), silence(ended))
@@ -205,8 +205,8 @@
 		r.Assert(<-ended, qt.Equals, "a")
 		r.until("the handle is freed", func() bool { return freed(readers) == 1 })
 		r.settled()
-		r.Assert(roles(readers, writers), qt.DeepEquals, []pairing.Role{pairing.Read, pairing.Write})
-		r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Served, pairing.Abandoned})
+		r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Read, scheduler.Write})
+		r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Served, scheduler.Abandoned})
 	})
 }
 
--- a/internal/front/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -1,14 +1,14 @@
-package front
+package dataplane
 
 import (
 	"strings"
 	"sync"
 	"time"
 
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
 	"cresshub/internal/invariant"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/scheduler"
 )
 
 var readBuffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
@@ -146,7 +146,7 @@
 // clientGone says that the client did not let the answer in.
 func (r *relay) clientGone(c *call) *failure {
 	c.delivery.stop(clientLeft)
-	return &failure{outcome: pairing.Abandoned, fate: mayHaveRun}
+	return &failure{outcome: scheduler.Abandoned, fate: mayHaveRun}
 }
 
 // pauseUntil is when a stream counts as broken if its server sends nothing more.
--- a/internal/front/stream_test.go
+++ b/internal/router/dataplane/stream_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetconfig"
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/scheduler"
 )
 
 // streamHead begins a stream that names its server in its stamp.
@@ -182,7 +182,7 @@
 			r.Assert(string(answer.Body), qt.Equals, test.body)
 			<-ended
 			r.settled()
-			r.Assert(r.chooser.outcomes()[0], qt.Equals, pairing.Silent)
+			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.Silent)
 		})
 	}
 }
--- a/internal/front/tickets.go
+++ b/internal/router/dataplane/tickets.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/catalog"
 )
 
 const (
--- a/internal/front/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"time"
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 
 	"cresshub/internal/invariant"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // endReason says in one word why nothing more was tried for a request.
@@ -39,8 +39,8 @@
 // failedCall is one call that did not bring the whole answer.
 type failedCall struct {
 	server  string
-	role    pairing.Role
-	outcome pairing.Outcome
+	role    scheduler.Role
+	outcome scheduler.Outcome
 	fate    fate
 	at      time.Duration // since the request's arrival
 	took    time.Duration
@@ -65,9 +65,9 @@
 // beginCall checks a call that is about to be sent.
 func (t *deliveryTrace) beginCall(c *call) {
 	d := c.delivery
-	invariant.Holds(c.role == pairing.Read || !t.unsafe, invariant.UnsafeSentOnce,
+	invariant.Holds(c.role == scheduler.Read || !t.unsafe, invariant.UnsafeSentOnce,
 		"try %s goes to %s though it may have run", d.request.tryID, c.choice.Server.ID)
-	if c.role == pairing.Write {
+	if c.role == scheduler.Write {
 		invariant.Holds(d.ticket.tryID == d.request.tryID, invariant.TicketOfOwnRequest,
 			"try %s goes on from the memory of try %s", d.request.tryID, d.ticket.tryID)
 	}
@@ -84,7 +84,7 @@
 		return
 	}
 	notRun := f.fate == notRun || f.fate == notSent
-	if sent && !notRun && c.role != pairing.Read && !d.request.route.Idempotent() {
+	if sent && !notRun && c.role != scheduler.Read && !d.request.route.Idempotent() {
 		t.unsafe = true
 	}
 	took := c.took()
@@ -94,7 +94,7 @@
 
 func (t *deliveryTrace) countArrival(c *call, f *failure) {
 	rejected := f != nil && f.fate == notRun
-	if c.role == pairing.Read && !t.free && !rejected {
+	if c.role == scheduler.Read && !t.free && !rejected {
 		t.free = true
 		return
 	}
@@ -124,12 +124,12 @@
 		Str("fate", fateNames[f.fate]).Dur("at_ms", f.at).Dur("took_ms", f.took)
 }
 
-var roleNames = [...]string{pairing.Serve: "serve", pairing.Read: "read", pairing.Write: "write"}
+var roleNames = [...]string{scheduler.Serve: "serve", scheduler.Read: "read", scheduler.Write: "write"}
 
 var fateNames = [...]string{notSent: "not_sent", notRun: "not_run", mayHaveRun: "may_have_run"}
 
 var outcomeNames = [...]string{
-	pairing.Served: "served", pairing.Failed: "failed", pairing.Rejected: "rejected",
-	pairing.Misdirected: "misdirected", pairing.Unreachable: "unreachable", pairing.Broken: "broken",
-	pairing.Silent: "silent", pairing.Abandoned: "abandoned", pairing.HandleFailed: "handle_failed",
+	scheduler.Served: "served", scheduler.Failed: "failed", scheduler.Rejected: "rejected",
+	scheduler.Misdirected: "misdirected", scheduler.Unreachable: "unreachable", scheduler.Broken: "broken",
+	scheduler.Silent: "silent", scheduler.Abandoned: "abandoned", scheduler.HandleFailed: "handle_failed",
 }
--- a/internal/front/trouble_test.go
+++ b/internal/router/dataplane/trouble_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
+	"cresshub/internal/router/catalog"
 )
 
 // lastPiece is how many pieces each stream of the troubled servers has.
--- a/internal/front/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"bufio"
@@ -15,16 +15,16 @@
 	qt "github.com/frankban/quicktest"
 	"golang.org/x/sys/unix"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
-	"cresshub/internal/nodesettings"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 // upload is larger than what the systems on both sides hold of it.
 const upload = 7 << 20
 
-func allowUploads(settings *nodesettings.Settings, state *fakeState) {
+func allowUploads(settings *agentsettings.Settings, state *fakeState) {
 	settings.MemoryBytes = 64 << 20 * bodiesPart
 	state.config.Limits.BodyBytes = upload
 }
@@ -98,7 +98,7 @@
 	answer := p.ask("POST", "/unsafe/", "a", strings.Repeat("x", 200_000), "Cresshub-Deadline-Ms: 2000")
 	r.Assert(answer.Status, qt.Equals, 504)
 	r.settled()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Silent})
+	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Silent})
 	r.Assert(r.state.suspected, qt.HasLen, 0)
 }
 
@@ -120,7 +120,7 @@
 	p.Close()
 	<-gone
 	r.settled()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []pairing.Outcome{pairing.Abandoned})
+	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 }
 
 // awaitHangUp waits until the other side has ended the connection, of which nothing is read.
--- a/internal/front/verdict.go
+++ b/internal/router/dataplane/verdict.go
@@ -1,8 +1,8 @@
-package front
+package dataplane
 
 import (
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/scheduler"
 )
 
 // fate is what is known of whether a call's request has run.
@@ -71,9 +71,9 @@
 }
 
 // outcomes tells the decisions how a call with such an answer ended.
-var outcomes = map[verdict]pairing.Outcome{
-	pass: pairing.Served, rejected: pairing.Rejected, misdirected: pairing.Misdirected, failed: pairing.Failed,
-	unusable: pairing.Broken,
+var outcomes = map[verdict]scheduler.Outcome{
+	pass: scheduler.Served, rejected: scheduler.Rejected, misdirected: scheduler.Misdirected, failed: scheduler.Failed,
+	unusable: scheduler.Broken,
 }
 
 func (c *call) answerTraits(head *http1.Response, body *http1.Body) traits {
--- a/internal/front/waiton_test.go
+++ b/internal/router/dataplane/waiton_test.go
@@ -1,4 +1,4 @@
-package front
+package dataplane
 
 import (
 	"io"
@@ -9,9 +9,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/http1"
-	"cresshub/internal/pairing"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/scheduler"
 )
 
 // A silent server is given up for another one, and for nothing else: where no repeat is left when its time
@@ -31,7 +31,7 @@
 			c.delivery.relay.begun, c.delivery.relay.order.any = true, true
 		}, false},
 		{"a stream that may not go on", "stream", 100, func(c *call) { c.delivery.relay.begun = true }, true},
-		{"a reader", "model", 0, func(c *call) { c.role = pairing.Read }, false},
+		{"a reader", "model", 0, func(c *call) { c.role = scheduler.Read }, false},
 		{"no time is left", "safe", 0, func(c *call) { c.delivery.request.end = time.Now() }, false},
 		{"the client has left", "safe", 0, func(c *call) { c.delivery.why = clientLeft }, false},
 	} {
@@ -58,7 +58,7 @@
 	q.pairing.Service = q.service
 	socket := &socket{Conn: near}
 	call := &call{delivery: newDelivery(&client{front: r.front, socket: socket}, q),
-		conn: &connection{socket: socket}, choice: &pairing.Call{Server: &catalog.Server{ID: "i-1"}}}
+		conn: &connection{socket: socket}, choice: &scheduler.Call{Server: &catalog.Server{ID: "i-1"}}}
 	change(call)
 	near.SetReadDeadline(longAgo)
 	socket.waiter = call
--- a/internal/directory/directory.go
+++ b/internal/router/directory/directory.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/catalog"
 	"cresshub/internal/invariant"
+	"cresshub/internal/router/catalog"
 )
 
 const (
--- a/internal/directory/record.go
+++ b/internal/router/directory/record.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 )
 
 // Kind tells what a record describes.
--- a/internal/calllog/calllog.go
+++ b/internal/router/latereport/calllog.go
@@ -1,6 +1,6 @@
-// Package calllog reads the log lines that proxies write of each call to a model server, and tells why
+// Package latereport reads the log lines that proxies write of each call to a model server, and tells why
 // answers were late. It is for operators and experiments; no process of the fleet uses it.
-package calllog
+package latereport
 
 import (
 	"bufio"
--- a/internal/calllog/summary.go
+++ b/internal/router/latereport/summary.go
@@ -1,4 +1,4 @@
-package calllog
+package latereport
 
 import (
 	"cmp"
--- a/internal/peerwire/kind_names.go
+++ b/internal/router/peerproto/kind_names.go
@@ -1,4 +1,4 @@
-package peerwire
+package peerproto
 
 // kindNames are the names of the kinds of frames, for figures and logs.
 var kindNames = [Kinds]string{
--- a/internal/peerwire/messages.go
+++ b/internal/router/peerproto/messages.go
@@ -1,13 +1,13 @@
-// Package peerwire defines what the processes of the fleet say to each other: frames of a length, a kind, a
+// Package peerproto defines what the processes of the fleet say to each other: frames of a length, a kind, a
 // call number and a body in Avro's binary encoding.
-package peerwire
+package peerproto
 
 import (
 	"fmt"
 
 	"github.com/hamba/avro/v2"
 
-	"cresshub/internal/directory"
+	"cresshub/internal/router/directory"
 )
 
 // Kind tells what a frame's body holds.
--- a/internal/peerwire/pack_test.go
+++ b/internal/router/peerproto/pack_test.go
@@ -1,4 +1,4 @@
-package peerwire
+package peerproto
 
 import (
 	"bytes"
--- a/internal/peerwire/peerwire_test.go
+++ b/internal/router/peerproto/peerwire_test.go
@@ -1,4 +1,4 @@
-package peerwire
+package peerproto
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/directory"
+	"cresshub/internal/router/directory"
 )
 
 var record = directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 7, State: directory.Draining,
--- a/internal/stageplan/stageplan.go
+++ b/internal/router/roleplan/stageplan.go
@@ -1,13 +1,13 @@
-// Package stageplan decides how many of a service's model servers read prompts and how many make tokens, and
+// Package roleplan decides how many of a service's model servers read prompts and how many make tokens, and
 // which servers are to change. It is pure.
-package stageplan
+package roleplan
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 )
 
 const (
--- a/internal/stageplan/stageplan_test.go
+++ b/internal/router/roleplan/stageplan_test.go
@@ -1,4 +1,4 @@
-package stageplan
+package roleplan
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 )
 
 // fleet returns servers of which the first writers make tokens, in three zones in turn.
--- a/internal/pairing/affinity_test.go
+++ b/internal/router/scheduler/affinity_test.go
@@ -1,4 +1,4 @@
-package pairing
+package scheduler
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 
 	qt "github.com/frankban/quicktest"
 )
--- a/internal/pairing/chooser.go
+++ b/internal/router/scheduler/chooser.go
@@ -1,11 +1,11 @@
-package pairing
+package scheduler
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // Chooser holds what is known of the load of servers.
--- a/internal/pairing/crowded_test.go
+++ b/internal/router/scheduler/crowded_test.go
@@ -1,10 +1,10 @@
-package pairing
+package scheduler
 
 import (
 	"testing"
 	"time"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 
 	qt "github.com/frankban/quicktest"
 )
--- a/internal/pairing/fit.go
+++ b/internal/router/scheduler/fit.go
@@ -1,4 +1,4 @@
-package pairing
+package scheduler
 
 const (
 	fitMemory = 60.0 // samples that a fit remembers, by their weights
--- a/internal/pairing/learn.go
+++ b/internal/router/scheduler/learn.go
@@ -1,9 +1,9 @@
-package pairing
+package scheduler
 
 import (
 	"time"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 )
 
 // ownTime is the ms until the first sign of an answer that a call takes by itself.
--- a/internal/pairing/level_test.go
+++ b/internal/router/scheduler/level_test.go
@@ -1,11 +1,11 @@
-package pairing
+package scheduler
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 
 	qt "github.com/frankban/quicktest"
 )
--- a/internal/pairing/near.go
+++ b/internal/router/scheduler/near.go
@@ -1,6 +1,6 @@
-package pairing
+package scheduler
 
-import "cresshub/internal/catalog"
+import "cresshub/internal/router/catalog"
 
 // zoneMargin is how many mean service times the mean level of the near writers must exceed the others' by
 // before those join them.
--- a/internal/pairing/pairing.go
+++ b/internal/router/scheduler/pairing.go
@@ -1,17 +1,17 @@
-// Package pairing decides which servers a request goes to: for a model service the server that reads the
+// Package scheduler decides which servers a request goes to: for a model service the server that reads the
 // prompt and the one that makes the tokens, for other services the one server. It is pure: it has no input,
 // output, clock or goroutine, and its callers hold a lock of their own. Times are on a steady clock.
 //
 // Each send is drawn at random from the shares of Basic LI (Dahlin, "Interpreting Stale Load Information"):
 // the levels known of the candidates are filled like water up to what arrives while nothing newer is known.
 // All levels are in milliseconds of work of the server; level.go states them, age.go states what arrives.
-package pairing
+package scheduler
 
 import (
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // Part is a part of a prompt that other requests may share.
--- a/internal/pairing/pairing_test.go
+++ b/internal/router/scheduler/pairing_test.go
@@ -1,12 +1,12 @@
-package pairing
+package scheduler
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/fleetconfig"
 
 	qt "github.com/frankban/quicktest"
 )
--- a/internal/pairing/pool.go
+++ b/internal/router/scheduler/pool.go
@@ -1,10 +1,10 @@
-package pairing
+package scheduler
 
 import (
 	"time"
 
-	"cresshub/internal/catalog"
-	"cresshub/internal/fleetconfig"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // Guesses that hold until own calls have shown better; each counts for a few samples.
--- a/internal/pairing/popularity_test.go
+++ b/internal/router/scheduler/popularity_test.go
@@ -1,4 +1,4 @@
-package pairing
+package scheduler
 
 import (
 	"testing"
--- a/internal/pairing/prefix_test.go
+++ b/internal/router/scheduler/prefix_test.go
@@ -1,4 +1,4 @@
-package pairing
+package scheduler
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 )
 
 func chainOf(parts ...string) *prompt {
--- a/internal/pairing/server.go
+++ b/internal/router/scheduler/server.go
@@ -1,10 +1,10 @@
-package pairing
+package scheduler
 
 import (
 	"slices"
 	"time"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 
 	"github.com/cespare/xxhash/v2"
 )
--- a/internal/pairing/sharing_test.go
+++ b/internal/router/scheduler/sharing_test.go
@@ -1,4 +1,4 @@
-package pairing
+package scheduler
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/catalog"
+	"cresshub/internal/router/catalog"
 )
 
 func TestBacklog(t *testing.T) {
--- a/internal/peerlink/accept_test.go
+++ b/internal/router/transport/accept_test.go
@@ -1,4 +1,4 @@
-package peerlink
+package transport
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"cresshub/internal/acceptloop/faultylistener"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 // TestServeOutlivesAFailedAccept: a process that is short of descriptors for a moment is reached by the
@@ -19,13 +19,13 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	short := faultylistener.New(listener, 3)
-	handler := &echo{peerwire.KindPing, make(chan string, 100), make(chan string, 100)}
+	handler := &echo{peerproto.KindPing, make(chan string, 100), make(chan string, 100)}
 	endpoint := NewEndpoint(HostNetwork{})
 	served := make(chan error, 1)
 	go func() { served <- endpoint.Serve(short, handler) }()
 	states := make(chan bool, 100)
-	hello := func() []byte { return peerwire.Encode(&peerwire.Hello{ID: "caller"}) }
-	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerwire.Frame) {},
+	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: "caller"}) }
+	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerproto.Frame) {},
 		func(up bool) { states <- up })
 	defer link.Stop()
 	c.Assert(<-states, qt.IsTrue)
@@ -41,6 +41,6 @@
 
 // answered calls until the other process has heard a call, and returns who called.
 func answered(link *Link, handler *echo) <-chan string {
-	go link.Call(peerwire.KindUpsert, nil, time.Minute)
+	go link.Call(peerproto.KindUpsert, nil, time.Minute)
 	return handler.peers
 }
--- a/internal/peerlink/conn.go
+++ b/internal/router/transport/conn.go
@@ -1,6 +1,6 @@
-// Package peerlink carries frames between the processes of the fleet: connections that queue what they send,
+// Package transport carries frames between the processes of the fleet: connections that queue what they send,
 // links that connect again by themselves, and calls that are answered or time out.
-package peerlink
+package transport
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 const (
@@ -26,7 +26,7 @@
 type Conn struct {
 	conn    net.Conn
 	traffic *counters
-	queue   chan peerwire.Frame
+	queue   chan peerproto.Frame
 	closed  chan struct{}
 	once    sync.Once
 
@@ -35,7 +35,7 @@
 
 func newConn(c net.Conn, traffic *counters) *Conn {
 	setUserTimeout(c)
-	conn := &Conn{conn: c, traffic: traffic, queue: make(chan peerwire.Frame, queueLength),
+	conn := &Conn{conn: c, traffic: traffic, queue: make(chan peerproto.Frame, queueLength),
 		closed: make(chan struct{})}
 	go conn.write()
 	return conn
@@ -49,7 +49,7 @@
 
 // Send queues a frame and tells whether it could. A connection whose queue is full ends, because its other
 // side does not read; it starts anew from what it knows.
-func (c *Conn) Send(frame peerwire.Frame) bool {
+func (c *Conn) Send(frame peerproto.Frame) bool {
 	select {
 	case <-c.closed:
 		return false
@@ -62,8 +62,8 @@
 }
 
 // Answer queues an answer to a call.
-func (c *Conn) Answer(call peerwire.Frame, kind peerwire.Kind, body []byte) {
-	c.Send(peerwire.Frame{Kind: kind, Call: call.Call, Body: body})
+func (c *Conn) Answer(call peerproto.Frame, kind peerproto.Kind, body []byte) {
+	c.Send(peerproto.Frame{Kind: kind, Call: call.Call, Body: body})
 }
 
 // Close ends the connection.
@@ -83,7 +83,7 @@
 		case frame := <-c.queue:
 			add(&c.traffic.sent, &frame)
 			c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if err := peerwire.WriteFrame(w, frame); err != nil {
+			if err := peerproto.WriteFrame(w, frame); err != nil {
 				c.Close()
 				return
 			}
@@ -91,11 +91,11 @@
 	}
 }
 
-func (c *Conn) read(take func(peerwire.Frame)) {
+func (c *Conn) read(take func(peerproto.Frame)) {
 	defer c.Close()
 	r := bufio.NewReaderSize(c.conn, bufferSize)
 	for {
-		frame, err := peerwire.ReadFrame(r)
+		frame, err := peerproto.ReadFrame(r)
 		if err != nil {
 			return
 		}
--- a/internal/peerlink/dial_test.go
+++ b/internal/router/transport/dial_test.go
@@ -1,4 +1,4 @@
-package peerlink
+package transport
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 var errSilence = errors.New("nothing answers")
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := silentNetwork{make(chan time.Duration, 8)}
 		link := NewEndpoint(network).NewLink("10.0.0.1:1", func() []byte { return nil },
-			func(peerwire.Frame) {}, func(bool) {})
+			func(peerproto.Frame) {}, func(bool) {})
 		for _, wait := range []time.Duration{leastDialTimeout, 2 * leastDialTimeout, mostDialTimeout,
 			mostDialTimeout} {
 			qt.Check(t, <-network.waits, qt.Equals, wait)
--- a/internal/peerlink/endpoint.go
+++ b/internal/router/transport/endpoint.go
@@ -1,11 +1,11 @@
-package peerlink
+package transport
 
 import (
 	"net"
 	"time"
 
 	"cresshub/internal/acceptloop"
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 // Network opens and accepts the connections of a process.
@@ -43,10 +43,10 @@
 func (e *Endpoint) Traffic() Traffic { return e.traffic.snapshot() }
 
 // NewLink starts a link. The functions are called from goroutines of the link, and must not block.
-func (e *Endpoint) NewLink(address string, hello func() []byte, other func(peerwire.Frame),
+func (e *Endpoint) NewLink(address string, hello func() []byte, other func(peerproto.Frame),
 	state func(up bool)) *Link {
 	l := &Link{Address: address, endpoint: e, hello: hello, other: other, state: state,
-		calls: map[uint64]chan peerwire.Frame{}, stop: make(chan struct{})}
+		calls: map[uint64]chan peerproto.Frame{}, stop: make(chan struct{})}
 	go l.run()
 	return l
 }
--- a/internal/peerlink/link.go
+++ b/internal/router/transport/link.go
@@ -1,11 +1,11 @@
-package peerlink
+package transport
 
 import (
 	"errors"
 	"sync"
 	"time"
 
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 // Errors of a call.
@@ -29,13 +29,13 @@
 	Address string
 
 	endpoint *Endpoint
-	hello    func() []byte        // body of the first frame
-	other    func(peerwire.Frame) // takes frames that answer no call waited for
-	state    func(up bool)        // told whenever the connection opens or ends
+	hello    func() []byte         // body of the first frame
+	other    func(peerproto.Frame) // takes frames that answer no call waited for
+	state    func(up bool)         // told whenever the connection opens or ends
 
 	mu      sync.Mutex
 	conn    *Conn // nil while there is none
-	calls   map[uint64]chan peerwire.Frame
+	calls   map[uint64]chan peerproto.Frame
 	last    uint64 // number of the last call
 	stopped bool
 	stop    chan struct{}
@@ -72,29 +72,29 @@
 }
 
 // Send queues a frame that is not answered, and tells whether it could.
-func (l *Link) Send(kind peerwire.Kind, body []byte) bool {
+func (l *Link) Send(kind peerproto.Kind, body []byte) bool {
 	l.mu.Lock()
 	conn := l.conn
 	l.mu.Unlock()
-	return conn != nil && conn.Send(peerwire.Frame{Kind: kind, Body: body})
+	return conn != nil && conn.Send(peerproto.Frame{Kind: kind, Body: body})
 }
 
 // Call sends a frame and returns the answer's.
-func (l *Link) Call(kind peerwire.Kind, body []byte, timeout time.Duration) (peerwire.Frame, error) {
+func (l *Link) Call(kind peerproto.Kind, body []byte, timeout time.Duration) (peerproto.Frame, error) {
 	l.mu.Lock()
 	conn := l.conn
 	if conn == nil {
 		l.mu.Unlock()
-		return peerwire.Frame{}, ErrDown
+		return peerproto.Frame{}, ErrDown
 	}
 	l.last++
 	number := l.last
-	answer := make(chan peerwire.Frame, 1)
+	answer := make(chan peerproto.Frame, 1)
 	l.calls[number] = answer
 	l.mu.Unlock()
 	defer l.forget(number)
-	if !conn.Send(peerwire.Frame{Kind: kind, Call: number, Body: body}) {
-		return peerwire.Frame{}, ErrDown
+	if !conn.Send(peerproto.Frame{Kind: kind, Call: number, Body: body}) {
+		return peerproto.Frame{}, ErrDown
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -102,9 +102,9 @@
 	case frame := <-answer:
 		return frame, nil
 	case <-conn.Closed():
-		return peerwire.Frame{}, ErrDown
+		return peerproto.Frame{}, ErrDown
 	case <-timer.C:
-		return peerwire.Frame{}, ErrTimeout
+		return peerproto.Frame{}, ErrTimeout
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // use keeps a connection until it ends.
 func (l *Link) use(conn *Conn) {
-	conn.Send(peerwire.Frame{Kind: peerwire.KindHello, Body: l.hello()})
+	conn.Send(peerproto.Frame{Kind: peerproto.KindHello, Body: l.hello()})
 	l.mu.Lock()
 	if l.stopped {
 		conn.Close()
@@ -149,11 +149,11 @@
 	l.state(false)
 }
 
-func (l *Link) take(frame peerwire.Frame) {
+func (l *Link) take(frame peerproto.Frame) {
 	l.mu.Lock()
 	answer := l.calls[frame.Call]
 	l.mu.Unlock()
-	if frame.Call == 0 || answer == nil || frame.Kind == peerwire.KindFeed {
+	if frame.Call == 0 || answer == nil || frame.Kind == peerproto.KindFeed {
 		l.other(frame)
 		return
 	}
--- a/internal/peerlink/once.go
+++ b/internal/router/transport/once.go
@@ -1,10 +1,10 @@
-package peerlink
+package transport
 
 import (
 	"bufio"
 	"time"
 
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 // onceCall is the number of the only call on a connection of its own.
@@ -12,28 +12,28 @@
 
 // CallOnce makes one call over a connection of its own, and returns the answer's frame. It is for processes
 // that are called too seldom to keep a link to them.
-func (e *Endpoint) CallOnce(address string, hello []byte, kind peerwire.Kind, body []byte,
-	timeout time.Duration) (peerwire.Frame, error) {
+func (e *Endpoint) CallOnce(address string, hello []byte, kind peerproto.Kind, body []byte,
+	timeout time.Duration) (peerproto.Frame, error) {
 	deadline := time.Now().Add(timeout)
 	conn, err := e.network.Dial(address, timeout)
 	if err != nil {
-		return peerwire.Frame{}, err
+		return peerproto.Frame{}, err
 	}
 	defer conn.Close()
 	setUserTimeout(conn)
 	if err := conn.SetDeadline(deadline); err != nil {
-		return peerwire.Frame{}, err
+		return peerproto.Frame{}, err
 	}
 	out := bufio.NewWriterSize(conn, bufferSize)
-	for _, frame := range []peerwire.Frame{
-		{Kind: peerwire.KindHello, Body: hello}, {Kind: kind, Call: onceCall, Body: body},
+	for _, frame := range []peerproto.Frame{
+		{Kind: peerproto.KindHello, Body: hello}, {Kind: kind, Call: onceCall, Body: body},
 	} {
 		add(&e.traffic.sent, &frame)
-		if err := peerwire.WriteFrame(out, frame); err != nil {
-			return peerwire.Frame{}, err
+		if err := peerproto.WriteFrame(out, frame); err != nil {
+			return peerproto.Frame{}, err
 		}
 	}
-	answer, err := peerwire.ReadFrame(bufio.NewReaderSize(conn, bufferSize))
+	answer, err := peerproto.ReadFrame(bufio.NewReaderSize(conn, bufferSize))
 	if err == nil {
 		add(&e.traffic.received, &answer)
 	}
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/router/transport/peerlink_test.go
@@ -1,4 +1,4 @@
-package peerlink
+package transport
 
 import (
 	"net"
@@ -7,20 +7,20 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 // echo answers calls with their own body, except one to be silent on.
 type echo struct {
-	silent peerwire.Kind
+	silent peerproto.Kind
 	peers  chan string
 	gone   chan string
 }
 
-func (e *echo) Handle(c *Conn, frame peerwire.Frame) {
+func (e *echo) Handle(c *Conn, frame peerproto.Frame) {
 	e.peers <- c.Peer()
 	if frame.Kind != e.silent {
-		c.Answer(frame, peerwire.KindDone, frame.Body)
+		c.Answer(frame, peerproto.KindDone, frame.Body)
 	}
 }
 
@@ -29,12 +29,12 @@
 func start(t *testing.T) (*echo, net.Listener, *Link, chan bool) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	handler := &echo{peerwire.KindPing, make(chan string, 100), make(chan string, 100)}
+	handler := &echo{peerproto.KindPing, make(chan string, 100), make(chan string, 100)}
 	endpoint := NewEndpoint(HostNetwork{})
 	go endpoint.Serve(listener, handler)
 	states := make(chan bool, 100)
-	hello := func() []byte { return peerwire.Encode(&peerwire.Hello{ID: "caller"}) }
-	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerwire.Frame) {},
+	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: "caller"}) }
+	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerproto.Frame) {},
 		func(up bool) { states <- up })
 	t.Cleanup(func() {
 		link.Stop()
@@ -46,11 +46,11 @@
 func TestCallsAreAnsweredOrTimeOut(t *testing.T) {
 	handler, _, link, states := start(t)
 	qt.Assert(t, <-states, qt.IsTrue)
-	frame, err := link.Call(peerwire.KindUpsert, []byte("body"), time.Minute)
+	frame, err := link.Call(peerproto.KindUpsert, []byte("body"), time.Minute)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(frame.Body), qt.Equals, "body")
 	qt.Assert(t, <-handler.peers, qt.Equals, "caller")
-	_, err = link.Call(peerwire.KindPing, nil, time.Millisecond)
+	_, err = link.Call(peerproto.KindPing, nil, time.Millisecond)
 	qt.Assert(t, err, qt.Equals, ErrTimeout)
 }
 
@@ -60,7 +60,7 @@
 	link.Reset()
 	qt.Assert(t, <-states, qt.IsFalse)
 	qt.Assert(t, <-states, qt.IsTrue)
-	_, err := link.Call(peerwire.KindUpsert, nil, time.Minute)
+	_, err := link.Call(peerproto.KindUpsert, nil, time.Minute)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, <-handler.gone, qt.Matches, "caller|")
 }
@@ -71,7 +71,7 @@
 	listener.Close()
 	link.Reset()
 	qt.Assert(t, <-states, qt.IsFalse)
-	_, err := link.Call(peerwire.KindUpsert, nil, time.Minute)
+	_, err := link.Call(peerproto.KindUpsert, nil, time.Minute)
 	qt.Assert(t, err, qt.Equals, ErrDown)
 }
 
@@ -81,8 +81,8 @@
 	defer far.Close()
 	conn := newConn(near, &counters{})
 	for range queueLength + 2 {
-		conn.Send(peerwire.Frame{Kind: peerwire.KindPing})
+		conn.Send(peerproto.Frame{Kind: peerproto.KindPing})
 	}
-	qt.Assert(t, conn.Send(peerwire.Frame{Kind: peerwire.KindPing}), qt.IsFalse)
+	qt.Assert(t, conn.Send(peerproto.Frame{Kind: peerproto.KindPing}), qt.IsFalse)
 	<-conn.Closed()
 }
--- a/internal/peerlink/server.go
+++ b/internal/router/transport/server.go
@@ -1,19 +1,19 @@
-package peerlink
+package transport
 
-import "cresshub/internal/peerwire"
+import "cresshub/internal/router/peerproto"
 
 // Handler takes the frames that callers send. It is called in the goroutine that reads the connection, so a
 // call that takes long must be answered from another one.
 type Handler interface {
-	Handle(c *Conn, frame peerwire.Frame)
+	Handle(c *Conn, frame peerproto.Frame)
 	Gone(c *Conn) // the connection has ended
 }
 
 func serveConn(c *Conn, handler Handler) {
-	c.read(func(frame peerwire.Frame) {
-		if frame.Kind == peerwire.KindHello {
-			var hello peerwire.Hello
-			if peerwire.Decode(frame.Body, &hello) != nil {
+	c.read(func(frame peerproto.Frame) {
+		if frame.Kind == peerproto.KindHello {
+			var hello peerproto.Hello
+			if peerproto.Decode(frame.Body, &hello) != nil {
 				c.Close()
 				return
 			}
--- a/internal/peerlink/traffic.go
+++ b/internal/router/transport/traffic.go
@@ -1,9 +1,9 @@
-package peerlink
+package transport
 
 import (
 	"sync/atomic"
 
-	"cresshub/internal/peerwire"
+	"cresshub/internal/router/peerproto"
 )
 
 // Volume counts frames and their bytes.
@@ -24,20 +24,22 @@
 
 // Traffic is what the connections of a process carried, by kind of frame.
 type Traffic struct {
-	Sent     [peerwire.Kinds]Volume
-	Received [peerwire.Kinds]Volume
+	Sent     [peerproto.Kinds]Volume
+	Received [peerproto.Kinds]Volume
 }
 
 // volumeCounter is a Volume that goroutines count up at the same time.
 type volumeCounter struct{ frames, bytes atomic.Int64 }
 
 // counters counts the Traffic of a process.
-type counters struct{ sent, received [peerwire.Kinds]volumeCounter }
+type counters struct {
+	sent, received [peerproto.Kinds]volumeCounter
+}
 
 // add counts a frame; frames of unknown kinds are counted under 0.
-func add(all *[peerwire.Kinds]volumeCounter, frame *peerwire.Frame) {
+func add(all *[peerproto.Kinds]volumeCounter, frame *peerproto.Frame) {
 	kind := frame.Kind
-	if kind >= peerwire.Kinds {
+	if kind >= peerproto.Kinds {
 		kind = 0
 	}
 	all[kind].frames.Add(1)
