--- a/cmd/cresshub-lab/main.go
+++ b/cmd/cresshub-lab/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"cresshub/internal/labcli"
+	"cresshub/internal/simulation/labcli"
 )
 
 func main() { os.Exit(labcli.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/daemon"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 // The benchmarks drive requests over real loopback sockets, one after the other on kept connections, to a
--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 // pattern is a body of any length, each of whose bytes tells its place.
--- a/cmd/cresshub/cli_test.go
+++ b/cmd/cresshub/cli_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
+	"cresshub/internal/testbed/nettest"
 )
 
 // own is a file of ours for servers that stand in it.
--- a/cmd/cresshub/fleet_test.go
+++ b/cmd/cresshub/fleet_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"cresshub/internal/cluster/gossip"
-	"cresshub/internal/nettest"
+	"cresshub/internal/testbed/nettest"
 )
 
 // The settings of the fleet in these tests: probes every 200 ms, as the numbers are written for.
--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -16,8 +16,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 // asProgram is the variable that has the test binary be the program.
--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
+	"cresshub/internal/testbed/nettest"
 )
 
 const ready = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
--- a/cmd/cresshub/settings_test.go
+++ b/cmd/cresshub/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
+	"cresshub/internal/testbed/nettest"
 )
 
 // other is a configuration of another deployment: the names mean the opposite, and the limits differ.
--- a/internal/cluster/leaseholder/owner_test.go
+++ b/internal/cluster/leaseholder/owner_test.go
@@ -13,7 +13,7 @@
 	"cresshub/internal/cluster/groupstate"
 	"cresshub/internal/cluster/lease"
 	"cresshub/internal/cluster/ledger"
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // memory is a store of one copy in this process, which members may be cut off from.
@@ -174,9 +174,9 @@
 }
 
 // exporting is a sink, a store, and an owner "a" that exports the one to the other.
-func exporting(t *testing.T) (*standin.Sink, *memory, *Owner) {
+func exporting(t *testing.T) (*proxystandin.Sink, *memory, *Owner) {
 	t.Helper()
-	sink, err := standin.StartSink("127.0.0.1:0")
+	sink, err := proxystandin.StartSink("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	sink, s, a := exporting(t)
 	s.period(5)
 	until(t, "period 1", func() error { return exported(s, 1) })
-	sink.Trouble(standin.SinkTrouble{Reset: true}) // the sink stores and a does not hear of it
+	sink.Trouble(proxystandin.SinkTrouble{Reset: true}) // the sink stores and a does not hear of it
 	s.period(7)
 	until(t, "period 2 begun", func() error {
 		if len(sink.Entries()) < 3 {
@@ -207,7 +207,7 @@
 	if v := s.view(); v.Grant.Holder != "" || v.Sending != 2 {
 		t.Fatalf("after its end %+v", v)
 	}
-	sink.Trouble(standin.SinkTrouble{})
+	sink.Trouble(proxystandin.SinkTrouble{})
 	b := start(t, s, "b", sink.Address(), nil)
 	until(t, "period 2", func() error { return exported(s, 2) })
 	until(t, "the correction", func() error {
--- a/internal/proxy/adminapi/operator_test.go
+++ b/internal/proxy/adminapi/operator_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/stats"
+	"cresshub/internal/testbed/nettest"
 )
 
 type proxy struct {
--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 func newStandin() *cobra.Command {
@@ -34,7 +34,7 @@
 }
 
 func newStandinZone() *cobra.Command {
-	var o standin.ZoneOptions
+	var o proxystandin.ZoneOptions
 	var limit, lookup, assign time.Duration
 	var cold, asJSON bool
 	c := &cobra.Command{
@@ -50,9 +50,9 @@
 			since := time.Time{}
 			if cold {
 				since = time.Now()
-				o.Cold = standin.Cold{Start: 0.12, Warm: 23 * time.Second, Multiple: 4, After: 1500 * time.Millisecond}
+				o.Cold = proxystandin.Cold{Start: 0.12, Warm: 23 * time.Second, Multiple: 4, After: 1500 * time.Millisecond}
 			}
-			z, err := standin.StartZone(o, since)
+			z, err := proxystandin.StartZone(o, since)
 			if err != nil {
 				return err
 			}
@@ -101,7 +101,7 @@
 		Example: "  cresshub standin discovery --listen 127.0.0.1:8500 --server zone-1=127.0.0.1:9001",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			d, err := standin.StartDiscovery(listen)
+			d, err := proxystandin.StartDiscovery(listen)
 			if err != nil {
 				return err
 			}
@@ -111,7 +111,7 @@
 				if !ok {
 					return wrong("--server %q is no NAME=HOST:PORT", s)
 				}
-				d.Set(standin.Endpoint{Name: name, Address: address, Status: "in_service", Weight: 1})
+				d.Set(proxystandin.Endpoint{Name: name, Address: address, Status: "in_service", Weight: 1})
 			}
 			fmt.Fprintln(c.ErrOrStderr(), "listening on", d.Address())
 			untilEnd(c, limit)
@@ -134,7 +134,7 @@
 		Example: "  cresshub standin sink --listen 127.0.0.1:9950",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, err := standin.StartSink(listen)
+			s, err := proxystandin.StartSink(listen)
 			if err != nil {
 				return err
 			}
--- a/internal/proxy/cli/try.go
+++ b/internal/proxy/cli/try.go
@@ -17,14 +17,14 @@
 	"github.com/vbauerster/mpb/v8"
 	"github.com/vbauerster/mpb/v8/decor"
 
-	"cresshub/internal/standin"
-	"cresshub/internal/trial"
+	"cresshub/internal/testbed/proxystandin"
+	"cresshub/internal/testbed/proxytrial"
 )
 
 func newTry() *cobra.Command {
 	var asJSON bool
 	var logFile string
-	var o trial.Options
+	var o proxytrial.Options
 	c := &cobra.Command{
 		Use:   "try",
 		Short: "Try the proxy on this machine against stand-in servers",
@@ -45,7 +45,7 @@
 			case !(o.Load > 0 && o.Load <= 10):
 				return wrong("--load %g is out of range, above 0 to 10 is allowed", o.Load)
 			}
-			if err := trial.CheckTrouble(o.Trouble); err != nil {
+			if err := proxytrial.CheckTrouble(o.Trouble); err != nil {
 				return usageError{err}
 			}
 			var err error
@@ -63,7 +63,7 @@
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
 			end := watchTrial(c.ErrOrStderr(), &o)
-			r, err := trial.Run(ctx, o)
+			r, err := proxytrial.Run(ctx, o)
 			end()
 			if r != nil {
 				if perr := printTrial(c.OutOrStdout(), r, asJSON); err == nil {
@@ -87,7 +87,7 @@
 	f.IntVar(&o.Servers, "servers", 10, "zone servers, two in five of half speed")
 	f.Float64Var(&o.Rate, "rate", 0, "requests a second; 0 goes by --load")
 	f.Float64Var(&o.Load, "load", 0.6, "part of what the servers can do with cold keys")
-	f.StringVar(&o.Trouble, "trouble", "", "in the middle: "+strings.Join(trial.Troubles, ", "))
+	f.StringVar(&o.Trouble, "trouble", "", "in the middle: "+strings.Join(proxytrial.Troubles, ", "))
 	f.Uint64Var(&o.Seed, "seed", 1, "for arrivals, work and keys")
 	f.StringArrayVar(&o.Set, "set", nil, "KEY=VALUE of the proxy's configuration; may be repeated")
 	f.StringVar(&logFile, "log", "", "file for the proxy's log")
@@ -96,21 +96,21 @@
 }
 
 // watchTrial shows a live line where somebody can see it, and returns what ends that.
-func watchTrial(w io.Writer, o *trial.Options) func() {
+func watchTrial(w io.Writer, o *proxytrial.Options) func() {
 	f, ok := w.(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) {
 		return func() {}
 	}
-	var now atomic.Pointer[standin.Totals]
-	now.Store(&standin.Totals{})
+	var now atomic.Pointer[proxystandin.Totals]
+	now.Store(&proxystandin.Totals{})
 	lines := mpb.New(mpb.WithOutput(w), mpb.WithWidth(24))
 	bar := lines.AddBar(o.For.Milliseconds(), mpb.BarRemoveOnComplete(),
 		mpb.AppendDecorators(decor.Any(func(decor.Statistics) string {
 			t := now.Load()
 			return fmt.Sprintf("offered %d  in time %d  refused %d  p99 %s", t.Offered, t.InTime,
-				t.By[standin.Refused], t.P99.Round(time.Millisecond))
+				t.By[proxystandin.Refused], t.P99.Round(time.Millisecond))
 		})))
-	o.Live = func(done time.Duration, t standin.Totals) {
+	o.Live = func(done time.Duration, t proxystandin.Totals) {
 		now.Store(&t)
 		bar.SetCurrent(min(done, o.For).Milliseconds())
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-func printTrial(w io.Writer, r *trial.Report, asJSON bool) error {
+func printTrial(w io.Writer, r *proxytrial.Report, asJSON bool) error {
 	if asJSON {
 		return printJSON(w, r)
 	}
@@ -142,7 +142,7 @@
 		return err
 	}
 	fmt.Fprintln(w)
-	for _, rule := range []string{trial.OneAnswer, trial.NeverTwice, trial.DrainKept, trial.ColdKept} {
+	for _, rule := range []string{proxytrial.OneAnswer, proxytrial.NeverTwice, proxytrial.DrainKept, proxytrial.ColdKept} {
 		state := "kept"
 		if n := r.Rules[rule]; n > 0 {
 			state = fmt.Sprintf("BROKEN %d times", n)
--- a/internal/proxy/discovery/crossings_test.go
+++ b/internal/proxy/discovery/crossings_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/internal/proxy/discovery/discovery_test.go
+++ b/internal/proxy/discovery/discovery_test.go
@@ -11,11 +11,11 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/balance"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/proxy/stats"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 func client(address string) *Client {
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -10,8 +10,8 @@
 
 	"cresshub/balance"
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 // settled waits until nothing is held for anybody any more.
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/drain"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 // held is a zone server whose answers wait until release is closed.
--- a/internal/proxy/ingress/left_test.go
+++ b/internal/proxy/ingress/left_test.go
@@ -10,8 +10,8 @@
 
 	"cresshub/balance"
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 // leaves are the ways in which a client leaves. The end of its sending alone is one of them: it is all that a
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -9,13 +9,13 @@
 
 	"cresshub/balance"
 	"cresshub/internal/bodies"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/proxy/drain"
 	"cresshub/internal/proxy/stats"
 	"cresshub/internal/proxy/upstream"
+	"cresshub/internal/testbed/nettest"
 )
 
 // rig is a proxy without discovery: what it lists, and when a look-up is answered, a test says.
--- a/internal/proxy/ingress/window_test.go
+++ b/internal/proxy/ingress/window_test.go
@@ -7,7 +7,7 @@
 
 	"cresshub/balance"
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
+	"cresshub/internal/testbed/nettest"
 )
 
 // Servers drop a repeat within a window only. A repeat that was decided in time and has its first byte later,
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 const head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
--- a/internal/proxy/upstream/crossings_test.go
+++ b/internal/proxy/upstream/crossings_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 // A second answer that comes some milliseconds late, when the next request is already out, is not taken
--- a/internal/proxy/upstream/rest_test.go
+++ b/internal/proxy/upstream/rest_test.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 // What is left of an answer has all the time that a stall may last from its last piece on, whatever of its
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -13,11 +13,11 @@
 
 	"cresshub/internal/bodies"
 	"cresshub/internal/http1"
-	"cresshub/internal/nettest"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/proxy/stats"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/nettest"
 )
 
 type place struct {
--- a/internal/router/cli/faulty_router.go
+++ b/internal/router/cli/faulty_router.go
@@ -5,9 +5,9 @@
 import (
 	"os"
 
-	"cresshub/internal/faultinject"
 	"cresshub/internal/router/agent"
 	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/testbed/faultinject"
 )
 
 // faultyRouterCommand runs one process of the fleet with faults that lines on standard input put into it.
--- a/internal/router/cli/progress.go
+++ b/internal/router/cli/progress.go
@@ -11,7 +11,7 @@
 	"github.com/mattn/go-isatty"
 	"golang.org/x/sys/unix"
 
-	"cresshub/internal/fleettrial"
+	"cresshub/internal/testbed/routertrial"
 )
 
 // eraseLine moves to the start of a terminal's line and empties it.
@@ -37,7 +37,7 @@
 }
 
 // show writes the line anew, no longer than the terminal is wide.
-func (l *progressLine) show(p fleettrial.Progress) {
+func (l *progressLine) show(p routertrial.Progress) {
 	if l.out == nil {
 		return
 	}
--- a/internal/router/cli/soak.go
+++ b/internal/router/cli/soak.go
@@ -16,7 +16,7 @@
 	"strings"
 	"syscall"
 
-	"cresshub/internal/fleettrial"
+	"cresshub/internal/testbed/routertrial"
 )
 
 // soakCommand soaks a small fleet on loopback.
@@ -70,8 +70,8 @@
 	return nil
 }
 
-func (c *soakCommand) soak(ctx context.Context, seed uint64) (*fleettrial.SoakReport, error) {
-	options := fleettrial.SoakOptions{Program: c.Program, Seed: seed, Rounds: c.Rounds, Rate: c.Rate,
+func (c *soakCommand) soak(ctx context.Context, seed uint64) (*routertrial.SoakReport, error) {
+	options := routertrial.SoakOptions{Program: c.Program, Seed: seed, Rounds: c.Rounds, Rate: c.Rate,
 		Only: c.Only, Large: c.Large, LogLevel: c.Level}
 	if c.Logs != "" {
 		file, err := os.Create(filepath.Join(c.Logs, fmt.Sprintf("soak-%d.log", seed)))
@@ -81,10 +81,10 @@
 		defer file.Close()
 		options.Log = file
 	}
-	return fleettrial.Soak(ctx, options)
+	return routertrial.Soak(ctx, options)
 }
 
-func (c *soakCommand) print(out io.Writer, seed uint64, report *fleettrial.SoakReport, failure error) error {
+func (c *soakCommand) print(out io.Writer, seed uint64, report *routertrial.SoakReport, failure error) error {
 	if c.JSON && report != nil {
 		document, err := json.Marshal(report)
 		if err != nil {
--- a/internal/router/cli/try.go
+++ b/internal/router/cli/try.go
@@ -15,8 +15,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"cresshub/internal/fleetstandin"
-	"cresshub/internal/fleettrial"
+	"cresshub/internal/testbed/routerstandin"
+	"cresshub/internal/testbed/routertrial"
 )
 
 // The bounds of what a trial may be asked for.
@@ -51,8 +51,8 @@
 // trialVars are the words that --trouble takes.
 func trialVars() kong.Vars {
 	return kong.Vars{
-		"troubles":      strings.Join(append([]string{noTrouble}, fleettrial.Troubles...), ","),
-		"soak_troubles": strings.Join(fleettrial.TroubleNames(), ", "),
+		"troubles":      strings.Join(append([]string{noTrouble}, routertrial.Troubles...), ","),
+		"soak_troubles": strings.Join(routertrial.TroubleNames(), ", "),
 	}
 }
 
@@ -89,7 +89,7 @@
 	defer stop()
 	line := newProgressLine(o.err, options.For)
 	options.Live = line.show
-	report, err := fleettrial.Run(ctx, options)
+	report, err := routertrial.Run(ctx, options)
 	line.clear()
 	if report != nil {
 		if problem := c.print(o.out, report); problem != nil {
@@ -103,15 +103,15 @@
 }
 
 // verdictOf returns what a trial failed for, nil where all is well.
-func verdictOf(report *fleettrial.Report, err error) error {
+func verdictOf(report *routertrial.Report, err error) error {
 	if err == nil && report.Broken() > 0 {
 		return &RulesBroken{report.Broken()}
 	}
 	return err
 }
 
-func (c *tryCommand) options() (fleettrial.Options, error) {
-	options := fleettrial.Options{Program: c.Program, For: time.Duration(c.Seconds * float64(time.Second)),
+func (c *tryCommand) options() (routertrial.Options, error) {
+	options := routertrial.Options{Program: c.Program, For: time.Duration(c.Seconds * float64(time.Second)),
 		Rate: c.Rate, Seed: c.Seed}
 	if c.Trouble != noTrouble {
 		options.Trouble = c.Trouble
@@ -130,7 +130,7 @@
 	return options, err
 }
 
-func (c *tryCommand) print(out io.Writer, report *fleettrial.Report) error {
+func (c *tryCommand) print(out io.Writer, report *routertrial.Report) error {
 	if !c.JSON {
 		return printReport(out, report)
 	}
@@ -143,7 +143,7 @@
 }
 
 // printReport prints the tables of a trial.
-func printReport(out io.Writer, r *fleettrial.Report) error {
+func printReport(out io.Writer, r *routertrial.Report) error {
 	for _, note := range r.Notes {
 		fmt.Fprintln(out, note)
 	}
@@ -164,7 +164,7 @@
 	return rulesTable(r.Rules).print(out)
 }
 
-func kindsTable(kinds []fleetstandin.KindTally) *table {
+func kindsTable(kinds []routerstandin.KindTally) *table {
 	t := newTable("KIND", "ASKED", "IN TIME", "LATE", "REFUSED", "FAILED", "P50", "P99")
 	for _, k := range kinds {
 		t.add(k.Kind, k.Asked, k.InTime, k.Late, k.Refused, k.Failed, milliseconds(k.P50), milliseconds(k.P99))
@@ -174,7 +174,7 @@
 
 func milliseconds(value float64) string { return fmt.Sprintf("%.0f ms", value) }
 
-func serversTable(servers []fleetstandin.ServerTally) *table {
+func serversTable(servers []routerstandin.ServerTally) *table {
 	t := newTable("SERVER", "SERVICE", "ZONE", "STAGE", "CALLS", "READ", "RUN", "TURNED AWAY", "BROKEN OFF")
 	for _, s := range servers {
 		t.add(s.ID, s.Service, s.Zone, s.Stage, s.Arrivals, s.Reads, s.Runs, s.Rejected, s.Broken)
@@ -182,7 +182,7 @@
 	return t
 }
 
-func rulesTable(rules []fleetstandin.Verdict) *table {
+func rulesTable(rules []routerstandin.Verdict) *table {
 	t := newTable("RULE", "STATE")
 	for _, rule := range rules {
 		if rule.Breaks == 0 {
--- a/internal/router/cli/try_test.go
+++ b/internal/router/cli/try_test.go
@@ -16,8 +16,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetstandin"
-	"cresshub/internal/fleettrial"
+	"cresshub/internal/testbed/routerstandin"
+	"cresshub/internal/testbed/routertrial"
 )
 
 // asProgram is the variable that has the test binary be the program, so that trials start processes of it.
@@ -104,15 +104,15 @@
 
 func TestTryPrintsWhatCameOfIt(t *testing.T) {
 	if testing.Short() {
-		t.Skip("starts a fleet; internal/fleettrial does so with -short")
+		t.Skip("starts a fleet; internal/testbed/routertrial does so with -short")
 	}
 	c := qt.New(t)
 	trial := startTrial(c, "--seconds", "2", "--json")
 	c.Assert(trial.end(), qt.Equals, 0, qt.Commentf("%s", &trial.problem))
 	trial.checkNothingIsLeft()
-	var report fleettrial.Report
+	var report routertrial.Report
 	c.Assert(json.Unmarshal(trial.out.Bytes(), &report), qt.IsNil)
-	c.Assert(report.Rules, qt.HasLen, len(fleetstandin.Rules))
+	c.Assert(report.Rules, qt.HasLen, len(routerstandin.Rules))
 	c.Assert(report.Broken(), qt.Equals, 0)
 	for _, kind := range report.Kinds {
 		c.Check(kind.Asked > 0, qt.IsTrue)
@@ -166,13 +166,13 @@
 
 func TestReportIsPrintedAsTables(t *testing.T) {
 	c := qt.New(t)
-	report := &fleettrial.Report{Seconds: 5, Rate: 60, Notes: []string{"a note"},
+	report := &routertrial.Report{Seconds: 5, Rate: 60, Notes: []string{"a note"},
 		Events: []string{"1.00 s  an event"},
-		Kinds: []fleetstandin.KindTally{{Kind: "safe", Asked: 9, InTime: 5, Late: 1, Refused: 2, Failed: 1,
+		Kinds: []routerstandin.KindTally{{Kind: "safe", Asked: 9, InTime: 5, Late: 1, Refused: 2, Failed: 1,
 			P50: 20.4}},
-		Servers: []fleetstandin.ServerTally{{ID: "i-1", Service: "lookup", Zone: "north", Arrivals: 8, Runs: 7}},
-		Reasons: []fleetstandin.Reason{{Count: 2, Text: "safe: 503"}},
-		Rules: []fleetstandin.Verdict{{Rule: "MIXED"},
+		Servers: []routerstandin.ServerTally{{ID: "i-1", Service: "lookup", Zone: "north", Arrivals: 8, Runs: 7}},
+		Reasons: []routerstandin.Reason{{Count: 2, Text: "safe: 503"}},
+		Rules: []routerstandin.Verdict{{Rule: "MIXED"},
 			{Rule: "DRAIN", Breaks: 2, Details: []string{"one", "two"}}}}
 	var out bytes.Buffer
 	c.Assert(printReport(&out, report), qt.IsNil)
@@ -185,7 +185,7 @@
 		"RULE STATE", "MIXED kept", "DRAIN BROKEN 2 times", "- one", "- two",
 	})
 	c.Assert(verdictOf(report, nil), qt.ErrorMatches, "rules were broken 2 times; .*")
-	c.Assert(verdictOf(&fleettrial.Report{}, nil), qt.IsNil)
+	c.Assert(verdictOf(&routertrial.Report{}, nil), qt.IsNil)
 	broken := errors.New("no room")
 	c.Assert(verdictOf(report, broken), qt.Equals, broken)
 }
--- a/internal/nodesim/fleet.go
+++ b/internal/simulation/agentsim/fleet.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/simnet"
+	"cresshub/internal/simulation/simnet"
 )
 
 // The ports of all machines.
--- a/internal/nodesim/hunt_test.go
+++ b/internal/simulation/agentsim/hunt_test.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/simnet"
+	"cresshub/internal/simulation/simnet"
 )
 
 var (
--- a/internal/nodesim/machine.go
+++ b/internal/simulation/agentsim/machine.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 	"cresshub/internal/router/agent"
 	"cresshub/internal/router/agentsettings"
-	"cresshub/internal/simnet"
+	"cresshub/internal/simulation/simnet"
 )
 
 // Machine is a machine of the fleet.
--- a/internal/nodesim/operator.go
+++ b/internal/simulation/agentsim/operator.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/fleetstandin"
 	"cresshub/internal/http1"
 	"cresshub/internal/router/controlclient"
-	"cresshub/internal/simnet"
+	"cresshub/internal/simulation/simnet"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 const (
@@ -29,19 +29,19 @@
 
 // document returns the configuration after a change.
 func (f *Fleet) document(c Change) []byte {
-	service := fleetstandin.ServiceDoc{Name: serviceName, HealthPath: "/health", Lines: 100, Protocol: "h1"}
+	service := routerstandin.ServiceDoc{Name: serviceName, HealthPath: "/health", Lines: 100, Protocol: "h1"}
 	if f.Options.Stages {
-		service.Engine = &fleetstandin.EngineSection{Slots: serverSlots, CacheTokens: 1 << 20, TokenBytes: 1024,
+		service.Engine = &routerstandin.EngineSection{Slots: serverSlots, CacheTokens: 1 << 20, TokenBytes: 1024,
 			LinkMbps: 1000, Stride: 2, HandleLife: 5, StageSwitch: stageSwitch.Seconds(),
 			Models: []map[string]string{{"name": serviceName}}}
 	}
-	return f.encode(&fleetstandin.Document{Version: c.Version, Services: []fleetstandin.ServiceDoc{service},
-		Routes: []fleetstandin.RouteDoc{c.route()}})
+	return f.encode(&routerstandin.Document{Version: c.Version, Services: []routerstandin.ServiceDoc{service},
+		Routes: []routerstandin.RouteDoc{c.route()}})
 }
 
 // route returns the one route after a change.
-func (c Change) route() fleetstandin.RouteDoc {
-	return fleetstandin.RouteDoc{Name: "r", Host: "a.example", Prefix: "/", Class: "safe",
+func (c Change) route() routerstandin.RouteDoc {
+	return routerstandin.RouteDoc{Name: "r", Host: "a.example", Prefix: "/", Class: "safe",
 		TimeoutMs: firstTimeout + c.Mark, TargetMs: 500, Service: serviceName, Tries: 2}
 }
 
@@ -52,7 +52,7 @@
 type patchDocument struct {
 	Version int64 `json:"edition"`
 	Deliver struct {
-		Routes []fleetstandin.RouteDoc `json:"routes"`
+		Routes []routerstandin.RouteDoc `json:"routes"`
 	} `json:"deliver"`
 }
 
@@ -66,7 +66,7 @@
 		return call
 	}
 	patch := &patchDocument{Version: c.Version}
-	patch.Deliver.Routes = []fleetstandin.RouteDoc{c.route()}
+	patch.Deliver.Routes = []routerstandin.RouteDoc{c.route()}
 	call.Method, call.Body = "PATCH", f.encode(patch)
 	return call
 }
@@ -81,7 +81,7 @@
 
 // markOf returns the mark of the change that a document is of.
 func markOf(body []byte) (version, mark int64, err error) {
-	var d fleetstandin.Document
+	var d routerstandin.Document
 	if err := json.Unmarshal(body, &d); err != nil {
 		return 0, 0, err
 	}
--- a/internal/nodesim/orders_test.go
+++ b/internal/simulation/agentsim/orders_test.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/simnet"
+	"cresshub/internal/simulation/simnet"
 )
 
 // orderTroubles are what befalls whoever holds the duty of giving stages; each lasts for some seconds.
--- a/internal/nodesim/race_test.go
+++ b/internal/simulation/agentsim/race_test.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/simnet"
+	"cresshub/internal/simulation/simnet"
 )
 
 // TestOperatorsRace has two operators send different changes under the same versions, each to several
--- a/internal/nodesim/replace_test.go
+++ b/internal/simulation/agentsim/replace_test.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"fmt"
--- a/internal/nodesim/server_calls.go
+++ b/internal/simulation/agentsim/server_calls.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"cresshub/internal/http1"
 	"cresshub/internal/router/controlclient"
-	"cresshub/internal/simnet"
+	"cresshub/internal/simulation/simnet"
 )
 
 // heartbeat is the body of a heartbeat.
--- a/internal/nodesim/servers_test.go
+++ b/internal/simulation/agentsim/servers_test.go
@@ -1,4 +1,4 @@
-package nodesim
+package agentsim
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/simnet"
+	"cresshub/internal/simulation/simnet"
 )
 
 // inFleet runs a test with a fleet of ten machines, three with a disk, that has a configuration.
--- a/internal/lab/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"cresshub/internal/emulator"
 	"cresshub/internal/keyed"
+	"cresshub/internal/simulation/proxysim"
 )
 
 // small is a quick day of the shipped queues.
@@ -230,7 +230,7 @@
 		t.Errorf("two choices: %v", got)
 	}
 	d, err := Play("queues", map[string]string{"servers.count": "1", "servers.cores": "4"},
-		Job{Policy: "random", Seed: 3}, emulator.Options{})
+		Job{Policy: "random", Seed: 3}, proxysim.Options{})
 	if err != nil || math.Abs(d.Result.Mean/Erlang(4, 0.9)-1) > 0.08 {
 		t.Errorf("%+v, %v", d, err)
 	}
@@ -241,7 +241,7 @@
 	t.Helper()
 	n := 0.0
 	for seed := range uint64(4) {
-		d, err := Play(scenario, nil, Job{Policy: policy, Seed: seed + 1}, emulator.Options{})
+		d, err := Play(scenario, nil, Job{Policy: policy, Seed: seed + 1}, proxysim.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -280,11 +280,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sim, err := emulator.New(sc, emulator.Options{Policy: "random", Seed: 1})
+		sim, err := proxysim.New(sc, proxysim.Options{Policy: "random", Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		sim.Run(emulator.Options{Policy: "random"})
+		sim.Run(proxysim.Options{Policy: "random"})
 		return sim.Places()
 	}
 	if short, long := held("20000"), held("400000"); long > 4*short {
--- a/internal/lab/plot.go
+++ b/internal/simulation/experiment/plot.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
--- a/internal/lab/run.go
+++ b/internal/simulation/experiment/run.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"cresshub/internal/emulator"
+	"cresshub/internal/simulation/proxysim"
 )
 
 // Job is one day to be played: a scenario with keys set over it, a policy and a seed.
@@ -26,12 +26,12 @@
 // Done is a day played.
 type Done struct {
 	Job
-	Result *emulator.Result `json:"result"`
+	Result *proxysim.Result `json:"result"`
 	Wall   float64          `json:"wall_s"`
 }
 
 // Play plays one day.
-func Play(scenario string, base map[string]string, j Job, o emulator.Options) (*Done, error) {
+func Play(scenario string, base map[string]string, j Job, o proxysim.Options) (*Done, error) {
 	set := map[string]string{}
 	for k, v := range base {
 		set[k] = v
@@ -45,7 +45,7 @@
 	}
 	o.Policy, o.Seed, o.K, o.Lambda = j.Policy, j.Seed, j.K, j.Lambda
 	began := time.Now()
-	sim, err := emulator.New(sc, o)
+	sim, err := proxysim.New(sc, o)
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 			if going.Err() != nil {
 				return going.Err()
 			}
-			d, err := Play(scenario, base, j, emulator.Options{Strict: strict})
+			d, err := Play(scenario, base, j, proxysim.Options{Strict: strict})
 			if err != nil {
 				return err
 			}
@@ -88,28 +88,28 @@
 }
 
 // per is a count by request.
-func per(r *emulator.Result, n int) float64 { return float64(n) / float64(max(r.Requests, 1)) }
+func per(r *proxysim.Result, n int) float64 { return float64(n) / float64(max(r.Requests, 1)) }
 
 // Metrics are the figures of a day that statistics are made of, by name.
-var Metrics = map[string]func(*emulator.Result) float64{
-	"mean_ms":              func(r *emulator.Result) float64 { return r.MeanMS },
-	"mean_service_times":   func(r *emulator.Result) float64 { return r.Mean },
-	"p50_ms":               func(r *emulator.Result) float64 { return r.P50 },
-	"p99_ms":               func(r *emulator.Result) float64 { return r.P99 },
-	"service":              func(r *emulator.Result) float64 { return r.Service },
-	"service_whole":        func(r *emulator.Result) float64 { return r.Whole },
-	"service_worst_10s":    func(r *emulator.Result) float64 { return r.Worst },
-	"service_worst_class":  func(r *emulator.Result) float64 { return r.Class },
-	"service_worst_tenant": func(r *emulator.Result) float64 { return r.Tenant },
-	"prices":               func(r *emulator.Result) float64 { return r.Price },
-	"refused":              func(r *emulator.Result) float64 { return per(r, r.Refused) },
-	"failed":               func(r *emulator.Result) float64 { return per(r, r.Failed) },
-	"probes":               func(r *emulator.Result) float64 { return per(r, r.Probes) },
-	"handshakes":           func(r *emulator.Result) float64 { return per(r, r.Handshakes) },
-	"attempts":             func(r *emulator.Result) float64 { return per(r, r.Attempts) },
-	"list_calls":           func(r *emulator.Result) float64 { return float64(r.ListCalls) },
-	"connections_a_server": func(r *emulator.Result) float64 { return r.Conns },
-	"work_wasted":          func(r *emulator.Result) float64 { return r.Wasted },
+var Metrics = map[string]func(*proxysim.Result) float64{
+	"mean_ms":              func(r *proxysim.Result) float64 { return r.MeanMS },
+	"mean_service_times":   func(r *proxysim.Result) float64 { return r.Mean },
+	"p50_ms":               func(r *proxysim.Result) float64 { return r.P50 },
+	"p99_ms":               func(r *proxysim.Result) float64 { return r.P99 },
+	"service":              func(r *proxysim.Result) float64 { return r.Service },
+	"service_whole":        func(r *proxysim.Result) float64 { return r.Whole },
+	"service_worst_10s":    func(r *proxysim.Result) float64 { return r.Worst },
+	"service_worst_class":  func(r *proxysim.Result) float64 { return r.Class },
+	"service_worst_tenant": func(r *proxysim.Result) float64 { return r.Tenant },
+	"prices":               func(r *proxysim.Result) float64 { return r.Price },
+	"refused":              func(r *proxysim.Result) float64 { return per(r, r.Refused) },
+	"failed":               func(r *proxysim.Result) float64 { return per(r, r.Failed) },
+	"probes":               func(r *proxysim.Result) float64 { return per(r, r.Probes) },
+	"handshakes":           func(r *proxysim.Result) float64 { return per(r, r.Handshakes) },
+	"attempts":             func(r *proxysim.Result) float64 { return per(r, r.Attempts) },
+	"list_calls":           func(r *proxysim.Result) float64 { return float64(r.ListCalls) },
+	"connections_a_server": func(r *proxysim.Result) float64 { return r.Conns },
+	"work_wasted":          func(r *proxysim.Result) float64 { return r.Wasted },
 }
 
 // WallMetric is what a request with all its events cost this machine, in microseconds. Unlike the others it
--- a/internal/lab/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -1,6 +1,6 @@
-// Package lab plays scenarios on the emulator: one or many, with several policies and seeds side by side,
-// and says how sure the figures are. Results are files that plots and reports are made from.
-package lab
+// Package experiment plays scenarios on the emulator: one or many, with several policies and seeds side by
+// side, and says how sure the figures are. Results are files that plots and reports are made from.
+package experiment
 
 import (
 	"errors"
@@ -12,18 +12,18 @@
 	"strings"
 	"sync"
 
-	"cresshub/internal/emulator"
 	"cresshub/internal/keyed"
+	"cresshub/internal/simulation/proxysim"
 	scenarios "cresshub/lab"
 )
 
 var schema = sync.OnceValue(func() *keyed.Schema {
-	return keyed.NewSchema[emulator.Scenario]("", "`cresshub lab docs` lists all keys")
+	return keyed.NewSchema[proxysim.Scenario]("", "`cresshub lab docs` lists all keys")
 })
 
 // Load reads a scenario by the path of its file or by the name of a shipped one, with keys set over it, and
 // checks it as strictly as the program's own configuration. The error is keyed.Problems, all of them.
-func Load(name string, set map[string]string) (*emulator.Scenario, error) {
+func Load(name string, set map[string]string) (*proxysim.Scenario, error) {
 	raw, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		if shipped, serr := scenarios.Files.ReadFile(strings.TrimSuffix(name, ".toml") + ".toml"); serr == nil {
@@ -48,7 +48,7 @@
 		over.Set(key, keyed.Words(value), o)
 	}
 	b.Add(over)
-	sc := &emulator.Scenario{}
+	sc := &proxysim.Scenario{}
 	b.Into(sc)
 	if len(b.Problems) == 0 {
 		check(sc, b)
@@ -57,7 +57,7 @@
 }
 
 // check finds what is wrong between keys.
-func check(sc *emulator.Scenario, b *keyed.Builder) {
+func check(sc *proxysim.Scenario, b *keyed.Builder) {
 	tell := func(path, format string, args ...any) {
 		o, ok := b.Origins[path]
 		if !ok || o.Source == "default" {
--- a/internal/lab/validate.go
+++ b/internal/simulation/experiment/validate.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"cresshub/internal/emulator"
+	"cresshub/internal/simulation/proxysim"
 )
 
 // Check is one result that nobody here made, and what the emulator finds.
@@ -176,7 +176,7 @@
 				figures := map[string][]float64{}
 				for seed := range uint64(days) {
 					d, err := Play("queues", p.set, Job{Policy: p.policy, Seed: seed + 1, K: p.k, Lambda: p.lambda},
-						emulator.Options{})
+						proxysim.Options{})
 					if err != nil {
 						return err
 					}
--- a/internal/labcli/compare.go
+++ b/internal/simulation/labcli/compare.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/lab"
 	"cresshub/internal/proxy/cli"
+	"cresshub/internal/simulation/experiment"
 )
 
 func newCompare() *cobra.Command {
@@ -33,8 +33,8 @@
 				return cli.Wrong("--policy names %d, two or more are wanted", len(h.Policies))
 			}
 			for _, m := range metrics {
-				if !lab.Known(m) {
-					return cli.Wrong("--metric %q is none of %s", m, strings.Join(lab.MetricNames(), ", "))
+				if !experiment.Known(m) {
+					return cli.Wrong("--metric %q is none of %s", m, strings.Join(experiment.MetricNames(), ", "))
 				}
 			}
 			s, err := o.play(c, h)
@@ -58,18 +58,18 @@
 		Example: "  cresshub-lab difference before.jsonl after.jsonl --metric service",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			if !lab.Known(metric) {
-				return cli.Wrong("--metric %q is none of %s", metric, strings.Join(lab.MetricNames(), ", "))
+			if !experiment.Known(metric) {
+				return cli.Wrong("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
 			}
-			a, err := lab.Read(args[0])
+			a, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
-			b, err := lab.Read(args[1])
+			b, err := experiment.Read(args[1])
 			if err != nil {
 				return err
 			}
-			d := lab.Across(a, b, metric)
+			d := experiment.Across(a, b, metric)
 			verdict := "a difference"
 			if d.Noise {
 				verdict = "noise"
@@ -82,7 +82,7 @@
 	return c
 }
 
-func printCompare(w io.Writer, s *lab.Store, metrics []string, asJSON bool) error {
+func printCompare(w io.Writer, s *experiment.Store, metrics []string, asJSON bool) error {
 	type row struct {
 		A       string   `json:"a"`
 		B       string   `json:"b"`
@@ -96,7 +96,7 @@
 	cells := s.Cells()
 	for _, b := range cells[1:] {
 		for _, m := range metrics {
-			d := lab.Paired(cells[0].Figures(m), b.Figures(m))
+			d := experiment.Paired(cells[0].Figures(m), b.Figures(m))
 			r := row{cells[0].Policy, b.Policy, m, d.Mean, nil, d.Noise, d.Repeats}
 			if !math.IsNaN(d.Half) {
 				r.Half = &d.Half
--- a/internal/labcli/labcli.go
+++ b/internal/simulation/labcli/labcli.go
@@ -18,9 +18,9 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/emulator"
-	"cresshub/internal/lab"
 	"cresshub/internal/proxy/cli"
+	"cresshub/internal/simulation/experiment"
+	"cresshub/internal/simulation/proxysim"
 )
 
 // Main runs one call and returns its exit status: 0 done, 1 failed, 2 wrong use.
@@ -30,7 +30,7 @@
 		Short: "Try designs on an emulated fleet, at sizes that sockets don't reach",
 		Long: "Plays scenarios in virtual time with the real decisions (policy module) and with rivals, says\n" +
 			"how sure the figures are, and draws them. FILE is a scenario, or one of these that come with it:\n  " +
-			strings.Join(lab.Shipped(), ", "),
+			strings.Join(experiment.Shipped(), ", "),
 		Example: "  cresshub-lab run snowy-evening --policy module,two-choices --repeat 8",
 	}
 	root.AddCommand(newRun(), newSweep(), newCompare(), newPlot(), newReport(), newTrace(), newValidate(),
@@ -55,7 +55,7 @@
 func (o *choice) add(c *cobra.Command) {
 	f := c.Flags()
 	f.StringSliceVar(&o.policies, "policy", []string{"module"},
-		"one or more of "+strings.Join(emulator.Policies, ", ")+", or all")
+		"one or more of "+strings.Join(proxysim.Policies, ", ")+", or all")
 	f.StringArrayVar(&o.set, "set", nil, "KEY=VALUE of the scenario; may be repeated")
 	f.Uint64Var(&o.seed, "seed", 1, "of the first day; repeats count up from it")
 	f.IntVar(&o.repeat, "repeat", 4, "days for each policy, of different seeds")
@@ -69,15 +69,15 @@
 }
 
 // header checks the flags and says what experiment they name.
-func (o *choice) header(scenario string) (lab.Header, error) {
-	h := lab.Header{Scenario: scenario, Set: map[string]string{}, Seed: o.seed, Repeat: o.repeat, K: o.k,
+func (o *choice) header(scenario string) (experiment.Header, error) {
+	h := experiment.Header{Scenario: scenario, Set: map[string]string{}, Seed: o.seed, Repeat: o.repeat, K: o.k,
 		Lambda: o.lambda, Policies: o.policies}
 	if len(o.policies) == 1 && o.policies[0] == "all" {
-		h.Policies = emulator.Policies
+		h.Policies = proxysim.Policies
 	}
 	for _, p := range h.Policies {
-		if !slices.Contains(emulator.Policies, p) {
-			return h, cli.Wrong("--policy %q is none of %s", p, strings.Join(emulator.Policies, ", "))
+		if !slices.Contains(proxysim.Policies, p) {
+			return h, cli.Wrong("--policy %q is none of %s", p, strings.Join(proxysim.Policies, ", "))
 		}
 	}
 	if o.repeat < 1 || o.repeat > 10000 {
@@ -91,18 +91,18 @@
 		h.Set[key] = value
 	}
 	// Whatever is wrong with the scenario is told before anything is played.
-	_, err := lab.Load(scenario, h.Set)
+	_, err := experiment.Load(scenario, h.Set)
 	return h, err
 }
 
 // play plays what is missing of an experiment. Interrupted, it keeps what was finished.
-func (o *choice) play(c *cobra.Command, h lab.Header) (*lab.Store, error) {
+func (o *choice) play(c *cobra.Command, h experiment.Header) (*experiment.Store, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	s := &lab.Store{Header: h}
+	s := &experiment.Store{Header: h}
 	if o.out != "" {
 		var err error
-		if s, err = lab.Open(o.out, h); err != nil {
+		if s, err = experiment.Open(o.out, h); err != nil {
 			return nil, err
 		}
 		defer s.Close()
@@ -110,7 +110,7 @@
 	missing := s.Missing()
 	show, end := progress(c.ErrOrStderr(), len(missing))
 	defer end()
-	err := lab.All(ctx, h.Scenario, h.Set, missing, o.jobs, o.strict, func(d *lab.Done) error {
+	err := experiment.All(ctx, h.Scenario, h.Set, missing, o.jobs, o.strict, func(d *experiment.Done) error {
 		show()
 		return s.Add(d)
 	})
@@ -169,7 +169,7 @@
 	return c
 }
 
-func broken(s *lab.Store) (texts []string) {
+func broken(s *experiment.Store) (texts []string) {
 	for _, d := range s.Days {
 		texts = append(texts, d.Result.Breaks...)
 	}
@@ -179,7 +179,7 @@
 var columns = []string{"service", "service_worst_10s", "mean_service_times", "p50_ms", "p99_ms",
 	"refused", "failed"}
 
-func printTable(w io.Writer, s *lab.Store) error {
+func printTable(w io.Writer, s *experiment.Store) error {
 	head, rows := s.Table(columns)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, row := range append([][]string{head}, rows...) {
@@ -211,7 +211,7 @@
 }
 
 // printRun writes means over the days with their intervals.
-func printRun(w io.Writer, s *lab.Store, wall time.Duration) error {
+func printRun(w io.Writer, s *experiment.Store, wall time.Duration) error {
 	type policy struct {
 		Name     string             `json:"name"`
 		Days     int                `json:"days"`
@@ -251,8 +251,8 @@
 				p.Notes = append(p.Notes, r.Note)
 			}
 		}
-		for _, m := range lab.MetricNames() {
-			e := lab.Over(cell.Figures(m))
+		for _, m := range experiment.MetricNames() {
+			e := experiment.Over(cell.Figures(m))
 			p.Metrics[m] = e.Mean
 			if !math.IsNaN(e.Half) {
 				p.CI[m] = e.Half
@@ -288,7 +288,7 @@
 				if !ok || values == "" {
 					return cli.Wrong("--over %q is no KEY=VALUE,VALUE", a)
 				}
-				h.Over = append(h.Over, lab.Axis{Key: key, Values: strings.Split(values, ",")})
+				h.Over = append(h.Over, experiment.Axis{Key: key, Values: strings.Split(values, ",")})
 			}
 			for _, j := range h.Jobs() { // a wrong value is told before hours are spent on the others
 				set := map[string]string{}
@@ -298,7 +298,7 @@
 				for k, v := range j.Set {
 					set[k] = v
 				}
-				if _, err := lab.Load(args[0], set); err != nil {
+				if _, err := experiment.Load(args[0], set); err != nil {
 					return err
 				}
 			}
@@ -307,7 +307,7 @@
 				return err
 			}
 			if o.json {
-				head, rows := s.Table(lab.MetricNames())
+				head, rows := s.Table(experiment.MetricNames())
 				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"header": s.Header, "head": head,
 					"rows": rows})
 			}
--- a/internal/labcli/rig.go
+++ b/internal/simulation/labcli/rig.go
@@ -16,14 +16,14 @@
 	"github.com/spf13/cobra"
 
 	"cresshub/internal/proxy/cli"
-	"cresshub/internal/rig"
+	"cresshub/internal/testbed/clusterrig"
 )
 
 func newRig() *cobra.Command {
 	c := &cobra.Command{
 		Use: "rig", Short: "Start several processes of the program, put faults between them, and check their views",
 		Long: "A scenario is a file, or one of these that come with the program:\n  " +
-			strings.Join(rig.Shipped(), ", "),
+			strings.Join(clusterrig.Shipped(), ", "),
 		Example: "  cresshub rig run partition --plot partition.svg",
 	}
 	c.AddCommand(newRigRun(), newRigShow(), newRigLedger(), newRigOwner(), newRigLists(), newRigHerd(),
@@ -36,7 +36,7 @@
 		Use: "show NAME", Short: "Print a scenario's file", Example: "  cresshub rig show slow > mine.toml",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			raw, err := rig.Text(args[0])
+			raw, err := clusterrig.Text(args[0])
 			if err != nil {
 				return err
 			}
@@ -65,11 +65,11 @@
 				}
 				keys[key] = value
 			}
-			sc, err := rig.Load(args[0], keys)
+			sc, err := clusterrig.Load(args[0], keys)
 			if err != nil {
 				return err
 			}
-			o := rig.Options{Program: program, Seed: seed}
+			o := clusterrig.Options{Program: program, Seed: seed}
 			if o.Program == "" {
 				if o.Program, err = proxyProgram(); err != nil {
 					return err
@@ -98,7 +98,7 @@
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			rep, err := rig.Play(ctx, sc, o, rec)
+			rep, err := clusterrig.Play(ctx, sc, o, rec)
 			if err != nil {
 				return err
 			}
@@ -116,7 +116,7 @@
 	return c
 }
 
-func tellRig(w io.Writer, rep *rig.Report, plot string, asJSON bool) error {
+func tellRig(w io.Writer, rep *clusterrig.Report, plot string, asJSON bool) error {
 	if plot != "" {
 		f, err := os.Create(plot)
 		if err != nil {
@@ -159,7 +159,7 @@
 }
 
 func newRigLedger() *cobra.Command {
-	var o rig.MeasureOptions
+	var o clusterrig.MeasureOptions
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "ledger", Short: "Measure the ledger's replicas on this machine's disk: commits, entries, catching up",
@@ -177,7 +177,7 @@
 			o.Dir = dir
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			r, err := rig.Measure(ctx, o)
+			r, err := clusterrig.Measure(ctx, o)
 			if err != nil {
 				return err
 			}
--- a/internal/labcli/righerd.go
+++ b/internal/simulation/labcli/righerd.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"cresshub/internal/proxy/cli"
-	"cresshub/internal/rig"
+	"cresshub/internal/testbed/clusterrig"
 )
 
 func newRigHerd() *cobra.Command {
@@ -21,13 +21,13 @@
 		Use: "herd", Short: "Kill seven in ten proxies at once; count all probes, connections and list calls",
 		Example: "  cresshub rig herd --members 8,24,48", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var rows []*rig.Herd
+			var rows []*clusterrig.Herd
 			for _, n := range members {
 				if n < 3 || n > 48 {
 					return cli.Wrong("--members 3 to 48 are allowed")
 				}
-				err := withRig(program, dir, func(ctx context.Context, o rig.Options) error {
-					h, err := rig.TryHerd(ctx, o, n)
+				err := withRig(program, dir, func(ctx context.Context, o clusterrig.Options) error {
+					h, err := clusterrig.TryHerd(ctx, o, n)
 					rows = append(rows, h)
 					return err
 				})
@@ -43,7 +43,7 @@
 			for _, h := range rows {
 				for _, s := range []struct {
 					what string
-					rig.HerdSums
+					clusterrig.HerdSums
 					ready string
 				}{{"quiet", h.Quiet, ""}, {"killed", h.Killed, fmt.Sprintf("%.0f ms", h.ReadyMS)}} {
 					fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", h.Members, s.what, s.Requests, s.Lost, s.Probes,
@@ -72,15 +72,15 @@
 				lasting < every || lasting > 24*time.Hour {
 				return cli.Wrong("--members 3 to 30, --clients 1 to 256 and --every from 1s to --for are allowed")
 			}
-			return withRig(program, dir, func(ctx context.Context, o rig.Options) error {
-				all, err := rig.Soak(ctx, o, members, clients, lasting, every)
+			return withRig(program, dir, func(ctx context.Context, o clusterrig.Options) error {
+				all, err := clusterrig.Soak(ctx, o, members, clients, lasting, every)
 				if err != nil {
 					return err
 				}
 				if asJSON {
 					return json.NewEncoder(c.OutOrStdout()).Encode(all)
 				}
-				return rig.PrintSoak(c.OutOrStdout(), all)
+				return clusterrig.PrintSoak(c.OutOrStdout(), all)
 			})
 		},
 	}
--- a/internal/labcli/rigowner.go
+++ b/internal/simulation/labcli/rigowner.go
@@ -12,14 +12,14 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/emulator"
 	"cresshub/internal/proxy/cli"
-	"cresshub/internal/rig"
+	"cresshub/internal/simulation/proxysim"
+	"cresshub/internal/testbed/clusterrig"
 )
 
 // withRig runs try with a folder of its own and the proxy's program, until a signal.
-func withRig(program, dir string, try func(context.Context, rig.Options) error) error {
-	o := rig.Options{Program: program}
+func withRig(program, dir string, try func(context.Context, clusterrig.Options) error) error {
+	o := clusterrig.Options{Program: program}
 	var err error
 	if o.Program == "" {
 		if o.Program, err = proxyProgram(); err != nil {
@@ -44,7 +44,7 @@
 }
 
 func newRigOwner() *cobra.Command {
-	var o rig.OwnerTrialOptions
+	var o clusterrig.OwnerTrialOptions
 	var program, dir string
 	var asJSON bool
 	c := &cobra.Command{
@@ -55,8 +55,8 @@
 				o.Pauses+o.Cuts+o.Kills > 10_000 {
 				return cli.Wrong("--members 4 to 30 and 10000 faults at most are allowed")
 			}
-			return withRig(program, dir, func(ctx context.Context, ro rig.Options) error {
-				t, err := rig.TryOwners(ctx, ro, o)
+			return withRig(program, dir, func(ctx context.Context, ro clusterrig.Options) error {
+				t, err := clusterrig.TryOwners(ctx, ro, o)
 				if err != nil {
 					return err
 				}
@@ -86,14 +86,14 @@
 		Use: "lists", Short: "Count a fleet's calls on discovery, with an owner and without one",
 		Example: "  cresshub rig lists --members 5,10,30", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var rows []*rig.ListCalls
+			var rows []*clusterrig.ListCalls
 			for _, n := range members {
 				if n < 3 || n > 30 {
 					return cli.Wrong("--members 3 to 30 are allowed")
 				}
 				for _, owned := range []bool{false, true} {
-					err := withRig(program, dir, func(ctx context.Context, o rig.Options) error {
-						r, err := rig.TryLists(ctx, o, n, owned)
+					err := withRig(program, dir, func(ctx context.Context, o clusterrig.Options) error {
+						r, err := clusterrig.TryLists(ctx, o, n, owned)
 						rows = append(rows, r)
 						return err
 					})
@@ -121,7 +121,7 @@
 }
 
 func newLists() *cobra.Command {
-	o := emulator.ListsOptions{}
+	o := proxysim.ListsOptions{}
 	var members []int
 	var trials []string
 	var asJSON bool
@@ -129,7 +129,7 @@
 		Use: "lists", Short: "Count calls on discovery in virtual time, at sizes that processes don't reach",
 		Example: "  cresshub-lab lists --members 300,3000 --trial rolling", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var rows []emulator.ListsResult
+			var rows []proxysim.ListsResult
 			for _, trial := range trials {
 				for _, n := range members {
 					if n < 3 || n > 10000 {
@@ -137,7 +137,7 @@
 					}
 					for _, owned := range []bool{false, true} {
 						o.Proxies, o.Owner = n, owned
-						r, err := emulator.ListsTrial(trial, o)
+						r, err := proxysim.ListsTrial(trial, o)
 						if err != nil {
 							return cli.Wrong("--trial %v", err)
 						}
@@ -159,7 +159,7 @@
 	}
 	f := c.Flags()
 	f.IntSliceVar(&members, "members", []int{5, 10, 30, 300, 3000}, "sizes of the fleet")
-	f.StringSliceVar(&trials, "trial", emulator.ListsTrials, "which to play")
+	f.StringSliceVar(&trials, "trial", proxysim.ListsTrials, "which to play")
 	f.DurationVar(&o.MaxAge, "list-max-age", 4*time.Second, "owner.list_max_age")
 	f.DurationVar(&o.Poll, "list-poll", 250*time.Millisecond, "owner.list_poll")
 	f.DurationVar(&o.Lease, "lease", 2*time.Second, "owner.lease")
--- a/internal/labcli/swim.go
+++ b/internal/simulation/labcli/swim.go
@@ -9,18 +9,18 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/emulator"
 	"cresshub/internal/proxy/cli"
+	"cresshub/internal/simulation/proxysim"
 )
 
 func newSwim() *cobra.Command {
-	o := emulator.SWIMOptions{}
+	o := proxysim.SWIMOptions{}
 	var members, repeat []int
 	var trials []string
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "swim", Short: "Play the fleet view's gossip in virtual time, at sizes that processes don't reach",
-		Long: "Trials: " + strings.Join(emulator.SWIMTrials, ", ") + ". The settings are those of\n" +
+		Long: "Trials: " + strings.Join(proxysim.SWIMTrials, ", ") + ". The settings are those of\n" +
 			"`cresshub rig`, whose scenarios of the same names play them with real processes.",
 		Example: "  cresshub-lab swim --members 5,10,30,300 --trial kill,partition --repeat 20",
 		Args:    cobra.NoArgs,
@@ -28,7 +28,7 @@
 			if len(repeat) != 1 && len(repeat) != len(members) {
 				return cli.Wrong("--repeat takes one count, or one for each of --members")
 			}
-			var rows []emulator.SWIMResult
+			var rows []proxysim.SWIMResult
 			for _, trial := range trials {
 				for i, n := range members {
 					times := repeat[min(i, len(repeat)-1)]
@@ -36,7 +36,7 @@
 						return cli.Wrong("--members 3 to 10000 and --repeat 1 to 1000 are allowed")
 					}
 					o.Members = n
-					r, err := emulator.SWIMTrial(trial, o, times)
+					r, err := proxysim.SWIMTrial(trial, o, times)
 					if err != nil {
 						return cli.Wrong("--trial %v", err)
 					}
@@ -58,7 +58,7 @@
 	}
 	f := c.Flags()
 	f.IntSliceVar(&members, "members", []int{5, 10, 30}, "sizes of the fleet")
-	f.StringSliceVar(&trials, "trial", emulator.SWIMTrials, "which to play")
+	f.StringSliceVar(&trials, "trial", proxysim.SWIMTrials, "which to play")
 	f.IntSliceVar(&repeat, "repeat", []int{20}, "times, each with a seed of its own; one count or one a size")
 	f.DurationVar(&o.Probe, "probe", 200*time.Millisecond, "between probes of one member")
 	f.DurationVar(&o.ProbeTimeout, "probe-timeout", 100*time.Millisecond, "for a direct answer")
--- a/internal/labcli/tools.go
+++ b/internal/simulation/labcli/tools.go
@@ -19,10 +19,10 @@
 	"github.com/vbauerster/mpb/v8"
 	"github.com/vbauerster/mpb/v8/decor"
 
-	"cresshub/internal/emulator"
-	"cresshub/internal/lab"
 	"cresshub/internal/proxy/cli"
-	"cresshub/internal/standin"
+	"cresshub/internal/simulation/experiment"
+	"cresshub/internal/simulation/proxysim"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // progress shows how many of the days are played, where somebody can see it.
@@ -52,7 +52,7 @@
 		Example: "  cresshub-lab plot age.jsonl --metric mean_service_times --log-x -o age.svg",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Read(args[0])
+			s, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -64,7 +64,7 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&metric, "metric", "service", strings.Join(lab.MetricNames(), ", "))
+	f.StringVar(&metric, "metric", "service", strings.Join(experiment.MetricNames(), ", "))
 	f.BoolVar(&logX, "log-x", false, "logarithmic over the key")
 	f.BoolVar(&logY, "log-y", false, "logarithmic in the metric")
 	f.StringVarP(&out, "out", "o", "-", "SVG file, - for standard output")
@@ -78,7 +78,7 @@
 		Example: "  cresshub-lab report hall.jsonl -o hall.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Read(args[0])
+			s, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -108,9 +108,9 @@
 			if request < 1 {
 				return cli.Wrong("--request %d is out of range, they count from 1", request)
 			}
-			d, err := lab.Play(h.Scenario, h.Set, lab.Job{Policy: h.Policies[0], Seed: h.Seed, K: h.K,
+			d, err := experiment.Play(h.Scenario, h.Set, experiment.Job{Policy: h.Policies[0], Seed: h.Seed, K: h.K,
 				Lambda: h.Lambda},
-				emulator.Options{Trace: request})
+				proxysim.Options{Trace: request})
 			if err != nil {
 				return err
 			}
@@ -133,7 +133,7 @@
 		Example: "  cresshub-lab validate",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			rows, err := lab.Validate(quick)
+			rows, err := experiment.Validate(quick)
 			if err != nil {
 				return err
 			}
@@ -142,7 +142,7 @@
 					return err
 				}
 			} else {
-				fmt.Fprint(c.OutOrStdout(), lab.ValidationTable(rows))
+				fmt.Fprint(c.OutOrStdout(), experiment.ValidationTable(rows))
 			}
 			for _, r := range rows {
 				if !r.Holds {
@@ -158,7 +158,7 @@
 }
 
 func newLoad() *cobra.Command {
-	var o standin.LoadOptions
+	var o proxystandin.LoadOptions
 	var lasting time.Duration
 	var anywhere, asJSON bool
 	var unsafe float64
@@ -180,7 +180,7 @@
 				return cli.Wrong("--rate above 0 to 20000, --for above 0 to 1h and --unsafe 0 to 1 are allowed")
 			}
 			o.Address = args[0]
-			o.Classes = []standin.LoadClass{
+			o.Classes = []proxystandin.LoadClass{
 				{Name: "zone-lookup", Share: 1 - unsafe, Aim: 600 * time.Millisecond,
 					Deadline: 1500 * time.Millisecond, Worth: 2},
 				{Name: "rider-assign", Share: unsafe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
@@ -190,20 +190,20 @@
 			defer stop()
 			ctx, cancel := context.WithTimeout(ctx, lasting)
 			defer cancel()
-			l := standin.NewLoad(o)
+			l := proxystandin.NewLoad(o)
 			l.Run(ctx)
 			t := l.Tally().Totals()
 			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-			out := map[string]any{"offered": t.Offered, "served": t.By[standin.Served], "served_in_time": t.InTime,
-				"refused": t.By[standin.Refused], "failed": t.By[standin.Failed], "no_answer": t.By[standin.NoAnswer],
-				"unreachable": t.By[standin.Unreachable], "not_sent": t.By[standin.NotSent], "p50_ms": ms(t.P50),
+			out := map[string]any{"offered": t.Offered, "served": t.By[proxystandin.Served], "served_in_time": t.InTime,
+				"refused": t.By[proxystandin.Refused], "failed": t.By[proxystandin.Failed], "no_answer": t.By[proxystandin.NoAnswer],
+				"unreachable": t.By[proxystandin.Unreachable], "not_sent": t.By[proxystandin.NotSent], "p50_ms": ms(t.P50),
 				"p99_ms": ms(t.P99), "max_ms": ms(t.Max), "load_lag_ms": ms(t.Lag)}
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(out)
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(),
 				"offered %d, served %d (%d in time), refused %d, failed %d, no answer %d, p50 %s, p99 %s\n", t.Offered,
-				t.By[standin.Served], t.InTime, t.By[standin.Refused], t.By[standin.Failed], t.By[standin.NoAnswer],
+				t.By[proxystandin.Served], t.InTime, t.By[proxystandin.Refused], t.By[proxystandin.Failed], t.By[proxystandin.NoAnswer],
 				t.P50, t.P99)
 			return err
 		},
@@ -227,7 +227,7 @@
 		Use: "show NAME", Short: "Print a shipped scenario, to begin one's own with",
 		Example: "  cresshub-lab show snowy-evening", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			text, err := lab.Text(args[0])
+			text, err := experiment.Text(args[0])
 			if err != nil {
 				return err
 			}
@@ -243,7 +243,7 @@
 		Use: "docs", Short: "Write the page of all keys of a scenario", Example: "  cresshub-lab docs -o -",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return write(c.OutOrStdout(), out, []byte(lab.Reference()))
+			return write(c.OutOrStdout(), out, []byte(experiment.Reference()))
 		},
 	}
 	c.Flags().StringVarP(&out, "out", "o", "docs/SCENARIO.md", "file, - for standard output")
--- a/internal/emulator/kernel.go
+++ b/internal/simulation/proxysim/kernel.go
@@ -1,8 +1,8 @@
-// Package emulator is a model of what the proxy balances: clients, proxies, halls, zone servers, their list
+// Package proxysim is a model of what the proxy balances: clients, proxies, halls, zone servers, their list
 // and their load reports, in virtual time. The real decisions (package balance, one instance a proxy) and
 // rival policies play the same days. It does no input or output and knows no clock: the same scenario and
 // seed give the same results whatever the machine.
-package emulator
+package proxysim
 
 // event is one thing that happens: what, when, and to whom. It holds no pointer, so the queue costs the
 // collector nothing.
--- a/internal/emulator/scenario.go
+++ b/internal/simulation/proxysim/scenario.go
@@ -1,4 +1,4 @@
-package emulator
+package proxysim
 
 import "time"
 
--- a/internal/fleetsim/clock.go
+++ b/internal/simulation/routersim/clock.go
@@ -1,8 +1,8 @@
-// Package fleetsim plays the way of model requests through a fleet in virtual time: proxies that decide
+// Package routersim plays the way of model requests through a fleet in virtual time: proxies that decide
 // each on its own, servers that read prompts and servers that make tokens. The real decisions (package
 // pairing) and rival policies play the same requests. It has no input, output, clock or goroutine: the same
 // scenario and seed give the same result everywhere.
-package fleetsim
+package routersim
 
 import (
 	"container/heap"
--- a/internal/fleetsim/proxy.go
+++ b/internal/simulation/routersim/proxy.go
@@ -1,4 +1,4 @@
-package fleetsim
+package routersim
 
 import (
 	"time"
--- a/internal/rig/owner.go
+++ b/internal/testbed/clusterrig/owner.go
@@ -1,4 +1,4 @@
-package rig
+package clusterrig
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"cresshub/internal/cluster/leaseholder"
 	"cresshub/internal/cluster/ledger"
 	"cresshub/internal/proxy/daemon"
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // LeaseOfTests is the lease in OwnerKeys, short so that many fit into a while.
@@ -247,7 +247,7 @@
 	if higher <= token {
 		return took, fmt.Errorf("%s has token %d after %d", next.Name, higher, token)
 	}
-	err = r.calls(ctx, fmt.Sprintf("of token %d", higher), func(c standin.SinkCall) bool {
+	err = r.calls(ctx, fmt.Sprintf("of token %d", higher), func(c proxystandin.SinkCall) bool {
 		return c.Token >= higher
 	})
 	if err != nil {
@@ -264,14 +264,14 @@
 	if err != nil {
 		return took, err
 	}
-	err = r.calls(ctx, fmt.Sprintf("of token %d, late", token), func(c standin.SinkCall) bool {
+	err = r.calls(ctx, fmt.Sprintf("of token %d, late", token), func(c proxystandin.SinkCall) bool {
 		return c.Token == token && c.Status == http.StatusConflict
 	})
 	return took, errors.Join(err, r.stepsDown(ctx, old, token), os.Remove(old.Data+".calls"))
 }
 
 // calls waits until the sink has seen a call.
-func (r *Rig) calls(ctx context.Context, what string, is func(standin.SinkCall) bool) error {
+func (r *Rig) calls(ctx context.Context, what string, is func(proxystandin.SinkCall) bool) error {
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(pollEvery) {
 		if slices.ContainsFunc(r.Sink.Calls(), is) {
 			return nil
--- a/internal/rig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -1,4 +1,4 @@
-package rig
+package clusterrig
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // takeover is how long a new owner may take here, where a dozen fleets share the machine. The number wanted,
@@ -182,7 +182,7 @@
 			if took > takeover {
 				t.Errorf("a new owner took %v, %v at most is wanted", took, takeover)
 			}
-			r.Sink.Trouble(standin.SinkTrouble{})
+			r.Sink.Trouble(proxystandin.SinkTrouble{})
 			for _, v := range r.Members {
 				if v.State() == Killed {
 					must(t, r.Restart(ctx(t), v, false, false))
@@ -207,7 +207,7 @@
 // not heard of yet.
 func sending(t *testing.T, r *Rig, m *Member) {
 	t.Helper()
-	r.Sink.Trouble(standin.SinkTrouble{Slow: 300 * time.Millisecond})
+	r.Sink.Trouble(proxystandin.SinkTrouble{Slow: 300 * time.Millisecond})
 	stored := len(r.Sink.Entries())
 	for begun := time.Now(); len(r.Sink.Entries()) == stored; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > 10*time.Second {
@@ -293,7 +293,7 @@
 	t.Parallel()
 	r := startOwners(t, Options{Members: 3}, "")
 	l := during(t, r.Members, 4, func() {
-		for what, trouble := range map[string]standin.SinkTrouble{
+		for what, trouble := range map[string]proxystandin.SinkTrouble{
 			"503":          {Status: 503},
 			"400":          {Status: 400},
 			"too slow":     {Slow: time.Second},
@@ -307,7 +307,7 @@
 			untilExport(t, r, what, func(now int64, problem string) bool {
 				return problem != "" || now > refused && trouble.Status == 409
 			})
-			r.Sink.Trouble(standin.SinkTrouble{})
+			r.Sink.Trouble(proxystandin.SinkTrouble{})
 			untilExport(t, r, "well again", func(_ int64, problem string) bool { return problem == "" })
 		}
 	})
--- a/internal/rig/play.go
+++ b/internal/testbed/clusterrig/play.go
@@ -1,4 +1,4 @@
-package rig
+package clusterrig
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"cresshub/internal/cluster/gossip"
-	"cresshub/internal/faultnet"
+	"cresshub/internal/testbed/faultnet"
 )
 
 // settleWithin bounds how long the members may take to see each other at the start.
--- a/internal/rig/plot.go
+++ b/internal/testbed/clusterrig/plot.go
@@ -1,4 +1,4 @@
-package rig
+package clusterrig
 
 import (
 	"fmt"
--- a/internal/rig/race_off_test.go
+++ b/internal/testbed/clusterrig/race_off_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package rig
+package clusterrig
 
 const underRace = false
--- a/internal/rig/rig.go
+++ b/internal/testbed/clusterrig/rig.go
@@ -1,9 +1,9 @@
-// Package rig starts several processes of the program on loopback, puts a faulty network between them and
-// acts on them (kill, pause, end, restart), and follows what each says of the others. Tests use it in code;
-// `cresshub rig` plays scenarios with it.
+// Package clusterrig starts several processes of the program on loopback, puts a faulty network between them
+// and acts on them (kill, pause, end, restart), and follows what each says of the others. Tests use it in
+// code; `cresshub rig` plays scenarios with it.
 //
 // All ports are chosen by the system, every wait has a bound, and Close ends every process it started.
-package rig
+package clusterrig
 
 import (
 	"context"
@@ -20,9 +20,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"cresshub/internal/faultnet"
 	"cresshub/internal/program"
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/faultnet"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 const (
@@ -111,10 +111,10 @@
 // Rig is the processes and the network between them.
 type Rig struct {
 	Net       *faultnet.Net // nil without a relay
-	Discovery *standin.Discovery
+	Discovery *proxystandin.Discovery
 	Members   []*Member
-	Zones     *standin.Fleet // nil where there are none
-	Sink      *standin.Sink  // nil where there is none
+	Zones     *proxystandin.Fleet // nil where there are none
+	Sink      *proxystandin.Sink  // nil where there is none
 
 	o   Options
 	out *lockedWriter
@@ -143,16 +143,16 @@
 		if len(halls) == 0 {
 			halls = []string{"hall"}
 		}
-		if r.Zones, err = standin.StartFleet(standin.FleetOptions{Servers: o.Zones, Halls: halls, Work: zoneWork,
+		if r.Zones, err = proxystandin.StartFleet(proxystandin.FleetOptions{Servers: o.Zones, Halls: halls, Work: zoneWork,
 			Waiting: 64, Seed: o.Seed}); err != nil {
 			return nil, err
 		}
 		r.Discovery = r.Zones.Discovery
-	} else if r.Discovery, err = standin.StartDiscovery("127.0.0.1:0"); err != nil {
+	} else if r.Discovery, err = proxystandin.StartDiscovery("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
 	if o.Sink {
-		if r.Sink, err = standin.StartSink("127.0.0.1:0"); err != nil {
+		if r.Sink, err = proxystandin.StartSink("127.0.0.1:0"); err != nil {
 			r.Close()
 			return nil, err
 		}
--- a/internal/rig/rig_test.go
+++ b/internal/testbed/clusterrig/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package clusterrig
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"cresshub/internal/cluster/gossip"
-	"cresshub/internal/faultnet"
+	"cresshub/internal/testbed/faultnet"
 )
 
 // binary is the program, built once for all tests of the package.
--- a/internal/nettest/nettest.go
+++ b/internal/testbed/nettest/nettest.go
@@ -14,7 +14,7 @@
 
 	"cresshub/internal/http1"
 	"cresshub/internal/ring"
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // Patience bounds every wait of a test; no verdict depends on how much of it is used.
@@ -81,7 +81,7 @@
 // Listen accepts connections and gives each a goroutine, until the test ends.
 func Listen(t testing.TB, serve func(c *ring.Conn)) string {
 	t.Helper()
-	l, err := standin.Listen("127.0.0.1:0", 0, serve)
+	l, err := proxystandin.Listen("127.0.0.1:0", 0, serve)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/listener.go
+++ b/internal/testbed/proxystandin/listener.go
@@ -1,11 +1,11 @@
-// Package standin holds parties that stand in for those of a real deployment, on loopback: zone servers
+// Package proxystandin holds parties that stand in for those of a real deployment, on loopback: zone servers
 // with cores, a queue and a cold start, a discovery service, and the application's open-loop load. They
 // serve the tool that tries the proxy, experiments and tests alike, and know nothing of the proxy.
-package standin
+package proxystandin
 
 import (
-	"cresshub/internal/connserver"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/connserver"
 )
 
 // Listener accepts connections, gives each a goroutine, and can end all of them at once.
--- a/internal/standin/sink.go
+++ b/internal/testbed/proxystandin/sink.go
@@ -1,4 +1,4 @@
-package standin
+package proxystandin
 
 import (
 	"encoding/json"
--- a/internal/trial/mixed.go
+++ b/internal/testbed/proxytrial/mixed.go
@@ -1,4 +1,4 @@
-package trial
+package proxytrial
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"cresshub/internal/program"
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // mixed is the trouble in which several others, drawn by the seed, overlap until the time is over.
@@ -27,7 +27,7 @@
 
 // mixture plays overlapping troubles of servers, discovery and the proxy's own process.
 type mixture struct {
-	fleet *standin.Fleet
+	fleet *proxystandin.Fleet
 	proxy *program.Process
 	file  string // the proxy's configuration
 	text  []byte // of that file
@@ -38,7 +38,7 @@
 }
 
 // playMixed plays rounds of troubles until ctx ends, and leaves everything well.
-func playMixed(ctx context.Context, f *standin.Fleet, proxy *program.Process, file string,
+func playMixed(ctx context.Context, f *proxystandin.Fleet, proxy *program.Process, file string,
 	seed uint64) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -115,7 +115,7 @@
 		return err
 	}
 	m.fleet.Drain(name)
-	if sleep(ctx, standin.DrainGrace+upTo(lot, time.Second)) {
+	if sleep(ctx, proxystandin.DrainGrace+upTo(lot, time.Second)) {
 		m.fleet.Leave(name)
 	}
 	return nil
--- a/internal/trial/trial.go
+++ b/internal/testbed/proxytrial/trial.go
@@ -1,7 +1,7 @@
-// Package trial tries the proxy on loopback: a discovery and zone servers that stand in for real ones, the
-// program itself as a child process, and an open-loop load, with a trouble in the middle if wanted. What
+// Package proxytrial tries the proxy on loopback: a discovery and zone servers that stand in for real ones,
+// the program itself as a child process, and an open-loop load, with a trouble in the middle if wanted. What
 // comes out is counted on both sides, and so are breaks of the rules.
-package trial
+package proxytrial
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"time"
 
 	"cresshub/internal/program"
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // Options are what is tried.
@@ -30,7 +30,7 @@
 	Set     []string  // KEY=VALUE of the proxy's configuration, over what the trial sets
 	Log     io.Writer // the proxy's log, if wanted
 	// Live is called a few times a second while the load lasts, if it is set.
-	Live func(done time.Duration, t standin.Totals)
+	Live func(done time.Duration, t proxystandin.Totals)
 }
 
 // Report is what came of it. Times are in milliseconds.
@@ -57,7 +57,7 @@
 // ServerReport is what one zone server saw.
 type ServerReport struct {
 	Name string `json:"name"`
-	standin.ZoneCounts
+	proxystandin.ZoneCounts
 }
 
 // The names of the rules in a report.
@@ -79,7 +79,7 @@
 var halls = []string{"kita-hall", "chuo-hall", "toyohira-hall"}
 
 // The classes of the brief, with the middle of each range.
-var classes = []standin.LoadClass{
+var classes = []proxystandin.LoadClass{
 	{Name: "zone-lookup", Share: 0.6, Aim: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond,
 		Worth: 2},
 	{Name: "rider-assign", Share: 0.4, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 8,
@@ -111,8 +111,8 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	cold := standin.Cold{Start: 0.12, Warm: 10 * time.Second, Multiple: 4, After: 1500 * time.Millisecond}
-	fleet, err := standin.StartFleet(standin.FleetOptions{
+	cold := proxystandin.Cold{Start: 0.12, Warm: 10 * time.Second, Multiple: 4, After: 1500 * time.Millisecond}
+	fleet, err := proxystandin.StartFleet(proxystandin.FleetOptions{
 		Servers: o.Servers, Halls: halls, Work: work, HalfSpeed: 0.4, Waiting: 16, Cold: cold, Seed: o.Seed,
 	})
 	if err != nil {
@@ -130,7 +130,7 @@
 		if ctx.Err() == nil {
 			return nil, err
 		}
-		return report(fleet, standin.NewTally().Totals(), o, 0), ctx.Err()
+		return report(fleet, proxystandin.NewTally().Totals(), o, 0), ctx.Err()
 	}
 	proxy, err := program.Start(ctx, o.Program, file, o.Set, o.Log)
 	if err != nil {
@@ -144,10 +144,10 @@
 	}()
 	starting, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
-	if err := standin.AwaitReady(starting, proxy.Field("listen")); err != nil {
+	if err := proxystandin.AwaitReady(starting, proxy.Field("listen")); err != nil {
 		return nothing(fmt.Errorf("%w\n%s", err, proxy.Tail()))
 	}
-	load := standin.NewLoad(standin.LoadOptions{
+	load := proxystandin.NewLoad(proxystandin.LoadOptions{
 		Address: proxy.Field("listen"), Rate: o.Rate, Classes: classes, Tenants: tenants, Keys: 300, Seed: o.Seed,
 		Open: 2000,
 	})
@@ -170,7 +170,7 @@
 	return report(fleet, load.Tally().Totals(), o, seconds), err
 }
 
-func live(ctx context.Context, began time.Time, t *standin.Tally, show func(time.Duration, standin.Totals)) {
+func live(ctx context.Context, began time.Time, t *proxystandin.Tally, show func(time.Duration, proxystandin.Totals)) {
 	if show == nil {
 		return
 	}
@@ -186,14 +186,14 @@
 	}
 }
 
-func report(f *standin.Fleet, t standin.Totals, o Options, seconds float64) *Report {
+func report(f *proxystandin.Fleet, t proxystandin.Totals, o Options, seconds float64) *Report {
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	r := &Report{
-		Offered: t.Offered, Served: t.By[standin.Served], InTime: t.InTime, Refused: t.By[standin.Refused],
+		Offered: t.Offered, Served: t.By[proxystandin.Served], InTime: t.InTime, Refused: t.By[proxystandin.Refused],
 		P50: ms(t.P50), P99: ms(t.P99), Max: ms(t.Max), Seconds: seconds, Rate: o.Rate, Trouble: o.Trouble,
-		Lag: ms(t.Lag), Short: t.By[standin.NotSent], ListAsks: f.Discovery.Asked(), Servers: []ServerReport{},
+		Lag: ms(t.Lag), Short: t.By[proxystandin.NotSent], ListAsks: f.Discovery.Asked(), Servers: []ServerReport{},
 		Rules: map[string]int{
-			OneAnswer:  t.By[standin.NoAnswer] + t.Wrong + t.Second,
+			OneAnswer:  t.By[proxystandin.NoAnswer] + t.Wrong + t.Second,
 			NeverTwice: f.RanTwice(), DrainKept: 0, ColdKept: 0,
 		},
 	}
@@ -211,13 +211,13 @@
 }
 
 // configuration is the proxy's file, as an operator of this fleet would write it.
-func configuration(discovery string, o Options, cold standin.Cold) string {
+func configuration(discovery string, o Options, cold proxystandin.Cold) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"try\"\nseed = \"%x\"\nhalls = [%q, %q, %q]\nkinds = [%q, %q]\n", o.Seed,
-		halls[0], halls[1], halls[2], standin.Standard, standin.HalfSpeed)
+		halls[0], halls[1], halls[2], proxystandin.Standard, proxystandin.HalfSpeed)
 	fmt.Fprintf(&b, "[listen]\naddress = \"127.0.0.1:0\"\n[discovery]\naddress = %q\n", discovery)
 	fmt.Fprintf(&b, "[policy]\nhall = %q\nwarm_keys = true\n", halls[0])
-	fmt.Fprintf(&b, "[drain]\ngrace = %q\n", standin.DrainGrace)
+	fmt.Fprintf(&b, "[drain]\ngrace = %q\n", proxystandin.DrainGrace)
 	fmt.Fprintf(&b, "[cold]\nstart = %g\nwarm_after = %q\nfall_multiple = %g\nfall_after = %q\n", cold.Start,
 		cold.Warm, cold.Multiple, cold.After)
 	for _, c := range classes {
--- a/internal/trial/trouble.go
+++ b/internal/testbed/proxytrial/trouble.go
@@ -1,4 +1,4 @@
-package trial
+package proxytrial
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/standin"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // Troubles are what may be played in the middle of a trial.
@@ -23,7 +23,7 @@
 
 // trouble plays one in the middle third of the time. It returns when it is over or ctx ends; an error is
 // a fault of the stand-ins.
-func trouble(ctx context.Context, f *standin.Fleet, o Options) error {
+func trouble(ctx context.Context, f *proxystandin.Fleet, o Options) error {
 	if o.Trouble == "" || !sleep(ctx, o.For/3) {
 		return nil
 	}
@@ -32,7 +32,7 @@
 	switch o.Trouble {
 	case "drain":
 		f.Drain(victim)
-		if sleep(ctx, o.For/6+standin.DrainGrace) {
+		if sleep(ctx, o.For/6+proxystandin.DrainGrace) {
 			f.Leave(victim)
 		}
 	case "pause":
--- a/internal/fleetstandin/client.go
+++ b/internal/testbed/routerstandin/client.go
@@ -1,4 +1,4 @@
-package fleetstandin
+package routerstandin
 
 import (
 	"context"
--- a/internal/fleetstandin/proxy_test.go
+++ b/internal/testbed/routerstandin/proxy_test.go
@@ -1,4 +1,4 @@
-package fleetstandin
+package routerstandin
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/connserver"
 	"cresshub/internal/http1"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/connserver"
 )
 
 // fakeProxy is a router that is simple enough to be right, and that a test may make wrong.
--- a/internal/fleetstandin/server.go
+++ b/internal/testbed/routerstandin/server.go
@@ -1,4 +1,4 @@
-package fleetstandin
+package routerstandin
 
 import (
 	"crypto/rand"
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/connserver"
 	"cresshub/internal/http1"
 	"cresshub/internal/ring"
+	"cresshub/internal/testbed/connserver"
 )
 
 const (
--- a/internal/fleettrial/change.go
+++ b/internal/testbed/routertrial/change.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // probeMargin is how long after the bound of configuration probes are sent.
@@ -44,15 +44,15 @@
 
 // Probe sends a request of a kind to each proxy that gets clients, and returns how many answered with each
 // status, 0 standing for none. What an answer breaks is noted by the observations.
-func (f *Fleet) Probe(ctx context.Context, kind *fleetstandin.Kind) map[int]int {
+func (f *Fleet) Probe(ctx context.Context, kind *routerstandin.Kind) map[int]int {
 	var mu sync.Mutex
 	var probing sync.WaitGroup
 	statuses := map[int]int{}
-	client := fleetstandin.NewClient(0, "", f.Entry, f.Observations)
+	client := routerstandin.NewClient(0, "", f.Entry, f.Observations)
 	client.Keeps = false
 	for _, proxy := range f.Entry.Ready() {
 		probing.Go(func() {
-			status := client.Probe(ctx, proxy, fleetstandin.NewRequest(kind, int(f.requests.Add(1))))
+			status := client.Probe(ctx, proxy, routerstandin.NewRequest(kind, int(f.requests.Add(1))))
 			mu.Lock()
 			defer mu.Unlock()
 			statuses[status]++
--- a/internal/fleettrial/configuration.go
+++ b/internal/testbed/routertrial/configuration.go
@@ -1,10 +1,10 @@
-package fleettrial
+package routertrial
 
 import (
 	"time"
 
-	"cresshub/internal/fleetstandin"
 	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // The places and services of a trial.
@@ -21,7 +21,7 @@
 var zones = []string{"north", "middle", "south"}
 
 // engine is what the model servers do. A prompt of 2,600 tokens is read in 65 ms.
-var engine = fleetstandin.Engine{
+var engine = routerstandin.Engine{
 	ReadPace: 40, Step: 10 * time.Millisecond, Stride: 2, MoveTime: 3 * time.Millisecond,
 	HandleLife: 5 * time.Second, StageSwitch: 500 * time.Millisecond, CacheTokens: 400000,
 }
@@ -38,7 +38,7 @@
 )
 
 // kinds are the requests of the clients.
-var kinds = []*fleetstandin.Kind{
+var kinds = []*routerstandin.Kind{
 	{Name: "summary", Host: host, Prefix: "/summary/", Class: fleetconfig.Stream, Resumable: true, Share: 0.25,
 		Aim: 500 * time.Millisecond, Gap: 300 * time.Millisecond, Deadline: 5 * time.Second, Retries: 2,
 		SharedTokens: 1500, OwnTokens: 1100, OutputTokens: 12},
@@ -56,36 +56,36 @@
 
 // leavingKind has a route in the first configuration only, joiningKind in later ones only.
 var (
-	leavingKind = &fleetstandin.Kind{Name: "leaving", Host: host, Prefix: "/leaving/", Class: fleetconfig.Safe,
+	leavingKind = &routerstandin.Kind{Name: "leaving", Host: host, Prefix: "/leaving/", Class: fleetconfig.Safe,
 		Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, BodyBytes: 100}
-	joiningKind = &fleetstandin.Kind{Name: "joining", Host: host, Prefix: "/joining/", Class: fleetconfig.Safe,
+	joiningKind = &routerstandin.Kind{Name: "joining", Host: host, Prefix: "/joining/", Class: fleetconfig.Safe,
 		Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, BodyBytes: 100}
 )
 
 // firstConfiguration is what the operator sends first.
-func firstConfiguration() *fleetstandin.Document {
-	document := &fleetstandin.Document{
+func firstConfiguration() *routerstandin.Document {
+	document := &routerstandin.Document{
 		Version: 1,
-		Limits:  &fleetstandin.LimitsSection{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderMs: 3000, IdleMs: 15000},
+		Limits:  &routerstandin.LimitsSection{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderMs: 3000, IdleMs: 15000},
 	}
 	for _, kind := range kinds {
 		service := lookup
 		if kind.Class == fleetconfig.Stream {
 			service = modelService
 		}
-		document.Routes = append(document.Routes, fleetstandin.RouteOf(kind, service, tries))
+		document.Routes = append(document.Routes, routerstandin.RouteOf(kind, service, tries))
 	}
-	document.Routes = append(document.Routes, fleetstandin.RouteOf(leavingKind, lookup, tries))
-	document.Services = []fleetstandin.ServiceDoc{
+	document.Routes = append(document.Routes, routerstandin.RouteOf(leavingKind, lookup, tries))
+	document.Services = []routerstandin.ServiceDoc{
 		{Name: modelService, HealthPath: healthPath, Lines: modelLines, Protocol: "h1",
-			Engine: fleetstandin.EngineOf(&engine, modelSlots)},
+			Engine: routerstandin.EngineOf(&engine, modelSlots)},
 		{Name: lookup, HealthPath: healthPath, Lines: lookupLines, Protocol: "h1"},
 	}
 	return document
 }
 
 // nextConfiguration changes the current one: a route goes, one comes, and one is split among two services.
-func nextConfiguration(current *fleetstandin.Document) *fleetstandin.Document {
+func nextConfiguration(current *routerstandin.Document) *routerstandin.Document {
 	next := current.Clone()
 	next.Version += 2 // versions rise in uneven steps
 	next.Routes = nil
@@ -95,16 +95,16 @@
 			continue
 		case "profile":
 			route.Service = ""
-			route.Split = []fleetstandin.TargetDoc{{Service: lookup, Weight: 70}, {Service: lookupNext, Weight: 30}}
+			route.Split = []routerstandin.TargetDoc{{Service: lookup, Weight: 70}, {Service: lookupNext, Weight: 30}}
 		case "check":
 			route.TimeoutMs += 100
 		}
 		next.Routes = append(next.Routes, route)
 	}
-	next.Routes = append(next.Routes, fleetstandin.RouteOf(joiningKind, lookupNext, tries))
+	next.Routes = append(next.Routes, routerstandin.RouteOf(joiningKind, lookupNext, tries))
 	if len(next.Services) == 2 {
 		next.Services = append(next.Services,
-			fleetstandin.ServiceDoc{Name: lookupNext, HealthPath: healthPath, Lines: lookupLines, Protocol: "h1"})
+			routerstandin.ServiceDoc{Name: lookupNext, HealthPath: healthPath, Lines: lookupLines, Protocol: "h1"})
 	}
 	return next
 }
--- a/internal/fleettrial/fleet.go
+++ b/internal/testbed/routertrial/fleet.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 const (
@@ -65,9 +65,9 @@
 // Fleet is a small fleet of processes on loopback, with stand-ins for all around it.
 type Fleet struct {
 	Machines     []*Machine
-	Observations *fleetstandin.Observations
-	Operator     *fleetstandin.Operator
-	Entry        *fleetstandin.Entry
+	Observations *routerstandin.Observations
+	Operator     *routerstandin.Operator
+	Entry        *routerstandin.Entry
 
 	options Options
 	network *network
@@ -87,16 +87,16 @@
 	events   []string
 
 	serversMu sync.Mutex
-	servers   []*fleetstandin.Server     // that run
-	ended     []fleetstandin.ServerTally // of those that have ended
-	clients   []*fleetstandin.Client
+	servers   []*routerstandin.Server     // that run
+	ended     []routerstandin.ServerTally // of those that have ended
+	clients   []*routerstandin.Client
 }
 
 // StartFleet starts the machines of each zone, of which the first have a disk, and servers, has the operator
 // send the first configuration, and waits until every machine is ready and knows every server.
 func StartFleet(ctx context.Context, options Options) (*Fleet, error) {
 	beside, stop := context.WithCancel(context.Background())
-	f := &Fleet{options: options, stop: stop, Observations: fleetstandin.NewObservations(bounds)}
+	f := &Fleet{options: options, stop: stop, Observations: routerstandin.NewObservations(bounds)}
 	if err := f.start(ctx, beside); err != nil {
 		f.Close()
 		return nil, err
@@ -120,7 +120,7 @@
 		return err
 	}
 	f.Operator = f.newOperator()
-	f.Entry = fleetstandin.NewEntry(f.proxies())
+	f.Entry = routerstandin.NewEntry(f.proxies())
 	f.beside.Go(func() { f.Entry.Run(beside) })
 	f.addClients()
 	bounded, cancel := context.WithTimeout(ctx, firstConfigTime)
@@ -199,8 +199,8 @@
 }
 
 // newOperator returns an operator some of whose answers are lost while lostAnswers says so.
-func (f *Fleet) newOperator() *fleetstandin.Operator {
-	operator := fleetstandin.NewOperator(f.controls, f.Observations)
+func (f *Fleet) newOperator() *routerstandin.Operator {
+	operator := routerstandin.NewOperator(f.controls, f.Observations)
 	operator.LoseAnswers(f.losesAnswer)
 	return operator
 }
@@ -208,21 +208,21 @@
 // losesAnswer draws whether an answer of the fleet is lost.
 func (f *Fleet) losesAnswer() bool { return rand.Int64N(1000) < f.lostAnswers.Load() }
 
-func (f *Fleet) proxies() []fleetstandin.Proxy {
-	var all []fleetstandin.Proxy
+func (f *Fleet) proxies() []routerstandin.Proxy {
+	var all []routerstandin.Proxy
 	for _, machine := range f.Machines {
 		all = append(all, machine.proxy())
 	}
 	return all
 }
 
-func (m *Machine) proxy() fleetstandin.Proxy {
-	return fleetstandin.Proxy{Zone: m.Zone, Front: m.Front, Ready: m.Ready}
+func (m *Machine) proxy() routerstandin.Proxy {
+	return routerstandin.Proxy{Zone: m.Zone, Front: m.Front, Ready: m.Ready}
 }
 
 func (f *Fleet) addClients() {
 	for i := range clientsEach * len(zones) {
-		client := fleetstandin.NewClient(i, zones[i%len(zones)], f.Entry, f.Observations)
+		client := routerstandin.NewClient(i, zones[i%len(zones)], f.Entry, f.Observations)
 		client.Keeps = i%fleeting != 0
 		client.Impatient = i%impatientEach == impatientEach-1
 		f.clients = append(f.clients, client)
@@ -230,8 +230,8 @@
 }
 
 // NewLoad returns a load of all kinds of requests from all clients.
-func (f *Fleet) NewLoad() *fleetstandin.Load {
-	return fleetstandin.NewLoad(fleetstandin.LoadOptions{
+func (f *Fleet) NewLoad() *routerstandin.Load {
+	return routerstandin.NewLoad(routerstandin.LoadOptions{
 		Kinds: kinds, Clients: f.clients, Rate: f.options.Rate, Seed: f.options.Seed,
 	}, &f.requests)
 }
@@ -275,7 +275,7 @@
 func (f *Fleet) noteFaultIn(name string, line []byte) {
 	for _, mark := range faultMarks {
 		if bytes.Contains(line, mark) {
-			f.Observations.Broken(fleetstandin.Invariant, "%s: %s", name, bytes.TrimSpace(line))
+			f.Observations.Broken(routerstandin.Invariant, "%s: %s", name, bytes.TrimSpace(line))
 		}
 	}
 }
--- a/internal/fleettrial/hunt_test.go
+++ b/internal/testbed/routertrial/hunt_test.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // The hunt is played on demand: go test ./internal/fleettrial -run TestHunt -hunt 20 -timeout 1h
@@ -60,7 +60,7 @@
 
 // noteLosses notes when requests are not served, so that the trouble that cost them is seen.
 func (h *hunt) noteLosses() {
-	before := fleetstandin.KindTally{}
+	before := routerstandin.KindTally{}
 	for sleepFor(h.ctx, lossInterval) {
 		now := h.load.Tally().Total()
 		refused, failed, late := now.Refused-before.Refused, now.Failed-before.Failed, now.Late-before.Late
@@ -177,6 +177,6 @@
 	h.Observations.AllBack()
 	h.Assert(h.AwaitMachines(h.ctx), qt.IsNil)
 	h.lostAt = time.Now()
-	second := fleetstandin.NewOperator(h.controls, h.Observations)
+	second := routerstandin.NewOperator(h.controls, h.Observations)
 	h.Assert(second.ReadBack(h.ctx), qt.IsNil)
 }
--- a/internal/fleettrial/logstands_test.go
+++ b/internal/testbed/routertrial/logstands_test.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // A process whose log nobody reads serves on: whoever collects logs must not hold up clients, servers or the
@@ -18,11 +18,11 @@
 	process := m.running()
 	process.HoldLog()
 	defer process.ReleaseLog()
-	client := fleetstandin.NewClient(0, "", r.Entry, r.Observations)
+	client := routerstandin.NewClient(0, "", r.Entry, r.Observations)
 	client.Keeps = false
 	for range 200 {
 		began := time.Now()
-		status := client.Probe(r.ctx, m.proxy(), fleetstandin.NewRequest(leavingKind, int(r.requests.Add(1))))
+		status := client.Probe(r.ctx, m.proxy(), routerstandin.NewRequest(leavingKind, int(r.requests.Add(1))))
 		r.Assert(status, qt.Equals, 200, qt.Commentf("after %v", time.Since(began)))
 	}
 }
@@ -33,10 +33,10 @@
 	r := newRigOf(t, Options{Faulty: true, LogLevel: "debug"})
 	m := r.WithDisk(false)[0]
 	r.Assert(m.running().CloseLog(), qt.IsNil)
-	client := fleetstandin.NewClient(0, "", r.Entry, r.Observations)
+	client := routerstandin.NewClient(0, "", r.Entry, r.Observations)
 	client.Keeps = false
 	for range 50 {
-		status := client.Probe(r.ctx, m.proxy(), fleetstandin.NewRequest(leavingKind, int(r.requests.Add(1))))
+		status := client.Probe(r.ctx, m.proxy(), routerstandin.NewRequest(leavingKind, int(r.requests.Add(1))))
 		r.Assert(status, qt.Equals, 200)
 	}
 }
--- a/internal/fleettrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"cresshub/internal/fleetstandin"
 	"cresshub/internal/program"
 	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // startTime bounds how long a process may take until it listens.
@@ -103,7 +103,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.process == process && !m.ending {
-		m.fleet.Observations.Broken(fleetstandin.Fault, "the process of %s ended by itself; the end of its log: %s",
+		m.fleet.Observations.Broken(routerstandin.Fault, "the process of %s ended by itself; the end of its log: %s",
 			m.Name, process.Tail())
 	}
 }
@@ -137,7 +137,7 @@
 	stopWatching := context.AfterFunc(ctx, process.Kill)
 	defer stopWatching()
 	if err := process.Stop(bounds.Grace); err != nil && ctx.Err() == nil {
-		m.fleet.Observations.Broken(fleetstandin.Fault, "%s after SIGTERM: %v", m.Name, err)
+		m.fleet.Observations.Broken(routerstandin.Fault, "%s after SIGTERM: %v", m.Name, err)
 	}
 }
 
--- a/internal/fleettrial/machine_faults.go
+++ b/internal/testbed/routertrial/machine_faults.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/faultinject"
 	"cresshub/internal/program"
+	"cresshub/internal/testbed/faultinject"
 )
 
 // running returns the machine's process, nil while none runs.
--- a/internal/fleettrial/machine_faults_test.go
+++ b/internal/testbed/routertrial/machine_faults_test.go
@@ -1,11 +1,11 @@
-package fleettrial
+package routertrial
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/faultinject"
+	"cresshub/internal/testbed/faultinject"
 )
 
 // A cut that ends while a process starts must not hold for that process: it was given the cut, and nobody
--- a/internal/fleettrial/network_test.go
+++ b/internal/testbed/routertrial/network_test.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"fmt"
--- a/internal/fleettrial/ready.go
+++ b/internal/testbed/routertrial/ready.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/fleetstandin"
 	"cresshub/internal/router/controlclient"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // lookInterval is how often a wait looks again.
@@ -86,7 +86,7 @@
 // AwaitMachine waits until a machine says that it is ready and the entry gives clients to it.
 func (f *Fleet) AwaitMachine(ctx context.Context, m *Machine) error {
 	return await(ctx, m.Name+" is ready", readyTime, func() string {
-		ready := func(p fleetstandin.Proxy) bool { return p == m.proxy() }
+		ready := func(p routerstandin.Proxy) bool { return p == m.proxy() }
 		if problem := m.unready(ctx); problem != "" {
 			return problem
 		}
--- a/internal/fleettrial/rig_test.go
+++ b/internal/testbed/routertrial/rig_test.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetstandin"
 	_ "cresshub/internal/router/agent" // the program under test is built of it: a change of it makes results stale
+	"cresshub/internal/testbed/routerstandin"
 )
 
 const (
@@ -60,7 +60,7 @@
 	*qt.C
 	*Fleet
 	ctx     context.Context
-	load    *fleetstandin.Load
+	load    *routerstandin.Load
 	sending chan struct{}
 	over    sync.WaitGroup
 	log     *tailLog
@@ -136,7 +136,7 @@
 func (r *rig) calm() { r.Assert(sleepFor(r.ctx, bounds.Touch), qt.IsTrue) }
 
 // finish ends the clients, reads the configuration back, and checks that every rule was kept.
-func (r *rig) finish() fleetstandin.KindTally {
+func (r *rig) finish() routerstandin.KindTally {
 	r.Helper()
 	close(r.sending)
 	r.over.Wait()
--- a/internal/fleettrial/rules_test.go
+++ b/internal/testbed/routertrial/rules_test.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"strings"
@@ -6,11 +6,11 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // checkRules checks that no rule was broken.
-func checkRules(t testing.TB, rules []fleetstandin.Verdict) {
+func checkRules(t testing.TB, rules []routerstandin.Verdict) {
 	t.Helper()
 	for _, verdict := range rules {
 		qt.Check(t, verdict.Breaks, qt.Equals, 0,
--- a/internal/fleettrial/servers.go
+++ b/internal/testbed/routertrial/servers.go
@@ -1,23 +1,23 @@
-package fleettrial
+package routertrial
 
 import (
 	"slices"
 	"sync"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // serverPlan names the service of each server, and the stage that it starts with.
 var serverPlan = []struct{ service, stage string }{
-	{modelService, fleetstandin.Reading}, {modelService, fleetstandin.Writing},
-	{modelService, fleetstandin.Reading}, {modelService, fleetstandin.Writing},
-	{modelService, fleetstandin.Reading}, {modelService, fleetstandin.Writing},
+	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
+	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
+	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
 	{lookup, ""}, {lookup, ""}, {lookup, ""}, {lookupNext, ""}, {lookupNext, ""},
 }
 
 func (f *Fleet) startServers() error {
 	for i, planned := range serverPlan {
-		options := fleetstandin.ServerOptions{
+		options := routerstandin.ServerOptions{
 			Service: planned.service, Address: f.network.serverAddress(i), Zone: zones[i%len(zones)], Version: "v1",
 			Slots: lookupSlots, Queue: lookupQueue, Lines: lookupLines, HealthPath: healthPath, TellsLoad: true,
 			Work: lookupWork, Beat: beat, Controls: f.controls, Observations: f.Observations,
@@ -37,8 +37,8 @@
 }
 
 // StartServer starts one more server.
-func (f *Fleet) StartServer(options fleetstandin.ServerOptions) error {
-	server, err := fleetstandin.StartServer(options)
+func (f *Fleet) StartServer(options routerstandin.ServerOptions) error {
+	server, err := routerstandin.StartServer(options)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 }
 
 // ServerOf returns a server of a service that runs and has a stage now, "" for any; nil where there is none.
-func (f *Fleet) ServerOf(service, stage string) *fleetstandin.Server {
+func (f *Fleet) ServerOf(service, stage string) *routerstandin.Server {
 	f.serversMu.Lock()
 	defer f.serversMu.Unlock()
 	for _, server := range f.servers {
@@ -62,7 +62,7 @@
 }
 
 // Forget takes a server that has ended out of those that run.
-func (f *Fleet) Forget(server *fleetstandin.Server) {
+func (f *Fleet) Forget(server *routerstandin.Server) {
 	f.serversMu.Lock()
 	defer f.serversMu.Unlock()
 	if at := slices.Index(f.servers, server); at >= 0 {
@@ -84,7 +84,7 @@
 }
 
 // ServerTallies returns what each server has done, those that have ended first.
-func (f *Fleet) ServerTallies() []fleetstandin.ServerTally {
+func (f *Fleet) ServerTallies() []routerstandin.ServerTally {
 	f.serversMu.Lock()
 	defer f.serversMu.Unlock()
 	all := slices.Clone(f.ended)
--- a/internal/fleettrial/settings.go
+++ b/internal/testbed/routertrial/settings.go
@@ -1,11 +1,11 @@
-package fleettrial
+package routertrial
 
 import (
 	"encoding/json"
 	"time"
 
-	"cresshub/internal/fleetstandin"
 	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // beat is the time between heartbeats of servers.
@@ -13,7 +13,7 @@
 
 // bounds are the figures of the rules in a trial. They are those of the deployments, but for the time after
 // which a machine is in touch again, which is shorter so that more of a short trial is judged.
-var bounds = fleetstandin.Bounds{
+var bounds = routerstandin.Bounds{
 	Bounds: agentsettings.Bounds{
 		Touch: 1500 * time.Millisecond, Ack: 4 * time.Second, Drain: 2 * time.Second, Grace: 8 * time.Second,
 		Lost: 200 * time.Millisecond, Config: 2 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second,
--- a/internal/fleettrial/soak.go
+++ b/internal/testbed/routertrial/soak.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 const (
@@ -41,13 +41,13 @@
 
 // SoakReport is what came of a soak.
 type SoakReport struct {
-	Seed    uint64                 `json:"seed"`
-	Seconds float64                `json:"seconds"`
-	Played  map[string]int         `json:"played"` // troubles by name
-	Total   fleetstandin.KindTally `json:"total"`
-	Reasons []fleetstandin.Reason  `json:"reasons"` // why requests were not served
-	Rules   []fleetstandin.Verdict `json:"rules"`
-	Events  []string               `json:"events"`
+	Seed    uint64                  `json:"seed"`
+	Seconds float64                 `json:"seconds"`
+	Played  map[string]int          `json:"played"` // troubles by name
+	Total   routerstandin.KindTally `json:"total"`
+	Reasons []routerstandin.Reason  `json:"reasons"` // why requests were not served
+	Rules   []routerstandin.Verdict `json:"rules"`
+	Events  []string                `json:"events"`
 }
 
 // Broken is how many breaks of rules there were.
@@ -106,7 +106,7 @@
 	under.Go(func() { load.Run(ctx, sending) })
 	under.Go(func() { s.readConfigurations(beside) })
 	under.Go(func() { s.watchFigures(beside) })
-	rude := fleetstandin.NewRudeClient(s.Entry, s.Observations, kinds, s.options.Seed, s.nextNumber)
+	rude := routerstandin.NewRudeClient(s.Entry, s.Observations, kinds, s.options.Seed, s.nextNumber)
 	under.Go(func() { rude.Run(beside, rudePause) })
 	problem := s.playRounds(ctx)
 	if problem == nil {
@@ -176,18 +176,18 @@
 	took := time.Since(began).Round(10 * time.Millisecond)
 	s.event("ready again after %v", took)
 	if took > settleBound {
-		s.Observations.Broken(fleetstandin.Recover, "the fleet was ready again only %v after the last trouble",
+		s.Observations.Broken(routerstandin.Recover, "the fleet was ready again only %v after the last trouble",
 			took)
 	}
 	var late *NotReady
 	if errors.As(err, &late) {
-		s.Observations.Broken(fleetstandin.Recover, "%v", err)
+		s.Observations.Broken(routerstandin.Recover, "%v", err)
 	}
 	return err
 }
 
 // serveCalmly checks that, with nothing in trouble any more, a change is taken and requests are served.
-func (s *soak) serveCalmly(ctx context.Context, load *fleetstandin.Load) error {
+func (s *soak) serveCalmly(ctx context.Context, load *routerstandin.Load) error {
 	if !sleepFor(ctx, bounds.Touch) {
 		return ctx.Err()
 	}
@@ -216,9 +216,9 @@
 	}
 	next := nextConfiguration(s.Operator.Current())
 	err := s.Operator.Change(bounded, next)
-	var rejected *fleetstandin.Rejected
+	var rejected *routerstandin.Rejected
 	if errors.As(err, &rejected) {
-		s.Observations.Broken(fleetstandin.Config, "a change that nobody raced with was refused: %v", err)
+		s.Observations.Broken(routerstandin.Config, "a change that nobody raced with was refused: %v", err)
 		return nil
 	}
 	return err
--- a/internal/fleettrial/soak_callers.go
+++ b/internal/testbed/routertrial/soak_callers.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // playStorm makes changes in quick succession.
@@ -45,9 +45,9 @@
 	go func() { results <- s.Operator.Put(bounded, one) }()
 	go func() { results <- second.Change(bounded, other) }()
 	first, last := <-results, <-results
-	var rejected *fleetstandin.Rejected
+	var rejected *routerstandin.Rejected
 	if errors.As(first, &rejected) && errors.As(last, &rejected) {
-		s.Observations.Broken(fleetstandin.Config, "of two operators none won: %v and %v", first, last)
+		s.Observations.Broken(routerstandin.Config, "of two operators none won: %v and %v", first, last)
 	}
 	return ctx.Err()
 }
@@ -73,7 +73,7 @@
 	done := make(chan struct{})
 	const clients = 6
 	for range clients {
-		client := fleetstandin.NewRudeClient(s.Entry, s.Observations, kinds, lot.Uint64(), s.nextNumber)
+		client := routerstandin.NewRudeClient(s.Entry, s.Observations, kinds, lot.Uint64(), s.nextNumber)
 		go func() {
 			defer func() { done <- struct{}{} }()
 			client.Run(rude, 5*time.Millisecond)
--- a/internal/fleettrial/soak_checks.go
+++ b/internal/testbed/routertrial/soak_checks.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"cresshub/internal/fleetstandin"
 	"cresshub/internal/router/controlclient"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 const (
@@ -57,7 +57,7 @@
 			return ""
 		})
 		if err != nil {
-			s.Observations.Broken(fleetstandin.Config, "%v", err)
+			s.Observations.Broken(routerstandin.Config, "%v", err)
 			return err
 		}
 	}
@@ -80,7 +80,7 @@
 	for line := range bytes.Lines(page) {
 		line = bytes.TrimSpace(line)
 		if bytes.HasPrefix(line, []byte(violationsName)) && !bytes.HasSuffix(line, []byte(" 0")) {
-			s.Observations.Broken(fleetstandin.Invariant, "%s tells %s", m.Name, line)
+			s.Observations.Broken(routerstandin.Invariant, "%s tells %s", m.Name, line)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 			return leaked(m.ask(ctx, "/metrics"))
 		})
 		if err != nil {
-			s.Observations.Broken(fleetstandin.Fault, "%v", err)
+			s.Observations.Broken(routerstandin.Fault, "%v", err)
 			return err
 		}
 	}
--- a/internal/fleettrial/soak_cuts.go
+++ b/internal/testbed/routertrial/soak_cuts.go
@@ -1,10 +1,10 @@
-package fleettrial
+package routertrial
 
 import (
 	"strings"
 	"sync"
 
-	"cresshub/internal/faultinject"
+	"cresshub/internal/testbed/faultinject"
 )
 
 // way is the way from one machine to another.
--- a/internal/fleettrial/soak_machines.go
+++ b/internal/testbed/routertrial/soak_machines.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"cresshub/internal/faultinject"
+	"cresshub/internal/testbed/faultinject"
 )
 
 // mostPoint is the last numbered point at which a process is ended, mostStartPoint the last one of its start.
--- a/internal/fleettrial/soak_servers.go
+++ b/internal/testbed/routertrial/soak_servers.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -6,18 +6,18 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // drawServer returns one of the servers that run.
-func (s *soak) drawServer(lot *rand.Rand) *fleetstandin.Server {
+func (s *soak) drawServer(lot *rand.Rand) *routerstandin.Server {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
 	return s.servers[lot.IntN(len(s.servers))]
 }
 
 // takeServer takes one server out of those that run, so that no other trouble ends it too.
-func (s *soak) takeServer(lot *rand.Rand) *fleetstandin.Server {
+func (s *soak) takeServer(lot *rand.Rand) *routerstandin.Server {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
 	if len(s.servers) < len(serverPlan)-1 {
@@ -29,7 +29,7 @@
 	return server
 }
 
-func (s *soak) noteEnded(server *fleetstandin.Server) {
+func (s *soak) noteEnded(server *routerstandin.Server) {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
 	s.ended = append(s.ended, server.Tally())
@@ -69,9 +69,9 @@
 
 // playMisbehave has servers treat a part of their requests badly.
 func playMisbehave(ctx context.Context, s *soak, lot *rand.Rand) error {
-	how := fleetstandin.Misbehaviours[lot.IntN(len(fleetstandin.Misbehaviours))]
+	how := routerstandin.Misbehaviours[lot.IntN(len(routerstandin.Misbehaviours))]
 	part := 0.2 + 0.8*lot.Float64()
-	var servers []*fleetstandin.Server
+	var servers []*routerstandin.Server
 	for range 1 + lot.IntN(4) {
 		servers = append(servers, s.drawServer(lot))
 	}
@@ -81,7 +81,7 @@
 	}
 	sleepFor(ctx, between(lot, 500*time.Millisecond, 4*time.Second))
 	for _, server := range servers {
-		server.Misbehave(fleetstandin.Behaves, 0)
+		server.Misbehave(routerstandin.Behaves, 0)
 	}
 	return nil
 }
--- a/internal/fleettrial/trial.go
+++ b/internal/testbed/routertrial/trial.go
@@ -1,7 +1,7 @@
-// Package fleettrial tries the router fleet on loopback: real processes of the program, each with a loopback
+// Package routertrial tries the router fleet on loopback: real processes of the program, each with a loopback
 // IP of its own, between stand-ins for servers, operator, platform and clients, with a trouble in the middle
 // if wanted. What becomes of the requests is counted, and so are breaks of the rules.
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"net"
 	"time"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 const (
@@ -30,21 +30,21 @@
 // Progress is how far a trial is.
 type Progress struct {
 	Elapsed time.Duration
-	Total   fleetstandin.KindTally // of all kinds together
-	Last    string                 // what was done last
+	Total   routerstandin.KindTally // of all kinds together
+	Last    string                  // what was done last
 }
 
 // Report is what came of a trial.
 type Report struct {
-	Seconds float64                    `json:"seconds"`
-	Rate    float64                    `json:"rate"`
-	Trouble string                     `json:"trouble,omitempty"`
-	Kinds   []fleetstandin.KindTally   `json:"kinds"`
-	Servers []fleetstandin.ServerTally `json:"servers"`
-	Rules   []fleetstandin.Verdict     `json:"rules"`
-	Events  []string                   `json:"events"`  // what was done, with seconds since the first request
-	Reasons []fleetstandin.Reason      `json:"reasons"` // why requests were not served
-	Notes   []string                   `json:"notes"`
+	Seconds float64                     `json:"seconds"`
+	Rate    float64                     `json:"rate"`
+	Trouble string                      `json:"trouble,omitempty"`
+	Kinds   []routerstandin.KindTally   `json:"kinds"`
+	Servers []routerstandin.ServerTally `json:"servers"`
+	Rules   []routerstandin.Verdict     `json:"rules"`
+	Events  []string                    `json:"events"`  // what was done, with seconds since the first request
+	Reasons []routerstandin.Reason      `json:"reasons"` // why requests were not served
+	Notes   []string                    `json:"notes"`
 }
 
 // Broken is how many breaks of rules there were.
@@ -117,13 +117,13 @@
 	return problem
 }
 
-func (f *Fleet) tellProgress(ctx context.Context, load *fleetstandin.Load) {
+func (f *Fleet) tellProgress(ctx context.Context, load *routerstandin.Load) {
 	for sleepFor(ctx, liveInterval) {
 		f.options.Live(Progress{Elapsed: f.elapsed(), Total: load.Tally().Total(), Last: f.lastEvent()})
 	}
 }
 
-func (f *Fleet) report(load *fleetstandin.Load) *Report {
+func (f *Fleet) report(load *routerstandin.Load) *Report {
 	return &Report{
 		Seconds: f.elapsed().Seconds(), Rate: f.options.Rate, Trouble: f.options.Trouble,
 		Kinds: load.Tally().Kinds(), Servers: f.ServerTallies(), Rules: f.Observations.Judge(),
--- a/internal/fleettrial/trial_test.go
+++ b/internal/testbed/routertrial/trial_test.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/fleetstandin"
 	"cresshub/internal/http1"
 	"cresshub/internal/router/controlclient"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // The whole path: the processes find each other and the servers, a configuration is adopted, and clients of
@@ -69,13 +69,13 @@
 	one, other := nextConfiguration(firstConfiguration()), nextConfiguration(firstConfiguration())
 	other.Version++
 	other.Routes[0].TimeoutMs += 500
-	second := fleetstandin.NewOperator(r.controls, r.Observations)
+	second := routerstandin.NewOperator(r.controls, r.Observations)
 	second.BuildOn(firstConfiguration())
 	r.serve(20)
 	results := make(chan error, 2)
 	go func() { results <- r.Operator.Put(r.ctx, one) }()
 	go func() { results <- second.Patch(r.ctx, other) }()
-	var rejected *fleetstandin.Rejected
+	var rejected *routerstandin.Rejected
 	first, last := <-results, <-results
 	r.Assert((first == nil) != (last == nil), qt.IsTrue, qt.Commentf("%v and %v", first, last))
 	if first == nil {
--- a/internal/fleettrial/trouble.go
+++ b/internal/testbed/routertrial/trouble.go
@@ -1,4 +1,4 @@
-package fleettrial
+package routertrial
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/fleetstandin"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // The troubles that can be played.
@@ -164,7 +164,7 @@
 }
 
 // awaitWork waits for a while until a server is at work on a request that must run once.
-func (f *Fleet) awaitWork(ctx context.Context, server *fleetstandin.Server) {
+func (f *Fleet) awaitWork(ctx context.Context, server *routerstandin.Server) {
 	for began := time.Now(); time.Since(began) < workTime && !server.AtWorkOnce(); {
 		if !sleepFor(ctx, workInterval) {
 			return
@@ -173,12 +173,12 @@
 }
 
 // oneOfEach returns a writing server, a reading server and a server of the lookups.
-func (f *Fleet) oneOfEach() []*fleetstandin.Server {
-	all := []*fleetstandin.Server{
-		f.ServerOf(modelService, fleetstandin.Writing), f.ServerOf(modelService, fleetstandin.Reading),
+func (f *Fleet) oneOfEach() []*routerstandin.Server {
+	all := []*routerstandin.Server{
+		f.ServerOf(modelService, routerstandin.Writing), f.ServerOf(modelService, routerstandin.Reading),
 		f.ServerOf(lookup, ""),
 	}
-	return slices.DeleteFunc(all, func(s *fleetstandin.Server) bool { return s == nil })
+	return slices.DeleteFunc(all, func(s *routerstandin.Server) bool { return s == nil })
 }
 
 // killAll kills all processes at the same moment and starts them again.
