--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/daemon"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -40,7 +40,7 @@
 			return
 		}
 		defer nc.Close()
-		c := ring.NewConn(nc)
+		c := connbuffer.NewConn(nc)
 		for pb.Next() {
 			c.SetDeadline(time.Now().Add(nettest.Patience))
 			io.WriteString(c.Out, nettest.Request("GET", "lookup", strconv.FormatInt(ids.Add(1), 10), time.Second))
--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -44,8 +44,8 @@
 
 // largeZone is a zone server: it answers with a body as long as the query's size asks, chunked where it says
 // so, and tells in a header the sum of the body it got. Raw answers replace that by id.
-func largeZone(t *testing.T, raw func(q *http1.Request, body *http1.Body, c *ring.Conn) bool) string {
-	return nettest.Listen(t, func(c *ring.Conn) {
+func largeZone(t *testing.T, raw func(q *http1.Request, body *http1.Body, c *connbuffer.Conn) bool) string {
+	return nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
 			q, body, err := http1.ReadRequestHead(c.In)
 			if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // upload sends a request with a large body, chunked where its length is -1.
-func upload(c *ring.Conn, id string, length, size int64) error {
+func upload(c *connbuffer.Conn, id string, length, size int64) error {
 	q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(
 		large("POST", "assign", id, "size=0", 15*time.Second))))
 	if err != nil {
@@ -208,7 +208,7 @@
 // again, for nobody has its beginning any more.
 func TestBrokenUpload(t *testing.T) {
 	attempts := make(chan bool, 9)
-	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *ring.Conn) bool {
+	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		attempts <- true
 		io.CopyN(io.Discard, b, 100_000)
 		return true
@@ -226,7 +226,7 @@
 // leaves once its server has met it: for one that left before nothing is sent.
 func TestBodyThatStops(t *testing.T) {
 	began, ended := make(chan bool, 1), make(chan error, 1)
-	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *ring.Conn) bool {
+	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		began <- true
 		_, _, err := sum(b)
 		ended <- err
@@ -267,7 +267,7 @@
 // An answer that breaks off after its head went out ends so that the client can tell, whatever its framing,
 // and counts as failed.
 func TestBrokenAnswer(t *testing.T) {
-	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *ring.Conn) bool {
+	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		framing, text := "Content-Length: 300000", strings.Repeat("x", 100_000)
 		if strings.Contains(q.Target, "chunked") {
 			framing, text = "Transfer-Encoding: chunked", "186a0\r\n"+text+"\r\n"
@@ -299,7 +299,7 @@
 // What a server gives is passed on at once, also where its length is not known and it takes long over it.
 func TestAnswerIsNotHeldBack(t *testing.T) {
 	next := make(chan bool)
-	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *ring.Conn) bool {
+	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 3 {
 			io.WriteString(c, "5\r\npiece\r\n")
--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -383,7 +383,7 @@
 		return strings.Contains(p.expect(t, "msg=counters"), "accepted=30")
 	})
 	time.Sleep(100 * time.Millisecond) // longer than a connection may be silent when places are short
-	var all []*ring.Conn
+	var all []*connbuffer.Conn
 	for i := range 5 {
 		c := nettest.Dial(t, p.address)
 		io.WriteString(c, nettest.Request("GET", "lookup", fmt.Sprint("id", i), time.Hour))
--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"bufio"
-	"cresshub/internal/ring"
+	"cresshub/internal/connbuffer"
 	"fmt"
 	"io"
 	"net"
@@ -151,7 +151,7 @@
 	var clients sync.WaitGroup
 	for n := range 4 {
 		clients.Go(func() {
-			var c *ring.Conn
+			var c *connbuffer.Conn
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
@@ -165,7 +165,7 @@
 						return
 					}
 					defer nc.Close()
-					c = ring.NewConn(nc)
+					c = connbuffer.NewConn(nc)
 				}
 				c.SetDeadline(time.Now().Add(nettest.Patience))
 				io.WriteString(c, nettest.Request("GET", "lookup", fmt.Sprint(n, "-", i), 15*time.Second))
--- a/internal/bodies/bodies.go
+++ b/internal/bodybudget/bodies.go
@@ -1,7 +1,7 @@
-// Package bodies bounds the memory that bodies of messages take, over all connections of the process. What
-// is kept of a body is taken from the budget first; who gets nothing there streams instead, so nobody waits
-// for another's place.
-package bodies
+// Package bodybudget bounds the memory that bodies of messages take, over all connections of the process.
+// What is kept of a body is taken from the budget first; who gets nothing there streams instead, so nobody
+// waits for another's place.
+package bodybudget
 
 import "sync/atomic"
 
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodybudget/bodies_test.go
@@ -1,4 +1,4 @@
-package bodies
+package bodybudget
 
 import "testing"
 
--- a/internal/program/program.go
+++ b/internal/childprocess/program.go
@@ -1,6 +1,6 @@
-// Package program runs the program itself as a child process, as an operator would start it, and follows its
-// log.
-package program
+// Package childprocess runs the program itself as a child process, as an operator would start it, and follows
+// its log.
+package childprocess
 
 import (
 	"bufio"
--- a/internal/ring/ring.go
+++ b/internal/connbuffer/ring.go
@@ -1,6 +1,6 @@
-// Package ring holds the fixed buffers of a connection: one ring for each direction, and bufio on top
+// Package connbuffer holds the fixed buffers of a connection: one ring for each direction, and bufio on top
 // of them. A connection's memory is set when it opens and never grows.
-package ring
+package connbuffer
 
 import (
 	"bufio"
--- a/internal/ring/ring_test.go
+++ b/internal/connbuffer/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package connbuffer
 
 import (
 	"bytes"
--- a/internal/pathreader/pathreader.go
+++ b/internal/jsondoc/pathreader.go
@@ -1,6 +1,6 @@
-// Package pathreader reads values out of decoded JSON by their path and collects every mistake it meets, so
+// Package jsondoc reads values out of decoded JSON by their path and collects every mistake it meets, so
 // that a caller can report all mistakes of a document at once.
-package pathreader
+package jsondoc
 
 import (
 	"fmt"
--- a/internal/pathreader/pathreader_test.go
+++ b/internal/jsondoc/pathreader_test.go
@@ -1,4 +1,4 @@
-package pathreader
+package jsondoc
 
 import (
 	"bytes"
--- a/internal/proxy/adminapi/operator.go
+++ b/internal/proxy/adminapi/operator.go
@@ -16,10 +16,10 @@
 	"sync"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/logging"
 	"cresshub/internal/proxy/stats"
-	"cresshub/internal/ring"
 )
 
 const (
@@ -74,7 +74,7 @@
 }
 
 type caller struct {
-	*ring.Conn
+	*connbuffer.Conn
 	asked bool // its head is whole: it is answered and not closed for another
 }
 
@@ -98,7 +98,7 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		c := &caller{Conn: ring.NewConn(nc)}
+		c := &caller{Conn: connbuffer.NewConn(nc)}
 		d.enter(c)
 		go d.serve(c)
 	}
--- a/internal/proxy/cli/config.go
+++ b/internal/proxy/cli/config.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cresshub/internal/keyed"
 	"cresshub/internal/proxy/config"
+	"cresshub/internal/settingsfile"
 )
 
 func newConfig() *cobra.Command {
@@ -42,7 +42,7 @@
 				in.Environ = func() []string { return []string{"EDGE_CONFIG=" + args[0]} }
 			}
 			_, err := config.Load(in)
-			problems := keyed.Problems{}
+			problems := settingsfile.Problems{}
 			if err != nil && !errors.As(err, &problems) {
 				return err
 			}
--- a/internal/proxy/config/check.go
+++ b/internal/proxy/config/check.go
@@ -7,13 +7,13 @@
 	"strings"
 
 	"cresshub/balance"
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 )
 
 // check finds what is wrong between keys; each by itself has been checked, and one that failed then is
 // left out here, so that no mistake is told twice. What the platform says is held only to what the
 // decisions need, for there it is the platform that must be right.
-func (c *Config) check(ps *keyed.Problems) {
+func (c *Config) check(ps *settingsfile.Problems) {
 	k := &checker{Config: c, Problems: ps, bad: map[string]bool{}}
 	for _, p := range *ps {
 		k.bad[p.Key] = true
@@ -42,8 +42,8 @@
 	k.owner()
 	if s := &c.Shutdown; s.CloseAll < s.Accept && k.good("shutdown.close_all_after", "shutdown.accept_for") {
 		ps.Add(c.where("shutdown.close_all_after", "shutdown.accept_for"), "shutdown.close_all_after",
-			"%s is before accept_for %s, so that connections taken last would be cut", keyed.Short(s.CloseAll),
-			keyed.Short(s.Accept))
+			"%s is before accept_for %s, so that connections taken last would be cut", settingsfile.Short(s.CloseAll),
+			settingsfile.Short(s.Accept))
 	}
 	if len(*ps) > 0 {
 		return
@@ -55,12 +55,12 @@
 
 type checker struct {
 	*Config
-	*keyed.Problems
+	*settingsfile.Problems
 	bad    map[string]bool // keys and sections with a mistake, as shown
 	unread bool            // parts of the file say nothing that can be told
 }
 
-func (k *checker) tell(o keyed.Origin, path, format string, args ...any) {
+func (k *checker) tell(o settingsfile.Origin, path, format string, args ...any) {
 	k.Add(o, schema().Shown(path), format, args...)
 }
 
@@ -78,8 +78,8 @@
 		path := func(key string) string { return fmt.Sprintf("class.%d.%s", i, key) }
 		if class.Aim > class.Deadline && k.good(path("aim"), path("deadline")) {
 			k.tell(k.where(path("aim"), path("name")), path("aim"),
-				"%s is beyond the deadline %s; the aim is the shorter one", keyed.Short(class.Aim),
-				keyed.Short(class.Deadline))
+				"%s is beyond the deadline %s; the aim is the shorter one", settingsfile.Short(class.Aim),
+				settingsfile.Short(class.Deadline))
 		}
 		if class.Effect == "deduplicated" && class.Window == 0 && k.good(path("effect"), path("window")) {
 			k.tell(k.where(path("effect")), path("window"),
@@ -120,7 +120,7 @@
 		return
 	}
 	hint := ""
-	if w := keyed.Likely(k.Policy.Hall, k.Halls); w != "" {
+	if w := settingsfile.Likely(k.Policy.Hall, k.Halls); w != "" {
 		hint = "; did you mean " + w + "?"
 	}
 	k.tell(k.where("policy.hall"), "policy.hall", "%q is none of halls = [%s]%s", k.Policy.Hall,
@@ -139,7 +139,7 @@
 }
 
 // where tells where the first of the paths stands that somebody set.
-func (c *Config) where(paths ...string) keyed.Origin {
+func (c *Config) where(paths ...string) settingsfile.Origin {
 	for _, p := range paths {
 		if o, ok := c.origins[p]; ok && o.Source != "default" {
 			return o
@@ -149,11 +149,11 @@
 }
 
 // anywhere is the origin of what should be there and is not: the file that was read, if any.
-func (c *Config) anywhere() keyed.Origin {
-	best := keyed.Origin{Source: "none", Name: "configuration"}
+func (c *Config) anywhere() settingsfile.Origin {
+	best := settingsfile.Origin{Source: "none", Name: "configuration"}
 	for _, o := range c.origins {
 		if o.Source == "file" && (best.Source != "file" || o.Name < best.Name) {
-			best = keyed.Origin{Source: "file", Name: o.Name, Line: 1}
+			best = settingsfile.Origin{Source: "file", Name: o.Name, Line: 1}
 		}
 	}
 	return best
--- a/internal/proxy/config/config.go
+++ b/internal/proxy/config/config.go
@@ -9,19 +9,19 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 )
 
 // Size is a number of bytes.
-type Size = keyed.Size
+type Size = settingsfile.Size
 
 // schema is the keys of Config.
-var schema = sync.OnceValue(func() *keyed.Schema {
-	return keyed.NewSchema[Config](variablePrefix, "`cresshub config docs` lists all")
+var schema = sync.OnceValue(func() *settingsfile.Schema {
+	return settingsfile.NewSchema[Config](variablePrefix, "`cresshub config docs` lists all")
 })
 
 // Fields returns all keys in the order of the reference page.
-func Fields() []*keyed.Field { return schema().Fields }
+func Fields() []*settingsfile.Field { return schema().Fields }
 
 const variablePrefix = "CRESSHUB_"
 
@@ -65,7 +65,7 @@
 	Known json.RawMessage
 
 	drawn      uint64 // stands for an empty Seed
-	origins    map[string]keyed.Origin
+	origins    map[string]settingsfile.Origin
 	onPlatform bool // EDGE_CONFIG names the platform's file
 }
 
--- a/internal/proxy/config/config_test.go
+++ b/internal/proxy/config/config_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 
 	"cresshub/balance"
-	"cresshub/internal/keyed"
 	"cresshub/internal/proxy/simwire"
+	"cresshub/internal/settingsfile"
 )
 
 const settings = `{"azs":["kita","chuo"],"kinds":["m2"],"balancers":4,"rank":2,"locality":1,"tick-ms":5,
@@ -180,7 +180,7 @@
 address = "nowhere:70000"
 `
 	_, err := loadTOML(text)
-	var got keyed.Problems
+	var got settingsfile.Problems
 	if !errors.As(err, &got) {
 		t.Fatal(err)
 	}
@@ -263,11 +263,11 @@
 		t.Error(err)
 	}
 	for _, f := range Fields() { // bounds that can be read, and defaults within them
-		if f.Doc == "" || f.Reload != keyed.Live && f.Reload != keyed.Restart && f.Reload != keyed.AtStart {
+		if f.Doc == "" || f.Reload != settingsfile.Live && f.Reload != settingsfile.Restart && f.Reload != settingsfile.AtStart {
 			t.Errorf("%s: doc %q, reload %q", f.Path, f.Doc, f.Reload)
 		}
 		if !f.Must {
-			if _, err := f.Decode(keyed.Words(f.Default)); err != nil {
+			if _, err := f.Decode(settingsfile.Words(f.Default)); err != nil {
 				t.Errorf("%s: %v", f.Path, err)
 			}
 		}
@@ -278,7 +278,7 @@
 // the file's length.
 func TestBrokenLinesAreBounded(t *testing.T) {
 	_, err := loadTOML(strings.Repeat("a = [\n", 1<<20/6))
-	var ps keyed.Problems
+	var ps settingsfile.Problems
 	if !errors.As(err, &ps) || len(ps) > 52 {
 		t.Errorf("%d problems: %.200v", len(ps), err)
 	}
@@ -360,7 +360,7 @@
 
 func checkText(t rapid.TB, text string) {
 	c, err := loadTOML(text)
-	var ps keyed.Problems
+	var ps settingsfile.Problems
 	switch {
 	case err == nil:
 		for _, v := range c.Effective() {
--- a/internal/proxy/config/effective.go
+++ b/internal/proxy/config/effective.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 )
 
 // Value is one key as it is in force.
@@ -24,7 +24,7 @@
 func (c *Config) Effective() []Value {
 	var all []Value
 	root := reflect.ValueOf(c).Elem()
-	add := func(f *keyed.Field, path string, v reflect.Value) {
+	add := func(f *settingsfile.Field, path string, v reflect.Value) {
 		o := c.origins[path]
 		at := ""
 		if o.Source != "default" {
@@ -51,7 +51,7 @@
 }
 
 // plain is a value as JSON and people read it: times and sizes with their units.
-func plain(f *keyed.Field, v reflect.Value) any {
+func plain(f *settingsfile.Field, v reflect.Value) any {
 	switch x := v.Interface().(type) {
 	case time.Duration, Size:
 		return f.Format(v)
@@ -81,14 +81,14 @@
 		changed[key] = true
 	}
 	if (c.Discovery.Address == "") != (next.Discovery.Address == "") {
-		reload["discovery.address"] = keyed.Restart // servers come from elsewhere then, by other rules
+		reload["discovery.address"] = settingsfile.Restart // servers come from elsewhere then, by other rules
 		maps.DeleteFunc(changed, func(key string, _ bool) bool { return strings.HasPrefix(key, "server[") })
 	}
 	for _, key := range slices.Sorted(maps.Keys(changed)) {
 		switch reload[key] {
-		case keyed.Live:
+		case settingsfile.Live:
 			live = append(live, key)
-		case keyed.Restart:
+		case settingsfile.Restart:
 			restart = append(restart, key)
 		}
 	}
@@ -101,7 +101,7 @@
 	all.origins = maps.Clone(c.origins)
 	from, to := reflect.ValueOf(next).Elem(), reflect.ValueOf(&all).Elem()
 	for _, f := range schema().Fields {
-		if f.Reload == keyed.Live && !strings.Contains(f.Path, "[]") {
+		if f.Reload == settingsfile.Live && !strings.Contains(f.Path, "[]") {
 			to.FieldByIndex(f.Index).Set(from.FieldByIndex(f.Index))
 			all.origins[f.Path] = next.origins[f.Path]
 		}
--- a/internal/proxy/config/fleet.go
+++ b/internal/proxy/config/fleet.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cresshub/internal/cluster/lease"
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 )
 
 // fleet holds the fleet's keys to each other, and to the platform, which bars talk among proxies.
@@ -23,11 +23,11 @@
 	}
 	if f.Timeout >= f.Probe && k.good("fleet.probe", "fleet.probe_timeout") {
 		k.Add(k.where("fleet.probe_timeout"), "fleet.probe_timeout", "%s is not below probe %s",
-			keyed.Short(f.Timeout), keyed.Short(f.Probe))
+			settingsfile.Short(f.Timeout), settingsfile.Short(f.Probe))
 	}
 	if f.Forget < f.GoneAfter && k.good("fleet.forget", "fleet.gone_after") {
-		k.Add(k.where("fleet.forget"), "fleet.forget", "%s is before gone_after %s", keyed.Short(f.Forget),
-			keyed.Short(f.GoneAfter))
+		k.Add(k.where("fleet.forget"), "fleet.forget", "%s is before gone_after %s", settingsfile.Short(f.Forget),
+			settingsfile.Short(f.GoneAfter))
 	}
 	for _, address := range []string{k.Listen.Address, k.Operator} {
 		if address != "" && address == f.Bind && !strings.HasSuffix(address, ":0") {
@@ -65,7 +65,7 @@
 	}
 	if l.Election < 2*l.Heartbeat && k.good("ledger.election", "ledger.heartbeat") {
 		k.Add(k.where("ledger.election"), "ledger.election", "%s is below twice heartbeat %s",
-			keyed.Short(l.Election), keyed.Short(l.Heartbeat))
+			settingsfile.Short(l.Election), settingsfile.Short(l.Heartbeat))
 	}
 	if l.Replicas == 4 {
 		k.Add(k.where("ledger.replicas"), "ledger.replicas", "4 outlive no more losses than 3; 3 or 5 are allowed")
@@ -74,8 +74,8 @@
 		k.Add(k.where("ledger.expect"), "ledger.expect", "%d is below replicas %d", l.Expect, l.Replicas)
 	}
 	if l.Period < l.Flush && k.good("ledger.period", "ledger.flush") {
-		k.Add(k.where("ledger.period"), "ledger.period", "%s is below flush %s", keyed.Short(l.Period),
-			keyed.Short(l.Flush))
+		k.Add(k.where("ledger.period"), "ledger.period", "%s is below flush %s", settingsfile.Short(l.Period),
+			settingsfile.Short(l.Flush))
 	}
 }
 
@@ -128,15 +128,15 @@
 	}
 	if o.Does(ChoreList) && k.good("owner.list_max_age", "owner.list_poll", "discovery.ask_within") {
 		if o.MaxAge > k.Discovery.AskWithin && k.Discovery.AskWithin > 0 {
-			tell("list_max_age", "%s is beyond discovery.ask_within %s", keyed.Short(o.MaxAge),
-				keyed.Short(k.Discovery.AskWithin))
+			tell("list_max_age", "%s is beyond discovery.ask_within %s", settingsfile.Short(o.MaxAge),
+				settingsfile.Short(k.Discovery.AskWithin))
 		}
 		if least := 4 * o.Poll; o.MaxAge < least {
-			tell("list_max_age", "%s is below four list_poll, %s", keyed.Short(o.MaxAge), keyed.Short(least))
+			tell("list_max_age", "%s is below four list_poll, %s", settingsfile.Short(o.MaxAge), settingsfile.Short(least))
 		}
 	}
 	if o.MaxAge < o.Lease && o.Does(ChoreList) && k.good("owner.list_max_age", "owner.lease") {
 		tell("list_max_age", "%s is below the lease %s: each change of owner would have all ask discovery",
-			keyed.Short(max(o.MaxAge, time.Millisecond)), keyed.Short(o.Lease))
+			settingsfile.Short(max(o.MaxAge, time.Millisecond)), settingsfile.Short(o.Lease))
 	}
 }
--- a/internal/proxy/config/load.go
+++ b/internal/proxy/config/load.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 )
 
 // Input is where a configuration is read from. Nil functions stand for the process's own.
@@ -55,7 +55,7 @@
 			path = env[fileVariable]
 		}
 		if raw, err := in.Read(path); err != nil {
-			b.Problems.Add(keyed.At("file", path), "", "cannot be read: %v", err)
+			b.Problems.Add(settingsfile.At("file", path), "", "cannot be read: %v", err)
 		} else {
 			l, problems := schema().ReadTOML(path, raw)
 			b.Problems = append(b.Problems, problems...)
@@ -66,7 +66,7 @@
 	if path := env[platformVariable]; path != "" {
 		l, err := readPlatform(path, in.Read, c)
 		if err != nil {
-			b.Problems.Add(keyed.At("platform", path), "", "%v", err)
+			b.Problems.Add(settingsfile.At("platform", path), "", "%v", err)
 		} else {
 			b.Add(l)
 			if _, told := l.Values["discovery.address"]; told && in.Again {
@@ -87,8 +87,8 @@
 
 // environment reads the variables that set keys. One under the program's own prefix that sets nothing is
 // a mistake; others are none of its business.
-func environment(env map[string]string, problems *keyed.Problems) *keyed.Layer {
-	l := keyed.NewLayer()
+func environment(env map[string]string, problems *settingsfile.Problems) *settingsfile.Layer {
+	l := settingsfile.NewLayer()
 	known := map[string]string{}
 	for _, f := range schema().Fields {
 		if v := schema().VariableOf(f); v != "" {
@@ -96,18 +96,18 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(env)) {
-		o := keyed.At("environment", name)
+		o := settingsfile.At("environment", name)
 		path, edge := edgeVariables[name]
 		switch own, ok := known[name]; {
 		case edge && env[name] != "":
 			if _, set := l.Values[path]; !set { // the own name of a key goes before the platform's
-				l.Set(path, keyed.Words(env[name]), o)
+				l.Set(path, settingsfile.Words(env[name]), o)
 			}
 		case ok:
-			l.Set(own, keyed.Words(env[name]), o)
+			l.Set(own, settingsfile.Words(env[name]), o)
 		case strings.HasPrefix(name, variablePrefix) && name != fileVariable:
 			hint := ""
-			if v := keyed.Likely(name, slices.Sorted(maps.Keys(known))); v != "" {
+			if v := settingsfile.Likely(name, slices.Sorted(maps.Keys(known))); v != "" {
 				hint = "; did you mean " + v + "?"
 			}
 			problems.Add(o, "", "sets no key%s", hint)
@@ -116,15 +116,15 @@
 	return l
 }
 
-func flags(set map[string]string, problems *keyed.Problems) *keyed.Layer {
-	l := keyed.NewLayer()
+func flags(set map[string]string, problems *settingsfile.Problems) *settingsfile.Layer {
+	l := settingsfile.NewLayer()
 	for _, path := range slices.Sorted(maps.Keys(set)) {
-		o := keyed.At("flag", "--set "+path)
+		o := settingsfile.At("flag", "--set "+path)
 		if _, _, _, ok := schema().Generic(path); !ok || strings.Contains(path, "[]") {
 			problems.Add(o, path, "is no key that a flag sets%s", schema().Meant(path))
 			continue
 		}
-		l.Set(path, keyed.Words(set[path]), o)
+		l.Set(path, settingsfile.Words(set[path]), o)
 	}
 	return l
 }
--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -10,14 +10,14 @@
 	"time"
 
 	"cresshub/balance"
-	"cresshub/internal/keyed"
 	"cresshub/internal/proxy/serverlist"
 	"cresshub/internal/proxy/simwire"
+	"cresshub/internal/settingsfile"
 )
 
 // readPlatform reads the platform's file, whose settings are the simulator's, as values of the same keys
 // that the own file sets. The list of servers it knows goes into c.
-func readPlatform(path string, read func(string) ([]byte, error), c *Config) (*keyed.Layer, error) {
+func readPlatform(path string, read func(string) ([]byte, error), c *Config) (*settingsfile.Layer, error) {
 	raw, err := read(path)
 	if err != nil {
 		return nil, err
@@ -58,8 +58,8 @@
 	if string(file.Known) != "null" {
 		c.Known = file.Known
 	}
-	l := keyed.NewLayer()
-	put := func(key string, v any) { l.Set(key, v, keyed.At("platform", path)) }
+	l := settingsfile.NewLayer()
+	put := func(key string, v any) { l.Set(key, v, settingsfile.At("platform", path)) }
 	for key, text := range map[string]string{
 		"name": file.Name, "listen.address": file.Listen, "discovery.address": file.Discovery,
 		"operator": file.Operator,
--- a/internal/proxy/config/reference.go
+++ b/internal/proxy/config/reference.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"strings"
 
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 )
 
 // sections are the headings of the reference page in the order of the struct.
-func sections() (names []string, by map[string][]*keyed.Field) {
-	by = map[string][]*keyed.Field{}
+func sections() (names []string, by map[string][]*settingsfile.Field) {
+	by = map[string][]*settingsfile.Field{}
 	for _, f := range schema().Fields {
 		name, _, nested := strings.Cut(f.Path, ".")
 		if !nested {
@@ -30,7 +30,7 @@
 	return "[" + section + "]"
 }
 
-func last(f *keyed.Field) string { return f.Path[strings.LastIndexByte(f.Path, '.')+1:] }
+func last(f *settingsfile.Field) string { return f.Path[strings.LastIndexByte(f.Path, '.')+1:] }
 
 const preface = `# Configuration
 
@@ -144,8 +144,8 @@
 }
 
 // written is the default as the file would hold it.
-func written(f *keyed.Field) string {
-	v, err := f.Decode(keyed.Words(f.Default))
+func written(f *settingsfile.Field) string {
+	v, err := f.Decode(settingsfile.Words(f.Default))
 	if err != nil {
 		return `""`
 	}
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/keyed"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/logging"
+	"cresshub/internal/settingsfile"
 )
 
 // reload takes over what changed. A configuration that cannot be used changes nothing, and neither does
@@ -17,7 +17,7 @@
 // only discovery is followed; whatever else it changes waits for the restart.
 func (p *Proxy) reload(next *config.Config, err error) {
 	if err != nil {
-		var problems keyed.Problems
+		var problems settingsfile.Problems
 		if !errors.As(err, &problems) {
 			p.log.Error("configuration kept, the new one cannot be used", logging.Err, err)
 		}
--- a/internal/proxy/daemon/serve.go
+++ b/internal/proxy/daemon/serve.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"cresshub/internal/bodies"
+	"cresshub/internal/bodybudget"
 	"cresshub/internal/cluster/gossip"
 	"cresshub/internal/cluster/leaseholder"
 	"cresshub/internal/proxy/adminapi"
@@ -47,7 +47,7 @@
 	owner    *leaseholder.Owner // nil where there is none
 	times    atomic.Pointer[config.Shutdown]
 	budget   *descriptors.Budget
-	bodies   *bodies.Budget
+	bodies   *bodybudget.Budget
 	upgrade  upgrade
 	since    map[string]time.Time // when servers of the file were first named, by name and address
 }
@@ -84,7 +84,7 @@
 	p.budget = budget
 	p.list = discovery.New(cfg.Discovery.Address, cfg.Upstream.DialLimit(), listLimits(cfg),
 		discovery.Names{Zones: set.ZoneNames, Kinds: set.KindNames}, budget, p.count, log)
-	p.bodies = bodies.NewBudget(p.bodyBytes())
+	p.bodies = bodybudget.NewBudget(p.bodyBytes())
 	p.pool = upstream.New(p.list, poolLimits(cfg), set.ReportNames, budget, p.bodies, p.count)
 	if err := p.openLedger(); err != nil {
 		p.listener.Close()
--- a/internal/proxy/discovery/crossings_test.go
+++ b/internal/proxy/discovery/crossings_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -28,10 +28,10 @@
 }
 
 // script is a discovery whose n-th call, from 0 on, is answered by serve; the call's target is handed in.
-func script(t *testing.T, serve func(n int, target string, c *ring.Conn)) string {
+func script(t *testing.T, serve func(n int, target string, c *connbuffer.Conn)) string {
 	calls := make(chan int, 1)
 	calls <- 0
-	return nettest.Listen(t, func(c *ring.Conn) {
+	return nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
 			q, err := http1.ReadRequest(c.In)
 			if err != nil {
@@ -83,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, s := follow(t, script(t, func(n int, _ string, conn *ring.Conn) {
+			c, s := follow(t, script(t, func(n int, _ string, conn *connbuffer.Conn) {
 				io.WriteString(conn, chunked+in.said)
 				conn.Close()
 			}), Limits{Silence: nettest.Patience})
@@ -103,7 +103,7 @@
 	for name, last := range map[string]string{"between lists": "\n", "in a list": `{"index":9,"endpo`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, s := follow(t, script(t, func(n int, target string, conn *ring.Conn) {
+			c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
 				switch {
 				case n == 0:
 					io.WriteString(conn, chunked+chunk(entry(8, true, "a", "in_service"))+chunk(last))
@@ -130,19 +130,19 @@
 // What a silent watch misses binds soon, however long the decisions may go without asking: a first call
 // after it that is refused, reset or not answered either is made again without a word to them.
 func TestSilenceAndARefusal(t *testing.T) {
-	for name, refuse := range map[string]func(conn *ring.Conn){
-		"refused": func(conn *ring.Conn) {
+	for name, refuse := range map[string]func(conn *connbuffer.Conn){
+		"refused": func(conn *connbuffer.Conn) {
 			io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
 		},
-		"reset":        func(conn *ring.Conn) { conn.Conn.(*net.TCPConn).SetLinger(0); conn.Close() },
-		"not answered": func(*ring.Conn) {},
+		"reset":        func(conn *connbuffer.Conn) { conn.Conn.(*net.TCPConn).SetLinger(0); conn.Close() },
+		"not answered": func(*connbuffer.Conn) {},
 	} {
 		for _, opened := range []bool{true, false} { // whether the watch that fell silent had said anything
 			t.Run(fmt.Sprint(name, ", opened ", opened), func(t *testing.T) {
 				t.Parallel()
 				calls, over := make(chan int, 99), make(chan bool)
 				defer close(over)
-				c, s := follow(t, script(t, func(n int, _ string, conn *ring.Conn) {
+				c, s := follow(t, script(t, func(n int, _ string, conn *connbuffer.Conn) {
 					calls <- n
 					switch {
 					case n == 0 && opened:
@@ -195,7 +195,7 @@
 func TestSilenceOfACut(t *testing.T) {
 	const cut = 9 // calls whose connections never come up
 	tries := make(chan bool, 99)
-	address := script(t, func(n int, _ string, conn *ring.Conn) {
+	address := script(t, func(n int, _ string, conn *connbuffer.Conn) {
 		if n == 0 {
 			io.WriteString(conn, chunked+chunk(entry(8, true, "a", "in_service")))
 			return
@@ -238,7 +238,7 @@
 // The change is taken in at once, for a drain binds.
 func TestDiscoveryCountsAnew(t *testing.T) {
 	for _, first := range []string{"terminating", "in_service"} {
-		c, s := follow(t, script(t, func(n int, target string, conn *ring.Conn) {
+		c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
 			switch n {
 			case 0:
 				io.WriteString(conn, chunked+chunk(entry(8, true, "a", "in_service"))+chunk(entry(3, false, "b", first)))
@@ -269,7 +269,7 @@
 // Where changes bind unasked the whole list is asked for at the start, and again after every end, with nobody
 // asking.
 func TestUnasked(t *testing.T) {
-	c, s := follow(t, script(t, func(n int, target string, conn *ring.Conn) {
+	c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
 		want := "/registry/instances"
 		switch n {
 		case 0, 1:
@@ -311,7 +311,7 @@
 	changes := list(12, false, line("drains", "1", "terminating"), line("moves", "22", "in_service"),
 		line("new", "4", "in_service"))
 	for _, cut := range []int{0, 1, len(changes) / 2, len(changes) - 1} {
-		c, s := follow(t, script(t, func(n int, target string, conn *ring.Conn) {
+		c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
 			said, want := list(8, true, line("drains", "1", "in_service"), line("moves", "2", "in_service"),
 				line("stays", "3", "in_service")), "/registry/instances?watch=1&from=0"
 			switch n {
--- a/internal/proxy/discovery/discovery_test.go
+++ b/internal/proxy/discovery/discovery_test.go
@@ -11,10 +11,10 @@
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/balance"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/proxy/stats"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -105,7 +105,7 @@
 	for _, a := range answers {
 		next <- a
 	}
-	address := nettest.Listen(t, func(c *ring.Conn) {
+	address := nettest.Listen(t, func(c *connbuffer.Conn) {
 		a := <-next
 		io.WriteString(c, a)
 	})
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"cresshub/internal/cluster/lease"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/logging"
-	"cresshub/internal/ring"
 )
 
 func (c *Client) leave(w *watch) {
@@ -117,7 +117,7 @@
 	}
 	defer raw.Close()
 	defer context.AfterFunc(ctx, func() { raw.Close() })()
-	conn := ring.NewConn(raw)
+	conn := connbuffer.NewConn(raw)
 	if w.afresh {
 		// Asked for the changes since 0 a service may send changes, and what left before those would stay.
 		body, err := c.ask(conn, w, "")
@@ -158,7 +158,7 @@
 }
 
 // ask makes one call and returns the body of its answer.
-func (c *Client) ask(conn *ring.Conn, w *watch, query string) (io.Reader, error) {
+func (c *Client) ask(conn *connbuffer.Conn, w *watch, query string) (io.Reader, error) {
 	conn.SetDeadline(time.Now().Add(c.limits.Load().Silence))
 	q := http1.Request{Method: "GET", Target: "/registry/instances" + query,
 		Header: http1.Header{{Name: "Host", Value: w.address}}}
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/logging"
-	"cresshub/internal/ring"
 )
 
 // client is one connection of the application. The server's lock guards the four behind the first two.
 type client struct {
-	*ring.Conn
+	*connbuffer.Conn
 	woken chan struct{}
 
 	upload atomic.Pointer[upload] // being read by an attempt; nil where there is none
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"cresshub/balance"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -172,7 +172,7 @@
 	for _, status := range []int{200, 500} {
 		r := newRig(t, nil)
 		heads := make(chan bool, 9)
-		zone := nettest.Listen(t, func(c *ring.Conn) {
+		zone := nettest.Listen(t, func(c *connbuffer.Conn) {
 			if _, _, err := http1.ReadRequestHead(c.In); err == nil {
 				heads <- true
 				fmt.Fprintf(c, "HTTP/1.1 %d x\r\nContent-Length: 5\r\n\r\nearly", status)
@@ -204,7 +204,7 @@
 			return nettest.OK(fmt.Sprint(len(q.Body)))
 		})
 		if size > http1.MaxBody {
-			zone.Address = nettest.Listen(t, func(c *ring.Conn) {
+			zone.Address = nettest.Listen(t, func(c *connbuffer.Conn) {
 				_, body, err := http1.ReadRequestHead(c.In)
 				if err == nil {
 					n, _ := io.Copy(io.Discard, body)
@@ -238,7 +238,7 @@
 func twoCopies(t *testing.T, framing string) {
 	r := newRig(t, func(s *balance.Settings) { s.Classes[0].Aim = time.Second })
 	bodies := make(chan string, 9)
-	zone := nettest.Listen(t, func(c *ring.Conn) {
+	zone := nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
 			q, body, err := http1.ReadRequestHead(c.In)
 			if err != nil {
@@ -304,7 +304,7 @@
 	for _, behind := range []string{"", "GET /api HTTP/1.0\r\n"} {
 		r := newRig(t, nil)
 		passed := make(chan bool)
-		zone := nettest.Listen(t, func(c *ring.Conn) {
+		zone := nettest.Listen(t, func(c *connbuffer.Conn) {
 			if _, err := http1.ReadRequest(c.In); err != nil {
 				return
 			}
@@ -342,7 +342,7 @@
 			}
 		}
 		got := make(chan bool, 1)
-		zone := nettest.Listen(t, func(c *ring.Conn) {
+		zone := nettest.Listen(t, func(c *connbuffer.Conn) {
 			if _, body, err := http1.ReadRequestHead(c.In); err == nil {
 				io.Copy(io.Discard, body)
 				got <- true
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/drain"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -36,7 +36,7 @@
 }
 
 // outcome is what a client reads next: an answer's status and body, or how the connection ended.
-func outcome(c *ring.Conn) string {
+func outcome(c *connbuffer.Conn) string {
 	a, err := http1.ReadResponse(c.In)
 	var timeout net.Error
 	switch {
@@ -78,7 +78,7 @@
 func TestWhatWasReadEarlyIsNoRest(t *testing.T) {
 	s := server()
 	far, near := tcpPair(t)
-	c := &client{Conn: ring.NewConn(near), woken: make(chan struct{}, 1)}
+	c := &client{Conn: connbuffer.NewConn(near), woken: make(chan struct{}, 1)}
 	s.clients[c] = struct{}{}
 	io.WriteString(far, "GET /one\r\nGET /two\r\n")
 	nettest.Until(t, "all has come", func() bool { c.In.Peek(1); return c.In.Buffered() == 20 })
@@ -204,7 +204,7 @@
 	const n = 50
 	answered := make([]string, n)
 	var all sync.WaitGroup
-	conns := make([]*ring.Conn, n)
+	conns := make([]*connbuffer.Conn, n)
 	for i := range conns {
 		conns[i] = nettest.Dial(t, r.address)
 		outcome := nettest.Ask(t, conns[i], get(fmt.Sprint("before-", i)))
@@ -298,14 +298,14 @@
 	for range 20 {
 		far, near := tcpPair(t)
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-		c := &client{Conn: ring.NewConn(near), woken: make(chan struct{}, 1), idle: true, fresh: true}
+		c := &client{Conn: connbuffer.NewConn(near), woken: make(chan struct{}, 1), idle: true, fresh: true}
 		nettest.Until(t, "it is there", func() bool { return !c.Still() })
 		if !r.Budget.Take(descriptors.Clients) {
 			t.Fatal("no place")
 		}
 		r.serve(c)
 		far.SetDeadline(time.Now().Add(nettest.Patience))
-		if got := outcome(ring.NewConn(far)); got != "200 ready" {
+		if got := outcome(connbuffer.NewConn(far)); got != "200 ready" {
 			t.Fatal(got)
 		}
 	}
--- a/internal/proxy/ingress/ingress.go
+++ b/internal/proxy/ingress/ingress.go
@@ -11,7 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/bodies"
+	"cresshub/internal/bodybudget"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/descriptors"
@@ -20,7 +21,6 @@
 	"cresshub/internal/proxy/logging"
 	"cresshub/internal/proxy/stats"
 	"cresshub/internal/proxy/upstream"
-	"cresshub/internal/ring"
 )
 
 const readyPath = "/health/ready"
@@ -52,7 +52,7 @@
 	Limits  config.Clients
 	Drain   func() drain.Times // as they are now
 	Budget  *descriptors.Budget
-	Bodies  *bodies.Budget
+	Bodies  *bodybudget.Budget
 	Count   *stats.Set
 	Used    func(Use) // told of every final answer that was written; nil where nobody counts use
 	Log     *slog.Logger
@@ -107,7 +107,7 @@
 			}
 			continue
 		}
-		c := &client{Conn: ring.NewConn(nc), woken: make(chan struct{}, 1), since: time.Now(), idle: true,
+		c := &client{Conn: connbuffer.NewConn(nc), woken: make(chan struct{}, 1), since: time.Now(), idle: true,
 			fresh: true}
 		s.mu.Lock()
 		s.clients[c] = struct{}{}
@@ -124,7 +124,7 @@
 func (s *Server) turnAway(nc net.Conn) {
 	defer func() { <-s.away }()
 	defer nc.Close()
-	c := ring.NewConn(nc)
+	c := connbuffer.NewConn(nc)
 	c.SetDeadline(time.Now().Add(s.limits.Load().Away))
 	q, body, err := http1.ReadRequestHead(c.In)
 	if err != nil {
--- a/internal/proxy/ingress/left_test.go
+++ b/internal/proxy/ingress/left_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"cresshub/balance"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -79,10 +79,10 @@
 			t.Run(fmt.Sprintf("cancel %v, rested %v", may, rested), func(t *testing.T) {
 				t.Parallel()
 				r := newRig(t, func(s *balance.Settings) { s.MayCancel = may })
-				var first *ring.Conn
-				accepted := make(chan *ring.Conn, 2)
+				var first *connbuffer.Conn
+				accepted := make(chan *connbuffer.Conn, 2)
 				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-				relay := nettest.Listen(t, func(c *ring.Conn) { // answers once, and then closes when it is told
+				relay := nettest.Listen(t, func(c *connbuffer.Conn) { // answers once, and then closes when it is told
 					accepted <- c
 					q, err := http1.ReadRequest(c.In)
 					if err == nil && q.Header.Get(idField) == "before" {
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cresshub/balance"
-	"cresshub/internal/bodies"
+	"cresshub/internal/bodybudget"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/dispatch"
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	budget, room, count := descriptors.NewBudget(200, 0.6, 0.9), bodies.NewBudget(1<<20), stats.New(
+	budget, room, count := descriptors.NewBudget(200, 0.6, 0.9), bodybudget.NewBudget(1<<20), stats.New(
 		[]string{"lookup", "assign"})
 	wait := nettest.Patience
 	limits := upstream.Limits{Dial: wait, Reuse: wait, Probe: wait, Hold: time.Second, Stall: wait}
--- a/internal/proxy/ingress/wait_test.go
+++ b/internal/proxy/ingress/wait_test.go
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"cresshub/internal/bodies"
+	"cresshub/internal/bodybudget"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/proxy/config"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/stats"
-	"cresshub/internal/ring"
 )
 
 func pair() (*client, net.Conn) {
 	near, far := net.Pipe()
-	return &client{Conn: ring.NewConn(near), woken: make(chan struct{}, 1)}, far
+	return &client{Conn: connbuffer.NewConn(near), woken: make(chan struct{}, 1)}, far
 }
 
 // A wake may come before its wait, during it, or with the next request already there; none is lost.
@@ -57,7 +57,7 @@
 func server() *Server {
 	return New(Options{Limits: config.Clients{AwayAtOne: 1, Silent: 50 * time.Millisecond,
 		Half: 500 * time.Millisecond, Rested: 20 * time.Millisecond},
-		Bodies: bodies.NewBudget(1 << 20), Budget: descriptors.NewBudget(100, 0.6, 0.25),
+		Bodies: bodybudget.NewBudget(1 << 20), Budget: descriptors.NewBudget(100, 0.6, 0.25),
 		Count: &stats.Set{}, Log: slog.New(slog.DiscardHandler)})
 }
 
@@ -67,7 +67,7 @@
 	s := server()
 	old := time.Now().Add(-time.Minute)
 	add := func(c *client) *client {
-		c.Conn = ring.NewConn(func() net.Conn { near, _ := net.Pipe(); return near }())
+		c.Conn = connbuffer.NewConn(func() net.Conn { near, _ := net.Pipe(); return near }())
 		s.clients[c] = struct{}{}
 		return c
 	}
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -4,9 +4,9 @@
 	"io"
 	"testing"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/dispatch"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -15,7 +15,7 @@
 // parts is a server that writes an answer piece by piece: after each it waits for a token.
 func parts(t *testing.T, on chan bool, pieces ...string) (address string, wrote, ended chan bool) {
 	wrote, ended = make(chan bool, 9), make(chan bool, 9)
-	address = nettest.Listen(t, func(c *ring.Conn) {
+	address = nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
 			if _, err := http1.ReadRequest(c.In); err != nil {
 				ended <- true
@@ -78,7 +78,7 @@
 // connection of its own.
 func TestCloseWithMoreBehind(t *testing.T) {
 	for _, more := range []string{"", head + "late", "noise"} {
-		address := nettest.Listen(t, func(c *ring.Conn) {
+		address := nettest.Listen(t, func(c *connbuffer.Conn) {
 			if _, err := http1.ReadRequest(c.In); err != nil {
 				return
 			}
--- a/internal/proxy/upstream/crossings_test.go
+++ b/internal/proxy/upstream/crossings_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/dispatch"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -20,7 +20,7 @@
 	second := make(chan bool) // closed when the second request has come
 	conns := make(chan int, 1)
 	conns <- 0
-	address := nettest.Listen(t, func(c *ring.Conn) {
+	address := nettest.Listen(t, func(c *connbuffer.Conn) {
 		n := <-conns
 		conns <- n + 1
 		copied := false
@@ -94,22 +94,22 @@
 // At hand-over a connection may turn out closed, reset, noisy or too old; and a sweep or a reclaim may
 // come just then. The attempt is made once, on one of its own, and nothing of it is written before.
 func TestHandOver(t *testing.T) {
-	for name, happens := range map[string]func(p *Pool, c *conn, far *ring.Conn){
-		"nothing": func(*Pool, *conn, *ring.Conn) {},
-		"closed":  func(_ *Pool, _ *conn, far *ring.Conn) { far.Close() },
-		"noise":   func(_ *Pool, _ *conn, far *ring.Conn) { io.WriteString(far, "x") },
-		"a late answer": func(_ *Pool, _ *conn, far *ring.Conn) {
+	for name, happens := range map[string]func(p *Pool, c *conn, far *connbuffer.Conn){
+		"nothing": func(*Pool, *conn, *connbuffer.Conn) {},
+		"closed":  func(_ *Pool, _ *conn, far *connbuffer.Conn) { far.Close() },
+		"noise":   func(_ *Pool, _ *conn, far *connbuffer.Conn) { io.WriteString(far, "x") },
+		"a late answer": func(_ *Pool, _ *conn, far *connbuffer.Conn) {
 			io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 		},
-		"too old":   func(_ *Pool, c *conn, _ *ring.Conn) { c.since = time.Now().Add(-2 * time.Hour) },
-		"a sweep":   func(p *Pool, _ *conn, _ *ring.Conn) { p.mu.Unlock(); p.Sweep(); p.mu.Lock() },
-		"a reclaim": func(p *Pool, _ *conn, _ *ring.Conn) { p.mu.Unlock(); p.closeOne(); p.mu.Lock() },
+		"too old":   func(_ *Pool, c *conn, _ *connbuffer.Conn) { c.since = time.Now().Add(-2 * time.Hour) },
+		"a sweep":   func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.Sweep(); p.mu.Lock() },
+		"a reclaim": func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.closeOne(); p.mu.Lock() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			accepted := make(chan *ring.Conn, 9)
+			accepted := make(chan *connbuffer.Conn, 9)
 			got := make(chan string, 9)
-			address := nettest.Listen(t, func(c *ring.Conn) {
+			address := nettest.Listen(t, func(c *connbuffer.Conn) {
 				accepted <- c
 				for n := 0; ; n++ {
 					if _, err := http1.ReadRequest(c.In); err != nil {
--- a/internal/proxy/upstream/rest_test.go
+++ b/internal/proxy/upstream/rest_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/dispatch"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			begun, late := make(chan bool), make(chan bool)
-			address := nettest.Listen(t, func(c *ring.Conn) {
+			address := nettest.Listen(t, func(c *connbuffer.Conn) {
 				if _, err := http1.ReadRequest(c.In); err != nil {
 					return
 				}
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -14,12 +14,12 @@
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/bodies"
+	"cresshub/internal/bodybudget"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/proxy/stats"
-	"cresshub/internal/ring"
 )
 
 // Directory knows where servers are. A server that drains or is gone has no address.
@@ -44,7 +44,7 @@
 	budget *descriptors.Budget
 	count  *stats.Set
 	report reportForm
-	bodies *bodies.Budget
+	bodies *bodybudget.Budget
 
 	mu   sync.Mutex
 	idle map[dispatch.ServerID][]*conn // the last used at the end
@@ -52,7 +52,7 @@
 
 // New returns a pool without connections. report is the values of a load report in the order to hand them
 // on, by their settings' names.
-func New(dir Directory, limits Limits, report []string, budget *descriptors.Budget, room *bodies.Budget,
+func New(dir Directory, limits Limits, report []string, budget *descriptors.Budget, room *bodybudget.Budget,
 	count *stats.Set) *Pool {
 	p := &Pool{
 		dir: dir, budget: budget, count: count, report: newReportForm(report), bodies: room,
@@ -266,7 +266,7 @@
 	pool    *Pool
 	server  dispatch.ServerID
 	address string
-	nc      *ring.Conn
+	nc      *connbuffer.Conn
 	ended   sync.Once
 
 	since  time.Time // idle from then on
@@ -362,7 +362,7 @@
 	defer cancel()
 	nc, err := dialer.DialContext(ctx, "tcp", c.address)
 	if err == nil {
-		c.nc = ring.NewConn(nc)
+		c.nc = connbuffer.NewConn(nc)
 		c.pool.count.Opened.Add()
 		return 0, true
 	}
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -11,12 +11,12 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"cresshub/internal/bodies"
+	"cresshub/internal/bodybudget"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/dispatch"
 	"cresshub/internal/proxy/stats"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -36,7 +36,7 @@
 func pool(p *place, reuse time.Duration) *Pool {
 	return New(p, Limits{Dial: nettest.Patience, Reuse: reuse, Probe: nettest.Patience,
 		Hold: 100 * time.Millisecond, Stall: nettest.Patience},
-		[]string{"active", "waiting", "cpu"}, descriptors.NewBudget(100, 0.6, 0.25), bodies.NewBudget(1<<20),
+		[]string{"active", "waiting", "cpu"}, descriptors.NewBudget(100, 0.6, 0.25), bodybudget.NewBudget(1<<20),
 		&stats.Set{})
 }
 
@@ -89,7 +89,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			address := nettest.Listen(t, func(conn *ring.Conn) {
+			address := nettest.Listen(t, func(conn *connbuffer.Conn) {
 				if _, err := http1.ReadRequest(conn.In); err != nil {
 					return
 				}
@@ -162,7 +162,7 @@
 
 // A connection that its server closed while it was idle takes no attempt with it.
 func TestClosedWhileIdle(t *testing.T) {
-	address := nettest.Listen(t, func(c *ring.Conn) {
+	address := nettest.Listen(t, func(c *connbuffer.Conn) {
 		if _, err := http1.ReadRequest(c.In); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
@@ -185,7 +185,7 @@
 // where the connection is handed over just then.
 func TestSecondCopyIsNoAnswer(t *testing.T) {
 	const copied = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
-	address := nettest.Listen(t, func(c *ring.Conn) {
+	address := nettest.Listen(t, func(c *connbuffer.Conn) {
 		if _, err := http1.ReadRequest(c.In); err != nil {
 			return
 		}
@@ -291,7 +291,7 @@
 		{"more than it said", size + 5, true, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address := nettest.Listen(t, func(conn *ring.Conn) {
+			address := nettest.Listen(t, func(conn *connbuffer.Conn) {
 				if _, err := http1.ReadRequest(conn.In); err != nil {
 					return
 				}
--- a/internal/router/agent/registration.go
+++ b/internal/router/agent/registration.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"cresshub/internal/http1"
-	"cresshub/internal/pathreader"
+	"cresshub/internal/jsondoc"
 	"cresshub/internal/router/catalog"
 	"cresshub/internal/router/controlserver"
 	"cresshub/internal/router/directory"
@@ -39,7 +39,7 @@
 }
 
 func readHeartbeat(id string, body []byte) (*directory.Record, error) {
-	document, err := pathreader.Parse(body)
+	document, err := jsondoc.Parse(body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/agentsettings/nodesettings.go
+++ b/internal/router/agentsettings/nodesettings.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"cresshub/internal/pathreader"
+	"cresshub/internal/jsondoc"
 )
 
 // PathVariable names the environment variable that holds the path of the settings file.
@@ -82,7 +82,7 @@
 
 // Parse reads settings. The error is *pathreader.Invalid and names every mistake. Unknown fields are ignored.
 func Parse(raw []byte) (*Settings, error) {
-	document, err := pathreader.Parse(raw)
+	document, err := jsondoc.Parse(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 
 func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-func readPorts(node pathreader.Node) [2]int {
+func readPorts(node jsondoc.Node) [2]int {
 	items := node.Items()
 	if len(items) != 2 {
 		node.Reject("does not hold two ports", "give the first and the last port")
@@ -123,7 +123,7 @@
 	return [2]int{int(items[0].Number(1)), int(items[1].Number(1))}
 }
 
-func readBounds(node pathreader.Node) Bounds {
+func readBounds(node jsondoc.Node) Bounds {
 	millis := func(name string, fallback float64) time.Duration {
 		return milliseconds(node.Get(name).NumberOr(fallback, 0))
 	}
--- a/internal/router/controlserver/callserver.go
+++ b/internal/router/controlserver/callserver.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"cresshub/internal/acceptloop"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 )
 
 const (
@@ -62,7 +62,7 @@
 
 func (s *Server) serve(c net.Conn) {
 	defer c.Close()
-	conn := ring.NewConn(c)
+	conn := connbuffer.NewConn(c)
 	for {
 		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		if conn.Await() != nil {
@@ -81,7 +81,7 @@
 }
 
 // answer reads a call and has it handled. Its error means that the connection has ended.
-func (s *Server) answer(conn *ring.Conn) (*http1.Response, error) {
+func (s *Server) answer(conn *connbuffer.Conn) (*http1.Response, error) {
 	head, body, err := http1.ReadRequestHead(conn.In)
 	if err != nil {
 		return rejection(err)
--- a/internal/router/controlserver/callserver_test.go
+++ b/internal/router/controlserver/callserver_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 
 	"cresshub/internal/acceptloop/faultylistener"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 )
 
 // TestServeOutlivesAFailedAccept: servers and operators reach a process again that was short of descriptors
@@ -43,7 +43,7 @@
 		return 0
 	}
 	defer dialled.Close()
-	conn := ring.NewConn(dialled)
+	conn := connbuffer.NewConn(dialled)
 	request := http1.Request{Method: "GET", Target: path, Close: true,
 		Header: http1.Header{{Name: "Host", Value: address}}}
 	if request.Write(conn.Out) != nil || conn.Flush() != nil {
--- a/internal/router/dataplane/front.go
+++ b/internal/router/dataplane/front.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"cresshub/internal/acceptloop"
-	"cresshub/internal/bodies"
+	"cresshub/internal/bodybudget"
 	"cresshub/internal/http1"
 	"cresshub/internal/router/agentsettings"
 	"cresshub/internal/router/catalog"
@@ -50,7 +50,7 @@
 
 	decider  *decider
 	budgets  *budgets
-	bodies   *bodies.Budget
+	bodies   *bodybudget.Budget
 	pool     *pool
 	tickets  *ticketReturner
 	stats    counters
@@ -72,7 +72,7 @@
 func New(settings *agentsettings.Settings, state State, log zerolog.Logger) *Front {
 	f := &Front{
 		settings: settings, state: state, log: log, started: time.Now(),
-		budgets: newBudgets(settings.Bounds), bodies: bodies.NewBudget(settings.MemoryBytes / bodiesPart),
+		budgets: newBudgets(settings.Bounds), bodies: bodybudget.NewBudget(settings.MemoryBytes / bodiesPart),
 		readTimes: newReadTimes(), clients: map[*client]struct{}{}, changed: make(chan struct{}),
 	}
 	f.observer.use(log)
--- a/internal/router/fleetconfig/fleetconfig.go
+++ b/internal/router/fleetconfig/fleetconfig.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/pathreader"
+	"cresshub/internal/jsondoc"
 )
 
 // Kind tells how often a request of a route may run.
@@ -141,7 +141,7 @@
 
 // Empty returns the version 0, on which a first configuration builds. It is never in force.
 func Empty() *Config {
-	document, err := pathreader.Parse([]byte(emptyDocument))
+	document, err := jsondoc.Parse([]byte(emptyDocument))
 	if err != nil {
 		panic("fleetconfig: " + err.Error()) // the document is fixed
 	}
@@ -152,7 +152,7 @@
 
 // Parse reads and checks a configuration. The error is *pathreader.Invalid and names every mistake.
 func Parse(raw []byte) (*Config, error) {
-	document, err := pathreader.Parse(raw)
+	document, err := jsondoc.Parse(raw)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/fleetconfig/patch.go
+++ b/internal/router/fleetconfig/patch.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"maps"
 
-	"cresshub/internal/pathreader"
+	"cresshub/internal/jsondoc"
 )
 
 // MaxDocumentBytes bounds a configuration, sent whole or made by a patch.
@@ -35,7 +35,7 @@
 // ParsePatch reads a patch that builds on a version and checks what can be checked without that version. The
 // error is *pathreader.Invalid and names every mistake.
 func ParsePatch(base int64, body []byte) (*Patch, error) {
-	document, err := pathreader.Parse(body)
+	document, err := jsondoc.Parse(body)
 	if err != nil {
 		return nil, err
 	}
@@ -45,10 +45,10 @@
 }
 
 // checkPatch rejects fields and lists that are not known, and names that are missing or stand twice.
-func checkPatch(root pathreader.Node) {
+func checkPatch(root jsondoc.Node) {
 	checkNames(root, "name no other field", versionField, deliverField, withdrawField)
 	deliver, withdraw := root.Get(deliverField), root.Get(withdrawField)
-	for _, part := range []pathreader.Node{deliver, withdraw} {
+	for _, part := range []jsondoc.Node{deliver, withdraw} {
 		checkNames(part, "name "+routesList+" or "+servicesList+"; what has no names is sent whole with PUT",
 			routesList, servicesList)
 	}
@@ -64,7 +64,7 @@
 }
 
 // checkNames rejects the fields of an object that are not among those known.
-func checkNames(object pathreader.Node, remedy string, known ...string) {
+func checkNames(object jsondoc.Node, remedy string, known ...string) {
 	for _, name := range object.Names() {
 		isKnown := false
 		for _, one := range known {
@@ -77,7 +77,7 @@
 }
 
 // checkOnce rejects a name that was seen before.
-func checkOnce(seen map[string]bool, node pathreader.Node, name string) {
+func checkOnce(seen map[string]bool, node jsondoc.Node, name string) {
 	if seen[name] && name != "" {
 		node.Reject(fmt.Sprintf("%q stands twice in the patch", name),
 			"deliver or withdraw each name once; an item that is delivered replaces the one of its name")
@@ -92,7 +92,7 @@
 	if patch.Base != c.Version {
 		return nil, &WrongBase{patch.Base, c.Version}
 	}
-	document, err := pathreader.Parse(patch.Body)
+	document, err := jsondoc.Parse(patch.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 // CheckSize tells whether the document is one that a process takes. The error is *pathreader.Invalid.
 func (c *Config) CheckSize() error {
 	if size := len(c.Raw()); size > MaxDocumentBytes {
-		return &pathreader.Invalid{Problems: []pathreader.Problem{{Field: deliverField,
+		return &jsondoc.Invalid{Problems: []jsondoc.Problem{{Field: deliverField,
 			Reason: fmt.Sprintf("the configuration would have %d bytes", size),
 			Remedy: fmt.Sprintf("withdraw items that are not needed; %d bytes are taken", MaxDocumentBytes)}}}
 	}
@@ -128,7 +128,7 @@
 // application is a patch that is being applied.
 type application struct {
 	base              *Config
-	deliver, withdraw pathreader.Node
+	deliver, withdraw jsondoc.Node
 	texts             map[string][]item // of what is delivered, by list
 	services          map[string]*Service
 	layout            layout
@@ -136,7 +136,7 @@
 	values            int
 }
 
-func newApplication(base *Config, root pathreader.Node, body []byte) *application {
+func newApplication(base *Config, root jsondoc.Node, body []byte) *application {
 	a := &application{base: base, deliver: root.Get(deliverField), withdraw: root.Get(withdrawField),
 		texts: deliveredTexts(body), services: base.Services, layout: *base.cut(), places: base.places,
 		values: base.values}
@@ -192,7 +192,7 @@
 		return
 	}
 	change, places := a.layout.routes.change(), a.places.tree.Txn()
-	free := func(node pathreader.Node, name string) {
+	free := func(node jsondoc.Node, name string) {
 		if old := a.forget(change, node, name); old.route != nil {
 			places.Delete(placeKey(old.route.Host, old.route.Prefix))
 		}
@@ -215,7 +215,7 @@
 
 // forget takes the values of the item of a name off the sum and returns that item, if there is one. A name
 // that several items have is rejected.
-func (a *application) forget(change *itemChange, node pathreader.Node, name string) item {
+func (a *application) forget(change *itemChange, node jsondoc.Node, name string) item {
 	old, exists, one := change.find(name)
 	if !one {
 		node.Reject(fmt.Sprintf("several items have the name %q", name), "send the whole configuration with PUT")
@@ -235,7 +235,7 @@
 
 // countValues returns how many values an item holds, as the path reader counts them.
 func countValues(one item) int {
-	document, err := pathreader.Parse(one.text)
+	document, err := jsondoc.Parse(one.text)
 	if err != nil {
 		return 0
 	}
@@ -265,9 +265,9 @@
 
 // checkValues rejects a result that holds more values than a process reads.
 func (a *application) checkValues() {
-	if a.values > pathreader.MostValues {
+	if a.values > jsondoc.MostValues {
 		a.deliver.Reject(fmt.Sprintf("the configuration would hold %d values", a.values),
-			fmt.Sprintf("withdraw items that are not needed; %d values are taken", pathreader.MostValues))
+			fmt.Sprintf("withdraw items that are not needed; %d values are taken", jsondoc.MostValues))
 	}
 }
 
--- a/internal/router/fleetconfig/patch_test.go
+++ b/internal/router/fleetconfig/patch_test.go
@@ -9,7 +9,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"cresshub/internal/pathreader"
+	"cresshub/internal/jsondoc"
 )
 
 // baseDocument has two services and three routes, one of which has no name.
@@ -132,7 +132,7 @@
 			c := qt.New(t)
 			base := parsed(t, baseDocument)
 			_, err := base.ApplyBody([]byte(test.patch))
-			var invalid *pathreader.Invalid
+			var invalid *jsondoc.Invalid
 			c.Assert(errors.As(err, &invalid), qt.IsTrue, qt.Commentf("%v", err))
 			c.Assert(invalid.Problems, qt.HasLen, 1, qt.Commentf("%v", err))
 			c.Assert(invalid.Problems[0].String(), qt.Matches, test.problem)
@@ -165,7 +165,7 @@
 // TestResultsOverTheBounds holds what a patch makes to the bounds of a document that is sent whole.
 func TestResultsOverTheBounds(t *testing.T) {
 	c := qt.New(t)
-	many := strings.Repeat("0,", pathreader.MostValues/2) + "0"
+	many := strings.Repeat("0,", jsondoc.MostValues/2) + "0"
 	config := parsed(t, `{"edition":1,"depots_list":[{"name":"s","note":[`+many+`]}]}`)
 	withMany := func(name string) []byte {
 		return []byte(`{"edition":2,"deliver":{"depots_list":[{"name":"` + name + `","note":[` + many + `]}]}}`)
--- a/internal/router/fleetconfig/places.go
+++ b/internal/router/fleetconfig/places.go
@@ -5,7 +5,7 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"cresshub/internal/pathreader"
+	"cresshub/internal/jsondoc"
 )
 
 // placeIndex finds the route of a host and path. It is immutable: a patch makes another one that shares all
@@ -22,7 +22,7 @@
 }
 
 // indexPlaces puts routes into an index and rejects, at its node, a route at the place of another one.
-func indexPlaces(routes []*Route, nodes []pathreader.Node) placeIndex {
+func indexPlaces(routes []*Route, nodes []jsondoc.Node) placeIndex {
 	change := placeIndex{iradix.New[*Route]()}.tree.Txn()
 	for i, route := range routes {
 		insertPlace(change, route, nodes[i])
@@ -31,7 +31,7 @@
 }
 
 // insertPlace adds a route, unless another one stands at its place.
-func insertPlace(change *iradix.Txn[*Route], route *Route, node pathreader.Node) {
+func insertPlace(change *iradix.Txn[*Route], route *Route, node jsondoc.Node) {
 	key := placeKey(route.Host, route.Prefix)
 	if other, taken := change.Get(key); taken {
 		node.Reject("has the host and prefix of route "+other.Name, "give each route a place of its own")
--- a/internal/router/fleetconfig/read.go
+++ b/internal/router/fleetconfig/read.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/pathreader"
+	"cresshub/internal/jsondoc"
 )
 
-func readVersion(node pathreader.Node) int64 {
+func readVersion(node jsondoc.Node) int64 {
 	version := node.Number(1)
 	if version != float64(int64(version)) {
 		node.Reject("is not a whole number", "give a whole number above the current version")
@@ -16,7 +16,7 @@
 	return int64(version)
 }
 
-func readLimits(node pathreader.Node) Limits {
+func readLimits(node jsondoc.Node) Limits {
 	return Limits{
 		HeaderBytes: int(node.Get("envelope_bytes").NumberOr(16<<10, 1)),
 		BodyBytes:   int(node.Get("contents_bytes").NumberOr(4<<20, 0)),
@@ -29,7 +29,7 @@
 
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
-func readService(node pathreader.Node) *Service {
+func readService(node jsondoc.Node) *Service {
 	service := &Service{
 		Name:          node.Get("name").Text(),
 		HealthPath:    node.Get("health_path").TextOr(""),
@@ -41,7 +41,7 @@
 	return service
 }
 
-func readEngine(node pathreader.Node) *Engine {
+func readEngine(node jsondoc.Node) *Engine {
 	engine := &Engine{
 		Slots:           int(node.Get("bays").NumberOr(1, 1)),
 		CacheTokens:     int(node.Get("kv_tokens").NumberOr(0, 0)),
@@ -57,7 +57,7 @@
 	return engine
 }
 
-func readRoute(node pathreader.Node, services map[string]*Service) *Route {
+func readRoute(node jsondoc.Node, services map[string]*Service) *Route {
 	route := &Route{
 		Name: node.Get("name").TextOr(""), Host: strings.ToLower(node.Get("town").Text()),
 		Prefix: node.Get("street_prefix").Text(), Kind: readKind(node.Get("mail_class")),
@@ -81,7 +81,7 @@
 	return route
 }
 
-func readKind(node pathreader.Node) Kind {
+func readKind(node jsondoc.Node) Kind {
 	kind := Kind(node.TextOr(string(Unsafe)))
 	if kind != Safe && kind != Unsafe && kind != Stream {
 		node.Reject(fmt.Sprintf("%q is no class of mail", kind), "give safe, unsafe or stream")
@@ -89,8 +89,8 @@
 	return kind
 }
 
-func readTargets(node pathreader.Node, route *Route, services map[string]*Service) {
-	add := func(at pathreader.Node, weight float64) {
+func readTargets(node jsondoc.Node, route *Route, services map[string]*Service) {
+	add := func(at jsondoc.Node, weight float64) {
 		name := at.Text()
 		if services[name] == nil && name != "" {
 			at.Reject(fmt.Sprintf("names %q, which is not in depots_list", name), "name a service of the list")
--- a/internal/keyed/schema.go
+++ b/internal/settingsfile/schema.go
@@ -1,7 +1,7 @@
-// Package keyed reads files of settings into structs whose tags carry each key's default, bounds, words and
-// meaning. It tells all mistakes of a file in one go, each with its line and a likely fix. The program's
-// own configuration and the laboratory's scenarios are such structs.
-package keyed
+// Package settingsfile reads files of settings into structs whose tags carry each key's default, bounds,
+// words and meaning. It tells all mistakes of a file in one go, each with its line and a likely fix. The
+// program's own configuration and the laboratory's scenarios are such structs.
+package settingsfile
 
 import (
 	"cmp"
--- a/internal/keyed/value.go
+++ b/internal/settingsfile/value.go
@@ -1,4 +1,4 @@
-package keyed
+package settingsfile
 
 import (
 	"fmt"
--- a/internal/simulation/experiment/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 	"cresshub/internal/simulation/proxysim"
 )
 
@@ -68,7 +68,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var got keyed.Problems
+	var got settingsfile.Problems
 	_, err := Load(file, map[string]string{"lod.rate": "1"})
 	if !errors.As(err, &got) {
 		t.Fatal(err)
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -12,13 +12,13 @@
 	"strings"
 	"sync"
 
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 	"cresshub/internal/simulation/proxysim"
 	scenarios "cresshub/lab"
 )
 
-var schema = sync.OnceValue(func() *keyed.Schema {
-	return keyed.NewSchema[proxysim.Scenario]("", "`cresshub lab docs` lists all keys")
+var schema = sync.OnceValue(func() *settingsfile.Schema {
+	return settingsfile.NewSchema[proxysim.Scenario]("", "`cresshub lab docs` lists all keys")
 })
 
 // Load reads a scenario by the path of its file or by the name of a shipped one, with keys set over it, and
@@ -32,20 +32,20 @@
 	}
 	b := schema().NewBuilder()
 	if err != nil {
-		b.Problems.Add(keyed.At("file", name), "", "cannot be read, and no shipped scenario has that name: %v", err)
+		b.Problems.Add(settingsfile.At("file", name), "", "cannot be read, and no shipped scenario has that name: %v", err)
 		return nil, b.Problems.Err()
 	}
 	l, problems := schema().ReadTOML(name, raw)
 	b.Problems = problems
 	b.Add(l)
-	over := keyed.NewLayer()
+	over := settingsfile.NewLayer()
 	for key, value := range set {
-		o := keyed.At("flag", "--set "+key)
+		o := settingsfile.At("flag", "--set "+key)
 		if _, _, _, ok := schema().Generic(key); !ok {
 			b.Problems.Add(o, key, "is no key%s", schema().Meant(key))
 			continue
 		}
-		over.Set(key, keyed.Words(value), o)
+		over.Set(key, settingsfile.Words(value), o)
 	}
 	b.Add(over)
 	sc := &proxysim.Scenario{}
@@ -57,11 +57,11 @@
 }
 
 // check finds what is wrong between keys.
-func check(sc *proxysim.Scenario, b *keyed.Builder) {
+func check(sc *proxysim.Scenario, b *settingsfile.Builder) {
 	tell := func(path, format string, args ...any) {
 		o, ok := b.Origins[path]
 		if !ok || o.Source == "default" {
-			o = keyed.Origin{Source: "file", Name: sc.Name, Line: 1}
+			o = settingsfile.Origin{Source: "file", Name: sc.Name, Line: 1}
 			for _, other := range b.Origins {
 				if other.Source == "file" {
 					o.Name = other.Name
@@ -98,7 +98,7 @@
 	for i, t := range sc.Troubles {
 		if t.What == "hall_loss" && !slices.Contains(sc.Halls, t.Hall) {
 			hint := ""
-			if w := keyed.Likely(t.Hall, sc.Halls); w != "" {
+			if w := settingsfile.Likely(t.Hall, sc.Halls); w != "" {
 				hint = "; did you mean " + w + "?"
 			}
 			tell(fmt.Sprintf("trouble.%d.hall", i), "%q is none of halls%s", t.Hall, hint)
--- a/internal/testbed/clusterrig/rig.go
+++ b/internal/testbed/clusterrig/rig.go
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"cresshub/internal/program"
+	"cresshub/internal/childprocess"
 	"cresshub/internal/testbed/faultnet"
 	"cresshub/internal/testbed/proxystandin"
 )
@@ -84,7 +84,7 @@
 	Listen string // its clients' address
 	Ledger string // where it is reached for the ledger, if it takes part
 
-	process *program.Process
+	process *childprocess.Process
 
 	mu     sync.Mutex // of what a look from another goroutine reads
 	state  State
@@ -236,7 +236,7 @@
 	if r.out != nil {
 		log = r.out
 	}
-	p, err := program.Start(ctx, r.o.Program, file, nil, log)
+	p, err := childprocess.Start(ctx, r.o.Program, file, nil, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.Name, err)
 	}
--- a/internal/testbed/clusterrig/scenario.go
+++ b/internal/testbed/clusterrig/scenario.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"cresshub/internal/keyed"
+	"cresshub/internal/settingsfile"
 	scenarios "cresshub/lab"
 )
 
@@ -101,8 +101,8 @@
 var deeds = []string{"kill", "pause", "resume", "term", "drain", "serve", "restart", "move", "wipe",
 	"partition", "link", "heal", "wait"}
 
-var schema = sync.OnceValue(func() *keyed.Schema {
-	return keyed.NewSchema[Scenario]("", "`cresshub rig show NAME` prints a shipped scenario")
+var schema = sync.OnceValue(func() *settingsfile.Schema {
+	return settingsfile.NewSchema[Scenario]("", "`cresshub rig show NAME` prints a shipped scenario")
 })
 
 // Shipped are the names of the scenarios that come with the program.
@@ -132,16 +132,16 @@
 	b := schema().NewBuilder()
 	raw, err := Text(name)
 	if err != nil {
-		b.Problems.Add(keyed.At("file", name), "",
+		b.Problems.Add(settingsfile.At("file", name), "",
 			"cannot be read, and no shipped scenario has that name: %v", err)
 		return nil, b.Problems.Err()
 	}
 	l, problems := schema().ReadTOML(name, raw)
 	b.Problems = problems
 	b.Add(l)
-	over := keyed.NewLayer()
+	over := settingsfile.NewLayer()
 	for key, value := range set {
-		over.Set(key, keyed.Words(value), keyed.At("flag", "--set "+key))
+		over.Set(key, settingsfile.Words(value), settingsfile.At("flag", "--set "+key))
 	}
 	b.Add(over)
 	sc := &Scenario{}
@@ -153,7 +153,7 @@
 }
 
 // check finds what is wrong between keys.
-func (sc *Scenario) check(b *keyed.Builder) {
+func (sc *Scenario) check(b *settingsfile.Builder) {
 	var last time.Duration
 	for i, s := range sc.Steps {
 		tell := func(key, format string, args ...any) {
--- a/internal/testbed/connserver/connserver.go
+++ b/internal/testbed/connserver/connserver.go
@@ -6,13 +6,13 @@
 	"sync"
 
 	"cresshub/internal/acceptloop"
-	"cresshub/internal/ring"
+	"cresshub/internal/connbuffer"
 )
 
 // Listener accepts connections, gives each a goroutine, and can end all of them at once.
 type Listener struct {
 	l     net.Listener
-	serve func(*ring.Conn)
+	serve func(*connbuffer.Conn)
 	most  int
 
 	mu     sync.Mutex
@@ -23,7 +23,7 @@
 
 // Listen accepts connections at an address, port 0 for one that the system chooses, and runs serve for
 // each. Beyond most connections, 0 for any number, new ones are closed at once.
-func Listen(address string, most int, serve func(*ring.Conn)) (*Listener, error) {
+func Listen(address string, most int, serve func(*connbuffer.Conn)) (*Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 	go func() {
 		defer l.all.Done()
 		defer l.drop(c)
-		l.serve(ring.NewConn(c))
+		l.serve(connbuffer.NewConn(c))
 	}()
 }
 
--- a/internal/testbed/nettest/nettest.go
+++ b/internal/testbed/nettest/nettest.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/proxystandin"
 )
 
@@ -39,7 +39,7 @@
 // Serve starts a party whose answers come from handle, which runs once a request.
 func Serve(t testing.TB, handle func(q *http1.Request) *http1.Response) *Party {
 	p := &Party{Left: make(chan struct{}, 64)}
-	p.Address = Listen(t, func(c *ring.Conn) {
+	p.Address = Listen(t, func(c *connbuffer.Conn) {
 		p.Opened.Add(1)
 		for {
 			q, err := http1.ReadRequest(c.In)
@@ -79,7 +79,7 @@
 }
 
 // Listen accepts connections and gives each a goroutine, until the test ends.
-func Listen(t testing.TB, serve func(c *ring.Conn)) string {
+func Listen(t testing.TB, serve func(c *connbuffer.Conn)) string {
 	t.Helper()
 	l, err := proxystandin.Listen("127.0.0.1:0", 0, serve)
 	if err != nil {
@@ -118,7 +118,7 @@
 // NewDiscovery starts a discovery; a watch says only what Send is given.
 func NewDiscovery(t testing.TB) *Discovery {
 	d := &Discovery{lines: make(chan string), Left: make(chan struct{}, 64)}
-	d.Address = Listen(t, func(c *ring.Conn) {
+	d.Address = Listen(t, func(c *connbuffer.Conn) {
 		for {
 			q, err := http1.ReadRequest(c.In)
 			if err != nil {
@@ -142,7 +142,7 @@
 	return d
 }
 
-func (d *Discovery) watch(c *ring.Conn) {
+func (d *Discovery) watch(c *connbuffer.Conn) {
 	io.WriteString(c.Out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	ended := make(chan struct{})
 	go func() {
@@ -182,7 +182,7 @@
 }
 
 // Dial connects as a client, for as long as the test runs.
-func Dial(t testing.TB, address string) *ring.Conn {
+func Dial(t testing.TB, address string) *connbuffer.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -190,11 +190,11 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(Patience))
-	return ring.NewConn(c)
+	return connbuffer.NewConn(c)
 }
 
 // Ask sends text as it is and reads one answer.
-func Ask(t testing.TB, c *ring.Conn, text string) *http1.Response {
+func Ask(t testing.TB, c *connbuffer.Conn, text string) *http1.Response {
 	t.Helper()
 	io.WriteString(c.Out, text)
 	if err := c.Flush(); err != nil {
--- a/internal/testbed/proxystandin/discovery.go
+++ b/internal/testbed/proxystandin/discovery.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"cresshub/internal/cluster/lease"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 )
 
 // The rules that stand-ins count breaks of.
@@ -202,7 +202,7 @@
 	return doc, d.changed, d.failing
 }
 
-func (d *Discovery) serve(c *ring.Conn) {
+func (d *Discovery) serve(c *connbuffer.Conn) {
 	for {
 		c.SetDeadline(time.Now().Add(time.Minute))
 		q, err := http1.ReadRequest(c.In)
@@ -242,7 +242,7 @@
 }
 
 // watch tells changes until the other side or this one ends.
-func (d *Discovery) watch(c *ring.Conn, from int64, token uint64) {
+func (d *Discovery) watch(c *connbuffer.Conn, from int64, token uint64) {
 	io.WriteString(c.Out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	left := make(chan struct{})
 	go func() {
--- a/internal/testbed/proxystandin/listener.go
+++ b/internal/testbed/proxystandin/listener.go
@@ -4,7 +4,7 @@
 package proxystandin
 
 import (
-	"cresshub/internal/ring"
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/testbed/connserver"
 )
 
@@ -13,6 +13,6 @@
 
 // Listen accepts connections at an address, port 0 for one that the system chooses, and runs serve for
 // each. Beyond most connections, 0 for any number, new ones are closed at once.
-func Listen(address string, most int, serve func(*ring.Conn)) (*Listener, error) {
+func Listen(address string, most int, serve func(*connbuffer.Conn)) (*Listener, error) {
 	return connserver.Listen(address, most, serve)
 }
--- a/internal/testbed/proxystandin/load.go
+++ b/internal/testbed/proxystandin/load.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 )
 
 // LoadOptions describe the application's requests.
@@ -52,7 +52,7 @@
 	all   sync.WaitGroup
 
 	mu   sync.Mutex
-	idle []*ring.Conn
+	idle []*connbuffer.Conn
 	open int
 }
 
@@ -167,7 +167,7 @@
 
 // exchange sends one request and reads its answer. Where the other side closed a resting connection just
 // as the request was on its way, it is sent once more on a new one, as the protocol has it.
-func (l *Load) exchange(q *http1.Request, until time.Time) (*http1.Response, *ring.Conn, error) {
+func (l *Load) exchange(q *http1.Request, until time.Time) (*http1.Response, *connbuffer.Conn, error) {
 	for {
 		c, used, err := l.take(until)
 		if err != nil {
@@ -194,7 +194,7 @@
 }
 
 // take returns a connection that rests, or a new one.
-func (l *Load) take(until time.Time) (c *ring.Conn, used bool, err error) {
+func (l *Load) take(until time.Time) (c *connbuffer.Conn, used bool, err error) {
 	for {
 		l.mu.Lock()
 		if n := len(l.idle); n > 0 {
@@ -216,7 +216,7 @@
 				l.mu.Unlock()
 				return nil, false, errors.Join(errNotTaken, err)
 			}
-			return ring.NewConn(nc), false, nil
+			return connbuffer.NewConn(nc), false, nil
 		case c.Quiet():
 			return c, true, nil
 		}
@@ -230,7 +230,7 @@
 	}
 }
 
-func (l *Load) give(c *ring.Conn, again bool) {
+func (l *Load) give(c *connbuffer.Conn, again bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if again {
@@ -258,7 +258,7 @@
 		if err == nil {
 			nc.SetDeadline(time.Now().Add(time.Second))
 			io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-			a, err := http1.ReadResponse(ring.NewConn(nc).In)
+			a, err := http1.ReadResponse(connbuffer.NewConn(nc).In)
 			nc.Close()
 			if err == nil && a.Status == 200 {
 				return nil
--- a/internal/testbed/proxystandin/standin_test.go
+++ b/internal/testbed/proxystandin/standin_test.go
@@ -12,15 +12,15 @@
 
 	"go.uber.org/goleak"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const patience = 20 * time.Second
 
-func dial(t *testing.T, address string) *ring.Conn {
+func dial(t *testing.T, address string) *connbuffer.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
@@ -28,10 +28,10 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(patience))
-	return ring.NewConn(nc)
+	return connbuffer.NewConn(nc)
 }
 
-func ask(t *testing.T, c *ring.Conn, target, id, class string) *http1.Response {
+func ask(t *testing.T, c *connbuffer.Conn, target, id, class string) *http1.Response {
 	t.Helper()
 	q := &http1.Request{Method: "GET", Target: target, Header: http1.Header{{Name: "Host", Value: "h"},
 		{Name: "X-Request-ID", Value: id}, {Name: "X-Priority-Class", Value: class}}}
@@ -171,7 +171,7 @@
 			"Content-Length: 0\r\n\r\n", "a-2": "HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n", "a-3": "",
 		"a-4": "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nother x", // to another request
 	}
-	l, err := Listen("127.0.0.1:0", 0, func(c *ring.Conn) {
+	l, err := Listen("127.0.0.1:0", 0, func(c *connbuffer.Conn) {
 		for {
 			q, err := http1.ReadRequest(c.In)
 			if err != nil {
@@ -235,7 +235,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		conn := ring.NewConn(c)
+		conn := connbuffer.NewConn(c)
 		q := http1.Request{Method: "GET", Target: "/registry/instances",
 			Header: http1.Header{{Name: "Host", Value: "d"}}}
 		if q.Write(conn.Out) != nil || conn.Flush() != nil {
--- a/internal/testbed/proxystandin/zone.go
+++ b/internal/testbed/proxystandin/zone.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 )
 
 // ZoneOptions describe one zone server.
@@ -179,7 +179,7 @@
 	return min(1, c.Start+(1-c.Start)*max(age, 0))
 }
 
-func (z *Zone) serve(c *ring.Conn) {
+func (z *Zone) serve(c *connbuffer.Conn) {
 	z.mu.Lock()
 	z.counts.Opened++
 	z.mu.Unlock()
--- a/internal/testbed/proxytrial/mixed.go
+++ b/internal/testbed/proxytrial/mixed.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"cresshub/internal/program"
+	"cresshub/internal/childprocess"
 	"cresshub/internal/testbed/proxystandin"
 )
 
@@ -28,7 +28,7 @@
 // mixture plays overlapping troubles of servers, discovery and the proxy's own process.
 type mixture struct {
 	fleet *proxystandin.Fleet
-	proxy *program.Process
+	proxy *childprocess.Process
 	file  string // the proxy's configuration
 	text  []byte // of that file
 
@@ -38,7 +38,7 @@
 }
 
 // playMixed plays rounds of troubles until ctx ends, and leaves everything well.
-func playMixed(ctx context.Context, f *proxystandin.Fleet, proxy *program.Process, file string,
+func playMixed(ctx context.Context, f *proxystandin.Fleet, proxy *childprocess.Process, file string,
 	seed uint64) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/testbed/proxytrial/trial.go
+++ b/internal/testbed/proxytrial/trial.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"cresshub/internal/program"
+	"cresshub/internal/childprocess"
 	"cresshub/internal/testbed/proxystandin"
 )
 
@@ -132,7 +132,7 @@
 		}
 		return report(fleet, proxystandin.NewTally().Totals(), o, 0), ctx.Err()
 	}
-	proxy, err := program.Start(ctx, o.Program, file, o.Set, o.Log)
+	proxy, err := childprocess.Start(ctx, o.Program, file, o.Set, o.Log)
 	if err != nil {
 		return nothing(err)
 	}
--- a/internal/testbed/routerstandin/clientconn.go
+++ b/internal/testbed/routerstandin/clientconn.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // clientConn is a client's connection to a proxy.
 type clientConn struct {
-	*ring.Conn
+	*connbuffer.Conn
 	machine string    // IP of the proxy
 	used    bool      // it has carried a request before
 	expires time.Time // when an idle one is not used any more, zero where nothing was told
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: ring.NewConn(conn), machine: hostOf(proxy.Front)}, nil
+	return &clientConn{Conn: connbuffer.NewConn(conn), machine: hostOf(proxy.Front)}, nil
 }
 
 // takeIdle returns a connection that the client keeps and that is still good, nil where there is none.
--- a/internal/testbed/routerstandin/exchange.go
+++ b/internal/testbed/routerstandin/exchange.go
@@ -5,14 +5,14 @@
 	"strconv"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 )
 
 // exchange is one request at a server, and its answer.
 type exchange struct {
 	server   *Server
-	conn     *ring.Conn
+	conn     *connbuffer.Conn
 	request  *http1.Request
 	arrival  *arrival
 	deadline time.Time
@@ -26,7 +26,7 @@
 // longAgo is a deadline that has passed.
 var longAgo = time.Unix(1, 0)
 
-func newExchange(s *Server, conn *ring.Conn, request *http1.Request) *exchange {
+func newExchange(s *Server, conn *connbuffer.Conn, request *http1.Request) *exchange {
 	x := &exchange{server: s, conn: conn, request: request, gone: make(chan struct{}),
 		watched: make(chan struct{}), closes: s.isLeaving(), treatment: s.treatment()}
 	if left, err := strconv.Atoi(request.Header.Get(deadlineHeader)); err == nil {
--- a/internal/testbed/routerstandin/proxy_test.go
+++ b/internal/testbed/routerstandin/proxy_test.go
@@ -13,8 +13,8 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/connserver"
 )
 
@@ -30,7 +30,7 @@
 
 // passing is a request on its way through the proxy.
 type passing struct {
-	conn    *ring.Conn
+	conn    *connbuffer.Conn
 	request *http1.Request
 }
 
@@ -54,7 +54,7 @@
 	p.wrong = wrong
 }
 
-func (p *fakeProxy) serve(conn *ring.Conn) {
+func (p *fakeProxy) serve(conn *connbuffer.Conn) {
 	for {
 		request, err := readRequest(conn)
 		if err != nil {
@@ -95,7 +95,7 @@
 	p.world.Assert(err, qt.IsNil)
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(patience))
-	r := ring.NewConn(conn)
+	r := connbuffer.NewConn(conn)
 	sent := *request
 	sent.Header = append(request.Header.EndToEnd(), field(expectHeader, server.ID()))
 	sent.Header = append(sent.Header, more...)
--- a/internal/testbed/routerstandin/server.go
+++ b/internal/testbed/routerstandin/server.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
-	"cresshub/internal/ring"
 	"cresshub/internal/testbed/connserver"
 )
 
@@ -199,7 +199,7 @@
 }
 
 // serve answers the requests of one connection, one at a time.
-func (s *Server) serve(conn *ring.Conn) {
+func (s *Server) serve(conn *connbuffer.Conn) {
 	for {
 		conn.SetReadDeadline(time.Now().Add(idleTime))
 		request, err := readRequest(conn)
@@ -216,7 +216,7 @@
 	}
 }
 
-func readRequest(conn *ring.Conn) (*http1.Request, error) {
+func readRequest(conn *connbuffer.Conn) (*http1.Request, error) {
 	request, body, err := http1.ReadRequestHead(conn.In)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/routertrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"cresshub/internal/program"
+	"cresshub/internal/childprocess"
 	"cresshub/internal/router/agentsettings"
 	"cresshub/internal/testbed/routerstandin"
 )
@@ -31,9 +31,9 @@
 	dir   string
 
 	mu      sync.Mutex
-	process *program.Process // nil while none runs
-	ending  bool             // the trial ends the process
-	faults  []string         // commands that hold now, for the next process too
+	process *childprocess.Process // nil while none runs
+	ending  bool                  // the trial ends the process
+	faults  []string              // commands that hold now, for the next process too
 	// endsItself is a command by which the next process ends itself, "" where it is not to.
 	endsItself string
 }
@@ -52,7 +52,7 @@
 	defer cancel()
 	m.fleet.Observations.Troubled(m.IP, m.HasDisk)
 	given := m.currentFaults()
-	process, err := program.Run(bounded, m.command(given))
+	process, err := childprocess.Run(bounded, m.command(given))
 	if err != nil {
 		return fmt.Errorf("starting %s at %s: %w", m.Name, m.IP, err)
 	}
@@ -68,9 +68,9 @@
 const faultyLogBuffer = 4096
 
 // command is how the machine's process is started, with commands that it is to obey from its start.
-func (m *Machine) command(faults []string) program.Command {
+func (m *Machine) command(faults []string) childprocess.Command {
 	options := &m.fleet.options
-	command := program.Command{
+	command := childprocess.Command{
 		Path: options.Program, Args: []string{"router"}, Ready: `"node: started"`,
 		Env: []string{agentsettings.PathVariable + "=" + m.settingsPath()}, Log: m.fleet.logOf(m.Name),
 	}
@@ -98,7 +98,7 @@
 }
 
 // watch notes a process that ends by itself.
-func (m *Machine) watch(process *program.Process) {
+func (m *Machine) watch(process *childprocess.Process) {
 	<-process.Ended()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,7 +109,7 @@
 }
 
 // endProcess returns the process, which from now on may end.
-func (m *Machine) endProcess() *program.Process {
+func (m *Machine) endProcess() *childprocess.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ending = true
--- a/internal/testbed/routertrial/machine_faults.go
+++ b/internal/testbed/routertrial/machine_faults.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"cresshub/internal/program"
+	"cresshub/internal/childprocess"
 	"cresshub/internal/testbed/faultinject"
 )
 
 // running returns the machine's process, nil while none runs.
-func (m *Machine) running() *program.Process {
+func (m *Machine) running() *childprocess.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
@@ -37,7 +37,7 @@
 }
 
 // replaceFaults has a process obey commands in place of all that it obeyed.
-func replaceFaults(process *program.Process, commands []string) {
+func replaceFaults(process *childprocess.Process, commands []string) {
 	healed := []string{faultinject.CommandHear, diskCommand(faultinject.DiskOK)}
 	for _, command := range append(healed, commands...) {
 		_ = process.Send(command)
@@ -46,7 +46,7 @@
 
 // correctFaults tells a process that has just started what has changed since it was given its faults: nobody
 // could tell it before.
-func (m *Machine) correctFaults(process *program.Process, given []string) {
+func (m *Machine) correctFaults(process *childprocess.Process, given []string) {
 	if current := m.currentFaults(); m.fleet.options.Faulty && !slices.Equal(given, current) {
 		replaceFaults(process, current)
 	}
@@ -116,7 +116,7 @@
 const troubleInterval = 200 * time.Millisecond
 
 // awaitOwnEnd waits until the process has ended by itself, kills it where it does not, and tells which.
-func (m *Machine) awaitOwnEnd(ctx context.Context, process *program.Process, patience time.Duration) bool {
+func (m *Machine) awaitOwnEnd(ctx context.Context, process *childprocess.Process, patience time.Duration) bool {
 	bounded, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	defer m.Kill()
