--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -50,7 +50,8 @@
 			since := time.Time{}
 			if cold {
 				since = time.Now()
-				o.Cold = proxystandin.Cold{Start: 0.12, Warm: 23 * time.Second, Multiple: 4, After: 1500 * time.Millisecond}
+				o.Cold = proxystandin.Cold{Start: 0.12, Warm: 23 * time.Second, Multiple: 4,
+					After: 1500 * time.Millisecond}
 			}
 			z, err := proxystandin.StartZone(o, since)
 			if err != nil {
--- a/internal/proxy/cli/try.go
+++ b/internal/proxy/cli/try.go
@@ -142,7 +142,8 @@
 		return err
 	}
 	fmt.Fprintln(w)
-	for _, rule := range []string{proxytrial.OneAnswer, proxytrial.NeverTwice, proxytrial.DrainKept, proxytrial.ColdKept} {
+	for _, rule := range []string{proxytrial.OneAnswer, proxytrial.NeverTwice, proxytrial.DrainKept,
+		proxytrial.ColdKept} {
 		state := "kept"
 		if n := r.Rules[rule]; n > 0 {
 			state = fmt.Sprintf("BROKEN %d times", n)
--- a/internal/proxy/config/config_test.go
+++ b/internal/proxy/config/config_test.go
@@ -263,7 +263,8 @@
 		t.Error(err)
 	}
 	for _, f := range Fields() { // bounds that can be read, and defaults within them
-		if f.Doc == "" || f.Reload != settingsfile.Live && f.Reload != settingsfile.Restart && f.Reload != settingsfile.AtStart {
+		if f.Doc == "" || f.Reload != settingsfile.Live && f.Reload != settingsfile.Restart &&
+			f.Reload != settingsfile.AtStart {
 			t.Errorf("%s: doc %q, reload %q", f.Path, f.Doc, f.Reload)
 		}
 		if !f.Must {
--- a/internal/proxy/config/fleet.go
+++ b/internal/proxy/config/fleet.go
@@ -132,7 +132,8 @@
 				settingsfile.Short(k.Discovery.AskWithin))
 		}
 		if least := 4 * o.Poll; o.MaxAge < least {
-			tell("list_max_age", "%s is below four list_poll, %s", settingsfile.Short(o.MaxAge), settingsfile.Short(least))
+			tell("list_max_age", "%s is below four list_poll, %s", settingsfile.Short(o.MaxAge),
+				settingsfile.Short(least))
 		}
 	}
 	if o.MaxAge < o.Lease && o.Does(ChoreList) && k.good("owner.list_max_age", "owner.lease") {
--- a/internal/router/agent/observe.go
+++ b/internal/router/agent/observe.go
@@ -53,8 +53,9 @@
 }
 
 var controlOutcomes = map[peerproto.Outcome]string{
-	peerproto.OutcomeTaken: "taken", peerproto.OutcomeConflict: "refused", peerproto.OutcomeUnavailable: "unclear",
-	peerproto.OutcomeInvalid: "invalid",
+	peerproto.OutcomeTaken: "taken", peerproto.OutcomeConflict: "refused",
+	peerproto.OutcomeUnavailable: "unclear",
+	peerproto.OutcomeInvalid:     "invalid",
 }
 
 func (n *Node) observeConfigCall(call string, result *peerproto.Result) {
--- a/internal/router/dataplane/split_test.go
+++ b/internal/router/dataplane/split_test.go
@@ -110,7 +110,8 @@
 		{"a writer breaks off and may run twice", "model", []handler{handle}, []handler{breakOff, written},
 			100, 200, []scheduler.Role{read, write, serve}, 1, 1},
 		{"a stream breaks off and goes on", "model", []handler{handle},
-			[]handler{streams("s1", false, event(1)), goesOn(2)}, 100, 200, []scheduler.Role{read, write, serve}, 1, 0},
+			[]handler{streams("s1", false, event(1)), goesOn(2)}, 100, 200, []scheduler.Role{read, write, serve}, 1,
+			0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			readers, writers := pair(t, inTurn(test.read...), inTurn(test.write...))
--- a/internal/router/dataplane/verdict.go
+++ b/internal/router/dataplane/verdict.go
@@ -72,7 +72,8 @@
 
 // outcomes tells the decisions how a call with such an answer ended.
 var outcomes = map[verdict]scheduler.Outcome{
-	pass: scheduler.Served, rejected: scheduler.Rejected, misdirected: scheduler.Misdirected, failed: scheduler.Failed,
+	pass: scheduler.Served, rejected: scheduler.Rejected, misdirected: scheduler.Misdirected,
+	failed:   scheduler.Failed,
 	unusable: scheduler.Broken,
 }
 
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -32,7 +32,8 @@
 	}
 	b := schema().NewBuilder()
 	if err != nil {
-		b.Problems.Add(settingsfile.At("file", name), "", "cannot be read, and no shipped scenario has that name: %v", err)
+		b.Problems.Add(settingsfile.At("file", name), "",
+			"cannot be read, and no shipped scenario has that name: %v", err)
 		return nil, b.Problems.Err()
 	}
 	l, problems := schema().ReadTOML(name, raw)
--- a/internal/simulation/labcli/tools.go
+++ b/internal/simulation/labcli/tools.go
@@ -194,16 +194,20 @@
 			l.Run(ctx)
 			t := l.Tally().Totals()
 			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-			out := map[string]any{"offered": t.Offered, "served": t.By[proxystandin.Served], "served_in_time": t.InTime,
-				"refused": t.By[proxystandin.Refused], "failed": t.By[proxystandin.Failed], "no_answer": t.By[proxystandin.NoAnswer],
-				"unreachable": t.By[proxystandin.Unreachable], "not_sent": t.By[proxystandin.NotSent], "p50_ms": ms(t.P50),
+			out := map[string]any{"offered": t.Offered, "served": t.By[proxystandin.Served],
+				"served_in_time": t.InTime,
+				"refused":        t.By[proxystandin.Refused], "failed": t.By[proxystandin.Failed],
+				"no_answer":   t.By[proxystandin.NoAnswer],
+				"unreachable": t.By[proxystandin.Unreachable], "not_sent": t.By[proxystandin.NotSent],
+				"p50_ms": ms(t.P50),
 				"p99_ms": ms(t.P99), "max_ms": ms(t.Max), "load_lag_ms": ms(t.Lag)}
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(out)
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(),
 				"offered %d, served %d (%d in time), refused %d, failed %d, no answer %d, p50 %s, p99 %s\n", t.Offered,
-				t.By[proxystandin.Served], t.InTime, t.By[proxystandin.Refused], t.By[proxystandin.Failed], t.By[proxystandin.NoAnswer],
+				t.By[proxystandin.Served], t.InTime, t.By[proxystandin.Refused], t.By[proxystandin.Failed],
+				t.By[proxystandin.NoAnswer],
 				t.P50, t.P99)
 			return err
 		},
--- a/internal/testbed/clusterrig/rig.go
+++ b/internal/testbed/clusterrig/rig.go
@@ -143,7 +143,8 @@
 		if len(halls) == 0 {
 			halls = []string{"hall"}
 		}
-		if r.Zones, err = proxystandin.StartFleet(proxystandin.FleetOptions{Servers: o.Zones, Halls: halls, Work: zoneWork,
+		if r.Zones, err = proxystandin.StartFleet(proxystandin.FleetOptions{Servers: o.Zones, Halls: halls,
+			Work:    zoneWork,
 			Waiting: 64, Seed: o.Seed}); err != nil {
 			return nil, err
 		}
--- a/internal/testbed/proxytrial/trial.go
+++ b/internal/testbed/proxytrial/trial.go
@@ -170,7 +170,8 @@
 	return report(fleet, load.Tally().Totals(), o, seconds), err
 }
 
-func live(ctx context.Context, began time.Time, t *proxystandin.Tally, show func(time.Duration, proxystandin.Totals)) {
+func live(ctx context.Context, began time.Time, t *proxystandin.Tally, show func(time.Duration,
+	proxystandin.Totals)) {
 	if show == nil {
 		return
 	}
@@ -189,8 +190,9 @@
 func report(f *proxystandin.Fleet, t proxystandin.Totals, o Options, seconds float64) *Report {
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	r := &Report{
-		Offered: t.Offered, Served: t.By[proxystandin.Served], InTime: t.InTime, Refused: t.By[proxystandin.Refused],
-		P50: ms(t.P50), P99: ms(t.P99), Max: ms(t.Max), Seconds: seconds, Rate: o.Rate, Trouble: o.Trouble,
+		Offered: t.Offered, Served: t.By[proxystandin.Served], InTime: t.InTime,
+		Refused: t.By[proxystandin.Refused],
+		P50:     ms(t.P50), P99: ms(t.P99), Max: ms(t.Max), Seconds: seconds, Rate: o.Rate, Trouble: o.Trouble,
 		Lag: ms(t.Lag), Short: t.By[proxystandin.NotSent], ListAsks: f.Discovery.Asked(), Servers: []ServerReport{},
 		Rules: map[string]int{
 			OneAnswer:  t.By[proxystandin.NoAnswer] + t.Wrong + t.Second,
--- a/internal/testbed/routerstandin/handles.go
+++ b/internal/testbed/routerstandin/handles.go
@@ -20,7 +20,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	answer, err := controlclient.Do(ctx, address, controlclient.Call{Method: "DELETE", Target: handlePath + handle})
+	answer, err := controlclient.Do(ctx, address, controlclient.Call{Method: "DELETE",
+		Target: handlePath + handle})
 	if err != nil || answer.Status != 200 {
 		return false
 	}
--- a/internal/testbed/routertrial/configuration.go
+++ b/internal/testbed/routertrial/configuration.go
@@ -66,7 +66,8 @@
 func firstConfiguration() *routerstandin.Document {
 	document := &routerstandin.Document{
 		Version: 1,
-		Limits:  &routerstandin.LimitsSection{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderMs: 3000, IdleMs: 15000},
+		Limits: &routerstandin.LimitsSection{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderMs: 3000,
+			IdleMs: 15000},
 	}
 	for _, kind := range kinds {
 		service := lookup
--- a/internal/testbed/routertrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -103,7 +103,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.process == process && !m.ending {
-		m.fleet.Observations.Broken(routerstandin.Fault, "the process of %s ended by itself; the end of its log: %s",
+		m.fleet.Observations.Broken(routerstandin.Fault,
+			"the process of %s ended by itself; the end of its log: %s",
 			m.Name, process.Tail())
 	}
 }
--- a/internal/testbed/routertrial/machine_faults.go
+++ b/internal/testbed/routertrial/machine_faults.go
@@ -116,7 +116,8 @@
 const troubleInterval = 200 * time.Millisecond
 
 // awaitOwnEnd waits until the process has ended by itself, kills it where it does not, and tells which.
-func (m *Machine) awaitOwnEnd(ctx context.Context, process *childprocess.Process, patience time.Duration) bool {
+func (m *Machine) awaitOwnEnd(ctx context.Context, process *childprocess.Process,
+	patience time.Duration) bool {
 	bounded, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	defer m.Kill()
--- a/internal/testbed/routertrial/ready.go
+++ b/internal/testbed/routertrial/ready.go
@@ -115,7 +115,8 @@
 func (m *Machine) knownServers(ctx context.Context) ([]string, error) {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	answer, err := controlclient.Do(bounded, m.Control, controlclient.Call{Method: "GET", Target: "/api/servers"})
+	answer, err := controlclient.Do(bounded, m.Control, controlclient.Call{Method: "GET",
+		Target: "/api/servers"})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/routertrial/rig_test.go
+++ b/internal/testbed/routertrial/rig_test.go
@@ -15,7 +15,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	_ "cresshub/internal/router/agent" // the program under test is built of it: a change of it makes results stale
+	// the program under test is built of it: a change of it makes results stale
+	_ "cresshub/internal/router/agent"
 	"cresshub/internal/testbed/routerstandin"
 )
 
