--- a/internal/simulation/experiment/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -95,7 +95,7 @@
 }
 
 func TestPageIsFresh(t *testing.T) {
-	page, err := os.ReadFile("../../docs/SCENARIO.md")
+	page, err := os.ReadFile("../../../docs/SCENARIO.md")
 	if err != nil {
 		t.Fatal(err)
 	}
