--- /dev/null
+++ b/internal/chain/golden_test.go
@@ -0,0 +1,165 @@
+package chain
+
+import (
+	"flag"
+	"math/rand"
+	"os"
+	"path/filepath"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// The documents of the golden entries: one that was sent whole, and one that a patch made, as package node
+// stores it.
+const (
+	goldenDocument  = `{"edition":40,"routes":[],"depots_list":[{"name":"s"}]}`
+	goldenPatch     = `{"edition":41}`
+	goldenSuccessor = "\x01\x50\x0e" + goldenPatch + `{"edition":41,"routes":[],"depots_list":[{"name":"s"}]}`
+)
+
+func goldenView(epoch uint64) View {
+	return View{Epoch: epoch, Members: []Member{{"m0", "127.0.0.1"}, {"m1", "10.0.0.2"}, {"m2", "10.0.0.3"}},
+		Chain: []MemberID{"m1", "m0"}, Fresh: []MemberID{"m0"}, Sources: []MemberID{"m1", "m2"},
+		Unopened: []PastChain{{Epoch: epoch - 2, Chain: []MemberID{"m1", "m0", "m2"}},
+			{Epoch: epoch - 1, Chain: []MemberID{"m2"}}}}
+}
+
+// goldenDigest is a digest whose bytes count up.
+func goldenDigest(first byte) (digest Digest) {
+	for i := range digest {
+		digest[i] = first + byte(i)
+	}
+	return digest
+}
+
+// goldenHistory are the entries before that of goldenState.
+func goldenHistory() []PastEntry {
+	return []PastEntry{{Version: -3, Digest: goldenDigest(1)}, {Version: 1 << 33, Digest: goldenDigest(100)}}
+}
+
+// goldenState is what a disk may hold, with all values set.
+func goldenState() *durable {
+	config := Config{}.withDefaults()
+	return &durable{
+		id: "m0", fromFirstStart: true, genesis: goldenView(3), view: goldenView(300),
+		acceptor: acceptorState{promised: Ballot{Round: 9, Member: "m2"}, accepted: Ballot{Round: 8, Member: "m1"},
+			acceptedValue: goldenView(301)},
+		held: config.hold(Entry{Epoch: 299, Sequence: 200, Version: 40, Body: []byte(goldenDocument)},
+			goldenHistory()),
+		committedSequence: 200,
+		sealed:            298,
+	}
+}
+
+// goldenSuccessorState is goldenState with the write behind it, which the successor's record makes of it.
+func goldenSuccessorState() *durable {
+	state, config := goldenState(), Config{}.withDefaults()
+	state.predecessor = state.held
+	history := append(goldenHistory(), PastEntry{Version: 40, Digest: digestOfBody([]byte(goldenDocument))})
+	entry := Entry{Epoch: 300, Sequence: 201, Version: 41, Body: []byte(goldenSuccessor)}
+	state.held = config.hold(entry, history)
+	return state
+}
+
+// goldenRecords are the files of all kinds of records, in the order in which they are read.
+func goldenRecords() []struct {
+	kind  int
+	file  string
+	state *durable
+} {
+	state := goldenState()
+	return []struct {
+		kind  int
+		file  string
+		state *durable
+	}{
+		{recordIdentity, "identity.bin", state}, {recordGenesis, "genesis.bin", state},
+		{recordView, "view.bin", state}, {recordAcceptor, "acceptor.bin", state},
+		{recordEntry, "entry.bin", state}, {recordPosition, "position.bin", state},
+		{recordHistory, "history.bin", state}, {recordSuccessor, "successor.bin", goldenSuccessorState()},
+	}
+}
+
+func readGolden(c *qt.C, name string) []byte {
+	c.Helper()
+	golden, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	c.Assert(err, qt.IsNil)
+	return golden
+}
+
+// TestGoldenRecordsAreWrittenByteForByte writes a record of each kind.
+func TestGoldenRecordsAreWrittenByteForByte(t *testing.T) {
+	c := qt.New(t)
+	covered := map[int]bool{}
+	for _, golden := range goldenRecords() {
+		covered[golden.kind] = true
+		written := golden.state.encodeRecord(golden.kind)
+		if *update {
+			folder := filepath.Join("testdata", "golden")
+			c.Assert(os.MkdirAll(folder, 0o755), qt.IsNil)
+			c.Assert(os.WriteFile(filepath.Join(folder, golden.file), written, 0o644), qt.IsNil)
+		}
+		c.Check(written, qt.DeepEquals, readGolden(c, golden.file), qt.Commentf("%s", golden.file))
+	}
+	for kind := recordIdentity; kind < recordKinds; kind++ {
+		c.Check(covered[kind], qt.IsTrue, qt.Commentf("no golden file of records of kind %d", kind))
+	}
+}
+
+// TestGoldenRecordsAreRead reads the records one after the other: all values of the state come back, and the
+// successor's record makes the entry before it the predecessor.
+func TestGoldenRecordsAreRead(t *testing.T) {
+	c := qt.New(t)
+	config := Config{}.withDefaults()
+	read := &durable{}
+	var records [][]byte
+	for _, golden := range goldenRecords() {
+		record := readGolden(c, golden.file)
+		records = append(records, record)
+		c.Assert(read.apply(record, &config), qt.IsNil, qt.Commentf("%s", golden.file))
+		if golden.kind == recordHistory {
+			checkState(c, read, goldenState())
+		}
+	}
+	checkState(c, read, goldenSuccessorState())
+
+	config.Self, config.HasDisk = Member{"other", "127.0.0.1"}, true
+	config.Random = rand.New(rand.NewSource(1))
+	node, effects, err := Open(config, 0, records)
+	c.Assert(err, qt.IsNil)
+	c.Assert(effects.Persist, qt.HasLen, 0)
+	c.Assert(node.Self(), qt.Equals, Member{"m0", "127.0.0.1"})
+	c.Assert(node.View(), qt.DeepEquals, goldenView(300))
+	entry, known := node.Committed()
+	c.Assert(known, qt.IsTrue)
+	c.Assert(entry, qt.DeepEquals, goldenState().held.Entry)
+	state := goldenSuccessorState()
+	for i, record := range node.SnapshotRecords() {
+		c.Check(record, qt.DeepEquals, state.encodeRecord(recordIdentity+i))
+	}
+}
+
+func checkState(c *qt.C, read, wanted *durable) {
+	c.Helper()
+	c.Assert(read.id, qt.Equals, wanted.id)
+	c.Assert(read.fromFirstStart, qt.Equals, wanted.fromFirstStart)
+	c.Assert(read.genesis, qt.DeepEquals, wanted.genesis)
+	c.Assert(read.view, qt.DeepEquals, wanted.view)
+	c.Assert(read.acceptor.promised, qt.Equals, wanted.acceptor.promised)
+	c.Assert(read.acceptor.accepted, qt.Equals, wanted.acceptor.accepted)
+	c.Assert(read.acceptor.acceptedValue, qt.DeepEquals, wanted.acceptor.acceptedValue)
+	checkHeld(c, &read.held, &wanted.held)
+	checkHeld(c, &read.predecessor, &wanted.predecessor)
+	c.Assert(read.committedSequence, qt.Equals, wanted.committedSequence)
+	c.Assert(read.sealed, qt.Equals, wanted.sealed)
+}
+
+func checkHeld(c *qt.C, read, wanted *heldEntry) {
+	c.Helper()
+	c.Assert(read.Entry, qt.DeepEquals, wanted.Entry)
+	c.Assert(read.digest, qt.Equals, wanted.digest)
+	c.Assert(read.history, qt.DeepEquals, wanted.history)
+}
