--- /dev/null
+++ b/internal/node/golden_disk_test.go
@@ -0,0 +1,173 @@
+package node
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/rs/zerolog"
+
+	"cresshub/internal/chain"
+	"cresshub/internal/directory"
+	"cresshub/internal/front"
+	"cresshub/internal/pairing"
+	"cresshub/internal/peerwire"
+)
+
+// The golden data directory is that of a machine with a disk, as testdata/golden/data holds it.
+const (
+	goldenData      = "data"
+	goldenSegment   = "0000000000000001.segment"
+	goldenCompacted = "0000000000000002.segment"
+)
+
+// diskNode is a process with a front and with a data directory, which is a copy of the golden one or empty.
+func diskNode(c *qt.C, t *testing.T, golden bool) *Node {
+	n := newTestNode(t)
+	n.id = "proxy-1"
+	n.settings.DataDir = t.TempDir()
+	n.front = front.New(n.settings, (*frontState)(n), zerolog.Nop())
+	if golden {
+		c.Assert(os.CopyFS(n.settings.DataDir, os.DirFS(goldenPath(goldenData))), qt.IsNil)
+	}
+	return n
+}
+
+// checkWritten compares a file of a process's data directory with a golden one.
+func checkWritten(c *qt.C, n *Node, name, golden string) {
+	c.Helper()
+	written, err := os.ReadFile(filepath.Join(n.settings.DataDir, name))
+	c.Assert(err, qt.IsNil)
+	checkGolden(c, golden, written)
+}
+
+// chainRecord returns a golden record of package chain.
+func chainRecord(c *qt.C, kind string) []byte {
+	c.Helper()
+	record, err := os.ReadFile(filepath.Join("..", "chain", "testdata", "golden", kind+".bin"))
+	c.Assert(err, qt.IsNil)
+	return record
+}
+
+// TestGoldenDataDirectoryIsWrittenByteForByte writes each file of the directory with the code that the
+// process writes it with.
+func TestGoldenDataDirectoryIsWrittenByteForByte(t *testing.T) {
+	c := qt.New(t)
+	n := diskNode(c, t, false)
+	log, _, err := openLog(n)
+	c.Assert(err, qt.IsNil)
+	c.Assert(log.Append(chainRecord(c, "identity")), qt.IsNil)
+	var records [][]byte
+	for _, kind := range []string{"genesis", "view", "acceptor", "entry", "position", "history"} {
+		records = append(records, chainRecord(c, kind))
+	}
+	c.Assert(log.Append(records...), qt.IsNil)
+	c.Assert(log.Append(chainRecord(c, "successor")), qt.IsNil)
+	c.Assert(log.Close(), qt.IsNil)
+	segment := filepath.Join(chainFolder, goldenSegment)
+	checkWritten(c, n, segment, filepath.Join(goldenData, segment))
+
+	n.state.merge(n.now(), goldenDiskRecords())
+	var live []directory.Record
+	n.state.read(func(d *directory.Directory) { live = valuesOf(d.LiveServers()) })
+	c.Assert(n.saved().writeRecords(savedName, live), qt.IsNil)
+	checkWritten(c, n, "servers", filepath.Join(goldenData, "servers"))
+	n.saveProxies()
+	checkWritten(c, n, "proxies", filepath.Join(goldenData, "proxies"))
+	n.front.CatchUp(promptsAt(7, 1<<64-3)) // saved the newest first
+	n.savePrompts()
+	checkWritten(c, n, "prompts", filepath.Join(goldenData, "prompts"))
+}
+
+// goldenDiskRecords are two servers that run, one that is lost, which is not saved, and two proxies.
+func goldenDiskRecords() []directory.Record {
+	second, lost := goldenServer(), goldenServer()
+	second.ID, second.Address, second.State = "server-2", "10.0.0.8:80", directory.Ready
+	second.Name, second.Control, second.Member = "name-2", "10.0.0.8:81", "m2"
+	lost.ID, lost.Address, lost.State = "server-3", "10.0.0.7:80", directory.Lost
+	return append(goldenRecords(), second, lost, directory.Record{Kind: directory.KindProxy, ID: "proxy-3",
+		Sequence: 1, State: directory.Ready, Address: "10.0.0.3"})
+}
+
+// promptsAt are prompts at one server, as the front tells those of more in no order.
+func promptsAt(names ...uint64) []pairing.NewPrompts {
+	return []pairing.NewPrompts{{Server: "server-2", Names: names}}
+}
+
+// TestGoldenChainFolderIsRead opens the folder of the control state as the process does at its start, and
+// begins the log anew with a snapshot.
+func TestGoldenChainFolderIsRead(t *testing.T) {
+	c := qt.New(t)
+	n := diskNode(c, t, true)
+	member, err := openChainMember(n)
+	c.Assert(err, qt.IsNil)
+	defer member.closeLog()
+	c.Assert(member.identity, qt.Equals, "m0")
+	c.Assert(member.machine.View(), qt.DeepEquals, chain.View{Epoch: 300,
+		Members: []chain.Member{{ID: "m0", Address: "127.0.0.1"}, {ID: "m1", Address: "10.0.0.2"},
+			{ID: "m2", Address: "10.0.0.3"}},
+		Chain: []chain.MemberID{"m1", "m0"}, Fresh: []chain.MemberID{"m0"},
+		Sources: []chain.MemberID{"m1", "m2"},
+		Unopened: []chain.PastChain{{Epoch: 298, Chain: []chain.MemberID{"m1", "m0", "m2"}},
+			{Epoch: 299, Chain: []chain.MemberID{"m2"}}}})
+	entry, known := member.machine.Committed()
+	c.Assert(known, qt.IsTrue)
+	c.Assert(entry, qt.DeepEquals, chain.Entry{Epoch: 299, Sequence: 200, Version: 40,
+		Body: []byte(goldenDocument)})
+	n.takeStored(<-member.committed)
+	checkConfig(c, n, 40, goldenDocument)
+
+	c.Assert(member.log.Compact(member.machine.SnapshotRecords()), qt.IsNil)
+	checkWritten(c, n, filepath.Join(chainFolder, goldenCompacted), goldenCompacted)
+	c.Assert(os.Remove(filepath.Join(n.settings.DataDir, chainFolder, goldenCompacted)), qt.IsNil)
+
+	compacted := diskNode(c, t, false)
+	folder := filepath.Join(compacted.settings.DataDir, chainFolder)
+	c.Assert(os.Mkdir(folder, 0o700), qt.IsNil)
+	snapshot := readGolden(c, goldenCompacted)
+	c.Assert(os.WriteFile(filepath.Join(folder, goldenCompacted), snapshot, 0o600), qt.IsNil)
+	again, err := openChainMember(compacted)
+	c.Assert(err, qt.IsNil)
+	defer again.closeLog()
+	c.Assert(again.machine.View(), qt.DeepEquals, member.machine.View())
+	c.Assert(again.machine.SnapshotRecords(), qt.DeepEquals, member.machine.SnapshotRecords())
+}
+
+// TestGoldenSavedFilesAreRead loads the files as the process does at its start, and writes them again.
+func TestGoldenSavedFilesAreRead(t *testing.T) {
+	c := qt.New(t)
+	n := diskNode(c, t, true)
+	records := goldenDiskRecords()
+	servers, err := n.saved().readRecords(savedName)
+	c.Assert(err, qt.IsNil)
+	c.Assert(servers, qt.DeepEquals, []directory.Record{records[0], records[3]})
+	c.Assert(n.loadServers(), qt.IsTrue)
+	var live []directory.Record
+	n.state.read(func(d *directory.Directory) { live = valuesOf(d.LiveServers()) })
+	c.Assert(live, qt.DeepEquals, servers)
+	c.Assert(n.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
+	c.Assert(n.front.KnownPrompts(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
+	proxies, err := n.saved().readRecords(savedProxies)
+	c.Assert(err, qt.IsNil)
+	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
+		{Kind: directory.KindProxy, Address: "10.0.0.3"}})
+	n.loadProxies()
+	c.Assert(n.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
+	prompts, err := n.saved().read(savedPrompts)
+	c.Assert(err, qt.IsNil)
+	var work peerwire.Work
+	c.Assert(peerwire.Decode(prompts, &work), qt.IsNil)
+	c.Assert(work.Known, qt.IsTrue)
+	c.Assert(decodePrompts(work.Prompts), qt.DeepEquals, promptsAt(1<<64-3, 7))
+
+	for _, name := range []string{"servers", "prompts", "proxies"} {
+		c.Assert(os.Remove(filepath.Join(n.settings.DataDir, name)), qt.IsNil)
+	}
+	n.saveProxies()
+	c.Assert(n.saved().write(savedPrompts, peerwire.Encode(&work)), qt.IsNil)
+	checkWritten(c, n, "proxies", filepath.Join(goldenData, "proxies"))
+	checkWritten(c, n, "prompts", filepath.Join(goldenData, "prompts"))
+	c.Assert(n.saved().writeRecords(savedName, servers), qt.IsNil)
+	checkWritten(c, n, "servers", filepath.Join(goldenData, "servers"))
+}
--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,254 @@
+package node
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"cresshub/internal/chain"
+	"cresshub/internal/directory"
+	"cresshub/internal/fleetconfig"
+	"cresshub/internal/pairing"
+	"cresshub/internal/peerwire"
+	"cresshub/internal/stageplan"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
+
+func readGolden(c *qt.C, name string) []byte {
+	c.Helper()
+	golden, err := os.ReadFile(goldenPath(name))
+	c.Assert(err, qt.IsNil)
+	return golden
+}
+
+// checkGolden compares what was written with a golden file byte for byte.
+func checkGolden(c *qt.C, name string, written []byte) {
+	c.Helper()
+	if *update {
+		c.Assert(os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755), qt.IsNil)
+		c.Assert(os.WriteFile(goldenPath(name), written, 0o644), qt.IsNil)
+	}
+	c.Assert(written, qt.DeepEquals, readGolden(c, name), qt.Commentf("%s", name))
+}
+
+// goldenNode is a process whose id, view and directory are always the same.
+func goldenNode(t *testing.T) *Node {
+	n := newTestNode(t)
+	n.id = "proxy-1"
+	n.state.learnView(7, goldenMembers())
+	n.state.merge(n.now(), goldenRecords())
+	return n
+}
+
+func goldenMembers() []peerwire.MemberInfo {
+	return []peerwire.MemberInfo{{ID: "m0", Address: "127.0.0.1"}, {ID: "m1", Address: "10.0.0.2"}}
+}
+
+// goldenRecords are the records of the process's directory, of each kind.
+func goldenRecords() []directory.Record {
+	return []directory.Record{goldenServer(),
+		{Kind: directory.KindProxy, ID: "proxy-2", Sequence: 4, State: directory.Ready, Address: "10.0.0.2",
+			Zone: "zone-b", Name: "name-2", Control: "10.0.0.2:82", Member: "m1"},
+		{Kind: directory.KindOrder, ID: directory.OrderID("server-1"), Sequence: 1, State: directory.Lost,
+			Watcher: "proxy-2", Stage: "writing"}}
+}
+
+func goldenServer() directory.Record {
+	return directory.Record{Kind: directory.KindServer, ID: "server-1", Sequence: 3, State: directory.Draining,
+		Watcher: "proxy-2", Service: "chat", Address: "10.0.0.9:80", Zone: "zone-b", Version: "v3", Slots: 6,
+		Stage: "reading", ColdMs: 1500}
+}
+
+// goldenChainMessage is a message of the chain with all fields set.
+func goldenChainMessage(kind chain.Kind, outcome chain.Outcome) *chain.Message {
+	past := chain.PastEntry{Version: 13}
+	for i := range past.Digest {
+		past.Digest[i] = byte(200 + i)
+	}
+	return &chain.Message{
+		Kind: kind, From: "m0", Epoch: 2, Address: "127.0.0.1", HasDisk: true, EntryEpoch: 3, Open: true,
+		Leaving: true, Stalled: true, Sealed: true, Hears: []chain.MemberID{"m1", "m2"},
+		View: chain.View{Epoch: 4, Members: []chain.Member{{ID: "m0", Address: "127.0.0.1"},
+			{ID: "m1", Address: "10.0.0.2"}}, Chain: []chain.MemberID{"m1", "m0"},
+			Fresh: []chain.MemberID{"m0"}, Sources: []chain.MemberID{"m1"},
+			Unopened: []chain.PastChain{{Epoch: 5, Chain: []chain.MemberID{"m2", "m3"}}}},
+		Ballot:         chain.Ballot{Round: 6, Member: "m4"},
+		AcceptedBallot: chain.Ballot{Round: 7, Member: "m5"}, Sequence: 8, Version: 9,
+		Digest: []byte("digest"), HasBody: true, Body: []byte("body"),
+		History: []chain.PastEntry{past, {Version: 14, Digest: chain.Digest{1, 2, 3}}}, Resend: true,
+		Origin: "m6", Request: 1<<64 - 2, Expected: 10, Outcome: outcome, Marker: 12,
+	}
+}
+
+// TestGoldenChainMessagesAreReadAndWrittenByteForByte: one file for each kind of message, all outcomes among
+// them.
+func TestGoldenChainMessagesAreReadAndWrittenByteForByte(t *testing.T) {
+	kinds := []struct {
+		file string
+		kind chain.Kind
+	}{
+		{"heartbeat", chain.Heartbeat}, {"view_notice", chain.ViewNotice}, {"genesis", chain.Genesis},
+		{"genesis_reply", chain.GenesisReply}, {"prepare", chain.Prepare}, {"promise", chain.Promise},
+		{"accept", chain.Accept}, {"accepted", chain.Accepted}, {"nack", chain.Nack}, {"seal", chain.Seal},
+		{"append", chain.Append}, {"ask_body", chain.AskBody}, {"ack", chain.Ack}, {"commit", chain.Commit},
+		{"forward", chain.Forward}, {"forward_read", chain.ForwardRead}, {"forward_reply", chain.ForwardReply},
+		{"marker", chain.Marker}, {"marker_reply", chain.MarkerReply},
+	}
+	outcomes := []chain.Outcome{chain.Applied, chain.Conflict, chain.Invalid, chain.Unavailable}
+	c := qt.New(t)
+	c.Assert(kinds, qt.HasLen, int(chain.MarkerReply)) // the last kind
+	for i, golden := range kinds {
+		message := goldenChainMessage(golden.kind, outcomes[i%len(outcomes)])
+		file := "chain/" + golden.file + ".bin"
+		checkGolden(c, file, encodeChain(message))
+		read, err := decodeChain(readGolden(c, file))
+		c.Assert(err, qt.IsNil)
+		c.Assert(&read, qt.DeepEquals, message, qt.Commentf("%s", file))
+	}
+}
+
+// TestGoldenDirectoryFramesAreReadAndWrittenByteForByte: what a process makes of its directory and its view,
+// and another one's copy of it.
+func TestGoldenDirectoryFramesAreReadAndWrittenByteForByte(t *testing.T) {
+	c := qt.New(t)
+	n := goldenNode(t)
+	checkGolden(c, "status.bin", peerwire.Encode(n.status()))
+	var status peerwire.Status
+	c.Assert(peerwire.Decode(readGolden(c, "status.bin"), &status), qt.IsNil)
+	c.Assert(status, qt.DeepEquals, peerwire.Status{ID: "proxy-1", Epoch: 7, Members: goldenMembers()})
+
+	checkGolden(c, "feed_snapshot.bin", peerwire.Encode(n.feedPiece(0, -1)))
+	var snapshot, piece peerwire.Feed
+	c.Assert(peerwire.Decode(readGolden(c, "feed_snapshot.bin"), &snapshot), qt.IsNil)
+	c.Assert(snapshot, qt.DeepEquals, peerwire.Feed{Feed: "proxy-1", To: 3, Records: goldenRecords(),
+		Config: []byte{}, Epoch: 7, Members: goldenMembers()})
+	checkGolden(c, "feed_piece.bin", peerwire.Encode(n.feedPiece(2, 7)))
+	c.Assert(peerwire.Decode(readGolden(c, "feed_piece.bin"), &piece), qt.IsNil)
+	c.Assert(piece, qt.DeepEquals, peerwire.Feed{Feed: "proxy-1", From: 2, To: 3,
+		Records: goldenRecords()[2:], Config: []byte{}, Epoch: 7,
+		Members: []peerwire.MemberInfo{}})
+
+	checkGolden(c, "compare.bin", peerwire.Encode(&peerwire.Comparison{Digest: n.digest()}))
+	var request peerwire.Comparison
+	c.Assert(peerwire.Decode(readGolden(c, "compare.bin"), &request), qt.IsNil)
+	follower := newTestNode(t)
+	c.Assert(follower.digest(), qt.Not(qt.DeepEquals), request.Digest)
+	follower.state.merge(follower.now(), snapshot.Records)
+	c.Assert(follower.digest(), qt.DeepEquals, request.Digest)
+}
+
+// sharedWork notes what a process was told of the others' work.
+type sharedWork struct {
+	noWorkload
+	others  []pairing.Contribution
+	whole   bool
+	prompts []pairing.NewPrompts
+}
+
+func (s *sharedWork) ShareWork(others []pairing.Contribution, whole bool, prompts []pairing.NewPrompts) {
+	s.others, s.whole, s.prompts = others, whole, prompts
+}
+
+// TestGoldenWorkIsReadAndWrittenByteForByte: what is under way, in the forms for the hub, for other hubs and
+// for the process itself. There is one server in the sums, as these have no order.
+func TestGoldenWorkIsReadAndWrittenByteForByte(t *testing.T) {
+	c := qt.New(t)
+	changes := []pairing.Contribution{{Server: "server-1", Reading: 250 * time.Millisecond, Calls: 3},
+		{Server: "server-2", Reading: time.Hour, Calls: 70}}
+	prompts := []pairing.NewPrompts{{Server: "server-1", Names: []uint64{1, 1<<64 - 3}},
+		{Server: "server-2", Names: []uint64{1 << 63}}}
+	checkGolden(c, "work.bin", peerwire.Encode(&peerwire.Work{Whole: true, Servers: encodeWork(changes),
+		Known: true, Prompts: encodePrompts(prompts)}))
+	var work peerwire.Work
+	c.Assert(peerwire.Decode(readGolden(c, "work.bin"), &work), qt.IsNil)
+	c.Assert(work.Whole && work.Known, qt.IsTrue)
+	c.Assert(decodeWork(work.Servers), qt.DeepEquals, changes)
+	c.Assert(decodePrompts(work.Prompts), qt.DeepEquals, prompts)
+
+	n := goldenNode(t)
+	told := &sharedWork{}
+	n.workload = told
+	n.work.takeOwn(&peerwire.Work{Servers: encodeWork(changes[:1]), Prompts: encodePrompts(prompts[:1])})
+	local := n.work.sumLocal()
+	checkGolden(c, "hub_work.bin", peerwire.Encode(&peerwire.Work{Whole: true,
+		Servers: n.work.selected(local, nil, true), Prompts: n.work.localPrompts}))
+
+	other := goldenNode(t)
+	other.workload = told
+	other.work.fromHub(nil, readGolden(c, "hub_work.bin"))
+	other.work.distribute(true)
+	c.Assert(told.others, qt.DeepEquals, changes[:1])
+	c.Assert(told.whole, qt.IsTrue)
+	c.Assert(told.prompts, qt.DeepEquals, prompts[:1])
+}
+
+// TestGoldenDemandsAreRead takes in what another proxy told with a ping.
+func TestGoldenDemandsAreRead(t *testing.T) {
+	c := qt.New(t)
+	n := goldenNode(t)
+	checkGolden(c, "demands.bin", peerwire.Encode(&peerwire.Demands{Services: []peerwire.Demand{
+		{Service: "chat", Reading: 1.5, Writing: 2.25}, {Service: "other", Reading: 3, Writing: 4}}}))
+	n.demand.take("proxy-2", n.now(), readGolden(c, "demands.bin"))
+	c.Assert(n.demand.of("chat", n.now()), qt.Equals,
+		stageplan.Demand{Known: true, Reading: 1.5, Writing: 2.25})
+}
+
+// The documents of two versions, and the patch that makes the second of the first.
+const (
+	goldenDocument = `{"edition":40,"routes":[],"depots_list":[{"name":"s"}]}`
+	goldenPatch    = `{"edition":41,"deliver":{"depots_list":[{"name":"t"}]}}`
+	goldenPatched  = `{"edition":41,"routes":[],"depots_list":[{"name":"s"},{"name":"t"}]}`
+)
+
+// TestGoldenConfigurationsAreReadAndWrittenByteForByte: packed whole in a result, as patches in a feed, and
+// as the control state stores it. The packed ones also depend on compress/flate: where a new release of Go
+// deflates in another way, only their writing fails, and the files may be written anew.
+func TestGoldenConfigurationsAreReadAndWrittenByteForByte(t *testing.T) {
+	c := qt.New(t)
+	n := goldenNode(t)
+	n.takeConfig([]byte(goldenDocument))
+	checkGolden(c, "config_result.bin", peerwire.Encode(n.configInForce()))
+	adoptPatch(c, n, goldenPatch)
+	config := n.state.Config()
+	checkGolden(c, "config_patches.bin", n.newsOfConfig(config, 40))
+	checkGolden(c, "config_packed.bin", n.newsOfConfig(config, 0))
+	patch, err := fleetconfig.ParsePatch(40, []byte(goldenPatch))
+	c.Assert(err, qt.IsNil)
+	checkGolden(c, "config_stored.bin", fleetconfig.EncodeStored(patch, config.Raw()))
+
+	follower := goldenNode(t)
+	var result peerwire.Result
+	c.Assert(peerwire.Decode(readGolden(c, "config_result.bin"), &result), qt.IsNil)
+	c.Assert(result.Outcome, qt.Equals, peerwire.OutcomeTaken)
+	c.Assert(result.Version, qt.Equals, int64(40))
+	follower.takePacked(result.Body)
+	checkConfig(c, follower, 40, goldenDocument)
+	follower.takePacked(readGolden(c, "config_patches.bin"))
+	checkConfig(c, follower, 41, goldenPatched)
+
+	for _, before := range []string{"", goldenDocument} {
+		packed, stored := goldenNode(t), goldenNode(t)
+		packed.takeConfig([]byte(before))
+		packed.takePacked(readGolden(c, "config_packed.bin"))
+		checkConfig(c, packed, 41, goldenPatched)
+		stored.takeConfig([]byte(before))
+		stored.takeStored(readGolden(c, "config_stored.bin"))
+		checkConfig(c, stored, 41, goldenPatched)
+	}
+	c.Assert(fmt.Sprintf("%x", digestOfStored(readGolden(c, "config_stored.bin"))), qt.Equals,
+		"285c92064f1e7ce03f0925b3225a077f7ca1a85eca4fcea4bc983d980fa301a0")
+}
+
+func checkConfig(c *qt.C, n *Node, version int64, document string) {
+	c.Helper()
+	c.Assert(n.state.version(), qt.Equals, version)
+	c.Assert(string(n.state.Config().Raw()), qt.Equals, document)
+}
