--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -19,6 +19,7 @@
 
 // table reads the entries "- `package`: what it does. Imports: `one`, `another`." in their order.
 func table(t *testing.T) (order []string, may map[string][]string) {
+	t.Helper()
 	page, err := os.ReadFile(filepath.Join(root, "docs/PACKAGES.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -39,6 +40,7 @@
 
 // imports finds what each package of the project imports of it, tests left aside.
 func imports(t *testing.T) map[string][]string {
+	t.Helper()
 	all := map[string][]string{}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
