--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -91,8 +91,8 @@
 }
 
 // promptsAt are prompts at one server, as the front tells those of more in no order.
-func promptsAt(names ...uint64) []scheduler.NewPrompts {
-	return []scheduler.NewPrompts{{Server: "server-2", Names: names}}
+func promptsAt(names ...uint64) []scheduler.CachedPrefixes {
+	return []scheduler.CachedPrefixes{{Server: "server-2", Hashes: names}}
 }
 
 // TestGoldenChainFolderIsRead opens the folder of the control state as the process does at its start, and
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -148,12 +148,13 @@
 // sharedWork notes what a process was told of the others' work.
 type sharedWork struct {
 	noWorkload
-	others  []scheduler.Contribution
+	others  []scheduler.InFlightLoad
 	whole   bool
-	prompts []scheduler.NewPrompts
+	prompts []scheduler.CachedPrefixes
 }
 
-func (s *sharedWork) ShareWork(others []scheduler.Contribution, whole bool, prompts []scheduler.NewPrompts) {
+func (s *sharedWork) ShareWork(others []scheduler.InFlightLoad, whole bool,
+	prompts []scheduler.CachedPrefixes) {
 	s.others, s.whole, s.prompts = others, whole, prompts
 }
 
@@ -161,10 +162,10 @@
 // for the process itself. There is one server in the sums, as these have no order.
 func TestGoldenWorkIsReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	changes := []scheduler.Contribution{{Server: "server-1", Reading: 250 * time.Millisecond, Calls: 3},
-		{Server: "server-2", Reading: time.Hour, Calls: 70}}
-	prompts := []scheduler.NewPrompts{{Server: "server-1", Names: []uint64{1, 1<<64 - 3}},
-		{Server: "server-2", Names: []uint64{1 << 63}}}
+	changes := []scheduler.InFlightLoad{{Server: "server-1", Prefill: 250 * time.Millisecond, Calls: 3},
+		{Server: "server-2", Prefill: time.Hour, Calls: 70}}
+	prompts := []scheduler.CachedPrefixes{{Server: "server-1", Hashes: []uint64{1, 1<<64 - 3}},
+		{Server: "server-2", Hashes: []uint64{1 << 63}}}
 	checkGolden(c, "work.bin", peerproto.Encode(&peerproto.Work{Whole: true, Servers: encodeWork(changes),
 		Known: true, Prompts: encodePrompts(prompts)}))
 	var work peerproto.Work
--- a/internal/router/agent/options.go
+++ b/internal/router/agent/options.go
@@ -15,15 +15,15 @@
 	WorkChanged() <-chan struct{}
 	// WorkChanges returns what is under way at the servers where that has changed since the last call, or
 	// wherever there is anything.
-	WorkChanges(all bool) []scheduler.Contribution
+	WorkChanges(all bool) []scheduler.InFlightLoad
 	// ShareWork takes in what all other processes together have under way.
-	ShareWork(others []scheduler.Contribution, whole bool, prompts []scheduler.NewPrompts)
+	ShareWork(others []scheduler.InFlightLoad, whole bool, prompts []scheduler.CachedPrefixes)
 	// NewPrompts returns what was sent to servers to be read for the first time since the last call.
-	NewPrompts() []scheduler.NewPrompts
+	NewPrompts() []scheduler.CachedPrefixes
 	// KnownPrompts returns what is known of which servers hold what.
-	KnownPrompts() []scheduler.NewPrompts
+	KnownPrompts() []scheduler.CachedPrefixes
 	// CatchUp takes in all that another process knows of which servers hold what.
-	CatchUp(known []scheduler.NewPrompts)
+	CatchUp(known []scheduler.CachedPrefixes)
 	// SinceAnswer returns how long ago a server last answered a request well, and whether it has.
 	SinceAnswer(server string) (time.Duration, bool)
 	// Demands returns what is under way at each service with model servers, as means.
@@ -36,15 +36,15 @@
 type noWorkload struct{}
 
 func (noWorkload) WorkChanged() <-chan struct{}              { return nil }
-func (noWorkload) WorkChanges(bool) []scheduler.Contribution { return nil }
-func (noWorkload) NewPrompts() []scheduler.NewPrompts        { return nil }
-func (noWorkload) KnownPrompts() []scheduler.NewPrompts      { return nil }
-func (noWorkload) CatchUp([]scheduler.NewPrompts)            {}
+func (noWorkload) WorkChanges(bool) []scheduler.InFlightLoad { return nil }
+func (noWorkload) NewPrompts() []scheduler.CachedPrefixes    { return nil }
+func (noWorkload) KnownPrompts() []scheduler.CachedPrefixes  { return nil }
+func (noWorkload) CatchUp([]scheduler.CachedPrefixes)        {}
 func (noWorkload) Demands() []dataplane.Demand               { return nil }
 
 func (noWorkload) SinceAnswer(string) (time.Duration, bool) { return 0, false }
 
-func (noWorkload) ShareWork([]scheduler.Contribution, bool, []scheduler.NewPrompts) {}
+func (noWorkload) ShareWork([]scheduler.InFlightLoad, bool, []scheduler.CachedPrefixes) {}
 
 // Option changes a process before it runs.
 type Option func(*Node)
--- a/internal/router/agent/saved_directory.go
+++ b/internal/router/agent/saved_directory.go
@@ -135,7 +135,7 @@
 	known := n.front.KnownPrompts()
 	count := 0
 	for _, at := range known {
-		count += len(at.Names)
+		count += len(at.Hashes)
 	}
 	if count == n.promptsSaved {
 		return
--- a/internal/router/agent/work.go
+++ b/internal/router/agent/work.go
@@ -86,41 +86,41 @@
 	}
 }
 
-func encodeWork(changes []scheduler.Contribution) []peerproto.WorkAtOne {
+func encodeWork(changes []scheduler.InFlightLoad) []peerproto.WorkAtOne {
 	servers := make([]peerproto.WorkAtOne, len(changes))
 	for i, c := range changes {
-		servers[i] = peerproto.WorkAtOne{Server: c.Server, ReadingMs: int(c.Reading.Milliseconds()), Calls: c.Calls}
+		servers[i] = peerproto.WorkAtOne{Server: c.Server, ReadingMs: int(c.Prefill.Milliseconds()), Calls: c.Calls}
 	}
 	return servers
 }
 
-func encodePrompts(all []scheduler.NewPrompts) []peerproto.PromptsAtOne {
+func encodePrompts(all []scheduler.CachedPrefixes) []peerproto.PromptsAtOne {
 	encoded := make([]peerproto.PromptsAtOne, len(all))
 	for i, at := range all {
 		encoded[i].Server = at.Server
-		for _, name := range at.Names {
+		for _, name := range at.Hashes {
 			encoded[i].Names = append(encoded[i].Names, int64(name))
 		}
 	}
 	return encoded
 }
 
-func decodePrompts(all []peerproto.PromptsAtOne) []scheduler.NewPrompts {
-	decoded := make([]scheduler.NewPrompts, len(all))
+func decodePrompts(all []peerproto.PromptsAtOne) []scheduler.CachedPrefixes {
+	decoded := make([]scheduler.CachedPrefixes, len(all))
 	for i, at := range all {
 		decoded[i].Server = at.Server
 		for _, name := range at.Names {
-			decoded[i].Names = append(decoded[i].Names, uint64(name))
+			decoded[i].Hashes = append(decoded[i].Hashes, uint64(name))
 		}
 	}
 	return decoded
 }
 
-func decodeWork(servers []peerproto.WorkAtOne) []scheduler.Contribution {
-	changes := make([]scheduler.Contribution, len(servers))
+func decodeWork(servers []peerproto.WorkAtOne) []scheduler.InFlightLoad {
+	changes := make([]scheduler.InFlightLoad, len(servers))
 	for i, at := range servers {
 		reading := time.Duration(at.ReadingMs) * time.Millisecond
-		changes[i] = scheduler.Contribution{Server: at.Server, Reading: reading, Calls: at.Calls}
+		changes[i] = scheduler.InFlightLoad{Server: at.Server, Prefill: reading, Calls: at.Calls}
 	}
 	return changes
 }
--- a/internal/router/dataplane/attempts.go
+++ b/internal/router/dataplane/attempts.go
@@ -29,7 +29,7 @@
 // after is the number of arrivals once the call, and where it reads the one that writes after it, has been
 // taken.
 func (a *attempts) after(role scheduler.Role) int {
-	if role == scheduler.Read && a.readTaken {
+	if role == scheduler.Prefill && a.readTaken {
 		return a.arrivals + 2
 	}
 	return a.arrivals + 1
@@ -37,7 +37,7 @@
 
 // taken counts a call that a server took up, or may have.
 func (a *attempts) taken(role scheduler.Role) {
-	if role == scheduler.Read && !a.readTaken {
+	if role == scheduler.Prefill && !a.readTaken {
 		a.readTaken = true
 		return
 	}
--- a/internal/router/dataplane/attempts_test.go
+++ b/internal/router/dataplane/attempts_test.go
@@ -15,8 +15,8 @@
 }
 
 func TestAttempts(t *testing.T) {
-	read, readNot := did{scheduler.Read, false}, did{scheduler.Read, true}
-	write, writeNot := did{scheduler.Write, false}, did{scheduler.Write, true}
+	read, readNot := did{scheduler.Prefill, false}, did{scheduler.Prefill, true}
+	write, writeNot := did{scheduler.Decode, false}, did{scheduler.Decode, true}
 	serve := did{scheduler.Serve, false}
 	for _, test := range []struct {
 		name  string
@@ -30,15 +30,15 @@
 		{"the first one is free", 1, nil, nil, scheduler.Serve, true, 0},
 		{"one server only", 1, []did{serve}, []int{0}, scheduler.Serve, false, 1},
 		{"the second one costs", 2, []did{serve}, []int{0}, scheduler.Serve, true, 1},
-		{"reading comes beside", 1, []did{read}, []int{0}, scheduler.Write, true, 0},
+		{"reading comes beside", 1, []did{read}, []int{0}, scheduler.Decode, true, 0},
 		{"reading and writing", 1, []did{read, write}, []int{0, 0}, scheduler.Serve, false, 1},
 		{"a rejected reading is an arrival", 2, []did{readNot}, []int{0}, scheduler.Serve, true, 1},
 		{"and leaves no room for one server", 1, []did{readNot}, []int{0}, scheduler.Serve, false, 1},
-		{"nor for reading anew", 1, []did{readNot}, []int{0}, scheduler.Read, false, 1},
-		{"reading after a rejected one", 2, []did{readNot, read}, []int{0, 1}, scheduler.Write, true, 0},
-		{"reading twice is an arrival", 2, []did{read, read}, []int{0, 1}, scheduler.Write, true, 0},
+		{"nor for reading anew", 1, []did{readNot}, []int{0}, scheduler.Prefill, false, 1},
+		{"reading after a rejected one", 2, []did{readNot, read}, []int{0, 1}, scheduler.Decode, true, 0},
+		{"reading twice is an arrival", 2, []did{read, read}, []int{0, 1}, scheduler.Decode, true, 0},
 		{"a rejected writer", 2, []did{read, writeNot}, []int{0, 0}, scheduler.Serve, true, 1},
-		{"reading after a rejected writer", 3, []did{read, writeNot}, []int{0, 0}, scheduler.Read, true, 2},
+		{"reading after a rejected writer", 3, []did{read, writeNot}, []int{0, 0}, scheduler.Prefill, true, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -77,7 +77,7 @@
 	tokens, wait := c.choice.Expected()
 	event.Str("try", q.tryID).Str("route", q.route.Name).Dur("target_ms", q.route.LatencyTarget).
 		Str("server", c.choice.Server.ID).Str("role", roleNames[c.role]).Str("outcome", outcomeNames[outcome]).
-		Str("shared", strconv.FormatUint(c.choice.Shared(), 16)).Int("prompt", q.pairing.PromptTokens).
+		Str("shared", strconv.FormatUint(c.choice.SharedPrefix(), 16)).Int("prompt", q.pairing.PromptTokens).
 		Int("reads", tokens).Dur("expected_ms", wait).Dur("at_ms", time.Since(q.arrived)-took).
 		Dur("head_ms", c.headAt).Dur("event_ms", c.eventAt).Dur("took_ms", took).Msg("front: call")
 }
@@ -167,9 +167,9 @@
 		m.Header = append(m.Header, http1.Field{Name: priorityHeader, Value: priority})
 	}
 	switch c.role {
-	case scheduler.Read:
+	case scheduler.Prefill:
 		m.Header = append(m.Header, http1.Field{Name: stageHeader, Value: readingStage})
-	case scheduler.Write:
+	case scheduler.Decode:
 		m.Header = append(m.Header, http1.Field{Name: kvFromHeader, Value: c.delivery.ticket.source()})
 	}
 	return c.delivery.relay.resume(m)
@@ -179,9 +179,9 @@
 func (c *call) silentUntil() time.Time {
 	d := c.delivery
 	_, expected := c.choice.Expected()
-	if c.role == scheduler.Read {
+	if c.role == scheduler.Prefill {
 		usual := d.front.readTimes.expected(d.request.service.Name)
-		return c.started.Add(readPatience(max(usual, c.choice.Longest()), d.left()))
+		return c.started.Add(readPatience(max(usual, c.choice.UncachedPrefill()), d.left()))
 	}
 	if !d.mayTryAgain() {
 		return d.request.end
@@ -196,7 +196,7 @@
 	d := c.delivery
 	until := d.waitUntil()
 	over := d.reason() != goingOn || !time.Now().Before(until)
-	if over || c.role == scheduler.Read || d.mayTryAgain() && d.relay.mayGoOn() && c.hasAlternative() {
+	if over || c.role == scheduler.Prefill || d.mayTryAgain() && d.relay.mayGoOn() && c.hasAlternative() {
 		return false
 	}
 	again := time.Now().Add(streamPatience(d.request.route.GapTarget))
@@ -244,7 +244,7 @@
 	f := c.brokenOff()
 	c.suspect(err)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		f.outcome = scheduler.Silent
+		f.outcome = scheduler.TimedOut
 		return f
 	}
 	if c.conn.reused && !c.begun && !errors.As(err, new(*http1.Malformed)) {
--- a/internal/router/dataplane/chooser_test.go
+++ b/internal/router/dataplane/chooser_test.go
@@ -44,7 +44,7 @@
 	if r.Service.Engine != nil {
 		stage = catalog.Writing
 	}
-	if role == scheduler.Read {
+	if role == scheduler.Prefill {
 		stage = catalog.Reading
 	}
 	server := f.first(r, stage)
@@ -61,14 +61,14 @@
 // first returns the first server that may be sent to.
 func (f *fakeChooser) first(r *scheduler.Request, stage catalog.Stage) *catalog.Server {
 	for _, s := range f.table.Service(r.Service.Name) {
-		if s.Stage == stage && !slices.Contains(r.Tried, s.ID) {
+		if s.Stage == stage && !slices.Contains(r.Excluded, s.ID) {
 			return s
 		}
 	}
 	return nil
 }
 
-func (f *fakeChooser) Told(_ time.Duration, _ string, load scheduler.Load) {
+func (f *fakeChooser) ObserveLoad(_ time.Duration, _ string, load scheduler.Load) {
 	if f.panicsInCalls.Load() {
 		panic("a mistake")
 	}
@@ -93,13 +93,13 @@
 	f.ended = append(f.ended, outcome)
 }
 
-func (f *fakeChooser) Crowded(time.Duration, *scheduler.Request) (time.Duration, bool) {
+func (f *fakeChooser) QueueDelay(time.Duration, *scheduler.Request) (time.Duration, bool) {
 	return f.wait, f.wait == 0
 }
 
 func (f *fakeChooser) Alternative(_ time.Duration, r *scheduler.Request, server string) (exists, free bool) {
 	for _, s := range f.table.Service(r.Service.Name) {
-		exists = exists || s.ID != server && s.Stage != catalog.Reading && !slices.Contains(r.Tried, s.ID)
+		exists = exists || s.ID != server && s.Stage != catalog.Reading && !slices.Contains(r.Excluded, s.ID)
 	}
 	return exists, exists && f.wait == 0
 }
@@ -118,18 +118,18 @@
 	return len(f.open) == 0 && f.unpaired == 0
 }
 
-func (f *fakeChooser) Changes(bool) []scheduler.Contribution { return nil }
+func (f *fakeChooser) InFlightChanges(bool) []scheduler.InFlightLoad { return nil }
 
-func (f *fakeChooser) Share(time.Duration, []scheduler.Contribution, bool) {}
+func (f *fakeChooser) SetPeerLoad(time.Duration, []scheduler.InFlightLoad, bool) {}
 
-func (f *fakeChooser) KnowHolders(time.Duration) {}
+func (f *fakeChooser) MarkFleetStart(time.Duration) {}
 
-func (f *fakeChooser) TakeNewPrompts() []scheduler.NewPrompts { return nil }
+func (f *fakeChooser) TakeNewPrefixes() []scheduler.CachedPrefixes { return nil }
 
-func (f *fakeChooser) NoteNewPrompts([]scheduler.NewPrompts) {}
+func (f *fakeChooser) AddCachedPrefixes([]scheduler.CachedPrefixes) {}
 
-func (f *fakeChooser) AnsweredAt(string) (time.Duration, bool) { return 0, false }
+func (f *fakeChooser) LastSuccess(string) (time.Duration, bool) { return 0, false }
 
-func (f *fakeChooser) KnownPrompts(int) []scheduler.NewPrompts { return nil }
+func (f *fakeChooser) KnownPrefixes(int) []scheduler.CachedPrefixes { return nil }
 
-func (f *fakeChooser) CaughtUp(time.Duration) {}
+func (f *fakeChooser) MarkPrefixesSynced(time.Duration) {}
--- a/internal/router/dataplane/decider.go
+++ b/internal/router/dataplane/decider.go
@@ -14,19 +14,19 @@
 	Update(now time.Duration, table *catalog.Table)
 	Split(now time.Duration, r *scheduler.Request) bool
 	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role, reader *catalog.Server) *scheduler.Call
-	Told(now time.Duration, server string, load scheduler.Load)
-	AnsweredAt(server string) (time.Duration, bool)
+	ObserveLoad(now time.Duration, server string, load scheduler.Load)
+	LastSuccess(server string) (time.Duration, bool)
 	FirstEvent(now time.Duration, call *scheduler.Call)
 	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
-	Crowded(now time.Duration, r *scheduler.Request) (wait time.Duration, free bool)
+	QueueDelay(now time.Duration, r *scheduler.Request) (wait time.Duration, free bool)
 	Alternative(now time.Duration, r *scheduler.Request, server string) (exists, free bool)
-	Changes(all bool) []scheduler.Contribution
-	Share(now time.Duration, others []scheduler.Contribution, whole bool)
-	KnowHolders(now time.Duration)
-	TakeNewPrompts() []scheduler.NewPrompts
-	NoteNewPrompts(all []scheduler.NewPrompts)
-	KnownPrompts(most int) []scheduler.NewPrompts
-	CaughtUp(now time.Duration)
+	InFlightChanges(all bool) []scheduler.InFlightLoad
+	SetPeerLoad(now time.Duration, others []scheduler.InFlightLoad, whole bool)
+	MarkFleetStart(now time.Duration)
+	TakeNewPrefixes() []scheduler.CachedPrefixes
+	AddCachedPrefixes(all []scheduler.CachedPrefixes)
+	KnownPrefixes(most int) []scheduler.CachedPrefixes
+	MarkPrefixesSynced(now time.Duration)
 }
 
 // decider lets many goroutines use one chooser, and keeps it at the newest table of servers.
@@ -78,7 +78,7 @@
 func (d *decider) told(server string, load scheduler.Load) {
 	now, unlock := d.lock()
 	defer unlock()
-	d.chooser.Told(now, server, load)
+	d.chooser.ObserveLoad(now, server, load)
 }
 
 func (d *decider) firstEvent(call *scheduler.Call) {
@@ -112,7 +112,7 @@
 func (d *decider) crowded(r *scheduler.Request) (wait time.Duration, free bool) {
 	now, unlock := d.lock()
 	defer unlock()
-	return d.chooser.Crowded(now, r)
+	return d.chooser.QueueDelay(now, r)
 }
 
 func (d *decider) alternative(r *scheduler.Request, server string) (exists, free bool) {
--- a/internal/router/dataplane/delivery.go
+++ b/internal/router/dataplane/delivery.go
@@ -154,7 +154,7 @@
 		d.dropTicket()
 	}
 	if d.ticket != nil {
-		if c := d.chosen(scheduler.Write); c != nil {
+		if c := d.chosen(scheduler.Decode); c != nil {
 			return c
 		}
 		d.dropTicket()
@@ -216,12 +216,12 @@
 		d.attempts.taken(c.role)
 	}
 	if !f.stale && f.outcome != scheduler.HandleFailed {
-		d.request.pairing.Tried = append(d.request.pairing.Tried, c.choice.Server.ID)
+		d.request.pairing.Excluded = append(d.request.pairing.Excluded, c.choice.Server.ID)
 	}
 	switch {
 	case d.relay.begun:
 		d.ticket = nil // the server that began the stream has taken the memory
-	case c.role == scheduler.Write && f.spent():
+	case c.role == scheduler.Decode && f.spent():
 		d.dropTicket()
 	}
 	switch {
--- a/internal/router/dataplane/demand.go
+++ b/internal/router/dataplane/demand.go
@@ -46,7 +46,7 @@
 	}
 	s.integrate(now)
 	s.mean.Known = true
-	if role == scheduler.Read {
+	if role == scheduler.Prefill {
 		s.reading += change
 	} else {
 		s.writing += change
--- a/internal/router/dataplane/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -28,7 +28,7 @@
 func (c *call) rejection(head *http1.Response) scheduler.Outcome {
 	load, told := parseLoad(head.Header.Get(loadHeader))
 	full := told && (load.Waiting > 0 || load.Running >= load.Slots)
-	if c.role == scheduler.Write && !full {
+	if c.role == scheduler.Decode && !full {
 		return scheduler.HandleFailed
 	}
 	return scheduler.Rejected
--- a/internal/router/dataplane/repeat_test.go
+++ b/internal/router/dataplane/repeat_test.go
@@ -161,7 +161,7 @@
 			r.Assert(arrivals(servers), qt.Equals, test.arrivals)
 			<-ended // the connection does not outlive its request
 			r.settled()
-			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.Silent)
+			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.TimedOut)
 		})
 	}
 }
--- a/internal/router/dataplane/request.go
+++ b/internal/router/dataplane/request.go
@@ -106,10 +106,10 @@
 	for part := range strings.SplitSeq(prefix, ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(part), ":")
 		if !ok {
-			r.Parts = nil
+			r.Segments = nil
 			return r
 		}
-		r.Parts = append(r.Parts, scheduler.Part{ID: id, Tokens: wholeNumber(tokens)})
+		r.Segments = append(r.Segments, scheduler.Segment{ID: id, Tokens: wholeNumber(tokens)})
 	}
 	return r
 }
--- a/internal/router/dataplane/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -26,7 +26,7 @@
 	r := pairingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
 		{Name: "Cresshub-Prompt-Prefix", Value: "5c1e07a2:800, 91bd3f06:410"}}, service)
 	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service, PromptTokens: 1460, OutputTokens: 80,
-		Parts: []scheduler.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}})
+		Segments: []scheduler.Segment{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}})
 	r = pairingRequest(http1.Header{{Name: "Cresshub-Tokens", Value: "x"},
 		{Name: "Cresshub-Prompt-Prefix", Value: "5c1e07a2"}}, service)
 	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service})
--- a/internal/router/dataplane/sharing.go
+++ b/internal/router/dataplane/sharing.go
@@ -14,57 +14,57 @@
 
 // WorkChanges returns what this proxy has under way at the servers where that has changed since the last
 // call, or wherever it has anything.
-func (f *Front) WorkChanges(all bool) []scheduler.Contribution {
+func (f *Front) WorkChanges(all bool) []scheduler.InFlightLoad {
 	d := f.decider
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.chooser.Changes(all)
+	return d.chooser.InFlightChanges(all)
 }
 
 // NewPrompts returns what this proxy has sent to servers to be read for the first time since the last call.
-func (f *Front) NewPrompts() []scheduler.NewPrompts {
+func (f *Front) NewPrompts() []scheduler.CachedPrefixes {
 	d := f.decider
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.chooser.TakeNewPrompts()
+	return d.chooser.TakeNewPrefixes()
 }
 
 // ShareWork takes in what all other proxies together have under way at some servers; with whole, they have
 // nothing under way elsewhere. It also takes in what they have sent to servers for the first time.
-func (f *Front) ShareWork(others []scheduler.Contribution, whole bool, prompts []scheduler.NewPrompts) {
+func (f *Front) ShareWork(others []scheduler.InFlightLoad, whole bool, prompts []scheduler.CachedPrefixes) {
 	now, unlock := f.decider.lock()
 	defer unlock()
-	f.decider.chooser.Share(now, others, whole)
-	f.decider.chooser.NoteNewPrompts(prompts)
+	f.decider.chooser.SetPeerLoad(now, others, whole)
+	f.decider.chooser.AddCachedPrefixes(prompts)
 }
 
 // AloneAtStart notes that no other proxy has sent anything to a server before this one started.
 func (f *Front) AloneAtStart() {
 	now, unlock := f.decider.lock()
 	defer unlock()
-	f.decider.chooser.KnowHolders(now)
+	f.decider.chooser.MarkFleetStart(now)
 }
 
 // SinceAnswer returns how long ago a server last answered a request of this proxy well, and whether it has.
 func (f *Front) SinceAnswer(server string) (time.Duration, bool) {
 	now, unlock := f.decider.lock()
 	defer unlock()
-	at, answered := f.decider.chooser.AnsweredAt(server)
+	at, answered := f.decider.chooser.LastSuccess(server)
 	return now - at, answered
 }
 
-// KnownPrompts returns what is known of which servers hold what.
-func (f *Front) KnownPrompts() []scheduler.NewPrompts {
+// KnownPrefixes returns what is known of which servers hold what.
+func (f *Front) KnownPrompts() []scheduler.CachedPrefixes {
 	d := f.decider
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.chooser.KnownPrompts(mostKnown)
+	return d.chooser.KnownPrefixes(mostKnown)
 }
 
 // CatchUp takes in all that another proxy, or this one before its last end, knew of which servers hold what.
-func (f *Front) CatchUp(known []scheduler.NewPrompts) {
+func (f *Front) CatchUp(known []scheduler.CachedPrefixes) {
 	now, unlock := f.decider.lock()
 	defer unlock()
-	f.decider.chooser.NoteNewPrompts(known)
-	f.decider.chooser.CaughtUp(now)
+	f.decider.chooser.AddCachedPrefixes(known)
+	f.decider.chooser.MarkPrefixesSynced(now)
 }
--- a/internal/router/dataplane/split.go
+++ b/internal/router/dataplane/split.go
@@ -11,7 +11,7 @@
 // run the request, so it may be repeated as long as the budget allows.
 func (d *delivery) readPrompt() {
 	for d.ticket == nil && !d.over() && d.unreachable < mostUnreachable {
-		c := d.chosen(scheduler.Read)
+		c := d.chosen(scheduler.Prefill)
 		if c == nil {
 			return
 		}
@@ -29,18 +29,18 @@
 
 // learnRead takes in how reading failed, and tells whether another server is asked to read.
 func (d *delivery) learnRead(c *call, f *failure) bool {
-	d.request.pairing.Tried = append(d.request.pairing.Tried, c.choice.Server.ID)
+	d.request.pairing.Excluded = append(d.request.pairing.Excluded, c.choice.Server.ID)
 	switch f.fate {
 	case notSent:
 		d.unreachable++
 	case notRun:
 		d.attempts.rejected()
 	case mayHaveRun:
-		d.attempts.taken(scheduler.Read)
+		d.attempts.taken(scheduler.Prefill)
 		if !c.begun { // it may have stood in the server's queue, which makes the next call a repeat
 			d.attempts.owed++
 		}
-		return f.outcome != scheduler.Silent // so much time is lost that no second reader is waited for
+		return f.outcome != scheduler.TimedOut // so much time is lost that no second reader is waited for
 	}
 	return true
 }
@@ -55,7 +55,7 @@
 	if f == nil {
 		f = c.takeTicket(head, body)
 	}
-	if f == nil || f.outcome == scheduler.Silent {
+	if f == nil || f.outcome == scheduler.TimedOut {
 		c.delivery.front.readTimes.note(c.delivery.request.service.Name, time.Since(c.started))
 	}
 	return c.end(f)
@@ -83,7 +83,7 @@
 	if head.Status != 200 || !ok {
 		return c.brokenOff()
 	}
-	d.attempts.taken(scheduler.Read)
+	d.attempts.taken(scheduler.Prefill)
 	d.ticket = newTicket(c.choice.Server, handle, d.request.tryID, d.request.service.Engine.HandleTTL)
 	return nil
 }
--- a/internal/router/dataplane/split_test.go
+++ b/internal/router/dataplane/split_test.go
@@ -67,7 +67,7 @@
 func TestWhatFollowsAFailedSplit(t *testing.T) {
 	handle, written := readsPrompt("h"), events(1, 2, true)
 	lapsed := status(503, "Cresshub-Not-Run: 1", "Cresshub-Server-Load: 1,0,8")
-	read, write, serve := scheduler.Read, scheduler.Write, scheduler.Serve
+	read, write, serve := scheduler.Prefill, scheduler.Decode, scheduler.Serve
 	for _, test := range []struct {
 		name    string
 		route   string
@@ -148,9 +148,9 @@
 			switch {
 			case q.Method == "DELETE":
 			case q.Header.Get(stageHeader) != "":
-				roles = append(roles, scheduler.Read)
+				roles = append(roles, scheduler.Prefill)
 			case q.Header.Get(kvFromHeader) != "":
-				roles = append(roles, scheduler.Write)
+				roles = append(roles, scheduler.Decode)
 			default:
 				roles = append(roles, scheduler.Serve)
 			}
@@ -167,7 +167,7 @@
 	answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 1000")
 	r.Assert(answer.Status, qt.Equals, 200)
 	r.Assert(<-ended, qt.Equals, "a")
-	r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Read, scheduler.Serve})
+	r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Prefill, scheduler.Serve})
 }
 
 func TestWithoutReadersOrWriters(t *testing.T) {
@@ -193,7 +193,7 @@
 		p.Close()
 		r.Assert(<-ended, qt.Equals, "a")
 		r.settled()
-		r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Read})
+		r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Prefill})
 		r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 	})
 	t.Run("while it is written", func(t *testing.T) {
@@ -206,7 +206,7 @@
 		r.Assert(<-ended, qt.Equals, "a")
 		r.until("the handle is freed", func() bool { return freed(readers) == 1 })
 		r.settled()
-		r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Read, scheduler.Write})
+		r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Prefill, scheduler.Decode})
 		r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Served, scheduler.Abandoned})
 	})
 }
--- a/internal/router/dataplane/stream_test.go
+++ b/internal/router/dataplane/stream_test.go
@@ -182,7 +182,7 @@
 			r.Assert(string(answer.Body), qt.Equals, test.body)
 			<-ended
 			r.settled()
-			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.Silent)
+			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.TimedOut)
 		})
 	}
 }
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -65,9 +65,9 @@
 // beginCall checks a call that is about to be sent.
 func (t *deliveryTrace) beginCall(c *call) {
 	d := c.delivery
-	invariant.Assert(c.role == scheduler.Read || !t.unsafe, invariant.UnsafeSentOnce,
+	invariant.Assert(c.role == scheduler.Prefill || !t.unsafe, invariant.UnsafeSentOnce,
 		"try %s goes to %s though it may have run", d.request.tryID, c.choice.Server.ID)
-	if c.role == scheduler.Write {
+	if c.role == scheduler.Decode {
 		invariant.Assert(d.ticket.tryID == d.request.tryID, invariant.HandleOfOwnRequest,
 			"try %s goes on from the memory of try %s", d.request.tryID, d.ticket.tryID)
 	}
@@ -84,7 +84,7 @@
 		return
 	}
 	notRun := f.fate == notRun || f.fate == notSent
-	if sent && !notRun && c.role != scheduler.Read && !d.request.route.Idempotent() {
+	if sent && !notRun && c.role != scheduler.Prefill && !d.request.route.Idempotent() {
 		t.unsafe = true
 	}
 	took := c.took()
@@ -94,7 +94,7 @@
 
 func (t *deliveryTrace) countArrival(c *call, f *failure) {
 	rejected := f != nil && f.fate == notRun
-	if c.role == scheduler.Read && !t.free && !rejected {
+	if c.role == scheduler.Prefill && !t.free && !rejected {
 		t.free = true
 		return
 	}
@@ -125,12 +125,12 @@
 		Str("fate", fateNames[f.fate]).Dur("at_ms", f.at).Dur("took_ms", f.took)
 }
 
-var roleNames = [...]string{scheduler.Serve: "serve", scheduler.Read: "read", scheduler.Write: "write"}
+var roleNames = [...]string{scheduler.Serve: "serve", scheduler.Prefill: "read", scheduler.Decode: "write"}
 
 var fateNames = [...]string{notSent: "not_sent", notRun: "not_run", mayHaveRun: "may_have_run"}
 
 var outcomeNames = [...]string{
 	scheduler.Served: "served", scheduler.Failed: "failed", scheduler.Rejected: "rejected",
 	scheduler.Misdirected: "misdirected", scheduler.Unreachable: "unreachable", scheduler.Broken: "broken",
-	scheduler.Silent: "silent", scheduler.Abandoned: "abandoned", scheduler.HandleFailed: "handle_failed",
+	scheduler.TimedOut: "silent", scheduler.Abandoned: "abandoned", scheduler.HandleFailed: "handle_failed",
 }
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -98,7 +98,7 @@
 	answer := p.ask("POST", "/unsafe/", "a", strings.Repeat("x", 200_000), "Cresshub-Deadline-Ms: 2000")
 	r.Assert(answer.Status, qt.Equals, 504)
 	r.settled()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Silent})
+	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.TimedOut})
 	r.Assert(r.state.suspected, qt.HasLen, 0)
 }
 
--- a/internal/router/dataplane/waiton_test.go
+++ b/internal/router/dataplane/waiton_test.go
@@ -31,7 +31,7 @@
 			c.delivery.relay.begun, c.delivery.relay.order.any = true, true
 		}, false},
 		{"a stream that may not go on", "stream", 100, func(c *call) { c.delivery.relay.begun = true }, true},
-		{"a reader", "model", 0, func(c *call) { c.role = scheduler.Read }, false},
+		{"a reader", "model", 0, func(c *call) { c.role = scheduler.Prefill }, false},
 		{"no time is left", "safe", 0, func(c *call) { c.delivery.request.end = time.Now() }, false},
 		{"the client has left", "safe", 0, func(c *call) { c.delivery.why = clientLeft }, false},
 	} {
--- a/internal/router/scheduler/age_test.go
+++ b/internal/router/scheduler/age_test.go
@@ -10,8 +10,8 @@
 func TestAgeIsBlendedAndBounded(t *testing.T) {
 	const service = 100.0 // ms
 	now := 10 * second
-	at := func(age time.Duration) candidate { return candidate{server: testServer(0, now-age)} }
-	unknown := candidate{server: &server{}}
+	at := func(age time.Duration) candidate { return candidate{serverState: testServer(0, now-age)} }
+	unknown := candidate{serverState: &serverState{}}
 	tests := []struct {
 		name string
 		all  []candidate
@@ -20,42 +20,42 @@
 		{"none", nil, 0},
 		{"just told", []candidate{at(0), at(0)}, 0},
 		{"the mean of the ages", []candidate{at(20 * time.Millisecond), at(60 * time.Millisecond)}, 40},
-		{"at most a few service times", []candidate{at(5 * second), at(0)}, ageTimes * service / 2},
-		{"no figure is an old one", []candidate{unknown}, ageTimes * service},
+		{"at most a few service times", []candidate{at(5 * second), at(0)}, maxAgeServiceTimes * service / 2},
+		{"no figure is an old one", []candidate{unknown}, maxAgeServiceTimes * service},
 	}
 	for _, test := range tests {
-		qt.Check(t, age(now, service, test.all), near, test.want, 1e-6, qt.Commentf(test.name))
+		qt.Check(t, meanReportAge(now, service, test.all), isNear, test.want, 1e-6, qt.Commentf(test.name))
 	}
 }
 
 func TestLoadIsEstimatedHigh(t *testing.T) {
 	tests := []struct{ use, want float64 }{
-		{0, lowestLoad}, {0.1, lowestLoad}, {0.6, 0.6 * loadMargin}, {0.9, 1}, {1, 1},
+		{0, minUtilization}, {0.1, minUtilization}, {0.6, 0.6 * utilizationMargin}, {0.9, 1}, {1, 1},
 	}
 	for _, test := range tests {
-		qt.Check(t, load(&mean{test.use, 1}), near, test.want, 1e-9)
+		qt.Check(t, assumedUtilization(&movingMean{test.use, 1}), isNear, test.want, 1e-9)
 	}
 }
 
 func TestArrivalsAreAgeTimesLoadTimesServers(t *testing.T) {
-	p := newPool(plainService())
-	p.serve, p.runUse = mean{100, 1}, mean{0.6, 1}
+	p := newServicePool(plainService())
+	p.plainTime, p.serveUtilization = movingMean{100, 1}, movingMean{0.6, 1}
 	now := 10 * second
-	told := candidate{server: testServer(0, now-50*time.Millisecond)}
-	qt.Check(t, arrivals(now, p, Serve, []candidate{told, told}, 2), near, 50*0.75*2, 1e-6)
-	qt.Check(t, arrivals(now, p, Serve, []candidate{told, told}, 1), near, 50*0.75, 1e-6)
+	told := candidate{serverState: testServer(0, now-50*time.Millisecond)}
+	qt.Check(t, expectedArrivals(now, p, Serve, []candidate{told, told}, 2), isNear, 50*0.75*2, 1e-6)
+	qt.Check(t, expectedArrivals(now, p, Serve, []candidate{told, told}, 1), isNear, 50*0.75, 1e-6)
 }
 
 func TestUseIsWhatFiguresTell(t *testing.T) {
 	c := qt.New(t)
-	chooser := modelChooser(1, 1, 1)
+	chooser := modelScheduler(1, 1, 1)
 	chooser.Split(0, prompted("a", 0))
 	p := chooser.pools["model"]
-	p.readUse, p.runUse = mean{}, mean{}
+	p.prefillUtilization, p.serveUtilization = movingMean{}, movingMean{}
 	for i := range 4 { // every other read leaves another behind
-		chooser.Told(second, "r0", Load{Running: i % 2 * 3, Slots: 32})
-		chooser.Told(second, "w0", Load{Running: 8, Slots: 32})
+		chooser.ObserveLoad(second, "r0", Load{Running: i % 2 * 3, Slots: 32})
+		chooser.ObserveLoad(second, "w0", Load{Running: 8, Slots: 32})
 	}
-	c.Check(p.readUse.value, near, 0.5, 1e-9)
-	c.Check(p.runUse.value, near, 0.25, 1e-9)
+	c.Check(p.prefillUtilization.value, isNear, 0.5, 1e-9)
+	c.Check(p.serveUtilization.value, isNear, 0.25, 1e-9)
 }
--- a/internal/router/scheduler/chooser.go
+++ b/internal/router/scheduler/chooser.go
@@ -8,17 +8,18 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// Chooser holds what is known of the load of servers.
-type Chooser struct {
+// Scheduler holds what is known of the load of servers.
+type Scheduler struct {
 	zone     string
 	random   *rand.Rand
 	table    *catalog.Table
-	servers  map[string]*server
-	pools    map[string]*pool
-	holdings *holdings
-	// assumeUntil is until when prompts may be held that this proxy was not told of.
-	assumeUntil time.Duration
-	sharedAt    time.Duration // when other proxies last told what they have under way, 0 where they never did
+	servers  map[string]*serverState
+	pools    map[string]*servicePool
+	prefixes *prefixIndex
+	// assumeCachedUntil is until when prompts may be held that this proxy was not told of.
+	assumeCachedUntil time.Duration
+	// when other proxies last told what they have under way, 0 where they never did
+	peerLoadAt time.Duration
 
 	candidates      []candidate // of the decision being made
 	rest            []candidate
@@ -26,140 +27,146 @@
 }
 
 // New returns a Chooser of a proxy in a zone.
-func New(zone string, seed uint64) *Chooser {
-	return &Chooser{
+func New(zone string, seed uint64) *Scheduler {
+	return &Scheduler{
 		zone: zone, random: rand.New(rand.NewPCG(seed, 1)), table: catalog.NewTable(0, nil),
-		servers: map[string]*server{}, pools: map[string]*pool{}, holdings: newHoldings(maxHoldings),
+		servers: map[string]*serverState{}, pools: map[string]*servicePool{},
+		prefixes: newPrefixIndex(maxPrefixEntries),
 	}
 }
 
 // Update takes a newer table of servers.
-func (c *Chooser) Update(now time.Duration, table *catalog.Table) {
-	c.table = table
-	for id := range c.servers {
+func (s *Scheduler) Update(now time.Duration, table *catalog.Table) {
+	s.table = table
+	for id := range s.servers {
 		if table.ByID(id) == nil {
-			delete(c.servers, id) // what it holds is remembered: it may have been lost for a moment only
+			delete(s.servers, id) // what it holds is remembered: it may have been lost for a moment only
 		}
 	}
-	for _, p := range c.pools {
-		p.fill(now, table, c.servers)
+	for _, pool := range s.pools {
+		pool.setTable(now, table, s.servers)
 	}
 }
 
-func (c *Chooser) pool(now time.Duration, service *fleetconfig.Service) *pool {
-	p := c.pools[service.Name]
-	if p == nil {
-		p = newPool(service)
-		c.pools[service.Name] = p
+func (s *Scheduler) pool(now time.Duration, service *fleetconfig.Service) *servicePool {
+	pool := s.pools[service.Name]
+	if pool == nil {
+		pool = newServicePool(service)
+		s.pools[service.Name] = pool
 	}
-	p.service = service
-	if p.table != c.table {
-		p.fill(now, c.table, c.servers)
+	pool.service = service
+	if pool.table != s.table {
+		pool.setTable(now, s.table, s.servers)
 	}
-	return p
+	return pool
 }
 
 // Choose draws the server for a call of that role and counts the call as under way; nil where no server may
 // take it. For Write, reader is the server that holds the prompt's memory.
-func (c *Chooser) Choose(now time.Duration, r *Request, role Role, reader *catalog.Server) *Call {
-	p, chain := c.pool(now, r.Service), newPrompt(r)
-	candidates := c.eligible(now, p, r, role, &chain)
+func (s *Scheduler) Choose(now time.Duration, request *Request, role Role,
+	prefillServer *catalog.Server) *Call {
+	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
+	candidates := s.eligible(now, pool, request, role, &chain)
 	if len(candidates) == 0 {
 		return nil
 	}
-	n := len(candidates)
+	arrivalServers := len(candidates)
 	switch {
-	case role == Write:
-		candidates = c.near(p, candidates, &chain, reader)
-		n = len(candidates)
-	case p.service.Engine != nil:
-		candidates, n = c.affine(now, p, role, candidates, &chain)
+	case role == Decode:
+		candidates = s.preferZone(pool, candidates, &chain, prefillServer)
+		arrivalServers = len(candidates)
+	case pool.service.Engine != nil:
+		candidates, arrivalServers = s.prefixAffinity(now, pool, role, candidates, &chain)
 	}
-	arrive := arrivals(now, p, role, candidates, n)
-	if name, _, ok := chain.shared(); ok && role == Read {
-		p.popular.note(name)
+	arrivalsMs := expectedArrivals(now, pool, role, candidates, arrivalServers)
+	if name, _, ok := chain.shared(); ok && role == Prefill {
+		pool.popularity.record(name)
 	}
-	call := c.send(now, p, r, role, &chain, c.draw(now, candidates, arrive))
-	if reader != nil {
-		call.reader = c.servers[reader.ID]
+	call := s.send(now, pool, request, role, &chain, s.draw(now, candidates, arrivalsMs))
+	if prefillServer != nil {
+		call.prefillServer = s.servers[prefillServer.ID]
 	}
 	return call
 }
 
 // send counts a call as under way.
-func (c *Chooser) send(
-	now time.Duration, p *pool, r *Request, role Role, chain *prompt, to *candidate,
+func (s *Scheduler) send(
+	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain, to *candidate,
 ) *Call {
 	call := &Call{
-		Server: to.server.Server, Role: role, state: to.server, pool: p, prompt: *chain,
-		tokens: to.uncached, output: max(r.OutputTokens, 1), least: to.least, most: to.most,
-		alone: to.busy < 0.5,
-		busy:  to.busy, started: now,
-	}
-	call.readWork = to.work
-	call.expected = to.queue + p.ownTime(call)
-	if role == Read {
-		call.uncached = to.queue + p.read.at(float64(chain.tokens))/to.speed
-	}
-	to.server.begin(call)
-	if p.service.Engine != nil {
-		call.heldBefore = c.holdings.note(to.hash, chain)
-		to.server.noteNew(role, chain, call.heldBefore)
+		Server: to.serverState.Server, Role: role, state: to.serverState, pool: pool, chain: *chain,
+		uncachedTokens: to.uncachedTokens, outputTokens: max(request.OutputTokens, 1),
+		minUncached: to.minUncached, maxUncached: to.maxUncached,
+		serverIdle: to.inFlight < 0.5,
+		inFlight:   to.inFlight, startedAt: now,
+	}
+	call.prefillMs = to.prefillMs
+	call.expectedMs = to.queueMs + pool.ownTime(call)
+	if role == Prefill {
+		call.uncachedMs = to.queueMs + pool.prefillTime.at(float64(chain.tokens))/to.speed
+	}
+	to.serverState.beginCall(call)
+	if pool.service.Engine != nil {
+		call.cachedBefore = s.prefixes.record(to.hash, chain)
+		to.serverState.recordNewPrefix(role, chain, call.cachedBefore)
 	}
 	return call
 }
 
-// Told takes in the load that a server told with an answer.
-func (c *Chooser) Told(now time.Duration, server string, load Load) { c.Heard(now, server, load) }
+// ObserveLoad takes in the load that a server told with an answer.
+func (s *Scheduler) ObserveLoad(now time.Duration, id string, load Load) {
+	s.ObserveLoadAt(now, id, load)
+}
 
-// Heard takes in the load that a server told at an earlier time: to another proxy, or in a report of its own.
-func (c *Chooser) Heard(at time.Duration, server string, load Load) {
-	s := c.servers[server]
-	if s == nil {
+// ObserveLoadAt takes in the load that a server told at an earlier time: to another proxy, or in a report of
+// its own.
+func (s *Scheduler) ObserveLoadAt(at time.Duration, id string, load Load) {
+	server := s.servers[id]
+	if server == nil {
 		return
 	}
-	s.tell(at, load)
-	if p := c.pools[s.Service]; p != nil {
-		p.tellUse(s)
+	server.recordReport(at, load)
+	if pool := s.pools[server.Service]; pool != nil {
+		pool.recordUtilization(server)
 	}
 }
 
-// AnsweredAt returns when a server last answered a call well, and whether it has.
-func (c *Chooser) AnsweredAt(server string) (time.Duration, bool) {
-	s := c.servers[server]
-	if s == nil || s.trust.answered == 0 {
+// LastSuccess returns when a server last answered a call well, and whether it has.
+func (s *Scheduler) LastSuccess(id string) (time.Duration, bool) {
+	state := s.servers[id]
+	if state == nil || state.outliers.lastSuccess == 0 {
 		return 0, false
 	}
-	return s.trust.answered, true
+	return state.outliers.lastSuccess, true
 }
 
 // FirstEvent notes that the server of a call has begun to answer.
-func (c *Chooser) FirstEvent(now time.Duration, call *Call) {
+func (s *Scheduler) FirstEvent(now time.Duration, call *Call) {
 	if call.answered {
 		return
 	}
-	call.answered, call.first = true, now
-	call.state.read(now, call)
-	took := ms(now - call.started)
-	expected := max(call.expected, call.uncached) // that a reader holds less than assumed is no lateness
-	call.state.late.add(now, took-expected, expected)
+	call.answered, call.firstEventAt = true, now
+	call.state.endPrefill(now, call)
+	took := ms(now - call.startedAt)
+	expected := max(call.expectedMs, call.uncachedMs) // that a reader holds less than assumed is no lateness
+	call.state.lateness.add(now, took-expected, expected)
 }
 
 // Done ends a call. Each call ends once.
-func (c *Chooser) Done(now time.Duration, call *Call, outcome Outcome) {
+func (s *Scheduler) Done(now time.Duration, call *Call, outcome Outcome) {
 	if call.ended {
 		return
 	}
 	call.ended = true
-	call.state.end(now, call)
+	call.state.endCall(now, call)
 	if outcome == Served {
-		c.FirstEvent(now, call)
-		call.succeeded(now)
+		s.FirstEvent(now, call)
+		call.recordSuccess(now)
 		call.pool.learn(now, call)
 		return
 	}
-	call.failed(now, outcome)
+	call.recordFailure(now, outcome)
 	if !call.answered {
-		c.holdings.drop(call.state.hash, &call.prompt, call.heldBefore)
+		s.prefixes.drop(call.state.hash, &call.chain, call.cachedBefore)
 	}
 }
--- a/internal/router/scheduler/crowded.go
+++ b/internal/router/scheduler/crowded.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// Crowded tells how long a request would have to wait for a place now, in time beyond its own work, and
+// QueueDelay tells how long a request would have to wait for a place now, in time beyond its own work, and
 // whether servers that may take it have places free.
-func (c *Chooser) Crowded(now time.Duration, r *Request) (wait time.Duration, free bool) {
-	p, chain := c.pool(now, r.Service), newPrompt(r)
-	wait, free = c.wait(now, p, r, Serve, &chain)
-	if r.Service.Engine == nil || !c.Split(now, r) {
+func (s *Scheduler) QueueDelay(now time.Duration, request *Request) (wait time.Duration, free bool) {
+	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
+	wait, free = s.slotDelay(now, pool, request, Serve, &chain)
+	if request.Service.Engine == nil || !s.Split(now, request) {
 		return wait, free
 	}
-	reading, readable := c.wait(now, p, r, Read, &chain)
+	reading, readable := s.slotDelay(now, pool, request, Prefill, &chain)
 	return wait + reading, free && readable
 }
 
 // Alternative tells whether another server than one could answer the request, and whether such a server has a
 // place now.
-func (c *Chooser) Alternative(now time.Duration, r *Request, server string) (exists, free bool) {
-	others := *r
-	others.Tried = append(slices.Clone(r.Tried), server)
-	p, chain := c.pool(now, r.Service), newPrompt(r)
-	_, free = c.wait(now, p, &others, Serve, &chain)
-	return len(c.candidates) > 0, free
+func (s *Scheduler) Alternative(now time.Duration, request *Request, server string) (exists, free bool) {
+	elsewhere := *request
+	elsewhere.Excluded = append(slices.Clone(request.Excluded), server)
+	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
+	_, free = s.slotDelay(now, pool, &elsewhere, Serve, &chain)
+	return len(s.candidates) > 0, free
 }
 
 // wait is the shortest wait for a place at the servers of a role.
-func (c *Chooser) wait(
-	now time.Duration, p *pool, r *Request, role Role, chain *prompt,
+func (s *Scheduler) slotDelay(
+	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain,
 ) (time.Duration, bool) {
-	all := c.eligible(now, p, r, role, chain)
-	least, free := never, false
+	all := s.eligible(now, pool, request, role, chain)
+	shortest, free := neverMs, false
 	for i := range all {
-		x := &all[i]
-		over := x.busy + 1 - x.slots()
-		free = free || over <= 0
-		if role == Read {
-			least = min(least, x.queue)
+		candidate := &all[i]
+		excess := candidate.inFlight + 1 - candidate.slots()
+		free = free || excess <= 0
+		if role == Prefill {
+			shortest = min(shortest, candidate.queueMs)
 			continue
 		}
-		least = min(least, max(over, 0)/x.slots()*p.serviceTime(role, x.busy))
+		shortest = min(shortest, max(excess, 0)/candidate.slots()*pool.serviceTime(role, candidate.inFlight))
 	}
 	if len(all) == 0 {
 		return 0, false
 	}
-	return duration(least), free
+	return duration(shortest), free
 }
--- a/internal/router/scheduler/crowded_test.go
+++ b/internal/router/scheduler/crowded_test.go
@@ -12,23 +12,23 @@
 func TestCrowded(t *testing.T) {
 	tests := []struct {
 		name    string
-		prepare func(c *Chooser)
+		prepare func(c *Scheduler)
 		waits   bool
 		free    bool
 	}{
-		{"idle", func(*Chooser) {}, false, true},
-		{"writers full", func(c *Chooser) { tellAll(c, 10*second, catalog.Writing, 60) }, true, false},
-		{"readers busy", func(c *Chooser) { tellAll(c, 10*second, catalog.Reading, 2) }, true, true},
-		{"one writer free", func(c *Chooser) {
-			tellAll(c, 10*second, catalog.Writing, 60)
-			c.Told(10*second, "w3", Load{Running: 3, Slots: 32})
+		{"idle", func(*Scheduler) {}, false, true},
+		{"writers full", func(c *Scheduler) { reportAll(c, 10*second, catalog.Writing, 60) }, true, false},
+		{"readers busy", func(c *Scheduler) { reportAll(c, 10*second, catalog.Reading, 2) }, true, true},
+		{"one writer free", func(c *Scheduler) {
+			reportAll(c, 10*second, catalog.Writing, 60)
+			c.ObserveLoad(10*second, "w3", Load{Running: 3, Slots: 32})
 		}, false, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := settled(1, 7, 11)
+			c := warmScheduler(1, 7, 11)
 			test.prepare(c)
-			wait, free := c.Crowded(10*second, prompted("a", 1))
+			wait, free := c.QueueDelay(10*second, prompted("a", 1))
 			qt.Check(t, wait > time.Millisecond, qt.Equals, test.waits, qt.Commentf("%v", wait))
 			qt.Check(t, free, qt.Equals, test.free)
 		})
@@ -36,7 +36,7 @@
 }
 
 func TestCrowdedWithoutServers(t *testing.T) {
-	wait, free := New("z0", 1).Crowded(0, &Request{Service: plainService()})
+	wait, free := New("z0", 1).QueueDelay(0, &Request{Service: plainService()})
 	qt.Check(t, wait, qt.Equals, time.Duration(0))
 	qt.Check(t, free, qt.IsFalse)
 }
@@ -45,38 +45,38 @@
 	for _, test := range []struct {
 		name         string
 		servers      int
-		prepare      func(c *Chooser, r *Request)
+		prepare      func(c *Scheduler, r *Request)
 		exists, free bool
 	}{
-		{"alone", 1, func(*Chooser, *Request) {}, false, false},
-		{"another one has a place", 2, func(*Chooser, *Request) {}, true, true},
-		{"the other one is full", 2, func(c *Chooser, _ *Request) {
-			c.pool(10*second, plainService()).serve = mean{80, 1}
-			c.Told(10*second, "a", Load{Running: 4, Waiting: 3, Slots: 4})
-			c.Told(10*second, "b", Load{Running: 4, Waiting: 3, Slots: 4})
+		{"alone", 1, func(*Scheduler, *Request) {}, false, false},
+		{"another one has a place", 2, func(*Scheduler, *Request) {}, true, true},
+		{"the other one is full", 2, func(c *Scheduler, _ *Request) {
+			c.pool(10*second, plainService()).plainTime = movingMean{80, 1}
+			c.ObserveLoad(10*second, "a", Load{Running: 4, Waiting: 3, Slots: 4})
+			c.ObserveLoad(10*second, "b", Load{Running: 4, Waiting: 3, Slots: 4})
 		}, true, false},
-		{"the other one was tried", 2, func(_ *Chooser, r *Request) { r.Tried = []string{"b"} }, false, false},
+		{"the other one was tried", 2, func(_ *Scheduler, r *Request) { r.Excluded = []string{"b"} }, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, r := plainChooser(test.servers), &Request{Service: plainService()}
+			c, r := plainScheduler(test.servers), &Request{Service: plainService()}
 			test.prepare(c, r)
-			tried := len(r.Tried)
+			tried := len(r.Excluded)
 			exists, free := c.Alternative(10*second, r, "a")
 			qt.Check(t, exists, qt.Equals, test.exists)
 			qt.Check(t, free, qt.Equals, test.free)
-			qt.Check(t, r.Tried, qt.HasLen, tried)
+			qt.Check(t, r.Excluded, qt.HasLen, tried)
 		})
 	}
 }
 
 func TestCrowdedServiceTimes(t *testing.T) {
-	c := plainChooser(2)
-	reaches(c, 0, "a", true)
-	c.pools["plain"].serve = mean{80, 1}
+	c := plainScheduler(2)
+	countRequestsTo(c, 0, "a", true)
+	c.pools["plain"].plainTime = movingMean{80, 1}
 	for _, id := range []string{"a", "b"} {
-		c.Told(10*second, id, Load{Running: 4, Waiting: 3, Slots: 4})
+		c.ObserveLoad(10*second, id, Load{Running: 4, Waiting: 3, Slots: 4})
 	}
-	wait, free := c.Crowded(10*second, &Request{Service: plainService()})
+	wait, free := c.QueueDelay(10*second, &Request{Service: plainService()})
 	qt.Check(t, free, qt.IsFalse)
-	qt.Check(t, ms(wait), near, 80.0*4/4, 1e-3, qt.Commentf("three before it and its own turn"))
+	qt.Check(t, ms(wait), isNear, 80.0*4/4, 1e-3, qt.Commentf("three before it and its own turn"))
 }
--- a/internal/router/scheduler/draw_test.go
+++ b/internal/router/scheduler/draw_test.go
@@ -11,11 +11,11 @@
 )
 
 // drawn counts how often each candidate is drawn.
-func drawn(levels []float64, arrive float64, n int) []float64 {
+func drawCounts(levels []float64, arrive float64, n int) []float64 {
 	c := New("z0", 7)
 	var all []candidate
 	for _, level := range levels {
-		all = append(all, candidate{server: &server{speed: 1, listed: -time.Hour}, queue: level})
+		all = append(all, candidate{serverState: &serverState{speed: 1, listedAt: -time.Hour}, queueMs: level})
 	}
 	seen := make([]float64, len(levels))
 	for range n {
@@ -44,9 +44,9 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			weights := []float64{1, 1, 1}
-			seen := drawn(test.levels, test.arrive, n)
+			seen := drawCounts(test.levels, test.arrive, n)
 			for i, share := range balance.Fill(test.levels, weights, test.arrive) {
-				qt.Check(t, seen[i]/n, near, share, 0.015)
+				qt.Check(t, seen[i]/n, isNear, share, 0.015)
 			}
 		})
 	}
@@ -54,11 +54,11 @@
 
 // TestStaleFiguresAreDrawnEvenly: what was told 5 s ago at one time of much difference says little now.
 func TestStaleFiguresAreDrawnEvenly(t *testing.T) {
-	c := plainChooser(4)
+	c := plainScheduler(4)
 	c.Split(0, &Request{Service: plainService()})
-	reaches(c, 0, "a", true)
+	countRequestsTo(c, 0, "a", true)
 	for i, id := range []string{"a", "b", "c", "d"} {
-		c.Told(10*second, id, Load{Running: i, Slots: 4})
+		c.ObserveLoad(10*second, id, Load{Running: i, Slots: 4})
 	}
 	fresh, stale := map[string]int{}, map[string]int{}
 	for range 2000 {
@@ -70,44 +70,44 @@
 	}
 	qt.Check(t, fresh, qt.DeepEquals, map[string]int{"a": 2000}, qt.Commentf("just told, the shortest queue"))
 	for _, n := range stale {
-		qt.Check(t, float64(n), near, 500.0, 250)
+		qt.Check(t, float64(n), isNear, 500.0, 250)
 	}
 }
 
 func TestShortQueuesAreFavouredLessWithAge(t *testing.T) {
 	last := 1.0
 	for _, age := range []time.Duration{0, 30 * time.Millisecond, 100 * time.Millisecond, second} {
-		c := plainChooser(2)
-		reaches(c, 0, "a", true)
-		c.Told(10*second, "a", Load{Running: 0, Slots: 4})
-		c.Told(10*second, "b", Load{Running: 3, Slots: 4})
-		part := float64(reaches(c, 10*second+age, "a", true)) / 100
+		c := plainScheduler(2)
+		countRequestsTo(c, 0, "a", true)
+		c.ObserveLoad(10*second, "a", Load{Running: 0, Slots: 4})
+		c.ObserveLoad(10*second, "b", Load{Running: 3, Slots: 4})
+		part := float64(countRequestsTo(c, 10*second+age, "a", true)) / 100
 		qt.Check(t, part <= last+0.1, qt.IsTrue, qt.Commentf("%v: %v after %v", age, part, last))
 		last = part
 	}
-	qt.Check(t, last, near, 0.5, 0.2)
+	qt.Check(t, last, isNear, 0.5, 0.2)
 }
 
 func TestNewServersAreNotPushedOver(t *testing.T) {
-	c := plainChooser(3)
-	reaches(c, 0, "a", true)
+	c := plainScheduler(3)
+	countRequestsTo(c, 0, "a", true)
 	for _, id := range []string{"a", "b", "c"} {
-		c.Told(60*second, id, Load{Running: 2, Slots: 4})
+		c.ObserveLoad(60*second, id, Load{Running: 2, Slots: 4})
 	}
 	table := append([]*catalog.Server{}, c.table.Service("plain")...)
 	table = append(table, &catalog.Server{ID: "d", Service: "plain", Slots: 4, State: catalog.Ready})
 	c.Update(60*second, catalog.NewTable(2, table))
-	qt.Check(t, reaches(c, 60*second+100*time.Millisecond, "d", true) < 20, qt.IsTrue)
-	qt.Check(t, float64(reaches(c, 80*second, "d", true)), near, 25.0, 15)
+	qt.Check(t, countRequestsTo(c, 60*second+100*time.Millisecond, "d", true) < 20, qt.IsTrue)
+	qt.Check(t, float64(countRequestsTo(c, 80*second, "d", true)), isNear, 25.0, 15)
 }
 
 func TestFullServersAreLeftWhileOthersAreFree(t *testing.T) {
-	c := plainChooser(3)
-	reaches(c, 0, "a", true)
+	c := plainScheduler(3)
+	countRequestsTo(c, 0, "a", true)
 	for _, id := range []string{"a", "b", "c"} {
-		c.Told(10*second, id, Load{Running: 4, Slots: 4})
+		c.ObserveLoad(10*second, id, Load{Running: 4, Slots: 4})
 	}
-	qt.Check(t, reaches(c, 10*second, "c", true) > 0, qt.IsTrue, qt.Commentf("all full"))
-	c.Told(10*second, "a", Load{Running: 3, Slots: 4})
-	qt.Check(t, reaches(c, 10*second+50*time.Millisecond, "a", true), qt.Equals, 100)
+	qt.Check(t, countRequestsTo(c, 10*second, "c", true) > 0, qt.IsTrue, qt.Commentf("all full"))
+	c.ObserveLoad(10*second, "a", Load{Running: 3, Slots: 4})
+	qt.Check(t, countRequestsTo(c, 10*second+50*time.Millisecond, "a", true), qt.Equals, 100)
 }
--- a/internal/router/scheduler/eligible.go
+++ b/internal/router/scheduler/eligible.go
@@ -7,90 +7,93 @@
 
 // patience is how long after its rest a server on probation gets requests that must not run twice, where no
 // other request has tried it before.
-const patience = 3 * time.Second
+const nonIdempotentProbeDelay = 3 * time.Second
 
 // eligible returns the servers that may take the call, with their queues and what they would have to read.
 // Servers in trouble or full are passed over while there are others.
-func (c *Chooser) eligible(now time.Duration, p *pool, r *Request, role Role, chain *prompt) []candidate {
-	servers := p.of(role)
-	average := meanOthers(servers)
-	p.age, p.sharing = c.sharedAge(now)
-	c.candidates = c.candidates[:0]
-	for _, s := range servers {
-		if !slices.Contains(r.Tried, s.ID) {
-			c.candidates = append(c.candidates, candidate{server: s})
-			p.measure(now, role, average, &c.candidates[len(c.candidates)-1])
+func (s *Scheduler) eligible(now time.Duration, pool *servicePool, request *Request, role Role,
+	chain *prefixChain) []candidate {
+	servers := pool.serversFor(role)
+	average := meanReportedOthers(servers)
+	pool.peerLoadAgeMs, pool.peerLoadKnown = s.peerLoadAge(now)
+	s.candidates = s.candidates[:0]
+	for _, server := range servers {
+		if !slices.Contains(request.Excluded, server.ID) {
+			s.candidates = append(s.candidates, candidate{serverState: server})
+			pool.estimateQueue(now, role, average, &s.candidates[len(s.candidates)-1])
 		}
 	}
-	c.candidates = wellOnly(now, r, role, c.candidates)
-	service := p.serviceTime(role, 0)
-	for i := range c.candidates {
-		x := &c.candidates[i]
-		x.avoid = x.stuck(now) || x.full(now, service)
+	s.candidates = dropEjected(now, request, role, s.candidates)
+	serviceMs := pool.serviceTime(role, 0)
+	for i := range s.candidates {
+		x := &s.candidates[i]
+		x.avoid = x.stuck(now) || x.full(now, serviceMs)
 	}
-	c.candidates = dropAvoided(c.candidates)
-	if p.service.Engine != nil && role != Write {
-		c.lookUp(chain)
+	s.candidates = dropAvoided(s.candidates)
+	if pool.service.Engine != nil && role != Decode {
+		s.fillUncached(chain)
 	}
-	return c.candidates
+	return s.candidates
 }
 
-// lookUp fills in what each candidate would have to read of a prompt: what this proxy has not sent there.
-// Other proxies may have, so that it may be no more than what the prompt shares with none.
-func (c *Chooser) lookUp(chain *prompt) {
+// fillUncached fills in what each candidate would have to read of a prompt: what this proxy has not sent
+// there. Other proxies may have, so that it may be no more than what the prompt shares with none.
+func (s *Scheduler) fillUncached(chain *prefixChain) {
 	_, shared, _ := chain.shared()
-	for i := range c.candidates {
-		x := &c.candidates[i]
-		x.uncached = chain.tokens - c.holdings.tokens(x.hash, chain)
-		x.most = x.uncached
-		x.least = min(x.uncached, chain.tokens-shared)
+	for i := range s.candidates {
+		candidate := &s.candidates[i]
+		candidate.uncachedTokens = chain.tokens - s.prefixes.cachedTokens(candidate.hash, chain)
+		candidate.maxUncached = candidate.uncachedTokens
+		candidate.minUncached = min(candidate.uncachedTokens, chain.tokens-shared)
 	}
 }
 
-// wellOnly leaves out servers that rest, and those on probation but for one idempotent request at a time.
+// dropEjected leaves out servers that rest, and those on probation but for one idempotent request at a time.
 // Where all are in trouble the one whose rest ends first is taken.
-func wellOnly(now time.Duration, r *Request, role Role, all []candidate) []candidate {
-	least := 0
+func dropEjected(now time.Duration, request *Request, role Role, all []candidate) []candidate {
+	soonest := 0
 	for i := range all {
-		x := &all[i]
-		x.avoid = !x.well(now, r.Idempotent || role == Read)
-		if x.restsUntil() < all[least].restsUntil() {
-			least = i
+		candidate := &all[i]
+		candidate.avoid = !candidate.available(now, request.Idempotent || role == Prefill)
+		if candidate.ejectedUntil() < all[soonest].ejectedUntil() {
+			soonest = i
 		}
 	}
-	kept := dropAvoided(all)
-	if len(kept) > 0 && kept[0].avoid {
-		kept[0] = all[least]
-		kept = kept[:1]
+	available := dropAvoided(all)
+	if len(available) > 0 && available[0].avoid {
+		available[0] = all[soonest]
+		available = available[:1]
 	}
-	return kept
+	return available
 }
 
 // well tells whether a server may get a request: it does not rest, and where it failed before, the request
 // may try it.
-func (s *server) well(now time.Duration, repeatable bool) bool {
-	if now < s.restsUntil() {
+func (s *serverState) available(now time.Duration, idempotent bool) bool {
+	if now < s.ejectedUntil() {
 		return false
 	}
-	if !s.trust.probation() && !s.handles.probation() {
+	if !s.outliers.halfOpen() && !s.transferOutliers.halfOpen() {
 		return true
 	}
-	return len(s.calls) == 0 && (repeatable || now > s.restsUntil()+patience)
+	return len(s.calls) == 0 && (idempotent || now > s.ejectedUntil()+nonIdempotentProbeDelay)
 }
 
-func (s *server) restsUntil() time.Duration { return max(s.trust.until, s.handles.until) }
+func (s *serverState) ejectedUntil() time.Duration {
+	return max(s.outliers.ejectedUntil, s.transferOutliers.ejectedUntil)
+}
 
 // dropAvoided deletes the candidates to avoid, unless those are all.
 func dropAvoided(all []candidate) []candidate {
-	kept := 0
+	count := 0
 	for i := range all {
 		if !all[i].avoid {
-			all[kept] = all[i]
-			kept++
+			all[count] = all[i]
+			count++
 		}
 	}
-	if kept == 0 {
+	if count == 0 {
 		return all
 	}
-	return all[:kept]
+	return all[:count]
 }
--- a/internal/router/scheduler/fit_test.go
+++ b/internal/router/scheduler/fit_test.go
@@ -13,20 +13,20 @@
 		base, slope, above float64
 	}{
 		{"as guessed", 10, 1.0 / 30, 1}, {"three times as fast", 20, 0.01, 1},
-		{"three times as slow", 20, 0.1, 1}, {"fast, with reads that wait", 20, 0.01, waited},
-		{"slow, with reads that wait", 20, 0.1, waited},
+		{"three times as slow", 20, 0.1, 1}, {"fast, with reads that wait", 20, 0.01, queuedSampleWeight},
+		{"slow, with reads that wait", 20, 0.1, queuedSampleWeight},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			random := rand.New(rand.NewPCG(1, 1))
-			f := newFit(guessedSetup, guessedRead, guessedTokens, test.above)
+			f := newLinearFit(initialPrefillSetupMs, initialPrefillMsPerToken, initialPrefillTokens, test.above)
 			for range 400 {
 				x := 500 + 4000*random.Float64()
 				f.add(x, test.base+test.slope*x, 1)
 			}
 			for _, x := range []float64{1000, 2000, 4000} {
-				c.Check(f.at(x)/(test.base+test.slope*x), near, 1.0, 0.15)
+				c.Check(f.at(x)/(test.base+test.slope*x), isNear, 1.0, 0.15)
 			}
 		})
 	}
@@ -35,7 +35,7 @@
 func TestFitFollowsTheQuickestSamples(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
-	f := newFit(guessedSetup, guessedRead, guessedTokens, waited)
+	f := newLinearFit(initialPrefillSetupMs, initialPrefillMsPerToken, initialPrefillTokens, queuedSampleWeight)
 	for range 300 {
 		x := 500 + 4000*random.Float64()
 		waited := 0.0
@@ -44,15 +44,15 @@
 		}
 		f.add(x, 20+x/50+waited, 1)
 	}
-	c.Check(f.at(3000), near, 80.0, 16)
+	c.Check(f.at(3000), isNear, 80.0, 16)
 }
 
 func TestFitKeepsItsGuessWithoutSpread(t *testing.T) {
 	c := qt.New(t)
-	f := newFit(10, 0.1, 100, 1)
+	f := newLinearFit(10, 0.1, 100, 1)
 	for range 200 {
 		f.add(100, 20, 1)
 	}
-	c.Check(f.at(100), near, 20.0, 0.5)
+	c.Check(f.at(100), isNear, 20.0, 0.5)
 	c.Check(f.at(200) > f.at(100), qt.IsTrue)
 }
--- a/internal/router/scheduler/lateness.go
+++ b/internal/router/scheduler/lateness.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	lateGain  = 0.3 // of a sample
-	lateDecay = 2 * time.Second
-	lateFree  = 0.5  // a call may take so much longer than expected, as a part of it,
-	lateLeast = 20.0 // and at least so many ms, and is not late
+	lateGain            = 0.3 // of a sample
+	lateDecay           = 2 * time.Second
+	lateToleranceFactor = 0.5  // a call may take so much longer than expected, as a part of it,
+	minLateToleranceMs  = 20.0 // and at least so many ms, and is not late
 )
 
 // lateness follows how many ms later than expected the first signs of a server's answers came: slow links and
@@ -21,9 +21,9 @@
 }
 
 func (l *lateness) add(now time.Duration, late, expected float64) {
-	late = max(0, late-max(lateFree*expected, lateLeast))
-	was := l.now(now)
-	l.value, l.at = was+lateGain*(late-was), now
+	late = max(0, late-max(lateToleranceFactor*expected, minLateToleranceMs))
+	current := l.now(now)
+	l.value, l.at = current+lateGain*(late-current), now
 }
 
 func (l *lateness) now(now time.Duration) float64 {
--- a/internal/router/scheduler/level_test.go
+++ b/internal/router/scheduler/level_test.go
@@ -10,16 +10,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func testServer(others float64, toldAt time.Duration) *server {
-	s := newServer(0, &catalog.Server{ID: "a", Slots: 10, Stage: catalog.Writing})
-	s.others, s.toldAt, s.known, s.usual = others, toldAt, true, mean{others, 1}
+func testServer(others float64, toldAt time.Duration) *serverState {
+	s := newServerState(0, &catalog.Server{ID: "a", Slots: 10, Stage: catalog.Writing})
+	s.reportedOthers, s.reportedAt, s.hasReport, s.baselineOthers = others, toldAt, true, movingMean{others, 1}
 	return s
 }
 
 func TestOthersDecayTowardsTheUsualLoad(t *testing.T) {
 	const service, parallel, average = 100.0, 1.0, 2.0
-	usual := (average*usualPrior + 8*1) / (usualPrior + 1)
-	tau := decayTimes * (1 + 8.0) * service
+	usual := (average*baselinePrior + 8*1) / (baselinePrior + 1)
+	tau := decayServiceTimes * (1 + 8.0) * service
 	tests := []struct {
 		age  time.Duration
 		want float64
@@ -31,42 +31,42 @@
 	}
 	for _, test := range tests {
 		t.Run(test.age.String(), func(t *testing.T) {
-			got := testServer(8, second).othersNow(second+test.age, average, parallel, service)
-			qt.Check(t, got, near, test.want, 1e-6)
+			got := testServer(8, second).estimatedOthers(second+test.age, average, parallel, service)
+			qt.Check(t, got, isNear, test.want, 1e-6)
 		})
 	}
 }
 
 func TestServerWithoutFigureHasTheMeanOfTheOthers(t *testing.T) {
 	c := qt.New(t)
-	unknown := newServer(0, &catalog.Server{ID: "b"})
-	all := []*server{testServer(2, 0), testServer(4, 0), unknown}
-	c.Check(meanOthers(all), qt.Equals, 3.0)
-	c.Check(unknown.othersNow(second, meanOthers(all), 1, 100), qt.Equals, 3.0)
-	c.Check(meanOthers([]*server{unknown}), qt.Equals, 0.0)
+	unknown := newServerState(0, &catalog.Server{ID: "b"})
+	all := []*serverState{testServer(2, 0), testServer(4, 0), unknown}
+	c.Check(meanReportedOthers(all), qt.Equals, 3.0)
+	c.Check(unknown.estimatedOthers(second, meanReportedOthers(all), 1, 100), qt.Equals, 3.0)
+	c.Check(meanReportedOthers([]*serverState{unknown}), qt.Equals, 0.0)
 }
 
 func TestOwnCallsAreCountedOnce(t *testing.T) {
 	c := qt.New(t)
 	s := testServer(0, 0)
-	early, late := &Call{started: second}, &Call{started: 3 * second}
-	s.begin(early)
-	s.begin(late)
-	s.tell(2*second, Load{Running: 3, Waiting: 1, Slots: 10})
-	c.Check(s.others, qt.Equals, 3.0, qt.Commentf("four told, one of them this proxy's"))
-	s.tell(4*second, Load{Running: 1, Slots: 10})
-	c.Check(s.others, qt.Equals, 0.0, qt.Commentf("fewer told than this proxy has"))
-	s.tell(3*second, Load{Running: 9, Slots: 10})
-	c.Check(s.others, qt.Equals, 0.0, qt.Commentf("an older figure"))
-	s.end(5*second, early)
+	early, late := &Call{startedAt: second}, &Call{startedAt: 3 * second}
+	s.beginCall(early)
+	s.beginCall(late)
+	s.recordReport(2*second, Load{Running: 3, Waiting: 1, Slots: 10})
+	c.Check(s.reportedOthers, qt.Equals, 3.0, qt.Commentf("four told, one of them this proxy's"))
+	s.recordReport(4*second, Load{Running: 1, Slots: 10})
+	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("fewer told than this proxy has"))
+	s.recordReport(3*second, Load{Running: 9, Slots: 10})
+	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("an older figure"))
+	s.endCall(5*second, early)
 	c.Check(s.calls, qt.HasLen, 1)
 }
 
 func TestOwnReadingDrainsWhileItRuns(t *testing.T) {
 	s := testServer(0, 0)
-	first, second, third := &Call{readWork: 100}, &Call{readWork: 200}, &Call{readWork: 100}
+	first, second, third := &Call{prefillMs: 100}, &Call{prefillMs: 200}, &Call{prefillMs: 100}
 	for _, call := range []*Call{first, second, third} {
-		s.begin(call)
+		s.beginCall(call)
 	}
 	tests := []struct {
 		name  string
@@ -85,60 +85,60 @@
 	}
 	for _, test := range tests {
 		if test.ended != nil {
-			s.end(test.now, test.ended)
+			s.endCall(test.now, test.ended)
 		}
-		qt.Check(t, s.readingLeft(test.now), near, test.want, 1e-6, qt.Commentf(test.name))
+		qt.Check(t, s.remainingPrefillMs(test.now), isNear, test.want, 1e-6, qt.Commentf(test.name))
 	}
 }
 
 func TestLevels(t *testing.T) {
-	p := newPool(modelService())
-	p.read, p.pace = newFit(10, 0.02, 1000, 1), newFit(5, 0.5, 10, 1)
-	p.tokens, p.output = mean{2000, 1}, mean{20, 1}
+	p := newServicePool(modelService())
+	p.prefillTime, p.timePerToken = newLinearFit(10, 0.02, 1000, 1), newLinearFit(5, 0.5, 10, 1)
+	p.prefillTokens, p.outputTokens = movingMean{2000, 1}, movingMean{20, 1}
 	const now = second
 	reading, running := testServer(2, now), testServer(4, now)
 	late, direct := testServer(0, now), testServer(0, now)
-	reading.begin(&Call{readWork: 80, started: now})
-	reading.readAt = now
-	running.begin(&Call{started: now})
-	late.late = lateness{50, now}
-	direct.begin(&Call{readWork: 70, started: now})
-	direct.readAt = now
+	reading.beginCall(&Call{prefillMs: 80, startedAt: now})
+	reading.ownPrefillAt = now
+	running.beginCall(&Call{startedAt: now})
+	late.lateness = lateness{50, now}
+	direct.beginCall(&Call{prefillMs: 70, startedAt: now})
+	direct.ownPrefillAt = now
 	tests := []struct {
 		name string
 		role Role
-		s    *server
+		s    *serverState
 		want float64
 	}{
-		{"read: own tokens and others' calls", Read, reading, 80 + 2*(10+0.02*2000)},
-		{"write: calls over slots, each as slow as they are many", Write, running, 20 * (5 + 0.5*5) * 5 / 10},
-		{"write: lateness", Write, late, 50},
-		{"write: prompts read there do not count", Write, direct, 20 * (5 + 0.5*1) / 10},
+		{"read: own tokens and others' calls", Prefill, reading, 80 + 2*(10+0.02*2000)},
+		{"write: calls over slots, each as slow as they are many", Decode, running, 20 * (5 + 0.5*5) * 5 / 10},
+		{"write: lateness", Decode, late, 50},
+		{"write: prompts read there do not count", Decode, direct, 20 * (5 + 0.5*1) / 10},
 		{"serve: prompts read there do", Serve, direct, 70 + 20*(5+0.5*1)/10},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			x := candidate{server: test.s}
-			p.measure(now, test.role, 0, &x)
-			qt.Check(t, x.queue, near, test.want, 1e-6)
+			x := candidate{serverState: test.s}
+			p.estimateQueue(now, test.role, 0, &x)
+			qt.Check(t, x.queueMs, isNear, test.want, 1e-6)
 		})
 	}
 }
 
 func TestLevelsOfServersWithoutModel(t *testing.T) {
-	p := newPool(plainService())
-	p.serve = mean{40, 1}
-	x := candidate{server: testServer(5, second)}
-	p.measure(second, Serve, 0, &x)
-	qt.Check(t, x.queue, near, 40.0*5/10, 1e-6)
+	p := newServicePool(plainService())
+	p.plainTime = movingMean{40, 1}
+	x := candidate{serverState: testServer(5, second)}
+	p.estimateQueue(second, Serve, 0, &x)
+	qt.Check(t, x.queueMs, isNear, 40.0*5/10, 1e-6)
 }
 
 func TestDirectPromptsOfOtherProxies(t *testing.T) {
-	p := newPool(modelService())
-	p.directLeft, p.directCalls = mean{30, 1}, mean{0.5, 1}
+	p := newServicePool(modelService())
+	p.directPrefillMs, p.directCalls = movingMean{30, 1}, movingMean{0.5, 1}
 	tests := []struct{ others, want float64 }{{0, 0}, {0.5, 30}, {4.5, 270}}
 	for _, test := range tests {
-		qt.Check(t, p.othersDirect(test.others), near, test.want, 1e-6)
+		qt.Check(t, p.peerDirectPrefillMs(test.others), isNear, test.want, 1e-6)
 	}
 }
 
@@ -158,7 +158,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			service := modelService()
 			service.Engine.LinkMbps = test.megabits
-			qt.Check(t, newPool(service).moveTime(test.tokens, test.between), near, test.want, 1e-6)
+			qt.Check(t, newServicePool(service).transferTime(test.tokens, test.between), isNear, test.want, 1e-6)
 		})
 	}
 }
@@ -166,12 +166,12 @@
 func TestFullServers(t *testing.T) {
 	const service = 100.0
 	told := func(busy float64, age time.Duration) *candidate {
-		return &candidate{server: testServer(busy, 10*second-age)}
+		return &candidate{serverState: testServer(busy, 10*second-age)}
 	}
 	rejecting := told(0, 0)
-	rejecting.trust.full = 10*second + 1
-	own := &candidate{server: newServer(0, &catalog.Server{ID: "a", Slots: 1})}
-	own.begin(&Call{})
+	rejecting.outliers.fullUntil = 10*second + 1
+	own := &candidate{serverState: newServerState(0, &catalog.Server{ID: "a", Slots: 1})}
+	own.beginCall(&Call{})
 	tests := []struct {
 		name string
 		c    *candidate
@@ -191,16 +191,17 @@
 func TestWeights(t *testing.T) {
 	tests := []struct {
 		name string
-		s    *server
+		s    *serverState
 		now  time.Duration
 		want float64
 	}{
-		{"long known", &server{speed: 1.5}, time.Minute, 1.5},
-		{"just listed", &server{speed: 1, listed: time.Minute}, time.Minute, newShare},
-		{"half way", &server{speed: 1, listed: time.Minute}, time.Minute + slowStart/2, (1 + newShare) / 2},
-		{"cold", &server{speed: 1, warm: 2 * time.Minute}, time.Minute, coldShare},
+		{"long known", &serverState{speed: 1.5}, time.Minute, 1.5},
+		{"just listed", &serverState{speed: 1, listedAt: time.Minute}, time.Minute, slowStartMinWeight},
+		{"half way", &serverState{speed: 1, listedAt: time.Minute}, time.Minute + slowStartWindow/2,
+			(1 + slowStartMinWeight) / 2},
+		{"cold", &serverState{speed: 1, warmAt: 2 * time.Minute}, time.Minute, warmUpWeight},
 	}
 	for _, test := range tests {
-		qt.Check(t, test.s.weight(test.now), near, test.want, 1e-6, qt.Commentf(test.name))
+		qt.Check(t, test.s.weight(test.now), isNear, test.want, 1e-6, qt.Commentf(test.name))
 	}
 }
--- a/internal/router/scheduler/near.go
+++ b/internal/router/scheduler/near.go
@@ -8,22 +8,24 @@
 
 // near returns the writers in the zone of the reader that holds the memory, and all where those are fewer
 // than two or busier than the others by more than a margin. Each costs the time of the move.
-func (c *Chooser) near(p *pool, all []candidate, chain *prompt, reader *catalog.Server) []candidate {
-	zone := c.zone
-	if reader != nil {
-		zone = reader.Zone
+func (s *Scheduler) preferZone(pool *servicePool, all []candidate, chain *prefixChain,
+	prefillServer *catalog.Server) []candidate {
+	zone := s.zone
+	if prefillServer != nil {
+		zone = prefillServer.Zone
 	}
-	var inside, outside, in, out float64
+	var insideMs, outsideMs, insideServers, outsideServers float64
 	for i := range all {
-		x := &all[i]
-		x.cost = p.moveTime(chain.tokens, x.Zone != zone)
-		if x.Zone == zone {
-			inside, in = inside+x.level(), in+1
+		writer := &all[i]
+		writer.costMs = pool.transferTime(chain.tokens, writer.Zone != zone)
+		if writer.Zone == zone {
+			insideMs, insideServers = insideMs+writer.waterLevel(), insideServers+1
 		} else {
-			outside, out = outside+x.level(), out+1
+			outsideMs, outsideServers = outsideMs+writer.waterLevel(), outsideServers+1
 		}
 	}
-	if in < 2 || out > 0 && inside/in > outside/out+zoneMargin*p.serviceTime(Write, 0) {
+	if insideServers < 2 || outsideServers > 0 &&
+		insideMs/insideServers > outsideMs/outsideServers+zoneMargin*pool.serviceTime(Decode, 0) {
 		return all
 	}
 	for i := range all {
--- a/internal/router/scheduler/near_checker_test.go
+++ b/internal/router/scheduler/near_checker_test.go
@@ -8,7 +8,7 @@
 )
 
 // near checks that a number lies within a distance of another.
-var near qt.Checker = &nearChecker{}
+var isNear qt.Checker = &nearChecker{}
 
 type nearChecker struct{}
 
--- a/internal/router/scheduler/near_test.go
+++ b/internal/router/scheduler/near_test.go
@@ -28,16 +28,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			zones := map[string]int{}
 			for seed := range uint64(100) {
-				c := settled(seed, 7, test.writers)
+				c := warmScheduler(seed, 7, test.writers)
 				for id, s := range c.servers {
 					if s.Stage == catalog.Writing && s.Zone == test.reader {
-						c.Told(10*second, id, Load{Running: test.near, Slots: 64})
+						c.ObserveLoad(10*second, id, Load{Running: test.near, Slots: 64})
 					} else if s.Stage == catalog.Writing {
-						c.Told(10*second, id, Load{Running: test.far, Slots: 64})
+						c.ObserveLoad(10*second, id, Load{Running: test.far, Slots: 64})
 					}
 				}
 				reader := &catalog.Server{ID: "r1", Zone: test.reader}
-				call := c.Choose(10*second+100*time.Millisecond, prompted("a", 1), Write, reader)
+				call := c.Choose(10*second+100*time.Millisecond, prompted("a", 1), Decode, reader)
 				zones[call.Server.Zone]++
 			}
 			only := len(zones) == 1 && zones[test.reader] > 0
@@ -47,12 +47,12 @@
 }
 
 func TestMoveWeighsOnFarWriters(t *testing.T) {
-	c := settled(1, 1, 2)
-	p, chain := c.pool(10*second, modelService()), newPrompt(prompted("a", 1))
-	eligible := c.eligible(10*second, p, prompted("a", 1), Write, &chain)
-	all := c.near(p, eligible, &chain, &catalog.Server{Zone: "z1"})
+	c := warmScheduler(1, 1, 2)
+	p, chain := c.pool(10*second, modelService()), newPrefixChain(prompted("a", 1))
+	eligible := c.eligible(10*second, p, prompted("a", 1), Decode, &chain)
+	all := c.preferZone(p, eligible, &chain, &catalog.Server{Zone: "z1"})
 	for i := range all {
-		want := p.moveTime(14000, all[i].Zone != "z1")
-		qt.Check(t, all[i].cost, near, want, 1e-9)
+		want := p.transferTime(14000, all[i].Zone != "z1")
+		qt.Check(t, all[i].costMs, isNear, want, 1e-9)
 	}
 }
--- a/internal/router/scheduler/pairing_test.go
+++ b/internal/router/scheduler/pairing_test.go
@@ -35,17 +35,17 @@
 	return all
 }
 
-func modelChooser(seed uint64, readers, writers int) *Chooser {
+func modelScheduler(seed uint64, readers, writers int) *Scheduler {
 	c := New("z0", seed)
 	c.Update(0, catalog.NewTable(1, modelServers(readers, writers)))
 	return c
 }
 
 // warm lets the servers be known, calm and no longer new at 10 s.
-func warm(c *Chooser, now time.Duration) *Chooser {
+func warmUp(c *Scheduler, now time.Duration) *Scheduler {
 	c.Split(0, prompted("warm", 0))
 	for id := range c.servers {
-		c.Told(now, id, Load{Slots: 32})
+		c.ObserveLoad(now, id, Load{Slots: 32})
 	}
 	return c
 }
@@ -53,18 +53,18 @@
 func prompted(thing string, own int) *Request {
 	return &Request{
 		Service: modelService(), PromptTokens: 14000, OutputTokens: 20, Idempotent: true,
-		Parts: []Part{{thing, 12000}, {fmt.Sprint(thing, "-", own), 2000}},
+		Segments: []Segment{{thing, 12000}, {fmt.Sprint(thing, "-", own), 2000}},
 	}
 }
 
 func TestSplitReadsAtOneServerAndWritesAtAnother(t *testing.T) {
 	c := qt.New(t)
-	chooser := warm(modelChooser(1, 3, 3), 10*second)
+	chooser := warmUp(modelScheduler(1, 3, 3), 10*second)
 	r := prompted("a", 1)
 	c.Assert(chooser.Split(10*second, r), qt.IsTrue)
-	read := chooser.Choose(10*second, r, Read, nil)
+	read := chooser.Choose(10*second, r, Prefill, nil)
 	c.Assert(read.Server.Stage, qt.Equals, catalog.Reading)
-	write := chooser.Choose(10*second, r, Write, read.Server)
+	write := chooser.Choose(10*second, r, Decode, read.Server)
 	c.Assert(write.Server.Stage, qt.Equals, catalog.Writing)
 }
 
@@ -76,14 +76,15 @@
 func TestPromptsStayWithTheirReader(t *testing.T) {
 	c := qt.New(t)
 	holds := map[string]bool{}
-	proxies := []*Chooser{warm(modelChooser(1, 7, 11), 10*second), warm(modelChooser(2, 7, 11), 10*second)}
+	proxies := []*Scheduler{warmUp(modelScheduler(1, 7, 11), 10*second), warmUp(modelScheduler(2, 7, 11),
+		10*second)}
 	now := 10 * second
 	for thing := range 30 {
 		seen := map[string]int{}
 		for own := range 6 {
 			chooser := proxies[own%2]
 			r := prompted(fmt.Sprint("thing", thing), own)
-			call := chooser.Choose(now, r, Read, nil)
+			call := chooser.Choose(now, r, Prefill, nil)
 			seen[call.Server.ID]++
 			tokens, key := 2000, fmt.Sprint(call.Server.ID, thing)
 			if !holds[key] {
@@ -91,7 +92,7 @@
 			}
 			now += readTime(tokens)
 			chooser.FirstEvent(now, call)
-			chooser.Told(now, call.Server.ID, Load{Slots: 32})
+			chooser.ObserveLoad(now, call.Server.ID, Load{Slots: 32})
 			chooser.Done(now, call, Served)
 			now += 300 * time.Millisecond
 		}
@@ -101,18 +102,18 @@
 
 func TestNilOnlyWhereAllServersWereTried(t *testing.T) {
 	c := qt.New(t)
-	chooser := modelChooser(1, 1, 2)
+	chooser := modelScheduler(1, 1, 2)
 	r := prompted("a", 1)
 	for _, id := range []string{"w0", "w1"} {
 		for range 3 {
-			call := chooser.Choose(second, &Request{Service: r.Service, Tried: other(id)}, Write, nil)
+			call := chooser.Choose(second, &Request{Service: r.Service, Excluded: other(id)}, Decode, nil)
 			c.Assert(call.Server.ID, qt.Equals, id)
 			chooser.Done(second, call, Unreachable)
 		}
 	}
-	c.Assert(chooser.Choose(second, r, Write, nil), qt.IsNotNil)
-	r.Tried = []string{"w0", "w1"}
-	c.Assert(chooser.Choose(second, r, Write, nil), qt.IsNil)
+	c.Assert(chooser.Choose(second, r, Decode, nil), qt.IsNotNil)
+	r.Excluded = []string{"w0", "w1"}
+	c.Assert(chooser.Choose(second, r, Decode, nil), qt.IsNil)
 }
 
 func other(id string) []string {
@@ -124,9 +125,9 @@
 
 func TestLastReaderLost(t *testing.T) {
 	c := qt.New(t)
-	chooser := modelChooser(1, 1, 2)
+	chooser := modelScheduler(1, 1, 2)
 	r := prompted("a", 1)
-	call := chooser.Choose(second, r, Read, nil)
+	call := chooser.Choose(second, r, Prefill, nil)
 	chooser.Done(second, call, Unreachable)
 	c.Assert(chooser.Split(second, r), qt.IsFalse)
 	c.Assert(chooser.Choose(second, r, Serve, nil).Server.Stage, qt.Equals, catalog.Writing)
@@ -135,7 +136,7 @@
 }
 
 func benchmark(b *testing.B, readers, writers int) {
-	chooser := warm(modelChooser(1, readers, writers), 10*second)
+	chooser := warmUp(modelScheduler(1, readers, writers), 10*second)
 	requests := make([]*Request, 200)
 	for i := range requests {
 		requests[i] = prompted(fmt.Sprint("thing", i%50), i)
@@ -146,8 +147,8 @@
 		now += time.Millisecond
 		r := requests[i%len(requests)]
 		chooser.Split(now, r)
-		read := chooser.Choose(now, r, Read, nil)
-		write := chooser.Choose(now, r, Write, read.Server)
+		read := chooser.Choose(now, r, Prefill, nil)
+		write := chooser.Choose(now, r, Decode, read.Server)
 		chooser.Done(now, read, Served)
 		chooser.FirstEvent(now, write)
 		chooser.Done(now, write, Served)
--- a/internal/router/scheduler/popularity.go
+++ b/internal/router/scheduler/popularity.go
@@ -16,13 +16,13 @@
 	count int // of all prompts noted
 }
 
-func (p *popularity) note(name uint64) {
+func (p *popularity) record(name uint64) {
 	p.names[p.count%recentPrompts] = name
 	p.count++
 }
 
 // share is the part of the last prompts that had the name, 0 until enough have come to tell.
-func (p *popularity) share(name uint64) float64 {
+func (p *popularity) fraction(name uint64) float64 {
 	if p.count < recentPrompts {
 		return 0
 	}
@@ -37,7 +37,7 @@
 
 // width is k: how many of so many servers a prompt may go to. One that makes up a large part of all prompts
 // needs as large a part of the servers.
-func (p *popularity) width(name uint64, servers int) int {
-	wanted := int(math.Ceil(popularMargin * p.share(name) * float64(servers)))
-	return min(max(ranked, wanted), servers)
+func (p *popularity) affinityServers(name uint64, servers int) int {
+	wanted := int(math.Ceil(popularMargin * p.fraction(name) * float64(servers)))
+	return min(max(minAffinityServers, wanted), servers)
 }
--- a/internal/router/scheduler/popularity_test.go
+++ b/internal/router/scheduler/popularity_test.go
@@ -20,14 +20,14 @@
 			if i%test.every == 0 {
 				name = 7
 			}
-			p.note(name)
+			p.record(name)
 		}
-		qt.Check(t, p.width(7, test.servers), qt.Equals, test.want, qt.Commentf("%+v", test))
+		qt.Check(t, p.affinityServers(7, test.servers), qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
 }
 
 func TestPopularityIsUnknownAtFirst(t *testing.T) {
 	var p popularity
-	p.note(7)
-	qt.Assert(t, p.width(7, 12), qt.Equals, ranked)
+	p.record(7)
+	qt.Assert(t, p.affinityServers(7, 12), qt.Equals, minAffinityServers)
 }
--- a/internal/router/scheduler/prefix_test.go
+++ b/internal/router/scheduler/prefix_test.go
@@ -9,21 +9,21 @@
 	"cresshub/internal/router/catalog"
 )
 
-func chainOf(parts ...string) *prompt {
+func chainOfSegments(parts ...string) *prefixChain {
 	r := &Request{Service: modelService()}
 	for _, id := range parts {
-		r.Parts = append(r.Parts, Part{id, 100})
+		r.Segments = append(r.Segments, Segment{id, 100})
 	}
-	p := newPrompt(r)
+	p := newPrefixChain(r)
 	return &p
 }
 
 func TestPartsAreNamedWithAllBeforeThem(t *testing.T) {
 	c := qt.New(t)
-	ab, ac, cb := chainOf("a", "b"), chainOf("a", "c"), chainOf("c", "b")
-	c.Check(ab.names[0], qt.Equals, ac.names[0])
-	c.Check(ab.names[1], qt.Not(qt.Equals), ac.names[1])
-	c.Check(ab.names[1], qt.Not(qt.Equals), cb.names[1], qt.Commentf("the same part behind another one"))
+	ab, ac, cb := chainOfSegments("a", "b"), chainOfSegments("a", "c"), chainOfSegments("c", "b")
+	c.Check(ab.hashes[0], qt.Equals, ac.hashes[0])
+	c.Check(ab.hashes[1], qt.Not(qt.Equals), ac.hashes[1])
+	c.Check(ab.hashes[1], qt.Not(qt.Equals), cb.hashes[1], qt.Commentf("the same part behind another one"))
 }
 
 func TestSharedPartsAreAllButTheLast(t *testing.T) {
@@ -36,7 +36,7 @@
 		{[]string{"a", "b"}, 100, true}, {[]string{"a", "b", "c"}, 200, true},
 	}
 	for _, test := range tests {
-		_, tokens, ok := chainOf(test.parts...).shared()
+		_, tokens, ok := chainOfSegments(test.parts...).shared()
 		qt.Check(t, ok, qt.Equals, test.ok)
 		qt.Check(t, tokens, qt.Equals, test.tokens)
 	}
@@ -44,58 +44,59 @@
 
 func TestLongChainsAreCut(t *testing.T) {
 	var parts []string
-	for i := range 3 * maxChain {
+	for i := range 3 * maxChainSegments {
 		parts = append(parts, fmt.Sprint(i))
 	}
-	chain := chainOf(parts...)
-	qt.Check(t, chain.length, qt.Equals, maxChain)
+	chain := chainOfSegments(parts...)
+	qt.Check(t, chain.length, qt.Equals, maxChainSegments)
 }
 
 func TestHoldings(t *testing.T) {
 	c := qt.New(t)
-	h := newHoldings(100)
-	c.Check(h.note(1, chainOf("a", "b")), qt.Equals, 0)
-	c.Check(h.tokens(1, chainOf("a", "c")), qt.Equals, 100)
-	c.Check(h.tokens(1, chainOf("a", "b")), qt.Equals, 200)
-	c.Check(h.tokens(2, chainOf("a", "b")), qt.Equals, 0)
-	before := h.note(1, chainOf("a", "d"))
+	h := newPrefixIndex(100)
+	c.Check(h.record(1, chainOfSegments("a", "b")), qt.Equals, 0)
+	c.Check(h.cachedTokens(1, chainOfSegments("a", "c")), qt.Equals, 100)
+	c.Check(h.cachedTokens(1, chainOfSegments("a", "b")), qt.Equals, 200)
+	c.Check(h.cachedTokens(2, chainOfSegments("a", "b")), qt.Equals, 0)
+	before := h.record(1, chainOfSegments("a", "d"))
 	c.Check(before, qt.Equals, 1)
-	h.drop(1, chainOf("a", "d"), before)
-	c.Check(h.tokens(1, chainOf("a", "d")), qt.Equals, 100, qt.Commentf("it held the first part before"))
-	h.note(2, chainOf("a", "b"))
-	h.drop(1, chainOf("a", "b"), 0)
-	c.Check(h.tokens(1, chainOf("a", "b")), qt.Equals, 0)
-	c.Check(h.tokens(2, chainOf("a", "b")), qt.Equals, 200)
+	h.drop(1, chainOfSegments("a", "d"), before)
+	c.Check(h.cachedTokens(1, chainOfSegments("a", "d")), qt.Equals, 100,
+		qt.Commentf("it held the first part before"))
+	h.record(2, chainOfSegments("a", "b"))
+	h.drop(1, chainOfSegments("a", "b"), 0)
+	c.Check(h.cachedTokens(1, chainOfSegments("a", "b")), qt.Equals, 0)
+	c.Check(h.cachedTokens(2, chainOfSegments("a", "b")), qt.Equals, 200)
 }
 
 // TestServersThatComeBackStillHoldTheirPrompts: a server that was lost for a moment has lost nothing.
 func TestServersThatComeBackStillHoldTheirPrompts(t *testing.T) {
 	c := qt.New(t)
-	chooser := settled(1, 7, 11)
-	call := chooser.Choose(10*second, prompted("a", 1), Read, nil)
+	chooser := warmScheduler(1, 7, 11)
+	call := chooser.Choose(10*second, prompted("a", 1), Prefill, nil)
 	chooser.Done(11*second, call, Served)
 	table := chooser.table
 	chooser.Update(12*second, catalog.NewTable(2, nil))
 	chooser.Update(13*second, table)
-	chain := newPrompt(prompted("a", 2))
-	c.Check(chooser.holdings.tokens(serverHash(call.Server.ID), &chain), qt.Equals, 12000)
+	chain := newPrefixChain(prompted("a", 2))
+	c.Check(chooser.prefixes.cachedTokens(serverHash(call.Server.ID), &chain), qt.Equals, 12000)
 }
 
 func TestHoldingsAreBoundedAndKeepTheNewest(t *testing.T) {
 	c := qt.New(t)
-	h := newHoldings(10)
+	h := newPrefixIndex(10)
 	for i := range 1000 {
-		h.note(1, chainOf("kept"))
-		h.note(1, chainOf(fmt.Sprint(i)))
+		h.record(1, chainOfSegments("kept"))
+		h.record(1, chainOfSegments(fmt.Sprint(i)))
 		if i%7 == 0 {
-			h.drop(1, chainOf(fmt.Sprint(i)), 0)
+			h.drop(1, chainOfSegments(fmt.Sprint(i)), 0)
 		}
 	}
 	c.Check(len(h.index) <= 10, qt.IsTrue)
 	c.Check(len(h.entries) <= 11, qt.IsTrue)
-	c.Check(h.tokens(1, chainOf("kept")), qt.Equals, 100)
-	c.Check(h.tokens(1, chainOf("998")), qt.Equals, 100)
-	c.Check(h.tokens(1, chainOf("900")), qt.Equals, 0)
+	c.Check(h.cachedTokens(1, chainOfSegments("kept")), qt.Equals, 100)
+	c.Check(h.cachedTokens(1, chainOfSegments("998")), qt.Equals, 100)
+	c.Check(h.cachedTokens(1, chainOfSegments("900")), qt.Equals, 0)
 }
 
 func TestRanksMoveOnlyWithTheirServers(t *testing.T) {
@@ -107,7 +108,7 @@
 	}
 	var seven []candidate
 	for i := range 7 {
-		seven = append(seven, candidate{server: &server{hash: mix(uint64(i + 1))}})
+		seven = append(seven, candidate{serverState: &serverState{hash: mix(uint64(i + 1))}})
 	}
 	moved, load := 0, map[uint64]int{}
 	for name := range uint64(7000) {
@@ -118,8 +119,8 @@
 			c.Assert(was, qt.Equals, seven[6].hash, qt.Commentf("only names of the server that left move"))
 		}
 	}
-	c.Check(float64(moved), near, 1000.0, 150)
+	c.Check(float64(moved), isNear, 1000.0, 150)
 	for _, n := range load {
-		c.Check(float64(n), near, 1000.0, 150)
+		c.Check(float64(n), isNear, 1000.0, 150)
 	}
 }
--- a/internal/router/scheduler/split_test.go
+++ b/internal/router/scheduler/split_test.go
@@ -11,11 +11,11 @@
 
 func TestSplit(t *testing.T) {
 	long, short := prompted("a", 1), prompted("a", 1)
-	short.Parts, short.PromptTokens = []Part{{"own", 50}}, 50
-	rest := func(c *Chooser) { // all readers
+	short.Segments, short.PromptTokens = []Segment{{"own", 50}}, 50
+	rest := func(c *Scheduler) { // all readers
 		for _, s := range c.servers {
 			if s.Stage == catalog.Reading {
-				s.trust.rest(10*second, gone)
+				s.outliers.eject(10*second, unreachableEjectionTime)
 			}
 		}
 	}
@@ -24,21 +24,21 @@
 		r       *Request
 		readers int
 		writers int
-		prepare func(c *Chooser)
+		prepare func(c *Scheduler)
 		want    bool
 	}{
-		{"a long prompt, all idle", long, 7, 11, func(*Chooser) {}, true},
-		{"a short prompt", short, 7, 11, func(*Chooser) {}, false},
-		{"a long prompt, all readers full", long, 7, 11, func(c *Chooser) {
-			tellAll(c, 10*second, catalog.Reading, 32)
+		{"a long prompt, all idle", long, 7, 11, func(*Scheduler) {}, true},
+		{"a short prompt", short, 7, 11, func(*Scheduler) {}, false},
+		{"a long prompt, all readers full", long, 7, 11, func(c *Scheduler) {
+			reportAll(c, 10*second, catalog.Reading, 32)
 		}, false},
 		{"all readers rest", long, 7, 11, rest, false},
-		{"no readers", long, 0, 11, func(*Chooser) {}, false},
-		{"no writers", long, 7, 0, func(*Chooser) {}, true},
+		{"no readers", long, 0, 11, func(*Scheduler) {}, false},
+		{"no writers", long, 7, 0, func(*Scheduler) {}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := settled(1, test.readers, test.writers)
+			c := warmScheduler(1, test.readers, test.writers)
 			test.prepare(c)
 			qt.Check(t, c.Split(10*second, test.r), qt.Equals, test.want)
 		})
@@ -52,16 +52,16 @@
 // TestWriterThatHoldsNearlyAllServes: a session's next request finds its memory where the last one ran.
 func TestWriterThatHoldsNearlyAllServes(t *testing.T) {
 	c := qt.New(t)
-	chooser := settled(1, 7, 11)
+	chooser := warmScheduler(1, 7, 11)
 	r := prompted("a", 1)
-	first := chooser.Choose(10*second, r, Write, &catalog.Server{ID: "r0", Zone: "z0"})
+	first := chooser.Choose(10*second, r, Decode, &catalog.Server{ID: "r0", Zone: "z0"})
 	chooser.FirstEvent(10*second+30*time.Millisecond, first)
 	chooser.Done(10*second+200*time.Millisecond, first, Served)
 
 	next := prompted("a", 1)
-	next.Parts = append(next.Parts, Part{"turn", 40})
+	next.Segments = append(next.Segments, Segment{"turn", 40})
 	next.PromptTokens = 14040
-	tellAll(chooser, 11*second, catalog.Reading, 1)
+	reportAll(chooser, 11*second, catalog.Reading, 1)
 	c.Assert(chooser.Split(11*second, next), qt.IsFalse)
 	seen := map[string]int{}
 	for range 20 {
--- a/internal/router/scheduler/trust.go
+++ b/internal/router/scheduler/trust.go
@@ -3,86 +3,90 @@
 import "time"
 
 const (
-	gone        = time.Second            // first rest of a server that another has the address of, or nobody
-	troubled    = 500 * time.Millisecond // first rest of a server that answers badly
-	longestRest = 10 * time.Second
-	fullFor     = 100 * time.Millisecond // a server that rejected a request counts as full so long
-	twice       = 2                      // bad answers in a row before a server rests
-	stuckTimes  = 6.0                    // a call unanswered for so many times what was expected is stuck
-	stuckLeast  = time.Second            // and for at least this long
-	lateMove    = 500.0                  // ms that a server counts as late by when it could not fetch memory
+	// first rest of a server that another has the address of, or nobody
+	unreachableEjectionTime = time.Second
+	baseEjectionTime        = 500 * time.Millisecond // first rest of a server that answers badly
+	maxEjectionTime         = 10 * time.Second
+	// a server that rejected a request counts as full so long
+	rejectedFullTime           = 100 * time.Millisecond
+	consecutiveFailuresToEject = 2 // bad answers in a row before a server rests
+	// a call unanswered for so many times what was expected is stuck
+	stuckExpectedFactor = 6.0
+	minStuckTime        = time.Second // and for at least this long
+	// ms that a server counts as late by when it could not fetch memory
+	failedTransferLatenessMs = 500.0
 )
 
 // trust is how a server has answered lately. A server that failed rests for a time that grows with every
 // failure after a rest; then one request at a time tries it until one succeeds.
-type trust struct {
-	bad      int           // bad answers in a row
-	rests    int           // rests since the last good answer
-	until    time.Duration // end of the rest
-	full     time.Duration // until when it counts as full
-	answered time.Duration // when it last answered well
+type outlierDetector struct {
+	consecutiveFailures int           // bad answers in a row
+	ejections           int           // rests since the last good answer
+	ejectedUntil        time.Duration // end of the rest
+	fullUntil           time.Duration // until when it counts as full
+	lastSuccess         time.Duration // when it last answered well
 }
 
 // resting tells whether the server gets no requests at all.
-func (t *trust) resting(now time.Duration) bool { return now < t.until }
+func (d *outlierDetector) ejected(now time.Duration) bool { return now < d.ejectedUntil }
 
 // probation tells whether a server has rested and not succeeded since.
-func (t *trust) probation() bool { return t.rests > 0 }
+func (d *outlierDetector) halfOpen() bool { return d.ejections > 0 }
 
-func (t *trust) good(now time.Duration) {
-	t.bad, t.rests, t.until, t.full, t.answered = 0, 0, 0, 0, now
+func (d *outlierDetector) recordSuccess(now time.Duration) {
+	d.consecutiveFailures, d.ejections, d.ejectedUntil, d.fullUntil, d.lastSuccess = 0, 0, 0, 0, now
 }
 
-// failed counts an outcome that speaks against the server. othersAnswer tells that another server of its kind
+// failed counts an outcome that speaks against the server. peerAnswered tells that another server of its kind
 // has answered since the call was sent, so that silence is the server's own.
-func (t *trust) failed(now time.Duration, outcome Outcome, othersAnswer bool) {
-	t.bad++
+func (d *outlierDetector) recordFailure(now time.Duration, outcome Outcome, peerAnswered bool) {
+	d.consecutiveFailures++
 	switch {
-	case outcome == Misdirected || outcome == Unreachable || outcome == Silent && othersAnswer:
-		t.rest(now, gone)
-	case t.bad >= twice || t.probation():
-		t.rest(now, troubled)
+	case outcome == Misdirected || outcome == Unreachable || outcome == TimedOut && peerAnswered:
+		d.eject(now, unreachableEjectionTime)
+	case d.consecutiveFailures >= consecutiveFailuresToEject || d.halfOpen():
+		d.eject(now, baseEjectionTime)
 	}
 }
 
-func (t *trust) rest(now, first time.Duration) {
-	if t.resting(now) {
+func (d *outlierDetector) eject(now, base time.Duration) {
+	if d.ejected(now) {
 		return // calls that were under way together failed together
 	}
-	t.until = now + min(first<<min(t.rests, 8), longestRest)
-	t.rests++
+	d.ejectedUntil = now + min(base<<min(d.ejections, 8), maxEjectionTime)
+	d.ejections++
 }
 
 // stuck tells whether the oldest call without any answer waits for unusually long.
-func (s *server) stuck(now time.Duration) bool {
+func (s *serverState) stuck(now time.Duration) bool {
 	for _, call := range s.calls {
 		if !call.answered {
-			return now-call.started > max(duration(stuckTimes*call.expected), stuckLeast)
+			return now-call.startedAt > max(duration(stuckExpectedFactor*call.expectedMs), minStuckTime)
 		}
 	}
 	return false
 }
 
 // succeeded counts for the server of a call, and for the one whose memory it fetched.
-func (call *Call) succeeded(now time.Duration) {
-	call.state.trust.good(now)
-	if call.reader != nil {
-		call.reader.handles.good(now)
+func (call *Call) recordSuccess(now time.Duration) {
+	call.state.outliers.recordSuccess(now)
+	if call.prefillServer != nil {
+		call.prefillServer.transferOutliers.recordSuccess(now)
 	}
 }
 
 // failed counts an outcome against the server it speaks against.
-func (call *Call) failed(now time.Duration, outcome Outcome) {
+func (call *Call) recordFailure(now time.Duration, outcome Outcome) {
 	switch outcome {
 	case Rejected:
-		call.state.trust.full = now + fullFor
+		call.state.outliers.fullUntil = now + rejectedFullTime
 	case Abandoned:
 	case HandleFailed: // the reader let the memory go, or the writer's moves have too long a queue
-		call.state.late.add(now, lateMove, call.expected)
-		if call.reader != nil {
-			call.reader.handles.failed(now, outcome, false)
+		call.state.lateness.add(now, failedTransferLatenessMs, call.expectedMs)
+		if call.prefillServer != nil {
+			call.prefillServer.transferOutliers.recordFailure(now, outcome, false)
 		}
 	default:
-		call.state.trust.failed(now, outcome, call.pool.answeredSince(call))
+		call.state.outliers.recordFailure(now, outcome, call.pool.peerAnsweredSince(call))
 	}
 }
--- a/internal/router/scheduler/trust_test.go
+++ b/internal/router/scheduler/trust_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func plainChooser(servers int) *Chooser {
+func plainScheduler(servers int) *Scheduler {
 	var all []*catalog.Server
 	for i := range servers {
 		all = append(all, &catalog.Server{
@@ -22,18 +22,18 @@
 }
 
 // callAt begins a call at a server.
-func callAt(c *Chooser, now time.Duration, id string) *Call {
+func callAt(c *Scheduler, now time.Duration, id string) *Call {
 	r := &Request{Service: plainService(), Idempotent: true}
 	for _, s := range c.table.Service("plain") {
 		if s.ID != id {
-			r.Tried = append(r.Tried, s.ID)
+			r.Excluded = append(r.Excluded, s.ID)
 		}
 	}
 	return c.Choose(now, r, Serve, nil)
 }
 
 // reaches counts how many of a number of requests a server gets.
-func reaches(c *Chooser, now time.Duration, id string, idempotent bool) int {
+func countRequestsTo(c *Scheduler, now time.Duration, id string, idempotent bool) int {
 	n := 0
 	for range 100 {
 		call := c.Choose(now, &Request{Service: plainService(), Idempotent: idempotent}, Serve, nil)
@@ -53,68 +53,69 @@
 	}{
 		{"served", []Outcome{Served}, 0},
 		{"given up by the caller", []Outcome{Abandoned, Abandoned, Abandoned}, 0},
-		{"another incarnation", []Outcome{Misdirected}, gone},
-		{"no connection", []Outcome{Unreachable}, gone},
-		{"silent while another answered", []Outcome{Silent}, gone},
+		{"another incarnation", []Outcome{Misdirected}, unreachableEjectionTime},
+		{"no connection", []Outcome{Unreachable}, unreachableEjectionTime},
+		{"silent while another answered", []Outcome{TimedOut}, unreachableEjectionTime},
 		{"one failure", []Outcome{Failed}, 0},
-		{"two failures", []Outcome{Failed, Failed}, troubled},
+		{"two failures", []Outcome{Failed, Failed}, baseEjectionTime},
 		{"two failures, an answer between", []Outcome{Failed, Served, Failed}, 0},
 		{"one broken answer", []Outcome{Broken}, 0},
-		{"two broken answers", []Outcome{Broken, Broken}, troubled},
+		{"two broken answers", []Outcome{Broken, Broken}, baseEjectionTime},
 		{"memory that could not be fetched", []Outcome{HandleFailed, HandleFailed}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := plainChooser(3)
+			c := plainScheduler(3)
 			for _, outcome := range test.outcomes {
 				call := callAt(c, second, "a")
 				c.Done(second+time.Millisecond, callAt(c, second, "b"), Served)
 				c.Done(second+2*time.Millisecond, call, outcome)
 			}
-			qt.Check(t, c.servers["a"].restsUntil() > second, qt.Equals, test.rest > 0)
+			qt.Check(t, c.servers["a"].ejectedUntil() > second, qt.Equals, test.rest > 0)
 			if test.rest > 0 {
-				qt.Check(t, c.servers["a"].restsUntil(), qt.Equals, second+2*time.Millisecond+test.rest)
-				qt.Check(t, reaches(c, second+test.rest, "a", true), qt.Equals, 0)
+				qt.Check(t, c.servers["a"].ejectedUntil(), qt.Equals, second+2*time.Millisecond+test.rest)
+				qt.Check(t, countRequestsTo(c, second+test.rest, "a", true), qt.Equals, 0)
 			}
 		})
 	}
 }
 
 func TestSilenceOfAllIsNobodysFailure(t *testing.T) {
-	c := plainChooser(3)
-	c.Done(2*second, callAt(c, second, "a"), Silent)
-	qt.Check(t, c.servers["a"].restsUntil(), qt.Equals, time.Duration(0))
+	c := plainScheduler(3)
+	c.Done(2*second, callAt(c, second, "a"), TimedOut)
+	qt.Check(t, c.servers["a"].ejectedUntil(), qt.Equals, time.Duration(0))
 }
 
 func TestProbation(t *testing.T) {
 	c := qt.New(t)
-	chooser := plainChooser(3)
+	chooser := plainScheduler(3)
 	chooser.Done(second, callAt(chooser, second, "a"), Unreachable)
-	over := second + gone
-	c.Check(reaches(chooser, over-1, "a", true), qt.Equals, 0)
-	c.Check(reaches(chooser, over, "a", false), qt.Equals, 0, qt.Commentf("it must not run twice"))
-	c.Check(reaches(chooser, over+patience+1, "a", false) > 0, qt.IsTrue, qt.Commentf("nothing else has tried"))
-	c.Check(reaches(chooser, over, "a", true) > 0, qt.IsTrue)
+	over := second + unreachableEjectionTime
+	c.Check(countRequestsTo(chooser, over-1, "a", true), qt.Equals, 0)
+	c.Check(countRequestsTo(chooser, over, "a", false), qt.Equals, 0, qt.Commentf("it must not run twice"))
+	c.Check(countRequestsTo(chooser, over+nonIdempotentProbeDelay+1, "a", false) > 0, qt.IsTrue,
+		qt.Commentf("nothing else has tried"))
+	c.Check(countRequestsTo(chooser, over, "a", true) > 0, qt.IsTrue)
 
 	trial := callAt(chooser, over, "a")
-	c.Check(reaches(chooser, over, "a", true), qt.Equals, 0, qt.Commentf("one request at a time"))
+	c.Check(countRequestsTo(chooser, over, "a", true), qt.Equals, 0, qt.Commentf("one request at a time"))
 	chooser.Done(over+1, trial, Served)
-	c.Check(reaches(chooser, over+1, "a", false) > 0, qt.IsTrue)
+	c.Check(countRequestsTo(chooser, over+1, "a", false) > 0, qt.IsTrue)
 }
 
 func TestRestsGrow(t *testing.T) {
-	chooser := plainChooser(2)
+	chooser := plainScheduler(2)
 	now := second
 	for _, want := range []time.Duration{1, 2, 4, 8, 10, 10} {
 		chooser.Done(now, callAt(chooser, now, "a"), Unreachable)
-		rest := chooser.servers["a"].restsUntil() - now
+		rest := chooser.servers["a"].ejectedUntil() - now
 		qt.Check(t, rest, qt.Equals, want*second)
 		now += rest
 	}
 }
 
 func TestCallsThatFailTogetherRestOnce(t *testing.T) {
-	chooser := plainChooser(2)
+	chooser := plainScheduler(2)
 	var calls []*Call
 	for range 5 {
 		calls = append(calls, callAt(chooser, second, "a"))
@@ -122,54 +123,54 @@
 	for _, call := range calls {
 		chooser.Done(second, call, Unreachable)
 	}
-	qt.Check(t, chooser.servers["a"].restsUntil(), qt.Equals, second+gone)
+	qt.Check(t, chooser.servers["a"].ejectedUntil(), qt.Equals, second+unreachableEjectionTime)
 }
 
 func TestAllInTroubleTheLeastBadIsTaken(t *testing.T) {
 	c := qt.New(t)
-	chooser := plainChooser(3)
+	chooser := plainScheduler(3)
 	for _, id := range []string{"a", "b", "c"} {
 		chooser.Done(second, callAt(chooser, second, id), Unreachable)
 	}
 	for _, id := range []string{"a", "c"} {
 		chooser.Done(2*second, callAt(chooser, 2*second, id), Unreachable)
 	}
-	c.Check(reaches(chooser, 2*second+1, "b", false), qt.Equals, 100)
+	c.Check(countRequestsTo(chooser, 2*second+1, "b", false), qt.Equals, 100)
 }
 
 func TestRejectedCountsAsFull(t *testing.T) {
 	c := qt.New(t)
-	chooser := plainChooser(3)
+	chooser := plainScheduler(3)
 	chooser.Done(second, callAt(chooser, second, "a"), Rejected)
-	c.Check(reaches(chooser, second, "a", true), qt.Equals, 0)
-	c.Check(reaches(chooser, second+fullFor, "a", true) > 0, qt.IsTrue)
+	c.Check(countRequestsTo(chooser, second, "a", true), qt.Equals, 0)
+	c.Check(countRequestsTo(chooser, second+rejectedFullTime, "a", true) > 0, qt.IsTrue)
 }
 
 func TestStuckServerIsAvoided(t *testing.T) {
 	c := qt.New(t)
-	chooser := plainChooser(3)
+	chooser := plainScheduler(3)
 	stuck := callAt(chooser, second, "a")
-	c.Check(reaches(chooser, second+stuckLeast/2, "a", true) > 0, qt.IsTrue)
-	c.Check(reaches(chooser, second+stuckLeast+1, "a", true), qt.Equals, 0)
-	chooser.FirstEvent(second+stuckLeast+2, stuck)
-	c.Check(reaches(chooser, 20*second, "a", true) > 0, qt.IsTrue)
+	c.Check(countRequestsTo(chooser, second+minStuckTime/2, "a", true) > 0, qt.IsTrue)
+	c.Check(countRequestsTo(chooser, second+minStuckTime+1, "a", true), qt.Equals, 0)
+	chooser.FirstEvent(second+minStuckTime+2, stuck)
+	c.Check(countRequestsTo(chooser, 20*second, "a", true) > 0, qt.IsTrue)
 }
 
 func TestReaderWhoseMemoryCannotBeFetchedRests(t *testing.T) {
 	c := qt.New(t)
-	chooser := settled(1, 3, 3)
+	chooser := warmScheduler(1, 3, 3)
 	reader := chooser.servers["r1"].Server
 	fetch := func(now time.Duration, outcome Outcome) {
-		chooser.Done(now, chooser.Choose(now, prompted("a", 1), Write, reader), outcome)
+		chooser.Done(now, chooser.Choose(now, prompted("a", 1), Decode, reader), outcome)
 	}
 	fetch(10*second, HandleFailed)
 	fetch(10*second, Served)
 	fetch(10*second, HandleFailed)
-	c.Check(chooser.servers["r1"].restsUntil(), qt.Equals, time.Duration(0))
+	c.Check(chooser.servers["r1"].ejectedUntil(), qt.Equals, time.Duration(0))
 	fetch(10*second, HandleFailed)
-	c.Check(chooser.servers["r1"].restsUntil(), qt.Equals, 10*second+troubled)
+	c.Check(chooser.servers["r1"].ejectedUntil(), qt.Equals, 10*second+baseEjectionTime)
 	fetch(11*second, Served)
-	c.Check(chooser.servers["r1"].well(11*second, false), qt.IsTrue)
+	c.Check(chooser.servers["r1"].available(11*second, false), qt.IsTrue)
 }
 
 func TestLateness(t *testing.T) {
@@ -178,19 +179,19 @@
 	l.add(second, 30, 100)
 	c.Check(l.now(second), qt.Equals, 0.0, qt.Commentf("within what is free"))
 	l.add(second, 250, 100)
-	c.Check(l.now(second), near, lateGain*200, 1e-9)
-	c.Check(l.now(second+lateDecay), near, lateGain*200/2.718281828, 1e-6)
+	c.Check(l.now(second), isNear, lateGain*200, 1e-9)
+	c.Check(l.now(second+lateDecay), isNear, lateGain*200/2.718281828, 1e-6)
 }
 
 func TestLateWritersGetLess(t *testing.T) {
-	chooser := settled(1, 3, 6)
+	chooser := warmScheduler(1, 3, 6)
 	now := 10 * second
 	reader := chooser.servers["r0"].Server
 	slow := ""
 	seen := map[string]int{}
 	for range 300 {
 		now += 20 * time.Millisecond
-		call := chooser.Choose(now, prompted("a", 1), Write, reader)
+		call := chooser.Choose(now, prompted("a", 1), Decode, reader)
 		if slow == "" {
 			slow = call.Server.ID
 		}
--- a/internal/simulation/routersim/cache.go
+++ b/internal/simulation/routersim/cache.go
@@ -8,27 +8,27 @@
 
 // cache is a server's memory for parts of prompts. A part can be reused only with all before it. Those unused
 // for the longest give way; tokens that are pinned, by running requests and held handles, cannot.
-type cache struct {
-	limit, used, pinned int
-	parts               map[string]*list.Element
-	order               *list.List // newest first
+type prefixCache struct {
+	capacity, used, pinned int
+	segments               map[string]*list.Element
+	byRecency              *list.List // newest first
 }
 
-type cachedPart struct {
+type cachedSegment struct {
 	name   string
 	tokens int
 }
 
-func newCache(limit int) *cache {
-	return &cache{limit: limit, parts: map[string]*list.Element{}, order: list.New()}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, segments: map[string]*list.Element{}, byRecency: list.New()}
 }
 
 // held returns how many tokens of a prompt need not be read, and how many parts those are.
-func (c *cache) held(parts []scheduler.Part) (tokens, count int) {
+func (c *prefixCache) lookUp(parts []scheduler.Segment) (tokens, count int) {
 	name := ""
 	for _, part := range parts {
 		name += "/" + part.ID
-		if c.parts[name] == nil {
+		if c.segments[name] == nil {
 			break
 		}
 		tokens += part.Tokens
@@ -38,30 +38,30 @@
 }
 
 // keep holds the parts of a prompt as the newest.
-func (c *cache) keep(parts []scheduler.Part) {
+func (c *prefixCache) insert(parts []scheduler.Segment) {
 	name := ""
 	for _, part := range parts {
 		name += "/" + part.ID
-		if e := c.parts[name]; e != nil {
-			c.order.MoveToFront(e)
+		if e := c.segments[name]; e != nil {
+			c.byRecency.MoveToFront(e)
 			continue
 		}
-		c.parts[name] = c.order.PushFront(cachedPart{name, part.Tokens})
+		c.segments[name] = c.byRecency.PushFront(cachedSegment{name, part.Tokens})
 		c.used += part.Tokens
 	}
-	c.trim()
+	c.evict()
 }
 
 // pin takes memory for a request; a negative number gives it back.
-func (c *cache) pin(tokens int) {
+func (c *prefixCache) pin(tokens int) {
 	c.pinned += tokens
-	c.trim()
+	c.evict()
 }
 
-func (c *cache) trim() {
-	for c.used+c.pinned > c.limit && c.order.Len() > 0 {
-		oldest := c.order.Remove(c.order.Back()).(cachedPart)
+func (c *prefixCache) evict() {
+	for c.used+c.pinned > c.capacity && c.byRecency.Len() > 0 {
+		oldest := c.byRecency.Remove(c.byRecency.Back()).(cachedSegment)
 		c.used -= oldest.tokens
-		delete(c.parts, oldest.name)
+		delete(c.segments, oldest.name)
 	}
 }
--- a/internal/simulation/routersim/clairvoyant.go
+++ b/internal/simulation/routersim/clairvoyant.go
@@ -8,19 +8,19 @@
 )
 
 // queues is what a clairvoyant knows of all servers at any time, by their ids.
-type queues map[string]*queue
+type serverQueues map[string]*serverQueue
 
 // queue is what was sent to one server.
-type queue struct {
-	free   time.Duration   // until when it has work
-	held   map[string]bool // parts, each named with all before it
-	tokens int             // of prompts
+type serverQueue struct {
+	freeAt       time.Duration   // until when it has work
+	cached       map[string]bool // parts, each named with all before it
+	promptTokens int             // of prompts
 }
 
 // of returns the queue of a server.
-func (q queues) of(server string) *queue {
+func (q serverQueues) of(server string) *serverQueue {
 	if q[server] == nil {
-		q[server] = &queue{held: map[string]bool{}}
+		q[server] = &serverQueue{cached: map[string]bool{}}
 	}
 	return q[server]
 }
@@ -29,14 +29,14 @@
 // all that was sent anywhere known at once; of equal ones to that which was sent the least. What it cannot
 // serve in time hardly any choice of servers could.
 type clairvoyant struct {
-	queues queues
+	queues serverQueues
 	table  *catalog.Table
 	engine *Engine
 }
 
 // Clairvoyant returns the bound for servers with an engine.
-func Clairvoyant(engine Engine) Maker {
-	return Maker{"clairvoyant", func(string, uint64) Policy { return &clairvoyant{engine: &engine} }}
+func Clairvoyant(engine Engine) PolicyFactory {
+	return PolicyFactory{"clairvoyant", func(string, uint64) Policy { return &clairvoyant{engine: &engine} }}
 }
 
 // Update takes a newer table.
@@ -54,22 +54,23 @@
 	var best *catalog.Server
 	var done time.Duration
 	for _, s := range c.table.Service(r.Service.Name) {
-		if (s.Stage == catalog.Reading) != (role == scheduler.Read) {
+		if (s.Stage == catalog.Reading) != (role == scheduler.Prefill) {
 			continue
 		}
 		at := c.doneAt(now, s, r, role, reader)
-		if best == nil || at < done || at == done && c.queues.of(s.ID).tokens < c.queues.of(best.ID).tokens {
+		if best == nil || at < done || at == done &&
+			c.queues.of(s.ID).promptTokens < c.queues.of(best.ID).promptTokens {
 			best, done = s, at
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	q := c.queues.of(best.ID)
-	q.free = done
-	q.tokens += r.PromptTokens
-	for _, name := range chainOf(r) {
-		q.held[name] = true
+	queue := c.queues.of(best.ID)
+	queue.freeAt = done
+	queue.promptTokens += r.PromptTokens
+	for _, name := range prefixNames(r) {
+		queue.cached[name] = true
 	}
 	return &scheduler.Call{Server: best, Role: role}
 }
@@ -77,41 +78,41 @@
 // doneAt is when a server will have read a request, or made its first token.
 func (c *clairvoyant) doneAt(now time.Duration, s *catalog.Server, r *scheduler.Request, role scheduler.Role,
 	reader *catalog.Server) time.Duration {
-	q := c.queues.of(s.ID)
-	begin := max(now, q.free)
-	if role == scheduler.Write {
+	queue := c.queues.of(s.ID)
+	start := max(now, queue.freeAt)
+	if role == scheduler.Decode {
 		ms := float64(r.PromptTokens) * c.engine.TokenBytes * 8 / (c.engine.LinkMegabits * 1000)
 		if s.Zone != reader.Zone {
-			ms *= farMove
+			ms *= crossZoneFactor
 		}
-		return begin + milliseconds(ms)
+		return start + milliseconds(ms)
 	}
-	tokens, held := 0, 0
-	for i, name := range chainOf(r) {
-		if tokens += r.Parts[i].Tokens; q.held[name] {
-			held = tokens
+	tokens, cached := 0, 0
+	for i, name := range prefixNames(r) {
+		if tokens += r.Segments[i].Tokens; queue.cached[name] {
+			cached = tokens
 		}
 	}
-	unread, pace := float64(tokens-held), 1.0
+	uncached, pace := float64(tokens-cached), 1.0
 	if role == scheduler.Serve {
-		pace = writerPace
+		pace = decodePrefillFactor
 	}
-	pairs := unread*float64(held) + unread*unread/2
-	return begin + milliseconds(pace*(unread/c.engine.ReadPerMs+pairs/1e6*c.engine.PairsMs))
+	pairs := uncached*float64(cached) + uncached*uncached/2
+	return start + milliseconds(pace*(uncached/c.engine.PrefillTokensPerMs+pairs/1e6*c.engine.MsPerMillionPairs))
 }
 
-// chainOf returns the names of a prompt's parts, each with all before it.
-func chainOf(r *scheduler.Request) []string {
-	names, name := make([]string, len(r.Parts)), ""
-	for i, part := range r.Parts {
+// prefixNames returns the names of a prompt's parts, each with all before it.
+func prefixNames(r *scheduler.Request) []string {
+	names, name := make([]string, len(r.Segments)), ""
+	for i, part := range r.Segments {
 		name += "/" + part.ID
 		names[i] = name
 	}
 	return names
 }
 
-// Told is of no use here.
-func (c *clairvoyant) Told(time.Duration, string, scheduler.Load) {}
+// ObserveLoad is of no use here.
+func (c *clairvoyant) ObserveLoad(time.Duration, string, scheduler.Load) {}
 
 // FirstEvent is of no use here.
 func (c *clairvoyant) FirstEvent(time.Duration, *scheduler.Call) {}
--- a/internal/simulation/routersim/engine.go
+++ b/internal/simulation/routersim/engine.go
@@ -10,38 +10,39 @@
 
 // Engine says how a model server works.
 type Engine struct {
-	Slots        int
-	StepMs       float64 // a step of the batch: a token of each running request
-	StepSlotMs   float64 // what each running request adds to a step
-	ReadPerMs    float64 // tokens of prompts
-	PairsMs      float64 // what a million pairs of tokens add that reading a prompt compares with each other
-	SetupMs      float64 // of each request
-	Chunk        int     // tokens of prompts that a reading server reads in a step
-	CacheTokens  int
-	TokenBytes   float64
-	LinkMegabits float64
+	Slots              int
+	StepMs             float64 // a step of the batch: a token of each running request
+	StepSlotMs         float64 // what each running request adds to a step
+	PrefillTokensPerMs float64 // tokens of prompts
+	// what a million pairs of tokens add that reading a prompt compares with each other
+	MsPerMillionPairs float64
+	SetupMs           float64 // of each request
+	PrefillChunk      int     // tokens of prompts that a reading server reads in a step
+	CacheTokens       int
+	TokenBytes        float64
+	LinkMegabits      float64
 }
 
 const (
-	writerPace  = 2               // times as long as a reading server a writing one takes to read
-	writerChunk = 4               // times smaller are the pieces that a writing server reads
-	farMove     = 2               // times as long a move takes between zones
-	longestMove = 2 * time.Second // a move that would wait for longer is not begun
+	decodePrefillFactor = 2               // times as long as a reading server a writing one takes to read
+	decodeChunkDivisor  = 4               // times smaller are the pieces that a writing server reads
+	crossZoneFactor     = 2               // times as long a move takes between zones
+	maxTransferQueue    = 2 * time.Second // a move that would wait for longer is not begun
 )
 
 // job is a request at a server.
 type job struct {
-	role    scheduler.Role
-	request *scheduler.Request
-	unread  int // tokens
-	tokens  int // still to make
-	urgency int // prompts that are not begun are read in the order of their urgency, 0 first
-	begun   bool
-	pinned  int
-	gone    bool // its caller has left
-
-	first func() // at the first token, for a read when it is done
-	last  func() // at the last token
+	role       scheduler.Role
+	request    *scheduler.Request
+	uncached   int // tokens
+	outputLeft int // still to make
+	urgency    int // prompts that are not begun are read in the order of their urgency, 0 first
+	started    bool
+	pinned     int
+	abandoned  bool // its caller has left
+
+	onFirstToken func() // at the first token, for a read when it is done
+	onLastToken  func() // at the last token
 }
 
 // server is one model server.
@@ -50,27 +51,27 @@
 	clock            *clock
 	engine           *Engine
 	speed            float64
-	linkSlow         float64 // times as long moves take
-	cache            *cache
+	transferFactor   float64 // times as long moves take
+	cache            *prefixCache
 	waiting, running []*job
 	stepping, dead   bool
-	linkFree         time.Duration
-	failAll          []func() // of jobs that a crash ends
-	count            *Counts
+	linkFreeAt       time.Duration
+	onCrash          []func() // of jobs that a crash ends
+	counts           *Counts
 }
 
 // load is what the server tells of itself with an answer: a running request counts itself, a read that has
 // ended does not.
 func (s *server) load(role scheduler.Role) scheduler.Load {
 	running := len(s.running)
-	if role == scheduler.Read {
+	if role == scheduler.Prefill {
 		running--
 	}
 	return scheduler.Load{Running: running, Waiting: len(s.waiting), Slots: s.engine.Slots}
 }
 
 // take lets a job wait for a slot, after the time it takes to set it up.
-func (s *server) take(j *job) {
+func (s *server) enqueue(j *job) {
 	s.clock.after(milliseconds(s.engine.SetupMs), func() {
 		s.waiting = append(s.waiting, j)
 		s.step()
@@ -79,23 +80,23 @@
 
 // fetch moves the memory of a prompt here, one move after the other, and then runs the job. It returns false
 // where the move would have to wait for too long.
-func (s *server) fetch(j *job, from *server) bool {
-	e := s.engine
+func (s *server) fetchPrefix(j *job, from *server) bool {
+	engine := s.engine
 	const bits, perMs = 8, 1000
-	ms := float64(j.request.PromptTokens) * e.TokenBytes * bits / (e.LinkMegabits * perMs) * s.linkSlow
+	ms := float64(j.request.PromptTokens) * engine.TokenBytes * bits / (engine.LinkMegabits * perMs) * s.transferFactor
 	if from.Zone != s.Zone {
-		ms *= farMove
-		s.count.FarMoves++
+		ms *= crossZoneFactor
+		s.counts.CrossZoneTransfers++
 	}
-	s.count.Moves++
-	begin := max(s.linkFree, s.clock.now)
-	if begin-s.clock.now > longestMove {
+	s.counts.Transfers++
+	start := max(s.linkFreeAt, s.clock.now)
+	if start-s.clock.now > maxTransferQueue {
 		return false
 	}
-	s.linkFree = begin + milliseconds(ms)
-	s.clock.after(s.linkFree-s.clock.now, func() {
-		s.cache.keep(j.request.Parts)
-		s.take(j)
+	s.linkFreeAt = start + milliseconds(ms)
+	s.clock.after(s.linkFreeAt-s.clock.now, func() {
+		s.cache.insert(j.request.Segments)
+		s.enqueue(j)
 	})
 	return true
 }
@@ -105,29 +106,29 @@
 	for len(s.waiting) > 0 && len(s.running) < s.engine.Slots {
 		j := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if j.gone {
+		if j.abandoned {
 			continue
 		}
-		if j.role != scheduler.Write {
-			s.countRead(j)
+		if j.role != scheduler.Decode {
+			s.planPrefill(j)
 		}
-		j.pinned = j.unread + j.tokens
+		j.pinned = j.uncached + j.outputLeft
 		s.cache.pin(j.pinned)
 		s.running = append(s.running, j)
 	}
 }
 
-// countRead finds what the job has to read and counts shared parts that are read.
-func (s *server) countRead(j *job) {
-	parts := j.request.Parts
-	held, _ := s.cache.held(parts)
-	j.unread = j.request.PromptTokens - held
+// planPrefill finds what the job has to read and counts shared parts that are read.
+func (s *server) planPrefill(j *job) {
+	parts := j.request.Segments
+	cached, _ := s.cache.lookUp(parts)
+	j.uncached = j.request.PromptTokens - cached
 	shared := 0
 	for _, part := range parts[:len(parts)-1] {
 		shared += part.Tokens
 	}
-	s.count.SharedTokens += shared
-	s.count.SharedRead += max(0, shared-held)
+	s.counts.SharedTokens += shared
+	s.counts.SharedPrefilled += max(0, shared-cached)
 }
 
 // step runs the batch once, and again while there is work.
@@ -140,7 +141,7 @@
 		return
 	}
 	s.stepping = true
-	s.clock.after(s.stepTime(), func() {
+	s.clock.after(s.advancePrefill(), func() {
 		s.stepping = false
 		if !s.dead {
 			s.finishStep()
@@ -149,29 +150,29 @@
 	})
 }
 
-// stepTime reads a piece of the prompts and tells how long the step takes.
-func (s *server) stepTime() time.Duration {
-	e := s.engine
-	piece, pace := e.Chunk, 1.0
+// advancePrefill reads a piece of the prompts and tells how long the step takes.
+func (s *server) advancePrefill() time.Duration {
+	engine := s.engine
+	chunk, pace := engine.PrefillChunk, 1.0
 	if s.Stage == catalog.Writing {
-		piece, pace = piece/writerChunk, writerPace
+		chunk, pace = chunk/decodeChunkDivisor, decodePrefillFactor
 	}
-	read, making, pairs := 0, 0, 0.0
+	prefilled, decoding, pairs := 0, 0, 0.0
 	for _, j := range s.byUrgency() {
-		part := min(j.unread, piece-read)
-		before := j.request.PromptTokens - j.unread
-		pairs += float64(part)*float64(before) + float64(part)*float64(part)/2
-		j.begun = j.begun || part > 0
-		j.unread -= part
-		read += part
-		if j.role != scheduler.Read {
-			making++
+		tokens := min(j.uncached, chunk-prefilled)
+		before := j.request.PromptTokens - j.uncached
+		pairs += float64(tokens)*float64(before) + float64(tokens)*float64(tokens)/2
+		j.started = j.started || tokens > 0
+		j.uncached -= tokens
+		prefilled += tokens
+		if j.role != scheduler.Prefill {
+			decoding++
 		}
 	}
 	const million = 1e6
-	ms := (float64(read)/e.ReadPerMs + pairs/million*e.PairsMs) * pace
-	if making > 0 {
-		ms += e.StepMs + e.StepSlotMs*float64(making)
+	ms := (float64(prefilled)/engine.PrefillTokensPerMs + pairs/million*engine.MsPerMillionPairs) * pace
+	if decoding > 0 {
+		ms += engine.StepMs + engine.StepSlotMs*float64(decoding)
 	}
 	return milliseconds(ms / s.speed)
 }
@@ -180,8 +181,8 @@
 func (s *server) byUrgency() []*job {
 	order := slices.Clone(s.running)
 	slices.SortStableFunc(order, func(a, b *job) int {
-		if a.begun != b.begun {
-			if a.begun {
+		if a.started != b.started {
+			if a.started {
 				return -1
 			}
 			return 1
@@ -195,7 +196,7 @@
 func (s *server) finishStep() {
 	for at := 0; at < len(s.running); {
 		j := s.running[at]
-		if !j.gone && (j.unread > 0 || s.token(j)) {
+		if !j.abandoned && (j.uncached > 0 || s.emitToken(j)) {
 			at++
 			continue
 		}
@@ -205,27 +206,27 @@
 }
 
 // token makes one token, or ends a read, and tells whether the job goes on.
-func (s *server) token(j *job) bool {
-	if j.first != nil {
-		if j.role != scheduler.Write {
-			s.cache.keep(j.request.Parts)
+func (s *server) emitToken(j *job) bool {
+	if j.onFirstToken != nil {
+		if j.role != scheduler.Decode {
+			s.cache.insert(j.request.Segments)
 		}
-		j.first()
-		j.first = nil
+		j.onFirstToken()
+		j.onFirstToken = nil
 	}
-	j.tokens--
-	if j.role == scheduler.Read || j.tokens > 0 {
-		return j.role != scheduler.Read
+	j.outputLeft--
+	if j.role == scheduler.Prefill || j.outputLeft > 0 {
+		return j.role != scheduler.Prefill
 	}
-	j.last()
+	j.onLastToken()
 	return false
 }
 
 // crash ends the server and all that it was doing.
 func (s *server) crash() {
 	s.dead = true
-	for _, fail := range s.failAll {
+	for _, fail := range s.onCrash {
 		fail()
 	}
-	s.failAll = nil
+	s.onCrash = nil
 }
--- a/internal/simulation/routersim/fleet.go
+++ b/internal/simulation/routersim/fleet.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	slowLinkTimes = 10.0
-	slowTimes     = 4.0
-	inZone        = 100 * time.Microsecond
-	betweenZones  = 500 * time.Microsecond
+	slowLinkFactor   = 10.0
+	slowEngineFactor = 4.0
+	sameZoneLatency  = 100 * time.Microsecond
+	crossZoneLatency = 500 * time.Microsecond
 )
 
 // fleet is a run.
 type fleet struct {
-	clock    clock
-	scenario *Scenario
-	service  *fleetconfig.Service
-	random   *rand.Rand
-	servers  map[string]*server
-	proxies  []*proxy
-	count    Counts
-	tables   uint64
-	queues   queues // for the clairvoyant
+	clock        clock
+	scenario     *Scenario
+	service      *fleetconfig.Service
+	random       *rand.Rand
+	servers      map[string]*server
+	proxies      []*proxy
+	counts       Counts
+	tableVersion uint64
+	queues       serverQueues // for the clairvoyant
 }
 
 // Run plays a scenario with a policy.
-func Run(scenario Scenario, policy Maker) Result {
-	e := &scenario.Engine
+func Run(scenario Scenario, policy PolicyFactory) Result {
+	engine := &scenario.Engine
 	f := &fleet{
 		scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, 7)), servers: map[string]*server{},
-		queues: queues{},
+		queues: serverQueues{},
 		service: &fleetconfig.Service{Name: "model", Engine: &fleetconfig.Engine{
-			Slots: e.Slots, KVCacheTokens: e.CacheTokens, KVBytesPerToken: e.TokenBytes,
-			LinkMbps: e.LinkMegabits, MaxTokensPerEvent: 1,
+			Slots: engine.Slots, KVCacheTokens: engine.CacheTokens, KVBytesPerToken: engine.TokenBytes,
+			LinkMbps: engine.LinkMegabits, MaxTokensPerEvent: 1,
 		}},
 	}
 	f.start(policy)
-	f.plan()
+	f.schedule()
 	f.clock.play(scenario.Length + 10*time.Second)
-	return Result{policy.Name, f.count}
+	return Result{policy.Name, f.counts}
 }
 
-func (f *fleet) start(policy Maker) {
-	for i := range f.scenario.Readers {
-		f.add(catalog.Reading, i, 0)
+func (f *fleet) start(policy PolicyFactory) {
+	for i := range f.scenario.PrefillServers {
+		f.addServer(catalog.Reading, i, 0)
 	}
-	for i := range f.scenario.Writers {
-		f.add(catalog.Writing, i, 0)
+	for i := range f.scenario.DecodeServers {
+		f.addServer(catalog.Writing, i, 0)
 	}
 	for i := range f.scenario.Proxies {
 		zone := zoneName(i % f.scenario.Zones)
@@ -63,23 +63,23 @@
 		}
 		f.proxies = append(f.proxies, p)
 	}
-	f.list()
-	if f.scenario.Shared > 0 {
+	f.publishTable()
+	if f.scenario.PeerLoadDelay > 0 {
 		f.startSharing()
 	}
 }
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-func (f *fleet) add(stage catalog.Stage, number, life int) {
+func (f *fleet) addServer(stage catalog.Stage, number, incarnation int) {
 	s := &server{
 		Server: &catalog.Server{
-			ID: fmt.Sprintf("%s-%d-%d", stage, number, life), Service: f.service.Name,
+			ID: fmt.Sprintf("%s-%d-%d", stage, number, incarnation), Service: f.service.Name,
 			Slots: f.scenario.Engine.Slots, Zone: zoneName(number % f.scenario.Zones), State: catalog.Ready,
 			Stage: stage,
 		},
-		clock: &f.clock, engine: &f.scenario.Engine, cache: newCache(f.scenario.Engine.CacheTokens),
-		speed: 1 + f.scenario.SpeedSpread*(2*f.random.Float64()-1), linkSlow: 1, count: &f.count,
+		clock: &f.clock, engine: &f.scenario.Engine, cache: newPrefixCache(f.scenario.Engine.CacheTokens),
+		speed: 1 + f.scenario.SpeedSpread*(2*f.random.Float64()-1), transferFactor: 1, counts: &f.counts,
 	}
 	f.servers[s.ID] = s
 }
@@ -97,57 +97,57 @@
 }
 
 // list tells all proxies which servers live.
-func (f *fleet) list() {
+func (f *fleet) publishTable() {
 	var listed []*catalog.Server
 	for _, s := range f.live() {
 		listed = append(listed, s.Server)
 	}
-	f.tables++
-	table := catalog.NewTable(f.tables, listed)
+	f.tableVersion++
+	table := catalog.NewTable(f.tableVersion, listed)
 	for _, p := range f.proxies {
 		p.policy.Update(f.clock.now, table)
 	}
 }
 
 // plan makes the arrivals and faults of the scenario.
-func (f *fleet) plan() {
+func (f *fleet) schedule() {
 	for i := range f.scenario.Kinds {
-		f.arrivals(i, rand.New(rand.NewPCG(f.scenario.Seed, uint64(100+i))))
+		f.planArrivals(i, rand.New(rand.NewPCG(f.scenario.Seed, uint64(100+i))))
 	}
 	for _, fault := range f.scenario.Faults {
-		f.clock.after(fault.At, func() { f.fail(fault) })
+		f.clock.after(fault.At, func() { f.inject(fault) })
 	}
 }
 
 // fail lets a fault happen to a share of the servers, drawn at random.
-func (f *fleet) fail(fault Fault) {
+func (f *fleet) inject(fault Fault) {
 	live := f.live()
 	f.random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	for i, s := range live[:int(fault.Share*float64(len(live))+0.5)] {
-		f.harm(s, fault, i)
+	for i, s := range live[:int(fault.Fraction*float64(len(live))+0.5)] {
+		f.applyFault(s, fault, i)
 	}
 }
 
-func (f *fleet) harm(s *server, fault Fault, number int) {
-	long := fault.Until - fault.At
+func (f *fleet) applyFault(s *server, fault Fault, number int) {
+	lasting := fault.Until - fault.At
 	switch fault.Kind {
 	case SlowLink:
-		s.linkSlow = slowLinkTimes
-		f.clock.after(long, func() { s.linkSlow = 1 })
+		s.transferFactor = slowLinkFactor
+		f.clock.after(lasting, func() { s.transferFactor = 1 })
 	case Slow:
-		s.speed /= slowTimes
-		f.clock.after(long, func() { s.speed *= slowTimes })
+		s.speed /= slowEngineFactor
+		f.clock.after(lasting, func() { s.speed *= slowEngineFactor })
 	case Crash:
 		s.crash()
-		f.clock.after(f.scenario.Listed, f.list)
-		f.clock.after(long, func() { f.add(s.Stage, number, int(f.tables)+1) })
-		f.clock.after(long+f.scenario.Listed, f.list)
+		f.clock.after(f.scenario.ListingDelay, f.publishTable)
+		f.clock.after(lasting, func() { f.addServer(s.Stage, number, int(f.tableVersion)+1) })
+		f.clock.after(lasting+f.scenario.ListingDelay, f.publishTable)
 	}
 }
 
-func (f *fleet) transit(zone string, s *server) time.Duration {
+func (f *fleet) networkDelay(zone string, s *server) time.Duration {
 	if s.Zone == zone {
-		return inZone
+		return sameZoneLatency
 	}
-	return betweenZones
+	return crossZoneLatency
 }
--- a/internal/simulation/routersim/policy.go
+++ b/internal/simulation/routersim/policy.go
@@ -16,85 +16,87 @@
 	Update(now time.Duration, table *catalog.Table)
 	Split(now time.Duration, r *scheduler.Request) bool
 	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role, reader *catalog.Server) *scheduler.Call
-	Told(now time.Duration, server string, load scheduler.Load)
+	ObserveLoad(now time.Duration, server string, load scheduler.Load)
 	FirstEvent(now time.Duration, call *scheduler.Call)
 	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
 }
 
-// Maker makes the policies of proxies.
-type Maker struct {
+// PolicyFactory makes the policies of proxies.
+type PolicyFactory struct {
 	Name string
 	New  func(zone string, seed uint64) Policy
 }
 
-// Pairing is the real one.
-func Pairing() Maker {
-	return Maker{"pairing", func(zone string, seed uint64) Policy { return scheduler.New(zone, seed) }}
+// Scheduler is the real one.
+func Scheduler() PolicyFactory {
+	return PolicyFactory{"pairing", func(zone string, seed uint64) Policy { return scheduler.New(zone, seed) }}
 }
 
-// Rivals are the policies that it is measured against.
-func Rivals() []Maker {
-	return []Maker{
-		rival("random", func(s *simple, all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
+// Baselines are the policies that it is measured against.
+func Baselines() []PolicyFactory {
+	return []PolicyFactory{
+		newBaseline("random", func(s *baseline, all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
 			return all[s.random.IntN(len(all))]
 		}),
-		rival("round robin", func(s *simple, all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
-			s.turn++
-			return all[s.turn%len(all)]
+		newBaseline("round robin", func(s *baseline, all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
+			s.next++
+			return all[s.next%len(all)]
 		}),
-		rival("two choices", (*simple).twoChoices),
-		rival("least known queue", func(s *simple, all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
-			return s.least(all)
+		newBaseline("two choices", (*baseline).twoChoices),
+		newBaseline("least known queue", func(s *baseline, all []*catalog.Server,
+			_ *scheduler.Request) *catalog.Server {
+			return s.leastLoaded(all)
 		}),
-		rival("prefix hash, bounded load", (*simple).boundedHash),
+		newBaseline("prefix hash, bounded load", (*baseline).boundedHash),
 	}
 }
 
-type pick func(s *simple, all []*catalog.Server, r *scheduler.Request) *catalog.Server
+type pickFunc func(s *baseline, all []*catalog.Server, r *scheduler.Request) *catalog.Server
 
 // simple is a policy that always splits, and knows of a server the calls that it told and its own since.
-type simple struct {
-	random *rand.Rand
-	turn   int
-	table  *catalog.Table
-	told   map[string]int
-	own    map[string]int
-	pick   pick
+type baseline struct {
+	random   *rand.Rand
+	next     int
+	table    *catalog.Table
+	reported map[string]int
+	ownCalls map[string]int
+	pick     pickFunc
 }
 
-func rival(name string, pick pick) Maker {
-	return Maker{name, func(zone string, seed uint64) Policy {
+func newBaseline(name string, pick pickFunc) PolicyFactory {
+	return PolicyFactory{name, func(zone string, seed uint64) Policy {
 		random := rand.New(rand.NewPCG(seed, 3))
-		return &simple{
-			random: random, turn: random.IntN(1000), told: map[string]int{}, own: map[string]int{}, pick: pick,
+		return &baseline{
+			random: random, next: random.IntN(1000), reported: map[string]int{}, ownCalls: map[string]int{},
+			pick: pick,
 		}
 	}}
 }
 
 // Update takes a newer table.
-func (s *simple) Update(_ time.Duration, table *catalog.Table) { s.table = table }
+func (s *baseline) Update(_ time.Duration, table *catalog.Table) { s.table = table }
 
 // Split tells whether there are readers.
-func (s *simple) Split(_ time.Duration, r *scheduler.Request) bool {
-	return len(s.servers(r, scheduler.Read)) > 0
+func (s *baseline) Split(_ time.Duration, r *scheduler.Request) bool {
+	return len(s.servers(r, scheduler.Prefill)) > 0
 }
 
-func (s *simple) servers(r *scheduler.Request, role scheduler.Role) []*catalog.Server {
+func (s *baseline) servers(r *scheduler.Request, role scheduler.Role) []*catalog.Server {
 	stage := catalog.Writing
-	if role == scheduler.Read {
+	if role == scheduler.Prefill {
 		stage = catalog.Reading
 	}
 	var all []*catalog.Server
-	for _, x := range s.table.Service(r.Service.Name) {
-		if x.Stage == stage && !slices.Contains(r.Tried, x.ID) {
-			all = append(all, x)
+	for _, listed := range s.table.Service(r.Service.Name) {
+		if listed.Stage == stage && !slices.Contains(r.Excluded, listed.ID) {
+			all = append(all, listed)
 		}
 	}
 	return all
 }
 
 // Choose sends a call.
-func (s *simple) Choose(
+func (s *baseline) Choose(
 	_ time.Duration, r *scheduler.Request, role scheduler.Role, _ *catalog.Server,
 ) *scheduler.Call {
 	all := s.servers(r, role)
@@ -102,30 +104,30 @@
 		return nil
 	}
 	to := s.pick(s, all, r)
-	s.own[to.ID]++
+	s.ownCalls[to.ID]++
 	return &scheduler.Call{Server: to, Role: role}
 }
 
-func (s *simple) known(x *catalog.Server) int { return s.told[x.ID] + s.own[x.ID] }
+func (s *baseline) knownCalls(x *catalog.Server) int { return s.reported[x.ID] + s.ownCalls[x.ID] }
 
-func (s *simple) twoChoices(all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
+func (s *baseline) twoChoices(all []*catalog.Server, _ *scheduler.Request) *catalog.Server {
 	x, y := all[s.random.IntN(len(all))], all[s.random.IntN(len(all))]
-	if s.known(y) < s.known(x) {
+	if s.knownCalls(y) < s.knownCalls(x) {
 		return y
 	}
 	return x
 }
 
 // least is a server with the fewest calls known, one of them at random.
-func (s *simple) least(all []*catalog.Server) *catalog.Server {
+func (s *baseline) leastLoaded(all []*catalog.Server) *catalog.Server {
 	best, ties := all[0], 0
-	for _, x := range all {
-		switch k := s.known(x) - s.known(best); {
-		case k < 0:
-			best, ties = x, 1
-		case k == 0:
+	for _, candidate := range all {
+		switch difference := s.knownCalls(candidate) - s.knownCalls(best); {
+		case difference < 0:
+			best, ties = candidate, 1
+		case difference == 0:
 			if ties++; s.random.IntN(ties) == 0 {
-				best = x
+				best = candidate
 			}
 		}
 	}
@@ -134,41 +136,41 @@
 
 // boundedHash is the first server by rendezvous hashing of the shared parts that has no more than bound times
 // the mean of the calls known.
-func (s *simple) boundedHash(all []*catalog.Server, r *scheduler.Request) *catalog.Server {
+func (s *baseline) boundedHash(all []*catalog.Server, r *scheduler.Request) *catalog.Server {
 	if all[0].Stage == catalog.Writing {
 		return s.twoChoices(all, r)
 	}
 	const bound = 1.25
 	sum := 1
-	for _, x := range all {
-		sum += s.known(x)
+	for _, candidate := range all {
+		sum += s.knownCalls(candidate)
 	}
 	limit := bound * float64(sum) / float64(len(all))
-	key := r.Parts[max(0, len(r.Parts)-2)].ID
+	key := r.Segments[max(0, len(r.Segments)-2)].ID
 	ranked := slices.Clone(all)
-	slices.SortFunc(ranked, func(x, y *catalog.Server) int {
-		if xxhash.Sum64String(x.ID+key) > xxhash.Sum64String(y.ID+key) {
+	slices.SortFunc(ranked, func(candidate, y *catalog.Server) int {
+		if xxhash.Sum64String(candidate.ID+key) > xxhash.Sum64String(y.ID+key) {
 			return -1
 		}
 		return 1
 	})
-	for _, x := range ranked {
-		if float64(s.known(x)) <= limit {
-			return x
+	for _, candidate := range ranked {
+		if float64(s.knownCalls(candidate)) <= limit {
+			return candidate
 		}
 	}
 	return ranked[0]
 }
 
-// Told takes a told load.
-func (s *simple) Told(_ time.Duration, server string, load scheduler.Load) {
-	s.told[server] = max(0, load.Running+load.Waiting-s.own[server])
+// ObserveLoad takes a told load.
+func (s *baseline) ObserveLoad(_ time.Duration, server string, load scheduler.Load) {
+	s.reported[server] = max(0, load.Running+load.Waiting-s.ownCalls[server])
 }
 
 // FirstEvent is of no use here.
-func (s *simple) FirstEvent(time.Duration, *scheduler.Call) {}
+func (s *baseline) FirstEvent(time.Duration, *scheduler.Call) {}
 
 // Done ends a call.
-func (s *simple) Done(_ time.Duration, call *scheduler.Call, _ scheduler.Outcome) {
-	s.own[call.Server.ID]--
+func (s *baseline) Done(_ time.Duration, call *scheduler.Call, _ scheduler.Outcome) {
+	s.ownCalls[call.Server.ID]--
 }
--- a/internal/simulation/routersim/result.go
+++ b/internal/simulation/routersim/result.go
@@ -7,12 +7,12 @@
 
 // Counts is what a run counts.
 type Counts struct {
-	Requests, InTime, Served, Failed int
-	Owed, Earned                     float64 // worth
-	SharedTokens, SharedRead         int     // of prompts; of those, read though shared
-	Moves, FarMoves, Direct          int
+	Requests, InTime, Served, Failed      int
+	OfferedValue, EarnedValue             float64 // worth
+	SharedTokens, SharedPrefilled         int     // of prompts; of those, read though shared
+	Transfers, CrossZoneTransfers, Direct int
 
-	firsts []time.Duration // times of the first token
+	firstTokenTimes []time.Duration // times of the first token
 }
 
 // Result is the counts of a policy in a scenario.
@@ -21,19 +21,21 @@
 	Counts
 }
 
-// Share is the part of the worth earned.
-func (r *Result) Share() float64 { return r.Earned / max(r.Owed, 1) }
+// EarnedFraction is the part of the worth earned.
+func (r *Result) EarnedFraction() float64 { return r.EarnedValue / max(r.OfferedValue, 1) }
 
-// Reread is the part of shared tokens that was read.
-func (r *Result) Reread() float64 { return float64(r.SharedRead) / max(float64(r.SharedTokens), 1) }
+// RecomputedFraction is the part of shared tokens that was read.
+func (r *Result) RecomputedFraction() float64 {
+	return float64(r.SharedPrefilled) / max(float64(r.SharedTokens), 1)
+}
 
-// First returns a quantile of the times of the first token.
-func (r *Result) First(quantile float64) time.Duration {
-	if len(r.firsts) == 0 {
+// FirstTokenTime returns a quantile of the times of the first token.
+func (r *Result) FirstTokenTime(quantile float64) time.Duration {
+	if len(r.firstTokenTimes) == 0 {
 		return 0
 	}
-	slices.Sort(r.firsts)
-	return r.firsts[int(quantile*float64(len(r.firsts)-1))]
+	slices.Sort(r.firstTokenTimes)
+	return r.firstTokenTimes[int(quantile*float64(len(r.firstTokenTimes)-1))]
 }
 
 // Merge adds the counts of another run.
@@ -42,15 +44,15 @@
 	r.InTime += other.InTime
 	r.Served += other.Served
 	r.Failed += other.Failed
-	r.Owed += other.Owed
-	r.Earned += other.Earned
+	r.OfferedValue += other.OfferedValue
+	r.EarnedValue += other.EarnedValue
 	r.SharedTokens += other.SharedTokens
-	r.SharedRead += other.SharedRead
-	r.Moves += other.Moves
-	r.FarMoves += other.FarMoves
+	r.SharedPrefilled += other.SharedPrefilled
+	r.Transfers += other.Transfers
+	r.CrossZoneTransfers += other.CrossZoneTransfers
 	r.Direct += other.Direct
-	r.firsts = append(r.firsts, other.firsts...)
+	r.firstTokenTimes = append(r.firstTokenTimes, other.firstTokenTimes...)
 }
 
 // Of returns a count as a part of the requests.
-func (r *Result) Of(count int) float64 { return float64(count) / max(float64(r.Requests), 1) }
+func (r *Result) Fraction(count int) float64 { return float64(count) / max(float64(r.Requests), 1) }
--- a/internal/simulation/routersim/scenario.go
+++ b/internal/simulation/routersim/scenario.go
@@ -4,31 +4,31 @@
 
 // Kind is a kind of request.
 type Kind struct {
-	Name      string
-	PerSecond float64 // over all proxies
-	Shared    []Shared
-	Own       float64 // tokens of the request's own part, on average
-	MostOwn   float64 // tokens that it has at most, 0 for no bound
-	Urgency   int     // of its route, 0 first
-	Spread    float64 // of sizes: the sigma of a log-normal distribution
-	Output    float64 // tokens on average
-	Aim       time.Duration
-	Deadline  time.Duration
-	Worth     float64
+	Name          string
+	PerSecond     float64 // over all proxies
+	Shared        []Shared
+	Own           float64 // tokens of the request's own part, on average
+	MaxOwn        float64 // tokens that it has at most, 0 for no bound
+	Urgency       int     // of its route, 0 first
+	Spread        float64 // of sizes: the sigma of a log-normal distribution
+	Output        float64 // tokens on average
+	LatencyTarget time.Duration
+	Deadline      time.Duration
+	Value         float64
 }
 
-// Shared is a part of a prompt that requests for the same thing have in common.
+// PeerLoadDelay is a part of a prompt that requests for the same thing have in common.
 type Shared struct {
 	Things int
 	Tokens float64 // on average
 	Spread float64
-	Most   float64 // tokens that it has at most, 0 for no bound
+	Max    float64 // tokens that it has at most, 0 for no bound
 }
 
 // Fault is something that happens to a share of the servers of a stage.
 type Fault struct {
 	At, Until time.Duration
-	Share     float64
+	Fraction  float64
 	Kind      FaultKind
 }
 
@@ -38,33 +38,34 @@
 // The kinds of faults.
 const (
 	Crash    FaultKind = iota // the server ends; another incarnation takes its place at Until
-	SlowLink                  // moves take slowLinkTimes as long
-	Slow                      // the engine takes slowTimes as long
+	SlowLink                  // moves take slowLinkFactor as long
+	Slow                      // the engine takes slowEngineFactor as long
 )
 
 // Scenario is a fleet and what it is asked for.
 type Scenario struct {
-	Name             string
-	Seed             uint64
-	Length           time.Duration
-	Zones, Proxies   int
-	Readers, Writers int
-	Engine           Engine
-	SpeedSpread      float64 // servers run at 1 ± this
-	Kinds            []Kind
-	Rate             float64 // times the rates of the kinds
-	Faults           []Fault
-	Listed           time.Duration // until a crash or a start shows in the proxies' tables
-	Exchange         time.Duration // until proxies hear what the others were told; 0 for never
-	Fresh            bool          // proxies are told all loads before each decision: a bound
-	// Shared is until proxies hear what the others have under way, and what was sent where first; 0 for never.
-	Shared time.Duration
+	Name                          string
+	Seed                          uint64
+	Length                        time.Duration
+	Zones, Proxies                int
+	PrefillServers, DecodeServers int
+	Engine                        Engine
+	SpeedSpread                   float64 // servers run at 1 ± this
+	Kinds                         []Kind
+	RateFactor                    float64 // times the rates of the kinds
+	Faults                        []Fault
+	ListingDelay                  time.Duration // until a crash or a start shows in the proxies' tables
+	LoadExchangeDelay             time.Duration // until proxies hear what the others were told; 0 for never
+	AllLoadsKnown                 bool          // proxies are told all loads before each decision: a bound
+	// PeerLoadDelay is until proxies hear what the others have under way, and what was sent where first; 0 for
+	// never.
+	PeerLoadDelay time.Duration
 }
 
 // ModelEngine is an engine of a usual size.
 func ModelEngine() Engine {
 	return Engine{
-		Slots: 64, StepMs: 5, StepSlotMs: 0.15, ReadPerMs: 40, SetupMs: 8, Chunk: 1024,
+		Slots: 64, StepMs: 5, StepSlotMs: 0.15, PrefillTokensPerMs: 40, SetupMs: 8, PrefillChunk: 1024,
 		CacheTokens: 400_000, TokenBytes: 20_000, LinkMegabits: 150_000,
 	}
 }
@@ -76,15 +77,15 @@
 		{
 			Name: "long", PerSecond: 9, Shared: []Shared{{Things: 70, Tokens: 13000, Spread: 0.6}}, Own: 3700,
 			Spread: prompts, Output: 15,
-			Aim: 800 * time.Millisecond, Deadline: 6 * time.Second, Worth: 2,
+			LatencyTarget: 800 * time.Millisecond, Deadline: 6 * time.Second, Value: 2,
 		}, {
 			Name: "middling", PerSecond: 6.5, Shared: []Shared{
 				{Things: 4, Tokens: 2500, Spread: 0.4}, {Things: 100, Tokens: 3800, Spread: 0.6}}, Own: 2900,
-			Spread: prompts, Output: 7, Aim: 600 * time.Millisecond, Deadline: 4 * time.Second, Worth: 3,
+			Spread: prompts, Output: 7, LatencyTarget: 600 * time.Millisecond, Deadline: 4 * time.Second, Value: 3,
 		}, {
 			Name: "short", PerSecond: 10, Shared: []Shared{
 				{Things: 8, Tokens: 200, Spread: 0.4}, {Things: 80, Tokens: 150, Spread: 0.6}}, Own: 1100,
-			Spread: answers, Output: 20, Aim: 500 * time.Millisecond, Deadline: 6 * time.Second, Worth: 1,
+			Spread: answers, Output: 20, LatencyTarget: 500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1,
 		},
 	}
 }
@@ -93,51 +94,56 @@
 // time: most late answers are late by their own length.
 func Galleries(seed uint64) Scenario {
 	engine := Engine{
-		Slots: 64, StepMs: 3.09, StepSlotMs: 0.0165, ReadPerMs: 61.8, PairsMs: 0.367, SetupMs: 3.7, Chunk: 2048,
+		Slots: 64, StepMs: 3.09, StepSlotMs: 0.0165, PrefillTokensPerMs: 61.8, MsPerMillionPairs: 0.367,
+		SetupMs: 3.7, PrefillChunk: 2048,
 		CacheTokens: 390_191, TokenBytes: 163_840, LinkMegabits: 1_800_000,
 	}
 	kinds := []Kind{
 		{
-			Name: "album", PerSecond: 22.5, Shared: []Shared{{Things: 285, Tokens: 13300, Spread: 0.7, Most: 39900}},
-			Own: 3720, MostOwn: 53200, Spread: 1.1, Output: 8, Urgency: 1,
-			Aim: 600 * time.Millisecond, Deadline: 5 * time.Second, Worth: 2,
+			Name: "album", PerSecond: 22.5, Shared: []Shared{{Things: 285, Tokens: 13300, Spread: 0.7, Max: 39900}},
+			Own: 3720, MaxOwn: 53200, Spread: 1.1, Output: 8, Urgency: 1,
+			LatencyTarget: 600 * time.Millisecond, Deadline: 5 * time.Second, Value: 2,
 		}, {
 			Name: "tag", PerSecond: 17.5, Shared: []Shared{
-				{Things: 4, Tokens: 2520, Spread: 0.4, Most: 6290}, {Things: 98, Tokens: 3780, Spread: 0.7, Most: 11300}},
-			Own: 2890, MostOwn: 39600, Spread: 1, Output: 3,
-			Aim: 500 * time.Millisecond, Deadline: 3 * time.Second, Worth: 3,
+				{Things: 4, Tokens: 2520, Spread: 0.4, Max: 6290}, {Things: 98, Tokens: 3780, Spread: 0.7, Max: 11300}},
+			Own: 2890, MaxOwn: 39600, Spread: 1, Output: 3,
+			LatencyTarget: 500 * time.Millisecond, Deadline: 3 * time.Second, Value: 3,
 		}, {
 			Name: "label", PerSecond: 40.5, Shared: []Shared{
-				{Things: 15, Tokens: 210, Spread: 0.4, Most: 524}, {Things: 229, Tokens: 140, Spread: 0.7, Most: 419}},
-			Own: 1110, MostOwn: 3790, Spread: 1, Output: 12, Urgency: 2,
-			Aim: 300 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1,
+				{Things: 15, Tokens: 210, Spread: 0.4, Max: 524}, {Things: 229, Tokens: 140, Spread: 0.7, Max: 419}},
+			Own: 1110, MaxOwn: 3790, Spread: 1, Output: 12, Urgency: 2,
+			LatencyTarget: 300 * time.Millisecond, Deadline: 5 * time.Second, Value: 1,
 		},
 	}
 	return Scenario{
-		Name: "galleries", Seed: seed, Length: 34 * time.Second, Zones: 3, Proxies: 23, Readers: 20, Writers: 9,
-		Engine: engine, Kinds: kinds, Rate: 1, Listed: 1500 * time.Millisecond, Shared: 60 * time.Millisecond,
+		Name: "galleries", Seed: seed, Length: 34 * time.Second, Zones: 3, Proxies: 23, PrefillServers: 20,
+		DecodeServers: 9,
+		Engine:        engine, Kinds: kinds, RateFactor: 1, ListingDelay: 1500 * time.Millisecond,
+		PeerLoadDelay: 60 * time.Millisecond,
 	}
 }
 
 // Calm is a small fleet on a usual day.
 func Calm(seed uint64) Scenario {
 	return Scenario{
-		Name: "calm", Seed: seed, Length: 40 * time.Second, Zones: 3, Proxies: 10, Readers: 7, Writers: 11,
-		Engine: ModelEngine(), SpeedSpread: 0.1, Kinds: Drafts(), Rate: 1, Listed: 1500 * time.Millisecond,
+		Name: "calm", Seed: seed, Length: 40 * time.Second, Zones: 3, Proxies: 10, PrefillServers: 7,
+		DecodeServers: 11,
+		Engine:        ModelEngine(), SpeedSpread: 0.1, Kinds: Drafts(), RateFactor: 1,
+		ListingDelay: 1500 * time.Millisecond,
 	}
 }
 
 // Busy is the same fleet with its readers busy for two thirds of the time, where nothing is read twice.
 func Busy(seed uint64) Scenario {
 	s := Calm(seed)
-	s.Name, s.Rate = "busy", 1.6
+	s.Name, s.RateFactor = "busy", 1.6
 	return s
 }
 
 // Loaded is the same fleet with its readers at their limit.
 func Loaded(seed uint64) Scenario {
 	s := Calm(seed)
-	s.Name, s.Rate = "loaded", 2.2
+	s.Name, s.RateFactor = "loaded", 2.2
 	return s
 }
 
@@ -152,15 +158,21 @@
 		}
 	}
 	during := func(kind FaultKind, share float64) []Fault {
-		return []Fault{{At: 10 * time.Second, Until: 25 * time.Second, Share: share, Kind: kind}}
+		return []Fault{{At: 10 * time.Second, Until: 25 * time.Second, Fraction: share, Kind: kind}}
 	}
 	return []func(seed uint64) Scenario{
-		vary("few things, asked often", func(s *Scenario) { s.Kinds[0].Shared[0].Things, s.Rate = 4, 1.5 }),
+		vary("few things, asked often", func(s *Scenario) { s.Kinds[0].Shared[0].Things, s.RateFactor = 4, 1.5 }),
 		vary("a fifth slow", func(s *Scenario) { s.Faults = during(Slow, 0.2) }),
 		vary("a third with slow links", func(s *Scenario) { s.Faults = during(SlowLink, 0.3) }),
 		vary("a fifth crash", func(s *Scenario) { s.Faults = during(Crash, 0.2) }),
-		vary("quick readers", func(s *Scenario) { s.Engine.ReadPerMs, s.Rate = 120, 3 }),
-		vary("slow engines", func(s *Scenario) { s.Engine.ReadPerMs, s.Engine.StepMs, s.Rate = 12, 20, 0.3 }),
-		vary("140 servers", func(s *Scenario) { s.Readers, s.Writers, s.Proxies, s.Rate = 56, 84, 40, 8 }),
+		vary("quick readers", func(s *Scenario) { s.Engine.PrefillTokensPerMs, s.RateFactor = 120, 3 }),
+		vary("slow engines", func(s *Scenario) {
+			s.Engine.PrefillTokensPerMs, s.Engine.StepMs, s.RateFactor = 12,
+				20, 0.3
+		}),
+		vary("140 servers", func(s *Scenario) {
+			s.PrefillServers, s.DecodeServers, s.Proxies, s.RateFactor = 56,
+				84, 40, 8
+		}),
 	}
 }
--- a/internal/simulation/routersim/table_test.go
+++ b/internal/simulation/routersim/table_test.go
@@ -9,7 +9,7 @@
 )
 
 // runs plays a scenario with several seeds.
-func runs(scenario func(uint64) Scenario, policy Maker, seeds uint64) Result {
+func runSeeds(scenario func(uint64) Scenario, policy PolicyFactory, seeds uint64) Result {
 	sum := Result{Policy: policy.Name}
 	for seed := range seeds {
 		sum.Merge(Run(scenario(seed+1), policy))
@@ -19,19 +19,19 @@
 
 // fresh is the scenario with proxies that know all loads at any time, a bound of what knowing more could
 // bring.
-func fresh(scenario func(uint64) Scenario) func(uint64) Scenario {
+func allLoadsKnown(scenario func(uint64) Scenario) func(uint64) Scenario {
 	return func(seed uint64) Scenario {
 		s := scenario(seed)
-		s.Fresh = true
+		s.AllLoadsKnown = true
 		return s
 	}
 }
 
 // exchanging is the scenario with proxies that hear after a while what the others were told.
-func exchanging(scenario func(uint64) Scenario) func(uint64) Scenario {
+func exchangingLoads(scenario func(uint64) Scenario) func(uint64) Scenario {
 	return func(seed uint64) Scenario {
 		s := scenario(seed)
-		s.Exchange = 150 * time.Millisecond
+		s.LoadExchangeDelay = 150 * time.Millisecond
 		return s
 	}
 }
@@ -52,9 +52,10 @@
 }
 
 func row(t *testing.T, name string, r Result) {
-	median, late := r.First(0.5).Round(time.Millisecond), r.First(0.95).Round(time.Millisecond)
-	t.Logf("%-28s %6.3f %7.3f %7.3f %8v %8v %7.3f %7.3f", name, r.Share(), r.Of(r.InTime), r.Of(r.Failed),
-		median, late, r.Reread(), r.Of(r.Direct))
+	median, late := r.FirstTokenTime(0.5).Round(time.Millisecond), r.FirstTokenTime(0.95).Round(time.Millisecond)
+	t.Logf("%-28s %6.3f %7.3f %7.3f %8v %8v %7.3f %7.3f", name, r.EarnedFraction(), r.Fraction(r.InTime),
+		r.Fraction(r.Failed),
+		median, late, r.RecomputedFraction(), r.Fraction(r.Direct))
 }
 
 // TestTable plays the policies against each other; with -v it prints what docs/design/routing.md shows.
@@ -63,16 +64,17 @@
 	seeds := seedsOf(3)
 	for _, scenario := range []func(uint64) Scenario{Calm, Busy, Loaded} {
 		heading(t, scenario(1).Name)
-		ours := runs(scenario, Pairing(), seeds)
+		ours := runSeeds(scenario, Scheduler(), seeds)
 		row(t, "pairing", ours)
-		for _, rival := range Rivals() {
-			theirs := runs(scenario, rival, seeds)
+		for _, rival := range Baselines() {
+			theirs := runSeeds(scenario, rival, seeds)
 			row(t, rival.Name, theirs)
-			qt.Check(t, ours.Share() > theirs.Share()-noise, qt.IsTrue, qt.Commentf("%s", rival.Name))
+			qt.Check(t, ours.EarnedFraction() > theirs.EarnedFraction()-noise, qt.IsTrue, qt.Commentf("%s",
+				rival.Name))
 		}
 		if testing.Verbose() {
-			row(t, "pairing, loads exchanged", runs(exchanging(scenario), Pairing(), seeds))
-			row(t, "pairing, all loads known", runs(fresh(scenario), Pairing(), seeds))
+			row(t, "pairing, loads exchanged", runSeeds(exchangingLoads(scenario), Scheduler(), seeds))
+			row(t, "pairing, all loads known", runSeeds(allLoadsKnown(scenario), Scheduler(), seeds))
 		}
 	}
 }
@@ -80,24 +82,25 @@
 // TestTableOfVariants prints other days, and holds that pairing is no worse there than a hash with bounds.
 func TestTableOfVariants(t *testing.T) {
 	const noise = 0.02
-	seeds, rivals := seedsOf(1), Rivals()
+	seeds, rivals := seedsOf(1), Baselines()
 	for _, scenario := range Variants() {
 		heading(t, scenario(1).Name)
-		ours := runs(scenario, Pairing(), seeds)
+		ours := runSeeds(scenario, Scheduler(), seeds)
 		row(t, "pairing", ours)
 		for _, rival := range rivals[len(rivals)-2:] {
-			theirs := runs(scenario, rival, seeds)
+			theirs := runSeeds(scenario, rival, seeds)
 			row(t, rival.Name, theirs)
-			qt.Check(t, ours.Share() > theirs.Share()-noise, qt.IsTrue, qt.Commentf("%s", rival.Name))
+			qt.Check(t, ours.EarnedFraction() > theirs.EarnedFraction()-noise, qt.IsTrue, qt.Commentf("%s",
+				rival.Name))
 		}
 	}
 }
 
 func TestRunsRepeat(t *testing.T) {
-	one, other := Run(Calm(3), Pairing()), Run(Calm(3), Pairing())
-	qt.Check(t, one.Earned, qt.Equals, other.Earned)
-	qt.Check(t, one.SharedRead, qt.Equals, other.SharedRead)
-	qt.Check(t, one.Moves, qt.Equals, other.Moves)
+	one, other := Run(Calm(3), Scheduler()), Run(Calm(3), Scheduler())
+	qt.Check(t, one.EarnedValue, qt.Equals, other.EarnedValue)
+	qt.Check(t, one.SharedPrefilled, qt.Equals, other.SharedPrefilled)
+	qt.Check(t, one.Transfers, qt.Equals, other.Transfers)
 }
 
 // TestGalleries tells what of the late answers is the prompts' own length: a clairvoyant with ten times as
@@ -109,32 +112,32 @@
 	aged := func(age time.Duration) func(uint64) Scenario {
 		return func(seed uint64) Scenario {
 			s := Galleries(seed)
-			s.Shared = age
+			s.PeerLoadDelay = age
 			return s
 		}
 	}
 	tenfold := func(seed uint64) Scenario {
 		s := Galleries(seed)
-		s.Readers, s.Writers = 10*s.Readers, 10*s.Writers
+		s.PrefillServers, s.DecodeServers = 10*s.PrefillServers, 10*s.DecodeServers
 		return s
 	}
 	heading(t, "galleries")
 	bound := Clairvoyant(Galleries(1).Engine)
-	alone, known := runs(tenfold, bound, seeds), runs(Galleries, bound, seeds)
+	alone, known := runSeeds(tenfold, bound, seeds), runSeeds(Galleries, bound, seeds)
 	row(t, "no queues", alone)
 	row(t, bound.Name, known)
-	ours := runs(Galleries, Pairing(), seeds)
+	ours := runSeeds(Galleries, Scheduler(), seeds)
 	row(t, "pairing", ours)
-	qt.Check(t, alone.Of(alone.InTime) > known.Of(known.InTime)-noise, qt.IsTrue)
-	qt.Check(t, known.Of(known.InTime) > ours.Of(ours.InTime)-noise, qt.IsTrue)
-	qt.Check(t, ours.Of(ours.InTime) > known.Of(known.InTime)-0.04, qt.IsTrue)
+	qt.Check(t, alone.Fraction(alone.InTime) > known.Fraction(known.InTime)-noise, qt.IsTrue)
+	qt.Check(t, known.Fraction(known.InTime) > ours.Fraction(ours.InTime)-noise, qt.IsTrue)
+	qt.Check(t, ours.Fraction(ours.InTime) > known.Fraction(known.InTime)-0.04, qt.IsTrue)
 	if !testing.Verbose() {
 		return
 	}
 	for _, age := range []time.Duration{15, 30, 120, 240, 0} {
-		row(t, fmt.Sprintf("pairing, %d ms old", age), runs(aged(age*time.Millisecond), Pairing(), seeds))
+		row(t, fmt.Sprintf("pairing, %d ms old", age), runSeeds(aged(age*time.Millisecond), Scheduler(), seeds))
 	}
-	for _, rival := range Rivals() {
-		row(t, rival.Name, runs(Galleries, rival, seeds))
+	for _, rival := range Baselines() {
+		row(t, rival.Name, runSeeds(Galleries, rival, seeds))
 	}
 }
