--- a/internal/acceptloop/acceptloop.go
+++ b/internal/acceptloop/acceptloop.go
@@ -11,28 +11,28 @@
 
 // The pause after a failure grows from the least to the most, as descriptors may come back at any moment.
 const (
-	leastPause = 5 * time.Millisecond
-	mostPause  = 100 * time.Millisecond
+	minBackoff = 5 * time.Millisecond
+	maxBackoff = 100 * time.Millisecond
 )
 
 // Run hands each connection to take until the listener closes, and then returns net.ErrClosed. Each failure
 // is told to failed, which may be nil.
-func Run(listener net.Listener, failed func(error), take func(net.Conn)) error {
-	pause := leastPause
+func Run(listener net.Listener, onError func(error), handle func(net.Conn)) error {
+	backoff := minBackoff
 	for {
 		c, err := listener.Accept()
 		if err == nil {
-			pause = leastPause
-			take(c)
+			backoff = minBackoff
+			handle(c)
 			continue
 		}
 		if errors.Is(err, net.ErrClosed) {
 			return net.ErrClosed
 		}
-		if failed != nil {
-			failed(err)
+		if onError != nil {
+			onError(err)
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, mostPause)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
--- a/internal/bodybudget/bodies.go
+++ b/internal/bodybudget/bodies.go
@@ -5,12 +5,12 @@
 
 import "sync/atomic"
 
-// Piece is how much of a body a transfer moves at a time, where the budget has it.
-const Piece = 16 << 10
+// ChunkSize is how much of a body a transfer moves at a time, where the budget has it.
+const ChunkSize = 16 << 10
 
-// smallPiece is what a transfer works with where the budget is spent. It is not counted: the number of
+// fallbackChunkSize is what a transfer works with where the budget is spent. It is not counted: the number of
 // connections bounds it, beside which it is little.
-const smallPiece = 2 << 10
+const fallbackChunkSize = 2 << 10
 
 // Budget is the bytes that bodies may take.
 type Budget struct {
@@ -28,8 +28,8 @@
 // Resize changes the limit; what was taken stays taken.
 func (b *Budget) Resize(bytes int64) { b.limit.Store(bytes) }
 
-// Take takes n bytes, or none and returns false.
-func (b *Budget) Take(n int) bool {
+// Reserve takes n bytes, or none and returns false.
+func (b *Budget) Reserve(n int) bool {
 	if b.used.Add(int64(n)) > b.limit.Load() {
 		b.used.Add(int64(-n))
 		return false
@@ -37,16 +37,16 @@
 	return true
 }
 
-// Give gives n bytes back.
-func (b *Budget) Give(n int) { b.used.Add(int64(-n)) }
+// Release gives n bytes back.
+func (b *Budget) Release(n int) { b.used.Add(int64(-n)) }
 
 // Used is how many bytes are taken.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
 // Buffer returns room for a transfer and what gives it back.
 func (b *Budget) Buffer() ([]byte, func()) {
-	if !b.Take(Piece) {
-		return make([]byte, smallPiece), func() {}
+	if !b.Reserve(ChunkSize) {
+		return make([]byte, fallbackChunkSize), func() {}
 	}
-	return make([]byte, Piece), func() { b.Give(Piece) }
+	return make([]byte, ChunkSize), func() { b.Release(ChunkSize) }
 }
--- a/internal/bodybudget/bodies_test.go
+++ b/internal/bodybudget/bodies_test.go
@@ -4,10 +4,10 @@
 
 // What is taken never exceeds the limit, and all that is given back can be taken again.
 func TestBudget(t *testing.T) {
-	b := NewBudget(3 * Piece)
+	b := NewBudget(3 * ChunkSize)
 	for i := range 5 {
 		room, give := b.Buffer()
-		if (len(room) == Piece) != (i < 3) {
+		if (len(room) == ChunkSize) != (i < 3) {
 			t.Errorf("transfer %d works with %d bytes", i, len(room))
 		}
 		defer func() {
@@ -16,9 +16,9 @@
 			}
 		}()
 	}
-	b.Resize(4 * Piece)
-	if !b.Take(Piece) || b.Take(1) {
+	b.Resize(4 * ChunkSize)
+	if !b.Reserve(ChunkSize) || b.Reserve(1) {
 		t.Error("the new limit does not hold")
 	}
-	b.Give(Piece)
+	b.Release(ChunkSize)
 }
--- a/internal/proxy/ingress/exchange.go
+++ b/internal/proxy/ingress/exchange.go
@@ -46,7 +46,7 @@
 		}
 	}
 	arrived := time.Now() // a request's time counts from its last byte
-	defer s.Bodies.Give(held)
+	defer s.Bodies.Release(held)
 	if !s.begin(c) {
 		return false
 	}
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -43,7 +43,7 @@
 			if n > 0 {
 				size = min(2*n, http1.MaxBody)
 			}
-			if n == http1.MaxBody || large && n == enough || !s.Bodies.Take(size-n) {
+			if n == http1.MaxBody || large && n == enough || !s.Bodies.Reserve(size-n) {
 				return held, nil
 			}
 			held += size - n
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -168,7 +168,7 @@
 			if n > 0 {
 				size = min(2*n, http1.MaxBody)
 			}
-			if n == http1.MaxBody || large && n == enough || !c.pool.bodies.Take(size-n) {
+			if n == http1.MaxBody || large && n == enough || !c.pool.bodies.Reserve(size-n) {
 				return held, may, nil
 			}
 			held += size - n
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -78,7 +78,7 @@
 
 // Release gives back what an outcome holds. A rest that was not read to its end is given up.
 func (p *Pool) Release(o *Outcome) {
-	p.bodies.Give(o.held)
+	p.bodies.Release(o.held)
 	o.held = 0
 	if o.Rest != nil {
 		o.Rest.close()
--- a/internal/router/agent/demand.go
+++ b/internal/router/agent/demand.go
@@ -45,7 +45,7 @@
 		demands := &peerproto.Demands{}
 		for _, d := range b.node.workload.Demands() {
 			demands.Services = append(demands.Services,
-				peerproto.Demand{Service: d.Service, Reading: d.Reading, Writing: d.Writing})
+				peerproto.Demand{Service: d.Service, Reading: d.Prefill, Writing: d.Decode})
 		}
 		b.mu.Lock()
 		b.mine = demands
--- a/internal/router/agent/node.go
+++ b/internal/router/agent/node.go
@@ -41,7 +41,7 @@
 	started   time.Time
 	state     *state
 	control   controlState
-	front     *dataplane.Front // nil where the role does not serve clients
+	front     *dataplane.Proxy // nil where the role does not serve clients
 	workload  Workload         // the front where there is one
 	// ordersStages tells that model servers get their stages from this process while it has that duty.
 	ordersStages bool
--- a/internal/router/agent/options.go
+++ b/internal/router/agent/options.go
@@ -30,7 +30,7 @@
 	Demands() []dataplane.Demand
 }
 
-var _ Workload = (*dataplane.Front)(nil)
+var _ Workload = (*dataplane.Proxy)(nil)
 
 // noWorkload is the workload of a process that does not serve clients.
 type noWorkload struct{}
--- a/internal/router/dataplane/answer_test.go
+++ b/internal/router/dataplane/answer_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestAnswersOfAllSizes(t *testing.T) {
-	for _, size := range []int{20, 4096, largestKept, largestKept + 1, 300_000} {
+	for _, size := range []int{20, 4096, maxBufferedResponse, maxBufferedResponse + 1, 300_000} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, chunked), func(t *testing.T) {
 				s := newServer(t, "i-1", "lookup", "", sized(size, chunked, true))
@@ -47,8 +47,8 @@
 					answer := p.ask("POST", "/unsafe/", "a", "")
 					r.Assert(len(answer.Body), qt.Equals, size)
 				}
-				r.Assert(r.front.Stats().Dialled, qt.Equals, int64(1))
-				r.until("the memory is given back", func() bool { return r.front.bodies.Used() == 0 })
+				r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(1))
+				r.eventually("the memory is given back", func() bool { return r.proxy.bodies.Used() == 0 })
 			})
 		}
 	}
@@ -63,7 +63,7 @@
 				p := r.dial()
 				p.send("POST", "/unsafe/", "a", "")
 				answer, err := p.read()
-				if size <= largestKept {
+				if size <= maxBufferedResponse {
 					r.Assert(err, qt.IsNil)
 					r.Assert(answer.Status, qt.Equals, 502)
 					return
@@ -94,7 +94,7 @@
 				r := newRig(t, nil, s)
 				p := r.dial()
 				p.send("POST", "/unsafe/", "a", "")
-				if size > largestKept { // a reset would take away what the client is to see
+				if size > maxBufferedResponse { // a reset would take away what the client is to see
 					_, err := p.in.Peek(1)
 					r.Assert(err, qt.IsNil)
 				}
@@ -105,7 +105,7 @@
 					r.Assert(err, qt.IsNil)
 					r.Assert(answer.Status, qt.Equals, 200)
 					r.Assert(answer.Body, qt.HasLen, size)
-				case size <= largestKept:
+				case size <= maxBufferedResponse:
 					r.Assert(err, qt.IsNil)
 					r.Assert(answer.Status, qt.Equals, 502)
 				default:
@@ -160,7 +160,7 @@
 					r.Assert(string(answer.Body), qt.Equals, test.body)
 				}
 			}
-			r.Assert(r.front.Stats().Reused, qt.Equals, int64(0))
+			r.Assert(r.proxy.Stats().Reused, qt.Equals, int64(0))
 			r.Assert(s.got(), qt.HasLen, 3)
 		})
 	}
@@ -185,8 +185,8 @@
 	late <- true
 	r.Assert(string(p.ask("POST", "/unsafe/", "a2", "").Body), qt.Equals, "for a2")
 	r.Assert(string(p.ask("POST", "/unsafe/", "a3", "").Body), qt.Equals, "for a3")
-	r.Assert(r.front.Stats().Surplus, qt.Equals, int64(1))
-	r.Assert(r.front.Stats().Dialled, qt.Equals, int64(2))
+	r.Assert(r.proxy.Stats().Surplus, qt.Equals, int64(1))
+	r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(2))
 }
 
 func TestConnectionsAreUsedAgainAsTheirServerTells(t *testing.T) {
@@ -200,7 +200,7 @@
 			for range 3 {
 				p.ask("POST", "/unsafe/", "a", "")
 			}
-			r.Assert(r.front.Stats().Dialled, qt.Equals, dialled)
+			r.Assert(r.proxy.Stats().Dialled, qt.Equals, dialled)
 		})
 	}
 }
@@ -214,25 +214,25 @@
 	p := r.dial()
 	for range 3 {
 		r.Assert(p.ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
-		r.until("the server has ended it", func() bool { return r.idleEnded("i-1") })
+		r.eventually("the server has ended it", func() bool { return r.idleEnded("i-1") })
 	}
-	r.Assert(r.front.Stats().Dialled, qt.Equals, int64(3))
+	r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(3))
 }
 
 // idleEnded tells whether all idle connections to a server have ended.
 func (r *rig) idleEnded(server string) bool {
-	r.front.pool.mu.Lock()
-	defer r.front.pool.mu.Unlock()
-	peer := r.front.pool.peers[server]
-	if peer == nil {
+	r.proxy.pool.mu.Lock()
+	defer r.proxy.pool.mu.Unlock()
+	conns := r.proxy.pool.servers[server]
+	if conns == nil {
 		return false
 	}
-	for _, c := range peer.idle {
-		if c.look() != ended {
+	for _, c := range conns.idle {
+		if c.readState() != readClosed {
 			return false
 		}
 	}
-	return len(peer.idle) > 0
+	return len(conns.idle) > 0
 }
 
 // A server that closes an idle connection while a request is on its way leaves open whether it ran.
@@ -245,7 +245,7 @@
 			r.Assert(p.ask("POST", "/"+route+"/", "a", "").Status, qt.Equals, 200)
 			r.Assert(p.ask("POST", "/"+route+"/", "b", "").Status, qt.Equals, test.status)
 			r.Assert(s.got(), qt.HasLen, test.arrivals)
-			r.settled()
+			r.awaitCallsEnded()
 			r.Assert(r.chooser.outcomes()[1], qt.Equals, scheduler.Abandoned) // no fault of the server
 		})
 	}
--- a/internal/router/dataplane/bench_test.go
+++ b/internal/router/dataplane/bench_test.go
@@ -59,7 +59,7 @@
 				b.Cleanup(func() { p.Close() })
 				io.WriteString(p, "GET /unbound/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n\r\n")
 			}
-			r.until("all came", func() bool { return len(s.got()) == clients })
+			r.eventually("all came", func() bool { return len(s.got()) == clients })
 			for b.Loop() {
 			}
 			b.ReportMetric(float64(inUse()-before)/clients, "B/client")
--- a/internal/router/dataplane/breakpoints_test.go
+++ b/internal/router/dataplane/breakpoints_test.go
@@ -34,7 +34,7 @@
 	cut    bool
 }
 
-func (p *person) result() result {
+func (p *testClient) result() result {
 	answer, err := p.read()
 	if answer == nil {
 		return result{cut: true}
@@ -58,7 +58,7 @@
 		{"safe", plain, plain, func(g result, whole bool, calls int) bool {
 			return g == result{200, "the body", false} && (calls == 1) == whole
 		}},
-		{"stream", stream, goesOn(3), func(g result, whole bool, calls int) bool {
+		{"stream", stream, resumesUntil(3), func(g result, whole bool, calls int) bool {
 			return g == result{200, pieces(1, 3), false} && (calls == 1) == whole
 		}},
 		{"firm", stream, stream, func(g result, whole bool, calls int) bool {
@@ -78,7 +78,7 @@
 				p.send("POST", "/"+test.route+"/", "a", "")
 				g := p.result()
 				whole = all.Load()
-				r.settled()
+				r.awaitCallsEnded()
 				if !test.check(g, whole, arrivals(servers)) {
 					t.Fatalf("broken off after %d bytes: %+v with %d calls", point, g, arrivals(servers))
 				}
@@ -96,13 +96,13 @@
 		writers := []*server{newServer(t, "i-w", "language", catalog.Writing, events(1, 2, true))}
 		r := newRig(t, slack(100), readers[0], writers[0])
 		answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt")
-		r.Assert(r.front.Stats().Repeats <= 1, qt.IsTrue)
+		r.Assert(r.proxy.Stats().Retries <= 1, qt.IsTrue)
 		if whole = all.Load(); whole {
-			r.Assert(r.front.Stats().Repeats, qt.Equals, int64(0))
+			r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(0))
 		}
 		whole = all.Load()
 		r.Assert(string(answer.Body), qt.Equals, pieces(1, 2))
-		r.settled()
+		r.awaitCallsEnded()
 		r.Assert(len(writers[0].got()), qt.Equals, 1)
 		handed := writers[0].got()[0].Header.Get(kvFromHeader) != ""
 		r.Assert(handed, qt.Equals, whole, qt.Commentf("%d bytes", point))
@@ -113,7 +113,7 @@
 func TestStreamBrokenTwice(t *testing.T) {
 	for first := range 5 {
 		for second := first; second < 6; second++ {
-			servers := lookups(t, inTurn(events(1, first, false), events(first+1, second, false), goesOn(6)))
+			servers := lookups(t, inTurn(events(1, first, false), events(first+1, second, false), resumesUntil(6)))
 			r := newRig(t, nil, servers...)
 			r.Assert(string(r.dial().ask("POST", "/stream/", "a", "").Body), qt.Equals, pieces(1, 6))
 		}
--- a/internal/router/dataplane/budget_test.go
+++ b/internal/router/dataplane/budget_test.go
@@ -30,13 +30,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			var b budget
+			var b retryBudget
 			allowed := allowance{window: window, ratio: test.ratio, slack: test.slack, proxies: test.proxies}
 			for range test.requests {
-				b.request(time.Minute, window)
+				b.recordRequest(time.Minute, window)
 			}
 			taken := 0
-			for b.has(time.Minute, allowed) {
+			for b.available(time.Minute, allowed) {
 				c.Assert(b.take(time.Minute, allowed, 1), qt.IsTrue)
 				taken++
 			}
@@ -48,7 +48,7 @@
 
 func TestBudgetTakesAllOrNone(t *testing.T) {
 	c := qt.New(t)
-	var b budget
+	var b retryBudget
 	allowed := allowance{window: window, slack: 5, proxies: 1} // 3 repeats
 	c.Assert(b.take(0, allowed, 2), qt.IsTrue)
 	c.Assert(b.take(0, allowed, 2), qt.IsFalse)
@@ -58,11 +58,11 @@
 
 func TestBudgetCountsWhatWasCharged(t *testing.T) {
 	c := qt.New(t)
-	var b budget
+	var b retryBudget
 	allowed := allowance{window: window, slack: 5, proxies: 1} // 3 repeats
-	b.charge(0, window, 3)
-	c.Assert(b.has(0, allowed), qt.IsFalse)
-	c.Assert(b.has(window+window/budgetSlots, allowed), qt.IsTrue)
+	b.recordRetries(0, window, 3)
+	c.Assert(b.available(0, allowed), qt.IsFalse)
+	c.Assert(b.available(window+window/budgetBuckets, allowed), qt.IsTrue)
 }
 
 // Every span of the window holds no more repeats than the requests of that very span allow, whenever they
@@ -71,7 +71,7 @@
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		allowed := allowance{window: window, ratio: 0.2, slack: 10, proxies: 2}
-		var b budget
+		var b retryBudget
 		var requests, repeats []time.Duration
 		now := time.Duration(0)
 		for range 4000 {
@@ -79,7 +79,7 @@
 			if random.IntN(500) == 0 {
 				now += time.Duration(random.IntN(12)) * time.Second
 			}
-			b.request(now, window)
+			b.recordRequest(now, window)
 			requests = append(requests, now)
 			if random.IntN(3) > 0 && b.take(now, allowed, 1) {
 				repeats = append(repeats, now)
@@ -93,7 +93,7 @@
 				}
 			}
 			last := repeats[i+count-1]
-			most := slackPart*5 + ratioPart*0.2*float64(within(requests, last-window, last))
+			most := slackFraction*5 + ratioFraction*0.2*float64(within(requests, last-window, last))
 			if float64(count) > most {
 				t.Fatalf("seed %d: %d repeats within the window of %v, %.1f allowed", seed, count, first, most)
 			}
@@ -112,9 +112,9 @@
 
 func TestSlackShareStaysWhenProxiesAreCutOff(t *testing.T) {
 	c := qt.New(t)
-	b := newBudgets(agentsettings.Bounds{RetryRatio: 0, RetrySlack: 100, RetryWindow: window})
+	b := newRetryBudgets(agentsettings.Bounds{RetryRatio: 0, RetrySlack: 100, RetryWindow: window})
 	now := time.Minute
-	b.request(now, "s", 10)
+	b.recordRequest(now, "s", 10)
 	c.Assert(takeAll(b, now, 1), qt.Equals, 6) // 0.6 * 100 / 10, though only one is believed live now
 	now += 40 * time.Second
 	c.Assert(takeAll(b, now, 1), qt.Equals, 6)
@@ -124,9 +124,9 @@
 
 func TestSlackIsLeftAloneAfterTheStart(t *testing.T) {
 	c := qt.New(t)
-	b := newBudgets(agentsettings.Bounds{RetryRatio: 0.5, RetrySlack: 100, RetryWindow: window})
+	b := newRetryBudgets(agentsettings.Bounds{RetryRatio: 0.5, RetrySlack: 100, RetryWindow: window})
 	for range 10 {
-		b.request(0, "s", 1)
+		b.recordRequest(0, "s", 1)
 	}
 	c.Assert(takeAll(b, 0, 1), qt.Equals, 4) // 0.8 * 0.5 * 10
 	c.Assert(takeAll(b, window, 4), qt.Equals, 0)
@@ -135,12 +135,12 @@
 
 func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
 	c := qt.New(t)
-	b := newBudgets(agentsettings.Bounds{RetrySlack: 10, RetryWindow: window})
+	b := newRetryBudgets(agentsettings.Bounds{RetrySlack: 10, RetryWindow: window})
 	c.Assert(takeAll(b, time.Minute, 1), qt.Equals, 6)
-	c.Assert(b.has(time.Minute, "other", 1), qt.IsTrue)
+	c.Assert(b.available(time.Minute, "other", 1), qt.IsTrue)
 }
 
-func takeAll(b *budgets, now time.Duration, proxies int) (taken int) {
+func takeAll(b *retryBudgets, now time.Duration, proxies int) (taken int) {
 	for b.take(now, "s", proxies, 1) {
 		taken++
 	}
@@ -149,10 +149,10 @@
 
 func TestPeakForgetsInTime(t *testing.T) {
 	c := qt.New(t)
-	var p peak
-	c.Assert(p.note(0, 5), qt.Equals, 5)
-	c.Assert(p.note(10*time.Second, 2), qt.Equals, 5)
-	c.Assert(p.note(peakSpan, 3), qt.Equals, 5)
-	c.Assert(p.note(peakSpan+15*time.Second, 1), qt.Equals, 3)
-	c.Assert(p.note(10*peakSpan, 1), qt.Equals, 1)
+	var p slidingMax
+	c.Assert(p.observe(0, 5), qt.Equals, 5)
+	c.Assert(p.observe(10*time.Second, 2), qt.Equals, 5)
+	c.Assert(p.observe(slidingMaxWindow, 3), qt.Equals, 5)
+	c.Assert(p.observe(slidingMaxWindow+15*time.Second, 1), qt.Equals, 3)
+	c.Assert(p.observe(10*slidingMaxWindow, 1), qt.Equals, 1)
 }
--- a/internal/router/dataplane/budgets.go
+++ b/internal/router/dataplane/budgets.go
@@ -12,51 +12,51 @@
 const slackMargin = time.Second
 
 // budgets holds the retry budget of each service. It is safe for concurrent use.
-type budgets struct {
+type retryBudgets struct {
 	bounds agentsettings.Bounds
 
-	mu       sync.Mutex
-	proxies  peak
-	services map[string]*budget
+	mu         sync.Mutex
+	maxProxies slidingMax
+	services   map[string]*retryBudget
 }
 
-func newBudgets(bounds agentsettings.Bounds) *budgets {
-	return &budgets{bounds: bounds, services: map[string]*budget{}}
+func newRetryBudgets(bounds agentsettings.Bounds) *retryBudgets {
+	return &retryBudgets{bounds: bounds, services: map[string]*retryBudget{}}
 }
 
 // request counts a client's request for a service.
-func (b *budgets) request(now time.Duration, service string, proxies int) {
+func (b *retryBudgets) recordRequest(now time.Duration, service string, proxies int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.proxies.note(now, proxies)
-	b.of(service).request(now, b.bounds.RetryWindow)
+	b.maxProxies.observe(now, proxies)
+	b.forService(service).recordRequest(now, b.bounds.RetryWindow)
 }
 
 // take takes so many repeats, all or none.
-func (b *budgets) take(now time.Duration, service string, proxies, repeats int) bool {
+func (b *retryBudgets) take(now time.Duration, service string, proxies, retries int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).take(now, b.allowance(now, proxies), repeats)
+	return b.forService(service).take(now, b.allowance(now, proxies), retries)
 }
 
 // has tells whether one more repeat may be taken now.
-func (b *budgets) has(now time.Duration, service string, proxies int) bool {
+func (b *retryBudgets) available(now time.Duration, service string, proxies int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).has(now, b.allowance(now, proxies))
+	return b.forService(service).available(now, b.allowance(now, proxies))
 }
 
 // charge counts a repeat that has happened already.
-func (b *budgets) charge(now time.Duration, service string) {
+func (b *retryBudgets) charge(now time.Duration, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).charge(now, b.bounds.RetryWindow, 1)
+	b.forService(service).recordRetries(now, b.bounds.RetryWindow, 1)
 }
 
-func (b *budgets) allowance(now time.Duration, proxies int) allowance {
+func (b *retryBudgets) allowance(now time.Duration, proxies int) allowance {
 	a := allowance{
 		window: b.bounds.RetryWindow, ratio: b.bounds.RetryRatio, slack: b.bounds.RetrySlack,
-		proxies: b.proxies.note(now, proxies),
+		proxies: b.maxProxies.observe(now, proxies),
 	}
 	if now < b.bounds.RetryWindow+slackMargin {
 		a.slack = 0
@@ -64,9 +64,9 @@
 	return a
 }
 
-func (b *budgets) of(service string) *budget {
+func (b *retryBudgets) forService(service string) *retryBudget {
 	if b.services[service] == nil {
-		b.services[service] = &budget{}
+		b.services[service] = &retryBudget{}
 	}
 	return b.services[service]
 }
--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	// earlyAnswer is how long a server that does not let all of a request in may take to say why.
-	earlyAnswer = 200 * time.Millisecond
-	// mostSurplus is how many answers to other requests are read past on one connection.
-	mostSurplus = 2
+	// earlyResponseTime is how long a server that does not let all of a request in may take to say why.
+	earlyResponseTime = 200 * time.Millisecond
+	// maxSurplusResponses is how many answers to other requests are read past on one connection.
+	maxSurplusResponses = 2
 )
 
 // call is one call of a request to one server.
 type call struct {
-	delivery *delivery
-	choice   *scheduler.Call
-	role     scheduler.Role
-	conn     *connection
-	tainted  bool // the connection must not be used again
-	spoilt   bool // the connection's messages are out of step, so that it ends with this one
-	begun    bool // the head of an answer has come
-	unsent   bool // not all of the request was sent; the system may have told of a reset already
-	alive    time.Duration
-	started  time.Time
-	headAt   time.Duration // after started, when the head of the answer came
-	eventAt  time.Duration // after started, when the first event was whole
+	roundTrip        *roundTrip
+	choice           *scheduler.Call
+	role             scheduler.Role
+	conn             *connection
+	mustClose        bool // the connection must not be used again
+	outOfSync        bool // the connection's messages are out of step, so that it ends with this one
+	responseStarted  bool // the head of an answer has come
+	partlySent       bool // not all of the request was sent; the system may have told of a reset already
+	keepAliveTime    time.Duration
+	started          time.Time
+	timeToHead       time.Duration // after started, when the head of the answer came
+	timeToFirstEvent time.Duration // after started, when the first event was whole
 }
 
 // run makes the call and passes its answer to the client. It returns nil where the client has the whole
 // answer.
-func (c *call) run() *failure {
+func (c *call) run() *callFailure {
 	if f := c.connect(); f != nil {
-		return c.end(f)
+		return c.finish(f)
 	}
 	head, body, f := c.exchange()
 	if f == nil {
-		f = c.delivery.relay.answer(c, head, body)
+		f = c.roundTrip.relay.forwardResponse(c, head, body)
 	}
-	return c.end(f)
+	return c.finish(f)
 }
 
 // end tells the decisions how the call ended, and keeps or closes its connection.
-func (c *call) end(f *failure) *failure {
-	c.delivery.underWay = nil
+func (c *call) finish(f *callFailure) *callFailure {
+	c.roundTrip.inFlight = nil
 	outcome := scheduler.Served
 	if f != nil {
 		outcome = f.outcome
 	}
-	if c.delivery.reason() != goingOn && f != nil {
+	if c.roundTrip.stopReason() != notStopped && f != nil {
 		f.outcome, outcome = scheduler.Abandoned, scheduler.Abandoned
 	}
-	c.delivery.front.decider.done(c.choice, outcome)
-	c.delivery.front.calls.count(c.role, outcome)
-	c.delivery.trace.endCall(c, f)
+	c.roundTrip.proxy.chooser.done(c.choice, outcome)
+	c.roundTrip.proxy.callCounts.count(c.role, outcome)
+	c.roundTrip.trace.endCall(c, f)
 	c.logEnd(outcome)
 	c.disconnect()
 	return f
@@ -69,21 +69,21 @@
 
 // logEnd tells of the call beside what the decision reckoned with; package calllog reads these lines.
 func (c *call) logEnd(outcome scheduler.Outcome) {
-	event := c.delivery.front.log.Debug()
+	event := c.roundTrip.proxy.log.Debug()
 	if !event.Enabled() {
 		return
 	}
-	q, took := c.delivery.request, c.took()
+	q, took := c.roundTrip.request, c.elapsed()
 	tokens, wait := c.choice.Expected()
 	event.Str("try", q.tryID).Str("route", q.route.Name).Dur("target_ms", q.route.LatencyTarget).
 		Str("server", c.choice.Server.ID).Str("role", roleNames[c.role]).Str("outcome", outcomeNames[outcome]).
-		Str("shared", strconv.FormatUint(c.choice.SharedPrefix(), 16)).Int("prompt", q.pairing.PromptTokens).
+		Str("shared", strconv.FormatUint(c.choice.SharedPrefix(), 16)).Int("prompt", q.scheduling.PromptTokens).
 		Int("reads", tokens).Dur("expected_ms", wait).Dur("at_ms", time.Since(q.arrived)-took).
-		Dur("head_ms", c.headAt).Dur("event_ms", c.eventAt).Dur("took_ms", took).Msg("front: call")
+		Dur("head_ms", c.timeToHead).Dur("event_ms", c.timeToFirstEvent).Dur("took_ms", took).Msg("front: call")
 }
 
 // took is how long the call has been under way, 0 where it was not sent.
-func (c *call) took() time.Duration {
+func (c *call) elapsed() time.Duration {
 	if c.started.IsZero() {
 		return 0
 	}
@@ -91,116 +91,119 @@
 }
 
 // exchange sends the request and reads the head of its answer.
-func (c *call) exchange() (*http1.Response, *http1.Body, *failure) {
+func (c *call) exchange() (*http1.Response, *http1.Body, *callFailure) {
 	c.started = time.Now()
-	unsent := c.send()
+	sendFailure := c.send()
 	switch {
-	case unsent == nil:
-		c.conn.SetReadDeadline(c.silentUntil())
-	case unsent.fate == notSent:
-		return nil, nil, unsent
+	case sendFailure == nil:
+		c.conn.SetReadDeadline(c.firstByteDeadline())
+	case sendFailure.fate == notSent:
+		return nil, nil, sendFailure
 	default: // a server that rejects a request need not read all of it
-		c.spoilt, c.unsent = true, true
-		c.conn.SetReadDeadline(earlier(c.delivery.request.end, time.Now().Add(earlyAnswer)))
+		c.outOfSync, c.partlySent = true, true
+		c.conn.SetReadDeadline(earlier(c.roundTrip.request.deadline, time.Now().Add(earlyResponseTime)))
 	}
-	c.delivery.front.stats.calls.Add(1)
-	if unsent == nil {
-		c.conn.rest()
-		for c.conn.await() == nothing && c.waitOn() { // what it sees last is met again by reading
+	c.roundTrip.proxy.counters.calls.Add(1)
+	if sendFailure == nil {
+		c.conn.returnEmptyBuffers()
+		// what it sees last is met again by reading
+		for c.conn.awaitReadable() == notReadable && c.extendReadDeadline() {
 			continue
 		}
-		c.conn.waiter = c
+		c.conn.extender = c
 	}
 	head, body, f := c.readHead()
-	if f != nil && unsent != nil {
-		f = unsent
+	if f != nil && sendFailure != nil {
+		f = sendFailure
 	}
 	return head, body, f
 }
 
 // readHead reads the head of the answer to this request. Answers to others may stand before it.
-func (c *call) readHead() (*http1.Response, *http1.Body, *failure) {
-	d := c.delivery
-	for range mostSurplus + 1 {
-		head, body, err := http1.ReadResponseHead(c.conn.reader(), d.request.Method)
+func (c *call) readHead() (*http1.Response, *http1.Body, *callFailure) {
+	rt := c.roundTrip
+	for range maxSurplusResponses + 1 {
+		head, body, err := http1.ReadResponseHead(c.conn.reader(), rt.request.Method)
 		if err != nil {
-			return nil, nil, c.broken(err)
+			return nil, nil, c.failureFrom(err)
 		}
-		if head.Header.Get(tryIDHeader) == d.request.tryID {
-			c.heard(head)
+		if head.Header.Get(tryIDHeader) == rt.request.tryID {
+			c.recordHead(head)
 			return head, body, nil
 		}
-		d.front.stats.surplus.Add(1)
-		c.spoilt = true
-		if _, err := io.CopyN(io.Discard, body, largestKept); err != io.EOF || head.Close {
+		rt.proxy.counters.surplus.Add(1)
+		c.outOfSync = true
+		if _, err := io.CopyN(io.Discard, body, maxBufferedResponse); err != io.EOF || head.Close {
 			break
 		}
 	}
-	return nil, nil, c.brokenOff()
+	return nil, nil, c.brokenFailure()
 }
 
 // send writes the request whole.
-func (c *call) send() *failure {
-	c.conn.sent = 0
-	c.conn.SetWriteDeadline(c.delivery.request.end)
-	c.delivery.trace.beginCall(c)
-	err := c.write(c.message())
+func (c *call) send() *callFailure {
+	c.conn.bytesSent = 0
+	c.conn.SetWriteDeadline(c.roundTrip.request.deadline)
+	c.roundTrip.trace.beginCall(c)
+	err := c.writeRequest(c.buildRequest())
 	switch {
 	case err == nil:
 		return nil
-	case c.conn.sent == 0:
-		return &failure{outcome: scheduler.Abandoned, fate: notSent, stale: c.conn.reused}
+	case c.conn.bytesSent == 0:
+		return &callFailure{outcome: scheduler.Abandoned, fate: notSent, staleConnection: c.conn.reused}
 	}
-	return c.broken(err)
+	return c.failureFrom(err)
 }
 
 // message is the client's request as the server gets it.
-func (c *call) message() *http1.Request {
-	q := c.delivery.request
-	m := &http1.Request{Method: q.Method, Target: q.Target, Body: q.Body}
-	m.Header = append(q.passedHeader(),
-		http1.Field{Name: deadlineHeader, Value: strconv.FormatInt(max(c.delivery.left().Milliseconds(), 1), 10)},
+func (c *call) buildRequest() *http1.Request {
+	q := c.roundTrip.request
+	message := &http1.Request{Method: q.Method, Target: q.Target, Body: q.Body}
+	message.Header = append(q.forwardedHeader(),
+		http1.Field{Name: deadlineHeader, Value: strconv.FormatInt(max(c.roundTrip.timeLeft().Milliseconds(), 1),
+			10)},
 		http1.Field{Name: expectServerHeader, Value: c.choice.Server.ID})
 	tokens, _ := c.choice.Expected()
 	if q.service.Engine != nil {
 		priority := strconv.Itoa(priorityOf(q.route.Priority, tokens))
-		m.Header = append(m.Header, http1.Field{Name: priorityHeader, Value: priority})
+		message.Header = append(message.Header, http1.Field{Name: priorityHeader, Value: priority})
 	}
 	switch c.role {
 	case scheduler.Prefill:
-		m.Header = append(m.Header, http1.Field{Name: stageHeader, Value: readingStage})
+		message.Header = append(message.Header, http1.Field{Name: stageHeader, Value: prefillStage})
 	case scheduler.Decode:
-		m.Header = append(m.Header, http1.Field{Name: kvFromHeader, Value: c.delivery.ticket.source()})
+		message.Header = append(message.Header, http1.Field{Name: kvFromHeader, Value: c.roundTrip.handle.source()})
 	}
-	return c.delivery.relay.resume(m)
+	return c.roundTrip.relay.setResumePoint(message)
 }
 
-// silentUntil is when the server counts as silent if nothing of its answer has come.
-func (c *call) silentUntil() time.Time {
-	d := c.delivery
+// firstByteDeadline is when the server counts as silent if nothing of its answer has come.
+func (c *call) firstByteDeadline() time.Time {
+	rt := c.roundTrip
 	_, expected := c.choice.Expected()
 	if c.role == scheduler.Prefill {
-		usual := d.front.readTimes.expected(d.request.service.Name)
-		return c.started.Add(readPatience(max(usual, c.choice.UncachedPrefill()), d.left()))
+		usual := rt.proxy.prefillTimes.expected(rt.request.service.Name)
+		return c.started.Add(prefillTimeout(max(usual, c.choice.UncachedPrefill()), rt.timeLeft()))
 	}
-	if !d.mayTryAgain() {
-		return d.request.end
+	if !rt.mayRetry() {
+		return rt.request.deadline
 	}
-	return c.started.Add(servePatience(d.request.route.LatencyTarget, expected, d.request.end.Sub(c.started)))
+	return c.started.Add(responseTimeout(rt.request.route.LatencyTarget, expected,
+		rt.request.deadline.Sub(c.started)))
 }
 
-// waitOn tells whether a server that has been silent for too long is waited for all the same, until it is
-// asked again or the request's end: nobody else could go on, as the repeats have been used up meanwhile or no
-// other server is there.
-func (c *call) waitOn() bool {
-	d := c.delivery
-	until := d.waitUntil()
-	over := d.reason() != goingOn || !time.Now().Before(until)
-	if over || c.role == scheduler.Prefill || d.mayTryAgain() && d.relay.mayGoOn() && c.hasAlternative() {
+// extendReadDeadline tells whether a server that has been silent for too long is waited for all the same,
+// until it is asked again or the request's end: nobody else could go on, as the repeats have been used up
+// meanwhile or no other server is there.
+func (c *call) extendReadDeadline() bool {
+	rt := c.roundTrip
+	deadline := rt.responseDeadline()
+	expired := rt.stopReason() != notStopped || !time.Now().Before(deadline)
+	if expired || c.role == scheduler.Prefill || rt.mayRetry() && rt.relay.mayContinue() && c.hasAlternative() {
 		return false
 	}
-	again := time.Now().Add(streamPatience(d.request.route.GapTarget))
-	c.conn.SetReadDeadline(earlier(until, again))
+	next := time.Now().Add(streamTimeout(rt.request.route.GapTarget))
+	c.conn.SetReadDeadline(earlier(deadline, next))
 	return true
 }
 
@@ -208,57 +211,60 @@
 // stream would lose the rest if all others reject it, so one of them has to have a place; for an answer that
 // has not begun they may as well be asked.
 func (c *call) hasAlternative() bool {
-	d := c.delivery
-	exists, free := d.front.decider.alternative(&d.request.pairing, c.choice.Server.ID)
-	return free || exists && !d.relay.begun
+	rt := c.roundTrip
+	exists, free := rt.proxy.chooser.alternative(&rt.request.scheduling, c.choice.Server.ID)
+	return free || exists && !rt.relay.started
 }
 
-// wholeUntil is when an answer counts as broken that has begun and is held until it is whole.
-func (c *call) wholeUntil() time.Time {
-	d := c.delivery
-	if !d.mayTryAgain() {
-		return d.request.end
+// bufferDeadline is when an answer counts as broken that has begun and is held until it is whole.
+func (c *call) bufferDeadline() time.Time {
+	rt := c.roundTrip
+	if !rt.mayRetry() {
+		return rt.request.deadline
 	}
-	return earlier(d.request.end, time.Now().Add(servePatience(d.request.route.LatencyTarget, 0, d.left())))
+	return earlier(rt.request.deadline, time.Now().Add(responseTimeout(rt.request.route.LatencyTarget, 0,
+		rt.timeLeft())))
 }
 
 // heard takes in what the head of an answer says besides.
-func (c *call) heard(head *http1.Response) {
-	c.begun = true
-	c.headAt = time.Since(c.started)
+func (c *call) recordHead(head *http1.Response) {
+	c.responseStarted = true
+	c.timeToHead = time.Since(c.started)
 	if load, ok := parseLoad(head.Header.Get(loadHeader)); ok {
-		c.delivery.front.decider.told(c.choice.Server.ID, load)
+		c.roundTrip.proxy.chooser.observeLoad(c.choice.Server.ID, load)
 	}
-	if !c.spoilt && !c.restUnread(head) {
-		c.alive = idleTime(head)
+	if !c.outOfSync && !c.bodyLeftUnread(head) {
+		c.keepAliveTime = keepAliveTime(head)
 	}
 }
 
 // whole notes that the answer has been read to its end, so that the connection may carry another request.
-func (c *call) whole() {
-	c.tainted = c.conn.holdsInput() || c.alive <= 0
+func (c *call) recordBodyEnd() {
+	c.mustClose = c.conn.hasBufferedInput() || c.keepAliveTime <= 0
 }
 
 // broken says how a call failed whose request was sent, in whole or in part.
-func (c *call) broken(err error) *failure {
-	f := c.brokenOff()
-	c.suspect(err)
+func (c *call) failureFrom(err error) *callFailure {
+	f := c.brokenFailure()
+	c.reportSuspect(err)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		f.outcome = scheduler.TimedOut
 		return f
 	}
-	if c.conn.reused && !c.begun && !errors.As(err, new(*http1.Malformed)) {
-		f.stale, f.outcome = true, scheduler.Abandoned
+	if c.conn.reused && !c.responseStarted && !errors.As(err, new(*http1.Malformed)) {
+		f.staleConnection, f.outcome = true, scheduler.Abandoned
 	}
 	return f
 }
 
 // suspect tells the fleet where an error shows that the server's machine or process is not there.
-func (c *call) suspect(err error) {
+func (c *call) reportSuspect(err error) {
 	timedOut := errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, context.DeadlineExceeded)
-	if c.delivery.reason() == goingOn && (timedOut || errors.Is(err, syscall.ECONNREFUSED)) {
-		c.delivery.front.state.Suspect(c.choice.Server.ID)
+	if c.roundTrip.stopReason() == notStopped && (timedOut || errors.Is(err, syscall.ECONNREFUSED)) {
+		c.roundTrip.proxy.state.Suspect(c.choice.Server.ID)
 	}
 }
 
-func (c *call) brokenOff() *failure { return &failure{outcome: scheduler.Broken, fate: mayHaveRun} }
+func (c *call) brokenFailure() *callFailure {
+	return &callFailure{outcome: scheduler.Broken, fate: mayHaveRun}
+}
--- a/internal/router/dataplane/chooser_test.go
+++ b/internal/router/dataplane/chooser_test.go
@@ -13,16 +13,16 @@
 // fakeChooser takes the first server in the table that was not tried, and notes what it is told. The
 // decider's lock guards all but what tests read.
 type fakeChooser struct {
-	mu       sync.Mutex
-	table    *catalog.Table
-	noSplit  bool
-	wait     time.Duration
-	open     map[*scheduler.Call]bool
-	ended    []scheduler.Outcome
-	unpaired int // calls ended twice, or never begun
-	begun    int // first events
-	loads    []scheduler.Load
-	panics   atomic.Bool
+	mu            sync.Mutex
+	table         *catalog.Table
+	noSplit       bool
+	wait          time.Duration
+	open          map[*scheduler.Call]bool
+	outcomesEnded []scheduler.Outcome
+	unpaired      int // calls ended twice, or never begun
+	firstEvents   int // first events
+	loads         []scheduler.Load
+	panics        atomic.Bool
 	// panicsInCalls has it panic while a call is under way.
 	panicsInCalls atomic.Bool
 }
@@ -80,7 +80,7 @@
 func (f *fakeChooser) FirstEvent(time.Duration, *scheduler.Call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begun++
+	f.firstEvents++
 }
 
 func (f *fakeChooser) Done(_ time.Duration, call *scheduler.Call, outcome scheduler.Outcome) {
@@ -90,7 +90,7 @@
 		f.unpaired++
 	}
 	delete(f.open, call)
-	f.ended = append(f.ended, outcome)
+	f.outcomesEnded = append(f.outcomesEnded, outcome)
 }
 
 func (f *fakeChooser) QueueDelay(time.Duration, *scheduler.Request) (time.Duration, bool) {
@@ -108,7 +108,7 @@
 func (f *fakeChooser) outcomes() []scheduler.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.ended)
+	return slices.Clone(f.outcomesEnded)
 }
 
 // paired tells whether each call has ended once.
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -17,218 +17,219 @@
 	// whole: closing at once would reset the connection, and the answer with it.
 	lingerTime  = 250 * time.Millisecond
 	lingerBytes = 256 << 10
-	// writeTime is how long a client may take to let an answer in that belongs to no request.
-	writeTime = time.Second
-	// lastWrite is how long it may take beyond its request's end: the operators want nothing held a quarter of a
-	// second past the route's timeout.
-	lastWrite = 200 * time.Millisecond
-	// lateWrite is how long it may take where this process is late itself: it had no turn, or was frozen.
-	lateWrite = 50 * time.Millisecond
+	// localReplyWriteTime is how long a client may take to let an answer in that belongs to no request.
+	localReplyWriteTime = time.Second
+	// writeGrace is how long it may take beyond its request's end: the operators want nothing held a quarter of
+	// a second past the route's timeout.
+	writeGrace = 200 * time.Millisecond
+	// minWriteTime is how long it may take where this process is late itself: it had no turn, or was frozen.
+	minWriteTime = 50 * time.Millisecond
 )
 
 // client is a client's connection. One goroutine serves it.
 type client struct {
-	front  *Front
-	socket *socket
-	held   int // bytes of the present body that were taken from the budget
-
-	answers int  // given to the present request
-	lingers bool // the answer to a request that was not read whole has been sent
-	cut     bool // the last answer was cut off, so that nothing may look like its end
-	carried bool // the connection has carried a request
-
-	mu       sync.Mutex
-	idle     bool
-	delivery *delivery // under way, for Wait
+	proxy         *Proxy
+	socket        *socket
+	reservedBytes int // bytes of the present body that were taken from the budget
+
+	responses  int  // given to the present request
+	mustLinger bool // the answer to a request that was not read whole has been sent
+	truncated  bool // the last answer was cut off, so that nothing may look like its end
+	hadRequest bool // the connection has carried a request
+
+	mu        sync.Mutex
+	idle      bool
+	roundTrip *roundTrip // under way, for Wait
 }
 
 func (c *client) run() {
-	defer c.front.leave(c)
+	defer c.proxy.removeClient(c)
 	defer c.socket.Close()
-	defer c.survive()
-	for c.awaitRequest() && c.serve() {
-		c.socket.rest()
+	defer c.recoverPanic()
+	for c.awaitRequest() && c.serveRequest() {
+		c.socket.returnEmptyBuffers()
 	}
-	if !c.cut && (c.lingers || c.socket.holdsInput() || c.socket.look() == bytesThere) {
+	if !c.truncated && (c.mustLinger || c.socket.hasBufferedInput() || c.socket.readState() == readable) {
 		c.linger()
 	}
-	c.socket.release()
+	c.socket.returnBuffers()
 }
 
 // survive keeps a mistake that one request brings out from ending all others. A broken invariant panics in
 // tests only, and is to end them.
-func (c *client) survive() {
-	if mistake := recover(); mistake != nil {
-		if violation, ok := mistake.(*invariant.ViolationError); ok {
+func (c *client) recoverPanic() {
+	if cause := recover(); cause != nil {
+		if violation, ok := cause.(*invariant.ViolationError); ok {
 			panic(violation)
 		}
-		c.front.log.Error().Interface("panic", mistake).Bytes("stack", debug.Stack()).
+		c.proxy.log.Error().Interface("panic", cause).Bytes("stack", debug.Stack()).
 			Msg("front: a mistake of the program ended a client's connection; report it with the stack")
 	}
 }
 
 // awaitRequest waits for the first byte of a request. It returns false where the connection is over.
 func (c *client) awaitRequest() bool {
-	if c.socket.holdsInput() {
+	if c.socket.hasBufferedInput() {
 		return true
 	}
 	c.mu.Lock()
 	c.idle = true
-	until := time.Now().Add(c.front.limits().IdleTimeout)
-	if c.front.draining.Load() {
-		until = c.front.idleEnd(c.carried)
+	until := time.Now().Add(c.proxy.limits().IdleTimeout)
+	if c.proxy.draining.Load() {
+		until = c.proxy.idleDeadline(c.hadRequest)
 	}
 	c.socket.SetReadDeadline(until)
 	c.mu.Unlock()
-	seen := c.socket.await()
+	state := c.socket.awaitReadable()
 	c.mu.Lock()
 	c.idle = false
 	c.socket.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
-	if seen == nothing { // this goroutine may have had its turn later than both the bytes and the deadline
-		seen = c.socket.look()
+	if state == notReadable { // this goroutine may have had its turn later than both the bytes and the deadline
+		state = c.socket.readState()
 	}
-	return seen == bytesThere
+	return state == readable
 }
 
-// wakeIdle ends the connection if no byte of a request has come.
-func (c *client) wakeIdle() {
+// closeIfIdle ends the connection if no byte of a request has come.
+func (c *client) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle {
-		c.socket.SetReadDeadline(longAgo)
+		c.socket.SetReadDeadline(pastDeadline)
 	}
 }
 
-// cutOff ends the calls of the request under way; the client gets an answer.
-func (c *client) cutOff() {
+// abortRequest ends the calls of the request under way; the client gets an answer.
+func (c *client) abortRequest() {
 	c.mu.Lock()
-	d := c.delivery
+	rt := c.roundTrip
 	c.mu.Unlock()
-	if d != nil {
-		d.stop(stopped)
+	if rt != nil {
+		rt.stop(proxyStopping)
 	}
 }
 
 // serve reads one request and answers it. It returns whether the connection goes on.
-func (c *client) serve() bool {
-	defer c.giveBack()
-	c.answers = 0
-	request, err := c.receive()
-	var own *refusal
-	if errors.As(err, &own) {
-		c.front.stats.malformed.Add(1)
-		c.refuse(nil, own)
+func (c *client) serveRequest() bool {
+	defer c.releaseBody()
+	c.responses = 0
+	request, err := c.readRequest()
+	var reply *localReplyError
+	if errors.As(err, &reply) {
+		c.proxy.counters.malformed.Add(1)
+		c.sendLocalReply(nil, reply)
 		return false
 	}
 	if err != nil {
 		return false
 	}
-	c.carried = true
-	c.front.stats.requests.Add(1)
-	c.socket.rest()
-	return c.answer(request)
+	c.hadRequest = true
+	c.proxy.counters.requests.Add(1)
+	c.socket.returnEmptyBuffers()
+	return c.handle(request)
 }
 
-func (c *client) giveBack() {
-	c.front.bodies.Give(c.held)
-	c.held = 0
-	used := c.front.bodies.Used()
+func (c *client) releaseBody() {
+	c.proxy.bodies.Release(c.reservedBytes)
+	c.reservedBytes = 0
+	used := c.proxy.bodies.Used()
 	invariant.Assert(used >= 0, invariant.CountsNotNegative, "bodies take %d bytes", used)
 }
 
-// noteAnswer notes that an answer to the present request begins.
-func (c *client) noteAnswer() {
-	c.answers++
-	invariant.Assert(c.answers <= 1, invariant.OneFinalAnswer, "a request got %d answers", c.answers)
+// recordResponse notes that an answer to the present request begins.
+func (c *client) recordResponse() {
+	c.responses++
+	invariant.Assert(c.responses <= 1, invariant.OneFinalAnswer, "a request got %d answers", c.responses)
 }
 
 // answer answers a request that was read whole.
-func (c *client) answer(q *request) bool {
-	c.socket.SetWriteDeadline(q.writeUntil())
+func (c *client) handle(q *request) bool {
+	c.socket.SetWriteDeadline(q.writeDeadline())
 	switch {
-	case c.front.isLateInDrain():
-		return c.refuse(q, errEnding)
+	case c.proxy.rejectsInDrain():
+		return c.sendLocalReply(q, errShuttingDown)
 	case q.config == nil:
-		return c.refuse(q, errNoConfig)
+		return c.sendLocalReply(q, errNoConfig)
 	case q.route == nil:
-		return c.refuse(q, errNoRoute)
+		return c.sendLocalReply(q, errNoRoute)
 	}
-	d := newDelivery(c, q)
-	c.setDelivery(d)
-	defer c.setDelivery(nil)
-	w := watch(c.socket, func() { d.stop(clientLeft) })
+	rt := newRoundTrip(c, q)
+	c.setRoundTrip(rt)
+	defer c.setRoundTrip(nil)
+	w := watchDisconnect(c.socket, func() { rt.stop(clientDisconnected) })
 	defer w.stop()
-	d.run()
-	return d.goesOn
+	rt.run()
+	return rt.keepAlive
 }
 
-func (c *client) setDelivery(d *delivery) {
+func (c *client) setRoundTrip(rt *roundTrip) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.delivery = d
+	c.roundTrip = rt
 }
 
 // refuse sends the proxy's own answer. It returns whether the connection goes on.
-func (c *client) refuse(q *request, r *refusal) bool {
-	c.noteAnswer()
-	c.front.noteRefusal(q, r)
-	text := r.remedy + "\n"
-	answer := &http1.Response{Status: r.status, Body: []byte(text)}
-	answer.Header = http1.Header{{Name: "Content-Type", Value: "text/plain"}}
-	if r.after > 0 {
-		answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: seconds(r.after)})
+func (c *client) sendLocalReply(q *request, reply *localReplyError) bool {
+	c.recordResponse()
+	c.proxy.recordLocalReply(q, reply)
+	text := reply.remedy + "\n"
+	response := &http1.Response{Status: reply.status, Body: []byte(text)}
+	response.Header = http1.Header{{Name: "Content-Type", Value: "text/plain"}}
+	if reply.retryAfter > 0 {
+		response.Header = append(response.Header, http1.Field{Name: "Retry-After",
+			Value: formatSeconds(reply.retryAfter)})
 	}
 	if q != nil && q.tryID != "" {
-		answer.Header = append(answer.Header, http1.Field{Name: tryIDHeader, Value: q.tryID})
+		response.Header = append(response.Header, http1.Field{Name: tryIDHeader, Value: q.tryID})
 	}
 	if q != nil && q.Method == "HEAD" {
-		answer.Bodiless, answer.Length, answer.Body = true, int64(len(text)), nil
+		response.Bodiless, response.Length, response.Body = true, int64(len(text)), nil
 	}
 	switch {
-	case r.status == 503:
-		c.front.stats.refused.Add(1)
-	case r.status == 502 || r.status == 504:
-		c.front.stats.failed.Add(1)
-	}
-	answer.Close = r.ends || c.ends(q)
-	c.allowWrite(q)
-	c.persistence(answer)
-	if out := c.socket.writer(); answer.Write(out) != nil || out.Flush() != nil {
+	case reply.status == 503:
+		c.proxy.counters.rejected.Add(1)
+	case reply.status == 502 || reply.status == 504:
+		c.proxy.counters.failed.Add(1)
+	}
+	response.Close = reply.closeConnection || c.closesAfter(q)
+	c.setWriteDeadline(q)
+	c.addKeepAlive(response)
+	if out := c.socket.writer(); response.Write(out) != nil || out.Flush() != nil {
 		return false
 	}
-	c.lingers = r.ends
-	return !answer.Close
+	c.mustLinger = reply.closeConnection
+	return !response.Close
 }
 
-// allowWrite gives the client the time to let in an answer that is written whole; q is nil where no request
-// could be read. An answer that is late may still arrive, and a deadline that has passed would keep it from
-// being written.
-func (c *client) allowWrite(q *request) {
+// setWriteDeadline gives the client the time to let in an answer that is written whole; q is nil where no
+// request could be read. An answer that is late may still arrive, and a deadline that has passed would keep
+// it from being written.
+func (c *client) setWriteDeadline(q *request) {
 	now := time.Now()
-	until := now.Add(writeTime)
+	until := now.Add(localReplyWriteTime)
 	if q != nil {
-		until = q.writeUntil()
+		until = q.writeDeadline()
 	}
-	if least := now.Add(lateWrite); until.Before(least) {
-		until = least
+	if earliest := now.Add(minWriteTime); until.Before(earliest) {
+		until = earliest
 	}
 	c.socket.SetWriteDeadline(until)
 }
 
-func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
 // ends tells whether the connection ends with the answer to a request.
-func (c *client) ends(q *request) bool { return c.front.draining.Load() || q == nil || q.Close }
+func (c *client) closesAfter(q *request) bool { return c.proxy.draining.Load() || q == nil || q.Close }
 
 // persistence tells the client how long its connection stays open: a little less than it does.
-func (c *client) persistence(answer *http1.Response) {
-	whole := int(c.front.limits().IdleTimeout/time.Second) - 1
-	if answer.Close || whole <= 0 {
+func (c *client) addKeepAlive(response *http1.Response) {
+	keepAliveSeconds := int(c.proxy.limits().IdleTimeout/time.Second) - 1
+	if response.Close || keepAliveSeconds <= 0 {
 		return
 	}
-	field := http1.Field{Name: "Keep-Alive", Value: "timeout=" + strconv.Itoa(whole)}
-	answer.Header = append(answer.Header, field)
+	field := http1.Field{Name: "Keep-Alive", Value: "timeout=" + strconv.Itoa(keepAliveSeconds)}
+	response.Header = append(response.Header, field)
 }
 
 // linger ends the sending and reads what the client still sends, for a bounded time.
--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -13,8 +13,8 @@
 
 // The bounds of the time that a connection may take to come about.
 const (
-	leastDial = 300 * time.Millisecond
-	mostDial  = time.Second
+	minDialTimeout = 300 * time.Millisecond
+	maxDialTimeout = time.Second
 )
 
 // disconnect gives the connection back, or closes it where it must not be used again.
@@ -22,57 +22,59 @@
 	if c.conn == nil {
 		return
 	}
-	c.delivery.attach(nil)
-	c.conn.waiter = nil
-	pool := c.delivery.front.pool
-	if c.tainted || c.delivery.reason() != goingOn {
-		pool.drop(c.conn)
+	c.roundTrip.setAbortable(nil)
+	c.conn.extender = nil
+	pool := c.roundTrip.proxy.pool
+	if c.mustClose || c.roundTrip.stopReason() != notStopped {
+		pool.discard(c.conn)
 	} else {
-		pool.keep(c.conn, c.alive)
+		pool.put(c.conn, c.keepAliveTime)
 	}
 	c.conn = nil
 }
 
 // connect gets a connection to the server.
-func (c *call) connect() *failure {
-	d := c.delivery
-	abandoned := &failure{outcome: scheduler.Abandoned, fate: notSent}
-	dial, cancel := context.WithDeadline(context.Background(), c.connectUntil())
+func (c *call) connect() *callFailure {
+	rt := c.roundTrip
+	abandoned := &callFailure{outcome: scheduler.Abandoned, fate: notSent}
+	dial, cancel := context.WithDeadline(context.Background(), c.connectDeadline())
 	defer cancel()
-	if !d.attach(canceller(cancel)) {
+	if !rt.setAbortable(canceller(cancel)) {
 		return abandoned
 	}
-	conn, err := d.front.pool.take(dial, c.want())
+	conn, err := rt.proxy.pool.get(dial, c.connectionSpec())
 	switch {
-	case errors.Is(err, errNoPlace):
+	case errors.Is(err, errNoConnectionFree):
 		return abandoned
 	case err != nil:
-		c.suspect(err)
-		return &failure{outcome: scheduler.Unreachable, fate: notSent}
+		c.reportSuspect(err)
+		return &callFailure{outcome: scheduler.Unreachable, fate: notSent}
 	}
-	c.conn, c.tainted = conn, true
+	c.conn, c.mustClose = conn, true
 	invariant.Assert(conn.server == c.choice.Server.ID, invariant.ConnectionOfServer,
 		"a connection to %s was taken for %s", conn.server, c.choice.Server.ID)
 	// The server may have left while the connection came about.
-	if !d.attach(conn) || d.left() < leastLeft || d.front.servers().ByID(c.choice.Server.ID) == nil {
+	if !rt.setAbortable(conn) || rt.timeLeft() < minTimeLeft ||
+		rt.proxy.servers().ByID(c.choice.Server.ID) == nil {
 		return abandoned
 	}
 	return nil
 }
 
-func (c *call) want() want {
-	q := c.delivery.request
-	w := want{server: c.choice.Server, idle: idleMost, most: c.delivery.front.connectionShare(q.service),
-		request: c.delivery.number}
+func (c *call) connectionSpec() connectionSpec {
+	q := c.roundTrip.request
+	w := connectionSpec{server: c.choice.Server, maxIdle: maxIdleTime,
+		maxPerServer:  c.roundTrip.proxy.serverConnectionQuota(q.service),
+		requestNumber: c.roundTrip.requestNumber}
 	if !q.route.Idempotent() {
-		w.idle = idleUnsafe
+		w.maxIdle = maxIdleTimeUnsafe
 	}
 	return w
 }
 
-func (c *call) connectUntil() time.Time {
-	q := c.delivery.request
-	return earlier(q.end, time.Now().Add(min(max(q.route.LatencyTarget/2, leastDial), mostDial)))
+func (c *call) connectDeadline() time.Time {
+	q := c.roundTrip.request
+	return earlier(q.deadline, time.Now().Add(min(max(q.route.LatencyTarget/2, minDialTimeout), maxDialTimeout)))
 }
 
 // canceller ends the opening of a connection.
@@ -90,8 +92,8 @@
 	return b
 }
 
-// idleTime is how long a connection may stay idle after such an answer, 0 where it ends.
-func idleTime(head *http1.Response) time.Duration {
+// keepAliveTime is how long a connection may stay idle after such an answer, 0 where it ends.
+func keepAliveTime(head *http1.Response) time.Duration {
 	if head.Close {
 		return 0
 	}
@@ -100,8 +102,8 @@
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
-		told := time.Duration(wholeNumber(value)) * time.Second
-		return min(told-min(idleMargin, told/2), idleMost)
+		announced := time.Duration(parseCount(value)) * time.Second
+		return min(announced-min(keepAliveMargin, announced/2), maxIdleTime)
 	}
-	return idleUntold
+	return defaultIdleTime
 }
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -13,7 +13,7 @@
 )
 
 // deadlineOf is the time that a call was given, in milliseconds; 0 where none is told.
-func deadlineOf(q *http1.Request) int { return wholeNumber(q.Header.Get(deadlineHeader)) }
+func deadlineOf(q *http1.Request) int { return parseCount(q.Header.Get(deadlineHeader)) }
 
 // Every call tells its server what is left of the client's time: safe and unsafe requests, streams, readings
 // and what follows them, and a repeat that much less as the call before it took.
@@ -21,16 +21,16 @@
 	ended := make(chan string, 9)
 	begins := func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
-		return silence(ended)(q, w)
+		return neverAnswer(ended)(q, w)
 	}
 	for _, test := range []struct {
 		name, route   string
 		first, second handler
 		shorter       int // milliseconds that the first call takes at least
 	}{
-		{"silent", "safe", silence(ended), ok("x"), 1500},
-		{"silent before the stream", "stream", silence(ended), events(1, 3, true), 1500},
-		{"silent within the stream", "stream", begins, goesOn(3), 1000},
+		{"silent", "safe", neverAnswer(ended), ok("x"), 1500},
+		{"silent before the stream", "stream", neverAnswer(ended), events(1, 3, true), 1500},
+		{"silent within the stream", "stream", begins, resumesUntil(3), 1000},
 		{"full", "unsafe", full, ok("x"), 0},
 		{"full", "firm", full, events(1, 3, true), 0},
 		{"elsewhere", "unsafe", elsewhere, ok("x"), 0},
@@ -52,7 +52,7 @@
 func TestCallsThatReadCarryWhatIsLeft(t *testing.T) {
 	t.Parallel()
 	ended := make(chan string, 9)
-	for _, read := range []handler{readsPrompt("h"), silence(ended), full} {
+	for _, read := range []handler{readsPrompt("h"), neverAnswer(ended), full} {
 		readers, writers := pair(t, inTurn(read, readsPrompt("h")), events(1, 3, true))
 		r := newRig(t, nil, append(readers, writers...)...)
 		answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 1500")
@@ -93,7 +93,7 @@
 				t.Parallel()
 				answer := func(q *http1.Request, w io.Writer) bool {
 					io.WriteString(w, part(q))
-					return silence(ended)(q, w)
+					return neverAnswer(ended)(q, w)
 				}
 				s := newServer(t, "i-1", "lookup", "", answer)
 				reader := newServer(t, "i-r", "language", catalog.Reading, readsPrompt("h"))
@@ -109,7 +109,7 @@
 					r.Assert(got.status, qt.Equals, 504)
 				}
 				r.Assert(<-ended, qt.Equals, "a")
-				r.settled()
+				r.awaitCallsEnded()
 			})
 		}
 	}
--- a/internal/router/dataplane/decider.go
+++ b/internal/router/dataplane/decider.go
@@ -30,26 +30,27 @@
 }
 
 // decider lets many goroutines use one chooser, and keeps it at the newest table of servers.
-type decider struct {
+type lockedChooser struct {
 	state State
 	// changed holds a token when calls began or ended since the last one was taken.
-	changed chan struct{}
-	now     func() time.Duration
+	workChanged chan struct{}
+	now         func() time.Duration
 
-	demand *demandMeter
+	demandMeter *demandMeter
 
 	mu      sync.Mutex
 	chooser chooser
 	table   *catalog.Table
 }
 
-func newDecider(zone string, state State, now func() time.Duration) *decider {
-	return &decider{state: state, now: now, demand: newDemandMeter(), changed: make(chan struct{}, 1),
-		chooser: scheduler.New(zone, rand.Uint64())}
+func newLockedChooser(zone string, state State, now func() time.Duration) *lockedChooser {
+	return &lockedChooser{state: state, now: now, demandMeter: newDemandMeter(),
+		workChanged: make(chan struct{}, 1),
+		chooser:     scheduler.New(zone, rand.Uint64())}
 }
 
 // lock takes the lock and hands the chooser a newer table where there is one.
-func (d *decider) lock() (now time.Duration, unlock func()) {
+func (d *lockedChooser) lock() (now time.Duration, unlock func()) {
 	d.mu.Lock()
 	now = d.now()
 	if table := servers(d.state); table != d.table {
@@ -59,63 +60,64 @@
 	return now, d.mu.Unlock
 }
 
-func (d *decider) split(r *scheduler.Request) bool {
+func (d *lockedChooser) split(r *scheduler.Request) bool {
 	now, unlock := d.lock()
 	defer unlock()
 	return d.chooser.Split(now, r)
 }
 
-func (d *decider) choose(r *scheduler.Request, role scheduler.Role, reader *catalog.Server) *scheduler.Call {
+func (d *lockedChooser) choose(r *scheduler.Request, role scheduler.Role,
+	reader *catalog.Server) *scheduler.Call {
 	now, unlock := d.lock()
 	defer unlock()
 	call := d.chooser.Choose(now, r, role, reader)
 	if call != nil {
-		d.meter(now, call, 1)
+		d.recordDemand(now, call, 1)
 	}
 	return call
 }
 
-func (d *decider) told(server string, load scheduler.Load) {
+func (d *lockedChooser) observeLoad(server string, load scheduler.Load) {
 	now, unlock := d.lock()
 	defer unlock()
 	d.chooser.ObserveLoad(now, server, load)
 }
 
-func (d *decider) firstEvent(call *scheduler.Call) {
+func (d *lockedChooser) firstEvent(call *scheduler.Call) {
 	now, unlock := d.lock()
 	defer unlock()
 	d.chooser.FirstEvent(now, call)
 }
 
-func (d *decider) done(call *scheduler.Call, outcome scheduler.Outcome) {
+func (d *lockedChooser) done(call *scheduler.Call, outcome scheduler.Outcome) {
 	now, unlock := d.lock()
 	defer unlock()
 	d.chooser.Done(now, call, outcome)
-	d.meter(now, call, -1)
+	d.recordDemand(now, call, -1)
 }
 
 // meter counts a call to a model server as begun, or as ended where change is -1.
-func (d *decider) meter(now time.Duration, call *scheduler.Call, change int) {
+func (d *lockedChooser) recordDemand(now time.Duration, call *scheduler.Call, change int) {
 	if call.Server.Stage != catalog.NoStage {
-		d.demand.add(now, call.Server.Service, call.Role, change)
-		d.noteChange()
+		d.demandMeter.add(now, call.Server.Service, call.Role, change)
+		d.signalChange()
 	}
 }
 
-func (d *decider) noteChange() {
+func (d *lockedChooser) signalChange() {
 	select {
-	case d.changed <- struct{}{}:
+	case d.workChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (d *decider) crowded(r *scheduler.Request) (wait time.Duration, free bool) {
+func (d *lockedChooser) crowded(r *scheduler.Request) (wait time.Duration, free bool) {
 	now, unlock := d.lock()
 	defer unlock()
 	return d.chooser.QueueDelay(now, r)
 }
 
-func (d *decider) alternative(r *scheduler.Request, server string) (exists, free bool) {
+func (d *lockedChooser) alternative(r *scheduler.Request, server string) (exists, free bool) {
 	now, unlock := d.lock()
 	defer unlock()
 	return d.chooser.Alternative(now, r, server)
--- a/internal/router/dataplane/delivery.go
+++ b/internal/router/dataplane/delivery.go
@@ -10,283 +10,285 @@
 )
 
 const (
-	// leastLeft is the time below which nothing is sent to a server any more.
-	leastLeft = 5 * time.Millisecond
-	// mostUnreachable is how many servers may be found out of reach before a request is refused.
-	mostUnreachable = 4
+	// minTimeLeft is the time below which nothing is sent to a server any more.
+	minTimeLeft = 5 * time.Millisecond
+	// maxUnreachable is how many servers may be found out of reach before a request is refused.
+	maxUnreachable = 4
 	// The bounds of what a refused client is told to wait.
-	leastRetryAfter = 200 * time.Millisecond
-	mostRetryAfter  = time.Second
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = time.Second
 )
 
 // reason says why a delivery was told to stop.
-type reason int
+type stopReason int
 
 const (
-	goingOn    reason = iota
-	clientLeft        // the client has gone
-	stopped           // the process ends
+	notStopped         stopReason = iota
+	clientDisconnected            // the client has gone
+	proxyStopping                 // the process ends
 )
 
 // delivery takes one request to servers until one of them answers it or nothing more may be tried.
-type delivery struct {
-	front   *Front
-	client  *client
-	request *request
-	number  uint64 // of the request in this process
-	relay   relay
+type roundTrip struct {
+	proxy         *Proxy
+	client        *client
+	request       *request
+	requestNumber uint64 // of the request in this process
+	relay         relay
 
-	attempts    attempts
-	ticket      *ticket // the prompt's memory at the server that read it, nil where there is none
-	worst       fate    // of all calls so far
-	kept        *keptAnswer
-	unreachable int
-	goesOn      bool // the client's connection is good for another request
-	trace       deliveryTrace
-	underWay    *call // the call that has begun and not ended, nil where there is none
+	attempts           attemptCounter
+	handle             *kvHandle // the prompt's memory at the server that read it, nil where there is none
+	worstFate          fate      // of all calls so far
+	serverError        *bufferedResponse
+	unreachableServers int
+	keepAlive          bool // the client's connection is good for another request
+	trace              roundTripTrace
+	inFlight           *call // the call that has begun and not ended, nil where there is none
 
-	mu      sync.Mutex
-	why     reason
-	current io.Closer // what a call waits on
+	mu        sync.Mutex
+	stopCause stopReason
+	abortable io.Closer // what a call waits on
 }
 
-func newDelivery(c *client, q *request) *delivery {
-	d := &delivery{front: c.front, client: c, request: q, number: c.front.deliveries.Add(1)}
-	d.attempts.most = q.route.MaxAttempts
-	d.relay = newRelay(c, q)
-	return d
+func newRoundTrip(c *client, q *request) *roundTrip {
+	rt := &roundTrip{proxy: c.proxy, client: c, request: q, requestNumber: c.proxy.requestCount.Add(1)}
+	rt.attempts.maxAttempts = q.route.MaxAttempts
+	rt.relay = newRelay(c, q)
+	return rt
 }
 
 // run sees the request through.
-func (d *delivery) run() {
-	defer d.endInterrupted()
-	f := d.front
-	f.budgets.request(f.now(), d.request.service.Name, f.state.Proxies())
-	if d.hopeless() {
-		d.trace.endFor(endCrowded)
-		d.giveUp()
+func (rt *roundTrip) run() {
+	defer rt.finishInterruptedCall()
+	proxy := rt.proxy
+	proxy.budgets.recordRequest(proxy.now(), rt.request.service.Name, proxy.state.Proxies())
+	if rt.cannotStartInTime() {
+		rt.trace.setReason(reasonNoCapacity)
+		rt.conclude()
 		return
 	}
-	if d.request.service.Engine != nil && f.decider.split(&d.request.pairing) {
-		d.readPrompt()
+	if rt.request.service.Engine != nil && proxy.chooser.split(&rt.request.scheduling) {
+		rt.prefill()
 	}
-	for !d.over() {
-		c := d.nextCall()
+	for !rt.finished() {
+		c := rt.nextCall()
 		if c == nil {
 			break
 		}
 		failure := c.run()
 		if failure == nil {
-			d.ticket = nil // the server that answered has taken the memory
+			rt.handle = nil // the server that answered has taken the memory
 			break
 		}
-		if !d.learn(c, failure) {
+		if !rt.handleFailure(c, failure) {
 			break
 		}
 	}
-	d.dropTicket()
-	d.giveUp()
+	rt.releaseHandle()
+	rt.conclude()
 }
 
-// endInterrupted ends the call under way where a panic has left it: it gives back what the call took.
-func (d *delivery) endInterrupted() {
-	if c := d.underWay; c != nil {
-		c.tainted = true
-		c.end(&failure{outcome: scheduler.Abandoned, fate: mayHaveRun})
+// finishInterruptedCall ends the call under way where a panic has left it: it gives back what the call took.
+func (rt *roundTrip) finishInterruptedCall() {
+	if c := rt.inFlight; c != nil {
+		c.mustClose = true
+		c.finish(&callFailure{outcome: scheduler.Abandoned, fate: mayHaveRun})
 	}
 }
 
 // hopeless tells whether no server could begin before the request's end.
-func (d *delivery) hopeless() bool {
-	if d.over() {
+func (rt *roundTrip) cannotStartInTime() bool {
+	if rt.finished() {
 		return true
 	}
-	wait, free := d.front.decider.crowded(&d.request.pairing)
-	return !free && wait >= d.left()
+	wait, free := rt.proxy.chooser.crowded(&rt.request.scheduling)
+	return !free && wait >= rt.timeLeft()
 }
 
-func (d *delivery) left() time.Duration { return time.Until(d.request.end) }
+func (rt *roundTrip) timeLeft() time.Duration { return time.Until(rt.request.deadline) }
 
-// waitUntil is how long a server's answer is waited for at most: one that has begun goes on to the request's
-// limit, as no answer of the proxy's own could take its place.
-func (d *delivery) waitUntil() time.Time {
-	if d.relay.begun {
-		return d.request.limit
+// responseDeadline is how long a server's answer is waited for at most: one that has begun goes on to the
+// request's limit, as no answer of the proxy's own could take its place.
+func (rt *roundTrip) responseDeadline() time.Time {
+	if rt.relay.started {
+		return rt.request.hardDeadline
 	}
-	return d.request.end
+	return rt.request.deadline
 }
 
 // over tells whether nothing more may be sent.
-func (d *delivery) over() bool { return d.reason() != goingOn || d.left() < leastLeft }
+func (rt *roundTrip) finished() bool {
+	return rt.stopReason() != notStopped || rt.timeLeft() < minTimeLeft
+}
 
-func (d *delivery) reason() reason {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.why
+func (rt *roundTrip) stopReason() stopReason {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	return rt.stopCause
 }
 
 // stop ends the call under way and lets no other begin.
-func (d *delivery) stop(why reason) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.why == goingOn {
-		d.why = why
+func (rt *roundTrip) stop(reason stopReason) {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	if rt.stopCause == notStopped {
+		rt.stopCause = reason
 	}
-	if d.current != nil {
-		d.current.Close()
+	if rt.abortable != nil {
+		rt.abortable.Close()
 	}
 }
 
 // attach names what stop has to close; it returns false where the delivery was stopped before.
-func (d *delivery) attach(c io.Closer) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if c != nil && d.why != goingOn {
+func (rt *roundTrip) setAbortable(closer io.Closer) bool {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	if closer != nil && rt.stopCause != notStopped {
 		return false
 	}
-	d.current = c
+	rt.abortable = closer
 	return true
 }
 
 // nextCall chooses the server that makes the answer, nil where there is none or no repeat is left.
-func (d *delivery) nextCall() *call {
-	if d.ticket.lapsed(time.Now()) {
-		d.dropTicket()
+func (rt *roundTrip) nextCall() *call {
+	if rt.handle.expired(time.Now()) {
+		rt.releaseHandle()
 	}
-	if d.ticket != nil {
-		if c := d.chosen(scheduler.Decode); c != nil {
+	if rt.handle != nil {
+		if c := rt.newCall(scheduler.Decode); c != nil {
 			return c
 		}
-		d.dropTicket()
+		rt.releaseHandle()
 	}
-	return d.chosen(scheduler.Serve)
+	return rt.newCall(scheduler.Serve)
 }
 
 // chosen draws the server for a call in that role, if the request may be sent once more.
-func (d *delivery) chosen(role scheduler.Role) *call {
-	if !d.attempts.permitted(role) {
-		d.trace.endFor(endTriesUsed)
+func (rt *roundTrip) newCall(role scheduler.Role) *call {
+	if !rt.attempts.allows(role) {
+		rt.trace.setReason(reasonAttemptsUsed)
 		return nil
 	}
-	choice := d.front.decider.choose(&d.request.pairing, role, d.ticket.reader())
+	choice := rt.proxy.chooser.choose(&rt.request.scheduling, role, rt.handle.prefillServer())
 	if choice == nil {
-		d.trace.endFor(endNoServer)
+		rt.trace.setReason(reasonNoServer)
 		return nil
 	}
-	if !d.pay(role) {
-		d.trace.endFor(endRetryBudget)
-		d.front.decider.done(choice, scheduler.Abandoned)
+	if !rt.payForRetry(role) {
+		rt.trace.setReason(reasonRetryBudget)
+		rt.proxy.chooser.done(choice, scheduler.Abandoned)
 		return nil
 	}
-	d.trace.endFor("")
-	d.underWay = &call{delivery: d, choice: choice, role: role}
-	return d.underWay
+	rt.trace.setReason("")
+	rt.inFlight = &call{roundTrip: rt, choice: choice, role: role}
+	return rt.inFlight
 }
 
 // pay takes what the call costs from the retry budget.
-func (d *delivery) pay(role scheduler.Role) bool {
-	f, price := d.front, d.attempts.price(role)
-	if !f.budgets.take(f.now(), d.request.service.Name, f.state.Proxies(), price) {
+func (rt *roundTrip) payForRetry(role scheduler.Role) bool {
+	proxy, cost := rt.proxy, rt.attempts.retryCost(role)
+	if !proxy.budgets.take(proxy.now(), rt.request.service.Name, proxy.state.Proxies(), cost) {
 		return false
 	}
-	f.stats.repeats.Add(int64(price))
-	d.attempts.pay(role)
+	proxy.counters.retries.Add(int64(cost))
+	rt.attempts.recordPayment(role)
 	return true
 }
 
-// mayTryAgain tells whether another call could follow one that is under way now.
-func (d *delivery) mayTryAgain() bool {
-	f := d.front
-	return d.request.route.Idempotent() && d.attempts.arrivals+2 <= d.attempts.most &&
-		f.budgets.has(f.now(), d.request.service.Name, f.state.Proxies())
+// mayRetry tells whether another call could follow one that is under way now.
+func (rt *roundTrip) mayRetry() bool {
+	proxy := rt.proxy
+	return rt.request.route.Idempotent() && rt.attempts.count+2 <= rt.attempts.maxAttempts &&
+		proxy.budgets.available(proxy.now(), rt.request.service.Name, proxy.state.Proxies())
 }
 
 // learn takes in how a call failed and tells whether another one may follow.
-func (d *delivery) learn(c *call, f *failure) bool {
-	d.worst = max(d.worst, f.fate)
-	if f.kept != nil {
-		d.kept = f.kept
+func (rt *roundTrip) handleFailure(c *call, f *callFailure) bool {
+	rt.worstFate = max(rt.worstFate, f.fate)
+	if f.response != nil {
+		rt.serverError = f.response
 	}
 	switch {
 	case f.outcome == scheduler.Unreachable || f.outcome == scheduler.Abandoned && f.fate == notSent:
-		d.unreachable++
+		rt.unreachableServers++
 	case f.fate == notRun:
-		d.attempts.rejected()
+		rt.attempts.recordRejected()
 	case f.fate == mayHaveRun:
-		d.attempts.taken(c.role)
+		rt.attempts.recordAccepted(c.role)
 	}
-	if !f.stale && f.outcome != scheduler.HandleFailed {
-		d.request.pairing.Excluded = append(d.request.pairing.Excluded, c.choice.Server.ID)
+	if !f.staleConnection && f.outcome != scheduler.HandleFailed {
+		rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, c.choice.Server.ID)
 	}
 	switch {
-	case d.relay.begun:
-		d.ticket = nil // the server that began the stream has taken the memory
-	case c.role == scheduler.Decode && f.spent():
-		d.dropTicket()
+	case rt.relay.started:
+		rt.handle = nil // the server that began the stream has taken the memory
+	case c.role == scheduler.Decode && f.handleConsumed():
+		rt.releaseHandle()
 	}
 	switch {
-	case !mayRepeat(d.request.route.Idempotent(), d.worst):
-		d.trace.endFor(endMayHaveRun)
-	case d.unreachable >= mostUnreachable:
-		d.trace.endFor(endUnreachable)
-	case !d.relay.mayGoOn():
-		d.trace.endFor(endNotResumable)
+	case !mayRepeat(rt.request.route.Idempotent(), rt.worstFate):
+		rt.trace.setReason(reasonMayHaveRun)
+	case rt.unreachableServers >= maxUnreachable:
+		rt.trace.setReason(reasonUnreachable)
+	case !rt.relay.mayContinue():
+		rt.trace.setReason(reasonNotResumable)
 	default:
 		return true
 	}
 	return false
 }
 
-// giveUp gives the client its last word, unless it has its whole answer.
-func (d *delivery) giveUp() {
-	stats := &d.front.stats
+// conclude gives the client its last word, unless it has its whole answer.
+func (rt *roundTrip) conclude() {
+	counters := &rt.proxy.counters
 	switch {
-	case d.relay.whole:
-		d.goesOn = d.relay.goesOn
-		d.front.observe(d, endingServed, 0)
-	case d.reason() == clientLeft:
-		stats.clientsLeft.Add(1)
-		d.front.observe(d, endingClientLeft, 0)
-	case d.relay.begun:
-		stats.cut.Add(1) // the connection ends without the last chunk
-		d.front.observe(d, endingCut, 0)
-		d.cut()
-	case d.kept != nil && d.worst == mayHaveRun:
-		d.front.observe(d, endingServerFailure, d.kept.head.Status)
-		d.goesOn = d.relay.passKept(d.kept)
+	case rt.relay.complete:
+		rt.keepAlive = rt.relay.keepAlive
+		rt.proxy.observe(rt, outcomeServed, 0)
+	case rt.stopReason() == clientDisconnected:
+		counters.clientsDisconnected.Add(1)
+		rt.proxy.observe(rt, outcomeClientDisconnected, 0)
+	case rt.relay.started:
+		counters.truncated.Add(1) // the connection ends without the last chunk
+		rt.proxy.observe(rt, outcomeTruncated, 0)
+		rt.truncate()
+	case rt.serverError != nil && rt.worstFate == mayHaveRun:
+		rt.proxy.observe(rt, outcomeServerFailure, rt.serverError.head.Status)
+		rt.keepAlive = rt.relay.forwardBuffered(rt.serverError)
 	default:
-		word := d.lastWord()
-		d.trace.checkRefusal(d, word.status)
-		d.front.observe(d, endingOf(word.status), word.status)
-		d.goesOn = d.client.refuse(d.request, word)
+		reply := rt.finalReply()
+		rt.trace.checkLocalReply(rt, reply.status)
+		rt.proxy.observe(rt, outcomeOfStatus(reply.status), reply.status)
+		rt.keepAlive = rt.client.sendLocalReply(rt.request, reply)
 	}
 }
 
 // cut makes sure that an answer that is not whole does not look so: where only the end of the connection
 // ends it, the connection is reset.
-func (d *delivery) cut() {
-	d.client.cut = true
-	if conn, ok := d.client.socket.Conn.(*net.TCPConn); ok && d.request.Old {
+func (rt *roundTrip) truncate() {
+	rt.client.truncated = true
+	if conn, ok := rt.client.socket.Conn.(*net.TCPConn); ok && rt.request.Old {
 		conn.SetLinger(0)
 	}
 }
 
-func (d *delivery) lastWord() *refusal {
-	late := d.left() < leastLeft || d.reason() == stopped
-	switch finalStatus(d.worst, late) {
+func (rt *roundTrip) finalReply() *localReplyError {
+	late := rt.timeLeft() < minTimeLeft || rt.stopReason() == proxyStopping
+	switch finalStatus(rt.worstFate, late) {
 	case 503:
-		return &refusal{status: 503, after: d.retryAfter(),
+		return &localReplyError{status: 503, retryAfter: rt.retryAfter(),
 			remedy: "no server can take the request now, and it has not run; send it again after Retry-After"}
 	case 504:
-		return &refusal{status: 504,
+		return &localReplyError{status: 504,
 			remedy: "no answer came in time, and the request may have run; look before sending it again"}
 	}
-	return &refusal{status: 502,
+	return &localReplyError{status: 502,
 		remedy: "the server broke off, and the request may have run; look before sending it again"}
 }
 
 // retryAfter is the time after which a server will have a place again.
-func (d *delivery) retryAfter() time.Duration {
-	wait, _ := d.front.decider.crowded(&d.request.pairing)
-	return min(max(wait, leastRetryAfter), mostRetryAfter)
+func (rt *roundTrip) retryAfter() time.Duration {
+	wait, _ := rt.proxy.chooser.crowded(&rt.request.scheduling)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
--- a/internal/router/dataplane/demand.go
+++ b/internal/router/dataplane/demand.go
@@ -12,10 +12,10 @@
 
 // Demand is what this proxy has under way at a service with model servers, as a mean over the last seconds.
 type Demand struct {
-	Service string
-	Reading float64 // calls that read a prompt, waiting ones included
-	Writing float64 // calls that make tokens
-	Known   bool    // requests have come
+	Service  string
+	Prefill  float64 // calls that read a prompt, waiting ones included
+	Decode   float64 // calls that make tokens
+	Observed bool    // requests have come
 }
 
 // demandMeter follows the number of calls under way. It is safe for concurrent use.
@@ -26,11 +26,11 @@
 
 // meteredService integrates the calls under way of a service over time.
 type meteredService struct {
-	reading, writing             int
-	since                        time.Duration // up to when the integrals go
-	spanStart                    time.Duration
-	readingIntegral, writingSums float64 // calls times seconds since spanStart
-	mean                         Demand
+	prefilling, decoding            int
+	integratedUntil                 time.Duration // up to when the integrals go
+	windowStart                     time.Duration
+	prefillIntegral, decodeIntegral float64 // calls times seconds since windowStart
+	mean                            Demand
 }
 
 func newDemandMeter() *demandMeter { return &demandMeter{services: map[string]*meteredService{}} }
@@ -41,23 +41,23 @@
 	defer m.mu.Unlock()
 	s := m.services[service]
 	if s == nil {
-		s = &meteredService{since: now, spanStart: now, mean: Demand{Service: service}}
+		s = &meteredService{integratedUntil: now, windowStart: now, mean: Demand{Service: service}}
 		m.services[service] = s
 	}
 	s.integrate(now)
-	s.mean.Known = true
+	s.mean.Observed = true
 	if role == scheduler.Prefill {
-		s.reading += change
+		s.prefilling += change
 	} else {
-		s.writing += change
+		s.decoding += change
 	}
 }
 
 func (s *meteredService) integrate(now time.Duration) {
-	span := (now - s.since).Seconds()
-	s.readingIntegral += span * float64(s.reading)
-	s.writingSums += span * float64(s.writing)
-	s.since = now
+	seconds := (now - s.integratedUntil).Seconds()
+	s.prefillIntegral += seconds * float64(s.prefilling)
+	s.decodeIntegral += seconds * float64(s.decoding)
+	s.integratedUntil = now
 }
 
 // demands ends a span and returns the means.
@@ -67,11 +67,11 @@
 	var all []Demand
 	for _, s := range m.services {
 		s.integrate(now)
-		if span := (now - s.spanStart).Seconds(); span > 0 {
-			s.mean.Reading += demandGain * (s.readingIntegral/span - s.mean.Reading)
-			s.mean.Writing += demandGain * (s.writingSums/span - s.mean.Writing)
+		if window := (now - s.windowStart).Seconds(); window > 0 {
+			s.mean.Prefill += demandGain * (s.prefillIntegral/window - s.mean.Prefill)
+			s.mean.Decode += demandGain * (s.decodeIntegral/window - s.mean.Decode)
 		}
-		s.readingIntegral, s.writingSums, s.spanStart = 0, 0, now
+		s.prefillIntegral, s.decodeIntegral, s.windowStart = 0, 0, now
 		all = append(all, s.mean)
 	}
 	return all
@@ -79,4 +79,4 @@
 
 // Demands returns what is under way at each service with model servers. It is to be called by one goroutine
 // in regular intervals, because each call ends the span of the means.
-func (f *Front) Demands() []Demand { return f.decider.demand.demands(f.now()) }
+func (p *Proxy) Demands() []Demand { return p.chooser.demandMeter.demands(p.now()) }
--- a/internal/router/dataplane/descriptors_test.go
+++ b/internal/router/dataplane/descriptors_test.go
@@ -12,9 +12,9 @@
 // heartbeats and operators get through.
 func TestClientsAndServersLeaveDescriptors(t *testing.T) {
 	for _, descriptors := range []int{600, 1024, 4100, 65536} {
-		f := &Front{settings: &agentsettings.Settings{Descriptors: descriptors}}
-		left := descriptors - reservedDescriptors - 2*f.descriptorShare()
-		qt.Check(t, left >= (descriptors-reservedDescriptors)/controlPart, qt.IsTrue,
+		p := &Proxy{settings: &agentsettings.Settings{Descriptors: descriptors}}
+		left := descriptors - reservedDescriptors - 2*p.connectionLimit()
+		qt.Check(t, left >= (descriptors-reservedDescriptors)/controlDivisor, qt.IsTrue,
 			qt.Commentf("%d of %d are left", left, descriptors))
 	}
 }
--- a/internal/router/dataplane/events.go
+++ b/internal/router/dataplane/events.go
@@ -5,49 +5,49 @@
 	"strconv"
 )
 
-// largestEvent bounds what is held of an event that is not whole yet.
-const largestEvent = 64 << 10
+// maxEventBytes bounds what is held of an event that is not whole yet.
+const maxEventBytes = 64 << 10
 
 // eventSplitter cuts a stream of bytes into whole events, each with the blank line that ends it.
 type eventSplitter struct {
-	held    []byte
-	start   int // of the event that is not whole yet
-	scanned int // the beginning of the first line that was not looked at yet
+	buffer     []byte
+	eventStart int // of the event that is not whole yet
+	lineStart  int // the beginning of the first line that was not looked at yet
 }
 
 // feed takes in bytes. Events that next returned before are not valid any more.
 func (s *eventSplitter) feed(p []byte) {
-	if s.start > 0 {
-		left := copy(s.held, s.held[s.start:])
-		s.held = s.held[:left]
-		s.scanned -= s.start
-		s.start = 0
+	if s.eventStart > 0 {
+		remaining := copy(s.buffer, s.buffer[s.eventStart:])
+		s.buffer = s.buffer[:remaining]
+		s.lineStart -= s.eventStart
+		s.eventStart = 0
 	}
-	s.held = append(s.held, p...)
+	s.buffer = append(s.buffer, p...)
 }
 
 // next returns the next whole event, nil where there is none yet.
 func (s *eventSplitter) next() []byte {
 	for {
-		end := bytes.IndexByte(s.held[s.scanned:], '\n')
+		end := bytes.IndexByte(s.buffer[s.lineStart:], '\n')
 		if end < 0 {
 			return nil
 		}
-		line := s.held[s.scanned : s.scanned+end]
-		s.scanned += end + 1
+		line := s.buffer[s.lineStart : s.lineStart+end]
+		s.lineStart += end + 1
 		if len(line) == 0 || len(line) == 1 && line[0] == '\r' {
-			event := s.held[s.start:s.scanned]
-			s.start = s.scanned
+			event := s.buffer[s.eventStart:s.lineStart]
+			s.eventStart = s.lineStart
 			return event
 		}
 	}
 }
 
 // rest is what has come of an event that is not whole.
-func (s *eventSplitter) rest() []byte { return s.held[s.start:] }
+func (s *eventSplitter) partial() []byte { return s.buffer[s.eventStart:] }
 
 // reset drops all that is held, for the stream of another server.
-func (s *eventSplitter) reset() { s.held, s.start, s.scanned = s.held[:0], 0, 0 }
+func (s *eventSplitter) reset() { s.buffer, s.eventStart, s.lineStart = s.buffer[:0], 0, 0 }
 
 // eventID returns the number in an event's id line.
 func eventID(event []byte) (id int64, ok bool) {
@@ -58,8 +58,8 @@
 		} else {
 			event = nil
 		}
-		value, found := bytes.CutPrefix(line, []byte("id:"))
-		if !found {
+		value, isIDLine := bytes.CutPrefix(line, []byte("id:"))
+		if !isIDLine {
 			continue
 		}
 		id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
@@ -69,38 +69,38 @@
 }
 
 // order follows the ids of a stream's events.
-type order struct {
-	last    int64 // id of the last event passed on
-	any     bool  // last holds an id
-	dense   bool  // ids have risen by exactly one so far, and the service's events hold one piece each
-	resumed bool  // another server goes on with the stream
+type eventOrder struct {
+	lastID      int64 // id of the last event passed on
+	hasLast     bool  // last holds an id
+	consecutive bool  // ids have risen by exactly one so far, and the service's events hold one piece each
+	resumed     bool  // another server goes on with the stream
 }
 
 // step is what is done with an event.
-type step int
+type eventAction int
 
 const (
-	forward step = iota
-	skip         // the client has it already
-	missing      // pieces before it are missing
+	actionForward eventAction = iota
+	actionSkip                // the client has it already
+	actionGap                 // pieces before it are missing
 )
 
 // follow decides on the event with that id. What the first server sends is passed on as it is.
-func (o *order) follow(id int64) step {
+func (o *eventOrder) decide(id int64) eventAction {
 	switch {
-	case !o.any:
-	case o.resumed && id <= o.last:
-		return skip
-	case o.resumed && o.dense && id != o.last+1:
-		return missing
-	case id != o.last+1:
-		o.dense = false
+	case !o.hasLast:
+	case o.resumed && id <= o.lastID:
+		return actionSkip
+	case o.resumed && o.consecutive && id != o.lastID+1:
+		return actionGap
+	case id != o.lastID+1:
+		o.consecutive = false
 	}
-	o.last, o.any = id, true
-	return forward
+	o.lastID, o.hasLast = id, true
+	return actionForward
 }
 
-// holdsData tells whether an event holds a piece of the answer.
-func holdsData(event []byte) bool {
+// hasData tells whether an event holds a piece of the answer.
+func hasData(event []byte) bool {
 	return bytes.HasPrefix(event, []byte("data:")) || bytes.Contains(event, []byte("\ndata:"))
 }
--- a/internal/router/dataplane/events_test.go
+++ b/internal/router/dataplane/events_test.go
@@ -20,7 +20,7 @@
 			}
 		}
 		c.Assert(got, qt.DeepEquals, want, qt.Commentf("fed by %d bytes", size))
-		c.Assert(string(s.rest()), qt.Equals, "id: 3\ndata")
+		c.Assert(string(s.partial()), qt.Equals, "id: 3\ndata")
 	}
 }
 
@@ -46,25 +46,26 @@
 	for _, test := range []struct {
 		name    string
 		dense   bool
-		first   []int64 // ids of the first server
-		resumed []int64 // of the next one
-		want    []step  // for each of the latter
+		first   []int64       // ids of the first server
+		resumed []int64       // of the next one
+		want    []eventAction // for each of the latter
 	}{
-		{"goes on", true, []int64{1, 2}, []int64{3, 4}, []step{forward, forward}},
-		{"begins anew", true, []int64{1, 2}, []int64{1, 2, 3}, []step{skip, skip, forward}},
-		{"lacks a piece", true, []int64{1, 2}, []int64{4}, []step{missing}},
-		{"steps may be larger", false, []int64{1, 2}, []int64{4}, []step{forward}},
-		{"steps were larger", true, []int64{1, 4}, []int64{9}, []step{forward}},
+		{"goes on", true, []int64{1, 2}, []int64{3, 4}, []eventAction{actionForward, actionForward}},
+		{"begins anew", true, []int64{1, 2}, []int64{1, 2, 3}, []eventAction{actionSkip, actionSkip,
+			actionForward}},
+		{"lacks a piece", true, []int64{1, 2}, []int64{4}, []eventAction{actionGap}},
+		{"steps may be larger", false, []int64{1, 2}, []int64{4}, []eventAction{actionForward}},
+		{"steps were larger", true, []int64{1, 4}, []int64{9}, []eventAction{actionForward}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			o := order{dense: test.dense}
+			o := eventOrder{consecutive: test.dense}
 			for _, id := range test.first {
-				c.Assert(o.follow(id), qt.Equals, forward)
+				c.Assert(o.decide(id), qt.Equals, actionForward)
 			}
 			o.resumed = true
 			for i, id := range test.resumed {
-				c.Assert(o.follow(id), qt.Equals, test.want[i])
+				c.Assert(o.decide(id), qt.Equals, test.want[i])
 			}
 		})
 	}
--- a/internal/router/dataplane/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -6,28 +6,31 @@
 )
 
 // failure says how a call ended that did not bring the whole answer.
-type failure struct {
-	outcome scheduler.Outcome
-	fate    fate
-	kept    *keptAnswer // the server's own failure, to be passed on where nothing more is tried
-	stale   bool        // an idle connection ended before a byte of the answer: no fault of the server
+type callFailure struct {
+	outcome  scheduler.Outcome
+	fate     fate
+	response *bufferedResponse // the server's own failure, to be passed on where nothing more is tried
+	// an idle connection ended before a byte of the answer: no fault of the server
+	staleConnection bool
 }
 
 // spent tells whether the memory that the call named may have been taken.
-func (f *failure) spent() bool { return f.fate == mayHaveRun || f.outcome == scheduler.HandleFailed }
+func (f *callFailure) handleConsumed() bool {
+	return f.fate == mayHaveRun || f.outcome == scheduler.HandleFailed
+}
 
 // gone hints that another incarnation has the server's address. A model server may as well have changed its
 // stage, so of those nothing is said.
-func (c *call) gone() {
-	if c.delivery.request.service.Engine == nil {
-		c.delivery.front.state.Gone(c.choice.Server.ID)
+func (c *call) reportReplaced() {
+	if c.roundTrip.request.service.Engine == nil {
+		c.roundTrip.proxy.state.Gone(c.choice.Server.ID)
 	}
 }
 
 // rejection tells a server that could not fetch the memory from one that is full.
-func (c *call) rejection(head *http1.Response) scheduler.Outcome {
-	load, told := parseLoad(head.Header.Get(loadHeader))
-	full := told && (load.Waiting > 0 || load.Running >= load.Slots)
+func (c *call) rejectionOutcome(head *http1.Response) scheduler.Outcome {
+	load, ok := parseLoad(head.Header.Get(loadHeader))
+	full := ok && (load.Waiting > 0 || load.Running >= load.Slots)
 	if c.role == scheduler.Decode && !full {
 		return scheduler.HandleFailed
 	}
--- a/internal/router/dataplane/faults_test.go
+++ b/internal/router/dataplane/faults_test.go
@@ -52,8 +52,8 @@
 	return top + body, len(top)
 }
 
-// faultyTry is one try of a client and what its first server does with it.
-type faultyTry struct {
+// faultyAttempt is one try of a client and what its first server does with it.
+type faultyAttempt struct {
 	id, route string
 	framing   framing
 	fault     fault
@@ -62,22 +62,22 @@
 	arrivals int
 }
 
-func (f *faultyTry) streams() bool { return f.route == "stream" || f.route == "firm" }
+func (f *faultyAttempt) streams() bool { return f.route == "stream" || f.route == "firm" }
 
 // answer lays out the whole answer to a request of the try.
-func (f *faultyTry) answer(q *http1.Request) (text string, headLength int) {
+func (f *faultyAttempt) answer(q *http1.Request) (text string, headLength int) {
 	if !f.streams() {
 		return f.framing.lay(q, "text/plain", "body ", "of "+f.id)
 	}
 	var events []string
-	for piece := wholeNumber(q.Header.Get(lastEventHeader)) + 1; piece <= 3; piece++ {
+	for piece := parseCount(q.Header.Get(lastEventHeader)) + 1; piece <= 3; piece++ {
 		events = append(events, pieceOf(f.id, piece))
 	}
 	return f.framing.lay(q, eventStreamType, events...)
 }
 
 // body is what the client has to get.
-func (f *faultyTry) body() string {
+func (f *faultyAttempt) body() string {
 	if !f.streams() {
 		return "body of " + f.id
 	}
@@ -87,7 +87,7 @@
 // faultyServers break off the first answer of each try that is registered, and answer all others whole.
 type faultyServers struct {
 	mu    sync.Mutex
-	tries map[string]*faultyTry
+	tries map[string]*faultyAttempt
 }
 
 func (s *faultyServers) serve(q *http1.Request, w io.Writer) bool {
@@ -118,8 +118,8 @@
 	return false
 }
 
-// seenWhole tells whether nobody can tell the answer from a whole one, as it was broken off.
-func (f *faultyTry) seenWhole(text string, headLength int) bool {
+// isComplete tells whether nobody can tell the answer from a whole one, as it was broken off.
+func (f *faultyAttempt) isComplete(text string, headLength int) bool {
 	if f.framing != byEnd {
 		return f.point == len(text)
 	}
@@ -128,7 +128,7 @@
 }
 
 // judge tells what is wrong with what the client of the try got, "" where all is well.
-func (f *faultyTry) judge(got result, text string, headLength int) string {
+func (f *faultyAttempt) judge(got result, text string, headLength int) string {
 	once := f.route == "unsafe" || f.route == "firm"
 	switch {
 	case once && f.arrivals > 1:
@@ -137,7 +137,7 @@
 		return "" // no time was left to send it
 	case f.arrivals > 0 && got.status == 503:
 		return "it was refused though it may have run"
-	case f.seenWhole(text, headLength):
+	case f.isComplete(text, headLength):
 		if got.cut || got.status != 200 || !strings.HasPrefix(f.body(), got.body) || f.arrivals != 1 {
 			return "the whole answer did not come"
 		}
@@ -165,7 +165,7 @@
 			for _, fault := range []fault{closes, resets, stalls} {
 				t.Run(fmt.Sprintf("%s ends %s and its server %s", route, framing, fault), func(t *testing.T) {
 					t.Parallel()
-					faultAtEveryByte(t, faultyTry{route: route, framing: framing, fault: fault})
+					faultAtEveryByte(t, faultyAttempt{route: route, framing: framing, fault: fault})
 				})
 			}
 		}
@@ -175,14 +175,14 @@
 // faultClients is how many clients try at a time.
 const faultClients = 8
 
-func faultAtEveryByte(t *testing.T, kind faultyTry) {
-	servers := &faultyServers{tries: map[string]*faultyTry{}}
+func faultAtEveryByte(t *testing.T, kind faultyAttempt) {
+	servers := &faultyServers{tries: map[string]*faultyAttempt{}}
 	r := newRig(t, slack(1e6), lookups(t, servers.serve)...)
 	points := make(chan int)
 	var under sync.WaitGroup
 	for range faultClients {
 		under.Go(func() {
-			p := &person{C: r.C}
+			p := &testClient{C: r.C}
 			for point := range points {
 				p.tryFault(r, servers, kind, point)
 			}
@@ -195,7 +195,7 @@
 	}
 	close(points)
 	under.Wait()
-	r.settled()
+	r.awaitCallsEnded()
 }
 
 func requestOf(id string) *http1.Request {
@@ -203,7 +203,7 @@
 }
 
 // tryFault makes one try that breaks off at a point, and a request behind it.
-func (p *person) tryFault(r *rig, servers *faultyServers, kind faultyTry, point int) {
+func (p *testClient) tryFault(r *rig, servers *faultyServers, kind faultyAttempt, point int) {
 	try := kind
 	try.id, try.point = fmt.Sprintf("%03d", point), point
 	servers.mu.Lock()
@@ -231,16 +231,16 @@
 }
 
 // again connects where the client has no connection that is still good.
-func (p *person) again(r *rig) {
+func (p *testClient) again(r *rig) {
 	if p.Conn == nil && !p.connect(r.address) {
 		r.Error("nobody listens")
 		return
 	}
-	p.SetDeadline(time.Now().Add(patience))
+	p.SetDeadline(time.Now().Add(testTimeout))
 }
 
 // post1 posts a request and reads its answer; a connection that ends with it is closed.
-func (p *person) post1(route, id, deadline string) result {
+func (p *testClient) post1(route, id, deadline string) result {
 	var fields string
 	if deadline != "" {
 		fields = deadlineHeader + ": " + deadline + "\r\n"
@@ -269,10 +269,10 @@
 	text, _ := byEnd.lay(q, "text/plain", "body")
 	head, body, err := http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
-	c.Assert(judge((&call{}).answerTraits(head, body)), qt.Equals, pass)
-	c.Assert(judge((&call{unsent: true}).answerTraits(head, body)), qt.Equals, unusable)
+	c.Assert(classify((&call{}).responseTraits(head, body)), qt.Equals, classForward)
+	c.Assert(classify((&call{partlySent: true}).responseTraits(head, body)), qt.Equals, classUnusable)
 	text, _ = byChunks.lay(q, "text/plain", "body")
 	head, body, err = http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
-	c.Assert(judge((&call{unsent: true}).answerTraits(head, body)), qt.Equals, pass)
+	c.Assert(classify((&call{partlySent: true}).responseTraits(head, body)), qt.Equals, classForward)
 }
--- a/internal/router/dataplane/front.go
+++ b/internal/router/dataplane/front.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// bodiesPart is the part of the process's memory that bodies may take.
-	bodiesPart = 8
-	// reservedDescriptors are left to files. One part of the others in controlPart is left to connections of
+	// bodyMemoryDivisor is the part of the process's memory that bodies may take.
+	bodyMemoryDivisor = 8
+	// reservedDescriptors are left to files. One part of the others in controlDivisor is left to connections of
 	// other processes, servers' heartbeats and operators; clients and servers may have half of the rest each.
-	reservedDescriptors  = 200
-	controlPart          = 8
-	leastDescriptorShare = 16
+	reservedDescriptors = 200
+	controlDivisor      = 8
+	minConnectionLimit  = 16
 )
 
 // State is what the data plane reads for each request: immutable snapshots.
@@ -41,52 +41,53 @@
 	Suspect(server string)
 }
 
-// Front is the data plane. Its methods are safe for concurrent use.
-type Front struct {
+// Proxy is the data plane. Its methods are safe for concurrent use.
+type Proxy struct {
 	settings *agentsettings.Settings
 	state    State
 	log      zerolog.Logger
 	started  time.Time
 
-	decider  *decider
-	budgets  *budgets
-	bodies   *bodybudget.Budget
-	pool     *pool
-	tickets  *ticketReturner
-	stats    counters
-	calls    callCounts
-	observer observer
+	chooser    *lockedChooser
+	budgets    *retryBudgets
+	bodies     *bodybudget.Budget
+	pool       *pool
+	handles    *handleReleaser
+	counters   counters
+	callCounts callCounts
+	observer   observer
 
-	deliveries atomic.Uint64 // how many requests were taken to servers
+	requestCount atomic.Uint64 // how many requests were taken to servers
 
-	readTimes *readTimes
+	prefillTimes *prefillTimes
 
-	mu       sync.Mutex
-	clients  map[*client]struct{}
-	changed  chan struct{} // closed and replaced when a client has gone
-	draining atomic.Bool
-	drained  time.Time // when the drain began
+	mu             sync.Mutex
+	clients        map[*client]struct{}
+	clientsChanged chan struct{} // closed and replaced when a client has gone
+	draining       atomic.Bool
+	drainStarted   time.Time // when the drain began
 }
 
 // New returns a Front. It opens nothing before Serve.
-func New(settings *agentsettings.Settings, state State, log zerolog.Logger) *Front {
-	f := &Front{
+func New(settings *agentsettings.Settings, state State, log zerolog.Logger) *Proxy {
+	p := &Proxy{
 		settings: settings, state: state, log: log, started: time.Now(),
-		budgets: newBudgets(settings.Bounds), bodies: bodybudget.NewBudget(settings.MemoryBytes / bodiesPart),
-		readTimes: newReadTimes(), clients: map[*client]struct{}{}, changed: make(chan struct{}),
+		budgets:      newRetryBudgets(settings.Bounds),
+		bodies:       bodybudget.NewBudget(settings.MemoryBytes / bodyMemoryDivisor),
+		prefillTimes: newPrefillTimes(), clients: map[*client]struct{}{}, clientsChanged: make(chan struct{}),
 	}
-	f.observer.use(log)
-	f.decider = newDecider(settings.Zone, state, f.now)
-	listed := func(server string) bool { return f.servers().ByID(server) != nil }
-	f.pool = newPool(&f.stats, f.descriptorShare(), listed)
-	f.tickets = newTicketReturner(f.pool)
-	return f
+	p.observer.setLogger(log)
+	p.chooser = newLockedChooser(settings.Zone, state, p.now)
+	listed := func(server string) bool { return p.servers().ByID(server) != nil }
+	p.pool = newPool(&p.counters, p.connectionLimit(), listed)
+	p.handles = newHandleReleaser(p.pool)
+	return p
 }
 
 // now is the steady clock that decisions and budgets are told.
-func (f *Front) now() time.Duration { return time.Since(f.started) }
+func (p *Proxy) now() time.Duration { return time.Since(p.started) }
 
-func (f *Front) servers() *catalog.Table { return servers(f.state) }
+func (p *Proxy) servers() *catalog.Table { return servers(p.state) }
 
 func servers(state State) *catalog.Table {
 	if table := state.Servers(); table != nil {
@@ -97,30 +98,30 @@
 
 var noServers = catalog.NewTable(0, nil)
 
-func (f *Front) limits() fleetconfig.Limits {
-	if config := f.state.Config(); config != nil {
+func (p *Proxy) limits() fleetconfig.Limits {
+	if config := p.state.Config(); config != nil {
 		return config.Limits
 	}
-	return limitsBefore
+	return defaultLimits
 }
 
-// limitsBefore hold until a configuration is known. They are wider than any that are likely to be configured:
-// a request that the configuration may allow has to be answered 503, and not 413 or 431.
-var limitsBefore = fleetconfig.Limits{
+// defaultLimits hold until a configuration is known. They are wider than any that are likely to be
+// configured: a request that the configuration may allow has to be answered 503, and not 413 or 431.
+var defaultLimits = fleetconfig.Limits{
 	MaxHeaderBytes: 64 << 10, MaxBodyBytes: http1.Largest, HeaderTimeout: 5 * time.Second,
 	IdleTimeout: 30 * time.Second,
 }
 
 // Serve accepts clients until the listener is closed, and then returns nil.
-func (f *Front) Serve(listener net.Listener) error {
-	failed := func(err error) {
-		f.observer.failures.Warn().Err(err).Msg("front: cannot accept a client, trying again shortly")
+func (p *Proxy) Serve(listener net.Listener) error {
+	logFailure := func(err error) {
+		p.observer.failureLog.Warn().Err(err).Msg("front: cannot accept a client, trying again shortly")
 	}
-	_ = acceptloop.Run(listener, failed, f.accept) // it ends with the listener
+	_ = acceptloop.Run(listener, logFailure, p.accept) // it ends with the listener
 	return nil
 }
 
-func (f *Front) accept(conn net.Conn) {
+func (p *Proxy) accept(conn net.Conn) {
 	socket, err := newSocket(conn)
 	if err != nil {
 		conn.Close()
@@ -128,46 +129,47 @@
 	}
 	// An accepted socket is connected already, so the option is all that is missing.
 	_ = setUserTimeout(socket.raw, clientTimeout)
-	c := &client{front: f, socket: socket}
-	if !f.admit(c) {
+	c := &client{proxy: p, socket: socket}
+	if !p.addClient(c) {
 		conn.Close()
-		f.stats.clientsTurnedAway.Add(1)
-		f.observer.failures.Warn().Int("most", f.descriptorShare()).Msg("front: too many clients; one was closed")
+		p.counters.clientsRejected.Add(1)
+		p.observer.failureLog.Warn().Int("most", p.connectionLimit()).Msg("front: too many clients; one was closed")
 		return
 	}
-	f.stats.clients.Add(1)
+	p.counters.clients.Add(1)
 	go c.run()
 }
 
 // admit registers a client unless there are too many.
-func (f *Front) admit(c *client) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.clients) >= f.descriptorShare() {
+func (p *Proxy) addClient(c *client) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.clients) >= p.connectionLimit() {
 		return false
 	}
-	f.clients[c] = struct{}{}
+	p.clients[c] = struct{}{}
 	return true
 }
 
-func (f *Front) leave(c *client) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.clients, c)
-	close(f.changed)
-	f.changed = make(chan struct{})
+func (p *Proxy) removeClient(c *client) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.clients, c)
+	close(p.clientsChanged)
+	p.clientsChanged = make(chan struct{})
 }
 
-// descriptorShare is how many connections there may be to clients, and likewise to servers.
-func (f *Front) descriptorShare() int {
-	open := f.settings.Descriptors - reservedDescriptors
-	return max((open-open/controlPart)/2, leastDescriptorShare)
+// connectionLimit is how many connections there may be to clients, and likewise to servers.
+func (p *Proxy) connectionLimit() int {
+	available := p.settings.Descriptors - reservedDescriptors
+	return max((available-available/controlDivisor)/2, minConnectionLimit)
 }
 
-// connectionShare is how many connections this proxy may have to each server of a service, 0 for any number.
-func (f *Front) connectionShare(service *fleetconfig.Service) int {
+// serverConnectionQuota is how many connections this proxy may have to each server of a service, 0 for any
+// number.
+func (p *Proxy) serverConnectionQuota(service *fleetconfig.Service) int {
 	if service.MaxConnections <= 0 {
 		return 0
 	}
-	return max(service.MaxConnections/max(f.state.Proxies(), 1), leastPerServer)
+	return max(service.MaxConnections/max(p.state.Proxies(), 1), minPerServer)
 }
--- a/internal/router/dataplane/gone_test.go
+++ b/internal/router/dataplane/gone_test.go
@@ -27,7 +27,7 @@
 // follows, and memory that was read for it is freed.
 func TestClientLeavesAtEachStage(t *testing.T) {
 	ended := make(chan string, 999)
-	held := silence(ended)
+	held := neverAnswer(ended)
 	begins := func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
 		return held(q, w)
@@ -49,12 +49,12 @@
 		{"after a break", "safe", nil, []handler{breakOff, held, ok("x")}, 2, 0},
 		{"within its stream", "firm", nil, []handler{begins, ok("x")}, 1, 0},
 		{"within a stream taken up", "stream", nil,
-			[]handler{streams("s", false, event(1)), goesOnAndStalls, goesOn(9)}, 2, 0},
+			[]handler{streams("s", false, event(1)), goesOnAndStalls, resumesUntil(9)}, 2, 0},
 		{"while it is read", "model", []handler{held, handle}, []handler{begins}, 1, 0},
 		{"while it is read after a rejection", "modelfirm", []handler{full, held, handle}, []handler{begins}, 2, 0},
-		{"while its memory is fetched", "model", []handler{handle}, []handler{held, goesOn(9)}, 2, 1},
+		{"while its memory is fetched", "model", []handler{handle}, []handler{held, resumesUntil(9)}, 2, 1},
 		{"while it is written after a rejection", "modelfirm", []handler{handle}, []handler{full, held}, 3, 1},
-		{"within its written stream", "modelfirm", []handler{handle}, []handler{begins, goesOn(9)}, 2, 0},
+		{"within its written stream", "modelfirm", []handler{handle}, []handler{begins, resumesUntil(9)}, 2, 0},
 	} {
 		for way, leave := range leaving {
 			t.Run(fmt.Sprintf("%s %s, %s", test.route, test.name, way), func(t *testing.T) {
@@ -67,22 +67,22 @@
 				}
 				r := newRig(t, nil, append(readers, writers...)...)
 				patient(r, test.route)
-				calls := func() int { return arrivals(readers) + arrivals(writers) - freed(readers) }
+				calls := func() int { return arrivals(readers) + arrivals(writers) - releasedHandles(readers) }
 				p := r.dial()
 				p.send("POST", "/"+test.route+"/", "a", "prompt")
-				r.until("its last call came", func() bool { return calls() == test.calls })
+				r.eventually("its last call came", func() bool { return calls() == test.calls })
 				leave(p.Conn.(*net.TCPConn))
 				select {
 				case id := <-ended:
 					r.Assert(id, qt.Equals, "a")
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					r.Fatal("its server was not told")
 				}
-				r.settled()
-				r.until("the client is gone", func() bool { return len(r.front.all()) == 0 })
-				r.until("its memory is freed", func() bool { return freed(readers) >= test.freed })
-				r.until("no call to free it is under way", func() bool { return len(r.front.tickets.places) == 0 })
-				r.Assert(freed(readers) <= 1, qt.IsTrue)
+				r.awaitCallsEnded()
+				r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
+				r.eventually("its memory is freed", func() bool { return releasedHandles(readers) >= test.freed })
+				r.eventually("no call to free it is under way", func() bool { return len(r.proxy.handles.slots) == 0 })
+				r.Assert(releasedHandles(readers) <= 1, qt.IsTrue)
 				r.Assert(calls(), qt.Equals, test.calls)
 				outcomes := r.chooser.outcomes()
 				r.Assert(outcomes[len(outcomes)-1], qt.Equals, scheduler.Abandoned)
@@ -127,14 +127,14 @@
 	r := newRig(t, nil, stuck, other)
 	p := r.dial()
 	p.send("POST", "/safe/", "a", "")
-	r.until("it is dialled", func() bool {
+	r.eventually("it is dialled", func() bool {
 		r.chooser.mu.Lock()
 		defer r.chooser.mu.Unlock()
 		return len(r.chooser.open) == 1
 	})
 	p.Close()
-	r.until("the client is gone", func() bool { return len(r.front.all()) == 0 })
-	r.settled()
+	r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
+	r.awaitCallsEnded()
 	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 	r.Assert(other.got(), qt.HasLen, 0)
 }
--- a/internal/router/dataplane/leave_test.go
+++ b/internal/router/dataplane/leave_test.go
@@ -21,14 +21,14 @@
 	ended := make(chan string, 9)
 	beginning := func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
-		return silence(ended)(q, w)
+		return neverAnswer(ended)(q, w)
 	}
 	for name, test := range map[string]struct {
 		route  string
 		answer handler
 	}{
-		"unsafe, before the answer": {"unsafe", silence(ended)},
-		"safe, before the answer":   {"safe", silence(ended)},
+		"unsafe, before the answer": {"unsafe", neverAnswer(ended)},
+		"safe, before the answer":   {"safe", neverAnswer(ended)},
 		"within a stream":           {"stream", beginning},
 		"within a firm stream":      {"firm", beginning},
 	} {
@@ -37,14 +37,14 @@
 			r := newRig(t, nil, servers...)
 			p := r.dial()
 			p.send("POST", "/"+test.route+"/", "a", "")
-			r.until("it came", func() bool { return arrivals(servers) == 1 })
+			r.eventually("it came", func() bool { return arrivals(servers) == 1 })
 			p.Close()
 			r.Assert(<-ended, qt.Equals, "a")
-			r.settled()
-			r.until("the client is gone", func() bool { return len(r.front.all()) == 0 })
+			r.awaitCallsEnded()
+			r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
 			r.Assert(arrivals(servers), qt.Equals, 1)
 			r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
-			r.Assert(r.front.Stats().ClientsLeft, qt.Equals, int64(1))
+			r.Assert(r.proxy.Stats().ClientsDisconnected, qt.Equals, int64(1))
 		})
 	}
 }
@@ -59,26 +59,26 @@
 				t.Run(fmt.Sprintf("%s, reset %t, later %t", route, reset, later), func(t *testing.T) {
 					t.Parallel()
 					gone := make(chan string, 9)
-					s := newServer(t, "i-1", "lookup", "", silence(gone))
+					s := newServer(t, "i-1", "lookup", "", neverAnswer(gone))
 					r := newRig(t, nil, s)
 					p := r.dial()
 					first := fmt.Sprintf("POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n%s", route, length(""))
 					if later {
 						io.WriteString(p, first)
-						r.until("it came", func() bool { return len(s.got()) == 1 })
+						r.eventually("it came", func() bool { return len(s.got()) == 1 })
 						io.WriteString(p, next)
 					} else {
 						io.WriteString(p, first+next)
-						r.until("it came", func() bool { return len(s.got()) == 1 })
+						r.eventually("it came", func() bool { return len(s.got()) == 1 })
 					}
 					if reset {
 						p.Conn.(*net.TCPConn).SetLinger(0)
 					}
 					p.Close()
 					r.Assert(<-gone, qt.Equals, "a")
-					r.settled()
+					r.awaitCallsEnded()
 					r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
-					r.until("the client is gone", func() bool { return len(r.front.all()) == 0 })
+					r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
 					r.Assert(s.got(), qt.HasLen, 1)
 				})
 			}
@@ -97,44 +97,44 @@
 	r.Assert(idle.ask("GET", "/nowhere/", "i", "").Close, qt.IsFalse)
 	p.send("POST", "/unsafe/", "a", "")
 	io.WriteString(slow, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: b\r\nContent-Le")
-	r.until("it came", func() bool { return len(s.got()) == 1 })
-	r.until("all are there", func() bool { return len(r.front.all()) == 3 })
+	r.eventually("it came", func() bool { return len(s.got()) == 1 })
+	r.eventually("all are there", func() bool { return len(r.proxy.connectedClients()) == 3 })
 
-	r.front.Drain()
-	r.front.Drain()
+	r.proxy.Drain()
+	r.proxy.Drain()
 	_, err := idle.in.ReadByte() // without being asked, after a little while
 	r.Assert(err, qt.Equals, io.EOF)
 
 	late := r.dial() // the listener is still there
 	late.send("POST", "/unsafe/", "c", "")
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
-	r.until("they came", func() bool { return len(s.got()) == 3 })
+	r.eventually("they came", func() bool { return len(s.got()) == 3 })
 	r.listener.Close()
 	close(goOn)
-	for _, p := range []*person{p, slow, late} {
+	for _, p := range []*testClient{p, slow, late} {
 		answer, err := p.read()
 		r.Assert(err, qt.IsNil)
 		r.Assert(string(answer.Body), qt.Equals, "done")
 		r.Assert(answer.Close, qt.IsTrue)
 	}
 	r.awaitEmpty()
-	r.Assert(r.front.all(), qt.HasLen, 0)
+	r.Assert(r.proxy.connectedClients(), qt.HasLen, 0)
 }
 
 // awaitEmpty waits until every client has gone.
 func (r *rig) awaitEmpty() {
 	r.Helper()
-	end := time.Now().Add(patience)
-	r.front.Wait(end, end)
-	r.Assert(r.front.all(), qt.HasLen, 0)
+	end := time.Now().Add(testTimeout)
+	r.proxy.Wait(end, end)
+	r.Assert(r.proxy.connectedClients(), qt.HasLen, 0)
 }
 
 // drainLate begins a drain and lets it look as if it had begun that long ago.
 func (r *rig) drainLate(ago time.Duration) {
-	r.front.Drain()
-	r.front.mu.Lock()
-	defer r.front.mu.Unlock()
-	r.front.drained = time.Now().Add(-ago)
+	r.proxy.Drain()
+	r.proxy.mu.Lock()
+	defer r.proxy.mu.Unlock()
+	r.proxy.drainStarted = time.Now().Add(-ago)
 }
 
 // A request that comes whole late in a drain may last longer than the process: its client is told to send it
@@ -144,8 +144,8 @@
 	r := newRig(t, nil, s)
 	slow := r.dial()
 	io.WriteString(slow, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\nContent-Le")
-	r.until("it is there", func() bool { return len(r.front.all()) == 1 })
-	r.drainLate(lateInDrain + time.Millisecond)
+	r.eventually("it is there", func() bool { return len(r.proxy.connectedClients()) == 1 })
+	r.drainLate(drainAcceptTime + time.Millisecond)
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
 	answer, err := slow.read()
 	r.Assert(err, qt.IsNil)
@@ -169,8 +169,8 @@
 	r := newRig(t, nil, s)
 	p := r.dial()
 	p.send("POST", "/stream/", "a", "")
-	r.until("its first event has passed", func() bool { _, err := p.in.Peek(1); return err == nil })
-	r.drainLate(lateInDrain + time.Millisecond)
+	r.eventually("its first event has passed", func() bool { _, err := p.in.Peek(1); return err == nil })
+	r.drainLate(drainAcceptTime + time.Millisecond)
 	close(goOn)
 	answer, err := p.read()
 	r.Assert(err, qt.IsNil)
@@ -185,13 +185,13 @@
 
 func TestWaitCutsOffWhatIsNotDone(t *testing.T) {
 	ended := make(chan string, 9)
-	s := newServer(t, "i-1", "lookup", "", silence(ended))
+	s := newServer(t, "i-1", "lookup", "", neverAnswer(ended))
 	r := newRig(t, nil, s)
 	p := r.dial()
 	p.send("POST", "/unsafe/", "a", "")
-	r.until("it came", func() bool { return len(s.got()) == 1 })
-	r.front.Drain()
-	r.front.Wait(time.Now().Add(100*time.Millisecond), time.Now().Add(patience))
+	r.eventually("it came", func() bool { return len(s.got()) == 1 })
+	r.proxy.Drain()
+	r.proxy.Wait(time.Now().Add(100*time.Millisecond), time.Now().Add(testTimeout))
 	answer, err := p.read()
 	r.Assert(err, qt.IsNil)
 	r.Assert(answer.Status, qt.Equals, 504)
@@ -203,7 +203,7 @@
 	r := newRig(t, nil, s)
 	p := r.dial()
 	r.Assert(p.ask("GET", "/safe/", "a", "").Close, qt.IsFalse)
-	r.front.Drain()
+	r.proxy.Drain()
 	answer := p.ask("GET", "/safe/", "b", "")
 	r.Assert(answer.Status, qt.Equals, 200)
 	r.Assert(answer.Close, qt.IsTrue)
@@ -214,15 +214,15 @@
 
 func TestConnectionsToAServerAreShared(t *testing.T) {
 	ended := make(chan string, 9)
-	s := newServer(t, "i-1", "lookup", "", silence(ended))
+	s := newServer(t, "i-1", "lookup", "", neverAnswer(ended))
 	r := newRig(t, func(_ *agentsettings.Settings, state *fakeState) { state.proxies = 50 }, s) // 100 / 50 each
-	var waiting []*person
+	var waiting []*testClient
 	for range 2 {
 		p := r.dial()
 		p.send("POST", "/unsafe/", "a", "")
 		waiting = append(waiting, p)
 	}
-	r.until("they came", func() bool { return len(s.got()) == 2 })
+	r.eventually("they came", func() bool { return len(s.got()) == 2 })
 	r.Assert(r.dial().ask("POST", "/unsafe/", "b", "").Status, qt.Equals, 503)
 	r.Assert(s.got(), qt.HasLen, 2)
 	for _, p := range waiting {
@@ -238,11 +238,11 @@
 	r.state.mu.Lock()
 	r.state.table = tableOf(nil)
 	r.state.mu.Unlock()
-	r.until("its connections are closed", func() bool {
-		r.front.pool.sweep()
-		r.front.pool.mu.Lock()
-		defer r.front.pool.mu.Unlock()
-		return len(r.front.pool.peers) == 0
+	r.eventually("its connections are closed", func() bool {
+		r.proxy.pool.sweep()
+		r.proxy.pool.mu.Lock()
+		defer r.proxy.pool.mu.Unlock()
+		return len(r.proxy.pool.servers) == 0
 	})
 }
 
@@ -271,7 +271,7 @@
 	r.Assert(err, qt.Not(qt.IsNil))
 	r.chooser.panics.Store(false)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "b", "").Status, qt.Equals, 200)
-	r.until("its place is free", func() bool { return len(r.front.all()) == 1 })
+	r.eventually("its place is free", func() bool { return len(r.proxy.connectedClients()) == 1 })
 }
 
 // Whatever was passed on to a server is answered whole, though idle connections are closed meanwhile.
@@ -284,7 +284,7 @@
 		halfWay := make(chan bool, 1<<16)
 		for n := range 16 {
 			under.Go(func() {
-				p := &person{C: r.C}
+				p := &testClient{C: r.C}
 				for i := range 200 {
 					id := fmt.Sprintf("c%d-%d", n, i)
 					if i == 100 {
@@ -306,7 +306,7 @@
 			})
 		}
 		<-halfWay
-		r.front.Drain()
+		r.proxy.Drain()
 		for range 8 {
 			<-halfWay
 		}
@@ -331,14 +331,14 @@
 	r := newRig(t, nil)
 	near, far := net.Pipe()
 	defer far.Close()
-	late := &client{front: r.front, socket: &socket{Conn: near}}
-	q := &request{Request: &http1.Request{Method: "GET"}, tryID: "a", end: time.Now().Add(-time.Second)}
+	late := &client{proxy: r.proxy, socket: &socket{Conn: near}}
+	q := &request{Request: &http1.Request{Method: "GET"}, tryID: "a", deadline: time.Now().Add(-time.Second)}
 	go func() {
 		defer near.Close()
-		late.socket.SetWriteDeadline(q.writeUntil())
-		late.refuse(q, errNoRoute)
+		late.socket.SetWriteDeadline(q.writeDeadline())
+		late.sendLocalReply(q, errNoRoute)
 	}()
-	answer, err := (&person{Conn: far, in: bufio.NewReader(far)}).read()
+	answer, err := (&testClient{Conn: far, in: bufio.NewReader(far)}).read()
 	r.Assert(err, qt.IsNil)
 	r.Assert(answer.Status, qt.Equals, 404)
 }
--- a/internal/router/dataplane/malformed_test.go
+++ b/internal/router/dataplane/malformed_test.go
@@ -76,7 +76,10 @@
 		io.WriteString(p, text)
 		p.Close()
 	}
-	r.until("they are gone", func() bool { return len(r.front.all()) == 0 && r.front.Stats().Clients == 3 })
+	r.eventually("they are gone", func() bool {
+		return len(r.proxy.connectedClients()) == 0 &&
+			r.proxy.Stats().Clients == 3
+	})
 	r.Assert(s.got(), qt.HasLen, 0)
 }
 
@@ -88,7 +91,7 @@
 
 func TestClientsBeyondTheDescriptorsAreClosed(t *testing.T) {
 	r := newRig(t, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 0 })
-	var some []*person
+	var some []*testClient
 	for range 16 {
 		p := r.dial()
 		r.Assert(p.ask("GET", "/nowhere/", "a", "").Status, qt.Equals, 404)
@@ -97,6 +100,6 @@
 	_, err := http1.ReadResponse(r.dial().in)
 	r.Assert(err, qt.Not(qt.IsNil))
 	some[0].Close()
-	r.until("a place is free", func() bool { return len(r.front.all()) == 15 })
+	r.eventually("a place is free", func() bool { return len(r.proxy.connectedClients()) == 15 })
 	r.Assert(r.dial().ask("GET", "/nowhere/", "a", "").Status, qt.Equals, 404)
 }
--- a/internal/router/dataplane/names.go
+++ b/internal/router/dataplane/names.go
@@ -16,7 +16,7 @@
 	modelHeader         = "Cresshub-Model"
 	tokensHeader        = "Cresshub-Tokens"
 	prefixHeader        = "Cresshub-Prompt-Prefix"
-	readingStage        = "reading"
+	prefillStage        = "reading"
 	handlePath          = "/api/kv-handle/"
 	eventStreamType     = "text/event-stream"
 )
--- a/internal/router/dataplane/observe.go
+++ b/internal/router/dataplane/observe.go
@@ -12,90 +12,90 @@
 )
 
 // ending is what became of a request in the end.
-type ending string
+type requestOutcome string
 
 // The endings of a request.
 const (
-	endingServed        ending = "served"         // the whole answer of a server
-	endingServerFailure ending = "server_failure" // a server's own 5xx
-	endingRefused       ending = "refused"        // 503: it has not run
-	endingFailed        ending = "failed"         // 502
-	endingTimedOut      ending = "timed_out"      // 504
-	endingCut           ending = "cut"            // the connection ends inside the answer
-	endingClientLeft    ending = "client_left"
+	outcomeServed             requestOutcome = "served"         // the whole answer of a server
+	outcomeServerFailure      requestOutcome = "server_failure" // a server's own 5xx
+	outcomeRejected           requestOutcome = "refused"        // 503: it has not run
+	outcomeFailed             requestOutcome = "failed"         // 502
+	outcomeTimedOut           requestOutcome = "timed_out"      // 504
+	outcomeTruncated          requestOutcome = "cut"            // the connection ends inside the answer
+	outcomeClientDisconnected requestOutcome = "client_left"
 )
 
-func endingOf(status int) ending {
+func outcomeOfStatus(status int) requestOutcome {
 	switch status {
 	case 503:
-		return endingRefused
+		return outcomeRejected
 	case 504:
-		return endingTimedOut
+		return outcomeTimedOut
 	}
-	return endingFailed
+	return outcomeFailed
 }
 
-// mostRefusalLines and mostFailureLines are how many lines a second tell of requests that were not served;
+// maxRejectionLogs and maxFailureLogs are how many lines a second tell of requests that were not served;
 // the figures count all of them.
 const (
-	mostRefusalLines = 2
-	mostFailureLines = 8
+	maxRejectionLogs = 2
+	maxFailureLogs   = 8
 )
 
 // observer counts what became of requests and logs those that were not served.
 type observer struct {
-	refusals, failures zerolog.Logger // bounded in their lines
+	rejectionLog, failureLog zerolog.Logger // bounded in their lines
 
-	unserved  metrics.CounterFamily // by ending and reason
-	rejected  metrics.CounterFamily // requests that no delivery was begun for, by reason
-	durations metrics.Histogram
+	unserved     metrics.CounterFamily // by ending and reason
+	notForwarded metrics.CounterFamily // requests that no delivery was begun for, by reason
+	durations    metrics.Histogram
 }
 
-func (o *observer) use(log zerolog.Logger) {
-	o.refusals = log.Sample(&zerolog.BurstSampler{Burst: mostRefusalLines, Period: time.Second})
-	o.failures = log.Sample(&zerolog.BurstSampler{Burst: mostFailureLines, Period: time.Second})
+func (o *observer) setLogger(log zerolog.Logger) {
+	o.rejectionLog = log.Sample(&zerolog.BurstSampler{Burst: maxRejectionLogs, Period: time.Second})
+	o.failureLog = log.Sample(&zerolog.BurstSampler{Burst: maxFailureLogs, Period: time.Second})
 }
 
 // observe counts the end of a request, and logs one that was not served with all its calls.
-func (f *Front) observe(d *delivery, end ending, status int) {
-	held := time.Since(d.request.arrived)
-	f.observer.durations.Observe(held)
-	if end == endingServed {
+func (p *Proxy) observe(rt *roundTrip, outcome requestOutcome, status int) {
+	elapsed := time.Since(rt.request.arrived)
+	p.observer.durations.Observe(elapsed)
+	if outcome == outcomeServed {
 		return
 	}
-	reason := d.trace.reasonOf(d)
-	f.observer.unserved.With(metrics.Label{Name: "ending", Value: string(end)},
+	reason := rt.trace.finalReason(rt)
+	p.observer.unserved.With(metrics.Label{Name: "ending", Value: string(outcome)},
 		metrics.Label{Name: "reason", Value: string(reason)}).Add(1)
 	var event *zerolog.Event
-	switch end {
-	case endingClientLeft:
-		event = f.log.Debug()
-	case endingRefused:
-		event = f.observer.refusals.Info()
+	switch outcome {
+	case outcomeClientDisconnected:
+		event = p.log.Debug()
+	case outcomeRejected:
+		event = p.observer.rejectionLog.Info()
 	default:
-		event = f.observer.failures.Warn()
+		event = p.observer.failureLog.Warn()
 	}
 	if !event.Enabled() {
 		return
 	}
-	q := d.request
+	q := rt.request
 	event.Str("try", q.tryID).Str("route", q.route.Name).Str("service", q.service.Name).
-		Int64("version", q.config.Version).Str("ending", string(end)).Str("reason", string(reason)).
-		Int("status", status).Dur("held_ms", held).Dur("left_ms", d.left()).Int("tries", d.trace.reached).
-		Int("repeats_paid", d.attempts.paid).Array("calls", &d.trace).Msg("front: request not served")
+		Int64("version", q.config.Version).Str("ending", string(outcome)).Str("reason", string(reason)).
+		Int("status", status).Dur("held_ms", elapsed).Dur("left_ms", rt.timeLeft()).Int("tries", rt.trace.attempts).
+		Int("repeats_paid", rt.attempts.paidRetries).Array("calls", &rt.trace).Msg("front: request not served")
 }
 
-// noteRefusal counts an own answer to a request that no delivery was begun for.
-func (f *Front) noteRefusal(q *request, r *refusal) {
-	if r.reason == "" {
+// recordLocalReply counts an own answer to a request that no delivery was begun for.
+func (p *Proxy) recordLocalReply(q *request, reply *localReplyError) {
+	if reply.reason == "" {
 		return
 	}
-	f.observer.rejected.With(metrics.Label{Name: "reason", Value: r.reason}).Add(1)
+	p.observer.notForwarded.With(metrics.Label{Name: "reason", Value: reply.reason}).Add(1)
 	tryID := ""
 	if q != nil {
 		tryID = q.tryID
 	}
-	f.observer.refusals.Info().Str("try", tryID).Int("status", r.status).Str("reason", r.reason).
+	p.observer.rejectionLog.Info().Str("try", tryID).Int("status", reply.status).Str("reason", reply.reason).
 		Msg("front: request not taken")
 }
 
@@ -123,50 +123,50 @@
 }
 
 // WriteMetrics writes the figures of the data plane.
-func (f *Front) WriteMetrics(page *metrics.Page) {
-	for _, figure := range f.statFigures() {
+func (p *Proxy) WriteMetrics(page *metrics.Page) {
+	for _, figure := range p.counterMetrics() {
 		page.Counter(figure.name, figure.help, figure.value)
 	}
 	page.Family("cresshub_requests_unserved_total", "Requests without the whole answer of a server.",
-		&f.observer.unserved)
+		&p.observer.unserved)
 	page.Family("cresshub_requests_not_taken_total", "Requests answered without asking a server.",
-		&f.observer.rejected)
-	f.calls.write(page)
+		&p.observer.notForwarded)
+	p.callCounts.write(page)
 	page.Histogram("cresshub_request_duration_seconds", "From a request's arrival to the end of its answer.",
-		&f.observer.durations)
-	f.mu.Lock()
-	clients := len(f.clients)
-	f.mu.Unlock()
+		&p.observer.durations)
+	p.mu.Lock()
+	clients := len(p.clients)
+	p.mu.Unlock()
 	page.Gauge("cresshub_clients", "Connections of clients.", float64(clients))
 	page.Gauge("cresshub_clients_most", "Connections of clients that are taken at most.",
-		float64(f.descriptorShare()))
+		float64(p.connectionLimit()))
 	page.Gauge("cresshub_server_connections", "Connections to servers, idle ones included.",
-		float64(f.pool.count()))
-	page.Gauge("cresshub_body_bytes", "Memory that bodies take.", float64(f.bodies.Used()))
-	page.Flag("cresshub_draining", "Whether clients are sent away.", f.draining.Load())
-	f.budgets.write(page, f.now(), f.state.Proxies())
+		float64(p.pool.openCount()))
+	page.Gauge("cresshub_body_bytes", "Memory that bodies take.", float64(p.bodies.Used()))
+	page.Flag("cresshub_draining", "Whether clients are sent away.", p.draining.Load())
+	p.budgets.write(page, p.now(), p.state.Proxies())
 }
 
-// statFigure is one of the plain counts.
-type statFigure struct {
+// counterMetric is one of the plain counts.
+type counterMetric struct {
 	name, help string
 	value      int64
 }
 
-func (f *Front) statFigures() []statFigure {
-	s := f.Stats()
-	return []statFigure{
+func (p *Proxy) counterMetrics() []counterMetric {
+	s := p.Stats()
+	return []counterMetric{
 		{"cresshub_clients_total", "Connections accepted from clients.", s.Clients},
 		{"cresshub_clients_turned_away_total", "Connections closed at once, as there were too many.",
-			s.ClientsTurnedAway},
+			s.ClientsRejected},
 		{"cresshub_requests_total", "Requests read whole.", s.Requests},
 		{"cresshub_requests_malformed_total", "Requests that could not be taken.", s.Malformed},
-		{"cresshub_answers_passed_total", "Answers of servers passed on whole.", s.Passed},
-		{"cresshub_answers_cut_total", "Answers that ended inside.", s.Cut},
-		{"cresshub_repeats_total", "Calls that the retry budget paid for.", s.Repeats},
+		{"cresshub_answers_passed_total", "Answers of servers passed on whole.", s.Forwarded},
+		{"cresshub_answers_cut_total", "Answers that ended inside.", s.Truncated},
+		{"cresshub_repeats_total", "Calls that the retry budget paid for.", s.Retries},
 		{"cresshub_streams_resumed_total", "Streams taken up at another server.", s.Resumed},
-		{"cresshub_prompts_split_total", "Prompts read by one server for another.", s.Splits},
-		{"cresshub_prompts_split_lost_total", "Prompts whose reading failed.", s.SplitsLost},
+		{"cresshub_prompts_split_total", "Prompts read by one server for another.", s.Prefills},
+		{"cresshub_prompts_split_lost_total", "Prompts whose reading failed.", s.PrefillsFailed},
 		{"cresshub_surplus_answers_total", "Answers of servers to another request.", s.Surplus},
 		{"cresshub_server_connections_opened_total", "Connections opened to servers.", s.Dialled},
 		{"cresshub_server_connections_reused_total", "Calls on a connection used before.", s.Reused},
@@ -174,12 +174,12 @@
 }
 
 // write writes what each service's retry budget has left.
-func (b *budgets) write(page *metrics.Page, now time.Duration, proxies int) {
+func (b *retryBudgets) write(page *metrics.Page, now time.Duration, proxies int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	allowed := b.allowance(now, proxies)
 	for service, budget := range b.services {
-		left := budget.allowed(now, allowed) - float64(budget.repeats(now, allowed.window))
+		left := budget.allowed(now, allowed) - float64(budget.retries(now, allowed.window))
 		page.Gauge("cresshub_retry_budget_left", "Repeats that a service may get now from this process.", left,
 			metrics.Label{Name: "service", Value: service})
 	}
@@ -189,7 +189,7 @@
 }
 
 // count returns how many connections to servers there are.
-func (p *pool) count() int {
+func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
--- a/internal/router/dataplane/observe_test.go
+++ b/internal/router/dataplane/observe_test.go
@@ -47,8 +47,8 @@
 	log := &logLines{}
 	broken := newServer(t, "a", "lookup", "", breakOff)
 	r := newRig(t, nil, broken)
-	r.front.log = zerolog.New(log)
-	r.front.observer.use(r.front.log)
+	r.proxy.log = zerolog.New(log)
+	r.proxy.observer.setLogger(r.proxy.log)
 	answer := r.dial().ask("POST", "/unsafe/x", "try-1", "")
 	r.Assert(answer.Status, qt.Equals, 502)
 	line := log.first(r.C, "front: request not served")
@@ -62,7 +62,7 @@
 	r.Check(call["outcome"], qt.Equals, "broken")
 	r.Check(call["fate"], qt.Equals, "may_have_run")
 	page := &metrics.Page{}
-	r.front.WriteMetrics(page)
+	r.proxy.WriteMetrics(page)
 	for _, figure := range []string{
 		`cresshub_requests_unserved_total{ending="failed",reason="may_have_run"} 1`,
 		`cresshub_server_calls_total{role="serve",outcome="broken"} 1`,
@@ -79,8 +79,8 @@
 	reader := newServer(t, "r", "language", catalog.Reading, status(503, notRunHeader+": full"))
 	writer := newServer(t, "w", "language", catalog.Writing, breakOff)
 	r := newRig(t, nil, reader, writer)
-	r.front.log = zerolog.New(log)
-	r.front.observer.use(r.front.log)
+	r.proxy.log = zerolog.New(log)
+	r.proxy.observer.setLogger(r.proxy.log)
 	r.Assert(r.dial().ask("POST", "/modelfirm/x", "try-1", "").Status, qt.Equals, 502)
 	line := log.first(r.C, "front: request not served")
 	r.Check(line["reason"], qt.Equals, "may_have_run")
--- a/internal/router/dataplane/panic_test.go
+++ b/internal/router/dataplane/panic_test.go
@@ -16,9 +16,9 @@
 	client.send("POST", "/unsafe/x", "try-1", "")
 	_, err := client.read()
 	r.Assert(err, qt.Not(qt.IsNil))
-	r.until("the call has ended", r.chooser.paired)
-	r.until("the connection is closed", func() bool { return r.front.pool.count() == 0 })
-	r.Check(r.front.bodies.Used(), qt.Equals, int64(0))
+	r.eventually("the call has ended", r.chooser.paired)
+	r.eventually("the connection is closed", func() bool { return r.proxy.pool.openCount() == 0 })
+	r.Check(r.proxy.bodies.Used(), qt.Equals, int64(0))
 	r.chooser.panicsInCalls.Store(false)
 	r.Check(r.dial().ask("POST", "/unsafe/x", "try-2", "").Status, qt.Equals, 200)
 }
--- a/internal/router/dataplane/patience_test.go
+++ b/internal/router/dataplane/patience_test.go
@@ -9,37 +9,37 @@
 
 func TestReadPatience(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(readPatience(0, 10*time.Second), qt.Equals, readPatienceLeast)
-	c.Assert(readPatience(time.Second, 10*time.Second), qt.Equals, readPatienceTimes*time.Second)
-	c.Assert(readPatience(time.Second, 4*time.Second), qt.Equals, 2*time.Second)
+	c.Assert(prefillTimeout(0, 10*time.Second), qt.Equals, minPrefillTimeout)
+	c.Assert(prefillTimeout(time.Second, 10*time.Second), qt.Equals, prefillTimeoutFactor*time.Second)
+	c.Assert(prefillTimeout(time.Second, 4*time.Second), qt.Equals, 2*time.Second)
 }
 
 func TestServePatience(t *testing.T) {
 	const short, long = 300 * time.Millisecond, time.Second
 	for _, test := range []struct{ target, expected, left, want time.Duration }{
-		{short, 0, 5 * time.Second, servePatienceLeast},
-		{long, 0, 5 * time.Second, servePatienceTarget * long},
-		{short, long, 5 * time.Second, servePatienceTimes * long},
+		{short, 0, 5 * time.Second, minResponseTimeout},
+		{long, 0, 5 * time.Second, responseTimeoutTargets * long},
+		{short, long, 5 * time.Second, responseTimeoutFactor * long},
 		{long, 0, 2 * time.Second, 2 * time.Second}, // no other server could make it
 		{short, long, 4 * time.Second, 4 * time.Second},
 	} {
-		qt.New(t).Assert(servePatience(test.target, test.expected, test.left), qt.Equals, test.want)
+		qt.New(t).Assert(responseTimeout(test.target, test.expected, test.left), qt.Equals, test.want)
 	}
 }
 
 func TestStreamPatience(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(streamPatience(100*time.Millisecond), qt.Equals, time.Second)
-	c.Assert(streamPatience(400*time.Millisecond), qt.Equals, 1200*time.Millisecond)
+	c.Assert(streamTimeout(100*time.Millisecond), qt.Equals, time.Second)
+	c.Assert(streamTimeout(400*time.Millisecond), qt.Equals, 1200*time.Millisecond)
 }
 
 func TestReadTimesFollowWhatIsUsual(t *testing.T) {
 	c := qt.New(t)
-	times := newReadTimes()
+	times := newPrefillTimes()
 	c.Assert(times.expected("s"), qt.Equals, time.Duration(0))
-	times.note("s", 800*time.Millisecond)
+	times.record("s", 800*time.Millisecond)
 	c.Assert(times.expected("s"), qt.Equals, 800*time.Millisecond)
-	times.note("s", 1600*time.Millisecond)
+	times.record("s", 1600*time.Millisecond)
 	c.Assert(times.expected("s"), qt.Equals, 900*time.Millisecond)
 	c.Assert(times.expected("other"), qt.Equals, time.Duration(0))
 }
--- a/internal/router/dataplane/plain_test.go
+++ b/internal/router/dataplane/plain_test.go
@@ -34,10 +34,10 @@
 	r.Assert(got[0].Header.Get("Host"), qt.Equals, "h")
 	r.Assert(got[0].Header.Get(tryIDHeader), qt.Equals, "a1")
 	r.Assert(got[0].Header.Get(expectServerHeader), qt.Equals, "i-1")
-	left := wholeNumber(got[0].Header.Get(deadlineHeader))
+	left := parseCount(got[0].Header.Get(deadlineHeader))
 	r.Assert(left > 1000 && left < 4000, qt.IsTrue, qt.Commentf("%d ms left", left))
-	r.Assert(r.front.Stats().Dialled, qt.Equals, int64(1))
-	r.settled()
+	r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(1))
+	r.awaitCallsEnded()
 	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Served, scheduler.Served})
 }
 
@@ -59,7 +59,7 @@
 // rejection, writing, another try and the rest of a stream taken up; and what is ours comes from us alone.
 func TestEachCallCarriesTheClientsFields(t *testing.T) {
 	readers, writers := pair(t, inTurn(full, readsPrompt("h")),
-		inTurn(full, streams("s", false, event(1)), goesOn(3)))
+		inTurn(full, streams("s", false, event(1)), resumesUntil(3)))
 	r := newRig(t, nil, append(readers, writers...)...)
 	r.state.config.Match("h", "/model/").MaxAttempts = 9
 	fields := map[string]string{"Cresshub-Model": "m", "Cresshub-Tokens": "1460,80",
@@ -81,7 +81,7 @@
 			}
 			r.Assert(q.Header.Get(tryIDHeader), qt.Equals, "a")
 			r.Assert(q.Header.Get("X-Hop"), qt.Equals, "")
-			r.Assert(q.Header.Repeated(ours...), qt.Equals, "")
+			r.Assert(q.Header.Repeated(reservedFields...), qt.Equals, "")
 			r.Assert(q.Header.Get(expectServerHeader), qt.Equals, s.ID)
 			r.Assert(q.Header.Get(expectVersionHeader), qt.Equals, "")
 			r.Assert(q.Header.Get(stageHeader) == "reading", qt.Equals, s.Stage == catalog.Reading)
@@ -96,7 +96,7 @@
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
 	r.dial().ask("GET", "/safe/", "a1", "", "Cresshub-Deadline-Ms: 50000")
-	left := wholeNumber(s.got()[0].Header.Get(deadlineHeader))
+	left := parseCount(s.got()[0].Header.Get(deadlineHeader))
 	r.Assert(left <= 4900, qt.IsTrue, qt.Commentf("%d ms left of 5000", left))
 }
 
@@ -118,7 +118,7 @@
 func TestRefusesWhatCouldNotBeginInTime(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
-	r.chooser.wait = 20 * patience
+	r.chooser.wait = 20 * testTimeout
 	answer := r.dial().ask("GET", "/safe/", "a1", "")
 	r.Assert(answer.Status, qt.Equals, 503)
 	r.Assert(answer.Header.Get("Retry-After"), qt.Equals, "1.000")
@@ -175,7 +175,7 @@
 	r.Assert(string(answer.Body), qt.Equals, large)
 
 	// The write deadline of the request before is over by now.
-	r.front.all()[0].socket.SetWriteDeadline(longAgo)
+	r.proxy.connectedClients()[0].socket.SetWriteDeadline(pastDeadline)
 	io.WriteString(p, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"+
 		"Cresshub-Try-Id: a3\r\n\r\n")
 	line, err := p.in.ReadString('\n')
@@ -186,7 +186,7 @@
 	answer, err = p.read()
 	r.Assert(err, qt.IsNil)
 	r.Assert(string(answer.Body), qt.Equals, "body")
-	r.until("the memory is given back", func() bool { return r.front.bodies.Used() == 0 })
+	r.eventually("the memory is given back", func() bool { return r.proxy.bodies.Used() == 0 })
 }
 
 func TestHeadAndOldClients(t *testing.T) {
@@ -220,7 +220,7 @@
 	r.Assert(answer.Status, qt.Equals, 503)
 	r.Assert(answer.Close, qt.IsTrue)
 	r.Assert(s.got(), qt.HasLen, 0)
-	r.until("the memory is given back", func() bool { return r.front.bodies.Used() == 0 })
+	r.eventually("the memory is given back", func() bool { return r.proxy.bodies.Used() == 0 })
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a2", strings.Repeat("x", 4000)).Status, qt.Equals, 200)
 }
 
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -13,133 +13,134 @@
 )
 
 const (
-	// idleUntold is how long a connection stays idle whose server does not tell; it would tell whole seconds.
-	idleUntold = 900 * time.Millisecond
-	// idleMost bounds how long a connection stays idle, whatever its server tells.
-	idleMost = 30 * time.Second
-	// idleUnsafe bounds it for requests that must not be sent twice: a server that closes while the request is
-	// on the way leaves open whether it ran.
-	idleUnsafe = 4 * time.Second
-	// idleMargin is taken off the time that a server tells.
-	idleMargin = 500 * time.Millisecond
-	// leastPerServer is the share of a server's connections that a proxy has however many proxies there are.
-	leastPerServer = 2
-	sweepSpan      = time.Second
+	// defaultIdleTime is how long a connection stays idle whose server does not tell; it would tell whole
+	// seconds.
+	defaultIdleTime = 900 * time.Millisecond
+	// maxIdleTime bounds how long a connection stays idle, whatever its server tells.
+	maxIdleTime = 30 * time.Second
+	// maxIdleTimeUnsafe bounds it for requests that must not be sent twice: a server that closes while the
+	// request is on the way leaves open whether it ran.
+	maxIdleTimeUnsafe = 4 * time.Second
+	// keepAliveMargin is taken off the time that a server tells.
+	keepAliveMargin = 500 * time.Millisecond
+	// minPerServer is the share of a server's connections that a proxy has however many proxies there are.
+	minPerServer  = 2
+	sweepInterval = time.Second
 )
 
-// errNoPlace says that the proxy has its share of a server's connections in use.
-var errNoPlace = errors.New("all connections that this proxy may have to the server are in use; use another")
+// errNoConnectionFree says that the proxy has its share of a server's connections in use.
+var errNoConnectionFree = errors.New("all connections that this proxy may have to the server are in use; use another")
 
 // connection is one to a server's incarnation.
 type connection struct {
 	*socket
-	server  string
-	reused  bool        // it has carried a request before
-	request uint64      // number of the last request that it carried, 0 for one of the proxy's own
-	large   atomic.Bool // its last request has a large body
-	since   time.Time
-	expires time.Time
+	server      string
+	reused      bool        // it has carried a request before
+	lastRequest uint64      // number of the last request that it carried, 0 for one of the proxy's own
+	largeBody   atomic.Bool // its last request has a large body
+	idleSince   time.Time
+	expiresAt   time.Time
 }
 
 // pool keeps connections to servers, by incarnation.
 type pool struct {
-	stats  *counters
-	listed func(server string) bool
-	most   int // connections to all servers together
+	stats    *counters
+	isListed func(server string) bool
+	maxOpen  int // connections to all servers together
 
 	mu       sync.Mutex
 	open     int
-	peers    map[string]*peerState
+	servers  map[string]*serverConnections
 	sweeping bool
 }
 
-type peerState struct {
+type serverConnections struct {
 	open int           // in use, idle, and being dialled
 	idle []*connection // the last used at the end
 }
 
-func newPool(stats *counters, most int, listed func(server string) bool) *pool {
-	return &pool{stats: stats, most: most, listed: listed, peers: map[string]*peerState{}}
+func newPool(stats *counters, maxOpen int, isListed func(server string) bool) *pool {
+	return &pool{stats: stats, maxOpen: maxOpen, isListed: isListed, servers: map[string]*serverConnections{}}
 }
 
 // want is what a call asks of its connection.
-type want struct {
-	server *catalog.Server
-	most   int           // connections that this proxy may have to the server, 0 where there is no bound
-	idle   time.Duration // the longest that the connection may have been idle
+type connectionSpec struct {
+	server       *catalog.Server
+	maxPerServer int           // connections that this proxy may have to the server, 0 where there is no bound
+	maxIdle      time.Duration // the longest that the connection may have been idle
 	// request is the number of the client's request, 0 for one of the proxy's own. The connection must not have
 	// carried it before: a server that answers twice would answer the second call with the first one's answer.
-	request uint64
+	requestNumber uint64
 }
 
 // take returns a connection that is quiet: the one used last, or else a new one, which ctx bounds.
-func (p *pool) take(ctx context.Context, w want) (*connection, error) {
+func (p *pool) get(ctx context.Context, spec connectionSpec) (*connection, error) {
 	for {
-		c, err := p.reserve(w, time.Now())
+		c, err := p.reserve(spec, time.Now())
 		if err != nil {
 			return nil, err
 		}
 		if c == nil {
-			return p.dial(ctx, w)
+			return p.dial(ctx, spec)
 		}
-		if c.suits(w) && c.quiet() {
-			c.reused, c.request = true, w.request
+		if c.suitable(spec) && c.quiet() {
+			c.reused, c.lastRequest = true, spec.requestNumber
 			p.stats.reused.Add(1)
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
 // suits tells whether an idle connection may carry the call.
-func (c *connection) suits(w want) bool {
-	again := w.request != 0 && c.request == w.request
-	return c.server == w.server.ID && !again && c.fresh(w, time.Now())
+func (c *connection) suitable(spec connectionSpec) bool {
+	repeated := spec.requestNumber != 0 && c.lastRequest == spec.requestNumber
+	return c.server == spec.server.ID && !repeated && c.fresh(spec, time.Now())
 }
 
 // fresh tells whether an idle connection may carry the call, as far as its age tells.
-func (c *connection) fresh(w want, now time.Time) bool {
-	return now.Before(c.expires) && now.Sub(c.since) <= w.idle
+func (c *connection) fresh(spec connectionSpec, now time.Time) bool {
+	return now.Before(c.expiresAt) && now.Sub(c.idleSince) <= spec.maxIdle
 }
 
 // reserve returns an idle connection, or nil and the place for a new one. Where there is no place the idle
 // connection may be too old, or one to another server: to be closed for a place.
-func (p *pool) reserve(w want, now time.Time) (*connection, error) {
+func (p *pool) reserve(spec connectionSpec, now time.Time) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	peer := p.peers[w.server.ID]
-	if peer == nil {
-		peer = &peerState{}
+	conns := p.servers[spec.server.ID]
+	if conns == nil {
+		conns = &serverConnections{}
 	}
-	if last := len(peer.idle) - 1; last >= 0 && peer.idle[last].fresh(w, now) {
-		return peer.popLast(), nil
+	if last := len(conns.idle) - 1; last >= 0 && conns.idle[last].fresh(spec, now) {
+		return conns.popLast(), nil
 	}
-	if w.most > 0 && peer.open >= max(w.most, leastPerServer) {
-		if len(peer.idle) == 0 {
-			return nil, errNoPlace
+	if spec.maxPerServer > 0 && conns.open >= max(spec.maxPerServer, minPerServer) {
+		if len(conns.idle) == 0 {
+			return nil, errNoConnectionFree
 		}
-		return peer.popLast(), nil
+		return conns.popLast(), nil
 	}
-	if p.open >= p.most {
+	if p.open >= p.maxOpen {
 		return p.popAny()
 	}
-	p.peers[w.server.ID] = peer
-	peer.open++
+	p.servers[spec.server.ID] = conns
+	conns.open++
 	p.open++
 	return nil, nil
 }
 
 // popAny returns an idle connection to any server.
 func (p *pool) popAny() (*connection, error) {
-	for _, peer := range p.peers {
-		if len(peer.idle) > 0 {
-			return peer.popLast(), nil
+	for _, conns := range p.servers {
+		if len(conns.idle) > 0 {
+			return conns.popLast(), nil
 		}
 	}
-	return nil, errNoPlace
+	return nil, errNoConnectionFree
 }
 
-func (s *peerState) popLast() *connection {
+func (s *serverConnections) popLast() *connection {
 	last := len(s.idle) - 1
 	c := s.idle[last]
 	s.idle[last] = nil
@@ -147,93 +148,93 @@
 	return c
 }
 
-func (p *pool) dial(ctx context.Context, w want) (*connection, error) {
+func (p *pool) dial(ctx context.Context, spec connectionSpec) (*connection, error) {
 	dialer := net.Dialer{Control: controlServer, KeepAlive: -1}
-	conn, err := dialer.DialContext(ctx, "tcp", w.server.Address)
+	conn, err := dialer.DialContext(ctx, "tcp", spec.server.Address)
 	if err != nil {
-		p.free(w.server.ID)
+		p.releaseSlot(spec.server.ID)
 		return nil, err
 	}
 	socket, err := newSocket(conn)
 	if err != nil {
 		conn.Close()
-		p.free(w.server.ID)
+		p.releaseSlot(spec.server.ID)
 		return nil, err
 	}
 	p.stats.dialled.Add(1)
-	return &connection{socket: socket, server: w.server.ID, request: w.request}, nil
+	return &connection{socket: socket, server: spec.server.ID, lastRequest: spec.requestNumber}, nil
 }
 
 // keep takes a connection back for the next call; alive is how long the server keeps it.
-func (p *pool) keep(c *connection, alive time.Duration) {
-	if alive <= 0 || c.holdsInput() {
-		p.drop(c)
+func (p *pool) put(c *connection, keepAlive time.Duration) {
+	if keepAlive <= 0 || c.hasBufferedInput() {
+		p.discard(c)
 		return
 	}
-	c.rest()
+	c.returnEmptyBuffers()
 	c.SetDeadline(time.Time{})
-	c.since = time.Now()
-	c.expires = c.since.Add(alive)
+	c.idleSince = time.Now()
+	c.expiresAt = c.idleSince.Add(keepAlive)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	peer := p.peers[c.server]
-	peer.idle = append(peer.idle, c)
-	p.sweepLater()
+	conns := p.servers[c.server]
+	conns.idle = append(conns.idle, c)
+	p.scheduleSweep()
 }
 
 // drop closes a connection.
-func (p *pool) drop(c *connection) {
+func (p *pool) discard(c *connection) {
 	c.Close()
-	c.release()
-	p.free(c.server)
+	c.returnBuffers()
+	p.releaseSlot(c.server)
 }
 
-func (p *pool) free(server string) {
+func (p *pool) releaseSlot(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
-	peer := p.peers[server]
-	if peer.open--; peer.open == 0 {
-		delete(p.peers, server)
+	conns := p.servers[server]
+	if conns.open--; conns.open == 0 {
+		delete(p.servers, server)
 	}
-	invariant.Assert(p.open >= 0 && peer.open >= len(peer.idle), invariant.CountsNotNegative,
-		"%d connections, %d to %s of which %d are idle", p.open, peer.open, server, len(peer.idle))
+	invariant.Assert(p.open >= 0 && conns.open >= len(conns.idle), invariant.CountsNotNegative,
+		"%d connections, %d to %s of which %d are idle", p.open, conns.open, server, len(conns.idle))
 }
 
-// sweepLater has the idle connections looked through once in a while, as long as there are any.
-func (p *pool) sweepLater() {
+// scheduleSweep has the idle connections looked through once in a while, as long as there are any.
+func (p *pool) scheduleSweep() {
 	if !p.sweeping {
 		p.sweeping = true
-		time.AfterFunc(sweepSpan, p.sweep)
+		time.AfterFunc(sweepInterval, p.sweep)
 	}
 }
 
 // sweep closes connections that have been idle for too long, or whose server has left the table.
 func (p *pool) sweep() {
-	for _, c := range p.stale(time.Now()) {
-		p.drop(c)
+	for _, c := range p.takeExpired(time.Now()) {
+		p.discard(c)
 	}
 }
 
-func (p *pool) stale(now time.Time) (stale []*connection) {
+func (p *pool) takeExpired(now time.Time) (expired []*connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweeping = false
-	for id, peer := range p.peers {
-		gone := !p.listed(id)
-		kept := peer.idle[:0]
-		for _, c := range peer.idle {
-			if gone || !now.Before(c.expires) {
-				stale = append(stale, c)
+	for id, conns := range p.servers {
+		unlisted := !p.isListed(id)
+		retained := conns.idle[:0]
+		for _, c := range conns.idle {
+			if unlisted || !now.Before(c.expiresAt) {
+				expired = append(expired, c)
 				continue
 			}
-			kept = append(kept, c)
+			retained = append(retained, c)
 		}
-		clear(peer.idle[len(kept):])
-		peer.idle = kept
-		if len(kept) > 0 {
-			p.sweepLater()
+		clear(conns.idle[len(retained):])
+		conns.idle = retained
+		if len(retained) > 0 {
+			p.scheduleSweep()
 		}
 	}
-	return stale
+	return expired
 }
--- a/internal/router/dataplane/pool_test.go
+++ b/internal/router/dataplane/pool_test.go
@@ -9,16 +9,16 @@
 )
 
 // poolOf returns a pool of so many connections, and two servers that let them be.
-func poolOf(t *testing.T, most int) (*pool, want, want) {
+func poolOf(t *testing.T, most int) (*pool, connectionSpec, connectionSpec) {
 	p := newPool(&counters{}, most, func(string) bool { return true })
-	a := want{server: newServer(t, "a", "s", "", ok("")).Server, idle: time.Minute}
-	b := want{server: newServer(t, "b", "s", "", ok("")).Server, idle: time.Minute}
+	a := connectionSpec{server: newServer(t, "a", "s", "", ok("")).Server, maxIdle: time.Minute}
+	b := connectionSpec{server: newServer(t, "b", "s", "", ok("")).Server, maxIdle: time.Minute}
 	return p, a, b
 }
 
-func taken(c *qt.C, p *pool, w want) *connection {
+func taken(c *qt.C, p *pool, w connectionSpec) *connection {
 	c.Helper()
-	conn, err := p.take(context.Background(), w)
+	conn, err := p.get(context.Background(), w)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { conn.Close() })
 	return conn
@@ -28,8 +28,8 @@
 	c := qt.New(t)
 	p, a, _ := poolOf(t, 9)
 	first, second := taken(c, p, a), taken(c, p, a)
-	p.keep(second, time.Minute)
-	p.keep(first, time.Minute)
+	p.put(second, time.Minute)
+	p.put(first, time.Minute)
 	c.Assert(taken(c, p, a), qt.Equals, first)
 	c.Assert(taken(c, p, a), qt.Equals, second)
 	c.Assert(taken(c, p, a).reused, qt.IsFalse)
@@ -39,10 +39,10 @@
 	c := qt.New(t)
 	p, a, _ := poolOf(t, 9)
 	old := taken(c, p, a)
-	p.keep(old, time.Minute)
-	old.since = old.since.Add(-10 * time.Second)
+	p.put(old, time.Minute)
+	old.idleSince = old.idleSince.Add(-10 * time.Second)
 	young := a
-	young.idle = time.Second
+	young.maxIdle = time.Second
 	c.Assert(taken(c, p, young), qt.Not(qt.Equals), old)
 	c.Assert(taken(c, p, a), qt.Equals, old)
 }
@@ -50,19 +50,19 @@
 func TestPoolDropsWhatHasExpired(t *testing.T) {
 	c := qt.New(t)
 	p, a, _ := poolOf(t, 9)
-	a.most = 2
+	a.maxPerServer = 2
 	for range 2 {
 		taken(c, p, a)
 	}
-	_, err := p.take(context.Background(), a)
-	c.Assert(err, qt.Equals, errNoPlace)
+	_, err := p.get(context.Background(), a)
+	c.Assert(err, qt.Equals, errNoConnectionFree)
 
 	p, a, _ = poolOf(t, 9)
-	a.most = 2
+	a.maxPerServer = 2
 	first, second := taken(c, p, a), taken(c, p, a)
-	p.keep(first, time.Minute)
-	p.keep(second, time.Minute)
-	first.expires, second.expires = time.Now(), time.Now()
+	p.put(first, time.Minute)
+	p.put(second, time.Minute)
+	first.expiresAt, second.expiresAt = time.Now(), time.Now()
 	c.Assert(taken(c, p, a).reused, qt.IsFalse) // a place is made for it
 }
 
@@ -70,14 +70,14 @@
 	c := qt.New(t)
 	p, a, b := poolOf(t, 2)
 	idle, busy := taken(c, p, a), taken(c, p, a)
-	_, err := p.take(context.Background(), b)
-	c.Assert(err, qt.Equals, errNoPlace)
-	p.keep(idle, time.Minute)
+	_, err := p.get(context.Background(), b)
+	c.Assert(err, qt.Equals, errNoConnectionFree)
+	p.put(idle, time.Minute)
 	other := taken(c, p, b)
 	c.Assert(other.server, qt.Equals, "b")
-	c.Assert(idle.look(), qt.Equals, ended)
-	p.drop(busy)
-	p.drop(other)
+	c.Assert(idle.readState(), qt.Equals, readClosed)
+	p.discard(busy)
+	p.discard(other)
 	c.Assert(p.open, qt.Equals, 0)
-	c.Assert(p.peers, qt.HasLen, 0)
+	c.Assert(p.servers, qt.HasLen, 0)
 }
--- a/internal/router/dataplane/priority.go
+++ b/internal/router/dataplane/priority.go
@@ -1,8 +1,8 @@
 package dataplane
 
 const (
-	// leastUrgent is the last of the priorities that a model server knows; 0 is the first.
-	leastUrgent = 9
+	// lowestPriority is the last of the priorities that a model server knows; 0 is the first.
+	lowestPriority = 9
 	// tokensPerStep is how many tokens to read put a call one priority later. Short prompts are read before long
 	// ones, because a long one makes all those behind it wait.
 	tokensPerStep = 1000
@@ -10,4 +10,4 @@
 
 // priorityOf is the priority of a call at its model server, by the route's own and by what has to be read
 // there.
-func priorityOf(route, tokens int) int { return min(route+tokens/tokensPerStep, leastUrgent) }
+func priorityOf(route, tokens int) int { return min(route+tokens/tokensPerStep, lowestPriority) }
--- a/internal/router/dataplane/repeat_test.go
+++ b/internal/router/dataplane/repeat_test.go
@@ -97,9 +97,9 @@
 			r.Assert(answer.Header.Get("Retry-After") != "", qt.Equals, test.status == 503)
 			r.Assert(answer.Header.Get(notRunHeader) == "" || answer.Status == 400, qt.IsTrue)
 			r.Assert(arrivals(servers), qt.Equals, test.arrivals)
-			r.settled()
+			r.awaitCallsEnded()
 			r.Assert(r.chooser.outcomes(), qt.DeepEquals, test.outcomes)
-			r.Assert(r.front.Stats().Repeats, qt.Equals, int64(test.arrivals-1))
+			r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(test.arrivals-1))
 		})
 	}
 }
@@ -108,7 +108,7 @@
 	servers := lookups(t, inTurn(elsewhere, ok("x")))
 	r := newRig(t, nil, servers...)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
-	r.Assert(r.state.Gones(), qt.DeepEquals, []string{"i-1"})
+	r.Assert(r.state.Replaced(), qt.DeepEquals, []string{"i-1"})
 }
 
 func TestSpentBudgetEndsTheTries(t *testing.T) {
@@ -124,7 +124,7 @@
 			r := newRig(t, slack(0), servers...)
 			r.Assert(r.dial().ask("GET", "/safe/", "a", "").Status, qt.Equals, test.status)
 			r.Assert(arrivals(servers), qt.Equals, 1)
-			r.settled()
+			r.awaitCallsEnded()
 		})
 	}
 }
@@ -135,7 +135,7 @@
 	alive := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, slack(0), dead, alive)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
-	r.settled()
+	r.awaitCallsEnded()
 	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Unreachable, scheduler.Served})
 
 	r = newRig(t, nil, dead)
@@ -154,13 +154,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			servers := lookups(t, inTurn(silence(ended), ok("x")))
+			servers := lookups(t, inTurn(neverAnswer(ended), ok("x")))
 			r := newRig(t, nil, servers...)
 			answer := r.dial().ask("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: "+test.deadline)
 			r.Assert(answer.Status, qt.Equals, test.status)
 			r.Assert(arrivals(servers), qt.Equals, test.arrivals)
 			<-ended // the connection does not outlive its request
-			r.settled()
+			r.awaitCallsEnded()
 			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.TimedOut)
 		})
 	}
--- a/internal/router/dataplane/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -23,11 +23,11 @@
 func TestPairingRequest(t *testing.T) {
 	c := qt.New(t)
 	service := &fleetconfig.Service{Name: "s"}
-	r := pairingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
+	r := schedulingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
 		{Name: "Cresshub-Prompt-Prefix", Value: "5c1e07a2:800, 91bd3f06:410"}}, service)
 	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service, PromptTokens: 1460, OutputTokens: 80,
 		Segments: []scheduler.Segment{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}})
-	r = pairingRequest(http1.Header{{Name: "Cresshub-Tokens", Value: "x"},
+	r = schedulingRequest(http1.Header{{Name: "Cresshub-Tokens", Value: "x"},
 		{Name: "Cresshub-Prompt-Prefix", Value: "5c1e07a2"}}, service)
 	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service})
 }
@@ -37,7 +37,7 @@
 	for text, want := range map[string]time.Duration{
 		"5000": 5 * time.Second, " 0 ": 0, "": -1, "x": -1, "-1": -1, "99999999999": -1,
 	} {
-		got, ok := deadline(text)
+		got, ok := parseDeadline(text)
 		if !ok {
 			got = -1
 		}
@@ -75,14 +75,14 @@
 		close  bool
 		want   time.Duration
 	}{
-		{nil, false, idleUntold},
+		{nil, false, defaultIdleTime},
 		{nil, true, 0},
 		{http1.Header{{Name: "Keep-Alive", Value: "timeout=5, max=3"}}, false, 4500 * time.Millisecond},
 		{http1.Header{{Name: "Keep-Alive", Value: "max=3, Timeout=1"}}, false, 500 * time.Millisecond},
 		{http1.Header{{Name: "Keep-Alive", Value: "timeout=0"}}, false, 0},
-		{http1.Header{{Name: "Keep-Alive", Value: "timeout=3600"}}, false, idleMost},
+		{http1.Header{{Name: "Keep-Alive", Value: "timeout=3600"}}, false, maxIdleTime},
 	} {
-		c.Assert(idleTime(&http1.Response{Header: test.header, Close: test.close}), qt.Equals, test.want)
+		c.Assert(keepAliveTime(&http1.Response{Header: test.header, Close: test.close}), qt.Equals, test.want)
 	}
 }
 
@@ -100,10 +100,10 @@
 			head := &http1.Request{Target: "/safe/", Header: http1.Header{{Name: "Host", Value: "h"},
 				{Name: deadlineHeader, Value: deadline}}}
 			q := newRequest(head, arrived, config)
-			c.Check(q.end.Sub(arrived) <= timeout, qt.IsTrue)
-			c.Check(q.writeUntil().Sub(arrived) < timeout+250*time.Millisecond, qt.IsTrue)
-			if ms := wholeNumber(deadline); ms > 0 {
-				c.Check(q.end.Sub(arrived) <= time.Duration(ms)*time.Millisecond, qt.IsTrue)
+			c.Check(q.deadline.Sub(arrived) <= timeout, qt.IsTrue)
+			c.Check(q.writeDeadline().Sub(arrived) < timeout+250*time.Millisecond, qt.IsTrue)
+			if ms := parseCount(deadline); ms > 0 {
+				c.Check(q.deadline.Sub(arrived) <= time.Duration(ms)*time.Millisecond, qt.IsTrue)
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 	} {
 		c := qt.New(t)
 		q := requestOfRoute(c, "safe", test.timeout, test.deadline)
-		given := q.end.Sub(q.arrived)
+		given := q.deadline.Sub(q.arrived)
 		c.Check(given >= test.want-100*time.Millisecond, qt.IsTrue, qt.Commentf("%v: %v", test, given))
 		c.Check(given < test.want, qt.IsTrue, qt.Commentf("%v: %v", test, given))
 	}
@@ -147,7 +147,7 @@
 func TestBegunAnswersGoOnToTheirDeadline(t *testing.T) {
 	c := qt.New(t)
 	q := requestOfRoute(c, "firm", time.Minute, "6000")
-	begun := &call{delivery: &delivery{request: q, relay: relay{begun: true}}}
-	end := (&relay{request: q, begun: true}).pauseUntil(begun)
+	begun := &call{roundTrip: &roundTrip{request: q, relay: relay{started: true}}}
+	end := (&relay{request: q, started: true}).gapDeadline(begun)
 	c.Check(end.Sub(q.arrived), qt.Equals, 6*time.Second)
 }
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -21,16 +21,16 @@
 )
 
 // patience bounds every wait of a test; no verdict depends on how much of it is used.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // place is a route of a test; its name is the first part of its path.
-type place struct {
+type testRoute struct {
 	name, kind, service string
 	tries               int
 	resumable           bool
 }
 
-var places = []place{
+var testRoutes = []testRoute{
 	{"safe", "safe", "lookup", 3, false},
 	{"unsafe", "unsafe", "lookup", 3, false},
 	{"firm", "stream", "lookup", 3, false},
@@ -44,7 +44,7 @@
 // testConfig is the configuration of all tests, with limits to be filled in.
 func testConfig(limits string) string {
 	var routes []string
-	for _, p := range places {
+	for _, p := range testRoutes {
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"town":"h","street_prefix":"/%s/","mail_class":%q,
 			"timeout_ms":5000,"target_ms":300,"depot":%q,"delivery_tries":%d,"redeliver":%t,"gap_aim_ms":300}`,
 			p.name, p.name, p.kind, p.service, p.tries, p.resumable))
@@ -66,7 +66,7 @@
 	config    *fleetconfig.Config
 	table     *catalog.Table
 	proxies   int
-	gone      []string
+	replaced  []string
 	suspected []string
 }
 
@@ -87,7 +87,7 @@
 func (s *fakeState) Gone(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone = append(s.gone, server)
+	s.replaced = append(s.replaced, server)
 }
 
 func (s *fakeState) Suspect(server string) {
@@ -96,16 +96,16 @@
 	s.suspected = append(s.suspected, server)
 }
 
-func (s *fakeState) Gones() []string {
+func (s *fakeState) Replaced() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.gone...)
+	return append([]string(nil), s.replaced...)
 }
 
 // rig is a Front on loopback with the servers of a test.
 type rig struct {
 	*qt.C
-	front    *Front
+	proxy    *Proxy
 	chooser  *fakeChooser
 	state    *fakeState
 	address  string
@@ -123,14 +123,14 @@
 	if change != nil {
 		change(settings, state)
 	}
-	r := &rig{C: c, state: state, front: New(settings, state, zerolog.Nop()), chooser: newFakeChooser()}
-	r.front.decider.chooser = r.chooser
-	r.front.started = r.front.started.Add(-time.Minute) // past the delay of the shared slack
+	r := &rig{C: c, state: state, proxy: New(settings, state, zerolog.Nop()), chooser: newFakeChooser()}
+	r.proxy.chooser.chooser = r.chooser
+	r.proxy.started = r.proxy.started.Add(-time.Minute) // past the delay of the shared slack
 	r.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	r.address = r.listener.Addr().String()
 	served := make(chan error, 1)
-	go func() { served <- r.front.Serve(r.listener) }()
+	go func() { served <- r.proxy.Serve(r.listener) }()
 	c.Cleanup(func() {
 		r.listener.Close()
 		c.Check(<-served, qt.IsNil)
@@ -152,15 +152,15 @@
 }
 
 // settled waits until every call has ended and checks that each ended once.
-func (r *rig) settled() {
+func (r *rig) awaitCallsEnded() {
 	r.Helper()
-	r.until("each call ends once", r.chooser.paired)
+	r.eventually("each call ends once", r.chooser.paired)
 }
 
 // until waits for what happens on other goroutines.
-func (r *rig) until(what string, holds func() bool) {
+func (r *rig) eventually(what string, holds func() bool) {
 	r.Helper()
-	for end := time.Now().Add(patience); !holds(); runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); !holds(); runtime.Gosched() {
 		if time.Now().After(end) {
 			r.Fatalf("never: %s", what)
 		}
@@ -168,33 +168,33 @@
 }
 
 // person is a client.
-type person struct {
+type testClient struct {
 	net.Conn
 	in *bufio.Reader
 	*qt.C
 }
 
-func (r *rig) dial() *person {
+func (r *rig) dial() *testClient {
 	conn, err := net.Dial("tcp", r.address)
 	r.Assert(err, qt.IsNil)
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	r.Cleanup(func() { conn.Close() })
-	return &person{Conn: conn, in: bufio.NewReader(conn), C: r.C}
+	return &testClient{Conn: conn, in: bufio.NewReader(conn), C: r.C}
 }
 
 // connect connects anew; false where nobody listens.
-func (p *person) connect(address string) bool {
+func (p *testClient) connect(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	p.Conn, p.in = conn, bufio.NewReader(conn)
 	return true
 }
 
 // send writes a request with an id.
-func (p *person) send(method, target, id, body string, fields ...string) {
+func (p *testClient) send(method, target, id, body string, fields ...string) {
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n", method, target, id)
 	for _, f := range fields {
 		text += f + "\r\n"
@@ -207,7 +207,7 @@
 }
 
 // read reads one answer; err tells of a body that was cut.
-func (p *person) read() (*http1.Response, error) {
+func (p *testClient) read() (*http1.Response, error) {
 	head, body, err := http1.ReadResponseHead(p.in, "GET")
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 	return head, err
 }
 
-func (p *person) ask(method, target, id, body string, fields ...string) *http1.Response {
+func (p *testClient) ask(method, target, id, body string, fields ...string) *http1.Response {
 	p.Helper()
 	p.send(method, target, id, body, fields...)
 	answer, err := p.read()
@@ -228,6 +228,6 @@
 }
 
 // post writes a request with a body, on a route.
-func (p *person) post(route, id, body string) {
+func (p *testClient) post(route, id, body string) {
 	fmt.Fprintf(p, "POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n%s%s", route, id, length(body), body)
 }
--- a/internal/router/dataplane/servers_test.go
+++ b/internal/router/dataplane/servers_test.go
@@ -19,7 +19,7 @@
 	*catalog.Server
 	listener net.Listener
 	mu       sync.Mutex
-	seen     []*http1.Request
+	received []*http1.Request
 }
 
 // handler answers one request by what it writes to the connection; false ends the connection.
@@ -85,7 +85,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.seen = append(s.seen, q)
+		s.received = append(s.received, q)
 		s.mu.Unlock()
 		if !answer(q, conn) {
 			return
@@ -97,7 +97,7 @@
 func (s *server) got() []*http1.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*http1.Request(nil), s.seen...)
+	return append([]*http1.Request(nil), s.received...)
 }
 
 // ok answers 200 with a stamp and that body.
@@ -157,7 +157,7 @@
 
 // silence answers nothing and waits for the other side to end the connection, which the request's channel
 // tells.
-func silence(ended chan<- string) handler {
+func neverAnswer(ended chan<- string) handler {
 	return func(q *http1.Request, w io.Writer) bool {
 		io.Copy(io.Discard, w.(net.Conn))
 		ended <- q.Header.Get(tryIDHeader)
--- a/internal/router/dataplane/sharing.go
+++ b/internal/router/dataplane/sharing.go
@@ -6,24 +6,24 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// mostKnown bounds how many prompts and their holders are handed on.
-const mostKnown = 4096
+// maxKnownPrompts bounds how many prompts and their holders are handed on.
+const maxKnownPrompts = 4096
 
 // WorkChanged returns a channel that holds a token when calls to model servers have begun or ended.
-func (f *Front) WorkChanged() <-chan struct{} { return f.decider.changed }
+func (p *Proxy) WorkChanged() <-chan struct{} { return p.chooser.workChanged }
 
 // WorkChanges returns what this proxy has under way at the servers where that has changed since the last
 // call, or wherever it has anything.
-func (f *Front) WorkChanges(all bool) []scheduler.InFlightLoad {
-	d := f.decider
+func (p *Proxy) WorkChanges(all bool) []scheduler.InFlightLoad {
+	d := p.chooser
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.chooser.InFlightChanges(all)
 }
 
 // NewPrompts returns what this proxy has sent to servers to be read for the first time since the last call.
-func (f *Front) NewPrompts() []scheduler.CachedPrefixes {
-	d := f.decider
+func (p *Proxy) NewPrompts() []scheduler.CachedPrefixes {
+	d := p.chooser
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.chooser.TakeNewPrefixes()
@@ -31,40 +31,40 @@
 
 // ShareWork takes in what all other proxies together have under way at some servers; with whole, they have
 // nothing under way elsewhere. It also takes in what they have sent to servers for the first time.
-func (f *Front) ShareWork(others []scheduler.InFlightLoad, whole bool, prompts []scheduler.CachedPrefixes) {
-	now, unlock := f.decider.lock()
+func (p *Proxy) ShareWork(others []scheduler.InFlightLoad, whole bool, prompts []scheduler.CachedPrefixes) {
+	now, unlock := p.chooser.lock()
 	defer unlock()
-	f.decider.chooser.SetPeerLoad(now, others, whole)
-	f.decider.chooser.AddCachedPrefixes(prompts)
+	p.chooser.chooser.SetPeerLoad(now, others, whole)
+	p.chooser.chooser.AddCachedPrefixes(prompts)
 }
 
 // AloneAtStart notes that no other proxy has sent anything to a server before this one started.
-func (f *Front) AloneAtStart() {
-	now, unlock := f.decider.lock()
+func (p *Proxy) AloneAtStart() {
+	now, unlock := p.chooser.lock()
 	defer unlock()
-	f.decider.chooser.MarkFleetStart(now)
+	p.chooser.chooser.MarkFleetStart(now)
 }
 
 // SinceAnswer returns how long ago a server last answered a request of this proxy well, and whether it has.
-func (f *Front) SinceAnswer(server string) (time.Duration, bool) {
-	now, unlock := f.decider.lock()
+func (p *Proxy) SinceAnswer(server string) (time.Duration, bool) {
+	now, unlock := p.chooser.lock()
 	defer unlock()
-	at, answered := f.decider.chooser.LastSuccess(server)
+	at, answered := p.chooser.chooser.LastSuccess(server)
 	return now - at, answered
 }
 
 // KnownPrefixes returns what is known of which servers hold what.
-func (f *Front) KnownPrompts() []scheduler.CachedPrefixes {
-	d := f.decider
+func (p *Proxy) KnownPrompts() []scheduler.CachedPrefixes {
+	d := p.chooser
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.chooser.KnownPrefixes(mostKnown)
+	return d.chooser.KnownPrefixes(maxKnownPrompts)
 }
 
 // CatchUp takes in all that another proxy, or this one before its last end, knew of which servers hold what.
-func (f *Front) CatchUp(known []scheduler.CachedPrefixes) {
-	now, unlock := f.decider.lock()
+func (p *Proxy) CatchUp(known []scheduler.CachedPrefixes) {
+	now, unlock := p.chooser.lock()
 	defer unlock()
-	f.decider.chooser.AddCachedPrefixes(known)
-	f.decider.chooser.MarkPrefixesSynced(now)
+	p.chooser.chooser.AddCachedPrefixes(known)
+	p.chooser.chooser.MarkPrefixesSynced(now)
 }
--- a/internal/router/dataplane/socket.go
+++ b/internal/router/dataplane/socket.go
@@ -23,10 +23,10 @@
 )
 
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
-	// longAgo is a read deadline that wakes whoever reads.
-	longAgo = time.Unix(1, 0)
+	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
+	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
+	// pastDeadline is a read deadline that wakes whoever reads.
+	pastDeadline = time.Unix(1, 0)
 )
 
 // socket is a TCP connection whose buffers are lent to it while it reads or writes; one that waits has none.
@@ -36,15 +36,15 @@
 	in  *bufio.Reader // nil while none is lent
 	out *bufio.Writer // likewise
 
-	sent int64 // bytes that the system has taken of the present message
+	bytesSent int64 // bytes that the system has taken of the present message
 
-	waiter waiter // asked when the read deadline has passed; may be nil
+	extender deadlineExtender // asked when the read deadline has passed; may be nil
 }
 
 // waiter decides on what to do about silence.
-type waiter interface {
-	// waitOn tells whether to read on; then it has set a later deadline.
-	waitOn() bool
+type deadlineExtender interface {
+	// extendReadDeadline tells whether to read on; then it has set a later deadline.
+	extendReadDeadline() bool
 }
 
 func newSocket(conn net.Conn) (*socket, error) {
@@ -62,14 +62,15 @@
 // Write counts what the system takes.
 func (s *socket) Write(p []byte) (int, error) {
 	n, err := s.Conn.Write(p)
-	s.sent += int64(n)
+	s.bytesSent += int64(n)
 	return n, err
 }
 
 // Read reads, and goes on after its deadline as long as its waiter wants it to.
 func (s *socket) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
-	for err != nil && s.waiter != nil && errors.Is(err, os.ErrDeadlineExceeded) && s.waiter.waitOn() {
+	for err != nil && s.extender != nil && errors.Is(err, os.ErrDeadlineExceeded) &&
+		s.extender.extendReadDeadline() {
 		n, err = s.Conn.Read(p)
 	}
 	return n, err
@@ -78,7 +79,7 @@
 // reader lends the socket a buffer to read through.
 func (s *socket) reader() *bufio.Reader {
 	if s.in == nil {
-		s.in = readers.Get().(*bufio.Reader)
+		s.in = readerPool.Get().(*bufio.Reader)
 		s.in.Reset(s)
 	}
 	return s.in
@@ -87,97 +88,97 @@
 // writer lends the socket a buffer to write through.
 func (s *socket) writer() *bufio.Writer {
 	if s.out == nil {
-		s.out = writers.Get().(*bufio.Writer)
+		s.out = writerPool.Get().(*bufio.Writer)
 		s.out.Reset(s)
 	}
 	return s.out
 }
 
 // rest gives back the buffers that hold nothing. No body may be under way through them.
-func (s *socket) rest() {
+func (s *socket) returnEmptyBuffers() {
 	if s.in != nil && s.in.Buffered() == 0 {
-		s.giveReader()
+		s.returnReader()
 	}
 	if s.out != nil && s.out.Buffered() == 0 {
-		s.giveWriter()
+		s.returnWriter()
 	}
 }
 
 // release gives back the buffers, whatever they hold, of a connection that is over.
-func (s *socket) release() {
+func (s *socket) returnBuffers() {
 	if s.in != nil {
-		s.giveReader()
+		s.returnReader()
 	}
 	if s.out != nil {
-		s.giveWriter()
+		s.returnWriter()
 	}
 }
 
-func (s *socket) giveReader() {
+func (s *socket) returnReader() {
 	s.in.Reset(nil)
-	readers.Put(s.in)
+	readerPool.Put(s.in)
 	s.in = nil
 }
 
-func (s *socket) giveWriter() {
+func (s *socket) returnWriter() {
 	s.out.Reset(nil)
-	writers.Put(s.out)
+	writerPool.Put(s.out)
 	s.out = nil
 }
 
-// holdsInput tells whether bytes were read that nobody has taken yet.
-func (s *socket) holdsInput() bool { return s.in != nil && s.in.Buffered() > 0 }
+// hasBufferedInput tells whether bytes were read that nobody has taken yet.
+func (s *socket) hasBufferedInput() bool { return s.in != nil && s.in.Buffered() > 0 }
 
 // quiet tells whether nothing waits to be read, neither here nor in the system: no byte and no end.
-func (s *socket) quiet() bool { return !s.holdsInput() && s.look() == nothing }
+func (s *socket) quiet() bool { return !s.hasBufferedInput() && s.readState() == notReadable }
 
 // sight is what a look at the system's side of a connection shows.
-type sight int
+type readState int
 
 const (
-	nothing sight = iota // neither bytes nor an end
-	bytesThere
-	ended // the other side has ended its sending, or the connection is broken
+	notReadable readState = iota // neither bytes nor an end
+	readable
+	readClosed // the other side has ended its sending, or the connection is broken
 )
 
 // look tells what waits in the system, and leaves it there.
-func (s *socket) look() sight {
-	seen := ended
-	err := s.raw.Control(func(fd uintptr) { seen = peek(fd) })
+func (s *socket) readState() readState {
+	state := readClosed
+	err := s.raw.Control(func(fd uintptr) { state = peek(fd) })
 	if err != nil {
-		return ended
+		return readClosed
 	}
-	return seen
+	return state
 }
 
-func peek(fd uintptr) sight {
+func peek(fd uintptr) readState {
 	var one [1]byte
 	for {
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EINTR:
 		case err == syscall.EAGAIN:
-			return nothing
+			return notReadable
 		case err != nil || n == 0:
-			return ended
+			return readClosed
 		default:
-			return bytesThere
+			return readable
 		}
 	}
 }
 
 // await waits until bytes or an end can be read, and leaves them in the system. It returns nothing where the
 // read deadline passed.
-func (s *socket) await() sight {
-	seen := nothing
+func (s *socket) awaitReadable() readState {
+	state := notReadable
 	err := s.raw.Read(func(fd uintptr) bool {
-		seen = peek(fd)
-		return seen != nothing
+		state = peek(fd)
+		return state != notReadable
 	})
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		return ended
+		return readClosed
 	}
-	return seen
+	return state
 }
 
 // controlServer sets what a socket to a server has before it connects.
--- a/internal/router/dataplane/split.go
+++ b/internal/router/dataplane/split.go
@@ -7,38 +7,38 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// readPrompt has a server read the prompt. Where that fails the request goes on without: the call does not
+// prefill has a server read the prompt. Where that fails the request goes on without: the call does not
 // run the request, so it may be repeated as long as the budget allows.
-func (d *delivery) readPrompt() {
-	for d.ticket == nil && !d.over() && d.unreachable < mostUnreachable {
-		c := d.chosen(scheduler.Prefill)
+func (rt *roundTrip) prefill() {
+	for rt.handle == nil && !rt.finished() && rt.unreachableServers < maxUnreachable {
+		c := rt.newCall(scheduler.Prefill)
 		if c == nil {
 			return
 		}
-		failure := c.read()
+		failure := c.prefill()
 		if failure == nil {
-			d.front.stats.splits.Add(1)
+			rt.proxy.counters.prefills.Add(1)
 			return
 		}
-		d.front.stats.splitsLost.Add(1)
-		if !d.learnRead(c, failure) {
+		rt.proxy.counters.prefillsFailed.Add(1)
+		if !rt.handlePrefillFailure(c, failure) {
 			return
 		}
 	}
 }
 
-// learnRead takes in how reading failed, and tells whether another server is asked to read.
-func (d *delivery) learnRead(c *call, f *failure) bool {
-	d.request.pairing.Excluded = append(d.request.pairing.Excluded, c.choice.Server.ID)
+// handlePrefillFailure takes in how reading failed, and tells whether another server is asked to read.
+func (rt *roundTrip) handlePrefillFailure(c *call, f *callFailure) bool {
+	rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, c.choice.Server.ID)
 	switch f.fate {
 	case notSent:
-		d.unreachable++
+		rt.unreachableServers++
 	case notRun:
-		d.attempts.rejected()
+		rt.attempts.recordRejected()
 	case mayHaveRun:
-		d.attempts.taken(scheduler.Prefill)
-		if !c.begun { // it may have stood in the server's queue, which makes the next call a repeat
-			d.attempts.owed++
+		rt.attempts.recordAccepted(scheduler.Prefill)
+		if !c.responseStarted { // it may have stood in the server's queue, which makes the next call a repeat
+			rt.attempts.unpaidPrefills++
 		}
 		return f.outcome != scheduler.TimedOut // so much time is lost that no second reader is waited for
 	}
@@ -46,44 +46,44 @@
 }
 
 // read makes the call that has the prompt read.
-func (c *call) read() *failure {
+func (c *call) prefill() *callFailure {
 	f := c.connect()
 	if f != nil {
-		return c.end(f)
+		return c.finish(f)
 	}
 	head, body, f := c.exchange()
 	if f == nil {
-		f = c.takeTicket(head, body)
+		f = c.receiveHandle(head, body)
 	}
 	if f == nil || f.outcome == scheduler.TimedOut {
-		c.delivery.front.readTimes.note(c.delivery.request.service.Name, time.Since(c.started))
+		c.roundTrip.proxy.prefillTimes.record(c.roundTrip.request.service.Name, time.Since(c.started))
 	}
-	return c.end(f)
+	return c.finish(f)
 }
 
-func (c *call) takeTicket(head *http1.Response, body *http1.Body) *failure {
-	d := c.delivery
-	v := judge(c.answerTraits(head, body))
-	kept, rest, err := keep(c, head, body)
-	if err == nil && !rest {
-		c.whole()
+func (c *call) receiveHandle(head *http1.Response, body *http1.Body) *callFailure {
+	rt := c.roundTrip
+	class := classify(c.responseTraits(head, body))
+	buffered, truncated, err := bufferResponse(c, head, body)
+	if err == nil && !truncated {
+		c.recordBodyEnd()
 	}
 	switch {
-	case v == misdirected:
-		c.gone()
-		return &failure{outcome: scheduler.Misdirected, fate: notRun}
-	case v == rejected:
-		return &failure{outcome: scheduler.Rejected, fate: notRun}
+	case class == classMisdirected:
+		c.reportReplaced()
+		return &callFailure{outcome: scheduler.Misdirected, fate: notRun}
+	case class == classRejected:
+		return &callFailure{outcome: scheduler.Rejected, fate: notRun}
 	case err != nil:
-		return c.broken(err)
+		return c.failureFrom(err)
 	case head.Status >= 500:
-		return &failure{outcome: scheduler.Failed, fate: mayHaveRun}
+		return &callFailure{outcome: scheduler.Failed, fate: mayHaveRun}
 	}
-	handle, ok := parseHandle(kept.body)
+	handle, ok := parseHandle(buffered.body)
 	if head.Status != 200 || !ok {
-		return c.brokenOff()
+		return c.brokenFailure()
 	}
-	d.attempts.taken(scheduler.Prefill)
-	d.ticket = newTicket(c.choice.Server, handle, d.request.tryID, d.request.service.Engine.HandleTTL)
+	rt.attempts.recordAccepted(scheduler.Prefill)
+	rt.handle = newKVHandle(c.choice.Server, handle, rt.request.tryID, rt.request.service.Engine.HandleTTL)
 	return nil
 }
--- a/internal/router/dataplane/split_test.go
+++ b/internal/router/dataplane/split_test.go
@@ -59,9 +59,9 @@
 		r.Assert(string(q.Body), qt.Equals, "prompt")
 		r.Assert(q.Header.Get(tryIDHeader), qt.Equals, "a0")
 	}
-	r.settled()
-	r.Assert(r.front.Stats().Repeats, qt.Equals, int64(0))
-	r.Assert(r.front.Stats().Dialled, qt.Equals, int64(2))
+	r.awaitCallsEnded()
+	r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(0))
+	r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(2))
 }
 
 func TestWhatFollowsAFailedSplit(t *testing.T) {
@@ -110,7 +110,8 @@
 		{"a writer breaks off and may run twice", "model", []handler{handle}, []handler{breakOff, written},
 			100, 200, []scheduler.Role{read, write, serve}, 1, 1},
 		{"a stream breaks off and goes on", "model", []handler{handle},
-			[]handler{streams("s1", false, event(1)), goesOn(2)}, 100, 200, []scheduler.Role{read, write, serve}, 1,
+			[]handler{streams("s1", false, event(1)), resumesUntil(2)}, 100, 200, []scheduler.Role{read, write,
+				serve}, 1,
 			0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -121,16 +122,16 @@
 			if test.status == 200 {
 				r.Assert(string(answer.Body), qt.Equals, pieces(1, 2))
 			}
-			r.settled()
-			r.until("handles are freed", func() bool { return freed(readers) == test.freed })
+			r.awaitCallsEnded()
+			r.eventually("handles are freed", func() bool { return releasedHandles(readers) == test.freed })
 			r.Assert(roles(readers, writers), qt.DeepEquals, test.roles)
-			r.Assert(r.front.Stats().Repeats, qt.Equals, test.repeats)
+			r.Assert(r.proxy.Stats().Retries, qt.Equals, test.repeats)
 		})
 	}
 }
 
 // freed is how many calls to free a handle came.
-func freed(readers []*server) (count int) {
+func releasedHandles(readers []*server) (count int) {
 	for _, s := range readers {
 		for _, q := range s.got() {
 			if q.Method == "DELETE" && q.Target == "/api/kv-handle/h" {
@@ -162,7 +163,7 @@
 func TestSilentReaderIsNotWaitedFor(t *testing.T) {
 	t.Parallel()
 	ended := make(chan string, 9)
-	readers, writers := pair(t, silence(ended), events(1, 2, true))
+	readers, writers := pair(t, neverAnswer(ended), events(1, 2, true))
 	r := newRig(t, nil, append(readers, writers...)...)
 	answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 1000")
 	r.Assert(answer.Status, qt.Equals, 200)
@@ -179,33 +180,33 @@
 	readers, _ := pair(t, readsPrompt("h"), breakOff)
 	r = newRig(t, nil, readers...)
 	r.Assert(r.dial().ask("POST", "/modelfirm/", "a", "").Status, qt.Equals, 503)
-	r.until("the handle is freed", func() bool { return freed(readers) == 1 })
+	r.eventually("the handle is freed", func() bool { return releasedHandles(readers) == 1 })
 }
 
 func TestClientLeavesASplit(t *testing.T) {
 	ended := make(chan string, 9)
 	t.Run("while it is read", func(t *testing.T) {
-		readers, writers := pair(t, silence(ended), breakOff)
+		readers, writers := pair(t, neverAnswer(ended), breakOff)
 		r := newRig(t, nil, append(readers, writers...)...)
 		p := r.dial()
 		p.send("POST", "/model/", "a", "prompt")
-		r.until("it came", func() bool { return len(readers[0].got()) == 1 })
+		r.eventually("it came", func() bool { return len(readers[0].got()) == 1 })
 		p.Close()
 		r.Assert(<-ended, qt.Equals, "a")
-		r.settled()
+		r.awaitCallsEnded()
 		r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Prefill})
 		r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 	})
 	t.Run("while it is written", func(t *testing.T) {
-		readers, writers := pair(t, readsPrompt("h"), silence(ended))
+		readers, writers := pair(t, readsPrompt("h"), neverAnswer(ended))
 		r := newRig(t, nil, append(readers, writers...)...)
 		p := r.dial()
 		p.send("POST", "/model/", "a", "prompt")
-		r.until("it came", func() bool { return len(writers[0].got()) == 1 })
+		r.eventually("it came", func() bool { return len(writers[0].got()) == 1 })
 		p.Close()
 		r.Assert(<-ended, qt.Equals, "a")
-		r.until("the handle is freed", func() bool { return freed(readers) == 1 })
-		r.settled()
+		r.eventually("the handle is freed", func() bool { return releasedHandles(readers) == 1 })
+		r.awaitCallsEnded()
 		r.Assert(roles(readers, writers), qt.DeepEquals, []scheduler.Role{scheduler.Prefill, scheduler.Decode})
 		r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Served, scheduler.Abandoned})
 	})
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -11,7 +11,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-var readBuffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
+var streamBuffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
 // isStream tells whether an answer is a series of events.
 func (r *relay) isStream(head *http1.Response) bool {
@@ -24,139 +24,139 @@
 
 // stream passes on events as they arrive, each one whole. Where it ends early the events that the client has
 // are the first ones of the stream, without a gap.
-func (r *relay) stream(c *call, head *http1.Response, body *http1.Body) *failure {
+func (r *relay) forwardStream(c *call, head *http1.Response, body *http1.Body) *callFailure {
 	r.events.reset()
-	if r.begun {
+	if r.started {
 		r.order.resumed = true
-		r.replaceable = c.delivery.mayTryAgain()
-		r.client.front.stats.resumed.Add(1)
+		r.replaceable = c.roundTrip.mayRetry()
+		r.client.proxy.counters.resumed.Add(1)
 	}
-	buffer := readBuffers.Get().(*[bufferSize]byte)
-	defer readBuffers.Put(buffer)
+	buffer := streamBuffers.Get().(*[bufferSize]byte)
+	defer streamBuffers.Put(buffer)
 	for {
 		n, err := body.Read(buffer[:])
 		r.events.feed(buffer[:n])
-		if f := r.forward(c, head); f != nil {
+		if f := r.forwardEvents(c, head); f != nil {
 			return f
 		}
 		if body.Whole() {
 			return r.endStream(c, head, body)
 		}
-		if err == nil && body.Ready() && len(r.events.rest()) <= largestEvent {
+		if err == nil && body.Ready() && len(r.events.partial()) <= maxEventBytes {
 			continue
 		}
 		if r.flush() != nil {
-			return r.clientGone(c)
+			return r.clientFailure(c)
 		}
 		switch {
 		case err != nil:
-			return c.broken(err)
-		case len(r.events.rest()) > largestEvent:
-			return c.brokenOff()
+			return c.failureFrom(err)
+		case len(r.events.partial()) > maxEventBytes:
+			return c.brokenFailure()
 		}
-		c.conn.SetReadDeadline(r.pauseUntil(c))
+		c.conn.SetReadDeadline(r.gapDeadline(c))
 	}
 }
 
 // forward writes the events that are whole.
-func (r *relay) forward(c *call, head *http1.Response) *failure {
+func (r *relay) forwardEvents(c *call, head *http1.Response) *callFailure {
 	for event := r.events.next(); event != nil; event = r.events.next() {
-		if f := r.forwardOne(c, head, event); f != nil {
+		if f := r.forwardEvent(c, head, event); f != nil {
 			return f
 		}
 	}
 	return nil
 }
 
-func (r *relay) forwardOne(c *call, head *http1.Response, event []byte) *failure {
+func (r *relay) forwardEvent(c *call, head *http1.Response, event []byte) *callFailure {
 	if id, ok := eventID(event); !ok {
-		r.unnumbered = r.unnumbered || holdsData(event)
+		r.hasUnnumbered = r.hasUnnumbered || hasData(event)
 	} else {
-		switch r.order.follow(id) {
-		case skip:
+		switch r.order.decide(id) {
+		case actionSkip:
 			return nil
-		case missing:
-			return c.brokenOff()
+		case actionGap:
+			return c.brokenFailure()
 		}
 	}
-	if r.begin(c, head) != nil {
-		return r.clientGone(c)
+	if r.startResponse(c, head) != nil {
+		return r.clientFailure(c)
 	}
-	r.checkRises(event)
+	r.checkIDsRise(event)
 	if _, err := r.out.Write(event); err != nil {
-		return r.clientGone(c)
+		return r.clientFailure(c)
 	}
 	return nil
 }
 
-// checkRises holds the events of a server that took the stream up to follow those that the client has.
-func (r *relay) checkRises(event []byte) {
+// checkIDsRise holds the events of a server that took the stream up to follow those that the client has.
+func (r *relay) checkIDsRise(event []byte) {
 	id, ok := eventID(event)
 	if !ok {
 		return
 	}
-	invariant.Assert(!r.order.resumed || id > r.forwarded, invariant.StreamIDsRise,
-		"event %d follows event %d", id, r.forwarded)
-	r.forwarded = id
+	invariant.Assert(!r.order.resumed || id > r.lastForwarded, invariant.StreamIDsRise,
+		"event %d follows event %d", id, r.lastForwarded)
+	r.lastForwarded = id
 }
 
 // begin sends the head with the first event of the first server.
-func (r *relay) begin(c *call, head *http1.Response) error {
-	if r.begun {
+func (r *relay) startResponse(c *call, head *http1.Response) error {
+	if r.started {
 		return nil
 	}
-	c.eventAt = time.Since(c.started)
-	c.delivery.front.decider.firstEvent(c.choice)
-	r.replaceable = c.delivery.mayTryAgain()
-	answer := r.head(head)
-	answer.Streams, answer.Length = true, -1
+	c.timeToFirstEvent = time.Since(c.started)
+	c.roundTrip.proxy.chooser.firstEvent(c.choice)
+	r.replaceable = c.roundTrip.mayRetry()
+	response := r.clientHead(head)
+	response.Streams, response.Length = true, -1
 	var err error
-	r.begun = true
-	r.client.noteAnswer()
-	r.out, err = answer.Begin(r.client.socket.writer(), r.request.Old)
-	r.goesOn = !answer.Close
+	r.started = true
+	r.client.recordResponse()
+	r.out, err = response.Begin(r.client.socket.writer(), r.request.Old)
+	r.keepAlive = !response.Close
 	return err
 }
 
 // endStream ends the answer, as its server did.
-func (r *relay) endStream(c *call, head *http1.Response, body *http1.Body) *failure {
-	c.whole()
-	if rest := r.events.rest(); len(rest) > 0 {
+func (r *relay) endStream(c *call, head *http1.Response, body *http1.Body) *callFailure {
+	c.recordBodyEnd()
+	if partial := r.events.partial(); len(partial) > 0 {
 		if endsWithConnection(head, body) { // an event in two pieces shows that its server broke off
-			return c.brokenOff()
+			return c.brokenFailure()
 		}
-		if f := r.forwardOne(c, head, rest); f != nil {
+		if f := r.forwardEvent(c, head, partial); f != nil {
 			return f
 		}
 	}
-	if r.begin(c, head) != nil {
-		return r.clientGone(c)
+	if r.startResponse(c, head) != nil {
+		return r.clientFailure(c)
 	}
-	r.finish(r.close(r.out) && r.goesOn)
+	r.recordComplete(r.closeBody(r.out) && r.keepAlive)
 	return nil
 }
 
 func (r *relay) flush() error {
-	if !r.begun {
+	if !r.started {
 		return nil
 	}
 	return r.client.socket.writer().Flush()
 }
 
-// clientGone says that the client did not let the answer in.
-func (r *relay) clientGone(c *call) *failure {
-	c.delivery.stop(clientLeft)
-	return &failure{outcome: scheduler.Abandoned, fate: mayHaveRun}
+// clientFailure says that the client did not let the answer in.
+func (r *relay) clientFailure(c *call) *callFailure {
+	c.roundTrip.stop(clientDisconnected)
+	return &callFailure{outcome: scheduler.Abandoned, fate: mayHaveRun}
 }
 
-// pauseUntil is when a stream counts as broken if its server sends nothing more.
-func (r *relay) pauseUntil(c *call) time.Time {
-	d := c.delivery
-	if !r.begun {
-		return c.silentUntil()
+// gapDeadline is when a stream counts as broken if its server sends nothing more.
+func (r *relay) gapDeadline(c *call) time.Time {
+	rt := c.roundTrip
+	if !r.started {
+		return c.firstByteDeadline()
 	}
-	if !r.replaceable || !r.mayGoOn() { // silence alone ends nothing
-		return d.request.limit
+	if !r.replaceable || !r.mayContinue() { // silence alone ends nothing
+		return rt.request.hardDeadline
 	}
-	return earlier(d.request.limit, time.Now().Add(streamPatience(d.request.route.GapTarget)))
+	return earlier(rt.request.hardDeadline, time.Now().Add(streamTimeout(rt.request.route.GapTarget)))
 }
