--- a/internal/router/dataplane/stream_test.go
+++ b/internal/router/dataplane/stream_test.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// goesOn answers with the pieces after Last-Event-Id up to the last one.
-func goesOn(last int) handler {
+// resumesUntil answers with the pieces after Last-Event-Id up to the last one.
+func resumesUntil(last int) handler {
 	return func(q *http1.Request, w io.Writer) bool {
-		from := wholeNumber(q.Header.Get(lastEventHeader)) + 1
+		from := parseCount(q.Header.Get(lastEventHeader)) + 1
 		return events(from, last, true)(q, w)
 	}
 }
@@ -69,8 +69,8 @@
 	}
 	_, err = body.Read(make([]byte, 1))
 	r.Assert(err, qt.Equals, io.EOF)
-	r.settled()
-	r.Assert(r.chooser.begun, qt.Equals, 1)
+	r.awaitCallsEnded()
+	r.Assert(r.chooser.firstEvents, qt.Equals, 1)
 }
 
 func TestStreamIsTakenUpAtAnotherServer(t *testing.T) {
@@ -81,14 +81,15 @@
 		body    string
 		calls   int
 	}{
-		{"broken between events", []handler{streams("first", false, event(1), event(2)), goesOn(5)},
+		{"broken between events", []handler{streams("first", false, event(1), event(2)), resumesUntil(5)},
 			pieces(1, 5), 2},
-		{"broken inside an event", []handler{streams("first", false, event(1), event(2)+half), goesOn(5)},
+		{"broken inside an event", []handler{streams("first", false, event(1), event(2)+half), resumesUntil(5)},
 			pieces(1, 5), 2},
 		{"broken twice",
-			[]handler{streams("first", false, event(1)), streams("second", false, event(2)), goesOn(4)},
+			[]handler{streams("first", false, event(1)), streams("second", false, event(2)), resumesUntil(4)},
 			pieces(1, 4), 3},
-		{"the next one is full", []handler{streams("first", false, event(1)), full, goesOn(4)}, pieces(1, 4), 3},
+		{"the next one is full", []handler{streams("first", false, event(1)), full, resumesUntil(4)}, pieces(1,
+			4), 3},
 		{"the next one begins anew", []handler{streams("first", false, event(1), event(2)), events(1, 4, true)},
 			pieces(1, 4), 2},
 		{"nothing was missing", []handler{streams("first", false, event(1)), streams("second", true)},
@@ -96,11 +97,11 @@
 		{"nonsense", []handler{func(q *http1.Request, w io.Writer) bool {
 			io.WriteString(w, streamHead(q, "first")+chunk(event(1))+"no chunk\r\n")
 			return false
-		}, goesOn(4)}, pieces(1, 4), 2},
+		}, resumesUntil(4)}, pieces(1, 4), 2},
 		{"a line before an id", []handler{streams("first", false, "versions: 1\n"+event(1)),
 			streams("second", true, "versions: 2\n"+event(2))},
 			"versions: 1\n" + event(1) + "versions: 2\n" + event(2), 2},
-		{"comments between", []handler{streams("first", false, event(1), ": idle\n\n"), goesOn(2)},
+		{"comments between", []handler{streams("first", false, event(1), ": idle\n\n"), resumesUntil(2)},
 			event(1) + ": idle\n\n" + event(2), 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -110,7 +111,7 @@
 			r.Assert(string(answer.Body), qt.Equals, test.body)
 			r.Assert(answer.Header.Get(stampHeader), qt.Equals, "first")
 			r.Assert(arrivals(servers), qt.Equals, test.calls)
-			r.settled()
+			r.awaitCallsEnded()
 			for _, s := range servers[1:] {
 				for _, q := range s.got() {
 					r.Assert(q.Header.Get(lastEventHeader), qt.Not(qt.Equals), "")
@@ -118,7 +119,7 @@
 					r.Assert(string(q.Body), qt.Equals, "same")
 				}
 			}
-			r.Assert(r.front.Stats().Repeats, qt.Equals, int64(test.calls-1))
+			r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(test.calls-1))
 		})
 	}
 }
@@ -132,15 +133,15 @@
 		body        string
 		calls       int
 	}{
-		{"firm route", "firm", 100, []handler{first, goesOn(5)}, pieces(1, 2), 1},
-		{"no repeat left", "stream", 0, []handler{first, goesOn(5)}, pieces(1, 2), 1},
-		{"no server left", "stream", 100, []handler{first, full, full, goesOn(5)}, pieces(1, 2), 3},
+		{"firm route", "firm", 100, []handler{first, resumesUntil(5)}, pieces(1, 2), 1},
+		{"no repeat left", "stream", 0, []handler{first, resumesUntil(5)}, pieces(1, 2), 1},
+		{"no server left", "stream", 100, []handler{first, full, full, resumesUntil(5)}, pieces(1, 2), 3},
 		{"pieces missing", "stream", 100, []handler{first, events(4, 5, true)}, pieces(1, 2), 3},
 		{"another kind of answer", "stream", 100, []handler{first, ok("all of it")}, pieces(1, 2), 3},
-		{"no id to go on from", "stream", 100, []handler{streams("first", false, "data: x\n\n"), goesOn(5)},
+		{"no id to go on from", "stream", 100, []handler{streams("first", false, "data: x\n\n"), resumesUntil(5)},
 			"data: x\n\n", 1},
 		{"a piece without an id", "stream", 100,
-			[]handler{streams("first", false, event(1), "data: x\n\n"), goesOn(5)}, event(1) + "data: x\n\n", 1},
+			[]handler{streams("first", false, event(1), "data: x\n\n"), resumesUntil(5)}, event(1) + "data: x\n\n", 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			servers := lookups(t, inTurn(test.answers...))
@@ -151,8 +152,8 @@
 			r.Assert(err, qt.Equals, io.ErrUnexpectedEOF)
 			r.Assert(string(answer.Body), qt.Equals, test.body)
 			r.Assert(arrivals(servers), qt.Equals, test.calls)
-			r.settled()
-			r.Assert(r.front.Stats().Cut, qt.Equals, int64(1))
+			r.awaitCallsEnded()
+			r.Assert(r.proxy.Stats().Truncated, qt.Equals, int64(1))
 		})
 	}
 }
@@ -161,7 +162,7 @@
 	ended := make(chan string, 9)
 	silent := func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "first")+chunk(event(1)))
-		return silence(ended)(q, w)
+		return neverAnswer(ended)(q, w)
 	}
 	for _, test := range []struct {
 		route string
@@ -173,7 +174,7 @@
 	} {
 		t.Run(test.route, func(t *testing.T) {
 			t.Parallel()
-			servers := lookups(t, inTurn(silent, goesOn(3)))
+			servers := lookups(t, inTurn(silent, resumesUntil(3)))
 			r := newRig(t, nil, servers...)
 			p := r.dial()
 			p.send("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: 3000")
@@ -181,7 +182,7 @@
 			r.Assert(err, qt.Equals, test.err)
 			r.Assert(string(answer.Body), qt.Equals, test.body)
 			<-ended
-			r.settled()
+			r.awaitCallsEnded()
 			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.TimedOut)
 		})
 	}
@@ -189,9 +190,9 @@
 
 func TestClientResumesItself(t *testing.T) {
 	servers := lookups(t, inTurn(func(q *http1.Request, w io.Writer) bool {
-		from := wholeNumber(q.Header.Get(lastEventHeader)) + 1
+		from := parseCount(q.Header.Get(lastEventHeader)) + 1
 		return events(from, from+1, false)(q, w)
-	}, goesOn(16)))
+	}, resumesUntil(16)))
 	r := newRig(t, nil, servers...)
 	answer := r.dial().ask("POST", "/stream/", "a", "", "Last-Event-Id: 12")
 	r.Assert(string(answer.Body), qt.Equals, pieces(13, 16))
@@ -233,7 +234,7 @@
 }
 
 func TestEventBeyondBoundsIsNoEvent(t *testing.T) {
-	huge := make([]byte, largestEvent+bufferSize+1)
+	huge := make([]byte, maxEventBytes+bufferSize+1)
 	for i := range huge {
 		huge[i] = 'x'
 	}
@@ -271,16 +272,16 @@
 func TestSilenceEndsOnlyWhatIsTakenUp(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	q := &request{limit: now.Add(time.Minute), route: &fleetconfig.Route{Kind: fleetconfig.Stream}}
-	call := &call{delivery: &delivery{request: q}}
-	r := &relay{request: q, begun: true, replaceable: true, order: order{any: true}}
-	c.Assert(r.pauseUntil(call), qt.Equals, q.limit)
+	q := &request{hardDeadline: now.Add(time.Minute), route: &fleetconfig.Route{Kind: fleetconfig.Stream}}
+	call := &call{roundTrip: &roundTrip{request: q}}
+	r := &relay{request: q, started: true, replaceable: true, order: eventOrder{hasLast: true}}
+	c.Assert(r.gapDeadline(call), qt.Equals, q.hardDeadline)
 	q.route.Resumable = true
-	c.Assert(r.pauseUntil(call).Before(q.limit), qt.IsTrue)
-	r.unnumbered = true
-	c.Assert(r.pauseUntil(call), qt.Equals, q.limit)
-	r.unnumbered, r.order.any = false, false
-	c.Assert(r.pauseUntil(call), qt.Equals, q.limit)
+	c.Assert(r.gapDeadline(call).Before(q.hardDeadline), qt.IsTrue)
+	r.hasUnnumbered = true
+	c.Assert(r.gapDeadline(call), qt.Equals, q.hardDeadline)
+	r.hasUnnumbered, r.order.hasLast = false, false
+	c.Assert(r.gapDeadline(call), qt.Equals, q.hardDeadline)
 }
 
 // The rest of an answer that is no stream is nowhere to be had.
@@ -290,7 +291,7 @@
 		w.Write(make([]byte, 200_000))
 		return false
 	}
-	servers := lookups(t, inTurn(large, goesOn(15)))
+	servers := lookups(t, inTurn(large, resumesUntil(15)))
 	r := newRig(t, nil, servers...)
 	p := r.dial()
 	p.send("POST", "/stream/", "a", "", "Last-Event-Id: 12")
--- a/internal/router/dataplane/surplus_test.go
+++ b/internal/router/dataplane/surplus_test.go
@@ -37,7 +37,7 @@
 	ran := map[string]bool{} // by try
 	point := 0
 	serve := func(q *http1.Request, w io.Writer) bool {
-		try := &faultyTry{id: q.Header.Get(tryIDHeader), route: route, framing: framing}
+		try := &faultyAttempt{id: q.Header.Get(tryIDHeader), route: route, framing: framing}
 		text, _ := try.answer(q)
 		mu.Lock()
 		ran[try.id] = true
@@ -53,7 +53,7 @@
 	}
 	r := newRig(t, slack(1e6), lookups(t, serve)...)
 	p := r.dial()
-	length := len((&faultyTry{id: "000", route: route, framing: framing}).text())
+	length := len((&faultyAttempt{id: "000", route: route, framing: framing}).text())
 	served := 0
 	for at := range length + 1 {
 		mu.Lock()
@@ -62,7 +62,7 @@
 		mu.Unlock()
 		for _, half := range []struct{ name, deadline string }{{"a", "5000"}, {"b", "80"}} {
 			p.again(r)
-			try := &faultyTry{id: fmt.Sprintf("%s%02x", half.name, at), route: route, framing: framing}
+			try := &faultyAttempt{id: fmt.Sprintf("%s%02x", half.name, at), route: route, framing: framing}
 			got := p.post1(route, try.id, half.deadline)
 			mu.Lock()
 			hasRun := ran[try.id]
@@ -79,12 +79,12 @@
 			}
 		}
 	}
-	r.settled()
+	r.awaitCallsEnded()
 	r.Assert(served > length, qt.IsTrue)
 }
 
 // text is the answer to the try.
-func (f *faultyTry) text() string {
+func (f *faultyAttempt) text() string {
 	text, _ := f.answer(requestOf(f.id))
 	return text
 }
@@ -108,7 +108,7 @@
 	var mu sync.Mutex
 	point, connections := 0, 0
 	whole := func(q *http1.Request, w io.Writer) bool {
-		try := &faultyTry{id: q.Header.Get(tryIDHeader), route: route, framing: byLength}
+		try := &faultyAttempt{id: q.Header.Get(tryIDHeader), route: route, framing: byLength}
 		text, _ := try.answer(q)
 		io.WriteString(w, text)
 		return true
@@ -148,7 +148,7 @@
 		}
 		p.again(r)
 		before := len(good.got())
-		try := &faultyTry{id: fmt.Sprintf("b%02x", at), route: route, framing: byLength}
+		try := &faultyAttempt{id: fmt.Sprintf("b%02x", at), route: route, framing: byLength}
 		got := p.post1(route, try.id, "")
 		elsewhere := len(good.got()) - before
 		switch {
@@ -158,5 +158,5 @@
 			t.Errorf("after %d bytes: %+v, %d calls elsewhere", at, got, elsewhere)
 		}
 	}
-	r.settled()
+	r.awaitCallsEnded()
 }
--- a/internal/router/dataplane/tickets.go
+++ b/internal/router/dataplane/tickets.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	// ticketMargin is the part of a handle's life after which it is not used any more.
-	ticketMargin = 0.8
+	// handleLifetimeUsed is the part of a handle's life after which it is not used any more.
+	handleLifetimeUsed = 0.8
 	// The bounds of the calls that free handles.
-	mostReturns = 16
-	returnTime  = time.Second
+	maxReleases    = 16
+	releaseTimeout = time.Second
 )
 
 // ticket names the memory of a prompt at the server that has read it. It is used for its own request alone.
-type ticket struct {
-	server *catalog.Server
-	handle string
-	until  time.Time // the zero time where it does not lapse
-	tryID  string    // of the request whose prompt it holds
+type kvHandle struct {
+	server    *catalog.Server
+	id        string
+	expiresAt time.Time // the zero time where it does not lapse
+	tryID     string    // of the request whose prompt it holds
 }
 
-func (t *ticket) reader() *catalog.Server {
-	if t == nil {
+func (h *kvHandle) prefillServer() *catalog.Server {
+	if h == nil {
 		return nil
 	}
-	return t.server
+	return h.server
 }
 
-func (t *ticket) source() string { return t.server.Address + "/" + t.handle }
+func (h *kvHandle) source() string { return h.server.Address + "/" + h.id }
 
-func (t *ticket) lapsed(now time.Time) bool {
-	return t != nil && !t.until.IsZero() && now.After(t.until)
+func (h *kvHandle) expired(now time.Time) bool {
+	return h != nil && !h.expiresAt.IsZero() && now.After(h.expiresAt)
 }
 
-func newTicket(reader *catalog.Server, handle, tryID string, life time.Duration) *ticket {
-	t := &ticket{server: reader, handle: handle, tryID: tryID}
-	if life > 0 {
-		t.until = time.Now().Add(time.Duration(float64(life) * ticketMargin))
+func newKVHandle(server *catalog.Server, id, tryID string, lifetime time.Duration) *kvHandle {
+	h := &kvHandle{server: server, id: id, tryID: tryID}
+	if lifetime > 0 {
+		h.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeUsed))
 	}
-	return t
+	return h
 }
 
 // parseHandle reads the answer of a server that has read a prompt.
@@ -62,60 +62,60 @@
 	return answer.Handle, !strings.ContainsFunc(answer.Handle, odd)
 }
 
-// dropTicket frees memory that the request does not use.
-func (d *delivery) dropTicket() {
-	if d.ticket == nil {
+// releaseHandle frees memory that the request does not use.
+func (rt *roundTrip) releaseHandle() {
+	if rt.handle == nil {
 		return
 	}
-	d.front.tickets.free(d.ticket)
-	d.ticket = nil
+	rt.proxy.handles.release(rt.handle)
+	rt.handle = nil
 }
 
-// ticketReturner frees the memory of prompts in the background. When it is busy handles are left to lapse.
-type ticketReturner struct {
-	pool   *pool
-	places chan struct{}
+// handleReleaser frees the memory of prompts in the background. When it is busy handles are left to lapse.
+type handleReleaser struct {
+	pool  *pool
+	slots chan struct{}
 }
 
-func newTicketReturner(p *pool) *ticketReturner {
-	return &ticketReturner{pool: p, places: make(chan struct{}, mostReturns)}
+func newHandleReleaser(p *pool) *handleReleaser {
+	return &handleReleaser{pool: p, slots: make(chan struct{}, maxReleases)}
 }
 
-func (r *ticketReturner) free(t *ticket) {
+func (r *handleReleaser) release(h *kvHandle) {
 	select {
-	case r.places <- struct{}{}:
+	case r.slots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-r.places }()
-		r.delete(t)
+		defer func() { <-r.slots }()
+		r.delete(h)
 	}()
 }
 
 // delete makes the call. Nothing depends on its answer.
-func (r *ticketReturner) delete(t *ticket) {
-	ctx, cancel := context.WithTimeout(context.Background(), returnTime)
+func (r *handleReleaser) delete(h *kvHandle) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	conn, err := r.pool.take(ctx, want{server: t.server, idle: idleUnsafe})
+	conn, err := r.pool.get(ctx, connectionSpec{server: h.server, maxIdle: maxIdleTimeUnsafe})
 	if err != nil {
 		return
 	}
-	conn.SetDeadline(time.Now().Add(returnTime))
-	host, _, _ := net.SplitHostPort(t.server.Address)
-	message := http1.Request{Method: "DELETE", Target: handlePath + t.handle, Header: http1.Header{
-		{Name: "Host", Value: host}, {Name: expectServerHeader, Value: t.server.ID}}}
+	conn.SetDeadline(time.Now().Add(releaseTimeout))
+	host, _, _ := net.SplitHostPort(h.server.Address)
+	message := http1.Request{Method: "DELETE", Target: handlePath + h.id, Header: http1.Header{
+		{Name: "Host", Value: host}, {Name: expectServerHeader, Value: h.server.ID}}}
 	if out := conn.writer(); message.Write(out) != nil || out.Flush() != nil {
-		r.pool.drop(conn)
+		r.pool.discard(conn)
 		return
 	}
 	head, body, err := http1.ReadResponseHead(conn.reader(), message.Method)
 	if err == nil {
-		_, err = io.CopyN(io.Discard, body, largestKept)
+		_, err = io.CopyN(io.Discard, body, maxBufferedResponse)
 	}
 	if err != io.EOF || !body.Whole() {
-		r.pool.drop(conn)
+		r.pool.discard(conn)
 		return
 	}
-	r.pool.keep(conn, idleTime(head))
+	r.pool.put(conn, keepAliveTime(head))
 }
--- a/internal/router/dataplane/trouble_test.go
+++ b/internal/router/dataplane/trouble_test.go
@@ -18,7 +18,7 @@
 const lastPiece = 6
 
 // troubled are servers that do anything a server in trouble may do, and note what ran.
-type troubled struct {
+type faultyModel struct {
 	mu       sync.Mutex
 	random   *rand.Rand
 	runs     map[string]int     // by the id of a try
@@ -30,35 +30,36 @@
 	handles  int
 }
 
-func newTroubled(seed uint64) *troubled {
-	return &troubled{random: rand.New(rand.NewPCG(seed, 3)), runs: map[string]int{}, arrivals: map[string]int{},
-		owners: map[string]string{}, whole: map[string]bool{}, spoiled: map[io.Writer]bool{}}
+func newFaultyModel(seed uint64) *faultyModel {
+	return &faultyModel{random: rand.New(rand.NewPCG(seed, 3)), runs: map[string]int{},
+		arrivals: map[string]int{},
+		owners:   map[string]string{}, whole: map[string]bool{}, spoiled: map[io.Writer]bool{}}
 }
 
-func (x *troubled) draw(n int) int {
+func (x *faultyModel) draw(n int) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.random.IntN(n)
 }
 
-func (x *troubled) note(by map[string]int, id string) {
+func (x *faultyModel) count(by map[string]int, id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	by[id]++
 }
 
-func (x *troubled) complain(format string, args ...any) {
+func (x *faultyModel) report(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.wrong = append(x.wrong, fmt.Sprintf(format, args...))
 }
 
 // answer handles a request that is to be run.
-func (x *troubled) answer(q *http1.Request, w io.Writer) bool {
+func (x *faultyModel) answer(q *http1.Request, w io.Writer) bool {
 	id := q.Header.Get(tryIDHeader)
-	x.note(x.arrivals, id)
+	x.count(x.arrivals, id)
 	if !strings.HasSuffix(string(q.Body), id) {
-		x.complain("try %s has the body %q", id, q.Body)
+		x.report("try %s has the body %q", id, q.Body)
 	}
 	switch x.draw(14) {
 	case 0:
@@ -71,7 +72,7 @@
 	if from := q.Header.Get(kvFromHeader); from != "" && !x.takes(from, id) {
 		return full(q, w)
 	}
-	x.note(x.runs, id)
+	x.count(x.runs, id)
 	switch x.draw(14) {
 	case 0:
 		return false
@@ -89,14 +90,14 @@
 }
 
 // spoil notes that a connection carries more than the answers to its requests.
-func (x *troubled) spoil(w io.Writer) {
+func (x *faultyModel) spoil(w io.Writer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.spoiled[w] = true
 }
 
 // complete notes that all of a try's own answer is about to be written.
-func (x *troubled) complete(id string, w io.Writer) {
+func (x *faultyModel) complete(id string, w io.Writer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.spoiled[w] {
@@ -105,7 +106,7 @@
 }
 
 // write writes the answer, and some times less or more than it.
-func (x *troubled) write(q *http1.Request, w io.Writer) bool {
+func (x *faultyModel) write(q *http1.Request, w io.Writer) bool {
 	id := q.Header.Get(tryIDHeader)
 	if strings.HasPrefix(q.Target, "/safe/") || strings.HasPrefix(q.Target, "/unsafe/") {
 		body := "for " + id
@@ -121,7 +122,7 @@
 		return told == len(body)
 	}
 	io.WriteString(w, streamHead(q, "s"))
-	for piece := wholeNumber(q.Header.Get(lastEventHeader)) + 1; piece <= lastPiece; piece++ {
+	for piece := parseCount(q.Header.Get(lastEventHeader)) + 1; piece <= lastPiece; piece++ {
 		text := chunk(pieceOf(id, piece))
 		if x.draw(30) == 0 {
 			io.WriteString(w, text[:x.draw(len(text))])
@@ -137,7 +138,7 @@
 func pieceOf(id string, piece int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", piece, id) }
 
 // read handles a call to a reader.
-func (x *troubled) read(q *http1.Request, w io.Writer) bool {
+func (x *faultyModel) read(q *http1.Request, w io.Writer) bool {
 	if q.Method == "DELETE" {
 		x.takes("x"+strings.TrimPrefix(q.Target, "/api/kv-handle"), "")
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\n", length(""))
@@ -147,7 +148,7 @@
 	case 0:
 		return false
 	case 1:
-		x.note(x.arrivals, q.Header.Get(tryIDHeader))
+		x.count(x.arrivals, q.Header.Get(tryIDHeader))
 		return full(q, w)
 	case 2:
 		return nonsense(q, w)
@@ -161,26 +162,26 @@
 }
 
 // takes takes the memory of a handle for a try, or frees it.
-func (x *troubled) takes(from, id string) bool {
+func (x *faultyModel) takes(from, id string) bool {
 	handle := from[strings.LastIndexByte(from, '/')+1:]
 	x.mu.Lock()
 	owner, kept := x.owners[handle]
 	delete(x.owners, handle)
 	x.mu.Unlock()
 	if kept && id != "" && owner != id {
-		x.complain("try %s goes on from the memory of try %s", id, owner)
+		x.report("try %s goes on from the memory of try %s", id, owner)
 	}
 	return kept && x.draw(6) > 0
 }
 
 // tries sends requests one after the other, each on the connection of the one before where it is still good.
-func (x *troubled) tries(r *rig, name string, count int, check func(id, route string, got result)) {
+func (x *faultyModel) sendRequests(r *rig, name string, count int, check func(id, route string, got result)) {
 	routes := []string{"safe", "unsafe", "stream", "firm", "model", "modelfirm", "single"}
-	p := &person{C: r.C}
+	p := &testClient{C: r.C}
 	for n := range count {
 		id, route := fmt.Sprintf("%s-%d", name, n), routes[x.draw(len(routes))]
 		if p.Conn == nil && !p.connect(r.address) {
-			x.complain("nobody listens at %s", r.address)
+			x.report("nobody listens at %s", r.address)
 			return
 		}
 		p.post(route, id, "prompt of "+id)
@@ -207,7 +208,7 @@
 	served := 0
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			x := newTroubled(seed)
+			x := newFaultyModel(seed)
 			var servers []*server
 			for n := range 4 {
 				servers = append(servers, newServer(t, fmt.Sprint("i-l", n), "lookup", "", x.answer))
@@ -221,7 +222,7 @@
 			results := map[int]int{}
 			for n := range clients {
 				under.Go(func() {
-					x.tries(r, fmt.Sprint("c", n), requests, func(id, route string, got result) {
+					x.sendRequests(r, fmt.Sprint("c", n), requests, func(id, route string, got result) {
 						x.check(id, route, got)
 						x.mu.Lock()
 						results[got.status]++
@@ -230,10 +231,10 @@
 				})
 			}
 			under.Wait()
-			r.settled()
+			r.awaitCallsEnded()
 			r.Assert(x.wrong, qt.HasLen, 0)
-			t.Log("answers by status", results, "repeats", x.repeats(), "counts", r.front.Stats())
-			most := ratioPart*0.2*clients*requests + 2*slackPart*100
+			t.Log("answers by status", results, "repeats", x.repeats(), "counts", r.proxy.Stats())
+			most := ratioFraction*0.2*clients*requests + 2*slackFraction*100
 			r.Assert(float64(x.repeats()) <= most, qt.IsTrue, qt.Commentf("%d repeats", x.repeats()))
 			served += results[200]
 		})
@@ -244,7 +245,7 @@
 }
 
 // repeats is how many arrivals were not the first of their try.
-func (x *troubled) repeats() (sum int) {
+func (x *faultyModel) repeats() (sum int) {
 	for _, arrivals := range x.arrivals {
 		sum += max(arrivals-1, 0)
 	}
@@ -252,7 +253,7 @@
 }
 
 // check complains of an answer that breaks a rule.
-func (x *troubled) check(id, route string, got result) {
+func (x *faultyModel) check(id, route string, got result) {
 	x.mu.Lock()
 	runs, arrivals, whole := x.runs[id], x.arrivals[id], x.whole[id]
 	x.mu.Unlock()
@@ -270,20 +271,20 @@
 	}
 	switch {
 	case once && runs > 1:
-		x.complain("%s %s ran %d times", route, id, runs)
+		x.report("%s %s ran %d times", route, id, runs)
 	case arrivals > most:
-		x.complain("%s %s came to %d servers", route, id, arrivals)
+		x.report("%s %s came to %d servers", route, id, arrivals)
 	case whole && (got.status != 200 || got.cut):
-		x.complain("%s %s was answered whole and got status %d, cut %t", route, id, got.status, got.cut)
+		x.report("%s %s was answered whole and got status %d, cut %t", route, id, got.status, got.cut)
 	case got.status == 503 && once && runs > 0:
-		x.complain("%s %s ran and was refused", route, id)
+		x.report("%s %s ran and was refused", route, id)
 	case got.status == 200 && !got.cut && got.body != want:
-		x.complain("%s %s got %q", route, id, got.body)
+		x.report("%s %s got %q", route, id, got.body)
 	case got.status == 200 && got.cut && !strings.HasPrefix(want, got.body):
-		x.complain("%s %s got %q before the cut", route, id, got.body)
+		x.report("%s %s got %q before the cut", route, id, got.body)
 	case got.status == 0:
-		x.complain("%s %s got no answer", route, id)
+		x.report("%s %s got no answer", route, id)
 	case got.status != 200 && got.status != 500 && got.status != 502 && got.status != 503:
-		x.complain("%s %s got status %d", route, id, got.status)
+		x.report("%s %s got status %d", route, id, got.status)
 	}
 }
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -25,7 +25,7 @@
 const upload = 7 << 20
 
 func allowUploads(settings *agentsettings.Settings, state *fakeState) {
-	settings.MemoryBytes = 64 << 20 * bodiesPart
+	settings.MemoryBytes = 64 << 20 * bodyMemoryDivisor
 	state.config.Limits.MaxBodyBytes = upload
 }
 
@@ -76,7 +76,7 @@
 				got := <-rest
 				r.Assert(strings.Trim(string(got), "x"), qt.Equals, "")
 				r.Assert(len(got) <= size, qt.IsTrue)
-				r.settled()
+				r.awaitCallsEnded()
 			})
 		}
 	}
@@ -88,7 +88,7 @@
 	s := narrow(t, "i-1", func(conn net.Conn) {
 		q, body, err := http1.ReadRequestHead(bufio.NewReader(conn))
 		if err == nil && body.Length() > 0 {
-			awaitHangUp(qt.New(t), conn, patience)
+			awaitHangUp(qt.New(t), conn, testTimeout)
 		} else if err == nil {
 			ok("x")(q, conn)
 		}
@@ -97,7 +97,7 @@
 	p := r.dial()
 	answer := p.ask("POST", "/unsafe/", "a", strings.Repeat("x", 200_000), "Cresshub-Deadline-Ms: 2000")
 	r.Assert(answer.Status, qt.Equals, 504)
-	r.settled()
+	r.awaitCallsEnded()
 	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.TimedOut})
 	r.Assert(r.state.suspected, qt.HasLen, 0)
 }
@@ -109,7 +109,7 @@
 	s := narrow(t, "i-1", func(conn net.Conn) {
 		if _, _, err := http1.ReadRequestHead(bufio.NewReader(conn)); err == nil {
 			close(came)
-			awaitHangUp(qt.New(t), conn, patience/5) // without a reset it takes 15 s
+			awaitHangUp(qt.New(t), conn, testTimeout/5) // without a reset it takes 15 s
 			close(gone)
 		}
 	})
@@ -119,7 +119,7 @@
 	<-came
 	p.Close()
 	<-gone
-	r.settled()
+	r.awaitCallsEnded()
 	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 }
 
@@ -137,13 +137,13 @@
 func TestSmallRequestsFindDeadMachinesSoon(t *testing.T) {
 	c := qt.New(t)
 	p, w, _ := poolOf(t, 9)
-	conn, err := p.take(context.Background(), w)
+	conn, err := p.get(context.Background(), w)
 	c.Assert(err, qt.IsNil)
-	defer p.drop(conn)
+	defer p.discard(conn)
 	c.Assert(userTimeout(c, conn), qt.Equals, serverTimeout)
-	conn.allowUnread(true, 20*serverTimeout)
+	conn.setUnackedTimeout(true, 20*serverTimeout)
 	c.Assert(userTimeout(c, conn), qt.Equals, 20*serverTimeout)
-	conn.allowUnread(false, 20*serverTimeout)
+	conn.setUnackedTimeout(false, 20*serverTimeout)
 	c.Assert(userTimeout(c, conn), qt.Equals, serverTimeout)
 }
 
--- a/internal/router/dataplane/verdict.go
+++ b/internal/router/dataplane/verdict.go
@@ -31,57 +31,57 @@
 }
 
 // verdict is what is done with a server's answer.
-type verdict int
+type responseClass int
 
 const (
-	pass        verdict = iota // the client gets it as it is
-	rejected                   // the server did not run the request
-	misdirected                // another incarnation has the address; it did not run the request
-	failed                     // the server's own failure; passed on where nothing more is tried
-	unusable                   // not to be passed on, and nothing says that the request did not run
+	classForward     responseClass = iota // the client gets it as it is
+	classRejected                         // the server did not run the request
+	classMisdirected                      // another incarnation has the address; it did not run the request
+	classServerError                      // the server's own failure; passed on where nothing more is tried
+	classUnusable                         // not to be passed on, and nothing says that the request did not run
 )
 
 // traits is what a verdict rests on.
-type traits struct {
-	status  int
-	notRun  bool // it carries Cresshub-Not-Run
-	stamped bool // it carries Cresshub-Server-Stamp
-	encoded bool // it carries Content-Encoding, so the body is not the server's
-	unsure  bool // the end of the connection is its end, and a reset would not be told from it
+type responseTraits struct {
+	status       int
+	notRun       bool // it carries Cresshub-Not-Run
+	stamped      bool // it carries Cresshub-Server-Stamp
+	encoded      bool // it carries Content-Encoding, so the body is not the server's
+	endUncertain bool // the end of the connection is its end, and a reset would not be told from it
 }
 
-func judge(t traits) verdict {
+func classify(traits responseTraits) responseClass {
 	switch {
-	case t.status == 421:
-		return misdirected
-	case t.status == 400 && t.notRun:
-		return pass // another server would say the same of this request
-	case t.notRun:
-		return rejected
-	case t.encoded, t.unsure:
-		return unusable
-	case t.status/100 == 2 && !t.stamped:
-		return unusable
-	case t.status == 408 || t.status == 429 || t.status == 503:
-		return unusable // a promise that the server has not made
-	case t.status >= 500:
-		return failed
+	case traits.status == 421:
+		return classMisdirected
+	case traits.status == 400 && traits.notRun:
+		return classForward // another server would say the same of this request
+	case traits.notRun:
+		return classRejected
+	case traits.encoded, traits.endUncertain:
+		return classUnusable
+	case traits.status/100 == 2 && !traits.stamped:
+		return classUnusable
+	case traits.status == 408 || traits.status == 429 || traits.status == 503:
+		return classUnusable // a promise that the server has not made
+	case traits.status >= 500:
+		return classServerError
 	}
-	return pass
+	return classForward
 }
 
 // outcomes tells the decisions how a call with such an answer ended.
-var outcomes = map[verdict]scheduler.Outcome{
-	pass: scheduler.Served, rejected: scheduler.Rejected, misdirected: scheduler.Misdirected,
-	failed:   scheduler.Failed,
-	unusable: scheduler.Broken,
+var outcomeOfClass = map[responseClass]scheduler.Outcome{
+	classForward: scheduler.Served, classRejected: scheduler.Rejected, classMisdirected: scheduler.Misdirected,
+	classServerError: scheduler.Failed,
+	classUnusable:    scheduler.Broken,
 }
 
-func (c *call) answerTraits(head *http1.Response, body *http1.Body) traits {
-	return traits{
+func (c *call) responseTraits(head *http1.Response, body *http1.Body) responseTraits {
+	return responseTraits{
 		status: head.Status, notRun: head.Header.Get(notRunHeader) != "",
 		stamped: head.Header.Get(stampHeader) != "", encoded: head.Header.Get("Content-Encoding") != "",
-		unsure: c.unsent && endsWithConnection(head, body),
+		endUncertain: c.partlySent && endsWithConnection(head, body),
 	}
 }
 
--- a/internal/router/dataplane/verdict_test.go
+++ b/internal/router/dataplane/verdict_test.go
@@ -9,29 +9,29 @@
 func TestJudge(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		traits
-		want verdict
+		responseTraits
+		want responseClass
 	}{
-		{"a success", traits{status: 200, stamped: true}, pass},
-		{"a success without a stamp", traits{status: 200}, unusable},
-		{"a success that is encoded", traits{status: 200, stamped: true, encoded: true}, unusable},
-		{"an end of unknown kind", traits{status: 200, stamped: true, unsure: true}, unusable},
-		{"full", traits{status: 503, notRun: true}, rejected},
-		{"too many", traits{status: 429, notRun: true}, rejected},
-		{"late", traits{status: 504, notRun: true}, rejected},
-		{"another incarnation", traits{status: 421}, misdirected},
-		{"another incarnation that says so", traits{status: 421, notRun: true}, misdirected},
-		{"a bad request", traits{status: 400, notRun: true}, pass},
-		{"503 without a promise", traits{status: 503}, unusable},
-		{"429 without a promise", traits{status: 429}, unusable},
-		{"408 without a promise", traits{status: 408}, unusable},
-		{"its own failure", traits{status: 500}, failed},
-		{"its own deadline", traits{status: 504}, failed},
-		{"a failure that is encoded", traits{status: 500, encoded: true}, unusable},
-		{"not found", traits{status: 404}, pass},
+		{"a success", responseTraits{status: 200, stamped: true}, classForward},
+		{"a success without a stamp", responseTraits{status: 200}, classUnusable},
+		{"a success that is encoded", responseTraits{status: 200, stamped: true, encoded: true}, classUnusable},
+		{"an end of unknown kind", responseTraits{status: 200, stamped: true, endUncertain: true}, classUnusable},
+		{"full", responseTraits{status: 503, notRun: true}, classRejected},
+		{"too many", responseTraits{status: 429, notRun: true}, classRejected},
+		{"late", responseTraits{status: 504, notRun: true}, classRejected},
+		{"another incarnation", responseTraits{status: 421}, classMisdirected},
+		{"another incarnation that says so", responseTraits{status: 421, notRun: true}, classMisdirected},
+		{"a bad request", responseTraits{status: 400, notRun: true}, classForward},
+		{"503 without a promise", responseTraits{status: 503}, classUnusable},
+		{"429 without a promise", responseTraits{status: 429}, classUnusable},
+		{"408 without a promise", responseTraits{status: 408}, classUnusable},
+		{"its own failure", responseTraits{status: 500}, classServerError},
+		{"its own deadline", responseTraits{status: 504}, classServerError},
+		{"a failure that is encoded", responseTraits{status: 500, encoded: true}, classUnusable},
+		{"not found", responseTraits{status: 404}, classForward},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			qt.New(t).Assert(judge(test.traits), qt.Equals, test.want)
+			qt.New(t).Assert(classify(test.responseTraits), qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/router/dataplane/waiton_test.go
+++ b/internal/router/dataplane/waiton_test.go
@@ -25,15 +25,15 @@
 	}{
 		{"a repeat is left", "safe", 100, func(*call) {}, false},
 		{"no repeat is left", "safe", 0, func(*call) {}, true},
-		{"all servers were tried", "safe", 100, func(c *call) { c.delivery.attempts.arrivals = 2 }, true},
+		{"all servers were tried", "safe", 100, func(c *call) { c.roundTrip.attempts.count = 2 }, true},
 		{"never twice", "unsafe", 100, func(*call) {}, true},
 		{"a stream that may go on", "stream", 100, func(c *call) {
-			c.delivery.relay.begun, c.delivery.relay.order.any = true, true
+			c.roundTrip.relay.started, c.roundTrip.relay.order.hasLast = true, true
 		}, false},
-		{"a stream that may not go on", "stream", 100, func(c *call) { c.delivery.relay.begun = true }, true},
+		{"a stream that may not go on", "stream", 100, func(c *call) { c.roundTrip.relay.started = true }, true},
 		{"a reader", "model", 0, func(c *call) { c.role = scheduler.Prefill }, false},
-		{"no time is left", "safe", 0, func(c *call) { c.delivery.request.end = time.Now() }, false},
-		{"the client has left", "safe", 0, func(c *call) { c.delivery.why = clientLeft }, false},
+		{"no time is left", "safe", 0, func(c *call) { c.roundTrip.request.deadline = time.Now() }, false},
+		{"the client has left", "safe", 0, func(c *call) { c.roundTrip.stopCause = clientDisconnected }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRig(t, slack(test.slack), lookups(t, breakOff)...)
@@ -52,16 +52,16 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	route := r.state.config.Match("h", "/"+routeName+"/")
-	end := time.Now().Add(patience)
-	q := &request{Request: &http1.Request{}, end: end, limit: end, route: route,
+	end := time.Now().Add(testTimeout)
+	q := &request{Request: &http1.Request{}, deadline: end, hardDeadline: end, route: route,
 		service: r.state.config.Services[route.Targets[0].Service]}
-	q.pairing.Service = q.service
+	q.scheduling.Service = q.service
 	socket := &socket{Conn: near}
-	call := &call{delivery: newDelivery(&client{front: r.front, socket: socket}, q),
+	call := &call{roundTrip: newRoundTrip(&client{proxy: r.proxy, socket: socket}, q),
 		conn: &connection{socket: socket}, choice: &scheduler.Call{Server: &catalog.Server{ID: "i-1"}}}
 	change(call)
-	near.SetReadDeadline(longAgo)
-	socket.waiter = call
+	near.SetReadDeadline(pastDeadline)
+	socket.extender = call
 	go func() {
 		io.WriteString(far, "x")
 		far.Close()
@@ -72,7 +72,7 @@
 // A silent server that nobody else could stand in for is waited for: giving it up would end the answer
 // sooner, and for nothing.
 func TestSilentServerIsWaitedForWhereNobodyElseCanAnswer(t *testing.T) {
-	begun := func(c *call) { c.delivery.relay.begun, c.delivery.relay.order.any = true, true }
+	begun := func(c *call) { c.roundTrip.relay.started, c.roundTrip.relay.order.hasLast = true, true }
 	untouched := func(*call) {}
 	other := &server{Server: &catalog.Server{ID: "i-2", Service: "lookup", State: catalog.Ready}}
 	for _, test := range []struct {
