--- a/internal/router/agent/chain_calls.go
+++ b/internal/router/agent/chain_calls.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			return unavailable(err.Error())
 		}
-		result.Outcome, result.Body = peerproto.OutcomeTaken, document
+		result.Outcome, result.Body = peerproto.OutcomeAccepted, document
 	case chain.Conflict, chain.Invalid:
 		result.Outcome = peerproto.OutcomeConflict
 	default:
--- a/internal/router/agent/chain_open.go
+++ b/internal/router/agent/chain_open.go
@@ -97,7 +97,7 @@
 	if err := n.files.SyncDir(n.settings.DataDir); err != nil { // else a loss of power may take the folder away
 		return nil, nil, err
 	}
-	log, records, damage, err := segmentlog.OpenAnew(n.files, folder, segmentlog.Options{})
+	log, records, damage, err := segmentlog.OpenOrReset(n.files, folder, segmentlog.Options{})
 	if damage != nil {
 		n.log.Error().Err(damage).Msg("chain: the log is damaged; this machine begins anew")
 	}
--- a/internal/router/agent/chain_patch.go
+++ b/internal/router/agent/chain_patch.go
@@ -48,7 +48,7 @@
 	}
 	current := m.read(timeout)
 	switch {
-	case current.Outcome != peerproto.OutcomeTaken:
+	case current.Outcome != peerproto.OutcomeAccepted:
 		return nil, unavailable("the current configuration can't be read: " + current.Reason)
 	case current.Version != version:
 		return nil, nil
--- a/internal/router/agent/chain_wire.go
+++ b/internal/router/agent/chain_wire.go
@@ -9,9 +9,9 @@
 func encodeChain(m *chain.Message) []byte {
 	return peerproto.Encode(&peerproto.ChainMessage{
 		Kind: int(m.Kind), From: string(m.From), Epoch: int64(m.Epoch), Address: m.Address, HasDisk: m.HasDisk,
-		EntryEpoch: int64(m.EntryEpoch), Open: m.Open, Leaving: m.Leaving, Stalled: m.Stalled, Sealed: m.Sealed,
-		Hears: textsOf(m.Hears), View: encodeView(&m.View), Ballot: encodeBallot(m.Ballot),
-		AcceptedBallot: encodeBallot(m.AcceptedBallot), Sequence: int64(m.Sequence), Version: m.Version,
+		EntryEpoch: int64(m.EntryEpoch), Open: m.Open, Draining: m.Leaving, Stalled: m.Stalled, Sealed: m.Sealed,
+		ReceivesFrom: textsOf(m.Hears), View: encodeView(&m.View), ProposalNumber: encodeBallot(m.Ballot),
+		AcceptedNumber: encodeBallot(m.AcceptedBallot), Sequence: int64(m.Sequence), Version: m.Version,
 		Digest: m.Digest, HasBody: m.HasBody, Body: m.Body, Resend: m.Resend, Origin: string(m.Origin),
 		Request: int64(m.Request), Expected: m.Expected, Outcome: int(m.Outcome), Marker: int64(m.Marker),
 		History: encodeHistory(m.History),
@@ -26,9 +26,9 @@
 	}
 	return chain.Message{
 		Kind: chain.Kind(m.Kind), From: chain.MemberID(m.From), Epoch: uint64(m.Epoch), Address: m.Address,
-		HasDisk: m.HasDisk, EntryEpoch: uint64(m.EntryEpoch), Open: m.Open, Leaving: m.Leaving,
-		Stalled: m.Stalled, Sealed: m.Sealed, Hears: identitiesOf(m.Hears), View: decodeView(&m.View),
-		Ballot: decodeBallot(m.Ballot), AcceptedBallot: decodeBallot(m.AcceptedBallot),
+		HasDisk: m.HasDisk, EntryEpoch: uint64(m.EntryEpoch), Open: m.Open, Leaving: m.Draining,
+		Stalled: m.Stalled, Sealed: m.Sealed, Hears: identitiesOf(m.ReceivesFrom), View: decodeView(&m.View),
+		Ballot: decodeBallot(m.ProposalNumber), AcceptedBallot: decodeBallot(m.AcceptedNumber),
 		Sequence: uint64(m.Sequence), Version: m.Version, Digest: m.Digest, HasBody: m.HasBody, Body: m.Body,
 		Resend: m.Resend, Origin: chain.MemberID(m.Origin), Request: uint64(m.Request), Expected: m.Expected,
 		Outcome: chain.Outcome(m.Outcome), Marker: uint64(m.Marker), History: decodeHistory(m.History),
@@ -86,12 +86,12 @@
 	return infos
 }
 
-func encodeBallot(b chain.Ballot) peerproto.ChainBallot {
-	return peerproto.ChainBallot{Round: int64(b.Round), Member: string(b.Member)}
+func encodeBallot(b chain.Ballot) peerproto.ChainProposalNumber {
+	return peerproto.ChainProposalNumber{Counter: int64(b.Round), Proposer: string(b.Member)}
 }
 
-func decodeBallot(b peerproto.ChainBallot) chain.Ballot {
-	return chain.Ballot{Round: uint64(b.Round), Member: chain.MemberID(b.Member)}
+func decodeBallot(b peerproto.ChainProposalNumber) chain.Ballot {
+	return chain.Ballot{Round: uint64(b.Counter), Member: chain.MemberID(b.Proposer)}
 }
 
 func textsOf(ids []chain.MemberID) []string {
--- a/internal/router/agent/compare.go
+++ b/internal/router/agent/compare.go
@@ -73,7 +73,7 @@
 
 func (n *Node) takeCompare(c *transport.Conn, frame peerproto.Frame) {
 	var request peerproto.Comparison
-	if peerproto.Decode(frame.Body, &request) != nil || len(request.Digest) != directory.Ranges {
+	if peerproto.Decode(frame.Body, &request) != nil || len(request.Digest) != directory.NumRanges {
 		c.Close()
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 	answer := &peerproto.Comparison{}
 	n.state.read(func(d *directory.Directory) {
-		if answer.Ranges = d.Digest().Differing(theirs); len(answer.Ranges) > 0 {
+		if answer.Ranges = d.Digest().Diff(theirs); len(answer.Ranges) > 0 {
 			answer.Records = valuesOf(d.InRanges(answer.Ranges))
 		}
 	})
--- a/internal/router/agent/config_calls.go
+++ b/internal/router/agent/config_calls.go
@@ -64,7 +64,7 @@
 	event := n.log.Info().Int64("version", version).Int64("on", expected).Str("by", call.Method).
 		Dur("took_ms", n.now()-began)
 	switch result.Outcome {
-	case peerproto.OutcomeTaken:
+	case peerproto.OutcomeAccepted:
 		n.shown.raise(version)
 		event.Msg("config: acknowledged")
 		return controlserver.JSON(200, []byte("{}"))
@@ -85,13 +85,13 @@
 	result := n.onControlState(controlCall{kind: peerproto.KindRead,
 		here: func() *peerproto.Result { return n.control.read(controlTimeout) }})
 	n.observeConfigCall("get", result)
-	if result.Outcome == peerproto.OutcomeTaken {
+	if result.Outcome == peerproto.OutcomeAccepted {
 		invariant.Assert(result.Version >= shownBefore, invariant.ReadsNotOlder,
 			"a read shows version %d, %d was shown before", result.Version, shownBefore)
 		n.shown.raise(result.Version)
 	}
 	switch {
-	case result.Outcome != peerproto.OutcomeTaken:
+	case result.Outcome != peerproto.OutcomeAccepted:
 		return busy()
 	case len(result.Body) == 0:
 		return controlserver.Text(404, "no configuration was sent yet; send one with If-Match: 0")
--- a/internal/router/agent/control_call_test.go
+++ b/internal/router/agent/control_call_test.go
@@ -18,12 +18,13 @@
 		outcome peerproto.Outcome
 		took    time.Duration
 	}{
-		{"the first answers", []peerproto.Outcome{peerproto.OutcomeTaken, 0}, peerproto.OutcomeTaken, 0},
+		{"the first answers", []peerproto.Outcome{peerproto.OutcomeAccepted, 0}, peerproto.OutcomeAccepted, 0},
 		{"the first hangs", []peerproto.Outcome{0, peerproto.OutcomeConflict},
 			peerproto.OutcomeConflict, controlHedge},
-		{"two hang", []peerproto.Outcome{0, 0, peerproto.OutcomeTaken}, peerproto.OutcomeTaken, 2 * controlHedge},
-		{"the first can't agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeTaken},
-			peerproto.OutcomeTaken, 0},
+		{"two hang", []peerproto.Outcome{0, 0, peerproto.OutcomeAccepted}, peerproto.OutcomeAccepted,
+			2 * controlHedge},
+		{"the first can't agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeAccepted},
+			peerproto.OutcomeAccepted, 0},
 		{"none can agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeUnavailable},
 			peerproto.OutcomeUnavailable, 0},
 		{"all hang", []peerproto.Outcome{0, 0}, peerproto.OutcomeUnavailable, controlTimeout},
--- a/internal/router/agent/demand.go
+++ b/internal/router/agent/demand.go
@@ -45,7 +45,7 @@
 		demands := &peerproto.Demands{}
 		for _, d := range b.node.workload.Demands() {
 			demands.Services = append(demands.Services,
-				peerproto.Demand{Service: d.Service, Reading: d.Prefill, Writing: d.Decode})
+				peerproto.Demand{Service: d.Service, Prefill: d.Prefill, Decode: d.Decode})
 		}
 		b.mu.Lock()
 		b.mine = demands
@@ -84,8 +84,8 @@
 		for _, d := range told.demands.Services {
 			if d.Service == service {
 				sum.HasTraffic = true
-				sum.PrefillCalls += d.Reading
-				sum.DecodeCalls += d.Writing
+				sum.PrefillCalls += d.Prefill
+				sum.DecodeCalls += d.Decode
 			}
 		}
 	}
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -13,7 +13,7 @@
 
 // serveFeed sends the changes of this copy to a follower until its connection ends.
 func (n *Node) serveFeed(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
-	place, version := uint64(request.Place), request.Version
+	place, version := uint64(request.Offset), request.Version
 	if request.Feed != n.id {
 		place = 0
 	}
@@ -61,7 +61,7 @@
 	n.state.mu.Lock()
 	defer n.state.mu.Unlock()
 	s := n.state
-	return s.directory.Number() != place || s.version() != version || s.view.epoch != epoch
+	return s.directory.Offset() != place || s.version() != version || s.view.epoch != epoch
 }
 
 // feedPiece returns what a follower at a place has not heard yet.
@@ -69,10 +69,10 @@
 	n.state.mu.Lock()
 	defer n.state.mu.Unlock()
 	d := n.state.directory
-	if place > d.Number() {
+	if place > d.Offset() {
 		place = 0
 	}
-	piece := &peerproto.Feed{Feed: n.id, From: int64(place), To: int64(d.Number()), Epoch: n.state.view.epoch}
+	piece := &peerproto.Feed{Feed: n.id, From: int64(place), To: int64(d.Offset()), Epoch: n.state.view.epoch}
 	piece.Records = valuesOf(d.Since(place))
 	if epoch != n.state.view.epoch {
 		piece.Members = n.state.view.members
--- a/internal/router/agent/follow.go
+++ b/internal/router/agent/follow.go
@@ -80,7 +80,7 @@
 // the others acknowledge; it is left once another one can be followed.
 func (n *Node) mayStayWith(source *hub) bool {
 	state := source.current()
-	return state.holds && state.reachesMajority && source.link.Up() && n.hubAt(source.ip) == source
+	return state.holds && state.reachesMajority && source.link.Connected() && n.hubAt(source.ip) == source
 }
 
 // becomeHub ends following where this process is a hub; followMu is held.
@@ -95,7 +95,7 @@
 // sendFollow asks the present source for its feed; followMu is held.
 func (n *Node) sendFollow() {
 	f := &n.following
-	request := peerproto.Follow{Feed: f.feed, Place: int64(f.place), Version: n.state.version()}
+	request := peerproto.Follow{Feed: f.feed, Offset: int64(f.place), Version: n.state.version()}
 	f.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
 }
 
@@ -107,14 +107,14 @@
 	for _, h := range n.currentHubs() {
 		state := h.current()
 		switch {
-		case state.heard == 0 || !state.holds || !h.link.Up():
+		case state.heard == 0 || !state.holds || !h.link.Connected():
 		case state.reachesMajority:
 			inMajority = append(inMajority, h)
 		default:
 			others = append(others, h)
 		}
 	}
-	if followsNone := avoid == nil || !avoid.link.Up(); followsNone && len(inMajority) == 0 {
+	if followsNone := avoid == nil || !avoid.link.Connected(); followsNone && len(inMajority) == 0 {
 		return n.firstByRank(others, nil)
 	}
 	return n.firstByRank(inMajority, avoid)
@@ -138,7 +138,7 @@
 
 // takeFromHub takes a frame that answers no call: a piece of the feed.
 func (n *Node) takeFromHub(h *hub, frame peerproto.Frame) {
-	if frame.Kind == peerproto.KindWork {
+	if frame.Kind == peerproto.KindLoadReport {
 		n.takeWork(h, frame)
 		return
 	}
@@ -245,7 +245,7 @@
 		return
 	}
 	var result peerproto.Result
-	if peerproto.Decode(frame.Body, &result) == nil && result.Outcome == peerproto.OutcomeTaken &&
+	if peerproto.Decode(frame.Body, &result) == nil && result.Outcome == peerproto.OutcomeAccepted &&
 		result.Version > n.state.version() {
 		n.takePacked(result.Body)
 	}
--- a/internal/router/agent/front_state.go
+++ b/internal/router/agent/front_state.go
@@ -17,7 +17,7 @@
 // Proxies returns how many proxies share common budgets.
 func (s *frontState) Proxies() int { return s.state.Proxies() }
 
-// Gone notes that another incarnation has the address of a server, so that the server has ended.
+// Closed notes that another incarnation has the address of a server, so that the server has ended.
 func (s *frontState) Gone(server string) {
 	(*Node)(s).reportLost(server, "its address has another server")
 }
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -156,10 +156,10 @@
 	c.Assert(n.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
 	prompts, err := n.saved().read(savedPrompts)
 	c.Assert(err, qt.IsNil)
-	var work peerproto.Work
+	var work peerproto.LoadReport
 	c.Assert(peerproto.Decode(prompts, &work), qt.IsNil)
-	c.Assert(work.Known, qt.IsTrue)
-	c.Assert(decodePrompts(work.Prompts), qt.DeepEquals, promptsAt(1<<64-3, 7))
+	c.Assert(work.FullIndex, qt.IsTrue)
+	c.Assert(decodePrompts(work.Prefixes), qt.DeepEquals, promptsAt(1<<64-3, 7))
 
 	for _, name := range []string{"servers", "prompts", "proxies"} {
 		c.Assert(os.Remove(filepath.Join(n.settings.DataDir, name)), qt.IsNil)
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -166,21 +166,21 @@
 		{Server: "server-2", Prefill: time.Hour, Calls: 70}}
 	prompts := []scheduler.CachedPrefixes{{Server: "server-1", Hashes: []uint64{1, 1<<64 - 3}},
 		{Server: "server-2", Hashes: []uint64{1 << 63}}}
-	checkGolden(c, "work.bin", peerproto.Encode(&peerproto.Work{Whole: true, Servers: encodeWork(changes),
-		Known: true, Prompts: encodePrompts(prompts)}))
-	var work peerproto.Work
+	checkGolden(c, "work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true, Servers: encodeWork(changes),
+		FullIndex: true, Prefixes: encodePrompts(prompts)}))
+	var work peerproto.LoadReport
 	c.Assert(peerproto.Decode(readGolden(c, "work.bin"), &work), qt.IsNil)
-	c.Assert(work.Whole && work.Known, qt.IsTrue)
+	c.Assert(work.Full && work.FullIndex, qt.IsTrue)
 	c.Assert(decodeWork(work.Servers), qt.DeepEquals, changes)
-	c.Assert(decodePrompts(work.Prompts), qt.DeepEquals, prompts)
+	c.Assert(decodePrompts(work.Prefixes), qt.DeepEquals, prompts)
 
 	n := goldenNode(t)
 	told := &sharedWork{}
 	n.workload = told
-	n.work.takeOwn(&peerproto.Work{Servers: encodeWork(changes[:1]), Prompts: encodePrompts(prompts[:1])})
+	n.work.takeOwn(&peerproto.LoadReport{Servers: encodeWork(changes[:1]), Prefixes: encodePrompts(prompts[:1])})
 	local := n.work.sumLocal()
-	checkGolden(c, "hub_work.bin", peerproto.Encode(&peerproto.Work{Whole: true,
-		Servers: n.work.selected(local, nil, true), Prompts: n.work.localPrompts}))
+	checkGolden(c, "hub_work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true,
+		Servers: n.work.selected(local, nil, true), Prefixes: n.work.localPrompts}))
 
 	other := goldenNode(t)
 	other.workload = told
@@ -196,7 +196,7 @@
 	c := qt.New(t)
 	n := goldenNode(t)
 	checkGolden(c, "demands.bin", peerproto.Encode(&peerproto.Demands{Services: []peerproto.Demand{
-		{Service: "chat", Reading: 1.5, Writing: 2.25}, {Service: "other", Reading: 3, Writing: 4}}}))
+		{Service: "chat", Prefill: 1.5, Decode: 2.25}, {Service: "other", Prefill: 3, Decode: 4}}}))
 	n.demand.take("proxy-2", n.now(), readGolden(c, "demands.bin"))
 	c.Assert(n.demand.of("chat", n.now()), qt.Equals,
 		roleplan.Demand{HasTraffic: true, PrefillCalls: 1.5, DecodeCalls: 2.25})
@@ -228,7 +228,7 @@
 	follower := goldenNode(t)
 	var result peerproto.Result
 	c.Assert(peerproto.Decode(readGolden(c, "config_result.bin"), &result), qt.IsNil)
-	c.Assert(result.Outcome, qt.Equals, peerproto.OutcomeTaken)
+	c.Assert(result.Outcome, qt.Equals, peerproto.OutcomeAccepted)
 	c.Assert(result.Version, qt.Equals, int64(40))
 	follower.takePacked(result.Body)
 	checkConfig(c, follower, 40, goldenDocument)
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -109,7 +109,7 @@
 		h.state.pushed = 0 // another process: it knows nothing yet
 	}
 	h.state.id, h.state.heard = status.ID, now
-	h.state.holds, h.state.reachesMajority = status.HoldsSnapshot, status.ReachesMajority
+	h.state.holds, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
 	h.mu.Unlock()
 	n.hubsMu.Lock()
 	n.reachedAt = now
--- a/internal/router/agent/hub_push.go
+++ b/internal/router/agent/hub_push.go
@@ -37,14 +37,14 @@
 	var records []directory.Record
 	var number uint64
 	n.state.read(func(d *directory.Directory) {
-		number = d.Number()
+		number = d.Offset()
 		for _, r := range d.Since(pushed) {
 			if r.ID == n.id || r.Watcher == n.id {
 				records = append(records, *r)
 			}
 		}
 	})
-	if !h.link.Up() {
+	if !h.link.Connected() {
 		return false
 	}
 	if len(records) > 0 {
--- a/internal/router/agent/inspection.go
+++ b/internal/router/agent/inspection.go
@@ -104,7 +104,7 @@
 		Version: record.Version, Slots: record.Slots, State: stateNames[record.State], Stage: record.Stage,
 		Sequence: record.Sequence, HeardBy: record.Watcher,
 	}
-	if d.Changing(record) {
+	if d.ChangingRole(record) {
 		listed.ChangingTo = d.Get(directory.OrderID(record.ID)).Stage
 	}
 	return listed
--- a/internal/router/agent/introductions.go
+++ b/internal/router/agent/introductions.go
@@ -99,7 +99,7 @@
 	n := i.node
 	hello := peerproto.Encode(&peerproto.Hello{ID: n.id})
 	body := peerproto.Encode(n.status())
-	frame, err := n.endpoint.CallOnce(n.innerAddress(ip), hello, peerproto.KindIntroduce, body, introduceTimeout)
+	frame, err := n.endpoint.CallOnce(n.innerAddress(ip), hello, peerproto.KindAnnounce, body, introduceTimeout)
 	result := introductionResult{ip: ip}
 	var status peerproto.Status
 	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
--- a/internal/router/agent/lifecycle.go
+++ b/internal/router/agent/lifecycle.go
@@ -89,6 +89,6 @@
 func (n *Node) announceEnd(timeout time.Duration) {
 	n.announceSelf(func(self *directory.Record) { self.State = directory.Ended })
 	var place uint64
-	n.state.read(func(d *directory.Directory) { place = d.Number() })
+	n.state.read(func(d *directory.Directory) { place = d.Offset() })
 	n.awaitMajority(place, timeout)
 }
--- a/internal/router/agent/node.go
+++ b/internal/router/agent/node.go
@@ -101,7 +101,7 @@
 		option(n)
 	}
 	n.endpoint = transport.NewEndpoint(n.network)
-	n.endpoint.AcceptFailed = n.acceptFailed
+	n.endpoint.OnAcceptError = n.acceptFailed
 	n.seedList.Store(&settings.Seeds)
 	n.self = directory.Record{
 		Kind: directory.KindProxy, ID: n.id, State: directory.Ready, Address: settings.IP, Zone: settings.Zone,
--- a/internal/router/agent/observe.go
+++ b/internal/router/agent/observe.go
@@ -53,7 +53,7 @@
 }
 
 var controlOutcomes = map[peerproto.Outcome]string{
-	peerproto.OutcomeTaken: "taken", peerproto.OutcomeConflict: "refused",
+	peerproto.OutcomeAccepted: "taken", peerproto.OutcomeConflict: "refused",
 	peerproto.OutcomeUnavailable: "unclear",
 	peerproto.OutcomeInvalid:     "invalid",
 }
--- a/internal/router/agent/orphans.go
+++ b/internal/router/agent/orphans.go
@@ -60,7 +60,7 @@
 		return false
 	}
 	limit := orphanHeartbeats * n.settings.Beat
-	if watcher != nil && now-d.ChangedAt(watcher.ID) <= limit {
+	if watcher != nil && now-d.ModifiedAt(watcher.ID) <= limit {
 		return false
 	}
 	return n.isSilent(now, d, record, limit)
--- a/internal/router/agent/peers.go
+++ b/internal/router/agent/peers.go
@@ -19,7 +19,7 @@
 	case peerproto.KindPing:
 		n.demand.take(c.Peer(), n.now(), frame.Body)
 		c.Answer(frame, peerproto.KindPong, peerproto.Encode(n.status()))
-	case peerproto.KindIntroduce:
+	case peerproto.KindAnnounce:
 		n.takeIntroduction(c, frame)
 	case peerproto.KindUpsert:
 		n.takeUpsert(c, frame)
@@ -31,17 +31,17 @@
 		c.Answer(frame, peerproto.KindResult, peerproto.Encode(n.configInForce()))
 	case peerproto.KindPropose, peerproto.KindPatch, peerproto.KindRead:
 		go n.answerControl(c, frame)
-	case peerproto.KindWork:
+	case peerproto.KindLoadReport:
 		n.work.fromFollower(c, frame.Body)
-	case peerproto.KindHubWork:
+	case peerproto.KindHubLoadReport:
 		n.work.fromHub(c, frame.Body)
 	case peerproto.KindChain:
 		n.control.take(c.Peer(), frame.Body)
 	}
 }
 
-// Gone notes that the connection of another process has ended.
-func (n *Node) Gone(c *transport.Conn) {
+// Closed notes that the connection of another process has ended.
+func (n *Node) Closed(c *transport.Conn) {
 	n.work.forget(c)
 	n.followersMu.Lock()
 	defer n.followersMu.Unlock()
@@ -54,7 +54,7 @@
 func (n *Node) status() *peerproto.Status {
 	v := n.state.currentView()
 	return &peerproto.Status{ID: n.id, Version: n.state.version(), Epoch: v.epoch, Members: v.members,
-		HoldsSnapshot: n.state.isSynced(), ReachesMajority: n.reachesFleet()}
+		HasSnapshot: n.state.isSynced(), ReachesMajority: n.reachesFleet()}
 }
 
 // takeIntroduction learns the view of a process that sought this one out.
@@ -76,7 +76,7 @@
 	}
 	n.mergeHeard(upsert.Records)
 	n.endPredecessors(c.Peer())
-	c.Answer(frame, peerproto.KindDone, nil)
+	c.Answer(frame, peerproto.KindAck, nil)
 }
 
 // endPredecessors marks earlier processes of the same machine as lost, now that this one has called. That is
@@ -120,7 +120,8 @@
 	if config == nil {
 		return &peerproto.Result{Outcome: peerproto.OutcomeUnavailable, Reason: "no configuration is known here"}
 	}
-	return &peerproto.Result{Outcome: peerproto.OutcomeTaken, Version: config.Version, Body: n.packed.of(config)}
+	return &peerproto.Result{Outcome: peerproto.OutcomeAccepted, Version: config.Version,
+		Body: n.packed.of(config)}
 }
 
 // noteHeard notes that a process has called.
--- a/internal/router/agent/registration.go
+++ b/internal/router/agent/registration.go
@@ -112,10 +112,10 @@
 		if known != nil && record.Watcher == "" {
 			record.Watcher = known.Watcher
 		}
-		if known == nil || !known.SameTerms(record) {
+		if known == nil || !known.RoutesLike(record) {
 			d.Merge(now, *record)
 		}
-		place = d.Number()
+		place = d.Offset()
 	})
 	return place, late
 }
@@ -130,7 +130,7 @@
 		}
 		ended.State, ended.Watcher = directory.Ended, n.id
 		d.Merge(now, ended)
-		place = d.Number()
+		place = d.Offset()
 	})
 	if !n.awaitMajority(place, drainAckTimeout) {
 		return n.refuseHeartbeat(id, "end_not_told")
--- a/internal/router/agent/saved_directory.go
+++ b/internal/router/agent/saved_directory.go
@@ -120,11 +120,11 @@
 // loadPrompts takes in what was known of which servers hold what.
 func (n *Node) loadPrompts() {
 	body, err := n.saved().read(savedPrompts)
-	var work peerproto.Work
+	var work peerproto.LoadReport
 	if err != nil || n.front == nil || peerproto.Decode(body, &work) != nil {
 		return
 	}
-	n.front.CatchUp(decodePrompts(work.Prompts))
+	n.front.CatchUp(decodePrompts(work.Prefixes))
 }
 
 // savePrompts saves what is known of which servers hold what, where that has changed.
@@ -140,7 +140,7 @@
 	if count == n.promptsSaved {
 		return
 	}
-	body := peerproto.Encode(&peerproto.Work{Known: true, Prompts: encodePrompts(known)})
+	body := peerproto.Encode(&peerproto.LoadReport{FullIndex: true, Prefixes: encodePrompts(known)})
 	if n.saved().write(savedPrompts, body) == nil {
 		n.promptsSaved = count
 	}
--- a/internal/router/agent/stages.go
+++ b/internal/router/agent/stages.go
@@ -105,9 +105,9 @@
 			if r.Service != service.Name || r.State != directory.Ready || r.Stage == "" {
 				continue
 			}
-			known := roleplan.Server{ID: r.ID, Zone: r.Zone, Role: catalog.Stage(r.Stage), Slots: r.Slots}
-			if d.Changing(r) {
-				known.Changing, known.Role = true, catalog.Stage(d.Get(directory.OrderID(r.ID)).Stage)
+			known := roleplan.Server{ID: r.ID, Zone: r.Zone, Role: catalog.Role(r.Stage), Slots: r.Slots}
+			if d.ChangingRole(r) {
+				known.Changing, known.Role = true, catalog.Role(d.Get(directory.OrderID(r.ID)).Stage)
 			}
 			servers = append(servers, known)
 			addresses[r.ID] = r.Address
@@ -118,7 +118,7 @@
 		return
 	}
 	confirmed := n.now()
-	if n.control.read(confirmTimeout).Outcome != peerproto.OutcomeTaken || s.member.fence.Load() != s.fence {
+	if n.control.read(confirmTimeout).Outcome != peerproto.OutcomeAccepted || s.member.fence.Load() != s.fence {
 		return // before anything is announced: another machine may hold the duty
 	}
 	s.announce(service, orders)
@@ -147,7 +147,7 @@
 			}
 			d.Merge(now, record)
 		}
-		place = d.Number()
+		place = d.Offset()
 	})
 	n.awaitMajority(place, confirmTimeout)
 }
--- a/internal/router/agent/state.go
+++ b/internal/router/agent/state.go
@@ -72,9 +72,9 @@
 func (s *state) change(now time.Duration, f func(*directory.Directory)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.directory.Number()
+	before := s.directory.Offset()
 	f(s.directory)
-	if s.directory.Number() == before {
+	if s.directory.Offset() == before {
 		return
 	}
 	s.table.Store(s.directory.Servers())
--- a/internal/router/agent/watch.go
+++ b/internal/router/agent/watch.go
@@ -75,7 +75,7 @@
 // answer to a request either.
 func (n *Node) isSilent(now time.Duration, d *directory.Directory, record *directory.Record,
 	limit time.Duration) bool {
-	sign := max(n.trustSince, d.ChangedAt(record.ID))
+	sign := max(n.trustSince, d.ModifiedAt(record.ID))
 	if heard, ok := n.heardAt(record.ID); ok {
 		sign = max(sign, heard)
 	}
@@ -105,7 +105,7 @@
 // requests again.
 func (n *Node) markOldOrders(now time.Duration, d *directory.Directory) {
 	for _, order := range d.Orders() {
-		if now-d.ChangedAt(order.ID) > orderLife {
+		if now-d.ModifiedAt(order.ID) > orderLife {
 			n.markLost(now, d, order, "an order took too long")
 		}
 	}
--- a/internal/router/agent/work.go
+++ b/internal/router/agent/work.go
@@ -23,15 +23,15 @@
 )
 
 // workSum is what processes have under way, by server.
-type workSum map[string]peerproto.WorkAtOne
+type workSum map[string]peerproto.ServerLoad
 
 // take puts changes in.
-func (s workSum) take(work *peerproto.Work) {
-	if work.Whole {
+func (s workSum) take(work *peerproto.LoadReport) {
+	if work.Full {
 		clear(s)
 	}
 	for _, at := range work.Servers {
-		if at.Calls == 0 && at.ReadingMs == 0 {
+		if at.Calls == 0 && at.PrefillMs == 0 {
 			delete(s, at.Server)
 			continue
 		}
@@ -50,7 +50,7 @@
 	changed   map[string]bool // servers of which something changed since the last distribution
 	// localPrompts and hubPrompts are to be distributed: those of this process and its followers, and those
 	// that other hubs told of.
-	localPrompts, hubPrompts []peerproto.PromptsAtOne
+	localPrompts, hubPrompts []peerproto.ServerPrefixes
 }
 
 func newWorkTable(n *Node) *workTable {
@@ -75,51 +75,52 @@
 			last = n.now()
 		}
 		prompts := encodePrompts(n.workload.NewPrompts())
-		work := &peerproto.Work{Whole: whole, Servers: encodeWork(changes), Prompts: prompts}
+		work := &peerproto.LoadReport{Full: whole, Servers: encodeWork(changes), Prefixes: prompts}
 		if n.isHub() {
 			b.takeOwn(work)
 			b.distribute(whole)
 		} else if whole || len(changes) > 0 {
-			n.sendToSource(peerproto.KindWork, peerproto.Encode(work))
+			n.sendToSource(peerproto.KindLoadReport, peerproto.Encode(work))
 		}
 		time.Sleep(workSpan)
 	}
 }
 
-func encodeWork(changes []scheduler.InFlightLoad) []peerproto.WorkAtOne {
-	servers := make([]peerproto.WorkAtOne, len(changes))
+func encodeWork(changes []scheduler.InFlightLoad) []peerproto.ServerLoad {
+	servers := make([]peerproto.ServerLoad, len(changes))
 	for i, c := range changes {
-		servers[i] = peerproto.WorkAtOne{Server: c.Server, ReadingMs: int(c.Prefill.Milliseconds()), Calls: c.Calls}
+		servers[i] = peerproto.ServerLoad{Server: c.Server, PrefillMs: int(c.Prefill.Milliseconds()),
+			Calls: c.Calls}
 	}
 	return servers
 }
 
-func encodePrompts(all []scheduler.CachedPrefixes) []peerproto.PromptsAtOne {
-	encoded := make([]peerproto.PromptsAtOne, len(all))
+func encodePrompts(all []scheduler.CachedPrefixes) []peerproto.ServerPrefixes {
+	encoded := make([]peerproto.ServerPrefixes, len(all))
 	for i, at := range all {
 		encoded[i].Server = at.Server
 		for _, name := range at.Hashes {
-			encoded[i].Names = append(encoded[i].Names, int64(name))
+			encoded[i].Hashes = append(encoded[i].Hashes, int64(name))
 		}
 	}
 	return encoded
 }
 
-func decodePrompts(all []peerproto.PromptsAtOne) []scheduler.CachedPrefixes {
+func decodePrompts(all []peerproto.ServerPrefixes) []scheduler.CachedPrefixes {
 	decoded := make([]scheduler.CachedPrefixes, len(all))
 	for i, at := range all {
 		decoded[i].Server = at.Server
-		for _, name := range at.Names {
+		for _, name := range at.Hashes {
 			decoded[i].Hashes = append(decoded[i].Hashes, uint64(name))
 		}
 	}
 	return decoded
 }
 
-func decodeWork(servers []peerproto.WorkAtOne) []scheduler.InFlightLoad {
+func decodeWork(servers []peerproto.ServerLoad) []scheduler.InFlightLoad {
 	changes := make([]scheduler.InFlightLoad, len(servers))
 	for i, at := range servers {
-		reading := time.Duration(at.ReadingMs) * time.Millisecond
+		reading := time.Duration(at.PrefillMs) * time.Millisecond
 		changes[i] = scheduler.InFlightLoad{Server: at.Server, Prefill: reading, Calls: at.Calls}
 	}
 	return changes
@@ -140,15 +141,15 @@
 	n.followMu.Lock()
 	isSource := n.following.source == h
 	n.followMu.Unlock()
-	var work peerproto.Work
+	var work peerproto.LoadReport
 	if !isSource || peerproto.Decode(frame.Body, &work) != nil {
 		return
 	}
-	if work.Known {
-		n.workload.CatchUp(decodePrompts(work.Prompts))
+	if work.FullIndex {
+		n.workload.CatchUp(decodePrompts(work.Prefixes))
 		return
 	}
-	n.workload.ShareWork(decodeWork(work.Servers), work.Whole, decodePrompts(work.Prompts))
+	n.workload.ShareWork(decodeWork(work.Servers), work.Full, decodePrompts(work.Prefixes))
 }
 
 // tellKnown hands a new follower what is known of which servers hold what.
@@ -156,15 +157,15 @@
 	if !n.state.isSynced() {
 		return
 	}
-	work := &peerproto.Work{Known: true, Prompts: encodePrompts(n.workload.KnownPrompts())}
-	c.Send(peerproto.Frame{Kind: peerproto.KindWork, Body: peerproto.Encode(work)})
+	work := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrompts(n.workload.KnownPrompts())}
+	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(work)})
 }
 
-func (b *workTable) takeOwn(work *peerproto.Work) {
+func (b *workTable) takeOwn(work *peerproto.LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.note(b.own, work)
-	b.localPrompts = append(b.localPrompts, work.Prompts...)
+	b.localPrompts = append(b.localPrompts, work.Prefixes...)
 }
 
 func (b *workTable) fromFollower(c *transport.Conn, body []byte) {
@@ -175,9 +176,9 @@
 	b.takeFrom(b.hubs, &b.hubPrompts, c, body)
 }
 
-func (b *workTable) takeFrom(sums map[*transport.Conn]workSum, prompts *[]peerproto.PromptsAtOne,
+func (b *workTable) takeFrom(sums map[*transport.Conn]workSum, prompts *[]peerproto.ServerPrefixes,
 	c *transport.Conn, body []byte) {
-	var work peerproto.Work
+	var work peerproto.LoadReport
 	if peerproto.Decode(body, &work) != nil {
 		c.Close()
 		return
@@ -188,12 +189,12 @@
 		sums[c] = workSum{}
 	}
 	b.note(sums[c], &work)
-	*prompts = append(*prompts, work.Prompts...)
+	*prompts = append(*prompts, work.Prefixes...)
 }
 
 // note puts changes into a sum and remembers what to distribute; the lock is held.
-func (b *workTable) note(sum workSum, work *peerproto.Work) {
-	if work.Whole {
+func (b *workTable) note(sum workSum, work *peerproto.LoadReport) {
+	if work.Full {
 		for server := range sum {
 			b.changed[server] = true
 		}
@@ -227,14 +228,15 @@
 	total := b.sumHubs(local)
 	whole = whole && len(total) <= wholeMost
 	prompts := append(b.localPrompts, b.hubPrompts...)
-	hubWork := peerproto.Work{Whole: whole, Servers: b.selected(local, nil, whole), Prompts: b.localPrompts}
+	hubWork := peerproto.LoadReport{Full: whole, Servers: b.selected(local, nil, whole),
+		Prefixes: b.localPrompts}
 	encoded := peerproto.Encode(&hubWork)
 	for _, h := range b.node.currentHubs() {
-		h.link.Send(peerproto.KindHubWork, encoded)
+		h.link.Send(peerproto.KindHubLoadReport, encoded)
 	}
 	for c, sum := range b.followers {
-		work := peerproto.Work{Whole: whole, Servers: b.selected(total, sum, whole), Prompts: prompts}
-		c.Send(peerproto.Frame{Kind: peerproto.KindWork, Body: peerproto.Encode(&work)})
+		work := peerproto.LoadReport{Full: whole, Servers: b.selected(total, sum, whole), Prefixes: prompts}
+		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&work)})
 	}
 	others := decodeWork(b.selected(total, b.own, whole))
 	b.node.workload.ShareWork(others, whole, decodePrompts(prompts))
@@ -265,18 +267,18 @@
 func (s workSum) add(other workSum) {
 	for server, at := range other {
 		sum := s[server]
-		s[server] = peerproto.WorkAtOne{Server: server, ReadingMs: sum.ReadingMs + at.ReadingMs,
+		s[server] = peerproto.ServerLoad{Server: server, PrefillMs: sum.PrefillMs + at.PrefillMs,
 			Calls: sum.Calls + at.Calls}
 	}
 }
 
 // selected returns a sum less what one process has itself, at all servers or at those that have changed.
-func (b *workTable) selected(sum, without workSum, whole bool) []peerproto.WorkAtOne {
-	servers := []peerproto.WorkAtOne{}
+func (b *workTable) selected(sum, without workSum, whole bool) []peerproto.ServerLoad {
+	servers := []peerproto.ServerLoad{}
 	add := func(server string) {
 		at, less := sum[server], without[server]
-		servers = append(servers, peerproto.WorkAtOne{Server: server,
-			ReadingMs: max(at.ReadingMs-less.ReadingMs, 0), Calls: max(at.Calls-less.Calls, 0)})
+		servers = append(servers, peerproto.ServerLoad{Server: server,
+			PrefillMs: max(at.PrefillMs-less.PrefillMs, 0), Calls: max(at.Calls-less.Calls, 0)})
 	}
 	if whole {
 		for server := range sum {
--- a/internal/router/catalog/server.go
+++ b/internal/router/catalog/server.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Stage is the part a model server plays.
-type Stage string
+// Role is the part a model server plays.
+type Role string
 
 // The stages of a model server; other servers have none.
 const (
-	NoStage Stage = ""
-	Reading Stage = "reading" // reads prompts
-	Writing Stage = "writing" // makes tokens
+	NoRole  Role = ""
+	Prefill Role = "reading" // reads prompts
+	Decode  Role = "writing" // makes tokens
 )
 
 // State is how far a server is with its life.
@@ -37,14 +37,14 @@
 	Version  string
 	Slots    int
 	State    State
-	Stage    Stage
+	Role     Role
 	Sequence int64         // rises with every call of the server
-	Cold     time.Duration // how much longer it remains slow, at the time of the call
+	WarmUp   time.Duration // how much longer it remains slow, at the time of the call
 }
 
 // Table is an immutable view of the servers that may be sent to.
 type Table struct {
-	Number    uint64 // rises with every change
+	Version   uint64 // rises with every change
 	byService map[string][]*Server
 	byID      map[string]*Server
 }
@@ -62,8 +62,9 @@
 func (t *Table) Len() int { return len(t.byID) }
 
 // NewTable returns a table of servers; they must be sorted by id.
-func NewTable(number uint64, servers []*Server) *Table {
-	t := &Table{Number: number, byService: map[string][]*Server{}, byID: make(map[string]*Server, len(servers))}
+func NewTable(version uint64, servers []*Server) *Table {
+	t := &Table{Version: version, byService: map[string][]*Server{}, byID: make(map[string]*Server,
+		len(servers))}
 	for _, s := range servers {
 		t.byService[s.Service] = append(t.byService[s.Service], s)
 		t.byID[s.ID] = s
--- a/internal/router/chain/points_test.go
+++ b/internal/router/chain/points_test.go
@@ -167,7 +167,7 @@
 func TestFaultAtEachDiskOperationOfAWrite(t *testing.T) {
 	c := qt.New(t)
 	for _, replica := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
-		for _, fault := range []faultfs.Fault{faultfs.CrashBefore, faultfs.CrashAfter, faultfs.Fail} {
+		for _, fault := range []faultfs.Fault{faultfs.CrashBefore, faultfs.CrashAfter, faultfs.FailIO} {
 			for _, loss := range []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome} {
 				appended, compacted := 1, 1
 				for writeWithDiskFault(c, simGrowth, replica, fault, loss, appended) {
--- a/internal/router/chain/sim_machine_test.go
+++ b/internal/router/chain/sim_machine_test.go
@@ -72,11 +72,11 @@
 	if m.hasDisk {
 		var err error
 		options := segmentlog.Options{
-			Snapshot: func() [][]byte { return m.node.SnapshotRecords() },
-			Growth:   w.growth,
+			Snapshot:  func() [][]byte { return m.node.SnapshotRecords() },
+			MaxGrowth: w.growth,
 		}
-		var damage *segmentlog.Damaged
-		m.log, records, damage, err = segmentlog.OpenAnew(m.disk, simFolder, options)
+		var damage *segmentlog.CorruptionError
+		m.log, records, damage, err = segmentlog.OpenOrReset(m.disk, simFolder, options)
 		if damage != nil {
 			w.note("%s begins anew: %v", m.address, damage)
 			w.history.damages++
--- a/internal/router/chain/sim_nemesis_test.go
+++ b/internal/router/chain/sim_nemesis_test.go
@@ -116,7 +116,7 @@
 }
 
 func (s *nemesis) failOnce(m *simMachine) {
-	m.disk.FaultAt(1+s.world.random.Intn(4), faultfs.Fail)
+	m.disk.FaultAt(1+s.world.random.Intn(4), faultfs.FailIO)
 }
 
 func (s *nemesis) full(m *simMachine) {
--- a/internal/router/dataplane/bench_test.go
+++ b/internal/router/dataplane/bench_test.go
@@ -27,8 +27,8 @@
 
 // BenchmarkSplit is a prompt read by one server and a stream of 20 events made by another.
 func BenchmarkSplit(b *testing.B) {
-	reader := newServer(b, "i-r", "language", catalog.Reading, readsPrompt("h"))
-	writer := newServer(b, "i-w", "language", catalog.Writing, events(1, 20, true))
+	reader := newServer(b, "i-r", "language", catalog.Prefill, readsPrompt("h"))
+	writer := newServer(b, "i-w", "language", catalog.Decode, events(1, 20, true))
 	r := newRig(b, nil, reader, writer)
 	p := r.dial()
 	b.ReportAllocs()
--- a/internal/router/dataplane/breakpoints_test.go
+++ b/internal/router/dataplane/breakpoints_test.go
@@ -92,8 +92,8 @@
 func TestEveryPointOfBreakingOffWhileReading(t *testing.T) {
 	for point, whole := 0, false; !whole; point++ {
 		answers, all := brokenAt(point, readsPrompt("h"), readsPrompt("h"))
-		readers := []*server{newServer(t, "i-r", "language", catalog.Reading, answers)}
-		writers := []*server{newServer(t, "i-w", "language", catalog.Writing, events(1, 2, true))}
+		readers := []*server{newServer(t, "i-r", "language", catalog.Prefill, answers)}
+		writers := []*server{newServer(t, "i-w", "language", catalog.Decode, events(1, 2, true))}
 		r := newRig(t, slack(100), readers[0], writers[0])
 		answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt")
 		r.Assert(r.proxy.Stats().Retries <= 1, qt.IsTrue)
--- a/internal/router/dataplane/chooser_test.go
+++ b/internal/router/dataplane/chooser_test.go
@@ -32,7 +32,7 @@
 func (f *fakeChooser) Update(_ time.Duration, table *catalog.Table) { f.table = table }
 
 func (f *fakeChooser) Split(_ time.Duration, r *scheduler.Request) bool {
-	return !f.noSplit && f.first(r, catalog.Reading) != nil
+	return !f.noSplit && f.first(r, catalog.Prefill) != nil
 }
 
 func (f *fakeChooser) Choose(_ time.Duration, r *scheduler.Request, role scheduler.Role,
@@ -40,12 +40,12 @@
 	if f.panics.Load() {
 		panic("a mistake")
 	}
-	stage := catalog.NoStage
+	stage := catalog.NoRole
 	if r.Service.Engine != nil {
-		stage = catalog.Writing
+		stage = catalog.Decode
 	}
 	if role == scheduler.Prefill {
-		stage = catalog.Reading
+		stage = catalog.Prefill
 	}
 	server := f.first(r, stage)
 	if server == nil {
@@ -59,9 +59,9 @@
 }
 
 // first returns the first server that may be sent to.
-func (f *fakeChooser) first(r *scheduler.Request, stage catalog.Stage) *catalog.Server {
+func (f *fakeChooser) first(r *scheduler.Request, stage catalog.Role) *catalog.Server {
 	for _, s := range f.table.Service(r.Service.Name) {
-		if s.Stage == stage && !slices.Contains(r.Excluded, s.ID) {
+		if s.Role == stage && !slices.Contains(r.Excluded, s.ID) {
 			return s
 		}
 	}
@@ -99,7 +99,7 @@
 
 func (f *fakeChooser) Alternative(_ time.Duration, r *scheduler.Request, server string) (exists, free bool) {
 	for _, s := range f.table.Service(r.Service.Name) {
-		exists = exists || s.ID != server && s.Stage != catalog.Reading && !slices.Contains(r.Excluded, s.ID)
+		exists = exists || s.ID != server && s.Role != catalog.Prefill && !slices.Contains(r.Excluded, s.ID)
 	}
 	return exists, exists && f.wait == 0
 }
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -96,8 +96,8 @@
 					return neverAnswer(ended)(q, w)
 				}
 				s := newServer(t, "i-1", "lookup", "", answer)
-				reader := newServer(t, "i-r", "language", catalog.Reading, readsPrompt("h"))
-				writer := newServer(t, "i-w", "language", catalog.Writing, answer)
+				reader := newServer(t, "i-r", "language", catalog.Prefill, readsPrompt("h"))
+				writer := newServer(t, "i-w", "language", catalog.Decode, answer)
 				r := newRig(t, nil, s, reader, writer)
 				r.state.config.Match("h", "/"+route+"/").Timeout = 200 * time.Millisecond
 				p := r.dial()
--- a/internal/router/dataplane/decider.go
+++ b/internal/router/dataplane/decider.go
@@ -98,7 +98,7 @@
 
 // meter counts a call to a model server as begun, or as ended where change is -1.
 func (d *lockedChooser) recordDemand(now time.Duration, call *scheduler.Call, change int) {
-	if call.Server.Stage != catalog.NoStage {
+	if call.Server.Role != catalog.NoRole {
 		d.demandMeter.add(now, call.Server.Service, call.Role, change)
 		d.signalChange()
 	}
--- a/internal/router/dataplane/observe_test.go
+++ b/internal/router/dataplane/observe_test.go
@@ -76,8 +76,8 @@
 // on without.
 func TestReasonIsThatOfTheEnd(t *testing.T) {
 	log := &logLines{}
-	reader := newServer(t, "r", "language", catalog.Reading, status(503, notRunHeader+": full"))
-	writer := newServer(t, "w", "language", catalog.Writing, breakOff)
+	reader := newServer(t, "r", "language", catalog.Prefill, status(503, notRunHeader+": full"))
+	writer := newServer(t, "w", "language", catalog.Decode, breakOff)
 	r := newRig(t, nil, reader, writer)
 	r.proxy.log = zerolog.New(log)
 	r.proxy.observer.setLogger(r.proxy.log)
--- a/internal/router/dataplane/plain_test.go
+++ b/internal/router/dataplane/plain_test.go
@@ -84,7 +84,7 @@
 			r.Assert(q.Header.Repeated(reservedFields...), qt.Equals, "")
 			r.Assert(q.Header.Get(expectServerHeader), qt.Equals, s.ID)
 			r.Assert(q.Header.Get(expectVersionHeader), qt.Equals, "")
-			r.Assert(q.Header.Get(stageHeader) == "reading", qt.Equals, s.Stage == catalog.Reading)
+			r.Assert(q.Header.Get(stageHeader) == "reading", qt.Equals, s.Role == catalog.Prefill)
 			r.Assert(strings.HasPrefix(q.Header.Get(kvFromHeader), "10.0.0.1"), qt.IsFalse)
 			r.Assert(q.Method+q.Target+string(q.Body), qt.Equals, "POST/model/x?q=1prompt")
 		}
--- a/internal/router/dataplane/servers_test.go
+++ b/internal/router/dataplane/servers_test.go
@@ -25,8 +25,8 @@
 // handler answers one request by what it writes to the connection; false ends the connection.
 type handler func(q *http1.Request, w io.Writer) bool
 
-func newServer(t testing.TB, id, service string, stage catalog.Stage, answer handler) *server {
-	s := &server{Server: &catalog.Server{ID: id, Service: service, Slots: 8, State: catalog.Ready, Stage: stage}}
+func newServer(t testing.TB, id, service string, stage catalog.Role, answer handler) *server {
+	s := &server{Server: &catalog.Server{ID: id, Service: service, Slots: 8, State: catalog.Ready, Role: stage}}
 	s.listen(t, func(conn net.Conn) { s.serve(conn, answer) })
 	return s
 }
@@ -131,7 +131,7 @@
 func lookups(t testing.TB, answer handler) []*server {
 	var servers []*server
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
-		servers = append(servers, newServer(t, id, "lookup", catalog.NoStage, answer))
+		servers = append(servers, newServer(t, id, "lookup", catalog.NoRole, answer))
 	}
 	return servers
 }
--- a/internal/router/dataplane/split_test.go
+++ b/internal/router/dataplane/split_test.go
@@ -30,8 +30,8 @@
 // pair starts readers and writers that share a handler each.
 func pair(t *testing.T, read, write handler) (readers, writers []*server) {
 	for _, n := range []string{"1", "2", "3"} {
-		readers = append(readers, newServer(t, "i-r"+n, "language", catalog.Reading, read))
-		writers = append(writers, newServer(t, "i-w"+n, "language", catalog.Writing, write))
+		readers = append(readers, newServer(t, "i-r"+n, "language", catalog.Prefill, read))
+		writers = append(writers, newServer(t, "i-w"+n, "language", catalog.Decode, write))
 	}
 	return readers, writers
 }
@@ -233,10 +233,10 @@
 // runs: else the request would run twice or be refused though it has run.
 func TestSurplusRejectionIsNotTheNextOnes(t *testing.T) {
 	lapsed := status(503, "Cresshub-Not-Run: 1", "Cresshub-Server-Load: 1,0,8")
-	reader := newServer(t, "i-r", "language", catalog.Reading, readsPrompt("h"))
+	reader := newServer(t, "i-r", "language", catalog.Prefill, readsPrompt("h"))
 	var writers []*server
 	for _, id := range []string{"i-w1", "i-w2"} {
-		writers = append(writers, newServer(t, id, "language", catalog.Writing,
+		writers = append(writers, newServer(t, id, "language", catalog.Decode,
 			twice(inTurn(lapsed, events(1, 2, true)))))
 	}
 	r := newRig(t, nil, append(writers, reader)...)
--- a/internal/router/dataplane/trouble_test.go
+++ b/internal/router/dataplane/trouble_test.go
@@ -214,8 +214,8 @@
 				servers = append(servers, newServer(t, fmt.Sprint("i-l", n), "lookup", "", x.answer))
 			}
 			for n := range 3 {
-				servers = append(servers, newServer(t, fmt.Sprint("i-r", n), "language", catalog.Reading, x.read),
-					newServer(t, fmt.Sprint("i-w", n), "language", catalog.Writing, x.answer))
+				servers = append(servers, newServer(t, fmt.Sprint("i-r", n), "language", catalog.Prefill, x.read),
+					newServer(t, fmt.Sprint("i-w", n), "language", catalog.Decode, x.answer))
 			}
 			r := newRig(t, nil, servers...)
 			var under sync.WaitGroup
--- a/internal/router/directory/directory_test.go
+++ b/internal/router/directory/directory_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestCopiesConverge merges the same records in many orders: all copies hold the same and know it.
-func TestCopiesConverge(t *testing.T) {
+// TestReplicasConverge merges the same records in many orders: all copies hold the same and know it.
+func TestReplicasConverge(t *testing.T) {
 	var records []Record
 	for _, id := range []string{"a", "b", "c", "d"} {
 		for sequence := range int64(3) {
@@ -47,9 +47,9 @@
 		}
 	}
 	records = append(records, server("d", 1, Ended))
-	first := New()
+	reference := New()
 	for _, r := range records {
-		first.Merge(0, r)
+		reference.Merge(0, r)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
@@ -57,9 +57,9 @@
 		for _, i := range random.Perm(len(records)) {
 			other.Merge(0, records[i])
 		}
-		qt.Assert(t, other.Digest(), qt.Equals, first.Digest())
+		qt.Assert(t, other.Digest(), qt.Equals, reference.Digest())
 	}
-	qt.Assert(t, first.Servers().Service("s"), qt.HasLen, 0)
+	qt.Assert(t, reference.Servers().Service("s"), qt.HasLen, 0)
 }
 
 // TestRepairByRanges brings a copy up to date from the ranges in which digests differ alone.
@@ -72,7 +72,7 @@
 	}
 	newer.Merge(0, server("A", 2, Draining))
 	newer.Merge(0, server("B", 1, Ended))
-	differing := newer.Digest().Differing(older.Digest())
+	differing := newer.Digest().Diff(older.Digest())
 	qt.Assert(t, len(differing) >= 1 && len(differing) <= 2, qt.IsTrue)
 	for _, r := range newer.InRanges(differing) {
 		older.Merge(0, *r)
@@ -81,74 +81,74 @@
 	qt.Assert(t, older.Servers().Service("s"), qt.HasLen, 198)
 }
 
-// TestFeedFromAPlace follows a copy from several places on.
-func TestFeedFromAPlace(t *testing.T) {
+// TestSinceReturnsChangesAfterAnOffset follows a copy from several places on.
+func TestSinceReturnsChangesAfterAnOffset(t *testing.T) {
 	d := New()
 	d.Merge(0, server("a", 1, Ready))
-	place := d.Number()
+	offset := d.Offset()
 	d.Merge(0, server("b", 1, Ready))
 	d.Merge(0, server("a", 2, Draining))
-	changes := d.Since(place)
+	changes := d.Since(offset)
 	qt.Assert(t, changes, qt.HasLen, 2)
 	qt.Assert(t, changes[0].ID+changes[1].ID, qt.Equals, "ba")
 	qt.Assert(t, d.Since(0), qt.HasLen, 2)
-	qt.Assert(t, d.Since(d.Number()), qt.HasLen, 0)
+	qt.Assert(t, d.Since(d.Offset()), qt.HasLen, 0)
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1)
 }
 
-// TestEndedAreForgotten keeps ended records long enough for late news and not for ever.
-func TestEndedAreForgotten(t *testing.T) {
+// TestEndedRecordsExpire keeps ended records long enough for late news and not for ever.
+func TestEndedRecordsExpire(t *testing.T) {
 	d := New()
 	d.Merge(0, server("a", 1, Ended))
-	d.Expire(EndedLife)
+	d.Expire(EndedTTL)
 	qt.Assert(t, d.Get("a"), qt.IsNotNil)
-	d.Expire(EndedLife + time.Second)
+	d.Expire(EndedTTL + time.Second)
 	qt.Assert(t, d.Get("a"), qt.IsNil)
 }
 
-// TestServersUnderOrdersGetNothingNew leaves a server out from the order on until it has the stage.
-func TestServersUnderOrdersGetNothingNew(t *testing.T) {
+// TestServersChangingRoleAreNotListed leaves a server out from the order on until it has the stage.
+func TestServersChangingRoleAreNotListed(t *testing.T) {
 	d := New()
-	writer := server("a", 1, Ready)
-	writer.Stage = "writing"
-	d.Merge(0, writer)
+	decoding := server("a", 1, Ready)
+	decoding.Stage = "writing"
+	d.Merge(0, decoding)
 	order := Record{Kind: KindOrder, ID: OrderID("a"), Sequence: 1, State: Ready, Stage: "reading"}
 	d.Merge(0, order)
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 0)
 	qt.Assert(t, d.Orders(), qt.HasLen, 1)
-	writer.Stage, writer.Sequence = "reading", 2
-	d.Merge(0, writer)
+	decoding.Stage, decoding.Sequence = "reading", 2
+	d.Merge(0, decoding)
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1)
 	order.State = Lost
 	d.Merge(0, order)
 	qt.Assert(t, d.Orders(), qt.HasLen, 0)
-	writer.Stage, writer.Sequence = "writing", 3
-	d.Merge(0, writer)
+	decoding.Stage, decoding.Sequence = "writing", 3
+	d.Merge(0, decoding)
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("an order that is over binds nobody"))
 }
 
-// TestLostAreForgottenByAllCopies: a copy that forgets a record a little earlier than another one does not
+// TestExpiredRecordsAreNotMergedBack: a copy that forgets a record a little earlier than another one does not
 // take it back, unless the process is heard of again.
-func TestLostAreForgottenByAllCopies(t *testing.T) {
+func TestExpiredRecordsAreNotMergedBack(t *testing.T) {
 	c := qt.New(t)
 	early, late := New(), New()
 	early.Merge(0, server("a", 1, Lost))
 	late.Merge(time.Second, server("a", 1, Lost))
-	early.Expire(LostLife + 500*time.Millisecond)
+	early.Expire(LostTTL + 500*time.Millisecond)
 	c.Assert(early.Get("a"), qt.IsNil)
-	c.Assert(early.Merge(LostLife+600*time.Millisecond, *late.Get("a")), qt.IsFalse)
-	late.Expire(LostLife + 2*time.Second)
+	c.Assert(early.Merge(LostTTL+600*time.Millisecond, *late.Get("a")), qt.IsFalse)
+	late.Expire(LostTTL + 2*time.Second)
 	c.Assert(late.Get("a"), qt.IsNil)
 	c.Assert(early.Digest(), qt.Equals, late.Digest())
-	c.Assert(early.Merge(LostLife+3*time.Second, server("a", 2, Ready)), qt.IsTrue)
-	early.Expire(2 * LostLife)
-	late.Expire(2 * LostLife)
-	c.Assert(late.forgotten, qt.HasLen, 0, qt.Commentf("what was forgotten is forgotten, too"))
+	c.Assert(early.Merge(LostTTL+3*time.Second, server("a", 2, Ready)), qt.IsTrue)
+	early.Expire(2 * LostTTL)
+	late.Expire(2 * LostTTL)
+	c.Assert(late.tombstones, qt.HasLen, 0, qt.Commentf("what was forgotten is forgotten, too"))
 }
 
-// TestAWatchedServerSupersedesTheSameUnwatched: of two proxies that heard the same heartbeat, the one that
+// TestWatchedRecordSupersedesUnwatched: of two proxies that heard the same heartbeat, the one that
 // acknowledged it counts.
-func TestAWatchedServerSupersedesTheSameUnwatched(t *testing.T) {
+func TestWatchedRecordSupersedesUnwatched(t *testing.T) {
 	c := qt.New(t)
 	unwatched, watched := server("a", 1, Ready), server("a", 1, Ready)
 	unwatched.Watcher, watched.Watcher = "", "proxy"
--- a/internal/router/directory/record.go
+++ b/internal/router/directory/record.go
@@ -55,33 +55,33 @@
 }
 
 // supersedes tells whether r is to replace known, a record of the same id.
-func (r *Record) supersedes(known *Record) bool {
-	if known.State == Ended {
+func (r *Record) supersedes(existing *Record) bool {
+	if existing.State == Ended {
 		return false
 	}
 	if r.State == Ended {
 		return true
 	}
-	if r.Sequence != known.Sequence {
-		return r.Sequence > known.Sequence
+	if r.Sequence != existing.Sequence {
+		return r.Sequence > existing.Sequence
 	}
-	if r.State != known.State {
-		return r.State > known.State
+	if r.State != existing.State {
+		return r.State > existing.State
 	}
-	return known.Watcher == "" && r.Watcher != "" && r.Kind == KindServer
+	return existing.Watcher == "" && r.Watcher != "" && r.Kind == KindServer
 }
 
 // OrderID returns the id of the record of an order to a server.
 func OrderID(server string) string { return "order/" + server }
 
-// orderedServer returns the id of the server that an order's record is about.
-func orderedServer(order string) string { return strings.TrimPrefix(order, OrderID("")) }
+// orderTarget returns the id of the server that an order's record is about.
+func orderTarget(order string) string { return strings.TrimPrefix(order, OrderID("")) }
 
 // Live tells whether the process is believed to run.
 func (r *Record) Live() bool { return r.State == Ready || r.State == Draining }
 
-// SameTerms tells whether two records of a server say the same to those who choose servers.
-func (r *Record) SameTerms(other *Record) bool {
+// RoutesLike tells whether two records of a server say the same to those who choose servers.
+func (r *Record) RoutesLike(other *Record) bool {
 	return r.State == other.State && r.Service == other.Service && r.Address == other.Address &&
 		r.Zone == other.Zone && r.Stage == other.Stage && r.Slots == other.Slots && r.Watcher == other.Watcher
 }
@@ -94,7 +94,7 @@
 	}
 	return &catalog.Server{
 		ID: r.ID, Service: r.Service, Address: r.Address, Zone: r.Zone, Version: r.Version, Slots: r.Slots,
-		State: state, Stage: catalog.Stage(r.Stage), Sequence: r.Sequence,
-		Cold: time.Duration(r.ColdMs) * time.Millisecond,
+		State: state, Role: catalog.Role(r.Stage), Sequence: r.Sequence,
+		WarmUp: time.Duration(r.ColdMs) * time.Millisecond,
 	}
 }
--- a/internal/router/peerproto/chain_message.go
+++ b/internal/router/peerproto/chain_message.go
@@ -4,31 +4,31 @@
 
 // ChainMessage is a message among the machines that keep the control state, as package chain defines it.
 type ChainMessage struct {
-	Kind           int         `avro:"kind"`
-	From           string      `avro:"from"`
-	Epoch          int64       `avro:"epoch"`
-	Address        string      `avro:"address"`
-	HasDisk        bool        `avro:"has_disk"`
-	EntryEpoch     int64       `avro:"entry_epoch"`
-	Open           bool        `avro:"open"`
-	Leaving        bool        `avro:"leaving"`
-	Stalled        bool        `avro:"stalled"`
-	Sealed         bool        `avro:"sealed"`
-	Hears          []string    `avro:"hears"`
-	View           ChainView   `avro:"view"`
-	Ballot         ChainBallot `avro:"ballot"`
-	AcceptedBallot ChainBallot `avro:"accepted_ballot"`
-	Sequence       int64       `avro:"sequence"`
-	Version        int64       `avro:"version"`
-	Digest         []byte      `avro:"digest"`
-	HasBody        bool        `avro:"has_body"`
-	Body           []byte      `avro:"body"`
-	Resend         bool        `avro:"resend"`
-	Origin         string      `avro:"origin"`
-	Request        int64       `avro:"request"`
-	Expected       int64       `avro:"expected"`
-	Outcome        int         `avro:"outcome"`
-	Marker         int64       `avro:"marker"`
+	Kind           int                 `avro:"kind"`
+	From           string              `avro:"from"`
+	Epoch          int64               `avro:"epoch"`
+	Address        string              `avro:"address"`
+	HasDisk        bool                `avro:"has_disk"`
+	EntryEpoch     int64               `avro:"entry_epoch"`
+	Open           bool                `avro:"open"`
+	Draining       bool                `avro:"leaving"`
+	Stalled        bool                `avro:"stalled"`
+	Sealed         bool                `avro:"sealed"`
+	ReceivesFrom   []string            `avro:"hears"`
+	View           ChainView           `avro:"view"`
+	ProposalNumber ChainProposalNumber `avro:"ballot"`
+	AcceptedNumber ChainProposalNumber `avro:"accepted_ballot"`
+	Sequence       int64               `avro:"sequence"`
+	Version        int64               `avro:"version"`
+	Digest         []byte              `avro:"digest"`
+	HasBody        bool                `avro:"has_body"`
+	Body           []byte              `avro:"body"`
+	Resend         bool                `avro:"resend"`
+	Origin         string              `avro:"origin"`
+	Request        int64               `avro:"request"`
+	Expected       int64               `avro:"expected"`
+	Outcome        int                 `avro:"outcome"`
+	Marker         int64               `avro:"marker"`
 	// History names the committed entries before the one in Body.
 	History []PastEntry `avro:"history"`
 }
@@ -56,16 +56,16 @@
 	Chain []string `avro:"chain"`
 }
 
-// ChainBallot is a ballot of a proposal.
-type ChainBallot struct {
-	Round  int64  `avro:"round"`
-	Member string `avro:"member"`
+// ChainProposalNumber is a ballot of a proposal.
+type ChainProposalNumber struct {
+	Counter  int64  `avro:"round"`
+	Proposer string `avro:"member"`
 }
 
 const (
-	ballotSchema = `{"type":"record","name":"ChainBallot","fields":[
+	proposalNumberSchema = `{"type":"record","name":"ChainBallot","fields":[
 		{"name":"round","type":"long"},{"name":"member","type":"string"}]}`
-	textsSchema = `{"type":"array","items":"string"}`
+	stringsSchema = `{"type":"array","items":"string"}`
 )
 
 var chainSchema = newChainSchema()
@@ -73,16 +73,16 @@
 func newChainSchema() avro.Schema {
 	view := `{"type":"record","name":"ChainView","fields":[{"name":"epoch","type":"long"},
 		{"name":"members","type":{"type":"array","items":` + memberSchema + `}},
-		{"name":"chain","type":` + textsSchema + `},{"name":"fresh","type":` + textsSchema + `},
-		{"name":"sources","type":` + textsSchema + `},{"name":"unopened","type":{"type":"array","items":
+		{"name":"chain","type":` + stringsSchema + `},{"name":"fresh","type":` + stringsSchema + `},
+		{"name":"sources","type":` + stringsSchema + `},{"name":"unopened","type":{"type":"array","items":
 		{"type":"record","name":"PastChain","fields":[{"name":"epoch","type":"long"},
-		{"name":"chain","type":` + textsSchema + `}]}}}]}`
-	return recordOf("ChainMessage", `{"name":"kind","type":"int"},{"name":"from","type":"string"},
+		{"name":"chain","type":` + stringsSchema + `}]}}}]}`
+	return mustParseRecord("ChainMessage", `{"name":"kind","type":"int"},{"name":"from","type":"string"},
 		{"name":"epoch","type":"long"},{"name":"address","type":"string"},{"name":"has_disk","type":"boolean"},
 		{"name":"entry_epoch","type":"long"},{"name":"open","type":"boolean"},{"name":"leaving","type":"boolean"},
 		{"name":"stalled","type":"boolean"},{"name":"sealed","type":"boolean"},
-		{"name":"hears","type":`+textsSchema+`},{"name":"view","type":`+view+`},
-		{"name":"ballot","type":`+ballotSchema+`},{"name":"accepted_ballot","type":"ChainBallot"},
+		{"name":"hears","type":`+stringsSchema+`},{"name":"view","type":`+view+`},
+		{"name":"ballot","type":`+proposalNumberSchema+`},{"name":"accepted_ballot","type":"ChainBallot"},
 		{"name":"sequence","type":"long"},{"name":"version","type":"long"},{"name":"digest","type":"bytes"},
 		{"name":"has_body","type":"boolean"},{"name":"body","type":"bytes"},{"name":"resend","type":"boolean"},
 		{"name":"origin","type":"string"},{"name":"request","type":"long"},{"name":"expected","type":"long"},
--- a/internal/router/peerproto/frame.go
+++ b/internal/router/peerproto/frame.go
@@ -15,18 +15,18 @@
 
 // Frame is one message on a connection.
 type Frame struct {
-	Kind Kind
-	Call uint64 // number of the call that it makes or answers, 0 for none
-	Body []byte
+	Kind   Kind
+	CallID uint64 // number of the call that it makes or answers, 0 for none
+	Body   []byte
 }
 
 // Size is how many bytes the frame takes on a connection.
 func (f *Frame) Size() int { return headerSize + len(f.Body) }
 
-// TooLong tells that the other side announced a frame beyond the bound.
-type TooLong struct{ Length uint32 }
+// FrameTooLongError tells that the other side announced a frame beyond the bound.
+type FrameTooLongError struct{ Length uint32 }
 
-func (e *TooLong) Error() string {
+func (e *FrameTooLongError) Error() string {
 	return fmt.Sprintf("a frame of %d bytes is beyond %d; check that the caller is a process of this fleet",
 		e.Length, MaxBody)
 }
@@ -36,7 +36,7 @@
 	var header [headerSize]byte
 	binary.BigEndian.PutUint32(header[:], uint32(len(f.Body)))
 	header[4] = byte(f.Kind)
-	binary.BigEndian.PutUint64(header[5:], f.Call)
+	binary.BigEndian.PutUint64(header[5:], f.CallID)
 	w.Write(header[:])
 	w.Write(f.Body)
 	return w.Flush()
@@ -50,9 +50,9 @@
 	}
 	length := binary.BigEndian.Uint32(header[:])
 	if length > MaxBody {
-		return Frame{}, &TooLong{length}
+		return Frame{}, &FrameTooLongError{length}
 	}
-	f := Frame{Kind: Kind(header[4]), Call: binary.BigEndian.Uint64(header[5:])}
+	f := Frame{Kind: Kind(header[4]), CallID: binary.BigEndian.Uint64(header[5:])}
 	if length <= 64<<10 {
 		f.Body = make([]byte, length)
 		_, err := io.ReadFull(r, f.Body)
--- a/internal/router/peerproto/golden_test.go
+++ b/internal/router/peerproto/golden_test.go
@@ -60,25 +60,25 @@
 }
 
 func goldenStatus(id string) *Status {
-	return &Status{ID: id, Version: 12, Epoch: 3, Members: goldenMembers(), HoldsSnapshot: true,
+	return &Status{ID: id, Version: 12, Epoch: 3, Members: goldenMembers(), HasSnapshot: true,
 		ReachesMajority: true}
 }
 
-func goldenWork(server string) *Work {
-	return &Work{Whole: true, Servers: []WorkAtOne{{Server: server, ReadingMs: 250, Calls: 3},
-		{Server: "server-2", ReadingMs: 1, Calls: 70}}, Known: true,
-		Prompts: []PromptsAtOne{{Server: server, Names: []int64{-1 << 63, -3, 1<<63 - 1}},
-			{Server: "server-2", Names: []int64{5}}}}
+func goldenWork(server string) *LoadReport {
+	return &LoadReport{Full: true, Servers: []ServerLoad{{Server: server, PrefillMs: 250, Calls: 3},
+		{Server: "server-2", PrefillMs: 1, Calls: 70}}, FullIndex: true,
+		Prefixes: []ServerPrefixes{{Server: server, Hashes: []int64{-1 << 63, -3, 1<<63 - 1}},
+			{Server: "server-2", Hashes: []int64{5}}}}
 }
 
 func goldenChainMessage() *ChainMessage {
 	return &ChainMessage{Kind: 11, From: "member-1", Epoch: 2, Address: "10.0.0.1", HasDisk: true, EntryEpoch: 3,
-		Open: true, Leaving: true, Stalled: true, Sealed: true, Hears: []string{"member-2", "member-3"},
+		Open: true, Draining: true, Stalled: true, Sealed: true, ReceivesFrom: []string{"member-2", "member-3"},
 		View: ChainView{Epoch: 4, Members: goldenMembers(), Chain: []string{"member-1", "member-2"},
 			Fresh: []string{"member-2"}, Sources: []string{"member-1"},
 			Unopened: []PastChain{{Epoch: 5, Chain: []string{"member-4", "member-5"}}}},
-		Ballot:         ChainBallot{Round: 6, Member: "member-6"},
-		AcceptedBallot: ChainBallot{Round: 7, Member: "member-7"}, Sequence: 8, Version: 9,
+		ProposalNumber: ChainProposalNumber{Counter: 6, Proposer: "member-6"},
+		AcceptedNumber: ChainProposalNumber{Counter: 7, Proposer: "member-7"}, Sequence: 8, Version: 9,
 		Digest: []byte("digest"), HasBody: true, Body: []byte("body"), Resend: true, Origin: "member-8",
 		Request: 1 << 50, Expected: 10, Outcome: 11, Marker: 12,
 		History: []PastEntry{{Version: 13, Digest: []byte("past-1")}, {Version: 14, Digest: []byte("past-2")}}}
@@ -96,11 +96,11 @@
 	records := goldenRecords()
 	return []goldenFrame{
 		{"hello.bin", KindHello, 0, &Hello{ID: "proxy-1"}},
-		{"ping.bin", KindPing, 1, &Demands{Services: []Demand{{Service: "chat", Reading: 1.5, Writing: 2.25},
-			{Service: "other", Reading: 0.1, Writing: 1e9}}}},
+		{"ping.bin", KindPing, 1, &Demands{Services: []Demand{{Service: "chat", Prefill: 1.5, Decode: 2.25},
+			{Service: "other", Prefill: 0.1, Decode: 1e9}}}},
 		{"pong.bin", KindPong, 1, goldenStatus("proxy-2")},
 		{"upsert.bin", KindUpsert, 2, &Records{Records: records}},
-		{"follow.bin", KindFollow, 0, &Follow{Feed: "proxy-2", Place: 1 << 35, Version: 11}},
+		{"follow.bin", KindFollow, 0, &Follow{Feed: "proxy-2", Offset: 1 << 35, Version: 11}},
 		{"feed.bin", KindFeed, 0, &Feed{Feed: "proxy-2", From: 5, To: 9, Records: records, Version: 12,
 			Config: []byte("packed"), Epoch: 3, Members: goldenMembers()}},
 		{"compare.bin", KindCompare, 3, &Comparison{Digest: []int64{-1, 2, -1 << 63}, Ranges: []int{3, 31},
@@ -109,7 +109,7 @@
 			Records: records[1:]}},
 		{"propose.bin", KindPropose, 4, &Proposal{Expected: 12, Version: 13, Body: []byte(`{"edition":13}`)}},
 		{"read.bin", KindRead, 5, nil},
-		{"result_taken.bin", KindResult, 4, &Result{Outcome: OutcomeTaken, Version: 13,
+		{"result_taken.bin", KindResult, 4, &Result{Outcome: OutcomeAccepted, Version: 13,
 			Body: []byte(`{"edition":13}`), Reason: "taken"}},
 		{"result_conflict.bin", KindResult, 5, &Result{Outcome: OutcomeConflict, Version: 14,
 			Body: []byte("body"), Reason: "conflict"}},
@@ -118,11 +118,11 @@
 		{"result_invalid.bin", KindResult, 7, &Result{Outcome: OutcomeInvalid, Version: 16,
 			Body: []byte("body"), Reason: "invalid"}},
 		{"chain.bin", KindChain, 0, goldenChainMessage()},
-		{"done.bin", KindDone, 2, nil},
+		{"done.bin", KindAck, 2, nil},
 		{"config_fetch.bin", KindConfigFetch, 1<<64 - 1, nil},
-		{"work.bin", KindWork, 0, goldenWork("server-1")},
-		{"hub_work.bin", KindHubWork, 0, goldenWork("server-3")},
-		{"introduce.bin", KindIntroduce, 8, goldenStatus("proxy-3")},
+		{"work.bin", KindLoadReport, 0, goldenWork("server-1")},
+		{"hub_work.bin", KindHubLoadReport, 0, goldenWork("server-3")},
+		{"introduce.bin", KindAnnounce, 8, goldenStatus("proxy-3")},
 		{"patch.bin", KindPatch, 9, &Proposal{Expected: 13, Version: 14, Body: []byte(`{"edition":14}`)}},
 	}
 }
@@ -141,7 +141,7 @@
 				body = Encode(golden.message)
 			}
 			var written bytes.Buffer
-			err := WriteFrame(bufio.NewWriter(&written), Frame{Kind: golden.kind, Call: golden.call, Body: body})
+			err := WriteFrame(bufio.NewWriter(&written), Frame{Kind: golden.kind, CallID: golden.call, Body: body})
 			c.Assert(err, qt.IsNil)
 			checkGolden(t, golden.file, written.Bytes())
 
@@ -149,7 +149,7 @@
 			frame, err := ReadFrame(in)
 			c.Assert(err, qt.IsNil)
 			c.Assert(frame.Kind, qt.Equals, golden.kind)
-			c.Assert(frame.Call, qt.Equals, golden.call)
+			c.Assert(frame.CallID, qt.Equals, golden.call)
 			c.Assert(in.Buffered(), qt.Equals, 0)
 			if golden.message == nil {
 				c.Assert(frame.Body, qt.HasLen, 0)
@@ -160,7 +160,7 @@
 			c.Assert(read, qt.DeepEquals, golden.message)
 		})
 	}
-	for kind := Kind(1); kind < Kinds; kind++ {
+	for kind := Kind(1); kind < NumKinds; kind++ {
 		qt.Check(t, covered[kind], qt.IsTrue, qt.Commentf("no golden file of frames of kind %d", kind))
 	}
 }
--- a/internal/router/peerproto/messages.go
+++ b/internal/router/peerproto/messages.go
@@ -18,7 +18,7 @@
 	KindHello       Kind = 1  // the first frame of a connection: who calls
 	KindPing        Kind = 2  // Demands; answered by KindPong
 	KindPong        Kind = 3  // Status
-	KindUpsert      Kind = 4  // Records; answered by KindDone once they are merged
+	KindUpsert      Kind = 4  // Records; answered by KindAck once they are merged
 	KindFollow      Kind = 5  // Follow; answered by frames of KindFeed until the connection ends
 	KindFeed        Kind = 6  // Feed
 	KindCompare     Kind = 7  // Comparison; answered by KindComparison
@@ -27,14 +27,15 @@
 	KindRead        Kind = 10 // no body; answered by KindResult
 	KindResult      Kind = 11 // Result
 	KindChain       Kind = 12 // a message of the chain, not answered
-	KindDone        Kind = 13 // no body
+	KindAck         Kind = 13 // no body
 	KindConfigFetch Kind = 14 // no body: the newest configuration in force, packed; answered by KindResult
-	KindWork        Kind = 15 // Work: what the sender has under way, to a hub; or what all others have, from it
-	KindHubWork     Kind = 16 // Work: what a hub and its followers have under way, to another hub
-	KindIntroduce   Kind = 17 // Status, to a process that may not know the view; answered by KindPong
-	KindPatch       Kind = 18 // Proposal with a patch in its Body; answered by KindResult
+	// LoadReport: what the sender has under way, to a hub; or what all others have, from it
+	KindLoadReport    Kind = 15
+	KindHubLoadReport Kind = 16 // LoadReport: what a hub and its followers have under way, to another hub
+	KindAnnounce      Kind = 17 // Status, to a process that may not know the view; answered by KindPong
+	KindPatch         Kind = 18 // Proposal with a patch in its Body; answered by KindResult
 
-	Kinds = 19 // how many there are, 0 included
+	NumKinds = 19 // how many there are, 0 included
 )
 
 // Records is a list of records of the directory.
@@ -49,11 +50,11 @@
 
 // Status is what a process tells of itself with each answer to a ping, and in an introduction.
 type Status struct {
-	ID            string       `avro:"id"`
-	Version       int64        `avro:"version"` // of the configuration in force there
-	Epoch         int64        `avro:"epoch"`   // of the view known there
-	Members       []MemberInfo `avro:"members"`
-	HoldsSnapshot bool         `avro:"holds_snapshot"` // it may be followed
+	ID          string       `avro:"id"`
+	Version     int64        `avro:"version"` // of the configuration in force there
+	Epoch       int64        `avro:"epoch"`   // of the view known there
+	Members     []MemberInfo `avro:"members"`
+	HasSnapshot bool         `avro:"holds_snapshot"` // it may be followed
 	// ReachesMajority tells that more than half of the members answer it, so that it misses nothing that they
 	// acknowledge.
 	ReachesMajority bool `avro:"reaches_majority"`
@@ -73,37 +74,37 @@
 // Demand is what a proxy has under way at one service, as means over the last seconds.
 type Demand struct {
 	Service string  `avro:"service"`
-	Reading float64 `avro:"reading"` // calls that read a prompt
-	Writing float64 `avro:"writing"` // calls that make tokens
+	Prefill float64 `avro:"reading"` // calls that read a prompt
+	Decode  float64 `avro:"writing"` // calls that make tokens
 }
 
-// Work tells what proxies have under way at servers, where that has changed.
-type Work struct {
-	Whole   bool        `avro:"whole"` // nothing is under way at servers that are not named
-	Servers []WorkAtOne `avro:"servers"`
-	// Known tells that Prompts are all that the sender knows of, and that it has heard of all.
-	Known bool `avro:"known"`
-	// Prompts were sent to servers for the first time.
-	Prompts []PromptsAtOne `avro:"prompts"`
+// LoadReport tells what proxies have under way at servers, where that has changed.
+type LoadReport struct {
+	Full    bool         `avro:"whole"` // nothing is under way at servers that are not named
+	Servers []ServerLoad `avro:"servers"`
+	// FullIndex tells that Prompts are all that the sender knows of, and that it has heard of all.
+	FullIndex bool `avro:"known"`
+	// Prefixes were sent to servers for the first time.
+	Prefixes []ServerPrefixes `avro:"prompts"`
 }
 
-// WorkAtOne is what proxies have under way at one server.
-type WorkAtOne struct {
+// ServerLoad is what proxies have under way at one server.
+type ServerLoad struct {
 	Server    string `avro:"server"`
-	ReadingMs int    `avro:"reading_ms"` // of prompts that are to be read
+	PrefillMs int    `avro:"reading_ms"` // of prompts that are to be read
 	Calls     int    `avro:"calls"`
 }
 
-// PromptsAtOne names what prompts share that were sent to one server to be read for the first time.
-type PromptsAtOne struct {
+// ServerPrefixes names what prompts share that were sent to one server to be read for the first time.
+type ServerPrefixes struct {
 	Server string  `avro:"server"`
-	Names  []int64 `avro:"names"`
+	Hashes []int64 `avro:"names"`
 }
 
 // Follow asks for the changes of a feed from a place on.
 type Follow struct {
 	Feed    string `avro:"feed"` // the copy whose numbers the place is of, "" for none
-	Place   int64  `avro:"place"`
+	Offset  int64  `avro:"place"`
 	Version int64  `avro:"version"` // of the configuration in force at the follower
 }
 
@@ -138,7 +139,7 @@
 
 // The outcomes of a call on the configuration.
 const (
-	OutcomeTaken       Outcome = 1 // acknowledged; for a read, Body holds the configuration
+	OutcomeAccepted    Outcome = 1 // acknowledged; for a read, Body holds the configuration
 	OutcomeConflict    Outcome = 2 // another version is current
 	OutcomeUnavailable Outcome = 3 // no clear answer can be had now
 	OutcomeInvalid     Outcome = 4 // what would result is no valid configuration, as Reason tells
@@ -162,37 +163,40 @@
 const memberSchema = `{"type":"record","name":"MemberInfo","fields":[
 	{"name":"id","type":"string"},{"name":"address","type":"string"}]}`
 
-func recordOf(name, fields string) avro.Schema {
+func mustParseRecord(name, fields string) avro.Schema {
 	return avro.MustParse(`{"type":"record","name":"` + name + `","fields":[` + fields + `]}`)
 }
 
 var (
-	helloSchema   = recordOf("Hello", `{"name":"id","type":"string"}`)
-	recordsSchema = recordOf("Records", `{"name":"records","type":{"type":"array","items":`+recordSchema+`}}`)
-	statusSchema  = recordOf("Status", `{"name":"id","type":"string"},{"name":"version","type":"long"},
+	helloSchema   = mustParseRecord("Hello", `{"name":"id","type":"string"}`)
+	recordsSchema = mustParseRecord("Records",
+		`{"name":"records","type":{"type":"array","items":`+recordSchema+`}}`)
+	statusSchema = mustParseRecord("Status", `{"name":"id","type":"string"},{"name":"version","type":"long"},
 		{"name":"epoch","type":"long"},{"name":"members","type":{"type":"array","items":`+memberSchema+`}},
 		{"name":"holds_snapshot","type":"boolean"},{"name":"reaches_majority","type":"boolean"}`)
-	demandsSchema = recordOf("Demands", `{"name":"services","type":{"type":"array","items":
+	demandsSchema = mustParseRecord("Demands", `{"name":"services","type":{"type":"array","items":
 		{"type":"record","name":"Demand","fields":[{"name":"service","type":"string"},
 		{"name":"reading","type":"double"},{"name":"writing","type":"double"}]}}}`)
-	workSchema = recordOf("Work", `{"name":"whole","type":"boolean"},{"name":"known","type":"boolean"},
+	loadReportSchema = mustParseRecord("Work",
+		`{"name":"whole","type":"boolean"},{"name":"known","type":"boolean"},
 		{"name":"servers","type":{"type":"array",
 		"items":{"type":"record","name":"WorkAtOne","fields":[{"name":"server","type":"string"},
 		{"name":"reading_ms","type":"int"},{"name":"calls","type":"int"}]}}},
 		{"name":"prompts","type":{"type":"array","items":{"type":"record","name":"PromptsAtOne","fields":[
 		{"name":"server","type":"string"},{"name":"names","type":{"type":"array","items":"long"}}]}}}`)
-	followSchema = recordOf("Follow", `{"name":"feed","type":"string"},{"name":"place","type":"long"},
+	followSchema = mustParseRecord("Follow", `{"name":"feed","type":"string"},{"name":"place","type":"long"},
 		{"name":"version","type":"long"}`)
-	feedSchema = recordOf("Feed", `{"name":"feed","type":"string"},{"name":"from","type":"long"},
+	feedSchema = mustParseRecord("Feed", `{"name":"feed","type":"string"},{"name":"from","type":"long"},
 		{"name":"to","type":"long"},{"name":"records","type":{"type":"array","items":`+recordSchema+`}},
 		{"name":"version","type":"long"},{"name":"config","type":"bytes"},{"name":"epoch","type":"long"},
 		{"name":"members","type":{"type":"array","items":`+memberSchema+`}}`)
-	comparisonSchema = recordOf("Comparison", `{"name":"digest","type":{"type":"array","items":"long"}},
+	comparisonSchema = mustParseRecord("Comparison", `{"name":"digest","type":{"type":"array","items":"long"}},
 		{"name":"ranges","type":{"type":"array","items":"int"}},
 		{"name":"records","type":{"type":"array","items":`+recordSchema+`}}`)
-	proposalSchema = recordOf("Proposal", `{"name":"expected","type":"long"},{"name":"version","type":"long"},
+	proposalSchema = mustParseRecord("Proposal",
+		`{"name":"expected","type":"long"},{"name":"version","type":"long"},
 		{"name":"body","type":"bytes"}`)
-	resultSchema = recordOf("Result", `{"name":"outcome","type":"int"},{"name":"version","type":"long"},
+	resultSchema = mustParseRecord("Result", `{"name":"outcome","type":"int"},{"name":"version","type":"long"},
 		{"name":"body","type":"bytes"},{"name":"reason","type":"string"}`)
 )
 
@@ -208,7 +212,8 @@
 	Body    []byte `avro:"body"`
 }
 
-var patchesSchema = recordOf("Patches", `{"name":"patches","type":{"type":"array","items":{"type":"record",
+var patchesSchema = mustParseRecord("Patches",
+	`{"name":"patches","type":{"type":"array","items":{"type":"record",
 	"name":"Patch","fields":[{"name":"base","type":"long"},{"name":"version","type":"long"},
 	{"name":"body","type":"bytes"}]}}}`)
 
@@ -222,8 +227,8 @@
 		return statusSchema
 	case *Demands:
 		return demandsSchema
-	case *Work:
-		return workSchema
+	case *LoadReport:
+		return loadReportSchema
 	case *Follow:
 		return followSchema
 	case *Feed:
@@ -242,17 +247,17 @@
 	panic("peerwire: a message without a schema")
 }
 
-// mostElements bounds the lists of a message: room is made for as many elements as a list announces, before
+// maxElements bounds the lists of a message: room is made for as many elements as a list announces, before
 // they are read. The longest are some thousand records, prompts or past changes.
-const mostElements = 1 << 16
+const maxElements = 1 << 16
 
 // codec takes values as long as a frame may be; by default Avro's reader refuses values beyond 1 MiB.
-var codec = avro.Config{MaxByteSliceSize: MaxBody, MaxSliceAllocSize: mostElements}.Freeze()
+var codec = avro.Config{MaxByteSliceSize: MaxBody, MaxSliceAllocSize: maxElements}.Freeze()
 
-// Unreadable tells that the bytes of a message are none of this release.
-type Unreadable struct{ Reason string }
+// DecodeError tells that the bytes of a message are none of this release.
+type DecodeError struct{ Reason string }
 
-func (e *Unreadable) Error() string {
+func (e *DecodeError) Error() string {
 	return "a message can't be read (" + e.Reason + "); check that its sender is a process of this release"
 }
 
@@ -269,12 +274,12 @@
 func Decode(body []byte, message any) (err error) {
 	schema := schemaOf(message)
 	defer func() {
-		if mistake := recover(); mistake != nil { // the reader trusts some counts
-			err = &Unreadable{fmt.Sprint(mistake)}
+		if cause := recover(); cause != nil { // the reader trusts some counts
+			err = &DecodeError{fmt.Sprint(cause)}
 		}
 	}()
 	if err := codec.Unmarshal(schema, body, message); err != nil {
-		return &Unreadable{err.Error()}
+		return &DecodeError{err.Error()}
 	}
 	return nil
 }
--- a/internal/router/peerproto/pack.go
+++ b/internal/router/peerproto/pack.go
@@ -9,8 +9,8 @@
 	"io"
 )
 
-// errNotPacked tells that a packed document can't be read.
-var errNotPacked = errors.New("a packed document is damaged; the connection has to begin anew")
+// errCorruptPacked tells that a packed document can't be read.
+var errCorruptPacked = errors.New("a packed document is damaged; the connection has to begin anew")
 
 // Pack returns a document in the form in which it is sent to many: its length, and its bytes deflated. The
 // fastest level is taken, which allots the least memory.
@@ -30,21 +30,21 @@
 	return packed.Bytes()
 }
 
-// patchesMark begins patches in place of a packed document, whose length is never 0.
-const patchesMark = 0
+// patchesPrefix begins patches in place of a packed document, whose length is never 0.
+const patchesPrefix = 0
 
 // PackPatches returns patches in the form in which they are sent in place of a packed document.
 func PackPatches(patches *Patches) []byte {
-	return append([]byte{patchesMark}, Pack(Encode(patches))...)
+	return append([]byte{patchesPrefix}, Pack(Encode(patches))...)
 }
 
 // ArePatches tells whether patches were packed, and not a document.
-func ArePatches(packed []byte) bool { return len(packed) > 0 && packed[0] == patchesMark }
+func ArePatches(packed []byte) bool { return len(packed) > 0 && packed[0] == patchesPrefix }
 
 // UnpackPatches returns patches of their packed form.
 func UnpackPatches(packed []byte) (*Patches, error) {
 	if !ArePatches(packed) {
-		return nil, errNotPacked
+		return nil, errCorruptPacked
 	}
 	body, err := Unpack(packed[1:])
 	if err != nil {
@@ -61,15 +61,15 @@
 func Unpack(packed []byte) ([]byte, error) {
 	length, size := binary.Uvarint(packed)
 	if size <= 0 || length > MaxBody {
-		return nil, errNotPacked
+		return nil, errCorruptPacked
 	}
 	r := flate.NewReader(bytes.NewReader(packed[size:]))
 	document := make([]byte, length)
 	if _, err := io.ReadFull(r, document); err != nil {
-		return nil, fmt.Errorf("%w (%v)", errNotPacked, err)
+		return nil, fmt.Errorf("%w (%v)", errCorruptPacked, err)
 	}
 	if n, err := io.ReadFull(r, make([]byte, 1)); n != 0 || err != io.EOF {
-		return nil, errNotPacked
+		return nil, errCorruptPacked
 	}
 	return document, nil
 }
--- a/internal/router/peerproto/peerwire_test.go
+++ b/internal/router/peerproto/peerwire_test.go
@@ -18,8 +18,8 @@
 	Watcher: "p", Service: "s", Address: "10.0.0.1:80", Zone: "z", Version: "v", Slots: 6, Stage: "reading",
 	ColdMs: 9, Name: "n", Control: "10.0.0.2:81", Member: "m"}
 
-// TestMessagesKeepEveryField encodes and decodes each message with all fields set.
-func TestMessagesKeepEveryField(t *testing.T) {
+// TestMessagesRoundTrip encodes and decodes each message with all fields set.
+func TestMessagesRoundTrip(t *testing.T) {
 	members := []MemberInfo{{"m", "10.0.0.1"}}
 	records := []directory.Record{record}
 	for _, pair := range [][2]any{
@@ -27,14 +27,15 @@
 		{&Records{records}, &Records{}},
 		{&Status{"p", 1, 2, members, true, true}, &Status{}},
 		{&Demands{[]Demand{{"s", 1.5, 2.5}}}, &Demands{}},
-		{&Work{true, []WorkAtOne{{"s", 1, 2}}, true, []PromptsAtOne{{"s", []int64{-3}}}}, &Work{}},
+		{&LoadReport{true, []ServerLoad{{"s", 1, 2}}, true, []ServerPrefixes{{"s", []int64{-3}}}}, &LoadReport{}},
 		{&Follow{"f", 1, 2}, &Follow{}},
 		{&Feed{"f", 1, 2, records, 3, []byte("c"), 4, members}, &Feed{}},
 		{&Comparison{[]int64{-1, 2}, []int{3}, records}, &Comparison{}},
 		{&Proposal{1, 2, []byte("b")}, &Proposal{}},
 		{&ChainMessage{1, "f", 2, "a", true, 3, true, true, true, true, []string{"h"},
 			ChainView{4, members, []string{"m"}, []string{"m"}, []string{"s"}, []PastChain{{3, []string{"p"}}}},
-			ChainBallot{5, "b"}, ChainBallot{6, "c"}, 7, 8, []byte("d"), true, []byte("e"), true, "o", 9, 10,
+			ChainProposalNumber{5, "b"}, ChainProposalNumber{6, "c"}, 7, 8, []byte("d"), true, []byte("e"), true,
+			"o", 9, 10,
 			11, 12, []PastEntry{{13, []byte("p")}}}, &ChainMessage{}},
 		{&Result{OutcomeConflict, 1, []byte("b"), "r"}, &Result{}},
 	} {
@@ -43,12 +44,12 @@
 	}
 }
 
-// TestLargeConfigurationsPass encodes and decodes each message that carries a configuration.
-func TestLargeConfigurationsPass(t *testing.T) {
+// TestLargeConfigurationsRoundTrip encodes and decodes each message that carries a configuration.
+func TestLargeConfigurationsRoundTrip(t *testing.T) {
 	config := bytes.Repeat([]byte("c"), 8<<20)
 	for _, pair := range [][2]any{
 		{&Proposal{1, 2, config}, &Proposal{}},
-		{&Result{OutcomeTaken, 1, config, ""}, &Result{}},
+		{&Result{OutcomeAccepted, 1, config, ""}, &Result{}},
 		{&Feed{Feed: "f", Config: config}, &Feed{}},
 		{&ChainMessage{HasBody: true, Body: config}, &ChainMessage{}},
 	} {
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestFramesCutAnywhere reads a frame whole, and never takes one that is cut for a whole one.
-func TestFramesCutAnywhere(t *testing.T) {
+// TestTruncatedFramesAreRejected reads a frame whole, and never takes one that is cut for a whole one.
+func TestTruncatedFramesAreRejected(t *testing.T) {
 	for _, size := range []int{0, 1, 100, 64<<10 + 1} {
 		frame := Frame{KindUpsert, 42, bytes.Repeat([]byte("x"), size)}
 		var buffer bytes.Buffer
@@ -79,28 +80,28 @@
 
 // messages returns one of each kind of message.
 func messages() []any {
-	return []any{&Hello{}, &Records{}, &Status{}, &Demands{}, &Work{}, &Follow{}, &Feed{}, &Comparison{},
+	return []any{&Hello{}, &Records{}, &Status{}, &Demands{}, &LoadReport{}, &Follow{}, &Feed{}, &Comparison{},
 		&Proposal{}, &ChainMessage{}, &Result{}, &Patches{}}
 }
 
-// TestHugeCountsAreRefused decodes few bytes that announce lists of any length, as those of a process with
+// TestHugeCountsAreRejected decodes few bytes that announce lists of any length, as those of a process with
 // another schema may look. Making room for what is announced would end the process.
-func TestHugeCountsAreRefused(t *testing.T) {
+func TestHugeCountsAreRejected(t *testing.T) {
 	for _, count := range []int64{1 << 20, 1 << 40, -1 << 40, math.MinInt64, math.MaxInt64} {
 		announced := binary.AppendVarint(nil, count)
 		for _, message := range messages() {
-			for lead := range 24 { // fields of one zero byte each before the list
-				body := append(make([]byte, lead), announced...)
+			for prefix := range 24 { // fields of one zero byte each before the list
+				body := append(make([]byte, prefix), announced...)
 				err := Decode(append(body, 2), message)
-				comment := qt.Commentf("%T, %d after %d", message, count, lead)
-				qt.Check(t, err != nil || !isLong(message), qt.IsTrue, comment)
+				comment := qt.Commentf("%T, %d after %d", message, count, prefix)
+				qt.Check(t, err != nil || !exceedsMaxBody(message), qt.IsTrue, comment)
 			}
 		}
 	}
 }
 
-// isLong tells whether a message takes more memory than a frame may have bytes.
-func isLong(message any) bool { return len(Encode(message)) > MaxBody }
+// exceedsMaxBody tells whether a message takes more memory than a frame may have bytes.
+func exceedsMaxBody(message any) bool { return len(Encode(message)) > MaxBody }
 
 // FuzzDecode holds any bytes to be read as a message of any kind or refused, and never to end the process.
 func FuzzDecode(f *testing.F) {
--- a/internal/router/roleplan/stageplan.go
+++ b/internal/router/roleplan/stageplan.go
@@ -33,7 +33,7 @@
 type Server struct {
 	ID       string
 	Zone     string
-	Role     catalog.Stage
+	Role     catalog.Role
 	Slots    int
 	Changing bool // an order is under way
 }
@@ -48,7 +48,7 @@
 // Order asks a server to change its stage.
 type Order struct {
 	Server string
-	Role   catalog.Stage
+	Role   catalog.Role
 }
 
 // wantedDecodeServers returns how many of so many servers are to make tokens.
@@ -69,7 +69,7 @@
 	}
 	decoding, changing := 0, 0
 	for _, server := range servers {
-		if server.Role == catalog.Writing {
+		if server.Role == catalog.Decode {
 			decoding++
 		}
 		if server.Changing {
@@ -77,12 +77,12 @@
 		}
 	}
 	surplus := decoding - wantedDecodeServers(len(servers), servers[0].Slots, demand)
-	from, to := catalog.Writing, catalog.Reading
+	from, to := catalog.Decode, catalog.Prefill
 	if surplus < 0 {
 		if prefilling := len(servers) - decoding; demand.PrefillCalls > busyPrefillCalls*float64(prefilling) {
 			return nil
 		}
-		surplus, from, to = -surplus, catalog.Reading, catalog.Writing
+		surplus, from, to = -surplus, catalog.Prefill, catalog.Decode
 	}
 	capacity := len(servers)
 	if demand.HasTraffic {
@@ -93,7 +93,7 @@
 }
 
 // choose takes the servers to change from the zones that have most of their stage.
-func chooseServers(servers []Server, from, to catalog.Stage, count int) []Order {
+func chooseServers(servers []Server, from, to catalog.Role, count int) []Order {
 	var orders []Order
 	remaining := map[string]int{}
 	for _, server := range servers {
--- a/internal/router/roleplan/stageplan_test.go
+++ b/internal/router/roleplan/stageplan_test.go
@@ -13,9 +13,9 @@
 func fleet(decoding, prefilling int) []Server {
 	servers := make([]Server, decoding+prefilling)
 	for i := range servers {
-		servers[i] = Server{ID: fmt.Sprintf("%02d", i), Zone: fmt.Sprint(i % 3), Slots: 64, Role: catalog.Writing}
+		servers[i] = Server{ID: fmt.Sprintf("%02d", i), Zone: fmt.Sprint(i % 3), Slots: 64, Role: catalog.Decode}
 		if i >= decoding {
-			servers[i].Role = catalog.Reading
+			servers[i].Role = catalog.Prefill
 		}
 	}
 	return servers
@@ -46,7 +46,7 @@
 	qt.Assert(t, orders, qt.HasLen, 5)
 	zones := map[string]int{}
 	for _, order := range orders {
-		qt.Check(t, order.Role, qt.Equals, catalog.Reading)
+		qt.Check(t, order.Role, qt.Equals, catalog.Prefill)
 		zones[order.Server[len(order.Server)-1:]]++
 	}
 }
@@ -55,7 +55,7 @@
 	busy := Demand{HasTraffic: true, PrefillCalls: 5, DecodeCalls: 10}
 	qt.Check(t, Plan(fleet(11, 7), busy), qt.HasLen, 2)
 	qt.Check(t, Plan(fleet(7, 11), busy), qt.HasLen, 0, qt.Commentf("within the tolerance"))
-	qt.Check(t, Plan(fleet(4, 14), busy), qt.DeepEquals, []Order{{"04", catalog.Writing}})
+	qt.Check(t, Plan(fleet(4, 14), busy), qt.DeepEquals, []Order{{"04", catalog.Decode}})
 	servers := fleet(11, 7)
 	servers[0].Changing, servers[1].Changing = true, true
 	qt.Check(t, Plan(servers, busy), qt.HasLen, 0, qt.Commentf("as many as may are changing"))
@@ -70,7 +70,7 @@
 		changed[order.Server] = true
 	}
 	for _, s := range servers {
-		if s.Role == catalog.Writing && !changed[s.ID] {
+		if s.Role == catalog.Decode && !changed[s.ID] {
 			left[s.Zone]++
 		}
 	}
--- a/internal/router/scheduler/affinity_test.go
+++ b/internal/router/scheduler/affinity_test.go
@@ -18,9 +18,9 @@
 }
 
 // reportAll lets all servers of a stage tell a load.
-func reportAll(c *Scheduler, now time.Duration, stage catalog.Stage, running int) {
+func reportAll(c *Scheduler, now time.Duration, stage catalog.Role, running int) {
 	for id, s := range c.servers {
-		if s.Stage == stage {
+		if s.Role == stage {
 			c.ObserveLoad(now, id, Load{Running: running, Slots: 32})
 		}
 	}
@@ -74,7 +74,7 @@
 	}
 	for _, test := range tests {
 		seen := destinations(10*second, r, Prefill, func(c *Scheduler) {
-			reportAll(c, 10*second, catalog.Reading, 0)
+			reportAll(c, 10*second, catalog.Prefill, 0)
 			c.ObserveLoad(10*second, order[0], Load{Running: test.running, Slots: 32})
 		})
 		qt.Check(t, seen[order[0]] >= test.least, qt.IsTrue, qt.Commentf("%s: %v", test.name, seen))
@@ -88,7 +88,7 @@
 	r := prompted("a", 1)
 	order := rankedPrefillServers(warmScheduler(1, 7, 11), r)
 	seen := destinations(10*second, r, Prefill, func(c *Scheduler) {
-		reportAll(c, 10*second, catalog.Reading, 0)
+		reportAll(c, 10*second, catalog.Prefill, 0)
 		for _, id := range order[:2] {
 			c.ObserveLoad(10*second, id, Load{Running: 4, Slots: 32})
 		}
--- a/internal/router/scheduler/crowded_test.go
+++ b/internal/router/scheduler/crowded_test.go
@@ -17,10 +17,10 @@
 		free    bool
 	}{
 		{"idle", func(*Scheduler) {}, false, true},
-		{"writers full", func(c *Scheduler) { reportAll(c, 10*second, catalog.Writing, 60) }, true, false},
-		{"readers busy", func(c *Scheduler) { reportAll(c, 10*second, catalog.Reading, 2) }, true, true},
+		{"writers full", func(c *Scheduler) { reportAll(c, 10*second, catalog.Decode, 60) }, true, false},
+		{"readers busy", func(c *Scheduler) { reportAll(c, 10*second, catalog.Prefill, 2) }, true, true},
 		{"one writer free", func(c *Scheduler) {
-			reportAll(c, 10*second, catalog.Writing, 60)
+			reportAll(c, 10*second, catalog.Decode, 60)
 			c.ObserveLoad(10*second, "w3", Load{Running: 3, Slots: 32})
 		}, false, true},
 	}
--- a/internal/router/scheduler/learn.go
+++ b/internal/router/scheduler/learn.go
@@ -22,7 +22,7 @@
 // recordUtilization takes a told load into λ.
 func (p *servicePool) recordUtilization(server *serverState) {
 	switch {
-	case server.Stage == catalog.Reading:
+	case server.Role == catalog.Prefill:
 		p.prefillUtilization.add(min(server.reportedOthers, 1), meanWindow)
 	default:
 		p.serveUtilization.add(min(float64(server.reported.Running+server.reported.Waiting)/server.slots(), 1),
--- a/internal/router/scheduler/level_test.go
+++ b/internal/router/scheduler/level_test.go
@@ -11,7 +11,7 @@
 )
 
 func testServer(others float64, toldAt time.Duration) *serverState {
-	s := newServerState(0, &catalog.Server{ID: "a", Slots: 10, Stage: catalog.Writing})
+	s := newServerState(0, &catalog.Server{ID: "a", Slots: 10, Role: catalog.Decode})
 	s.reportedOthers, s.reportedAt, s.hasReport, s.baselineOthers = others, toldAt, true, movingMean{others, 1}
 	return s
 }
--- a/internal/router/scheduler/near_test.go
+++ b/internal/router/scheduler/near_test.go
@@ -30,9 +30,9 @@
 			for seed := range uint64(100) {
 				c := warmScheduler(seed, 7, test.writers)
 				for id, s := range c.servers {
-					if s.Stage == catalog.Writing && s.Zone == test.reader {
+					if s.Role == catalog.Decode && s.Zone == test.reader {
 						c.ObserveLoad(10*second, id, Load{Running: test.near, Slots: 64})
-					} else if s.Stage == catalog.Writing {
+					} else if s.Role == catalog.Decode {
 						c.ObserveLoad(10*second, id, Load{Running: test.far, Slots: 64})
 					}
 				}
--- a/internal/router/scheduler/pairing_test.go
+++ b/internal/router/scheduler/pairing_test.go
@@ -22,16 +22,16 @@
 // modelServers returns readers r0... and writers w0..., spread over three zones.
 func modelServers(readers, writers int) []*catalog.Server {
 	var all []*catalog.Server
-	add := func(n int, stage catalog.Stage) {
+	add := func(n int, stage catalog.Role) {
 		for i := range n {
 			all = append(all, &catalog.Server{
 				ID: fmt.Sprintf("%c%d", stage[0], i), Service: "model", Zone: fmt.Sprintf("z%d", i%3),
-				Slots: 32, State: catalog.Ready, Stage: stage,
+				Slots: 32, State: catalog.Ready, Role: stage,
 			})
 		}
 	}
-	add(readers, catalog.Reading)
-	add(writers, catalog.Writing)
+	add(readers, catalog.Prefill)
+	add(writers, catalog.Decode)
 	return all
 }
 
@@ -63,9 +63,9 @@
 	r := prompted("a", 1)
 	c.Assert(chooser.Split(10*second, r), qt.IsTrue)
 	read := chooser.Choose(10*second, r, Prefill, nil)
-	c.Assert(read.Server.Stage, qt.Equals, catalog.Reading)
+	c.Assert(read.Server.Role, qt.Equals, catalog.Prefill)
 	write := chooser.Choose(10*second, r, Decode, read.Server)
-	c.Assert(write.Server.Stage, qt.Equals, catalog.Writing)
+	c.Assert(write.Server.Role, qt.Equals, catalog.Decode)
 }
 
 // readTime is what a reader of these tests takes.
@@ -130,7 +130,7 @@
 	call := chooser.Choose(second, r, Prefill, nil)
 	chooser.Done(second, call, Unreachable)
 	c.Assert(chooser.Split(second, r), qt.IsFalse)
-	c.Assert(chooser.Choose(second, r, Serve, nil).Server.Stage, qt.Equals, catalog.Writing)
+	c.Assert(chooser.Choose(second, r, Serve, nil).Server.Role, qt.Equals, catalog.Decode)
 	chooser.Update(2*second, catalog.NewTable(2, modelServers(0, 2)))
 	c.Assert(chooser.Split(4*second, r), qt.IsFalse)
 }
--- a/internal/router/scheduler/pool.go
+++ b/internal/router/scheduler/pool.go
@@ -67,10 +67,10 @@
 			servers[listed.ID] = server
 		}
 		server.updateListing(now, listed)
-		switch listed.Stage {
-		case catalog.Reading:
+		switch listed.Role {
+		case catalog.Prefill:
 			p.prefillServers = append(p.prefillServers, server)
-		case catalog.Writing:
+		case catalog.Decode:
 			p.decodeServers = append(p.decodeServers, server)
 		default:
 			p.plainServers = append(p.plainServers, server)
--- a/internal/router/scheduler/server.go
+++ b/internal/router/scheduler/server.go
@@ -49,13 +49,13 @@
 func serverHash(id string) uint64 { return xxhash.Sum64String(id) }
 
 func newServerState(now time.Duration, s *catalog.Server) *serverState {
-	return &serverState{Server: s, hash: serverHash(s.ID), listedAt: now, warmAt: now + s.Cold, speed: 1}
+	return &serverState{Server: s, hash: serverHash(s.ID), listedAt: now, warmAt: now + s.WarmUp, speed: 1}
 }
 
 // list takes in what the newest table says of the server.
 func (s *serverState) updateListing(now time.Duration, newer *catalog.Server) {
 	if newer.Sequence != s.Sequence {
-		s.warmAt = now + newer.Cold
+		s.warmAt = now + newer.WarmUp
 	}
 	s.Server = newer
 }
--- a/internal/router/scheduler/sharing_test.go
+++ b/internal/router/scheduler/sharing_test.go
@@ -34,7 +34,7 @@
 	seen := destinations(10*second, r, Prefill, func(c *Scheduler) {
 		var others []InFlightLoad
 		for _, s := range c.table.Service(r.Service.Name) {
-			if s.Stage == catalog.Reading && s.ID != "r3" {
+			if s.Role == catalog.Prefill && s.ID != "r3" {
 				others = append(others, InFlightLoad{Server: s.ID, Prefill: 2 * second, Calls: 2})
 			}
 		}
--- a/internal/router/scheduler/split_test.go
+++ b/internal/router/scheduler/split_test.go
@@ -14,7 +14,7 @@
 	short.Segments, short.PromptTokens = []Segment{{"own", 50}}, 50
 	rest := func(c *Scheduler) { // all readers
 		for _, s := range c.servers {
-			if s.Stage == catalog.Reading {
+			if s.Role == catalog.Prefill {
 				s.outliers.eject(10*second, unreachableEjectionTime)
 			}
 		}
@@ -30,7 +30,7 @@
 		{"a long prompt, all idle", long, 7, 11, func(*Scheduler) {}, true},
 		{"a short prompt", short, 7, 11, func(*Scheduler) {}, false},
 		{"a long prompt, all readers full", long, 7, 11, func(c *Scheduler) {
-			reportAll(c, 10*second, catalog.Reading, 32)
+			reportAll(c, 10*second, catalog.Prefill, 32)
 		}, false},
 		{"all readers rest", long, 7, 11, rest, false},
 		{"no readers", long, 0, 11, func(*Scheduler) {}, false},
@@ -61,7 +61,7 @@
 	next := prompted("a", 1)
 	next.Segments = append(next.Segments, Segment{"turn", 40})
 	next.PromptTokens = 14040
-	reportAll(chooser, 11*second, catalog.Reading, 1)
+	reportAll(chooser, 11*second, catalog.Prefill, 1)
 	c.Assert(chooser.Split(11*second, next), qt.IsFalse)
 	seen := map[string]int{}
 	for range 20 {
--- a/internal/router/transport/accept_test.go
+++ b/internal/router/transport/accept_test.go
@@ -12,17 +12,17 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// TestServeOutlivesAFailedAccept: a process that is short of descriptors for a moment is reached by the
+// TestServeContinuesAfterFailedAccepts: a process that is short of descriptors for a moment is reached by the
 // others afterwards, and one whose listener is closed ends.
-func TestServeOutlivesAFailedAccept(t *testing.T) {
+func TestServeContinuesAfterFailedAccepts(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	short := faultylistener.New(listener, 3)
+	flaky := faultylistener.New(listener, 3)
 	handler := &echo{peerproto.KindPing, make(chan string, 100), make(chan string, 100)}
 	endpoint := NewEndpoint(HostNetwork{})
 	served := make(chan error, 1)
-	go func() { served <- endpoint.Serve(short, handler) }()
+	go func() { served <- endpoint.Serve(flaky, handler) }()
 	states := make(chan bool, 100)
 	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: "caller"}) }
 	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerproto.Frame) {},
@@ -30,7 +30,7 @@
 	defer link.Stop()
 	c.Assert(<-states, qt.IsTrue)
 	select {
-	case peer := <-answered(link, handler):
+	case peer := <-peerOfNextCall(link, handler):
 		c.Assert(peer, qt.Equals, "caller")
 	case err := <-served:
 		c.Fatalf("no connection is accepted any more: %v", err)
@@ -40,7 +40,7 @@
 }
 
 // answered calls until the other process has heard a call, and returns who called.
-func answered(link *Link, handler *echo) <-chan string {
+func peerOfNextCall(link *Link, handler *echo) <-chan string {
 	go link.Call(peerproto.KindUpsert, nil, time.Minute)
 	return handler.peers
 }
--- a/internal/router/transport/conn.go
+++ b/internal/router/transport/conn.go
@@ -24,20 +24,20 @@
 
 // Conn is one connection. Send may be called by any goroutine.
 type Conn struct {
-	conn    net.Conn
-	traffic *counters
-	queue   chan peerproto.Frame
-	closed  chan struct{}
-	once    sync.Once
+	conn      net.Conn
+	traffic   *trafficCounters
+	queue     chan peerproto.Frame
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	peer string // id that the caller gave in its Hello; set by the reading goroutine
 }
 
-func newConn(c net.Conn, traffic *counters) *Conn {
+func newConn(c net.Conn, traffic *trafficCounters) *Conn {
 	setUserTimeout(c)
 	conn := &Conn{conn: c, traffic: traffic, queue: make(chan peerproto.Frame, queueLength),
 		closed: make(chan struct{})}
-	go conn.write()
+	go conn.writeLoop()
 	return conn
 }
 
@@ -63,25 +63,25 @@
 
 // Answer queues an answer to a call.
 func (c *Conn) Answer(call peerproto.Frame, kind peerproto.Kind, body []byte) {
-	c.Send(peerproto.Frame{Kind: kind, Call: call.Call, Body: body})
+	c.Send(peerproto.Frame{Kind: kind, CallID: call.CallID, Body: body})
 }
 
 // Close ends the connection.
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		c.conn.Close()
 	})
 }
 
-func (c *Conn) write() {
+func (c *Conn) writeLoop() {
 	w := bufio.NewWriterSize(c.conn, bufferSize)
 	for {
 		select {
 		case <-c.closed:
 			return
 		case frame := <-c.queue:
-			add(&c.traffic.sent, &frame)
+			count(&c.traffic.sent, &frame)
 			c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if err := peerproto.WriteFrame(w, frame); err != nil {
 				c.Close()
@@ -91,7 +91,7 @@
 	}
 }
 
-func (c *Conn) read(take func(peerproto.Frame)) {
+func (c *Conn) readLoop(handle func(peerproto.Frame)) {
 	defer c.Close()
 	r := bufio.NewReaderSize(c.conn, bufferSize)
 	for {
@@ -99,8 +99,8 @@
 		if err != nil {
 			return
 		}
-		add(&c.traffic.received, &frame)
-		take(frame)
+		count(&c.traffic.received, &frame)
+		handle(frame)
 	}
 }
 
--- a/internal/router/transport/endpoint.go
+++ b/internal/router/transport/endpoint.go
@@ -29,11 +29,11 @@
 // Endpoint is one process among those of the fleet: its links, the connections that it accepts, and a count
 // of what they carry.
 type Endpoint struct {
-	// AcceptFailed is told of each connection that could not be accepted; it may be nil.
-	AcceptFailed func(error)
+	// OnAcceptError is told of each connection that could not be accepted; it may be nil.
+	OnAcceptError func(error)
 
 	network Network
-	traffic counters
+	traffic trafficCounters
 }
 
 // NewEndpoint returns an endpoint without connections.
@@ -43,10 +43,10 @@
 func (e *Endpoint) Traffic() Traffic { return e.traffic.snapshot() }
 
 // NewLink starts a link. The functions are called from goroutines of the link, and must not block.
-func (e *Endpoint) NewLink(address string, hello func() []byte, other func(peerproto.Frame),
-	state func(up bool)) *Link {
-	l := &Link{Address: address, endpoint: e, hello: hello, other: other, state: state,
-		calls: map[uint64]chan peerproto.Frame{}, stop: make(chan struct{})}
+func (e *Endpoint) NewLink(address string, hello func() []byte, unsolicited func(peerproto.Frame),
+	onState func(up bool)) *Link {
+	l := &Link{Address: address, endpoint: e, hello: hello, unsolicited: unsolicited, onState: onState,
+		pending: map[uint64]chan peerproto.Frame{}, stop: make(chan struct{})}
 	go l.run()
 	return l
 }
@@ -54,5 +54,5 @@
 // Serve accepts connections until the listener closes, and then returns net.ErrClosed.
 func (e *Endpoint) Serve(listener net.Listener, handler Handler) error {
 	take := func(c net.Conn) { go serveConn(newConn(c, &e.traffic), handler) }
-	return acceptloop.Run(listener, e.AcceptFailed, take)
+	return acceptloop.Run(listener, e.OnAcceptError, take)
 }
--- a/internal/router/transport/link.go
+++ b/internal/router/transport/link.go
@@ -10,39 +10,39 @@
 
 // Errors of a call.
 var (
-	ErrDown    = errors.New("no connection to the process; it is tried again by itself")
-	ErrTimeout = errors.New("no answer in time; ask another process")
+	ErrNotConnected = errors.New("no connection to the process; it is tried again by itself")
+	ErrTimeout      = errors.New("no answer in time; ask another process")
 )
 
 const (
-	leastBackoff = 50 * time.Millisecond
-	mostBackoff  = 150 * time.Millisecond
-	// leastDialTimeout and mostDialTimeout bound the first and the later tries to connect. The opening packet
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 150 * time.Millisecond
+	// minDialTimeout and maxDialTimeout bound the first and the later tries to connect. The opening packet
 	// to a machine without power is lost, and the system sends it again only after a second: a new try reaches
 	// a machine that has just started sooner.
-	leastDialTimeout = 175 * time.Millisecond
-	mostDialTimeout  = 700 * time.Millisecond
+	minDialTimeout = 175 * time.Millisecond
+	maxDialTimeout = 700 * time.Millisecond
 )
 
 // Link keeps one connection to an address, and opens it anew whenever it ends.
 type Link struct {
 	Address string
 
-	endpoint *Endpoint
-	hello    func() []byte         // body of the first frame
-	other    func(peerproto.Frame) // takes frames that answer no call waited for
-	state    func(up bool)         // told whenever the connection opens or ends
-
-	mu      sync.Mutex
-	conn    *Conn // nil while there is none
-	calls   map[uint64]chan peerproto.Frame
-	last    uint64 // number of the last call
-	stopped bool
-	stop    chan struct{}
+	endpoint    *Endpoint
+	hello       func() []byte         // body of the first frame
+	unsolicited func(peerproto.Frame) // takes frames that answer no call waited for
+	onState     func(up bool)         // told whenever the connection opens or ends
+
+	mu         sync.Mutex
+	conn       *Conn // nil while there is none
+	pending    map[uint64]chan peerproto.Frame
+	lastCallID uint64 // number of the last call
+	stopped    bool
+	stop       chan struct{}
 }
 
 // Up tells whether there is a connection.
-func (l *Link) Up() bool {
+func (l *Link) Connected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn != nil
@@ -85,16 +85,16 @@
 	conn := l.conn
 	if conn == nil {
 		l.mu.Unlock()
-		return peerproto.Frame{}, ErrDown
+		return peerproto.Frame{}, ErrNotConnected
 	}
-	l.last++
-	number := l.last
+	l.lastCallID++
+	id := l.lastCallID
 	answer := make(chan peerproto.Frame, 1)
-	l.calls[number] = answer
+	l.pending[id] = answer
 	l.mu.Unlock()
-	defer l.forget(number)
-	if !conn.Send(peerproto.Frame{Kind: kind, Call: number, Body: body}) {
-		return peerproto.Frame{}, ErrDown
+	defer l.forget(id)
+	if !conn.Send(peerproto.Frame{Kind: kind, CallID: id, Body: body}) {
+		return peerproto.Frame{}, ErrNotConnected
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -102,38 +102,38 @@
 	case frame := <-answer:
 		return frame, nil
 	case <-conn.Closed():
-		return peerproto.Frame{}, ErrDown
+		return peerproto.Frame{}, ErrNotConnected
 	case <-timer.C:
 		return peerproto.Frame{}, ErrTimeout
 	}
 }
 
-func (l *Link) forget(number uint64) {
+func (l *Link) forget(id uint64) {
 	l.mu.Lock()
-	delete(l.calls, number)
+	delete(l.pending, id)
 	l.mu.Unlock()
 }
 
 func (l *Link) run() {
-	backoff, dialTimeout := leastBackoff, leastDialTimeout
+	backoff, dialTimeout := minBackoff, minDialTimeout
 	for {
 		c, err := l.endpoint.network.Dial(l.Address, dialTimeout)
-		dialTimeout = min(2*dialTimeout, mostDialTimeout)
+		dialTimeout = min(2*dialTimeout, maxDialTimeout)
 		if err == nil {
-			backoff, dialTimeout = leastBackoff, leastDialTimeout
-			l.use(newConn(c, &l.endpoint.traffic))
+			backoff, dialTimeout = minBackoff, minDialTimeout
+			l.runConn(newConn(c, &l.endpoint.traffic))
 		}
 		select {
 		case <-l.stop:
 			return
 		case <-time.After(backoff):
-			backoff = min(2*backoff, mostBackoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
 // use keeps a connection until it ends.
-func (l *Link) use(conn *Conn) {
+func (l *Link) runConn(conn *Conn) {
 	conn.Send(peerproto.Frame{Kind: peerproto.KindHello, Body: l.hello()})
 	l.mu.Lock()
 	if l.stopped {
@@ -141,20 +141,20 @@
 	}
 	l.conn = conn
 	l.mu.Unlock()
-	l.state(true)
-	conn.read(l.take)
+	l.onState(true)
+	conn.readLoop(l.dispatch)
 	l.mu.Lock()
 	l.conn = nil
 	l.mu.Unlock()
-	l.state(false)
+	l.onState(false)
 }
 
-func (l *Link) take(frame peerproto.Frame) {
+func (l *Link) dispatch(frame peerproto.Frame) {
 	l.mu.Lock()
-	answer := l.calls[frame.Call]
+	answer := l.pending[frame.CallID]
 	l.mu.Unlock()
-	if frame.Call == 0 || answer == nil || frame.Kind == peerproto.KindFeed {
-		l.other(frame)
+	if frame.CallID == 0 || answer == nil || frame.Kind == peerproto.KindFeed {
+		l.unsolicited(frame)
 		return
 	}
 	select {
--- a/internal/router/transport/once.go
+++ b/internal/router/transport/once.go
@@ -7,8 +7,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// onceCall is the number of the only call on a connection of its own.
-const onceCall = 1
+// singleCallID is the number of the only call on a connection of its own.
+const singleCallID = 1
 
 // CallOnce makes one call over a connection of its own, and returns the answer's frame. It is for processes
 // that are called too seldom to keep a link to them.
@@ -26,16 +26,16 @@
 	}
 	out := bufio.NewWriterSize(conn, bufferSize)
 	for _, frame := range []peerproto.Frame{
-		{Kind: peerproto.KindHello, Body: hello}, {Kind: kind, Call: onceCall, Body: body},
+		{Kind: peerproto.KindHello, Body: hello}, {Kind: kind, CallID: singleCallID, Body: body},
 	} {
-		add(&e.traffic.sent, &frame)
+		count(&e.traffic.sent, &frame)
 		if err := peerproto.WriteFrame(out, frame); err != nil {
 			return peerproto.Frame{}, err
 		}
 	}
 	answer, err := peerproto.ReadFrame(bufio.NewReaderSize(conn, bufferSize))
 	if err == nil {
-		add(&e.traffic.received, &answer)
+		count(&e.traffic.received, &answer)
 	}
 	return answer, err
 }
--- a/internal/router/transport/peerlink_test.go
+++ b/internal/router/transport/peerlink_test.go
@@ -12,21 +12,21 @@
 
 // echo answers calls with their own body, except one to be silent on.
 type echo struct {
-	silent peerproto.Kind
-	peers  chan string
-	gone   chan string
+	unanswered peerproto.Kind
+	peers      chan string
+	closed     chan string
 }
 
 func (e *echo) Handle(c *Conn, frame peerproto.Frame) {
 	e.peers <- c.Peer()
-	if frame.Kind != e.silent {
-		c.Answer(frame, peerproto.KindDone, frame.Body)
+	if frame.Kind != e.unanswered {
+		c.Answer(frame, peerproto.KindAck, frame.Body)
 	}
 }
 
-func (e *echo) Gone(c *Conn) { e.gone <- c.Peer() }
+func (e *echo) Closed(c *Conn) { e.closed <- c.Peer() }
 
-func start(t *testing.T) (*echo, net.Listener, *Link, chan bool) {
+func startEcho(t *testing.T) (*echo, net.Listener, *Link, chan bool) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	handler := &echo{peerproto.KindPing, make(chan string, 100), make(chan string, 100)}
@@ -44,7 +44,7 @@
 }
 
 func TestCallsAreAnsweredOrTimeOut(t *testing.T) {
-	handler, _, link, states := start(t)
+	handler, _, link, states := startEcho(t)
 	qt.Assert(t, <-states, qt.IsTrue)
 	frame, err := link.Call(peerproto.KindUpsert, []byte("body"), time.Minute)
 	qt.Assert(t, err, qt.IsNil)
@@ -54,32 +54,32 @@
 	qt.Assert(t, err, qt.Equals, ErrTimeout)
 }
 
-func TestLinkConnectsAgain(t *testing.T) {
-	handler, _, link, states := start(t)
+func TestLinkReconnects(t *testing.T) {
+	handler, _, link, states := startEcho(t)
 	qt.Assert(t, <-states, qt.IsTrue)
 	link.Reset()
 	qt.Assert(t, <-states, qt.IsFalse)
 	qt.Assert(t, <-states, qt.IsTrue)
 	_, err := link.Call(peerproto.KindUpsert, nil, time.Minute)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, <-handler.gone, qt.Matches, "caller|")
+	qt.Assert(t, <-handler.closed, qt.Matches, "caller|")
 }
 
-func TestCallWithoutConnection(t *testing.T) {
-	_, listener, link, states := start(t)
+func TestCallWithoutConnectionFails(t *testing.T) {
+	_, listener, link, states := startEcho(t)
 	qt.Assert(t, <-states, qt.IsTrue)
 	listener.Close()
 	link.Reset()
 	qt.Assert(t, <-states, qt.IsFalse)
 	_, err := link.Call(peerproto.KindUpsert, nil, time.Minute)
-	qt.Assert(t, err, qt.Equals, ErrDown)
+	qt.Assert(t, err, qt.Equals, ErrNotConnected)
 }
 
-// TestFullQueueEndsTheConnection sends to a side that never reads: the sender is not held up.
-func TestFullQueueEndsTheConnection(t *testing.T) {
+// TestFullQueueClosesTheConnection sends to a side that never reads: the sender is not held up.
+func TestFullQueueClosesTheConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	conn := newConn(near, &counters{})
+	conn := newConn(near, &trafficCounters{})
 	for range queueLength + 2 {
 		conn.Send(peerproto.Frame{Kind: peerproto.KindPing})
 	}
--- a/internal/router/transport/server.go
+++ b/internal/router/transport/server.go
@@ -6,11 +6,11 @@
 // call that takes long must be answered from another one.
 type Handler interface {
 	Handle(c *Conn, frame peerproto.Frame)
-	Gone(c *Conn) // the connection has ended
+	Closed(c *Conn) // the connection has ended
 }
 
 func serveConn(c *Conn, handler Handler) {
-	c.read(func(frame peerproto.Frame) {
+	c.readLoop(func(frame peerproto.Frame) {
 		if frame.Kind == peerproto.KindHello {
 			var hello peerproto.Hello
 			if peerproto.Decode(frame.Body, &hello) != nil {
@@ -22,5 +22,5 @@
 		}
 		handler.Handle(c, frame)
 	})
-	handler.Gone(c)
+	handler.Closed(c)
 }
--- a/internal/router/transport/traffic_test.go
+++ b/internal/router/transport/traffic_test.go
@@ -11,7 +11,7 @@
 
 // TestTrafficIsCountedByKind counts a call and its answer at an endpoint that has both ends.
 func TestTrafficIsCountedByKind(t *testing.T) {
-	_, _, link, states := start(t)
+	_, _, link, states := startEcho(t)
 	qt.Assert(t, <-states, qt.IsTrue)
 	_, err := link.Call(peerproto.KindUpsert, []byte("body"), time.Minute)
 	qt.Assert(t, err, qt.IsNil)
@@ -19,14 +19,14 @@
 	want := Volume{Frames: 1, Bytes: int64(frame.Size())}
 	traffic := link.endpoint.Traffic()
 	qt.Assert(t, traffic.Received[peerproto.KindUpsert], qt.Equals, want)
-	qt.Assert(t, traffic.Received[peerproto.KindDone], qt.Equals, want)
+	qt.Assert(t, traffic.Received[peerproto.KindAck], qt.Equals, want)
 	qt.Assert(t, traffic.Sent[peerproto.KindUpsert], qt.Equals, want)
 	qt.Assert(t, traffic.Received[peerproto.KindHello].Frames, qt.Equals, int64(1))
-	qt.Assert(t, want.Plus(want).Minus(want), qt.Equals, want)
+	qt.Assert(t, want.Add(want).Sub(want), qt.Equals, want)
 }
 
-func TestFrameOfAnUnknownKindIsCounted(t *testing.T) {
-	var c counters
-	add(&c.received, &peerproto.Frame{Kind: peerproto.Kinds + 1})
+func TestUnknownFrameKindsAreCounted(t *testing.T) {
+	var c trafficCounters
+	count(&c.received, &peerproto.Frame{Kind: peerproto.NumKinds + 1})
 	qt.Assert(t, c.snapshot().Received[0].Frames, qt.Equals, int64(1))
 }
--- a/internal/segmentlog/faultfs/faultfs.go
+++ b/internal/segmentlog/faultfs/faultfs.go
@@ -18,8 +18,8 @@
 	ErrCrashed = errors.New("faultfs: the machine is down; call Restart")
 	// ErrNoSpace is returned by a write beyond the capacity.
 	ErrNoSpace = errors.New("faultfs: no space left; raise the capacity")
-	// ErrBroken is returned by the operation that was told to fail.
-	ErrBroken = errors.New("faultfs: input or output error; it was asked for")
+	// ErrInjected is returned by the operation that was told to fail.
+	ErrInjected = errors.New("faultfs: input or output error; it was asked for")
 )
 
 // Fault is what happens at a numbered operation.
@@ -33,8 +33,8 @@
 	CrashBefore
 	// CrashAfter stops the machine when the operation is done, before its caller hears of it.
 	CrashAfter
-	// Fail makes the operation return ErrBroken; half of a write is done.
-	Fail
+	// FailIO makes the operation return ErrInjected; half of a write is done.
+	FailIO
 )
 
 // Loss is what a power loss does to writes that were not synced.
@@ -51,11 +51,11 @@
 )
 
 // sector is the unit that a torn write keeps or loses.
-const sector = 512
+const sectorSize = 512
 
 // FS is the file system. It is for one goroutine at a time.
 type FS struct {
-	names   map[string]*inode
+	current map[string]*inode
 	durable map[string]*inode
 	// pending are changes of names since their folder was synced, in order.
 	pending []nameChange
@@ -76,9 +76,9 @@
 
 // inode is one file's content, as it is and as it is on the medium, with the writes between the two.
 type inode struct {
-	data    []byte
-	durable []byte
-	writes  []write
+	data     []byte
+	durable  []byte
+	unsynced []write
 }
 
 // write is one change of a content that was not synced: data at an offset, or a size if data is nil.
@@ -95,7 +95,7 @@
 
 // New returns an empty file system.
 func New() *FS {
-	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}}
+	return &FS{current: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
 // FaultAt asks for a fault at the operation with that number, counted from the next one as 1.
@@ -113,7 +113,7 @@
 func (f *FS) Restart(loss Loss, random *rand.Rand) {
 	if loss != KeepAll {
 		f.loseNames(loss, random)
-		for _, file := range f.names {
+		for _, file := range f.current {
 			file.lose(loss, random)
 		}
 	}
@@ -124,9 +124,9 @@
 
 // Corrupt flips one bit of a file, on the medium too, as rot does.
 func (f *FS) Corrupt(name string, offset int) error {
-	file := f.names[name]
+	file := f.current[name]
 	if file == nil {
-		return missing(name)
+		return errNotExist(name)
 	}
 	file.data = append([]byte(nil), file.data...)
 	file.data[offset] ^= 1
@@ -138,46 +138,46 @@
 
 // Wipe empties the medium, as a new disk.
 func (f *FS) Wipe() {
-	f.names, f.durable, f.pending = map[string]*inode{}, map[string]*inode{}, nil
+	f.current, f.durable, f.pending = map[string]*inode{}, map[string]*inode{}, nil
 	f.generation++
 }
 
 // loseNames sets the names back and applies those changes that the loss keeps.
 func (f *FS) loseNames(loss Loss, random *rand.Rand) {
 	pending := f.pending
-	f.names, f.pending = f.durable, nil
+	f.current, f.pending = f.durable, nil
 	if loss == LoseSome {
 		for _, change := range pending[:random.Intn(len(pending)+1)] {
-			change.apply(f.names)
+			change.apply(f.current)
 		}
 	}
-	f.durable = copyNames(f.names)
+	f.durable = copyNames(f.current)
 }
 
 // lose sets a file's content back and applies those sectors of its writes that the loss keeps.
 func (i *inode) lose(loss Loss, random *rand.Rand) {
-	kept := append([]byte(nil), i.durable...)
+	content := append([]byte(nil), i.durable...)
 	if loss == LoseSome {
-		for _, one := range i.writes {
-			if one.data == nil {
+		for _, w := range i.unsynced {
+			if w.data == nil {
 				if random.Intn(2) == 0 {
-					kept = resize(kept, one.offset)
+					content = resize(content, w.offset)
 				}
 				continue
 			}
-			kept = one.applySome(kept, random)
+			content = w.applySome(content, random)
 		}
 	}
-	i.data, i.durable, i.writes = kept, append([]byte(nil), kept...), nil
+	i.data, i.durable, i.unsynced = content, append([]byte(nil), content...), nil
 }
 
 // applySome writes those sectors that a draw keeps; all and none come up often.
 func (w write) applySome(data []byte, random *rand.Rand) []byte {
 	chance := []int{0, 50, 90, 100}[random.Intn(4)]
 	for start := 0; start < len(w.data); {
-		end := min(start+sector-int(w.offset+int64(start))%sector, len(w.data))
+		end := min(start+sectorSize-int(w.offset+int64(start))%sectorSize, len(w.data))
 		if random.Intn(100) < chance {
-			data = put(data, w.data[start:end], w.offset+int64(start))
+			data = writeAt(data, w.data[start:end], w.offset+int64(start))
 		}
 		start = end
 	}
@@ -195,7 +195,7 @@
 }
 
 // enter counts one operation; it returns whether to do it, whether to do half of it, and the error to return.
-func (f *FS) enter() (do, half bool, err error) {
+func (f *FS) beginOperation() (do, half bool, err error) {
 	if f.down {
 		return false, false, ErrCrashed
 	}
@@ -211,21 +211,21 @@
 		f.down = true
 		return true, false, ErrCrashed
 	default:
-		return false, true, ErrBroken
+		return false, true, ErrInjected
 	}
 }
 
 // used returns the bytes of all files.
-func (f *FS) used() int64 {
+func (f *FS) usedBytes() int64 {
 	var total int64
-	for _, file := range f.names {
+	for _, file := range f.current {
 		total += int64(len(file.data))
 	}
 	return total
 }
 
 // missing returns the error for a name that is not there.
-func missing(name string) error {
+func errNotExist(name string) error {
 	return fmt.Errorf("faultfs: %s: %w; create it first", name, fs.ErrNotExist)
 }
 
@@ -247,7 +247,7 @@
 }
 
 // put writes bytes at an offset.
-func put(data, bytes []byte, offset int64) []byte {
+func writeAt(data, bytes []byte, offset int64) []byte {
 	if end := offset + int64(len(bytes)); end > int64(len(data)) {
 		data = resize(data, end)
 	}
--- a/internal/segmentlog/faultfs/operations.go
+++ b/internal/segmentlog/faultfs/operations.go
@@ -20,7 +20,7 @@
 		return nil, ErrCrashed
 	}
 	var names []string
-	for name := range f.names {
+	for name := range f.current {
 		if folderOf(name) == dir {
 			names = append(names, strings.TrimPrefix(name, dir+"/"))
 		}
@@ -33,21 +33,21 @@
 	if f.down {
 		return nil, ErrCrashed
 	}
-	file := f.names[name]
+	file := f.current[name]
 	if file == nil {
-		return nil, missing(name)
+		return nil, errNotExist(name)
 	}
 	return append([]byte(nil), file.data...), nil
 }
 
 // Create implements segmentlog.FS.
 func (f *FS) Create(name string) (segmentlog.File, error) {
-	do, _, err := f.enter()
+	do, _, err := f.beginOperation()
 	if do {
-		file := f.names[name]
+		file := f.current[name]
 		if file == nil {
 			file = &inode{}
-			f.change(nameChange{to: name, file: file})
+			f.changeName(nameChange{to: name, file: file})
 		} else {
 			file.truncate(0)
 		}
@@ -63,59 +63,59 @@
 	if f.down {
 		return nil, ErrCrashed
 	}
-	file := f.names[name]
+	file := f.current[name]
 	if file == nil {
-		return nil, missing(name)
+		return nil, errNotExist(name)
 	}
 	return &handle{f, file, f.generation}, nil
 }
 
 // Rename implements segmentlog.FS.
 func (f *FS) Rename(from, to string) error {
-	if f.names[from] == nil && !f.down {
-		return missing(from)
+	if f.current[from] == nil && !f.down {
+		return errNotExist(from)
 	}
-	do, _, err := f.enter()
+	do, _, err := f.beginOperation()
 	if do {
-		f.change(nameChange{from, to, f.names[from]})
+		f.changeName(nameChange{from, to, f.current[from]})
 	}
 	return err
 }
 
 // Remove implements segmentlog.FS.
 func (f *FS) Remove(name string) error {
-	if f.names[name] == nil && !f.down {
-		return missing(name)
+	if f.current[name] == nil && !f.down {
+		return errNotExist(name)
 	}
-	do, _, err := f.enter()
+	do, _, err := f.beginOperation()
 	if do {
-		f.change(nameChange{from: name})
+		f.changeName(nameChange{from: name})
 	}
 	return err
 }
 
 // SyncDir implements segmentlog.FS.
 func (f *FS) SyncDir(dir string) error {
-	do, _, err := f.enter()
+	do, _, err := f.beginOperation()
 	if !do {
 		return err
 	}
 	f.Syncs++
-	kept := f.pending[:0]
+	remaining := f.pending[:0]
 	for _, change := range f.pending {
 		if folderOf(change.from+change.to) != dir && folderOf(change.to) != dir {
-			kept = append(kept, change)
+			remaining = append(remaining, change)
 			continue
 		}
 		change.apply(f.durable)
 	}
-	f.pending = kept
+	f.pending = remaining
 	return err
 }
 
 // change makes a change of a name and remembers it until the folder is synced.
-func (f *FS) change(change nameChange) {
-	change.apply(f.names)
+func (f *FS) changeName(change nameChange) {
+	change.apply(f.current)
 	f.pending = append(f.pending, change)
 }
 
@@ -127,24 +127,24 @@
 }
 
 // enter counts one operation on the file.
-func (h *handle) enter() (do, half bool, err error) {
+func (h *handle) beginOperation() (do, half bool, err error) {
 	if h.generation != h.fs.generation {
 		return false, false, ErrCrashed
 	}
-	return h.fs.enter()
+	return h.fs.beginOperation()
 }
 
 // WriteAt implements segmentlog.File. A write that fails has done half of its work.
 func (h *handle) WriteAt(data []byte, offset int64) (int, error) {
-	do, half, err := h.enter()
+	do, half, err := h.beginOperation()
 	if do {
-		room := int64(len(data))
+		available := int64(len(data))
 		if h.fs.Capacity != 0 {
-			room = h.fs.Capacity - h.fs.used() + max(0, int64(len(h.file.data))-offset)
+			available = h.fs.Capacity - h.fs.usedBytes() + max(0, int64(len(h.file.data))-offset)
 		}
-		if room < int64(len(data)) {
-			h.file.write(data[:max(room, 0)], offset)
-			return int(max(room, 0)), ErrNoSpace
+		if available < int64(len(data)) {
+			h.file.write(data[:max(available, 0)], offset)
+			return int(max(available, 0)), ErrNoSpace
 		}
 		h.file.write(data, offset)
 	}
@@ -160,7 +160,7 @@
 
 // Truncate implements segmentlog.File.
 func (h *handle) Truncate(size int64) error {
-	do, _, err := h.enter()
+	do, _, err := h.beginOperation()
 	if do {
 		h.file.truncate(size)
 	}
@@ -169,22 +169,22 @@
 
 // Sync implements segmentlog.File. A file that was created lasts with its name from its first sync on.
 func (h *handle) Sync() error {
-	do, _, err := h.enter()
+	do, _, err := h.beginOperation()
 	if !do {
 		return err
 	}
 	h.fs.Syncs++
 	h.file.durable = append([]byte(nil), h.file.data...)
-	h.file.writes = nil
-	kept := h.fs.pending[:0]
+	h.file.unsynced = nil
+	remaining := h.fs.pending[:0]
 	for _, change := range h.fs.pending {
 		if change.from == "" && change.file == h.file {
 			change.apply(h.fs.durable)
 			continue
 		}
-		kept = append(kept, change)
+		remaining = append(remaining, change)
 	}
-	h.fs.pending = kept
+	h.fs.pending = remaining
 	return err
 }
 
@@ -193,12 +193,12 @@
 
 // write changes the content and remembers the change until the next sync.
 func (i *inode) write(data []byte, offset int64) {
-	i.data = put(i.data, data, offset)
-	i.writes = append(i.writes, write{offset, append([]byte{}, data...)})
+	i.data = writeAt(i.data, data, offset)
+	i.unsynced = append(i.unsynced, write{offset, append([]byte{}, data...)})
 }
 
 // truncate sets the content's size and remembers the change until the next sync.
 func (i *inode) truncate(size int64) {
 	i.data = resize(i.data, size)
-	i.writes = append(i.writes, write{offset: size})
+	i.unsynced = append(i.unsynced, write{offset: size})
 }
--- a/internal/segmentlog/format.go
+++ b/internal/segmentlog/format.go
@@ -39,8 +39,8 @@
 
 // segmentNumber reads the number out of a segment's file name.
 func segmentNumber(name string) (uint64, bool) {
-	digits, found := strings.CutSuffix(name, segmentSuffix)
-	if !found {
+	digits, ok := strings.CutSuffix(name, segmentSuffix)
+	if !ok {
 		return 0, false
 	}
 	number, err := strconv.ParseUint(digits, 16, 64)
@@ -59,17 +59,17 @@
 // checkHeader compares a segment's header with its file name.
 func checkHeader(file string, data []byte, number uint64) error {
 	if len(data) < headerSize || string(data[:len(magic)]) != magic {
-		return &Damaged{File: file, Reason: "no header of a segment"}
+		return &CorruptionError{File: file, Reason: "no header of a segment"}
 	}
 	sum := binary.LittleEndian.Uint32(data[headerSize-4:])
 	if crc32.Checksum(data[:headerSize-4], castagnoli) != sum {
-		return &Damaged{File: file, Reason: "the header's checksum differs"}
+		return &CorruptionError{File: file, Reason: "the header's checksum differs"}
 	}
 	if version := binary.LittleEndian.Uint32(data[len(magic):]); version > formatVersion {
-		return &NewerFormat{File: file, Version: version}
+		return &NewerFormatError{File: file, Version: version}
 	}
 	if binary.LittleEndian.Uint64(data[len(magic)+4:]) != number {
-		return &Damaged{File: file, Reason: "the header names another segment"}
+		return &CorruptionError{File: file, Reason: "the header names another segment"}
 	}
 	return nil
 }
@@ -99,12 +99,12 @@
 	return data
 }
 
-// syncMark returns the frame without records that is written, but not synced, behind a frame once that is
+// syncMarker returns the frame without records that is written, but not synced, behind a frame once that is
 // synced. It has the sequence of the next frame, which takes its place.
-func syncMark(segment, next uint64) []byte { return appendFrame(nil, segment, next, nil) }
+func syncMarker(segment, next uint64) []byte { return appendFrame(nil, segment, next, nil) }
 
-// isSyncMark tells whether a frame is such a mark.
-func (f *frame) isSyncMark() bool { return len(f.records) == 0 && f.sequence > 0 }
+// isSyncMarker tells whether a frame is such a mark.
+func (f *frame) isSyncMarker() bool { return len(f.records) == 0 && f.sequence > 0 }
 
 // frameHeaderChecksum covers a frame's header and the number of its segment, so that a frame that stands as
 // data inside another file's record isn't taken for one of this segment.
@@ -125,8 +125,8 @@
 	if len(data) < frameHeaderSize {
 		return frame{}, "the frame's header is short"
 	}
-	size, good := frameExtent(data, segment)
-	if !good {
+	size, headerValid := frameExtent(data, segment)
+	if !headerValid {
 		return frame{}, "the checksum of the frame's header differs"
 	}
 	if size > int64(len(data)) {
@@ -148,8 +148,8 @@
 	if len(data) < frameHeaderSize {
 		return 0, false
 	}
-	good := frameHeaderChecksum(data, segment) == binary.LittleEndian.Uint32(data[16:])
-	return frameHeaderSize + int64(binary.LittleEndian.Uint32(data)), good
+	valid := frameHeaderChecksum(data, segment) == binary.LittleEndian.Uint32(data[16:])
+	return frameHeaderSize + int64(binary.LittleEndian.Uint32(data)), valid
 }
 
 // splitRecords cuts a payload into its records.
--- a/internal/segmentlog/inspect.go
+++ b/internal/segmentlog/inspect.go
@@ -17,8 +17,8 @@
 }
 
 // Inspect reads all segments of a folder, lowest number first, and changes nothing.
-func Inspect(fs FS, dir string) ([]SegmentReport, error) {
-	numbers, err := segmentNumbers(fs, dir)
+func Inspect(fsys FS, dir string) ([]SegmentReport, error) {
+	numbers, err := segmentNumbers(fsys, dir)
 	if err != nil {
 		return nil, fmt.Errorf("segment log: list %s: %w; name a folder that can be read", dir, err)
 	}
@@ -26,15 +26,15 @@
 	for i, number := range numbers {
 		name := segmentName(number)
 		report := SegmentReport{Name: name, Current: i == len(numbers)-1}
-		data, err := fs.ReadFile(dir + "/" + name)
+		data, err := fsys.ReadFile(dir + "/" + name)
 		if err != nil {
 			report.Problem = fmt.Errorf("segment log: read %s: %w; let this user read the file", name, err)
 			reports = append(reports, report)
 			continue
 		}
-		found, problem := scanSegment(dir+"/"+name, data, number)
+		result, problem := scanSegment(dir+"/"+name, data, number)
 		report.Size, report.Problem = int64(len(data)), problem
-		report.Frames, report.Records, report.TornBytes = found.frames, found.records, found.torn
+		report.Frames, report.Records, report.TornBytes = result.frames, result.records, result.tornBytes
 		reports = append(reports, report)
 	}
 	return reports, nil
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -30,8 +30,8 @@
 func openRegister(fs segmentlog.FS, dir string) (*register, error) {
 	r := &register{}
 	options := segmentlog.Options{
-		Snapshot: func() [][]byte { return [][]byte{r.last} },
-		Growth:   200,
+		Snapshot:  func() [][]byte { return [][]byte{r.last} },
+		MaxGrowth: 200,
 	}
 	log, records, err := segmentlog.Open(fs, dir, options)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func TestRecordsComeBackInOrder(t *testing.T) {
+func TestRecordsAreReadBackInOrder(t *testing.T) {
 	c := qt.New(t)
 	for _, fs := range []segmentlog.FS{faultfs.New(), segmentlog.OSFS{}} {
 		folder := filepath.Join(t.TempDir(), dir)
@@ -95,7 +95,7 @@
 func TestFaultAtEachOperation(t *testing.T) {
 	c := qt.New(t)
 	losses := []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome}
-	for _, fault := range []faultfs.Fault{faultfs.CrashBefore, faultfs.CrashAfter, faultfs.Fail} {
+	for _, fault := range []faultfs.Fault{faultfs.CrashBefore, faultfs.CrashAfter, faultfs.FailIO} {
 		for _, first := range losses {
 			for _, second := range losses {
 				number := 1
@@ -110,44 +110,44 @@
 
 // runWithFault writes values with one fault on the way and checks what comes back after each of the losses.
 // It returns false if the run was too short for the fault.
-func runWithFault(c *qt.C, fault faultfs.Fault, losses []faultfs.Loss, number int) bool {
-	random := rand.New(rand.NewSource(int64(number)))
+func runWithFault(c *qt.C, fault faultfs.Fault, losses []faultfs.Loss, operation int) bool {
+	random := rand.New(rand.NewSource(int64(operation)))
 	fs := faultfs.New()
-	fs.FaultAt(number, fault)
-	acknowledged, tried := "", ""
+	fs.FaultAt(operation, fault)
+	acknowledged, attempted := "", ""
 	r, err := openRegister(fs, dir)
 	for i := 0; err == nil && i < 12; i++ {
-		tried = fmt.Sprint("value ", i)
-		if err = r.set(tried); err == nil {
-			acknowledged = tried
+		attempted = fmt.Sprint("value ", i)
+		if err = r.set(attempted); err == nil {
+			acknowledged = attempted
 		} else if !fs.Down() {
 			err = nil
 		}
 	}
-	reached := fs.Operations >= number
+	reached := fs.Operations >= operation
 	for _, loss := range losses {
 		fs.Crash()
 		fs.Restart(loss, random)
 		r, err = openRegister(fs, dir)
-		c.Assert(err, qt.IsNil, qt.Commentf("fault %d at %d, loss %d", fault, number, loss))
-		back := string(r.last)
-		c.Assert(back == acknowledged || back == tried, qt.IsTrue,
-			qt.Commentf("fault %d at %d, loss %d: %q came back, %q was acknowledged", fault, number, loss, back,
+		c.Assert(err, qt.IsNil, qt.Commentf("fault %d at %d, loss %d", fault, operation, loss))
+		value := string(r.last)
+		c.Assert(value == acknowledged || value == attempted, qt.IsTrue,
+			qt.Commentf("fault %d at %d, loss %d: %q came back, %q was acknowledged", fault, operation, loss, value,
 				acknowledged))
-		acknowledged, tried = back, back
+		acknowledged, attempted = value, value
 	}
 	c.Assert(r.set("after"), qt.IsNil)
 	return reached
 }
 
-func TestFullDiskLeavesTheLogAsItWas(t *testing.T) {
+func TestFullDiskLeavesTheLogUnchanged(t *testing.T) {
 	c := qt.New(t)
 	fs := faultfs.New()
 	log, _, err := segmentlog.Open(fs, dir, segmentlog.Options{})
 	c.Assert(err, qt.IsNil)
 	c.Assert(log.Append([]byte("one")), qt.IsNil)
 	fs.Capacity = 150
-	var failed *segmentlog.WriteFailed
+	var failed *segmentlog.WriteError
 	for range 3 {
 		err = log.Append(make([]byte, 200))
 		c.Assert(errors.As(err, &failed), qt.IsTrue)
@@ -182,7 +182,7 @@
 }
 
 // written returns a folder of the machine with three frames behind the snapshot, and the segment's file.
-func written(c *qt.C) (folder, file string) {
+func writeLog(c *qt.C) (folder, file string) {
 	folder = c.Mkdir()
 	log, _, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
 	c.Assert(err, qt.IsNil)
@@ -196,17 +196,17 @@
 // headerSize is how long a segment's header is; a newer release has the same.
 const headerSize = 8 + 4 + 8 + 4
 
-// markSize is how long the mark behind the last frame is.
-const markSize = 20
+// markerSize is how long the mark behind the last frame is.
+const markerSize = 20
 
-// TestEachByteOfDamageIsTold flips each byte, with the mark behind the last frame and without, as a crash may
-// lose it. Only damage to the mark itself does no harm.
-func TestEachByteOfDamageIsTold(t *testing.T) {
+// TestEachFlippedByteIsDetected flips each byte, with the mark behind the last frame and without, as a crash
+// may lose it. Only damage to the mark itself does no harm.
+func TestEachFlippedByteIsDetected(t *testing.T) {
 	c := qt.New(t)
-	folder, file := written(c)
+	folder, file := writeLog(c)
 	whole, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
-	frames := len(whole) - markSize
+	frames := len(whole) - markerSize
 	for _, good := range [][]byte{whole, whole[:frames]} {
 		for offset := range good {
 			bad := append([]byte(nil), good...)
@@ -218,43 +218,44 @@
 			if offset >= frames {
 				c.Assert(err, qt.IsNil)
 				c.Assert(records, qt.HasLen, 3)
-				c.Assert(reports[0].TornBytes, qt.Equals, int64(markSize))
+				c.Assert(reports[0].TornBytes, qt.Equals, int64(markerSize))
 				continue
 			}
-			var damaged *segmentlog.Damaged
+			var damaged *segmentlog.CorruptionError
 			c.Assert(errors.As(err, &damaged), qt.IsTrue, qt.Commentf("%d: %v", offset, err))
 			c.Assert(reports[0].Problem.Error(), qt.Equals, err.Error())
 		}
 	}
 }
 
-// TestRotBeforeHalfAMarkIsTold flips each byte of the last frame, behind which the mark was written in part.
-func TestRotBeforeHalfAMarkIsTold(t *testing.T) {
+// TestCorruptionBeforeAPartialMarkerIsDetected flips each byte of the last frame, behind which the mark was
+// written in part.
+func TestCorruptionBeforeAPartialMarkerIsDetected(t *testing.T) {
 	c := qt.New(t)
-	_, file := written(c)
+	_, file := writeLog(c)
 	whole, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
-	frames := len(whole) - markSize
+	frames := len(whole) - markerSize
 	last := frames - 20 - 4 - len("three")
 	for offset := last + 4; offset < frames; offset++ { // by a bad length the frame's end isn't known
-		bad := append([]byte(nil), whole[:frames+markSize/2]...)
+		bad := append([]byte(nil), whole[:frames+markerSize/2]...)
 		bad[offset] ^= 1
 		_, _, err = openContent(c, bad)
-		var damaged *segmentlog.Damaged
+		var damaged *segmentlog.CorruptionError
 		c.Assert(errors.As(err, &damaged), qt.IsTrue, qt.Commentf("%d: %v", offset-last, err))
 	}
 }
 
-func TestEachCutOfTheLastFrameIsATornEnd(t *testing.T) {
+func TestTruncatedLastFrameIsTorn(t *testing.T) {
 	c := qt.New(t)
-	folder, file := written(c)
+	folder, file := writeLog(c)
 	good, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
-	for cut := 1; cut < markSize+20+4+len("three"); cut++ {
+	for cut := 1; cut < markerSize+20+4+len("three"); cut++ {
 		c.Assert(os.WriteFile(file, good[:len(good)-cut], 0o600), qt.IsNil)
 		log, records, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
 		c.Assert(err, qt.IsNil)
-		if cut <= markSize {
+		if cut <= markerSize {
 			c.Assert(records, qt.HasLen, 3)
 			continue
 		}
@@ -266,10 +267,10 @@
 	}
 }
 
-// TestEachTornWriteIsToldFromRot writes a frame of some sectors over the mark of the one before, at each
-// offset in a sector, and leaves each choice of its sectors as they were. None of these is damage, and each
-// flip of a byte in the whole frame is.
-func TestEachTornWriteIsToldFromRot(t *testing.T) {
+// TestTornWritesAreDistinguishedFromCorruption writes a frame of some sectors over the mark of the one
+// before, at each offset in a sector, and leaves each choice of its sectors as they were. None of these is
+// damage, and each flip of a byte in the whole frame is.
+func TestTornWritesAreDistinguishedFromCorruption(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewSource(1))
 	for shift := range 512 {
@@ -283,13 +284,13 @@
 		c.Assert(log.Append(bytes.Repeat([]byte("b"), 400+random.Intn(700))), qt.IsNil)
 		after, err := fs.ReadFile(file)
 		c.Assert(err, qt.IsNil)
-		after = after[:len(after)-markSize]
-		first := (len(before) - markSize) / 512
+		after = after[:len(after)-markerSize]
+		first := (len(before) - markerSize) / 512
 		sectors := (len(after)-1)/512 - first + 1
 		for choice := range 2 << sectors {
 			lost, before := choice>>1, before
 			if choice%2 == 0 {
-				before = before[:len(before)-markSize] // the mark was never on the disk
+				before = before[:len(before)-markerSize] // the mark was never on the disk
 			}
 			torn := append([]byte(nil), after...)
 			for sector := range sectors {
@@ -297,26 +298,26 @@
 					loseSector(torn, before, (first+sector)*512)
 				}
 			}
-			c.Assert(reopened(c, torn), qt.Equals, lost == 0, qt.Commentf("shift %d, lost %b", shift, lost))
+			c.Assert(hasSecondRecord(c, torn), qt.Equals, lost == 0, qt.Commentf("shift %d, lost %b", shift, lost))
 		}
 		rotten := append([]byte(nil), after...)
-		rotten[len(before)-markSize+random.Intn(len(after)-len(before)+markSize)] ^= 1 << random.Intn(8)
+		rotten[len(before)-markerSize+random.Intn(len(after)-len(before)+markerSize)] ^= 1 << random.Intn(8)
 		_, _, err = openContent(c, rotten)
-		var damaged *segmentlog.Damaged
+		var damaged *segmentlog.CorruptionError
 		c.Assert(errors.As(err, &damaged), qt.IsTrue, qt.Commentf("shift %d: %v", shift, err))
 	}
 }
 
-// TestWriteTornInsideASectorIsATornEnd keeps only the first or only the last bytes of a frame, with the mark
+// TestWriteTornInsideASectorIsTorn keeps only the first or only the last bytes of a frame, with the mark
 // before it or zeros in place of the others.
-func TestWriteTornInsideASectorIsATornEnd(t *testing.T) {
+func TestWriteTornInsideASectorIsTorn(t *testing.T) {
 	c := qt.New(t)
-	folder, file := written(c)
+	folder, file := writeLog(c)
 	whole, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
-	whole = whole[:len(whole)-markSize]
+	whole = whole[:len(whole)-markerSize]
 	start := len(whole) - (20 + 4 + len("three"))
-	mark := markBehind(c, "one", "two")
+	mark := markerAfter(c, "one", "two")
 	for kept := 1; kept < len(whole)-start; kept++ {
 		for _, old := range [][]byte{mark, nil} {
 			before := make([]byte, len(whole)-start)
@@ -333,8 +334,8 @@
 	}
 }
 
-// markBehind returns the mark that a log writes behind some records.
-func markBehind(c *qt.C, records ...string) []byte {
+// markerAfter returns the mark that a log writes behind some records.
+func markerAfter(c *qt.C, records ...string) []byte {
 	fs := faultfs.New()
 	log, _, err := segmentlog.Open(fs, dir, segmentlog.Options{})
 	c.Assert(err, qt.IsNil)
@@ -343,7 +344,7 @@
 	}
 	data, err := fs.ReadFile(dir + "/0000000000000001.segment")
 	c.Assert(err, qt.IsNil)
-	return data[len(data)-markSize:]
+	return data[len(data)-markerSize:]
 }
 
 // loseSector sets a sector back to what it was, zeros behind the end.
@@ -367,14 +368,14 @@
 }
 
 // reopened opens a log whose last frame may be torn and tells whether that frame is there.
-func reopened(c *qt.C, data []byte) bool {
+func hasSecondRecord(c *qt.C, data []byte) bool {
 	_, records, err := openContent(c, data)
 	c.Assert(err, qt.IsNil)
 	return len(records) == 2
 }
 
-// TestMarkTellsALostSectorFromACrash: zeros in a frame that is known to be synced are damage.
-func TestMarkTellsALostSectorFromACrash(t *testing.T) {
+// TestLostSectorBeforeAMarkerIsCorruption: zeros in a frame that is known to be synced are damage.
+func TestLostSectorBeforeAMarkerIsCorruption(t *testing.T) {
 	c := qt.New(t)
 	fs := faultfs.New()
 	log, _, err := segmentlog.Open(fs, dir, segmentlog.Options{})
@@ -384,16 +385,16 @@
 	c.Assert(err, qt.IsNil)
 	loseSector(data, nil, 512)
 	_, _, err = openContent(c, data)
-	var damaged *segmentlog.Damaged
+	var damaged *segmentlog.CorruptionError
 	c.Assert(errors.As(err, &damaged), qt.IsTrue, qt.Commentf("%v", err))
-	_, records, err := openContent(c, data[:len(data)-markSize]) // this isn't told apart
+	_, records, err := openContent(c, data[:len(data)-markerSize]) // this isn't told apart
 	c.Assert(err, qt.IsNil)
 	c.Assert(records, qt.HasLen, 0)
 }
 
-// TestDamagedLogBeginsAnew breaks the beginning at each operation: neither the damaged segment nor an older
-// one that a crash has left ever counts again.
-func TestDamagedLogBeginsAnew(t *testing.T) {
+// TestOpenOrResetStartsEmptyAfterCorruption breaks the beginning at each operation: neither the damaged
+// segment nor an older one that a crash has left ever counts again.
+func TestOpenOrResetStartsEmptyAfterCorruption(t *testing.T) {
 	c := qt.New(t)
 	for number := 1; ; number++ {
 		fs := faultfs.New()
@@ -411,7 +412,7 @@
 		c.Assert(fs.Corrupt(dir+"/0000000000000002.segment", 50), qt.IsNil)
 		fs.FaultAt(number, faultfs.CrashAfter)
 		before := fs.Operations
-		_, records, damage, err := segmentlog.OpenAnew(fs, dir, segmentlog.Options{})
+		_, records, damage, err := segmentlog.OpenOrReset(fs, dir, segmentlog.Options{})
 		if err == nil && fs.Operations < before+number {
 			c.Assert(damage, qt.IsNotNil)
 			c.Assert(records, qt.HasLen, 0)
@@ -420,20 +421,20 @@
 		}
 		fs.Crash()
 		fs.Restart(faultfs.LoseSome, rand.New(rand.NewSource(int64(number))))
-		log, records, _, err := segmentlog.OpenAnew(fs, dir, segmentlog.Options{})
+		log, records, _, err := segmentlog.OpenOrReset(fs, dir, segmentlog.Options{})
 		c.Assert(err, qt.IsNil)
 		c.Assert(records, qt.HasLen, 0)
 		c.Assert(log.Append([]byte("new")), qt.IsNil)
-		_, records, damage, err = segmentlog.OpenAnew(fs, dir, segmentlog.Options{})
+		_, records, damage, err = segmentlog.OpenOrReset(fs, dir, segmentlog.Options{})
 		c.Assert(err, qt.IsNil)
 		c.Assert(damage == nil, qt.IsTrue)
 		c.Assert(fmt.Sprintf("%s", records), qt.Equals, "[new]")
 	}
 }
 
-func TestNewerFormatIsRefused(t *testing.T) {
+func TestNewerFormatIsRejected(t *testing.T) {
 	c := qt.New(t)
-	folder, file := written(c)
+	folder, file := writeLog(c)
 	data, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
 	data[len("CHSEGLOG")] = 2
--- a/internal/segmentlog/scan.go
+++ b/internal/segmentlog/scan.go
@@ -7,73 +7,75 @@
 )
 
 // scan is what reading one segment gave.
-type scan struct {
+type scanResult struct {
 	records [][]byte
 	frames  int
 	// next is the sequence that the next frame will have.
-	next uint64
+	nextSequence uint64
 	// base is where the snapshot ends, good is where the last good frame ends.
-	base, good int64
+	snapshotEnd, validEnd int64
 	// marked says that the last frame is a mark.
-	marked bool
+	endsWithMarker bool
 	// torn counts the bytes behind good; tornReason says why they are no frame.
-	torn       int64
+	tornBytes  int64
 	tornReason string
 }
 
-// scanSegment reads a segment. It returns *Damaged or *NewerFormat for what a crash cannot have left.
-func scanSegment(file string, data []byte, number uint64) (scan, error) {
+// scanSegment reads a segment. It returns *Damaged or *NewerFormatError for what a crash cannot have left.
+func scanSegment(file string, data []byte, number uint64) (scanResult, error) {
 	if err := checkHeader(file, data, number); err != nil {
-		return scan{}, err
+		return scanResult{}, err
 	}
-	result := scan{good: int64(headerSize)}
-	for result.good < int64(len(data)) {
-		one, reason := decodeFrame(data[result.good:], number)
-		if reason == "" && one.sequence != result.next {
+	result := scanResult{validEnd: int64(headerSize)}
+	for result.validEnd < int64(len(data)) {
+		f, reason := decodeFrame(data[result.validEnd:], number)
+		if reason == "" && f.sequence != result.nextSequence {
 			reason = "the frame's sequence is not the next one"
 		}
 		if reason != "" {
-			return endOfSegment(file, data, number, result, reason)
+			return classifyTail(file, data, number, result, reason)
 		}
-		result.add(one)
+		result.add(f)
 	}
 	if result.frames == 0 {
-		return result, &Damaged{File: file, Offset: result.good, Reason: "the snapshot is missing"}
+		return result, &CorruptionError{File: file, Offset: result.validEnd, Reason: "the snapshot is missing"}
 	}
-	result.dropMark()
+	result.dropMarker()
 	return result, nil
 }
 
 // add takes a good frame.
-func (s *scan) add(one frame) {
-	s.records = append(s.records, one.records...)
-	s.good += int64(one.size)
+func (s *scanResult) add(f frame) {
+	s.records = append(s.records, f.records...)
+	s.validEnd += int64(f.size)
 	if s.frames == 0 {
-		s.base = s.good
+		s.snapshotEnd = s.validEnd
 	}
 	s.frames++
-	s.next++
-	s.marked = one.isSyncMark()
+	s.nextSequence++
+	s.endsWithMarker = f.isSyncMarker()
 }
 
-// dropMark doesn't count a mark at the end: the next frame takes its place.
-func (s *scan) dropMark() {
-	if s.marked {
-		s.good -= frameHeaderSize
+// dropMarker doesn't count a mark at the end: the next frame takes its place.
+func (s *scanResult) dropMarker() {
+	if s.endsWithMarker {
+		s.validEnd -= frameHeaderSize
 		s.frames--
-		s.next--
+		s.nextSequence--
 	}
 }
 
-// endOfSegment decides whether a bad frame is a torn end or damage. The snapshot was synced before the
+// classifyTail decides whether a bad frame is a torn end or damage. The snapshot was synced before the
 // segment got its name, and a frame is written only after the one before it was synced.
-func endOfSegment(file string, data []byte, number uint64, result scan, reason string) (scan, error) {
-	rest := data[result.good:]
-	if result.frames == 0 || goodFrameBehind(rest, number, result.next) || !mayBeTorn(data, number, &result) {
-		return result, &Damaged{File: file, Offset: result.good, Reason: reason}
+func classifyTail(file string, data []byte, number uint64, result scanResult, reason string) (scanResult,
+	error) {
+	tail := data[result.validEnd:]
+	if result.frames == 0 || hasLaterFrame(tail, number, result.nextSequence) || !mayBeTorn(data, number,
+		&result) {
+		return result, &CorruptionError{File: file, Offset: result.validEnd, Reason: reason}
 	}
-	result.dropMark()
-	result.torn, result.tornReason = int64(len(data))-result.good, reason
+	result.dropMarker()
+	result.tornBytes, result.tornReason = int64(len(data))-result.validEnd, reason
 	return result, nil
 }
 
@@ -81,31 +83,31 @@
 // or as it should be: the file ends early, or a part of the frame in one sector still has what was there
 // before, the mark behind the last good frame and zeros. A frame of which nothing is missing has been changed
 // since.
-func mayBeTorn(data []byte, number uint64, result *scan) bool {
-	rest := data[result.good:]
-	if result.marked || len(rest) <= frameHeaderSize {
+func mayBeTorn(data []byte, number uint64, result *scanResult) bool {
+	tail := data[result.validEnd:]
+	if result.endsWithMarker || len(tail) <= frameHeaderSize {
 		return true // the mark is still there, or is all that is bad
 	}
 	end := int64(len(data))
-	size, good := frameExtent(rest, number)
+	size, headerValid := frameExtent(tail, number)
 	switch {
-	case size <= int64(len(rest)):
-		end = result.good + size // also by a bad header: half a mark may stand behind the frame
-	case good:
+	case size <= int64(len(tail)):
+		end = result.validEnd + size // also by a bad header: half a mark may stand behind the frame
+	case headerValid:
 		return true
 	}
-	if missesAnEnd(data[result.good:end]) || !good && missesHeaderEnd(rest) {
+	if lacksStartOrEnd(data[result.validEnd:end]) || !headerValid && lacksHeaderChecksum(tail) {
 		return true
 	}
-	if !good {
+	if !headerValid {
 		end = int64(len(data))
 	}
-	before := make([]byte, len(rest))
-	copy(before, syncMark(number, result.next))
-	for start := result.good; start < end; {
+	expected := make([]byte, len(tail))
+	copy(expected, syncMarker(number, result.nextSequence))
+	for start := result.validEnd; start < end; {
 		next := min(end, start-start%sectorSize+sectorSize)
-		part, old := data[start:next], before[start-result.good:next-result.good]
-		if bytes.Equal(part, old) || bytes.Equal(part, make([]byte, len(part))) {
+		current, previous := data[start:next], expected[start-result.validEnd:next-result.validEnd]
+		if bytes.Equal(current, previous) || bytes.Equal(current, make([]byte, len(current))) {
 			return true
 		}
 		start = next
@@ -113,23 +115,23 @@
 	return false
 }
 
-// missesAnEnd tells whether the first or the last bytes of a frame were not written. Disks that tear a write
-// inside a sector leave that: a length of zero, which only marks have, or a zero at the end, which no owner's
-// record ends in.
-func missesAnEnd(frame []byte) bool {
+// lacksStartOrEnd tells whether the first or the last bytes of a frame were not written. Disks that tear a
+// write inside a sector leave that: a length of zero, which only marks have, or a zero at the end, which no
+// owner's record ends in.
+func lacksStartOrEnd(frame []byte) bool {
 	return binary.LittleEndian.Uint32(frame) == 0 || frame[len(frame)-1] == 0
 }
 
-// missesHeaderEnd tells whether the checksum at the end of a frame's header was not written.
-func missesHeaderEnd(frame []byte) bool {
+// lacksHeaderChecksum tells whether the checksum at the end of a frame's header was not written.
+func lacksHeaderChecksum(frame []byte) bool {
 	return binary.LittleEndian.Uint32(frame[frameHeaderSize-4:]) == 0
 }
 
-// goodFrameBehind looks for a good frame with a later sequence anywhere behind the first byte.
-func goodFrameBehind(rest []byte, number, sequence uint64) bool {
-	for offset := 1; offset+frameHeaderSize <= len(rest); offset++ {
-		one, reason := decodeFrame(rest[offset:], number)
-		if reason == "" && one.sequence > sequence {
+// hasLaterFrame looks for a good frame with a later sequence anywhere behind the first byte.
+func hasLaterFrame(tail []byte, number, sequence uint64) bool {
+	for offset := 1; offset+frameHeaderSize <= len(tail); offset++ {
+		f, reason := decodeFrame(tail[offset:], number)
+		if reason == "" && f.sequence > sequence {
 			return true
 		}
 	}
@@ -137,8 +139,8 @@
 }
 
 // segmentNumbers returns the numbers of the segments in a folder, lowest first.
-func segmentNumbers(fs FS, dir string) ([]uint64, error) {
-	names, err := fs.List(dir)
+func segmentNumbers(fsys FS, dir string) ([]uint64, error) {
+	names, err := fsys.List(dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulation/routersim/clairvoyant.go
+++ b/internal/simulation/routersim/clairvoyant.go
@@ -54,7 +54,7 @@
 	var best *catalog.Server
 	var done time.Duration
 	for _, s := range c.table.Service(r.Service.Name) {
-		if (s.Stage == catalog.Reading) != (role == scheduler.Prefill) {
+		if (s.Role == catalog.Prefill) != (role == scheduler.Prefill) {
 			continue
 		}
 		at := c.doneAt(now, s, r, role, reader)
--- a/internal/simulation/routersim/engine.go
+++ b/internal/simulation/routersim/engine.go
@@ -154,7 +154,7 @@
 func (s *server) advancePrefill() time.Duration {
 	engine := s.engine
 	chunk, pace := engine.PrefillChunk, 1.0
-	if s.Stage == catalog.Writing {
+	if s.Role == catalog.Decode {
 		chunk, pace = chunk/decodeChunkDivisor, decodePrefillFactor
 	}
 	prefilled, decoding, pairs := 0, 0, 0.0
--- a/internal/simulation/routersim/fleet.go
+++ b/internal/simulation/routersim/fleet.go
@@ -50,10 +50,10 @@
 
 func (f *fleet) start(policy PolicyFactory) {
 	for i := range f.scenario.PrefillServers {
-		f.addServer(catalog.Reading, i, 0)
+		f.addServer(catalog.Prefill, i, 0)
 	}
 	for i := range f.scenario.DecodeServers {
-		f.addServer(catalog.Writing, i, 0)
+		f.addServer(catalog.Decode, i, 0)
 	}
 	for i := range f.scenario.Proxies {
 		zone := zoneName(i % f.scenario.Zones)
@@ -71,12 +71,12 @@
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-func (f *fleet) addServer(stage catalog.Stage, number, incarnation int) {
+func (f *fleet) addServer(stage catalog.Role, number, incarnation int) {
 	s := &server{
 		Server: &catalog.Server{
 			ID: fmt.Sprintf("%s-%d-%d", stage, number, incarnation), Service: f.service.Name,
 			Slots: f.scenario.Engine.Slots, Zone: zoneName(number % f.scenario.Zones), State: catalog.Ready,
-			Stage: stage,
+			Role: stage,
 		},
 		clock: &f.clock, engine: &f.scenario.Engine, cache: newPrefixCache(f.scenario.Engine.CacheTokens),
 		speed: 1 + f.scenario.SpeedSpread*(2*f.random.Float64()-1), transferFactor: 1, counts: &f.counts,
@@ -140,7 +140,7 @@
 	case Crash:
 		s.crash()
 		f.clock.after(f.scenario.ListingDelay, f.publishTable)
-		f.clock.after(lasting, func() { f.addServer(s.Stage, number, int(f.tableVersion)+1) })
+		f.clock.after(lasting, func() { f.addServer(s.Role, number, int(f.tableVersion)+1) })
 		f.clock.after(lasting+f.scenario.ListingDelay, f.publishTable)
 	}
 }
--- a/internal/simulation/routersim/policy.go
+++ b/internal/simulation/routersim/policy.go
@@ -82,13 +82,13 @@
 }
 
 func (s *baseline) servers(r *scheduler.Request, role scheduler.Role) []*catalog.Server {
-	stage := catalog.Writing
+	stage := catalog.Decode
 	if role == scheduler.Prefill {
-		stage = catalog.Reading
+		stage = catalog.Prefill
 	}
 	var all []*catalog.Server
 	for _, listed := range s.table.Service(r.Service.Name) {
-		if listed.Stage == stage && !slices.Contains(r.Excluded, listed.ID) {
+		if listed.Role == stage && !slices.Contains(r.Excluded, listed.ID) {
 			all = append(all, listed)
 		}
 	}
@@ -137,7 +137,7 @@
 // boundedHash is the first server by rendezvous hashing of the shared parts that has no more than bound times
 // the mean of the calls known.
 func (s *baseline) boundedHash(all []*catalog.Server, r *scheduler.Request) *catalog.Server {
-	if all[0].Stage == catalog.Writing {
+	if all[0].Role == catalog.Decode {
 		return s.twoChoices(all, r)
 	}
 	const bound = 1.25
