--- a/internal/cluster/groupstate/chore.go
+++ b/internal/cluster/groupstate/chore.go
@@ -21,58 +21,59 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// Owner is the chore that the fleet's one owner holds the lease of: all others are done under it.
-const Owner = "fleet"
+// FleetRole is the chore that the fleet's one owner holds the lease of: all others are done under it.
+const FleetRole = "fleet"
 
 const (
-	// backlogMost is how many periods wait for their export at most: two weeks of minutes. Beyond, the oldest
-	// go unsent, which Figures.Unsent tells.
-	backlogMost = 20_160
-	// fixesMost is how many corrections of exported periods wait to be sent; beyond, further ones are refused.
-	fixesMost = 10_000
-	// listMost bounds a list of servers, in bytes.
-	listMost = 8 << 20
+	// maxUnexportedPeriods is how many periods wait for their export at most: two weeks of minutes. Beyond, the
+	// oldest go unsent, which Figures.Unsent tells.
+	maxUnexportedPeriods = 20_160
+	// maxPendingCorrections is how many corrections of exported periods wait to be sent; beyond, further ones
+	// are refused.
+	maxPendingCorrections = 10_000
+	// maxEndpointListBytes bounds a list of servers, in bytes.
+	maxEndpointListBytes = 8 << 20
 )
 
 // Commands of the log, beside those of package ledger.
 const (
-	kindLease   = 'L'
-	kindIntent  = 'I'
-	kindDone    = 'D'
-	kindSettled = 'S'
-	kindList    = 'T'
+	kindLease           = 'L'
+	kindExportIntent    = 'I'
+	kindExportDone      = 'D'
+	kindCorrectionsSent = 'S'
+	kindEndpointList    = 'T'
 )
 
-// Intent says that the owner is about to send a period.
-type Intent struct {
+// IntentToken says that the owner is about to send a period.
+type ExportIntent struct {
 	Member string
 	Token  uint64
 	Period uint64
 }
 
-// Done says that the sink has all of a period.
-type Done struct {
+// ExportDone says that the sink has all of a period.
+type ExportDone struct {
 	Member string
 	Token  uint64
 	Period uint64
 }
 
-// Settled says that the sink has all corrections up to one.
-type Settled struct {
+// CorrectionsSent says that the sink has all corrections up to one.
+type CorrectionsSent struct {
 	Member string
 	Token  uint64
 	UpTo   uint64
 }
 
-// List is the list of zone servers as the owner has it now. An empty Raw says that it is as it was.
-type List struct {
+// Endpoints is the list of zone servers as the owner has it now. An empty Raw says that it is as it was.
+type EndpointList struct {
 	Member string
 	Token  uint64
 	Index  int64 // discovery's own count of changes
 	Raw    []byte
 }
 
-var handle = func() *codec.MsgpackHandle {
+var msgpackHandle = func() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.StructToArray = true
 	return h
@@ -80,59 +81,59 @@
 
 func encode(kind byte, v any) []byte {
 	var b []byte
-	if err := codec.NewEncoderBytes(&b, handle).Encode(v); err != nil {
+	if err := codec.NewEncoderBytes(&b, msgpackHandle).Encode(v); err != nil {
 		panic(err) // a struct of this package that the codec cannot write: no input leads here
 	}
 	return append([]byte{kind}, b...)
 }
 
-// Lease returns a lease's command as it stands in the log.
-func Lease(c lease.Command) []byte { return encode(kindLease, &c) }
+// EncodeLease returns a lease's command as it stands in the log.
+func EncodeLease(c lease.Command) []byte { return encode(kindLease, &c) }
 
 // Encode returns the command as it stands in the log.
-func (c *Intent) Encode() []byte  { return encode(kindIntent, c) }
-func (c *Done) Encode() []byte    { return encode(kindDone, c) }
-func (c *Settled) Encode() []byte { return encode(kindSettled, c) }
-func (c *List) Encode() []byte    { return encode(kindList, c) }
+func (c *ExportIntent) Encode() []byte    { return encode(kindExportIntent, c) }
+func (c *ExportDone) Encode() []byte      { return encode(kindExportDone, c) }
+func (c *CorrectionsSent) Encode() []byte { return encode(kindCorrectionsSent, c) }
+func (c *EndpointList) Encode() []byte    { return encode(kindEndpointList, c) }
 
 // Result says what became of a chore's command.
 type Result struct {
 	Status string `json:"status"`
-	Why    string `json:"why,omitempty"`
+	Reason string `json:"why,omitempty"`
 }
 
 // What becomes of chores' commands.
 const (
-	Taken   = "taken"
-	Stale   = "stale"   // its token is not that of the grant: whoever sent it owns nothing any more
-	Refused = "refused" // it makes no sense
+	StatusAccepted = "taken"
+	StatusStale    = "stale"   // its token is not that of the grant: whoever sent it owns nothing any more
+	StatusRejected = "refused" // it makes no sense
 )
 
-// Figures are counts of what was applied.
-type Figures struct {
-	Grants  int64 `json:"grants"`
-	Stale   int64 `json:"stale"`   // entries refused for their token
-	Refused int64 `json:"refused"` // entries that do not decode or make no sense
-	Periods int64 `json:"periods"` // exported
-	Unsent  int64 `json:"unsent"`  // periods that went before they were exported, for want of room
-	Fixes   int64 `json:"fixes"`   // corrections exported
-	Lists   int64 `json:"lists"`   // told by owners
+// Stats are counts of what was applied.
+type Stats struct {
+	Grants        int64 `json:"grants"`
+	Stale         int64 `json:"stale"`   // entries refused for their token
+	Rejected      int64 `json:"refused"` // entries that do not decode or make no sense
+	Periods       int64 `json:"periods"` // exported
+	Unsent        int64 `json:"unsent"`  // periods that went before they were exported, for want of room
+	Corrections   int64 `json:"fixes"`   // corrections exported
+	EndpointLists int64 `json:"lists"`   // told by owners
 }
 
 // open is an intent that is not done: what is sent, frozen.
-type open struct {
+type openExport struct {
 	Period, Token uint64
 	Rows          []ledger.Row
 }
 
 // Fix is a correction of a period that was sent before it came: it is sent by itself.
-type Fix struct {
+type PendingCorrection struct {
 	Seq uint64 `json:"seq"`
 	ledger.Correction
 }
 
 // held is the list of servers as owners told it.
-type held struct {
+type endpointState struct {
 	Token, Version, Changed uint64 // Version is the index of the last entry about it, Changed of the last change
 	Index                   int64
 	Raw                     []byte
@@ -141,58 +142,59 @@
 // Machine is the ledger and the chores as one state machine of a group.
 type Machine struct {
 	*ledger.Ledger
-	s       state
-	leases  *lease.Table
-	applied uint64
+	state        state
+	leases       *lease.Table
+	appliedIndex uint64
 }
 
 // state is all but the ledger and the leases, as a snapshot has it.
 type state struct {
-	Begun    bool // an export was begun: from then on periods wait for theirs
-	Exported uint64
-	Open     *open
-	Fixes    []Fix
-	FixSeq   uint64
-	List     held
-	Figures  Figures
+	ExportStarted bool // an export was begun: from then on periods wait for theirs
+	Exported      uint64
+	Open          *openExport
+	Corrections   []PendingCorrection
+	CorrectionSeq uint64
+	Endpoints     endpointState
+	Stats         Stats
 }
 
 // New returns an empty machine.
-func New(set ledger.Settings) (*Machine, error) {
-	l, err := ledger.New(set)
+func New(settings ledger.Settings) (*Machine, error) {
+	l, err := ledger.New(settings)
 	if err != nil {
 		return nil, err
 	}
 	m := &Machine{Ledger: l, leases: lease.NewTable()}
-	l.KeepUntil(m.mayGo)
+	l.SetMayDrop(m.mayDrop)
 	return m, nil
 }
 
-// mayGo tells whether a closed period beyond those that are kept may go: once it is exported, or where no
+// mayDrop tells whether a closed period beyond those that are kept may go: once it is exported, or where no
 // export was ever begun, or where too many wait.
-func (m *Machine) mayGo(period uint64) bool {
+func (m *Machine) mayDrop(period uint64) bool {
 	switch {
-	case !m.s.Begun || period <= m.s.Exported:
+	case !m.state.ExportStarted || period <= m.state.Exported:
 		return true
-	case m.Ledger.Open()-period > backlogMost && (m.s.Open == nil || m.s.Open.Period != period):
-		m.s.Figures.Unsent++
+	case m.Ledger.OpenPeriod()-period > maxUnexportedPeriods && (m.state.Open == nil ||
+		m.state.Open.Period != period):
+		m.state.Stats.Unsent++
 		return true
 	}
 	return false
 }
 
 // sealed is the newest period whose statement is sent or being sent.
-func (m *Machine) sealed() uint64 {
-	if m.s.Open != nil {
-		return m.s.Open.Period
+func (m *Machine) lastSealed() uint64 {
+	if m.state.Open != nil {
+		return m.state.Open.Period
 	}
-	return m.s.Exported
+	return m.state.Exported
 }
 
 // due is the next period to be exported, 0 where there is none.
-func (m *Machine) due() uint64 {
-	next := max(m.s.Exported+1, m.Ledger.First())
-	if next > m.Ledger.Final() {
+func (m *Machine) nextDue() uint64 {
+	next := max(m.state.Exported+1, m.Ledger.FirstPeriod())
+	if next > m.Ledger.FinalPeriod() {
 		return 0
 	}
 	return next
@@ -200,147 +202,147 @@
 
 // Apply applies a command of the log.
 func (m *Machine) Apply(index uint64, data []byte) any {
-	m.applied = index
+	m.appliedIndex = index
 	if len(data) == 0 {
 		return m.Ledger.Apply(index, data)
 	}
 	switch data[0] {
 	case kindLease:
-		return m.lease(index, data)
-	case kindIntent:
-		return decoded(m, data, m.intent)
-	case kindDone:
-		return decoded(m, data, m.done)
-	case kindSettled:
-		return decoded(m, data, m.settled)
-	case kindList:
-		return decoded(m, data, m.list)
+		return m.applyLease(index, data)
+	case kindExportIntent:
+		return decodeAndApply(m, data, m.applyIntent)
+	case kindExportDone:
+		return decodeAndApply(m, data, m.applyDone)
+	case kindCorrectionsSent:
+		return decodeAndApply(m, data, m.applyCorrectionsSent)
+	case kindEndpointList:
+		return decodeAndApply(m, data, m.applyEndpointList)
 	}
-	if c, ok := ledger.DecodeCorrection(data); ok && c.Period <= m.sealed() {
-		return m.correct(index, data, c)
+	if c, ok := ledger.DecodeCorrection(data); ok && c.Period <= m.lastSealed() {
+		return m.applyCorrection(index, data, c)
 	}
 	return m.Ledger.Apply(index, data)
 }
 
-func decoded[C any](m *Machine, data []byte, apply func(*C) Result) Result {
+func decodeAndApply[C any](m *Machine, data []byte, apply func(*C) Result) Result {
 	var c C
-	if err := codec.NewDecoderBytes(data[1:], handle).Decode(&c); err != nil {
-		return m.refused("it does not decode: %v", err)
+	if err := codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&c); err != nil {
+		return m.reject("it does not decode: %v", err)
 	}
 	return apply(&c)
 }
 
-func (m *Machine) refused(format string, args ...any) Result {
-	m.s.Figures.Refused++
-	return Result{Status: Refused, Why: fmt.Sprintf(format, args...)}
+func (m *Machine) reject(format string, args ...any) Result {
+	m.state.Stats.Rejected++
+	return Result{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}
 }
 
-func (m *Machine) lease(index uint64, data []byte) any {
-	var c lease.Command
-	if err := codec.NewDecoderBytes(data[1:], handle).Decode(&c); err != nil || c.Chore != Owner {
-		m.refused("")
-		return lease.Result{Grant: m.leases.Get(Owner)}
+func (m *Machine) applyLease(index uint64, data []byte) any {
+	var cmd lease.Command
+	if err := codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&cmd); err != nil || cmd.Role != FleetRole {
+		m.reject("")
+		return lease.Result{Grant: m.leases.Get(FleetRole)}
 	}
-	r := m.leases.Apply(index, c)
-	if r.Done && c.Op == lease.Take {
-		m.s.Figures.Grants++
+	result := m.leases.Apply(index, cmd)
+	if result.Applied && cmd.Op == lease.Acquire {
+		m.state.Stats.Grants++
 	}
-	return r
+	return result
 }
 
 // owns tells whether a token is that of the grant as it stands, held by that member.
-func (m *Machine) owns(member string, token uint64) (Result, bool) {
-	g := m.leases.Get(Owner)
-	if g.Holder == member && member != "" && g.Token == token {
-		return Result{Status: Taken}, true
+func (m *Machine) checkToken(member string, token uint64) (Result, bool) {
+	grant := m.leases.Get(FleetRole)
+	if grant.Holder == member && member != "" && grant.Token == token {
+		return Result{Status: StatusAccepted}, true
 	}
-	m.s.Figures.Stale++
-	why := fmt.Sprintf("token %d of %q; the grant is %d of %q", token, member, g.Token, g.Holder)
-	return Result{Status: Stale, Why: why}, false
+	m.state.Stats.Stale++
+	reason := fmt.Sprintf("token %d of %q; the grant is %d of %q", token, member, grant.Token, grant.Holder)
+	return Result{Status: StatusStale, Reason: reason}, false
 }
 
-func (m *Machine) intent(c *Intent) Result {
-	r, ok := m.owns(c.Member, c.Token)
+func (m *Machine) applyIntent(cmd *ExportIntent) Result {
+	result, ok := m.checkToken(cmd.Member, cmd.Token)
 	switch {
 	case !ok:
-		return r
-	case m.s.Open != nil && m.s.Open.Period == c.Period:
-		return r // said before: what is sent stays as it was
-	case m.s.Open != nil:
-		return m.refused("period %d is being sent", m.s.Open.Period)
-	case c.Period == 0 || c.Period != m.due():
-		return m.refused("period %d is not the next to be sent; that is %d", c.Period, m.due())
+		return result
+	case m.state.Open != nil && m.state.Open.Period == cmd.Period:
+		return result // said before: what is sent stays as it was
+	case m.state.Open != nil:
+		return m.reject("period %d is being sent", m.state.Open.Period)
+	case cmd.Period == 0 || cmd.Period != m.nextDue():
+		return m.reject("period %d is not the next to be sent; that is %d", cmd.Period, m.nextDue())
 	}
-	rows, ok := m.Ledger.Rows(c.Period)
+	rows, ok := m.Ledger.Rows(cmd.Period)
 	if !ok {
-		return m.refused("there is no period %d", c.Period)
+		return m.reject("there is no period %d", cmd.Period)
 	}
-	m.s.Begun = true
-	m.s.Open = &open{Period: c.Period, Token: c.Token, Rows: rows}
-	return r
+	m.state.ExportStarted = true
+	m.state.Open = &openExport{Period: cmd.Period, Token: cmd.Token, Rows: rows}
+	return result
 }
 
-func (m *Machine) done(c *Done) Result {
-	r, ok := m.owns(c.Member, c.Token)
+func (m *Machine) applyDone(cmd *ExportDone) Result {
+	result, ok := m.checkToken(cmd.Member, cmd.Token)
 	switch {
 	case !ok:
-		return r
-	case m.s.Open == nil && c.Period == m.s.Exported:
-		return r // said before
-	case m.s.Open == nil || m.s.Open.Period != c.Period:
-		return m.refused("period %d is not being sent", c.Period)
+		return result
+	case m.state.Open == nil && cmd.Period == m.state.Exported:
+		return result // said before
+	case m.state.Open == nil || m.state.Open.Period != cmd.Period:
+		return m.reject("period %d is not being sent", cmd.Period)
 	}
-	m.s.Exported, m.s.Open = c.Period, nil
-	m.s.Figures.Periods++
-	return r
+	m.state.Exported, m.state.Open = cmd.Period, nil
+	m.state.Stats.Periods++
+	return result
 }
 
 // correct applies a correction of a period that was sent, or is being sent, already: it is sent by itself.
-func (m *Machine) correct(index uint64, data []byte, c ledger.Correction) any {
-	if len(m.s.Fixes) >= fixesMost {
-		m.refused("")
-		return ledger.Result{Status: ledger.Refused, Index: index, Period: c.Period}
+func (m *Machine) applyCorrection(index uint64, data []byte, correction ledger.Correction) any {
+	if len(m.state.Corrections) >= maxPendingCorrections {
+		m.reject("")
+		return ledger.Result{Status: ledger.StatusRejected, Index: index, Period: correction.Period}
 	}
-	r := m.Ledger.Apply(index, data)
-	if r.Status == ledger.Corrected {
-		m.s.FixSeq++
-		m.s.Fixes = append(m.s.Fixes, Fix{m.s.FixSeq, c})
+	result := m.Ledger.Apply(index, data)
+	if result.Status == ledger.StatusCorrected {
+		m.state.CorrectionSeq++
+		m.state.Corrections = append(m.state.Corrections, PendingCorrection{m.state.CorrectionSeq, correction})
 	}
-	return r
+	return result
 }
 
-func (m *Machine) settled(c *Settled) Result {
-	r, ok := m.owns(c.Member, c.Token)
+func (m *Machine) applyCorrectionsSent(cmd *CorrectionsSent) Result {
+	result, ok := m.checkToken(cmd.Member, cmd.Token)
 	if !ok {
-		return r
+		return result
 	}
-	if c.UpTo > m.s.FixSeq {
-		return m.refused("there is no correction %d", c.UpTo)
+	if cmd.UpTo > m.state.CorrectionSeq {
+		return m.reject("there is no correction %d", cmd.UpTo)
 	}
-	for len(m.s.Fixes) > 0 && m.s.Fixes[0].Seq <= c.UpTo {
-		m.s.Fixes = m.s.Fixes[1:]
-		m.s.Figures.Fixes++
+	for len(m.state.Corrections) > 0 && m.state.Corrections[0].Seq <= cmd.UpTo {
+		m.state.Corrections = m.state.Corrections[1:]
+		m.state.Stats.Corrections++
 	}
-	return r
+	return result
 }
 
-func (m *Machine) list(c *List) Result {
-	r, ok := m.owns(c.Member, c.Token)
-	l := &m.s.List
+func (m *Machine) applyEndpointList(cmd *EndpointList) Result {
+	result, ok := m.checkToken(cmd.Member, cmd.Token)
+	current := &m.state.Endpoints
 	switch {
 	case !ok:
-		return r
-	case len(c.Raw) > listMost:
-		return m.refused("a list of %d bytes, %d at most", len(c.Raw), listMost)
-	case len(c.Raw) > 0 && !json.Valid(c.Raw):
-		return m.refused("the list is no JSON")
-	case len(c.Raw) == 0 && (l.Token != c.Token || l.Index != c.Index):
-		return m.refused("the list is said to be as it was, and it is another owner's")
+		return result
+	case len(cmd.Raw) > maxEndpointListBytes:
+		return m.reject("a list of %d bytes, %d at most", len(cmd.Raw), maxEndpointListBytes)
+	case len(cmd.Raw) > 0 && !json.Valid(cmd.Raw):
+		return m.reject("the list is no JSON")
+	case len(cmd.Raw) == 0 && (current.Token != cmd.Token || current.Index != cmd.Index):
+		return m.reject("the list is said to be as it was, and it is another owner's")
 	}
-	l.Version, l.Token, l.Index = m.applied, c.Token, c.Index
-	if len(c.Raw) > 0 {
-		l.Changed, l.Raw = m.applied, c.Raw
+	current.Version, current.Token, current.Index = m.appliedIndex, cmd.Token, cmd.Index
+	if len(cmd.Raw) > 0 {
+		current.Changed, current.Raw = m.appliedIndex, cmd.Raw
 	}
-	m.s.Figures.Lists++
-	return r
+	m.state.Stats.EndpointLists++
+	return result
 }
--- a/internal/cluster/groupstate/read.go
+++ b/internal/cluster/groupstate/read.go
@@ -13,16 +13,16 @@
 
 // What a query asks for; "" is the ledger, by ledger.Query.
 const (
-	AskGrant     = "grant"     // lease.Grant
-	AskView      = "view"      // View
-	AskStatement = "statement" // Statement
-	AskList      = "list"      // ListView
+	QueryGrant         = "grant"     // lease.Grant
+	QueryView          = "view"      // View
+	QueryPendingExport = "statement" // PendingExport
+	QueryEndpoints     = "list"      // EndpointView
 )
 
 // Query is a question in JSON. One of package ledger's is a Query too.
 type Query struct {
-	Ask   string `json:"ask,omitempty"`
-	After uint64 `json:"after,omitempty"` // AskList: the list's bytes only where it changed after this
+	Kind  string `json:"ask,omitempty"`
+	After uint64 `json:"after,omitempty"` // QueryEndpoints: the list's bytes only where it changed after this
 	ledger.Query
 }
 
@@ -37,20 +37,20 @@
 
 // View is what operators see of the chores.
 type View struct {
-	Grant    lease.Grant `json:"grant"`
-	Exported uint64      `json:"exported"` // the last period that the sink has whole
-	Sending  uint64      `json:"sending"`  // the period of an open intent, 0 for none
-	Intent   uint64      `json:"intent_token"`
-	Final    uint64      `json:"final"` // the newest period that may be sent
-	Open     uint64      `json:"open"`
-	Backlog  int         `json:"backlog"` // periods that may be sent and were not
-	Fixes    int         `json:"corrections_waiting"`
-	List     ListView    `json:"list"`
-	Figures  Figures     `json:"figures"`
+	Grant              lease.Grant  `json:"grant"`
+	Exported           uint64       `json:"exported"` // the last period that the sink has whole
+	Sending            uint64       `json:"sending"`  // the period of an open intent, 0 for none
+	IntentToken        uint64       `json:"intent_token"`
+	Final              uint64       `json:"final"` // the newest period that may be sent
+	Open               uint64       `json:"open"`
+	Backlog            int          `json:"backlog"` // periods that may be sent and were not
+	PendingCorrections int          `json:"corrections_waiting"`
+	Endpoints          EndpointView `json:"list"`
+	Stats              Stats        `json:"figures"`
 }
 
-// ListView is the list of servers as the last owner told it.
-type ListView struct {
+// EndpointView is the list of servers as the last owner told it.
+type EndpointView struct {
 	Version uint64          `json:"version"` // rises whenever an owner says how the list is
 	Changed uint64          `json:"changed"`
 	Token   uint64          `json:"token"`
@@ -58,18 +58,18 @@
 	Raw     json.RawMessage `json:"raw,omitempty"`
 }
 
-// Statement is what the owner has to send next.
-type Statement struct {
-	Grant  lease.Grant  `json:"grant"`
-	Due    uint64       `json:"due"`    // the next period that wants an intent, 0 for none
-	Period uint64       `json:"period"` // of the open intent, 0 for none
-	Token  uint64       `json:"token"`  // that intent's
-	Rows   []ledger.Row `json:"rows"`
-	Fixes  []Fix        `json:"fixes"`
+// PendingExport is what the owner has to send next.
+type PendingExport struct {
+	Grant       lease.Grant         `json:"grant"`
+	Due         uint64              `json:"due"`    // the next period that wants an intent, 0 for none
+	Period      uint64              `json:"period"` // of the open intent, 0 for none
+	IntentToken uint64              `json:"token"`  // that intent's
+	Rows        []ledger.Row        `json:"rows"`
+	Corrections []PendingCorrection `json:"fixes"`
 }
 
-// fixesAtOnce is how many corrections one statement holds.
-const fixesAtOnce = 100
+// maxCorrectionsPerExport is how many corrections one statement holds.
+const maxCorrectionsPerExport = 100
 
 // Read answers a Query in JSON.
 func (m *Machine) Read(query []byte) (any, error) {
@@ -77,44 +77,46 @@
 	if err := json.Unmarshal(query, &q); err != nil {
 		return nil, fmt.Errorf("a query that does not decode: %w", err)
 	}
-	switch q.Ask {
+	switch q.Kind {
 	case "":
 		return m.Ledger.Read(q.Query), nil
-	case AskGrant:
-		return m.leases.Get(Owner), nil
-	case AskView:
+	case QueryGrant:
+		return m.leases.Get(FleetRole), nil
+	case QueryView:
 		return m.View(), nil
-	case AskStatement:
-		s := Statement{Grant: m.leases.Get(Owner), Fixes: m.s.Fixes[:min(len(m.s.Fixes), fixesAtOnce)]}
-		if o := m.s.Open; o != nil {
-			s.Period, s.Token, s.Rows = o.Period, o.Token, o.Rows
+	case QueryPendingExport:
+		s := PendingExport{Grant: m.leases.Get(FleetRole),
+			Corrections: m.state.Corrections[:min(len(m.state.Corrections), maxCorrectionsPerExport)]}
+		if o := m.state.Open; o != nil {
+			s.Period, s.IntentToken, s.Rows = o.Period, o.Token, o.Rows
 		} else {
-			s.Due = m.due()
+			s.Due = m.nextDue()
 		}
 		return s, nil
-	case AskList:
-		l := m.listView()
+	case QueryEndpoints:
+		l := m.endpointView()
 		if l.Changed > q.After {
-			l.Raw = m.s.List.Raw
+			l.Raw = m.state.Endpoints.Raw
 		}
 		return l, nil
 	}
-	return nil, fmt.Errorf("%q is no question", q.Ask)
+	return nil, fmt.Errorf("%q is no question", q.Kind)
 }
 
-func (m *Machine) listView() ListView {
-	l := &m.s.List
-	return ListView{Version: l.Version, Changed: l.Changed, Token: l.Token, Index: l.Index}
+func (m *Machine) endpointView() EndpointView {
+	l := &m.state.Endpoints
+	return EndpointView{Version: l.Version, Changed: l.Changed, Token: l.Token, Index: l.Index}
 }
 
 // View is the chores as they are.
 func (m *Machine) View() View {
-	v := View{Grant: m.leases.Get(Owner), Exported: m.s.Exported, Final: m.Ledger.Final(),
-		Open: m.Ledger.Open(), Fixes: len(m.s.Fixes), List: m.listView(), Figures: m.s.Figures}
-	if o := m.s.Open; o != nil {
-		v.Sending, v.Intent = o.Period, o.Token
+	v := View{Grant: m.leases.Get(FleetRole), Exported: m.state.Exported, Final: m.Ledger.FinalPeriod(),
+		Open: m.Ledger.OpenPeriod(), PendingCorrections: len(m.state.Corrections), Endpoints: m.endpointView(),
+		Stats: m.state.Stats}
+	if o := m.state.Open; o != nil {
+		v.Sending, v.IntentToken = o.Period, o.Token
 	}
-	if from := max(m.s.Exported+1, m.Ledger.First()); v.Final >= from {
+	if from := max(m.state.Exported+1, m.Ledger.FirstPeriod()); v.Final >= from {
 		v.Backlog = int(v.Final - from + 1)
 	}
 	return v
@@ -123,20 +125,20 @@
 // format is that of snapshots; one of a newer format is refused. kindSnapshot stands before it: a snapshot
 // from before there were chores is the ledger's alone and begins with another byte.
 const (
-	format       = 1
-	kindSnapshot = 'M'
+	snapshotFormat = 1
+	kindSnapshot   = 'M'
 )
 
-type saved struct {
-	Format  int
-	Applied uint64
-	Grants  map[string]lease.Grant
-	State   state
-	Ledger  []byte
+type snapshot struct {
+	Format       int
+	AppliedIndex uint64
+	Grants       map[string]lease.Grant
+	State        state
+	Ledger       []byte
 }
 
 // sorted has the same state give the same bytes, though it holds a map.
-var sorted = func() *codec.MsgpackHandle {
+var canonicalHandle = func() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.StructToArray, h.Canonical = true, true
 	return h
@@ -145,8 +147,9 @@
 // Snapshot returns the whole state. The same state gives the same bytes.
 func (m *Machine) Snapshot() []byte {
 	var b []byte
-	if err := codec.NewEncoderBytes(&b, sorted).Encode(&saved{Format: format, Applied: m.applied,
-		Grants: m.leases.Grants(), State: m.s, Ledger: m.Ledger.Snapshot()}); err != nil {
+	if err := codec.NewEncoderBytes(&b, canonicalHandle).Encode(&snapshot{Format: snapshotFormat,
+		AppliedIndex: m.appliedIndex,
+		Grants:       m.leases.Grants(), State: m.state, Ledger: m.Ledger.Snapshot()}); err != nil {
 		panic(err) // as in encode
 	}
 	return append([]byte{kindSnapshot}, b...)
@@ -161,21 +164,21 @@
 		if err := m.Ledger.Restore(b); err != nil {
 			return err
 		}
-		m.s, m.applied = state{}, m.Ledger.Index()
+		m.state, m.appliedIndex = state{}, m.Ledger.AppliedIndex()
 		m.leases.Restore(nil)
 		return nil
 	}
-	var s saved
-	if err := codec.NewDecoderBytes(b[1:], handle).Decode(&s); err != nil {
+	var s snapshot
+	if err := codec.NewDecoderBytes(b[1:], msgpackHandle).Decode(&s); err != nil {
 		return fmt.Errorf("a snapshot that does not decode: %w", err)
 	}
-	if s.Format != format {
-		return fmt.Errorf("a snapshot of the chores of format %d; this program reads %d", s.Format, format)
+	if s.Format != snapshotFormat {
+		return fmt.Errorf("a snapshot of the chores of format %d; this program reads %d", s.Format, snapshotFormat)
 	}
 	if err := m.Ledger.Restore(s.Ledger); err != nil {
 		return err
 	}
-	m.s, m.applied = s.State, s.Applied
+	m.state, m.appliedIndex = s.State, s.AppliedIndex
 	m.leases.Restore(s.Grants)
 	return nil
 }
--- a/internal/cluster/lease/fence.go
+++ b/internal/cluster/lease/fence.go
@@ -24,9 +24,9 @@
 // Fence is what a side effect's receiver keeps: the highest token seen.
 type Fence struct{ Highest uint64 }
 
-// Pass tells whether a side effect with that token may be done, and remembers the token. The error says why
+// Admit tells whether a side effect with that token may be done, and remembers the token. The error says why
 // not.
-func (f *Fence) Pass(token uint64) error {
+func (f *Fence) Admit(token uint64) error {
 	if token == 0 {
 		return errors.New("no fencing token")
 	}
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -22,9 +22,9 @@
 
 // Settings are the same at all members.
 type Settings struct {
-	Lease    time.Duration // a grant not renewed lasts so long
-	Drift    float64       // a clock is at most this part faster or slower than true time; 0.05 is 5%
-	Election time.Duration // of the log's group: a lease is not shorter
+	TTL             time.Duration // a grant not renewed lasts so long
+	Drift           float64       // a clock is at most this part faster or slower than true time; 0.05 is 5%
+	ElectionTimeout time.Duration // of the log's group: a lease is not shorter
 }
 
 // Check tells what is wrong with the settings.
@@ -32,19 +32,19 @@
 	switch {
 	case s.Drift < 0 || s.Drift >= 0.5:
 		return fmt.Errorf("drift %g is out of range, 0 to 0.5 is allowed", s.Drift)
-	case s.Lease <= s.Election:
+	case s.TTL <= s.ElectionTimeout:
 		return fmt.Errorf("lease %v is not above the election timeout %v: a change of the log's leader would "+
-			"end it", s.Lease, s.Election)
-	case time.Duration(2*s.Drift*float64(s.Lease)) >= s.Lease:
-		return fmt.Errorf("lease %v is not above twice the drift within it", s.Lease)
+			"end it", s.TTL, s.ElectionTimeout)
+	case time.Duration(2*s.Drift*float64(s.TTL)) >= s.TTL:
+		return fmt.Errorf("lease %v is not above twice the drift within it", s.TTL)
 	}
 	return nil
 }
 
 // wait is how long another member lets a lease that it has learned of pass: long enough on the fastest clock
 // for the holder's to have ended on the slowest.
-func (s Settings) wait() time.Duration {
-	return time.Duration(float64(s.Lease)*(1+s.Drift)/(1-s.Drift)) + 1
+func (s Settings) takeoverDelay() time.Duration {
+	return time.Duration(float64(s.TTL)*(1+s.Drift)/(1-s.Drift)) + 1
 }
 
 // Grant is who owns a chore, as the log has it.
@@ -58,27 +58,27 @@
 type Op uint8
 
 const (
-	Take    Op = iota + 1 // become the holder of what Seen says
+	Acquire Op = iota + 1 // become the holder of what Seen says
 	Renew                 // go on holding the grant of Seen
 	Release               // give it back
 )
 
 // Command is an entry of the log.
 type Command struct {
-	Op     Op
-	Chore  string
-	Member string
-	Seen   Grant // the grant as the proposer knew it: where it has changed, the command does nothing
+	Op       Op
+	Role     string
+	Member   string
+	Expected Grant // the grant as the proposer knew it: where it has changed, the command does nothing
 }
 
 // Result is what became of a command.
 type Result struct {
-	Done  bool  `json:"done"`
-	Grant Grant `json:"grant"` // as it stands after the command
+	Applied bool  `json:"done"`
+	Grant   Grant `json:"grant"` // as it stands after the command
 }
 
-// MaxChores bounds the table.
-const MaxChores = 64
+// MaxRoles bounds the table.
+const MaxRoles = 64
 
 // Table is the log's side. Its zero value is not of use; NewTable makes one.
 type Table struct{ grants map[string]Grant }
@@ -87,13 +87,13 @@
 func NewTable() *Table { return &Table{grants: map[string]Grant{}} }
 
 // Get is a chore's grant.
-func (t *Table) Get(chore string) Grant { return t.grants[chore] }
+func (t *Table) Get(role string) Grant { return t.grants[role] }
 
 // Grants is a copy of all grants, by chore.
 func (t *Table) Grants() map[string]Grant {
 	out := make(map[string]Grant, len(t.grants))
-	for c, g := range t.grants {
-		out[c] = g
+	for role, grant := range t.grants {
+		out[role] = grant
 	}
 	return out
 }
@@ -101,151 +101,153 @@
 // Restore puts grants, as of Grants, in place of what there is.
 func (t *Table) Restore(grants map[string]Grant) {
 	t.grants = map[string]Grant{}
-	for c, g := range grants {
-		t.grants[c] = g
+	for role, grant := range grants {
+		t.grants[role] = grant
 	}
 }
 
 // Apply applies a command at an index of the log, which rises from command to command.
-func (t *Table) Apply(index uint64, c Command) Result {
-	g, known := t.grants[c.Chore]
-	refused := Result{Grant: g}
-	if c.Member == "" || c.Chore == "" || c.Seen != g || !known && len(t.grants) >= MaxChores ||
-		index <= g.Token {
-		return refused
-	}
-	switch c.Op {
-	case Take:
-		g = Grant{Holder: c.Member, Token: index}
+func (t *Table) Apply(index uint64, cmd Command) Result {
+	grant, ok := t.grants[cmd.Role]
+	rejected := Result{Grant: grant}
+	if cmd.Member == "" || cmd.Role == "" || cmd.Expected != grant || !ok && len(t.grants) >= MaxRoles ||
+		index <= grant.Token {
+		return rejected
+	}
+	switch cmd.Op {
+	case Acquire:
+		grant = Grant{Holder: cmd.Member, Token: index}
 	case Renew:
-		if g.Holder != c.Member {
-			return refused
+		if grant.Holder != cmd.Member {
+			return rejected
 		}
-		g.Renewed++
+		grant.Renewed++
 	case Release:
-		if g.Holder != c.Member {
-			return refused
+		if grant.Holder != cmd.Member {
+			return rejected
 		}
-		g = Grant{Token: g.Token, Renewed: g.Renewed + 1}
+		grant = Grant{Token: grant.Token, Renewed: grant.Renewed + 1}
 	default:
-		return refused
+		return rejected
 	}
-	t.grants[c.Chore] = g
-	return Result{Done: true, Grant: g}
+	t.grants[cmd.Role] = grant
+	return Result{Applied: true, Grant: grant}
 }
 
-// Member is one member's side of one chore.
-type Member struct {
-	set   Settings
-	name  string
-	chore string
+// Candidate is one member's side of one chore.
+type Candidate struct {
+	settings Settings
+	name     string
+	role     string
 
-	known   Grant
-	learned time.Duration // when known was learned
-	never   bool          // nothing was learned yet
+	grant      Grant
+	grantSince time.Duration // when known was learned
+	noGrant    bool          // nothing was learned yet
 
-	asked   *Command      // under way, nil where none is
-	askedAt time.Duration // when it was sent
-	until   time.Duration // as the holder of known: may act before this
+	inFlight   *Command      // under way, nil where none is
+	proposedAt time.Duration // when it was sent
+	expiresAt  time.Duration // as the holder of known: may act before this
 }
 
-// NewMember returns a member's side of a chore. It knows of no grant until Learn tells it of one, or of none.
-func NewMember(set Settings, name, chore string) (*Member, error) {
-	if err := set.Check(); err != nil {
+// NewCandidate returns a member's side of a chore. It knows of no grant until Learn tells it of one, or of
+// none.
+func NewCandidate(settings Settings, name, role string) (*Candidate, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	if name == "" || chore == "" {
+	if name == "" || role == "" {
 		return nil, errors.New("a lease wants a member's name and a chore's")
 	}
-	return &Member{set: set, name: name, chore: chore, never: true}, nil
+	return &Candidate{settings: settings, name: name, role: role, noGrant: true}, nil
 }
 
-// Learn tells of the grant as this member's copy of the log has it now. What is older than what is known
+// Observe tells of the grant as this member's copy of the log has it now. What is older than what is known
 // already changes nothing.
-func (m *Member) Learn(now time.Duration, g Grant) {
-	if !m.never && (g.Token < m.known.Token || g.Token == m.known.Token && g.Renewed < m.known.Renewed) {
+func (c *Candidate) Observe(now time.Duration, grant Grant) {
+	if !c.noGrant && (grant.Token < c.grant.Token || grant.Token == c.grant.Token &&
+		grant.Renewed < c.grant.Renewed) {
 		return
 	}
-	if !m.never && g == m.known {
+	if !c.noGrant && grant == c.grant {
 		return
 	}
-	if g.Holder != m.name || m.never || g.Token != m.known.Token {
-		m.until = 0 // only Answered makes a holder of this member: an earlier life's grant is not this one's
+	if grant.Holder != c.name || c.noGrant || grant.Token != c.grant.Token {
+		c.expiresAt = 0 // only Answered makes a holder of this member: an earlier life's grant is not this one's
 	}
-	m.known, m.learned, m.never = g, now, false
+	c.grant, c.grantSince, c.noGrant = grant, now, false
 }
 
-// Next is what this member should propose now; false where there is nothing to. A holder renews once a third
-// of its lease has passed, and again until it is granted or over; others take over what was not renewed for
-// long enough. The command counts as sent now: Answered or Lost must follow before the next.
-func (m *Member) Next(now time.Duration) (Command, bool) {
-	if m.never || m.asked != nil {
+// NextProposal is what this member should propose now; false where there is nothing to. A holder renews once
+// a third of its lease has passed, and again until it is granted or over; others take over what was not
+// renewed for long enough. The command counts as sent now: Answered or Lost must follow before the next.
+func (c *Candidate) NextProposal(now time.Duration) (Command, bool) {
+	if c.noGrant || c.inFlight != nil {
 		return Command{}, false
 	}
-	c := Command{Chore: m.chore, Member: m.name, Seen: m.known}
+	cmd := Command{Role: c.role, Member: c.name, Expected: c.grant}
 	switch {
-	case m.Acts(now) || m.known.Holder == m.name && now < m.until:
-		if now < m.until-m.set.Lease*2/3 {
+	case c.Owns(now) || c.grant.Holder == c.name && now < c.expiresAt:
+		if now < c.expiresAt-c.settings.TTL*2/3 {
 			return Command{}, false
 		}
-		c.Op = Renew
-	case m.known.Holder == "":
-		c.Op = Take
-	case now-m.learned >= m.set.wait():
-		c.Op = Take
+		cmd.Op = Renew
+	case c.grant.Holder == "":
+		cmd.Op = Acquire
+	case now-c.grantSince >= c.settings.takeoverDelay():
+		cmd.Op = Acquire
 	default:
 		return Command{}, false
 	}
-	m.asked, m.askedAt = &c, now
-	return c, true
+	c.inFlight, c.proposedAt = &cmd, now
+	return cmd, true
 }
 
-// GiveBack is the command by which a holder hands over, false where this member holds nothing. It acts no
+// Resign is the command by which a holder hands over, false where this member holds nothing. It acts no
 // more from here on.
-func (m *Member) GiveBack() (Command, bool) {
-	if m.known.Holder != m.name || m.until == 0 {
+func (c *Candidate) Resign() (Command, bool) {
+	if c.grant.Holder != c.name || c.expiresAt == 0 {
 		return Command{}, false
 	}
-	m.until, m.asked = 0, nil
-	return Command{Op: Release, Chore: m.chore, Member: m.name, Seen: m.known}, true
+	c.expiresAt, c.inFlight = 0, nil
+	return Command{Op: Release, Role: c.role, Member: c.name, Expected: c.grant}, true
 }
 
-// Answered tells what became of the command under way. The lease it grants counts from when it was sent.
-func (m *Member) Answered(now time.Duration, r Result) {
-	asked := m.asked
-	m.asked = nil
-	if asked == nil {
+// HandleResult tells what became of the command under way. The lease it grants counts from when it was sent.
+func (c *Candidate) HandleResult(now time.Duration, result Result) {
+	inFlight := c.inFlight
+	c.inFlight = nil
+	if inFlight == nil {
 		return
 	}
-	held := r.Done && r.Grant.Holder == m.name
-	if held && (m.never || r.Grant.Token > m.known.Token ||
-		r.Grant.Token == m.known.Token && r.Grant.Renewed >= m.known.Renewed) {
-		m.known, m.learned, m.never = r.Grant, now, false
-		m.until = max(m.until, m.askedAt+m.set.Lease)
+	granted := result.Applied && result.Grant.Holder == c.name
+	if granted && (c.noGrant || result.Grant.Token > c.grant.Token ||
+		result.Grant.Token == c.grant.Token && result.Grant.Renewed >= c.grant.Renewed) {
+		c.grant, c.grantSince, c.noGrant = result.Grant, now, false
+		c.expiresAt = max(c.expiresAt, c.proposedAt+c.settings.TTL)
 		return
 	}
-	m.Learn(now, r.Grant)
+	c.Observe(now, result.Grant)
 }
 
-// Lost tells that the command under way has no answer. It may be in the log all the same: a grant that came
-// of it is learned, and not acted on, as nobody knows here whether its time has passed.
-func (m *Member) Lost() { m.asked = nil }
+// HandleNoResult tells that the command under way has no answer. It may be in the log all the same: a grant
+// that came of it is learned, and not acted on, as nobody knows here whether its time has passed.
+func (c *Candidate) HandleNoResult() { c.inFlight = nil }
 
-// Acts tells whether this member owns the chore now, and may cause its side effects with Token.
-func (m *Member) Acts(now time.Duration) bool {
-	return !m.never && m.known.Holder == m.name && now < m.until
+// Owns tells whether this member owns the chore now, and may cause its side effects with Token.
+func (c *Candidate) Owns(now time.Duration) bool {
+	return !c.noGrant && c.grant.Holder == c.name && now < c.expiresAt
 }
 
-// Left is how much of its lease a holder has, 0 where it acts no more.
-func (m *Member) Left(now time.Duration) time.Duration {
-	if !m.Acts(now) {
+// Remaining is how much of its lease a holder has, 0 where it acts no more.
+func (c *Candidate) Remaining(now time.Duration) time.Duration {
+	if !c.Owns(now) {
 		return 0
 	}
-	return m.until - now
+	return c.expiresAt - now
 }
 
 // Token is the fencing token of the grant that this member knows.
-func (m *Member) Token() uint64 { return m.known.Token }
+func (c *Candidate) Token() uint64 { return c.grant.Token }
 
-// Known is the grant that this member knows.
-func (m *Member) Known() Grant { return m.known }
+// Grant is the grant that this member knows.
+func (c *Candidate) Grant() Grant { return c.grant }
--- a/internal/cluster/leaseholder/export.go
+++ b/internal/cluster/leaseholder/export.go
@@ -22,48 +22,49 @@
 // Entry is what the billing sink is sent of one period and tenant, or one correction. Its ID makes it one of
 // its kind: the sink stores it once, however often it comes.
 type Entry struct {
-	ID     string `json:"id"`
-	Period uint64 `json:"period"`
-	Tenant string `json:"tenant"`
-	Lines  []Line `json:"lines"`
-	Reason string `json:"reason,omitempty"` // of a correction
+	ID     string     `json:"id"`
+	Period uint64     `json:"period"`
+	Tenant string     `json:"tenant"`
+	Items  []LineItem `json:"lines"`
+	Reason string     `json:"reason,omitempty"` // of a correction
 }
 
-// Line is an entry's sum of one class and final answer.
-type Line struct {
+// LineItem is an entry's sum of one class and final answer.
+type LineItem struct {
 	Class  string `json:"class"`
 	Answer string `json:"answer"`
-	ledger.Sum
+	ledger.Usage
 }
 
-// Taken is what a sink answers: how many entries it stored, and how many it had before.
-type Taken struct {
-	Stored   int `json:"stored"`
-	Repeated int `json:"repeated"`
+// SinkReply is what a sink answers: how many entries it stored, and how many it had before.
+type SinkReply struct {
+	Stored     int `json:"stored"`
+	Duplicates int `json:"repeated"`
 }
 
-// answerMost bounds what is read of a sink's answer.
-const answerMost = 64 << 10
+// maxReplyBytes bounds what is read of a sink's answer.
+const maxReplyBytes = 64 << 10
 
-// Export sends the ledger's periods to a billing sink: POST /entries with an array of Entry, under the token.
-type Export struct {
-	Sink    string        // host:port
-	Within  time.Duration // for one call
-	AtOnce  int           // entries of one call at most
-	owner   *Owner
-	client  http.Client
-	greeted uint64 // the token that the sink was told of
+// Exporter sends the ledger's periods to a billing sink: POST /entries with an array of Entry, under the
+// token.
+type Exporter struct {
+	Sink           string        // host:port
+	CallTimeout    time.Duration // for one call
+	BatchSize      int           // entries of one call at most
+	runner         *Runner
+	client         http.Client
+	announcedToken uint64 // the token that the sink was told of
 
 	mu      sync.Mutex
-	ran     time.Time // a run that went through
+	lastRun time.Time // a run that went through
 	problem string    // of the last run, "" where it went through
 }
 
-// restMost is the longest rest after runs that failed.
-const restMost = 2 * time.Second
+// maxBackoff is the longest rest after runs that failed.
+const maxBackoff = 2 * time.Second
 
-func (e *Export) begin(w *Owner) {
-	e.owner = w
+func (e *Exporter) attach(r *Runner) {
+	e.runner = r
 	e.client = http.Client{
 		Transport: &http.Transport{MaxConnsPerHost: 1, IdleConnTimeout: 10 * time.Second,
 			MaxResponseHeaderBytes: 16 << 10, DisableCompression: true},
@@ -72,122 +73,129 @@
 }
 
 // run exports while this member owns the chores.
-func (e *Export) run() {
-	defer e.owner.done.Done()
+func (e *Exporter) run() {
+	defer e.runner.wg.Done()
 	defer e.client.CloseIdleConnections()
-	pause := e.owner.tick()
-	for rest := pause; ; {
+	interval := e.runner.checkInterval()
+	for delay := interval; ; {
 		select {
-		case <-e.owner.stop:
+		case <-e.runner.stopCh:
 			return
-		case <-time.After(rest):
+		case <-time.After(delay):
 		}
-		token, _, ok := e.owner.Acting()
+		token, _, ok := e.runner.ActiveLease()
 		if !ok {
-			rest = pause
+			delay = interval
 			continue
 		}
-		more, err := e.once(token)
-		e.note(err)
+		more, err := e.exportNext(token)
+		e.recordRun(err)
 		switch {
-		case err != nil && !errors.Is(err, ErrNotOwner) && !errors.Is(err, errStale):
-			rest = min(2*rest, restMost) // whoever does not answer is not asked at once
+		case err != nil && !errors.Is(err, ErrNotOwner) && !errors.Is(err, errStaleToken):
+			delay = min(2*delay, maxBackoff) // whoever does not answer is not asked at once
 		case more && err == nil:
-			rest = 0
+			delay = 0
 		default:
-			rest = pause
+			delay = interval
 		}
 	}
 }
 
-func (e *Export) note(err error) {
+func (e *Exporter) recordRun(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if errors.Is(err, ErrNotOwner) || errors.Is(err, errStale) {
+	if errors.Is(err, ErrNotOwner) || errors.Is(err, errStaleToken) {
 		return
 	}
-	was := e.problem
+	previous := e.problem
 	e.problem = ""
 	if err == nil {
-		e.ran = time.Now()
+		e.lastRun = time.Now()
 		return
 	}
 	e.problem = err.Error()
-	if was == "" {
-		e.owner.o.Log.Warn("owner: the export stands; it is tried again", "sink", e.Sink, "why", e.problem)
+	if previous == "" {
+		e.runner.opts.Log.Warn("owner: the export stands; it is tried again", "sink", e.Sink, "why", e.problem)
 	}
 }
 
 // once does the next thing there is to export; more says that there may be another. The first call under a
 // token says nothing but the token: from then on the sink refuses whatever an earlier owner has in flight.
-func (e *Export) once(token uint64) (more bool, err error) {
-	if e.greeted != token {
+func (e *Exporter) exportNext(token uint64) (more bool, err error) {
+	if e.announcedToken != token {
 		if err := e.send(token, nil); err != nil {
 			return false, err
 		}
-		e.greeted = token
+		e.announcedToken = token
 	}
-	var s groupstate.Statement
-	if err := e.owner.read(e.Within, groupstate.Query{Ask: groupstate.AskStatement}, &s); err != nil {
+	var work groupstate.PendingExport
+	if err := e.runner.query(e.CallTimeout, groupstate.Query{Kind: groupstate.QueryPendingExport},
+		&work); err != nil {
 		return false, fmt.Errorf("the ledger could not be read: %w", err)
 	}
-	if s.Grant.Token != token || s.Grant.Holder != e.owner.o.Name {
+	if work.Grant.Token != token || work.Grant.Holder != e.runner.opts.Name {
 		return false, ErrNotOwner
 	}
-	me := e.owner.o.Name
+	self := e.runner.opts.Name
 	switch {
-	case s.Period > 0:
-		if s.Token != token {
-			e.owner.mu.Lock()
-			e.owner.fig.Resumed++
-			e.owner.mu.Unlock()
-			e.owner.o.Log.Info("owner: finishing what an earlier owner began to send", "period", s.Period,
-				"intent", s.Token, "token", token)
+	case work.Period > 0:
+		if work.IntentToken != token {
+			e.runner.mu.Lock()
+			e.runner.stats.Resumed++
+			e.runner.mu.Unlock()
+			e.runner.opts.Log.Info("owner: finishing what an earlier owner began to send", "period", work.Period,
+				"intent", work.IntentToken, "token", token)
 		}
-		if err := e.sendAll(token, Entries(s.Period, s.Rows)); err != nil {
-			return false, fmt.Errorf("period %d: %w", s.Period, err)
+		if err := e.sendAll(token, PeriodEntries(work.Period, work.Rows)); err != nil {
+			return false, fmt.Errorf("period %d: %w", work.Period, err)
 		}
-		return true, e.owner.enter(token, (&groupstate.Done{Member: me, Token: token, Period: s.Period}).Encode())
-	case s.Due > 0:
-		return true, e.owner.enter(token, (&groupstate.Intent{Member: me, Token: token, Period: s.Due}).Encode())
-	case len(s.Fixes) > 0:
-		if err := e.sendAll(token, corrections(s.Fixes)); err != nil {
+		return true, e.runner.commit(token, (&groupstate.ExportDone{Member: self, Token: token,
+			Period: work.Period}).Encode())
+	case work.Due > 0:
+		return true, e.runner.commit(token, (&groupstate.ExportIntent{Member: self, Token: token,
+			Period: work.Due}).Encode())
+	case len(work.Corrections) > 0:
+		if err := e.sendAll(token, correctionEntries(work.Corrections)); err != nil {
 			return false, fmt.Errorf("corrections: %w", err)
 		}
-		upTo := s.Fixes[len(s.Fixes)-1].Seq
-		return true, e.owner.enter(token, (&groupstate.Settled{Member: me, Token: token, UpTo: upTo}).Encode())
+		upTo := work.Corrections[len(work.Corrections)-1].Seq
+		return true, e.runner.commit(token, (&groupstate.CorrectionsSent{Member: self, Token: token,
+			UpTo: upTo}).Encode())
 	}
 	return false, nil
 }
 
-// Entries are a period's rows as the sink gets them: one entry a tenant, corrections added in. The rows come
-// sorted by tenant.
-func Entries(period uint64, rows []ledger.Row) []Entry {
-	var out []Entry
-	for _, r := range rows {
-		if len(out) == 0 || out[len(out)-1].Tenant != r.Tenant {
-			out = append(out, Entry{ID: fmt.Sprintf("%d/%s", period, r.Tenant), Period: period, Tenant: r.Tenant})
+// PeriodEntries are a period's rows as the sink gets them: one entry a tenant, corrections added in. The rows
+// come sorted by tenant.
+func PeriodEntries(period uint64, rows []ledger.Row) []Entry {
+	var entries []Entry
+	for _, row := range rows {
+		if len(entries) == 0 || entries[len(entries)-1].Tenant != row.Tenant {
+			entries = append(entries, Entry{ID: fmt.Sprintf("%d/%s", period, row.Tenant), Period: period,
+				Tenant: row.Tenant})
 		}
-		sum := r.Sum
-		sum.Add(r.Corrections)
-		last := &out[len(out)-1]
-		last.Lines = append(last.Lines, Line{r.Class, r.Answer, sum})
+		sum := row.Usage
+		sum.Add(row.Corrections)
+		last := &entries[len(entries)-1]
+		last.Items = append(last.Items, LineItem{row.Class, row.Answer, sum})
 	}
-	return out
+	return entries
 }
 
-func corrections(fixes []groupstate.Fix) []Entry {
-	var out []Entry
-	for _, f := range fixes {
-		out = append(out, Entry{ID: fmt.Sprintf("%d/correction/%s", f.Period, f.ID), Period: f.Period,
-			Tenant: f.Tenant, Lines: []Line{{f.Class, f.Answer, f.Sum}}, Reason: f.Reason})
+func correctionEntries(pending []groupstate.PendingCorrection) []Entry {
+	var entries []Entry
+	for _, correction := range pending {
+		entries = append(entries, Entry{ID: fmt.Sprintf("%d/correction/%s", correction.Period, correction.ID),
+			Period: correction.Period,
+			Tenant: correction.Tenant, Items: []LineItem{{correction.Class, correction.Answer, correction.Usage}},
+			Reason: correction.Reason})
 	}
-	return out
+	return entries
 }
 
-func (e *Export) sendAll(token uint64, entries []Entry) error {
-	for part := range slices.Chunk(entries, e.AtOnce) {
-		if err := e.send(token, part); err != nil {
+func (e *Exporter) sendAll(token uint64, entries []Entry) error {
+	for batch := range slices.Chunk(entries, e.BatchSize) {
+		if err := e.send(token, batch); err != nil {
 			return err
 		}
 	}
@@ -195,7 +203,7 @@
 }
 
 // send makes one call on the sink.
-func (e *Export) send(token uint64, entries []Entry) error {
+func (e *Exporter) send(token uint64, entries []Entry) error {
 	if entries == nil {
 		entries = []Entry{}
 	}
@@ -203,44 +211,44 @@
 	if err != nil {
 		return err
 	}
-	return e.owner.call(token, e.Within, func(ctx context.Context) error {
-		q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Sink+"/entries",
+	return e.runner.callFenced(token, e.CallTimeout, func(ctx context.Context) error {
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Sink+"/entries",
 			bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
-		q.Header.Set("Content-Type", "application/json")
-		q.Header.Set(lease.TokenHeader, strconv.FormatUint(token, 10))
-		a, err := e.client.Do(q)
+		req.Header.Set("Content-Type", "application/json")
+		req.Header.Set(lease.TokenHeader, strconv.FormatUint(token, 10))
+		resp, err := e.client.Do(req)
 		if err != nil {
 			return err
 		}
-		defer a.Body.Close()
-		raw, err := io.ReadAll(io.LimitReader(a.Body, answerMost))
+		defer resp.Body.Close()
+		raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 		if err != nil {
 			return err
 		}
-		return e.answered(a.StatusCode, raw, len(entries))
+		return e.checkReply(resp.StatusCode, raw, len(entries))
 	})
 }
 
 // answered reads a sink's answer.
-func (e *Export) answered(status int, raw []byte, sent int) error {
+func (e *Exporter) checkReply(status int, raw []byte, sent int) error {
 	switch status {
 	case http.StatusOK:
 	case http.StatusConflict:
-		return fmt.Errorf("%w: the sink says %.200q", errStale, strings.TrimSpace(string(raw)))
+		return fmt.Errorf("%w: the sink says %.200q", errStaleToken, strings.TrimSpace(string(raw)))
 	default:
 		return fmt.Errorf("the sink answered %d: %.200q", status, strings.TrimSpace(string(raw)))
 	}
-	var t Taken
-	err := json.Unmarshal(raw, &t)
-	if err != nil || t.Stored < 0 || t.Repeated < 0 || t.Stored+t.Repeated != sent {
+	var reply SinkReply
+	err := json.Unmarshal(raw, &reply)
+	if err != nil || reply.Stored < 0 || reply.Duplicates < 0 || reply.Stored+reply.Duplicates != sent {
 		return fmt.Errorf("the sink's answer to %d entries makes no sense: %.200q", sent, raw)
 	}
-	e.owner.mu.Lock()
-	defer e.owner.mu.Unlock()
-	e.owner.fig.Entries += int64(sent)
-	e.owner.fig.Repeated += int64(t.Repeated)
+	e.runner.mu.Lock()
+	defer e.runner.mu.Unlock()
+	e.runner.stats.Entries += int64(sent)
+	e.runner.stats.Duplicates += int64(reply.Duplicates)
 	return nil
 }
--- a/internal/cluster/leaseholder/faults.go
+++ b/internal/cluster/leaseholder/faults.go
@@ -12,24 +12,24 @@
 // does nothing.
 type FileFaults struct{ Path string }
 
-// Standing ends the name of the file that says that a call stands still.
-const Standing = ".standing"
+// StalledSuffix ends the name of the file that says that a call stands still.
+const StalledSuffix = ".standing"
 
-// delayMost is the longest that a call stands still.
-const delayMost = 10 * time.Second
+// maxCallDelay is the longest that a call stands still.
+const maxCallDelay = 10 * time.Second
 
-// Call stands still as the file says.
-func (f FileFaults) Call() {
+// BeforeCall stands still as the file says.
+func (f FileFaults) BeforeCall() {
 	raw, err := os.ReadFile(f.Path)
 	if err != nil {
 		return
 	}
-	var is struct {
+	var spec struct {
 		DelayMS int64 `json:"call_delay_ms"`
 	}
-	if json.Unmarshal(raw, &is) != nil || is.DelayMS <= 0 {
+	if json.Unmarshal(raw, &spec) != nil || spec.DelayMS <= 0 {
 		return
 	}
-	os.WriteFile(f.Path+Standing, nil, 0o600)
-	time.Sleep(min(time.Duration(is.DelayMS)*time.Millisecond, delayMost))
+	os.WriteFile(f.Path+StalledSuffix, nil, 0o600)
+	time.Sleep(min(time.Duration(spec.DelayMS)*time.Millisecond, maxCallDelay))
 }
--- a/internal/cluster/leaseholder/list.go
+++ b/internal/cluster/leaseholder/list.go
@@ -10,166 +10,166 @@
 
 // Feed is where a member's list of servers comes from.
 type Feed struct {
-	Held  bool   // an owner's list is followed; discovery is not asked
-	Token uint64 // that calls on discovery carry, 0 for none
+	FromOwner bool   // an owner's list is followed; discovery is not asked
+	Token     uint64 // that calls on discovery carry, 0 for none
 }
 
-// Source is this member's list of servers.
-type Source interface {
+// EndpointSource is this member's list of servers.
+type EndpointSource interface {
 	// Feed says where the list comes from; it returns at once.
 	Feed(Feed)
-	// Heard is when discovery last said something on the watch that stands, zero where it never did.
-	Heard() time.Time
+	// LastSeen is when discovery last said something on the watch that stands, zero where it never did.
+	LastSeen() time.Time
 	// Index is discovery's count of changes of the list as it is held.
 	Index() int64
-	// Export is the list as it is held, in discovery's form; the same list gives the same bytes.
+	// Exporter is the list as it is held, in discovery's form; the same list gives the same bytes.
 	Export() ([]byte, error)
 	// Replace takes a whole list in.
 	Replace(raw []byte)
 }
 
-// List has the owner ask discovery for all, and this member go by what the owner told.
-type List struct {
-	Source  Source
-	MaxAge  time.Duration // an owner's list that is older is not gone by
-	Spread  time.Duration // this member's own wait beyond, drawn once
-	Poll    time.Duration // between looks at the store
-	Silence time.Duration // a watch that says nothing for so long is broken
+// Endpoints has the owner ask discovery for all, and this member go by what the owner told.
+type EndpointSync struct {
+	Source       EndpointSource
+	MaxAge       time.Duration // an owner's list that is older is not gone by
+	Jitter       time.Duration // this member's own wait beyond, drawn once
+	PollInterval time.Duration // between looks at the store
+	WatchTimeout time.Duration // a watch that says nothing for so long is broken
 
-	owner *Owner
+	runner *Runner
 
 	mu       sync.Mutex
 	follower *groupstate.Follower
-	fed      Feed
-	known    bool // fed was said
-	ran      time.Time
+	feed     Feed
+	feedSet  bool // fed was said
+	lastRun  time.Time
 	problem  string
 
 	// What publishing alone uses.
-	token   uint64 // that the list was told under last
-	told    []byte
-	index   int64
-	toldAt  time.Time
-	changed uint64 // the version of the list that was taken last; following alone uses it
+	publishedToken uint64 // that the list was told under last
+	published      []byte
+	publishedIndex int64
+	publishedAt    time.Time
+	appliedVersion uint64 // the version of the list that was taken last; following alone uses it
 }
 
-func (l *List) begin(w *Owner) {
-	l.owner = w
-	l.follower = groupstate.NewFollower(0, l.MaxAge, l.Spread)
-	l.feed()
+func (s *EndpointSync) attach(r *Runner) {
+	s.runner = r
+	s.follower = groupstate.NewFollower(0, s.MaxAge, s.Jitter)
+	s.updateFeed()
 }
 
 // feed says where the list comes from now: as the owner from discovery under the token, else from the
 // owner's list while that is young enough, else from discovery without one.
-func (l *List) feed() {
-	token, _, acts := l.owner.Acting()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f := Feed{Token: token}
-	if !acts {
-		f = Feed{Held: l.follower.Held(l.owner.now())}
+func (s *EndpointSync) updateFeed() {
+	token, _, owns := s.runner.ActiveLease()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	feed := Feed{Token: token}
+	if !owns {
+		feed = Feed{FromOwner: s.follower.Fresh(s.runner.now())}
 	}
-	if l.known && f == l.fed {
+	if s.feedSet && feed == s.feed {
 		return
 	}
-	if l.known && l.fed.Held && !f.Held && !acts {
-		l.owner.o.Log.Warn("owner: no owner's list is young enough; asking discovery", "age",
-			l.follower.Age(l.owner.now()).Round(time.Millisecond))
+	if s.feedSet && s.feed.FromOwner && !feed.FromOwner && !owns {
+		s.runner.opts.Log.Warn("owner: no owner's list is young enough; asking discovery", "age",
+			s.follower.Age(s.runner.now()).Round(time.Millisecond))
 	}
-	l.fed, l.known = f, true
-	l.Source.Feed(f)
+	s.feed, s.feedSet = feed, true
+	s.Source.Feed(feed)
 }
 
 // publishing tells the list while this member is the owner and hears discovery.
-func (l *List) publishing() {
-	defer l.owner.done.Done()
-	tick := time.NewTicker(min(l.Poll, 100*time.Millisecond))
+func (s *EndpointSync) runPublisher() {
+	defer s.runner.wg.Done()
+	tick := time.NewTicker(min(s.PollInterval, 100*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
-		case <-l.owner.stop:
+		case <-s.runner.stopCh:
 			return
-		case <-l.owner.wake:
+		case <-s.runner.acquired:
 		case <-tick.C:
 		}
-		l.feed()
-		token, _, acts := l.owner.Acting()
-		if !acts || time.Since(l.Source.Heard()) > l.Silence {
+		s.updateFeed()
+		token, _, owns := s.runner.ActiveLease()
+		if !owns || time.Since(s.Source.LastSeen()) > s.WatchTimeout {
 			continue
 		}
-		err := l.publish(token)
-		l.mu.Lock()
-		l.problem = ""
+		err := s.publish(token)
+		s.mu.Lock()
+		s.problem = ""
 		if err != nil {
-			l.problem = err.Error()
+			s.problem = err.Error()
 		} else {
-			l.ran = time.Now()
+			s.lastRun = time.Now()
 		}
-		l.mu.Unlock()
+		s.mu.Unlock()
 	}
 }
 
 // publish tells the list where it changed, and that it did not once a quarter of its time has passed.
-func (l *List) publish(token uint64) error {
-	index := l.Source.Index()
-	if token == l.token && index == l.index && time.Since(l.toldAt) < l.MaxAge/4 {
+func (s *EndpointSync) publish(token uint64) error {
+	index := s.Source.Index()
+	if token == s.publishedToken && index == s.publishedIndex && time.Since(s.publishedAt) < s.MaxAge/4 {
 		return nil
 	}
-	raw, err := l.Source.Export()
+	raw, err := s.Source.Export()
 	if err != nil || raw == nil {
 		return err
 	}
-	c := &groupstate.List{Member: l.owner.o.Name, Token: token, Index: index}
-	if token != l.token || index != l.index || !bytes.Equal(raw, l.told) {
-		c.Raw = raw
+	cmd := &groupstate.EndpointList{Member: s.runner.opts.Name, Token: token, Index: index}
+	if token != s.publishedToken || index != s.publishedIndex || !bytes.Equal(raw, s.published) {
+		cmd.Raw = raw
 	}
-	begun := time.Now()
-	if err := l.owner.enter(token, c.Encode()); err != nil {
-		l.token = 0 // what the log has is not known: the whole list next time
+	startedAt := time.Now()
+	if err := s.runner.commit(token, cmd.Encode()); err != nil {
+		s.publishedToken = 0 // what the log has is not known: the whole list next time
 		return err
 	}
-	l.token, l.index, l.told, l.toldAt = token, index, raw, begun
+	s.publishedToken, s.publishedIndex, s.published, s.publishedAt = token, index, raw, startedAt
 	return nil
 }
 
 // following takes in the owner's list.
-func (l *List) following() {
-	defer l.owner.done.Done()
-	tick := time.NewTicker(l.Poll)
+func (s *EndpointSync) runFollower() {
+	defer s.runner.wg.Done()
+	tick := time.NewTicker(s.PollInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-l.owner.stop:
+		case <-s.runner.stopCh:
 			return
 		case <-tick.C:
 		}
-		q := groupstate.Query{Ask: groupstate.AskList, After: l.changed}
-		var v groupstate.ListView
-		if got, ok := l.owner.o.Store.Peek(q.Encode()); ok {
-			v, _ = got.(groupstate.ListView)
-		} else if l.owner.read(max(l.Poll, 500*time.Millisecond), q, &v) != nil {
-			v = groupstate.ListView{}
+		query := groupstate.Query{Kind: groupstate.QueryEndpoints, After: s.appliedVersion}
+		var view groupstate.EndpointView
+		if got, ok := s.runner.opts.Store.Peek(query.Encode()); ok {
+			view, _ = got.(groupstate.EndpointView)
+		} else if s.runner.query(max(s.PollInterval, 500*time.Millisecond), query, &view) != nil {
+			view = groupstate.EndpointView{}
 		}
-		l.take(v)
-		l.feed()
+		s.apply(view)
+		s.updateFeed()
 	}
 }
 
 // take takes in the list as the store has it.
-func (l *List) take(v groupstate.ListView) {
-	if v.Version == 0 {
+func (s *EndpointSync) apply(view groupstate.EndpointView) {
+	if view.Version == 0 {
 		return
 	}
-	_, _, acts := l.owner.Acting()
-	held := l.Source.Index()
-	l.mu.Lock()
-	taken := l.follower.Learn(l.owner.now(), v, held)
-	l.mu.Unlock()
-	if !taken || len(v.Raw) == 0 {
+	_, _, owns := s.runner.ActiveLease()
+	localIndex := s.Source.Index()
+	s.mu.Lock()
+	accepted := s.follower.Observe(s.runner.now(), view, localIndex)
+	s.mu.Unlock()
+	if !accepted || len(view.Raw) == 0 {
 		return
 	}
-	l.changed = v.Changed
-	if !acts { // the owner has it from discovery
-		l.Source.Replace(v.Raw)
+	s.appliedVersion = view.Changed
+	if !owns { // the owner has it from discovery
+		s.Source.Replace(view.Raw)
 	}
 }
--- a/internal/cluster/leaseholder/owner.go
+++ b/internal/cluster/leaseholder/owner.go
@@ -33,314 +33,316 @@
 
 // Options are what an Owner is told.
 type Options struct {
-	Name   string // this member's
-	Lease  lease.Settings
-	Store  Store
-	Export *Export // nil where the ledger is not exported
-	List   *List   // nil where the owner does not ask discovery for all
-	Faults Faults  // nil but in tests
-	Log    *slog.Logger
+	Name      string // this member's
+	Lease     lease.Settings
+	Store     Store
+	Export    *Exporter     // nil where the ledger is not exported
+	Endpoints *EndpointSync // nil where the owner does not ask discovery for all
+	Faults    Faults        // nil but in tests
+	Log       *slog.Logger
 }
 
 // Faults has calls go wrong, for tests and the laboratory.
 type Faults interface {
-	// Call is told of each call between the look at the lease and the call itself.
-	Call()
+	// BeforeCall is told of each call between the look at the lease and the call itself.
+	BeforeCall()
 }
 
-// Figures count what happened to this member as an owner.
-type Figures struct {
-	Grants   int64 `json:"grants"`   // leases taken
-	Renewals int64 `json:"renewals"` // granted
-	Losses   int64 `json:"losses"`   // leases that ended without being given back
-	GivenUp  int64 `json:"given_up"` // leases given back
-	Calls    int64 `json:"calls"`    // side effects tried on the sink, and those that discovery refused
-	Refused  int64 `json:"refused"`  // of them refused for their token
-	Stale    int64 `json:"stale"`    // entries of the log refused for their token
-	Failed   int64 `json:"failed"`   // calls that failed otherwise
-	Entries  int64 `json:"entries"`  // taken by the sink, repeats included
-	Repeated int64 `json:"repeated"` // of them, that it had before
-	Resumed  int64 `json:"resumed"`  // intents of other owners that this one finished
+// Stats count what happened to this member as an owner.
+type Stats struct {
+	Grants       int64 `json:"grants"`   // leases taken
+	Renewals     int64 `json:"renewals"` // granted
+	Losses       int64 `json:"losses"`   // leases that ended without being given back
+	Resigned     int64 `json:"given_up"` // leases given back
+	Calls        int64 `json:"calls"`    // side effects tried on the sink, and those that discovery refused
+	Rejected     int64 `json:"refused"`  // of them refused for their token
+	StaleEntries int64 `json:"stale"`    // entries of the log refused for their token
+	Failed       int64 `json:"failed"`   // calls that failed otherwise
+	Entries      int64 `json:"entries"`  // taken by the sink, repeats included
+	Duplicates   int64 `json:"repeated"` // of them, that it had before
+	Resumed      int64 `json:"resumed"`  // intents of other owners that this one finished
 }
 
 // ErrNotOwner says that this member does not own the chores now.
 var ErrNotOwner = errors.New("this member does not own the fleet's chores")
 
-// errStale is a call that was refused for its token.
-var errStale = errors.New("refused for its fencing token")
+// errStaleToken is a call that was refused for its token.
+var errStaleToken = errors.New("refused for its fencing token")
 
-// Owner is this member's part in the chores.
-type Owner struct {
-	o     Options
+// Runner is this member's part in the chores.
+type Runner struct {
+	opts  Options
 	start time.Time
 
-	mu     sync.Mutex
-	member *lease.Member
-	token  uint64 // of the lease that is acted under, 0 where none is
-	fig    Figures
-	last   time.Time // of the last try at the lease that came to nothing
+	mu          sync.Mutex
+	candidate   *lease.Candidate
+	activeToken uint64 // of the lease that is acted under, 0 where none is
+	stats       Stats
+	lastFailure time.Time // of the last try at the lease that came to nothing
 
-	ctx  context.Context // ends with Close, and whatever is under way with it
-	end  context.CancelFunc
-	wake chan struct{} // the lease was taken
-	stop chan struct{}
-	done sync.WaitGroup
-	once sync.Once
+	ctx       context.Context // ends with Close, and whatever is under way with it
+	cancel    context.CancelFunc
+	acquired  chan struct{} // the lease was taken
+	stopCh    chan struct{}
+	wg        sync.WaitGroup
+	closeOnce sync.Once
 }
 
 // New returns an owner's part; Run must follow.
-func New(o Options) (*Owner, error) {
-	m, err := lease.NewMember(o.Lease, o.Name, groupstate.Owner)
+func New(o Options) (*Runner, error) {
+	candidate, err := lease.NewCandidate(o.Lease, o.Name, groupstate.FleetRole)
 	if err != nil {
 		return nil, fmt.Errorf("owner.%w", err)
 	}
-	w := &Owner{o: o, start: time.Now(), member: m, wake: make(chan struct{}, 1), stop: make(chan struct{})}
-	w.ctx, w.end = context.WithCancel(context.Background())
+	r := &Runner{opts: o, start: time.Now(), candidate: candidate, acquired: make(chan struct{}, 1),
+		stopCh: make(chan struct{})}
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	if o.Export != nil {
-		o.Export.begin(w)
+		o.Export.attach(r)
 	}
-	if o.List != nil {
-		o.List.begin(w)
+	if o.Endpoints != nil {
+		o.Endpoints.attach(r)
 	}
-	return w, nil
+	return r, nil
 }
 
 // now is this member's monotonic clock, as package lease wants it.
-func (w *Owner) now() time.Duration { return time.Since(w.start) }
+func (r *Runner) now() time.Duration { return time.Since(r.start) }
 
 // tick is how often the lease is looked at.
-func (w *Owner) tick() time.Duration { return max(w.o.Lease.Lease/40, 5*time.Millisecond) }
+func (r *Runner) checkInterval() time.Duration { return max(r.opts.Lease.TTL/40, 5*time.Millisecond) }
 
 // Run takes part until Close. It returns at once.
-func (w *Owner) Run() {
-	w.done.Add(1)
-	go w.leasing()
-	if w.o.Export != nil {
-		w.done.Add(1)
-		go w.o.Export.run()
+func (r *Runner) Run() {
+	r.wg.Add(1)
+	go r.maintainLease()
+	if r.opts.Export != nil {
+		r.wg.Add(1)
+		go r.opts.Export.run()
 	}
-	if w.o.List != nil {
-		w.done.Add(2)
-		go w.o.List.publishing()
-		go w.o.List.following()
+	if r.opts.Endpoints != nil {
+		r.wg.Add(2)
+		go r.opts.Endpoints.runPublisher()
+		go r.opts.Endpoints.runFollower()
 	}
 }
 
 // Close gives the lease back, if this member holds it, and ends.
-func (w *Owner) Close() {
-	w.once.Do(func() {
-		close(w.stop)
-		w.end()
-		w.done.Wait()
-		w.giveBack("the end of the process")
+func (r *Runner) Close() {
+	r.closeOnce.Do(func() {
+		close(r.stopCh)
+		r.cancel()
+		r.wg.Wait()
+		r.resign("the end of the process")
 	})
 }
 
 // leasing looks at the lease and does what it wants, one command at a time.
-func (w *Owner) leasing() {
-	defer w.done.Done()
-	tick := time.NewTicker(w.tick())
+func (r *Runner) maintainLease() {
+	defer r.wg.Done()
+	tick := time.NewTicker(r.checkInterval())
 	defer tick.Stop()
 	for {
 		select {
-		case <-w.stop:
+		case <-r.stopCh:
 			return
 		case <-tick.C:
 		}
-		w.learn()
-		w.note()
-		w.mu.Lock()
-		var c lease.Command
-		ask := time.Since(w.last) > w.o.Lease.Lease/10
-		if ask {
-			c, ask = w.member.Next(w.now())
+		r.observeGrant()
+		r.reportTransition()
+		r.mu.Lock()
+		var cmd lease.Command
+		due := time.Since(r.lastFailure) > r.opts.Lease.TTL/10
+		if due {
+			cmd, due = r.candidate.NextProposal(r.now())
 		}
-		w.mu.Unlock()
-		if ask {
-			w.done.Add(1)
-			go w.propose(c)
+		r.mu.Unlock()
+		if due {
+			r.wg.Add(1)
+			go r.propose(cmd)
 		}
 	}
 }
 
 // learn takes the grant from this member's own copy of the log.
-func (w *Owner) learn() {
-	v, ok := w.o.Store.Peek(groupstate.Query{Ask: groupstate.AskGrant}.Encode())
-	g, is := v.(lease.Grant)
-	if !ok || !is {
+func (r *Runner) observeGrant() {
+	value, ok := r.opts.Store.Peek(groupstate.Query{Kind: groupstate.QueryGrant}.Encode())
+	grant, granted := value.(lease.Grant)
+	if !ok || !granted {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.member.Learn(w.now(), g)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.candidate.Observe(r.now(), grant)
 }
 
 // propose has a lease's command committed and tells the member's side what became of it.
-func (w *Owner) propose(c lease.Command) {
-	defer w.done.Done()
-	ctx, cancel := context.WithTimeout(w.ctx, w.o.Lease.Lease)
+func (r *Runner) propose(cmd lease.Command) {
+	defer r.wg.Done()
+	ctx, cancel := context.WithTimeout(r.ctx, r.opts.Lease.TTL)
 	defer cancel()
-	raw, err := w.o.Store.Propose(ctx, groupstate.Lease(c))
-	var r lease.Result
+	raw, err := r.opts.Store.Propose(ctx, groupstate.EncodeLease(cmd))
+	var result lease.Result
 	if err == nil {
-		err = json.Unmarshal(raw, &r)
+		err = json.Unmarshal(raw, &result)
 	}
-	w.mu.Lock()
+	r.mu.Lock()
 	if err != nil {
-		w.member.Lost()
-		w.last = time.Now().Add(rand.N(w.o.Lease.Lease / 20))
+		r.candidate.HandleNoResult()
+		r.lastFailure = time.Now().Add(rand.N(r.opts.Lease.TTL / 20))
 	} else {
-		w.member.Answered(w.now(), r)
-		if r.Done && c.Op == lease.Renew {
-			w.fig.Renewals++
+		r.candidate.HandleResult(r.now(), result)
+		if result.Applied && cmd.Op == lease.Renew {
+			r.stats.Renewals++
 		}
 	}
-	w.mu.Unlock()
-	w.note()
+	r.mu.Unlock()
+	r.reportTransition()
 }
 
 // note tells of a lease that was taken or has ended since the last look.
-func (w *Owner) note() {
-	w.mu.Lock()
+func (r *Runner) reportTransition() {
+	r.mu.Lock()
 	token := uint64(0)
-	if w.member.Acts(w.now()) {
-		token = w.member.Token()
+	if r.candidate.Owns(r.now()) {
+		token = r.candidate.Token()
 	}
-	was := w.token
-	w.token = token
+	previous := r.activeToken
+	r.activeToken = token
 	switch {
-	case token == was:
-		w.mu.Unlock()
+	case token == previous:
+		r.mu.Unlock()
 		return
 	case token != 0:
-		w.fig.Grants++
+		r.stats.Grants++
 	default:
-		w.fig.Losses++
+		r.stats.Losses++
 	}
-	known := w.member.Known()
-	w.mu.Unlock()
+	known := r.candidate.Grant()
+	r.mu.Unlock()
 	if token == 0 {
-		w.o.Log.Warn("owner: the lease has ended; this member does no chores any more", "token", was,
+		r.opts.Log.Warn("owner: the lease has ended; this member does no chores any more", "token", previous,
 			"holder", known.Holder, "its_token", known.Token)
 		return
 	}
-	w.o.Log.Info("owner: this member owns the fleet's chores", "token", token, "before", was)
+	r.opts.Log.Info("owner: this member owns the fleet's chores", "token", token, "before", previous)
 	select {
-	case w.wake <- struct{}{}:
+	case r.acquired <- struct{}{}:
 	default:
 	}
 }
 
-// giveBack hands the lease over at once.
-func (w *Owner) giveBack(why string) {
-	w.mu.Lock()
-	c, ok := w.member.GiveBack()
-	was := w.token
-	w.token = 0
+// resign hands the lease over at once.
+func (r *Runner) resign(reason string) {
+	r.mu.Lock()
+	cmd, ok := r.candidate.Resign()
+	token := r.activeToken
+	r.activeToken = 0
 	if ok {
-		w.fig.GivenUp++
+		r.stats.Resigned++
 	}
-	w.mu.Unlock()
+	r.mu.Unlock()
 	if !ok {
 		return
 	}
-	w.o.Log.Info("owner: the lease is given back", "token", was, "why", why)
-	ctx, cancel := context.WithTimeout(context.Background(), w.o.Lease.Lease/2)
+	r.opts.Log.Info("owner: the lease is given back", "token", token, "why", reason)
+	ctx, cancel := context.WithTimeout(context.Background(), r.opts.Lease.TTL/2)
 	defer cancel()
-	if _, err := w.o.Store.Propose(ctx, groupstate.Lease(c)); err != nil {
-		w.o.Log.Debug("owner: the lease was not given back; it ends by itself", "err", err)
+	if _, err := r.opts.Store.Propose(ctx, groupstate.EncodeLease(cmd)); err != nil {
+		r.opts.Log.Debug("owner: the lease was not given back; it ends by itself", "err", err)
 	}
 }
 
-// Acting is the token to act with and how long it lasts; false where this member does not own the chores.
-func (w *Owner) Acting() (token uint64, left time.Duration, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	if !w.member.Acts(now) {
+// ActiveLease is the token to act with and how long it lasts; false where this member does not own the
+// chores.
+func (r *Runner) ActiveLease() (token uint64, remaining time.Duration, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
+	if !r.candidate.Owns(now) {
 		return 0, 0, false
 	}
-	return w.member.Token(), w.member.Left(now), true
+	return r.candidate.Token(), r.candidate.Remaining(now), true
 }
 
 // call makes one call of a chore under a token, within a time and no longer than the lease lasts. What was
 // refused for its token ends this member's ownership.
-func (w *Owner) call(token uint64, within time.Duration, do func(ctx context.Context) error) error {
-	now, left, ok := w.Acting()
-	if !ok || now != token {
+func (r *Runner) callFenced(token uint64, timeout time.Duration, do func(ctx context.Context) error) error {
+	current, remaining, ok := r.ActiveLease()
+	if !ok || current != token {
 		return ErrNotOwner
 	}
-	if w.o.Faults != nil {
-		w.o.Faults.Call() // the worst place to stand still: the lease was looked at, the call is not out
+	if r.opts.Faults != nil {
+		r.opts.Faults.BeforeCall() // the worst place to stand still: the lease was looked at, the call is not out
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, min(within, left))
+	ctx, cancel := context.WithTimeout(r.ctx, min(timeout, remaining))
 	defer cancel()
 	err := do(ctx)
-	w.mu.Lock()
-	w.fig.Calls++
+	r.mu.Lock()
+	r.stats.Calls++
 	switch {
-	case errors.Is(err, errStale):
-		w.fig.Refused++
+	case errors.Is(err, errStaleToken):
+		r.stats.Rejected++
 	case err != nil:
-		w.fig.Failed++
+		r.stats.Failed++
 	}
-	w.mu.Unlock()
-	if errors.Is(err, errStale) {
-		w.Fenced(token, err.Error())
+	r.mu.Unlock()
+	if errors.Is(err, errStaleToken) {
+		r.StepDown(token, err.Error())
 	}
 	return err
 }
 
-// Refused tells of a call on discovery that was refused for its token.
-func (w *Owner) Refused(token uint64, why string) {
-	w.mu.Lock()
-	w.fig.Calls++
-	w.fig.Refused++
-	w.mu.Unlock()
-	w.Fenced(token, why)
+// Rejected tells of a call on discovery that was refused for its token.
+func (r *Runner) ReportRejection(token uint64, reason string) {
+	r.mu.Lock()
+	r.stats.Calls++
+	r.stats.Rejected++
+	r.mu.Unlock()
+	r.StepDown(token, reason)
 }
 
-// Fenced tells that something done under a token was refused as stale: this member owns nothing any more.
-func (w *Owner) Fenced(token uint64, why string) {
-	w.o.Log.Warn("owner: a call was refused; another member owns the chores", "token", token, "why", why)
-	if now, _, ok := w.Acting(); ok && now == token {
-		w.giveBack("refused: " + why)
+// StepDown tells that something done under a token was refused as stale: this member owns nothing any more.
+func (r *Runner) StepDown(token uint64, reason string) {
+	r.opts.Log.Warn("owner: a call was refused; another member owns the chores", "token", token, "why", reason)
+	if current, _, ok := r.ActiveLease(); ok && current == token {
+		r.resign("refused: " + reason)
 	}
 }
 
 // enter proposes a chore's entry under a token. nil says that it was applied.
-func (w *Owner) enter(token uint64, command []byte) error {
-	now, left, ok := w.Acting()
-	if !ok || now != token {
+func (r *Runner) commit(token uint64, command []byte) error {
+	current, remaining, ok := r.ActiveLease()
+	if !ok || current != token {
 		return ErrNotOwner
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, left)
+	ctx, cancel := context.WithTimeout(r.ctx, remaining)
 	defer cancel()
-	raw, err := w.o.Store.Propose(ctx, command)
-	var r groupstate.Result
+	raw, err := r.opts.Store.Propose(ctx, command)
+	var result groupstate.Result
 	if err == nil {
-		err = json.Unmarshal(raw, &r)
+		err = json.Unmarshal(raw, &result)
 	}
 	switch {
 	case err != nil:
 		return err
-	case r.Status == groupstate.Stale:
-		w.mu.Lock()
-		w.fig.Stale++
-		w.mu.Unlock()
-		w.Fenced(token, r.Why)
-		return errStale
-	case r.Status != groupstate.Taken:
-		return errors.New(r.Why)
+	case result.Status == groupstate.StatusStale:
+		r.mu.Lock()
+		r.stats.StaleEntries++
+		r.mu.Unlock()
+		r.StepDown(token, result.Reason)
+		return errStaleToken
+	case result.Status != groupstate.StatusAccepted:
+		return errors.New(result.Reason)
 	}
 	return nil
 }
 
 // read asks the store, within a time.
-func (w *Owner) read(within time.Duration, q groupstate.Query, into any) error {
-	ctx, cancel := context.WithTimeout(w.ctx, within)
+func (r *Runner) query(timeout time.Duration, q groupstate.Query, into any) error {
+	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
-	raw, err := w.o.Store.Read(ctx, q.Encode())
+	raw, err := r.opts.Store.Read(ctx, q.Encode())
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/leaseholder/owner_test.go
+++ b/internal/cluster/leaseholder/owner_test.go
@@ -17,90 +17,91 @@
 )
 
 // memory is a store of one copy in this process, which members may be cut off from.
-type memory struct {
-	mu    sync.Mutex
-	m     *groupstate.Machine
-	index uint64
-	cut   map[string]bool
+type memoryStore struct {
+	mu          sync.Mutex
+	machine     *groupstate.Machine
+	index       uint64
+	partitioned map[string]bool
 }
 
-func newMemory(t *testing.T) *memory {
-	m, err := groupstate.New(ledger.Settings{Keep: 100, Remember: 1, IDs: 10, Tenants: 10, Members: 10})
+func newMemoryStore(t *testing.T) *memoryStore {
+	m, err := groupstate.New(ledger.Settings{MaxPeriods: 100, DedupPeriods: 1, MaxIDs: 10, MaxTenants: 10,
+		MaxMembers: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &memory{m: m, cut: map[string]bool{}}
+	return &memoryStore{machine: m, partitioned: map[string]bool{}}
 }
 
-func (s *memory) apply(b []byte) json.RawMessage {
+func (s *memoryStore) apply(b []byte) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index++
-	raw, _ := json.Marshal(s.m.Apply(s.index, b))
+	raw, _ := json.Marshal(s.machine.Apply(s.index, b))
 	return raw
 }
 
 // period counts n answers of two tenants and closes the period.
-func (s *memory) period(n int64) {
+func (s *memoryStore) period(n int64) {
 	s.mu.Lock()
-	p := s.m.Ledger.Open()
+	p := s.machine.Ledger.OpenPeriod()
 	s.mu.Unlock()
 	b := &ledger.Batch{Member: "x", Incarnation: 1, Seq: p}
 	for _, tenant := range []string{"ramen-kita", "soup-curry-chuo"} {
-		b.Answers = append(b.Answers, ledger.Answers{Key: ledger.Key{Tenant: tenant, Class: "zone-lookup",
-			Answer: "passed"}, Sum: ledger.Sum{N: n, In: 2 * n, Out: 3 * n}})
+		b.Usage = append(b.Usage, ledger.KeyUsage{Key: ledger.Key{Tenant: tenant, Class: "zone-lookup",
+			Answer: "passed"}, Usage: ledger.Usage{Count: n, BytesIn: 2 * n, BytesOut: 3 * n}})
 	}
 	s.apply(b.Encode())
-	s.apply((&ledger.Close{Period: p, AtMS: 1}).Encode())
+	s.apply((&ledger.ClosePeriod{Period: p, AtMS: 1}).Encode())
 }
 
-func (s *memory) view() groupstate.View {
+func (s *memoryStore) view() groupstate.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.m.View()
+	return s.machine.View()
 }
 
 // of is the store as one member reaches it.
-type of struct {
-	*memory
+type memberStore struct {
+	*memoryStore
 	name string
 }
 
-var errAway = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
-func (s of) away() bool {
+func (s memberStore) unreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cut[s.name]
+	return s.partitioned[s.name]
 }
 
-func (s of) Propose(_ context.Context, b []byte) (json.RawMessage, error) {
-	if s.away() {
-		return nil, errAway
+func (s memberStore) Propose(_ context.Context, b []byte) (json.RawMessage, error) {
+	if s.unreachable() {
+		return nil, errUnreachable
 	}
 	return s.apply(b), nil
 }
 
-func (s of) Read(_ context.Context, q []byte) (json.RawMessage, error) {
+func (s memberStore) Read(_ context.Context, q []byte) (json.RawMessage, error) {
 	v, ok := s.Peek(q)
 	if !ok {
-		return nil, errAway
+		return nil, errUnreachable
 	}
 	return json.Marshal(v)
 }
 
-func (s of) Peek(q []byte) (any, bool) {
-	if s.away() {
+func (s memberStore) Peek(q []byte) (any, bool) {
+	if s.unreachable() {
 		return nil, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, err := s.m.Read(q)
+	v, err := s.machine.Read(q)
 	return v, err == nil
 }
 
 // servers is a member's list of servers.
-type servers struct {
+type fakeSource struct {
 	mu    sync.Mutex
 	feed  Feed
 	feeds int
@@ -109,51 +110,52 @@
 	took  []string
 }
 
-func (s *servers) Feed(f Feed) { s.mu.Lock(); defer s.mu.Unlock(); s.feed, s.feeds = f, s.feeds+1 }
-func (s *servers) Heard() time.Time {
+func (s *fakeSource) Feed(f Feed) { s.mu.Lock(); defer s.mu.Unlock(); s.feed, s.feeds = f, s.feeds+1 }
+func (s *fakeSource) LastSeen() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.feed.Held {
+	if s.feed.FromOwner {
 		return time.Time{}
 	}
 	return time.Now()
 }
-func (s *servers) Index() int64 { s.mu.Lock(); defer s.mu.Unlock(); return s.index }
-func (s *servers) Export() ([]byte, error) {
+func (s *fakeSource) Index() int64 { s.mu.Lock(); defer s.mu.Unlock(); return s.index }
+func (s *fakeSource) Export() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return []byte(s.raw), nil
 }
-func (s *servers) Replace(raw []byte) {
+func (s *fakeSource) Replace(raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.raw, s.took = string(raw), append(s.took, string(raw))
 	json.Unmarshal(raw, &s.index)
 }
-func (s *servers) is() (Feed, []string) { s.mu.Lock(); defer s.mu.Unlock(); return s.feed, s.took }
+func (s *fakeSource) is() (Feed, []string) { s.mu.Lock(); defer s.mu.Unlock(); return s.feed, s.took }
 
-var short = lease.Settings{Lease: 200 * time.Millisecond, Drift: 0.05, Election: 50 * time.Millisecond}
+var testLease = lease.Settings{TTL: 200 * time.Millisecond, Drift: 0.05,
+	ElectionTimeout: 50 * time.Millisecond}
 
-func start(t *testing.T, s *memory, name, sink string, list *servers) *Owner {
+func start(t *testing.T, s *memoryStore, name, sink string, list *fakeSource) *Runner {
 	t.Helper()
-	o := Options{Name: name, Lease: short, Store: of{s, name}, Log: slog.New(slog.DiscardHandler)}
+	o := Options{Name: name, Lease: testLease, Store: memberStore{s, name}, Log: slog.New(slog.DiscardHandler)}
 	if sink != "" {
-		o.Export = &Export{Sink: sink, Within: 100 * time.Millisecond, AtOnce: 1}
+		o.Export = &Exporter{Sink: sink, CallTimeout: 100 * time.Millisecond, BatchSize: 1}
 	}
 	if list != nil {
-		o.List = &List{Source: list, MaxAge: 400 * time.Millisecond, Spread: 50 * time.Millisecond,
-			Poll: 10 * time.Millisecond, Silence: time.Second}
+		o.Endpoints = &EndpointSync{Source: list, MaxAge: 400 * time.Millisecond, Jitter: 50 * time.Millisecond,
+			PollInterval: 10 * time.Millisecond, WatchTimeout: time.Second}
 	}
-	w, err := New(o)
+	r, err := New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Run()
-	t.Cleanup(w.Close)
-	return w
+	r.Run()
+	t.Cleanup(r.Close)
+	return r
 }
 
-func until(t *testing.T, what string, holds func() error) {
+func eventually(t *testing.T, what string, holds func() error) {
 	t.Helper()
 	var err error
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -164,9 +166,9 @@
 	t.Fatalf("%s: %v", what, err)
 }
 
-func acts(w *Owner) func() error {
+func ownsLease(r *Runner) func() error {
 	return func() error {
-		if _, _, ok := w.Acting(); !ok {
+		if _, _, ok := r.ActiveLease(); !ok {
 			return errors.New("it does not act")
 		}
 		return nil
@@ -174,44 +176,44 @@
 }
 
 // exporting is a sink, a store, and an owner "a" that exports the one to the other.
-func exporting(t *testing.T) (*proxystandin.Sink, *memory, *Owner) {
+func startExport(t *testing.T) (*proxystandin.Sink, *memoryStore, *Runner) {
 	t.Helper()
 	sink, err := proxystandin.StartSink("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(sink.Close)
-	s := newMemory(t)
+	s := newMemoryStore(t)
 	a := start(t, s, "a", sink.Address(), nil)
-	until(t, "a owns", acts(a))
+	eventually(t, "a owns", ownsLease(a))
 	return sink, s, a
 }
 
 // An export goes on where the owner before left it, with the same bytes; corrections of what was sent go by
 // themselves; and the lease is handed over at the end of a process.
 func TestExportGoesOn(t *testing.T) {
-	sink, s, a := exporting(t)
+	sink, s, a := startExport(t)
 	s.period(5)
-	until(t, "period 1", func() error { return exported(s, 1) })
+	eventually(t, "period 1", func() error { return exported(s, 1) })
 	sink.Trouble(proxystandin.SinkTrouble{Reset: true}) // the sink stores and a does not hear of it
 	s.period(7)
-	until(t, "period 2 begun", func() error {
+	eventually(t, "period 2 begun", func() error {
 		if len(sink.Entries()) < 3 {
 			return fmt.Errorf("%d entries", len(sink.Entries()))
 		}
 		return nil
 	})
 	s.apply((&ledger.Correction{ID: "late", Period: 2, Key: ledger.Key{Tenant: "ramen-kita",
-		Class: "zone-lookup", Answer: "passed"}, Sum: ledger.Sum{N: -1}, Reason: "asked for"}).Encode())
+		Class: "zone-lookup", Answer: "passed"}, Usage: ledger.Usage{Count: -1}, Reason: "asked for"}).Encode())
 	a.Close()
 	if v := s.view(); v.Grant.Holder != "" || v.Sending != 2 {
 		t.Fatalf("after its end %+v", v)
 	}
 	sink.Trouble(proxystandin.SinkTrouble{})
 	b := start(t, s, "b", sink.Address(), nil)
-	until(t, "period 2", func() error { return exported(s, 2) })
-	until(t, "the correction", func() error {
-		if _, ok := sink.Entries()["2/correction/late"]; !ok || s.view().Fixes > 0 {
+	eventually(t, "period 2", func() error { return exported(s, 2) })
+	eventually(t, "the correction", func() error {
+		if _, ok := sink.Entries()["2/correction/late"]; !ok || s.view().PendingCorrections > 0 {
 			return fmt.Errorf("%+v", s.view())
 		}
 		return nil
@@ -223,12 +225,12 @@
 	if _, _, err := sink.Audit(); err != nil {
 		t.Error(err)
 	}
-	if p := b.Page(); p.Figures.Resumed == 0 || p.Figures.Repeated == 0 || p.Holder != "b" || !p.Here {
+	if p := b.Page(); p.Stats.Resumed == 0 || p.Stats.Duplicates == 0 || p.Holder != "b" || !p.Owns {
 		t.Errorf("%+v", p)
 	}
 }
 
-func exported(s *memory, period uint64) error {
+func exported(s *memoryStore, period uint64) error {
 	if v := s.view(); v.Exported < period {
 		return fmt.Errorf("%+v", v)
 	}
@@ -238,23 +240,23 @@
 // An owner that is cut off from the store stops by itself before its lease is over; a call of its that went
 // out before is refused, and nothing it enters counts.
 func TestCutOffOwner(t *testing.T) {
-	sink, s, a := exporting(t)
-	old, _, _ := a.Acting()
+	sink, s, a := startExport(t)
+	old, _, _ := a.ActiveLease()
 	b := start(t, s, "b", sink.Address(), nil)
 	s.mu.Lock()
-	s.cut["a"] = true
+	s.partitioned["a"] = true
 	s.mu.Unlock()
-	until(t, "b owns", acts(b))
-	if _, _, ok := a.Acting(); ok {
+	eventually(t, "b owns", ownsLease(b))
+	if _, _, ok := a.ActiveLease(); ok {
 		t.Error("two act")
 	}
 	s.period(1)
-	until(t, "b exports", func() error { return exported(s, 1) })
-	if err := a.o.Export.send(old, nil); !errors.Is(err, ErrNotOwner) {
+	eventually(t, "b exports", func() error { return exported(s, 1) })
+	if err := a.opts.Export.send(old, nil); !errors.Is(err, ErrNotOwner) {
 		t.Errorf("a sends: %v", err)
 	}
-	if r := string(s.apply((&groupstate.Done{Member: "a", Token: old, Period: 1}).Encode())); r == "" ||
-		s.view().Figures.Stale != 1 {
+	if r := string(s.apply((&groupstate.ExportDone{Member: "a", Token: old, Period: 1}).Encode())); r == "" ||
+		s.view().Stats.Stale != 1 {
 		t.Errorf("a's entry: %s", r)
 	}
 	// What answers of a sink come to.
@@ -274,8 +276,8 @@
 		{409, "fencing token 1 is older than 2", 0, true, true},
 		{500, "oh", 0, false, true},
 	} {
-		if err := a.o.Export.answered(c.status, []byte(c.body), c.sent); (err != nil) != c.fails ||
-			errors.Is(err, errStale) != c.stale {
+		if err := a.opts.Export.checkReply(c.status, []byte(c.body), c.sent); (err != nil) != c.fails ||
+			errors.Is(err, errStaleToken) != c.stale {
 			t.Errorf("%d %s: %v", c.status, c.body, err)
 		}
 	}
@@ -284,32 +286,32 @@
 // The owner's list reaches the others, who do not ask; without an owner they ask, and go back once there is
 // one again.
 func TestListsFromTheOwner(t *testing.T) {
-	s := newMemory(t)
-	one, two := &servers{index: 1, raw: "1"}, &servers{}
+	s := newMemoryStore(t)
+	one, two := &fakeSource{index: 1, raw: "1"}, &fakeSource{}
 	a := start(t, s, "a", "", one)
-	until(t, "a owns", acts(a))
+	eventually(t, "a owns", ownsLease(a))
 	b := start(t, s, "b", "", two)
-	until(t, "b has the list", func() error {
-		if f, took := two.is(); !f.Held || len(took) != 1 || took[0] != "1" {
+	eventually(t, "b has the list", func() error {
+		if f, took := two.is(); !f.FromOwner || len(took) != 1 || took[0] != "1" {
 			return fmt.Errorf("%+v %v", f, took)
 		}
 		return nil
 	})
-	if f, _ := one.is(); f.Held || f.Token == 0 {
+	if f, _ := one.is(); f.FromOwner || f.Token == 0 {
 		t.Errorf("the owner is fed by %+v", f)
 	}
 	one.Replace([]byte("2"))
-	until(t, "a change", func() error {
+	eventually(t, "a change", func() error {
 		if _, took := two.is(); took[len(took)-1] != "2" {
 			return fmt.Errorf("%v", took)
 		}
 		return nil
 	})
 	s.mu.Lock()
-	s.cut["a"], s.cut["b"] = true, true
+	s.partitioned["a"], s.partitioned["b"] = true, true
 	s.mu.Unlock()
-	for _, m := range []*servers{one, two} {
-		until(t, "without an owner each asks", func() error {
+	for _, m := range []*fakeSource{one, two} {
+		eventually(t, "without an owner each asks", func() error {
 			if f, _ := m.is(); f != (Feed{}) {
 				return fmt.Errorf("%+v", f)
 			}
@@ -318,24 +320,24 @@
 	}
 	two.Replace([]byte("3")) // b heard of a change by itself: a list from before is not taken
 	s.mu.Lock()
-	s.cut["a"] = false
+	s.partitioned["a"] = false
 	s.mu.Unlock()
-	until(t, "a owns again", acts(a))
+	eventually(t, "a owns again", ownsLease(a))
 	s.mu.Lock()
-	s.cut["b"] = false
+	s.partitioned["b"] = false
 	s.mu.Unlock()
 	time.Sleep(100 * time.Millisecond)
-	if f, took := two.is(); f.Held || took[len(took)-1] != "3" {
+	if f, took := two.is(); f.FromOwner || took[len(took)-1] != "3" {
 		t.Errorf("b, ahead of the owner, is fed by %+v and took %v", f, took)
 	}
 	one.Replace([]byte("4"))
-	until(t, "b follows again", func() error {
-		if f, took := two.is(); !f.Held || took[len(took)-1] != "4" {
+	eventually(t, "b follows again", func() error {
+		if f, took := two.is(); !f.FromOwner || took[len(took)-1] != "4" {
 			return fmt.Errorf("%+v %v", f, took)
 		}
 		return nil
 	})
-	if p := b.Page(); p.List == nil || !p.List.Held || p.Here {
+	if p := b.Page(); p.Endpoints == nil || !p.Endpoints.FromOwner || p.Owns {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/cluster/ledger/ledger_test.go
+++ b/internal/cluster/ledger/ledger_test.go
@@ -8,47 +8,47 @@
 	"pgregory.net/rapid"
 )
 
-var set = Settings{Keep: 3, Remember: 2, IDs: 100, Tenants: 3, Members: 4}
+var testSettings = Settings{MaxPeriods: 3, DedupPeriods: 2, MaxIDs: 100, MaxTenants: 3, MaxMembers: 4}
 
-func open(t testing.TB) *Ledger {
+func newLedger(t testing.TB) *Ledger {
 	t.Helper()
-	l, err := New(set)
+	l, err := New(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-var passed = Key{"ramen-kita", "zone-lookup", "passed"}
+var passedKey = Key{"ramen-kita", "zone-lookup", "passed"}
 
 func batch(member string, inc, seq uint64, ids ...uint64) *Batch {
-	a := Answers{Key: passed, IDs: ids}
+	a := KeyUsage{Key: passedKey, IDs: ids}
 	for range ids {
-		a.Ins, a.Outs = append(a.Ins, 10), append(a.Outs, 20)
+		a.BytesInByID, a.BytesOutByID = append(a.BytesInByID, 10), append(a.BytesOutByID, 20)
 	}
-	return &Batch{Member: member, Incarnation: inc, Seq: seq, Answers: []Answers{a}}
+	return &Batch{Member: member, Incarnation: inc, Seq: seq, Usage: []KeyUsage{a}}
 }
 
 // steps applies commands in their order, through the log's form, and returns what became of each.
-func steps(t testing.TB, l *Ledger, commands ...any) (out []string) {
+func applyAll(t testing.TB, l *Ledger, commands ...any) (out []string) {
 	t.Helper()
 	for _, c := range commands {
-		out = append(out, l.Apply(l.Index()+1, c.(interface{ Encode() []byte }).Encode()).Status)
+		out = append(out, l.Apply(l.AppliedIndex()+1, c.(interface{ Encode() []byte }).Encode()).Status)
 	}
 	return out
 }
 
-func total(l *Ledger, period uint64) Sum {
+func total(l *Ledger, period uint64) Usage {
 	v := l.Read(Query{Period: period})
 	if len(v.Periods) == 0 {
-		return Sum{}
+		return Usage{}
 	}
 	return v.Periods[0].Total()
 }
 
 func TestCommands(t *testing.T) {
 	fix := func(id string, period uint64) *Correction {
-		return &Correction{ID: id, Period: period, Key: passed, Sum: Sum{N: -1}, Reason: "asked for"}
+		return &Correction{ID: id, Period: period, Key: passedKey, Usage: Usage{Count: -1}, Reason: "asked for"}
 	}
 	for name, c := range map[string]struct {
 		commands []any
@@ -56,72 +56,77 @@
 		totals   map[uint64]int64 // answers by period
 	}{
 		"a batch sent twice counts once": {[]any{batch("a", 1, 1, 1, 2), batch("a", 1, 1, 1, 2)},
-			[]string{Counted, Duplicate}, map[uint64]int64{1: 2}},
+			[]string{StatusCounted, StatusDuplicate}, map[uint64]int64{1: 2}},
 		"a batch of an earlier life": {[]any{batch("a", 2, 1, 1), batch("a", 1, 5, 2)},
-			[]string{Counted, Past}, map[uint64]int64{1: 1}},
+			[]string{StatusCounted, StatusStaleIncarnation}, map[uint64]int64{1: 1}},
 		"a new life counts from one": {[]any{batch("a", 1, 7, 1), batch("a", 2, 1, 2)},
-			[]string{Counted, Counted}, map[uint64]int64{1: 2}},
-		"a close splits": {[]any{batch("a", 1, 1, 1), &Close{Period: 1}, batch("a", 1, 2, 2)},
-			[]string{Counted, Closed, Counted}, map[uint64]int64{1: 1, 2: 1}},
-		"a close sent twice closes one": {[]any{&Close{Period: 1}, &Close{Period: 1}, &Close{Period: 9}},
-			[]string{Closed, Duplicate, Duplicate}, map[uint64]int64{1: 0, 2: 0}},
-		"a retry's answer belongs to the first's period": {[]any{batch("a", 1, 1, 7), &Close{Period: 1},
-			batch("b", 1, 1, 7)}, []string{Counted, Closed, Counted}, map[uint64]int64{1: 2, 2: 0}},
+			[]string{StatusCounted, StatusCounted}, map[uint64]int64{1: 2}},
+		"a close splits": {[]any{batch("a", 1, 1, 1), &ClosePeriod{Period: 1}, batch("a", 1, 2, 2)},
+			[]string{StatusCounted, StatusClosed, StatusCounted}, map[uint64]int64{1: 1, 2: 1}},
+		"a close sent twice closes one": {[]any{&ClosePeriod{Period: 1}, &ClosePeriod{Period: 1},
+			&ClosePeriod{Period: 9}},
+			[]string{StatusClosed, StatusDuplicate, StatusDuplicate}, map[uint64]int64{1: 0, 2: 0}},
+		"a retry's answer belongs to the first's period": {[]any{batch("a", 1, 1, 7), &ClosePeriod{Period: 1},
+			batch("b", 1, 1, 7)}, []string{StatusCounted, StatusClosed, StatusCounted}, map[uint64]int64{1: 2, 2: 0}},
 		"two answers in one period": {[]any{batch("a", 1, 1, 7), batch("b", 1, 1, 7)},
-			[]string{Counted, Counted}, map[uint64]int64{1: 2}},
-		"ids are forgotten in time": {[]any{batch("a", 1, 1, 7), &Close{Period: 1}, &Close{Period: 2},
-			batch("b", 1, 1, 7)}, []string{Counted, Closed, Closed, Counted}, map[uint64]int64{1: 1, 3: 1}},
-		"a correction": {[]any{batch("a", 1, 1, 7, 8), &Close{Period: 1}, fix("x", 1), fix("x", 1)},
-			[]string{Counted, Closed, Corrected, Duplicate}, map[uint64]int64{1: 1}},
+			[]string{StatusCounted, StatusCounted}, map[uint64]int64{1: 2}},
+		"ids are forgotten in time": {[]any{batch("a", 1, 1, 7), &ClosePeriod{Period: 1}, &ClosePeriod{Period: 2},
+			batch("b", 1, 1, 7)}, []string{StatusCounted, StatusClosed, StatusClosed, StatusCounted},
+			map[uint64]int64{1: 1, 3: 1}},
+		"a correction": {[]any{batch("a", 1, 1, 7, 8), &ClosePeriod{Period: 1}, fix("x", 1), fix("x", 1)},
+			[]string{StatusCounted, StatusClosed, StatusCorrected, StatusDuplicate}, map[uint64]int64{1: 1}},
 		"no correction of an open period, or of none": {[]any{fix("x", 1), fix("x", 9), fix("", 1)},
-			[]string{Refused, Refused, Refused}, map[uint64]int64{1: 0}},
-		"no member, no sequence": {[]any{batch("", 1, 1), batch("a", 1, 0)}, []string{Refused, Refused},
+			[]string{StatusRejected, StatusRejected, StatusRejected}, map[uint64]int64{1: 0}},
+		"no member, no sequence": {[]any{batch("", 1, 1), batch("a", 1, 0)}, []string{StatusRejected,
+			StatusRejected},
 			map[uint64]int64{1: 0}},
-		"old periods go": {[]any{&Close{Period: 1}, &Close{Period: 2}, &Close{Period: 3}, &Close{Period: 4}},
-			[]string{Closed, Closed, Closed, Closed}, map[uint64]int64{5: 0}},
+		"old periods go": {[]any{&ClosePeriod{Period: 1}, &ClosePeriod{Period: 2}, &ClosePeriod{Period: 3},
+			&ClosePeriod{Period: 4}},
+			[]string{StatusClosed, StatusClosed, StatusClosed, StatusClosed}, map[uint64]int64{5: 0}},
 	} {
-		l := open(t)
-		if diff := cmp.Diff(c.want, steps(t, l, c.commands...)); diff != "" {
+		l := newLedger(t)
+		if diff := cmp.Diff(c.want, applyAll(t, l, c.commands...)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 		for period, want := range c.totals {
-			if got := total(l, period); got.N != want {
-				t.Errorf("%s: period %d has %d answers, want %d", name, period, got.N, want)
+			if got := total(l, period); got.Count != want {
+				t.Errorf("%s: period %d has %d answers, want %d", name, period, got.Count, want)
 			}
 		}
 	}
 }
 
 func TestBounds(t *testing.T) {
-	l := open(t)
+	l := newLedger(t)
 	for i := range 10 {
 		b := batch("a", 1, uint64(i+1), uint64(i))
-		b.Answers[0].Tenant = string(rune('a' + i))
-		steps(t, l, b)
-		steps(t, l, batch(string(rune('a'+i))+"-member", 1, 1))
+		b.Usage[0].Tenant = string(rune('a' + i))
+		applyAll(t, l, b)
+		applyAll(t, l, batch(string(rune('a'+i))+"-member", 1, 1))
 	}
 	rows := l.Read(Query{}).Periods[0].Rows
-	if len(rows) != set.Tenants+1 || total(l, 1).N != 10 {
+	if len(rows) != testSettings.MaxTenants+1 || total(l, 1).Count != 10 {
 		t.Errorf("%d rows, %v", len(rows), total(l, 1))
 	}
-	if rows[0].Tenant != Other || rows[0].N != 7 {
+	if rows[0].Tenant != OtherTenants || rows[0].Count != 7 {
 		t.Errorf("the rest counts as %+v", rows[0])
 	}
-	if len(l.members) > set.Members {
+	if len(l.members) > testSettings.MaxMembers {
 		t.Errorf("%d members are kept", len(l.members))
 	}
 	var many []uint64
 	for i := range 250 {
 		many = append(many, uint64(1000+i))
 	}
-	steps(t, l, &Close{Period: 1}, batch("z", 1, 1, many...))
-	if v := l.Read(Query{}); v.IDs > set.IDs || v.Figures.Forgot == 0 || total(l, 2).N != 250 {
-		t.Errorf("%d ids are kept, %d forgotten, %d counted", v.IDs, v.Figures.Forgot, total(l, 2).N)
+	applyAll(t, l, &ClosePeriod{Period: 1}, batch("z", 1, 1, many...))
+	if v := l.Read(Query{}); v.IDs > testSettings.MaxIDs || v.Stats.ForgottenIDs == 0 || total(l,
+		2).Count != 250 {
+		t.Errorf("%d ids are kept, %d forgotten, %d counted", v.IDs, v.Stats.ForgottenIDs, total(l, 2).Count)
 	}
-	kept := open(t)
-	kept.KeepUntil(func(p uint64) bool { return p < 2 })
+	kept := newLedger(t)
+	kept.SetMayDrop(func(p uint64) bool { return p < 2 })
 	for p := range uint64(9) {
-		steps(t, kept, &Close{Period: p + 1})
+		applyAll(t, kept, &ClosePeriod{Period: p + 1})
 	}
 	if first := kept.Read(Query{}).Periods[0].ID; first != 2 {
 		t.Errorf("the oldest kept is %d; 2 is not done with", first)
@@ -129,22 +134,22 @@
 }
 
 func TestWhatDoesNotDecode(t *testing.T) {
-	l := open(t)
+	l := newLedger(t)
 	whole := batch("a", 1, 1, 1, 2, 3).Encode()
 	bad := [][]byte{nil, {}, {'?'}, {'B'}, {'C', 0xc1}, {'F', 0x93, 1}}
 	for cut := 1; cut < len(whole); cut++ {
 		bad = append(bad, whole[:cut])
 	}
 	for _, b := range bad {
-		if r := l.Apply(l.Index()+1, b); r.Status != Refused {
+		if r := l.Apply(l.AppliedIndex()+1, b); r.Status != StatusRejected {
 			t.Errorf("%x: %v", b, r)
 		}
 	}
-	if total(l, 1).N != 0 || l.Read(Query{}).Figures.Refused != int64(len(bad)) {
+	if total(l, 1).Count != 0 || l.Read(Query{}).Stats.Rejected != int64(len(bad)) {
 		t.Errorf("%+v", l.Read(Query{}))
 	}
 	odd := batch("a", 1, 1, 1, 2)
-	odd.Answers[0].Ins = odd.Answers[0].Ins[:1]
+	odd.Usage[0].BytesInByID = odd.Usage[0].BytesInByID[:1]
 	if _, err := DecodeBatch(odd.Encode()); err == nil {
 		t.Error("a batch whose bytes do not fit its ids was read")
 	}
@@ -154,7 +159,7 @@
 			t.Errorf("a snapshot cut at %d was restored", cut)
 		}
 	}
-	if total(l, 1).N != 0 || l.Open() != 1 {
+	if total(l, 1).Count != 0 || l.OpenPeriod() != 1 {
 		t.Error("a snapshot that cannot be read changed something")
 	}
 }
@@ -163,7 +168,7 @@
 // counted is in some period, once.
 func TestStateIsOfTheLogAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		big := Settings{Keep: 1000, Remember: 2, IDs: 50, Tenants: 3, Members: 100}
+		big := Settings{MaxPeriods: 1000, DedupPeriods: 2, MaxIDs: 50, MaxTenants: 3, MaxMembers: 100}
 		a, _ := New(big)
 		b, _ := New(big)
 		var answers int64
@@ -171,17 +176,17 @@
 			var data []byte
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
-				data = (&Close{Period: rapid.Uint64Range(1, 8).Draw(t, "period"), AtMS: int64(i)}).Encode()
+				data = (&ClosePeriod{Period: rapid.Uint64Range(1, 8).Draw(t, "period"), AtMS: int64(i)}).Encode()
 			case 1:
 				data = rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "garbage")
 			default:
 				m := batch(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "member"),
 					rapid.Uint64Range(1, 2).Draw(t, "inc"), rapid.Uint64Range(1, 9).Draw(t, "seq"),
 					rapid.SliceOfN(rapid.Uint64Range(1, 30), 0, 5).Draw(t, "ids")...)
-				m.Answers[0].Sum = Sum{N: 2}
+				m.Usage[0].Usage = Usage{Count: 2}
 				data = m.Encode()
-				if r := a.Apply(uint64(i+1), data); r.Status == Counted {
-					answers += 2 + int64(len(m.Answers[0].IDs))
+				if r := a.Apply(uint64(i+1), data); r.Status == StatusCounted {
+					answers += 2 + int64(len(m.Usage[0].IDs))
 				}
 				b.Apply(uint64(i+1), data)
 				continue
@@ -201,7 +206,7 @@
 		}
 		var sum int64
 		for _, p := range a.Read(Query{}).Periods {
-			sum += p.Total().N
+			sum += p.Total().Count
 		}
 		if sum != answers {
 			t.Fatalf("%d answers are in the periods, %d were in batches that counted", sum, answers)
--- a/internal/cluster/ledger/query.go
+++ b/internal/cluster/ledger/query.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Period is what is read of one period.
-type Period struct {
+// PeriodView is what is read of one period.
+type PeriodView struct {
 	ID       uint64 `json:"period"`
 	ClosedMS int64  `json:"closed_ms,omitempty"` // 0 while open
 	Rows     []Row  `json:"rows"`
@@ -14,11 +14,11 @@
 
 // View is what is read of the ledger.
 type View struct {
-	Index   uint64   `json:"index"`
-	Open    uint64   `json:"open"`
-	Periods []Period `json:"periods"`
-	Figures Figures  `json:"figures"`
-	IDs     int      `json:"ids"`
+	Index      uint64       `json:"index"`
+	OpenPeriod uint64       `json:"open"`
+	Periods    []PeriodView `json:"periods"`
+	Stats      Stats        `json:"figures"`
+	IDs        int          `json:"ids"`
 }
 
 // Query says what to read: a tenant, or "" for all; a period, or 0 for all that are kept.
@@ -29,10 +29,11 @@
 
 // Read returns what the query asks for.
 func (l *Ledger) Read(q Query) View {
-	v := View{Index: l.index, Open: l.Open(), Figures: l.figures, IDs: l.held, Periods: []Period{}}
+	v := View{Index: l.appliedIndex, OpenPeriod: l.OpenPeriod(), Stats: l.stats, IDs: l.idCount,
+		Periods: []PeriodView{}}
 	for _, p := range l.periods {
-		if q.Period == 0 || q.Period == p.ID {
-			v.Periods = append(v.Periods, Period{ID: p.ID, ClosedMS: p.ClosedMS, Rows: p.rows(q.Tenant)})
+		if q.Period == 0 || q.Period == p.id {
+			v.Periods = append(v.Periods, PeriodView{ID: p.id, ClosedMS: p.closedMS, Rows: p.rows(q.Tenant)})
 		}
 	}
 	return v
@@ -40,10 +41,10 @@
 
 func (p *period) rows(tenant string) []Row {
 	all := map[Key]Row{}
-	for k, s := range p.Sums {
-		all[k] = Row{Key: k, Sum: *s}
+	for k, s := range p.usage {
+		all[k] = Row{Key: k, Usage: *s}
 	}
-	for k, s := range p.Corrections {
+	for k, s := range p.corrections {
 		r := all[k]
 		r.Key, r.Corrections = k, *s
 		all[k] = r
@@ -64,9 +65,9 @@
 }
 
 // Total is the sum over rows, corrections included.
-func (p *Period) Total() (s Sum) {
+func (p *PeriodView) Total() (s Usage) {
 	for _, r := range p.Rows {
-		s.Add(r.Sum)
+		s.Add(r.Usage)
 		s.Add(r.Corrections)
 	}
 	return s
--- a/internal/cluster/pending/closer.go
+++ b/internal/cluster/pending/closer.go
@@ -7,21 +7,21 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// Closer closes periods: whoever leads the group proposes it once the open period has lasted. The log decides
-// where a period ends; the time here is this member's own, from when it first saw the period open.
-type Closer struct {
-	Period  time.Duration
-	Leads   func() bool
-	Open    func() (uint64, bool)
-	Propose func(ctx context.Context, command []byte) (ledger.Result, error)
-	Stop    <-chan struct{}
+// PeriodCloser closes periods: whoever leads the group proposes it once the open period has lasted. The log
+// decides where a period ends; the time here is this member's own, from when it first saw the period open.
+type PeriodCloser struct {
+	Period     time.Duration
+	IsLeader   func() bool
+	OpenPeriod func() (uint64, bool)
+	Propose    func(ctx context.Context, command []byte) (ledger.Result, error)
+	Stop       <-chan struct{}
 }
 
 // Run closes periods until Stop closes.
-func (c *Closer) Run() {
+func (c *PeriodCloser) Run() {
 	tick := time.NewTicker(min(max(c.Period/20, 20*time.Millisecond), time.Second))
 	defer tick.Stop()
-	var open uint64
+	var openPeriod uint64
 	since := time.Now()
 	for {
 		select {
@@ -29,18 +29,18 @@
 			return
 		case <-tick.C:
 		}
-		now, ok := c.Open()
+		period, ok := c.OpenPeriod()
 		if !ok {
 			continue
 		}
-		if now != open {
-			open, since = now, time.Now()
+		if period != openPeriod {
+			openPeriod, since = period, time.Now()
 		}
-		if time.Since(since) < c.Period || !c.Leads() {
+		if time.Since(since) < c.Period || !c.IsLeader() {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), tryFor)
-		c.Propose(ctx, (&ledger.Close{Period: open, AtMS: time.Now().UnixMilli()}).Encode())
+		ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
+		c.Propose(ctx, (&ledger.ClosePeriod{Period: openPeriod, AtMS: time.Now().UnixMilli()}).Encode())
 		cancel()
 	}
 }
--- a/internal/cluster/pending/flush.go
+++ b/internal/cluster/pending/flush.go
@@ -9,15 +9,15 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-func (r *Recorder) flushing() {
-	defer r.done.Done()
-	tick := time.NewTicker(r.opt.Flush)
+func (r *Recorder) runFlusher() {
+	defer r.wg.Done()
+	tick := time.NewTicker(r.opts.FlushInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 			r.flush()
-		case <-r.stop:
+		case <-r.stopCh:
 			r.flush()
 			return
 		}
@@ -28,84 +28,85 @@
 // Where the file does not take it, or too much waits, the counts stay in memory, summed up.
 func (r *Recorder) flush() {
 	r.mu.Lock()
-	acked := r.acked
-	var w waiting
-	if full := r.bytes >= r.opt.Most || len(r.queue) >= batchesMost; r.n > 0 && !full {
-		w = r.take()
+	committed := r.committedKeys
+	var batch queuedBatch
+	if full := r.queuedBytes >= r.opts.MaxQueuedBytes ||
+		len(r.queue) >= maxQueuedBatches; r.currentAnswers > 0 && !full {
+		batch = r.sealBatch()
 	} else if full {
-		r.sumUp()
+		r.dropIDs()
 	}
 	r.mu.Unlock()
-	if w.raw == nil && len(acked) == 0 {
+	if batch.raw == nil && len(committed) == 0 {
 		return
 	}
-	err := r.write(w, acked)
+	err := r.write(batch, committed)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		if r.fig.FileErrors++; r.fig.FileErrors == 1 {
-			r.opt.Log.Error("ledger: counts are not written to the file of those that wait; they wait in memory",
+		if r.stats.FileErrors++; r.stats.FileErrors == 1 {
+			r.opts.Log.Error("ledger: counts are not written to the file of those that wait; they wait in memory",
 				"err", err)
 		}
-		if w.raw == nil {
+		if batch.raw == nil {
 			return
 		}
 		// Without the file the batch is sent all the same: committed, it is as safe as any.
-		w.key = 0
+		batch.key = 0
 	} else {
-		r.acked = r.acked[len(acked):]
+		r.committedKeys = r.committedKeys[len(committed):]
 	}
-	if w.raw != nil {
-		r.queue = append(r.queue, w)
-		r.bytes += int64(len(w.raw))
-		r.fig.Waiting += w.n
+	if batch.raw != nil {
+		r.queue = append(r.queue, batch)
+		r.queuedBytes += int64(len(batch.raw))
+		r.stats.Queued += batch.answers
 		select {
-		case r.wake <- struct{}{}:
+		case r.queued <- struct{}{}:
 		default:
 		}
 	}
 }
 
 // take makes a batch of what was counted since the last; r.mu is held.
-func (r *Recorder) take() waiting {
+func (r *Recorder) sealBatch() queuedBatch {
 	r.seq++
-	r.key++
-	b := ledger.Batch{Member: r.opt.Member, Incarnation: r.inc, Seq: r.seq}
-	for _, a := range r.now {
-		b.Answers = append(b.Answers, *a)
+	r.lastKey++
+	b := ledger.Batch{Member: r.opts.Member, Incarnation: r.incarnation, Seq: r.seq}
+	for _, a := range r.current {
+		b.Usage = append(b.Usage, *a)
 	}
-	w := waiting{key: r.key, raw: b.Encode(), n: r.n, born: r.since}
-	r.now, r.n, r.ids = map[ledger.Key]*ledger.Answers{}, 0, 0
-	return w
+	batch := queuedBatch{key: r.lastKey, raw: b.Encode(), answers: r.currentAnswers, createdAt: r.currentSince}
+	r.current, r.currentAnswers, r.currentIDs = map[ledger.Key]*ledger.KeyUsage{}, 0, 0
+	return batch
 }
 
-// sumUp drops the ids of what was counted: what is left is bounded by the number of keys; r.mu is held.
-func (r *Recorder) sumUp() {
-	for _, a := range r.now {
+// dropIDs drops the ids of what was counted: what is left is bounded by the number of keys; r.mu is held.
+func (r *Recorder) dropIDs() {
+	for _, a := range r.current {
 		for i := range a.IDs {
-			a.Add(ledger.Sum{N: 1, In: a.Ins[i], Out: a.Outs[i]})
+			a.Add(ledger.Usage{Count: 1, BytesIn: a.BytesInByID[i], BytesOut: a.BytesOutByID[i]})
 		}
-		a.IDs, a.Ins, a.Outs = nil, nil, nil
+		a.IDs, a.BytesInByID, a.BytesOutByID = nil, nil, nil
 	}
-	r.ids = idsMost // none until the next batch
+	r.currentIDs = maxBatchIDs // none until the next batch
 }
 
-func (r *Recorder) write(w waiting, acked []uint64) error {
-	if r.opt.Faults != nil {
-		if err := r.opt.Faults.Sync(); err != nil {
+func (r *Recorder) write(batch queuedBatch, committed []uint64) error {
+	if r.opts.Faults != nil {
+		if err := r.opts.Faults.Sync(); err != nil {
 			return err
 		}
 	}
 	return r.db.Update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(batches)
-		for _, k := range acked {
+		b := tx.Bucket(batchesBucket)
+		for _, k := range committed {
 			if err := b.Delete(binary.BigEndian.AppendUint64(nil, k)); err != nil {
 				return err
 			}
 		}
-		if w.raw == nil {
+		if batch.raw == nil {
 			return nil
 		}
-		return b.Put(binary.BigEndian.AppendUint64(nil, w.key), w.raw)
+		return b.Put(binary.BigEndian.AppendUint64(nil, batch.key), batch.raw)
 	})
 }
--- a/internal/proxy/cli/ledger.go
+++ b/internal/proxy/cli/ledger.go
@@ -64,7 +64,7 @@
 			for key, v := range map[string]int64{"period": int64(period), "n": n, "bytes_in": in, "bytes_out": out} {
 				q.Set(key, fmt.Sprint(v))
 			}
-			var r daemon.Corrected
+			var r daemon.CorrectionReply
 			err := doorCall(http.MethodPost, door, "/_ledger/correct?"+q.Encode(),
 				"holds no ledger (ledger.bind is empty there)", &r)
 			if err != nil {
@@ -101,8 +101,9 @@
 				closed = time.UnixMilli(p.ClosedMS).UTC().Format(time.RFC3339)
 			}
 			for _, r := range p.Rows {
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%+d\n", p.ID, closed, r.Tenant, r.Class, r.Answer, r.N,
-					r.In, r.Out, r.Corrections.N)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%+d\n", p.ID, closed, r.Tenant, r.Class, r.Answer,
+					r.Count,
+					r.BytesIn, r.BytesOut, r.Corrections.Count)
 			}
 		}
 	}
@@ -111,7 +112,7 @@
 	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", g.Group, g.Role, g.Leader,
 		g.Term, g.Applied, strings.Join(g.Voters, " "), strings.Join(g.Learners, " "))
 	fmt.Fprintln(w, "\nCOUNTED HERE\tPROMISED\tWAITING\tIN MEMORY\tOLDEST\tLOST\tCOMMIT P99")
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d ms\t%d\t%.1f ms\n", h.Counted, h.Promised, h.Waiting,
+	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d ms\t%d\t%.1f ms\n", h.Counted, h.Committed, h.Queued,
 		h.InMemory, h.OldestMS, h.Lost, h.CommitP99MS)
 	if err := w.Flush(); err != nil {
 		return err
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -41,35 +41,35 @@
 	if holder == "" {
 		holder = "(nobody)"
 	}
-	if p.Here {
-		left = fmt.Sprintf("%d ms", p.LeaseLeft)
+	if p.Owns {
+		left = fmt.Sprintf("%d ms", p.LeaseRemaining)
 	}
 	fmt.Fprintln(w, "OWNER\tTOKEN\tHERE\tLEASE LEFT")
-	fmt.Fprintf(w, "%s\t%d\t%v\t%s\n", holder, p.Token, p.Here, left)
+	fmt.Fprintf(w, "%s\t%d\t%v\t%s\n", holder, p.Token, p.Owns, left)
 	fmt.Fprintln(w, "\nCHORE\tLAST RUN HERE\tWAITING\tPROBLEM")
-	for _, s := range p.Chores {
+	for _, s := range p.Roles {
 		last := "never"
 		if s.LastRun >= 0 {
 			last = (time.Duration(s.LastRun) * time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", s.Chore, last, s.Backlog, s.Problem)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", s.Role, last, s.Backlog, s.Problem)
 	}
 	if v := p.Store; v != nil {
 		fmt.Fprintln(w, "\nEXPORTED\tSENDING\tMAY BE SENT\tOPEN\tCORRECTIONS\tLIST\tSTALE ENTRIES")
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.Exported, v.Sending, v.Final, v.Open, v.Fixes,
-			v.List.Version, v.Figures.Stale)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.Exported, v.Sending, v.Final, v.Open, v.PendingCorrections,
+			v.Endpoints.Version, v.Stats.Stale)
 	}
-	if l := p.List; l != nil {
+	if l := p.Endpoints; l != nil {
 		from := "discovery"
-		if l.Held {
+		if l.FromOwner {
 			from = "the owner"
 		}
 		fmt.Fprintf(w, "\nthe list here comes from %s; an owner told it %d ms ago\n", from, l.AgeMS)
 	}
-	f := &p.Figures
+	f := &p.Stats
 	fmt.Fprintln(w, "\nLEASES HERE\tLOST\tGIVEN BACK\tCALLS\tREFUSED\tFAILED\tENTRIES\tREPEATED\tRESUMED")
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", f.Grants, f.Losses, f.GivenUp, f.Calls, f.Refused,
-		f.Failed, f.Entries, f.Repeated, f.Resumed)
+	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", f.Grants, f.Losses, f.Resigned, f.Calls, f.Rejected,
+		f.Failed, f.Entries, f.Duplicates, f.Resumed)
 	if err := w.Flush(); err != nil {
 		return err
 	}
--- a/internal/proxy/config/fleet.go
+++ b/internal/proxy/config/fleet.go
@@ -90,7 +90,7 @@
 
 // LeaseSettings are the owner's lease as package lease wants it.
 func (c *Config) LeaseSettings() lease.Settings {
-	return lease.Settings{Lease: c.Owner.Lease, Drift: c.Owner.Drift, Election: c.Ledger.Election}
+	return lease.Settings{TTL: c.Owner.Lease, Drift: c.Owner.Drift, ElectionTimeout: c.Ledger.Election}
 }
 
 // owner holds the owner's keys to each other, to the ledger's and to the platform.
--- a/internal/proxy/daemon/confine.go
+++ b/internal/proxy/daemon/confine.go
@@ -10,27 +10,27 @@
 )
 
 // Confine keeps the process within its limits on cores and memory, of which it has a part.
-func Confine(l config.Limits, part float64) {
+func Confine(l config.Limits, fraction float64) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
 	if l.Memory > 0 {
 		// A quarter is left to what the runtime does not count: the program's text and kernel buffers.
-		debug.SetMemoryLimit(int64(float64(l.Memory) * part * 0.75))
+		debug.SetMemoryLimit(int64(float64(l.Memory) * fraction * 0.75))
 		debug.SetGCPercent(300) // collecting rarely saves time on a shared core; the limit above binds first
 	}
 }
 
 // descriptorLimit is how many the process may hold: what it was told or what the system allows, if less.
-func descriptorLimit(told int) int {
-	var lim syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err == nil && lim.Cur < math.MaxInt32 {
-		if told <= 0 || int(lim.Cur) < told {
-			return int(lim.Cur)
+func descriptorLimit(configured int) int {
+	var rlimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit); err == nil && rlimit.Cur < math.MaxInt32 {
+		if configured <= 0 || int(rlimit.Cur) < configured {
+			return int(rlimit.Cur)
 		}
 	}
-	if told <= 0 {
+	if configured <= 0 {
 		return 1024
 	}
-	return told
+	return configured
 }
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -9,8 +9,8 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// leaveWithin bounds how long a leave waits for the news to spread at SIGTERM.
-const leaveWithin = time.Second
+// leaveTimeout bounds how long a leave waits for the news to spread at SIGTERM.
+const leaveTimeout = time.Second
 
 // joinFleet starts this proxy's membership of the fleet where fleet.bind says so.
 func (p *Proxy) joinFleet() error {
@@ -38,14 +38,14 @@
 		return err
 	}
 	p.fleet = f
-	if p.door != nil {
-		p.door.Page("/_fleet", func(url.Values) any { return f.Snapshot() })
+	if p.admin != nil {
+		p.admin.Page("/_fleet", func(url.Values) any { return f.Snapshot() })
 	}
 	return nil
 }
 
-// fleetPhase tells the fleet that this proxy drains or serves again.
-func (p *Proxy) fleetPhase(draining bool) {
+// setFleetPhase tells the fleet that this proxy drains or serves again.
+func (p *Proxy) setFleetPhase(draining bool) {
 	if p.fleet == nil {
 		return
 	}
@@ -53,7 +53,7 @@
 	if draining {
 		phase = membership.Draining
 	}
-	if err := p.fleet.SetPhase(phase, leaveWithin); err != nil {
+	if err := p.fleet.SetPhase(phase, leaveTimeout); err != nil {
 		p.log.Warn("fleet: the new phase was not told to all", "phase", phase.String(), "err", err)
 	}
 }
@@ -63,7 +63,7 @@
 	if p.fleet == nil {
 		return
 	}
-	if err := p.fleet.Leave(leaveWithin); err != nil {
+	if err := p.fleet.Leave(leaveTimeout); err != nil {
 		p.log.Warn("fleet: the leave was not told to all", "err", err)
 	}
 }
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -21,17 +21,17 @@
 const (
 	// ledgerGroup is the name of the group that holds the ledger.
 	ledgerGroup = "ledger"
-	// settleWithin bounds how long the end waits for the last counts to be committed; what is not is kept.
-	settleWithin = time.Second
-	// readWithin bounds a read for the operators' door, which answers within a second.
-	readWithin = 700 * time.Millisecond
+	// commitWaitTimeout bounds how long the end waits for the last counts to be committed; what is not is kept.
+	commitWaitTimeout = time.Second
+	// pageReadTimeout bounds a read for the operators' door, which answers within a second.
+	pageReadTimeout = 700 * time.Millisecond
 )
 
-// ledgerPart is this proxy's part in the ledger.
-type ledgerPart struct {
-	host *raftgroup.Host
-	rec  *pending.Recorder
-	stop chan struct{}
+// ledgerNode is this proxy's part in the ledger.
+type ledgerNode struct {
+	host     *raftgroup.Host
+	recorder *pending.Recorder
+	stop     chan struct{}
 }
 
 // openLedger opens this proxy's part in the ledger where ledger.bind says so: its disk and its listener.
@@ -40,8 +40,8 @@
 	if c.Bind == "" {
 		return nil
 	}
-	set := ledger.Settings{Keep: c.Keep, Remember: c.Remember, IDs: c.IDs, Tenants: c.Tenants,
-		Members: p.cfg.Fleet.Members}
+	set := ledger.Settings{MaxPeriods: c.Keep, DedupPeriods: c.Remember, MaxIDs: c.IDs, MaxTenants: c.Tenants,
+		MaxMembers: p.cfg.Fleet.Members}
 	if err := set.Check(); err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	if c.Faults != "" {
 		faults = raftgroup.FileFaults{Path: c.Faults}
 	}
-	l := &ledgerPart{stop: make(chan struct{})}
+	l := &ledgerNode{stop: make(chan struct{})}
 	var err error
 	l.host, err = raftgroup.Open(raftgroup.Options{
 		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Dir: c.Data, Label: p.cfg.Fleet.Label,
@@ -65,8 +65,8 @@
 	if err != nil {
 		return err
 	}
-	l.rec, err = pending.Open(pending.Options{Member: p.cfg.Name, Dir: c.Data, Flush: c.Flush,
-		Most: int64(c.Outbox), Faults: faults, Log: p.log.Logger, Propose: l.propose})
+	l.recorder, err = pending.Open(pending.Options{Member: p.cfg.Name, Dir: c.Data, FlushInterval: c.Flush,
+		MaxQueuedBytes: int64(c.Outbox), Faults: faults, Log: p.log.Logger, Propose: l.propose})
 	if err != nil {
 		l.host.Close()
 		return err
@@ -75,16 +75,16 @@
 	return nil
 }
 
-func (l *ledgerPart) propose(ctx context.Context, command []byte) (ledger.Result, error) {
-	return pending.Result(l.host.Propose(ctx, ledgerGroup, command))
+func (l *ledgerNode) propose(ctx context.Context, command []byte) (ledger.Result, error) {
+	return pending.DecodeResult(l.host.Propose(ctx, ledgerGroup, command))
 }
 
-// countUse is what the clients' front tells of each final answer, nil where nobody counts.
-func (p *Proxy) countUse() func(ingress.Use) {
+// usageRecorder is what the clients' front tells of each final answer, nil where nobody counts.
+func (p *Proxy) usageRecorder() func(ingress.Use) {
 	if p.ledger == nil {
 		return nil
 	}
-	rec := p.ledger.rec
+	rec := p.ledger.recorder
 	return func(u ingress.Use) {
 		rec.Count(ledger.Key{Tenant: u.Tenant, Class: u.Class, Answer: u.Answer}, u.ID, u.In, u.Out)
 	}
@@ -99,18 +99,18 @@
 	if err := l.host.Run(p.peers); err != nil {
 		return err
 	}
-	l.rec.Run()
-	closer := pending.Closer{Period: p.cfg.Ledger.Period, Stop: l.stop, Propose: l.propose,
-		Leads: func() bool { return l.host.Leads(ledgerGroup) },
-		Open: func() (uint64, bool) {
+	l.recorder.Run()
+	closer := pending.PeriodCloser{Period: p.cfg.Ledger.Period, Stop: l.stop, Propose: l.propose,
+		IsLeader: func() bool { return l.host.Leads(ledgerGroup) },
+		OpenPeriod: func() (uint64, bool) {
 			v, ok := l.host.Peek(ledgerGroup, openQuery)
 			view, is := v.(ledger.View)
-			return view.Open, ok && is
+			return view.OpenPeriod, ok && is
 		}}
 	go closer.Run()
-	if p.door != nil {
-		p.door.Page("/_ledger", l.page)
-		p.door.Action("/_ledger/correct", l.correct)
+	if p.admin != nil {
+		p.admin.Page("/_ledger", l.page)
+		p.admin.Action("/_ledger/correct", l.correct)
 	}
 	return nil
 }
@@ -136,16 +136,16 @@
 // LedgerPage is what /_ledger shows.
 type LedgerPage struct {
 	Group   raftgroup.Status `json:"group"`
-	Here    pending.Figures  `json:"here"`
+	Here    pending.Stats    `json:"here"`
 	Ledger  *ledger.View     `json:"ledger,omitempty"`
 	Problem string           `json:"problem,omitempty"` // why the ledger could not be read
 }
 
 // page reads the ledger linearizably: what it shows holds all that was promised when it was asked.
-func (l *ledgerPart) page(q url.Values) any {
-	page := LedgerPage{Group: l.host.Status(ledgerGroup), Here: l.rec.Figures()}
-	query := ledger.Query{Tenant: q.Get("tenant")}
-	if text := q.Get("period"); text != "" {
+func (l *ledgerNode) page(params url.Values) any {
+	page := LedgerPage{Group: l.host.Status(ledgerGroup), Here: l.recorder.Stats()}
+	query := ledger.Query{Tenant: params.Get("tenant")}
+	if text := params.Get("period"); text != "" {
 		var err error
 		if query.Period, err = strconv.ParseUint(text, 10, 64); err != nil {
 			page.Problem = "period is no whole number"
@@ -153,7 +153,7 @@
 		}
 	}
 	asked, _ := json.Marshal(query)
-	ctx, cancel := context.WithTimeout(context.Background(), readWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
 	defer cancel()
 	raw, err := l.host.Read(ctx, ledgerGroup, asked)
 	if err == nil {
@@ -168,49 +168,51 @@
 	return page
 }
 
-// Corrected is what /_ledger/correct answers.
-type Corrected struct {
+// CorrectionReply is what /_ledger/correct answers.
+type CorrectionReply struct {
 	ledger.Result
 	Problem string `json:"problem,omitempty"`
 }
 
 // correct enters a correction against a closed period. Its id makes a call that is repeated count once.
-func (l *ledgerPart) correct(q url.Values) any {
-	c := ledger.Correction{ID: q.Get("id"), Reason: q.Get("reason"), Key: ledger.Key{Tenant: q.Get("tenant"),
-		Class: q.Get("class"), Answer: q.Get("answer")}}
+func (l *ledgerNode) correct(params url.Values) any {
+	correction := ledger.Correction{ID: params.Get("id"), Reason: params.Get("reason"),
+		Key: ledger.Key{Tenant: params.Get("tenant"),
+			Class: params.Get("class"), Answer: params.Get("answer")}}
 	var errs []error
-	whole := func(key string, must bool) int64 {
-		if !must && q.Get(key) == "" {
+	parseInt := func(key string, required bool) int64 {
+		if !required && params.Get(key) == "" {
 			return 0
 		}
-		n, err := strconv.ParseInt(q.Get(key), 10, 64)
+		n, err := strconv.ParseInt(params.Get(key), 10, 64)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s is no whole number", key))
 		}
 		return n
 	}
-	c.Period = uint64(max(whole("period", true), 0))
-	c.Sum = ledger.Sum{N: whole("n", true), In: whole("bytes_in", false), Out: whole("bytes_out", false)}
+	correction.Period = uint64(max(parseInt("period", true), 0))
+	correction.Usage = ledger.Usage{Count: parseInt("n", true), BytesIn: parseInt("bytes_in", false),
+		BytesOut: parseInt("bytes_out", false)}
 	for _, key := range []string{"id", "tenant", "class", "answer", "reason"} {
-		if q.Get(key) == "" {
+		if params.Get(key) == "" {
 			errs = append(errs, fmt.Errorf("%s is missing", key))
 		}
 	}
 	if err := errors.Join(errs...); err != nil {
-		return Corrected{Problem: err.Error()}
+		return CorrectionReply{Problem: err.Error()}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), readWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
 	defer cancel()
-	r, err := l.propose(ctx, c.Encode())
+	result, err := l.propose(ctx, correction.Encode())
 	switch {
 	case errors.Is(err, raftgroup.ErrUnknown):
-		return Corrected{r, "whether it was entered is not known; call again with the same id"}
+		return CorrectionReply{result, "whether it was entered is not known; call again with the same id"}
 	case err != nil:
-		return Corrected{r, err.Error()}
-	case r.Status == ledger.Refused:
-		return Corrected{r, "the period is open, or not kept any more"}
+		return CorrectionReply{result, err.Error()}
+	case result.Status == ledger.StatusRejected:
+		return CorrectionReply{result, "the period is open, or not kept any more"}
 	}
-	return Corrected{Result: r}
+	return CorrectionReply{Result: result}
 }
 
 // closeLedger ends this proxy's part: what was counted is committed, or kept for the next life.
@@ -225,9 +227,9 @@
 	default:
 	}
 	close(l.stop)
-	p.closeOwner()
-	l.rec.Settle(settleWithin)
-	if err := l.rec.Close(); err != nil {
+	p.closeRoles()
+	l.recorder.WaitCommitted(commitWaitTimeout)
+	if err := l.recorder.Close(); err != nil {
 		p.log.Warn("ledger: the file of waiting counts", "err", err)
 	}
 	if err := l.host.Close(); err != nil {
--- a/internal/proxy/daemon/owner.go
+++ b/internal/proxy/daemon/owner.go
@@ -13,59 +13,60 @@
 )
 
 // store is the ledger's group as the chores use it.
-type store struct{ host *raftgroup.Host }
+type groupStore struct{ host *raftgroup.Host }
 
-func (s store) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
+func (s groupStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
 	return s.host.Propose(ctx, ledgerGroup, command)
 }
 
-func (s store) Read(ctx context.Context, query []byte) (json.RawMessage, error) {
+func (s groupStore) Read(ctx context.Context, query []byte) (json.RawMessage, error) {
 	return s.host.Read(ctx, ledgerGroup, query)
 }
 
-func (s store) Peek(query []byte) (any, bool) { return s.host.Peek(ledgerGroup, query) }
+func (s groupStore) Peek(query []byte) (any, bool) { return s.host.Peek(ledgerGroup, query) }
 
-// listSource is the list of servers as the chores use it.
-type listSource struct{ *discovery.Client }
+// endpointSource is the list of servers as the chores use it.
+type endpointSource struct{ *discovery.Client }
 
-func (l listSource) Feed(f leaseholder.Feed) {
-	l.Client.Feed(discovery.Feed{Held: f.Held, Token: f.Token})
+func (l endpointSource) Feed(f leaseholder.Feed) {
+	l.Client.Feed(discovery.Feed{Held: f.FromOwner, Token: f.Token})
 }
 
-// runOwner has this proxy take part in the fleet's chores where owner.chores says so.
-func (p *Proxy) runOwner() error {
+// runRoles has this proxy take part in the fleet's chores where owner.chores says so.
+func (p *Proxy) runRoles() error {
 	c := &p.cfg.Owner
 	if len(c.Chores) == 0 || p.ledger == nil {
 		return nil
 	}
-	o := leaseholder.Options{Name: p.cfg.Name, Lease: p.cfg.LeaseSettings(), Store: store{p.ledger.host},
+	opts := leaseholder.Options{Name: p.cfg.Name, Lease: p.cfg.LeaseSettings(), Store: groupStore{p.ledger.host},
 		Log: p.log.Logger}
 	if c.Faults != "" {
-		o.Faults = leaseholder.FileFaults{Path: c.Faults}
+		opts.Faults = leaseholder.FileFaults{Path: c.Faults}
 	}
 	if c.Does(config.ChoreExport) {
-		o.Export = &leaseholder.Export{Sink: c.Sink, Within: c.Call, AtOnce: c.AtOnce}
+		opts.Export = &leaseholder.Exporter{Sink: c.Sink, CallTimeout: c.Call, BatchSize: c.AtOnce}
 	}
 	if c.Does(config.ChoreList) {
-		o.List = &leaseholder.List{Source: listSource{p.list}, MaxAge: c.MaxAge, Spread: rand.N(c.MaxAge),
-			Poll: c.Poll, Silence: p.cfg.Discovery.Silence}
+		opts.Endpoints = &leaseholder.EndpointSync{Source: endpointSource{p.discovery}, MaxAge: c.MaxAge,
+			Jitter:       rand.N(c.MaxAge),
+			PollInterval: c.Poll, WatchTimeout: p.cfg.Discovery.Silence}
 	}
-	w, err := leaseholder.New(o)
+	runner, err := leaseholder.New(opts)
 	if err != nil {
 		return err
 	}
-	p.list.Refused(w.Refused)
-	p.owner = w
-	w.Run()
-	if p.door != nil {
-		p.door.Page("/_owner", func(url.Values) any { return w.Page() })
+	p.discovery.Refused(runner.ReportRejection)
+	p.roles = runner
+	runner.Run()
+	if p.admin != nil {
+		p.admin.Page("/_owner", func(url.Values) any { return runner.Page() })
 	}
 	return nil
 }
 
-// closeOwner gives the lease back, if this proxy holds it.
-func (p *Proxy) closeOwner() {
-	if p.owner != nil {
-		p.owner.Close()
+// closeRoles gives the lease back, if this proxy holds it.
+func (p *Proxy) closeRoles() {
+	if p.roles != nil {
+		p.roles.Close()
 	}
 }
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -48,13 +48,13 @@
 		})
 	}
 	if changed("discovery.address") {
-		p.list.Move(p.cfg.Discovery.Address)
+		p.discovery.Move(p.cfg.Discovery.Address)
 	}
 	if changed("server[") {
-		p.list.Replace(p.cfg.ServerList(time.Now(), p.since))
+		p.discovery.Replace(p.cfg.ServerList(time.Now(), p.serversSince))
 	}
 	if changed("discovery.") {
-		p.list.SetLimits(listLimits(p.cfg))
+		p.discovery.SetLimits(listLimits(p.cfg))
 	}
 	if changed("upstream.") {
 		p.pool.SetLimits(poolLimits(p.cfg))
@@ -64,7 +64,7 @@
 	}
 	if changed("shutdown.") {
 		times := p.cfg.Shutdown
-		p.times.Store(&times)
+		p.shutdownTimes.Store(&times)
 	}
 	if changed("log.") {
 		p.log.Set(logging.ParseLevel(p.cfg.Log.Level), p.cfg.Log.Repeat)
--- a/internal/proxy/daemon/reload_test.go
+++ b/internal/proxy/daemon/reload_test.go
@@ -48,7 +48,7 @@
 	signals <- syscall.SIGHUP // also while it ends
 	signals <- syscall.SIGTERM
 	<-over
-	if read != 21 || p.upgrade.part() != 1 {
-		t.Errorf("read %d times; its part of the limits is %v", read, p.upgrade.part())
+	if read != 21 || p.upgrade.limitFraction() != 1 {
+		t.Errorf("read %d times; its part of the limits is %v", read, p.upgrade.limitFraction())
 	}
 }
--- a/internal/proxy/daemon/serve.go
+++ b/internal/proxy/daemon/serve.go
@@ -28,32 +28,32 @@
 )
 
 // closing bounds how long the end waits for whoever reads the log.
-const closing = 500 * time.Millisecond
+const logCloseTimeout = 500 * time.Millisecond
 
 // Proxy is one client proxy with its parts.
 type Proxy struct {
-	cfg      *config.Config // as it is now; of whoever calls New and Run alone
-	begun    *config.Config // as it was at the start, where what takes a restart stands for good
-	log      *logging.Logger
-	count    *stats.Set
-	decider  *dispatch.Decider
-	pool     *upstream.Pool
-	list     *discovery.Client
-	server   *ingress.Server
-	listener net.Listener
-	door     *adminapi.Door     // nil where there is none
-	fleet    *gossip.Fleet      // nil where there is none
-	ledger   *ledgerPart        // nil where there is none
-	owner    *leaseholder.Owner // nil where there is none
-	times    atomic.Pointer[config.Shutdown]
-	budget   *descriptors.Budget
-	bodies   *bodybudget.Budget
-	upgrade  upgrade
-	since    map[string]time.Time // when servers of the file were first named, by name and address
+	cfg           *config.Config // as it is now; of whoever calls New and Run alone
+	startConfig   *config.Config // as it was at the start, where what takes a restart stands for good
+	log           *logging.Logger
+	stats         *stats.Set
+	decider       *dispatch.Decider
+	pool          *upstream.Pool
+	discovery     *discovery.Client
+	server        *ingress.Server
+	listener      net.Listener
+	admin         *adminapi.Door      // nil where there is none
+	fleet         *gossip.Fleet       // nil where there is none
+	ledger        *ledgerNode         // nil where there is none
+	roles         *leaseholder.Runner // nil where there is none
+	shutdownTimes atomic.Pointer[config.Shutdown]
+	budget        *descriptors.Budget
+	bodies        *bodybudget.Budget
+	upgrade       upgrade
+	serversSince  map[string]time.Time // when servers of the file were first named, by name and address
 }
 
 // Follow and Probe are what the decisions may set off by themselves.
-func (p *Proxy) Follow() { p.list.Follow() }
+func (p *Proxy) Follow() { p.discovery.Follow() }
 
 // Probe asks a server for its load.
 func (p *Proxy) Probe(s dispatch.ServerID) {
@@ -65,8 +65,9 @@
 // New wires a proxy and listens; it serves once Run is called. The log goes to w.
 func New(cfg *config.Config, w io.Writer) (*Proxy, error) {
 	set := cfg.Settings()
-	p := &Proxy{cfg: cfg, begun: cfg, count: stats.New(set.ClassNames), since: map[string]time.Time{}}
-	p.times.Store(&cfg.Shutdown)
+	p := &Proxy{cfg: cfg, startConfig: cfg, stats: stats.New(set.ClassNames),
+		serversSince: map[string]time.Time{}}
+	p.shutdownTimes.Store(&cfg.Shutdown)
 	p.log = logging.New(w, logging.Options{
 		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), Repeat: cfg.Log.Repeat,
 		Backlog: int(cfg.Log.Backlog),
@@ -77,39 +78,39 @@
 	if p.decider, err = dispatch.New(set.Settings, cfg.Policy.Travel, p); err != nil {
 		return nil, err
 	}
-	if err := p.join(); err != nil {
+	if err := p.inheritOrListen(); err != nil {
 		return nil, err
 	}
 	budget := descriptors.NewBudget(p.descriptors(), cfg.Limits.Clients, cfg.Limits.Crowded)
 	p.budget = budget
-	p.list = discovery.New(cfg.Discovery.Address, cfg.Upstream.DialLimit(), listLimits(cfg),
-		discovery.Names{Zones: set.ZoneNames, Kinds: set.KindNames}, budget, p.count, log)
+	p.discovery = discovery.New(cfg.Discovery.Address, cfg.Upstream.DialLimit(), listLimits(cfg),
+		discovery.Names{Zones: set.ZoneNames, Kinds: set.KindNames}, budget, p.stats, log)
 	p.bodies = bodybudget.NewBudget(p.bodyBytes())
-	p.pool = upstream.New(p.list, poolLimits(cfg), set.ReportNames, budget, p.bodies, p.count)
+	p.pool = upstream.New(p.discovery, poolLimits(cfg), set.ReportNames, budget, p.bodies, p.stats)
 	if err := p.openLedger(); err != nil {
 		p.listener.Close()
 		return nil, err
 	}
 	p.server = ingress.New(ingress.Options{
-		Decider: p.decider, Pool: p.pool, Name: p.list.Name, Classes: set.ClassNames, Tenants: set.TenantNames,
-		Limits: cfg.Clients, Drain: p.drainTimes, Budget: budget, Bodies: p.bodies, Count: p.count,
-		Used: p.countUse(), Log: log,
+		Decider: p.decider, Pool: p.pool, Name: p.discovery.Name, Classes: set.ClassNames, Tenants: set.TenantNames,
+		Limits: cfg.Clients, Drain: p.drainTimes, Budget: budget, Bodies: p.bodies, Count: p.stats,
+		Used: p.usageRecorder(), Log: log,
 	})
 	p.server.LogRequests(p.requestLog())
 	known := cfg.Known
-	if old := p.upgrade.old; old != nil && len(old.Known) > 0 {
+	if old := p.upgrade.predecessor; old != nil && len(old.Known) > 0 {
 		if old.Discovery == cfg.Discovery.Address {
 			known = old.Known // as of now; the configuration's is as of some time
 		} else { // another deployment's servers, and another count of changes
 			log.Warn("list of the old process left aside", "discovery", old.Discovery)
 		}
 	}
-	if list := cfg.ServerList(time.Time{}, p.since); list != nil {
+	if list := cfg.ServerList(time.Time{}, p.serversSince); list != nil {
 		known = list
 	}
 	var servers []dispatch.Server
 	if known != nil {
-		if servers, err = p.list.Known(known); err != nil {
+		if servers, err = p.discovery.Known(known); err != nil {
 			return nil, fmt.Errorf("the list of known servers: %w", err)
 		}
 	}
@@ -120,14 +121,14 @@
 			p.listener.Close()
 			return nil, fmt.Errorf("operator: %w", err)
 		}
-		p.door = adminapi.New(door, p, p.count, log)
+		p.admin = adminapi.New(door, p, p.stats, log)
 	}
 	err = p.joinFleet()
 	if err == nil {
 		err = p.runLedger()
 	}
 	if err == nil {
-		err = p.runOwner()
+		err = p.runRoles()
 	}
 	if err != nil {
 		p.closeLedger()
@@ -135,8 +136,8 @@
 			p.fleet.Close()
 		}
 		p.listener.Close()
-		if p.door != nil {
-			p.door.Close()
+		if p.admin != nil {
+			p.admin.Close()
 		}
 		return nil, err
 	}
@@ -154,7 +155,7 @@
 		return false, "sending clients away"
 	case !p.upgrade.serving.Load():
 		return false, "not taking clients yet"
-	case p.list.Held() == 0:
+	case p.discovery.Held() == 0:
 		return false, "no list of servers yet"
 	}
 	return true, ""
@@ -163,20 +164,20 @@
 // LameDuck sends clients away for a while, or takes them again.
 func (p *Proxy) LameDuck(on bool) {
 	p.server.LameDuck(on)
-	p.fleetPhase(on)
+	p.setFleetPhase(on)
 }
 
 // Gauges are figures that are true now. What drains is listed and gets nothing, so it counts as skipped.
 func (p *Proxy) Gauges() map[string]int {
-	held := p.list.Held()
+	held := p.discovery.Held()
 	return map[string]int{
-		"known_zone_servers": held, "skipped_zone_servers": held - p.list.InService() + p.decider.Avoided(),
+		"known_zone_servers": held, "skipped_zone_servers": held - p.discovery.InService() + p.decider.Avoided(),
 	}
 }
 
 func (p *Proxy) drainTimes() drain.Times {
-	t := *p.times.Load()
-	if p.upgrade.succeeded.Load() {
+	t := *p.shutdownTimes.Load()
+	if p.upgrade.successorServing.Load() {
 		// The successor takes what comes from now on. What was never used closes as soon as all that crosses
 		// with the signal is here, or its request would have less than its time before the process is killed.
 		t.Accept, t.CloseAll = 0, min(t.CloseAll, t.CloseIdle+t.CloseIdle/4)
@@ -193,34 +194,34 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go p.decider.Run(ctx.Done())
-	go p.list.Run(ctx, p.decider, p.pool.Sweep)
-	go p.takeClients()
-	if p.door != nil {
-		go p.door.Serve()
-		defer p.door.Close()
+	go p.discovery.Run(ctx, p.decider, p.pool.Sweep)
+	go p.acceptClients()
+	if p.admin != nil {
+		go p.admin.Serve()
+		defer p.admin.Close()
 	}
 
-	var over chan struct{} // closes when nothing is owed any more
+	var done chan struct{} // closes when nothing is owed any more
 	for ending := false; !ending; {
 		select {
-		case <-over:
+		case <-done:
 			ending = true
 		case sig := <-signals:
 			switch {
 			case sig == syscall.SIGUSR1:
-				p.count.Log(p.log.Logger, "asked", dispatch.ResultNames)
+				p.stats.Log(p.log.Logger, "asked", dispatch.ResultNames)
 			case sig == syscall.SIGHUP: // also while ending: what is owed still needs the list
 				p.reload(reread())
-			case over == nil:
+			case done == nil:
 				p.log.Info("ending", "signal", sig.String())
-				over = make(chan struct{})
+				done = make(chan struct{})
 				go func() {
-					left := make(chan struct{})
-					go func() { p.leaveFleet(); close(left) }()
+					fleetLeft := make(chan struct{})
+					go func() { p.leaveFleet(); close(fleetLeft) }()
 					p.server.Shutdown(p.listener)
 					p.closeLedger() // once all answers are out and counted
-					<-left
-					close(over)
+					<-fleetLeft
+					close(done)
 				}()
 			}
 		}
@@ -228,8 +229,8 @@
 	if offer := p.upgrade.offer.Load(); offer != nil {
 		offer.Close()
 	}
-	p.count.Log(p.log.Logger, "exit", dispatch.ResultNames)
-	p.log.Close(closing)
+	p.stats.Log(p.log.Logger, "exit", dispatch.ResultNames)
+	p.log.Close(logCloseTimeout)
 }
 
 func listLimits(cfg *config.Config) discovery.Limits {
--- a/internal/proxy/daemon/upgrade.go
+++ b/internal/proxy/daemon/upgrade.go
@@ -16,12 +16,12 @@
 
 // upgrade is what the proxy knows of the process before it and of those after it.
 type upgrade struct {
-	path      string        // where they meet; "" for no handover
-	old       *handover.Old // nil where none served before, or once it is gone
-	oldGone   chan struct{} // closed when there is none any more
-	offer     atomic.Pointer[handover.Offer]
-	serving   atomic.Bool // clients are taken
-	succeeded atomic.Bool // a successor takes them too
+	path             string        // where they meet; "" for no handover
+	predecessor      *handover.Old // nil where none served before, or once it is gone
+	predecessorGone  chan struct{} // closed when there is none any more
+	offer            atomic.Pointer[handover.Offer]
+	serving          atomic.Bool // clients are taken
+	successorServing atomic.Bool // a successor takes them too
 
 	mu         sync.Mutex
 	alone      bool // no old process lives
@@ -29,10 +29,10 @@
 }
 
 // join takes over the listening socket from the process that serves the address so far, or listens.
-func (p *Proxy) join() error {
+func (p *Proxy) inheritOrListen() error {
 	u := &p.upgrade
-	u.oldGone = make(chan struct{})
-	dir := p.begun.Handover.Dir
+	u.predecessorGone = make(chan struct{})
+	dir := p.startConfig.Handover.Dir
 	if dir == "" {
 		dir = os.Getenv("TMPDIR")
 	}
@@ -40,22 +40,23 @@
 	if dir != "" {
 		control = handover.Share
 		var err error
-		u.old, err = handover.Join(handover.Path(dir, p.begun.Listen.Address), p.begun.Handover.Wait)
+		u.predecessor, err = handover.Join(handover.Path(dir, p.startConfig.Listen.Address),
+			p.startConfig.Handover.Wait)
 		if err != nil {
 			p.log.Warn("no handover, listening beside the old process", logging.Err, err)
 		}
 	}
-	if u.old != nil {
-		p.log.Info("taking over from an old process", "listen", u.old.Listener.Addr().String())
-		p.listener = u.old.Listener
+	if u.predecessor != nil {
+		p.log.Info("taking over from an old process", "listen", u.predecessor.Listener.Addr().String())
+		p.listener = u.predecessor.Listener
 		u.path = handover.Path(dir, p.Address())
-		p.confine()
+		p.applyLimits()
 		return nil
 	}
 	u.alone = true
-	close(u.oldGone)
+	close(u.predecessorGone)
 	var err error
-	if p.listener, err = listen(p.begun.Listen.Address, control); err != nil {
+	if p.listener, err = listen(p.startConfig.Listen.Address, control); err != nil {
 		return fmt.Errorf("listen.address: %w", err)
 	}
 	if dir != "" {
@@ -65,7 +66,7 @@
 }
 
 // part is the process's part of its limits: half while another process lives beside it.
-func (u *upgrade) part() float64 {
+func (u *upgrade) limitFraction() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.alone && u.successors == 0 {
@@ -76,8 +77,8 @@
 
 // descriptors is how many connections and files the process may hold beside its door.
 func (p *Proxy) descriptors() int {
-	n := int(float64(descriptorLimit(p.begun.Limits.Sockets)) * p.upgrade.part())
-	if p.begun.Operator != "" {
+	n := int(float64(descriptorLimit(p.startConfig.Limits.Sockets)) * p.upgrade.limitFraction())
+	if p.startConfig.Operator != "" {
 		n -= adminapi.Callers + 1 // and its listener
 	}
 	return n
@@ -85,65 +86,65 @@
 
 // bodyBytes is how much memory bodies may take.
 func (p *Proxy) bodyBytes() int64 {
-	memory := float64(p.begun.Limits.Memory)
+	memory := float64(p.startConfig.Limits.Memory)
 	if memory == 0 {
 		memory = 64 << 20
 	}
-	return int64(memory * p.begun.Limits.Bodies * p.upgrade.part())
+	return int64(memory * p.startConfig.Limits.Bodies * p.upgrade.limitFraction())
 }
 
 // confine sets the limits anew after a process beside this one came or went.
-func (p *Proxy) confine() {
-	Confine(p.begun.Limits, p.upgrade.part())
+func (p *Proxy) applyLimits() {
+	Confine(p.startConfig.Limits, p.upgrade.limitFraction())
 	if p.budget != nil {
 		p.budget.Resize(p.descriptors())
 		p.bodies.Resize(p.bodyBytes())
 	}
 }
 
-// takeClients takes clients once that is sensible: at once where no old process serves them, else after
+// acceptClients takes clients once that is sensible: at once where no old process serves them, else after
 // the list was heard afresh or some time has passed. Then new processes are met.
-func (p *Proxy) takeClients() {
+func (p *Proxy) acceptClients() {
 	u := &p.upgrade
 	alone := func() bool { // nobody else takes them
 		select {
-		case <-u.oldGone:
+		case <-u.predecessorGone:
 			return true
 		default:
 			return false
 		}
 	}
 	switch {
-	case u.old != nil:
-		go p.untilOldIsGone()
-		if p.settle(func() bool { return alone() || p.server.Ending() }); p.server.Ending() && !alone() {
+	case u.predecessor != nil:
+		go p.waitForPredecessorExit()
+		if p.waitForList(func() bool { return alone() || p.server.Ending() }); p.server.Ending() && !alone() {
 			return // the old one goes on, and is not told that we take its clients
 		}
-	case listLimits(p.begun).Again > 0:
+	case listLimits(p.startConfig).Again > 0:
 		// What discovery has binds from the first request on. Where it cannot be had, what was known must do.
 		// Where the end is told meanwhile, who has connected is owed an answer all the same.
-		p.settle(func() bool { return p.count.ListsFailed.Load() > 0 || p.server.Ending() })
+		p.waitForList(func() bool { return p.stats.ListsFailed.Load() > 0 || p.server.Ending() })
 	}
 	go p.server.Serve(p.listener)
-	p.meet()
+	p.offerHandover()
 	u.serving.Store(true) // last, for the yes that follows is what the old process is ended at
 	words := []any{"listen", p.Address()}
-	if p.door != nil {
-		words = append(words, "operator", p.door.Address())
+	if p.admin != nil {
+		words = append(words, "operator", p.admin.Address())
 	}
 	p.log.Info("ready", words...)
 }
 
 // settle waits until the list was heard afresh, enough holds, or some time has passed.
-func (p *Proxy) settle(enough func() bool) {
-	end := time.Now().Add(p.begun.Handover.Settle)
-	for time.Now().Before(end) && !p.heard() && !enough() {
+func (p *Proxy) waitForList(done func() bool) {
+	deadline := time.Now().Add(p.startConfig.Handover.Settle)
+	for time.Now().Before(deadline) && !p.listReceived() && !done() {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
 // meet makes this process the one that new ones find, and tells the old one that it takes clients.
-func (p *Proxy) meet() {
+func (p *Proxy) offerHandover() {
 	u := &p.upgrade
 	if u.path == "" {
 		return
@@ -155,62 +156,63 @@
 		u.offer.Store(offer)
 		go offer.Serve(p)
 	}
-	if u.old != nil {
-		if err := u.old.Ready(); err != nil {
+	if u.predecessor != nil {
+		if err := u.predecessor.Ready(); err != nil {
 			p.log.Warn("the old process was not told", logging.Err, err)
 		}
 	}
 }
 
 // heard tells whether discovery has told the list since the start.
-func (p *Proxy) heard() bool { return p.count.Lists.Load() > 0 && p.list.Held() > 0 }
+func (p *Proxy) listReceived() bool { return p.stats.Lists.Load() > 0 && p.discovery.Held() > 0 }
 
-func (p *Proxy) untilOldIsGone() {
-	<-p.upgrade.old.Gone()
+func (p *Proxy) waitForPredecessorExit() {
+	<-p.upgrade.predecessor.Gone()
 	p.upgrade.mu.Lock()
 	p.upgrade.alone = true
 	p.upgrade.mu.Unlock()
-	close(p.upgrade.oldGone)
+	close(p.upgrade.predecessorGone)
 	p.log.Info("the old process is gone")
-	p.confine()
+	p.applyLimits()
 }
 
 // Joins hands the listening socket to a new process. One that comes while the process before this one still
 // lives has to wait: three would share what is measured for two.
 func (p *Proxy) Joins() (handover.Terms, syscall.Conn, error) {
 	select {
-	case <-p.upgrade.oldGone:
-	case <-time.After(p.begun.Handover.Wait / 4 * 3): // the other one waits for us no longer than all of it
+	case <-p.upgrade.predecessorGone:
+	// the other one waits for us no longer than all of it
+	case <-time.After(p.startConfig.Handover.Wait / 4 * 3):
 	}
 	socket, ok := p.listener.(syscall.Conn)
 	if !ok {
 		return handover.Terms{}, nil, errors.New("the listener has no socket")
 	}
-	known, err := p.list.Export()
+	known, err := p.discovery.Export()
 	if err != nil {
 		return handover.Terms{}, nil, err
 	}
 	p.log.Info("a new process takes over")
-	p.successor(+1)
-	return handover.Terms{Known: known, Discovery: p.list.Origin()}, socket, nil
+	p.countSuccessors(+1)
+	return handover.Terms{Known: known, Discovery: p.discovery.Origin()}, socket, nil
 }
 
 // Serves notes that a new process takes clients.
-func (p *Proxy) Serves() { p.upgrade.succeeded.Store(true) }
+func (p *Proxy) Serves() { p.upgrade.successorServing.Store(true) }
 
 // Left notes that a new process has gone; this one is alone again.
 func (p *Proxy) Left() {
 	p.log.Warn("a new process has gone")
-	p.successor(-1)
+	p.countSuccessors(-1)
 }
 
-func (p *Proxy) successor(n int) {
+func (p *Proxy) countSuccessors(n int) {
 	u := &p.upgrade
 	u.mu.Lock()
 	u.successors += n
 	if u.successors == 0 {
-		u.succeeded.Store(false)
+		u.successorServing.Store(false)
 	}
 	u.mu.Unlock()
-	p.confine()
+	p.applyLimits()
 }
--- a/internal/proxy/discovery/discovery.go
+++ b/internal/proxy/discovery/discovery.go
@@ -167,8 +167,8 @@
 // Refused has refuse called where discovery refuses a call for its token. It is called before Run.
 func (c *Client) Refused(refuse func(token uint64, why string)) { c.refused = refuse }
 
-// Heard is when discovery said something last on a watch, zero where it never did.
-func (c *Client) Heard() time.Time {
+// LastSeen is when discovery said something last on a watch, zero where it never did.
+func (c *Client) LastSeen() time.Time {
 	if at := c.heard.Load(); at != 0 {
 		return c.begun.Add(time.Duration(at))
 	}
--- a/internal/router/agent/chain_calls.go
+++ b/internal/router/agent/chain_calls.go
@@ -25,13 +25,13 @@
 	call func(now time.Duration, number uint64) chain.Effects) *peerproto.Result {
 	answer := make(chan chain.Reply, 1)
 	m.waitersMu.Lock()
-	m.last++
-	number := m.last
+	m.lastRequest++
+	number := m.lastRequest
 	m.waiters[number] = answer
 	m.waitersMu.Unlock()
-	defer m.forget(number)
+	defer m.removeWaiter(number)
 	if !m.post(func(now time.Duration) chain.Effects { return call(now, number) }) {
-		return unavailable("too many calls wait for the disk")
+		return unavailableResult("too many calls wait for the disk")
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -39,11 +39,11 @@
 	case reply := <-answer:
 		return resultOf(&reply)
 	case <-timer.C:
-		return unavailable("the machines that keep the configuration did not agree in time")
+		return unavailableResult("the machines that keep the configuration did not agree in time")
 	}
 }
 
-func (m *chainMember) forget(number uint64) {
+func (m *chainMember) removeWaiter(number uint64) {
 	m.waitersMu.Lock()
 	delete(m.waiters, number)
 	m.waitersMu.Unlock()
@@ -64,21 +64,21 @@
 	case chain.Applied:
 		document, _, err := fleetconfig.DecodeStored(reply.Entry.Body)
 		if err != nil {
-			return unavailable(err.Error())
+			return unavailableResult(err.Error())
 		}
 		result.Outcome, result.Body = peerproto.OutcomeAccepted, document
 	case chain.Conflict, chain.Invalid:
 		result.Outcome = peerproto.OutcomeConflict
 	default:
-		return unavailable("the machines that keep the configuration did not agree")
+		return unavailableResult("the machines that keep the configuration did not agree")
 	}
 	return result
 }
 
 // found agrees on the first view with all machines that have a disk, once no new one is heard of.
-func (m *chainMember) found() {
+func (m *chainMember) tryBootstrap() {
 	if m.machine.View().Epoch > 0 {
-		m.founder = false
+		m.bootstrapper = false
 		return
 	}
 	var members []chain.Member
@@ -90,41 +90,41 @@
 		}
 	})
 	now := m.node.now()
-	if len(members) != m.candidates {
-		m.candidates, m.calmSince = len(members), now
+	if len(members) != m.bootstrapCandidates {
+		m.bootstrapCandidates, m.candidatesStableSince = len(members), now
 		return
 	}
-	if len(members) == 0 || now < foundAfter || now-m.calmSince < foundCalm {
+	if len(members) == 0 || now < bootstrapDelay || now-m.candidatesStableSince < bootstrapStablePeriod {
 		return
 	}
-	m.calmSince = now // and ask again after the same while
+	m.candidatesStableSince = now // and ask again after the same while
 	m.node.log.Info().Int("members", len(members)).Msg("chain: founding")
-	m.step(func(now time.Duration) chain.Effects { return m.machine.Found(now, members) })
+	m.step(func(now time.Duration) chain.Effects { return m.machine.Bootstrap(now, members) })
 }
 
-// noControlState is the part of a machine without a disk.
-type noControlState struct{}
+// noConfigStore is the part of a machine without a disk.
+type noConfigStore struct{}
 
-func (noControlState) propose(*peerproto.Proposal, time.Duration) *peerproto.Result {
-	return unavailable("this machine has no disk")
+func (noConfigStore) propose(*peerproto.Proposal, time.Duration) *peerproto.Result {
+	return unavailableResult("this machine has no disk")
 }
 
-func (noControlState) patch(*peerproto.Proposal, time.Duration) *peerproto.Result {
-	return unavailable("this machine has no disk")
+func (noConfigStore) patch(*peerproto.Proposal, time.Duration) *peerproto.Result {
+	return unavailableResult("this machine has no disk")
 }
 
-func (noControlState) read(time.Duration) *peerproto.Result {
-	return unavailable("this machine has no disk")
+func (noConfigStore) read(time.Duration) *peerproto.Result {
+	return unavailableResult("this machine has no disk")
 }
 
-func (noControlState) take(string, []byte)   {}
-func (noControlState) start(<-chan struct{}) {}
-func (noControlState) member() bool          { return false }
-func (noControlState) leave()                {}
-func (noControlState) close()                {}
+func (noConfigStore) receive(string, []byte) {}
+func (noConfigStore) start(<-chan struct{})  {}
+func (noConfigStore) isMember() bool         { return false }
+func (noConfigStore) leave()                 {}
+func (noConfigStore) close()                 {}
 
-func (noControlState) opened() <-chan struct{}   { return closedChannel }
-func (noControlState) released() <-chan struct{} { return closedChannel }
+func (noConfigStore) opened() <-chan struct{}  { return closedChannel }
+func (noConfigStore) canStop() <-chan struct{} { return closedChannel }
 
 // closedChannel stands for what need not be waited for.
 var closedChannel = func() <-chan struct{} {
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -16,10 +16,10 @@
 	chainTick      = 50 * time.Millisecond
 	chainHeartbeat = 150 * time.Millisecond
 	chainQueue     = 256 // events that wait for the goroutine of the chain
-	// foundAfter and foundCalm are how long the founder of the fleet waits for machines with a disk: since its
-	// start, and since the last new one was heard of.
-	foundAfter = 1500 * time.Millisecond
-	foundCalm  = 800 * time.Millisecond
+	// bootstrapDelay and bootstrapStablePeriod are how long the founder of the fleet waits for machines with a
+	// disk: since its start, and since the last new one was heard of.
+	bootstrapDelay        = 1500 * time.Millisecond
+	bootstrapStablePeriod = 800 * time.Millisecond
 	// closeTimeout bounds how long the end of the process waits for the disk.
 	closeTimeout = 200 * time.Millisecond
 )
@@ -27,50 +27,52 @@
 // chainMember runs this process's part in the control state: one goroutine steps the state machine, makes
 // what it says durable, and only then sends and answers.
 type chainMember struct {
-	node    *Node
-	machine *chain.Node
-	log     *segmentlog.Log // nil without a disk
-	events  chan func(now time.Duration) chain.Effects
-	inChain atomic.Bool
-	fence   atomic.Uint64 // epoch in which this member is the head and the chain is open, 0 where it is not
-	founder bool
-	ended   chan struct{} // closed when the goroutine of the chain has ended
-	leaving atomic.Bool   // this process is about to end
-	// leaveTold says that the state machine knows; of the goroutine of the chain.
-	leaveTold bool
-	free      chan struct{} // closed once this member leaves and the others hold all that it holds
-	isFree    bool          // free is closed; of the goroutine of the chain
+	node         *Node
+	machine      *chain.Node
+	log          *segmentlog.Log // nil without a disk
+	events       chan func(now time.Duration) chain.Effects
+	inChain      atomic.Bool
+	fence        atomic.Uint64 // epoch in which this member is the head and the chain is open, 0 where it is not
+	bootstrapper bool
+	ended        chan struct{} // closed when the goroutine of the chain has ended
+	leaving      atomic.Bool   // this process is about to end
+	// leaveSent says that the state machine knows; of the goroutine of the chain.
+	leaveSent   bool
+	handedOff   chan struct{} // closed once this member leaves and the others hold all that it holds
+	isHandedOff bool          // free is closed; of the goroutine of the chain
 	// identity is that of this machine's disk; it names the holder of duties.
 	identity string
 
 	linksMu sync.Mutex
 	links   map[string]*transport.Link // by IP of another member
 
-	waitersMu sync.Mutex
-	waiters   map[uint64]chan chain.Reply
-	last      uint64
-
-	sequence   uint64      // of the entry that was last known to be committed
-	version    int64       // of the committed configuration that was last handed over to be put in force
-	committed  chan []byte // the newest committed configuration that is not yet in force, as it is stored
-	epoch      uint64
-	candidates int           // heard of by the founder
-	calmSince  time.Duration // when the last of them was heard of
+	waitersMu   sync.Mutex
+	waiters     map[uint64]chan chain.Reply
+	lastRequest uint64
+
+	committedSequence uint64 // of the entry that was last known to be committed
+	// of the committed configuration that was last handed over to be put in force
+	publishedVersion int64
+	// the newest committed configuration that is not yet in force, as it is stored
+	committed             chan []byte
+	publishedEpoch        uint64
+	bootstrapCandidates   int           // heard of by the founder
+	candidatesStableSince time.Duration // when the last of them was heard of
 }
 
-func (m *chainMember) member() bool { return m.inChain.Load() }
+func (m *chainMember) isMember() bool { return m.inChain.Load() }
 
 func (m *chainMember) start(done <-chan struct{}) {
 	go m.run(done)
-	go m.adoptCommitted(done)
-	if m.node.ordersStages {
-		go (&stageDuty{node: m.node, member: m}).run(done)
+	go m.applyCommitted(done)
+	if m.node.sendsStageOrders {
+		go (&stageCoordinator{node: m.node, member: m}).run(done)
 	}
 }
 
 func (m *chainMember) opened() <-chan struct{} { return closedChannel }
 
-func (m *chainMember) released() <-chan struct{} { return m.free }
+func (m *chainMember) canStop() <-chan struct{} { return m.handedOff }
 
 // leave has the others told that this process is about to end. It does not go through the queue of events,
 // which may be full: messages come again, this does not.
@@ -83,7 +85,7 @@
 	case m.events <- event:
 		return true
 	default:
-		m.node.figures.droppedEvents.Add(1)
+		m.node.metrics.droppedEvents.Add(1)
 		return false
 	}
 }
@@ -114,21 +116,21 @@
 		case event := <-m.events:
 			m.step(event)
 		case <-ticker.C:
-			m.tellLeave()
+			m.sendLeave()
 			m.machine.SetContacts(m.contacts())
 			m.step(m.machine.Tick)
-			if m.founder {
-				m.found()
+			if m.bootstrapper {
+				m.tryBootstrap()
 			}
 		}
 	}
 }
 
-// tellLeave tells the others once that this process is about to end, where it is.
-func (m *chainMember) tellLeave() {
-	if m.leaving.Load() && !m.leaveTold {
-		m.leaveTold = true
-		m.step(m.machine.Leave)
+// sendLeave tells the others once that this process is about to end, where it is.
+func (m *chainMember) sendLeave() {
+	if m.leaving.Load() && !m.leaveSent {
+		m.leaveSent = true
+		m.step(m.machine.Drain)
 	}
 }
 
@@ -140,15 +142,15 @@
 		if err == nil {
 			break
 		}
-		m.node.figures.diskErrors.Add(1)
+		m.node.metrics.diskErrors.Add(1)
 		m.node.log.Warn().Err(err).Msg("chain: the disk refuses")
 		effects = m.machine.PersistFailed(m.node.now())
 	}
-	m.perform(effects)
+	m.execute(effects)
 }
 
 // perform sends the messages and gives the replies of a step whose records are durable.
-func (m *chainMember) perform(effects chain.Effects) {
+func (m *chainMember) execute(effects chain.Effects) {
 	for i := range effects.Messages {
 		envelope := &effects.Messages[i]
 		if envelope.To.Address != "" && envelope.To.Address != m.node.settings.IP {
@@ -169,24 +171,24 @@
 		fence = m.machine.View().Epoch
 	}
 	m.fence.Store(fence)
-	if !m.isFree && m.machine.MayStop() {
-		m.isFree = true
-		close(m.free)
+	if !m.isHandedOff && m.machine.Drained() {
+		m.isHandedOff = true
+		close(m.handedOff)
 	}
-	if view := m.machine.View(); view.Epoch != m.epoch {
-		m.epoch = view.Epoch
+	if view := m.machine.View(); view.Epoch != m.publishedEpoch {
+		m.publishedEpoch = view.Epoch
 		m.node.state.learnView(int64(view.Epoch), memberInfos(view.Members))
 		m.node.log.Info().Uint64("epoch", view.Epoch).Int("members", len(view.Members)).
 			Int("replicas", len(view.Chain)).Msg("chain: new view")
 	}
 	entry, known := m.machine.Committed()
 	if known {
-		invariant.Assert(entry.Sequence >= m.sequence, invariant.CommittedSequenceRises,
-			"entry %d is committed after entry %d", entry.Sequence, m.sequence)
-		m.sequence = entry.Sequence
+		invariant.Assert(entry.Sequence >= m.committedSequence, invariant.CommittedSequenceRises,
+			"entry %d is committed after entry %d", entry.Sequence, m.committedSequence)
+		m.committedSequence = entry.Sequence
 	}
-	if known && entry.Version > m.version {
-		m.version = entry.Version
+	if known && entry.Version > m.publishedVersion {
+		m.publishedVersion = entry.Version
 		select {
 		case <-m.committed: // a newer one has replaced it
 		default:
@@ -195,15 +197,15 @@
 	}
 }
 
-// adoptCommitted puts committed configurations in force. Reading a large one takes long, and the goroutine of
+// applyCommitted puts committed configurations in force. Reading a large one takes long, and the goroutine of
 // the chain has to answer the other members meanwhile.
-func (m *chainMember) adoptCommitted(done <-chan struct{}) {
+func (m *chainMember) applyCommitted(done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
 		case stored := <-m.committed:
-			m.node.takeStored(stored)
+			m.node.applyStored(stored)
 		}
 	}
 }
@@ -214,13 +216,13 @@
 	link := m.links[ip]
 	if link == nil {
 		hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: m.node.id}) }
-		link = m.node.endpoint.NewLink(m.node.innerAddress(ip), hello, func(peerproto.Frame) {}, func(bool) {})
+		link = m.node.endpoint.NewLink(m.node.peerAddress(ip), hello, func(peerproto.Frame) {}, func(bool) {})
 		m.links[ip] = link
 	}
 	return link
 }
 
-func (m *chainMember) take(_ string, body []byte) {
+func (m *chainMember) receive(_ string, body []byte) {
 	message, err := decodeChain(body)
 	if err != nil {
 		return
--- a/internal/router/agent/chain_open.go
+++ b/internal/router/agent/chain_open.go
@@ -14,24 +14,24 @@
 
 const (
 	chainFolder = "chain"
-	// compactPart of the disk is the size at which the log is begun anew with a snapshot.
-	compactPart = 0.25
-	// leastMembers is how many machines keep the control state at least, where there are as many with a disk.
+	// compactFraction of the disk is the size at which the log is begun anew with a snapshot.
+	compactFraction = 0.25
+	// minMembers is how many machines keep the control state at least, where there are as many with a disk.
 	// A majority has to be left when as many are lost as the settings tolerate.
-	leastMembers = 3
+	minMembers = 3
 )
 
-// newControlState returns this process's part in the control state: none without a disk, unless it is the one
+// newConfigStore returns this process's part in the control state: none without a disk, unless it is the one
 // that founds it.
-func newControlState(n *Node) controlState {
-	if n.settings.DataDir == "" && !n.founds() {
-		return noControlState{}
+func newConfigStore(n *Node) configStore {
+	if n.settings.DataDir == "" && !n.isBootstrapper() {
+		return noConfigStore{}
 	}
-	return newDiskMember(n)
+	return newDeferredStore(n)
 }
 
 // founds tells whether this process is the one that has the first view agreed on.
-func (n *Node) founds() bool {
+func (n *Node) isBootstrapper() bool {
 	return n.settings.FirstStart && len(n.settings.Seeds) > 0 && hostOf(n.settings.Seeds[0]) == n.settings.IP
 }
 
@@ -55,11 +55,11 @@
 
 func newChainMember(n *Node) *chainMember {
 	return &chainMember{
-		node: n, founder: n.founds(), links: map[string]*transport.Link{},
+		node: n, bootstrapper: n.isBootstrapper(), links: map[string]*transport.Link{},
 		events: make(chan func(time.Duration) chain.Effects, chainQueue),
-		ended:  make(chan struct{}), free: make(chan struct{}),
+		ended:  make(chan struct{}), handedOff: make(chan struct{}),
 		waiters: map[uint64]chan chain.Reply{}, committed: make(chan []byte, 1),
-		last: uint64(rand.Int63()), // requests of an earlier process must not be taken for this one's
+		lastRequest: uint64(rand.Int63()), // requests of an earlier process must not be taken for this one's
 	}
 }
 
@@ -67,13 +67,13 @@
 func (m *chainMember) openMachine(records [][]byte) error {
 	settings := m.node.settings
 	config := chain.Config{
-		Self:           chain.Member{ID: chain.MemberID(randomID()), Address: settings.IP},
-		DigestOf:       digestOfStored,
-		HasDisk:        settings.DataDir != "",
-		FirstStart:     settings.FirstStart,
-		RequiredCopies: settings.TolerateMachines + 1,
-		TargetMembers:  max(leastMembers, 2*settings.TolerateMachines+1),
-		Random:         rand.New(rand.NewSource(rand.Int63())), HeartbeatInterval: chainHeartbeat,
+		Self:             chain.Member{ID: chain.MemberID(randomID()), Address: settings.IP},
+		DigestOf:         storedDigest,
+		HasDisk:          settings.DataDir != "",
+		AllowBootstrap:   settings.FirstStart,
+		RequiredReplicas: settings.TolerateMachines + 1,
+		TargetMembers:    max(minMembers, 2*settings.TolerateMachines+1),
+		Random:           rand.New(rand.NewSource(rand.Int63())), HeartbeatInterval: chainHeartbeat,
 	}
 	machine, effects, err := chain.Open(config, m.node.now(), records)
 	if err != nil {
@@ -83,7 +83,7 @@
 	if err := m.persist(effects.Persist); err != nil {
 		return err
 	}
-	m.perform(effects)
+	m.execute(effects)
 	return nil
 }
 
@@ -115,11 +115,11 @@
 	}
 	began := m.node.now()
 	err := m.log.Append(records...)
-	m.node.figures.persisted.Observe(m.node.now() - began)
+	m.node.metrics.diskWrites.Observe(m.node.now() - began)
 	if err != nil {
 		return err
 	}
-	limit := int64(compactPart * float64(m.node.settings.DiskBytes))
+	limit := int64(compactFraction * float64(m.node.settings.DiskBytes))
 	if m.log.Size() > max(limit, 1<<20) {
 		if err := m.log.Compact(m.machine.SnapshotRecords()); err != nil {
 			m.node.log.Warn().Err(err).Msg("chain: the log can't be begun anew")
--- a/internal/router/agent/chain_patch.go
+++ b/internal/router/agent/chain_patch.go
@@ -8,8 +8,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// digestOfStored names the change that an entry of the chain came from.
-func digestOfStored(body []byte) chain.Digest { return fleetconfig.StoredDigest(body) }
+// storedDigest names the change that an entry of the chain came from.
+func storedDigest(body []byte) chain.Digest { return fleetconfig.StoredDigest(body) }
 
 // patch applies a patch to the version that it builds on and proposes the whole configuration that results.
 // Where that version is not current any more the patch can't be applied; it was acknowledged before, or it is
@@ -20,7 +20,7 @@
 		return invalidChange(err)
 	}
 	until := m.node.now() + timeout
-	base, failed := m.versionAt(patch.Base, timeout)
+	base, failed := m.configAtVersion(patch.Base, timeout)
 	left := until - m.node.now()
 	switch {
 	case failed != nil:
@@ -39,9 +39,9 @@
 		Body: fleetconfig.EncodeStored(patch, config.Raw())}, left)
 }
 
-// versionAt returns the configuration of a version if it is in force here or current, else nil. The result is
-// not nil where that can't be told.
-func (m *chainMember) versionAt(version int64,
+// configAtVersion returns the configuration of a version if it is in force here or current, else nil. The
+// result is not nil where that can't be told.
+func (m *chainMember) configAtVersion(version int64,
 	timeout time.Duration) (*fleetconfig.Config, *peerproto.Result) {
 	if config := m.node.state.Config(); config != nil && config.Version == version {
 		return config, nil
@@ -49,7 +49,7 @@
 	current := m.read(timeout)
 	switch {
 	case current.Outcome != peerproto.OutcomeAccepted:
-		return nil, unavailable("the current configuration can't be read: " + current.Reason)
+		return nil, unavailableResult("the current configuration can't be read: " + current.Reason)
 	case current.Version != version:
 		return nil, nil
 	case version == 0:
@@ -57,15 +57,15 @@
 	}
 	config, err := fleetconfig.Parse(current.Body)
 	if err != nil {
-		return nil, unavailable(err.Error())
+		return nil, unavailableResult(err.Error())
 	}
 	return config, nil
 }
 
 // confirm asks whether a patch was acknowledged before.
 func (m *chainMember) confirm(patch *fleetconfig.Patch, timeout time.Duration) *peerproto.Result {
-	name := chain.ChangeName{Expected: patch.Base, Version: patch.Version,
-		Digest: digestOfStored(fleetconfig.EncodeStoredPatch(patch))}
+	name := chain.ChangeID{Expected: patch.Base, Version: patch.Version,
+		Digest: storedDigest(fleetconfig.EncodeStoredPatch(patch))}
 	return m.request(timeout, func(now time.Duration, number uint64) chain.Effects {
 		return m.machine.Confirm(now, number, name)
 	})
--- a/internal/router/agent/chain_wire.go
+++ b/internal/router/agent/chain_wire.go
@@ -9,9 +9,10 @@
 func encodeChain(m *chain.Message) []byte {
 	return peerproto.Encode(&peerproto.ChainMessage{
 		Kind: int(m.Kind), From: string(m.From), Epoch: int64(m.Epoch), Address: m.Address, HasDisk: m.HasDisk,
-		EntryEpoch: int64(m.EntryEpoch), Open: m.Open, Draining: m.Leaving, Stalled: m.Stalled, Sealed: m.Sealed,
-		ReceivesFrom: textsOf(m.Hears), View: encodeView(&m.View), ProposalNumber: encodeBallot(m.Ballot),
-		AcceptedNumber: encodeBallot(m.AcceptedBallot), Sequence: int64(m.Sequence), Version: m.Version,
+		EntryEpoch: int64(m.EntryEpoch), Open: m.Open, Draining: m.Draining, Stalled: m.Stalled, Sealed: m.Sealed,
+		ReceivesFrom: idStrings(m.ReceivesFrom), View: encodeView(&m.View),
+		ProposalNumber: encodeBallot(m.ProposalNumber),
+		AcceptedNumber: encodeBallot(m.AcceptedNumber), Sequence: int64(m.Sequence), Version: m.Version,
 		Digest: m.Digest, HasBody: m.HasBody, Body: m.Body, Resend: m.Resend, Origin: string(m.Origin),
 		Request: int64(m.Request), Expected: m.Expected, Outcome: int(m.Outcome), Marker: int64(m.Marker),
 		History: encodeHistory(m.History),
@@ -26,9 +27,9 @@
 	}
 	return chain.Message{
 		Kind: chain.Kind(m.Kind), From: chain.MemberID(m.From), Epoch: uint64(m.Epoch), Address: m.Address,
-		HasDisk: m.HasDisk, EntryEpoch: uint64(m.EntryEpoch), Open: m.Open, Leaving: m.Draining,
-		Stalled: m.Stalled, Sealed: m.Sealed, Hears: identitiesOf(m.ReceivesFrom), View: decodeView(&m.View),
-		Ballot: decodeBallot(m.ProposalNumber), AcceptedBallot: decodeBallot(m.AcceptedNumber),
+		HasDisk: m.HasDisk, EntryEpoch: uint64(m.EntryEpoch), Open: m.Open, Draining: m.Draining,
+		Stalled: m.Stalled, Sealed: m.Sealed, ReceivesFrom: memberIDs(m.ReceivesFrom), View: decodeView(&m.View),
+		ProposalNumber: decodeBallot(m.ProposalNumber), AcceptedNumber: decodeBallot(m.AcceptedNumber),
 		Sequence: uint64(m.Sequence), Version: m.Version, Digest: m.Digest, HasBody: m.HasBody, Body: m.Body,
 		Resend: m.Resend, Origin: chain.MemberID(m.Origin), Request: uint64(m.Request), Expected: m.Expected,
 		Outcome: chain.Outcome(m.Outcome), Marker: uint64(m.Marker), History: decodeHistory(m.History),
@@ -57,23 +58,23 @@
 
 func encodeView(v *chain.View) peerproto.ChainView {
 	encoded := peerproto.ChainView{Epoch: int64(v.Epoch), Members: memberInfos(v.Members),
-		Chain: textsOf(v.Chain), Fresh: textsOf(v.Fresh), Sources: textsOf(v.Sources)}
+		Chain: idStrings(v.Chain), Fresh: idStrings(v.Fresh), Sources: idStrings(v.Sources)}
 	for _, past := range v.Unopened {
 		encoded.Unopened = append(encoded.Unopened,
-			peerproto.PastChain{Epoch: int64(past.Epoch), Chain: textsOf(past.Chain)})
+			peerproto.PastChain{Epoch: int64(past.Epoch), Chain: idStrings(past.Chain)})
 	}
 	return encoded
 }
 
 func decodeView(v *peerproto.ChainView) chain.View {
-	view := chain.View{Epoch: uint64(v.Epoch), Chain: identitiesOf(v.Chain), Fresh: identitiesOf(v.Fresh),
-		Sources: identitiesOf(v.Sources)}
+	view := chain.View{Epoch: uint64(v.Epoch), Chain: memberIDs(v.Chain), Fresh: memberIDs(v.Fresh),
+		Sources: memberIDs(v.Sources)}
 	for _, member := range v.Members {
 		view.Members = append(view.Members, chain.Member{ID: chain.MemberID(member.ID), Address: member.Address})
 	}
 	for _, past := range v.Unopened {
 		view.Unopened = append(view.Unopened,
-			chain.PastChain{Epoch: uint64(past.Epoch), Chain: identitiesOf(past.Chain)})
+			chain.PastChain{Epoch: uint64(past.Epoch), Chain: memberIDs(past.Chain)})
 	}
 	return view
 }
@@ -86,15 +87,15 @@
 	return infos
 }
 
-func encodeBallot(b chain.Ballot) peerproto.ChainProposalNumber {
-	return peerproto.ChainProposalNumber{Counter: int64(b.Round), Proposer: string(b.Member)}
+func encodeBallot(b chain.ProposalNumber) peerproto.ChainProposalNumber {
+	return peerproto.ChainProposalNumber{Counter: int64(b.Counter), Proposer: string(b.Proposer)}
 }
 
-func decodeBallot(b peerproto.ChainProposalNumber) chain.Ballot {
-	return chain.Ballot{Round: uint64(b.Counter), Member: chain.MemberID(b.Proposer)}
+func decodeBallot(b peerproto.ChainProposalNumber) chain.ProposalNumber {
+	return chain.ProposalNumber{Counter: uint64(b.Counter), Proposer: chain.MemberID(b.Proposer)}
 }
 
-func textsOf(ids []chain.MemberID) []string {
+func idStrings(ids []chain.MemberID) []string {
 	texts := make([]string, len(ids))
 	for i, id := range ids {
 		texts[i] = string(id)
@@ -102,7 +103,7 @@
 	return texts
 }
 
-func identitiesOf(texts []string) []chain.MemberID {
+func memberIDs(texts []string) []chain.MemberID {
 	if len(texts) == 0 {
 		return nil
 	}
--- a/internal/router/agent/compare.go
+++ b/internal/router/agent/compare.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	// compareInterval is how often a hub compares its copy with one other hub's.
-	compareInterval = time.Second
-	// followerCompare is how often a follower compares its copy with its source's.
-	followerCompare = 5 * time.Second
-	compareTimeout  = time.Second
-	// firstCompare is how soon a hub that knows nothing yet compares again.
-	firstCompare = 100 * time.Millisecond
-	// hubPatience heartbeats of servers after its start a hub knows the fleet even if no other hub does.
-	hubPatience = 2
+	// antiEntropyInterval is how often a hub compares its copy with one other hub's.
+	antiEntropyInterval = time.Second
+	// followerAntiEntropyInterval is how often a follower compares its copy with its source's.
+	followerAntiEntropyInterval = 5 * time.Second
+	antiEntropyTimeout          = time.Second
+	// initialAntiEntropyInterval is how soon a hub that knows nothing yet compares again.
+	initialAntiEntropyInterval = 100 * time.Millisecond
+	// hubSyncHeartbeats heartbeats of servers after its start a hub knows the fleet even if no other hub does.
+	hubSyncHeartbeats = 2
 )
 
-// compareCopies compares this copy with those of hubs, one after the other, and repairs both from the newer
+// runAntiEntropy compares this copy with those of hubs, one after the other, and repairs both from the newer
 // records.
-func (n *Node) compareCopies(stop <-chan struct{}) {
+func (n *Node) runAntiEntropy(stop <-chan struct{}) {
 	for turn := 0; ; turn++ {
 		select {
 		case <-stop:
 			return
-		case <-time.After(n.untilCompare()):
+		case <-time.After(n.untilAntiEntropy()):
 		}
 		if hubs := n.currentHubs(); len(hubs) > 0 {
-			n.compareWith(hubs[turn%len(hubs)])
+			n.reconcileWith(hubs[turn%len(hubs)])
 		}
-		if n.isHub() && (n.settings.FirstStart || n.now() > hubPatience*n.settings.Beat) {
-			n.state.markSynced()
+		if n.isHub() && (n.settings.FirstStart || n.now() > hubSyncHeartbeats*n.settings.HeartbeatInterval) {
+			n.state.setSynced()
 		}
 	}
 }
 
-func (n *Node) untilCompare() time.Duration {
+func (n *Node) untilAntiEntropy() time.Duration {
 	switch {
 	case !n.isHub():
-		return followerCompare
+		return followerAntiEntropyInterval
 	case !n.state.isSynced():
-		return firstCompare
+		return initialAntiEntropyInterval
 	}
-	return compareInterval
+	return antiEntropyInterval
 }
 
-// compareWith repairs this copy and a hub's from each other.
-func (n *Node) compareWith(h *hub) {
+// reconcileWith repairs this copy and a hub's from each other.
+func (n *Node) reconcileWith(h *hub) {
 	request := &peerproto.Comparison{Digest: n.digest()}
-	frame, err := h.link.Call(peerproto.KindCompare, peerproto.Encode(request), compareTimeout)
+	frame, err := h.link.Call(peerproto.KindCompare, peerproto.Encode(request), antiEntropyTimeout)
 	if err != nil {
 		return
 	}
@@ -59,19 +59,19 @@
 	if peerproto.Decode(frame.Body, &answer) != nil {
 		return
 	}
-	if h.current().holds && n.isHub() {
-		defer n.state.markSynced()
+	if h.current().hasSnapshot && n.isHub() {
+		defer n.state.setSynced()
 	}
 	if len(answer.Ranges) == 0 {
 		return
 	}
-	n.mergeHeard(answer.Records)
-	var mine []directory.Record
-	n.state.read(func(d *directory.Directory) { mine = valuesOf(d.InRanges(answer.Ranges)) })
-	h.link.Call(peerproto.KindUpsert, peerproto.Encode(&peerproto.Records{Records: mine}), compareTimeout)
+	n.mergeRemote(answer.Records)
+	var own []directory.Record
+	n.state.read(func(d *directory.Directory) { own = copyRecords(d.InRanges(answer.Ranges)) })
+	h.link.Call(peerproto.KindUpsert, peerproto.Encode(&peerproto.Records{Records: own}), antiEntropyTimeout)
 }
 
-func (n *Node) takeCompare(c *transport.Conn, frame peerproto.Frame) {
+func (n *Node) handleCompare(c *transport.Conn, frame peerproto.Frame) {
 	var request peerproto.Comparison
 	if peerproto.Decode(frame.Body, &request) != nil || len(request.Digest) != directory.NumRanges {
 		c.Close()
@@ -84,7 +84,7 @@
 	answer := &peerproto.Comparison{}
 	n.state.read(func(d *directory.Directory) {
 		if answer.Ranges = d.Digest().Diff(theirs); len(answer.Ranges) > 0 {
-			answer.Records = valuesOf(d.InRanges(answer.Ranges))
+			answer.Records = copyRecords(d.InRanges(answer.Ranges))
 		}
 	})
 	c.Answer(frame, peerproto.KindComparison, peerproto.Encode(answer))
--- a/internal/router/agent/config_calls.go
+++ b/internal/router/agent/config_calls.go
@@ -14,8 +14,8 @@
 // configPath is where operators call for the configuration.
 const configPath = "/api/config"
 
-// callConfig answers a call on the configuration.
-func (n *Node) callConfig(call *controlserver.Call) *http1.Response {
+// handleConfigCall answers a call on the configuration.
+func (n *Node) handleConfigCall(call *controlserver.Call) *http1.Response {
 	switch call.Method {
 	case "PUT":
 		return n.putConfig(call)
@@ -53,13 +53,13 @@
 		return controlserver.Text(400, "edition: is not above If-Match; count on from the current version")
 	}
 	proposal := &peerproto.Proposal{Expected: expected, Version: version, Body: call.Body}
-	here := n.control.propose
+	propose := n.configStore.propose
 	if kind == peerproto.KindPatch {
-		here = n.control.patch
+		propose = n.configStore.patch
 	}
 	began := n.now()
-	result := n.onControlState(controlCall{kind: kind, body: peerproto.Encode(proposal),
-		here: func() *peerproto.Result { return here(proposal, controlTimeout) }})
+	result := n.callConfigStore(configCall{kind: kind, body: peerproto.Encode(proposal),
+		local: func() *peerproto.Result { return propose(proposal, configCallTimeout) }})
 	n.observeConfigCall(strings.ToLower(call.Method), result)
 	event := n.log.Info().Int64("version", version).Int64("on", expected).Str("by", call.Method).
 		Dur("took_ms", n.now()-began)
@@ -77,13 +77,13 @@
 		return controlserver.Text(400, result.Reason)
 	}
 	event.Str("reason", result.Reason).Msg("config: no clear answer")
-	return busy()
+	return retryElsewhere()
 }
 
 func (n *Node) getConfig() *http1.Response {
 	shownBefore := n.shown.highest()
-	result := n.onControlState(controlCall{kind: peerproto.KindRead,
-		here: func() *peerproto.Result { return n.control.read(controlTimeout) }})
+	result := n.callConfigStore(configCall{kind: peerproto.KindRead,
+		local: func() *peerproto.Result { return n.configStore.read(configCallTimeout) }})
 	n.observeConfigCall("get", result)
 	if result.Outcome == peerproto.OutcomeAccepted {
 		invariant.Assert(result.Version >= shownBefore, invariant.ReadsNotOlder,
@@ -92,7 +92,7 @@
 	}
 	switch {
 	case result.Outcome != peerproto.OutcomeAccepted:
-		return busy()
+		return retryElsewhere()
 	case len(result.Body) == 0:
 		return controlserver.Text(404, "no configuration was sent yet; send one with If-Match: 0")
 	}
--- a/internal/router/agent/control.go
+++ b/internal/router/agent/control.go
@@ -9,11 +9,11 @@
 	"cresshub/internal/router/transport"
 )
 
-// controlTimeout bounds a call on the configuration; the operator gives up after a second.
-const controlTimeout = 900 * time.Millisecond
+// configCallTimeout bounds a call on the configuration; the operator gives up after a second.
+const configCallTimeout = 900 * time.Millisecond
 
-// controlState is the part of a process that keeps the configuration where the machine has a disk.
-type controlState interface {
+// configStore is the part of a process that keeps the configuration where the machine has a disk.
+type configStore interface {
 	// propose asks for a change and returns how it ended.
 	propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result
 	// patch asks for a change of named items and returns how it ended.
@@ -21,18 +21,18 @@
 	// read returns the newest acknowledged configuration.
 	read(timeout time.Duration) *peerproto.Result
 	// take takes a message of another member.
-	take(peer string, body []byte)
+	receive(peer string, body []byte)
 	// start begins to take part until done closes.
 	start(done <-chan struct{})
 	// opened returns a channel that closes once the disk is open, where there is one.
 	opened() <-chan struct{}
 	// member tells whether this process keeps the control state now.
-	member() bool
+	isMember() bool
 	// leave hands the control state over before this process ends.
 	leave()
 	// released returns a channel that closes once the others hold all that this process holds of the control
 	// state, so that it may end after leave.
-	released() <-chan struct{}
+	canStop() <-chan struct{}
 	// close frees what this process holds, after the channel that start was given has closed.
 	close()
 }
@@ -41,7 +41,7 @@
 func (n *Node) handleCall(call *controlserver.Call) *http1.Response {
 	switch {
 	case len(call.Path) > len(serversPath) && call.Path[:len(serversPath)] == serversPath:
-		return n.callServers(call)
+		return n.handleServerCall(call)
 	case call.Path == metricsPath:
 		return n.showMetrics(call)
 	case call.Path == membersPath:
@@ -49,28 +49,28 @@
 	case call.Path == serverListPath:
 		return n.listServers(call)
 	case call.Path == configPath:
-		return n.callConfig(call)
+		return n.handleConfigCall(call)
 	}
 	return controlserver.Text(404, "no such call; see api/control.openapi.yaml")
 }
 
-// answerControl runs another process's call on the configuration.
-func (n *Node) answerControl(c *transport.Conn, frame peerproto.Frame) {
-	result := unavailable("this machine does not keep the configuration")
+// serveConfigCall runs another process's call on the configuration.
+func (n *Node) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
+	result := unavailableResult("this machine does not keep the configuration")
 	var proposal peerproto.Proposal
 	switch {
-	case !n.control.member():
+	case !n.configStore.isMember():
 	case frame.Kind == peerproto.KindRead:
-		result = n.control.read(controlTimeout)
+		result = n.configStore.read(configCallTimeout)
 	case peerproto.Decode(frame.Body, &proposal) != nil:
 	case frame.Kind == peerproto.KindPatch:
-		result = n.control.patch(&proposal, controlTimeout)
+		result = n.configStore.patch(&proposal, configCallTimeout)
 	default:
-		result = n.control.propose(&proposal, controlTimeout)
+		result = n.configStore.propose(&proposal, configCallTimeout)
 	}
 	c.Answer(frame, peerproto.KindResult, peerproto.Encode(result))
 }
 
-func unavailable(reason string) *peerproto.Result {
+func unavailableResult(reason string) *peerproto.Result {
 	return &peerproto.Result{Outcome: peerproto.OutcomeUnavailable, Reason: reason}
 }
--- a/internal/router/agent/control_call.go
+++ b/internal/router/agent/control_call.go
@@ -6,44 +6,44 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// controlHedge is how long one member has to answer a call on the configuration until another one is asked
+// hedgeDelay is how long one member has to answer a call on the configuration until another one is asked
 // beside it. The same call may run at several members at once: a change is taken once.
-const controlHedge = 250 * time.Millisecond
+const hedgeDelay = 250 * time.Millisecond
 
-// controlCall is a call on the configuration.
-type controlCall struct {
-	kind peerproto.Kind
-	body []byte
-	here func() *peerproto.Result // runs it in this process
+// configCall is a call on the configuration.
+type configCall struct {
+	kind  peerproto.Kind
+	body  []byte
+	local func() *peerproto.Result // runs it in this process
 }
 
-// onControlState has members run a call, this process first where it is one. A member that hangs, as one does
-// whose disk hangs, delays the call only by controlHedge.
-func (n *Node) onControlState(call controlCall) *peerproto.Result {
-	tries := n.controlTries(call)
-	if len(tries) == 0 {
-		return unavailable("no machine that keeps the configuration is reached")
+// callConfigStore has members run a call, this process first where it is one. A member that hangs, as one
+// does whose disk hangs, delays the call only by hedgeDelay.
+func (n *Node) callConfigStore(call configCall) *peerproto.Result {
+	attempts := n.configAttempts(call)
+	if len(attempts) == 0 {
+		return unavailableResult("no machine that keeps the configuration is reached")
 	}
-	return firstClearAnswer(tries)
+	return firstDefiniteAnswer(attempts)
 }
 
-// controlTry has one member run a call.
-type controlTry func() *peerproto.Result
+// configAttempt has one member run a call.
+type configAttempt func() *peerproto.Result
 
-// firstClearAnswer starts tries one after the other, each when the one before has no answer after
-// controlHedge or gave none that is clear, and returns the first clear one.
-func firstClearAnswer(tries []controlTry) *peerproto.Result {
-	answers := make(chan *peerproto.Result, len(tries))
-	deadline := time.NewTimer(controlTimeout)
+// firstDefiniteAnswer starts tries one after the other, each when the one before has no answer after
+// hedgeDelay or gave none that is clear, and returns the first clear one.
+func firstDefiniteAnswer(attempts []configAttempt) *peerproto.Result {
+	answers := make(chan *peerproto.Result, len(attempts))
+	deadline := time.NewTimer(configCallTimeout)
 	defer deadline.Stop()
-	result := unavailable("no machine that keeps the configuration answered in time")
-	for started, ended := 0, 0; ended < len(tries); {
+	result := unavailableResult("no machine that keeps the configuration answered in time")
+	for started, ended := 0, 0; ended < len(attempts); {
 		var hedge <-chan time.Time
-		if started < len(tries) {
-			try := tries[started]
+		if started < len(attempts) {
+			attempt := attempts[started]
 			started++
-			go func() { answers <- try() }()
-			hedge = time.After(controlHedge)
+			go func() { answers <- attempt() }()
+			hedge = time.After(hedgeDelay)
 		}
 		select {
 		case result = <-answers:
@@ -59,30 +59,30 @@
 	return result
 }
 
-// controlTries returns the ways to have a call run, in the order in which they are tried.
-func (n *Node) controlTries(call controlCall) []controlTry {
-	var tries []controlTry
-	if n.control.member() {
-		tries = append(tries, call.here)
+// configAttempts returns the ways to have a call run, in the order in which they are tried.
+func (n *Node) configAttempts(call configCall) []configAttempt {
+	var attempts []configAttempt
+	if n.configStore.isMember() {
+		attempts = append(attempts, call.local)
 	}
 	now := n.now()
 	for _, h := range n.currentHubs() {
-		if h.answers(now) {
-			tries = append(tries, func() *peerproto.Result { return askMember(h, call) })
+		if h.isResponsive(now) {
+			attempts = append(attempts, func() *peerproto.Result { return callMember(h, call) })
 		}
 	}
-	return tries
+	return attempts
 }
 
-// askMember has another process run a call.
-func askMember(h *hub, call controlCall) *peerproto.Result {
-	frame, err := h.link.Call(call.kind, call.body, controlTimeout)
+// callMember has another process run a call.
+func callMember(h *hub, call configCall) *peerproto.Result {
+	frame, err := h.link.Call(call.kind, call.body, configCallTimeout)
 	if err != nil {
-		return unavailable(err.Error())
+		return unavailableResult(err.Error())
 	}
 	var answer peerproto.Result
 	if err := peerproto.Decode(frame.Body, &answer); err != nil {
-		return unavailable(err.Error())
+		return unavailableResult(err.Error())
 	}
 	return &answer
 }
--- a/internal/router/agent/control_call_test.go
+++ b/internal/router/agent/control_call_test.go
@@ -20,22 +20,22 @@
 	}{
 		{"the first answers", []peerproto.Outcome{peerproto.OutcomeAccepted, 0}, peerproto.OutcomeAccepted, 0},
 		{"the first hangs", []peerproto.Outcome{0, peerproto.OutcomeConflict},
-			peerproto.OutcomeConflict, controlHedge},
+			peerproto.OutcomeConflict, hedgeDelay},
 		{"two hang", []peerproto.Outcome{0, 0, peerproto.OutcomeAccepted}, peerproto.OutcomeAccepted,
-			2 * controlHedge},
+			2 * hedgeDelay},
 		{"the first can't agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeAccepted},
 			peerproto.OutcomeAccepted, 0},
 		{"none can agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeUnavailable},
 			peerproto.OutcomeUnavailable, 0},
-		{"all hang", []peerproto.Outcome{0, 0}, peerproto.OutcomeUnavailable, controlTimeout},
+		{"all hang", []peerproto.Outcome{0, 0}, peerproto.OutcomeUnavailable, configCallTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				end := make(chan struct{})
 				defer close(end)
-				var tries []controlTry
+				var attempts []configAttempt
 				for _, outcome := range test.members {
-					tries = append(tries, func() *peerproto.Result {
+					attempts = append(attempts, func() *peerproto.Result {
 						if outcome == 0 {
 							<-end
 						}
@@ -43,7 +43,7 @@
 					})
 				}
 				began := time.Now()
-				answer := firstClearAnswer(tries)
+				answer := firstDefiniteAnswer(attempts)
 				qt.Check(t, answer.Outcome, qt.Equals, test.outcome)
 				qt.Check(t, time.Since(began), qt.Equals, test.took)
 			})
