--- a/internal/router/agent/disk_member.go
+++ b/internal/router/agent/disk_member.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// openAgainAfter is the pause between two tries to open the disk.
-	openAgainAfter = 500 * time.Millisecond
-	// diskPatience is how long the process waits for its disk before it takes calls without it: the first
+	// diskRetryInterval is the pause between two tries to open the disk.
+	diskRetryInterval = 500 * time.Millisecond
+	// diskOpenTimeout is how long the process waits for its disk before it takes calls without it: the first
 	// answer to others should tell what the disk holds.
-	diskPatience = 300 * time.Millisecond
+	diskOpenTimeout = 300 * time.Millisecond
 )
 
-// useDisk begins to use the disk, where there is one, and returns once it is open or diskPatience is over.
-func (n *Node) useDisk(done <-chan struct{}) {
-	n.control.start(done)
+// startDisk begins to use the disk, where there is one, and returns once it is open or diskOpenTimeout is
+// over.
+func (n *Node) startDisk(done <-chan struct{}) {
+	n.configStore.start(done)
 	if n.settings.DataDir == "" {
 		return
 	}
 	loaded := make(chan struct{})
-	go n.keepSaved(loaded, done)
-	patience := time.NewTimer(diskPatience)
+	go n.persistState(loaded, done)
+	patience := time.NewTimer(diskOpenTimeout)
 	defer patience.Stop()
-	for _, opened := range []<-chan struct{}{loaded, n.control.opened()} {
+	for _, opened := range []<-chan struct{}{loaded, n.configStore.opened()} {
 		select {
 		case <-opened:
 		case <-patience.C:
@@ -36,23 +37,26 @@
 	}
 }
 
-// diskMember is the part of a machine with a disk. The disk is opened beside everything else, because it may
-// hang, be full or hold what can't be read: until it is open, the process serves as one without a disk does.
-type diskMember struct {
+// deferredStore is the part of a machine with a disk. The disk is opened beside everything else, because it
+// may hang, be full or hold what can't be read: until it is open, the process serves as one without a disk
+// does.
+type deferredStore struct {
 	node    *Node
 	chain   atomic.Pointer[chainMember] // nil until the disk is open
-	isReady chan struct{}               // closed once it is
+	ready   chan struct{}               // closed once it is
 	leaving atomic.Bool                 // this process is about to end
 }
 
-func newDiskMember(n *Node) *diskMember { return &diskMember{node: n, isReady: make(chan struct{})} }
+func newDeferredStore(n *Node) *deferredStore {
+	return &deferredStore{node: n, ready: make(chan struct{})}
+}
 
-var _ controlState = (*diskMember)(nil)
+var _ configStore = (*deferredStore)(nil)
 
 // start opens the disk and takes part until done closes.
-func (d *diskMember) start(done <-chan struct{}) { go d.run(done) }
+func (d *deferredStore) start(done <-chan struct{}) { go d.run(done) }
 
-func (d *diskMember) run(done <-chan struct{}) {
+func (d *deferredStore) run(done <-chan struct{}) {
 	member := d.open(done)
 	if member == nil {
 		return
@@ -63,55 +67,55 @@
 		member.leave()
 	}
 	member.start(done)
-	close(d.isReady)
+	close(d.ready)
 }
 
 // open tries until the disk could be opened, and returns nil if the process ends before.
-func (d *diskMember) open(done <-chan struct{}) *chainMember {
+func (d *deferredStore) open(done <-chan struct{}) *chainMember {
 	for {
 		member, err := openChainMember(d.node)
 		if err == nil {
 			return member
 		}
-		d.node.figures.diskOpenings.Add(1)
+		d.node.metrics.failedDiskOpens.Add(1)
 		d.node.log.Error().Err(err).Msg("chain: the disk can't be opened; tried again")
 		select {
 		case <-done:
 			return nil
-		case <-time.After(openAgainAfter):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
 
 // current returns what takes part: until the disk is open, nothing does.
-func (d *diskMember) current() controlState {
+func (d *deferredStore) store() configStore {
 	if member := d.chain.Load(); member != nil {
 		return member
 	}
-	return noControlState{}
+	return noConfigStore{}
 }
 
-func (d *diskMember) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
-	return d.current().propose(proposal, timeout)
+func (d *deferredStore) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
+	return d.store().propose(proposal, timeout)
 }
 
-func (d *diskMember) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
-	return d.current().patch(change, timeout)
+func (d *deferredStore) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
+	return d.store().patch(change, timeout)
 }
 
-func (d *diskMember) read(timeout time.Duration) *peerproto.Result { return d.current().read(timeout) }
+func (d *deferredStore) read(timeout time.Duration) *peerproto.Result { return d.store().read(timeout) }
 
-func (d *diskMember) take(peer string, body []byte) { d.current().take(peer, body) }
+func (d *deferredStore) receive(peer string, body []byte) { d.store().receive(peer, body) }
 
-func (d *diskMember) member() bool { return d.current().member() }
+func (d *deferredStore) isMember() bool { return d.store().isMember() }
 
-func (d *diskMember) opened() <-chan struct{} { return d.isReady }
+func (d *deferredStore) opened() <-chan struct{} { return d.ready }
 
-func (d *diskMember) leave() {
+func (d *deferredStore) leave() {
 	d.leaving.Store(true)
-	d.current().leave()
+	d.store().leave()
 }
 
-func (d *diskMember) released() <-chan struct{} { return d.current().released() }
+func (d *deferredStore) canStop() <-chan struct{} { return d.store().canStop() }
 
-func (d *diskMember) close() { d.current().close() }
+func (d *deferredStore) close() { d.store().close() }
--- a/internal/router/agent/end_plan_test.go
+++ b/internal/router/agent/end_plan_test.go
@@ -12,12 +12,12 @@
 func TestAnswersGoOnIntoTheLastSixthOfTheGrace(t *testing.T) {
 	c := qt.New(t)
 	for grace := time.Second; grace <= time.Minute; grace += 500 * time.Millisecond {
-		plan := planEnd(grace)
+		plan := planShutdown(grace)
 		comment := qt.Commentf("grace %v: %+v", grace, plan)
-		c.Check(plan.cutRequests > grace*5/6, qt.IsTrue, comment)
-		c.Check(plan.closeListener < plan.cutRequests, qt.IsTrue, comment)
-		c.Check(plan.answered > plan.cutRequests, qt.IsTrue, comment)
+		c.Check(plan.abortRequests > grace*5/6, qt.IsTrue, comment)
+		c.Check(plan.closeListener < plan.abortRequests, qt.IsTrue, comment)
+		c.Check(plan.finishAnswers > plan.abortRequests, qt.IsTrue, comment)
 		c.Check(plan.notice > 0, qt.IsTrue, comment)
-		c.Check(plan.answered+plan.notice < grace, qt.IsTrue, comment)
+		c.Check(plan.finishAnswers+plan.notice < grace, qt.IsTrue, comment)
 	}
 }
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -8,80 +8,80 @@
 	"cresshub/internal/router/transport"
 )
 
-// feedInterval is how often a feed without changes tells that it is alive.
-const feedInterval = 400 * time.Millisecond
+// feedKeepaliveInterval is how often a feed without changes tells that it is alive.
+const feedKeepaliveInterval = 400 * time.Millisecond
 
 // serveFeed sends the changes of this copy to a follower until its connection ends.
 func (n *Node) serveFeed(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
-	place, version := uint64(request.Offset), request.Version
+	offset, version := uint64(request.Offset), request.Version
 	if request.Feed != n.id {
-		place = 0
+		offset = 0
 	}
 	epoch := int64(-1)
-	ticker := time.NewTicker(feedInterval)
-	defer ticker.Stop()
+	keepalive := time.NewTicker(feedKeepaliveInterval)
+	defer keepalive.Stop()
 	for {
-		changed := n.state.next()
-		piece := n.feedPiece(place, epoch)
+		changed := n.state.nextChange()
+		feed := n.nextFeed(offset, epoch)
 		if config := n.state.Config(); config != nil && config.Version > version {
-			piece.Config, piece.Version = n.newsOfConfig(config, version), config.Version
+			feed.Config, feed.Version = n.configUpdate(config, version), config.Version
 		}
-		if !c.Send(peerproto.Frame{Kind: peerproto.KindFeed, Body: peerproto.Encode(piece)}) {
+		if !c.Send(peerproto.Frame{Kind: peerproto.KindFeed, Body: peerproto.Encode(feed)}) {
 			return
 		}
-		place, version, epoch = uint64(piece.To), piece.Version, piece.Epoch
-		if !n.awaitNews(c, cancel, changed, ticker, place, version, epoch) {
+		offset, version, epoch = uint64(feed.To), feed.Version, feed.Epoch
+		if !n.awaitUpdate(c, cancel, changed, keepalive, offset, version, epoch) {
 			return
 		}
 	}
 }
 
-// awaitNews returns once there is something to tell a follower, or it is time to tell that there is
+// awaitUpdate returns once there is something to tell a follower, or it is time to tell that there is
 // nothing. It returns false when the feed is to end.
-func (n *Node) awaitNews(c *transport.Conn, cancel, changed <-chan struct{}, ticker *time.Ticker,
-	place uint64, version, epoch int64) bool {
+func (n *Node) awaitUpdate(c *transport.Conn, cancel, changed <-chan struct{}, keepalive *time.Ticker,
+	offset uint64, version, epoch int64) bool {
 	for {
 		select {
 		case <-c.Closed():
 			return false
 		case <-cancel:
 			return false
-		case <-ticker.C:
+		case <-keepalive.C:
 			return true
 		case <-changed:
-			changed = n.state.next()
-			if n.hasNews(place, version, epoch) {
+			changed = n.state.nextChange()
+			if n.hasUpdate(offset, version, epoch) {
 				return true
 			}
 		}
 	}
 }
 
-func (n *Node) hasNews(place uint64, version, epoch int64) bool {
+func (n *Node) hasUpdate(offset uint64, version, epoch int64) bool {
 	n.state.mu.Lock()
 	defer n.state.mu.Unlock()
 	s := n.state
-	return s.directory.Offset() != place || s.version() != version || s.view.epoch != epoch
+	return s.directory.Offset() != offset || s.version() != version || s.view.epoch != epoch
 }
 
-// feedPiece returns what a follower at a place has not heard yet.
-func (n *Node) feedPiece(place uint64, epoch int64) *peerproto.Feed {
+// nextFeed returns what a follower at a place has not heard yet.
+func (n *Node) nextFeed(offset uint64, epoch int64) *peerproto.Feed {
 	n.state.mu.Lock()
 	defer n.state.mu.Unlock()
 	d := n.state.directory
-	if place > d.Offset() {
-		place = 0
+	if offset > d.Offset() {
+		offset = 0
 	}
-	piece := &peerproto.Feed{Feed: n.id, From: int64(place), To: int64(d.Offset()), Epoch: n.state.view.epoch}
-	piece.Records = valuesOf(d.Since(place))
+	feed := &peerproto.Feed{Feed: n.id, From: int64(offset), To: int64(d.Offset()), Epoch: n.state.view.epoch}
+	feed.Records = copyRecords(d.Since(offset))
 	if epoch != n.state.view.epoch {
-		piece.Members = n.state.view.members
+		feed.Members = n.state.view.members
 	}
-	piece.Version = n.state.version()
-	return piece
+	feed.Version = n.state.version()
+	return feed
 }
 
-func valuesOf(records []*directory.Record) []directory.Record {
+func copyRecords(records []*directory.Record) []directory.Record {
 	values := make([]directory.Record, len(records))
 	for i, r := range records {
 		values[i] = *r
--- a/internal/router/agent/follow.go
+++ b/internal/router/agent/follow.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// feedSilence is how long a feed may be silent until another hub is followed.
-	feedSilence  = 1200 * time.Millisecond
-	followTick   = 100 * time.Millisecond
-	fetchTimeout = 700 * time.Millisecond
-	// fetchPatience is how long a process that has a configuration waits for its feed to bring a newer one.
-	fetchPatience = 150 * time.Millisecond
+	// feedTimeout is how long a feed may be silent until another hub is followed.
+	feedTimeout         = 1200 * time.Millisecond
+	sourceCheckInterval = 100 * time.Millisecond
+	fetchTimeout        = 700 * time.Millisecond
+	// fetchDelay is how long a process that has a configuration waits for its feed to bring a newer one.
+	fetchDelay = 150 * time.Millisecond
 )
 
-// following is which hub's feed this process follows, and how far. Guarded by Node.followMu.
-type following struct {
-	source *hub
-	feed   string
-	place  uint64
-	heard  time.Duration // when the last piece came
+// following is which hub's feed this process follows, and how far. Guarded by Node.subscriptionMu.
+type subscription struct {
+	source       *hub
+	feed         string
+	offset       uint64
+	lastReceived time.Duration // when the last piece came
 }
 
 // follow keeps following the feed of one hub, unless this process is a hub itself: hubs hear all changes at
 // first hand and compare their copies.
-func (n *Node) follow(stop <-chan struct{}) {
-	ticker := time.NewTicker(followTick)
+func (n *Node) runSubscription(stop <-chan struct{}) {
+	ticker := time.NewTicker(sourceCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -38,28 +38,28 @@
 			return
 		case <-ticker.C:
 			n.updateHubs()
-			n.checkSource()
+			n.updateSource()
 		}
 	}
 }
 
 // follows tells whether this process follows a hub's feed.
-func (n *Node) follows() bool {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
-	return n.following.source != nil
+func (n *Node) isSubscribed() bool {
+	n.subscriptionMu.Lock()
+	defer n.subscriptionMu.Unlock()
+	return n.subscription.source != nil
 }
 
-func (n *Node) checkSource() {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
+func (n *Node) updateSource() {
+	n.subscriptionMu.Lock()
+	defer n.subscriptionMu.Unlock()
 	now := n.now()
-	f := &n.following
+	f := &n.subscription
 	if n.isHub() {
-		n.becomeHub(f)
+		n.unsubscribe(f)
 		return
 	}
-	if f.source != nil && now-f.heard < feedSilence && n.mayStayWith(f.source) {
+	if f.source != nil && now-f.lastReceived < feedTimeout && n.isUsableSource(f.source) {
 		return
 	}
 	next := n.chooseSource(f.source)
@@ -67,24 +67,24 @@
 		return
 	}
 	if f.source != next {
-		n.figures.followed.Add(1)
+		n.metrics.sourceChanges.Add(1)
 		n.log.Info().Str("hub", next.ip).Msg("feed: following")
 	}
-	f.source, f.heard = next, now
-	n.sendFollow()
+	f.source, f.lastReceived = next, now
+	n.subscribe()
 	watcher := next.current().id
 	n.announceSelf(func(self *directory.Record) { self.Watcher = watcher })
 }
 
-// mayStayWith tells whether a hub is still one to follow. One that does not reach a majority may miss what
+// isUsableSource tells whether a hub is still one to follow. One that does not reach a majority may miss what
 // the others acknowledge; it is left once another one can be followed.
-func (n *Node) mayStayWith(source *hub) bool {
+func (n *Node) isUsableSource(source *hub) bool {
 	state := source.current()
-	return state.holds && state.reachesMajority && source.link.Connected() && n.hubAt(source.ip) == source
+	return state.hasSnapshot && state.reachesMajority && source.link.Connected() && n.hubAt(source.ip) == source
 }
 
-// becomeHub ends following where this process is a hub; followMu is held.
-func (n *Node) becomeHub(f *following) {
+// unsubscribe ends following where this process is a hub; subscriptionMu is held.
+func (n *Node) unsubscribe(f *subscription) {
 	wasFollower := f.source != nil
 	f.source = nil
 	if wasFollower {
@@ -92,10 +92,10 @@
 	}
 }
 
-// sendFollow asks the present source for its feed; followMu is held.
-func (n *Node) sendFollow() {
-	f := &n.following
-	request := peerproto.Follow{Feed: f.feed, Offset: int64(f.place), Version: n.state.version()}
+// subscribe asks the present source for its feed; subscriptionMu is held.
+func (n *Node) subscribe() {
+	f := &n.subscription
+	request := peerproto.Follow{Feed: f.feed, Offset: int64(f.offset), Version: n.state.version()}
 	f.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
 }
 
@@ -107,7 +107,7 @@
 	for _, h := range n.currentHubs() {
 		state := h.current()
 		switch {
-		case state.heard == 0 || !state.holds || !h.link.Connected():
+		case state.lastSeen == 0 || !state.hasSnapshot || !h.link.Connected():
 		case state.reachesMajority:
 			inMajority = append(inMajority, h)
 		default:
@@ -136,47 +136,47 @@
 	return best
 }
 
-// takeFromHub takes a frame that answers no call: a piece of the feed.
-func (n *Node) takeFromHub(h *hub, frame peerproto.Frame) {
+// handleHubFrame takes a frame that answers no call: a piece of the feed.
+func (n *Node) handleHubFrame(h *hub, frame peerproto.Frame) {
 	if frame.Kind == peerproto.KindLoadReport {
-		n.takeWork(h, frame)
+		n.handleLoad(h, frame)
 		return
 	}
 	if frame.Kind != peerproto.KindFeed {
 		return
 	}
-	var piece peerproto.Feed
-	if peerproto.Decode(frame.Body, &piece) != nil {
+	var feed peerproto.Feed
+	if peerproto.Decode(frame.Body, &feed) != nil {
 		h.link.Reset()
 		return
 	}
-	n.takePiece(h, &piece)
+	n.handleFeed(h, &feed)
 }
 
-func (n *Node) takePiece(h *hub, piece *peerproto.Feed) {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
-	f := &n.following
+func (n *Node) handleFeed(h *hub, feed *peerproto.Feed) {
+	n.subscriptionMu.Lock()
+	defer n.subscriptionMu.Unlock()
+	f := &n.subscription
 	if f.source != h {
 		return
 	}
-	f.heard = n.now()
-	n.takePacked(piece.Config)
-	if n.state.learnView(piece.Epoch, piece.Members) {
+	f.lastReceived = n.now()
+	n.applyPacked(feed.Config)
+	if n.state.learnView(feed.Epoch, feed.Members) {
 		go n.updateHubs()
 	}
-	continues := piece.Feed == f.feed && uint64(piece.From) == f.place
-	if piece.From != 0 && !continues {
-		n.sendFollow() // a piece is missing
+	continues := feed.Feed == f.feed && uint64(feed.From) == f.offset
+	if feed.From != 0 && !continues {
+		n.subscribe() // a piece is missing
 		return
 	}
-	n.mergeHeard(piece.Records)
-	f.feed, f.place = piece.Feed, uint64(piece.To)
-	n.state.markSynced()
+	n.mergeRemote(feed.Records)
+	f.feed, f.offset = feed.Feed, uint64(feed.To)
+	n.state.setSynced()
 }
 
-// mergeHeard takes in records that another process told, and contradicts what is wrong of this process.
-func (n *Node) mergeHeard(records []directory.Record) {
+// mergeRemote takes in records that another process told, and contradicts what is wrong of this process.
+func (n *Node) mergeRemote(records []directory.Record) {
 	if len(records) == 0 {
 		return
 	}
@@ -210,8 +210,8 @@
 	n.state.merge(n.now(), []directory.Record{n.self})
 }
 
-// takeConfig puts a document that another process holds to be in force in force here.
-func (n *Node) takeConfig(document []byte) {
+// applyDocument puts a document that another process holds to be in force in force here.
+func (n *Node) applyDocument(document []byte) {
 	if len(document) == 0 {
 		return
 	}
@@ -220,12 +220,12 @@
 		n.log.Error().Err(err).Msg("feed: a configuration in force can't be read")
 		return
 	}
-	n.adopt(config)
+	n.applyConfig(config)
 }
 
 // adopt puts a configuration that was acknowledged in force unless a newer one is.
-func (n *Node) adopt(config *fleetconfig.Config) {
-	if n.state.adopt(config) {
+func (n *Node) applyConfig(config *fleetconfig.Config) {
+	if n.state.applyConfig(config) {
 		n.log.Info().Int64("version", config.Version).Msg("config: in force")
 	}
 }
@@ -233,12 +233,12 @@
 // fetchConfig asks a hub for a newer configuration where the feed did not bring it.
 func (n *Node) fetchConfig(h *hub) {
 	if n.state.Config() != nil {
-		time.Sleep(fetchPatience)
+		time.Sleep(fetchDelay)
 	}
-	if h.current().heard == 0 || !n.fetching.CompareAndSwap(false, true) {
+	if h.current().lastSeen == 0 || !n.fetchingConfig.CompareAndSwap(false, true) {
 		return
 	}
-	defer n.fetching.Store(false)
+	defer n.fetchingConfig.Store(false)
 	before := n.state.version()
 	frame, err := h.link.Call(peerproto.KindConfigFetch, nil, fetchTimeout)
 	if err != nil || n.state.version() > before {
@@ -247,6 +247,6 @@
 	var result peerproto.Result
 	if peerproto.Decode(frame.Body, &result) == nil && result.Outcome == peerproto.OutcomeAccepted &&
 		result.Version > n.state.version() {
-		n.takePacked(result.Body)
+		n.applyPacked(result.Body)
 	}
 }
--- a/internal/router/agent/front_state.go
+++ b/internal/router/agent/front_state.go
@@ -30,13 +30,13 @@
 	}
 }
 
-// reportLost tells the fleet that a server is lost. There are at most reportsMost of these in each
-// reportSpan, because a proxy that loses many servers at once is likely to be the one in trouble.
+// reportLost tells the fleet that a server is lost. There are at most maxLossReports of these in each
+// lossReportWindow, because a proxy that loses many servers at once is likely to be the one in trouble.
 func (n *Node) reportLost(server, reason string) {
 	now := n.now()
-	n.state.change(now, func(d *directory.Directory) {
+	n.state.update(now, func(d *directory.Directory) {
 		known := d.Get(server)
-		if known == nil || !known.Live() || !n.mayReport(now) {
+		if known == nil || !known.Live() || !n.allowLossReport(now) {
 			return
 		}
 		lost := *known
@@ -45,16 +45,16 @@
 	})
 }
 
-// mayReport counts a report where one is left; the directory's lock is held.
-func (n *Node) mayReport(now time.Duration) bool {
-	if now-n.reportsSince > reportSpan {
-		n.reportsSince, n.reports = now, 0
+// allowLossReport counts a report where one is left; the directory's lock is held.
+func (n *Node) allowLossReport(now time.Duration) bool {
+	if now-n.lossReportsSince > lossReportWindow {
+		n.lossReportsSince, n.lossReports = now, 0
 	}
-	n.reports++
-	return n.reports <= reportsMost
+	n.lossReports++
+	return n.lossReports <= maxLossReports
 }
 
 const (
-	reportSpan  = 2 * time.Second
-	reportsMost = 4
+	lossReportWindow = 2 * time.Second
+	maxLossReports   = 4
 )
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -70,8 +70,8 @@
 
 	n.state.merge(n.now(), goldenDiskRecords())
 	var live []directory.Record
-	n.state.read(func(d *directory.Directory) { live = valuesOf(d.LiveServers()) })
-	c.Assert(n.saved().writeRecords(savedName, live), qt.IsNil)
+	n.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
+	c.Assert(n.saved().writeRecords(serversFile, live), qt.IsNil)
 	checkWritten(c, n, "servers", filepath.Join(goldenData, "servers"))
 	n.saveProxies()
 	checkWritten(c, n, "proxies", filepath.Join(goldenData, "proxies"))
@@ -115,7 +115,7 @@
 	c.Assert(known, qt.IsTrue)
 	c.Assert(entry, qt.DeepEquals, chain.Entry{Epoch: 299, Sequence: 200, Version: 40,
 		Body: []byte(goldenDocument)})
-	n.takeStored(<-member.committed)
+	n.applyStored(<-member.committed)
 	checkConfig(c, n, 40, goldenDocument)
 
 	c.Assert(member.log.Compact(member.machine.SnapshotRecords()), qt.IsNil)
@@ -139,22 +139,22 @@
 	c := qt.New(t)
 	n := diskNode(c, t, true)
 	records := goldenDiskRecords()
-	servers, err := n.saved().readRecords(savedName)
+	servers, err := n.saved().readRecords(serversFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(servers, qt.DeepEquals, []directory.Record{records[0], records[3]})
 	c.Assert(n.loadServers(), qt.IsTrue)
 	var live []directory.Record
-	n.state.read(func(d *directory.Directory) { live = valuesOf(d.LiveServers()) })
+	n.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
 	c.Assert(live, qt.DeepEquals, servers)
 	c.Assert(n.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
 	c.Assert(n.front.KnownPrompts(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
-	proxies, err := n.saved().readRecords(savedProxies)
+	proxies, err := n.saved().readRecords(proxiesFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
 		{Kind: directory.KindProxy, Address: "10.0.0.3"}})
 	n.loadProxies()
 	c.Assert(n.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
-	prompts, err := n.saved().read(savedPrompts)
+	prompts, err := n.saved().read(promptsFile)
 	c.Assert(err, qt.IsNil)
 	var work peerproto.LoadReport
 	c.Assert(peerproto.Decode(prompts, &work), qt.IsNil)
@@ -165,9 +165,9 @@
 		c.Assert(os.Remove(filepath.Join(n.settings.DataDir, name)), qt.IsNil)
 	}
 	n.saveProxies()
-	c.Assert(n.saved().write(savedPrompts, peerproto.Encode(&work)), qt.IsNil)
+	c.Assert(n.saved().write(promptsFile, peerproto.Encode(&work)), qt.IsNil)
 	checkWritten(c, n, "proxies", filepath.Join(goldenData, "proxies"))
 	checkWritten(c, n, "prompts", filepath.Join(goldenData, "prompts"))
-	c.Assert(n.saved().writeRecords(savedName, servers), qt.IsNil)
+	c.Assert(n.saved().writeRecords(serversFile, servers), qt.IsNil)
 	checkWritten(c, n, "servers", filepath.Join(goldenData, "servers"))
 }
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -75,13 +75,13 @@
 	}
 	return &chain.Message{
 		Kind: kind, From: "m0", Epoch: 2, Address: "127.0.0.1", HasDisk: true, EntryEpoch: 3, Open: true,
-		Leaving: true, Stalled: true, Sealed: true, Hears: []chain.MemberID{"m1", "m2"},
+		Draining: true, Stalled: true, Sealed: true, ReceivesFrom: []chain.MemberID{"m1", "m2"},
 		View: chain.View{Epoch: 4, Members: []chain.Member{{ID: "m0", Address: "127.0.0.1"},
 			{ID: "m1", Address: "10.0.0.2"}}, Chain: []chain.MemberID{"m1", "m0"},
 			Fresh: []chain.MemberID{"m0"}, Sources: []chain.MemberID{"m1"},
 			Unopened: []chain.PastChain{{Epoch: 5, Chain: []chain.MemberID{"m2", "m3"}}}},
-		Ballot:         chain.Ballot{Round: 6, Member: "m4"},
-		AcceptedBallot: chain.Ballot{Round: 7, Member: "m5"}, Sequence: 8, Version: 9,
+		ProposalNumber: chain.ProposalNumber{Counter: 6, Proposer: "m4"},
+		AcceptedNumber: chain.ProposalNumber{Counter: 7, Proposer: "m5"}, Sequence: 8, Version: 9,
 		Digest: []byte("digest"), HasBody: true, Body: []byte("body"),
 		History: []chain.PastEntry{past, {Version: 14, Digest: chain.Digest{1, 2, 3}}}, Resend: true,
 		Origin: "m6", Request: 1<<64 - 2, Expected: 10, Outcome: outcome, Marker: 12,
@@ -96,9 +96,9 @@
 		kind chain.Kind
 	}{
 		{"heartbeat", chain.Heartbeat}, {"view_notice", chain.ViewNotice}, {"genesis", chain.Genesis},
-		{"genesis_reply", chain.GenesisReply}, {"prepare", chain.Prepare}, {"promise", chain.Promise},
-		{"accept", chain.Accept}, {"accepted", chain.Accepted}, {"nack", chain.Nack}, {"seal", chain.Seal},
-		{"append", chain.Append}, {"ask_body", chain.AskBody}, {"ack", chain.Ack}, {"commit", chain.Commit},
+		{"genesis_reply", chain.GenesisReply}, {"prepare", chain.Prepare}, {"promise", chain.PrepareReply},
+		{"accept", chain.Accept}, {"accepted", chain.AcceptReply}, {"nack", chain.Nack}, {"seal", chain.Seal},
+		{"append", chain.Append}, {"ask_body", chain.FetchBody}, {"ack", chain.Ack}, {"commit", chain.Commit},
 		{"forward", chain.Forward}, {"forward_read", chain.ForwardRead}, {"forward_reply", chain.ForwardReply},
 		{"marker", chain.Marker}, {"marker_reply", chain.MarkerReply},
 	}
@@ -125,14 +125,14 @@
 	c.Assert(peerproto.Decode(readGolden(c, "status.bin"), &status), qt.IsNil)
 	c.Assert(status, qt.DeepEquals, peerproto.Status{ID: "proxy-1", Epoch: 7, Members: goldenMembers()})
 
-	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(n.feedPiece(0, -1)))
-	var snapshot, piece peerproto.Feed
+	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(n.nextFeed(0, -1)))
+	var snapshot, feed peerproto.Feed
 	c.Assert(peerproto.Decode(readGolden(c, "feed_snapshot.bin"), &snapshot), qt.IsNil)
 	c.Assert(snapshot, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", To: 3, Records: goldenRecords(),
 		Config: []byte{}, Epoch: 7, Members: goldenMembers()})
-	checkGolden(c, "feed_piece.bin", peerproto.Encode(n.feedPiece(2, 7)))
-	c.Assert(peerproto.Decode(readGolden(c, "feed_piece.bin"), &piece), qt.IsNil)
-	c.Assert(piece, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", From: 2, To: 3,
+	checkGolden(c, "feed_piece.bin", peerproto.Encode(n.nextFeed(2, 7)))
+	c.Assert(peerproto.Decode(readGolden(c, "feed_piece.bin"), &feed), qt.IsNil)
+	c.Assert(feed, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", From: 2, To: 3,
 		Records: goldenRecords()[2:], Config: []byte{}, Epoch: 7,
 		Members: []peerproto.MemberInfo{}})
 
@@ -153,9 +153,9 @@
 	prompts []scheduler.CachedPrefixes
 }
 
-func (s *sharedWork) ShareWork(others []scheduler.InFlightLoad, whole bool,
+func (s *sharedWork) ShareWork(others []scheduler.InFlightLoad, full bool,
 	prompts []scheduler.CachedPrefixes) {
-	s.others, s.whole, s.prompts = others, whole, prompts
+	s.others, s.whole, s.prompts = others, full, prompts
 }
 
 // TestGoldenWorkIsReadAndWrittenByteForByte: what is under way, in the forms for the hub, for other hubs and
@@ -166,26 +166,27 @@
 		{Server: "server-2", Prefill: time.Hour, Calls: 70}}
 	prompts := []scheduler.CachedPrefixes{{Server: "server-1", Hashes: []uint64{1, 1<<64 - 3}},
 		{Server: "server-2", Hashes: []uint64{1 << 63}}}
-	checkGolden(c, "work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true, Servers: encodeWork(changes),
+	checkGolden(c, "work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true, Servers: encodeLoad(changes),
 		FullIndex: true, Prefixes: encodePrompts(prompts)}))
 	var work peerproto.LoadReport
 	c.Assert(peerproto.Decode(readGolden(c, "work.bin"), &work), qt.IsNil)
 	c.Assert(work.Full && work.FullIndex, qt.IsTrue)
-	c.Assert(decodeWork(work.Servers), qt.DeepEquals, changes)
+	c.Assert(decodeLoad(work.Servers), qt.DeepEquals, changes)
 	c.Assert(decodePrompts(work.Prefixes), qt.DeepEquals, prompts)
 
 	n := goldenNode(t)
 	told := &sharedWork{}
 	n.workload = told
-	n.work.takeOwn(&peerproto.LoadReport{Servers: encodeWork(changes[:1]), Prefixes: encodePrompts(prompts[:1])})
-	local := n.work.sumLocal()
+	n.load.applyOwn(&peerproto.LoadReport{Servers: encodeLoad(changes[:1]),
+		Prefixes: encodePrompts(prompts[:1])})
+	local := n.load.localLoad()
 	checkGolden(c, "hub_work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true,
-		Servers: n.work.selected(local, nil, true), Prefixes: n.work.localPrompts}))
+		Servers: n.load.loadExcept(local, nil, true), Prefixes: n.load.localPrompts}))
 
 	other := goldenNode(t)
 	other.workload = told
-	other.work.fromHub(nil, readGolden(c, "hub_work.bin"))
-	other.work.distribute(true)
+	other.load.applyHub(nil, readGolden(c, "hub_work.bin"))
+	other.load.distribute(true)
 	c.Assert(told.others, qt.DeepEquals, changes[:1])
 	c.Assert(told.whole, qt.IsTrue)
 	c.Assert(told.prompts, qt.DeepEquals, prompts[:1])
@@ -197,8 +198,8 @@
 	n := goldenNode(t)
 	checkGolden(c, "demands.bin", peerproto.Encode(&peerproto.Demands{Services: []peerproto.Demand{
 		{Service: "chat", Prefill: 1.5, Decode: 2.25}, {Service: "other", Prefill: 3, Decode: 4}}}))
-	n.demand.take("proxy-2", n.now(), readGolden(c, "demands.bin"))
-	c.Assert(n.demand.of("chat", n.now()), qt.Equals,
+	n.demand.record("proxy-2", n.now(), readGolden(c, "demands.bin"))
+	c.Assert(n.demand.total("chat", n.now()), qt.Equals,
 		roleplan.Demand{HasTraffic: true, PrefillCalls: 1.5, DecodeCalls: 2.25})
 }
 
@@ -215,12 +216,12 @@
 func TestGoldenConfigurationsAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	n := goldenNode(t)
-	n.takeConfig([]byte(goldenDocument))
+	n.applyDocument([]byte(goldenDocument))
 	checkGolden(c, "config_result.bin", peerproto.Encode(n.configInForce()))
 	adoptPatch(c, n, goldenPatch)
 	config := n.state.Config()
-	checkGolden(c, "config_patches.bin", n.newsOfConfig(config, 40))
-	checkGolden(c, "config_packed.bin", n.newsOfConfig(config, 0))
+	checkGolden(c, "config_patches.bin", n.configUpdate(config, 40))
+	checkGolden(c, "config_packed.bin", n.configUpdate(config, 0))
 	patch, err := fleetconfig.ParsePatch(40, []byte(goldenPatch))
 	c.Assert(err, qt.IsNil)
 	checkGolden(c, "config_stored.bin", fleetconfig.EncodeStored(patch, config.Raw()))
@@ -230,21 +231,21 @@
 	c.Assert(peerproto.Decode(readGolden(c, "config_result.bin"), &result), qt.IsNil)
 	c.Assert(result.Outcome, qt.Equals, peerproto.OutcomeAccepted)
 	c.Assert(result.Version, qt.Equals, int64(40))
-	follower.takePacked(result.Body)
+	follower.applyPacked(result.Body)
 	checkConfig(c, follower, 40, goldenDocument)
-	follower.takePacked(readGolden(c, "config_patches.bin"))
+	follower.applyPacked(readGolden(c, "config_patches.bin"))
 	checkConfig(c, follower, 41, goldenPatched)
 
 	for _, before := range []string{"", goldenDocument} {
 		packed, stored := goldenNode(t), goldenNode(t)
-		packed.takeConfig([]byte(before))
-		packed.takePacked(readGolden(c, "config_packed.bin"))
+		packed.applyDocument([]byte(before))
+		packed.applyPacked(readGolden(c, "config_packed.bin"))
 		checkConfig(c, packed, 41, goldenPatched)
-		stored.takeConfig([]byte(before))
-		stored.takeStored(readGolden(c, "config_stored.bin"))
+		stored.applyDocument([]byte(before))
+		stored.applyStored(readGolden(c, "config_stored.bin"))
 		checkConfig(c, stored, 41, goldenPatched)
 	}
-	c.Assert(fmt.Sprintf("%x", digestOfStored(readGolden(c, "config_stored.bin"))), qt.Equals,
+	c.Assert(fmt.Sprintf("%x", storedDigest(readGolden(c, "config_stored.bin"))), qt.Equals,
 		"285c92064f1e7ce03f0925b3225a077f7ca1a85eca4fcea4bc983d980fa301a0")
 }
 
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -28,9 +28,9 @@
 // hubState is what is known of a hub.
 type hubState struct {
 	id              string        // of the process that answers there
-	pushed          uint64        // the place up to which it has the records of this process
-	heard           time.Duration // when it last answered a ping, 0 since the connection opened
-	holds           bool          // it may be followed
+	replicatedTo    uint64        // the place up to which it has the records of this process
+	lastSeen        time.Duration // when it last answered a ping, 0 since the connection opened
+	hasSnapshot     bool          // it may be followed
 	reachesMajority bool          // more than half of the members answer it
 }
 
@@ -41,19 +41,19 @@
 }
 
 // answers tells whether the hub has answered lately.
-func (h *hub) answers(now time.Duration) bool {
-	heard := h.current().heard
-	return heard > 0 && now-heard <= contactLife
+func (h *hub) isResponsive(now time.Duration) bool {
+	lastSeen := h.current().lastSeen
+	return lastSeen > 0 && now-lastSeen <= contactTimeout
 }
 
 func (n *Node) newHub(ip string) *hub {
 	h := &hub{ip: ip, stop: make(chan struct{})}
 	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: n.id}) }
-	other := func(frame peerproto.Frame) { n.takeFromHub(h, frame) }
+	handle := func(frame peerproto.Frame) { n.handleHubFrame(h, frame) }
 	up := make(chan struct{}, 1)
-	h.link = n.endpoint.NewLink(n.innerAddress(ip), hello, other, func(isUp bool) {
+	h.link = n.endpoint.NewLink(n.peerAddress(ip), hello, handle, func(isUp bool) {
 		h.mu.Lock()
-		h.state.pushed, h.state.heard = 0, 0
+		h.state.replicatedTo, h.state.lastSeen = 0, 0
 		h.mu.Unlock()
 		select {
 		case up <- struct{}{}:
@@ -71,7 +71,7 @@
 		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(n.demand.own()), pingTimeout)
 		switch err {
 		case nil:
-			n.takeStatus(h, frame)
+			n.handleStatus(h, frame)
 		case transport.ErrTimeout:
 			h.link.Reset()
 		}
@@ -87,17 +87,17 @@
 // untilPing is the pause before the next ping: a short one while this process follows nobody, or is a member
 // that does not reach a majority.
 func (n *Node) untilPing() time.Duration {
-	takesPart := n.follows()
+	established := n.isSubscribed()
 	if n.isHub() {
-		takesPart = n.reachesFleet()
+		established = n.reachesFleet()
 	}
-	if takesPart {
+	if established {
 		return pingInterval
 	}
 	return eagerPingInterval
 }
 
-func (n *Node) takeStatus(h *hub, frame peerproto.Frame) {
+func (n *Node) handleStatus(h *hub, frame peerproto.Frame) {
 	var status peerproto.Status
 	if peerproto.Decode(frame.Body, &status) != nil {
 		h.link.Reset()
@@ -106,17 +106,17 @@
 	now := n.now()
 	h.mu.Lock()
 	if h.state.id != "" && h.state.id != status.ID {
-		h.state.pushed = 0 // another process: it knows nothing yet
+		h.state.replicatedTo = 0 // another process: it knows nothing yet
 	}
-	h.state.id, h.state.heard = status.ID, now
-	h.state.holds, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
+	h.state.id, h.state.lastSeen = status.ID, now
+	h.state.hasSnapshot, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
 	h.mu.Unlock()
 	n.hubsMu.Lock()
-	n.reachedAt = now
+	n.lastHubContact = now
 	n.hubsMu.Unlock()
 	n.learnStatusView(&status)
-	if !n.follows() {
-		n.checkSource() // need not wait for its turn
+	if !n.isSubscribed() {
+		n.updateSource() // need not wait for its turn
 	}
 	if status.Version > n.state.version() {
 		go n.fetchConfig(h)
--- a/internal/router/agent/hub_push.go
+++ b/internal/router/agent/hub_push.go
@@ -13,7 +13,7 @@
 // pushToHub sends the records that this process answers for whenever they change, until the hub has them.
 func (n *Node) pushToHub(h *hub) {
 	for {
-		changed := n.state.next()
+		changed := n.state.nextChange()
 		if n.pushOnce(h) {
 			select {
 			case <-h.stop:
@@ -33,12 +33,12 @@
 
 // pushOnce tells whether the hub has all records of this process.
 func (n *Node) pushOnce(h *hub) bool {
-	pushed := h.current().pushed
+	replicatedTo := h.current().replicatedTo
 	var records []directory.Record
 	var number uint64
 	n.state.read(func(d *directory.Directory) {
 		number = d.Offset()
-		for _, r := range d.Since(pushed) {
+		for _, r := range d.Since(replicatedTo) {
 			if r.ID == n.id || r.Watcher == n.id {
 				records = append(records, *r)
 			}
@@ -54,11 +54,11 @@
 		}
 	}
 	h.mu.Lock()
-	if h.state.pushed == pushed { // else the connection was opened anew meanwhile
-		h.state.pushed = max(number, 1)
+	if h.state.replicatedTo == replicatedTo { // else the connection was opened anew meanwhile
+		h.state.replicatedTo = max(number, 1)
 	}
-	complete := h.state.pushed >= number
+	complete := h.state.replicatedTo >= number
 	h.mu.Unlock()
-	n.wakeWaiters()
+	n.notifyReplicated()
 	return complete
 }
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -15,8 +15,8 @@
 // isolatedAfter is how long no hub answers until any known process will do.
 const isolatedAfter = 1500 * time.Millisecond
 
-// innerAddress returns where the process of a machine takes calls of others.
-func (n *Node) innerAddress(ip string) string {
+// peerAddress returns where the process of a machine takes calls of others.
+func (n *Node) peerAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(n.settings.InnerPorts[0]))
 }
 
@@ -67,7 +67,7 @@
 func (n *Node) isIsolated() bool {
 	n.hubsMu.Lock()
 	defer n.hubsMu.Unlock()
-	return n.now()-n.reachedAt > isolatedAfter
+	return n.now()-n.lastHubContact > isolatedAfter
 }
 
 // currentHubs returns the links to all hubs, sorted by address.
@@ -94,7 +94,7 @@
 	wanted := n.hubAddresses()
 	n.hubsMu.Lock()
 	defer n.hubsMu.Unlock()
-	if n.unlinked {
+	if n.linksClosed {
 		return
 	}
 	for ip, h := range n.hubs {
@@ -115,7 +115,7 @@
 func (n *Node) closeLinks() {
 	n.hubsMu.Lock()
 	defer n.hubsMu.Unlock()
-	n.unlinked = true
+	n.linksClosed = true
 	for ip, h := range n.hubs {
 		close(h.stop)
 		h.link.Stop()
--- a/internal/router/agent/inspect.go
+++ b/internal/router/agent/inspect.go
@@ -27,11 +27,11 @@
 // IsHub tells whether others report to this process.
 func (n *Node) IsHub() bool { return n.isHub() }
 
-// Follows returns the IP of the hub whose feed this process follows, "" for none.
-func (n *Node) Follows() string {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
-	if source := n.following.source; source != nil {
+// FollowedHub returns the IP of the hub whose feed this process follows, "" for none.
+func (n *Node) FollowedHub() string {
+	n.subscriptionMu.Lock()
+	defer n.subscriptionMu.Unlock()
+	if source := n.subscription.source; source != nil {
 		return source.ip
 	}
 	return ""
--- a/internal/router/agent/introductions.go
+++ b/internal/router/agent/introductions.go
@@ -16,115 +16,115 @@
 // learns the view, and from then on calls the members.
 
 const (
-	introduceTick    = 100 * time.Millisecond
-	introduceTimeout = 700 * time.Millisecond
-	// leastIntroduction and mostIntroduction are the pauses between two introductions to a process that does
+	announceInterval = 100 * time.Millisecond
+	announceTimeout  = 700 * time.Millisecond
+	// minAnnounceBackoff and maxAnnounceBackoff are the pauses between two introductions to a process that does
 	// not answer, at first and at last; the second also follows an answer where the process does not call.
-	leastIntroduction = 100 * time.Millisecond
-	mostIntroduction  = 1600 * time.Millisecond
-	// introductionsAtOnce bounds the introductions that are under way.
-	introductionsAtOnce = 16
+	minAnnounceBackoff = 100 * time.Millisecond
+	maxAnnounceBackoff = 1600 * time.Millisecond
+	// maxConcurrentAnnouncements bounds the introductions that are under way.
+	maxConcurrentAnnouncements = 16
 )
 
 // introduction is how far this process has introduced itself to one address.
-type introduction struct {
-	underWay bool
+type announcementTarget struct {
+	inFlight bool
 	answered bool // by a process that knows a view now
-	next     time.Duration
-	pause    time.Duration
+	nextAt   time.Duration
+	backoff  time.Duration
 }
 
 // introducer introduces a process to others. Its fields are of the goroutine that runs it, but for results.
-type introducer struct {
-	node    *Node
-	to      map[string]*introduction // by IP
-	results chan introductionResult
-	active  int
+type viewAnnouncer struct {
+	node     *Node
+	targets  map[string]*announcementTarget // by IP
+	results  chan announcementResult
+	inFlight int
 }
 
-// introductionResult is how one introduction ended.
-type introductionResult struct {
+// announcementResult is how one introduction ended.
+type announcementResult struct {
 	ip       string
 	answered bool
 }
 
-func newIntroducer(n *Node) *introducer {
-	return &introducer{node: n, to: map[string]*introduction{},
-		results: make(chan introductionResult, introductionsAtOnce)}
+func newViewAnnouncer(n *Node) *viewAnnouncer {
+	return &viewAnnouncer{node: n, targets: map[string]*announcementTarget{},
+		results: make(chan announcementResult, maxConcurrentAnnouncements)}
 }
 
 // run introduces the process to whoever may need it, until done closes.
-func (i *introducer) run(done <-chan struct{}) {
-	ticker := time.NewTicker(introduceTick)
+func (v *viewAnnouncer) run(done <-chan struct{}) {
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
 			return
-		case result := <-i.results:
-			i.finish(result)
+		case result := <-v.results:
+			v.recordResult(result)
 		case <-ticker.C:
-			if i.node.state.currentView().epoch > 0 {
-				i.begin(i.wanted())
+			if v.node.state.currentView().epoch > 0 {
+				v.startDue(v.targetIPs())
 			}
 		}
 	}
 }
 
 // begin starts the introductions that are due.
-func (i *introducer) begin(wanted []string) {
-	now := i.node.now()
-	for ip, known := range i.to {
-		if !known.underWay && !slices.Contains(wanted, ip) {
-			delete(i.to, ip)
+func (v *viewAnnouncer) startDue(targetIPs []string) {
+	now := v.node.now()
+	for ip, target := range v.targets {
+		if !target.inFlight && !slices.Contains(targetIPs, ip) {
+			delete(v.targets, ip)
 		}
 	}
-	for _, ip := range wanted {
-		known := i.to[ip]
-		if known == nil {
-			known = &introduction{pause: leastIntroduction}
-			i.to[ip] = known
+	for _, ip := range targetIPs {
+		target := v.targets[ip]
+		if target == nil {
+			target = &announcementTarget{backoff: minAnnounceBackoff}
+			v.targets[ip] = target
 		}
-		if known.underWay || now < known.next || i.active >= introductionsAtOnce {
+		if target.inFlight || now < target.nextAt || v.inFlight >= maxConcurrentAnnouncements {
 			continue
 		}
-		known.underWay = true
-		i.active++
-		go i.introduce(ip)
+		target.inFlight = true
+		v.inFlight++
+		go v.announce(ip)
 	}
 }
 
 // introduce tells one process the view.
-func (i *introducer) introduce(ip string) {
-	n := i.node
+func (v *viewAnnouncer) announce(ip string) {
+	n := v.node
 	hello := peerproto.Encode(&peerproto.Hello{ID: n.id})
 	body := peerproto.Encode(n.status())
-	frame, err := n.endpoint.CallOnce(n.innerAddress(ip), hello, peerproto.KindAnnounce, body, introduceTimeout)
-	result := introductionResult{ip: ip}
+	frame, err := n.endpoint.CallOnce(n.peerAddress(ip), hello, peerproto.KindAnnounce, body, announceTimeout)
+	result := announcementResult{ip: ip}
 	var status peerproto.Status
 	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
 		result.answered = status.Epoch > 0
 		n.learnStatusView(&status)
 	}
-	i.results <- result
+	v.results <- result
 }
 
 // finish notes how an introduction ended.
-func (i *introducer) finish(result introductionResult) {
-	i.active--
-	known := i.to[result.ip]
-	known.underWay = false
-	known.answered = result.answered
+func (v *viewAnnouncer) recordResult(result announcementResult) {
+	v.inFlight--
+	target := v.targets[result.ip]
+	target.inFlight = false
+	target.answered = result.answered
 	if result.answered {
-		known.pause = mostIntroduction
+		target.backoff = maxAnnounceBackoff
 	}
-	known.next = i.node.now() + known.pause
-	known.pause = min(2*known.pause, mostIntroduction)
+	target.nextAt = v.node.now() + target.backoff
+	target.backoff = min(2*target.backoff, maxAnnounceBackoff)
 }
 
 // wanted returns the IPs of the machines to which this process is to introduce itself.
-func (i *introducer) wanted() []string {
-	n := i.node
+func (v *viewAnnouncer) targetIPs() []string {
+	n := v.node
 	isHub := n.isHub()
 	calling := n.callingAddresses()
 	var ips []string
@@ -135,8 +135,8 @@
 	}
 	for _, seed := range n.seeds() {
 		ip, _, err := net.SplitHostPort(seed)
-		known := i.to[ip]
-		unsure := isHub || known == nil || !known.answered
+		target := v.targets[ip]
+		unsure := isHub || target == nil || !target.answered
 		if err == nil && unsure && !n.hubAnswers(ip) {
 			add(ip)
 		}
@@ -153,7 +153,7 @@
 // hubAnswers tells whether a machine is a hub that has answered this process lately.
 func (n *Node) hubAnswers(ip string) bool {
 	h := n.hubAt(ip)
-	return h != nil && h.answers(n.now())
+	return h != nil && h.isResponsive(n.now())
 }
 
 // callingAddresses returns the machines whose processes have called this one lately.
@@ -162,7 +162,7 @@
 	calling := map[string]bool{}
 	n.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
-			if heard, ok := n.heardAt(proxy.ID); ok && now-heard <= contactLife {
+			if lastSeen, ok := n.lastSeenAt(proxy.ID); ok && now-lastSeen <= contactTimeout {
 				calling[proxy.Address] = true
 			}
 		}
--- a/internal/router/agent/introductions_test.go
+++ b/internal/router/agent/introductions_test.go
@@ -26,31 +26,31 @@
 	n := newTestNode(t)
 	seeds := []string{"127.0.0.1:1", "10.0.0.1:1", "10.0.0.2:1"}
 	n.seedList.Store(&seeds)
-	n.knownProxies.note(n.now(), []string{"10.0.0.5", "10.0.0.6", "127.0.0.1"})
+	n.knownProxies.record(n.now(), []string{"10.0.0.5", "10.0.0.6", "127.0.0.1"})
 	n.state.merge(n.now(), []directory.Record{{Kind: directory.KindProxy, ID: "caller", Sequence: 1,
 		State: directory.Ready, Address: "10.0.0.5"}})
-	n.noteHeard("caller")
-	introducer := newIntroducer(n)
-	c.Check(introducer.wanted(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2", "10.0.0.6"})
+	n.recordContact("caller")
+	announcer := newViewAnnouncer(n)
+	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2", "10.0.0.6"})
 
 	n.state.learnView(2, membersAt("10.9.0.1"))
-	c.Check(introducer.wanted(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2"})
-	introducer.to["10.0.0.1"] = &introduction{answered: true}
-	c.Check(introducer.wanted(), qt.DeepEquals, []string{"10.0.0.2"})
+	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2"})
+	announcer.targets["10.0.0.1"] = &announcementTarget{answered: true}
+	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.2"})
 }
 
 // TestAMemberWithoutAMajorityIsNotFollowed: it may miss what the others acknowledged meanwhile.
 func TestAMemberWithoutAMajorityIsNotFollowed(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(t)
-	n.state.markSynced()
+	n.state.setSynced()
 	c.Check(n.status().ReachesMajority, qt.IsTrue, qt.Commentf("it is the only member"))
 	n.state.learnView(2, membersAt(n.settings.IP, "10.9.0.1", "10.9.0.2"))
 	c.Check(n.status().ReachesMajority, qt.IsFalse)
-	answering := &hub{ip: "10.9.0.2", state: hubState{heard: 1}}
+	answering := &hub{ip: "10.9.0.2", state: hubState{lastSeen: 1}}
 	n.hubs["10.9.0.2"] = answering
 	c.Check(n.status().ReachesMajority, qt.IsTrue)
-	answering.state.heard = n.now() - contactLife - 1
+	answering.state.lastSeen = n.now() - contactTimeout - 1
 	c.Check(n.status().ReachesMajority, qt.IsFalse)
 }
 
@@ -73,22 +73,23 @@
 	n.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
 	c.Check(n.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
 	c.Check(n.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it is known here all the same"))
-	n.hubs["10.9.0.1"], n.hubs["10.9.0.2"] = &hub{state: hubState{heard: 1}}, &hub{state: hubState{heard: 1}}
+	n.hubs["10.9.0.1"], n.hubs["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
+		&hub{state: hubState{lastSeen: 1}}
 	c.Check(n.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
 }
 
 func TestKnownProxiesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	k := newKnownProxies()
-	for i := range mostKnownProxies + 10 {
-		k.note(time.Duration(i), []string{fmt.Sprint("10.0.", i/256, ".", i%256)})
+	for i := range maxKnownProxies + 10 {
+		k.record(time.Duration(i), []string{fmt.Sprint("10.0.", i/256, ".", i%256)})
 	}
-	c.Assert(k.addresses(), qt.HasLen, mostKnownProxies)
+	c.Assert(k.addresses(), qt.HasLen, maxKnownProxies)
 	c.Assert(k.addresses()[0], qt.Equals, "10.0.0.10", qt.Commentf("those live last stay"))
 	c.Assert(k.takeChanged(), qt.IsTrue)
-	k.note(proxyLife/2, []string{"10.0.0.99"})
+	k.record(proxyRetention/2, []string{"10.0.0.99"})
 	c.Assert(k.takeChanged(), qt.IsFalse)
-	k.note(proxyLife+time.Minute, nil)
+	k.record(proxyRetention+time.Minute, nil)
 	c.Assert(k.addresses(), qt.DeepEquals, []string{"10.0.0.99"})
 	c.Assert(k.takeChanged(), qt.IsTrue)
 }
@@ -98,7 +99,7 @@
 	c := qt.New(t)
 	n := newTestNode(t)
 	n.settings.DataDir = t.TempDir()
-	n.knownProxies.note(n.now(), []string{"10.0.0.5", "10.0.0.6"})
+	n.knownProxies.record(n.now(), []string{"10.0.0.5", "10.0.0.6"})
 	n.saveProxies()
 	next := newTestNode(t)
 	next.settings.DataDir = n.settings.DataDir
--- a/internal/router/agent/known_proxies.go
+++ b/internal/router/agent/known_proxies.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// proxyLife is how long the address of a proxy is kept after it was last live.
-	proxyLife = 10 * time.Minute
-	// mostKnownProxies bounds the addresses that are kept; the ones that were live last stay.
-	mostKnownProxies = 2048
+	// proxyRetention is how long the address of a proxy is kept after it was last live.
+	proxyRetention = 10 * time.Minute
+	// maxKnownProxies bounds the addresses that are kept; the ones that were live last stay.
+	maxKnownProxies = 2048
 )
 
 // knownProxies are the addresses of the proxies that were live lately. They outlive the process on the
@@ -26,7 +26,7 @@
 func newKnownProxies() *knownProxies { return &knownProxies{lastLive: map[string]time.Duration{}} }
 
 // note takes in which proxies are live now, and forgets those that have not been for long.
-func (k *knownProxies) note(now time.Duration, live []string) {
+func (k *knownProxies) record(now time.Duration, live []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, ip := range live {
@@ -36,17 +36,17 @@
 		k.lastLive[ip] = now
 	}
 	for ip, last := range k.lastLive {
-		if now-last > proxyLife {
+		if now-last > proxyRetention {
 			delete(k.lastLive, ip)
 			k.changed = true
 		}
 	}
-	k.bound()
+	k.evictOldest()
 }
 
-// bound forgets the addresses beyond mostKnownProxies; the lock is held.
-func (k *knownProxies) bound() {
-	excess := len(k.lastLive) - mostKnownProxies
+// bound forgets the addresses beyond maxKnownProxies; the lock is held.
+func (k *knownProxies) evictOldest() {
+	excess := len(k.lastLive) - maxKnownProxies
 	if excess <= 0 {
 		return
 	}
@@ -66,8 +66,8 @@
 	return slices.Sorted(maps.Keys(k.lastLive))
 }
 
-// markChanged has the addresses saved once more.
-func (k *knownProxies) markChanged() {
+// setChanged has the addresses saved once more.
+func (k *knownProxies) setChanged() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.changed = true
--- a/internal/router/agent/leave_test.go
+++ b/internal/router/agent/leave_test.go
@@ -36,7 +36,7 @@
 		n := newTestNode(t)
 		disk := &hangingFiles{gate: make(chan struct{})}
 		n.settings.DataDir, n.files = t.TempDir(), disk
-		control := newDiskMember(n)
+		control := newDeferredStore(n)
 		done := make(chan struct{})
 		control.start(done)
 		synctest.Wait()
@@ -78,7 +78,7 @@
 // leaves tells whether a member without a view has been told to leave: it may stop at once then.
 func leaves(m *chainMember) bool {
 	select {
-	case <-m.released():
+	case <-m.canStop():
 		return true
 	default:
 		return false
--- a/internal/router/agent/lifecycle.go
+++ b/internal/router/agent/lifecycle.go
@@ -24,7 +24,7 @@
 // unready tells why no clients are to be sent here, "" where they are.
 func (n *Node) unready() string {
 	switch {
-	case n.leaving():
+	case n.isShuttingDown():
 		return "ending"
 	case n.state.Config() == nil:
 		return "no configuration is known yet"
@@ -36,7 +36,7 @@
 
 // ReloadFailed notes that changed settings could not be read; those that were in force stay.
 func (n *Node) ReloadFailed(err error) {
-	n.figures.reloadErrors.Add(1)
+	n.metrics.reloadErrors.Add(1)
 	n.log.Warn().Err(err).Msg("settings: the changed file can't be read; it is read again")
 }
 
@@ -50,22 +50,22 @@
 }
 
 // end hands over what this process holds, answers what it has read, and returns when it may exit.
-func (n *Node) end(l *listeners) {
-	signalled, plan := time.Now(), planEnd(n.settings.Bounds.Grace)
-	n.ending.Store(true)
+func (n *Node) shutdown(l *listeners) {
+	signalled, plan := time.Now(), planShutdown(n.settings.Bounds.Grace)
+	n.shuttingDown.Store(true)
 	n.log.Info().Msg("node: ending")
 	if n.front != nil {
 		n.front.Drain()
 	}
-	go n.control.leave()
+	go n.configStore.leave()
 	time.Sleep(plan.closeListener)
 	if l.front != nil {
 		l.front.Close()
-		n.front.Wait(signalled.Add(plan.cutRequests), signalled.Add(plan.answered))
+		n.front.Wait(signalled.Add(plan.abortRequests), signalled.Add(plan.finishAnswers))
 	}
-	n.awaitRelease(signalled.Add(plan.answered))
-	n.announceEnd(plan.notice)
-	for _, listener := range []interface{ Close() error }{l.inner, l.control, l.ready} {
+	n.awaitHandoff(signalled.Add(plan.finishAnswers))
+	n.announceShutdown(plan.notice)
+	for _, listener := range []interface{ Close() error }{l.peers, l.control, l.ready} {
 		if listener != nil {
 			listener.Close()
 		}
@@ -73,22 +73,22 @@
 	n.log.Info().Msg("node: ended")
 }
 
-// awaitRelease waits until this process is not needed any more to keep the control state: it may hold one of
+// awaitHandoff waits until this process is not needed any more to keep the control state: it may hold one of
 // the last copies of what was acknowledged.
-func (n *Node) awaitRelease(deadline time.Time) {
+func (n *Node) awaitHandoff(deadline time.Time) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-n.control.released():
+	case <-n.configStore.canStop():
 	case <-timer.C:
 		n.log.Warn().Msg("node: ending although the other machines do not hold the whole control state yet")
 	}
 }
 
-// announceEnd tells the hubs that this process has ended, for a time at most.
-func (n *Node) announceEnd(timeout time.Duration) {
+// announceShutdown tells the hubs that this process has ended, for a time at most.
+func (n *Node) announceShutdown(timeout time.Duration) {
 	n.announceSelf(func(self *directory.Record) { self.State = directory.Ended })
-	var place uint64
-	n.state.read(func(d *directory.Directory) { place = d.Offset() })
-	n.awaitMajority(place, timeout)
+	var offset uint64
+	n.state.read(func(d *directory.Directory) { offset = d.Offset() })
+	n.awaitMajority(offset, timeout)
 }
--- a/internal/router/agent/lifecycle_test.go
+++ b/internal/router/agent/lifecycle_test.go
@@ -12,11 +12,11 @@
 
 // neededMember keeps a part of the control state that others do not hold until needed closes.
 type neededMember struct {
-	noControlState
+	noConfigStore
 	needed chan struct{}
 }
 
-func (m neededMember) released() <-chan struct{} { return m.needed }
+func (m neededMember) canStop() <-chan struct{} { return m.needed }
 
 // TestTheEndWaitsForCopiesOfTheControlState: a process that holds one of the last copies goes on until others
 // hold them, or its time is over.
@@ -33,13 +33,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				n := newTestNode(t)
 				member := neededMember{needed: make(chan struct{})}
-				n.control = member
+				n.configStore = member
 				go func() {
 					time.Sleep(test.release)
 					close(member.needed)
 				}()
 				began := time.Now()
-				n.awaitRelease(began.Add(test.grace))
+				n.awaitHandoff(began.Add(test.grace))
 				qt.Check(t, time.Since(began), qt.Equals, test.waits)
 				<-member.needed
 			})
@@ -55,7 +55,7 @@
 		ready := &controlserver.Call{Method: "GET", Path: "/api/ready"}
 		ended := make(chan struct{})
 		go func() {
-			n.end(&listeners{})
+			n.shutdown(&listeners{})
 			close(ended)
 		}()
 		synctest.Wait()
--- a/internal/router/agent/node.go
+++ b/internal/router/agent/node.go
@@ -26,33 +26,33 @@
 // maxCallBody bounds the body of a call at the control address, in bytes; a configuration may be that large.
 const maxCallBody = fleetconfig.MaxDocumentBytes
 
-// mostAcceptLines is how many lines a second tell of connections that could not be accepted.
-const mostAcceptLines = 2
+// maxAcceptLogLines is how many lines a second tell of connections that could not be accepted.
+const maxAcceptLogLines = 2
 
 // Node is one process of the fleet.
 type Node struct {
-	settings  *agentsettings.Settings
-	log       zerolog.Logger
-	acceptLog zerolog.Logger // bounded in its lines
-	network   transport.Network
-	files     segmentlog.FS
-	endpoint  *transport.Endpoint
-	id        string // of this process's record in the directory
-	started   time.Time
-	state     *state
-	control   controlState
-	front     *dataplane.Proxy // nil where the role does not serve clients
-	workload  Workload         // the front where there is one
-	// ordersStages tells that model servers get their stages from this process while it has that duty.
-	ordersStages bool
-	demand       *demandTable
-	work         *workTable
-	ending       atomic.Bool
-	fetching     atomic.Bool // a configuration is being fetched from a hub
+	settings    *agentsettings.Settings
+	log         zerolog.Logger
+	acceptLog   zerolog.Logger // bounded in its lines
+	network     transport.Network
+	files       segmentlog.FS
+	endpoint    *transport.Endpoint
+	id          string // of this process's record in the directory
+	started     time.Time
+	state       *state
+	configStore configStore
+	front       *dataplane.Proxy // nil where the role does not serve clients
+	workload    Workload         // the front where there is one
+	// sendsStageOrders tells that model servers get their stages from this process while it has that duty.
+	sendsStageOrders bool
+	demand           *demandTable
+	load             *loadTable
+	shuttingDown     atomic.Bool
+	fetchingConfig   atomic.Bool // a configuration is being fetched from a hub
 
 	packed      packedConfig
 	shown       shownVersion // of the configuration, to operators
-	figures     nodeFigures
+	metrics     agentMetrics
 	metricsPort int // where the figures are told besides, 0 for nowhere
 
 	seedList     atomic.Pointer[[]string]
@@ -61,41 +61,41 @@
 	selfMu sync.Mutex
 	self   directory.Record
 
-	hubsMu    sync.Mutex
-	hubs      map[string]*hub // by IP
-	unlinked  bool            // the links are closed for good
-	reachedAt time.Duration   // when a hub last answered
-	progress  chan struct{}   // closed when a hub has taken records in
+	hubsMu         sync.Mutex
+	hubs           map[string]*hub // by IP
+	linksClosed    bool            // the links are closed for good
+	lastHubContact time.Duration   // when a hub last answered
+	replicated     chan struct{}   // closed when a hub has taken records in
 
-	followMu  sync.Mutex
-	following following
+	subscriptionMu sync.Mutex
+	subscription   subscription
 
 	followersMu sync.Mutex
 	followers   map[*transport.Conn]chan struct{} // ends the feed of a follower
 
-	promptsSaved int // how many prompts and their holders were last saved; of the goroutine that saves
+	savedPromptCount int // how many prompts and their holders were last saved; of the goroutine that saves
 
-	reports      int           // of lost servers since reportsSince; guarded by the directory's lock
-	reportsSince time.Duration // when their count began anew
+	lossReports      int           // of lost servers since lossReportsSince; guarded by the directory's lock
+	lossReportsSince time.Duration // when their count began anew
 
-	orphansMu    sync.Mutex
-	askedOrphans map[string]bool // servers that are asked just now whether they live
+	probesMu sync.Mutex
+	probed   map[string]bool // servers that are asked just now whether they live
 
-	heardMu        sync.Mutex
-	heard          map[string]time.Duration // when a process or server last called this one
-	heardForgotten time.Duration            // when forgetHeard last ran; of the goroutine that watches
-	trustSince     time.Duration            // silence before it proves nothing; of the goroutine that watches
+	lastSeenMu     sync.Mutex
+	lastSeen       map[string]time.Duration // when a process or server last called this one
+	lastSeenPruned time.Duration            // when pruneLastSeen last ran; of the goroutine that watches
+	observingSince time.Duration            // silence before it proves nothing; of the goroutine that watches
 }
 
 // New returns a process that does nothing yet.
 func New(settings *agentsettings.Settings, log zerolog.Logger, options ...Option) (*Node, error) {
 	n := &Node{
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
-		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: mostAcceptLines, Period: time.Second}),
+		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
-		hubs: map[string]*hub{}, progress: make(chan struct{}), followers: map[*transport.Conn]chan struct{}{},
-		heard: map[string]time.Duration{}, knownProxies: newKnownProxies(),
-		askedOrphans: map[string]bool{},
+		hubs: map[string]*hub{}, replicated: make(chan struct{}), followers: map[*transport.Conn]chan struct{}{},
+		lastSeen: map[string]time.Duration{}, knownProxies: newKnownProxies(),
+		probed: map[string]bool{},
 	}
 	for _, option := range options {
 		option(n)
@@ -107,15 +107,15 @@
 		Kind: directory.KindProxy, ID: n.id, State: directory.Ready, Address: settings.IP, Zone: settings.Zone,
 		Name: settings.Name, Control: settings.Control,
 	}
-	n.control = newControlState(n)
+	n.configStore = newConfigStore(n)
 	n.demand = newDemandTable(n)
-	n.work = newWorkTable(n)
+	n.load = newLoadTable(n)
 	if settings.Front != "" {
 		n.front = dataplane.New(settings, (*frontState)(n), log)
 		if settings.FirstStart {
 			n.front.AloneAtStart()
 		}
-		n.workload, n.ordersStages = n.front, true
+		n.workload, n.sendsStageOrders = n.front, true
 	}
 	return n, nil
 }
@@ -132,7 +132,7 @@
 // seeds returns the control addresses of some proxies, as the settings file last told.
 func (n *Node) seeds() []string { return *n.seedList.Load() }
 
-func (n *Node) leaving() bool { return n.ending.Load() }
+func (n *Node) isShuttingDown() bool { return n.shuttingDown.Load() }
 
 func compareText(a, b string) int { return cmp.Compare(a, b) }
 
@@ -143,15 +143,15 @@
 		return err
 	}
 	done := make(chan struct{})
-	n.useDisk(done)
+	n.startDisk(done)
 	n.announceSelf(func(*directory.Record) {})
-	go n.endpoint.Serve(listeners.inner, n)
-	go n.follow(done)
-	go newIntroducer(n).run(done)
-	go n.watch(done)
-	go n.compareCopies(done)
+	go n.endpoint.Serve(listeners.peers, n)
+	go n.runSubscription(done)
+	go newViewAnnouncer(n).run(done)
+	go n.detectFailures(done)
+	go n.runAntiEntropy(done)
 	go n.demand.measure(done)
-	go n.work.report(done)
+	go n.load.report(done)
 	n.serveCalls(listeners)
 	closeMetrics := n.serveMetrics()
 	defer closeMetrics()
@@ -161,15 +161,15 @@
 	n.log.Info().Str("id", n.id).Str("zone", n.settings.Zone).Strs("seeds", n.seeds()).
 		Bool("first_start", n.settings.FirstStart).Str("data_dir", n.settings.DataDir).Msg("node: started")
 	<-stop
-	n.end(listeners)
+	n.shutdown(listeners)
 	close(done)
 	n.closeLinks()
-	n.control.close()
+	n.configStore.close()
 	return nil
 }
 
 // listeners are where a process is called; those that its role does not serve are nil.
-type listeners struct{ inner, front, ready, control net.Listener }
+type listeners struct{ peers, front, ready, control net.Listener }
 
 func (n *Node) listen() (*listeners, error) {
 	l := &listeners{}
@@ -177,7 +177,7 @@
 		listener *net.Listener
 		address  string
 	}{
-		{&l.inner, n.innerAddress(n.settings.IP)}, {&l.control, n.settings.Control},
+		{&l.peers, n.peerAddress(n.settings.IP)}, {&l.control, n.settings.Control},
 		{&l.ready, n.settings.Ready}, {&l.front, n.settings.Front},
 	} {
 		if each.address == "" {
@@ -204,7 +204,7 @@
 // newCallServer returns a server of calls whose bodies have so many bytes at most.
 func (n *Node) newCallServer(handle controlserver.Handler, maxBody int64) *controlserver.Server {
 	return &controlserver.Server{MaxBodyBytes: maxBody, Handler: handle, OnAcceptError: n.acceptFailed,
-		OnPanic: n.callBroke}
+		OnPanic: n.handlerPanicked}
 }
 
 // frontState is the part of a Node that the front sees.
--- a/internal/router/agent/node_test.go
+++ b/internal/router/agent/node_test.go
@@ -17,8 +17,9 @@
 // member of the view that it knows.
 func newTestNode(t *testing.T) *Node {
 	settings := &agentsettings.Settings{
-		Name: "n", IP: "127.0.0.1", Control: "127.0.0.1:1", InnerPorts: [2]int{2, 3}, Beat: time.Second,
-		Seeds: []string{"127.0.0.1:1"},
+		Name: "n", IP: "127.0.0.1", Control: "127.0.0.1:1", InnerPorts: [2]int{2, 3},
+		HeartbeatInterval: time.Second,
+		Seeds:             []string{"127.0.0.1:1"},
 	}
 	n, err := New(settings, zerolog.Nop())
 	qt.Assert(t, err, qt.IsNil)
@@ -78,7 +79,7 @@
 	n.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
 	n.hubs["127.0.0.9"] = &hub{ip: "127.0.0.9"}
 	c.Assert(n.awaitMajority(1, 0), qt.IsFalse)
-	n.hubs["127.0.0.9"].state.pushed = 1
+	n.hubs["127.0.0.9"].state.replicatedTo = 1
 	c.Assert(n.awaitMajority(1, 0), qt.IsTrue)
 }
 
@@ -87,15 +88,15 @@
 	c := qt.New(t)
 	n := newTestNode(t)
 	n.handleCall(heartbeat("ready", "1"))
-	first := n.feedPiece(0, -1)
+	first := n.nextFeed(0, -1)
 	c.Assert(first.Records, qt.HasLen, 1)
 	n.handleCall(heartbeat("draining", "2"))
-	c.Assert(n.hasNews(uint64(first.To), 0, first.Epoch), qt.IsTrue)
-	next := n.feedPiece(uint64(first.To), first.Epoch)
+	c.Assert(n.hasUpdate(uint64(first.To), 0, first.Epoch), qt.IsTrue)
+	next := n.nextFeed(uint64(first.To), first.Epoch)
 	c.Assert(next.From, qt.Equals, first.To)
 	c.Assert(next.Records, qt.HasLen, 1)
 	c.Assert(next.Records[0].State, qt.Equals, directory.Draining)
-	c.Assert(n.feedPiece(99, 0).From, qt.Equals, int64(0))
+	c.Assert(n.nextFeed(99, 0).From, qt.Equals, int64(0))
 }
 
 // TestSilentServersAreLostAndComeBack marks a server that calls no more, unless this process was frozen
@@ -104,12 +105,12 @@
 	c := qt.New(t)
 	n := newTestNode(t)
 	n.handleCall(heartbeat("ready", "1"))
-	silent := n.now() + time.Duration(2*heartbeatsMissed*float64(n.settings.Beat))
-	n.trustSince = silent
-	n.markSilent(silent)
+	silent := n.now() + time.Duration(2*maxMissedHeartbeats*float64(n.settings.HeartbeatInterval))
+	n.observingSince = silent
+	n.markTimedOut(silent)
 	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
-	n.trustSince = 0
-	n.markSilent(silent)
+	n.observingSince = 0
+	n.markTimedOut(silent)
 	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0)
 	n.handleCall(heartbeat("ready", "2"))
 	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1)
@@ -121,7 +122,7 @@
 	c := qt.New(t)
 	n := newTestNode(t)
 	now := n.now()
-	n.state.change(now, func(d *directory.Directory) {
+	n.state.update(now, func(d *directory.Directory) {
 		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 			d.Merge(now, directory.Record{Kind: directory.KindServer, ID: id, Sequence: 1, State: directory.Ready,
 				Service: "s"})
@@ -130,7 +131,7 @@
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		n.reportLost(id, "test")
 	}
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 6-reportsMost)
+	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
 }
 
 // TestEarlierProcessOfAMachineIsLost marks the records of processes that another one at their address
@@ -141,13 +142,13 @@
 	now := n.now()
 	proxy := directory.Record{Kind: directory.KindProxy, Sequence: 1, State: directory.Ready,
 		Address: "10.0.0.7"}
-	n.state.change(now, func(d *directory.Directory) {
+	n.state.update(now, func(d *directory.Directory) {
 		for _, id := range []string{"old", "new"} {
 			proxy.ID = id
 			d.Merge(now, proxy)
 		}
 	})
-	n.endPredecessors("new")
+	n.markPredecessorsLost("new")
 	n.state.read(func(d *directory.Directory) {
 		c.Check(d.Get("old").State, qt.Equals, directory.Lost)
 		c.Check(d.Get("new").State, qt.Equals, directory.Ready)
@@ -160,14 +161,14 @@
 	c := qt.New(t)
 	n := newTestNode(t)
 	n.settings.Bounds.Lease = time.Hour
-	duty := &stageDuty{node: n, member: &chainMember{}}
-	c.Check(duty.held(), qt.IsFalse)
-	duty.member.fence.Store(1)
-	c.Check(duty.held(), qt.IsTrue, qt.Commentf("the first epoch has no earlier holder"))
-	duty.member.fence.Store(2)
-	c.Check(duty.held(), qt.IsTrue, qt.Commentf("the same holder under a higher fence"))
-	duty.member.fence.Store(0)
-	c.Check(duty.held(), qt.IsFalse)
-	duty.member.fence.Store(3)
-	c.Check(duty.held(), qt.IsFalse, qt.Commentf("another one may have held it meanwhile"))
+	coordinator := &stageCoordinator{node: n, member: &chainMember{}}
+	c.Check(coordinator.maySendOrders(), qt.IsFalse)
+	coordinator.member.fence.Store(1)
+	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no earlier holder"))
+	coordinator.member.fence.Store(2)
+	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the same holder under a higher fence"))
+	coordinator.member.fence.Store(0)
+	c.Check(coordinator.maySendOrders(), qt.IsFalse)
+	coordinator.member.fence.Store(3)
+	c.Check(coordinator.maySendOrders(), qt.IsFalse, qt.Commentf("another one may have held it meanwhile"))
 }
--- a/internal/router/agent/observe.go
+++ b/internal/router/agent/observe.go
@@ -17,34 +17,34 @@
 // metricsPath is where a process tells its figures, at the control address and at the port for metrics.
 const metricsPath = "/metrics"
 
-// nodeFigures counts what happens on the control side.
-type nodeFigures struct {
-	heartbeats    metrics.CounterFamily // by how they were answered
-	configCalls   metrics.CounterFamily // by call and outcome
-	lost          metrics.CounterFamily // processes marked lost here, by kind and reason
-	orders        metrics.CounterFamily // to model servers, by status
-	followed      metrics.Counter
-	frozen        metrics.Counter
-	diskErrors    metrics.Counter
-	diskOpenings  metrics.Counter // that failed
-	droppedEvents metrics.Counter
-	reloadErrors  metrics.Counter
-	acceptErrors  metrics.Counter
-	mistakes      metrics.Counter // of the program, brought out by calls
-	persisted     metrics.Histogram
-	lastFence     atomic.Uint64 // of the last order sent
-}
-
-func (f *nodeFigures) heartbeat(answer string) {
+// agentMetrics counts what happens on the control side.
+type agentMetrics struct {
+	heartbeats      metrics.CounterFamily // by how they were answered
+	configCalls     metrics.CounterFamily // by call and outcome
+	lostProcesses   metrics.CounterFamily // processes marked lost here, by kind and reason
+	orders          metrics.CounterFamily // to model servers, by status
+	sourceChanges   metrics.Counter
+	stalls          metrics.Counter
+	diskErrors      metrics.Counter
+	failedDiskOpens metrics.Counter // that failed
+	droppedEvents   metrics.Counter
+	reloadErrors    metrics.Counter
+	acceptErrors    metrics.Counter
+	handlerPanics   metrics.Counter // of the program, brought out by calls
+	diskWrites      metrics.Histogram
+	lastFence       atomic.Uint64 // of the last order sent
+}
+
+func (f *agentMetrics) countHeartbeat(answer string) {
 	f.heartbeats.With(metrics.Label{Name: "answer", Value: answer}).Add(1)
 }
 
-func (f *nodeFigures) lostProcess(record *directory.Record, reason string) {
-	f.lost.With(metrics.Label{Name: "kind", Value: kindNames[record.Kind]},
+func (f *agentMetrics) countLost(record *directory.Record, reason string) {
+	f.lostProcesses.With(metrics.Label{Name: "kind", Value: kindNames[record.Kind]},
 		metrics.Label{Name: "reason", Value: reason}).Add(1)
 }
 
-func (f *nodeFigures) order(status int) {
+func (f *agentMetrics) countOrder(status int) {
 	f.orders.With(metrics.Label{Name: "status", Value: strconv.Itoa(status)}).Add(1)
 }
 
@@ -52,15 +52,15 @@
 	directory.KindServer: "server", directory.KindProxy: "proxy", directory.KindOrder: "order",
 }
 
-var controlOutcomes = map[peerproto.Outcome]string{
+var outcomeLabels = map[peerproto.Outcome]string{
 	peerproto.OutcomeAccepted: "taken", peerproto.OutcomeConflict: "refused",
 	peerproto.OutcomeUnavailable: "unclear",
 	peerproto.OutcomeInvalid:     "invalid",
 }
 
 func (n *Node) observeConfigCall(call string, result *peerproto.Result) {
-	n.figures.configCalls.With(metrics.Label{Name: "call", Value: call},
-		metrics.Label{Name: "outcome", Value: controlOutcomes[result.Outcome]}).Add(1)
+	n.metrics.configCalls.With(metrics.Label{Name: "call", Value: call},
+		metrics.Label{Name: "outcome", Value: outcomeLabels[result.Outcome]}).Add(1)
 }
 
 // shownVersion is the highest version of the configuration that this process has acknowledged or shown.
@@ -78,17 +78,17 @@
 
 // acceptFailed notes a connection of another process, a server or an operator that could not be accepted.
 func (n *Node) acceptFailed(err error) {
-	n.figures.acceptErrors.Add(1)
+	n.metrics.acceptErrors.Add(1)
 	n.acceptLog.Warn().Err(err).Msg("node: cannot accept a connection, trying again shortly")
 }
 
-// callBroke notes a call that brought out a mistake of the program. A broken invariant panics in tests only,
-// and is to end them.
-func (n *Node) callBroke(mistake *controlserver.PanicError) {
+// handlerPanicked notes a call that brought out a mistake of the program. A broken invariant panics in tests
+// only, and is to end them.
+func (n *Node) handlerPanicked(mistake *controlserver.PanicError) {
 	if violation, ok := mistake.Value.(*invariant.ViolationError); ok {
 		panic(violation)
 	}
-	n.figures.mistakes.Add(1)
+	n.metrics.handlerPanics.Add(1)
 	n.log.Error().Bytes("stack", mistake.Stack).Msg("node: " + mistake.Error())
 }
 
@@ -142,7 +142,8 @@
 		float64(n.state.version()))
 	page.Gauge("cresshub_view_epoch", "Epoch of the view of the control state, 0 for none.", float64(view.epoch))
 	page.Gauge("cresshub_view_members", "Members of that view.", float64(len(view.members)))
-	page.Flag("cresshub_replica", "Whether this process is a replica of the control state.", n.control.member())
+	page.Flag("cresshub_replica", "Whether this process is a replica of the control state.",
+		n.configStore.isMember())
 	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.", n.reachesMajority())
 	servers := map[directory.State]int{}
 	proxies := 0
@@ -160,17 +161,18 @@
 }
 
 func (n *Node) writeCounts(page *metrics.Page) {
-	f := &n.figures
+	f := &n.metrics
 	page.Family("cresshub_heartbeats_total", "Calls of servers, by answer.", &f.heartbeats)
 	page.Family("cresshub_config_calls_total", "Calls on the configuration, by outcome.", &f.configCalls)
-	page.Family("cresshub_marked_lost_total", "Processes that this one marked lost.", &f.lost)
+	page.Family("cresshub_marked_lost_total", "Processes that this one marked lost.", &f.lostProcesses)
 	page.Family("cresshub_stage_orders_total", "Orders sent to model servers, by status; 0 for none.", &f.orders)
-	page.Counter("cresshub_feeds_followed_total", "Hubs that were chosen to be followed.", f.followed.Value())
-	page.Counter("cresshub_stood_still_total", "Pauses in which this process did not run.", f.frozen.Value())
+	page.Counter("cresshub_feeds_followed_total", "Hubs that were chosen to be followed.",
+		f.sourceChanges.Value())
+	page.Counter("cresshub_stood_still_total", "Pauses in which this process did not run.", f.stalls.Value())
 	page.Counter("cresshub_disk_errors_total", "Steps of the control state that the disk refused.",
 		f.diskErrors.Value())
 	page.Counter("cresshub_disk_openings_failed_total", "Tries to open the disk that failed.",
-		f.diskOpenings.Value())
+		f.failedDiskOpens.Value())
 	page.Counter("cresshub_chain_events_dropped_total", "Events that found the queue of the chain full.",
 		f.droppedEvents.Value())
 	page.Counter("cresshub_reload_errors_total", "Changed settings that could not be read.",
@@ -178,8 +180,8 @@
 	page.Counter("cresshub_accept_errors_total", "Connections that could not be accepted, but for clients'.",
 		f.acceptErrors.Value())
 	page.Counter("cresshub_call_mistakes_total", "Mistakes of the program that calls brought out.",
-		f.mistakes.Value())
-	page.Histogram("cresshub_disk_write_duration_seconds", "Writes of the control state, synced.", &f.persisted)
+		f.handlerPanics.Value())
+	page.Histogram("cresshub_disk_write_duration_seconds", "Writes of the control state, synced.", &f.diskWrites)
 	traffic := n.endpoint.Traffic()
 	for kind, volume := range traffic.Sent {
 		if volume.Frames > 0 {
--- a/internal/router/agent/observe_test.go
+++ b/internal/router/agent/observe_test.go
@@ -13,7 +13,7 @@
 	c := qt.New(t)
 	n := newTestNode(t)
 	n.handleCall(heartbeat("ready", "1"))
-	n.ending.Store(true)
+	n.shuttingDown.Store(true)
 	n.handleCall(heartbeat("ready", "2"))
 	answer := n.handleCall(&controlserver.Call{Method: "GET", Path: metricsPath})
 	c.Assert(answer.Status, qt.Equals, 200)
--- a/internal/router/agent/options.go
+++ b/internal/router/agent/options.go
@@ -17,7 +17,7 @@
 	// wherever there is anything.
 	WorkChanges(all bool) []scheduler.InFlightLoad
 	// ShareWork takes in what all other processes together have under way.
-	ShareWork(others []scheduler.InFlightLoad, whole bool, prompts []scheduler.CachedPrefixes)
+	ShareWork(others []scheduler.InFlightLoad, full bool, prompts []scheduler.CachedPrefixes)
 	// NewPrompts returns what was sent to servers to be read for the first time since the last call.
 	NewPrompts() []scheduler.CachedPrefixes
 	// KnownPrompts returns what is known of which servers hold what.
@@ -59,4 +59,4 @@
 func WithMetricsPort(port int) Option { return func(n *Node) { n.metricsPort = port } }
 
 // WithStageOrders lets a process without a front give model servers their stages.
-func WithStageOrders() Option { return func(n *Node) { n.ordersStages = true } }
+func WithStageOrders() Option { return func(n *Node) { n.sendsStageOrders = true } }
--- a/internal/router/agent/orphans.go
+++ b/internal/router/agent/orphans.go
@@ -18,39 +18,39 @@
 // the server itself, and only one that does not answer is marked lost.
 
 const (
-	// orphanHeartbeats is how many heartbeats an orphan has to find another watcher.
-	orphanHeartbeats = 4
-	orphanTimeout    = 500 * time.Millisecond
-	// orphanTries is how often a server is asked until its silence counts.
-	orphanTries = 2
-	// orphansAtOnce bounds the servers that are asked at the same time.
-	orphansAtOnce  = 8
-	serverIDHeader = "Cresshub-Server-Id"
+	// unwatchedHeartbeats is how many heartbeats an orphan has to find another watcher.
+	unwatchedHeartbeats = 4
+	probeTimeout        = 500 * time.Millisecond
+	// probeAttempts is how often a server is asked until its silence counts.
+	probeAttempts = 2
+	// maxConcurrentProbes bounds the servers that are asked at the same time.
+	maxConcurrentProbes = 8
+	serverIDHeader      = "Cresshub-Server-Id"
 )
 
-// handleOrphans marks the orphans that are proxies, and asks those that are servers.
-func (n *Node) handleOrphans(now time.Duration) {
-	var orphans []*directory.Record
+// checkUnwatched marks the orphans that are proxies, and asks those that are servers.
+func (n *Node) checkUnwatched(now time.Duration) {
+	var unwatched []*directory.Record
 	n.state.read(func(d *directory.Directory) {
 		for _, record := range slices.Concat(d.LiveServers(), d.Proxies()) {
-			if n.isOrphan(now, d, record) {
-				orphans = append(orphans, record)
+			if n.isUnwatched(now, d, record) {
+				unwatched = append(unwatched, record)
 			}
 		}
 	})
-	for _, record := range orphans {
+	for _, record := range unwatched {
 		switch {
 		case record.Kind == directory.KindProxy:
-			n.loseUnchanged(record, "its watcher is gone")
+			n.markUnwatchedLost(record, "its watcher is gone")
 		case n.ranksFirst(record.ID):
-			n.askOrphan(record)
+			n.startProbe(record)
 		}
 	}
 }
 
-// isOrphan tells whether a process has lost its watcher and has been silent here for so long that it should
-// have found another one.
-func (n *Node) isOrphan(now time.Duration, d *directory.Directory, record *directory.Record) bool {
+// isUnwatched tells whether a process has lost its watcher and has been silent here for so long that it
+// should have found another one.
+func (n *Node) isUnwatched(now time.Duration, d *directory.Directory, record *directory.Record) bool {
 	isHub := record.Kind == directory.KindProxy && record.Watcher == ""
 	if record.ID == n.id || isHub {
 		return false
@@ -59,49 +59,49 @@
 	if watcher != nil && watcher.Live() {
 		return false
 	}
-	limit := orphanHeartbeats * n.settings.Beat
+	limit := unwatchedHeartbeats * n.settings.HeartbeatInterval
 	if watcher != nil && now-d.ModifiedAt(watcher.ID) <= limit {
 		return false
 	}
-	return n.isSilent(now, d, record, limit)
+	return n.isTimedOut(now, d, record, limit)
 }
 
 // ranksFirst tells whether this hub comes first for an id, by rendezvous hashing over the members that
 // answer.
 func (n *Node) ranksFirst(id string) bool {
 	now := n.now()
-	own := orphanRank(id, n.settings.IP)
+	own := probeRank(id, n.settings.IP)
 	return !n.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
-		return h.answers(now) && orphanRank(id, member.Address) > own
+		return h.isResponsive(now) && probeRank(id, member.Address) > own
 	})
 }
 
-func orphanRank(id, ip string) uint64 { return xxhash.Sum64String(id + "/" + ip) }
+func probeRank(id, ip string) uint64 { return xxhash.Sum64String(id + "/" + ip) }
 
-// askOrphan asks a server whether it lives, unless that is under way, and notes the outcome.
-func (n *Node) askOrphan(record *directory.Record) {
-	n.orphansMu.Lock()
-	defer n.orphansMu.Unlock()
-	if n.askedOrphans[record.ID] || len(n.askedOrphans) >= orphansAtOnce {
+// startProbe asks a server whether it lives, unless that is under way, and notes the outcome.
+func (n *Node) startProbe(record *directory.Record) {
+	n.probesMu.Lock()
+	defer n.probesMu.Unlock()
+	if n.probed[record.ID] || len(n.probed) >= maxConcurrentProbes {
 		return
 	}
-	n.askedOrphans[record.ID] = true
+	n.probed[record.ID] = true
 	go func() {
-		if n.serverAnswers(record) {
-			n.noteHeard(record.ID)
+		if n.probeServer(record) {
+			n.recordContact(record.ID)
 		} else {
-			n.loseUnchanged(record, "its watcher is gone and it does not answer")
+			n.markUnwatchedLost(record, "its watcher is gone and it does not answer")
 		}
-		n.orphansMu.Lock()
-		defer n.orphansMu.Unlock()
-		delete(n.askedOrphans, record.ID)
+		n.probesMu.Lock()
+		defer n.probesMu.Unlock()
+		delete(n.probed, record.ID)
 	}()
 }
 
-// serverAnswers tells whether the incarnation that a record names answers at its address.
-func (n *Node) serverAnswers(record *directory.Record) bool {
-	for range orphanTries {
-		id, err := n.askServerID(record)
+// probeServer tells whether the incarnation that a record names answers at its address.
+func (n *Node) probeServer(record *directory.Record) bool {
+	for range probeAttempts {
+		id, err := n.probeServerID(record)
 		if err == nil {
 			return id == record.ID
 		}
@@ -109,24 +109,24 @@
 	return false
 }
 
-// askServerID returns the id of the server that answers a health check at a record's address.
-func (n *Node) askServerID(record *directory.Record) (string, error) {
+// probeServerID returns the id of the server that answers a health check at a record's address.
+func (n *Node) probeServerID(record *directory.Record) (string, error) {
 	path := "/"
 	if config := n.state.Config(); config != nil && config.Services[record.Service] != nil {
 		path = config.Services[record.Service].HealthPath
 	}
-	answer, err := n.callServer(record.Address, &http1.Request{Method: "GET", Target: path}, orphanTimeout)
+	answer, err := n.callServer(record.Address, &http1.Request{Method: "GET", Target: path}, probeTimeout)
 	if err != nil {
 		return "", err
 	}
 	return answer.Header.Get(serverIDHeader), nil
 }
 
-// loseUnchanged marks a process lost, unless something was heard of it since its record was read.
-func (n *Node) loseUnchanged(record *directory.Record, reason string) {
+// markUnwatchedLost marks a process lost, unless something was heard of it since its record was read.
+func (n *Node) markUnwatchedLost(record *directory.Record, reason string) {
 	now := n.now()
-	n.state.change(now, func(d *directory.Directory) {
-		if d.Get(record.ID) == record && n.isOrphan(now, d, record) {
+	n.state.update(now, func(d *directory.Directory) {
+		if d.Get(record.ID) == record && n.isUnwatched(now, d, record) {
 			n.markLost(now, d, record, reason)
 		}
 	})
--- a/internal/router/agent/orphans_test.go
+++ b/internal/router/agent/orphans_test.go
@@ -59,15 +59,15 @@
 			n.state.merge(n.now(), []directory.Record{{Kind: directory.KindServer, ID: id, Sequence: 1,
 				State: directory.Ready, Service: "s", Address: address, Watcher: "vanished"}})
 		}
-		n.markSilent(n.now())
+		n.markTimedOut(n.now())
 		synctest.Wait()
 		c.Assert(n.state.Servers().Service("s"), qt.HasLen, 4, qt.Commentf("they may find another watcher"))
 
 		for range 3 {
-			time.Sleep((orphanHeartbeats + 1) * n.settings.Beat)
-			n.markSilent(n.now())
+			time.Sleep((unwatchedHeartbeats + 1) * n.settings.HeartbeatInterval)
+			n.markTimedOut(n.now())
 		}
-		time.Sleep(orphanTries * orphanTimeout)
+		time.Sleep(probeAttempts * probeTimeout)
 		synctest.Wait()
 		servers := n.state.Servers().Service("s")
 		c.Assert(servers, qt.HasLen, 1)
@@ -84,8 +84,8 @@
 		n.network = healthNetwork{}
 		n.state.merge(n.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
 			State: directory.Ready, Service: "s", Address: "10.0.0.1:80", Watcher: "vanished"}})
-		time.Sleep((orphanHeartbeats + 1) * n.settings.Beat)
-		n.markSilent(n.now())
+		time.Sleep((unwatchedHeartbeats + 1) * n.settings.HeartbeatInterval)
+		n.markTimedOut(n.now())
 		synctest.Wait()
 		c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1)
 	})
@@ -103,11 +103,11 @@
 		n := newTestNode(t)
 		n.handleCall(heartbeat("ready", "1"))
 		n.workload = answeringWorkload{}
-		time.Sleep(4 * n.settings.Beat)
-		n.markSilent(n.now())
+		time.Sleep(4 * n.settings.HeartbeatInterval)
+		n.markTimedOut(n.now())
 		c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1)
 		n.workload = noWorkload{}
-		n.markSilent(n.now())
+		n.markTimedOut(n.now())
 		c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0)
 	})
 }
--- a/internal/router/agent/packed_config.go
+++ b/internal/router/agent/packed_config.go
@@ -25,9 +25,9 @@
 	return p.packed
 }
 
-// newsOfConfig returns what a follower that has a version needs to have the one in force: patches, whose cost
+// configUpdate returns what a follower that has a version needs to have the one in force: patches, whose cost
 // does not grow with the document, or the whole of it.
-func (n *Node) newsOfConfig(config *fleetconfig.Config, version int64) []byte {
+func (n *Node) configUpdate(config *fleetconfig.Config, version int64) []byte {
 	patches := n.state.patchesSince(version)
 	if len(patches) == 0 || patches[len(patches)-1].Version != config.Version {
 		return n.packed.of(config)
@@ -35,13 +35,13 @@
 	return peerproto.PackPatches(&peerproto.Patches{Patches: patches})
 }
 
-// takePacked puts a packed document, or patches, that another process holds to be in force in force here.
-func (n *Node) takePacked(packed []byte) {
+// applyPacked puts a packed document, or patches, that another process holds to be in force in force here.
+func (n *Node) applyPacked(packed []byte) {
 	if len(packed) == 0 {
 		return
 	}
 	if peerproto.ArePatches(packed) {
-		n.takePatches(packed)
+		n.applyPatches(packed)
 		return
 	}
 	document, err := peerproto.Unpack(packed)
@@ -49,12 +49,12 @@
 		n.log.Error().Err(err).Msg("feed: a configuration can't be unpacked")
 		return
 	}
-	n.takeConfig(document)
+	n.applyDocument(document)
 }
 
-// takePatches puts patches in force. One that does not build on the version in force here is left: the hub
+// applyPatches puts patches in force. One that does not build on the version in force here is left: the hub
 // tells its version with each answer to a ping, and the whole document is asked for.
-func (n *Node) takePatches(packed []byte) {
+func (n *Node) applyPatches(packed []byte) {
 	news, err := peerproto.UnpackPatches(packed)
 	if err != nil {
 		n.log.Error().Err(err).Msg("feed: patches of the configuration can't be unpacked")
@@ -70,12 +70,12 @@
 			n.log.Error().Err(err).Int64("version", patch.Version).Msg("feed: a patch can't be applied")
 			return
 		}
-		n.adopt(next)
+		n.applyConfig(next)
 	}
 }
 
-// takeStored puts a configuration in force that the control state holds.
-func (n *Node) takeStored(stored []byte) {
+// applyStored puts a configuration in force that the control state holds.
+func (n *Node) applyStored(stored []byte) {
 	if len(stored) == 0 {
 		return
 	}
@@ -84,5 +84,5 @@
 		n.log.Error().Err(err).Msg("chain: a configuration in force can't be read")
 		return
 	}
-	n.adopt(config)
+	n.applyConfig(config)
 }
--- a/internal/router/agent/peers.go
+++ b/internal/router/agent/peers.go
@@ -9,40 +9,40 @@
 	"cresshub/internal/router/transport"
 )
 
-// heardLife is how long it is remembered that a process called whose record has not come.
-const heardLife = 10 * time.Second
+// lastSeenRetention is how long it is remembered that a process called whose record has not come.
+const lastSeenRetention = 10 * time.Second
 
 // Handle takes a frame of another process.
 func (n *Node) Handle(c *transport.Conn, frame peerproto.Frame) {
-	n.noteHeard(c.Peer())
+	n.recordContact(c.Peer())
 	switch frame.Kind {
 	case peerproto.KindPing:
-		n.demand.take(c.Peer(), n.now(), frame.Body)
+		n.demand.record(c.Peer(), n.now(), frame.Body)
 		c.Answer(frame, peerproto.KindPong, peerproto.Encode(n.status()))
 	case peerproto.KindAnnounce:
-		n.takeIntroduction(c, frame)
+		n.handleIntroduce(c, frame)
 	case peerproto.KindUpsert:
-		n.takeUpsert(c, frame)
+		n.handleUpsert(c, frame)
 	case peerproto.KindFollow:
-		n.takeFollow(c, frame)
+		n.handleFollow(c, frame)
 	case peerproto.KindCompare:
-		n.takeCompare(c, frame)
+		n.handleCompare(c, frame)
 	case peerproto.KindConfigFetch:
 		c.Answer(frame, peerproto.KindResult, peerproto.Encode(n.configInForce()))
 	case peerproto.KindPropose, peerproto.KindPatch, peerproto.KindRead:
-		go n.answerControl(c, frame)
+		go n.serveConfigCall(c, frame)
 	case peerproto.KindLoadReport:
-		n.work.fromFollower(c, frame.Body)
+		n.load.applyFollower(c, frame.Body)
 	case peerproto.KindHubLoadReport:
-		n.work.fromHub(c, frame.Body)
+		n.load.applyHub(c, frame.Body)
 	case peerproto.KindChain:
-		n.control.take(c.Peer(), frame.Body)
+		n.configStore.receive(c.Peer(), frame.Body)
 	}
 }
 
 // Closed notes that the connection of another process has ended.
 func (n *Node) Closed(c *transport.Conn) {
-	n.work.forget(c)
+	n.load.removePeer(c)
 	n.followersMu.Lock()
 	defer n.followersMu.Unlock()
 	if cancel := n.followers[c]; cancel != nil {
@@ -57,8 +57,8 @@
 		HasSnapshot: n.state.isSynced(), ReachesMajority: n.reachesFleet()}
 }
 
-// takeIntroduction learns the view of a process that sought this one out.
-func (n *Node) takeIntroduction(c *transport.Conn, frame peerproto.Frame) {
+// handleIntroduce learns the view of a process that sought this one out.
+func (n *Node) handleIntroduce(c *transport.Conn, frame peerproto.Frame) {
 	var status peerproto.Status
 	if peerproto.Decode(frame.Body, &status) != nil {
 		c.Close()
@@ -68,23 +68,23 @@
 	c.Answer(frame, peerproto.KindPong, peerproto.Encode(n.status()))
 }
 
-func (n *Node) takeUpsert(c *transport.Conn, frame peerproto.Frame) {
+func (n *Node) handleUpsert(c *transport.Conn, frame peerproto.Frame) {
 	var upsert peerproto.Records
 	if peerproto.Decode(frame.Body, &upsert) != nil {
 		c.Close()
 		return
 	}
-	n.mergeHeard(upsert.Records)
-	n.endPredecessors(c.Peer())
+	n.mergeRemote(upsert.Records)
+	n.markPredecessorsLost(c.Peer())
 	c.Answer(frame, peerproto.KindAck, nil)
 }
 
-// endPredecessors marks earlier processes of the same machine as lost, now that this one has called. That is
-// a guess: what an earlier process sent may come after its successor is known, as when a cut held it up. So
-// it marks them as something that they can contradict.
-func (n *Node) endPredecessors(peer string) {
+// markPredecessorsLost marks earlier processes of the same machine as lost, now that this one has called.
+// That is a guess: what an earlier process sent may come after its successor is known, as when a cut held it
+// up. So it marks them as something that they can contradict.
+func (n *Node) markPredecessorsLost(peer string) {
 	now := n.now()
-	n.state.change(now, func(d *directory.Directory) {
+	n.state.update(now, func(d *directory.Directory) {
 		caller := d.Get(peer)
 		if caller == nil || !caller.Live() {
 			return
@@ -97,7 +97,7 @@
 	})
 }
 
-func (n *Node) takeFollow(c *transport.Conn, frame peerproto.Frame) {
+func (n *Node) handleFollow(c *transport.Conn, frame peerproto.Frame) {
 	var request peerproto.Follow
 	if peerproto.Decode(frame.Body, &request) != nil {
 		c.Close()
@@ -111,7 +111,7 @@
 	n.followers[c] = cancel
 	n.followersMu.Unlock()
 	go n.serveFeed(c, &request, cancel)
-	n.tellKnown(c)
+	n.sendPrefixIndex(c)
 }
 
 // configInForce returns the configuration in force, packed.
@@ -124,34 +124,34 @@
 		Body: n.packed.of(config)}
 }
 
-// noteHeard notes that a process has called.
-func (n *Node) noteHeard(peer string) {
-	n.heardMu.Lock()
-	n.heard[peer] = n.now()
-	n.heardMu.Unlock()
+// recordContact notes that a process has called.
+func (n *Node) recordContact(peer string) {
+	n.lastSeenMu.Lock()
+	n.lastSeen[peer] = n.now()
+	n.lastSeenMu.Unlock()
 }
 
-// forgetHeard forgets when processes called whose records the directory does not hold any more.
-func (n *Node) forgetHeard() {
-	n.heardMu.Lock()
-	heard := maps.Clone(n.heard)
-	n.heardMu.Unlock()
+// pruneLastSeen forgets when processes called whose records the directory does not hold any more.
+func (n *Node) pruneLastSeen() {
+	n.lastSeenMu.Lock()
+	stale := maps.Clone(n.lastSeen)
+	n.lastSeenMu.Unlock()
 	now := n.now()
 	n.state.read(func(d *directory.Directory) {
-		maps.DeleteFunc(heard, func(id string, at time.Duration) bool {
-			return d.Get(id) != nil || now-at <= heardLife
+		maps.DeleteFunc(stale, func(id string, at time.Duration) bool {
+			return d.Get(id) != nil || now-at <= lastSeenRetention
 		})
 	})
-	n.heardMu.Lock()
-	defer n.heardMu.Unlock()
-	for id := range heard {
-		delete(n.heard, id)
+	n.lastSeenMu.Lock()
+	defer n.lastSeenMu.Unlock()
+	for id := range stale {
+		delete(n.lastSeen, id)
 	}
 }
 
-func (n *Node) heardAt(id string) (time.Duration, bool) {
-	n.heardMu.Lock()
-	defer n.heardMu.Unlock()
-	at, ok := n.heard[id]
+func (n *Node) lastSeenAt(id string) (time.Duration, bool) {
+	n.lastSeenMu.Lock()
+	defer n.lastSeenMu.Unlock()
+	at, ok := n.lastSeen[id]
 	return at, ok
 }
--- a/internal/router/agent/predecessors_test.go
+++ b/internal/router/agent/predecessors_test.go
@@ -18,10 +18,10 @@
 	successor := earlier
 	successor.ID, successor.Sequence = "p2", 1
 	n.state.merge(n.now(), []directory.Record{earlier, successor})
-	n.endPredecessors("p1") // it called before it died, and the call comes only now
-	successor.Sequence++    // the successor hears what is said of it, and says that it runs
+	n.markPredecessorsLost("p1") // it called before it died, and the call comes only now
+	successor.Sequence++         // the successor hears what is said of it, and says that it runs
 	n.state.merge(n.now(), []directory.Record{successor})
-	n.endPredecessors("p2")
+	n.markPredecessorsLost("p2")
 	n.state.read(func(d *directory.Directory) {
 		c.Check(d.Get("p2").Live(), qt.IsTrue)
 		c.Check(d.Get("p1").Live(), qt.IsFalse)
--- a/internal/router/agent/recent_patches.go
+++ b/internal/router/agent/recent_patches.go
@@ -21,7 +21,7 @@
 }
 
 // follow notes that a configuration came into force in place of another one, which may be nil.
-func (r *recentPatches) follow(before, config *fleetconfig.Config) {
+func (r *recentPatches) record(before, config *fleetconfig.Config) {
 	patch := config.Patch()
 	if before == nil || patch == nil || patch.Base != before.Version || len(patch.Body) > recentPatchBytes {
 		*r = recentPatches{}
--- a/internal/router/agent/recent_patches_test.go
+++ b/internal/router/agent/recent_patches_test.go
@@ -25,7 +25,7 @@
 func adoptPatch(c *qt.C, n *Node, body string) {
 	next, err := n.state.Config().ParseAndApply([]byte(body))
 	c.Assert(err, qt.IsNil)
-	n.adopt(next)
+	n.applyConfig(next)
 }
 
 // TestSmallChangesAreSentAsPatches: what followers are sent for a small change does not grow with the
@@ -34,8 +34,8 @@
 	c := qt.New(t)
 	hub, follower := newTestNode(t), newTestNode(t)
 	document := firstDocument(10_000)
-	hub.takeConfig(document)
-	follower.takePacked(hub.newsOfConfig(hub.state.Config(), 0))
+	hub.applyDocument(document)
+	follower.applyPacked(hub.configUpdate(hub.state.Config(), 0))
 	c.Assert(follower.state.version(), qt.Equals, int64(1))
 	for version := int64(2); version < 12; version++ {
 		known := follower.state.version()
@@ -44,14 +44,14 @@
 		if version%3 == 0 {
 			continue // the follower hears of two changes at once
 		}
-		news := hub.newsOfConfig(hub.state.Config(), known)
+		news := hub.configUpdate(hub.state.Config(), known)
 		c.Assert(len(news) < 600, qt.IsTrue, qt.Commentf("%d bytes", len(news)))
-		follower.takePacked(news)
+		follower.applyPacked(news)
 		c.Assert(follower.state.version(), qt.Equals, version)
 	}
 	c.Assert(string(follower.state.Config().Raw()), qt.Equals, string(hub.state.Config().Raw()))
 	c.Assert(follower.state.Config().Match("new11.example", "/").Name, qt.Equals, "r11")
-	follower.takePacked(hub.newsOfConfig(hub.state.Config(), 5)) // again what it has
+	follower.applyPacked(hub.configUpdate(hub.state.Config(), 5)) // again what it has
 	c.Assert(follower.state.version(), qt.Equals, int64(11))
 }
 
@@ -60,7 +60,7 @@
 func TestFollowersThatAreFarBehindGetAll(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(t)
-	n.takeConfig(firstDocument(3))
+	n.applyDocument(firstDocument(3))
 	for version := 2; version < 3*recentPatchCount; version++ {
 		adoptPatch(c, n, fmt.Sprintf(`{"edition":%d}`, version))
 	}
@@ -68,32 +68,32 @@
 	oldest := config.Version - recentPatchCount
 	for version, patched := range map[int64]bool{
 		0: false, 1: false, oldest - 1: false, oldest: true, config.Version - 1: true, config.Version: false} {
-		got := peerproto.ArePatches(n.newsOfConfig(config, version))
+		got := peerproto.ArePatches(n.configUpdate(config, version))
 		c.Check(got, qt.Equals, patched, qt.Commentf("%d", version))
 	}
 	adoptPatch(c, n, fmt.Sprintf(`{"edition":500,"deliver":{"depots_list":[{"name":"t","note":%q}]}}`,
 		strings.Repeat("x", recentPatchBytes)))
-	c.Assert(peerproto.ArePatches(n.newsOfConfig(n.state.Config(), config.Version)), qt.IsFalse)
-	whole, err := fleetconfig.Parse([]byte(`{"edition":501,"depots_list":[]}`))
+	c.Assert(peerproto.ArePatches(n.configUpdate(n.state.Config(), config.Version)), qt.IsFalse)
+	full, err := fleetconfig.Parse([]byte(`{"edition":501,"depots_list":[]}`))
 	c.Assert(err, qt.IsNil)
-	n.adopt(whole)
-	c.Assert(peerproto.ArePatches(n.newsOfConfig(whole, 500)), qt.IsFalse)
+	n.applyConfig(full)
+	c.Assert(peerproto.ArePatches(n.configUpdate(full, 500)), qt.IsFalse)
 }
 
 // TestDamagedPatchesAreLeft takes patches that are cut, or build on another version, for none.
 func TestDamagedPatchesAreLeft(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(t)
-	n.takeConfig(firstDocument(3))
+	n.applyDocument(firstDocument(3))
 	packed := peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 1, Version: 2, Body: []byte(`{"edition":2}`)}, {Base: 2, Version: 3, Body: []byte(`{`)}}})
 	for cut := 1; cut < len(packed); cut++ {
-		n.takePacked(packed[:cut])
+		n.applyPacked(packed[:cut])
 		c.Assert(n.state.version(), qt.Equals, int64(1))
 	}
-	n.takePacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
+	n.applyPacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 4, Version: 5, Body: []byte(`{"edition":5}`)}}}))
 	c.Assert(n.state.version(), qt.Equals, int64(1))
-	n.takePacked(packed)
+	n.applyPacked(packed)
 	c.Assert(n.state.version(), qt.Equals, int64(2))
 }
--- a/internal/router/agent/registration.go
+++ b/internal/router/agent/registration.go
@@ -19,8 +19,8 @@
 	drainAckTimeout = 800 * time.Millisecond
 )
 
-// callServers answers heartbeats and deregistrations of servers.
-func (n *Node) callServers(call *controlserver.Call) *http1.Response {
+// handleServerCall answers heartbeats and deregistrations of servers.
+func (n *Node) handleServerCall(call *controlserver.Call) *http1.Response {
 	id := strings.TrimPrefix(call.Path, serversPath)
 	if id == "" || strings.Contains(id, "/") {
 		return controlserver.Text(404, "no server id in the path; call "+serversPath+"ID")
@@ -31,7 +31,7 @@
 		if err != nil {
 			return controlserver.Text(400, err.Error())
 		}
-		return n.takeHeartbeat(record)
+		return n.handleHeartbeat(record)
 	case "DELETE":
 		return n.deregister(id)
 	}
@@ -61,28 +61,28 @@
 	return record, document.Err()
 }
 
-// takeHeartbeat merges what a server tells of itself and acknowledges it where the rest of the fleet hears of
-// it; the server calls another proxy else. A drain is acknowledged only once most hubs know it, because no
+// handleHeartbeat merges what a server tells of itself and acknowledges it where the rest of the fleet hears
+// of it; the server calls another proxy else. A drain is acknowledged only once most hubs know it, because no
 // proxy may send there much longer.
-func (n *Node) takeHeartbeat(record *directory.Record) *http1.Response {
+func (n *Node) handleHeartbeat(record *directory.Record) *http1.Response {
 	switch {
-	case n.leaving():
-		return n.refuseHeartbeat(record.ID, "ending")
+	case n.isShuttingDown():
+		return n.rejectHeartbeat(record.ID, "ending")
 	case !n.knowsFleet():
-		return n.refuseHeartbeat(record.ID, "no_view")
+		return n.rejectHeartbeat(record.ID, "no_view")
 	}
 	now := n.now()
-	n.noteHeard(record.ID)
+	n.recordContact(record.ID)
 	if !n.reachesFleet() {
 		n.mergeHeartbeat(now, record) // for this side; the server finds its watcher on the other one
-		return n.refuseHeartbeat(record.ID, "no_majority")
+		return n.rejectHeartbeat(record.ID, "no_majority")
 	}
 	record.Watcher = n.id
-	place, late := n.mergeHeartbeat(now, record)
-	if record.State == directory.Draining && !n.awaitMajority(place, drainAckTimeout) {
-		return n.refuseHeartbeat(record.ID, "drain_not_told")
+	offset, late := n.mergeHeartbeat(now, record)
+	if record.State == directory.Draining && !n.awaitMajority(offset, drainAckTimeout) {
+		return n.rejectHeartbeat(record.ID, "drain_not_told")
 	}
-	n.figures.heartbeat("acknowledged")
+	n.metrics.countHeartbeat("acknowledged")
 	if late {
 		return controlserver.JSON(200, []byte("{}"))
 	}
@@ -105,8 +105,8 @@
 
 // mergeHeartbeat returns the place that hubs must reach to know of the heartbeat, and whether a later one
 // of the same server has been heard before.
-func (n *Node) mergeHeartbeat(now time.Duration, record *directory.Record) (place uint64, late bool) {
-	n.state.change(now, func(d *directory.Directory) {
+func (n *Node) mergeHeartbeat(now time.Duration, record *directory.Record) (offset uint64, late bool) {
+	n.state.update(now, func(d *directory.Directory) {
 		known := d.Get(record.ID)
 		late = known != nil && known.Sequence > record.Sequence
 		if known != nil && record.Watcher == "" {
@@ -115,40 +115,40 @@
 		if known == nil || !known.RoutesLike(record) {
 			d.Merge(now, *record)
 		}
-		place = d.Offset()
+		offset = d.Offset()
 	})
-	return place, late
+	return offset, late
 }
 
 func (n *Node) deregister(id string) *http1.Response {
 	now := n.now()
-	var place uint64
-	n.state.change(now, func(d *directory.Directory) {
+	var offset uint64
+	n.state.update(now, func(d *directory.Directory) {
 		ended := directory.Record{Kind: directory.KindServer, ID: id}
 		if known := d.Get(id); known != nil {
 			ended = *known
 		}
 		ended.State, ended.Watcher = directory.Ended, n.id
 		d.Merge(now, ended)
-		place = d.Offset()
+		offset = d.Offset()
 	})
-	if !n.awaitMajority(place, drainAckTimeout) {
-		return n.refuseHeartbeat(id, "end_not_told")
+	if !n.awaitMajority(offset, drainAckTimeout) {
+		return n.rejectHeartbeat(id, "end_not_told")
 	}
-	n.figures.heartbeat("end_acknowledged")
+	n.metrics.countHeartbeat("end_acknowledged")
 	n.log.Info().Str("server", id).Msg("servers: ended")
 	return controlserver.JSON(200, []byte("{}"))
 }
 
-// refuseHeartbeat sends a server to another proxy, and tells why in figures and log.
-func (n *Node) refuseHeartbeat(server, reason string) *http1.Response {
-	n.figures.heartbeat(reason)
+// rejectHeartbeat sends a server to another proxy, and tells why in figures and log.
+func (n *Node) rejectHeartbeat(server, reason string) *http1.Response {
+	n.metrics.countHeartbeat(reason)
 	n.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: sent to another proxy")
-	return busy()
+	return retryElsewhere()
 }
 
 // busy asks the caller to try another proxy.
-func busy() *http1.Response {
+func retryElsewhere() *http1.Response {
 	answer := controlserver.Text(503, "not now; call another proxy")
 	answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
 	answer.Close = true
--- a/internal/router/agent/saved_directory.go
+++ b/internal/router/agent/saved_directory.go
@@ -14,27 +14,27 @@
 // incarnation that it expects, and servers that do not call again are soon marked as lost.
 
 const (
-	savedName    = "servers"
-	savedProxies = "proxies"
-	savedPrompts = "prompts"
+	serversFile = "servers"
+	proxiesFile = "proxies"
+	promptsFile = "prompts"
 	// saveInterval is the least time between two savings.
 	saveInterval = time.Second
 )
 
-// keepSaved takes in what was saved before the process started, closes loaded, and then saves what changes
+// persistState takes in what was saved before the process started, closes loaded, and then saves what changes
 // until done closes. It runs beside everything else, because the disk may hang.
-func (n *Node) keepSaved(loaded chan<- struct{}, done <-chan struct{}) {
+func (n *Node) persistState(loaded chan<- struct{}, done <-chan struct{}) {
 	if n.loadServers() {
-		n.state.markSynced()
+		n.state.setSynced()
 	}
 	n.loadProxies()
 	close(loaded)
-	n.saveServers(done)
+	n.saveChanges(done)
 }
 
 // loadServers takes in which servers were live, and tells whether there were any.
 func (n *Node) loadServers() bool {
-	records, err := n.saved().readRecords(savedName)
+	records, err := n.saved().readRecords(serversFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			n.log.Warn().Err(err).Msg("servers: not loaded")
@@ -49,7 +49,7 @@
 
 // loadProxies takes in which proxies were known before the process started.
 func (n *Node) loadProxies() {
-	records, err := n.saved().readRecords(savedProxies)
+	records, err := n.saved().readRecords(proxiesFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			n.log.Warn().Err(err).Msg("proxies: not loaded")
@@ -60,14 +60,14 @@
 	for _, record := range records {
 		addresses = append(addresses, record.Address)
 	}
-	n.knownProxies.note(n.now(), addresses)
-	n.state.expectProxies(n.now(), len(addresses))
+	n.knownProxies.record(n.now(), addresses)
+	n.state.raiseProxyCount(n.now(), len(addresses))
 	n.log.Info().Int("proxies", len(addresses)).Msg("proxies: loaded")
 }
 
 // saveProxies saves the addresses of the proxies that were live lately, where they have changed.
 func (n *Node) saveProxies() {
-	n.noteLiveProxies()
+	n.recordLiveProxies()
 	if !n.knownProxies.takeChanged() {
 		return
 	}
@@ -75,25 +75,25 @@
 	for _, address := range n.knownProxies.addresses() {
 		records = append(records, directory.Record{Kind: directory.KindProxy, Address: address})
 	}
-	if err := n.saved().writeRecords(savedProxies, records); err != nil {
-		n.knownProxies.markChanged()
+	if err := n.saved().writeRecords(proxiesFile, records); err != nil {
+		n.knownProxies.setChanged()
 		n.log.Debug().Err(err).Msg("proxies: not saved; tried again")
 	}
 }
 
-// noteLiveProxies remembers the proxies that are live now.
-func (n *Node) noteLiveProxies() {
+// recordLiveProxies remembers the proxies that are live now.
+func (n *Node) recordLiveProxies() {
 	var live []string
 	n.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
 			live = append(live, proxy.Address)
 		}
 	})
-	n.knownProxies.note(n.now(), live)
+	n.knownProxies.record(n.now(), live)
 }
 
-// saveServers saves the records of live servers whenever they change, until done closes.
-func (n *Node) saveServers(done <-chan struct{}) {
+// saveChanges saves the records of live servers whenever they change, until done closes.
+func (n *Node) saveChanges(done <-chan struct{}) {
 	saved := n.state.Servers()
 	for {
 		select {
@@ -108,8 +108,8 @@
 			continue
 		}
 		var records []directory.Record
-		n.state.read(func(d *directory.Directory) { records = valuesOf(d.LiveServers()) })
-		if err := n.saved().writeRecords(savedName, records); err != nil {
+		n.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
+		if err := n.saved().writeRecords(serversFile, records); err != nil {
 			n.log.Debug().Err(err).Msg("servers: not saved; tried again")
 			continue
 		}
@@ -119,7 +119,7 @@
 
 // loadPrompts takes in what was known of which servers hold what.
 func (n *Node) loadPrompts() {
-	body, err := n.saved().read(savedPrompts)
+	body, err := n.saved().read(promptsFile)
 	var work peerproto.LoadReport
 	if err != nil || n.front == nil || peerproto.Decode(body, &work) != nil {
 		return
@@ -137,11 +137,11 @@
 	for _, at := range known {
 		count += len(at.Hashes)
 	}
-	if count == n.promptsSaved {
+	if count == n.savedPromptCount {
 		return
 	}
 	body := peerproto.Encode(&peerproto.LoadReport{FullIndex: true, Prefixes: encodePrompts(known)})
-	if n.saved().write(savedPrompts, body) == nil {
-		n.promptsSaved = count
+	if n.saved().write(promptsFile, body) == nil {
+		n.savedPromptCount = count
 	}
 }
--- a/internal/router/agent/saved_files.go
+++ b/internal/router/agent/saved_files.go
@@ -12,11 +12,11 @@
 	"cresshub/internal/segmentlog"
 )
 
-// savedHeader is the length of the checksum in front of a saved file's content, in bytes.
-const savedHeader = 8
+// checksumBytes is the length of the checksum in front of a saved file's content, in bytes.
+const checksumBytes = 8
 
-// errSavedDamaged tells that a saved file can't be used; what it held is learned anew.
-var errSavedDamaged = errors.New("the saved servers are damaged; they are learned anew from heartbeats")
+// errSavedCorrupt tells that a saved file can't be used; what it held is learned anew.
+var errSavedCorrupt = errors.New("the saved servers are damaged; they are learned anew from heartbeats")
 
 // savedFiles are small files of one folder that are replaced whole.
 type savedFiles struct {
@@ -35,7 +35,7 @@
 	}
 	var records peerproto.Records
 	if err := peerproto.Decode(body, &records); err != nil {
-		return nil, fmt.Errorf("%w (%v)", errSavedDamaged, err)
+		return nil, fmt.Errorf("%w (%v)", errSavedCorrupt, err)
 	}
 	return records.Records, nil
 }
@@ -50,10 +50,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(raw) < savedHeader || binary.LittleEndian.Uint64(raw) != xxhash.Sum64(raw[savedHeader:]) {
-		return nil, errSavedDamaged
+	if len(raw) < checksumBytes || binary.LittleEndian.Uint64(raw) != xxhash.Sum64(raw[checksumBytes:]) {
+		return nil, errSavedCorrupt
 	}
-	return raw[savedHeader:], nil
+	return raw[checksumBytes:], nil
 }
 
 // write replaces a file whole: a new one is made durable before it takes the name.
--- a/internal/router/agent/state.go
+++ b/internal/router/agent/state.go
@@ -13,9 +13,9 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// proxyCountMemory is how long a higher count of live proxies is remembered, because those that are cut off
+// proxyCountWindow is how long a higher count of live proxies is remembered, because those that are cut off
 // or restarting still spend their shares of common budgets.
-const proxyCountMemory = time.Minute
+const proxyCountWindow = time.Minute
 
 // view names the machines that keep the control state, as far as this process has heard.
 type view struct {
@@ -30,23 +30,23 @@
 
 // state is what a process knows of the fleet. Readers of requests get immutable snapshots without a lock.
 type state struct {
-	config atomic.Pointer[fleetconfig.Config]
-	table  atomic.Pointer[catalog.Table]
-	count  atomic.Int32 // of live proxies, the highest of the last minute
+	config     atomic.Pointer[fleetconfig.Config]
+	table      atomic.Pointer[catalog.Table]
+	proxyCount atomic.Int32 // of live proxies, the highest of the last minute
 
-	mu        sync.Mutex
-	directory *directory.Directory
-	patches   recentPatches
-	view      view
-	synced    bool          // a snapshot of a feed was taken in, or this process keeps the control state
-	changed   chan struct{} // closed at the next change of anything above
-	countAt   time.Duration // when count was last reached
+	mu           sync.Mutex
+	directory    *directory.Directory
+	patches      recentPatches
+	view         view
+	synced       bool          // a snapshot of a feed was taken in, or this process keeps the control state
+	changed      chan struct{} // closed at the next change of anything above
+	proxyCountAt time.Duration // when count was last reached
 }
 
 func newState() *state {
 	s := &state{directory: directory.New(), changed: make(chan struct{})}
 	s.table.Store(s.directory.Servers())
-	s.count.Store(1)
+	s.proxyCount.Store(1)
 	return s
 }
 
@@ -57,7 +57,7 @@
 func (s *state) Servers() *catalog.Table { return s.table.Load() }
 
 // Proxies returns how many proxies were live at the same time in the last minute, at least 1.
-func (s *state) Proxies() int { return int(s.count.Load()) }
+func (s *state) Proxies() int { return int(s.proxyCount.Load()) }
 
 // version returns the version of the configuration in force, 0 for none.
 func (s *state) version() int64 {
@@ -69,7 +69,7 @@
 
 // change runs a function on the directory and publishes what it changed. The function must not call the
 // state.
-func (s *state) change(now time.Duration, f func(*directory.Directory)) {
+func (s *state) update(now time.Duration, f func(*directory.Directory)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.directory.Offset()
@@ -78,34 +78,34 @@
 		return
 	}
 	s.table.Store(s.directory.Servers())
-	s.countProxies(now)
-	s.announce()
+	s.updateProxyCount(now)
+	s.notifyChange()
 }
 
 // merge takes records in.
 func (s *state) merge(now time.Duration, records []directory.Record) {
-	s.change(now, func(d *directory.Directory) {
+	s.update(now, func(d *directory.Directory) {
 		for _, r := range records {
 			d.Merge(now, r)
 		}
 	})
 }
 
-func (s *state) countProxies(now time.Duration) {
+func (s *state) updateProxyCount(now time.Duration) {
 	count := int32(max(len(s.directory.Proxies()), 1))
-	if count >= s.count.Load() || now-s.countAt > proxyCountMemory {
-		s.count.Store(count)
-		s.countAt = now
+	if count >= s.proxyCount.Load() || now-s.proxyCountAt > proxyCountWindow {
+		s.proxyCount.Store(count)
+		s.proxyCountAt = now
 	}
 }
 
-// expectProxies takes it that so many proxies were live until just now.
-func (s *state) expectProxies(now time.Duration, count int) {
+// raiseProxyCount takes it that so many proxies were live until just now.
+func (s *state) raiseProxyCount(now time.Duration, count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if int32(count) > s.count.Load() {
-		s.count.Store(int32(count))
-		s.countAt = now
+	if int32(count) > s.proxyCount.Load() {
+		s.proxyCount.Store(int32(count))
+		s.proxyCountAt = now
 	}
 }
 
@@ -117,7 +117,7 @@
 }
 
 // adopt puts a configuration that was acknowledged in force unless a newer one is.
-func (s *state) adopt(config *fleetconfig.Config) bool {
+func (s *state) applyConfig(config *fleetconfig.Config) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if config.Version <= s.version() {
@@ -126,8 +126,8 @@
 	before := s.config.Swap(config)
 	invariant.Assert(before == nil || before.Version < config.Version, invariant.ConfigVersionRises,
 		"version %d replaces a later one", config.Version)
-	s.patches.follow(before, config)
-	s.announce()
+	s.patches.record(before, config)
+	s.notifyChange()
 	return true
 }
 
@@ -146,7 +146,7 @@
 		return false
 	}
 	s.view = view{epoch, members}
-	s.announce()
+	s.notifyChange()
 	return true
 }
 
@@ -156,13 +156,13 @@
 	return s.view
 }
 
-// markSynced notes that this process knows the fleet well enough to take clients.
-func (s *state) markSynced() {
+// setSynced notes that this process knows the fleet well enough to take clients.
+func (s *state) setSynced() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.synced {
 		s.synced = true
-		s.announce()
+		s.notifyChange()
 	}
 }
 
@@ -173,14 +173,14 @@
 }
 
 // next returns a channel that closes at the next change.
-func (s *state) next() <-chan struct{} {
+func (s *state) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
 // announce wakes all who wait for a change; the lock is held.
-func (s *state) announce() {
+func (s *state) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/router/agent/work.go
+++ b/internal/router/agent/work.go
@@ -14,19 +14,19 @@
 // followers what all the others have.
 
 const (
-	// workSpan is the least time between two messages to one process.
-	workSpan = 25 * time.Millisecond
-	// workSilence is how often a message comes where nothing changes.
-	workSilence = 400 * time.Millisecond
-	// wholeMost is the most servers that are told whole with each of these.
-	wholeMost = 64
+	// loadReportMinInterval is the least time between two messages to one process.
+	loadReportMinInterval = 25 * time.Millisecond
+	// fullSyncInterval is how often a message comes where nothing changes.
+	fullSyncInterval = 400 * time.Millisecond
+	// maxFullSyncServers is the most servers that are told whole with each of these.
+	maxFullSyncServers = 64
 )
 
-// workSum is what processes have under way, by server.
-type workSum map[string]peerproto.ServerLoad
+// loadByServer is what processes have under way, by server.
+type loadByServer map[string]peerproto.ServerLoad
 
 // take puts changes in.
-func (s workSum) take(work *peerproto.LoadReport) {
+func (s loadByServer) apply(work *peerproto.LoadReport) {
 	if work.Full {
 		clear(s)
 	}
@@ -39,54 +39,54 @@
 	}
 }
 
-// workTable holds what this process and those that report to it have under way.
-type workTable struct {
+// loadTable holds what this process and those that report to it have under way.
+type loadTable struct {
 	node *Node
 
 	mu        sync.Mutex
-	own       workSum
-	followers map[*transport.Conn]workSum
-	hubs      map[*transport.Conn]workSum
+	own       loadByServer
+	followers map[*transport.Conn]loadByServer
+	hubs      map[*transport.Conn]loadByServer
 	changed   map[string]bool // servers of which something changed since the last distribution
 	// localPrompts and hubPrompts are to be distributed: those of this process and its followers, and those
 	// that other hubs told of.
 	localPrompts, hubPrompts []peerproto.ServerPrefixes
 }
 
-func newWorkTable(n *Node) *workTable {
-	return &workTable{node: n, own: workSum{}, followers: map[*transport.Conn]workSum{},
-		hubs: map[*transport.Conn]workSum{}, changed: map[string]bool{}}
+func newLoadTable(n *Node) *loadTable {
+	return &loadTable{node: n, own: loadByServer{}, followers: map[*transport.Conn]loadByServer{},
+		hubs: map[*transport.Conn]loadByServer{}, changed: map[string]bool{}}
 }
 
 // report tells what this process has under way whenever that changes, until done closes.
-func (b *workTable) report(done <-chan struct{}) {
-	n := b.node
+func (t *loadTable) report(done <-chan struct{}) {
+	n := t.node
 	var last time.Duration
 	for {
 		select {
 		case <-done:
 			return
 		case <-n.workload.WorkChanged():
-		case <-time.After(workSpan):
+		case <-time.After(loadReportMinInterval):
 		}
-		whole := n.now()-last > workSilence
-		changes := n.workload.WorkChanges(whole)
-		if whole {
+		full := n.now()-last > fullSyncInterval
+		changes := n.workload.WorkChanges(full)
+		if full {
 			last = n.now()
 		}
 		prompts := encodePrompts(n.workload.NewPrompts())
-		work := &peerproto.LoadReport{Full: whole, Servers: encodeWork(changes), Prefixes: prompts}
+		work := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prompts}
 		if n.isHub() {
-			b.takeOwn(work)
-			b.distribute(whole)
-		} else if whole || len(changes) > 0 {
+			t.applyOwn(work)
+			t.distribute(full)
+		} else if full || len(changes) > 0 {
 			n.sendToSource(peerproto.KindLoadReport, peerproto.Encode(work))
 		}
-		time.Sleep(workSpan)
+		time.Sleep(loadReportMinInterval)
 	}
 }
 
-func encodeWork(changes []scheduler.InFlightLoad) []peerproto.ServerLoad {
+func encodeLoad(changes []scheduler.InFlightLoad) []peerproto.ServerLoad {
 	servers := make([]peerproto.ServerLoad, len(changes))
 	for i, c := range changes {
 		servers[i] = peerproto.ServerLoad{Server: c.Server, PrefillMs: int(c.Prefill.Milliseconds()),
@@ -117,7 +117,7 @@
 	return decoded
 }
 
-func decodeWork(servers []peerproto.ServerLoad) []scheduler.InFlightLoad {
+func decodeLoad(servers []peerproto.ServerLoad) []scheduler.InFlightLoad {
 	changes := make([]scheduler.InFlightLoad, len(servers))
 	for i, at := range servers {
 		reading := time.Duration(at.PrefillMs) * time.Millisecond
@@ -128,19 +128,19 @@
 
 // sendToSource sends a frame to the hub that this process follows.
 func (n *Node) sendToSource(kind peerproto.Kind, body []byte) {
-	n.followMu.Lock()
-	source := n.following.source
-	n.followMu.Unlock()
+	n.subscriptionMu.Lock()
+	source := n.subscription.source
+	n.subscriptionMu.Unlock()
 	if source != nil {
 		source.link.Send(kind, body)
 	}
 }
 
-// takeWork takes in what a hub told of all other proxies.
-func (n *Node) takeWork(h *hub, frame peerproto.Frame) {
-	n.followMu.Lock()
-	isSource := n.following.source == h
-	n.followMu.Unlock()
+// handleLoad takes in what a hub told of all other proxies.
+func (n *Node) handleLoad(h *hub, frame peerproto.Frame) {
+	n.subscriptionMu.Lock()
+	isSource := n.subscription.source == h
+	n.subscriptionMu.Unlock()
 	var work peerproto.LoadReport
 	if !isSource || peerproto.Decode(frame.Body, &work) != nil {
 		return
@@ -149,11 +149,11 @@
 		n.workload.CatchUp(decodePrompts(work.Prefixes))
 		return
 	}
-	n.workload.ShareWork(decodeWork(work.Servers), work.Full, decodePrompts(work.Prefixes))
+	n.workload.ShareWork(decodeLoad(work.Servers), work.Full, decodePrompts(work.Prefixes))
 }
 
-// tellKnown hands a new follower what is known of which servers hold what.
-func (n *Node) tellKnown(c *transport.Conn) {
+// sendPrefixIndex hands a new follower what is known of which servers hold what.
+func (n *Node) sendPrefixIndex(c *transport.Conn) {
 	if !n.state.isSynced() {
 		return
 	}
@@ -161,110 +161,110 @@
 	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(work)})
 }
 
-func (b *workTable) takeOwn(work *peerproto.LoadReport) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.note(b.own, work)
-	b.localPrompts = append(b.localPrompts, work.Prefixes...)
+func (t *loadTable) applyOwn(work *peerproto.LoadReport) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.recordChanges(t.own, work)
+	t.localPrompts = append(t.localPrompts, work.Prefixes...)
 }
 
-func (b *workTable) fromFollower(c *transport.Conn, body []byte) {
-	b.takeFrom(b.followers, &b.localPrompts, c, body)
+func (t *loadTable) applyFollower(c *transport.Conn, body []byte) {
+	t.applyFrom(t.followers, &t.localPrompts, c, body)
 }
 
-func (b *workTable) fromHub(c *transport.Conn, body []byte) {
-	b.takeFrom(b.hubs, &b.hubPrompts, c, body)
+func (t *loadTable) applyHub(c *transport.Conn, body []byte) {
+	t.applyFrom(t.hubs, &t.hubPrompts, c, body)
 }
 
-func (b *workTable) takeFrom(sums map[*transport.Conn]workSum, prompts *[]peerproto.ServerPrefixes,
+func (t *loadTable) applyFrom(sums map[*transport.Conn]loadByServer, prompts *[]peerproto.ServerPrefixes,
 	c *transport.Conn, body []byte) {
 	var work peerproto.LoadReport
 	if peerproto.Decode(body, &work) != nil {
 		c.Close()
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if sums[c] == nil {
-		sums[c] = workSum{}
+		sums[c] = loadByServer{}
 	}
-	b.note(sums[c], &work)
+	t.recordChanges(sums[c], &work)
 	*prompts = append(*prompts, work.Prefixes...)
 }
 
 // note puts changes into a sum and remembers what to distribute; the lock is held.
-func (b *workTable) note(sum workSum, work *peerproto.LoadReport) {
+func (t *loadTable) recordChanges(sum loadByServer, work *peerproto.LoadReport) {
 	if work.Full {
 		for server := range sum {
-			b.changed[server] = true
+			t.changed[server] = true
 		}
 	}
 	for _, at := range work.Servers {
-		b.changed[at.Server] = true
+		t.changed[at.Server] = true
 	}
-	sum.take(work)
+	sum.apply(work)
 }
 
 // forget drops what a process had under way whose connection has ended.
-func (b *workTable) forget(c *transport.Conn) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, sums := range []map[*transport.Conn]workSum{b.followers, b.hubs} {
+func (t *loadTable) removePeer(c *transport.Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, sums := range []map[*transport.Conn]loadByServer{t.followers, t.hubs} {
 		for server := range sums[c] {
-			b.changed[server] = true
+			t.changed[server] = true
 		}
 		delete(sums, c)
 	}
 }
 
 // distribute tells followers, other hubs and this process itself what the others have under way.
-func (b *workTable) distribute(whole bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.changed)+len(b.localPrompts)+len(b.hubPrompts) == 0 && !whole {
+func (t *loadTable) distribute(full bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.changed)+len(t.localPrompts)+len(t.hubPrompts) == 0 && !full {
 		return
 	}
-	local := b.sumLocal()
-	total := b.sumHubs(local)
-	whole = whole && len(total) <= wholeMost
-	prompts := append(b.localPrompts, b.hubPrompts...)
-	hubWork := peerproto.LoadReport{Full: whole, Servers: b.selected(local, nil, whole),
-		Prefixes: b.localPrompts}
+	local := t.localLoad()
+	total := t.totalLoad(local)
+	full = full && len(total) <= maxFullSyncServers
+	prompts := append(t.localPrompts, t.hubPrompts...)
+	hubWork := peerproto.LoadReport{Full: full, Servers: t.loadExcept(local, nil, full),
+		Prefixes: t.localPrompts}
 	encoded := peerproto.Encode(&hubWork)
-	for _, h := range b.node.currentHubs() {
+	for _, h := range t.node.currentHubs() {
 		h.link.Send(peerproto.KindHubLoadReport, encoded)
 	}
-	for c, sum := range b.followers {
-		work := peerproto.LoadReport{Full: whole, Servers: b.selected(total, sum, whole), Prefixes: prompts}
+	for c, sum := range t.followers {
+		work := peerproto.LoadReport{Full: full, Servers: t.loadExcept(total, sum, full), Prefixes: prompts}
 		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&work)})
 	}
-	others := decodeWork(b.selected(total, b.own, whole))
-	b.node.workload.ShareWork(others, whole, decodePrompts(prompts))
-	clear(b.changed)
-	b.localPrompts, b.hubPrompts = nil, nil
+	others := decodeLoad(t.loadExcept(total, t.own, full))
+	t.node.workload.ShareWork(others, full, decodePrompts(prompts))
+	clear(t.changed)
+	t.localPrompts, t.hubPrompts = nil, nil
 }
 
-// sumLocal sums up what this process and its followers have under way.
-func (b *workTable) sumLocal() workSum {
-	sum := workSum{}
-	sum.add(b.own)
-	for _, follower := range b.followers {
+// localLoad sums up what this process and its followers have under way.
+func (t *loadTable) localLoad() loadByServer {
+	sum := loadByServer{}
+	sum.add(t.own)
+	for _, follower := range t.followers {
 		sum.add(follower)
 	}
 	return sum
 }
 
-// sumHubs adds to a sum what the other hubs told of theirs.
-func (b *workTable) sumHubs(local workSum) workSum {
-	sum := workSum{}
+// totalLoad adds to a sum what the other hubs told of theirs.
+func (t *loadTable) totalLoad(local loadByServer) loadByServer {
+	sum := loadByServer{}
 	sum.add(local)
-	for _, hub := range b.hubs {
+	for _, hub := range t.hubs {
 		sum.add(hub)
 	}
 	return sum
 }
 
-func (s workSum) add(other workSum) {
+func (s loadByServer) add(other loadByServer) {
 	for server, at := range other {
 		sum := s[server]
 		s[server] = peerproto.ServerLoad{Server: server, PrefillMs: sum.PrefillMs + at.PrefillMs,
@@ -273,20 +273,20 @@
 }
 
 // selected returns a sum less what one process has itself, at all servers or at those that have changed.
-func (b *workTable) selected(sum, without workSum, whole bool) []peerproto.ServerLoad {
+func (t *loadTable) loadExcept(sum, without loadByServer, full bool) []peerproto.ServerLoad {
 	servers := []peerproto.ServerLoad{}
 	add := func(server string) {
 		at, less := sum[server], without[server]
 		servers = append(servers, peerproto.ServerLoad{Server: server,
 			PrefillMs: max(at.PrefillMs-less.PrefillMs, 0), Calls: max(at.Calls-less.Calls, 0)})
 	}
-	if whole {
+	if full {
 		for server := range sum {
 			add(server)
 		}
 		return servers
 	}
-	for server := range b.changed {
+	for server := range t.changed {
 		add(server)
 	}
 	return servers
--- a/internal/router/agentsettings/nodesettings.go
+++ b/internal/router/agentsettings/nodesettings.go
@@ -35,21 +35,21 @@
 
 // Settings are what a process is told at its start. Durations are Go durations, rates per second.
 type Settings struct {
-	Name       string
-	Role       string
-	IP         string
-	Zone       string
-	Region     string
-	Regions    map[string]string // the region of each zone
-	Front      string            // address for clients, "" where the role does not serve them
-	Ready      string            // address for the platform's readiness calls
-	Control    string            // address for servers and the operator
-	InnerPorts [2]int            // the first and last port that proxies may use among themselves
-	Seeds      []string          // control addresses of some proxies
-	FirstStart bool              // the whole system starts for the first time
-	Counted    bool              // the machine's loss is counted by Tolerate
-	DataDir    string            // "" where the machine has no disk
-	Beat       time.Duration     // between heartbeats of a server
+	Name              string
+	Role              string
+	IP                string
+	Zone              string
+	Region            string
+	Regions           map[string]string // the region of each zone
+	Front             string            // address for clients, "" where the role does not serve them
+	Ready             string            // address for the platform's readiness calls
+	Control           string            // address for servers and the operator
+	InnerPorts        [2]int            // the first and last port that proxies may use among themselves
+	Seeds             []string          // control addresses of some proxies
+	FirstStart        bool              // the whole system starts for the first time
+	Counted           bool              // the machine's loss is counted by Tolerate
+	DataDir           string            // "" where the machine has no disk
+	HeartbeatInterval time.Duration     // between heartbeats of a server
 
 	CPUShare    float64
 	MemoryBytes int64
@@ -95,16 +95,16 @@
 		Front:   listen.Get("front").TextOr(""), Ready: listen.Get("ready").TextOr(""),
 		Control: listen.Get("control").TextOr(""), InnerPorts: readPorts(root.Get("inner_ports")),
 		FirstStart: root.Get("first_start").Bool(), Counted: root.Get("counted").Bool(),
-		DataDir:          root.Get("data_dir").TextOr(""),
-		Beat:             milliseconds(root.Get("beat_ms").NumberOr(1000, 1)),
-		CPUShare:         limits.Get("cpu_share").NumberOr(1, 0),
-		MemoryBytes:      int64(limits.Get("memory_mb").NumberOr(256, 1)) << 20,
-		Descriptors:      int(limits.Get("fds").NumberOr(1024, 1)),
-		DiskBytes:        int64(limits.Get("disk_mb").NumberOr(0, 0)) << 20,
-		TolerateMachines: int(tolerate.Get("machines").NumberOr(0, 0)),
-		TolerateZones:    int(tolerate.Get("districts").NumberOr(0, 0)),
-		TolerateRegions:  int(tolerate.Get("regions").NumberOr(0, 0)),
-		Bounds:           readBounds(root.Get("bounds")),
+		DataDir:           root.Get("data_dir").TextOr(""),
+		HeartbeatInterval: milliseconds(root.Get("beat_ms").NumberOr(1000, 1)),
+		CPUShare:          limits.Get("cpu_share").NumberOr(1, 0),
+		MemoryBytes:       int64(limits.Get("memory_mb").NumberOr(256, 1)) << 20,
+		Descriptors:       int(limits.Get("fds").NumberOr(1024, 1)),
+		DiskBytes:         int64(limits.Get("disk_mb").NumberOr(0, 0)) << 20,
+		TolerateMachines:  int(tolerate.Get("machines").NumberOr(0, 0)),
+		TolerateZones:     int(tolerate.Get("districts").NumberOr(0, 0)),
+		TolerateRegions:   int(tolerate.Get("regions").NumberOr(0, 0)),
+		Bounds:            readBounds(root.Get("bounds")),
 	}
 	for _, seed := range root.Get("seeds").Items() {
 		s.Seeds = append(s.Seeds, seed.Text())
--- a/internal/router/chain/acceptor.go
+++ b/internal/router/chain/acceptor.go
@@ -6,14 +6,15 @@
 		return
 	}
 	acceptor := &n.state.acceptor
-	if m.Ballot.less(acceptor.promised) {
-		n.send(m.From, Message{Kind: Nack, Ballot: acceptor.promised})
+	if m.ProposalNumber.less(acceptor.promised) {
+		n.send(m.From, Message{Kind: Nack, ProposalNumber: acceptor.promised})
 		return
 	}
-	acceptor.promised = m.Ballot
+	acceptor.promised = m.ProposalNumber
 	n.changed[recordAcceptor] = true
 	n.send(m.From, Message{
-		Kind: Promise, Ballot: m.Ballot, AcceptedBallot: acceptor.accepted, View: acceptor.acceptedValue,
+		Kind: PrepareReply, ProposalNumber: m.ProposalNumber, AcceptedNumber: acceptor.accepted,
+		View: acceptor.acceptedView,
 	})
 }
 
@@ -23,20 +24,20 @@
 		return
 	}
 	acceptor := &n.state.acceptor
-	if m.Ballot.less(acceptor.promised) {
-		n.send(m.From, Message{Kind: Nack, Ballot: acceptor.promised})
+	if m.ProposalNumber.less(acceptor.promised) {
+		n.send(m.From, Message{Kind: Nack, ProposalNumber: acceptor.promised})
 		return
 	}
-	*acceptor = acceptorState{promised: m.Ballot, accepted: m.Ballot, acceptedValue: m.View}
+	*acceptor = acceptorState{promised: m.ProposalNumber, accepted: m.ProposalNumber, acceptedView: m.View}
 	n.changed[recordAcceptor] = true
-	n.proposing.acceptedAt = n.now
-	n.send(m.From, Message{Kind: Accepted, Ballot: m.Ballot})
+	n.proposer.acceptedAt = n.now
+	n.send(m.From, Message{Kind: AcceptReply, ProposalNumber: m.ProposalNumber})
 }
 
 // onSeal promises never to accept a first entry in the current epoch.
 func (n *Node) onSeal() {
 	epoch := n.state.view.Epoch
-	if !n.InChain() || n.state.held.Epoch >= epoch || n.state.sealed == epoch {
+	if !n.InChain() || n.state.accepted.Epoch >= epoch || n.state.sealed == epoch {
 		return
 	}
 	n.state.sealed = epoch
--- a/internal/router/chain/ballot.go
+++ b/internal/router/chain/ballot.go
@@ -2,19 +2,19 @@
 
 import "cmp"
 
-// Ballot orders the proposals of one instance; the zero ballot is before all.
-type Ballot struct {
-	Round  uint64
-	Member MemberID
+// ProposalNumber orders the proposals of one instance; the zero ballot is before all.
+type ProposalNumber struct {
+	Counter  uint64
+	Proposer MemberID
 }
 
 // compare orders ballots by round, then by member.
-func (b Ballot) compare(other Ballot) int {
-	if order := cmp.Compare(b.Round, other.Round); order != 0 {
+func (n ProposalNumber) compare(other ProposalNumber) int {
+	if order := cmp.Compare(n.Counter, other.Counter); order != 0 {
 		return order
 	}
-	return cmp.Compare(b.Member, other.Member)
+	return cmp.Compare(n.Proposer, other.Proposer)
 }
 
 // less tells whether a ballot is before another.
-func (b Ballot) less(other Ballot) bool { return b.compare(other) < 0 }
+func (n ProposalNumber) less(other ProposalNumber) bool { return n.compare(other) < 0 }
--- a/internal/router/chain/cluster_test.go
+++ b/internal/router/chain/cluster_test.go
@@ -28,19 +28,19 @@
 }
 
 // flight is a message on its way.
-type flight struct {
+type transit struct {
 	at time.Duration
 	to MemberID
 	m  Message
 }
 
 // cluster is a set of machines with a network that loses nothing unless a test says so.
-type cluster struct {
-	c        *qt.C
-	now      time.Duration
-	machines map[MemberID]*machine
-	order    []MemberID
-	flights  []flight
+type testCluster struct {
+	c         *qt.C
+	now       time.Duration
+	machines  map[MemberID]*machine
+	order     []MemberID
+	inTransit []transit
 	// drop tells which messages are lost.
 	drop func(from, to MemberID, m *Message) bool
 	// sent counts messages by kind.
@@ -49,176 +49,176 @@
 }
 
 // newCluster makes machines a, b, c and so on and founds the system with the first members of them.
-func newCluster(t testing.TB, machines, members int) *cluster {
-	l := &cluster{c: qt.New(t), machines: map[MemberID]*machine{}, sent: map[Kind]int{}}
+func newCluster(t testing.TB, machines, members int) *testCluster {
+	tc := &testCluster{c: qt.New(t), machines: map[MemberID]*machine{}, sent: map[Kind]int{}}
 	var list []Member
 	for i := range machines {
 		id := MemberID(rune('a' + i))
-		l.start(id, string("10.0.0."+fmt.Sprint(i+1)), true, members)
+		tc.start(id, string("10.0.0."+fmt.Sprint(i+1)), true, members)
 		list = append(list, Member{id, "10.0.0." + fmt.Sprint(i+1)})
 	}
-	for _, id := range l.order {
-		l.machines[id].node.SetContacts(list)
+	for _, id := range tc.order {
+		tc.machines[id].node.SetContacts(list)
 	}
 	if members == 0 {
-		return l
+		return tc
 	}
 	if members < 3 {
-		l.run(3 * time.Second) // the founder waits for more
+		tc.run(3 * time.Second) // the founder waits for more
 	}
-	l.do("a", func(n *Node) Effects { return n.Found(l.now, list[:members]) })
-	l.run(600 * time.Millisecond)
-	return l
+	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, list[:members]) })
+	tc.run(600 * time.Millisecond)
+	return tc
 }
 
 // start makes a machine with an empty disk.
-func (l *cluster) start(id MemberID, address string, first bool, members int) {
+func (tc *testCluster) start(id MemberID, address string, first bool, members int) {
 	config := Config{
-		Self: Member{id, address}, HasDisk: true, FirstStart: first, TargetMembers: members,
-		RequiredCopies: 2, Random: rand.New(rand.NewSource(int64(len(l.order)))),
+		Self: Member{id, address}, HasDisk: true, AllowBootstrap: first, TargetMembers: members,
+		RequiredReplicas: 2, Random: rand.New(rand.NewSource(int64(len(tc.order)))),
 	}
-	l.machines[id] = &machine{config: config, replies: map[uint64]Reply{}}
-	l.order = append(l.order, id)
-	l.boot(id)
+	tc.machines[id] = &machine{config: config, replies: map[uint64]Reply{}}
+	tc.order = append(tc.order, id)
+	tc.boot(id)
 }
 
 // boot starts a machine's node from its records.
-func (l *cluster) boot(id MemberID) {
-	m := l.machines[id]
-	node, effects, err := Open(m.config, l.now, m.records)
-	l.c.Assert(err, qt.IsNil)
+func (tc *testCluster) boot(id MemberID) {
+	m := tc.machines[id]
+	node, effects, err := Open(m.config, tc.now, m.records)
+	tc.c.Assert(err, qt.IsNil)
 	m.node, m.down = node, false
-	l.perform(id, effects)
+	tc.perform(id, effects)
 }
 
 // restart stops a machine and starts it again.
-func (l *cluster) restart(id MemberID) {
-	contacts := l.machines[id].node.contacts
-	l.boot(id)
-	l.machines[id].node.SetContacts(contacts)
+func (tc *testCluster) restart(id MemberID) {
+	contacts := tc.machines[id].node.contacts
+	tc.boot(id)
+	tc.machines[id].node.SetContacts(contacts)
 }
 
 // do makes one step of a node.
-func (l *cluster) do(id MemberID, step func(*Node) Effects) {
-	l.perform(id, step(l.machines[id].node))
+func (tc *testCluster) do(id MemberID, step func(*Node) Effects) {
+	tc.perform(id, step(tc.machines[id].node))
 }
 
 // perform carries effects out.
-func (l *cluster) perform(id MemberID, effects Effects) {
-	m := l.machines[id]
+func (tc *testCluster) perform(id MemberID, effects Effects) {
+	m := tc.machines[id]
 	if len(effects.Persist) > 0 {
 		if m.failing {
-			l.perform(id, m.node.PersistFailed(l.now))
+			tc.perform(id, m.node.PersistFailed(tc.now))
 			return
 		}
 		m.records = append(m.records, effects.Persist...)
 		m.syncs++
 	}
 	for _, envelope := range effects.Messages {
-		l.sent[envelope.Message.Kind]++
+		tc.sent[envelope.Message.Kind]++
 		to := envelope.To.ID
-		if l.drop == nil || !l.drop(id, to, &envelope.Message) {
-			l.flights = append(l.flights, flight{l.now + testDelay, to, envelope.Message})
+		if tc.drop == nil || !tc.drop(id, to, &envelope.Message) {
+			tc.inTransit = append(tc.inTransit, transit{tc.now + testDelay, to, envelope.Message})
 		}
 	}
 	for _, reply := range effects.Replies {
 		_, twice := m.replies[reply.Request]
-		l.c.Assert(twice, qt.IsFalse, qt.Commentf("request %d is answered twice", reply.Request))
+		tc.c.Assert(twice, qt.IsFalse, qt.Commentf("request %d is answered twice", reply.Request))
 		m.replies[reply.Request] = reply
 	}
 }
 
 // run lets time pass.
-func (l *cluster) run(duration time.Duration) {
-	for end := l.now + duration; l.now < end; {
-		l.now += testDelay
-		for len(l.flights) > 0 && l.flights[0].at <= l.now {
-			next := l.flights[0]
-			l.flights = l.flights[1:]
-			if to := l.machines[next.to]; to != nil && !to.down {
-				l.do(next.to, func(n *Node) Effects { return n.Receive(l.now, next.m) })
+func (tc *testCluster) run(duration time.Duration) {
+	for end := tc.now + duration; tc.now < end; {
+		tc.now += testDelay
+		for len(tc.inTransit) > 0 && tc.inTransit[0].at <= tc.now {
+			next := tc.inTransit[0]
+			tc.inTransit = tc.inTransit[1:]
+			if to := tc.machines[next.to]; to != nil && !to.down {
+				tc.do(next.to, func(n *Node) Effects { return n.Receive(tc.now, next.m) })
 			}
 		}
-		if l.now%testTick != 0 {
+		if tc.now%testTick != 0 {
 			continue
 		}
-		for _, id := range l.order {
-			if !l.machines[id].down {
-				l.do(id, func(n *Node) Effects { return n.Tick(l.now) })
+		for _, id := range tc.order {
+			if !tc.machines[id].down {
+				tc.do(id, func(n *Node) Effects { return n.Tick(tc.now) })
 			}
 		}
 	}
 }
 
 // propose asks a node for a write and returns the request's number.
-func (l *cluster) propose(at MemberID, expected, version int64, body string) uint64 {
-	l.request++
-	request := l.request
-	l.do(at, func(n *Node) Effects {
-		return n.Propose(l.now, request, Proposal{expected, version, []byte(body)})
+func (tc *testCluster) propose(at MemberID, expected, version int64, body string) uint64 {
+	tc.request++
+	request := tc.request
+	tc.do(at, func(n *Node) Effects {
+		return n.Propose(tc.now, request, Proposal{expected, version, []byte(body)})
 	})
 	return request
 }
 
 // confirm asks a node whether a change was committed and returns the request's number.
-func (l *cluster) confirm(at MemberID, expected, version int64, body string) uint64 {
-	l.request++
-	request := l.request
-	name := ChangeName{expected, version, digestOfBody([]byte(body))}
-	l.do(at, func(n *Node) Effects { return n.Confirm(l.now, request, name) })
+func (tc *testCluster) confirm(at MemberID, expected, version int64, body string) uint64 {
+	tc.request++
+	request := tc.request
+	name := ChangeID{expected, version, digestOfBody([]byte(body))}
+	tc.do(at, func(n *Node) Effects { return n.Confirm(tc.now, request, name) })
 	return request
 }
 
 // read asks a node for a read and returns the request's number.
-func (l *cluster) read(at MemberID) uint64 {
-	l.request++
-	request := l.request
-	l.do(at, func(n *Node) Effects { return n.Read(l.now, request) })
+func (tc *testCluster) read(at MemberID) uint64 {
+	tc.request++
+	request := tc.request
+	tc.do(at, func(n *Node) Effects { return n.Read(tc.now, request) })
 	return request
 }
 
 // outcome returns how a request of a node has ended, 0 if it has not.
-func (l *cluster) outcome(at MemberID, request uint64) Outcome {
-	return l.machines[at].replies[request].Outcome
+func (tc *testCluster) outcome(at MemberID, request uint64) Outcome {
+	return tc.machines[at].replies[request].Outcome
 }
 
 // mustWrite writes and checks that it is applied.
-func (l *cluster) mustWrite(at MemberID, expected, version int64, body string) {
-	l.c.Helper()
-	request := l.propose(at, expected, version, body)
-	l.run(100 * time.Millisecond)
-	l.c.Assert(l.outcome(at, request), qt.Equals, Applied)
+func (tc *testCluster) mustWrite(at MemberID, expected, version int64, body string) {
+	tc.c.Helper()
+	request := tc.propose(at, expected, version, body)
+	tc.run(100 * time.Millisecond)
+	tc.c.Assert(tc.outcome(at, request), qt.Equals, Applied)
 }
 
 // mustRead reads and checks what is answered.
-func (l *cluster) mustRead(at MemberID, version int64, body string) {
-	l.c.Helper()
-	request := l.read(at)
-	l.run(100 * time.Millisecond)
-	reply := l.machines[at].replies[request]
-	l.c.Assert(reply.Outcome, qt.Equals, Applied)
-	l.c.Assert(reply.Entry.Version, qt.Equals, version)
-	l.c.Assert(string(reply.Entry.Body), qt.Equals, body)
+func (tc *testCluster) mustRead(at MemberID, version int64, body string) {
+	tc.c.Helper()
+	request := tc.read(at)
+	tc.run(100 * time.Millisecond)
+	reply := tc.machines[at].replies[request]
+	tc.c.Assert(reply.Outcome, qt.Equals, Applied)
+	tc.c.Assert(reply.Entry.Version, qt.Equals, version)
+	tc.c.Assert(string(reply.Entry.Body), qt.Equals, body)
 }
 
 // view returns the view that a node knows.
-func (l *cluster) view(at MemberID) View { return l.machines[at].node.View() }
+func (tc *testCluster) view(at MemberID) View { return tc.machines[at].node.View() }
 
 // mustChain checks a node's chain.
-func (l *cluster) mustChain(at MemberID, chain ...MemberID) {
-	l.c.Helper()
-	l.c.Assert(l.view(at).Chain, qt.DeepEquals, chain)
+func (tc *testCluster) mustChain(at MemberID, chain ...MemberID) {
+	tc.c.Helper()
+	tc.c.Assert(tc.view(at).Chain, qt.DeepEquals, chain)
 }
 
 // cut loses all messages between two groups.
-func cut(one, other []MemberID) func(from, to MemberID, m *Message) bool {
+func partition(left, right []MemberID) func(from, to MemberID, m *Message) bool {
 	return func(from, to MemberID, _ *Message) bool {
-		return slices.Contains(one, from) && slices.Contains(other, to) ||
-			slices.Contains(other, from) && slices.Contains(one, to)
+		return slices.Contains(left, from) && slices.Contains(right, to) ||
+			slices.Contains(right, from) && slices.Contains(left, to)
 	}
 }
 
-// loseKind loses all messages of one kind to one receiver.
-func loseKind(kind Kind, receiver MemberID) func(from, to MemberID, m *Message) bool {
+// dropKind loses all messages of one kind to one receiver.
+func dropKind(kind Kind, receiver MemberID) func(from, to MemberID, m *Message) bool {
 	return func(_, to MemberID, m *Message) bool { return m.Kind == kind && to == receiver }
 }
--- a/internal/router/chain/config.go
+++ b/internal/router/chain/config.go
@@ -11,12 +11,12 @@
 	Self Member
 	// HasDisk says that this node can be a member; without it nothing is persisted.
 	HasDisk bool
-	// FirstStart lets a node without a view accept the first attempt of a founder, also after a restart.
-	FirstStart bool
+	// AllowBootstrap lets a node without a view accept the first attempt of a founder, also after a restart.
+	AllowBootstrap bool
 	// TargetMembers is how many members there shall be.
 	TargetMembers int
-	// RequiredCopies is how many replicas a write needs at least, if there are as many members.
-	RequiredCopies int
+	// RequiredReplicas is how many replicas a write needs at least, if there are as many members.
+	RequiredReplicas int
 	// DigestOf names the change that a body came from. It has to be a function of the body alone, and two
 	// bodies with one digest have to be equal if the entries before them are. The default is SHA-256.
 	DigestOf func(body []byte) Digest
@@ -25,19 +25,19 @@
 
 	// The times below have defaults.
 
-	HeartbeatInterval time.Duration // between two heartbeats
-	SuspectAfter      time.Duration // of silence a member leaves the chain
-	RejoinAfter       time.Duration // of steady heartbeats a member joins the chain
-	ReplaceAfter      time.Duration // of silence another machine takes a member's place
-	SealAfter         time.Duration // without a possible head the members give up the unopened epoch
-	SettleAfter       time.Duration // a plan that rests on differing reports is proposed
-	ProposeStagger    time.Duration // between the proposers of the same change
-	ProposeTimeout    time.Duration // for one phase of a proposal
-	FinishAfter       time.Duration // a view that was accepted and not decided is proposed again
-	ResendAfter       time.Duration // without an acknowledgement an entry or marker is sent again
-	RequestTimeout    time.Duration // a request is answered Unavailable
-	CommitRecordAfter time.Duration // the committed sequence is persisted by itself
-	RefoundAfter      time.Duration // without all consents the founder tries the first view of fewer members
+	HeartbeatInterval   time.Duration // between two heartbeats
+	SuspectAfter        time.Duration // of silence a member leaves the chain
+	RejoinAfter         time.Duration // of steady heartbeats a member joins the chain
+	ReplaceAfter        time.Duration // of silence another machine takes a member's place
+	SealAfter           time.Duration // without a possible head the members give up the unopened epoch
+	StabilizationDelay  time.Duration // a plan that rests on differing reports is proposed
+	ProposeStagger      time.Duration // between the proposers of the same change
+	ProposeTimeout      time.Duration // for one phase of a proposal
+	ReproposeAfter      time.Duration // a view that was accepted and not decided is proposed again
+	ResendAfter         time.Duration // without an acknowledgement an entry or marker is sent again
+	RequestTimeout      time.Duration // a request is answered Unavailable
+	PersistCommitAfter  time.Duration // the committed sequence is persisted by itself
+	BootstrapRetryAfter time.Duration // without all consents the founder tries the first view of fewer members
 	// QueueLimit bounds how many requests wait at a node.
 	QueueLimit int
 	// HistoryLength bounds how many earlier entries an entry names; all nodes have the same.
@@ -46,24 +46,24 @@
 
 // withDefaults fills in what is not set.
 func (c Config) withDefaults() Config {
-	fill := func(value *time.Duration, normal time.Duration) {
+	setDefault := func(value *time.Duration, defaultValue time.Duration) {
 		if *value == 0 {
-			*value = normal
+			*value = defaultValue
 		}
 	}
-	fill(&c.HeartbeatInterval, 100*time.Millisecond)
-	fill(&c.SuspectAfter, 700*time.Millisecond)
-	fill(&c.RejoinAfter, 300*time.Millisecond)
-	fill(&c.ReplaceAfter, 1200*time.Millisecond)
-	fill(&c.SealAfter, time.Second)
-	fill(&c.SettleAfter, 5*c.HeartbeatInterval/2)
-	fill(&c.ProposeStagger, 150*time.Millisecond)
-	fill(&c.ProposeTimeout, 300*time.Millisecond)
-	fill(&c.FinishAfter, 500*time.Millisecond)
-	fill(&c.ResendAfter, 200*time.Millisecond)
-	fill(&c.RequestTimeout, 2*time.Second)
-	fill(&c.CommitRecordAfter, time.Second)
-	fill(&c.RefoundAfter, 3*time.Second)
+	setDefault(&c.HeartbeatInterval, 100*time.Millisecond)
+	setDefault(&c.SuspectAfter, 700*time.Millisecond)
+	setDefault(&c.RejoinAfter, 300*time.Millisecond)
+	setDefault(&c.ReplaceAfter, 1200*time.Millisecond)
+	setDefault(&c.SealAfter, time.Second)
+	setDefault(&c.StabilizationDelay, 5*c.HeartbeatInterval/2)
+	setDefault(&c.ProposeStagger, 150*time.Millisecond)
+	setDefault(&c.ProposeTimeout, 300*time.Millisecond)
+	setDefault(&c.ReproposeAfter, 500*time.Millisecond)
+	setDefault(&c.ResendAfter, 200*time.Millisecond)
+	setDefault(&c.RequestTimeout, 2*time.Second)
+	setDefault(&c.PersistCommitAfter, time.Second)
+	setDefault(&c.BootstrapRetryAfter, 3*time.Second)
 	if c.DigestOf == nil {
 		c.DigestOf = digestOfBody
 	}
@@ -76,8 +76,8 @@
 	if c.TargetMembers == 0 {
 		c.TargetMembers = 3
 	}
-	if c.RequiredCopies == 0 {
-		c.RequiredCopies = 1
+	if c.RequiredReplicas == 0 {
+		c.RequiredReplicas = 1
 	}
 	return c
 }
--- a/internal/router/chain/entry.go
+++ b/internal/router/chain/entry.go
@@ -22,19 +22,19 @@
 // digestOfBody is the digest of a body that is a change by itself.
 func digestOfBody(body []byte) Digest { return sha256.Sum256(body) }
 
-// heldEntry is an entry with its digest and the committed entries before it, the oldest first.
-type heldEntry struct {
+// acceptedEntry is an entry with its digest and the committed entries before it, the oldest first.
+type acceptedEntry struct {
 	Entry
 	digest  Digest
 	history []PastEntry
 }
 
 // hold computes an entry's digest.
-func (c *Config) hold(entry Entry, history []PastEntry) heldEntry {
-	return heldEntry{entry, c.DigestOf(entry.Body), history}
+func (c *Config) newAcceptedEntry(entry Entry, history []PastEntry) acceptedEntry {
+	return acceptedEntry{entry, c.DigestOf(entry.Body), history}
 }
 
 // is tells whether an entry is the one that a message tells of by digest.
-func (h *heldEntry) is(m *Message) bool {
-	return h.Sequence == m.Sequence && h.Version == m.Version && bytes.Equal(h.digest[:], m.Digest)
+func (e *acceptedEntry) matches(m *Message) bool {
+	return e.Sequence == m.Sequence && e.Version == m.Version && bytes.Equal(e.digest[:], m.Digest)
 }
--- a/internal/router/chain/fence_test.go
+++ b/internal/router/chain/fence_test.go
@@ -26,10 +26,10 @@
 }
 
 func TestEntriesComeOnlyFromThePredecessorInTheSameEpoch(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.mustWrite("a", 0, 1, "one")
+	tc := newCluster(t, 3, 3)
+	tc.mustWrite("a", 0, 1, "one")
 	next := Entry{Sequence: 2, Version: 2, Body: []byte("two")}
-	for _, one := range []struct {
+	for _, tt := range []struct {
 		to   MemberID
 		m    Message
 		want []Kind
@@ -46,102 +46,102 @@
 		{"c", Message{Kind: Marker, From: "a", Epoch: 1, Marker: 7}, nil},
 		{"c", Message{Kind: Marker, From: "b", Epoch: 0, Marker: 7}, []Kind{ViewNotice}},
 		{"c", Message{Kind: Marker, From: "b", Epoch: 1, Marker: 7}, []Kind{MarkerReply}},
-		{"a", Message{Kind: AskBody, From: "c", Epoch: 1, Sequence: 1}, nil},
-		{"a", Message{Kind: AskBody, From: "b", Epoch: 1, Sequence: 1}, []Kind{Append}},
+		{"a", Message{Kind: FetchBody, From: "c", Epoch: 1, Sequence: 1}, nil},
+		{"a", Message{Kind: FetchBody, From: "b", Epoch: 1, Sequence: 1}, []Kind{Append}},
 	} {
-		effects := l.machines[one.to].node.Receive(l.now, one.m)
-		c := qt.Commentf("%+v", one.m)
-		l.c.Assert(kinds(effects), qt.DeepEquals, one.want, c)
-		l.c.Assert(effects.Persist, qt.HasLen, 0, c)
+		effects := tc.machines[tt.to].node.Receive(tc.now, tt.m)
+		c := qt.Commentf("%+v", tt.m)
+		tc.c.Assert(kinds(effects), qt.DeepEquals, tt.want, c)
+		tc.c.Assert(effects.Persist, qt.HasLen, 0, c)
 	}
 }
 
 func TestSealedReplicaOpensNothingAlsoAfterARestart(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.mustWrite("a", 0, 1, "one")
-	view := View{Epoch: 2, Members: l.view("a").Members, Chain: []MemberID{"a", "b"}}
-	l.flights = nil
-	l.do("b", func(n *Node) Effects { return n.Receive(l.now, Message{Kind: ViewNotice, View: view}) })
-	l.do("b", func(n *Node) Effects { return n.Receive(l.now, Message{Kind: Seal, From: "c", Epoch: 2}) })
-	l.restart("b")
-	l.flights = nil
+	tc := newCluster(t, 3, 3)
+	tc.mustWrite("a", 0, 1, "one")
+	view := View{Epoch: 2, Members: tc.view("a").Members, Chain: []MemberID{"a", "b"}}
+	tc.inTransit = nil
+	tc.do("b", func(n *Node) Effects { return n.Receive(tc.now, Message{Kind: ViewNotice, View: view}) })
+	tc.do("b", func(n *Node) Effects { return n.Receive(tc.now, Message{Kind: Seal, From: "c", Epoch: 2}) })
+	tc.restart("b")
+	tc.inTransit = nil
 	opening := appendOf("a", 2, Entry{Sequence: 1, Version: 1, Body: []byte("one")})
-	effects := l.machines["b"].node.Receive(l.now, opening)
-	l.c.Assert(kinds(effects), qt.HasLen, 0)
-	l.c.Assert(effects.Persist, qt.HasLen, 0)
-	l.c.Assert(l.machines["b"].node.heartbeat().Sealed, qt.IsTrue)
+	effects := tc.machines["b"].node.Receive(tc.now, opening)
+	tc.c.Assert(kinds(effects), qt.HasLen, 0)
+	tc.c.Assert(effects.Persist, qt.HasLen, 0)
+	tc.c.Assert(tc.machines["b"].node.heartbeat().Sealed, qt.IsTrue)
 }
 
 func TestOpenReplicaSealsNothing(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	effects := l.machines["b"].node.Receive(l.now, Message{Kind: Seal, From: "c", Epoch: 1})
-	l.c.Assert(effects.Persist, qt.HasLen, 0)
+	tc := newCluster(t, 3, 3)
+	effects := tc.machines["b"].node.Receive(tc.now, Message{Kind: Seal, From: "c", Epoch: 1})
+	tc.c.Assert(effects.Persist, qt.HasLen, 0)
 }
 
-func TestToldEpochOfAnEntrySurvivesARestart(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.mustWrite("a", 0, 1, "one")
-	l.machines["c"].down = true
-	l.run(2 * time.Second)
+func TestReportedEpochOfAnEntrySurvivesARestart(t *testing.T) {
+	tc := newCluster(t, 3, 3)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.machines["c"].down = true
+	tc.run(2 * time.Second)
 	for _, id := range []MemberID{"a", "b"} {
-		node := l.machines[id].node
-		told := node.heartbeat().EntryEpoch
-		l.c.Assert(told, qt.Equals, node.View().Epoch)
-		restored, _, err := Open(l.machines[id].config, l.now, l.machines[id].records)
-		l.c.Assert(err, qt.IsNil)
-		l.c.Assert(restored.state.held.Epoch, qt.Equals, told)
+		node := tc.machines[id].node
+		reported := node.heartbeat().EntryEpoch
+		tc.c.Assert(reported, qt.Equals, node.View().Epoch)
+		restored, _, err := Open(tc.machines[id].config, tc.now, tc.machines[id].records)
+		tc.c.Assert(err, qt.IsNil)
+		tc.c.Assert(restored.state.accepted.Epoch, qt.Equals, reported)
 	}
 }
 
-func TestMarkerOfAnEarlierLifeAnswersNothing(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.mustWrite("a", 0, 1, "one")
-	l.read("a")
-	earlier := l.machines["a"].node.head.marker
-	l.machines["a"].config.Random.Int63()
-	l.restart("a")
-	l.run(50 * time.Millisecond)
-	l.drop = loseKind(Marker, "b")
-	read := l.read("a")
-	l.do("a", func(n *Node) Effects {
-		return n.Receive(l.now, Message{Kind: MarkerReply, From: "c", Epoch: 1, Marker: earlier, Sequence: 1})
+func TestMarkerOfAnEarlierIncarnationAnswersNothing(t *testing.T) {
+	tc := newCluster(t, 3, 3)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.read("a")
+	earlier := tc.machines["a"].node.head.marker
+	tc.machines["a"].config.Random.Int63()
+	tc.restart("a")
+	tc.run(50 * time.Millisecond)
+	tc.drop = dropKind(Marker, "b")
+	read := tc.read("a")
+	tc.do("a", func(n *Node) Effects {
+		return n.Receive(tc.now, Message{Kind: MarkerReply, From: "c", Epoch: 1, Marker: earlier, Sequence: 1})
 	})
-	l.c.Assert(l.outcome("a", read), qt.Equals, Outcome(0))
+	tc.c.Assert(tc.outcome("a", read), qt.Equals, Outcome(0))
 }
 
 func TestAnswersAreNeverBeforeTheirRecords(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.mustWrite("a", 0, 1, "one")
-	l.machines["c"].failing = true
-	write := l.propose("a", 1, 2, "two")
-	l.run(20 * time.Millisecond)
-	l.c.Assert(l.outcome("a", write), qt.Equals, Outcome(0))
-	entry, known := l.machines["c"].node.Committed()
-	l.c.Assert(known, qt.IsTrue)
-	l.c.Assert(string(entry.Body), qt.Equals, "one")
-	l.c.Assert(l.machines["c"].node.heartbeat().Stalled, qt.IsTrue)
+	tc := newCluster(t, 3, 3)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.machines["c"].failing = true
+	write := tc.propose("a", 1, 2, "two")
+	tc.run(20 * time.Millisecond)
+	tc.c.Assert(tc.outcome("a", write), qt.Equals, Outcome(0))
+	entry, known := tc.machines["c"].node.Committed()
+	tc.c.Assert(known, qt.IsTrue)
+	tc.c.Assert(string(entry.Body), qt.Equals, "one")
+	tc.c.Assert(tc.machines["c"].node.heartbeat().Stalled, qt.IsTrue)
 }
 
 func TestSnapshotStandsForAllRecords(t *testing.T) {
-	l := newCluster(t, 4, 3)
-	l.mustWrite("a", 0, 1, "one")
-	l.machines["c"].down = true
-	l.run(3 * time.Second)
-	l.mustWrite("a", 1, 2, "two")
+	tc := newCluster(t, 4, 3)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.machines["c"].down = true
+	tc.run(3 * time.Second)
+	tc.mustWrite("a", 1, 2, "two")
 	for _, id := range []MemberID{"a", "b", "d"} {
-		snapshot := l.machines[id].node.SnapshotRecords()
-		replayed, _, err := Open(l.machines[id].config, l.now, l.machines[id].records)
-		l.c.Assert(err, qt.IsNil)
-		restored, _, err := Open(l.machines[id].config, l.now, snapshot)
-		l.c.Assert(err, qt.IsNil)
-		l.c.Assert(replayed.View(), qt.DeepEquals, restored.View())
-		l.c.Assert(replayed.state.held.Entry, qt.DeepEquals, restored.state.held.Entry)
-		l.c.Assert(replayed.state.acceptor.promised, qt.Equals, restored.state.acceptor.promised)
-		l.c.Assert(replayed.state.genesis, qt.DeepEquals, restored.state.genesis)
+		snapshot := tc.machines[id].node.SnapshotRecords()
+		replayed, _, err := Open(tc.machines[id].config, tc.now, tc.machines[id].records)
+		tc.c.Assert(err, qt.IsNil)
+		restored, _, err := Open(tc.machines[id].config, tc.now, snapshot)
+		tc.c.Assert(err, qt.IsNil)
+		tc.c.Assert(replayed.View(), qt.DeepEquals, restored.View())
+		tc.c.Assert(replayed.state.accepted.Entry, qt.DeepEquals, restored.state.accepted.Entry)
+		tc.c.Assert(replayed.state.acceptor.promised, qt.Equals, restored.state.acceptor.promised)
+		tc.c.Assert(replayed.state.genesis, qt.DeepEquals, restored.state.genesis)
 	}
 }
 
-func TestRecordsThatCannotBeReadAreRefused(t *testing.T) {
+func TestRecordsThatCannotBeReadAreRejected(t *testing.T) {
 	c := qt.New(t)
 	for _, record := range [][]byte{{}, {99}, {recordIdentity, 5, 'a'}, {recordView, 1}, {recordPosition}} {
 		_, _, err := Open(Config{}, 0, [][]byte{record})
@@ -151,18 +151,18 @@
 
 // TestRecordsEndInNoZeros: the log could take them for a sector that was not written.
 func TestRecordsEndInNoZeros(t *testing.T) {
-	l := newCluster(t, 4, 3)
-	l.mustWrite("a", 0, 1, "one")
-	l.machines["c"].down = true
-	l.run(3 * time.Second)
+	tc := newCluster(t, 4, 3)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.machines["c"].down = true
+	tc.run(3 * time.Second)
 	kinds := map[byte]bool{}
-	for _, id := range l.order {
-		for _, record := range l.machines[id].records {
+	for _, id := range tc.order {
+		for _, record := range tc.machines[id].records {
 			kinds[record[0]] = true
-			l.c.Assert(record[len(record)-1], qt.Not(qt.Equals), byte(0), qt.Commentf("kind %d", record[0]))
+			tc.c.Assert(record[len(record)-1], qt.Not(qt.Equals), byte(0), qt.Commentf("kind %d", record[0]))
 		}
 	}
 	for _, kind := range []byte{recordGenesis, recordView, recordAcceptor, recordSuccessor, recordPosition} {
-		l.c.Assert(kinds[kind], qt.IsTrue)
+		tc.c.Assert(kinds[kind], qt.IsTrue)
 	}
 }
--- a/internal/router/chain/forward.go
+++ b/internal/router/chain/forward.go
@@ -6,11 +6,11 @@
 )
 
 // forwarded is a local request that the head has been asked for.
-type forwarded struct {
+type forwardedRequest struct {
 	read     bool
 	deadline time.Duration
 	// known is the entry that the head was told of, so that it may leave out the body.
-	known Entry
+	knownEntry Entry
 }
 
 // Propose asks for a write. The reply carries the request's number, which this node must not have used
@@ -27,7 +27,7 @@
 // Confirm asks whether a change was committed, of which the caller can't make the body any more: the one with
 // that digest that went from version Expected to Version. Nothing is ever written. Applied and Conflict mean
 // the same as for Propose; where the change could still be proposed there is no clear answer.
-func (n *Node) Confirm(now time.Duration, request uint64, change ChangeName) Effects {
+func (n *Node) Confirm(now time.Duration, request uint64, change ChangeID) Effects {
 	n.begin(now)
 	n.forward(request, false, Message{
 		Kind: Forward, Request: request,
@@ -51,7 +51,7 @@
 		n.reply(Reply{Request: request, Outcome: Unavailable})
 		return
 	}
-	n.forwards[request] = forwarded{read, n.now + n.config.RequestTimeout, n.state.committed.Entry}
+	n.forwards[request] = forwardedRequest{read, n.now + n.config.RequestTimeout, n.state.committed.Entry}
 	n.send(n.state.view.head(), m)
 }
 
@@ -61,12 +61,12 @@
 // onForward takes a request at the head.
 func (n *Node) onForward(m *Message) {
 	r := request{
-		from: m.From, id: m.Request, read: m.Kind == ForwardRead, known: m.Sequence,
+		from: m.From, id: m.Request, read: m.Kind == ForwardRead, knownSequence: m.Sequence,
 		deadline: n.now + n.config.RequestTimeout,
 	}
 	if !n.isHead() {
 		n.answer(r, Unavailable)
-		n.tellView(m.From)
+		n.sendView(m.From)
 		return
 	}
 	if r.read {
@@ -94,25 +94,25 @@
 
 // addRead takes a read at the head.
 func (n *Node) addRead(r request) {
-	if len(n.head.all()) >= n.config.QueueLimit {
+	if len(n.head.requests()) >= n.config.QueueLimit {
 		n.answer(r, Unavailable)
 		return
 	}
-	n.head.reads = append(n.head.reads, r)
+	n.head.queuedReads = append(n.head.queuedReads, r)
 	n.advance()
 }
 
 // onForwardReply gives the head's answer to the local caller.
 func (n *Node) onForwardReply(m *Message) {
-	waiting, found := n.forwards[m.Request]
-	if !found {
+	request, ok := n.forwards[m.Request]
+	if !ok {
 		return
 	}
 	delete(n.forwards, m.Request)
 	entry := Entry{Epoch: m.Epoch, Sequence: m.Sequence, Version: m.Version}
 	reply := Reply{m.Request, m.Outcome, entry}
-	if waiting.read && m.Outcome == Applied {
-		reply.Entry = waiting.known
+	if request.read && m.Outcome == Applied {
+		reply.Entry = request.knownEntry
 		if m.HasBody {
 			reply.Entry = Entry{m.Epoch, m.Sequence, m.Version, m.Body}
 		}
@@ -125,7 +125,7 @@
 func (n *Node) redirectForwards() {
 	for _, id := range n.forwardIDs() {
 		if n.forwards[id].read && n.state.view.Epoch > 0 {
-			known := n.forwards[id].known.Sequence
+			known := n.forwards[id].knownEntry.Sequence
 			n.send(n.state.view.head(), Message{Kind: ForwardRead, Request: id, Sequence: known})
 			continue
 		}
@@ -153,8 +153,8 @@
 		}
 	}
 	h := &n.head
-	for _, list := range []*[]request{&h.waiters, &h.writes, &h.reads, &h.inFlight} {
-		*list = slices.DeleteFunc(*list, func(r request) bool {
+	for _, queue := range []*[]request{&h.waiters, &h.queuedWrites, &h.queuedReads, &h.markedReads} {
+		*queue = slices.DeleteFunc(*queue, func(r request) bool {
 			expired := n.now >= r.deadline
 			if expired {
 				n.answer(r, Unavailable)
--- a/internal/router/chain/found_test.go
+++ b/internal/router/chain/found_test.go
@@ -10,75 +10,75 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestFounderWithoutADiskIsNoMember(t *testing.T) {
-	l := newCluster(t, 0, 0)
+func TestBootstrapperWithoutADiskIsNoMember(t *testing.T) {
+	tc := newCluster(t, 0, 0)
 	var members []Member
 	for i, id := range []MemberID{"a", "b", "c"} {
 		address := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}[i]
-		l.start(id, address, true, 3)
+		tc.start(id, address, true, 3)
 		members = append(members, Member{id, address})
 	}
-	l.machines["f"] = &machine{config: l.machines["a"].config, replies: map[uint64]Reply{}}
-	l.machines["f"].config.Self, l.machines["f"].config.HasDisk = Member{"f", "10.0.0.9"}, false
-	l.order = append(l.order, "f")
-	l.boot("f")
-	l.machines["f"].node.SetContacts(members)
-	l.do("f", func(n *Node) Effects { return n.Found(l.now, members) })
-	l.run(200 * time.Millisecond)
-	l.mustChain("f", "a", "b", "c")
-	l.c.Assert(l.machines["f"].records, qt.HasLen, 0)
-	l.mustWrite("f", 0, 1, "one")
+	tc.machines["f"] = &machine{config: tc.machines["a"].config, replies: map[uint64]Reply{}}
+	tc.machines["f"].config.Self, tc.machines["f"].config.HasDisk = Member{"f", "10.0.0.9"}, false
+	tc.order = append(tc.order, "f")
+	tc.boot("f")
+	tc.machines["f"].node.SetContacts(members)
+	tc.do("f", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
+	tc.run(200 * time.Millisecond)
+	tc.mustChain("f", "a", "b", "c")
+	tc.c.Assert(tc.machines["f"].records, qt.HasLen, 0)
+	tc.mustWrite("f", 0, 1, "one")
 }
 
 func TestFirstViewNeedsAllMembers(t *testing.T) {
-	l := newCluster(t, 0, 0)
+	tc := newCluster(t, 0, 0)
 	members := []Member{{"a", "1"}, {"b", "2"}, {"c", "3"}}
 	for _, member := range members {
-		l.start(member.ID, member.Address, true, 3)
+		tc.start(member.ID, member.Address, true, 3)
 	}
-	l.machines["c"].down = true
-	l.do("a", func(n *Node) Effects { return n.Found(l.now, members) })
-	l.run(time.Second)
-	l.c.Assert(l.view("a").Epoch, qt.Equals, uint64(0))
-	l.boot("c")
-	l.run(time.Second)
-	l.c.Assert(l.view("b").Epoch, qt.Equals, uint64(1))
+	tc.machines["c"].down = true
+	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
+	tc.run(time.Second)
+	tc.c.Assert(tc.view("a").Epoch, qt.Equals, uint64(0))
+	tc.boot("c")
+	tc.run(time.Second)
+	tc.c.Assert(tc.view("b").Epoch, qt.Equals, uint64(1))
 }
 
-func TestFounderAdoptsTheFirstViewThatAMemberHasAccepted(t *testing.T) {
-	l := newCluster(t, 0, 0)
+func TestBootstrapperAdoptsTheFirstViewThatAMemberHasAccepted(t *testing.T) {
+	tc := newCluster(t, 0, 0)
 	members := []Member{{"a", "1"}, {"b", "2"}, {"c", "3"}}
 	for _, member := range members {
-		l.start(member.ID, member.Address, true, 3)
+		tc.start(member.ID, member.Address, true, 3)
 	}
-	l.run(3 * time.Second) // the founder waits for a third
-	l.drop = loseKind(GenesisReply, "a")
-	l.do("a", func(n *Node) Effects { return n.Found(l.now, members[:2]) })
-	l.run(100 * time.Millisecond)
-	l.drop = nil
-	l.restart("a")
-	l.do("a", func(n *Node) Effects { return n.Found(l.now, members) })
-	l.run(500 * time.Millisecond)
-	l.c.Assert(l.view("b").Epoch > 0, qt.IsTrue)
-	l.c.Assert(l.machines["b"].node.state.genesis.Members, qt.DeepEquals, members[:2])
+	tc.run(3 * time.Second) // the founder waits for a third
+	tc.drop = dropKind(GenesisReply, "a")
+	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members[:2]) })
+	tc.run(100 * time.Millisecond)
+	tc.drop = nil
+	tc.restart("a")
+	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
+	tc.run(500 * time.Millisecond)
+	tc.c.Assert(tc.view("b").Epoch > 0, qt.IsTrue)
+	tc.c.Assert(tc.machines["b"].node.state.genesis.Members, qt.DeepEquals, members[:2])
 }
 
 func TestEmptyDiskAfterTheFirstStartAcceptsNoFirstView(t *testing.T) {
-	l := newCluster(t, 0, 0)
+	tc := newCluster(t, 0, 0)
 	members := []Member{{"a", "1"}, {"b", "2"}}
-	l.start("a", "1", true, 2)
-	l.start("b", "2", false, 2)
-	l.do("a", func(n *Node) Effects { return n.Found(l.now, members) })
-	l.run(time.Second)
-	l.c.Assert(l.view("a").Epoch, qt.Equals, uint64(0))
-	l.c.Assert(l.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(0))
+	tc.start("a", "1", true, 2)
+	tc.start("b", "2", false, 2)
+	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
+	tc.run(time.Second)
+	tc.c.Assert(tc.view("a").Epoch, qt.Equals, uint64(0))
+	tc.c.Assert(tc.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(0))
 }
 
-// TestConsentGoesToTheFoundersAddress: a machine that has heard nothing of the founder but its question
-// answers to the address that the question names, since identities alone lead nowhere yet.
-func TestConsentGoesToTheFoundersAddress(t *testing.T) {
+// TestGenesisReplyGoesToTheBootstrappersAddress: a machine that has heard nothing of the founder but its
+// question answers to the address that the question names, since identities alone lead nowhere yet.
+func TestGenesisReplyGoesToTheBootstrappersAddress(t *testing.T) {
 	c := qt.New(t)
-	config := Config{Self: Member{"b", "10.0.0.2"}, HasDisk: true, FirstStart: true,
+	config := Config{Self: Member{"b", "10.0.0.2"}, HasDisk: true, AllowBootstrap: true,
 		Random: rand.New(rand.NewSource(1))}
 	node, _, err := Open(config, 0, nil)
 	c.Assert(err, qt.IsNil)
@@ -89,114 +89,114 @@
 	c.Check(effects.Messages[0].Message.Kind, qt.Equals, GenesisReply)
 }
 
-// foundingCluster makes machines that nobody has founded yet, the first of which wants to.
-func foundingCluster(t testing.TB, ids ...MemberID) (*cluster, []Member) {
-	l := newCluster(t, 0, 0)
+// newBootstrapCluster makes machines that nobody has founded yet, the first of which wants to.
+func newBootstrapCluster(t testing.TB, ids ...MemberID) (*testCluster, []Member) {
+	tc := newCluster(t, 0, 0)
 	var members []Member
 	for i, id := range ids {
 		address := fmt.Sprint("10.0.0.", i+1)
-		l.start(id, address, true, len(ids))
+		tc.start(id, address, true, len(ids))
 		members = append(members, Member{id, address})
 	}
 	for _, id := range ids {
-		l.machines[id].node.SetContacts(members)
+		tc.machines[id].node.SetContacts(members)
 	}
-	return l, members
+	return tc, members
 }
 
 // found asks members to accept the first view, as a founder does again and again.
-func (l *cluster) found(at MemberID, members []Member, during time.Duration) {
-	for end := l.now + during; l.now < end; {
-		l.do(at, func(n *Node) Effects { return n.Found(l.now, members) })
-		l.run(500 * time.Millisecond)
+func (tc *testCluster) keepBootstrapping(at MemberID, members []Member, during time.Duration) {
+	for end := tc.now + during; tc.now < end; {
+		tc.do(at, func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
+		tc.run(500 * time.Millisecond)
 	}
 }
 
-func TestFoundingEndsWhenADiskIsLostAfterItsConsent(t *testing.T) {
+func TestBootstrapCompletesWhenADiskIsLostAfterItsConsent(t *testing.T) {
 	for _, lost := range []MemberID{"b", "c"} {
-		l, members := foundingCluster(t, "a", "b", "c")
-		l.drop = loseKind(GenesisReply, "a")
-		l.found("a", members, time.Second)
-		for _, id := range l.order {
-			l.c.Assert(l.machines[id].node.state.genesis.Epoch, qt.Equals, uint64(1))
+		tc, members := newBootstrapCluster(t, "a", "b", "c")
+		tc.drop = dropKind(GenesisReply, "a")
+		tc.keepBootstrapping("a", members, time.Second)
+		for _, id := range tc.order {
+			tc.c.Assert(tc.machines[id].node.state.genesis.Epoch, qt.Equals, uint64(1))
 		}
-		l.machines[lost].down = true
-		l.start("x", l.machines[lost].config.Self.Address, false, 3)
-		l.machines["x"].node.SetContacts(members)
-		l.drop = nil
-		with := append(slices.Clone(members), Member{"x", l.machines[lost].config.Self.Address})
-		l.found("a", with, 8*time.Second)
-		l.c.Assert(l.view("a").isMember(lost), qt.IsFalse)
-		l.c.Assert(l.view("a").Members, qt.HasLen, 3)
-		l.mustWrite("a", 0, 1, "one")
-		l.mustRead("x", 1, "one")
+		tc.machines[lost].down = true
+		tc.start("x", tc.machines[lost].config.Self.Address, false, 3)
+		tc.machines["x"].node.SetContacts(members)
+		tc.drop = nil
+		with := append(slices.Clone(members), Member{"x", tc.machines[lost].config.Self.Address})
+		tc.keepBootstrapping("a", with, 8*time.Second)
+		tc.c.Assert(tc.view("a").isMember(lost), qt.IsFalse)
+		tc.c.Assert(tc.view("a").Members, qt.HasLen, 3)
+		tc.mustWrite("a", 0, 1, "one")
+		tc.mustRead("x", 1, "one")
 	}
 }
 
-func TestConsentingMembersGoOnWithoutTheirFounder(t *testing.T) {
-	l, members := foundingCluster(t, "a", "b", "c", "f")
-	l.drop = func(_, to MemberID, m *Message) bool {
+func TestConsentingMembersContinueWithoutTheirBootstrapper(t *testing.T) {
+	tc, members := newBootstrapCluster(t, "a", "b", "c", "f")
+	tc.drop = func(_, to MemberID, m *Message) bool {
 		return to == "f" || m.Kind == Genesis && to == "c"
 	}
-	l.found("f", members[:3], time.Second)
-	l.machines["f"].down = true
-	l.drop = nil
-	for _, id := range l.order[:3] { // a restart is no first start
-		l.machines[id].config.FirstStart = false
-		l.restart(id)
+	tc.keepBootstrapping("f", members[:3], time.Second)
+	tc.machines["f"].down = true
+	tc.drop = nil
+	for _, id := range tc.order[:3] { // a restart is no first start
+		tc.machines[id].config.AllowBootstrap = false
+		tc.restart(id)
 	}
-	l.run(8 * time.Second)
-	l.mustChain("c", "a", "b", "c")
-	l.mustWrite("c", 0, 1, "one")
+	tc.run(8 * time.Second)
+	tc.mustChain("c", "a", "b", "c")
+	tc.mustWrite("c", 0, 1, "one")
 }
 
 // TestRevokedFirstViewIsNeverAdopted: a decided first view that only one member has heard of is overtaken by
 // a later attempt of the others.
 func TestRevokedFirstViewIsNeverAdopted(t *testing.T) {
-	l, members := foundingCluster(t, "a", "b", "c", "f")
+	tc, members := newBootstrapCluster(t, "a", "b", "c", "f")
 	first := firstView(1, members[:3], nil)
-	l.drop = func(_, to MemberID, m *Message) bool { return m.Kind == ViewNotice && to != "c" }
-	l.found("f", members[:3], 500*time.Millisecond)
-	l.c.Assert(l.view("c").equal(first), qt.IsTrue)
-	l.machines["f"].down, l.machines["c"].down = true, true
-	l.drop = nil
-	l.run(25 * time.Second)
-	l.c.Assert(l.view("a").Epoch > 1, qt.IsTrue)
-	epoch := l.view("a").Epoch
-	l.c.Assert(sorted(identities(l.view("a").Members)), qt.DeepEquals, []MemberID{"a", "b"})
-	l.do("a", func(n *Node) Effects { return n.Receive(l.now, Message{Kind: ViewNotice, View: first}) })
-	l.c.Assert(l.view("a").Epoch, qt.Equals, epoch)
-	l.mustWrite("a", 0, 1, "one")
-	l.machines["c"].down = false
-	l.run(3 * time.Second)
-	l.mustRead("c", 1, "one")
-	l.c.Assert(l.view("c").isMember("c"), qt.IsTrue)
+	tc.drop = func(_, to MemberID, m *Message) bool { return m.Kind == ViewNotice && to != "c" }
+	tc.keepBootstrapping("f", members[:3], 500*time.Millisecond)
+	tc.c.Assert(tc.view("c").equal(first), qt.IsTrue)
+	tc.machines["f"].down, tc.machines["c"].down = true, true
+	tc.drop = nil
+	tc.run(25 * time.Second)
+	tc.c.Assert(tc.view("a").Epoch > 1, qt.IsTrue)
+	epoch := tc.view("a").Epoch
+	tc.c.Assert(sortedIDs(memberIDs(tc.view("a").Members)), qt.DeepEquals, []MemberID{"a", "b"})
+	tc.do("a", func(n *Node) Effects { return n.Receive(tc.now, Message{Kind: ViewNotice, View: first}) })
+	tc.c.Assert(tc.view("a").Epoch, qt.Equals, epoch)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.machines["c"].down = false
+	tc.run(3 * time.Second)
+	tc.mustRead("c", 1, "one")
+	tc.c.Assert(tc.view("c").isMember("c"), qt.IsTrue)
 }
 
-// TestMinorityThatHasRevokedTheFirstViewComesBack: a view that others adopted goes on without the member that
+// TestMinorityThatHasRevokedTheFirstViewRejoins: a view that others adopted goes on without the member that
 // must not, and takes it in by the next one.
-func TestMinorityThatHasRevokedTheFirstViewComesBack(t *testing.T) {
-	l, members := foundingCluster(t, "a", "b", "c")
+func TestMinorityThatHasRevokedTheFirstViewRejoins(t *testing.T) {
+	tc, members := newBootstrapCluster(t, "a", "b", "c")
 	first := firstView(1, members, nil)
 	second := firstView(2, members[:2], []PastChain{{1, first.Chain}})
 	tell := func(id MemberID, m Message) {
 		m.From, m.Address = "f", "10.0.0.9"
-		l.do(id, func(n *Node) Effects { return n.Receive(l.now, m) })
+		tc.do(id, func(n *Node) Effects { return n.Receive(tc.now, m) })
 	}
-	for _, id := range l.order {
+	for _, id := range tc.order {
 		tell(id, Message{Kind: Genesis, View: first})
 	}
 	tell("a", Message{Kind: Genesis, View: second})
-	l.c.Assert(l.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(2))
-	for _, id := range l.order {
+	tc.c.Assert(tc.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(2))
+	for _, id := range tc.order {
 		tell(id, Message{Kind: ViewNotice, View: first})
 	}
-	l.c.Assert(l.view("a").Epoch, qt.Equals, uint64(0))
+	tc.c.Assert(tc.view("a").Epoch, qt.Equals, uint64(0))
 	tell("b", Message{Kind: Genesis, View: second})
-	l.c.Assert(l.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(1)) // it is in the first one
-	l.run(5 * time.Second)
-	l.mustWrite("a", 0, 1, "one")
-	l.c.Assert(l.view("a").Chain, qt.HasLen, 3)
+	tc.c.Assert(tc.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(1)) // it is in the first one
+	tc.run(5 * time.Second)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.c.Assert(tc.view("a").Chain, qt.HasLen, 3)
 }
 
 func TestConsentToAnAttempt(t *testing.T) {
@@ -205,7 +205,7 @@
 	first := firstView(1, []Member{a, b, {"c", "3"}}, nil)
 	past := PastChain{1, first.Chain}
 	second := firstView(2, []Member{a, b}, []PastChain{past})
-	for _, one := range []struct {
+	for _, tt := range []struct {
 		name       string
 		firstStart bool
 		held, view View
@@ -225,46 +225,47 @@
 		{"a third", true, second, firstView(3, []Member{a, b}, []PastChain{past, {2, second.Chain}}), true},
 		{"an earlier one", true, second, first, false},
 	} {
-		config := Config{Self: a, HasDisk: true, FirstStart: one.firstStart, Random: rand.New(rand.NewSource(1))}
+		config := Config{Self: a, HasDisk: true, AllowBootstrap: tt.firstStart, Random: rand.New(rand.NewSource(1))}
 		node, _, err := Open(config, 0, nil)
 		c.Assert(err, qt.IsNil)
-		node.state.genesis = one.held
-		c.Check(node.mayConsent(&one.view), qt.Equals, one.want, qt.Commentf(one.name))
+		node.state.genesis = tt.held
+		c.Check(node.mayAcceptGenesis(&tt.view), qt.Equals, tt.want, qt.Commentf(tt.name))
 	}
 }
 
-func TestFounderWaitsForEnoughMembers(t *testing.T) {
-	l, members := foundingCluster(t, "a", "b", "c")
-	l.found("a", members[:2], 2*time.Second)
-	l.c.Assert(l.view("a").Epoch, qt.Equals, uint64(0))
-	l.found("a", members, time.Second)
-	l.mustChain("a", "a", "b", "c")
+func TestBootstrapperWaitsForEnoughMembers(t *testing.T) {
+	tc, members := newBootstrapCluster(t, "a", "b", "c")
+	tc.keepBootstrapping("a", members[:2], 2*time.Second)
+	tc.c.Assert(tc.view("a").Epoch, qt.Equals, uint64(0))
+	tc.keepBootstrapping("a", members, time.Second)
+	tc.mustChain("a", "a", "b", "c")
 }
 
-// TestSilentMemberIsNotDroppedEarly: an attempt of two would have to be given up when one of them is lost.
-func TestSilentMemberIsNotDroppedEarly(t *testing.T) {
-	l, members := foundingCluster(t, "a", "b", "c")
-	l.drop = func(from, _ MemberID, m *Message) bool { return m.Kind == GenesisReply && from == "c" }
-	l.found("a", members, 5*time.Second)
-	l.c.Assert(l.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(1))
-	l.machines["b"].down = true
-	l.start("x", "10.0.0.2", false, 3)
-	l.machines["x"].node.SetContacts(members)
-	l.drop = nil
-	l.found("a", append(slices.Clone(members), Member{"x", "10.0.0.2"}), 8*time.Second)
-	l.c.Assert(sorted(identities(l.view("a").Members)), qt.DeepEquals, []MemberID{"a", "c", "x"})
-	l.mustWrite("a", 0, 1, "one")
+// TestUnresponsiveMemberIsNotDroppedEarly: an attempt of two would have to be given up when one of them is
+// lost.
+func TestUnresponsiveMemberIsNotDroppedEarly(t *testing.T) {
+	tc, members := newBootstrapCluster(t, "a", "b", "c")
+	tc.drop = func(from, _ MemberID, m *Message) bool { return m.Kind == GenesisReply && from == "c" }
+	tc.keepBootstrapping("a", members, 5*time.Second)
+	tc.c.Assert(tc.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(1))
+	tc.machines["b"].down = true
+	tc.start("x", "10.0.0.2", false, 3)
+	tc.machines["x"].node.SetContacts(members)
+	tc.drop = nil
+	tc.keepBootstrapping("a", append(slices.Clone(members), Member{"x", "10.0.0.2"}), 8*time.Second)
+	tc.c.Assert(sortedIDs(memberIDs(tc.view("a").Members)), qt.DeepEquals, []MemberID{"a", "c", "x"})
+	tc.mustWrite("a", 0, 1, "one")
 }
 
 // TestConsentThatIsNotDurableDoesNotCount: the founder's disk refuses its own consent.
 func TestConsentThatIsNotDurableDoesNotCount(t *testing.T) {
-	l, members := foundingCluster(t, "a", "b", "c")
-	l.machines["a"].failing = true
-	l.do("a", func(n *Node) Effects { return n.Found(l.now, members) })
-	l.machines["a"].failing = false
-	l.run(2 * time.Second)
-	l.mustWrite("a", 0, 1, "one")
-	restored, _, err := Open(l.machines["a"].config, l.now, l.machines["a"].records)
-	l.c.Assert(err, qt.IsNil)
-	l.c.Assert(restored.state.genesis.Epoch, qt.Equals, uint64(1))
+	tc, members := newBootstrapCluster(t, "a", "b", "c")
+	tc.machines["a"].failing = true
+	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
+	tc.machines["a"].failing = false
+	tc.run(2 * time.Second)
+	tc.mustWrite("a", 0, 1, "one")
+	restored, _, err := Open(tc.machines["a"].config, tc.now, tc.machines["a"].records)
+	tc.c.Assert(err, qt.IsNil)
+	tc.c.Assert(restored.state.genesis.Epoch, qt.Equals, uint64(1))
 }
--- a/internal/router/chain/golden_test.go
+++ b/internal/router/chain/golden_test.go
@@ -41,13 +41,15 @@
 }
 
 // goldenState is what a disk may hold, with all values set.
-func goldenState() *durable {
+func goldenState() *durableState {
 	config := Config{}.withDefaults()
-	return &durable{
-		id: "m0", fromFirstStart: true, genesis: goldenView(3), view: goldenView(300),
-		acceptor: acceptorState{promised: Ballot{Round: 9, Member: "m2"}, accepted: Ballot{Round: 8, Member: "m1"},
-			acceptedValue: goldenView(301)},
-		held: config.hold(Entry{Epoch: 299, Sequence: 200, Version: 40, Body: []byte(goldenDocument)},
+	return &durableState{
+		id: "m0", bootstrapAllowed: true, genesis: goldenView(3), view: goldenView(300),
+		acceptor: acceptorState{promised: ProposalNumber{Counter: 9, Proposer: "m2"},
+			accepted:     ProposalNumber{Counter: 8, Proposer: "m1"},
+			acceptedView: goldenView(301)},
+		accepted: config.newAcceptedEntry(Entry{Epoch: 299, Sequence: 200, Version: 40,
+			Body: []byte(goldenDocument)},
 			goldenHistory()),
 		committedSequence: 200,
 		sealed:            298,
@@ -55,12 +57,12 @@
 }
 
 // goldenSuccessorState is goldenState with the write behind it, which the successor's record makes of it.
-func goldenSuccessorState() *durable {
+func goldenSuccessorState() *durableState {
 	state, config := goldenState(), Config{}.withDefaults()
-	state.predecessor = state.held
+	state.predecessor = state.accepted
 	history := append(goldenHistory(), PastEntry{Version: 40, Digest: digestOfBody([]byte(goldenDocument))})
 	entry := Entry{Epoch: 300, Sequence: 201, Version: 41, Body: []byte(goldenSuccessor)}
-	state.held = config.hold(entry, history)
+	state.accepted = config.newAcceptedEntry(entry, history)
 	return state
 }
 
@@ -68,13 +70,13 @@
 func goldenRecords() []struct {
 	kind  int
 	file  string
-	state *durable
+	state *durableState
 } {
 	state := goldenState()
 	return []struct {
 		kind  int
 		file  string
-		state *durable
+		state *durableState
 	}{
 		{recordIdentity, "identity.bin", state}, {recordGenesis, "genesis.bin", state},
 		{recordView, "view.bin", state}, {recordAcceptor, "acceptor.bin", state},
@@ -114,7 +116,7 @@
 func TestGoldenRecordsAreRead(t *testing.T) {
 	c := qt.New(t)
 	config := Config{}.withDefaults()
-	read := &durable{}
+	read := &durableState{}
 	var records [][]byte
 	for _, golden := range goldenRecords() {
 		record := readGolden(c, golden.file)
@@ -135,29 +137,29 @@
 	c.Assert(node.View(), qt.DeepEquals, goldenView(300))
 	entry, known := node.Committed()
 	c.Assert(known, qt.IsTrue)
-	c.Assert(entry, qt.DeepEquals, goldenState().held.Entry)
+	c.Assert(entry, qt.DeepEquals, goldenState().accepted.Entry)
 	state := goldenSuccessorState()
 	for i, record := range node.SnapshotRecords() {
 		c.Check(record, qt.DeepEquals, state.encodeRecord(recordIdentity+i))
 	}
 }
 
-func checkState(c *qt.C, read, wanted *durable) {
+func checkState(c *qt.C, read, wanted *durableState) {
 	c.Helper()
 	c.Assert(read.id, qt.Equals, wanted.id)
-	c.Assert(read.fromFirstStart, qt.Equals, wanted.fromFirstStart)
+	c.Assert(read.bootstrapAllowed, qt.Equals, wanted.bootstrapAllowed)
 	c.Assert(read.genesis, qt.DeepEquals, wanted.genesis)
 	c.Assert(read.view, qt.DeepEquals, wanted.view)
 	c.Assert(read.acceptor.promised, qt.Equals, wanted.acceptor.promised)
 	c.Assert(read.acceptor.accepted, qt.Equals, wanted.acceptor.accepted)
-	c.Assert(read.acceptor.acceptedValue, qt.DeepEquals, wanted.acceptor.acceptedValue)
-	checkHeld(c, &read.held, &wanted.held)
+	c.Assert(read.acceptor.acceptedView, qt.DeepEquals, wanted.acceptor.acceptedView)
+	checkHeld(c, &read.accepted, &wanted.accepted)
 	checkHeld(c, &read.predecessor, &wanted.predecessor)
 	c.Assert(read.committedSequence, qt.Equals, wanted.committedSequence)
 	c.Assert(read.sealed, qt.Equals, wanted.sealed)
 }
 
-func checkHeld(c *qt.C, read, wanted *heldEntry) {
+func checkHeld(c *qt.C, read, wanted *acceptedEntry) {
 	c.Helper()
 	c.Assert(read.Entry, qt.DeepEquals, wanted.Entry)
 	c.Assert(read.digest, qt.Equals, wanted.digest)
--- a/internal/router/chain/head.go
+++ b/internal/router/chain/head.go
@@ -16,24 +16,24 @@
 	waiters []request
 	sentAt  time.Duration
 	// writes wait for the pending one.
-	writes []request
-	// reads wait for the next marker, inFlight for the one under way. Both may hold writes that seem to be
+	queuedWrites []request
+	// reads wait for the next marker, markedReads for the one under way. Both may hold writes that seem to be
 	// refused: that is certain only once the chain has confirmed that this node is still its head.
-	reads, inFlight []request
-	marker          uint64
-	markerSentAt    time.Duration
+	queuedReads, markedReads []request
+	marker                   uint64
+	markerSentAt             time.Duration
 }
 
 // request is a read or a write that waits at the head.
 type request struct {
-	from     MemberID
-	id       uint64
-	read     bool
-	confirm  bool   // asks whether a change was committed, and writes nothing
-	known    uint64 // the sequence of the entry that a reader holds
-	proposal Proposal
-	digest   Digest
-	deadline time.Duration
+	from          MemberID
+	id            uint64
+	read          bool
+	confirm       bool   // asks whether a change was committed, and writes nothing
+	knownSequence uint64 // the sequence of the entry that a reader holds
+	proposal      Proposal
+	digest        Digest
+	deadline      time.Duration
 }
 
 // isHead tells whether this node is the head of the view it knows.
@@ -43,18 +43,18 @@
 
 // dropHeadRole answers everyone who waits at this node as the head of the epoch that ends.
 func (n *Node) dropHeadRole() {
-	for _, waiting := range n.head.all() {
+	for _, waiting := range n.head.requests() {
 		n.answer(*waiting, Unavailable)
 	}
 	n.head = headRole{marker: n.config.Random.Uint64()}
 }
 
 // all returns every request that waits.
-func (h *headRole) all() []*request {
+func (h *headRole) requests() []*request {
 	var all []*request
-	for _, list := range [][]request{h.waiters, h.writes, h.reads, h.inFlight} {
-		for i := range list {
-			all = append(all, &list[i])
+	for _, queue := range [][]request{h.waiters, h.queuedWrites, h.queuedReads, h.markedReads} {
+		for i := range queue {
+			all = append(all, &queue[i])
 		}
 	}
 	return all
@@ -62,12 +62,12 @@
 
 // openEpoch sends the held entry down the chain, as the first of the epoch or once more.
 func (n *Node) openEpoch() {
-	if n.state.held.Epoch != n.state.view.Epoch {
-		n.state.held.Epoch = n.state.view.Epoch
+	if n.state.accepted.Epoch != n.state.view.Epoch {
+		n.state.accepted.Epoch = n.state.view.Epoch
 		n.changed[recordPosition] = true
 	}
 	n.head.sentAt = n.now
-	n.passAgain()
+	n.repropagate()
 }
 
 // resend sends again what was not acknowledged for a while.
@@ -79,36 +79,36 @@
 	if (!h.open || h.pending) && n.now-h.sentAt >= n.config.ResendAfter {
 		n.openEpoch()
 	}
-	if len(h.inFlight) > 0 && n.now-h.markerSentAt >= n.config.ResendAfter {
+	if len(h.markedReads) > 0 && n.now-h.markerSentAt >= n.config.ResendAfter {
 		n.sendMarker()
 	}
 }
 
 // onAck opens the epoch or commits the pending write.
 func (n *Node) onAck(m *Message) {
-	if !n.isHead() || m.From != n.state.view.tail() || m.Sequence != n.state.held.Sequence {
+	if !n.isHead() || m.From != n.state.view.tail() || m.Sequence != n.state.accepted.Sequence {
 		return
 	}
-	n.acknowledged()
+	n.commitPending()
 	n.advance()
 }
 
 // acknowledged notes that the whole chain holds the entry.
-func (n *Node) acknowledged() {
+func (n *Node) commitPending() {
 	h := &n.head
 	if h.open && !h.pending {
 		return
 	}
 	h.open, h.pending = true, false
-	if !n.enoughCopies() {
+	if !n.enoughReplicas() {
 		return
 	}
-	copies, members := len(n.state.view.Chain), len(n.state.view.Members)
-	invariant.Assert(2*copies > members, invariant.EnoughReplicas,
-		"an entry is committed by %d of %d members", copies, members)
+	replicas, members := len(n.state.view.Chain), len(n.state.view.Members)
+	invariant.Assert(2*replicas > members, invariant.EnoughReplicas,
+		"an entry is committed by %d of %d members", replicas, members)
 	n.setCommitted()
 	for _, id := range n.state.view.Chain[1:] {
-		n.send(id, Message{Kind: Commit, Sequence: n.state.held.Sequence})
+		n.send(id, Message{Kind: Commit, Sequence: n.state.accepted.Sequence})
 	}
 	for _, waiting := range h.waiters {
 		n.answer(waiting, Applied)
@@ -122,19 +122,19 @@
 	switch {
 	case r.proposal.Version <= r.proposal.Expected:
 		n.answer(r, Invalid)
-	case !n.enoughCopies() || n.stalled || len(h.all()) >= n.config.QueueLimit:
+	case !n.enoughReplicas() || n.stalled || len(h.requests()) >= n.config.QueueLimit:
 		n.answer(r, Unavailable)
-	case h.pending && n.isHeld(r):
+	case h.pending && n.isAccepted(r):
 		h.waiters = append(h.waiters, r)
 	default:
-		h.writes = append(h.writes, r)
+		h.queuedWrites = append(h.queuedWrites, r)
 		n.advance()
 	}
 }
 
-// isHeld tells whether the held entry is the one that a proposal asks for.
-func (n *Node) isHeld(r request) bool {
-	return n.state.held.Version == r.proposal.Version && n.state.held.digest == r.digest
+// isAccepted tells whether the held entry is the one that a proposal asks for.
+func (n *Node) isAccepted(r request) bool {
+	return n.state.accepted.Version == r.proposal.Version && n.state.accepted.digest == r.digest
 }
 
 // advance does what the head can do now: the next write, the next marker.
@@ -143,17 +143,17 @@
 	if !h.open {
 		return
 	}
-	for !h.pending && len(h.writes) > 0 {
-		next := h.writes[0]
-		h.writes = h.writes[1:]
-		if !next.confirm && n.state.held.Version == next.proposal.Expected {
+	for !h.pending && len(h.queuedWrites) > 0 {
+		next := h.queuedWrites[0]
+		h.queuedWrites = h.queuedWrites[1:]
+		if !next.confirm && n.state.accepted.Version == next.proposal.Expected {
 			n.startWrite(next)
 		} else {
-			h.reads = append(h.reads, next)
+			h.queuedReads = append(h.queuedReads, next)
 		}
 	}
-	if len(h.inFlight) == 0 && len(h.reads) > 0 {
-		h.inFlight, h.reads = h.reads, nil
+	if len(h.markedReads) == 0 && len(h.queuedReads) > 0 {
+		h.markedReads, h.queuedReads = h.queuedReads, nil
 		h.marker++
 		n.sendMarker()
 	}
@@ -164,9 +164,9 @@
 	h := &n.head
 	h.pending, h.sentAt = true, n.now
 	h.waiters = append(h.waiters, r)
-	next := Entry{n.state.view.Epoch, n.state.held.Sequence + 1, r.proposal.Version, r.proposal.Body}
-	n.extendHeld(next, r.digest)
-	n.passWrite(r.from, r.id)
+	next := Entry{n.state.view.Epoch, n.state.accepted.Sequence + 1, r.proposal.Version, r.proposal.Body}
+	n.acceptSuccessor(next, r.digest)
+	n.propagate(r.from, r.id)
 }
 
 // sendMarker sends the marker of the batch in flight down the chain.
@@ -176,46 +176,46 @@
 		n.send(next, Message{Kind: Marker, Marker: n.head.marker})
 		return
 	}
-	n.send(n.state.id, Message{Kind: MarkerReply, Marker: n.head.marker, Sequence: n.state.held.Sequence})
+	n.send(n.state.id, Message{Kind: MarkerReply, Marker: n.head.marker, Sequence: n.state.accepted.Sequence})
 }
 
 // onMarkerReply answers the batch: the chain was in this epoch after the batch was complete.
 func (n *Node) onMarkerReply(m *Message) {
 	h := &n.head
-	if !n.isHead() || m.From != n.state.view.tail() || m.Marker != h.marker || len(h.inFlight) == 0 {
+	if !n.isHead() || m.From != n.state.view.tail() || m.Marker != h.marker || len(h.markedReads) == 0 {
 		return
 	}
-	if h.pending && m.Sequence == n.state.held.Sequence {
-		n.acknowledged()
+	if h.pending && m.Sequence == n.state.accepted.Sequence {
+		n.commitPending()
 	}
-	batch := h.inFlight
-	h.inFlight = nil
-	var again []request
-	for _, confirmed := range batch {
-		if confirmed.read {
-			n.answerRead(confirmed)
+	batch := h.markedReads
+	h.markedReads = nil
+	var retries []request
+	for _, r := range batch {
+		if r.read {
+			n.answerRead(r)
 		} else if h.pending {
-			again = append(again, confirmed)
+			retries = append(retries, r)
 		} else {
-			n.judge(confirmed)
+			n.decide(r)
 		}
 	}
-	h.writes = slices.Concat(again, h.writes)
+	h.queuedWrites = slices.Concat(retries, h.queuedWrites)
 	n.advance()
 }
 
 // judge decides on a write by the committed entry and its history: one that was in force is not refused,
 // also where a later one has replaced it. One that the history may have forgotten gets no clear answer.
-func (n *Node) judge(r request) {
-	held := &n.state.held
+func (n *Node) decide(r request) {
+	accepted := &n.state.accepted
 	switch {
-	case held.includes(r.proposal.Version, r.digest):
+	case accepted.includes(r.proposal.Version, r.digest):
 		n.answer(r, Applied)
-	case r.confirm && held.Version == r.proposal.Expected:
+	case r.confirm && accepted.Version == r.proposal.Expected:
 		n.answer(r, Unavailable) // it may be proposed now
-	case held.Version == r.proposal.Expected:
+	case accepted.Version == r.proposal.Expected:
 		n.startWrite(r)
-	case held.mayHaveForgotten(r.proposal.Version):
+	case accepted.mayHaveForgotten(r.proposal.Version):
 		n.answer(r, Unavailable)
 	default:
 		n.answer(r, Conflict)
@@ -226,7 +226,7 @@
 func (n *Node) answerRead(r request) {
 	committed := n.state.committedKnown
 	if !n.head.pending {
-		committed = committed && n.state.committed.Sequence == n.state.held.Sequence
+		committed = committed && n.state.committed.Sequence == n.state.accepted.Sequence
 	}
 	if !committed {
 		n.answer(r, Unavailable)
@@ -241,7 +241,7 @@
 	if outcome != Unavailable {
 		committed := &n.state.committed
 		m.Sequence, m.Version = committed.Sequence, committed.Version
-		if r.read && (r.known != m.Sequence || m.Sequence == 0) {
+		if r.read && (r.knownSequence != m.Sequence || m.Sequence == 0) {
 			m.HasBody, m.Body = true, committed.Body
 		}
 	}
