--- a/internal/router/chain/history.go
+++ b/internal/router/chain/history.go
@@ -13,46 +13,46 @@
 }
 
 // name returns an entry's name for the history of its successors.
-func (h *heldEntry) name() PastEntry { return PastEntry{h.Version, h.digest} }
+func (e *acceptedEntry) pastEntry() PastEntry { return PastEntry{e.Version, e.digest} }
 
 // successor returns the entry that follows a committed one. A history is never changed in place: messages
 // and the state before the step share it.
-func (h *heldEntry) successor(entry Entry, digest Digest, historyLength int) heldEntry {
-	next := heldEntry{Entry: entry, digest: digest}
-	if h.Sequence == 0 {
+func (e *acceptedEntry) successor(entry Entry, digest Digest, historyLength int) acceptedEntry {
+	next := acceptedEntry{Entry: entry, digest: digest}
+	if e.Sequence == 0 {
 		return next // nothing was written before
 	}
-	kept := h.history[max(0, len(h.history)-historyLength+1):]
-	next.history = make([]PastEntry, 0, len(kept)+1)
-	next.history = append(append(next.history, kept...), h.name())
+	retained := e.history[max(0, len(e.history)-historyLength+1):]
+	next.history = make([]PastEntry, 0, len(retained)+1)
+	next.history = append(append(next.history, retained...), e.pastEntry())
 	return next
 }
 
 // isPredecessorOf tells whether a message brings the write that follows this entry.
-func (h *heldEntry) isPredecessorOf(m *Message) bool {
-	if m.Resend || m.Sequence != h.Sequence+1 {
+func (e *acceptedEntry) isPredecessorOf(m *Message) bool {
+	if m.Resend || m.Sequence != e.Sequence+1 {
 		return false
 	}
-	if h.Sequence == 0 || len(m.History) == 0 {
-		return h.Sequence == 0 && len(m.History) == 0
+	if e.Sequence == 0 || len(m.History) == 0 {
+		return e.Sequence == 0 && len(m.History) == 0
 	}
-	return m.History[len(m.History)-1] == h.name()
+	return m.History[len(m.History)-1] == e.pastEntry()
 }
 
 // includes tells whether a proposal asks for this entry or for one of its history.
-func (h *heldEntry) includes(version int64, digest Digest) bool {
-	wanted := PastEntry{version, digest}
-	return h.name() == wanted || slices.Contains(h.history, wanted)
+func (e *acceptedEntry) includes(version int64, digest Digest) bool {
+	named := PastEntry{version, digest}
+	return e.pastEntry() == named || slices.Contains(e.history, named)
 }
 
 // mayHaveForgotten tells whether a version could have been in force before all that the history names.
 // Versions rise with every entry.
-func (h *heldEntry) mayHaveForgotten(version int64) bool {
-	oldest := h.Version
-	if len(h.history) > 0 {
-		oldest = h.history[0].Version
+func (e *acceptedEntry) mayHaveForgotten(version int64) bool {
+	oldest := e.Version
+	if len(e.history) > 0 {
+		oldest = e.history[0].Version
 	}
-	forgotten := uint64(len(h.history))+1 < h.Sequence
+	forgotten := uint64(len(e.history))+1 < e.Sequence
 	return forgotten && version < oldest
 }
 
@@ -71,7 +71,7 @@
 	past := make([]PastEntry, 0, count)
 	for range count {
 		one := PastEntry{Version: d.signed()}
-		d.bad = copy(one.Digest[:], d.text()) < len(one.Digest) || d.bad
+		d.failed = copy(one.Digest[:], d.text()) < len(one.Digest) || d.failed
 		past = append(past, one)
 	}
 	return past
--- a/internal/router/chain/history_test.go
+++ b/internal/router/chain/history_test.go
@@ -9,41 +9,41 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// mustAnswer proposes a write at a node and checks its outcome.
-func (l *cluster) mustAnswer(at MemberID, expected, version int64, body string, want Outcome) {
-	l.c.Helper()
-	request := l.propose(at, expected, version, body)
-	l.run(100 * time.Millisecond)
-	l.c.Assert(l.outcome(at, request), qt.Equals, want, qt.Commentf("version %d, %q", version, body))
+// mustPropose proposes a write at a node and checks its outcome.
+func (tc *testCluster) mustPropose(at MemberID, expected, version int64, body string, want Outcome) {
+	tc.c.Helper()
+	request := tc.propose(at, expected, version, body)
+	tc.run(100 * time.Millisecond)
+	tc.c.Assert(tc.outcome(at, request), qt.Equals, want, qt.Commentf("version %d, %q", version, body))
 }
 
 // writeVersions writes versions one behind the other.
-func (l *cluster) writeVersions(first, last int64) {
-	l.c.Helper()
+func (tc *testCluster) writeVersions(first, last int64) {
+	tc.c.Helper()
 	for version := first; version <= last; version++ {
-		l.mustWrite("a", version-1, version, fmt.Sprint("body ", version))
+		tc.mustWrite("a", version-1, version, fmt.Sprint("body ", version))
 	}
 }
 
 func TestReplacedWriteIsAcknowledgedAgain(t *testing.T) {
-	l := newCluster(t, 4, 3)
-	l.writeVersions(1, 3)
-	for _, at := range l.order {
-		l.mustAnswer(at, 0, 1, "body 1", Applied)
-		l.mustAnswer(at, 1, 2, "body 2", Applied)
-		l.mustAnswer(at, 1, 2, "other body", Conflict)
-		l.mustAnswer(at, 0, 2, "body 1", Conflict)
-		l.mustRead(at, 3, "body 3")
+	tc := newCluster(t, 4, 3)
+	tc.writeVersions(1, 3)
+	for _, at := range tc.order {
+		tc.mustPropose(at, 0, 1, "body 1", Applied)
+		tc.mustPropose(at, 1, 2, "body 2", Applied)
+		tc.mustPropose(at, 1, 2, "other body", Conflict)
+		tc.mustPropose(at, 0, 2, "body 1", Conflict)
+		tc.mustRead(at, 3, "body 3")
 	}
 }
 
 // TestConfirm asks for changes by name: those that were committed are acknowledged, those that never were are
 // refused, and one that could still be proposed is neither. Nothing is written.
 func TestConfirm(t *testing.T) {
-	l := newCluster(t, 4, 3)
-	l.writeVersions(1, 3)
-	for _, at := range l.order {
-		for _, one := range []struct {
+	tc := newCluster(t, 4, 3)
+	tc.writeVersions(1, 3)
+	for _, at := range tc.order {
+		for _, tt := range []struct {
 			expected, version int64
 			body              string
 			want              Outcome
@@ -55,80 +55,80 @@
 			{7, 8, "body 8", Conflict},
 			{3, 4, "body 4", Unavailable},
 		} {
-			request := l.confirm(at, one.expected, one.version, one.body)
-			l.run(100 * time.Millisecond)
-			l.c.Assert(l.outcome(at, request), qt.Equals, one.want, qt.Commentf("%s: %v", at, one))
+			request := tc.confirm(at, tt.expected, tt.version, tt.body)
+			tc.run(100 * time.Millisecond)
+			tc.c.Assert(tc.outcome(at, request), qt.Equals, tt.want, qt.Commentf("%s: %v", at, tt))
 		}
-		l.mustRead(at, 3, "body 3")
+		tc.mustRead(at, 3, "body 3")
 	}
-	l.mustAnswer("b", 3, 4, "body 4", Applied)
+	tc.mustPropose("b", 3, 4, "body 4", Applied)
 }
 
 // TestConfirmWaitsForThePendingWrite asks for the change that is on its way down the chain, and for another
 // one that builds on it.
 func TestConfirmWaitsForThePendingWrite(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.writeVersions(1, 1)
-	l.propose("a", 1, 2, "body 2")
-	pending, next := l.confirm("a", 1, 2, "body 2"), l.confirm("a", 2, 3, "body 3")
-	l.run(200 * time.Millisecond)
-	l.c.Assert(l.outcome("a", pending), qt.Equals, Applied)
-	l.c.Assert(l.outcome("a", next), qt.Equals, Unavailable)
-	l.mustRead("c", 2, "body 2")
+	tc := newCluster(t, 3, 3)
+	tc.writeVersions(1, 1)
+	tc.propose("a", 1, 2, "body 2")
+	pending, next := tc.confirm("a", 1, 2, "body 2"), tc.confirm("a", 2, 3, "body 3")
+	tc.run(200 * time.Millisecond)
+	tc.c.Assert(tc.outcome("a", pending), qt.Equals, Applied)
+	tc.c.Assert(tc.outcome("a", next), qt.Equals, Unavailable)
+	tc.mustRead("c", 2, "body 2")
 }
 
 // TestDigestsNameChanges has entries named by the part of their body before a stroke, also after a restart.
 func TestDigestsNameChanges(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	for _, id := range l.order {
-		l.machines[id].config.DigestOf = func(body []byte) Digest {
+	tc := newCluster(t, 3, 3)
+	for _, id := range tc.order {
+		tc.machines[id].config.DigestOf = func(body []byte) Digest {
 			change, _, _ := strings.Cut(string(body), "|")
 			return digestOfBody([]byte(change))
 		}
-		l.restart(id)
+		tc.restart(id)
 	}
-	l.run(100 * time.Millisecond)
-	l.mustWrite("a", 0, 1, "first|document 1")
-	l.mustWrite("a", 1, 2, "second|document 2")
-	l.restart("c")
-	l.run(2 * time.Second)
-	l.mustRead("c", 2, "second|document 2")
+	tc.run(100 * time.Millisecond)
+	tc.mustWrite("a", 0, 1, "first|document 1")
+	tc.mustWrite("a", 1, 2, "second|document 2")
+	tc.restart("c")
+	tc.run(2 * time.Second)
+	tc.mustRead("c", 2, "second|document 2")
 	for _, change := range []string{"first", "second"} {
-		request := l.confirm("c", 0, int64(len(change)-4), change) // 1 and 2
-		l.run(100 * time.Millisecond)
-		l.c.Assert(l.outcome("c", request), qt.Equals, Applied, qt.Commentf(change))
+		request := tc.confirm("c", 0, int64(len(change)-4), change) // 1 and 2
+		tc.run(100 * time.Millisecond)
+		tc.c.Assert(tc.outcome("c", request), qt.Equals, Applied, qt.Commentf(change))
 	}
 }
 
-// TestForgottenWriteIsNotRefused: what may have been in force before all that the history names gets no clear
-// answer; what the history rules out is refused.
-func TestForgottenWriteIsNotRefused(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	for _, id := range l.order {
-		l.machines[id].config.HistoryLength = 4
-		l.restart(id)
+// TestForgottenWriteIsNotRejected: what may have been in force before all that the history names gets no
+// clear answer; what the history rules out is refused.
+func TestForgottenWriteIsNotRejected(t *testing.T) {
+	tc := newCluster(t, 3, 3)
+	for _, id := range tc.order {
+		tc.machines[id].config.HistoryLength = 4
+		tc.restart(id)
 	}
-	l.run(100 * time.Millisecond)
-	l.mustWrite("a", 0, 2, "body 2")
+	tc.run(100 * time.Millisecond)
+	tc.mustWrite("a", 0, 2, "body 2")
 	for version := int64(4); version <= 14; version += 2 {
-		l.mustWrite("a", version-2, version, fmt.Sprint("body ", version))
+		tc.mustWrite("a", version-2, version, fmt.Sprint("body ", version))
 	}
-	l.c.Assert(l.machines["c"].node.state.held.history, qt.HasLen, 4) // 6, 8, 10 and 12
-	l.mustAnswer("b", 4, 6, "body 6", Applied)
-	l.mustAnswer("b", 2, 4, "body 4", Unavailable)
-	l.mustAnswer("b", 4, 5, "never in force, or forgotten", Unavailable)
-	l.mustAnswer("b", 4, 6, "another body", Conflict)
-	l.mustAnswer("b", 6, 7, "between two that are named", Conflict)
-	l.mustAnswer("b", 15, 16, "above the current one", Conflict)
+	tc.c.Assert(tc.machines["c"].node.state.accepted.history, qt.HasLen, 4) // 6, 8, 10 and 12
+	tc.mustPropose("b", 4, 6, "body 6", Applied)
+	tc.mustPropose("b", 2, 4, "body 4", Unavailable)
+	tc.mustPropose("b", 4, 5, "never in force, or forgotten", Unavailable)
+	tc.mustPropose("b", 4, 6, "another body", Conflict)
+	tc.mustPropose("b", 6, 7, "between two that are named", Conflict)
+	tc.mustPropose("b", 15, 16, "above the current one", Conflict)
 }
 
 // TestWriteCostsTheSameAfterHundredsOfChanges counts what a write adds to messages and records, and sends
 // each of the earlier ones again.
 func TestWriteCostsTheSameAfterHundredsOfChanges(t *testing.T) {
 	const changes = 600
-	l := newCluster(t, 3, 3)
+	tc := newCluster(t, 3, 3)
 	sent, whole := 0, 0
-	l.drop = func(_, _ MemberID, m *Message) bool {
+	tc.drop = func(_, _ MemberID, m *Message) bool {
 		if m.Kind == Append {
 			sent += len(m.Body) + len(m.Digest) + len(m.History)*len(Digest{})
 			whole += len(m.History) / 2
@@ -136,108 +136,108 @@
 		return false
 	}
 	for version := int64(1); version <= changes; version++ {
-		records, before := len(l.machines["c"].records), sent
-		l.mustWrite("a", version-1, version, fmt.Sprint("body ", version))
+		records, before := len(tc.machines["c"].records), sent
+		tc.mustWrite("a", version-1, version, fmt.Sprint("body ", version))
 		size := 0
-		for _, record := range l.machines["c"].records[records:] {
+		for _, record := range tc.machines["c"].records[records:] {
 			size += len(record)
 		}
 		body := len(fmt.Sprint("body ", version))
-		l.c.Assert(size <= body+30, qt.IsTrue, qt.Commentf("%d bytes of records", size))
-		l.c.Assert(sent-before <= 2*(body+2*len(Digest{})), qt.IsTrue, qt.Commentf("%d bytes", sent-before))
+		tc.c.Assert(size <= body+30, qt.IsTrue, qt.Commentf("%d bytes of records", size))
+		tc.c.Assert(sent-before <= 2*(body+2*len(Digest{})), qt.IsTrue, qt.Commentf("%d bytes", sent-before))
 	}
-	l.c.Assert(whole, qt.Equals, 0)
+	tc.c.Assert(whole, qt.Equals, 0)
 	for version := int64(1); version <= changes; version += 37 {
-		l.mustAnswer("b", version-1, version, fmt.Sprint("body ", version), Applied)
+		tc.mustPropose("b", version-1, version, fmt.Sprint("body ", version), Applied)
 	}
-	restored, _, err := Open(l.machines["c"].config, l.now, l.machines["c"].records)
-	l.c.Assert(err, qt.IsNil)
-	l.c.Assert(restored.state.held.history, qt.DeepEquals, l.machines["a"].node.state.held.history)
-	l.c.Assert(restored.state.held.history, qt.HasLen, changes-1)
+	restored, _, err := Open(tc.machines["c"].config, tc.now, tc.machines["c"].records)
+	tc.c.Assert(err, qt.IsNil)
+	tc.c.Assert(restored.state.accepted.history, qt.DeepEquals, tc.machines["a"].node.state.accepted.history)
+	tc.c.Assert(restored.state.accepted.history, qt.HasLen, changes-1)
 }
 
-// TestWriteBehindAMissedOneBringsTheWholeHistory: a replica that lacks the entry before a new one asks.
-func TestWriteBehindAMissedOneBringsTheWholeHistory(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.writeVersions(1, 5)
-	c := l.machines["c"].node
+// TestWriteAfterAMissedOneFetchesTheFullHistory: a replica that lacks the entry before a new one asks.
+func TestWriteAfterAMissedOneFetchesTheFullHistory(t *testing.T) {
+	tc := newCluster(t, 3, 3)
+	tc.writeVersions(1, 5)
+	c := tc.machines["c"].node
 	for _, behind := range []int{0, 2} {
 		m := appendOf("b", 1, Entry{Sequence: 9, Version: 9, Body: []byte("nine")})
 		m.Sequence += uint64(behind)
 		m.History = []PastEntry{{Version: 8}}
-		effects := c.Receive(l.now, m)
-		l.c.Assert(kinds(effects), qt.DeepEquals, []Kind{AskBody})
-		l.c.Assert(effects.Persist, qt.HasLen, 0)
+		effects := c.Receive(tc.now, m)
+		tc.c.Assert(kinds(effects), qt.DeepEquals, []Kind{FetchBody})
+		tc.c.Assert(effects.Persist, qt.HasLen, 0)
 	}
 }
 
-// TestTwoWritesOfOneStepArePersistedAsAWhole: a chain of one commits all that waits in one step.
-func TestTwoWritesOfOneStepArePersistedAsAWhole(t *testing.T) {
-	l := newCluster(t, 1, 1)
-	l.mustWrite("a", 0, 1, "one")
-	l.do("a", func(n *Node) Effects {
-		n.begin(l.now)
+// TestTwoWritesOfOneStepArePersistedTogether: a chain of one commits all that waits in one step.
+func TestTwoWritesOfOneStepArePersistedTogether(t *testing.T) {
+	tc := newCluster(t, 1, 1)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.do("a", func(n *Node) Effects {
+		n.begin(tc.now)
 		for version := int64(2); version <= 4; version++ {
-			n.extendHeld(Entry{1, uint64(version), version, []byte("body")}, Digest{byte(version)})
+			n.acceptSuccessor(Entry{1, uint64(version), version, []byte("body")}, Digest{byte(version)})
 		}
 		return n.finish()
 	})
-	restored, _, err := Open(l.machines["a"].config, l.now, l.machines["a"].records)
-	l.c.Assert(err, qt.IsNil)
-	l.c.Assert(restored.state.held.history, qt.DeepEquals, l.machines["a"].node.state.held.history)
-	l.c.Assert(restored.state.held.history, qt.HasLen, 3)
+	restored, _, err := Open(tc.machines["a"].config, tc.now, tc.machines["a"].records)
+	tc.c.Assert(err, qt.IsNil)
+	tc.c.Assert(restored.state.accepted.history, qt.DeepEquals, tc.machines["a"].node.state.accepted.history)
+	tc.c.Assert(restored.state.accepted.history, qt.HasLen, 3)
 }
 
 func TestHistoryOutlivesARestartOfAll(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.writeVersions(1, 4)
-	l.flights = nil
-	for _, id := range l.order {
-		l.restart(id)
+	tc := newCluster(t, 3, 3)
+	tc.writeVersions(1, 4)
+	tc.inTransit = nil
+	for _, id := range tc.order {
+		tc.restart(id)
 	}
-	l.run(200 * time.Millisecond)
-	l.mustAnswer("c", 1, 2, "body 2", Applied)
-	l.mustAnswer("c", 1, 2, "other body", Conflict)
+	tc.run(200 * time.Millisecond)
+	tc.mustPropose("c", 1, 2, "body 2", Applied)
+	tc.mustPropose("c", 1, 2, "other body", Conflict)
 }
 
 func TestHistoryReachesAMemberThatMissedTheWrites(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.writeVersions(1, 1)
-	l.machines["c"].down = true
-	l.run(2 * time.Second)
-	l.writeVersions(2, 4)
-	l.boot("c")
-	l.run(2 * time.Second)
-	l.mustChain("a", "a", "b", "c")
-	l.machines["a"].down, l.machines["b"].down = true, false
-	l.run(2 * time.Second)
-	l.machines["b"].down = true
-	l.boot("a")
-	l.run(2 * time.Second)
-	l.mustChain("c", "c", "a")
-	l.mustAnswer("c", 1, 2, "body 2", Applied)
+	tc := newCluster(t, 3, 3)
+	tc.writeVersions(1, 1)
+	tc.machines["c"].down = true
+	tc.run(2 * time.Second)
+	tc.writeVersions(2, 4)
+	tc.boot("c")
+	tc.run(2 * time.Second)
+	tc.mustChain("a", "a", "b", "c")
+	tc.machines["a"].down, tc.machines["b"].down = true, false
+	tc.run(2 * time.Second)
+	tc.machines["b"].down = true
+	tc.boot("a")
+	tc.run(2 * time.Second)
+	tc.mustChain("c", "c", "a")
+	tc.mustPropose("c", 1, 2, "body 2", Applied)
 }
 
-func TestWriteThatWasNeverInForceIsRefused(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.mustWrite("a", 0, 1, "one")
-	l.drop = cut([]MemberID{"a"}, []MemberID{"b", "c"})
-	l.propose("a", 1, 2, "lost")
-	l.run(2 * time.Second)
-	l.mustWrite("b", 1, 2, "won")
-	l.mustWrite("b", 2, 3, "next")
-	l.drop = nil
-	l.run(2 * time.Second)
-	l.mustAnswer("a", 1, 2, "lost", Conflict)
-	l.mustAnswer("a", 1, 2, "won", Applied)
+func TestWriteThatWasNeverCommittedIsRejected(t *testing.T) {
+	tc := newCluster(t, 3, 3)
+	tc.mustWrite("a", 0, 1, "one")
+	tc.drop = partition([]MemberID{"a"}, []MemberID{"b", "c"})
+	tc.propose("a", 1, 2, "lost")
+	tc.run(2 * time.Second)
+	tc.mustWrite("b", 1, 2, "won")
+	tc.mustWrite("b", 2, 3, "next")
+	tc.drop = nil
+	tc.run(2 * time.Second)
+	tc.mustPropose("a", 1, 2, "lost", Conflict)
+	tc.mustPropose("a", 1, 2, "won", Applied)
 }
 
 // TestLogWithoutAHistoryIsRead reads the log of a release that kept no history.
 func TestLogWithoutAHistoryIsRead(t *testing.T) {
-	l := newCluster(t, 3, 3)
-	l.writeVersions(1, 2)
-	for _, id := range l.order {
-		m := l.machines[id]
+	tc := newCluster(t, 3, 3)
+	tc.writeVersions(1, 2)
+	for _, id := range tc.order {
+		m := tc.machines[id]
 		var kept [][]byte
 		for _, record := range m.records {
 			if record[0] == recordHistory {
@@ -249,10 +249,10 @@
 			kept = append(kept, record)
 		}
 		m.records = kept
-		l.restart(id)
+		tc.restart(id)
 	}
-	l.run(500 * time.Millisecond)
-	l.mustAnswer("b", 0, 1, "body 1", Unavailable) // it may have been in force
-	l.mustWrite("b", 2, 3, "body 3")
-	l.mustAnswer("b", 1, 2, "body 2", Applied)
+	tc.run(500 * time.Millisecond)
+	tc.mustPropose("b", 0, 1, "body 1", Unavailable) // it may have been in force
+	tc.mustWrite("b", 2, 3, "body 3")
+	tc.mustPropose("b", 1, 2, "body 2", Applied)
 }
--- a/internal/router/chain/message.go
+++ b/internal/router/chain/message.go
@@ -16,12 +16,12 @@
 	GenesisReply
 	// Prepare opens a ballot for the view behind Epoch: Ballot, View (the current one).
 	Prepare
-	// Promise answers Prepare: Ballot, AcceptedBallot, View (accepted).
-	Promise
+	// PrepareReply answers Prepare: Ballot, AcceptedNumber, View (accepted).
+	PrepareReply
 	// Accept proposes a view: Ballot, View (proposed).
 	Accept
-	// Accepted answers Accept: Ballot.
-	Accepted
+	// AcceptReply answers Accept: Ballot.
+	AcceptReply
 	// Nack answers Prepare or Accept of a ballot that came too late: Ballot (the promised one).
 	Nack
 	// Seal asks replicas that the current epoch is not open at never to open it.
@@ -30,8 +30,8 @@
 	// carries where it came in, Origin and Request, and in History the entry before it alone: who holds that
 	// one has the rest. With Resend it has the current View, and the whole History if HasBody.
 	Append
-	// AskBody asks the predecessor for an entry with its body: Sequence.
-	AskBody
+	// FetchBody asks the predecessor for an entry with its body: Sequence.
+	FetchBody
 	// Ack tells the head that the tail holds an entry: Sequence.
 	Ack
 	// Commit tells replicas that an entry is committed: Sequence.
@@ -55,18 +55,18 @@
 	From  MemberID
 	Epoch uint64
 
-	Address    string
-	HasDisk    bool
-	EntryEpoch uint64
-	Open       bool
-	Leaving    bool
-	Stalled    bool
-	Sealed     bool
-	Hears      []MemberID
+	Address      string
+	HasDisk      bool
+	EntryEpoch   uint64
+	Open         bool
+	Draining     bool
+	Stalled      bool
+	Sealed       bool
+	ReceivesFrom []MemberID
 
 	View           View
-	Ballot         Ballot
-	AcceptedBallot Ballot
+	ProposalNumber ProposalNumber
+	AcceptedNumber ProposalNumber
 
 	Sequence uint64
 	Version  int64
--- a/internal/router/chain/node.go
+++ b/internal/router/chain/node.go
@@ -12,7 +12,7 @@
 	now    time.Duration
 
 	// state is what a step changes, saved what it was before the step.
-	state, saved registerState
+	state, stable registerState
 	// changed are the kinds of records that the step has to persist.
 	changed [recordKinds]bool
 	// local are messages of this node to itself, handled before the step ends.
@@ -21,37 +21,38 @@
 	// stalled says that the last records could not be made durable.
 	stalled bool
 
-	peers    map[MemberID]*peer
+	peers    map[MemberID]*peerState
 	contacts []Member
-	// leaving says that this node is about to stop, leavingSince since when.
-	leaving      bool
-	leavingSince time.Duration
-
-	started       time.Duration
-	lastTick      time.Duration
-	lastHeartbeat time.Duration
-	lastContact   time.Duration
-	lastProbe     time.Duration
+	// leaving says that this node is about to stop, drainingSince since when.
+	draining      bool
+	drainingSince time.Duration
+
+	started               time.Duration
+	lastTick              time.Duration
+	lastHeartbeat         time.Duration
+	lastContactsHeartbeat time.Duration
+	lastDiskProbe         time.Duration
 	// epochSince is since when this node knows its view.
 	epochSince time.Duration
 
 	head      headRole
-	forwards  map[uint64]forwarded
-	proposing proposing
-	founding  *founding
-	// takeOverAt is when this node goes on with a founding that it has consented to.
-	takeOverAt time.Duration
+	forwards  map[uint64]forwardedRequest
+	proposer  proposerState
+	bootstrap *bootstrapState
+	// bootstrapTakeoverAt is when this node goes on with a founding that it has consented to.
+	bootstrapTakeoverAt time.Duration
 }
 
 // registerState is what is set back when records can't be made durable.
 type registerState struct {
-	durable
+	durableState
 	// committed is the latest entry known to be committed.
-	committed      heldEntry
+	committed      acceptedEntry
 	committedKnown bool
-	// commitUnsaved says that committedSequence has changed and isn't persisted, committedSince since when.
-	commitUnsaved  bool
-	committedSince time.Duration
+	// commitUnpersisted says that committedSequence has changed and isn't persisted, unpersistedSince since
+	// when.
+	commitUnpersisted bool
+	unpersistedSince  time.Duration
 }
 
 // Open makes a node of the records that its disk holds; none for an empty disk or none at all. The effects
@@ -62,22 +63,22 @@
 		now:      now,
 		started:  now,
 		lastTick: now,
-		peers:    map[MemberID]*peer{},
-		forwards: map[uint64]forwarded{},
+		peers:    map[MemberID]*peerState{},
+		forwards: map[uint64]forwardedRequest{},
 	}
-	n.state.held = n.config.hold(Entry{}, nil)
+	n.state.accepted = n.config.newAcceptedEntry(Entry{}, nil)
 	for _, record := range records {
 		if err := n.state.apply(record, &n.config); err != nil {
 			return nil, Effects{}, err
 		}
 	}
 	if n.state.id == "" {
-		n.state.id, n.state.fromFirstStart = config.Self.ID, config.FirstStart
+		n.state.id, n.state.bootstrapAllowed = config.Self.ID, config.AllowBootstrap
 		n.changed[recordIdentity] = true
 	}
-	n.recallCommitted()
-	n.saved = n.state
-	n.expectFounder()
+	n.restoreCommitted()
+	n.stable = n.state
+	n.resetBootstrapTakeover()
 	n.startEpoch()
 	if n.isHead() {
 		n.openEpoch()
@@ -85,17 +86,17 @@
 	return n, n.finish(), nil
 }
 
-// recallCommitted takes what the disk tells of the latest committed entry. That the held one is committed is
+// restoreCommitted takes what the disk tells of the latest committed entry. That the held one is committed is
 // persisted a while after the fact; until the chain confirms it, the one before it is the latest known to be.
-func (n *Node) recallCommitted() {
+func (n *Node) restoreCommitted() {
 	s := &n.state
 	switch {
-	case s.held.Sequence > 0 && s.committedSequence == s.held.Sequence:
-		s.committed, s.committedKnown = s.held, true
+	case s.accepted.Sequence > 0 && s.committedSequence == s.accepted.Sequence:
+		s.committed, s.committedKnown = s.accepted, true
 	case s.predecessor.Sequence > 0:
 		s.committed, s.committedKnown = s.predecessor, true
 	}
-	s.predecessor = heldEntry{}
+	s.predecessor = acceptedEntry{}
 }
 
 // SnapshotRecords returns records that stand for the whole durable state, what the last step changed
@@ -136,57 +137,57 @@
 // Tick lets time pass. It has to be called several times per HeartbeatInterval.
 func (n *Node) Tick(now time.Duration) Effects {
 	n.begin(now)
-	n.forgiveOwnPause()
+	n.compensateForProcessStall()
 	n.expireRequests()
 	n.resend()
-	n.driveFounding()
-	n.drivePlan()
-	n.persistIdle()
+	n.tickBootstrap()
+	n.tickViewChange()
+	n.persistDeferred()
 	if n.now-n.lastHeartbeat >= n.config.HeartbeatInterval {
 		n.sendHeartbeats()
 	}
 	return n.finish()
 }
 
-// Leave tells the others that this node is about to stop. It should go on until MayStop, if time allows.
-func (n *Node) Leave(now time.Duration) Effects {
+// Drain tells the others that this node is about to stop. It should go on until Drained, if time allows.
+func (n *Node) Drain(now time.Duration) Effects {
 	n.begin(now)
-	if !n.leaving {
-		n.leaving, n.leavingSince = true, n.now
+	if !n.draining {
+		n.draining, n.drainingSince = true, n.now
 	}
 	n.sendHeartbeats()
 	return n.finish()
 }
 
-// MayStop tells whether a node that leaves isn't needed any more: the others hold what it holds, and another
+// Drained tells whether a node that leaves isn't needed any more: the others hold what it holds, and another
 // member has taken its place if there is one to do so.
-func (n *Node) MayStop() bool {
+func (n *Node) Drained() bool {
 	view := &n.state.view
-	if !n.leaving || view.Epoch == 0 || n.InChain() {
-		return n.leaving && view.Epoch == 0
+	if !n.draining || view.Epoch == 0 || n.InChain() {
+		return n.draining && view.Epoch == 0
 	}
 	head := n.peers[view.head()]
-	if head == nil || !n.heard(head) || !head.heartbeat.Open || head.heartbeat.Epoch != view.Epoch {
+	if head == nil || !n.recentlySeen(head) || !head.heartbeat.Open || head.heartbeat.Epoch != view.Epoch {
 		return false
 	}
-	p := planner{view: view, seen: n.observe(), rules: n.rules()}
+	p := planner{view: view, observed: n.observe(), rules: n.rules()}
 	return !view.isMember(n.state.id) || len(p.candidates()) == 0
 }
 
 // PersistFailed takes the last step back, because its records could not be made durable. Whoever waits for an
 // answer gets Unavailable. The node counts as stalled until a later write works.
 func (n *Node) PersistFailed(now time.Duration) Effects {
-	lost := n.effects
+	failed := n.effects
 	n.now = max(n.now, now)
-	n.state = n.saved
+	n.state = n.stable
 	n.effects, n.local = Effects{}, nil
 	n.changed = [recordKinds]bool{}
 	n.stalled = true
-	n.lastProbe = n.now
-	for _, reply := range lost.Replies {
+	n.lastDiskProbe = n.now
+	for _, reply := range failed.Replies {
 		n.effects.Replies = append(n.effects.Replies, Reply{Request: reply.Request, Outcome: Unavailable})
 	}
-	for _, envelope := range lost.Messages {
+	for _, envelope := range failed.Messages {
 		if n.isHead() && envelope.Message.Kind == ForwardReply {
 			n.send(envelope.To.ID, Message{
 				Kind: ForwardReply, Request: envelope.Message.Request, Outcome: Unavailable,
@@ -203,7 +204,7 @@
 	if len(n.effects.Persist) > 0 {
 		n.stalled = false
 	}
-	n.saved = n.state
+	n.stable = n.state
 	n.effects = Effects{}
 }
 
@@ -214,8 +215,8 @@
 		n.local = n.local[1:]
 		n.handle(next)
 	}
-	if n.changed != [recordKinds]bool{} && n.state.commitUnsaved {
-		n.state.commitUnsaved = false
+	if n.changed != [recordKinds]bool{} && n.state.commitUnpersisted {
+		n.state.commitUnpersisted = false
 		n.changed[recordPosition] = true
 	}
 	for kind, changed := range n.changed {
@@ -242,13 +243,13 @@
 	n.effects.Messages = append(n.effects.Messages, Envelope{to, m})
 }
 
-// persistIdle persists what may be late, and tries a disk that had failed.
-func (n *Node) persistIdle() {
-	if n.state.commitUnsaved && n.now-n.state.committedSince >= n.config.CommitRecordAfter {
+// persistDeferred persists what may be late, and tries a disk that had failed.
+func (n *Node) persistDeferred() {
+	if n.state.commitUnpersisted && n.now-n.state.unpersistedSince >= n.config.PersistCommitAfter {
 		n.changed[recordPosition] = true
 	}
-	if n.stalled && n.now-n.lastProbe >= n.config.ResendAfter {
-		n.lastProbe = n.now
+	if n.stalled && n.now-n.lastDiskProbe >= n.config.ResendAfter {
+		n.lastDiskProbe = n.now
 		n.changed[recordPosition] = true
 	}
 }
--- a/internal/router/chain/peers.go
+++ b/internal/router/chain/peers.go
@@ -10,97 +10,99 @@
 	maxPeers = 256
 	// forgetAfter is how long a node that is no member stays in the table.
 	forgetAfter = 10 * time.Second
-	// contactEvery is how many heartbeat intervals are between two messages to the contacts.
-	contactEvery = 3
+	// heartbeatsPerContact is how many heartbeat intervals are between two messages to the contacts.
+	heartbeatsPerContact = 3
 )
 
 // peer is what this node has heard of another.
-type peer struct {
-	member    Member
-	lastHeard time.Duration
-	// steadySince is when the heartbeats began that have come without a gap since.
-	steadySince time.Duration
+type peerState struct {
+	member   Member
+	lastSeen time.Duration
+	// stableSince is when the heartbeats began that have come without a gap since.
+	stableSince time.Duration
 	heartbeat   Message
-	// unfitSince is when the peer began to say that it leaves or that its disk fails; 0 is never.
-	unfitSince time.Duration
+	// degradedSince is when the peer began to say that it leaves or that its disk fails; 0 is never.
+	degradedSince time.Duration
 }
 
-// isUnfit tells whether a heartbeat says that its sender leaves or that its disk fails.
-func isUnfit(heartbeat *Message) bool { return heartbeat.Leaving || heartbeat.Stalled }
+// isDegraded tells whether a heartbeat says that its sender leaves or that its disk fails.
+func isDegraded(heartbeat *Message) bool { return heartbeat.Draining || heartbeat.Stalled }
 
 // hear notes that a message came.
-func (n *Node) hear(m *Message) {
+func (n *Node) recordReceipt(m *Message) {
 	if m.From == "" || m.From == n.state.id {
 		return
 	}
-	known := n.peers[m.From]
-	if known == nil {
+	peer := n.peers[m.From]
+	if peer == nil {
 		if m.Kind != Heartbeat || len(n.peers) >= maxPeers {
 			return
 		}
-		known = &peer{member: Member{ID: m.From}, steadySince: n.now}
-		n.peers[m.From] = known
+		peer = &peerState{member: Member{ID: m.From}, stableSince: n.now}
+		n.peers[m.From] = peer
 	}
-	if n.now-known.lastHeard > n.config.SuspectAfter {
-		known.steadySince = n.now
+	if n.now-peer.lastSeen > n.config.SuspectAfter {
+		peer.stableSince = n.now
 	}
-	known.lastHeard = n.now
+	peer.lastSeen = n.now
 	if m.Kind == Heartbeat {
-		known.note(m, n.now)
+		peer.recordHeartbeat(m, n.now)
 	}
 }
 
 // note keeps a heartbeat's content.
-func (p *peer) note(m *Message, now time.Duration) {
+func (p *peerState) recordHeartbeat(m *Message, now time.Duration) {
 	if m.Address != "" {
 		p.member.Address = m.Address
 	}
 	switch {
-	case !isUnfit(m):
-		p.unfitSince = 0
-	case p.unfitSince == 0:
-		p.unfitSince = now
+	case !isDegraded(m):
+		p.degradedSince = 0
+	case p.degradedSince == 0:
+		p.degradedSince = now
 	}
 	entryEpoch := max(p.heartbeat.EntryEpoch, m.EntryEpoch)
 	p.heartbeat = *m
 	p.heartbeat.EntryEpoch = entryEpoch
 }
 
-// expectMembers enters members that were never heard, as if they had been heard now, or before another
+// trackMembers enters members that were never heard, as if they had been heard now, or before another
 // identity of the same machine was heard first.
-func (n *Node) expectMembers() {
+func (n *Node) trackMembers() {
 	for _, member := range n.state.view.Members {
 		if n.peers[member.ID] != nil || member.ID == n.state.id {
 			continue
 		}
-		heard := n.now
-		for _, known := range n.peers {
-			if known.member.Address == member.Address && known.heartbeat.Kind == Heartbeat {
-				heard = min(heard, known.steadySince)
+		lastSeen := n.now
+		for _, peer := range n.peers {
+			if peer.member.Address == member.Address && peer.heartbeat.Kind == Heartbeat {
+				lastSeen = min(lastSeen, peer.stableSince)
 			}
 		}
-		n.peers[member.ID] = &peer{member: member, lastHeard: heard, steadySince: heard}
+		n.peers[member.ID] = &peerState{member: member, lastSeen: lastSeen, stableSince: lastSeen}
 	}
 }
 
-// forgiveOwnPause lets no member be suspected for silence while this node itself was stopped, unless it was
-// silent before. A candidate that went away meanwhile must not be taken for one that is there.
-func (n *Node) forgiveOwnPause() {
-	began := n.lastTick
+// compensateForProcessStall lets no member be suspected for silence while this node itself was stopped,
+// unless it was silent before. A candidate that went away meanwhile must not be taken for one that is there.
+func (n *Node) compensateForProcessStall() {
+	lastTick := n.lastTick
 	n.lastTick = n.now
-	for id, known := range n.peers {
-		heardBefore := began-known.lastHeard <= n.config.SuspectAfter
-		if n.now-began > n.config.SuspectAfter/2 && heardBefore && n.state.view.isMember(id) {
-			known.lastHeard = max(known.lastHeard, n.now-n.config.HeartbeatInterval)
+	for id, peer := range n.peers {
+		seenBefore := lastTick-peer.lastSeen <= n.config.SuspectAfter
+		if n.now-lastTick > n.config.SuspectAfter/2 && seenBefore && n.state.view.isMember(id) {
+			peer.lastSeen = max(peer.lastSeen, n.now-n.config.HeartbeatInterval)
 		}
-		if n.now-known.lastHeard > forgetAfter && !n.state.view.isMember(id) {
+		if n.now-peer.lastSeen > forgetAfter && !n.state.view.isMember(id) {
 			delete(n.peers, id)
 		}
 	}
 }
 
 // heard tells whether a node was heard lately.
-func (n *Node) heard(known *peer) bool { return n.now-known.lastHeard <= n.config.SuspectAfter }
+func (n *Node) recentlySeen(peer *peerState) bool {
+	return n.now-peer.lastSeen <= n.config.SuspectAfter
+}
 
 // heartbeat makes this node's heartbeat.
 func (n *Node) heartbeat() Message {
@@ -108,16 +110,16 @@
 		Kind:       Heartbeat,
 		Address:    n.config.Self.Address,
 		HasDisk:    n.config.HasDisk,
-		EntryEpoch: n.state.held.Epoch,
+		EntryEpoch: n.state.accepted.Epoch,
 		Open:       n.IsOpenHead(),
-		Leaving:    n.leaving,
-		Stalled:    n.stalled || n.waitsForFounding(),
+		Draining:   n.draining,
+		Stalled:    n.stalled || n.awaitsBootstrap(),
 		Sealed:     n.state.sealed != 0 && n.state.sealed == n.state.view.Epoch,
 		Sequence:   n.state.committedSequence,
 	}
 	for _, member := range n.state.view.Members {
-		if known := n.peers[member.ID]; known != nil && n.heard(known) {
-			m.Hears = append(m.Hears, member.ID)
+		if peer := n.peers[member.ID]; peer != nil && n.recentlySeen(peer) {
+			m.ReceivesFrom = append(m.ReceivesFrom, member.ID)
 		}
 	}
 	return m
@@ -134,20 +136,22 @@
 		}
 	}
 	for _, id := range n.peerIDs() {
-		known := n.peers[id]
-		listens := n.heard(known) && known.heartbeat.Kind == Heartbeat && !n.state.view.isMember(id)
-		if listens && n.state.view.isMember(n.state.id) {
+		peer := n.peers[id]
+		isListening := n.recentlySeen(peer) && peer.heartbeat.Kind == Heartbeat && !n.state.view.isMember(id)
+		if isListening && n.state.view.isMember(n.state.id) {
 			n.send(id, m)
 		}
 	}
-	if len(m.Hears) == 0 && n.now-n.lastContact >= contactEvery*n.config.HeartbeatInterval {
-		n.askContacts(m)
+	if len(m.ReceivesFrom) == 0 &&
+		n.now-n.lastContactsHeartbeat >= heartbeatsPerContact*n.config.HeartbeatInterval {
+		n.heartbeatContacts(m)
 	}
 }
 
-// askContacts sends a heartbeat to nodes that are no members: one that knows a newer view answers with it.
-func (n *Node) askContacts(m Message) {
-	n.lastContact = n.now
+// heartbeatContacts sends a heartbeat to nodes that are no members: one that knows a newer view answers with
+// it.
+func (n *Node) heartbeatContacts(m Message) {
+	n.lastContactsHeartbeat = n.now
 	for _, contact := range n.contacts {
 		if contact.ID != n.state.id && !n.state.view.isMember(contact.ID) {
 			n.sendTo(contact, m)
@@ -170,10 +174,10 @@
 	if id == n.state.id {
 		return n.Self()
 	}
-	if known := n.peers[id]; known != nil && known.member.Address != "" {
-		return known.member
+	if peer := n.peers[id]; peer != nil && peer.member.Address != "" {
+		return peer.member
 	}
-	if member, found := n.state.view.member(id); found {
+	if member, ok := n.state.view.member(id); ok {
 		return member
 	}
 	for _, contact := range n.contacts {
@@ -193,38 +197,38 @@
 
 // observe returns what the planner decides by.
 func (n *Node) observe() Observation {
-	seen := Observation{Self: n.state.id, Peers: map[MemberID]PeerState{}}
-	for id, known := range n.peers {
-		state := PeerState{
-			Member:     known.member,
-			HasDisk:    known.heartbeat.HasDisk,
-			Silence:    n.now - known.lastHeard,
-			Steady:     known.lastHeard - known.steadySince,
-			Unfit:      known.unfitSince != 0,
-			Leaving:    known.heartbeat.Leaving && !known.heartbeat.Stalled,
-			EntryEpoch: known.heartbeat.EntryEpoch,
-			Sealed:     known.heartbeat.Sealed && known.heartbeat.Epoch == n.state.view.Epoch,
+	observation := Observation{Self: n.state.id, Peers: map[MemberID]PeerObservation{}}
+	for id, peer := range n.peers {
+		observed := PeerObservation{
+			Member:        peer.member,
+			HasDisk:       peer.heartbeat.HasDisk,
+			SinceLastSeen: n.now - peer.lastSeen,
+			StableFor:     peer.lastSeen - peer.stableSince,
+			Degraded:      peer.degradedSince != 0,
+			Draining:      peer.heartbeat.Draining && !peer.heartbeat.Stalled,
+			EntryEpoch:    peer.heartbeat.EntryEpoch,
+			Sealed:        peer.heartbeat.Sealed && peer.heartbeat.Epoch == n.state.view.Epoch,
 		}
-		if known.heartbeat.Kind == Heartbeat && known.heartbeat.Epoch == n.state.view.Epoch {
-			state.Reports, state.Hears = true, known.heartbeat.Hears
+		if peer.heartbeat.Kind == Heartbeat && peer.heartbeat.Epoch == n.state.view.Epoch {
+			observed.ReportedInEpoch, observed.ReceivesFrom = true, peer.heartbeat.ReceivesFrom
 		}
-		if known.heartbeat.Kind == Heartbeat && known.heartbeat.Epoch < n.state.view.Epoch {
-			state.Behind = n.now - n.epochSince
+		if peer.heartbeat.Kind == Heartbeat && peer.heartbeat.Epoch < n.state.view.Epoch {
+			observed.BehindFor = n.now - n.epochSince
 		}
-		if state.Unfit {
-			state.UnfitFor = n.now - known.unfitSince
+		if observed.Degraded {
+			observed.DegradedFor = n.now - peer.degradedSince
 		}
-		seen.Peers[id] = state
+		observation.Peers[id] = observed
 	}
 	own := n.heartbeat()
-	self := PeerState{
-		Member: n.Self(), HasDisk: n.config.HasDisk, Steady: n.now - n.started, Unfit: isUnfit(&own),
-		Leaving:    own.Leaving && !own.Stalled,
-		EntryEpoch: own.EntryEpoch, Sealed: own.Sealed, Reports: true, Hears: own.Hears,
+	self := PeerObservation{
+		Member: n.Self(), HasDisk: n.config.HasDisk, StableFor: n.now - n.started, Degraded: isDegraded(&own),
+		Draining:   own.Draining && !own.Stalled,
+		EntryEpoch: own.EntryEpoch, Sealed: own.Sealed, ReportedInEpoch: true, ReceivesFrom: own.ReceivesFrom,
 	}
-	if n.leaving {
-		self.UnfitFor = n.now - n.leavingSince
+	if n.draining {
+		self.DegradedFor = n.now - n.drainingSince
 	}
-	seen.Peers[n.state.id] = self
-	return seen
+	observation.Peers[n.state.id] = self
+	return observation
 }
--- a/internal/router/chain/points_test.go
+++ b/internal/router/chain/points_test.go
@@ -32,9 +32,9 @@
 // downAt stops a machine and starts it again a while later.
 func (w *simWorld) downAt(m *simMachine, loss faultfs.Loss) {
 	m.crash(loss)
-	life := m.life
+	life := m.incarnation
 	w.after(200*time.Millisecond, func() {
-		if m.life == life {
+		if m.incarnation == life {
 			m.boot()
 		}
 	})
@@ -44,7 +44,7 @@
 func (w *simWorld) wipeAt(m *simMachine) {
 	w.downAt(m, faultfs.KeepAll)
 	m.disk.Wipe()
-	m.first = false
+	m.firstStart = false
 }
 
 // othersDown lets all machines but one lose power.
@@ -59,7 +59,7 @@
 // threeMachines founds a chain of three in which version 1 is committed, and lets it come to rest.
 func threeMachines(c *qt.C, growth int64) *simWorld {
 	w := newWorld(1)
-	w.growth = growth
+	w.segmentGrowth = growth
 	var members []Member
 	for i := range 3 {
 		members = append(members, w.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true).node.Self())
@@ -67,7 +67,7 @@
 	for _, address := range w.addresses {
 		w.machines[address].node.SetContacts(w.contacts())
 	}
-	w.machines["10.0.0.1"].step(func(n *Node) Effects { return n.Found(w.now, members) })
+	w.machines["10.0.0.1"].step(func(n *Node) Effects { return n.Bootstrap(w.now, members) })
 	w.run(time.Second)
 	outcome := w.writeAt("10.0.0.1", 0, 1, "one")
 	w.run(2 * time.Second)
@@ -140,7 +140,7 @@
 
 // writeWithPoint writes with a fault at a numbered point; false means that the write has fewer points.
 func writeWithPoint(c *qt.C, origin string, fault pointFault, number int, seen map[string]bool) bool {
-	w := threeMachines(c, simGrowth)
+	w := threeMachines(c, simSegmentGrowth)
 	reached := 0
 	label := ""
 	w.point = func(m *simMachine, name string) {
@@ -170,7 +170,7 @@
 		for _, fault := range []faultfs.Fault{faultfs.CrashBefore, faultfs.CrashAfter, faultfs.FailIO} {
 			for _, loss := range []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome} {
 				appended, compacted := 1, 1
-				for writeWithDiskFault(c, simGrowth, replica, fault, loss, appended) {
+				for writeWithDiskFault(c, simSegmentGrowth, replica, fault, loss, appended) {
 					appended++
 				}
 				for writeWithDiskFault(c, 1, replica, fault, loss, compacted) {
--- a/internal/router/chain/receive.go
+++ b/internal/router/chain/receive.go
@@ -2,7 +2,7 @@
 
 // handle takes one message: it compares epochs first, then does what the kind asks.
 func (n *Node) handle(m Message) {
-	n.hear(&m)
+	n.recordReceipt(&m)
 	switch m.Kind {
 	case ViewNotice:
 		n.adopt(m.View)
@@ -18,9 +18,9 @@
 	}
 	switch epoch := n.state.view.Epoch; {
 	case m.Epoch > epoch:
-		n.askForView(m.From)
+		n.requestView(m.From)
 	case m.Epoch < epoch:
-		n.tellView(m.From)
+		n.sendView(m.From)
 	default:
 		n.handleOfEpoch(&m)
 	}
@@ -37,20 +37,20 @@
 		n.onGenesisReply(m)
 	case Prepare:
 		n.onPrepare(m)
-	case Promise:
-		n.onPromise(m)
+	case PrepareReply:
+		n.onPrepareReply(m)
 	case Accept:
 		n.onAccept(m)
-	case Accepted:
-		n.onAccepted(m)
+	case AcceptReply:
+		n.onAcceptReply(m)
 	case Nack:
 		n.onNack(m)
 	case Seal:
 		n.onSeal()
 	case Append:
 		n.onAppend(m)
-	case AskBody:
-		n.onAskBody(m)
+	case FetchBody:
+		n.onFetchBody(m)
 	case Ack:
 		n.onAck(m)
 	case Commit:
@@ -62,13 +62,13 @@
 	}
 }
 
-// askForView sends a heartbeat: its older epoch is answered by the view.
-func (n *Node) askForView(from MemberID) {
+// requestView sends a heartbeat: its older epoch is answered by the view.
+func (n *Node) requestView(from MemberID) {
 	n.send(from, n.heartbeat())
 }
 
-// tellView sends the decided view.
-func (n *Node) tellView(to MemberID) {
+// sendView sends the decided view.
+func (n *Node) sendView(to MemberID) {
 	n.send(to, Message{Kind: ViewNotice, View: n.state.view})
 }
 
@@ -89,8 +89,8 @@
 // startEpoch sets back all that belongs to one epoch.
 func (n *Node) startEpoch() {
 	n.epochSince = n.now
-	n.proposing = proposing{acceptedAt: n.now}
-	n.expectMembers()
+	n.proposer = proposerState{acceptedAt: n.now}
+	n.trackMembers()
 	n.dropHeadRole()
 	n.redirectForwards()
 }
--- a/internal/router/chain/record.go
+++ b/internal/router/chain/record.go
@@ -19,14 +19,14 @@
 	recordKinds
 )
 
-// BadRecord tells of a record that this release can't read.
-type BadRecord struct {
+// RecordError tells of a record that this release can't read.
+type RecordError struct {
 	Kind   byte
 	Reason string
 }
 
 // Error implements error.
-func (b *BadRecord) Error() string {
+func (b *RecordError) Error() string {
 	return fmt.Sprintf("chain: record of kind %d: %s; start the release that wrote it, or empty the folder of "+
 		"the control state to join anew", b.Kind, b.Reason)
 }
@@ -67,21 +67,21 @@
 	}
 }
 
-func (e *encoder) ballot(ballot Ballot) {
-	e.number(ballot.Round)
-	e.text(string(ballot.Member))
+func (e *encoder) proposalNumber(ballot ProposalNumber) {
+	e.number(ballot.Counter)
+	e.text(string(ballot.Proposer))
 }
 
 // decoder reads what encoder wrote; after a mistake it gives zero values and bad is set.
 type decoder struct {
-	data []byte
-	bad  bool
+	data   []byte
+	failed bool
 }
 
 func (d *decoder) number() uint64 {
 	value, size := binary.Uvarint(d.data)
 	if size <= 0 {
-		d.data, d.bad = nil, true
+		d.data, d.failed = nil, true
 		return 0
 	}
 	d.data = d.data[size:]
@@ -91,7 +91,7 @@
 func (d *decoder) signed() int64 {
 	value, size := binary.Varint(d.data)
 	if size <= 0 {
-		d.data, d.bad = nil, true
+		d.data, d.failed = nil, true
 		return 0
 	}
 	d.data = d.data[size:]
@@ -102,7 +102,7 @@
 func (d *decoder) count() int {
 	value := d.number()
 	if value > uint64(len(d.data)) {
-		d.data, d.bad = nil, true
+		d.data, d.failed = nil, true
 		return 0
 	}
 	return int(value)
@@ -117,7 +117,7 @@
 
 func (d *decoder) ids() []MemberID {
 	var values []MemberID
-	for left := d.count(); left > 0; left-- {
+	for remaining := d.count(); remaining > 0; remaining-- {
 		values = append(values, MemberID(d.text()))
 	}
 	return values
@@ -125,17 +125,19 @@
 
 func (d *decoder) view() View {
 	view := View{Epoch: d.number()}
-	for left := d.count(); left > 0; left-- {
+	for remaining := d.count(); remaining > 0; remaining-- {
 		view.Members = append(view.Members, Member{MemberID(d.text()), d.text()})
 	}
 	view.Chain, view.Fresh, view.Sources = d.ids(), d.ids(), d.ids()
-	for left := d.count(); left > 0; left-- {
+	for remaining := d.count(); remaining > 0; remaining-- {
 		view.Unopened = append(view.Unopened, PastChain{d.number(), d.ids()})
 	}
 	return view
 }
 
-func (d *decoder) ballot() Ballot { return Ballot{d.number(), MemberID(d.text())} }
+func (d *decoder) proposalNumber() ProposalNumber {
+	return ProposalNumber{d.number(), MemberID(d.text())}
+}
 
 // entry reads an entry, whose body is the rest of the record.
 func (d *decoder) entry() Entry {
--- a/internal/router/chain/request.go
+++ b/internal/router/chain/request.go
@@ -9,8 +9,8 @@
 	Body     []byte
 }
 
-// ChangeName names a change without its body.
-type ChangeName struct {
+// ChangeID names a change without its body.
+type ChangeID struct {
 	Expected int64
 	Version  int64
 	Digest   Digest
--- a/internal/router/chain/sim_check_test.go
+++ b/internal/router/chain/sim_check_test.go
@@ -13,24 +13,24 @@
 type simHistory struct {
 	operations []porcupine.Operation
 	// open are writes that have not returned, by their bodies.
-	open map[string]porcupine.Operation
+	pendingWrites map[string]porcupine.Operation
 	// views, heads and entries are by epoch and sequence; each must be the only one.
 	views   map[uint64]View
 	heads   map[uint64]MemberID
-	entries map[uint64]heldEntry
+	entries map[uint64]acceptedEntry
 	// committed are the sequences of committed bodies.
 	committed map[string]uint64
 	// refused are the bodies of writes that a Conflict has ended: none of their attempts may come into force.
-	refused map[string]bool
+	rejected map[string]bool
 	// newest is the highest sequence that each identity has known to be committed. Within one life of a process
 	// it never falls; a restart may fall back by one, to the entry before the one that it holds.
-	newest map[MemberID]uint64
+	maxCommitted map[MemberID]uint64
 	// disksLost counts disks that were emptied or taken away.
 	disksLost int
 	// damages counts logs that were found to be damaged.
-	damages int
+	damagedLogs int
 	// replaced counts writes that were acknowledged again although a later one had replaced them.
-	replaced int
+	replacedRetries int
 	// outcomes counts the answers that clients got.
 	outcomes map[Outcome]int
 }
@@ -38,9 +38,9 @@
 // newHistory returns an empty history.
 func newHistory() simHistory {
 	return simHistory{
-		open:  map[string]porcupine.Operation{},
-		views: map[uint64]View{}, heads: map[uint64]MemberID{}, entries: map[uint64]heldEntry{},
-		committed: map[string]uint64{}, refused: map[string]bool{}, newest: map[MemberID]uint64{},
+		pendingWrites: map[string]porcupine.Operation{},
+		views:         map[uint64]View{}, heads: map[uint64]MemberID{}, entries: map[uint64]acceptedEntry{},
+		committed: map[string]uint64{}, rejected: map[string]bool{}, maxCommitted: map[MemberID]uint64{},
 		outcomes: map[Outcome]int{},
 	}
 }
@@ -49,15 +49,15 @@
 func (m *simMachine) observe() {
 	w, n, h := m.world, m.node, &m.world.history
 	view := n.View()
-	if known, found := h.views[view.Epoch]; !found {
+	if known, ok := h.views[view.Epoch]; !ok {
 		h.views[view.Epoch] = view
-		w.note("%s knows view %+v", m.address, view)
+		w.tracef("%s knows view %+v", m.address, view)
 	} else if !known.equal(view) {
-		w.fail("epoch %d has two views: %+v and %+v", view.Epoch, known, view)
+		w.failf("epoch %d has two views: %+v and %+v", view.Epoch, known, view)
 	}
 	if n.IsOpenHead() {
-		if known, found := h.heads[view.Epoch]; found && known != n.Self().ID {
-			w.fail("epoch %d has two heads", view.Epoch)
+		if known, ok := h.heads[view.Epoch]; ok && known != n.Self().ID {
+			w.failf("epoch %d has two heads", view.Epoch)
 		}
 		h.heads[view.Epoch] = n.Self().ID
 	}
@@ -67,48 +67,49 @@
 }
 
 // observeCommitted checks an entry that a node takes for committed.
-func (m *simMachine) observeCommitted(entry *heldEntry) {
+func (m *simMachine) observeCommitted(entry *acceptedEntry) {
 	w, h, id := m.world, &m.world.history, m.node.Self().ID
-	known, found := h.entries[entry.Sequence]
-	if !found {
+	known, ok := h.entries[entry.Sequence]
+	if !ok {
 		h.entries[entry.Sequence] = *entry
-		w.note("%s has committed %d: version %d %q", m.address, entry.Sequence, entry.Version, entry.Body)
+		w.tracef("%s has committed %d: version %d %q", m.address, entry.Sequence, entry.Version, entry.Body)
 		if before, twice := h.committed[string(entry.Body)]; twice {
-			w.fail("%q is committed as %d and as %d", entry.Body, before, entry.Sequence)
+			w.failf("%q is committed as %d and as %d", entry.Body, before, entry.Sequence)
 		}
 		h.committed[string(entry.Body)] = entry.Sequence
-		if before, found := h.entries[entry.Sequence-1]; found && before.Version >= entry.Version {
-			w.fail("version %d follows %d", entry.Version, before.Version)
+		if before, ok := h.entries[entry.Sequence-1]; ok && before.Version >= entry.Version {
+			w.failf("version %d follows %d", entry.Version, before.Version)
 		}
 	} else if known.digest != entry.digest || known.Version != entry.Version {
-		w.fail("sequence %d is committed as %q and as %q", entry.Sequence, known.Body, entry.Body)
+		w.failf("sequence %d is committed as %q and as %q", entry.Sequence, known.Body, entry.Body)
 	}
-	if entry.Sequence < m.newest || entry.Sequence+1 < h.newest[id] {
-		w.fail("%s falls from sequence %d, and %d in this life, to %d", m.address, h.newest[id], m.newest,
+	if entry.Sequence < m.maxCommitted || entry.Sequence+1 < h.maxCommitted[id] {
+		w.failf("%s falls from sequence %d, and %d in this life, to %d", m.address, h.maxCommitted[id],
+			m.maxCommitted,
 			entry.Sequence)
 	}
-	if held := m.node.state.held.Sequence; held < h.newest[id] {
-		w.fail("%s holds sequence %d, and has known %d to be committed", m.address, held, h.newest[id])
+	if held := m.node.state.accepted.Sequence; held < h.maxCommitted[id] {
+		w.failf("%s holds sequence %d, and has known %d to be committed", m.address, held, h.maxCommitted[id])
 	}
-	m.newest, h.newest[id] = entry.Sequence, max(h.newest[id], entry.Sequence)
-	if h.refused[string(entry.Body)] {
-		w.fail("the refused %q is in force", entry.Body)
+	m.maxCommitted, h.maxCommitted[id] = entry.Sequence, max(h.maxCommitted[id], entry.Sequence)
+	if h.rejected[string(entry.Body)] {
+		w.failf("the refused %q is in force", entry.Body)
 	}
 	m.observeHistory(entry)
 }
 
 // observeHistory checks that an entry names all committed entries before it, up to the history's length.
-func (m *simMachine) observeHistory(entry *heldEntry) {
+func (m *simMachine) observeHistory(entry *acceptedEntry) {
 	w, length := m.world, uint64(len(entry.history))
 	if entry.Sequence > 0 && length != min(entry.Sequence-1, uint64(w.historyLength)) {
-		w.fail("sequence %d names %d entries before it", entry.Sequence, length)
+		w.failf("sequence %d names %d entries before it", entry.Sequence, length)
 		return
 	}
 	for i, past := range entry.history {
 		sequence := entry.Sequence - length + uint64(i)
-		known, found := w.history.entries[sequence]
-		if found && (known.Version != past.Version || known.digest != past.Digest) {
-			w.fail("sequence %d names version %d in place of %d", entry.Sequence, past.Version, known.Version)
+		known, ok := w.history.entries[sequence]
+		if ok && (known.Version != past.Version || known.digest != past.Digest) {
+			w.failf("sequence %d names version %d in place of %d", entry.Sequence, past.Version, known.Version)
 		}
 	}
 }
@@ -157,17 +158,17 @@
 }
 
 // begin notes a write that has not returned.
-func (w *simWorld) begin(client int, input simInput) {
-	w.history.open[input.body] = porcupine.Operation{
+func (w *simWorld) recordCall(client int, input simInput) {
+	w.history.pendingWrites[input.body] = porcupine.Operation{
 		ClientId: client, Input: input, Call: int64(w.now), Output: simOutput{outcome: Unavailable},
 		Return: math.MaxInt64,
 	}
 }
 
 // record adds an operation to the history.
-func (w *simWorld) record(client int, input simInput, called time.Duration, output simOutput) {
+func (w *simWorld) recordReturn(client int, input simInput, called time.Duration, output simOutput) {
 	w.history.outcomes[output.outcome]++
-	delete(w.history.open, input.body)
+	delete(w.history.pendingWrites, input.body)
 	returned := int64(w.now)
 	if output.outcome == Unavailable {
 		if !input.write {
@@ -176,7 +177,7 @@
 		returned = math.MaxInt64
 	}
 	if output.outcome == Conflict {
-		w.refuse(input.body)
+		w.recordRejection(input.body)
 	}
 	w.history.operations = append(w.history.operations, porcupine.Operation{
 		ClientId: client, Input: input, Call: int64(called), Output: output, Return: returned,
@@ -184,10 +185,10 @@
 }
 
 // refuse notes that a write has been refused for good, and checks that it is not in force.
-func (w *simWorld) refuse(body string) {
-	w.history.refused[body] = true
-	if _, found := w.history.committed[body]; found {
-		w.fail("%q was in force and is refused", body)
+func (w *simWorld) recordRejection(body string) {
+	w.history.rejected[body] = true
+	if _, ok := w.history.committed[body]; ok {
+		w.failf("%q was in force and is refused", body)
 	}
 }
 
@@ -196,13 +197,13 @@
 func (w *simWorld) linearizable() porcupine.CheckResult {
 	h := &w.history
 	for sequence := range uint64(len(h.entries)) {
-		if _, found := h.entries[sequence]; !found {
-			w.fail("nobody has seen that sequence %d is committed", sequence)
+		if _, ok := h.entries[sequence]; !ok {
+			w.failf("nobody has seen that sequence %d is committed", sequence)
 		}
 	}
 	operations := slices.Clone(h.operations)
-	for _, body := range sortedKeys(h.open) {
-		operations = append(operations, h.open[body])
+	for _, body := range sortedKeys(h.pendingWrites) {
+		operations = append(operations, h.pendingWrites[body])
 	}
 	operations = slices.DeleteFunc(operations, func(one porcupine.Operation) bool {
 		input, unknown := one.Input.(simInput), one.Output.(simOutput).outcome == Unavailable
--- a/internal/router/chain/sim_client_test.go
+++ b/internal/router/chain/sim_client_test.go
@@ -14,16 +14,16 @@
 	id    int
 	until time.Duration
 	// at is the address of the only machine that the client asks; empty for any.
-	at string
+	onlyAddress string
 	// answered is called with each outcome, if it is set.
-	answered func(Outcome)
+	onOutcome func(Outcome)
 	// version is the last one that the client has seen.
 	version int64
 	writes  int
 	// last is the outcome of the last operation.
 	last Outcome
 	// sent are the writes that may be sent again: not those that were refused for a version still to come.
-	sent []simInput
+	retryable []simInput
 }
 
 // next begins the client's next operation after a while.
@@ -34,8 +34,8 @@
 		case w.now >= s.until:
 		case w.random.Intn(2) == 0:
 			s.read()
-		case len(s.sent) > 0 && w.random.Intn(4) == 0:
-			s.again()
+		case len(s.retryable) > 0 && w.random.Intn(4) == 0:
+			s.retry()
 		default:
 			s.write()
 		}
@@ -45,16 +45,16 @@
 // machine draws a machine.
 func (s *simClient) machine() *simMachine {
 	w := s.world
-	if s.at != "" {
-		return w.machines[s.at]
+	if s.onlyAddress != "" {
+		return w.machines[s.onlyAddress]
 	}
 	return w.machines[w.addresses[w.random.Intn(len(w.addresses))]]
 }
 
 // tell reports an outcome.
-func (s *simClient) tell(outcome Outcome) {
-	if s.answered != nil {
-		s.answered(outcome)
+func (s *simClient) report(outcome Outcome) {
+	if s.onOutcome != nil {
+		s.onOutcome(outcome)
 	}
 }
 
@@ -65,13 +65,13 @@
 func (s *simClient) readAt(m *simMachine) {
 	w, called := s.world, s.world.now
 	m.request(nil, func(reply Reply) {
-		s.tell(reply.Outcome)
+		s.report(reply.Outcome)
 		if reply.Outcome == Applied {
 			s.version = reply.Entry.Version
 		}
 		s.last = reply.Outcome
 		output := simOutput{reply.Outcome, reply.Entry.Version, string(reply.Entry.Body)}
-		w.record(s.id, simInput{}, called, output)
+		w.recordReturn(s.id, simInput{}, called, output)
 		s.next()
 	})
 }
@@ -85,7 +85,7 @@
 		input.expected += w.random.Int63n(5)
 	}
 	input.version = input.expected + 1 + w.random.Int63n(3)
-	w.begin(s.id, input)
+	w.recordCall(s.id, input)
 	s.attempt(input, w.now, 1, false)
 }
 
@@ -102,7 +102,7 @@
 	w := s.world
 	proposal := Proposal{input.expected, input.version, []byte(input.body)}
 	m.request(&proposal, func(reply Reply) {
-		s.tell(reply.Outcome)
+		s.report(reply.Outcome)
 		outcome := reply.Outcome
 		if outcome == Unavailable && number < simAttempts && w.now < s.until {
 			delay := time.Duration(w.random.Int63n(int64(400 * time.Millisecond)))
@@ -114,7 +114,7 @@
 			outcome = Unavailable
 		}
 		if outcome != Conflict || passed {
-			s.sent = append(s.sent, input)
+			s.retryable = append(s.retryable, input)
 		}
 		if outcome == Applied {
 			s.version = input.version
@@ -123,7 +123,7 @@
 		if reply.Outcome == Conflict {
 			s.version = reply.Entry.Version
 		}
-		w.record(s.id, input, called, simOutput{outcome: outcome})
+		w.recordReturn(s.id, input, called, simOutput{outcome: outcome})
 		s.next()
 	})
 }
--- a/internal/router/chain/sim_long_test.go
+++ b/internal/router/chain/sim_long_test.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	longChanges = 1000
-	longBody    = 4 << 10
+	manyChanges     = 1000
+	manyChangesBody = 4 << 10
 	// largestBody is the largest configuration, memberRate the slowest link of members in bytes per second.
 	largestBody = 4 << 20
 	memberRate  = 100_000_000 / 8
 	slowSync    = 60 * time.Millisecond
 )
 
-// longWorld is a world in which one change follows another.
-type longWorld struct {
+// manyChangesWorld is a world in which one change follows another.
+type manyChangesWorld struct {
 	*simWorld
 	c       *qt.C
 	version int64
 }
 
 // body returns the body of a version.
-func (w *longWorld) body(version int64) string {
-	return fmt.Sprint("body ", version, " ", string(bytes.Repeat([]byte("x"), longBody)))
+func (w *manyChangesWorld) body(version int64) string {
+	return fmt.Sprint("body ", version, " ", string(bytes.Repeat([]byte("x"), manyChangesBody)))
 }
 
 // change makes one change and sends it again until it is acknowledged.
-func (w *longWorld) change(body string) {
+func (w *manyChangesWorld) change(body string) {
 	for began := w.now; ; {
 		outcome := w.writeAt("10.0.0.9", w.version, w.version+1, body)
 		for *outcome == 0 {
@@ -51,45 +51,46 @@
 }
 
 // changes makes many.
-func (w *longWorld) changes(count int) {
+func (w *manyChangesWorld) changes(count int) {
 	for range count {
 		w.change(w.body(w.version + 1))
 	}
 }
 
 // catchUp starts a machine and checks in what time and with how many bytes it holds the state.
-func (w *longWorld) catchUp(m *simMachine, name string, atMost time.Duration) {
-	began, before := w.now, w.caughtUp[m.address]
+func (w *manyChangesWorld) catchUp(m *simMachine, name string, atMost time.Duration) {
+	began, before := w.now, w.catchUpBytes[m.address]
 	if !m.up() {
 		m.boot()
 	}
-	for !w.holdsAll(m) {
+	for !w.hasNewest(m) {
 		w.run(simTick)
 		w.c.Assert(w.now-began < atMost, qt.IsTrue, qt.Commentf("%s after %d changes", name, w.version))
 	}
-	sent := w.caughtUp[m.address] - before
-	held := &m.node.state.held
+	sent := w.catchUpBytes[m.address] - before
+	held := &m.node.state.accepted
 	whole := messageSize(&Message{Body: held.Body, History: held.history})
 	w.c.Logf("%s after %d changes: %v, %d bytes", name, w.version, w.now-began, sent)
 	w.c.Assert(sent <= whole, qt.IsTrue, qt.Commentf("%s: %d bytes for %d", name, sent, whole))
-	records := w.growth + 2*int64(whole) // a snapshot, what follows it, and a record that ends the segment
+	// a snapshot, what follows it, and a record that ends the segment
+	records := w.segmentGrowth + 2*int64(whole)
 	w.c.Assert(m.log.Size() <= records, qt.IsTrue, qt.Commentf("%s: the log has %d bytes", name, m.log.Size()))
 }
 
-// holdsAll tells whether a machine is a replica that holds the newest entry.
-func (w *longWorld) holdsAll(m *simMachine) bool {
+// hasNewest tells whether a machine is a replica that holds the newest entry.
+func (w *manyChangesWorld) hasNewest(m *simMachine) bool {
 	latest := w.machines["10.0.0.9"].node.View().Epoch
 	state := &m.node.state
-	return m.node.InChain() && state.view.Epoch == latest && state.held.Epoch == latest &&
-		state.held.Version == w.version
+	return m.node.InChain() && state.view.Epoch == latest && state.accepted.Epoch == latest &&
+		state.accepted.Version == w.version
 }
 
 // TestThousandChanges makes changes while members are down, emptied, replaced and slow. Whoever comes back
 // catches up with one body and one history at most, and earlier changes are acknowledged again.
 func TestThousandChanges(t *testing.T) {
-	w := &longWorld{simWorld: newWorld(1), c: qt.New(t)}
-	w.growth = 16 * longBody
-	foundWorldWith(w.simWorld, 0)
+	w := &manyChangesWorld{simWorld: newWorld(1), c: qt.New(t)}
+	w.segmentGrowth = 16 * manyChangesBody
+	bootstrapWithCandidates(w.simWorld, 0)
 	first, second, third := w.machines["10.0.0.1"], w.machines["10.0.0.2"], w.machines["10.0.0.3"]
 
 	w.changes(150)
@@ -99,28 +100,28 @@
 
 	first.crash(faultfs.LoseAll) // the head
 	first.disk.Wipe()
-	first.first = false
+	first.firstStart = false
 	w.changes(100)
 	w.catchUp(first, "emptied", 2*time.Second)
 
-	third.sync = slowSync
+	third.syncDelay = slowSync
 	w.changes(100)
-	third.sync = simSync
-	w.c.Assert(w.holdsAll(third), qt.IsTrue)
+	third.syncDelay = simSync
+	w.c.Assert(w.hasNewest(third), qt.IsTrue)
 
 	third.crash(faultfs.LoseAll)
-	third.gone = true
+	third.removed = true
 	w.changes(50)
 	w.catchUp(w.addMachine("10.0.0.5", true, false), "in place of another", 4*time.Second)
 
-	w.changes(int(longChanges - w.version))
+	w.changes(int(manyChanges - w.version))
 	w.othersDown(nil)
 	w.run(time.Second)
 	for _, m := range []*simMachine{first, second, w.machines["10.0.0.5"]} {
 		w.catchUp(m, "power lost by all", 2*time.Second)
 	}
 	w.catchUpWithTheLargest(second)
-	for version := int64(1); version <= longChanges; version += 111 {
+	for version := int64(1); version <= manyChanges; version += 111 {
 		again := w.writeAt("10.0.0.9", version-1, version, w.body(version))
 		other := w.writeAt("10.0.0.1", version-1, version, "another")
 		w.run(2 * time.Second)
@@ -131,7 +132,7 @@
 
 // catchUpWithTheLargest lets the links be as slow as they may be and the body as large: a write and an
 // emptied disk cost no views that are not theirs.
-func (w *longWorld) catchUpWithTheLargest(m *simMachine) {
+func (w *manyChangesWorld) catchUpWithTheLargest(m *simMachine) {
 	w.rate = memberRate
 	epoch := func() uint64 { return w.machines["10.0.0.9"].node.View().Epoch }
 	before, began := epoch(), w.now
--- a/internal/router/chain/sim_loss_test.go
+++ b/internal/router/chain/sim_loss_test.go
@@ -34,7 +34,7 @@
 var firstLosses = []firstLoss{
 	{"disk lost", false, func(w *lossWorld, m *simMachine) { w.wipeAt(m) }},
 	{"machine gone, another takes its place", false, func(w *lossWorld, m *simMachine) { w.remove(m) }},
-	{"machine leaves, its successor is there", true, func(w *lossWorld, m *simMachine) { w.leave(m) }},
+	{"machine leaves, its successor is there", true, func(w *lossWorld, m *simMachine) { w.drain(m) }},
 }
 
 // lossWorld is a world of 2 tolerate + 1 members and one candidate.
@@ -91,15 +91,15 @@
 		return false
 	}
 	w.run(lossRecovery)
-	w.mustServeWhatIsKept(c, label)
+	w.mustServeAcknowledged(c, label)
 	return true
 }
 
 // newLossWorld founds a world in which version 1 is committed, and lets it come to rest.
 func newLossWorld(c *qt.C, tolerate int) *lossWorld {
 	w := &lossWorld{newWorld(int64(tolerate)), tolerate}
-	w.members, w.copies = 2*tolerate+1, tolerate+1
-	foundWorld(w.simWorld)
+	w.members, w.requiredReplicas = 2*tolerate+1, tolerate+1
+	bootstrapMembers(w.simWorld)
 	outcome := w.writeAt("10.0.0.1", 0, 1, "one")
 	w.run(time.Second)
 	c.Assert(*outcome, qt.Equals, Applied)
@@ -111,7 +111,7 @@
 func (w *lossWorld) lose(at, victim *simMachine, more int, power bool) {
 	lost := map[string]bool{}
 	for _, m := range append([]*simMachine{at}, w.disks()...) {
-		if len(lost) < more && m.hasDisk && m != victim && !m.gone && !lost[m.address] {
+		if len(lost) < more && m.hasDisk && m != victim && !m.removed && !lost[m.address] {
 			lost[m.address] = true
 			w.wipeAt(m)
 		}
@@ -120,7 +120,7 @@
 		return
 	}
 	for _, address := range w.addresses {
-		if m := w.machines[address]; !lost[address] && !m.gone && m.up() {
+		if m := w.machines[address]; !lost[address] && !m.removed && m.up() {
 			w.downAt(m, faultfs.LoseAll)
 		}
 	}
@@ -140,16 +140,16 @@
 // remove takes a machine away for good.
 func (w *lossWorld) remove(m *simMachine) {
 	m.crash(faultfs.KeepAll)
-	m.gone = true
+	m.removed = true
 }
 
 // leave lets a machine leave, and takes it away for good when it may stop or its time is up.
-func (w *lossWorld) leave(m *simMachine) {
+func (w *lossWorld) drain(m *simMachine) {
 	began := w.now
-	m.step(func(n *Node) Effects { return n.Leave(w.now) })
+	m.step(func(n *Node) Effects { return n.Drain(w.now) })
 	var check func()
 	check = func() {
-		if m.up() && !m.node.MayStop() && w.now-began < lossGrace {
+		if m.up() && !m.node.Drained() && w.now-began < lossGrace {
 			w.after(simTick, check)
 			return
 		}
@@ -158,15 +158,15 @@
 	w.after(simTick, check)
 }
 
-// mustServeWhatIsKept checks that all machines that are there read the same, that it is what was
+// mustServeAcknowledged checks that all machines that are there read the same, that it is what was
 // acknowledged, and that a write goes through.
-func (w *lossWorld) mustServeWhatIsKept(c *qt.C, label string) {
+func (w *lossWorld) mustServeAcknowledged(c *qt.C, label string) {
 	comment := qt.Commentf("%s", label)
 	two := w.writeAt("10.0.0.9", 1, 2, "two") // sent again
 	w.run(time.Second)
 	c.Assert(*two, qt.Equals, Applied, comment)
 	for _, address := range w.addresses {
-		if m := w.machines[address]; !m.gone {
+		if m := w.machines[address]; !m.removed {
 			m.request(nil, func(reply Reply) {
 				c.Assert(reply.Outcome, qt.Equals, Applied, comment)
 				c.Assert(string(reply.Entry.Body), qt.Equals, "two", comment)
@@ -201,13 +201,13 @@
 				c.Assert(w.now-began < lossRepair, qt.IsTrue, qt.Commentf("%s of %s", first.name, victim.address))
 			}
 			longest = max(longest, w.now-began)
-			if second.gone {
+			if second.removed {
 				continue
 			}
 			w.lose(second, nil, 1, choice%2 == 1)
 			w.writeAt("10.0.0.9", 1, 2, "two")
 			w.run(lossRecovery)
-			w.mustServeWhatIsKept(c, fmt.Sprintf("%s of %s, then %s", first.name, victim.address, second.address))
+			w.mustServeAcknowledged(c, fmt.Sprintf("%s of %s, then %s", first.name, victim.address, second.address))
 		}
 		c.Logf("%s: repaired after %v at most", first.name, longest)
 	}
--- a/internal/router/chain/sim_machine_test.go
+++ b/internal/router/chain/sim_machine_test.go
@@ -20,20 +20,20 @@
 	address string
 	hasDisk bool
 	// first says that the system starts for the first time.
-	first bool
-	disk  *faultfs.FS
-	log   *segmentlog.Log
-	node  *Node
+	firstStart bool
+	disk       *faultfs.FS
+	log        *segmentlog.Log
+	node       *Node
 	// life counts starts, so that events of an earlier life are dropped.
-	life int
+	incarnation int
 	// newest is the highest sequence that this life has known to be committed.
-	newest uint64
+	maxCommitted uint64
 	// sync is how long the disk takes for one step's records.
-	sync time.Duration
+	syncDelay time.Duration
 	// busyUntil is when the machine takes the next event: a sync or a pause ends then.
 	busyUntil time.Duration
 	// gone says that the machine never comes back.
-	gone bool
+	removed bool
 	// waiting are local requests.
 	waiting map[uint64]func(Reply)
 }
@@ -41,7 +41,7 @@
 // addMachine makes a machine with an empty disk and starts it.
 func (w *simWorld) addMachine(address string, hasDisk, first bool) *simMachine {
 	m := &simMachine{
-		world: w, address: address, hasDisk: hasDisk, first: first, disk: faultfs.New(), sync: simSync,
+		world: w, address: address, hasDisk: hasDisk, firstStart: first, disk: faultfs.New(), syncDelay: simSync,
 	}
 	w.machines[address] = m
 	w.addresses = append(w.addresses, address)
@@ -52,8 +52,8 @@
 // config returns the node's configuration.
 func (m *simMachine) config() Config {
 	return Config{
-		Self: Member{m.world.newIdentity(), m.address}, HasDisk: m.hasDisk, FirstStart: m.first,
-		TargetMembers: m.world.members, RequiredCopies: m.world.copies,
+		Self: Member{m.world.newIdentity(), m.address}, HasDisk: m.hasDisk, AllowBootstrap: m.firstStart,
+		TargetMembers: m.world.members, RequiredReplicas: m.world.requiredReplicas,
 		HistoryLength: m.world.historyLength,
 		Random:        rand.New(rand.NewSource(m.world.random.Int63())),
 	}
@@ -65,7 +65,7 @@
 // boot starts the machine's process from its disk.
 func (m *simMachine) boot() {
 	w := m.world
-	m.life++
+	m.incarnation++
 	m.busyUntil = w.now
 	m.waiting = map[uint64]func(Reply){}
 	var records [][]byte
@@ -73,13 +73,13 @@
 		var err error
 		options := segmentlog.Options{
 			Snapshot:  func() [][]byte { return m.node.SnapshotRecords() },
-			MaxGrowth: w.growth,
+			MaxGrowth: w.segmentGrowth,
 		}
 		var damage *segmentlog.CorruptionError
 		m.log, records, damage, err = segmentlog.OpenOrReset(m.disk, simFolder, options)
 		if damage != nil {
-			w.note("%s begins anew: %v", m.address, damage)
-			w.history.damages++
+			w.tracef("%s begins anew: %v", m.address, damage)
+			w.history.damagedLogs++
 		}
 		if err != nil {
 			m.bootFailed(err)
@@ -88,10 +88,10 @@
 	}
 	node, effects, err := Open(m.config(), w.now, records)
 	if err != nil {
-		w.fail("%s: %v", m.address, err)
+		w.failf("%s: %v", m.address, err)
 		return
 	}
-	m.node, m.newest = node, 0
+	m.node, m.maxCommitted = node, 0
 	node.SetContacts(w.contacts())
 	if len(effects.Persist) > 0 && m.hasDisk {
 		if err := m.log.Append(effects.Persist...); err != nil {
@@ -100,17 +100,17 @@
 			return
 		}
 	}
-	w.note("%s starts as %s", m.address, node.Self().ID)
+	w.tracef("%s starts as %s", m.address, node.Self().ID)
 	m.release(effects)
-	m.ticks(m.life)
+	m.ticks(m.incarnation)
 }
 
 // bootFailed tries again later if the disk may work by then.
 func (m *simMachine) bootFailed(err error) {
-	m.world.note("%s can't start: %v", m.address, err)
-	life := m.life
+	m.world.tracef("%s can't start: %v", m.address, err)
+	incarnation := m.incarnation
 	m.world.after(300*time.Millisecond, func() {
-		if m.life == life && !m.up() && !m.gone {
+		if m.incarnation == incarnation && !m.up() && !m.removed {
 			m.disk.Restart(faultfs.KeepAll, m.world.random)
 			m.boot()
 		}
@@ -118,12 +118,12 @@
 }
 
 // ticks calls Tick again and again while this life lasts.
-func (m *simMachine) ticks(life int) {
-	if m.life != life || !m.up() {
+func (m *simMachine) ticks(incarnation int) {
+	if m.incarnation != incarnation || !m.up() {
 		return
 	}
 	m.step(func(n *Node) Effects { return n.Tick(m.world.now) })
-	m.world.after(simTick, func() { m.ticks(life) })
+	m.world.after(simTick, func() { m.ticks(incarnation) })
 }
 
 // step makes one step of the node, later if the machine is busy.
@@ -133,9 +133,9 @@
 		return
 	}
 	if w.now < m.busyUntil {
-		life := m.life
+		incarnation := m.incarnation
 		w.after(m.busyUntil-w.now, func() {
-			if m.life == life {
+			if m.incarnation == incarnation {
 				m.step(do)
 			}
 		})
@@ -145,12 +145,12 @@
 }
 
 // at reaches a numbered point and tells whether the machine still runs behind it.
-func (m *simMachine) at(name string) bool {
-	life := m.life
+func (m *simMachine) reachPoint(name string) bool {
+	incarnation := m.incarnation
 	if m.world.point != nil {
 		m.world.point(m, name)
 	}
-	return m.up() && m.life == life
+	return m.up() && m.incarnation == incarnation
 }
 
 // perform makes records durable and sends what depends on them when the disk is done.
@@ -160,29 +160,29 @@
 		m.release(effects)
 		return
 	}
-	if !m.at("before the records") {
+	if !m.reachPoint("before the records") {
 		return
 	}
 	if err := m.log.Append(effects.Persist...); err != nil {
 		if m.disk.Down() {
-			m.world.note("%s crashes at its disk", m.address)
+			m.world.tracef("%s crashes at its disk", m.address)
 			m.stop()
 			return
 		}
-		m.world.note("%s: %v", m.address, err)
+		m.world.tracef("%s: %v", m.address, err)
 		effects = m.node.PersistFailed(m.world.now)
 		m.observe()
 		m.release(effects)
 		return
 	}
 	m.observe()
-	if !m.at("behind the records") {
+	if !m.reachPoint("behind the records") {
 		return
 	}
-	life := m.life
-	m.busyUntil = m.world.now + m.sync
-	m.world.after(m.sync, func() {
-		if m.life == life && m.up() {
+	incarnation := m.incarnation
+	m.busyUntil = m.world.now + m.syncDelay
+	m.world.after(m.syncDelay, func() {
+		if m.incarnation == incarnation && m.up() {
 			m.release(effects)
 		}
 	})
@@ -191,23 +191,23 @@
 // release sends messages and gives replies.
 func (m *simMachine) release(effects Effects) {
 	for _, envelope := range effects.Messages {
-		if isPathMessage(envelope.Message.Kind) && !m.at("before a message") {
+		if isPathMessage(envelope.Message.Kind) && !m.reachPoint("before a message") {
 			return
 		}
 		m.world.transmit(m.address, envelope)
-		if isPathMessage(envelope.Message.Kind) && !m.at("behind a message") {
+		if isPathMessage(envelope.Message.Kind) && !m.reachPoint("behind a message") {
 			return
 		}
 	}
 	for _, reply := range effects.Replies {
-		if !m.at("before a reply") {
+		if !m.reachPoint("before a reply") {
 			return
 		}
 		if waiting := m.waiting[reply.Request]; waiting != nil {
 			delete(m.waiting, reply.Request)
 			waiting(reply)
 		}
-		if !m.at("behind a reply") {
+		if !m.reachPoint("behind a reply") {
 			return
 		}
 	}
@@ -216,7 +216,7 @@
 // isPathMessage tells whether a message is on the way of a write.
 func isPathMessage(kind Kind) bool {
 	switch kind {
-	case Append, AskBody, Ack, Commit, Forward, ForwardReply:
+	case Append, FetchBody, Ack, Commit, Forward, ForwardReply:
 		return true
 	}
 	return false
@@ -228,7 +228,7 @@
 		return
 	}
 	m.node = nil
-	m.life++
+	m.incarnation++
 	waiting := m.waiting
 	m.waiting = map[uint64]func(Reply){}
 	for _, id := range sortedKeys(waiting) {
@@ -245,7 +245,7 @@
 
 // request asks the node for a read, or for a write if there is a proposal.
 func (m *simMachine) request(proposal *Proposal, done func(Reply)) {
-	m.ask(done, func(n *Node, request uint64) Effects {
+	m.submit(done, func(n *Node, request uint64) Effects {
 		if proposal == nil {
 			return n.Read(m.world.now, request)
 		}
@@ -254,12 +254,12 @@
 }
 
 // confirm asks whether a change was committed, as it is done where its body can't be made any more.
-func (m *simMachine) confirm(change ChangeName, done func(Reply)) {
-	m.ask(done, func(n *Node, request uint64) Effects { return n.Confirm(m.world.now, request, change) })
+func (m *simMachine) confirm(change ChangeID, done func(Reply)) {
+	m.submit(done, func(n *Node, request uint64) Effects { return n.Confirm(m.world.now, request, change) })
 }
 
 // ask has a machine run a call under a number of its own.
-func (m *simMachine) ask(done func(Reply), call func(n *Node, request uint64) Effects) {
+func (m *simMachine) submit(done func(Reply), call func(n *Node, request uint64) Effects) {
 	if !m.up() {
 		done(Reply{Outcome: Unavailable})
 		return
--- a/internal/router/chain/sim_nemesis_test.go
+++ b/internal/router/chain/sim_nemesis_test.go
@@ -32,7 +32,7 @@
 func (s *nemesis) machine() *simMachine {
 	w := s.world
 	for {
-		if m := w.machines[w.addresses[w.random.Intn(len(w.addresses))]]; !m.gone {
+		if m := w.machines[w.addresses[w.random.Intn(len(w.addresses))]]; !m.removed {
 			return m
 		}
 	}
@@ -44,21 +44,22 @@
 		name string
 		do   func(*simMachine)
 	}{
-		{"process killed", s.kill}, {"power lost", s.power}, {"power lost by all", s.powerOfAll},
-		{"crash in the disk", s.crashInDisk}, {"disk fails once", s.failOnce}, {"disk full", s.full},
-		{"pause", s.pause}, {"disk lost", s.wipe}, {"disk lost while the others lose power", s.wipeAndPower},
-		{"machine replaced", s.replace}, {"partition", s.partition}, {"one-way cut", s.oneWay},
-		{"lossy links", s.lossy}, {"leave", s.leave}, {"wake of all links", s.healLinks},
-		{"rot at the end of the log", s.rot},
+		{"process killed", s.kill}, {"power lost", s.losePower}, {"power lost by all", s.losePowerOfAll},
+		{"crash in the disk", s.crashInDisk}, {"disk fails once", s.failDiskOnce}, {"disk full", s.fillDisk},
+		{"pause", s.pause}, {"disk lost", s.wipeDisk}, {"disk lost while the others lose power",
+			s.wipeDiskAndLosePower},
+		{"machine replaced", s.replace}, {"partition", s.partition}, {"one-way cut", s.partitionOneWay},
+		{"lossy links", s.degradeLinks}, {"leave", s.drain}, {"wake of all links", s.healLinks},
+		{"rot at the end of the log", s.corruptLog},
 	}
 	m := s.machine()
 	one := faults[s.world.random.Intn(len(faults))]
-	s.world.note("fault: %s at %s", one.name, m.address)
+	s.world.tracef("fault: %s at %s", one.name, m.address)
 	one.do(m)
 }
 
 // later starts a machine again after a while.
-func (s *nemesis) later(m *simMachine) {
+func (s *nemesis) restartLater(m *simMachine) {
 	w := s.world
 	if w.now >= s.until {
 		m.boot()
@@ -68,33 +69,33 @@
 	if w.random.Intn(3) == 0 {
 		longest = 4 * time.Second
 	}
-	life := m.life
+	incarnation := m.incarnation
 	w.after(time.Duration(w.random.Int63n(int64(longest))), func() {
-		if m.life == life && !m.up() && !m.gone {
+		if m.incarnation == incarnation && !m.up() && !m.removed {
 			m.boot()
 		}
 	})
 }
 
 // loss draws what a power loss leaves.
-func (s *nemesis) loss() faultfs.Loss {
+func (s *nemesis) drawLoss() faultfs.Loss {
 	return []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome}[s.world.random.Intn(3)]
 }
 
 func (s *nemesis) kill(m *simMachine) {
 	m.crash(faultfs.KeepAll)
-	s.later(m)
+	s.restartLater(m)
 }
 
-func (s *nemesis) power(m *simMachine) {
-	m.crash(s.loss())
-	s.later(m)
+func (s *nemesis) losePower(m *simMachine) {
+	m.crash(s.drawLoss())
+	s.restartLater(m)
 }
 
-func (s *nemesis) powerOfAll(*simMachine) {
+func (s *nemesis) losePowerOfAll(*simMachine) {
 	for _, address := range s.world.addresses {
-		if m := s.world.machines[address]; !m.gone {
-			s.power(m)
+		if m := s.world.machines[address]; !m.removed {
+			s.losePower(m)
 		}
 	}
 }
@@ -108,18 +109,18 @@
 	fault := []faultfs.Fault{faultfs.CrashBefore, faultfs.CrashAfter}[w.random.Intn(2)]
 	m.disk.FaultAt(1+w.random.Intn(8), fault)
 	w.after(2*time.Second, func() {
-		if m.disk.Down() && !m.gone {
-			m.crash(s.loss())
-			s.later(m)
+		if m.disk.Down() && !m.removed {
+			m.crash(s.drawLoss())
+			s.restartLater(m)
 		}
 	})
 }
 
-func (s *nemesis) failOnce(m *simMachine) {
+func (s *nemesis) failDiskOnce(m *simMachine) {
 	m.disk.FaultAt(1+s.world.random.Intn(4), faultfs.FailIO)
 }
 
-func (s *nemesis) full(m *simMachine) {
+func (s *nemesis) fillDisk(m *simMachine) {
 	m.disk.Capacity = 1
 	s.world.after(time.Duration(s.world.random.Int63n(int64(3*time.Second))), func() { m.disk.Capacity = 0 })
 }
@@ -131,16 +132,16 @@
 // mayLoseDisk tells whether one disk can be lost: the last one that was lost has been replaced in the latest
 // view and in each one that is under way, and each replica of the latest view has the state.
 func (s *nemesis) mayLoseDisk() bool {
-	disks := map[MemberID]durable{}
+	disks := map[MemberID]durableState{}
 	var latest View
 	var named []MemberID
 	for _, address := range s.world.addresses {
 		m := s.world.machines[address]
-		if m.gone || !m.hasDisk || !m.up() {
+		if m.removed || !m.hasDisk || !m.up() {
 			continue
 		}
-		disks[m.node.state.id] = m.node.saved.durable
-		named = append(named, identities(m.node.saved.acceptor.acceptedValue.Members)...)
+		disks[m.node.state.id] = m.node.stable.durableState
+		named = append(named, memberIDs(m.node.stable.acceptor.acceptedView.Members)...)
 		if view := m.node.state.view; view.Epoch > latest.Epoch {
 			latest = view
 		}
@@ -148,36 +149,36 @@
 	if len(latest.Chain) < 2 {
 		return false
 	}
-	for _, id := range append(named, identities(latest.Members)...) {
-		disk, found := disks[id]
-		if !found || latest.inChain(id) && disk.held.Epoch != latest.Epoch {
+	for _, id := range append(named, memberIDs(latest.Members)...) {
+		disk, ok := disks[id]
+		if !ok || latest.inChain(id) && disk.accepted.Epoch != latest.Epoch {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *nemesis) wipe(m *simMachine) {
+func (s *nemesis) wipeDisk(m *simMachine) {
 	if !m.hasDisk || !s.mayLoseDisk() {
 		return
 	}
 	m.crash(faultfs.KeepAll)
 	m.disk.Wipe()
-	m.first = false
+	m.firstStart = false
 	s.world.history.disksLost++
-	s.later(m)
+	s.restartLater(m)
 }
 
 // rot flips a bit of a log's last records while the machine is down: the machine then counts as one that has
 // lost its disk.
-func (s *nemesis) rot(m *simMachine) {
+func (s *nemesis) corruptLog(m *simMachine) {
 	if !m.hasDisk || !s.mayLoseDisk() {
 		return
 	}
-	m.crash(s.loss())
+	m.crash(s.drawLoss())
 	names, err := m.disk.List(simFolder)
 	if err != nil || len(names) == 0 {
-		s.later(m)
+		s.restartLater(m)
 		return
 	}
 	name := simFolder + "/" + slices.Max(names)
@@ -186,21 +187,21 @@
 		err = m.disk.Corrupt(name, len(data)-1-s.world.random.Intn(min(len(data), 200)))
 	}
 	if err != nil {
-		s.world.fail("%s: %v", m.address, err)
+		s.world.failf("%s: %v", m.address, err)
 	}
-	m.first = false
+	m.firstStart = false
 	s.world.history.disksLost++
-	s.later(m)
+	s.restartLater(m)
 }
 
-func (s *nemesis) wipeAndPower(m *simMachine) {
+func (s *nemesis) wipeDiskAndLosePower(m *simMachine) {
 	if !m.hasDisk || !s.mayLoseDisk() {
 		return
 	}
-	s.wipe(m)
+	s.wipeDisk(m)
 	for _, address := range s.world.addresses {
-		if other := s.world.machines[address]; !other.gone && other != m {
-			s.power(other)
+		if other := s.world.machines[address]; !other.removed && other != m {
+			s.losePower(other)
 		}
 	}
 }
@@ -211,7 +212,7 @@
 		return
 	}
 	m.crash(faultfs.KeepAll)
-	m.gone = true
+	m.removed = true
 	s.world.history.disksLost++
 	s.added++
 	s.world.addMachine(fmt.Sprintf("10.0.1.%d", s.added), true, false)
@@ -231,23 +232,23 @@
 	}
 	for _, from := range w.addresses {
 		for _, to := range w.addresses {
-			w.link(from, to).cut = side[from] != side[to]
+			w.link(from, to).blocked = side[from] != side[to]
 		}
 	}
 	w.after(time.Duration(w.random.Int63n(int64(4*time.Second))), func() { s.healLinks(nil) })
 }
 
-func (s *nemesis) oneWay(m *simMachine) {
+func (s *nemesis) partitionOneWay(m *simMachine) {
 	other := s.machine()
 	if other == m {
 		return
 	}
 	link := s.world.link(m.address, other.address)
-	link.cut = true
-	s.world.after(time.Duration(s.world.random.Int63n(int64(4*time.Second))), func() { link.cut = false })
+	link.blocked = true
+	s.world.after(time.Duration(s.world.random.Int63n(int64(4*time.Second))), func() { link.blocked = false })
 }
 
-func (s *nemesis) lossy(*simMachine) {
+func (s *nemesis) degradeLinks(*simMachine) {
 	w := s.world
 	loss, delay := w.random.Float64()*0.3, time.Duration(w.random.Int63n(int64(60*time.Millisecond)))
 	for _, from := range w.addresses {
@@ -258,16 +259,16 @@
 	}
 }
 
-func (s *nemesis) leave(m *simMachine) {
+func (s *nemesis) drain(m *simMachine) {
 	if !m.up() {
 		return
 	}
-	m.step(func(n *Node) Effects { return n.Leave(s.world.now) })
-	life := m.life
+	m.step(func(n *Node) Effects { return n.Drain(s.world.now) })
+	incarnation := m.incarnation
 	s.world.after(800*time.Millisecond, func() {
-		if m.life == life && m.up() {
+		if m.incarnation == incarnation && m.up() {
 			m.crash(faultfs.KeepAll)
-			s.later(m)
+			s.restartLater(m)
 		}
 	})
 }
@@ -287,7 +288,7 @@
 		m.disk.Capacity = 0
 		m.disk.FaultAt(0, faultfs.NoFault)
 		m.busyUntil = min(m.busyUntil, s.world.now)
-		if m.gone {
+		if m.removed {
 			continue
 		}
 		if m.disk.Down() {
--- a/internal/router/chain/sim_race_test.go
+++ b/internal/router/chain/sim_race_test.go
@@ -13,10 +13,10 @@
 	// raceSeeds is how many races run without raceSeedsVariable in the environment.
 	raceSeeds         = 40
 	raceSeedsVariable = "CHAIN_RACE_SEEDS"
-	// raceWrites are under way at once, each sent to raceMachines machines and again after raceAgain.
+	// raceWrites are under way at once, each sent to raceMachines machines and again after raceRetry.
 	raceWrites   = 8
 	raceMachines = 3
-	raceAgain    = 250 * time.Millisecond
+	raceRetry    = 250 * time.Millisecond
 	raceRounds   = 12
 	// raceTime is how long a race may take, its faults end after raceFaults.
 	raceTime   = 60 * time.Second
@@ -36,7 +36,7 @@
 			if seed%2 == 0 {
 				w.historyLength = simShortHistory
 			}
-			foundWorld(w)
+			bootstrapMembers(w)
 			r := &raceWorld{simWorld: w, faults: &nemesis{world: w, until: w.now + raceFaults}}
 			r.play()
 			result := w.linearizable()
@@ -71,15 +71,15 @@
 func (w *raceWorld) play() {
 	w.faults.next()
 	w.after(raceFaults, w.faults.healAll)
-	w.begin()
+	w.beginRound()
 	w.run(raceTime)
 	if !w.ended && w.failure == "" {
-		w.fail("round %d never ends", w.round)
+		w.failf("round %d never ends", w.round)
 	}
 }
 
 // begin sends the writes of the next round.
-func (w *raceWorld) begin() {
+func (w *raceWorld) beginRound() {
 	w.round++
 	w.racers = nil
 	if w.round > raceRounds {
@@ -91,7 +91,7 @@
 		r.input = simInput{write: true, expected: w.version, version: w.version + 1 + int64(max(0, i-raceWrites/2))}
 		r.input.body = fmt.Sprintf("round %d write %d", w.round, i)
 		w.racers = append(w.racers, r)
-		w.simWorld.begin(i, r.input)
+		w.simWorld.recordCall(i, r.input)
 		r.send()
 	}
 }
@@ -105,25 +105,25 @@
 	for range raceMachines {
 		m := w.machines[w.addresses[w.random.Intn(len(w.addresses))]]
 		proposal := Proposal{r.input.expected, r.input.version, []byte(r.input.body)}
-		m.request(&proposal, r.answered)
+		m.request(&proposal, r.onReply)
 	}
-	w.after(raceAgain+time.Duration(w.random.Int63n(int64(raceAgain))), r.send)
+	w.after(raceRetry+time.Duration(w.random.Int63n(int64(raceRetry))), r.send)
 }
 
 // answered takes an answer; half of them are lost on their way. Also one that is lost must be right.
-func (r *racer) answered(reply Reply) {
+func (r *racer) onReply(reply Reply) {
 	w, h := r.world, &r.world.history
 	_, inForce := h.committed[r.input.body]
 	switch reply.Outcome {
 	case Applied:
-		if !inForce || h.refused[r.input.body] {
-			w.fail("%q is acknowledged, in force %v, refused %v", r.input.body, inForce, h.refused[r.input.body])
+		if !inForce || h.rejected[r.input.body] {
+			w.failf("%q is acknowledged, in force %v, refused %v", r.input.body, inForce, h.rejected[r.input.body])
 		}
 	case Conflict:
 		if reply.Entry.Version <= r.input.expected {
-			w.fail("%q is refused by version %d", r.input.body, reply.Entry.Version)
+			w.failf("%q is refused by version %d", r.input.body, reply.Entry.Version)
 		}
-		w.refuse(r.input.body)
+		w.recordRejection(r.input.body)
 	default:
 		return
 	}
@@ -133,7 +133,7 @@
 	r.outcome = reply.Outcome
 	for i, one := range w.racers {
 		if one == r {
-			w.record(i, r.input, r.called, simOutput{outcome: r.outcome})
+			w.recordReturn(i, r.input, r.called, simOutput{outcome: r.outcome})
 		}
 	}
 	w.endRound()
@@ -151,9 +151,9 @@
 		}
 	}
 	if len(winners) != 1 {
-		w.fail("round %d has %d winners", w.round, len(winners))
+		w.failf("round %d has %d winners", w.round, len(winners))
 		return
 	}
 	w.version = winners[0].input.version
-	w.begin()
+	w.beginRound()
 }
--- a/internal/router/chain/sim_test.go
+++ b/internal/router/chain/sim_test.go
@@ -46,8 +46,8 @@
 				t.Parallel()
 				w := simulate(t, int64(seed))
 				disks.Add(int64(w.history.disksLost))
-				damages.Add(int64(w.history.damages))
-				replaced.Add(int64(w.history.replaced))
+				damages.Add(int64(w.history.damagedLogs))
+				replaced.Add(int64(w.history.replacedRetries))
 				for outcome, count := range w.history.outcomes {
 					total[outcome].Add(int64(count))
 				}
@@ -70,12 +70,12 @@
 func simulate(t *testing.T, seed int64) *simWorld {
 	w := newWorld(seed)
 	if seed%3 == 0 {
-		w.members, w.copies = 5, 3
+		w.members, w.requiredReplicas = 5, 3
 	}
 	if seed%4 == 0 {
 		w.historyLength = simShortHistory
 	}
-	foundWorld(w)
+	bootstrapMembers(w)
 	s := &nemesis{world: w, until: w.now + simFaults}
 	w.duplicates = 0.05 * float64(w.random.Intn(2))
 	for client := range 4 {
@@ -83,10 +83,10 @@
 	}
 	s.next()
 	w.run(simFaults)
-	w.note("all faults end")
+	w.tracef("all faults end")
 	s.healAll()
 	w.run(simRecovery)
-	s.world.note("clients end")
+	s.world.tracef("clients end")
 	mustServe(w)
 	w.describe()
 	result := w.linearizable()
@@ -102,21 +102,23 @@
 	for _, address := range w.addresses {
 		m := w.machines[address]
 		if !m.up() {
-			w.note("%s is down, gone %v, disk down %v", address, m.gone, m.disk.Down())
+			w.tracef("%s is down, gone %v, disk down %v", address, m.removed, m.disk.Down())
 			continue
 		}
 		state := &m.node.state
-		w.note("%s is %s in epoch %d, holds %d of epoch %d, sealed %d, stalled %v, leaving %v, busy until %v",
-			address, state.id, state.view.Epoch, state.held.Sequence, state.held.Epoch, state.sealed, m.node.stalled,
-			m.node.leaving, m.busyUntil)
+		w.tracef("%s is %s in epoch %d, holds %d of epoch %d, sealed %d, stalled %v, leaving %v, busy until %v",
+			address, state.id, state.view.Epoch, state.accepted.Sequence, state.accepted.Epoch, state.sealed,
+			m.node.stalled,
+			m.node.draining, m.busyUntil)
 	}
 }
 
-// foundWorld makes the machines that become members, one more with a disk and one without, which founds.
-func foundWorld(w *simWorld) { foundWorldWith(w, 1) }
+// bootstrapMembers makes the machines that become members, one more with a disk and one without, which
+// founds.
+func bootstrapMembers(w *simWorld) { bootstrapWithCandidates(w, 1) }
 
-// foundWorldWith does so with another number of machines that don't become members.
-func foundWorldWith(w *simWorld, candidates int) {
+// bootstrapWithCandidates does so with another number of machines that don't become members.
+func bootstrapWithCandidates(w *simWorld, candidates int) {
 	var members []Member
 	for i := range w.members + candidates {
 		m := w.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true)
@@ -124,14 +126,14 @@
 			members = append(members, m.node.Self())
 		}
 	}
-	founder := w.addMachine("10.0.0.9", false, true)
+	bootstrapper := w.addMachine("10.0.0.9", false, true)
 	for _, address := range w.addresses {
 		w.machines[address].node.SetContacts(w.contacts())
 	}
-	founder.step(func(n *Node) Effects { return n.Found(w.now, members) })
+	bootstrapper.step(func(n *Node) Effects { return n.Bootstrap(w.now, members) })
 	w.run(time.Second)
-	if founder.node.View().Epoch == 0 {
-		w.fail("not founded")
+	if bootstrapper.node.View().Epoch == 0 {
+		w.failf("not founded")
 	}
 }
 
@@ -140,7 +142,7 @@
 	last := &simClient{world: w, id: 4}
 	for _, address := range w.addresses {
 		m := w.machines[address]
-		if m.gone || w.failure != "" {
+		if m.removed || w.failure != "" {
 			continue
 		}
 		last.last = 0
@@ -152,12 +154,12 @@
 			write: true, expected: last.version, version: last.version + 1, body: "last write at " + address,
 		}
 		last.last = 0
-		w.begin(last.id, input)
+		w.recordCall(last.id, input)
 		last.attemptAt(m, input, w.now, 1, false)
 		w.run(300 * time.Millisecond)
 		// A write that another client had begun before may come between.
 		if readOutcome != Applied || last.last != Applied && last.last != Conflict {
-			w.fail("%s: read is %v and write is %v after all faults have ended", address, readOutcome, last.last)
+			w.failf("%s: read is %v and write is %v after all faults have ended", address, readOutcome, last.last)
 		}
 	}
 }
--- a/internal/router/chain/sim_world_test.go
+++ b/internal/router/chain/sim_world_test.go
@@ -10,8 +10,8 @@
 const (
 	// simTick is how often a simulated node's Tick is called.
 	simTick = 25 * time.Millisecond
-	// simGrowth lets a simulated log begin a new segment after some ten writes.
-	simGrowth = 2000
+	// simSegmentGrowth lets a simulated log begin a new segment after some ten writes.
+	simSegmentGrowth = 2000
 )
 
 // simEvent is something that happens at a virtual time.
@@ -38,9 +38,9 @@
 
 // simLink is the state of one direction between two addresses.
 type simLink struct {
-	cut   bool
-	loss  float64
-	delay time.Duration
+	blocked bool
+	loss    float64
+	delay   time.Duration
 	// freeAt is when a link of limited rate has sent what it was given.
 	freeAt time.Duration
 }
@@ -53,11 +53,11 @@
 
 // simWorld is a fleet in virtual time: machines, network, and what was observed.
 type simWorld struct {
-	random   *rand.Rand
-	now      time.Duration
-	queue    simQueue
-	order    int
-	machines map[string]*simMachine
+	random     *rand.Rand
+	now        time.Duration
+	queue      simQueue
+	eventOrder int
+	machines   map[string]*simMachine
 	// addresses are the machines in the order in which they were made.
 	addresses []string
 	links     map[[2]string]*simLink
@@ -65,17 +65,17 @@
 	duplicates float64
 	// rate is how many bytes a link carries in a second, one message behind the other; 0 is no limit.
 	rate int
-	// caughtUp counts the bytes of entries that were sent with their whole history, by address.
-	caughtUp map[string]int
+	// catchUpBytes counts the bytes of entries that were sent with their whole history, by address.
+	catchUpBytes map[string]int
 	// members is how many members there shall be, copies how many replicas a write needs.
-	members, copies int
+	members, requiredReplicas int
 	// historyLength is how many earlier entries an entry names.
 	historyLength int
 	// growth is how far a machine's log grows before a new segment is begun.
-	growth     int64
-	requests   uint64
-	identities int
-	history    simHistory
+	segmentGrowth int64
+	requests      uint64
+	identities    int
+	history       simHistory
 	// failure is the first broken invariant.
 	failure string
 	// point is called at each numbered point of a machine's step, if it is set.
@@ -87,13 +87,13 @@
 // newWorld makes a world without machines.
 func newWorld(seed int64) *simWorld {
 	return &simWorld{
-		random:   rand.New(rand.NewSource(seed)),
-		members:  3,
-		copies:   2,
-		machines: map[string]*simMachine{},
-		links:    map[[2]string]*simLink{},
-		caughtUp: map[string]int{},
-		growth:   simGrowth,
+		random:           rand.New(rand.NewSource(seed)),
+		members:          3,
+		requiredReplicas: 2,
+		machines:         map[string]*simMachine{},
+		links:            map[[2]string]*simLink{},
+		catchUpBytes:     map[string]int{},
+		segmentGrowth:    simSegmentGrowth,
 
 		historyLength: defaultHistoryLength,
 		history:       newHistory(),
@@ -101,22 +101,22 @@
 }
 
 // fail notes a broken invariant.
-func (w *simWorld) fail(format string, values ...any) {
-	w.note(format, values...)
+func (w *simWorld) failf(format string, values ...any) {
+	w.tracef(format, values...)
 	if w.failure == "" {
 		w.failure = fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, values...)
 	}
 }
 
 // note adds a line to the trace.
-func (w *simWorld) note(format string, values ...any) {
+func (w *simWorld) tracef(format string, values ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, values...))
 }
 
 // after lets something happen later.
 func (w *simWorld) after(delay time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, simEvent{w.now + delay, w.order, do})
+	w.eventOrder++
+	heap.Push(&w.queue, simEvent{w.now + delay, w.eventOrder, do})
 }
 
 // run lets time pass.
@@ -142,11 +142,11 @@
 // transmit sends a message to whoever has the address when it arrives.
 func (w *simWorld) transmit(from string, envelope Envelope) {
 	link := w.link(from, envelope.To.Address)
-	if link.cut || w.random.Float64() < link.loss {
+	if link.blocked || w.random.Float64() < link.loss {
 		return
 	}
 	if m := &envelope.Message; m.Kind == Append && m.Resend && m.HasBody {
-		w.caughtUp[envelope.To.Address] += messageSize(m)
+		w.catchUpBytes[envelope.To.Address] += messageSize(m)
 	}
 	if w.rate > 0 {
 		onWire := time.Duration(messageSize(&envelope.Message)) * time.Second / time.Duration(w.rate)
@@ -154,12 +154,12 @@
 		w.after(link.freeAt-w.now, func() { w.deliver(from, envelope) })
 		return
 	}
-	copies := 1
+	deliveries := 1
 	kind := envelope.Message.Kind
 	if kind != Forward && kind != ForwardRead && w.random.Float64() < w.duplicates {
-		copies = 2
+		deliveries = 2
 	}
-	for range copies {
+	for range deliveries {
 		delay := 200*time.Microsecond + time.Duration(w.random.Int63n(int64(800*time.Microsecond+link.delay)))
 		w.after(delay, func() { w.deliver(from, envelope) })
 	}
@@ -168,7 +168,7 @@
 // deliver hands a message over unless the link was cut meanwhile.
 func (w *simWorld) deliver(from string, envelope Envelope) {
 	machine := w.machines[envelope.To.Address]
-	if machine == nil || w.link(from, envelope.To.Address).cut {
+	if machine == nil || w.link(from, envelope.To.Address).blocked {
 		return
 	}
 	machine.step(func(n *Node) Effects { return n.Receive(w.now, envelope.Message) })
--- a/internal/router/chain/source.go
+++ b/internal/router/chain/source.go
@@ -5,32 +5,32 @@
 // epochSealed tells whether a replica has promised not to open the current epoch, which hence commits
 // nothing.
 func (p *planner) epochSealed() bool {
-	sealed := func(id MemberID) bool { return p.seen.Peers[id].Sealed }
+	sealed := func(id MemberID) bool { return p.observed.Peers[id].Sealed }
 	return p.assumeSealed || slices.ContainsFunc(p.view.Chain, sealed)
 }
 
 // isSource tells whether a member holds every committed entry, so that it may be the head.
 func (p *planner) isSource(id MemberID) bool {
-	entryEpoch := p.seen.Peers[id].EntryEpoch
+	entryEpoch := p.observed.Peers[id].EntryEpoch
 	if p.view.inChain(id) && (!p.view.isFresh(id) || entryEpoch == p.view.Epoch) {
 		return true
 	}
 	if !p.epochSealed() {
 		return false
 	}
-	complete, found := uint64(0), slices.Contains(p.view.Sources, id)
+	completeEpoch, ok := uint64(0), slices.Contains(p.view.Sources, id)
 	for _, past := range p.view.Unopened {
 		if p.openedIn(past, id) {
-			complete, found = past.Epoch, true
+			completeEpoch, ok = past.Epoch, true
 		}
 	}
-	return found && p.nothingCommittedSince(complete)
+	return ok && p.nothingCommittedSince(completeEpoch)
 }
 
 // openedIn tells whether a past epoch is the last one that was open at a node: it then holds what was
 // committed before and in that epoch.
 func (p *planner) openedIn(past PastChain, id MemberID) bool {
-	return past.Epoch == p.seen.Peers[id].EntryEpoch && slices.Contains(past.Chain, id)
+	return past.Epoch == p.observed.Peers[id].EntryEpoch && slices.Contains(past.Chain, id)
 }
 
 // nothingCommittedSince tells whether nothing was committed in each unopened epoch behind one.
@@ -44,22 +44,22 @@
 // in a later epoch, never will.
 func (p *planner) nothingCommittedIn(past PastChain) bool {
 	return slices.ContainsFunc(past.Chain, func(id MemberID) bool {
-		known := p.seen.Peers[id]
-		return known.Reports && known.EntryEpoch < past.Epoch
+		peer := p.observed.Peers[id]
+		return peer.ReportedInEpoch && peer.EntryEpoch < past.Epoch
 	})
 }
 
-// openAtAll tells whether the current epoch is known to be open at its whole chain.
-func (p *planner) openAtAll() bool {
-	closed := func(id MemberID) bool { return p.seen.Peers[id].EntryEpoch != p.view.Epoch }
+// openAtFullChain tells whether the current epoch is known to be open at its whole chain.
+func (p *planner) openAtFullChain() bool {
+	closed := func(id MemberID) bool { return p.observed.Peers[id].EntryEpoch != p.view.Epoch }
 	return !slices.ContainsFunc(p.view.Chain, closed)
 }
 
-// viewWith builds the next view.
-func (p *planner) viewWith(members []Member, chain []MemberID) View {
+// buildView builds the next view.
+func (p *planner) buildView(members []Member, chain []MemberID) View {
 	next := View{Epoch: p.view.Epoch + 1, Members: slices.Clone(members), Chain: chain}
 	for i, member := range next.Members {
-		if address := p.seen.Peers[member.ID].Member.Address; address != "" {
+		if address := p.observed.Peers[member.ID].Member.Address; address != "" {
 			next.Members[i].Address = address
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 	var sources []MemberID
 	next.Unopened, sources = p.unopened()
-	for _, id := range identities(members) {
+	for _, id := range memberIDs(members) {
 		inherited := len(next.Unopened) > 0 && slices.Contains(sources, id)
 		if inherited || p.isSource(id) {
 			next.Sources = append(next.Sources, id)
@@ -82,30 +82,30 @@
 // unopened returns the unopened epochs of the next view, and who holds all that was committed before them.
 func (p *planner) unopened() ([]PastChain, []MemberID) {
 	switch {
-	case p.openAtAll():
+	case p.openAtFullChain():
 		return nil, nil
 	case p.epochSealed():
 		return p.view.Unopened, p.view.Sources
 	case len(p.view.Unopened) < maxUnopened:
 		return append(slices.Clone(p.view.Unopened), PastChain{p.view.Epoch, p.view.Chain}), p.view.Sources
 	default:
-		kept, sources := p.forgetOne()
-		return append(kept, PastChain{p.view.Epoch, p.view.Chain}), sources
+		remaining, sources := p.forgetUnopened()
+		return append(remaining, PastChain{p.view.Epoch, p.view.Chain}), sources
 	}
 }
 
-// forgetOne drops one of the unopened epochs and returns who holds all that was committed before the rest. An
-// epoch in which nothing was committed can go unharmed, unless it is the last one that was open at somebody
-// who holds the state by that alone. Else the oldest goes, and with it those sources that may lack its
-// entries.
-func (p *planner) forgetOne() ([]PastChain, []MemberID) {
+// forgetUnopened drops one of the unopened epochs and returns who holds all that was committed before the
+// rest. An epoch in which nothing was committed can go unharmed, unless it is the last one that was open at
+// somebody who holds the state by that alone. Else the oldest goes, and with it those sources that may lack
+// its entries.
+func (p *planner) forgetUnopened() ([]PastChain, []MemberID) {
 	sources, unopened := p.view.Sources, slices.Clone(p.view.Unopened)
-	for at, past := range unopened {
+	for index, past := range unopened {
 		opened := p.openedLastIn(past)
-		if !p.nothingCommittedIn(past) || at > 0 && len(opened) > 0 {
+		if !p.nothingCommittedIn(past) || index > 0 && len(opened) > 0 {
 			continue
 		}
-		return slices.Delete(unopened, at, at+1), slices.Concat(sources, opened)
+		return slices.Delete(unopened, index, index+1), slices.Concat(sources, opened)
 	}
 	sources = nil
 	for _, past := range unopened {
--- a/internal/router/chain/view.go
+++ b/internal/router/chain/view.go
@@ -5,7 +5,7 @@
 // MemberID is the random identity of one disk: a machine whose disk was emptied comes back under another.
 type MemberID string
 
-// Member is a machine with a disk.
+// Proposer is a machine with a disk.
 type Member struct {
 	ID      MemberID
 	Address string
@@ -54,16 +54,16 @@
 
 // successor returns the replica behind one, or none.
 func (v View) successor(id MemberID) MemberID {
-	if at := slices.Index(v.Chain, id); at >= 0 && at+1 < len(v.Chain) {
-		return v.Chain[at+1]
+	if index := slices.Index(v.Chain, id); index >= 0 && index+1 < len(v.Chain) {
+		return v.Chain[index+1]
 	}
 	return ""
 }
 
 // predecessor returns the replica before one, or none.
 func (v View) predecessor(id MemberID) MemberID {
-	if at := slices.Index(v.Chain, id); at > 0 {
-		return v.Chain[at-1]
+	if index := slices.Index(v.Chain, id); index > 0 {
+		return v.Chain[index-1]
 	}
 	return ""
 }
@@ -86,20 +86,20 @@
 
 // isMember tells whether someone votes on the next view.
 func (v View) isMember(id MemberID) bool {
-	_, found := v.member(id)
-	return found
+	_, ok := v.member(id)
+	return ok
 }
 
 // majority returns how many members decide.
 func majority(members []Member) int { return len(members)/2 + 1 }
 
-// copiesNeeded returns how many replicas a write needs.
-func copiesNeeded(members []Member, required int) int {
-	return max(majority(members), min(required, len(members)))
+// replicasNeeded returns how many replicas a write needs.
+func replicasNeeded(members []Member, configured int) int {
+	return max(majority(members), min(configured, len(members)))
 }
 
 // identities returns the members' identities in their order.
-func identities(members []Member) []MemberID {
+func memberIDs(members []Member) []MemberID {
 	ids := make([]MemberID, len(members))
 	for i, member := range members {
 		ids[i] = member.ID
@@ -109,25 +109,25 @@
 
 // firstView returns a first view of members who hold nothing yet; unopened are the attempts before it.
 func firstView(epoch uint64, members []Member, unopened []PastChain) View {
-	ids := identities(members)
+	ids := memberIDs(members)
 	return View{Epoch: epoch, Members: slices.Clone(members), Chain: ids, Sources: ids, Unopened: unopened}
 }
 
-// holdsMajorities tells whether a majority of each unopened chain are members.
-func (v View) holdsMajorities() bool {
+// keepsMajorities tells whether a majority of each unopened chain are members.
+func (v View) keepsMajorities() bool {
 	return !slices.ContainsFunc(v.Unopened, func(past PastChain) bool {
-		kept := 0
+		remaining := 0
 		for _, id := range past.Chain {
 			if v.isMember(id) {
-				kept++
+				remaining++
 			}
 		}
-		return kept < len(past.Chain)/2+1
+		return remaining < len(past.Chain)/2+1
 	})
 }
 
 // sorted returns identities in order.
-func sorted(ids []MemberID) []MemberID { return slices.Sorted(slices.Values(ids)) }
+func sortedIDs(ids []MemberID) []MemberID { return slices.Sorted(slices.Values(ids)) }
 
 // equal tells whether two views say the same.
 func (v View) equal(other View) bool {
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -29,7 +29,9 @@
 )
 
 // errNoConnectionFree says that the proxy has its share of a server's connections in use.
-var errNoConnectionFree = errors.New("all connections that this proxy may have to the server are in use; use another")
+var errNoConnectionFree = errors.New(
+	"all connections that this proxy may have to the server are in use; use another",
+)
 
 // connection is one to a server's incarnation.
 type connection struct {
--- a/internal/router/scheduler/age.go
+++ b/internal/router/scheduler/age.go
@@ -9,12 +9,12 @@
 //	λ = min(1, max(minUtilization, utilizationMargin·u))
 //
 // S is the mean time of a request; figures older than a few of them have lost their say by their decay, so
-// that T stays below maxAgeServiceTimes·S. u is the part of the servers' capacity in use, as the figures tell
-// it: the load that a leaving request leaves behind is spread as the one that an arriving request finds. λ
-// errs on the high side, as the paper advises. n is the number of servers whose arrivals the draw stands for:
-// all candidates where any request of the service may go to any of them; one where the candidates follow from
-// the request's prompt, since other prompts have other candidates and only the requests that prefer the same
-// server fill the same ones.
+// that T stays below maxAgeServiceTimes·S. u is the part of the servers' capacity in use, as the figures
+// tell it: the load that a leaving request leaves behind is spread as the one that an arriving request finds.
+// λ errs on the high side, as the paper advises. n is the number of servers whose arrivals the draw stands
+// for: all candidates where any request of the service may go to any of them; one where the candidates follow
+// from the request's prompt, since other prompts have other candidates and only the requests that prefer the
+// same server fill the same ones.
 const (
 	maxAgeServiceTimes = 2.0
 	minUtilization     = 0.5
--- a/internal/router/scheduler/learn.go
+++ b/internal/router/scheduler/learn.go
@@ -14,7 +14,8 @@
 	case call.Role == Prefill:
 		return p.prefillTime.at(float64(call.uncachedTokens))
 	case call.Role == Serve:
-		return p.prefillTime.base + decodePrefillFactor*p.prefillTime.slope*float64(call.uncachedTokens) + p.timePerToken.at(call.inFlight)
+		return p.prefillTime.base + decodePrefillFactor*p.prefillTime.slope*float64(call.uncachedTokens) +
+			p.timePerToken.at(call.inFlight)
 	}
 	return p.transferTime(call.chain.tokens, true) + p.timePerToken.at(call.inFlight)
 }
--- a/internal/router/scheduler/level.go
+++ b/internal/router/scheduler/level.go
@@ -11,9 +11,10 @@
 //	others(t) = u + (others(0) − u)·exp(−t/τ),  τ = decayServiceTimes·(1 + others(0)/slots')·S
 //	u         = (baselinePrior·m + n·ū)/(baselinePrior + n)
 //	busy      = own calls under way + others(t)
-//	Read:   level = own reading left + others(t)·S/v + reread·slope·uncached/v
+//	Prefill: level = own reading left + others(t)·S/v + reread·slope·uncached/v
 //	Write:  level = S(busy)·busy/slots + lateness + move time
-//	Serve:  level = S(busy)·busy/slots + lateness [+ base + direct·decodePrefillFactor·slope·uncached/v for a prompt]
+//	Serve:  level = S(busy)·busy/slots + lateness
+//	                [+ base + directPrefillWeight·decodePrefillFactor·slope·uncached/v for a prompt]
 //
 // where t is the age of the server's last figure, ū the mean of its last n figures, m the mean of others(0)
 // over the servers that told theirs, S the mean time of a request (pool.serviceTime), base and slope the
@@ -71,7 +72,8 @@
 // server's usual load, which is the mean of its last figures and, as long as those are few, the mean of all
 // servers.
 func (s *serverState) estimatedOthers(now time.Duration, average, parallel, serviceMs float64) float64 {
-	baseline := (average*baselinePrior + s.baselineOthers.value*s.baselineOthers.samples) / (baselinePrior + s.baselineOthers.samples)
+	baseline := (average*baselinePrior + s.baselineOthers.value*s.baselineOthers.samples) /
+		(baselinePrior + s.baselineOthers.samples)
 	if !s.hasReport {
 		return baseline
 	}
--- a/internal/simulation/agentsim/machine.go
+++ b/internal/simulation/agentsim/machine.go
@@ -95,7 +95,7 @@
 	s := &agentsettings.Settings{
 		Name: m.Name, Role: "router", IP: m.IP, Zone: m.Zone, Region: "home", Control: m.Control(),
 		Ready: m.IP + ":" + strconv.Itoa(readyPort), InnerPorts: [2]int{innerPort, innerPort},
-		Seeds: m.Seeds, FirstStart: first, Counted: m.HasDisk, Beat: Beat, DiskBytes: 64 << 20,
+		Seeds: m.Seeds, FirstStart: first, Counted: m.HasDisk, HeartbeatInterval: Beat, DiskBytes: 64 << 20,
 		TolerateMachines: 1, Bounds: Bounds(),
 	}
 	s.Bounds.Fenced = m.fleet.Options.Fenced
--- a/internal/simulation/agentsim/servers_test.go
+++ b/internal/simulation/agentsim/servers_test.go
@@ -191,7 +191,7 @@
 func (f *Fleet) followersOf(hub *Machine) []*Machine {
 	var followers []*Machine
 	for _, m := range f.WithDisk(false) {
-		if m.Node().Follows() == hub.IP {
+		if m.Node().FollowedHub() == hub.IP {
 			followers = append(followers, m)
 		}
 	}
--- a/internal/simulation/proxysim/lists.go
+++ b/internal/simulation/proxysim/lists.go
@@ -188,7 +188,7 @@
 // feed says whether a proxy asks by itself.
 func (s *lists) feed(i int) {
 	p := &s.proxies[i]
-	own := !s.o.Owner || i == s.owner || !p.follower.Held(s.clock())
+	own := !s.o.Owner || i == s.owner || !p.follower.Fresh(s.clock())
 	if own == p.own {
 		return
 	}
@@ -215,8 +215,8 @@
 			if !s.o.Owner {
 				break
 			}
-			told := groupstate.ListView{Version: s.version}
-			if p := &s.proxies[i]; !s.stalled && p.follower.Learn(s.clock(), told, 0) {
+			told := groupstate.EndpointView{Version: s.version}
+			if p := &s.proxies[i]; !s.stalled && p.follower.Observe(s.clock(), told, 0) {
 				p.listed = true
 			}
 			s.feed(i)
--- a/internal/simulation/routersim/engine.go
+++ b/internal/simulation/routersim/engine.go
@@ -83,7 +83,8 @@
 func (s *server) fetchPrefix(j *job, from *server) bool {
 	engine := s.engine
 	const bits, perMs = 8, 1000
-	ms := float64(j.request.PromptTokens) * engine.TokenBytes * bits / (engine.LinkMegabits * perMs) * s.transferFactor
+	ms := float64(j.request.PromptTokens) * engine.TokenBytes * bits /
+		(engine.LinkMegabits * perMs) * s.transferFactor
 	if from.Zone != s.Zone {
 		ms *= crossZoneFactor
 		s.counts.CrossZoneTransfers++
--- a/internal/testbed/clusterrig/history_test.go
+++ b/internal/testbed/clusterrig/history_test.go
@@ -66,7 +66,7 @@
 				// waits there says less: a client may have its answer just before the member counts it.
 				for {
 					p, _ := ledgerPage(m, "?period=1&tenant=-")
-					if p.Here.Promised >= asked {
+					if p.Here.Committed >= asked {
 						break
 					}
 					if time.Since(from) > 30*time.Second {
@@ -86,7 +86,7 @@
 				if p, err := ledgerPage(m, ""); err == nil && p.Ledger != nil {
 					var n int64
 					for _, period := range p.Ledger.Periods {
-						n += period.Total().N
+						n += period.Total().Count
 					}
 					note(10+i, ledgerOp{read: true, n: n}, from)
 				}
--- a/internal/testbed/clusterrig/ledger_faults_test.go
+++ b/internal/testbed/clusterrig/ledger_faults_test.go
@@ -138,14 +138,14 @@
 		}
 		var p daemon.LedgerPage
 		must(t, old.Ask("/_ledger", &p))
-		promised := p.Here.Promised
+		promised := p.Here.Committed
 		untilLedger(t, rest, 10*time.Second, "the majority reads and goes on", readable)
 		time.Sleep(time.Second) // long enough for what it should not promise
 		must(t, old.Ask("/_ledger", &p))
-		if p.Here.Promised != promised || p.Ledger != nil {
-			t.Errorf("cut off, it promised %d more and read %v", p.Here.Promised-promised, p.Ledger != nil)
+		if p.Here.Committed != promised || p.Ledger != nil {
+			t.Errorf("cut off, it promised %d more and read %v", p.Here.Committed-promised, p.Ledger != nil)
 		}
-		if p.Here.Waiting == 0 {
+		if p.Here.Queued == 0 {
 			t.Error("cut off, nothing waits at it")
 		}
 		r.Net.Heal()
@@ -220,13 +220,13 @@
 		if len(p.Ledger.Periods) == 0 {
 			return 0
 		}
-		return p.Ledger.Periods[0].Total().N
+		return p.Ledger.Periods[0].Total().Count
 	}
 	p, err := ledgerPage(b, "")
 	must(t, err)
 	first := uint64(0)
 	for _, q := range p.Ledger.Periods {
-		if q.Total().N > 0 {
+		if q.Total().Count > 0 {
 			first = q.ID
 		}
 	}
@@ -234,7 +234,7 @@
 	must(t, r.Restart(ctx(t), a, false, false))
 	untilLedger(t, r.Running(), 10*time.Second, "the first answer's period has closed",
 		func(_ *Member, p *daemon.LedgerPage) error {
-			if p.Ledger.Open == first {
+			if p.Ledger.OpenPeriod == first {
 				return fmt.Errorf("period %d is open", first)
 			}
 			return nil
--- a/internal/testbed/clusterrig/ledger_test.go
+++ b/internal/testbed/clusterrig/ledger_test.go
@@ -96,15 +96,15 @@
 	t.Helper()
 	_, sum := l.Answers()
 	untilLedger(t, r.Running(), limit, "all is promised", func(_ *Member, p *daemon.LedgerPage) error {
-		if p.Here.Waiting+p.Here.InMemory > 0 {
-			return fmt.Errorf("%d wait, %d in memory", p.Here.Waiting, p.Here.InMemory)
+		if p.Here.Queued+p.Here.InMemory > 0 {
+			return fmt.Errorf("%d wait, %d in memory", p.Here.Queued, p.Here.InMemory)
 		}
 		if p.Here.Lost > 0 {
 			return fmt.Errorf("%d lost", p.Here.Lost)
 		}
 		var n int64
 		for _, period := range p.Ledger.Periods {
-			n += period.Total().N
+			n += period.Total().Count
 		}
 		if n < sum {
 			return fmt.Errorf("the ledger counts %d answers, clients got %d", n, sum)
@@ -130,7 +130,7 @@
 	out := map[ledger.Key]int64{}
 	for _, period := range p.Ledger.Periods {
 		for _, r := range period.Rows {
-			out[r.Key] += r.N + r.Corrections.N
+			out[r.Key] += r.Count + r.Corrections.Count
 		}
 	}
 	return out
--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -79,16 +79,17 @@
 		Replicas: 3, Expect: 3, CatchUp: 100, Heartbeat: 100 * time.Millisecond, Election: time.Second,
 		GoneAfter: time.Hour, SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Groups: []string{measureGroup},
 		Log: log, Machine: func(string) raftgroup.Machine {
-			l, _ := groupstate.New(ledger.Settings{Keep: 1440, Remember: 2, IDs: 1_000_000, Tenants: 10_000,
-				Members: 4096})
+			l, _ := groupstate.New(ledger.Settings{MaxPeriods: 1440, DedupPeriods: 2, MaxIDs: 1_000_000,
+				MaxTenants: 10_000,
+				MaxMembers: 4096})
 			return l
 		}})
 	if err != nil {
 		return err
 	}
-	x.rec, err = pending.Open(pending.Options{Member: name, Dir: dir, Flush: 100 * time.Millisecond,
-		Most: 64 << 20, Log: log, Propose: func(ctx context.Context, b []byte) (ledger.Result, error) {
-			return pending.Result(x.host.Propose(ctx, measureGroup, b))
+	x.rec, err = pending.Open(pending.Options{Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond,
+		MaxQueuedBytes: 64 << 20, Log: log, Propose: func(ctx context.Context, b []byte) (ledger.Result, error) {
+			return pending.DecodeResult(x.host.Propose(ctx, measureGroup, b))
 		}})
 	if err != nil {
 		return errors.Join(err, x.host.Close())
@@ -124,10 +125,10 @@
 	m.count(ctx, o.Rate, o.For)
 	took := time.Since(began)
 	for _, x := range m.members {
-		x.rec.Settle(10 * time.Second)
-		f := x.rec.Figures()
+		x.rec.WaitCommitted(10 * time.Second)
+		f := x.rec.Stats()
 		r.Answers += f.Counted
-		r.Promised += f.Promised
+		r.Promised += f.Committed
 		r.P50, r.P99, r.Max = max(r.P50, f.CommitP50MS), max(r.P99, f.CommitP99MS), max(r.Max, f.CommitMaxMS)
 	}
 	r.PerSecond = float64(r.Promised) / took.Seconds()
@@ -170,8 +171,9 @@
 		all.Go(func() {
 			member := fmt.Sprint("writer-", w)
 			for seq := uint64(1); ctx.Err() == nil && next.Add(1) <= int64(m.o.Entries); seq++ {
-				b := ledger.Batch{Member: member, Incarnation: 1, Seq: seq, Answers: []ledger.Answers{{
-					Key: ledger.Key{Tenant: Tenants[w%3], Class: "zone-lookup", Answer: "passed"}, Sum: ledger.Sum{N: 1}}}}
+				b := ledger.Batch{Member: member, Incarnation: 1, Seq: seq, Usage: []ledger.KeyUsage{{
+					Key:   ledger.Key{Tenant: Tenants[w%3], Class: "zone-lookup", Answer: "passed"},
+					Usage: ledger.Usage{Count: 1}}}}
 				if _, err := m.members[lead].host.Propose(ctx, measureGroup, b.Encode()); err != nil {
 					failed.Add(1)
 				}
--- a/internal/testbed/clusterrig/owner.go
+++ b/internal/testbed/clusterrig/owner.go
@@ -57,7 +57,7 @@
 				continue
 			}
 			var p leaseholder.Page
-			if last = m.Ask("/_owner", &p); last == nil && p.Here {
+			if last = m.Ask("/_owner", &p); last == nil && p.Owns {
 				return m, p.Token, nil
 			}
 		}
@@ -74,7 +74,7 @@
 		return err
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if os.Remove(faults+leaseholder.Standing) == nil {
+		if os.Remove(faults+leaseholder.StalledSuffix) == nil {
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
@@ -120,7 +120,7 @@
 	for _, m := range r.Running() {
 		var p daemon.LedgerPage
 		if m.Ask("/_ledger", &p) == nil && p.Ledger != nil {
-			return p.Ledger.Figures.Answers
+			return p.Ledger.Stats.Answers
 		}
 	}
 	return -1
@@ -165,14 +165,14 @@
 		if p.ID > o.Store.Exported {
 			continue
 		}
-		for _, e := range leaseholder.Entries(p.ID, p.Rows) {
+		for _, e := range leaseholder.PeriodEntries(p.ID, p.Rows) {
 			got, ok := entries[e.ID]
-			if !ok || len(got.Lines) != len(e.Lines) {
+			if !ok || len(got.Lines) != len(e.Items) {
 				return fmt.Errorf("period %d, %s: the sink has %+v, the ledger %+v", p.ID, e.Tenant, got, e)
 			}
-			for i, line := range e.Lines {
-				if g := got.Lines[i]; g.Class != line.Class || g.Answer != line.Answer || g.N != line.N ||
-					g.In != line.In || g.Out != line.Out {
+			for i, line := range e.Items {
+				if g := got.Lines[i]; g.Class != line.Class || g.Answer != line.Answer || g.N != line.Count ||
+					g.In != line.BytesIn || g.Out != line.BytesOut {
 					return fmt.Errorf("period %d, %s: the sink has %+v, the ledger %+v", p.ID, e.Tenant, got, e)
 				}
 			}
@@ -211,7 +211,7 @@
 	d := r.Discovery.OwnerCalls()
 	rep.Refused, rep.Ended = refused+d.Stale, d.Ended
 	if p, pageErr := OwnerPage(r.Running()[0]); pageErr == nil {
-		rep.Entries = int(p.Store.Figures.Stale)
+		rep.Entries = int(p.Store.Stats.Stale)
 	}
 	return rep, err
 }
@@ -287,7 +287,7 @@
 	var p leaseholder.Page
 	var err error
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if err = m.Ask("/_owner", &p); err == nil && (!p.Here || p.Token > token) {
+		if err = m.Ask("/_owner", &p); err == nil && (!p.Owns || p.Token > token) {
 			return nil
 		}
 		if ctx.Err() != nil {
--- a/internal/testbed/clusterrig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -342,12 +342,12 @@
 	problem = "nobody owns the chores"
 	for _, m := range r.Running() {
 		p, err := OwnerPage(m)
-		if err != nil || len(p.Chores) == 0 {
+		if err != nil || len(p.Roles) == 0 {
 			continue
 		}
-		refused += p.Figures.Refused
-		if p.Here {
-			problem = p.Chores[0].Problem
+		refused += p.Stats.Rejected
+		if p.Owns {
+			problem = p.Roles[0].Problem
 		}
 	}
 	return refused, problem
--- a/internal/testbed/proxystandin/discovery.go
+++ b/internal/testbed/proxystandin/discovery.go
@@ -122,7 +122,7 @@
 		return 0, 400, err.Error()
 	}
 	before := d.fence.Highest
-	if err := d.fence.Pass(token); err != nil {
+	if err := d.fence.Admit(token); err != nil {
 		d.owners.Stale++
 		return 0, 409, err.Error()
 	}
--- a/internal/testbed/proxystandin/sink.go
+++ b/internal/testbed/proxystandin/sink.go
@@ -147,7 +147,7 @@
 	case trouble.Status != 0:
 		call.Status, why = trouble.Status, "in trouble"
 	default:
-		if err := s.fence.Pass(token); err != nil {
+		if err := s.fence.Admit(token); err != nil {
 			call.Status, why = http.StatusConflict, err.Error()
 			break
 		}
