--- /dev/null
+++ b/internal/lease/golden_test.go
@@ -0,0 +1,13 @@
+package lease
+
+import "testing"
+
+// A lease's commands stand in the log in package chore's form, and its grants in that package's snapshot:
+// both have their golden files there. What crosses by itself is what became of a command.
+func TestGoldenGrantsAreReadAndWrittenByteForByte(t *testing.T) {
+	g := Grant{Holder: "odori-1", Token: 12, Renewed: 13}
+	goldenJSON(t, "grant.json", g)
+	goldenJSON(t, "result.json", Result{Done: true, Grant: g})
+	goldenJSON(t, "ops.json", []Op{Take, Renew, Release})
+	goldenFile(t, "token-header.txt", []byte(TokenHeader))
+}
--- /dev/null
+++ b/internal/membership/golden_test.go
@@ -0,0 +1,25 @@
+package membership
+
+import "testing"
+
+// Members gossip phases by their names, and operators' pages show them, statuses and changes so. Package
+// fleet has the golden files of what is gossiped.
+func TestGoldenNamesAreReadAndWrittenByteForByte(t *testing.T) {
+	var names struct{ Statuses, Phases, Changes []string }
+	for s := Alive; s <= Left; s++ {
+		names.Statuses = append(names.Statuses, s.String())
+	}
+	for p := Serving; p <= Leaving; p++ {
+		names.Phases = append(names.Phases, p.String())
+		got, err := ParsePhase(p.String())
+		if err != nil {
+			t.Error(err)
+		}
+		goldenSame(t, "names.json", got, p)
+	}
+	for k := Joined; k <= Refused; k++ {
+		names.Changes = append(names.Changes, k.String())
+	}
+	goldenJSON(t, "names.json", names)
+	goldenSame(t, "names.json", []Phase{Serving, Draining, Leaving}, []Phase{0, 1, 2})
+}
