--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,130 @@
+package fleet
+
+import (
+	"encoding/json"
+	"log/slog"
+	"net/netip"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-msgpack/v2/codec"
+	"github.com/hashicorp/memberlist"
+
+	"cresshub/internal/membership"
+)
+
+func goldenMeta() membership.Meta {
+	return membership.Meta{Incarnation: 1_790_000_000_123, Version: "1.2.3", Hall: "odori",
+		Phase: membership.Draining, Ledger: "127.0.0.1:7947", Disk: 1<<64 - 3}
+}
+
+// What memberlist carries as a member's metadata, in its gossip and its state exchange alike.
+func TestGoldenMetadataIsReadAndWrittenByteForByte(t *testing.T) {
+	want := goldenMeta()
+	goldenSet(t, "meta", reflect.ValueOf(want))
+	f := &Fleet{}
+	f.meta.Store(&want)
+	held := goldenFile(t, "meta.json", (*delegate)(f).NodeMeta(memberlist.MetaMaxSize))
+	var got membership.Meta
+	if err := decodeMeta(held, &got); err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "meta.json", got, want)
+
+	for name, phase := range map[string]membership.Phase{"meta-serving.json": membership.Serving,
+		"meta-leaving.json": membership.Leaving} {
+		want.Phase = phase
+		if err := decodeMeta(goldenFile(t, name, encodeMeta(want)), &got); err != nil {
+			t.Fatal(err)
+		}
+		goldenSame(t, name, got, want)
+	}
+	// A member without a ledger.
+	least := membership.Meta{Incarnation: 1}
+	if err := decodeMeta(goldenFile(t, "meta-least.json", encodeMeta(least)), &got); err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "meta-least.json", got, least)
+}
+
+// The one message of the fleet's own.
+func TestGoldenLeaveIsReadAndWrittenByteForByte(t *testing.T) {
+	want := leaving{Name: "odori-1", Incarnation: 1_790_000_000_123}
+	goldenJSON(t, "leaving.json", want)
+	set := membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, Forget: time.Minute,
+		MaxMembers: 10}
+	view, err := membership.New(set, "susukino-2")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &Fleet{opt: Options{Name: "susukino-2", View: set}, view: view, left: map[string]uint64{},
+		start: time.Now(), log: slog.New(slog.DiscardHandler)}
+	raw, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	(*delegate)(f).NotifyMsg(goldenFile(t, "leaving.json", raw))
+	goldenSame(t, "leaving.json", f.left, map[string]uint64{want.Name: want.Incarnation})
+}
+
+// memberlist's own messages, of which this program reads what it counts and bounds by their fields' names.
+// The program writes none itself: what stands in the file is the fields it reads, in memberlist's codec.
+func TestGoldenGossipIsReadByMemberlistsNames(t *testing.T) {
+	want := gossip{SeqNo: 1, Incarnation: 2, Node: "odori-1", From: "susukino-2", Addr: []byte{127, 0, 0, 1},
+		Meta: encodeMeta(goldenMeta()), Vsn: []uint8{1, 5, 2, 6, 7, 8}, SourceAddr: []byte{127, 0, 0, 2},
+		Target: []byte{127, 0, 0, 3}}
+	goldenSet(t, "gossip", reflect.ValueOf(want))
+	kinds := []byte{pingMsg, indirectPingMsg, ackMsg, suspectMsg, aliveMsg, deadMsg, nackMsg}
+	var parts [][]byte
+	for _, kind := range kinds {
+		parts = append(parts, message(t, kind, want))
+	}
+	held := goldenFile(t, "gossip.bin", compound(parts...))
+	var got []byte
+	if err := readPacket(held, func(kind byte, g gossip) {
+		got = append(got, kind)
+		goldenSame(t, "gossip.bin", g, want)
+	}); err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "gossip.bin", got, []byte{0, 1, 2, 3, 4, 5, 11})
+
+	head := pushPull{Nodes: 3, UserStateLen: 4, Join: true}
+	stream := goldenFile(t, "push-pull.bin", message(t, pushPullMsg, head))
+	var read pushPull
+	if err := codec.NewDecoderBytes(stream[1:], &codec.MsgpackHandle{}).Decode(&read); err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "push-pull.bin", read, head)
+	if _, err := checkStream(stream, 10); err == nil || err.Error() !=
+		"a user state of 4 bytes, there is none in this fleet" {
+		t.Errorf("push-pull.bin: %v", err)
+	}
+	if _, err := checkStream(stream, 2); err == nil || err.Error() != "a state of 3 members, max_members is 2" {
+		t.Errorf("push-pull.bin: %v", err)
+	}
+}
+
+func TestGoldenRelayedDatagramIsReadAndWrittenByteForByte(t *testing.T) {
+	to := netip.MustParseAddrPort("10.1.2.3:4567")
+	at, b, err := ParseRelayDatagram(goldenFile(t, "relayed.bin", RelayDatagram(to, []byte("news"))))
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "relayed.bin", at, to)
+	goldenSame(t, "relayed.bin", string(b), "news")
+}
+
+// The counters have no names but their fields' own.
+func TestGoldenPageIsReadAndWrittenByteForByte(t *testing.T) {
+	goldenJSON(t, "page.json", Page{Self: "odori-1", Label: "sapporo", Health: 1,
+		Members: []Member{{Name: "susukino-2", Address: "127.0.0.1:7946", Status: "suspect", Gone: true,
+			Phase: "draining", Incarnation: 2, Version: "1.2.3", Hall: "odori", AgeMS: 3, Flaps: 4,
+			Suspected: 5}},
+		Counters: Counters{Joins: 11, Restarts: 12, Changes: 13, Gone: 14, Returned: 15, Forgotten: 16,
+			Conflicts: 17, Refused: 18, Rejoins: 19, Syncs: 20, LostChanges: 21, MetaRefused: 22,
+			MessagesRefused: 23, Probes: 24, IndirectProbes: 25, Suspicions: 26, Suspected: 27,
+			Refutations: 28, Refuted: 29, Asked: 30, PacketsIn: 31, PacketsOut: 32, StreamsIn: 33,
+			StreamsOut: 34, BytesIn: 35, BytesOut: 36, WireRefused: 37, OtherLabel: 38}})
+}
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,130 @@
+package handover
+
+import (
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// goldenPair is both ends of a connection within this process.
+func goldenPair(t *testing.T) (ends [2]*net.UnixConn) {
+	t.Helper()
+	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, fd := range fds {
+		f := os.NewFile(uintptr(fd), "pair")
+		c, err := net.FileConn(f)
+		f.Close()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		ends[i] = c.(*net.UnixConn)
+	}
+	return ends
+}
+
+// goldenOld hands over a socket that nobody calls.
+type goldenOld struct {
+	terms        Terms
+	l            *net.UnixListener
+	serves, left chan struct{}
+}
+
+func (o *goldenOld) Joins() (Terms, syscall.Conn, error) { return o.terms, o.l, nil }
+func (o *goldenOld) Serves()                             { close(o.serves) }
+func (o *goldenOld) Left()                               { close(o.left) }
+
+func goldenSuccessor(t *testing.T) *goldenOld {
+	t.Helper()
+	dir, err := os.MkdirTemp("", "golden") // t.TempDir is too long for a Unix address
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { os.RemoveAll(dir) })
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, "s"), Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return &goldenOld{l: l, serves: make(chan struct{}), left: make(chan struct{}),
+		terms: Terms{Known: []byte(`{"index":7}`), Discovery: "discovery.example:9"}}
+}
+
+// What the old process says, and the one word that the new one says to it. With it comes the socket, whose
+// number is the kernel's.
+func TestGoldenWordsOfBothSidesAreReadAndWrittenByteForByte(t *testing.T) {
+	s := goldenSuccessor(t)
+	goldenJSON(t, "terms.json", s.terms)
+
+	// The old side, as this program writes it, and a new side that says the word of the file.
+	ends := goldenPair(t)
+	go meet(ends[0], s)
+	said := make([]byte, 4096)
+	rights := make([]byte, unix.CmsgSpace(4))
+	n, oob, _, _, err := ends[1].ReadMsgUnix(said[:4], rights)
+	if err != nil || n != 4 {
+		t.Fatalf("%d bytes of the length, %v", n, err)
+	}
+	msgs, err := unix.ParseSocketControlMessage(rights[:oob])
+	if err != nil || len(msgs) != 1 {
+		t.Fatalf("%d control messages, %v", len(msgs), err)
+	}
+	fds, err := unix.ParseUnixRights(&msgs[0])
+	if err != nil || len(fds) != 1 {
+		t.Fatalf("%d sockets, %v", len(fds), err)
+	}
+	unix.Close(fds[0])
+	length := int(said[2])<<8 | int(said[3])
+	if _, err := io.ReadFull(ends[1], said[4:4+length]); err != nil {
+		t.Fatal(err)
+	}
+	old := goldenFile(t, "old.bin", said[:4+length])
+
+	// The new side, as this program reads and writes it, of an old side that says the file.
+	pair := goldenPair(t)
+	raw, err := s.l.SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := raw.Control(func(fd uintptr) {
+		_, _, err = pair[0].WriteMsgUnix(old, unix.UnixRights(int(fd)), nil)
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	o := &Old{conn: pair[1], gone: make(chan struct{})}
+	if err := o.receive(); err != nil {
+		t.Fatal(err)
+	}
+	defer o.Listener.Close()
+	goldenSame(t, "old.bin", o.Terms, s.terms)
+	if err := o.Ready(); err != nil {
+		t.Fatal(err)
+	}
+	o.Close()
+	word, err := io.ReadAll(pair[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := ends[1].Write(goldenFile(t, "new.bin", word)); err != nil {
+		t.Fatal(err)
+	}
+	<-s.serves
+	ends[1].Close()
+	<-s.left
+}
+
+// Where both processes meet: a file's name by the address.
+func TestGoldenPathIsTheSameForAnAddress(t *testing.T) {
+	goldenFile(t, "path.txt", []byte(Path("run", "127.0.0.1:8080")))
+}
--- /dev/null
+++ b/internal/promise/golden_test.go
@@ -0,0 +1,136 @@
+package promise
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+
+	"cresshub/internal/ledger"
+)
+
+// goldenLast is the incarnation of an earlier life, far enough ahead that the clock does not say the next.
+const goldenLast = 1 << 62
+
+// goldenBatch is what the file of waiting counts holds. One key alone: several come in a map's order.
+func goldenBatch() *ledger.Batch {
+	return &ledger.Batch{Member: "odori-1", Incarnation: goldenLast + 1, Seq: 1, Answers: []ledger.Answers{{
+		Key: ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"},
+		Sum: ledger.Sum{N: 1, In: 21, Out: 22}, IDs: []uint64{31, 1<<64 - 1}, Ins: []int64{32, 33},
+		Outs: []int64{34, 35}}}}
+}
+
+// goldenOpen opens a file that holds the records of text.
+func goldenOpen(t *testing.T, text string) (*Recorder, string) {
+	t.Helper()
+	dir := t.TempDir()
+	path := filepath.Join(dir, "outbox.db")
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := db.Update(func(tx *bolt.Tx) error {
+		for line := range strings.Lines(text) {
+			var bucket string
+			var key, value []byte
+			if _, err := fmt.Sscanf(line, "%s %x %x\n", &bucket, &key, &value); err != nil {
+				return err
+			}
+			b, err := tx.CreateBucketIfNotExists([]byte(bucket))
+			if err := errors.Join(err, b.Put(key, value)); err != nil {
+				return err
+			}
+		}
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if err := db.Close(); err != nil {
+		t.Fatal(err)
+	}
+	r, err := Open(Options{Member: "odori-1", Dir: dir, Flush: time.Hour, Most: 1 << 20,
+		Log: slog.New(slog.DiscardHandler)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.Close() })
+	return r, path
+}
+
+// goldenRecords is what a file holds, a line a record.
+func goldenRecords(t *testing.T, path string) string {
+	t.Helper()
+	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var out strings.Builder
+	if err := db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				fmt.Fprintf(&out, "%s %x %x\n", bucket, k, v)
+				return nil
+			})
+		})
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return out.String()
+}
+
+// The records are held to the file, not the pages: where those lie is bbolt's own.
+func TestGoldenFileOfWaitingCountsIsReadAndWrittenByteForByte(t *testing.T) {
+	r, path := goldenOpen(t, fmt.Sprintf("meta %x %016x\n", "incarnation", uint64(goldenLast)))
+	a := goldenBatch().Answers[0]
+	r.Count(a.Key, 0, a.In, a.Out)
+	for i, id := range a.IDs {
+		r.Count(a.Key, id, a.Ins[i], a.Outs[i])
+	}
+	r.flush()
+	if err := r.Close(); err != nil {
+		t.Fatal(err)
+	}
+	held := goldenFile(t, "outbox.txt", []byte(goldenRecords(t, path)))
+
+	r, _ = goldenOpen(t, string(held))
+	goldenSame(t, "outbox.txt", r.Incarnation(), uint64(goldenLast+2))
+	if len(r.queue) != 1 {
+		t.Fatalf("%d batches wait, not 1", len(r.queue))
+	}
+	w := r.queue[0]
+	goldenSame(t, "outbox.txt", []int64{int64(w.key), w.n, r.fig.Counted, r.fig.Waiting}, []int64{1, 3, 3, 3})
+	got, err := ledger.DecodeBatch(w.raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "outbox.txt", got, goldenBatch())
+	goldenSame(t, "outbox.txt", w.raw, goldenBatch().Encode())
+}
+
+func TestGoldenFiguresAreReadAndWrittenByteForByte(t *testing.T) {
+	goldenJSON(t, "figures.json", Figures{Counted: 1, Promised: 2, Waiting: 3, InMemory: 4, OldestMS: 5,
+		Batches: 6, Tries: 7, Again: 8, Lost: 9, FileErrors: 10, CommitP50MS: 11.5, CommitP99MS: 12.25,
+		CommitMaxMS: 13.125})
+}
+
+func TestGoldenAnswerOfTheGroupIsRead(t *testing.T) {
+	want := ledger.Result{Status: ledger.Counted, Index: 8, Period: 9}
+	// The group's answer is written by package ledger, whose golden file this is.
+	raw, err := os.ReadFile(filepath.Join("..", "ledger", "testdata", "golden", "result.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := Result(json.RawMessage(raw), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "result.json", got, want)
+}
