--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -119,9 +119,13 @@
 	if _, err := ends[1].Write(goldenFile(t, "new.bin", word)); err != nil {
 		t.Fatal(err)
 	}
-	<-s.serves
 	ends[1].Close()
 	<-s.left
+	select {
+	case <-s.serves:
+	default:
+		t.Error("new.bin: the old side does not take it for the word that the new one serves")
+	}
 }
 
 // Where both processes meet: a file's name by the address.
--- /dev/null
+++ b/internal/serve/golden_ledger_page_test.go
@@ -0,0 +1,46 @@
+package serve
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"cresshub/internal/ledger"
+	"cresshub/internal/promise"
+	"cresshub/internal/replica"
+)
+
+// The parts of /_ledger have golden files in their packages; these are the page's own names around them.
+func TestGoldenLedgerPagesAreReadAndWrittenByteForByte(t *testing.T) {
+	for name, want := range map[string]any{
+		"ledger-page.json": &LedgerPage{Group: replica.Status{Group: "ledger", Voters: []string{"odori-1"}},
+			Here: promise.Figures{Counted: 1}, Ledger: &ledger.View{Index: 2, Periods: []ledger.Period{}},
+			Problem: "the group has no leader"},
+		"ledger-corrected.json": &Corrected{Result: ledger.Result{Status: ledger.Corrected, Index: 3, Period: 4},
+			Problem: "none"},
+	} {
+		held, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		in := json.NewDecoder(bytes.NewReader(held))
+		in.DisallowUnknownFields()
+		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
+		if err := in.Decode(got); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read as\n%+v, not\n%+v", name, got, want)
+		}
+		raw, err := json.Marshal(want)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(raw, held) {
+			t.Errorf("%s: the program writes\n%s\nand the file holds\n%s", name, raw, held)
+		}
+	}
+}
