--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -66,7 +66,7 @@
 			_, size, _ := strings.Cut(q.Target, "size=")
 			size, _, _ = strings.Cut(size, "&")
 			length, _ := strconv.ParseInt(size, 10, 64)
-			a := &http1.Response{Status: 200, Streams: true, Length: length, Bodiless: q.Method == "HEAD",
+			a := &http1.Response{Status: 200, Streaming: true, Length: length, Bodiless: q.Method == "HEAD",
 				Header: http1.Header{{Name: "X-Got", Value: fmt.Sprint(n, " ", got)}}}
 			if strings.Contains(q.Target, "chunked") {
 				a.Length = -1
--- a/internal/childprocess/program.go
+++ b/internal/childprocess/childprocess.go
@@ -1,5 +1,5 @@
-// Package childprocess runs the program itself as a child process, as an operator would start it, and follows
-// its log.
+// Package childprocess runs this program as a child process, as an operator would start it, and follows its
+// log. The methods of Process may be called from any goroutine.
 package childprocess
 
 import (
@@ -26,7 +26,7 @@
 	input io.WriteCloser // of its standard input, nil where it has none
 	out   io.Closer      // where its log is read
 
-	reading sync.Mutex // held while nobody reads the log
+	logMu sync.Mutex // locked while the log is not read
 
 	mu     sync.Mutex
 	tail   []string          // last lines of its log
@@ -96,10 +96,9 @@
 	case <-ready:
 		return p, nil
 	case <-p.ended:
-		return nil, fmt.Errorf("the proxy ended at its start: %v\n%s", p.err, p.Tail())
+		return nil, fmt.Errorf("the proxy ended at its start: %w\n%s", p.err, p.Tail())
 	case <-ctx.Done():
-		p.Stop(0)
-		return nil, ctx.Err()
+		return nil, errors.Join(ctx.Err(), p.Stop(0))
 	}
 }
 
@@ -108,32 +107,38 @@
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		line := lines.Text()
-		p.awaitReader()
+		p.awaitLogReader()
 		if command.Log != nil {
-			fmt.Fprintln(command.Log, line)
+			_, _ = fmt.Fprintln(command.Log, line) // the copy is a convenience; Tail has the line as well
 		}
 		isReady := strings.Contains(line, command.Ready)
-		p.mu.Lock()
-		p.tail = append(p.tail, line)
-		p.tail = p.tail[max(0, len(p.tail)-tailLines):]
-		if isReady || strings.Contains(line, ": listening\"") {
-			for _, word := range strings.Fields(line) {
-				if key, value, ok := strings.Cut(word, "="); ok {
-					p.fields[key] = value
-				}
-			}
-		}
-		p.mu.Unlock()
+		p.record(line, isReady)
 		if isReady && ready != nil {
 			close(ready)
 			ready = nil
 		}
 	}
-	io.Copy(io.Discard, out)
+	_, _ = io.Copy(io.Discard, out) // what follows a line too long for the scanner
 	p.err = p.cmd.Wait()
 	close(p.ended)
 }
 
+// record keeps a line for Tail, and the fields of one that says where the process listens.
+func (p *Process) record(line string, isReady bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.tail = append(p.tail, line)
+	p.tail = p.tail[max(0, len(p.tail)-tailLines):]
+	if !isReady && !strings.Contains(line, ": listening\"") {
+		return
+	}
+	for _, pair := range strings.Fields(line) {
+		if key, value, ok := strings.Cut(pair, "="); ok {
+			p.fields[key] = value
+		}
+	}
+}
+
 // Field is a value that it said when it began to listen: listen, operator, gossip; "" where it did not.
 func (p *Process) Field(key string) string {
 	p.mu.Lock()
@@ -157,19 +162,19 @@
 	return err
 }
 
-// awaitReader waits as long as nobody is to read the log.
-func (p *Process) awaitReader() {
-	p.reading.Lock()
-	defer p.reading.Unlock()
+// awaitLogReader waits while reading the log is paused.
+func (p *Process) awaitLogReader() {
+	p.logMu.Lock()
+	defer p.logMu.Unlock()
 }
 
-// HoldLog has nobody read its log until ReleaseLog, as when a collector of logs stands still.
-func (p *Process) HoldLog() { p.reading.Lock() }
+// PauseLog stops reading its log until ResumeLog, like a log collector that has stalled.
+func (p *Process) PauseLog() { p.logMu.Lock() }
 
-// ReleaseLog has its log read again.
-func (p *Process) ReleaseLog() { p.reading.Unlock() }
+// ResumeLog reads its log again after PauseLog.
+func (p *Process) ResumeLog() { p.logMu.Unlock() }
 
-// CloseLog ends the reading of its log for good, as when a collector of logs dies.
+// CloseLog closes the reading end of its log, like a log collector that has died.
 func (p *Process) CloseLog() error { return p.out.Close() }
 
 // ID is its process id.
@@ -180,14 +185,14 @@
 
 // Kill ends it with SIGKILL and waits.
 func (p *Process) Kill() {
-	p.cmd.Process.Kill()
+	_ = p.cmd.Process.Kill() // an error means that it has ended already
 	<-p.ended
 }
 
 // Stop asks it to end, waits, and kills it where that takes too long. An end other than by itself and with
 // status 0 is an error.
 func (p *Process) Stop(wait time.Duration) error {
-	p.Signal(syscall.SIGTERM)
+	_ = p.Signal(syscall.SIGTERM) // an error means that it has ended already
 	select {
 	case <-p.ended:
 		if p.err != nil {
--- a/internal/cluster/groupstate/chore.go
+++ b/internal/cluster/groupstate/chore.go
@@ -120,19 +120,19 @@
 	EndpointLists int64 `json:"lists"`   // told by owners
 }
 
-// open is an intent that is not done: what is sent, frozen.
+// openExport is an intent that is not done: what is sent, frozen.
 type openExport struct {
 	Period, Token uint64
 	Rows          []ledger.Row
 }
 
-// Fix is a correction of a period that was sent before it came: it is sent by itself.
+// PendingCorrection is a correction of a period that was sent before it came: it is sent by itself.
 type PendingCorrection struct {
 	Seq uint64 `json:"seq"`
 	ledger.Correction
 }
 
-// held is the list of servers as owners told it.
+// endpointState is the list of servers as owners told it.
 type endpointState struct {
 	Token, Version, Changed uint64 // Version is the index of the last entry about it, Changed of the last change
 	Index                   int64
@@ -183,7 +183,7 @@
 	return false
 }
 
-// sealed is the newest period whose statement is sent or being sent.
+// lastSealed is the newest period whose statement is sent or being sent.
 func (m *Machine) lastSealed() uint64 {
 	if m.state.Open != nil {
 		return m.state.Open.Period
@@ -191,7 +191,7 @@
 	return m.state.Exported
 }
 
-// due is the next period to be exported, 0 where there is none.
+// nextDue is the next period to be exported, 0 where there is none.
 func (m *Machine) nextDue() uint64 {
 	next := max(m.state.Exported+1, m.Ledger.FirstPeriod())
 	if next > m.Ledger.FinalPeriod() {
@@ -250,7 +250,7 @@
 	return result
 }
 
-// owns tells whether a token is that of the grant as it stands, held by that member.
+// checkToken tells whether a token is that of the grant as it stands, held by that member.
 func (m *Machine) checkToken(member string, token uint64) (Result, bool) {
 	grant := m.leases.Get(FleetRole)
 	if grant.Holder == member && member != "" && grant.Token == token {
@@ -297,7 +297,8 @@
 	return result
 }
 
-// correct applies a correction of a period that was sent, or is being sent, already: it is sent by itself.
+// applyCorrection applies a correction of a period that was sent, or is being sent, already: it is sent by
+// itself.
 func (m *Machine) applyCorrection(index uint64, data []byte, correction ledger.Correction) any {
 	if len(m.state.Corrections) >= maxPendingCorrections {
 		m.reject("")
--- a/internal/cluster/groupstate/chore_test.go
+++ b/internal/cluster/groupstate/chore_test.go
@@ -15,7 +15,7 @@
 var testSettings = ledger.Settings{MaxPeriods: 3, DedupPeriods: 1, MaxIDs: 100, MaxTenants: 10,
 	MaxMembers: 10}
 
-// log applies commands one after the other, each at the next index.
+// testLog applies commands one after the other, each at the next index.
 type testLog struct {
 	t       testing.TB
 	machine *Machine
@@ -33,7 +33,7 @@
 
 func (l *testLog) apply(b []byte) any { l.index++; return l.machine.Apply(l.index, b) }
 
-// take has a member become the owner, and returns its token.
+// acquire has a member become the owner, and returns its token.
 func (l *testLog) acquire(member string) uint64 {
 	l.t.Helper()
 	r := l.apply(EncodeLease(lease.Command{Op: lease.Acquire, Role: FleetRole, Member: member,
@@ -46,7 +46,7 @@
 
 func (l *testLog) status(b []byte) string { return l.apply(b).(Result).Status }
 
-// period counts n answers of a tenant and closes the period.
+// addPeriod counts n answers of a tenant and closes the period.
 func (l *testLog) addPeriod(n int64) {
 	p := l.machine.Ledger.OpenPeriod()
 	b := &ledger.Batch{Member: "x", Incarnation: 1, Seq: p, Usage: []ledger.KeyUsage{{
--- a/internal/cluster/groupstate/read.go
+++ b/internal/cluster/groupstate/read.go
@@ -137,7 +137,7 @@
 	Ledger       []byte
 }
 
-// sorted has the same state give the same bytes, though it holds a map.
+// canonicalHandle has the same state give the same bytes, though it holds a map.
 var canonicalHandle = func() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.StructToArray, h.Canonical = true, true
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// wait is how long another member lets a lease that it has learned of pass: long enough on the fastest clock
-// for the holder's to have ended on the slowest.
+// takeoverDelay is how long another member lets a lease that it has learned of pass: long enough on the
+// fastest clock for the holder's to have ended on the slowest.
 func (s Settings) takeoverDelay() time.Duration {
 	return time.Duration(float64(s.TTL)*(1+s.Drift)/(1-s.Drift)) + 1
 }
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -223,7 +223,7 @@
 	return m
 }
 
-// turn is one member's: it is unlucky, or learns, proposes, and begins a side effect.
+// stepMember is one member's: it is unlucky, or learns, proposes, and begins a side effect.
 func (m *clusterModel) stepMember(i int) {
 	if m.rng.Float64() < m.faults.pause*modelStep.Seconds() {
 		if m.members[i].Owns(m.localClock(i)) {
@@ -271,7 +271,7 @@
 	}
 }
 
-// arrive has the log take what reaches it now, and the receiver what reaches that.
+// deliver has the log take what reaches it now, and the receiver what reaches that.
 func (m *clusterModel) deliver() {
 	later := m.inFlight[:0]
 	for _, f := range m.inFlight {
--- a/internal/cluster/leaseholder/export.go
+++ b/internal/cluster/leaseholder/export.go
@@ -119,8 +119,9 @@
 	}
 }
 
-// once does the next thing there is to export; more says that there may be another. The first call under a
-// token says nothing but the token: from then on the sink refuses whatever an earlier owner has in flight.
+// exportNext does the next thing there is to export; more says that there may be another. The first call
+// under a token says nothing but the token: from then on the sink refuses whatever an earlier owner has in
+// flight.
 func (e *Exporter) exportNext(token uint64) (more bool, err error) {
 	if e.announcedToken != token {
 		if err := e.send(token, nil); err != nil {
@@ -232,7 +233,7 @@
 	})
 }
 
-// answered reads a sink's answer.
+// checkReply reads a sink's answer.
 func (e *Exporter) checkReply(status int, raw []byte, sent int) error {
 	switch status {
 	case http.StatusOK:
--- a/internal/cluster/leaseholder/list.go
+++ b/internal/cluster/leaseholder/list.go
@@ -59,7 +59,7 @@
 	s.updateFeed()
 }
 
-// feed says where the list comes from now: as the owner from discovery under the token, else from the
+// updateFeed says where the list comes from now: as the owner from discovery under the token, else from the
 // owner's list while that is young enough, else from discovery without one.
 func (s *EndpointSync) updateFeed() {
 	token, _, owns := s.runner.ActiveLease()
@@ -80,7 +80,7 @@
 	s.Source.Feed(feed)
 }
 
-// publishing tells the list while this member is the owner and hears discovery.
+// runPublisher tells the list while this member is the owner and hears discovery.
 func (s *EndpointSync) runPublisher() {
 	defer s.runner.wg.Done()
 	tick := time.NewTicker(min(s.PollInterval, 100*time.Millisecond))
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// following takes in the owner's list.
+// runFollower takes in the owner's list.
 func (s *EndpointSync) runFollower() {
 	defer s.runner.wg.Done()
 	tick := time.NewTicker(s.PollInterval)
@@ -155,7 +155,7 @@
 	}
 }
 
-// take takes in the list as the store has it.
+// apply takes in the list as the store has it.
 func (s *EndpointSync) apply(view groupstate.EndpointView) {
 	if view.Version == 0 {
 		return
--- a/internal/cluster/leaseholder/owner.go
+++ b/internal/cluster/leaseholder/owner.go
@@ -109,7 +109,7 @@
 // now is this member's monotonic clock, as package lease wants it.
 func (r *Runner) now() time.Duration { return time.Since(r.start) }
 
-// tick is how often the lease is looked at.
+// checkInterval is how often the lease is looked at.
 func (r *Runner) checkInterval() time.Duration { return max(r.opts.Lease.TTL/40, 5*time.Millisecond) }
 
 // Run takes part until Close. It returns at once.
@@ -137,7 +137,7 @@
 	})
 }
 
-// leasing looks at the lease and does what it wants, one command at a time.
+// maintainLease looks at the lease and does what it wants, one command at a time.
 func (r *Runner) maintainLease() {
 	defer r.wg.Done()
 	tick := time.NewTicker(r.checkInterval())
@@ -164,7 +164,7 @@
 	}
 }
 
-// learn takes the grant from this member's own copy of the log.
+// observeGrant takes the grant from this member's own copy of the log.
 func (r *Runner) observeGrant() {
 	value, ok := r.opts.Store.Peek(groupstate.Query{Kind: groupstate.QueryGrant}.Encode())
 	grant, granted := value.(lease.Grant)
@@ -200,7 +200,7 @@
 	r.reportTransition()
 }
 
-// note tells of a lease that was taken or has ended since the last look.
+// reportTransition tells of a lease that was taken or has ended since the last look.
 func (r *Runner) reportTransition() {
 	r.mu.Lock()
 	token := uint64(0)
@@ -265,8 +265,8 @@
 	return r.candidate.Token(), r.candidate.Remaining(now), true
 }
 
-// call makes one call of a chore under a token, within a time and no longer than the lease lasts. What was
-// refused for its token ends this member's ownership.
+// callFenced makes one call of a chore under a token, within a time and no longer than the lease lasts. What
+// was refused for its token ends this member's ownership.
 func (r *Runner) callFenced(token uint64, timeout time.Duration, do func(ctx context.Context) error) error {
 	current, remaining, ok := r.ActiveLease()
 	if !ok || current != token {
@@ -310,7 +310,7 @@
 	}
 }
 
-// enter proposes a chore's entry under a token. nil says that it was applied.
+// commit proposes a chore's entry under a token. nil says that it was applied.
 func (r *Runner) commit(token uint64, command []byte) error {
 	current, remaining, ok := r.ActiveLease()
 	if !ok || current != token {
@@ -338,7 +338,7 @@
 	return nil
 }
 
-// read asks the store, within a time.
+// query asks the store, within a time.
 func (r *Runner) query(timeout time.Duration, q groupstate.Query, into any) error {
 	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
--- a/internal/cluster/leaseholder/owner_test.go
+++ b/internal/cluster/leaseholder/owner_test.go
@@ -16,7 +16,7 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// memory is a store of one copy in this process, which members may be cut off from.
+// memoryStore is a store of one copy in this process, which members may be cut off from.
 type memoryStore struct {
 	mu          sync.Mutex
 	machine     *groupstate.Machine
@@ -61,7 +61,7 @@
 	return s.machine.View()
 }
 
-// of is the store as one member reaches it.
+// memberStore is the store as one member reaches it.
 type memberStore struct {
 	*memoryStore
 	name string
@@ -100,7 +100,7 @@
 	return v, err == nil
 }
 
-// servers is a member's list of servers.
+// fakeSource is a member's list of servers.
 type fakeSource struct {
 	mu    sync.Mutex
 	feed  Feed
@@ -175,7 +175,7 @@
 	}
 }
 
-// exporting is a sink, a store, and an owner "a" that exports the one to the other.
+// startExport is a sink, a store, and an owner "a" that exports the one to the other.
 func startExport(t *testing.T) (*proxystandin.Sink, *memoryStore, *Runner) {
 	t.Helper()
 	sink, err := proxystandin.StartSink("127.0.0.1:0")
--- a/internal/cluster/ledger/codec.go
+++ b/internal/cluster/ledger/codec.go
@@ -17,7 +17,7 @@
 	kindCorrection = 'F'
 )
 
-// format is that of snapshots; one of a newer format is refused.
+// snapshotFormat is that of snapshots; one of a newer format is refused.
 const snapshotFormat = 1
 
 var msgpackHandle = func() *codec.MsgpackHandle {
@@ -105,7 +105,7 @@
 	return refuse()
 }
 
-// saved is the form of a snapshot.
+// snapshot is the form of a snapshot.
 type snapshot struct {
 	Format       int
 	AppliedIndex uint64
--- a/internal/cluster/ledger/ledger.go
+++ b/internal/cluster/ledger/ledger.go
@@ -23,7 +23,7 @@
 	Answer string `json:"answer"` // passed, dropped or bad_gateway, as the figures have them
 }
 
-// Sum is how much: answers, and bytes of bodies from and to clients.
+// Usage is how much: answers, and bytes of bodies from and to clients.
 type Usage struct {
 	Count    int64 `json:"n"`
 	BytesIn  int64 `json:"bytes_in"`
@@ -212,7 +212,7 @@
 	return r
 }
 
-// answers counts answers of one key, each where it belongs.
+// countUsage counts answers of one key, each where it belongs.
 func (l *Ledger) countUsage(usage *KeyUsage) {
 	open := l.openPeriod()
 	if usage.Count > 0 {
--- a/internal/cluster/ledger/ledger_test.go
+++ b/internal/cluster/ledger/ledger_test.go
@@ -29,7 +29,7 @@
 	return &Batch{Member: member, Incarnation: inc, Seq: seq, Usage: []KeyUsage{a}}
 }
 
-// steps applies commands in their order, through the log's form, and returns what became of each.
+// applyAll applies commands in their order, through the log's form, and returns what became of each.
 func applyAll(t testing.TB, l *Ledger, commands ...any) (out []string) {
 	t.Helper()
 	for _, c := range commands {
--- a/internal/cluster/ledger/period.go
+++ b/internal/cluster/ledger/period.go
@@ -24,7 +24,7 @@
 		ids:           map[uint64]bool{}, tenants: map[string]bool{}}
 }
 
-// first is the period in which a request of that id was answered first, nil where none is remembered.
+// periodOf is the period in which a request of that id was answered first, nil where none is remembered.
 func (l *Ledger) periodOf(id uint64) *period {
 	for i := len(l.periods) - 1; i >= 0 && i >= len(l.periods)-l.settings.DedupPeriods; i-- {
 		if l.periods[i].ids[id] {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// remember keeps an id. Where there is no room the oldest period's ids go.
+// rememberID keeps an id. Where there is no room the oldest period's ids go.
 func (l *Ledger) rememberID(p *period, id uint64) {
 	if p.ids[id] || l.settings.MaxIDs == 0 {
 		return
@@ -60,7 +60,7 @@
 	p.usage[k].Add(s)
 }
 
-// key is where a key counts in a period: as itself, or as Other where the period has too many tenants.
+// boundedKey is where a key counts in a period: as itself, or as Other where the period has too many tenants.
 func (l *Ledger) boundedKey(p *period, k Key) Key {
 	if !p.tenants[k.Tenant] {
 		if len(p.tenants) >= l.settings.MaxTenants {
--- a/internal/cluster/pending/flush.go
+++ b/internal/cluster/pending/flush.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// take makes a batch of what was counted since the last; r.mu is held.
+// sealBatch makes a batch of what was counted since the last; r.mu is held.
 func (r *Recorder) sealBatch() queuedBatch {
 	r.seq++
 	r.lastKey++
--- a/internal/cluster/pending/recorder.go
+++ b/internal/cluster/pending/recorder.go
@@ -45,7 +45,7 @@
 	Propose func(ctx context.Context, batch []byte) (ledger.Result, error)
 }
 
-// waiting is a batch that is not committed yet.
+// queuedBatch is a batch that is not committed yet.
 type queuedBatch struct {
 	key       uint64 // in the file
 	raw       []byte
@@ -184,7 +184,7 @@
 	go r.runSender()
 }
 
-// sending sends the batches in their order, each until the group has committed it.
+// runSender sends the batches in their order, each until the group has committed it.
 func (r *Recorder) runSender() {
 	defer r.wg.Done()
 	backoff := minBackoff
@@ -237,7 +237,7 @@
 	}
 }
 
-// settle takes the group's word on the batch at the head of the queue.
+// handleResult takes the group's word on the batch at the head of the queue.
 func (r *Recorder) handleResult(batch queuedBatch, result ledger.Result, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- /dev/null
+++ b/internal/connbuffer/connbuffer.go
@@ -0,0 +1,310 @@
+// Package connbuffer gives a network connection fixed buffers: one ring buffer for each direction, and bufio
+// on top of them. The memory of a connection is allocated when it opens and never grows.
+//
+// One goroutine reads a Conn and one writes it. LastReceived and Still may be called by any goroutine.
+package connbuffer
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// Size is the capacity of one ring buffer in bytes.
+const Size = 4096
+
+// Buffer is a ring buffer. The zero value has no capacity; use New.
+type Buffer struct {
+	storage []byte
+	start   int // of the oldest byte
+	length  int
+}
+
+// New returns an empty Buffer with a capacity of size bytes.
+func New(size int) *Buffer { return &Buffer{storage: make([]byte, size)} }
+
+// Len returns the number of buffered bytes.
+func (b *Buffer) Len() int { return b.length }
+
+// Free returns the number of bytes that still fit.
+func (b *Buffer) Free() int { return len(b.storage) - b.length }
+
+// Append copies as much of p as fits and returns the number of bytes copied.
+func (b *Buffer) Append(p []byte) int {
+	n := 0
+	for n < len(p) && b.Free() > 0 {
+		c := copy(b.gap(), p[n:])
+		b.length += c
+		n += c
+	}
+	return n
+}
+
+// Consume moves up to len(p) of the oldest bytes into p and returns their number.
+func (b *Buffer) Consume(p []byte) int {
+	n := 0
+	for n < len(p) && b.length > 0 {
+		c := copy(p[n:], b.contiguous())
+		b.discard(c)
+		n += c
+	}
+	return n
+}
+
+// Fill reads once from r into the free space.
+func (b *Buffer) Fill(r io.Reader) (int, error) {
+	n, err := r.Read(b.gap())
+	b.length += n
+	return n, err
+}
+
+// Drain writes the buffered bytes to w. Bytes that w did not accept stay buffered.
+func (b *Buffer) Drain(w io.Writer) error {
+	for b.length > 0 {
+		n, err := w.Write(b.contiguous())
+		b.discard(n)
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// contiguous returns the oldest bytes up to the end of the storage, gap the free space likewise.
+func (b *Buffer) contiguous() []byte { return b.storage[b.start:min(b.start+b.length, len(b.storage))] }
+
+func (b *Buffer) gap() []byte {
+	end := b.start + b.length
+	if end >= len(b.storage) {
+		end -= len(b.storage)
+		return b.storage[end:b.start]
+	}
+	return b.storage[end:]
+}
+
+func (b *Buffer) discard(n int) {
+	b.length -= n
+	b.start = (b.start + n) % len(b.storage)
+	if b.length == 0 {
+		b.start = 0 // the next Fill gets the full capacity at once
+	}
+}
+
+// source is the read side of a connection. The kernel reports a reset only once and an end of file from then
+// on, so the first error is retained.
+type source struct {
+	ring         *Buffer
+	conn         net.Conn
+	lastReceived atomic.Int64          // when bytes were last received, Unix time in ns
+	failure      atomic.Pointer[error] // set by Read or by a peek at the socket
+}
+
+func (s *source) Read(p []byte) (int, error) {
+	if s.ring.Len() > 0 {
+		return s.ring.Consume(p), nil
+	}
+	if len(p) > len(s.ring.storage) { // a large read bypasses the ring
+		return s.record(s.conn.Read(p))
+	}
+	n, err := s.record(s.ring.Fill(s.conn))
+	if n == 0 {
+		return 0, err
+	}
+	return s.ring.Consume(p), nil
+}
+
+func (s *source) record(n int, err error) (int, error) {
+	if n > 0 {
+		s.lastReceived.Store(time.Now().UnixNano())
+		return n, err
+	}
+	if failure := s.failure.Load(); failure != nil {
+		return 0, *failure
+	}
+	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
+		failure := err // only here does it escape to the heap
+		s.failure.Store(&failure)
+	}
+	return 0, err
+}
+
+// recordPeek retains the error of a peek at the socket.
+func (s *source) recordPeek(err error) {
+	if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
+		failure := err
+		s.failure.CompareAndSwap(nil, &failure)
+	}
+}
+
+type sink struct {
+	ring *Buffer
+	conn net.Conn
+}
+
+func (s sink) Write(p []byte) (int, error) {
+	if len(p) > len(s.ring.storage) {
+		if err := s.ring.Drain(s.conn); err != nil {
+			return 0, err
+		}
+		return s.conn.Write(p)
+	}
+	n := s.ring.Append(p)
+	for n < len(p) {
+		if err := s.ring.Drain(s.conn); err != nil {
+			return n, err
+		}
+		n += s.ring.Append(p[n:])
+	}
+	return n, nil
+}
+
+// Conn is a network connection that is read and written through its two ring buffers.
+type Conn struct {
+	net.Conn
+	In  *bufio.Reader
+	Out *bufio.Writer
+	in  *source
+	out *Buffer
+
+	peek *peeker // created on first use
+}
+
+// NewConn returns a Conn with empty buffers around c.
+func NewConn(c net.Conn) *Conn {
+	in, out := &source{ring: New(Size), conn: c}, New(Size)
+	return &Conn{
+		Conn: c, in: in, out: out,
+		In:  bufio.NewReaderSize(in, Size),
+		Out: bufio.NewWriterSize(sink{out, c}, Size/4),
+	}
+}
+
+// LastReceived returns when bytes were last received, the zero time before the first. Any goroutine may call
+// it.
+func (c *Conn) LastReceived() time.Time {
+	if n := c.in.lastReceived.Load(); n > 0 {
+		return time.Unix(0, n)
+	}
+	return time.Time{}
+}
+
+// HasBuffered reports whether bytes were read from the socket and not yet consumed.
+func (c *Conn) HasBuffered() bool { return c.In.Buffered() > 0 || c.in.ring.Len() > 0 }
+
+// Quiet reports whether nothing can be read, neither from the buffers nor from the socket: no byte and no
+// end.
+func (c *Conn) Quiet() bool { return !c.HasBuffered() && c.Still() }
+
+// AwaitReadable returns once the socket is readable, be it for an end, and consumes nothing: until Read is
+// called Still reports it. It observes the read deadline, but data that has arrived when the deadline has
+// passed counts: this goroutine may be scheduled after both.
+func (c *Conn) AwaitReadable() error {
+	if c.HasBuffered() {
+		return nil
+	}
+	l, err := c.socketPeeker()
+	if l == nil {
+		return err // without a descriptor only Read can wait
+	}
+	if err = l.raw.Read(l.isReadable); errors.Is(err, os.ErrDeadlineExceeded) && !c.Still() {
+		return nil
+	}
+	return err
+}
+
+// Still reports whether nothing can be read from the socket. It consumes nothing, so another goroutine may be
+// in Read.
+func (c *Conn) Still() bool {
+	s, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := s.SyscallConn()
+	if err != nil {
+		return false
+	}
+	quiet := false
+	// Control and not Read, which returns on an expired deadline without checking the socket.
+	err = raw.Control(func(fd uintptr) {
+		var b [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		quiet = errors.Is(err, syscall.EAGAIN)
+		c.in.recordPeek(err)
+	})
+	return err == nil && quiet
+}
+
+// PeerClosed reports whether the peer has closed or reset its sending side, even while earlier bytes are
+// still unread. It consumes nothing. Only the goroutine that reads may call it.
+func (c *Conn) PeerClosed() bool {
+	l, err := c.socketPeeker()
+	if l == nil {
+		return err != nil
+	}
+	err = l.raw.Control(l.checkClosed)
+	return err != nil || l.peerClosed
+}
+
+// socketPeeker returns the peeker of the connection, nil where it has no descriptor.
+func (c *Conn) socketPeeker() (*peeker, error) {
+	if c.peek == nil {
+		s, ok := c.Conn.(syscall.Conn)
+		if !ok {
+			return nil, nil
+		}
+		raw, err := s.SyscallConn()
+		if err != nil {
+			return nil, err
+		}
+		c.peek = &peeker{raw: raw, in: c.in}
+		c.peek.checkClosed, c.peek.isReadable = c.peek.findClosed, c.peek.findReadable // each method value costs an allocation
+	}
+	return c.peek, nil
+}
+
+// peeker looks at a socket without consuming data; it is retained so that a peek allocates nothing.
+type peeker struct {
+	raw         syscall.RawConn
+	in          *source
+	checkClosed func(fd uintptr)
+	isReadable  func(fd uintptr) bool
+	buffer      [1]byte
+	pollFDs     [1]unix.PollFd
+	peerClosed  bool
+}
+
+func (l *peeker) findClosed(fd uintptr) {
+	n, _, err := syscall.Recvfrom(int(fd), l.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	l.in.recordPeek(err)
+	l.peerClosed = n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+	if n > 0 { // the end may follow unread bytes
+		l.pollFDs[0] = unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
+		n, err := unix.Poll(l.pollFDs[:], 0)
+		l.peerClosed = err == nil && n > 0 && l.pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	}
+}
+
+func (l *peeker) findReadable(fd uintptr) bool {
+	_, _, err := syscall.Recvfrom(int(fd), l.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	for errors.Is(err, syscall.EINTR) {
+		_, _, err = syscall.Recvfrom(int(fd), l.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	}
+	l.in.recordPeek(err)
+	return !errors.Is(err, syscall.EAGAIN)
+}
+
+// Flush writes everything buffered to the socket. After an error the last byte written since the previous
+// Flush has not left this process.
+func (c *Conn) Flush() error {
+	if err := c.Out.Flush(); err != nil {
+		return err
+	}
+	return c.out.Drain(c.Conn)
+}
--- a/internal/connbuffer/ring_test.go
+++ b/internal/connbuffer/connbuffer_test.go
@@ -26,7 +26,7 @@
 			piece[i] = byte(rng.Uint32())
 		}
 		if rng.IntN(2) == 0 {
-			put = append(put, piece[:b.Put(piece)]...)
+			put = append(put, piece[:b.Append(piece)]...)
 		} else {
 			n, _ := b.Fill(bytes.NewReader(piece))
 			put = append(put, piece[:n]...)
@@ -35,7 +35,7 @@
 			t.Fatalf("Len %d and Free %d of 7", b.Len(), b.Free())
 		}
 		out := make([]byte, rng.IntN(5))
-		taken = append(taken, out[:b.Take(out)]...)
+		taken = append(taken, out[:b.Consume(out)]...)
 	}
 	var rest bytes.Buffer
 	if err := b.Drain(&rest); err != nil {
@@ -48,7 +48,7 @@
 
 func TestDrainKeepsWhatWasNotTaken(t *testing.T) {
 	b := New(8)
-	b.Put([]byte("abc"))
+	b.Append([]byte("abc"))
 	if err := b.Drain(brokenAfter{1}); !errors.Is(err, io.ErrClosedPipe) || b.Len() != 2 {
 		t.Errorf("error %v and %d bytes left, want a closed pipe and 2", err, b.Len())
 	}
@@ -124,7 +124,7 @@
 		c := NewConn(near)
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		if soon {
-			for end := time.Now().Add(20 * time.Second); !c.Left() && time.Now().Before(end); {
+			for end := time.Now().Add(20 * time.Second); !c.PeerClosed() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -10,35 +10,35 @@
 	"strings"
 )
 
-// head is what reading the lines before a body yields.
+// head is a parsed header section with its framing.
 type head struct {
 	header  Header
-	length  int64 // of the body; -1 where none is told
+	length  int64 // of the body in bytes, -1 without Content-Length
 	chunked bool
 }
 
-// line reads one line without its CRLF; room counts down the bytes the head may still have. A line may be
+// readLine reads one line without its CRLF; room counts down the bytes the head may still have. A line may be
 // longer than the reader's buffer.
-func line(r *bufio.Reader, room *int) (string, error) {
+func readLine(r *bufio.Reader, budget *int) (string, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		long := slices.Clone(b)
-		for errors.Is(err, bufio.ErrBufferFull) && len(long) <= *room {
+		for errors.Is(err, bufio.ErrBufferFull) && len(long) <= *budget {
 			b, err = r.ReadSlice('\n')
 			long = append(long, b...)
 		}
 		b = long
 	}
-	if len(b) > *room {
-		return "", &Malformed{Status: 431, Reason: "head too large"}
+	if len(b) > *budget {
+		return "", &MalformedError{Status: 431, Reason: "head too large"}
 	}
 	if err != nil {
-		if err == io.EOF && len(b) > 0 {
+		if errors.Is(err, io.EOF) && len(b) > 0 {
 			err = io.ErrUnexpectedEOF
 		}
 		return "", err
 	}
-	*room -= len(b)
+	*budget -= len(b)
 	if len(b) < 2 || b[len(b)-2] != '\r' {
 		return "", malformed("a line does not end with CRLF")
 	}
@@ -64,57 +64,65 @@
 	return s != ""
 }
 
-// fields reads the header lines and what they say of the body.
-func fields(r *bufio.Reader, room *int) (head, error) {
+// readHeader reads the header section and derives the framing of the body from it.
+func readHeader(r *bufio.Reader, budget *int) (head, error) {
 	h := head{length: -1}
 	for {
-		l, err := line(r, room)
+		l, err := readLine(r, budget)
 		if err != nil {
-			return h, noEOF(err)
+			return h, unexpectedEOF(err)
 		}
 		if l == "" {
 			break
 		}
 		if len(h.header) == maxFields {
-			return h, &Malformed{Status: 431, Reason: "too many header fields"}
-		}
-		name, value, ok := strings.Cut(l, ":")
-		if !ok || !isToken(name) { // a space before the colon and a folded line end here too
-			return h, malformed("not a header field: %.40q", l)
-		}
-		value = strings.Trim(value, " \t")
-		h.header = append(h.header, Field{name, value})
-		switch {
-		case strings.EqualFold(name, "Content-Length"):
-			n, err := contentLength(value)
-			if err != nil {
-				return h, err
-			}
-			if h.length >= 0 {
-				return h, malformed("two Content-Length")
-			}
-			h.length = n
-		case strings.EqualFold(name, "Transfer-Encoding"):
-			if h.chunked || !strings.EqualFold(value, "chunked") {
-				return h, &Malformed{Status: 501, Reason: "unknown Transfer-Encoding"}
-			}
-			h.chunked = true
-		}
-	}
-	// A message with both would end at one place for us and at another for somebody else.
+			return h, &MalformedError{Status: 431, Reason: "too many header fields"}
+		}
+		if err := h.addField(l); err != nil {
+			return h, err
+		}
+	}
+	// Parsers differ in which of the two they follow: request smuggling.
 	if h.chunked && h.length >= 0 {
 		return h, malformed("both Content-Length and Transfer-Encoding")
 	}
 	return h, nil
 }
 
+// addField parses one header line, adds it, and updates the framing of the body.
+func (h *head) addField(l string) error {
+	name, value, ok := strings.Cut(l, ":")
+	if !ok || !isToken(name) { // a space before the colon and a folded line end here too
+		return malformed("not a header field: %.40q", l)
+	}
+	value = strings.Trim(value, " \t")
+	h.header = append(h.header, Field{name, value})
+	switch {
+	case strings.EqualFold(name, "Content-Length"):
+		n, err := contentLength(value)
+		if err != nil {
+			return err
+		}
+		if h.length >= 0 {
+			return malformed("two Content-Length")
+		}
+		h.length = n
+	case strings.EqualFold(name, "Transfer-Encoding"):
+		if h.chunked || !strings.EqualFold(value, "chunked") {
+			return &MalformedError{Status: 501, Reason: "unknown Transfer-Encoding"}
+		}
+		h.chunked = true
+	}
+	return nil
+}
+
 func contentLength(v string) (int64, error) {
 	if v == "" || len(v) > 18 || strings.Trim(v, "0123456789") != "" {
 		return 0, malformed("Content-Length %.20q is no length", v)
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
-	if n > Largest {
-		return 0, tooLarge
+	if n > MaxBodyLength {
+		return 0, errBodyTooLarge
 	}
 	if err != nil {
 		return 0, malformed("Content-Length %q is no length", v)
@@ -122,22 +130,22 @@
 	return n, nil
 }
 
-// persists tells whether the connection goes on after a message, by its version and its Connection.
-func (h *head) persists(old bool) bool {
-	return !h.header.lists("Connection", "close") && (!old || h.header.lists("Connection", "keep-alive"))
+// keepsAlive reports whether the connection persists after a message, by its version and Connection field.
+func (h *head) keepsAlive(old bool) bool {
+	return !h.header.containsToken("Connection", "close") && (!old || h.header.containsToken("Connection", "keep-alive"))
 }
 
-// ReadRequestHead reads one request as far as its body, which the Body reads. io.EOF means that the
+// ReadRequestHead reads one request up to its body, which the returned Body reads. io.EOF means that the
 // connection ended before the first byte.
 func ReadRequestHead(r *bufio.Reader) (*Request, *Body, error) {
 	return ReadRequestHeadWithin(r, maxHead)
 }
 
 // ReadRequestHeadWithin is ReadRequestHead for a head of at most room bytes.
-func ReadRequestHeadWithin(r *bufio.Reader, room int) (*Request, *Body, error) {
-	l, err := line(r, &room)
-	for n := 0; err == nil && l == "" && n < maxEmpty; n++ { // some clients end a body with a line too many
-		l, err = line(r, &room)
+func ReadRequestHeadWithin(r *bufio.Reader, budget int) (*Request, *Body, error) {
+	l, err := readLine(r, &budget)
+	for n := 0; err == nil && l == "" && n < maxEmptyLines; n++ { // some clients send an extra CRLF after a body (RFC 9112, 2.2)
+		l, err = readLine(r, &budget)
 	}
 	if err != nil {
 		return nil, nil, err
@@ -149,18 +157,18 @@
 	}
 	old := version == "HTTP/1.0"
 	if !old && version != "HTTP/1.1" {
-		return nil, nil, &Malformed{Status: 505, Reason: fmt.Sprintf("version %.20q", version)}
+		return nil, nil, &MalformedError{Status: 505, Reason: fmt.Sprintf("version %.20q", version)}
 	}
 	target, host, ok := origin(target)
 	if !ok {
 		return nil, nil, malformed("target %.40q", target)
 	}
-	h, err := fields(r, &room)
+	h, err := readHeader(r, &budget)
 	if err != nil {
 		return nil, nil, err
 	}
 	switch {
-	case host != "": // what the target names goes before the field
+	case host != "": // an absolute target takes precedence over the field
 		h.header = slices.DeleteFunc(h.header, func(f Field) bool { return strings.EqualFold(f.Name, "Host") })
 		h.header = append(h.header, Field{"Host", host})
 	case !old && h.header.Get("Host") == "":
@@ -169,17 +177,17 @@
 	if old && h.chunked {
 		return nil, nil, malformed("chunks in HTTP/1.0")
 	}
-	q := &Request{Method: method, Target: target, Header: h.header, Close: old || !h.persists(old), Old: old}
+	q := &Request{Method: method, Target: target, Header: h.header, Close: old || !h.keepsAlive(old), HTTP10: old}
 	if e := h.header.Get("Expect"); e != "" && !old {
 		if !strings.EqualFold(e, "100-continue") {
-			return nil, nil, &Malformed{Status: 417, Reason: fmt.Sprintf("expectation %.20q", e)}
+			return nil, nil, &MalformedError{Status: 417, Reason: fmt.Sprintf("expectation %.20q", e)}
 		}
-		q.Expects = h.chunked || h.length > 0
+		q.ExpectsContinue = h.chunked || h.length > 0
 	}
 	return q, newBody(r, &h, false), nil
 }
 
-// origin returns the path and query of a target and the host where it names one.
+// origin splits a request target into path with query, and the host of an absolute target.
 func origin(target string) (path, host string, ok bool) {
 	if strings.Trim(target, printable) != "" {
 		return target, "", false
@@ -211,26 +219,16 @@
 	return string(b)
 }()
 
-// ReadResponseHead reads the head of the answer to a request of that method, past any interim ones. The Body
-// reads what follows.
+// ReadResponseHead reads the head of the final response to a request of that method; the returned Body reads
+// the rest.
 func ReadResponseHead(r *bufio.Reader, method string) (*Response, *Body, error) {
 	for range maxInterim {
-		room := maxHead
-		l, err := line(r, &room)
+		budget := maxHead
+		status, old, err := readStatusLine(r, &budget)
 		if err != nil {
-			return nil, nil, noEOF(err)
-		}
-		version, rest, _ := strings.Cut(l, " ")
-		code, _, _ := strings.Cut(rest, " ")
-		status, err := strconv.Atoi(code)
-		old := version == "HTTP/1.0"
-		if !old && version != "HTTP/1.1" || err != nil || len(code) != 3 || status < 100 {
-			return nil, nil, malformed("not a status line: %.40q", l)
-		}
-		if status == 101 { // nobody asked to switch, and what follows would be no HTTP
-			return nil, nil, malformed("switching protocols")
+			return nil, nil, err
 		}
-		h, err := fields(r, &room)
+		h, err := readHeader(r, &budget)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -240,16 +238,41 @@
 		if old && h.chunked {
 			return nil, nil, malformed("chunks in HTTP/1.0")
 		}
-		a := &Response{Status: status, Header: h.header, Close: !h.persists(old)}
-		if method == "HEAD" {
-			a.Bodiless, a.Length = true, h.length
-		}
-		if method == "HEAD" || status == 204 || status == 304 {
-			h.length, h.chunked = 0, false
-		}
-		toEnd := !h.chunked && h.length < 0
-		a.Close = a.Close || toEnd
-		return a, newBody(r, &h, toEnd), nil
+		response, body := newResponse(r, &h, method, status, old)
+		return response, body, nil
 	}
 	return nil, nil, malformed("no end of interim answers")
 }
+
+// readStatusLine reads the first line of a response; old reports HTTP/1.0.
+func readStatusLine(r *bufio.Reader, budget *int) (status int, old bool, err error) {
+	l, err := readLine(r, budget)
+	if err != nil {
+		return 0, false, unexpectedEOF(err)
+	}
+	version, rest, _ := strings.Cut(l, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, err = strconv.Atoi(code)
+	old = version == "HTTP/1.0"
+	if !old && version != "HTTP/1.1" || err != nil || len(code) != 3 || status < 100 {
+		return 0, false, malformed("not a status line: %.40q", l)
+	}
+	if status == 101 { // no request asks for an upgrade
+		return 0, false, malformed("switching protocols")
+	}
+	return status, old, nil
+}
+
+// newResponse returns the final response with that head, and the reader of its body.
+func newResponse(r *bufio.Reader, h *head, method string, status int, old bool) (*Response, *Body) {
+	response := &Response{Status: status, Header: h.header, Close: !h.keepsAlive(old)}
+	if method == "HEAD" {
+		response.Bodiless, response.Length = true, h.length
+	}
+	if method == "HEAD" || status == 204 || status == 304 {
+		h.length, h.chunked = 0, false
+	}
+	untilClose := !h.chunked && h.length < 0
+	response.Close = response.Close || untilClose
+	return response, newBody(r, h, untilClose)
+}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,8 +1,12 @@
-// Package http1 reads and writes the HTTP/1.1 that all sides of the program speak. It is strict, for
-// what one side forgives another may read differently, and everything it reads is bounded.
+// Package http1 parses and writes HTTP/1.1 messages (RFC 9110, RFC 9112) for clients, servers and the control
+// API. It is strict: a message that two parsers could read differently is rejected, since that is how
+// requests are smuggled past a proxy. Everything it reads is bounded.
+//
+// A Body and a BodyWriter belong to the goroutine that reads or writes their connection.
 package http1
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"slices"
@@ -11,39 +15,41 @@
 
 // Bounds of what is read.
 const (
-	MaxBody   = 64 << 10 // what is kept whole; more is streamed
-	Largest   = 64 << 20 // no body is longer: a length beyond it is a lie, and an endless body ends there
-	maxHead   = 16 << 10
-	maxFields = 64
-	// maxInterim is how many answers 1xx may come before the final one, which counts too.
-	maxInterim = 16
-	maxEmpty   = 4 // empty lines before a request
+	// MaxBufferedBody is the length in bytes up to which a body is read into memory; a longer one is streamed.
+	MaxBufferedBody = 64 << 10
+	// MaxBodyLength is the length in bytes beyond which a body is rejected.
+	MaxBodyLength = 64 << 20
+	maxHead       = 16 << 10 // bytes of the start line and the header
+	maxFields     = 64       // header fields
+	maxInterim    = 16       // responses to one request, the final one and those with status 1xx
+	maxEmptyLines = 4        // before a request line
 )
 
-// Malformed says that the other side does not speak HTTP/1.1 as it should.
-type Malformed struct {
-	Status int // what a server answers to it
+// MalformedError reports a message that is not well-formed HTTP/1.1, or exceeds a bound.
+type MalformedError struct {
+	Status int // the status code with which a server answers such a request
 	Reason string
 }
 
-func (m *Malformed) Error() string { return m.Reason }
+func (m *MalformedError) Error() string { return m.Reason }
 
 func malformed(format string, args ...any) error {
-	return &Malformed{Status: 400, Reason: fmt.Sprintf(format, args...)}
+	return &MalformedError{Status: 400, Reason: fmt.Sprintf(format, args...)}
 }
 
-// noEOF turns an end inside a message into one that cannot be taken for an end between two.
-func noEOF(err error) error {
-	if err == io.EOF {
+// unexpectedEOF turns io.EOF inside a message into io.ErrUnexpectedEOF; io.EOF itself means an end between
+// two messages.
+func unexpectedEOF(err error) error {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// Field is one header line.
+// Field is one header field.
 type Field struct{ Name, Value string }
 
-// Header is the header lines in their order.
+// Header holds header fields in the order in which they were received.
 type Header []Field
 
 // Get returns the value of the first field with that name, whatever its case.
@@ -56,24 +62,24 @@
 	return ""
 }
 
-// Repeated returns the first of names that stands in more than one field, or "".
+// Repeated returns the first of names that occurs in more than one field, or "".
 func (h Header) Repeated(names ...string) string {
 	for _, name := range names {
-		seen := false
+		found := false
 		for i := range h {
 			if strings.EqualFold(h[i].Name, name) {
-				if seen {
+				if found {
 					return name
 				}
-				seen = true
+				found = true
 			}
 		}
 	}
 	return ""
 }
 
-// lists tells whether the named field holds word in its comma-separated list.
-func (h Header) lists(name, word string) bool {
+// containsToken reports whether the comma-separated list of the named field contains word.
+func (h Header) containsToken(name, word string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
 			continue
@@ -87,34 +93,34 @@
 	return false
 }
 
-// Request is one request. When it is written, its Header must hold no framing.
+// Request is one request. A Request to be written must have no framing fields in its Header.
 type Request struct {
 	Method string
 	Target string
 	Header Header
-	Body   []byte // all of it, or where Rest follows what was kept of it
-	Close  bool   // the connection ends with this message
-
-	// Length is the length of a body that is not all in Body: that of all of it, -1 where it is not known.
-	// It is 0 where Body is all.
-	Length  int64
-	Expects bool // the client waits for 100 Continue before it sends the body
-	Old     bool // it came as HTTP/1.0: no chunks, no 1xx
+	Body   []byte // the full body, or its beginning where Length is not 0
+	Close  bool   // the connection closes after this message
+
+	// Length is the length in bytes of a body that Body does not hold in full, -1 where it is unknown. It is 0
+	// where Body holds all of it.
+	Length          int64
+	ExpectsContinue bool // the client awaits 100 Continue before it sends the body
+	HTTP10          bool // received as HTTP/1.0: no chunked coding, no status 1xx
 }
 
-// Response is one answer. When it is written, its Header must hold no framing.
+// Response is one response. A Response to be written must have no framing fields in its Header.
 type Response struct {
 	Status int
 	Header Header
-	Body   []byte // all of it, or where Streams what was kept of it
+	Body   []byte // the full body, or its beginning where Streaming is set
 	Close  bool
 
-	Streams  bool  // the body is not all in Body
-	Length   int64 // of all of it where it streams or has Bodiless; -1 where it is not known
-	Bodiless bool  // answers HEAD: a length is told and no body comes
+	Streaming bool  // Body does not hold the full body
+	Length    int64 // of the full body where Streaming or Bodiless is set; -1 where unknown
+	Bodiless  bool  // a response to HEAD: it has a length and no body
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	100: "Continue", 200: "OK", 204: "No Content", 304: "Not Modified", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
 	417: "Expectation Failed", 421: "Misdirected Request", 429: "Too Many Requests",
@@ -123,20 +129,20 @@
 	505: "HTTP Version Not Supported",
 }
 
-var hop = []string{
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
 }
 
-// EndToEnd returns the fields that may be passed on: those not meant for one connection alone, nor named
-// in drop.
+// EndToEnd returns the fields that a proxy may forward: all but the hop-by-hop fields (RFC 9110, 7.6.1) and
+// those named in drop.
 func (h Header) EndToEnd(drop ...string) Header {
-	var kept Header
+	var forwarded Header
 	for _, f := range h {
 		same := func(name string) bool { return strings.EqualFold(name, f.Name) }
-		if !slices.ContainsFunc(hop, same) && !slices.ContainsFunc(drop, same) && !h.lists("Connection", f.Name) {
-			kept = append(kept, f)
+		if !slices.ContainsFunc(hopByHopFields, same) && !slices.ContainsFunc(drop, same) && !h.containsToken("Connection", f.Name) {
+			forwarded = append(forwarded, f)
 		}
 	}
-	return kept
+	return forwarded
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -16,7 +16,7 @@
 
 // outcome is an error in a form to compare: a status for malformed input, else its text.
 func outcome(err error) string {
-	var m *Malformed
+	var m *MalformedError
 	if errors.As(err, &m) {
 		return fmt.Sprint(m.Status)
 	}
@@ -48,7 +48,7 @@
 		{"bare return", "GET / HTTP/1.1\r\n" + host + "A: b\rc\r\n\r\n", nil, "400"},
 		{"two spaces", "GET  / HTTP/1.1\r\n" + host + "\r\n", nil, "400"},
 		{"no version", "GET /\r\n" + host + "\r\n", nil, "400"},
-		{"old version", "GET / HTTP/1.0\r\n\r\n", &Request{Method: "GET", Target: "/", Close: true, Old: true},
+		{"old version", "GET / HTTP/1.0\r\n\r\n", &Request{Method: "GET", Target: "/", Close: true, HTTP10: true},
 			"<nil>"},
 		{"old version with chunks", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", nil, "400"},
 		{"older version", "GET / HTTP/0.9\r\n\r\n", nil, "505"},
@@ -64,7 +64,7 @@
 			&Request{Method: "GET", Target: "/", Header: Header{{"Host", "h"}, {"A", strings.Repeat("b", 9000)}}},
 			"<nil>"},
 		{"expects", "POST / HTTP/1.1\r\n" + host + "Expect: 100-Continue\r\nContent-Length: 1\r\n\r\na",
-			&Request{Method: "POST", Target: "/", Body: []byte("a"), Expects: true, Header: Header{{"Host", "h"},
+			&Request{Method: "POST", Target: "/", Body: []byte("a"), ExpectsContinue: true, Header: Header{{"Host", "h"},
 				{"Expect", "100-Continue"}, {"Content-Length", "1"}}}, "<nil>"},
 		{"expects something", "POST / HTTP/1.1\r\n" + host + "Expect: more\r\n\r\n", nil, "417"},
 		{"same length twice", "POST / HTTP/1.1\r\n" + host + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na",
@@ -94,7 +94,7 @@
 			"Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", nil, "400"},
 		{"body too large", "POST / HTTP/1.1\r\n" + host + "Content-Length: 65537\r\n\r\n", nil, "413"},
 		{"chunks too large", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" +
-			strings.Repeat("a", MaxBody+1) + "\r\n0\r\n\r\n", nil, "413"},
+			strings.Repeat("a", MaxBufferedBody+1) + "\r\n0\r\n\r\n", nil, "413"},
 		{"line too long", "GET /" + strings.Repeat("a", 20000) + " HTTP/1.1\r\n", nil, "431"},
 		{"too many fields", "GET / HTTP/1.1\r\n" + many + "\r\n", nil, "431"},
 	} {
@@ -206,7 +206,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, err := io.ReadAll(b); err != nil || string(got) != want || !b.Whole() {
+			if got, err := io.ReadAll(b); err != nil || string(got) != want || !b.Complete() {
 				t.Errorf("in pieces of %d: %d bytes, %v", size, len(got), err)
 			}
 		}
@@ -216,14 +216,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := io.ReadAll(b); err != io.ErrUnexpectedEOF || b.Whole() {
+			if _, err := io.ReadAll(b); err != io.ErrUnexpectedEOF || b.Complete() {
 				t.Errorf("cut at %d: %v", cut, err)
 			}
 		}
 	}
 }
 
-// Ready is true only where the next Read finds a byte or the end in what has come already.
+// Buffered is true only where the next Read finds a byte or the end in what has come already.
 func TestReady(t *testing.T) {
 	for in, want := range map[string]bool{"": false, "5": false, "5\r": false, "5\r\n": false, "5\r\np": true,
 		"5\r\npiece": false, "5\r\npiece\r\n": false, "5\r\npiece\r\n2": false, "5\r\npiece\r\n2\r\n": false,
@@ -235,8 +235,8 @@
 		if strings.HasPrefix(in, "5\r\npiece") {
 			io.ReadFull(b, make([]byte, 5))
 		}
-		if b.Ready() != want {
-			t.Errorf("%q: %v", in, b.Ready())
+		if b.Buffered() != want {
+			t.Errorf("%q: %v", in, b.Buffered())
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	} {
 		var b bytes.Buffer
 		w := bufio.NewWriter(&b)
-		a := &Response{Status: 200, Body: []byte("ab"), Streams: true, Length: c.length}
+		a := &Response{Status: 200, Body: []byte("ab"), Streaming: true, Length: c.length}
 		body, err := a.Begin(w, c.old)
 		if err == nil {
 			_, err = body.Write([]byte(c.write))
@@ -298,7 +298,7 @@
 	f.Add("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		q, err := ReadRequest(reader(in))
-		if err == nil && (q.Method == "" || q.Target == "" || len(q.Body) > MaxBody) {
+		if err == nil && (q.Method == "" || q.Target == "" || len(q.Body) > MaxBufferedBody) {
 			t.Errorf("took %q as %+v", in, q)
 		}
 	})
@@ -306,15 +306,15 @@
 
 func TestRequestHeadWithin(t *testing.T) {
 	const text = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
-	for room, want := range map[int]int{len(text): 0, len(text) - 1: 431, 5: 431} {
-		_, _, err := ReadRequestHeadWithin(bufio.NewReader(strings.NewReader(text)), room)
-		var malformed *Malformed
+	for budget, want := range map[int]int{len(text): 0, len(text) - 1: 431, 5: 431} {
+		_, _, err := ReadRequestHeadWithin(bufio.NewReader(strings.NewReader(text)), budget)
+		var malformed *MalformedError
 		status := 0
 		if errors.As(err, &malformed) {
 			status = malformed.Status
 		}
 		if status != want || want == 0 && err != nil {
-			t.Errorf("room for %d bytes: %v, want status %d", room, err, want)
+			t.Errorf("room for %d bytes: %v, want status %d", budget, err, want)
 		}
 	}
 }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -6,22 +6,21 @@
 	"strconv"
 )
 
-// unknown stands for the length of a body that is written in chunks, toEnd for one that ends with its
-// connection, none for a message that has no body.
+// Values in place of a body's length in bytes.
 const (
-	unknown = -1
-	toEnd   = -2
-	none    = -3
+	lengthChunked    = -1
+	lengthUntilClose = -2
+	lengthNone       = -3
 )
 
-// Write lays out a request in w whose body is all in Body.
+// Write writes a request whose Body holds the full body.
 func (q *Request) Write(w *bufio.Writer) error {
 	_, err := q.Begin(w)
 	return err
 }
 
-// Begin lays the request out in w. Where its body is not all in Body the rest goes to the BodyWriter, and the
-// message is whole once that is closed.
+// Begin writes the request as far as Body goes. The rest of a longer body is written to the BodyWriter, whose
+// Close completes the message.
 func (q *Request) Begin(w *bufio.Writer) (BodyWriter, error) {
 	w.WriteString(q.Method)
 	w.WriteByte(' ')
@@ -30,7 +29,7 @@
 	length := q.Length
 	switch {
 	case length == 0 && len(q.Body) == 0 && (q.Method == "GET" || q.Method == "HEAD"):
-		length = none
+		length = lengthNone
 	case length == 0:
 		length = int64(len(q.Body))
 	}
@@ -38,41 +37,41 @@
 	return writeBody(w, length, q.Body)
 }
 
-// Write lays out an answer in w whose body is all in Body.
+// Write writes a response whose Body holds the full body.
 func (a *Response) Write(w *bufio.Writer) error {
 	_, err := a.Begin(w, false)
 	return err
 }
 
-// Begin lays the answer out in w, for a client that understands chunks or, where old, one that does not.
-// Where its body streams the rest goes to the BodyWriter, and the message is whole once that is closed.
+// Begin writes the response as far as Body goes; old says that the client speaks HTTP/1.0, without chunked
+// coding. The rest of a streaming body is written to the BodyWriter, whose Close completes the message.
 func (a *Response) Begin(w *bufio.Writer, old bool) (BodyWriter, error) {
 	w.WriteString("HTTP/1.1 ")
 	w.WriteString(strconv.Itoa(a.Status))
 	w.WriteByte(' ')
-	w.WriteString(reasons[a.Status])
+	w.WriteString(reasonPhrases[a.Status])
 	w.WriteString("\r\n")
 	length := a.Length
 	switch {
 	case a.Status == 204 || a.Status == 304:
-		length = none
+		length = lengthNone
 	case a.Bodiless && length < 0:
-		length = none
+		length = lengthNone
 	case a.Bodiless:
-	case !a.Streams:
+	case !a.Streaming:
 		length = int64(len(a.Body))
 	case length < 0 && old:
-		length = toEnd
+		length = lengthUntilClose
 		a.Close = true
 	}
 	writeHead(w, a.Header, a.Close, length)
-	if a.Bodiless || length == none {
-		return writeBody(w, none, nil)
+	if a.Bodiless || length == lengthNone {
+		return writeBody(w, lengthNone, nil)
 	}
 	return writeBody(w, length, a.Body)
 }
 
-// WriteContinue lays the interim answer out that a client with Expect waits for.
+// WriteContinue writes the interim response that a client with Expect: 100-continue awaits.
 func WriteContinue(w *bufio.Writer) { w.WriteString("HTTP/1.1 100 Continue\r\n\r\n") }
 
 // writeHead relies on bufio.Writer keeping its first error for the last call.
@@ -82,7 +81,7 @@
 		w.WriteString("Content-Length: ")
 		w.WriteString(strconv.FormatInt(length, 10))
 		w.WriteString("\r\n")
-	case length == unknown:
+	case length == lengthChunked:
 		w.WriteString("Transfer-Encoding: chunked\r\n")
 	}
 	for i := range h {
@@ -97,28 +96,28 @@
 	w.WriteString("\r\n")
 }
 
-// BodyWriter writes a body piece by piece. It is a value, so that a message without one costs no allocation.
+// BodyWriter writes a body in parts. It is a value, so that a message without a body costs no allocation.
 type BodyWriter struct {
-	w      *bufio.Writer
-	length int64
-	left   int64
+	w         *bufio.Writer
+	length    int64
+	remaining int64
 }
 
 func writeBody(w *bufio.Writer, length int64, first []byte) (BodyWriter, error) {
-	b := BodyWriter{w: w, length: length, left: max(length, 0)}
+	b := BodyWriter{w: w, length: length, remaining: max(length, 0)}
 	_, err := b.Write(first)
 	return b, err
 }
 
-// Write writes a piece; more than was told in the head is an error.
+// Write writes a part of the body. Exceeding the length in the header is io.ErrShortWrite.
 func (b *BodyWriter) Write(p []byte) (int, error) {
-	if b.length >= 0 || b.length == none {
-		if int64(len(p)) > b.left {
+	if b.length >= 0 || b.length == lengthNone {
+		if int64(len(p)) > b.remaining {
 			return 0, io.ErrShortWrite
 		}
-		b.left -= int64(len(p))
+		b.remaining -= int64(len(p))
 	}
-	if b.length != unknown || len(p) == 0 {
+	if b.length != lengthChunked || len(p) == 0 {
 		return b.w.Write(p)
 	}
 	b.w.WriteString(strconv.FormatInt(int64(len(p)), 16))
@@ -128,12 +127,12 @@
 	return n, err
 }
 
-// Close ends the body; less than was told in the head is an error.
+// Close ends the body. Less than the length in the header is io.ErrUnexpectedEOF.
 func (b *BodyWriter) Close() error {
-	if b.length > 0 && b.left > 0 {
+	if b.length > 0 && b.remaining > 0 {
 		return io.ErrUnexpectedEOF
 	}
-	if b.length == unknown {
+	if b.length == lengthChunked {
 		_, err := b.w.WriteString("0\r\n\r\n")
 		return err
 	}
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -1,5 +1,6 @@
-// Package logwriter writes lines of a log from a goroutine of its own, so that whoever logs never waits for
-// whoever reads: a pipe whose reader stands still takes 64 KiB and then blocks its writer.
+// Package logwriter writes the lines of a log from a goroutine of its own, so that logging never blocks on
+// the reader of the log: a pipe whose reader has stalled takes 64 KiB and then blocks its writer. The methods
+// of Writer may be called from any goroutine.
 package logwriter
 
 import (
@@ -8,53 +9,53 @@
 	"time"
 )
 
-// Writer hands lines to its goroutine. Beyond its backlog lines are lost, and counted.
+// Writer hands lines to its goroutine. Lines that exceed its backlog are dropped and counted.
 type Writer struct {
-	to    io.Writer
-	most  int
-	told  func(lost int64) string
-	awake chan struct{} // a token: there is something to write, or it is over
-	done  chan struct{}
+	to          io.Writer
+	backlog     int
+	lossMessage func(lost int64) string
+	wakeup      chan struct{} // signals new lines or Close
+	done        chan struct{}
 
 	mu     sync.Mutex
-	lines  []byte // waiting
-	spare  []byte // the buffer written last, to be filled next
+	lines  []byte // buffered
+	spare  []byte // the buffer that was written last, reused for the next lines
 	lost   int64
 	closed bool
 }
 
-// New returns a writer that keeps at most backlog bytes while nobody reads. The line that told returns stands
-// in place of lines that were lost.
-func New(to io.Writer, backlog int, told func(lost int64) string) *Writer {
-	w := &Writer{to: to, most: backlog, told: told, awake: make(chan struct{}, 1), done: make(chan struct{})}
+// New returns a Writer that buffers at most backlog bytes. The line that lossMessage returns is written in
+// place of dropped lines, whose number it is given.
+func New(to io.Writer, backlog int, lossMessage func(lost int64) string) *Writer {
+	w := &Writer{to: to, backlog: backlog, lossMessage: lossMessage, wakeup: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line; it never fails and never blocks.
+// Write buffers one line; it never fails and never blocks.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	switch {
-	case w.closed || len(w.lines)+len(line) > w.most:
+	case w.closed || len(w.lines)+len(line) > w.backlog:
 		w.lost++
 	default:
 		w.lines = append(w.lines, line...)
 	}
 	w.mu.Unlock()
-	w.wake()
+	w.notify()
 	return len(line), nil
 }
 
-func (w *Writer) wake() {
+func (w *Writer) notify() {
 	select {
-	case w.awake <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 func (w *Writer) run() {
 	defer close(w.done)
-	for range w.awake {
+	for range w.wakeup {
 		for {
 			w.mu.Lock()
 			lines, lost, closed := w.lines, w.lost, w.closed
@@ -66,9 +67,9 @@
 				}
 				break
 			}
-			w.to.Write(lines) // there is nowhere to tell that the log cannot be written
+			_, _ = w.to.Write(lines) // a log that can't be written has nowhere to report that
 			if lost > 0 {
-				io.WriteString(w.to, w.told(lost))
+				_, _ = io.WriteString(w.to, w.lossMessage(lost))
 			}
 			w.mu.Lock()
 			w.spare = lines
@@ -77,15 +78,15 @@
 	}
 }
 
-// Done is closed once all that was taken before Close has been written.
+// Done is closed once everything buffered before Close has been written.
 func (w *Writer) Done() <-chan struct{} { return w.done }
 
-// Close writes what waits, for at most so long.
+// Close writes the buffered lines and waits at most wait for that.
 func (w *Writer) Close(wait time.Duration) {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
-	w.wake()
+	w.notify()
 	select {
 	case <-w.done:
 	case <-time.After(wait):
--- a/internal/proxy/adminapi/operator.go
+++ b/internal/proxy/adminapi/operator.go
@@ -146,7 +146,7 @@
 	c.asked = true
 	d.mu.Unlock()
 	var a *http1.Response
-	var bad *http1.Malformed
+	var bad *http1.MalformedError
 	switch {
 	case errors.As(err, &bad):
 		a = plain(bad.Status, bad.Reason)
@@ -166,7 +166,7 @@
 	if t, ok := c.Conn.Conn.(*net.TCPConn); ok {
 		t.CloseWrite()
 		c.SetReadDeadline(time.Now().Add(linger))
-		io.CopyN(io.Discard, c.In, http1.MaxBody)
+		io.CopyN(io.Discard, c.In, http1.MaxBufferedBody)
 	}
 }
 
--- a/internal/proxy/daemon/owner.go
+++ b/internal/proxy/daemon/owner.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/proxy/discovery"
 )
 
-// store is the ledger's group as the chores use it.
+// groupStore is the ledger's group as the chores use it.
 type groupStore struct{ host *raftgroup.Host }
 
 func (s groupStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
--- a/internal/proxy/daemon/serve.go
+++ b/internal/proxy/daemon/serve.go
@@ -27,7 +27,7 @@
 	"cresshub/internal/proxy/upstream"
 )
 
-// closing bounds how long the end waits for whoever reads the log.
+// logCloseTimeout bounds how long the end waits for whoever reads the log.
 const logCloseTimeout = 500 * time.Millisecond
 
 // Proxy is one client proxy with its parts.
--- a/internal/proxy/daemon/upgrade.go
+++ b/internal/proxy/daemon/upgrade.go
@@ -28,7 +28,8 @@
 	successors int  // that live
 }
 
-// join takes over the listening socket from the process that serves the address so far, or listens.
+// inheritOrListen takes over the listening socket from the process that serves the address so far, or
+// listens.
 func (p *Proxy) inheritOrListen() error {
 	u := &p.upgrade
 	u.predecessorGone = make(chan struct{})
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// part is the process's part of its limits: half while another process lives beside it.
+// limitFraction is the process's part of its limits: half while another process lives beside it.
 func (u *upgrade) limitFraction() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -93,7 +94,7 @@
 	return int64(memory * p.startConfig.Limits.Bodies * p.upgrade.limitFraction())
 }
 
-// confine sets the limits anew after a process beside this one came or went.
+// applyLimits sets the limits anew after a process beside this one came or went.
 func (p *Proxy) applyLimits() {
 	Confine(p.startConfig.Limits, p.upgrade.limitFraction())
 	if p.budget != nil {
@@ -135,7 +136,7 @@
 	p.log.Info("ready", words...)
 }
 
-// settle waits until the list was heard afresh, enough holds, or some time has passed.
+// waitForList waits until the list was heard afresh, enough holds, or some time has passed.
 func (p *Proxy) waitForList(done func() bool) {
 	deadline := time.Now().Add(p.startConfig.Handover.Settle)
 	for time.Now().Before(deadline) && !p.listReceived() && !done() {
@@ -143,7 +144,7 @@
 	}
 }
 
-// meet makes this process the one that new ones find, and tells the old one that it takes clients.
+// offerHandover makes this process the one that new ones find, and tells the old one that it takes clients.
 func (p *Proxy) offerHandover() {
 	u := &p.upgrade
 	if u.path == "" {
@@ -163,7 +164,7 @@
 	}
 }
 
-// heard tells whether discovery has told the list since the start.
+// listReceived tells whether discovery has told the list since the start.
 func (p *Proxy) listReceived() bool { return p.stats.Lists.Load() > 0 && p.discovery.Held() > 0 }
 
 func (p *Proxy) waitForPredecessorExit() {
--- a/internal/proxy/dispatch/decide.go
+++ b/internal/proxy/dispatch/decide.go
@@ -46,11 +46,12 @@
 }
 
 // Waiter is how the goroutine of a request sleeps. Wait returns nil once Wake was called, or an error
-// when the client is gone. A Wake that comes first is not lost. Left tells without waiting whether it is.
+// when the client is gone. A Wake that comes first is not lost. PeerClosed reports without waiting whether it
+// is.
 type Waiter interface {
 	Wait() error
 	Wake()
-	Left() bool
+	PeerClosed() bool
 }
 
 // Request is one request of a client, whatever protocol it came by.
@@ -152,7 +153,7 @@
 		s, ok := d.next(c, looked)
 		switch {
 		case ok && s.Kind == Send && !looked:
-			if looked = true; c.waiter.Left() {
+			if looked = true; c.waiter.PeerClosed() {
 				d.gone(c)
 			}
 		case ok:
--- a/internal/proxy/dispatch/decide_test.go
+++ b/internal/proxy/dispatch/decide_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func (p *party) Left() bool { return p.left }
+func (p *party) PeerClosed() bool { return p.left }
 
 func decider(t *testing.T, set func(*balance.Settings)) (*Decider, *party) {
 	s := balance.Settings{
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -48,7 +48,7 @@
 			}
 			c.upload.Store(nil) // before the deadline is set below, or a Wake between would not be heard
 		case <-time.After(lookEvery):
-			if c.Left() {
+			if c.PeerClosed() {
 				return errLeft
 			}
 		}
@@ -73,7 +73,7 @@
 		case <-c.woken:
 			return nil
 		case <-time.After(lookEvery):
-			if c.Left() {
+			if c.PeerClosed() {
 				return errLeft
 			}
 		}
@@ -95,7 +95,7 @@
 // connection was closed meanwhile. Where the next request was read with the one before it has begun: nothing
 // of it waits in the system, where whoever closes what rests would see it.
 func (s *Server) rest(c *client) {
-	waits := c.Waits()
+	waits := c.HasBuffered()
 	s.mu.Lock()
 	c.idle, c.half, c.fresh, c.since = true, waits, false, time.Now()
 	s.mu.Unlock()
@@ -124,7 +124,7 @@
 	switch {
 	case !c.idle:
 		return 0
-	case c.half && age > l.Half && now.Sub(c.Heard()) > l.Half: // a slow one goes on coming
+	case c.half && age > l.Half && now.Sub(c.LastReceived()) > l.Half: // a slow one goes on coming
 		return 2
 	case !c.half && c.fresh && age > l.Silent:
 		return 3
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -203,7 +203,7 @@
 		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
 			return nettest.OK(fmt.Sprint(len(q.Body)))
 		})
-		if size > http1.MaxBody {
+		if size > http1.MaxBufferedBody {
 			zone.Address = nettest.Listen(t, func(c *connbuffer.Conn) {
 				_, body, err := http1.ReadRequestHead(c.In)
 				if err == nil {
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -122,10 +122,10 @@
 			return rests != nil && rests.idle
 		})
 		r.Server.mu.Lock()
-		before := rests.Heard()
+		before := rests.LastReceived()
 		io.WriteString(c, get(fmt.Sprint(i)))
 		for range 50 { // or until its bytes were taken, which is all that there is to see
-			if rests.Heard() != before {
+			if rests.LastReceived() != before {
 				break
 			}
 			time.Sleep(100 * time.Microsecond)
--- a/internal/proxy/ingress/exchange.go
+++ b/internal/proxy/ingress/exchange.go
@@ -30,7 +30,7 @@
 	c.SetReadDeadline(time.Now().Add(limit))
 	// Whoever closes what rests looks for bytes in the system: nothing is taken out before the connection
 	// counts as in a request.
-	err := c.Await()
+	err := c.AwaitReadable()
 	if err == nil {
 		s.starts(c)
 		c.SetReadDeadline(time.Now().Add(limits.Request))
@@ -67,14 +67,14 @@
 		return false
 	}
 	var u *upload
-	if !body.Whole() {
+	if !body.Complete() {
 		u = &upload{server: s, client: c, body: body, over: make(chan struct{})}
 		c.upload.Store(u)
 		defer c.upload.Store(nil)
 		defer u.ended()
 	} else if !begins(c.In) {
 		// The length told does not fit: what was read as a whole request is a part of one.
-		s.reject(c, &http1.Malformed{Status: 400, Reason: "more than one request"})
+		s.reject(c, &http1.MalformedError{Status: 400, Reason: "more than one request"})
 		return false
 	}
 	f := s.answer(c, q, u, arrived)
@@ -84,15 +84,15 @@
 	}
 	if f.answer != nil {
 		// What is left of a body is in the way of the next request.
-		f.answer.Close = q.Close || s.leaving(c) || !body.Whole()
+		f.answer.Close = q.Close || s.leaving(c) || !body.Complete()
 		if c.use != nil {
-			c.use.In = body.Taken()
+			c.use.In = body.BytesRead()
 		}
 		passed := s.pass(c, q, &f)
 		again = passed && !f.answer.Close
 		switch {
 		case !passed: // to end the sending in order would say that this was all
-		case !body.Whole():
+		case !body.Complete():
 			s.linger(c, limits.Discard)
 		case f.answer.Close && !c.Quiet():
 			s.linger(c, limits.Linger)
@@ -125,7 +125,7 @@
 // reject answers what is no whole request, as far as there is somebody to answer.
 func (s *Server) reject(c *client, err error) {
 	status := 0
-	var m *http1.Malformed
+	var m *http1.MalformedError
 	switch {
 	case errors.As(err, &m):
 		status = m.Status
--- a/internal/proxy/ingress/ingress.go
+++ b/internal/proxy/ingress/ingress.go
@@ -132,7 +132,7 @@
 	}
 	(&http1.Response{Status: 503, Close: true}).Write(c.Out)
 	flushed := c.Flush()
-	if flushed == nil && !(body.Whole() && c.Quiet()) { // what is not read would have the answer overtaken
+	if flushed == nil && !(body.Complete() && c.Quiet()) { // what is not read would have the answer overtaken
 		defer s.linger(&client{Conn: c}, s.limits.Load().Linger)
 	}
 	if class, ok := s.classes[q.Header.Get("X-Priority-Class")]; flushed == nil && ok {
--- a/internal/proxy/ingress/pass.go
+++ b/internal/proxy/ingress/pass.go
@@ -30,7 +30,7 @@
 	}
 	limits := s.limits.Load()
 	c.SetWriteDeadline(time.Now().Add(limits.Write))
-	w, err := a.Begin(c.Out, q.Old)
+	w, err := a.Begin(c.Out, q.HTTP10)
 	if err == nil {
 		err = c.Flush()
 	}
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -21,10 +21,10 @@
 // keep reads a request's body as far as it is kept for another attempt: all of a small one, the beginning of
 // one that is known to be large, or what the budget for bodies has room for. held is what it took from that.
 func (s *Server) keep(c *client, q *http1.Request, body *http1.Body) (held int, err error) {
-	if body.Whole() {
+	if body.Complete() {
 		return 0, nil
 	}
-	if q.Expects && c.In.Buffered() == 0 { // what waits was sent without asking
+	if q.ExpectsContinue && c.In.Buffered() == 0 { // what waits was sent without asking
 		c.SetWriteDeadline(time.Now().Add(s.limits.Load().Write))
 		http1.WriteContinue(c.Out)
 		if err := c.Flush(); err != nil {
@@ -32,7 +32,7 @@
 		}
 	}
 	q.Length = body.Length()
-	large, size := q.Length > http1.MaxBody, firstRoom
+	large, size := q.Length > http1.MaxBufferedBody, firstRoom
 	if large {
 		size = enough
 	} else if q.Length > 0 {
@@ -41,9 +41,9 @@
 	for n := 0; ; {
 		if n == len(q.Body) {
 			if n > 0 {
-				size = min(2*n, http1.MaxBody)
+				size = min(2*n, http1.MaxBufferedBody)
 			}
-			if n == http1.MaxBody || large && n == enough || !s.Bodies.Reserve(size-n) {
+			if n == http1.MaxBufferedBody || large && n == enough || !s.Bodies.Reserve(size-n) {
 				return held, nil
 			}
 			held += size - n
@@ -51,7 +51,7 @@
 		}
 		m, err := c.read(body, q.Body[n:], s.limits.Load().Stall)
 		n += m
-		if body.Whole() {
+		if body.Complete() {
 			q.Body, q.Length = q.Body[:n], 0
 			return held, nil
 		}
@@ -140,7 +140,7 @@
 func (u *upload) malformed() error {
 	select {
 	case <-u.over:
-		if errors.As(u.err, new(*http1.Malformed)) {
+		if errors.As(u.err, new(*http1.MalformedError)) {
 			return u.err
 		}
 	default:
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -54,7 +54,7 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return Outcome{Result: dispatch.TimedOut}, false
-	case errors.As(err, new(*http1.Malformed)):
+	case errors.As(err, new(*http1.MalformedError)):
 		// The server is there and has read the request, so it is not broken off: one spoilt answer is no
 		// reason to leave a server alone.
 		return Outcome{Result: a.ended(dispatch.ErrorAnswer)}, false
@@ -65,13 +65,13 @@
 	out.Load = c.pool.report.read(answer, a.probe)
 	again = whole && !answer.Close
 	if !streams {
-		return out, again && body.Whole() && !c.nc.Waits()
+		return out, again && body.Complete() && !c.nc.HasBuffered()
 	}
 	if !whole {
 		c.pool.Release(&out)
 		return Outcome{Result: dispatch.Withdrawn}, false
 	}
-	answer.Streams, answer.Length = true, body.Length()
+	answer.Streaming, answer.Length = true, body.Length()
 	out.Rest = &Stream{conn: c, body: body, over: make(chan bool, 1)}
 	return out, again
 }
@@ -151,10 +151,10 @@
 	err error) {
 	may := answer.Status == 200 && !a.probe // whatever else is large is not worth passing on
 	length := body.Length()
-	if body.Whole() {
+	if body.Complete() {
 		return 0, false, nil
 	}
-	large, size, first := length > http1.MaxBody, firstRoom, -1
+	large, size, first := length > http1.MaxBufferedBody, firstRoom, -1
 	if large && !may {
 		return 0, false, nil
 	} else if large {
@@ -166,15 +166,15 @@
 	for n := 0; ; {
 		if n == len(answer.Body) {
 			if n > 0 {
-				size = min(2*n, http1.MaxBody)
+				size = min(2*n, http1.MaxBufferedBody)
 			}
-			if n == http1.MaxBody || large && n == enough || !c.pool.bodies.Reserve(size-n) {
+			if n == http1.MaxBufferedBody || large && n == enough || !c.pool.bodies.Reserve(size-n) {
 				return held, may, nil
 			}
 			held += size - n
 			answer.Body = append(make([]byte, 0, size), answer.Body...)[:size]
 		}
-		for may && (large || length < 0) && !body.Ready() {
+		for may && (large || length < 0) && !body.Buffered() {
 			if first < 0 {
 				first = n
 			}
@@ -196,7 +196,7 @@
 		m, err := body.Read(answer.Body[n:])
 		n += m
 		switch {
-		case body.Whole():
+		case body.Complete():
 			answer.Body = answer.Body[:n]
 			return held, false, nil
 		case err != nil:
@@ -223,7 +223,7 @@
 	return s.body.Read(p)
 }
 
-func (s *Stream) close() { s.once.Do(func() { s.over <- s.body.Whole() }) }
+func (s *Stream) close() { s.once.Do(func() { s.over <- s.body.Complete() }) }
 
 // message is the attempt's request as it is sent now.
 func (a *Attempt) message(host string) *http1.Request {
--- a/internal/router/agent/chain_calls.go
+++ b/internal/router/agent/chain_calls.go
@@ -75,7 +75,7 @@
 	return result
 }
 
-// found agrees on the first view with all machines that have a disk, once no new one is heard of.
+// tryBootstrap agrees on the first view with all machines that have a disk, once no new one is heard of.
 func (m *chainMember) tryBootstrap() {
 	if m.machine.View().Epoch > 0 {
 		m.bootstrapper = false
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -149,7 +149,7 @@
 	m.execute(effects)
 }
 
-// perform sends the messages and gives the replies of a step whose records are durable.
+// execute sends the messages and gives the replies of a step whose records are durable.
 func (m *chainMember) execute(effects chain.Effects) {
 	for i := range effects.Messages {
 		envelope := &effects.Messages[i]
--- a/internal/router/agent/chain_open.go
+++ b/internal/router/agent/chain_open.go
@@ -30,7 +30,7 @@
 	return newDeferredStore(n)
 }
 
-// founds tells whether this process is the one that has the first view agreed on.
+// isBootstrapper tells whether this process is the one that has the first view agreed on.
 func (n *Node) isBootstrapper() bool {
 	return n.settings.FirstStart && len(n.settings.Seeds) > 0 && hostOf(n.settings.Seeds[0]) == n.settings.IP
 }
--- a/internal/router/agent/control.go
+++ b/internal/router/agent/control.go
@@ -20,17 +20,17 @@
 	patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result
 	// read returns the newest acknowledged configuration.
 	read(timeout time.Duration) *peerproto.Result
-	// take takes a message of another member.
+	// receive takes a message of another member.
 	receive(peer string, body []byte)
 	// start begins to take part until done closes.
 	start(done <-chan struct{})
 	// opened returns a channel that closes once the disk is open, where there is one.
 	opened() <-chan struct{}
-	// member tells whether this process keeps the control state now.
+	// isMember tells whether this process keeps the control state now.
 	isMember() bool
 	// leave hands the control state over before this process ends.
 	leave()
-	// released returns a channel that closes once the others hold all that this process holds of the control
+	// canStop returns a channel that closes once the others hold all that this process holds of the control
 	// state, so that it may end after leave.
 	canStop() <-chan struct{}
 	// close frees what this process holds, after the channel that start was given has closed.
--- a/internal/router/agent/demand.go
+++ b/internal/router/agent/demand.go
@@ -60,7 +60,7 @@
 	return t.ownDemand
 }
 
-// take notes what another proxy told.
+// record notes what another proxy told.
 func (t *demandTable) record(peer string, now time.Duration, body []byte) {
 	var demands peerproto.Demands
 	if peerproto.Decode(body, &demands) != nil {
@@ -71,7 +71,7 @@
 	t.proxies[peer] = reportedDemand{now, &demands}
 }
 
-// of sums up the demand for a service over the proxies that were heard of lately.
+// total sums up the demand for a service over the proxies that were heard of lately.
 func (t *demandTable) total(service string, now time.Duration) roleplan.Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/router/agent/disk_member.go
+++ b/internal/router/agent/disk_member.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// current returns what takes part: until the disk is open, nothing does.
+// store returns what takes part: until the disk is open, nothing does.
 func (d *deferredStore) store() configStore {
 	if member := d.chain.Load(); member != nil {
 		return member
--- a/internal/router/agent/follow.go
+++ b/internal/router/agent/follow.go
@@ -19,7 +19,7 @@
 	fetchDelay = 150 * time.Millisecond
 )
 
-// following is which hub's feed this process follows, and how far. Guarded by Node.subscriptionMu.
+// subscription is which hub's feed this process follows, and how far. Guarded by Node.subscriptionMu.
 type subscription struct {
 	source       *hub
 	feed         string
@@ -27,8 +27,8 @@
 	lastReceived time.Duration // when the last piece came
 }
 
-// follow keeps following the feed of one hub, unless this process is a hub itself: hubs hear all changes at
-// first hand and compare their copies.
+// runSubscription keeps following the feed of one hub, unless this process is a hub itself: hubs hear all
+// changes at first hand and compare their copies.
 func (n *Node) runSubscription(stop <-chan struct{}) {
 	ticker := time.NewTicker(sourceCheckInterval)
 	defer ticker.Stop()
@@ -43,7 +43,7 @@
 	}
 }
 
-// follows tells whether this process follows a hub's feed.
+// isSubscribed tells whether this process follows a hub's feed.
 func (n *Node) isSubscribed() bool {
 	n.subscriptionMu.Lock()
 	defer n.subscriptionMu.Unlock()
@@ -223,7 +223,7 @@
 	n.applyConfig(config)
 }
 
-// adopt puts a configuration that was acknowledged in force unless a newer one is.
+// applyConfig puts a configuration that was acknowledged in force unless a newer one is.
 func (n *Node) applyConfig(config *fleetconfig.Config) {
 	if n.state.applyConfig(config) {
 		n.log.Info().Int64("version", config.Version).Msg("config: in force")
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -40,7 +40,7 @@
 	return h.state
 }
 
-// answers tells whether the hub has answered lately.
+// isResponsive tells whether the hub has answered lately.
 func (h *hub) isResponsive(now time.Duration) bool {
 	lastSeen := h.current().lastSeen
 	return lastSeen > 0 && now-lastSeen <= contactTimeout
--- a/internal/router/agent/introductions.go
+++ b/internal/router/agent/introductions.go
@@ -26,7 +26,7 @@
 	maxConcurrentAnnouncements = 16
 )
 
-// introduction is how far this process has introduced itself to one address.
+// announcementTarget is how far this process has introduced itself to one address.
 type announcementTarget struct {
 	inFlight bool
 	answered bool // by a process that knows a view now
@@ -34,7 +34,8 @@
 	backoff  time.Duration
 }
 
-// introducer introduces a process to others. Its fields are of the goroutine that runs it, but for results.
+// viewAnnouncer introduces a process to others. Its fields are of the goroutine that runs it, but for
+// results.
 type viewAnnouncer struct {
 	node     *Node
 	targets  map[string]*announcementTarget // by IP
@@ -71,7 +72,7 @@
 	}
 }
 
-// begin starts the introductions that are due.
+// startDue starts the introductions that are due.
 func (v *viewAnnouncer) startDue(targetIPs []string) {
 	now := v.node.now()
 	for ip, target := range v.targets {
@@ -94,7 +95,7 @@
 	}
 }
 
-// introduce tells one process the view.
+// announce tells one process the view.
 func (v *viewAnnouncer) announce(ip string) {
 	n := v.node
 	hello := peerproto.Encode(&peerproto.Hello{ID: n.id})
@@ -109,7 +110,7 @@
 	v.results <- result
 }
 
-// finish notes how an introduction ended.
+// recordResult notes how an introduction ended.
 func (v *viewAnnouncer) recordResult(result announcementResult) {
 	v.inFlight--
 	target := v.targets[result.ip]
@@ -122,7 +123,7 @@
 	target.backoff = min(2*target.backoff, maxAnnounceBackoff)
 }
 
-// wanted returns the IPs of the machines to which this process is to introduce itself.
+// targetIPs returns the IPs of the machines to which this process is to introduce itself.
 func (v *viewAnnouncer) targetIPs() []string {
 	n := v.node
 	isHub := n.isHub()
--- a/internal/router/agent/known_proxies.go
+++ b/internal/router/agent/known_proxies.go
@@ -25,7 +25,7 @@
 
 func newKnownProxies() *knownProxies { return &knownProxies{lastLive: map[string]time.Duration{}} }
 
-// note takes in which proxies are live now, and forgets those that have not been for long.
+// record takes in which proxies are live now, and forgets those that have not been for long.
 func (k *knownProxies) record(now time.Duration, live []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -44,7 +44,7 @@
 	k.evictOldest()
 }
 
-// bound forgets the addresses beyond maxKnownProxies; the lock is held.
+// evictOldest forgets the addresses beyond maxKnownProxies; the lock is held.
 func (k *knownProxies) evictOldest() {
 	excess := len(k.lastLive) - maxKnownProxies
 	if excess <= 0 {
--- a/internal/router/agent/lifecycle.go
+++ b/internal/router/agent/lifecycle.go
@@ -49,7 +49,7 @@
 	n.log.Info().Strs("seeds", settings.Seeds).Msg("settings: seeds changed")
 }
 
-// end hands over what this process holds, answers what it has read, and returns when it may exit.
+// shutdown hands over what this process holds, answers what it has read, and returns when it may exit.
 func (n *Node) shutdown(l *listeners) {
 	signalled, plan := time.Now(), planShutdown(n.settings.Bounds.Grace)
 	n.shuttingDown.Store(true)
--- a/internal/router/agent/recent_patches.go
+++ b/internal/router/agent/recent_patches.go
@@ -20,7 +20,7 @@
 	bytes   int
 }
 
-// follow notes that a configuration came into force in place of another one, which may be nil.
+// record notes that a configuration came into force in place of another one, which may be nil.
 func (r *recentPatches) record(before, config *fleetconfig.Config) {
 	patch := config.Patch()
 	if before == nil || patch == nil || patch.Base != before.Version || len(patch.Body) > recentPatchBytes {
--- a/internal/router/agent/registration.go
+++ b/internal/router/agent/registration.go
@@ -147,7 +147,7 @@
 	return retryElsewhere()
 }
 
-// busy asks the caller to try another proxy.
+// retryElsewhere asks the caller to try another proxy.
 func retryElsewhere() *http1.Response {
 	answer := controlserver.Text(503, "not now; call another proxy")
 	answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
--- a/internal/router/agent/stages.go
+++ b/internal/router/agent/stages.go
@@ -41,7 +41,7 @@
 
 	fence           uint64        // under which the duty is held, 0 where it is not
 	ordersAllowedAt time.Duration // from when on orders may be sent
-	// refused is a fence that a server found lower than one it had seen. No more orders are sent under it.
+	// rejectedFence is a fence that a server found lower than one it had seen. No more orders are sent under it.
 	rejectedFence atomic.Uint64
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// held tells whether this process may send orders now.
+// maySendOrders tells whether this process may send orders now.
 func (s *stageCoordinator) maySendOrders() bool {
 	fence, now := s.member.fence.Load(), s.node.now()
 	switch {
@@ -135,7 +135,7 @@
 	sent.Wait()
 }
 
-// announce tells all proxies that servers are about to change, so that they get nothing new.
+// announceOrders tells all proxies that servers are about to change, so that they get nothing new.
 func (s *stageCoordinator) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
 	n := s.node
 	now := n.now()
@@ -191,7 +191,8 @@
 	}
 }
 
-// withdraw ends the announcement of an order that is not carried out, so that its server gets requests again.
+// withdrawOrder ends the announcement of an order that is not carried out, so that its server gets requests
+// again.
 func (s *stageCoordinator) withdrawOrder(order roleplan.Order) {
 	n := s.node
 	now := n.now()
--- a/internal/router/agent/state.go
+++ b/internal/router/agent/state.go
@@ -67,7 +67,7 @@
 	return 0
 }
 
-// change runs a function on the directory and publishes what it changed. The function must not call the
+// update runs a function on the directory and publishes what it changed. The function must not call the
 // state.
 func (s *state) update(now time.Duration, f func(*directory.Directory)) {
 	s.mu.Lock()
@@ -116,7 +116,7 @@
 	f(s.directory)
 }
 
-// adopt puts a configuration that was acknowledged in force unless a newer one is.
+// applyConfig puts a configuration that was acknowledged in force unless a newer one is.
 func (s *state) applyConfig(config *fleetconfig.Config) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,14 +172,14 @@
 	return s.synced
 }
 
-// next returns a channel that closes at the next change.
+// nextChange returns a channel that closes at the next change.
 func (s *state) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// announce wakes all who wait for a change; the lock is held.
+// notifyChange wakes all who wait for a change; the lock is held.
 func (s *state) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/router/agent/watch.go
+++ b/internal/router/agent/watch.go
@@ -18,7 +18,7 @@
 	maxMissedHeartbeats = 1.9
 )
 
-// watch notes silent processes until stopped.
+// detectFailures notes silent processes until stopped.
 func (n *Node) detectFailures(stop <-chan struct{}) {
 	ticker := time.NewTicker(failureCheckInterval)
 	defer ticker.Stop()
--- a/internal/router/agent/work.go
+++ b/internal/router/agent/work.go
@@ -25,7 +25,7 @@
 // loadByServer is what processes have under way, by server.
 type loadByServer map[string]peerproto.ServerLoad
 
-// take puts changes in.
+// apply puts changes in.
 func (s loadByServer) apply(work *peerproto.LoadReport) {
 	if work.Full {
 		clear(s)
@@ -192,7 +192,7 @@
 	*prompts = append(*prompts, work.Prefixes...)
 }
 
-// note puts changes into a sum and remembers what to distribute; the lock is held.
+// recordChanges puts changes into a sum and remembers what to distribute; the lock is held.
 func (t *loadTable) recordChanges(sum loadByServer, work *peerproto.LoadReport) {
 	if work.Full {
 		for server := range sum {
@@ -205,7 +205,7 @@
 	sum.apply(work)
 }
 
-// forget drops what a process had under way whose connection has ended.
+// removePeer drops what a process had under way whose connection has ended.
 func (t *loadTable) removePeer(c *transport.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -272,7 +272,7 @@
 	}
 }
 
-// selected returns a sum less what one process has itself, at all servers or at those that have changed.
+// loadExcept returns a sum less what one process has itself, at all servers or at those that have changed.
 func (t *loadTable) loadExcept(sum, without loadByServer, full bool) []peerproto.ServerLoad {
 	servers := []peerproto.ServerLoad{}
 	add := func(server string) {
--- a/internal/router/chain/cluster_test.go
+++ b/internal/router/chain/cluster_test.go
@@ -27,14 +27,14 @@
 	replies map[uint64]Reply
 }
 
-// flight is a message on its way.
+// transit is a message on its way.
 type transit struct {
 	at time.Duration
 	to MemberID
 	m  Message
 }
 
-// cluster is a set of machines with a network that loses nothing unless a test says so.
+// testCluster is a set of machines with a network that loses nothing unless a test says so.
 type testCluster struct {
 	c         *qt.C
 	now       time.Duration
@@ -210,7 +210,7 @@
 	tc.c.Assert(tc.view(at).Chain, qt.DeepEquals, chain)
 }
 
-// cut loses all messages between two groups.
+// partition loses all messages between two groups.
 func partition(left, right []MemberID) func(from, to MemberID, m *Message) bool {
 	return func(from, to MemberID, _ *Message) bool {
 		return slices.Contains(left, from) && slices.Contains(right, to) ||
--- a/internal/router/chain/durable.go
+++ b/internal/router/chain/durable.go
@@ -1,6 +1,6 @@
 package chain
 
-// durable is what a node keeps on its disk.
+// durableState is what a node keeps on its disk.
 type durableState struct {
 	id MemberID
 	// bootstrapAllowed says that the disk was empty at the first start of the whole system.
@@ -10,7 +10,7 @@
 	// view is the latest decided view that this node knows.
 	view     View
 	acceptor acceptorState
-	// held is the latest entry that this node accepted; its epoch is the one it was accepted in.
+	// accepted is the latest entry that this node accepted; its epoch is the one it was accepted in.
 	accepted acceptedEntry
 	// predecessor is the entry before the held one, where the disk still has it: it was committed, as a write
 	// begins only then. Nobody needs it once the node is open.
--- a/internal/router/chain/entry.go
+++ b/internal/router/chain/entry.go
@@ -29,12 +29,12 @@
 	history []PastEntry
 }
 
-// hold computes an entry's digest.
+// newAcceptedEntry computes an entry's digest.
 func (c *Config) newAcceptedEntry(entry Entry, history []PastEntry) acceptedEntry {
 	return acceptedEntry{entry, c.DigestOf(entry.Body), history}
 }
 
-// is tells whether an entry is the one that a message tells of by digest.
+// matches tells whether an entry is the one that a message tells of by digest.
 func (e *acceptedEntry) matches(m *Message) bool {
 	return e.Sequence == m.Sequence && e.Version == m.Version && bytes.Equal(e.digest[:], m.Digest)
 }
--- a/internal/router/chain/forward.go
+++ b/internal/router/chain/forward.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// forwarded is a local request that the head has been asked for.
+// forwardedRequest is a local request that the head has been asked for.
 type forwardedRequest struct {
 	read     bool
 	deadline time.Duration
-	// known is the entry that the head was told of, so that it may leave out the body.
+	// knownEntry is the entry that the head was told of, so that it may leave out the body.
 	knownEntry Entry
 }
 
--- a/internal/router/chain/found.go
+++ b/internal/router/chain/found.go
@@ -8,21 +8,21 @@
 // retriesBeforeShrinking is how often an attempt is made again before one of too few members follows it.
 const retriesBeforeShrinking = 4
 
-// founding is a founder's part in agreeing on the first view. An attempt that gets no answer from all of its
-// members is followed by one of a later epoch, which a member accepts only if it holds a majority of each
-// attempt before it.
+// bootstrapState is a founder's part in agreeing on the first view. An attempt that gets no answer from all
+// of its members is followed by one of a later epoch, which a member accepts only if it holds a majority of
+// each attempt before it.
 type bootstrapState struct {
 	// view is the attempt, accepted are the members that have consented to it durably.
 	view      View
 	consented []MemberID
-	// answered are all nodes that have answered in this round of the attempt, rounds are those before it.
+	// replied are all nodes that have answered in this round of the attempt, rounds are those before it.
 	replied []Member
 	retries int
 	// candidates are those of the last call of Found.
 	candidates []Member
-	// others are attempts of other founders that view doesn't name.
+	// competing are attempts of other founders that view doesn't name.
 	competing []PastChain
-	// begun is when the attempt began, sentAt when the members were asked last.
+	// startedAt is when the attempt began, sentAt when the members were asked last.
 	startedAt, sentAt time.Duration
 }
 
@@ -91,8 +91,8 @@
 	n.bootstrapTakeoverAt = n.now + n.config.BootstrapRetryAfter + jitter
 }
 
-// next returns the attempt behind this one: of those who have answered, and of candidates that weren't asked.
-// Fewer members than wanted are tried only after some rounds.
+// nextAttempt returns the attempt behind this one: of those who have answered, and of candidates that weren't
+// asked. Fewer members than wanted are tried only after some rounds.
 func (b *bootstrapState) nextAttempt(minMembers int) (View, bool) {
 	unopened := slices.Clone(b.view.Unopened)
 	for _, past := range append([]PastChain{{b.view.Epoch, b.view.Chain}}, b.competing...) {
--- a/internal/router/chain/found_test.go
+++ b/internal/router/chain/found_test.go
@@ -104,7 +104,7 @@
 	return tc, members
 }
 
-// found asks members to accept the first view, as a founder does again and again.
+// keepBootstrapping asks members to accept the first view, as a founder does again and again.
 func (tc *testCluster) keepBootstrapping(at MemberID, members []Member, during time.Duration) {
 	for end := tc.now + during; tc.now < end; {
 		tc.do(at, func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
--- a/internal/router/chain/head.go
+++ b/internal/router/chain/head.go
@@ -15,10 +15,10 @@
 	pending bool
 	waiters []request
 	sentAt  time.Duration
-	// writes wait for the pending one.
+	// queuedWrites wait for the pending one.
 	queuedWrites []request
-	// reads wait for the next marker, markedReads for the one under way. Both may hold writes that seem to be
-	// refused: that is certain only once the chain has confirmed that this node is still its head.
+	// queuedReads wait for the next marker, markedReads for the one under way. Both may hold writes that seem to
+	// be refused: that is certain only once the chain has confirmed that this node is still its head.
 	queuedReads, markedReads []request
 	marker                   uint64
 	markerSentAt             time.Duration
@@ -49,7 +49,7 @@
 	n.head = headRole{marker: n.config.Random.Uint64()}
 }
 
-// all returns every request that waits.
+// requests returns every request that waits.
 func (h *headRole) requests() []*request {
 	var all []*request
 	for _, queue := range [][]request{h.waiters, h.queuedWrites, h.queuedReads, h.markedReads} {
@@ -93,7 +93,7 @@
 	n.advance()
 }
 
-// acknowledged notes that the whole chain holds the entry.
+// commitPending notes that the whole chain holds the entry.
 func (n *Node) commitPending() {
 	h := &n.head
 	if h.open && !h.pending {
@@ -204,7 +204,7 @@
 	n.advance()
 }
 
-// judge decides on a write by the committed entry and its history: one that was in force is not refused,
+// decide decides on a write by the committed entry and its history: one that was in force is not refused,
 // also where a later one has replaced it. One that the history may have forgotten gets no clear answer.
 func (n *Node) decide(r request) {
 	accepted := &n.state.accepted
--- a/internal/router/chain/history.go
+++ b/internal/router/chain/history.go
@@ -12,7 +12,7 @@
 	Digest  Digest
 }
 
-// name returns an entry's name for the history of its successors.
+// pastEntry returns an entry's name for the history of its successors.
 func (e *acceptedEntry) pastEntry() PastEntry { return PastEntry{e.Version, e.digest} }
 
 // successor returns the entry that follows a committed one. A history is never changed in place: messages
--- a/internal/router/chain/node.go
+++ b/internal/router/chain/node.go
@@ -23,7 +23,7 @@
 
 	peers    map[MemberID]*peerState
 	contacts []Member
-	// leaving says that this node is about to stop, drainingSince since when.
+	// draining says that this node is about to stop, drainingSince since when.
 	draining      bool
 	drainingSince time.Duration
 
--- a/internal/router/chain/peers.go
+++ b/internal/router/chain/peers.go
@@ -14,7 +14,7 @@
 	heartbeatsPerContact = 3
 )
 
-// peer is what this node has heard of another.
+// peerState is what this node has heard of another.
 type peerState struct {
 	member   Member
 	lastSeen time.Duration
@@ -28,7 +28,7 @@
 // isDegraded tells whether a heartbeat says that its sender leaves or that its disk fails.
 func isDegraded(heartbeat *Message) bool { return heartbeat.Draining || heartbeat.Stalled }
 
-// hear notes that a message came.
+// recordReceipt notes that a message came.
 func (n *Node) recordReceipt(m *Message) {
 	if m.From == "" || m.From == n.state.id {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// note keeps a heartbeat's content.
+// recordHeartbeat keeps a heartbeat's content.
 func (p *peerState) recordHeartbeat(m *Message, now time.Duration) {
 	if m.Address != "" {
 		p.member.Address = m.Address
@@ -99,7 +99,7 @@
 	}
 }
 
-// heard tells whether a node was heard lately.
+// recentlySeen tells whether a node was heard lately.
 func (n *Node) recentlySeen(peer *peerState) bool {
 	return n.now-peer.lastSeen <= n.config.SuspectAfter
 }
--- a/internal/router/chain/plan.go
+++ b/internal/router/chain/plan.go
@@ -108,7 +108,7 @@
 	assumeSealed bool
 }
 
-// directly tells whether this node itself hears another.
+// seenDirectly tells whether this node itself hears another.
 func (p *planner) seenDirectly(id MemberID) bool {
 	peer, ok := p.observed.Peers[id]
 	return ok && peer.SinceLastSeen <= p.rules.SuspectAfter
@@ -133,8 +133,8 @@
 	return p.receivesFrom(a, b) && p.receivesFrom(b, a)
 }
 
-// hears tells whether one node hears a member. Who has not told in this epoch is taken to hear all, for a
-// while.
+// receivesFrom tells whether one node hears a member. Who has not told in this epoch is taken to hear all,
+// for a while.
 func (p *planner) receivesFrom(receiver, sender MemberID) bool {
 	if receiver == p.observed.Self {
 		return p.seenDirectly(sender)
--- a/internal/router/chain/plan_chain.go
+++ b/internal/router/chain/plan_chain.go
@@ -19,7 +19,7 @@
 		p.rules.RequiredReplicas)
 }
 
-// holders counts those of the chain's replicas that hold every committed entry.
+// countSources counts those of the chain's replicas that hold every committed entry.
 func (p *planner) countSources(replicas []MemberID) int {
 	count := 0
 	for _, id := range replicas {
@@ -70,7 +70,7 @@
 	})
 }
 
-// fitness says which of the old replicas a chain may have.
+// replicaHealth says which of the old replicas a chain may have.
 type replicaHealth int
 
 const (
@@ -84,8 +84,8 @@
 	return !peer.Degraded || h == anyHealth || h == healthyOrDraining && peer.Draining
 }
 
-// replicas returns who may be in the chain: the old replicas in their order, then newcomers. Sources stand
-// before the others, which they do in any chain as long as its epoch isn't sealed.
+// eligibleReplicas returns who may be in the chain: the old replicas in their order, then newcomers. Sources
+// stand before the others, which they do in any chain as long as its epoch isn't sealed.
 func (p *planner) eligibleReplicas(members []Member, health replicaHealth) []MemberID {
 	old := p.view.Chain
 	if p.epochSealed() {
--- a/internal/router/chain/plan_test.go
+++ b/internal/router/chain/plan_test.go
@@ -45,10 +45,10 @@
 
 func at(address string) peerOption { return func(p *PeerObservation) { p.Member.Address = address } }
 
-// mute is a node that has told nothing in this epoch.
+// notReported is a node that has told nothing in this epoch.
 func notReported(p *PeerObservation) { p.ReportedInEpoch = false }
 
-// behind is a node that is heard but that nothing reaches.
+// behindFor is a node that is heard but that nothing reaches.
 func behindFor(since time.Duration) peerOption {
 	return func(p *PeerObservation) { p.ReportedInEpoch, p.BehindFor = false, since }
 }
--- a/internal/router/chain/proposer.go
+++ b/internal/router/chain/proposer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// phase is how far a proposal is.
+// proposerPhase is how far a proposal is.
 type proposerPhase int
 
 const (
@@ -14,21 +14,22 @@
 	accepting
 )
 
-// proposing is this node's part as a proposer of the next view.
+// proposerState is this node's part as a proposer of the next view.
 type proposerState struct {
 	phase  proposerPhase
 	number ProposalNumber
-	// highest is the highest round that was seen in this instance.
+	// maxCounter is the highest round that was seen in this instance.
 	maxCounter uint64
 	view       View
-	// best is the highest ballot of an accepted value among the promises, highestAcceptedView that value.
+	// highestAccepted is the highest ballot of an accepted value among the promises, highestAcceptedView that
+	// value.
 	highestAccepted     ProposalNumber
 	highestAcceptedView View
 	replied             []MemberID
 	deadline            time.Duration
 	// backoffUntil is when the next try may begin.
 	backoffUntil time.Duration
-	// wanted is the view that the planner wants, plannedSince since when; its epoch is 0 if it wants none.
+	// planned is the view that the planner wants, plannedSince since when; its epoch is 0 if it wants none.
 	planned      View
 	plannedSince time.Duration
 	// stuckSince is since when no view can follow; 0 if one can.
@@ -189,7 +190,7 @@
 	n.broadcastView(old.Members)
 }
 
-// spread tells the view to its members, to former ones and to all other nodes that are heard.
+// broadcastView tells the view to its members, to former ones and to all other nodes that are heard.
 func (n *Node) broadcastView(former []Member) {
 	notified := []MemberID{n.state.id}
 	notify := func(id MemberID) {
--- a/internal/router/chain/replica.go
+++ b/internal/router/chain/replica.go
@@ -100,7 +100,7 @@
 	n.sendAck()
 }
 
-// acknowledge tells the head that the whole chain holds the entry.
+// sendAck tells the head that the whole chain holds the entry.
 func (n *Node) sendAck() {
 	if n.enoughReplicas() {
 		n.setCommitted()
--- a/internal/router/chain/sim_again_test.go
+++ b/internal/router/chain/sim_again_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/anishathalye/porcupine"
 
-// again sends one of the client's earlier writes unchanged, or asks for it by name, at a machine it draws.
+// retry sends one of the client's earlier writes unchanged, or asks for it by name, at a machine it draws.
 func (s *simClient) retry() {
 	w := s.world
 	input := s.retryable[w.random.Intn(len(s.retryable))]
--- a/internal/router/chain/sim_check_test.go
+++ b/internal/router/chain/sim_check_test.go
@@ -12,7 +12,7 @@
 // simHistory is what was observed in a world.
 type simHistory struct {
 	operations []porcupine.Operation
-	// open are writes that have not returned, by their bodies.
+	// pendingWrites are writes that have not returned, by their bodies.
 	pendingWrites map[string]porcupine.Operation
 	// views, heads and entries are by epoch and sequence; each must be the only one.
 	views   map[uint64]View
@@ -20,16 +20,16 @@
 	entries map[uint64]acceptedEntry
 	// committed are the sequences of committed bodies.
 	committed map[string]uint64
-	// refused are the bodies of writes that a Conflict has ended: none of their attempts may come into force.
+	// rejected are the bodies of writes that a Conflict has ended: none of their attempts may come into force.
 	rejected map[string]bool
-	// newest is the highest sequence that each identity has known to be committed. Within one life of a process
-	// it never falls; a restart may fall back by one, to the entry before the one that it holds.
+	// maxCommitted is the highest sequence that each identity has known to be committed. Within one life of a
+	// process it never falls; a restart may fall back by one, to the entry before the one that it holds.
 	maxCommitted map[MemberID]uint64
 	// disksLost counts disks that were emptied or taken away.
 	disksLost int
-	// damages counts logs that were found to be damaged.
+	// damagedLogs counts logs that were found to be damaged.
 	damagedLogs int
-	// replaced counts writes that were acknowledged again although a later one had replaced them.
+	// replacedRetries counts writes that were acknowledged again although a later one had replaced them.
 	replacedRetries int
 	// outcomes counts the answers that clients got.
 	outcomes map[Outcome]int
@@ -157,7 +157,7 @@
 	},
 }
 
-// begin notes a write that has not returned.
+// recordCall notes a write that has not returned.
 func (w *simWorld) recordCall(client int, input simInput) {
 	w.history.pendingWrites[input.body] = porcupine.Operation{
 		ClientId: client, Input: input, Call: int64(w.now), Output: simOutput{outcome: Unavailable},
@@ -165,7 +165,7 @@
 	}
 }
 
-// record adds an operation to the history.
+// recordReturn adds an operation to the history.
 func (w *simWorld) recordReturn(client int, input simInput, called time.Duration, output simOutput) {
 	w.history.outcomes[output.outcome]++
 	delete(w.history.pendingWrites, input.body)
@@ -184,7 +184,7 @@
 	})
 }
 
-// refuse notes that a write has been refused for good, and checks that it is not in force.
+// recordRejection notes that a write has been refused for good, and checks that it is not in force.
 func (w *simWorld) recordRejection(body string) {
 	w.history.rejected[body] = true
 	if _, ok := w.history.committed[body]; ok {
--- a/internal/router/chain/sim_client_test.go
+++ b/internal/router/chain/sim_client_test.go
@@ -13,16 +13,16 @@
 	world *simWorld
 	id    int
 	until time.Duration
-	// at is the address of the only machine that the client asks; empty for any.
+	// onlyAddress is the address of the only machine that the client asks; empty for any.
 	onlyAddress string
-	// answered is called with each outcome, if it is set.
+	// onOutcome is called with each outcome, if it is set.
 	onOutcome func(Outcome)
 	// version is the last one that the client has seen.
 	version int64
 	writes  int
 	// last is the outcome of the last operation.
 	last Outcome
-	// sent are the writes that may be sent again: not those that were refused for a version still to come.
+	// retryable are the writes that may be sent again: not those that were refused for a version still to come.
 	retryable []simInput
 }
 
@@ -51,7 +51,7 @@
 	return w.machines[w.addresses[w.random.Intn(len(w.addresses))]]
 }
 
-// tell reports an outcome.
+// report reports an outcome.
 func (s *simClient) report(outcome Outcome) {
 	if s.onOutcome != nil {
 		s.onOutcome(outcome)
--- a/internal/router/chain/sim_cut_test.go
+++ b/internal/router/chain/sim_cut_test.go
@@ -29,7 +29,7 @@
 	in, out bool
 	// membersOnly leaves the links to other machines alone.
 	membersOnly bool
-	// company is cut off together with the machine.
+	// withAnother is cut off together with the machine.
 	withAnother bool
 }
 
--- a/internal/router/chain/sim_found_test.go
+++ b/internal/router/chain/sim_found_test.go
@@ -77,7 +77,7 @@
 	mustServe(w.simWorld)
 }
 
-// found lets the founder ask the machines that it knows, again and again.
+// keepBootstrapping lets the founder ask the machines that it knows, again and again.
 func (w *bootstrapWorld) keepBootstrapping() {
 	if w.bootstrapper.removed {
 		return
--- a/internal/router/chain/sim_loss_test.go
+++ b/internal/router/chain/sim_loss_test.go
@@ -143,7 +143,7 @@
 	m.removed = true
 }
 
-// leave lets a machine leave, and takes it away for good when it may stop or its time is up.
+// drain lets a machine leave, and takes it away for good when it may stop or its time is up.
 func (w *lossWorld) drain(m *simMachine) {
 	began := w.now
 	m.step(func(n *Node) Effects { return n.Drain(w.now) })
--- a/internal/router/chain/sim_machine_test.go
+++ b/internal/router/chain/sim_machine_test.go
@@ -19,20 +19,20 @@
 	world   *simWorld
 	address string
 	hasDisk bool
-	// first says that the system starts for the first time.
+	// firstStart says that the system starts for the first time.
 	firstStart bool
 	disk       *faultfs.FS
 	log        *segmentlog.Log
 	node       *Node
-	// life counts starts, so that events of an earlier life are dropped.
+	// incarnation counts starts, so that events of an earlier life are dropped.
 	incarnation int
-	// newest is the highest sequence that this life has known to be committed.
+	// maxCommitted is the highest sequence that this life has known to be committed.
 	maxCommitted uint64
-	// sync is how long the disk takes for one step's records.
+	// syncDelay is how long the disk takes for one step's records.
 	syncDelay time.Duration
 	// busyUntil is when the machine takes the next event: a sync or a pause ends then.
 	busyUntil time.Duration
-	// gone says that the machine never comes back.
+	// removed says that the machine never comes back.
 	removed bool
 	// waiting are local requests.
 	waiting map[uint64]func(Reply)
@@ -144,7 +144,7 @@
 	m.perform(do(m.node))
 }
 
-// at reaches a numbered point and tells whether the machine still runs behind it.
+// reachPoint reaches a numbered point and tells whether the machine still runs behind it.
 func (m *simMachine) reachPoint(name string) bool {
 	incarnation := m.incarnation
 	if m.world.point != nil {
@@ -258,7 +258,7 @@
 	m.submit(done, func(n *Node, request uint64) Effects { return n.Confirm(m.world.now, request, change) })
 }
 
-// ask has a machine run a call under a number of its own.
+// submit has a machine run a call under a number of its own.
 func (m *simMachine) submit(done func(Reply), call func(n *Node, request uint64) Effects) {
 	if !m.up() {
 		done(Reply{Outcome: Unavailable})
--- a/internal/router/chain/sim_nemesis_test.go
+++ b/internal/router/chain/sim_nemesis_test.go
@@ -58,7 +58,7 @@
 	one.do(m)
 }
 
-// later starts a machine again after a while.
+// restartLater starts a machine again after a while.
 func (s *nemesis) restartLater(m *simMachine) {
 	w := s.world
 	if w.now >= s.until {
@@ -77,7 +77,7 @@
 	})
 }
 
-// loss draws what a power loss leaves.
+// drawLoss draws what a power loss leaves.
 func (s *nemesis) drawLoss() faultfs.Loss {
 	return []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome}[s.world.random.Intn(3)]
 }
@@ -169,8 +169,8 @@
 	s.restartLater(m)
 }
 
-// rot flips a bit of a log's last records while the machine is down: the machine then counts as one that has
-// lost its disk.
+// corruptLog flips a bit of a log's last records while the machine is down: the machine then counts as one
+// that has lost its disk.
 func (s *nemesis) corruptLog(m *simMachine) {
 	if !m.hasDisk || !s.mayLoseDisk() {
 		return
--- a/internal/router/chain/sim_race_test.go
+++ b/internal/router/chain/sim_race_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// begin sends the writes of the next round.
+// beginRound sends the writes of the next round.
 func (w *raceWorld) beginRound() {
 	w.round++
 	w.racers = nil
@@ -110,7 +110,7 @@
 	w.after(raceRetry+time.Duration(w.random.Int63n(int64(raceRetry))), r.send)
 }
 
-// answered takes an answer; half of them are lost on their way. Also one that is lost must be right.
+// onReply takes an answer; half of them are lost on their way. Also one that is lost must be right.
 func (r *racer) onReply(reply Reply) {
 	w, h := r.world, &r.world.history
 	_, inForce := h.committed[r.input.body]
--- a/internal/router/chain/sim_world_test.go
+++ b/internal/router/chain/sim_world_test.go
@@ -71,7 +71,7 @@
 	members, requiredReplicas int
 	// historyLength is how many earlier entries an entry names.
 	historyLength int
-	// growth is how far a machine's log grows before a new segment is begun.
+	// segmentGrowth is how far a machine's log grows before a new segment is begun.
 	segmentGrowth int64
 	requests      uint64
 	identities    int
@@ -100,7 +100,7 @@
 	}
 }
 
-// fail notes a broken invariant.
+// failf notes a broken invariant.
 func (w *simWorld) failf(format string, values ...any) {
 	w.tracef(format, values...)
 	if w.failure == "" {
@@ -108,7 +108,7 @@
 	}
 }
 
-// note adds a line to the trace.
+// tracef adds a line to the trace.
 func (w *simWorld) tracef(format string, values ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, values...))
 }
--- a/internal/router/chain/view.go
+++ b/internal/router/chain/view.go
@@ -98,7 +98,7 @@
 	return max(majority(members), min(configured, len(members)))
 }
 
-// identities returns the members' identities in their order.
+// memberIDs returns the members' identities in their order.
 func memberIDs(members []Member) []MemberID {
 	ids := make([]MemberID, len(members))
 	for i, member := range members {
@@ -126,7 +126,7 @@
 	})
 }
 
-// sorted returns identities in order.
+// sortedIDs returns identities in order.
 func sortedIDs(ids []MemberID) []MemberID { return slices.Sorted(slices.Values(ids)) }
 
 // equal tells whether two views say the same.
--- a/internal/router/cli/inspection_test.go
+++ b/internal/router/cli/inspection_test.go
@@ -15,7 +15,7 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// answers is a process that answers each path with a document, until the test ends.
+// serveDocuments is a process that answers each path with a document, until the test ends.
 func serveDocuments(c *qt.C, documents map[string]string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
--- a/internal/router/cli/reload.go
+++ b/internal/router/cli/reload.go
@@ -7,9 +7,9 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// reloader takes changed settings over. The file may be looked at while it is being written: one that can't
-// be read is read again, and so is one that has just changed, as its time tells of several changes within a
-// few milliseconds only once.
+// settingsReloader takes changed settings over. The file may be looked at while it is being written: one that
+// can't be read is read again, and so is one that has just changed, as its time tells of several changes
+// within a few milliseconds only once.
 type settingsReloader struct {
 	modTime func() time.Time // when the file was last written, the zero time where that can't be told
 	load    func() (*agentsettings.Settings, error)
@@ -28,7 +28,7 @@
 	return &settingsReloader{modTime: settingsModTime, load: agentsettings.Load, apply: apply, onError: onError}
 }
 
-// look reads the file where it may have changed. It is called in regular intervals.
+// poll reads the file where it may have changed. It is called in regular intervals.
 func (r *settingsReloader) poll() {
 	if modTime := r.modTime(); !modTime.Equal(r.lastModTime) {
 		r.lastModTime = modTime
@@ -42,7 +42,7 @@
 	}
 }
 
-// read takes over what the file says now. One that can't be read is read again at the next look.
+// reload takes over what the file says now. One that can't be read is read again at the next look.
 func (r *settingsReloader) reload() {
 	settings, err := r.load()
 	if err != nil {
--- a/internal/router/cli/router.go
+++ b/internal/router/cli/router.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// mind reloads settings that changed and closes stop at the first signal to end.
+// handleSignals reloads settings that changed and closes stop at the first signal to end.
 func handleSignals(process *agent.Node, signals <-chan os.Signal, stop chan<- struct{}) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
--- a/internal/router/cli/try_test.go
+++ b/internal/router/cli/try_test.go
@@ -23,7 +23,7 @@
 // asProgram is the variable that has the test binary be the program, so that trials start processes of it.
 const asProgram = "FLEETCLI_TEST_AS_PROGRAM"
 
-// patience bounds every wait of a test; no verdict depends on how much of it is used.
+// testTimeout bounds every wait of a test; no verdict depends on how much of it is used.
 const testTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) {
@@ -53,7 +53,7 @@
 	return t
 }
 
-// end waits for the end and returns the exit code.
+// wait waits for the end and returns the exit code.
 func (t *trial) wait() int {
 	t.Helper()
 	select {
--- a/internal/router/controlclient/callclient.go
+++ b/internal/router/controlclient/callclient.go
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	response.Body, err = io.ReadAll(io.LimitReader(body, maxResponseBytes))
-	if err == nil && !body.Whole() {
+	if err == nil && !body.Complete() {
 		err = fmt.Errorf("the answer has more than %d bytes", maxResponseBytes)
 	}
 	return response, err
--- a/internal/router/controlclient/callclient_test.go
+++ b/internal/router/controlclient/callclient_test.go
@@ -15,7 +15,7 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// patience bounds every call of a test; no verdict depends on how much of it is used.
+// testTimeout bounds every call of a test; no verdict depends on how much of it is used.
 const testTimeout = 10 * time.Second
 
 // serve answers calls on loopback until the test ends, and returns the address.
--- a/internal/router/controlserver/callserver.go
+++ b/internal/router/controlserver/callserver.go
@@ -65,7 +65,7 @@
 	conn := connbuffer.NewConn(netConn)
 	for {
 		netConn.SetReadDeadline(time.Now().Add(idleTimeout))
-		if conn.Await() != nil {
+		if conn.AwaitReadable() != nil {
 			return
 		}
 		netConn.SetReadDeadline(time.Now().Add(readTimeout))
@@ -80,7 +80,7 @@
 	}
 }
 
-// answer reads a call and has it handled. Its error means that the connection has ended.
+// readAndHandle reads a call and has it handled. Its error means that the connection has ended.
 func (s *Server) readAndHandle(conn *connbuffer.Conn) (*http1.Response, error) {
 	head, body, err := http1.ReadRequestHead(conn.In)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return response, nil
 }
 
-// handle has a call handled. A mistake that it brings out ends neither the process nor other calls: its
+// handleCall has a call handled. A mistake that it brings out ends neither the process nor other calls: its
 // sender would get no answer and send it to the next process.
 func (s *Server) handleCall(call *Call) (response *http1.Response) {
 	defer func() {
@@ -118,7 +118,7 @@
 }
 
 func malformedResponse(err error) (*http1.Response, error) {
-	var malformed *http1.Malformed
+	var malformed *http1.MalformedError
 	if errors.As(err, &malformed) {
 		return closingResponse(malformed.Status, malformed.Reason), nil
 	}
--- a/internal/router/dataplane/attempts_test.go
+++ b/internal/router/dataplane/attempts_test.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// did is one call of a request and what became of it.
+// callResult is one call of a request and what became of it.
 type callResult struct {
 	role     scheduler.Role
 	rejected bool
--- a/internal/router/dataplane/budget.go
+++ b/internal/router/dataplane/budget.go
@@ -20,7 +20,7 @@
 	proxies int     // the proxies that share the slack
 }
 
-// budget counts one service's requests and repeats over a sliding window. Times are on a steady clock.
+// retryBudget counts one service's requests and repeats over a sliding window. Times are on a steady clock.
 type retryBudget struct {
 	buckets [budgetBuckets + 1]budgetBucket
 }
@@ -31,10 +31,10 @@
 	retries  int
 }
 
-// request counts a client's request.
+// recordRequest counts a client's request.
 func (b *retryBudget) recordRequest(now, window time.Duration) { b.bucket(now, window).requests++ }
 
-// charge counts a repeat, whether or not it is within the allowance.
+// recordRetries counts a repeat, whether or not it is within the allowance.
 func (b *retryBudget) recordRetries(now, window time.Duration, retries int) {
 	b.bucket(now, window).retries += retries
 }
@@ -51,7 +51,7 @@
 	return true
 }
 
-// has tells whether one more repeat is within the allowance.
+// available tells whether one more repeat is within the allowance.
 func (b *retryBudget) available(now time.Duration, allowed allowance) bool {
 	return float64(b.retries(now, allowed.window)+1) <= b.allowed(now, allowed)
 }
@@ -72,7 +72,7 @@
 	return sum
 }
 
-// repeats counts no less than the window holds: also the span that lies in it in part.
+// retries counts no less than the window holds: also the span that lies in it in part.
 func (b *retryBudget) retries(now, window time.Duration) (sum int) {
 	oldest := bucketNumber(now, window) - budgetBuckets
 	for _, s := range b.buckets {
--- a/internal/router/dataplane/budgets.go
+++ b/internal/router/dataplane/budgets.go
@@ -11,7 +11,7 @@
 // that was killed may have used its share right before, and it does not know the others yet.
 const slackMargin = time.Second
 
-// budgets holds the retry budget of each service. It is safe for concurrent use.
+// retryBudgets holds the retry budget of each service. It is safe for concurrent use.
 type retryBudgets struct {
 	bounds agentsettings.Bounds
 
@@ -24,7 +24,7 @@
 	return &retryBudgets{bounds: bounds, services: map[string]*retryBudget{}}
 }
 
-// request counts a client's request for a service.
+// recordRequest counts a client's request for a service.
 func (b *retryBudgets) recordRequest(now time.Duration, service string, proxies int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,7 +39,7 @@
 	return b.forService(service).take(now, b.allowance(now, proxies), retries)
 }
 
-// has tells whether one more repeat may be taken now.
+// available tells whether one more repeat may be taken now.
 func (b *retryBudgets) available(now time.Duration, service string, proxies int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -49,7 +49,7 @@
 	return c.finish(f)
 }
 
-// end tells the decisions how the call ended, and keeps or closes its connection.
+// finish tells the decisions how the call ended, and keeps or closes its connection.
 func (c *call) finish(f *callFailure) *callFailure {
 	c.roundTrip.inFlight = nil
 	outcome := scheduler.Served
@@ -82,7 +82,7 @@
 		Dur("head_ms", c.timeToHead).Dur("event_ms", c.timeToFirstEvent).Dur("took_ms", took).Msg("front: call")
 }
 
-// took is how long the call has been under way, 0 where it was not sent.
+// elapsed is how long the call has been under way, 0 where it was not sent.
 func (c *call) elapsed() time.Duration {
 	if c.started.IsZero() {
 		return 0
@@ -155,7 +155,7 @@
 	return c.failureFrom(err)
 }
 
-// message is the client's request as the server gets it.
+// buildRequest is the client's request as the server gets it.
 func (c *call) buildRequest() *http1.Request {
 	q := c.roundTrip.request
 	message := &http1.Request{Method: q.Method, Target: q.Target, Body: q.Body}
@@ -226,7 +226,7 @@
 		rt.timeLeft())))
 }
 
-// heard takes in what the head of an answer says besides.
+// recordHead takes in what the head of an answer says besides.
 func (c *call) recordHead(head *http1.Response) {
 	c.responseStarted = true
 	c.timeToHead = time.Since(c.started)
@@ -238,12 +238,13 @@
 	}
 }
 
-// whole notes that the answer has been read to its end, so that the connection may carry another request.
+// recordBodyEnd notes that the answer has been read to its end, so that the connection may carry another
+// request.
 func (c *call) recordBodyEnd() {
 	c.mustClose = c.conn.hasBufferedInput() || c.keepAliveTime <= 0
 }
 
-// broken says how a call failed whose request was sent, in whole or in part.
+// failureFrom says how a call failed whose request was sent, in whole or in part.
 func (c *call) failureFrom(err error) *callFailure {
 	f := c.brokenFailure()
 	c.reportSuspect(err)
@@ -251,13 +252,13 @@
 		f.outcome = scheduler.TimedOut
 		return f
 	}
-	if c.conn.reused && !c.responseStarted && !errors.As(err, new(*http1.Malformed)) {
+	if c.conn.reused && !c.responseStarted && !errors.As(err, new(*http1.MalformedError)) {
 		f.staleConnection, f.outcome = true, scheduler.Abandoned
 	}
 	return f
 }
 
-// suspect tells the fleet where an error shows that the server's machine or process is not there.
+// reportSuspect tells the fleet where an error shows that the server's machine or process is not there.
 func (c *call) reportSuspect(err error) {
 	timedOut := errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, context.DeadlineExceeded)
 	if c.roundTrip.stopReason() == notStopped && (timedOut || errors.Is(err, syscall.ECONNREFUSED)) {
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -55,8 +55,8 @@
 	c.socket.returnBuffers()
 }
 
-// survive keeps a mistake that one request brings out from ending all others. A broken invariant panics in
-// tests only, and is to end them.
+// recoverPanic keeps a mistake that one request brings out from ending all others. A broken invariant panics
+// in tests only, and is to end them.
 func (c *client) recoverPanic() {
 	if cause := recover(); cause != nil {
 		if violation, ok := cause.(*invariant.ViolationError); ok {
@@ -110,7 +110,7 @@
 	}
 }
 
-// serve reads one request and answers it. It returns whether the connection goes on.
+// serveRequest reads one request and answers it. It returns whether the connection goes on.
 func (c *client) serveRequest() bool {
 	defer c.releaseBody()
 	c.responses = 0
@@ -143,7 +143,7 @@
 	invariant.Assert(c.responses <= 1, invariant.OneFinalAnswer, "a request got %d answers", c.responses)
 }
 
-// answer answers a request that was read whole.
+// handle answers a request that was read whole.
 func (c *client) handle(q *request) bool {
 	c.socket.SetWriteDeadline(q.writeDeadline())
 	switch {
@@ -169,7 +169,7 @@
 	c.roundTrip = rt
 }
 
-// refuse sends the proxy's own answer. It returns whether the connection goes on.
+// sendLocalReply sends the proxy's own answer. It returns whether the connection goes on.
 func (c *client) sendLocalReply(q *request, reply *localReplyError) bool {
 	c.recordResponse()
 	c.proxy.recordLocalReply(q, reply)
@@ -219,10 +219,10 @@
 
 func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// ends tells whether the connection ends with the answer to a request.
+// closesAfter tells whether the connection ends with the answer to a request.
 func (c *client) closesAfter(q *request) bool { return c.proxy.draining.Load() || q == nil || q.Close }
 
-// persistence tells the client how long its connection stays open: a little less than it does.
+// addKeepAlive tells the client how long its connection stays open: a little less than it does.
 func (c *client) addKeepAlive(response *http1.Response) {
 	keepAliveSeconds := int(c.proxy.limits().IdleTimeout/time.Second) - 1
 	if response.Close || keepAliveSeconds <= 0 {
--- a/internal/router/dataplane/decider.go
+++ b/internal/router/dataplane/decider.go
@@ -29,10 +29,10 @@
 	MarkPrefixesSynced(now time.Duration)
 }
 
-// decider lets many goroutines use one chooser, and keeps it at the newest table of servers.
+// lockedChooser lets many goroutines use one chooser, and keeps it at the newest table of servers.
 type lockedChooser struct {
 	state State
-	// changed holds a token when calls began or ended since the last one was taken.
+	// workChanged holds a token when calls began or ended since the last one was taken.
 	workChanged chan struct{}
 	now         func() time.Duration
 
@@ -96,7 +96,7 @@
 	d.recordDemand(now, call, -1)
 }
 
-// meter counts a call to a model server as begun, or as ended where change is -1.
+// recordDemand counts a call to a model server as begun, or as ended where change is -1.
 func (d *lockedChooser) recordDemand(now time.Duration, call *scheduler.Call, change int) {
 	if call.Server.Role != catalog.NoRole {
 		d.demandMeter.add(now, call.Server.Service, call.Role, change)
--- a/internal/router/dataplane/delivery.go
+++ b/internal/router/dataplane/delivery.go
@@ -19,7 +19,7 @@
 	maxRetryAfter = time.Second
 )
 
-// reason says why a delivery was told to stop.
+// stopReason says why a delivery was told to stop.
 type stopReason int
 
 const (
@@ -28,7 +28,7 @@
 	proxyStopping                 // the process ends
 )
 
-// delivery takes one request to servers until one of them answers it or nothing more may be tried.
+// roundTrip takes one request to servers until one of them answers it or nothing more may be tried.
 type roundTrip struct {
 	proxy         *Proxy
 	client        *client
@@ -96,7 +96,7 @@
 	}
 }
 
-// hopeless tells whether no server could begin before the request's end.
+// cannotStartInTime tells whether no server could begin before the request's end.
 func (rt *roundTrip) cannotStartInTime() bool {
 	if rt.finished() {
 		return true
@@ -116,7 +116,7 @@
 	return rt.request.deadline
 }
 
-// over tells whether nothing more may be sent.
+// finished tells whether nothing more may be sent.
 func (rt *roundTrip) finished() bool {
 	return rt.stopReason() != notStopped || rt.timeLeft() < minTimeLeft
 }
@@ -139,7 +139,7 @@
 	}
 }
 
-// attach names what stop has to close; it returns false where the delivery was stopped before.
+// setAbortable names what stop has to close; it returns false where the delivery was stopped before.
 func (rt *roundTrip) setAbortable(closer io.Closer) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -164,7 +164,7 @@
 	return rt.newCall(scheduler.Serve)
 }
 
-// chosen draws the server for a call in that role, if the request may be sent once more.
+// newCall draws the server for a call in that role, if the request may be sent once more.
 func (rt *roundTrip) newCall(role scheduler.Role) *call {
 	if !rt.attempts.allows(role) {
 		rt.trace.setReason(reasonAttemptsUsed)
@@ -185,7 +185,7 @@
 	return rt.inFlight
 }
 
-// pay takes what the call costs from the retry budget.
+// payForRetry takes what the call costs from the retry budget.
 func (rt *roundTrip) payForRetry(role scheduler.Role) bool {
 	proxy, cost := rt.proxy, rt.attempts.retryCost(role)
 	if !proxy.budgets.take(proxy.now(), rt.request.service.Name, proxy.state.Proxies(), cost) {
@@ -203,7 +203,7 @@
 		proxy.budgets.available(proxy.now(), rt.request.service.Name, proxy.state.Proxies())
 }
 
-// learn takes in how a call failed and tells whether another one may follow.
+// handleFailure takes in how a call failed and tells whether another one may follow.
 func (rt *roundTrip) handleFailure(c *call, f *callFailure) bool {
 	rt.worstFate = max(rt.worstFate, f.fate)
 	if f.response != nil {
@@ -264,11 +264,11 @@
 	}
 }
 
-// cut makes sure that an answer that is not whole does not look so: where only the end of the connection
+// truncate makes sure that an answer that is not whole does not look so: where only the end of the connection
 // ends it, the connection is reset.
 func (rt *roundTrip) truncate() {
 	rt.client.truncated = true
-	if conn, ok := rt.client.socket.Conn.(*net.TCPConn); ok && rt.request.Old {
+	if conn, ok := rt.client.socket.Conn.(*net.TCPConn); ok && rt.request.HTTP10 {
 		conn.SetLinger(0)
 	}
 }
--- a/internal/router/dataplane/events.go
+++ b/internal/router/dataplane/events.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// rest is what has come of an event that is not whole.
+// partial is what has come of an event that is not whole.
 func (s *eventSplitter) partial() []byte { return s.buffer[s.eventStart:] }
 
 // reset drops all that is held, for the stream of another server.
@@ -68,7 +68,7 @@
 	return 0, false
 }
 
-// order follows the ids of a stream's events.
+// eventOrder follows the ids of a stream's events.
 type eventOrder struct {
 	lastID      int64 // id of the last event passed on
 	hasLast     bool  // last holds an id
@@ -76,7 +76,7 @@
 	resumed     bool  // another server goes on with the stream
 }
 
-// step is what is done with an event.
+// eventAction is what is done with an event.
 type eventAction int
 
 const (
@@ -85,7 +85,7 @@
 	actionGap                 // pieces before it are missing
 )
 
-// follow decides on the event with that id. What the first server sends is passed on as it is.
+// decide decides on the event with that id. What the first server sends is passed on as it is.
 func (o *eventOrder) decide(id int64) eventAction {
 	switch {
 	case !o.hasLast:
--- a/internal/router/dataplane/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -5,7 +5,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// failure says how a call ended that did not bring the whole answer.
+// callFailure says how a call ended that did not bring the whole answer.
 type callFailure struct {
 	outcome  scheduler.Outcome
 	fate     fate
@@ -14,20 +14,20 @@
 	staleConnection bool
 }
 
-// spent tells whether the memory that the call named may have been taken.
+// handleConsumed tells whether the memory that the call named may have been taken.
 func (f *callFailure) handleConsumed() bool {
 	return f.fate == mayHaveRun || f.outcome == scheduler.HandleFailed
 }
 
-// gone hints that another incarnation has the server's address. A model server may as well have changed its
-// stage, so of those nothing is said.
+// reportReplaced hints that another incarnation has the server's address. A model server may as well have
+// changed its stage, so of those nothing is said.
 func (c *call) reportReplaced() {
 	if c.roundTrip.request.service.Engine == nil {
 		c.roundTrip.proxy.state.Gone(c.choice.Server.ID)
 	}
 }
 
-// rejection tells a server that could not fetch the memory from one that is full.
+// rejectionOutcome tells a server that could not fetch the memory from one that is full.
 func (c *call) rejectionOutcome(head *http1.Response) scheduler.Outcome {
 	load, ok := parseLoad(head.Header.Get(loadHeader))
 	full := ok && (load.Waiting > 0 || load.Running >= load.Slots)
--- a/internal/router/dataplane/front.go
+++ b/internal/router/dataplane/front.go
@@ -108,7 +108,7 @@
 // defaultLimits hold until a configuration is known. They are wider than any that are likely to be
 // configured: a request that the configuration may allow has to be answered 503, and not 413 or 431.
 var defaultLimits = fleetconfig.Limits{
-	MaxHeaderBytes: 64 << 10, MaxBodyBytes: http1.Largest, HeaderTimeout: 5 * time.Second,
+	MaxHeaderBytes: 64 << 10, MaxBodyBytes: http1.MaxBodyLength, HeaderTimeout: 5 * time.Second,
 	IdleTimeout: 30 * time.Second,
 }
 
@@ -140,7 +140,7 @@
 	go c.run()
 }
 
-// admit registers a client unless there are too many.
+// addClient registers a client unless there are too many.
 func (p *Proxy) addClient(c *client) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/dataplane/keep.go
+++ b/internal/router/dataplane/keep.go
@@ -23,13 +23,13 @@
 	return buffered
 }
 
-// keep holds an answer until it is whole. Where it is too large for that, or no memory is left, rest is true
-// and the body goes on.
+// bufferResponse holds an answer until it is whole. Where it is too large for that, or no memory is left,
+// rest is true and the body goes on.
 func bufferResponse(c *call, head *http1.Response, body *http1.Body) (buffered *bufferedResponse,
 	overflow bool, err error) {
 	buffered = &bufferedResponse{head: head}
 	c.conn.SetReadDeadline(c.bufferDeadline())
-	for !body.Whole() {
+	for !body.Complete() {
 		if len(buffered.body) == cap(buffered.body) && !c.roundTrip.client.growBuffer(buffered, body.Length()) {
 			return buffered, true, nil
 		}
--- a/internal/router/dataplane/observe.go
+++ b/internal/router/dataplane/observe.go
@@ -11,7 +11,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// ending is what became of a request in the end.
+// requestOutcome is what became of a request in the end.
 type requestOutcome string
 
 // The endings of a request.
@@ -188,7 +188,7 @@
 			Value: strconv.Itoa(int(allowed.window.Seconds()))})
 }
 
-// count returns how many connections to servers there are.
+// openCount returns how many connections to servers there are.
 func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/dataplane/patience.go
+++ b/internal/router/dataplane/patience.go
@@ -55,7 +55,7 @@
 
 func newPrefillTimes() *prefillTimes { return &prefillTimes{mean: map[string]time.Duration{}} }
 
-// note takes in how long a reading took, or how long it was waited for in vain.
+// record takes in how long a reading took, or how long it was waited for in vain.
 func (t *prefillTimes) record(service string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/router/dataplane/peak.go
+++ b/internal/router/dataplane/peak.go
@@ -9,13 +9,13 @@
 	slidingMaxBuckets = 6
 )
 
-// peak is the highest of a figure's values within the last slidingMaxWindow, or a little longer.
+// slidingMax is the highest of a figure's values within the last slidingMaxWindow, or a little longer.
 type slidingMax struct {
 	numbers [slidingMaxBuckets + 1]int64
 	values  [slidingMaxBuckets + 1]int
 }
 
-// note takes in a value and returns the highest that is remembered.
+// observe takes in a value and returns the highest that is remembered.
 func (p *slidingMax) observe(now time.Duration, value int) int {
 	number := int64(now/(slidingMaxWindow/slidingMaxBuckets)) + slidingMaxBuckets + 1
 	slot := number % int64(len(p.numbers))
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -65,17 +65,18 @@
 	return &pool{stats: stats, maxOpen: maxOpen, isListed: isListed, servers: map[string]*serverConnections{}}
 }
 
-// want is what a call asks of its connection.
+// connectionSpec is what a call asks of its connection.
 type connectionSpec struct {
 	server       *catalog.Server
 	maxPerServer int           // connections that this proxy may have to the server, 0 where there is no bound
 	maxIdle      time.Duration // the longest that the connection may have been idle
-	// request is the number of the client's request, 0 for one of the proxy's own. The connection must not have
-	// carried it before: a server that answers twice would answer the second call with the first one's answer.
+	// requestNumber is the number of the client's request, 0 for one of the proxy's own. The connection must not
+	// have carried it before: a server that answers twice would answer the second call with the first one's
+	// answer.
 	requestNumber uint64
 }
 
-// take returns a connection that is quiet: the one used last, or else a new one, which ctx bounds.
+// get returns a connection that is quiet: the one used last, or else a new one, which ctx bounds.
 func (p *pool) get(ctx context.Context, spec connectionSpec) (*connection, error) {
 	for {
 		c, err := p.reserve(spec, time.Now())
@@ -94,7 +95,7 @@
 	}
 }
 
-// suits tells whether an idle connection may carry the call.
+// suitable tells whether an idle connection may carry the call.
 func (c *connection) suitable(spec connectionSpec) bool {
 	repeated := spec.requestNumber != 0 && c.lastRequest == spec.requestNumber
 	return c.server == spec.server.ID && !repeated && c.fresh(spec, time.Now())
@@ -167,7 +168,7 @@
 	return &connection{socket: socket, server: spec.server.ID, lastRequest: spec.requestNumber}, nil
 }
 
-// keep takes a connection back for the next call; alive is how long the server keeps it.
+// put takes a connection back for the next call; alive is how long the server keeps it.
 func (p *pool) put(c *connection, keepAlive time.Duration) {
 	if keepAlive <= 0 || c.hasBufferedInput() {
 		p.discard(c)
@@ -184,7 +185,7 @@
 	p.scheduleSweep()
 }
 
-// drop closes a connection.
+// discard closes a connection.
 func (p *pool) discard(c *connection) {
 	c.Close()
 	c.returnBuffers()
--- a/internal/router/dataplane/receive.go
+++ b/internal/router/dataplane/receive.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/http1"
 )
 
-// refusal is the proxy's own answer to a request that is not passed on.
+// localReplyError is the proxy's own answer to a request that is not passed on.
 type localReplyError struct {
 	status          int
 	reason          string // one word for figures and logs; "" where a delivery tells the reason
@@ -41,11 +41,11 @@
 // initialBodyBuffer is what is taken at first for a body of unknown length.
 const initialBodyBuffer = 4 << 10
 
-// single are the fields that a request may hold only once: two sides might each heed another one.
+// singleFields are the fields that a request may hold only once: two sides might each heed another one.
 var singleFields = []string{"Host", tryIDHeader, lastEventHeader}
 
-// receive reads one request whole. The error is a *refusal where the client is to be told, and anything else
-// where the connection is over. The body's bytes have been taken from the budget.
+// readRequest reads one request whole. The error is a *refusal where the client is to be told, and anything
+// else where the connection is over. The body's bytes have been taken from the budget.
 func (c *client) readRequest() (*request, error) {
 	arrived := time.Now()
 	limits := c.proxy.limits()
@@ -67,9 +67,9 @@
 	return request, nil
 }
 
-// unreadable says what a client is told whose request could not be read.
+// readError says what a client is told whose request could not be read.
 func (c *client) readError(err error) error {
-	var malformed *http1.Malformed
+	var malformed *http1.MalformedError
 	var reply *localReplyError
 	switch {
 	case errors.As(err, &reply):
@@ -84,7 +84,7 @@
 }
 
 func (c *client) sendContinue(head *http1.Request) error {
-	if !head.Expects {
+	if !head.ExpectsContinue {
 		return nil
 	}
 	c.socket.SetWriteDeadline(time.Now().Add(localReplyWriteTime))
@@ -98,7 +98,7 @@
 	if body.Length() > int64(maxBytes) {
 		return errTooLarge
 	}
-	if body.Whole() {
+	if body.Complete() {
 		return nil
 	}
 	initialSize := initialBodyBuffer
@@ -122,7 +122,7 @@
 		c.socket.SetReadDeadline(deadline)
 		m, err := body.Read(q.Body[n:])
 		n += m
-		if body.Whole() {
+		if body.Complete() {
 			q.Body = q.Body[:n]
 			return checkBodySize(n, maxBytes)
 		}
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// grow makes room for more of a body.
+// growBody makes room for more of a body.
 func (c *client) growBody(q *request, size int) error {
 	if !c.proxy.bodies.Reserve(size - len(q.Body)) {
 		return errNoMemory
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -39,7 +39,7 @@
 	return r
 }
 
-// resume makes a request one for the rest of the stream, where a part has been passed on.
+// setResumePoint makes a request one for the rest of the stream, where a part has been passed on.
 func (r *relay) setResumePoint(message *http1.Request) *http1.Request {
 	if !r.started {
 		return message
@@ -55,7 +55,7 @@
 	return message
 }
 
-// answer passes on what a server answers. It returns nil where the client has it whole.
+// forwardResponse passes on what a server answers. It returns nil where the client has it whole.
 func (r *relay) forwardResponse(c *call, head *http1.Response, body *http1.Body) *callFailure {
 	traits := c.responseTraits(head, body)
 	class := classify(traits)
@@ -87,7 +87,8 @@
 	return c.brokenFailure()
 }
 
-// pass sends the client an answer that is held whole, or as far as it is held and then the rest as it comes.
+// forwardBody sends the client an answer that is held whole, or as far as it is held and then the rest as it
+// comes.
 func (r *relay) forwardBody(c *call, buffered *bufferedResponse, body *http1.Body,
 	overflow bool) *callFailure {
 	if !overflow {
@@ -95,11 +96,11 @@
 		return nil
 	}
 	response := r.clientHead(buffered.head)
-	response.Streams, response.Length, response.Body = true, body.Length(), buffered.body
+	response.Streaming, response.Length, response.Body = true, body.Length(), buffered.body
 	r.started, r.hasUnnumbered = true, true
 	r.client.recordResponse()
 	c.conn.SetReadDeadline(r.request.hardDeadline)
-	out, err := response.Begin(r.client.socket.writer(), r.request.Old)
+	out, err := response.Begin(r.client.socket.writer(), r.request.HTTP10)
 	buffer := make([]byte, bufferSize)
 	for err == nil {
 		var n int
@@ -107,7 +108,7 @@
 		if n > 0 {
 			_, err = out.Write(buffer[:n])
 		}
-		if body.Whole() {
+		if body.Complete() {
 			c.recordBodyEnd()
 			r.recordComplete(r.closeBody(out) && !response.Close)
 			return nil
@@ -120,7 +121,7 @@
 	return out.Close() == nil && r.client.socket.writer().Flush() == nil
 }
 
-// finish notes that the answer was sent to its end.
+// recordComplete notes that the answer was sent to its end.
 func (r *relay) recordComplete(keepAlive bool) {
 	r.started, r.complete, r.keepAlive = true, true, keepAlive
 	r.client.proxy.counters.forwarded.Add(1)
@@ -141,7 +142,7 @@
 	return response.Write(out) == nil && out.Flush() == nil && !response.Close
 }
 
-// head is a server's head as the client gets it.
+// clientHead is a server's head as the client gets it.
 func (r *relay) clientHead(from *http1.Response) *http1.Response {
 	response := &http1.Response{Status: from.Status, Bodiless: from.Bodiless, Length: from.Length}
 	response.Header = from.Header.EndToEnd()
--- a/internal/router/dataplane/request.go
+++ b/internal/router/dataplane/request.go
@@ -68,7 +68,7 @@
 // writeDeadline is when the client must have let its answer in.
 func (q *request) writeDeadline() time.Time { return q.deadline.Add(writeGrace) }
 
-// deadline reads Cresshub-Deadline-Ms.
+// parseDeadline reads Cresshub-Deadline-Ms.
 func parseDeadline(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
@@ -139,14 +139,14 @@
 	return scheduler.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// ours are the fields that the system sets at servers; what a client sends in them goes no further. It could
-// have its request read in place of run, take another one's memory, go before others, or be rejected by every
-// server at the cost of the retry budget.
+// reservedFields are the fields that the system sets at servers; what a client sends in them goes no further.
+// It could have its request read in place of run, take another one's memory, go before others, or be rejected
+// by every server at the cost of the retry budget.
 var reservedFields = []string{deadlineHeader, expectServerHeader, stageHeader, kvFromHeader, priorityHeader,
 	expectVersionHeader}
 
-// lasting are the fields that reach the server whatever a client's Connection says of them: without one of
-// them the server would run another request than the client's.
+// protectedFields are the fields that reach the server whatever a client's Connection says of them: without
+// one of them the server would run another request than the client's.
 var protectedFields = []string{"Host", tryIDHeader, lastEventHeader, modelHeader, tokensHeader, prefixHeader}
 
 // forwardedHeader returns the fields that every call of the request carries.
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -20,10 +20,10 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// patience bounds every wait of a test; no verdict depends on how much of it is used.
+// testTimeout bounds every wait of a test; no verdict depends on how much of it is used.
 const testTimeout = 20 * time.Second
 
-// place is a route of a test; its name is the first part of its path.
+// testRoute is a route of a test; its name is the first part of its path.
 type testRoute struct {
 	name, kind, service string
 	tries               int
@@ -151,13 +151,13 @@
 	return catalog.NewTable(1, all)
 }
 
-// settled waits until every call has ended and checks that each ended once.
+// awaitCallsEnded waits until every call has ended and checks that each ended once.
 func (r *rig) awaitCallsEnded() {
 	r.Helper()
 	r.eventually("each call ends once", r.chooser.paired)
 }
 
-// until waits for what happens on other goroutines.
+// eventually waits for what happens on other goroutines.
 func (r *rig) eventually(what string, holds func() bool) {
 	r.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); runtime.Gosched() {
@@ -167,7 +167,7 @@
 	}
 }
 
-// person is a client.
+// testClient is a client.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
@@ -213,7 +213,7 @@
 		return nil, err
 	}
 	head.Body, err = io.ReadAll(body)
-	if err == nil && !body.Whole() {
+	if err == nil && !body.Complete() {
 		err = io.ErrUnexpectedEOF
 	}
 	return head, err
--- a/internal/router/dataplane/servers_test.go
+++ b/internal/router/dataplane/servers_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// silence answers nothing and waits for the other side to end the connection, which the request's channel
+// neverAnswer answers nothing and waits for the other side to end the connection, which the request's channel
 // tells.
 func neverAnswer(ended chan<- string) handler {
 	return func(q *http1.Request, w io.Writer) bool {
--- a/internal/router/dataplane/socket.go
+++ b/internal/router/dataplane/socket.go
@@ -41,7 +41,7 @@
 	extender deadlineExtender // asked when the read deadline has passed; may be nil
 }
 
-// waiter decides on what to do about silence.
+// deadlineExtender decides on what to do about silence.
 type deadlineExtender interface {
 	// extendReadDeadline tells whether to read on; then it has set a later deadline.
 	extendReadDeadline() bool
@@ -94,7 +94,7 @@
 	return s.out
 }
 
-// rest gives back the buffers that hold nothing. No body may be under way through them.
+// returnEmptyBuffers gives back the buffers that hold nothing. No body may be under way through them.
 func (s *socket) returnEmptyBuffers() {
 	if s.in != nil && s.in.Buffered() == 0 {
 		s.returnReader()
@@ -104,7 +104,7 @@
 	}
 }
 
-// release gives back the buffers, whatever they hold, of a connection that is over.
+// returnBuffers gives back the buffers, whatever they hold, of a connection that is over.
 func (s *socket) returnBuffers() {
 	if s.in != nil {
 		s.returnReader()
@@ -132,7 +132,7 @@
 // quiet tells whether nothing waits to be read, neither here nor in the system: no byte and no end.
 func (s *socket) quiet() bool { return !s.hasBufferedInput() && s.readState() == notReadable }
 
-// sight is what a look at the system's side of a connection shows.
+// readState is what a look at the system's side of a connection shows.
 type readState int
 
 const (
@@ -141,7 +141,7 @@
 	readClosed // the other side has ended its sending, or the connection is broken
 )
 
-// look tells what waits in the system, and leaves it there.
+// readState tells what waits in the system, and leaves it there.
 func (s *socket) readState() readState {
 	state := readClosed
 	err := s.raw.Control(func(fd uintptr) { state = peek(fd) })
@@ -167,8 +167,8 @@
 	}
 }
 
-// await waits until bytes or an end can be read, and leaves them in the system. It returns nothing where the
-// read deadline passed.
+// awaitReadable waits until bytes or an end can be read, and leaves them in the system. It returns nothing
+// where the read deadline passed.
 func (s *socket) awaitReadable() readState {
 	state := notReadable
 	err := s.raw.Read(func(fd uintptr) bool {
--- a/internal/router/dataplane/split.go
+++ b/internal/router/dataplane/split.go
@@ -45,7 +45,7 @@
 	return true
 }
 
-// read makes the call that has the prompt read.
+// prefill makes the call that has the prompt read.
 func (c *call) prefill() *callFailure {
 	f := c.connect()
 	if f != nil {
--- a/internal/router/dataplane/split_test.go
+++ b/internal/router/dataplane/split_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// freed is how many calls to free a handle came.
+// releasedHandles is how many calls to free a handle came.
 func releasedHandles(readers []*server) (count int) {
 	for _, s := range readers {
 		for _, q := range s.got() {
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -22,8 +22,8 @@
 	return strings.EqualFold(strings.TrimSpace(kind), eventStreamType)
 }
 
-// stream passes on events as they arrive, each one whole. Where it ends early the events that the client has
-// are the first ones of the stream, without a gap.
+// forwardStream passes on events as they arrive, each one whole. Where it ends early the events that the
+// client has are the first ones of the stream, without a gap.
 func (r *relay) forwardStream(c *call, head *http1.Response, body *http1.Body) *callFailure {
 	r.events.reset()
 	if r.started {
@@ -39,10 +39,10 @@
 		if f := r.forwardEvents(c, head); f != nil {
 			return f
 		}
-		if body.Whole() {
+		if body.Complete() {
 			return r.endStream(c, head, body)
 		}
-		if err == nil && body.Ready() && len(r.events.partial()) <= maxEventBytes {
+		if err == nil && body.Buffered() && len(r.events.partial()) <= maxEventBytes {
 			continue
 		}
 		if r.flush() != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// forward writes the events that are whole.
+// forwardEvents writes the events that are whole.
 func (r *relay) forwardEvents(c *call, head *http1.Response) *callFailure {
 	for event := r.events.next(); event != nil; event = r.events.next() {
 		if f := r.forwardEvent(c, head, event); f != nil {
@@ -100,7 +100,7 @@
 	r.lastForwarded = id
 }
 
-// begin sends the head with the first event of the first server.
+// startResponse sends the head with the first event of the first server.
 func (r *relay) startResponse(c *call, head *http1.Response) error {
 	if r.started {
 		return nil
@@ -109,11 +109,11 @@
 	c.roundTrip.proxy.chooser.firstEvent(c.choice)
 	r.replaceable = c.roundTrip.mayRetry()
 	response := r.clientHead(head)
-	response.Streams, response.Length = true, -1
+	response.Streaming, response.Length = true, -1
 	var err error
 	r.started = true
 	r.client.recordResponse()
-	r.out, err = response.Begin(r.client.socket.writer(), r.request.Old)
+	r.out, err = response.Begin(r.client.socket.writer(), r.request.HTTP10)
 	r.keepAlive = !response.Close
 	return err
 }
--- a/internal/router/dataplane/tickets.go
+++ b/internal/router/dataplane/tickets.go
@@ -20,7 +20,7 @@
 	releaseTimeout = time.Second
 )
 
-// ticket names the memory of a prompt at the server that has read it. It is used for its own request alone.
+// kvHandle names the memory of a prompt at the server that has read it. It is used for its own request alone.
 type kvHandle struct {
 	server    *catalog.Server
 	id        string
@@ -113,7 +113,7 @@
 	if err == nil {
 		_, err = io.CopyN(io.Discard, body, maxBufferedResponse)
 	}
-	if err != io.EOF || !body.Whole() {
+	if err != io.EOF || !body.Complete() {
 		r.pool.discard(conn)
 		return
 	}
--- a/internal/router/dataplane/trouble_test.go
+++ b/internal/router/dataplane/trouble_test.go
@@ -17,7 +17,7 @@
 // lastPiece is how many pieces each stream of the troubled servers has.
 const lastPiece = 6
 
-// troubled are servers that do anything a server in trouble may do, and note what ran.
+// faultyModel are servers that do anything a server in trouble may do, and note what ran.
 type faultyModel struct {
 	mu       sync.Mutex
 	random   *rand.Rand
@@ -174,7 +174,8 @@
 	return kept && x.draw(6) > 0
 }
 
-// tries sends requests one after the other, each on the connection of the one before where it is still good.
+// sendRequests sends requests one after the other, each on the connection of the one before where it is still
+// good.
 func (x *faultyModel) sendRequests(r *rig, name string, count int, check func(id, route string, got result)) {
 	routes := []string{"safe", "unsafe", "stream", "firm", "model", "modelfirm", "single"}
 	p := &testClient{C: r.C}
--- a/internal/router/dataplane/upload.go
+++ b/internal/router/dataplane/upload.go
@@ -13,8 +13,8 @@
 // that it waits for the server's process to read.
 const largeBodySize = 32 << 10
 
-// write sends a message. While a large one waits for its server to read on, an answer may come before: then
-// what is still to be sent has little time left, and the connection ends with the answer.
+// writeRequest sends a message. While a large one waits for its server to read on, an answer may come before:
+// then what is still to be sent has little time left, and the connection ends with the answer.
 func (c *call) writeRequest(message *http1.Request) error {
 	large := len(message.Body) >= largeBodySize
 	c.conn.setUnackedTimeout(large, c.roundTrip.timeLeft())
@@ -78,7 +78,7 @@
 	return c.Conn.Close()
 }
 
-// unsent is how many bytes wait in the system for the other side to take them.
+// unsentBytes is how many bytes wait in the system for the other side to take them.
 func (s *socket) unsentBytes() (bytes int) {
 	_ = s.raw.Control(func(fd uintptr) {
 		bytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) // where it can't be told nothing is known to wait
--- a/internal/router/dataplane/verdict.go
+++ b/internal/router/dataplane/verdict.go
@@ -30,7 +30,7 @@
 	return 502
 }
 
-// verdict is what is done with a server's answer.
+// responseClass is what is done with a server's answer.
 type responseClass int
 
 const (
@@ -41,7 +41,7 @@
 	classUnusable                         // not to be passed on, and nothing says that the request did not run
 )
 
-// traits is what a verdict rests on.
+// responseTraits is what a verdict rests on.
 type responseTraits struct {
 	status       int
 	notRun       bool // it carries Cresshub-Not-Run
@@ -70,7 +70,7 @@
 	return classForward
 }
 
-// outcomes tells the decisions how a call with such an answer ended.
+// outcomeOfClass tells the decisions how a call with such an answer ended.
 var outcomeOfClass = map[responseClass]scheduler.Outcome{
 	classForward: scheduler.Served, classRejected: scheduler.Rejected, classMisdirected: scheduler.Misdirected,
 	classServerError: scheduler.Failed,
--- a/internal/router/dataplane/watch.go
+++ b/internal/router/dataplane/watch.go
@@ -10,15 +10,15 @@
 // end.
 const pollInterval = 100 * time.Millisecond
 
-// watcher notices that a client leaves while its request is under way.
+// disconnectWatcher notices that a client leaves while its request is under way.
 type disconnectWatcher struct {
 	socket   *socket
 	stopping chan struct{} // closed when the watch is to end
 	done     chan struct{} // closed when it has ended
 }
 
-// watch calls left once when the client ends its sending or the connection breaks. It takes nothing out of
-// the connection.
+// watchDisconnect calls left once when the client ends its sending or the connection breaks. It takes nothing
+// out of the connection.
 func watchDisconnect(s *socket, onDisconnect func()) *disconnectWatcher {
 	w := &disconnectWatcher{socket: s, stopping: make(chan struct{}), done: make(chan struct{})}
 	s.SetReadDeadline(time.Time{})
@@ -31,7 +31,7 @@
 	return w
 }
 
-// leaves waits until the client leaves, or until the watch ends, and tells which.
+// awaitDisconnect waits until the client leaves, or until the watch ends, and tells which.
 func (w *disconnectWatcher) awaitDisconnect() bool {
 	if !w.socket.hasBufferedInput() {
 		if state := w.socket.awaitReadable(); state != readable {
--- a/internal/router/fleetconfig/fleetconfig.go
+++ b/internal/router/fleetconfig/fleetconfig.go
@@ -45,7 +45,7 @@
 // Idempotent tells whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
-// names tells whether a service is one of the route's targets.
+// hasTarget tells whether a service is one of the route's targets.
 func (r *Route) hasTarget(service string) bool {
 	for _, target := range r.Targets {
 		if target.Service == service {
@@ -90,9 +90,10 @@
 	Limits   Limits
 
 	routeIndex routeIndex
-	// parsed are the routes of a whole document in their order; a patched configuration has them in its layout.
+	// parsedRoutes are the routes of a whole document in their order; a patched configuration has them in its
+	// layout.
 	parsedRoutes []*Route
-	// values is how many JSON values the document holds.
+	// valueCount is how many JSON values the document holds.
 	valueCount int
 	// patch is what made this version of another one, nil for a whole document.
 	patch *Patch
--- a/internal/router/fleetconfig/layout.go
+++ b/internal/router/fleetconfig/layout.go
@@ -22,7 +22,7 @@
 	// fields are the document's fields in their order. Those of version and lists hold no text.
 	fields           []field
 	routes, services itemList
-	// added is how many fields the document lacked.
+	// addedFields is how many fields the document lacked.
 	addedFields int
 }
 
@@ -46,7 +46,7 @@
 	route *Route // of a route
 }
 
-// ambiguous stands for the place of a name that two items have.
+// ambiguousPosition stands for the place of a name that two items have.
 const ambiguousPosition = ^uint64(0)
 
 func positionKey(position uint64) []byte { return binary.BigEndian.AppendUint64(nil, position) }
@@ -121,7 +121,7 @@
 	}
 }
 
-// cut returns the layout of the document, made at its first use.
+// splitLayout returns the layout of the document, made at its first use.
 func (c *Config) splitLayout() *layout {
 	c.layoutOnce.Do(func() {
 		if c.layout == nil {
@@ -157,7 +157,7 @@
 	return l
 }
 
-// complete adds the fields of the lists where the document has none.
+// addMissingLists adds the fields of the lists where the document has none.
 func (l *layout) addMissingLists() {
 	has := map[string]bool{}
 	for _, entry := range l.fields {
--- a/internal/router/fleetconfig/patch.go
+++ b/internal/router/fleetconfig/patch.go
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// application is a patch that is being applied.
+// patchApplication is a patch that is being applied.
 type patchApplication struct {
 	base              *Config
 	deliver, withdraw jsondoc.Node
@@ -215,7 +215,7 @@
 	a.layout.routes, a.routeIndex = itemsTxn.commit(), routeIndex{matchTxn.Commit()}
 }
 
-// forget takes the values of the item of a name off the sum and returns that item, if there is one. A name
+// discount takes the values of the item of a name off the sum and returns that item, if there is one. A name
 // that several items have is rejected.
 func (a *patchApplication) discount(txn *itemListTxn, node jsondoc.Node, name string) item {
 	entry, exists, unique := txn.find(name)
@@ -229,7 +229,7 @@
 	return entry
 }
 
-// add puts an item that is delivered into a list.
+// put puts an item that is delivered into a list.
 func (a *patchApplication) put(txn *itemListTxn, entry item) {
 	a.valueCount += countValues(entry)
 	txn.put(entry)
--- a/internal/router/latereport/calllog.go
+++ b/internal/router/latereport/calllog.go
@@ -16,7 +16,7 @@
 	outcomeServed = "served"
 )
 
-// message marks the lines of calls.
+// callMessage marks the lines of calls.
 const callMessage = "front: call"
 
 // maxLineBytes bounds a line in bytes; longer ones are no lines of a proxy.
--- a/internal/router/latereport/summary.go
+++ b/internal/router/latereport/summary.go
@@ -68,7 +68,7 @@
 	return s
 }
 
-// add counts a request that was answered.
+// addRequest counts a request that was answered.
 func (s *Summary) addRequest(routes map[string]*Route, calls request, firstPrefills map[string]Call) {
 	last := calls[len(calls)-1]
 	if last.Role == rolePrefill || last.Outcome != outcomeServed {
@@ -95,7 +95,7 @@
 	return c.DurationMs
 }
 
-// cause is the largest part of a request's time.
+// mainCause is the largest part of a request's time.
 func (s *Summary) mainCause(calls request, firstPrefills map[string]Call) Cause {
 	last, msByCause := calls[len(calls)-1], map[Cause]float64{}
 	msByCause[CauseDecode] = last.firstOutputMs()
--- a/internal/router/roleplan/stageplan.go
+++ b/internal/router/roleplan/stageplan.go
@@ -25,7 +25,7 @@
 	// busyPrefillCalls is how many calls a reader has on average, waiting ones included, from which on no reader
 	// is taken away: prompts that wait to be read hold up the tokens that more writers were to make.
 	busyPrefillCalls = 1.5
-	// tolerance is by how many servers the parts may miss what is wanted while requests come.
+	// toleratedSurplus is by how many servers the parts may miss what is wanted while requests come.
 	toleratedSurplus = 1
 )
 
@@ -92,7 +92,7 @@
 	return chooseServers(servers, from, to, min(surplus, capacity))
 }
 
-// choose takes the servers to change from the zones that have most of their stage.
+// chooseServers takes the servers to change from the zones that have most of their stage.
 func chooseServers(servers []Server, from, to catalog.Role, count int) []Order {
 	var orders []Order
 	remaining := map[string]int{}
--- a/internal/router/scheduler/affinity.go
+++ b/internal/router/scheduler/affinity.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// ranked is k, the number of servers that a prompt which shares parts with others may go to at least. One
-	// more would take load off the others for a moment and bring them a second reading of the same parts later.
+	// minAffinityServers is k, the number of servers that a prompt which shares parts with others may go to at
+	// least. One more would take load off the others for a moment and bring them a second reading of the same
+	// parts later.
 	minAffinityServers = 2
 	// firstPrefillDivisor is the part of the readers, as its inverse, that a prompt may go to which no reader
 	// holds: it is read for the first time wherever that is, so that more choices cost nothing but a second
@@ -13,8 +14,8 @@
 	firstPrefillDivisor = 4
 )
 
-// affine returns the servers that a prompt may go to, and the n of what arrives. A prompt that shares nothing
-// may go to any server.
+// prefixAffinity returns the servers that a prompt may go to, and the n of what arrives. A prompt that shares
+// nothing may go to any server.
 //
 // Readers: those that rank first among the servers that hold what it shares, as proxies tell each other, then
 // among the others; where none holds it, the part of the readers that ranks first, and since other prompts
@@ -70,7 +71,7 @@
 	}
 }
 
-// before tells whether a server ranks before another one.
+// ranksBefore tells whether a server ranks before another one.
 func (c *candidate) ranksBefore(other *candidate) bool {
 	if c.cachesPrefix != other.cachesPrefix {
 		return c.cachesPrefix
@@ -78,7 +79,7 @@
 	return c.score > other.score
 }
 
-// raise moves the server that ranks first from place i on to place i.
+// selectBest moves the server that ranks first from place i on to place i.
 func selectBest(all []candidate, i int) {
 	best := i
 	for j := i + 1; j < len(all); j++ {
@@ -89,7 +90,7 @@
 	all[i], all[best] = all[best], all[i]
 }
 
-// assume takes the first-ranked servers to hold all that is shared. Other proxies have probably sent it
+// assumeCached takes the first-ranked servers to hold all that is shared. Other proxies have probably sent it
 // there, and where none has, reading it there is of use to the next request, and anywhere else it is not.
 func assumeCached(first []candidate, chain *prefixChain, shared int) {
 	for i := range first {
@@ -97,8 +98,8 @@
 	}
 }
 
-// holders moves servers behind the first k to their end that are known to hold nearly all of the prompt, and
-// returns the new k.
+// appendCached moves servers behind the first k to their end that are known to hold nearly all of the prompt,
+// and returns the new k.
 func appendCached(all []candidate, k int) int {
 	for i := k; i < len(all); i++ {
 		if all[i].uncachedTokens <= maxDirectUncached {
@@ -109,7 +110,7 @@
 	return k
 }
 
-// price fills in what the prompt costs at each server.
+// estimateCost fills in what the prompt costs at each server.
 func (s *Scheduler) estimateCost(pool *servicePool, role Role, all []candidate) {
 	for i := range all {
 		candidate := &all[i]
--- a/internal/router/scheduler/affinity_test.go
+++ b/internal/router/scheduler/affinity_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// settled is a chooser at 10 s whose servers are known, idle and as fast as guessed.
+// warmScheduler is a chooser at 10 s whose servers are known, idle and as fast as guessed.
 func warmScheduler(seed uint64, readers, writers int) *Scheduler {
 	return warmUp(modelScheduler(seed, readers, writers), 0)
 }
@@ -26,7 +26,7 @@
 	}
 }
 
-// ranks returns the readers in the order in which a prompt prefers them.
+// rankedPrefillServers returns the readers in the order in which a prompt prefers them.
 func rankedPrefillServers(c *Scheduler, r *Request) []string {
 	chain := newPrefixChain(r)
 	name, _, _ := chain.shared()
@@ -42,7 +42,7 @@
 	return ids
 }
 
-// where counts to which servers many proxies that know the same would send a request.
+// destinations counts to which servers many proxies that know the same would send a request.
 func destinations(now time.Duration, r *Request, role Role, prepare func(c *Scheduler)) map[string]int {
 	counts := map[string]int{}
 	for seed := range uint64(200) {
--- a/internal/router/scheduler/age.go
+++ b/internal/router/scheduler/age.go
@@ -21,7 +21,7 @@
 	utilizationMargin  = 1.25
 )
 
-// age is T in ms.
+// meanReportAge is T in ms.
 func meanReportAge(now time.Duration, service float64, candidates []candidate) float64 {
 	if len(candidates) == 0 {
 		return 0
@@ -38,12 +38,12 @@
 	return sum / float64(len(candidates))
 }
 
-// load is λ.
+// assumedUtilization is λ.
 func assumedUtilization(observed *movingMean) float64 {
 	return min(1, max(minUtilization, utilizationMargin*observed.value))
 }
 
-// arrivals is arrive.
+// expectedArrivals is arrive.
 func expectedArrivals(now time.Duration, pool *servicePool, role Role, candidates []candidate,
 	arrivalServers int) float64 {
 	service := pool.serviceTime(role, 0)
--- a/internal/router/scheduler/crowded.go
+++ b/internal/router/scheduler/crowded.go
@@ -27,7 +27,7 @@
 	return len(s.candidates) > 0, free
 }
 
-// wait is the shortest wait for a place at the servers of a role.
+// slotDelay is the shortest wait for a place at the servers of a role.
 func (s *Scheduler) slotDelay(
 	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain,
 ) (time.Duration, bool) {
--- a/internal/router/scheduler/draw_test.go
+++ b/internal/router/scheduler/draw_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// drawn counts how often each candidate is drawn.
+// drawCounts counts how often each candidate is drawn.
 func drawCounts(levels []float64, arrive float64, n int) []float64 {
 	c := New("z0", 7)
 	var all []candidate
--- a/internal/router/scheduler/eligible.go
+++ b/internal/router/scheduler/eligible.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// patience is how long after its rest a server on probation gets requests that must not run twice, where no
-// other request has tried it before.
+// nonIdempotentProbeDelay is how long after its rest a server on probation gets requests that must not run
+// twice, where no other request has tried it before.
 const nonIdempotentProbeDelay = 3 * time.Second
 
 // eligible returns the servers that may take the call, with their queues and what they would have to read.
@@ -67,8 +67,8 @@
 	return available
 }
 
-// well tells whether a server may get a request: it does not rest, and where it failed before, the request
-// may try it.
+// available tells whether a server may get a request: it does not rest, and where it failed before, the
+// request may try it.
 func (s *serverState) available(now time.Duration, idempotent bool) bool {
 	if now < s.ejectedUntil() {
 		return false
--- a/internal/router/scheduler/fit.go
+++ b/internal/router/scheduler/fit.go
@@ -9,9 +9,8 @@
 	minGuessFraction   = 0.05 // of the guess, what base and slope cannot fall below
 )
 
-// fit is a straight line y = base + slope·x through samples, of which older ones count less. It starts from
-// a
-// guess.
+// linearFit is a straight line y = base + slope·x through samples, of which older ones count less. It starts
+// from a guess.
 type linearFit struct {
 	base, slope         float64
 	minBase, minSlope   float64
@@ -76,7 +75,7 @@
 
 const meanWindow = 60 // samples that the means of a pool remember
 
-// mean follows a quantity over about as many samples as it is told to remember.
+// movingMean follows a quantity over about as many samples as it is told to remember.
 type movingMean struct{ value, samples float64 }
 
 func (m *movingMean) add(x, window float64) {
--- a/internal/router/scheduler/level.go
+++ b/internal/router/scheduler/level.go
@@ -26,12 +26,13 @@
 const (
 	decayServiceTimes = 2.0 // mean service times in which a lone figure loses most of its say
 
-	// reread weighs reading again what another server holds: beside its time it takes of the readers' common
-	// capacity, so that all other requests wait for longer, drives other parts out of memory, leaves a copy
-	// that no other proxy looks for, and has a price. docs/design/routing.md has the weights tried.
+	// recomputeWeight weighs reading again what another server holds: beside its time it takes of the readers'
+	// common capacity, so that all other requests wait for longer, drives other parts out of memory, leaves a
+	// copy that no other proxy looks for, and has a price. docs/design/routing.md has the weights tried.
 	recomputeWeight = 4.0
 
-	// direct weighs reading at a writer: its pieces go between the tokens of other requests and delay them.
+	// directPrefillWeight weighs reading at a writer: its pieces go between the tokens of other requests and
+	// delay them.
 	directPrefillWeight = 2.5
 	decodePrefillFactor = 2.0 // times as long as a reader a writer takes to read
 )
@@ -83,7 +84,7 @@
 
 const baselinePrior = 3.0 // figures that the mean of all servers counts for in a server's usual load
 
-// measure fills in the queue of a candidate.
+// estimateQueue fills in the queue of a candidate.
 func (p *servicePool) estimateQueue(now time.Duration, role Role, average float64, c *candidate) {
 	parallel := c.slots()
 	if role == Prefill {
--- a/internal/router/scheduler/near.go
+++ b/internal/router/scheduler/near.go
@@ -6,8 +6,8 @@
 // before those join them.
 const zoneMargin = 0.5
 
-// near returns the writers in the zone of the reader that holds the memory, and all where those are fewer
-// than two or busier than the others by more than a margin. Each costs the time of the move.
+// preferZone returns the writers in the zone of the reader that holds the memory, and all where those are
+// fewer than two or busier than the others by more than a margin. Each costs the time of the move.
 func (s *Scheduler) preferZone(pool *servicePool, all []candidate, chain *prefixChain,
 	prefillServer *catalog.Server) []candidate {
 	zone := s.zone
--- a/internal/router/scheduler/near_checker_test.go
+++ b/internal/router/scheduler/near_checker_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// near checks that a number lies within a distance of another.
+// isNear checks that a number lies within a distance of another.
 var isNear qt.Checker = &nearChecker{}
 
 type nearChecker struct{}
--- a/internal/router/scheduler/pairing_test.go
+++ b/internal/router/scheduler/pairing_test.go
@@ -41,7 +41,7 @@
 	return c
 }
 
-// warm lets the servers be known, calm and no longer new at 10 s.
+// warmUp lets the servers be known, calm and no longer new at 10 s.
 func warmUp(c *Scheduler, now time.Duration) *Scheduler {
 	c.Split(0, prompted("warm", 0))
 	for id := range c.servers {
--- a/internal/router/scheduler/pool.go
+++ b/internal/router/scheduler/pool.go
@@ -18,11 +18,11 @@
 	initialServiceMs            = 60.0     // ms of a request that is no model's
 )
 
-// waited is how much a read counts that took longer than its line says: it has probably waited behind reads
-// that nobody told of, and waiting only ever adds.
+// queuedSampleWeight is how much a read counts that took longer than its line says: it has probably waited
+// behind reads that nobody told of, and waiting only ever adds.
 const queuedSampleWeight = 0.05
 
-// pool is what is known of the servers of a service as a whole.
+// servicePool is what is known of the servers of a service as a whole.
 type servicePool struct {
 	popularity    popularity
 	peerLoadKnown bool    // other proxies tell what they have under way
@@ -56,7 +56,7 @@
 	}
 }
 
-// fill makes the lists from a table.
+// setTable makes the lists from a table.
 func (p *servicePool) setTable(now time.Duration, table *catalog.Table, servers map[string]*serverState) {
 	p.table, p.plainServers, p.prefillServers, p.decodeServers = table, p.plainServers[:0],
 		p.prefillServers[:0], p.decodeServers[:0]
@@ -78,7 +78,7 @@
 	}
 }
 
-// of returns the servers that may take calls of a role.
+// serversFor returns the servers that may take calls of a role.
 func (p *servicePool) serversFor(role Role) []*serverState {
 	switch {
 	case p.service.Engine == nil:
@@ -89,7 +89,7 @@
 	return p.decodeServers
 }
 
-// use is the mean that follows λ for a role.
+// utilization is the mean that follows λ for a role.
 func (p *servicePool) utilization(role Role) *movingMean {
 	if role == Prefill {
 		return &p.prefillUtilization
--- a/internal/router/scheduler/popularity.go
+++ b/internal/router/scheduler/popularity.go
@@ -21,7 +21,7 @@
 	p.count++
 }
 
-// share is the part of the last prompts that had the name, 0 until enough have come to tell.
+// fraction is the part of the last prompts that had the name, 0 until enough have come to tell.
 func (p *popularity) fraction(name uint64) float64 {
 	if p.count < recentPrompts {
 		return 0
@@ -35,8 +35,8 @@
 	return float64(same) / recentPrompts
 }
 
-// width is k: how many of so many servers a prompt may go to. One that makes up a large part of all prompts
-// needs as large a part of the servers.
+// affinityServers is k: how many of so many servers a prompt may go to. One that makes up a large part of all
+// prompts needs as large a part of the servers.
 func (p *popularity) affinityServers(name uint64, servers int) int {
 	wanted := int(math.Ceil(popularMargin * p.fraction(name) * float64(servers)))
 	return min(max(minAffinityServers, wanted), servers)
--- a/internal/router/scheduler/prefix.go
+++ b/internal/router/scheduler/prefix.go
@@ -7,8 +7,8 @@
 	maxPrefixEntries = 8192 // parts of prompts that a proxy remembers the holders of
 )
 
-// prompt is a request's prompt as a chain of parts: a part can be reused only with all before it, so that its
-// name is the hash of them all.
+// prefixChain is a request's prompt as a chain of parts: a part can be reused only with all before it, so
+// that its name is the hash of them all.
 type prefixChain struct {
 	hashes           [maxChainSegments]uint64 // of the chain up to each part
 	cumulativeTokens [maxChainSegments]int    // tokens of the chain up to each part
@@ -47,8 +47,8 @@
 	return x ^ x>>31
 }
 
-// score is a server's rank for a name by rendezvous hashing: all proxies rank alike, and a change of the
-// servers moves only the names of those that came or went.
+// rendezvousScore is a server's rank for a name by rendezvous hashing: all proxies rank alike, and a change
+// of the servers moves only the names of those that came or went.
 func rendezvousScore(server, name uint64) uint64 { return mix(mix(server) ^ name) }
 
 type prefixKey struct{ server, hash uint64 }
@@ -58,7 +58,7 @@
 	newer, older int32
 }
 
-// holdings remembers which servers hold which parts, the most recently used ones: a list from newest to
+// prefixIndex remembers which servers hold which parts, the most recently used ones: a list from newest to
 // oldest in a ring around entry 0.
 type prefixIndex struct {
 	index   map[prefixKey]int32
@@ -70,7 +70,7 @@
 	return &prefixIndex{index: map[prefixKey]int32{}, entries: make([]prefixEntry, 1), limit: limit}
 }
 
-// tokens returns how much of a prompt a server is known to hold.
+// cachedTokens returns how much of a prompt a server is known to hold.
 func (h *prefixIndex) cachedTokens(server uint64, p *prefixChain) int {
 	for i := p.length - 1; i >= 0; i-- {
 		if _, ok := h.index[prefixKey{server, p.hashes[i]}]; ok {
@@ -80,8 +80,8 @@
 	return 0
 }
 
-// note remembers that a server holds a prompt from now on, and returns how many of its parts it was known to
-// hold before.
+// record remembers that a server holds a prompt from now on, and returns how many of its parts it was known
+// to hold before.
 func (h *prefixIndex) record(server uint64, p *prefixChain) int {
 	before := 0
 	for i := range p.length {
--- a/internal/router/scheduler/server.go
+++ b/internal/router/scheduler/server.go
@@ -19,7 +19,7 @@
 	warmUpWeight       = 0.5             // of a server's usual share while it is cold
 )
 
-// server is what is known of one server.
+// serverState is what is known of one server.
 type serverState struct {
 	*catalog.Server
 	hash     uint64
@@ -52,7 +52,7 @@
 	return &serverState{Server: s, hash: serverHash(s.ID), listedAt: now, warmAt: now + s.WarmUp, speed: 1}
 }
 
-// list takes in what the newest table says of the server.
+// updateListing takes in what the newest table says of the server.
 func (s *serverState) updateListing(now time.Duration, newer *catalog.Server) {
 	if newer.Sequence != s.Sequence {
 		s.warmAt = now + newer.WarmUp
@@ -60,8 +60,8 @@
 	s.Server = newer
 }
 
-// tell takes in a load that the server told at a time, where it told no newer one: what of it is not this
-// proxy's own calls.
+// recordReport takes in a load that the server told at a time, where it told no newer one: what of it is not
+// this proxy's own calls.
 func (s *serverState) recordReport(at time.Duration, load Load) {
 	if s.hasReport && at < s.reportedAt {
 		return
@@ -104,7 +104,7 @@
 	s.endPrefill(now, call)
 }
 
-// read notes that the server has read the prompt of a call, or will not read it any more.
+// endPrefill notes that the server has read the prompt of a call, or will not read it any more.
 func (s *serverState) endPrefill(now time.Duration, call *Call) {
 	if call.prefillMs == 0 {
 		return
@@ -144,7 +144,7 @@
 	return weight
 }
 
-// measured takes in how fast the server was, beside what was expected.
+// observeSpeed takes in how fast the server was, beside what was expected.
 func (s *serverState) observeSpeed(expected, took float64) {
 	if took > 0 {
 		s.speed += speedGain * (expected/took - s.speed)
--- a/internal/router/scheduler/trust.go
+++ b/internal/router/scheduler/trust.go
@@ -17,8 +17,8 @@
 	failedTransferLatenessMs = 500.0
 )
 
-// trust is how a server has answered lately. A server that failed rests for a time that grows with every
-// failure after a rest; then one request at a time tries it until one succeeds.
+// outlierDetector is how a server has answered lately. A server that failed rests for a time that grows with
+// every failure after a rest; then one request at a time tries it until one succeeds.
 type outlierDetector struct {
 	consecutiveFailures int           // bad answers in a row
 	ejections           int           // rests since the last good answer
@@ -27,18 +27,18 @@
 	lastSuccess         time.Duration // when it last answered well
 }
 
-// resting tells whether the server gets no requests at all.
+// ejected tells whether the server gets no requests at all.
 func (d *outlierDetector) ejected(now time.Duration) bool { return now < d.ejectedUntil }
 
-// probation tells whether a server has rested and not succeeded since.
+// halfOpen tells whether a server has rested and not succeeded since.
 func (d *outlierDetector) halfOpen() bool { return d.ejections > 0 }
 
 func (d *outlierDetector) recordSuccess(now time.Duration) {
 	d.consecutiveFailures, d.ejections, d.ejectedUntil, d.fullUntil, d.lastSuccess = 0, 0, 0, 0, now
 }
 
-// failed counts an outcome that speaks against the server. peerAnswered tells that another server of its kind
-// has answered since the call was sent, so that silence is the server's own.
+// recordFailure counts an outcome that speaks against the server. peerAnswered tells that another server of
+// its kind has answered since the call was sent, so that silence is the server's own.
 func (d *outlierDetector) recordFailure(now time.Duration, outcome Outcome, peerAnswered bool) {
 	d.consecutiveFailures++
 	switch {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// succeeded counts for the server of a call, and for the one whose memory it fetched.
+// recordSuccess counts for the server of a call, and for the one whose memory it fetched.
 func (call *Call) recordSuccess(now time.Duration) {
 	call.state.outliers.recordSuccess(now)
 	if call.prefillServer != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// failed counts an outcome against the server it speaks against.
+// recordFailure counts an outcome against the server it speaks against.
 func (call *Call) recordFailure(now time.Duration, outcome Outcome) {
 	switch outcome {
 	case Rejected:
--- a/internal/router/scheduler/trust_test.go
+++ b/internal/router/scheduler/trust_test.go
@@ -32,7 +32,7 @@
 	return c.Choose(now, r, Serve, nil)
 }
 
-// reaches counts how many of a number of requests a server gets.
+// countRequestsTo counts how many of a number of requests a server gets.
 func countRequestsTo(c *Scheduler, now time.Duration, id string, idempotent bool) int {
 	n := 0
 	for range 100 {
--- a/internal/router/transport/accept_test.go
+++ b/internal/router/transport/accept_test.go
@@ -39,7 +39,7 @@
 	c.Assert(errors.Is(<-served, net.ErrClosed), qt.IsTrue)
 }
 
-// answered calls until the other process has heard a call, and returns who called.
+// peerOfNextCall calls until the other process has heard a call, and returns who called.
 func peerOfNextCall(link *Link, handler *echo) <-chan string {
 	go link.Call(peerproto.KindUpsert, nil, time.Minute)
 	return handler.peers
--- a/internal/router/transport/link.go
+++ b/internal/router/transport/link.go
@@ -41,7 +41,7 @@
 	stop       chan struct{}
 }
 
-// Up tells whether there is a connection.
+// Connected tells whether there is a connection.
 func (l *Link) Connected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,7 +132,7 @@
 	}
 }
 
-// use keeps a connection until it ends.
+// runConn keeps a connection until it ends.
 func (l *Link) runConn(conn *Conn) {
 	conn.Send(peerproto.Frame{Kind: peerproto.KindHello, Body: l.hello()})
 	l.mu.Lock()
--- a/internal/router/transport/traffic.go
+++ b/internal/router/transport/traffic.go
@@ -31,12 +31,12 @@
 // volumeCounter is a Volume that goroutines count up at the same time.
 type volumeCounter struct{ frames, bytes atomic.Int64 }
 
-// counters counts the Traffic of a process.
+// trafficCounters counts the Traffic of a process.
 type trafficCounters struct {
 	sent, received [peerproto.NumKinds]volumeCounter
 }
 
-// add counts a frame; frames of unknown kinds are counted under 0.
+// count counts a frame; frames of unknown kinds are counted under 0.
 func count(counts *[peerproto.NumKinds]volumeCounter, frame *peerproto.Frame) {
 	kind := frame.Kind
 	if kind >= peerproto.NumKinds {
--- a/internal/segmentlog/faultfs/faultfs.go
+++ b/internal/segmentlog/faultfs/faultfs.go
@@ -50,7 +50,7 @@
 	LoseSome
 )
 
-// sector is the unit that a torn write keeps or loses.
+// sectorSize is the unit that a torn write keeps or loses.
 const sectorSize = 512
 
 // FS is the file system. It is for one goroutine at a time.
@@ -194,7 +194,8 @@
 	}
 }
 
-// enter counts one operation; it returns whether to do it, whether to do half of it, and the error to return.
+// beginOperation counts one operation; it returns whether to do it, whether to do half of it, and the error
+// to return.
 func (f *FS) beginOperation() (do, half bool, err error) {
 	if f.down {
 		return false, false, ErrCrashed
@@ -215,7 +216,7 @@
 	}
 }
 
-// used returns the bytes of all files.
+// usedBytes returns the bytes of all files.
 func (f *FS) usedBytes() int64 {
 	var total int64
 	for _, file := range f.current {
@@ -224,7 +225,7 @@
 	return total
 }
 
-// missing returns the error for a name that is not there.
+// errNotExist returns the error for a name that is not there.
 func errNotExist(name string) error {
 	return fmt.Errorf("faultfs: %s: %w; create it first", name, fs.ErrNotExist)
 }
@@ -246,7 +247,7 @@
 	return append(data, make([]byte, size-int64(len(data)))...)
 }
 
-// put writes bytes at an offset.
+// writeAt writes bytes at an offset.
 func writeAt(data, bytes []byte, offset int64) []byte {
 	if end := offset + int64(len(bytes)); end > int64(len(data)) {
 		data = resize(data, end)
--- a/internal/segmentlog/faultfs/operations.go
+++ b/internal/segmentlog/faultfs/operations.go
@@ -113,7 +113,7 @@
 	return err
 }
 
-// change makes a change of a name and remembers it until the folder is synced.
+// changeName makes a change of a name and remembers it until the folder is synced.
 func (f *FS) changeName(change nameChange) {
 	change.apply(f.current)
 	f.pending = append(f.pending, change)
@@ -126,7 +126,7 @@
 	generation int
 }
 
-// enter counts one operation on the file.
+// beginOperation counts one operation on the file.
 func (h *handle) beginOperation() (do, half bool, err error) {
 	if h.generation != h.fs.generation {
 		return false, false, ErrCrashed
--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -27,7 +27,7 @@
 
 	file    File
 	segment uint64
-	// next is the sequence of the next frame, base and size the offsets where snapshot and log end.
+	// nextSequence is the sequence of the next frame, base and size the offsets where snapshot and log end.
 	nextSequence     uint64
 	snapshotEnd, end int64
 	// dirty says that bytes behind size may be in the file and have to be cut off before the next frame.
@@ -88,8 +88,8 @@
 	return log, records, nil
 }
 
-// recover reads one segment, cuts a torn end off and syncs the rest: what a process that was killed had
-// written but not synced must not count before it is durable.
+// recoverSegment reads one segment, cuts a torn end off and syncs the rest: what a process that was killed
+// had written but not synced must not count before it is durable.
 func (l *Log) recoverSegment(number uint64) ([][]byte, error) {
 	name := l.path(segmentName(number))
 	data, err := l.fsys.ReadFile(name)
@@ -114,7 +114,7 @@
 	return result.records, nil
 }
 
-// settle makes file and folder durable as they are read.
+// syncRecovered makes file and folder durable as they are read.
 func (l *Log) syncRecovered() error {
 	if err := l.repair(); err != nil {
 		return err
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// mark writes behind the last frame that it is synced, so that rot in it isn't taken for a crash. The mark
-// itself is not synced: a crash may lose it, and with it only that knowledge.
+// writeSyncMarker writes behind the last frame that it is synced, so that rot in it isn't taken for a crash.
+// The mark itself is not synced: a crash may lose it, and with it only that knowledge.
 func (l *Log) writeSyncMarker() {
 	if _, err := l.file.WriteAt(syncMarker(l.segment, l.nextSequence), l.end); err != nil {
 		l.dirty = true
@@ -213,7 +213,8 @@
 	return nil
 }
 
-// begin writes the next segment under a temporary name and takes it into use once file and name are durable.
+// startSegment writes the next segment under a temporary name and takes it into use once file and name are
+// durable.
 func (l *Log) startSegment(snapshot [][]byte) error {
 	number := l.segment + 1
 	name := l.path(segmentName(number))
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -181,7 +181,7 @@
 	c.Assert(log.Append(make([]byte, 33<<20)), qt.ErrorMatches, ".*write less at once")
 }
 
-// written returns a folder of the machine with three frames behind the snapshot, and the segment's file.
+// writeLog returns a folder of the machine with three frames behind the snapshot, and the segment's file.
 func writeLog(c *qt.C) (folder, file string) {
 	folder = c.Mkdir()
 	log, _, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
@@ -367,7 +367,7 @@
 	return segmentlog.Open(fs, dir, segmentlog.Options{})
 }
 
-// reopened opens a log whose last frame may be torn and tells whether that frame is there.
+// hasSecondRecord opens a log whose last frame may be torn and tells whether that frame is there.
 func hasSecondRecord(c *qt.C, data []byte) bool {
 	_, records, err := openContent(c, data)
 	c.Assert(err, qt.IsNil)
--- a/internal/segmentlog/scan.go
+++ b/internal/segmentlog/scan.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// scan is what reading one segment gave.
+// scanResult is what reading one segment gave.
 type scanResult struct {
 	records [][]byte
 	frames  int
-	// next is the sequence that the next frame will have.
+	// nextSequence is the sequence that the next frame will have.
 	nextSequence uint64
-	// base is where the snapshot ends, good is where the last good frame ends.
+	// snapshotEnd is where the snapshot ends, good is where the last good frame ends.
 	snapshotEnd, validEnd int64
-	// marked says that the last frame is a mark.
+	// endsWithMarker says that the last frame is a mark.
 	endsWithMarker bool
-	// torn counts the bytes behind good; tornReason says why they are no frame.
+	// tornBytes counts the bytes behind good; tornReason says why they are no frame.
 	tornBytes  int64
 	tornReason string
 }
--- a/internal/simulation/routersim/arrivals.go
+++ b/internal/simulation/routersim/arrivals.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// arrivals plans the requests of a kind: a Poisson process over all proxies.
+// planArrivals plans the requests of a kind: a Poisson process over all proxies.
 func (f *fleet) planArrivals(index int, random *rand.Rand) {
 	kind := &f.scenario.Kinds[index]
 	sizes := f.sizes(kind, random)
@@ -55,7 +55,7 @@
 	return r
 }
 
-// bounded returns a size that is at most a bound, 0 for none.
+// capped returns a size that is at most a bound, 0 for none.
 func capped(size, limit float64) float64 {
 	if limit > 0 {
 		return min(size, limit)
--- a/internal/simulation/routersim/cache.go
+++ b/internal/simulation/routersim/cache.go
@@ -6,8 +6,8 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// cache is a server's memory for parts of prompts. A part can be reused only with all before it. Those unused
-// for the longest give way; tokens that are pinned, by running requests and held handles, cannot.
+// prefixCache is a server's memory for parts of prompts. A part can be reused only with all before it. Those
+// unused for the longest give way; tokens that are pinned, by running requests and held handles, cannot.
 type prefixCache struct {
 	capacity, used, pinned int
 	segments               map[string]*list.Element
@@ -23,7 +23,7 @@
 	return &prefixCache{capacity: capacity, segments: map[string]*list.Element{}, byRecency: list.New()}
 }
 
-// held returns how many tokens of a prompt need not be read, and how many parts those are.
+// lookUp returns how many tokens of a prompt need not be read, and how many parts those are.
 func (c *prefixCache) lookUp(parts []scheduler.Segment) (tokens, count int) {
 	name := ""
 	for _, part := range parts {
@@ -37,7 +37,7 @@
 	return tokens, count
 }
 
-// keep holds the parts of a prompt as the newest.
+// insert holds the parts of a prompt as the newest.
 func (c *prefixCache) insert(parts []scheduler.Segment) {
 	name := ""
 	for _, part := range parts {
--- a/internal/simulation/routersim/clairvoyant.go
+++ b/internal/simulation/routersim/clairvoyant.go
@@ -7,10 +7,10 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// queues is what a clairvoyant knows of all servers at any time, by their ids.
+// serverQueues is what a clairvoyant knows of all servers at any time, by their ids.
 type serverQueues map[string]*serverQueue
 
-// queue is what was sent to one server.
+// serverQueue is what was sent to one server.
 type serverQueue struct {
 	freeAt       time.Duration   // until when it has work
 	cached       map[string]bool // parts, each named with all before it
