--- a/internal/simulation/routersim/engine.go
+++ b/internal/simulation/routersim/engine.go
@@ -70,7 +70,7 @@
 	return scheduler.Load{Running: running, Waiting: len(s.waiting), Slots: s.engine.Slots}
 }
 
-// take lets a job wait for a slot, after the time it takes to set it up.
+// enqueue lets a job wait for a slot, after the time it takes to set it up.
 func (s *server) enqueue(j *job) {
 	s.clock.after(milliseconds(s.engine.SetupMs), func() {
 		s.waiting = append(s.waiting, j)
@@ -78,8 +78,8 @@
 	})
 }
 
-// fetch moves the memory of a prompt here, one move after the other, and then runs the job. It returns false
-// where the move would have to wait for too long.
+// fetchPrefix moves the memory of a prompt here, one move after the other, and then runs the job. It returns
+// false where the move would have to wait for too long.
 func (s *server) fetchPrefix(j *job, from *server) bool {
 	engine := s.engine
 	const bits, perMs = 8, 1000
@@ -206,7 +206,7 @@
 	}
 }
 
-// token makes one token, or ends a read, and tells whether the job goes on.
+// emitToken makes one token, or ends a read, and tells whether the job goes on.
 func (s *server) emitToken(j *job) bool {
 	if j.onFirstToken != nil {
 		if j.role != scheduler.Decode {
--- a/internal/simulation/routersim/fleet.go
+++ b/internal/simulation/routersim/fleet.go
@@ -96,7 +96,7 @@
 	return live
 }
 
-// list tells all proxies which servers live.
+// publishTable tells all proxies which servers live.
 func (f *fleet) publishTable() {
 	var listed []*catalog.Server
 	for _, s := range f.live() {
@@ -109,7 +109,7 @@
 	}
 }
 
-// plan makes the arrivals and faults of the scenario.
+// schedule makes the arrivals and faults of the scenario.
 func (f *fleet) schedule() {
 	for i := range f.scenario.Kinds {
 		f.planArrivals(i, rand.New(rand.NewPCG(f.scenario.Seed, uint64(100+i))))
@@ -119,7 +119,7 @@
 	}
 }
 
-// fail lets a fault happen to a share of the servers, drawn at random.
+// inject lets a fault happen to a share of the servers, drawn at random.
 func (f *fleet) inject(fault Fault) {
 	live := f.live()
 	f.random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
--- a/internal/simulation/routersim/policy.go
+++ b/internal/simulation/routersim/policy.go
@@ -53,7 +53,7 @@
 
 type pickFunc func(s *baseline, all []*catalog.Server, r *scheduler.Request) *catalog.Server
 
-// simple is a policy that always splits, and knows of a server the calls that it told and its own since.
+// baseline is a policy that always splits, and knows of a server the calls that it told and its own since.
 type baseline struct {
 	random   *rand.Rand
 	next     int
@@ -118,7 +118,7 @@
 	return x
 }
 
-// least is a server with the fewest calls known, one of them at random.
+// leastLoaded is a server with the fewest calls known, one of them at random.
 func (s *baseline) leastLoaded(all []*catalog.Server) *catalog.Server {
 	best, ties := all[0], 0
 	for _, candidate := range all {
--- a/internal/simulation/routersim/proxy.go
+++ b/internal/simulation/routersim/proxy.go
@@ -16,7 +16,7 @@
 	policy Policy
 }
 
-// visit is a request at a proxy.
+// exchange is a request at a proxy.
 type exchange struct {
 	proxy     *proxy
 	kind      *Kind
@@ -48,7 +48,7 @@
 	v.send(scheduler.Serve, nil)
 }
 
-// refresh tells the policy all loads, in the scenarios that ask for it.
+// observeAllLoads tells the policy all loads, in the scenarios that ask for it.
 func (p *proxy) observeAllLoads() {
 	if !p.fleet.scenario.AllLoadsKnown {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// exchange lets the other proxies hear a load that was told here.
+// shareLoad lets the other proxies hear a load that was told here.
 func (p *proxy) shareLoad(server string, load scheduler.Load) {
 	f := p.fleet
 	if f.scenario.LoadExchangeDelay == 0 {
@@ -74,7 +74,7 @@
 	})
 }
 
-// hearer is a policy that takes in what other proxies were told.
+// loadObserver is a policy that takes in what other proxies were told.
 type loadObserver interface {
 	ObserveLoadAt(at time.Duration, server string, load scheduler.Load)
 }
@@ -139,7 +139,7 @@
 	v.proxy.fleet.clock.after(v.proxy.fleet.networkDelay(v.proxy.zone, from), run)
 }
 
-// first is the first sign of an answer: a token, or the end of a read.
+// firstToken is the first sign of an answer: a token, or the end of a read.
 func (v *exchange) firstToken(call *scheduler.Call, from *server, load scheduler.Load) {
 	if v.finished || v.call != call {
 		return
--- a/internal/simulation/routersim/result.go
+++ b/internal/simulation/routersim/result.go
@@ -54,5 +54,5 @@
 	r.firstTokenTimes = append(r.firstTokenTimes, other.firstTokenTimes...)
 }
 
-// Of returns a count as a part of the requests.
+// Fraction returns a count as a part of the requests.
 func (r *Result) Fraction(count int) float64 { return float64(count) / max(float64(r.Requests), 1) }
--- a/internal/simulation/routersim/sharing.go
+++ b/internal/simulation/routersim/sharing.go
@@ -9,7 +9,7 @@
 // shareInterval is how often proxies tell what they have under way.
 const shareInterval = 25 * time.Millisecond
 
-// sharer is a policy that hears what the other proxies have under way.
+// loadSharer is a policy that hears what the other proxies have under way.
 type loadSharer interface {
 	InFlightChanges(all bool) []scheduler.InFlightLoad
 	SetPeerLoad(now time.Duration, others []scheduler.InFlightLoad, whole bool)
@@ -54,7 +54,7 @@
 	})
 }
 
-// hear tells one proxy the sum less its own part, and the others' prompts.
+// deliver tells one proxy the sum less its own part, and the others' prompts.
 func (f *fleet) deliver(s loadSharer, number int, sum, ownLoads map[string]scheduler.InFlightLoad,
 	prompts [][]scheduler.CachedPrefixes) {
 	others := make([]scheduler.InFlightLoad, 0, len(sum))
@@ -70,7 +70,7 @@
 	}
 }
 
-// plus adds a contribution times a factor to another one.
+// addScaled adds a contribution times a factor to another one.
 func addScaled(to, one scheduler.InFlightLoad, times int) scheduler.InFlightLoad {
 	to.Prefill += time.Duration(times) * one.Prefill
 	to.Calls += times * one.Calls
--- a/internal/simulation/routersim/table_test.go
+++ b/internal/simulation/routersim/table_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// runs plays a scenario with several seeds.
+// runSeeds plays a scenario with several seeds.
 func runSeeds(scenario func(uint64) Scenario, policy PolicyFactory, seeds uint64) Result {
 	sum := Result{Policy: policy.Name}
 	for seed := range seeds {
@@ -17,8 +17,8 @@
 	return sum
 }
 
-// fresh is the scenario with proxies that know all loads at any time, a bound of what knowing more could
-// bring.
+// allLoadsKnown is the scenario with proxies that know all loads at any time, a bound of what knowing more
+// could bring.
 func allLoadsKnown(scenario func(uint64) Scenario) func(uint64) Scenario {
 	return func(seed uint64) Scenario {
 		s := scenario(seed)
@@ -27,7 +27,7 @@
 	}
 }
 
-// exchanging is the scenario with proxies that hear after a while what the others were told.
+// exchangingLoads is the scenario with proxies that hear after a while what the others were told.
 func exchangingLoads(scenario func(uint64) Scenario) func(uint64) Scenario {
 	return func(seed uint64) Scenario {
 		s := scenario(seed)
--- a/internal/testbed/proxytrial/mixed.go
+++ b/internal/testbed/proxytrial/mixed.go
@@ -187,9 +187,9 @@
 		return nil
 	}
 	defer m.hold(false)
-	m.proxy.HoldLog()
+	m.proxy.PauseLog()
 	sleep(ctx, upTo(lot, longestStall))
-	m.proxy.ReleaseLog()
+	m.proxy.ResumeLog()
 	return nil
 }
 
--- a/internal/testbed/routerstandin/answer.go
+++ b/internal/testbed/routerstandin/answer.go
@@ -50,7 +50,7 @@
 func (a *asking) unanswered(ctx context.Context, conn *clientConn, t *try, err error) ending {
 	conn.Close()
 	o := a.client.observations
-	var malformed *http1.Malformed
+	var malformed *http1.MalformedError
 	switch {
 	case ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded): // the client ended it
 		o.answered(t, 0, false, false)
@@ -126,7 +126,7 @@
 
 func readWhole(body *http1.Body) ([]byte, error) {
 	got, err := io.ReadAll(io.LimitReader(body, largestAnswer))
-	if err == nil && !body.Whole() {
+	if err == nil && !body.Complete() {
 		err = io.ErrUnexpectedEOF
 	}
 	return got, err
--- a/internal/testbed/routerstandin/exchange.go
+++ b/internal/testbed/routerstandin/exchange.go
@@ -40,7 +40,7 @@
 	x.conn.SetReadDeadline(time.Time{})
 	go func() {
 		defer close(x.watched)
-		if x.conn.Await() == nil {
+		if x.conn.AwaitReadable() == nil {
 			close(x.gone)
 		}
 	}()
--- a/internal/testbed/routerstandin/misbehaviour.go
+++ b/internal/testbed/routerstandin/misbehaviour.go
@@ -85,7 +85,7 @@
 func (x *exchange) sendCut(body, stamp string) {
 	x.conn.SetWriteDeadline(time.Now().Add(writeTime))
 	response := &http1.Response{Status: 200, Header: x.header(field(stampHeader, stamp)),
-		Length: int64(len(body)), Streams: true}
+		Length: int64(len(body)), Streaming: true}
 	if out, err := response.Begin(x.conn.Out, false); err == nil {
 		_, _ = out.Write([]byte(body[:len(body)/2]))
 		_ = x.conn.Flush()
--- a/internal/testbed/routerstandin/model.go
+++ b/internal/testbed/routerstandin/model.go
@@ -131,7 +131,7 @@
 func (x *exchange) stream(run *run, w work) bool {
 	x.conn.SetWriteDeadline(time.Now().Add(writeTime))
 	header := x.header(field(stampHeader, run.stamp), field("Content-Type", "text/event-stream"))
-	response := &http1.Response{Status: 200, Header: header, Streams: true, Length: -1, Close: x.closes}
+	response := &http1.Response{Status: 200, Header: header, Streaming: true, Length: -1, Close: x.closes}
 	out, err := response.Begin(x.conn.Out, false)
 	if err != nil {
 		return false
--- a/internal/testbed/routerstandin/server.go
+++ b/internal/testbed/routerstandin/server.go
@@ -222,7 +222,7 @@
 		return nil, err
 	}
 	request.Body, err = io.ReadAll(io.LimitReader(body, largestBody))
-	if err == nil && !body.Whole() {
+	if err == nil && !body.Complete() {
 		err = io.ErrShortBuffer
 	}
 	return request, err
--- a/internal/testbed/routerstandin/streamcheck.go
+++ b/internal/testbed/routerstandin/streamcheck.go
@@ -32,7 +32,7 @@
 	for {
 		conn.SetReadDeadline(a.patienceEnd())
 		e, err := readEvent(lines)
-		if err == io.EOF && body.Whole() {
+		if err == io.EOF && body.Complete() {
 			return a.checkEnd(t)
 		}
 		if err != nil {
@@ -74,7 +74,7 @@
 		e.end = strings.HasSuffix(value, " end")
 	}
 	if err != nil {
-		return &http1.Malformed{Status: 502, Reason: fmt.Sprintf("not a line of an event: %.60q", line)}
+		return &http1.MalformedError{Status: 502, Reason: fmt.Sprintf("not a line of an event: %.60q", line)}
 	}
 	return nil
 }
--- a/internal/testbed/routertrial/logstands_test.go
+++ b/internal/testbed/routertrial/logstands_test.go
@@ -16,8 +16,8 @@
 	r := newRigOf(t, Options{Faulty: true, LogLevel: "debug"})
 	m := r.WithDisk(false)[0]
 	process := m.running()
-	process.HoldLog()
-	defer process.ReleaseLog()
+	process.PauseLog()
+	defer process.ResumeLog()
 	client := routerstandin.NewClient(0, "", r.Entry, r.Observations)
 	client.Keeps = false
 	for range 200 {
--- a/internal/testbed/routertrial/soak_machines.go
+++ b/internal/testbed/routertrial/soak_machines.go
@@ -213,9 +213,9 @@
 		return nil
 	}
 	s.event("nobody reads the log of %s", m.Name)
-	process.HoldLog()
+	process.PauseLog()
 	sleepFor(ctx, between(lot, time.Second, 4*time.Second))
-	process.ReleaseLog()
+	process.ResumeLog()
 	s.event("the log of %s is read", m.Name)
 	return nil
 }
