--- a/internal/connbuffer/connbuffer.go
+++ b/internal/connbuffer/connbuffer.go
@@ -264,7 +264,8 @@
 			return nil, err
 		}
 		c.peek = &peeker{raw: raw, in: c.in}
-		c.peek.checkClosed, c.peek.isReadable = c.peek.findClosed, c.peek.findReadable // each method value costs an allocation
+		// each method value costs an allocation
+		c.peek.checkClosed, c.peek.isReadable = c.peek.findClosed, c.peek.findReadable
 	}
 	return c.peek, nil
 }
@@ -283,7 +284,8 @@
 func (l *peeker) findClosed(fd uintptr) {
 	n, _, err := syscall.Recvfrom(int(fd), l.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	l.in.recordPeek(err)
-	l.peerClosed = n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+	l.peerClosed = n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) &&
+		!errors.Is(err, syscall.EINTR)
 	if n > 0 { // the end may follow unread bytes
 		l.pollFDs[0] = unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
 		n, err := unix.Poll(l.pollFDs[:], 0)
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -132,7 +132,8 @@
 
 // keepsAlive reports whether the connection persists after a message, by its version and Connection field.
 func (h *head) keepsAlive(old bool) bool {
-	return !h.header.containsToken("Connection", "close") && (!old || h.header.containsToken("Connection", "keep-alive"))
+	return !h.header.containsToken("Connection", "close") &&
+		(!old || h.header.containsToken("Connection", "keep-alive"))
 }
 
 // ReadRequestHead reads one request up to its body, which the returned Body reads. io.EOF means that the
@@ -144,7 +145,8 @@
 // ReadRequestHeadWithin is ReadRequestHead for a head of at most room bytes.
 func ReadRequestHeadWithin(r *bufio.Reader, budget int) (*Request, *Body, error) {
 	l, err := readLine(r, &budget)
-	for n := 0; err == nil && l == "" && n < maxEmptyLines; n++ { // some clients send an extra CRLF after a body (RFC 9112, 2.2)
+	// some clients send an extra CRLF after a body (RFC 9112, 2.2)
+	for n := 0; err == nil && l == "" && n < maxEmptyLines; n++ {
 		l, err = readLine(r, &budget)
 	}
 	if err != nil {
@@ -177,7 +179,8 @@
 	if old && h.chunked {
 		return nil, nil, malformed("chunks in HTTP/1.0")
 	}
-	q := &Request{Method: method, Target: target, Header: h.header, Close: old || !h.keepsAlive(old), HTTP10: old}
+	q := &Request{Method: method, Target: target, Header: h.header, Close: old || !h.keepsAlive(old),
+		HTTP10: old}
 	if e := h.header.Get("Expect"); e != "" && !old {
 		if !strings.EqualFold(e, "100-continue") {
 			return nil, nil, &MalformedError{Status: 417, Reason: fmt.Sprintf("expectation %.20q", e)}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -140,7 +140,8 @@
 	var forwarded Header
 	for _, f := range h {
 		same := func(name string) bool { return strings.EqualFold(name, f.Name) }
-		if !slices.ContainsFunc(hopByHopFields, same) && !slices.ContainsFunc(drop, same) && !h.containsToken("Connection", f.Name) {
+		if !slices.ContainsFunc(hopByHopFields, same) && !slices.ContainsFunc(drop, same) &&
+			!h.containsToken("Connection", f.Name) {
 			forwarded = append(forwarded, f)
 		}
 	}
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -27,7 +27,8 @@
 // New returns a Writer that buffers at most backlog bytes. The line that lossMessage returns is written in
 // place of dropped lines, whose number it is given.
 func New(to io.Writer, backlog int, lossMessage func(lost int64) string) *Writer {
-	w := &Writer{to: to, backlog: backlog, lossMessage: lossMessage, wakeup: make(chan struct{}, 1), done: make(chan struct{})}
+	w := &Writer{to: to, backlog: backlog, lossMessage: lossMessage, wakeup: make(chan struct{}, 1),
+		done: make(chan struct{})}
 	go w.run()
 	return w
 }
