--- a/internal/proxy/daemon/serve.go
+++ b/internal/proxy/daemon/serve.go
@@ -93,8 +93,8 @@
 	}
 	p.server = ingress.New(ingress.Options{
 		Decider: p.decider, Pool: p.pool, Name: p.discovery.Name, Classes: set.ClassNames, Tenants: set.TenantNames,
-		Limits: cfg.Clients, Drain: p.drainTimes, Budget: budget, Bodies: p.bodies, Count: p.stats,
-		Used: p.usageRecorder(), Log: log,
+		Limits: cfg.Clients, Drain: p.drainTimes, Budget: budget, Bodies: p.bodies, Stats: p.stats,
+		RecordUsage: p.usageRecorder(), Log: log,
 	})
 	p.server.LogRequests(p.requestLog())
 	known := cfg.Known
@@ -114,7 +114,7 @@
 			return nil, fmt.Errorf("the list of known servers: %w", err)
 		}
 	}
-	p.decider.Cached(servers)
+	p.decider.RestoreList(servers)
 	if cfg.Operator != "" {
 		door, err := listen(cfg.Operator, nil)
 		if err != nil {
@@ -244,9 +244,9 @@
 
 func poolLimits(cfg *config.Config) upstream.Limits {
 	dial := cfg.Upstream.DialLimit()
-	return upstream.Limits{Dial: dial, Reuse: cfg.Upstream.ReuseLimit(),
-		Rest: cfg.Upstream.Rest, Probe: dial + cfg.Upstream.Probe,
-		Hold: cfg.Upstream.Hold, Stall: cfg.Upstream.Stall}
+	return upstream.Limits{Dial: dial, MaxIdle: cfg.Upstream.ReuseLimit(),
+		DuplicateGuard: cfg.Upstream.Rest, Probe: dial + cfg.Upstream.Probe,
+		BufferTime: cfg.Upstream.Hold, Stall: cfg.Upstream.Stall}
 }
 
 func (p *Proxy) requestLog() *logging.Requests {
--- a/internal/proxy/discovery/discovery.go
+++ b/internal/proxy/discovery/discovery.go
@@ -40,7 +40,7 @@
 
 // Sink takes in what discovery says.
 type Sink interface {
-	Listed(whole bool, list []dispatch.Server)
+	UpdateList(full bool, list []dispatch.Server)
 	ListFailed()
 }
 
--- a/internal/proxy/discovery/discovery_test.go
+++ b/internal/proxy/discovery/discovery_test.go
@@ -89,8 +89,8 @@
 	failed chan bool
 }
 
-func (s *sink) Listed(whole bool, list []dispatch.Server) { s.listed <- fmt.Sprint(whole, len(list)) }
-func (s *sink) ListFailed()                               { s.failed <- true }
+func (s *sink) UpdateList(full bool, list []dispatch.Server) { s.listed <- fmt.Sprint(full, len(list)) }
+func (s *sink) ListFailed()                                  { s.failed <- true }
 
 // A watch that ends or answers badly is told as failed, and may be asked again.
 func TestWatch(t *testing.T) {
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -188,7 +188,7 @@
 	if err != nil && err != errFell {
 		return err
 	}
-	c.sink.Listed(whole, list)
+	c.sink.UpdateList(whole, list)
 	c.changed()
 	c.count.Lists.Add()
 	return err
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -9,21 +9,21 @@
 	"cresshub/balance"
 )
 
-func (d *Decider) now() time.Duration { return d.base + time.Since(d.start) }
+func (d *Decider) now() time.Duration { return d.clockBase + time.Since(d.start) }
 
-func (d *Decider) at(t time.Time) time.Duration { return d.base + t.Sub(d.start) }
+func (d *Decider) toClock(t time.Time) time.Duration { return d.clockBase + t.Sub(d.start) }
 
-// enter takes the lock for one event and reads the clock.
-func (d *Decider) enter() time.Duration {
+// lock takes the lock for one event and reads the clock.
+func (d *Decider) lock() time.Duration {
 	d.mu.Lock()
 	return d.now()
 }
 
-// leave gives the lock back and only then sets off what the event asks of the network, which has locks
+// unlock gives the lock back and only then sets off what the event asks of the network, which has locks
 // of its own and may call back.
-func (d *Decider) leave() {
-	probes, follow := d.probes, d.follow
-	d.probes, d.follow = nil, false
+func (d *Decider) unlock() {
+	probes, follow := d.pendingProbes, d.pendingFollow
+	d.pendingProbes, d.pendingFollow = nil, false
 	d.mu.Unlock()
 	for _, s := range probes {
 		d.net.Probe(s)
@@ -33,26 +33,26 @@
 	}
 }
 
-// carryOut turns actions into steps of the calls that they name, timers, and work for the network.
-func (d *Decider) carryOut(now time.Duration, acts []balance.Action) {
-	d.acts = acts
-	for i := range acts {
-		a := &acts[i]
+// execute turns actions into steps of the calls that they name, timers, and work for the network.
+func (d *Decider) execute(now time.Duration, actions []balance.Action) {
+	d.actions = actions
+	for i := range actions {
+		a := &actions[i]
 		switch a.Kind {
 		case balance.SetTimer:
 			heap.Push(&d.timers, timer{now + a.Wait, a.Token})
 			if d.timers[0].at == now+a.Wait { // sooner than what Run sleeps for
 				select {
-				case d.kick <- struct{}{}:
+				case d.wakeRun <- struct{}{}:
 				default:
 				}
 			}
 			continue
 		case balance.Probe:
-			d.probes = append(d.probes, a.Server)
+			d.pendingProbes = append(d.pendingProbes, a.Server)
 			continue
 		case balance.FollowList:
-			d.follow = true
+			d.pendingFollow = true
 			continue
 		}
 		c := d.calls[a.ID]
@@ -61,20 +61,20 @@
 		}
 		switch a.Kind {
 		case balance.Send:
-			c.step(Step{Kind: Send, Server: a.Server, Attempt: len(c.sent), Until: d.until(c, now, a.Wait),
-				By: d.start.Add(now + a.Within - d.base)})
-			c.sent, c.waits = append(c.sent, now), append(c.waits, a.Wait)
+			c.addStep(Step{Kind: Send, Server: a.Server, Attempt: len(c.sentAt), GiveUpAt: d.giveUpAt(c, now, a.Wait),
+				StartBy: d.start.Add(now + a.Within - d.clockBase)})
+			c.sentAt, c.timeouts = append(c.sentAt, now), append(c.timeouts, a.Wait)
 		case balance.Cancel:
-			c.step(Step{Kind: Cancel, Attempt: a.Attempt})
+			c.addStep(Step{Kind: Cancel, Attempt: a.Attempt})
 		case balance.Refuse:
-			d.finish(c, Step{Kind: Refuse, Wait: a.Wait})
+			d.finish(c, Step{Kind: Refuse, RetryAfter: a.Wait})
 		case balance.Fail:
 			d.finish(c, Step{Kind: Fail})
 		}
 	}
 }
 
-func (c *Call) step(s Step) {
+func (c *Call) addStep(s Step) {
 	c.steps = append(c.steps, s)
 	c.waiter.Wake()
 }
@@ -82,10 +82,10 @@
 // finish gives a call its last step. Nothing wakes its goroutine after that, so the goroutine may turn
 // to the next request on its connection.
 func (d *Decider) finish(c *Call, last Step) {
-	if c.closed && last.Kind != Gone {
+	if c.closed && last.Kind != ClientGone {
 		return
 	}
-	c.step(last)
+	c.addStep(last)
 	c.closed = true
 	delete(d.calls, c.id)
 }
--- a/internal/proxy/dispatch/decide.go
+++ b/internal/proxy/dispatch/decide.go
@@ -23,14 +23,14 @@
 
 // How an attempt or a probe ends.
 const (
-	Served       = balance.Done
-	ErrorAnswer  = balance.Error     // may have run
-	TurnedAway   = balance.Rejected  // unseen, so it never ran
-	TimedOut     = balance.TimedOut  // may have run
-	NoConnection = balance.Refused   // never ran
-	Broken       = balance.Reset     // may have run
-	Withdrawn    = balance.Cancelled // may have run
-	NotSent      = balance.Skipped   // never ran, and no server is to blame
+	Served        = balance.Done
+	ErrorResponse = balance.Error     // may have run
+	Rejected      = balance.Rejected  // unseen, so it never ran
+	TimedOut      = balance.TimedOut  // may have run
+	NoConnection  = balance.Refused   // never ran
+	Reset         = balance.Reset     // may have run
+	Cancelled     = balance.Cancelled // may have run
+	Skipped       = balance.Skipped   // never ran, and no server is to blame
 )
 
 // ResultNames are the words for the results, by their values.
@@ -75,17 +75,18 @@
 	Answer                 // pass on what attempt Attempt was served
 	Refuse                 // say no; trying again is harmless, after Wait
 	Fail                   // say that it failed
-	Gone                   // the client is gone: nobody waits for an answer, not even that of attempt Attempt
+	// the client is gone: nobody waits for an answer, not even that of attempt Attempt
+	ClientGone
 )
 
 // Step is what Pick returns.
 type Step struct {
-	Kind    StepKind
-	Server  ServerID
-	Attempt int
-	By      time.Time
-	Until   time.Time
-	Wait    time.Duration
+	Kind       StepKind
+	Server     ServerID
+	Attempt    int
+	StartBy    time.Time
+	GiveUpAt   time.Time
+	RetryAfter time.Duration
 }
 
 // Call is one request from Open to its last step. Reports may come later still.
@@ -94,106 +95,106 @@
 	waiter   Waiter
 	deadline time.Time
 	steps    []Step
-	sent     []time.Duration // by attempt, when it was or, where its body streams, when that was whole
-	waits    []time.Duration // by attempt, how long it is waited for; 0 where only the deadline ends it
+	sentAt   []time.Duration // by attempt, when it was or, where its body streams, when that was whole
+	timeouts []time.Duration // by attempt, how long it is waited for; 0 where only the deadline ends it
 	closed   bool            // nothing more may be decided for it: no steps, no wake
 }
 
 // Decider makes the decisions of one client proxy. Its methods may be called from any goroutine.
 type Decider struct {
-	net    Network
-	travel time.Duration
-	start  time.Time
-	base   time.Duration // the clock's reading at start
-	kick   chan struct{}
+	net            Network
+	responseMargin time.Duration
+	start          time.Time
+	clockBase      time.Duration // the clock's reading at start
+	wakeRun        chan struct{}
 
-	mu     sync.Mutex
-	b      *balance.Balancer
-	calls  map[string]*Call
-	lastID uint64
-	timers timers
-	acts   []balance.Action // reused
-	probes []ServerID       // to be set off when the lock is given back
-	follow bool             // likewise
+	mu            sync.Mutex
+	balancer      *balance.Balancer
+	calls         map[string]*Call
+	lastID        uint64
+	timers        timers
+	actions       []balance.Action // reused
+	pendingProbes []ServerID       // to be set off when the lock is given back
+	pendingFollow bool             // likewise
 }
 
 // New returns a Decider that knows no server yet. A request is answered travel before its deadline at the
 // latest, so that the answer is with the client in time also when the machine is busy.
-func New(set balance.Settings, travel time.Duration, net Network) (*Decider, error) {
+func New(settings balance.Settings, responseMargin time.Duration, net Network) (*Decider, error) {
 	// The clock is monotonic and reads as Unix time at the start. Discovery tells starts of servers as
 	// Unix time, and a clock from 0 would make one that started before this process look long ago.
 	start := time.Now()
 	d := &Decider{
-		net: net, travel: travel, start: start, base: time.Duration(start.UnixNano()),
-		kick: make(chan struct{}, 1), calls: map[string]*Call{},
+		net: net, responseMargin: responseMargin, start: start, clockBase: time.Duration(start.UnixNano()),
+		wakeRun: make(chan struct{}, 1), calls: map[string]*Call{},
 	}
 	var err error
-	d.b, err = balance.New(set, d.base)
+	d.balancer, err = balance.New(settings, d.clockBase)
 	return d, err
 }
 
 // Open takes a request that must get one final answer.
 func (d *Decider) Open(q Request, w Waiter) *Call {
-	now := d.enter()
-	defer d.leave()
+	now := d.lock()
+	defer d.unlock()
 	d.lastID++
 	c := &Call{id: strconv.FormatUint(d.lastID, 36), waiter: w, deadline: q.Deadline}
 	d.calls[c.id] = c
-	d.carryOut(now, d.b.Request(now, balance.Request{
+	d.execute(now, d.balancer.Request(now, balance.Request{
 		ID: c.id, Class: q.Class, Tenant: q.Tenant, Key: q.Key, HasKey: q.HasKey, Work: q.Work,
-		Deadline: d.at(q.Deadline), Repeat: q.Repeat,
-	}, d.acts[:0]))
+		Deadline: d.toClock(q.Deadline), Repeat: q.Repeat,
+	}, d.actions[:0]))
 	return c
 }
 
 // Pick returns the next step of a call and sleeps until there is one. For a client that has left nothing is
 // sent any more, wherever its request waited meanwhile.
 func (d *Decider) Pick(c *Call) Step {
-	for looked := false; ; {
-		s, ok := d.next(c, looked)
+	for checked := false; ; {
+		s, ok := d.next(c, checked)
 		switch {
-		case ok && s.Kind == Send && !looked:
-			if looked = true; c.waiter.PeerClosed() {
-				d.gone(c)
+		case ok && s.Kind == Send && !checked:
+			if checked = true; c.waiter.PeerClosed() {
+				d.clientGone(c)
 			}
 		case ok:
 			return s
 		case c.waiter.Wait() != nil:
-			d.gone(c)
+			d.clientGone(c)
 		}
 	}
 }
 
 // next takes the next step of a call. A Send is left standing until the client was looked for.
-func (d *Decider) next(c *Call, looked bool) (s Step, ok bool) {
+func (d *Decider) next(c *Call, checked bool) (s Step, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(c.steps) == 0 {
 		return s, false
 	}
-	if s = c.steps[0]; s.Kind != Send || looked {
+	if s = c.steps[0]; s.Kind != Send || checked {
 		c.steps = c.steps[1:]
 	}
 	return s, true
 }
 
-// gone ends a call whose client is gone. An answer that crossed with that is dropped with it.
-func (d *Decider) gone(c *Call) {
-	now := d.enter()
-	defer d.leave()
-	unsent, answer := c.steps, -1
+// clientGone ends a call whose client is gone. An answer that crossed with that is dropped with it.
+func (d *Decider) clientGone(c *Call) {
+	now := d.lock()
+	defer d.unlock()
+	unsent, responseAttempt := c.steps, -1
 	c.steps = nil
 	if !c.closed {
-		d.carryOut(now, d.b.ClientGone(now, c.id, d.acts[:0]))
+		d.execute(now, d.balancer.ClientGone(now, c.id, d.actions[:0]))
 	}
 	for _, s := range unsent {
 		if s.Kind == Answer {
-			answer = s.Attempt
+			responseAttempt = s.Attempt
 		}
 		if s.Kind == Send { // the module counts it as out until it hears otherwise
-			d.carryOut(now, d.b.Outcome(now, balance.Outcome{
-				ID: c.id, Attempt: s.Attempt, Result: NotSent, Over: true,
-			}, d.acts[:0]))
+			d.execute(now, d.balancer.Outcome(now, balance.Outcome{
+				ID: c.id, Attempt: s.Attempt, Result: Skipped, Over: true,
+			}, d.actions[:0]))
 			// Of an attempt that was never handed out nobody may hear: to cancel it would name one that the
 			// front has not started.
 			c.steps = slices.DeleteFunc(c.steps, func(o Step) bool {
@@ -201,32 +202,32 @@
 			})
 		}
 	}
-	d.finish(c, Step{Kind: Gone, Attempt: answer})
+	d.finish(c, Step{Kind: ClientGone, Attempt: responseAttempt})
 }
 
-// Spent says that a call's request is not held any more: the attempt that is out is the last one. Its time
-// does not run until Whole.
-func (d *Decider) Spent(c *Call) {
+// BodyConsumed says that a call's request is not held any more: the attempt that is out is the last one. Its
+// time does not run until Whole.
+func (d *Decider) BodyConsumed(c *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.b.Spent(c.id)
+	d.balancer.Spent(c.id)
 }
 
-// Whole says that the last byte of a request that is not held is sent, by that attempt. It returns until when
-// that attempt is waited for.
-func (d *Decider) Whole(c *Call, attempt int, deadline time.Time) time.Time {
-	now := d.enter()
-	defer d.leave()
+// BodySent says that the last byte of a request that is not held is sent, by that attempt. It returns until
+// when that attempt is waited for.
+func (d *Decider) BodySent(c *Call, attempt int, deadline time.Time) time.Time {
+	now := d.lock()
+	defer d.unlock()
 	c.deadline = deadline
-	c.sent[attempt] = now
-	d.b.Whole(now, c.id, d.at(deadline))
-	return d.until(c, now, c.waits[attempt])
+	c.sentAt[attempt] = now
+	d.balancer.Whole(now, c.id, d.toClock(deadline))
+	return d.giveUpAt(c, now, c.timeouts[attempt])
 }
 
-// until is when an attempt that is sent now is given up.
-func (d *Decider) until(c *Call, now, wait time.Duration) time.Time {
-	until := c.deadline.Add(-d.travel)
-	if t := d.start.Add(now + wait - d.base); wait > 0 && t.Before(until) {
+// giveUpAt is when an attempt that is sent now is given up.
+func (d *Decider) giveUpAt(c *Call, now, wait time.Duration) time.Time {
+	until := c.deadline.Add(-d.responseMargin)
+	if t := d.start.Add(now + wait - d.clockBase); wait > 0 && t.Before(until) {
 		until = t
 	}
 	return until
@@ -234,14 +235,14 @@
 
 // Report says how an attempt ended, or that its answer has begun, with the load its server told, if it did.
 // The first one that was served becomes the answer, which the result says.
-func (d *Decider) Report(c *Call, attempt int, res Result, load []float64) (answers bool) {
-	now := d.enter()
-	defer d.leave()
-	answers = res == Served && !c.closed
-	d.carryOut(now, d.b.Outcome(now, balance.Outcome{
-		ID: c.id, Attempt: attempt, Result: res, Over: c.closed || answers,
-		Latency: now - c.sent[attempt], Report: load,
-	}, d.acts[:0]))
+func (d *Decider) Report(c *Call, attempt int, result Result, load []float64) (answers bool) {
+	now := d.lock()
+	defer d.unlock()
+	answers = result == Served && !c.closed
+	d.execute(now, d.balancer.Outcome(now, balance.Outcome{
+		ID: c.id, Attempt: attempt, Result: result, Over: c.closed || answers,
+		Latency: now - c.sentAt[attempt], Report: load,
+	}, d.actions[:0]))
 	if answers {
 		d.finish(c, Step{Kind: Answer, Attempt: attempt})
 	}
@@ -249,49 +250,49 @@
 }
 
 // Probed says how a probe ended and how long it took.
-func (d *Decider) Probed(s ServerID, res Result, took time.Duration, load []float64) {
-	now := d.enter()
-	defer d.leave()
-	d.carryOut(now, d.b.Probed(now, balance.ProbeResult{
-		Server: s, Result: res, Latency: took, Report: load,
-	}, d.acts[:0]))
+func (d *Decider) Probed(s ServerID, result Result, took time.Duration, load []float64) {
+	now := d.lock()
+	defer d.unlock()
+	d.execute(now, d.balancer.Probed(now, balance.ProbeResult{
+		Server: s, Result: result, Latency: took, Report: load,
+	}, d.actions[:0]))
 }
 
-// Cached takes in the list as it was before the start.
-func (d *Decider) Cached(list []Server) { d.list(balance.ListCached, list) }
+// RestoreList takes in the list as it was before the start.
+func (d *Decider) RestoreList(list []Server) { d.applyList(balance.ListCached, list) }
 
-// Listed takes in a list of discovery, whole or only what changed.
-func (d *Decider) Listed(whole bool, list []Server) {
-	if whole {
-		d.list(balance.ListFull, list)
+// UpdateList takes in a list of discovery, whole or only what changed.
+func (d *Decider) UpdateList(full bool, list []Server) {
+	if full {
+		d.applyList(balance.ListFull, list)
 	} else {
-		d.list(balance.ListDelta, list)
+		d.applyList(balance.ListDelta, list)
 	}
 }
 
 // ListFailed says that following discovery failed or ended.
-func (d *Decider) ListFailed() { d.list(balance.ListFailed, nil) }
+func (d *Decider) ListFailed() { d.applyList(balance.ListFailed, nil) }
 
-func (d *Decider) list(kind balance.ListKind, list []Server) {
-	now := d.enter()
-	defer d.leave()
-	d.carryOut(now, d.b.List(now, kind, list, d.acts[:0]))
+func (d *Decider) applyList(kind balance.ListKind, list []Server) {
+	now := d.lock()
+	defer d.unlock()
+	d.execute(now, d.balancer.List(now, kind, list, d.actions[:0]))
 }
 
 // Avoided is how many of the listed servers in service get no traffic now.
 func (d *Decider) Avoided() int {
-	now := d.enter()
-	defer d.leave()
-	return d.b.Avoided(now)
+	now := d.lock()
+	defer d.unlock()
+	return d.balancer.Avoided(now)
 }
 
 // Tick fires the timers that are due and returns the time until the next, an hour at most.
 func (d *Decider) Tick() time.Duration {
-	now := d.enter()
-	defer d.leave()
+	now := d.lock()
+	defer d.unlock()
 	for len(d.timers) > 0 && d.timers[0].at <= now {
 		t := heap.Pop(&d.timers).(timer)
-		d.carryOut(now, d.b.Timer(now, t.token, d.acts[:0]))
+		d.execute(now, d.balancer.Timer(now, t.token, d.actions[:0]))
 	}
 	if len(d.timers) == 0 {
 		return time.Hour
@@ -307,7 +308,7 @@
 		select {
 		case <-stop:
 			return
-		case <-d.kick:
+		case <-d.wakeRun:
 		case <-t.C:
 		}
 		t.Reset(d.Tick())
--- a/internal/proxy/dispatch/decide_test.go
+++ b/internal/proxy/dispatch/decide_test.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Cached([]Server{{ID: 7, Rating: 1}})
+	d.RestoreList([]Server{{ID: 7, Rating: 1}})
 	return d, p
 }
 
@@ -77,9 +77,9 @@
 		want    []StepKind
 	}{
 		{"served", 1, []Result{Served}, []StepKind{Send, Answer}},
-		{"unsafe and broken", 1, []Result{Broken}, []StepKind{Send, Fail}},
-		{"never ran, then served", 1, []Result{TurnedAway, Served}, []StepKind{Send, Send, Answer}},
-		{"safe and nothing sent", 0, []Result{NotSent}, []StepKind{Send, Refuse}},
+		{"unsafe and broken", 1, []Result{Reset}, []StepKind{Send, Fail}},
+		{"never ran, then served", 1, []Result{Rejected, Served}, []StepKind{Send, Send, Answer}},
+		{"safe and nothing sent", 0, []Result{Skipped}, []StepKind{Send, Refuse}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, p := decider(t, nil)
@@ -105,7 +105,7 @@
 	d.Pick(call)
 	p.gone <- true
 	<-p.wake
-	if got := kinds(d, call, 2); !cmp.Equal(got, []StepKind{Cancel, Gone}) {
+	if got := kinds(d, call, 2); !cmp.Equal(got, []StepKind{Cancel, ClientGone}) {
 		t.Fatal(got)
 	}
 	for len(p.wake) > 0 {
@@ -122,8 +122,8 @@
 func TestGoneBeforeTheAttemptBegan(t *testing.T) {
 	d, p := decider(t, nil)
 	call := d.Open(soon(), p)
-	d.gone(call)
-	if got := kinds(d, call, 1); !cmp.Equal(got, []StepKind{Gone}) {
+	d.clientGone(call)
+	if got := kinds(d, call, 1); !cmp.Equal(got, []StepKind{ClientGone}) {
 		t.Error(got)
 	}
 	if len(d.calls) != 0 {
@@ -135,8 +135,8 @@
 	d, p := decider(t, nil)
 	q := soon()
 	q.Deadline = time.Now().Add(time.Minute)
-	if s := d.Pick(d.Open(q, p)); !s.Until.Equal(q.Deadline.Add(-d.travel)) {
-		t.Errorf("waits until %v of %v", s.Until, q.Deadline)
+	if s := d.Pick(d.Open(q, p)); !s.GiveUpAt.Equal(q.Deadline.Add(-d.responseMargin)) {
+		t.Errorf("waits until %v of %v", s.GiveUpAt, q.Deadline)
 	}
 }
 
@@ -175,10 +175,10 @@
 			if s := d.Pick(c); s.Kind != Send {
 				t.Fatalf("attempt %d: %+v", i, s)
 			}
-			d.Report(c, i, TurnedAway, nil)
+			d.Report(c, i, Rejected, nil)
 		}
 		p.left = true
-		if s := d.Pick(c); s.Kind != Gone {
+		if s := d.Pick(c); s.Kind != ClientGone {
 			t.Errorf("after %d attempts: %+v", before, s)
 		}
 		p.left = false
--- a/internal/proxy/dispatch/orders_test.go
+++ b/internal/proxy/dispatch/orders_test.go
@@ -36,7 +36,7 @@
 		for res := range Result(len(ResultNames)) {
 			orders(4, func(order []int) {
 				d, p := decider(t, func(s *balance.Settings) { s.MayDuplicate = true })
-				d.Listed(true, []Server{{ID: 7, Rating: 1}, {ID: 8, Rating: 1}})
+				d.UpdateList(true, []Server{{ID: 7, Rating: 1}, {ID: 8, Rating: 1}})
 				q := soon()
 				q.Class = class
 				c := d.Open(q, p)
@@ -62,7 +62,7 @@
 					}
 				}
 				end := func(attempt int, res Result) {
-					ran = ran || res != TurnedAway && res != NoConnection && res != NotSent
+					ran = ran || res != Rejected && res != NoConnection && res != Skipped
 					if d.Report(c, attempt, res, nil) {
 						answers++
 					}
@@ -74,10 +74,10 @@
 						end(0, res)
 					case 1:
 						if last == 0 { // a goroutine that has its last step waits no more
-							d.gone(c)
+							d.clientGone(c)
 						}
 					case 2:
-						d.Listed(false, []Server{{ID: 7, State: balance.Draining}})
+						d.UpdateList(false, []Server{{ID: 7, State: balance.Draining}})
 					case 3:
 						take()
 					}
--- a/internal/proxy/ingress/answer.go
+++ b/internal/proxy/ingress/answer.go
@@ -12,164 +12,166 @@
 )
 
 // answer finds a request's final answer. What of its body is not kept is in u, nil where that is nothing.
-func (s *Server) answer(c *client, q *http1.Request, u *upload, arrived time.Time) final {
+func (s *Server) answer(c *client, q *http1.Request, u *upload, arrived time.Time) finalResponse {
 	if path, _, _ := bytes.Cut([]byte(q.Target), []byte("?")); string(path) == readyPath {
 		if !s.Serving() {
-			return final{answer: plain(503, "sending clients away", true)}
+			return finalResponse{response: textResponse(503, "sending clients away", true)}
 		}
-		return final{answer: plain(200, "ready", false)}
+		return finalResponse{response: textResponse(200, "ready", false)}
 	}
-	r, status, reason := s.parse(q, arrived)
-	s.use(c, q, r.Class)
+	request, status, reason := s.parse(q, arrived)
+	s.use(c, q, request.Class)
 	if status != 0 {
-		s.rejected(status, reason)
-		a := plain(status, reason, false)
+		s.countRejected(status, reason)
+		response := textResponse(status, reason, false)
 		if status == 405 {
-			a.Header = append(a.Header, http1.Field{Name: "Allow", Value: "GET, HEAD, POST"})
+			response.Header = append(response.Header, http1.Field{Name: "Allow", Value: "GET, HEAD, POST"})
 		}
-		return final{answer: a, count: &s.Count.Class(r.Class).Failed}
+		return finalResponse{response: response, counter: &s.Stats.Class(request.Class).Failed}
 	}
 	id := q.Header.Get(idField)
-	if !s.hold(id, true) {
-		s.rejected(409, "id in use")
-		return final{answer: plain(409, "a request with this id is open", false),
-			count: &s.Count.Class(r.Class).Failed}
+	if !s.acquireID(id, true) {
+		s.countRejected(409, "id in use")
+		return finalResponse{response: textResponse(409, "a request with this id is open", false),
+			counter: &s.Stats.Class(request.Class).Failed}
 	}
-	defer s.release(id)
-	s.Count.Taken.Add()
+	defer s.releaseID(id)
+	s.Stats.Taken.Add()
 	if u != nil {
 		// Until its last byte is sent the client's time does not run.
-		u.wait, r.Deadline = r.Deadline.Sub(arrived), arrived.Add(longest)
+		u.timeout, request.Deadline = request.Deadline.Sub(arrived), arrived.Add(longest)
 	} else {
-		s.Count.InProgress.Add(1)
-		c.taken = true
+		s.Stats.InProgress.Add(1)
+		c.inProgress = true
 	}
-	if log := s.requests.Load(); log.Wants() {
-		c.final = &logging.Final{Request: id, Class: s.Classes[r.Class]}
+	if log := s.requestLog.Load(); log.Wants() {
+		c.logEntry = &logging.Final{Request: id, Class: s.Classes[request.Class]}
 		if len(s.Tenants) > 0 {
-			c.final.Tenant = s.Tenants[r.Tenant]
+			c.logEntry.Tenant = s.Tenants[request.Tenant]
 		}
 	}
-	return s.run(c, id, r, &http1.Request{Method: q.Method, Target: q.Target, Body: q.Body, Length: q.Length,
-		Header: q.Header.EndToEnd("X-Timeout")}, u)
+	return s.runAttempts(c, id, request,
+		&http1.Request{Method: q.Method, Target: q.Target, Body: q.Body, Length: q.Length,
+			Header: q.Header.EndToEnd("X-Timeout")}, u)
 }
 
-// hold notes that an id is in use once more. As the first use of it, it fails where there is another: what
+// acquireID notes that an id is in use once more. As the first use of it, it fails where there is another: what
 // is sent under an open id is a second copy to the server, whoever sent it.
-func (s *Server) hold(id string, first bool) bool {
+func (s *Server) acquireID(id string, first bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if first && s.open[id] > 0 {
+	if first && s.openIDs[id] > 0 {
 		return false
 	}
-	s.open[id]++
+	s.openIDs[id]++
 	return true
 }
 
-func (s *Server) release(id string) {
+func (s *Server) releaseID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open[id]--; s.open[id] == 0 {
-		delete(s.open, id)
+	if s.openIDs[id]--; s.openIDs[id] == 0 {
+		delete(s.openIDs, id)
 	}
 }
 
-// try is one attempt with what came of it. Report orders the writing before the reading.
-type try struct {
+// attempt is one attempt with what came of it. Report orders the writing before the reading.
+type attempt struct {
 	upstream.Attempt
-	out upstream.Outcome
+	outcome upstream.Outcome
 }
 
-// run does what the decisions say until they end the request.
-func (s *Server) run(c *client, id string, r dispatch.Request, message *http1.Request, u *upload) final {
-	handled := s.Count.Class(r.Class)
+// runAttempts does what the decisions say until they end the request.
+func (s *Server) runAttempts(c *client, id string, request dispatch.Request, message *http1.Request,
+	u *upload) finalResponse {
+	handled := s.Stats.Class(request.Class)
 	select {
-	case <-c.woken: // left over from the request before
+	case <-c.wakeup: // left over from the request before
 	default:
 	}
-	call := s.Decider.Open(r, c)
+	call := s.Decider.Open(request, c)
 	if u != nil {
 		u.call = call
 	}
-	var tries []*try
+	var attempts []*attempt
 	defer func() {
-		for _, t := range tries {
-			t.Drop()
+		for _, a := range attempts {
+			a.Drop()
 		}
 	}()
 	for {
 		switch step := s.Decider.Pick(call); step.Kind {
 		case dispatch.Send:
-			t := &try{Attempt: upstream.Attempt{Server: step.Server, Request: message, By: step.By,
-				Until: step.Until}}
+			a := &attempt{Attempt: upstream.Attempt{Server: step.Server, Request: message, StartBy: step.StartBy,
+				GiveUpAt: step.GiveUpAt}}
 			if u != nil {
-				t.Upload = uploading{u, step.Attempt}
+				a.Upload = attemptUpload{u, step.Attempt}
 			}
-			t.Done = func(out upstream.Outcome) {
-				t.out = out
-				s.release(id)
-				if !s.Decider.Report(call, step.Attempt, out.Result, out.Load) {
-					s.Pool.Release(&out)
+			a.Done = func(outcome upstream.Outcome) {
+				a.outcome = outcome
+				s.releaseID(id)
+				if !s.Decider.Report(call, step.Attempt, outcome.Result, outcome.Load) {
+					s.Pool.Release(&outcome)
 				}
 			}
-			tries = append(tries, t)
-			s.hold(id, false) // it may outlast its client
-			s.Pool.Start(&t.Attempt)
+			attempts = append(attempts, a)
+			s.acquireID(id, false) // it may outlast its client
+			s.Pool.Start(&a.Attempt)
 		case dispatch.Cancel:
-			tries[step.Attempt].Cancel()
+			attempts[step.Attempt].Cancel()
 		case dispatch.Answer:
-			s.Count.Served.Add()
-			s.ended(c, "served", 200, tries, step.Attempt)
-			a := tries[step.Attempt].out.Answer
-			a.Header = a.Header.EndToEnd("X-Server-Load")
-			return final{a, &tries[step.Attempt].out, &handled.Passed, &handled.Failed}
+			s.Stats.Served.Add()
+			s.recordOutcome(c, "served", 200, attempts, step.Attempt)
+			response := attempts[step.Attempt].outcome.Response
+			response.Header = response.Header.EndToEnd("X-Server-Load")
+			return finalResponse{response, &attempts[step.Attempt].outcome, &handled.Passed, &handled.Failed}
 		case dispatch.Refuse:
-			s.Count.Refused.Add()
-			s.ended(c, "refused", 503, tries, len(tries)-1)
-			a := plain(503, "refused", false)
-			if step.Wait > 0 {
-				wait := strconv.FormatFloat(step.Wait.Seconds(), 'f', 3, 64)
-				a.Header = append(a.Header, http1.Field{Name: "Retry-After", Value: wait})
+			s.Stats.Refused.Add()
+			s.recordOutcome(c, "refused", 503, attempts, len(attempts)-1)
+			response := textResponse(503, "refused", false)
+			if step.RetryAfter > 0 {
+				wait := strconv.FormatFloat(step.RetryAfter.Seconds(), 'f', 3, 64)
+				response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: wait})
 			}
-			return final{answer: a, count: &handled.Dropped}
+			return finalResponse{response: response, counter: &handled.Dropped}
 		case dispatch.Fail:
-			s.Count.Failed.Add()
+			s.Stats.Failed.Add()
 			status, reason := 502, "failed"
-			if n := len(tries); n > 0 && tries[n-1].out.Result == dispatch.TimedOut {
+			if n := len(attempts); n > 0 && attempts[n-1].outcome.Result == dispatch.TimedOut {
 				status, reason = 504, "no answer in time"
 			}
-			s.ended(c, "failed", status, tries, len(tries)-1)
-			return final{answer: plain(status, reason, false), count: &handled.Failed}
-		case dispatch.Gone:
-			s.Count.Gone.Add()
-			s.ended(c, "gone", 0, tries, len(tries)-1)
+			s.recordOutcome(c, "failed", status, attempts, len(attempts)-1)
+			return finalResponse{response: textResponse(status, reason, false), counter: &handled.Failed}
+		case dispatch.ClientGone:
+			s.Stats.Gone.Add()
+			s.recordOutcome(c, "gone", 0, attempts, len(attempts)-1)
 			if step.Attempt >= 0 {
-				s.Pool.Release(&tries[step.Attempt].out)
+				s.Pool.Release(&attempts[step.Attempt].outcome)
 			}
-			return final{}
+			return finalResponse{}
 		}
 	}
 }
 
-// ended notes how a request ended, where it is to be logged; last is the attempt that decided it.
-func (s *Server) ended(c *client, outcome string, status int, tries []*try, last int) {
-	if c.final == nil {
+// recordOutcome notes how a request ended, where it is to be logged; last is the attempt that decided it.
+func (s *Server) recordOutcome(c *client, outcome string, status int, attempts []*attempt, last int) {
+	if c.logEntry == nil {
 		return
 	}
-	c.final.Outcome, c.final.Status, c.final.Attempts = outcome, status, len(tries)
+	c.logEntry.Outcome, c.logEntry.Status, c.logEntry.Attempts = outcome, status, len(attempts)
 	if last >= 0 {
-		c.final.Server = s.Name(tries[last].Server)
+		c.logEntry.Server = s.Name(attempts[last].Server)
 	}
 }
 
-// logged writes the request's line, once its answer is out.
-func (s *Server) logged(c *client, arrived time.Time) {
-	if c.final == nil {
+// logRequest writes the request's line, once its answer is out.
+func (s *Server) logRequest(c *client, arrived time.Time) {
+	if c.logEntry == nil {
 		return
 	}
-	c.final.Took = time.Since(arrived)
-	if log := s.requests.Load(); log != nil {
-		log.Write(*c.final)
+	c.logEntry.Took = time.Since(arrived)
+	if log := s.requestLog.Load(); log != nil {
+		log.Write(*c.logEntry)
 	}
-	c.final = nil
+	c.logEntry = nil
 }
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -14,25 +14,25 @@
 // client is one connection of the application. The server's lock guards the four behind the first two.
 type client struct {
 	*connbuffer.Conn
-	woken chan struct{}
+	wakeup chan struct{}
 
-	upload atomic.Pointer[upload] // being read by an attempt; nil where there is none
-	since  time.Time              // in its present state from then on
-	idle   bool                   // no request is whole; whoever unsets it owns the connection
-	half   bool                   // but one has begun
-	fresh  bool                   // none ever was
-	taken  bool                   // a request that counts as in progress; only its goroutine uses this
+	upload     atomic.Pointer[upload] // being read by an attempt; nil where there is none
+	since      time.Time              // in its present state from then on
+	idle       bool                   // no request is whole; whoever unsets it owns the connection
+	receiving  bool                   // but one has begun
+	unused     bool                   // none ever was
+	inProgress bool                   // a request that counts as in progress; only its goroutine uses this
 
-	final *logging.Final // of the request being served, where it is to be logged
+	logEntry *logging.Final // of the request being served, where it is to be logged
 
-	use      *Use // of the request being served, where use is counted
-	useClass int
+	usage      *Use // of the request being served, where use is counted
+	usageClass int
 }
 
-// lookEvery is how often a client is looked for whose connection cannot be read.
-const lookEvery = 50 * time.Millisecond
+// closedPollInterval is how often a client is looked for whose connection cannot be read.
+const closedPollInterval = 50 * time.Millisecond
 
-var errLeft = errors.New("the client has ended its sending")
+var errPeerClosed = errors.New("the client has ended its sending")
 
 // Wait sits in Read until Wake, or until the client closes its side: a close and the end of its sending alone
 // look the same, so whoever wants an answer keeps both open. While an attempt reads the request's body, or
@@ -40,16 +40,16 @@
 func (c *client) Wait() error {
 	for u := c.upload.Load(); u != nil; u = c.upload.Load() {
 		select {
-		case <-c.woken:
+		case <-c.wakeup:
 			return nil
-		case <-u.over:
-			if err := u.gone(); err != nil {
+		case <-u.ended:
+			if err := u.clientError(); err != nil {
 				return err
 			}
 			c.upload.Store(nil) // before the deadline is set below, or a Wake between would not be heard
-		case <-time.After(lookEvery):
+		case <-time.After(closedPollInterval):
 			if c.PeerClosed() {
-				return errLeft
+				return errPeerClosed
 			}
 		}
 	}
@@ -58,23 +58,23 @@
 		// token.
 		c.SetReadDeadline(time.Time{})
 		select {
-		case <-c.woken:
+		case <-c.wakeup:
 			return nil
 		default:
 		}
-		early := c.In.Buffered() // of the next request, or what a client sends that does not wait for answers
-		if early < c.In.Size() {
-			if _, err := c.In.Peek(early + 1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		buffered := c.In.Buffered() // of the next request, or what a client sends that does not wait for answers
+		if buffered < c.In.Size() {
+			if _, err := c.In.Peek(buffered + 1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
 			}
 			continue
 		}
 		select { // no room to read on
-		case <-c.woken:
+		case <-c.wakeup:
 			return nil
-		case <-time.After(lookEvery):
+		case <-time.After(closedPollInterval):
 			if c.PeerClosed() {
-				return errLeft
+				return errPeerClosed
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 // Wake ends Wait.
 func (c *client) Wake() {
 	select {
-	case c.woken <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 	if c.upload.Load() == nil {
@@ -91,24 +91,24 @@
 	}
 }
 
-// rest marks the connection as between two requests, begin as in one; begin returns false where the
+// markIdle marks the connection as between two requests, begin as in one; begin returns false where the
 // connection was closed meanwhile. Where the next request was read with the one before it has begun: nothing
 // of it waits in the system, where whoever closes what rests would see it.
-func (s *Server) rest(c *client) {
+func (s *Server) markIdle(c *client) {
 	waits := c.HasBuffered()
 	s.mu.Lock()
-	c.idle, c.half, c.fresh, c.since = true, waits, false, time.Now()
+	c.idle, c.receiving, c.unused, c.since = true, waits, false, time.Now()
 	s.mu.Unlock()
 }
 
-// starts notes the first byte of a request.
-func (s *Server) starts(c *client) {
+// markReceiving notes the first byte of a request.
+func (s *Server) markReceiving(c *client) {
 	s.mu.Lock()
-	c.half, c.since = true, time.Now()
+	c.receiving, c.since = true, time.Now()
 	s.mu.Unlock()
 }
 
-func (s *Server) begin(c *client) bool {
+func (s *Server) claim(c *client) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := c.idle
@@ -116,19 +116,19 @@
 	return was
 }
 
-// spare tells how well a connection can be done without, from 0, not at all, up. The time for those that
+// expendability tells how well a connection can be done without, from 0, not at all, up. The time for those that
 // rest is short, for some clients open a connection for each request and keep it: at hundreds a second what
 // rests fills all places long before it is old.
-func (c *client) spare(now time.Time, l *config.Clients) int {
+func (c *client) expendability(now time.Time, l *config.Clients) int {
 	age := now.Sub(c.since)
 	switch {
 	case !c.idle:
 		return 0
-	case c.half && age > l.Half && now.Sub(c.LastReceived()) > l.Half: // a slow one goes on coming
+	case c.receiving && age > l.Half && now.Sub(c.LastReceived()) > l.Half: // a slow one goes on coming
 		return 2
-	case !c.half && c.fresh && age > l.Silent:
+	case !c.receiving && c.unused && age > l.Silent:
 		return 3
-	case !c.half && !c.fresh && age > l.Rested:
+	case !c.receiving && !c.unused && age > l.Rested:
 		return 1
 	}
 	return 0
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -20,8 +20,8 @@
 	nettest.Until(t, "nothing is held", func() bool {
 		r.Server.mu.Lock()
 		defer r.Server.mu.Unlock()
-		return len(r.clients) == 0 && len(r.open) == 0 && r.Bodies.Used() == 0 && len(r.away) == 0 &&
-			r.Count.InProgress.Load() == 0
+		return len(r.clients) == 0 && len(r.openIDs) == 0 && r.Bodies.Used() == 0 && len(r.rejecting) == 0 &&
+			r.Stats.InProgress.Load() == 0
 	})
 }
 
@@ -335,7 +335,7 @@
 	for _, leavesFirst := range []bool{true, false} {
 		r := newRig(t, nil)
 		sent, left := make(chan bool, 1), make(chan bool)
-		r.atSent = func() {
+		r.onBodySent = func() {
 			if leavesFirst {
 				sent <- true
 				<-left
@@ -356,10 +356,10 @@
 		if leavesFirst {
 			<-sent
 		} else {
-			nettest.Until(t, "it counts", func() bool { return r.Count.InProgress.Load() == 1 })
+			nettest.Until(t, "it counts", func() bool { return r.Stats.InProgress.Load() == 1 })
 		}
 		c.Close()
-		nettest.Until(t, "it is missed", func() bool { return r.Count.Gone.Load() == 1 })
+		nettest.Until(t, "it is missed", func() bool { return r.Stats.Gone.Load() == 1 })
 		nettest.Until(t, "its connection is closed", func() bool {
 			r.Server.mu.Lock()
 			defer r.Server.mu.Unlock()
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -32,8 +32,8 @@
 	defer s.mu.Unlock()
 	next := s.drain.Load().Lame(on, time.Now())
 	s.drain.Store(&next)
-	if on && !s.sweeping {
-		s.sweeping = true
+	if on && !s.closingIdle {
+		s.closingIdle = true
 		go s.sweep()
 	}
 }
@@ -43,7 +43,7 @@
 	for ; ; time.Sleep(sweepEvery) {
 		s.mu.Lock()
 		if d := s.drain.Load(); d.Serving() || d.Ending() {
-			s.sweeping = false
+			s.closingIdle = false
 			s.mu.Unlock()
 			return
 		}
@@ -72,7 +72,7 @@
 		s.closeBefore(p)
 		left := len(s.clients)
 		s.mu.Unlock()
-		if left == 0 && p.Over && len(s.away) == 0 {
+		if left == 0 && p.Over && len(s.rejecting) == 0 {
 			return
 		}
 	}
@@ -84,9 +84,9 @@
 	for c := range s.clients {
 		switch {
 		case !c.idle:
-		case c.half && c.since.Before(p.Half):
+		case c.receiving && c.since.Before(p.Half):
 			c.SetReadDeadline(time.Unix(1, 0)) // its own goroutine tells it why
-		case !c.half && c.since.Before(p.Rested) && c.Still():
+		case !c.receiving && c.since.Before(p.Rested) && c.Still():
 			s.closeIdle(c)
 		}
 	}
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -78,12 +78,12 @@
 func TestWhatWasReadEarlyIsNoRest(t *testing.T) {
 	s := server()
 	far, near := tcpPair(t)
-	c := &client{Conn: connbuffer.NewConn(near), woken: make(chan struct{}, 1)}
+	c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}
 	s.clients[c] = struct{}{}
 	io.WriteString(far, "GET /one\r\nGET /two\r\n")
 	nettest.Until(t, "all has come", func() bool { c.In.Peek(1); return c.In.Buffered() == 20 })
 	c.In.Discard(10)
-	s.rest(c)
+	s.markIdle(c)
 	s.mu.Lock()
 	s.closeBefore(drain.Plan{Rested: time.Now().Add(time.Hour)})
 	_, open := s.clients[c]
@@ -92,7 +92,7 @@
 		t.Error("it was closed")
 	}
 	c.In.Discard(10)
-	s.rest(c)
+	s.markIdle(c)
 	s.mu.Lock()
 	s.closeBefore(drain.Plan{Rested: time.Now().Add(time.Hour)})
 	_, open = s.clients[c]
@@ -254,7 +254,7 @@
 		nettest.Until(t, "the sweep ends", func() bool {
 			r.Server.mu.Lock()
 			defer r.Server.mu.Unlock()
-			return !r.sweeping
+			return !r.closingIdle
 		})
 	}
 }
@@ -270,9 +270,9 @@
 			text := strings.Replace(get("id"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1) +
 				strings.Repeat(get("next"), 100)
 			if full {
-				for n := int64(1); r.Count.TurnedAway.Load() == 0; n++ {
+				for n := int64(1); r.Stats.TurnedAway.Load() == 0; n++ {
 					io.WriteString(nettest.Dial(t, r.address), "GET /")
-					nettest.Until(t, "it is accepted", func() bool { return r.Count.Accepted.Load() == n })
+					nettest.Until(t, "it is accepted", func() bool { return r.Stats.Accepted.Load() == n })
 				}
 				text = post("id", 8000, strings.Repeat("x", 8000))
 			}
@@ -298,12 +298,12 @@
 	for range 20 {
 		far, near := tcpPair(t)
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-		c := &client{Conn: connbuffer.NewConn(near), woken: make(chan struct{}, 1), idle: true, fresh: true}
+		c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1), idle: true, unused: true}
 		nettest.Until(t, "it is there", func() bool { return !c.Still() })
 		if !r.Budget.Take(descriptors.Clients) {
 			t.Fatal("no place")
 		}
-		r.serve(c)
+		r.serveConn(c)
 		far.SetDeadline(time.Now().Add(nettest.Patience))
 		if got := outcome(connbuffer.NewConn(far)); got != "200 ready" {
 			t.Fatal(got)
--- a/internal/proxy/ingress/exchange.go
+++ b/internal/proxy/ingress/exchange.go
@@ -14,17 +14,17 @@
 	"cresshub/internal/proxy/logging"
 )
 
-func (s *Server) serve(c *client) {
-	for s.request(c) {
-		s.rest(c)
+func (s *Server) serveConn(c *client) {
+	for s.serveRequest(c) {
+		s.markIdle(c)
 	}
 }
 
-// request serves one request; false means that the connection is closed.
-func (s *Server) request(c *client) (again bool) {
+// serveRequest serves one request; false means that the connection is closed.
+func (s *Server) serveRequest(c *client) (reusable bool) {
 	limits := s.limits.Load()
 	limit := limits.Idle
-	if c.fresh { // only this goroutine unsets it
+	if c.unused { // only this goroutine unsets it
 		limit = limits.First
 	}
 	c.SetReadDeadline(time.Now().Add(limit))
@@ -32,26 +32,26 @@
 	// counts as in a request.
 	err := c.AwaitReadable()
 	if err == nil {
-		s.starts(c)
+		s.markReceiving(c)
 		c.SetReadDeadline(time.Now().Add(limits.Request))
 		_, err = c.In.Peek(1)
 	}
 	silent := err != nil
 	var q *http1.Request
 	var body *http1.Body
-	held := 0
+	reserved := 0
 	if !silent {
 		if q, body, err = http1.ReadRequestHead(c.In); err == nil {
-			held, err = s.keep(c, q, body)
+			reserved, err = s.bufferBody(c, q, body)
 		}
 	}
 	arrived := time.Now() // a request's time counts from its last byte
-	defer s.Bodies.Release(held)
-	if !s.begin(c) {
+	defer s.Bodies.Release(reserved)
+	if !s.claim(c) {
 		return false
 	}
 	defer func() {
-		if !again {
+		if !reusable {
 			s.mu.Lock()
 			delete(s.clients, c)
 			s.mu.Unlock()
@@ -68,11 +68,11 @@
 	}
 	var u *upload
 	if !body.Complete() {
-		u = &upload{server: s, client: c, body: body, over: make(chan struct{})}
+		u = &upload{server: s, client: c, body: body, ended: make(chan struct{})}
 		c.upload.Store(u)
 		defer c.upload.Store(nil)
-		defer u.ended()
-	} else if !begins(c.In) {
+		defer u.countOut()
+	} else if !mayBeginRequest(c.In) {
 		// The length told does not fit: what was read as a whole request is a part of one.
 		s.reject(c, &http1.MalformedError{Status: 400, Reason: "more than one request"})
 		return false
@@ -80,37 +80,37 @@
 	f := s.answer(c, q, u, arrived)
 	if u != nil && u.malformed() != nil {
 		s.reject(c, u.malformed())
-		f.answer = nil
+		f.response = nil
 	}
-	if f.answer != nil {
+	if f.response != nil {
 		// What is left of a body is in the way of the next request.
-		f.answer.Close = q.Close || s.leaving(c) || !body.Complete()
-		if c.use != nil {
-			c.use.In = body.BytesRead()
+		f.response.Close = q.Close || s.leaving(c) || !body.Complete()
+		if c.usage != nil {
+			c.usage.In = body.BytesRead()
 		}
-		passed := s.pass(c, q, &f)
-		again = passed && !f.answer.Close
+		written := s.writeResponse(c, q, &f)
+		reusable = written && !f.response.Close
 		switch {
-		case !passed: // to end the sending in order would say that this was all
+		case !written: // to end the sending in order would say that this was all
 		case !body.Complete():
 			s.linger(c, limits.Discard)
-		case f.answer.Close && !c.Quiet():
+		case f.response.Close && !c.Quiet():
 			s.linger(c, limits.Linger)
 		}
 	}
-	if f.from != nil {
-		s.Pool.Release(f.from)
+	if f.outcome != nil {
+		s.Pool.Release(f.outcome)
 	}
-	if c.taken {
-		c.taken = false
-		s.Count.InProgress.Add(-1)
+	if c.inProgress {
+		c.inProgress = false
+		s.Stats.InProgress.Add(-1)
 	}
-	s.logged(c, arrived)
-	return again
+	s.logRequest(c, arrived)
+	return reusable
 }
 
-// begins tells whether what has already come behind a request can be the start of another.
-func begins(r *bufio.Reader) bool {
+// mayBeginRequest tells whether what has already come behind a request can be the start of another.
+func mayBeginRequest(r *bufio.Reader) bool {
 	b, _ := r.Peek(min(r.Buffered(), len("\r\nPOST ")))
 	b = bytes.TrimPrefix(b, []byte("\r\n"))
 	b = b[:min(len(b), len("POST "))]
@@ -136,9 +136,9 @@
 	default:
 		return
 	}
-	s.rejected(status, err.Error())
+	s.countRejected(status, err.Error())
 	c.SetWriteDeadline(time.Now().Add(s.limits.Load().Write))
-	if plain(status, err.Error(), true).Write(c.Out) != nil || c.Flush() != nil {
+	if textResponse(status, err.Error(), true).Write(c.Out) != nil || c.Flush() != nil {
 		return
 	}
 	s.linger(c, s.limits.Load().Linger)
@@ -154,13 +154,13 @@
 	}
 }
 
-// rejected counts a request that cannot be used.
-func (s *Server) rejected(status int, reason string) {
-	s.Count.Invalid.Add()
+// countRejected counts a request that cannot be used.
+func (s *Server) countRejected(status int, reason string) {
+	s.Stats.Invalid.Add()
 	s.Log.Warn("request rejected", logging.Status, status, logging.Err, reason)
 }
 
-func plain(status int, text string, ends bool) *http1.Response {
+func textResponse(status int, text string, ends bool) *http1.Response {
 	return &http1.Response{Status: status, Body: []byte(text + "\n"), Close: ends,
 		Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}}
 }
--- a/internal/proxy/ingress/ingress.go
+++ b/internal/proxy/ingress/ingress.go
@@ -28,45 +28,47 @@
 // Server serves the clients of one listener.
 type Server struct {
 	Options
-	classes  map[string]int
-	tenants  map[string]int
-	limits   atomic.Pointer[config.Clients]
-	requests atomic.Pointer[logging.Requests]
-	drain    atomic.Pointer[drain.State] // written under mu
-	away     chan struct{}               // a token for each client being turned away
-	atSent   func()                      // for tests: called as an upload's last byte is out; nil in the program
+	classes    map[string]int
+	tenants    map[string]int
+	limits     atomic.Pointer[config.Clients]
+	requestLog atomic.Pointer[logging.Requests]
+	drain      atomic.Pointer[drain.State] // written under mu
+	rejecting  chan struct{}               // a token for each client being turned away
+	// for tests: called as an upload's last byte is out; nil in the program
+	onBodySent func()
 
-	mu       sync.Mutex
-	sweeping bool // a goroutine closes what a lame duck has come to close
-	clients  map[*client]struct{}
-	open     map[string]int // by id, how many still need it: its request and the attempts that are out
+	mu          sync.Mutex
+	closingIdle bool // a goroutine closes what a lame duck has come to close
+	clients     map[*client]struct{}
+	openIDs     map[string]int // by id, how many still need it: its request and the attempts that are out
 }
 
 // Options are what a Server works with.
 type Options struct {
-	Decider *dispatch.Decider
-	Pool    *upstream.Pool
-	Name    func(dispatch.ServerID) string // what a zone server is called
-	Classes []string                       // names in the order of the settings
-	Tenants []string
-	Limits  config.Clients
-	Drain   func() drain.Times // as they are now
-	Budget  *descriptors.Budget
-	Bodies  *bodybudget.Budget
-	Count   *stats.Set
-	Used    func(Use) // told of every final answer that was written; nil where nobody counts use
-	Log     *slog.Logger
+	Decider     *dispatch.Decider
+	Pool        *upstream.Pool
+	Name        func(dispatch.ServerID) string // what a zone server is called
+	Classes     []string                       // names in the order of the settings
+	Tenants     []string
+	Limits      config.Clients
+	Drain       func() drain.Times // as they are now
+	Budget      *descriptors.Budget
+	Bodies      *bodybudget.Budget
+	Stats       *stats.Set
+	RecordUsage func(Use) // told of every final answer that was written; nil where nobody counts use
+	Log         *slog.Logger
 }
 
 // New returns a Server that logs no requests.
 func New(o Options) *Server {
 	s := &Server{
 		Options: o, classes: positions(o.Classes), tenants: positions(o.Tenants),
-		away: make(chan struct{}, o.Limits.AwayAtOne), clients: map[*client]struct{}{}, open: map[string]int{},
+		rejecting: make(chan struct{}, o.Limits.AwayAtOne), clients: map[*client]struct{}{},
+		openIDs: map[string]int{},
 	}
 	s.SetLimits(o.Limits)
 	s.drain.Store(&drain.State{})
-	o.Budget.OnShort(descriptors.Clients, s.closeOne)
+	o.Budget.OnShort(descriptors.Clients, s.closeMostExpendable)
 	return s
 }
 
@@ -74,7 +76,7 @@
 func (s *Server) SetLimits(l config.Clients) { s.limits.Store(&l) }
 
 // LogRequests sets where requests are logged; nil ends it.
-func (s *Server) LogRequests(r *logging.Requests) { s.requests.Store(r) }
+func (s *Server) LogRequests(r *logging.Requests) { s.requestLog.Store(r) }
 
 func positions(names []string) map[string]int {
 	at := map[string]int{}
@@ -96,33 +98,33 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		s.Count.Accepted.Add()
+		s.Stats.Accepted.Add()
 		if !s.Budget.Take(descriptors.Clients) {
-			s.Count.TurnedAway.Add()
+			s.Stats.TurnedAway.Add()
 			select {
-			case s.away <- struct{}{}:
-				go s.turnAway(nc)
+			case s.rejecting <- struct{}{}:
+				go s.rejectConn(nc)
 			default: // waiting for a token would keep all others waiting too
 				nc.Close()
 			}
 			continue
 		}
-		c := &client{Conn: connbuffer.NewConn(nc), woken: make(chan struct{}, 1), since: time.Now(), idle: true,
-			fresh: true}
+		c := &client{Conn: connbuffer.NewConn(nc), wakeup: make(chan struct{}, 1), since: time.Now(), idle: true,
+			unused: true}
 		s.mu.Lock()
 		s.clients[c] = struct{}{}
 		s.mu.Unlock()
-		go s.serve(c)
+		go s.serveConn(c)
 		if s.Budget.Crowded() {
-			s.closeOne()
+			s.closeMostExpendable()
 		}
 	}
 }
 
-// turnAway reads one request and refuses it: a client that is just cut off could not tell what became
+// rejectConn reads one request and refuses it: a client that is just cut off could not tell what became
 // of its request.
-func (s *Server) turnAway(nc net.Conn) {
-	defer func() { <-s.away }()
+func (s *Server) rejectConn(nc net.Conn) {
+	defer func() { <-s.rejecting }()
 	defer nc.Close()
 	c := connbuffer.NewConn(nc)
 	c.SetDeadline(time.Now().Add(s.limits.Load().Away))
@@ -136,34 +138,34 @@
 		defer s.linger(&client{Conn: c}, s.limits.Load().Linger)
 	}
 	if class, ok := s.classes[q.Header.Get("X-Priority-Class")]; flushed == nil && ok {
-		s.Count.Class(class).Dropped.Add()
-		if t := (&client{}); s.Used != nil {
+		s.Stats.Class(class).Dropped.Add()
+		if t := (&client{}); s.RecordUsage != nil {
 			s.use(t, q, class)
-			s.used(t, &s.Count.Class(class).Dropped, 0)
+			s.used(t, &s.Stats.Class(class).Dropped, 0)
 		}
 	}
 }
 
-// closeOne closes the connection that can best be done without and gives its place back: one that
+// closeMostExpendable closes the connection that can best be done without and gives its place back: one that
 // never asked before one that is stuck in a request, and that before one that rests between two.
-func (s *Server) closeOne() bool {
+func (s *Server) closeMostExpendable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for now, limits := time.Now(), s.limits.Load(); ; {
-		var worst *client
-		most := 0
+		var candidate *client
+		highest := 0
 		for c := range s.clients {
-			n := c.spare(now, limits)
-			if n > most || n > 0 && n == most && c.since.Before(worst.since) {
-				worst, most = c, n
+			n := c.expendability(now, limits)
+			if n > highest || n > 0 && n == highest && c.since.Before(candidate.since) {
+				candidate, highest = c, n
 			}
 		}
-		if worst == nil {
+		if candidate == nil {
 			return false
 		}
-		if worst.half || worst.Still() {
-			return s.closeIdle(worst)
+		if candidate.receiving || candidate.Still() {
+			return s.closeIdle(candidate)
 		}
-		worst.since = now // its request waits in the system and is only not read yet
+		candidate.since = now // its request waits in the system and is only not read yet
 	}
 }
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -55,7 +55,7 @@
 		list = append(list, dispatch.Server{ID: id, Rating: 1})
 	}
 	r.mu.Unlock()
-	r.Decider.Listed(true, list)
+	r.Decider.UpdateList(true, list)
 }
 
 // newRig starts a proxy that knows no server. Its class "lookup" may run again, "assign" must not; change may
@@ -79,7 +79,7 @@
 	budget, room, count := descriptors.NewBudget(200, 0.6, 0.9), bodybudget.NewBudget(1<<20), stats.New(
 		[]string{"lookup", "assign"})
 	wait := nettest.Patience
-	limits := upstream.Limits{Dial: wait, Reuse: wait, Probe: wait, Hold: time.Second, Stall: wait}
+	limits := upstream.Limits{Dial: wait, MaxIdle: wait, Probe: wait, BufferTime: time.Second, Stall: wait}
 	pool := upstream.New(r, limits, nil, budget, room, count)
 	r.Server = New(Options{
 		Decider: decider, Pool: pool, Name: func(dispatch.ServerID) string { return "s" },
@@ -91,7 +91,7 @@
 			return drain.Times{CloseIdle: 50 * time.Millisecond, Accept: 80 * time.Millisecond,
 				CloseAll: 120 * time.Millisecond, CloseHalf: 300 * time.Millisecond}
 		},
-		Budget: budget, Bodies: room, Count: count, Log: slog.New(slog.DiscardHandler),
+		Budget: budget, Bodies: room, Stats: count, Log: slog.New(slog.DiscardHandler),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// firstRoom is what is taken at first for a body of unknown length.
-	firstRoom = 2 << 10
-	// enough of a large body is there with so much of it: a client whose length is a lie sends less, and costs
+	// initialReservation is what is taken at first for a body of unknown length.
+	initialReservation = 2 << 10
+	// largeBodyStart of a large body is there with so much of it: a client whose length is a lie sends less, and costs
 	// no server anything.
-	enough = 4 << 10
+	largeBodyStart = 4 << 10
 )
 
-// keep reads a request's body as far as it is kept for another attempt: all of a small one, the beginning of
+// bufferBody reads a request's body as far as it is kept for another attempt: all of a small one, the beginning of
 // one that is known to be large, or what the budget for bodies has room for. held is what it took from that.
-func (s *Server) keep(c *client, q *http1.Request, body *http1.Body) (held int, err error) {
+func (s *Server) bufferBody(c *client, q *http1.Request, body *http1.Body) (reserved int, err error) {
 	if body.Complete() {
 		return 0, nil
 	}
@@ -32,9 +32,9 @@
 		}
 	}
 	q.Length = body.Length()
-	large, size := q.Length > http1.MaxBufferedBody, firstRoom
+	large, size := q.Length > http1.MaxBufferedBody, initialReservation
 	if large {
-		size = enough
+		size = largeBodyStart
 	} else if q.Length > 0 {
 		size = int(q.Length)
 	}
@@ -43,20 +43,20 @@
 			if n > 0 {
 				size = min(2*n, http1.MaxBufferedBody)
 			}
-			if n == http1.MaxBufferedBody || large && n == enough || !s.Bodies.Reserve(size-n) {
-				return held, nil
+			if n == http1.MaxBufferedBody || large && n == largeBodyStart || !s.Bodies.Reserve(size-n) {
+				return reserved, nil
 			}
-			held += size - n
+			reserved += size - n
 			q.Body = append(make([]byte, 0, size), q.Body...)[:size]
 		}
 		m, err := c.read(body, q.Body[n:], s.limits.Load().Stall)
 		n += m
 		if body.Complete() {
 			q.Body, q.Length = q.Body[:n], 0
-			return held, nil
+			return reserved, nil
 		}
 		if err != nil {
-			return held, err
+			return reserved, err
 		}
 	}
 }
@@ -73,36 +73,37 @@
 // upload is the part of a request's body that is not kept. One attempt reads it; while it does, the request's
 // own goroutine keeps off the connection.
 type upload struct {
-	server *Server
-	client *client
-	body   *http1.Body
-	call   *dispatch.Call
-	wait   time.Duration // the client waits for an answer so long from its last byte on
+	server  *Server
+	client  *client
+	body    *http1.Body
+	call    *dispatch.Call
+	timeout time.Duration // the client waits for an answer so long from its last byte on
 
-	begun atomic.Bool   // an attempt reads it
-	count atomic.Int32  // whether it counts as in progress; the last byte and the end may come in either order
-	over  chan struct{} // closed when the body has ended
-	err   error         // why it ended, io.EOF where it is whole; set before over closes
+	claimed atomic.Bool // an attempt reads it
+	// whether it counts as in progress; the last byte and the end may come in either order
+	progress atomic.Int32
+	ended    chan struct{} // closed when the body has ended
+	err      error         // why it ended, io.EOF where it is whole; set before over closes
 }
 
 const (
-	notYet = iota
-	counted
-	over
+	uploadPending = iota
+	uploadCounted
+	uploadEnded
 )
 
-// uploading is an upload as one attempt has it. Of two that are out at once the first to begin reads it.
-type uploading struct {
+// attemptUpload is an upload as one attempt has it. Of two that are out at once the first to begin reads it.
+type attemptUpload struct {
 	*upload
 	attempt int
 }
 
 // Begins says that from here on there can be no other attempt; false where another one has begun.
-func (u uploading) Begins() bool {
-	if !u.begun.CompareAndSwap(false, true) {
+func (u attemptUpload) Claim() bool {
+	if !u.claimed.CompareAndSwap(false, true) {
 		return false
 	}
-	u.server.Decider.Spent(u.call)
+	u.server.Decider.BodyConsumed(u.call)
 	return true
 }
 
@@ -113,33 +114,33 @@
 	n, err := u.client.read(u.body, p, u.server.limits.Load().Stall)
 	if err != nil {
 		u.err = err
-		close(u.over)
+		close(u.ended)
 	}
 	return n, err
 }
 
 // Sent says that the server has the last byte; the request's time begins.
-func (u uploading) Sent() time.Time {
-	if u.server.atSent != nil {
-		u.server.atSent()
+func (u attemptUpload) Sent() time.Time {
+	if u.server.onBodySent != nil {
+		u.server.onBodySent()
 	}
-	if u.count.CompareAndSwap(notYet, counted) {
-		u.server.Count.InProgress.Add(1)
+	if u.progress.CompareAndSwap(uploadPending, uploadCounted) {
+		u.server.Stats.InProgress.Add(1)
 	}
-	return u.server.Decider.Whole(u.call, u.attempt, time.Now().Add(u.wait))
+	return u.server.Decider.BodySent(u.call, u.attempt, time.Now().Add(u.timeout))
 }
 
-// ended counts it out.
-func (u *upload) ended() {
-	if u.count.Swap(over) == counted {
-		u.server.Count.InProgress.Add(-1)
+// countOut counts it out.
+func (u *upload) countOut() {
+	if u.progress.Swap(uploadEnded) == uploadCounted {
+		u.server.Stats.InProgress.Add(-1)
 	}
 }
 
 // malformed is the error of a body that made no sense; nil where it did, or was not read.
 func (u *upload) malformed() error {
 	select {
-	case <-u.over:
+	case <-u.ended:
 		if errors.As(u.err, new(*http1.MalformedError)) {
 			return u.err
 		}
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// gone is the error that shows that the client has left; nil where the body is whole.
-func (u *upload) gone() error {
+// clientError is the error that shows that the client has left; nil where the body is whole.
+func (u *upload) clientError() error {
 	if u.err == io.EOF {
 		return nil
 	}
--- a/internal/proxy/ingress/used.go
+++ b/internal/proxy/ingress/used.go
@@ -21,8 +21,8 @@
 
 // use notes what a request uses, where somebody counts it.
 func (s *Server) use(c *client, q *http1.Request, class int) {
-	c.use = nil
-	if s.Used == nil || class < 0 {
+	c.usage = nil
+	if s.RecordUsage == nil || class < 0 {
 		return
 	}
 	u := &Use{Tenant: q.Header.Get("X-Tenant-Id"), Class: s.Classes[class]}
@@ -33,17 +33,17 @@
 	if id != "" {
 		u.ID = xxhash.Sum64String(id)
 	}
-	c.use, c.useClass = u, class
+	c.usage, c.usageClass = u, class
 }
 
 // used counts a request's use once its final answer has been written, as the figure that counted it says.
 func (s *Server) used(c *client, by *stats.Counter, out int64) {
-	u := c.use
+	u := c.usage
 	if u == nil || by == nil {
 		return
 	}
-	c.use = nil
-	h := s.Count.Class(c.useClass)
+	c.usage = nil
+	h := s.Stats.Class(c.usageClass)
 	switch by {
 	case &h.Passed:
 		u.Answer = "passed"
@@ -55,5 +55,5 @@
 		return
 	}
 	u.Out = out
-	s.Used(*u)
+	s.RecordUsage(*u)
 }
--- a/internal/proxy/ingress/wait_test.go
+++ b/internal/proxy/ingress/wait_test.go
@@ -18,7 +18,7 @@
 
 func pair() (*client, net.Conn) {
 	near, far := net.Pipe()
-	return &client{Conn: connbuffer.NewConn(near), woken: make(chan struct{}, 1)}, far
+	return &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}, far
 }
 
 // A wake may come before its wait, during it, or with the next request already there; none is lost.
@@ -58,7 +58,7 @@
 	return New(Options{Limits: config.Clients{AwayAtOne: 1, Silent: 50 * time.Millisecond,
 		Half: 500 * time.Millisecond, Rested: 20 * time.Millisecond},
 		Bodies: bodybudget.NewBudget(1 << 20), Budget: descriptors.NewBudget(100, 0.6, 0.25),
-		Count: &stats.Set{}, Log: slog.New(slog.DiscardHandler)})
+		Stats: &stats.Set{}, Log: slog.New(slog.DiscardHandler)})
 }
 
 // Places go first from those that never asked, then from those stuck in a request, then from those that
@@ -72,23 +72,23 @@
 		return c
 	}
 	add(&client{since: old})
-	add(&client{idle: true, fresh: true, since: time.Now().Add(time.Minute)})
+	add(&client{idle: true, unused: true, since: time.Now().Add(time.Minute)})
 	order := []*client{
-		add(&client{idle: true, fresh: true, since: old}),
-		add(&client{idle: true, fresh: true, since: old.Add(time.Second)}),
-		add(&client{idle: true, fresh: true, half: true, since: old}),
+		add(&client{idle: true, unused: true, since: old}),
+		add(&client{idle: true, unused: true, since: old.Add(time.Second)}),
+		add(&client{idle: true, unused: true, receiving: true, since: old}),
 		add(&client{idle: true, since: old}),
 		add(&client{idle: true, since: time.Now().Add(-100 * time.Millisecond)}), // one request a connection
 	}
 	for i, c := range order {
-		if !s.closeOne() {
+		if !s.closeMostExpendable() {
 			t.Fatalf("only %d made room", i)
 		}
 		if _, held := s.clients[c]; held {
 			t.Errorf("another one than the %d. made room", i)
 		}
 	}
-	if s.closeOne() {
+	if s.closeMostExpendable() {
 		t.Error("one in use made room")
 	}
 }
@@ -97,13 +97,13 @@
 func TestRequestLogOffIsFree(t *testing.T) {
 	s := server()
 	c, _ := pair()
-	tries := []*try{{}}
+	tries := []*attempt{{}}
 	if n := testing.AllocsPerRun(1000, func() {
-		if s.requests.Load().Wants() {
+		if s.requestLog.Load().Wants() {
 			t.Fatal("a line is wanted")
 		}
-		s.ended(c, "served", 200, tries, 0)
-		s.logged(c, time.Time{})
+		s.recordOutcome(c, "served", 200, tries, 0)
+		s.logRequest(c, time.Time{})
 	}); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -115,7 +115,7 @@
 		"xyz": false, "\n": false, "GETaway": false} {
 		r := bufio.NewReader(strings.NewReader(behind))
 		r.Peek(1)
-		if got := begins(r); got != want {
+		if got := mayBeginRequest(r); got != want {
 			t.Errorf("%q: %v", behind, got)
 		}
 	}
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -45,7 +45,7 @@
 		}
 		<-wrote
 		a.Cancel()
-		if out := <-done; out.Result != dispatch.Withdrawn || out.Answer != nil || p.bodies.Used() != 0 {
+		if out := <-done; out.Result != dispatch.Cancelled || out.Response != nil || p.bodies.Used() != 0 {
 			t.Errorf("after %d pieces: %s, %d bytes kept", begun+1, dispatch.ResultNames[out.Result], p.bodies.Used())
 		}
 		for range 2 - begun {
@@ -64,12 +64,12 @@
 		}
 		out := <-done
 		a.Cancel()
-		if out.Result != dispatch.Served || string(out.Answer.Body) != "body" {
+		if out.Result != dispatch.Served || string(out.Response.Body) != "body" {
 			t.Errorf("after the last byte: %s", dispatch.ResultNames[out.Result])
 		}
 		p.Release(&out)
 	}
-	if n := p.count.Opened.Load(); n != 1 || p.count.Reused.Load() != 1 {
+	if n := p.stats.Opened.Load(); n != 1 || p.stats.Reused.Load() != 1 {
 		t.Errorf("%d connections for two", n)
 	}
 }
@@ -88,11 +88,11 @@
 		p := pool(&place{address: address}, nettest.Patience)
 		for range 2 {
 			_, done := attempt(p, ever())
-			if out := <-done; out.Result != dispatch.Served || string(out.Answer.Body) != "own" {
+			if out := <-done; out.Result != dispatch.Served || string(out.Response.Body) != "own" {
 				t.Errorf("more %q: %s", more, dispatch.ResultNames[out.Result])
 			}
 		}
-		if n := p.count.Opened.Load(); n != 2 {
+		if n := p.stats.Opened.Load(); n != 2 {
 			t.Errorf("more %q: %d connections", more, n)
 		}
 	}
@@ -117,7 +117,7 @@
 			}
 		}
 		_, done = attempt(p, ever())
-		if out := <-done; out.Result != dispatch.TurnedAway {
+		if out := <-done; out.Result != dispatch.Rejected {
 			t.Errorf("%s: %s", name, dispatch.ResultNames[out.Result])
 		}
 		if len(old.Got("")) != 1 || len(fresh.Got("")) != 0 {
--- a/internal/proxy/upstream/crossings_test.go
+++ b/internal/proxy/upstream/crossings_test.go
@@ -48,16 +48,16 @@
 	})
 	p := pool(&place{address: address}, time.Hour)
 	l := *p.limits.Load()
-	l.Rest = time.Hour
+	l.DuplicateGuard = time.Hour
 	p.SetLimits(l)
 	var got []string
 	for range 2 {
 		_, done := attempt(p, ever())
 		out := <-done
-		if out.Answer == nil {
+		if out.Response == nil {
 			t.Fatalf("%+v", out)
 		}
-		got = append(got, string(out.Answer.Body))
+		got = append(got, string(out.Response.Body))
 	}
 	if diff := cmp.Diff([]string{"first", "own"}, got); diff != "" {
 		t.Error(diff)
@@ -68,7 +68,7 @@
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	p := pool(&place{address: x.Address}, time.Hour)
 	l := *p.limits.Load()
-	l.Rest = time.Minute
+	l.DuplicateGuard = time.Minute
 	p.SetLimits(l)
 	probed := make(chan bool)
 	ask := func() { _, done := attempt(p, ever()); <-done }
@@ -81,9 +81,9 @@
 	}
 	p.mu.Lock()
 	for _, c := range p.idle[0] {
-		c.since = c.since.Add(-2 * time.Minute)
+		c.idleSince = c.idleSince.Add(-2 * time.Minute)
 	}
-	p.idle[0][1].since = time.Now()
+	p.idle[0][1].idleSince = time.Now()
 	p.mu.Unlock()
 	ask() // on the one that has rested, though another was used later
 	if n := x.Opened.Load(); n != 2 {
@@ -101,9 +101,9 @@
 		"a late answer": func(_ *Pool, _ *conn, far *connbuffer.Conn) {
 			io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 		},
-		"too old":   func(_ *Pool, c *conn, _ *connbuffer.Conn) { c.since = time.Now().Add(-2 * time.Hour) },
+		"too old":   func(_ *Pool, c *conn, _ *connbuffer.Conn) { c.idleSince = time.Now().Add(-2 * time.Hour) },
 		"a sweep":   func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.Sweep(); p.mu.Lock() },
-		"a reclaim": func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.closeOne(); p.mu.Lock() },
+		"a reclaim": func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.closeOldestIdle(); p.mu.Lock() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -131,8 +131,8 @@
 			p.idle[0] = nil
 			next := make(chan Outcome, 1)
 			a := &Attempt{Request: &http1.Request{Method: "POST", Target: "/", Header: http1.Header{{Name: "Host",
-				Value: "h"}}}, Until: ever(), Done: func(o Outcome) { next <- o }}
-			a.arm()
+				Value: "h"}}}, GiveUpAt: ever(), Done: func(o Outcome) { next <- o }}
+			a.initContext()
 			c.next = a
 			happens(p, c, far)
 			if name == "noise" || name == "a late answer" {
@@ -140,15 +140,15 @@
 				nettest.Until(t, "it has come", func() bool {
 					p.mu.Lock()
 					defer p.mu.Unlock()
-					return c.next == nil || !c.nc.Still()
+					return c.next == nil || !c.netConn.Still()
 				})
 				p.mu.Lock()
 			}
-			c.nc.SetReadDeadline(time.Unix(1, 0))
+			c.netConn.SetReadDeadline(time.Unix(1, 0))
 			p.mu.Unlock()
 			out := <-next
-			if out.Result != dispatch.Served || string(out.Answer.Body) != "own" {
-				t.Errorf("%s %+v", dispatch.ResultNames[out.Result], out.Answer)
+			if out.Result != dispatch.Served || string(out.Response.Body) != "own" {
+				t.Errorf("%s %+v", dispatch.ResultNames[out.Result], out.Response)
 			}
 			want := "0"
 			if name == "nothing" || name == "a sweep" || name == "a reclaim" {
--- a/internal/proxy/upstream/rest_test.go
+++ b/internal/proxy/upstream/rest_test.go
@@ -58,7 +58,7 @@
 				close(late)
 			}()
 			if n, err := io.Copy(io.Discard, out.Rest); err != nil {
-				t.Errorf("%v after %d bytes", err, n+int64(len(out.Answer.Body)))
+				t.Errorf("%v after %d bytes", err, n+int64(len(out.Response.Body)))
 			}
 			p.Release(&out)
 		})
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -34,8 +34,8 @@
 }
 
 func pool(p *place, reuse time.Duration) *Pool {
-	return New(p, Limits{Dial: nettest.Patience, Reuse: reuse, Probe: nettest.Patience,
-		Hold: 100 * time.Millisecond, Stall: nettest.Patience},
+	return New(p, Limits{Dial: nettest.Patience, MaxIdle: reuse, Probe: nettest.Patience,
+		BufferTime: 100 * time.Millisecond, Stall: nettest.Patience},
 		[]string{"active", "waiting", "cpu"}, descriptors.NewBudget(100, 0.6, 0.25), bodybudget.NewBudget(1<<20),
 		&stats.Set{})
 }
@@ -44,7 +44,7 @@
 	done := make(chan Outcome, 1)
 	host := http1.Header{{Name: "Host", Value: "h"}}
 	a := &Attempt{Request: &http1.Request{Method: "POST", Target: "/api", Header: host},
-		Until: until, Done: func(o Outcome) { done <- o }}
+		GiveUpAt: until, Done: func(o Outcome) { done <- o }}
 	p.Start(a)
 	return a, done
 }
@@ -57,33 +57,34 @@
 		want         dispatch.Result
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", dispatch.Served},
-		{"error", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorAnswer},
-		{"turned away", "HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.TurnedAway},
-		{"over already", "HTTP/1.1 504 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.TurnedAway},
-		{"a proxy's 503", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorAnswer},
-		{"broken", "", dispatch.Broken},
-		{"broken in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", dispatch.Broken},
-		{"malformed", "hello\r\n\r\n", dispatch.ErrorAnswer}, // the server itself is there
+		{"error", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorResponse},
+		{"turned away", "HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
+		{"over already", "HTTP/1.1 504 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
+		{"a proxy's 503", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorResponse},
+		{"broken", "", dispatch.Reset},
+		{"broken in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", dispatch.Reset},
+		{"malformed", "hello\r\n\r\n", dispatch.ErrorResponse}, // the server itself is there
 		{"ended by close", "HTTP/1.1 200 OK\r\n\r\nbody", dispatch.Served},
-		{"ended by a reset", "HTTP/1.1 200 OK\r\n\r\nbody RESET", dispatch.Broken},
-		{"a reset in place of a body", "HTTP/1.1 200 OK\r\n\r\nRESET", dispatch.Broken},
-		{"a reset after much", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 30_000) + "RESET", dispatch.Broken},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody", dispatch.ErrorAnswer},
-		{"30 MB that are a lie", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.Broken},
+		{"ended by a reset", "HTTP/1.1 200 OK\r\n\r\nbody RESET", dispatch.Reset},
+		{"a reset in place of a body", "HTTP/1.1 200 OK\r\n\r\nRESET", dispatch.Reset},
+		{"a reset after much", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 30_000) + "RESET", dispatch.Reset},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody", dispatch.ErrorResponse},
+		{"30 MB that are a lie", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.Reset},
 		{"30 MB that begin", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + strings.Repeat("x", 5000),
 			dispatch.Served},
-		{"30 MB of an error", "HTTP/1.1 500 x\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.ErrorAnswer},
+		{"30 MB of an error", "HTTP/1.1 500 x\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.ErrorResponse},
 		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: and more\r\n", 10_000),
-			dispatch.ErrorAnswer},
-		{"a line without end", "HTTP/1.1 200 " + strings.Repeat("O", 200_000), dispatch.ErrorAnswer},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", dispatch.ErrorAnswer},
+			dispatch.ErrorResponse},
+		{"a line without end", "HTTP/1.1 200 " + strings.Repeat("O", 200_000), dispatch.ErrorResponse},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx",
+			dispatch.ErrorResponse},
 		{"a length beside chunks", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nx",
-			dispatch.ErrorAnswer},
-		{"shorter than it said", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", dispatch.Broken},
+			dispatch.ErrorResponse},
+		{"shorter than it said", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", dispatch.Reset},
 		{"longer than it said", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbody", dispatch.Served},
 		{"a chunk without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\nbody",
-			dispatch.ErrorAnswer},
-		{"a chunk cut off", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody", dispatch.Broken},
+			dispatch.ErrorResponse},
+		{"a chunk cut off", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody", dispatch.Reset},
 		{"interim answers", "HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", dispatch.Served},
 		{"silent", "silence", dispatch.TimedOut},
 	} {
@@ -135,7 +136,7 @@
 		}
 	}
 	_, done := attempt(pool(where, time.Hour), ever())
-	if got := <-done; got.Result != dispatch.TurnedAway || len(x.Got("")) != 0 {
+	if got := <-done; got.Result != dispatch.Rejected || len(x.Got("")) != 0 {
 		t.Errorf("%s, %d sent", dispatch.ResultNames[got.Result], len(x.Got("")))
 	}
 }
@@ -197,9 +198,9 @@
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	nettest.Until(t, "the copy waits in the system", func() bool { return !nc.Quiet() })
 	a := &Attempt{}
-	c := &conn{pool: p, nc: nc, next: a, since: time.Now()}
+	c := &conn{pool: p, netConn: nc, next: a, idleSince: time.Now()}
 	nc.SetReadDeadline(time.Unix(1, 0))
-	if got, usable := c.wait(); got != a || usable {
+	if got, usable := c.awaitAttempt(); got != a || usable {
 		t.Errorf("attempt handed over: %v, connection usable: %v", got == a, usable)
 	}
 }
@@ -209,7 +210,7 @@
 	a, done := attempt(pool(&place{address: x.Address}, time.Hour), ever())
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("")) == 1 })
 	a.Cancel()
-	if got := <-done; got.Result != dispatch.Withdrawn {
+	if got := <-done; got.Result != dispatch.Cancelled {
 		t.Error(dispatch.ResultNames[got.Result])
 	}
 	<-x.Left
@@ -223,7 +224,7 @@
 	<-done
 	where.out.Store(true)
 	p.Sweep()
-	if len(p.idle) != 0 || p.closeOne() {
+	if len(p.idle) != 0 || p.closeOldestIdle() {
 		t.Error("an idle connection stays")
 	}
 }
@@ -248,7 +249,7 @@
 	p.Probe(0, func(res dispatch.Result, _ time.Duration, _ []float64) {
 		got <- res
 	})
-	if res := <-got; res != dispatch.TurnedAway {
+	if res := <-got; res != dispatch.Rejected {
 		t.Error(dispatch.ResultNames[res])
 	}
 }
@@ -266,7 +267,7 @@
 		{"", nil},
 		{"<html>", nil},
 	} {
-		got := newReportForm([]string{"active", "waiting", "cpu"}).read(&http1.Response{Body: []byte(c.in)}, true)
+		got := newReportForm([]string{"active", "waiting", "cpu"}).parse(&http1.Response{Body: []byte(c.in)}, true)
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%q: %s", c.in, diff)
 		}
@@ -311,7 +312,7 @@
 				t.Fatalf("%+v", out)
 			}
 			n, err := io.Copy(io.Discard, out.Rest)
-			if got := n + int64(len(out.Answer.Body)); (err == nil) != c.whole || c.whole && got != size {
+			if got := n + int64(len(out.Response.Body)); (err == nil) != c.whole || c.whole && got != size {
 				t.Errorf("%d bytes, %v", got, err)
 			}
 			p.Release(&out)
