--- /dev/null
+++ b/internal/router/fleetconfig/limits.go
@@ -0,0 +1,28 @@
+package fleetconfig
+
+import "time"
+
+// The defaults of Limits.
+const (
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 4 << 20
+	defaultHeaderMs       = 5000
+	defaultIdleMs         = 30000
+)
+
+// Limits ("size_limits") bound what a client may send.
+type Limits struct {
+	// MaxHeaderBytes ("envelope_bytes") bounds the head of a request. Defaults to 16 KiB.
+	MaxHeaderBytes int
+
+	// MaxBodyBytes ("contents_bytes") bounds the body of a request. Defaults to 4 MiB; 0 allows no body.
+	MaxBodyBytes int
+
+	// HeaderTimeout ("envelope_ms") bounds the time from a request's arrival to the end of its head.
+	// Defaults to 5 s.
+	HeaderTimeout time.Duration
+
+	// IdleTimeout ("idle_ms") bounds the time that a connection waits for its next request, and a request for
+	// more of its body. Defaults to 30 s.
+	IdleTimeout time.Duration
+}
--- a/internal/router/fleetconfig/read.go
+++ b/internal/router/fleetconfig/parse.go
@@ -8,6 +8,17 @@
 	"cresshub/internal/jsondoc"
 )
 
+// The fields of a document's top level.
+const (
+	versionField  = "edition"
+	routesField   = "routes"
+	servicesField = "depots_list"
+	limitsField   = "size_limits"
+)
+
+// The parsers below record faults at the nodes they read and return a value all the same. The order in which
+// they read is the order in which an operator sees the faults.
+
 func parseVersion(node jsondoc.Node) int64 {
 	version := node.Number(1)
 	if version != float64(int64(version)) {
@@ -18,10 +29,10 @@
 
 func parseLimits(node jsondoc.Node) Limits {
 	return Limits{
-		MaxHeaderBytes: int(node.Get("envelope_bytes").NumberOr(16<<10, 1)),
-		MaxBodyBytes:   int(node.Get("contents_bytes").NumberOr(4<<20, 0)),
-		HeaderTimeout:  milliseconds(node.Get("envelope_ms").NumberOr(5000, 1)),
-		IdleTimeout:    milliseconds(node.Get("idle_ms").NumberOr(30000, 1)),
+		MaxHeaderBytes: int(node.Get("envelope_bytes").NumberOr(defaultMaxHeaderBytes, 1)),
+		MaxBodyBytes:   int(node.Get("contents_bytes").NumberOr(defaultMaxBodyBytes, 0)),
+		HeaderTimeout:  milliseconds(node.Get("envelope_ms").NumberOr(defaultHeaderMs, 1)),
+		IdleTimeout:    milliseconds(node.Get("idle_ms").NumberOr(defaultIdleMs, 1)),
 	}
 }
 
@@ -61,14 +72,17 @@
 
 func parseRoute(node jsondoc.Node, services map[string]*Service) *Route {
 	route := &Route{
-		Name: node.Get("name").TextOr(""), Host: strings.ToLower(node.Get("town").Text()),
-		Prefix: node.Get("street_prefix").Text(), Kind: parseKind(node.Get("mail_class")),
+		Name:          node.Get("name").TextOr(""),
+		Host:          strings.ToLower(node.Get("town").Text()),
+		Prefix:        node.Get("street_prefix").Text(),
+		Kind:          parseKind(node.Get("mail_class")),
 		Timeout:       milliseconds(node.Get("timeout_ms").Number(0)),
 		LatencyTarget: milliseconds(node.Get("target_ms").NumberOr(0, 0)),
 		Priority:      int(node.Get("priority").NumberOr(0, 0)),
 		MaxAttempts:   max(int(node.Get("delivery_tries").NumberOr(1, 0)), 1),
-		Resumable:     node.Get("redeliver").Bool(), Sticky: node.Get("same_courier").Bool(),
-		GapTarget: milliseconds(node.Get("gap_aim_ms").NumberOr(0, 0)),
+		Resumable:     node.Get("redeliver").Bool(),
+		Sticky:        node.Get("same_courier").Bool(),
+		GapTarget:     milliseconds(node.Get("gap_aim_ms").NumberOr(0, 0)),
 	}
 	if route.Name == "" {
 		route.Name = route.Host + route.Prefix
@@ -79,7 +93,7 @@
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
 		node.Get("street_prefix").Reject("does not begin and end with a slash", "write it like /path/")
 	}
-	parseTargets(node, route, services)
+	route.parseTargets(node, services)
 	return route
 }
 
@@ -91,24 +105,26 @@
 	return kind
 }
 
-func parseTargets(node jsondoc.Node, route *Route, services map[string]*Service) {
-	addTarget := func(serviceNode jsondoc.Node, weight float64) {
-		name := serviceNode.Text()
-		if services[name] == nil && name != "" {
-			serviceNode.Reject(fmt.Sprintf("names %q, which is not in depots_list", name),
-				"name a service of the list")
-		}
-		route.Targets = append(route.Targets, Target{name, weight})
-		route.TotalWeight += weight
-	}
-	if split := node.Get("apportion"); split.Present() {
-		for _, weighted := range split.Items() {
-			addTarget(weighted.Get("depot"), weighted.Get("share").Number(0))
-		}
-		if route.TotalWeight <= 0 {
-			split.Reject("the shares sum to 0", "give at least one share above 0")
-		}
+// parseTargets reads the single target of a route's node, or several with their weights.
+func (r *Route) parseTargets(node jsondoc.Node, services map[string]*Service) {
+	split := node.Get("apportion")
+	if !split.Present() {
+		r.addTarget(node.Get("depot"), 1, services)
 		return
 	}
-	addTarget(node.Get("depot"), 1)
+	for _, weighted := range split.Items() {
+		r.addTarget(weighted.Get("depot"), weighted.Get("share").Number(0), services)
+	}
+	if r.TotalWeight <= 0 {
+		split.Reject("the shares sum to 0", "give at least one share above 0")
+	}
+}
+
+func (r *Route) addTarget(service jsondoc.Node, weight float64, services map[string]*Service) {
+	name := service.Text()
+	if services[name] == nil && name != "" {
+		service.Reject(fmt.Sprintf("names %q, which is not in depots_list", name), "name a service of the list")
+	}
+	r.Targets = append(r.Targets, Target{name, weight})
+	r.TotalWeight += weight
 }
--- a/internal/router/fleetconfig/places.go
+++ b/internal/router/fleetconfig/routeindex.go
@@ -8,12 +8,12 @@
 	"cresshub/internal/jsondoc"
 )
 
-// routeIndex finds the route of a host and path. It is immutable: a patch makes another one that shares all
-// that it doesn't change, so that its cost doesn't grow with the configuration.
+// routeIndex finds the route of a host and path. It is immutable: the index of a patched version shares all
+// that the patch leaves.
 type routeIndex struct{ tree *iradix.Tree[*Route] }
 
-// routeKey is the key of a route's host and prefix. No host holds the separator, so that a key is the
-// beginning of another one only within a host.
+// routeKey returns the key of a host and prefix. No host contains the separator, so that one key is a prefix
+// of another only within a host.
 func routeKey(host, prefix string) []byte {
 	key := make([]byte, 0, len(host)+1+len(prefix))
 	key = append(key, host...)
@@ -21,16 +21,16 @@
 	return append(key, prefix...)
 }
 
-// newRouteIndex puts routes into an index and rejects, at its node, a route at the place of another one.
+// newRouteIndex indexes routes. A route with the host and prefix of an earlier one is rejected at its node.
 func newRouteIndex(routes []*Route, nodes []jsondoc.Node) routeIndex {
-	txn := routeIndex{iradix.New[*Route]()}.tree.Txn()
+	txn := iradix.New[*Route]().Txn()
 	for i, route := range routes {
 		insertRoute(txn, route, nodes[i])
 	}
 	return routeIndex{txn.Commit()}
 }
 
-// insertRoute adds a route, unless another one stands at its place.
+// insertRoute inserts a route, or rejects it at its node if another one has its host and prefix.
 func insertRoute(txn *iradix.Txn[*Route], route *Route, node jsondoc.Node) {
 	key := routeKey(route.Host, route.Prefix)
 	if other, exists := txn.Get(key); exists {
@@ -40,7 +40,8 @@
 	txn.Insert(key, route)
 }
 
-// match returns the route with the longest prefix of a path, nil where there is none.
+// match returns the route of a host with the longest prefix of a path, nil if there is none. The host is
+// normalized only if it doesn't match as it is, so that the usual case allocates no second host.
 func (x routeIndex) match(host, path string) *Route {
 	if x.tree == nil {
 		return nil
@@ -59,7 +60,7 @@
 	return route
 }
 
-// normalizeHost returns a host without its port, in small letters.
+// normalizeHost returns a host without its port, in lower case.
 func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
