--- a/internal/router/roleplan/stageplan_test.go
+++ b/internal/router/roleplan/roleplan_test.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// fleet returns servers of which the first writers make tokens, in three zones in turn.
+// fleet returns servers of which the first decode and the others prefill, in three zones in turn.
 func fleet(decoding, prefilling int) []Server {
 	servers := make([]Server, decoding+prefilling)
 	for i := range servers {
@@ -23,31 +23,31 @@
 
 func TestWantedDecodeServersFollowDemand(t *testing.T) {
 	for _, test := range []struct {
+		name    string
 		servers int
 		demand  Demand
 		want    int
 	}{
-		{1, Demand{}, 1},
-		{2, Demand{}, 1},
-		{9, Demand{}, 3},
-		{18, Demand{}, 6},
-		{18, Demand{HasTraffic: true, DecodeCalls: 20}, 6},
-		{18, Demand{HasTraffic: true, DecodeCalls: 170}, 9},
-		{18, Demand{HasTraffic: true, DecodeCalls: 1e6}, 14},
-		{600, Demand{}, 180},
+		{"one server", 1, Demand{}, 1},
+		{"two servers", 2, Demand{}, 1},
+		{"nine without traffic", 9, Demand{}, 3},
+		{"eighteen without traffic", 18, Demand{}, 6},
+		{"demand below the minimum", 18, Demand{HasTraffic: true, DecodeCalls: 20}, 6},
+		{"demand above the minimum", 18, Demand{HasTraffic: true, DecodeCalls: 170}, 9},
+		{"demand above the maximum", 18, Demand{HasTraffic: true, DecodeCalls: 1e6}, 14},
+		{"many without traffic", 600, Demand{}, 180},
 	} {
-		qt.Check(t, wantedDecodeServers(test.servers, 64, test.demand), qt.Equals, test.want, qt.Commentf("%+v",
-			test))
+		t.Run(test.name, func(t *testing.T) {
+			qt.Check(t, wantedDecodeServers(test.servers, 64, test.demand), qt.Equals, test.want)
+		})
 	}
 }
 
 func TestWithoutTrafficAllChangeAtOnce(t *testing.T) {
 	orders := Plan(fleet(11, 7), Demand{})
 	qt.Assert(t, orders, qt.HasLen, 5)
-	zones := map[string]int{}
 	for _, order := range orders {
 		qt.Check(t, order.Role, qt.Equals, catalog.Prefill)
-		zones[order.Server[len(order.Server)-1:]]++
 	}
 }
 
@@ -58,7 +58,7 @@
 	qt.Check(t, Plan(fleet(4, 14), busy), qt.DeepEquals, []Order{{"04", catalog.Decode}})
 	servers := fleet(11, 7)
 	servers[0].Changing, servers[1].Changing = true, true
-	qt.Check(t, Plan(servers, busy), qt.HasLen, 0, qt.Commentf("as many as may are changing"))
+	qt.Check(t, Plan(servers, busy), qt.HasLen, 0, qt.Commentf("as many as allowed are changing"))
 	qt.Check(t, Plan(fleet(1, 0), busy), qt.HasLen, 0, qt.Commentf("one server serves alone"))
 }
 
@@ -77,13 +77,13 @@
 	qt.Assert(t, left, qt.DeepEquals, map[string]int{"0": 2, "1": 2, "2": 2})
 }
 
-// TestBusyPrefillServersKeepTheirRole: while prompts wait to be read no reader becomes a writer, however many
-// tokens are asked for; a writer may become a reader.
+// TestBusyPrefillServersKeepTheirRole: while prompts wait for prefill no server changes to decode, whatever
+// the demand for tokens; a change to prefill is allowed.
 func TestBusyPrefillServersKeepTheirRole(t *testing.T) {
 	servers := fleet(60, 80)
-	wanting := Demand{HasTraffic: true, DecodeCalls: 1e6, PrefillCalls: 100}
-	qt.Assert(t, len(Plan(servers, wanting)) > 0, qt.IsTrue)
-	wanting.PrefillCalls = 130
-	qt.Assert(t, Plan(servers, wanting), qt.HasLen, 0)
-	qt.Assert(t, len(Plan(servers, Demand{HasTraffic: true, PrefillCalls: wanting.PrefillCalls})) > 0, qt.IsTrue)
+	demand := Demand{HasTraffic: true, DecodeCalls: 1e6, PrefillCalls: 100}
+	qt.Assert(t, len(Plan(servers, demand)) > 0, qt.IsTrue)
+	demand.PrefillCalls = 130
+	qt.Assert(t, Plan(servers, demand), qt.HasLen, 0)
+	qt.Assert(t, len(Plan(servers, Demand{HasTraffic: true, PrefillCalls: demand.PrefillCalls})) > 0, qt.IsTrue)
 }
