--- a/internal/jsondoc/decode.go
+++ b/internal/jsondoc/decode.go
@@ -9,27 +9,29 @@
 )
 
 // The bounds of a document. Decoding takes a stack frame for each level and some hundred bytes for each
-// value, whatever the sender sends, so that without them one call could end a process.
+// value, so that without bounds one small request could exhaust a process.
 const (
+	// MaxValues is how many values a document may have, objects and lists included: those of a configuration
+	// with 30,000 routes.
+	MaxValues = 400_000
 	maxDepth  = 64
-	maxValues = 400_000 // a configuration of 30,000 routes
 )
 
-// decoder decodes one document.
+// decoder decodes one document into map[string]any, []any and the scalar types of encoding/json.
 type decoder struct {
 	tokens     *json.Decoder
 	depth      int
 	valueCount int
 }
 
-// decode returns the top of a document, and how many values it holds.
+// decode returns the top-level object of a document, and how many values the document has.
 func decode(raw []byte) (map[string]any, int, error) {
 	d := &decoder{tokens: json.NewDecoder(bytes.NewReader(raw))}
 	root, err := d.decodeValue("")
 	if err != nil {
 		return nil, 0, err
 	}
-	if _, trailing := d.tokens.Token(); trailing != io.EOF {
+	if _, trailing := d.tokens.Token(); !errors.Is(trailing, io.EOF) {
 		return nil, 0, errors.New("text follows the end of the document")
 	}
 	object, ok := root.(map[string]any)
@@ -39,13 +41,14 @@
 	return object, d.valueCount, nil
 }
 
+// decodeValue decodes the next value. The path, which ends with a dot unless it is empty, names it in errors.
 func (d *decoder) decodeValue(path string) (any, error) {
 	token, err := d.tokens.Token()
 	if err != nil {
-		return nil, unexpectedEnd(err)
+		return nil, unexpectedEOF(err)
 	}
-	if d.valueCount++; d.valueCount > maxValues {
-		return nil, fmt.Errorf("it holds more than %d values", maxValues)
+	if d.valueCount++; d.valueCount > MaxValues {
+		return nil, fmt.Errorf("it holds more than %d values", MaxValues)
 	}
 	opening, ok := token.(json.Delim)
 	if !ok {
@@ -71,7 +74,7 @@
 		list = append(list, value)
 	}
 	_, err := d.tokens.Token()
-	return list, unexpectedEnd(err)
+	return list, unexpectedEOF(err)
 }
 
 func (d *decoder) decodeObject(path string) (any, error) {
@@ -79,7 +82,7 @@
 	for d.tokens.More() {
 		token, err := d.tokens.Token()
 		if err != nil {
-			return nil, unexpectedEnd(err)
+			return nil, unexpectedEOF(err)
 		}
 		name := token.(string)
 		if _, duplicate := object[name]; duplicate {
@@ -90,11 +93,12 @@
 		}
 	}
 	_, err := d.tokens.Token()
-	return object, unexpectedEnd(err)
+	return object, unexpectedEOF(err)
 }
 
-func unexpectedEnd(err error) error {
-	if err == io.EOF {
+// unexpectedEOF replaces io.EOF, which json.Decoder.Token returns wherever the input ends.
+func unexpectedEOF(err error) error {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/jsondoc/pathreader.go
+++ b/internal/jsondoc/document.go
@@ -1,5 +1,17 @@
-// Package jsondoc reads values out of decoded JSON by their path and collects every mistake it meets, so
-// that a caller can report all mistakes of a document at once.
+// Package jsondoc reads values from a JSON document by their path and collects every fault on the way, so
+// that all faults of a document can be reported at once.
+//
+// Parse decodes a document; the methods of Node read its values:
+//
+//	document, err := jsondoc.Parse(raw)
+//	...
+//	timeout := document.Root().Get("timeout_ms").Number(1)
+//	return document.Err()
+//
+// A method that finds a value of the wrong type, or none where one is required, records a Problem and returns
+// a zero value or a fallback, so that reading goes on. Document.Err then returns a *ValidationError.
+//
+// A Document and its Nodes are used by one goroutine.
 package jsondoc
 
 import (
@@ -7,42 +19,19 @@
 	"maps"
 	"math"
 	"slices"
-	"strings"
 )
 
-// Problem is one mistake in a document.
-type Problem struct {
-	Field  string // the path of the value, for example routes[2].timeout_ms
-	Reason string // what is wrong with it
-	Remedy string // what would be accepted
-}
-
-func (p Problem) String() string { return p.Field + ": " + p.Reason + "; " + p.Remedy }
-
-// ValidationError lists all mistakes of a document.
-type ValidationError struct{ Problems []Problem }
-
-func (e *ValidationError) Error() string {
-	messages := make([]string, len(e.Problems))
-	for i, p := range e.Problems {
-		messages[i] = p.String()
-	}
-	return strings.Join(messages, "\n")
-}
-
-// Document is a decoded JSON document and the mistakes found in it so far.
+// Document is a decoded JSON document with the faults found in it so far.
 type Document struct {
 	root       any
 	valueCount int
 	problems   []Problem
 }
 
-// MaxValues is how many values a document holds at most.
-const MaxValues = maxValues
-
-// Parse decodes a whole document whose top is an object. It rejects text after the document and objects that
-// name a field twice, because two readers could understand such a document differently. It rejects documents
-// beyond the bounds of decode.go, because these would take more memory than a process has.
+// Parse decodes a document that consists of one object. Its error is a *ValidationError. It rejects text
+// after the object and objects that name a field twice, because two readers could interpret such a document
+// differently, and documents with more than MaxValues values or too deep a nesting, because decoding them
+// could take more memory than the process has.
 func Parse(raw []byte) (*Document, error) {
 	root, valueCount, err := decode(raw)
 	if err != nil {
@@ -51,13 +40,13 @@
 	return &Document{root: root, valueCount: valueCount}, nil
 }
 
-// Root returns the top of the document.
+// Root returns the top-level object.
 func (d *Document) Root() Node { return Node{document: d, value: d.root, present: true} }
 
-// ValueCount returns how many values the document holds, objects and lists included.
+// ValueCount returns how many values the document has, objects and lists included.
 func (d *Document) ValueCount() int { return d.valueCount }
 
-// Err returns *Invalid with all mistakes noted so far, or nil.
+// Err returns a *ValidationError with all faults recorded so far, nil if there are none.
 func (d *Document) Err() error {
 	if len(d.problems) == 0 {
 		return nil
@@ -65,7 +54,7 @@
 	return &ValidationError{d.problems}
 }
 
-// Node is a value of a document, present or not.
+// Node is a value of a document, or the place where one is absent. A null counts as absent.
 type Node struct {
 	document *Document
 	value    any
@@ -73,18 +62,18 @@
 	present  bool
 }
 
-// Path returns where the value stands.
+// Path returns the path of the value, for example routes[2].timeout_ms; empty for the root.
 func (n Node) Path() string { return n.path }
 
-// Present tells whether the document holds the value, null aside.
+// Present reports whether the document has the value.
 func (n Node) Present() bool { return n.present && n.value != nil }
 
-// Reject notes a mistake at the value.
+// Reject records a fault of the value.
 func (n Node) Reject(reason, remedy string) {
 	n.document.problems = append(n.document.problems, Problem{n.path, reason, remedy})
 }
 
-// Get returns the value of a field of an object.
+// Get returns a field of an object. It is absent if the object is, or if the value is no object.
 func (n Node) Get(name string) Node {
 	path := name
 	if n.path != "" {
@@ -97,7 +86,7 @@
 	return child
 }
 
-// FieldNames returns the names of an object's fields in their alphabetical order; an absent object has none.
+// FieldNames returns the names of an object's fields, sorted; none if it is absent.
 func (n Node) FieldNames() []string {
 	if !n.Present() {
 		return nil
@@ -110,7 +99,7 @@
 	return slices.Sorted(maps.Keys(object))
 }
 
-// Items returns the elements of a list; an absent list is empty.
+// Items returns the elements of a list; none if it is absent.
 func (n Node) Items() []Node {
 	if !n.Present() {
 		return nil
@@ -128,7 +117,8 @@
 	return items
 }
 
-// TextFields returns the text values of an object by their names; an absent object is empty.
+// TextFields returns the fields of an object that are strings, by their names. It records no fault: fields of
+// other types are ignored, and what is absent or no object has no fields.
 func (n Node) TextFields() map[string]string {
 	fields := map[string]string{}
 	object, _ := n.value.(map[string]any)
@@ -140,7 +130,7 @@
 	return fields
 }
 
-// Text returns a required, non-empty text.
+// Text returns a required string that is not empty.
 func (n Node) Text() string {
 	text := n.TextOr("")
 	if text == "" && (!n.Present() || n.value == "") {
@@ -149,7 +139,7 @@
 	return text
 }
 
-// TextOr returns a text, or fallback where it is absent.
+// TextOr returns a string, or the fallback if it is absent.
 func (n Node) TextOr(fallback string) string {
 	if !n.Present() {
 		return fallback
@@ -161,7 +151,7 @@
 	return text
 }
 
-// Number returns a required finite number of at least least.
+// Number returns a required, finite number that is not below the minimum.
 func (n Node) Number(minimum float64) float64 {
 	if !n.Present() {
 		n.Reject("is missing", fmt.Sprintf("give a number of %g or more", minimum))
@@ -170,7 +160,7 @@
 	return n.NumberOr(0, minimum)
 }
 
-// NumberOr returns a finite number of at least least, or fallback where it is absent.
+// NumberOr returns a finite number that is not below the minimum, or the fallback if it is absent.
 func (n Node) NumberOr(fallback, minimum float64) float64 {
 	if !n.Present() {
 		return fallback
@@ -183,7 +173,7 @@
 	return number
 }
 
-// Bool returns a truth value, false where it is absent.
+// Bool returns a boolean, false if it is absent.
 func (n Node) Bool() bool {
 	if !n.Present() {
 		return false
--- a/internal/jsondoc/pathreader_test.go
+++ b/internal/jsondoc/document_test.go
@@ -9,7 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestDeepNestingIsRejected sends what would take a process's whole memory if each level took a stack frame.
+// TestDeepNestingIsRejected sends what would exhaust the memory of a process if each level took a stack
+// frame.
 func TestDeepNestingIsRejected(t *testing.T) {
 	const size = 8 << 20 // the largest body of a control call
 	for name, level := range map[string]string{"lists": "[", "objects": `{"a":`} {
@@ -24,7 +25,7 @@
 	}
 }
 
-// TestManyValuesAreRejected sends as many values as a body holds, each of which takes far more memory than
+// TestManyValuesAreRejected sends as many values as fit a body, each of which takes far more memory than
 // bytes.
 func TestManyValuesAreRejected(t *testing.T) {
 	for name, value := range map[string]string{"numbers": "1,", "lists": "[],", "objects": "{},"} {
@@ -38,7 +39,7 @@
 	}
 }
 
-// FuzzParse holds any bytes to be read or refused with a problem, and never to end the process.
+// FuzzParse expects any bytes to be parsed or to be rejected with a Problem, and never to end the process.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		`{"a":[1,{"b":null}],"c":"d"}`, `{"a":1,"a":2}`, `[`, `{"a":1e999}`, `{} x`, "\x00",
