--- a/internal/router/controlserver/callserver_test.go
+++ b/internal/router/controlserver/server_test.go
@@ -12,8 +12,8 @@
 	"cresshub/internal/http1"
 )
 
-// TestServeContinuesAfterFailedAccepts: servers and operators reach a process again that was short of
-// descriptors for a moment, and one whose listener is closed ends.
+// TestServeContinuesAfterFailedAccepts: a process that was short of descriptors for a moment serves again,
+// and Serve returns once its listener is closed.
 func TestServeContinuesAfterFailedAccepts(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -35,15 +35,16 @@
 	c.Assert(errors.Is(<-served, net.ErrClosed), qt.IsTrue)
 }
 
-// get returns the status of an answer, 0 for none.
+// get returns the status of the response to a GET, 0 if there is none.
 func get(c *qt.C, address, path string) int {
-	dialled, err := net.Dial("tcp4", address)
+	c.Helper()
+	netConn, err := net.Dial("tcp4", address)
 	c.Check(err, qt.IsNil)
 	if err != nil {
 		return 0
 	}
-	defer dialled.Close()
-	conn := connbuffer.NewConn(dialled)
+	defer netConn.Close()
+	conn := connbuffer.NewConn(netConn)
 	request := http1.Request{Method: "GET", Target: path, Close: true,
 		Header: http1.Header{{Name: "Host", Value: address}}}
 	if request.Write(conn.Out) != nil || conn.Flush() != nil {
@@ -56,8 +57,8 @@
 	return head.Status
 }
 
-// TestPanicEndsOnlyItsCall: whoever sends a call that brings out a mistake of the program sends it to the
-// next process too, so that it must not end any.
+// TestPanicEndsOnlyItsCall: a caller whose call makes a process panic sends it to the next process too, so
+// that it must not end any.
 func TestPanicEndsOnlyItsCall(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
