--- a/internal/router/controlclient/callclient.go
+++ b/internal/router/controlclient/client.go
@@ -1,5 +1,6 @@
 // Package controlclient makes HTTP/1.1 calls with small bodies: to the control addresses of the fleet's
-// processes, and to its servers. Each call opens a connection of its own.
+// processes, and to its servers. Each call opens a connection of its own, so that calls are independent and
+// any goroutine may make them. Package controlserver is the other side.
 package controlclient
 
 import (
@@ -14,16 +15,17 @@
 	"cresshub/internal/http1"
 )
 
-// maxResponseBytes bounds the body of an answer, in bytes; a configuration may be that large.
-const maxResponseBytes = 8 << 20
-
-// maxRedirects is how many times a call follows a 307.
-const maxRedirects = 2
+const (
+	// maxResponseBytes bounds the body of a response; a configuration may be that large.
+	maxResponseBytes = 8 << 20
+	// maxRedirects is how many redirections with status 307 a call follows.
+	maxRedirects = 2
+)
 
-// expiredDeadline is a deadline that has passed.
+// expiredDeadline is a deadline in the past, which ends reads and writes at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// Call is one call.
+// Call is a call to be made.
 type Call struct {
 	Method string
 	Target string // path and query
@@ -31,9 +33,9 @@
 	Body   []byte
 }
 
-// CallError says that a call got no answer.
+// CallError reports that a call got no complete response. The call may have been handled all the same.
 type CallError struct {
-	Address string
+	Address string // that was called last
 	Err     error
 }
 
@@ -46,16 +48,17 @@
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// dialHost opens connections over the network of the machine.
-func dialHost(ctx context.Context, address string) (net.Conn, error) {
+// dialTCP is the DialFunc of the machine's network.
+func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// Do makes a call to an address and returns the answer whole, after at most two redirections by 307. The
-// error is *Failed.
+// Do makes a call to an address and returns its response with the complete body, of whatever status. It
+// follows up to two redirections with status 307. Its error is a *CallError, which wraps that of a context
+// that ended.
 func Do(ctx context.Context, address string, call Call) (*http1.Response, error) {
-	return DoWithDialer(ctx, dialHost, address, call)
+	return DoWithDialer(ctx, dialTCP, address, call)
 }
 
 // DoWithDialer is Do over connections that another dialer opens.
@@ -76,14 +79,15 @@
 	}
 }
 
+// doOnce makes a call without following redirections.
 func doOnce(ctx context.Context, dial DialFunc, address string, call Call) (*http1.Response, error) {
 	conn, err := dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	stopOnCancel := context.AfterFunc(ctx, func() { conn.SetDeadline(expiredDeadline) })
-	defer stopOnCancel()
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(expiredDeadline) })
+	defer stop()
 	response, err := exchange(conn, address, call)
 	if err != nil && ctx.Err() != nil {
 		err = ctx.Err()
@@ -91,6 +95,7 @@
 	return response, err
 }
 
+// exchange sends a call over a connection and reads the response.
 func exchange(conn net.Conn, address string, call Call) (*http1.Response, error) {
 	request := http1.Request{Method: call.Method, Target: call.Target, Body: call.Body, Close: true}
 	request.Header = append(http1.Header{{Name: "Host", Value: address}}, call.Header...)
--- a/internal/router/controlclient/callclient_test.go
+++ b/internal/router/controlclient/client_test.go
@@ -15,17 +15,18 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// patience bounds every call of a test; no verdict depends on how much of it is used.
+// testTimeout bounds every call of a test; no result depends on how much of it is used.
 const testTimeout = 10 * time.Second
 
-// serve answers calls on loopback until the test ends, and returns the address.
-func serve(c *qt.C, handle controlserver.Handler) string {
+// serve handles calls on loopback until the test ends, and returns the address.
+func serve(c *qt.C, handler controlserver.Handler) string {
+	c.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		(&controlserver.Server{MaxBodyBytes: 1 << 20, Handler: handle}).Serve(listener)
+		(&controlserver.Server{MaxBodyBytes: 1 << 20, Handler: handler}).Serve(listener)
 	}()
 	c.Cleanup(func() {
 		listener.Close()
@@ -34,7 +35,9 @@
 	return listener.Addr().String()
 }
 
-func bounded(c *qt.C) context.Context {
+// testContext returns a context that ends after testTimeout.
+func testContext(c *qt.C) context.Context {
+	c.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	c.Cleanup(cancel)
 	return ctx
@@ -48,11 +51,11 @@
 		c.Check(call.Header.Get("If-Match"), qt.Equals, "3")
 		return controlserver.Text(200, call.Path+string(call.Body))
 	})
-	answer, err := Do(bounded(c), address, Call{Method: "PUT", Target: "/a?b",
+	response, err := Do(testContext(c), address, Call{Method: "PUT", Target: "/a?b",
 		Header: http1.Header{{Name: "If-Match", Value: "3"}}, Body: []byte(large)})
 	c.Assert(err, qt.IsNil)
-	c.Assert(answer.Status, qt.Equals, 200)
-	c.Assert(string(answer.Body) == "/a?b"+large+"\n", qt.IsTrue)
+	c.Assert(response.Status, qt.Equals, 200)
+	c.Assert(string(response.Body) == "/a?b"+large+"\n", qt.IsTrue)
 }
 
 func TestRedirectsAreFollowedTwice(t *testing.T) {
@@ -61,17 +64,18 @@
 	var address string
 	address = serve(c, func(call *controlserver.Call) *http1.Response {
 		calls++
-		answer := controlserver.Text(307, "there")
-		answer.Header = append(answer.Header, http1.Field{Name: "Location", Value: "http://" + address + "/next"})
-		return answer
+		response := controlserver.Text(307, "there")
+		response.Header = append(response.Header, http1.Field{Name: "Location", Value: "http://" + address + "/next"})
+		return response
 	})
-	answer, err := Do(bounded(c), address, Call{Method: "GET", Target: "/"})
+	response, err := Do(testContext(c), address, Call{Method: "GET", Target: "/"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(answer.Status, qt.Equals, 307)
+	c.Assert(response.Status, qt.Equals, 307)
 	c.Assert(calls, qt.Equals, 3)
 }
 
-// A process that accepts and says nothing must not hold its caller beyond the caller's own patience.
+// TestUnresponsiveServerEndsWithTheContext: a process that accepts a connection and never responds must not
+// delay its caller beyond the caller's own context.
 func TestUnresponsiveServerEndsWithTheContext(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
