--- a/internal/router/controlclient/client_test.go
+++ b/internal/router/controlclient/client_test.go
@@ -65,7 +65,8 @@
 	address = serve(c, func(call *controlserver.Call) *http1.Response {
 		calls++
 		response := controlserver.Text(307, "there")
-		response.Header = append(response.Header, http1.Field{Name: "Location", Value: "http://" + address + "/next"})
+		location := http1.Field{Name: "Location", Value: "http://" + address + "/next"}
+		response.Header = append(response.Header, location)
 		return response
 	})
 	response, err := Do(testContext(c), address, Call{Method: "GET", Target: "/"})
--- a/internal/router/latereport/calllog_test.go
+++ b/internal/router/latereport/latereport_test.go
@@ -7,40 +7,43 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// prefillCall returns a reading of a prompt.
-func prefillCall(try, shared string, prompt, reads int, took float64) Call {
-	return Call{AttemptID: try, Route: "r", TargetMs: 300, Server: "s", Role: rolePrefill,
-		Outcome: outcomeServed, SharedPrefix: shared,
-		PromptTokens: prompt, PrefillTokens: reads, DurationMs: took}
+// prefillCall returns a served prefill that took so many milliseconds.
+func prefillCall(id, prefix string, promptTokens, prefillTokens int, durationMs float64) Call {
+	return Call{
+		AttemptID: id, Route: "r", TargetMs: 300, Server: "s", Role: rolePrefill, Outcome: outcomeServed,
+		SharedPrefix: prefix, PromptTokens: promptTokens, PrefillTokens: prefillTokens, DurationMs: durationMs,
+	}
 }
 
-// decodeCall returns the call that makes the answer, sent at a time.
-func decodeCall(try string, at, event float64) Call {
-	return Call{AttemptID: try, Route: "r", TargetMs: 300, Role: "write", Outcome: outcomeServed, StartMs: at,
-		FirstEventMs: event,
-		DurationMs:   event + 50}
+// decodeCall returns a served call that makes the response.
+func decodeCall(id string, startMs, firstEventMs float64) Call {
+	return Call{
+		AttemptID: id, Route: "r", TargetMs: 300, Role: "write", Outcome: outcomeServed, StartMs: startMs,
+		FirstEventMs: firstEventMs, DurationMs: firstEventMs + 50,
+	}
 }
 
-func TestLateAnswersAreAttributedToTheirMainCause(t *testing.T) {
+func TestLateResponsesAreAttributedToTheirMainCause(t *testing.T) {
 	quick := prefillCall("quick", "a", 10000, 10000, 100) // 0.01 ms a token
 	for _, test := range []struct {
 		name  string
 		calls []Call
 		want  map[Cause]int
 	}{
-		{"in time", []Call{prefillCall("t", "b", 9000, 9000, 150), decodeCall("t", 150, 20)}, map[Cause]int{}},
-		{"own reading", []Call{prefillCall("t", "b", 40000, 40000, 700), decodeCall("t", 700, 20)},
+		{"in time", []Call{prefillCall("t", "b", 9000, 9000, 150), decodeCall("t", 150, 20)},
+			map[Cause]int{}},
+		{"own prefill", []Call{prefillCall("t", "b", 40000, 40000, 700), decodeCall("t", 700, 20)},
 			map[Cause]int{CauseOwnPrefill: 1}},
-		{"read again", []Call{prefillCall("t", "a", 25000, 25000, 290), decodeCall("t", 290, 20)},
+		{"repeated prefill", []Call{prefillCall("t", "a", 25000, 25000, 290), decodeCall("t", 290, 20)},
 			map[Cause]int{CauseRepeatedPrefill: 1}},
-		{"queue", []Call{prefillCall("t", "a", 9000, 2000, 400), decodeCall("t", 400, 20)},
+		{"prefill queue", []Call{prefillCall("t", "a", 9000, 2000, 400), decodeCall("t", 400, 20)},
 			map[Cause]int{CausePrefillQueue: 1}},
-		{"writer", []Call{prefillCall("t", "b", 9000, 9000, 100), decodeCall("t", 100, 250)},
+		{"decode", []Call{prefillCall("t", "b", 9000, 9000, 100), decodeCall("t", 100, 250)},
 			map[Cause]int{CauseDecode: 1}},
-		{"repeats", []Call{{AttemptID: "t", Role: "serve", Outcome: "silent", DurationMs: 280}, decodeCall("t",
-			280, 30)},
+		{"retries", []Call{{AttemptID: "t", Role: "serve", Outcome: "silent", DurationMs: 280},
+			decodeCall("t", 280, 30)},
 			map[Cause]int{CauseRetries: 1}},
-		{"reading", []Call{prefillCall("t", "b", 25000, 25000, 260), decodeCall("t", 260, 45)},
+		{"prefill", []Call{prefillCall("t", "b", 25000, 25000, 260), decodeCall("t", 260, 45)},
 			map[Cause]int{CausePrefill: 1}},
 		{"failed", []Call{prefillCall("t", "b", 9000, 9000, 700)}, nil},
 	} {
@@ -70,8 +73,7 @@
 `))
 	c.Assert(err, qt.IsNil)
 	c.Assert(calls, qt.DeepEquals, []Call{{AttemptID: "t", Role: "read", Outcome: "served", SharedPrefix: "1f",
-		PromptTokens: 7,
-		DurationMs:   2.5, Message: callMessage}})
+		PromptTokens: 7, DurationMs: 2.5, Message: callMessage}})
 	_, err = ParseLog(strings.NewReader(strings.Repeat("x", maxLineBytes+1)))
 	c.Assert(err, qt.ErrorMatches, "the log can't be read: .*")
 }
--- a/internal/router/latereport/summary.go
+++ b/internal/router/latereport/summary.go
@@ -6,61 +6,61 @@
 	"slices"
 )
 
-// Cause is the largest part of the time that a late answer took.
+// Cause is the part of a request that took most of the time of a late response. Its value names it in tables
+// and in JSON.
 type Cause string
 
-// The causes of late answers, in the order in which tables show them.
+// The causes of late responses.
 const (
-	// CauseOwnPrefill: reading what no server held takes longer than the target by itself; no choice of servers
-	// would have been in time.
+	// CauseOwnPrefill: prefill of what no server had cached takes longer than the target by itself, so that no
+	// choice of servers would have been in time.
 	CauseOwnPrefill Cause = "own_reading"
-	// CauseRepeatedPrefill: time to read what another server had read before.
+	// CauseRepeatedPrefill: prefill of what another server had prefilled before.
 	CauseRepeatedPrefill Cause = "read_again"
-	// CausePrefillQueue: time at the reader beyond its own reading.
+	// CausePrefillQueue: time at the prefill server beyond the prefill itself.
 	CausePrefillQueue Cause = "reader_queue"
-	// CauseDecode: time at the server that made the answer, until its first event.
+	// CauseDecode: time at the server that made the response, up to its first event.
 	CauseDecode Cause = "writer"
 	// CauseRetries: calls that failed before.
 	CauseRetries Cause = "repeats"
-	// CausePrefill: reading that was in time by itself, but was the largest part.
+	// CausePrefill: prefill that would have been in time by itself, but took the largest part.
 	CausePrefill Cause = "reading"
 )
 
-// Causes are all causes in their order.
-var Causes = []Cause{CauseOwnPrefill, CauseRepeatedPrefill, CausePrefillQueue, CauseDecode, CauseRetries,
-	CausePrefill}
+// Causes are all causes in the order in which tables show them.
+var Causes = []Cause{
+	CauseOwnPrefill, CauseRepeatedPrefill, CausePrefillQueue, CauseDecode, CauseRetries, CausePrefill,
+}
 
-// Route sums up the answers of a route.
+// Route summarizes the responses of a route.
 type Route struct {
 	Name     string        `json:"route"`
 	TargetMs float64       `json:"target_ms"`
 	Answered int           `json:"answered"`
 	Late     int           `json:"late"`
-	Causes   map[Cause]int `json:"causes"` // of late answers
+	Causes   map[Cause]int `json:"causes"` // of the late ones
 }
 
-// Summary is what a log tells of late answers.
+// Summary is what a log says about late responses.
 type Summary struct {
-	PrefillMsPerToken float64 `json:"token_ms"` // to read a token without waiting, as the quickest readings tell
-	Routes            []Route `json:"routes"`
+	// PrefillMsPerToken is the time to prefill a token without queueing, estimated from the fastest calls.
+	PrefillMsPerToken float64 `json:"token_ms"`
+	Routes            []Route `json:"routes"` // sorted by name
 }
 
-// request is the way of one request: its calls in the order in which they were made.
-type request []Call
-
-// Summarize finds the cause of each late answer in the calls of one or several proxies.
+// Summarize attributes each late response to its cause, given the calls of one or several proxies.
 func Summarize(calls []Call) *Summary {
-	requests := map[string]request{}
+	requests := map[string][]Call{}
 	for _, call := range calls {
 		requests[call.AttemptID] = append(requests[call.AttemptID], call)
 	}
 	s := &Summary{PrefillMsPerToken: fastestPrefillPace(calls)}
-	firstCalls := firstPrefills(calls)
+	prefills := firstPrefills(calls)
 	routes := map[string]*Route{}
-	for _, name := range slices.Sorted(maps.Keys(requests)) {
-		r := requests[name]
-		slices.SortStableFunc(r, func(a, b Call) int { return cmp.Compare(a.StartMs, b.StartMs) })
-		s.addRequest(routes, r, firstCalls)
+	for _, id := range slices.Sorted(maps.Keys(requests)) {
+		request := requests[id]
+		slices.SortStableFunc(request, func(a, b Call) int { return cmp.Compare(a.StartMs, b.StartMs) })
+		s.addRequest(routes, request, prefills)
 	}
 	for _, name := range slices.Sorted(maps.Keys(routes)) {
 		s.Routes = append(s.Routes, *routes[name])
@@ -68,8 +68,8 @@
 	return s
 }
 
-// add counts a request that was answered.
-func (s *Summary) addRequest(routes map[string]*Route, calls request, firstPrefills map[string]Call) {
+// addRequest counts a request, given its calls in their order, if it got a response.
+func (s *Summary) addRequest(routes map[string]*Route, calls []Call, prefills map[string]Call) {
 	last := calls[len(calls)-1]
 	if last.Role == rolePrefill || last.Outcome != outcomeServed {
 		return
@@ -80,14 +80,14 @@
 		routes[last.Route] = route
 	}
 	route.Answered++
-	firstOutput := last.StartMs + last.firstOutputMs()
-	if last.TargetMs > 0 && firstOutput > last.TargetMs {
+	firstOutputMs := last.StartMs + last.firstOutputMs()
+	if last.TargetMs > 0 && firstOutputMs > last.TargetMs {
 		route.Late++
-		route.Causes[s.mainCause(calls, firstPrefills)]++
+		route.Causes[s.mainCause(calls, prefills)]++
 	}
 }
 
-// firstOutputMs is when the first event came, or of an answer without events all of it.
+// firstOutputMs is the time from the start of a call to its first event, or to its end if it has no events.
 func (c *Call) firstOutputMs() float64 {
 	if c.FirstEventMs > 0 {
 		return c.FirstEventMs
@@ -95,18 +95,18 @@
 	return c.DurationMs
 }
 
-// cause is the largest part of a request's time.
-func (s *Summary) mainCause(calls request, firstPrefills map[string]Call) Cause {
+// mainCause returns the cause that took most of the time of a request.
+func (s *Summary) mainCause(calls []Call, prefills map[string]Call) Cause {
 	last, msByCause := calls[len(calls)-1], map[Cause]float64{}
 	msByCause[CauseDecode] = last.firstOutputMs()
 	for _, call := range calls[:len(calls)-1] {
-		if call.Role != rolePrefill || call.Outcome != outcomeServed {
+		if !call.isServedPrefill() {
 			msByCause[CauseRetries] += call.DurationMs
 			continue
 		}
 		prefillMs := min(float64(call.PrefillTokens)*s.PrefillMsPerToken, call.DurationMs)
 		msByCause[CausePrefillQueue] += call.DurationMs - prefillMs
-		switch first, ok := firstPrefills[call.SharedPrefix]; {
+		switch first, ok := prefills[call.SharedPrefix]; {
 		case ok && first.AttemptID != call.AttemptID && call.PrefillTokens == call.PromptTokens:
 			msByCause[CauseRepeatedPrefill] += prefillMs
 		case prefillMs > last.TargetMs:
@@ -124,11 +124,14 @@
 	return largest
 }
 
-// firstPrefills returns the first call that read what prompts share, by its name.
+// isServedPrefill reports whether the call prefilled a prompt.
+func (c *Call) isServedPrefill() bool { return c.Role == rolePrefill && c.Outcome == outcomeServed }
+
+// firstPrefills returns the first call that prefilled each shared prefix.
 func firstPrefills(calls []Call) map[string]Call {
 	first := map[string]Call{}
 	for _, call := range calls {
-		if _, ok := first[call.SharedPrefix]; call.Role == rolePrefill && call.Outcome == outcomeServed && !ok {
+		if _, ok := first[call.SharedPrefix]; !ok && call.isServedPrefill() {
 			first[call.SharedPrefix] = call
 		}
 	}
@@ -137,15 +140,17 @@
 }
 
 const (
-	longPrefillTokens = 2000 // tokens from which on the time of a reading tells its pace
-	fastestFraction   = 0.05 // of the readings are taken not to have waited
+	// longPrefillTokens is the length from which on the time of a prefill shows its pace.
+	longPrefillTokens = 2000
+	// fastestFraction of the long prefills is taken not to have been queued.
+	fastestFraction = 0.05
 )
 
-// fastestPrefillPace is the ms a token of the quickest long readings, 0 where there are none.
+// fastestPrefillPace returns the milliseconds a token of the fastest long prefills, 0 if there are none.
 func fastestPrefillPace(calls []Call) float64 {
 	var paces []float64
 	for _, call := range calls {
-		if call.Role == rolePrefill && call.Outcome == outcomeServed && call.PrefillTokens >= longPrefillTokens {
+		if call.isServedPrefill() && call.PrefillTokens >= longPrefillTokens {
 			paces = append(paces, call.DurationMs/float64(call.PrefillTokens))
 		}
 	}
