--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,12 @@
-// Package invariant holds promises as checks that run in the code. A check looks at what is about to happen
-// by figures of its own, apart from the logic that is to keep the promise, so that a mistake of that logic
-// is seen. A violation is counted, and told to the handler; in tests the handler panics.
+// Package invariant checks at run time that the invariants of the router fleet hold.
+//
+// Code calls Assert where it is about to act, with a condition computed from figures kept apart from the
+// logic that is to ensure it, so that a fault of that logic is noticed. A violation changes nothing in what
+// the program does: it is counted, for the metrics, and reported to the handler, which logs it. In tests the
+// handler panics.
+//
+// All functions may be called by any goroutine. An assertion that holds costs a comparison and allocates
+// nothing beyond its variadic arguments.
 package invariant
 
 import (
@@ -8,64 +14,78 @@
 	"sync/atomic"
 )
 
-// Check names one promise.
+// Check identifies an invariant.
 type Check int
 
-// The promises that are checked.
+// The invariants that are checked.
 const (
-	// OneFinalAnswer: a request gets one answer.
+	// OneFinalAnswer: a request gets one response.
 	OneFinalAnswer Check = iota
-	// UnsafeSentOnce: what may run only once is not sent again after it may have run.
+	// UnsafeSentOnce: a request that may run only once is not sent again after it may have run.
 	UnsafeSentOnce
-	// RejectedNeverRan: 408, 421, 429 and 503 are given only to what has not run and can't run any more.
+	// RejectedNeverRan: status 408, 421, 429 and 503 are given only to requests that have not run and can't run
+	// any more.
 	RejectedNeverRan
-	// StreamIDsRise: the ids of the events that a client gets rise.
+	// StreamIDsRise: the ids of the events that a client receives rise.
 	StreamIDsRise
-	// HandleOfOwnRequest: a server is told only of memory that holds the prompt of the very request.
+	// HandleOfOwnRequest: a decode server receives only the handle of a prefix of the very request.
 	HandleOfOwnRequest
-	// AttemptsWithinRoute: a request reaches no more servers than its route allows.
+	// AttemptsWithinRoute: a request is sent to no more servers than its route allows.
 	AttemptsWithinRoute
-	// ConnectionOfServer: a request goes out only on a connection to the server that was chosen for it.
+	// ConnectionOfServer: a request is sent only on a connection to the server that was chosen for it.
 	ConnectionOfServer
-	// CountsNotNegative: nothing is given back that was not taken.
+	// CountsNotNegative: nothing is released that was not acquired.
 	CountsNotNegative
-	// ConfigVersionRises: the version of the configuration in force rises while a process lives.
+	// ConfigVersionRises: the version of the configuration in force rises while a process runs.
 	ConfigVersionRises
-	// ReadsNotOlder: no read of the configuration shows less than what this process has shown or acknowledged.
+	// ReadsNotOlder: no read of the configuration returns an older version than this process has returned or
+	// acknowledged before.
 	ReadsNotOlder
 	// CommittedSequenceRises: the committed entry of the control state is never replaced by an earlier one.
 	CommittedSequenceRises
-	// EnoughReplicas: a change is acknowledged only by a chain of as many replicas as must hold it.
+	// EnoughReplicas: a change is acknowledged only by a chain of a majority of the replicas.
 	EnoughReplicas
-	// FenceRises: the fences under which a process gives orders rise, and each is held when it is used.
+	// FenceRises: the fencing tokens under which a process sends orders rise, and it holds each when it uses it.
 	FenceRises
-	// EndedStaysEnded: a server that has left for good does not come back into the table.
+	// EndedStaysEnded: the incarnation of a server that has left does not return to the table.
 	EndedStaysEnded
 
-	checkCount // how many there are
+	checkCount // number of checks
 )
 
+// checkNames are stable: metrics and logs carry them, in part under earlier terms.
 var checkNames = [checkCount]string{
-	"one_final_answer", "unsafe_sent_once", "refused_never_ran", "stream_ids_rise", "ticket_of_own_request",
-	"tries_within_route", "connection_of_server", "counts_not_negative", "config_version_rises",
-	"reads_not_older", "committed_sequence_rises", "enough_copies", "fence_rises", "ended_stays_ended",
+	OneFinalAnswer:         "one_final_answer",
+	UnsafeSentOnce:         "unsafe_sent_once",
+	RejectedNeverRan:       "refused_never_ran",
+	StreamIDsRise:          "stream_ids_rise",
+	HandleOfOwnRequest:     "ticket_of_own_request",
+	AttemptsWithinRoute:    "tries_within_route",
+	ConnectionOfServer:     "connection_of_server",
+	CountsNotNegative:      "counts_not_negative",
+	ConfigVersionRises:     "config_version_rises",
+	ReadsNotOlder:          "reads_not_older",
+	CommittedSequenceRises: "committed_sequence_rises",
+	EnoughReplicas:         "enough_copies",
+	FenceRises:             "fence_rises",
+	EndedStaysEnded:        "ended_stays_ended",
 }
 
 // String returns the name under which violations are counted.
 func (c Check) String() string { return checkNames[c] }
 
-// ViolationError is one broken promise.
+// ViolationError reports a violated invariant.
 type ViolationError struct {
 	Check  Check
 	Detail string
 }
 
 // Error implements error.
-func (v *ViolationError) Error() string {
-	return fmt.Sprintf("invariant %s: %s; report it with the log of this process", v.Check, v.Detail)
+func (e *ViolationError) Error() string {
+	return fmt.Sprintf("invariant %s: %s; report it with the log of this process", e.Check, e.Detail)
 }
 
-// Handler is told of each violation.
+// Handler is called for each violation, by the goroutine that noticed it.
 type Handler func(*ViolationError)
 
 var (
@@ -73,13 +93,14 @@
 	handler atomic.Pointer[Handler]
 )
 
-// SetHandler names who is told of violations, in place of whoever was told before.
+// SetHandler replaces the handler of the whole program. Without one, violations are only counted.
 func SetHandler(h Handler) { handler.Store(&h) }
 
-// PanicOnViolation has a violation end the program. Tests call it.
-func PanicOnViolation() { SetHandler(func(v *ViolationError) { panic(v) }) }
+// PanicOnViolation makes each violation panic. Tests call it.
+func PanicOnViolation() { SetHandler(func(violation *ViolationError) { panic(violation) }) }
 
-// Assert counts a violation unless the condition holds. The detail is laid out only then.
+// Assert counts and reports a violation of a check unless the condition holds. The detail is formatted only
+// then.
 func Assert(condition bool, check Check, format string, args ...any) {
 	if condition {
 		return
@@ -90,13 +111,13 @@
 	}
 }
 
-// ViolationCount is how often a promise was broken.
+// ViolationCount says how often a check was violated since the program started.
 type ViolationCount struct {
 	Check      Check
 	Violations int64
 }
 
-// Counts returns a count for each check.
+// Counts returns the count of each check, in the order of the checks.
 func Counts() []ViolationCount {
 	all := make([]ViolationCount, checkCount)
 	for i := range all {
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -6,7 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestViolationsAreCountedAndReported counts what does not hold, tells the handler, and lets pass what holds.
+// TestViolationsAreCountedAndReported: a false condition is counted and reported to the handler, a true one
+// is not.
 func TestViolationsAreCountedAndReported(t *testing.T) {
 	c := qt.New(t)
 	var reported []string
@@ -22,7 +23,7 @@
 	c.Assert(func() { Assert(false, EnoughReplicas, "too few") }, qt.PanicMatches, ".*enough_copies: too few.*")
 }
 
-// TestEachCheckHasAName keeps names and checks in step.
+// TestEachCheckHasAName: the names are not empty and differ.
 func TestEachCheckHasAName(t *testing.T) {
 	seen := map[string]bool{}
 	for _, count := range Counts() {
