--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,38 +1,40 @@
-// Package metrics holds a program's figures and writes them in the text format that Prometheus and its kin
-// read. A client library would bring the packages of its HTTP server with it, which cost each process more
-// memory than all figures together.
+// Package metrics has the counters and histograms of a program, and writes them in the text format of
+// Prometheus.
+//
+// A client library is not used because it would bring an HTTP server and a registry, which cost each process
+// more memory than all its metrics together. There is no registry here: an owner keeps its metrics as fields
+// and adds them to a Page when one is asked for. Counters, families and histograms may be used by any
+// goroutine; a Page by one.
 package metrics
 
 import (
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// ContentType is the media type of a page.
-const ContentType = "text/plain; version=0.0.4; charset=utf-8"
-
-// Label qualifies a figure.
+// Label qualifies a metric.
 type Label struct{ Name, Value string }
 
-// Counter counts up from 0. The zero value is ready.
+// Counter counts up from 0. The zero value is ready for use.
 type Counter struct{ value atomic.Int64 }
 
-// Add counts n more.
+// Add adds n, which must not be negative.
 func (c *Counter) Add(n int64) { c.value.Add(n) }
 
 // Value returns the count.
 func (c *Counter) Value() int64 { return c.value.Load() }
 
-// CounterFamily is a set of counters that differ in the values of their labels. The zero value is ready.
+// CounterFamily is a set of counters that differ in the values of their labels. The zero value is ready for
+// use.
 type CounterFamily struct {
 	mu       sync.Mutex
 	counters map[string]*Counter // by rendered labels
-	keys     []string
+	keys     []string            // of counters, in the order in which they were first used
 }
 
-// With returns the counter for a set of labels. The values must come from a small, fixed set.
+// With returns the counter for a set of labels. The values must come from a small, fixed set, because
+// counters are never removed.
 func (f *CounterFamily) With(labels ...Label) *Counter {
 	key := renderLabels(labels)
 	f.mu.Lock()
@@ -60,14 +62,14 @@
 	return total
 }
 
-// histogramBounds are the upper ends of a Histogram's buckets.
+// histogramBounds are the inclusive upper bounds of a Histogram's buckets; one more bucket has no bound.
 var histogramBounds = [...]time.Duration{
 	time.Millisecond, 2500 * time.Microsecond, 5 * time.Millisecond, 10 * time.Millisecond,
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond,
 	500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second, 10 * time.Second,
 }
 
-// Histogram counts durations by size. The zero value is ready.
+// Histogram counts durations in buckets from 1 ms to 10 s. The zero value is ready for use.
 type Histogram struct {
 	buckets [len(histogramBounds) + 1]atomic.Int64
 	sum     atomic.Int64 // nanoseconds
@@ -82,106 +84,3 @@
 	h.buckets[bucket].Add(1)
 	h.sum.Add(int64(d))
 }
-
-// Page collects figures as text. Figures of one name have to follow each other.
-type Page struct {
-	text     []byte
-	lastName string // the name that was last described
-}
-
-// Text returns the page.
-func (p *Page) Text() []byte { return p.text }
-
-// Counter writes a figure that only rises while the process runs.
-func (p *Page) Counter(name, help string, value int64, labels ...Label) {
-	p.describe(name, help, "counter")
-	p.sample(name, renderLabels(labels), strconv.FormatInt(value, 10))
-}
-
-// Gauge writes a figure that is true now.
-func (p *Page) Gauge(name, help string, value float64, labels ...Label) {
-	p.describe(name, help, "gauge")
-	p.sample(name, renderLabels(labels), formatFloat(value))
-}
-
-// Flag writes 1 where a condition holds now, else 0.
-func (p *Page) Flag(name, help string, holds bool, labels ...Label) {
-	value := 0.0
-	if holds {
-		value = 1
-	}
-	p.Gauge(name, help, value, labels...)
-}
-
-// CounterFamily writes all counters of a family.
-func (p *Page) Family(name, help string, family *CounterFamily) {
-	p.describe(name, help, "counter")
-	family.mu.Lock()
-	defer family.mu.Unlock()
-	for _, key := range family.keys {
-		p.sample(name, key, strconv.FormatInt(family.counters[key].Value(), 10))
-	}
-}
-
-// Histogram writes the durations of a histogram in seconds.
-func (p *Page) Histogram(name, help string, h *Histogram) {
-	p.describe(name, help, "histogram")
-	var count int64
-	for bucket := range h.buckets {
-		count += h.buckets[bucket].Load()
-		upperBound := "+Inf"
-		if bucket < len(histogramBounds) {
-			upperBound = formatFloat(histogramBounds[bucket].Seconds())
-		}
-		p.sample(name+"_bucket", renderLabels([]Label{{"le", upperBound}}), strconv.FormatInt(count, 10))
-	}
-	p.sample(name+"_sum", "", formatFloat(time.Duration(h.sum.Load()).Seconds()))
-	p.sample(name+"_count", "", strconv.FormatInt(count, 10))
-}
-
-func (p *Page) describe(name, help, kind string) {
-	if p.lastName == name {
-		return
-	}
-	p.lastName = name
-	p.text = append(p.text, "# HELP "+name+" "+help+"\n# TYPE "+name+" "+kind+"\n"...)
-}
-
-func (p *Page) sample(name, labels, value string) {
-	p.text = append(p.text, name+labels+" "+value+"\n"...)
-}
-
-func formatFloat(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
-
-// renderLabels lays labels out as they stand behind a name.
-func renderLabels(labels []Label) string {
-	if len(labels) == 0 {
-		return ""
-	}
-	text := []byte{'{'}
-	for i, label := range labels {
-		if i > 0 {
-			text = append(text, ',')
-		}
-		text = append(text, label.Name...)
-		text = append(text, '=', '"')
-		text = appendEscaped(text, label.Value)
-		text = append(text, '"')
-	}
-	return string(append(text, '}'))
-}
-
-// appendEscaped appends a label's value with the three escapes that the format knows.
-func appendEscaped(text []byte, value string) []byte {
-	for i := range len(value) {
-		switch c := value[i]; c {
-		case '\n':
-			text = append(text, '\\', 'n')
-		case '"', '\\':
-			text = append(text, '\\', c)
-		default:
-			text = append(text, c)
-		}
-	}
-	return text
-}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,8 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestPageFollowsTheTextFormat holds the page to the text format: one description for each name, escaped
-// values, and buckets that add up.
+// TestPageFollowsTheTextFormat: one description for each name, escaped values, and cumulative buckets.
 func TestPageFollowsTheTextFormat(t *testing.T) {
 	c := qt.New(t)
 	var family CounterFamily
