--- a/internal/router/cli/config.go
+++ b/internal/router/cli/config.go
@@ -20,7 +20,7 @@
 	JSON  bool   `help:"Print the configuration that results as JSON."`
 }
 
-// Run reads the files with the readers that the fleet itself uses.
+// Run parses the files as the fleet itself does, and prints a summary or every fault.
 func (c *configCheckCommand) Run(o *output) error {
 	config, err := c.read()
 	if err != nil {
@@ -32,12 +32,11 @@
 		return err
 	}
 	fmt.Fprintf(o.stdout, "edition %d: %d routes, %d services, no mistakes\n", config.Version,
-		config.RouteCount(),
-		len(config.Services))
+		config.RouteCount(), len(config.Services))
 	return nil
 }
 
-// read returns the configuration of the file, with the patch applied where there is one.
+// read returns the configuration of the file, with the patch applied if one is given.
 func (c *configCheckCommand) read() (*fleetconfig.Config, error) {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
@@ -90,7 +89,7 @@
 	return string(r.Kind)
 }
 
-// targetsOf names the services of a route, with their parts in percent where there are several.
+// targetsOf names the services of a route, with their weights in percent if there are several.
 func targetsOf(r *fleetconfig.Route) string {
 	var names []string
 	for _, target := range r.Targets {
--- a/internal/router/cli/controlcall.go
+++ b/internal/router/cli/control.go
@@ -10,23 +10,23 @@
 	"cresshub/internal/router/controlclient"
 )
 
-// controlTimeout bounds a call at a control address.
+// controlTimeout bounds a call to a control address.
 const controlTimeout = 5 * time.Second
 
-// controlFlags are the flags of the commands that ask a running process.
+// controlFlags are the flags of the commands that query a running process.
 type controlFlags struct {
 	Control string `help:"Control address of any process of the fleet." placeholder:"IP:PORT" required:""`
 	JSON    bool   `help:"Print the JSON document of the answer."`
 }
 
-// StatusError says that a process answered with something else than 200.
-type StatusError struct {
+// statusError reports a response with another status than 200.
+type statusError struct {
 	Address string
 	Status  int
-	Reason  string // as the process told it
+	Reason  string // the body of the response
 }
 
-func (e *StatusError) Error() string {
+func (e *statusError) Error() string {
 	remedy := "check that --control names the control address of a process of this release"
 	if e.Status == 503 {
 		remedy = "ask another process with --control"
@@ -34,21 +34,22 @@
 	return fmt.Sprintf("%s answered %d: %s; %s", e.Address, e.Status, e.Reason, remedy)
 }
 
-// fetch reads a document from the control address.
+// fetch returns the document at a path of the control address.
 func (f *controlFlags) fetch(path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	answer, err := controlclient.Do(ctx, f.Control, controlclient.Call{Method: "GET", Target: path})
+	response, err := controlclient.Do(ctx, f.Control, controlclient.Call{Method: "GET", Target: path})
 	if err != nil {
 		return nil, err
 	}
-	if answer.Status != 200 {
-		return nil, &StatusError{f.Control, answer.Status, strings.TrimSpace(string(answer.Body))}
+	if response.Status != 200 {
+		return nil, &statusError{f.Control, response.Status, strings.TrimSpace(string(response.Body))}
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
-// show prints a document, or the table that render makes of it.
+// show prints the document at a path of the control address as it is, or as the table that render makes of
+// it.
 func show[T any](o *output, flags *controlFlags, path string, render func(*T) *table) error {
 	document, err := flags.fetch(path)
 	if err != nil {
@@ -58,10 +59,10 @@
 		_, err := fmt.Fprintf(o.stdout, "%s\n", document)
 		return err
 	}
-	var answer T
-	if err := json.Unmarshal(document, &answer); err != nil {
+	var content T
+	if err := json.Unmarshal(document, &content); err != nil {
 		return fmt.Errorf("the answer of %s can't be read: %w; use the program of the same release",
 			flags.Control, err)
 	}
-	return render(&answer).print(o.stdout)
+	return render(&content).print(o.stdout)
 }
--- a/internal/router/cli/faulty_router.go
+++ b/internal/router/cli/faultyrouter.go
@@ -10,7 +10,7 @@
 	"cresshub/internal/testbed/faultinject"
 )
 
-// faultyRouterCommand runs one process of the fleet with faults that lines on standard input put into it.
+// faultyRouterCommand runs a process of the fleet with faults, which lines on standard input inject into it.
 type faultyRouterCommand struct {
 	routerCommand
 	Fault []string `help:"Command that holds from the start; may be given several times." sep:"none"`
@@ -25,7 +25,7 @@
 			return err
 		}
 	}
-	go func() { _ = injector.Obey(os.Stdin) }() // it ends with its parent's end of the pipe
+	go func() { _ = injector.Obey(os.Stdin) }() // a wrong command ends it, as does the parent
 	return c.serve(o, func(settings *agentsettings.Settings) []agent.Option {
 		return []agent.Option{
 			agent.WithNetwork(injector.Network(settings.IP, settings.Front)), agent.WithFiles(injector.Files()),
--- a/internal/router/cli/inspection_test.go
+++ b/internal/router/cli/inspection_test.go
@@ -15,8 +15,10 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// answers is a process that answers each path with a document, until the test ends.
+// serveDocuments serves a document at each path until the test ends, as a process does, and returns the
+// address.
 func serveDocuments(c *qt.C, documents map[string]string) string {
+	c.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	served := make(chan struct{})
@@ -36,14 +38,14 @@
 	return listener.Addr().String()
 }
 
-// run runs a command line and returns what it printed.
+// run runs a command line and returns its exit code and output.
 func run(arguments ...string) (code int, out, problem string) {
 	var stdout, stderr bytes.Buffer
 	code = Main(arguments, &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
-// lines splits a printed table, with one space between words.
+// lines returns the lines of a printed table, with one space between words.
 func lines(text string) []string {
 	var all []string
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
@@ -57,8 +59,9 @@
 "has_disk":true,"keeps_configuration":true},
 {"id":"p2","office":"front-b","ip":"127.0.0.3","control":"127.0.0.3:3","state":"lost","follows":"p1"}]}`
 
-// jsonOf decodes a document.
-func jsonOf(c *qt.C, document string) any {
+// decodeJSON decodes a document.
+func decodeJSON(c *qt.C, document string) any {
+	c.Helper()
 	var value any
 	c.Assert(json.Unmarshal([]byte(document), &value), qt.IsNil)
 	return value
@@ -76,7 +79,7 @@
 	})
 	code, out, _ = run("members", "--control", address, "--json")
 	c.Assert(code, qt.Equals, 0)
-	c.Assert(out, qt.JSONEquals, jsonOf(c, members))
+	c.Assert(out, qt.JSONEquals, decodeJSON(c, members))
 }
 
 func TestServersArePrinted(t *testing.T) {
@@ -111,8 +114,9 @@
 	c.Assert(out, qt.Equals, configuration+"\n")
 }
 
-// fileWith returns the path of a file that holds a text.
-func fileWith(c *qt.C, text string) string {
+// writeFile returns the path of a new file with the text.
+func writeFile(c *qt.C, text string) string {
+	c.Helper()
 	path := filepath.Join(c.TempDir(), "document.json")
 	c.Assert(os.WriteFile(path, []byte(text), 0o600), qt.IsNil)
 	return path
@@ -120,25 +124,25 @@
 
 func TestPatchesAreChecked(t *testing.T) {
 	c := qt.New(t)
-	base := fileWith(c, configuration)
-	good := fileWith(c, `{"edition":8,"deliver":{"depots_list":[{"name":"three"}]}}`)
+	base := writeFile(c, configuration)
+	good := writeFile(c, `{"edition":8,"deliver":{"depots_list":[{"name":"three"}]}}`)
 	code, out, _ := run("config", "check", base, "--patch", good)
 	c.Assert(code, qt.Equals, 0)
 	c.Assert(lines(out), qt.DeepEquals, []string{"edition 8: 1 routes, 3 services, no mistakes"})
 	_, out, _ = run("config", "check", base, "--patch", good, "--json")
 	c.Assert(out, qt.Matches, `(?s)\{"edition":8,.*\{"name":"three"\}\]\}\n`)
-	bad := fileWith(c, `{"edition":8,"withdraw":{"depots_list":["one"],"models":[]}}`)
+	bad := writeFile(c, `{"edition":8,"withdraw":{"depots_list":["one"],"models":[]}}`)
 	code, _, problem := run("config", "check", base, "--patch", bad)
 	c.Assert(code, qt.Equals, 1)
 	c.Assert(problem, qt.Matches, `(?s).*withdraw.models: is not known here; .*`)
-	bad = fileWith(c, `{"edition":8,"withdraw":{"depots_list":["one"]}}`)
+	bad = writeFile(c, `{"edition":8,"withdraw":{"depots_list":["one"]}}`)
 	_, _, problem = run("config", "check", base, "--patch", bad)
 	c.Assert(problem, qt.Matches, `(?s).*"one" is named by route "r1"; withdraw or replace .*`)
 }
 
-func TestLateAnswersAreExplained(t *testing.T) {
+func TestLateResponsesAreExplained(t *testing.T) {
 	c := qt.New(t)
-	log := fileWith(c, `{"try":"t","route":"r1","target_ms":300,"role":"read","outcome":"served","shared":"1f",
+	log := writeFile(c, `{"try":"t","route":"r1","target_ms":300,"role":"read","outcome":"served","shared":"1f",
 `+`{"try":"t","route":"r1","target_ms":300,"role":"read","outcome":"served","shared":"1f","prompt":40000,`+
 		`"reads":40000,"took_ms":700,"message":"front: call"}
 {"try":"t","route":"r1","target_ms":300,"role":"write","outcome":"served","at_ms":700,"event_ms":20,`+
--- a/internal/router/cli/late.go
+++ b/internal/router/cli/late.go
@@ -9,22 +9,17 @@
 	"cresshub/internal/router/latereport"
 )
 
-// lateCommand tells why answers were late.
+// lateCommand explains why responses were late.
 type lateCommand struct {
 	Files []string `arg:"" help:"Logs of processes that ran with --log-level debug." type:"existingfile"`
 	JSON  bool     `help:"Print the summary as JSON."`
 }
 
-// Run prints a row for each route with its late answers by cause.
+// Run prints the late responses of each route by cause.
 func (c *lateCommand) Run(o *output) error {
 	var calls []latereport.Call
 	for _, path := range c.Files {
-		file, err := os.Open(path)
-		if err != nil {
-			return err
-		}
-		fileCalls, err := latereport.ParseLog(file)
-		file.Close()
+		fileCalls, err := parseLogFile(path)
 		if err != nil {
 			return err
 		}
@@ -36,6 +31,20 @@
 	}
 	fmt.Fprintf(o.stdout, "%d calls; the quickest readings take %.4f ms a token\n\n", len(calls),
 		summary.PrefillMsPerToken)
+	return lateTable(summary).print(o.stdout)
+}
+
+func parseLogFile(path string) ([]latereport.Call, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	return latereport.ParseLog(file)
+}
+
+// lateTable has a row for each route, and a column for each cause.
+func lateTable(summary *latereport.Summary) *table {
 	header := []string{"ROUTE", "TARGET", "ANSWERED", "LATE"}
 	for _, cause := range latereport.Causes {
 		header = append(header, strings.ToUpper(string(cause)))
@@ -48,5 +57,5 @@
 		}
 		t.add(row...)
 	}
-	return t.print(o.stdout)
+	return t
 }
--- a/internal/router/cli/progress.go
+++ b/internal/router/cli/progress.go
@@ -14,15 +14,15 @@
 	"cresshub/internal/testbed/routertrial"
 )
 
-// eraseLine moves to the start of a terminal's line and empties it.
+// eraseLine is the terminal sequence that erases the line and moves to its start.
 const eraseLine = "\r\x1b[K"
 
-// defaultWidth is the width of a terminal that does not tell its own.
+// defaultWidth is the width of a terminal that does not report its own.
 const defaultWidth = 80
 
-// progressLine is a line on a terminal that is written over while a trial goes on.
+// progressLine shows the progress of a trial on one line of a terminal.
 type progressLine struct {
-	out   *os.File // nil where nobody would see it
+	out   *os.File // nil if the output is no terminal
 	total time.Duration
 }
 
@@ -36,14 +36,14 @@
 	return line
 }
 
-// show writes the line anew, no longer than the terminal is wide.
-func (l *progressLine) show(p routertrial.Progress) {
+// show replaces the line, cut to the width of the terminal.
+func (l *progressLine) show(progress routertrial.Progress) {
 	if l.out == nil {
 		return
 	}
 	text := fmt.Sprintf("%.0f of %.0f s  asked %d  in time %d  late %d  refused %d  failed %d  %s",
-		p.Elapsed.Seconds(), l.total.Seconds(), p.Total.Asked, p.Total.InTime, p.Total.Late, p.Total.Refused,
-		p.Total.Failed, p.Last)
+		progress.Elapsed.Seconds(), l.total.Seconds(), progress.Total.Asked, progress.Total.InTime,
+		progress.Total.Late, progress.Total.Refused, progress.Total.Failed, progress.Last)
 	fmt.Fprintf(l.out, "%s%.*s", eraseLine, l.width()-1, text)
 }
 
--- a/internal/router/cli/reload.go
+++ b/internal/router/cli/reload.go
@@ -7,28 +7,30 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// reloader takes changed settings over. The file may be looked at while it is being written: one that can't
-// be read is read again, and so is one that has just changed, as its time tells of several changes within a
-// few milliseconds only once.
+// settingsReloader applies the settings file again when it changes. The file may be read while it is being
+// written. A file that can't be read is therefore read again, and so is one that has just changed: several
+// changes within a few milliseconds may leave it with the same modification time.
+//
+// It is used by one goroutine.
 type settingsReloader struct {
-	modTime func() time.Time // when the file was last written, the zero time where that can't be told
+	modTime func() time.Time // of the file, the zero time if it is unknown
 	load    func() (*agentsettings.Settings, error)
 	apply   func(*agentsettings.Settings)
 	onError func(error)
 
-	lastModTime  time.Time // when the file that was last read had been written
-	pendingReads int       // how many looks still read the file although its time is the same
-	lastProblem  string    // of the last try, so that it is told once
+	lastModTime  time.Time // of the file when it was last read by poll
+	pendingReads int       // polls that still read the file although its modification time is the same
+	lastProblem  string    // of the last read, so that a lasting error is reported once
 }
 
-// readsAfterChange is how many looks after a change read the file once more.
+// readsAfterChange is how many polls after a change read the file once more.
 const readsAfterChange = 2
 
 func newSettingsReloader(apply func(*agentsettings.Settings), onError func(error)) *settingsReloader {
 	return &settingsReloader{modTime: settingsModTime, load: agentsettings.Load, apply: apply, onError: onError}
 }
 
-// look reads the file where it may have changed. It is called in regular intervals.
+// poll reads the file if it may have changed. It is called at regular intervals.
 func (r *settingsReloader) poll() {
 	if modTime := r.modTime(); !modTime.Equal(r.lastModTime) {
 		r.lastModTime = modTime
@@ -42,7 +44,7 @@
 	}
 }
 
-// read takes over what the file says now. One that can't be read is read again at the next look.
+// reload reads and applies the file. If that fails, the next poll reads it again.
 func (r *settingsReloader) reload() {
 	settings, err := r.load()
 	if err != nil {
--- a/internal/router/cli/reload_test.go
+++ b/internal/router/cli/reload_test.go
@@ -10,10 +10,10 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// settingsFile is a settings file that a test writes.
+// settingsFile is a settings file under the control of a test.
 type settingsFile struct {
 	modTime  time.Time
-	name     string // what it says, "" where it is half written
+	name     string // its content, empty while it is half written
 	applied  []string
 	reported []string
 	reads    int
@@ -41,7 +41,7 @@
 	return f.applied[len(f.applied)-1]
 }
 
-// TestHalfWrittenSettingsAreReadAgain: the rest may come within the same tick of the file's time.
+// TestHalfWrittenSettingsAreReadAgain: the rest may be written without a change of the modification time.
 func TestHalfWrittenSettingsAreReadAgain(t *testing.T) {
 	c := qt.New(t)
 	file := &settingsFile{modTime: time.Unix(5, 0)}
@@ -56,7 +56,7 @@
 	c.Assert(file.last(), qt.Equals, "whole")
 }
 
-// TestSecondChangeWithTheSameModTimeIsRead: the second change is seen though the file's time stays.
+// TestSecondChangeWithTheSameModTimeIsRead: a change is noticed although the modification time stays.
 func TestSecondChangeWithTheSameModTimeIsRead(t *testing.T) {
 	c := qt.New(t)
 	file := &settingsFile{modTime: time.Unix(5, 0), name: "first"}
@@ -67,7 +67,7 @@
 	c.Assert(file.last(), qt.Equals, "second")
 }
 
-// TestUnchangedSettingsAreNotRead again and again.
+// TestUnchangedSettingsAreNotRead: polls don't read a file that has not changed for a while.
 func TestUnchangedSettingsAreNotRead(t *testing.T) {
 	c := qt.New(t)
 	file := &settingsFile{modTime: time.Unix(5, 0), name: "same"}
--- a/internal/router/cli/router.go
+++ b/internal/router/cli/router.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// garbagePercent keeps the heap small: memory is dearer than the processor time of collecting it.
+	// garbagePercent, half of the runtime's default, keeps the heap small at the cost of processor time.
 	garbagePercent = 50
-	// memoryLimitFraction is the part of the process's memory that the runtime may take before it collects
-	// harder.
+	// memoryLimitFraction is the fraction of the process's memory from which on the runtime collects more often.
 	memoryLimitFraction = 0.7
-	// reloadInterval is how often the settings file is looked at besides SIGHUP.
+	// reloadInterval is how often the settings file is polled, besides SIGHUP.
 	reloadInterval = time.Second
-	// logBufferBytes is how many bytes of the log wait while nobody reads it; later lines are lost, and counted.
+	// logBufferBytes is how much of the log is buffered while nobody reads it; further lines are lost, and
+	// counted.
 	logBufferBytes = 64 << 10
-	// logFlushTimeout bounds how long the end of the process waits for whoever reads the log.
+	// logFlushTimeout bounds how long the end of the process waits for the reader of the log.
 	logFlushTimeout = 300 * time.Millisecond
 )
 
-// lostLinesRecord is the line that stands in place of lost ones.
+// lostLinesRecord returns the line that replaces lost lines of the log.
 func lostLinesRecord(lost int64) string {
 	const form = `{"level":"warn","lost":%d,"message":"log: lines are lost, nobody read them"}`
 	return fmt.Sprintf(form+"\n", lost)
 }
 
-// routerCommand runs one process of the fleet.
+// routerCommand runs a process of the fleet.
 type routerCommand struct {
 	LogLevel    string `help:"Least level that is logged: ${enum}." default:"info" enum:"debug,info,warn,error"`
 	MetricsPort int    `help:"Port that tells the figures at /metrics, besides the control address." default:"0"`
@@ -46,7 +46,7 @@
 
 func noOptions(*agentsettings.Settings) []agent.Option { return nil }
 
-// serve runs a process with options that may depend on its settings.
+// serve runs a process until it is told to end, with options that may depend on its settings.
 func (c *routerCommand) serve(o *output, agentOptions func(*agentsettings.Settings) []agent.Option) error {
 	settings, err := agentsettings.Load()
 	if err != nil {
@@ -64,31 +64,32 @@
 	log := zerolog.New(logOutput).Level(level)
 	logViolations(log)
 	options := append(agentOptions(settings), agent.WithMetricsPort(c.MetricsPort))
-	process, err := agent.New(settings, log, options...)
+	node, err := agent.New(settings, log, options...)
 	if err != nil {
 		return err
 	}
 	stop := make(chan struct{})
-	go handleSignals(process, o.signals, stop)
-	return process.Run(stop)
+	go handleSignals(node, o.signals, stop)
+	return node.Run(stop)
 }
 
-// maxViolationsPerSecond is how many lines a second tell of broken invariants.
+// maxViolationsPerSecond bounds the lines that are logged for violated invariants.
 const maxViolationsPerSecond = 4
 
-// logViolations has broken invariants told in the log.
+// logViolations logs violations of invariants.
 func logViolations(log zerolog.Logger) {
 	limited := log.Sample(&zerolog.BurstSampler{Burst: maxViolationsPerSecond, Period: time.Second})
-	invariant.SetHandler(func(v *invariant.ViolationError) {
-		limited.Error().Str("check", v.Check.String()).Msg(v.Error())
+	invariant.SetHandler(func(violation *invariant.ViolationError) {
+		limited.Error().Str("check", violation.Check.String()).Msg(violation.Error())
 	})
 }
 
-// mind reloads settings that changed and closes stop at the first signal to end.
-func handleSignals(process *agent.Node, signals <-chan os.Signal, stop chan<- struct{}) {
+// handleSignals applies changed settings, on SIGHUP and by polling, until the first other signal; it then
+// closes stop and returns.
+func handleSignals(node *agent.Node, signals <-chan os.Signal, stop chan<- struct{}) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	settings := newSettingsReloader(process.Reload, process.ReloadFailed)
+	settings := newSettingsReloader(node.Reload, node.ReloadFailed)
 	for {
 		select {
 		case received := <-signals:
--- a/internal/router/cli/signals.go
+++ b/internal/router/cli/signals.go
@@ -6,12 +6,12 @@
 	"syscall"
 )
 
-// signalBuffer is how many signals wait to be minded.
+// signalBuffer is how many signals are buffered until they are handled.
 const signalBuffer = 16
 
-// listenForSignals listens for those that a process of the fleet minds. It is called before anything else,
-// for a signal that nobody listens for ends the process. That of a pipe without a reader is ignored: the end
-// of whoever reads the log is no reason to end.
+// listenForSignals returns the signals that a process of the fleet handles. It is called before anything
+// else, because a signal without a listener ends the process. SIGPIPE is ignored: that the reader of the log
+// has ended is no reason to end.
 func listenForSignals() <-chan os.Signal {
 	signal.Ignore(syscall.SIGPIPE)
 	signals := make(chan os.Signal, signalBuffer)
--- a/internal/router/cli/signals_test.go
+++ b/internal/router/cli/signals_test.go
@@ -16,8 +16,8 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// TestHangupDuringStartIsSurvived: SIGHUP may come while a process is still reading its settings. The
-// settings come through a pipe here, so that the process stands at that place until the signal has come.
+// TestHangupDuringStartIsSurvived: SIGHUP may arrive while a process is still reading its settings. The
+// settings are a pipe here, so that the process waits there until the signal has arrived.
 func TestHangupDuringStartIsSurvived(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -29,10 +29,10 @@
 	c.Assert(command.Start(), qt.IsNil)
 	watchdog := time.AfterFunc(testTimeout, func() { command.Process.Kill() })
 	defer watchdog.Stop()
-	settings, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the process has opened it to read
+	settings, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the process has opened it
 	c.Assert(err, qt.IsNil)
 	c.Assert(command.Process.Signal(syscall.SIGHUP), qt.IsNil)
-	settings.WriteString("{}") // which names every mistake, and the process ends with a code of its own
+	settings.WriteString("{}") // invalid, so that the process exits with a code of its own
 	settings.Close()
 	command.Wait()
 	c.Assert(command.ProcessState.ExitCode(), qt.Equals, exitSettings, qt.Commentf("%v: %s",
--- a/internal/router/cli/soak.go
+++ b/internal/router/cli/soak.go
@@ -10,16 +10,14 @@
 	"io"
 	"maps"
 	"os"
-	"os/signal"
 	"path/filepath"
 	"slices"
 	"strings"
-	"syscall"
 
 	"cresshub/internal/testbed/routertrial"
 )
 
-// soakCommand soaks a small fleet on loopback.
+// soakCommand runs small fleets on loopback, one after the other, under faults drawn by a seed.
 type soakCommand struct {
 	Seeds   int      `help:"How many soaks, each with a seed of its own." default:"1"`
 	First   uint64   `help:"Seed of the first; the same seed draws the same troubles." default:"1"`
@@ -33,17 +31,18 @@
 	Program string   `help:"Program that has the router role." hidden:""`
 }
 
-// SoaksBrokenError says how many soaks broke rules.
-type SoaksBrokenError struct{ Broken, All int }
+// soaksBrokenError reports how many soaks failed.
+type soaksBrokenError struct{ broken, total int }
 
-func (e *SoaksBrokenError) Error() string {
+func (e *soaksBrokenError) Error() string {
 	return fmt.Sprintf("%d of %d soaks broke rules or could not be played; play one again with --first SEED, "+
-		"--seeds 1 and --logs DIR", e.Broken, e.All)
+		"--seeds 1 and --logs DIR", e.broken, e.total)
 }
 
-// Run plays the soaks one after the other.
+// Run runs the soaks and prints the report of each. It fails if any could not be run to its end or broke
+// rules.
 func (c *soakCommand) Run(o *output) error {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
+	ctx, stop := signalContext()
 	defer stop()
 	if c.Program == "" {
 		var err error
@@ -53,26 +52,30 @@
 	}
 	broken := 0
 	for i := range c.Seeds {
-		report, err := c.soak(ctx, c.First+uint64(i))
+		seed := c.First + uint64(i)
+		report, err := c.soak(ctx, seed)
 		if ctx.Err() != nil {
-			return &InterruptedError{}
+			return errInterrupted
 		}
 		if err != nil || report.Broken() > 0 {
 			broken++
 		}
-		if printErr := c.print(o.stdout, c.First+uint64(i), report, err); printErr != nil {
+		if printErr := c.print(o.stdout, seed, report, err); printErr != nil {
 			return printErr
 		}
 	}
 	if broken > 0 {
-		return &SoaksBrokenError{broken, c.Seeds}
+		return &soaksBrokenError{broken, c.Seeds}
 	}
 	return nil
 }
 
+// soak runs the soak of a seed.
 func (c *soakCommand) soak(ctx context.Context, seed uint64) (*routertrial.SoakReport, error) {
-	options := routertrial.SoakOptions{Program: c.Program, Seed: seed, Rounds: c.Rounds, Rate: c.Rate,
-		Only: c.Only, Large: c.Large, LogLevel: c.Level}
+	options := routertrial.SoakOptions{
+		Program: c.Program, Seed: seed, Rounds: c.Rounds, Rate: c.Rate, Only: c.Only, Large: c.Large,
+		LogLevel: c.Level,
+	}
 	if c.Logs != "" {
 		file, err := os.Create(filepath.Join(c.Logs, fmt.Sprintf("soak-%d.log", seed)))
 		if err != nil {
@@ -84,8 +87,14 @@
 	return routertrial.Soak(ctx, options)
 }
 
+// print prints the report of a seed, nil if there is none, and the error of its run. As JSON it returns that
+// error too, which the document doesn't have.
 func (c *soakCommand) print(out io.Writer, seed uint64, report *routertrial.SoakReport, runErr error) error {
-	if c.JSON && report != nil {
+	switch {
+	case report == nil:
+		_, err := fmt.Fprintf(out, "seed %d: not played: %v\n", seed, runErr)
+		return err
+	case c.JSON:
 		document, err := json.Marshal(report)
 		if err != nil {
 			return err
@@ -93,17 +102,9 @@
 		_, err = fmt.Fprintf(out, "%s\n", document)
 		return errors.Join(err, runErr)
 	}
-	if report == nil {
-		_, err := fmt.Fprintf(out, "seed %d: not played: %v\n", seed, runErr)
-		return err
-	}
-	var played []string
-	for _, name := range slices.Sorted(maps.Keys(report.Played)) {
-		played = append(played, fmt.Sprintf("%s %d", name, report.Played[name]))
-	}
 	total := &report.Total
 	fmt.Fprintf(out, "seed %d: %.0f s, asked %d, served %d, refused %d, failed %d; %s\n", seed, report.Seconds,
-		total.Asked, total.Served(), total.Refused, total.Failed, strings.Join(played, ", "))
+		total.Asked, total.Served(), total.Refused, total.Failed, playedFaults(report))
 	if runErr == nil && report.Broken() == 0 {
 		return nil
 	}
@@ -115,3 +116,12 @@
 	}
 	return rulesTable(report.Rules).print(out)
 }
+
+// playedFaults lists how often each fault was injected.
+func playedFaults(report *routertrial.SoakReport) string {
+	var played []string
+	for _, name := range slices.Sorted(maps.Keys(report.Played)) {
+		played = append(played, fmt.Sprintf("%s %d", name, report.Played[name]))
+	}
+	return strings.Join(played, ", ")
+}
--- a/internal/router/cli/table.go
+++ b/internal/router/cli/table.go
@@ -7,10 +7,10 @@
 	"text/tabwriter"
 )
 
-// columnGap is how many spaces stand between two columns.
+// columnGap is the number of spaces between two columns.
 const columnGap = 2
 
-// table is printed with aligned columns.
+// table is text in columns, which are aligned when it is printed.
 type table struct {
 	columns []string
 	rows    [][]string
--- a/internal/router/cli/try_none.go
+++ b/internal/router/cli/trials_router_only.go
@@ -4,7 +4,7 @@
 
 import "github.com/alecthomas/kong"
 
-// trialCommands are the commands that a program of the router alone does not have.
+// trialCommands are left out of a program for the router alone.
 type trialCommands struct{}
 
 func trialVars() kong.Vars { return kong.Vars{} }
--- a/internal/router/cli/try.go
+++ b/internal/router/cli/try.go
@@ -3,40 +3,26 @@
 package cli
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"os"
-	"os/signal"
-	"strings"
-	"syscall"
 	"time"
 
-	"github.com/alecthomas/kong"
-
-	"cresshub/internal/testbed/routerstandin"
 	"cresshub/internal/testbed/routertrial"
 )
 
-// The bounds of what a trial may be asked for.
+// The bounds of the flags.
 const (
 	minTrySeconds = 1
 	maxTrySeconds = 600
 	maxTryRate    = 500
 )
 
-// trialCommands are the commands that a program of the router alone (tag router_only) does not have.
-type trialCommands struct {
-	Try  tryCommand  `cmd:"" help:"Try a small fleet on this machine, between stand-ins, and check the rules."`
-	Soak soakCommand `cmd:"" help:"Soak a small fleet on this machine in overlapping troubles drawn by lot."`
-
-	FaultyRouter faultyRouterCommand `cmd:"" hidden:""`
-}
-
-// tryCommand tries a small fleet on loopback.
+// tryCommand runs a small fleet on loopback for some seconds, with a fault if one is wanted.
 type tryCommand struct {
-	Trouble string  `help:"What happens in the middle: ${enum}." enum:"${troubles}" default:"none"`
+	Fault string `name:"trouble" help:"What happens in the middle: ${enum}." enum:"${troubles}" default:"none"`
+
 	Seconds float64 `help:"How long clients send; a trouble may make it longer." default:"10"`
 	Rate    float64 `help:"Requests a second of all clients together." default:"60"`
 	Seed    uint64  `help:"Of the order of kinds and clients." default:"1"`
@@ -45,32 +31,7 @@
 	Program string  `help:"Program that has the router role." hidden:""`
 }
 
-// noFault is the word for a trial without trouble.
-const noFault = "none"
-
-// trialVars are the words that --trouble takes.
-func trialVars() kong.Vars {
-	return kong.Vars{
-		"troubles":      strings.Join(append([]string{noFault}, routertrial.Troubles...), ","),
-		"soak_troubles": strings.Join(routertrial.TroubleNames(), ", "),
-	}
-}
-
-// InterruptedError says that a trial was ended by a signal.
-type InterruptedError struct{}
-
-func (*InterruptedError) Error() string {
-	return "interrupted; what was measured until then is shown; run it again without an interrupt"
-}
-
-// RulesBrokenError says how often a trial broke rules.
-type RulesBrokenError struct{ Breaks int }
-
-func (e *RulesBrokenError) Error() string {
-	return fmt.Sprintf("rules were broken %d times; see which above, and the logs with --log FILE", e.Breaks)
-}
-
-// Run tries the fleet, and prints what came of it.
+// Run runs the trial and prints its report. It fails if the trial could not be run to its end or broke rules.
 func (c *tryCommand) Run(o *output) error {
 	options, err := c.options()
 	if err != nil {
@@ -85,38 +46,40 @@
 		defer file.Close()
 		options.Log = file
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
+	ctx, stop := signalContext()
 	defer stop()
-	line := newProgressLine(o.stderr, options.For)
-	options.Live = line.show
+	progress := newProgressLine(o.stderr, options.For)
+	options.Live = progress.show
 	report, err := routertrial.Run(ctx, options)
-	line.clear()
+	progress.clear()
 	if report != nil {
 		if printErr := c.print(o.stdout, report); printErr != nil {
 			return printErr
 		}
 	}
 	if ctx.Err() != nil {
-		return &InterruptedError{}
+		return errInterrupted
 	}
 	return trialError(report, err)
 }
 
-// trialError returns what a trial failed for, nil where all is well.
+// trialError returns why a trial failed, given the error of its run; nil if it succeeded.
 func trialError(report *routertrial.Report, err error) error {
 	if err == nil && report.Broken() > 0 {
-		return &RulesBrokenError{report.Broken()}
+		return &rulesBrokenError{report.Broken()}
 	}
 	return err
 }
 
+// options returns the options of the trial that the flags ask for.
 func (c *tryCommand) options() (routertrial.Options, error) {
-	options := routertrial.Options{Program: c.Program, For: time.Duration(c.Seconds * float64(time.Second)),
-		Rate: c.Rate, Seed: c.Seed}
-	if c.Trouble != noFault {
-		options.Trouble = c.Trouble
+	options := routertrial.Options{
+		Program: c.Program, For: time.Duration(c.Seconds * float64(time.Second)), Rate: c.Rate, Seed: c.Seed,
+	}
+	if c.Fault != noFault {
+		options.Trouble = c.Fault
 	}
-	switch {
+	switch { // negated so that NaN is out of range
 	case !(c.Seconds >= minTrySeconds && c.Seconds <= maxTrySeconds):
 		return options, fmt.Errorf("--seconds %g is out of range; give %d to %d", c.Seconds, minTrySeconds,
 			maxTrySeconds)
@@ -141,58 +104,3 @@
 	_, err = fmt.Fprintf(out, "%s\n", document)
 	return err
 }
-
-// printReport prints the tables of a trial.
-func printReport(out io.Writer, r *routertrial.Report) error {
-	for _, note := range r.Notes {
-		fmt.Fprintln(out, note)
-	}
-	fmt.Fprintf(out, "\n%.1f s at %.0f requests a second\n", r.Seconds, r.Rate)
-	for _, event := range r.Events {
-		fmt.Fprintln(out, event)
-	}
-	for _, t := range []*table{kindsTable(r.Kinds), serversTable(r.Servers)} {
-		fmt.Fprintln(out)
-		if err := t.print(out); err != nil {
-			return err
-		}
-	}
-	for _, reason := range r.Reasons {
-		fmt.Fprintf(out, "not served: %d x %s\n", reason.Count, reason.Text)
-	}
-	fmt.Fprintln(out)
-	return rulesTable(r.Rules).print(out)
-}
-
-func kindsTable(kinds []routerstandin.KindTally) *table {
-	t := newTable("KIND", "ASKED", "IN TIME", "LATE", "REFUSED", "FAILED", "P50", "P99")
-	for _, k := range kinds {
-		t.add(k.Kind, k.Asked, k.InTime, k.Late, k.Refused, k.Failed, milliseconds(k.P50), milliseconds(k.P99))
-	}
-	return t
-}
-
-func milliseconds(value float64) string { return fmt.Sprintf("%.0f ms", value) }
-
-func serversTable(servers []routerstandin.ServerTally) *table {
-	t := newTable("SERVER", "SERVICE", "ZONE", "STAGE", "CALLS", "READ", "RUN", "TURNED AWAY", "BROKEN OFF")
-	for _, s := range servers {
-		t.add(s.ID, s.Service, s.Zone, s.Stage, s.Arrivals, s.Reads, s.Runs, s.Rejected, s.Broken)
-	}
-	return t
-}
-
-func rulesTable(rules []routerstandin.Verdict) *table {
-	t := newTable("RULE", "STATE")
-	for _, rule := range rules {
-		if rule.Breaks == 0 {
-			t.add(rule.Rule, "kept")
-			continue
-		}
-		t.add(rule.Rule, fmt.Sprintf("BROKEN %d times", rule.Breaks))
-		for _, detail := range rule.Details {
-			t.add("", detail)
-		}
-	}
-	return t
-}
--- a/internal/router/cli/try_test.go
+++ b/internal/router/cli/try_test.go
@@ -20,10 +20,11 @@
 	"cresshub/internal/testbed/routertrial"
 )
 
-// asProgram is the variable that has the test binary be the program, so that trials start processes of it.
+// asProgram is the environment variable that makes the test binary act as the program, so that trials can
+// start it.
 const asProgram = "FLEETCLI_TEST_AS_PROGRAM"
 
-// patience bounds every wait of a test; no verdict depends on how much of it is used.
+// testTimeout bounds every wait of a test; no result depends on how much of it is used.
 const testTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) {
@@ -37,13 +38,14 @@
 type trial struct {
 	*qt.C
 	command *exec.Cmd
-	folder  string // where all of its files are
+	folder  string // of all its files
 	out     bytes.Buffer
 	problem bytes.Buffer
 	exited  chan error
 }
 
 func startTrial(c *qt.C, arguments ...string) *trial {
+	c.Helper()
 	t := &trial{C: c, folder: c.TempDir(), exited: make(chan error, 1)}
 	t.command = exec.Command(os.Args[0], append([]string{"try"}, arguments...)...)
 	t.command.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+t.folder)
@@ -53,7 +55,7 @@
 	return t
 }
 
-// end waits for the end and returns the exit code.
+// wait waits until the trial exits and returns its exit code.
 func (t *trial) wait() int {
 	t.Helper()
 	select {
@@ -71,8 +73,9 @@
 	}
 }
 
-// processes returns the ids of the processes whose settings lie in the trial's folder.
+// processes returns the ids of the running processes whose settings are in the trial's folder.
 func (t *trial) processes() []string {
+	t.Helper()
 	var ids []string
 	all, err := filepath.Glob("/proc/[0-9]*/environ")
 	t.Assert(err, qt.IsNil)
@@ -85,6 +88,7 @@
 	return ids
 }
 
+// awaitProcesses waits until so many processes run.
 func (t *trial) awaitProcesses(count int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); len(t.processes()) != count; time.Sleep(5 * time.Millisecond) {
@@ -94,6 +98,7 @@
 	}
 }
 
+// checkNothingIsLeft checks that the trial left neither processes nor files.
 func (t *trial) checkNothingIsLeft() {
 	t.Helper()
 	t.Check(t.processes(), qt.HasLen, 0)
@@ -102,7 +107,7 @@
 	t.Check(left, qt.HasLen, 0)
 }
 
-func TestTryPrintsWhatCameOfIt(t *testing.T) {
+func TestTryPrintsItsReport(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a fleet; internal/testbed/routertrial does so with -short")
 	}
@@ -121,12 +126,13 @@
 	c.Assert(trial.problem.String(), qt.Equals, "") // no progress line where no terminal shows it
 }
 
-// An interrupt ends a trial at any moment: while its processes start, while clients send, and in a trouble.
+// TestInterruptLeavesNothing: an interrupt ends a trial at any moment, while its processes start, while
+// clients send, and during a fault.
 func TestInterruptLeavesNothing(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts several fleets")
 	}
-	for _, each := range []struct {
+	for _, test := range []struct {
 		name      string
 		processes int
 		after     time.Duration
@@ -135,14 +141,14 @@
 		{"when all run", 6, 0},
 		{"while clients send", 6, 4 * time.Second},
 	} {
-		t.Run(each.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			trial := startTrial(c, "--seconds", "60", "--trouble", "roll")
-			for end := time.Now().Add(testTimeout); len(trial.processes()) < each.processes; {
+			for end := time.Now().Add(testTimeout); len(trial.processes()) < test.processes; {
 				c.Assert(time.Now().Before(end), qt.IsTrue)
 			}
-			time.Sleep(each.after) // the moment of the interrupt, which nothing waits for
+			time.Sleep(test.after) // until the moment of the interrupt, for which there is no event
 			c.Assert(trial.command.Process.Signal(syscall.SIGINT), qt.IsNil)
 			c.Assert(trial.wait(), qt.Equals, 1)
 			c.Assert(trial.problem.String(), qt.Contains, "interrupted")
@@ -151,7 +157,7 @@
 	}
 }
 
-// The processes of a trial that is killed end with it.
+// TestKillLeavesNoProcess: the processes of a trial that is killed end with it.
 func TestKillLeavesNoProcess(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a fleet")
@@ -192,13 +198,13 @@
 
 func TestTryChecksItsFlags(t *testing.T) {
 	c := qt.New(t)
-	for flag, problem := range map[string]string{
+	for flag, want := range map[string]string{
 		"--seconds=0":    "(?s).*--seconds 0 is out of range; give 1 to 600.*",
 		"--rate=9999":    "(?s).*--rate 9999 is out of range; give 1 to 500.*",
 		"--trouble=rain": "(?s).*--trouble must be one of .*",
 	} {
-		code, _, told := run("try", flag)
+		code, _, problem := run("try", flag)
 		c.Check(code, qt.Equals, 2, qt.Commentf(flag))
-		c.Check(told, qt.Matches, problem)
+		c.Check(problem, qt.Matches, want)
 	}
 }
