--- a/internal/router/cli/cli.go
+++ b/internal/router/cli/cli.go
@@ -82,20 +82,23 @@
 		kong.Description("A router fleet for split prefill and decode."),
 		kong.Exit(func(code int) { exitedWith = code }), kong.UsageOnError())
 	if err != nil {
-		fmt.Fprintln(stderr, err)
-		return exitUsage
+		return exitWith(exitUsage, err, stderr)
 	}
 	parsed, err := parser.Parse(arguments)
 	if exitedWith >= 0 {
 		return exitedWith
 	}
 	if err != nil {
-		fmt.Fprintln(stderr, err)
-		return exitUsage
+		return exitWith(exitUsage, err, stderr)
 	}
 	if err := parsed.Run(result); err != nil {
-		fmt.Fprintln(stderr, err)
-		return max(result.code, exitFailed)
+		return exitWith(max(result.code, exitFailed), err, stderr)
 	}
 	return result.code
 }
+
+// exitWith prints an error and returns the exit code.
+func exitWith(code int, err error, stderr io.Writer) int {
+	_, _ = fmt.Fprintln(stderr, err) // if nobody reads it, the exit code still says that the command failed
+	return code
+}
--- a/internal/router/cli/config.go
+++ b/internal/router/cli/config.go
@@ -31,7 +31,8 @@
 		_, err := fmt.Fprintf(o.stdout, "%s\n", config.Raw())
 		return err
 	}
-	fmt.Fprintf(o.stdout, "edition %d: %d routes, %d services, no mistakes\n", config.Version,
+	// The exit code says whether the configuration is valid, whoever reads the summary.
+	_, _ = fmt.Fprintf(o.stdout, "edition %d: %d routes, %d services, no mistakes\n", config.Version,
 		config.RouteCount(), len(config.Services))
 	return nil
 }
@@ -73,13 +74,12 @@
 	if err != nil {
 		return fmt.Errorf("the configuration in force can't be read: %w", err)
 	}
-	fmt.Fprintf(o.stdout, "edition %d: %d routes, %d services\n\n", config.Version, config.RouteCount(),
-		len(config.Services))
 	t := newTable("ROUTE", "HOST", "PREFIX", "KIND", "TIMEOUT", "TRIES", "SERVICES")
 	for _, r := range config.Routes() {
 		t.add(r.Name, r.Host, r.Prefix, kindOf(r), r.Timeout, r.MaxAttempts, targetsOf(r))
 	}
-	return t.print(o.stdout)
+	return t.printUnder(o.stdout, fmt.Sprintf("edition %d: %d routes, %d services", config.Version,
+		config.RouteCount(), len(config.Services)))
 }
 
 func kindOf(r *fleetconfig.Route) string {
--- a/internal/router/cli/late.go
+++ b/internal/router/cli/late.go
@@ -29,9 +29,9 @@
 	if c.JSON {
 		return json.NewEncoder(o.stdout).Encode(summary)
 	}
-	fmt.Fprintf(o.stdout, "%d calls; the quickest readings take %.4f ms a token\n\n", len(calls),
+	title := fmt.Sprintf("%d calls; the quickest readings take %.4f ms a token", len(calls),
 		summary.PrefillMsPerToken)
-	return lateTable(summary).print(o.stdout)
+	return lateTable(summary).printUnder(o.stdout, title)
 }
 
 func parseLogFile(path string) ([]latereport.Call, error) {
--- a/internal/router/cli/progress.go
+++ b/internal/router/cli/progress.go
@@ -32,7 +32,7 @@
 		return &progressLine{}
 	}
 	line := &progressLine{out: file, total: total}
-	fmt.Fprintf(file, "%sstarting processes and servers ...", eraseLine)
+	line.replace("starting processes and servers ...")
 	return line
 }
 
@@ -44,7 +44,7 @@
 	text := fmt.Sprintf("%.0f of %.0f s  asked %d  in time %d  late %d  refused %d  failed %d  %s",
 		progress.Elapsed.Seconds(), l.total.Seconds(), progress.Total.Asked, progress.Total.InTime,
 		progress.Total.Late, progress.Total.Refused, progress.Total.Failed, progress.Last)
-	fmt.Fprintf(l.out, "%s%.*s", eraseLine, l.width()-1, text)
+	l.replace(fmt.Sprintf("%.*s", l.width()-1, text))
 }
 
 func (l *progressLine) width() int {
@@ -55,8 +55,13 @@
 	return int(size.Col)
 }
 
+// clear erases the line.
 func (l *progressLine) clear() {
 	if l.out != nil {
-		fmt.Fprint(l.out, eraseLine)
+		l.replace("")
 	}
 }
+
+func (l *progressLine) replace(text string) {
+	_, _ = io.WriteString(l.out, eraseLine+text) // a terminal that can't be written to shows no progress
+}
--- a/internal/router/cli/soak.go
+++ b/internal/router/cli/soak.go
@@ -3,6 +3,7 @@
 package cli
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -103,18 +104,24 @@
 		return errors.Join(err, runErr)
 	}
 	total := &report.Total
-	fmt.Fprintf(out, "seed %d: %.0f s, asked %d, served %d, refused %d, failed %d; %s\n", seed, report.Seconds,
-		total.Asked, total.Served(), total.Refused, total.Failed, playedFaults(report))
+	summary := fmt.Sprintf("seed %d: %.0f s, asked %d, served %d, refused %d, failed %d; %s\n", seed,
+		report.Seconds, total.Asked, total.Served(), total.Refused, total.Failed, playedFaults(report))
 	if runErr == nil && report.Broken() == 0 {
+		_, _ = io.WriteString(out, summary) // the exit code says that the soak is well, whoever reads this
 		return nil
 	}
+	text := bytes.NewBufferString(summary)
 	if runErr != nil {
-		fmt.Fprintf(out, "  not played to its end: %v\n", runErr)
+		fmt.Fprintf(text, "  not played to its end: %v\n", runErr)
 	}
 	for _, event := range report.Events {
-		fmt.Fprintln(out, "  "+event)
+		fmt.Fprintln(text, "  "+event)
 	}
-	return rulesTable(report.Rules).print(out)
+	if err := rulesTable(report.Rules).print(text); err != nil {
+		return err
+	}
+	_, err := text.WriteTo(out)
+	return err
 }
 
 // playedFaults lists how often each fault was injected.
--- a/internal/router/cli/table.go
+++ b/internal/router/cli/table.go
@@ -29,11 +29,21 @@
 	t.rows = append(t.rows, row)
 }
 
+// print writes the table to out.
 func (t *table) print(out io.Writer) error {
 	aligned := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
-	fmt.Fprintln(aligned, strings.Join(t.columns, "\t"))
-	for _, row := range t.rows {
-		fmt.Fprintln(aligned, strings.Join(row, "\t"))
+	for _, row := range append([][]string{t.columns}, t.rows...) {
+		if _, err := fmt.Fprintln(aligned, strings.Join(row, "\t")); err != nil {
+			return err
+		}
 	}
 	return aligned.Flush()
 }
+
+// printUnder writes a title, an empty line and the table.
+func (t *table) printUnder(out io.Writer, title string) error {
+	if _, err := fmt.Fprintf(out, "%s\n\n", title); err != nil {
+		return err
+	}
+	return t.print(out)
+}
--- a/internal/router/cli/trialreport.go
+++ b/internal/router/cli/trialreport.go
@@ -3,6 +3,7 @@
 package cli
 
 import (
+	"bytes"
 	"fmt"
 	"io"
 
@@ -12,24 +13,29 @@
 
 // printReport prints the events and tables of a trial.
 func printReport(out io.Writer, report *routertrial.Report) error {
+	var text bytes.Buffer
 	for _, line := range report.Notes {
-		fmt.Fprintln(out, line)
+		fmt.Fprintln(&text, line)
 	}
-	fmt.Fprintf(out, "\n%.1f s at %.0f requests a second\n", report.Seconds, report.Rate)
+	fmt.Fprintf(&text, "\n%.1f s at %.0f requests a second\n", report.Seconds, report.Rate)
 	for _, event := range report.Events {
-		fmt.Fprintln(out, event)
+		fmt.Fprintln(&text, event)
 	}
 	for _, t := range []*table{kindsTable(report.Kinds), serversTable(report.Servers)} {
-		fmt.Fprintln(out)
-		if err := t.print(out); err != nil {
+		text.WriteByte('\n')
+		if err := t.print(&text); err != nil {
 			return err
 		}
 	}
 	for _, reason := range report.Reasons {
-		fmt.Fprintf(out, "not served: %d x %s\n", reason.Count, reason.Text)
+		fmt.Fprintf(&text, "not served: %d x %s\n", reason.Count, reason.Text)
 	}
-	fmt.Fprintln(out)
-	return rulesTable(report.Rules).print(out)
+	text.WriteByte('\n')
+	if err := rulesTable(report.Rules).print(&text); err != nil {
+		return err
+	}
+	_, err := text.WriteTo(out)
+	return err
 }
 
 // kindsTable has a row for each kind of request.
