--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
 // Package invariant checks at run time that the invariants of the router fleet hold.
 //
-// Code calls Assert where it is about to act, with a condition computed from figures kept apart from the
+// Code calls Assert where it is about to act, with a condition computed from state kept apart from the
 // logic that is to ensure it, so that a fault of that logic is noticed. A violation changes nothing in what
 // the program does: it is counted, for the metrics, and reported to the handler, which logs it. In tests the
 // handler panics.
@@ -36,7 +36,7 @@
 	ConnectionOfServer
 	// CountsNotNegative: nothing is released that was not acquired.
 	CountsNotNegative
-	// ConfigVersionRises: the version of the configuration in force rises while a process runs.
+	// ConfigVersionRises: the version of the configuration in use rises while a process runs.
 	ConfigVersionRises
 	// ReadsNotOlder: no read of the configuration returns an older version than this process has returned or
 	// acknowledged before.
--- a/internal/router/cli/config.go
+++ b/internal/router/cli/config.go
@@ -31,7 +31,7 @@
 		_, err := fmt.Fprintf(o.stdout, "%s\n", config.Raw())
 		return err
 	}
-	// The exit code says whether the configuration is valid, whoever reads the summary.
+	// If nobody reads it, the exit code still says that the configuration is valid.
 	_, _ = fmt.Fprintf(o.stdout, "edition %d: %d routes, %d services, no mistakes\n", config.Version,
 		config.RouteCount(), len(config.Services))
 	return nil
--- a/internal/router/cli/router.go
+++ b/internal/router/cli/router.go
@@ -46,7 +46,7 @@
 
 func noOptions(*agentsettings.Settings) []agent.Option { return nil }
 
-// serve runs a process until it is told to end, with options that may depend on its settings.
+// serve runs a process until a signal ends it, with options that may depend on its settings.
 func (c *routerCommand) serve(o *output, agentOptions func(*agentsettings.Settings) []agent.Option) error {
 	settings, err := agentsettings.Load()
 	if err != nil {
--- a/internal/router/cli/soak.go
+++ b/internal/router/cli/soak.go
@@ -107,7 +107,7 @@
 	summary := fmt.Sprintf("seed %d: %.0f s, asked %d, served %d, refused %d, failed %d; %s\n", seed,
 		report.Seconds, total.Asked, total.Served(), total.Refused, total.Failed, playedFaults(report))
 	if runErr == nil && report.Broken() == 0 {
-		_, _ = io.WriteString(out, summary) // the exit code says that the soak is well, whoever reads this
+		_, _ = io.WriteString(out, summary) // if nobody reads it, the exit code still says so
 		return nil
 	}
 	text := bytes.NewBufferString(summary)
--- a/internal/router/fleetconfig/config.go
+++ b/internal/router/fleetconfig/config.go
@@ -37,7 +37,7 @@
 // emptyDocument is what a first patch builds on.
 const emptyDocument = `{"edition":0}`
 
-// Empty returns version 0, on which a first configuration builds. It is never in force.
+// Empty returns version 0, on which a first patch builds. It is never committed.
 func Empty() *Config {
 	document, err := jsondoc.Parse([]byte(emptyDocument))
 	if err != nil {
