--- a/internal/router/fleetconfig/doc.go
+++ b/internal/router/fleetconfig/doc.go
@@ -5,8 +5,8 @@
 // ("depots_list") and limits on what clients may send. A Config is made in one of two ways:
 //
 //   - Parse reads a complete document. Its document is the bytes the operator sent.
-//   - Config.Apply makes a new version from a Patch. Routes and items are kept in immutable radix trees (those
-//     of Consul's state store) that both versions share, so that the cost of a patch depends on the patch and
+//   - Config.Apply makes a new version from a Patch. Routes and items are kept in immutable radix trees (as
+//     in Consul's state store) that both versions share, so that the cost of a patch depends on the patch and
 //     not on the configuration. The document of the new version is rendered when it is first asked for; the
 //     same patches on the same base render the same bytes in every process.
 //
--- a/internal/router/roleplan/roleplan.go
+++ b/internal/router/roleplan/roleplan.go
@@ -2,8 +2,8 @@
 // are to change their role.
 //
 // Prefill (reading prompts) is by far the larger work, so that all servers that are not needed for decode
-// prefill. Decode (making tokens) keeps a minimum spread over the zones, because every response depends on it.
-// The planner follows the demand that all proxies report together; while there is traffic it changes few
+// prefill. Decode (making tokens) keeps a minimum spread over the zones, because every response depends on
+// it. The planner follows the demand that all proxies report together; while there is traffic it changes few
 // servers at a time and tolerates small deviations, so that servers don't change back and forth.
 //
 // The separation of the two phases follows DistServe and Splitwise.
