--- a/internal/router/controlserver/server.go
+++ b/internal/router/controlserver/server.go
@@ -73,7 +73,7 @@
 	conn := connbuffer.NewConn(netConn)
 	for {
 		netConn.SetReadDeadline(time.Now().Add(idleTimeout))
-		if conn.Await() != nil {
+		if conn.AwaitReadable() != nil {
 			return
 		}
 		netConn.SetReadDeadline(time.Now().Add(readTimeout))
@@ -128,7 +128,7 @@
 // responseToMalformed returns the response to a call that is not valid HTTP, or the error that prevented it
 // from being read.
 func responseToMalformed(err error) (*http1.Response, error) {
-	var malformed *http1.Malformed
+	var malformed *http1.MalformedError
 	if errors.As(err, &malformed) {
 		return closingText(malformed.Status, malformed.Reason), nil
 	}
