--- a/internal/proxy/ingress/answer.go
+++ b/internal/proxy/ingress/answer.go
@@ -55,8 +55,8 @@
 			Header: q.Header.EndToEnd("X-Timeout")}, u)
 }
 
-// acquireID notes that an id is in use once more. As the first use of it, it fails where there is another: what
-// is sent under an open id is a second copy to the server, whoever sent it.
+// acquireID notes that an id is in use once more. As the first use of it, it fails where there is another:
+// what is sent under an open id is a second copy to the server, whoever sent it.
 func (s *Server) acquireID(id string, first bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -116,9 +116,9 @@
 	return was
 }
 
-// expendability tells how well a connection can be done without, from 0, not at all, up. The time for those that
-// rest is short, for some clients open a connection for each request and keep it: at hundreds a second what
-// rests fills all places long before it is old.
+// expendability tells how well a connection can be done without, from 0, not at all, up. The time for those
+// that rest is short, for some clients open a connection for each request and keep it: at hundreds a second
+// what rests fills all places long before it is old.
 func (c *client) expendability(now time.Time, l *config.Clients) int {
 	age := now.Sub(c.since)
 	switch {
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -13,13 +13,14 @@
 const (
 	// initialReservation is what is taken at first for a body of unknown length.
 	initialReservation = 2 << 10
-	// largeBodyStart of a large body is there with so much of it: a client whose length is a lie sends less, and costs
-	// no server anything.
+	// largeBodyStart of a large body is there with so much of it: a client whose length is a lie sends less, and
+	// costs no server anything.
 	largeBodyStart = 4 << 10
 )
 
-// bufferBody reads a request's body as far as it is kept for another attempt: all of a small one, the beginning of
-// one that is known to be large, or what the budget for bodies has room for. held is what it took from that.
+// bufferBody reads a request's body as far as it is kept for another attempt: all of a small one, the
+// beginning of one that is known to be large, or what the budget for bodies has room for. held is what it
+// took from that.
 func (s *Server) bufferBody(c *client, q *http1.Request, body *http1.Body) (reserved int, err error) {
 	if body.Complete() {
 		return 0, nil
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -45,7 +45,7 @@
 	response, body, err := http1.ReadResponseHead(c.netConn.In, method)
 	streaming := false
 	if err == nil {
-		outcome.reserved, streaming, err = c.keep(a, response, body)
+		outcome.reserved, streaming, err = c.bufferResponse(a, response, body)
 	}
 	uninterrupted := stop()
 	if err != nil {
@@ -136,79 +136,6 @@
 	}
 }
 
-const (
-	// initialReservation is what is taken at first for an answer of unknown length.
-	initialReservation = 2 << 10
-	// largeBodyStart of a large answer is there with so much of it: one whose length is a lie brings less.
-	largeBodyStart = 4 << 10
-)
-
-// keep reads an answer's body as far as it is kept: all of a small one, the beginning of one that is known
-// to be large, of one of unknown length what comes soon. What comes is a spoilt answer until it shows
-// otherwise, and as long as nothing is passed on another attempt can be made. held is what it took from
-// the budget; where that has nothing the answer streams.
-func (c *conn) keep(a *Attempt, answer *http1.Response, body *http1.Body) (held int, streams bool,
-	err error) {
-	may := answer.Status == 200 && !a.probe // whatever else is large is not worth passing on
-	length := body.Length()
-	if body.Complete() {
-		return 0, false, nil
-	}
-	large, size, first := length > http1.MaxBufferedBody, initialReservation, -1
-	if large && !may {
-		return 0, false, nil
-	} else if large {
-		size = largeBodyStart
-	} else if length >= 0 {
-		size = int(length)
-	}
-	began, hold := time.Now(), c.pool.limits.Load().BufferTime
-	for n := 0; ; {
-		if n == len(answer.Body) {
-			if n > 0 {
-				size = min(2*n, http1.MaxBufferedBody)
-			}
-			if n == http1.MaxBufferedBody || large && n == largeBodyStart || !c.pool.bodies.Reserve(size-n) {
-				return held, may, nil
-			}
-			held += size - n
-			answer.Body = append(make([]byte, 0, size), answer.Body...)[:size]
-		}
-		for may && (large || length < 0) && !body.Buffered() {
-			if first < 0 {
-				first = n
-			}
-			until := a.GiveUpAt
-			if !large && began.Add(4*hold).Before(until) {
-				until = began.Add(4 * hold)
-			}
-			c.netConn.SetReadDeadline(until)
-			// which takes nothing, so nothing is lost by its end
-			_, err := c.netConn.In.Peek(c.netConn.In.Buffered() + 1)
-			c.netConn.SetReadDeadline(a.GiveUpAt)
-			if errors.Is(err, os.ErrDeadlineExceeded) && until.Before(a.GiveUpAt) && a.ctx.Err() == nil {
-				answer.Body = answer.Body[:n]
-				return held, true, nil
-			}
-			if err != nil { // Read meets it again, and knows what it means
-				break
-			}
-		}
-		m, err := body.Read(answer.Body[n:])
-		n += m
-		switch {
-		case body.Complete():
-			answer.Body = answer.Body[:n]
-			return held, false, nil
-		case err != nil:
-			return held, false, err
-		case first >= 0 && n > first && may && time.Since(began) > hold: // it goes on coming, and slowly
-			answer.Body = answer.Body[:n]
-			return held, true, nil
-		}
-	}
-}
-
 // Stream is the rest of an answer, read from its server by whoever passes it on.
 type Stream struct {
 	conn *conn
