--- a/internal/router/directory/record.go
+++ b/internal/router/directory/record.go
@@ -33,25 +33,26 @@
 	Ended    State = 4 // left for good; nothing revives it
 )
 
-// Record describes one process. It is a value and is never changed in place.
+// Record describes one process, or an order to one. It is a value and is never changed in place. The tags hold
+// the field names of the Avro schema Record, in which package peerproto sends and stores it.
 type Record struct {
-	Kind     Kind
-	ID       string // of the incarnation; never used again by another process
-	Sequence int64  // rises with what the process itself tells
-	State    State
-	Watcher  string // id of the proxy that hears the process's heartbeats
+	Kind     Kind   `avro:"Kind"`
+	ID       string `avro:"ID"`       // of the incarnation; never used again by another process
+	Sequence int64  `avro:"Sequence"` // set by the process itself, which raises it with each change
+	State    State  `avro:"State"`
+	Watcher  string `avro:"Watcher"` // id of the proxy that receives the process's heartbeats
 
-	Service string // of a server
-	Address string // of a server IP:port, of a proxy its IP
-	Zone    string
-	Version string
-	Slots   int
-	Stage   string
-	ColdMs  int64
+	Service string `avro:"Service"` // of a server
+	Address string `avro:"Address"` // of a server IP:port, of a proxy its IP
+	Zone    string `avro:"Zone"`
+	Version string `avro:"Version"` // of the server's software
+	Slots   int    `avro:"Slots"`   // how many calls the server runs at once
+	Stage   string `avro:"Stage"`   // of a model server its role, of an order the role to take; see catalog.Role
+	ColdMs  int64  `avro:"ColdMs"`  // how much longer the server is warming up, in milliseconds
 
-	Name    string // of a proxy's machine
-	Control string // of a proxy: where servers and operators call it
-	Member  string // of a proxy with a disk: the identity that its disk holds
+	Name    string `avro:"Name"`    // of a proxy's machine
+	Control string `avro:"Control"` // of a proxy: where servers and operators call it, host:port
+	Member  string `avro:"Member"`  // of a proxy with a disk: the identity that its disk holds
 }
 
 // supersedes tells whether r is to replace known, a record of the same id.
