--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -58,13 +58,13 @@
 		{Kind: directory.KindProxy, ID: "proxy-2", Sequence: 4, State: directory.Ready, Address: "10.0.0.2",
 			Zone: "zone-b", Name: "name-2", Control: "10.0.0.2:82", Member: "m1"},
 		{Kind: directory.KindOrder, ID: directory.OrderID("server-1"), Sequence: 1, State: directory.Lost,
-			Watcher: "proxy-2", Stage: "writing"}}
+			Watcher: "proxy-2", Role: "writing"}}
 }
 
 func goldenServer() directory.Record {
 	return directory.Record{Kind: directory.KindServer, ID: "server-1", Sequence: 3, State: directory.Draining,
 		Watcher: "proxy-2", Service: "chat", Address: "10.0.0.9:80", Zone: "zone-b", Version: "v3", Slots: 6,
-		Stage: "reading", ColdMs: 1500}
+		Role: "reading", WarmUpMs: 1500}
 }
 
 // goldenChainMessage is a message of the chain with all fields set.
--- a/internal/router/agent/inspection.go
+++ b/internal/router/agent/inspection.go
@@ -101,11 +101,11 @@
 func listServer(d *directory.Directory, record *directory.Record) listedServer {
 	listed := listedServer{
 		ID: record.ID, Service: record.Service, Address: record.Address, Zone: record.Zone,
-		Version: record.Version, Slots: record.Slots, State: stateNames[record.State], Stage: record.Stage,
+		Version: record.Version, Slots: record.Slots, State: stateNames[record.State], Stage: record.Role,
 		Sequence: record.Sequence, HeardBy: record.Watcher,
 	}
 	if d.ChangingRole(record) {
-		listed.ChangingTo = d.Get(directory.OrderID(record.ID)).Stage
+		listed.ChangingTo = d.Get(directory.OrderID(record.ID)).Role
 	}
 	return listed
 }
--- a/internal/router/agent/inspection_test.go
+++ b/internal/router/agent/inspection_test.go
@@ -57,9 +57,9 @@
 		directory.Record{Kind: directory.KindServer, ID: "i-2", Sequence: 9, State: directory.Draining,
 			Service: "lookup", Address: "127.0.0.9:80", Slots: 6, Watcher: "p1"},
 		directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 7, State: directory.Ready,
-			Service: "model", Address: "127.0.0.8:80", Zone: "kopli", Version: "v1", Slots: 8, Stage: "writing"},
+			Service: "model", Address: "127.0.0.8:80", Zone: "kopli", Version: "v1", Slots: 8, Role: "writing"},
 		directory.Record{Kind: directory.KindOrder, ID: directory.OrderID("i-1"), Sequence: 1,
-			State: directory.Ready, Stage: "reading"})
+			State: directory.Ready, Role: "reading"})
 	var list serverList
 	get(c, n, "/api/servers", &list)
 	c.Assert(list, qt.DeepEquals, serverList{Asked: n.id, Servers: []listedServer{
--- a/internal/router/agent/registration.go
+++ b/internal/router/agent/registration.go
@@ -48,8 +48,8 @@
 		Kind: directory.KindServer, ID: id, Sequence: int64(root.Get("postmark").NumberOr(0, 0)),
 		State: directory.Ready, Service: root.Get("depot").Text(), Address: root.Get("address").Text(),
 		Zone: root.Get("district").TextOr(""), Version: root.Get("edition").TextOr(""),
-		Slots: int(root.Get("bays").NumberOr(1, 0)), Stage: root.Get("stage").TextOr(""),
-		ColdMs: int64(root.Get("cold_ms").NumberOr(0, 0)),
+		Slots: int(root.Get("bays").NumberOr(1, 0)), Role: root.Get("stage").TextOr(""),
+		WarmUpMs: int64(root.Get("cold_ms").NumberOr(0, 0)),
 	}
 	switch state := root.Get("state"); catalog.State(state.TextOr(string(catalog.Ready))) {
 	case catalog.Ready:
--- a/internal/router/agent/saved_directory_test.go
+++ b/internal/router/agent/saved_directory_test.go
@@ -14,7 +14,7 @@
 func TestSavedServersAreReadAsWritten(t *testing.T) {
 	saved := savedFiles{segmentlog.OSFS{}, t.TempDir()}
 	records := []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 3, State: directory.Ready,
-		Service: "s", Address: "10.0.0.1:80", Stage: "reading"}}
+		Service: "s", Address: "10.0.0.1:80", Role: "reading"}}
 	qt.Assert(t, saved.writeRecords(serversFile, records), qt.IsNil)
 	got, err := saved.readRecords(serversFile)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/router/agent/stages.go
+++ b/internal/router/agent/stages.go
@@ -88,7 +88,7 @@
 	n.state.update(now, func(d *directory.Directory) {
 		for _, order := range d.Orders() {
 			server := d.Get(order.ID[len(directory.OrderID("")):])
-			if server == nil || !server.Live() || server.Stage == order.Stage {
+			if server == nil || !server.Live() || server.Role == order.Role {
 				ended := *order
 				ended.State = directory.Lost
 				d.Merge(now, ended)
@@ -103,12 +103,12 @@
 	addresses := map[string]string{}
 	n.state.read(func(d *directory.Directory) {
 		for _, r := range d.LiveServers() {
-			if r.Service != service.Name || r.State != directory.Ready || r.Stage == "" {
+			if r.Service != service.Name || r.State != directory.Ready || r.Role == "" {
 				continue
 			}
-			known := roleplan.Server{ID: r.ID, Zone: r.Zone, Role: catalog.Role(r.Stage), Slots: r.Slots}
+			known := roleplan.Server{ID: r.ID, Zone: r.Zone, Role: catalog.Role(r.Role), Slots: r.Slots}
 			if d.ChangingRole(r) {
-				known.Changing, known.Role = true, catalog.Role(d.Get(directory.OrderID(r.ID)).Stage)
+				known.Changing, known.Role = true, catalog.Role(d.Get(directory.OrderID(r.ID)).Role)
 			}
 			servers = append(servers, known)
 			addresses[r.ID] = r.Address
@@ -143,7 +143,7 @@
 	n.state.update(now, func(d *directory.Directory) {
 		for _, order := range orders {
 			record := directory.Record{Kind: directory.KindOrder, ID: directory.OrderID(order.Server), Sequence: 1,
-				State: directory.Ready, Watcher: n.id, Service: service.Name, Stage: string(order.Role)}
+				State: directory.Ready, Watcher: n.id, Service: service.Name, Role: string(order.Role)}
 			if earlier := d.Get(record.ID); earlier != nil {
 				record.Sequence = earlier.Sequence + 1
 			}
--- a/internal/router/directory/directory.go
+++ b/internal/router/directory/directory.go
@@ -155,7 +155,7 @@
 // ChangingRole tells whether a server is under an order to take another stage than it has.
 func (d *Directory) ChangingRole(server *Record) bool {
 	order := d.Get(OrderID(server.ID))
-	return order != nil && order.State == Ready && order.Stage != server.Stage
+	return order != nil && order.State == Ready && order.Role != server.Role
 }
 
 // Orders returns the records of the orders that are under way, sorted by id.
--- a/internal/router/directory/directory_test.go
+++ b/internal/router/directory/directory_test.go
@@ -110,19 +110,19 @@
 func TestServersChangingRoleAreNotListed(t *testing.T) {
 	d := New()
 	decoding := server("a", 1, Ready)
-	decoding.Stage = "writing"
+	decoding.Role = "writing"
 	d.Merge(0, decoding)
-	order := Record{Kind: KindOrder, ID: OrderID("a"), Sequence: 1, State: Ready, Stage: "reading"}
+	order := Record{Kind: KindOrder, ID: OrderID("a"), Sequence: 1, State: Ready, Role: "reading"}
 	d.Merge(0, order)
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 0)
 	qt.Assert(t, d.Orders(), qt.HasLen, 1)
-	decoding.Stage, decoding.Sequence = "reading", 2
+	decoding.Role, decoding.Sequence = "reading", 2
 	d.Merge(0, decoding)
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1)
 	order.State = Lost
 	d.Merge(0, order)
 	qt.Assert(t, d.Orders(), qt.HasLen, 0)
-	decoding.Stage, decoding.Sequence = "writing", 3
+	decoding.Role, decoding.Sequence = "writing", 3
 	d.Merge(0, decoding)
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("an order that is over binds nobody"))
 }
--- a/internal/router/directory/record.go
+++ b/internal/router/directory/record.go
@@ -42,13 +42,13 @@
 	State    State  `avro:"State"`
 	Watcher  string `avro:"Watcher"` // id of the proxy that receives the process's heartbeats
 
-	Service string `avro:"Service"` // of a server
-	Address string `avro:"Address"` // of a server IP:port, of a proxy its IP
-	Zone    string `avro:"Zone"`
-	Version string `avro:"Version"` // of the server's software
-	Slots   int    `avro:"Slots"`   // how many calls the server runs at once
-	Stage   string `avro:"Stage"`   // of a model server its role, of an order the role to take; see catalog.Role
-	ColdMs  int64  `avro:"ColdMs"`  // how much longer the server is warming up, in milliseconds
+	Service  string `avro:"Service"` // of a server
+	Address  string `avro:"Address"` // of a server IP:port, of a proxy its IP
+	Zone     string `avro:"Zone"`
+	Version  string `avro:"Version"` // of the server's software
+	Slots    int    `avro:"Slots"`   // how many calls the server runs at once
+	Role     string `avro:"Stage"`   // of a model server its role, of an order the role to take; see catalog.Role
+	WarmUpMs int64  `avro:"ColdMs"`  // how much longer the server is warming up, in milliseconds
 
 	Name    string `avro:"Name"`    // of a proxy's machine
 	Control string `avro:"Control"` // of a proxy: where servers and operators call it, host:port
@@ -84,7 +84,7 @@
 // RoutesLike tells whether two records of a server say the same to those who choose servers.
 func (r *Record) RoutesLike(other *Record) bool {
 	return r.State == other.State && r.Service == other.Service && r.Address == other.Address &&
-		r.Zone == other.Zone && r.Stage == other.Stage && r.Slots == other.Slots && r.Watcher == other.Watcher
+		r.Zone == other.Zone && r.Role == other.Role && r.Slots == other.Slots && r.Watcher == other.Watcher
 }
 
 // Server returns the record in the form in which servers are chosen.
@@ -95,7 +95,7 @@
 	}
 	return &catalog.Server{
 		ID: r.ID, Service: r.Service, Address: r.Address, Zone: r.Zone, Version: r.Version, Slots: r.Slots,
-		State: state, Role: catalog.Role(r.Stage), Sequence: r.Sequence,
-		WarmUp: time.Duration(r.ColdMs) * time.Millisecond,
+		State: state, Role: catalog.Role(r.Role), Sequence: r.Sequence,
+		WarmUp: time.Duration(r.WarmUpMs) * time.Millisecond,
 	}
 }
--- a/internal/router/peerproto/golden_test.go
+++ b/internal/router/peerproto/golden_test.go
@@ -41,17 +41,17 @@
 func goldenRecords() []directory.Record {
 	return []directory.Record{
 		{Kind: directory.KindServer, ID: "server-1", Sequence: 7, State: directory.Ready, Watcher: "proxy-1",
-			Service: "chat", Address: "10.0.0.1:80", Zone: "zone-a", Version: "v3", Slots: 6, Stage: "reading",
-			ColdMs: 1500, Name: "name-1", Control: "10.0.0.2:81", Member: "member-1"},
+			Service: "chat", Address: "10.0.0.1:80", Zone: "zone-a", Version: "v3", Slots: 6, Role: "reading",
+			WarmUpMs: 1500, Name: "name-1", Control: "10.0.0.2:81", Member: "member-1"},
 		{Kind: directory.KindProxy, ID: "proxy-1", Sequence: 1 << 40, State: directory.Draining,
 			Watcher: "proxy-2", Service: "other", Address: "10.0.0.2", Zone: "zone-b", Version: "v4", Slots: 130,
-			Stage: "writing", ColdMs: 1 << 33, Name: "name-2", Control: "10.0.0.2:82", Member: "member-2"},
+			Role: "writing", WarmUpMs: 1 << 33, Name: "name-2", Control: "10.0.0.2:82", Member: "member-2"},
 		{Kind: directory.KindOrder, ID: directory.OrderID("server-1"), Sequence: 2, State: directory.Lost,
 			Watcher: "proxy-3", Service: "chat", Address: "10.0.0.3:80", Zone: "zone-c", Version: "v5", Slots: 1,
-			Stage: "both", ColdMs: 1, Name: "name-3", Control: "10.0.0.3:83", Member: "member-3"},
+			Role: "both", WarmUpMs: 1, Name: "name-3", Control: "10.0.0.3:83", Member: "member-3"},
 		{Kind: directory.KindServer, ID: "server-ü", Sequence: 3, State: directory.Ended, Watcher: "proxy-1",
-			Service: "chat", Address: "[::1]:80", Zone: "zone-d", Version: "v6", Slots: 64, Stage: "writing",
-			ColdMs: 63, Name: "name-4", Control: "10.0.0.4:84", Member: "member-4"},
+			Service: "chat", Address: "[::1]:80", Zone: "zone-d", Version: "v6", Slots: 64, Role: "writing",
+			WarmUpMs: 63, Name: "name-4", Control: "10.0.0.4:84", Member: "member-4"},
 	}
 }
 
--- a/internal/router/peerproto/peerwire_test.go
+++ b/internal/router/peerproto/peerwire_test.go
@@ -15,8 +15,8 @@
 )
 
 var record = directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 7, State: directory.Draining,
-	Watcher: "p", Service: "s", Address: "10.0.0.1:80", Zone: "z", Version: "v", Slots: 6, Stage: "reading",
-	ColdMs: 9, Name: "n", Control: "10.0.0.2:81", Member: "m"}
+	Watcher: "p", Service: "s", Address: "10.0.0.1:80", Zone: "z", Version: "v", Slots: 6, Role: "reading",
+	WarmUpMs: 9, Name: "n", Control: "10.0.0.2:81", Member: "m"}
 
 // TestMessagesRoundTrip encodes and decodes each message with all fields set.
 func TestMessagesRoundTrip(t *testing.T) {
