--- a/internal/router/directory/digest.go
+++ b/internal/router/directory/digest.go
@@ -6,18 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NumRanges is how many ranges of ids a digest tells apart.
+// NumRanges is the number of ranges that ids are hashed into.
 const NumRanges = 32
 
-// Digest holds for each range of ids a sum over its records. Copies with equal digests hold the same records
-// of processes that have not ended, up to chance. Ended ones are left out, because each copy forgets them at
-// a time of its own.
+// Digest holds the XOR of the hashes of the records of each range, so that it is updated with each change and
+// does not depend on the order of changes. Replicas with equal digests have, but for hash collisions, the
+// same records of processes that have not ended. Ended ones are left out, because each replica expires them
+// at a time of its own.
 type Digest [NumRanges]uint64
 
-// RangeOf returns the range that an id falls into.
+// RangeOf returns the range of an id.
 func RangeOf(id string) int { return int(xxhash.Sum64String(id) % NumRanges) }
 
-// toggle adds a record to the digest, or takes it out where it is in.
+// toggle adds a record to the digest, or removes one that was added before.
 func (d *Digest) toggle(r *Record) {
 	if r.State == Ended {
 		return
@@ -31,7 +32,7 @@
 	d[RangeOf(r.ID)] ^= hash.Sum64()
 }
 
-// Digest returns the digest of this copy.
+// Digest returns the digest of this replica.
 func (d *Directory) Digest() Digest { return d.digest }
 
 // Diff returns the ranges in which two digests differ.
@@ -45,7 +46,8 @@
 	return differing
 }
 
-// InRanges returns the records of some ranges, ended ones included, so that the other copy can repair itself.
+// InRanges returns the records of some ranges, ended ones included, sorted by id: another replica that merges
+// them has no older record in these ranges. Ranges out of bounds are ignored.
 func (d *Directory) InRanges(ranges []int) []*Record {
 	var wanted [NumRanges]bool
 	for _, i := range ranges {
--- a/internal/router/directory/directory.go
+++ b/internal/router/directory/directory.go
@@ -1,8 +1,6 @@
 package directory
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"cresshub/internal/invariant"
@@ -10,40 +8,41 @@
 )
 
 const (
-	// EndedTTL is how long the record of an ended process is kept, so that late news of it cannot revive it.
+	// EndedTTL is how long the record of an ended process is retained, so that a late update cannot revive it.
 	EndedTTL = 2 * time.Minute
-	// LostTTL is how long the record of a silent process is kept.
+	// LostTTL is how long the record of a process that has timed out is retained.
 	LostTTL = 10 * time.Minute
-	// tombstoneTTL is how long it is kept in mind that a record was forgotten, so that another copy that
-	// still has it does not bring it back.
+	// tombstoneTTL is how long the id of an expired record is retained. It must exceed the time between the
+	// expiries of one record at two replicas.
 	tombstoneTTL = 2 * time.Minute
 )
 
-// entry is a record with what this copy notes beside it.
+// entry is a record and when this replica merged it.
 type entry struct {
 	record     *Record
-	offset     uint64        // of the last change of the record in this copy's feed
+	offset     uint64        // of the record's last change in this replica's feed
 	modifiedAt time.Duration // when that change was merged
 }
 
-// Directory is one copy.
+// Directory is one replica.
 type Directory struct {
-	entries    map[string]*entry
-	tombstones map[string]time.Duration // when the record of an id was forgotten
+	entries    map[string]*entry        // by id
+	tombstones map[string]time.Duration // by id, when the record expired
 	offset     uint64                   // of the last change
 	digest     Digest
-	table      *catalog.Table // nil after a change of servers, until asked for
+	servers    *catalog.Table // the cached result of Servers, nil after a change of a server or an order
 }
 
-// New returns an empty copy.
+// New returns an empty replica.
 func New() *Directory {
 	return &Directory{entries: map[string]*entry{}, tombstones: map[string]time.Duration{}}
 }
 
-// Offset is the place of the last change in this copy's feed.
+// Offset returns the offset of the last change in this replica's feed, 0 where there was none.
 func (d *Directory) Offset() uint64 { return d.offset }
 
-// Merge takes a record in and tells whether it changed this copy.
+// Merge merges a record and reports whether it changed this replica. A record that is no newer than the one
+// that is there changes nothing.
 func (d *Directory) Merge(now time.Duration, record Record) bool {
 	existing := d.entries[record.ID]
 	if existing != nil && !record.supersedes(existing.record) {
@@ -64,42 +63,43 @@
 	d.digest.toggle(&record)
 	d.entries[record.ID] = &entry{&record, d.offset, now}
 	if record.Kind != KindProxy {
-		d.table = nil
+		d.servers = nil
 	}
 	return true
 }
 
-// Expire forgets processes that ended or fell silent long ago, so that a copy is bounded by what runs and
-// what went within LostTTL.
+// Expire removes the records of processes that ended or were lost long ago, and old tombstones. It bounds a
+// replica by the processes that run and those that went within LostTTL.
 func (d *Directory) Expire(now time.Duration) {
 	for id, e := range d.entries {
 		if d.expired(now, e) {
-			d.forget(now, id, e)
+			d.bury(now, id, e)
 		}
 	}
-	for id, at := range d.tombstones {
-		if now-at > tombstoneTTL {
+	for id, buriedAt := range d.tombstones {
+		if now-buriedAt > tombstoneTTL {
 			delete(d.tombstones, id)
 		}
 	}
 }
 
-// expired tells whether a record may be forgotten. That of an order stays as long as its server is known,
-// because the next order to it counts on from there.
-func (d *Directory) expired(now time.Duration, entry *entry) bool {
-	age := now - entry.modifiedAt
+// expired reports whether a record is to be removed. That of an order is retained as long as the server's,
+// because the next order to it takes the next sequence number.
+func (d *Directory) expired(now time.Duration, e *entry) bool {
+	age := now - e.modifiedAt
 	switch {
-	case entry.record.State == Ended:
+	case e.record.State == Ended:
 		return age > EndedTTL
-	case entry.record.State != Lost || age <= LostTTL:
+	case e.record.State != Lost || age <= LostTTL:
 		return false
-	case entry.record.Kind == KindOrder:
-		return d.entries[orderTarget(entry.record.ID)] == nil
+	case e.record.Kind == KindOrder:
+		return d.entries[orderTarget(e.record.ID)] == nil
 	}
 	return true
 }
 
-func (d *Directory) forget(now time.Duration, id string, e *entry) {
+// bury replaces an expired record by a tombstone.
+func (d *Directory) bury(now time.Duration, id string, e *entry) {
 	d.digest.toggle(e.record)
 	delete(d.entries, id)
 	d.tombstones[id] = now
@@ -113,78 +113,5 @@
 	return nil
 }
 
-// ModifiedAt returns when the record of an id was last changed here.
+// ModifiedAt returns when the record of an id, which must be there, was last changed in this replica.
 func (d *Directory) ModifiedAt(id string) time.Duration { return d.entries[id].modifiedAt }
-
-// Since returns the records that changed after a place of this copy's feed, in the order of their changes.
-// Since(0) is a snapshot.
-func (d *Directory) Since(offset uint64) []*Record {
-	if offset >= d.offset {
-		return nil
-	}
-	var changed []*entry
-	for _, e := range d.entries {
-		if e.offset > offset {
-			changed = append(changed, e)
-		}
-	}
-	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.offset, b.offset) })
-	records := make([]*Record, len(changed))
-	for i, e := range changed {
-		records[i] = e.record
-	}
-	return records
-}
-
-// Servers returns the servers that may get new requests.
-func (d *Directory) Servers() *catalog.Table {
-	if d.table != nil {
-		return d.table
-	}
-	var servers []*catalog.Server
-	for _, e := range d.entries {
-		if e.record.Kind == KindServer && e.record.State == Ready && !d.ChangingRole(e.record) {
-			servers = append(servers, e.record.Server())
-		}
-	}
-	slices.SortFunc(servers, func(a, b *catalog.Server) int { return cmp.Compare(a.ID, b.ID) })
-	d.table = catalog.NewTable(d.offset, servers)
-	return d.table
-}
-
-// ChangingRole tells whether a server is under an order to take another stage than it has.
-func (d *Directory) ChangingRole(server *Record) bool {
-	order := d.Get(OrderID(server.ID))
-	return order != nil && order.State == Ready && order.Role != server.Role
-}
-
-// Orders returns the records of the orders that are under way, sorted by id.
-func (d *Directory) Orders() []*Record {
-	return d.filter(func(r *Record) bool { return r.Kind == KindOrder && r.Live() })
-}
-
-// Proxies returns the records of the proxies that are believed to run, sorted by id.
-func (d *Directory) Proxies() []*Record {
-	return d.filter(func(r *Record) bool { return r.Kind == KindProxy && r.Live() })
-}
-
-// WatchedBy returns the records of live processes whose heartbeats a proxy hears, sorted by id.
-func (d *Directory) WatchedBy(proxy string) []*Record {
-	return d.filter(func(r *Record) bool { return r.Kind != KindOrder && r.Live() && r.Watcher == proxy })
-}
-
-// LiveServers returns the records of all servers believed to run, sorted by id.
-func (d *Directory) LiveServers() []*Record {
-	return d.filter(func(r *Record) bool { return r.Kind == KindServer && r.Live() })
-}
-
-func (d *Directory) filter(keep func(*Record) bool) []*Record {
-	var records []*Record
-	for _, e := range d.entries {
-		if keep(e.record) {
-			records = append(records, e.record)
-		}
-	}
-	slices.SortFunc(records, func(a, b *Record) int { return cmp.Compare(a.ID, b.ID) })
-	return records
-}
--- a/internal/router/directory/directory_test.go
+++ b/internal/router/directory/directory_test.go
@@ -13,30 +13,30 @@
 		Address: "10.0.0.1:80", Zone: "z"}
 }
 
-// TestMergePrecedence lists which of two records of one incarnation stays.
+// TestMergePrecedence lists which of two records of one incarnation wins.
 func TestMergePrecedence(t *testing.T) {
 	for _, test := range []struct {
-		name         string
-		known, heard Record
-		replaced     bool
+		name            string
+		known, received Record
+		replaced        bool
 	}{
-		{"a later call wins", server("a", 1, Ready), server("a", 2, Draining), true},
-		{"a late call changes nothing", server("a", 2, Draining), server("a", 1, Ready), false},
-		{"the same call again changes nothing", server("a", 2, Ready), server("a", 2, Ready), false},
-		{"silence after a call wins over it", server("a", 2, Ready), server("a", 2, Lost), true},
-		{"a call after the silence revives", server("a", 2, Lost), server("a", 3, Ready), true},
-		{"an end wins over a later call", server("a", 9, Ready), server("a", 0, Ended), true},
+		{"a later update wins", server("a", 1, Ready), server("a", 2, Draining), true},
+		{"a late update changes nothing", server("a", 2, Draining), server("a", 1, Ready), false},
+		{"the same update again changes nothing", server("a", 2, Ready), server("a", 2, Ready), false},
+		{"a time-out after an update wins over it", server("a", 2, Ready), server("a", 2, Lost), true},
+		{"an update after a time-out revives", server("a", 2, Lost), server("a", 3, Ready), true},
+		{"an end wins over a later update", server("a", 9, Ready), server("a", 0, Ended), true},
 		{"nothing revives what has ended", server("a", 2, Ended), server("a", 9, Ready), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := New()
 			d.Merge(0, test.known)
-			qt.Assert(t, d.Merge(0, test.heard), qt.Equals, test.replaced)
+			qt.Assert(t, d.Merge(0, test.received), qt.Equals, test.replaced)
 		})
 	}
 }
 
-// TestReplicasConverge merges the same records in many orders: all copies hold the same and know it.
+// TestReplicasConverge merges the same records in many orders: all replicas end with equal digests.
 func TestReplicasConverge(t *testing.T) {
 	var records []Record
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -62,7 +62,7 @@
 	qt.Assert(t, reference.Servers().Service("s"), qt.HasLen, 0)
 }
 
-// TestRepairByRanges brings a copy up to date from the ranges in which digests differ alone.
+// TestRepairByRanges brings a replica up to date with no more than the ranges in which the digests differ.
 func TestRepairByRanges(t *testing.T) {
 	newer, older := New(), New()
 	for i := range 200 {
@@ -81,7 +81,7 @@
 	qt.Assert(t, older.Servers().Service("s"), qt.HasLen, 198)
 }
 
-// TestSinceReturnsChangesAfterAnOffset follows a copy from several places on.
+// TestSinceReturnsChangesAfterAnOffset follows a replica from several offsets on.
 func TestSinceReturnsChangesAfterAnOffset(t *testing.T) {
 	d := New()
 	d.Merge(0, server("a", 1, Ready))
@@ -96,7 +96,7 @@
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1)
 }
 
-// TestEndedRecordsExpire keeps ended records long enough for late news and not for ever.
+// TestEndedRecordsExpire retains ended records for EndedTTL, in case of late updates, and no longer.
 func TestEndedRecordsExpire(t *testing.T) {
 	d := New()
 	d.Merge(0, server("a", 1, Ended))
@@ -106,7 +106,7 @@
 	qt.Assert(t, d.Get("a"), qt.IsNil)
 }
 
-// TestServersChangingRoleAreNotListed leaves a server out from the order on until it has the stage.
+// TestServersChangingRoleAreNotListed leaves a server out from the order on until it has the role.
 func TestServersChangingRoleAreNotListed(t *testing.T) {
 	d := New()
 	decoding := server("a", 1, Ready)
@@ -124,11 +124,11 @@
 	qt.Assert(t, d.Orders(), qt.HasLen, 0)
 	decoding.Role, decoding.Sequence = "writing", 3
 	d.Merge(0, decoding)
-	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("an order that is over binds nobody"))
+	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("an order that is over changes nothing"))
 }
 
-// TestExpiredRecordsAreNotMergedBack: a copy that forgets a record a little earlier than another one does not
-// take it back, unless the process is heard of again.
+// TestExpiredRecordsAreNotMergedBack: a replica in which a record expires a little earlier than in another
+// one does not merge it back, unless the process is heard from again.
 func TestExpiredRecordsAreNotMergedBack(t *testing.T) {
 	c := qt.New(t)
 	early, late := New(), New()
@@ -143,11 +143,11 @@
 	c.Assert(early.Merge(LostTTL+3*time.Second, server("a", 2, Ready)), qt.IsTrue)
 	early.Expire(2 * LostTTL)
 	late.Expire(2 * LostTTL)
-	c.Assert(late.tombstones, qt.HasLen, 0, qt.Commentf("what was forgotten is forgotten, too"))
+	c.Assert(late.tombstones, qt.HasLen, 0, qt.Commentf("tombstones expire, too"))
 }
 
-// TestWatchedRecordSupersedesUnwatched: of two proxies that heard the same heartbeat, the one that
-// acknowledged it counts.
+// TestWatchedRecordSupersedesUnwatched: of two proxies that received the same heartbeat, the record of the
+// one that acknowledged it wins.
 func TestWatchedRecordSupersedesUnwatched(t *testing.T) {
 	c := qt.New(t)
 	unwatched, watched := server("a", 1, Ready), server("a", 1, Ready)
--- /dev/null
+++ b/internal/router/directory/queries.go
@@ -0,0 +1,83 @@
+package directory
+
+import (
+	"cmp"
+	"slices"
+
+	"cresshub/internal/router/catalog"
+)
+
+// Since returns the records that changed after an offset of this replica's feed, in the order of their last
+// changes. Since(0) is a snapshot.
+func (d *Directory) Since(offset uint64) []*Record {
+	if offset >= d.offset {
+		return nil
+	}
+	var changed []*entry
+	for _, e := range d.entries {
+		if e.offset > offset {
+			changed = append(changed, e)
+		}
+	}
+	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.offset, b.offset) })
+	records := make([]*Record, len(changed))
+	for i, e := range changed {
+		records[i] = e.record
+	}
+	return records
+}
+
+// Servers returns the servers that may get new requests: those that are ready and under no order to take
+// another role. The table is cached until a server or an order changes.
+func (d *Directory) Servers() *catalog.Table {
+	if d.servers != nil {
+		return d.servers
+	}
+	var servers []*catalog.Server
+	for _, e := range d.entries {
+		if e.record.Kind == KindServer && e.record.State == Ready && !d.ChangingRole(e.record) {
+			servers = append(servers, e.record.Server())
+		}
+	}
+	slices.SortFunc(servers, func(a, b *catalog.Server) int { return cmp.Compare(a.ID, b.ID) })
+	d.servers = catalog.NewTable(d.offset, servers)
+	return d.servers
+}
+
+// ChangingRole reports whether an order is in force that gives a server another role than it has.
+func (d *Directory) ChangingRole(server *Record) bool {
+	order := d.Get(OrderID(server.ID))
+	return order != nil && order.State == Ready && order.Role != server.Role
+}
+
+// Orders returns the records of the orders in force, sorted by id.
+func (d *Directory) Orders() []*Record {
+	return d.filter(func(r *Record) bool { return r.Kind == KindOrder && r.Live() })
+}
+
+// Proxies returns the records of the proxies that are believed to run, sorted by id.
+func (d *Directory) Proxies() []*Record {
+	return d.filter(func(r *Record) bool { return r.Kind == KindProxy && r.Live() })
+}
+
+// WatchedBy returns the records of live processes whose heartbeats a proxy receives, sorted by id.
+func (d *Directory) WatchedBy(proxy string) []*Record {
+	return d.filter(func(r *Record) bool { return r.Kind != KindOrder && r.Live() && r.Watcher == proxy })
+}
+
+// LiveServers returns the records of all servers believed to run, sorted by id.
+func (d *Directory) LiveServers() []*Record {
+	return d.filter(func(r *Record) bool { return r.Kind == KindServer && r.Live() })
+}
+
+// filter returns the records that keep accepts, sorted by id.
+func (d *Directory) filter(keep func(*Record) bool) []*Record {
+	var records []*Record
+	for _, e := range d.entries {
+		if keep(e.record) {
+			records = append(records, e.record)
+		}
+	}
+	slices.SortFunc(records, func(a, b *Record) int { return cmp.Compare(a.ID, b.ID) })
+	return records
+}
--- a/internal/router/directory/record.go
+++ b/internal/router/directory/record.go
@@ -1,7 +1,3 @@
-// Package directory keeps what proxies tell each other of servers and of themselves. It is a map of records
-// that merges: of two records of one id the one that is later by its owner's own count wins, so that copies
-// which have seen the same records agree, whatever the order. Every change gets the next number of this
-// copy's feed. The package is pure, and a Directory is not safe for concurrent use.
 package directory
 
 import (
@@ -11,34 +7,34 @@
 	"cresshub/internal/router/catalog"
 )
 
-// Kind tells what a record describes.
+// Kind is what a record describes.
 type Kind int
 
 // The kinds of records.
 const (
 	KindServer Kind = 1 // an incarnation of a server
-	KindProxy  Kind = 2 // one run of a proxy's process
-	KindOrder  Kind = 3 // a change of a server's stage: under way while Ready, over when Lost
+	KindProxy  Kind = 2 // an incarnation of a proxy
+	KindOrder  Kind = 3 // an order to a server to take another role: in force while Ready, over when Lost
 )
 
-// State is how far the described process is with its life. Of two records with one sequence number the one
+// State is the state of the process that a record describes. Of two records with one sequence number the one
 // with the greater state wins.
 type State int
 
 // The states of a record, in the order in which they win.
 const (
 	Ready    State = 1
-	Draining State = 2 // a server that is to get nothing new
-	Lost     State = 3 // silent; a record with a greater sequence number revives it
-	Ended    State = 4 // left for good; nothing revives it
+	Draining State = 2 // a server that is to get no new requests
+	Lost     State = 3 // timed out; a record with a greater sequence number revives it
+	Ended    State = 4 // ended by its own account; nothing revives it
 )
 
-// Record describes one process, or an order to one. It is a value and is never changed in place. The tags hold
-// the field names of the Avro schema Record, in which package peerproto sends and stores it.
+// Record describes one process, or an order to one. It is a value and is never changed in place. The tags
+// hold the field names of the Avro schema Record, in which package peerproto sends and stores it.
 type Record struct {
 	Kind     Kind   `avro:"Kind"`
 	ID       string `avro:"ID"`       // of the incarnation; never used again by another process
-	Sequence int64  `avro:"Sequence"` // set by the process itself, which raises it with each change
+	Sequence int64  `avro:"Sequence"` // raised by the process itself with each change
 	State    State  `avro:"State"`
 	Watcher  string `avro:"Watcher"` // id of the proxy that receives the process's heartbeats
 
@@ -47,7 +43,7 @@
 	Zone     string `avro:"Zone"`
 	Version  string `avro:"Version"` // of the server's software
 	Slots    int    `avro:"Slots"`   // how many calls the server runs at once
-	Role     string `avro:"Stage"`   // of a model server its role, of an order the role to take; see catalog.Role
+	Role     string `avro:"Stage"`   // of a model server, or ordered to it; see catalog.Role
 	WarmUpMs int64  `avro:"ColdMs"`  // how much longer the server is warming up, in milliseconds
 
 	Name    string `avro:"Name"`    // of a proxy's machine
@@ -55,7 +51,8 @@
 	Member  string `avro:"Member"`  // of a proxy with a disk: the identity that its disk holds
 }
 
-// supersedes tells whether r is to replace known, a record of the same id.
+// supersedes reports whether r is to replace existing, a record of the same id. Of two proxies that received
+// the same heartbeat the one that acknowledged it, and so is the watcher, wins.
 func (r *Record) supersedes(existing *Record) bool {
 	if existing.State == Ended {
 		return false
@@ -72,22 +69,23 @@
 	return existing.Watcher == "" && r.Watcher != "" && r.Kind == KindServer
 }
 
-// OrderID returns the id of the record of an order to a server.
+// OrderID returns the id of the record of the order to a server.
 func OrderID(server string) string { return "order/" + server }
 
-// orderTarget returns the id of the server that an order's record is about.
+// orderTarget is the inverse of OrderID.
 func orderTarget(order string) string { return strings.TrimPrefix(order, OrderID("")) }
 
-// Live tells whether the process is believed to run.
+// Live reports whether the process is believed to run, or the order is in force.
 func (r *Record) Live() bool { return r.State == Ready || r.State == Draining }
 
-// RoutesLike tells whether two records of a server say the same to those who choose servers.
+// RoutesLike reports whether two records of a server are the same to the choice of a server: a heartbeat that
+// brings such a record changes nothing and is not merged.
 func (r *Record) RoutesLike(other *Record) bool {
 	return r.State == other.State && r.Service == other.Service && r.Address == other.Address &&
 		r.Zone == other.Zone && r.Role == other.Role && r.Slots == other.Slots && r.Watcher == other.Watcher
 }
 
-// Server returns the record in the form in which servers are chosen.
+// Server returns a server's record in the form that the choice of a server uses.
 func (r *Record) Server() *catalog.Server {
 	state := catalog.Ready
 	if r.State != Ready {
