--- /dev/null
+++ b/internal/router/peerproto/doc.go
@@ -0,0 +1,18 @@
+// Package peerproto is the protocol between the processes of the fleet: frames of a length, a kind, a call
+// number and a body, which is a message in Avro's binary encoding. schemas.avsc has the schemas; the
+// messages' Avro tags hold the encoded names, some of which are older than the Go names.
+//
+// Both sides of a connection have the same schemas: a message has no version of its own, and fields may only
+// be added together with a release that still reads the frames of the one before. The golden files under
+// testdata hold a frame of each kind.
+//
+// A connection begins with a Hello. Then either side sends frames of these groups:
+//
+//   - state of the sender: Ping with Demands and Pong with Status, Announce with Status;
+//   - the directory (package directory): Upsert and Follow, which a hub answers with Feed, and Compare;
+//   - load of servers: LoadReport to and from a hub, HubLoadReport between hubs;
+//   - the configuration: Propose, Patch, Read and ConfigFetch, answered by Result;
+//   - messages of package chain, which are answered by messages of their own.
+//
+// The package keeps no state, and its functions may be called by any goroutine.
+package peerproto
--- a/internal/router/peerproto/frame.go
+++ b/internal/router/peerproto/frame.go
@@ -3,27 +3,32 @@
 import (
 	"bufio"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 )
 
-// MaxBody is the longest body of a frame in bytes.
+// MaxBody is the longest body of a frame, in bytes.
 const MaxBody = 16 << 20
 
-// headerSize is the length, the kind and the call number in front of a body.
-const headerSize = 4 + 1 + 8
+const (
+	// headerSize is the size of the length of the body, the kind and the call number, all big-endian.
+	headerSize = 4 + 1 + 8
+	// maxPreallocated is the longest body for which memory is allocated before its bytes have come.
+	maxPreallocated = 64 << 10
+)
 
 // Frame is one message on a connection.
 type Frame struct {
 	Kind   Kind
-	CallID uint64 // number of the call that it makes or answers, 0 for none
+	CallID uint64 // of the call that it makes or answers, chosen by the caller; 0 for none
 	Body   []byte
 }
 
-// Size is how many bytes the frame takes on a connection.
+// Size returns the size of the encoded frame in bytes.
 func (f *Frame) Size() int { return headerSize + len(f.Body) }
 
-// FrameTooLongError tells that the other side announced a frame beyond the bound.
+// FrameTooLongError means that the other side announced a body longer than MaxBody.
 type FrameTooLongError struct{ Length uint32 }
 
 func (e *FrameTooLongError) Error() string {
@@ -31,18 +36,24 @@
 		e.Length, MaxBody)
 }
 
-// WriteFrame lays a frame out in w and flushes it.
+// WriteFrame writes a frame to w and flushes it.
 func WriteFrame(w *bufio.Writer, f Frame) error {
 	var header [headerSize]byte
 	binary.BigEndian.PutUint32(header[:], uint32(len(f.Body)))
 	header[4] = byte(f.Kind)
 	binary.BigEndian.PutUint64(header[5:], f.CallID)
-	w.Write(header[:])
-	w.Write(f.Body)
+	if _, err := w.Write(header[:]); err != nil {
+		return err
+	}
+	if _, err := w.Write(f.Body); err != nil {
+		return err
+	}
 	return w.Flush()
 }
 
-// ReadFrame reads the next frame. Its memory grows with the bytes that come, not with the length announced.
+// ReadFrame reads the next frame. Beyond maxPreallocated its memory grows with the bytes that come, not with
+// the length announced. The error is io.EOF where the connection ended between two frames, and else a
+// *FrameTooLongError, io.ErrUnexpectedEOF or the reader's.
 func ReadFrame(r *bufio.Reader) (Frame, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -53,7 +64,7 @@
 		return Frame{}, &FrameTooLongError{length}
 	}
 	f := Frame{Kind: Kind(header[4]), CallID: binary.BigEndian.Uint64(header[5:])}
-	if length <= 64<<10 {
+	if length <= maxPreallocated {
 		f.Body = make([]byte, length)
 		_, err := io.ReadFull(r, f.Body)
 		return f, unexpectedEnd(err)
@@ -66,8 +77,9 @@
 	return f, err
 }
 
+// unexpectedEnd turns an end before the first byte of a body into one inside a frame.
 func unexpectedEnd(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- /dev/null
+++ b/internal/router/peerproto/kind.go
@@ -0,0 +1,61 @@
+package peerproto
+
+// Kind is what a frame's body holds and how it is answered.
+type Kind uint8
+
+// The kinds of frames. An answer has the number of its call.
+const (
+	KindHello       Kind = 1  // Hello, the first frame of a connection
+	KindPing        Kind = 2  // Demands; answered by KindPong
+	KindPong        Kind = 3  // Status
+	KindUpsert      Kind = 4  // Records; answered by KindAck once they are merged
+	KindFollow      Kind = 5  // Follow; answered by frames of KindFeed until the connection ends
+	KindFeed        Kind = 6  // Feed
+	KindCompare     Kind = 7  // Comparison; answered by KindComparison
+	KindComparison  Kind = 8  // Comparison
+	KindPropose     Kind = 9  // Proposal of a document; answered by KindResult
+	KindRead        Kind = 10 // no body; answered by KindResult
+	KindResult      Kind = 11 // Result
+	KindChain       Kind = 12 // ChainMessage, not answered by a frame
+	KindAck         Kind = 13 // no body
+	KindConfigFetch Kind = 14 // no body; answered by KindResult with the configuration in force there, packed
+	// KindLoadReport holds a LoadReport of the sender's own load, or from a hub to its followers that of all
+	// other proxies.
+	KindLoadReport Kind = 15
+	// KindHubLoadReport holds a LoadReport of a hub and its followers, to another hub.
+	KindHubLoadReport Kind = 16
+	KindAnnounce      Kind = 17 // Status, to a process that may not know the view; answered by KindPong
+	KindPatch         Kind = 18 // Proposal of a patch; answered by KindResult
+
+	NumKinds = 19 // the number of kinds, 0 included
+)
+
+// kindNames are the names of the kinds in metrics and logs.
+var kindNames = [NumKinds]string{
+	KindHello:         "hello",
+	KindPing:          "ping",
+	KindPong:          "pong",
+	KindUpsert:        "upsert",
+	KindFollow:        "follow",
+	KindFeed:          "feed",
+	KindCompare:       "compare",
+	KindComparison:    "comparison",
+	KindPropose:       "propose",
+	KindRead:          "read",
+	KindResult:        "result",
+	KindChain:         "chain",
+	KindAck:           "done",
+	KindConfigFetch:   "fetch",
+	KindLoadReport:    "work",
+	KindHubLoadReport: "hub work",
+	KindAnnounce:      "introduce",
+	KindPatch:         "patch",
+}
+
+// String implements fmt.Stringer.
+func (k Kind) String() string {
+	if k < NumKinds && kindNames[k] != "" {
+		return kindNames[k]
+	}
+	return "unknown"
+}
