--- a/internal/router/transport/once.go
+++ b/internal/router/transport/call_once.go
@@ -7,11 +7,12 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// singleCallID is the number of the only call on a connection of its own.
+// singleCallID is the id of the only call of its connection.
 const singleCallID = 1
 
-// CallOnce makes one call over a connection of its own, and returns the answer's frame. It is for processes
-// that are called too seldom to keep a link to them.
+// CallOnce makes one call over a connection of its own, and returns the answer. It is for processes that are
+// called too seldom to keep a link to them. The timeout is for all of it; the errors are those of the
+// network.
 func (e *Endpoint) CallOnce(address string, hello []byte, kind peerproto.Kind, body []byte,
 	timeout time.Duration) (peerproto.Frame, error) {
 	deadline := time.Now().Add(timeout)
--- a/internal/router/transport/conn.go
+++ b/internal/router/transport/conn.go
@@ -1,54 +1,54 @@
-// Package transport carries frames between the processes of the fleet: connections that queue what they send,
-// links that connect again by themselves, and calls that are answered or time out.
 package transport
 
 import (
 	"bufio"
 	"net"
 	"sync"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"cresshub/internal/router/peerproto"
 )
 
 const (
 	queueLength  = 128             // frames that wait to be sent on a connection
 	writeTimeout = 2 * time.Second // of one frame
-	// userTimeout ends a connection whose other machine acknowledges nothing.
-	userTimeout = 2 * time.Second
-	bufferSize  = 2048
+	bufferSize   = 2048            // bytes, of each direction of a connection
 )
 
-// Conn is one connection. Send may be called by any goroutine.
+// Conn is one connection. Its methods may be called by any goroutine, except Peer.
 type Conn struct {
-	conn      net.Conn
+	netConn   net.Conn
 	traffic   *trafficCounters
-	queue     chan peerproto.Frame
+	queue     chan peerproto.Frame // to writeLoop
 	closed    chan struct{}
 	closeOnce sync.Once
 
-	peer string // id that the caller gave in its Hello; set by the reading goroutine
+	peer string // the id in the caller's Hello; only for the goroutine of readLoop
 }
 
-func newConn(c net.Conn, traffic *trafficCounters) *Conn {
-	setUserTimeout(c)
-	conn := &Conn{conn: c, traffic: traffic, queue: make(chan peerproto.Frame, queueLength),
-		closed: make(chan struct{})}
+// newConn returns a connection and starts its writeLoop. The caller runs readLoop.
+func newConn(netConn net.Conn, traffic *trafficCounters) *Conn {
+	setUserTimeout(netConn)
+	conn := &Conn{
+		netConn: netConn,
+		traffic: traffic,
+		queue:   make(chan peerproto.Frame, queueLength),
+		closed:  make(chan struct{}),
+	}
 	go conn.writeLoop()
 	return conn
 }
 
-// Peer returns the id that the caller of this connection gave, "" before it did.
+// Peer returns the id that the caller gave in its Hello, "" before it did. It may be called by the methods of
+// a Handler.
 func (c *Conn) Peer() string { return c.peer }
 
-// Closed is closed when the connection has ended.
+// Closed returns a channel that is closed when the connection has ended.
 func (c *Conn) Closed() <-chan struct{} { return c.closed }
 
-// Send queues a frame and tells whether it could. A connection whose queue is full ends, because its other
-// side does not read; it starts anew from what it knows.
+// Send queues a frame and reports whether it could; it never blocks. A connection whose queue is full is
+// closed, because its other side does not read: the peers then start again from their state, and not from a
+// backlog.
 func (c *Conn) Send(frame peerproto.Frame) bool {
 	select {
 	case <-c.closed:
@@ -61,28 +61,29 @@
 	}
 }
 
-// Answer queues an answer to a call.
+// Answer queues the answer to a call, as Send does.
 func (c *Conn) Answer(call peerproto.Frame, kind peerproto.Kind, body []byte) {
 	c.Send(peerproto.Frame{Kind: kind, CallID: call.CallID, Body: body})
 }
 
-// Close ends the connection.
+// Close ends the connection and its goroutines.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.conn.Close()
+		c.netConn.Close()
 	})
 }
 
+// writeLoop writes the queued frames until the connection is closed or a write fails.
 func (c *Conn) writeLoop() {
-	w := bufio.NewWriterSize(c.conn, bufferSize)
+	w := bufio.NewWriterSize(c.netConn, bufferSize)
 	for {
 		select {
 		case <-c.closed:
 			return
 		case frame := <-c.queue:
 			count(&c.traffic.sent, &frame)
-			c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if err := peerproto.WriteFrame(w, frame); err != nil {
 				c.Close()
 				return
@@ -91,9 +92,10 @@
 	}
 }
 
+// readLoop passes the frames that come to handle until the connection ends, and closes it.
 func (c *Conn) readLoop(handle func(peerproto.Frame)) {
 	defer c.Close()
-	r := bufio.NewReaderSize(c.conn, bufferSize)
+	r := bufio.NewReaderSize(c.netConn, bufferSize)
 	for {
 		frame, err := peerproto.ReadFrame(r)
 		if err != nil {
@@ -103,17 +105,3 @@
 		handle(frame)
 	}
 }
-
-func setUserTimeout(c net.Conn) {
-	tcp, ok := c.(syscall.Conn)
-	if !ok {
-		return
-	}
-	raw, err := tcp.SyscallConn()
-	if err != nil {
-		return
-	}
-	raw.Control(func(fd uintptr) {
-		unix.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
-	})
-}
--- a/internal/router/transport/dial_test.go
+++ b/internal/router/transport/dial_test.go
@@ -14,7 +14,7 @@
 
 var errUnresponsive = errors.New("nothing answers")
 
-// unresponsiveNetwork is one in which nothing answers; it notes how long each try waits.
+// unresponsiveNetwork is one in which nothing answers; it records the timeout of each attempt.
 type unresponsiveNetwork struct{ dialTimeouts chan time.Duration }
 
 func (n unresponsiveNetwork) Dial(_ string, timeout time.Duration) (net.Conn, error) {
--- a/internal/router/transport/accept_test.go
+++ b/internal/router/transport/endpoint_test.go
@@ -26,7 +26,7 @@
 	states := make(chan bool, 100)
 	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: "caller"}) }
 	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerproto.Frame) {},
-		func(up bool) { states <- up })
+		func(connected bool) { states <- connected })
 	defer link.Stop()
 	c.Assert(<-states, qt.IsTrue)
 	select {
@@ -39,7 +39,7 @@
 	c.Assert(errors.Is(<-served, net.ErrClosed), qt.IsTrue)
 }
 
-// answered calls until the other process has heard a call, and returns who called.
+// peerOfNextCall makes a call and returns the channel of the callers that the handler saw.
 func peerOfNextCall(link *Link, handler *echo) <-chan string {
 	go link.Call(peerproto.KindUpsert, nil, time.Minute)
 	return handler.peers
--- a/internal/router/transport/server.go
+++ b/internal/router/transport/handler.go
@@ -2,13 +2,17 @@
 
 import "cresshub/internal/router/peerproto"
 
-// Handler takes the frames that callers send. It is called in the goroutine that reads the connection, so a
-// call that takes long must be answered from another one.
+// Handler takes the frames that callers send. Its methods are called by the goroutine that reads the
+// connection, so those of several connections at the same time, and a call that takes long has to be answered
+// by another goroutine.
 type Handler interface {
+	// Handle takes a frame other than a Hello.
 	Handle(c *Conn, frame peerproto.Frame)
-	Closed(c *Conn) // the connection has ended
+	// Closed is called last, when the connection has ended.
+	Closed(c *Conn)
 }
 
+// serveConn passes a caller's frames to the handler until the connection ends.
 func serveConn(c *Conn, handler Handler) {
 	c.readLoop(func(frame peerproto.Frame) {
 		if frame.Kind == peerproto.KindHello {
--- a/internal/router/transport/link.go
+++ b/internal/router/transport/link.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// Errors of a call.
+// Errors of Link.Call.
 var (
 	ErrNotConnected = errors.New("no connection to the process; it is tried again by itself")
 	ErrTimeout      = errors.New("no answer in time; ask another process")
@@ -17,38 +17,39 @@
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 150 * time.Millisecond
-	// minDialTimeout and maxDialTimeout bound the first and the later tries to connect. The opening packet
-	// to a machine without power is lost, and the system sends it again only after a second: a new try reaches
-	// a machine that has just started sooner.
+	// minDialTimeout is the timeout of the first attempt to connect; it doubles up to maxDialTimeout. The system
+	// repeats a lost SYN only after a second, so that a new attempt sooner reaches a machine that has just
+	// started.
 	minDialTimeout = 175 * time.Millisecond
 	maxDialTimeout = 700 * time.Millisecond
 )
 
-// Link keeps one connection to an address, and opens it anew whenever it ends.
+// Link keeps one connection to an address, and opens it again whenever it ends. Its methods may be called by
+// any goroutine.
 type Link struct {
-	Address string
+	Address string // IP:port
 
 	endpoint    *Endpoint
 	hello       func() []byte         // body of the first frame
-	unsolicited func(peerproto.Frame) // takes frames that answer no call waited for
-	onState     func(up bool)         // told whenever the connection opens or ends
+	unsolicited func(peerproto.Frame) // takes the frames that answer no pending call
+	onState     func(connected bool)  // called whenever the connection opens or ends
 
 	mu         sync.Mutex
-	conn       *Conn // nil while there is none
-	pending    map[uint64]chan peerproto.Frame
-	lastCallID uint64 // number of the last call
+	conn       *Conn                           // nil while there is none
+	pending    map[uint64]chan peerproto.Frame // by call id, where to send the answer
+	lastCallID uint64
 	stopped    bool
 	stop       chan struct{}
 }
 
-// Up tells whether there is a connection.
+// Connected reports whether there is a connection.
 func (l *Link) Connected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn != nil
 }
 
-// Stop ends the link.
+// Stop ends the link and its connection.
 func (l *Link) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// Reset ends the present connection, so that a new one is opened.
+// Reset closes the present connection, if any, so that the link opens a new one.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,7 @@
 	}
 }
 
-// Send queues a frame that is not answered, and tells whether it could.
+// Send queues a frame that is not answered, and reports whether it could; it never blocks.
 func (l *Link) Send(kind peerproto.Kind, body []byte) bool {
 	l.mu.Lock()
 	conn := l.conn
@@ -79,7 +80,8 @@
 	return conn != nil && conn.Send(peerproto.Frame{Kind: kind, Body: body})
 }
 
-// Call sends a frame and returns the answer's.
+// Call sends a frame and waits for the answer. The error is ErrNotConnected where there is no connection or
+// it ends first, so that the call may or may not have been taken, and ErrTimeout after the timeout.
 func (l *Link) Call(kind peerproto.Kind, body []byte, timeout time.Duration) (peerproto.Frame, error) {
 	l.mu.Lock()
 	conn := l.conn
@@ -108,12 +110,14 @@
 	}
 }
 
+// forget drops a call that has ended; an answer that comes later is unsolicited.
 func (l *Link) forget(id uint64) {
 	l.mu.Lock()
 	delete(l.pending, id)
 	l.mu.Unlock()
 }
 
+// run connects again and again until the link is stopped.
 func (l *Link) run() {
 	backoff, dialTimeout := minBackoff, minDialTimeout
 	for {
@@ -132,7 +136,7 @@
 	}
 }
 
-// use keeps a connection until it ends.
+// runConn uses a connection until it ends.
 func (l *Link) runConn(conn *Conn) {
 	conn.Send(peerproto.Frame{Kind: peerproto.KindHello, Body: l.hello()})
 	l.mu.Lock()
@@ -149,6 +153,8 @@
 	l.onState(false)
 }
 
+// dispatch passes an answer to its pending call, and any other frame to unsolicited. A frame of a feed is
+// never an answer.
 func (l *Link) dispatch(frame peerproto.Frame) {
 	l.mu.Lock()
 	answer := l.pending[frame.CallID]
--- a/internal/router/transport/peerlink_test.go
+++ b/internal/router/transport/link_test.go
@@ -10,7 +10,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// echo answers calls with their own body, except one to be silent on.
+// echo answers calls with their own body, except those of one kind.
 type echo struct {
 	unanswered peerproto.Kind
 	peers      chan string
@@ -26,7 +26,9 @@
 
 func (e *echo) Closed(c *Conn) { e.closed <- c.Peer() }
 
+// startEcho returns a link to an echo, the echo's listener, and the states of the link.
 func startEcho(t *testing.T) (*echo, net.Listener, *Link, chan bool) {
+	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	handler := &echo{peerproto.KindPing, make(chan string, 100), make(chan string, 100)}
@@ -35,7 +37,7 @@
 	states := make(chan bool, 100)
 	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: "caller"}) }
 	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerproto.Frame) {},
-		func(up bool) { states <- up })
+		func(connected bool) { states <- connected })
 	t.Cleanup(func() {
 		link.Stop()
 		listener.Close()
@@ -75,7 +77,7 @@
 	qt.Assert(t, err, qt.Equals, ErrNotConnected)
 }
 
-// TestFullQueueClosesTheConnection sends to a side that never reads: the sender is not held up.
+// TestFullQueueClosesTheConnection sends to a side that never reads: the sender is not blocked.
 func TestFullQueueClosesTheConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/router/transport/traffic.go
+++ b/internal/router/transport/traffic.go
@@ -9,7 +9,7 @@
 // Volume counts frames and their bytes.
 type Volume struct {
 	Frames int64
-	Bytes  int64 // headers included, those of TCP and IP not
+	Bytes  int64 // of frames with their headers, without those of TCP and IP
 }
 
 // Add returns the sum of two volumes.
@@ -17,26 +17,27 @@
 	return Volume{v.Frames + other.Frames, v.Bytes + other.Bytes}
 }
 
-// Sub returns what came to a volume since an earlier one.
+// Sub returns the difference to an earlier volume.
 func (v Volume) Sub(earlier Volume) Volume {
 	return Volume{v.Frames - earlier.Frames, v.Bytes - earlier.Bytes}
 }
 
-// Traffic is what the connections of a process carried, by kind of frame.
+// Traffic is what the connections of a process have carried, by kind of frame. Index 0 is that of unknown
+// kinds.
 type Traffic struct {
 	Sent     [peerproto.NumKinds]Volume
 	Received [peerproto.NumKinds]Volume
 }
 
-// volumeCounter is a Volume that goroutines count up at the same time.
+// volumeCounter is a Volume that several goroutines may add to.
 type volumeCounter struct{ frames, bytes atomic.Int64 }
 
-// counters counts the Traffic of a process.
+// trafficCounters are the counters behind Traffic.
 type trafficCounters struct {
 	sent, received [peerproto.NumKinds]volumeCounter
 }
 
-// add counts a frame; frames of unknown kinds are counted under 0.
+// count counts a frame; frames of unknown kinds are counted under 0.
 func count(counts *[peerproto.NumKinds]volumeCounter, frame *peerproto.Frame) {
 	kind := frame.Kind
 	if kind >= peerproto.NumKinds {
