--- a/internal/segmentlog/errors.go
+++ b/internal/segmentlog/errors.go
@@ -5,13 +5,14 @@
 	"fmt"
 )
 
-// ErrClosed is returned by calls on a closed log.
+// ErrClosed is the error of calls on a closed log.
 var ErrClosed = errors.New("segment log: the log is closed; open it again")
 
-// CorruptionError tells of content that a crash cannot explain: the medium or another program changed it.
+// CorruptionError means that a segment has content that no crash explains: the medium or another program
+// changed it.
 type CorruptionError struct {
 	File   string
-	Offset int64
+	Offset int64 // of the invalid header or frame, in bytes
 	Reason string
 }
 
@@ -21,10 +22,10 @@
 		"joins anew and copies the state from the others", e.File, e.Offset, e.Reason)
 }
 
-// NewerFormatError tells of a segment that a later release wrote.
+// NewerFormatError means that a later release wrote a segment.
 type NewerFormatError struct {
 	File    string
-	Version uint32
+	Version uint32 // of the format
 }
 
 // Error implements error.
@@ -33,11 +34,11 @@
 		"release, or empty the folder to join anew", e.File, e.Version, formatVersion)
 }
 
-// WriteError tells that nothing of an Append counts: the log stays as it was before it.
+// WriteError means that a change of the log failed, of which then nothing counts.
 type WriteError struct {
 	File string
-	Step string
-	Err  error
+	Step string // what failed
+	Err  error  // the file system's
 }
 
 // Error implements error.
--- a/internal/segmentlog/faultfs/faultfs.go
+++ b/internal/segmentlog/faultfs/faultfs.go
@@ -1,11 +1,15 @@
-// Package faultfs is a file system in memory for tests: it numbers every operation that changes something,
-// breaks at the one a test names, and loses what was not synced when the power goes.
+// Package faultfs is a segmentlog.FS in memory for tests: it numbers every operation that changes something,
+// injects a fault at the one that a test names, and loses what was not synced in a power loss. A test that
+// runs once with a fault at each number goes through all states that a crash can leave.
+//
+// A FS is not safe for concurrent use.
 package faultfs
 
 import (
 	"errors"
 	"fmt"
 	"io/fs"
+	"maps"
 	"math/rand"
 	"strings"
 
@@ -14,11 +18,11 @@
 
 // Errors that operations return.
 var (
-	// ErrCrashed is returned by the operation that crashes and by all behind it until Restart.
+	// ErrCrashed is returned by the operation that crashes and by all after it until Restart.
 	ErrCrashed = errors.New("faultfs: the machine is down; call Restart")
 	// ErrNoSpace is returned by a write beyond the capacity.
 	ErrNoSpace = errors.New("faultfs: no space left; raise the capacity")
-	// ErrInjected is returned by the operation that was told to fail.
+	// ErrInjected is returned by the operation that fails by FailIO.
 	ErrInjected = errors.New("faultfs: input or output error; it was asked for")
 )
 
@@ -31,9 +35,9 @@
 	NoFault Fault = iota
 	// CrashBefore stops the machine before the operation did anything.
 	CrashBefore
-	// CrashAfter stops the machine when the operation is done, before its caller hears of it.
+	// CrashAfter stops the machine when the operation is done, before it returns.
 	CrashAfter
-	// FailIO makes the operation return ErrInjected; half of a write is done.
+	// FailIO makes the operation return ErrInjected; of a write, half is done.
 	FailIO
 )
 
@@ -50,19 +54,19 @@
 	LoseSome
 )
 
-// sector is the unit that a torn write keeps or loses.
+// sectorSize is the unit that a torn write keeps or loses, in bytes.
 const sectorSize = 512
 
-// FS is the file system. It is for one goroutine at a time.
+// FS is the file system.
 type FS struct {
-	current map[string]*inode
-	durable map[string]*inode
-	// pending are changes of names since their folder was synced, in order.
+	// current and durable are the files by name, as they are and as they would be after a power loss.
+	current, durable map[string]*inode
+	// pending are the changes of names since their folder was synced, in order.
 	pending []nameChange
 
-	// Operations counts what changed something since the start.
+	// Operations is the number of operations that changed something.
 	Operations int
-	// Syncs counts Sync and SyncDir among them.
+	// Syncs is the number of Sync and SyncDir among them.
 	Syncs int
 	// Capacity bounds the bytes of all files if it is not 0.
 	Capacity int64
@@ -70,24 +74,11 @@
 	faultAt int
 	fault   Fault
 	down    bool
-	// generation tells handles of before a restart from those behind it.
+	// generation rises with each restart, which closes all open files.
 	generation int
 }
 
-// inode is one file's content, as it is and as it is on the medium, with the writes between the two.
-type inode struct {
-	data     []byte
-	durable  []byte
-	unsynced []write
-}
-
-// write is one change of a content that was not synced: data at an offset, or a size if data is nil.
-type write struct {
-	offset int64
-	data   []byte
-}
-
-// nameChange is one rename, removal (to is empty) or creation (from is empty).
+// nameChange is a rename, a removal (to is empty) or a creation (from is empty).
 type nameChange struct {
 	from, to string
 	file     *inode
@@ -98,18 +89,19 @@
 	return &FS{current: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// FaultAt asks for a fault at the operation with that number, counted from the next one as 1.
+// FaultAt injects a fault at an operation; number 1 is the next one.
 func (f *FS) FaultAt(number int, fault Fault) {
 	f.faultAt, f.fault = f.Operations+number, fault
 }
 
-// Down tells whether the machine has crashed.
+// Down reports whether the machine has crashed.
 func (f *FS) Down() bool { return f.down }
 
 // Crash stops the machine now.
 func (f *FS) Crash() { f.down = true }
 
-// Restart lets the machine come back with what the loss leaves. Files that were open are closed.
+// Restart brings the machine back with what the loss leaves. Files that were open are closed. The draws of
+// LoseSome come from random, which may be nil for the other losses.
 func (f *FS) Restart(loss Loss, random *rand.Rand) {
 	if loss != KeepAll {
 		f.loseNames(loss, random)
@@ -122,7 +114,7 @@
 	f.generation++
 }
 
-// Corrupt flips one bit of a file, on the medium too, as rot does.
+// Corrupt flips a bit of the byte at an offset of a file, on the medium, too.
 func (f *FS) Corrupt(name string, offset int) error {
 	file := f.current[name]
 	if file == nil {
@@ -136,13 +128,13 @@
 	return nil
 }
 
-// Wipe empties the medium, as a new disk.
+// Wipe removes all files, as a new disk in the machine does.
 func (f *FS) Wipe() {
 	f.current, f.durable, f.pending = map[string]*inode{}, map[string]*inode{}, nil
 	f.generation++
 }
 
-// loseNames sets the names back and applies those changes that the loss keeps.
+// loseNames reverts the names to the durable ones and applies those pending changes that the loss keeps.
 func (f *FS) loseNames(loss Loss, random *rand.Rand) {
 	pending := f.pending
 	f.current, f.pending = f.durable, nil
@@ -151,40 +143,10 @@
 			change.apply(f.current)
 		}
 	}
-	f.durable = copyNames(f.current)
-}
-
-// lose sets a file's content back and applies those sectors of its writes that the loss keeps.
-func (i *inode) lose(loss Loss, random *rand.Rand) {
-	content := append([]byte(nil), i.durable...)
-	if loss == LoseSome {
-		for _, w := range i.unsynced {
-			if w.data == nil {
-				if random.Intn(2) == 0 {
-					content = resize(content, w.offset)
-				}
-				continue
-			}
-			content = w.applySome(content, random)
-		}
-	}
-	i.data, i.durable, i.unsynced = content, append([]byte(nil), content...), nil
-}
-
-// applySome writes those sectors that a draw keeps; all and none come up often.
-func (w write) applySome(data []byte, random *rand.Rand) []byte {
-	chance := []int{0, 50, 90, 100}[random.Intn(4)]
-	for start := 0; start < len(w.data); {
-		end := min(start+sectorSize-int(w.offset+int64(start))%sectorSize, len(w.data))
-		if random.Intn(100) < chance {
-			data = writeAt(data, w.data[start:end], w.offset+int64(start))
-		}
-		start = end
-	}
-	return data
+	f.durable = maps.Clone(f.current)
 }
 
-// apply makes one change to a table of names.
+// apply applies the change to a map of names.
 func (c nameChange) apply(names map[string]*inode) {
 	if c.from != "" {
 		delete(names, c.from)
@@ -194,28 +156,37 @@
 	}
 }
 
-// enter counts one operation; it returns whether to do it, whether to do half of it, and the error to return.
-func (f *FS) beginOperation() (do, half bool, err error) {
+// effect is how much of an operation takes place.
+type effect int
+
+const (
+	nothing effect = iota
+	half           // of a write; nothing of another operation
+	complete
+)
+
+// beginOperation counts an operation, and returns how much of it to do and the error to return then.
+func (f *FS) beginOperation() (effect, error) {
 	if f.down {
-		return false, false, ErrCrashed
+		return nothing, ErrCrashed
 	}
 	f.Operations++
 	if f.fault == NoFault || f.Operations != f.faultAt {
-		return true, false, nil
+		return complete, nil
 	}
 	switch f.fault {
 	case CrashBefore:
 		f.down = true
-		return false, false, ErrCrashed
+		return nothing, ErrCrashed
 	case CrashAfter:
 		f.down = true
-		return true, false, ErrCrashed
+		return complete, ErrCrashed
 	default:
-		return false, true, ErrInjected
+		return half, ErrInjected
 	}
 }
 
-// used returns the bytes of all files.
+// usedBytes returns the total size of all files in bytes.
 func (f *FS) usedBytes() int64 {
 	var total int64
 	for _, file := range f.current {
@@ -224,37 +195,11 @@
 	return total
 }
 
-// missing returns the error for a name that is not there.
+// errNotExist returns the error for a file that does not exist.
 func errNotExist(name string) error {
 	return fmt.Errorf("faultfs: %s: %w; create it first", name, fs.ErrNotExist)
 }
 
-// copyNames copies a table of names.
-func copyNames(names map[string]*inode) map[string]*inode {
-	result := make(map[string]*inode, len(names))
-	for name, file := range names {
-		result[name] = file
-	}
-	return result
-}
-
-// resize sets a content's size.
-func resize(data []byte, size int64) []byte {
-	if size <= int64(len(data)) {
-		return data[:size]
-	}
-	return append(data, make([]byte, size-int64(len(data)))...)
-}
-
-// put writes bytes at an offset.
-func writeAt(data, bytes []byte, offset int64) []byte {
-	if end := offset + int64(len(bytes)); end > int64(len(data)) {
-		data = resize(data, end)
-	}
-	copy(data[offset:], bytes)
-	return data
-}
-
 // folderOf returns the folder part of a name.
 func folderOf(name string) string {
 	slash := strings.LastIndexByte(name, '/')
--- a/internal/segmentlog/faultfs/operations.go
+++ b/internal/segmentlog/faultfs/operations.go
@@ -1,12 +1,13 @@
 package faultfs
 
 import (
+	"math"
 	"strings"
 
 	"cresshub/internal/segmentlog"
 )
 
-// MakeDir implements segmentlog.FS; folders need no making here.
+// MakeDir implements segmentlog.FS. Folders exist with their files.
 func (f *FS) MakeDir(string) error {
 	if f.down {
 		return ErrCrashed
@@ -42,8 +43,8 @@
 
 // Create implements segmentlog.FS.
 func (f *FS) Create(name string) (segmentlog.File, error) {
-	do, _, err := f.beginOperation()
-	if do {
+	done, err := f.beginOperation()
+	if done == complete {
 		file := f.current[name]
 		if file == nil {
 			file = &inode{}
@@ -75,8 +76,8 @@
 	if f.current[from] == nil && !f.down {
 		return errNotExist(from)
 	}
-	do, _, err := f.beginOperation()
-	if do {
+	done, err := f.beginOperation()
+	if done == complete {
 		f.changeName(nameChange{from, to, f.current[from]})
 	}
 	return err
@@ -87,8 +88,8 @@
 	if f.current[name] == nil && !f.down {
 		return errNotExist(name)
 	}
-	do, _, err := f.beginOperation()
-	if do {
+	done, err := f.beginOperation()
+	if done == complete {
 		f.changeName(nameChange{from: name})
 	}
 	return err
@@ -96,8 +97,8 @@
 
 // SyncDir implements segmentlog.FS.
 func (f *FS) SyncDir(dir string) error {
-	do, _, err := f.beginOperation()
-	if !do {
+	done, err := f.beginOperation()
+	if done != complete {
 		return err
 	}
 	f.Syncs++
@@ -113,7 +114,7 @@
 	return err
 }
 
-// change makes a change of a name and remembers it until the folder is synced.
+// changeName changes a name, and records that until the folder is synced.
 func (f *FS) changeName(change nameChange) {
 	change.apply(f.current)
 	f.pending = append(f.pending, change)
@@ -123,54 +124,60 @@
 type handle struct {
 	fs         *FS
 	file       *inode
-	generation int
+	generation int // of the file system when it was opened
 }
 
-// enter counts one operation on the file.
-func (h *handle) beginOperation() (do, half bool, err error) {
+// beginOperation counts an operation on the file as FS.beginOperation does.
+func (h *handle) beginOperation() (effect, error) {
 	if h.generation != h.fs.generation {
-		return false, false, ErrCrashed
+		return nothing, ErrCrashed
 	}
 	return h.fs.beginOperation()
 }
 
-// WriteAt implements segmentlog.File. A write that fails has done half of its work.
+// WriteAt implements segmentlog.File. A write beyond the capacity writes what fits.
 func (h *handle) WriteAt(data []byte, offset int64) (int, error) {
-	do, half, err := h.beginOperation()
-	if do {
-		available := int64(len(data))
-		if h.fs.Capacity != 0 {
-			available = h.fs.Capacity - h.fs.usedBytes() + max(0, int64(len(h.file.data))-offset)
-		}
-		if available < int64(len(data)) {
-			h.file.write(data[:max(available, 0)], offset)
-			return int(max(available, 0)), ErrNoSpace
-		}
-		h.file.write(data, offset)
-	}
-	if half {
+	done, err := h.beginOperation()
+	switch done {
+	case nothing:
+		return 0, err
+	case half:
 		h.file.write(data[:len(data)/2], offset)
 		return len(data) / 2, err
 	}
+	if free := h.free(offset); free < int64(len(data)) {
+		fitting := int(max(free, 0))
+		h.file.write(data[:fitting], offset)
+		return fitting, ErrNoSpace
+	}
+	h.file.write(data, offset)
 	if err != nil {
 		return 0, err
 	}
 	return len(data), nil
 }
 
+// free returns how many bytes can be written at an offset of the file, below 0 where the disk is over-full.
+func (h *handle) free(offset int64) int64 {
+	if h.fs.Capacity == 0 {
+		return math.MaxInt64
+	}
+	return h.fs.Capacity - h.fs.usedBytes() + max(0, int64(len(h.file.data))-offset)
+}
+
 // Truncate implements segmentlog.File.
 func (h *handle) Truncate(size int64) error {
-	do, _, err := h.beginOperation()
-	if do {
+	done, err := h.beginOperation()
+	if done == complete {
 		h.file.truncate(size)
 	}
 	return err
 }
 
-// Sync implements segmentlog.File. A file that was created lasts with its name from its first sync on.
+// Sync implements segmentlog.File. The first sync of a file that was created makes its name durable, too.
 func (h *handle) Sync() error {
-	do, _, err := h.beginOperation()
-	if !do {
+	done, err := h.beginOperation()
+	if done != complete {
 		return err
 	}
 	h.fs.Syncs++
@@ -190,15 +197,3 @@
 
 // Close implements segmentlog.File.
 func (h *handle) Close() error { return nil }
-
-// write changes the content and remembers the change until the next sync.
-func (i *inode) write(data []byte, offset int64) {
-	i.data = writeAt(i.data, data, offset)
-	i.unsynced = append(i.unsynced, write{offset, append([]byte{}, data...)})
-}
-
-// truncate sets the content's size and remembers the change until the next sync.
-func (i *inode) truncate(size int64) {
-	i.data = resize(i.data, size)
-	i.unsynced = append(i.unsynced, write{offset: size})
-}
--- a/internal/segmentlog/format.go
+++ b/internal/segmentlog/frame.go
@@ -2,79 +2,23 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 	"hash/crc32"
-	"strconv"
-	"strings"
 )
 
-// The layout of a segment: a header, then frames. All numbers are little-endian. The header is the same in
-// each format, so that rot in its version isn't taken for a newer one.
+// A frame is a header and a payload of records, each with its length before it.
 const (
-	magic         = "CHSEGLOG"
-	formatVersion = 1
-
-	// headerSize counts magic, format version, segment number and checksum.
-	headerSize = len(magic) + 4 + 8 + 4
-	// frameHeaderSize counts payload length, sequence, payload checksum and header checksum.
+	// frameHeaderSize is the size of payload length, sequence, payload checksum and header checksum, in bytes.
 	frameHeaderSize = 4 + 8 + 4 + 4
-	// recordHeaderSize counts the length that stands before each record in a payload.
+	// recordHeaderSize is the size of a record's length, in bytes.
 	recordHeaderSize = 4
-	// maxPayload bounds what one Append may hold.
+	// maxPayload is the longest payload that Append writes, in bytes.
 	maxPayload = 32 << 20
-
-	// sectorSize is what a disk writes whole or not at all.
-	sectorSize = 512
-
-	segmentSuffix   = ".segment"
-	temporarySuffix = ".new"
 )
 
+// castagnoli is the polynomial of all checksums.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// segmentName returns the file name of a segment.
-func segmentName(number uint64) string {
-	return fmt.Sprintf("%016x%s", number, segmentSuffix)
-}
-
-// segmentNumber reads the number out of a segment's file name.
-func segmentNumber(name string) (uint64, bool) {
-	digits, ok := strings.CutSuffix(name, segmentSuffix)
-	if !ok {
-		return 0, false
-	}
-	number, err := strconv.ParseUint(digits, 16, 64)
-	return number, err == nil && segmentName(number) == name
-}
-
-// appendHeader adds a segment's header to data.
-func appendHeader(data []byte, number uint64) []byte {
-	start := len(data)
-	data = append(data, magic...)
-	data = binary.LittleEndian.AppendUint32(data, formatVersion)
-	data = binary.LittleEndian.AppendUint64(data, number)
-	return binary.LittleEndian.AppendUint32(data, crc32.Checksum(data[start:], castagnoli))
-}
-
-// checkHeader compares a segment's header with its file name.
-func checkHeader(file string, data []byte, number uint64) error {
-	if len(data) < headerSize || string(data[:len(magic)]) != magic {
-		return &CorruptionError{File: file, Reason: "no header of a segment"}
-	}
-	sum := binary.LittleEndian.Uint32(data[headerSize-4:])
-	if crc32.Checksum(data[:headerSize-4], castagnoli) != sum {
-		return &CorruptionError{File: file, Reason: "the header's checksum differs"}
-	}
-	if version := binary.LittleEndian.Uint32(data[len(magic):]); version > formatVersion {
-		return &NewerFormatError{File: file, Version: version}
-	}
-	if binary.LittleEndian.Uint64(data[len(magic)+4:]) != number {
-		return &CorruptionError{File: file, Reason: "the header names another segment"}
-	}
-	return nil
-}
-
-// frameSize returns how many bytes the frame of some records takes.
+// frameSize returns the size of the frame of some records in bytes.
 func frameSize(records [][]byte) int64 {
 	size := int64(frameHeaderSize)
 	for _, record := range records {
@@ -83,7 +27,7 @@
 	return size
 }
 
-// appendFrame adds one frame to data.
+// appendFrame appends a frame to data.
 func appendFrame(data []byte, segment, sequence uint64, records [][]byte) []byte {
 	start := len(data)
 	data = append(data, make([]byte, frameHeaderSize)...)
@@ -99,11 +43,13 @@
 	return data
 }
 
-// syncMarker returns the frame without records that is written, but not synced, behind a frame once that is
-// synced. It has the sequence of the next frame, which takes its place.
-func syncMarker(segment, next uint64) []byte { return appendFrame(nil, segment, next, nil) }
+// syncMarker returns the frame without records that is written, but not synced, after a frame that was
+// synced. It has the sequence of the next frame, which overwrites it.
+func syncMarker(segment, nextSequence uint64) []byte {
+	return appendFrame(nil, segment, nextSequence, nil)
+}
 
-// isSyncMarker tells whether a frame is such a mark.
+// isSyncMarker reports whether a frame is a sync marker. A snapshot, too, may have no records.
 func (f *frame) isSyncMarker() bool { return len(f.records) == 0 && f.sequence > 0 }
 
 // frameHeaderChecksum covers a frame's header and the number of its segment, so that a frame that stands as
@@ -120,7 +66,8 @@
 	size     int
 }
 
-// decodeFrame reads the frame at the start of data; the reason is empty if it is good.
+// decodeFrame decodes the frame at the start of data. The reason says why that is no valid frame of the
+// segment, and is empty if it is one.
 func decodeFrame(data []byte, segment uint64) (frame, string) {
 	if len(data) < frameHeaderSize {
 		return frame{}, "the frame's header is short"
@@ -143,7 +90,7 @@
 	return frame{binary.LittleEndian.Uint64(data[4:]), records, int(size)}, ""
 }
 
-// frameExtent returns how long the frame at the start of data should be, if its header is good.
+// frameExtent returns the size of the frame at the start of data by its header, and whether that is valid.
 func frameExtent(data []byte, segment uint64) (int64, bool) {
 	if len(data) < frameHeaderSize {
 		return 0, false
@@ -152,7 +99,7 @@
 	return frameHeaderSize + int64(binary.LittleEndian.Uint32(data)), valid
 }
 
-// splitRecords cuts a payload into its records.
+// splitRecords splits a payload into its records; false if they don't fill it.
 func splitRecords(payload []byte) ([][]byte, bool) {
 	var records [][]byte
 	for len(payload) > 0 {
--- a/internal/segmentlog/fs.go
+++ b/internal/segmentlog/fs.go
@@ -1,21 +1,21 @@
 package segmentlog
 
 // FS is what the log needs of a file system. Names are paths as the implementation understands them; the log
-// joins a folder and a file name by a slash.
+// joins a folder and a file name by a slash. Package faultfs has one in memory with faults.
 type FS interface {
-	// MakeDir makes a folder with its parents unless it is there.
+	// MakeDir makes a folder and its parents where they don't exist.
 	MakeDir(dir string) error
 	// List returns the names of the files in a folder, in any order.
 	List(dir string) ([]string, error)
-	// ReadFile returns a file's whole content.
+	// ReadFile returns a file's content.
 	ReadFile(name string) ([]byte, error)
-	// Create makes an empty file, or empties the one that is there, and opens it.
+	// Create opens a file for writing and makes it, or truncates the one that exists.
 	Create(name string) (File, error)
-	// Open opens a file that is there for writing.
+	// Open opens an existing file for writing.
 	Open(name string) (File, error)
-	// Rename gives a file a new name. It lasts once the folder is synced.
+	// Rename gives a file a new name. That is durable once the folder is synced.
 	Rename(from, to string) error
-	// Remove removes a file's name. It lasts once the folder is synced.
+	// Remove removes a file's name. That is durable once the folder is synced.
 	Remove(name string) error
 	// SyncDir makes the names in a folder durable.
 	SyncDir(dir string) error
--- a/internal/segmentlog/inspect.go
+++ b/internal/segmentlog/inspect.go
@@ -2,21 +2,23 @@
 
 import "fmt"
 
-// SegmentReport is what Inspect found in one segment.
+// SegmentReport is what Inspect finds in one segment.
 type SegmentReport struct {
 	Name string
-	Size int64
+	Size int64 // in bytes
 	// Current says that this segment is the log; any other is a leftover that the next Open removes.
 	Current bool
 	Frames  int
 	Records [][]byte
-	// TornBytes counts what a crash left behind the last good frame; the next Open cuts it off.
+	// TornBytes is the number of bytes after the last valid frame that a crash left; the next Open truncates
+	// them.
 	TornBytes int64
-	// Problem is why Open would refuse the segment, or nil.
+	// Problem is the error that Open would return for the segment, or nil.
 	Problem error
 }
 
-// Inspect reads all segments of a folder, lowest number first, and changes nothing.
+// Inspect reads all segments of a folder, lowest number first, and changes nothing. The error is that of
+// listing the folder.
 func Inspect(fsys FS, dir string) ([]SegmentReport, error) {
 	numbers, err := segmentNumbers(fsys, dir)
 	if err != nil {
--- a/internal/segmentlog/scan.go
+++ b/internal/segmentlog/scan.go
@@ -3,37 +3,38 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"slices"
 )
 
-// scan is what reading one segment gave.
+// sectorSize is the unit that a disk writes completely or not at all, in bytes.
+const sectorSize = 512
+
+// scanResult is what a segment holds.
 type scanResult struct {
 	records [][]byte
 	frames  int
-	// next is the sequence that the next frame will have.
+	// nextSequence is the sequence of the next frame.
 	nextSequence uint64
-	// base is where the snapshot ends, good is where the last good frame ends.
+	// snapshotEnd and validEnd are the offsets where the snapshot and the last valid frame end.
 	snapshotEnd, validEnd int64
-	// marked says that the last frame is a mark.
+	// endsWithMarker says that the last valid frame is a sync marker.
 	endsWithMarker bool
-	// torn counts the bytes behind good; tornReason says why they are no frame.
-	tornBytes  int64
-	tornReason string
+	// tornBytes is the number of bytes after validEnd that a crash has left.
+	tornBytes int64
 }
 
-// scanSegment reads a segment. It returns *Damaged or *NewerFormatError for what a crash cannot have left.
-func scanSegment(file string, data []byte, number uint64) (scanResult, error) {
-	if err := checkHeader(file, data, number); err != nil {
+// scanSegment reads a segment. It returns a *CorruptionError or *NewerFormatError for what no crash explains.
+func scanSegment(file string, data []byte, segment uint64) (scanResult, error) {
+	if err := checkHeader(file, data, segment); err != nil {
 		return scanResult{}, err
 	}
 	result := scanResult{validEnd: int64(headerSize)}
 	for result.validEnd < int64(len(data)) {
-		f, reason := decodeFrame(data[result.validEnd:], number)
+		f, reason := decodeFrame(data[result.validEnd:], segment)
 		if reason == "" && f.sequence != result.nextSequence {
 			reason = "the frame's sequence is not the next one"
 		}
 		if reason != "" {
-			return classifyTail(file, data, number, result, reason)
+			return classifyTail(file, data, segment, result, reason)
 		}
 		result.add(f)
 	}
@@ -44,7 +45,7 @@
 	return result, nil
 }
 
-// add takes a good frame.
+// add adds the next valid frame.
 func (s *scanResult) add(f frame) {
 	s.records = append(s.records, f.records...)
 	s.validEnd += int64(f.size)
@@ -56,7 +57,7 @@
 	s.endsWithMarker = f.isSyncMarker()
 }
 
-// dropMarker doesn't count a mark at the end: the next frame takes its place.
+// dropMarker removes a sync marker at the end, which the next frame overwrites.
 func (s *scanResult) dropMarker() {
 	if s.endsWithMarker {
 		s.validEnd -= frameHeaderSize
@@ -65,91 +66,83 @@
 	}
 }
 
-// classifyTail decides whether a bad frame is a torn end or damage. The snapshot was synced before the
-// segment got its name, and a frame is written only after the one before it was synced.
-func classifyTail(file string, data []byte, number uint64, result scanResult, reason string) (scanResult,
-	error) {
+// classifyTail decides whether an invalid frame at result.validEnd is a torn end or corruption, for the
+// reason given. The snapshot was synced before the segment got its name, and a frame is written only after
+// the one before it was synced, so that only the last frame can be torn.
+func classifyTail(file string, data []byte, segment uint64, result scanResult, reason string) (
+	scanResult, error) {
 	tail := data[result.validEnd:]
-	if result.frames == 0 || hasLaterFrame(tail, number, result.nextSequence) || !mayBeTorn(data, number,
-		&result) {
+	isLast := result.frames > 0 && !hasLaterFrame(tail, segment, result.nextSequence)
+	if !isLast || !mayBeTorn(tail, segment, &result) {
 		return result, &CorruptionError{File: file, Offset: result.validEnd, Reason: reason}
 	}
 	result.dropMarker()
-	result.tornBytes, result.tornReason = int64(len(data))-result.validEnd, reason
+	result.tornBytes = int64(len(data)) - result.validEnd
 	return result, nil
 }
 
-// mayBeTorn tells whether a crash can have left a bad last frame. It leaves each sector of a write as it was
-// or as it should be: the file ends early, or a part of the frame in one sector still has what was there
-// before, the mark behind the last good frame and zeros. A frame of which nothing is missing has been changed
-// since.
-func mayBeTorn(data []byte, number uint64, result *scanResult) bool {
-	tail := data[result.validEnd:]
+// hasLaterFrame looks for a valid frame with a later sequence at any offset but the first.
+func hasLaterFrame(tail []byte, segment, sequence uint64) bool {
+	for offset := 1; offset+frameHeaderSize <= len(tail); offset++ {
+		f, reason := decodeFrame(tail[offset:], segment)
+		if reason == "" && f.sequence > sequence {
+			return true
+		}
+	}
+	return false
+}
+
+// mayBeTorn reports whether a crash can have left the invalid last frame at the start of tail. A crash leaves
+// each sector of a write as it was or as it should be: the file ends early, or the part of the frame in one
+// sector is what was there before. A frame of which nothing is missing has been changed since it was written.
+func mayBeTorn(tail []byte, segment uint64, result *scanResult) bool {
 	if result.endsWithMarker || len(tail) <= frameHeaderSize {
-		return true // the mark is still there, or is all that is bad
+		return true // the marker is still there, or no more than the marker is invalid
 	}
-	end := int64(len(data))
-	size, headerValid := frameExtent(tail, number)
-	switch {
-	case size <= int64(len(tail)):
-		end = result.validEnd + size // also by a bad header: half a mark may stand behind the frame
-	case headerValid:
-		return true
+	size, headerValid := frameExtent(tail, segment)
+	if headerValid && size > int64(len(tail)) {
+		return true // the file ends early
 	}
-	if lacksStartOrEnd(data[result.validEnd:end]) || !headerValid && lacksHeaderChecksum(tail) {
+	// Also an invalid header may have the right size: part of the next marker may stand after the frame.
+	written := tail[:min(size, int64(len(tail)))]
+	if lacksStartOrEnd(written) {
 		return true
 	}
 	if !headerValid {
-		end = int64(len(data))
+		if lacksHeaderChecksum(tail) {
+			return true
+		}
+		written = tail
 	}
-	expected := make([]byte, len(tail))
-	copy(expected, syncMarker(number, result.nextSequence))
-	for start := result.validEnd; start < end; {
-		next := min(end, start-start%sectorSize+sectorSize)
-		current, previous := data[start:next], expected[start-result.validEnd:next-result.validEnd]
-		if bytes.Equal(current, previous) || bytes.Equal(current, make([]byte, len(current))) {
+	return hasUnwrittenSector(written, result.validEnd, syncMarker(segment, result.nextSequence))
+}
+
+// hasUnwrittenSector reports whether the part of a frame in one of its sectors was never written: it still
+// has what was there before, which is a marker at the frame's offset, if it was not lost, and zeros.
+func hasUnwrittenSector(written []byte, offset int64, marker []byte) bool {
+	before := make([]byte, len(written))
+	copy(before, marker)
+	zeros := make([]byte, sectorSize)
+	for start := 0; start < len(written); {
+		sectorEnd := start + sectorSize - int((offset+int64(start))%sectorSize)
+		end := min(len(written), sectorEnd)
+		part := written[start:end]
+		if bytes.Equal(part, before[start:end]) || bytes.Equal(part, zeros[:len(part)]) {
 			return true
 		}
-		start = next
+		start = end
 	}
 	return false
 }
 
-// lacksStartOrEnd tells whether the first or the last bytes of a frame were not written. Disks that tear a
-// write inside a sector leave that: a length of zero, which only marks have, or a zero at the end, which no
-// owner's record ends in.
+// lacksStartOrEnd reports whether the first or the last bytes of a frame were not written. Disks that tear a
+// write inside a sector leave that: a length of zero, which only markers have, or a zero at the end, which no
+// owner's record has.
 func lacksStartOrEnd(frame []byte) bool {
 	return binary.LittleEndian.Uint32(frame) == 0 || frame[len(frame)-1] == 0
 }
 
-// lacksHeaderChecksum tells whether the checksum at the end of a frame's header was not written.
+// lacksHeaderChecksum reports whether the checksum at the end of a frame's header was not written.
 func lacksHeaderChecksum(frame []byte) bool {
 	return binary.LittleEndian.Uint32(frame[frameHeaderSize-4:]) == 0
 }
-
-// hasLaterFrame looks for a good frame with a later sequence anywhere behind the first byte.
-func hasLaterFrame(tail []byte, number, sequence uint64) bool {
-	for offset := 1; offset+frameHeaderSize <= len(tail); offset++ {
-		f, reason := decodeFrame(tail[offset:], number)
-		if reason == "" && f.sequence > sequence {
-			return true
-		}
-	}
-	return false
-}
-
-// segmentNumbers returns the numbers of the segments in a folder, lowest first.
-func segmentNumbers(fsys FS, dir string) ([]uint64, error) {
-	names, err := fsys.List(dir)
-	if err != nil {
-		return nil, err
-	}
-	var numbers []uint64
-	for _, name := range names {
-		if number, ok := segmentNumber(name); ok {
-			numbers = append(numbers, number)
-		}
-	}
-	slices.Sort(numbers)
-	return numbers, nil
-}
