--- a/internal/router/peerproto/doc.go
+++ b/internal/router/peerproto/doc.go
@@ -2,9 +2,8 @@
 // number and a body, which is a message in Avro's binary encoding. schemas.avsc has the schemas; the
 // messages' Avro tags hold the encoded names, some of which are older than the Go names.
 //
-// Both sides of a connection have the same schemas: a message has no version of its own, and fields may only
-// be added together with a release that still reads the frames of the one before. The golden files under
-// testdata hold a frame of each kind.
+// Frames carry neither a schema nor a version: processes of two releases understand each other as far as
+// their schemas are the same. The golden files under testdata hold a frame of each kind.
 //
 // A connection begins with a Hello. Then either side sends frames of these groups:
 //
@@ -14,5 +13,5 @@
 //   - the configuration: Propose, Patch, Read and ConfigFetch, answered by Result;
 //   - messages of package chain, which are answered by messages of their own.
 //
-// The package keeps no state, and its functions may be called by any goroutine.
+// The package has no state, and its functions may be called by any goroutine.
 package peerproto
--- a/internal/router/peerproto/messages_test.go
+++ b/internal/router/peerproto/messages_test.go
@@ -78,10 +78,11 @@
 	}
 }
 
-// exceedsMaxBody tells whether a message takes more memory than a frame may have bytes.
+// exceedsMaxBody reports whether a message takes more memory than the longest body does.
 func exceedsMaxBody(message Message) bool { return len(Encode(message)) > MaxBody }
 
-// FuzzDecode holds any bytes to be read as a message of any kind or refused, and never to end the process.
+// FuzzDecode decodes any bytes as a message of each kind: they are a message or rejected, and never end the
+// process.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(&Records{[]directory.Record{record}}))
 	members := []MemberInfo{{"m", "10.0.0.1"}}
--- a/internal/router/transport/dial_test.go
+++ b/internal/router/transport/dial_test.go
@@ -26,7 +26,7 @@
 func (unresponsiveNetwork) Listen(string) (net.Listener, error) { return nil, errUnresponsive }
 
 // TestFirstDialTimeoutsAreShort: a machine that had no power when the first packet was sent is reached soon
-// after its start, and one that is gone costs few packets.
+// after its start, and one that stays unavailable costs few packets.
 func TestFirstDialTimeoutsAreShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := unresponsiveNetwork{make(chan time.Duration, 8)}
