--- /dev/null
+++ b/internal/cluster/groupstate/golden_test.go
@@ -0,0 +1,148 @@
+package groupstate
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
+)
+
+var (
+	goldenGrant = lease.Grant{Holder: "odori-1", Token: 12, Renewed: 13}
+	goldenKey   = ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
+	goldenRow   = ledger.Row{Key: goldenKey, Usage: ledger.Usage{Count: 21, BytesIn: 22, BytesOut: 23},
+		Corrections: ledger.Usage{Count: -24, BytesIn: -25, BytesOut: -26}}
+	goldenFix = PendingCorrection{Seq: 31, Correction: ledger.Correction{ID: "fix-1", Period: 32, Key: goldenKey,
+		Usage: ledger.Usage{Count: -33, BytesIn: -34, BytesOut: -35}, Reason: "counted twice"}}
+	goldenFigures = Stats{Grants: 41, Stale: 42, Rejected: 43, Periods: 44, Unsent: 45, Corrections: 46,
+		EndpointLists: 47}
+)
+
+// goldenEntry holds an entry of the log to its file, both ways.
+func goldenEntry[C any](t *testing.T, name string, want C, raw []byte) {
+	t.Helper()
+	goldenSet(t, name, reflect.ValueOf(want))
+	var got C
+	read := func(c *C) Result {
+		got = *c
+		return Result{Status: StatusAccepted}
+	}
+	goldenSame(t, name, decodeAndApply(newLog(t).machine, goldenFile(t, name, raw), read),
+		Result{Status: StatusAccepted})
+	goldenSame(t, name, got, want)
+}
+
+// Structs stand in the log as arrays, in the order of their fields: each field's value is its own, so that
+// two that change places show.
+func TestGoldenEntriesAreReadAndWrittenByteForByte(t *testing.T) {
+	intent := ExportIntent{Member: "odori-1", Token: 300, Period: 70_000}
+	goldenEntry(t, "intent.bin", intent, intent.Encode())
+	done := ExportDone{Member: "odori-1", Token: 301, Period: 70_001}
+	goldenEntry(t, "done.bin", done, done.Encode())
+	settled := CorrectionsSent{Member: "odori-1", Token: 302, UpTo: 70_002}
+	goldenEntry(t, "settled.bin", settled, settled.Encode())
+	list := EndpointList{Member: "odori-1", Token: 303, Index: 70_003, Raw: []byte(`{"index":70003}`)}
+	goldenEntry(t, "list.bin", list, list.Encode())
+
+	for name, op := range map[string]lease.Op{"take.bin": lease.Acquire, "renew.bin": lease.Renew,
+		"release.bin": lease.Release} {
+		c := lease.Command{Op: op, Role: FleetRole, Member: "odori-1", Expected: goldenGrant}
+		goldenEntry(t, name, c, EncodeLease(c))
+	}
+}
+
+// goldenList is the list of list.bin as the machine holds it after it was applied at an index.
+func goldenList(index uint64) endpointState {
+	return endpointState{Token: 303, Version: index, Changed: index, Index: 70_003,
+		Raw: []byte(`{"index":70003}`)}
+}
+
+// What the entries do: the byte before each says which of them it is.
+func TestGoldenEntriesAreAppliedAsTheirKind(t *testing.T) {
+	held := func(name string) []byte {
+		raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		return raw
+	}
+	m := newLog(t).machine
+	grants := map[string]lease.Grant{FleetRole: goldenGrant}
+	m.leases.Restore(grants)
+	goldenSame(t, "renew.bin", m.Apply(50, held("renew.bin")),
+		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 12, Renewed: 14}}))
+	m.leases.Restore(grants)
+	goldenSame(t, "take.bin", m.Apply(51, held("take.bin")),
+		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 51}}))
+	m.leases.Restore(grants)
+	goldenSame(t, "release.bin", m.Apply(52, held("release.bin")),
+		any(lease.Result{Applied: true, Grant: lease.Grant{Token: 12, Renewed: 14}}))
+
+	own := func(token uint64) {
+		m.leases.Restore(map[string]lease.Grant{FleetRole: {Holder: "odori-1", Token: token}})
+	}
+	own(300)
+	goldenSame(t, "intent.bin", m.Apply(53, held("intent.bin")), any(Result{Status: StatusRejected,
+		Reason: "period 70000 is not the next to be sent; that is 0"}))
+	own(301)
+	goldenSame(t, "done.bin", m.Apply(54, held("done.bin")), any(Result{Status: StatusRejected,
+		Reason: "period 70001 is not being sent"}))
+	own(302)
+	goldenSame(t, "settled.bin", m.Apply(55, held("settled.bin")), any(Result{Status: StatusRejected,
+		Reason: "there is no correction 70002"}))
+	own(303)
+	goldenSame(t, "list.bin", m.Apply(56, held("list.bin")), any(Result{Status: StatusAccepted}))
+	goldenSame(t, "list.bin", m.state.Endpoints, goldenList(56))
+}
+
+func TestGoldenSnapshotIsReadAndWrittenByteForByte(t *testing.T) {
+	want := newLog(t).machine
+	want.Ledger.Apply(60, (&ledger.Batch{Member: "x", Incarnation: 1, Seq: 1, Usage: []ledger.KeyUsage{{
+		Key: goldenKey, Usage: ledger.Usage{Count: 2, BytesIn: 3, BytesOut: 4}}}}).Encode())
+	want.appliedIndex = 61
+	want.leases.Restore(map[string]lease.Grant{FleetRole: goldenGrant,
+		"another": {Holder: "susukino-2", Token: 14, Renewed: 15}})
+	want.state = state{ExportStarted: true, Exported: 51, Open: &openExport{Period: 52, Token: 53,
+		Rows: []ledger.Row{goldenRow}},
+		Corrections: []PendingCorrection{goldenFix}, CorrectionSeq: 54, Endpoints: goldenList(55),
+		Stats: goldenFigures}
+	want.state.Endpoints.Changed = 57
+	goldenSet(t, "state", reflect.ValueOf(want.state))
+	held := goldenFile(t, "snapshot.bin", want.Snapshot())
+	got := newLog(t).machine
+	if err := got.Restore(held); err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "snapshot.bin", got.state, want.state)
+	goldenSame(t, "snapshot.bin", got.appliedIndex, want.appliedIndex)
+	goldenSame(t, "snapshot.bin", got.leases, want.leases)
+	goldenSame(t, "snapshot.bin", got.Ledger.Snapshot(), want.Ledger.Snapshot())
+	goldenFile(t, "snapshot.bin", got.Snapshot())
+
+	// A snapshot from before there were chores is the ledger's alone.
+	old := newLog(t).machine
+	if err := old.Restore(goldenFile(t, "snapshot-of-the-ledger.bin", want.Ledger.Snapshot())); err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "snapshot-of-the-ledger.bin", old.Ledger.Snapshot(), want.Ledger.Snapshot())
+	goldenSame(t, "snapshot-of-the-ledger.bin", old.appliedIndex, uint64(60))
+}
+
+func TestGoldenAnswersAndQueriesAreReadAndWrittenByteForByte(t *testing.T) {
+	q := Query{Kind: QueryEndpoints, After: 61, Query: ledger.Query{Tenant: "ramen-kita", Period: 62}}
+	goldenJSON(t, "query.json", q)
+	goldenFile(t, "query.json", q.Encode())
+	goldenJSON(t, "questions.json", []string{QueryGrant, QueryView, QueryPendingExport, QueryEndpoints,
+		FleetRole, StatusAccepted, StatusStale,
+		StatusRejected})
+	goldenJSON(t, "result.json", Result{Status: StatusStale, Reason: "another's"})
+	list := EndpointView{Version: 71, Changed: 72, Token: 73, Index: 74, Raw: []byte(`{"index":74}`)}
+	goldenJSON(t, "list.json", list)
+	goldenJSON(t, "view.json", View{Grant: goldenGrant, Exported: 81, Sending: 82, IntentToken: 83, Final: 84,
+		Open: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenFigures})
+	goldenJSON(t, "statement.json", PendingExport{Grant: goldenGrant, Due: 91, Period: 92, IntentToken: 93,
+		Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenFix}})
+}
