--- a/internal/router/agent/chain_calls.go
+++ b/internal/router/agent/chain_calls.go
@@ -82,14 +82,14 @@
 		return
 	}
 	var members []chain.Member
-	m.node.state.read(func(d *directory.Directory) {
+	m.agent.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
 			if proxy.Member != "" {
 				members = append(members, chain.Member{ID: chain.MemberID(proxy.Member), Address: proxy.Address})
 			}
 		}
 	})
-	now := m.node.now()
+	now := m.agent.now()
 	if len(members) != m.bootstrapCandidates {
 		m.bootstrapCandidates, m.candidatesStableSince = len(members), now
 		return
@@ -98,7 +98,7 @@
 		return
 	}
 	m.candidatesStableSince = now // and ask again after the same while
-	m.node.log.Info().Int("members", len(members)).Msg("chain: founding")
+	m.agent.log.Info().Int("members", len(members)).Msg("chain: founding")
 	m.step(func(now time.Duration) chain.Effects { return m.machine.Bootstrap(now, members) })
 }
 
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -27,7 +27,7 @@
 // chainMember runs this process's part in the control state: one goroutine steps the state machine, makes
 // what it says durable, and only then sends and answers.
 type chainMember struct {
-	node         *Node
+	agent        *Agent
 	machine      *chain.Node
 	log          *segmentlog.Log // nil without a disk
 	events       chan func(now time.Duration) chain.Effects
@@ -65,8 +65,8 @@
 func (m *chainMember) start(done <-chan struct{}) {
 	go m.run(done)
 	go m.applyCommitted(done)
-	if m.node.sendsStageOrders {
-		go (&stageCoordinator{node: m.node, member: m}).run(done)
+	if m.agent.assignsRoles {
+		go (&roleAssigner{agent: m.agent, member: m}).run(done)
 	}
 }
 
@@ -85,7 +85,7 @@
 	case m.events <- event:
 		return true
 	default:
-		m.node.metrics.droppedEvents.Add(1)
+		m.agent.metrics.droppedEvents.Add(1)
 		return false
 	}
 }
@@ -136,15 +136,15 @@
 
 // step runs one event, makes durable what it says, and only then does the rest.
 func (m *chainMember) step(event func(now time.Duration) chain.Effects) {
-	effects := event(m.node.now())
+	effects := event(m.agent.now())
 	for len(effects.Persist) > 0 {
 		err := m.persist(effects.Persist)
 		if err == nil {
 			break
 		}
-		m.node.metrics.diskErrors.Add(1)
-		m.node.log.Warn().Err(err).Msg("chain: the disk refuses")
-		effects = m.machine.PersistFailed(m.node.now())
+		m.agent.metrics.diskErrors.Add(1)
+		m.agent.log.Warn().Err(err).Msg("chain: the disk refuses")
+		effects = m.machine.PersistFailed(m.agent.now())
 	}
 	m.execute(effects)
 }
@@ -153,7 +153,7 @@
 func (m *chainMember) execute(effects chain.Effects) {
 	for i := range effects.Messages {
 		envelope := &effects.Messages[i]
-		if envelope.To.Address != "" && envelope.To.Address != m.node.settings.IP {
+		if envelope.To.Address != "" && envelope.To.Address != m.agent.settings.IP {
 			m.linkTo(envelope.To.Address).Send(peerproto.KindChain, encodeChain(&envelope.Message))
 		}
 	}
@@ -177,8 +177,8 @@
 	}
 	if view := m.machine.View(); view.Epoch != m.publishedEpoch {
 		m.publishedEpoch = view.Epoch
-		m.node.state.learnView(int64(view.Epoch), memberInfos(view.Members))
-		m.node.log.Info().Uint64("epoch", view.Epoch).Int("members", len(view.Members)).
+		m.agent.state.learnView(int64(view.Epoch), memberInfos(view.Members))
+		m.agent.log.Info().Uint64("epoch", view.Epoch).Int("members", len(view.Members)).
 			Int("replicas", len(view.Chain)).Msg("chain: new view")
 	}
 	entry, known := m.machine.Committed()
@@ -205,7 +205,7 @@
 		case <-done:
 			return
 		case stored := <-m.committed:
-			m.node.applyStored(stored)
+			m.agent.applyStored(stored)
 		}
 	}
 }
@@ -215,8 +215,8 @@
 	defer m.linksMu.Unlock()
 	link := m.links[ip]
 	if link == nil {
-		hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: m.node.id}) }
-		link = m.node.endpoint.NewLink(m.node.peerAddress(ip), hello, func(peerproto.Frame) {}, func(bool) {})
+		hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: m.agent.id}) }
+		link = m.agent.endpoint.NewLink(m.agent.peerAddress(ip), hello, func(peerproto.Frame) {}, func(bool) {})
 		m.links[ip] = link
 	}
 	return link
@@ -233,7 +233,7 @@
 // contacts are machines that may know the view: the hubs, and the machines with a disk that are known.
 func (m *chainMember) contacts() []chain.Member {
 	var contacts []chain.Member
-	for _, ip := range m.node.hubAddresses() {
+	for _, ip := range m.agent.hubAddresses() {
 		contacts = append(contacts, chain.Member{Address: ip})
 	}
 	return contacts
--- a/internal/router/agent/chain_open.go
+++ b/internal/router/agent/chain_open.go
@@ -23,25 +23,25 @@
 
 // newConfigStore returns this process's part in the control state: none without a disk, unless it is the one
 // that founds it.
-func newConfigStore(n *Node) configStore {
-	if n.settings.DataDir == "" && !n.isBootstrapper() {
+func newConfigStore(a *Agent) configStore {
+	if a.settings.DataDir == "" && !a.isBootstrapper() {
 		return noConfigStore{}
 	}
-	return newDeferredStore(n)
+	return newDeferredStore(a)
 }
 
 // founds tells whether this process is the one that has the first view agreed on.
-func (n *Node) isBootstrapper() bool {
-	return n.settings.FirstStart && len(n.settings.Seeds) > 0 && hostOf(n.settings.Seeds[0]) == n.settings.IP
+func (a *Agent) isBootstrapper() bool {
+	return a.settings.FirstStart && len(a.settings.Seeds) > 0 && hostOf(a.settings.Seeds[0]) == a.settings.IP
 }
 
 // openChainMember opens the disk, where there is one, and the state machine with what the disk holds.
-func openChainMember(n *Node) (*chainMember, error) {
-	m := newChainMember(n)
+func openChainMember(a *Agent) (*chainMember, error) {
+	m := newChainMember(a)
 	var records [][]byte
 	var err error
-	if n.settings.DataDir != "" {
-		m.log, records, err = openLog(n)
+	if a.settings.DataDir != "" {
+		m.log, records, err = openLog(a)
 	}
 	if err == nil {
 		err = m.openMachine(records)
@@ -53,9 +53,9 @@
 	return m, nil
 }
 
-func newChainMember(n *Node) *chainMember {
+func newChainMember(a *Agent) *chainMember {
 	return &chainMember{
-		node: n, bootstrapper: n.isBootstrapper(), links: map[string]*transport.Link{},
+		agent: a, bootstrapper: a.isBootstrapper(), links: map[string]*transport.Link{},
 		events: make(chan func(time.Duration) chain.Effects, chainQueue),
 		ended:  make(chan struct{}), handedOff: make(chan struct{}),
 		waiters: map[uint64]chan chain.Reply{}, committed: make(chan []byte, 1),
@@ -65,7 +65,7 @@
 
 // openMachine makes the state machine of the records that the disk holds.
 func (m *chainMember) openMachine(records [][]byte) error {
-	settings := m.node.settings
+	settings := m.agent.settings
 	config := chain.Config{
 		Self:             chain.Member{ID: chain.MemberID(randomID()), Address: settings.IP},
 		DigestOf:         storedDigest,
@@ -75,7 +75,7 @@
 		TargetMembers:    max(minMembers, 2*settings.TolerateMachines+1),
 		Random:           rand.New(rand.NewSource(rand.Int63())), HeartbeatInterval: chainHeartbeat,
 	}
-	machine, effects, err := chain.Open(config, m.node.now(), records)
+	machine, effects, err := chain.Open(config, m.agent.now(), records)
 	if err != nil {
 		return err
 	}
@@ -89,17 +89,17 @@
 
 // openLog opens the log of the control state. A damaged one is begun anew: the machine comes back under
 // another identity, which has promised nothing, and is taken in like one with an empty disk.
-func openLog(n *Node) (*segmentlog.Log, [][]byte, error) {
-	folder := filepath.Join(n.settings.DataDir, chainFolder)
-	if err := n.files.MakeDir(folder); err != nil {
+func openLog(a *Agent) (*segmentlog.Log, [][]byte, error) {
+	folder := filepath.Join(a.settings.DataDir, chainFolder)
+	if err := a.files.MakeDir(folder); err != nil {
 		return nil, nil, err
 	}
-	if err := n.files.SyncDir(n.settings.DataDir); err != nil { // else a loss of power may take the folder away
+	if err := a.files.SyncDir(a.settings.DataDir); err != nil { // else a loss of power may take the folder away
 		return nil, nil, err
 	}
-	log, records, damage, err := segmentlog.OpenOrReset(n.files, folder, segmentlog.Options{})
+	log, records, damage, err := segmentlog.OpenOrReset(a.files, folder, segmentlog.Options{})
 	if damage != nil {
-		n.log.Error().Err(damage).Msg("chain: the log is damaged; this machine begins anew")
+		a.log.Error().Err(damage).Msg("chain: the log is damaged; this machine begins anew")
 	}
 	return log, records, err
 }
@@ -113,16 +113,16 @@
 	if len(records) == 0 || m.log == nil {
 		return nil
 	}
-	began := m.node.now()
+	began := m.agent.now()
 	err := m.log.Append(records...)
-	m.node.metrics.diskWrites.Observe(m.node.now() - began)
+	m.agent.metrics.diskWrites.Observe(m.agent.now() - began)
 	if err != nil {
 		return err
 	}
-	limit := int64(compactFraction * float64(m.node.settings.DiskBytes))
+	limit := int64(compactFraction * float64(m.agent.settings.DiskBytes))
 	if m.log.Size() > max(limit, 1<<20) {
 		if err := m.log.Compact(m.machine.SnapshotRecords()); err != nil {
-			m.node.log.Warn().Err(err).Msg("chain: the log can't be begun anew")
+			m.agent.log.Warn().Err(err).Msg("chain: the log can't be begun anew")
 		}
 	}
 	return nil
@@ -133,6 +133,6 @@
 		return
 	}
 	if err := m.log.Close(); err != nil {
-		m.node.log.Warn().Err(err).Msg("chain: the log can't be closed")
+		m.agent.log.Warn().Err(err).Msg("chain: the log can't be closed")
 	}
 }
--- a/internal/router/agent/chain_patch.go
+++ b/internal/router/agent/chain_patch.go
@@ -19,9 +19,9 @@
 	if err != nil {
 		return invalidChange(err)
 	}
-	until := m.node.now() + timeout
+	until := m.agent.now() + timeout
 	base, failed := m.configAtVersion(patch.Base, timeout)
-	left := until - m.node.now()
+	left := until - m.agent.now()
 	switch {
 	case failed != nil:
 		return failed
@@ -43,7 +43,7 @@
 // result is not nil where that can't be told.
 func (m *chainMember) configAtVersion(version int64,
 	timeout time.Duration) (*fleetconfig.Config, *peerproto.Result) {
-	if config := m.node.state.Config(); config != nil && config.Version == version {
+	if config := m.agent.state.Config(); config != nil && config.Version == version {
 		return config, nil
 	}
 	current := m.read(timeout)
--- a/internal/router/agent/compare.go
+++ b/internal/router/agent/compare.go
@@ -22,35 +22,35 @@
 
 // runAntiEntropy compares this copy with those of hubs, one after the other, and repairs both from the newer
 // records.
-func (n *Node) runAntiEntropy(stop <-chan struct{}) {
+func (a *Agent) runAntiEntropy(stop <-chan struct{}) {
 	for turn := 0; ; turn++ {
 		select {
 		case <-stop:
 			return
-		case <-time.After(n.untilAntiEntropy()):
+		case <-time.After(a.untilAntiEntropy()):
 		}
-		if hubs := n.currentHubs(); len(hubs) > 0 {
-			n.reconcileWith(hubs[turn%len(hubs)])
+		if hubs := a.currentHubs(); len(hubs) > 0 {
+			a.reconcileWith(hubs[turn%len(hubs)])
 		}
-		if n.isHub() && (n.settings.FirstStart || n.now() > hubSyncHeartbeats*n.settings.HeartbeatInterval) {
-			n.state.setSynced()
+		if a.isHub() && (a.settings.FirstStart || a.now() > hubSyncHeartbeats*a.settings.HeartbeatInterval) {
+			a.state.setSynced()
 		}
 	}
 }
 
-func (n *Node) untilAntiEntropy() time.Duration {
+func (a *Agent) untilAntiEntropy() time.Duration {
 	switch {
-	case !n.isHub():
+	case !a.isHub():
 		return followerAntiEntropyInterval
-	case !n.state.isSynced():
+	case !a.state.isSynced():
 		return initialAntiEntropyInterval
 	}
 	return antiEntropyInterval
 }
 
 // reconcileWith repairs this copy and a hub's from each other.
-func (n *Node) reconcileWith(h *hub) {
-	request := &peerproto.Comparison{Digest: n.digest()}
+func (a *Agent) reconcileWith(h *hub) {
+	request := &peerproto.Comparison{Digest: a.digest()}
 	frame, err := h.link.Call(peerproto.KindCompare, peerproto.Encode(request), antiEntropyTimeout)
 	if err != nil {
 		return
@@ -59,19 +59,19 @@
 	if peerproto.Decode(frame.Body, &answer) != nil {
 		return
 	}
-	if h.current().hasSnapshot && n.isHub() {
-		defer n.state.setSynced()
+	if h.current().hasSnapshot && a.isHub() {
+		defer a.state.setSynced()
 	}
 	if len(answer.Ranges) == 0 {
 		return
 	}
-	n.mergeRemote(answer.Records)
+	a.mergeRemote(answer.Records)
 	var own []directory.Record
-	n.state.read(func(d *directory.Directory) { own = copyRecords(d.InRanges(answer.Ranges)) })
+	a.state.read(func(d *directory.Directory) { own = copyRecords(d.InRanges(answer.Ranges)) })
 	h.link.Call(peerproto.KindUpsert, peerproto.Encode(&peerproto.Records{Records: own}), antiEntropyTimeout)
 }
 
-func (n *Node) handleCompare(c *transport.Conn, frame peerproto.Frame) {
+func (a *Agent) handleCompare(c *transport.Conn, frame peerproto.Frame) {
 	var request peerproto.Comparison
 	if peerproto.Decode(frame.Body, &request) != nil || len(request.Digest) != directory.NumRanges {
 		c.Close()
@@ -82,7 +82,7 @@
 		theirs[i] = uint64(sum)
 	}
 	answer := &peerproto.Comparison{}
-	n.state.read(func(d *directory.Directory) {
+	a.state.read(func(d *directory.Directory) {
 		if answer.Ranges = d.Digest().Diff(theirs); len(answer.Ranges) > 0 {
 			answer.Records = copyRecords(d.InRanges(answer.Ranges))
 		}
@@ -90,9 +90,9 @@
 	c.Answer(frame, peerproto.KindComparison, peerproto.Encode(answer))
 }
 
-func (n *Node) digest() []int64 {
+func (a *Agent) digest() []int64 {
 	var digest directory.Digest
-	n.state.read(func(d *directory.Directory) { digest = d.Digest() })
+	a.state.read(func(d *directory.Directory) { digest = d.Digest() })
 	sums := make([]int64, len(digest))
 	for i, sum := range digest {
 		sums[i] = int64(sum)
--- a/internal/router/agent/config_calls.go
+++ b/internal/router/agent/config_calls.go
@@ -15,36 +15,36 @@
 const configPath = "/api/config"
 
 // handleConfigCall answers a call on the configuration.
-func (n *Node) handleConfigCall(call *controlserver.Call) *http1.Response {
+func (a *Agent) handleConfigCall(call *controlserver.Call) *http1.Response {
 	switch call.Method {
 	case "PUT":
-		return n.putConfig(call)
+		return a.putConfig(call)
 	case "PATCH":
-		return n.patchConfig(call)
+		return a.patchConfig(call)
 	case "GET":
-		return n.getConfig()
+		return a.getConfig()
 	}
 	return controlserver.Text(405, "use PUT or PATCH to change the configuration and GET to read it")
 }
 
-func (n *Node) putConfig(call *controlserver.Call) *http1.Response {
+func (a *Agent) putConfig(call *controlserver.Call) *http1.Response {
 	config, err := fleetconfig.Parse(call.Body)
 	if err != nil {
 		return controlserver.Text(400, err.Error())
 	}
-	return n.changeConfig(call, peerproto.KindPropose, config.Version)
+	return a.changeConfig(call, peerproto.KindPropose, config.Version)
 }
 
-func (n *Node) patchConfig(call *controlserver.Call) *http1.Response {
+func (a *Agent) patchConfig(call *controlserver.Call) *http1.Response {
 	patch, err := fleetconfig.ParsePatch(0, call.Body) // its base is read with If-Match
 	if err != nil {
 		return controlserver.Text(400, err.Error())
 	}
-	return n.changeConfig(call, peerproto.KindPatch, patch.Version)
+	return a.changeConfig(call, peerproto.KindPatch, patch.Version)
 }
 
 // changeConfig asks the machines that keep the configuration for a change that makes a version.
-func (n *Node) changeConfig(call *controlserver.Call, kind peerproto.Kind, version int64) *http1.Response {
+func (a *Agent) changeConfig(call *controlserver.Call, kind peerproto.Kind, version int64) *http1.Response {
 	expected, err := strconv.ParseInt(call.Header.Get("If-Match"), 10, 64)
 	if err != nil {
 		return controlserver.Text(400, "If-Match: is not a version; name the version that this one builds on")
@@ -53,19 +53,19 @@
 		return controlserver.Text(400, "edition: is not above If-Match; count on from the current version")
 	}
 	proposal := &peerproto.Proposal{Expected: expected, Version: version, Body: call.Body}
-	propose := n.configStore.propose
+	propose := a.configStore.propose
 	if kind == peerproto.KindPatch {
-		propose = n.configStore.patch
+		propose = a.configStore.patch
 	}
-	began := n.now()
-	result := n.callConfigStore(configCall{kind: kind, body: peerproto.Encode(proposal),
+	began := a.now()
+	result := a.callConfigStore(configCall{kind: kind, body: peerproto.Encode(proposal),
 		local: func() *peerproto.Result { return propose(proposal, configCallTimeout) }})
-	n.observeConfigCall(strings.ToLower(call.Method), result)
-	event := n.log.Info().Int64("version", version).Int64("on", expected).Str("by", call.Method).
-		Dur("took_ms", n.now()-began)
+	a.observeConfigCall(strings.ToLower(call.Method), result)
+	event := a.log.Info().Int64("version", version).Int64("on", expected).Str("by", call.Method).
+		Dur("took_ms", a.now()-began)
 	switch result.Outcome {
 	case peerproto.OutcomeAccepted:
-		n.shown.raise(version)
+		a.shown.raise(version)
 		event.Msg("config: acknowledged")
 		return controlserver.JSON(200, []byte("{}"))
 	case peerproto.OutcomeConflict:
@@ -80,15 +80,15 @@
 	return retryElsewhere()
 }
 
-func (n *Node) getConfig() *http1.Response {
-	shownBefore := n.shown.highest()
-	result := n.callConfigStore(configCall{kind: peerproto.KindRead,
-		local: func() *peerproto.Result { return n.configStore.read(configCallTimeout) }})
-	n.observeConfigCall("get", result)
+func (a *Agent) getConfig() *http1.Response {
+	shownBefore := a.shown.highest()
+	result := a.callConfigStore(configCall{kind: peerproto.KindRead,
+		local: func() *peerproto.Result { return a.configStore.read(configCallTimeout) }})
+	a.observeConfigCall("get", result)
 	if result.Outcome == peerproto.OutcomeAccepted {
 		invariant.Assert(result.Version >= shownBefore, invariant.ReadsNotOlder,
 			"a read shows version %d, %d was shown before", result.Version, shownBefore)
-		n.shown.raise(result.Version)
+		a.shown.raise(result.Version)
 	}
 	switch {
 	case result.Outcome != peerproto.OutcomeAccepted:
--- a/internal/router/agent/control.go
+++ b/internal/router/agent/control.go
@@ -38,35 +38,35 @@
 }
 
 // handleCall answers a call at the control address.
-func (n *Node) handleCall(call *controlserver.Call) *http1.Response {
+func (a *Agent) handleCall(call *controlserver.Call) *http1.Response {
 	switch {
 	case len(call.Path) > len(serversPath) && call.Path[:len(serversPath)] == serversPath:
-		return n.handleServerCall(call)
+		return a.handleServerCall(call)
 	case call.Path == metricsPath:
-		return n.showMetrics(call)
+		return a.showMetrics(call)
 	case call.Path == membersPath:
-		return n.listMembers(call)
+		return a.listMembers(call)
 	case call.Path == serverListPath:
-		return n.listServers(call)
+		return a.listServers(call)
 	case call.Path == configPath:
-		return n.handleConfigCall(call)
+		return a.handleConfigCall(call)
 	}
 	return controlserver.Text(404, "no such call; see api/control.openapi.yaml")
 }
 
 // serveConfigCall runs another process's call on the configuration.
-func (n *Node) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
+func (a *Agent) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
 	result := unavailableResult("this machine does not keep the configuration")
 	var proposal peerproto.Proposal
 	switch {
-	case !n.configStore.isMember():
+	case !a.configStore.isMember():
 	case frame.Kind == peerproto.KindRead:
-		result = n.configStore.read(configCallTimeout)
+		result = a.configStore.read(configCallTimeout)
 	case peerproto.Decode(frame.Body, &proposal) != nil:
 	case frame.Kind == peerproto.KindPatch:
-		result = n.configStore.patch(&proposal, configCallTimeout)
+		result = a.configStore.patch(&proposal, configCallTimeout)
 	default:
-		result = n.configStore.propose(&proposal, configCallTimeout)
+		result = a.configStore.propose(&proposal, configCallTimeout)
 	}
 	c.Answer(frame, peerproto.KindResult, peerproto.Encode(result))
 }
--- a/internal/router/agent/control_call.go
+++ b/internal/router/agent/control_call.go
@@ -19,8 +19,8 @@
 
 // callConfigStore has members run a call, this process first where it is one. A member that hangs, as one
 // does whose disk hangs, delays the call only by hedgeDelay.
-func (n *Node) callConfigStore(call configCall) *peerproto.Result {
-	attempts := n.configAttempts(call)
+func (a *Agent) callConfigStore(call configCall) *peerproto.Result {
+	attempts := a.configAttempts(call)
 	if len(attempts) == 0 {
 		return unavailableResult("no machine that keeps the configuration is reached")
 	}
@@ -60,13 +60,13 @@
 }
 
 // configAttempts returns the ways to have a call run, in the order in which they are tried.
-func (n *Node) configAttempts(call configCall) []configAttempt {
+func (a *Agent) configAttempts(call configCall) []configAttempt {
 	var attempts []configAttempt
-	if n.configStore.isMember() {
+	if a.configStore.isMember() {
 		attempts = append(attempts, call.local)
 	}
-	now := n.now()
-	for _, h := range n.currentHubs() {
+	now := a.now()
+	for _, h := range a.currentHubs() {
 		if h.isResponsive(now) {
 			attempts = append(attempts, func() *peerproto.Result { return callMember(h, call) })
 		}
--- a/internal/router/agent/demand.go
+++ b/internal/router/agent/demand.go
@@ -16,7 +16,7 @@
 
 // demandTable holds what each proxy has under way at services with model servers.
 type demandTable struct {
-	node *Node
+	agent *Agent
 
 	mu        sync.Mutex
 	ownDemand *peerproto.Demands
@@ -28,8 +28,8 @@
 	demands    *peerproto.Demands
 }
 
-func newDemandTable(n *Node) *demandTable {
-	return &demandTable{node: n, ownDemand: &peerproto.Demands{}, proxies: map[string]reportedDemand{}}
+func newDemandTable(a *Agent) *demandTable {
+	return &demandTable{agent: a, ownDemand: &peerproto.Demands{}, proxies: map[string]reportedDemand{}}
 }
 
 // measure follows this proxy's own demand until done closes.
@@ -43,13 +43,13 @@
 		case <-ticker.C:
 		}
 		demands := &peerproto.Demands{}
-		for _, d := range t.node.workload.Demands() {
+		for _, d := range t.agent.workload.Demands() {
 			demands.Services = append(demands.Services,
 				peerproto.Demand{Service: d.Service, Prefill: d.Prefill, Decode: d.Decode})
 		}
 		t.mu.Lock()
 		t.ownDemand = demands
-		t.proxies[t.node.id] = reportedDemand{t.node.now(), demands}
+		t.proxies[t.agent.id] = reportedDemand{t.agent.now(), demands}
 		t.mu.Unlock()
 	}
 }
--- a/internal/router/agent/disk_member.go
+++ b/internal/router/agent/disk_member.go
@@ -18,20 +18,20 @@
 
 // startDisk begins to use the disk, where there is one, and returns once it is open or diskOpenTimeout is
 // over.
-func (n *Node) startDisk(done <-chan struct{}) {
-	n.configStore.start(done)
-	if n.settings.DataDir == "" {
+func (a *Agent) startDisk(done <-chan struct{}) {
+	a.configStore.start(done)
+	if a.settings.DataDir == "" {
 		return
 	}
 	loaded := make(chan struct{})
-	go n.persistState(loaded, done)
+	go a.persistState(loaded, done)
 	patience := time.NewTimer(diskOpenTimeout)
 	defer patience.Stop()
-	for _, opened := range []<-chan struct{}{loaded, n.configStore.opened()} {
+	for _, opened := range []<-chan struct{}{loaded, a.configStore.opened()} {
 		select {
 		case <-opened:
 		case <-patience.C:
-			n.log.Warn().Msg("node: starting without the disk, which is not open yet")
+			a.log.Warn().Msg("node: starting without the disk, which is not open yet")
 			return
 		}
 	}
@@ -41,14 +41,14 @@
 // may hang, be full or hold what can't be read: until it is open, the process serves as one without a disk
 // does.
 type deferredStore struct {
-	node    *Node
+	agent   *Agent
 	chain   atomic.Pointer[chainMember] // nil until the disk is open
 	ready   chan struct{}               // closed once it is
 	leaving atomic.Bool                 // this process is about to end
 }
 
-func newDeferredStore(n *Node) *deferredStore {
-	return &deferredStore{node: n, ready: make(chan struct{})}
+func newDeferredStore(a *Agent) *deferredStore {
+	return &deferredStore{agent: a, ready: make(chan struct{})}
 }
 
 var _ configStore = (*deferredStore)(nil)
@@ -61,7 +61,7 @@
 	if member == nil {
 		return
 	}
-	d.node.announceSelf(func(self *directory.Record) { self.Member = member.identity })
+	d.agent.announceSelf(func(self *directory.Record) { self.Member = member.identity })
 	d.chain.Store(member)
 	if d.leaving.Load() { // it was told before there was a member to know
 		member.leave()
@@ -73,12 +73,12 @@
 // open tries until the disk could be opened, and returns nil if the process ends before.
 func (d *deferredStore) open(done <-chan struct{}) *chainMember {
 	for {
-		member, err := openChainMember(d.node)
+		member, err := openChainMember(d.agent)
 		if err == nil {
 			return member
 		}
-		d.node.metrics.failedDiskOpens.Add(1)
-		d.node.log.Error().Err(err).Msg("chain: the disk can't be opened; tried again")
+		d.agent.metrics.failedDiskOpens.Add(1)
+		d.agent.log.Error().Err(err).Msg("chain: the disk can't be opened; tried again")
 		select {
 		case <-done:
 			return nil
--- a/internal/router/agent/follow.go
+++ b/internal/router/agent/follow.go
@@ -19,7 +19,7 @@
 	fetchDelay = 150 * time.Millisecond
 )
 
-// following is which hub's feed this process follows, and how far. Guarded by Node.subscriptionMu.
+// following is which hub's feed this process follows, and how far. Guarded by Agent.subscriptionMu.
 type subscription struct {
 	source       *hub
 	feed         string
@@ -29,7 +29,7 @@
 
 // follow keeps following the feed of one hub, unless this process is a hub itself: hubs hear all changes at
 // first hand and compare their copies.
-func (n *Node) runSubscription(stop <-chan struct{}) {
+func (a *Agent) runSubscription(stop <-chan struct{}) {
 	ticker := time.NewTicker(sourceCheckInterval)
 	defer ticker.Stop()
 	for {
@@ -37,74 +37,74 @@
 		case <-stop:
 			return
 		case <-ticker.C:
-			n.updateHubs()
-			n.updateSource()
+			a.updateHubs()
+			a.updateSource()
 		}
 	}
 }
 
 // follows tells whether this process follows a hub's feed.
-func (n *Node) isSubscribed() bool {
-	n.subscriptionMu.Lock()
-	defer n.subscriptionMu.Unlock()
-	return n.subscription.source != nil
-}
-
-func (n *Node) updateSource() {
-	n.subscriptionMu.Lock()
-	defer n.subscriptionMu.Unlock()
-	now := n.now()
-	f := &n.subscription
-	if n.isHub() {
-		n.unsubscribe(f)
+func (a *Agent) isSubscribed() bool {
+	a.subscriptionMu.Lock()
+	defer a.subscriptionMu.Unlock()
+	return a.subscription.source != nil
+}
+
+func (a *Agent) updateSource() {
+	a.subscriptionMu.Lock()
+	defer a.subscriptionMu.Unlock()
+	now := a.now()
+	f := &a.subscription
+	if a.isHub() {
+		a.unsubscribe(f)
 		return
 	}
-	if f.source != nil && now-f.lastReceived < feedTimeout && n.isUsableSource(f.source) {
+	if f.source != nil && now-f.lastReceived < feedTimeout && a.isUsableSource(f.source) {
 		return
 	}
-	next := n.chooseSource(f.source)
+	next := a.chooseSource(f.source)
 	if next == nil {
 		return
 	}
 	if f.source != next {
-		n.metrics.sourceChanges.Add(1)
-		n.log.Info().Str("hub", next.ip).Msg("feed: following")
+		a.metrics.sourceChanges.Add(1)
+		a.log.Info().Str("hub", next.ip).Msg("feed: following")
 	}
 	f.source, f.lastReceived = next, now
-	n.subscribe()
+	a.subscribe()
 	watcher := next.current().id
-	n.announceSelf(func(self *directory.Record) { self.Watcher = watcher })
+	a.announceSelf(func(self *directory.Record) { self.Watcher = watcher })
 }
 
 // isUsableSource tells whether a hub is still one to follow. One that does not reach a majority may miss what
 // the others acknowledge; it is left once another one can be followed.
-func (n *Node) isUsableSource(source *hub) bool {
+func (a *Agent) isUsableSource(source *hub) bool {
 	state := source.current()
-	return state.hasSnapshot && state.reachesMajority && source.link.Connected() && n.hubAt(source.ip) == source
+	return state.hasSnapshot && state.reachesMajority && source.link.Connected() && a.hubAt(source.ip) == source
 }
 
 // unsubscribe ends following where this process is a hub; subscriptionMu is held.
-func (n *Node) unsubscribe(f *subscription) {
+func (a *Agent) unsubscribe(f *subscription) {
 	wasFollower := f.source != nil
 	f.source = nil
 	if wasFollower {
-		n.announceSelf(func(self *directory.Record) { self.Watcher = "" })
+		a.announceSelf(func(self *directory.Record) { self.Watcher = "" })
 	}
 }
 
 // subscribe asks the present source for its feed; subscriptionMu is held.
-func (n *Node) subscribe() {
-	f := &n.subscription
-	request := peerproto.Follow{Feed: f.feed, Offset: int64(f.offset), Version: n.state.version()}
+func (a *Agent) subscribe() {
+	f := &a.subscription
+	request := peerproto.Follow{Feed: f.feed, Offset: int64(f.offset), Version: a.state.version()}
 	f.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
 }
 
 // chooseSource names the hub to follow: by rendezvous hashing over those that answer and reach a majority,
 // other than one to avoid where there is a choice. Where none reaches a majority, one that does not is better
 // than none.
-func (n *Node) chooseSource(avoid *hub) *hub {
+func (a *Agent) chooseSource(avoid *hub) *hub {
 	var inMajority, others []*hub
-	for _, h := range n.currentHubs() {
+	for _, h := range a.currentHubs() {
 		state := h.current()
 		switch {
 		case state.lastSeen == 0 || !state.hasSnapshot || !h.link.Connected():
@@ -115,17 +115,17 @@
 		}
 	}
 	if followsNone := avoid == nil || !avoid.link.Connected(); followsNone && len(inMajority) == 0 {
-		return n.firstByRank(others, nil)
+		return a.firstByRank(others, nil)
 	}
-	return n.firstByRank(inMajority, avoid)
+	return a.firstByRank(inMajority, avoid)
 }
 
 // firstByRank returns the hub that ranks first for this process, the one to avoid last.
-func (n *Node) firstByRank(hubs []*hub, avoid *hub) *hub {
+func (a *Agent) firstByRank(hubs []*hub, avoid *hub) *hub {
 	var best *hub
 	var bestRank uint64
 	for _, h := range hubs {
-		rank := xxhash.Sum64String(n.settings.Name + "/" + h.ip)
+		rank := xxhash.Sum64String(a.settings.Name + "/" + h.ip)
 		if h == avoid {
 			rank = 0
 		}
@@ -137,9 +137,9 @@
 }
 
 // handleHubFrame takes a frame that answers no call: a piece of the feed.
-func (n *Node) handleHubFrame(h *hub, frame peerproto.Frame) {
+func (a *Agent) handleHubFrame(h *hub, frame peerproto.Frame) {
 	if frame.Kind == peerproto.KindLoadReport {
-		n.handleLoad(h, frame)
+		a.handleLoad(h, frame)
 		return
 	}
 	if frame.Kind != peerproto.KindFeed {
@@ -150,103 +150,103 @@
 		h.link.Reset()
 		return
 	}
-	n.handleFeed(h, &feed)
+	a.handleFeed(h, &feed)
 }
 
-func (n *Node) handleFeed(h *hub, feed *peerproto.Feed) {
-	n.subscriptionMu.Lock()
-	defer n.subscriptionMu.Unlock()
-	f := &n.subscription
+func (a *Agent) handleFeed(h *hub, feed *peerproto.Feed) {
+	a.subscriptionMu.Lock()
+	defer a.subscriptionMu.Unlock()
+	f := &a.subscription
 	if f.source != h {
 		return
 	}
-	f.lastReceived = n.now()
-	n.applyPacked(feed.Config)
-	if n.state.learnView(feed.Epoch, feed.Members) {
-		go n.updateHubs()
+	f.lastReceived = a.now()
+	a.applyPacked(feed.Config)
+	if a.state.learnView(feed.Epoch, feed.Members) {
+		go a.updateHubs()
 	}
 	continues := feed.Feed == f.feed && uint64(feed.From) == f.offset
 	if feed.From != 0 && !continues {
-		n.subscribe() // a piece is missing
+		a.subscribe() // a piece is missing
 		return
 	}
-	n.mergeRemote(feed.Records)
+	a.mergeRemote(feed.Records)
 	f.feed, f.offset = feed.Feed, uint64(feed.To)
-	n.state.setSynced()
+	a.state.setSynced()
 }
 
 // mergeRemote takes in records that another process told, and contradicts what is wrong of this process.
-func (n *Node) mergeRemote(records []directory.Record) {
+func (a *Agent) mergeRemote(records []directory.Record) {
 	if len(records) == 0 {
 		return
 	}
-	n.state.merge(n.now(), records)
-	n.refute()
+	a.state.merge(a.now(), records)
+	a.refute()
 }
 
 // refute tells the fleet that this process runs where its record says otherwise.
-func (n *Node) refute() {
+func (a *Agent) refute() {
 	var wrong bool
-	n.state.read(func(d *directory.Directory) {
-		known := d.Get(n.id)
+	a.state.read(func(d *directory.Directory) {
+		known := d.Get(a.id)
 		wrong = known != nil && known.State == directory.Lost
 	})
 	if wrong {
-		n.announceSelf(func(*directory.Record) {})
+		a.announceSelf(func(*directory.Record) {})
 	}
 }
 
 // announceSelf changes this process's own record and gives it the next sequence number.
-func (n *Node) announceSelf(f func(*directory.Record)) {
-	n.selfMu.Lock()
-	defer n.selfMu.Unlock()
-	n.state.read(func(d *directory.Directory) {
-		if known := d.Get(n.id); known != nil {
-			n.self.Sequence = max(n.self.Sequence, known.Sequence)
+func (a *Agent) announceSelf(f func(*directory.Record)) {
+	a.selfMu.Lock()
+	defer a.selfMu.Unlock()
+	a.state.read(func(d *directory.Directory) {
+		if known := d.Get(a.id); known != nil {
+			a.self.Sequence = max(a.self.Sequence, known.Sequence)
 		}
 	})
-	n.self.Sequence++
-	f(&n.self)
-	n.state.merge(n.now(), []directory.Record{n.self})
+	a.self.Sequence++
+	f(&a.self)
+	a.state.merge(a.now(), []directory.Record{a.self})
 }
 
 // applyDocument puts a document that another process holds to be in force in force here.
-func (n *Node) applyDocument(document []byte) {
+func (a *Agent) applyDocument(document []byte) {
 	if len(document) == 0 {
 		return
 	}
 	config, err := fleetconfig.Parse(document)
 	if err != nil {
-		n.log.Error().Err(err).Msg("feed: a configuration in force can't be read")
+		a.log.Error().Err(err).Msg("feed: a configuration in force can't be read")
 		return
 	}
-	n.applyConfig(config)
+	a.applyConfig(config)
 }
 
 // adopt puts a configuration that was acknowledged in force unless a newer one is.
-func (n *Node) applyConfig(config *fleetconfig.Config) {
-	if n.state.applyConfig(config) {
-		n.log.Info().Int64("version", config.Version).Msg("config: in force")
+func (a *Agent) applyConfig(config *fleetconfig.Config) {
+	if a.state.applyConfig(config) {
+		a.log.Info().Int64("version", config.Version).Msg("config: in force")
 	}
 }
 
 // fetchConfig asks a hub for a newer configuration where the feed did not bring it.
-func (n *Node) fetchConfig(h *hub) {
-	if n.state.Config() != nil {
+func (a *Agent) fetchConfig(h *hub) {
+	if a.state.Config() != nil {
 		time.Sleep(fetchDelay)
 	}
-	if h.current().lastSeen == 0 || !n.fetchingConfig.CompareAndSwap(false, true) {
+	if h.current().lastSeen == 0 || !a.fetchingConfig.CompareAndSwap(false, true) {
 		return
 	}
-	defer n.fetchingConfig.Store(false)
-	before := n.state.version()
+	defer a.fetchingConfig.Store(false)
+	before := a.state.version()
 	frame, err := h.link.Call(peerproto.KindConfigFetch, nil, fetchTimeout)
-	if err != nil || n.state.version() > before {
+	if err != nil || a.state.version() > before {
 		return
 	}
 	var result peerproto.Result
 	if peerproto.Decode(frame.Body, &result) == nil && result.Outcome == peerproto.OutcomeAccepted &&
-		result.Version > n.state.version() {
-		n.applyPacked(result.Body)
+		result.Version > a.state.version() {
+		a.applyPacked(result.Body)
 	}
 }
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -22,22 +22,22 @@
 	goldenCompacted = "0000000000000002.segment"
 )
 
-// diskNode is a process with a front and with a data directory, which is a copy of the golden one or empty.
-func diskNode(c *qt.C, t *testing.T, golden bool) *Node {
-	n := newTestNode(t)
-	n.id = "proxy-1"
-	n.settings.DataDir = t.TempDir()
-	n.front = dataplane.New(n.settings, (*frontState)(n), zerolog.Nop())
+// diskAgent is a process with a front and with a data directory, which is a copy of the golden one or empty.
+func diskAgent(c *qt.C, t *testing.T, golden bool) *Agent {
+	a := newTestAgent(t)
+	a.id = "proxy-1"
+	a.settings.DataDir = t.TempDir()
+	a.proxy = dataplane.New(a.settings, (*dataplaneState)(a), zerolog.Nop())
 	if golden {
-		c.Assert(os.CopyFS(n.settings.DataDir, os.DirFS(goldenPath(goldenData))), qt.IsNil)
+		c.Assert(os.CopyFS(a.settings.DataDir, os.DirFS(goldenPath(goldenData))), qt.IsNil)
 	}
-	return n
+	return a
 }
 
 // checkWritten compares a file of a process's data directory with a golden one.
-func checkWritten(c *qt.C, n *Node, name, golden string) {
+func checkWritten(c *qt.C, a *Agent, name, golden string) {
 	c.Helper()
-	written, err := os.ReadFile(filepath.Join(n.settings.DataDir, name))
+	written, err := os.ReadFile(filepath.Join(a.settings.DataDir, name))
 	c.Assert(err, qt.IsNil)
 	checkGolden(c, golden, written)
 }
@@ -54,8 +54,8 @@
 // process writes it with.
 func TestGoldenDataDirectoryIsWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	n := diskNode(c, t, false)
-	log, _, err := openLog(n)
+	a := diskAgent(c, t, false)
+	log, _, err := openLog(a)
 	c.Assert(err, qt.IsNil)
 	c.Assert(log.Append(chainRecord(c, "identity")), qt.IsNil)
 	var records [][]byte
@@ -66,18 +66,18 @@
 	c.Assert(log.Append(chainRecord(c, "successor")), qt.IsNil)
 	c.Assert(log.Close(), qt.IsNil)
 	segment := filepath.Join(chainFolder, goldenSegment)
-	checkWritten(c, n, segment, filepath.Join(goldenData, segment))
+	checkWritten(c, a, segment, filepath.Join(goldenData, segment))
 
-	n.state.merge(n.now(), goldenDiskRecords())
+	a.state.merge(a.now(), goldenDiskRecords())
 	var live []directory.Record
-	n.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
-	c.Assert(n.saved().writeRecords(serversFile, live), qt.IsNil)
-	checkWritten(c, n, "servers", filepath.Join(goldenData, "servers"))
-	n.saveProxies()
-	checkWritten(c, n, "proxies", filepath.Join(goldenData, "proxies"))
-	n.front.CatchUp(promptsAt(7, 1<<64-3)) // saved the newest first
-	n.savePrompts()
-	checkWritten(c, n, "prompts", filepath.Join(goldenData, "prompts"))
+	a.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
+	c.Assert(a.saved().writeRecords(serversFile, live), qt.IsNil)
+	checkWritten(c, a, "servers", filepath.Join(goldenData, "servers"))
+	a.saveProxies()
+	checkWritten(c, a, "proxies", filepath.Join(goldenData, "proxies"))
+	a.proxy.CatchUp(promptsAt(7, 1<<64-3)) // saved the newest first
+	a.savePrefixIndex()
+	checkWritten(c, a, "prompts", filepath.Join(goldenData, "prompts"))
 }
 
 // goldenDiskRecords are two servers that run, one that is lost, which is not saved, and two proxies.
@@ -99,8 +99,8 @@
 // begins the log anew with a snapshot.
 func TestGoldenChainFolderIsRead(t *testing.T) {
 	c := qt.New(t)
-	n := diskNode(c, t, true)
-	member, err := openChainMember(n)
+	a := diskAgent(c, t, true)
+	member, err := openChainMember(a)
 	c.Assert(err, qt.IsNil)
 	defer member.closeLog()
 	c.Assert(member.identity, qt.Equals, "m0")
@@ -115,14 +115,14 @@
 	c.Assert(known, qt.IsTrue)
 	c.Assert(entry, qt.DeepEquals, chain.Entry{Epoch: 299, Sequence: 200, Version: 40,
 		Body: []byte(goldenDocument)})
-	n.applyStored(<-member.committed)
-	checkConfig(c, n, 40, goldenDocument)
+	a.applyStored(<-member.committed)
+	checkConfig(c, a, 40, goldenDocument)
 
 	c.Assert(member.log.Compact(member.machine.SnapshotRecords()), qt.IsNil)
-	checkWritten(c, n, filepath.Join(chainFolder, goldenCompacted), goldenCompacted)
-	c.Assert(os.Remove(filepath.Join(n.settings.DataDir, chainFolder, goldenCompacted)), qt.IsNil)
+	checkWritten(c, a, filepath.Join(chainFolder, goldenCompacted), goldenCompacted)
+	c.Assert(os.Remove(filepath.Join(a.settings.DataDir, chainFolder, goldenCompacted)), qt.IsNil)
 
-	compacted := diskNode(c, t, false)
+	compacted := diskAgent(c, t, false)
 	folder := filepath.Join(compacted.settings.DataDir, chainFolder)
 	c.Assert(os.Mkdir(folder, 0o700), qt.IsNil)
 	snapshot := readGolden(c, goldenCompacted)
@@ -137,37 +137,37 @@
 // TestGoldenSavedFilesAreRead loads the files as the process does at its start, and writes them again.
 func TestGoldenSavedFilesAreRead(t *testing.T) {
 	c := qt.New(t)
-	n := diskNode(c, t, true)
+	a := diskAgent(c, t, true)
 	records := goldenDiskRecords()
-	servers, err := n.saved().readRecords(serversFile)
+	servers, err := a.saved().readRecords(serversFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(servers, qt.DeepEquals, []directory.Record{records[0], records[3]})
-	c.Assert(n.loadServers(), qt.IsTrue)
+	c.Assert(a.loadServers(), qt.IsTrue)
 	var live []directory.Record
-	n.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
+	a.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
 	c.Assert(live, qt.DeepEquals, servers)
-	c.Assert(n.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
-	c.Assert(n.front.KnownPrompts(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
-	proxies, err := n.saved().readRecords(proxiesFile)
+	c.Assert(a.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
+	c.Assert(a.proxy.KnownPrompts(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
+	proxies, err := a.saved().readRecords(proxiesFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
 		{Kind: directory.KindProxy, Address: "10.0.0.3"}})
-	n.loadProxies()
-	c.Assert(n.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
-	prompts, err := n.saved().read(promptsFile)
+	a.loadProxies()
+	c.Assert(a.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
+	prompts, err := a.saved().read(promptsFile)
 	c.Assert(err, qt.IsNil)
 	var work peerproto.LoadReport
 	c.Assert(peerproto.Decode(prompts, &work), qt.IsNil)
 	c.Assert(work.FullIndex, qt.IsTrue)
-	c.Assert(decodePrompts(work.Prefixes), qt.DeepEquals, promptsAt(1<<64-3, 7))
+	c.Assert(decodePrefixes(work.Prefixes), qt.DeepEquals, promptsAt(1<<64-3, 7))
 
 	for _, name := range []string{"servers", "prompts", "proxies"} {
-		c.Assert(os.Remove(filepath.Join(n.settings.DataDir, name)), qt.IsNil)
+		c.Assert(os.Remove(filepath.Join(a.settings.DataDir, name)), qt.IsNil)
 	}
-	n.saveProxies()
-	c.Assert(n.saved().write(promptsFile, peerproto.Encode(&work)), qt.IsNil)
-	checkWritten(c, n, "proxies", filepath.Join(goldenData, "proxies"))
-	checkWritten(c, n, "prompts", filepath.Join(goldenData, "prompts"))
-	c.Assert(n.saved().writeRecords(serversFile, servers), qt.IsNil)
-	checkWritten(c, n, "servers", filepath.Join(goldenData, "servers"))
+	a.saveProxies()
+	c.Assert(a.saved().write(promptsFile, peerproto.Encode(&work)), qt.IsNil)
+	checkWritten(c, a, "proxies", filepath.Join(goldenData, "proxies"))
+	checkWritten(c, a, "prompts", filepath.Join(goldenData, "prompts"))
+	c.Assert(a.saved().writeRecords(serversFile, servers), qt.IsNil)
+	checkWritten(c, a, "servers", filepath.Join(goldenData, "servers"))
 }
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -39,13 +39,13 @@
 	c.Assert(written, qt.DeepEquals, readGolden(c, name), qt.Commentf("%s", name))
 }
 
-// goldenNode is a process whose id, view and directory are always the same.
-func goldenNode(t *testing.T) *Node {
-	n := newTestNode(t)
-	n.id = "proxy-1"
-	n.state.learnView(7, goldenMembers())
-	n.state.merge(n.now(), goldenRecords())
-	return n
+// goldenAgent is a process whose id, view and directory are always the same.
+func goldenAgent(t *testing.T) *Agent {
+	a := newTestAgent(t)
+	a.id = "proxy-1"
+	a.state.learnView(7, goldenMembers())
+	a.state.merge(a.now(), goldenRecords())
+	return a
 }
 
 func goldenMembers() []peerproto.MemberInfo {
@@ -119,27 +119,27 @@
 // and another one's copy of it.
 func TestGoldenDirectoryFramesAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	n := goldenNode(t)
-	checkGolden(c, "status.bin", peerproto.Encode(n.status()))
+	a := goldenAgent(t)
+	checkGolden(c, "status.bin", peerproto.Encode(a.status()))
 	var status peerproto.Status
 	c.Assert(peerproto.Decode(readGolden(c, "status.bin"), &status), qt.IsNil)
 	c.Assert(status, qt.DeepEquals, peerproto.Status{ID: "proxy-1", Epoch: 7, Members: goldenMembers()})
 
-	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(n.nextFeed(0, -1)))
+	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(a.nextFeed(0, -1)))
 	var snapshot, feed peerproto.Feed
 	c.Assert(peerproto.Decode(readGolden(c, "feed_snapshot.bin"), &snapshot), qt.IsNil)
 	c.Assert(snapshot, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", To: 3, Records: goldenRecords(),
 		Config: []byte{}, Epoch: 7, Members: goldenMembers()})
-	checkGolden(c, "feed_piece.bin", peerproto.Encode(n.nextFeed(2, 7)))
+	checkGolden(c, "feed_piece.bin", peerproto.Encode(a.nextFeed(2, 7)))
 	c.Assert(peerproto.Decode(readGolden(c, "feed_piece.bin"), &feed), qt.IsNil)
 	c.Assert(feed, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", From: 2, To: 3,
 		Records: goldenRecords()[2:], Config: []byte{}, Epoch: 7,
 		Members: []peerproto.MemberInfo{}})
 
-	checkGolden(c, "compare.bin", peerproto.Encode(&peerproto.Comparison{Digest: n.digest()}))
+	checkGolden(c, "compare.bin", peerproto.Encode(&peerproto.Comparison{Digest: a.digest()}))
 	var request peerproto.Comparison
 	c.Assert(peerproto.Decode(readGolden(c, "compare.bin"), &request), qt.IsNil)
-	follower := newTestNode(t)
+	follower := newTestAgent(t)
 	c.Assert(follower.digest(), qt.Not(qt.DeepEquals), request.Digest)
 	follower.state.merge(follower.now(), snapshot.Records)
 	c.Assert(follower.digest(), qt.DeepEquals, request.Digest)
@@ -167,23 +167,23 @@
 	prompts := []scheduler.CachedPrefixes{{Server: "server-1", Hashes: []uint64{1, 1<<64 - 3}},
 		{Server: "server-2", Hashes: []uint64{1 << 63}}}
 	checkGolden(c, "work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true, Servers: encodeLoad(changes),
-		FullIndex: true, Prefixes: encodePrompts(prompts)}))
+		FullIndex: true, Prefixes: encodePrefixes(prompts)}))
 	var work peerproto.LoadReport
 	c.Assert(peerproto.Decode(readGolden(c, "work.bin"), &work), qt.IsNil)
 	c.Assert(work.Full && work.FullIndex, qt.IsTrue)
 	c.Assert(decodeLoad(work.Servers), qt.DeepEquals, changes)
-	c.Assert(decodePrompts(work.Prefixes), qt.DeepEquals, prompts)
+	c.Assert(decodePrefixes(work.Prefixes), qt.DeepEquals, prompts)
 
-	n := goldenNode(t)
+	a := goldenAgent(t)
 	told := &sharedWork{}
-	n.workload = told
-	n.load.applyOwn(&peerproto.LoadReport{Servers: encodeLoad(changes[:1]),
-		Prefixes: encodePrompts(prompts[:1])})
-	local := n.load.localLoad()
+	a.workload = told
+	a.load.applyOwn(&peerproto.LoadReport{Servers: encodeLoad(changes[:1]),
+		Prefixes: encodePrefixes(prompts[:1])})
+	local := a.load.localLoad()
 	checkGolden(c, "hub_work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true,
-		Servers: n.load.loadExcept(local, nil, true), Prefixes: n.load.localPrompts}))
+		Servers: a.load.loadExcept(local, nil, true), Prefixes: a.load.localPrefixes}))
 
-	other := goldenNode(t)
+	other := goldenAgent(t)
 	other.workload = told
 	other.load.applyHub(nil, readGolden(c, "hub_work.bin"))
 	other.load.distribute(true)
@@ -195,11 +195,11 @@
 // TestGoldenDemandsAreRead takes in what another proxy told with a ping.
 func TestGoldenDemandsAreRead(t *testing.T) {
 	c := qt.New(t)
-	n := goldenNode(t)
+	a := goldenAgent(t)
 	checkGolden(c, "demands.bin", peerproto.Encode(&peerproto.Demands{Services: []peerproto.Demand{
 		{Service: "chat", Prefill: 1.5, Decode: 2.25}, {Service: "other", Prefill: 3, Decode: 4}}}))
-	n.demand.record("proxy-2", n.now(), readGolden(c, "demands.bin"))
-	c.Assert(n.demand.total("chat", n.now()), qt.Equals,
+	a.demand.record("proxy-2", a.now(), readGolden(c, "demands.bin"))
+	c.Assert(a.demand.total("chat", a.now()), qt.Equals,
 		roleplan.Demand{HasTraffic: true, PrefillCalls: 1.5, DecodeCalls: 2.25})
 }
 
@@ -215,18 +215,18 @@
 // deflates in another way, only their writing fails, and the files may be written anew.
 func TestGoldenConfigurationsAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	n := goldenNode(t)
-	n.applyDocument([]byte(goldenDocument))
-	checkGolden(c, "config_result.bin", peerproto.Encode(n.configInForce()))
-	adoptPatch(c, n, goldenPatch)
-	config := n.state.Config()
-	checkGolden(c, "config_patches.bin", n.configUpdate(config, 40))
-	checkGolden(c, "config_packed.bin", n.configUpdate(config, 0))
+	a := goldenAgent(t)
+	a.applyDocument([]byte(goldenDocument))
+	checkGolden(c, "config_result.bin", peerproto.Encode(a.configInForce()))
+	adoptPatch(c, a, goldenPatch)
+	config := a.state.Config()
+	checkGolden(c, "config_patches.bin", a.configUpdate(config, 40))
+	checkGolden(c, "config_packed.bin", a.configUpdate(config, 0))
 	patch, err := fleetconfig.ParsePatch(40, []byte(goldenPatch))
 	c.Assert(err, qt.IsNil)
 	checkGolden(c, "config_stored.bin", fleetconfig.EncodeStored(patch, config.Raw()))
 
-	follower := goldenNode(t)
+	follower := goldenAgent(t)
 	var result peerproto.Result
 	c.Assert(peerproto.Decode(readGolden(c, "config_result.bin"), &result), qt.IsNil)
 	c.Assert(result.Outcome, qt.Equals, peerproto.OutcomeAccepted)
@@ -237,7 +237,7 @@
 	checkConfig(c, follower, 41, goldenPatched)
 
 	for _, before := range []string{"", goldenDocument} {
-		packed, stored := goldenNode(t), goldenNode(t)
+		packed, stored := goldenAgent(t), goldenAgent(t)
 		packed.applyDocument([]byte(before))
 		packed.applyPacked(readGolden(c, "config_packed.bin"))
 		checkConfig(c, packed, 41, goldenPatched)
@@ -249,8 +249,8 @@
 		"285c92064f1e7ce03f0925b3225a077f7ca1a85eca4fcea4bc983d980fa301a0")
 }
 
-func checkConfig(c *qt.C, n *Node, version int64, document string) {
+func checkConfig(c *qt.C, a *Agent, version int64, document string) {
 	c.Helper()
-	c.Assert(n.state.version(), qt.Equals, version)
-	c.Assert(string(n.state.Config().Raw()), qt.Equals, document)
+	c.Assert(a.state.version(), qt.Equals, version)
+	c.Assert(string(a.state.Config().Raw()), qt.Equals, document)
 }
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -46,12 +46,12 @@
 	return lastSeen > 0 && now-lastSeen <= contactTimeout
 }
 
-func (n *Node) newHub(ip string) *hub {
+func (a *Agent) newHub(ip string) *hub {
 	h := &hub{ip: ip, stop: make(chan struct{})}
-	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: n.id}) }
-	handle := func(frame peerproto.Frame) { n.handleHubFrame(h, frame) }
+	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: a.id}) }
+	handle := func(frame peerproto.Frame) { a.handleHubFrame(h, frame) }
 	up := make(chan struct{}, 1)
-	h.link = n.endpoint.NewLink(n.peerAddress(ip), hello, handle, func(isUp bool) {
+	h.link = a.endpoint.NewLink(a.peerAddress(ip), hello, handle, func(isUp bool) {
 		h.mu.Lock()
 		h.state.replicatedTo, h.state.lastSeen = 0, 0
 		h.mu.Unlock()
@@ -60,18 +60,18 @@
 		default:
 		}
 	})
-	go n.pingHub(h, up)
-	go n.pushToHub(h)
+	go a.pingHub(h, up)
+	go a.pushToHub(h)
 	return h
 }
 
 // pingHub keeps the link known to be alive and learns from the answers.
-func (n *Node) pingHub(h *hub, up <-chan struct{}) {
+func (a *Agent) pingHub(h *hub, up <-chan struct{}) {
 	for {
-		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(n.demand.own()), pingTimeout)
+		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(a.demand.own()), pingTimeout)
 		switch err {
 		case nil:
-			n.handleStatus(h, frame)
+			a.handleStatus(h, frame)
 		case transport.ErrTimeout:
 			h.link.Reset()
 		}
@@ -79,17 +79,17 @@
 		case <-h.stop:
 			return
 		case <-up:
-		case <-time.After(n.untilPing()):
+		case <-time.After(a.untilPing()):
 		}
 	}
 }
 
 // untilPing is the pause before the next ping: a short one while this process follows nobody, or is a member
 // that does not reach a majority.
-func (n *Node) untilPing() time.Duration {
-	established := n.isSubscribed()
-	if n.isHub() {
-		established = n.reachesFleet()
+func (a *Agent) untilPing() time.Duration {
+	established := a.isSubscribed()
+	if a.isHub() {
+		established = a.reachesFleet()
 	}
 	if established {
 		return pingInterval
@@ -97,13 +97,13 @@
 	return eagerPingInterval
 }
 
-func (n *Node) handleStatus(h *hub, frame peerproto.Frame) {
+func (a *Agent) handleStatus(h *hub, frame peerproto.Frame) {
 	var status peerproto.Status
 	if peerproto.Decode(frame.Body, &status) != nil {
 		h.link.Reset()
 		return
 	}
-	now := n.now()
+	now := a.now()
 	h.mu.Lock()
 	if h.state.id != "" && h.state.id != status.ID {
 		h.state.replicatedTo = 0 // another process: it knows nothing yet
@@ -111,14 +111,14 @@
 	h.state.id, h.state.lastSeen = status.ID, now
 	h.state.hasSnapshot, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
 	h.mu.Unlock()
-	n.hubsMu.Lock()
-	n.lastHubContact = now
-	n.hubsMu.Unlock()
-	n.learnStatusView(&status)
-	if !n.isSubscribed() {
-		n.updateSource() // need not wait for its turn
+	a.hubsMu.Lock()
+	a.lastHubContact = now
+	a.hubsMu.Unlock()
+	a.learnStatusView(&status)
+	if !a.isSubscribed() {
+		a.updateSource() // need not wait for its turn
 	}
-	if status.Version > n.state.version() {
-		go n.fetchConfig(h)
+	if status.Version > a.state.version() {
+		go a.fetchConfig(h)
 	}
 }
--- a/internal/router/agent/hub_push.go
+++ b/internal/router/agent/hub_push.go
@@ -11,10 +11,10 @@
 const pushTimeout = time.Second
 
 // pushToHub sends the records that this process answers for whenever they change, until the hub has them.
-func (n *Node) pushToHub(h *hub) {
+func (a *Agent) pushToHub(h *hub) {
 	for {
-		changed := n.state.nextChange()
-		if n.pushOnce(h) {
+		changed := a.state.nextChange()
+		if a.pushOnce(h) {
 			select {
 			case <-h.stop:
 				return
@@ -32,14 +32,14 @@
 }
 
 // pushOnce tells whether the hub has all records of this process.
-func (n *Node) pushOnce(h *hub) bool {
+func (a *Agent) pushOnce(h *hub) bool {
 	replicatedTo := h.current().replicatedTo
 	var records []directory.Record
 	var number uint64
-	n.state.read(func(d *directory.Directory) {
+	a.state.read(func(d *directory.Directory) {
 		number = d.Offset()
 		for _, r := range d.Since(replicatedTo) {
-			if r.ID == n.id || r.Watcher == n.id {
+			if r.ID == a.id || r.Watcher == a.id {
 				records = append(records, *r)
 			}
 		}
@@ -59,6 +59,6 @@
 	}
 	complete := h.state.replicatedTo >= number
 	h.mu.Unlock()
-	n.notifyReplicated()
+	a.notifyReplicated()
 	return complete
 }
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"cmp"
 	"net"
 	"slices"
 	"strconv"
@@ -16,31 +17,31 @@
 const isolatedAfter = 1500 * time.Millisecond
 
 // peerAddress returns where the process of a machine takes calls of others.
-func (n *Node) peerAddress(ip string) string {
-	return net.JoinHostPort(ip, strconv.Itoa(n.settings.InnerPorts[0]))
+func (a *Agent) peerAddress(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(a.settings.InnerPorts[0]))
 }
 
 // hubAddresses returns the IPs of the hubs but for this machine's own.
-func (n *Node) hubAddresses() []string {
+func (a *Agent) hubAddresses() []string {
 	var ips []string
 	add := func(ip string) {
-		if ip != n.settings.IP && !slices.Contains(ips, ip) {
+		if ip != a.settings.IP && !slices.Contains(ips, ip) {
 			ips = append(ips, ip)
 		}
 	}
-	for _, member := range n.state.currentView().members {
+	for _, member := range a.state.currentView().members {
 		add(member.Address)
 	}
-	if len(ips) > 0 && !n.isIsolated() {
+	if len(ips) > 0 && !a.isIsolated() {
 		return ips
 	}
-	for _, seed := range n.seeds() {
+	for _, seed := range a.seeds() {
 		if ip, _, err := net.SplitHostPort(seed); err == nil {
 			add(ip)
 		}
 	}
-	if n.isIsolated() {
-		n.state.read(func(d *directory.Directory) {
+	if a.isIsolated() {
+		a.state.read(func(d *directory.Directory) {
 			for i, proxy := range d.Proxies() {
 				if i < 3 {
 					add(proxy.Address)
@@ -52,73 +53,73 @@
 }
 
 // isHub tells whether this process is one that others report to.
-func (n *Node) isHub() bool {
-	view := n.state.currentView()
+func (a *Agent) isHub() bool {
+	view := a.state.currentView()
 	if view.epoch == 0 {
-		return slices.ContainsFunc(n.seeds(), func(seed string) bool {
+		return slices.ContainsFunc(a.seeds(), func(seed string) bool {
 			ip, _, _ := net.SplitHostPort(seed)
-			return ip == n.settings.IP
+			return ip == a.settings.IP
 		})
 	}
-	return view.hasMember(n.settings.IP)
+	return view.hasMember(a.settings.IP)
 }
 
 // isIsolated tells whether no hub has answered for long.
-func (n *Node) isIsolated() bool {
-	n.hubsMu.Lock()
-	defer n.hubsMu.Unlock()
-	return n.now()-n.lastHubContact > isolatedAfter
+func (a *Agent) isIsolated() bool {
+	a.hubsMu.Lock()
+	defer a.hubsMu.Unlock()
+	return a.now()-a.lastHubContact > isolatedAfter
 }
 
 // currentHubs returns the links to all hubs, sorted by address.
-func (n *Node) currentHubs() []*hub {
-	n.hubsMu.Lock()
-	defer n.hubsMu.Unlock()
-	hubs := make([]*hub, 0, len(n.hubs))
-	for _, h := range n.hubs {
+func (a *Agent) currentHubs() []*hub {
+	a.hubsMu.Lock()
+	defer a.hubsMu.Unlock()
+	hubs := make([]*hub, 0, len(a.hubs))
+	for _, h := range a.hubs {
 		hubs = append(hubs, h)
 	}
-	slices.SortFunc(hubs, func(a, b *hub) int { return compareText(a.ip, b.ip) })
+	slices.SortFunc(hubs, func(a, b *hub) int { return cmp.Compare(a.ip, b.ip) })
 	return hubs
 }
 
 // hubAt returns the link to a hub, nil where there is none.
-func (n *Node) hubAt(ip string) *hub {
-	n.hubsMu.Lock()
-	defer n.hubsMu.Unlock()
-	return n.hubs[ip]
+func (a *Agent) hubAt(ip string) *hub {
+	a.hubsMu.Lock()
+	defer a.hubsMu.Unlock()
+	return a.hubs[ip]
 }
 
 // updateHubs opens links to new hubs and closes those to processes that are hubs no more.
-func (n *Node) updateHubs() {
-	wanted := n.hubAddresses()
-	n.hubsMu.Lock()
-	defer n.hubsMu.Unlock()
-	if n.linksClosed {
+func (a *Agent) updateHubs() {
+	wanted := a.hubAddresses()
+	a.hubsMu.Lock()
+	defer a.hubsMu.Unlock()
+	if a.linksClosed {
 		return
 	}
-	for ip, h := range n.hubs {
+	for ip, h := range a.hubs {
 		if !slices.Contains(wanted, ip) {
 			close(h.stop)
 			h.link.Stop()
-			delete(n.hubs, ip)
+			delete(a.hubs, ip)
 		}
 	}
 	for _, ip := range wanted {
-		if n.hubs[ip] == nil {
-			n.hubs[ip] = n.newHub(ip)
+		if a.hubs[ip] == nil {
+			a.hubs[ip] = a.newHub(ip)
 		}
 	}
 }
 
 // closeLinks closes the links to all hubs for good.
-func (n *Node) closeLinks() {
-	n.hubsMu.Lock()
-	defer n.hubsMu.Unlock()
-	n.linksClosed = true
-	for ip, h := range n.hubs {
+func (a *Agent) closeLinks() {
+	a.hubsMu.Lock()
+	defer a.hubsMu.Unlock()
+	a.linksClosed = true
+	for ip, h := range a.hubs {
 		close(h.stop)
 		h.link.Stop()
-		delete(n.hubs, ip)
+		delete(a.hubs, ip)
 	}
 }
--- a/internal/router/agent/inspect.go
+++ b/internal/router/agent/inspect.go
@@ -9,40 +9,40 @@
 // What a process that runs many nodes may look at in each of them.
 
 // ID returns the id of this process's record in the directory.
-func (n *Node) ID() string { return n.id }
+func (a *Agent) ID() string { return a.id }
 
 // ConfigVersion returns the version of the configuration in force, 0 for none.
-func (n *Node) ConfigVersion() int64 { return n.state.version() }
+func (a *Agent) ConfigVersion() int64 { return a.state.version() }
 
 // Epoch returns the number of the newest view of the control state that this process has heard of, 0 for
 // none.
-func (n *Node) Epoch() int64 { return n.state.currentView().epoch }
+func (a *Agent) Epoch() int64 { return a.state.currentView().epoch }
 
 // Servers returns the servers that may get new requests.
-func (n *Node) Servers() *catalog.Table { return n.state.Servers() }
+func (a *Agent) Servers() *catalog.Table { return a.state.Servers() }
 
 // Synced tells whether the process knows the fleet well enough to take clients.
-func (n *Node) Synced() bool { return n.state.isSynced() }
+func (a *Agent) Synced() bool { return a.state.isSynced() }
 
 // IsHub tells whether others report to this process.
-func (n *Node) IsHub() bool { return n.isHub() }
+func (a *Agent) IsHub() bool { return a.isHub() }
 
 // FollowedHub returns the IP of the hub whose feed this process follows, "" for none.
-func (n *Node) FollowedHub() string {
-	n.subscriptionMu.Lock()
-	defer n.subscriptionMu.Unlock()
-	if source := n.subscription.source; source != nil {
+func (a *Agent) FollowedHub() string {
+	a.subscriptionMu.Lock()
+	defer a.subscriptionMu.Unlock()
+	if source := a.subscription.source; source != nil {
 		return source.ip
 	}
 	return ""
 }
 
 // Traffic returns what went between this process and others.
-func (n *Node) Traffic() transport.Traffic { return n.endpoint.Traffic() }
+func (a *Agent) Traffic() transport.Traffic { return a.endpoint.Traffic() }
 
 // Records returns how many records of servers, processes and orders are kept, and how many are of live ones.
-func (n *Node) Records() (all, live int) {
-	n.state.read(func(d *directory.Directory) {
+func (a *Agent) Records() (all, live int) {
+	a.state.read(func(d *directory.Directory) {
 		for _, record := range d.Since(0) {
 			all++
 			if record.Live() {
--- a/internal/router/agent/inspection.go
+++ b/internal/router/agent/inspection.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"cmp"
 	"encoding/json"
 	"slices"
 
@@ -59,13 +60,13 @@
 	directory.Ready: "ready", directory.Draining: "draining", directory.Lost: "lost", directory.Ended: "ended",
 }
 
-func (n *Node) listMembers(call *controlserver.Call) *http1.Response {
+func (a *Agent) listMembers(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
 		return onlyGet()
 	}
-	view := n.state.currentView()
-	list := memberList{Asked: n.id, Version: n.state.version(), Epoch: view.epoch, Members: []listedMember{}}
-	n.state.read(func(d *directory.Directory) {
+	view := a.state.currentView()
+	list := memberList{Asked: a.id, Version: a.state.version(), Epoch: view.epoch, Members: []listedMember{}}
+	a.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindProxy) {
 			list.Members = append(list.Members, listMember(record, &view))
 		}
@@ -85,12 +86,12 @@
 	}
 }
 
-func (n *Node) listServers(call *controlserver.Call) *http1.Response {
+func (a *Agent) listServers(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
 		return onlyGet()
 	}
-	list := serverList{Asked: n.id, Servers: []listedServer{}}
-	n.state.read(func(d *directory.Directory) {
+	list := serverList{Asked: a.id, Servers: []listedServer{}}
+	a.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindServer) {
 			list.Servers = append(list.Servers, listServer(d, record))
 		}
@@ -113,7 +114,7 @@
 // recordsOf returns the records of one kind, sorted by id.
 func recordsOf(d *directory.Directory, kind directory.Kind) []*directory.Record {
 	records := slices.DeleteFunc(d.Since(0), func(r *directory.Record) bool { return r.Kind != kind })
-	slices.SortFunc(records, func(a, b *directory.Record) int { return compareText(a.ID, b.ID) })
+	slices.SortFunc(records, func(a, b *directory.Record) int { return cmp.Compare(a.ID, b.ID) })
 	return records
 }
 
--- a/internal/router/agent/inspection_test.go
+++ b/internal/router/agent/inspection_test.go
@@ -14,19 +14,19 @@
 )
 
 // inspected returns a process that knows some records and does nothing.
-func inspected(c *qt.C, records ...directory.Record) *Node {
+func inspected(c *qt.C, records ...directory.Record) *Agent {
 	settings, err := agentsettings.Parse([]byte(`{"office":"front-a","ip":"127.0.0.1","inner_ports":[1,2],
 		"counters":{"control":"127.0.0.1:3"}}`))
 	c.Assert(err, qt.IsNil)
-	n, err := New(settings, zerolog.Nop())
+	a, err := New(settings, zerolog.Nop())
 	c.Assert(err, qt.IsNil)
-	n.state.merge(0, records)
-	return n
+	a.state.merge(0, records)
+	return a
 }
 
 // get reads a list into an answer.
-func get(c *qt.C, n *Node, path string, into any) {
-	answer := n.handleCall(&controlserver.Call{Method: "GET", Path: path})
+func get(c *qt.C, a *Agent, path string, into any) {
+	answer := a.handleCall(&controlserver.Call{Method: "GET", Path: path})
 	c.Assert(answer.Status, qt.Equals, 200)
 	c.Assert(answer.Header.Get("Content-Type"), qt.Equals, "application/json")
 	c.Assert(json.Unmarshal(answer.Body, into), qt.IsNil)
@@ -34,16 +34,16 @@
 
 func TestMembersAreListedWithTheirParts(t *testing.T) {
 	c := qt.New(t)
-	n := inspected(c,
+	a := inspected(c,
 		directory.Record{Kind: directory.KindProxy, ID: "p2", Sequence: 1, State: directory.Lost,
 			Address: "127.0.0.3", Name: "front-c", Control: "127.0.0.3:3", Zone: "kopli", Watcher: "p1"},
 		directory.Record{Kind: directory.KindProxy, ID: "p1", Sequence: 1, State: directory.Ready,
 			Address: "127.0.0.2", Name: "front-b", Control: "127.0.0.2:3", Member: "disk-1"},
 		directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 1, State: directory.Ready})
-	n.state.learnView(4, []peerproto.MemberInfo{{ID: "disk-1", Address: "127.0.0.2"}})
+	a.state.learnView(4, []peerproto.MemberInfo{{ID: "disk-1", Address: "127.0.0.2"}})
 	var list memberList
-	get(c, n, "/api/members", &list)
-	c.Assert(list, qt.DeepEquals, memberList{Asked: n.id, Epoch: 4, Members: []listedMember{
+	get(c, a, "/api/members", &list)
+	c.Assert(list, qt.DeepEquals, memberList{Asked: a.id, Epoch: 4, Members: []listedMember{
 		{ID: "p1", Name: "front-b", IP: "127.0.0.2", Control: "127.0.0.2:3", State: "ready", HasDisk: true,
 			KeepsConfig: true},
 		{ID: "p2", Name: "front-c", IP: "127.0.0.3", Control: "127.0.0.3:3", Zone: "kopli", State: "lost",
@@ -53,7 +53,7 @@
 
 func TestServersAreListedWithTheirOrders(t *testing.T) {
 	c := qt.New(t)
-	n := inspected(c,
+	a := inspected(c,
 		directory.Record{Kind: directory.KindServer, ID: "i-2", Sequence: 9, State: directory.Draining,
 			Service: "lookup", Address: "127.0.0.9:80", Slots: 6, Watcher: "p1"},
 		directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 7, State: directory.Ready,
@@ -61,8 +61,8 @@
 		directory.Record{Kind: directory.KindOrder, ID: directory.OrderID("i-1"), Sequence: 1,
 			State: directory.Ready, Stage: "reading"})
 	var list serverList
-	get(c, n, "/api/servers", &list)
-	c.Assert(list, qt.DeepEquals, serverList{Asked: n.id, Servers: []listedServer{
+	get(c, a, "/api/servers", &list)
+	c.Assert(list, qt.DeepEquals, serverList{Asked: a.id, Servers: []listedServer{
 		{ID: "i-1", Service: "model", Address: "127.0.0.8:80", Zone: "kopli", Version: "v1", Slots: 8,
 			State: "ready", Stage: "writing", ChangingTo: "reading", Sequence: 7},
 		{ID: "i-2", Service: "lookup", Address: "127.0.0.9:80", Slots: 6, State: "draining", Sequence: 9,
@@ -72,11 +72,11 @@
 
 func TestListsAreOnlyRead(t *testing.T) {
 	c := qt.New(t)
-	n := inspected(c)
+	a := inspected(c)
 	for _, path := range []string{"/api/members", "/api/servers"} {
-		answer := n.handleCall(&controlserver.Call{Method: "PUT", Path: path})
+		answer := a.handleCall(&controlserver.Call{Method: "PUT", Path: path})
 		c.Check(answer.Status, qt.Equals, 405)
 		var list map[string]any
-		get(c, n, path, &list)
+		get(c, a, path, &list)
 	}
 }
--- a/internal/router/agent/introductions.go
+++ b/internal/router/agent/introductions.go
@@ -36,7 +36,7 @@
 
 // introducer introduces a process to others. Its fields are of the goroutine that runs it, but for results.
 type viewAnnouncer struct {
-	node     *Node
+	agent    *Agent
 	targets  map[string]*announcementTarget // by IP
 	results  chan announcementResult
 	inFlight int
@@ -48,8 +48,8 @@
 	answered bool
 }
 
-func newViewAnnouncer(n *Node) *viewAnnouncer {
-	return &viewAnnouncer{node: n, targets: map[string]*announcementTarget{},
+func newViewAnnouncer(a *Agent) *viewAnnouncer {
+	return &viewAnnouncer{agent: a, targets: map[string]*announcementTarget{},
 		results: make(chan announcementResult, maxConcurrentAnnouncements)}
 }
 
@@ -64,7 +64,7 @@
 		case result := <-v.results:
 			v.recordResult(result)
 		case <-ticker.C:
-			if v.node.state.currentView().epoch > 0 {
+			if v.agent.state.currentView().epoch > 0 {
 				v.startDue(v.targetIPs())
 			}
 		}
@@ -73,7 +73,7 @@
 
 // begin starts the introductions that are due.
 func (v *viewAnnouncer) startDue(targetIPs []string) {
-	now := v.node.now()
+	now := v.agent.now()
 	for ip, target := range v.targets {
 		if !target.inFlight && !slices.Contains(targetIPs, ip) {
 			delete(v.targets, ip)
@@ -96,15 +96,15 @@
 
 // introduce tells one process the view.
 func (v *viewAnnouncer) announce(ip string) {
-	n := v.node
-	hello := peerproto.Encode(&peerproto.Hello{ID: n.id})
-	body := peerproto.Encode(n.status())
-	frame, err := n.endpoint.CallOnce(n.peerAddress(ip), hello, peerproto.KindAnnounce, body, announceTimeout)
+	a := v.agent
+	hello := peerproto.Encode(&peerproto.Hello{ID: a.id})
+	body := peerproto.Encode(a.status())
+	frame, err := a.endpoint.CallOnce(a.peerAddress(ip), hello, peerproto.KindAnnounce, body, announceTimeout)
 	result := announcementResult{ip: ip}
 	var status peerproto.Status
 	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
 		result.answered = status.Epoch > 0
-		n.learnStatusView(&status)
+		a.learnStatusView(&status)
 	}
 	v.results <- result
 }
@@ -118,51 +118,51 @@
 	if result.answered {
 		target.backoff = maxAnnounceBackoff
 	}
-	target.nextAt = v.node.now() + target.backoff
+	target.nextAt = v.agent.now() + target.backoff
 	target.backoff = min(2*target.backoff, maxAnnounceBackoff)
 }
 
 // wanted returns the IPs of the machines to which this process is to introduce itself.
 func (v *viewAnnouncer) targetIPs() []string {
-	n := v.node
-	isHub := n.isHub()
-	calling := n.callingAddresses()
+	a := v.agent
+	isHub := a.isHub()
+	calling := a.callingAddresses()
 	var ips []string
 	add := func(ip string) {
-		if ip != n.settings.IP && !calling[ip] && !slices.Contains(ips, ip) {
+		if ip != a.settings.IP && !calling[ip] && !slices.Contains(ips, ip) {
 			ips = append(ips, ip)
 		}
 	}
-	for _, seed := range n.seeds() {
+	for _, seed := range a.seeds() {
 		ip, _, err := net.SplitHostPort(seed)
 		target := v.targets[ip]
 		unsure := isHub || target == nil || !target.answered
-		if err == nil && unsure && !n.hubAnswers(ip) {
+		if err == nil && unsure && !a.hubAnswers(ip) {
 			add(ip)
 		}
 	}
 	if !isHub {
 		return ips
 	}
-	for _, ip := range n.knownProxies.addresses() {
+	for _, ip := range a.knownProxies.addresses() {
 		add(ip)
 	}
 	return ips
 }
 
 // hubAnswers tells whether a machine is a hub that has answered this process lately.
-func (n *Node) hubAnswers(ip string) bool {
-	h := n.hubAt(ip)
-	return h != nil && h.isResponsive(n.now())
+func (a *Agent) hubAnswers(ip string) bool {
+	h := a.hubAt(ip)
+	return h != nil && h.isResponsive(a.now())
 }
 
 // callingAddresses returns the machines whose processes have called this one lately.
-func (n *Node) callingAddresses() map[string]bool {
-	now := n.now()
+func (a *Agent) callingAddresses() map[string]bool {
+	now := a.now()
 	calling := map[string]bool{}
-	n.state.read(func(d *directory.Directory) {
+	a.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
-			if lastSeen, ok := n.lastSeenAt(proxy.ID); ok && now-lastSeen <= contactTimeout {
+			if lastSeen, ok := a.lastSeenAt(proxy.ID); ok && now-lastSeen <= contactTimeout {
 				calling[proxy.Address] = true
 			}
 		}
@@ -171,8 +171,8 @@
 }
 
 // learnStatusView takes in the view that another process told, and calls its members where it is news.
-func (n *Node) learnStatusView(status *peerproto.Status) {
-	if n.state.learnView(status.Epoch, status.Members) {
-		n.updateHubs()
+func (a *Agent) learnStatusView(status *peerproto.Status) {
+	if a.state.learnView(status.Epoch, status.Members) {
+		a.updateHubs()
 	}
 }
--- a/internal/router/agent/leave_test.go
+++ b/internal/router/agent/leave_test.go
@@ -33,10 +33,10 @@
 func leaveWhileTheDiskIsOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		n := newTestNode(t)
+		a := newTestAgent(t)
 		disk := &hangingFiles{gate: make(chan struct{})}
-		n.settings.DataDir, n.files = t.TempDir(), disk
-		control := newDeferredStore(n)
+		a.settings.DataDir, a.files = t.TempDir(), disk
+		control := newDeferredStore(a)
 		done := make(chan struct{})
 		control.start(done)
 		synctest.Wait()
@@ -56,9 +56,9 @@
 func leaveInAFullQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		n := newTestNode(t)
-		n.settings.DataDir = t.TempDir()
-		member, err := openChainMember(n)
+		a := newTestAgent(t)
+		a.settings.DataDir = t.TempDir()
+		member, err := openChainMember(a)
 		c.Assert(err, qt.IsNil)
 		nothing := func(time.Duration) chain.Effects { return chain.Effects{} }
 		for member.post(nothing) {
--- a/internal/router/agent/lifecycle.go
+++ b/internal/router/agent/lifecycle.go
@@ -11,84 +11,84 @@
 )
 
 // handleReady tells the platform whether clients are to be sent here.
-func (n *Node) handleReady(call *controlserver.Call) *http1.Response {
+func (a *Agent) handleReady(call *controlserver.Call) *http1.Response {
 	if call.Path != "/api/ready" {
 		return controlserver.Text(404, "call /api/ready")
 	}
-	if reason := n.unready(); reason != "" {
+	if reason := a.unready(); reason != "" {
 		return controlserver.Text(503, reason)
 	}
 	return controlserver.Text(200, "ready")
 }
 
 // unready tells why no clients are to be sent here, "" where they are.
-func (n *Node) unready() string {
+func (a *Agent) unready() string {
 	switch {
-	case n.isShuttingDown():
+	case a.isShuttingDown():
 		return "ending"
-	case n.state.Config() == nil:
+	case a.state.Config() == nil:
 		return "no configuration is known yet"
-	case !n.state.isSynced():
+	case !a.state.isSynced():
 		return "the other processes are not known yet"
 	}
 	return ""
 }
 
 // ReloadFailed notes that changed settings could not be read; those that were in force stay.
-func (n *Node) ReloadFailed(err error) {
-	n.metrics.reloadErrors.Add(1)
-	n.log.Warn().Err(err).Msg("settings: the changed file can't be read; it is read again")
+func (a *Agent) ReloadFailed(err error) {
+	a.metrics.reloadErrors.Add(1)
+	a.log.Warn().Err(err).Msg("settings: the changed file can't be read; it is read again")
 }
 
 // Reload takes changed settings in: the seeds.
-func (n *Node) Reload(settings *agentsettings.Settings) {
-	if slices.Equal(n.seeds(), settings.Seeds) {
+func (a *Agent) Reload(settings *agentsettings.Settings) {
+	if slices.Equal(a.seeds(), settings.Seeds) {
 		return
 	}
-	n.seedList.Store(&settings.Seeds)
-	n.log.Info().Strs("seeds", settings.Seeds).Msg("settings: seeds changed")
+	a.seedList.Store(&settings.Seeds)
+	a.log.Info().Strs("seeds", settings.Seeds).Msg("settings: seeds changed")
 }
 
 // end hands over what this process holds, answers what it has read, and returns when it may exit.
-func (n *Node) shutdown(l *listeners) {
-	signalled, plan := time.Now(), planShutdown(n.settings.Bounds.Grace)
-	n.shuttingDown.Store(true)
-	n.log.Info().Msg("node: ending")
-	if n.front != nil {
-		n.front.Drain()
+func (a *Agent) shutdown(l *listeners) {
+	signalled, plan := time.Now(), planShutdown(a.settings.Bounds.Grace)
+	a.shuttingDown.Store(true)
+	a.log.Info().Msg("node: ending")
+	if a.proxy != nil {
+		a.proxy.Drain()
 	}
-	go n.configStore.leave()
+	go a.configStore.leave()
 	time.Sleep(plan.closeListener)
 	if l.front != nil {
 		l.front.Close()
-		n.front.Wait(signalled.Add(plan.abortRequests), signalled.Add(plan.finishAnswers))
+		a.proxy.Wait(signalled.Add(plan.abortRequests), signalled.Add(plan.finishAnswers))
 	}
-	n.awaitHandoff(signalled.Add(plan.finishAnswers))
-	n.announceShutdown(plan.notice)
+	a.awaitHandoff(signalled.Add(plan.finishAnswers))
+	a.announceShutdown(plan.notice)
 	for _, listener := range []interface{ Close() error }{l.peers, l.control, l.ready} {
 		if listener != nil {
 			listener.Close()
 		}
 	}
-	n.log.Info().Msg("node: ended")
+	a.log.Info().Msg("node: ended")
 }
 
 // awaitHandoff waits until this process is not needed any more to keep the control state: it may hold one of
 // the last copies of what was acknowledged.
-func (n *Node) awaitHandoff(deadline time.Time) {
+func (a *Agent) awaitHandoff(deadline time.Time) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-n.configStore.canStop():
+	case <-a.configStore.canStop():
 	case <-timer.C:
-		n.log.Warn().Msg("node: ending although the other machines do not hold the whole control state yet")
+		a.log.Warn().Msg("node: ending although the other machines do not hold the whole control state yet")
 	}
 }
 
 // announceShutdown tells the hubs that this process has ended, for a time at most.
-func (n *Node) announceShutdown(timeout time.Duration) {
-	n.announceSelf(func(self *directory.Record) { self.State = directory.Ended })
+func (a *Agent) announceShutdown(timeout time.Duration) {
+	a.announceSelf(func(self *directory.Record) { self.State = directory.Ended })
 	var offset uint64
-	n.state.read(func(d *directory.Directory) { offset = d.Offset() })
-	n.awaitMajority(offset, timeout)
+	a.state.read(func(d *directory.Directory) { offset = d.Offset() })
+	a.awaitMajority(offset, timeout)
 }
--- a/internal/router/agent/lifecycle_test.go
+++ b/internal/router/agent/lifecycle_test.go
@@ -31,15 +31,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := newTestNode(t)
+				a := newTestAgent(t)
 				member := neededMember{needed: make(chan struct{})}
-				n.configStore = member
+				a.configStore = member
 				go func() {
 					time.Sleep(test.release)
 					close(member.needed)
 				}()
 				began := time.Now()
-				n.awaitHandoff(began.Add(test.grace))
+				a.awaitHandoff(began.Add(test.grace))
 				qt.Check(t, time.Since(began), qt.Equals, test.waits)
 				<-member.needed
 			})
@@ -51,15 +51,15 @@
 // the signal to end, so the next question has to be answered with no, while clients are still served.
 func TestAProcessThatEndsIsNotReadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newTestNode(t)
+		a := newTestAgent(t)
 		ready := &controlserver.Call{Method: "GET", Path: "/api/ready"}
 		ended := make(chan struct{})
 		go func() {
-			n.shutdown(&listeners{})
+			a.shutdown(&listeners{})
 			close(ended)
 		}()
 		synctest.Wait()
-		answer := n.handleReady(ready)
+		answer := a.handleReady(ready)
 		qt.Check(t, answer.Status, qt.Equals, 503)
 		qt.Check(t, string(answer.Body), qt.Equals, "ending\n")
 		<-ended
--- a/internal/router/agent/majority.go
+++ b/internal/router/agent/majority.go
@@ -10,9 +10,9 @@
 const contactTimeout = 1500 * time.Millisecond
 
 // anyMember tells whether a condition holds for another member of the view to which there is a link.
-func (n *Node) anyMember(condition func(peerproto.MemberInfo, *hub) bool) bool {
-	for _, member := range n.state.currentView().members {
-		if h := n.hubAt(member.Address); h != nil && condition(member, h) {
+func (a *Agent) anyMember(condition func(peerproto.MemberInfo, *hub) bool) bool {
+	for _, member := range a.state.currentView().members {
+		if h := a.hubAt(member.Address); h != nil && condition(member, h) {
 			return true
 		}
 	}
@@ -21,14 +21,14 @@
 
 // majorityOf tells whether more than half of the members of the view fulfil a condition. This process
 // fulfils it where it is a member itself. Without a view there is no majority of it.
-func (n *Node) majorityOf(members []peerproto.MemberInfo, condition func(*hub) bool) bool {
+func (a *Agent) majorityOf(members []peerproto.MemberInfo, condition func(*hub) bool) bool {
 	count := 0
 	for _, member := range members {
-		if member.Address == n.settings.IP {
+		if member.Address == a.settings.IP {
 			count++
 			continue
 		}
-		if h := n.hubAt(member.Address); h != nil && condition(h) {
+		if h := a.hubAt(member.Address); h != nil && condition(h) {
 			count++
 		}
 	}
@@ -37,20 +37,20 @@
 
 // reachesMajority tells whether more than half of the members of the view answered lately. A member that
 // does not reach them may hold old records, and must not hand them out.
-func (n *Node) reachesMajority() bool {
-	now := n.now()
-	return n.majorityOf(n.state.currentView().members, func(h *hub) bool { return h.isResponsive(now) })
+func (a *Agent) reachesMajority() bool {
+	now := a.now()
+	return a.majorityOf(a.state.currentView().members, func(h *hub) bool { return h.isResponsive(now) })
 }
 
 // awaitMajority waits until more than half of the members of the view have all that was changed here up to
 // a place. It tells whether that came about in time; it does not where no view is known.
-func (n *Node) awaitMajority(offset uint64, timeout time.Duration) bool {
+func (a *Agent) awaitMajority(offset uint64, timeout time.Duration) bool {
 	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 	for {
-		progress := n.nextReplicated()
+		progress := a.nextReplicated()
 		hasOffset := func(h *hub) bool { return h.current().replicatedTo >= offset }
-		if n.majorityOf(n.state.currentView().members, hasOffset) {
+		if a.majorityOf(a.state.currentView().members, hasOffset) {
 			return true
 		}
 		select {
@@ -61,15 +61,15 @@
 	}
 }
 
-func (n *Node) nextReplicated() <-chan struct{} {
-	n.hubsMu.Lock()
-	defer n.hubsMu.Unlock()
-	return n.replicated
+func (a *Agent) nextReplicated() <-chan struct{} {
+	a.hubsMu.Lock()
+	defer a.hubsMu.Unlock()
+	return a.replicated
 }
 
-func (n *Node) notifyReplicated() {
-	n.hubsMu.Lock()
-	defer n.hubsMu.Unlock()
-	close(n.replicated)
-	n.replicated = make(chan struct{})
+func (a *Agent) notifyReplicated() {
+	a.hubsMu.Lock()
+	defer a.hubsMu.Unlock()
+	close(a.replicated)
+	a.replicated = make(chan struct{})
 }
--- a/internal/router/agent/node.go
+++ b/internal/router/agent/node.go
@@ -3,7 +3,6 @@
 package agent
 
 import (
-	"cmp"
 	"crypto/rand"
 	"encoding/hex"
 	"fmt"
@@ -29,8 +28,8 @@
 // maxAcceptLogLines is how many lines a second tell of connections that could not be accepted.
 const maxAcceptLogLines = 2
 
-// Node is one process of the fleet.
-type Node struct {
+// Agent is one process of the fleet.
+type Agent struct {
 	settings    *agentsettings.Settings
 	log         zerolog.Logger
 	acceptLog   zerolog.Logger // bounded in its lines
@@ -41,14 +40,14 @@
 	started     time.Time
 	state       *state
 	configStore configStore
-	front       *dataplane.Proxy // nil where the role does not serve clients
+	proxy       *dataplane.Proxy // nil where the role does not serve clients
 	workload    Workload         // the front where there is one
-	// sendsStageOrders tells that model servers get their stages from this process while it has that duty.
-	sendsStageOrders bool
-	demand           *demandTable
-	load             *loadTable
-	shuttingDown     atomic.Bool
-	fetchingConfig   atomic.Bool // a configuration is being fetched from a hub
+	// assignsRoles tells that model servers get their stages from this process while it has that duty.
+	assignsRoles   bool
+	demand         *demandTable
+	load           *loadTable
+	shuttingDown   atomic.Bool
+	fetchingConfig atomic.Bool // a configuration is being fetched from a hub
 
 	packed      packedConfig
 	shown       shownVersion // of the configuration, to operators
@@ -73,7 +72,7 @@
 	followersMu sync.Mutex
 	followers   map[*transport.Conn]chan struct{} // ends the feed of a follower
 
-	savedPromptCount int // how many prompts and their holders were last saved; of the goroutine that saves
+	savedPrefixCount int // how many prompts and their holders were last saved; of the goroutine that saves
 
 	lossReports      int           // of lost servers since lossReportsSince; guarded by the directory's lock
 	lossReportsSince time.Duration // when their count began anew
@@ -88,8 +87,8 @@
 }
 
 // New returns a process that does nothing yet.
-func New(settings *agentsettings.Settings, log zerolog.Logger, options ...Option) (*Node, error) {
-	n := &Node{
+func New(settings *agentsettings.Settings, log zerolog.Logger, options ...Option) (*Agent, error) {
+	a := &Agent{
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
@@ -98,26 +97,26 @@
 		probed: map[string]bool{},
 	}
 	for _, option := range options {
-		option(n)
+		option(a)
 	}
-	n.endpoint = transport.NewEndpoint(n.network)
-	n.endpoint.OnAcceptError = n.acceptFailed
-	n.seedList.Store(&settings.Seeds)
-	n.self = directory.Record{
-		Kind: directory.KindProxy, ID: n.id, State: directory.Ready, Address: settings.IP, Zone: settings.Zone,
+	a.endpoint = transport.NewEndpoint(a.network)
+	a.endpoint.OnAcceptError = a.acceptFailed
+	a.seedList.Store(&settings.Seeds)
+	a.self = directory.Record{
+		Kind: directory.KindProxy, ID: a.id, State: directory.Ready, Address: settings.IP, Zone: settings.Zone,
 		Name: settings.Name, Control: settings.Control,
 	}
-	n.configStore = newConfigStore(n)
-	n.demand = newDemandTable(n)
-	n.load = newLoadTable(n)
+	a.configStore = newConfigStore(a)
+	a.demand = newDemandTable(a)
+	a.load = newLoadTable(a)
 	if settings.Front != "" {
-		n.front = dataplane.New(settings, (*frontState)(n), log)
+		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
 		if settings.FirstStart {
-			n.front.AloneAtStart()
+			a.proxy.AloneAtStart()
 		}
-		n.workload, n.sendsStageOrders = n.front, true
+		a.workload, a.assignsRoles = a.proxy, true
 	}
-	return n, nil
+	return a, nil
 }
 
 func randomID() string {
@@ -127,63 +126,61 @@
 }
 
 // now is the time on the steady clock since the process started.
-func (n *Node) now() time.Duration { return time.Since(n.started) }
+func (a *Agent) now() time.Duration { return time.Since(a.started) }
 
 // seeds returns the control addresses of some proxies, as the settings file last told.
-func (n *Node) seeds() []string { return *n.seedList.Load() }
+func (a *Agent) seeds() []string { return *a.seedList.Load() }
 
-func (n *Node) isShuttingDown() bool { return n.shuttingDown.Load() }
-
-func compareText(a, b string) int { return cmp.Compare(a, b) }
+func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
 
 // Run serves until stop closes, and then ends in order.
-func (n *Node) Run(stop <-chan struct{}) error {
-	listeners, err := n.listen()
+func (a *Agent) Run(stop <-chan struct{}) error {
+	listeners, err := a.listen()
 	if err != nil {
 		return err
 	}
 	done := make(chan struct{})
-	n.startDisk(done)
-	n.announceSelf(func(*directory.Record) {})
-	go n.endpoint.Serve(listeners.peers, n)
-	go n.runSubscription(done)
-	go newViewAnnouncer(n).run(done)
-	go n.detectFailures(done)
-	go n.runAntiEntropy(done)
-	go n.demand.measure(done)
-	go n.load.report(done)
-	n.serveCalls(listeners)
-	closeMetrics := n.serveMetrics()
+	a.startDisk(done)
+	a.announceSelf(func(*directory.Record) {})
+	go a.endpoint.Serve(listeners.peers, a)
+	go a.runSubscription(done)
+	go newViewAnnouncer(a).run(done)
+	go a.detectFailures(done)
+	go a.runAntiEntropy(done)
+	go a.demand.measure(done)
+	go a.load.report(done)
+	a.serveCalls(listeners)
+	closeMetrics := a.serveMetrics()
 	defer closeMetrics()
 	if listeners.front != nil {
-		go n.front.Serve(listeners.front)
+		go a.proxy.Serve(listeners.front)
 	}
-	n.log.Info().Str("id", n.id).Str("zone", n.settings.Zone).Strs("seeds", n.seeds()).
-		Bool("first_start", n.settings.FirstStart).Str("data_dir", n.settings.DataDir).Msg("node: started")
+	a.log.Info().Str("id", a.id).Str("zone", a.settings.Zone).Strs("seeds", a.seeds()).
+		Bool("first_start", a.settings.FirstStart).Str("data_dir", a.settings.DataDir).Msg("node: started")
 	<-stop
-	n.shutdown(listeners)
+	a.shutdown(listeners)
 	close(done)
-	n.closeLinks()
-	n.configStore.close()
+	a.closeLinks()
+	a.configStore.close()
 	return nil
 }
 
 // listeners are where a process is called; those that its role does not serve are nil.
 type listeners struct{ peers, front, ready, control net.Listener }
 
-func (n *Node) listen() (*listeners, error) {
+func (a *Agent) listen() (*listeners, error) {
 	l := &listeners{}
 	for _, each := range []struct {
 		listener *net.Listener
 		address  string
 	}{
-		{&l.peers, n.peerAddress(n.settings.IP)}, {&l.control, n.settings.Control},
-		{&l.ready, n.settings.Ready}, {&l.front, n.settings.Front},
+		{&l.peers, a.peerAddress(a.settings.IP)}, {&l.control, a.settings.Control},
+		{&l.ready, a.settings.Ready}, {&l.front, a.settings.Front},
 	} {
 		if each.address == "" {
 			continue
 		}
-		listener, err := n.network.Listen(each.address)
+		listener, err := a.network.Listen(each.address)
 		if err != nil {
 			return nil, fmt.Errorf("listening: %w; free the address or change it in the settings", err)
 		}
@@ -192,22 +189,22 @@
 	return l, nil
 }
 
-func (n *Node) serveCalls(l *listeners) {
+func (a *Agent) serveCalls(l *listeners) {
 	if l.control != nil {
-		go n.newCallServer(n.handleCall, maxCallBody).Serve(l.control)
+		go a.newCallServer(a.handleCall, maxCallBody).Serve(l.control)
 	}
 	if l.ready != nil {
-		go n.newCallServer(n.handleReady, 0).Serve(l.ready)
+		go a.newCallServer(a.handleReady, 0).Serve(l.ready)
 	}
 }
 
 // newCallServer returns a server of calls whose bodies have so many bytes at most.
-func (n *Node) newCallServer(handle controlserver.Handler, maxBody int64) *controlserver.Server {
-	return &controlserver.Server{MaxBodyBytes: maxBody, Handler: handle, OnAcceptError: n.acceptFailed,
-		OnPanic: n.handlerPanicked}
+func (a *Agent) newCallServer(handle controlserver.Handler, maxBody int64) *controlserver.Server {
+	return &controlserver.Server{MaxBodyBytes: maxBody, Handler: handle, OnAcceptError: a.acceptFailed,
+		OnPanic: a.handlerPanicked}
 }
 
-// frontState is the part of a Node that the front sees.
-type frontState Node
+// dataplaneState is the part of an Agent that the data plane sees.
+type dataplaneState Agent
 
-var _ dataplane.State = (*frontState)(nil)
+var _ dataplane.State = (*dataplaneState)(nil)
--- a/internal/router/agent/node_test.go
+++ b/internal/router/agent/node_test.go
@@ -13,18 +13,18 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// newTestNode returns a process that was not run: it listens to nobody and calls nobody. It is the only
+// newTestAgent returns a process that was not run: it listens to nobody and calls nobody. It is the only
 // member of the view that it knows.
-func newTestNode(t *testing.T) *Node {
+func newTestAgent(t *testing.T) *Agent {
 	settings := &agentsettings.Settings{
 		Name: "n", IP: "127.0.0.1", Control: "127.0.0.1:1", InnerPorts: [2]int{2, 3},
 		HeartbeatInterval: time.Second,
 		Seeds:             []string{"127.0.0.1:1"},
 	}
-	n, err := New(settings, zerolog.Nop())
+	a, err := New(settings, zerolog.Nop())
 	qt.Assert(t, err, qt.IsNil)
-	n.state.learnView(1, []peerproto.MemberInfo{{ID: "m0", Address: settings.IP}})
-	return n
+	a.state.learnView(1, []peerproto.MemberInfo{{ID: "m0", Address: settings.IP}})
+	return a
 }
 
 func heartbeat(state string, postmark string) *controlserver.Call {
@@ -35,20 +35,20 @@
 // TestHeartbeats follows a server by its calls; a late one changes nothing.
 func TestHeartbeats(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	c.Assert(n.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 200)
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1)
-	c.Assert(n.handleCall(heartbeat("draining", "3")).Status, qt.Equals, 200)
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0)
-	c.Assert(n.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("a late call"))
-	c.Assert(n.handleCall(&controlserver.Call{Method: "DELETE", Path: serversPath + "a"}).Status, qt.Equals, 200)
-	c.Assert(n.handleCall(heartbeat("ready", "9")).Status, qt.Equals, 200)
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("it has ended"))
+	a := newTestAgent(t)
+	c.Assert(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 200)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
+	c.Assert(a.handleCall(heartbeat("draining", "3")).Status, qt.Equals, 200)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
+	c.Assert(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("a late call"))
+	c.Assert(a.handleCall(&controlserver.Call{Method: "DELETE", Path: serversPath + "a"}).Status, qt.Equals, 200)
+	c.Assert(a.handleCall(heartbeat("ready", "9")).Status, qt.Equals, 200)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("it has ended"))
 }
 
 func TestCallsThatAreWrong(t *testing.T) {
-	n := newTestNode(t)
+	a := newTestAgent(t)
 	for _, test := range []struct {
 		call   controlserver.Call
 		status int
@@ -65,7 +65,7 @@
 		{controlserver.Call{Method: "GET", Path: "/api/config"}, 503, "(?s).*"},
 		{controlserver.Call{Method: "GET", Path: "/api/nothing"}, 404, "(?s).*"},
 	} {
-		answer := n.handleCall(&test.call)
+		answer := a.handleCall(&test.call)
 		qt.Check(t, answer.Status, qt.Equals, test.status, qt.Commentf("%s %s", test.call.Method, test.call.Path))
 		qt.Check(t, string(answer.Body), qt.Matches, test.body)
 	}
@@ -75,81 +75,81 @@
 // server.
 func TestDrainWithoutHubsIsNotAcknowledged(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	n.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
-	n.hubs["127.0.0.9"] = &hub{ip: "127.0.0.9"}
-	c.Assert(n.awaitMajority(1, 0), qt.IsFalse)
-	n.hubs["127.0.0.9"].state.replicatedTo = 1
-	c.Assert(n.awaitMajority(1, 0), qt.IsTrue)
+	a := newTestAgent(t)
+	a.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
+	a.hubs["127.0.0.9"] = &hub{ip: "127.0.0.9"}
+	c.Assert(a.awaitMajority(1, 0), qt.IsFalse)
+	a.hubs["127.0.0.9"].state.replicatedTo = 1
+	c.Assert(a.awaitMajority(1, 0), qt.IsTrue)
 }
 
 // TestFeedGoesOnFromAPlace gives a follower what it has not heard, and a snapshot where its place is unknown.
 func TestFeedGoesOnFromAPlace(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	n.handleCall(heartbeat("ready", "1"))
-	first := n.nextFeed(0, -1)
+	a := newTestAgent(t)
+	a.handleCall(heartbeat("ready", "1"))
+	first := a.nextFeed(0, -1)
 	c.Assert(first.Records, qt.HasLen, 1)
-	n.handleCall(heartbeat("draining", "2"))
-	c.Assert(n.hasUpdate(uint64(first.To), 0, first.Epoch), qt.IsTrue)
-	next := n.nextFeed(uint64(first.To), first.Epoch)
+	a.handleCall(heartbeat("draining", "2"))
+	c.Assert(a.hasUpdate(uint64(first.To), 0, first.Epoch), qt.IsTrue)
+	next := a.nextFeed(uint64(first.To), first.Epoch)
 	c.Assert(next.From, qt.Equals, first.To)
 	c.Assert(next.Records, qt.HasLen, 1)
 	c.Assert(next.Records[0].State, qt.Equals, directory.Draining)
-	c.Assert(n.nextFeed(99, 0).From, qt.Equals, int64(0))
+	c.Assert(a.nextFeed(99, 0).From, qt.Equals, int64(0))
 }
 
 // TestSilentServersAreLostAndComeBack marks a server that calls no more, unless this process was frozen
 // meanwhile.
 func TestSilentServersAreLostAndComeBack(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	n.handleCall(heartbeat("ready", "1"))
-	silent := n.now() + time.Duration(2*maxMissedHeartbeats*float64(n.settings.HeartbeatInterval))
-	n.observingSince = silent
-	n.markTimedOut(silent)
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
-	n.observingSince = 0
-	n.markTimedOut(silent)
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0)
-	n.handleCall(heartbeat("ready", "2"))
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1)
+	a := newTestAgent(t)
+	a.handleCall(heartbeat("ready", "1"))
+	silent := a.now() + time.Duration(2*maxMissedHeartbeats*float64(a.settings.HeartbeatInterval))
+	a.observingSince = silent
+	a.markTimedOut(silent)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
+	a.observingSince = 0
+	a.markTimedOut(silent)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
+	a.handleCall(heartbeat("ready", "2"))
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
 }
 
 // TestReportsOfLostServersAreBounded: a proxy that loses many servers at once is likely to be the one in
 // trouble.
 func TestReportsOfLostServersAreBounded(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	now := n.now()
-	n.state.update(now, func(d *directory.Directory) {
+	a := newTestAgent(t)
+	now := a.now()
+	a.state.update(now, func(d *directory.Directory) {
 		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 			d.Merge(now, directory.Record{Kind: directory.KindServer, ID: id, Sequence: 1, State: directory.Ready,
 				Service: "s"})
 		}
 	})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		n.reportLost(id, "test")
+		a.reportLost(id, "test")
 	}
-	c.Assert(n.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
 }
 
 // TestEarlierProcessOfAMachineIsLost marks the records of processes that another one at their address
 // replaced, as lost: they might be the later ones, and could say so.
 func TestEarlierProcessOfAMachineIsLost(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	now := n.now()
+	a := newTestAgent(t)
+	now := a.now()
 	proxy := directory.Record{Kind: directory.KindProxy, Sequence: 1, State: directory.Ready,
 		Address: "10.0.0.7"}
-	n.state.update(now, func(d *directory.Directory) {
+	a.state.update(now, func(d *directory.Directory) {
 		for _, id := range []string{"old", "new"} {
 			proxy.ID = id
 			d.Merge(now, proxy)
 		}
 	})
-	n.markPredecessorsLost("new")
-	n.state.read(func(d *directory.Directory) {
+	a.markPredecessorsLost("new")
+	a.state.read(func(d *directory.Directory) {
 		c.Check(d.Get("old").State, qt.Equals, directory.Lost)
 		c.Check(d.Get("new").State, qt.Equals, directory.Ready)
 	})
@@ -159,9 +159,9 @@
 // arrived.
 func TestOrdersWaitForAnEarlierHolder(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	n.settings.Bounds.Lease = time.Hour
-	coordinator := &stageCoordinator{node: n, member: &chainMember{}}
+	a := newTestAgent(t)
+	a.settings.Bounds.Lease = time.Hour
+	coordinator := &roleAssigner{agent: a, member: &chainMember{}}
 	c.Check(coordinator.maySendOrders(), qt.IsFalse)
 	coordinator.member.fence.Store(1)
 	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no earlier holder"))
--- a/internal/router/agent/observe.go
+++ b/internal/router/agent/observe.go
@@ -32,7 +32,7 @@
 	acceptErrors    metrics.Counter
 	handlerPanics   metrics.Counter // of the program, brought out by calls
 	diskWrites      metrics.Histogram
-	lastFence       atomic.Uint64 // of the last order sent
+	lastOrderFence  atomic.Uint64 // of the last order sent
 }
 
 func (f *agentMetrics) countHeartbeat(answer string) {
@@ -58,8 +58,8 @@
 	peerproto.OutcomeInvalid:     "invalid",
 }
 
-func (n *Node) observeConfigCall(call string, result *peerproto.Result) {
-	n.metrics.configCalls.With(metrics.Label{Name: "call", Value: call},
+func (a *Agent) observeConfigCall(call string, result *peerproto.Result) {
+	a.metrics.configCalls.With(metrics.Label{Name: "call", Value: call},
 		metrics.Label{Name: "outcome", Value: outcomeLabels[result.Outcome]}).Add(1)
 }
 
@@ -77,38 +77,38 @@
 }
 
 // acceptFailed notes a connection of another process, a server or an operator that could not be accepted.
-func (n *Node) acceptFailed(err error) {
-	n.metrics.acceptErrors.Add(1)
-	n.acceptLog.Warn().Err(err).Msg("node: cannot accept a connection, trying again shortly")
+func (a *Agent) acceptFailed(err error) {
+	a.metrics.acceptErrors.Add(1)
+	a.acceptLog.Warn().Err(err).Msg("node: cannot accept a connection, trying again shortly")
 }
 
 // handlerPanicked notes a call that brought out a mistake of the program. A broken invariant panics in tests
 // only, and is to end them.
-func (n *Node) handlerPanicked(mistake *controlserver.PanicError) {
+func (a *Agent) handlerPanicked(mistake *controlserver.PanicError) {
 	if violation, ok := mistake.Value.(*invariant.ViolationError); ok {
 		panic(violation)
 	}
-	n.metrics.handlerPanics.Add(1)
-	n.log.Error().Bytes("stack", mistake.Stack).Msg("node: " + mistake.Error())
+	a.metrics.handlerPanics.Add(1)
+	a.log.Error().Bytes("stack", mistake.Stack).Msg("node: " + mistake.Error())
 }
 
 // serveMetrics tells the figures at their own port, where one is wanted, and returns what ends that. A
 // process that can't have the port carries on without.
-func (n *Node) serveMetrics() (end func()) {
-	if n.metricsPort == 0 {
+func (a *Agent) serveMetrics() (end func()) {
+	if a.metricsPort == 0 {
 		return func() {}
 	}
-	listener, err := n.network.Listen(net.JoinHostPort(n.settings.IP, strconv.Itoa(n.metricsPort)))
+	listener, err := a.network.Listen(net.JoinHostPort(a.settings.IP, strconv.Itoa(a.metricsPort)))
 	if err != nil {
-		n.log.Warn().Err(err).Msg("metrics: the port can't be had; call /metrics at the control address")
+		a.log.Warn().Err(err).Msg("metrics: the port can't be had; call /metrics at the control address")
 		return func() {}
 	}
-	go n.newCallServer(n.showMetrics, 0).Serve(listener)
+	go a.newCallServer(a.showMetrics, 0).Serve(listener)
 	return func() { listener.Close() }
 }
 
 // showMetrics answers a call for the figures.
-func (n *Node) showMetrics(call *controlserver.Call) *http1.Response {
+func (a *Agent) showMetrics(call *controlserver.Call) *http1.Response {
 	if call.Path != metricsPath {
 		return controlserver.Text(404, "call "+metricsPath)
 	}
@@ -116,38 +116,38 @@
 		return controlserver.Text(405, "use GET to read the figures")
 	}
 	page := &metrics.Page{}
-	n.WriteMetrics(page)
+	a.WriteMetrics(page)
 	header := http1.Header{{Name: "Content-Type", Value: metrics.ContentType}}
 	return &http1.Response{Status: 200, Header: header, Body: page.Text()}
 }
 
 // WriteMetrics writes the figures of the process.
-func (n *Node) WriteMetrics(page *metrics.Page) {
+func (a *Agent) WriteMetrics(page *metrics.Page) {
 	for _, count := range invariant.Counts() {
 		page.Counter("cresshub_invariant_violations_total", "Promises that the process saw broken.",
 			count.Violations, metrics.Label{Name: "check", Value: count.Check.String()})
 	}
-	n.writeState(page)
-	n.writeCounts(page)
-	n.writeProcess(page)
-	if n.front != nil {
-		n.front.WriteMetrics(page)
+	a.writeState(page)
+	a.writeCounts(page)
+	a.writeProcess(page)
+	if a.proxy != nil {
+		a.proxy.WriteMetrics(page)
 	}
 }
 
-func (n *Node) writeState(page *metrics.Page) {
-	view := n.state.currentView()
-	page.Flag("cresshub_ready", "Whether the platform should send clients here.", n.unready() == "")
+func (a *Agent) writeState(page *metrics.Page) {
+	view := a.state.currentView()
+	page.Flag("cresshub_ready", "Whether the platform should send clients here.", a.unready() == "")
 	page.Gauge("cresshub_config_version", "Version of the configuration in force, 0 for none.",
-		float64(n.state.version()))
+		float64(a.state.version()))
 	page.Gauge("cresshub_view_epoch", "Epoch of the view of the control state, 0 for none.", float64(view.epoch))
 	page.Gauge("cresshub_view_members", "Members of that view.", float64(len(view.members)))
 	page.Flag("cresshub_replica", "Whether this process is a replica of the control state.",
-		n.configStore.isMember())
-	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.", n.reachesMajority())
+		a.configStore.isMember())
+	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.", a.reachesMajority())
 	servers := map[directory.State]int{}
 	proxies := 0
-	n.state.read(func(d *directory.Directory) {
+	a.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindServer) {
 			servers[record.State]++
 		}
@@ -160,8 +160,8 @@
 	page.Gauge("cresshub_proxies", "Proxies that this process takes to be live.", float64(proxies))
 }
 
-func (n *Node) writeCounts(page *metrics.Page) {
-	f := &n.metrics
+func (a *Agent) writeCounts(page *metrics.Page) {
+	f := &a.metrics
 	page.Family("cresshub_heartbeats_total", "Calls of servers, by answer.", &f.heartbeats)
 	page.Family("cresshub_config_calls_total", "Calls on the configuration, by outcome.", &f.configCalls)
 	page.Family("cresshub_marked_lost_total", "Processes that this one marked lost.", &f.lostProcesses)
@@ -182,7 +182,7 @@
 	page.Counter("cresshub_call_mistakes_total", "Mistakes of the program that calls brought out.",
 		f.handlerPanics.Value())
 	page.Histogram("cresshub_disk_write_duration_seconds", "Writes of the control state, synced.", &f.diskWrites)
-	traffic := n.endpoint.Traffic()
+	traffic := a.endpoint.Traffic()
 	for kind, volume := range traffic.Sent {
 		if volume.Frames > 0 {
 			page.Counter("cresshub_peer_sent_bytes_total", "Bytes sent to other processes.", volume.Bytes,
@@ -191,10 +191,10 @@
 	}
 }
 
-func (n *Node) writeProcess(page *metrics.Page) {
+func (a *Agent) writeProcess(page *metrics.Page) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	page.Gauge("cresshub_uptime_seconds", "Time since the start.", n.now().Seconds())
+	page.Gauge("cresshub_uptime_seconds", "Time since the start.", a.now().Seconds())
 	page.Gauge("cresshub_goroutines", "Goroutines.", float64(runtime.NumGoroutine()))
 	page.Gauge("cresshub_heap_bytes", "Memory of live and unswept objects.", float64(memory.HeapAlloc))
 	page.Gauge("cresshub_runtime_bytes", "Memory that the runtime has from the system.", float64(memory.Sys))
--- a/internal/router/agent/observe_test.go
+++ b/internal/router/agent/observe_test.go
@@ -11,11 +11,11 @@
 // TestMetricsExplainRefusedServers: the reason why a server was sent elsewhere can be read afterwards.
 func TestMetricsExplainRefusedServers(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	n.handleCall(heartbeat("ready", "1"))
-	n.shuttingDown.Store(true)
-	n.handleCall(heartbeat("ready", "2"))
-	answer := n.handleCall(&controlserver.Call{Method: "GET", Path: metricsPath})
+	a := newTestAgent(t)
+	a.handleCall(heartbeat("ready", "1"))
+	a.shuttingDown.Store(true)
+	a.handleCall(heartbeat("ready", "2"))
+	answer := a.handleCall(&controlserver.Call{Method: "GET", Path: metricsPath})
 	c.Assert(answer.Status, qt.Equals, 200)
 	page := string(answer.Body)
 	for _, line := range []string{
@@ -28,5 +28,5 @@
 	} {
 		c.Check(page, qt.Contains, line+"\n")
 	}
-	c.Check(n.handleCall(&controlserver.Call{Method: "PUT", Path: metricsPath}).Status, qt.Equals, 405)
+	c.Check(a.handleCall(&controlserver.Call{Method: "PUT", Path: metricsPath}).Status, qt.Equals, 405)
 }
--- a/internal/router/agent/options.go
+++ b/internal/router/agent/options.go
@@ -47,16 +47,16 @@
 func (noWorkload) ShareWork([]scheduler.InFlightLoad, bool, []scheduler.CachedPrefixes) {}
 
 // Option changes a process before it runs.
-type Option func(*Node)
+type Option func(*Agent)
 
 // WithNetwork lets a process use another network than the machine's.
-func WithNetwork(network transport.Network) Option { return func(n *Node) { n.network = network } }
+func WithNetwork(network transport.Network) Option { return func(a *Agent) { a.network = network } }
 
 // WithFiles lets a process keep its disk in another file system than the machine's.
-func WithFiles(files segmentlog.FS) Option { return func(n *Node) { n.files = files } }
+func WithFiles(files segmentlog.FS) Option { return func(a *Agent) { a.files = files } }
 
 // WithMetricsPort has a process tell its figures at a port of its own too.
-func WithMetricsPort(port int) Option { return func(n *Node) { n.metricsPort = port } }
+func WithMetricsPort(port int) Option { return func(a *Agent) { a.metricsPort = port } }
 
-// WithStageOrders lets a process without a front give model servers their stages.
-func WithStageOrders() Option { return func(n *Node) { n.sendsStageOrders = true } }
+// WithRoleAssignment lets a process without a front give model servers their stages.
+func WithRoleAssignment() Option { return func(a *Agent) { a.assignsRoles = true } }
--- a/internal/router/agent/orphans.go
+++ b/internal/router/agent/orphans.go
@@ -29,11 +29,11 @@
 )
 
 // checkUnwatched marks the orphans that are proxies, and asks those that are servers.
-func (n *Node) checkUnwatched(now time.Duration) {
+func (a *Agent) checkUnwatched(now time.Duration) {
 	var unwatched []*directory.Record
-	n.state.read(func(d *directory.Directory) {
+	a.state.read(func(d *directory.Directory) {
 		for _, record := range slices.Concat(d.LiveServers(), d.Proxies()) {
-			if n.isUnwatched(now, d, record) {
+			if a.isUnwatched(now, d, record) {
 				unwatched = append(unwatched, record)
 			}
 		}
@@ -41,37 +41,37 @@
 	for _, record := range unwatched {
 		switch {
 		case record.Kind == directory.KindProxy:
-			n.markUnwatchedLost(record, "its watcher is gone")
-		case n.ranksFirst(record.ID):
-			n.startProbe(record)
+			a.markUnwatchedLost(record, "its watcher is gone")
+		case a.ranksFirst(record.ID):
+			a.startProbe(record)
 		}
 	}
 }
 
 // isUnwatched tells whether a process has lost its watcher and has been silent here for so long that it
 // should have found another one.
-func (n *Node) isUnwatched(now time.Duration, d *directory.Directory, record *directory.Record) bool {
+func (a *Agent) isUnwatched(now time.Duration, d *directory.Directory, record *directory.Record) bool {
 	isHub := record.Kind == directory.KindProxy && record.Watcher == ""
-	if record.ID == n.id || isHub {
+	if record.ID == a.id || isHub {
 		return false
 	}
 	watcher := d.Get(record.Watcher)
 	if watcher != nil && watcher.Live() {
 		return false
 	}
-	limit := unwatchedHeartbeats * n.settings.HeartbeatInterval
+	limit := unwatchedHeartbeats * a.settings.HeartbeatInterval
 	if watcher != nil && now-d.ModifiedAt(watcher.ID) <= limit {
 		return false
 	}
-	return n.isTimedOut(now, d, record, limit)
+	return a.isTimedOut(now, d, record, limit)
 }
 
 // ranksFirst tells whether this hub comes first for an id, by rendezvous hashing over the members that
 // answer.
-func (n *Node) ranksFirst(id string) bool {
-	now := n.now()
-	own := probeRank(id, n.settings.IP)
-	return !n.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
+func (a *Agent) ranksFirst(id string) bool {
+	now := a.now()
+	own := probeRank(id, a.settings.IP)
+	return !a.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
 		return h.isResponsive(now) && probeRank(id, member.Address) > own
 	})
 }
@@ -79,29 +79,29 @@
 func probeRank(id, ip string) uint64 { return xxhash.Sum64String(id + "/" + ip) }
 
 // startProbe asks a server whether it lives, unless that is under way, and notes the outcome.
-func (n *Node) startProbe(record *directory.Record) {
-	n.probesMu.Lock()
-	defer n.probesMu.Unlock()
-	if n.probed[record.ID] || len(n.probed) >= maxConcurrentProbes {
+func (a *Agent) startProbe(record *directory.Record) {
+	a.probesMu.Lock()
+	defer a.probesMu.Unlock()
+	if a.probed[record.ID] || len(a.probed) >= maxConcurrentProbes {
 		return
 	}
-	n.probed[record.ID] = true
+	a.probed[record.ID] = true
 	go func() {
-		if n.probeServer(record) {
-			n.recordContact(record.ID)
+		if a.probeServer(record) {
+			a.recordContact(record.ID)
 		} else {
-			n.markUnwatchedLost(record, "its watcher is gone and it does not answer")
+			a.markUnwatchedLost(record, "its watcher is gone and it does not answer")
 		}
-		n.probesMu.Lock()
-		defer n.probesMu.Unlock()
-		delete(n.probed, record.ID)
+		a.probesMu.Lock()
+		defer a.probesMu.Unlock()
+		delete(a.probed, record.ID)
 	}()
 }
 
 // probeServer tells whether the incarnation that a record names answers at its address.
-func (n *Node) probeServer(record *directory.Record) bool {
+func (a *Agent) probeServer(record *directory.Record) bool {
 	for range probeAttempts {
-		id, err := n.probeServerID(record)
+		id, err := a.probeServerID(record)
 		if err == nil {
 			return id == record.ID
 		}
@@ -110,12 +110,12 @@
 }
 
 // probeServerID returns the id of the server that answers a health check at a record's address.
-func (n *Node) probeServerID(record *directory.Record) (string, error) {
+func (a *Agent) probeServerID(record *directory.Record) (string, error) {
 	path := "/"
-	if config := n.state.Config(); config != nil && config.Services[record.Service] != nil {
+	if config := a.state.Config(); config != nil && config.Services[record.Service] != nil {
 		path = config.Services[record.Service].HealthPath
 	}
-	answer, err := n.callServer(record.Address, &http1.Request{Method: "GET", Target: path}, probeTimeout)
+	answer, err := a.callServer(record.Address, &http1.Request{Method: "GET", Target: path}, probeTimeout)
 	if err != nil {
 		return "", err
 	}
@@ -123,11 +123,11 @@
 }
 
 // markUnwatchedLost marks a process lost, unless something was heard of it since its record was read.
-func (n *Node) markUnwatchedLost(record *directory.Record, reason string) {
-	now := n.now()
-	n.state.update(now, func(d *directory.Directory) {
-		if d.Get(record.ID) == record && n.isUnwatched(now, d, record) {
-			n.markLost(now, d, record, reason)
+func (a *Agent) markUnwatchedLost(record *directory.Record, reason string) {
+	now := a.now()
+	a.state.update(now, func(d *directory.Directory) {
+		if d.Get(record.ID) == record && a.isUnwatched(now, d, record) {
+			a.markLost(now, d, record, reason)
 		}
 	})
 }
--- a/internal/router/agent/orphans_test.go
+++ b/internal/router/agent/orphans_test.go
@@ -52,24 +52,24 @@
 func TestOrphansAreAskedBeforeTheyCountAsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		n := newTestNode(t)
-		n.network = healthNetwork{"10.0.0.1:80": "alive", "10.0.0.2:80": "another", "10.0.0.3:80": ""}
+		a := newTestAgent(t)
+		a.network = healthNetwork{"10.0.0.1:80": "alive", "10.0.0.2:80": "another", "10.0.0.3:80": ""}
 		for id, address := range map[string]string{"alive": "10.0.0.1:80", "replaced": "10.0.0.2:80",
 			"silent": "10.0.0.3:80", "gone": "10.0.0.4:80"} {
-			n.state.merge(n.now(), []directory.Record{{Kind: directory.KindServer, ID: id, Sequence: 1,
+			a.state.merge(a.now(), []directory.Record{{Kind: directory.KindServer, ID: id, Sequence: 1,
 				State: directory.Ready, Service: "s", Address: address, Watcher: "vanished"}})
 		}
-		n.markTimedOut(n.now())
+		a.markTimedOut(a.now())
 		synctest.Wait()
-		c.Assert(n.state.Servers().Service("s"), qt.HasLen, 4, qt.Commentf("they may find another watcher"))
+		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 4, qt.Commentf("they may find another watcher"))
 
 		for range 3 {
-			time.Sleep((unwatchedHeartbeats + 1) * n.settings.HeartbeatInterval)
-			n.markTimedOut(n.now())
+			time.Sleep((unwatchedHeartbeats + 1) * a.settings.HeartbeatInterval)
+			a.markTimedOut(a.now())
 		}
 		time.Sleep(probeAttempts * probeTimeout)
 		synctest.Wait()
-		servers := n.state.Servers().Service("s")
+		servers := a.state.Servers().Service("s")
 		c.Assert(servers, qt.HasLen, 1)
 		c.Assert(servers[0].ID, qt.Equals, "alive")
 	})
@@ -79,15 +79,15 @@
 func TestOnlyAMajorityLosesOrphans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		n := newTestNode(t)
-		n.state.learnView(2, membersAt(n.settings.IP, "10.9.0.1", "10.9.0.2"))
-		n.network = healthNetwork{}
-		n.state.merge(n.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
+		a := newTestAgent(t)
+		a.state.learnView(2, membersAt(a.settings.IP, "10.9.0.1", "10.9.0.2"))
+		a.network = healthNetwork{}
+		a.state.merge(a.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
 			State: directory.Ready, Service: "s", Address: "10.0.0.1:80", Watcher: "vanished"}})
-		time.Sleep((unwatchedHeartbeats + 1) * n.settings.HeartbeatInterval)
-		n.markTimedOut(n.now())
+		time.Sleep((unwatchedHeartbeats + 1) * a.settings.HeartbeatInterval)
+		a.markTimedOut(a.now())
 		synctest.Wait()
-		c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1)
+		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
 	})
 }
 
@@ -100,14 +100,14 @@
 func TestServersThatAnswerLive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		n := newTestNode(t)
-		n.handleCall(heartbeat("ready", "1"))
-		n.workload = answeringWorkload{}
-		time.Sleep(4 * n.settings.HeartbeatInterval)
-		n.markTimedOut(n.now())
-		c.Assert(n.state.Servers().Service("s"), qt.HasLen, 1)
-		n.workload = noWorkload{}
-		n.markTimedOut(n.now())
-		c.Assert(n.state.Servers().Service("s"), qt.HasLen, 0)
+		a := newTestAgent(t)
+		a.handleCall(heartbeat("ready", "1"))
+		a.workload = answeringWorkload{}
+		time.Sleep(4 * a.settings.HeartbeatInterval)
+		a.markTimedOut(a.now())
+		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
+		a.workload = noWorkload{}
+		a.markTimedOut(a.now())
+		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
 	})
 }
--- a/internal/router/agent/packed_config.go
+++ b/internal/router/agent/packed_config.go
@@ -27,62 +27,62 @@
 
 // configUpdate returns what a follower that has a version needs to have the one in force: patches, whose cost
 // does not grow with the document, or the whole of it.
-func (n *Node) configUpdate(config *fleetconfig.Config, version int64) []byte {
-	patches := n.state.patchesSince(version)
+func (a *Agent) configUpdate(config *fleetconfig.Config, version int64) []byte {
+	patches := a.state.patchesSince(version)
 	if len(patches) == 0 || patches[len(patches)-1].Version != config.Version {
-		return n.packed.of(config)
+		return a.packed.of(config)
 	}
 	return peerproto.PackPatches(&peerproto.Patches{Patches: patches})
 }
 
 // applyPacked puts a packed document, or patches, that another process holds to be in force in force here.
-func (n *Node) applyPacked(packed []byte) {
+func (a *Agent) applyPacked(packed []byte) {
 	if len(packed) == 0 {
 		return
 	}
 	if peerproto.ArePatches(packed) {
-		n.applyPatches(packed)
+		a.applyPatches(packed)
 		return
 	}
 	document, err := peerproto.Unpack(packed)
 	if err != nil {
-		n.log.Error().Err(err).Msg("feed: a configuration can't be unpacked")
+		a.log.Error().Err(err).Msg("feed: a configuration can't be unpacked")
 		return
 	}
-	n.applyDocument(document)
+	a.applyDocument(document)
 }
 
 // applyPatches puts patches in force. One that does not build on the version in force here is left: the hub
 // tells its version with each answer to a ping, and the whole document is asked for.
-func (n *Node) applyPatches(packed []byte) {
+func (a *Agent) applyPatches(packed []byte) {
 	news, err := peerproto.UnpackPatches(packed)
 	if err != nil {
-		n.log.Error().Err(err).Msg("feed: patches of the configuration can't be unpacked")
+		a.log.Error().Err(err).Msg("feed: patches of the configuration can't be unpacked")
 		return
 	}
 	for _, patch := range news.Patches {
-		config := n.state.Config()
+		config := a.state.Config()
 		if config == nil || config.Version != patch.Base {
 			continue
 		}
 		next, err := config.ParseAndApply(patch.Body)
 		if err != nil {
-			n.log.Error().Err(err).Int64("version", patch.Version).Msg("feed: a patch can't be applied")
+			a.log.Error().Err(err).Int64("version", patch.Version).Msg("feed: a patch can't be applied")
 			return
 		}
-		n.applyConfig(next)
+		a.applyConfig(next)
 	}
 }
 
 // applyStored puts a configuration in force that the control state holds.
-func (n *Node) applyStored(stored []byte) {
+func (a *Agent) applyStored(stored []byte) {
 	if len(stored) == 0 {
 		return
 	}
-	config, err := fleetconfig.ParseStored(stored, n.state.Config())
+	config, err := fleetconfig.ParseStored(stored, a.state.Config())
 	if err != nil {
-		n.log.Error().Err(err).Msg("chain: a configuration in force can't be read")
+		a.log.Error().Err(err).Msg("chain: a configuration in force can't be read")
 		return
 	}
-	n.applyConfig(config)
+	a.applyConfig(config)
 }
--- a/internal/router/agent/recent_patches_test.go
+++ b/internal/router/agent/recent_patches_test.go
@@ -22,17 +22,17 @@
 }
 
 // adoptPatch has a process adopt a patch of what is in force there.
-func adoptPatch(c *qt.C, n *Node, body string) {
-	next, err := n.state.Config().ParseAndApply([]byte(body))
+func adoptPatch(c *qt.C, a *Agent, body string) {
+	next, err := a.state.Config().ParseAndApply([]byte(body))
 	c.Assert(err, qt.IsNil)
-	n.applyConfig(next)
+	a.applyConfig(next)
 }
 
 // TestSmallChangesAreSentAsPatches: what followers are sent for a small change does not grow with the
 // configuration, and they come to the same one.
 func TestSmallChangesAreSentAsPatches(t *testing.T) {
 	c := qt.New(t)
-	hub, follower := newTestNode(t), newTestNode(t)
+	hub, follower := newTestAgent(t), newTestAgent(t)
 	document := firstDocument(10_000)
 	hub.applyDocument(document)
 	follower.applyPacked(hub.configUpdate(hub.state.Config(), 0))
@@ -59,41 +59,41 @@
 // has another version than they build on, is sent the whole document.
 func TestFollowersThatAreFarBehindGetAll(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	n.applyDocument(firstDocument(3))
+	a := newTestAgent(t)
+	a.applyDocument(firstDocument(3))
 	for version := 2; version < 3*recentPatchCount; version++ {
-		adoptPatch(c, n, fmt.Sprintf(`{"edition":%d}`, version))
+		adoptPatch(c, a, fmt.Sprintf(`{"edition":%d}`, version))
 	}
-	config := n.state.Config()
+	config := a.state.Config()
 	oldest := config.Version - recentPatchCount
 	for version, patched := range map[int64]bool{
 		0: false, 1: false, oldest - 1: false, oldest: true, config.Version - 1: true, config.Version: false} {
-		got := peerproto.ArePatches(n.configUpdate(config, version))
+		got := peerproto.ArePatches(a.configUpdate(config, version))
 		c.Check(got, qt.Equals, patched, qt.Commentf("%d", version))
 	}
-	adoptPatch(c, n, fmt.Sprintf(`{"edition":500,"deliver":{"depots_list":[{"name":"t","note":%q}]}}`,
+	adoptPatch(c, a, fmt.Sprintf(`{"edition":500,"deliver":{"depots_list":[{"name":"t","note":%q}]}}`,
 		strings.Repeat("x", recentPatchBytes)))
-	c.Assert(peerproto.ArePatches(n.configUpdate(n.state.Config(), config.Version)), qt.IsFalse)
+	c.Assert(peerproto.ArePatches(a.configUpdate(a.state.Config(), config.Version)), qt.IsFalse)
 	full, err := fleetconfig.Parse([]byte(`{"edition":501,"depots_list":[]}`))
 	c.Assert(err, qt.IsNil)
-	n.applyConfig(full)
-	c.Assert(peerproto.ArePatches(n.configUpdate(full, 500)), qt.IsFalse)
+	a.applyConfig(full)
+	c.Assert(peerproto.ArePatches(a.configUpdate(full, 500)), qt.IsFalse)
 }
 
 // TestDamagedPatchesAreLeft takes patches that are cut, or build on another version, for none.
 func TestDamagedPatchesAreLeft(t *testing.T) {
 	c := qt.New(t)
-	n := newTestNode(t)
-	n.applyDocument(firstDocument(3))
+	a := newTestAgent(t)
+	a.applyDocument(firstDocument(3))
 	packed := peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 1, Version: 2, Body: []byte(`{"edition":2}`)}, {Base: 2, Version: 3, Body: []byte(`{`)}}})
 	for cut := 1; cut < len(packed); cut++ {
-		n.applyPacked(packed[:cut])
-		c.Assert(n.state.version(), qt.Equals, int64(1))
+		a.applyPacked(packed[:cut])
+		c.Assert(a.state.version(), qt.Equals, int64(1))
 	}
-	n.applyPacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
+	a.applyPacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 4, Version: 5, Body: []byte(`{"edition":5}`)}}}))
-	c.Assert(n.state.version(), qt.Equals, int64(1))
-	n.applyPacked(packed)
-	c.Assert(n.state.version(), qt.Equals, int64(2))
+	c.Assert(a.state.version(), qt.Equals, int64(1))
+	a.applyPacked(packed)
+	c.Assert(a.state.version(), qt.Equals, int64(2))
 }
--- a/internal/router/agent/registration.go
+++ b/internal/router/agent/registration.go
@@ -20,7 +20,7 @@
 )
 
 // handleServerCall answers heartbeats and deregistrations of servers.
-func (n *Node) handleServerCall(call *controlserver.Call) *http1.Response {
+func (a *Agent) handleServerCall(call *controlserver.Call) *http1.Response {
 	id := strings.TrimPrefix(call.Path, serversPath)
 	if id == "" || strings.Contains(id, "/") {
 		return controlserver.Text(404, "no server id in the path; call "+serversPath+"ID")
@@ -31,9 +31,9 @@
 		if err != nil {
 			return controlserver.Text(400, err.Error())
 		}
-		return n.handleHeartbeat(record)
+		return a.handleHeartbeat(record)
 	case "DELETE":
-		return n.deregister(id)
+		return a.deregister(id)
 	}
 	return controlserver.Text(405, "use PUT for a heartbeat and DELETE for the end")
 }
@@ -64,29 +64,29 @@
 // handleHeartbeat merges what a server tells of itself and acknowledges it where the rest of the fleet hears
 // of it; the server calls another proxy else. A drain is acknowledged only once most hubs know it, because no
 // proxy may send there much longer.
-func (n *Node) handleHeartbeat(record *directory.Record) *http1.Response {
+func (a *Agent) handleHeartbeat(record *directory.Record) *http1.Response {
 	switch {
-	case n.isShuttingDown():
-		return n.rejectHeartbeat(record.ID, "ending")
-	case !n.knowsFleet():
-		return n.rejectHeartbeat(record.ID, "no_view")
+	case a.isShuttingDown():
+		return a.rejectHeartbeat(record.ID, "ending")
+	case !a.knowsFleet():
+		return a.rejectHeartbeat(record.ID, "no_view")
 	}
-	now := n.now()
-	n.recordContact(record.ID)
-	if !n.reachesFleet() {
-		n.mergeHeartbeat(now, record) // for this side; the server finds its watcher on the other one
-		return n.rejectHeartbeat(record.ID, "no_majority")
+	now := a.now()
+	a.recordContact(record.ID)
+	if !a.reachesFleet() {
+		a.mergeHeartbeat(now, record) // for this side; the server finds its watcher on the other one
+		return a.rejectHeartbeat(record.ID, "no_majority")
 	}
-	record.Watcher = n.id
-	offset, late := n.mergeHeartbeat(now, record)
-	if record.State == directory.Draining && !n.awaitMajority(offset, drainAckTimeout) {
-		return n.rejectHeartbeat(record.ID, "drain_not_told")
+	record.Watcher = a.id
+	offset, late := a.mergeHeartbeat(now, record)
+	if record.State == directory.Draining && !a.awaitMajority(offset, drainAckTimeout) {
+		return a.rejectHeartbeat(record.ID, "drain_not_told")
 	}
-	n.metrics.countHeartbeat("acknowledged")
+	a.metrics.countHeartbeat("acknowledged")
 	if late {
 		return controlserver.JSON(200, []byte("{}"))
 	}
-	answer, err := json.Marshal(map[string]string{"forward_to": n.settings.Control})
+	answer, err := json.Marshal(map[string]string{"forward_to": a.settings.Control})
 	if err != nil {
 		return controlserver.Text(500, err.Error())
 	}
@@ -95,18 +95,18 @@
 
 // knowsFleet tells whether this process knows whom to tell of servers. Before the first view of the fleet is
 // agreed on, the seeds take its place; a process that starts later has to learn it.
-func (n *Node) knowsFleet() bool { return n.settings.FirstStart || n.state.currentView().epoch > 0 }
+func (a *Agent) knowsFleet() bool { return a.settings.FirstStart || a.state.currentView().epoch > 0 }
 
 // reachesFleet tells whether what a server tells here reaches the rest of the fleet: where a view is known, a
 // majority of its members has to answer.
-func (n *Node) reachesFleet() bool {
-	return n.state.currentView().epoch == 0 || n.reachesMajority()
+func (a *Agent) reachesFleet() bool {
+	return a.state.currentView().epoch == 0 || a.reachesMajority()
 }
 
 // mergeHeartbeat returns the place that hubs must reach to know of the heartbeat, and whether a later one
 // of the same server has been heard before.
-func (n *Node) mergeHeartbeat(now time.Duration, record *directory.Record) (offset uint64, late bool) {
-	n.state.update(now, func(d *directory.Directory) {
+func (a *Agent) mergeHeartbeat(now time.Duration, record *directory.Record) (offset uint64, late bool) {
+	a.state.update(now, func(d *directory.Directory) {
 		known := d.Get(record.ID)
 		late = known != nil && known.Sequence > record.Sequence
 		if known != nil && record.Watcher == "" {
@@ -120,30 +120,30 @@
 	return offset, late
 }
 
-func (n *Node) deregister(id string) *http1.Response {
-	now := n.now()
+func (a *Agent) deregister(id string) *http1.Response {
+	now := a.now()
 	var offset uint64
-	n.state.update(now, func(d *directory.Directory) {
+	a.state.update(now, func(d *directory.Directory) {
 		ended := directory.Record{Kind: directory.KindServer, ID: id}
 		if known := d.Get(id); known != nil {
 			ended = *known
 		}
-		ended.State, ended.Watcher = directory.Ended, n.id
+		ended.State, ended.Watcher = directory.Ended, a.id
 		d.Merge(now, ended)
 		offset = d.Offset()
 	})
-	if !n.awaitMajority(offset, drainAckTimeout) {
-		return n.rejectHeartbeat(id, "end_not_told")
+	if !a.awaitMajority(offset, drainAckTimeout) {
+		return a.rejectHeartbeat(id, "end_not_told")
 	}
-	n.metrics.countHeartbeat("end_acknowledged")
-	n.log.Info().Str("server", id).Msg("servers: ended")
+	a.metrics.countHeartbeat("end_acknowledged")
+	a.log.Info().Str("server", id).Msg("servers: ended")
 	return controlserver.JSON(200, []byte("{}"))
 }
 
 // rejectHeartbeat sends a server to another proxy, and tells why in figures and log.
-func (n *Node) rejectHeartbeat(server, reason string) *http1.Response {
-	n.metrics.countHeartbeat(reason)
-	n.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: sent to another proxy")
+func (a *Agent) rejectHeartbeat(server, reason string) *http1.Response {
+	a.metrics.countHeartbeat(reason)
+	a.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: sent to another proxy")
 	return retryElsewhere()
 }
 
--- a/internal/router/agent/saved_directory.go
+++ b/internal/router/agent/saved_directory.go
@@ -23,36 +23,36 @@
 
 // persistState takes in what was saved before the process started, closes loaded, and then saves what changes
 // until done closes. It runs beside everything else, because the disk may hang.
-func (n *Node) persistState(loaded chan<- struct{}, done <-chan struct{}) {
-	if n.loadServers() {
-		n.state.setSynced()
+func (a *Agent) persistState(loaded chan<- struct{}, done <-chan struct{}) {
+	if a.loadServers() {
+		a.state.setSynced()
 	}
-	n.loadProxies()
+	a.loadProxies()
 	close(loaded)
-	n.saveChanges(done)
+	a.saveChanges(done)
 }
 
 // loadServers takes in which servers were live, and tells whether there were any.
-func (n *Node) loadServers() bool {
-	records, err := n.saved().readRecords(serversFile)
+func (a *Agent) loadServers() bool {
+	records, err := a.saved().readRecords(serversFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
-			n.log.Warn().Err(err).Msg("servers: not loaded")
+			a.log.Warn().Err(err).Msg("servers: not loaded")
 		}
 		return false
 	}
-	n.state.merge(n.now(), records)
-	n.loadPrompts()
-	n.log.Info().Int("servers", len(records)).Msg("servers: loaded")
+	a.state.merge(a.now(), records)
+	a.loadPrefixIndex()
+	a.log.Info().Int("servers", len(records)).Msg("servers: loaded")
 	return len(records) > 0
 }
 
 // loadProxies takes in which proxies were known before the process started.
-func (n *Node) loadProxies() {
-	records, err := n.saved().readRecords(proxiesFile)
+func (a *Agent) loadProxies() {
+	records, err := a.saved().readRecords(proxiesFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
-			n.log.Warn().Err(err).Msg("proxies: not loaded")
+			a.log.Warn().Err(err).Msg("proxies: not loaded")
 		}
 		return
 	}
@@ -60,88 +60,88 @@
 	for _, record := range records {
 		addresses = append(addresses, record.Address)
 	}
-	n.knownProxies.record(n.now(), addresses)
-	n.state.raiseProxyCount(n.now(), len(addresses))
-	n.log.Info().Int("proxies", len(addresses)).Msg("proxies: loaded")
+	a.knownProxies.record(a.now(), addresses)
+	a.state.raiseProxyCount(a.now(), len(addresses))
+	a.log.Info().Int("proxies", len(addresses)).Msg("proxies: loaded")
 }
 
 // saveProxies saves the addresses of the proxies that were live lately, where they have changed.
-func (n *Node) saveProxies() {
-	n.recordLiveProxies()
-	if !n.knownProxies.takeChanged() {
+func (a *Agent) saveProxies() {
+	a.recordLiveProxies()
+	if !a.knownProxies.takeChanged() {
 		return
 	}
 	var records []directory.Record
-	for _, address := range n.knownProxies.addresses() {
+	for _, address := range a.knownProxies.addresses() {
 		records = append(records, directory.Record{Kind: directory.KindProxy, Address: address})
 	}
-	if err := n.saved().writeRecords(proxiesFile, records); err != nil {
-		n.knownProxies.setChanged()
-		n.log.Debug().Err(err).Msg("proxies: not saved; tried again")
+	if err := a.saved().writeRecords(proxiesFile, records); err != nil {
+		a.knownProxies.setChanged()
+		a.log.Debug().Err(err).Msg("proxies: not saved; tried again")
 	}
 }
 
 // recordLiveProxies remembers the proxies that are live now.
-func (n *Node) recordLiveProxies() {
+func (a *Agent) recordLiveProxies() {
 	var live []string
-	n.state.read(func(d *directory.Directory) {
+	a.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
 			live = append(live, proxy.Address)
 		}
 	})
-	n.knownProxies.record(n.now(), live)
+	a.knownProxies.record(a.now(), live)
 }
 
 // saveChanges saves the records of live servers whenever they change, until done closes.
-func (n *Node) saveChanges(done <-chan struct{}) {
-	saved := n.state.Servers()
+func (a *Agent) saveChanges(done <-chan struct{}) {
+	saved := a.state.Servers()
 	for {
 		select {
 		case <-done:
 			return
 		case <-time.After(saveInterval):
 		}
-		n.savePrompts()
-		n.saveProxies()
-		table := n.state.Servers()
+		a.savePrefixIndex()
+		a.saveProxies()
+		table := a.state.Servers()
 		if table == saved {
 			continue
 		}
 		var records []directory.Record
-		n.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
-		if err := n.saved().writeRecords(serversFile, records); err != nil {
-			n.log.Debug().Err(err).Msg("servers: not saved; tried again")
+		a.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
+		if err := a.saved().writeRecords(serversFile, records); err != nil {
+			a.log.Debug().Err(err).Msg("servers: not saved; tried again")
 			continue
 		}
 		saved = table
 	}
 }
 
-// loadPrompts takes in what was known of which servers hold what.
-func (n *Node) loadPrompts() {
-	body, err := n.saved().read(promptsFile)
+// loadPrefixIndex takes in what was known of which servers hold what.
+func (a *Agent) loadPrefixIndex() {
+	body, err := a.saved().read(promptsFile)
 	var work peerproto.LoadReport
-	if err != nil || n.front == nil || peerproto.Decode(body, &work) != nil {
+	if err != nil || a.proxy == nil || peerproto.Decode(body, &work) != nil {
 		return
 	}
-	n.front.CatchUp(decodePrompts(work.Prefixes))
+	a.proxy.CatchUp(decodePrefixes(work.Prefixes))
 }
 
-// savePrompts saves what is known of which servers hold what, where that has changed.
-func (n *Node) savePrompts() {
-	if n.front == nil {
+// savePrefixIndex saves what is known of which servers hold what, where that has changed.
+func (a *Agent) savePrefixIndex() {
+	if a.proxy == nil {
 		return
 	}
-	known := n.front.KnownPrompts()
+	known := a.proxy.KnownPrompts()
 	count := 0
 	for _, at := range known {
 		count += len(at.Hashes)
 	}
-	if count == n.savedPromptCount {
+	if count == a.savedPrefixCount {
 		return
 	}
-	body := peerproto.Encode(&peerproto.LoadReport{FullIndex: true, Prefixes: encodePrompts(known)})
-	if n.saved().write(promptsFile, body) == nil {
-		n.savedPromptCount = count
+	body := peerproto.Encode(&peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(known)})
+	if a.saved().write(promptsFile, body) == nil {
+		a.savedPrefixCount = count
 	}
 }
--- a/internal/router/agent/saved_files.go
+++ b/internal/router/agent/saved_files.go
@@ -24,7 +24,7 @@
 	dir   string
 }
 
-func (n *Node) saved() savedFiles { return savedFiles{n.files, n.settings.DataDir} }
+func (a *Agent) saved() savedFiles { return savedFiles{a.files, a.settings.DataDir} }
 
 func (s savedFiles) path(name string) string { return s.dir + "/" + name }
 
--- a/internal/router/agent/server_call.go
+++ b/internal/router/agent/server_call.go
@@ -11,10 +11,10 @@
 // callServer makes one call to a server in a connection of its own. A call that fails ends with a reset, so
 // that the kernel does not deliver what it still holds once a cut link is back: an order that was given up
 // must not arrive later.
-func (n *Node) callServer(address string, request *http1.Request,
+func (a *Agent) callServer(address string, request *http1.Request,
 	timeout time.Duration) (*http1.Response, error) {
 	deadline := time.Now().Add(timeout)
-	conn, err := n.network.Dial(address, timeout)
+	conn, err := a.network.Dial(address, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/agent/stages.go
+++ b/internal/router/agent/stages.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	stageInterval = 300 * time.Millisecond
+	roleAssignInterval = 300 * time.Millisecond
 	// confirmTimeout bounds the check that this process still holds the duty, and confirmValidity how long after
 	// the check began an order may be sent.
 	confirmTimeout  = 300 * time.Millisecond
@@ -31,22 +31,22 @@
 	leaseMargin = 700 * time.Millisecond
 )
 
-// stageCoordinator gives model servers their stages. It is held by the open head of the chain, under the
+// roleAssigner gives model servers their stages. It is held by the open head of the chain, under the
 // epoch as the fence: epochs rise, and each has one head. A new holder waits until orders of the one before
 // can't arrive any more, and each order follows a read through the chain that shows that the duty is still
 // held.
-type stageCoordinator struct {
-	node   *Node
+type roleAssigner struct {
+	agent  *Agent
 	member *chainMember
 
-	fence           uint64        // under which the duty is held, 0 where it is not
+	heldFence       uint64        // under which the duty is held, 0 where it is not
 	ordersAllowedAt time.Duration // from when on orders may be sent
 	// refused is a fence that a server found lower than one it had seen. No more orders are sent under it.
 	rejectedFence atomic.Uint64
 }
 
-func (s *stageCoordinator) run(done <-chan struct{}) {
-	ticker := time.NewTicker(stageInterval)
+func (s *roleAssigner) run(done <-chan struct{}) {
+	ticker := time.NewTicker(roleAssignInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -54,8 +54,8 @@
 			return
 		case <-ticker.C:
 		}
-		config := s.node.state.Config()
-		if !s.maySendOrders() || config == nil || s.node.isShuttingDown() {
+		config := s.agent.state.Config()
+		if !s.maySendOrders() || config == nil || s.agent.isShuttingDown() {
 			continue
 		}
 		s.closeCompletedOrders()
@@ -68,24 +68,24 @@
 }
 
 // held tells whether this process may send orders now.
-func (s *stageCoordinator) maySendOrders() bool {
-	fence, now := s.member.fence.Load(), s.node.now()
+func (s *roleAssigner) maySendOrders() bool {
+	fence, now := s.member.fence.Load(), s.agent.now()
 	switch {
 	case fence == 0:
-		s.fence = 0
+		s.heldFence = 0
 		return false
-	case s.fence == 0 && fence > 1:
-		s.ordersAllowedAt = now + s.node.settings.Bounds.Lease + leaseMargin
+	case s.heldFence == 0 && fence > 1:
+		s.ordersAllowedAt = now + s.agent.settings.Bounds.Lease + leaseMargin
 	}
-	s.fence = fence
+	s.heldFence = fence
 	return now >= s.ordersAllowedAt && fence != s.rejectedFence.Load()
 }
 
 // closeCompletedOrders ends the records of orders that were carried out or whose servers are gone.
-func (s *stageCoordinator) closeCompletedOrders() {
-	n := s.node
-	now := n.now()
-	n.state.update(now, func(d *directory.Directory) {
+func (s *roleAssigner) closeCompletedOrders() {
+	a := s.agent
+	now := a.now()
+	a.state.update(now, func(d *directory.Directory) {
 		for _, order := range d.Orders() {
 			server := d.Get(order.ID[len(directory.OrderID("")):])
 			if server == nil || !server.Live() || server.Stage == order.Stage {
@@ -97,11 +97,11 @@
 	})
 }
 
-func (s *stageCoordinator) rebalance(service *fleetconfig.Service) {
-	n := s.node
+func (s *roleAssigner) rebalance(service *fleetconfig.Service) {
+	a := s.agent
 	var servers []roleplan.Server
 	addresses := map[string]string{}
-	n.state.read(func(d *directory.Directory) {
+	a.state.read(func(d *directory.Directory) {
 		for _, r := range d.LiveServers() {
 			if r.Service != service.Name || r.State != directory.Ready || r.Stage == "" {
 				continue
@@ -114,13 +114,13 @@
 			addresses[r.ID] = r.Address
 		}
 	})
-	orders := roleplan.Plan(servers, n.demand.total(service.Name, n.now()))
+	orders := roleplan.Plan(servers, a.demand.total(service.Name, a.now()))
 	if len(orders) == 0 {
 		return
 	}
-	confirmed := n.now()
-	if n.configStore.read(confirmTimeout).Outcome != peerproto.OutcomeAccepted ||
-		s.member.fence.Load() != s.fence {
+	confirmed := a.now()
+	if a.configStore.read(confirmTimeout).Outcome != peerproto.OutcomeAccepted ||
+		s.member.fence.Load() != s.heldFence {
 		return // before anything is announced: another machine may hold the duty
 	}
 	s.announceOrders(service, orders)
@@ -136,14 +136,14 @@
 }
 
 // announce tells all proxies that servers are about to change, so that they get nothing new.
-func (s *stageCoordinator) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
-	n := s.node
-	now := n.now()
+func (s *roleAssigner) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
+	a := s.agent
+	now := a.now()
 	var offset uint64
-	n.state.update(now, func(d *directory.Directory) {
+	a.state.update(now, func(d *directory.Directory) {
 		for _, order := range orders {
 			record := directory.Record{Kind: directory.KindOrder, ID: directory.OrderID(order.Server), Sequence: 1,
-				State: directory.Ready, Watcher: n.id, Service: service.Name, Stage: string(order.Role)}
+				State: directory.Ready, Watcher: a.id, Service: service.Name, Stage: string(order.Role)}
 			if earlier := d.Get(record.ID); earlier != nil {
 				record.Sequence = earlier.Sequence + 1
 			}
@@ -151,7 +151,7 @@
 		}
 		offset = d.Offset()
 	})
-	n.awaitMajority(offset, confirmTimeout)
+	a.awaitMajority(offset, confirmTimeout)
 }
 
 // orderBody is the body of an order.
@@ -162,29 +162,29 @@
 	Fence  uint64 `json:"fence"`
 }
 
-func (s *stageCoordinator) sendOrder(order roleplan.Order, address string, confirmed time.Duration) {
-	n := s.node
-	invariant.Assert(s.fence > 0 && s.fence >= n.metrics.lastFence.Load(), invariant.FenceRises,
-		"an order under fence %d follows one under %d", s.fence, n.metrics.lastFence.Load())
-	n.metrics.lastFence.Store(s.fence)
-	body, err := json.Marshal(orderBody{"stage", string(order.Role), s.member.identity, s.fence})
-	if err != nil || n.now()-confirmed > confirmValidity {
+func (s *roleAssigner) sendOrder(order roleplan.Order, address string, confirmed time.Duration) {
+	a := s.agent
+	invariant.Assert(s.heldFence > 0 && s.heldFence >= a.metrics.lastOrderFence.Load(), invariant.FenceRises,
+		"an order under fence %d follows one under %d", s.heldFence, a.metrics.lastOrderFence.Load())
+	a.metrics.lastOrderFence.Store(s.heldFence)
+	body, err := json.Marshal(orderBody{"stage", string(order.Role), s.member.identity, s.heldFence})
+	if err != nil || a.now()-confirmed > confirmValidity {
 		s.withdrawOrder(order)
 		return
 	}
 	status := 0
-	answer, err := n.callServer(address, &http1.Request{Method: "POST", Target: orderPath, Body: body,
+	answer, err := a.callServer(address, &http1.Request{Method: "POST", Target: orderPath, Body: body,
 		Header: http1.Header{{Name: "Content-Type", Value: "application/json"},
 			{Name: expectServerHeader, Value: order.Server}}}, orderTimeout)
 	if err == nil {
 		status = answer.Status
 	}
-	n.metrics.countOrder(status)
-	n.log.Info().Err(err).Str("server", order.Server).Str("stage", string(order.Role)).Int("status", status).
-		Uint64("fence", s.fence).Msg("stages: order sent")
+	a.metrics.countOrder(status)
+	a.log.Info().Err(err).Str("server", order.Server).Str("stage", string(order.Role)).Int("status", status).
+		Uint64("fence", s.heldFence).Msg("stages: order sent")
 	switch status {
 	case 412:
-		s.rejectedFence.Store(s.fence)
+		s.rejectedFence.Store(s.heldFence)
 		s.withdrawOrder(order)
 	case 400, 421:
 		s.withdrawOrder(order)
@@ -192,12 +192,12 @@
 }
 
 // withdraw ends the announcement of an order that is not carried out, so that its server gets requests again.
-func (s *stageCoordinator) withdrawOrder(order roleplan.Order) {
-	n := s.node
-	now := n.now()
-	n.state.update(now, func(d *directory.Directory) {
+func (s *roleAssigner) withdrawOrder(order roleplan.Order) {
+	a := s.agent
+	now := a.now()
+	a.state.update(now, func(d *directory.Directory) {
 		announced := d.Get(directory.OrderID(order.Server))
-		if announced == nil || announced.Watcher != n.id {
+		if announced == nil || announced.Watcher != a.id {
 			return
 		}
 		ended := *announced
--- a/internal/router/agent/work.go
+++ b/internal/router/agent/work.go
@@ -41,46 +41,46 @@
 
 // loadTable holds what this process and those that report to it have under way.
 type loadTable struct {
-	node *Node
+	agent *Agent
 
 	mu        sync.Mutex
 	own       loadByServer
 	followers map[*transport.Conn]loadByServer
 	hubs      map[*transport.Conn]loadByServer
 	changed   map[string]bool // servers of which something changed since the last distribution
-	// localPrompts and hubPrompts are to be distributed: those of this process and its followers, and those
+	// localPrefixes and hubPrefixes are to be distributed: those of this process and its followers, and those
 	// that other hubs told of.
-	localPrompts, hubPrompts []peerproto.ServerPrefixes
+	localPrefixes, hubPrefixes []peerproto.ServerPrefixes
 }
 
-func newLoadTable(n *Node) *loadTable {
-	return &loadTable{node: n, own: loadByServer{}, followers: map[*transport.Conn]loadByServer{},
+func newLoadTable(a *Agent) *loadTable {
+	return &loadTable{agent: a, own: loadByServer{}, followers: map[*transport.Conn]loadByServer{},
 		hubs: map[*transport.Conn]loadByServer{}, changed: map[string]bool{}}
 }
 
 // report tells what this process has under way whenever that changes, until done closes.
 func (t *loadTable) report(done <-chan struct{}) {
-	n := t.node
+	a := t.agent
 	var last time.Duration
 	for {
 		select {
 		case <-done:
 			return
-		case <-n.workload.WorkChanged():
+		case <-a.workload.WorkChanged():
 		case <-time.After(loadReportMinInterval):
 		}
-		full := n.now()-last > fullSyncInterval
-		changes := n.workload.WorkChanges(full)
+		full := a.now()-last > fullSyncInterval
+		changes := a.workload.WorkChanges(full)
 		if full {
-			last = n.now()
+			last = a.now()
 		}
-		prompts := encodePrompts(n.workload.NewPrompts())
+		prompts := encodePrefixes(a.workload.NewPrompts())
 		work := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prompts}
-		if n.isHub() {
+		if a.isHub() {
 			t.applyOwn(work)
 			t.distribute(full)
 		} else if full || len(changes) > 0 {
-			n.sendToSource(peerproto.KindLoadReport, peerproto.Encode(work))
+			a.sendToSource(peerproto.KindLoadReport, peerproto.Encode(work))
 		}
 		time.Sleep(loadReportMinInterval)
 	}
@@ -95,7 +95,7 @@
 	return servers
 }
 
-func encodePrompts(all []scheduler.CachedPrefixes) []peerproto.ServerPrefixes {
+func encodePrefixes(all []scheduler.CachedPrefixes) []peerproto.ServerPrefixes {
 	encoded := make([]peerproto.ServerPrefixes, len(all))
 	for i, at := range all {
 		encoded[i].Server = at.Server
@@ -106,7 +106,7 @@
 	return encoded
 }
 
-func decodePrompts(all []peerproto.ServerPrefixes) []scheduler.CachedPrefixes {
+func decodePrefixes(all []peerproto.ServerPrefixes) []scheduler.CachedPrefixes {
 	decoded := make([]scheduler.CachedPrefixes, len(all))
 	for i, at := range all {
 		decoded[i].Server = at.Server
@@ -127,37 +127,37 @@
 }
 
 // sendToSource sends a frame to the hub that this process follows.
-func (n *Node) sendToSource(kind peerproto.Kind, body []byte) {
-	n.subscriptionMu.Lock()
-	source := n.subscription.source
-	n.subscriptionMu.Unlock()
+func (a *Agent) sendToSource(kind peerproto.Kind, body []byte) {
+	a.subscriptionMu.Lock()
+	source := a.subscription.source
+	a.subscriptionMu.Unlock()
 	if source != nil {
 		source.link.Send(kind, body)
 	}
 }
 
 // handleLoad takes in what a hub told of all other proxies.
-func (n *Node) handleLoad(h *hub, frame peerproto.Frame) {
-	n.subscriptionMu.Lock()
-	isSource := n.subscription.source == h
-	n.subscriptionMu.Unlock()
+func (a *Agent) handleLoad(h *hub, frame peerproto.Frame) {
+	a.subscriptionMu.Lock()
+	isSource := a.subscription.source == h
+	a.subscriptionMu.Unlock()
 	var work peerproto.LoadReport
 	if !isSource || peerproto.Decode(frame.Body, &work) != nil {
 		return
 	}
 	if work.FullIndex {
-		n.workload.CatchUp(decodePrompts(work.Prefixes))
+		a.workload.CatchUp(decodePrefixes(work.Prefixes))
 		return
 	}
-	n.workload.ShareWork(decodeLoad(work.Servers), work.Full, decodePrompts(work.Prefixes))
+	a.workload.ShareWork(decodeLoad(work.Servers), work.Full, decodePrefixes(work.Prefixes))
 }
 
 // sendPrefixIndex hands a new follower what is known of which servers hold what.
-func (n *Node) sendPrefixIndex(c *transport.Conn) {
-	if !n.state.isSynced() {
+func (a *Agent) sendPrefixIndex(c *transport.Conn) {
+	if !a.state.isSynced() {
 		return
 	}
-	work := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrompts(n.workload.KnownPrompts())}
+	work := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(a.workload.KnownPrompts())}
 	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(work)})
 }
 
@@ -165,15 +165,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.recordChanges(t.own, work)
-	t.localPrompts = append(t.localPrompts, work.Prefixes...)
+	t.localPrefixes = append(t.localPrefixes, work.Prefixes...)
 }
 
 func (t *loadTable) applyFollower(c *transport.Conn, body []byte) {
-	t.applyFrom(t.followers, &t.localPrompts, c, body)
+	t.applyFrom(t.followers, &t.localPrefixes, c, body)
 }
 
 func (t *loadTable) applyHub(c *transport.Conn, body []byte) {
-	t.applyFrom(t.hubs, &t.hubPrompts, c, body)
+	t.applyFrom(t.hubs, &t.hubPrefixes, c, body)
 }
 
 func (t *loadTable) applyFrom(sums map[*transport.Conn]loadByServer, prompts *[]peerproto.ServerPrefixes,
@@ -221,17 +221,17 @@
 func (t *loadTable) distribute(full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.changed)+len(t.localPrompts)+len(t.hubPrompts) == 0 && !full {
+	if len(t.changed)+len(t.localPrefixes)+len(t.hubPrefixes) == 0 && !full {
 		return
 	}
 	local := t.localLoad()
 	total := t.totalLoad(local)
 	full = full && len(total) <= maxFullSyncServers
-	prompts := append(t.localPrompts, t.hubPrompts...)
+	prompts := append(t.localPrefixes, t.hubPrefixes...)
 	hubWork := peerproto.LoadReport{Full: full, Servers: t.loadExcept(local, nil, full),
-		Prefixes: t.localPrompts}
+		Prefixes: t.localPrefixes}
 	encoded := peerproto.Encode(&hubWork)
-	for _, h := range t.node.currentHubs() {
+	for _, h := range t.agent.currentHubs() {
 		h.link.Send(peerproto.KindHubLoadReport, encoded)
 	}
 	for c, sum := range t.followers {
@@ -239,9 +239,9 @@
 		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&work)})
 	}
 	others := decodeLoad(t.loadExcept(total, t.own, full))
-	t.node.workload.ShareWork(others, full, decodePrompts(prompts))
+	t.agent.workload.ShareWork(others, full, decodePrefixes(prompts))
 	clear(t.changed)
-	t.localPrompts, t.hubPrompts = nil, nil
+	t.localPrefixes, t.hubPrefixes = nil, nil
 }
 
 // localLoad sums up what this process and its followers have under way.
--- a/internal/router/cli/router.go
+++ b/internal/router/cli/router.go
@@ -85,7 +85,7 @@
 }
 
 // mind reloads settings that changed and closes stop at the first signal to end.
-func handleSignals(process *agent.Node, signals <-chan os.Signal, stop chan<- struct{}) {
+func handleSignals(process *agent.Agent, signals <-chan os.Signal, stop chan<- struct{}) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	settings := newSettingsReloader(process.Reload, process.ReloadFailed)
--- a/internal/simulation/agentsim/machine.go
+++ b/internal/simulation/agentsim/machine.go
@@ -34,7 +34,7 @@
 
 // process is one run of the program on a machine.
 type process struct {
-	node     *agent.Node
+	node     *agent.Agent
 	network  *simnet.Process
 	settings *agentsettings.Settings
 	stop     chan struct{}
@@ -83,7 +83,7 @@
 func (m *Machine) Control() string { return m.IP + ":" + strconv.Itoa(controlPort) }
 
 // Node returns the process that runs.
-func (m *Machine) Node() *agent.Node { return m.process.Load().node }
+func (m *Machine) Node() *agent.Agent { return m.process.Load().node }
 
 // Runs tells whether a process runs.
 func (m *Machine) Runs() bool {
@@ -125,7 +125,7 @@
 	log := zerolog.New(&machineLog{m, p})
 	options := []agent.Option{agent.WithNetwork(p.network)}
 	if m.fleet.Options.Stages {
-		options = append(options, agent.WithStageOrders())
+		options = append(options, agent.WithRoleAssignment())
 	}
 	var err error
 	if p.node, err = agent.New(p.settings, log, options...); err != nil {
