--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -80,10 +80,9 @@
 	probesMu sync.Mutex
 	probed   map[string]bool // servers that are asked just now whether they live
 
-	lastSeenMu     sync.Mutex
-	lastSeen       map[string]time.Duration // when a process or server last called this one
-	lastSeenPruned time.Duration            // when pruneLastSeen last ran; of the goroutine that watches
-	observingSince time.Duration            // silence before it proves nothing; of the goroutine that watches
+	lastSeen       *lastSeen
+	lastSeenPruned time.Duration // when pruneLastSeen last ran; of the goroutine that watches
+	observingSince time.Duration // silence before it proves nothing; of the goroutine that watches
 }
 
 // New returns a process that does nothing yet.
@@ -93,7 +92,7 @@
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
 		hubs: map[string]*hub{}, replicated: make(chan struct{}), followers: map[*transport.Conn]chan struct{}{},
-		lastSeen: map[string]time.Duration{}, knownProxies: newKnownProxies(),
+		lastSeen: newLastSeen(), knownProxies: newKnownProxies(),
 		probed: map[string]bool{},
 	}
 	for _, option := range options {
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -13,51 +13,52 @@
 )
 
 const (
-	chainTick      = 50 * time.Millisecond
+	// chainTick is how often the state machine of the chain is given the time.
+	chainTick = 50 * time.Millisecond
+	// chainHeartbeat is the interval of heartbeats between the members of the chain.
 	chainHeartbeat = 150 * time.Millisecond
-	chainQueue     = 256 // events that wait for the goroutine of the chain
-	// bootstrapDelay and bootstrapStablePeriod are how long the founder of the fleet waits for machines with a
-	// disk: since its start, and since the last new one was heard of.
-	bootstrapDelay        = 1500 * time.Millisecond
-	bootstrapStablePeriod = 800 * time.Millisecond
-	// closeTimeout bounds how long the end of the process waits for the disk.
+	// chainQueue is the capacity of the queue of events in front of the chain goroutine. Events that find it
+	// full are dropped and counted.
+	chainQueue = 256
+	// closeTimeout bounds how long the shutdown waits for a disk that hangs.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// chainMember runs this process's part in the control state: one goroutine steps the state machine, makes
-// what it says durable, and only then sends and answers.
+// chainEvent is a step of the state machine, which runs on the chain goroutine.
+type chainEvent func(now time.Duration) chain.Effects
+
+// chainMember is the configStore of a machine with an open disk. One goroutine, the chain goroutine, steps the
+// state machine of package chain, persists the records that a step returns, and only then sends its messages
+// and completes its requests. Other goroutines hand it events with post.
 type chainMember struct {
-	agent        *Agent
-	machine      *chain.Node
-	log          *segmentlog.Log // nil without a disk
-	events       chan func(now time.Duration) chain.Effects
-	inChain      atomic.Bool
-	fence        atomic.Uint64 // epoch in which this member is the head and the chain is open, 0 where it is not
-	bootstrapper bool
-	ended        chan struct{} // closed when the goroutine of the chain has ended
-	leaving      atomic.Bool   // this process is about to end
-	// leaveSent says that the state machine knows; of the goroutine of the chain.
-	leaveSent   bool
-	handedOff   chan struct{} // closed once this member leaves and the others hold all that it holds
-	isHandedOff bool          // free is closed; of the goroutine of the chain
-	// identity is that of this machine's disk; it names the holder of duties.
-	identity string
+	agent    *Agent
+	machine  *chain.Node     // of the chain goroutine
+	log      *segmentlog.Log // nil without a disk
+	identity string          // of this machine's disk; it is the lease holder's name in stage orders
+	events   chan chainEvent
+	ended    chan struct{} // closed when the chain goroutine has ended
+	leaving  atomic.Bool   // this process is shutting down
+
+	// What the chain goroutine publishes after each step.
+	inChain   atomic.Bool
+	fence     atomic.Uint64 // epoch in which this member is the head and the chain is open, 0 where it is not
+	handedOff chan struct{} // closed once this member has left and the others have all that it has accepted
+	committed chan []byte   // the newest committed configuration that is not yet applied, as it is stored
 
 	linksMu sync.Mutex
 	links   map[string]*transport.Link // by IP of another member
 
 	waitersMu   sync.Mutex
-	waiters     map[uint64]chan chain.Reply
+	waiters     map[uint64]chan chain.Reply // by number of the request
 	lastRequest uint64
 
-	committedSequence uint64 // of the entry that was last known to be committed
-	// of the committed configuration that was last handed over to be put in force
-	publishedVersion int64
-	// the newest committed configuration that is not yet in force, as it is stored
-	committed             chan []byte
-	publishedEpoch        uint64
-	bootstrapCandidates   int           // heard of by the founder
-	candidatesStableSince time.Duration // when the last of them was heard of
+	// State of the chain goroutine alone.
+	leaveSent         bool // the state machine knows that this process is shutting down
+	isHandedOff       bool // handedOff is closed
+	committedSequence uint64
+	publishedVersion  int64
+	publishedEpoch    uint64
+	bootstrap         *bootstrap // nil where this process does not bootstrap the fleet, or once it has a view
 }
 
 func (m *chainMember) isMember() bool { return m.inChain.Load() }
@@ -74,13 +75,12 @@
 
 func (m *chainMember) canStop() <-chan struct{} { return m.handedOff }
 
-// leave has the others told that this process is about to end. It does not go through the queue of events,
-// which may be full: messages come again, this does not.
+// leave bypasses the queue of events, which may be full: messages are sent again, this is said only once.
 func (m *chainMember) leave() { m.leaving.Store(true) }
 
-// post hands an event to the goroutine of the chain and tells whether there was room. What is posted may be
-// lost, so it has to be something that comes again or whose loss its caller is told.
-func (m *chainMember) post(event func(now time.Duration) chain.Effects) bool {
+// post queues an event for the chain goroutine and tells whether there was capacity. An event may be dropped,
+// so it has to be one that is repeated, or whose loss the caller reports.
+func (m *chainMember) post(event chainEvent) bool {
 	select {
 	case m.events <- event:
 		return true
@@ -90,7 +90,7 @@
 	}
 }
 
-// close waits for the goroutine of the chain, as long as the disk answers, and closes what it used.
+// close waits for the chain goroutine, unless the disk hangs, and closes the links and the log.
 func (m *chainMember) close() {
 	select {
 	case <-m.ended:
@@ -105,6 +105,7 @@
 	m.closeLog()
 }
 
+// run is the chain goroutine.
 func (m *chainMember) run(done <-chan struct{}) {
 	defer close(m.ended)
 	ticker := time.NewTicker(chainTick)
@@ -119,14 +120,12 @@
 			m.sendLeave()
 			m.machine.SetContacts(m.contacts())
 			m.step(m.machine.Tick)
-			if m.bootstrapper {
-				m.tryBootstrap()
-			}
+			m.tryBootstrap()
 		}
 	}
 }
 
-// sendLeave tells the others once that this process is about to end, where it is.
+// sendLeave tells the other members once that this process is shutting down.
 func (m *chainMember) sendLeave() {
 	if m.leaving.Load() && !m.leaveSent {
 		m.leaveSent = true
@@ -134,8 +133,9 @@
 	}
 }
 
-// step runs one event, makes durable what it says, and only then does the rest.
-func (m *chainMember) step(event func(now time.Duration) chain.Effects) {
+// step runs one event, persists its records, and only then executes the other effects. Where the disk fails,
+// the state machine decides what may still be sent.
+func (m *chainMember) step(event chainEvent) {
 	effects := event(m.agent.now())
 	for len(effects.Persist) > 0 {
 		err := m.persist(effects.Persist)
@@ -143,13 +143,13 @@
 			break
 		}
 		m.agent.metrics.diskErrors.Add(1)
-		m.agent.log.Warn().Err(err).Msg("chain: the disk refuses")
+		m.agent.log.Warn().Err(err).Msg("chain: persisting failed")
 		effects = m.machine.PersistFailed(m.agent.now())
 	}
 	m.execute(effects)
 }
 
-// perform sends the messages and gives the replies of a step whose records are durable.
+// execute sends the messages and completes the requests of a step whose records are durable.
 func (m *chainMember) execute(effects chain.Effects) {
 	for i := range effects.Messages {
 		envelope := &effects.Messages[i]
@@ -158,12 +158,12 @@
 		}
 	}
 	for _, reply := range effects.Replies {
-		m.reply(reply)
+		m.complete(reply)
 	}
 	m.publish()
 }
 
-// publish tells the rest of the process of the view and of the committed configuration.
+// publish shows the other goroutines the state of the state machine after a step.
 func (m *chainMember) publish() {
 	m.inChain.Store(m.machine.InChain())
 	fence := uint64(0)
@@ -175,30 +175,43 @@
 		m.isHandedOff = true
 		close(m.handedOff)
 	}
-	if view := m.machine.View(); view.Epoch != m.publishedEpoch {
-		m.publishedEpoch = view.Epoch
-		m.agent.state.learnView(int64(view.Epoch), memberInfos(view.Members))
-		m.agent.log.Info().Uint64("epoch", view.Epoch).Int("members", len(view.Members)).
-			Int("replicas", len(view.Chain)).Msg("chain: new view")
+	m.publishView()
+	m.publishCommitted()
+}
+
+func (m *chainMember) publishView() {
+	view := m.machine.View()
+	if view.Epoch == m.publishedEpoch {
+		return
 	}
-	entry, known := m.machine.Committed()
-	if known {
-		invariant.Assert(entry.Sequence >= m.committedSequence, invariant.CommittedSequenceRises,
-			"entry %d is committed after entry %d", entry.Sequence, m.committedSequence)
-		m.committedSequence = entry.Sequence
+	m.publishedEpoch = view.Epoch
+	m.agent.state.learnView(int64(view.Epoch), memberInfos(view.Members))
+	m.agent.log.Info().Uint64("epoch", view.Epoch).Int("members", len(view.Members)).
+		Int("replicas", len(view.Chain)).Msg("chain: new view")
+}
+
+// publishCommitted hands the committed configuration to applyCommitted, in place of one still waiting there.
+func (m *chainMember) publishCommitted() {
+	entry, ok := m.machine.Committed()
+	if !ok {
+		return
 	}
-	if known && entry.Version > m.publishedVersion {
-		m.publishedVersion = entry.Version
-		select {
-		case <-m.committed: // a newer one has replaced it
-		default:
-		}
-		m.committed <- entry.Body
+	invariant.Assert(entry.Sequence >= m.committedSequence, invariant.CommittedSequenceRises,
+		"entry %d is committed after entry %d", entry.Sequence, m.committedSequence)
+	m.committedSequence = entry.Sequence
+	if entry.Version <= m.publishedVersion {
+		return
+	}
+	m.publishedVersion = entry.Version
+	select {
+	case <-m.committed: // superseded by the entry that is sent next
+	default:
 	}
+	m.committed <- entry.Body
 }
 
-// applyCommitted puts committed configurations in force. Reading a large one takes long, and the goroutine of
-// the chain has to answer the other members meanwhile.
+// applyCommitted applies committed configurations until done closes. It is a goroutine of its own, because
+// parsing a large configuration takes longer than the other members wait for the chain goroutine.
 func (m *chainMember) applyCommitted(done <-chan struct{}) {
 	for {
 		select {
@@ -215,14 +228,14 @@
 	defer m.linksMu.Unlock()
 	link := m.links[ip]
 	if link == nil {
-		hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: m.agent.id}) }
-		link = m.agent.endpoint.NewLink(m.agent.peerAddress(ip), hello, func(peerproto.Frame) {}, func(bool) {})
+		ignoreFrame, ignoreState := func(peerproto.Frame) {}, func(bool) {}
+		link = m.agent.endpoint.NewLink(m.agent.peerAddress(ip), m.agent.hello, ignoreFrame, ignoreState)
 		m.links[ip] = link
 	}
 	return link
 }
 
-func (m *chainMember) receive(_ string, body []byte) {
+func (m *chainMember) receive(body []byte) {
 	message, err := decodeChain(body)
 	if err != nil {
 		return
@@ -230,7 +243,7 @@
 	m.post(func(now time.Duration) chain.Effects { return m.machine.Receive(now, message) })
 }
 
-// contacts are machines that may know the view: the hubs, and the machines with a disk that are known.
+// contacts returns the machines that may know the view: the hubs.
 func (m *chainMember) contacts() []chain.Member {
 	var contacts []chain.Member
 	for _, ip := range m.agent.hubAddresses() {
--- a/internal/router/agent/chain_open.go
+++ b/internal/router/agent/chain_open.go
@@ -3,9 +3,7 @@
 import (
 	"fmt"
 	"math/rand"
-	"net"
 	"path/filepath"
-	"time"
 
 	"cresshub/internal/router/chain"
 	"cresshub/internal/router/transport"
@@ -14,28 +12,16 @@
 
 const (
 	chainFolder = "chain"
-	// compactFraction of the disk is the size at which the log is begun anew with a snapshot.
+	// compactFraction of the disk is the size at which the log is compacted to a snapshot, at least
+	// minCompactBytes.
 	compactFraction = 0.25
-	// minMembers is how many machines keep the control state at least, where there are as many with a disk.
-	// A majority has to be left when as many are lost as the settings tolerate.
+	minCompactBytes = 1 << 20
+	// minMembers is the least number of members of a view, where there are as many machines with a disk: a
+	// majority has to be left when as many machines are lost as the settings tolerate.
 	minMembers = 3
 )
 
-// newConfigStore returns this process's part in the control state: none without a disk, unless it is the one
-// that founds it.
-func newConfigStore(a *Agent) configStore {
-	if a.settings.DataDir == "" && !a.isBootstrapper() {
-		return noConfigStore{}
-	}
-	return newDeferredStore(a)
-}
-
-// founds tells whether this process is the one that has the first view agreed on.
-func (a *Agent) isBootstrapper() bool {
-	return a.settings.FirstStart && len(a.settings.Seeds) > 0 && hostOf(a.settings.Seeds[0]) == a.settings.IP
-}
-
-// openChainMember opens the disk, where there is one, and the state machine with what the disk holds.
+// openChainMember opens the disk, where there is one, and the state machine from the records on it.
 func openChainMember(a *Agent) (*chainMember, error) {
 	m := newChainMember(a)
 	var records [][]byte
@@ -54,16 +40,19 @@
 }
 
 func newChainMember(a *Agent) *chainMember {
-	return &chainMember{
-		agent: a, bootstrapper: a.isBootstrapper(), links: map[string]*transport.Link{},
-		events: make(chan func(time.Duration) chain.Effects, chainQueue),
-		ended:  make(chan struct{}), handedOff: make(chan struct{}),
+	m := &chainMember{
+		agent: a, links: map[string]*transport.Link{}, events: make(chan chainEvent, chainQueue),
+		ended: make(chan struct{}), handedOff: make(chan struct{}),
 		waiters: map[uint64]chan chain.Reply{}, committed: make(chan []byte, 1),
-		lastRequest: uint64(rand.Int63()), // requests of an earlier process must not be taken for this one's
+		lastRequest: uint64(rand.Int63()), // replies to an earlier process must not be taken for this one's
 	}
+	if a.isBootstrapper() {
+		m.bootstrap = &bootstrap{}
+	}
+	return m
 }
 
-// openMachine makes the state machine of the records that the disk holds.
+// openMachine starts the state machine from the records on the disk.
 func (m *chainMember) openMachine(records [][]byte) error {
 	settings := m.agent.settings
 	config := chain.Config{
@@ -87,42 +76,38 @@
 	return nil
 }
 
-// openLog opens the log of the control state. A damaged one is begun anew: the machine comes back under
-// another identity, which has promised nothing, and is taken in like one with an empty disk.
+// openLog opens the log of the chain and returns its records. A corrupt log is replaced by an empty one: the
+// machine then has a new identity, which has accepted nothing, and joins like one with an empty disk.
 func openLog(a *Agent) (*segmentlog.Log, [][]byte, error) {
 	folder := filepath.Join(a.settings.DataDir, chainFolder)
 	if err := a.files.MakeDir(folder); err != nil {
 		return nil, nil, err
 	}
-	if err := a.files.SyncDir(a.settings.DataDir); err != nil { // else a loss of power may take the folder away
+	if err := a.files.SyncDir(a.settings.DataDir); err != nil { // else the folder may not survive a power loss
 		return nil, nil, err
 	}
 	log, records, damage, err := segmentlog.OpenOrReset(a.files, folder, segmentlog.Options{})
 	if damage != nil {
-		a.log.Error().Err(damage).Msg("chain: the log is damaged; this machine begins anew")
+		a.log.Error().Err(damage).Msg("chain: log corrupt; starting with an empty one")
 	}
 	return log, records, err
 }
 
-func hostOf(address string) string {
-	host, _, _ := net.SplitHostPort(address)
-	return host
-}
-
+// persist makes records durable, and compacts the log where it has grown too large.
 func (m *chainMember) persist(records [][]byte) error {
 	if len(records) == 0 || m.log == nil {
 		return nil
 	}
-	began := m.agent.now()
+	start := m.agent.now()
 	err := m.log.Append(records...)
-	m.agent.metrics.diskWrites.Observe(m.agent.now() - began)
+	m.agent.metrics.diskWrites.Observe(m.agent.now() - start)
 	if err != nil {
-		return err
+		return fmt.Errorf("appending to the log of the chain: %w", err)
 	}
 	limit := int64(compactFraction * float64(m.agent.settings.DiskBytes))
-	if m.log.Size() > max(limit, 1<<20) {
+	if m.log.Size() > max(limit, minCompactBytes) {
 		if err := m.log.Compact(m.machine.SnapshotRecords()); err != nil {
-			m.agent.log.Warn().Err(err).Msg("chain: the log can't be begun anew")
+			m.agent.log.Warn().Err(err).Msg("chain: compaction failed")
 		}
 	}
 	return nil
@@ -133,6 +118,6 @@
 		return
 	}
 	if err := m.log.Close(); err != nil {
-		m.agent.log.Warn().Err(err).Msg("chain: the log can't be closed")
+		m.agent.log.Warn().Err(err).Msg("chain: closing the log failed")
 	}
 }
--- a/internal/router/agent/chain_requests.go
+++ b/internal/router/agent/chain_requests.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"cresshub/internal/router/chain"
-	"cresshub/internal/router/directory"
 	"cresshub/internal/router/fleetconfig"
 	"cresshub/internal/router/peerproto"
 )
@@ -20,15 +19,10 @@
 	return m.request(timeout, m.machine.Read)
 }
 
-// request runs a call on the state machine and waits for its reply.
+// request runs a call on the state machine and waits for its reply, or for timeout.
 func (m *chainMember) request(timeout time.Duration,
 	call func(now time.Duration, number uint64) chain.Effects) *peerproto.Result {
-	answer := make(chan chain.Reply, 1)
-	m.waitersMu.Lock()
-	m.lastRequest++
-	number := m.lastRequest
-	m.waiters[number] = answer
-	m.waitersMu.Unlock()
+	number, answer := m.addWaiter()
 	defer m.removeWaiter(number)
 	if !m.post(func(now time.Duration) chain.Effects { return call(now, number) }) {
 		return unavailableResult("too many calls wait for the disk")
@@ -43,13 +37,24 @@
 	}
 }
 
+// addWaiter returns the number of a new request and the channel on which its reply arrives.
+func (m *chainMember) addWaiter() (number uint64, answer <-chan chain.Reply) {
+	reply := make(chan chain.Reply, 1)
+	m.waitersMu.Lock()
+	defer m.waitersMu.Unlock()
+	m.lastRequest++
+	m.waiters[m.lastRequest] = reply
+	return m.lastRequest, reply
+}
+
 func (m *chainMember) removeWaiter(number uint64) {
 	m.waitersMu.Lock()
 	delete(m.waiters, number)
 	m.waitersMu.Unlock()
 }
 
-func (m *chainMember) reply(reply chain.Reply) {
+// complete gives a request its reply, where the caller still waits for it.
+func (m *chainMember) complete(reply chain.Reply) {
 	m.waitersMu.Lock()
 	defer m.waitersMu.Unlock()
 	if answer := m.waiters[reply.Request]; answer != nil {
@@ -58,6 +63,7 @@
 	}
 }
 
+// resultOf translates a reply of the state machine to the result that operators and other processes get.
 func resultOf(reply *chain.Reply) *peerproto.Result {
 	result := &peerproto.Result{Version: reply.Entry.Version}
 	switch reply.Outcome {
@@ -74,61 +80,3 @@
 	}
 	return result
 }
-
-// found agrees on the first view with all machines that have a disk, once no new one is heard of.
-func (m *chainMember) tryBootstrap() {
-	if m.machine.View().Epoch > 0 {
-		m.bootstrapper = false
-		return
-	}
-	var members []chain.Member
-	m.agent.state.read(func(d *directory.Directory) {
-		for _, proxy := range d.Proxies() {
-			if proxy.Member != "" {
-				members = append(members, chain.Member{ID: chain.MemberID(proxy.Member), Address: proxy.Address})
-			}
-		}
-	})
-	now := m.agent.now()
-	if len(members) != m.bootstrapCandidates {
-		m.bootstrapCandidates, m.candidatesStableSince = len(members), now
-		return
-	}
-	if len(members) == 0 || now < bootstrapDelay || now-m.candidatesStableSince < bootstrapStablePeriod {
-		return
-	}
-	m.candidatesStableSince = now // and ask again after the same while
-	m.agent.log.Info().Int("members", len(members)).Msg("chain: founding")
-	m.step(func(now time.Duration) chain.Effects { return m.machine.Bootstrap(now, members) })
-}
-
-// noConfigStore is the part of a machine without a disk.
-type noConfigStore struct{}
-
-func (noConfigStore) propose(*peerproto.Proposal, time.Duration) *peerproto.Result {
-	return unavailableResult("this machine has no disk")
-}
-
-func (noConfigStore) patch(*peerproto.Proposal, time.Duration) *peerproto.Result {
-	return unavailableResult("this machine has no disk")
-}
-
-func (noConfigStore) read(time.Duration) *peerproto.Result {
-	return unavailableResult("this machine has no disk")
-}
-
-func (noConfigStore) receive(string, []byte) {}
-func (noConfigStore) start(<-chan struct{})  {}
-func (noConfigStore) isMember() bool         { return false }
-func (noConfigStore) leave()                 {}
-func (noConfigStore) close()                 {}
-
-func (noConfigStore) opened() <-chan struct{}  { return closedChannel }
-func (noConfigStore) canStop() <-chan struct{} { return closedChannel }
-
-// closedChannel stands for what need not be waited for.
-var closedChannel = func() <-chan struct{} {
-	channel := make(chan struct{})
-	close(channel)
-	return channel
-}()
--- a/internal/router/agent/config_endpoint.go
+++ b/internal/router/agent/config_endpoint.go
@@ -1,8 +1,10 @@
 package agent
 
 import (
+	"errors"
 	"strconv"
 	"strings"
+	"time"
 
 	"cresshub/internal/http1"
 	"cresshub/internal/invariant"
@@ -11,10 +13,15 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// configPath is where operators call for the configuration.
+// configPath is the endpoint at which operators read and change the configuration.
 const configPath = "/api/config"
 
-// handleConfigCall answers a call on the configuration.
+var (
+	errNoIfMatch    = errors.New("If-Match: is not a version; name the version that this one builds on")
+	errVersionOrder = errors.New("edition: is not above If-Match; count on from the current version")
+)
+
+// handleConfigCall handles a call on the configuration.
 func (a *Agent) handleConfigCall(call *controlserver.Call) *http1.Response {
 	switch call.Method {
 	case "PUT":
@@ -43,57 +50,68 @@
 	return a.changeConfig(call, peerproto.KindPatch, patch.Version)
 }
 
-// changeConfig asks the machines that keep the configuration for a change that makes a version.
+// changeConfig has a member propose the change that a call asks for, and waits until it is committed. The kind
+// is KindPropose or KindPatch, version the one that the change makes.
 func (a *Agent) changeConfig(call *controlserver.Call, kind peerproto.Kind, version int64) *http1.Response {
-	expected, err := strconv.ParseInt(call.Header.Get("If-Match"), 10, 64)
+	expected, err := expectedVersion(call, version)
 	if err != nil {
-		return controlserver.Text(400, "If-Match: is not a version; name the version that this one builds on")
-	}
-	if version <= expected {
-		return controlserver.Text(400, "edition: is not above If-Match; count on from the current version")
-	}
-	proposal := &peerproto.Proposal{Expected: expected, Version: version, Body: call.Body}
-	propose := a.configStore.propose
-	if kind == peerproto.KindPatch {
-		propose = a.configStore.patch
+		return controlserver.Text(400, err.Error())
 	}
-	began := a.now()
-	result := a.callConfigStore(configCall{kind: kind, body: peerproto.Encode(proposal),
-		local: func() *peerproto.Result { return propose(proposal, configCallTimeout) }})
+	start := a.now()
+	result := a.callConfigStore(kind, &peerproto.Proposal{Expected: expected, Version: version, Body: call.Body})
 	a.observeConfigCall(strings.ToLower(call.Method), result)
-	event := a.log.Info().Int64("version", version).Int64("on", expected).Str("by", call.Method).
-		Dur("took_ms", a.now()-began)
+	a.logConfigChange(call.Method, expected, version, result, a.now()-start)
 	switch result.Outcome {
 	case peerproto.OutcomeAccepted:
 		a.shown.raise(version)
-		event.Msg("config: acknowledged")
 		return controlserver.JSON(200, []byte("{}"))
 	case peerproto.OutcomeConflict:
-		event.Int64("current", result.Version).Msg("config: refused")
 		return controlserver.Text(412, "edition "+strconv.FormatInt(result.Version, 10)+
 			" is current; read it and build on it")
 	case peerproto.OutcomeInvalid:
-		event.Str("reason", result.Reason).Msg("config: refused")
 		return controlserver.Text(400, result.Reason)
 	}
-	event.Str("reason", result.Reason).Msg("config: no clear answer")
-	return retryElsewhere()
+	return callAnotherProxy()
+}
+
+// expectedVersion returns the version that a change builds on, which If-Match names.
+func expectedVersion(call *controlserver.Call, version int64) (int64, error) {
+	expected, err := strconv.ParseInt(call.Header.Get("If-Match"), 10, 64)
+	if err != nil {
+		return 0, errNoIfMatch
+	}
+	if version <= expected {
+		return 0, errVersionOrder
+	}
+	return expected, nil
+}
+
+func (a *Agent) logConfigChange(method string, expected, version int64, result *peerproto.Result,
+	took time.Duration) {
+	event := a.log.Info().Int64("version", version).Int64("on", expected).Str("by", method).Dur("took_ms", took)
+	switch result.Outcome {
+	case peerproto.OutcomeAccepted:
+		event.Msg("config: acknowledged")
+	case peerproto.OutcomeConflict:
+		event.Int64("current", result.Version).Msg("config: rejected")
+	case peerproto.OutcomeInvalid:
+		event.Str("reason", result.Reason).Msg("config: rejected")
+	default:
+		event.Str("reason", result.Reason).Msg("config: outcome unknown")
+	}
 }
 
 func (a *Agent) getConfig() *http1.Response {
 	shownBefore := a.shown.highest()
-	result := a.callConfigStore(configCall{kind: peerproto.KindRead,
-		local: func() *peerproto.Result { return a.configStore.read(configCallTimeout) }})
+	result := a.callConfigStore(peerproto.KindRead, nil)
 	a.observeConfigCall("get", result)
-	if result.Outcome == peerproto.OutcomeAccepted {
-		invariant.Assert(result.Version >= shownBefore, invariant.ReadsNotOlder,
-			"a read shows version %d, %d was shown before", result.Version, shownBefore)
-		a.shown.raise(result.Version)
+	if result.Outcome != peerproto.OutcomeAccepted {
+		return callAnotherProxy()
 	}
-	switch {
-	case result.Outcome != peerproto.OutcomeAccepted:
-		return retryElsewhere()
-	case len(result.Body) == 0:
+	invariant.Assert(result.Version >= shownBefore, invariant.ReadsNotOlder,
+		"a read shows version %d, %d was shown before", result.Version, shownBefore)
+	a.shown.raise(result.Version)
+	if len(result.Body) == 0 {
 		return controlserver.Text(404, "no configuration was sent yet; send one with If-Match: 0")
 	}
 	return controlserver.JSON(200, result.Body)
--- a/internal/router/agent/config_hedging.go
+++ b/internal/router/agent/config_hedging.go
@@ -6,32 +6,75 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// hedgeDelay is how long one member has to answer a call on the configuration until another one is asked
-// beside it. The same call may run at several members at once: a change is taken once.
-const hedgeDelay = 250 * time.Millisecond
+const (
+	// configCallTimeout bounds a call on the configuration; the operator gives up after a second.
+	configCallTimeout = 900 * time.Millisecond
+	// hedgeDelay is how long one member has to answer a call on the configuration until the next one is called
+	// as well. The same call may run at several members at once: a change is committed once.
+	hedgeDelay = 250 * time.Millisecond
+)
 
-// configCall is a call on the configuration.
-type configCall struct {
-	kind  peerproto.Kind
-	body  []byte
-	local func() *peerproto.Result // runs it in this process
-}
+// configAttempt has one member run a call.
+type configAttempt func() *peerproto.Result
 
-// callConfigStore has members run a call, this process first where it is one. A member that hangs, as one
-// does whose disk hangs, delays the call only by hedgeDelay.
-func (a *Agent) callConfigStore(call configCall) *peerproto.Result {
-	attempts := a.configAttempts(call)
+// callConfigStore has the members run a call, this process first where it is one. The kind is KindPropose,
+// KindPatch or KindRead, which has no proposal. A member that hangs, as one does whose disk hangs, delays the
+// call by hedgeDelay only.
+func (a *Agent) callConfigStore(kind peerproto.Kind, proposal *peerproto.Proposal) *peerproto.Result {
+	attempts := a.configAttempts(kind, proposal)
 	if len(attempts) == 0 {
 		return unavailableResult("no machine that keeps the configuration is reached")
 	}
 	return firstDefiniteAnswer(attempts)
 }
 
-// configAttempt has one member run a call.
-type configAttempt func() *peerproto.Result
+// configAttempts returns an attempt for each member that is reached, in the order in which they are started.
+func (a *Agent) configAttempts(kind peerproto.Kind, proposal *peerproto.Proposal) []configAttempt {
+	var attempts []configAttempt
+	if a.configStore.isMember() {
+		attempts = append(attempts, func() *peerproto.Result { return a.runConfigCall(kind, proposal) })
+	}
+	var body []byte
+	if proposal != nil {
+		body = peerproto.Encode(proposal)
+	}
+	now := a.now()
+	for _, h := range a.currentHubs() {
+		if h.isResponsive(now) {
+			attempts = append(attempts, func() *peerproto.Result { return callMember(h, kind, body) })
+		}
+	}
+	return attempts
+}
+
+// runConfigCall runs a call in this member.
+func (a *Agent) runConfigCall(kind peerproto.Kind, proposal *peerproto.Proposal) *peerproto.Result {
+	switch kind {
+	case peerproto.KindRead:
+		return a.configStore.read(configCallTimeout)
+	case peerproto.KindPatch:
+		return a.configStore.patch(proposal, configCallTimeout)
+	default:
+		return a.configStore.propose(proposal, configCallTimeout)
+	}
+}
 
-// firstDefiniteAnswer starts tries one after the other, each when the one before has no answer after
-// hedgeDelay or gave none that is clear, and returns the first clear one.
+// callMember has another member run a call.
+func callMember(h *hub, kind peerproto.Kind, body []byte) *peerproto.Result {
+	frame, err := h.link.Call(kind, body, configCallTimeout)
+	if err != nil {
+		return unavailableResult(err.Error())
+	}
+	var answer peerproto.Result
+	if err := peerproto.Decode(frame.Body, &answer); err != nil {
+		return unavailableResult(err.Error())
+	}
+	return &answer
+}
+
+// firstDefiniteAnswer starts attempts one after the other, each when the one before has not answered within
+// hedgeDelay or has answered that it is unavailable. It returns the first answer that is definite, or the last
+// one once all have answered or configCallTimeout is over.
 func firstDefiniteAnswer(attempts []configAttempt) *peerproto.Result {
 	answers := make(chan *peerproto.Result, len(attempts))
 	deadline := time.NewTimer(configCallTimeout)
@@ -58,31 +101,3 @@
 	}
 	return result
 }
-
-// configAttempts returns the ways to have a call run, in the order in which they are tried.
-func (a *Agent) configAttempts(call configCall) []configAttempt {
-	var attempts []configAttempt
-	if a.configStore.isMember() {
-		attempts = append(attempts, call.local)
-	}
-	now := a.now()
-	for _, h := range a.currentHubs() {
-		if h.isResponsive(now) {
-			attempts = append(attempts, func() *peerproto.Result { return callMember(h, call) })
-		}
-	}
-	return attempts
-}
-
-// callMember has another process run a call.
-func callMember(h *hub, call configCall) *peerproto.Result {
-	frame, err := h.link.Call(call.kind, call.body, configCallTimeout)
-	if err != nil {
-		return unavailableResult(err.Error())
-	}
-	var answer peerproto.Result
-	if err := peerproto.Decode(frame.Body, &answer); err != nil {
-		return unavailableResult(err.Error())
-	}
-	return &answer
-}
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// diskRetryInterval is the pause between two tries to open the disk.
+	// diskRetryInterval is the interval between two attempts to open the disk.
 	diskRetryInterval = 500 * time.Millisecond
-	// diskOpenTimeout is how long the process waits for its disk before it takes calls without it: the first
-	// answer to others should tell what the disk holds.
+	// diskOpenTimeout bounds how long the start waits for the disk, so that the first status that is sent to
+	// others normally reflects what is on it.
 	diskOpenTimeout = 300 * time.Millisecond
 )
 
-// startDisk begins to use the disk, where there is one, and returns once it is open or diskOpenTimeout is
-// over.
+// startDisk starts the configuration store and the persistence of the state, and waits until both have read
+// the disk, or for diskOpenTimeout.
 func (a *Agent) startDisk(done <-chan struct{}) {
 	a.configStore.start(done)
 	if a.settings.DataDir == "" {
@@ -25,26 +25,25 @@
 	}
 	loaded := make(chan struct{})
 	go a.persistState(loaded, done)
-	patience := time.NewTimer(diskOpenTimeout)
-	defer patience.Stop()
+	timeout := time.NewTimer(diskOpenTimeout)
+	defer timeout.Stop()
 	for _, opened := range []<-chan struct{}{loaded, a.configStore.opened()} {
 		select {
 		case <-opened:
-		case <-patience.C:
-			a.log.Warn().Msg("node: starting without the disk, which is not open yet")
+		case <-timeout.C:
+			a.log.Warn().Msg("agent: starting before the disk is open")
 			return
 		}
 	}
 }
 
-// deferredStore is the part of a machine with a disk. The disk is opened beside everything else, because it
-// may hang, be full or hold what can't be read: until it is open, the process serves as one without a disk
-// does.
+// deferredStore is the configStore of a machine with a disk. It opens the disk in the background, because that
+// may hang or fail: until the disk is open, the process serves like one without a disk.
 type deferredStore struct {
 	agent   *Agent
 	chain   atomic.Pointer[chainMember] // nil until the disk is open
 	ready   chan struct{}               // closed once it is
-	leaving atomic.Bool                 // this process is about to end
+	leaving atomic.Bool                 // this process is shutting down
 }
 
 func newDeferredStore(a *Agent) *deferredStore {
@@ -53,7 +52,6 @@
 
 var _ configStore = (*deferredStore)(nil)
 
-// start opens the disk and takes part until done closes.
 func (d *deferredStore) start(done <-chan struct{}) { go d.run(done) }
 
 func (d *deferredStore) run(done <-chan struct{}) {
@@ -63,14 +61,14 @@
 	}
 	d.agent.announceSelf(func(self *directory.Record) { self.Member = member.identity })
 	d.chain.Store(member)
-	if d.leaving.Load() { // it was told before there was a member to know
+	if d.leaving.Load() { // since before there was a member that could record it
 		member.leave()
 	}
 	member.start(done)
 	close(d.ready)
 }
 
-// open tries until the disk could be opened, and returns nil if the process ends before.
+// open retries until the disk is open. It returns nil if done closes before.
 func (d *deferredStore) open(done <-chan struct{}) *chainMember {
 	for {
 		member, err := openChainMember(d.agent)
@@ -78,7 +76,7 @@
 			return member
 		}
 		d.agent.metrics.failedDiskOpens.Add(1)
-		d.agent.log.Error().Err(err).Msg("chain: the disk can't be opened; tried again")
+		d.agent.log.Error().Err(err).Msg("chain: opening the disk failed; retrying")
 		select {
 		case <-done:
 			return nil
@@ -87,7 +85,7 @@
 	}
 }
 
-// current returns what takes part: until the disk is open, nothing does.
+// store returns the member once the disk is open.
 func (d *deferredStore) store() configStore {
 	if member := d.chain.Load(); member != nil {
 		return member
@@ -105,7 +103,7 @@
 
 func (d *deferredStore) read(timeout time.Duration) *peerproto.Result { return d.store().read(timeout) }
 
-func (d *deferredStore) receive(peer string, body []byte) { d.store().receive(peer, body) }
+func (d *deferredStore) receive(body []byte) { d.store().receive(body) }
 
 func (d *deferredStore) isMember() bool { return d.store().isMember() }
 
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -76,7 +76,7 @@
 func (a *Agent) isTimedOut(now time.Duration, d *directory.Directory, record *directory.Record,
 	limit time.Duration) bool {
 	sign := max(a.observingSince, d.ModifiedAt(record.ID))
-	if lastSeen, ok := a.lastSeenAt(record.ID); ok {
+	if lastSeen, ok := a.lastSeen.of(record.ID); ok {
 		sign = max(sign, lastSeen)
 	}
 	if now-sign <= limit {
@@ -117,7 +117,7 @@
 		if record.ID == a.id || record.Watcher != "" {
 			continue
 		}
-		if lastSeen, ok := a.lastSeenAt(record.ID); ok && now-max(lastSeen, a.observingSince) > hubTimeout {
+		if lastSeen, ok := a.lastSeen.of(record.ID); ok && now-max(lastSeen, a.observingSince) > hubTimeout {
 			a.markLost(now, d, record, "silent hub")
 		}
 	}
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -48,10 +48,9 @@
 
 func (a *Agent) newHub(ip string) *hub {
 	h := &hub{ip: ip, stop: make(chan struct{})}
-	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: a.id}) }
 	handle := func(frame peerproto.Frame) { a.handleHubFrame(h, frame) }
 	up := make(chan struct{}, 1)
-	h.link = a.endpoint.NewLink(a.peerAddress(ip), hello, handle, func(isUp bool) {
+	h.link = a.endpoint.NewLink(a.peerAddress(ip), a.hello, handle, func(isUp bool) {
 		h.mu.Lock()
 		h.state.replicatedTo, h.state.lastSeen = 0, 0
 		h.mu.Unlock()
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -1,18 +1,18 @@
 package agent
 
 import (
-	"maps"
-	"time"
-
 	"cresshub/internal/router/directory"
 	"cresshub/internal/router/peerproto"
 	"cresshub/internal/router/transport"
 )
 
-// lastSeenRetention is how long it is remembered that a process called whose record has not come.
-const lastSeenRetention = 10 * time.Second
+var _ transport.Handler = (*Agent)(nil)
+
+// hello returns the first message of a connection to another process.
+func (a *Agent) hello() []byte { return peerproto.Encode(&peerproto.Hello{ID: a.id}) }
 
-// Handle takes a frame of another process.
+// Handle handles a frame of another process. It implements transport.Handler and runs on the goroutine of the
+// connection, so that only calls that may take long are given a goroutine of their own.
 func (a *Agent) Handle(c *transport.Conn, frame peerproto.Frame) {
 	a.recordContact(c.Peer())
 	switch frame.Kind {
@@ -20,7 +20,7 @@
 		a.demand.record(c.Peer(), a.now(), frame.Body)
 		c.Answer(frame, peerproto.KindPong, peerproto.Encode(a.status()))
 	case peerproto.KindAnnounce:
-		a.handleIntroduce(c, frame)
+		a.handleAnnounce(c, frame)
 	case peerproto.KindUpsert:
 		a.handleUpsert(c, frame)
 	case peerproto.KindFollow:
@@ -36,11 +36,11 @@
 	case peerproto.KindHubLoadReport:
 		a.load.applyHub(c, frame.Body)
 	case peerproto.KindChain:
-		a.configStore.receive(c.Peer(), frame.Body)
+		a.configStore.receive(frame.Body)
 	}
 }
 
-// Closed notes that the connection of another process has ended.
+// Closed ends what depends on the connection of another process. It implements transport.Handler.
 func (a *Agent) Closed(c *transport.Conn) {
 	a.load.removePeer(c)
 	a.followersMu.Lock()
@@ -51,27 +51,36 @@
 	}
 }
 
+// decodeOrClose decodes a message of another process. A connection that carries a malformed one is closed.
+func decodeOrClose(c *transport.Conn, body []byte, message any) bool {
+	if peerproto.Decode(body, message) != nil {
+		c.Close()
+		return false
+	}
+	return true
+}
+
+// status returns what this process answers to pings and announcements.
 func (a *Agent) status() *peerproto.Status {
 	v := a.state.currentView()
 	return &peerproto.Status{ID: a.id, Version: a.state.version(), Epoch: v.epoch, Members: v.members,
 		HasSnapshot: a.state.isSynced(), ReachesMajority: a.reachesFleet()}
 }
 
-// handleIntroduce learns the view of a process that sought this one out.
-func (a *Agent) handleIntroduce(c *transport.Conn, frame peerproto.Frame) {
+// handleAnnounce learns the view from a process that announces it.
+func (a *Agent) handleAnnounce(c *transport.Conn, frame peerproto.Frame) {
 	var status peerproto.Status
-	if peerproto.Decode(frame.Body, &status) != nil {
-		c.Close()
+	if !decodeOrClose(c, frame.Body, &status) {
 		return
 	}
 	a.learnStatusView(&status)
 	c.Answer(frame, peerproto.KindPong, peerproto.Encode(a.status()))
 }
 
+// handleUpsert merges the records that a process answers for, or that anti-entropy found to be newer there.
 func (a *Agent) handleUpsert(c *transport.Conn, frame peerproto.Frame) {
 	var upsert peerproto.Records
-	if peerproto.Decode(frame.Body, &upsert) != nil {
-		c.Close()
+	if !decodeOrClose(c, frame.Body, &upsert) {
 		return
 	}
 	a.mergeRemote(upsert.Records)
@@ -79,9 +88,9 @@
 	c.Answer(frame, peerproto.KindAck, nil)
 }
 
-// markPredecessorsLost marks earlier processes of the same machine as lost, now that this one has called.
-// That is a guess: what an earlier process sent may come after its successor is known, as when a cut held it
-// up. So it marks them as something that they can contradict.
+// markPredecessorsLost marks earlier processes of the same machine as lost, now that this one has called. That
+// is a guess: a message of an earlier process may arrive after its successor is known, as when a partition
+// delayed it. So they are marked lost, which they can refute, and not ended.
 func (a *Agent) markPredecessorsLost(peer string) {
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
@@ -97,10 +106,10 @@
 	})
 }
 
+// handleFollow starts a feed on a connection, in place of an earlier one.
 func (a *Agent) handleFollow(c *transport.Conn, frame peerproto.Frame) {
 	var request peerproto.Follow
-	if peerproto.Decode(frame.Body, &request) != nil {
-		c.Close()
+	if !decodeOrClose(c, frame.Body, &request) {
 		return
 	}
 	cancel := make(chan struct{})
@@ -118,40 +127,21 @@
 func (a *Agent) configInForce() *peerproto.Result {
 	config := a.state.Config()
 	if config == nil {
-		return &peerproto.Result{Outcome: peerproto.OutcomeUnavailable, Reason: "no configuration is known here"}
+		return unavailableResult("no configuration is known here")
 	}
 	return &peerproto.Result{Outcome: peerproto.OutcomeAccepted, Version: config.Version,
 		Body: a.packed.of(config)}
 }
 
-// recordContact notes that a process has called.
-func (a *Agent) recordContact(peer string) {
-	a.lastSeenMu.Lock()
-	a.lastSeen[peer] = a.now()
-	a.lastSeenMu.Unlock()
-}
-
-// pruneLastSeen forgets when processes called whose records the directory does not hold any more.
-func (a *Agent) pruneLastSeen() {
-	a.lastSeenMu.Lock()
-	stale := maps.Clone(a.lastSeen)
-	a.lastSeenMu.Unlock()
-	now := a.now()
-	a.state.read(func(d *directory.Directory) {
-		maps.DeleteFunc(stale, func(id string, at time.Duration) bool {
-			return d.Get(id) != nil || now-at <= lastSeenRetention
-		})
-	})
-	a.lastSeenMu.Lock()
-	defer a.lastSeenMu.Unlock()
-	for id := range stale {
-		delete(a.lastSeen, id)
+// serveConfigCall runs another process's call on the configuration in this member.
+func (a *Agent) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
+	result := unavailableResult("this machine does not keep the configuration")
+	var proposal peerproto.Proposal
+	switch {
+	case !a.configStore.isMember():
+	case frame.Kind != peerproto.KindRead && peerproto.Decode(frame.Body, &proposal) != nil:
+	default:
+		result = a.runConfigCall(frame.Kind, &proposal)
 	}
-}
-
-func (a *Agent) lastSeenAt(id string) (time.Duration, bool) {
-	a.lastSeenMu.Lock()
-	defer a.lastSeenMu.Unlock()
-	at, ok := a.lastSeen[id]
-	return at, ok
+	c.Answer(frame, peerproto.KindResult, peerproto.Encode(result))
 }
--- a/internal/router/agent/server_endpoint.go
+++ b/internal/router/agent/server_endpoint.go
@@ -144,11 +144,11 @@
 func (a *Agent) rejectHeartbeat(server, reason string) *http1.Response {
 	a.metrics.countHeartbeat(reason)
 	a.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: sent to another proxy")
-	return retryElsewhere()
+	return callAnotherProxy()
 }
 
 // busy asks the caller to try another proxy.
-func retryElsewhere() *http1.Response {
+func callAnotherProxy() *http1.Response {
 	answer := controlserver.Text(503, "not now; call another proxy")
 	answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
 	answer.Close = true
--- a/internal/router/agent/view_announcer.go
+++ b/internal/router/agent/view_announcer.go
@@ -97,9 +97,8 @@
 // introduce tells one process the view.
 func (v *viewAnnouncer) announce(ip string) {
 	a := v.agent
-	hello := peerproto.Encode(&peerproto.Hello{ID: a.id})
 	body := peerproto.Encode(a.status())
-	frame, err := a.endpoint.CallOnce(a.peerAddress(ip), hello, peerproto.KindAnnounce, body, announceTimeout)
+	frame, err := a.endpoint.CallOnce(a.peerAddress(ip), a.hello(), peerproto.KindAnnounce, body, announceTimeout)
 	result := announcementResult{ip: ip}
 	var status peerproto.Status
 	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
@@ -162,7 +161,7 @@
 	calling := map[string]bool{}
 	a.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
-			if lastSeen, ok := a.lastSeenAt(proxy.ID); ok && now-lastSeen <= contactTimeout {
+			if lastSeen, ok := a.lastSeen.of(proxy.ID); ok && now-lastSeen <= contactTimeout {
 				calling[proxy.Address] = true
 			}
 		}
