--- a/internal/router/dataplane/chooser_test.go
+++ b/internal/router/dataplane/chooser_test.go
@@ -36,7 +36,7 @@
 }
 
 func (f *fakeChooser) Choose(_ time.Duration, r *scheduler.Request, role scheduler.Role,
-	reader *catalog.Server) *scheduler.Call {
+	prefillServer *catalog.Server) *scheduler.Call {
 	if f.panics.Load() {
 		panic("a mistake")
 	}
--- a/internal/router/dataplane/decider.go
+++ b/internal/router/dataplane/decider.go
@@ -13,7 +13,7 @@
 type chooser interface {
 	Update(now time.Duration, table *catalog.Table)
 	Split(now time.Duration, r *scheduler.Request) bool
-	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role, reader *catalog.Server) *scheduler.Call
+	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role, prefillServer *catalog.Server) *scheduler.Call
 	ObserveLoad(now time.Duration, server string, load scheduler.Load)
 	LastSuccess(server string) (time.Duration, bool)
 	FirstEvent(now time.Duration, call *scheduler.Call)
@@ -21,11 +21,11 @@
 	QueueDelay(now time.Duration, r *scheduler.Request) (wait time.Duration, free bool)
 	Alternative(now time.Duration, r *scheduler.Request, server string) (exists, free bool)
 	InFlightChanges(all bool) []scheduler.InFlightLoad
-	SetPeerLoad(now time.Duration, others []scheduler.InFlightLoad, whole bool)
+	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, full bool)
 	MarkFleetStart(now time.Duration)
 	TakeNewPrefixes() []scheduler.CachedPrefixes
 	AddCachedPrefixes(all []scheduler.CachedPrefixes)
-	KnownPrefixes(most int) []scheduler.CachedPrefixes
+	KnownPrefixes(limit int) []scheduler.CachedPrefixes
 	MarkPrefixesSynced(now time.Duration)
 }
 
@@ -33,8 +33,8 @@
 type lockedChooser struct {
 	state State
 	// changed holds a token when calls began or ended since the last one was taken.
-	workChanged chan struct{}
-	now         func() time.Duration
+	inFlightChanged chan struct{}
+	now             func() time.Duration
 
 	demandMeter *demandMeter
 
@@ -45,80 +45,80 @@
 
 func newLockedChooser(zone string, state State, now func() time.Duration) *lockedChooser {
 	return &lockedChooser{state: state, now: now, demandMeter: newDemandMeter(),
-		workChanged: make(chan struct{}, 1),
-		chooser:     scheduler.New(zone, rand.Uint64())}
+		inFlightChanged: make(chan struct{}, 1),
+		chooser:         scheduler.New(zone, rand.Uint64())}
 }
 
 // lock takes the lock and hands the chooser a newer table where there is one.
-func (d *lockedChooser) lock() (now time.Duration, unlock func()) {
-	d.mu.Lock()
-	now = d.now()
-	if table := servers(d.state); table != d.table {
-		d.table = table
-		d.chooser.Update(now, table)
+func (lc *lockedChooser) lock() (now time.Duration, unlock func()) {
+	lc.mu.Lock()
+	now = lc.now()
+	if table := servers(lc.state); table != lc.table {
+		lc.table = table
+		lc.chooser.Update(now, table)
 	}
-	return now, d.mu.Unlock
+	return now, lc.mu.Unlock
 }
 
-func (d *lockedChooser) split(r *scheduler.Request) bool {
-	now, unlock := d.lock()
+func (lc *lockedChooser) split(r *scheduler.Request) bool {
+	now, unlock := lc.lock()
 	defer unlock()
-	return d.chooser.Split(now, r)
+	return lc.chooser.Split(now, r)
 }
 
-func (d *lockedChooser) choose(r *scheduler.Request, role scheduler.Role,
-	reader *catalog.Server) *scheduler.Call {
-	now, unlock := d.lock()
+func (lc *lockedChooser) choose(r *scheduler.Request, role scheduler.Role,
+	prefillServer *catalog.Server) *scheduler.Call {
+	now, unlock := lc.lock()
 	defer unlock()
-	call := d.chooser.Choose(now, r, role, reader)
+	call := lc.chooser.Choose(now, r, role, prefillServer)
 	if call != nil {
-		d.recordDemand(now, call, 1)
+		lc.recordDemand(now, call, 1)
 	}
 	return call
 }
 
-func (d *lockedChooser) observeLoad(server string, load scheduler.Load) {
-	now, unlock := d.lock()
+func (lc *lockedChooser) observeLoad(server string, load scheduler.Load) {
+	now, unlock := lc.lock()
 	defer unlock()
-	d.chooser.ObserveLoad(now, server, load)
+	lc.chooser.ObserveLoad(now, server, load)
 }
 
-func (d *lockedChooser) firstEvent(call *scheduler.Call) {
-	now, unlock := d.lock()
+func (lc *lockedChooser) firstEvent(call *scheduler.Call) {
+	now, unlock := lc.lock()
 	defer unlock()
-	d.chooser.FirstEvent(now, call)
+	lc.chooser.FirstEvent(now, call)
 }
 
-func (d *lockedChooser) done(call *scheduler.Call, outcome scheduler.Outcome) {
-	now, unlock := d.lock()
+func (lc *lockedChooser) done(call *scheduler.Call, outcome scheduler.Outcome) {
+	now, unlock := lc.lock()
 	defer unlock()
-	d.chooser.Done(now, call, outcome)
-	d.recordDemand(now, call, -1)
+	lc.chooser.Done(now, call, outcome)
+	lc.recordDemand(now, call, -1)
 }
 
 // meter counts a call to a model server as begun, or as ended where change is -1.
-func (d *lockedChooser) recordDemand(now time.Duration, call *scheduler.Call, change int) {
+func (lc *lockedChooser) recordDemand(now time.Duration, call *scheduler.Call, change int) {
 	if call.Server.Role != catalog.NoRole {
-		d.demandMeter.add(now, call.Server.Service, call.Role, change)
-		d.signalChange()
+		lc.demandMeter.add(now, call.Server.Service, call.Role, change)
+		lc.signalChange()
 	}
 }
 
-func (d *lockedChooser) signalChange() {
+func (lc *lockedChooser) signalChange() {
 	select {
-	case d.workChanged <- struct{}{}:
+	case lc.inFlightChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (d *lockedChooser) crowded(r *scheduler.Request) (wait time.Duration, free bool) {
-	now, unlock := d.lock()
+func (lc *lockedChooser) queueDelay(r *scheduler.Request) (wait time.Duration, free bool) {
+	now, unlock := lc.lock()
 	defer unlock()
-	return d.chooser.QueueDelay(now, r)
+	return lc.chooser.QueueDelay(now, r)
 }
 
-func (d *lockedChooser) alternative(r *scheduler.Request, server string) (exists, free bool) {
-	now, unlock := d.lock()
+func (lc *lockedChooser) alternative(r *scheduler.Request, server string) (exists, free bool) {
+	now, unlock := lc.lock()
 	defer unlock()
-	return d.chooser.Alternative(now, r, server)
+	return lc.chooser.Alternative(now, r, server)
 }
--- a/internal/router/dataplane/delivery.go
+++ b/internal/router/dataplane/delivery.go
@@ -101,7 +101,7 @@
 	if rt.finished() {
 		return true
 	}
-	wait, free := rt.proxy.chooser.crowded(&rt.request.scheduling)
+	wait, free := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
 	return !free && wait >= rt.timeLeft()
 }
 
@@ -289,6 +289,6 @@
 
 // retryAfter is the time after which a server will have a place again.
 func (rt *roundTrip) retryAfter() time.Duration {
-	wait, _ := rt.proxy.chooser.crowded(&rt.request.scheduling)
+	wait, _ := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
--- a/internal/router/dataplane/sharing.go
+++ b/internal/router/dataplane/sharing.go
@@ -6,27 +6,27 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// maxKnownPrompts bounds how many prompts and their holders are handed on.
-const maxKnownPrompts = 4096
+// maxKnownPrefixes bounds how many prompts and their holders are handed on.
+const maxKnownPrefixes = 4096
 
 // WorkChanged returns a channel that holds a token when calls to model servers have begun or ended.
-func (p *Proxy) WorkChanged() <-chan struct{} { return p.chooser.workChanged }
+func (p *Proxy) WorkChanged() <-chan struct{} { return p.chooser.inFlightChanged }
 
 // WorkChanges returns what this proxy has under way at the servers where that has changed since the last
 // call, or wherever it has anything.
 func (p *Proxy) WorkChanges(all bool) []scheduler.InFlightLoad {
-	d := p.chooser
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.chooser.InFlightChanges(all)
+	lc := p.chooser
+	lc.mu.Lock()
+	defer lc.mu.Unlock()
+	return lc.chooser.InFlightChanges(all)
 }
 
 // NewPrompts returns what this proxy has sent to servers to be read for the first time since the last call.
 func (p *Proxy) NewPrompts() []scheduler.CachedPrefixes {
-	d := p.chooser
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.chooser.TakeNewPrefixes()
+	lc := p.chooser
+	lc.mu.Lock()
+	defer lc.mu.Unlock()
+	return lc.chooser.TakeNewPrefixes()
 }
 
 // ShareWork takes in what all other proxies together have under way at some servers; with whole, they have
@@ -55,10 +55,10 @@
 
 // KnownPrefixes returns what is known of which servers hold what.
 func (p *Proxy) KnownPrompts() []scheduler.CachedPrefixes {
-	d := p.chooser
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.chooser.KnownPrefixes(maxKnownPrompts)
+	lc := p.chooser
+	lc.mu.Lock()
+	defer lc.mu.Unlock()
+	return lc.chooser.KnownPrefixes(maxKnownPrefixes)
 }
 
 // CatchUp takes in all that another proxy, or this one before its last end, knew of which servers hold what.
