--- a/internal/router/agent/front_state.go
+++ b/internal/router/agent/front_state.go
@@ -18,7 +18,7 @@
 func (s *frontState) Proxies() int { return s.state.Proxies() }
 
 // Closed notes that another incarnation has the address of a server, so that the server has ended.
-func (s *frontState) Gone(server string) {
+func (s *frontState) ReportReplaced(server string) {
 	(*Node)(s).reportLost(server, "its address has another server")
 }
 
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -75,7 +75,7 @@
 	checkWritten(c, n, "servers", filepath.Join(goldenData, "servers"))
 	n.saveProxies()
 	checkWritten(c, n, "proxies", filepath.Join(goldenData, "proxies"))
-	n.front.CatchUp(promptsAt(7, 1<<64-3)) // saved the newest first
+	n.front.SyncPrefixes(promptsAt(7, 1<<64-3)) // saved the newest first
 	n.savePrompts()
 	checkWritten(c, n, "prompts", filepath.Join(goldenData, "prompts"))
 }
@@ -147,7 +147,7 @@
 	n.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
 	c.Assert(live, qt.DeepEquals, servers)
 	c.Assert(n.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
-	c.Assert(n.front.KnownPrompts(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
+	c.Assert(n.front.KnownPrefixes(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
 	proxies, err := n.saved().readRecords(proxiesFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -153,7 +153,7 @@
 	prompts []scheduler.CachedPrefixes
 }
 
-func (s *sharedWork) ShareWork(others []scheduler.InFlightLoad, full bool,
+func (s *sharedWork) SetPeerLoad(others []scheduler.InFlightLoad, full bool,
 	prompts []scheduler.CachedPrefixes) {
 	s.others, s.whole, s.prompts = others, full, prompts
 }
--- a/internal/router/agent/node.go
+++ b/internal/router/agent/node.go
@@ -113,7 +113,7 @@
 	if settings.Front != "" {
 		n.front = dataplane.New(settings, (*frontState)(n), log)
 		if settings.FirstStart {
-			n.front.AloneAtStart()
+			n.front.MarkFleetStart()
 		}
 		n.workload, n.sendsStageOrders = n.front, true
 	}
--- a/internal/router/agent/options.go
+++ b/internal/router/agent/options.go
@@ -11,21 +11,21 @@
 
 // Workload is what a process carries for clients, as far as the others need to know.
 type Workload interface {
-	// WorkChanged returns a channel that holds a token when calls to model servers have begun or ended.
-	WorkChanged() <-chan struct{}
-	// WorkChanges returns what is under way at the servers where that has changed since the last call, or
+	// InFlightChanged returns a channel that holds a token when calls to model servers have begun or ended.
+	InFlightChanged() <-chan struct{}
+	// InFlightChanges returns what is under way at the servers where that has changed since the last call, or
 	// wherever there is anything.
-	WorkChanges(all bool) []scheduler.InFlightLoad
-	// ShareWork takes in what all other processes together have under way.
-	ShareWork(others []scheduler.InFlightLoad, full bool, prompts []scheduler.CachedPrefixes)
-	// NewPrompts returns what was sent to servers to be read for the first time since the last call.
-	NewPrompts() []scheduler.CachedPrefixes
-	// KnownPrompts returns what is known of which servers hold what.
-	KnownPrompts() []scheduler.CachedPrefixes
-	// CatchUp takes in all that another process knows of which servers hold what.
-	CatchUp(known []scheduler.CachedPrefixes)
-	// SinceAnswer returns how long ago a server last answered a request well, and whether it has.
-	SinceAnswer(server string) (time.Duration, bool)
+	InFlightChanges(all bool) []scheduler.InFlightLoad
+	// SetPeerLoad takes in what all other processes together have under way.
+	SetPeerLoad(others []scheduler.InFlightLoad, full bool, prompts []scheduler.CachedPrefixes)
+	// TakeNewPrefixes returns what was sent to servers to be read for the first time since the last call.
+	TakeNewPrefixes() []scheduler.CachedPrefixes
+	// KnownPrefixes returns what is known of which servers hold what.
+	KnownPrefixes() []scheduler.CachedPrefixes
+	// SyncPrefixes takes in all that another process knows of which servers hold what.
+	SyncPrefixes(known []scheduler.CachedPrefixes)
+	// SinceLastSuccess returns how long ago a server last answered a request well, and whether it has.
+	SinceLastSuccess(server string) (time.Duration, bool)
 	// Demands returns what is under way at each service with model servers, as means.
 	Demands() []dataplane.Demand
 }
@@ -35,16 +35,16 @@
 // noWorkload is the workload of a process that does not serve clients.
 type noWorkload struct{}
 
-func (noWorkload) WorkChanged() <-chan struct{}              { return nil }
-func (noWorkload) WorkChanges(bool) []scheduler.InFlightLoad { return nil }
-func (noWorkload) NewPrompts() []scheduler.CachedPrefixes    { return nil }
-func (noWorkload) KnownPrompts() []scheduler.CachedPrefixes  { return nil }
-func (noWorkload) CatchUp([]scheduler.CachedPrefixes)        {}
-func (noWorkload) Demands() []dataplane.Demand               { return nil }
+func (noWorkload) InFlightChanged() <-chan struct{}              { return nil }
+func (noWorkload) InFlightChanges(bool) []scheduler.InFlightLoad { return nil }
+func (noWorkload) TakeNewPrefixes() []scheduler.CachedPrefixes   { return nil }
+func (noWorkload) KnownPrefixes() []scheduler.CachedPrefixes     { return nil }
+func (noWorkload) SyncPrefixes([]scheduler.CachedPrefixes)       {}
+func (noWorkload) Demands() []dataplane.Demand                   { return nil }
 
-func (noWorkload) SinceAnswer(string) (time.Duration, bool) { return 0, false }
+func (noWorkload) SinceLastSuccess(string) (time.Duration, bool) { return 0, false }
 
-func (noWorkload) ShareWork([]scheduler.InFlightLoad, bool, []scheduler.CachedPrefixes) {}
+func (noWorkload) SetPeerLoad([]scheduler.InFlightLoad, bool, []scheduler.CachedPrefixes) {}
 
 // Option changes a process before it runs.
 type Option func(*Node)
--- a/internal/router/agent/orphans_test.go
+++ b/internal/router/agent/orphans_test.go
@@ -94,7 +94,7 @@
 // answeringWorkload is the workload of a process whose requests servers have just answered.
 type answeringWorkload struct{ noWorkload }
 
-func (answeringWorkload) SinceAnswer(string) (time.Duration, bool) { return 0, true }
+func (answeringWorkload) SinceLastSuccess(string) (time.Duration, bool) { return 0, true }
 
 // TestServersThatAnswerLive: a server whose heartbeats stay away is not lost while it answers requests.
 func TestServersThatAnswerLive(t *testing.T) {
--- a/internal/router/agent/saved_directory.go
+++ b/internal/router/agent/saved_directory.go
@@ -124,7 +124,7 @@
 	if err != nil || n.front == nil || peerproto.Decode(body, &work) != nil {
 		return
 	}
-	n.front.CatchUp(decodePrompts(work.Prefixes))
+	n.front.SyncPrefixes(decodePrompts(work.Prefixes))
 }
 
 // savePrompts saves what is known of which servers hold what, where that has changed.
@@ -132,7 +132,7 @@
 	if n.front == nil {
 		return
 	}
-	known := n.front.KnownPrompts()
+	known := n.front.KnownPrefixes()
 	count := 0
 	for _, at := range known {
 		count += len(at.Hashes)
--- a/internal/router/agent/watch.go
+++ b/internal/router/agent/watch.go
@@ -87,7 +87,7 @@
 
 // lastAnswerAt is when a server last answered a request that this process had sent, 0 for never.
 func (n *Node) lastAnswerAt(server string) time.Duration {
-	age, answered := n.workload.SinceAnswer(server)
+	age, answered := n.workload.SinceLastSuccess(server)
 	if !answered {
 		return 0
 	}
--- a/internal/router/agent/work.go
+++ b/internal/router/agent/work.go
@@ -66,15 +66,15 @@
 		select {
 		case <-done:
 			return
-		case <-n.workload.WorkChanged():
+		case <-n.workload.InFlightChanged():
 		case <-time.After(loadReportMinInterval):
 		}
 		full := n.now()-last > fullSyncInterval
-		changes := n.workload.WorkChanges(full)
+		changes := n.workload.InFlightChanges(full)
 		if full {
 			last = n.now()
 		}
-		prompts := encodePrompts(n.workload.NewPrompts())
+		prompts := encodePrompts(n.workload.TakeNewPrefixes())
 		work := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prompts}
 		if n.isHub() {
 			t.applyOwn(work)
@@ -146,10 +146,10 @@
 		return
 	}
 	if work.FullIndex {
-		n.workload.CatchUp(decodePrompts(work.Prefixes))
+		n.workload.SyncPrefixes(decodePrompts(work.Prefixes))
 		return
 	}
-	n.workload.ShareWork(decodeLoad(work.Servers), work.Full, decodePrompts(work.Prefixes))
+	n.workload.SetPeerLoad(decodeLoad(work.Servers), work.Full, decodePrompts(work.Prefixes))
 }
 
 // sendPrefixIndex hands a new follower what is known of which servers hold what.
@@ -157,7 +157,7 @@
 	if !n.state.isSynced() {
 		return
 	}
-	work := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrompts(n.workload.KnownPrompts())}
+	work := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrompts(n.workload.KnownPrefixes())}
 	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(work)})
 }
 
@@ -239,7 +239,7 @@
 		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&work)})
 	}
 	others := decodeLoad(t.loadExcept(total, t.own, full))
-	t.node.workload.ShareWork(others, full, decodePrompts(prompts))
+	t.node.workload.SetPeerLoad(others, full, decodePrompts(prompts))
 	clear(t.changed)
 	t.localPrompts, t.hubPrompts = nil, nil
 }
--- a/internal/router/dataplane/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -23,7 +23,7 @@
 // stage, so of those nothing is said.
 func (c *call) reportReplaced() {
 	if c.roundTrip.request.service.Engine == nil {
-		c.roundTrip.proxy.state.Gone(c.choice.Server.ID)
+		c.roundTrip.proxy.state.ReportReplaced(c.choice.Server.ID)
 	}
 }
 
--- a/internal/router/dataplane/front.go
+++ b/internal/router/dataplane/front.go
@@ -35,8 +35,8 @@
 	Config() *fleetconfig.Config // nil until a configuration is known
 	Servers() *catalog.Table
 	Proxies() int // proxies believed live, at least 1
-	// Gone tells that a server's address answers for another incarnation.
-	Gone(server string)
+	// ReportReplaced tells that a server's address answers for another incarnation.
+	ReportReplaced(server string)
 	// Suspect tells that a server's machine does not acknowledge what is sent to it, or refuses connections.
 	Suspect(server string)
 }
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -84,7 +84,7 @@
 
 func (s *fakeState) Proxies() int { return s.proxies }
 
-func (s *fakeState) Gone(server string) {
+func (s *fakeState) ReportReplaced(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replaced = append(s.replaced, server)
