--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -111,7 +111,7 @@
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
 		if settings.FirstStart {
-			a.proxy.AloneAtStart()
+			a.proxy.MarkFleetStart()
 		}
 		a.workload, a.assignsRoles = a.proxy, true
 	}
@@ -202,8 +202,3 @@
 	return &controlserver.Server{MaxBodyBytes: maxBody, Handler: handle, OnAcceptError: a.acceptFailed,
 		OnPanic: a.handlerPanicked}
 }
-
-// dataplaneState is the part of an Agent that the data plane sees.
-type dataplaneState Agent
-
-var _ dataplane.State = (*dataplaneState)(nil)
--- a/internal/router/agent/dataplane_state.go
+++ b/internal/router/agent/dataplane_state.go
@@ -4,10 +4,23 @@
 	"time"
 
 	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/dataplane"
 	"cresshub/internal/router/directory"
 	"cresshub/internal/router/fleetconfig"
 )
 
+// A data plane in which many servers fail at once is likely to be the one at fault. So it may report at most
+// maxLossReports servers lost in each lossReportWindow.
+const (
+	lossReportWindow = 2 * time.Second
+	maxLossReports   = 4
+)
+
+// dataplaneState is the Agent as the data plane sees it.
+type dataplaneState Agent
+
+var _ dataplane.State = (*dataplaneState)(nil)
+
 // Config returns the configuration in force, nil until one is known.
 func (s *dataplaneState) Config() *fleetconfig.Config { return s.state.Config() }
 
@@ -17,21 +30,22 @@
 // Proxies returns how many proxies share common budgets.
 func (s *dataplaneState) Proxies() int { return s.state.Proxies() }
 
-// Closed notes that another incarnation has the address of a server, so that the server has ended.
-func (s *dataplaneState) Gone(server string) {
+// ReportReplaced reports that another incarnation answers at a server's address, so that the server has ended.
+func (s *dataplaneState) ReportReplaced(server string) {
 	(*Agent)(s).reportLost(server, "its address has another server")
 }
 
-// Suspect notes that a server's machine does not answer. The next heartbeat of the server contradicts it.
+// Suspect reports that a server's machine does not answer. The next heartbeat of the server refutes
+// it. It does nothing while no hub answers either, because then this machine is likely to be the one that is
+// partitioned.
 func (s *dataplaneState) Suspect(server string) {
 	a := (*Agent)(s)
-	if !a.isIsolated() { // else it is this machine that is cut off
+	if !a.isIsolated() {
 		a.reportLost(server, "its machine does not answer")
 	}
 }
 
-// reportLost tells the fleet that a server is lost. There are at most maxLossReports of these in each
-// lossReportWindow, because a proxy that loses many servers at once is likely to be the one in trouble.
+// reportLost marks a server lost, where allowLossReport allows it.
 func (a *Agent) reportLost(server, reason string) {
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
@@ -40,12 +54,12 @@
 			return
 		}
 		lost := *known
-		lost.Watcher = a.id // so that this process tells the hubs
+		lost.Watcher = a.id // this process then sends the record to the hubs
 		a.markLost(now, d, &lost, reason)
 	})
 }
 
-// allowLossReport counts a report where one is left; the directory's lock is held.
+// allowLossReport counts a report and tells whether it is within the bound; the directory's lock is held.
 func (a *Agent) allowLossReport(now time.Duration) bool {
 	if now-a.lossReportsSince > lossReportWindow {
 		a.lossReportsSince, a.lossReports = now, 0
@@ -53,8 +67,3 @@
 	a.lossReports++
 	return a.lossReports <= maxLossReports
 }
-
-const (
-	lossReportWindow = 2 * time.Second
-	maxLossReports   = 4
-)
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -87,7 +87,7 @@
 
 // lastAnswerAt is when a server last answered a request that this process had sent, 0 for never.
 func (a *Agent) lastAnswerAt(server string) time.Duration {
-	age, answered := a.workload.SinceAnswer(server)
+	age, answered := a.workload.SinceLastSuccess(server)
 	if !answered {
 		return 0
 	}
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -75,7 +75,7 @@
 	checkWritten(c, a, "servers", filepath.Join(goldenData, "servers"))
 	a.saveProxies()
 	checkWritten(c, a, "proxies", filepath.Join(goldenData, "proxies"))
-	a.proxy.CatchUp(promptsAt(7, 1<<64-3)) // saved the newest first
+	a.proxy.SyncPrefixes(promptsAt(7, 1<<64-3)) // saved the newest first
 	a.savePrefixIndex()
 	checkWritten(c, a, "prompts", filepath.Join(goldenData, "prompts"))
 }
@@ -147,7 +147,7 @@
 	a.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
 	c.Assert(live, qt.DeepEquals, servers)
 	c.Assert(a.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
-	c.Assert(a.proxy.KnownPrompts(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
+	c.Assert(a.proxy.KnownPrefixes(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
 	proxies, err := a.saved().readRecords(proxiesFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -66,15 +66,15 @@
 		select {
 		case <-done:
 			return
-		case <-a.workload.WorkChanged():
+		case <-a.workload.InFlightChanged():
 		case <-time.After(loadReportMinInterval):
 		}
 		full := a.now()-last > fullSyncInterval
-		changes := a.workload.WorkChanges(full)
+		changes := a.workload.InFlightChanges(full)
 		if full {
 			last = a.now()
 		}
-		prompts := encodePrefixes(a.workload.NewPrompts())
+		prompts := encodePrefixes(a.workload.TakeNewPrefixes())
 		work := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prompts}
 		if a.isHub() {
 			t.applyOwn(work)
@@ -146,10 +146,10 @@
 		return
 	}
 	if work.FullIndex {
-		a.workload.CatchUp(decodePrefixes(work.Prefixes))
+		a.workload.SyncPrefixes(decodePrefixes(work.Prefixes))
 		return
 	}
-	a.workload.ShareWork(decodeLoad(work.Servers), work.Full, decodePrefixes(work.Prefixes))
+	a.workload.SetPeerLoad(decodeLoad(work.Servers), work.Full, decodePrefixes(work.Prefixes))
 }
 
 // sendPrefixIndex hands a new follower what is known of which servers hold what.
@@ -157,7 +157,7 @@
 	if !a.state.isSynced() {
 		return
 	}
-	work := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(a.workload.KnownPrompts())}
+	work := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(a.workload.KnownPrefixes())}
 	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(work)})
 }
 
@@ -239,7 +239,7 @@
 		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&work)})
 	}
 	others := decodeLoad(t.loadExcept(total, t.own, full))
-	t.agent.workload.ShareWork(others, full, decodePrefixes(prompts))
+	t.agent.workload.SetPeerLoad(others, full, decodePrefixes(prompts))
 	clear(t.changed)
 	t.localPrefixes, t.hubPrefixes = nil, nil
 }
--- a/internal/router/agent/persistence.go
+++ b/internal/router/agent/persistence.go
@@ -124,7 +124,7 @@
 	if err != nil || a.proxy == nil || peerproto.Decode(body, &work) != nil {
 		return
 	}
-	a.proxy.CatchUp(decodePrefixes(work.Prefixes))
+	a.proxy.SyncPrefixes(decodePrefixes(work.Prefixes))
 }
 
 // savePrefixIndex saves what is known of which servers hold what, where that has changed.
@@ -132,7 +132,7 @@
 	if a.proxy == nil {
 		return
 	}
-	known := a.proxy.KnownPrompts()
+	known := a.proxy.KnownPrefixes()
 	count := 0
 	for _, at := range known {
 		count += len(at.Hashes)
