--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -91,7 +91,7 @@
 	first := a.nextFeed(0, -1)
 	c.Assert(first.Records, qt.HasLen, 1)
 	a.handleCall(heartbeat("draining", "2"))
-	c.Assert(a.hasUpdate(uint64(first.To), 0, first.Epoch), qt.IsTrue)
+	c.Assert(a.hasUpdate(feedPosition{uint64(first.To), 0, first.Epoch}), qt.IsTrue)
 	next := a.nextFeed(uint64(first.To), first.Epoch)
 	c.Assert(next.From, qt.Equals, first.To)
 	c.Assert(next.Records, qt.HasLen, 1)
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -27,9 +27,9 @@
 // chainEvent is a step of the state machine, which runs on the chain goroutine.
 type chainEvent func(now time.Duration) chain.Effects
 
-// chainMember is the configStore of a machine with an open disk. One goroutine, the chain goroutine, steps the
-// state machine of package chain, persists the records that a step returns, and only then sends its messages
-// and completes its requests. Other goroutines hand it events with post.
+// chainMember is the configStore of a machine with an open disk. One goroutine, the chain goroutine, steps
+// the state machine of package chain, persists the records that a step returns, and only then sends its
+// messages and completes its requests. Other goroutines hand it events with post.
 type chainMember struct {
 	agent    *Agent
 	machine  *chain.Node     // of the chain goroutine
--- a/internal/router/agent/config_endpoint.go
+++ b/internal/router/agent/config_endpoint.go
@@ -50,8 +50,8 @@
 	return a.changeConfig(call, peerproto.KindPatch, patch.Version)
 }
 
-// changeConfig has a member propose the change that a call asks for, and waits until it is committed. The kind
-// is KindPropose or KindPatch, version the one that the change makes.
+// changeConfig has a member propose the change that a call asks for, and waits until it is committed. The
+// kind is KindPropose or KindPatch, version the one that the change makes.
 func (a *Agent) changeConfig(call *controlserver.Call, kind peerproto.Kind, version int64) *http1.Response {
 	expected, err := expectedVersion(call, version)
 	if err != nil {
--- a/internal/router/agent/config_hedging.go
+++ b/internal/router/agent/config_hedging.go
@@ -73,8 +73,8 @@
 }
 
 // firstDefiniteAnswer starts attempts one after the other, each when the one before has not answered within
-// hedgeDelay or has answered that it is unavailable. It returns the first answer that is definite, or the last
-// one once all have answered or configCallTimeout is over.
+// hedgeDelay or has answered that it is unavailable. It returns the first answer that is definite, or the
+// last one once all have answered or configCallTimeout is over.
 func firstDefiniteAnswer(attempts []configAttempt) *peerproto.Result {
 	answers := make(chan *peerproto.Result, len(attempts))
 	deadline := time.NewTimer(configCallTimeout)
--- a/internal/router/agent/dataplane_state.go
+++ b/internal/router/agent/dataplane_state.go
@@ -30,7 +30,8 @@
 // Proxies returns how many proxies share common budgets.
 func (s *dataplaneState) Proxies() int { return s.state.Proxies() }
 
-// ReportReplaced reports that another incarnation answers at a server's address, so that the server has ended.
+// ReportReplaced reports that another incarnation answers at a server's address, so that the server has
+// ended.
 func (s *dataplaneState) ReportReplaced(server string) {
 	(*Agent)(s).reportLost(server, "its address has another server")
 }
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// deferredStore is the configStore of a machine with a disk. It opens the disk in the background, because that
-// may hang or fail: until the disk is open, the process serves like one without a disk.
+// deferredStore is the configStore of a machine with a disk. It opens the disk in the background, because
+// that may hang or fail: until the disk is open, the process serves like one without a disk.
 type deferredStore struct {
 	agent   *Agent
 	chain   atomic.Pointer[chainMember] // nil until the disk is open
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -8,83 +8,93 @@
 	"cresshub/internal/router/transport"
 )
 
-// feedKeepaliveInterval is how often a feed without changes tells that it is alive.
+// feedKeepaliveInterval is how often a feed without changes sends a message without records.
 const feedKeepaliveInterval = 400 * time.Millisecond
 
-// serveFeed sends the changes of this copy to a follower until its connection ends.
+// feedPosition is how far a follower has received a feed.
+type feedPosition struct {
+	offset  uint64 // in the directory's numbering of changes, 0 for nothing
+	version int64  // of the configuration
+	epoch   int64  // of the view, -1 for none received yet
+}
+
+// serveFeed sends the changes of the directory, the configuration and the view to a follower, until its
+// connection ends or cancel closes. A follower of another feed begins with a snapshot.
 func (a *Agent) serveFeed(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
-	offset, version := uint64(request.Offset), request.Version
+	at := feedPosition{offset: uint64(request.Offset), version: request.Version, epoch: -1}
 	if request.Feed != a.id {
-		offset = 0
+		at.offset = 0
 	}
-	epoch := int64(-1)
 	keepalive := time.NewTicker(feedKeepaliveInterval)
 	defer keepalive.Stop()
 	for {
 		changed := a.state.nextChange()
-		feed := a.nextFeed(offset, epoch)
-		if config := a.state.Config(); config != nil && config.Version > version {
-			feed.Config, feed.Version = a.configUpdate(config, version), config.Version
+		feed := a.nextFeed(at.offset, at.epoch)
+		if config := a.state.Config(); config != nil && config.Version > at.version {
+			feed.Config, feed.Version = a.configUpdate(config, at.version), config.Version
 		}
 		if !c.Send(peerproto.Frame{Kind: peerproto.KindFeed, Body: peerproto.Encode(feed)}) {
 			return
 		}
-		offset, version, epoch = uint64(feed.To), feed.Version, feed.Epoch
-		if !a.awaitUpdate(c, cancel, changed, keepalive, offset, version, epoch) {
+		at = feedPosition{offset: uint64(feed.To), version: feed.Version, epoch: feed.Epoch}
+		if !a.awaitUpdate(c, cancel, changed, keepalive.C, at) {
 			return
 		}
 	}
 }
 
-// awaitUpdate returns once there is something to tell a follower, or it is time to tell that there is
-// nothing. It returns false when the feed is to end.
-func (a *Agent) awaitUpdate(c *transport.Conn, cancel, changed <-chan struct{}, keepalive *time.Ticker,
-	offset uint64, version, epoch int64) bool {
+// awaitUpdate returns true once there is something that a follower has not received, or the next keepalive is
+// due, and false once the feed is to end.
+func (a *Agent) awaitUpdate(c *transport.Conn, cancel, changed <-chan struct{}, keepalive <-chan time.Time,
+	at feedPosition) bool {
 	for {
 		select {
 		case <-c.Closed():
 			return false
 		case <-cancel:
 			return false
-		case <-keepalive.C:
+		case <-keepalive:
 			return true
 		case <-changed:
 			changed = a.state.nextChange()
-			if a.hasUpdate(offset, version, epoch) {
+			if a.hasUpdate(at) {
 				return true
 			}
 		}
 	}
 }
 
-func (a *Agent) hasUpdate(offset uint64, version, epoch int64) bool {
-	a.state.mu.Lock()
-	defer a.state.mu.Unlock()
+// hasUpdate tells whether there is something that a follower has not received.
+func (a *Agent) hasUpdate(at feedPosition) bool {
 	s := a.state
-	return s.directory.Offset() != offset || s.version() != version || s.view.epoch != epoch
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return at != feedPosition{offset: s.directory.Offset(), version: s.version(), epoch: s.view.epoch}
 }
 
-// nextFeed returns what a follower at a place has not heard yet.
+// nextFeed returns the records and the view that a follower has not received.
 func (a *Agent) nextFeed(offset uint64, epoch int64) *peerproto.Feed {
-	a.state.mu.Lock()
-	defer a.state.mu.Unlock()
-	d := a.state.directory
-	if offset > d.Offset() {
+	s := a.state
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if offset > s.directory.Offset() {
 		offset = 0
 	}
-	feed := &peerproto.Feed{Feed: a.id, From: int64(offset), To: int64(d.Offset()), Epoch: a.state.view.epoch}
-	feed.Records = copyRecords(d.Since(offset))
-	if epoch != a.state.view.epoch {
-		feed.Members = a.state.view.members
+	feed := &peerproto.Feed{
+		Feed: a.id, From: int64(offset), To: int64(s.directory.Offset()), Epoch: s.view.epoch,
+		Records: copyRecords(s.directory.Since(offset)), Version: s.version(),
+	}
+	if epoch != s.view.epoch {
+		feed.Members = s.view.members
 	}
-	feed.Version = a.state.version()
 	return feed
 }
 
+// copyRecords returns the records themselves, which don't change under the reader.
 func copyRecords(records []*directory.Record) []directory.Record {
-	values := make([]directory.Record, len(records))
+	copies := make([]directory.Record, len(records))
 	for i, r := range records {
-		values[i] = *r
+		copies[i] = *r
 	}
-	return values
+	return copies
 }
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -6,102 +6,96 @@
 	"github.com/cespare/xxhash/v2"
 
 	"cresshub/internal/router/directory"
-	"cresshub/internal/router/fleetconfig"
 	"cresshub/internal/router/peerproto"
 )
 
 const (
-	// feedTimeout is how long a feed may be silent until another hub is followed.
-	feedTimeout         = 1200 * time.Millisecond
+	// feedTimeout is how long after its last message a feed counts as broken, so that another hub is followed.
+	feedTimeout = 1200 * time.Millisecond
+	// sourceCheckInterval is how often the hubs and the source of the feed are checked.
 	sourceCheckInterval = 100 * time.Millisecond
-	fetchTimeout        = 700 * time.Millisecond
-	// fetchDelay is how long a process that has a configuration waits for its feed to bring a newer one.
-	fetchDelay = 150 * time.Millisecond
 )
 
-// following is which hub's feed this process follows, and how far. Guarded by Agent.subscriptionMu.
+// subscription is the hub whose feed this process follows, and how far it has received it. It is guarded by
+// Agent.subscriptionMu.
 type subscription struct {
-	source       *hub
-	feed         string
-	offset       uint64
-	lastReceived time.Duration // when the last piece came
-}
-
-// follow keeps following the feed of one hub, unless this process is a hub itself: hubs hear all changes at
-// first hand and compare their copies.
-func (a *Agent) runSubscription(stop <-chan struct{}) {
-	ticker := time.NewTicker(sourceCheckInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-stop:
-			return
-		case <-ticker.C:
-			a.updateHubs()
-			a.updateSource()
-		}
-	}
+	source       *hub          // nil for none
+	feed         string        // id of the process that numbers the changes
+	offset       uint64        // in that numbering
+	lastReceived time.Duration // when the last message of the feed came, or the source was chosen
+}
+
+// runSubscription follows the feed of one hub, unless this process is a hub itself: hubs receive all changes
+// at first hand and repair their directories by anti-entropy.
+func (a *Agent) runSubscription(done <-chan struct{}) {
+	runEvery(sourceCheckInterval, done, func() {
+		a.updateHubs()
+		a.updateSource()
+	})
 }
 
-// follows tells whether this process follows a hub's feed.
-func (a *Agent) isSubscribed() bool {
+// source returns the hub whose feed this process follows, nil for none.
+func (a *Agent) source() *hub {
 	a.subscriptionMu.Lock()
 	defer a.subscriptionMu.Unlock()
-	return a.subscription.source != nil
+	return a.subscription.source
 }
 
+func (a *Agent) isSubscribed() bool { return a.source() != nil }
+
+// updateSource chooses a source where there is none, or the present one is not usable any more.
 func (a *Agent) updateSource() {
 	a.subscriptionMu.Lock()
 	defer a.subscriptionMu.Unlock()
 	now := a.now()
-	f := &a.subscription
+	s := &a.subscription
 	if a.isHub() {
-		a.unsubscribe(f)
+		a.unsubscribe()
 		return
 	}
-	if f.source != nil && now-f.lastReceived < feedTimeout && a.isUsableSource(f.source) {
+	if s.source != nil && now-s.lastReceived < feedTimeout && a.isUsableSource(s.source) {
 		return
 	}
-	next := a.chooseSource(f.source)
+	next := a.chooseSource(s.source)
 	if next == nil {
 		return
 	}
-	if f.source != next {
+	if s.source != next {
 		a.metrics.sourceChanges.Add(1)
-		a.log.Info().Str("hub", next.ip).Msg("feed: following")
+		a.log.Info().Str("hub", next.ip).Msg("feed: subscribed")
 	}
-	f.source, f.lastReceived = next, now
-	a.subscribe()
+	s.source, s.lastReceived = next, now
+	a.sendFollow()
 	watcher := next.current().id
 	a.announceSelf(func(self *directory.Record) { self.Watcher = watcher })
 }
 
-// isUsableSource tells whether a hub is still one to follow. One that does not reach a majority may miss what
-// the others acknowledge; it is left once another one can be followed.
+// isUsableSource tells whether a hub may still be followed. One that does not reach a majority may miss what
+// the others acknowledge.
 func (a *Agent) isUsableSource(source *hub) bool {
 	state := source.current()
 	return state.hasSnapshot && state.reachesMajority && source.link.Connected() && a.hubAt(source.ip) == source
 }
 
-// unsubscribe ends following where this process is a hub; subscriptionMu is held.
-func (a *Agent) unsubscribe(f *subscription) {
-	wasFollower := f.source != nil
-	f.source = nil
-	if wasFollower {
-		a.announceSelf(func(self *directory.Record) { self.Watcher = "" })
+// unsubscribe ends the subscription, where there is one; subscriptionMu is held.
+func (a *Agent) unsubscribe() {
+	if a.subscription.source == nil {
+		return
 	}
+	a.subscription.source = nil
+	a.announceSelf(func(self *directory.Record) { self.Watcher = "" })
 }
 
-// subscribe asks the present source for its feed; subscriptionMu is held.
-func (a *Agent) subscribe() {
-	f := &a.subscription
-	request := peerproto.Follow{Feed: f.feed, Offset: int64(f.offset), Version: a.state.version()}
-	f.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
+// sendFollow asks the source for its feed from the present offset on; subscriptionMu is held.
+func (a *Agent) sendFollow() {
+	s := &a.subscription
+	request := peerproto.Follow{Feed: s.feed, Offset: int64(s.offset), Version: a.state.version()}
+	s.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
 }
 
-// chooseSource names the hub to follow: by rendezvous hashing over those that answer and reach a majority,
-// other than one to avoid where there is a choice. Where none reaches a majority, one that does not is better
-// than none.
+// chooseSource returns the hub to follow, by rendezvous hashing over those that respond and reach a majority;
+// the one to avoid comes last. Where none reaches a majority, a process without a connected source takes one
+// that does not.
 func (a *Agent) chooseSource(avoid *hub) *hub {
 	var inMajority, others []*hub
 	for _, h := range a.currentHubs() {
@@ -114,13 +108,14 @@
 			others = append(others, h)
 		}
 	}
-	if followsNone := avoid == nil || !avoid.link.Connected(); followsNone && len(inMajority) == 0 {
+	hasNoSource := avoid == nil || !avoid.link.Connected()
+	if hasNoSource && len(inMajority) == 0 {
 		return a.firstByRank(others, nil)
 	}
 	return a.firstByRank(inMajority, avoid)
 }
 
-// firstByRank returns the hub that ranks first for this process, the one to avoid last.
+// firstByRank returns the hub that ranks first for this process, nil for none; the one to avoid ranks last.
 func (a *Agent) firstByRank(hubs []*hub, avoid *hub) *hub {
 	var best *hub
 	var bestRank uint64
@@ -136,117 +131,40 @@
 	return best
 }
 
-// handleHubFrame takes a frame that answers no call: a piece of the feed.
+// handleHubFrame handles a frame of a hub that answers no call: a message of the feed, or a load report.
 func (a *Agent) handleHubFrame(h *hub, frame peerproto.Frame) {
-	if frame.Kind == peerproto.KindLoadReport {
+	switch frame.Kind {
+	case peerproto.KindLoadReport:
 		a.handleLoad(h, frame)
-		return
-	}
-	if frame.Kind != peerproto.KindFeed {
-		return
-	}
-	var feed peerproto.Feed
-	if peerproto.Decode(frame.Body, &feed) != nil {
-		h.link.Reset()
-		return
+	case peerproto.KindFeed:
+		var feed peerproto.Feed
+		if decodeOrReset(h, frame.Body, &feed) {
+			a.handleFeed(h, &feed)
+		}
 	}
-	a.handleFeed(h, &feed)
 }
 
+// handleFeed applies a message of the feed. Where messages are missing before it, the feed is requested again
+// from the last offset on.
 func (a *Agent) handleFeed(h *hub, feed *peerproto.Feed) {
 	a.subscriptionMu.Lock()
 	defer a.subscriptionMu.Unlock()
-	f := &a.subscription
-	if f.source != h {
+	s := &a.subscription
+	if s.source != h {
 		return
 	}
-	f.lastReceived = a.now()
+	s.lastReceived = a.now()
 	a.applyPacked(feed.Config)
 	if a.state.learnView(feed.Epoch, feed.Members) {
 		go a.updateHubs()
 	}
-	continues := feed.Feed == f.feed && uint64(feed.From) == f.offset
-	if feed.From != 0 && !continues {
-		a.subscribe() // a piece is missing
+	isSnapshot := feed.From == 0
+	continues := feed.Feed == s.feed && uint64(feed.From) == s.offset
+	if !isSnapshot && !continues {
+		a.sendFollow()
 		return
 	}
 	a.mergeRemote(feed.Records)
-	f.feed, f.offset = feed.Feed, uint64(feed.To)
+	s.feed, s.offset = feed.Feed, uint64(feed.To)
 	a.state.setSynced()
 }
-
-// mergeRemote takes in records that another process told, and contradicts what is wrong of this process.
-func (a *Agent) mergeRemote(records []directory.Record) {
-	if len(records) == 0 {
-		return
-	}
-	a.state.merge(a.now(), records)
-	a.refute()
-}
-
-// refute tells the fleet that this process runs where its record says otherwise.
-func (a *Agent) refute() {
-	var wrong bool
-	a.state.read(func(d *directory.Directory) {
-		known := d.Get(a.id)
-		wrong = known != nil && known.State == directory.Lost
-	})
-	if wrong {
-		a.announceSelf(func(*directory.Record) {})
-	}
-}
-
-// announceSelf changes this process's own record and gives it the next sequence number.
-func (a *Agent) announceSelf(f func(*directory.Record)) {
-	a.selfMu.Lock()
-	defer a.selfMu.Unlock()
-	a.state.read(func(d *directory.Directory) {
-		if known := d.Get(a.id); known != nil {
-			a.self.Sequence = max(a.self.Sequence, known.Sequence)
-		}
-	})
-	a.self.Sequence++
-	f(&a.self)
-	a.state.merge(a.now(), []directory.Record{a.self})
-}
-
-// applyDocument puts a document that another process holds to be in force in force here.
-func (a *Agent) applyDocument(document []byte) {
-	if len(document) == 0 {
-		return
-	}
-	config, err := fleetconfig.Parse(document)
-	if err != nil {
-		a.log.Error().Err(err).Msg("feed: a configuration in force can't be read")
-		return
-	}
-	a.applyConfig(config)
-}
-
-// adopt puts a configuration that was acknowledged in force unless a newer one is.
-func (a *Agent) applyConfig(config *fleetconfig.Config) {
-	if a.state.applyConfig(config) {
-		a.log.Info().Int64("version", config.Version).Msg("config: in force")
-	}
-}
-
-// fetchConfig asks a hub for a newer configuration where the feed did not bring it.
-func (a *Agent) fetchConfig(h *hub) {
-	if a.state.Config() != nil {
-		time.Sleep(fetchDelay)
-	}
-	if h.current().lastSeen == 0 || !a.fetchingConfig.CompareAndSwap(false, true) {
-		return
-	}
-	defer a.fetchingConfig.Store(false)
-	before := a.state.version()
-	frame, err := h.link.Call(peerproto.KindConfigFetch, nil, fetchTimeout)
-	if err != nil || a.state.version() > before {
-		return
-	}
-	var result peerproto.Result
-	if peerproto.Decode(frame.Body, &result) == nil && result.Outcome == peerproto.OutcomeAccepted &&
-		result.Version > a.state.version() {
-		a.applyPacked(result.Body)
-	}
-}
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"errors"
 	"sync"
 	"time"
 
@@ -10,47 +11,63 @@
 
 const (
 	pingInterval = 400 * time.Millisecond
-	// eagerPingInterval is the same while this process waits for an answer to take its part.
+	// eagerPingInterval is the interval while this process follows no hub, or is a hub without a majority.
 	eagerPingInterval = 100 * time.Millisecond
 	pingTimeout       = time.Second
 )
 
-// hub is the link to one hub.
+// hub is the link to one hub, with the goroutines that ping it and send it the records of this process.
 type hub struct {
 	ip   string
 	link *transport.Link
-	stop chan struct{}
+	stop chan struct{} // ends the goroutines
 
 	mu    sync.Mutex
 	state hubState
 }
 
-// hubState is what is known of a hub.
+// hubState is the last known state of a hub.
 type hubState struct {
 	id              string        // of the process that answers there
-	replicatedTo    uint64        // the place up to which it has the records of this process
-	lastSeen        time.Duration // when it last answered a ping, 0 since the connection opened
-	hasSnapshot     bool          // it may be followed
+	replicatedTo    uint64        // offset of this process's directory up to which it has the records
+	lastSeen        time.Duration // when it last answered a ping, 0 for never on this connection
+	hasSnapshot     bool          // it knows the fleet, so that it may be followed
 	reachesMajority bool          // more than half of the members answer it
 }
 
+func (h *hub) close() {
+	close(h.stop)
+	h.link.Stop()
+}
+
 func (h *hub) current() hubState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.state
 }
 
-// answers tells whether the hub has answered lately.
+func (h *hub) record(status *peerproto.Status, now time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.state.id != "" && h.state.id != status.ID {
+		h.state.replicatedTo = 0 // another process, which has none of the records yet
+	}
+	h.state.id, h.state.lastSeen = status.ID, now
+	h.state.hasSnapshot, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
+}
+
+// isResponsive tells whether the hub has answered a ping within contactTimeout.
 func (h *hub) isResponsive(now time.Duration) bool {
 	lastSeen := h.current().lastSeen
 	return lastSeen > 0 && now-lastSeen <= contactTimeout
 }
 
+// newHub opens the link to a hub and starts its goroutines.
 func (a *Agent) newHub(ip string) *hub {
 	h := &hub{ip: ip, stop: make(chan struct{})}
 	handle := func(frame peerproto.Frame) { a.handleHubFrame(h, frame) }
 	up := make(chan struct{}, 1)
-	h.link = a.endpoint.NewLink(a.peerAddress(ip), a.hello, handle, func(isUp bool) {
+	h.link = a.endpoint.NewLink(a.peerAddress(ip), a.hello, handle, func(bool) {
 		h.mu.Lock()
 		h.state.replicatedTo, h.state.lastSeen = 0, 0
 		h.mu.Unlock()
@@ -64,14 +81,15 @@
 	return h
 }
 
-// pingHub keeps the link known to be alive and learns from the answers.
+// pingHub pings a hub until its link is closed. A ping carries the demand of this process, its answer the
+// state of the hub.
 func (a *Agent) pingHub(h *hub, up <-chan struct{}) {
 	for {
 		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(a.demand.own()), pingTimeout)
-		switch err {
-		case nil:
+		switch {
+		case err == nil:
 			a.handleStatus(h, frame)
-		case transport.ErrTimeout:
+		case errors.Is(err, transport.ErrTimeout):
 			h.link.Reset()
 		}
 		select {
@@ -83,8 +101,7 @@
 	}
 }
 
-// untilPing is the pause before the next ping: a short one while this process follows nobody, or is a member
-// that does not reach a majority.
+// untilPing returns the interval until the next ping.
 func (a *Agent) untilPing() time.Duration {
 	established := a.isSubscribed()
 	if a.isHub() {
@@ -96,26 +113,29 @@
 	return eagerPingInterval
 }
 
+// decodeOrReset decodes a message of a hub. A connection that carries a malformed one is reset.
+func decodeOrReset(h *hub, body []byte, message any) bool {
+	if peerproto.Decode(body, message) != nil {
+		h.link.Reset()
+		return false
+	}
+	return true
+}
+
+// handleStatus records the state of a hub that has answered a ping.
 func (a *Agent) handleStatus(h *hub, frame peerproto.Frame) {
 	var status peerproto.Status
-	if peerproto.Decode(frame.Body, &status) != nil {
-		h.link.Reset()
+	if !decodeOrReset(h, frame.Body, &status) {
 		return
 	}
 	now := a.now()
-	h.mu.Lock()
-	if h.state.id != "" && h.state.id != status.ID {
-		h.state.replicatedTo = 0 // another process: it knows nothing yet
-	}
-	h.state.id, h.state.lastSeen = status.ID, now
-	h.state.hasSnapshot, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
-	h.mu.Unlock()
+	h.record(&status, now)
 	a.hubsMu.Lock()
 	a.lastHubContact = now
 	a.hubsMu.Unlock()
 	a.learnStatusView(&status)
 	if !a.isSubscribed() {
-		a.updateSource() // need not wait for its turn
+		a.updateSource() // at once, instead of with the next check
 	}
 	if status.Version > a.state.version() {
 		go a.fetchConfig(h)
--- a/internal/router/agent/hub_replication.go
+++ b/internal/router/agent/hub_replication.go
@@ -7,10 +7,15 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// pushTimeout bounds one call that hands records over.
-const pushTimeout = time.Second
+const (
+	// pushTimeout bounds one call that sends records to a hub.
+	pushTimeout = time.Second
+	// pushRetryInterval is the interval of attempts until a hub has the records.
+	pushRetryInterval = pingInterval / 8
+)
 
-// pushToHub sends the records that this process answers for whenever they change, until the hub has them.
+// pushToHub replicates the records that this process answers for to a hub whenever they change, until the
+// link is closed.
 func (a *Agent) pushToHub(h *hub) {
 	for {
 		changed := a.state.nextChange()
@@ -19,25 +24,25 @@
 			case <-h.stop:
 				return
 			case <-changed:
-			case <-time.After(pingInterval): // the connection may be a new one
+			case <-time.After(pingInterval): // the connection may be a new one, on which nothing was sent
 			}
 			continue
 		}
 		select {
 		case <-h.stop:
 			return
-		case <-time.After(pingInterval / 8):
+		case <-time.After(pushRetryInterval):
 		}
 	}
 }
 
-// pushOnce tells whether the hub has all records of this process.
+// pushOnce sends the records of this process that the hub lacks, and tells whether it then has all.
 func (a *Agent) pushOnce(h *hub) bool {
 	replicatedTo := h.current().replicatedTo
 	var records []directory.Record
-	var number uint64
+	var offset uint64
 	a.state.read(func(d *directory.Directory) {
-		number = d.Offset()
+		offset = d.Offset()
 		for _, r := range d.Since(replicatedTo) {
 			if r.ID == a.id || r.Watcher == a.id {
 				records = append(records, *r)
@@ -54,10 +59,10 @@
 		}
 	}
 	h.mu.Lock()
-	if h.state.replicatedTo == replicatedTo { // else the connection was opened anew meanwhile
-		h.state.replicatedTo = max(number, 1)
+	if h.state.replicatedTo == replicatedTo { // else the connection was reopened meanwhile
+		h.state.replicatedTo = max(offset, 1)
 	}
-	complete := h.state.replicatedTo >= number
+	complete := h.state.replicatedTo >= offset
 	h.mu.Unlock()
 	a.notifyReplicated()
 	return complete
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -10,18 +10,23 @@
 	"cresshub/internal/router/directory"
 )
 
-// The hubs are the processes that all others report to and follow: those that keep the control state, and the
-// seeds until a view of the control state is known or while none of its members can be reached.
+// The hubs are the processes that all others send their records to and follow: the members of the view, and
+// the seeds as long as no view is known or no member of it can be reached.
 
-// isolatedAfter is how long no hub answers until any known process will do.
-const isolatedAfter = 1500 * time.Millisecond
+const (
+	// isolatedAfter is how long after the last answer of a hub this process counts as isolated, so that it calls
+	// its seeds and some known proxies as well.
+	isolatedAfter = 1500 * time.Millisecond
+	// maxIsolatedContacts bounds the known proxies that an isolated process calls.
+	maxIsolatedContacts = 3
+)
 
-// peerAddress returns where the process of a machine takes calls of others.
+// peerAddress returns the address at which the process of a machine listens for other processes.
 func (a *Agent) peerAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(a.settings.InnerPorts[0]))
 }
 
-// hubAddresses returns the IPs of the hubs but for this machine's own.
+// hubAddresses returns the IPs of the hubs, without this machine's own.
 func (a *Agent) hubAddresses() []string {
 	var ips []string
 	add := func(ip string) {
@@ -42,29 +47,27 @@
 	}
 	if a.isIsolated() {
 		a.state.read(func(d *directory.Directory) {
-			for i, proxy := range d.Proxies() {
-				if i < 3 {
-					add(proxy.Address)
-				}
+			proxies := d.Proxies()
+			for _, proxy := range proxies[:min(len(proxies), maxIsolatedContacts)] {
+				add(proxy.Address)
 			}
 		})
 	}
 	return ips
 }
 
-// isHub tells whether this process is one that others report to.
+// isHub tells whether this process is a hub itself.
 func (a *Agent) isHub() bool {
 	view := a.state.currentView()
 	if view.epoch == 0 {
 		return slices.ContainsFunc(a.seeds(), func(seed string) bool {
-			ip, _, _ := net.SplitHostPort(seed)
-			return ip == a.settings.IP
+			return hostOf(seed) == a.settings.IP
 		})
 	}
 	return view.hasMember(a.settings.IP)
 }
 
-// isIsolated tells whether no hub has answered for long.
+// isIsolated tells whether no hub has answered for isolatedAfter.
 func (a *Agent) isIsolated() bool {
 	a.hubsMu.Lock()
 	defer a.hubsMu.Unlock()
@@ -79,7 +82,7 @@
 	for _, h := range a.hubs {
 		hubs = append(hubs, h)
 	}
-	slices.SortFunc(hubs, func(a, b *hub) int { return cmp.Compare(a.ip, b.ip) })
+	slices.SortFunc(hubs, func(x, y *hub) int { return cmp.Compare(x.ip, y.ip) })
 	return hubs
 }
 
@@ -90,7 +93,7 @@
 	return a.hubs[ip]
 }
 
-// updateHubs opens links to new hubs and closes those to processes that are hubs no more.
+// updateHubs opens links to new hubs and closes those to processes that are not hubs any more.
 func (a *Agent) updateHubs() {
 	wanted := a.hubAddresses()
 	a.hubsMu.Lock()
@@ -100,8 +103,7 @@
 	}
 	for ip, h := range a.hubs {
 		if !slices.Contains(wanted, ip) {
-			close(h.stop)
-			h.link.Stop()
+			h.close()
 			delete(a.hubs, ip)
 		}
 	}
@@ -118,8 +120,7 @@
 	defer a.hubsMu.Unlock()
 	a.linksClosed = true
 	for ip, h := range a.hubs {
-		close(h.stop)
-		h.link.Stop()
+		h.close()
 		delete(a.hubs, ip)
 	}
 }
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -88,9 +88,9 @@
 	c.Answer(frame, peerproto.KindAck, nil)
 }
 
-// markPredecessorsLost marks earlier processes of the same machine as lost, now that this one has called. That
-// is a guess: a message of an earlier process may arrive after its successor is known, as when a partition
-// delayed it. So they are marked lost, which they can refute, and not ended.
+// markPredecessorsLost marks earlier processes of the same machine as lost, now that this one has called.
+// That is a guess: a message of an earlier process may arrive after its successor is known, as when a
+// partition delayed it. So they are marked lost, which they can refute, and not ended.
 func (a *Agent) markPredecessorsLost(peer string) {
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
--- a/internal/router/agent/quorum.go
+++ b/internal/router/agent/quorum.go
@@ -6,10 +6,10 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// contactTimeout is how long the last answer of a member shows that it can be reached.
+// contactTimeout is how long after its last answer a member counts as reached.
 const contactTimeout = 1500 * time.Millisecond
 
-// anyMember tells whether a condition holds for another member of the view to which there is a link.
+// anyMember tells whether another member of the view, to which there is a link, meets a condition.
 func (a *Agent) anyMember(condition func(peerproto.MemberInfo, *hub) bool) bool {
 	for _, member := range a.state.currentView().members {
 		if h := a.hubAt(member.Address); h != nil && condition(member, h) {
@@ -19,9 +19,10 @@
 	return false
 }
 
-// majorityOf tells whether more than half of the members of the view fulfil a condition. This process
-// fulfils it where it is a member itself. Without a view there is no majority of it.
-func (a *Agent) majorityOf(members []peerproto.MemberInfo, condition func(*hub) bool) bool {
+// majorityMeets tells whether more than half of the members of the view meet a condition. This process meets
+// it where it is a member itself. Without a view there is no majority.
+func (a *Agent) majorityMeets(condition func(*hub) bool) bool {
+	members := a.state.currentView().members
 	count := 0
 	for _, member := range members {
 		if member.Address == a.settings.IP {
@@ -35,32 +36,33 @@
 	return 2*count > len(members)
 }
 
-// reachesMajority tells whether more than half of the members of the view answered lately. A member that
-// does not reach them may hold old records, and must not hand them out.
+// reachesMajority tells whether more than half of the members of the view have answered within
+// contactTimeout. A member that does not reach them may have stale records, and must not serve them.
 func (a *Agent) reachesMajority() bool {
 	now := a.now()
-	return a.majorityOf(a.state.currentView().members, func(h *hub) bool { return h.isResponsive(now) })
+	return a.majorityMeets(func(h *hub) bool { return h.isResponsive(now) })
 }
 
-// awaitMajority waits until more than half of the members of the view have all that was changed here up to
-// a place. It tells whether that came about in time; it does not where no view is known.
+// awaitMajority waits until more than half of the members of the view have the changes of this process's
+// directory up to an offset. It returns false after the timeout, which is always the case without a view.
 func (a *Agent) awaitMajority(offset uint64, timeout time.Duration) bool {
 	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
+	hasOffset := func(h *hub) bool { return h.current().replicatedTo >= offset }
 	for {
-		progress := a.nextReplicated()
-		hasOffset := func(h *hub) bool { return h.current().replicatedTo >= offset }
-		if a.majorityOf(a.state.currentView().members, hasOffset) {
+		replicated := a.nextReplicated()
+		if a.majorityMeets(hasOffset) {
 			return true
 		}
 		select {
-		case <-progress:
+		case <-replicated:
 		case <-deadline.C:
 			return false
 		}
 	}
 }
 
+// nextReplicated returns a channel that closes once a hub has received more records.
 func (a *Agent) nextReplicated() <-chan struct{} {
 	a.hubsMu.Lock()
 	defer a.hubsMu.Unlock()
