--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"sync"
 	"time"
 
 	"cresshub/internal/router/peerproto"
@@ -9,59 +8,25 @@
 	"cresshub/internal/router/transport"
 )
 
-// Proxies tell each other what they have under way at model servers, so that each one knows the servers'
-// queues as they are now. A follower tells its hub, hubs tell each other their sums, and each hub tells its
-// followers what all the others have.
+// Proxies report to each other their in-flight load, so that each one knows the queues of the model servers as
+// they are now: a follower reports its own load to its hub, hubs report to each other the sum over themselves
+// and their followers, and each hub reports to its followers the load of all others. The same messages carry
+// which prefixes have been sent to servers and are now cached there.
 
 const (
-	// loadReportMinInterval is the least time between two messages to one process.
+	// loadReportMinInterval is the least time between two reports.
 	loadReportMinInterval = 25 * time.Millisecond
-	// fullSyncInterval is how often a message comes where nothing changes.
+	// fullSyncInterval is how often a report names all servers, and not only those whose load has changed.
 	fullSyncInterval = 400 * time.Millisecond
-	// maxFullSyncServers is the most servers that are told whole with each of these.
+	// maxFullSyncServers bounds the servers of such a report of a hub; with more of them, it reports changes.
 	maxFullSyncServers = 64
 )
 
-// loadByServer is what processes have under way, by server.
-type loadByServer map[string]peerproto.ServerLoad
-
-// take puts changes in.
-func (s loadByServer) apply(work *peerproto.LoadReport) {
-	if work.Full {
-		clear(s)
-	}
-	for _, at := range work.Servers {
-		if at.Calls == 0 && at.PrefillMs == 0 {
-			delete(s, at.Server)
-			continue
-		}
-		s[at.Server] = at
-	}
-}
-
-// loadTable holds what this process and those that report to it have under way.
-type loadTable struct {
-	agent *Agent
-
-	mu        sync.Mutex
-	own       loadByServer
-	followers map[*transport.Conn]loadByServer
-	hubs      map[*transport.Conn]loadByServer
-	changed   map[string]bool // servers of which something changed since the last distribution
-	// localPrefixes and hubPrefixes are to be distributed: those of this process and its followers, and those
-	// that other hubs told of.
-	localPrefixes, hubPrefixes []peerproto.ServerPrefixes
-}
-
-func newLoadTable(a *Agent) *loadTable {
-	return &loadTable{agent: a, own: loadByServer{}, followers: map[*transport.Conn]loadByServer{},
-		hubs: map[*transport.Conn]loadByServer{}, changed: map[string]bool{}}
-}
-
-// report tells what this process has under way whenever that changes, until done closes.
+// report reports the load of this process whenever it changes, and all of it in each fullSyncInterval, until
+// done closes.
 func (t *loadTable) report(done <-chan struct{}) {
 	a := t.agent
-	var last time.Duration
+	var lastFullSync time.Duration
 	for {
 		select {
 		case <-done:
@@ -69,225 +34,91 @@
 		case <-a.workload.InFlightChanged():
 		case <-time.After(loadReportMinInterval):
 		}
-		full := a.now()-last > fullSyncInterval
+		full := a.now()-lastFullSync > fullSyncInterval
 		changes := a.workload.InFlightChanges(full)
 		if full {
-			last = a.now()
+			lastFullSync = a.now()
 		}
-		prompts := encodePrefixes(a.workload.TakeNewPrefixes())
-		work := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prompts}
+		prefixes := encodePrefixes(a.workload.TakeNewPrefixes())
+		report := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prefixes}
 		if a.isHub() {
-			t.applyOwn(work)
+			t.applyOwn(report)
 			t.distribute(full)
 		} else if full || len(changes) > 0 {
-			a.sendToSource(peerproto.KindLoadReport, peerproto.Encode(work))
+			a.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
 		}
 		time.Sleep(loadReportMinInterval)
 	}
 }
 
-func encodeLoad(changes []scheduler.InFlightLoad) []peerproto.ServerLoad {
-	servers := make([]peerproto.ServerLoad, len(changes))
-	for i, c := range changes {
-		servers[i] = peerproto.ServerLoad{Server: c.Server, PrefillMs: int(c.Prefill.Milliseconds()),
-			Calls: c.Calls}
-	}
-	return servers
-}
-
-func encodePrefixes(all []scheduler.CachedPrefixes) []peerproto.ServerPrefixes {
-	encoded := make([]peerproto.ServerPrefixes, len(all))
-	for i, at := range all {
-		encoded[i].Server = at.Server
-		for _, name := range at.Hashes {
-			encoded[i].Hashes = append(encoded[i].Hashes, int64(name))
-		}
-	}
-	return encoded
-}
-
-func decodePrefixes(all []peerproto.ServerPrefixes) []scheduler.CachedPrefixes {
-	decoded := make([]scheduler.CachedPrefixes, len(all))
-	for i, at := range all {
-		decoded[i].Server = at.Server
-		for _, name := range at.Hashes {
-			decoded[i].Hashes = append(decoded[i].Hashes, uint64(name))
-		}
-	}
-	return decoded
-}
-
-func decodeLoad(servers []peerproto.ServerLoad) []scheduler.InFlightLoad {
-	changes := make([]scheduler.InFlightLoad, len(servers))
-	for i, at := range servers {
-		reading := time.Duration(at.PrefillMs) * time.Millisecond
-		changes[i] = scheduler.InFlightLoad{Server: at.Server, Prefill: reading, Calls: at.Calls}
-	}
-	return changes
-}
-
-// sendToSource sends a frame to the hub that this process follows.
+// sendToSource sends a frame to the hub that this process follows, where there is one.
 func (a *Agent) sendToSource(kind peerproto.Kind, body []byte) {
-	a.subscriptionMu.Lock()
-	source := a.subscription.source
-	a.subscriptionMu.Unlock()
-	if source != nil {
+	if source := a.source(); source != nil {
 		source.link.Send(kind, body)
 	}
 }
 
-// handleLoad takes in what a hub told of all other proxies.
+// handleLoad hands a report of the source to the data plane.
 func (a *Agent) handleLoad(h *hub, frame peerproto.Frame) {
-	a.subscriptionMu.Lock()
-	isSource := a.subscription.source == h
-	a.subscriptionMu.Unlock()
-	var work peerproto.LoadReport
-	if !isSource || peerproto.Decode(frame.Body, &work) != nil {
+	var report peerproto.LoadReport
+	if a.source() != h || peerproto.Decode(frame.Body, &report) != nil {
 		return
 	}
-	if work.FullIndex {
-		a.workload.SyncPrefixes(decodePrefixes(work.Prefixes))
+	if report.FullIndex {
+		a.workload.SyncPrefixes(decodePrefixes(report.Prefixes))
 		return
 	}
-	a.workload.SetPeerLoad(decodeLoad(work.Servers), work.Full, decodePrefixes(work.Prefixes))
+	a.workload.SetPeerLoad(decodeLoad(report.Servers), report.Full, decodePrefixes(report.Prefixes))
 }
 
-// sendPrefixIndex hands a new follower what is known of which servers hold what.
+// sendPrefixIndex sends a new follower which prefixes are known to be cached where.
 func (a *Agent) sendPrefixIndex(c *transport.Conn) {
 	if !a.state.isSynced() {
 		return
 	}
-	work := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(a.workload.KnownPrefixes())}
-	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(work)})
-}
-
-func (t *loadTable) applyOwn(work *peerproto.LoadReport) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.recordChanges(t.own, work)
-	t.localPrefixes = append(t.localPrefixes, work.Prefixes...)
-}
-
-func (t *loadTable) applyFollower(c *transport.Conn, body []byte) {
-	t.applyFrom(t.followers, &t.localPrefixes, c, body)
-}
-
-func (t *loadTable) applyHub(c *transport.Conn, body []byte) {
-	t.applyFrom(t.hubs, &t.hubPrefixes, c, body)
-}
-
-func (t *loadTable) applyFrom(sums map[*transport.Conn]loadByServer, prompts *[]peerproto.ServerPrefixes,
-	c *transport.Conn, body []byte) {
-	var work peerproto.LoadReport
-	if peerproto.Decode(body, &work) != nil {
-		c.Close()
-		return
-	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if sums[c] == nil {
-		sums[c] = loadByServer{}
-	}
-	t.recordChanges(sums[c], &work)
-	*prompts = append(*prompts, work.Prefixes...)
-}
-
-// note puts changes into a sum and remembers what to distribute; the lock is held.
-func (t *loadTable) recordChanges(sum loadByServer, work *peerproto.LoadReport) {
-	if work.Full {
-		for server := range sum {
-			t.changed[server] = true
-		}
-	}
-	for _, at := range work.Servers {
-		t.changed[at.Server] = true
-	}
-	sum.apply(work)
-}
-
-// forget drops what a process had under way whose connection has ended.
-func (t *loadTable) removePeer(c *transport.Conn) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, sums := range []map[*transport.Conn]loadByServer{t.followers, t.hubs} {
-		for server := range sums[c] {
-			t.changed[server] = true
-		}
-		delete(sums, c)
-	}
+	report := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(a.workload.KnownPrefixes())}
+	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(report)})
 }
 
-// distribute tells followers, other hubs and this process itself what the others have under way.
-func (t *loadTable) distribute(full bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.changed)+len(t.localPrefixes)+len(t.hubPrefixes) == 0 && !full {
-		return
-	}
-	local := t.localLoad()
-	total := t.totalLoad(local)
-	full = full && len(total) <= maxFullSyncServers
-	prompts := append(t.localPrefixes, t.hubPrefixes...)
-	hubWork := peerproto.LoadReport{Full: full, Servers: t.loadExcept(local, nil, full),
-		Prefixes: t.localPrefixes}
-	encoded := peerproto.Encode(&hubWork)
-	for _, h := range t.agent.currentHubs() {
-		h.link.Send(peerproto.KindHubLoadReport, encoded)
-	}
-	for c, sum := range t.followers {
-		work := peerproto.LoadReport{Full: full, Servers: t.loadExcept(total, sum, full), Prefixes: prompts}
-		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&work)})
+func encodeLoad(changes []scheduler.InFlightLoad) []peerproto.ServerLoad {
+	servers := make([]peerproto.ServerLoad, len(changes))
+	for i, c := range changes {
+		servers[i] = peerproto.ServerLoad{Server: c.Server, PrefillMs: int(c.Prefill.Milliseconds()),
+			Calls: c.Calls}
 	}
-	others := decodeLoad(t.loadExcept(total, t.own, full))
-	t.agent.workload.SetPeerLoad(others, full, decodePrefixes(prompts))
-	clear(t.changed)
-	t.localPrefixes, t.hubPrefixes = nil, nil
+	return servers
 }
 
-// localLoad sums up what this process and its followers have under way.
-func (t *loadTable) localLoad() loadByServer {
-	sum := loadByServer{}
-	sum.add(t.own)
-	for _, follower := range t.followers {
-		sum.add(follower)
+func decodeLoad(servers []peerproto.ServerLoad) []scheduler.InFlightLoad {
+	changes := make([]scheduler.InFlightLoad, len(servers))
+	for i, s := range servers {
+		changes[i] = scheduler.InFlightLoad{Server: s.Server, Calls: s.Calls,
+			Prefill: time.Duration(s.PrefillMs) * time.Millisecond}
 	}
-	return sum
+	return changes
 }
 
-// totalLoad adds to a sum what the other hubs told of theirs.
-func (t *loadTable) totalLoad(local loadByServer) loadByServer {
-	sum := loadByServer{}
-	sum.add(local)
-	for _, hub := range t.hubs {
-		sum.add(hub)
+func encodePrefixes(index []scheduler.CachedPrefixes) []peerproto.ServerPrefixes {
+	encoded := make([]peerproto.ServerPrefixes, len(index))
+	for i, cached := range index {
+		encoded[i] = peerproto.ServerPrefixes{Server: cached.Server, Hashes: convertHashes[int64](cached.Hashes)}
 	}
-	return sum
+	return encoded
 }
 
-func (s loadByServer) add(other loadByServer) {
-	for server, at := range other {
-		sum := s[server]
-		s[server] = peerproto.ServerLoad{Server: server, PrefillMs: sum.PrefillMs + at.PrefillMs,
-			Calls: sum.Calls + at.Calls}
+func decodePrefixes(encoded []peerproto.ServerPrefixes) []scheduler.CachedPrefixes {
+	index := make([]scheduler.CachedPrefixes, len(encoded))
+	for i, cached := range encoded {
+		index[i] = scheduler.CachedPrefixes{Server: cached.Server, Hashes: convertHashes[uint64](cached.Hashes)}
 	}
+	return index
 }
 
-// selected returns a sum less what one process has itself, at all servers or at those that have changed.
-func (t *loadTable) loadExcept(sum, without loadByServer, full bool) []peerproto.ServerLoad {
-	servers := []peerproto.ServerLoad{}
-	add := func(server string) {
-		at, less := sum[server], without[server]
-		servers = append(servers, peerproto.ServerLoad{Server: server,
-			PrefillMs: max(at.PrefillMs-less.PrefillMs, 0), Calls: max(at.Calls-less.Calls, 0)})
+// convertHashes converts hashes between their type and the one of the schema, which has no unsigned numbers.
+func convertHashes[To, From int64 | uint64](hashes []From) []To {
+	var converted []To
+	for _, hash := range hashes {
+		converted = append(converted, To(hash))
 	}
-	if full {
-		for server := range sum {
-			add(server)
-		}
-		return servers
-	}
-	for server := range t.changed {
-		add(server)
-	}
-	return servers
+	return converted
 }
--- /dev/null
+++ b/internal/router/agent/load_table.go
@@ -0,0 +1,179 @@
+package agent
+
+import (
+	"maps"
+	"sync"
+
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
+)
+
+// loadByServer is the in-flight load of one process or of several together, by server.
+type loadByServer map[string]peerproto.ServerLoad
+
+// apply applies a report of the same processes.
+func (l loadByServer) apply(report *peerproto.LoadReport) {
+	if report.Full {
+		clear(l)
+	}
+	for _, load := range report.Servers {
+		if load.Calls == 0 && load.PrefillMs == 0 {
+			delete(l, load.Server)
+			continue
+		}
+		l[load.Server] = load
+	}
+}
+
+func (l loadByServer) add(other loadByServer) {
+	for server, load := range other {
+		sum := l[server]
+		l[server] = peerproto.ServerLoad{Server: server, PrefillMs: sum.PrefillMs + load.PrefillMs,
+			Calls: sum.Calls + load.Calls}
+	}
+}
+
+// peerLoads is the load of the processes that report here, by their connections.
+type peerLoads map[*transport.Conn]loadByServer
+
+// addedTo returns the sum of a load and these.
+func (p peerLoads) addedTo(load loadByServer) loadByServer {
+	sum := maps.Clone(load)
+	for _, peer := range p {
+		sum.add(peer)
+	}
+	return sum
+}
+
+// loadTable holds the in-flight load of this process and, on a hub, of those that report to it. Its methods
+// are safe for concurrent use.
+type loadTable struct {
+	agent *Agent
+
+	mu        sync.Mutex
+	own       loadByServer
+	followers peerLoads
+	hubs      peerLoads
+	changed   map[string]bool // servers whose load has changed since the last distribution
+	// Prefixes that have become known since the last distribution: those of this process and its followers,
+	// which go to hubs and followers, and those of other hubs, which go to followers only.
+	localPrefixes, hubPrefixes []peerproto.ServerPrefixes
+}
+
+func newLoadTable(a *Agent) *loadTable {
+	return &loadTable{agent: a, own: loadByServer{}, followers: peerLoads{}, hubs: peerLoads{},
+		changed: map[string]bool{}}
+}
+
+// applyOwn applies a report of this process.
+func (t *loadTable) applyOwn(report *peerproto.LoadReport) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.applyTo(t.own, report)
+	t.localPrefixes = append(t.localPrefixes, report.Prefixes...)
+}
+
+// applyFollower applies the report of a follower.
+func (t *loadTable) applyFollower(c *transport.Conn, body []byte) {
+	t.applyPeer(t.followers, &t.localPrefixes, c, body)
+}
+
+// applyHub applies the report of another hub.
+func (t *loadTable) applyHub(c *transport.Conn, body []byte) {
+	t.applyPeer(t.hubs, &t.hubPrefixes, c, body)
+}
+
+func (t *loadTable) applyPeer(peers peerLoads, prefixes *[]peerproto.ServerPrefixes, c *transport.Conn,
+	body []byte) {
+	var report peerproto.LoadReport
+	if !decodeOrClose(c, body, &report) {
+		return
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if peers[c] == nil {
+		peers[c] = loadByServer{}
+	}
+	t.applyTo(peers[c], &report)
+	*prefixes = append(*prefixes, report.Prefixes...)
+}
+
+// applyTo applies a report to a load and records which servers it changes; the lock is held.
+func (t *loadTable) applyTo(load loadByServer, report *peerproto.LoadReport) {
+	if report.Full {
+		t.markChanged(load)
+	}
+	for _, reported := range report.Servers {
+		t.changed[reported.Server] = true
+	}
+	load.apply(report)
+}
+
+func (t *loadTable) markChanged(load loadByServer) {
+	for server := range load {
+		t.changed[server] = true
+	}
+}
+
+// removePeer removes the load of a process whose connection has ended.
+func (t *loadTable) removePeer(c *transport.Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, peers := range []peerLoads{t.followers, t.hubs} {
+		t.markChanged(peers[c])
+		delete(peers, c)
+	}
+}
+
+// distribute reports to the other hubs the load of this process and its followers, and to each follower and to
+// the data plane of this process the load of all others. A full report names all servers, another one those
+// whose load has changed.
+func (t *loadTable) distribute(full bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.changed)+len(t.localPrefixes)+len(t.hubPrefixes) == 0 && !full {
+		return
+	}
+	local := t.localLoad()
+	total := t.hubs.addedTo(local)
+	full = full && len(total) <= maxFullSyncServers
+	prefixes := append(t.localPrefixes, t.hubPrefixes...)
+
+	toHubs := peerproto.Encode(&peerproto.LoadReport{Full: full, Servers: t.loadExcept(local, nil, full),
+		Prefixes: t.localPrefixes})
+	for _, h := range t.agent.currentHubs() {
+		h.link.Send(peerproto.KindHubLoadReport, toHubs)
+	}
+	for c, own := range t.followers {
+		report := peerproto.LoadReport{Full: full, Servers: t.loadExcept(total, own, full), Prefixes: prefixes}
+		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&report)})
+	}
+	others := decodeLoad(t.loadExcept(total, t.own, full))
+	t.agent.workload.SetPeerLoad(others, full, decodePrefixes(prefixes))
+
+	clear(t.changed)
+	t.localPrefixes, t.hubPrefixes = nil, nil
+}
+
+// localLoad returns the load of this process and its followers.
+func (t *loadTable) localLoad() loadByServer { return t.followers.addedTo(t.own) }
+
+// loadExcept returns a total less the part of one process, at all servers or only at those that have changed.
+func (t *loadTable) loadExcept(total, part loadByServer, full bool) []peerproto.ServerLoad {
+	servers := []peerproto.ServerLoad{}
+	add := func(server string) {
+		sum, less := total[server], part[server]
+		servers = append(servers, peerproto.ServerLoad{Server: server,
+			PrefillMs: max(sum.PrefillMs-less.PrefillMs, 0), Calls: max(sum.Calls-less.Calls, 0)})
+	}
+	if full {
+		for server := range total {
+			add(server)
+		}
+		return servers
+	}
+	for server := range t.changed {
+		add(server)
+	}
+	return servers
+}
