--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -80,9 +80,8 @@
 	probesMu sync.Mutex
 	probed   map[string]bool // servers that are asked just now whether they live
 
-	lastSeen       *lastSeen
-	lastSeenPruned time.Duration // when pruneLastSeen last ran; of the goroutine that watches
-	observingSince time.Duration // silence before it proves nothing; of the goroutine that watches
+	lastSeen *lastSeen
+	failures failureDetector
 }
 
 // New returns a process that does nothing yet.
@@ -146,7 +145,7 @@
 	go newViewAnnouncer(a).run(done)
 	go a.detectFailures(done)
 	go a.runAntiEntropy(done)
-	go a.demand.measure(done)
+	go a.demand.run(done)
 	go a.load.report(done)
 	a.serveCalls(listeners)
 	closeMetrics := a.serveMetrics()
--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -106,10 +106,10 @@
 	a := newTestAgent(t)
 	a.handleCall(heartbeat("ready", "1"))
 	silent := a.now() + time.Duration(2*maxMissedHeartbeats*float64(a.settings.HeartbeatInterval))
-	a.observingSince = silent
+	a.failures.observingSince = silent
 	a.markTimedOut(silent)
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
-	a.observingSince = 0
+	a.failures.observingSince = 0
 	a.markTimedOut(silent)
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
 	a.handleCall(heartbeat("ready", "2"))
--- a/internal/router/agent/anti_entropy.go
+++ b/internal/router/agent/anti_entropy.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// antiEntropyInterval is how often a hub compares its copy with one other hub's.
+	// antiEntropyInterval is how often a hub compares its directory with that of one other hub.
 	antiEntropyInterval = time.Second
-	// followerAntiEntropyInterval is how often a follower compares its copy with its source's.
+	// followerAntiEntropyInterval is the same for a follower.
 	followerAntiEntropyInterval = 5 * time.Second
-	antiEntropyTimeout          = time.Second
-	// initialAntiEntropyInterval is how soon a hub that knows nothing yet compares again.
+	// initialAntiEntropyInterval is the same for a hub that is not synced yet.
 	initialAntiEntropyInterval = 100 * time.Millisecond
-	// hubSyncHeartbeats heartbeats of servers after its start a hub knows the fleet even if no other hub does.
+	antiEntropyTimeout         = time.Second
+	// hubSyncHeartbeats is after how many intervals of heartbeats since its start a hub counts as synced, even
+	// if no other hub is: by then the servers have called.
 	hubSyncHeartbeats = 2
 )
 
-// runAntiEntropy compares this copy with those of hubs, one after the other, and repairs both from the newer
-// records.
-func (a *Agent) runAntiEntropy(stop <-chan struct{}) {
+// runAntiEntropy compares the directory with those of the hubs, one after the other, until done closes.
+func (a *Agent) runAntiEntropy(done <-chan struct{}) {
 	for turn := 0; ; turn++ {
 		select {
-		case <-stop:
+		case <-done:
 			return
 		case <-time.After(a.untilAntiEntropy()):
 		}
@@ -38,6 +38,7 @@
 	}
 }
 
+// untilAntiEntropy returns the interval until the next comparison.
 func (a *Agent) untilAntiEntropy() time.Duration {
 	switch {
 	case !a.isHub():
@@ -48,7 +49,8 @@
 	return antiEntropyInterval
 }
 
-// reconcileWith repairs this copy and a hub's from each other.
+// reconcileWith exchanges the records of the ranges in which the directory and a hub's differ, so that each
+// has the newer ones. A hub is synced once it has done so with a hub that is.
 func (a *Agent) reconcileWith(h *hub) {
 	request := &peerproto.Comparison{Digest: a.digest()}
 	frame, err := h.link.Call(peerproto.KindCompare, peerproto.Encode(request), antiEntropyTimeout)
@@ -68,12 +70,18 @@
 	a.mergeRemote(answer.Records)
 	var own []directory.Record
 	a.state.read(func(d *directory.Directory) { own = copyRecords(d.InRanges(answer.Ranges)) })
-	h.link.Call(peerproto.KindUpsert, peerproto.Encode(&peerproto.Records{Records: own}), antiEntropyTimeout)
+	upsert := peerproto.Encode(&peerproto.Records{Records: own})
+	// What does not arrive is sent again after the next comparison.
+	_, _ = h.link.Call(peerproto.KindUpsert, upsert, antiEntropyTimeout)
 }
 
+// handleCompare answers with the ranges in which the directory differs from the caller's, and their records.
 func (a *Agent) handleCompare(c *transport.Conn, frame peerproto.Frame) {
 	var request peerproto.Comparison
-	if peerproto.Decode(frame.Body, &request) != nil || len(request.Digest) != directory.NumRanges {
+	if !decodeOrClose(c, frame.Body, &request) {
+		return
+	}
+	if len(request.Digest) != directory.NumRanges {
 		c.Close()
 		return
 	}
@@ -90,6 +98,7 @@
 	c.Answer(frame, peerproto.KindComparison, peerproto.Encode(answer))
 }
 
+// digest returns the range digest of the directory, in the form in which it is sent.
 func (a *Agent) digest() []int64 {
 	var digest directory.Digest
 	a.state.read(func(d *directory.Directory) { digest = d.Digest() })
--- a/internal/router/agent/demand.go
+++ b/internal/router/agent/demand.go
@@ -9,12 +9,14 @@
 )
 
 const (
+	// demandInterval is how often this process measures its demand. Each ping reports the last measurement.
 	demandInterval = 500 * time.Millisecond
-	// demandTimeout is how long what a proxy told of its demand counts.
+	// demandTimeout is how long the demand that a proxy has reported counts.
 	demandTimeout = 3 * time.Second
 )
 
-// demandTable holds what each proxy has under way at services with model servers.
+// demandTable holds the demand of each proxy at the services with model servers. Its methods are safe for
+// concurrent use.
 type demandTable struct {
 	agent *Agent
 
@@ -32,35 +34,29 @@
 	return &demandTable{agent: a, ownDemand: &peerproto.Demands{}, proxies: map[string]reportedDemand{}}
 }
 
-// measure follows this proxy's own demand until done closes.
-func (t *demandTable) measure(done <-chan struct{}) {
-	ticker := time.NewTicker(demandInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-done:
-			return
-		case <-ticker.C:
-		}
-		demands := &peerproto.Demands{}
-		for _, d := range t.agent.workload.Demands() {
-			demands.Services = append(demands.Services,
-				peerproto.Demand{Service: d.Service, Prefill: d.Prefill, Decode: d.Decode})
-		}
-		t.mu.Lock()
-		t.ownDemand = demands
-		t.proxies[t.agent.id] = reportedDemand{t.agent.now(), demands}
-		t.mu.Unlock()
+// run measures the demand of this process until done closes.
+func (t *demandTable) run(done <-chan struct{}) { runEvery(demandInterval, done, t.measure) }
+
+func (t *demandTable) measure() {
+	demands := &peerproto.Demands{}
+	for _, d := range t.agent.workload.Demands() {
+		demands.Services = append(demands.Services,
+			peerproto.Demand{Service: d.Service, Prefill: d.Prefill, Decode: d.Decode})
 	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.ownDemand = demands
+	t.proxies[t.agent.id] = reportedDemand{t.agent.now(), demands}
 }
 
+// own returns the last measured demand of this process.
 func (t *demandTable) own() *peerproto.Demands {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ownDemand
 }
 
-// take notes what another proxy told.
+// record records the demand that another proxy has reported with a ping.
 func (t *demandTable) record(peer string, now time.Duration, body []byte) {
 	var demands peerproto.Demands
 	if peerproto.Decode(body, &demands) != nil {
@@ -71,7 +67,7 @@
 	t.proxies[peer] = reportedDemand{now, &demands}
 }
 
-// of sums up the demand for a service over the proxies that were heard of lately.
+// total sums up the demand for a service over the proxies that have reported within demandTimeout.
 func (t *demandTable) total(service string, now time.Duration) roleplan.Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -6,48 +6,62 @@
 	"cresshub/internal/router/directory"
 )
 
+// Each process monitors the servers that call it and the proxies that follow it: it is their watcher, as the
+// records name it. Hubs monitor each other. What has not called for its timeout is marked lost, which it can
+// refute.
+
 const (
+	// failureCheckInterval is how often the monitored processes are checked.
 	failureCheckInterval = 250 * time.Millisecond
-	// stallThreshold is a pause between two looks after which this process doubts itself: it was not running, so
-	// that others fell silent proves nothing.
+	// stallThreshold is the time between two checks from which on this process counts as stalled: it was not
+	// running, so that it may have missed calls.
 	stallThreshold = 800 * time.Millisecond
-	// proxyTimeout is how long a proxy may be silent at the hub that watches it, hubTimeout a hub.
+	// proxyTimeout is how long after its last call a proxy counts as lost, hubTimeout a hub.
 	proxyTimeout = 1600 * time.Millisecond
 	hubTimeout   = 2500 * time.Millisecond
-	// maxMissedHeartbeats is how many heartbeats of a server go missing until it counts as lost.
+	// maxMissedHeartbeats is the same for a server, in intervals of heartbeats.
 	maxMissedHeartbeats = 1.9
 )
 
-// watch notes silent processes until stopped.
-func (a *Agent) detectFailures(stop <-chan struct{}) {
-	ticker := time.NewTicker(failureCheckInterval)
-	defer ticker.Stop()
-	last, reached := a.now(), true
-	for {
-		select {
-		case <-stop:
-			return
-		case <-ticker.C:
-		}
-		now := a.now()
-		reaches := a.reachesFleet()
-		if now-last > stallThreshold || !reaches {
-			a.observingSince = now // a process that was frozen, or that sends servers elsewhere, hears of nobody
-		}
-		if reaches != reached {
-			reached = reaches
-			a.log.Info().Bool("reached", reaches).Msg("node: a majority of the members is reached, or is not")
-		}
-		if gap := now - last; gap > stallThreshold {
-			a.metrics.stalls.Add(1)
-			a.log.Warn().Dur("gap_ms", gap).Msg("node: this process stood still")
-		}
-		last = now
-		a.markTimedOut(now)
+// failureDetector is the state of the goroutine that checks the monitored processes.
+type failureDetector struct {
+	lastCheck     time.Duration
+	reachesFleet  bool
+	lastSeenPrune time.Duration
+	// observingSince is since when this process could receive calls: silence before it proves nothing.
+	observingSince time.Duration
+}
+
+// detectFailures marks processes lost until done closes.
+func (a *Agent) detectFailures(done <-chan struct{}) {
+	a.failures.lastCheck, a.failures.reachesFleet = a.now(), true
+	runEvery(failureCheckInterval, done, a.checkFailures)
+}
+
+// checkFailures marks the processes lost whose timeout is over. Timeouts begin anew after a stall of this
+// process, and while it sends servers elsewhere because it does not reach the fleet.
+func (a *Agent) checkFailures() {
+	f := &a.failures
+	now := a.now()
+	gap := now - f.lastCheck
+	stalled := gap > stallThreshold
+	reaches := a.reachesFleet()
+	if stalled || !reaches {
+		f.observingSince = now
+	}
+	if reaches != f.reachesFleet {
+		f.reachesFleet = reaches
+		a.log.Info().Bool("reached", reaches).Msg("agent: majority of the members reached or lost")
 	}
+	if stalled {
+		a.metrics.stalls.Add(1)
+		a.log.Warn().Dur("gap_ms", gap).Msg("agent: process stalled")
+	}
+	f.lastCheck = now
+	a.markTimedOut(now)
 }
 
-// markTimedOut marks the processes that this one is to watch and that have been silent for too long.
+// markTimedOut marks the monitored processes lost whose timeout is over.
 func (a *Agent) markTimedOut(now time.Duration) {
 	isHub := a.isHub()
 	a.state.update(now, func(d *directory.Directory) {
@@ -65,27 +79,26 @@
 	if isHub && a.reachesMajority() {
 		a.checkUnwatched(now)
 	}
-	if now-a.lastSeenPruned > lastSeenRetention {
-		a.lastSeenPruned = now
+	if now-a.failures.lastSeenPrune > lastSeenRetention {
+		a.failures.lastSeenPrune = now
 		a.pruneLastSeen()
 	}
 }
 
-// isTimedOut tells whether a process has given no sign of life here for longer than a limit: no call, and no
-// answer to a request either.
+// isTimedOut tells whether a process has neither called this one nor answered its requests for a timeout.
 func (a *Agent) isTimedOut(now time.Duration, d *directory.Directory, record *directory.Record,
-	limit time.Duration) bool {
-	sign := max(a.observingSince, d.ModifiedAt(record.ID))
+	timeout time.Duration) bool {
+	lastSign := max(a.failures.observingSince, d.ModifiedAt(record.ID))
 	if lastSeen, ok := a.lastSeen.of(record.ID); ok {
-		sign = max(sign, lastSeen)
+		lastSign = max(lastSign, lastSeen)
 	}
-	if now-sign <= limit {
+	if now-lastSign <= timeout {
 		return false
 	}
-	return record.Kind != directory.KindServer || now-a.lastAnswerAt(record.ID) > limit
+	return record.Kind != directory.KindServer || now-a.lastAnswerAt(record.ID) > timeout
 }
 
-// lastAnswerAt is when a server last answered a request that this process had sent, 0 for never.
+// lastAnswerAt returns when a server last answered a request of this process, 0 for never.
 func (a *Agent) lastAnswerAt(server string) time.Duration {
 	age, answered := a.workload.SinceLastSuccess(server)
 	if !answered {
@@ -94,6 +107,7 @@
 	return max(a.now()-age, 0)
 }
 
+// timeoutOf returns how long after its last call a process counts as lost at its watcher.
 func (a *Agent) timeoutOf(record *directory.Record) time.Duration {
 	if record.Kind == directory.KindProxy {
 		return proxyTimeout
@@ -101,7 +115,7 @@
 	return time.Duration(maxMissedHeartbeats * float64(a.settings.HeartbeatInterval))
 }
 
-// expireOrders ends orders that should have been carried out or refused long ago, so that their servers get
+// expireOrders ends orders that should have been carried out or rejected long ago, so that their servers get
 // requests again.
 func (a *Agent) expireOrders(now time.Duration, d *directory.Directory) {
 	for _, order := range d.Orders() {
@@ -111,22 +125,30 @@
 	}
 }
 
-// markTimedOutHubs marks other hubs that have called nothing for long; hubs are watched by each other.
+// markTimedOutHubs marks the other hubs lost that have not called for hubTimeout.
 func (a *Agent) markTimedOutHubs(now time.Duration, d *directory.Directory) {
 	for _, record := range d.Proxies() {
 		if record.ID == a.id || record.Watcher != "" {
 			continue
 		}
-		if lastSeen, ok := a.lastSeen.of(record.ID); ok && now-max(lastSeen, a.observingSince) > hubTimeout {
+		lastSeen, ok := a.lastSeen.of(record.ID)
+		if ok && now-max(lastSeen, a.failures.observingSince) > hubTimeout {
 			a.markLost(now, d, record, "silent hub")
 		}
 	}
 }
 
+// markLost marks a process lost. The directory's lock is held.
 func (a *Agent) markLost(now time.Duration, d *directory.Directory, record *directory.Record, reason string) {
+	d.Merge(now, asLost(record))
+	a.metrics.countLost(record, reason)
+	a.log.Info().Str("id", record.ID).Str("address", record.Address).Str("reason", reason).
+		Msg("directory: marked lost")
+}
+
+// asLost returns a record with the state Lost.
+func asLost(record *directory.Record) directory.Record {
 	lost := *record
 	lost.State = directory.Lost
-	d.Merge(now, lost)
-	a.metrics.countLost(record, reason)
-	a.log.Info().Str("id", record.ID).Str("address", record.Address).Str("reason", reason).Msg("watch: lost")
+	return lost
 }
--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -8,10 +8,10 @@
 	"cresshub/internal/router/transport"
 )
 
-// Proxies report to each other their in-flight load, so that each one knows the queues of the model servers as
-// they are now: a follower reports its own load to its hub, hubs report to each other the sum over themselves
-// and their followers, and each hub reports to its followers the load of all others. The same messages carry
-// which prefixes have been sent to servers and are now cached there.
+// Proxies report to each other their in-flight load, so that each one knows the queues of the model servers
+// as they are now: a follower reports its own load to its hub, hubs report to each other the sum over
+// themselves and their followers, and each hub reports to its followers the load of all others. The same
+// messages carry which prefixes have been sent to servers and are now cached there.
 
 const (
 	// loadReportMinInterval is the least time between two reports.
--- a/internal/router/agent/load_table.go
+++ b/internal/router/agent/load_table.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// distribute reports to the other hubs the load of this process and its followers, and to each follower and to
-// the data plane of this process the load of all others. A full report names all servers, another one those
-// whose load has changed.
+// distribute reports to the other hubs the load of this process and its followers, and to each follower and
+// to the data plane of this process the load of all others. A full report names all servers, another one
+// those whose load has changed.
 func (t *loadTable) distribute(full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -11,24 +11,26 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// A process whose watcher is gone is an orphan. A server calls another proxy after its next heartbeat has
-// failed, and a proxy follows another hub, so that orphans are soon watched again. One that is not is either
-// gone too, or it calls proxies that no hub has heard of. That its watcher is gone does not tell which: a hub
-// that has just started would lose all servers in one stroke. So the hub that ranks first for a server asks
-// the server itself, and only one that does not answer is marked lost.
+// A process whose watcher is lost or unknown is unwatched. A server then calls another proxy once its next
+// heartbeat has failed, and a proxy follows another hub, so that both are soon watched again. One that stays
+// unwatched either does not run any more, or calls proxies that no hub knows. The loss of its watcher does
+// not tell which: a hub that has just started would mark all servers lost. So the hub that ranks first for a
+// server probes it, and marks it lost only if it does not answer.
 
 const (
-	// unwatchedHeartbeats is how many heartbeats an orphan has to find another watcher.
+	// unwatchedHeartbeats is how many intervals of heartbeats an unwatched process has to find another watcher.
 	unwatchedHeartbeats = 4
 	probeTimeout        = 500 * time.Millisecond
-	// probeAttempts is how often a server is asked until its silence counts.
+	// probeAttempts is how often a server is probed before it is marked lost.
 	probeAttempts = 2
-	// maxConcurrentProbes bounds the servers that are asked at the same time.
+	// maxConcurrentProbes bounds the servers that are probed at the same time.
 	maxConcurrentProbes = 8
-	serverIDHeader      = "Cresshub-Server-Id"
+	// serverIDHeader names the incarnation that answers a health check.
+	serverIDHeader = "Cresshub-Server-Id"
 )
 
-// checkUnwatched marks the orphans that are proxies, and asks those that are servers.
+// checkUnwatched marks unwatched proxies lost, and probes the unwatched servers for which this hub ranks
+// first.
 func (a *Agent) checkUnwatched(now time.Duration) {
 	var unwatched []*directory.Record
 	a.state.read(func(d *directory.Directory) {
@@ -48,8 +50,8 @@
 	}
 }
 
-// isUnwatched tells whether a process has lost its watcher and has been silent here for so long that it
-// should have found another one.
+// isUnwatched tells whether a process has no live watcher, and has not called here either, for so long that
+// it should have found another one.
 func (a *Agent) isUnwatched(now time.Duration, d *directory.Directory, record *directory.Record) bool {
 	isHub := record.Kind == directory.KindProxy && record.Watcher == ""
 	if record.ID == a.id || isHub {
@@ -59,15 +61,15 @@
 	if watcher != nil && watcher.Live() {
 		return false
 	}
-	limit := unwatchedHeartbeats * a.settings.HeartbeatInterval
-	if watcher != nil && now-d.ModifiedAt(watcher.ID) <= limit {
+	timeout := unwatchedHeartbeats * a.settings.HeartbeatInterval
+	if watcher != nil && now-d.ModifiedAt(watcher.ID) <= timeout {
 		return false
 	}
-	return a.isTimedOut(now, d, record, limit)
+	return a.isTimedOut(now, d, record, timeout)
 }
 
-// ranksFirst tells whether this hub comes first for an id, by rendezvous hashing over the members that
-// answer.
+// ranksFirst tells whether this hub ranks first for an id, by rendezvous hashing over the members that
+// respond.
 func (a *Agent) ranksFirst(id string) bool {
 	now := a.now()
 	own := probeRank(id, a.settings.IP)
@@ -78,7 +80,8 @@
 
 func probeRank(id, ip string) uint64 { return xxhash.Sum64String(id + "/" + ip) }
 
-// startProbe asks a server whether it lives, unless that is under way, and notes the outcome.
+// startProbe probes a server in the background, unless that is under way or too many probes are. A server
+// that does not answer is marked lost.
 func (a *Agent) startProbe(record *directory.Record) {
 	a.probesMu.Lock()
 	defer a.probesMu.Unlock()
@@ -122,7 +125,7 @@
 	return answer.Header.Get(serverIDHeader), nil
 }
 
-// markUnwatchedLost marks a process lost, unless something was heard of it since its record was read.
+// markUnwatchedLost marks a process lost, unless its record has changed since, or it is watched again.
 func (a *Agent) markUnwatchedLost(record *directory.Record, reason string) {
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
--- a/internal/router/agent/view_announcer.go
+++ b/internal/router/agent/view_announcer.go
@@ -9,32 +9,34 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// A process that starts knows only its seeds, and these may know as little as itself: they may have no disk
-// and have started at the same moment. So whoever knows the view seeks out those who may not. Every process
-// introduces itself to its seeds once it knows a view. Members introduce themselves, besides, to all proxies
-// that were known before and that do not call; their addresses are kept on disk. Whoever is introduced to
-// learns the view, and from then on calls the members.
+// A process that starts knows only its seeds, and these may know no more than itself: they may have no disk
+// and have started at the same moment. So a process that knows the view announces it to those that may not.
+// Every process announces it to its seeds. Members announce it also to all known proxies that do not call;
+// the addresses of those are persisted. A process that receives an announcement learns the view, and from
+// then on calls the members.
 
 const (
+	// announceInterval is how often the targets that are due are looked for.
 	announceInterval = 100 * time.Millisecond
 	announceTimeout  = 700 * time.Millisecond
-	// minAnnounceBackoff and maxAnnounceBackoff are the pauses between two introductions to a process that does
-	// not answer, at first and at last; the second also follows an answer where the process does not call.
+	// minAnnounceBackoff is the first interval of announcements to a process that does not answer. It doubles
+	// up to maxAnnounceBackoff, which also follows an answer as long as the process does not call.
 	minAnnounceBackoff = 100 * time.Millisecond
 	maxAnnounceBackoff = 1600 * time.Millisecond
-	// maxConcurrentAnnouncements bounds the introductions that are under way.
+	// maxConcurrentAnnouncements bounds the announcements under way.
 	maxConcurrentAnnouncements = 16
 )
 
-// introduction is how far this process has introduced itself to one address.
+// announcementTarget is a machine to which the view is announced.
 type announcementTarget struct {
-	inFlight bool
-	answered bool // by a process that knows a view now
-	nextAt   time.Duration
-	backoff  time.Duration
+	inFlight  bool
+	knowsView bool          // its process has answered, and knows a view
+	nextAt    time.Duration // the earliest time of the next announcement
+	backoff   time.Duration
 }
 
-// introducer introduces a process to others. Its fields are of the goroutine that runs it, but for results.
+// viewAnnouncer announces the view to processes that may not know it. Its fields belong to the goroutine of
+// run; announcements under way report through results.
 type viewAnnouncer struct {
 	agent    *Agent
 	targets  map[string]*announcementTarget // by IP
@@ -42,10 +44,9 @@
 	inFlight int
 }
 
-// announcementResult is how one introduction ended.
 type announcementResult struct {
-	ip       string
-	answered bool
+	ip        string
+	knowsView bool // the process that answered
 }
 
 func newViewAnnouncer(a *Agent) *viewAnnouncer {
@@ -53,7 +54,7 @@
 		results: make(chan announcementResult, maxConcurrentAnnouncements)}
 }
 
-// run introduces the process to whoever may need it, until done closes.
+// run announces the view, once one is known, until done closes.
 func (v *viewAnnouncer) run(done <-chan struct{}) {
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
@@ -71,7 +72,7 @@
 	}
 }
 
-// begin starts the introductions that are due.
+// startDue starts the announcements that are due.
 func (v *viewAnnouncer) startDue(targetIPs []string) {
 	now := v.agent.now()
 	for ip, target := range v.targets {
@@ -94,34 +95,35 @@
 	}
 }
 
-// introduce tells one process the view.
+// announce announces the view to one process.
 func (v *viewAnnouncer) announce(ip string) {
 	a := v.agent
 	body := peerproto.Encode(a.status())
-	frame, err := a.endpoint.CallOnce(a.peerAddress(ip), a.hello(), peerproto.KindAnnounce, body, announceTimeout)
+	frame, err := a.endpoint.CallOnce(a.peerAddress(ip), a.hello(), peerproto.KindAnnounce, body,
+		announceTimeout)
 	result := announcementResult{ip: ip}
 	var status peerproto.Status
 	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
-		result.answered = status.Epoch > 0
+		result.knowsView = status.Epoch > 0
 		a.learnStatusView(&status)
 	}
 	v.results <- result
 }
 
-// finish notes how an introduction ended.
+// recordResult ends an announcement and schedules the next one to its target.
 func (v *viewAnnouncer) recordResult(result announcementResult) {
 	v.inFlight--
 	target := v.targets[result.ip]
 	target.inFlight = false
-	target.answered = result.answered
-	if result.answered {
+	target.knowsView = result.knowsView
+	if result.knowsView {
 		target.backoff = maxAnnounceBackoff
 	}
 	target.nextAt = v.agent.now() + target.backoff
 	target.backoff = min(2*target.backoff, maxAnnounceBackoff)
 }
 
-// wanted returns the IPs of the machines to which this process is to introduce itself.
+// targetIPs returns the IPs of the machines to which the view is to be announced.
 func (v *viewAnnouncer) targetIPs() []string {
 	a := v.agent
 	isHub := a.isHub()
@@ -135,8 +137,8 @@
 	for _, seed := range a.seeds() {
 		ip, _, err := net.SplitHostPort(seed)
 		target := v.targets[ip]
-		unsure := isHub || target == nil || !target.answered
-		if err == nil && unsure && !a.hubAnswers(ip) {
+		mayLackView := isHub || target == nil || !target.knowsView
+		if err == nil && mayLackView && !a.hubAnswers(ip) {
 			add(ip)
 		}
 	}
@@ -149,13 +151,13 @@
 	return ips
 }
 
-// hubAnswers tells whether a machine is a hub that has answered this process lately.
+// hubAnswers tells whether a machine is a hub that has answered this process within contactTimeout.
 func (a *Agent) hubAnswers(ip string) bool {
 	h := a.hubAt(ip)
 	return h != nil && h.isResponsive(a.now())
 }
 
-// callingAddresses returns the machines whose processes have called this one lately.
+// callingAddresses returns the IPs of the proxies that have called this process within contactTimeout.
 func (a *Agent) callingAddresses() map[string]bool {
 	now := a.now()
 	calling := map[string]bool{}
@@ -169,7 +171,8 @@
 	return calling
 }
 
-// learnStatusView takes in the view that another process told, and calls its members where it is news.
+// learnStatusView learns the view that another process knows. Where it is a newer one, links to its members
+// are opened.
 func (a *Agent) learnStatusView(status *peerproto.Status) {
 	if a.state.learnView(status.Epoch, status.Members) {
 		a.updateHubs()
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -35,7 +35,7 @@
 
 	a.state.learnView(2, membersAt("10.9.0.1"))
 	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2"})
-	announcer.targets["10.0.0.1"] = &announcementTarget{answered: true}
+	announcer.targets["10.0.0.1"] = &announcementTarget{knowsView: true}
 	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.2"})
 }
 
--- a/internal/simulation/agentsim/eventlog.go
+++ b/internal/simulation/agentsim/eventlog.go
@@ -44,7 +44,7 @@
 func (l *eventLog) take(machine *Machine, line []byte) {
 	l.add(machine.Name + ": " + strings.TrimSpace(string(line)))
 	var event struct{ ID, Message, Reason string }
-	if json.Unmarshal(line, &event) != nil || event.Message != "watch: lost" {
+	if json.Unmarshal(line, &event) != nil || event.Message != "directory: marked lost" {
 		return
 	}
 	server := l.fleet.serverByID(event.ID)
