--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -1,12 +1,8 @@
-// Package agent is one process of the fleet: it knows the servers and the other processes, takes part in
-// keeping the configuration where its machine has a disk, and carries the traffic of clients.
 package agent
 
 import (
 	"crypto/rand"
 	"encoding/hex"
-	"fmt"
-	"net"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -14,85 +10,77 @@
 	"github.com/rs/zerolog"
 
 	"cresshub/internal/router/agentsettings"
-	"cresshub/internal/router/controlserver"
 	"cresshub/internal/router/dataplane"
 	"cresshub/internal/router/directory"
-	"cresshub/internal/router/fleetconfig"
 	"cresshub/internal/router/transport"
 	"cresshub/internal/segmentlog"
 )
 
-// maxCallBody bounds the body of a call at the control address, in bytes; a configuration may be that large.
-const maxCallBody = fleetconfig.MaxDocumentBytes
-
-// maxAcceptLogLines is how many lines a second tell of connections that could not be accepted.
+// maxAcceptLogLines is how many lines a second are logged of connections that could not be accepted.
 const maxAcceptLogLines = 2
 
-// Agent is one process of the fleet.
+// Agent is one process of the router fleet.
 type Agent struct {
-	settings    *agentsettings.Settings
-	log         zerolog.Logger
-	acceptLog   zerolog.Logger // bounded in its lines
-	network     transport.Network
-	files       segmentlog.FS
-	endpoint    *transport.Endpoint
-	id          string // of this process's record in the directory
-	started     time.Time
-	state       *state
-	configStore configStore
-	proxy       *dataplane.Proxy // nil where the role does not serve clients
-	workload    Workload         // the front where there is one
-	// assignsRoles tells that model servers get their stages from this process while it has that duty.
-	assignsRoles   bool
-	demand         *demandTable
-	load           *loadTable
+	// Set by New and not changed later.
+	settings     *agentsettings.Settings
+	log          zerolog.Logger
+	acceptLog    zerolog.Logger // bounded by maxAcceptLogLines
+	network      transport.Network
+	files        segmentlog.FS
+	endpoint     *transport.Endpoint
+	id           string // of this process's record in the directory
+	started      time.Time
+	proxy        *dataplane.Proxy // nil where the role does not serve clients
+	workload     Workload         // the proxy, where there is one
+	assignsRoles bool             // to model servers, while this process is the head of the chain
+	metricsPort  int              // 0 for none
+
+	state        *state
+	configStore  configStore
+	demand       *demandTable
+	load         *loadTable
+	knownProxies *knownProxies
+	lastSeen     *lastSeen
+	seedList     atomic.Pointer[[]string]
+
 	shuttingDown   atomic.Bool
 	fetchingConfig atomic.Bool // a configuration is being fetched from a hub
-
-	packed      packedConfig
-	shown       shownVersion // of the configuration, to operators
-	metrics     agentMetrics
-	metricsPort int // where the figures are told besides, 0 for nowhere
-
-	seedList     atomic.Pointer[[]string]
-	knownProxies *knownProxies
+	packed         packedConfig
+	shown          shownVersion
+	metrics        agentMetrics
 
 	selfMu sync.Mutex
-	self   directory.Record
+	self   directory.Record // of this process
 
 	hubsMu         sync.Mutex
 	hubs           map[string]*hub // by IP
-	linksClosed    bool            // the links are closed for good
-	lastHubContact time.Duration   // when a hub last answered
-	replicated     chan struct{}   // closed when a hub has taken records in
+	linksClosed    bool            // for good
+	lastHubContact time.Duration   // when a hub last answered a ping
+	replicated     chan struct{}   // closed when a hub has received records
 
 	subscriptionMu sync.Mutex
 	subscription   subscription
 
 	followersMu sync.Mutex
-	followers   map[*transport.Conn]chan struct{} // ends the feed of a follower
-
-	savedPrefixCount int // how many prompts and their holders were last saved; of the goroutine that saves
-
-	lossReports      int           // of lost servers since lossReportsSince; guarded by the directory's lock
-	lossReportsSince time.Duration // when their count began anew
+	followers   map[*transport.Conn]chan struct{} // closing one ends the feed on its connection
 
 	probesMu sync.Mutex
-	probed   map[string]bool // servers that are asked just now whether they live
+	probed   map[string]bool // ids of the servers that are being probed
 
-	lastSeen *lastSeen
-	failures failureDetector
+	failures         failureDetector
+	savedPrefixCount int           // how many cached prefixes were last saved; of the goroutine of persistState
+	lossReports      int           // of the data plane since lossReportsSince; guarded by the lock of state
+	lossReportsSince time.Duration // guarded by the lock of state
 }
 
-// New returns a process that does nothing yet.
+// New returns a process that does nothing yet. Run starts it.
 func New(settings *agentsettings.Settings, log zerolog.Logger, options ...Option) (*Agent, error) {
 	a := &Agent{
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
 		hubs: map[string]*hub{}, replicated: make(chan struct{}), followers: map[*transport.Conn]chan struct{}{},
-		lastSeen: newLastSeen(), knownProxies: newKnownProxies(),
-		probed: map[string]bool{},
+		lastSeen: newLastSeen(), knownProxies: newKnownProxies(), probed: map[string]bool{},
 	}
 	for _, option := range options {
 		option(a)
@@ -119,19 +107,20 @@
 
 func randomID() string {
 	var random [6]byte
-	rand.Read(random[:])
+	_, _ = rand.Read(random[:]) // it never fails
 	return hex.EncodeToString(random[:])
 }
 
-// now is the time on the steady clock since the process started.
+// now returns the time on the monotonic clock since the process started.
 func (a *Agent) now() time.Duration { return time.Since(a.started) }
 
-// seeds returns the control addresses of some proxies, as the settings file last told.
+// seeds returns the control addresses of some proxies, as last read from the settings file.
 func (a *Agent) seeds() []string { return *a.seedList.Load() }
 
 func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
 
-// Run serves until stop closes, and then ends in order.
+// Run serves until stop closes, then shuts down and returns. The error is that of a listener that could not
+// be opened; nothing was started then.
 func (a *Agent) Run(stop <-chan struct{}) error {
 	listeners, err := a.listen()
 	if err != nil {
@@ -140,21 +129,12 @@
 	done := make(chan struct{})
 	a.startDisk(done)
 	a.announceSelf(func(*directory.Record) {})
-	go a.endpoint.Serve(listeners.peers, a)
-	go a.runSubscription(done)
-	go newViewAnnouncer(a).run(done)
-	go a.detectFailures(done)
-	go a.runAntiEntropy(done)
-	go a.demand.run(done)
-	go a.load.report(done)
-	a.serveCalls(listeners)
+	a.startTasks(done)
+	a.serveAll(listeners)
 	closeMetrics := a.serveMetrics()
 	defer closeMetrics()
-	if listeners.front != nil {
-		go a.proxy.Serve(listeners.front)
-	}
 	a.log.Info().Str("id", a.id).Str("zone", a.settings.Zone).Strs("seeds", a.seeds()).
-		Bool("first_start", a.settings.FirstStart).Str("data_dir", a.settings.DataDir).Msg("node: started")
+		Bool("first_start", a.settings.FirstStart).Str("data_dir", a.settings.DataDir).Msg("agent: started")
 	<-stop
 	a.shutdown(listeners)
 	close(done)
@@ -163,41 +143,12 @@
 	return nil
 }
 
-// listeners are where a process is called; those that its role does not serve are nil.
-type listeners struct{ peers, front, ready, control net.Listener }
-
-func (a *Agent) listen() (*listeners, error) {
-	l := &listeners{}
-	for _, each := range []struct {
-		listener *net.Listener
-		address  string
-	}{
-		{&l.peers, a.peerAddress(a.settings.IP)}, {&l.control, a.settings.Control},
-		{&l.ready, a.settings.Ready}, {&l.front, a.settings.Front},
-	} {
-		if each.address == "" {
-			continue
-		}
-		listener, err := a.network.Listen(each.address)
-		if err != nil {
-			return nil, fmt.Errorf("listening: %w; free the address or change it in the settings", err)
-		}
-		*each.listener = listener
-	}
-	return l, nil
-}
-
-func (a *Agent) serveCalls(l *listeners) {
-	if l.control != nil {
-		go a.newCallServer(a.handleCall, maxCallBody).Serve(l.control)
-	}
-	if l.ready != nil {
-		go a.newCallServer(a.handleReady, 0).Serve(l.ready)
-	}
-}
-
-// newCallServer returns a server of calls whose bodies have so many bytes at most.
-func (a *Agent) newCallServer(handle controlserver.Handler, maxBody int64) *controlserver.Server {
-	return &controlserver.Server{MaxBodyBytes: maxBody, Handler: handle, OnAcceptError: a.acceptFailed,
-		OnPanic: a.handlerPanicked}
+// startTasks starts the periodic tasks, which run until done closes.
+func (a *Agent) startTasks(done <-chan struct{}) {
+	go a.runSubscription(done)
+	go newViewAnnouncer(a).run(done)
+	go a.detectFailures(done)
+	go a.runAntiEntropy(done)
+	go a.demand.run(done)
+	go a.load.report(done)
 }
--- a/internal/router/agent/known_proxies.go
+++ b/internal/router/agent/known_proxies.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// proxyRetention is how long the address of a proxy is kept after it was last live.
+	// proxyRetention is how long the address of a proxy is known after it was last live.
 	proxyRetention = 10 * time.Minute
-	// maxKnownProxies bounds the addresses that are kept; the ones that were live last stay.
+	// maxKnownProxies bounds the known addresses; those that were live last stay.
 	maxKnownProxies = 2048
 )
 
-// knownProxies are the addresses of the proxies that were live lately. They outlive the process on the
-// machines with a disk, so that after a loss of all processes these find the others whatever the seeds are.
+// knownProxies are the addresses of the proxies that were live within proxyRetention. Machines with a disk
+// persist them, so that after a loss of all processes these find the others whatever the seeds are. Its
+// methods are safe for concurrent use.
 type knownProxies struct {
 	mu       sync.Mutex
 	lastLive map[string]time.Duration // by IP
-	changed  bool                     // since the addresses were last taken to be saved
+	changed  bool                     // since the last call of resetChanged
 }
 
 func newKnownProxies() *knownProxies { return &knownProxies{lastLive: map[string]time.Duration{}} }
 
-// note takes in which proxies are live now, and forgets those that have not been for long.
+// record adds the proxies that are live now, and removes those whose retention is over.
 func (k *knownProxies) record(now time.Duration, live []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, ip := range live {
-		if _, known := k.lastLive[ip]; !known {
+		if _, ok := k.lastLive[ip]; !ok {
 			k.changed = true
 		}
 		k.lastLive[ip] = now
@@ -44,7 +45,7 @@
 	k.evictOldest()
 }
 
-// bound forgets the addresses beyond maxKnownProxies; the lock is held.
+// evictOldest removes the addresses beyond maxKnownProxies; the lock is held.
 func (k *knownProxies) evictOldest() {
 	excess := len(k.lastLive) - maxKnownProxies
 	if excess <= 0 {
@@ -66,15 +67,15 @@
 	return slices.Sorted(maps.Keys(k.lastLive))
 }
 
-// setChanged has the addresses saved once more.
+// setChanged has the addresses saved once more, after saving them failed.
 func (k *knownProxies) setChanged() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.changed = true
 }
 
-// takeChanged tells whether the addresses have changed since the last call.
-func (k *knownProxies) takeChanged() bool {
+// resetChanged tells whether the addresses have changed since the last call.
+func (k *knownProxies) resetChanged() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed := k.changed
--- /dev/null
+++ b/internal/router/agent/listeners.go
@@ -0,0 +1,62 @@
+package agent
+
+import (
+	"fmt"
+	"net"
+
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/fleetconfig"
+)
+
+// maxCallBody bounds the body of a call at the control address, in bytes; a configuration may be that large.
+const maxCallBody = fleetconfig.MaxDocumentBytes
+
+// listeners are the listeners of a process; those that its role does not serve are nil.
+type listeners struct {
+	peers   net.Listener // for the other processes of the fleet
+	front   net.Listener // for clients
+	ready   net.Listener // for the platform's readiness checks
+	control net.Listener // for servers and operators
+}
+
+func (a *Agent) listen() (*listeners, error) {
+	l := &listeners{}
+	for _, each := range []struct {
+		listener *net.Listener
+		address  string
+	}{
+		{&l.peers, a.peerAddress(a.settings.IP)}, {&l.control, a.settings.Control},
+		{&l.ready, a.settings.Ready}, {&l.front, a.settings.Front},
+	} {
+		if each.address == "" {
+			continue
+		}
+		listener, err := a.network.Listen(each.address)
+		if err != nil {
+			return nil, fmt.Errorf("listening: %w; free the address or change it in the settings", err)
+		}
+		*each.listener = listener
+	}
+	return l, nil
+}
+
+// serveAll starts serving at all listeners. Each returns net.ErrClosed once the shutdown closes its listener.
+func (a *Agent) serveAll(l *listeners) {
+	go func() { _ = a.endpoint.Serve(l.peers, a) }()
+	if l.control != nil {
+		go a.serveCalls(l.control, a.handleCall, maxCallBody)
+	}
+	if l.ready != nil {
+		go a.serveCalls(l.ready, a.handleReady, 0)
+	}
+	if l.front != nil {
+		go func() { _ = a.proxy.Serve(l.front) }()
+	}
+}
+
+// serveCalls serves calls with bodies of maxBody bytes at most, until the listener closes.
+func (a *Agent) serveCalls(listener net.Listener, handle controlserver.Handler, maxBody int64) {
+	server := &controlserver.Server{MaxBodyBytes: maxBody, Handler: handle, OnAcceptError: a.acceptFailed,
+		OnPanic: a.handlerPanicked}
+	_ = server.Serve(listener) // net.ErrClosed
+}
--- a/internal/router/agent/metrics.go
+++ b/internal/router/agent/metrics.go
@@ -14,38 +14,38 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// metricsPath is where a process tells its figures, at the control address and at the port for metrics.
+// metricsPath is the endpoint of the metrics, at the control address and at the port for metrics.
 const metricsPath = "/metrics"
 
-// agentMetrics counts what happens on the control side.
+// agentMetrics are the metrics of the control side; those of the data plane are its own.
 type agentMetrics struct {
-	heartbeats      metrics.CounterFamily // by how they were answered
+	heartbeats      metrics.CounterFamily // by answer
 	configCalls     metrics.CounterFamily // by call and outcome
 	lostProcesses   metrics.CounterFamily // processes marked lost here, by kind and reason
 	orders          metrics.CounterFamily // to model servers, by status
-	sourceChanges   metrics.Counter
-	stalls          metrics.Counter
-	diskErrors      metrics.Counter
-	failedDiskOpens metrics.Counter // that failed
-	droppedEvents   metrics.Counter
-	reloadErrors    metrics.Counter
+	sourceChanges   metrics.Counter       // of the hub that is followed
+	stalls          metrics.Counter       // of this process
+	diskErrors      metrics.Counter       // steps of the chain that could not be persisted
+	failedDiskOpens metrics.Counter
+	droppedEvents   metrics.Counter // of the chain
+	reloadErrors    metrics.Counter // of the settings file
 	acceptErrors    metrics.Counter
-	handlerPanics   metrics.Counter // of the program, brought out by calls
-	diskWrites      metrics.Histogram
-	lastOrderFence  atomic.Uint64 // of the last order sent
+	handlerPanics   metrics.Counter
+	diskWrites      metrics.Histogram // time of synced writes of the chain
+	lastOrderFence  atomic.Uint64     // fencing token of the last order, for its invariant
 }
 
-func (f *agentMetrics) countHeartbeat(answer string) {
-	f.heartbeats.With(metrics.Label{Name: "answer", Value: answer}).Add(1)
+func (m *agentMetrics) countHeartbeat(answer string) {
+	m.heartbeats.With(metrics.Label{Name: "answer", Value: answer}).Add(1)
 }
 
-func (f *agentMetrics) countLost(record *directory.Record, reason string) {
-	f.lostProcesses.With(metrics.Label{Name: "kind", Value: kindNames[record.Kind]},
+func (m *agentMetrics) countLost(record *directory.Record, reason string) {
+	m.lostProcesses.With(metrics.Label{Name: "kind", Value: kindNames[record.Kind]},
 		metrics.Label{Name: "reason", Value: reason}).Add(1)
 }
 
-func (f *agentMetrics) countOrder(status int) {
-	f.orders.With(metrics.Label{Name: "status", Value: strconv.Itoa(status)}).Add(1)
+func (m *agentMetrics) countOrder(status int) {
+	m.orders.With(metrics.Label{Name: "status", Value: strconv.Itoa(status)}).Add(1)
 }
 
 var kindNames = map[directory.Kind]string{
@@ -63,51 +63,53 @@
 		metrics.Label{Name: "outcome", Value: outcomeLabels[result.Outcome]}).Add(1)
 }
 
-// shownVersion is the highest version of the configuration that this process has acknowledged or shown.
+// shownVersion is the highest version of the configuration that this process has acknowledged or shown to an
+// operator. A later read must not return an older one.
 type shownVersion struct{ version atomic.Int64 }
 
 func (s *shownVersion) highest() int64 { return s.version.Load() }
 
 func (s *shownVersion) raise(version int64) {
-	for known := s.version.Load(); version > known; known = s.version.Load() {
-		if s.version.CompareAndSwap(known, version) {
+	for highest := s.version.Load(); version > highest; highest = s.version.Load() {
+		if s.version.CompareAndSwap(highest, version) {
 			return
 		}
 	}
 }
 
-// acceptFailed notes a connection of another process, a server or an operator that could not be accepted.
+// acceptFailed records that a connection of another process, a server or an operator could not be accepted.
+// The listener retries.
 func (a *Agent) acceptFailed(err error) {
 	a.metrics.acceptErrors.Add(1)
-	a.acceptLog.Warn().Err(err).Msg("node: cannot accept a connection, trying again shortly")
+	a.acceptLog.Warn().Err(err).Msg("agent: accepting a connection failed; retrying")
 }
 
-// handlerPanicked notes a call that brought out a mistake of the program. A broken invariant panics in tests
-// only, and is to end them.
-func (a *Agent) handlerPanicked(mistake *controlserver.PanicError) {
-	if violation, ok := mistake.Value.(*invariant.ViolationError); ok {
+// handlerPanicked records that the handler of a call panicked. A violated invariant panics in tests only, and
+// ends them.
+func (a *Agent) handlerPanicked(err *controlserver.PanicError) {
+	if violation, ok := err.Value.(*invariant.ViolationError); ok {
 		panic(violation)
 	}
 	a.metrics.handlerPanics.Add(1)
-	a.log.Error().Bytes("stack", mistake.Stack).Msg("node: " + mistake.Error())
+	a.log.Error().Err(err).Bytes("stack", err.Stack).Msg("agent: handler panicked")
 }
 
-// serveMetrics tells the figures at their own port, where one is wanted, and returns what ends that. A
-// process that can't have the port carries on without.
+// serveMetrics serves the metrics at the port for metrics, where one is configured, and returns a function
+// that ends that. Without the port, the metrics are still served at the control address.
 func (a *Agent) serveMetrics() (end func()) {
 	if a.metricsPort == 0 {
 		return func() {}
 	}
 	listener, err := a.network.Listen(net.JoinHostPort(a.settings.IP, strconv.Itoa(a.metricsPort)))
 	if err != nil {
-		a.log.Warn().Err(err).Msg("metrics: the port can't be had; call /metrics at the control address")
+		a.log.Warn().Err(err).Msg("metrics: listening failed; call /metrics at the control address")
 		return func() {}
 	}
-	go a.newCallServer(a.showMetrics, 0).Serve(listener)
+	go a.serveCalls(listener, a.showMetrics, 0)
 	return func() { listener.Close() }
 }
 
-// showMetrics answers a call for the figures.
+// showMetrics handles a call for the metrics.
 func (a *Agent) showMetrics(call *controlserver.Call) *http1.Response {
 	if call.Path != metricsPath {
 		return controlserver.Text(404, "call "+metricsPath)
@@ -121,7 +123,8 @@
 	return &http1.Response{Status: 200, Header: header, Body: page.Text()}
 }
 
-// WriteMetrics writes the figures of the process.
+// WriteMetrics writes the metrics of the control side and, where there is one, of the data plane. It is safe
+// for concurrent use.
 func (a *Agent) WriteMetrics(page *metrics.Page) {
 	for _, count := range invariant.Counts() {
 		page.Counter("cresshub_invariant_violations_total", "Promises that the process saw broken.",
--- a/internal/router/agent/persistence.go
+++ b/internal/router/agent/persistence.go
@@ -9,20 +9,21 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// A machine with a disk saves the records of servers, so that after a loss of all processes the first
-// requests find servers before these have called again. What is saved may be old: every request names the
-// incarnation that it expects, and servers that do not call again are soon marked as lost.
+// A machine with a disk persists the records of servers, the addresses of proxies and the prefix index, so
+// that after a loss of all processes the first requests find servers before these have called again. The
+// saved state may be stale: every request names the incarnation that it expects, and servers that do not call
+// again are soon marked lost.
 
 const (
 	serversFile = "servers"
 	proxiesFile = "proxies"
-	promptsFile = "prompts"
-	// saveInterval is the least time between two savings.
+	promptsFile = "prompts" // the prefix index
+	// saveInterval is how often the files are saved whose content has changed.
 	saveInterval = time.Second
 )
 
-// persistState takes in what was saved before the process started, closes loaded, and then saves what changes
-// until done closes. It runs beside everything else, because the disk may hang.
+// persistState loads the saved state, closes loaded, and then saves changes until done closes. It runs on a
+// goroutine of its own, because the disk may hang.
 func (a *Agent) persistState(loaded chan<- struct{}, done <-chan struct{}) {
 	if a.loadServers() {
 		a.state.setSynced()
@@ -32,12 +33,12 @@
 	a.saveChanges(done)
 }
 
-// loadServers takes in which servers were live, and tells whether there were any.
+// loadServers loads the servers that were live, with the prefix index, and tells whether there were any.
 func (a *Agent) loadServers() bool {
 	records, err := a.saved().readRecords(serversFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
-			a.log.Warn().Err(err).Msg("servers: not loaded")
+			a.log.Warn().Err(err).Msg("servers: loading failed")
 		}
 		return false
 	}
@@ -47,12 +48,12 @@
 	return len(records) > 0
 }
 
-// loadProxies takes in which proxies were known before the process started.
+// loadProxies loads the addresses of the proxies that were known to the previous process of this machine.
 func (a *Agent) loadProxies() {
 	records, err := a.saved().readRecords(proxiesFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
-			a.log.Warn().Err(err).Msg("proxies: not loaded")
+			a.log.Warn().Err(err).Msg("proxies: loading failed")
 		}
 		return
 	}
@@ -65,10 +66,10 @@
 	a.log.Info().Int("proxies", len(addresses)).Msg("proxies: loaded")
 }
 
-// saveProxies saves the addresses of the proxies that were live lately, where they have changed.
+// saveProxies saves the addresses of known proxies, where they have changed.
 func (a *Agent) saveProxies() {
 	a.recordLiveProxies()
-	if !a.knownProxies.takeChanged() {
+	if !a.knownProxies.resetChanged() {
 		return
 	}
 	var records []directory.Record
@@ -77,11 +78,11 @@
 	}
 	if err := a.saved().writeRecords(proxiesFile, records); err != nil {
 		a.knownProxies.setChanged()
-		a.log.Debug().Err(err).Msg("proxies: not saved; tried again")
+		a.log.Debug().Err(err).Msg("proxies: saving failed; retrying")
 	}
 }
 
-// recordLiveProxies remembers the proxies that are live now.
+// recordLiveProxies adds the proxies that are live now to the known ones.
 func (a *Agent) recordLiveProxies() {
 	var live []string
 	a.state.read(func(d *directory.Directory) {
@@ -92,7 +93,7 @@
 	a.knownProxies.record(a.now(), live)
 }
 
-// saveChanges saves the records of live servers whenever they change, until done closes.
+// saveChanges saves the state once in each saveInterval, where it has changed, until done closes.
 func (a *Agent) saveChanges(done <-chan struct{}) {
 	saved := a.state.Servers()
 	for {
@@ -103,31 +104,35 @@
 		}
 		a.savePrefixIndex()
 		a.saveProxies()
-		table := a.state.Servers()
-		if table == saved {
-			continue
+		if servers := a.state.Servers(); servers != saved && a.saveServers() {
+			saved = servers
 		}
-		var records []directory.Record
-		a.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
-		if err := a.saved().writeRecords(serversFile, records); err != nil {
-			a.log.Debug().Err(err).Msg("servers: not saved; tried again")
-			continue
-		}
-		saved = table
 	}
 }
 
-// loadPrefixIndex takes in what was known of which servers hold what.
+// saveServers saves the records of the live servers and tells whether that succeeded.
+func (a *Agent) saveServers() bool {
+	var records []directory.Record
+	a.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
+	if err := a.saved().writeRecords(serversFile, records); err != nil {
+		a.log.Debug().Err(err).Msg("servers: saving failed; retrying")
+		return false
+	}
+	return true
+}
+
+// loadPrefixIndex loads which prefixes were cached at which servers.
 func (a *Agent) loadPrefixIndex() {
 	body, err := a.saved().read(promptsFile)
-	var work peerproto.LoadReport
-	if err != nil || a.proxy == nil || peerproto.Decode(body, &work) != nil {
+	var index peerproto.LoadReport
+	if err != nil || a.proxy == nil || peerproto.Decode(body, &index) != nil {
 		return
 	}
-	a.proxy.SyncPrefixes(decodePrefixes(work.Prefixes))
+	a.proxy.SyncPrefixes(decodePrefixes(index.Prefixes))
 }
 
-// savePrefixIndex saves what is known of which servers hold what, where that has changed.
+// savePrefixIndex saves which prefixes are known to be cached at which servers, where their number has
+// changed.
 func (a *Agent) savePrefixIndex() {
 	if a.proxy == nil {
 		return
--- a/internal/router/agent/quorum.go
+++ b/internal/router/agent/quorum.go
@@ -43,6 +43,16 @@
 	return a.majorityMeets(func(h *hub) bool { return h.isResponsive(now) })
 }
 
+// knowsFleet tells whether this process knows its hubs. Until the first view is decided, the seeds take its
+// place; a process that starts later has to learn the view.
+func (a *Agent) knowsFleet() bool { return a.settings.FirstStart || a.state.currentView().epoch > 0 }
+
+// reachesFleet tells whether the changes of this process's directory reach the rest of the fleet: where a
+// view is known, a majority of its members has to respond.
+func (a *Agent) reachesFleet() bool {
+	return a.state.currentView().epoch == 0 || a.reachesMajority()
+}
+
 // awaitMajority waits until more than half of the members of the view have the changes of this process's
 // directory up to an offset. It returns false after the timeout, which is always the case without a view.
 func (a *Agent) awaitMajority(offset uint64, timeout time.Duration) bool {
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,128 +17,136 @@
 )
 
 const (
+	// roleAssignInterval is how often the roles of the model servers are planned.
 	roleAssignInterval = 300 * time.Millisecond
-	// confirmTimeout bounds the check that this process still holds the duty, and confirmValidity how long after
-	// the check began an order may be sent.
+	// confirmTimeout bounds the read that confirms that this process is still the head of the chain, and
+	// confirmValidity how long after the start of that read an order may be sent.
 	confirmTimeout  = 300 * time.Millisecond
 	confirmValidity = 500 * time.Millisecond
 	orderTimeout    = 700 * time.Millisecond
-	orderPath       = "/api/order"
-	// expectServerHeader names the incarnation that a call is meant for; another one at its address answers 421.
-	expectServerHeader = "Cresshub-Expect-Server"
-	// orderExpiry is how long an order may be under way; later its server counts as one without.
+	// orderExpiry is how long an order may be under way; later its server gets requests again.
 	orderExpiry = 9 * time.Second
-	// leaseMargin is added to the time in which an earlier holder's orders may still arrive.
+	// leaseMargin is added to the time in which orders of the previous head may still arrive.
 	leaseMargin = 700 * time.Millisecond
+
+	orderPath = "/api/order"
+	// expectServerHeader names the incarnation that a call is meant for; another one at its address answers 421.
+	expectServerHeader = "Cresshub-Expect-Server"
 )
 
-// roleAssigner gives model servers their stages. It is held by the open head of the chain, under the
-// epoch as the fence: epochs rise, and each has one head. A new holder waits until orders of the one before
-// can't arrive any more, and each order follows a read through the chain that shows that the duty is still
-// held.
+// roleAssigner orders model servers to take the prefill or the decode role (the pages call it a stage). This
+// is a singleton role of the head of the chain. The epoch of its view is the fencing token of its orders:
+// epochs rise, and each has one head. A new head waits until orders of the previous one can't arrive any
+// more, and each order follows a read through the chain, which confirms that this process is still the head.
 type roleAssigner struct {
 	agent  *Agent
 	member *chainMember
 
-	heldFence       uint64        // under which the duty is held, 0 where it is not
-	ordersAllowedAt time.Duration // from when on orders may be sent
-	// refused is a fence that a server found lower than one it had seen. No more orders are sent under it.
+	// State of the goroutine of run.
+	heldFence       uint64        // the fencing token, 0 while this process is not the head
+	ordersAllowedAt time.Duration // when the orders of the previous head can't arrive any more
+
+	// rejectedFence is a token that a server rejected, because it had received a higher one. No more orders are
+	// sent with it.
 	rejectedFence atomic.Uint64
 }
 
-func (s *roleAssigner) run(done <-chan struct{}) {
-	ticker := time.NewTicker(roleAssignInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-done:
-			return
-		case <-ticker.C:
-		}
-		config := s.agent.state.Config()
-		if !s.maySendOrders() || config == nil || s.agent.isShuttingDown() {
-			continue
-		}
-		s.closeCompletedOrders()
-		for _, service := range config.Services {
-			if service.Engine != nil {
-				s.rebalance(service)
-			}
+// run assigns roles until done closes.
+func (r *roleAssigner) run(done <-chan struct{}) { runEvery(roleAssignInterval, done, r.assignRoles) }
+
+func (r *roleAssigner) assignRoles() {
+	config := r.agent.state.Config()
+	if !r.maySendOrders() || config == nil || r.agent.isShuttingDown() {
+		return
+	}
+	r.closeCompletedOrders()
+	for _, service := range config.Services {
+		if service.Engine != nil {
+			r.rebalance(service)
 		}
 	}
 }
 
-// held tells whether this process may send orders now.
-func (s *roleAssigner) maySendOrders() bool {
-	fence, now := s.member.fence.Load(), s.agent.now()
+// maySendOrders updates the fencing token and tells whether orders may be sent with it now.
+func (r *roleAssigner) maySendOrders() bool {
+	fence, now := r.member.fence.Load(), r.agent.now()
 	switch {
 	case fence == 0:
-		s.heldFence = 0
+		r.heldFence = 0
 		return false
-	case s.heldFence == 0 && fence > 1:
-		s.ordersAllowedAt = now + s.agent.settings.Bounds.Lease + leaseMargin
+	case r.heldFence == 0 && fence > 1: // the head of the first epoch has no predecessor
+		r.ordersAllowedAt = now + r.agent.settings.Bounds.Lease + leaseMargin
 	}
-	s.heldFence = fence
-	return now >= s.ordersAllowedAt && fence != s.rejectedFence.Load()
+	r.heldFence = fence
+	return now >= r.ordersAllowedAt && fence != r.rejectedFence.Load()
 }
 
-// closeCompletedOrders ends the records of orders that were carried out or whose servers are gone.
-func (s *roleAssigner) closeCompletedOrders() {
-	a := s.agent
-	now := a.now()
-	a.state.update(now, func(d *directory.Directory) {
+// closeCompletedOrders ends the records of orders that were carried out or whose servers are not live any
+// more.
+func (r *roleAssigner) closeCompletedOrders() {
+	now := r.agent.now()
+	r.agent.state.update(now, func(d *directory.Directory) {
 		for _, order := range d.Orders() {
-			server := d.Get(order.ID[len(directory.OrderID("")):])
+			server := d.Get(strings.TrimPrefix(order.ID, directory.OrderID("")))
 			if server == nil || !server.Live() || server.Stage == order.Stage {
-				ended := *order
-				ended.State = directory.Lost
-				d.Merge(now, ended)
+				d.Merge(now, asLost(order))
 			}
 		}
 	})
 }
 
-func (s *roleAssigner) rebalance(service *fleetconfig.Service) {
-	a := s.agent
-	var servers []roleplan.Server
-	addresses := map[string]string{}
-	a.state.read(func(d *directory.Directory) {
-		for _, r := range d.LiveServers() {
-			if r.Service != service.Name || r.State != directory.Ready || r.Stage == "" {
-				continue
-			}
-			known := roleplan.Server{ID: r.ID, Zone: r.Zone, Role: catalog.Role(r.Stage), Slots: r.Slots}
-			if d.ChangingRole(r) {
-				known.Changing, known.Role = true, catalog.Role(d.Get(directory.OrderID(r.ID)).Stage)
-			}
-			servers = append(servers, known)
-			addresses[r.ID] = r.Address
-		}
-	})
+// rebalance plans the roles of the servers of a service and sends the orders that this takes.
+func (r *roleAssigner) rebalance(service *fleetconfig.Service) {
+	a := r.agent
+	servers, addresses := a.assignableServers(service.Name)
 	orders := roleplan.Plan(servers, a.demand.total(service.Name, a.now()))
 	if len(orders) == 0 {
 		return
 	}
-	confirmed := a.now()
-	if a.configStore.read(confirmTimeout).Outcome != peerproto.OutcomeAccepted ||
-		s.member.fence.Load() != s.heldFence {
-		return // before anything is announced: another machine may hold the duty
+	confirmedAt := a.now()
+	if !r.confirmHead() {
+		return
 	}
-	s.announceOrders(service, orders)
-	var sent sync.WaitGroup
+	r.announceOrders(service, orders)
+	var sending sync.WaitGroup
 	for _, order := range orders {
-		sent.Add(1)
-		go func() {
-			defer sent.Done()
-			s.sendOrder(order, addresses[order.Server], confirmed)
-		}()
+		sending.Go(func() { r.sendOrder(order, addresses[order.Server], confirmedAt) })
 	}
-	sent.Wait()
+	sending.Wait()
+}
+
+// assignableServers returns the ready servers of a service that have a role, and their addresses by id. A
+// server under an order counts with the role that it is to take.
+func (a *Agent) assignableServers(service string) (servers []roleplan.Server, addresses map[string]string) {
+	addresses = map[string]string{}
+	a.state.read(func(d *directory.Directory) {
+		for _, record := range d.LiveServers() {
+			if record.Service != service || record.State != directory.Ready || record.Stage == "" {
+				continue
+			}
+			server := roleplan.Server{ID: record.ID, Zone: record.Zone, Role: catalog.Role(record.Stage),
+				Slots: record.Slots}
+			if d.ChangingRole(record) {
+				server.Changing, server.Role = true, catalog.Role(d.Get(directory.OrderID(record.ID)).Stage)
+			}
+			servers = append(servers, server)
+			addresses[record.ID] = record.Address
+		}
+	})
+	return servers, addresses
+}
+
+// confirmHead confirms, by a read through the chain, that this process is still the head in the epoch of the
+// fencing token.
+func (r *roleAssigner) confirmHead() bool {
+	return r.agent.configStore.read(confirmTimeout).Outcome == peerproto.OutcomeAccepted &&
+		r.member.fence.Load() == r.heldFence
 }
 
-// announce tells all proxies that servers are about to change, so that they get nothing new.
-func (s *roleAssigner) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
-	a := s.agent
+// announceOrders puts orders into the directory, so that proxies send their servers nothing new, and waits
+// for a majority to know, for confirmTimeout at most.
+func (r *roleAssigner) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
+	a := r.agent
 	now := a.now()
 	var offset uint64
 	a.state.update(now, func(d *directory.Directory) {
@@ -154,7 +163,7 @@
 	a.awaitMajority(offset, confirmTimeout)
 }
 
-// orderBody is the body of an order.
+// orderBody is the body of a call that orders a server to take a role.
 type orderBody struct {
 	Order  string `json:"order"`
 	Stage  string `json:"stage"`
@@ -162,14 +171,16 @@
 	Fence  uint64 `json:"fence"`
 }
 
-func (s *roleAssigner) sendOrder(order roleplan.Order, address string, confirmed time.Duration) {
-	a := s.agent
-	invariant.Assert(s.heldFence > 0 && s.heldFence >= a.metrics.lastOrderFence.Load(), invariant.FenceRises,
-		"an order under fence %d follows one under %d", s.heldFence, a.metrics.lastOrderFence.Load())
-	a.metrics.lastOrderFence.Store(s.heldFence)
-	body, err := json.Marshal(orderBody{"stage", string(order.Role), s.member.identity, s.heldFence})
-	if err != nil || a.now()-confirmed > confirmValidity {
-		s.withdrawOrder(order)
+// sendOrder sends an order to its server, unless the confirmation that this process is the head is too old by
+// now.
+func (r *roleAssigner) sendOrder(order roleplan.Order, address string, confirmedAt time.Duration) {
+	a := r.agent
+	invariant.Assert(r.heldFence > 0 && r.heldFence >= a.metrics.lastOrderFence.Load(), invariant.FenceRises,
+		"an order under fence %d follows one under %d", r.heldFence, a.metrics.lastOrderFence.Load())
+	a.metrics.lastOrderFence.Store(r.heldFence)
+	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.member.identity, r.heldFence})
+	if err != nil || a.now()-confirmedAt > confirmValidity {
+		r.withdrawOrder(order)
 		return
 	}
 	status := 0
@@ -181,27 +192,24 @@
 	}
 	a.metrics.countOrder(status)
 	a.log.Info().Err(err).Str("server", order.Server).Str("stage", string(order.Role)).Int("status", status).
-		Uint64("fence", s.heldFence).Msg("stages: order sent")
+		Uint64("fence", r.heldFence).Msg("roles: order sent")
 	switch status {
-	case 412:
-		s.rejectedFence.Store(s.heldFence)
-		s.withdrawOrder(order)
+	case 412: // the server has received a higher fencing token
+		r.rejectedFence.Store(r.heldFence)
+		r.withdrawOrder(order)
 	case 400, 421:
-		s.withdrawOrder(order)
+		r.withdrawOrder(order)
 	}
 }
 
-// withdraw ends the announcement of an order that is not carried out, so that its server gets requests again.
-func (s *roleAssigner) withdrawOrder(order roleplan.Order) {
-	a := s.agent
+// withdrawOrder ends the record of an order that is not carried out, so that its server gets requests again.
+func (r *roleAssigner) withdrawOrder(order roleplan.Order) {
+	a := r.agent
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
 		announced := d.Get(directory.OrderID(order.Server))
-		if announced == nil || announced.Watcher != a.id {
-			return
+		if announced != nil && announced.Watcher == a.id {
+			d.Merge(now, asLost(announced))
 		}
-		ended := *announced
-		ended.State = directory.Lost
-		d.Merge(now, ended)
 	})
 }
--- a/internal/router/agent/saved_files.go
+++ b/internal/router/agent/saved_files.go
@@ -15,10 +15,10 @@
 // checksumBytes is the length of the checksum in front of a saved file's content, in bytes.
 const checksumBytes = 8
 
-// errSavedCorrupt tells that a saved file can't be used; what it held is learned anew.
-var errSavedCorrupt = errors.New("the saved servers are damaged; they are learned anew from heartbeats")
+// errSavedCorrupt is the error for a saved file that can't be used; its content is learned anew.
+var errSavedCorrupt = errors.New("the saved state is corrupt; it is learned anew")
 
-// savedFiles are small files of one folder that are replaced whole.
+// savedFiles are small files in one folder, each replaced atomically. A checksum precedes the content.
 type savedFiles struct {
 	files segmentlog.FS
 	dir   string
@@ -35,7 +35,7 @@
 	}
 	var records peerproto.Records
 	if err := peerproto.Decode(body, &records); err != nil {
-		return nil, fmt.Errorf("%w (%v)", errSavedCorrupt, err)
+		return nil, fmt.Errorf("%w: %w", errSavedCorrupt, err)
 	}
 	return records.Records, nil
 }
@@ -44,7 +44,8 @@
 	return s.write(name, peerproto.Encode(&peerproto.Records{Records: records}))
 }
 
-// read returns the content of a file.
+// read returns the content of a file. The error is fs.ErrNotExist where there is none, and errSavedCorrupt
+// where the checksum is wrong.
 func (s savedFiles) read(name string) ([]byte, error) {
 	raw, err := s.files.ReadFile(s.path(name))
 	if err != nil {
@@ -56,7 +57,7 @@
 	return raw[checksumBytes:], nil
 }
 
-// write replaces a file whole: a new one is made durable before it takes the name.
+// write replaces a file atomically: the new one is durable before it takes the name.
 func (s savedFiles) write(name string, body []byte) error {
 	raw := binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(body))
 	raw = append(raw, body...)
--- a/internal/router/agent/server_endpoint.go
+++ b/internal/router/agent/server_endpoint.go
@@ -13,13 +13,15 @@
 )
 
 const (
+	// serversPath is the prefix of the endpoint at which servers send heartbeats and deregister; their id
+	// follows.
 	serversPath = "/api/servers/"
-	// drainAckTimeout is how long the acknowledgement of a drain waits for the hubs; a server gives up after a
-	// second and asks another proxy.
+	// drainAckTimeout bounds how long the acknowledgement of a drain waits for the hubs; a server gives up after
+	// a second and calls another proxy.
 	drainAckTimeout = 800 * time.Millisecond
 )
 
-// handleServerCall answers heartbeats and deregistrations of servers.
+// handleServerCall handles the heartbeat or the deregistration of a server.
 func (a *Agent) handleServerCall(call *controlserver.Call) *http1.Response {
 	id := strings.TrimPrefix(call.Path, serversPath)
 	if id == "" || strings.Contains(id, "/") {
@@ -38,6 +40,7 @@
 	return controlserver.Text(405, "use PUT for a heartbeat and DELETE for the end")
 }
 
+// readHeartbeat reads the body of a heartbeat. The error names every mistake in it.
 func readHeartbeat(id string, body []byte) (*directory.Record, error) {
 	document, err := jsondoc.Parse(body)
 	if err != nil {
@@ -61,9 +64,9 @@
 	return record, document.Err()
 }
 
-// handleHeartbeat merges what a server tells of itself and acknowledges it where the rest of the fleet hears
-// of it; the server calls another proxy else. A drain is acknowledged only once most hubs know it, because no
-// proxy may send there much longer.
+// handleHeartbeat merges the record of a server, and acknowledges it if the rest of the fleet will learn it;
+// otherwise the server is to call another proxy. A drain is acknowledged only once a majority of the hubs has
+// it, because from then on proxies have a bounded time to send the server nothing more.
 func (a *Agent) handleHeartbeat(record *directory.Record) *http1.Response {
 	switch {
 	case a.isShuttingDown():
@@ -74,7 +77,7 @@
 	now := a.now()
 	a.recordContact(record.ID)
 	if !a.reachesFleet() {
-		a.mergeHeartbeat(now, record) // for this side; the server finds its watcher on the other one
+		a.mergeHeartbeat(now, record) // known on this side of the partition; its watcher is on the other one
 		return a.rejectHeartbeat(record.ID, "no_majority")
 	}
 	record.Watcher = a.id
@@ -93,18 +96,8 @@
 	return controlserver.JSON(200, answer)
 }
 
-// knowsFleet tells whether this process knows whom to tell of servers. Before the first view of the fleet is
-// agreed on, the seeds take its place; a process that starts later has to learn it.
-func (a *Agent) knowsFleet() bool { return a.settings.FirstStart || a.state.currentView().epoch > 0 }
-
-// reachesFleet tells whether what a server tells here reaches the rest of the fleet: where a view is known, a
-// majority of its members has to answer.
-func (a *Agent) reachesFleet() bool {
-	return a.state.currentView().epoch == 0 || a.reachesMajority()
-}
-
-// mergeHeartbeat returns the place that hubs must reach to know of the heartbeat, and whether a later one
-// of the same server has been heard before.
+// mergeHeartbeat merges a heartbeat. It returns the offset of the directory that hubs must have to know it,
+// and whether it is late: a later one of the same server has been received before.
 func (a *Agent) mergeHeartbeat(now time.Duration, record *directory.Record) (offset uint64, late bool) {
 	a.state.update(now, func(d *directory.Directory) {
 		known := d.Get(record.ID)
@@ -120,6 +113,7 @@
 	return offset, late
 }
 
+// deregister ends the incarnation of a server, and acknowledges that once a majority of the hubs knows it.
 func (a *Agent) deregister(id string) *http1.Response {
 	now := a.now()
 	var offset uint64
@@ -136,18 +130,18 @@
 		return a.rejectHeartbeat(id, "end_not_told")
 	}
 	a.metrics.countHeartbeat("end_acknowledged")
-	a.log.Info().Str("server", id).Msg("servers: ended")
+	a.log.Info().Str("server", id).Msg("servers: deregistered")
 	return controlserver.JSON(200, []byte("{}"))
 }
 
-// rejectHeartbeat sends a server to another proxy, and tells why in figures and log.
+// rejectHeartbeat sends a server to another proxy. The reason goes to the metrics and the log.
 func (a *Agent) rejectHeartbeat(server, reason string) *http1.Response {
 	a.metrics.countHeartbeat(reason)
-	a.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: sent to another proxy")
+	a.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: heartbeat rejected")
 	return callAnotherProxy()
 }
 
-// busy asks the caller to try another proxy.
+// callAnotherProxy answers that the caller is to call another proxy.
 func callAnotherProxy() *http1.Response {
 	answer := controlserver.Text(503, "not now; call another proxy")
 	answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
--- a/internal/router/agent/state.go
+++ b/internal/router/agent/state.go
@@ -13,34 +13,36 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// proxyCountWindow is how long a higher count of live proxies is remembered, because those that are cut off
-// or restarting still spend their shares of common budgets.
+// proxyCountWindow is how long a higher count of live proxies counts, because those that are partitioned or
+// restarting still spend their shares of common budgets.
 const proxyCountWindow = time.Minute
 
-// view names the machines that keep the control state, as far as this process has heard.
+// view is the newest view of the chain that this process knows: the machines that replicate the
+// configuration.
 type view struct {
-	epoch   int64
+	epoch   int64 // 0 for none
 	members []peerproto.MemberInfo
 }
 
-// hasMember tells whether the machine with an IP keeps the control state.
+// hasMember tells whether the machine with an IP is a member.
 func (v *view) hasMember(ip string) bool {
 	return slices.ContainsFunc(v.members, func(m peerproto.MemberInfo) bool { return m.Address == ip })
 }
 
-// state is what a process knows of the fleet. Readers of requests get immutable snapshots without a lock.
+// state is what a process knows of the fleet: the directory, the configuration in force and the view. Its
+// methods are safe for concurrent use. The path of requests reads immutable snapshots without a lock.
 type state struct {
 	config     atomic.Pointer[fleetconfig.Config]
 	table      atomic.Pointer[catalog.Table]
-	proxyCount atomic.Int32 // of live proxies, the highest of the last minute
+	proxyCount atomic.Int32 // the highest number of live proxies within proxyCountWindow
 
 	mu           sync.Mutex
 	directory    *directory.Directory
 	patches      recentPatches
 	view         view
-	synced       bool          // a snapshot of a feed was taken in, or this process keeps the control state
+	synced       bool          // this process knows the fleet well enough to take clients
 	changed      chan struct{} // closed at the next change of anything above
-	proxyCountAt time.Duration // when count was last reached
+	proxyCountAt time.Duration // when proxyCount was last reached
 }
 
 func newState() *state {
@@ -56,7 +58,7 @@
 // Servers returns the servers that may get new requests.
 func (s *state) Servers() *catalog.Table { return s.table.Load() }
 
-// Proxies returns how many proxies were live at the same time in the last minute, at least 1.
+// Proxies returns how many proxies were live at the same time within proxyCountWindow, at least 1.
 func (s *state) Proxies() int { return int(s.proxyCount.Load()) }
 
 // version returns the version of the configuration in force, 0 for none.
@@ -67,8 +69,8 @@
 	return 0
 }
 
-// change runs a function on the directory and publishes what it changed. The function must not call the
-// state.
+// update runs f on the directory with the lock held, and publishes the changes. f must not call methods of
+// the state.
 func (s *state) update(now time.Duration, f func(*directory.Directory)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +84,7 @@
 	s.notifyChange()
 }
 
-// merge takes records in.
+// merge merges records into the directory.
 func (s *state) merge(now time.Duration, records []directory.Record) {
 	s.update(now, func(d *directory.Directory) {
 		for _, r := range records {
@@ -99,7 +101,7 @@
 	}
 }
 
-// raiseProxyCount takes it that so many proxies were live until just now.
+// raiseProxyCount raises the number of proxies to a count that was live until now.
 func (s *state) raiseProxyCount(now time.Duration, count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,14 +111,16 @@
 	}
 }
 
-// read runs a function that looks at the directory.
+// read runs f on the directory with the lock held. f must neither change the directory nor call methods of
+// the state.
 func (s *state) read(f func(*directory.Directory)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.directory)
 }
 
-// adopt puts a configuration that was acknowledged in force unless a newer one is.
+// applyConfig puts a committed configuration in force and returns true, unless one at least as new is in
+// force.
 func (s *state) applyConfig(config *fleetconfig.Config) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,14 +135,15 @@
 	return true
 }
 
-// patchesSince returns the patches that lead from a version to the one in force, none where that isn't known.
+// patchesSince returns the patches that lead from a version to the one in force, none where they are not
+// cached.
 func (s *state) patchesSince(version int64) []peerproto.Patch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.patches.since(version)
 }
 
-// learnView takes in who keeps the control state and tells whether that is news.
+// learnView takes a view in and returns true, unless one at least as new is known.
 func (s *state) learnView(epoch int64, members []peerproto.MemberInfo) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +161,8 @@
 	return s.view
 }
 
-// setSynced notes that this process knows the fleet well enough to take clients.
+// setSynced records that this process knows the fleet well enough to take clients: it has received a snapshot
+// of a feed, or is a hub that has reconciled with another one or has been up long enough.
 func (s *state) setSynced() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,14 +178,15 @@
 	return s.synced
 }
 
-// next returns a channel that closes at the next change.
+// nextChange returns a channel that closes at the next change of the directory, the configuration or the
+// view.
 func (s *state) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// announce wakes all who wait for a change; the lock is held.
+// notifyChange wakes those who wait for a change; the lock is held.
 func (s *state) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -86,12 +86,12 @@
 	}
 	c.Assert(k.addresses(), qt.HasLen, maxKnownProxies)
 	c.Assert(k.addresses()[0], qt.Equals, "10.0.0.10", qt.Commentf("those live last stay"))
-	c.Assert(k.takeChanged(), qt.IsTrue)
+	c.Assert(k.resetChanged(), qt.IsTrue)
 	k.record(proxyRetention/2, []string{"10.0.0.99"})
-	c.Assert(k.takeChanged(), qt.IsFalse)
+	c.Assert(k.resetChanged(), qt.IsFalse)
 	k.record(proxyRetention+time.Minute, nil)
 	c.Assert(k.addresses(), qt.DeepEquals, []string{"10.0.0.99"})
-	c.Assert(k.takeChanged(), qt.IsTrue)
+	c.Assert(k.resetChanged(), qt.IsTrue)
 }
 
 // TestKnownProxiesOutliveTheProcess saves addresses and reads them as another process of the machine does.
--- a/internal/testbed/routertrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -71,7 +71,7 @@
 func (m *Machine) command(faults []string) childprocess.Command {
 	options := &m.fleet.options
 	command := childprocess.Command{
-		Path: options.Program, Args: []string{"router"}, Ready: `"node: started"`,
+		Path: options.Program, Args: []string{"router"}, Ready: `: started"`,
 		Env: []string{agentsettings.PathVariable + "=" + m.settingsPath()}, Log: m.fleet.logOf(m.Name),
 	}
 	if options.Faulty {
