--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -16,6 +16,7 @@
 // newTestAgent returns a process that was not run: it listens to nobody and calls nobody. It is the only
 // member of the view that it knows.
 func newTestAgent(t *testing.T) *Agent {
+	t.Helper()
 	settings := &agentsettings.Settings{
 		Name: "n", IP: "127.0.0.1", Control: "127.0.0.1:1", InnerPorts: [2]int{2, 3},
 		HeartbeatInterval: time.Second,
--- a/internal/router/agent/chain_encoding.go
+++ b/internal/router/agent/chain_encoding.go
@@ -5,21 +5,21 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// encodeChain returns a message of the chain in the form in which it is sent.
+// encodeChain encodes a message of the chain for the peer protocol.
 func encodeChain(m *chain.Message) []byte {
 	return peerproto.Encode(&peerproto.ChainMessage{
 		Kind: int(m.Kind), From: string(m.From), Epoch: int64(m.Epoch), Address: m.Address, HasDisk: m.HasDisk,
 		EntryEpoch: int64(m.EntryEpoch), Open: m.Open, Draining: m.Draining, Stalled: m.Stalled, Sealed: m.Sealed,
 		ReceivesFrom: idStrings(m.ReceivesFrom), View: encodeView(&m.View),
-		ProposalNumber: encodeBallot(m.ProposalNumber),
-		AcceptedNumber: encodeBallot(m.AcceptedNumber), Sequence: int64(m.Sequence), Version: m.Version,
+		ProposalNumber: encodeProposalNumber(m.ProposalNumber),
+		AcceptedNumber: encodeProposalNumber(m.AcceptedNumber), Sequence: int64(m.Sequence), Version: m.Version,
 		Digest: m.Digest, HasBody: m.HasBody, Body: m.Body, Resend: m.Resend, Origin: string(m.Origin),
 		Request: int64(m.Request), Expected: m.Expected, Outcome: int(m.Outcome), Marker: int64(m.Marker),
 		History: encodeHistory(m.History),
 	})
 }
 
-// decodeChain reads a message of the chain.
+// decodeChain decodes a message of the chain.
 func decodeChain(body []byte) (chain.Message, error) {
 	var m peerproto.ChainMessage
 	if err := peerproto.Decode(body, &m); err != nil {
@@ -29,7 +29,8 @@
 		Kind: chain.Kind(m.Kind), From: chain.MemberID(m.From), Epoch: uint64(m.Epoch), Address: m.Address,
 		HasDisk: m.HasDisk, EntryEpoch: uint64(m.EntryEpoch), Open: m.Open, Draining: m.Draining,
 		Stalled: m.Stalled, Sealed: m.Sealed, ReceivesFrom: memberIDs(m.ReceivesFrom), View: decodeView(&m.View),
-		ProposalNumber: decodeBallot(m.ProposalNumber), AcceptedNumber: decodeBallot(m.AcceptedNumber),
+		ProposalNumber: decodeProposalNumber(m.ProposalNumber),
+		AcceptedNumber: decodeProposalNumber(m.AcceptedNumber),
 		Sequence: uint64(m.Sequence), Version: m.Version, Digest: m.Digest, HasBody: m.HasBody, Body: m.Body,
 		Resend: m.Resend, Origin: chain.MemberID(m.Origin), Request: uint64(m.Request), Expected: m.Expected,
 		Outcome: chain.Outcome(m.Outcome), Marker: uint64(m.Marker), History: decodeHistory(m.History),
@@ -87,12 +88,12 @@
 	return infos
 }
 
-func encodeBallot(b chain.ProposalNumber) peerproto.ChainProposalNumber {
-	return peerproto.ChainProposalNumber{Counter: int64(b.Counter), Proposer: string(b.Proposer)}
+func encodeProposalNumber(n chain.ProposalNumber) peerproto.ChainProposalNumber {
+	return peerproto.ChainProposalNumber{Counter: int64(n.Counter), Proposer: string(n.Proposer)}
 }
 
-func decodeBallot(b peerproto.ChainProposalNumber) chain.ProposalNumber {
-	return chain.ProposalNumber{Counter: uint64(b.Counter), Proposer: chain.MemberID(b.Proposer)}
+func decodeProposalNumber(n peerproto.ChainProposalNumber) chain.ProposalNumber {
+	return chain.ProposalNumber{Counter: uint64(n.Counter), Proposer: chain.MemberID(n.Proposer)}
 }
 
 func idStrings(ids []chain.MemberID) []string {
--- a/internal/router/agent/chain_patch.go
+++ b/internal/router/agent/chain_patch.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"errors"
 	"time"
 
 	"cresshub/internal/router/chain"
@@ -8,25 +9,28 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// storedDigest names the change that an entry of the chain came from.
+// errNotCurrent is the error for a version of the configuration that is not the current one.
+var errNotCurrent = errors.New("the version is not current")
+
+// storedDigest returns the digest of the change that an entry of the chain came from, by which a change that
+// is sent again is recognized.
 func storedDigest(body []byte) chain.Digest { return fleetconfig.StoredDigest(body) }
 
-// patch applies a patch to the version that it builds on and proposes the whole configuration that results.
-// Where that version is not current any more the patch can't be applied; it was acknowledged before, or it is
-// refused.
+// patch applies a patch to the version that it builds on, and proposes the full configuration that results.
+// Where that version is not current any more, the patch was either committed before or is rejected.
 func (m *chainMember) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	patch, err := fleetconfig.ParsePatch(change.Expected, change.Body)
 	if err != nil {
 		return invalidChange(err)
 	}
-	until := m.agent.now() + timeout
-	base, failed := m.configAtVersion(patch.Base, timeout)
-	left := until - m.agent.now()
+	deadline := m.agent.now() + timeout
+	base, err := m.configAtVersion(patch.Base, timeout)
+	left := deadline - m.agent.now()
 	switch {
-	case failed != nil:
-		return failed
-	case base == nil:
+	case errors.Is(err, errNotCurrent):
 		return m.confirm(patch, left)
+	case err != nil:
+		return unavailableResult(err.Error())
 	}
 	config, err := base.Apply(patch)
 	if err == nil {
@@ -39,30 +43,25 @@
 		Body: fleetconfig.EncodeStored(patch, config.Raw())}, left)
 }
 
-// configAtVersion returns the configuration of a version if it is in force here or current, else nil. The
-// result is not nil where that can't be told.
-func (m *chainMember) configAtVersion(version int64,
-	timeout time.Duration) (*fleetconfig.Config, *peerproto.Result) {
+// configAtVersion returns the configuration of a version if it is in force here or current. The error is
+// errNotCurrent where it is neither.
+func (m *chainMember) configAtVersion(version int64, timeout time.Duration) (*fleetconfig.Config, error) {
 	if config := m.agent.state.Config(); config != nil && config.Version == version {
 		return config, nil
 	}
 	current := m.read(timeout)
 	switch {
 	case current.Outcome != peerproto.OutcomeAccepted:
-		return nil, unavailableResult("the current configuration can't be read: " + current.Reason)
+		return nil, errors.New("the current configuration can't be read: " + current.Reason)
 	case current.Version != version:
-		return nil, nil
+		return nil, errNotCurrent
 	case version == 0:
 		return fleetconfig.Empty(), nil
 	}
-	config, err := fleetconfig.Parse(current.Body)
-	if err != nil {
-		return nil, unavailableResult(err.Error())
-	}
-	return config, nil
+	return fleetconfig.Parse(current.Body)
 }
 
-// confirm asks whether a patch was acknowledged before.
+// confirm asks the chain whether a patch was committed before.
 func (m *chainMember) confirm(patch *fleetconfig.Patch, timeout time.Duration) *peerproto.Result {
 	name := chain.ChangeID{Expected: patch.Base, Version: patch.Version,
 		Digest: storedDigest(fleetconfig.EncodeStoredPatch(patch))}
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -23,7 +23,8 @@
 )
 
 // diskAgent is a process with a front and with a data directory, which is a copy of the golden one or empty.
-func diskAgent(c *qt.C, t *testing.T, golden bool) *Agent {
+func diskAgent(t *testing.T, c *qt.C, golden bool) *Agent {
+	t.Helper()
 	a := newTestAgent(t)
 	a.id = "proxy-1"
 	a.settings.DataDir = t.TempDir()
@@ -54,7 +55,7 @@
 // process writes it with.
 func TestGoldenDataDirectoryIsWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	a := diskAgent(c, t, false)
+	a := diskAgent(t, c, false)
 	log, _, err := openLog(a)
 	c.Assert(err, qt.IsNil)
 	c.Assert(log.Append(chainRecord(c, "identity")), qt.IsNil)
@@ -99,7 +100,7 @@
 // begins the log anew with a snapshot.
 func TestGoldenChainFolderIsRead(t *testing.T) {
 	c := qt.New(t)
-	a := diskAgent(c, t, true)
+	a := diskAgent(t, c, true)
 	member, err := openChainMember(a)
 	c.Assert(err, qt.IsNil)
 	defer member.closeLog()
@@ -122,7 +123,7 @@
 	checkWritten(c, a, filepath.Join(chainFolder, goldenCompacted), goldenCompacted)
 	c.Assert(os.Remove(filepath.Join(a.settings.DataDir, chainFolder, goldenCompacted)), qt.IsNil)
 
-	compacted := diskAgent(c, t, false)
+	compacted := diskAgent(t, c, false)
 	folder := filepath.Join(compacted.settings.DataDir, chainFolder)
 	c.Assert(os.Mkdir(folder, 0o700), qt.IsNil)
 	snapshot := readGolden(c, goldenCompacted)
@@ -137,7 +138,7 @@
 // TestGoldenSavedFilesAreRead loads the files as the process does at its start, and writes them again.
 func TestGoldenSavedFilesAreRead(t *testing.T) {
 	c := qt.New(t)
-	a := diskAgent(c, t, true)
+	a := diskAgent(t, c, true)
 	records := goldenDiskRecords()
 	servers, err := a.saved().readRecords(serversFile)
 	c.Assert(err, qt.IsNil)
@@ -147,7 +148,8 @@
 	a.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
 	c.Assert(live, qt.DeepEquals, servers)
 	c.Assert(a.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
-	c.Assert(a.proxy.KnownPrefixes(), qt.DeepEquals, promptsAt(7, 1<<64-3)) // the last one taken in is the newest
+	// the last one taken in is the newest
+	c.Assert(a.proxy.KnownPrefixes(), qt.DeepEquals, promptsAt(7, 1<<64-3))
 	proxies, err := a.saved().readRecords(proxiesFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -41,6 +41,7 @@
 
 // goldenAgent is a process whose id, view and directory are always the same.
 func goldenAgent(t *testing.T) *Agent {
+	t.Helper()
 	a := newTestAgent(t)
 	a.id = "proxy-1"
 	a.state.learnView(7, goldenMembers())
--- a/internal/router/agent/recent_patches.go
+++ b/internal/router/agent/recent_patches.go
@@ -7,7 +7,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// The bounds of the patches that are kept for followers. One that is further behind gets the whole document.
+// The bounds of the patches that are cached for followers. One that is further behind gets the full document.
 const (
 	recentPatchCount = 64
 	recentPatchBytes = 256 << 10
@@ -20,7 +20,7 @@
 	bytes   int
 }
 
-// follow notes that a configuration came into force in place of another one, which may be nil.
+// record records that a configuration came into force in place of another one, which may be nil.
 func (r *recentPatches) record(before, config *fleetconfig.Config) {
 	patch := config.Patch()
 	if before == nil || patch == nil || patch.Base != before.Version || len(patch.Body) > recentPatchBytes {
@@ -35,11 +35,11 @@
 	}
 }
 
-// since returns the patches that lead from a version to the one in force, none where that isn't known.
+// since returns the patches that lead from a version to the one in force, none where they are not cached.
 func (r *recentPatches) since(version int64) []peerproto.Patch {
-	at := slices.IndexFunc(r.patches, func(p peerproto.Patch) bool { return p.Base == version })
-	if at < 0 {
+	first := slices.IndexFunc(r.patches, func(p peerproto.Patch) bool { return p.Base == version })
+	if first < 0 {
 		return nil
 	}
-	return slices.Clone(r.patches[at:])
+	return slices.Clone(r.patches[first:])
 }
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -43,7 +43,7 @@
 	member *chainMember
 
 	// State of the goroutine of run.
-	heldFence       uint64        // the fencing token, 0 while this process is not the head
+	currentFence    uint64        // the fencing token, 0 while this process is not the head
 	ordersAllowedAt time.Duration // when the orders of the previous head can't arrive any more
 
 	// rejectedFence is a token that a server rejected, because it had received a higher one. No more orders are
@@ -72,12 +72,12 @@
 	fence, now := r.member.fence.Load(), r.agent.now()
 	switch {
 	case fence == 0:
-		r.heldFence = 0
+		r.currentFence = 0
 		return false
-	case r.heldFence == 0 && fence > 1: // the head of the first epoch has no predecessor
+	case r.currentFence == 0 && fence > 1: // the head of the first epoch has no predecessor
 		r.ordersAllowedAt = now + r.agent.settings.Bounds.Lease + leaseMargin
 	}
-	r.heldFence = fence
+	r.currentFence = fence
 	return now >= r.ordersAllowedAt && fence != r.rejectedFence.Load()
 }
 
@@ -140,7 +140,7 @@
 // fencing token.
 func (r *roleAssigner) confirmHead() bool {
 	return r.agent.configStore.read(confirmTimeout).Outcome == peerproto.OutcomeAccepted &&
-		r.member.fence.Load() == r.heldFence
+		r.member.fence.Load() == r.currentFence
 }
 
 // announceOrders puts orders into the directory, so that proxies send their servers nothing new, and waits
@@ -175,10 +175,11 @@
 // now.
 func (r *roleAssigner) sendOrder(order roleplan.Order, address string, confirmedAt time.Duration) {
 	a := r.agent
-	invariant.Assert(r.heldFence > 0 && r.heldFence >= a.metrics.lastOrderFence.Load(), invariant.FenceRises,
-		"an order under fence %d follows one under %d", r.heldFence, a.metrics.lastOrderFence.Load())
-	a.metrics.lastOrderFence.Store(r.heldFence)
-	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.member.identity, r.heldFence})
+	lastFence := a.metrics.lastOrderFence.Load()
+	invariant.Assert(r.currentFence > 0 && r.currentFence >= lastFence, invariant.FenceRises,
+		"an order under fence %d follows one under %d", r.currentFence, lastFence)
+	a.metrics.lastOrderFence.Store(r.currentFence)
+	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.member.identity, r.currentFence})
 	if err != nil || a.now()-confirmedAt > confirmValidity {
 		r.withdrawOrder(order)
 		return
@@ -192,10 +193,10 @@
 	}
 	a.metrics.countOrder(status)
 	a.log.Info().Err(err).Str("server", order.Server).Str("stage", string(order.Role)).Int("status", status).
-		Uint64("fence", r.heldFence).Msg("roles: order sent")
+		Uint64("fence", r.currentFence).Msg("roles: order sent")
 	switch status {
 	case 412: // the server has received a higher fencing token
-		r.rejectedFence.Store(r.heldFence)
+		r.rejectedFence.Store(r.currentFence)
 		r.withdrawOrder(order)
 	case 400, 421:
 		r.withdrawOrder(order)
--- a/internal/router/agent/saved_files.go
+++ b/internal/router/agent/saved_files.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // the content is durable after Sync
 	if _, err := file.WriteAt(raw, 0); err != nil {
 		return err
 	}
--- a/internal/router/agent/server_call.go
+++ b/internal/router/agent/server_call.go
@@ -8,9 +8,9 @@
 	"cresshub/internal/http1"
 )
 
-// callServer makes one call to a server in a connection of its own. A call that fails ends with a reset, so
-// that the kernel does not deliver what it still holds once a cut link is back: an order that was given up
-// must not arrive later.
+// callServer makes one call to a server on a connection of its own. A failed call resets the connection, so
+// that the kernel does not deliver unsent bytes when a partition heals: an order that was given up must not
+// arrive later.
 func (a *Agent) callServer(address string, request *http1.Request,
 	timeout time.Duration) (*http1.Response, error) {
 	deadline := time.Now().Add(timeout)
@@ -29,6 +29,7 @@
 	return answer, err
 }
 
+// exchange sends a request and reads the response.
 func exchange(conn net.Conn, address string, request *http1.Request) (*http1.Response, error) {
 	request.Close = true
 	request.Header = append(http1.Header{{Name: "Host", Value: address}}, request.Header...)
@@ -42,10 +43,10 @@
 	return http1.ReadResponse(bufio.NewReader(conn))
 }
 
-// lingerer is a connection that can be told what to do with unsent bytes when it closes, as TCP's can.
+// lingerer is a connection whose handling of unsent bytes at its close can be set, as that of TCP can.
 type lingerer interface{ SetLinger(seconds int) error }
 
-// resetOnClose has a connection drop what was not delivered when it closes.
+// resetOnClose has a connection drop its unsent bytes when it closes.
 func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(lingerer); ok {
 		_ = tcp.SetLinger(0) // it fails only where the connection has ended already
--- a/internal/router/agentsettings/settings.go
+++ b/internal/router/agentsettings/settings.go
@@ -1,4 +1,7 @@
-// Package agentsettings reads the settings file of a process of the fleet.
+// Package agentsettings reads the settings file of a process of the router fleet: a JSON document in the
+// words of the operators' pages (an office is a machine's name, a district a zone). The file is given to a
+// process by CRESSHUB_NODE_FILE. Settings are read once; package agent applies only changed seeds while it
+// runs.
 package agentsettings
 
 import (
@@ -12,57 +15,111 @@
 // PathVariable names the environment variable that holds the path of the settings file.
 const PathVariable = "CRESSHUB_NODE_FILE"
 
-// Bounds are the figures of the rules that are in force.
-type Bounds struct {
-	SeedLag     time.Duration // how far the operator's list of proxies lags
-	ReuseAfter  time.Duration // after it a server's address may be given to another one
-	Touch       time.Duration
-	Ack         time.Duration
-	CatchUp     time.Duration
-	Drain       time.Duration // from the acknowledgement of a drain to the last request sent there
-	Grace       time.Duration // from SIGTERM to SIGKILL
-	Lost        time.Duration
-	Config      time.Duration // from the acknowledgement of a version until all use it
-	Outer       time.Duration
-	RetryRatio  float64       // repeats allowed for each request
-	RetryWindow time.Duration // of the two retry figures
-	RetrySlack  float64       // repeats allowed besides, for all proxies together
-	Transit     time.Duration // the longest an event may take from server to client
-	Fenced      bool          // servers check fencing tokens
-	Lease       time.Duration // between orders of two holders
-	Thaw        time.Duration
-}
-
-// Settings are what a process is told at its start. Durations are Go durations, rates per second.
+// Settings are the settings of a process. The parentheses give the field of the file and its default; a field
+// without a default is required.
 type Settings struct {
-	Name              string
-	Role              string
-	IP                string
-	Zone              string
-	Region            string
-	Regions           map[string]string // the region of each zone
-	Front             string            // address for clients, "" where the role does not serve them
-	Ready             string            // address for the platform's readiness calls
-	Control           string            // address for servers and the operator
-	InnerPorts        [2]int            // the first and last port that proxies may use among themselves
-	Seeds             []string          // control addresses of some proxies
-	FirstStart        bool              // the whole system starts for the first time
-	Counted           bool              // the machine's loss is counted by Tolerate
-	DataDir           string            // "" where the machine has no disk
-	HeartbeatInterval time.Duration     // between heartbeats of a server
+	// Name is the machine's name (office). Rendezvous hashing over it chooses the hub that the process follows.
+	Name string
+	// Role is the name of the process's role (role, ""). It has no effect: the listeners decide what is served.
+	Role string
+	// IP is the machine's address (ip). Other processes call it there, at the first of InnerPorts.
+	IP string
+	// Zone is the failure domain of the machine (district, ""). Servers of the same zone are preferred.
+	Zone string
+	// Region is the region of the machine (region, ""), and Regions the region of each zone (districts, none).
+	Region  string
+	Regions map[string]string
+	// Front is the address for clients (counters.front, ""). Without it, the process has no data plane.
+	Front string
+	// Ready is the address for the platform's readiness checks (counters.ready, "" for none).
+	Ready string
+	// Control is the address for servers and operators (counters.control, "" for none).
+	Control string
+	// InnerPorts are the first and the last port that processes may use among themselves (inner_ports). The
+	// first one is used.
+	InnerPorts [2]int
+	// Seeds are the control addresses of some processes (seeds, none). A process calls them until it knows the
+	// view. At the first start, the first seed bootstraps the fleet.
+	Seeds []string
+	// FirstStart is set when the whole fleet starts for the first time (first_start, false), so that there is no
+	// configuration or view to be learned from others.
+	FirstStart bool
+	// Counted tells that the loss of this machine counts towards TolerateMachines (counted, false). It has no
+	// effect.
+	Counted bool
+	// DataDir is the folder for durable state (data_dir, "" for a machine without a disk). Only machines with a
+	// disk replicate the configuration.
+	DataDir string
+	// HeartbeatInterval is the time between heartbeats of a server (beat_ms, 1000 ms). A server that misses 1.9
+	// of them counts as lost.
+	HeartbeatInterval time.Duration
 
-	CPUShare    float64
+	// CPUShare is the part of a core that the process may use (size_limits.cpu_share, 1). It has no effect.
+	CPUShare float64
+	// MemoryBytes is the memory that the process may use (size_limits.memory_mb, 256 MiB). It bounds the heap
+	// and the buffered bodies of requests.
 	MemoryBytes int64
+	// Descriptors is how many file descriptors the process may open (size_limits.fds, 1024). It bounds the
+	// connections of clients and servers.
 	Descriptors int
-	DiskBytes   int64
+	// DiskBytes is the capacity of the disk (size_limits.disk_mb, 0). The log of the chain is compacted when it
+	// takes a quarter of it.
+	DiskBytes int64
 
+	// TolerateMachines is the number of machines that may be lost at the same time without loss of acknowledged
+	// state (tolerate.machines, 0). It sets the size of a view and of the chain.
 	TolerateMachines int
-	TolerateZones    int
-	TolerateRegions  int
-	Bounds           Bounds
+	// TolerateZones and TolerateRegions are the same for zones and regions (tolerate.districts and
+	// tolerate.regions, 0). They have no effect.
+	TolerateZones   int
+	TolerateRegions int
+	// Bounds are the figures of the rules that the operators hold the fleet to (bounds).
+	Bounds Bounds
+}
+
+// Bounds are the figures of the operators' rules, under the names that the pages give them. The process acts
+// by Grace, Lease and the retry budget; stand-ins in trials judge by most of the others.
+type Bounds struct {
+	// SeedLag is how far the operators' list of seeds lags behind the machines (seed_lag_s, 3 s).
+	SeedLag time.Duration
+	// ReuseAfter is how long after its end a server's address may be given to another one (reuse_after_s, 2 s).
+	ReuseAfter time.Duration
+	// Touch is how long after a fault a machine is not yet held to the bounds of time (touch_ms, 3000 ms).
+	Touch time.Duration
+	// Ack bounds the time until a change of the configuration is acknowledged (ack_ms, 4000 ms).
+	Ack time.Duration
+	// CatchUp bounds the time in which a started process learns the configuration (catch_up_s, 4 s).
+	CatchUp time.Duration
+	// Drain is the time from the acknowledgement of a drain to the last request that may be sent to the server
+	// (drain_ms, 2000 ms).
+	Drain time.Duration
+	// Grace is the grace period: the time from SIGTERM to SIGKILL (grace_s, 8 s). The shutdown is planned by it.
+	Grace time.Duration
+	// Lost is the age up to which an unanswered request may be lost with its machine (lost_ms, 200 ms).
+	Lost time.Duration
+	// Config is the time from the acknowledgement of a version until all processes use it (config_ms, 2000 ms).
+	Config time.Duration
+	// Outer is outer_ms, 5000 ms by default. It has no effect.
+	Outer time.Duration
+	// RetryRatio is the number of retries allowed for each request (retry_ratio, 0.2), RetryWindow the window
+	// over which both are counted (retry_window_s, 10 s), and RetrySlack the retries allowed besides, for all
+	// proxies together (retry_slack, 10).
+	RetryRatio  float64
+	RetryWindow time.Duration
+	RetrySlack  float64
+	// Transit is the longest time that an event takes from a server to its client (transit_ms, 120 ms).
+	Transit time.Duration
+	// Fenced tells that servers check the fencing tokens of orders (fenced, false).
+	Fenced bool
+	// Lease is the least time between orders of two successive heads of the chain (lease_ms, 3000 ms). A new
+	// head waits for it.
+	Lease time.Duration
+	// Thaw is thaw_ms, 300 ms by default. It has no effect.
+	Thaw time.Duration
 }
 
-// Load reads the file that the environment names.
+// Load reads the file that PathVariable names. Its errors are those of LoadFile, or that the variable is not
+// set.
 func Load() (*Settings, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
@@ -71,22 +128,23 @@
 	return LoadFile(path)
 }
 
-// LoadFile reads a settings file.
+// LoadFile reads a settings file. The error wraps that of the file system, or is the one of Parse.
 func LoadFile(path string) (*Settings, error) {
-	raw, err := os.ReadFile(path)
+	document, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading the settings: %w; check the path in %s", err, PathVariable)
 	}
-	return Parse(raw)
+	return Parse(document)
 }
 
-// Parse reads settings. The error is *pathreader.Invalid and names every mistake. Unknown fields are ignored.
-func Parse(raw []byte) (*Settings, error) {
-	document, err := jsondoc.Parse(raw)
+// Parse reads settings. The error is *jsondoc.ValidationError and names every mistake. Unknown fields are
+// ignored.
+func Parse(document []byte) (*Settings, error) {
+	parsed, err := jsondoc.Parse(document)
 	if err != nil {
 		return nil, err
 	}
-	root := document.Root()
+	root := parsed.Root()
 	limits, tolerate, listen := root.Get("size_limits"), root.Get("tolerate"), root.Get("counters")
 	s := &Settings{
 		Name: root.Get("office").Text(), Role: root.Get("role").TextOr(""), IP: root.Get("ip").Text(),
@@ -109,7 +167,7 @@
 	for _, seed := range root.Get("seeds").Items() {
 		s.Seeds = append(s.Seeds, seed.Text())
 	}
-	return s, document.Err()
+	return s, parsed.Err()
 }
 
 func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
