--- a/internal/router/agent/chain_encoding.go
+++ b/internal/router/agent/chain_encoding.go
@@ -31,7 +31,7 @@
 		Stalled: m.Stalled, Sealed: m.Sealed, ReceivesFrom: memberIDs(m.ReceivesFrom), View: decodeView(&m.View),
 		ProposalNumber: decodeProposalNumber(m.ProposalNumber),
 		AcceptedNumber: decodeProposalNumber(m.AcceptedNumber),
-		Sequence: uint64(m.Sequence), Version: m.Version, Digest: m.Digest, HasBody: m.HasBody, Body: m.Body,
+		Sequence:       uint64(m.Sequence), Version: m.Version, Digest: m.Digest, HasBody: m.HasBody, Body: m.Body,
 		Resend: m.Resend, Origin: chain.MemberID(m.Origin), Request: uint64(m.Request), Expected: m.Expected,
 		Outcome: chain.Outcome(m.Outcome), Marker: uint64(m.Marker), History: decodeHistory(m.History),
 	}, nil
