--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -33,8 +33,8 @@
 		`{"depot":"s","address":"10.0.0.1:80","bays":4,"state":"` + state + `","postmark":` + postmark + `}`)}
 }
 
-// TestHeartbeats follows a server by its calls; a late one changes nothing.
-func TestHeartbeats(t *testing.T) {
+// TestLateHeartbeatsChangeNothing follows a server by its calls, of which one is late.
+func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	c.Assert(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 200)
@@ -48,27 +48,34 @@
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("it has ended"))
 }
 
-func TestCallsThatAreWrong(t *testing.T) {
+func TestMalformedCallsAreRejected(t *testing.T) {
 	a := newTestAgent(t)
 	for _, test := range []struct {
+		name   string
 		call   controlserver.Call
 		status int
 		body   string
 	}{
-		{controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{")}, 400, "(?s)document: .*"},
-		{controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{}")}, 400,
+		{"a heartbeat that is no document",
+			controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{")}, 400, "(?s)document: .*"},
+		{"a heartbeat without fields",
+			controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{}")}, 400,
 			"(?s)depot: .*address: .*"},
-		{controlserver.Call{Method: "PUT", Path: serversPath + "a/b"}, 404, "(?s).*"},
-		{controlserver.Call{Method: "POST", Path: serversPath + "a"}, 405, "(?s).*"},
-		{controlserver.Call{Method: "PUT", Path: "/api/config", Body: []byte(`{"edition":1}`)}, 400,
+		{"a server id of two parts", controlserver.Call{Method: "PUT", Path: serversPath + "a/b"}, 404, "(?s).*"},
+		{"another method for a server", controlserver.Call{Method: "POST", Path: serversPath + "a"}, 405, "(?s).*"},
+		{"a configuration without If-Match",
+			controlserver.Call{Method: "PUT", Path: "/api/config", Body: []byte(`{"edition":1}`)}, 400,
 			"(?s)If-Match.*"},
-		{controlserver.Call{Method: "DELETE", Path: "/api/config"}, 405, "(?s).*"},
-		{controlserver.Call{Method: "GET", Path: "/api/config"}, 503, "(?s).*"},
-		{controlserver.Call{Method: "GET", Path: "/api/nothing"}, 404, "(?s).*"},
+		{"another method for the configuration",
+			controlserver.Call{Method: "DELETE", Path: "/api/config"}, 405, "(?s).*"},
+		{"a read without a member", controlserver.Call{Method: "GET", Path: "/api/config"}, 503, "(?s).*"},
+		{"an unknown path", controlserver.Call{Method: "GET", Path: "/api/nothing"}, 404, "(?s).*"},
 	} {
-		answer := a.handleCall(&test.call)
-		qt.Check(t, answer.Status, qt.Equals, test.status, qt.Commentf("%s %s", test.call.Method, test.call.Path))
-		qt.Check(t, string(answer.Body), qt.Matches, test.body)
+		t.Run(test.name, func(t *testing.T) {
+			answer := a.handleCall(&test.call)
+			qt.Check(t, answer.Status, qt.Equals, test.status)
+			qt.Check(t, string(answer.Body), qt.Matches, test.body)
+		})
 	}
 }
 
@@ -84,8 +91,9 @@
 	c.Assert(a.awaitMajority(1, 0), qt.IsTrue)
 }
 
-// TestFeedGoesOnFromAPlace gives a follower what it has not heard, and a snapshot where its place is unknown.
-func TestFeedGoesOnFromAPlace(t *testing.T) {
+// TestFeedContinuesFromAnOffset gives a follower what it has not received, and a snapshot where its offset is
+// unknown.
+func TestFeedContinuesFromAnOffset(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.handleCall(heartbeat("ready", "1"))
@@ -100,25 +108,25 @@
 	c.Assert(a.nextFeed(99, 0).From, qt.Equals, int64(0))
 }
 
-// TestSilentServersAreLostAndComeBack marks a server that calls no more, unless this process was frozen
-// meanwhile.
-func TestSilentServersAreLostAndComeBack(t *testing.T) {
+// TestTimedOutServersAreLostUntilTheirNextHeartbeat marks a server lost that does not call any more, unless
+// this process was stalled meanwhile.
+func TestTimedOutServersAreLostUntilTheirNextHeartbeat(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.handleCall(heartbeat("ready", "1"))
-	silent := a.now() + time.Duration(2*maxMissedHeartbeats*float64(a.settings.HeartbeatInterval))
-	a.failures.observingSince = silent
-	a.markTimedOut(silent)
+	later := a.now() + time.Duration(2*maxMissedHeartbeats*float64(a.settings.HeartbeatInterval))
+	a.failures.observingSince = later
+	a.markTimedOut(later)
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
 	a.failures.observingSince = 0
-	a.markTimedOut(silent)
+	a.markTimedOut(later)
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
 	a.handleCall(heartbeat("ready", "2"))
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
 }
 
-// TestReportsOfLostServersAreBounded: a proxy that loses many servers at once is likely to be the one in
-// trouble.
+// TestReportsOfLostServersAreBounded: a proxy that loses many servers at once is likely to be the one at
+// fault.
 func TestReportsOfLostServersAreBounded(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
@@ -135,8 +143,8 @@
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
 }
 
-// TestEarlierProcessOfAMachineIsLost marks the records of processes that another one at their address
-// replaced, as lost: they might be the later ones, and could say so.
+// TestEarlierProcessOfAMachineIsLost marks processes lost that another one at their address has
+// replaced. They might be the later ones, and could refute it.
 func TestEarlierProcessOfAMachineIsLost(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
@@ -156,20 +164,19 @@
 	})
 }
 
-// TestOrdersWaitForAnEarlierHolder: a new holder of the duty waits until orders of the one before have
-// arrived.
-func TestOrdersWaitForAnEarlierHolder(t *testing.T) {
+// TestOrdersWaitForThePreviousHead: a new head waits until orders of the previous one have arrived.
+func TestOrdersWaitForThePreviousHead(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.settings.Bounds.Lease = time.Hour
 	coordinator := &roleAssigner{agent: a, member: &chainMember{}}
 	c.Check(coordinator.maySendOrders(), qt.IsFalse)
 	coordinator.member.fence.Store(1)
-	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no earlier holder"))
+	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no previous head"))
 	coordinator.member.fence.Store(2)
-	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the same holder under a higher fence"))
+	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the same head under a higher fence"))
 	coordinator.member.fence.Store(0)
 	c.Check(coordinator.maySendOrders(), qt.IsFalse)
 	coordinator.member.fence.Store(3)
-	c.Check(coordinator.maySendOrders(), qt.IsFalse, qt.Commentf("another one may have held it meanwhile"))
+	c.Check(coordinator.maySendOrders(), qt.IsFalse, qt.Commentf("another one may have been the head meanwhile"))
 }
--- a/internal/router/agent/chain_leave_test.go
+++ b/internal/router/agent/chain_leave_test.go
@@ -22,15 +22,15 @@
 	return f.OSFS.MakeDir(dir)
 }
 
-// TestLeaveIsNotLost whatever the disk does when a process is told to end.
+// TestLeaveIsNotLost whatever the disk does when a process shuts down.
 func TestLeaveIsNotLost(t *testing.T) {
-	t.Run("while the disk is opened", leaveWhileTheDiskIsOpened)
+	t.Run("while the disk is opened", leaveWhileTheDiskOpens)
 	t.Run("in a full queue", leaveInAFullQueue)
 }
 
-// leaveWhileTheDiskIsOpened: a process that is told to end while its disk hangs tells the other
-// members so once the disk answers.
-func leaveWhileTheDiskIsOpened(t *testing.T) {
+// leaveWhileTheDiskOpens: a process that shuts down while its disk hangs tells the other members once the
+// disk answers.
+func leaveWhileTheDiskOpens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		a := newTestAgent(t)
@@ -44,15 +44,15 @@
 		close(disk.gate)
 		time.Sleep(2 * chainTick)
 		synctest.Wait()
-		c.Check(leaves(control.chain.Load()), qt.IsTrue)
+		c.Check(hasLeft(control.chain.Load()), qt.IsTrue)
 		close(done)
 		synctest.Wait()
 		control.close()
 	})
 }
 
-// leaveInAFullQueue: events of the chain may be dropped where too many wait, as messages come
-// again; what is said once must not be.
+// leaveInAFullQueue: events of the chain may be dropped where too many wait, as messages are sent again. What
+// is said once must not be.
 func leaveInAFullQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -68,15 +68,15 @@
 		member.start(done)
 		time.Sleep(2 * chainTick)
 		synctest.Wait()
-		c.Check(leaves(member), qt.IsTrue)
+		c.Check(hasLeft(member), qt.IsTrue)
 		close(done)
 		synctest.Wait()
 		member.close()
 	})
 }
 
-// leaves tells whether a member without a view has been told to leave: it may stop at once then.
-func leaves(m *chainMember) bool {
+// hasLeft tells whether a member without a view has left: it may stop at once then.
+func hasLeft(m *chainMember) bool {
 	select {
 	case <-m.canStop():
 		return true
--- a/internal/router/agent/config_hedging_test.go
+++ b/internal/router/agent/config_hedging_test.go
@@ -10,8 +10,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// TestAHangingMemberDelaysACallOnlyALittle asks members of which some hang or can't agree.
-func TestAHangingMemberDelaysACallOnlyALittle(t *testing.T) {
+// TestHangingMembersDelayCallsByTheHedgeDelay calls members of which some hang or are unavailable.
+func TestHangingMembersDelayCallsByTheHedgeDelay(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		members []peerproto.Outcome // 0 for one that hangs
@@ -23,9 +23,9 @@
 			peerproto.OutcomeConflict, hedgeDelay},
 		{"two hang", []peerproto.Outcome{0, 0, peerproto.OutcomeAccepted}, peerproto.OutcomeAccepted,
 			2 * hedgeDelay},
-		{"the first can't agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeAccepted},
+		{"the first is unavailable", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeAccepted},
 			peerproto.OutcomeAccepted, 0},
-		{"none can agree", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeUnavailable},
+		{"all are unavailable", []peerproto.Outcome{peerproto.OutcomeUnavailable, peerproto.OutcomeUnavailable},
 			peerproto.OutcomeUnavailable, 0},
 		{"all hang", []peerproto.Outcome{0, 0}, peerproto.OutcomeUnavailable, configCallTimeout},
 	} {
--- a/internal/router/agent/deferred_store_test.go
+++ b/internal/router/agent/deferred_store_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestAProcessServesWhileItsDiskCanNotBeOpened: the process runs like one without a disk, and takes its part
-// once the disk can be opened.
+// TestAProcessServesWhileItsDiskCanNotBeOpened: the process runs like one without a disk, and becomes a
+// replica once the disk can be opened.
 func TestAProcessServesWhileItsDiskCanNotBeOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/agent/list_endpoint_test.go
+++ b/internal/router/agent/list_endpoint_test.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// inspected returns a process that knows some records and does nothing.
-func inspected(c *qt.C, records ...directory.Record) *Agent {
+// agentWithRecords returns a process that knows some records and does nothing.
+func agentWithRecords(c *qt.C, records ...directory.Record) *Agent {
 	settings, err := agentsettings.Parse([]byte(`{"office":"front-a","ip":"127.0.0.1","inner_ports":[1,2],
 		"counters":{"control":"127.0.0.1:3"}}`))
 	c.Assert(err, qt.IsNil)
@@ -32,9 +32,9 @@
 	c.Assert(json.Unmarshal(answer.Body, into), qt.IsNil)
 }
 
-func TestMembersAreListedWithTheirParts(t *testing.T) {
+func TestMembersAreListedWithTheirRoles(t *testing.T) {
 	c := qt.New(t)
-	a := inspected(c,
+	a := agentWithRecords(c,
 		directory.Record{Kind: directory.KindProxy, ID: "p2", Sequence: 1, State: directory.Lost,
 			Address: "127.0.0.3", Name: "front-c", Control: "127.0.0.3:3", Zone: "kopli", Watcher: "p1"},
 		directory.Record{Kind: directory.KindProxy, ID: "p1", Sequence: 1, State: directory.Ready,
@@ -53,7 +53,7 @@
 
 func TestServersAreListedWithTheirOrders(t *testing.T) {
 	c := qt.New(t)
-	a := inspected(c,
+	a := agentWithRecords(c,
 		directory.Record{Kind: directory.KindServer, ID: "i-2", Sequence: 9, State: directory.Draining,
 			Service: "lookup", Address: "127.0.0.9:80", Slots: 6, Watcher: "p1"},
 		directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 7, State: directory.Ready,
@@ -70,9 +70,9 @@
 	}})
 }
 
-func TestListsAreOnlyRead(t *testing.T) {
+func TestListsRejectOtherMethodsThanGet(t *testing.T) {
 	c := qt.New(t)
-	a := inspected(c)
+	a := agentWithRecords(c)
 	for _, path := range []string{"/api/members", "/api/servers"} {
 		answer := a.handleCall(&controlserver.Call{Method: "PUT", Path: path})
 		c.Check(answer.Status, qt.Equals, 405)
--- a/internal/router/agent/metrics_test.go
+++ b/internal/router/agent/metrics_test.go
@@ -8,8 +8,9 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// TestMetricsExplainRefusedServers: the reason why a server was sent elsewhere can be read afterwards.
-func TestMetricsExplainRefusedServers(t *testing.T) {
+// TestMetricsCountRejectedHeartbeats: the reason why a server was sent to another proxy can be read
+// afterwards.
+func TestMetricsCountRejectedHeartbeats(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.handleCall(heartbeat("ready", "1"))
--- a/internal/router/agent/peer_handler_test.go
+++ b/internal/router/agent/peer_handler_test.go
@@ -8,9 +8,9 @@
 	"cresshub/internal/router/directory"
 )
 
-// TestLateNewsOfAnEarlierProcessEndsNobody: what an earlier process of a machine sent may come after its
-// successor is known, as when a cut held it up. The successor must be able to say that it runs.
-func TestLateNewsOfAnEarlierProcessEndsNobody(t *testing.T) {
+// TestLateMessagesOfAPredecessorEndNobody: what an earlier process of a machine sent may come after its
+// successor is known, as when a partition delayed it. The successor must be able to refute that it is lost.
+func TestLateMessagesOfAPredecessorEndNobody(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	earlier := directory.Record{Kind: directory.KindProxy, ID: "p1", Sequence: 3, State: directory.Ready,
@@ -18,8 +18,8 @@
 	successor := earlier
 	successor.ID, successor.Sequence = "p2", 1
 	a.state.merge(a.now(), []directory.Record{earlier, successor})
-	a.markPredecessorsLost("p1") // it called before it died, and the call comes only now
-	successor.Sequence++         // the successor hears what is said of it, and says that it runs
+	a.markPredecessorsLost("p1") // it called before it ended, and the call arrives only now
+	successor.Sequence++         // the successor learns that it is marked lost, and refutes it
 	a.state.merge(a.now(), []directory.Record{successor})
 	a.markPredecessorsLost("p2")
 	a.state.read(func(d *directory.Directory) {
--- a/internal/router/agent/recent_patches_test.go
+++ b/internal/router/agent/recent_patches_test.go
@@ -42,7 +42,7 @@
 		adoptPatch(c, hub, fmt.Sprintf(`{"edition":%d,"deliver":{"routes":[{"name":"r%d","town":"new%d.example",
 			"street_prefix":"/","timeout_ms":5,"depot":"s"}]}}`, version, version, version))
 		if version%3 == 0 {
-			continue // the follower hears of two changes at once
+			continue // the follower receives two changes at once
 		}
 		news := hub.configUpdate(hub.state.Config(), known)
 		c.Assert(len(news) < 600, qt.IsTrue, qt.Commentf("%d bytes", len(news)))
@@ -55,9 +55,9 @@
 	c.Assert(follower.state.version(), qt.Equals, int64(11))
 }
 
-// TestFollowersThatAreFarBehindGetAll: one that is further behind than the patches that are kept, or
-// has another version than they build on, is sent the whole document.
-func TestFollowersThatAreFarBehindGetAll(t *testing.T) {
+// TestFollowersThatAreFarBehindGetTheDocument: one that is further behind than the cached patches, or has
+// another version than they build on, is sent the full document.
+func TestFollowersThatAreFarBehindGetTheDocument(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.applyDocument(firstDocument(3))
@@ -80,15 +80,15 @@
 	c.Assert(peerproto.ArePatches(a.configUpdate(full, 500)), qt.IsFalse)
 }
 
-// TestDamagedPatchesAreLeft takes patches that are cut, or build on another version, for none.
-func TestDamagedPatchesAreLeft(t *testing.T) {
+// TestCorruptPatchesAreIgnored applies neither truncated patches nor those that build on another version.
+func TestCorruptPatchesAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.applyDocument(firstDocument(3))
 	packed := peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 1, Version: 2, Body: []byte(`{"edition":2}`)}, {Base: 2, Version: 3, Body: []byte(`{`)}}})
-	for cut := 1; cut < len(packed); cut++ {
-		a.applyPacked(packed[:cut])
+	for length := 1; length < len(packed); length++ {
+		a.applyPacked(packed[:length])
 		c.Assert(a.state.version(), qt.Equals, int64(1))
 	}
 	a.applyPacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
--- a/internal/router/agent/saved_files_test.go
+++ b/internal/router/agent/saved_files_test.go
@@ -21,8 +21,8 @@
 	qt.Assert(t, got, qt.DeepEquals, records)
 }
 
-// TestDamagedSavedServersAreRefused cuts the file at every length and flips each byte.
-func TestDamagedSavedServersAreRefused(t *testing.T) {
+// TestCorruptSavedFilesAreRejected truncates the file to every length and flips each byte.
+func TestCorruptSavedFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	saved, path := savedFiles{segmentlog.OSFS{}, dir}, filepath.Join(dir, serversFile)
 	records := []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 3, State: directory.Ready}}
--- a/internal/router/agent/shutdown_plan_test.go
+++ b/internal/router/agent/shutdown_plan_test.go
@@ -7,9 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestAnswersGoOnIntoTheLastSixthOfTheGrace: until then the operators want every answer finished that its
-// server still works on, whatever grace they give; and the process ends before it is killed.
-func TestAnswersGoOnIntoTheLastSixthOfTheGrace(t *testing.T) {
+// TestRequestsAreAbortedInTheLastSixthOfTheGrace: until then the operators require every answer to be
+// finished that its server still works on, whatever the grace period; and the process ends before it is
+// killed.
+func TestRequestsAreAbortedInTheLastSixthOfTheGrace(t *testing.T) {
 	c := qt.New(t)
 	for grace := time.Second; grace <= time.Minute; grace += 500 * time.Millisecond {
 		plan := planShutdown(grace)
--- a/internal/router/agent/shutdown_test.go
+++ b/internal/router/agent/shutdown_test.go
@@ -10,7 +10,7 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// neededMember keeps a part of the control state that others do not hold until needed closes.
+// neededMember has accepted what the others do not have until needed closes.
 type neededMember struct {
 	noConfigStore
 	needed chan struct{}
@@ -18,16 +18,16 @@
 
 func (m neededMember) canStop() <-chan struct{} { return m.needed }
 
-// TestTheEndWaitsForCopiesOfTheControlState: a process that holds one of the last copies goes on until others
-// hold them, or its time is over.
-func TestTheEndWaitsForCopiesOfTheControlState(t *testing.T) {
+// TestShutdownWaitsForTheHandoff: a process that is one of the last replicas goes on until others have all
+// that it accepted, or its time is over.
+func TestShutdownWaitsForTheHandoff(t *testing.T) {
 	for _, test := range []struct {
 		name                  string
 		release, grace, waits time.Duration
 	}{
-		{"others hold it in time", time.Second, 5 * time.Second, time.Second},
+		{"the others have it in time", time.Second, 5 * time.Second, time.Second},
 		{"the time is over", 9 * time.Second, 5 * time.Second, 5 * time.Second},
-		{"nothing is held", 0, 5 * time.Second, 0},
+		{"the others have it already", 0, 5 * time.Second, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestAProcessThatEndsIsNotReadyAtOnce: the platform counts as ready whoever still says so four seconds after
-// the signal to end, so the next question has to be answered with no, while clients are still served.
-func TestAProcessThatEndsIsNotReadyAtOnce(t *testing.T) {
+// TestShutdownMakesTheProcessUnreadyAtOnce: the platform counts a process as ready that still says so
+// four seconds after SIGTERM, so the next check has to fail, while clients are still served.
+func TestShutdownMakesTheProcessUnreadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(t)
 		ready := &controlserver.Call{Method: "GET", Path: "/api/ready"}
--- a/internal/router/agent/unwatched_test.go
+++ b/internal/router/agent/unwatched_test.go
@@ -23,8 +23,8 @@
 func (h healthNetwork) Listen(string) (net.Listener, error) { return nil, errNothingThere }
 
 func (h healthNetwork) Dial(address string, _ time.Duration) (net.Conn, error) {
-	id, found := h[address]
-	if !found {
+	id, ok := h[address]
+	if !ok {
 		return nil, errNothingThere
 	}
 	here, there := net.Pipe()
@@ -47,9 +47,9 @@
 	out.Flush()
 }
 
-// TestOrphansAreAskedBeforeTheyCountAsLost has the watcher of four servers vanish: one server answers, at the
-// address of one another answers, one is silent and one is gone.
-func TestOrphansAreAskedBeforeTheyCountAsLost(t *testing.T) {
+// TestUnwatchedServersAreProbedBeforeTheyAreLost has the watcher of four servers vanish: one server answers,
+// at the address of one another answers, one does not answer and one does not run.
+func TestUnwatchedServersAreProbedBeforeTheyAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		a := newTestAgent(t)
@@ -75,8 +75,9 @@
 	})
 }
 
-// TestOnlyAMajorityLosesOrphans: a hub that reaches no majority is likely to be the one in trouble.
-func TestOnlyAMajorityLosesOrphans(t *testing.T) {
+// TestUnwatchedServersAreNotLostWithoutAMajority: a hub that reaches no majority is likely to be the one at
+// fault.
+func TestUnwatchedServersAreNotLostWithoutAMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		a := newTestAgent(t)
@@ -96,8 +97,8 @@
 
 func (answeringWorkload) SinceLastSuccess(string) (time.Duration, bool) { return 0, true }
 
-// TestServersThatAnswerLive: a server whose heartbeats stay away is not lost while it answers requests.
-func TestServersThatAnswerLive(t *testing.T) {
+// TestServersThatAnswerRequestsAreNotLost: a server without heartbeats is not lost while it answers requests.
+func TestServersThatAnswerRequestsAreNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		a := newTestAgent(t)
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -19,9 +19,9 @@
 	return members
 }
 
-// TestWhoIsIntroducedTo: a member seeks its seeds and all proxies that it knew and that do not call; another
-// process seeks its seeds until these know a view.
-func TestWhoIsIntroducedTo(t *testing.T) {
+// TestViewIsAnnouncedToSeedsAndProxiesThatDoNotCall: a member announces the view to its seeds and to the
+// known proxies that do not call, another process to its seeds until these know a view.
+func TestViewIsAnnouncedToSeedsAndProxiesThatDoNotCall(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	seeds := []string{"127.0.0.1:1", "10.0.0.1:1", "10.0.0.2:1"}
@@ -54,8 +54,9 @@
 	c.Check(a.status().ReachesMajority, qt.IsFalse)
 }
 
-// TestNothingIsPromisedWithoutAView: a process that started later and knows no view sends servers elsewhere.
-func TestNothingIsPromisedWithoutAView(t *testing.T) {
+// TestHeartbeatsAreRejectedWithoutAView: a process that started later and knows no view sends servers to
+// others.
+func TestHeartbeatsAreRejectedWithoutAView(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.state.view = view{}
@@ -65,9 +66,9 @@
 	c.Check(a.awaitMajority(0, 0), qt.IsFalse, qt.Commentf("no view, no majority of it"))
 }
 
-// TestServersAreSentElsewhereByWhoIsCutOff: what they tell is kept here, but a server that was acknowledged
-// would stay with a proxy of which the others hear nothing.
-func TestServersAreSentElsewhereByWhoIsCutOff(t *testing.T) {
+// TestHeartbeatsAreRejectedWithoutAMajority: they are merged here, but a server that was acknowledged would
+// stay with a proxy from which the others receive nothing.
+func TestHeartbeatsAreRejectedWithoutAMajority(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
