--- /dev/null
+++ b/internal/router/agent/agent.go
@@ -0,0 +1,154 @@
+package agent
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/dataplane"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/transport"
+	"cresshub/internal/segmentlog"
+)
+
+// maxAcceptLogLines is how many lines a second are logged of connections that could not be accepted.
+const maxAcceptLogLines = 2
+
+// Agent is one process of the router fleet.
+type Agent struct {
+	// Set by New and not changed later.
+	settings     *agentsettings.Settings
+	log          zerolog.Logger
+	acceptLog    zerolog.Logger // bounded by maxAcceptLogLines
+	network      transport.Network
+	files        segmentlog.FS
+	endpoint     *transport.Endpoint
+	id           string // of this process's record in the directory
+	started      time.Time
+	proxy        *dataplane.Proxy // nil where the role does not serve clients
+	workload     Workload         // the proxy, where there is one
+	assignsRoles bool             // to model servers, while this process is the head of the chain
+	metricsPort  int              // 0 for none
+
+	state        *state
+	configStore  configStore
+	demand       *demandTable
+	load         *loadTable
+	knownProxies *knownProxies
+	lastSeen     *lastSeen
+	seedList     atomic.Pointer[[]string]
+
+	shuttingDown   atomic.Bool
+	fetchingConfig atomic.Bool // a configuration is being fetched from a hub
+	packed         packedConfig
+	shown          shownVersion
+	metrics        agentMetrics
+
+	selfMu sync.Mutex
+	self   directory.Record // of this process
+
+	hubsMu         sync.Mutex
+	hubs           map[string]*hub // by IP
+	linksClosed    bool            // for good
+	lastHubContact time.Duration   // when a hub last answered a ping
+	replicated     chan struct{}   // closed when a hub has received records
+
+	subscriptionMu sync.Mutex
+	subscription   subscription
+
+	followersMu sync.Mutex
+	followers   map[*transport.Conn]chan struct{} // closing one ends the feed on its connection
+
+	probesMu sync.Mutex
+	probed   map[string]bool // ids of the servers that are being probed
+
+	failures         failureDetector
+	savedPrefixCount int           // how many cached prefixes were last saved; of the goroutine of persistState
+	lossReports      int           // of the data plane since lossReportsSince; guarded by the lock of state
+	lossReportsSince time.Duration // guarded by the lock of state
+}
+
+// New returns a process that does nothing yet. Run starts it.
+func New(settings *agentsettings.Settings, log zerolog.Logger, options ...Option) (*Agent, error) {
+	a := &Agent{
+		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
+		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
+		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
+		hubs: map[string]*hub{}, replicated: make(chan struct{}), followers: map[*transport.Conn]chan struct{}{},
+		lastSeen: newLastSeen(), knownProxies: newKnownProxies(), probed: map[string]bool{},
+	}
+	for _, option := range options {
+		option(a)
+	}
+	a.endpoint = transport.NewEndpoint(a.network)
+	a.endpoint.OnAcceptError = a.acceptFailed
+	a.seedList.Store(&settings.Seeds)
+	a.self = directory.Record{
+		Kind: directory.KindProxy, ID: a.id, State: directory.Ready, Address: settings.IP, Zone: settings.Zone,
+		Name: settings.Name, Control: settings.Control,
+	}
+	a.configStore = newConfigStore(a)
+	a.demand = newDemandTable(a)
+	a.load = newLoadTable(a)
+	if settings.Front != "" {
+		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
+		if settings.FirstStart {
+			a.proxy.MarkFleetStart()
+		}
+		a.workload, a.assignsRoles = a.proxy, true
+	}
+	return a, nil
+}
+
+func randomID() string {
+	var random [6]byte
+	_, _ = rand.Read(random[:]) // it never fails
+	return hex.EncodeToString(random[:])
+}
+
+// now returns the time on the monotonic clock since the process started.
+func (a *Agent) now() time.Duration { return time.Since(a.started) }
+
+// seeds returns the control addresses of some proxies, as last read from the settings file.
+func (a *Agent) seeds() []string { return *a.seedList.Load() }
+
+func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
+
+// Run serves until stop closes, then shuts down and returns. The error is that of a listener that could not
+// be opened; nothing was started then.
+func (a *Agent) Run(stop <-chan struct{}) error {
+	listeners, err := a.listen()
+	if err != nil {
+		return err
+	}
+	done := make(chan struct{})
+	a.startDisk(done)
+	a.announceSelf(func(*directory.Record) {})
+	a.startTasks(done)
+	a.serveAll(listeners)
+	closeMetrics := a.serveMetrics()
+	defer closeMetrics()
+	a.log.Info().Str("id", a.id).Str("zone", a.settings.Zone).Strs("seeds", a.seeds()).
+		Bool("first_start", a.settings.FirstStart).Str("data_dir", a.settings.DataDir).Msg("agent: started")
+	<-stop
+	a.shutdown(listeners)
+	close(done)
+	a.closeLinks()
+	a.configStore.close()
+	return nil
+}
+
+// startTasks starts the periodic tasks, which run until done closes.
+func (a *Agent) startTasks(done <-chan struct{}) {
+	go a.runSubscription(done)
+	go newViewAnnouncer(a).run(done)
+	go a.detectFailures(done)
+	go a.runAntiEntropy(done)
+	go a.demand.run(done)
+	go a.load.report(done)
+}
--- a/internal/router/agent/disk_member.go
+++ b/internal/router/agent/deferred_store.go
@@ -9,51 +9,49 @@
 )
 
 const (
-	// diskRetryInterval is the pause between two tries to open the disk.
+	// diskRetryInterval is the interval between two attempts to open the disk.
 	diskRetryInterval = 500 * time.Millisecond
-	// diskOpenTimeout is how long the process waits for its disk before it takes calls without it: the first
-	// answer to others should tell what the disk holds.
+	// diskOpenTimeout bounds how long the start waits for the disk, so that the first status that is sent to
+	// others normally reflects what is on it.
 	diskOpenTimeout = 300 * time.Millisecond
 )
 
-// startDisk begins to use the disk, where there is one, and returns once it is open or diskOpenTimeout is
-// over.
-func (n *Node) startDisk(done <-chan struct{}) {
-	n.configStore.start(done)
-	if n.settings.DataDir == "" {
+// startDisk starts the configuration store and the persistence of the state, and waits until both have read
+// the disk, or for diskOpenTimeout.
+func (a *Agent) startDisk(done <-chan struct{}) {
+	a.configStore.start(done)
+	if a.settings.DataDir == "" {
 		return
 	}
 	loaded := make(chan struct{})
-	go n.persistState(loaded, done)
-	patience := time.NewTimer(diskOpenTimeout)
-	defer patience.Stop()
-	for _, opened := range []<-chan struct{}{loaded, n.configStore.opened()} {
+	go a.persistState(loaded, done)
+	timeout := time.NewTimer(diskOpenTimeout)
+	defer timeout.Stop()
+	for _, opened := range []<-chan struct{}{loaded, a.configStore.opened()} {
 		select {
 		case <-opened:
-		case <-patience.C:
-			n.log.Warn().Msg("node: starting without the disk, which is not open yet")
+		case <-timeout.C:
+			a.log.Warn().Msg("agent: starting before the disk is open")
 			return
 		}
 	}
 }
 
-// deferredStore is the part of a machine with a disk. The disk is opened beside everything else, because it
-// may hang, be full or hold what can't be read: until it is open, the process serves as one without a disk
-// does.
+// deferredStore is the configStore of a machine with a disk. It opens the disk in the background, because
+// that may hang or fail: until the disk is open, the process serves like one without a disk.
 type deferredStore struct {
-	node    *Node
+	agent   *Agent
 	chain   atomic.Pointer[chainMember] // nil until the disk is open
 	ready   chan struct{}               // closed once it is
-	leaving atomic.Bool                 // this process is about to end
+	leaving atomic.Bool                 // this process is shutting down
 }
 
-func newDeferredStore(n *Node) *deferredStore {
-	return &deferredStore{node: n, ready: make(chan struct{})}
+func newDeferredStore(a *Agent) *deferredStore {
+	return &deferredStore{agent: a, ready: make(chan struct{})}
 }
 
 var _ configStore = (*deferredStore)(nil)
 
-// start opens the disk and takes part until done closes.
 func (d *deferredStore) start(done <-chan struct{}) { go d.run(done) }
 
 func (d *deferredStore) run(done <-chan struct{}) {
@@ -61,24 +59,24 @@
 	if member == nil {
 		return
 	}
-	d.node.announceSelf(func(self *directory.Record) { self.Member = member.identity })
+	d.agent.announceSelf(func(self *directory.Record) { self.Member = member.identity })
 	d.chain.Store(member)
-	if d.leaving.Load() { // it was told before there was a member to know
+	if d.leaving.Load() { // since before there was a member that could record it
 		member.leave()
 	}
 	member.start(done)
 	close(d.ready)
 }
 
-// open tries until the disk could be opened, and returns nil if the process ends before.
+// open retries until the disk is open. It returns nil if done closes before.
 func (d *deferredStore) open(done <-chan struct{}) *chainMember {
 	for {
-		member, err := openChainMember(d.node)
+		member, err := openChainMember(d.agent)
 		if err == nil {
 			return member
 		}
-		d.node.metrics.failedDiskOpens.Add(1)
-		d.node.log.Error().Err(err).Msg("chain: the disk can't be opened; tried again")
+		d.agent.metrics.failedDiskOpens.Add(1)
+		d.agent.log.Error().Err(err).Msg("chain: opening the disk failed; retrying")
 		select {
 		case <-done:
 			return nil
@@ -87,7 +85,7 @@
 	}
 }
 
-// store returns what takes part: until the disk is open, nothing does.
+// store returns the member once the disk is open.
 func (d *deferredStore) store() configStore {
 	if member := d.chain.Load(); member != nil {
 		return member
@@ -105,7 +103,7 @@
 
 func (d *deferredStore) read(timeout time.Duration) *peerproto.Result { return d.store().read(timeout) }
 
-func (d *deferredStore) receive(peer string, body []byte) { d.store().receive(peer, body) }
+func (d *deferredStore) receive(body []byte) { d.store().receive(body) }
 
 func (d *deferredStore) isMember() bool { return d.store().isMember() }
 
--- /dev/null
+++ b/internal/router/agent/load_report.go
@@ -0,0 +1,124 @@
+package agent
+
+import (
+	"time"
+
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/scheduler"
+	"cresshub/internal/router/transport"
+)
+
+// Proxies report to each other their in-flight load, so that each one knows the queues of the model servers
+// as they are now: a follower reports its own load to its hub, hubs report to each other the sum over
+// themselves and their followers, and each hub reports to its followers the load of all others. The same
+// messages carry which prefixes have been sent to servers and are now cached there.
+
+const (
+	// loadReportMinInterval is the least time between two reports.
+	loadReportMinInterval = 25 * time.Millisecond
+	// fullSyncInterval is how often a report names all servers, and not only those whose load has changed.
+	fullSyncInterval = 400 * time.Millisecond
+	// maxFullSyncServers bounds the servers of such a report of a hub; with more of them, it reports changes.
+	maxFullSyncServers = 64
+)
+
+// report reports the load of this process whenever it changes, and all of it in each fullSyncInterval, until
+// done closes.
+func (t *loadTable) report(done <-chan struct{}) {
+	a := t.agent
+	var lastFullSync time.Duration
+	for {
+		select {
+		case <-done:
+			return
+		case <-a.workload.InFlightChanged():
+		case <-time.After(loadReportMinInterval):
+		}
+		full := a.now()-lastFullSync > fullSyncInterval
+		changes := a.workload.InFlightChanges(full)
+		if full {
+			lastFullSync = a.now()
+		}
+		prefixes := encodePrefixes(a.workload.TakeNewPrefixes())
+		report := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prefixes}
+		if a.isHub() {
+			t.applyOwn(report)
+			t.distribute(full)
+		} else if full || len(changes) > 0 {
+			a.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
+		}
+		time.Sleep(loadReportMinInterval)
+	}
+}
+
+// sendToSource sends a frame to the hub that this process follows, where there is one.
+func (a *Agent) sendToSource(kind peerproto.Kind, body []byte) {
+	if source := a.source(); source != nil {
+		source.link.Send(kind, body)
+	}
+}
+
+// handleLoad hands a report of the source to the data plane.
+func (a *Agent) handleLoad(h *hub, frame peerproto.Frame) {
+	var report peerproto.LoadReport
+	if a.source() != h || peerproto.Decode(frame.Body, &report) != nil {
+		return
+	}
+	if report.FullIndex {
+		a.workload.SyncPrefixes(decodePrefixes(report.Prefixes))
+		return
+	}
+	a.workload.SetPeerLoad(decodeLoad(report.Servers), report.Full, decodePrefixes(report.Prefixes))
+}
+
+// sendPrefixIndex sends a new follower which prefixes are known to be cached where.
+func (a *Agent) sendPrefixIndex(c *transport.Conn) {
+	if !a.state.isSynced() {
+		return
+	}
+	report := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(a.workload.KnownPrefixes())}
+	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(report)})
+}
+
+func encodeLoad(changes []scheduler.InFlightLoad) []peerproto.ServerLoad {
+	servers := make([]peerproto.ServerLoad, len(changes))
+	for i, c := range changes {
+		servers[i] = peerproto.ServerLoad{Server: c.Server, PrefillMs: int(c.Prefill.Milliseconds()),
+			Calls: c.Calls}
+	}
+	return servers
+}
+
+func decodeLoad(servers []peerproto.ServerLoad) []scheduler.InFlightLoad {
+	changes := make([]scheduler.InFlightLoad, len(servers))
+	for i, s := range servers {
+		changes[i] = scheduler.InFlightLoad{Server: s.Server, Calls: s.Calls,
+			Prefill: time.Duration(s.PrefillMs) * time.Millisecond}
+	}
+	return changes
+}
+
+func encodePrefixes(index []scheduler.CachedPrefixes) []peerproto.ServerPrefixes {
+	encoded := make([]peerproto.ServerPrefixes, len(index))
+	for i, cached := range index {
+		encoded[i] = peerproto.ServerPrefixes{Server: cached.Server, Hashes: convertHashes[int64](cached.Hashes)}
+	}
+	return encoded
+}
+
+func decodePrefixes(encoded []peerproto.ServerPrefixes) []scheduler.CachedPrefixes {
+	index := make([]scheduler.CachedPrefixes, len(encoded))
+	for i, cached := range encoded {
+		index[i] = scheduler.CachedPrefixes{Server: cached.Server, Hashes: convertHashes[uint64](cached.Hashes)}
+	}
+	return index
+}
+
+// convertHashes converts hashes between their type and the one of the schema, which has no unsigned numbers.
+func convertHashes[To, From int64 | uint64](hashes []From) []To {
+	var converted []To
+	for _, hash := range hashes {
+		converted = append(converted, To(hash))
+	}
+	return converted
+}
--- /dev/null
+++ b/internal/router/agent/role_assigner.go
@@ -0,0 +1,216 @@
+package agent
+
+import (
+	"encoding/json"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cresshub/internal/http1"
+	"cresshub/internal/invariant"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/fleetconfig"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/roleplan"
+)
+
+const (
+	// roleAssignInterval is how often the roles of the model servers are planned.
+	roleAssignInterval = 300 * time.Millisecond
+	// confirmTimeout bounds the read that confirms that this process is still the head of the chain, and
+	// confirmValidity how long after the start of that read an order may be sent.
+	confirmTimeout  = 300 * time.Millisecond
+	confirmValidity = 500 * time.Millisecond
+	orderTimeout    = 700 * time.Millisecond
+	// orderExpiry is how long an order may be under way; later its server gets requests again.
+	orderExpiry = 9 * time.Second
+	// leaseMargin is added to the time in which orders of the previous head may still arrive.
+	leaseMargin = 700 * time.Millisecond
+
+	orderPath = "/api/order"
+	// expectServerHeader names the incarnation that a call is meant for; another one at its address answers 421.
+	expectServerHeader = "Cresshub-Expect-Server"
+)
+
+// roleAssigner orders model servers to take the prefill or the decode role (the pages call it a stage). This
+// is a singleton role of the head of the chain. The epoch of its view is the fencing token of its orders:
+// epochs rise, and each has one head. A new head waits until orders of the previous one can't arrive any
+// more, and each order follows a read through the chain, which confirms that this process is still the head.
+type roleAssigner struct {
+	agent  *Agent
+	member *chainMember
+
+	// State of the goroutine of run.
+	currentFence    uint64        // the fencing token, 0 while this process is not the head
+	ordersAllowedAt time.Duration // when the orders of the previous head can't arrive any more
+
+	// rejectedFence is a token that a server rejected, because it had received a higher one. No more orders are
+	// sent with it.
+	rejectedFence atomic.Uint64
+}
+
+// run assigns roles until done closes.
+func (r *roleAssigner) run(done <-chan struct{}) { runEvery(roleAssignInterval, done, r.assignRoles) }
+
+func (r *roleAssigner) assignRoles() {
+	config := r.agent.state.Config()
+	if !r.maySendOrders() || config == nil || r.agent.isShuttingDown() {
+		return
+	}
+	r.closeCompletedOrders()
+	for _, service := range config.Services {
+		if service.Engine != nil {
+			r.rebalance(service)
+		}
+	}
+}
+
+// maySendOrders updates the fencing token and tells whether orders may be sent with it now.
+func (r *roleAssigner) maySendOrders() bool {
+	fence, now := r.member.fence.Load(), r.agent.now()
+	switch {
+	case fence == 0:
+		r.currentFence = 0
+		return false
+	case r.currentFence == 0 && fence > 1: // the head of the first epoch has no predecessor
+		r.ordersAllowedAt = now + r.agent.settings.Bounds.Lease + leaseMargin
+	}
+	r.currentFence = fence
+	return now >= r.ordersAllowedAt && fence != r.rejectedFence.Load()
+}
+
+// closeCompletedOrders ends the records of orders that were carried out or whose servers are not live any
+// more.
+func (r *roleAssigner) closeCompletedOrders() {
+	now := r.agent.now()
+	r.agent.state.update(now, func(d *directory.Directory) {
+		for _, order := range d.Orders() {
+			server := d.Get(strings.TrimPrefix(order.ID, directory.OrderID("")))
+			if server == nil || !server.Live() || server.Role == order.Role {
+				d.Merge(now, asLost(order))
+			}
+		}
+	})
+}
+
+// rebalance plans the roles of the servers of a service and sends the orders that this takes.
+func (r *roleAssigner) rebalance(service *fleetconfig.Service) {
+	a := r.agent
+	servers, addresses := a.assignableServers(service.Name)
+	orders := roleplan.Plan(servers, a.demand.total(service.Name, a.now()))
+	if len(orders) == 0 {
+		return
+	}
+	confirmedAt := a.now()
+	if !r.confirmHead() {
+		return
+	}
+	r.announceOrders(service, orders)
+	var sending sync.WaitGroup
+	for _, order := range orders {
+		sending.Go(func() { r.sendOrder(order, addresses[order.Server], confirmedAt) })
+	}
+	sending.Wait()
+}
+
+// assignableServers returns the ready servers of a service that have a role, and their addresses by id. A
+// server under an order counts with the role that it is to take.
+func (a *Agent) assignableServers(service string) (servers []roleplan.Server, addresses map[string]string) {
+	addresses = map[string]string{}
+	a.state.read(func(d *directory.Directory) {
+		for _, record := range d.LiveServers() {
+			if record.Service != service || record.State != directory.Ready || record.Role == "" {
+				continue
+			}
+			server := roleplan.Server{ID: record.ID, Zone: record.Zone, Role: catalog.Role(record.Role),
+				Slots: record.Slots}
+			if d.ChangingRole(record) {
+				server.Changing, server.Role = true, catalog.Role(d.Get(directory.OrderID(record.ID)).Role)
+			}
+			servers = append(servers, server)
+			addresses[record.ID] = record.Address
+		}
+	})
+	return servers, addresses
+}
+
+// confirmHead confirms, by a read through the chain, that this process is still the head in the epoch of the
+// fencing token.
+func (r *roleAssigner) confirmHead() bool {
+	return r.agent.configStore.read(confirmTimeout).Outcome == peerproto.OutcomeAccepted &&
+		r.member.fence.Load() == r.currentFence
+}
+
+// announceOrders puts orders into the directory, so that proxies send their servers nothing new, and waits
+// for a majority to know, for confirmTimeout at most.
+func (r *roleAssigner) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
+	a := r.agent
+	now := a.now()
+	var offset uint64
+	a.state.update(now, func(d *directory.Directory) {
+		for _, order := range orders {
+			record := directory.Record{Kind: directory.KindOrder, ID: directory.OrderID(order.Server), Sequence: 1,
+				State: directory.Ready, Watcher: a.id, Service: service.Name, Role: string(order.Role)}
+			if earlier := d.Get(record.ID); earlier != nil {
+				record.Sequence = earlier.Sequence + 1
+			}
+			d.Merge(now, record)
+		}
+		offset = d.Offset()
+	})
+	a.awaitMajority(offset, confirmTimeout)
+}
+
+// orderBody is the body of a call that orders a server to take a role.
+type orderBody struct {
+	Order  string `json:"order"`
+	Stage  string `json:"stage"`
+	Holder string `json:"holder"`
+	Fence  uint64 `json:"fence"`
+}
+
+// sendOrder sends an order to its server, unless the confirmation that this process is the head is too old by
+// now.
+func (r *roleAssigner) sendOrder(order roleplan.Order, address string, confirmedAt time.Duration) {
+	a := r.agent
+	lastFence := a.metrics.lastOrderFence.Load()
+	invariant.Assert(r.currentFence > 0 && r.currentFence >= lastFence, invariant.FenceRises,
+		"an order under fence %d follows one under %d", r.currentFence, lastFence)
+	a.metrics.lastOrderFence.Store(r.currentFence)
+	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.member.identity, r.currentFence})
+	if err != nil || a.now()-confirmedAt > confirmValidity {
+		r.withdrawOrder(order)
+		return
+	}
+	status := 0
+	answer, err := a.callServer(address, &http1.Request{Method: "POST", Target: orderPath, Body: body,
+		Header: http1.Header{{Name: "Content-Type", Value: "application/json"},
+			{Name: expectServerHeader, Value: order.Server}}}, orderTimeout)
+	if err == nil {
+		status = answer.Status
+	}
+	a.metrics.countOrder(status)
+	a.log.Info().Err(err).Str("server", order.Server).Str("stage", string(order.Role)).Int("status", status).
+		Uint64("fence", r.currentFence).Msg("roles: order sent")
+	switch status {
+	case 412: // the server has received a higher fencing token
+		r.rejectedFence.Store(r.currentFence)
+		r.withdrawOrder(order)
+	case 400, 421:
+		r.withdrawOrder(order)
+	}
+}
+
+// withdrawOrder ends the record of an order that is not carried out, so that its server gets requests again.
+func (r *roleAssigner) withdrawOrder(order roleplan.Order) {
+	a := r.agent
+	now := a.now()
+	a.state.update(now, func(d *directory.Directory) {
+		announced := d.Get(directory.OrderID(order.Server))
+		if announced != nil && announced.Watcher == a.id {
+			d.Merge(now, asLost(announced))
+		}
+	})
+}
--- /dev/null
+++ b/internal/router/agent/shutdown.go
@@ -0,0 +1,54 @@
+package agent
+
+import (
+	"net"
+	"time"
+
+	"cresshub/internal/router/directory"
+)
+
+// shutdown drains the clients, hands off the replica of the configuration and announces the end, within the
+// grace period. It returns when the process may exit.
+func (a *Agent) shutdown(l *listeners) {
+	signalled, plan := time.Now(), planShutdown(a.settings.Bounds.Grace)
+	a.shuttingDown.Store(true)
+	a.log.Info().Msg("agent: shutting down")
+	if a.proxy != nil {
+		a.proxy.Drain()
+	}
+	go a.configStore.leave()
+	time.Sleep(plan.closeListener)
+	if l.front != nil {
+		l.front.Close()
+		a.proxy.Wait(signalled.Add(plan.abortRequests), signalled.Add(plan.finishAnswers))
+	}
+	a.awaitHandoff(signalled.Add(plan.finishAnswers))
+	a.announceShutdown(plan.notice)
+	for _, listener := range []net.Listener{l.peers, l.control, l.ready} {
+		if listener != nil {
+			listener.Close()
+		}
+	}
+	a.log.Info().Msg("agent: stopped")
+}
+
+// awaitHandoff waits until the others have all that this process has accepted of the configuration, which may
+// be one of the last replicas of what was acknowledged, or until a deadline.
+func (a *Agent) awaitHandoff(deadline time.Time) {
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
+	select {
+	case <-a.configStore.canStop():
+	case <-timer.C:
+		a.log.Warn().Msg("agent: shutting down without handing off the configuration in time")
+	}
+}
+
+// announceShutdown announces that this process has ended, and waits until a majority of the hubs knows it, or
+// for a timeout.
+func (a *Agent) announceShutdown(timeout time.Duration) {
+	a.announceSelf(func(self *directory.Record) { self.State = directory.Ended })
+	var offset uint64
+	a.state.read(func(d *directory.Directory) { offset = d.Offset() })
+	a.awaitMajority(offset, timeout)
+}
--- a/internal/router/cli/router.go
+++ b/internal/router/cli/router.go
@@ -64,13 +64,13 @@
 	log := zerolog.New(logOutput).Level(level)
 	logViolations(log)
 	options := append(agentOptions(settings), agent.WithMetricsPort(c.MetricsPort))
-	node, err := agent.New(settings, log, options...)
+	process, err := agent.New(settings, log, options...)
 	if err != nil {
 		return err
 	}
 	stop := make(chan struct{})
-	go handleSignals(node, o.signals, stop)
-	return node.Run(stop)
+	go handleSignals(process, o.signals, stop)
+	return process.Run(stop)
 }
 
 // maxViolationsPerSecond bounds the lines that are logged for violated invariants.
@@ -84,12 +84,11 @@
 	})
 }
 
-// handleSignals applies changed settings, on SIGHUP and by polling, until the first other signal; it then
-// closes stop and returns.
-func handleSignals(node *agent.Node, signals <-chan os.Signal, stop chan<- struct{}) {
+// handleSignals reloads settings that changed and closes stop at the first signal to end.
+func handleSignals(process *agent.Agent, signals <-chan os.Signal, stop chan<- struct{}) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	settings := newSettingsReloader(node.Reload, node.ReloadFailed)
+	settings := newSettingsReloader(process.Reload, process.ReloadFailed)
 	for {
 		select {
 		case received := <-signals:
