--- a/internal/cluster/lease/fence.go
+++ b/internal/cluster/lease/fence.go
@@ -6,13 +6,16 @@
 	"strconv"
 )
 
-// TokenHeader is the field of an HTTP call that carries a fencing token.
+// TokenHeader is the HTTP header that carries a fencing token.
 const TokenHeader = "X-Fencing-Token"
 
-// ParseToken reads a fencing token as a call carries it: a whole number above zero.
+// ErrNoToken is returned for a call without a fencing token.
+var ErrNoToken = errors.New("no fencing token")
+
+// ParseToken parses the value of TokenHeader: a decimal number above zero. It returns ErrNoToken for "".
 func ParseToken(text string) (uint64, error) {
 	if text == "" {
-		return 0, errors.New("no fencing token")
+		return 0, ErrNoToken
 	}
 	token, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || token == 0 {
@@ -21,14 +24,16 @@
 	return token, nil
 }
 
-// Fence is what a side effect's receiver keeps: the highest token seen.
-type Fence struct{ Highest uint64 }
+// Fence is the state of a receiver of side effects. Its zero value admits any token.
+type Fence struct {
+	Highest uint64 // token admitted so far
+}
 
-// Admit tells whether a side effect with that token may be done, and remembers the token. The error says why
-// not.
+// Admit records the token of a side effect, or returns an error if the side effect must not happen: a token
+// of 0 (ErrNoToken) or one lower than the highest.
 func (f *Fence) Admit(token uint64) error {
 	if token == 0 {
-		return errors.New("no fencing token")
+		return ErrNoToken
 	}
 	if token < f.Highest {
 		return fmt.Errorf("fencing token %d is older than %d, which was seen", token, f.Highest)
