--- /dev/null
+++ b/internal/cluster/leaseholder/exporter.go
@@ -0,0 +1,226 @@
+package leaseholder
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/lease"
+)
+
+// Exporter sends the ledger's periods to a billing sink while this member holds the lease: POST /entries with
+// a JSON array of Entry and the token in lease.TokenHeader.
+type Exporter struct {
+	Sink        string        // host:port
+	CallTimeout time.Duration // of one call
+	BatchSize   int           // maximum of entries in one call
+
+	runner         *Runner
+	client         http.Client
+	announcedToken uint64 // the sink has seen this token; only run's goroutine uses it
+
+	mu      sync.Mutex
+	lastRun time.Time // when the last run succeeded, zero for never
+	problem string    // error of the last run, "" if it succeeded
+}
+
+const (
+	// maxExportBackoff bounds the backoff after runs that failed.
+	maxExportBackoff = 2 * time.Second
+	// maxReplyBytes bounds what is read of the sink's reply.
+	maxReplyBytes = 64 << 10
+)
+
+func (e *Exporter) attach(r *Runner) {
+	e.runner = r
+	e.client = http.Client{
+		Transport: &http.Transport{MaxConnsPerHost: 1, IdleConnTimeout: 10 * time.Second,
+			MaxResponseHeaderBytes: 16 << 10, DisableCompression: true},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
+}
+
+// run exports until the runner is closed.
+func (e *Exporter) run() {
+	defer e.runner.wg.Done()
+	defer e.client.CloseIdleConnections()
+	interval := e.runner.checkInterval()
+	for delay := interval; ; {
+		select {
+		case <-e.runner.stopCh:
+			return
+		case <-time.After(delay):
+		}
+		token, _, ok := e.runner.ActiveLease()
+		if !ok {
+			delay = interval
+			continue
+		}
+		more, err := e.exportNext(token)
+		e.recordRun(err)
+		switch {
+		case err != nil && !lostLease(err):
+			delay = min(2*delay, maxExportBackoff)
+		case more && err == nil:
+			delay = 0
+		default:
+			delay = interval
+		}
+	}
+}
+
+// lostLease reports whether an error only says that this member doesn't hold the lease any more.
+func lostLease(err error) bool { return errors.Is(err, ErrNotOwner) || errors.Is(err, errStaleToken) }
+
+// recordRun keeps the outcome of a run for the page, and logs the first failure in a row.
+func (e *Exporter) recordRun(err error) {
+	if lostLease(err) {
+		return
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	previous := e.problem
+	e.problem = ""
+	if err == nil {
+		e.lastRun = time.Now()
+		return
+	}
+	e.problem = err.Error()
+	if previous == "" {
+		e.runner.opts.Log.Warn("owner: export failed, will be retried", "sink", e.Sink, "why", e.problem)
+	}
+}
+
+// exportNext takes the next step of the export under a token; more says that there may be another. The first
+// call under a token carries no entries: from then on the sink rejects what an earlier owner has in flight.
+func (e *Exporter) exportNext(token uint64) (more bool, err error) {
+	if err := e.announce(token); err != nil {
+		return false, err
+	}
+	var next groupstate.PendingExport
+	query := groupstate.Query{Kind: groupstate.QueryPendingExport}
+	if err := e.runner.query(e.CallTimeout, query, &next); err != nil {
+		return false, fmt.Errorf("the ledger could not be read: %w", err)
+	}
+	self := e.runner.opts.Name
+	if next.Grant.Token != token || next.Grant.Holder != self {
+		return false, ErrNotOwner
+	}
+	switch {
+	case next.Period > 0:
+		if err := e.sendPeriod(token, &next); err != nil {
+			return false, fmt.Errorf("period %d: %w", next.Period, err)
+		}
+		done := groupstate.ExportDone{Member: self, Token: token, Period: next.Period}
+		return true, e.runner.commit(token, done.Encode())
+	case next.Due > 0:
+		intent := groupstate.ExportIntent{Member: self, Token: token, Period: next.Due}
+		return true, e.runner.commit(token, intent.Encode())
+	case len(next.Corrections) > 0:
+		if err := e.sendAll(token, correctionEntries(next.Corrections)); err != nil {
+			return false, fmt.Errorf("corrections: %w", err)
+		}
+		sent := groupstate.CorrectionsSent{Member: self, Token: token,
+			UpTo: next.Corrections[len(next.Corrections)-1].Seq}
+		return true, e.runner.commit(token, sent.Encode())
+	}
+	return false, nil
+}
+
+// announce shows a token to the sink unless it has seen it.
+func (e *Exporter) announce(token uint64) error {
+	if e.announcedToken == token {
+		return nil
+	}
+	if err := e.send(token, nil); err != nil {
+		return err
+	}
+	e.announcedToken = token
+	return nil
+}
+
+// sendPeriod sends the period of the open intent, which may be an earlier owner's.
+func (e *Exporter) sendPeriod(token uint64, next *groupstate.PendingExport) error {
+	if next.IntentToken != token {
+		e.runner.updateStats(func(s *Stats) { s.Resumed++ })
+		e.runner.opts.Log.Info("owner: resuming the export of an earlier owner", "period", next.Period,
+			"intent", next.IntentToken, "token", token)
+	}
+	return e.sendAll(token, PeriodEntries(next.Period, next.Rows))
+}
+
+func (e *Exporter) sendAll(token uint64, entries []Entry) error {
+	for batch := range slices.Chunk(entries, e.BatchSize) {
+		if err := e.send(token, batch); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// send makes one call to the sink.
+func (e *Exporter) send(token uint64, entries []Entry) error {
+	if entries == nil {
+		entries = []Entry{} // encoded as [], not as null
+	}
+	body, err := json.Marshal(entries)
+	if err != nil {
+		return err
+	}
+	return e.runner.callFenced(token, e.CallTimeout, func(ctx context.Context) error {
+		status, reply, err := e.post(ctx, token, body)
+		if err != nil {
+			return err
+		}
+		return e.checkReply(status, reply, len(entries))
+	})
+}
+
+func (e *Exporter) post(ctx context.Context, token uint64, body []byte) (status int, reply []byte, err error) {
+	url := "http://" + e.Sink + "/entries"
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	if err != nil {
+		return 0, nil, err
+	}
+	req.Header.Set("Content-Type", "application/json")
+	req.Header.Set(lease.TokenHeader, strconv.FormatUint(token, 10))
+	resp, err := e.client.Do(req)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer resp.Body.Close()
+	reply, err = io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
+	return resp.StatusCode, reply, err
+}
+
+// checkReply checks the sink's reply to a call with that many entries, and counts them. It returns
+// errStaleToken if the sink has seen a newer token.
+func (e *Exporter) checkReply(status int, raw []byte, sent int) error {
+	switch status {
+	case http.StatusOK:
+	case http.StatusConflict:
+		return fmt.Errorf("%w: the sink says %.200q", errStaleToken, strings.TrimSpace(string(raw)))
+	default:
+		return fmt.Errorf("the sink answered %d: %.200q", status, strings.TrimSpace(string(raw)))
+	}
+	var reply SinkReply
+	err := json.Unmarshal(raw, &reply)
+	if err != nil || reply.Stored < 0 || reply.Duplicates < 0 || reply.Stored+reply.Duplicates != sent {
+		return fmt.Errorf("the sink's answer to %d entries makes no sense: %.200q", sent, raw)
+	}
+	e.runner.updateStats(func(s *Stats) {
+		s.Entries += int64(sent)
+		s.Duplicates += int64(reply.Duplicates)
+	})
+	return nil
+}
--- a/internal/cluster/leaseholder/faults.go
+++ b/internal/cluster/leaseholder/faults.go
@@ -6,19 +6,23 @@
 	"time"
 )
 
-// FileFaults reads from a file how calls go wrong, for tests and the laboratory: {"call_delay_ms": 50} has
-// the process stand between its look at the lease and each call, where a pause does the most harm; a file
-// beside it, with Standing behind its name, says that it does. A file that is not there, or does not decode,
-// does nothing.
+// Faults injects faults into calls, for tests and the laboratory.
+type Faults interface {
+	// BeforeCall runs between the check of the lease and the call, where a stall does the most harm.
+	BeforeCall()
+}
+
+// FileFaults stalls calls as a file says: {"call_delay_ms": 50}. While a call is stalled, a file beside it
+// with StalledSuffix behind its name says so. A file that is missing or doesn't decode stalls nothing.
 type FileFaults struct{ Path string }
 
-// StalledSuffix ends the name of the file that says that a call stands still.
+// StalledSuffix ends the name of the file that says that a call is stalled.
 const StalledSuffix = ".standing"
 
-// maxCallDelay is the longest that a call stands still.
+// maxCallDelay bounds how long a call is stalled.
 const maxCallDelay = 10 * time.Second
 
-// BeforeCall stands still as the file says.
+// BeforeCall stalls as the file says.
 func (f FileFaults) BeforeCall() {
 	raw, err := os.ReadFile(f.Path)
 	if err != nil {
@@ -30,6 +34,6 @@
 	if json.Unmarshal(raw, &spec) != nil || spec.DelayMS <= 0 {
 		return
 	}
-	os.WriteFile(f.Path+StalledSuffix, nil, 0o600)
+	_ = os.WriteFile(f.Path+StalledSuffix, nil, 0o600) // a test that misses the file fails by itself
 	time.Sleep(min(time.Duration(spec.DelayMS)*time.Millisecond, maxCallDelay))
 }
--- /dev/null
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -0,0 +1,218 @@
+package leaseholder
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"sync"
+	"testing"
+	"time"
+
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
+	"cresshub/internal/testbed/proxystandin"
+)
+
+// memoryStore is the replicated state in this process; members may be partitioned from it.
+type memoryStore struct {
+	mu          sync.Mutex
+	machine     *groupstate.Machine
+	index       uint64
+	partitioned map[string]bool
+}
+
+func newMemoryStore(t *testing.T) *memoryStore {
+	t.Helper()
+	m, err := groupstate.New(ledger.Settings{MaxPeriods: 100, DedupPeriods: 1, MaxIDs: 10, MaxTenants: 10,
+		MaxMembers: 10})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &memoryStore{machine: m, partitioned: map[string]bool{}}
+}
+
+func (s *memoryStore) apply(b []byte) json.RawMessage {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.index++
+	raw, _ := json.Marshal(s.machine.Apply(s.index, b))
+	return raw
+}
+
+// addPeriod counts n answers of two tenants and closes the period.
+func (s *memoryStore) addPeriod(n int64) {
+	s.mu.Lock()
+	p := s.machine.Ledger.OpenPeriod()
+	s.mu.Unlock()
+	b := &ledger.Batch{Member: "x", Incarnation: 1, Seq: p}
+	for _, tenant := range []string{"ramen-kita", "soup-curry-chuo"} {
+		b.Usage = append(b.Usage, ledger.KeyUsage{Key: ledger.Key{Tenant: tenant, Class: "zone-lookup",
+			Answer: "passed"}, Usage: ledger.Usage{Count: n, BytesIn: 2 * n, BytesOut: 3 * n}})
+	}
+	s.apply(b.Encode())
+	s.apply((&ledger.ClosePeriod{Period: p, AtMS: 1}).Encode())
+}
+
+func (s *memoryStore) view() groupstate.View {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.machine.View()
+}
+
+// setPartitioned cuts members off from the store, or connects them again.
+func (s *memoryStore) setPartitioned(on bool, members ...string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, name := range members {
+		s.partitioned[name] = on
+	}
+}
+
+// memberStore is the store as one member reaches it.
+type memberStore struct {
+	*memoryStore
+	name string
+}
+
+var errUnreachable = errors.New("cut off")
+
+func (s memberStore) unreachable() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.partitioned[s.name]
+}
+
+func (s memberStore) Propose(_ context.Context, b []byte) (json.RawMessage, error) {
+	if s.unreachable() {
+		return nil, errUnreachable
+	}
+	return s.apply(b), nil
+}
+
+func (s memberStore) Read(_ context.Context, q []byte) (json.RawMessage, error) {
+	v, ok := s.Peek(q)
+	if !ok {
+		return nil, errUnreachable
+	}
+	return json.Marshal(v)
+}
+
+func (s memberStore) Peek(q []byte) (any, bool) {
+	if s.unreachable() {
+		return nil, false
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	v, err := s.machine.Read(q)
+	return v, err == nil
+}
+
+// fakeSource is a member's endpoint list; its watch on discovery is alive while it is asked.
+type fakeSource struct {
+	mu    sync.Mutex
+	feed  Feed
+	index int64
+	raw   string   // the current list
+	taken []string // lists given to Replace
+}
+
+func (s *fakeSource) Feed(f Feed) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.feed = f
+}
+
+func (s *fakeSource) LastSeen() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.feed.FromOwner {
+		return time.Time{}
+	}
+	return time.Now()
+}
+
+func (s *fakeSource) Index() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.index
+}
+
+func (s *fakeSource) Export() ([]byte, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return []byte(s.raw), nil
+}
+
+func (s *fakeSource) Replace(raw []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.raw, s.taken = string(raw), append(s.taken, string(raw))
+	if err := json.Unmarshal(raw, &s.index); err != nil {
+		panic(err) // the lists of these tests are numbers
+	}
+}
+func (s *fakeSource) state() (feed Feed, taken []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.feed, s.taken
+}
+
+var testLease = lease.Settings{TTL: 200 * time.Millisecond, Drift: 0.05,
+	ElectionTimeout: 50 * time.Millisecond}
+
+// startRunner runs a member: with an Exporter if sink is set, with an EndpointSync if list is.
+func startRunner(t *testing.T, s *memoryStore, name, sink string, list *fakeSource) *Runner {
+	t.Helper()
+	opts := Options{Name: name, Lease: testLease, Store: memberStore{s, name}, Log: slog.New(slog.DiscardHandler)}
+	if sink != "" {
+		opts.Export = &Exporter{Sink: sink, CallTimeout: 100 * time.Millisecond, BatchSize: 1}
+	}
+	if list != nil {
+		opts.Endpoints = &EndpointSync{Source: list, MaxAge: 400 * time.Millisecond, Jitter: 50 * time.Millisecond,
+			PollInterval: 10 * time.Millisecond, WatchTimeout: time.Second}
+	}
+	r, err := New(opts)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Run()
+	t.Cleanup(r.Close)
+	return r
+}
+
+// eventually waits until check returns nil.
+func eventually(t *testing.T, what string, check func() error) {
+	t.Helper()
+	var err error
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
+		if err = check(); err == nil {
+			return
+		}
+	}
+	t.Fatalf("%s: %v", what, err)
+}
+
+func ownsLease(r *Runner) func() error {
+	return func() error {
+		if _, _, ok := r.ActiveLease(); !ok {
+			return errors.New("it does not own the lease")
+		}
+		return nil
+	}
+}
+
+// startExport returns a sink, a store, and a lease holder "a" that exports the store's ledger to the sink.
+func startExport(t *testing.T) (*proxystandin.Sink, *memoryStore, *Runner) {
+	t.Helper()
+	sink, err := proxystandin.StartSink("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(sink.Close)
+	s := newMemoryStore(t)
+	a := startRunner(t, s, "a", sink.Address(), nil)
+	eventually(t, "a owns", ownsLease(a))
+	return sink, s, a
+}
--- a/internal/cluster/leaseholder/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -6,46 +6,45 @@
 	"cresshub/internal/cluster/groupstate"
 )
 
-// Page is what /_owner shows.
+// Page is what /_owner shows. Its JSON names are those of the operators' page.
 type Page struct {
 	Self           string           `json:"self"`
-	Holder         string           `json:"holder"` // as this member knows; "" where nobody holds the lease
-	Token          uint64           `json:"token"`
-	Owns           bool             `json:"here"` // this member acts as the owner
+	Holder         string           `json:"holder"` // as far as this member knows; "" if nobody holds the lease
+	Token          uint64           `json:"token"`  // of the lease
+	Owns           bool             `json:"here"`   // this member holds the lease
 	LeaseRemaining int64            `json:"lease_left_ms"`
 	Roles          []RoleStatus     `json:"chores"`
 	Stats          Stats            `json:"figures"`
 	Endpoints      *EndpointStatus  `json:"list,omitempty"`
 	Store          *groupstate.View `json:"store,omitempty"`
-	Problem        string           `json:"problem,omitempty"` // why the store could not be read
+	Problem        string           `json:"problem,omitempty"` // why Store could not be read
 }
 
-// RoleStatus is how one chore goes, as its owner sees it.
+// RoleStatus is the state of one role, as its owner sees it.
 type RoleStatus struct {
-	Role    string `json:"chore"`
-	LastRun int64  `json:"last_run_ms"` // how long ago it last went through here, -1 for never
-	Backlog int    `json:"backlog"`     // periods and corrections that wait
+	Role    string `json:"chore"`       // roleExport or roleEndpoints
+	LastRun int64  `json:"last_run_ms"` // how long ago it last succeeded on this member, -1 for never
+	Backlog int    `json:"backlog"`     // periods and corrections that wait for their export
 	Problem string `json:"problem,omitempty"`
 }
 
-// EndpointStatus is where this member's list of servers comes from.
+// EndpointStatus says where this member's endpoint list comes from.
 type EndpointStatus struct {
-	FromOwner bool   `json:"held"` // from the owner, not from discovery
-	AgeMS     int64  `json:"age_ms"`
-	Version   uint64 `json:"version"`
+	FromOwner bool   `json:"held"`    // from the lease holder, not from discovery
+	AgeMS     int64  `json:"age_ms"`  // since this member observed the last publication
+	Version   uint64 `json:"version"` // groupstate.EndpointView.Version of that
 }
 
-// pageReadTimeout bounds the read for a page, which answers within a second.
-const pageReadTimeout = 700 * time.Millisecond
+// Names of the roles, as settings and pages have them.
+const (
+	roleExport    = "export"
+	roleEndpoints = "list"
+)
 
-func millisSince(t time.Time) int64 {
-	if t.IsZero() {
-		return -1
-	}
-	return time.Since(t).Milliseconds()
-}
+// pageReadTimeout bounds the read of the store; the page has to answer within a second.
+const pageReadTimeout = 700 * time.Millisecond
 
-// Page is how things stand. The store is read linearizably.
+// Page returns the state of the roles. It reads the store linearizably, which takes up to pageReadTimeout.
 func (r *Runner) Page() Page {
 	page := Page{Self: r.opts.Name, Roles: []RoleStatus{}}
 	var view groupstate.View
@@ -57,34 +56,51 @@
 	r.mu.Lock()
 	now := r.now()
 	grant := r.candidate.Grant()
-	page.Owns, page.LeaseRemaining, page.Stats = r.candidate.Owns(now),
-		r.candidate.Remaining(now).Milliseconds(), r.stats
+	page.Owns = r.candidate.Owns(now)
+	page.LeaseRemaining = r.candidate.Remaining(now).Milliseconds()
+	page.Stats = r.stats
 	r.mu.Unlock()
-	// The store was read before: this member may have learned of a newer grant, or taken the lease, since.
+	// Since the store was read, this member may have observed a newer grant or acquired the lease.
 	if page.Store != nil && view.Grant.Token > grant.Token {
 		grant = view.Grant
 	}
 	page.Holder, page.Token = grant.Holder, grant.Token
-	// What stood in the way of a chore is its owner's to say: one that was its owner once does not know.
-	ownProblem := func(problem string) string {
-		if page.Owns {
-			return problem
-		}
-		return ""
-	}
-	if exporter := r.opts.Export; exporter != nil {
-		exporter.mu.Lock()
-		page.Roles = append(page.Roles, RoleStatus{"export", millisSince(exporter.lastRun),
-			view.Backlog + view.PendingCorrections, ownProblem(exporter.problem)})
-		exporter.mu.Unlock()
+	if e := r.opts.Export; e != nil {
+		status := e.status()
+		status.Backlog = view.Backlog + view.PendingCorrections
+		page.Roles = append(page.Roles, status)
 	}
 	if s := r.opts.Endpoints; s != nil {
-		s.mu.Lock()
-		page.Roles = append(page.Roles, RoleStatus{Role: "list", LastRun: millisSince(s.lastRun),
-			Problem: ownProblem(s.problem)})
-		page.Endpoints = &EndpointStatus{s.feed.FromOwner, s.follower.Age(r.now()).Milliseconds(),
-			s.follower.Version()}
-		s.mu.Unlock()
+		role, endpoints := s.status()
+		page.Roles = append(page.Roles, role)
+		page.Endpoints = &endpoints
+	}
+	if !page.Owns { // a problem from when this member was the owner may be over
+		for i := range page.Roles {
+			page.Roles[i].Problem = ""
+		}
 	}
 	return page
 }
+
+func (e *Exporter) status() RoleStatus {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return RoleStatus{Role: roleExport, LastRun: millisSince(e.lastRun), Problem: e.problem}
+}
+
+func (s *EndpointSync) status() (RoleStatus, EndpointStatus) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	role := RoleStatus{Role: roleEndpoints, LastRun: millisSince(s.lastRun), Problem: s.problem}
+	age := s.follower.Age(s.runner.now())
+	return role, EndpointStatus{s.feed.FromOwner, age.Milliseconds(), s.follower.Version()}
+}
+
+// millisSince returns how long ago t was in ms, -1 for the zero time.
+func millisSince(t time.Time) int64 {
+	if t.IsZero() {
+		return -1
+	}
+	return time.Since(t).Milliseconds()
+}
--- /dev/null
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -0,0 +1,162 @@
+package leaseholder
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/ledger"
+	"cresshub/internal/testbed/proxystandin"
+)
+
+// The next owner resumes an export with the same bytes; corrections of a period that was sent are sent on their
+// own; and a process releases the lease at its end.
+func TestNextOwnerResumesTheExport(t *testing.T) {
+	sink, s, a := startExport(t)
+	s.addPeriod(5)
+	eventually(t, "period 1", func() error { return exported(s, 1) })
+	sink.Trouble(proxystandin.SinkTrouble{Reset: true}) // the sink stores and a does not hear of it
+	s.addPeriod(7)
+	eventually(t, "period 2 begun", func() error {
+		if len(sink.Entries()) < 3 {
+			return fmt.Errorf("%d entries", len(sink.Entries()))
+		}
+		return nil
+	})
+	s.apply((&ledger.Correction{ID: "late", Period: 2, Key: ledger.Key{Tenant: "ramen-kita",
+		Class: "zone-lookup", Answer: "passed"}, Usage: ledger.Usage{Count: -1}, Reason: "asked for"}).Encode())
+	a.Close()
+	if v := s.view(); v.Grant.Holder != "" || v.Sending != 2 {
+		t.Fatalf("after its end %+v", v)
+	}
+	sink.Trouble(proxystandin.SinkTrouble{})
+	b := startRunner(t, s, "b", sink.Address(), nil)
+	eventually(t, "period 2", func() error { return exported(s, 2) })
+	eventually(t, "the correction", func() error {
+		if _, ok := sink.Entries()["2/correction/late"]; !ok || s.view().PendingCorrections > 0 {
+			return fmt.Errorf("%+v", s.view())
+		}
+		return nil
+	})
+	e := sink.Entries()["2/ramen-kita"]
+	if len(e.Lines) != 1 || e.Lines[0].N != 7 || e.Lines[0].In != 14 || len(sink.Entries()) != 5 {
+		t.Errorf("%+v of %d", e, len(sink.Entries()))
+	}
+	if _, _, err := sink.Audit(); err != nil {
+		t.Error(err)
+	}
+	if p := b.Page(); p.Stats.Resumed == 0 || p.Stats.Duplicates == 0 || p.Holder != "b" || !p.Owns {
+		t.Errorf("%+v", p)
+	}
+}
+
+func exported(s *memoryStore, period uint64) error {
+	if v := s.view(); v.Exported < period {
+		return fmt.Errorf("%+v", v)
+	}
+	return nil
+}
+
+// A lease holder that is partitioned from the store stops before its lease has ended: it makes no more calls,
+// and its commands are rejected as stale.
+func TestPartitionedOwnerStopsByItself(t *testing.T) {
+	sink, s, a := startExport(t)
+	old, _, _ := a.ActiveLease()
+	b := startRunner(t, s, "b", sink.Address(), nil)
+	s.setPartitioned(true, "a")
+	eventually(t, "b owns", ownsLease(b))
+	if _, _, ok := a.ActiveLease(); ok {
+		t.Error("two own the lease")
+	}
+	s.addPeriod(1)
+	eventually(t, "b exports", func() error { return exported(s, 1) })
+	if err := a.opts.Export.send(old, nil); !errors.Is(err, ErrNotOwner) {
+		t.Errorf("a sends: %v", err)
+	}
+	if r := string(s.apply((&groupstate.ExportDone{Member: "a", Token: old, Period: 1}).Encode())); r == "" ||
+		s.view().Stats.Stale != 1 {
+		t.Errorf("a's command: %s", r)
+	}
+}
+
+func TestSinkReplies(t *testing.T) {
+	_, _, a := startExport(t)
+	for name, c := range map[string]struct {
+		status int
+		body   string
+		sent   int
+		stale  bool
+		fails  bool
+	}{
+		"stored and duplicates":   {200, `{"stored":1,"repeated":2}`, 3, false, false},
+		"no entries":              {200, `{"stored":0,"repeated":0}`, 0, false, false},
+		"fewer entries than sent": {200, `{"stored":1,"repeated":1}`, 3, false, true},
+		"a negative number":       {200, `{"stored":4,"repeated":-1}`, 3, false, true},
+		"no JSON":                 {200, `stored`, 0, false, true},
+		"a redirect":              {302, ``, 0, false, true},
+		"a stale token":           {409, "fencing token 1 is older than 2", 0, true, true},
+		"an error of the sink":    {500, "oh", 0, false, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			err := a.opts.Export.checkReply(c.status, []byte(c.body), c.sent)
+			if (err != nil) != c.fails || errors.Is(err, errStaleToken) != c.stale {
+				t.Errorf("%d %s: %v", c.status, c.body, err)
+			}
+		})
+	}
+}
+
+// The lease holder's list reaches the others, who do not ask discovery; without a lease holder they ask, and
+// follow again once there is one.
+func TestMembersFollowTheOwnersEndpointList(t *testing.T) {
+	s := newMemoryStore(t)
+	one, two := &fakeSource{index: 1, raw: "1"}, &fakeSource{}
+	a := startRunner(t, s, "a", "", one)
+	eventually(t, "a owns", ownsLease(a))
+	b := startRunner(t, s, "b", "", two)
+	eventually(t, "b has the list", func() error {
+		if f, taken := two.state(); !f.FromOwner || len(taken) != 1 || taken[0] != "1" {
+			return fmt.Errorf("%+v %v", f, taken)
+		}
+		return nil
+	})
+	if f, _ := one.state(); f.FromOwner || f.Token == 0 {
+		t.Errorf("the owner is fed by %+v", f)
+	}
+	one.Replace([]byte("2"))
+	eventually(t, "a change", func() error {
+		if _, taken := two.state(); taken[len(taken)-1] != "2" {
+			return fmt.Errorf("%v", taken)
+		}
+		return nil
+	})
+	s.setPartitioned(true, "a", "b")
+	for _, m := range []*fakeSource{one, two} {
+		eventually(t, "without an owner each asks", func() error {
+			if f, _ := m.state(); f != (Feed{}) {
+				return fmt.Errorf("%+v", f)
+			}
+			return nil
+		})
+	}
+	two.Replace([]byte("3")) // b heard of a change by itself: a list from before is not taken
+	s.setPartitioned(false, "a")
+	eventually(t, "a owns again", ownsLease(a))
+	s.setPartitioned(false, "b")
+	time.Sleep(100 * time.Millisecond)
+	if f, taken := two.state(); f.FromOwner || taken[len(taken)-1] != "3" {
+		t.Errorf("b, ahead of the owner, is fed by %+v and taken %v", f, taken)
+	}
+	one.Replace([]byte("4"))
+	eventually(t, "b follows again", func() error {
+		if f, taken := two.state(); !f.FromOwner || taken[len(taken)-1] != "4" {
+			return fmt.Errorf("%+v %v", f, taken)
+		}
+		return nil
+	})
+	if p := b.Page(); p.Endpoints == nil || !p.Endpoints.FromOwner || p.Owns {
+		t.Errorf("%+v", p)
+	}
+}
