--- a/internal/cluster/lease/candidate.go
+++ b/internal/cluster/lease/candidate.go
@@ -6,8 +6,8 @@
 )
 
 // Candidate is one member's side of the lease of one role. It proposes commands (NextProposal, Resign), is
-// given their results (HandleResult, HandleNoResult) and what the log says (Observe), and answers whether this
-// member owns the role (Owns). At most one command is in flight.
+// given their results (HandleResult, HandleNoResult) and what the log says (Observe), and answers whether
+// this member owns the role (Owns). At most one command is in flight.
 type Candidate struct {
 	settings Settings
 	name     string
@@ -51,9 +51,9 @@
 	c.grant, c.grantSince, c.observed = grant, now, true
 }
 
-// NextProposal returns the command that this member should propose now, false if there is none. A lease holder
-// renews once a third of its lease has passed, and retries until the renewal is granted or the lease has
-// ended. Another member acquires a role that is free or whose lease was not renewed for long enough. The
+// NextProposal returns the command that this member should propose now, false if there is none. A lease
+// holder renews once a third of its lease has passed, and retries until the renewal is granted or the lease
+// has ended. Another member acquires a role that is free or whose lease was not renewed for long enough. The
 // command counts as proposed at now; HandleResult or HandleNoResult has to follow before the next one.
 func (c *Candidate) NextProposal(now time.Duration) (Command, bool) {
 	if !c.observed || c.inFlight != nil {
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -3,8 +3,8 @@
 // (Kleppmann, "How to do distributed locking", 2016; Chubby calls it a sequencer).
 //
 // The package is pure: no I/O, clock or goroutines, and no locks; callers serialize their calls. Time is the
-// caller's monotonic clock as a duration since some start of its own. Clocks of different members may drift by
-// Settings.Drift each way and are never compared.
+// caller's monotonic clock as a duration since some start of its own. Clocks of different members may drift
+// by Settings.Drift each way and are never compared.
 //
 // It has two sides. Table is the state machine of the log: it applies Acquire, Renew and Release in the order
 // of the log, without a clock, each only if it names the current grant (compare and set). Candidate is the
--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -161,7 +161,8 @@
 }
 
 // readPublished reads the published list from this member's replica or, if it has none, from the group. The
-// bytes of the list are set only if it has changed since the last one applied. A zero view: none could be read.
+// bytes of the list are set only if it has changed since the last one applied. A zero view: none could be
+// read.
 func (s *EndpointSync) readPublished() (view groupstate.EndpointView) {
 	query := groupstate.Query{Kind: groupstate.QueryEndpoints, After: s.appliedVersion}
 	if value, ok := s.runner.opts.Store.Peek(query.Encode()); ok {
--- a/internal/cluster/leaseholder/entries.go
+++ b/internal/cluster/leaseholder/entries.go
@@ -30,8 +30,8 @@
 	Duplicates int `json:"repeated"`
 }
 
-// PeriodEntries returns the entries of a period, one for each tenant, with corrections added in. The rows have
-// to be sorted by tenant, as package ledger returns them.
+// PeriodEntries returns the entries of a period, one for each tenant, with corrections added in. The rows
+// have to be sorted by tenant, as package ledger returns them.
 func PeriodEntries(period uint64, rows []ledger.Row) []Entry {
 	var entries []Entry
 	for _, row := range rows {
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -186,7 +186,8 @@
 	})
 }
 
-func (e *Exporter) post(ctx context.Context, token uint64, body []byte) (status int, reply []byte, err error) {
+// post returns the status and the body of the sink's reply.
+func (e *Exporter) post(ctx context.Context, token uint64, body []byte) (int, []byte, error) {
 	url := "http://" + e.Sink + "/entries"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -199,7 +200,7 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	reply, err = io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
+	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	return resp.StatusCode, reply, err
 }
 
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -165,7 +165,8 @@
 // startRunner runs a member: with an Exporter if sink is set, with an EndpointSync if list is.
 func startRunner(t *testing.T, s *memoryStore, name, sink string, list *fakeSource) *Runner {
 	t.Helper()
-	opts := Options{Name: name, Lease: testLease, Store: memberStore{s, name}, Log: slog.New(slog.DiscardHandler)}
+	opts := Options{Name: name, Lease: testLease, Store: memberStore{s, name},
+		Log: slog.New(slog.DiscardHandler)}
 	if sink != "" {
 		opts.Export = &Exporter{Sink: sink, CallTimeout: 100 * time.Millisecond, BatchSize: 1}
 	}
@@ -186,7 +187,8 @@
 func eventually(t *testing.T, what string, check func() error) {
 	t.Helper()
 	var err error
-	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
+	deadline := time.Now().Add(10 * time.Second)
+	for ; time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if err = check(); err == nil {
 			return
 		}
--- a/internal/cluster/leaseholder/runner.go
+++ b/internal/cluster/leaseholder/runner.go
@@ -1,8 +1,8 @@
-// Package leaseholder runs the fleet's singleton roles on the one member that holds their lease: the export of
-// the usage ledger to a billing sink (Exporter), and the watch on discovery whose endpoint list all members use
-// (EndpointSync). Package lease decides who holds the lease; package groupstate is what the roles leave in the
-// replicated log. This package makes the calls, each with a timeout that ends no later than the lease, and
-// each with the lease's fencing token.
+// Package leaseholder runs the fleet's singleton roles on the one member that holds their lease: the export
+// of the usage ledger to a billing sink (Exporter), and the watch on discovery whose endpoint list all
+// members use (EndpointSync). Package lease decides who holds the lease; package groupstate is what the roles
+// leave in the replicated log. This package makes the calls, each with a timeout that ends no later than the
+// lease, and each with the lease's fencing token.
 //
 // Only members that hold a replica of the Raft group compete for the lease, three or five of them: what they
 // need to know is in their own replica of the log.
@@ -233,8 +233,8 @@
 	}
 }
 
-// resign gives up the lease at once and releases it in the log, so that another member need not wait for it to
-// expire.
+// resign gives up the lease at once and releases it in the log, so that another member need not wait for it
+// to expire.
 func (r *Runner) resign(reason string) {
 	r.mu.Lock()
 	cmd, ok := r.candidate.Resign()
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -11,8 +11,8 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// The next owner resumes an export with the same bytes; corrections of a period that was sent are sent on their
-// own; and a process releases the lease at its end.
+// The next owner resumes an export with the same bytes; corrections of a period that was sent are sent on
+// their own; and a process releases the lease at its end.
 func TestNextOwnerResumesTheExport(t *testing.T) {
 	sink, s, a := startExport(t)
 	s.addPeriod(5)
