--- /dev/null
+++ b/internal/cluster/ledger/golden_test.go
@@ -0,0 +1,88 @@
+package ledger
+
+import (
+	"reflect"
+	"testing"
+)
+
+var (
+	goldenKey   = Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
+	goldenOther = Key{Tenant: "soup-curry-chuo", Class: "zone-watch", Answer: "dropped"}
+	goldenRow   = Row{Key: goldenKey, Usage: Usage{Count: 31, BytesIn: 32, BytesOut: 33},
+		Corrections: Usage{Count: -34, BytesIn: -35, BytesOut: -36}}
+	goldenFigures = Stats{Batches: 41, Duplicates: 42, StaleIncarnations: 43, Gaps: 44, Answers: 45, Late: 46,
+		ForgottenIDs: 47,
+		Rejected:     48}
+)
+
+func goldenCorrection() *Correction {
+	return &Correction{ID: "fix-1", Period: 7, Key: goldenKey, Usage: Usage{Count: -2, BytesIn: -300,
+		BytesOut: -70_000},
+		Reason: "counted twice"}
+}
+
+// Structs stand in the log as arrays, in the order of their fields: each field's value is its own, so that
+// two that change places show.
+func TestGoldenEntriesAreReadAndWrittenByteForByte(t *testing.T) {
+	batch := &Batch{Member: "odori-1", Incarnation: 1_790_000_000_123, Seq: 5, Usage: []KeyUsage{
+		{Key: goldenKey, Usage: Usage{Count: 11, BytesIn: 1200, BytesOut: 130_000}, IDs: []uint64{1, 1 << 40,
+			1<<64 - 1},
+			BytesInByID: []int64{14, 15, 16}, BytesOutByID: []int64{17, 18, 190_000}},
+		{Key: goldenOther, Usage: Usage{Count: 21, BytesIn: 22, BytesOut: 23}, IDs: []uint64{24},
+			BytesInByID:  []int64{25},
+			BytesOutByID: []int64{26}}}}
+	goldenSet(t, "batch", reflect.ValueOf(batch))
+	got, err := DecodeBatch(goldenFile(t, "batch.bin", batch.Encode()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "batch.bin", got, batch)
+
+	fix := goldenCorrection()
+	goldenSet(t, "correction", reflect.ValueOf(fix))
+	c, ok := DecodeCorrection(goldenFile(t, "correction.bin", fix.Encode()))
+	if !ok {
+		t.Error("the correction does not decode")
+	}
+	goldenSame(t, "correction.bin", &c, fix)
+
+	end := &ClosePeriod{Period: 7, AtMS: 1_790_000_000_456}
+	held := goldenFile(t, "close.bin", end.Encode())
+	l := newLedger(t)
+	l.periods = []*period{newPeriod(7)}
+	goldenSame(t, "close.bin", l.Apply(9, held), Result{Status: StatusClosed, Index: 9, Period: 7})
+	goldenSame(t, "close.bin", l.periods[0].closedMS, end.AtMS)
+}
+
+func TestGoldenSnapshotIsReadAndWrittenByteForByte(t *testing.T) {
+	want := newLedger(t)
+	want.appliedIndex, want.stats, want.idCount = 77, goldenFigures, 5
+	want.members = map[string]*member{"odori-1": {51, 52, 53}, "susukino-2": {54, 55, 56}}
+	closed := &period{id: 6, closedMS: 1_790_000_000_456, closedAtIndex: 61,
+		usage:         map[Key]*Usage{goldenKey: {62, 63, 64}, goldenOther: {65, 66, 67}},
+		corrections:   map[Key]*Usage{goldenKey: {-62, -63, -64}},
+		correctionIDs: map[string]bool{"fix-1": true, "fix-2": true},
+		ids:           map[uint64]bool{1<<64 - 2: true, 3: true}, idOrder: []uint64{1<<64 - 2, 3},
+		tenants: map[string]bool{"ramen-kita": true, "soup-curry-chuo": true}}
+	opened := &period{id: 7, usage: map[Key]*Usage{goldenOther: {71, 72, 73}},
+		corrections: map[Key]*Usage{goldenOther: {74, 75, 76}}, correctionIDs: map[string]bool{"fix-3": true},
+		ids: map[uint64]bool{9: true, 8: true, 7: true}, idOrder: []uint64{9, 8, 7},
+		tenants: map[string]bool{OtherTenants: true}}
+	want.periods = []*period{closed, opened}
+	got := newLedger(t)
+	if err := got.Restore(goldenFile(t, "snapshot.bin", want.Snapshot())); err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "snapshot.bin", got, want)
+	goldenFile(t, "snapshot.bin", got.Snapshot())
+}
+
+func TestGoldenAnswersAndQueriesAreReadAndWrittenByteForByte(t *testing.T) {
+	goldenJSON(t, "view.json", View{Index: 1, OpenPeriod: 2, Periods: []PeriodView{{ID: 3, ClosedMS: 4,
+		Rows: []Row{goldenRow}}}, Stats: goldenFigures, IDs: 5})
+	goldenJSON(t, "query.json", Query{Tenant: "ramen-kita", Period: 7})
+	goldenJSON(t, "result.json", Result{Status: StatusCounted, Index: 8, Period: 9})
+	goldenJSON(t, "correction.json", *goldenCorrection())
+	goldenJSON(t, "statuses.json", []string{StatusCounted, StatusDuplicate, StatusStaleIncarnation,
+		StatusClosed, StatusCorrected, StatusRejected, OtherTenants})
+}
