--- /dev/null
+++ b/internal/cluster/groupstate/endpoints.go
@@ -0,0 +1,40 @@
+package groupstate
+
+import "encoding/json"
+
+// maxEndpointListBytes bounds a published endpoint list.
+const maxEndpointListBytes = 8 << 20
+
+// endpointState is the endpoint list as it was last published.
+type endpointState struct {
+	Token, Version, Changed uint64 // Version and Changed as in EndpointView
+	Index                   int64
+	Raw                     []byte
+}
+
+func (m *Machine) applyEndpointList(cmd *EndpointList) Result {
+	if !m.owns(cmd.Member, cmd.Token) {
+		return m.rejectStale(cmd.Member, cmd.Token)
+	}
+	current := &m.state.Endpoints
+	switch {
+	case len(cmd.Raw) > maxEndpointListBytes:
+		return m.reject("a list of %d bytes, %d at most", len(cmd.Raw), maxEndpointListBytes)
+	case len(cmd.Raw) > 0 && !json.Valid(cmd.Raw):
+		return m.reject("the list is no JSON")
+	case len(cmd.Raw) == 0 && (current.Token != cmd.Token || current.Index != cmd.Index):
+		return m.reject("the list is said to be as it was, and it is another owner's")
+	}
+	current.Version, current.Token, current.Index = m.appliedIndex, cmd.Token, cmd.Index
+	if len(cmd.Raw) > 0 {
+		current.Changed, current.Raw = m.appliedIndex, cmd.Raw
+	}
+	m.state.Stats.EndpointLists++
+	return accepted
+}
+
+// endpointView returns the published list without its bytes.
+func (m *Machine) endpointView() EndpointView {
+	e := &m.state.Endpoints
+	return EndpointView{Version: e.Version, Changed: e.Changed, Token: e.Token, Index: e.Index}
+}
--- /dev/null
+++ b/internal/cluster/groupstate/endpoints_test.go
@@ -0,0 +1,50 @@
+package groupstate
+
+import "testing"
+
+func TestEndpointList(t *testing.T) {
+	l := newLog(t)
+	a := l.acquire("a")
+	publish := func(member string, token uint64, index int64, raw string) string {
+		return l.status((&EndpointList{Member: member, Token: token, Index: index, Raw: []byte(raw)}).Encode())
+	}
+	for _, c := range []struct { // in this order
+		name   string
+		member string
+		token  uint64
+		index  int64
+		raw    string
+		want   string
+	}{
+		{"confirms a list that was never published", "a", a, 1, "", StatusRejected},
+		{"publishes", "a", a, 1, `{"one":1}`, StatusAccepted},
+		{"confirms", "a", a, 1, "", StatusAccepted},
+		{"no JSON", "a", a, 2, `{"cut`, StatusRejected},
+		{"confirms a list of another index", "a", a, 2, "", StatusRejected},
+		{"another member", "b", a, 2, `{"two":2}`, StatusStale},
+		{"too large", "a", a, 2, string(make([]byte, maxEndpointListBytes+1)), StatusRejected},
+		{"publishes a change", "a", a, 3, `{"three":3}`, StatusAccepted},
+	} {
+		if got := publish(c.member, c.token, c.index, c.raw); got != c.want {
+			t.Errorf("%s: %s, not %s", c.name, got, c.want)
+		}
+	}
+	read := func(after uint64) EndpointView {
+		v, err := l.machine.Read(Query{Kind: QueryEndpoints, After: after}.Encode())
+		if err != nil {
+			t.Fatal(err)
+		}
+		return v.(EndpointView)
+	}
+	v := read(0)
+	if string(v.Raw) != `{"three":3}` || v.Index != 3 || len(read(v.Changed).Raw) != 0 {
+		t.Errorf("%+v", v)
+	}
+	publish("a", a, 3, "")
+	if again := read(v.Changed); again.Version <= v.Version || again.Changed != v.Changed {
+		t.Errorf("confirmed: %+v after %+v", again, v)
+	}
+	if _, err := l.machine.Read([]byte(`{"ask":"what"}`)); err == nil {
+		t.Error("an unknown question was answered")
+	}
+}
--- /dev/null
+++ b/internal/cluster/groupstate/export_test.go
@@ -0,0 +1,93 @@
+package groupstate
+
+import (
+	"testing"
+
+	"cresshub/internal/cluster/ledger"
+)
+
+// What each command of the export does, and that it is rejected under a token that isn't that of the grant.
+func TestExportCommands(t *testing.T) {
+	l := newLog(t)
+	l.addPeriod(5)
+	a := l.acquire("a")
+	intent := func(member string, token, p uint64) []byte {
+		return (&ExportIntent{Member: member, Token: token, Period: p}).Encode()
+	}
+	done := func(member string, token, p uint64) []byte {
+		return (&ExportDone{Member: member, Token: token, Period: p}).Encode()
+	}
+	if s := l.pendingExport(); s.Due != 1 || s.Period != 0 {
+		t.Fatalf("%+v", s)
+	}
+	check := func(what string, got, want string) {
+		t.Helper()
+		if got != want {
+			t.Errorf("%s: %s, not %s", what, got, want)
+		}
+	}
+	check("a period that does not exist", l.status(intent("a", a, 9)), StatusRejected)
+	check("no period", l.status(intent("a", a, 0)), StatusRejected)
+	check("the open period", l.status(intent("a", a, 2)), StatusRejected)
+	check("another's token", l.status(intent("b", a, 1)), StatusStale)
+	check("no token", l.status(intent("a", 0, 1)), StatusStale)
+	check("a token of the future", l.status(intent("a", a+1, 1)), StatusStale)
+	check("done before begun", l.status(done("a", a, 1)), StatusRejected)
+	check("the next period", l.status(intent("a", a, 1)), StatusAccepted)
+	check("the same again", l.status(intent("a", a, 1)), StatusAccepted)
+	// A correction that comes now is not part of what is sent.
+	fix := &ledger.Correction{ID: "x", Period: 1, Key: ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup",
+		Answer: "passed"}, Usage: ledger.Usage{Count: -1}, Reason: "asked for"}
+	if r := l.apply(fix.Encode()).(ledger.Result); r.Status != ledger.StatusCorrected {
+		t.Fatalf("%+v", r)
+	}
+	l.apply(fix.Encode()) // the same id counts once
+	b := l.acquire("b")
+	check("the old owner is done", l.status(done("a", a, 1)), StatusStale)
+	if s := l.pendingExport(); s.Period != 1 || s.IntentToken != a || len(s.Rows) != 1 || s.Rows[0].Count != 5 ||
+		s.Rows[0].Corrections.Count != 0 || len(s.Corrections) != 1 {
+		t.Errorf("what the next owner sends is %+v", s)
+	}
+	l.addPeriod(7)
+	check("a second intent", l.status(intent("b", b, 2)), StatusRejected)
+	check("the next owner is done", l.status(done("b", b, 1)), StatusAccepted)
+	check("and again", l.status(done("b", b, 1)), StatusAccepted)
+	check("corrections that are not", l.status((&CorrectionsSent{"b", b, 2}).Encode()), StatusRejected)
+	check("corrections by the old owner", l.status((&CorrectionsSent{"a", a, 1}).Encode()), StatusStale)
+	check("corrections", l.status((&CorrectionsSent{"b", b, 1}).Encode()), StatusAccepted)
+	if s := l.pendingExport(); s.Due != 2 || len(s.Corrections) != 0 {
+		t.Errorf("%+v", s)
+	}
+	check("garbage", l.status([]byte{'I', 0xc1}), StatusRejected)
+	v := l.machine.View()
+	if v.Exported != 1 || v.Backlog != 1 || v.Stats.Periods != 1 || v.Stats.Corrections != 1 ||
+		v.Stats.Stale != 5 || v.Stats.Rejected != 7 || v.Stats.Grants != 2 {
+		t.Errorf("%+v", v)
+	}
+}
+
+// A period that was not exported is retained beyond the bound on periods once exports have begun.
+func TestPeriodsWaitForTheirExport(t *testing.T) {
+	l := newLog(t)
+	for range 10 {
+		l.addPeriod(1)
+	}
+	if first := l.machine.Ledger.FirstPeriod(); first != 8 {
+		t.Errorf("without an export the oldest is %d", first)
+	}
+	a := l.acquire("a")
+	if s := l.status((&ExportIntent{"a", a, 8}).Encode()); s != StatusAccepted {
+		t.Fatal(s)
+	}
+	for range 10 {
+		l.addPeriod(1)
+	}
+	if first := l.machine.Ledger.FirstPeriod(); first != 8 {
+		t.Errorf("8 is being sent, and the oldest is %d", first)
+	}
+	l.apply((&ExportDone{"a", a, 8}).Encode())
+	l.addPeriod(1)
+	if first := l.machine.Ledger.FirstPeriod(); first != 9 {
+		t.Errorf("8 is done and 9 is not; the oldest is %d", first)
+	}
+}
--- /dev/null
+++ b/internal/cluster/groupstate/machine.go
@@ -0,0 +1,152 @@
+// Package groupstate is the replicated state machine of the Raft group that client proxies share: the usage
+// ledger (package ledger), the lease of the singleton roles (package lease), the position of the ledger's
+// export to the billing sink, and the endpoint list that the lease holder publishes. It is pure: no I/O,
+// clock or goroutines, so that the same log gives the same state on every replica. A Machine is not safe for
+// concurrent use; its group serializes the calls.
+//
+// Every command of a role carries the fencing token of the grant it was made under (Kleppmann, "How to do
+// distributed locking", 2016; Burrows, Chubby, OSDI 2006, calls it a sequencer). A command whose token isn't
+// that of the current grant is rejected as stale, as the sink and discovery reject calls.
+//
+// A period is exported in three steps: an ExportIntent, which freezes what is sent; the calls to the sink;
+// and an ExportDone. An intent that was left open is resumed by the next owner, which sends the same bytes
+// under the same ids, so that the sink recognizes duplicates. Periods are exported in their order, each once
+// no late answer can count in it any more. Corrections of a period from its intent on are exported on their
+// own.
+package groupstate
+
+import (
+	"fmt"
+
+	"github.com/hashicorp/go-msgpack/v2/codec"
+
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
+)
+
+// FleetRole is the one role that is leased: its owner runs all singleton roles of the fleet.
+const FleetRole = "fleet"
+
+// Result is the outcome of a command of a role.
+type Result struct {
+	Status string `json:"status"`
+	Reason string `json:"why,omitempty"` // unless it was accepted
+}
+
+// Values of Result.Status.
+const (
+	StatusAccepted = "taken"
+	StatusStale    = "stale"   // its token isn't that of the current grant: its proposer is no owner any more
+	StatusRejected = "refused" // it doesn't decode, or doesn't fit the state
+)
+
+var accepted = Result{Status: StatusAccepted}
+
+// Stats count what was applied.
+type Stats struct {
+	Grants        int64 `json:"grants"`  // leases acquired
+	Stale         int64 `json:"stale"`   // commands rejected because of their token
+	Rejected      int64 `json:"refused"` // commands rejected otherwise
+	Periods       int64 `json:"periods"` // periods exported
+	Unsent        int64 `json:"unsent"`  // periods dropped before they were exported
+	Corrections   int64 `json:"fixes"`   // corrections exported
+	EndpointLists int64 `json:"lists"`   // endpoint lists published or confirmed
+}
+
+// Machine is the state machine of a group. Use New.
+type Machine struct {
+	Ledger       *ledger.Ledger
+	leases       *lease.Table
+	state        state
+	appliedIndex uint64
+}
+
+// state is what a Machine has beside the ledger and the leases. Snapshots hold it as an array in the order of
+// the fields.
+type state struct {
+	ExportStarted bool   // there was an ExportIntent: from then on periods are kept until they are exported
+	Exported      uint64 // the last period exported
+	Open          *openExport
+	Corrections   []PendingCorrection // by Seq
+	CorrectionSeq uint64              // of the last correction added
+	Endpoints     endpointState
+	Stats         Stats
+}
+
+// New returns a machine with an empty state, or an error if the settings are unsound.
+func New(settings ledger.Settings) (*Machine, error) {
+	l, err := ledger.New(settings)
+	if err != nil {
+		return nil, err
+	}
+	m := &Machine{Ledger: l, leases: lease.NewTable()}
+	l.SetMayDrop(m.mayDrop)
+	return m, nil
+}
+
+// Apply applies the command at an index of the log. It returns a Result, a lease.Result or a ledger.Result. A
+// command that doesn't decode is counted and changes nothing else.
+func (m *Machine) Apply(index uint64, data []byte) any {
+	m.appliedIndex = index
+	if len(data) == 0 {
+		return m.Ledger.Apply(index, data)
+	}
+	switch data[0] {
+	case kindLease:
+		return m.applyLease(index, data)
+	case kindExportIntent:
+		return decodeAndApply(m, data, m.applyIntent)
+	case kindExportDone:
+		return decodeAndApply(m, data, m.applyDone)
+	case kindCorrectionsSent:
+		return decodeAndApply(m, data, m.applyCorrectionsSent)
+	case kindEndpointList:
+		return decodeAndApply(m, data, m.applyEndpointList)
+	}
+	if c, ok := ledger.DecodeCorrection(data); ok && c.Period <= m.lastSealed() {
+		return m.applyCorrection(index, data, c)
+	}
+	return m.Ledger.Apply(index, data)
+}
+
+func decodeAndApply[C any](m *Machine, data []byte, apply func(*C) Result) Result {
+	var cmd C
+	if err := codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&cmd); err != nil {
+		return m.reject("it does not decode: %v", err)
+	}
+	return apply(&cmd)
+}
+
+func (m *Machine) applyLease(index uint64, data []byte) lease.Result {
+	var cmd lease.Command
+	if err := codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&cmd); err != nil || cmd.Role != FleetRole {
+		m.state.Stats.Rejected++
+		return lease.Result{Grant: m.grant()}
+	}
+	result := m.leases.Apply(index, cmd)
+	if result.Applied && cmd.Op == lease.Acquire {
+		m.state.Stats.Grants++
+	}
+	return result
+}
+
+// grant returns the current grant of the fleet's role.
+func (m *Machine) grant() lease.Grant { return m.leases.Get(FleetRole) }
+
+// owns reports whether a token is that of the current grant, and member its holder.
+func (m *Machine) owns(member string, token uint64) bool {
+	grant := m.grant()
+	return member != "" && grant.Holder == member && grant.Token == token
+}
+
+func (m *Machine) rejectStale(member string, token uint64) Result {
+	m.state.Stats.Stale++
+	grant := m.grant()
+	reason := fmt.Sprintf("token %d of %q; the grant is %d of %q", token, member, grant.Token, grant.Holder)
+	return Result{Status: StatusStale, Reason: reason}
+}
+
+func (m *Machine) reject(format string, args ...any) Result {
+	m.state.Stats.Rejected++
+	return Result{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}
+}
--- /dev/null
+++ b/internal/cluster/groupstate/machine_test.go
@@ -0,0 +1,122 @@
+package groupstate
+
+import (
+	"bytes"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
+)
+
+var testSettings = ledger.Settings{MaxPeriods: 3, DedupPeriods: 1, MaxIDs: 100, MaxTenants: 10,
+	MaxMembers: 10}
+
+// testLog applies commands one after the other, each at the next index.
+type testLog struct {
+	tb      testing.TB
+	machine *Machine
+	index   uint64
+}
+
+func newLog(tb testing.TB) *testLog {
+	tb.Helper()
+	m, err := New(testSettings)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return &testLog{tb: tb, machine: m}
+}
+
+func (l *testLog) apply(b []byte) any { l.index++; return l.machine.Apply(l.index, b) }
+
+// acquire has a member become the owner, and returns its token.
+func (l *testLog) acquire(member string) uint64 {
+	l.tb.Helper()
+	r := l.apply(EncodeLease(lease.Command{Op: lease.Acquire, Role: FleetRole, Member: member,
+		Expected: l.machine.leases.Get(FleetRole)})).(lease.Result)
+	if !r.Applied {
+		l.tb.Fatalf("%s did not become the owner: %+v", member, r)
+	}
+	return r.Grant.Token
+}
+
+// status applies a command of a role and returns its status.
+func (l *testLog) status(b []byte) string { return l.apply(b).(Result).Status }
+
+// addPeriod counts n answers of a tenant and closes the period.
+func (l *testLog) addPeriod(n int64) {
+	p := l.machine.Ledger.OpenPeriod()
+	b := &ledger.Batch{Member: "x", Incarnation: 1, Seq: p, Usage: []ledger.KeyUsage{{
+		Key:   ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"},
+		Usage: ledger.Usage{Count: n}}}}
+	l.apply(b.Encode())
+	l.apply((&ledger.ClosePeriod{Period: p, AtMS: 1}).Encode())
+}
+
+// pendingExport reads what the owner has to export next.
+func (l *testLog) pendingExport() PendingExport {
+	l.tb.Helper()
+	v, err := l.machine.Read(Query{Kind: QueryPendingExport}.Encode())
+	if err != nil {
+		l.tb.Fatal(err)
+	}
+	return v.(PendingExport)
+}
+
+// The same log gives the same state, through a snapshot anywhere on the way; and whatever comes in whatever
+// order, periods are done in their order, each under the grant that stood.
+func TestStateIsOfTheLogAlone(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, _ := New(testSettings)
+		b, _ := New(testSettings)
+		last := uint64(0)
+		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
+			member := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "member")
+			token := a.leases.Get(FleetRole).Token
+			if rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
+				token = rapid.Uint64Range(0, 60).Draw(t, "token")
+			}
+			p := rapid.Uint64Range(0, 6).Draw(t, "period")
+			var data []byte
+			switch rapid.IntRange(0, 8).Draw(t, "kind") {
+			case 0, 1:
+				data = (&ledger.ClosePeriod{Period: a.Ledger.OpenPeriod(), AtMS: 1}).Encode()
+			case 2:
+				data = EncodeLease(lease.Command{Op: lease.Op(rapid.IntRange(1, 3).Draw(t, "op")), Role: FleetRole,
+					Member: member, Expected: a.leases.Get(FleetRole)})
+			case 3, 4:
+				data = (&ExportIntent{member, token, max(p, a.nextDue())}).Encode()
+			case 5:
+				data = (&ExportDone{member, token, max(p, a.lastSealed())}).Encode()
+			case 6:
+				data = (&EndpointList{member, token, int64(p), []byte("{}")}).Encode()
+			case 7:
+				data = (&ledger.Correction{ID: string(rune('a' + p)), Period: p, Key: ledger.Key{Tenant: "t"},
+					Usage: ledger.Usage{Count: 1}}).Encode()
+			default:
+				data = rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "garbage")
+			}
+			g := a.leases.Get(FleetRole)
+			a.Apply(uint64(i+1), data)
+			b.Apply(uint64(i+1), data)
+			if e := a.state.Exported; e != last {
+				if e < last || g.Holder == "" {
+					t.Fatalf("period %d is done after %d, the grant was %+v", e, last, g)
+				}
+				last = e
+			}
+			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
+				c, _ := New(testSettings)
+				if err := c.Restore(b.Snapshot()); err != nil {
+					t.Fatal(err)
+				}
+				b = c
+			}
+		}
+		if !bytes.Equal(a.Snapshot(), b.Snapshot()) {
+			t.Fatal("the states differ")
+		}
+	})
+}
--- /dev/null
+++ b/internal/cluster/groupstate/query.go
@@ -0,0 +1,125 @@
+package groupstate
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
+)
+
+// Values of Query.Kind, with the type of their answer. "" asks the ledger, by ledger.Query.
+const (
+	QueryGrant         = "grant"     // lease.Grant
+	QueryView          = "view"      // View
+	QueryPendingExport = "statement" // PendingExport
+	QueryEndpoints     = "list"      // EndpointView
+)
+
+// Query is what Machine.Read answers, as JSON. A ledger.Query in JSON is a Query too.
+type Query struct {
+	Kind  string `json:"ask,omitempty"`
+	After uint64 `json:"after,omitempty"` // QueryEndpoints: leave out the list unless it has changed after this
+	ledger.Query
+}
+
+// Encode encodes the query.
+func (q Query) Encode() []byte {
+	b, err := json.Marshal(q)
+	if err != nil {
+		panic(err) // numbers and strings alone: no input leads here
+	}
+	return b
+}
+
+// View is what operators see of the state beside the ledger.
+type View struct {
+	Grant              lease.Grant  `json:"grant"`
+	Exported           uint64       `json:"exported"` // the last period that the sink has acknowledged in full
+	Sending            uint64       `json:"sending"`  // the period of the open intent, 0 for none
+	IntentToken        uint64       `json:"intent_token"`
+	Final              uint64       `json:"final"`   // the newest period that may be exported
+	Open               uint64       `json:"open"`    // the open period of the ledger
+	Backlog            int          `json:"backlog"` // periods that may be exported and are not
+	PendingCorrections int          `json:"corrections_waiting"`
+	Endpoints          EndpointView `json:"list"`
+	Stats              Stats        `json:"figures"`
+}
+
+// EndpointView is the endpoint list as it was last published.
+type EndpointView struct {
+	Version uint64          `json:"version"`       // rises whenever the list is published or confirmed
+	Changed uint64          `json:"changed"`       // Version when the list itself was last published
+	Token   uint64          `json:"token"`         // of the owner that published it
+	Index   int64           `json:"index"`         // discovery's number of the list
+	Raw     json.RawMessage `json:"raw,omitempty"` // in discovery's format
+}
+
+// PendingExport is what the owner has to export next.
+type PendingExport struct {
+	Grant       lease.Grant         `json:"grant"`
+	Due         uint64              `json:"due"`    // the next period that needs an intent, 0 for none
+	Period      uint64              `json:"period"` // of the open intent, 0 for none
+	IntentToken uint64              `json:"token"`  // of the open intent
+	Rows        []ledger.Row        `json:"rows"`   // of the open intent
+	Corrections []PendingCorrection `json:"fixes"`
+}
+
+// maxCorrectionsPerExport bounds the corrections in a PendingExport.
+const maxCorrectionsPerExport = 100
+
+// Read answers a Query. It returns an error if the query doesn't decode or its kind is unknown.
+func (m *Machine) Read(query []byte) (any, error) {
+	var q Query
+	if err := json.Unmarshal(query, &q); err != nil {
+		return nil, fmt.Errorf("a query that does not decode: %w", err)
+	}
+	switch q.Kind {
+	case "":
+		return m.Ledger.Read(q.Query), nil
+	case QueryGrant:
+		return m.grant(), nil
+	case QueryView:
+		return m.View(), nil
+	case QueryPendingExport:
+		return m.pendingExport(), nil
+	case QueryEndpoints:
+		view := m.endpointView()
+		if view.Changed > q.After {
+			view.Raw = m.state.Endpoints.Raw
+		}
+		return view, nil
+	}
+	return nil, fmt.Errorf("%q is no question", q.Kind)
+}
+
+func (m *Machine) pendingExport() PendingExport {
+	corrections := m.state.Corrections[:min(len(m.state.Corrections), maxCorrectionsPerExport)]
+	p := PendingExport{Grant: m.grant(), Corrections: corrections}
+	if open := m.state.Open; open != nil {
+		p.Period, p.IntentToken, p.Rows = open.Period, open.Token, open.Rows
+	} else {
+		p.Due = m.nextDue()
+	}
+	return p
+}
+
+// View returns the state beside the ledger.
+func (m *Machine) View() View {
+	v := View{
+		Grant:              m.grant(),
+		Exported:           m.state.Exported,
+		Final:              m.Ledger.FinalPeriod(),
+		Open:               m.Ledger.OpenPeriod(),
+		PendingCorrections: len(m.state.Corrections),
+		Endpoints:          m.endpointView(),
+		Stats:              m.state.Stats,
+	}
+	if open := m.state.Open; open != nil {
+		v.Sending, v.IntentToken = open.Period, open.Token
+	}
+	if from := m.nextUnexported(); v.Final >= from {
+		v.Backlog = int(v.Final - from + 1)
+	}
+	return v
+}
--- /dev/null
+++ b/internal/cluster/groupstate/snapshot_test.go
@@ -0,0 +1,36 @@
+package groupstate
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+)
+
+// A snapshot of the ledger alone, from before there were leases and exports, is restored; a truncated or
+// newer one is not, and changes nothing.
+func TestSnapshots(t *testing.T) {
+	l := newLog(t)
+	l.addPeriod(5)
+	l.acquire("a")
+	old, _ := New(testSettings)
+	err := old.Restore(l.machine.Ledger.Snapshot())
+	if err != nil || old.Ledger.OpenPeriod() != 2 || old.View().Grant.Token != 0 {
+		t.Errorf("%v, %+v", err, old.View())
+	}
+	full := l.machine.Snapshot()
+	before, _ := json.Marshal(old.View())
+	for n := range len(full) {
+		if old.Restore(full[:n]) == nil {
+			t.Fatalf("a snapshot of %d bytes was restored", n)
+		}
+	}
+	if now, _ := json.Marshal(old.View()); !bytes.Equal(now, before) {
+		t.Errorf("%s became %s", before, now)
+	}
+	newer := *l.machine
+	if raw := newer.Snapshot(); raw[0] != kindSnapshot || raw[2] != snapshotFormat {
+		t.Fatalf("% x", raw[:8])
+	} else if raw[2] = snapshotFormat + 1; old.Restore(raw) == nil {
+		t.Error("a newer format was read")
+	}
+}
--- a/internal/cluster/lease/candidate.go
+++ b/internal/cluster/lease/candidate.go
@@ -19,7 +19,7 @@
 
 	inFlight   *Command      // proposed and without a result, nil if none
 	proposedAt time.Duration // when inFlight was proposed
-	expiresAt  time.Duration // if this member holds grant: end of its lease by its own clock; 0 if it may not act
+	expiresAt  time.Duration // end of this member's lease by its own clock, 0 if it has none
 }
 
 // NewCandidate returns the side of the member called name. It proposes nothing before the first Observe.
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -265,7 +265,7 @@
 		pauses, rejected, stale, acquired = pauses+m.pauses, rejected+m.rejected, stale+m.staleAdmitted,
 			acquired+m.acquired
 	})
-	t.Logf("%d grants, %d owners paused about to act, %d side effects rejected by their token, %d stale admitted",
+	t.Logf("%d grants, %d owners paused about to act, %d side effects rejected by token, %d stale admitted",
 		acquired, pauses, rejected, stale)
 	if stale > 0 || pauses < 1000 || rejected == 0 || acquired < 500 {
 		t.Error("a stale owner's side effect was admitted, or too little happened to tell")
