--- a/internal/cluster/ledger/ledger_test.go
+++ b/internal/cluster/ledger/ledger_test.go
@@ -10,17 +10,18 @@
 
 var testSettings = Settings{MaxPeriods: 3, DedupPeriods: 2, MaxIDs: 100, MaxTenants: 3, MaxMembers: 4}
 
-func newLedger(t testing.TB) *Ledger {
-	t.Helper()
+func newLedger(tb testing.TB) *Ledger {
+	tb.Helper()
 	l, err := New(testSettings)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return l
 }
 
 var passedKey = Key{"ramen-kita", "zone-lookup", "passed"}
 
+// batch returns a batch with an answer for each request id.
 func batch(member string, inc, seq uint64, ids ...uint64) *Batch {
 	a := KeyUsage{Key: passedKey, IDs: ids}
 	for range ids {
@@ -29,15 +30,18 @@
 	return &Batch{Member: member, Incarnation: inc, Seq: seq, Usage: []KeyUsage{a}}
 }
 
-// applyAll applies commands in their order, through the log's form, and returns what became of each.
-func applyAll(t testing.TB, l *Ledger, commands ...any) (out []string) {
-	t.Helper()
+type command interface{ Encode() []byte }
+
+// applyAll applies commands in their order, as encoded for the log, and returns the status of each.
+func applyAll(tb testing.TB, l *Ledger, commands ...command) (statuses []string) {
+	tb.Helper()
 	for _, c := range commands {
-		out = append(out, l.Apply(l.AppliedIndex()+1, c.(interface{ Encode() []byte }).Encode()).Status)
+		statuses = append(statuses, l.Apply(l.AppliedIndex()+1, c.Encode()).Status)
 	}
-	return out
+	return statuses
 }
 
+// total returns the usage of a period, corrections included.
 func total(l *Ledger, period uint64) Usage {
 	v := l.Read(Query{Period: period})
 	if len(v.Periods) == 0 {
@@ -51,52 +55,54 @@
 		return &Correction{ID: id, Period: period, Key: passedKey, Usage: Usage{Count: -1}, Reason: "asked for"}
 	}
 	for name, c := range map[string]struct {
-		commands []any
+		commands []command
 		want     []string
 		totals   map[uint64]int64 // answers by period
 	}{
-		"a batch sent twice counts once": {[]any{batch("a", 1, 1, 1, 2), batch("a", 1, 1, 1, 2)},
+		"a batch sent twice counts once": {[]command{batch("a", 1, 1, 1, 2), batch("a", 1, 1, 1, 2)},
 			[]string{StatusCounted, StatusDuplicate}, map[uint64]int64{1: 2}},
-		"a batch of an earlier life": {[]any{batch("a", 2, 1, 1), batch("a", 1, 5, 2)},
+		"a batch of an earlier incarnation": {[]command{batch("a", 2, 1, 1), batch("a", 1, 5, 2)},
 			[]string{StatusCounted, StatusStaleIncarnation}, map[uint64]int64{1: 1}},
-		"a new life counts from one": {[]any{batch("a", 1, 7, 1), batch("a", 2, 1, 2)},
+		"a new incarnation counts from one": {[]command{batch("a", 1, 7, 1), batch("a", 2, 1, 2)},
 			[]string{StatusCounted, StatusCounted}, map[uint64]int64{1: 2}},
-		"a close splits": {[]any{batch("a", 1, 1, 1), &ClosePeriod{Period: 1}, batch("a", 1, 2, 2)},
+		"a close splits": {[]command{batch("a", 1, 1, 1), &ClosePeriod{Period: 1}, batch("a", 1, 2, 2)},
 			[]string{StatusCounted, StatusClosed, StatusCounted}, map[uint64]int64{1: 1, 2: 1}},
-		"a close sent twice closes one": {[]any{&ClosePeriod{Period: 1}, &ClosePeriod{Period: 1},
+		"a close sent twice closes one": {[]command{&ClosePeriod{Period: 1}, &ClosePeriod{Period: 1},
 			&ClosePeriod{Period: 9}},
 			[]string{StatusClosed, StatusDuplicate, StatusDuplicate}, map[uint64]int64{1: 0, 2: 0}},
-		"a retry's answer belongs to the first's period": {[]any{batch("a", 1, 1, 7), &ClosePeriod{Period: 1},
+		"an answer to a retry belongs to the period of the first": {[]command{batch("a", 1, 1, 7), &ClosePeriod{Period: 1},
 			batch("b", 1, 1, 7)}, []string{StatusCounted, StatusClosed, StatusCounted}, map[uint64]int64{1: 2, 2: 0}},
-		"two answers in one period": {[]any{batch("a", 1, 1, 7), batch("b", 1, 1, 7)},
+		"two answers in one period": {[]command{batch("a", 1, 1, 7), batch("b", 1, 1, 7)},
 			[]string{StatusCounted, StatusCounted}, map[uint64]int64{1: 2}},
-		"ids are forgotten in time": {[]any{batch("a", 1, 1, 7), &ClosePeriod{Period: 1}, &ClosePeriod{Period: 2},
+		"ids are forgotten after DedupPeriods": {[]command{batch("a", 1, 1, 7), &ClosePeriod{Period: 1}, &ClosePeriod{Period: 2},
 			batch("b", 1, 1, 7)}, []string{StatusCounted, StatusClosed, StatusClosed, StatusCounted},
 			map[uint64]int64{1: 1, 3: 1}},
-		"a correction": {[]any{batch("a", 1, 1, 7, 8), &ClosePeriod{Period: 1}, fix("x", 1), fix("x", 1)},
+		"a correction": {[]command{batch("a", 1, 1, 7, 8), &ClosePeriod{Period: 1}, fix("x", 1), fix("x", 1)},
 			[]string{StatusCounted, StatusClosed, StatusCorrected, StatusDuplicate}, map[uint64]int64{1: 1}},
-		"no correction of an open period, or of none": {[]any{fix("x", 1), fix("x", 9), fix("", 1)},
+		"no correction of an open period, or of none": {[]command{fix("x", 1), fix("x", 9), fix("", 1)},
 			[]string{StatusRejected, StatusRejected, StatusRejected}, map[uint64]int64{1: 0}},
-		"no member, no sequence": {[]any{batch("", 1, 1), batch("a", 1, 0)}, []string{StatusRejected,
+		"no member, no sequence": {[]command{batch("", 1, 1), batch("a", 1, 0)}, []string{StatusRejected,
 			StatusRejected},
 			map[uint64]int64{1: 0}},
-		"old periods go": {[]any{&ClosePeriod{Period: 1}, &ClosePeriod{Period: 2}, &ClosePeriod{Period: 3},
+		"old periods are dropped": {[]command{&ClosePeriod{Period: 1}, &ClosePeriod{Period: 2}, &ClosePeriod{Period: 3},
 			&ClosePeriod{Period: 4}},
 			[]string{StatusClosed, StatusClosed, StatusClosed, StatusClosed}, map[uint64]int64{5: 0}},
 	} {
-		l := newLedger(t)
-		if diff := cmp.Diff(c.want, applyAll(t, l, c.commands...)); diff != "" {
-			t.Errorf("%s: %s", name, diff)
-		}
-		for period, want := range c.totals {
-			if got := total(l, period); got.Count != want {
-				t.Errorf("%s: period %d has %d answers, want %d", name, period, got.Count, want)
+		t.Run(name, func(t *testing.T) {
+			l := newLedger(t)
+			if diff := cmp.Diff(c.want, applyAll(t, l, c.commands...)); diff != "" {
+				t.Error(diff)
 			}
-		}
+			for period, want := range c.totals {
+				if got := total(l, period); got.Count != want {
+					t.Errorf("period %d has %d answers, want %d", period, got.Count, want)
+				}
+			}
+		})
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestTenantsAndMembersAreBounded(t *testing.T) {
 	l := newLedger(t)
 	for i := range 10 {
 		b := batch("a", 1, uint64(i+1), uint64(i))
@@ -114,15 +120,22 @@
 	if len(l.members) > testSettings.MaxMembers {
 		t.Errorf("%d members are kept", len(l.members))
 	}
+}
+
+func TestRequestIDsAreBounded(t *testing.T) {
+	l := newLedger(t)
 	var many []uint64
 	for i := range 250 {
 		many = append(many, uint64(1000+i))
 	}
-	applyAll(t, l, &ClosePeriod{Period: 1}, batch("z", 1, 1, many...))
-	if v := l.Read(Query{}); v.IDs > testSettings.MaxIDs || v.Stats.ForgottenIDs == 0 || total(l,
-		2).Count != 250 {
-		t.Errorf("%d ids are kept, %d forgotten, %d counted", v.IDs, v.Stats.ForgottenIDs, total(l, 2).Count)
+	applyAll(t, l, batch("y", 1, 1, 1, 2, 3), &ClosePeriod{Period: 1}, batch("z", 1, 1, many...))
+	v, counted := l.Read(Query{}), total(l, 2).Count
+	if v.IDs > testSettings.MaxIDs || v.Stats.ForgottenIDs == 0 || counted != 250 {
+		t.Errorf("%d ids are kept, %d forgotten, %d counted", v.IDs, v.Stats.ForgottenIDs, counted)
 	}
+}
+
+func TestPeriodsAreRetainedUntilTheyMayBeDropped(t *testing.T) {
 	kept := newLedger(t)
 	kept.SetMayDrop(func(p uint64) bool { return p < 2 })
 	for p := range uint64(9) {
@@ -133,12 +146,12 @@
 	}
 }
 
-func TestWhatDoesNotDecode(t *testing.T) {
+func TestCommandsThatDoNotDecodeAreRejected(t *testing.T) {
 	l := newLedger(t)
-	whole := batch("a", 1, 1, 1, 2, 3).Encode()
+	full := batch("a", 1, 1, 1, 2, 3).Encode()
 	bad := [][]byte{nil, {}, {'?'}, {'B'}, {'C', 0xc1}, {'F', 0x93, 1}}
-	for cut := 1; cut < len(whole); cut++ {
-		bad = append(bad, whole[:cut])
+	for n := 1; n < len(full); n++ {
+		bad = append(bad, full[:n])
 	}
 	for _, b := range bad {
 		if r := l.Apply(l.AppliedIndex()+1, b); r.Status != StatusRejected {
@@ -148,18 +161,26 @@
 	if total(l, 1).Count != 0 || l.Read(Query{}).Stats.Rejected != int64(len(bad)) {
 		t.Errorf("%+v", l.Read(Query{}))
 	}
+}
+
+func TestBatchWithMissingBytesDoesNotDecode(t *testing.T) {
 	odd := batch("a", 1, 1, 1, 2)
 	odd.Usage[0].BytesInByID = odd.Usage[0].BytesInByID[:1]
 	if _, err := DecodeBatch(odd.Encode()); err == nil {
 		t.Error("a batch whose bytes do not fit its ids was read")
 	}
-	snap := l.Snapshot()
-	for cut := range len(snap) {
-		if l.Restore(snap[:cut]) == nil {
-			t.Errorf("a snapshot cut at %d was restored", cut)
+}
+
+func TestTruncatedSnapshotChangesNothing(t *testing.T) {
+	l := newLedger(t)
+	applyAll(t, l, batch("a", 1, 1, 1, 2, 3), &ClosePeriod{Period: 1}, batch("a", 1, 2, 4))
+	full := l.Snapshot()
+	for n := range len(full) {
+		if l.Restore(full[:n]) == nil {
+			t.Errorf("a snapshot of %d bytes was restored", n)
 		}
 	}
-	if total(l, 1).Count != 0 || l.OpenPeriod() != 1 {
+	if total(l, 1).Count != 3 || l.OpenPeriod() != 2 || !bytes.Equal(l.Snapshot(), full) {
 		t.Error("a snapshot that cannot be read changed something")
 	}
 }
--- a/internal/cluster/ledger/period.go
+++ b/internal/cluster/ledger/period.go
@@ -5,26 +5,40 @@
 	"slices"
 )
 
-// period is one period's state.
+// period is the state of one period.
 type period struct {
 	id            uint64
-	closedMS      int64 // 0 while open
-	closedAtIndex uint64
+	closedMS      int64  // wall clock of whoever closed it, 0 while it is open
+	closedAtIndex uint64 // of the command that closed it
 	usage         map[Key]*Usage
-	corrections   map[Key]*Usage
-	correctionIDs map[string]bool // ids of corrections
-	ids           map[uint64]bool
-	idOrder       []uint64 // the ids as they came, which a snapshot holds as they are
+	corrections   map[Key]*Usage  // since it closed
+	correctionIDs map[string]bool // of Correction commands
+	ids           map[uint64]bool // of requests answered first in this period
+	idOrder       []uint64        // ids in the order of the log, for snapshots
 	tenants       map[string]bool
 }
 
 func newPeriod(id uint64) *period {
 	return &period{id: id, usage: map[Key]*Usage{}, corrections: map[Key]*Usage{},
-		correctionIDs: map[string]bool{},
-		ids:           map[uint64]bool{}, tenants: map[string]bool{}}
+		correctionIDs: map[string]bool{}, ids: map[uint64]bool{}, tenants: map[string]bool{}}
 }
 
-// periodOf is the period in which a request of that id was answered first, nil where none is remembered.
+func (p *period) isOpen() bool { return p.closedMS == 0 }
+
+// count adds usage of a key.
+func (p *period) count(k Key, u Usage) { addUsage(p.usage, k, u) }
+
+// correct adds usage of a key after the period has closed.
+func (p *period) correct(k Key, u Usage) { addUsage(p.corrections, k, u) }
+
+func addUsage(sums map[Key]*Usage, k Key, u Usage) {
+	if sums[k] == nil {
+		sums[k] = &Usage{}
+	}
+	sums[k].Add(u)
+}
+
+// periodOf returns the period in which the request of that id was answered first, nil if none is remembered.
 func (l *Ledger) periodOf(id uint64) *period {
 	for i := len(l.periods) - 1; i >= 0 && i >= len(l.periods)-l.settings.DedupPeriods; i-- {
 		if l.periods[i].ids[id] {
@@ -34,33 +48,29 @@
 	return nil
 }
 
-// rememberID keeps an id. Where there is no room the oldest period's ids go.
+// rememberID records the id of a request answered first in p. Beyond Settings.MaxIDs the ids of the oldest
+// period that has any are forgotten.
 func (l *Ledger) rememberID(p *period, id uint64) {
 	if p.ids[id] || l.settings.MaxIDs == 0 {
 		return
 	}
 	for l.idCount >= l.settings.MaxIDs {
-		oldest := slices.IndexFunc(l.periods, func(p *period) bool { return len(p.ids) > 0 })
-		n := len(l.periods[oldest].ids)
-		l.stats.ForgottenIDs += int64(n)
-		l.idCount -= n
-		l.periods[oldest].forgetIDs()
+		i := slices.IndexFunc(l.periods, func(p *period) bool { return len(p.ids) > 0 })
+		l.stats.ForgottenIDs += int64(len(l.periods[i].ids))
+		l.forgetIDs(l.periods[i])
 	}
 	p.ids[id] = true
 	p.idOrder = append(p.idOrder, id)
 	l.idCount++
 }
 
-func (p *period) forgetIDs() { p.ids, p.idOrder = map[uint64]bool{}, nil }
-
-func (p *period) count(k Key, s Usage) {
-	if p.usage[k] == nil {
-		p.usage[k] = &Usage{}
-	}
-	p.usage[k].Add(s)
+func (l *Ledger) forgetIDs(p *period) {
+	l.idCount -= len(p.ids)
+	p.ids, p.idOrder = map[uint64]bool{}, nil
 }
 
-// boundedKey is where a key counts in a period: as itself, or as Other where the period has too many tenants.
+// boundedKey returns the key under which usage counts in a period: k itself, or that of OtherTenants if the
+// period has too many tenants.
 func (l *Ledger) boundedKey(p *period, k Key) Key {
 	if !p.tenants[k.Tenant] {
 		if len(p.tenants) >= l.settings.MaxTenants {
@@ -71,7 +81,8 @@
 	return k
 }
 
-// evictMember drops the member heard of longest ago where there are too many.
+// evictMember makes room for another member: it drops the one whose last batch is oldest if there are too
+// many.
 func (l *Ledger) evictMember() {
 	if len(l.members) < l.settings.MaxMembers {
 		return
--- a/internal/cluster/ledger/query.go
+++ b/internal/cluster/ledger/query.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// PeriodView is what is read of one period.
-type PeriodView struct {
-	ID       uint64 `json:"period"`
-	ClosedMS int64  `json:"closed_ms,omitempty"` // 0 while open
-	Rows     []Row  `json:"rows"`
+// Query selects what Read returns.
+type Query struct {
+	Tenant string `json:"tenant,omitempty"` // "" for all
+	Period uint64 `json:"period,omitempty"` // 0 for all that are retained
 }
 
-// View is what is read of the ledger.
+// View is the answer to a Query.
 type View struct {
-	Index      uint64       `json:"index"`
-	OpenPeriod uint64       `json:"open"`
-	Periods    []PeriodView `json:"periods"`
+	Index      uint64       `json:"index"`   // of the last command applied
+	OpenPeriod uint64       `json:"open"`    // number of the open period
+	Periods    []PeriodView `json:"periods"` // oldest first
 	Stats      Stats        `json:"figures"`
-	IDs        int          `json:"ids"`
+	IDs        int          `json:"ids"` // request ids remembered
 }
 
-// Query says what to read: a tenant, or "" for all; a period, or 0 for all that are kept.
-type Query struct {
-	Tenant string `json:"tenant,omitempty"`
-	Period uint64 `json:"period,omitempty"`
+// PeriodView is one period within a View.
+type PeriodView struct {
+	ID       uint64 `json:"period"`
+	ClosedMS int64  `json:"closed_ms,omitempty"` // wall clock of whoever closed it, 0 while open
+	Rows     []Row  `json:"rows"`                // by key
 }
 
-// Read returns what the query asks for.
+// Read answers a query.
 func (l *Ledger) Read(q Query) View {
 	v := View{Index: l.appliedIndex, OpenPeriod: l.OpenPeriod(), Stats: l.stats, IDs: l.idCount,
 		Periods: []PeriodView{}}
@@ -39,20 +39,21 @@
 	return v
 }
 
+// rows returns the rows of a tenant, or of all for "", sorted by key.
 func (p *period) rows(tenant string) []Row {
-	all := map[Key]Row{}
-	for k, s := range p.usage {
-		all[k] = Row{Key: k, Usage: *s}
+	byKey := map[Key]Row{}
+	for k, u := range p.usage {
+		byKey[k] = Row{Key: k, Usage: *u}
 	}
-	for k, s := range p.corrections {
-		r := all[k]
-		r.Key, r.Corrections = k, *s
-		all[k] = r
+	for k, u := range p.corrections {
+		row := byKey[k]
+		row.Key, row.Corrections = k, *u
+		byKey[k] = row
 	}
 	rows := []Row{}
-	for _, r := range all {
-		if tenant == "" || tenant == r.Tenant {
-			rows = append(rows, r)
+	for k, row := range byKey {
+		if tenant == "" || tenant == k.Tenant {
+			rows = append(rows, row)
 		}
 	}
 	slices.SortFunc(rows, func(a, b Row) int { return compareKeys(a.Key, b.Key) })
@@ -64,11 +65,11 @@
 		cmp.Compare(a.Answer, b.Answer))
 }
 
-// Total is the sum over rows, corrections included.
-func (p *PeriodView) Total() (s Usage) {
-	for _, r := range p.Rows {
-		s.Add(r.Usage)
-		s.Add(r.Corrections)
+// Total returns the sum over all rows, corrections included.
+func (p *PeriodView) Total() (total Usage) {
+	for _, row := range p.Rows {
+		total.Add(row.Usage)
+		total.Add(row.Corrections)
 	}
-	return s
+	return total
 }
