--- a/internal/cluster/pending/closer.go
+++ b/internal/cluster/pending/closer.go
@@ -7,22 +7,24 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// PeriodCloser closes periods: whoever leads the group proposes it once the open period has lasted. The log
-// decides where a period ends; the time here is this member's own, from when it first saw the period open.
+// PeriodCloser proposes the end of the open period, on the member that leads the group, once the period has
+// lasted long enough. The position of that command in the log decides where the period ends; how long it has
+// lasted counts by this member's clock from when it first observed the period.
 type PeriodCloser struct {
-	Period     time.Duration
-	IsLeader   func() bool
-	OpenPeriod func() (uint64, bool)
-	Propose    func(ctx context.Context, command []byte) (ledger.Result, error)
-	Stop       <-chan struct{}
+	Period     time.Duration         // how long a period lasts
+	IsLeader   func() bool           // whether this member leads the group
+	OpenPeriod func() (uint64, bool) // number of the open period, false if it isn't known here
+	Stop       <-chan struct{}       // Run returns once it is closed
+	// Propose commits a command.
+	Propose func(ctx context.Context, command []byte) (ledger.Result, error)
 }
 
-// Run closes periods until Stop closes.
+// Run proposes until Stop is closed.
 func (c *PeriodCloser) Run() {
 	tick := time.NewTicker(min(max(c.Period/20, 20*time.Millisecond), time.Second))
 	defer tick.Stop()
 	var openPeriod uint64
-	since := time.Now()
+	openSince := time.Now()
 	for {
 		select {
 		case <-c.Stop:
@@ -34,13 +36,17 @@
 			continue
 		}
 		if period != openPeriod {
-			openPeriod, since = period, time.Now()
+			openPeriod, openSince = period, time.Now()
 		}
-		if time.Since(since) < c.Period || !c.IsLeader() {
-			continue
+		if time.Since(openSince) >= c.Period && c.IsLeader() {
+			c.propose(openPeriod)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
-		c.Propose(ctx, (&ledger.ClosePeriod{Period: openPeriod, AtMS: time.Now().UnixMilli()}).Encode())
-		cancel()
 	}
 }
+
+func (c *PeriodCloser) propose(period uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
+	defer cancel()
+	cmd := ledger.ClosePeriod{Period: period, AtMS: time.Now().UnixMilli()}
+	_, _ = c.Propose(ctx, cmd.Encode()) // a period that is still open is closed at the next tick
+}
--- /dev/null
+++ b/internal/cluster/pending/outbox.go
@@ -0,0 +1,121 @@
+package pending
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
+
+	"cresshub/internal/cluster/ledger"
+)
+
+// outbox is the file of batches that aren't committed: a bbolt database with the batches by their keys, which
+// are 8 bytes in big endian and rise, and the last incarnation.
+type outbox struct{ db *bolt.DB }
+
+// outboxFile is the name of the file in Options.Dir.
+const outboxFile = "outbox.db"
+
+var (
+	batchesBucket  = []byte("batches")
+	metaBucket     = []byte("meta")
+	incarnationKey = []byte("incarnation")
+)
+
+// storedState is what an outbox held when it was opened, with the incarnation that begins.
+type storedState struct {
+	incarnation uint64
+	lastKey     uint64
+	batches     []queuedBatch
+}
+
+func openOutbox(dir string) (*outbox, storedState, error) {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return nil, storedState{}, err
+	}
+	path := filepath.Join(dir, outboxFile)
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
+	if errors.Is(err, bolterrors.ErrTimeout) {
+		return nil, storedState{}, fmt.Errorf("%s is held by another process", path)
+	}
+	if err != nil {
+		return nil, storedState{}, fmt.Errorf("%s: %w; moved away, the counts in it that were not promised "+
+			"are lost", path, err)
+	}
+	o := &outbox{db: db}
+	stored, err := o.load()
+	if err != nil {
+		_ = db.Close() // the error of load is the one to report
+		return nil, storedState{}, fmt.Errorf("%s: %w", path, err)
+	}
+	return o, stored, nil
+}
+
+// load begins a new incarnation and reads the batches.
+func (o *outbox) load() (stored storedState, err error) {
+	err = o.db.Update(func(tx *bolt.Tx) error {
+		meta, err := tx.CreateBucketIfNotExists(metaBucket)
+		if err != nil {
+			return err
+		}
+		if stored.incarnation, err = nextIncarnation(meta); err != nil {
+			return err
+		}
+		batches, err := tx.CreateBucketIfNotExists(batchesBucket)
+		if err != nil {
+			return err
+		}
+		return batches.ForEach(func(k, raw []byte) error {
+			batch, err := ledger.DecodeBatch(raw)
+			if err != nil {
+				return fmt.Errorf("batch %x: %w", k, err)
+			}
+			stored.lastKey = binary.BigEndian.Uint64(k)
+			stored.batches = append(stored.batches, queuedBatch{key: stored.lastKey,
+				raw: append([]byte(nil), raw...), answers: countAnswers(batch), createdAt: time.Now()})
+			return nil
+		})
+	})
+	return stored, err
+}
+
+// nextIncarnation stores and returns the next incarnation: above the last one, and no lower than the wall
+// clock in ms, so that a member that has lost its file doesn't come back under an earlier incarnation.
+func nextIncarnation(meta *bolt.Bucket) (uint64, error) {
+	last := uint64(0)
+	if raw := meta.Get(incarnationKey); len(raw) == 8 {
+		last = binary.BigEndian.Uint64(raw)
+	}
+	next := max(last+1, uint64(time.Now().UnixMilli()))
+	return next, meta.Put(incarnationKey, binary.BigEndian.AppendUint64(nil, next))
+}
+
+func countAnswers(b *ledger.Batch) (n int64) {
+	for i := range b.Usage {
+		n += b.Usage[i].Count + int64(len(b.Usage[i].IDs))
+	}
+	return n
+}
+
+// write adds a batch, unless it is empty, and deletes those that were committed, in one transaction.
+func (o *outbox) write(batch queuedBatch, committed []uint64) error {
+	return o.db.Update(func(tx *bolt.Tx) error {
+		batches := tx.Bucket(batchesBucket)
+		for _, key := range committed {
+			if err := batches.Delete(binary.BigEndian.AppendUint64(nil, key)); err != nil {
+				return err
+			}
+		}
+		if batch.raw == nil {
+			return nil
+		}
+		return batches.Put(binary.BigEndian.AppendUint64(nil, batch.key), batch.raw)
+	})
+}
+
+func (o *outbox) close() error { return o.db.Close() }
--- a/internal/cluster/pending/recorder.go
+++ b/internal/cluster/pending/recorder.go
@@ -1,272 +1,174 @@
-// Package pending carries this member's counts to the ledger's group: it sums them, keeps each batch in a
-// file of its own until the group has committed it, and sends it again until then. A count is promised once
-// its batch is committed; what is not promised is told by Figures.
+// Package pending holds the usage that this member has counted until the ledger's Raft group has committed
+// it. A Recorder sums usage in memory, cuts a batch from it at each flush, stores the batch in the outbox, a
+// file of its own, and proposes it until the group has committed it: the transactional outbox pattern, where
+// the ledger recognizes a batch by member, incarnation and sequence number. Stats say how much is committed
+// and how much would be lost with this process or this machine's disk. A PeriodCloser proposes the end of
+// periods.
+//
+// Usage is in one of three states: current (in memory, not in a batch), queued (in a batch, which is in the
+// outbox unless the disk failed), and committed. A committed batch is deleted from the outbox at the next
+// flush.
+//
+// A Recorder has two goroutines, the flusher and the sender, between Run and Close. Its methods may be called
+// from any goroutine.
 package pending
 
 import (
 	"context"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"log/slog"
-	"os"
-	"path/filepath"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	bolt "go.etcd.io/bbolt"
-	bolterrors "go.etcd.io/bbolt/errors"
 
 	"cresshub/internal/cluster/ledger"
 )
 
 const (
-	maxBatchIDs      = 20_000 // ids of one batch; more wait for the next, see Count
-	maxQueuedBatches = 4096   // batches that wait for the group; beyond, counts sum up in memory without ids
-	proposeTimeout   = 2 * time.Second
-	minBackoff       = 20 * time.Millisecond
-	maxBackoff       = time.Second
+	// maxBatchIDs bounds the request ids in a batch. Further answers are counted without their id.
+	maxBatchIDs = 20_000
+	// maxQueuedBatches bounds the batches that wait for the group, as Options.MaxQueuedBytes does. While either
+	// is reached no batch is cut, and the current usage is summed up without request ids.
+	maxQueuedBatches = 4096
 )
 
-// Faults has the disk fail, for tests and the laboratory.
-type Faults interface{ Sync() error }
+// Faults injects faults into the disk, for tests and the laboratory.
+type Faults interface {
+	// Sync runs before each write of the outbox, which fails with its error.
+	Sync() error
+}
 
-// Options are what a Recorder is told.
+// Options of a Recorder.
 type Options struct {
 	Member         string
-	Dir            string // folder of its own, on a disk that lasts
+	Dir            string // the outbox's folder; has to survive restarts
 	FlushInterval  time.Duration
-	MaxQueuedBytes int64 // bytes of waiting batches on disk; beyond, counts sum up in memory without ids
-	Faults         Faults
+	MaxQueuedBytes int64  // bound on the batches that wait for the group, see maxQueuedBatches
+	Faults         Faults // nil but in tests
 	Log            *slog.Logger
-	// Propose has a batch committed and says what became of it.
+	// Propose commits a batch and returns its result. An error says that it may or may not be committed.
 	Propose func(ctx context.Context, batch []byte) (ledger.Result, error)
 }
 
-// queuedBatch is a batch that is not committed yet.
+// queuedBatch is a batch that isn't committed yet.
 type queuedBatch struct {
-	key       uint64 // in the file
-	raw       []byte
+	key       uint64 // in the outbox, 0 if the disk didn't take it
+	raw       []byte // ledger.Batch, encoded
 	answers   int64
 	createdAt time.Time
 }
 
-// Recorder collects and sends this member's counts. Its methods may be called from any goroutine.
+// current is the usage that isn't in a batch yet.
+type current struct {
+	usage   map[ledger.Key]*ledger.KeyUsage
+	answers int64
+	ids     int       // request ids in usage; maxBatchIDs once they were dropped
+	since   time.Time // of the first answer
+}
+
+// Recorder counts and sends this member's usage. Use Open.
 type Recorder struct {
 	opts        Options
-	db          *bolt.DB
+	outbox      *outbox
 	incarnation uint64
 
-	mu                         sync.Mutex
-	current                    map[ledger.Key]*ledger.KeyUsage // since the last flush
-	currentSince               time.Time                       // of the first of them
-	currentAnswers, currentIDs int64
-	seq                        uint64
-	queue                      []queuedBatch
-	queuedBytes                int64
-	committedKeys              []uint64 // keys committed and still in the file
-	lastKey                    uint64
-	stats                      Stats
-	commitLatency              *hdrhistogram.Histogram // us
-
-	queued    chan struct{}
-	stopCh    chan struct{}
+	mu            sync.Mutex
+	current       current
+	seq           uint64 // of the last batch of this incarnation
+	lastKey       uint64 // of the last batch in the outbox
+	queue         []queuedBatch
+	queuedBytes   int64
+	committedKeys []uint64 // committed and still in the outbox
+	stats         Stats
+	commitLatency *hdrhistogram.Histogram // in microseconds
+
+	queued    chan struct{} // wakes the sender
+	ctx       context.Context
+	cancel    context.CancelFunc
 	wg        sync.WaitGroup
 	closeOnce sync.Once
 }
 
-var (
-	batchesBucket = []byte("batches")
-	metaBucket    = []byte("meta")
-)
-
-// OpenPeriod opens the file of waiting batches and reads what an earlier life left in it.
+// Open opens the outbox in Options.Dir and queues the batches that an earlier incarnation left in it. It
+// returns an error if the outbox can't be read or another process uses it.
 func Open(opts Options) (*Recorder, error) {
 	if opts.Member == "" || opts.FlushInterval <= 0 || opts.MaxQueuedBytes <= 0 {
 		return nil, errors.New("ledger.flush and ledger.outbox must be above zero")
 	}
-	if err := os.MkdirAll(opts.Dir, 0o700); err != nil {
-		return nil, err
-	}
-	path := filepath.Join(opts.Dir, "outbox.db")
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
-	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil, fmt.Errorf("%s is held by another process", path)
-	}
+	box, stored, err := openOutbox(opts.Dir)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w; moved away, the counts in it that were not promised are lost", path, err)
+		return nil, err
 	}
-	r := &Recorder{opts: opts, db: db, current: map[ledger.Key]*ledger.KeyUsage{}, queued: make(chan struct{},
-		1),
-		stopCh: make(chan struct{}), commitLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-	if err := r.load(); err != nil {
-		db.Close()
-		return nil, fmt.Errorf("%s: %w", path, err)
+	r := &Recorder{opts: opts, outbox: box, incarnation: stored.incarnation, lastKey: stored.lastKey,
+		queue: stored.batches, current: current{usage: map[ledger.Key]*ledger.KeyUsage{}},
+		queued:        make(chan struct{}, 1),
+		commitLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	for _, b := range stored.batches {
+		r.queuedBytes += int64(len(b.raw))
+		r.stats.Counted += b.answers
+		r.stats.Queued += b.answers
 	}
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	return r, nil
 }
 
-// load reads what waits and begins a new incarnation: above the last, and above the wall clock's time so that
-// one whose file is lost does not come back as one that was.
-func (r *Recorder) load() error {
-	return r.db.Update(func(tx *bolt.Tx) error {
-		m, err := tx.CreateBucketIfNotExists(metaBucket)
-		if err != nil {
-			return err
-		}
-		if raw := m.Get([]byte("incarnation")); len(raw) == 8 {
-			r.incarnation = binary.BigEndian.Uint64(raw)
-		}
-		r.incarnation = max(r.incarnation+1, uint64(time.Now().UnixMilli()))
-		if err := m.Put([]byte("incarnation"), binary.BigEndian.AppendUint64(nil, r.incarnation)); err != nil {
-			return err
-		}
-		b, err := tx.CreateBucketIfNotExists(batchesBucket)
-		if err != nil {
-			return err
-		}
-		return b.ForEach(func(k, v []byte) error {
-			batch, err := ledger.DecodeBatch(v)
-			if err != nil {
-				return fmt.Errorf("batch %x: %w", k, err)
-			}
-			r.lastKey = binary.BigEndian.Uint64(k)
-			n := countAnswers(batch)
-			r.queue = append(r.queue, queuedBatch{r.lastKey, append([]byte(nil), v...), n, time.Now()})
-			r.queuedBytes += int64(len(v))
-			r.stats.Counted += n
-			r.stats.Queued += n
-			return nil
-		})
-	})
-}
-
-func countAnswers(b *ledger.Batch) (n int64) {
-	for i := range b.Usage {
-		n += b.Usage[i].Count + int64(len(b.Usage[i].IDs))
-	}
-	return n
-}
-
-// Incarnation is this life's.
+// Incarnation returns the incarnation of this process, which its batches carry.
 func (r *Recorder) Incarnation() uint64 { return r.incarnation }
 
-// Count counts one final answer. id 0 is none.
-func (r *Recorder) Count(k ledger.Key, id uint64, in, out int64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	usage := r.current[k]
-	if usage == nil {
-		usage = &ledger.KeyUsage{Key: k}
-		r.current[k] = usage
-	}
-	if r.currentAnswers == 0 {
-		r.currentSince = time.Now()
-	}
-	r.currentAnswers++
-	r.stats.Counted++
-	if id == 0 || r.currentIDs >= maxBatchIDs {
-		usage.Add(ledger.Usage{Count: 1, BytesIn: in, BytesOut: out})
-		return
-	}
-	r.currentIDs++
-	usage.IDs = append(usage.IDs, id)
-	usage.BytesInByID = append(usage.BytesInByID, in)
-	usage.BytesOutByID = append(usage.BytesOutByID, out)
-}
-
-// Run flushes and sends until Close. It returns at once.
+// Run starts the goroutines and returns at once.
 func (r *Recorder) Run() {
 	r.wg.Add(2)
 	go r.runFlusher()
 	go r.runSender()
 }
 
-// runSender sends the batches in their order, each until the group has committed it.
-func (r *Recorder) runSender() {
-	defer r.wg.Done()
-	backoff := minBackoff
-	var startedAt time.Time
-	for {
-		r.mu.Lock()
-		var batch queuedBatch
-		if len(r.queue) > 0 {
-			batch = r.queue[0]
-		}
-		r.mu.Unlock()
-		if batch.raw == nil {
-			select {
-			case <-r.queued:
-				continue
-			case <-r.stopCh:
-				return
-			}
-		}
-		if startedAt.IsZero() {
-			startedAt = time.Now()
-		}
-		ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
-		ended := make(chan struct{})
-		go func() { // Close ends a try
-			select {
-			case <-r.stopCh:
-				cancel()
-			case <-ended:
-			}
-		}()
-		result, err := r.opts.Propose(ctx, batch.raw)
-		close(ended)
-		cancel()
-		r.mu.Lock()
-		r.stats.Attempts++
-		r.mu.Unlock()
-		if err == nil {
-			r.handleResult(batch, result, time.Since(startedAt))
-			backoff, startedAt = minBackoff, time.Time{}
-			continue
-		}
-		r.opts.Log.Debug("ledger: a batch was not committed; it is sent again", "err", err)
-		select {
-		case <-time.After(backoff):
-			backoff = min(2*backoff, maxBackoff)
-		case <-r.stopCh:
-			return
-		}
-	}
+// Close stops the goroutines, writes the current usage to the outbox, and closes it. The next incarnation
+// sends what isn't committed.
+func (r *Recorder) Close() error {
+	var err error
+	r.closeOnce.Do(func() {
+		r.cancel()
+		r.wg.Wait()
+		r.flush() // also deletes what was committed since the flusher's last one
+		err = r.outbox.close()
+	})
+	return err
 }
 
-// handleResult takes the group's word on the batch at the head of the queue.
-func (r *Recorder) handleResult(batch queuedBatch, result ledger.Result, latency time.Duration) {
+// Count counts one final answer. A request id of 0 stands for none.
+func (r *Recorder) Count(k ledger.Key, id uint64, bytesIn, bytesOut int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue = r.queue[1:]
-	r.queuedBytes -= int64(len(batch.raw))
-	r.stats.Queued -= batch.answers
-	if batch.key != 0 {
-		r.committedKeys = append(r.committedKeys, batch.key)
+	c := &r.current
+	usage := c.usage[k]
+	if usage == nil {
+		usage = &ledger.KeyUsage{Key: k}
+		c.usage[k] = usage
 	}
-	switch result.Status {
-	case ledger.StatusCounted, ledger.StatusDuplicate:
-		if result.Status == ledger.StatusDuplicate {
-			r.stats.Duplicates++
-		}
-		r.stats.Committed += batch.answers
-		r.stats.Batches++
-		r.commitLatency.RecordValue(latency.Microseconds())
-	default:
-		r.stats.Lost += batch.answers
-		r.opts.Log.Error("ledger: the group refused a batch for good", "answers", batch.answers, "result",
-			result.String())
+	if c.answers == 0 {
+		c.since = time.Now()
+	}
+	c.answers++
+	r.stats.Counted++
+	if id == 0 || c.ids >= maxBatchIDs {
+		usage.Add(ledger.Usage{Count: 1, BytesIn: bytesIn, BytesOut: bytesOut})
+		return
 	}
+	c.ids++
+	usage.IDs = append(usage.IDs, id)
+	usage.BytesInByID = append(usage.BytesInByID, bytesIn)
+	usage.BytesOutByID = append(usage.BytesOutByID, bytesOut)
 }
 
-// WaitCommitted waits until all that was counted is committed, no longer than most.
+// WaitCommitted waits until all that was counted is committed; it returns false after the timeout. It doesn't
+// see a batch that a flush is writing to the outbox at that moment, which Close keeps for the next
+// incarnation.
 func (r *Recorder) WaitCommitted(timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(5 * time.Millisecond) {
 		r.mu.Lock()
-		uncommitted := len(r.queue) + int(r.currentAnswers)
+		uncommitted := len(r.queue) + int(r.current.answers)
 		r.mu.Unlock()
 		if uncommitted == 0 {
 			return true
@@ -277,23 +179,12 @@
 	}
 }
 
-// Close writes what was counted to the file and stops. What is not committed is sent by the next life.
-func (r *Recorder) Close() error {
-	var err error
-	r.closeOnce.Do(func() {
-		close(r.stopCh)
-		r.wg.Wait()
-		r.flush() // what was committed since the last one
-		err = r.db.Close()
-	})
-	return err
-}
-
-// DecodeResult reads what a group answered to a proposal.
+// DecodeResult decodes the answer of a group to a proposal, as Options.Propose has to return it. It takes the
+// results of such a call and passes its error on.
 func DecodeResult(raw json.RawMessage, err error) (ledger.Result, error) {
-	var r ledger.Result
+	var result ledger.Result
 	if err == nil {
-		err = json.Unmarshal(raw, &r)
+		err = json.Unmarshal(raw, &result)
 	}
-	return r, err
+	return result, err
 }
--- /dev/null
+++ b/internal/cluster/pending/stats.go
@@ -0,0 +1,39 @@
+package pending
+
+import "time"
+
+// Stats say how much of this member's usage is committed, and how much would be lost with what.
+type Stats struct {
+	Counted     int64   `json:"counted"`       // answers since the start, and those found in the outbox then
+	Committed   int64   `json:"promised"`      // answers committed by the group
+	Queued      int64   `json:"waiting"`       // answers in batches not committed: lost with this machine's disk
+	InMemory    int64   `json:"in_memory"`     // answers since the last flush: lost with this process
+	OldestMS    int64   `json:"oldest_ms"`     // age of the oldest usage that isn't committed
+	Batches     int64   `json:"batches"`       // batches committed
+	Attempts    int64   `json:"tries"`         // proposals to the group
+	Duplicates  int64   `json:"again"`         // batches that the group had counted before
+	Lost        int64   `json:"lost"`          // answers in batches that the group will never count
+	FileErrors  int64   `json:"file_errors"`   // flushes that the disk didn't take
+	CommitP50MS float64 `json:"commit_p50_ms"` // from the first attempt of a batch to its commit
+	CommitP99MS float64 `json:"commit_p99_ms"`
+	CommitMaxMS float64 `json:"commit_max_ms"`
+}
+
+// Stats returns the present numbers.
+func (r *Recorder) Stats() Stats {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	stats := r.stats
+	stats.InMemory = r.current.answers
+	switch {
+	case len(r.queue) > 0:
+		stats.OldestMS = time.Since(r.queue[0].createdAt).Milliseconds()
+	case r.current.answers > 0:
+		stats.OldestMS = time.Since(r.current.since).Milliseconds()
+	}
+	ms := func(us int64) float64 { return float64(us) / 1000 }
+	stats.CommitP50MS = ms(r.commitLatency.ValueAtQuantile(50))
+	stats.CommitP99MS = ms(r.commitLatency.ValueAtQuantile(99))
+	stats.CommitMaxMS = ms(r.commitLatency.Max())
+	return stats
+}
