--- a/internal/router/chain/acceptor.go
+++ b/internal/router/chain/acceptor.go
@@ -1,40 +1,48 @@
 package chain
 
-// onPrepare promises to accept nothing of an earlier ballot for the view behind the current one.
+// onPrepare promises to accept no proposal of a lower number for the successor of the current view.
 func (n *Node) onPrepare(m *Message) {
-	if !n.state.view.isMember(n.state.id) {
+	if !n.mayVoteOn(m) {
 		return
 	}
 	acceptor := &n.state.acceptor
-	if m.ProposalNumber.less(acceptor.promised) {
-		n.send(m.From, Message{Kind: Nack, ProposalNumber: acceptor.promised})
-		return
-	}
 	acceptor.promised = m.ProposalNumber
 	n.changed[recordAcceptor] = true
 	n.send(m.From, Message{
-		Kind: PrepareReply, ProposalNumber: m.ProposalNumber, AcceptedNumber: acceptor.accepted,
-		View: acceptor.acceptedView,
+		Kind: PrepareReply, ProposalNumber: m.ProposalNumber,
+		AcceptedNumber: acceptor.accepted, View: acceptor.acceptedView,
 	})
 }
 
-// onAccept accepts a proposed view unless a later ballot was promised.
+// onAccept accepts a proposed view unless a higher proposal number was promised.
 func (n *Node) onAccept(m *Message) {
-	if !n.state.view.isMember(n.state.id) {
+	if !n.mayVoteOn(m) {
 		return
 	}
-	acceptor := &n.state.acceptor
-	if m.ProposalNumber.less(acceptor.promised) {
-		n.send(m.From, Message{Kind: Nack, ProposalNumber: acceptor.promised})
-		return
+	n.state.acceptor = acceptorState{
+		promised: m.ProposalNumber, accepted: m.ProposalNumber, acceptedView: m.View,
 	}
-	*acceptor = acceptorState{promised: m.ProposalNumber, accepted: m.ProposalNumber, acceptedView: m.View}
 	n.changed[recordAcceptor] = true
 	n.proposer.acceptedAt = n.now
 	n.send(m.From, Message{Kind: AcceptReply, ProposalNumber: m.ProposalNumber})
 }
 
-// onSeal promises never to accept a first entry in the current epoch.
+// mayVoteOn reports whether this node is an acceptor that has promised no number above that of a message. A
+// proposer with too low a number gets a Nack.
+func (n *Node) mayVoteOn(m *Message) bool {
+	if !n.state.view.isMember(n.state.id) {
+		return false
+	}
+	promised := n.state.acceptor.promised
+	if m.ProposalNumber.less(promised) {
+		n.send(m.From, Message{Kind: Nack, ProposalNumber: promised})
+		return false
+	}
+	return true
+}
+
+// onSeal promises never to accept a first entry in the current epoch. A replica that already accepted one
+// ignores the request.
 func (n *Node) onSeal() {
 	epoch := n.state.view.Epoch
 	if !n.InChain() || n.state.accepted.Epoch >= epoch || n.state.sealed == epoch {
--- a/internal/router/chain/bootstrap.go
+++ b/internal/router/chain/bootstrap.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// retriesBeforeShrinking is how often an attempt is made again before one of too few members follows it.
+// retriesBeforeShrinking is how often an attempt is repeated before one with fewer members than needed
+// follows it.
 const retriesBeforeShrinking = 4
 
-// founding is a founder's part in agreeing on the first view. An attempt that gets no answer from all of its
-// members is followed by one of a later epoch, which a member accepts only if it holds a majority of each
-// attempt before it.
+// bootstrapState is the state of a node that tries to have a first view agreed on. An attempt that isn't
+// accepted by all of its members is followed by one of a later epoch, which a member accepts only if it
+// includes a majority of each attempt before it.
 type bootstrapState struct {
-	// view is the attempt, accepted are the members that have consented to it durably.
+	// view is the attempt, consented are the members that have durably accepted it.
 	view      View
 	consented []MemberID
-	// answered are all nodes that have answered in this round of the attempt, rounds are those before it.
+	// replied are the nodes that have replied since the last retry, retries counts those of this attempt.
 	replied []Member
 	retries int
-	// candidates are those of the last call of Found.
+	// candidates are those of the last call of Node.Bootstrap.
 	candidates []Member
-	// others are attempts of other founders that view doesn't name.
+	// competing are attempts of other nodes that view doesn't name.
 	competing []PastChain
-	// begun is when the attempt began, sentAt when the members were asked last.
+	// startedAt is when the attempt or its last retry began, sentAt when Genesis was sent last.
 	startedAt, sentAt time.Duration
 }
 
-// Bootstrap asks members to accept the first view. It is decided when all of them have. A member that has
-// already accepted another first view answers with it, and the founder goes on with that one. It may be
-// called again with the members that are known by then; too few to bear the loss of a disk are asked only
-// after a while.
+// Bootstrap asks members to accept the first view, which is decided once all of them have. A member that has
+// already accepted another first view replies with that one, and this node continues with it.
+//
+// The caller, one designated node, may repeat the call with the members that it knows by then. While they are
+// too few to survive the loss of a disk, nothing is sent until Config.BootstrapRetryAfter has passed.
 func (n *Node) Bootstrap(now time.Duration, members []Member) Effects {
 	n.begin(now)
-	tooFew := len(members) < 2*n.config.RequiredReplicas-1 && n.now-n.started < n.config.BootstrapRetryAfter
+	tooFew := len(members) < n.config.bootstrapMembers() && n.now-n.started < n.config.BootstrapRetryAfter
 	switch {
 	case n.state.view.Epoch != 0 || len(members) == 0 || n.bootstrap == nil && tooFew:
 	case n.bootstrap == nil || n.bootstrap.view.Epoch == 1 && len(n.bootstrap.replied) == 0:
@@ -43,13 +45,18 @@
 	return n.finish()
 }
 
-// startBootstrapAttempt begins an attempt.
+// bootstrapMembers returns how many members a first view needs so that a majority is left, with the required
+// replicas, after all losses that are tolerated.
+func (c *Config) bootstrapMembers() int { return 2*c.RequiredReplicas - 1 }
+
+// startBootstrapAttempt proposes a first view.
 func (n *Node) startBootstrapAttempt(view View, candidates []Member) {
 	n.bootstrap = &bootstrapState{view: view, candidates: candidates, startedAt: n.now}
 	n.sendGenesis()
 }
 
-// sendGenesis asks all members; the answers of those who have accepted show that their disks are there.
+// sendGenesis sends the attempt to all members, also to those that have accepted it: their replies show that
+// their disks still exist.
 func (n *Node) sendGenesis() {
 	n.bootstrap.sentAt = n.now
 	for _, member := range n.bootstrap.view.Members {
@@ -57,8 +64,8 @@
 	}
 }
 
-// tickBootstrap asks again after a while, and begins another attempt after a longer one. A member that has
-// consented and hears nothing of the view goes on with the founding itself: its founder may be gone.
+// tickBootstrap resends Genesis, retries and starts further attempts. A member that has accepted a first view
+// and is not notified of any decided one takes over: the node that bootstraps may have failed for good.
 func (n *Node) tickBootstrap() {
 	b := n.bootstrap
 	if n.state.view.Epoch != 0 {
@@ -74,7 +81,7 @@
 	if n.now-b.startedAt >= n.config.BootstrapRetryAfter {
 		b.startedAt = n.now
 		b.retries++
-		if next, ok := b.nextAttempt(2*n.config.RequiredReplicas - 1); ok {
+		if next, ok := b.nextAttempt(n.config.bootstrapMembers()); ok {
 			n.startBootstrapAttempt(next, b.candidates)
 			return
 		}
@@ -85,18 +92,18 @@
 	}
 }
 
-// resetBootstrapTakeover sets the time at which this node takes the founding over.
+// resetBootstrapTakeover draws the time at which this node takes over the bootstrap.
 func (n *Node) resetBootstrapTakeover() {
 	jitter := time.Duration(n.config.Random.Int63n(int64(n.config.BootstrapRetryAfter)))
 	n.bootstrapTakeoverAt = n.now + n.config.BootstrapRetryAfter + jitter
 }
 
-// next returns the attempt behind this one: of those who have answered, and of candidates that weren't asked.
-// Fewer members than wanted are tried only after some rounds.
+// nextAttempt returns the attempt after this one, if there is any use in it: of the nodes that have replied
+// and of candidates that were not asked. One with fewer than minMembers is made only after some retries.
 func (b *bootstrapState) nextAttempt(minMembers int) (View, bool) {
 	unopened := slices.Clone(b.view.Unopened)
-	for _, past := range append([]PastChain{{b.view.Epoch, b.view.Chain}}, b.competing...) {
-		if !slices.ContainsFunc(unopened, past.equal) {
+	for _, past := range append([]PastChain{b.view.asPast()}, b.competing...) {
+		if !containsPast(unopened, past) {
 			unopened = append(unopened, past)
 		}
 	}
@@ -119,7 +126,7 @@
 	return next, !same && len(unopened) <= maxUnopened && next.keepsMajorities()
 }
 
-// onGenesis accepts a first view, and tells which one this machine has accepted last.
+// onGenesis accepts a first view if it may, and reports the latest one that this node has accepted.
 func (n *Node) onGenesis(m *Message) {
 	if n.config.HasDisk && n.mayAcceptGenesis(&m.View) {
 		n.state.genesis = m.View
@@ -129,15 +136,16 @@
 	if n.state.genesis.Epoch == 0 {
 		return
 	}
-	// The founder may be no member, and nobody else has told its address yet.
+	// The sender need not be a member, and its address is known only from the message.
 	n.sendTo(Member{m.From, m.Address}, Message{
 		Kind: GenesisReply, Address: n.config.Self.Address, View: n.state.genesis,
 	})
 }
 
-// mayAcceptGenesis tells whether this machine may accept a first view: one for each epoch, in rising order. A
-// later attempt has to name all that this machine has accepted, and to hold a majority of each one it names:
-// these then never adopt that one, so that it can neither open nor be followed by another view.
+// mayAcceptGenesis reports whether this node may accept a first view: one per epoch, in ascending order. A
+// later attempt has to name all that this node has accepted, and to include a majority of each one it names.
+// That majority then never adopts the named one, so that it can neither open nor be succeeded by another
+// view.
 func (n *Node) mayAcceptGenesis(view *View) bool {
 	latest := &n.state.genesis
 	if view.Epoch <= latest.Epoch || !view.isMember(n.state.id) {
@@ -151,24 +159,23 @@
 	}
 	earlier := latest.Unopened
 	if latest.Epoch > 0 {
-		earlier = append(slices.Clone(earlier), PastChain{latest.Epoch, latest.Chain})
+		earlier = append(slices.Clone(earlier), latest.asPast())
 	}
-	missing := func(past PastChain) bool { return !slices.ContainsFunc(view.Unopened, past.equal) }
+	missing := func(past PastChain) bool { return !containsPast(view.Unopened, past) }
 	return !slices.ContainsFunc(earlier, missing)
 }
 
-// hasRevoked tells whether this machine has consented to a later attempt than a first view, which it must not
-// adopt any more.
+// hasRevoked reports whether this node has accepted a later attempt than a first view, which it must never
+// adopt then.
 func (n *Node) hasRevoked(view *View) bool {
-	past := PastChain{view.Epoch, view.Chain}
-	return n.state.view.Epoch == 0 && slices.ContainsFunc(n.state.genesis.Unopened, past.equal)
+	return n.state.view.Epoch == 0 && containsPast(n.state.genesis.Unopened, view.asPast())
 }
 
-// awaitsBootstrap tells whether this machine has revoked an attempt that others may have adopted. They have
-// to go on without it until it hears of another view.
+// awaitsBootstrap reports whether this node has revoked an attempt that others may have adopted. They have to
+// proceed without it until it learns of another view.
 func (n *Node) awaitsBootstrap() bool { return n.state.view.Epoch == 0 && n.state.genesis.Epoch > 1 }
 
-// onGenesisReply counts a member's answer; the first view is decided when all members have accepted it.
+// onGenesisReply decides the first view once all of its members have accepted it.
 func (n *Node) onGenesisReply(m *Message) {
 	b := n.bootstrap
 	if n.state.view.Epoch != 0 || b == nil || m.View.Epoch == 0 {
@@ -191,8 +198,8 @@
 	n.broadcastView(nil)
 }
 
-// onCompetingGenesis takes note of another attempt: a later one, or one of the same epoch if nobody has
-// accepted the own one, goes on; any other is one that the next attempt has to name.
+// onCompetingGenesis continues with another attempt if that is later, or of the same epoch while nobody has
+// accepted the own one. Any other is recorded for the next attempt to name.
 func (n *Node) onCompetingGenesis(m *Message) {
 	b := n.bootstrap
 	if m.View.Epoch > b.view.Epoch || m.View.Epoch == b.view.Epoch && len(b.consented) == 0 {
@@ -200,15 +207,15 @@
 		return
 	}
 	b.recordReply(m)
-	for _, past := range append([]PastChain{{m.View.Epoch, m.View.Chain}}, m.View.Unopened...) {
-		named := slices.ContainsFunc(b.view.Unopened, past.equal) || slices.ContainsFunc(b.competing, past.equal)
-		if !named && len(b.competing) < maxUnopened {
+	for _, past := range append([]PastChain{m.View.asPast()}, m.View.Unopened...) {
+		known := containsPast(b.view.Unopened, past) || containsPast(b.competing, past)
+		if !known && len(b.competing) < maxUnopened {
 			b.competing = append(b.competing, past)
 		}
 	}
 }
 
-// recordReply notes who has answered.
+// recordReply adds the sender of a GenesisReply to those that have replied.
 func (b *bootstrapState) recordReply(m *Message) {
 	member, ok := b.view.member(m.From)
 	if !ok {
--- a/internal/router/chain/bootstrap_test.go
+++ b/internal/router/chain/bootstrap_test.go
@@ -90,7 +90,8 @@
 }
 
 // newBootstrapCluster makes machines that nobody has founded yet, the first of which wants to.
-func newBootstrapCluster(t testing.TB, ids ...MemberID) (*testCluster, []Member) {
+func newBootstrapCluster(t *testing.T, ids ...MemberID) (*testCluster, []Member) {
+	t.Helper()
 	tc := newCluster(t, 0, 0)
 	var members []Member
 	for i, id := range ids {
--- a/internal/router/chain/cluster_test.go
+++ b/internal/router/chain/cluster_test.go
@@ -49,13 +49,14 @@
 }
 
 // newCluster makes machines a, b, c and so on and founds the system with the first members of them.
-func newCluster(t testing.TB, machines, members int) *testCluster {
+func newCluster(t *testing.T, machines, members int) *testCluster {
+	t.Helper()
 	tc := &testCluster{c: qt.New(t), machines: map[MemberID]*machine{}, sent: map[Kind]int{}}
 	var list []Member
 	for i := range machines {
 		id := MemberID(rune('a' + i))
-		tc.start(id, string("10.0.0."+fmt.Sprint(i+1)), true, members)
-		list = append(list, Member{id, "10.0.0." + fmt.Sprint(i+1)})
+		tc.start(id, fmt.Sprint("10.0.0.", i+1), true, members)
+		list = append(list, Member{id, fmt.Sprint("10.0.0.", i+1)})
 	}
 	for _, id := range tc.order {
 		tc.machines[id].node.SetContacts(list)
--- a/internal/router/chain/codec.go
+++ b/internal/router/chain/codec.go
@@ -1,37 +1,9 @@
 package chain
 
-import (
-	"encoding/binary"
-	"fmt"
-)
-
-// The kinds of durable records; each record replaces the one of its kind before it.
-const (
-	recordIdentity = iota + 1
-	recordGenesis
-	recordView // a new view also empties the acceptor
-	recordAcceptor
-	recordEntry
-	recordPosition // what changes of an entry without its body, and the sealed epoch
-	recordHistory  // of the entry; a log of an earlier release has none
-	// recordSuccessor is an entry whose history is that of the entry before it and that entry.
-	recordSuccessor
-	recordKinds
-)
-
-// RecordError tells of a record that this release can't read.
-type RecordError struct {
-	Kind   byte
-	Reason string
-}
-
-// Error implements error.
-func (b *RecordError) Error() string {
-	return fmt.Sprintf("chain: record of kind %d: %s; start the release that wrote it, or empty the folder of "+
-		"the control state to join anew", b.Kind, b.Reason)
-}
-
-// encoder writes values one behind the other.
+import "encoding/binary"
+
+// encoder appends the values of a record one after the other: unsigned and signed varints, and texts and
+// lists with their length in front.
 type encoder []byte
 
 func (e *encoder) number(value uint64) { *e = binary.AppendUvarint(*e, value) }
@@ -67,42 +39,61 @@
 	}
 }
 
-func (e *encoder) proposalNumber(ballot ProposalNumber) {
-	e.number(ballot.Counter)
-	e.text(string(ballot.Proposer))
+func (e *encoder) proposalNumber(number ProposalNumber) {
+	e.number(number.Counter)
+	e.text(string(number.Proposer))
 }
 
-// decoder reads what encoder wrote; after a mistake it gives zero values and bad is set.
+func (e *encoder) history(past []PastEntry) {
+	e.number(uint64(len(past)))
+	for i := range past {
+		e.signed(past[i].Version)
+		e.text(string(past[i].Digest[:]))
+	}
+}
+
+// decoder reads what encoder wrote. After the first value that is truncated it returns zero values, and
+// failed is set.
 type decoder struct {
 	data   []byte
 	failed bool
 }
 
+// skip consumes a varint of the size that package binary returned for it; a size of 0 or below is an error.
+func (d *decoder) skip(size int) {
+	if size <= 0 {
+		d.fail()
+		return
+	}
+	d.data = d.data[size:]
+}
+
+// fail drops the rest of the record.
+func (d *decoder) fail() { d.data, d.failed = nil, true }
+
 func (d *decoder) number() uint64 {
 	value, size := binary.Uvarint(d.data)
-	if size <= 0 {
-		d.data, d.failed = nil, true
+	d.skip(size)
+	if d.failed {
 		return 0
 	}
-	d.data = d.data[size:]
 	return value
 }
 
 func (d *decoder) signed() int64 {
 	value, size := binary.Varint(d.data)
-	if size <= 0 {
-		d.data, d.failed = nil, true
+	d.skip(size)
+	if d.failed {
 		return 0
 	}
-	d.data = d.data[size:]
 	return value
 }
 
-// count reads a number of elements, each of which takes at least one byte.
+// count reads the length of a list or text, each element of which takes at least one byte.
 func (d *decoder) count() int {
 	value := d.number()
 	if value > uint64(len(d.data)) {
-		d.data, d.failed = nil, true
+		d.fail()
 		return 0
 	}
 	return int(value)
@@ -145,3 +136,16 @@
 	entry.Body = d.data
 	return entry
 }
+
+func (d *decoder) history() []PastEntry {
+	count := d.count()
+	history := make([]PastEntry, 0, count)
+	for range count {
+		past := PastEntry{Version: d.signed()}
+		if copy(past.Digest[:], d.text()) < len(past.Digest) {
+			d.failed = true
+		}
+		history = append(history, past)
+	}
+	return history
+}
--- a/internal/router/chain/config.go
+++ b/internal/router/chain/config.go
@@ -5,46 +5,67 @@
 	"time"
 )
 
-// Config is what a node is given at its start.
+// Config configures a Node. It is read once, by Open.
 type Config struct {
 	// Self is this node. Its ID is used only if the disk holds none.
 	Self Member
 	// HasDisk says that this node can be a member; without it nothing is persisted.
 	HasDisk bool
-	// AllowBootstrap lets a node without a view accept the first attempt of a founder, also after a restart.
+	// AllowBootstrap lets this node accept a first view of epoch 1. A disk that was first used with it set may
+	// do so also after a restart without it.
 	AllowBootstrap bool
-	// TargetMembers is how many members there shall be.
+	// TargetMembers is the number of members up to which the planner adds machines; the default is 3.
 	TargetMembers int
-	// RequiredReplicas is how many replicas a write needs at least, if there are as many members.
+	// RequiredReplicas is the minimum number of replicas that commit a write, if there are as many members; it
+	// is never below a majority of the members. The default is 1.
 	RequiredReplicas int
-	// DigestOf names the change that a body came from. It has to be a function of the body alone, and two
+	// DigestOf identifies the change that a body came from. It has to be a function of the body alone, and two
 	// bodies with one digest have to be equal if the entries before them are. The default is SHA-256.
 	DigestOf func(body []byte) Digest
-	// Random draws backoffs and the start of the markers' numbers.
+	// Random draws backoffs and the first marker of each epoch.
 	Random *rand.Rand
 
-	// The times below have defaults.
-
-	HeartbeatInterval   time.Duration // between two heartbeats
-	SuspectAfter        time.Duration // of silence a member leaves the chain
-	RejoinAfter         time.Duration // of steady heartbeats a member joins the chain
-	ReplaceAfter        time.Duration // of silence another machine takes a member's place
-	SealAfter           time.Duration // without a possible head the members give up the unopened epoch
-	StabilizationDelay  time.Duration // a plan that rests on differing reports is proposed
-	ProposeStagger      time.Duration // between the proposers of the same change
-	ProposeTimeout      time.Duration // for one phase of a proposal
-	ReproposeAfter      time.Duration // a view that was accepted and not decided is proposed again
-	ResendAfter         time.Duration // without an acknowledgement an entry or marker is sent again
-	RequestTimeout      time.Duration // a request is answered Unavailable
-	PersistCommitAfter  time.Duration // the committed sequence is persisted by itself
-	BootstrapRetryAfter time.Duration // without all consents the founder tries the first view of fewer members
-	// QueueLimit bounds how many requests wait at a node.
+	// HeartbeatInterval is the time between two heartbeats; the default is 100 ms.
+	HeartbeatInterval time.Duration
+	// SuspectAfter is the failure detector's timeout: a replica not seen for longer is removed from the chain.
+	// The default is 700 ms.
+	SuspectAfter time.Duration
+	// RejoinAfter is how long a member's heartbeats have to arrive without a gap before it joins the chain; the
+	// default is 300 ms.
+	RejoinAfter time.Duration
+	// ReplaceAfter is how long a member has to be unavailable before another machine replaces it; the default
+	// is 1.2 s.
+	ReplaceAfter time.Duration
+	// SealAfter is how long an epoch has to be without any possible head before its members seal it; the
+	// default is 1 s.
+	SealAfter time.Duration
+	// StabilizationDelay postpones a proposal that rests on differing reports, see Disputed. The default is 2.5
+	// heartbeat intervals.
+	StabilizationDelay time.Duration
+	// ProposeStagger is the delay between the members that would propose the same view; the default is 150 ms.
+	ProposeStagger time.Duration
+	// ProposeTimeout bounds one phase of a proposal; the default is 300 ms.
+	ProposeTimeout time.Duration
+	// ReproposeAfter is how long an acceptor waits for the decision on a view that it accepted before it
+	// proposes that view itself; the default is 500 ms.
+	ReproposeAfter time.Duration
+	// ResendAfter is how long an entry, marker or Genesis goes unacknowledged before it is sent again; the
+	// default is 200 ms.
+	ResendAfter time.Duration
+	// RequestTimeout is how long a request waits before it is answered Unavailable; the default is 2 s.
+	RequestTimeout time.Duration
+	// PersistCommitAfter is how long the committed sequence waits for another record to be persisted with; the
+	// default is 1 s.
+	PersistCommitAfter time.Duration
+	// BootstrapRetryAfter is the time between attempts to agree on the first view; the default is 3 s.
+	BootstrapRetryAfter time.Duration
+	// QueueLimit bounds how many requests wait at a node; the default is 256.
 	QueueLimit int
-	// HistoryLength bounds how many earlier entries an entry names; all nodes have the same.
+	// HistoryLength bounds how many earlier entries an entry names, the same at all nodes; the default is 4096.
 	HistoryLength int
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns the configuration with defaults for what is not set.
 func (c Config) withDefaults() Config {
 	setDefault := func(value *time.Duration, defaultValue time.Duration) {
 		if *value == 0 {
--- a/internal/router/chain/doc.go
+++ b/internal/router/chain/doc.go
@@ -1,15 +1,54 @@
-// Package chain keeps one configuration register alike on the machines of a fleet that have a disk. It is a
-// set of pure state machines: events and the time go in; durable records, messages and replies come out.
+// Package chain implements a replicated register that holds the fleet's configuration: one versioned value
+// with linearizable reads and compare-and-set writes. Like go.etcd.io/raft it is a pure state machine. It
+// starts no goroutine, reads no clock and touches neither disk nor network; its caller feeds it events and
+// carries out the Effects that each one returns.
 //
-// The register is replicated by chain replication. A view names the members, who vote, and the chain, whose
-// head takes writes and whose tail answers reads. A write passes from the head to the tail, each member makes
-// it durable before it passes it on, and it is committed when the tail has it. At the start of an epoch the
-// head sends its latest entry down the chain once more; before that has come back it serves nothing.
+// # Protocol
 //
-// The members of a view decide the next view by one instance of single-decree Paxos. The planner proposes a
-// view without members that are silent, with members that have come back at the end of the chain, and with
-// another machine in place of a member that is gone. A message of an older epoch is answered by the view.
+// Values are replicated by chain replication (van Renesse and Schneider, OSDI 2004). A View names the
+// members and, among them, the chain of replicas. Writes enter at the head and pass down the chain; each
+// replica persists an entry before it forwards it, and the entry is committed once the tail has persisted
+// it. Reads are batched at the head, and a Marker that travels the chain confirms, like Raft's ReadIndex,
+// that the head has not been replaced.
 //
-// The caller owns clock, disk and network. It makes Effects.Persist durable before it sends a message or a
-// reply of the same effects, and calls PersistFailed if it could not.
+// Views are numbered by epochs, as in Vertical Paxos (Lamport, Malkhi and Zhou, PODC 2009). The members of a
+// view agree on its successor by one instance of single-decree Paxos (Lamport, "Paxos Made Simple"):
+// Prepare, PrepareReply, Accept, AcceptReply. What is proposed comes from Plan, a function of the view and
+// of what a member observes of the others: it removes members that have timed out from the chain, appends
+// those that are back at its tail, and replaces a member that stays unavailable by another machine. A
+// message of an older epoch is answered with the current view, which fences off a replaced head.
+//
+// A new epoch is closed until the head has resent its latest accepted entry down the whole chain. Before that
+// it serves nothing. An epoch that can't be opened, because no possible head is left, can be sealed: replicas
+// that promise never to open it prove that nothing was committed in it.
+//
+// The first view is agreed on without a view before it: a bootstrapping node asks all members to accept a
+// Genesis, see Node.Bootstrap.
+//
+// # Use
+//
+// A Node is driven by one goroutine at a time:
+//
+//	node, effects, err := chain.Open(config, now(), records)
+//	...
+//	for {
+//		for len(effects.Persist) > 0 && disk.Append(effects.Persist) != nil {
+//			effects = node.PersistFailed(now())
+//		}
+//		send(effects.Messages)
+//		reply(effects.Replies)
+//		select {
+//		case <-ticker.C: // several times per Config.HeartbeatInterval
+//			effects = node.Tick(now())
+//		case message := <-received:
+//			effects = node.Receive(now(), message)
+//		case call := <-calls:
+//			effects = node.Propose(now(), call.number, call.proposal)
+//		}
+//	}
+//
+// Records of Effects.Persist have to be durable before any message or reply of the same Effects leaves the
+// process. Times are durations since a start that the caller chooses; one before the last counts as the last.
+// Messages may be lost, delayed, reordered and duplicated, except that Forward and ForwardRead have to be
+// delivered at most once.
 package chain
--- a/internal/router/chain/durable.go
+++ b/internal/router/chain/durable.go
@@ -1,37 +1,64 @@
 package chain
 
-// durable is what a node keeps on its disk.
+import "fmt"
+
+// The kinds of durable records, the first byte of each. A record replaces the earlier ones of its kind.
+const (
+	recordIdentity = iota + 1
+	recordGenesis
+	recordView // a new view also resets the acceptor
+	recordAcceptor
+	recordEntry
+	recordPosition  // what changes of an entry without its body, and the sealed epoch
+	recordHistory   // of the latest recordEntry; logs of earlier releases have none
+	recordSuccessor // an entry whose history is the one of the entry before it and that entry
+	recordKinds
+)
+
+// recordEnd terminates records that would otherwise end in zeros, which a log could take for a sector that
+// was never written. It is ignored on reading.
+const recordEnd = 0xff
+
+// RecordError reports a durable record that this release can't read.
+type RecordError struct {
+	Kind   byte
+	Reason string
+}
+
+// Error implements error.
+func (e *RecordError) Error() string {
+	return fmt.Sprintf("chain: record of kind %d: %s; start the release that wrote it, or empty the folder of "+
+		"the control state to join anew", e.Kind, e.Reason)
+}
+
+// durableState is what a node persists. It corresponds to Raft's persistent state on all servers.
 type durableState struct {
 	id MemberID
-	// bootstrapAllowed says that the disk was empty at the first start of the whole system.
+	// bootstrapAllowed says that this disk was first used with Config.AllowBootstrap set.
 	bootstrapAllowed bool
-	// genesis is the latest first view that this machine has accepted, decided or not.
+	// genesis is the latest first view that this node has accepted, decided or not.
 	genesis View
 	// view is the latest decided view that this node knows.
 	view     View
 	acceptor acceptorState
-	// held is the latest entry that this node accepted; its epoch is the one it was accepted in.
+	// accepted is the latest entry that this node accepted. Its epoch is the one in which it was accepted last.
 	accepted acceptedEntry
-	// predecessor is the entry before the held one, where the disk still has it: it was committed, as a write
-	// begins only then. Nobody needs it once the node is open.
+	// predecessor is the entry before the accepted one, if the disk still has it. It is committed, as a write
+	// starts only then. It is used only by Open.
 	predecessor acceptedEntry
-	// committedSequence is the latest sequence known to be committed; it may be behind.
+	// committedSequence is the highest sequence known to be committed; it may lag.
 	committedSequence uint64
-	// sealed is the epoch in which this node has promised not to accept a first entry.
+	// sealed is the epoch in which this node has promised never to accept a first entry.
 	sealed uint64
 }
 
-// acceptorState is the Paxos acceptor for the view behind the current one.
+// acceptorState is the state of the Paxos acceptor for the successor of the current view.
 type acceptorState struct {
 	promised     ProposalNumber
 	accepted     ProposalNumber
 	acceptedView View
 }
 
-// recordEnd stands behind records that would end in zeros, which a log could take for a sector that was not
-// written. Nobody reads it.
-const recordEnd = 0xff
-
 // encodeRecord returns the current record of one kind.
 func (s *durableState) encodeRecord(kind int) []byte {
 	data := encoder{byte(kind)}
@@ -67,7 +94,7 @@
 	return data
 }
 
-// apply reads one record.
+// apply replays one record. Records have to be applied in the order in which they were persisted.
 func (s *durableState) apply(record []byte, config *Config) error {
 	if len(record) == 0 {
 		return &RecordError{Reason: "it is empty"}
@@ -76,7 +103,7 @@
 	switch int(record[0]) {
 	case recordIdentity:
 		s.id = MemberID(data.text())
-		s.bootstrapAllowed = len(data.data) > 0 // a log of an earlier release doesn't tell
+		s.bootstrapAllowed = len(data.data) > 0 // absent in logs of earlier releases
 	case recordGenesis:
 		s.genesis = data.view()
 	case recordView:
@@ -84,7 +111,7 @@
 	case recordAcceptor:
 		s.acceptor = acceptorState{data.proposalNumber(), data.proposalNumber(), data.view()}
 	case recordEntry:
-		s.accepted = config.newAcceptedEntry(data.entry(), nil) // the record of its history follows
+		s.accepted = config.newAcceptedEntry(data.entry(), nil) // recordHistory follows
 		s.predecessor = acceptedEntry{}
 	case recordSuccessor:
 		entry := data.entry()
@@ -100,7 +127,7 @@
 		return &RecordError{Kind: record[0], Reason: "the kind is not known"}
 	}
 	if data.failed {
-		return &RecordError{Kind: record[0], Reason: "a value is cut off"}
+		return &RecordError{Kind: record[0], Reason: "a value is truncated"}
 	}
 	return nil
 }
--- a/internal/router/chain/head.go
+++ b/internal/router/chain/head.go
@@ -7,60 +7,76 @@
 	"cresshub/internal/invariant"
 )
 
-// headRole is what a node keeps as the head of one epoch.
-type headRole struct {
-	// open says that the epoch is open.
+// headState is the state of a node as the head of one epoch. It is volatile: a new epoch or a restart resets
+// it, and its requests are answered Unavailable.
+type headState struct {
+	// open says that the full chain has accepted the head's entry in this epoch.
 	open bool
-	// pending says that the held entry is a write that is not committed; waiters want its outcome.
+	// pending says that the latest accepted entry is a write that is not committed; waiters want its outcome.
 	pending bool
 	waiters []request
-	sentAt  time.Duration
-	// writes wait for the pending one.
+	// sentAt is when the latest accepted entry was sent last.
+	sentAt time.Duration
+	// queuedWrites wait until the pending write is committed.
 	queuedWrites []request
-	// reads wait for the next marker, markedReads for the one under way. Both may hold writes that seem to be
-	// refused: that is certain only once the chain has confirmed that this node is still its head.
+	// queuedReads wait for the next marker, markedReads for the one in flight. Both may hold writes that seem
+	// to conflict: that is certain only once the chain has confirmed that this node is still its head.
 	queuedReads, markedReads []request
 	marker                   uint64
 	markerSentAt             time.Duration
 }
 
-// request is a read or a write that waits at the head.
+// requestKind is the type of a request.
+type requestKind int
+
+const (
+	writeRequest requestKind = iota
+	readRequest
+	// confirmRequest asks whether a change is committed, and writes nothing.
+	confirmRequest
+)
+
+// request is a request that waits at the head.
 type request struct {
-	from          MemberID
-	id            uint64
-	read          bool
-	confirm       bool   // asks whether a change was committed, and writes nothing
-	knownSequence uint64 // the sequence of the entry that a reader holds
-	proposal      Proposal
-	digest        Digest
-	deadline      time.Duration
+	kind requestKind
+	// from is the node at which the request came in, id its number there.
+	from MemberID
+	id   uint64
+	// knownSequence is that of the entry that a reader already has.
+	knownSequence uint64
+	// proposal and digest are the change that a write makes or a confirmation asks for.
+	proposal Proposal
+	digest   Digest
+	deadline time.Duration
 }
 
-// isHead tells whether this node is the head of the view it knows.
+// isHead reports whether this node is the head of the view that it knows.
 func (n *Node) isHead() bool {
 	return n.state.view.Epoch > 0 && n.state.view.head() == n.state.id
 }
 
-// dropHeadRole answers everyone who waits at this node as the head of the epoch that ends.
-func (n *Node) dropHeadRole() {
-	for _, waiting := range n.head.requests() {
-		n.answer(*waiting, Unavailable)
-	}
-	n.head = headRole{marker: n.config.Random.Uint64()}
+// queues returns all queues of requests.
+func (h *headState) queues() []*[]request {
+	return []*[]request{&h.waiters, &h.queuedWrites, &h.queuedReads, &h.markedReads}
 }
 
-// all returns every request that waits.
-func (h *headRole) requests() []*request {
-	var all []*request
-	for _, queue := range [][]request{h.waiters, h.queuedWrites, h.queuedReads, h.markedReads} {
-		for i := range queue {
-			all = append(all, &queue[i])
+// queued returns the number of requests that wait.
+func (h *headState) queued() int {
+	return len(h.waiters) + len(h.queuedWrites) + len(h.queuedReads) + len(h.markedReads)
+}
+
+// resetHead answers all requests of the epoch that has ended and starts with a marker that no earlier epoch
+// or incarnation used.
+func (n *Node) resetHead() {
+	for _, queue := range n.head.queues() {
+		for _, r := range *queue {
+			n.answer(r, Unavailable)
 		}
 	}
-	return all
+	n.head = headState{marker: n.config.Random.Uint64()}
 }
 
-// openEpoch sends the held entry down the chain, as the first of the epoch or once more.
+// openEpoch sends the latest accepted entry down the chain, as the first of the epoch or again.
 func (n *Node) openEpoch() {
 	if n.state.accepted.Epoch != n.state.view.Epoch {
 		n.state.accepted.Epoch = n.state.view.Epoch
@@ -70,7 +86,7 @@
 	n.repropagate()
 }
 
-// resend sends again what was not acknowledged for a while.
+// resend repeats what was not acknowledged within Config.ResendAfter.
 func (n *Node) resend() {
 	h := &n.head
 	if !n.isHead() {
@@ -93,7 +109,7 @@
 	n.advance()
 }
 
-// acknowledged notes that the whole chain holds the entry.
+// commitPending opens the epoch and commits the latest accepted entry, which the full chain has accepted.
 func (n *Node) commitPending() {
 	h := &n.head
 	if h.open && !h.pending {
@@ -110,19 +126,19 @@
 	for _, id := range n.state.view.Chain[1:] {
 		n.send(id, Message{Kind: Commit, Sequence: n.state.accepted.Sequence})
 	}
-	for _, waiting := range h.waiters {
-		n.answer(waiting, Applied)
+	for _, r := range h.waiters {
+		n.answer(r, Applied)
 	}
 	h.waiters = nil
 }
 
-// addWrite takes a proposal at the head.
+// addWrite queues a write. One that equals the pending write waits for its outcome.
 func (n *Node) addWrite(r request) {
 	h := &n.head
 	switch {
 	case r.proposal.Version <= r.proposal.Expected:
 		n.answer(r, Invalid)
-	case !n.enoughReplicas() || n.stalled || len(h.requests()) >= n.config.QueueLimit:
+	case !n.enoughReplicas() || n.stalled || h.queued() >= n.config.QueueLimit:
 		n.answer(r, Unavailable)
 	case h.pending && n.isAccepted(r):
 		h.waiters = append(h.waiters, r)
@@ -132,12 +148,22 @@
 	}
 }
 
-// isAccepted tells whether the held entry is the one that a proposal asks for.
+// addRead queues a request that waits for a marker: a read or a confirmation.
+func (n *Node) addRead(r request) {
+	if n.head.queued() >= n.config.QueueLimit {
+		n.answer(r, Unavailable)
+		return
+	}
+	n.head.queuedReads = append(n.head.queuedReads, r)
+	n.advance()
+}
+
+// isAccepted reports whether the latest accepted entry is the one that a write asks for.
 func (n *Node) isAccepted(r request) bool {
 	return n.state.accepted.Version == r.proposal.Version && n.state.accepted.digest == r.digest
 }
 
-// advance does what the head can do now: the next write, the next marker.
+// advance starts the next write and the next marker if none is in flight.
 func (n *Node) advance() {
 	h := &n.head
 	if !h.open {
@@ -146,7 +172,7 @@
 	for !h.pending && len(h.queuedWrites) > 0 {
 		next := h.queuedWrites[0]
 		h.queuedWrites = h.queuedWrites[1:]
-		if !next.confirm && n.state.accepted.Version == next.proposal.Expected {
+		if next.kind == writeRequest && n.state.accepted.Version == next.proposal.Expected {
 			n.startWrite(next)
 		} else {
 			h.queuedReads = append(h.queuedReads, next)
@@ -159,12 +185,15 @@
 	}
 }
 
-// startWrite takes a proposal as the next entry and sends it down the chain.
+// startWrite accepts a proposal as the next entry and propagates it.
 func (n *Node) startWrite(r request) {
 	h := &n.head
 	h.pending, h.sentAt = true, n.now
 	h.waiters = append(h.waiters, r)
-	next := Entry{n.state.view.Epoch, n.state.accepted.Sequence + 1, r.proposal.Version, r.proposal.Body}
+	next := Entry{
+		Epoch: n.state.view.Epoch, Sequence: n.state.accepted.Sequence + 1,
+		Version: r.proposal.Version, Body: r.proposal.Body,
+	}
 	n.acceptSuccessor(next, r.digest)
 	n.propagate(r.from, r.id)
 }
@@ -179,7 +208,7 @@
 	n.send(n.state.id, Message{Kind: MarkerReply, Marker: n.head.marker, Sequence: n.state.accepted.Sequence})
 }
 
-// onMarkerReply answers the batch: the chain was in this epoch after the batch was complete.
+// onMarkerReply answers the batch: after the last of its requests came in, the chain was still in this epoch.
 func (n *Node) onMarkerReply(m *Message) {
 	h := &n.head
 	if !n.isHead() || m.From != n.state.view.tail() || m.Marker != h.marker || len(h.markedReads) == 0 {
@@ -192,11 +221,12 @@
 	h.markedReads = nil
 	var retries []request
 	for _, r := range batch {
-		if r.read {
+		switch {
+		case r.kind == readRequest:
 			n.answerRead(r)
-		} else if h.pending {
+		case h.pending:
 			retries = append(retries, r)
-		} else {
+		default:
 			n.decide(r)
 		}
 	}
@@ -204,15 +234,15 @@
 	n.advance()
 }
 
-// judge decides on a write by the committed entry and its history: one that was in force is not refused,
-// also where a later one has replaced it. One that the history may have forgotten gets no clear answer.
+// decide answers a write or confirmation by the committed entry and its history. A change that was committed
+// is acknowledged also if a later one has replaced it. One that the history may have forgotten is left open.
 func (n *Node) decide(r request) {
 	accepted := &n.state.accepted
 	switch {
 	case accepted.includes(r.proposal.Version, r.digest):
 		n.answer(r, Applied)
-	case r.confirm && accepted.Version == r.proposal.Expected:
-		n.answer(r, Unavailable) // it may be proposed now
+	case r.kind == confirmRequest && accepted.Version == r.proposal.Expected:
+		n.answer(r, Unavailable) // it may still be proposed
 	case accepted.Version == r.proposal.Expected:
 		n.startWrite(r)
 	case accepted.mayHaveForgotten(r.proposal.Version):
@@ -222,7 +252,7 @@
 	}
 }
 
-// answerRead answers with the committed entry.
+// answerRead answers a read with the committed entry.
 func (n *Node) answerRead(r request) {
 	committed := n.state.committedKnown
 	if !n.head.pending {
@@ -235,13 +265,14 @@
 	n.answer(r, Applied)
 }
 
-// answer sends the outcome of a request to the node where it came in.
+// answer sends the outcome of a request to the node at which it came in. The body is left out if the reader
+// already has it.
 func (n *Node) answer(r request, outcome Outcome) {
 	m := Message{Kind: ForwardReply, Request: r.id, Outcome: outcome}
 	if outcome != Unavailable {
 		committed := &n.state.committed
 		m.Sequence, m.Version = committed.Sequence, committed.Version
-		if r.read && (r.knownSequence != m.Sequence || m.Sequence == 0) {
+		if r.kind == readRequest && (r.knownSequence != m.Sequence || m.Sequence == 0) {
 			m.HasBody, m.Body = true, committed.Body
 		}
 	}
--- a/internal/router/chain/node.go
+++ b/internal/router/chain/node.go
@@ -5,25 +5,28 @@
 	"time"
 )
 
-// Node is one machine's part in the control state. It is for one goroutine at a time. Every method that
-// returns Effects is one step; see Effects for what the caller owes.
+// Node is one machine's part in the register: a replica, a Paxos acceptor and proposer if it is a member,
+// and always a client. All methods are for one goroutine at a time. A method that returns Effects is one
+// step; see Effects for what the caller has to do with them.
 type Node struct {
 	config Config
 	now    time.Duration
 
-	// state is what a step changes, saved what it was before the step.
+	// state is what a step changes. stable is the state before the step, whose records are durable, to which
+	// PersistFailed returns.
 	state, stable registerState
 	// changed are the kinds of records that the step has to persist.
 	changed [recordKinds]bool
 	// local are messages of this node to itself, handled before the step ends.
 	local   []Message
 	effects Effects
-	// stalled says that the last records could not be made durable.
+	// stalled says that the latest records could not be made durable.
 	stalled bool
 
-	peers    map[MemberID]*peerState
+	peers map[MemberID]*peerState
+	// contacts are nodes that may know the view, see SetContacts.
 	contacts []Member
-	// leaving says that this node is about to stop, drainingSince since when.
+	// draining says that this node is about to stop.
 	draining      bool
 	drainingSince time.Duration
 
@@ -32,31 +35,33 @@
 	lastHeartbeat         time.Duration
 	lastContactsHeartbeat time.Duration
 	lastDiskProbe         time.Duration
-	// epochSince is since when this node knows its view.
+	// epochSince is since when this node has its view.
 	epochSince time.Duration
 
-	head      headRole
-	forwards  map[uint64]forwardedRequest
-	proposer  proposerState
-	bootstrap *bootstrapState
-	// bootstrapTakeoverAt is when this node goes on with a founding that it has consented to.
+	head headState
+	// forwards are the local requests that the head has not answered, by number.
+	forwards map[uint64]forwardedRequest
+	proposer proposerState
+	// bootstrap is nil unless this node tries to have a first view agreed on. At bootstrapTakeoverAt it begins
+	// to do so with the one that it has accepted.
+	bootstrap           *bootstrapState
 	bootstrapTakeoverAt time.Duration
 }
 
-// registerState is what is set back when records can't be made durable.
+// registerState is what PersistFailed resets: the durable state and what is derived from it.
 type registerState struct {
 	durableState
-	// committed is the latest entry known to be committed.
+	// committed is the latest entry known to be committed, if committedKnown.
 	committed      acceptedEntry
 	committedKnown bool
-	// commitUnpersisted says that committedSequence has changed and isn't persisted, unpersistedSince since
-	// when.
+	// commitUnpersisted says that committedSequence has changed at unpersistedSince and isn't persisted yet.
 	commitUnpersisted bool
 	unpersistedSince  time.Duration
 }
 
-// Open makes a node of the records that its disk holds; none for an empty disk or none at all. The effects
-// of an empty disk persist the node's identity; if that fails the node has to be thrown away.
+// Open restores a node from the records that its disk holds, in their order; none for an empty disk or
+// without a disk. The effects of an empty disk persist the node's identity; if that fails the node must not
+// be used. Records that can't be read are reported by a *RecordError.
 func Open(config Config, now time.Duration, records [][]byte) (*Node, Effects, error) {
 	n := &Node{
 		config:   config.withDefaults(),
@@ -86,8 +91,8 @@
 	return n, n.finish(), nil
 }
 
-// restoreCommitted takes what the disk tells of the latest committed entry. That the held one is committed is
-// persisted a while after the fact; until the chain confirms it, the one before it is the latest known to be.
+// restoreCommitted sets the latest entry known to be committed. That the accepted entry is committed may be
+// persisted late; until the chain confirms it, the one before it is the latest known to be committed.
 func (n *Node) restoreCommitted() {
 	s := &n.state
 	switch {
@@ -99,8 +104,7 @@
 	s.predecessor = acceptedEntry{}
 }
 
-// SnapshotRecords returns records that stand for the whole durable state, what the last step changed
-// included.
+// SnapshotRecords returns records that replace all earlier ones, including those of the latest step.
 func (n *Node) SnapshotRecords() [][]byte {
 	var records [][]byte
 	for kind := recordIdentity; kind < recordSuccessor; kind++ {
@@ -109,35 +113,39 @@
 	return records
 }
 
-// Self returns this node under the identity of its disk.
+// Self returns this node, with the identity of its disk.
 func (n *Node) Self() Member { return Member{n.state.id, n.config.Self.Address} }
 
-// View returns the latest decided view that this node knows; its epoch is 0 if it knows none.
+// View returns the latest decided view that this node knows; its epoch is 0 if there is none.
 func (n *Node) View() View { return n.state.view }
 
-// InChain tells whether this node is a replica in the view it knows.
+// InChain reports whether this node is a replica in its view.
 func (n *Node) InChain() bool { return n.state.view.inChain(n.state.id) }
 
-// IsOpenHead tells whether this node is the head and its epoch is open.
+// IsOpenHead reports whether this node is the head and its epoch is open. Its epoch then serves as a fencing
+// token.
 func (n *Node) IsOpenHead() bool { return n.isHead() && n.head.open }
 
-// Committed returns the latest entry that this node knows to be committed.
+// Committed returns the latest entry that this node knows to be committed, which may lag. It is false if
+// there is none yet.
 func (n *Node) Committed() (Entry, bool) { return n.state.committed.Entry, n.state.committedKnown }
 
-// SetContacts names other nodes that may know the view.
+// SetContacts sets the nodes that this one asks for the view while it sees no member; of a contact maybe
+// only the address is known.
 func (n *Node) SetContacts(contacts []Member) { n.contacts = slices.Clone(contacts) }
 
-// Receive takes a message of another node.
+// Receive handles a message of another node.
 func (n *Node) Receive(now time.Duration, m Message) Effects {
 	n.begin(now)
 	n.handle(m)
 	return n.finish()
 }
 
-// Tick lets time pass. It has to be called several times per HeartbeatInterval.
+// Tick lets time pass. It has to be called several times per Config.HeartbeatInterval.
 func (n *Node) Tick(now time.Duration) Effects {
 	n.begin(now)
 	n.compensateForProcessStall()
+	n.forgetPeers()
 	n.expireRequests()
 	n.resend()
 	n.tickBootstrap()
@@ -149,7 +157,8 @@
 	return n.finish()
 }
 
-// Drain tells the others that this node is about to stop. It should go on until Drained, if time allows.
+// Drain announces that this node is about to stop. The caller should keep driving it until Drained, if time
+// allows.
 func (n *Node) Drain(now time.Duration) Effects {
 	n.begin(now)
 	if !n.draining {
@@ -159,12 +168,17 @@
 	return n.finish()
 }
 
-// Drained tells whether a node that leaves isn't needed any more: the others hold what it holds, and another
-// member has taken its place if there is one to do so.
+// Drained reports whether a draining node isn't needed any more: the epoch is open without it in the chain,
+// and another member has replaced it if there is a candidate.
 func (n *Node) Drained() bool {
 	view := &n.state.view
-	if !n.draining || view.Epoch == 0 || n.InChain() {
-		return n.draining && view.Epoch == 0
+	switch {
+	case !n.draining:
+		return false
+	case view.Epoch == 0:
+		return true
+	case n.InChain():
+		return false
 	}
 	head := n.peers[view.head()]
 	if head == nil || !n.recentlySeen(head) || !head.heartbeat.Open || head.heartbeat.Epoch != view.Epoch {
@@ -174,8 +188,8 @@
 	return !view.isMember(n.state.id) || len(p.candidates()) == 0
 }
 
-// PersistFailed takes the last step back, because its records could not be made durable. Whoever waits for an
-// answer gets Unavailable. The node counts as stalled until a later write works.
+// PersistFailed reverts the latest step because its records could not be made durable. All requests that
+// wait are answered Unavailable. The node counts as stalled until a later write succeeds.
 func (n *Node) PersistFailed(now time.Duration) Effects {
 	failed := n.effects
 	n.now = max(n.now, now)
@@ -189,16 +203,14 @@
 	}
 	for _, envelope := range failed.Messages {
 		if n.isHead() && envelope.Message.Kind == ForwardReply {
-			n.send(envelope.To.ID, Message{
-				Kind: ForwardReply, Request: envelope.Message.Request, Outcome: Unavailable,
-			})
+			n.answer(request{from: envelope.To.ID, id: envelope.Message.Request}, Unavailable)
 		}
 	}
 	n.startEpoch()
 	return n.finish()
 }
 
-// begin starts a step: what the one before it persisted is durable.
+// begin starts a step. The records of the step before it are durable.
 func (n *Node) begin(now time.Duration) {
 	n.now = max(n.now, now)
 	if len(n.effects.Persist) > 0 {
@@ -208,7 +220,7 @@
 	n.effects = Effects{}
 }
 
-// finish handles the node's messages to itself and collects the records of the step.
+// finish handles the node's messages to itself and encodes the records of the step.
 func (n *Node) finish() Effects {
 	for len(n.local) > 0 {
 		next := n.local[0]
@@ -228,7 +240,7 @@
 	return n.effects
 }
 
-// send sends a message to a node, which may be this one.
+// send sends a message to a node, which may be this one, at its latest known address.
 func (n *Node) send(to MemberID, m Message) {
 	n.sendTo(n.memberByID(to), m)
 }
@@ -243,7 +255,8 @@
 	n.effects.Messages = append(n.effects.Messages, Envelope{to, m})
 }
 
-// persistDeferred persists what may be late, and tries a disk that had failed.
+// persistDeferred persists a committed sequence that has waited for long enough, and probes a disk that has
+// failed.
 func (n *Node) persistDeferred() {
 	if n.state.commitUnpersisted && n.now-n.state.unpersistedSince >= n.config.PersistCommitAfter {
 		n.changed[recordPosition] = true
--- a/internal/router/chain/peers.go
+++ b/internal/router/chain/peers.go
@@ -1,34 +1,31 @@
 package chain
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 const (
-	// maxPeers bounds the table of nodes that were heard.
+	// maxPeers bounds the table of nodes that were seen.
 	maxPeers = 256
-	// forgetAfter is how long a node that is no member stays in the table.
+	// forgetAfter is how long a node that is not a member stays in the table after it was last seen.
 	forgetAfter = 10 * time.Second
-	// heartbeatsPerContact is how many heartbeat intervals are between two messages to the contacts.
+	// heartbeatsPerContact is how many heartbeat intervals pass between two heartbeats to the contacts.
 	heartbeatsPerContact = 3
 )
 
-// peer is what this node has heard of another.
+// peerState is what this node knows of another one, like the Progress of etcd's raft.
 type peerState struct {
 	member   Member
 	lastSeen time.Duration
-	// stableSince is when the heartbeats began that have come without a gap since.
+	// stableSince is when its messages began to arrive without a gap.
 	stableSince time.Duration
 	heartbeat   Message
-	// degradedSince is when the peer began to say that it leaves or that its disk fails; 0 is never.
+	// degradedSince is when the peer began to report that it drains or that its disk fails; 0 if it does not.
 	degradedSince time.Duration
 }
 
-// isDegraded tells whether a heartbeat says that its sender leaves or that its disk fails.
+// isDegraded reports whether the sender of a heartbeat drains or its disk fails.
 func isDegraded(heartbeat *Message) bool { return heartbeat.Draining || heartbeat.Stalled }
 
-// hear notes that a message came.
+// recordReceipt updates the peer that a message came from; a heartbeat adds an unknown one.
 func (n *Node) recordReceipt(m *Message) {
 	if m.From == "" || m.From == n.state.id {
 		return
@@ -50,7 +47,8 @@
 	}
 }
 
-// note keeps a heartbeat's content.
+// recordHeartbeat stores the latest heartbeat. The epoch of the accepted entry never falls, though
+// heartbeats may arrive out of order.
 func (p *peerState) recordHeartbeat(m *Message, now time.Duration) {
 	if m.Address != "" {
 		p.member.Address = m.Address
@@ -66,8 +64,8 @@
 	p.heartbeat.EntryEpoch = entryEpoch
 }
 
-// trackMembers enters members that were never heard, as if they had been heard now, or before another
-// identity of the same machine was heard first.
+// trackMembers adds members that were never seen, as if they had been seen now, or when another identity of
+// the same machine was first seen.
 func (n *Node) trackMembers() {
 	for _, member := range n.state.view.Members {
 		if n.peers[member.ID] != nil || member.ID == n.state.id {
@@ -83,93 +81,38 @@
 	}
 }
 
-// compensateForProcessStall lets no member be suspected for silence while this node itself was stopped,
-// unless it was silent before. A candidate that went away meanwhile must not be taken for one that is there.
+// compensateForProcessStall keeps members from being suspected because this process itself did not run,
+// unless they had timed out before. It does so for members only: a candidate that stopped meanwhile must not
+// be taken for a live one.
 func (n *Node) compensateForProcessStall() {
 	lastTick := n.lastTick
 	n.lastTick = n.now
+	if n.now-lastTick <= n.config.SuspectAfter/2 {
+		return
+	}
 	for id, peer := range n.peers {
 		seenBefore := lastTick-peer.lastSeen <= n.config.SuspectAfter
-		if n.now-lastTick > n.config.SuspectAfter/2 && seenBefore && n.state.view.isMember(id) {
+		if seenBefore && n.state.view.isMember(id) {
 			peer.lastSeen = max(peer.lastSeen, n.now-n.config.HeartbeatInterval)
 		}
+	}
+}
+
+// forgetPeers removes nodes that are not members and were not seen for long.
+func (n *Node) forgetPeers() {
+	for id, peer := range n.peers {
 		if n.now-peer.lastSeen > forgetAfter && !n.state.view.isMember(id) {
 			delete(n.peers, id)
 		}
 	}
 }
 
-// heard tells whether a node was heard lately.
+// recentlySeen reports whether a peer was seen within Config.SuspectAfter.
 func (n *Node) recentlySeen(peer *peerState) bool {
 	return n.now-peer.lastSeen <= n.config.SuspectAfter
 }
 
-// heartbeat makes this node's heartbeat.
-func (n *Node) heartbeat() Message {
-	m := Message{
-		Kind:       Heartbeat,
-		Address:    n.config.Self.Address,
-		HasDisk:    n.config.HasDisk,
-		EntryEpoch: n.state.accepted.Epoch,
-		Open:       n.IsOpenHead(),
-		Draining:   n.draining,
-		Stalled:    n.stalled || n.awaitsBootstrap(),
-		Sealed:     n.state.sealed != 0 && n.state.sealed == n.state.view.Epoch,
-		Sequence:   n.state.committedSequence,
-	}
-	for _, member := range n.state.view.Members {
-		if peer := n.peers[member.ID]; peer != nil && n.recentlySeen(peer) {
-			m.ReceivesFrom = append(m.ReceivesFrom, member.ID)
-		}
-	}
-	return m
-}
-
-// sendHeartbeats sends to the members, as a member to all other nodes that are heard, and to the contacts if
-// no member is heard.
-func (n *Node) sendHeartbeats() {
-	n.lastHeartbeat = n.now
-	m := n.heartbeat()
-	for _, member := range n.state.view.Members {
-		if member.ID != n.state.id {
-			n.send(member.ID, m)
-		}
-	}
-	for _, id := range n.peerIDs() {
-		peer := n.peers[id]
-		isListening := n.recentlySeen(peer) && peer.heartbeat.Kind == Heartbeat && !n.state.view.isMember(id)
-		if isListening && n.state.view.isMember(n.state.id) {
-			n.send(id, m)
-		}
-	}
-	if len(m.ReceivesFrom) == 0 &&
-		n.now-n.lastContactsHeartbeat >= heartbeatsPerContact*n.config.HeartbeatInterval {
-		n.heartbeatContacts(m)
-	}
-}
-
-// heartbeatContacts sends a heartbeat to nodes that are no members: one that knows a newer view answers with
-// it.
-func (n *Node) heartbeatContacts(m Message) {
-	n.lastContactsHeartbeat = n.now
-	for _, contact := range n.contacts {
-		if contact.ID != n.state.id && !n.state.view.isMember(contact.ID) {
-			n.sendTo(contact, m)
-		}
-	}
-}
-
-// peerIDs returns the known nodes in a fixed order.
-func (n *Node) peerIDs() []MemberID {
-	ids := make([]MemberID, 0, len(n.peers))
-	for id := range n.peers {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids)
-	return ids
-}
-
-// memberByID finds a node's latest address.
+// memberByID returns a node with its latest known address.
 func (n *Node) memberByID(id MemberID) Member {
 	if id == n.state.id {
 		return n.Self()
@@ -188,14 +131,7 @@
 	return Member{ID: id}
 }
 
-// onHeartbeat learns what the head has committed.
-func (n *Node) onHeartbeat(m *Message) {
-	if m.Open && m.From == n.state.view.head() {
-		n.learnCommitted(m.Sequence)
-	}
-}
-
-// observe returns what the planner decides by.
+// observe returns the planner's input.
 func (n *Node) observe() Observation {
 	observation := Observation{Self: n.state.id, Peers: map[MemberID]PeerObservation{}}
 	for id, peer := range n.peers {
--- a/internal/router/chain/plan.go
+++ b/internal/router/chain/plan.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Rules are the planner's settings.
+// Rules are the planner's settings, see Config.
 type Rules struct {
 	TargetMembers    int
 	RequiredReplicas int
@@ -14,34 +14,37 @@
 	ReplaceAfter     time.Duration
 }
 
-// PeerObservation is what one node knows of a node.
+// PeerObservation is what one node knows of another one.
 type PeerObservation struct {
 	Member  Member
 	HasDisk bool
-	// SinceLastSeen is the time since it was last heard, Steady how long it had been heard without a gap then.
+	// SinceLastSeen is the time since its latest message; StableFor is how long its messages had arrived without
+	// a gap by then.
 	SinceLastSeen, StableFor time.Duration
-	// Degraded says that it leaves or that its disk fails, DegradedFor since how long; Leaving tells the two
+	// Degraded says that it drains or that its disk fails, DegradedFor for how long; Draining tells the two
 	// apart.
 	Degraded, Draining bool
 	DegradedFor        time.Duration
-	// EntryEpoch is the epoch in which it last accepted an entry.
+	// EntryEpoch is the latest epoch in which it accepted an entry.
 	EntryEpoch uint64
-	// Sealed says that it has promised not to open the current epoch.
+	// Sealed says that it has promised never to open the current epoch.
 	Sealed bool
-	// ReceivesFrom are the members that it hears; Reports says that it has told in the current epoch.
+	// ReportedInEpoch says that it has sent a heartbeat in the current epoch; ReceivesFrom are the members
+	// that it named there.
 	ReportedInEpoch bool
 	ReceivesFrom    []MemberID
-	// BehindFor is how long it has been heard in this epoch and yet tells of an earlier one: nothing reaches it.
+	// BehindFor is how long it has sent heartbeats of an earlier epoch in the current one: nothing reaches it.
 	BehindFor time.Duration
 }
 
-// Observation is what one node knows of all, itself included.
+// Observation is what one node knows of all nodes, itself included.
 type Observation struct {
 	Self  MemberID
 	Peers map[MemberID]PeerObservation
 }
 
-// Plan returns the view that should follow, or false if the current one should stay or nothing can be done.
+// Plan returns the view that should follow, or false if the current one should stay or none can follow. It
+// is a pure function: members with the same observation plan the same view.
 func Plan(view View, observed Observation, rules Rules) (View, bool) {
 	p := planner{view: &view, observed: observed, rules: rules}
 	choices := [][]Member{view.Members}
@@ -63,11 +66,13 @@
 	return View{}, false
 }
 
-// SealNeeded tells whether no view can follow because each possible head is gone, and one could if replicas
-// that the epoch isn't open at promised never to open it.
+// SealNeeded reports whether no view can follow for lack of a possible head, and one could if replicas at
+// which the epoch isn't open promised never to open it.
 func SealNeeded(view View, observed Observation, rules Rules) bool {
 	p := planner{view: &view, observed: observed, rules: rules}
-	canSeal := func(id MemberID) bool { return p.seenDirectly(id) && observed.Peers[id].EntryEpoch < view.Epoch }
+	canSeal := func(id MemberID) bool {
+		return p.seenDirectly(id) && observed.Peers[id].EntryEpoch < view.Epoch
+	}
 	if !slices.ContainsFunc(view.Chain, canSeal) {
 		return false
 	}
@@ -79,8 +84,9 @@
 	return possible
 }
 
-// Disputed tells whether members differ in whom they hear, or one that is heard has not told yet in this
-// epoch. A plan may then rest on old reports, and should stay the same for a while before it is proposed.
+// Disputed reports whether two live members don't receive from each other, or a live one has not reported in
+// this epoch. A plan may then rest on outdated reports, and should be proposed only after it has been stable
+// for Config.StabilizationDelay.
 func Disputed(view View, observed Observation, rules Rules) bool {
 	p := planner{view: &view, observed: observed, rules: rules}
 	ids := memberIDs(view.Members)
@@ -99,7 +105,7 @@
 	return false
 }
 
-// planner holds what one planning reads.
+// planner has the inputs of one planning.
 type planner struct {
 	view     *View
 	observed Observation
@@ -108,33 +114,30 @@
 	assumeSealed bool
 }
 
-// directly tells whether this node itself hears another.
+// seenDirectly reports whether this node itself has seen another one within SuspectAfter.
 func (p *planner) seenDirectly(id MemberID) bool {
 	peer, ok := p.observed.Peers[id]
 	return ok && peer.SinceLastSeen <= p.rules.SuspectAfter
 }
 
-// alive tells whether a member is heard by this node or by a member that this node hears.
+// alive reports whether a node was seen by this node, or by a member that this node has seen.
 func (p *planner) alive(id MemberID) bool {
 	if p.seenDirectly(id) {
 		return true
 	}
-	for _, reporter := range memberIDs(p.view.Members) {
-		if reporter != id && p.seenDirectly(reporter) && slices.Contains(p.observed.Peers[reporter].ReceivesFrom,
-			id) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(memberIDs(p.view.Members), func(reporter MemberID) bool {
+		return reporter != id && p.seenDirectly(reporter) &&
+			slices.Contains(p.observed.Peers[reporter].ReceivesFrom, id)
+	})
 }
 
-// connected tells whether two nodes hear each other, as far as this node knows.
+// connected reports whether two nodes receive from each other, as far as this node knows.
 func (p *planner) connected(a, b MemberID) bool {
 	return p.receivesFrom(a, b) && p.receivesFrom(b, a)
 }
 
-// hears tells whether one node hears a member. Who has not told in this epoch is taken to hear all, for a
-// while.
+// receivesFrom reports whether one node receives from another. A receiver that has not reported in this epoch
+// is assumed, for SuspectAfter, to receive from all.
 func (p *planner) receivesFrom(receiver, sender MemberID) bool {
 	if receiver == p.observed.Self {
 		return p.seenDirectly(sender)
--- a/internal/router/chain/plan_chain.go
+++ b/internal/router/chain/plan_chain.go
@@ -1,25 +1,23 @@
 package chain
 
-import (
-	"slices"
-)
+import "slices"
 
-// canDrain tells whether a member wants to leave and enough others hold what it holds.
+// canDrain reports whether a member drains and enough other replicas have its state.
 func (p *planner) canDrain(id MemberID) bool {
 	return p.observed.Peers[id].Draining && p.enoughOtherReplicas(id)
 }
 
-// enoughOtherReplicas tells whether a member isn't in the chain, or as many other replicas as a write needs
-// hold the state.
+// enoughOtherReplicas reports whether a member isn't in the chain, or there are as many other healthy
+// sources in it as a write needs replicas.
 func (p *planner) enoughOtherReplicas(id MemberID) bool {
 	others := slices.DeleteFunc(slices.Clone(p.view.Chain), func(other MemberID) bool {
 		return other == id || !p.alive(other) || p.observed.Peers[other].Degraded
 	})
-	return !p.view.inChain(id) || p.countSources(others) >= replicasNeeded(p.view.Members,
-		p.rules.RequiredReplicas)
+	needed := replicasNeeded(p.view.Members, p.rules.RequiredReplicas)
+	return !p.view.inChain(id) || p.countSources(others) >= needed
 }
 
-// holders counts those of the chain's replicas that hold every committed entry.
+// countSources counts the replicas of the current chain that are sources.
 func (p *planner) countSources(replicas []MemberID) int {
 	count := 0
 	for _, id := range replicas {
@@ -30,8 +28,8 @@
 	return count
 }
 
-// openAtReachableReplicas tells whether the epoch is open at each replica that is there and can open it:
-// until then a member that is not in the chain may hold the only copy that is left.
+// openAtReachableReplicas reports whether the epoch is open at each replica that is alive and able to open
+// it. Until then a member outside the chain may have the only copy of an entry.
 func (p *planner) openAtReachableReplicas() bool {
 	for _, id := range p.view.Chain {
 		peer := p.observed.Peers[id]
@@ -43,8 +41,8 @@
 	return true
 }
 
-// nextView returns the next view for a set of members: without the unfit ones if enough others are there. One
-// that leaves stays until enough others hold what it holds.
+// nextView returns the next view for a set of members, if there can be one. Its chain is without degraded
+// replicas if the others are enough; a draining one stays until enough others have its state.
 func (p *planner) nextView(members []Member) (View, bool) {
 	needed := replicasNeeded(members, p.rules.RequiredReplicas)
 	healthy := p.longestChain(p.eligibleReplicas(members, healthyOnly))
@@ -62,7 +60,7 @@
 	return View{}, false
 }
 
-// hasDrainingSource tells whether a replica that holds the state wants to leave.
+// hasDrainingSource reports whether a source in the chain drains.
 func (p *planner) hasDrainingSource(members []Member) bool {
 	return slices.ContainsFunc(p.view.Chain, func(id MemberID) bool {
 		draining := p.observed.Peers[id].Draining && p.alive(id)
@@ -70,7 +68,7 @@
 	})
 }
 
-// fitness says which of the old replicas a chain may have.
+// replicaHealth says which of the old replicas a chain may keep.
 type replicaHealth int
 
 const (
@@ -79,13 +77,13 @@
 	anyHealth
 )
 
-// allows tells whether a replica is fit enough.
+// allows reports whether a replica is healthy enough.
 func (h replicaHealth) allows(peer PeerObservation) bool {
 	return !peer.Degraded || h == anyHealth || h == healthyOrDraining && peer.Draining
 }
 
-// replicas returns who may be in the chain: the old replicas in their order, then newcomers. Sources stand
-// before the others, which they do in any chain as long as its epoch isn't sealed.
+// eligibleReplicas returns the members that may be in the chain: the old replicas in their order, then those
+// that join. Sources come before the others, as they do in any chain whose epoch isn't sealed.
 func (p *planner) eligibleReplicas(members []Member, health replicaHealth) []MemberID {
 	old := p.view.Chain
 	if p.epochSealed() {
@@ -110,8 +108,8 @@
 	return append(sources, others...)
 }
 
-// longestChain returns the longest chain whose replicas all hear each other and whose head is a source; of
-// equal ones that whose head comes first.
+// longestChain returns the longest chain of candidates that are connected pairwise and whose head is a
+// source; of equally long ones that whose head comes first.
 func (p *planner) longestChain(candidates []MemberID) []MemberID {
 	var best []MemberID
 	for start, head := range candidates {
--- a/internal/router/chain/plan_members.go
+++ b/internal/router/chain/plan_members.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// changedMembers returns the members with one more or one replaced.
+// changedMembers returns the members with one added or one replaced, if the planner wants that.
 func (p *planner) changedMembers() ([]Member, bool) {
 	for _, id := range p.candidates() {
 		candidate := p.observed.Peers[id]
@@ -22,7 +22,8 @@
 	return nil, false
 }
 
-// candidates returns the nodes that may become members, in a fixed order: those that know this epoch.
+// candidates returns the nodes that may become members, those that have reported in this epoch, in a fixed
+// order.
 func (p *planner) candidates() []MemberID {
 	var ids []MemberID
 	for id, peer := range p.observed.Peers {
@@ -35,7 +36,7 @@
 	return ids
 }
 
-// isSuperseded tells whether another identity of the same machine was heard later.
+// isSuperseded reports whether another identity of the same machine was seen later.
 func (p *planner) isSuperseded(candidate PeerObservation) bool {
 	for _, other := range p.observed.Peers {
 		sameMachine := other.Member.Address == candidate.Member.Address && candidate.Member.Address != ""
@@ -46,38 +47,54 @@
 	return false
 }
 
-// indexReplacedBy returns the index of the member whose place a candidate takes: at once the one at its own
-// address, which has not been heard since the candidate is; else the one that is gone for longest, or one
-// that leaves. The candidate must have been heard since there is a place for it: its disk may be gone by now.
+// indexReplacedBy returns the index of the member that a candidate replaces. One at the candidate's own
+// address that was not seen since the candidate was is replaced at once; otherwise it is the one unavailable
+// for longest, or one that drains. The candidate must have been seen after the member became replaceable:
+// its disk may be lost by now.
 func (p *planner) indexReplacedBy(candidate PeerObservation) (int, bool) {
-	for index, member := range p.view.Members {
-		peer := p.observed.Peers[member.ID]
-		sameMachine := member.Address == candidate.Member.Address && member.Address != ""
-		if sameMachine && peer.SinceLastSeen >= candidate.StableFor+candidate.SinceLastSeen {
-			return index, true
-		}
+	if index, ok := p.indexOfSameMachine(candidate); ok {
+		return index, true
 	}
 	if candidate.StableFor < p.rules.RejoinAfter || !p.openAtReachableReplicas() {
 		return 0, false
 	}
-	longest, ok, replaced := p.rules.ReplaceAfter+candidate.SinceLastSeen, false, 0
+	if index, ok := p.indexOfUnavailable(candidate); ok {
+		return index, true
+	}
+	return validIndex(slices.IndexFunc(p.view.Members, func(member Member) bool {
+		return p.canDrain(member.ID) && candidate.SinceLastSeen <= p.observed.Peers[member.ID].DegradedFor
+	}))
+}
+
+// indexOfSameMachine returns the index of the member at a candidate's address that was not seen since the
+// candidate was.
+func (p *planner) indexOfSameMachine(candidate PeerObservation) (int, bool) {
+	return validIndex(slices.IndexFunc(p.view.Members, func(member Member) bool {
+		sameMachine := member.Address == candidate.Member.Address && member.Address != ""
+		sinceLastSeen := p.observed.Peers[member.ID].SinceLastSeen
+		return sameMachine && sinceLastSeen >= candidate.StableFor+candidate.SinceLastSeen
+	}))
+}
+
+// indexOfUnavailable returns the index of the member that is unavailable for longest, if it was so for long
+// enough when a candidate was last seen.
+func (p *planner) indexOfUnavailable(candidate PeerObservation) (int, bool) {
+	longest, replaced := p.rules.ReplaceAfter+candidate.SinceLastSeen, -1
 	for index, member := range p.view.Members {
 		if unavailable := p.unavailableFor(member.ID); unavailable > longest {
-			longest, ok, replaced = unavailable, true, index
+			longest, replaced = unavailable, index
 		}
 	}
-	if ok {
-		return replaced, true
-	}
-	replaced = slices.IndexFunc(p.view.Members, func(member Member) bool {
-		return p.canDrain(member.ID) && candidate.SinceLastSeen <= p.observed.Peers[member.ID].DegradedFor
-	})
-	return max(replaced, 0), replaced >= 0
+	return validIndex(replaced)
 }
 
-// unavailableFor returns how long a member has been silent to all, or its disk has failed. A silent one that
-// the chain still names may hold a copy that the others lack: a view without it in the chain comes first. So
-// does one with more holders before a failing disk is given up, which still has what it holds.
+// validIndex returns an index with whether there is one; the functions of package slices return -1 if not.
+func validIndex(index int) (int, bool) { return max(index, 0), index >= 0 }
+
+// unavailableFor returns for how long no member has seen a member, or its disk has failed; 0 if it must not
+// be replaced yet. One that has timed out and is still in the chain may have the only copy of an entry: a
+// view without it in the chain has to come first. A failing disk is replaced only when enough others have
+// its state.
 func (p *planner) unavailableFor(id MemberID) time.Duration {
 	peer := p.observed.Peers[id]
 	switch {
--- a/internal/router/chain/plan_sources.go
+++ b/internal/router/chain/plan_sources.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// epochSealed tells whether a replica has promised not to open the current epoch, which hence commits
-// nothing.
+// epochSealed reports whether a replica has promised never to open the current epoch, so that nothing can be
+// committed in it.
 func (p *planner) epochSealed() bool {
 	sealed := func(id MemberID) bool { return p.observed.Peers[id].Sealed }
 	return p.assumeSealed || slices.ContainsFunc(p.view.Chain, sealed)
 }
 
-// isSource tells whether a member holds every committed entry, so that it may be the head.
+// isSource reports whether a member has every committed entry, so that it may be the head.
 func (p *planner) isSource(id MemberID) bool {
 	entryEpoch := p.observed.Peers[id].EntryEpoch
 	if p.view.inChain(id) && (!p.view.isFresh(id) || entryEpoch == p.view.Epoch) {
@@ -18,30 +18,30 @@
 	if !p.epochSealed() {
 		return false
 	}
-	completeEpoch, ok := uint64(0), slices.Contains(p.view.Sources, id)
+	completeEpoch, wasSource := uint64(0), slices.Contains(p.view.Sources, id)
 	for _, past := range p.view.Unopened {
 		if p.openedIn(past, id) {
-			completeEpoch, ok = past.Epoch, true
+			completeEpoch, wasSource = past.Epoch, true
 		}
 	}
-	return ok && p.nothingCommittedSince(completeEpoch)
+	return wasSource && p.nothingCommittedSince(completeEpoch)
 }
 
-// openedIn tells whether a past epoch is the last one that was open at a node: it then holds what was
-// committed before and in that epoch.
+// openedIn reports whether a past epoch is the latest that was open at a node, which then has what was
+// committed up to the end of that epoch.
 func (p *planner) openedIn(past PastChain, id MemberID) bool {
 	return past.Epoch == p.observed.Peers[id].EntryEpoch && slices.Contains(past.Chain, id)
 }
 
-// nothingCommittedSince tells whether nothing was committed in each unopened epoch behind one.
+// nothingCommittedSince reports whether nothing was committed in any unopened epoch after one.
 func (p *planner) nothingCommittedSince(epoch uint64) bool {
 	return !slices.ContainsFunc(p.view.Unopened, func(past PastChain) bool {
 		return past.Epoch > epoch && !p.nothingCommittedIn(past)
 	})
 }
 
-// nothingCommittedIn tells whether a past epoch has a replica that never accepted an entry in it and, being
-// in a later epoch, never will.
+// nothingCommittedIn reports whether a past epoch has a replica that accepted no entry in it and, being in a
+// later epoch, never will.
 func (p *planner) nothingCommittedIn(past PastChain) bool {
 	return slices.ContainsFunc(past.Chain, func(id MemberID) bool {
 		peer := p.observed.Peers[id]
@@ -49,13 +49,13 @@
 	})
 }
 
-// openAtFullChain tells whether the current epoch is known to be open at its whole chain.
+// openAtFullChain reports whether the current epoch is known to be open at all of its replicas.
 func (p *planner) openAtFullChain() bool {
 	closed := func(id MemberID) bool { return p.observed.Peers[id].EntryEpoch != p.view.Epoch }
 	return !slices.ContainsFunc(p.view.Chain, closed)
 }
 
-// buildView builds the next view.
+// buildView returns the next view, with the members' latest addresses.
 func (p *planner) buildView(members []Member, chain []MemberID) View {
 	next := View{Epoch: p.view.Epoch + 1, Members: slices.Clone(members), Chain: chain}
 	for i, member := range next.Members {
@@ -79,7 +79,8 @@
 	return next
 }
 
-// unopened returns the unopened epochs of the next view, and who holds all that was committed before them.
+// unopened returns the unopened epochs of the next view, and the members that have all that was committed
+// before them.
 func (p *planner) unopened() ([]PastChain, []MemberID) {
 	switch {
 	case p.openAtFullChain():
@@ -87,17 +88,17 @@
 	case p.epochSealed():
 		return p.view.Unopened, p.view.Sources
 	case len(p.view.Unopened) < maxUnopened:
-		return append(slices.Clone(p.view.Unopened), PastChain{p.view.Epoch, p.view.Chain}), p.view.Sources
+		return append(slices.Clone(p.view.Unopened), p.view.asPast()), p.view.Sources
 	default:
 		remaining, sources := p.forgetUnopened()
-		return append(remaining, PastChain{p.view.Epoch, p.view.Chain}), sources
+		return append(remaining, p.view.asPast()), sources
 	}
 }
 
-// forgetUnopened drops one of the unopened epochs and returns who holds all that was committed before the
-// rest. An epoch in which nothing was committed can go unharmed, unless it is the last one that was open at
-// somebody who holds the state by that alone. Else the oldest goes, and with it those sources that may lack
-// its entries.
+// forgetUnopened drops one of the unopened epochs and returns the members that have all that was committed
+// before the rest. It prefers an epoch in which nothing was committed, unless that is the latest epoch that
+// was open at some node, which is a source only by that. Otherwise the oldest is dropped, and with it the
+// sources that may lack its entries.
 func (p *planner) forgetUnopened() ([]PastChain, []MemberID) {
 	sources, unopened := p.view.Sources, slices.Clone(p.view.Unopened)
 	for index, past := range unopened {
@@ -114,7 +115,7 @@
 	return unopened[1:], sources
 }
 
-// openedLastIn returns the replicas at which a past epoch is the last one that was open.
+// openedLastIn returns the replicas at which a past epoch is the latest that was open.
 func (p *planner) openedLastIn(past PastChain) []MemberID {
 	return slices.DeleteFunc(slices.Clone(past.Chain), func(id MemberID) bool { return !p.openedIn(past, id) })
 }
--- a/internal/router/chain/proposal_number.go
+++ b/internal/router/chain/proposal_number.go
@@ -2,19 +2,20 @@
 
 import "cmp"
 
-// ProposalNumber orders the proposals of one instance; the zero ballot is before all.
+// ProposalNumber is a Paxos proposal number: a counter, and the proposer to make it unique. The zero number
+// is below all others.
 type ProposalNumber struct {
 	Counter  uint64
 	Proposer MemberID
 }
 
-// compare orders ballots by round, then by member.
-func (n ProposalNumber) compare(other ProposalNumber) int {
-	if order := cmp.Compare(n.Counter, other.Counter); order != 0 {
+// compare orders proposal numbers by counter, then by proposer.
+func (p ProposalNumber) compare(other ProposalNumber) int {
+	if order := cmp.Compare(p.Counter, other.Counter); order != 0 {
 		return order
 	}
-	return cmp.Compare(n.Proposer, other.Proposer)
+	return cmp.Compare(p.Proposer, other.Proposer)
 }
 
-// less tells whether a ballot is before another.
-func (n ProposalNumber) less(other ProposalNumber) bool { return n.compare(other) < 0 }
+// less reports whether p is below another number.
+func (p ProposalNumber) less(other ProposalNumber) bool { return p.compare(other) < 0 }
--- a/internal/router/chain/proposer.go
+++ b/internal/router/chain/proposer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// phase is how far a proposal is.
+// proposerPhase is the phase of a Paxos proposal.
 type proposerPhase int
 
 const (
@@ -14,26 +14,29 @@
 	accepting
 )
 
-// proposing is this node's part as a proposer of the next view.
+// proposerState is the state of the Paxos proposer for the successor of the current view. It is volatile.
 type proposerState struct {
 	phase  proposerPhase
 	number ProposalNumber
-	// highest is the highest round that was seen in this instance.
+	// maxCounter is the highest counter that was observed in this instance.
 	maxCounter uint64
-	view       View
-	// best is the highest ballot of an accepted value among the promises, highestAcceptedView that value.
+	// view is what is proposed.
+	view View
+	// highestAccepted is the highest number of an accepted proposal among the replies to Prepare, and
+	// highestAcceptedView its view.
 	highestAccepted     ProposalNumber
 	highestAcceptedView View
-	replied             []MemberID
-	deadline            time.Duration
-	// backoffUntil is when the next try may begin.
+	// replied are the members that have replied in the current phase, which ends at the deadline.
+	replied  []MemberID
+	deadline time.Duration
+	// backoffUntil is when the next proposal may begin.
 	backoffUntil time.Duration
-	// wanted is the view that the planner wants, plannedSince since when; its epoch is 0 if it wants none.
+	// planned is the result of the planner, unchanged since plannedSince; its epoch is 0 if there is none.
 	planned      View
 	plannedSince time.Duration
 	// stuckSince is since when no view can follow; 0 if one can.
 	stuckSince time.Duration
-	// acceptedAt is when this node, as an acceptor, accepted a view that it hasn't heard of being decided.
+	// acceptedAt is when this node, as an acceptor, accepted a view of whose decision it has not learnt.
 	acceptedAt time.Duration
 }
 
@@ -48,10 +51,11 @@
 	}
 }
 
-// tickViewChange asks the planner and proposes what it wants when it is this node's turn. A view that was
-// accepted and not decided is finished also if nobody wants it any more: while it stands, a loss among those
-// whom it names, members yet or not, counts as one of a member's, and only the view behind it can replace
-// them.
+// tickViewChange runs the planner and proposes its result when it is this node's turn.
+//
+// A view that was accepted and not decided is proposed again even if no planner wants it any more. As long
+// as it may still be decided, the loss of any node that it names counts like the loss of a member, and only
+// a view after it can replace that node.
 func (n *Node) tickViewChange() {
 	if !n.state.view.isMember(n.state.id) {
 		return
@@ -67,9 +71,7 @@
 	}
 	p.planned = planned
 	rankDelay := time.Duration(n.rank(observation)) * n.config.ProposeStagger
-	unfinished := n.state.acceptor.accepted != (ProposalNumber{}) &&
-		n.now >= p.acceptedAt+n.config.ReproposeAfter+rankDelay
-	if unfinished && p.phase == idle && n.now >= p.backoffUntil && !n.stalled {
+	if n.decisionOverdue(rankDelay) && n.mayPropose() {
 		n.prepare()
 		return
 	}
@@ -82,12 +84,23 @@
 	if Disputed(n.state.view, observation, n.rules()) {
 		proposeAt += n.config.StabilizationDelay
 	}
-	if p.phase == idle && n.now >= proposeAt && n.now >= p.backoffUntil && !n.stalled {
+	if n.now >= proposeAt && n.mayPropose() {
 		n.prepare()
 	}
 }
 
-// tickSeal asks the replicas to give an epoch up that can't be opened or followed for long.
+// mayPropose reports whether this node may start a proposal now.
+func (n *Node) mayPropose() bool {
+	return n.proposer.phase == idle && n.now >= n.proposer.backoffUntil && !n.stalled
+}
+
+// decisionOverdue reports whether this node has accepted a view and not learnt of a decision for too long.
+func (n *Node) decisionOverdue(rankDelay time.Duration) bool {
+	return n.state.acceptor.accepted != (ProposalNumber{}) &&
+		n.now >= n.proposer.acceptedAt+n.config.ReproposeAfter+rankDelay
+}
+
+// tickSeal asks the replicas to seal an epoch that for long could neither be opened nor followed by another.
 func (n *Node) tickSeal(observation Observation) {
 	p := &n.proposer
 	if !SealNeeded(n.state.view, observation, n.rules()) {
@@ -106,7 +119,7 @@
 	}
 }
 
-// rank returns how many members propose before this one: the chain in its order, then the others.
+// rank returns how many live members propose before this one: the chain in its order, then the others.
 func (n *Node) rank(observation Observation) int {
 	order := slices.Clone(n.state.view.Chain)
 	for _, id := range memberIDs(n.state.view.Members) {
@@ -127,7 +140,7 @@
 	return rank
 }
 
-// prepare opens a ballot above all that were seen.
+// prepare starts a proposal with a number above all that were observed.
 func (n *Node) prepare() {
 	p := &n.proposer
 	p.maxCounter = max(p.maxCounter, n.state.acceptor.promised.Counter) + 1
@@ -137,14 +150,14 @@
 	n.broadcast(Message{Kind: Prepare, ProposalNumber: p.number, View: n.state.view})
 }
 
-// broadcast sends a message to all members.
+// broadcast sends a message to all members, this node included.
 func (n *Node) broadcast(m Message) {
 	for _, member := range n.state.view.Members {
 		n.send(member.ID, m)
 	}
 }
 
-// countReply notes a member's answer to the current ballot and tells whether a majority has answered now.
+// countReply counts a member's reply to the current proposal and reports whether a majority has replied.
 func (n *Node) countReply(m *Message, expected proposerPhase) bool {
 	p := &n.proposer
 	if p.phase != expected || m.ProposalNumber != p.number || !n.state.view.isMember(m.From) {
@@ -159,7 +172,8 @@
 	return len(p.replied) >= majority(n.state.view.Members)
 }
 
-// onPrepareReply proposes a view when a majority has promised: an accepted one if there is any.
+// onPrepareReply proposes a view once a majority has promised: the accepted one of the highest number if
+// there is any, else what the planner wants.
 func (n *Node) onPrepareReply(m *Message) {
 	if !n.countReply(m, preparing) {
 		return
@@ -167,19 +181,19 @@
 	p := &n.proposer
 	p.view = p.highestAcceptedView
 	if p.highestAccepted == (ProposalNumber{}) {
-		next, ok := Plan(n.state.view, n.observe(), n.rules())
+		planned, ok := Plan(n.state.view, n.observe(), n.rules())
 		if !ok {
 			p.phase = idle
 			return
 		}
-		p.view = next
+		p.view = planned
 	}
 	p.phase, p.replied = accepting, nil
 	p.deadline = n.now + n.config.ProposeTimeout
 	n.broadcast(Message{Kind: Accept, ProposalNumber: p.number, View: p.view})
 }
 
-// onAcceptReply decides the view when a majority has accepted it, and tells it to all.
+// onAcceptReply decides the view once a majority has accepted it.
 func (n *Node) onAcceptReply(m *Message) {
 	if !n.countReply(m, accepting) {
 		return
@@ -189,27 +203,20 @@
 	n.broadcastView(old.Members)
 }
 
-// spread tells the view to its members, to former ones and to all other nodes that are heard.
+// broadcastView sends the view to its members, to former ones and to all other known nodes.
 func (n *Node) broadcastView(former []Member) {
 	notified := []MemberID{n.state.id}
-	notify := func(id MemberID) {
+	for _, id := range slices.Concat(
+		memberIDs(n.state.view.Members), memberIDs(former), sortedKeys(n.peers),
+	) {
 		if !slices.Contains(notified, id) {
 			notified = append(notified, id)
 			n.sendView(id)
 		}
 	}
-	for _, id := range memberIDs(n.state.view.Members) {
-		notify(id)
-	}
-	for _, id := range memberIDs(former) {
-		notify(id)
-	}
-	for _, id := range n.peerIDs() {
-		notify(id)
-	}
 }
 
-// onNack gives up a ballot that came too late.
+// onNack gives up a proposal whose number is too low.
 func (n *Node) onNack(m *Message) {
 	p := &n.proposer
 	p.maxCounter = max(p.maxCounter, m.ProposalNumber.Counter)
@@ -218,7 +225,7 @@
 	}
 }
 
-// backOff ends a ballot and waits a random time, so that of two proposers one gets through.
+// backOff ends a proposal and waits a random time, so that one of two dueling proposers gets through.
 func (n *Node) backOff() {
 	p := &n.proposer
 	p.phase = idle
--- a/internal/router/chain/receive.go
+++ b/internal/router/chain/receive.go
@@ -1,6 +1,7 @@
 package chain
 
-// handle takes one message: it compares epochs first, then does what the kind asks.
+// handle dispatches a message. Messages of a view or of clients are valid in any epoch; all others only in
+// the receiver's, so that a replaced head can neither commit nor answer reads.
 func (n *Node) handle(m Message) {
 	n.recordReceipt(&m)
 	switch m.Kind {
@@ -26,7 +27,7 @@
 	}
 }
 
-// handleOfEpoch takes a message of the node's own epoch.
+// handleOfEpoch dispatches a message of the node's own epoch.
 func (n *Node) handleOfEpoch(m *Message) {
 	switch m.Kind {
 	case Heartbeat:
@@ -62,17 +63,17 @@
 	}
 }
 
-// requestView sends a heartbeat: its older epoch is answered by the view.
+// requestView sends a heartbeat: its older epoch is answered with the view.
 func (n *Node) requestView(from MemberID) {
 	n.send(from, n.heartbeat())
 }
 
-// sendView sends the decided view.
+// sendView sends the latest decided view.
 func (n *Node) sendView(to MemberID) {
 	n.send(to, Message{Kind: ViewNotice, View: n.state.view})
 }
 
-// adopt takes over a decided view if it is newer than the node's own.
+// adopt installs a decided view if it is newer than the node's own.
 func (n *Node) adopt(view View) {
 	if view.Epoch <= n.state.view.Epoch || n.hasRevoked(&view) {
 		return
@@ -86,11 +87,11 @@
 	}
 }
 
-// startEpoch sets back all that belongs to one epoch.
+// startEpoch resets what belongs to one epoch.
 func (n *Node) startEpoch() {
 	n.epochSince = n.now
 	n.proposer = proposerState{acceptedAt: n.now}
 	n.trackMembers()
-	n.dropHeadRole()
+	n.resetHead()
 	n.redirectForwards()
 }
--- a/internal/router/chain/replica.go
+++ b/internal/router/chain/replica.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// enoughReplicas tells whether the chain is long enough for its entries to count as committed.
+// enoughReplicas reports whether the chain is long enough for its entries to count as committed.
 func (n *Node) enoughReplicas() bool {
 	view := &n.state.view
 	return len(view.Chain) >= replicasNeeded(view.Members, n.config.RequiredReplicas)
 }
 
-// onAppend takes an entry of the predecessor and passes it on once it is durable.
+// onAppend accepts an entry from the predecessor and propagates it once it is durable.
 func (n *Node) onAppend(m *Message) {
 	view, accepted := &n.state.view, &n.state.accepted
 	if m.From != view.predecessor(n.state.id) || n.state.sealed == view.Epoch {
@@ -28,7 +28,7 @@
 	n.repropagate()
 }
 
-// acceptNew takes an entry that this node doesn't hold, or asks for its body.
+// acceptNew accepts an entry other than the latest accepted one, or fetches its body.
 func (n *Node) acceptNew(m *Message) {
 	view, accepted := &n.state.view, &n.state.accepted
 	if accepted.Epoch == view.Epoch && m.Sequence == accepted.Sequence {
@@ -40,10 +40,11 @@
 		return
 	}
 	if accepted.Epoch == view.Epoch && n.enoughReplicas() {
-		// The head begins a write only after the one before it is committed.
+		// The head starts a write only after the one before it is committed.
 		n.setCommitted()
 	}
-	next := n.config.newAcceptedEntry(Entry{view.Epoch, m.Sequence, m.Version, m.Body}, m.History)
+	entry := Entry{Epoch: view.Epoch, Sequence: m.Sequence, Version: m.Version, Body: m.Body}
+	next := n.config.newAcceptedEntry(entry, m.History)
 	if extends {
 		n.acceptSuccessor(next.Entry, next.digest)
 		n.propagate(m.Origin, m.Request)
@@ -53,8 +54,8 @@
 	n.repropagate()
 }
 
-// acceptSuccessor takes the entry that follows the held one, which is committed. Its record doesn't repeat
-// the history; two of them in one step are persisted as a whole.
+// acceptSuccessor accepts the entry that follows the latest accepted one, which is committed. Its record
+// doesn't repeat the history. A second one in the same step is persisted as a full entry.
 func (n *Node) acceptSuccessor(entry Entry, digest Digest) {
 	next := n.state.accepted.successor(entry, digest, n.config.HistoryLength)
 	if n.changed[recordEntry] || n.changed[recordSuccessor] {
@@ -65,15 +66,15 @@
 	n.changed[recordSuccessor] = true
 }
 
-// replaceAccepted takes another entry in place of the held one.
+// replaceAccepted accepts an entry with its full history.
 func (n *Node) replaceAccepted(entry acceptedEntry) {
 	n.state.accepted = entry
 	n.changed[recordEntry], n.changed[recordHistory] = true, true
 	n.changed[recordSuccessor] = false
 }
 
-// propagate sends a new write to the successor; the tail acknowledges it to the head and answers the node
-// where it came in, if that is another.
+// propagate sends a new write to the successor. The tail instead acknowledges it to the head, and answers the
+// node at which the request came in if that isn't the head.
 func (n *Node) propagate(origin MemberID, requestID uint64) {
 	if next := n.state.view.successor(n.state.id); next != "" {
 		m := n.appendMessage()
@@ -91,7 +92,8 @@
 	}
 }
 
-// repropagate sends the held entry without its body to the successor, or acknowledges it as the tail.
+// repropagate resends the latest accepted entry without its body to the successor, or acknowledges it as the
+// tail.
 func (n *Node) repropagate() {
 	if next := n.state.view.successor(n.state.id); next != "" {
 		n.resendEntry(next, false)
@@ -100,7 +102,7 @@
 	n.sendAck()
 }
 
-// acknowledge tells the head that the whole chain holds the entry.
+// sendAck tells the head that all replicas have accepted the entry.
 func (n *Node) sendAck() {
 	if n.enoughReplicas() {
 		n.setCommitted()
@@ -108,14 +110,14 @@
 	n.send(n.state.view.head(), Message{Kind: Ack, Sequence: n.state.accepted.Sequence})
 }
 
-// appendMessage makes the message that names the held entry.
+// appendMessage returns an Append that identifies the latest accepted entry.
 func (n *Node) appendMessage() Message {
 	accepted := &n.state.accepted
 	return Message{Kind: Append, Sequence: accepted.Sequence, Version: accepted.Version,
 		Digest: slices.Clone(accepted.digest[:])}
 }
 
-// resendEntry sends an entry that is no new write; the receiver may not know the epoch's view yet.
+// resendEntry sends an entry that is not a new write. The receiver may not know the epoch's view yet.
 func (n *Node) resendEntry(to MemberID, withBody bool) {
 	m := n.appendMessage()
 	m.Resend, m.View = true, n.state.view
@@ -125,7 +127,7 @@
 	n.send(to, m)
 }
 
-// onFetchBody sends the successor the held entry with its body.
+// onFetchBody resends the latest accepted entry with its body to the successor.
 func (n *Node) onFetchBody(m *Message) {
 	view, accepted := &n.state.view, &n.state.accepted
 	if m.From == view.successor(n.state.id) && accepted.Epoch == view.Epoch && accepted.Sequence == m.Sequence {
@@ -140,7 +142,7 @@
 	}
 }
 
-// learnCommitted notes that an entry is committed if it is the held one.
+// learnCommitted marks the latest accepted entry as committed if it has that sequence.
 func (n *Node) learnCommitted(sequence uint64) {
 	accepted := &n.state.accepted
 	if accepted.Epoch == n.state.view.Epoch && accepted.Sequence == sequence && n.enoughReplicas() {
@@ -148,7 +150,7 @@
 	}
 }
 
-// setCommitted notes that the held entry is committed.
+// setCommitted marks the latest accepted entry as committed.
 func (n *Node) setCommitted() {
 	if n.state.committedSequence != n.state.accepted.Sequence && !n.state.commitUnpersisted {
 		n.state.commitUnpersisted, n.state.unpersistedSince = true, n.now
@@ -157,7 +159,8 @@
 	n.state.committed, n.state.committedKnown = n.state.accepted, true
 }
 
-// onMarker passes a marker on, or answers it as the tail.
+// onMarker passes a marker to the successor, or answers it as the tail. A replica at which the epoch isn't
+// open drops it.
 func (n *Node) onMarker(m *Message) {
 	view := &n.state.view
 	if m.From != view.predecessor(n.state.id) || n.state.accepted.Epoch != view.Epoch {
--- a/internal/router/chain/request.go
+++ b/internal/router/chain/request.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Proposal asks for a write: the register goes from version Expected to Version with that body.
+// Proposal is a compare-and-set write: the register goes from version Expected to Version with that body.
 type Proposal struct {
 	Expected int64
 	Version  int64
 	Body     []byte
 }
 
-// ChangeID names a change without its body.
+// ChangeID identifies a change without its body.
 type ChangeID struct {
 	Expected int64
 	Version  int64
@@ -21,15 +21,15 @@
 
 // The outcomes.
 const (
-	// Applied says that a write was committed, maybe a while ago, or that a read is answered.
+	// Applied says that a write is committed, or was at some time, or that a read is answered.
 	Applied Outcome = iota + 1
-	// Conflict says that the register has another version than expected. The write was never in force and
+	// Conflict says that the register has another version than expected. The write never was committed and
 	// never will be.
 	Conflict
 	// Invalid says that a proposal's version isn't above the expected one.
 	Invalid
-	// Unavailable gives no answer: a write may be in force now, later or never, or it has a version from
-	// before all that the history names, and may have been in force once.
+	// Unavailable leaves the outcome open: a write may be committed already, later or never, or its version is
+	// older than the history and it may have been committed before that.
 	Unavailable
 )
 
@@ -42,8 +42,8 @@
 	return fmt.Sprintf("outcome %d", o)
 }
 
-// Reply answers a local request. Applied replies to reads carry the whole entry; applied and refused writes
-// only its sequence and version.
+// Reply answers a local request. Replies to reads that are Applied carry the full entry; those to writes that
+// are Applied or Conflict only the committed entry's sequence and version.
 type Reply struct {
 	Request uint64
 	Outcome Outcome
--- a/internal/router/chain/sim_check_test.go
+++ b/internal/router/chain/sim_check_test.go
@@ -1,7 +1,6 @@
 package chain
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -212,13 +211,3 @@
 	})
 	return porcupine.CheckOperationsTimeout(registerModel, operations, 20*time.Second)
 }
-
-// sortedKeys returns a map's keys in order.
-func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
-	keys := make([]K, 0, len(values))
-	for key := range values {
-		keys = append(keys, key)
-	}
-	slices.Sort(keys)
-	return keys
-}
--- a/internal/router/chain/sim_test.go
+++ b/internal/router/chain/sim_test.go
@@ -68,6 +68,7 @@
 
 // simulate plays one seed.
 func simulate(t *testing.T, seed int64) *simWorld {
+	t.Helper()
 	w := newWorld(seed)
 	if seed%3 == 0 {
 		w.members, w.requiredReplicas = 5, 3
--- a/internal/router/chain/view.go
+++ b/internal/router/chain/view.go
@@ -1,29 +1,33 @@
 package chain
 
-import "slices"
+import (
+	"cmp"
+	"slices"
+)
 
-// MemberID is the random identity of one disk: a machine whose disk was emptied comes back under another.
+// MemberID is the random identity of one disk. A machine whose disk was wiped returns under another one.
 type MemberID string
 
-// Proposer is a machine with a disk.
+// Member is a machine with a disk.
 type Member struct {
 	ID      MemberID
 	Address string
 }
 
-// View is what the members agree on for one epoch. It is never changed.
+// View is the configuration of the chain in one epoch. A decided view is immutable. The zero View, of epoch
+// 0, stands for none.
 type View struct {
 	Epoch uint64
-	// Members vote on the next view; a majority of them decides it.
+	// Members are the acceptors that decide the next view by a majority.
 	Members []Member
 	// Chain are the replicas from head to tail, all of them members.
 	Chain []MemberID
-	// Fresh are those of the chain that may lack the committed entry until this epoch is open at them.
+	// Fresh are the replicas that may lack the committed entry until they accept one in this epoch.
 	Fresh []MemberID
-	// Sources hold every entry that was committed before the first epoch of Unopened, or before this one if
-	// there is none. If it is known that nothing was committed since, one of them may be the next head.
+	// Sources have every entry that was committed before the first epoch of Unopened, or before this one if
+	// Unopened is empty. One of them may become head if nothing is known to have been committed since.
 	Sources []MemberID
-	// Unopened are the latest epochs before this one that were not seen open at their whole chain, in order.
+	// Unopened are the latest epochs before this one that were not observed open at their full chain, ascending.
 	Unopened []PastChain
 }
 
@@ -52,7 +56,7 @@
 	return v.Chain[len(v.Chain)-1]
 }
 
-// successor returns the replica behind one, or none.
+// successor returns the replica after id, or "" for the tail.
 func (v View) successor(id MemberID) MemberID {
 	if index := slices.Index(v.Chain, id); index >= 0 && index+1 < len(v.Chain) {
 		return v.Chain[index+1]
@@ -60,7 +64,7 @@
 	return ""
 }
 
-// predecessor returns the replica before one, or none.
+// predecessor returns the replica before id, or "" for the head.
 func (v View) predecessor(id MemberID) MemberID {
 	if index := slices.Index(v.Chain, id); index > 0 {
 		return v.Chain[index-1]
@@ -68,13 +72,13 @@
 	return ""
 }
 
-// inChain tells whether a member is a replica.
+// inChain reports whether a member is a replica.
 func (v View) inChain(id MemberID) bool { return slices.Contains(v.Chain, id) }
 
-// isFresh tells whether a replica may lack the committed entry.
+// isFresh reports whether a replica may lack the committed entry.
 func (v View) isFresh(id MemberID) bool { return slices.Contains(v.Fresh, id) }
 
-// member finds a member.
+// member returns the member with an identity.
 func (v View) member(id MemberID) (Member, bool) {
 	for _, member := range v.Members {
 		if member.ID == id {
@@ -84,21 +88,21 @@
 	return Member{}, false
 }
 
-// isMember tells whether someone votes on the next view.
+// isMember reports whether id is an acceptor for the next view.
 func (v View) isMember(id MemberID) bool {
 	_, ok := v.member(id)
 	return ok
 }
 
-// majority returns how many members decide.
+// majority returns the size of a quorum of the members.
 func majority(members []Member) int { return len(members)/2 + 1 }
 
-// replicasNeeded returns how many replicas a write needs.
+// replicasNeeded returns how many replicas commit a write.
 func replicasNeeded(members []Member, configured int) int {
 	return max(majority(members), min(configured, len(members)))
 }
 
-// identities returns the members' identities in their order.
+// memberIDs returns the members' identities in their order.
 func memberIDs(members []Member) []MemberID {
 	ids := make([]MemberID, len(members))
 	for i, member := range members {
@@ -107,13 +111,13 @@
 	return ids
 }
 
-// firstView returns a first view of members who hold nothing yet; unopened are the attempts before it.
+// firstView returns a first view, of members with empty registers; unopened are the attempts before it.
 func firstView(epoch uint64, members []Member, unopened []PastChain) View {
 	ids := memberIDs(members)
 	return View{Epoch: epoch, Members: slices.Clone(members), Chain: ids, Sources: ids, Unopened: unopened}
 }
 
-// keepsMajorities tells whether a majority of each unopened chain are members.
+// keepsMajorities reports whether a majority of each unopened chain are members.
 func (v View) keepsMajorities() bool {
 	return !slices.ContainsFunc(v.Unopened, func(past PastChain) bool {
 		remaining := 0
@@ -126,10 +130,28 @@
 	})
 }
 
-// sorted returns identities in order.
+// containsPast reports whether a list has a past chain.
+func containsPast(list []PastChain, past PastChain) bool {
+	return slices.ContainsFunc(list, past.equal)
+}
+
+// asPast returns the view as a later one names it in Unopened.
+func (v View) asPast() PastChain { return PastChain{v.Epoch, v.Chain} }
+
+// sortedIDs returns a sorted copy.
 func sortedIDs(ids []MemberID) []MemberID { return slices.Sorted(slices.Values(ids)) }
 
-// equal tells whether two views say the same.
+// sortedKeys returns a map's keys in ascending order.
+func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
+	keys := make([]K, 0, len(values))
+	for key := range values {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// equal reports whether two views are the same.
 func (v View) equal(other View) bool {
 	return v.Epoch == other.Epoch && slices.Equal(v.Members, other.Members) &&
 		slices.Equal(v.Chain, other.Chain) && slices.Equal(v.Fresh, other.Fresh) &&
@@ -137,7 +159,7 @@
 		slices.EqualFunc(v.Unopened, other.Unopened, PastChain.equal)
 }
 
-// equal tells whether two past chains are the same.
+// equal reports whether two past chains are the same.
 func (p PastChain) equal(other PastChain) bool {
 	return p.Epoch == other.Epoch && slices.Equal(p.Chain, other.Chain)
 }
