--- a/internal/router/chain/bootstrap_test.go
+++ b/internal/router/chain/bootstrap_test.go
@@ -51,7 +51,7 @@
 	for _, member := range members {
 		tc.start(member.ID, member.Address, true, 3)
 	}
-	tc.run(3 * time.Second) // the founder waits for a third
+	tc.run(3 * time.Second) // the bootstrapper waits for a third
 	tc.drop = dropKind(GenesisReply, "a")
 	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members[:2]) })
 	tc.run(100 * time.Millisecond)
@@ -74,8 +74,8 @@
 	tc.c.Assert(tc.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(0))
 }
 
-// TestGenesisReplyGoesToTheBootstrappersAddress: a machine that has heard nothing of the founder but its
-// question answers to the address that the question names, since identities alone lead nowhere yet.
+// TestGenesisReplyGoesToTheBootstrappersAddress: a machine that knows the sender only by its Genesis replies
+// to the address that the message names.
 func TestGenesisReplyGoesToTheBootstrappersAddress(t *testing.T) {
 	c := qt.New(t)
 	config := Config{Self: Member{"b", "10.0.0.2"}, HasDisk: true, AllowBootstrap: true,
@@ -89,7 +89,7 @@
 	c.Check(effects.Messages[0].Message.Kind, qt.Equals, GenesisReply)
 }
 
-// newBootstrapCluster makes machines that nobody has founded yet, the first of which wants to.
+// newBootstrapCluster starts machines without a first view.
 func newBootstrapCluster(t *testing.T, ids ...MemberID) (*testCluster, []Member) {
 	t.Helper()
 	tc := newCluster(t, 0, 0)
@@ -105,7 +105,7 @@
 	return tc, members
 }
 
-// found asks members to accept the first view, as a founder does again and again.
+// keepBootstrapping calls Bootstrap twice a second, as a bootstrapper does.
 func (tc *testCluster) keepBootstrapping(at MemberID, members []Member, during time.Duration) {
 	for end := tc.now + during; tc.now < end; {
 		tc.do(at, func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
@@ -142,7 +142,7 @@
 	tc.keepBootstrapping("f", members[:3], time.Second)
 	tc.machines["f"].down = true
 	tc.drop = nil
-	for _, id := range tc.order[:3] { // a restart is no first start
+	for _, id := range tc.order[:3] { // AllowBootstrap is set at the first start only
 		tc.machines[id].config.AllowBootstrap = false
 		tc.restart(id)
 	}
@@ -151,8 +151,8 @@
 	tc.mustWrite("c", 0, 1, "one")
 }
 
-// TestRevokedFirstViewIsNeverAdopted: a decided first view that only one member has heard of is overtaken by
-// a later attempt of the others.
+// TestRevokedFirstViewIsNeverAdopted: a decided first view that only one member has learnt of is overtaken
+// by a later attempt of the others.
 func TestRevokedFirstViewIsNeverAdopted(t *testing.T) {
 	tc, members := newBootstrapCluster(t, "a", "b", "c", "f")
 	first := firstView(1, members[:3], nil)
@@ -174,8 +174,8 @@
 	tc.c.Assert(tc.view("c").isMember("c"), qt.IsTrue)
 }
 
-// TestMinorityThatHasRevokedTheFirstViewRejoins: a view that others adopted goes on without the member that
-// must not, and takes it in by the next one.
+// TestMinorityThatHasRevokedTheFirstViewRejoins: the others adopt a view that the member must not adopt, and
+// add it to the chain by the next one.
 func TestMinorityThatHasRevokedTheFirstViewRejoins(t *testing.T) {
 	tc, members := newBootstrapCluster(t, "a", "b", "c")
 	first := firstView(1, members, nil)
@@ -200,37 +200,41 @@
 	tc.c.Assert(tc.view("a").Chain, qt.HasLen, 3)
 }
 
-func TestConsentToAnAttempt(t *testing.T) {
+func TestWhichFirstViewsAMachineAccepts(t *testing.T) {
 	c := qt.New(t)
 	a, b, d := Member{"a", "1"}, Member{"b", "2"}, Member{"d", "4"}
 	first := firstView(1, []Member{a, b, {"c", "3"}}, nil)
 	past := PastChain{1, first.Chain}
 	second := firstView(2, []Member{a, b}, []PastChain{past})
 	for _, tt := range []struct {
-		name       string
-		firstStart bool
-		held, view View
-		want       bool
+		name           string
+		allowBootstrap bool
+		accepted, view View
+		want           bool
 	}{
-		{"the first one", true, View{}, first, true},
-		{"the first one after the first start", false, View{}, first, false},
-		{"another one of the epoch", true, first, firstView(1, []Member{a, d}, nil), false},
-		{"without this machine", true, View{}, firstView(1, []Member{b, d}, nil), false},
-		{"a later one by a majority", false, first, second, true},
-		{"a later one for a new disk", false, View{}, second, true},
-		{"a later one by a minority", true, first, firstView(2, []Member{a, d}, []PastChain{past}), false},
-		{"a later one that names none", true, View{}, firstView(2, []Member{a, b}, nil), false},
-		{"a later one that doesn't name the accepted one", true, firstView(1, []Member{a, d}, nil), second, false},
-		{"a third that forgets the first", true, second,
+		{"first attempt", true, View{}, first, true},
+		{"first attempt without AllowBootstrap", false, View{}, first, false},
+		{"another attempt of the same epoch", true, first, firstView(1, []Member{a, d}, nil), false},
+		{"attempt without this machine", true, View{}, firstView(1, []Member{b, d}, nil), false},
+		{"later attempt of a majority", false, first, second, true},
+		{"later attempt with a new disk", false, View{}, second, true},
+		{"later attempt of a minority", true, first, firstView(2, []Member{a, d}, []PastChain{past}), false},
+		{"later attempt that names no earlier one", true, View{}, firstView(2, []Member{a, b}, nil), false},
+		{"later attempt that doesn't name the accepted one", true,
+			firstView(1, []Member{a, d}, nil), second, false},
+		{"third attempt that doesn't name the first", true, second,
 			firstView(3, []Member{a, b}, []PastChain{{2, second.Chain}}), false},
-		{"a third", true, second, firstView(3, []Member{a, b}, []PastChain{past, {2, second.Chain}}), true},
-		{"an earlier one", true, second, first, false},
+		{"third attempt", true, second, firstView(3, []Member{a, b}, []PastChain{past, {2, second.Chain}}), true},
+		{"earlier attempt", true, second, first, false},
 	} {
-		config := Config{Self: a, HasDisk: true, AllowBootstrap: tt.firstStart, Random: rand.New(rand.NewSource(1))}
-		node, _, err := Open(config, 0, nil)
-		c.Assert(err, qt.IsNil)
-		node.state.genesis = tt.held
-		c.Check(node.mayAcceptGenesis(&tt.view), qt.Equals, tt.want, qt.Commentf(tt.name))
+		c.Run(tt.name, func(c *qt.C) {
+			config := Config{Self: a, HasDisk: true, AllowBootstrap: tt.allowBootstrap,
+				Random: rand.New(rand.NewSource(1))}
+			node, _, err := Open(config, 0, nil)
+			c.Assert(err, qt.IsNil)
+			node.state.genesis = tt.accepted
+			c.Check(node.mayAcceptGenesis(&tt.view), qt.Equals, tt.want)
+		})
 	}
 }
 
@@ -242,8 +246,7 @@
 	tc.mustChain("a", "a", "b", "c")
 }
 
-// TestUnresponsiveMemberIsNotDroppedEarly: an attempt of two would have to be given up when one of them is
-// lost.
+// TestUnresponsiveMemberIsNotDroppedEarly: an attempt of two could not survive the loss of one of them.
 func TestUnresponsiveMemberIsNotDroppedEarly(t *testing.T) {
 	tc, members := newBootstrapCluster(t, "a", "b", "c")
 	tc.drop = func(from, _ MemberID, m *Message) bool { return m.Kind == GenesisReply && from == "c" }
@@ -258,7 +261,7 @@
 	tc.mustWrite("a", 0, 1, "one")
 }
 
-// TestConsentThatIsNotDurableDoesNotCount: the founder's disk refuses its own consent.
+// TestConsentThatIsNotDurableDoesNotCount: the bootstrapper's disk fails to persist its own consent.
 func TestConsentThatIsNotDurableDoesNotCount(t *testing.T) {
 	tc, members := newBootstrapCluster(t, "a", "b", "c")
 	tc.machines["a"].failing = true
--- a/internal/router/chain/chain_test.go
+++ b/internal/router/chain/chain_test.go
@@ -184,15 +184,15 @@
 	tc.run(2 * time.Second)
 	tc.mustWrite("b", 1, 2, "two")
 	tc.c.Assert(tc.view("a").Epoch < tc.view("b").Epoch, qt.IsTrue)
-	refused := tc.propose("a", 2, 3, "three") // a still takes version 1 for the committed one
+	rejected := tc.propose("a", 2, 3, "three") // a still has version 1 as the committed one
 	stale := tc.read("a")
 	lost := tc.propose("a", 1, 2, "lost")
 	tc.run(1500 * time.Millisecond)
-	tc.c.Assert(tc.outcome("a", refused), qt.Equals, Outcome(0))
+	tc.c.Assert(tc.outcome("a", rejected), qt.Equals, Outcome(0))
 	tc.c.Assert(tc.outcome("a", stale), qt.Equals, Outcome(0))
 	tc.drop = nil
 	tc.run(2 * time.Second)
-	tc.c.Assert(tc.outcome("a", refused), qt.Equals, Unavailable)
+	tc.c.Assert(tc.outcome("a", rejected), qt.Equals, Unavailable)
 	tc.c.Assert(tc.outcome("a", lost), qt.Equals, Unavailable)
 	for _, id := range tc.order {
 		tc.mustRead(id, 2, "two")
@@ -225,7 +225,7 @@
 	tc.run(2 * time.Second)
 	tc.mustChain("b", "b", "c")
 	tc.mustRead("c", 2, "two")
-	tc.mustWrite("c", 1, 2, "two") // sent again
+	tc.mustWrite("c", 1, 2, "two") // a retry
 }
 
 func TestRestartOfTheHeadOpensTheEpochAgain(t *testing.T) {
@@ -257,8 +257,8 @@
 	tc.mustWrite("b", 1, 2, "two")
 }
 
-// TestRestartKnowsTheEntryBefore stops all right after a write. Only the tail has persisted that it is
-// committed; until the chain is open again the others know that of the entry before it, and no more.
+// TestRestartKnowsTheEntryBefore stops all machines right after a write. Only the tail has persisted that it
+// is committed; until the chain is open again the others know that only of the entry before it.
 func TestRestartKnowsTheEntryBefore(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.mustWrite("a", 0, 1, "one")
@@ -267,7 +267,7 @@
 	tc.inTransit = nil
 	for _, id := range tc.order {
 		tc.restart(id)
-		tc.inTransit = nil // none hears of another yet
+		tc.inTransit = nil // no message has arrived yet
 		entry, known := tc.machines[id].node.Committed()
 		tc.c.Assert(known, qt.IsTrue)
 		want := "one"
--- a/internal/router/chain/cluster_test.go
+++ b/internal/router/chain/cluster_test.go
@@ -15,40 +15,40 @@
 	testTick  = 10 * time.Millisecond
 )
 
-// machine is one node of a cluster with its records in memory.
+// machine is one node of a test cluster, with its records in memory.
 type machine struct {
 	node    *Node
 	config  Config
 	records [][]byte
 	down    bool
-	// failing makes the disk refuse records.
+	// failing makes the disk fail to persist records.
 	failing bool
 	syncs   int
 	replies map[uint64]Reply
 }
 
-// flight is a message on its way.
+// transit is a message on its way.
 type transit struct {
 	at time.Duration
 	to MemberID
 	m  Message
 }
 
-// cluster is a set of machines with a network that loses nothing unless a test says so.
+// testCluster is a set of machines with a network that loses nothing unless a test says so.
 type testCluster struct {
 	c         *qt.C
 	now       time.Duration
 	machines  map[MemberID]*machine
 	order     []MemberID
 	inTransit []transit
-	// drop tells which messages are lost.
+	// drop reports whether a message is lost.
 	drop func(from, to MemberID, m *Message) bool
 	// sent counts messages by kind.
 	sent    map[Kind]int
 	request uint64
 }
 
-// newCluster makes machines a, b, c and so on and founds the system with the first members of them.
+// newCluster starts machines a, b, c and so on and bootstraps the chain with the first of them as members.
 func newCluster(t *testing.T, machines, members int) *testCluster {
 	t.Helper()
 	tc := &testCluster{c: qt.New(t), machines: map[MemberID]*machine{}, sent: map[Kind]int{}}
@@ -65,14 +65,14 @@
 		return tc
 	}
 	if members < 3 {
-		tc.run(3 * time.Second) // the founder waits for more
+		tc.run(3 * time.Second) // the bootstrapper waits for more
 	}
 	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, list[:members]) })
 	tc.run(600 * time.Millisecond)
 	return tc
 }
 
-// start makes a machine with an empty disk.
+// start adds a machine with an empty disk.
 func (tc *testCluster) start(id MemberID, address string, first bool, members int) {
 	config := Config{
 		Self: Member{id, address}, HasDisk: true, AllowBootstrap: first, TargetMembers: members,
@@ -92,14 +92,14 @@
 	tc.perform(id, effects)
 }
 
-// restart stops a machine and starts it again.
+// restart replaces a machine's node by one restored from its records.
 func (tc *testCluster) restart(id MemberID) {
 	contacts := tc.machines[id].node.contacts
 	tc.boot(id)
 	tc.machines[id].node.SetContacts(contacts)
 }
 
-// do makes one step of a node.
+// do runs one step of a node.
 func (tc *testCluster) do(id MemberID, step func(*Node) Effects) {
 	tc.perform(id, step(tc.machines[id].node))
 }
@@ -129,7 +129,7 @@
 	}
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (tc *testCluster) run(duration time.Duration) {
 	for end := tc.now + duration; tc.now < end; {
 		tc.now += testDelay
@@ -151,7 +151,7 @@
 	}
 }
 
-// propose asks a node for a write and returns the request's number.
+// propose starts a write at a node and returns the request's number.
 func (tc *testCluster) propose(at MemberID, expected, version int64, body string) uint64 {
 	tc.request++
 	request := tc.request
@@ -170,7 +170,7 @@
 	return request
 }
 
-// read asks a node for a read and returns the request's number.
+// read starts a read at a node and returns the request's number.
 func (tc *testCluster) read(at MemberID) uint64 {
 	tc.request++
 	request := tc.request
@@ -178,7 +178,7 @@
 	return request
 }
 
-// outcome returns how a request of a node has ended, 0 if it has not.
+// outcome returns the outcome of a node's request, 0 if there is none yet.
 func (tc *testCluster) outcome(at MemberID, request uint64) Outcome {
 	return tc.machines[at].replies[request].Outcome
 }
@@ -211,7 +211,7 @@
 	tc.c.Assert(tc.view(at).Chain, qt.DeepEquals, chain)
 }
 
-// cut loses all messages between two groups.
+// partition drops all messages between two groups.
 func partition(left, right []MemberID) func(from, to MemberID, m *Message) bool {
 	return func(from, to MemberID, _ *Message) bool {
 		return slices.Contains(left, from) && slices.Contains(right, to) ||
@@ -219,7 +219,7 @@
 	}
 }
 
-// dropKind loses all messages of one kind to one receiver.
+// dropKind drops all messages of one kind to one receiver.
 func dropKind(kind Kind, receiver MemberID) func(from, to MemberID, m *Message) bool {
 	return func(_, to MemberID, m *Message) bool { return m.Kind == kind && to == receiver }
 }
--- a/internal/router/chain/fence_test.go
+++ b/internal/router/chain/fence_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// appendOf makes the message by which a predecessor passes an entry on.
+// appendOf returns the message by which a predecessor replicates an entry.
 func appendOf(from MemberID, epoch uint64, entry Entry) Message {
 	digest := digestOfBody(entry.Body)
 	return Message{
@@ -149,7 +149,7 @@
 	}
 }
 
-// TestRecordsEndInNoZeros: the log could take them for a sector that was not written.
+// TestRecordsEndInNoZeros: the log could take zeros for a sector that was never written.
 func TestRecordsEndInNoZeros(t *testing.T) {
 	tc := newCluster(t, 4, 3)
 	tc.mustWrite("a", 0, 1, "one")
--- a/internal/router/chain/history_test.go
+++ b/internal/router/chain/history_test.go
@@ -17,7 +17,7 @@
 	tc.c.Assert(tc.outcome(at, request), qt.Equals, want, qt.Commentf("version %d, %q", version, body))
 }
 
-// writeVersions writes versions one behind the other.
+// writeVersions writes a range of versions.
 func (tc *testCluster) writeVersions(first, last int64) {
 	tc.c.Helper()
 	for version := first; version <= last; version++ {
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestConfirm asks for changes by name: those that were committed are acknowledged, those that never were are
-// refused, and one that could still be proposed is neither. Nothing is written.
+// TestConfirm asks for changes by their identity: those that were committed are acknowledged, those that
+// never were are rejected, and one that could still be proposed is neither. Nothing is written.
 func TestConfirm(t *testing.T) {
 	tc := newCluster(t, 4, 3)
 	tc.writeVersions(1, 3)
@@ -64,8 +64,7 @@
 	tc.mustPropose("b", 3, 4, "body 4", Applied)
 }
 
-// TestConfirmWaitsForThePendingWrite asks for the change that is on its way down the chain, and for another
-// one that builds on it.
+// TestConfirmWaitsForThePendingWrite asks for the pending change and for another one that builds on it.
 func TestConfirmWaitsForThePendingWrite(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.writeVersions(1, 1)
@@ -77,7 +76,7 @@
 	tc.mustRead("c", 2, "body 2")
 }
 
-// TestDigestsNameChanges has entries named by the part of their body before a stroke, also after a restart.
+// TestDigestsNameChanges identifies changes by the part of the body before a stroke, also after a restart.
 func TestDigestsNameChanges(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	for _, id := range tc.order {
@@ -100,8 +99,8 @@
 	}
 }
 
-// TestForgottenWriteIsNotRejected: what may have been in force before all that the history names gets no
-// clear answer; what the history rules out is refused.
+// TestForgottenWriteIsNotRejected: what may have been committed before the oldest entry of the history is
+// left open; what the history rules out is rejected.
 func TestForgottenWriteIsNotRejected(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	for _, id := range tc.order {
@@ -122,16 +121,16 @@
 	tc.mustPropose("b", 15, 16, "above the current one", Conflict)
 }
 
-// TestWriteCostsTheSameAfterHundredsOfChanges counts what a write adds to messages and records, and sends
-// each of the earlier ones again.
+// TestWriteCostsTheSameAfterHundredsOfChanges counts what a write adds to messages and records, and retries
+// earlier ones.
 func TestWriteCostsTheSameAfterHundredsOfChanges(t *testing.T) {
 	const changes = 600
 	tc := newCluster(t, 3, 3)
-	sent, whole := 0, 0
+	sent, repeated := 0, 0
 	tc.drop = func(_, _ MemberID, m *Message) bool {
 		if m.Kind == Append {
 			sent += len(m.Body) + len(m.Digest) + len(m.History)*len(Digest{})
-			whole += len(m.History) / 2
+			repeated += len(m.History) / 2
 		}
 		return false
 	}
@@ -146,7 +145,7 @@
 		tc.c.Assert(size <= body+30, qt.IsTrue, qt.Commentf("%d bytes of records", size))
 		tc.c.Assert(sent-before <= 2*(body+2*len(Digest{})), qt.IsTrue, qt.Commentf("%d bytes", sent-before))
 	}
-	tc.c.Assert(whole, qt.Equals, 0)
+	tc.c.Assert(repeated, qt.Equals, 0)
 	for version := int64(1); version <= changes; version += 37 {
 		tc.mustPropose("b", version-1, version, fmt.Sprint("body ", version), Applied)
 	}
@@ -156,7 +155,8 @@
 	tc.c.Assert(restored.state.accepted.history, qt.HasLen, changes-1)
 }
 
-// TestWriteAfterAMissedOneFetchesTheFullHistory: a replica that lacks the entry before a new one asks.
+// TestWriteAfterAMissedOneFetchesTheFullHistory: a replica that lacks the entry before a new one sends
+// FetchBody.
 func TestWriteAfterAMissedOneFetchesTheFullHistory(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.writeVersions(1, 5)
@@ -171,7 +171,7 @@
 	}
 }
 
-// TestTwoWritesOfOneStepArePersistedTogether: a chain of one commits all that waits in one step.
+// TestTwoWritesOfOneStepArePersistedTogether: a chain of one commits all queued writes in one step.
 func TestTwoWritesOfOneStepArePersistedTogether(t *testing.T) {
 	tc := newCluster(t, 1, 1)
 	tc.mustWrite("a", 0, 1, "one")
@@ -232,27 +232,27 @@
 	tc.mustPropose("a", 1, 2, "won", Applied)
 }
 
-// TestLogWithoutAHistoryIsRead reads the log of a release that kept no history.
+// TestLogWithoutAHistoryIsRead reads the log of a release that persisted no history.
 func TestLogWithoutAHistoryIsRead(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.writeVersions(1, 2)
 	for _, id := range tc.order {
 		m := tc.machines[id]
-		var kept [][]byte
+		var retained [][]byte
 		for _, record := range m.records {
 			if record[0] == recordHistory {
 				continue
 			}
-			if record[0] == recordSuccessor { // that release wrote each entry as a whole
+			if record[0] == recordSuccessor { // that release wrote each entry in full
 				record = append([]byte{recordEntry}, record[1:]...)
 			}
-			kept = append(kept, record)
+			retained = append(retained, record)
 		}
-		m.records = kept
+		m.records = retained
 		tc.restart(id)
 	}
 	tc.run(500 * time.Millisecond)
-	tc.mustPropose("b", 0, 1, "body 1", Unavailable) // it may have been in force
+	tc.mustPropose("b", 0, 1, "body 1", Unavailable) // it may have been committed
 	tc.mustWrite("b", 2, 3, "body 3")
 	tc.mustPropose("b", 1, 2, "body 2", Applied)
 }
--- a/internal/router/chain/plan_test.go
+++ b/internal/router/chain/plan_test.go
@@ -16,7 +16,7 @@
 	ReplaceAfter: 1200 * time.Millisecond,
 }
 
-// peerOption changes what is known of one node.
+// peerOption changes what is observed of one node.
 type peerOption func(*PeerObservation)
 
 func timedOut(after time.Duration) peerOption {
@@ -45,16 +45,16 @@
 
 func at(address string) peerOption { return func(p *PeerObservation) { p.Member.Address = address } }
 
-// mute is a node that has told nothing in this epoch.
+// notReported is a node that has sent no heartbeat in this epoch.
 func notReported(p *PeerObservation) { p.ReportedInEpoch = false }
 
-// behind is a node that is heard but that nothing reaches.
+// behindFor is a node that is seen but that nothing reaches.
 func behindFor(since time.Duration) peerOption {
 	return func(p *PeerObservation) { p.ReportedInEpoch, p.BehindFor = false, since }
 }
 
-// observation builds what node a knows: each listed node is alive and well but for its options, and hears all
-// that are not silent.
+// observation returns what node a observes: each listed node is alive and healthy but for its options, and
+// receives from all that have not timed out.
 func observation(nodes map[MemberID][]peerOption) Observation {
 	observed := Observation{Self: "a", Peers: map[MemberID]PeerObservation{}}
 	for id, options := range nodes {
@@ -100,66 +100,66 @@
 	a, b, d := MemberID("a"), MemberID("b"), MemberID("d")
 	third := MemberID("c")
 	for _, tt := range []struct {
-		name string
-		view View
-		seen map[MemberID][]peerOption
-		want string // members, chain, fresh; empty for no new view
+		name     string
+		view     View
+		observed map[MemberID][]peerOption
+		want     string // members, chain, fresh; empty for no new view
 	}{
-		{"all well", testView("a", "b", "c"), nodes(), ""},
-		{"tail silent", testView("a", "b", "c"), nodes(third, timedOut(time.Second)), "[a b c] [a b] []"},
-		{"head silent", testView("a", "b", "c"), nodes(b, timedOut(time.Second)), "[a b c] [a c] []"},
-		{"two silent", testView("a", "b", "c"),
+		{"all healthy", testView("a", "b", "c"), nodes(), ""},
+		{"tail timed out", testView("a", "b", "c"), nodes(third, timedOut(time.Second)), "[a b c] [a b] []"},
+		{"head timed out", testView("a", "b", "c"), nodes(b, timedOut(time.Second)), "[a b c] [a c] []"},
+		{"two timed out", testView("a", "b", "c"),
 			nodes(b, timedOut(time.Second), third, timedOut(time.Second)), ""},
-		{"back, not steady", testView("a", "b"), nodes(third, stableFor(200*time.Millisecond)), ""},
-		{"back and steady", testView("a", "b"), nodes(third, entryOf(3)), "[a b c] [a b c] [c]"},
+		{"back, not stable", testView("a", "b"), nodes(third, stableFor(200*time.Millisecond)), ""},
+		{"back and stable", testView("a", "b"), nodes(third, entryOf(3)), "[a b c] [a b c] [c]"},
 		{"failing disk", testView("a", "b", "c"), nodes(a, degraded(0)), "[a b c] [b c] []"},
 		{"failing disk but needed", testView("a", "b"),
 			nodes(b, degraded(0), third, timedOut(time.Second)), ""},
-		{"leaving", testView("a", "b", "c"), nodes(a, draining(0)), "[a b c] [b c] []"},
-		{"leaving but needed", testView("a", "b"),
+		{"draining", testView("a", "b", "c"), nodes(a, draining(0)), "[a b c] [b c] []"},
+		{"draining but needed", testView("a", "b"),
 			nodes(b, draining(0), third, timedOut(time.Second)), ""},
-		{"leaving, and the one that is back holds nothing yet", testView("a", "b"),
+		{"draining, and the one that is back has no state yet", testView("a", "b"),
 			nodes(b, draining(0), third, entryOf(3)), "[a b c] [a b c] [c]"},
-		{"leaving, and the one that is back holds the state", fresh(testView("a", "b", "c"), "c"),
+		{"draining, and the one that is back has the state", fresh(testView("a", "b", "c"), "c"),
 			nodes(b, draining(0)), "[a b c] [a c] []"},
-		{"leaving with a candidate", testView("a", "b", "c"),
+		{"draining with a candidate", testView("a", "b", "c"),
 			nodes(d, entryOf(0), b, draining(0)), "[a d c] [a c d] [d]"},
-		{"leaving with a candidate that was not heard since", testView("a", "b", "c"),
+		{"draining with a candidate that was not seen since", testView("a", "b", "c"),
 			nodes(d, entryOf(0), d, timedOut(300*time.Millisecond), d, stableFor(time.Hour),
 				b, draining(200*time.Millisecond)), "[a b c] [a c] []"},
-		{"candidate that was not heard since a member is gone", testView("a", "b"),
+		{"candidate that was not seen since a member is unavailable", testView("a", "b"),
 			nodes(d, entryOf(0), d, timedOut(300*time.Millisecond), d, stableFor(time.Hour),
 				third, timedOut(1400*time.Millisecond)), ""},
-		{"leaving with a candidate, holding a copy that is needed", testView("a", "b"),
+		{"draining with a candidate, its replica is needed", testView("a", "b"),
 			nodes(d, entryOf(0), b, draining(0), third, timedOut(time.Second)), ""},
-		{"leaving, holding a copy that is needed, and another gone", testView("a", "b"),
+		{"draining, its replica is needed, and another is unavailable", testView("a", "b"),
 			nodes(d, entryOf(0), b, draining(0), third, timedOut(2*time.Second)), "[a b d] [a b d] [d]"},
-		{"fresh one stays out of the head's place", fresh(testView("b", "a", "c"), "a", "c"),
+		{"fresh one doesn't become head", fresh(testView("b", "a", "c"), "a", "c"),
 			nodes(a, entryOf(4), third, entryOf(4), b, timedOut(time.Second)), ""},
 		{"fresh one that is open may be head", fresh(testView("b", "a", "c"), "a", "c"),
 			nodes(third, entryOf(4), b, timedOut(time.Second)), "[a b c] [a c] [c]"},
 		{"sealed epoch goes back to a source", fresh(testView("b", "a"), "a"),
 			nodes(a, entryOf(4), a, peerOption(sealed), third, entryOf(4), b, timedOut(time.Second)),
 			"[a b c] [a c] []"},
-		{"candidate waits while all are there", testView("a", "b", "c"), nodes(d, stableFor(time.Hour)), ""},
-		{"candidate waits for the silence to last", testView("a", "b", "c"),
+		{"candidate waits while all are alive", testView("a", "b", "c"), nodes(d, stableFor(time.Hour)), ""},
+		{"candidate waits for ReplaceAfter", testView("a", "b", "c"),
 			nodes(d, stableFor(time.Hour), third, timedOut(time.Second)), "[a b c] [a b] []"},
-		{"candidate replaces a silent member", testView("a", "b"),
+		{"candidate replaces a timed-out member", testView("a", "b"),
 			nodes(d, entryOf(0), third, timedOut(2*time.Second)), "[a b d] [a b d] [d]"},
-		{"candidate replaces a leaving member", testView("a", "b"),
+		{"candidate replaces a draining member", testView("a", "b"),
 			nodes(d, entryOf(0), third, draining(0)), "[a b d] [a b d] [d]"},
 		{"candidate replaces a member whose disk fails", testView("a", "b"),
 			nodes(d, entryOf(0), third, degraded(2*time.Second)), "[a b d] [a b d] [d]"},
-		{"candidate replaces no replica whose disk fails before others hold the state", testView("a", "b"),
+		{"candidate replaces no replica whose disk fails before others have the state", testView("a", "b"),
 			nodes(d, entryOf(0), a, degraded(2*time.Second), third, entryOf(3)), "[a b c] [b c] [c]"},
 		{"candidate replaces a replica whose disk fails", testView("a", "b", "c"),
 			nodes(d, entryOf(0), a, degraded(2*time.Second)), "[d b c] [b c d] [d]"},
-		{"candidate replaces no silent replica before a chain without it", testView("a", "b"),
+		{"candidate replaces no timed-out replica before a chain without it", testView("a", "b"),
 			nodes(d, entryOf(0), b, timedOut(2*time.Second), third, stableFor(200*time.Millisecond)), ""},
 		{"candidate waits for no replica whose disk fails", fresh(testView("a", "c"), "c"),
 			nodes(d, entryOf(0), b, timedOut(2*time.Second), third, entryOf(4), third, degraded(0)),
 			"[a d c] [a d] [d]"},
-		{"candidate of before its machine's disk was emptied", testView("a", "b"),
+		{"candidate of before its machine's disk was wiped", testView("a", "b"),
 			nodes(d, entryOf(0), d, timedOut(time.Millisecond), d, stableFor(time.Hour), d, at("host-e"),
 				MemberID("e"), entryOf(0), third, timedOut(2*time.Second)), "[a b e] [a b e] [e]"},
 		{"candidate waits until the epoch is open", fresh(testView("a", "b"), "b"),
@@ -169,27 +169,30 @@
 			"[a b d] [a b d] [d]"},
 		{"candidate at the address of a live member", testView("a", "b", "c"),
 			nodes(d, at("host-c"), d, stableFor(time.Second)), ""},
-		{"replicas that don't hear each other", testView("a", "b", "c"),
+		{"replicas that don't receive from each other", testView("a", "b", "c"),
 			nodes(b, receivesFrom("a"), third, receivesFrom("a")), "[a b c] [a b] []"},
 		{"back, and nothing reaches it", testView("a", "b"),
 			nodes(third, entryOf(3), third, behindFor(time.Second)), ""},
 		{"replica that nothing reaches", testView("a", "b", "c"),
 			nodes(b, behindFor(time.Second)), "[a b c] [a c] []"},
-		{"replica that has not told yet", testView("a", "b", "c"), nodes(b, behindFor(100*time.Millisecond)), ""},
+		{"replica that has not reported yet", testView("a", "b", "c"),
+			nodes(b, behindFor(100*time.Millisecond)), ""},
 		{"candidate that nothing reaches", testView("a", "b"),
 			nodes(d, entryOf(0), d, behindFor(time.Second), third, timedOut(2*time.Second)), ""},
 		{"candidate replaces a member that nothing reaches", testView("a", "b"),
 			nodes(d, entryOf(0), third, behindFor(2*time.Second)), "[a b d] [a b d] [d]"},
-		{"silent here, heard by another", testView("a", "c"),
+		{"timed out here, seen by another", testView("a", "c"),
 			nodes(b, timedOut(time.Second), third, receivesFrom("a", "b")), ""},
 	} {
-		next, changed := Plan(tt.view, observation(tt.seen), testRules)
-		got := ""
-		if changed {
-			got = fmt.Sprint(memberIDs(next.Members), next.Chain, next.Fresh)
-			c.Check(next.Epoch, qt.Equals, tt.view.Epoch+1)
-		}
-		c.Check(got, qt.Equals, tt.want, qt.Commentf(tt.name))
+		c.Run(tt.name, func(c *qt.C) {
+			next, changed := Plan(tt.view, observation(tt.observed), testRules)
+			got := ""
+			if changed {
+				got = fmt.Sprint(memberIDs(next.Members), next.Chain, next.Fresh)
+				c.Check(next.Epoch, qt.Equals, tt.view.Epoch+1)
+			}
+			c.Check(got, qt.Equals, tt.want)
+		})
 	}
 }
 
@@ -235,17 +238,17 @@
 	c.Assert(SealNeeded(view, nodes(entryOf(4)), testRules), qt.IsFalse)
 }
 
-// TestSourceSurvivesManyUnopenedEpochs lets b and c join the chain by turns, none of which opens. When a is
-// gone b still counts as a source, as each of the epochs has a replica that missed it.
+// TestSourceSurvivesManyUnopenedEpochs lets b and c join the chain by turns, in epochs none of which opens.
+// When a is unavailable b still counts as a source, as each of the epochs has a replica that missed it.
 func TestSourceSurvivesManyUnopenedEpochs(t *testing.T) {
 	c := qt.New(t)
 	view := testView("a", "b")
 	view.Sources = []MemberID{"a", "b"}
-	told := func(epoch uint64) []peerOption {
+	reported := func(epoch uint64) []peerOption {
 		return []peerOption{entryOf(epoch), receivesFrom("a", "b", "c")}
 	}
 	for round := range 3 * maxUnopened {
-		nodes := map[MemberID][]peerOption{"a": told(view.Epoch), "b": told(5), "c": told(3)}
+		nodes := map[MemberID][]peerOption{"a": reported(view.Epoch), "b": reported(5), "c": reported(3)}
 		away := []MemberID{"b", "c"}[round%2]
 		nodes[away] = append(nodes[away], timedOut(time.Second))
 		next, ok := Plan(view, observation(nodes), testRules)
@@ -266,7 +269,7 @@
 	c.Assert(next.Chain[0], qt.Equals, MemberID("b"))
 }
 
-// TestOldestUnopenedEpochIsForgottenWithWhoMayLackIt: nobody is left who could tell that nothing was
+// TestOldestUnopenedEpochIsForgottenWithWhoMayLackIt: no node is left that could prove that nothing was
 // committed.
 func TestOldestUnopenedEpochIsForgottenWithWhoMayLackIt(t *testing.T) {
 	c := qt.New(t)
@@ -288,7 +291,7 @@
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(next.Unopened, qt.HasLen, maxUnopened)
 	c.Assert(next.Unopened[0].Epoch, qt.Equals, uint64(11))
-	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "c"}) // c holds what epoch 12 had, b may lack epoch 10
+	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "c"}) // b may lack the entries of epoch 10
 }
 
 // TestEpochsOfNothingAreForgottenFirst: all but one have a replica that missed them.
@@ -306,7 +309,7 @@
 	}
 	next, _ := Plan(view, observation(nodes), testRules)
 	c.Assert(next.Unopened[0].Epoch, qt.Equals, uint64(10))
-	c.Assert(next.Unopened[1].Epoch, qt.Equals, uint64(11)) // c holds the state by it alone
+	c.Assert(next.Unopened[1].Epoch, qt.Equals, uint64(11)) // c is a source only by it
 	c.Assert(next.Unopened[2].Epoch, qt.Equals, uint64(13))
 	c.Assert(next.Unopened, qt.HasLen, maxUnopened)
 	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "b"})
--- a/internal/router/chain/sim_bootstrap_test.go
+++ b/internal/router/chain/sim_bootstrap_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
@@ -10,45 +9,40 @@
 )
 
 const (
-	// bootstrapSeeds is how many foundings run without bootstrapSeedsVariable in the environment.
+	// bootstrapSeeds is how many seeds run without bootstrapSeedsVariable in the environment.
 	bootstrapSeeds         = 120
 	bootstrapSeedsVariable = "CHAIN_FOUND_SEEDS"
-	// bootstrapFaults is how long faults come while the system is founded, bootstrapRecovery how long it may
-	// take then.
+	// bootstrapFaults is how long faults are injected, bootstrapRecovery how long the bootstrap may take after
+	// that.
 	bootstrapFaults   = 4 * time.Second
 	bootstrapRecovery = 22 * time.Second
 	bootstrapInterval = 800 * time.Millisecond
 )
 
-// TestSimulatedBootstrap founds a system while processes are killed, power goes, links fail, one disk is lost
-// and the founder may be gone for good. It has to end in one view that serves.
+// TestSimulatedBootstrap bootstraps a chain while processes are killed, power and links fail, one disk is
+// lost and the bootstrapper may be lost for good. It has to end in one view that serves.
 func TestSimulatedBootstrap(t *testing.T) {
-	seeds := fromEnvironment(bootstrapSeedsVariable, bootstrapSeeds)
-	first := fromEnvironment(simFirstVariable, 1)
-	for seed := first; seed < first+seeds; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			t.Parallel()
-			w := newWorld(int64(seed))
-			w.members = 3 + 2*(seed%2)
-			w.requiredReplicas = w.members/2 + 1
-			(&bootstrapWorld{simWorld: w}).play()
-			if w.failure != "" {
-				w.describe()
-				trace := w.trace[max(0, len(w.trace)-simTraceLines):]
-				t.Fatalf("seed %d: %s\n%s", seed, w.failure, strings.Join(trace, "\n"))
-			}
-		})
-	}
+	forEachSeed(t, fromEnvironment(bootstrapSeedsVariable, bootstrapSeeds), func(t *testing.T, seed int) {
+		t.Helper()
+		w := newWorld(int64(seed))
+		w.members = 3 + 2*(seed%2)
+		w.requiredReplicas = w.members/2 + 1
+		(&bootstrapWorld{simWorld: w}).play()
+		if w.failure != "" {
+			w.describe()
+			t.Fatalf("%s\n%s", w.failure, w.endOfTrace())
+		}
+	})
 }
 
-// bootstrapWorld is a world whose founder has not founded it yet.
+// bootstrapWorld is a world without a first view.
 type bootstrapWorld struct {
 	*simWorld
 	bootstrapper *simMachine
 	diskLost     bool
 }
 
-// play founds the world under faults and checks that it serves when they have ended.
+// play bootstraps the world under faults and checks that it serves after them.
 func (w *bootstrapWorld) play() {
 	for i := range w.members {
 		w.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true)
@@ -67,17 +61,17 @@
 	healer := &nemesis{world: w.simWorld}
 	healer.healAll()
 	if w.bootstrapper.removed && !w.anyConsent() {
-		return // nobody is left who was told to found
+		return // no machine is left that could bootstrap
 	}
 	w.run(bootstrapRecovery)
 	if !w.anyView() {
-		w.failf("not founded")
+		w.failf("not bootstrapped")
 		return
 	}
 	mustServe(w.simWorld)
 }
 
-// found lets the founder ask the machines that it knows, again and again.
+// keepBootstrapping has the bootstrapper call Bootstrap at intervals with the machines that it knows.
 func (w *bootstrapWorld) keepBootstrapping() {
 	if w.bootstrapper.removed {
 		return
@@ -94,7 +88,7 @@
 	w.after(bootstrapInterval, w.keepBootstrapping)
 }
 
-// fault makes a fault after a while, again and again.
+// fault injects faults at random times.
 func (w *bootstrapWorld) fault() {
 	s := &nemesis{world: w.simWorld}
 	w.after(time.Duration(w.random.Int63n(int64(500*time.Millisecond))), func() {
@@ -126,17 +120,17 @@
 	})
 }
 
-// restart stops a machine and starts it again later, which is no first start.
+// restart stops a machine and starts it again later, without AllowBootstrap.
 func (w *bootstrapWorld) restart(m *simMachine, loss faultfs.Loss) {
 	if m.removed {
 		return
 	}
 	w.tracef("%s is started again", m.address)
-	m.firstStart = m == w.bootstrapper // a founder that is told so goes on
+	m.firstStart = m == w.bootstrapper // a bootstrapper that is configured so continues
 	w.downAt(m, loss)
 }
 
-// loseDisk empties one disk of the world.
+// loseDisk wipes one disk of the world.
 func (w *bootstrapWorld) loseDisk(m *simMachine) {
 	if w.diskLost || !m.hasDisk || w.anyView() && !(&nemesis{world: w.simWorld}).mayLoseDisk() {
 		return
@@ -146,22 +140,22 @@
 	w.wipeAt(m)
 }
 
-// loseBootstrapper takes a founder without a disk away for good once somebody has consented.
+// loseBootstrapper removes a bootstrapper without a disk once some machine has accepted a first view.
 func (w *bootstrapWorld) loseBootstrapper() {
 	if w.bootstrapper.hasDisk || w.bootstrapper.removed || !w.anyConsent() {
 		return
 	}
-	w.tracef("the founder is gone")
+	w.tracef("the bootstrapper is lost for good")
 	w.bootstrapper.crash(faultfs.KeepAll)
 	w.bootstrapper.removed = true
 }
 
-// anyConsent tells whether a machine that is up has consented to a first view.
+// anyConsent reports whether a machine that is up has accepted a first view.
 func (w *bootstrapWorld) anyConsent() bool {
 	return w.anyMachine(func(n *Node) bool { return n.stable.genesis.Epoch > 0 })
 }
 
-// anyView tells whether a machine knows a view.
+// anyView reports whether a machine knows a view.
 func (w *bootstrapWorld) anyView() bool {
 	return w.anyMachine(func(n *Node) bool { return n.View().Epoch > 0 })
 }
--- a/internal/router/chain/sim_check_test.go
+++ b/internal/router/chain/sim_check_test.go
@@ -11,26 +11,26 @@
 // simHistory is what was observed in a world.
 type simHistory struct {
 	operations []porcupine.Operation
-	// open are writes that have not returned, by their bodies.
+	// pendingWrites are the writes that have not returned, by body.
 	pendingWrites map[string]porcupine.Operation
-	// views, heads and entries are by epoch and sequence; each must be the only one.
+	// views and heads are by epoch, entries by sequence; there must be only one of each.
 	views   map[uint64]View
 	heads   map[uint64]MemberID
 	entries map[uint64]acceptedEntry
 	// committed are the sequences of committed bodies.
 	committed map[string]uint64
-	// refused are the bodies of writes that a Conflict has ended: none of their attempts may come into force.
+	// rejected are the bodies of writes that a Conflict has ended: none of their attempts may be committed.
 	rejected map[string]bool
-	// newest is the highest sequence that each identity has known to be committed. Within one life of a process
-	// it never falls; a restart may fall back by one, to the entry before the one that it holds.
+	// maxCommitted is the highest sequence that each identity has known to be committed. Within one
+	// incarnation it never falls; a restart may fall back by one, to the entry before the accepted one.
 	maxCommitted map[MemberID]uint64
-	// disksLost counts disks that were emptied or taken away.
+	// disksLost counts disks that were wiped or removed.
 	disksLost int
-	// damages counts logs that were found to be damaged.
+	// damagedLogs counts logs that were found damaged on opening.
 	damagedLogs int
-	// replaced counts writes that were acknowledged again although a later one had replaced them.
+	// replacedRetries counts retried writes that were acknowledged though a later one had replaced them.
 	replacedRetries int
-	// outcomes counts the answers that clients got.
+	// outcomes counts the outcomes of the clients' calls.
 	outcomes map[Outcome]int
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// observeCommitted checks an entry that a node takes for committed.
+// observeCommitted checks an entry that a node knows to be committed.
 func (m *simMachine) observeCommitted(entry *acceptedEntry) {
 	w, h, id := m.world, &m.world.history, m.node.Self().ID
 	known, ok := h.entries[entry.Sequence]
@@ -83,16 +83,16 @@
 		w.failf("sequence %d is committed as %q and as %q", entry.Sequence, known.Body, entry.Body)
 	}
 	if entry.Sequence < m.maxCommitted || entry.Sequence+1 < h.maxCommitted[id] {
-		w.failf("%s falls from sequence %d, and %d in this life, to %d", m.address, h.maxCommitted[id],
-			m.maxCommitted,
-			entry.Sequence)
+		w.failf("%s falls from sequence %d, and %d in this incarnation, to %d",
+			m.address, h.maxCommitted[id], m.maxCommitted, entry.Sequence)
 	}
-	if held := m.node.state.accepted.Sequence; held < h.maxCommitted[id] {
-		w.failf("%s holds sequence %d, and has known %d to be committed", m.address, held, h.maxCommitted[id])
+	if accepted := m.node.state.accepted.Sequence; accepted < h.maxCommitted[id] {
+		w.failf("%s has accepted sequence %d, and has known %d to be committed",
+			m.address, accepted, h.maxCommitted[id])
 	}
 	m.maxCommitted, h.maxCommitted[id] = entry.Sequence, max(h.maxCommitted[id], entry.Sequence)
 	if h.rejected[string(entry.Body)] {
-		w.failf("the refused %q is in force", entry.Body)
+		w.failf("the rejected %q is committed", entry.Body)
 	}
 	m.observeHistory(entry)
 }
@@ -113,14 +113,14 @@
 	}
 }
 
-// simInput is what a client asked; a read has no body.
+// simInput is a client's call; a read has no body.
 type simInput struct {
 	write             bool
 	expected, version int64
 	body              string
 }
 
-// simOutput is what it was told.
+// simOutput is its result.
 type simOutput struct {
 	outcome Outcome
 	version int64
@@ -134,7 +134,7 @@
 }
 
 // registerModel is a register with compare-and-set. A write of unknown outcome is an operation that never
-// returns: it may be put last, where it changes nothing for anyone.
+// returns: it may be ordered last, where no other operation observes it.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerValue{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -156,7 +156,7 @@
 	},
 }
 
-// begin notes a write that has not returned.
+// recordCall adds a write that has not returned.
 func (w *simWorld) recordCall(client int, input simInput) {
 	w.history.pendingWrites[input.body] = porcupine.Operation{
 		ClientId: client, Input: input, Call: int64(w.now), Output: simOutput{outcome: Unavailable},
@@ -164,7 +164,7 @@
 	}
 }
 
-// record adds an operation to the history.
+// recordReturn adds an operation that has returned to the history.
 func (w *simWorld) recordReturn(client int, input simInput, called time.Duration, output simOutput) {
 	w.history.outcomes[output.outcome]++
 	delete(w.history.pendingWrites, input.body)
@@ -183,21 +183,21 @@
 	})
 }
 
-// refuse notes that a write has been refused for good, and checks that it is not in force.
+// recordRejection records that a write is rejected for good, and checks that it was never committed.
 func (w *simWorld) recordRejection(body string) {
 	w.history.rejected[body] = true
 	if _, ok := w.history.committed[body]; ok {
-		w.failf("%q was in force and is refused", body)
+		w.failf("%q was committed and is rejected", body)
 	}
 }
 
-// linearizable lets porcupine judge the history. Of writes with an unknown outcome those are left out whose
-// bodies were never committed: all committed entries are known, one for each sequence.
+// linearizable has porcupine check the history. Writes of unknown outcome are left out if their bodies were
+// never committed: all committed entries are known, one for each sequence.
 func (w *simWorld) linearizable() porcupine.CheckResult {
 	h := &w.history
 	for sequence := range uint64(len(h.entries)) {
 		if _, ok := h.entries[sequence]; !ok {
-			w.failf("nobody has seen that sequence %d is committed", sequence)
+			w.failf("no node has observed that sequence %d is committed", sequence)
 		}
 	}
 	operations := slices.Clone(h.operations)
--- a/internal/router/chain/sim_client_test.go
+++ b/internal/router/chain/sim_client_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// simAttempts is how often a client sends a write whose outcome it isn't told.
+// simAttempts is how often a client sends a write whose outcome is unknown.
 const simAttempts = 3
 
-// simClient reads and writes by turns until a time.
+// simClient reads and writes at random until a time.
 type simClient struct {
 	world *simWorld
 	id    int
 	until time.Duration
-	// at is the address of the only machine that the client asks; empty for any.
+	// onlyAddress is the address of the only machine that the client calls; empty for any.
 	onlyAddress string
-	// answered is called with each outcome, if it is set.
+	// onOutcome is called with each outcome, if it is set.
 	onOutcome func(Outcome)
-	// version is the last one that the client has seen.
+	// version is the latest one that the client has observed.
 	version int64
 	writes  int
 	// last is the outcome of the last operation.
 	last Outcome
-	// sent are the writes that may be sent again: not those that were refused for a version still to come.
+	// retryable are the writes that may be sent again: not those rejected for an expected version still to come.
 	retryable []simInput
 }
 
-// next begins the client's next operation after a while.
+// next schedules the client's next operation.
 func (s *simClient) next() {
 	w := s.world
 	w.after(time.Duration(w.random.Int63n(int64(300*time.Millisecond))), func() {
@@ -51,7 +51,7 @@
 	return w.machines[w.addresses[w.random.Intn(len(w.addresses))]]
 }
 
-// tell reports an outcome.
+// report passes an outcome to onOutcome.
 func (s *simClient) report(outcome Outcome) {
 	if s.onOutcome != nil {
 		s.onOutcome(outcome)
@@ -94,8 +94,8 @@
 	s.attemptAt(s.machine(), input, called, number, unknown)
 }
 
-// attemptAt sends a write, and sends it again while the outcome is unknown. A conflict ends it, unless an
-// earlier attempt can still come into force.
+// attemptAt sends a write, and retries it while the outcome is unknown. A conflict ends it, unless an
+// earlier attempt can still be committed.
 func (s *simClient) attemptAt(
 	m *simMachine, input simInput, called time.Duration, number int, unknown bool,
 ) {
--- a/internal/router/chain/sim_loss_test.go
+++ b/internal/router/chain/sim_loss_test.go
@@ -15,9 +15,9 @@
 	// lossStepVariable in the environment.
 	lossStep         = 11
 	lossStepVariable = "CHAIN_LOSS_STEP"
-	// lossGrace is how long a machine that leaves goes on at most.
+	// lossGrace bounds how long a draining machine keeps running.
 	lossGrace = 5 * time.Second
-	// lossRepair is how long a first loss is followed by points, lossRecovery how long the rest may take.
+	// lossRepair is how long after a first loss points are numbered, lossRecovery how long recovery may take.
 	lossRepair   = 4 * time.Second
 	lossRecovery = 6 * time.Second
 )
@@ -25,16 +25,16 @@
 // firstLoss is what begins a repair or a replacement.
 type firstLoss struct {
 	name string
-	// planned says that the machine isn't counted as lost: its successor is there already.
+	// planned says that the machine isn't counted as lost: its replacement is there already.
 	planned bool
 	do      func(w *lossWorld, m *simMachine)
 }
 
-// firstLosses are the ways in which a member goes.
+// firstLosses are the ways in which a member is lost.
 var firstLosses = []firstLoss{
 	{"disk lost", false, func(w *lossWorld, m *simMachine) { w.wipeAt(m) }},
-	{"machine gone, another takes its place", false, func(w *lossWorld, m *simMachine) { w.remove(m) }},
-	{"machine leaves, its successor is there", true, func(w *lossWorld, m *simMachine) { w.drain(m) }},
+	{"machine lost, another replaces it", false, func(w *lossWorld, m *simMachine) { w.remove(m) }},
+	{"machine drains, its replacement is there", true, func(w *lossWorld, m *simMachine) { w.drain(m) }},
 }
 
 // lossWorld is a world of 2 tolerate + 1 members and one candidate.
@@ -44,8 +44,8 @@
 }
 
 // TestLossesAtEachPointOfAReplacement takes as many disks as are tolerated, the first member included unless
-// it leaves as planned, at numbered points of its replacement: also while all others lose power. What was
-// acknowledged is kept, and all machines serve.
+// it drains as planned, at numbered points of its replacement: also while all others lose power. What was
+// acknowledged survives, and all machines serve.
 func TestLossesAtEachPointOfAReplacement(t *testing.T) {
 	step := fromEnvironment(lossStepVariable, lossStep)
 	for tolerate := 1; tolerate <= 3; tolerate++ {
@@ -95,7 +95,7 @@
 	return true
 }
 
-// newLossWorld founds a world in which version 1 is committed, and lets it come to rest.
+// newLossWorld bootstraps a world in which version 1 is committed, and lets it stabilize.
 func newLossWorld(c *qt.C, tolerate int) *lossWorld {
 	w := &lossWorld{newWorld(int64(tolerate)), tolerate}
 	w.members, w.requiredReplicas = 2*tolerate+1, tolerate+1
@@ -107,7 +107,7 @@
 }
 
 // lose takes disks at a point: first that of the machine that has reached it, then of others with a disk that
-// still have theirs; a member that goes anyway isn't taken twice. All others may lose power as well.
+// still have theirs; a member that is lost anyway isn't counted twice. All others may lose power as well.
 func (w *lossWorld) lose(at, victim *simMachine, more int, power bool) {
 	lost := map[string]bool{}
 	for _, m := range append([]*simMachine{at}, w.disks()...) {
@@ -137,13 +137,13 @@
 	return disks
 }
 
-// remove takes a machine away for good.
+// remove removes a machine for good.
 func (w *lossWorld) remove(m *simMachine) {
 	m.crash(faultfs.KeepAll)
 	m.removed = true
 }
 
-// leave lets a machine leave, and takes it away for good when it may stop or its time is up.
+// drain drains a machine, and removes it when it is drained or its time is up.
 func (w *lossWorld) drain(m *simMachine) {
 	began := w.now
 	m.step(func(n *Node) Effects { return n.Drain(w.now) })
@@ -158,11 +158,11 @@
 	w.after(simTick, check)
 }
 
-// mustServeAcknowledged checks that all machines that are there read the same, that it is what was
-// acknowledged, and that a write goes through.
+// mustServeAcknowledged checks that all machines that are left read the acknowledged value, and that a write
+// is applied.
 func (w *lossWorld) mustServeAcknowledged(c *qt.C, label string) {
 	comment := qt.Commentf("%s", label)
-	two := w.writeAt("10.0.0.9", 1, 2, "two") // sent again
+	two := w.writeAt("10.0.0.9", 1, 2, "two") // a retry
 	w.run(time.Second)
 	c.Assert(*two, qt.Equals, Applied, comment)
 	for _, address := range w.addresses {
@@ -182,7 +182,7 @@
 	c.Assert(w.failure, qt.Equals, "", comment)
 }
 
-// TestLossRightAfterARepair takes a second disk as soon as the first loss is repaired: the successor is in
+// TestLossRightAfterARepair takes a second disk as soon as the first loss is repaired: the replacement is in
 // the view and the chain is open at all of its replicas.
 func TestLossRightAfterARepair(t *testing.T) {
 	c := qt.New(t)
--- a/internal/router/chain/sim_machine_test.go
+++ b/internal/router/chain/sim_machine_test.go
@@ -19,22 +19,22 @@
 	world   *simWorld
 	address string
 	hasDisk bool
-	// first says that the system starts for the first time.
+	// firstStart is Config.AllowBootstrap of the next start.
 	firstStart bool
 	disk       *faultfs.FS
 	log        *segmentlog.Log
 	node       *Node
-	// life counts starts, so that events of an earlier life are dropped.
+	// incarnation counts starts, so that events of an earlier incarnation are dropped.
 	incarnation int
-	// newest is the highest sequence that this life has known to be committed.
+	// maxCommitted is the highest sequence that this incarnation has known to be committed.
 	maxCommitted uint64
-	// sync is how long the disk takes for one step's records.
+	// syncDelay is how long the disk takes for one step's records.
 	syncDelay time.Duration
-	// busyUntil is when the machine takes the next event: a sync or a pause ends then.
+	// busyUntil is when a sync or a stall of the process ends and the next event is handled.
 	busyUntil time.Duration
-	// gone says that the machine never comes back.
+	// removed says that the machine never starts again.
 	removed bool
-	// waiting are local requests.
+	// waiting are the callbacks of local requests, by number.
 	waiting map[uint64]func(Reply)
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// up tells whether the machine's process runs.
+// up reports whether the machine's process runs.
 func (m *simMachine) up() bool { return m.node != nil }
 
 // boot starts the machine's process from its disk.
@@ -78,7 +78,7 @@
 		var damage *segmentlog.CorruptionError
 		m.log, records, damage, err = segmentlog.OpenOrReset(m.disk, simFolder, options)
 		if damage != nil {
-			w.tracef("%s begins anew: %v", m.address, damage)
+			w.tracef("%s discards its log: %v", m.address, damage)
 			w.history.damagedLogs++
 		}
 		if err != nil {
@@ -105,7 +105,7 @@
 	m.ticks(m.incarnation)
 }
 
-// bootFailed tries again later if the disk may work by then.
+// bootFailed retries later if the disk may work by then.
 func (m *simMachine) bootFailed(err error) {
 	m.world.tracef("%s can't start: %v", m.address, err)
 	incarnation := m.incarnation
@@ -117,7 +117,7 @@
 	})
 }
 
-// ticks calls Tick again and again while this life lasts.
+// ticks calls Tick at intervals until the incarnation ends.
 func (m *simMachine) ticks(incarnation int) {
 	if m.incarnation != incarnation || !m.up() {
 		return
@@ -126,7 +126,7 @@
 	m.world.after(simTick, func() { m.ticks(incarnation) })
 }
 
-// step makes one step of the node, later if the machine is busy.
+// step runs one step of the node, later if the machine is busy.
 func (m *simMachine) step(do func(*Node) Effects) {
 	w := m.world
 	if !m.up() {
@@ -144,7 +144,7 @@
 	m.perform(do(m.node))
 }
 
-// at reaches a numbered point and tells whether the machine still runs behind it.
+// reachPoint reaches a numbered point and reports whether the machine still runs after it.
 func (m *simMachine) reachPoint(name string) bool {
 	incarnation := m.incarnation
 	if m.world.point != nil {
@@ -153,7 +153,7 @@
 	return m.up() && m.incarnation == incarnation
 }
 
-// perform makes records durable and sends what depends on them when the disk is done.
+// perform persists records and releases what depends on them when the disk is done.
 func (m *simMachine) perform(effects Effects) {
 	if len(effects.Persist) == 0 || !m.hasDisk {
 		m.observe()
@@ -188,7 +188,7 @@
 	})
 }
 
-// release sends messages and gives replies.
+// release sends messages and delivers replies.
 func (m *simMachine) release(effects Effects) {
 	for _, envelope := range effects.Messages {
 		if isPathMessage(envelope.Message.Kind) && !m.reachPoint("before a message") {
@@ -213,7 +213,7 @@
 	}
 }
 
-// isPathMessage tells whether a message is on the way of a write.
+// isPathMessage reports whether a message is on the path of a write.
 func isPathMessage(kind Kind) bool {
 	switch kind {
 	case Append, FetchBody, Ack, Commit, Forward, ForwardReply:
@@ -253,12 +253,12 @@
 	})
 }
 
-// confirm asks whether a change was committed, as it is done where its body can't be made any more.
+// confirm asks whether a change was committed, as callers do that can't produce its body any more.
 func (m *simMachine) confirm(change ChangeID, done func(Reply)) {
 	m.submit(done, func(n *Node, request uint64) Effects { return n.Confirm(m.world.now, request, change) })
 }
 
-// ask has a machine run a call under a number of its own.
+// submit has a machine run a call under a new request number.
 func (m *simMachine) submit(done func(Reply), call func(n *Node, request uint64) Effects) {
 	if !m.up() {
 		done(Reply{Outcome: Unavailable})
--- a/internal/router/chain/sim_many_changes_test.go
+++ b/internal/router/chain/sim_many_changes_test.go
@@ -20,7 +20,7 @@
 	slowSync    = 60 * time.Millisecond
 )
 
-// manyChangesWorld is a world in which one change follows another.
+// manyChangesWorld is a world with a long sequence of changes.
 type manyChangesWorld struct {
 	*simWorld
 	c       *qt.C
@@ -32,7 +32,7 @@
 	return fmt.Sprint("body ", version, " ", string(bytes.Repeat([]byte("x"), manyChangesBody)))
 }
 
-// change makes one change and sends it again until it is acknowledged.
+// change makes one change and retries it until it is acknowledged.
 func (w *manyChangesWorld) change(body string) {
 	for began := w.now; ; {
 		outcome := w.writeAt("10.0.0.9", w.version, w.version+1, body)
@@ -50,14 +50,14 @@
 	w.c.Assert(w.failure, qt.Equals, "")
 }
 
-// changes makes many.
+// changes makes a number of changes.
 func (w *manyChangesWorld) changes(count int) {
 	for range count {
 		w.change(w.body(w.version + 1))
 	}
 }
 
-// catchUp starts a machine and checks in what time and with how many bytes it holds the state.
+// catchUp starts a machine and checks how long and how many bytes it takes to have the state.
 func (w *manyChangesWorld) catchUp(m *simMachine, name string, atMost time.Duration) {
 	began, before := w.now, w.catchUpBytes[m.address]
 	if !m.up() {
@@ -68,16 +68,16 @@
 		w.c.Assert(w.now-began < atMost, qt.IsTrue, qt.Commentf("%s after %d changes", name, w.version))
 	}
 	sent := w.catchUpBytes[m.address] - before
-	held := &m.node.state.accepted
-	whole := messageSize(&Message{Body: held.Body, History: held.history})
+	accepted := &m.node.state.accepted
+	full := messageSize(&Message{Body: accepted.Body, History: accepted.history})
 	w.c.Logf("%s after %d changes: %v, %d bytes", name, w.version, w.now-began, sent)
-	w.c.Assert(sent <= whole, qt.IsTrue, qt.Commentf("%s: %d bytes for %d", name, sent, whole))
+	w.c.Assert(sent <= full, qt.IsTrue, qt.Commentf("%s: %d bytes for %d", name, sent, full))
 	// a snapshot, what follows it, and a record that ends the segment
-	records := w.segmentGrowth + 2*int64(whole)
+	records := w.segmentGrowth + 2*int64(full)
 	w.c.Assert(m.log.Size() <= records, qt.IsTrue, qt.Commentf("%s: the log has %d bytes", name, m.log.Size()))
 }
 
-// hasNewest tells whether a machine is a replica that holds the newest entry.
+// hasNewest reports whether a machine is a replica that has the newest entry.
 func (w *manyChangesWorld) hasNewest(m *simMachine) bool {
 	latest := w.machines["10.0.0.9"].node.View().Epoch
 	state := &m.node.state
@@ -85,8 +85,8 @@
 		state.accepted.Version == w.version
 }
 
-// TestThousandChanges makes changes while members are down, emptied, replaced and slow. Whoever comes back
-// catches up with one body and one history at most, and earlier changes are acknowledged again.
+// TestThousandChanges makes changes while members are down, wiped, replaced and slow. A member that rejoins
+// catches up with one body and one history at most, and earlier changes are still acknowledged.
 func TestThousandChanges(t *testing.T) {
 	w := &manyChangesWorld{simWorld: newWorld(1), c: qt.New(t)}
 	w.segmentGrowth = 16 * manyChangesBody
@@ -102,7 +102,7 @@
 	first.disk.Wipe()
 	first.firstStart = false
 	w.changes(100)
-	w.catchUp(first, "emptied", 2*time.Second)
+	w.catchUp(first, "wiped", 2*time.Second)
 
 	third.syncDelay = slowSync
 	w.changes(100)
@@ -112,7 +112,7 @@
 	third.crash(faultfs.LoseAll)
 	third.removed = true
 	w.changes(50)
-	w.catchUp(w.addMachine("10.0.0.5", true, false), "in place of another", 4*time.Second)
+	w.catchUp(w.addMachine("10.0.0.5", true, false), "replaces another", 4*time.Second)
 
 	w.changes(int(manyChanges - w.version))
 	w.othersDown(nil)
@@ -142,7 +142,7 @@
 	w.c.Assert(epoch(), qt.Equals, before)
 	m.crash(faultfs.LoseAll)
 	m.disk.Wipe()
-	w.catchUp(m, "emptied, the largest body at 100 Mbit/s", 3*time.Second)
+	w.catchUp(m, "wiped, the largest body at 100 Mbit/s", 3*time.Second)
 	w.run(2 * time.Second)
 	w.c.Assert(epoch() <= before+2, qt.IsTrue, qt.Commentf("%d views", epoch()-before))
 }
--- a/internal/router/chain/sim_nemesis_test.go
+++ b/internal/router/chain/sim_nemesis_test.go
@@ -9,14 +9,14 @@
 	"cresshub/internal/segmentlog/faultfs"
 )
 
-// nemesis makes faults at random times until its end.
+// nemesis injects faults at random times until its end.
 type nemesis struct {
 	world *simWorld
 	until time.Duration
 	added int
 }
 
-// next makes the next fault after a while.
+// next schedules the next fault.
 func (s *nemesis) next() {
 	w := s.world
 	w.after(time.Duration(w.random.Int63n(int64(900*time.Millisecond))), func() {
@@ -28,7 +28,7 @@
 	})
 }
 
-// machine draws a machine that is not gone.
+// machine draws a machine that is not removed.
 func (s *nemesis) machine() *simMachine {
 	w := s.world
 	for {
@@ -38,7 +38,7 @@
 	}
 }
 
-// fault makes one fault.
+// fault injects one fault.
 func (s *nemesis) fault() {
 	faults := []struct {
 		name string
@@ -46,11 +46,11 @@
 	}{
 		{"process killed", s.kill}, {"power lost", s.losePower}, {"power lost by all", s.losePowerOfAll},
 		{"crash in the disk", s.crashInDisk}, {"disk fails once", s.failDiskOnce}, {"disk full", s.fillDisk},
-		{"pause", s.pause}, {"disk lost", s.wipeDisk}, {"disk lost while the others lose power",
+		{"process stall", s.stall}, {"disk lost", s.wipeDisk}, {"disk lost while the others lose power",
 			s.wipeDiskAndLosePower},
-		{"machine replaced", s.replace}, {"partition", s.partition}, {"one-way cut", s.partitionOneWay},
-		{"lossy links", s.degradeLinks}, {"leave", s.drain}, {"wake of all links", s.healLinks},
-		{"rot at the end of the log", s.corruptLog},
+		{"machine replaced", s.replace}, {"partition", s.partition}, {"one-way partition", s.partitionOneWay},
+		{"lossy links", s.degradeLinks}, {"drain", s.drain}, {"all links healed", s.healLinks},
+		{"corruption at the end of the log", s.corruptLog},
 	}
 	m := s.machine()
 	one := faults[s.world.random.Intn(len(faults))]
@@ -58,7 +58,7 @@
 	one.do(m)
 }
 
-// later starts a machine again after a while.
+// restartLater starts a machine again after a random time.
 func (s *nemesis) restartLater(m *simMachine) {
 	w := s.world
 	if w.now >= s.until {
@@ -77,7 +77,7 @@
 	})
 }
 
-// loss draws what a power loss leaves.
+// drawLoss draws what a power loss leaves on the disk.
 func (s *nemesis) drawLoss() faultfs.Loss {
 	return []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome}[s.world.random.Intn(3)]
 }
@@ -125,12 +125,12 @@
 	s.world.after(time.Duration(s.world.random.Int63n(int64(3*time.Second))), func() { m.disk.Capacity = 0 })
 }
 
-func (s *nemesis) pause(m *simMachine) {
+func (s *nemesis) stall(m *simMachine) {
 	m.busyUntil = s.world.now + time.Duration(s.world.random.Int63n(int64(3*time.Second)))
 }
 
-// mayLoseDisk tells whether one disk can be lost: the last one that was lost has been replaced in the latest
-// view and in each one that is under way, and each replica of the latest view has the state.
+// mayLoseDisk reports whether one more disk can be lost: the last one that was lost has been replaced in the
+// latest view and in each one that may still be decided, and each replica of the latest view has the state.
 func (s *nemesis) mayLoseDisk() bool {
 	disks := map[MemberID]durableState{}
 	var latest View
@@ -169,8 +169,8 @@
 	s.restartLater(m)
 }
 
-// rot flips a bit of a log's last records while the machine is down: the machine then counts as one that has
-// lost its disk.
+// corruptLog flips a bit of a log's last records while the machine is down, which then counts as having lost
+// its disk.
 func (s *nemesis) corruptLog(m *simMachine) {
 	if !m.hasDisk || !s.mayLoseDisk() {
 		return
@@ -206,7 +206,7 @@
 	}
 }
 
-// replace takes a machine away for good and starts another at a new address.
+// replace removes a machine and starts another at a new address.
 func (s *nemesis) replace(m *simMachine) {
 	if !m.hasDisk || !s.mayLoseDisk() {
 		return
@@ -223,7 +223,7 @@
 	}
 }
 
-// partition cuts the machines into two groups.
+// partition separates the machines into two groups.
 func (s *nemesis) partition(*simMachine) {
 	w := s.world
 	side := map[string]bool{}
--- a/internal/router/chain/sim_partition_test.go
+++ b/internal/router/chain/sim_partition_test.go
@@ -2,24 +2,22 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
-
-	"github.com/anishathalye/porcupine"
 )
 
 const (
-	// partitionSeeds is how many seeds each kind of cut gets without partitionSeedsVariable in the environment.
+	// partitionSeeds is how many seeds each kind of partition gets without partitionSeedsVariable in the
+	// environment.
 	partitionSeeds         = 2
 	partitionSeedsVariable = "CHAIN_CUT_SEEDS"
-	// partitionTime is how long a machine is cut off. Calls that begin partitionStabilization after its begin
-	// have to be answered by the others, those that begin so long after its end by all; none takes longer than
-	// partitionCallLimit.
+	// partitionTime is how long a machine is isolated. Calls that begin partitionStabilization after its
+	// start have to be answered by the others, those that begin so long after its end by all; none takes
+	// longer than partitionCallLimit.
 	partitionTime          = 20 * time.Second
 	partitionStabilization = 1500 * time.Millisecond
 	partitionCallLimit     = 2 * time.Second
-	// partitionMaxViews is how many views one cut may cost, its end included.
+	// partitionMaxViews bounds the views that one partition costs, its end included.
 	partitionMaxViews = 6
 )
 
@@ -27,13 +25,13 @@
 type partitionKind struct {
 	name    string
 	in, out bool
-	// membersOnly leaves the links to other machines alone.
+	// membersOnly leaves the links to machines that are not members intact.
 	membersOnly bool
-	// company is cut off together with the machine.
+	// withAnother isolates another machine together with this one.
 	withAnother bool
 }
 
-// partitionKinds are all ways in which a machine is cut off.
+// partitionKinds are all ways in which a machine is isolated.
 var partitionKinds = []partitionKind{
 	{name: "nothing comes in", in: true},
 	{name: "nothing goes out", out: true},
@@ -43,9 +41,9 @@
 	{name: "together with another machine", in: true, out: true, withAnother: true},
 }
 
-// TestPartitionOfOneReplicaFor20Seconds cuts each replica off in each way, with a candidate to take its place
-// and without, while clients read and write at every machine. The others go on soon and answer each call;
-// what the machine answers is linearizable, and it serves soon after the cut has ended.
+// TestPartitionOfOneReplicaFor20Seconds isolates each replica in each way, with a candidate to replace it
+// and without, while clients read and write at every machine. The others soon answer each call again; what
+// the isolated machine answers is linearizable, and it serves soon after the partition has healed.
 func TestPartitionOfOneReplicaFor20Seconds(t *testing.T) {
 	seeds := fromEnvironment(partitionSeedsVariable, partitionSeeds)
 	for _, kind := range partitionKinds {
@@ -57,11 +55,7 @@
 						t.Parallel()
 						w := newPartitionWorld(int64(seed), candidates)
 						w.play(kind, replica)
-						result := w.linearizable()
-						if w.failure != "" || result != porcupine.Ok {
-							trace := w.trace[max(0, len(w.trace)-simTraceLines):]
-							t.Fatalf("%s, history %s\n%s", w.failure, result, strings.Join(trace, "\n"))
-						}
+						w.mustBeLinearizable(t)
 					})
 				}
 			}
@@ -72,14 +66,14 @@
 // partitionWorld is a world with a client at each machine.
 type partitionWorld struct {
 	*simWorld
-	// mustPropose are the addresses whose clients must get answers now.
+	// mustAnswer are the addresses whose clients must get answers now.
 	mustAnswer map[string]bool
-	// unanswered and answers count calls at the machine that is cut off.
+	// answers counts the outcomes of calls at the isolated machine.
 	isolated string
 	answers  map[Outcome]int
 }
 
-// newPartitionWorld founds a world of three members, candidates and a machine without a disk.
+// newPartitionWorld bootstraps three members, candidates and a machine without a disk, with a client at each.
 func newPartitionWorld(seed int64, candidates int) *partitionWorld {
 	w := &partitionWorld{simWorld: newWorld(seed), mustAnswer: map[string]bool{}, answers: map[Outcome]int{}}
 	bootstrapWithCandidates(w.simWorld, candidates)
@@ -101,7 +95,7 @@
 	}
 }
 
-// play cuts a replica off and heals the cut.
+// play isolates a replica and heals the partition.
 func (w *partitionWorld) play(kind partitionKind, replica int) {
 	view := w.machines["10.0.0.9"].node.View()
 	member, _ := view.member(view.Chain[replica])
@@ -121,13 +115,13 @@
 			w.link(inside, address).blocked = kind.out
 		}
 	}
-	w.tracef("%s is cut off: %s", w.isolated, kind.name)
+	w.tracef("%s is isolated: %s", w.isolated, kind.name)
 	w.run(partitionStabilization + partitionCallLimit)
 	for _, address := range w.addresses {
 		w.mustAnswer[address] = !side[address]
 	}
 	w.run(partitionTime - partitionStabilization - partitionCallLimit)
-	w.tracef("the cut ends")
+	w.tracef("the partition heals")
 	clear(w.mustAnswer)
 	(&nemesis{world: w.simWorld}).healLinks(nil)
 	w.run(partitionStabilization + partitionCallLimit)
@@ -136,11 +130,11 @@
 	}
 	w.run(partitionStabilization)
 	if epoch := w.machines["10.0.0.9"].node.View().Epoch; epoch > view.Epoch+partitionMaxViews {
-		w.failf("%d views for one cut", epoch-view.Epoch)
+		w.failf("%d views for one partition", epoch-view.Epoch)
 	}
 }
 
-// memberAt finds the member at an address.
+// memberAt returns the member at an address.
 func (v View) memberAt(address string) (Member, bool) {
 	for _, member := range v.Members {
 		if member.Address == address {
--- a/internal/router/chain/sim_points_test.go
+++ b/internal/router/chain/sim_points_test.go
@@ -20,7 +20,7 @@
 var pointFaults = []pointFault{
 	{"process killed", func(w *simWorld, m *simMachine) { w.downAt(m, faultfs.KeepAll) }},
 	{"power lost", func(w *simWorld, m *simMachine) { w.downAt(m, faultfs.LoseAll) }},
-	{"power lost, some writes kept", func(w *simWorld, m *simMachine) { w.downAt(m, faultfs.LoseSome) }},
+	{"power lost, some writes persisted", func(w *simWorld, m *simMachine) { w.downAt(m, faultfs.LoseSome) }},
 	{"power lost by all", func(w *simWorld, _ *simMachine) { w.othersDown(nil) }},
 	{"disk lost", func(w *simWorld, m *simMachine) { w.wipeAt(m) }},
 	{"disk lost while the others lose power", func(w *simWorld, m *simMachine) {
@@ -32,15 +32,15 @@
 // downAt stops a machine and starts it again a while later.
 func (w *simWorld) downAt(m *simMachine, loss faultfs.Loss) {
 	m.crash(loss)
-	life := m.incarnation
+	incarnation := m.incarnation
 	w.after(200*time.Millisecond, func() {
-		if m.incarnation == life {
+		if m.incarnation == incarnation {
 			m.boot()
 		}
 	})
 }
 
-// wipeAt stops a machine and starts it again with an empty disk.
+// wipeAt stops a machine and starts it again a while later with an empty disk.
 func (w *simWorld) wipeAt(m *simMachine) {
 	w.downAt(m, faultfs.KeepAll)
 	m.disk.Wipe()
@@ -56,7 +56,7 @@
 	}
 }
 
-// threeMachines founds a chain of three in which version 1 is committed, and lets it come to rest.
+// threeMachines bootstraps a chain of three in which version 1 is committed, and lets it stabilize.
 func threeMachines(c *qt.C, growth int64) *simWorld {
 	w := newWorld(1)
 	w.segmentGrowth = growth
@@ -75,7 +75,7 @@
 	return w
 }
 
-// writeAt asks a machine for a write; the outcome is filled in later.
+// writeAt starts a write at a machine; the outcome is filled in later.
 func (w *simWorld) writeAt(address string, expected, version int64, body string) *Outcome {
 	outcome := new(Outcome)
 	proposal := Proposal{expected, version, []byte(body)}
@@ -83,9 +83,9 @@
 	return outcome
 }
 
-// mustHold checks what a register holds after a write that was broken somewhere: the write if it was
-// acknowledged, else the write or the value before it, the same at each machine; that it takes another; and
-// that what was in force before is told so when it is sent again.
+// mustHold checks the register after a write that a fault interrupted: it has the write if that was
+// acknowledged, else the write or the value before it, the same at each machine; it takes another write; and
+// earlier writes that were committed are acknowledged when they are retried.
 func (w *simWorld) mustHold(c *qt.C, outcome Outcome, label string) {
 	comment := qt.Commentf("%s, outcome %v", label, outcome)
 	var bodies []string
@@ -118,7 +118,7 @@
 	c.Assert(w.failure, qt.Equals, "", comment)
 }
 
-// TestFaultAtEachPointOfAWrite breaks a write at each numbered point between proposal and acknowledgement.
+// TestFaultAtEachPointOfAWrite injects a fault at each numbered point between proposal and acknowledgement.
 func TestFaultAtEachPointOfAWrite(t *testing.T) {
 	c := qt.New(t)
 	for _, origin := range []string{"10.0.0.1", "10.0.0.3"} {
@@ -162,8 +162,8 @@
 	return true
 }
 
-// TestFaultAtEachDiskOperationOfAWrite breaks each replica's disk at each numbered operation in turn, with a
-// log that takes the write as a frame and with one that begins a new segment for it.
+// TestFaultAtEachDiskOperationOfAWrite injects a fault at each numbered operation of each replica's disk,
+// with a log that appends the write to its segment and with one that begins a new segment for it.
 func TestFaultAtEachDiskOperationOfAWrite(t *testing.T) {
 	c := qt.New(t)
 	for _, replica := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
--- a/internal/router/chain/sim_race_test.go
+++ b/internal/router/chain/sim_race_test.go
@@ -2,18 +2,15 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
-
-	"github.com/anishathalye/porcupine"
 )
 
 const (
 	// raceSeeds is how many races run without raceSeedsVariable in the environment.
 	raceSeeds         = 40
 	raceSeedsVariable = "CHAIN_RACE_SEEDS"
-	// raceWrites are under way at once, each sent to raceMachines machines and again after raceRetry.
+	// raceWrites run concurrently, each sent to raceMachines machines and again after raceRetry.
 	raceWrites   = 8
 	raceMachines = 3
 	raceRetry    = 250 * time.Millisecond
@@ -23,29 +20,22 @@
 	raceFaults = 10 * time.Second
 )
 
-// TestOperatorsRaceForAVersion lets eight writes on one version go to several machines at once, half of them
-// under the same number, while half of the answers are lost and machines fail. Each write is sent until it
-// has a clear answer: one of them is acknowledged wherever it is, and each other one is refused.
+// TestOperatorsRaceForAVersion sends eight concurrent writes on one version to several machines, half of
+// them under the same number, while half of the replies are lost and machines fail. Each write is retried
+// until its outcome is known: exactly one of them is acknowledged, at all machines, and each other one is
+// rejected.
 func TestOperatorsRaceForAVersion(t *testing.T) {
-	seeds := fromEnvironment(raceSeedsVariable, raceSeeds)
-	first := fromEnvironment(simFirstVariable, 1)
-	for seed := first; seed < first+seeds; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			t.Parallel()
-			w := newWorld(int64(seed))
-			if seed%2 == 0 {
-				w.historyLength = simShortHistory
-			}
-			bootstrapMembers(w)
-			r := &raceWorld{simWorld: w, faults: &nemesis{world: w, until: w.now + raceFaults}}
-			r.play()
-			result := w.linearizable()
-			if w.failure != "" || result != porcupine.Ok {
-				trace := w.trace[max(0, len(w.trace)-simTraceLines):]
-				t.Fatalf("seed %d: %s, history %s\n%s", seed, w.failure, result, strings.Join(trace, "\n"))
-			}
-		})
-	}
+	forEachSeed(t, fromEnvironment(raceSeedsVariable, raceSeeds), func(t *testing.T, seed int) {
+		t.Helper()
+		w := newWorld(int64(seed))
+		if seed%2 == 0 {
+			w.historyLength = simShortHistory
+		}
+		bootstrapMembers(w)
+		r := &raceWorld{simWorld: w, faults: &nemesis{world: w, until: w.now + raceFaults}}
+		r.play()
+		w.mustBeLinearizable(t)
+	})
 }
 
 // raceWorld is a world with rounds of writes on one version.
@@ -63,7 +53,7 @@
 	world  *raceWorld
 	input  simInput
 	called time.Duration
-	// outcome is the first clear answer that arrived; 0 before.
+	// outcome is the first definite one that arrived; 0 before.
 	outcome Outcome
 }
 
@@ -78,7 +68,7 @@
 	}
 }
 
-// begin sends the writes of the next round.
+// beginRound sends the writes of the next round.
 func (w *raceWorld) beginRound() {
 	w.round++
 	w.racers = nil
@@ -96,7 +86,7 @@
 	}
 }
 
-// send sends the write to some machines, and again as long as there is no clear answer.
+// send sends the write to some machines, and again as long as there is no definite outcome.
 func (r *racer) send() {
 	w := r.world
 	if r.outcome != 0 || w.failure != "" {
@@ -110,18 +100,18 @@
 	w.after(raceRetry+time.Duration(w.random.Int63n(int64(raceRetry))), r.send)
 }
 
-// answered takes an answer; half of them are lost on their way. Also one that is lost must be right.
+// onReply handles a reply; half of them count as lost, but also those must be right.
 func (r *racer) onReply(reply Reply) {
 	w, h := r.world, &r.world.history
-	_, inForce := h.committed[r.input.body]
+	_, committed := h.committed[r.input.body]
 	switch reply.Outcome {
 	case Applied:
-		if !inForce || h.rejected[r.input.body] {
-			w.failf("%q is acknowledged, in force %v, refused %v", r.input.body, inForce, h.rejected[r.input.body])
+		if !committed || h.rejected[r.input.body] {
+			w.failf("%q is acknowledged, committed %v, rejected %v", r.input.body, committed, h.rejected[r.input.body])
 		}
 	case Conflict:
 		if reply.Entry.Version <= r.input.expected {
-			w.failf("%q is refused by version %d", r.input.body, reply.Entry.Version)
+			w.failf("%q is rejected by version %d", r.input.body, reply.Entry.Version)
 		}
 		w.recordRejection(r.input.body)
 	default:
@@ -139,7 +129,7 @@
 	w.endRound()
 }
 
-// endRound begins the next round when each write of this one has a clear answer.
+// endRound begins the next round when each write of this one has a definite outcome.
 func (w *raceWorld) endRound() {
 	var winners []*racer
 	for _, r := range w.racers {
--- a/internal/router/chain/sim_retry_test.go
+++ b/internal/router/chain/sim_retry_test.go
@@ -2,7 +2,8 @@
 
 import "github.com/anishathalye/porcupine"
 
-// again sends one of the client's earlier writes unchanged, or asks for it by name, at a machine it draws.
+// retry sends one of the client's earlier writes unchanged, or confirms it by its digest, at a machine it
+// draws.
 func (s *simClient) retry() {
 	w := s.world
 	input := s.retryable[w.random.Intn(len(s.retryable))]
@@ -19,25 +20,25 @@
 	s.machine().request(&proposal, judge)
 }
 
-// checkRetry checks the answer to a write that was sent again: it is acknowledged if it was ever in force,
-// and refused only if it never was and never will be.
+// checkRetry checks the reply to a write that was retried: it is acknowledged if it was ever committed, and
+// rejected only if it never was and never will be.
 func (w *simWorld) checkRetry(input simInput, reply Reply) {
-	_, wasInForce := w.history.committed[input.body]
+	_, wasCommitted := w.history.committed[input.body]
 	switch reply.Outcome {
 	case Applied:
 		w.recordRetryApplied(input, reply)
 	case Conflict:
-		if wasInForce || reply.Entry.Version > input.expected {
+		if wasCommitted || reply.Entry.Version > input.expected {
 			w.recordRejection(input.body)
 		}
 	}
 }
 
-// recordRetryApplied notes that a write was acknowledged when it was sent again: it took place before now.
+// recordRetryApplied records that a retried write was acknowledged: it took place before now.
 func (w *simWorld) recordRetryApplied(input simInput, reply Reply) {
 	h := &w.history
 	if _, ok := h.committed[input.body]; !ok || h.rejected[input.body] {
-		w.failf("%q is acknowledged, in force %v, refused %v", input.body, ok, h.rejected[input.body])
+		w.failf("%q is acknowledged, committed %v, rejected %v", input.body, ok, h.rejected[input.body])
 	}
 	if reply.Entry.Version > input.version {
 		h.replacedRetries++
--- a/internal/router/chain/sim_test.go
+++ b/internal/router/chain/sim_test.go
@@ -17,16 +17,16 @@
 	simSeeds         = 600
 	simSeedsVariable = "CHAIN_SIM_SEEDS"
 	simFirstVariable = "CHAIN_SIM_FIRST"
-	// simShortHistory is the history's length in some seeds, so that writes are forgotten.
+	// simShortHistory is the length of the history in some seeds, so that writes are forgotten.
 	simShortHistory = 4
-	// simTraceLines is how much of a failing seed's trace is told.
+	// simTraceLines is how many lines of a failing seed's trace are printed.
 	simTraceLines = 60
-	// simFaults is how long faults come, simRecovery how long the register may take to be back then.
+	// simFaults is how long faults are injected, simRecovery how long the register may take to serve after that.
 	simFaults   = 12 * time.Second
 	simRecovery = 4 * time.Second
 )
 
-// fromEnvironment reads a number out of the environment.
+// fromEnvironment reads a number from an environment variable.
 func fromEnvironment(name string, normal int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
@@ -34,39 +34,64 @@
 	return normal
 }
 
-// TestSimulation plays seeds: random faults, histories judged, and the register back after the faults.
-func TestSimulation(t *testing.T) {
-	seeds := fromEnvironment(simSeedsVariable, simSeeds)
+// forEachSeed runs a simulation with each seed of a range as a parallel sub-test, and returns when all have
+// ended.
+func forEachSeed(t *testing.T, seeds int, run func(t *testing.T, seed int)) {
+	t.Helper()
 	first := fromEnvironment(simFirstVariable, 1)
-	var total [Unavailable + 1]atomic.Int64
-	var disks, damages, replaced atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for seed := first; seed < first+seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				w := simulate(t, int64(seed))
-				disks.Add(int64(w.history.disksLost))
-				damages.Add(int64(w.history.damagedLogs))
-				replaced.Add(int64(w.history.replacedRetries))
-				for outcome, count := range w.history.outcomes {
-					total[outcome].Add(int64(count))
-				}
+				run(t, seed)
 			})
 		}
 	})
-	t.Logf("%d seeds: %d applied, %d conflicts, %d unavailable; %d disks lost, %d by rot; "+
-		"%d replaced ones sent again",
+}
+
+// mustBeLinearizable fails a test whose world has a broken invariant or whose history is not linearizable.
+func (w *simWorld) mustBeLinearizable(t *testing.T) {
+	t.Helper()
+	result := w.linearizable()
+	if w.failure != "" || result != porcupine.Ok {
+		t.Fatalf("%s, history %s\n%s", w.failure, result, w.endOfTrace())
+	}
+}
+
+// endOfTrace returns the last lines of the trace.
+func (w *simWorld) endOfTrace() string {
+	return strings.Join(w.trace[max(0, len(w.trace)-simTraceLines):], "\n")
+}
+
+// TestSimulation injects random faults. The clients' histories have to be linearizable, and each machine has
+// to serve after the faults.
+func TestSimulation(t *testing.T) {
+	seeds := fromEnvironment(simSeedsVariable, simSeeds)
+	var total [Unavailable + 1]atomic.Int64
+	var disks, damages, replaced atomic.Int64
+	forEachSeed(t, seeds, func(t *testing.T, seed int) {
+		t.Helper()
+		w := simulate(t, int64(seed))
+		disks.Add(int64(w.history.disksLost))
+		damages.Add(int64(w.history.damagedLogs))
+		replaced.Add(int64(w.history.replacedRetries))
+		for outcome, count := range w.history.outcomes {
+			total[outcome].Add(int64(count))
+		}
+	})
+	t.Logf("%d seeds: %d applied, %d conflicts, %d unavailable; %d disks lost, %d by corruption; "+
+		"%d replaced ones retried",
 		seeds, total[Applied].Load(), total[Conflict].Load(), total[Unavailable].Load(), disks.Load(),
 		damages.Load(), replaced.Load())
 	if seeds >= simSeeds && damages.Load() == 0 {
-		t.Error("no log was damaged; let them rot more often")
+		t.Error("no log was damaged; corrupt them more often")
 	}
 	if seeds >= simSeeds && replaced.Load() == 0 {
-		t.Error("no replaced write was sent again; let clients do that more often")
+		t.Error("no replaced write was retried; let clients do that more often")
 	}
 }
 
-// simulate plays one seed.
+// simulate runs one seed.
 func simulate(t *testing.T, seed int64) *simWorld {
 	t.Helper()
 	w := newWorld(seed)
@@ -90,32 +115,28 @@
 	s.world.tracef("clients end")
 	mustServe(w)
 	w.describe()
-	result := w.linearizable()
-	if w.failure != "" || result != porcupine.Ok {
-		trace := w.trace[max(0, len(w.trace)-simTraceLines):]
-		t.Fatalf("seed %d: %s, history %s\n%s", seed, w.failure, result, strings.Join(trace, "\n"))
-	}
+	w.mustBeLinearizable(t)
 	return w
 }
 
-// describe notes the state of each machine.
+// describe adds the state of each machine to the trace.
 func (w *simWorld) describe() {
 	for _, address := range w.addresses {
 		m := w.machines[address]
 		if !m.up() {
-			w.tracef("%s is down, gone %v, disk down %v", address, m.removed, m.disk.Down())
+			w.tracef("%s is down, removed %v, disk down %v", address, m.removed, m.disk.Down())
 			continue
 		}
 		state := &m.node.state
-		w.tracef("%s is %s in epoch %d, holds %d of epoch %d, sealed %d, stalled %v, leaving %v, busy until %v",
+		w.tracef("%s is %s in epoch %d, accepted %d of epoch %d, sealed %d, stalled %v, draining %v, busy until %v",
 			address, state.id, state.view.Epoch, state.accepted.Sequence, state.accepted.Epoch, state.sealed,
 			m.node.stalled,
 			m.node.draining, m.busyUntil)
 	}
 }
 
-// bootstrapMembers makes the machines that become members, one more with a disk and one without, which
-// founds.
+// bootstrapMembers starts the machines that become members, one more with a disk, and one without that
+// bootstraps.
 func bootstrapMembers(w *simWorld) { bootstrapWithCandidates(w, 1) }
 
 // bootstrapWithCandidates does so with another number of machines that don't become members.
@@ -134,7 +155,7 @@
 	bootstrapper.step(func(n *Node) Effects { return n.Bootstrap(w.now, members) })
 	w.run(time.Second)
 	if bootstrapper.node.View().Epoch == 0 {
-		w.failf("not founded")
+		w.failf("not bootstrapped")
 	}
 }
 
@@ -158,14 +179,14 @@
 		w.recordCall(last.id, input)
 		last.attemptAt(m, input, w.now, 1, false)
 		w.run(300 * time.Millisecond)
-		// A write that another client had begun before may come between.
+		// A write that another client had started before may come between.
 		if readOutcome != Applied || last.last != Applied && last.last != Conflict {
 			w.failf("%s: read is %v and write is %v after all faults have ended", address, readOutcome, last.last)
 		}
 	}
 }
 
-// TestSeedsThatBrokeOnce plays seeds that earlier states of the package didn't stand.
+// TestSeedsThatBrokeOnce runs seeds that failed at earlier states of the package.
 func TestSeedsThatBrokeOnce(t *testing.T) {
 	for _, seed := range []int64{225, 1378, 1502, 8599, 21082, 22937, 24419, 28549} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/router/chain/sim_world_test.go
+++ b/internal/router/chain/sim_world_test.go
@@ -41,7 +41,7 @@
 	blocked bool
 	loss    float64
 	delay   time.Duration
-	// freeAt is when a link of limited rate has sent what it was given.
+	// freeAt is when a link of limited rate has sent what was queued.
 	freeAt time.Duration
 }
 
@@ -51,7 +51,7 @@
 	return header + len(m.Body) + past*len(m.History)
 }
 
-// simWorld is a fleet in virtual time: machines, network, and what was observed.
+// simWorld is a fleet in virtual time: machines, network, and the history that was observed.
 type simWorld struct {
 	random     *rand.Rand
 	now        time.Duration
@@ -61,17 +61,17 @@
 	// addresses are the machines in the order in which they were made.
 	addresses []string
 	links     map[[2]string]*simLink
-	// duplicates is the chance that a message comes twice.
+	// duplicates is the probability that a message arrives twice.
 	duplicates float64
-	// rate is how many bytes a link carries in a second, one message behind the other; 0 is no limit.
+	// rate is the bandwidth of a link in bytes per second; 0 is no limit.
 	rate int
-	// catchUpBytes counts the bytes of entries that were sent with their whole history, by address.
+	// catchUpBytes counts the bytes of entries that were sent with their full history, by address.
 	catchUpBytes map[string]int
-	// members is how many members there shall be, copies how many replicas a write needs.
+	// members is Config.TargetMembers, requiredReplicas Config.RequiredReplicas of all nodes.
 	members, requiredReplicas int
-	// historyLength is how many earlier entries an entry names.
+	// historyLength is Config.HistoryLength of all nodes.
 	historyLength int
-	// growth is how far a machine's log grows before a new segment is begun.
+	// segmentGrowth is how far a machine's log grows before a new segment is begun.
 	segmentGrowth int64
 	requests      uint64
 	identities    int
@@ -100,7 +100,7 @@
 	}
 }
 
-// fail notes a broken invariant.
+// failf records a broken invariant.
 func (w *simWorld) failf(format string, values ...any) {
 	w.tracef(format, values...)
 	if w.failure == "" {
@@ -108,18 +108,18 @@
 	}
 }
 
-// note adds a line to the trace.
+// tracef adds a line to the trace.
 func (w *simWorld) tracef(format string, values ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, values...))
 }
 
-// after lets something happen later.
+// after schedules an event.
 func (w *simWorld) after(delay time.Duration, do func()) {
 	w.eventOrder++
 	heap.Push(&w.queue, simEvent{w.now + delay, w.eventOrder, do})
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (w *simWorld) run(duration time.Duration) {
 	end := w.now + duration
 	for len(w.queue) > 0 && w.queue[0].at <= end && w.failure == "" {
@@ -139,7 +139,7 @@
 	return w.links[key]
 }
 
-// transmit sends a message to whoever has the address when it arrives.
+// transmit sends a message to the machine that has the address when it arrives.
 func (w *simWorld) transmit(from string, envelope Envelope) {
 	link := w.link(from, envelope.To.Address)
 	if link.blocked || w.random.Float64() < link.loss {
@@ -165,7 +165,7 @@
 	}
 }
 
-// deliver hands a message over unless the link was cut meanwhile.
+// deliver delivers a message unless the link was blocked meanwhile.
 func (w *simWorld) deliver(from string, envelope Envelope) {
 	machine := w.machines[envelope.To.Address]
 	if machine == nil || w.link(from, envelope.To.Address).blocked {
--- a/internal/router/chain/view_change_test.go
+++ b/internal/router/chain/view_change_test.go
@@ -61,7 +61,7 @@
 	tc.mustWrite("a", 1, 2, "two")
 }
 
-// TestDrainingMemberIsDrainedOnceAnotherHasItsState: the one in its place has to copy the state first.
+// TestDrainingMemberIsDrainedOnceAnotherHasItsState: its replacement has to fetch the state first.
 func TestDrainingMemberIsDrainedOnceAnotherHasItsState(t *testing.T) {
 	tc := newCluster(t, 4, 3)
 	tc.mustWrite("a", 0, 1, "one")
@@ -79,7 +79,7 @@
 	tc.c.Assert(string(tc.machines["d"].node.state.accepted.Body), qt.Equals, "one")
 }
 
-// TestDrainingMemberWithoutAReplacementIsDrainedOutsideTheChain: its vote is missed, its copy isn't.
+// TestDrainingMemberWithoutAReplacementIsDrainedOutsideTheChain: its vote is missed, its replica isn't.
 func TestDrainingMemberWithoutAReplacementIsDrainedOutsideTheChain(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.mustWrite("a", 0, 1, "one")
@@ -187,8 +187,8 @@
 	tc.mustWrite("a", 0, 1, "one")
 	tc.machines["c"].down = true
 	tc.run(1500 * time.Millisecond)
-	tc.mustWrite("a", 1, 2, "two") // a and b hold it
-	// b is cut off, c comes back, and the view of a and c never opens as a's disk is lost.
+	tc.mustWrite("a", 1, 2, "two") // a and b have accepted it
+	// b is isolated, c rejoins, and the view of a and c never opens as a's disk is lost.
 	tc.drop = func(from, to MemberID, m *Message) bool {
 		return from == "b" || to == "b" || m.Kind == Append && to == "c"
 	}
@@ -277,8 +277,8 @@
 }
 
 // TestAcceptedViewIsDecidedThoughNoPlannerWantsIt: a view that one acceptor has accepted names a candidate
-// whose disk is lost then. It is decided, the candidate is replaced, and the loss of another disk can be
-// borne.
+// whose disk is lost then. It is decided, the candidate is replaced, and the loss of another disk is
+// tolerated.
 func TestAcceptedViewIsDecidedThoughNoPlannerWantsIt(t *testing.T) {
 	for _, lost := range []MemberID{"a", "b"} {
 		tc := newCluster(t, 4, 3)
@@ -304,7 +304,7 @@
 	}
 }
 
-// TestMemberNeverSeenIsReplacedByAnotherAtItsAddress: who joins late replaces it at once.
+// TestMemberNeverSeenIsReplacedByAnotherAtItsAddress: the replacement need not wait for ReplaceAfter.
 func TestMemberNeverSeenIsReplacedByAnotherAtItsAddress(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	a := tc.machines["a"].node
@@ -314,16 +314,16 @@
 	view := tc.view("a")
 	view.Epoch, view.Members = 2, []Member{{"a", "10.0.0.1"}, {"b", "10.0.0.2"}, {"d", "10.0.0.4"}}
 	a.Receive(tc.now, Message{Kind: ViewNotice, View: view})
-	told := tc.machines["x"].node.heartbeat()
-	told.From, told.Epoch, told.ReceivesFrom = "x", 2, []MemberID{"a", "b", "c"}
-	a.Receive(tc.now, told)
+	heartbeat := tc.machines["x"].node.heartbeat()
+	heartbeat.From, heartbeat.Epoch, heartbeat.ReceivesFrom = "x", 2, []MemberID{"a", "b", "c"}
+	a.Receive(tc.now, heartbeat)
 	next, ok := Plan(view, a.observe(), a.rules())
 	tc.c.Assert(ok, qt.IsTrue)
 	tc.c.Assert(memberIDs(next.Members), qt.DeepEquals, []MemberID{"a", "b", "x"})
 }
 
-// TestProcessStallIsCompensatedOnlyForMembers: who was silent before, or is no member, isn't taken to be
-// there.
+// TestProcessStallIsCompensatedOnlyForMembers: a node that had timed out before, or is not a member, isn't
+// taken for a live one.
 func TestProcessStallIsCompensatedOnlyForMembers(t *testing.T) {
 	tc := newCluster(t, 4, 3)
 	tc.run(2 * time.Second)
@@ -340,7 +340,7 @@
 	tc.c.Assert(p.seenDirectly("d"), qt.IsFalse)
 }
 
-// TestDrainingMemberWaitsForItsReplacement: it votes until another does.
+// TestDrainingMemberWaitsForItsReplacement: it votes until its replacement does.
 func TestDrainingMemberWaitsForItsReplacement(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.mustWrite("a", 0, 1, "one")
@@ -360,8 +360,8 @@
 	tc.c.Assert(b.Drained(), qt.IsTrue)
 }
 
-// TestReplicaThatReceivesNothingIsLeftOut: it goes deaf before it learns of a view in whose chain it is, so
-// that its last report is from the epoch before and says that it hears all.
+// TestReplicaThatReceivesNothingIsLeftOut: nothing reaches it any more before it learns of a view in whose
+// chain it is, so that its last report is of the epoch before and says that it receives from all.
 func TestReplicaThatReceivesNothingIsLeftOut(t *testing.T) {
 	tc := newCluster(t, 5, 5)
 	tc.mustWrite("a", 0, 1, "one")
