--- a/internal/router/agent/stages.go
+++ b/internal/router/agent/stages.go
@@ -41,7 +41,7 @@
 
 	fence           uint64        // under which the duty is held, 0 where it is not
 	ordersAllowedAt time.Duration // from when on orders may be sent
-	// refused is a fence that a server found lower than one it had seen. No more orders are sent under it.
+	// rejectedFence is a fence that a server found lower than one it had seen. No more orders are sent under it.
 	rejectedFence atomic.Uint64
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// held tells whether this process may send orders now.
+// maySendOrders tells whether this process may send orders now.
 func (s *stageCoordinator) maySendOrders() bool {
 	fence, now := s.member.fence.Load(), s.node.now()
 	switch {
@@ -88,7 +88,7 @@
 	n.state.update(now, func(d *directory.Directory) {
 		for _, order := range d.Orders() {
 			server := d.Get(order.ID[len(directory.OrderID("")):])
-			if server == nil || !server.Live() || server.Stage == order.Stage {
+			if server == nil || !server.Live() || server.Role == order.Role {
 				ended := *order
 				ended.State = directory.Lost
 				d.Merge(now, ended)
@@ -103,12 +103,12 @@
 	addresses := map[string]string{}
 	n.state.read(func(d *directory.Directory) {
 		for _, r := range d.LiveServers() {
-			if r.Service != service.Name || r.State != directory.Ready || r.Stage == "" {
+			if r.Service != service.Name || r.State != directory.Ready || r.Role == "" {
 				continue
 			}
-			known := roleplan.Server{ID: r.ID, Zone: r.Zone, Role: catalog.Role(r.Stage), Slots: r.Slots}
+			known := roleplan.Server{ID: r.ID, Zone: r.Zone, Role: catalog.Role(r.Role), Slots: r.Slots}
 			if d.ChangingRole(r) {
-				known.Changing, known.Role = true, catalog.Role(d.Get(directory.OrderID(r.ID)).Stage)
+				known.Changing, known.Role = true, catalog.Role(d.Get(directory.OrderID(r.ID)).Role)
 			}
 			servers = append(servers, known)
 			addresses[r.ID] = r.Address
@@ -135,7 +135,7 @@
 	sent.Wait()
 }
 
-// announce tells all proxies that servers are about to change, so that they get nothing new.
+// announceOrders tells all proxies that servers are about to change, so that they get nothing new.
 func (s *stageCoordinator) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
 	n := s.node
 	now := n.now()
@@ -143,7 +143,7 @@
 	n.state.update(now, func(d *directory.Directory) {
 		for _, order := range orders {
 			record := directory.Record{Kind: directory.KindOrder, ID: directory.OrderID(order.Server), Sequence: 1,
-				State: directory.Ready, Watcher: n.id, Service: service.Name, Stage: string(order.Role)}
+				State: directory.Ready, Watcher: n.id, Service: service.Name, Role: string(order.Role)}
 			if earlier := d.Get(record.ID); earlier != nil {
 				record.Sequence = earlier.Sequence + 1
 			}
@@ -191,7 +191,8 @@
 	}
 }
 
-// withdraw ends the announcement of an order that is not carried out, so that its server gets requests again.
+// withdrawOrder ends the announcement of an order that is not carried out, so that its server gets requests
+// again.
 func (s *stageCoordinator) withdrawOrder(order roleplan.Order) {
 	n := s.node
 	now := n.now()
