--- a/internal/cluster/gossip/delegates.go
+++ b/internal/cluster/gossip/delegates.go
@@ -8,45 +8,46 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// events takes memberlist's news of members. memberlist calls it under its own lock: it must not call
+// eventDelegate takes memberlist's news of members. memberlist calls it under its own lock: it must not call
 // memberlist back.
-type events Fleet
+type eventDelegate Fleet
 
-func (e *events) NotifyJoin(n *memberlist.Node)   { e.notify(n, membership.Alive) }
-func (e *events) NotifyUpdate(n *memberlist.Node) { e.notify(n, membership.Alive) }
+func (e *eventDelegate) NotifyJoin(n *memberlist.Node)   { e.notify(n, membership.Alive) }
+func (e *eventDelegate) NotifyUpdate(n *memberlist.Node) { e.notify(n, membership.Alive) }
 
 // NotifyLeave is told of a member that left or died; memberlist's Node does not say which (its State field
 // is never set). A member says it is leaving in its metadata before it leaves: that tells the two apart.
 // It also says so in a datagram to each member, which comes before the gossip of its leave.
-func (e *events) NotifyLeave(n *memberlist.Node) {
+func (e *eventDelegate) NotifyLeave(n *memberlist.Node) {
 	f := (*Fleet)(e)
 	status := membership.Dead
 	var meta membership.Meta
 	f.mu.Lock()
-	said, ok := f.left[n.Name]
-	delete(f.left, n.Name)
+	incarnation, announced := f.announcedLeaves[n.Name]
+	delete(f.announcedLeaves, n.Name)
 	f.mu.Unlock()
-	if decodeMeta(n.Meta, &meta) == nil && (meta.Phase == membership.Leaving || ok && said == meta.Incarnation) {
+	if decodeMeta(n.Meta, &meta) == nil &&
+		(meta.Phase == membership.Leaving || announced && incarnation == meta.Incarnation) {
 		status = membership.Left
 	}
 	e.notify(n, status)
 }
 
-func (e *events) notify(n *memberlist.Node, status membership.Status) {
+func (e *eventDelegate) notify(n *memberlist.Node, status membership.Status) {
 	f := (*Fleet)(e)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observe(f.now(), n, status)
+	f.observeNode(f.now(), n, status)
 }
 
 // NotifyConflict is told when another process claims this member's name, or two others claim one.
-func (e *events) NotifyConflict(existing, other *memberlist.Node) {
+func (e *eventDelegate) NotifyConflict(existing, other *memberlist.Node) {
 	f := (*Fleet)(e)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.counts.Conflicts++
-	if existing.Name == f.opt.Name {
-		f.conflict = other.Address()
+	f.counters.Conflicts++
+	if existing.Name == f.opts.Name {
+		f.conflictAddress = other.Address()
 	}
 	f.log.Warn("fleet: two processes claim one name; the later is refused", "member", existing.Name,
 		"held", existing.Address(), "refused", other.Address())
@@ -63,8 +64,8 @@
 	return b
 }
 
-// leaving is the one message of the fleet's own: a member says it leaves, right before it does.
-type leaving struct {
+// leaveMessage is the one message of the fleet's own: a member says it leaves, right before it does.
+type leaveMessage struct {
 	Name        string `json:"leaving"`
 	Incarnation uint64 `json:"inc"`
 }
@@ -72,22 +73,22 @@
 // NotifyMsg takes a message from another member. One that does not decode is counted and dropped.
 func (d *delegate) NotifyMsg(b []byte) {
 	f := (*Fleet)(d)
-	var m leaving
+	var m leaveMessage
 	err := json.Unmarshal(b, &m)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil || m.Name == "" {
-		f.counts.MessagesRefused++
+		f.counters.MessagesRefused++
 		return
 	}
-	if len(f.left) < f.opt.View.MaxMembers {
-		f.left[m.Name] = m.Incarnation
+	if len(f.announcedLeaves) < f.opts.Membership.MaxMembers {
+		f.announcedLeaves[m.Name] = m.Incarnation
 	}
 	// The leave is final: a member says so only as it goes. A view that the gossip of the leave misses
 	// would else hold it alive until its probes fail, and then dead.
-	if held, ok := f.view.Get(m.Name); ok && held.Meta.Incarnation == m.Incarnation {
-		f.tell(f.view.Observe(f.now(), membership.Observation{Name: m.Name, Address: held.Address,
-			Status: membership.Left, Meta: held.Meta}))
+	if known, ok := f.view.Get(m.Name); ok && known.Meta.Incarnation == m.Incarnation {
+		f.publish(f.view.Observe(f.now(), membership.Observation{Name: m.Name, Address: known.Address,
+			Status: membership.Left, Meta: known.Meta}))
 	}
 }
 
@@ -99,12 +100,12 @@
 	f := (*Fleet)(d)
 	for _, n := range peers {
 		var meta membership.Meta
-		if n.Name != f.opt.Name || decodeMeta(n.Meta, &meta) != nil {
+		if n.Name != f.opts.Name || decodeMeta(n.Meta, &meta) != nil {
 			continue
 		}
 		f.mu.Lock()
-		if f.at == "" || n.Address() == f.at {
-			f.earlier = max(f.earlier, meta.Incarnation)
+		if f.ownAddress == "" || n.Address() == f.ownAddress {
+			f.previousIncarnation = max(f.previousIncarnation, meta.Incarnation)
 		}
 		f.mu.Unlock()
 	}
@@ -145,17 +146,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	p := Page{Self: f.opt.Name, Label: f.opt.Label, Counters: f.counts, Health: health}
-	c, w := &p.Counters, &f.wire
+	p := Page{Self: f.opts.Name, Label: f.opts.Label, Counters: f.counters, Health: health}
+	c, w := &p.Counters, &f.traffic
 	c.PacketsIn, c.PacketsOut = w.packetsIn.Load(), w.packetsOut.Load()
 	c.StreamsIn, c.StreamsOut = w.streamsIn.Load(), w.streamsOut.Load()
 	c.BytesIn, c.BytesOut = w.bytesIn.Load(), w.bytesOut.Load()
-	c.WireRefused, c.OtherLabel = w.refused.Load(), w.otherLabel.Load()
+	c.WireRefused, c.OtherLabel = w.rejected.Load(), w.otherLabel.Load()
 	for _, m := range f.view.Snapshot() {
 		p.Members = append(p.Members, Member{
 			Name: m.Name, Address: m.Address, Status: m.Status.String(), Gone: m.Gone,
 			Phase: m.Meta.Phase.String(), Incarnation: m.Meta.Incarnation, Version: m.Meta.Version,
-			Hall: m.Meta.Hall, AgeMS: (now - m.Since).Milliseconds(), Flaps: m.Flaps, Suspected: m.Suspected,
+			Hall: m.Meta.Hall, AgeMS: (now - m.StatusSince).Milliseconds(), Flaps: m.Flaps, Suspected: m.Suspected,
 		})
 	}
 	return p
--- a/internal/cluster/gossip/fleet.go
+++ b/internal/cluster/gossip/fleet.go
@@ -27,27 +27,28 @@
 
 // Options are what a fleet member is told; Check says what is wrong with them.
 type Options struct {
-	Name      string
-	Bind      string   // host:port for gossip, UDP and TCP; port 0 lets the system choose
-	Advertise string   // host:port others reach this member at; "" is Bind
-	Seeds     []string // host:port of members to join by
-	Label     string   // members of another label are refused; may be empty
-	Version   string
-	Hall      string
-	Ledger    string // where this member is reached for what it holds for others; "" where it holds nothing
-	Disk      uint64 // identity of the disk it holds that on
+	Name          string
+	Bind          string   // host:port for gossip, UDP and TCP; port 0 lets the system choose
+	Advertise     string   // host:port others reach this member at; "" is Bind
+	Seeds         []string // host:port of members to join by
+	Label         string   // members of another label are refused; may be empty
+	Version       string
+	Hall          string
+	LedgerAddress string // where this member is reached for what it holds for others; "" where it holds nothing
+	ReplicaID     uint64 // identity of the disk it holds that on
 
-	Probe         time.Duration // between probes of one member
-	ProbeTimeout  time.Duration // for the answer to one probe
-	Gossip        time.Duration // between rounds of gossip
-	SuspicionMult int           // suspicion lasts SuspicionMult * log(N+1) * Probe
-	Rejoin        time.Duration // between tries to join seeds and lately dead members
-	SyncEach      time.Duration // between full exchanges of state, times the members known
-	Relay         string        // host:port of a relay all gossip goes through; tests and laboratory only
-	View          membership.Settings
+	ProbeInterval         time.Duration // between probes of one member
+	ProbeTimeout          time.Duration // for the answer to one probe
+	GossipInterval        time.Duration // between rounds of gossip
+	SuspicionMult         int           // suspicion lasts SuspicionMult * log(N+1) * Probe
+	RejoinInterval        time.Duration // between tries to join seeds and lately dead members
+	SyncIntervalPerMember time.Duration // between full exchanges of state, times the members known
+	Relay                 string        // host:port of a SOCKS5 relay for all gossip; tests and laboratory only
+	Membership            membership.Settings
 
-	// Born is the wall time that the incarnation is taken from; zero is now. Tests set a clock back with it.
-	Born time.Time
+	// StartTime is the wall time that the incarnation is taken from; zero is now. Tests set a clock back with
+	// it.
+	StartTime time.Time
 
 	Log *slog.Logger
 }
@@ -67,10 +68,10 @@
 			return fmt.Errorf("fleet.seeds: %q is no host and port", s)
 		}
 	}
-	if o.ProbeTimeout >= o.Probe {
-		return fmt.Errorf("fleet.probe_timeout %v must be below fleet.probe %v", o.ProbeTimeout, o.Probe)
+	if o.ProbeTimeout >= o.ProbeInterval {
+		return fmt.Errorf("fleet.probe_timeout %v must be below fleet.probe %v", o.ProbeTimeout, o.ProbeInterval)
 	}
-	if o.SyncEach <= 0 {
+	if o.SyncIntervalPerMember <= 0 {
 		return errors.New("fleet.sync_each must be above zero")
 	}
 	if o.Relay != "" {
@@ -78,7 +79,7 @@
 			return fmt.Errorf("fleet.relay: %q is no IPv4 address and port", o.Relay)
 		}
 	}
-	if err := o.View.Check(); err != nil {
+	if err := o.Membership.Check(); err != nil {
 		return fmt.Errorf("fleet.%w", err)
 	}
 	return nil
@@ -102,33 +103,33 @@
 
 // Fleet is this member of the fleet.
 type Fleet struct {
-	opt   Options
+	opts  Options
 	ml    *memberlist.Memberlist
 	start time.Time
 	log   *slog.Logger
 
 	meta atomic.Pointer[membership.Meta] // what this member says of itself; read under memberlist's locks
 
-	mu       sync.Mutex
-	view     *membership.View
-	changes  chan membership.Change
-	counts   Counters
-	conflict string            // an address that a member holds our name at, as told by the last join
-	left     map[string]uint64 // members that said they leave, by name, with their incarnation
-	swim     map[string]uint32 // SWIM's incarnation of each member, as last gossiped alive
-	raised   map[string]uint32 // SWIM's incarnation of members this one suspected by itself
-	earlier  uint64            // the highest incarnation that others hold of an earlier life of this member
-	at       string            // where this member gossips, once it is known that no other has its name
-	updates  int               // news of this member's own that raise its SWIM incarnation, still to be sent
+	mu                  sync.Mutex
+	view                *membership.View
+	changes             chan membership.Change
+	counters            Counters
+	conflictAddress     string            // an address that a member holds our name at, as told by the last join
+	announcedLeaves     map[string]uint64 // members that said they leave, by name, with their incarnation
+	swimIncarnations    map[string]uint32 // SWIM's incarnation of each member, as last gossiped alive
+	suspectedAt         map[string]uint32 // SWIM's incarnation of members this one suspected by itself
+	previousIncarnation uint64            // the highest that others have of this name from before this start
+	ownAddress          string            // where this member gossips; "" until its name is known to be free
+	pendingUpdates      int               // own updates, not yet sent, that raise its SWIM incarnation
 
-	wire wire // what passes on the gossip port
+	traffic traffic // what passes on the gossip port
 
-	askAt    map[string]time.Duration // when a member that is held suspect is asked
-	suspects chan string              // members to be asked, for the worker
-	asking   map[string]bool          // members that are asked now
-	stop     chan struct{}
-	done     sync.WaitGroup
-	once     sync.Once
+	suspectSyncAt map[string]time.Duration // when a member that is held suspect is asked
+	suspectQueue  chan string              // members to be asked, for the worker
+	suspectSyncs  map[string]bool          // members that are asked now
+	stop          chan struct{}
+	done          sync.WaitGroup
+	once          sync.Once
 }
 
 // Counters are what this member has seen since its start.
@@ -159,20 +160,21 @@
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
-	view, err := membership.New(o.View, o.Name)
+	view, err := membership.NewView(o.Membership, o.Name)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{opt: o, start: time.Now(), log: o.Log, view: view, stop: make(chan struct{}),
-		left: map[string]uint64{}, swim: map[string]uint32{}, raised: map[string]uint32{},
-		changes: make(chan membership.Change, 256), suspects: make(chan string, 64),
-		askAt: map[string]time.Duration{}, asking: map[string]bool{}}
-	if o.Born.IsZero() {
-		o.Born = f.start
+	f := &Fleet{opts: o, start: time.Now(), log: o.Log, view: view, stop: make(chan struct{}),
+		announcedLeaves: map[string]uint64{}, swimIncarnations: map[string]uint32{},
+		suspectedAt: map[string]uint32{},
+		changes:     make(chan membership.Change, 256), suspectQueue: make(chan string, 64),
+		suspectSyncAt: map[string]time.Duration{}, suspectSyncs: map[string]bool{}}
+	if o.StartTime.IsZero() {
+		o.StartTime = f.start
 	}
-	f.meta.Store(&membership.Meta{Incarnation: uint64(o.Born.UnixMilli()), Version: o.Version, Hall: o.Hall,
-		Ledger: o.Ledger, Disk: o.Disk})
-	c := f.settings()
+	f.meta.Store(&membership.Meta{Incarnation: uint64(o.StartTime.UnixMilli()), Version: o.Version, Hall: o.Hall,
+		LedgerAddress: o.LedgerAddress, ReplicaID: o.ReplicaID})
+	c := f.memberlistConfig()
 	ip, port, _ := splitHostPort(o.Bind)
 	t, err := newTransport(f, ip.String(), port, c.TCPTimeout, c.Logger)
 	if err != nil {
@@ -191,28 +193,28 @@
 	if len(o.Seeds) > 0 {
 		f.join(o.Seeds)
 	}
-	if held := f.claimed(); held != "" && f.answers(held) {
+	if conflict := f.nameConflict(); conflict != "" && f.nameAnswersAt(conflict) {
 		f.ml.Shutdown()
 		return nil, fmt.Errorf("fleet: the name %q is held by a live member at %s; names must be unique",
-			o.Name, held)
+			o.Name, conflict)
 	}
 	address := f.Address() // not under f.mu
 	f.mu.Lock()
-	f.at = address
+	f.ownAddress = address
 	f.mu.Unlock()
-	f.outdo()
+	f.supersedePrevious()
 	f.done.Add(2)
-	go f.loop()
-	go f.worker()
+	go f.tickLoop()
+	go f.syncLoop()
 	return f, nil
 }
 
-// settings are memberlist's, from the options.
-func (f *Fleet) settings() *memberlist.Config {
-	o := &f.opt
+// memberlistConfig are memberlist's, from the options.
+func (f *Fleet) memberlistConfig() *memberlist.Config {
+	o := &f.opts
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label = o.Name, o.Label
-	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval = o.Probe, o.ProbeTimeout, o.Gossip
+	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval = o.ProbeInterval, o.ProbeTimeout, o.GossipInterval
 	c.SuspicionMult = o.SuspicionMult
 	c.PushPullInterval = 0         // f.sync does it, at a pace that keeps its cost flat
 	c.SkipInboundLabelCheck = true // the transport checks the label, and counts
@@ -220,13 +222,14 @@
 	// News goes out RetransmitMult * ceil(log10(members + 1)) times by each member. memberlist's 4 lets one in
 	// fifty members of a small fleet miss a refutation; 8 one in three thousand.
 	c.RetransmitMult = 8
-	c.GossipToTheDeadTime = o.View.GoneAfter
+	c.GossipToTheDeadTime = o.Membership.GoneAfter
 	c.DeadNodeReclaimTime = o.ProbeTimeout // a restart under its name at a new address is let in
 	// A stream crosses the slowest link that a member may have and still take part: a suspicion of one with
 	// slow links is refuted over it. The worker alone waits for it.
 	c.TCPTimeout = max(o.ProbeTimeout*10, time.Second)
-	c.Events, c.Delegate, c.Conflict, c.Merge = (*events)(f), (*delegate)(f), (*events)(f), (*delegate)(f)
-	c.Logger = log.New(&gossipLog{f.log}, "", 0)
+	c.Events, c.Conflict = (*eventDelegate)(f), (*eventDelegate)(f)
+	c.Delegate, c.Merge = (*delegate)(f), (*delegate)(f)
+	c.Logger = log.New(&logWriter{f.log}, "", 0)
 	return c
 }
 
@@ -236,10 +239,10 @@
 // now is the monotonic time since the start, the module's clock.
 func (f *Fleet) now() time.Duration { return time.Since(f.start) }
 
-// loop lets the view's time pass.
-func (f *Fleet) loop() {
+// tickLoop lets the view's time pass.
+func (f *Fleet) tickLoop() {
 	defer f.done.Done()
-	tick := time.NewTicker(max(f.opt.Probe/2, 20*time.Millisecond))
+	tick := time.NewTicker(max(f.opts.ProbeInterval/2, 20*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -247,8 +250,8 @@
 			return
 		case <-tick.C:
 			f.mu.Lock()
-			f.tell(f.view.Tick(f.now()))
-			f.lasting()
+			f.publish(f.view.Tick(f.now()))
+			f.scheduleSuspectSyncs()
 			f.mu.Unlock()
 		}
 	}
@@ -271,7 +274,7 @@
 	m := *f.meta.Load()
 	m.Phase = p
 	f.meta.Store(&m)
-	f.updates++
+	f.pendingUpdates++
 	f.mu.Unlock()
 	return f.ml.UpdateNode(timeout)
 }
@@ -283,10 +286,10 @@
 		f.SetPhase(membership.Leaving, timeout/4)
 		// Gossip of the new phase may reach some after the leave itself, which they would take for a death:
 		// each live member is told at once, by one datagram, before the leave.
-		say, _ := json.Marshal(leaving{Name: f.opt.Name, Incarnation: f.meta.Load().Incarnation})
+		msg, _ := json.Marshal(leaveMessage{Name: f.opts.Name, Incarnation: f.meta.Load().Incarnation})
 		for _, n := range f.ml.Members() {
-			if n.Name != f.opt.Name {
-				f.ml.SendBestEffort(n, say)
+			if n.Name != f.opts.Name {
+				f.ml.SendBestEffort(n, msg)
 			}
 		}
 		err = f.ml.Leave(timeout / 2)
--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -16,7 +16,7 @@
 
 func goldenMeta() membership.Meta {
 	return membership.Meta{Incarnation: 1_790_000_000_123, Version: "1.2.3", Hall: "odori",
-		Phase: membership.Draining, Ledger: "127.0.0.1:7947", Disk: 1<<64 - 3}
+		Phase: membership.Draining, LedgerAddress: "127.0.0.1:7947", ReplicaID: 1<<64 - 3}
 }
 
 // What memberlist carries as a member's metadata, in its gossip and its state exchange alike.
@@ -50,30 +50,31 @@
 
 // The one message of the fleet's own.
 func TestGoldenLeaveIsReadAndWrittenByteForByte(t *testing.T) {
-	want := leaving{Name: "odori-1", Incarnation: 1_790_000_000_123}
+	want := leaveMessage{Name: "odori-1", Incarnation: 1_790_000_000_123}
 	goldenJSON(t, "leaving.json", want)
-	set := membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, Forget: time.Minute,
+	set := membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, ForgetAfter: time.Minute,
 		MaxMembers: 10}
-	view, err := membership.New(set, "susukino-2")
+	view, err := membership.NewView(set, "susukino-2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Fleet{opt: Options{Name: "susukino-2", View: set}, view: view, left: map[string]uint64{},
-		start: time.Now(), log: slog.New(slog.DiscardHandler)}
+	f := &Fleet{opts: Options{Name: "susukino-2", Membership: set}, view: view,
+		announcedLeaves: map[string]uint64{}, start: time.Now(), log: slog.New(slog.DiscardHandler)}
 	raw, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	(*delegate)(f).NotifyMsg(goldenFile(t, "leaving.json", raw))
-	goldenSame(t, "leaving.json", f.left, map[string]uint64{want.Name: want.Incarnation})
+	goldenSame(t, "leaving.json", f.announcedLeaves, map[string]uint64{want.Name: want.Incarnation})
 }
 
 // memberlist's own messages, of which this program reads what it counts and bounds by their fields' names.
 // The program writes none itself: what stands in the file is the fields it reads, in memberlist's codec.
 func TestGoldenGossipIsReadByMemberlistsNames(t *testing.T) {
-	want := gossip{SeqNo: 1, Incarnation: 2, Node: "odori-1", From: "susukino-2", Addr: []byte{127, 0, 0, 1},
-		Meta: encodeMeta(goldenMeta()), Vsn: []uint8{1, 5, 2, 6, 7, 8}, SourceAddr: []byte{127, 0, 0, 2},
-		Target: []byte{127, 0, 0, 3}}
+	want := gossipMessage{SeqNo: 1, Incarnation: 2, Node: "odori-1", From: "susukino-2",
+		Addr: []byte{127, 0, 0, 1}, Meta: encodeMeta(goldenMeta()), Vsn: []uint8{1, 5, 2, 6, 7, 8},
+		SourceAddr: []byte{127, 0, 0, 2},
+		Target:     []byte{127, 0, 0, 3}}
 	goldenSet(t, "gossip", reflect.ValueOf(want))
 	kinds := []byte{pingMsg, indirectPingMsg, ackMsg, suspectMsg, aliveMsg, deadMsg, nackMsg}
 	var parts [][]byte
@@ -82,7 +83,7 @@
 	}
 	held := goldenFile(t, "gossip.bin", compound(parts...))
 	var got []byte
-	if err := readPacket(held, func(kind byte, g gossip) {
+	if err := readPacket(held, func(kind byte, g gossipMessage) {
 		got = append(got, kind)
 		goldenSame(t, "gossip.bin", g, want)
 	}); err != nil {
@@ -90,9 +91,9 @@
 	}
 	goldenSame(t, "gossip.bin", got, []byte{0, 1, 2, 3, 4, 5, 11})
 
-	head := pushPull{Nodes: 3, UserStateLen: 4, Join: true}
+	head := pushPullHeader{Nodes: 3, UserStateLen: 4, Join: true}
 	stream := goldenFile(t, "push-pull.bin", message(t, pushPullMsg, head))
-	var read pushPull
+	var read pushPullHeader
 	if err := codec.NewDecoderBytes(stream[1:], &codec.MsgpackHandle{}).Decode(&read); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/gossip/locks_test.go
+++ b/internal/cluster/gossip/locks_test.go
@@ -12,17 +12,18 @@
 	"cresshub/internal/cluster/membership"
 )
 
-func member(t *testing.T, name string, seeds ...string) *Fleet {
+func startMember(t *testing.T, name string, seeds ...string) *Fleet {
 	t.Helper()
-	return born(t, name, "127.0.0.1:0", time.Time{}, seeds...)
+	return startAt(t, name, "127.0.0.1:0", time.Time{}, seeds...)
 }
 
-func born(t *testing.T, name, bind string, at time.Time, seeds ...string) *Fleet {
+func startAt(t *testing.T, name, bind string, at time.Time, seeds ...string) *Fleet {
 	t.Helper()
-	f, err := Start(Options{Name: name, Bind: bind, Seeds: seeds, Label: "test", Born: at,
-		Probe: 50 * time.Millisecond, ProbeTimeout: 20 * time.Millisecond, Gossip: 5 * time.Millisecond,
-		SuspicionMult: 4, Rejoin: time.Hour, SyncEach: time.Hour,
-		View: membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, Forget: time.Minute,
+	f, err := Start(Options{Name: name, Bind: bind, Seeds: seeds, Label: "test", StartTime: at,
+		ProbeInterval: 50 * time.Millisecond, ProbeTimeout: 20 * time.Millisecond,
+		GossipInterval: 5 * time.Millisecond, SuspicionMult: 4, RejoinInterval: time.Hour,
+		SyncIntervalPerMember: time.Hour,
+		Membership: membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, ForgetAfter: time.Minute,
 			MaxMembers: 10},
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -33,9 +34,9 @@
 
 // Whatever this member does by itself goes on while news of others comes in: memberlist tells of them under
 // its own lock, so that nothing may call it with the view's lock held.
-func TestNoLockIsHeldAcross(t *testing.T) {
-	a := member(t, "a")
-	b := member(t, "b", a.Address())
+func TestNoLockIsHeldAcrossMemberlistCalls(t *testing.T) {
+	a := startMember(t, "a")
+	b := startMember(t, "b", a.Address())
 	done := make(chan error, 2)
 	end := time.Now().Add(time.Second)
 	go func() { // news
@@ -48,7 +49,7 @@
 	go func() { // what the worker does, and what the door and other parts ask
 		for time.Now().Before(end) {
 			a.rejoin()
-			a.ask("b")
+			a.startSuspectSync("b")
 			a.Snapshot()
 			a.Members()
 		}
@@ -74,8 +75,8 @@
 }
 
 // A member that comes back with its wall clock set back is heard all the same: after a kill, and a leave.
-func TestClockThatWentBack(t *testing.T) {
-	a := member(t, "a")
+func TestMemberIsAcceptedAfterItsClockWentBack(t *testing.T) {
+	a := startMember(t, "a")
 	defer a.Close()
 	later := time.Now().Add(time.Hour)
 	held := func() (m membership.Member) {
@@ -94,11 +95,11 @@
 			}
 		}
 	}
-	b := born(t, "b", "127.0.0.1:0", later, a.Address())
+	b := startAt(t, "b", "127.0.0.1:0", later, a.Address())
 	bind := b.Address()
 	until("b joins", func(m membership.Member) bool { return m.Status == membership.Alive })
 	b.Close()
-	b = born(t, "b", bind, time.Time{}, a.Address())
+	b = startAt(t, "b", bind, time.Time{}, a.Address())
 	until("b is back after a kill, with its clock set back", func(m membership.Member) bool {
 		return m.Status == membership.Alive && m.Meta.Incarnation > uint64(later.UnixMilli())
 	})
@@ -108,7 +109,7 @@
 	})
 	b.Leave(time.Second)
 	until("b left", func(m membership.Member) bool { return m.Status == membership.Left })
-	b = born(t, "b", bind, time.Time{}, a.Address())
+	b = startAt(t, "b", bind, time.Time{}, a.Address())
 	defer b.Close()
 	until("b is back after a leave", func(m membership.Member) bool {
 		return m.Status == membership.Alive && m.Meta.Phase == membership.Serving
@@ -117,8 +118,8 @@
 
 // Another process under this member's name, met once a partition heals, is not outdone, whatever its start;
 // an earlier life at this member's own address is.
-func TestTwinIsNotOutdone(t *testing.T) {
-	a := member(t, "a")
+func TestIncarnationOfDuplicateNameIsNotSuperseded(t *testing.T) {
+	a := startMember(t, "a")
 	defer a.Close()
 	before := a.meta.Load().Incarnation
 	ip, port, err := splitHostPort(a.Address())
@@ -131,7 +132,7 @@
 		if err := (*delegate)(a).NotifyMerge([]*memberlist.Node{n}); err != nil {
 			t.Fatal(err)
 		}
-		a.outdo()
+		a.supersedePrevious()
 		return a.meta.Load().Incarnation
 	}
 	if got := hold(port ^ 1); got != before {
--- a/internal/cluster/gossip/meta.go
+++ b/internal/cluster/gossip/meta.go
@@ -7,8 +7,8 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// wireMeta is the metadata's form on the wire, JSON, at most memberlist.MetaMaxSize bytes.
-type wireMeta struct {
+// metaJSON is the metadata's form on the wire, JSON, at most memberlist.MetaMaxSize bytes.
+type metaJSON struct {
 	Incarnation uint64 `json:"inc"`
 	Version     string `json:"ver,omitempty"`
 	Hall        string `json:"hall,omitempty"`
@@ -18,8 +18,8 @@
 }
 
 func encodeMeta(m membership.Meta) []byte {
-	b, _ := json.Marshal(wireMeta{Incarnation: m.Incarnation, Version: m.Version, Hall: m.Hall,
-		Phase: m.Phase.String(), Ledger: m.Ledger, Disk: m.Disk})
+	b, _ := json.Marshal(metaJSON{Incarnation: m.Incarnation, Version: m.Version, Hall: m.Hall,
+		Phase: m.Phase.String(), Ledger: m.LedgerAddress, Disk: m.ReplicaID})
 	return b
 }
 
@@ -27,7 +27,7 @@
 	if len(b) == 0 {
 		return errors.New("no metadata")
 	}
-	var w wireMeta
+	var w metaJSON
 	if err := json.Unmarshal(b, &w); err != nil {
 		return err
 	}
@@ -36,6 +36,6 @@
 		return err
 	}
 	*m = membership.Meta{Incarnation: w.Incarnation, Version: w.Version, Hall: w.Hall, Phase: p,
-		Ledger: w.Ledger, Disk: w.Disk}
+		LedgerAddress: w.Ledger, ReplicaID: w.Disk}
 	return nil
 }
--- a/internal/cluster/gossip/relay.go
+++ b/internal/cluster/gossip/relay.go
@@ -15,12 +15,12 @@
 // datagrams go to the same address in that RFC's UDP form (section 7), so that a fault rig stands between
 // every ordered pair of members. What comes in comes as it would without one.
 
-// relayHead is RSV, FRAG, ATYP 1 (IPv4), the address and the port.
-const relayHead = 10
+// relayHeaderSize is RSV, FRAG, ATYP 1 (IPv4), the address and the port.
+const relayHeaderSize = 10
 
 // RelayDatagram returns a datagram to an IPv4 address in the form of RFC 1928, section 7.
 func RelayDatagram(to netip.AddrPort, b []byte) []byte {
-	out := make([]byte, 0, relayHead+len(b))
+	out := make([]byte, 0, relayHeaderSize+len(b))
 	out = append(out, 0, 0, 0, 1)
 	ip := to.Addr().Unmap().As4()
 	out = append(out, ip[:]...)
@@ -29,14 +29,14 @@
 
 // ParseRelayDatagram reads that form. The payload is a part of b.
 func ParseRelayDatagram(b []byte) (netip.AddrPort, []byte, error) {
-	if len(b) < relayHead || b[0] != 0 || b[1] != 0 || b[2] != 0 || b[3] != 1 {
+	if len(b) < relayHeaderSize || b[0] != 0 || b[1] != 0 || b[2] != 0 || b[3] != 1 {
 		return netip.AddrPort{}, nil, errors.New("no datagram to an IPv4 address by RFC 1928")
 	}
 	to := netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), uint16(b[8])<<8|uint16(b[9]))
-	return to, b[relayHead:], nil
+	return to, b[relayHeaderSize:], nil
 }
 
-func dialWithin(d proxy.ContextDialer, addr string, timeout time.Duration) (net.Conn, error) {
+func dialContext(d proxy.ContextDialer, addr string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return d.DialContext(ctx, "tcp", addr)
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// streamsAtOnce is how many streams may wait to be looked at; one more is closed.
-	streamsAtOnce = 64
-	// streamHead is how much of a stream is looked at before memberlist gets it.
-	streamHead = 128
+	// maxPendingStreams is how many streams may wait to be looked at; one more is closed.
+	maxPendingStreams = 64
+	// maxStreamHead is how much of a stream is looked at before memberlist gets it.
+	maxStreamHead = 128
 )
 
 // transport is memberlist's own transport with a gate before it: what comes is held to the label and the
@@ -28,27 +28,28 @@
 // and the laboratory alone) everything to others goes through it.
 type transport struct {
 	*memberlist.NetTransport
-	f       *Fleet
-	timeout time.Duration
-	relay   netip.AddrPort
-	dialer  proxy.ContextDialer
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	places  chan struct{}
-	stop    chan struct{}
-	once    sync.Once
-	done    sync.WaitGroup
+	fleet       *Fleet
+	timeout     time.Duration
+	relay       netip.AddrPort
+	dialer      proxy.ContextDialer
+	packets     chan *memberlist.Packet
+	streams     chan net.Conn
+	streamSlots chan struct{}
+	stop        chan struct{}
+	once        sync.Once
+	done        sync.WaitGroup
 }
 
 func newTransport(f *Fleet, ip string, port int, timeout time.Duration, lg *log.Logger) (*transport, error) {
-	t := &transport{f: f, timeout: timeout, packets: make(chan *memberlist.Packet),
-		streams: make(chan net.Conn), places: make(chan struct{}, streamsAtOnce), stop: make(chan struct{})}
-	if f.opt.Relay != "" {
+	t := &transport{fleet: f, timeout: timeout, packets: make(chan *memberlist.Packet),
+		streams: make(chan net.Conn), streamSlots: make(chan struct{}, maxPendingStreams),
+		stop: make(chan struct{})}
+	if f.opts.Relay != "" {
 		var err error
-		if t.relay, err = netip.ParseAddrPort(f.opt.Relay); err != nil {
+		if t.relay, err = netip.ParseAddrPort(f.opts.Relay); err != nil {
 			return nil, fmt.Errorf("fleet.relay: %w", err)
 		}
-		d, err := proxy.SOCKS5("tcp", f.opt.Relay, nil, &net.Dialer{Timeout: timeout})
+		d, err := proxy.SOCKS5("tcp", f.opts.Relay, nil, &net.Dialer{Timeout: timeout})
 		if err != nil {
 			return nil, fmt.Errorf("fleet.relay: %w", err)
 		}
@@ -61,8 +62,8 @@
 		return nil, err
 	}
 	t.done.Add(2)
-	go t.passPackets()
-	go t.passStreams()
+	go t.filterPackets()
+	go t.filterStreams()
 	return t, nil
 }
 
@@ -93,22 +94,22 @@
 	return err
 }
 
-// passPackets hands on what passes the gate.
-func (t *transport) passPackets() {
+// filterPackets hands on what passes the gate.
+func (t *transport) filterPackets() {
 	defer t.done.Done()
 	for {
 		select {
 		case <-t.stop:
 			return
 		case p := <-t.NetTransport.PacketCh():
-			t.f.wire.packetsIn.Add(1)
-			t.f.wire.bytesIn.Add(int64(len(p.Buf)))
-			b, err := t.unlabel(p.Buf)
+			t.fleet.traffic.packetsIn.Add(1)
+			t.fleet.traffic.bytesIn.Add(int64(len(p.Buf)))
+			b, err := t.removeLabel(p.Buf)
 			if err == nil {
 				err = readPacket(b, nil)
 			}
 			if err != nil {
-				t.refuse("datagram", p.From, err)
+				t.reject("datagram", p.From, err)
 				continue
 			}
 			p.Buf = b
@@ -121,27 +122,27 @@
 	}
 }
 
-var errLabel = errors.New("another fleet's label")
+var errOtherLabel = errors.New("another fleet's label")
 
-func (t *transport) unlabel(b []byte) ([]byte, error) {
+func (t *transport) removeLabel(b []byte) ([]byte, error) {
 	b, label, err := memberlist.RemoveLabelHeaderFromPacket(b)
-	if err == nil && label != t.f.opt.Label {
-		err = fmt.Errorf("%w %q", errLabel, label)
+	if err == nil && label != t.fleet.opts.Label {
+		err = fmt.Errorf("%w %q", errOtherLabel, label)
 	}
 	return b, err
 }
 
-// refuse counts and tells what the gate does not let in.
-func (t *transport) refuse(what string, from net.Addr, err error) {
-	if errors.Is(err, errLabel) {
-		t.f.wire.otherLabel.Add(1)
+// reject counts and tells what the gate does not let in.
+func (t *transport) reject(what string, from net.Addr, err error) {
+	if errors.Is(err, errOtherLabel) {
+		t.fleet.traffic.otherLabel.Add(1)
 	} else {
-		t.f.wire.refused.Add(1)
+		t.fleet.traffic.rejected.Add(1)
 	}
-	t.f.log.Warn("fleet: a "+what+" was refused", "from", from.String(), "why", err.Error())
+	t.fleet.log.Warn("fleet: a "+what+" was refused", "from", from.String(), "why", err.Error())
 }
 
-func (t *transport) passStreams() {
+func (t *transport) filterStreams() {
 	defer t.done.Done()
 	for {
 		select {
@@ -149,74 +150,74 @@
 			return
 		case c := <-t.NetTransport.StreamCh():
 			select {
-			case t.places <- struct{}{}:
+			case t.streamSlots <- struct{}{}:
 				t.done.Add(1)
-				go t.passStream(c)
+				go t.filterStream(c)
 			default:
-				t.refuse("stream", c.RemoteAddr(), errors.New("too many at once"))
+				t.reject("stream", c.RemoteAddr(), errors.New("too many at once"))
 				c.Close()
 			}
 		}
 	}
 }
 
-// passStream looks at a stream's label and first bytes and hands it on whole, or closes it.
-func (t *transport) passStream(c net.Conn) {
+// filterStream looks at a stream's label and first bytes and hands it on whole, or closes it.
+func (t *transport) filterStream(c net.Conn) {
 	defer t.done.Done()
-	defer func() { <-t.places }()
-	t.f.wire.streamsIn.Add(1)
+	defer func() { <-t.streamSlots }()
+	t.fleet.traffic.streamsIn.Add(1)
 	c.SetDeadline(time.Now().Add(t.timeout))
-	counted := &countedConn{Conn: c, wire: &t.f.wire}
+	counted := &countedConn{Conn: c, wire: &t.fleet.traffic}
 	plain, label, err := memberlist.RemoveLabelHeaderFromStream(counted)
-	if err == nil && label != t.f.opt.Label {
-		err = fmt.Errorf("%w %q", errLabel, label)
+	if err == nil && label != t.fleet.opts.Label {
+		err = fmt.Errorf("%w %q", errOtherLabel, label)
 	}
 	limit := 0
 	var in *bufio.Reader
 	if err == nil {
-		in = bufio.NewReaderSize(plain, streamHead)
-		limit, err = t.readHead(in)
+		in = bufio.NewReaderSize(plain, maxStreamHead)
+		limit, err = t.checkHead(in)
 	}
 	if err != nil {
 		c.Close()
-		t.refuse("stream", c.RemoteAddr(), err)
+		t.reject("stream", c.RemoteAddr(), err)
 		return
 	}
 	c.SetDeadline(time.Time{}) // memberlist sets its own
 	select {
-	case t.streams <- &gatedConn{Conn: plain, in: io.LimitReader(in, int64(limit))}:
+	case t.streams <- &limitedConn{Conn: plain, in: io.LimitReader(in, int64(limit))}:
 	case <-t.stop:
 		c.Close()
 	}
 }
 
-// readHead waits until the head of a stream is there, however it was cut on its way, and checks it.
-func (t *transport) readHead(in *bufio.Reader) (int, error) {
+// checkHead waits until the head of a stream is there, however it was cut on its way, and checks it.
+func (t *transport) checkHead(in *bufio.Reader) (int, error) {
 	for n := 1; ; n = in.Buffered() + 1 {
 		if _, err := in.Peek(n); err != nil {
 			return 0, err
 		}
 		head, _ := in.Peek(in.Buffered())
-		limit, err := checkStream(head, t.f.opt.View.MaxMembers)
+		limit, err := checkStream(head, t.fleet.opts.Membership.MaxMembers)
 		if err == nil || !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) ||
-			len(head) >= streamHead {
+			len(head) >= maxStreamHead {
 			return limit, err
 		}
 	}
 }
 
-// gatedConn reads what was looked at first, and no more than its bound.
-type gatedConn struct {
+// limitedConn reads what was looked at first, and no more than its bound.
+type limitedConn struct {
 	net.Conn
 	in io.Reader
 }
 
-func (c *gatedConn) Read(b []byte) (int, error) { return c.in.Read(b) }
+func (c *limitedConn) Read(b []byte) (int, error) { return c.in.Read(b) }
 
 // countedConn counts a stream's bytes.
 type countedConn struct {
 	net.Conn
-	wire *wire
+	wire *traffic
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
@@ -232,10 +233,10 @@
 }
 
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	t.f.wire.packetsOut.Add(1)
-	t.f.wire.bytesOut.Add(int64(len(b)))
-	if plain, err := t.unlabel(b); err == nil {
-		readPacket(plain, t.f.sent)
+	t.fleet.traffic.packetsOut.Add(1)
+	t.fleet.traffic.bytesOut.Add(int64(len(b)))
+	if plain, err := t.removeLabel(b); err == nil {
+		readPacket(plain, t.fleet.observeSent)
 	}
 	if !t.relay.IsValid() {
 		return t.NetTransport.WriteTo(b, addr)
@@ -252,26 +253,26 @@
 }
 
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	t.f.wire.streamsOut.Add(1)
+	t.fleet.traffic.streamsOut.Add(1)
 	var c net.Conn
 	var err error
 	if t.dialer != nil {
-		c, err = dialWithin(t.dialer, addr, timeout)
+		c, err = dialContext(t.dialer, addr, timeout)
 	} else {
 		c, err = t.NetTransport.DialTimeout(addr, timeout)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, wire: &t.f.wire}, nil
+	return &countedConn{Conn: c, wire: &t.fleet.traffic}, nil
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// wire counts what passes on the gossip port, labels included.
-type wire struct {
+// traffic counts what passes on the gossip port, labels included.
+type traffic struct {
 	packetsIn, packetsOut, bytesIn, bytesOut, streamsIn, streamsOut atomic.Int64
-	refused, otherLabel                                             atomic.Int64
+	rejected, otherLabel                                            atomic.Int64
 }
--- a/internal/cluster/gossip/wire.go
+++ b/internal/cluster/gossip/wire.go
@@ -31,14 +31,14 @@
 // Bounds on what a message of another member may hold. memberlist itself allows a push/pull header that
 // makes it allocate a million entries and a user state of 20 MB.
 const (
-	maxName      = 255
-	maxUserBytes = 1024
-	maxState     = 1024 // bytes of one member in a full state exchange, metadata at most 512 of them
+	maxNameBytes  = 255
+	maxUserBytes  = 1024
+	maxStateBytes = 1024 // bytes of one member in a full state exchange, metadata at most 512 of them
 )
 
-// gossip is what any message says: the fields that the view and the counters read, in the protocol's names.
-// A body is read into it whatever its kind, which finds a body that does not decode.
-type gossip struct {
+// gossipMessage is what any message says: the fields that the view and the counters read, in the protocol's
+// names. A body is read into it whatever its kind, which finds a body that does not decode.
+type gossipMessage struct {
 	SeqNo       uint32
 	Incarnation uint32
 	Node        string
@@ -50,16 +50,16 @@
 	Target      []byte
 }
 
-// pushPull is the head of a full state exchange.
-type pushPull struct {
+// pushPullHeader is the head of a full state exchange.
+type pushPullHeader struct {
 	Nodes        int
 	UserStateLen int
 	Join         bool
 }
 
 // decodeBody reads a message's body with the protocol's own codec and holds it to the bounds.
-func decodeBody(kind byte, body []byte) (gossip, error) {
-	var g gossip
+func decodeBody(kind byte, body []byte) (gossipMessage, error) {
+	var g gossipMessage
 	if kind == userMsg {
 		if len(body) > maxUserBytes {
 			return g, fmt.Errorf("a message of %d bytes, %d at most", len(body), maxUserBytes)
@@ -71,7 +71,7 @@
 	}
 	address := func(b []byte) bool { return len(b) == 4 || len(b) == 16 }
 	switch {
-	case len(g.Node) > maxName || len(g.From) > maxName:
+	case len(g.Node) > maxNameBytes || len(g.From) > maxNameBytes:
 		return g, errors.New("a name that is too long")
 	case len(g.Meta) > memberlist.MetaMaxSize:
 		return g, errors.New("metadata that is too long")
@@ -87,7 +87,7 @@
 
 // readPacket reads a datagram without its label and calls each for every message in it. The first thing
 // that cannot be is the error; each is then not called again, but may have been called before.
-func readPacket(b []byte, each func(kind byte, g gossip)) error {
+func readPacket(b []byte, visit func(kind byte, g gossipMessage)) error {
 	if len(b) >= 5 && b[0] == crcMsg {
 		b = b[5:] // memberlist checks the sum
 	}
@@ -95,24 +95,24 @@
 		return errors.New("an empty datagram")
 	}
 	if b[0] != compoundMsg {
-		return readMessage(b, each)
+		return readMessage(b, visit)
 	}
 	// A compound: count, as many lengths of 16 bits, the messages.
 	if len(b) < 2 {
 		return errors.New("a compound without a count")
 	}
-	n := int(b[1])
+	count := int(b[1])
 	lengths, rest := b[2:], []byte(nil)
-	if len(lengths) < 2*n {
+	if len(lengths) < 2*count {
 		return errors.New("a compound cut off in its lengths")
 	}
-	rest = lengths[2*n:]
-	for i := range n {
+	rest = lengths[2*count:]
+	for i := range count {
 		size := int(binary.BigEndian.Uint16(lengths[2*i:]))
 		if size > len(rest) {
 			return errors.New("a compound cut off in its messages")
 		}
-		if err := readMessage(rest[:size], each); err != nil {
+		if err := readMessage(rest[:size], visit); err != nil {
 			return err
 		}
 		rest = rest[size:]
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func readMessage(b []byte, each func(kind byte, g gossip)) error {
+func readMessage(b []byte, visit func(kind byte, g gossipMessage)) error {
 	if len(b) == 0 {
 		return errors.New("an empty message")
 	}
@@ -130,8 +130,8 @@
 		return fmt.Errorf("kind %d is none that a datagram of this fleet holds", b[0])
 	}
 	g, err := decodeBody(b[0], b[1:])
-	if err == nil && each != nil {
-		each(b[0], g)
+	if err == nil && visit != nil {
+		visit(b[0], g)
 	}
 	return err
 }
@@ -145,7 +145,7 @@
 	case pingMsg:
 		return 4096, nil
 	case pushPullMsg:
-		var h pushPull
+		var h pushPullHeader
 		if err := codec.NewDecoderBytes(head[1:], &codec.MsgpackHandle{}).Decode(&h); err != nil {
 			return 0, fmt.Errorf("the head of a state exchange: %w", err)
 		}
@@ -155,7 +155,7 @@
 		if h.UserStateLen != 0 {
 			return 0, fmt.Errorf("a user state of %d bytes, there is none in this fleet", h.UserStateLen)
 		}
-		return 4096 + h.Nodes*maxState, nil
+		return 4096 + h.Nodes*maxStateBytes, nil
 	}
 	return 0, fmt.Errorf("kind %d is none that a stream of this fleet opens with", head[0])
 }
--- a/internal/cluster/gossip/wire_test.go
+++ b/internal/cluster/gossip/wire_test.go
@@ -48,22 +48,22 @@
 
 func TestReadPacket(t *testing.T) {
 	ip := []byte{127, 0, 0, 1}
-	whole := compound(message(t, pingMsg, body{"SeqNo": 1, "Node": "b"}), suspectOf(t), aliveOf(t, ip))
+	full := compound(message(t, pingMsg, body{"SeqNo": 1, "Node": "b"}), suspectOf(t), aliveOf(t, ip))
 	for name, c := range map[string]struct {
 		in   []byte
 		says string // a part of the error, or the kinds read
 	}{
-		"a probe with gossip behind it": {whole, "0 3 4"},
-		"with a checksum before it":     {append([]byte{crcMsg, 0, 0, 0, 0}, whole...), "0 3 4"},
+		"a probe with gossip behind it": {full, "0 3 4"},
+		"with a checksum before it":     {append([]byte{crcMsg, 0, 0, 0, 0}, full...), "0 3 4"},
 		"a message of the fleet":        {[]byte{userMsg, '{', '}'}, "8"},
 		"nothing":                       {nil, "empty"},
 		"garbage":                       {[]byte("GET / HTTP/1.1\r\n"), "kind 71"},
 		"compressed":                    {[]byte{compressMsg, 1, 2}, "kind 9"},
 		"encrypted":                     {[]byte{encryptMsg, 1, 2}, "kind 10"},
-		"a compound in a compound":      {compound(whole), "kind 7"},
+		"a compound in a compound":      {compound(full), "kind 7"},
 		"a compound without a count":    {[]byte{compoundMsg}, "without a count"},
-		"cut off in its lengths":        {whole[:5], "in its lengths"},
-		"cut off in its messages":       {whole[:len(whole)-1], "in its messages"},
+		"cut off in its lengths":        {full[:5], "in its lengths"},
+		"cut off in its messages":       {full[:len(full)-1], "in its messages"},
 		"an empty message":              {compound(nil), "an empty message"},
 		"a body cut off":                {suspectOf(t)[:9], "EOF"},
 		"a body of another shape":       {[]byte{suspectMsg, 0x93, 1, 2, 3}, "decode error"},
@@ -77,7 +77,7 @@
 		"a huge message of the fleet":  {append([]byte{userMsg}, make([]byte, 2000)...), "at most"},
 	} {
 		var kinds []string
-		err := readPacket(c.in, func(kind byte, _ gossip) { kinds = append(kinds, string('0'+kind)) })
+		err := readPacket(c.in, func(kind byte, _ gossipMessage) { kinds = append(kinds, string('0'+kind)) })
 		got := strings.Join(kinds, " ")
 		if err != nil {
 			got = err.Error()
@@ -136,15 +136,15 @@
 	f.Add(message(f, pushPullMsg, body{"Nodes": 3}))
 	f.Add([]byte{compoundMsg, 255})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		err := readPacket(in, func(kind byte, g gossip) {
-			if len(g.Node) > maxName || len(g.Meta) > memberlist.MetaMaxSize {
+		err := readPacket(in, func(kind byte, g gossipMessage) {
+			if len(g.Node) > maxNameBytes || len(g.Meta) > memberlist.MetaMaxSize {
 				t.Errorf("kind %d with a name of %d bytes, metadata of %d", kind, len(g.Node), len(g.Meta))
 			}
 		})
 		if err == nil && len(in) == 0 {
 			t.Error("nothing was taken for a datagram")
 		}
-		if limit, err := checkStream(in, 100); err == nil && limit > 4096+100*maxState {
+		if limit, err := checkStream(in, 100); err == nil && limit > 4096+100*maxStateBytes {
 			t.Errorf("a stream of %d bytes was let in", limit)
 		}
 	})
@@ -152,10 +152,11 @@
 
 func startOne(t *testing.T, name string, change func(*Options)) (*Fleet, error) {
 	t.Helper()
-	o := Options{Name: name, Bind: "127.0.0.1:0", Label: "test", Probe: 50 * time.Millisecond,
-		ProbeTimeout: 25 * time.Millisecond, Gossip: 20 * time.Millisecond, SuspicionMult: 4,
-		Rejoin: 200 * time.Millisecond, SyncEach: 100 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
-		View: membership.Settings{GoneAfter: time.Second, FlapWindow: time.Minute, Forget: time.Minute,
+	o := Options{Name: name, Bind: "127.0.0.1:0", Label: "test", ProbeInterval: 50 * time.Millisecond,
+		ProbeTimeout: 25 * time.Millisecond, GossipInterval: 20 * time.Millisecond, SuspicionMult: 4,
+		RejoinInterval: 200 * time.Millisecond, SyncIntervalPerMember: 100 * time.Millisecond,
+		Log: slog.New(slog.DiscardHandler),
+		Membership: membership.Settings{GoneAfter: time.Second, FlapWindow: time.Minute, ForgetAfter: time.Minute,
 			MaxMembers: 100}}
 	if change != nil {
 		change(&o)
@@ -180,7 +181,7 @@
 
 // What cannot be on the gossip port, and what another fleet sends, is counted and dropped, and the view
 // stays as it is.
-func TestGateRefusesAndCounts(t *testing.T) {
+func TestTransportRejectsAndCountsMalformedTraffic(t *testing.T) {
 	a, err := startOne(t, "a", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -219,13 +220,13 @@
 	for _, f := range []*Fleet{a, b} {
 		for _, m := range f.Snapshot().Members {
 			if m.Status != "alive" || m.Flaps != 0 {
-				t.Errorf("%s sees %+v", f.opt.Name, m)
+				t.Errorf("%s sees %+v", f.opts.Name, m)
 			}
 		}
 	}
 }
 
-func TestStartRefusesPlainly(t *testing.T) {
+func TestStartNamesTheBadOption(t *testing.T) {
 	a, err := startOne(t, "a", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -236,8 +237,8 @@
 		"fleet.seeds":              func(o *Options) { o.Seeds = []string{"127.0.0.1"} },
 		"fleet.relay":              func(o *Options) { o.Relay = "[::1]:80" },
 		"fleet.advertise":          func(o *Options) { o.Advertise = "127.0.0.1:0" },
-		"fleet.sync_each":          func(o *Options) { o.SyncEach = 0 },
-		"fleet.gone_after":         func(o *Options) { o.View.GoneAfter = 0 },
+		"fleet.sync_each":          func(o *Options) { o.SyncIntervalPerMember = 0 },
+		"fleet.gone_after":         func(o *Options) { o.Membership.GoneAfter = 0 },
 		"held by a live member at": func(o *Options) { o.Name, o.Seeds = "a", []string{a.Address()} },
 	} {
 		if _, err := startOne(t, "b", change); err == nil || !strings.Contains(err.Error(), says) {
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -17,7 +17,7 @@
 		}
 		goldenSame(t, "names.json", got, p)
 	}
-	for k := Joined; k <= Refused; k++ {
+	for k := Joined; k <= Rejected; k++ {
 		names.Changes = append(names.Changes, k.String())
 	}
 	goldenJSON(t, "names.json", names)
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -9,7 +9,7 @@
 //     longer for each time it flapped lately (hysteresis), never on one suspicion;
 //   - a new incarnation under the same name (a restart) is told as such, not as a join;
 //   - two live processes that claim one name are told as a conflict and the later claim is refused;
-//   - the table is bounded: members left or gone longer than Settings.Forget are dropped, and beyond
+//   - the table is bounded: members left or gone longer than Settings.ForgetAfter are dropped, and beyond
 //     Settings.MaxMembers a new name is refused.
 package membership
 
@@ -63,10 +63,10 @@
 	Version     string
 	Hall        string
 	Phase       Phase
-	// Ledger is where the member is reached for what it holds for others, host:port, and Disk the identity of
-	// the disk that it holds it on; "" and 0 where it holds nothing.
-	Ledger string
-	Disk   uint64
+	// LedgerAddress is where the member is reached for what it holds for others, host:port, and Disk the
+	// identity of the disk that it holds it on; "" and 0 where it holds nothing.
+	LedgerAddress string
+	ReplicaID     uint64
 }
 
 // Observation is one thing the gossip layer told of a member.
@@ -79,10 +79,10 @@
 
 // Settings bound the view. All durations are monotonic.
 type Settings struct {
-	GoneAfter  time.Duration // dead or left without a break so long: gone for others; > 0
-	FlapWindow time.Duration // changes of status within so long count as flaps; > 0
-	Forget     time.Duration // left or gone so long: dropped from the table; >= GoneAfter
-	MaxMembers int           // names held at most, this member included; > 0
+	GoneAfter   time.Duration // dead or left without a break so long: gone for others; > 0
+	FlapWindow  time.Duration // changes of status within so long count as flaps; > 0
+	ForgetAfter time.Duration // left or gone so long: dropped from the table; >= GoneAfter
+	MaxMembers  int           // names held at most, this member included; > 0
 }
 
 // Check tells what is wrong with the settings.
@@ -92,8 +92,8 @@
 		return errors.New("gone_after must be above zero")
 	case s.FlapWindow <= 0:
 		return errors.New("flap_window must be above zero")
-	case s.Forget < s.GoneAfter:
-		return fmt.Errorf("forget %v is before gone_after %v", s.Forget, s.GoneAfter)
+	case s.ForgetAfter < s.GoneAfter:
+		return fmt.Errorf("forget %v is before gone_after %v", s.ForgetAfter, s.GoneAfter)
 	case s.MaxMembers <= 0:
 		return errors.New("max_members must be above zero")
 	}
@@ -108,39 +108,39 @@
 	Status  Status
 	// Gone is true once others may take the member's place: dead or left for long enough, see Settings. A
 	// member that leaves for a restart is back before.
-	Gone  bool
-	Since time.Duration // when Status last changed
+	Gone        bool
+	StatusSince time.Duration // when Status last changed
 	// Flaps counts deaths, leaves and returns within the flap window. A suspicion that its member refutes is
 	// no flap: it says as much of the suspecting member as of the suspected one.
 	Flaps     int
 	Suspected int // times the member was held suspect
 }
 
-// Kind names a change.
-type Kind uint8
+// ChangeKind names a change.
+type ChangeKind uint8
 
 const (
-	Joined Kind = iota
+	Joined ChangeKind = iota
 	Changed
 	Restarted
-	WentAway // gone for others
-	Returned // back after it counted as gone
+	BecameGone // gone for others
+	Returned   // back after it counted as gone
 	Forgotten
 	Conflict // another process claimed the name; it was refused
-	Refused  // the table was full
+	Rejected // the table was full
 )
 
 var kindNames = [...]string{"joined", "changed", "restarted", "gone", "returned", "forgotten", "conflict",
 	"refused"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k ChangeKind) String() string { return kindNames[k] }
 
 // Change is one thing the view now says differently.
 type Change struct {
-	Kind   Kind
-	At     time.Duration
-	Member Member // as after the change
-	Was    Status // before it, for Changed
+	Kind     ChangeKind
+	At       time.Duration
+	Member   Member // as after the change
+	Previous Status // before it, for Changed
 }
 
 type entry struct {
@@ -150,116 +150,118 @@
 
 // View is the fleet as this member sees it.
 type View struct {
-	set     Settings
-	self    string
-	members map[string]*entry
+	settings Settings
+	self     string
+	entries  map[string]*entry
 }
 
-// New returns a view held by the member named self.
-func New(set Settings, self string) (*View, error) {
-	if err := set.Check(); err != nil {
+// NewView returns a view held by the member named self.
+func NewView(settings Settings, self string) (*View, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &View{set: set, self: self, members: map[string]*entry{}}, nil
+	return &View{settings: settings, self: self, entries: map[string]*entry{}}, nil
 }
 
 // Observe takes what the gossip layer told at now and returns what changed.
-func (v *View) Observe(now time.Duration, o Observation) []Change {
-	e, ok := v.members[o.Name]
+func (v *View) Observe(now time.Duration, obs Observation) []Change {
+	e, ok := v.entries[obs.Name]
 	if !ok {
-		if o.Status == Dead || o.Status == Left {
+		if obs.Status == Dead || obs.Status == Left {
 			return nil // of a member never seen alive there is nothing to hold
 		}
-		if len(v.members) >= v.set.MaxMembers {
-			return []Change{{Kind: Refused, At: now, Member: Member{Name: o.Name, Address: o.Address}}}
+		if len(v.entries) >= v.settings.MaxMembers {
+			return []Change{{Kind: Rejected, At: now, Member: Member{Name: obs.Name, Address: obs.Address}}}
 		}
-		e = &entry{Member: Member{Name: o.Name, Address: o.Address, Meta: o.Meta, Status: o.Status, Since: now}}
-		v.members[o.Name] = e
+		e = &entry{Member: Member{Name: obs.Name, Address: obs.Address, Meta: obs.Meta,
+			Status: obs.Status, StatusSince: now}}
+		v.entries[obs.Name] = e
 		return []Change{{Kind: Joined, At: now, Member: e.Member}}
 	}
 	// Gossip of a life does not last as long as it takes to be gone: whoever is told of alive after that lives,
 	// whatever its clock says of its start.
-	back := down(e.Status) && o.Status == Alive && now-e.Since >= v.set.GoneAfter &&
-		o.Meta.Incarnation != e.Meta.Incarnation
-	if e.Status == Left && o.Meta.Incarnation <= e.Meta.Incarnation && !back {
+	returned := isDown(e.Status) && obs.Status == Alive && now-e.StatusSince >= v.settings.GoneAfter &&
+		obs.Meta.Incarnation != e.Meta.Incarnation
+	if e.Status == Left && obs.Meta.Incarnation <= e.Meta.Incarnation && !returned {
 		return nil // a leave is final for its incarnation: late gossip of it alive changes nothing
 	}
-	live := e.Status == Alive || e.Status == Suspect
-	if live && o.Address != e.Address && o.Meta.Incarnation <= e.Meta.Incarnation && o.Status != Dead &&
-		o.Status != Left {
+	wasUp := e.Status == Alive || e.Status == Suspect
+	if wasUp && obs.Address != e.Address && obs.Meta.Incarnation <= e.Meta.Incarnation && obs.Status != Dead &&
+		obs.Status != Left {
 		// Two processes say they are this member and neither is newer: the one held stays.
-		return []Change{{Kind: Conflict, At: now, Member: Member{Name: o.Name, Address: o.Address, Meta: o.Meta}}}
+		claimant := Member{Name: obs.Name, Address: obs.Address, Meta: obs.Meta}
+		return []Change{{Kind: Conflict, At: now, Member: claimant}}
 	}
-	var out []Change
-	restarted := o.Meta.Incarnation > e.Meta.Incarnation || back
+	var changes []Change
+	restarted := obs.Meta.Incarnation > e.Meta.Incarnation || returned
 	if restarted {
-		e.Meta, e.Address = o.Meta, o.Address
-		out = append(out, Change{Kind: Restarted, At: now, Member: e.Member})
-	} else if o.Meta.Incarnation == e.Meta.Incarnation && o.Status != Dead && o.Status != Left {
-		if o.Meta != e.Meta {
-			e.Meta = o.Meta
-			out = append(out, Change{Kind: Changed, At: now, Member: e.Member, Was: e.Status})
+		e.Meta, e.Address = obs.Meta, obs.Address
+		changes = append(changes, Change{Kind: Restarted, At: now, Member: e.Member})
+	} else if obs.Meta.Incarnation == e.Meta.Incarnation && obs.Status != Dead && obs.Status != Left {
+		if obs.Meta != e.Meta {
+			e.Meta = obs.Meta
+			changes = append(changes, Change{Kind: Changed, At: now, Member: e.Member, Previous: e.Status})
 		}
 	}
-	if o.Status != e.Status && (o.Meta.Incarnation >= e.Meta.Incarnation || o.Status == Alive) {
-		was := e.Status
-		e.Status, e.Since = o.Status, now
-		if o.Status == Suspect {
+	if obs.Status != e.Status && (obs.Meta.Incarnation >= e.Meta.Incarnation || obs.Status == Alive) {
+		previous := e.Status
+		e.Status, e.StatusSince = obs.Status, now
+		if obs.Status == Suspect {
 			e.Suspected++
 		}
-		if down(was) != down(o.Status) {
-			e.flaps = append(v.recent(now, e.flaps), now)
+		if isDown(previous) != isDown(obs.Status) {
+			e.flaps = append(v.withinFlapWindow(now, e.flaps), now)
 			e.Flaps = len(e.flaps)
 		}
-		out = append(out, Change{Kind: Changed, At: now, Member: e.Member, Was: was})
+		changes = append(changes, Change{Kind: Changed, At: now, Member: e.Member, Previous: previous})
 	}
 	if e.Gone && (e.Status == Alive || e.Status == Suspect) {
 		e.Gone = false
-		out = append(out, Change{Kind: Returned, At: now, Member: e.Member})
+		changes = append(changes, Change{Kind: Returned, At: now, Member: e.Member})
 	}
-	return out
+	return changes
 }
 
-// down tells whether a status says that the process is not there.
-func down(s Status) bool { return s == Dead || s == Left }
+// isDown tells whether a status says that the process is not there.
+func isDown(s Status) bool { return s == Dead || s == Left }
 
-// recent keeps the times within the flap window of now, in place.
-func (v *View) recent(now time.Duration, times []time.Duration) []time.Duration {
-	cut := 0
-	for cut < len(times) && now-times[cut] >= v.set.FlapWindow {
-		cut++
+// withinFlapWindow keeps the times within the flap window of now, in place.
+func (v *View) withinFlapWindow(now time.Duration, times []time.Duration) []time.Duration {
+	expired := 0
+	for expired < len(times) && now-times[expired] >= v.settings.FlapWindow {
+		expired++
 	}
-	return append(times[:0], times[cut:]...)
+	return append(times[:0], times[expired:]...)
 }
 
 // goneAfter is how long a member must stay dead before it counts as gone: GoneAfter, and once more for each
 // flap beyond the first within the window, so that one that comes and goes is not replaced and replaced.
 func (v *View) goneAfter(e *entry) time.Duration {
-	return v.set.GoneAfter * time.Duration(max(1, len(e.flaps)))
+	return v.settings.GoneAfter * time.Duration(max(1, len(e.flaps)))
 }
 
 // Tick lets time pass: members dead long enough go, those left or gone long enough are forgotten.
 func (v *View) Tick(now time.Duration) []Change {
-	var out []Change
-	for _, name := range v.names() {
-		e := v.members[name]
-		e.flaps = v.recent(now, e.flaps)
+	var changes []Change
+	for _, name := range v.sortedNames() {
+		e := v.entries[name]
+		e.flaps = v.withinFlapWindow(now, e.flaps)
 		e.Flaps = len(e.flaps)
-		if down(e.Status) && !e.Gone && now-e.Since >= v.goneAfter(e) {
+		if isDown(e.Status) && !e.Gone && now-e.StatusSince >= v.goneAfter(e) {
 			e.Gone = true
-			out = append(out, Change{Kind: WentAway, At: now, Member: e.Member})
+			changes = append(changes, Change{Kind: BecameGone, At: now, Member: e.Member})
 		}
-		if (e.Status == Left || e.Gone) && now-e.Since >= v.set.Forget && name != v.self {
-			delete(v.members, name)
-			out = append(out, Change{Kind: Forgotten, At: now, Member: e.Member})
+		if (e.Status == Left || e.Gone) && now-e.StatusSince >= v.settings.ForgetAfter && name != v.self {
+			delete(v.entries, name)
+			changes = append(changes, Change{Kind: Forgotten, At: now, Member: e.Member})
 		}
 	}
-	return out
+	return changes
 }
 
-func (v *View) names() []string {
-	names := make([]string, 0, len(v.members))
-	for name := range v.members {
+func (v *View) sortedNames() []string {
+	names := make([]string, 0, len(v.entries))
+	for name := range v.entries {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -268,28 +270,28 @@
 
 // Snapshot returns every member by name.
 func (v *View) Snapshot() []Member {
-	out := make([]Member, 0, len(v.members))
-	for _, name := range v.names() {
-		out = append(out, v.members[name].Member)
+	out := make([]Member, 0, len(v.entries))
+	for _, name := range v.sortedNames() {
+		out = append(out, v.entries[name].Member)
 	}
 	return out
 }
 
 // Get returns a member by name.
 func (v *View) Get(name string) (Member, bool) {
-	e, ok := v.members[name]
+	e, ok := v.entries[name]
 	if !ok {
 		return Member{}, false
 	}
 	return e.Member, true
 }
 
-// Recent returns the members that were dead lately but are not forgotten: those to try joining again, so
-// that the halves of a healed partition find each other (as serf's reconnect does).
-func (v *View) Recent() []Member {
+// RecentlyDead returns the members that were dead lately but are not forgotten: those to try joining again,
+// so that the halves of a healed partition find each other (as serf's reconnect does).
+func (v *View) RecentlyDead() []Member {
 	var out []Member
-	for _, name := range v.names() {
-		if e := v.members[name]; e.Status == Dead {
+	for _, name := range v.sortedNames() {
+		if e := v.entries[name]; e.Status == Dead {
 			out = append(out, e.Member)
 		}
 	}
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-var set = Settings{GoneAfter: 10 * time.Second, FlapWindow: time.Minute, Forget: time.Hour, MaxMembers: 3}
+var testSettings = Settings{GoneAfter: 10 * time.Second, FlapWindow: time.Minute, ForgetAfter: time.Hour,
+	MaxMembers: 3}
 
 const s = time.Second
 
@@ -15,17 +16,17 @@
 	o  *Observation
 }
 
-func seen(name string, st Status, inc uint64) *Observation {
+func observed(name string, st Status, inc uint64) *Observation {
 	return &Observation{Name: name, Address: name + ":1", Status: st, Meta: Meta{Incarnation: inc}}
 }
 
-func play(t *testing.T, steps []step) (*View, []Kind) {
+func play(t *testing.T, steps []step) (*View, []ChangeKind) {
 	t.Helper()
-	v, err := New(set, "self")
+	v, err := NewView(testSettings, "self")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kinds []Kind
+	var kinds []ChangeKind
 	for _, st := range steps {
 		var cs []Change
 		if st.o == nil {
@@ -44,34 +45,35 @@
 	for _, c := range []struct {
 		name  string
 		steps []step
-		want  []Kind
+		want  []ChangeKind
 		end   Status
 		gone  bool
 	}{
-		{"one suspicion is not gone", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Suspect, 1)},
-			{30 * s, nil}}, []Kind{Joined, Changed}, Suspect, false},
-		{"dead long enough is gone", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Dead, 1)},
-			{10 * s, nil}, {11 * s, nil}}, []Kind{Joined, Changed, WentAway}, Dead, true},
-		{"a flap doubles the wait", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Dead, 1)},
-			{2 * s, seen("a", Alive, 1)}, {3 * s, seen("a", Dead, 1)}, {15 * s, nil}},
-			[]Kind{Joined, Changed, Changed, Changed}, Dead, false},
-		{"a refuted suspicion is no flap", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Suspect, 1)},
-			{2 * s, seen("a", Alive, 1)}, {3 * s, seen("a", Suspect, 1)}, {4 * s, seen("a", Dead, 1)},
-			{14 * s, nil}}, []Kind{Joined, Changed, Changed, Changed, Changed, WentAway}, Dead, true},
-		{"flaps age out", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Dead, 1)},
-			{2 * s, seen("a", Alive, 1)}, {3 * s, seen("a", Dead, 1)}, {90 * s, nil}},
-			[]Kind{Joined, Changed, Changed, Changed, WentAway}, Dead, true},
-		{"back after gone", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Dead, 1)}, {20 * s, nil},
-			{21 * s, seen("a", Alive, 1)}}, []Kind{Joined, Changed, WentAway, Changed, Returned}, Alive, false},
-		{"a restart is told", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Dead, 1)},
-			{2 * s, seen("a", Alive, 2)}}, []Kind{Joined, Changed, Restarted, Changed}, Alive, false},
-		{"a leave is final", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Left, 1)},
-			{2 * s, seen("a", Alive, 1)}}, []Kind{Joined, Changed}, Left, false},
-		{"a restart after a leave", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Left, 1)},
-			{2 * s, seen("a", Alive, 2)}}, []Kind{Joined, Changed, Restarted, Changed}, Alive, false},
-		{"left for long is gone", []step{{0, seen("a", Alive, 1)}, {s, seen("a", Left, 1)}, {11 * s, nil}},
-			[]Kind{Joined, Changed, WentAway}, Left, true},
-		{"the dead unseen are not held", []step{{0, seen("a", Dead, 1)}}, nil, 0, false},
+		{"one suspicion is not gone", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Suspect, 1)},
+			{30 * s, nil}}, []ChangeKind{Joined, Changed}, Suspect, false},
+		{"dead long enough is gone", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Dead, 1)},
+			{10 * s, nil}, {11 * s, nil}}, []ChangeKind{Joined, Changed, BecameGone}, Dead, true},
+		{"a flap doubles the wait", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Dead, 1)},
+			{2 * s, observed("a", Alive, 1)}, {3 * s, observed("a", Dead, 1)}, {15 * s, nil}},
+			[]ChangeKind{Joined, Changed, Changed, Changed}, Dead, false},
+		{"a refuted suspicion is no flap", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Suspect, 1)},
+			{2 * s, observed("a", Alive, 1)}, {3 * s, observed("a", Suspect, 1)}, {4 * s, observed("a", Dead, 1)},
+			{14 * s, nil}}, []ChangeKind{Joined, Changed, Changed, Changed, Changed, BecameGone}, Dead, true},
+		{"flaps age out", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Dead, 1)},
+			{2 * s, observed("a", Alive, 1)}, {3 * s, observed("a", Dead, 1)}, {90 * s, nil}},
+			[]ChangeKind{Joined, Changed, Changed, Changed, BecameGone}, Dead, true},
+		{"back after gone", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Dead, 1)}, {20 * s, nil},
+			{21 * s, observed("a", Alive, 1)}},
+			[]ChangeKind{Joined, Changed, BecameGone, Changed, Returned}, Alive, false},
+		{"a restart is told", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Dead, 1)},
+			{2 * s, observed("a", Alive, 2)}}, []ChangeKind{Joined, Changed, Restarted, Changed}, Alive, false},
+		{"a leave is final", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Left, 1)},
+			{2 * s, observed("a", Alive, 1)}}, []ChangeKind{Joined, Changed}, Left, false},
+		{"a restart after a leave", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Left, 1)},
+			{2 * s, observed("a", Alive, 2)}}, []ChangeKind{Joined, Changed, Restarted, Changed}, Alive, false},
+		{"left for long is gone", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Left, 1)}, {11 * s, nil}},
+			[]ChangeKind{Joined, Changed, BecameGone}, Left, true},
+		{"the dead unseen are not held", []step{{0, observed("a", Dead, 1)}}, nil, 0, false},
 	} {
 		v, kinds := play(t, c.steps)
 		if !equal(kinds, c.want) {
@@ -90,7 +92,7 @@
 	}
 }
 
-func equal(a, b []Kind) bool {
+func equal(a, b []ChangeKind) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -104,8 +106,8 @@
 
 func TestTwoProcessesOneName(t *testing.T) {
 	v, _ := play(t, nil)
-	v.Observe(0, *seen("a", Alive, 5))
-	twin := *seen("a", Alive, 5)
+	v.Observe(0, *observed("a", Alive, 5))
+	twin := *observed("a", Alive, 5)
 	twin.Address = "elsewhere:1"
 	if cs := v.Observe(s, twin); len(cs) != 1 || cs[0].Kind != Conflict {
 		t.Fatalf("a twin gives %v", cs)
@@ -124,17 +126,18 @@
 func TestBounds(t *testing.T) {
 	v, _ := play(t, nil)
 	for _, name := range []string{"a", "b", "c"} {
-		v.Observe(0, *seen(name, Alive, 1))
+		v.Observe(0, *observed(name, Alive, 1))
 	}
-	if cs := v.Observe(0, *seen("d", Alive, 1)); len(cs) != 1 || cs[0].Kind != Refused {
+	if cs := v.Observe(0, *observed("d", Alive, 1)); len(cs) != 1 || cs[0].Kind != Rejected {
 		t.Errorf("a fourth name in a table of three gives %v", cs)
 	}
-	v.Observe(s, *seen("a", Left, 1))
-	v.Tick(s + set.Forget)
+	v.Observe(s, *observed("a", Left, 1))
+	v.Tick(s + testSettings.ForgetAfter)
 	if _, ok := v.Get("a"); ok || len(v.Snapshot()) != 2 {
 		t.Errorf("a member left long ago is held: %+v", v.Snapshot())
 	}
-	if cs := v.Observe(2*set.Forget, *seen("d", Alive, 1)); len(cs) != 1 || cs[0].Kind != Joined {
+	if cs := v.Observe(2*testSettings.ForgetAfter, *observed("d", Alive, 1)); len(cs) != 1 ||
+		cs[0].Kind != Joined {
 		t.Errorf("room made is not taken: %v", cs)
 	}
 }
@@ -143,12 +146,12 @@
 	for name, spoil := range map[string]func(*Settings){
 		"no gone_after":   func(s *Settings) { s.GoneAfter = 0 },
 		"no flap window":  func(s *Settings) { s.FlapWindow = -1 },
-		"forget too soon": func(s *Settings) { s.Forget = s.GoneAfter - 1 },
+		"forget too soon": func(s *Settings) { s.ForgetAfter = s.GoneAfter - 1 },
 		"no members":      func(s *Settings) { s.MaxMembers = 0 },
 	} {
-		bad := set
+		bad := testSettings
 		spoil(&bad)
-		if _, err := New(bad, "self"); err == nil {
+		if _, err := NewView(bad, "self"); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -20,11 +20,11 @@
 
 // Member is a member of the fleet as a view has it.
 type Member struct {
-	Name    string
-	Replica uint64 // identity of its disk, drawn when its data folder was made; 0: it holds nothing for others
-	Hall    string
-	Live    bool // it takes part now; a suspect does too
-	Gone    bool // others may take its place
+	Name      string
+	ReplicaID uint64 // identity of its disk, drawn when its data folder was made; 0: it holds nothing for others
+	Hall      string
+	Live      bool // it takes part now; a suspect does too
+	Gone      bool // others may take its place
 }
 
 // Replica is one replica of a group as its leader has it.
@@ -37,16 +37,16 @@
 
 // Group is a group as its leader has it.
 type Group struct {
-	Name     string
-	Leader   uint64
-	Last     uint64 // index of the leader's last log entry
-	Replicas []Replica
+	Name      string
+	Leader    uint64
+	LastIndex uint64 // index of the leader's last log entry
+	Replicas  []Replica
 }
 
 // Settings bound the decisions.
 type Settings struct {
-	Replicas int    // voters wanted; 3 or 5
-	CatchUp  uint64 // a learner so many entries behind at most is promoted
+	Replicas      int    // voters wanted; 3 or 5
+	MaxLearnerLag uint64 // a learner so many entries behind at most is promoted
 }
 
 // Check tells what is wrong with the settings.
@@ -54,17 +54,17 @@
 	if s.Replicas != 3 && s.Replicas != 5 {
 		return fmt.Errorf("replicas %d: 3 or 5 are allowed, so that a majority outlives one or two", s.Replicas)
 	}
-	if s.CatchUp == 0 {
+	if s.MaxLearnerLag == 0 {
 		return errors.New("catch_up must be above zero")
 	}
 	return nil
 }
 
-// Kind is what a change does.
-type Kind uint8
+// ChangeKind is what a change does.
+type ChangeKind uint8
 
 const (
-	None Kind = iota
+	None ChangeKind = iota
 	AddLearner
 	Promote
 	Remove
@@ -72,14 +72,14 @@
 
 var kindNames = [...]string{"none", "add learner", "promote", "remove"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k ChangeKind) String() string { return kindNames[k] }
 
 // Change is one change of a group.
 type Change struct {
-	Kind Kind
-	ID   uint64
-	Name string
-	Why  string
+	Kind   ChangeKind
+	ID     uint64
+	Name   string
+	Reason string
 }
 
 // Score ranks a member for a group; the highest is the first.
@@ -102,36 +102,36 @@
 // Choose returns up to n of the candidates for a group whose replicas stand in the halls given: those from
 // halls with fewest replicas first, so that a lost hall takes as few as can be, then by rank.
 func Choose(group string, candidates []Member, halls []string, n int) []Member {
-	left := slices.Clone(candidates)
-	Rank(group, left)
-	taken := map[string]int{}
+	remaining := slices.Clone(candidates)
+	Rank(group, remaining)
+	perHall := map[string]int{}
 	for _, h := range halls {
-		taken[h]++
+		perHall[h]++
 	}
 	var out []Member
-	for len(out) < n && len(left) > 0 {
+	for len(out) < n && len(remaining) > 0 {
 		best := 0
-		for i, m := range left {
-			if taken[m.Hall] < taken[left[best].Hall] {
+		for i, m := range remaining {
+			if perHall[m.Hall] < perHall[remaining[best].Hall] {
 				best = i
 			}
 		}
-		out = append(out, left[best])
-		taken[left[best].Hall]++
-		left = slices.Delete(left, best, best+1)
+		out = append(out, remaining[best])
+		perHall[remaining[best].Hall]++
+		remaining = slices.Delete(remaining, best, best+1)
 	}
 	return out
 }
 
-// lost tells whether a replica's disk is not to be had any more, and why.
-func lost(r Replica, view []Member) (bool, string) {
+// isLost tells whether a replica's disk is not to be had any more, and why.
+func isLost(r Replica, view []Member) (bool, string) {
 	i := slices.IndexFunc(view, func(m Member) bool { return m.Name == r.Name })
 	switch {
 	case i < 0:
 		return false, "" // a member the view does not hold: the caller says when it counts as gone
 	case view[i].Gone:
 		return true, "its member is gone"
-	case view[i].Live && view[i].Replica != 0 && view[i].Replica != r.ID:
+	case view[i].Live && view[i].ReplicaID != 0 && view[i].ReplicaID != r.ID:
 		return true, "its member came back with another disk"
 	}
 	return false, ""
@@ -143,9 +143,9 @@
 func Next(g Group, view []Member, s Settings) Change {
 	var voters, learners []Replica
 	var halls []string
-	held := map[uint64]bool{}
+	hasReplica := map[uint64]bool{}
 	for _, r := range g.Replicas {
-		held[r.ID] = true
+		hasReplica[r.ID] = true
 		if r.Learner {
 			learners = append(learners, r)
 		} else {
@@ -158,78 +158,81 @@
 		}
 		return ""
 	}
-	var gone []Replica
-	whys := map[uint64]string{}
+	var lostVoters []Replica
+	lostReasons := map[uint64]string{}
 	for _, r := range voters {
-		if is, why := lost(r, view); is {
-			gone = append(gone, r)
-			whys[r.ID] = why
+		if is, why := isLost(r, view); is {
+			lostVoters = append(lostVoters, r)
+			lostReasons[r.ID] = why
 		} else {
 			halls = append(halls, hall(r.Name))
 		}
 	}
 	for _, r := range learners {
-		if is, why := lost(r, view); is {
+		if is, why := isLost(r, view); is {
 			return Change{Remove, r.ID, r.Name, "a learner: " + why}
 		}
 	}
 	for _, r := range learners {
-		if len(voters) > s.Replicas || len(voters)-len(gone) >= s.Replicas {
+		if len(voters) > s.Replicas || len(voters)-len(lostVoters) >= s.Replicas {
 			return Change{Remove, r.ID, r.Name, "a learner that is not needed any more"}
 		}
-		if r.Match > 0 && r.Match+s.CatchUp >= g.Last {
+		if r.Match > 0 && r.Match+s.MaxLearnerLag >= g.LastIndex {
 			return Change{Promote, r.ID, r.Name, "it has caught up"}
 		}
 		return Change{} // one change at a time: this learner catches up first
 	}
 	if len(voters) > s.Replicas {
-		if len(gone) > 0 {
-			return Change{Remove, gone[0].ID, gone[0].Name, whys[gone[0].ID]}
+		if len(lostVoters) > 0 {
+			return Change{Remove, lostVoters[0].ID, lostVoters[0].Name, lostReasons[lostVoters[0].ID]}
 		}
-		return surplus(g, voters)
+		return removeSurplus(g, voters)
 	}
-	if len(voters)-len(gone) >= s.Replicas {
+	if len(voters)-len(lostVoters) >= s.Replicas {
 		return Change{}
 	}
 	var candidates []Member
 	for _, m := range view {
-		if m.Live && !m.Gone && m.Replica != 0 && !held[m.Replica] &&
-			!slices.ContainsFunc(g.Replicas, func(r Replica) bool { return r.Name == m.Name && whys[r.ID] == "" }) {
+		if m.Live && !m.Gone && m.ReplicaID != 0 && !hasReplica[m.ReplicaID] &&
+			!slices.ContainsFunc(g.Replicas, func(r Replica) bool {
+				return r.Name == m.Name && lostReasons[r.ID] == ""
+			}) {
 			candidates = append(candidates, m)
 		}
 	}
-	if found := Choose(g.Name, candidates, halls, 1); len(found) > 0 {
+	if chosen := Choose(g.Name, candidates, halls, 1); len(chosen) > 0 {
 		why := "the group wants replicas"
-		if len(gone) > 0 {
-			why = "in place of " + gone[0].Name + ": " + whys[gone[0].ID]
+		if len(lostVoters) > 0 {
+			why = "in place of " + lostVoters[0].Name + ": " + lostReasons[lostVoters[0].ID]
 		}
-		return Change{AddLearner, found[0].Replica, found[0].Name, why}
+		return Change{AddLearner, chosen[0].ReplicaID, chosen[0].Name, why}
 	}
 	return Change{}
 }
 
-// surplus removes the lowest ranked of too many voters, though not the leader, who would stop in the midst.
-func surplus(g Group, voters []Replica) Change {
-	worst := -1
+// removeSurplus removes the lowest ranked of too many voters, though not the leader, who would stop in the
+// midst.
+func removeSurplus(g Group, voters []Replica) Change {
+	lowest := -1
 	for i, r := range voters {
-		if r.ID != g.Leader && (worst < 0 || Score(g.Name, r.Name) < Score(g.Name, voters[worst].Name)) {
-			worst = i
+		if r.ID != g.Leader && (lowest < 0 || Score(g.Name, r.Name) < Score(g.Name, voters[lowest].Name)) {
+			lowest = i
 		}
 	}
-	if worst < 0 {
+	if lowest < 0 {
 		return Change{}
 	}
-	return Change{Remove, voters[worst].ID, voters[worst].Name, "more voters than wanted"}
+	return Change{Remove, voters[lowest].ID, voters[lowest].Name, "more voters than wanted"}
 }
 
-// GroupOf is the group, 0 to groups-1, that holds a key: by rendezvous, so that a further group takes keys
-// over and moves none between the others.
-func GroupOf(key string, groups int) int {
-	best, at := uint64(0), 0
+// GroupForKey is the group, 0 to groups-1, that holds a key: by rendezvous, so that a further group takes
+// keys over and moves none between the others.
+func GroupForKey(key string, groups int) int {
+	bestScore, best := uint64(0), 0
 	for g := range groups {
-		if sc := Score(fmt.Sprint(g), key); g == 0 || sc > best {
-			best, at = sc, g
+		if score := Score(fmt.Sprint(g), key); g == 0 || score > bestScore {
+			bestScore, best = score, g
 		}
 	}
-	return at
+	return best
 }
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-var set = Settings{Replicas: 3, CatchUp: 10}
+var testSettings = Settings{Replicas: 3, MaxLearnerLag: 10}
 
 func live(name string, id uint64, hall string) Member {
-	return Member{Name: name, Replica: id, Hall: hall, Live: true}
+	return Member{Name: name, ReplicaID: id, Hall: hall, Live: true}
 }
 
-func gone(name string, id uint64) Member { return Member{Name: name, Replica: id, Gone: true} }
+func gone(name string, id uint64) Member { return Member{Name: name, ReplicaID: id, Gone: true} }
 
 func voter(name string, id uint64) Replica { return Replica{ID: id, Name: name, Match: 100} }
 
@@ -27,7 +27,7 @@
 	for name, c := range map[string]struct {
 		replicas []Replica
 		view     []Member
-		kind     Kind
+		kind     ChangeKind
 		id       uint64
 	}{
 		"whole":                         {abc, view, None, 0},
@@ -36,7 +36,7 @@
 		"a learner unseen is waited on": {append(abc[:1:1], learner("b", 2, 0)), view, None, 0},
 		"a learner near is promoted":    {append(abc[:1:1], learner("b", 2, 95)), view, Promote, 2},
 		"a dead one keeps its place while it may return": {abc,
-			[]Member{view[0], view[1], {Name: "c", Replica: 3}, view[3]}, None, 0},
+			[]Member{view[0], view[1], {Name: "c", ReplicaID: 3}, view[3]}, None, 0},
 		"a gone one is replaced by a learner first": {abc, []Member{view[0], view[1], gone("c", 3), view[3]},
 			AddLearner, 4},
 		"then promoted": {append(abc[:3:3], learner("d", 4, 100)),
@@ -53,14 +53,14 @@
 		"who holds nothing is no candidate": {abc[:2], []Member{view[0], view[1], live("e", 0, "")}, None, 0},
 		"who is unseen is not gone":         {abc, view[:2], None, 0},
 	} {
-		got := Next(Group{Name: "g", Leader: 1, Last: 100, Replicas: c.replicas}, c.view, set)
+		got := Next(Group{Name: "g", Leader: 1, LastIndex: 100, Replicas: c.replicas}, c.view, testSettings)
 		if got.Kind != c.kind || got.ID != c.id {
-			t.Errorf("%s: %v %d (%s), want %v %d", name, got.Kind, got.ID, got.Why, c.kind, c.id)
+			t.Errorf("%s: %v %d (%s), want %v %d", name, got.Kind, got.ID, got.Reason, c.kind, c.id)
 		}
 	}
 	four := append(abc[:3:3], voter("d", 4))
-	if got := Next(Group{Name: "g", Leader: 4, Last: 100, Replicas: four}, view, set); got.Kind != Remove ||
-		got.ID == 4 {
+	got := Next(Group{Name: "g", Leader: 4, LastIndex: 100, Replicas: four}, view, testSettings)
+	if got.Kind != Remove || got.ID == 4 {
 		t.Errorf("with a voter too many: %+v", got)
 	}
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestRankMovesLittle(t *testing.T) {
+func TestLossOfMemberMovesOnlyItsReplicas(t *testing.T) {
 	var all []Member
 	for i := range 300 {
 		all = append(all, live(fmt.Sprint("m-", i), uint64(i+1), ""))
@@ -122,17 +122,17 @@
 		for i := range view {
 			view[i] = live(fmt.Sprint("m-", i), uint64(i+1), fmt.Sprint("h", i%3))
 		}
-		g := Group{Name: "g", Leader: 1, Last: 1000, Replicas: []Replica{voter("m-0", 1)}}
+		g := Group{Name: "g", Leader: 1, LastIndex: 1000, Replicas: []Replica{voter("m-0", 1)}}
 		next := uint64(100)
 		settle := func() {
 			for range 60 {
-				c := Next(g, view, set)
+				c := Next(g, view, testSettings)
 				before := voters(g)
 				switch c.Kind {
 				case None:
 					return
 				case AddLearner:
-					g.Replicas = append(g.Replicas, Replica{ID: c.ID, Name: c.Name, Learner: true, Match: g.Last})
+					g.Replicas = append(g.Replicas, Replica{ID: c.ID, Name: c.Name, Learner: true, Match: g.LastIndex})
 				case Promote, Remove:
 					for i := range g.Replicas {
 						if g.Replicas[i].ID != c.ID {
@@ -146,7 +146,7 @@
 						break
 					}
 				}
-				if after := voters(g); after < before && after < set.Replicas {
+				if after := voters(g); after < before && after < testSettings.Replicas {
 					t.Fatalf("%v left %d voters", c, after)
 				}
 			}
@@ -161,7 +161,7 @@
 			case 1:
 				view[i].Live, view[i].Gone = true, false
 			case 2:
-				view[i].Live, view[i].Gone, view[i].Replica = true, false, next
+				view[i].Live, view[i].Gone, view[i].ReplicaID = true, false, next
 				next++
 			}
 			settle()
@@ -174,11 +174,11 @@
 		}
 		good := 0
 		for _, r := range g.Replicas {
-			if is, _ := lost(r, view); !is && !r.Learner {
+			if is, _ := isLost(r, view); !is && !r.Learner {
 				good++
 			}
 		}
-		if good < min(alive, set.Replicas) {
+		if good < min(alive, testSettings.Replicas) {
 			t.Fatalf("%d good voters, %d live members: %+v with %+v", good, alive, g, view)
 		}
 	})
@@ -195,11 +195,11 @@
 
 func TestSettings(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 4, 7, -3} {
-		if (Settings{Replicas: n, CatchUp: 1}).Check() == nil {
+		if (Settings{Replicas: n, MaxLearnerLag: 1}).Check() == nil {
 			t.Errorf("%d replicas pass", n)
 		}
 	}
-	if err := set.Check(); err != nil {
+	if err := testSettings.Check(); err != nil {
 		t.Error(err)
 	}
 	if (Settings{Replicas: 3}).Check() == nil {
@@ -207,9 +207,9 @@
 	}
 	seen := map[int]bool{}
 	for i := range 100 {
-		seen[GroupOf(fmt.Sprint("tenant-", i), 4)] = true
+		seen[GroupForKey(fmt.Sprint("tenant-", i), 4)] = true
 	}
-	if len(seen) != 4 || GroupOf("x", 1) != 0 {
+	if len(seen) != 4 || GroupForKey("x", 1) != 0 {
 		t.Errorf("keys fall into %v", seen)
 	}
 }
--- a/internal/cluster/raftgroup/calls.go
+++ b/internal/cluster/raftgroup/calls.go
@@ -14,14 +14,15 @@
 // Propose has a command committed by a group, wherever its leader is, and returns what became of it as JSON.
 // After ErrUnknown the command may have been applied; any other error says that it was not and will not be.
 func (h *Host) Propose(ctx context.Context, group string, data []byte) (json.RawMessage, error) {
-	return h.everywhere(ctx, call{Kind: "propose", Group: group, From: h.opt.Name, Data: data})
+	return h.callAnyMember(ctx, request{Kind: "propose", Group: group, From: h.opts.Name, Data: data})
 }
 
 // Read answers a query from a state that holds all that was committed when the call began.
 func (h *Host) Read(ctx context.Context, group string, query []byte) (json.RawMessage, error) {
 	if g := h.group(group); g != nil {
-		soon, cancel := context.WithTimeout(ctx, h.opt.Election/2) // a question to the leader may get lost
-		result, err := g.read(soon, query)
+		// A ReadIndex message to the leader may get lost.
+		localCtx, cancel := context.WithTimeout(ctx, h.opts.ElectionTimeout/2)
+		result, err := g.readIndex(localCtx, query)
 		cancel()
 		if err == nil {
 			return json.Marshal(result)
@@ -30,76 +31,76 @@
 			return nil, err
 		}
 	}
-	return h.everywhere(ctx, call{Kind: "read", Group: group, From: h.opt.Name, Data: query})
+	return h.callAnyMember(ctx, request{Kind: "read", Group: group, From: h.opts.Name, Data: query})
 }
 
-// everywhere tries members until one does what is asked: this one, the leader last told of, the members that
-// rank first for the group, then all.
-func (h *Host) everywhere(ctx context.Context, c call) (json.RawMessage, error) {
-	last := ErrNotLeader
-	tried := map[string]bool{}
-	order := h.order(c.Group)
-	for try := 0; try < 2*len(order)+2 && ctx.Err() == nil; try++ {
-		name := h.hinted(c.Group)
-		if name == "" || tried[name] {
+// callAnyMember tries members until one does what is asked: this one, the leader last told of, the members
+// that rank first for the group, then all.
+func (h *Host) callAnyMember(ctx context.Context, req request) (json.RawMessage, error) {
+	lastErr := ErrNotLeader
+	attempted := map[string]bool{}
+	order := h.candidates(req.Group)
+	for attempt := 0; attempt < 2*len(order)+2 && ctx.Err() == nil; attempt++ {
+		name := h.leaderHint(req.Group)
+		if name == "" || attempted[name] {
 			name = ""
-			for _, n := range order {
-				if !tried[n] {
-					name = n
+			for _, member := range order {
+				if !attempted[member] {
+					name = member
 					break
 				}
 			}
 			if name == "" {
-				return nil, last
+				return nil, lastErr
 			}
 		}
-		tried[name] = true
-		var a answer
-		one, cancel := ctx, context.CancelFunc(func() {})
-		if c.Kind != "propose" { // asking twice does no harm: one that does not answer is left for the next
-			one, cancel = context.WithTimeout(ctx, h.opt.Election/2)
+		attempted[name] = true
+		var resp response
+		attemptCtx, cancel := ctx, context.CancelFunc(func() {})
+		if req.Kind != "propose" { // asking twice does no harm: one that does not answer is left for the next
+			attemptCtx, cancel = context.WithTimeout(ctx, h.opts.ElectionTimeout/2)
 		}
-		err := h.ask(one, name, c, &a)
+		err := h.callMember(attemptCtx, name, req, &resp)
 		cancel()
 		if err == nil {
-			h.hintAt(c.Group, name)
-			return a.Result, nil
+			h.setLeaderHint(req.Group, name)
+			return resp.Result, nil
 		}
-		h.hintAt(c.Group, a.Leader)
-		if a.Leader != "" {
-			delete(tried, a.Leader)
-			if name == a.Leader {
-				tried[name] = true
+		h.setLeaderHint(req.Group, resp.Leader)
+		if resp.Leader != "" {
+			delete(attempted, resp.Leader)
+			if name == resp.Leader {
+				attempted[name] = true
 			}
 		}
 		switch {
-		case c.Kind == "propose" && errors.Is(err, ErrUnknown):
+		case req.Kind == "propose" && errors.Is(err, ErrUnknown):
 			return nil, err
 		case !errors.Is(err, ErrNotLeader):
-			last = err
+			lastErr = err
 		}
 	}
-	if ctx.Err() != nil && c.Kind == "propose" && errors.Is(last, ErrNotLeader) {
+	if ctx.Err() != nil && req.Kind == "propose" && errors.Is(lastErr, ErrNotLeader) {
 		return nil, ErrNotLeader // no try got further than being sent away
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// order is the members worth asking for a group, the likeliest first.
-func (h *Host) order(group string) []string {
+// candidates is the members worth asking for a group, the likeliest first.
+func (h *Host) candidates(group string) []string {
 	h.mu.Lock()
 	live := livePeers(h.peers)
-	here := h.groups[group] != nil
+	replicaHere := h.groups[group] != nil
 	h.mu.Unlock()
-	ms := make([]placement.Member, 0, len(live))
+	members := make([]placement.Member, 0, len(live))
 	for _, p := range live {
-		ms = append(ms, p.Member)
+		members = append(members, p.Member)
 	}
 	var out []string
-	if here {
-		out = append(out, h.opt.Name)
+	if replicaHere {
+		out = append(out, h.opts.Name)
 	}
-	for _, m := range placement.Choose(group, ms, nil, len(ms)) {
+	for _, m := range placement.Choose(group, members, nil, len(members)) {
 		if !slices.Contains(out, m.Name) {
 			out = append(out, m.Name)
 		}
@@ -107,24 +108,24 @@
 	return out
 }
 
-func (h *Host) hinted(group string) string {
+func (h *Host) leaderHint(group string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.hint[group]
+	return h.leaderHints[group]
 }
 
-func (h *Host) hintAt(group, name string) {
+func (h *Host) setLeaderHint(group, name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hint[group] = name
+	h.leaderHints[group] = name
 }
 
-// ask has one member do what is asked; an error of the way there is ErrUnknown for a proposal that may have
-// arrived.
-func (h *Host) ask(ctx context.Context, name string, c call, a *answer) error {
-	if name == h.opt.Name {
-		*a = h.serve(ctx, c)
-		return a.error()
+// callMember has one member do what is asked; an error of the way there is ErrUnknown for a proposal that
+// may have arrived.
+func (h *Host) callMember(ctx context.Context, name string, req request, resp *response) error {
+	if name == h.opts.Name {
+		*resp = h.handleRequest(ctx, req)
+		return resp.err()
 	}
 	h.mu.Lock()
 	at := slices.IndexFunc(h.peers, func(p Peer) bool { return p.Name == name })
@@ -136,67 +137,67 @@
 	if address == "" {
 		return ErrNotLeader
 	}
-	if err := h.net.call(ctx, address, c, a); err != nil {
+	if err := h.net.call(ctx, address, req, resp); err != nil {
 		if errors.Is(err, errNotSent) {
 			return ErrNotLeader
 		}
 		return ErrUnknown
 	}
-	return a.error()
+	return resp.err()
 }
 
-// serve does what a member asks of this one.
-func (h *Host) serve(ctx context.Context, c call) answer {
-	if c.Kind == "vote" {
-		if err := h.vote(c); err != nil {
-			return answer{Err: err.Error()}
+// handleRequest does what a member asks of this one.
+func (h *Host) handleRequest(ctx context.Context, req request) response {
+	if req.Kind == "vote" {
+		if err := h.handleBootstrapVote(req); err != nil {
+			return response{Err: err.Error()}
 		}
-		return answer{}
+		return response{}
 	}
-	g := h.group(c.Group)
+	g := h.group(req.Group)
 	if g == nil {
-		return answer{Err: ErrNotLeader.Error(), Leader: ""}
+		return response{Err: ErrNotLeader.Error(), Leader: ""}
 	}
 	var result any
 	var err error
-	switch c.Kind {
+	switch req.Kind {
 	case "propose":
-		if !h.knows(c.From) {
-			return answer{Err: fmt.Sprintf("%q is no member in this member's view", c.From)}
+		if !h.isMember(req.From) {
+			return response{Err: fmt.Sprintf("%q is no member in this member's view", req.From)}
 		}
-		result, err = g.propose(ctx, c.Data)
+		result, err = g.propose(ctx, req.Data)
 	case "read":
-		result, err = g.read(ctx, c.Data)
+		result, err = g.readIndex(ctx, req.Data)
 	case "roster":
 		result, err = g.roster(ctx)
 	default:
-		err = fmt.Errorf("%q is no call", c.Kind)
+		err = fmt.Errorf("%q is no call", req.Kind)
 	}
 	if err != nil {
-		a := answer{Err: err.Error()}
+		resp := response{Err: err.Error()}
 		if errors.Is(err, ErrNotLeader) {
-			a.Leader = g.leader()
+			resp.Leader = g.leader()
 		}
-		return a
+		return resp
 	}
 	raw, err := json.Marshal(result)
 	if err != nil {
-		return answer{Err: err.Error()}
+		return response{Err: err.Error()}
 	}
-	return answer{Result: raw}
+	return response{Result: raw}
 }
 
-// knows tells whether a member is in the view.
-func (h *Host) knows(name string) bool {
+// isMember tells whether a member is in the view.
+func (h *Host) isMember(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return name == h.opt.Name || slices.ContainsFunc(h.peers, func(p Peer) bool { return p.Name == name })
+	return name == h.opts.Name || slices.ContainsFunc(h.peers, func(p Peer) bool { return p.Name == name })
 }
 
 // leader is the name of the member that a replica takes for the leader; "" where it knows none.
 func (g *group) leader() string {
 	out := make(chan string, 1)
-	if g.do(func() { out <- g.names[g.rn.BasicStatus().Lead] }) != nil {
+	if g.enqueue(func() { out <- g.memberNames[g.rawNode.BasicStatus().Lead] }) != nil {
 		return ""
 	}
 	select {
--- a/internal/cluster/raftgroup/closing.go
+++ b/internal/cluster/raftgroup/closing.go
@@ -16,7 +16,7 @@
 		close(h.stop)
 		h.mu.Unlock()
 		for _, g := range groups {
-			g.handOver(2 * h.opt.Election)
+			g.handOverLeadership(2 * h.opts.ElectionTimeout)
 			close(g.stop)
 			<-g.done
 		}
@@ -27,29 +27,29 @@
 	return err
 }
 
-// handOver transfers leadership and waits for it, no longer than most.
-func (g *group) handOver(most time.Duration) {
-	began := make(chan bool, 1)
-	if g.do(func() { began <- g.stalled == nil && g.transfer() }) != nil {
+// handOverLeadership transfers leadership and waits for it, no longer than most.
+func (g *group) handOverLeadership(timeout time.Duration) {
+	started := make(chan bool, 1)
+	if g.enqueue(func() { started <- g.diskErr == nil && g.transferLeadership() }) != nil {
 		return
 	}
 	select {
 	case <-g.done:
 		return
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return
-	case ok := <-began:
+	case ok := <-started:
 		if !ok {
 			return
 		}
 	}
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		led := make(chan bool, 1)
-		if g.do(func() { led <- g.led }) != nil {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		isLeader := make(chan bool, 1)
+		if g.enqueue(func() { isLeader <- g.isLeader }) != nil {
 			return
 		}
 		select {
-		case l := <-led:
+		case l := <-isLeader:
 			if !l {
 				return
 			}
--- a/internal/cluster/raftgroup/faults.go
+++ b/internal/cluster/raftgroup/faults.go
@@ -18,15 +18,15 @@
 	if err != nil {
 		return nil
 	}
-	var says struct {
+	var faults struct {
 		Delay int  `json:"sync_delay_ms"`
 		Full  bool `json:"full"`
 	}
-	if json.Unmarshal(raw, &says) != nil {
+	if json.Unmarshal(raw, &faults) != nil {
 		return nil
 	}
-	time.Sleep(time.Duration(min(max(says.Delay, 0), 10_000)) * time.Millisecond)
-	if says.Full {
+	time.Sleep(time.Duration(min(max(faults.Delay, 0), 10_000)) * time.Millisecond)
+	if faults.Full {
 		return syscall.ENOSPC
 	}
 	return nil
--- a/internal/cluster/raftgroup/golden_test.go
+++ b/internal/cluster/raftgroup/golden_test.go
@@ -47,17 +47,17 @@
 
 // goldenHost is a member without a disk, a listener or goroutines.
 func goldenHost() *Host {
-	h := &Host{opt: Options{Name: "odori-1", Label: "sapporo"}, log: slog.New(slog.DiscardHandler),
-		store: &store{id: goldenID}, groups: map[string]*group{}, hint: map[string]string{}}
-	h.net = &network{host: h, address: map[uint64]string{}, senders: map[uint64]*sender{},
-		idle: map[string][]net.Conn{}, open: map[net.Conn]bool{}, stop: make(chan struct{})}
+	h := &Host{opts: Options{Name: "odori-1", Label: "sapporo"}, log: slog.New(slog.DiscardHandler),
+		store: &store{id: goldenID}, groups: map[string]*group{}, leaderHints: map[string]string{}}
+	h.net = &network{host: h, addresses: map[uint64]string{}, senders: map[uint64]*sender{},
+		idleConns: map[string][]net.Conn{}, conns: map[net.Conn]bool{}, stop: make(chan struct{})}
 	return h
 }
 
 func goldenGroup(h *Host) *group {
-	g := &group{name: "g", host: h, log: h.log, machine: &adder{}, inbox: make(chan *raftpb.Message, 8),
-		work: make(chan func(), 8), done: make(chan struct{}), names: map[uint64]string{},
-		waiting: map[uint64]chan outcome{}, conf: &raftpb.ConfState{Voters: []uint64{goldenID, 2, 3}}}
+	g := &group{name: "g", host: h, log: h.log, stateMachine: &adder{}, inbox: make(chan *raftpb.Message, 8),
+		tasks: make(chan func(), 8), done: make(chan struct{}), memberNames: map[uint64]string{},
+		proposals: map[uint64]chan outcome{}, confState: &raftpb.ConfState{Voters: []uint64{goldenID, 2, 3}}}
 	h.groups["g"] = g
 	return g
 }
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	held := goldenFile(t, name, w.out.Bytes())
-	is, body, err := readFrame(bufio.NewReader(bytes.NewReader(held)), frameMost)
+	is, body, err := readFrame(bufio.NewReader(bytes.NewReader(held)), maxFrameSize)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,11 +104,11 @@
 func TestGoldenFramesAreReadAndWrittenByteForByte(t *testing.T) {
 	h := goldenHost()
 	g := goldenGroup(h)
-	hi := goldenFrame(t, "hello.bin", frameHello, hello{protocol, "sapporo", "odori-1", goldenID})
-	ask := call{Kind: "propose", Group: "g", From: "odori-1", ID: goldenID, Data: []byte{0, 1, 254, 255},
-		Within: 1500}
-	goldenFrame(t, "call.bin", frameCall, ask)
-	goldenFrame(t, "answer.bin", frameReply, answer{Err: ErrNotLeader.Error(), Leader: "susukino-2",
+	hi := goldenFrame(t, "hello.bin", frameHello, hello{protocolVersion, "sapporo", "odori-1", goldenID})
+	ask := request{Kind: "propose", Group: "g", From: "odori-1", ID: goldenID, Data: []byte{0, 1, 254, 255},
+		TimeoutMS: 1500}
+	goldenFrame(t, "call.bin", frameRequest, ask)
+	goldenFrame(t, "answer.bin", frameResponse, response{Err: ErrNotLeader.Error(), Leader: "susukino-2",
 		Result: []byte(`{"status":"counted"}`)})
 
 	// Hello as dial says it, and a message of raft's as a sender writes it.
@@ -120,16 +120,16 @@
 	}
 	goldenFile(t, "hello.bin", w.out.Bytes())
 	w.out.Reset()
-	if !(&sender{net: h.net, to: goldenID}).write(c, outgoing{"g", goldenMessage()}) {
+	if !(&sender{net: h.net, to: goldenID}).write(c, outboundMsg{"g", goldenMessage()}) {
 		t.Error("the message was not written")
 	}
 	m := goldenFile(t, "raft.bin", w.out.Bytes())
 
 	// What another member says: hello, the message, a call on a group that is not here.
-	nobody := goldenFrame(t, "call-elsewhere.bin", frameCall, call{Kind: "read", Group: "elsewhere",
-		From: "susukino-2", ID: 2, Data: []byte("{}"), Within: 60_000})
+	nobody := goldenFrame(t, "call-elsewhere.bin", frameRequest, request{Kind: "read", Group: "elsewhere",
+		From: "susukino-2", ID: 2, Data: []byte("{}"), TimeoutMS: 60_000})
 	in := &goldenWire{in: bytes.NewReader(bytes.Join([][]byte{hi, m, nobody}, nil))}
-	if err := h.net.take(in); !errors.Is(err, io.EOF) {
+	if err := h.net.serveConn(in); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 	select {
@@ -142,18 +142,18 @@
 
 	// The same from the caller's side. How long it waits is in the call, and is the clock's: held above.
 	h.net.dialer = &goldenWire{in: bytes.NewReader(reply)}
-	var a answer
+	var a response
 	if err := h.net.call(t.Context(), "susukino-2:1", ask, &a); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "answer-elsewhere.bin", a, answer{Err: ErrNotLeader.Error()})
+	goldenSame(t, "answer-elsewhere.bin", a, response{Err: ErrNotLeader.Error()})
 }
 
 // Errors cross as their text and are known by it.
 func TestGoldenErrorsAreReadAndWrittenByteForByte(t *testing.T) {
 	var texts []string
-	for _, e := range []error{ErrNotLeader, ErrForming, ErrUnknown, ErrBusy, ErrStopped, ErrDisk, errHeld,
-		errNotFirst, errVoted} {
+	for _, e := range []error{ErrNotLeader, ErrForming, ErrUnknown, ErrBusy, ErrStopped, ErrDisk, errGroupExists,
+		errNotFirstRanked, errAlreadyVoted} {
 		texts = append(texts, e.Error())
 	}
 	goldenJSON(t, "errors.json", texts)
@@ -164,28 +164,28 @@
 	goldenJSON(t, "status.json", Status{Group: "ledger", Role: "leader", Leader: "odori-1", Term: 1, Commit: 2,
 		Applied: 3, Snapshot: 4, LogBytes: 5, Voters: []string{"odori-1", "susukino-2"},
 		Learners: []string{"maruyama-3"}, Replicas: []ReplicaStatus{{Member: "susukino-2",
-			Disk: diskName(goldenID), Learner: true, Behind: 6, Active: true}},
-		Disk: diskName(2), Silent: true, Stalled: "no space",
-		Figures: GroupFigures{Elections: 11, Snapshots: 12, Restored: 13, Changes: 14, Proposed: 15,
-			Refused: 16, DiskErrors: 17, SlowSyncs: 18}})
+			Disk: formatDiskID(goldenID), Learner: true, Behind: 6, Active: true}},
+		Disk: formatDiskID(2), Leaderless: true, Stalled: "no space",
+		Stats: GroupStats{Elections: 11, Snapshots: 12, Restored: 13, ConfChanges: 14, Proposed: 15,
+			Rejected: 16, DiskErrors: 17, SlowSyncs: 18}})
 }
 
 // A snapshot's data is a map by its fields' names. It has one member: several come in a map's order.
 func TestGoldenSnapshotIsReadAndWrittenByteForByte(t *testing.T) {
 	g := goldenGroup(goldenHost())
-	g.machine = &adder{sum: 41, n: 42}
+	g.stateMachine = &adder{sum: 41, n: 42}
 	raw, err := g.encodeState(map[uint64]string{goldenID: "odori-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	held := goldenFile(t, "snapshot.bin", raw)
 	into := goldenGroup(goldenHost())
-	if err := into.restore(&raftpb.Snapshot{Data: held, Metadata: &raftpb.SnapshotMetadata{
+	if err := into.restoreSnapshot(&raftpb.Snapshot{Data: held, Metadata: &raftpb.SnapshotMetadata{
 		Index: proto.Uint64(7), Term: proto.Uint64(2)}}); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "snapshot.bin", into.names, map[uint64]string{goldenID: "odori-1"})
-	goldenSame(t, "snapshot.bin", into.machine, Machine(&adder{sum: 41, n: 42}))
+	goldenSame(t, "snapshot.bin", into.memberNames, map[uint64]string{goldenID: "odori-1"})
+	goldenSame(t, "snapshot.bin", into.stateMachine, StateMachine(&adder{sum: 41, n: 42}))
 }
 
 // goldenLeader has raft lead a group of one in memory, so that it takes what is proposed.
@@ -197,19 +197,20 @@
 		t.Fatal(err)
 	}
 	var err error
-	if g.rn, err = raft.NewRawNode(&raft.Config{ID: goldenID, ElectionTick: 10, HeartbeatTick: 1, Storage: ms,
-		Applied: 1, MaxSizePerMsg: messageMost, MaxInflightMsgs: inflight, Logger: raftLog{g.log}}); err != nil {
+	if g.rawNode, err = raft.NewRawNode(&raft.Config{ID: goldenID, ElectionTick: 10, HeartbeatTick: 1,
+		Storage: ms, Applied: 1, MaxSizePerMsg: maxSizePerMsg, MaxInflightMsgs: maxInflightMsgs,
+		Logger: raftLogger{g.log}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.rn.Campaign(); err != nil {
+	if err := g.rawNode.Campaign(); err != nil {
 		t.Fatal(err)
 	}
-	for g.rn.HasReady() {
-		rd := g.rn.Ready()
+	for g.rawNode.HasReady() {
+		rd := g.rawNode.Ready()
 		if err := ms.Append(rd.Entries); err != nil {
 			t.Fatal(err)
 		}
-		g.rn.Advance(rd)
+		g.rawNode.Advance(rd)
 	}
 }
 
@@ -217,14 +218,14 @@
 func TestGoldenProposalIsReadAndWrittenByteForByte(t *testing.T) {
 	g := goldenGroup(goldenHost())
 	goldenLeader(t, g)
-	g.nextKey = 0x0102030405060707
+	g.lastRequestID = 0x0102030405060707
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // nobody waits for the outcome
 	if _, err := g.propose(ctx, []byte("17")); !errors.Is(err, ErrUnknown) {
 		t.Fatal(err)
 	}
-	(<-g.work)()
-	rd := g.rn.Ready()
+	(<-g.tasks)()
+	rd := g.rawNode.Ready()
 	if len(rd.Entries) != 1 {
 		t.Fatalf("%d entries, not 1", len(rd.Entries))
 	}
@@ -232,9 +233,9 @@
 
 	out := make(chan outcome, 1)
 	other := goldenGroup(goldenHost())
-	other.waiting[0x0102030405060708] = out
-	other.apply(&raftpb.Entry{Index: proto.Uint64(9), Term: proto.Uint64(1), Data: held})
-	goldenSame(t, "proposal.bin", other.machine, Machine(&adder{sum: 17, n: 1}))
+	other.proposals[0x0102030405060708] = out
+	other.applyEntry(&raftpb.Entry{Index: proto.Uint64(9), Term: proto.Uint64(1), Data: held})
+	goldenSame(t, "proposal.bin", other.stateMachine, StateMachine(&adder{sum: 17, n: 1}))
 	select {
 	case o := <-out:
 		goldenSame(t, "proposal.bin", o.result, any(int64(17)))
@@ -255,9 +256,9 @@
 	g := goldenGroup(goldenHost())
 	goldenLeader(t, g)
 	change := raftpb.EntryConfChange
-	g.apply(&raftpb.Entry{Type: &change, Index: proto.Uint64(3), Term: proto.Uint64(2), Data: held})
-	goldenSame(t, "change.bin", g.names, map[uint64]string{2: "susukino-2"})
-	goldenSame(t, "change.bin", g.conf.GetLearners(), []uint64{2})
+	g.applyEntry(&raftpb.Entry{Type: &change, Index: proto.Uint64(3), Term: proto.Uint64(2), Data: held})
+	goldenSame(t, "change.bin", g.memberNames, map[uint64]string{2: "susukino-2"})
+	goldenSame(t, "change.bin", g.confState.GetLearners(), []uint64{2})
 }
 
 // goldenRecords is what a file holds, a line a record: its buckets, its key, its value.
@@ -341,7 +342,7 @@
 		Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{goldenID, 2, 3},
 			Learners: []uint64{4}, AutoLeave: proto.Bool(false)}}}
 	hard := &raftpb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(5)}
-	if err := s.create("ledger"); err != nil {
+	if err := s.createGroup("ledger"); err != nil {
 		t.Fatal(err)
 	}
 	size, err := s.save("ledger", &raft.Ready{Snapshot: snap, HardState: hard, Entries: entries(5, 6)})
@@ -350,10 +351,11 @@
 	}
 	// The vote to found a group, as it is given.
 	h := goldenHost()
-	h.store, h.opt.Groups = s, []string{"ledger"}
+	h.store, h.opts.Groups = s, []string{"ledger"}
 	h.peers = []Peer{{Address: "susukino-2:1"}}
-	h.peers[0].Name, h.peers[0].Replica, h.peers[0].Live = "susukino-2", 2, true
-	if err := h.vote(call{Kind: "vote", Group: "ledger", From: "susukino-2", ID: 2}); err != nil {
+	h.peers[0].Name, h.peers[0].ReplicaID, h.peers[0].Live = "susukino-2", 2, true
+	req := request{Kind: "vote", Group: "ledger", From: "susukino-2", ID: 2}
+	if err := h.handleBootstrapVote(req); err != nil {
 		t.Fatal(err)
 	}
 	held := goldenFile(t, "store.txt", []byte(goldenRecords(t, s)))
@@ -361,7 +363,7 @@
 	s = goldenStore(t, string(held))
 	goldenSame(t, "store.txt", s.id, uint64(goldenID))
 	goldenSame(t, "store.txt", s.groups(), []string{"ledger"})
-	goldenSame(t, "store.txt", s.value("vote/ledger"), "0000000000000002")
+	goldenSame(t, "store.txt", s.metaValue("vote/ledger"), "0000000000000002")
 	ms, got, err := s.load("ledger")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/raftgroup/groupcalls.go
+++ b/internal/cluster/raftgroup/groupcalls.go
@@ -9,45 +9,45 @@
 	"go.etcd.io/raft/v3"
 )
 
-// fail ends all calls that wait.
-func (g *group) fail(err error) {
-	for key, out := range g.waiting {
+// failPending ends all calls that wait.
+func (g *group) failPending(err error) {
+	for key, out := range g.proposals {
 		out <- outcome{err: err}
-		delete(g.waiting, key)
+		delete(g.proposals, key)
 	}
-	for key, r := range g.reads {
+	for key, r := range g.pendingReads {
 		r.out <- outcome{err: err}
-		delete(g.reads, key)
+		delete(g.pendingReads, key)
 	}
 }
 
-func (g *group) answerReads() {
-	for key, r := range g.reads {
-		if r.index > 0 && g.applied >= r.index {
-			result, err := g.machine.Read(r.query)
+func (g *group) serveReads() {
+	for key, r := range g.pendingReads {
+		if r.index > 0 && g.appliedIndex >= r.index {
+			result, err := g.stateMachine.Read(r.query)
 			r.out <- outcome{result, err}
-			delete(g.reads, key)
+			delete(g.pendingReads, key)
 		}
 	}
 }
 
-// silent tells whether this replica neither leads nor hears of a leader. A learner, and one that was removed
-// and not told, would believe in its last leader for good.
-func (g *group) silent() bool {
-	st := g.rn.BasicStatus()
-	late := time.Since(g.heard) > 2*g.host.opt.Election
-	return st.Lead == raft.None || st.RaftState != raft.StateLeader && late
+// leaderless tells whether this replica neither leads nor hears of a leader. A learner, and one that was
+// removed and not told, would believe in its last leader for good.
+func (g *group) leaderless() bool {
+	st := g.rawNode.BasicStatus()
+	overdue := time.Since(g.lastLeaderContact) > 2*g.host.opts.ElectionTimeout
+	return st.Lead == raft.None || st.RaftState != raft.StateLeader && overdue
 }
 
-// do runs f in the group's goroutine, as soon as it gets to it.
-func (g *group) do(f func()) error {
+// enqueue runs f in the group's goroutine, as soon as it gets to it.
+func (g *group) enqueue(f func()) error {
 	select {
 	case <-g.done:
 		return ErrStopped
 	default:
 	}
 	select {
-	case g.work <- f:
+	case g.tasks <- f:
 		return nil
 	default:
 		return ErrBusy
@@ -55,9 +55,9 @@
 }
 
 // call runs begin in the group's goroutine and waits for the outcome it sets up.
-func (g *group) call(ctx context.Context, begin func(out chan outcome)) (any, error) {
+func (g *group) call(ctx context.Context, start func(out chan outcome)) (any, error) {
 	out := make(chan outcome, 1)
-	if err := g.do(func() { begin(out) }); err != nil {
+	if err := g.enqueue(func() { start(out) }); err != nil {
 		return nil, err
 	}
 	select {
@@ -73,32 +73,32 @@
 // propose has a command committed and applied.
 func (g *group) propose(ctx context.Context, data []byte) (any, error) {
 	return g.call(ctx, func(out chan outcome) {
-		refuse := func(err error) {
-			g.figures.Refused++
+		reject := func(err error) {
+			g.stats.Rejected++
 			out <- outcome{err: err}
 		}
-		switch st := g.rn.BasicStatus(); {
-		case g.stalled != nil:
-			refuse(g.stalled)
+		switch st := g.rawNode.BasicStatus(); {
+		case g.diskErr != nil:
+			reject(g.diskErr)
 			return
 		case st.RaftState != raft.StateLeader:
-			refuse(ErrNotLeader)
+			reject(ErrNotLeader)
 			return
-		case len(g.conf.GetVoters()) < leastVoters:
-			refuse(ErrForming)
+		case len(g.confState.GetVoters()) < minVoters:
+			reject(ErrForming)
 			return
 		}
-		g.nextKey++
-		whole := binary.BigEndian.AppendUint64(make([]byte, 0, 16+len(data)), g.host.store.id)
-		whole = append(binary.BigEndian.AppendUint64(whole, g.nextKey), data...)
-		if err := g.rn.Propose(whole); err != nil {
+		g.lastRequestID++
+		entry := binary.BigEndian.AppendUint64(make([]byte, 0, 16+len(data)), g.host.store.id)
+		entry = append(binary.BigEndian.AppendUint64(entry, g.lastRequestID), data...)
+		if err := g.rawNode.Propose(entry); err != nil {
 			if errors.Is(err, raft.ErrProposalDropped) {
 				err = ErrBusy
 			}
-			refuse(err)
+			reject(err)
 			return
 		}
-		g.figures.Proposed++
-		g.waiting[g.nextKey] = out
+		g.stats.Proposed++
+		g.proposals[g.lastRequestID] = out
 	})
 }
--- a/internal/cluster/raftgroup/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -36,35 +36,36 @@
 	Label     string // the fleet's
 	Hall      string
 
-	Replicas        int           // voters wanted of a group: 3 or 5
-	Expect          int           // members that must be seen before a group is founded
-	CatchUp         int           // log entries a learner may be behind when it is promoted
-	Heartbeat       time.Duration // between a leader's heartbeats
-	Election        time.Duration // without a leader so long, up to twice: a follower stands for election
-	GoneAfter       time.Duration // a member the view does not hold at all counts as gone after so long
-	SnapshotEntries int           // log entries between snapshots
-	SnapshotBytes   int64         // bytes of log between snapshots
-	Relay           string        // SOCKS5 relay for tests and the laboratory
+	Replicas          int           // voters wanted of a group: 3 or 5
+	BootstrapExpect   int           // members that must be seen before a group is founded
+	MaxLearnerLag     int           // log entries a learner may be behind when it is promoted
+	HeartbeatInterval time.Duration // between a leader's heartbeats
+	ElectionTimeout   time.Duration // without a leader so long, up to twice: a follower stands for election
+	GoneAfter         time.Duration // a member the view does not hold at all counts as gone after so long
+	SnapshotEntries   int           // log entries between snapshots
+	SnapshotBytes     int64         // bytes of log between snapshots
+	Relay             string        // SOCKS5 relay for tests and the laboratory
 
-	Groups  []string
-	Machine func(group string) Machine
-	Faults  Faults // nil but in tests
-	Log     *slog.Logger
+	Groups          []string
+	NewStateMachine func(group string) StateMachine
+	Faults          DiskFaults // nil but in tests
+	Log             *slog.Logger
 }
 
 // Check tells what is wrong with the options, naming the key.
 func (o *Options) Check() error {
-	set := placement.Settings{Replicas: o.Replicas, CatchUp: uint64(max(o.CatchUp, 0))}
+	set := placement.Settings{Replicas: o.Replicas, MaxLearnerLag: uint64(max(o.MaxLearnerLag, 0))}
 	if err := set.Check(); err != nil {
 		return fmt.Errorf("ledger.%w", err)
 	}
 	switch {
 	case o.Dir == "":
 		return errors.New("ledger.data names no folder")
-	case o.Expect < leastVoters:
-		return fmt.Errorf("ledger.expect %d is below %d", o.Expect, leastVoters)
-	case o.Election < 2*o.Heartbeat:
-		return fmt.Errorf("ledger.election %v is below twice ledger.heartbeat %v", o.Election, o.Heartbeat)
+	case o.BootstrapExpect < minVoters:
+		return fmt.Errorf("ledger.expect %d is below %d", o.BootstrapExpect, minVoters)
+	case o.ElectionTimeout < 2*o.HeartbeatInterval:
+		return fmt.Errorf("ledger.election %v is below twice ledger.heartbeat %v", o.ElectionTimeout,
+			o.HeartbeatInterval)
 	case o.SnapshotEntries < 1 || o.SnapshotBytes < 1:
 		return errors.New("ledger.snapshot_entries and ledger.snapshot_bytes must be above zero")
 	}
@@ -73,18 +74,18 @@
 
 // Host is this member's part in the groups.
 type Host struct {
-	opt   Options
+	opts  Options
 	log   *slog.Logger
 	store *store
 	net   *network
 	start time.Time
 
-	mu     sync.Mutex
-	groups map[string]*group
-	view   func() []Peer
-	peers  []Peer               // as of the last look at the view
-	absent map[string]time.Time // replicas' members that the view does not hold, since when
-	hint   map[string]string    // the member that led a group last, as told
+	mu          sync.Mutex
+	groups      map[string]*group
+	view        func() []Peer
+	peers       []Peer               // as of the last look at the view
+	absentSince map[string]time.Time // replicas' members that the view does not hold, since when
+	leaderHints map[string]string    // the member that led a group last, as told
 
 	stop chan struct{}
 	done sync.WaitGroup
@@ -96,8 +97,8 @@
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
-	h := &Host{opt: o, log: o.Log, start: time.Now(), groups: map[string]*group{},
-		absent: map[string]time.Time{}, hint: map[string]string{}, stop: make(chan struct{})}
+	h := &Host{opts: o, log: o.Log, start: time.Now(), groups: map[string]*group{},
+		absentSince: map[string]time.Time{}, leaderHints: map[string]string{}, stop: make(chan struct{})}
 	var err error
 	if h.store, err = openStore(o.Dir, o.Label, o.Faults); err != nil {
 		return nil, fmt.Errorf("ledger.data: %w", err)
@@ -114,8 +115,8 @@
 
 // Address is where other members reach this one.
 func (h *Host) Address() string {
-	if h.opt.Advertise != "" {
-		return h.opt.Advertise
+	if h.opts.Advertise != "" {
+		return h.opts.Advertise
 	}
 	return h.net.listener.Addr().String()
 }
@@ -126,33 +127,33 @@
 	h.mu.Lock()
 	h.view = view
 	h.mu.Unlock()
-	h.look()
+	h.refreshPeers()
 	for _, name := range h.store.groups() {
-		if !slices.Contains(h.opt.Groups, name) {
+		if !slices.Contains(h.opts.Groups, name) {
 			return fmt.Errorf("ledger.data: %s holds the group %q, which is none of this fleet's", h.store.path, name)
 		}
-		ms, _, err := h.store.load(name)
+		storage, _, err := h.store.load(name)
 		if err != nil {
 			return fmt.Errorf("ledger.data: %w", err)
 		}
-		snap, _ := ms.Snapshot()
-		last, _ := ms.LastIndex()
+		snap, _ := storage.Snapshot()
+		last, _ := storage.LastIndex()
 		if last == 0 && snap.GetMetadata().GetIndex() == 0 {
 			continue // removed once; opened again if a leader calls
 		}
-		if _, err := h.open(name, false); err != nil {
+		if _, err := h.openReplica(name, false); err != nil {
 			return fmt.Errorf("ledger.data: %w", err)
 		}
 	}
 	h.done.Add(2)
 	go h.loop()
-	go func() { defer h.done.Done(); h.net.serve() }()
-	h.log.Info("ledger: listening", "ledger", h.Address(), "disk", diskName(h.store.id))
+	go func() { defer h.done.Done(); h.net.accept() }()
+	h.log.Info("ledger: listening", "ledger", h.Address(), "disk", formatDiskID(h.store.id))
 	return nil
 }
 
-// open opens a group's replica unless it is open.
-func (h *Host) open(name string, founding bool) (*group, error) {
+// openReplica opens a group's replica unless it is open.
+func (h *Host) openReplica(name string, bootstrap bool) (*group, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g := h.groups[name]; g != nil {
@@ -163,15 +164,15 @@
 		return nil, ErrStopped
 	default:
 	}
-	g, err := openGroup(h, name, founding)
+	g, err := startGroup(h, name, bootstrap)
 	if err == nil {
 		h.groups[name] = g
 	}
 	return g, err
 }
 
-// forget drops a group whose replica was removed.
-func (h *Host) forget(g *group) {
+// removeReplica drops a group whose replica was removed.
+func (h *Host) removeReplica(g *group) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.groups[g.name] == g {
@@ -188,71 +189,72 @@
 // loop looks at the view and founds what is not there.
 func (h *Host) loop() {
 	defer h.done.Done()
-	look := time.NewTicker(100 * time.Millisecond)
-	defer look.Stop()
-	found := time.NewTimer(h.opt.Election)
-	defer found.Stop()
+	refresh := time.NewTicker(100 * time.Millisecond)
+	defer refresh.Stop()
+	bootstrap := time.NewTimer(h.opts.ElectionTimeout)
+	defer bootstrap.Stop()
 	for {
 		select {
 		case <-h.stop:
 			return
-		case <-look.C:
-			h.look()
-		case <-found.C:
-			for _, name := range h.opt.Groups {
-				h.found(name)
+		case <-refresh.C:
+			h.refreshPeers()
+		case <-bootstrap.C:
+			for _, name := range h.opts.Groups {
+				h.bootstrap(name)
 			}
-			h.strays()
-			found.Reset(h.opt.Election/2 + rand.N(h.opt.Election))
+			h.dropStrays()
+			bootstrap.Reset(h.opts.ElectionTimeout/2 + rand.N(h.opts.ElectionTimeout))
 		}
 	}
 }
 
-func (h *Host) look() {
+func (h *Host) refreshPeers() {
 	peers := h.view()
 	h.mu.Lock()
 	h.peers = peers
 	h.mu.Unlock()
-	h.net.addresses(peers)
+	h.net.setAddresses(peers)
 }
 
-// members is the view as placement reads it, for a group: a replica's member that the view does not hold at
-// all counts as gone once that has lasted.
-func (h *Host) members(g placement.Group) []placement.Member {
+// placementMembers is the view as placement reads it, for a group: a replica's member that the view does
+// not hold at all counts as gone once that has lasted.
+func (h *Host) placementMembers(g placement.Group) []placement.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []placement.Member
-	held := map[string]bool{}
+	inView := map[string]bool{}
 	for _, p := range h.peers {
 		out = append(out, p.Member)
-		held[p.Name] = true
-		delete(h.absent, p.Name)
+		inView[p.Name] = true
+		delete(h.absentSince, p.Name)
 	}
 	for _, r := range g.Replicas {
-		if r.Name == "" || held[r.Name] {
+		if r.Name == "" || inView[r.Name] {
 			continue
 		}
-		since, ok := h.absent[r.Name]
+		since, ok := h.absentSince[r.Name]
 		if !ok {
 			since = time.Now()
-			h.absent[r.Name] = since
+			h.absentSince[r.Name] = since
 		}
-		out = append(out, placement.Member{Name: r.Name, Replica: r.ID, Gone: time.Since(since) >= h.opt.GoneAfter})
+		out = append(out, placement.Member{Name: r.Name, ReplicaID: r.ID,
+			Gone: time.Since(since) >= h.opts.GoneAfter})
 	}
 	return out
 }
 
 var (
-	errHeld     = errors.New("the group is there already")
-	errVoted    = errors.New("another member has the vote to found the group")
-	errNotFirst = errors.New("the candidate is not first in this member's view")
+	errGroupExists    = errors.New("the group is there already")
+	errAlreadyVoted   = errors.New("another member has the vote to found the group")
+	errNotFirstRanked = errors.New("the candidate is not first in this member's view")
 )
 
 // deliver hands a message of raft's to its group, opening a replica that a leader has just added.
 func (h *Host) deliver(name string, m *raftpb.Message) {
 	g := h.group(name)
 	if g == nil {
-		if !slices.Contains(h.opt.Groups, name) || m.GetTo() != h.store.id {
+		if !slices.Contains(h.opts.Groups, name) || m.GetTo() != h.store.id {
 			return
 		}
 		switch m.GetType() {
@@ -261,7 +263,7 @@
 			return // only a leader calls a replica into being
 		}
 		var err error
-		if g, err = h.open(name, false); err != nil {
+		if g, err = h.openReplica(name, false); err != nil {
 			h.log.Warn("ledger: a replica could not be opened", "group", name, "err", err)
 			return
 		}
@@ -276,16 +278,16 @@
 }
 
 // send hands messages of a group's to the network.
-func (h *Host) send(name string, ms []*raftpb.Message) {
-	for _, m := range ms {
+func (h *Host) send(name string, msgs []*raftpb.Message) {
+	for _, m := range msgs {
 		if !h.net.send(name, m) {
-			h.undelivered(name, m)
+			h.reportUndelivered(name, m)
 		}
 	}
 }
 
-// undelivered tells a group that a message did not get out.
-func (h *Host) undelivered(name string, m *raftpb.Message) {
+// reportUndelivered tells a group that a message did not get out.
+func (h *Host) reportUndelivered(name string, m *raftpb.Message) {
 	g := h.group(name)
 	if g == nil {
 		return
@@ -302,8 +304,8 @@
 	}
 }
 
-// snapshotSent tells a group that a snapshot got out whole.
-func (h *Host) snapshotSent(name string, to uint64) {
+// reportSnapshotSent tells a group that a snapshot got out whole.
+func (h *Host) reportSnapshotSent(name string, to uint64) {
 	if g := h.group(name); g != nil {
 		kind := raftpb.MsgSnapStatus
 		select {
--- a/internal/cluster/raftgroup/host_test.go
+++ b/internal/cluster/raftgroup/host_test.go
@@ -35,8 +35,8 @@
 	return err
 }
 
-// fleetOf is hosts in this process that see each other, with a view that the test changes.
-type fleetOf struct {
+// testCluster is hosts in this process that see each other, with a view that the test changes.
+type testCluster struct {
 	t     *testing.T
 	mu    sync.Mutex
 	hosts map[string]*Host
@@ -44,8 +44,8 @@
 	down  map[string]bool // gone in everybody's view
 }
 
-func newFleet(t *testing.T, names ...string) *fleetOf {
-	f := &fleetOf{t: t, hosts: map[string]*Host{}, dirs: map[string]string{}, down: map[string]bool{}}
+func newTestCluster(t *testing.T, names ...string) *testCluster {
+	f := &testCluster{t: t, hosts: map[string]*Host{}, dirs: map[string]string{}, down: map[string]bool{}}
 	t.Cleanup(func() {
 		for _, h := range f.hosts {
 			h.Close()
@@ -58,13 +58,14 @@
 	return f
 }
 
-func (f *fleetOf) start(name string) *Host {
+func (f *testCluster) start(name string) *Host {
 	f.t.Helper()
 	h, err := Open(Options{Name: name, Bind: "127.0.0.1:0", Dir: f.dirs[name], Label: "test", Replicas: 3,
-		Expect: 3, CatchUp: 20, Heartbeat: 20 * time.Millisecond, Election: 200 * time.Millisecond,
+		BootstrapExpect: 3, MaxLearnerLag: 20, HeartbeatInterval: 20 * time.Millisecond,
+		ElectionTimeout: 200 * time.Millisecond,
 		GoneAfter:       time.Hour,
 		SnapshotEntries: 50, SnapshotBytes: 1 << 20, Groups: []string{"g"},
-		Machine: func(string) Machine { return &adder{} }, Log: slog.New(slog.DiscardHandler)})
+		NewStateMachine: func(string) StateMachine { return &adder{} }, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -78,7 +79,7 @@
 	return h
 }
 
-func (f *fleetOf) stop(name string, gone bool) {
+func (f *testCluster) stop(name string, gone bool) {
 	f.mu.Lock()
 	h := f.hosts[name]
 	f.down[name] = gone
@@ -86,7 +87,7 @@
 	h.Close()
 }
 
-func (f *fleetOf) view() []Peer {
+func (f *testCluster) view() []Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []Peer
@@ -97,13 +98,13 @@
 			closed = true
 		default:
 		}
-		out = append(out, Peer{Address: h.Address(), Member: placement.Member{Name: name, Replica: h.ID(),
+		out = append(out, Peer{Address: h.Address(), Member: placement.Member{Name: name, ReplicaID: h.ID(),
 			Live: !closed, Gone: f.down[name]}})
 	}
 	return out
 }
 
-func soon(t *testing.T) context.Context {
+func timeoutContext(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	return c
@@ -111,10 +112,10 @@
 
 // add proposes until it is done; what is proposed again after ErrUnknown may count twice, which tests allow
 // for where they cause it.
-func (f *fleetOf) add(h *Host, x int) (unknown int) {
+func (f *testCluster) add(h *Host, x int) (unknown int) {
 	f.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		_, err := h.Propose(soon(f.t), "g", []byte(strconv.Itoa(x)))
+		_, err := h.Propose(timeoutContext(f.t), "g", []byte(strconv.Itoa(x)))
 		if err == nil {
 			return unknown
 		}
@@ -126,12 +127,12 @@
 	return 0
 }
 
-func (f *fleetOf) read(h *Host) int64 {
+func (f *testCluster) read(h *Host) int64 {
 	f.t.Helper()
 	var err error
 	for range 200 {
 		var raw json.RawMessage
-		if raw, err = h.Read(soon(f.t), "g", nil); err == nil {
+		if raw, err = h.Read(timeoutContext(f.t), "g", nil); err == nil {
 			var n int64
 			json.Unmarshal(raw, &n)
 			return n
@@ -143,8 +144,8 @@
 }
 
 // Proposals at any member are read at any member, through snapshots, restarts and a replacement.
-func TestHosts(t *testing.T) {
-	f := newFleet(t, "a", "b", "c", "d")
+func TestProposalsSurviveRestartAndReplacement(t *testing.T) {
+	f := newTestCluster(t, "a", "b", "c", "d")
 	want := int64(0)
 	for i := range 120 { // over two snapshots
 		f.add(f.hosts[[]string{"a", "b", "c", "d"}[i%4]], i)
@@ -155,26 +156,26 @@
 			t.Errorf("%s reads %d, not %d", name, got, want)
 		}
 	}
-	var held []string
+	var replicas []string
 	for name, h := range f.hosts {
 		if h.Status("g").Role != "none" {
-			held = append(held, name)
+			replicas = append(replicas, name)
 		}
 	}
-	if len(held) != 3 {
-		t.Fatalf("replicas at %v", held)
+	if len(replicas) != 3 {
+		t.Fatalf("replicas at %v", replicas)
 	}
-	f.stop(held[0], false) // restarts with its disk
-	f.add(f.hosts[held[1]], 1000)
-	h := f.start(held[0])
+	f.stop(replicas[0], false) // restarts with its disk
+	f.add(f.hosts[replicas[1]], 1000)
+	h := f.start(replicas[0])
 	if got := f.read(h); got != want+1000 {
-		t.Errorf("after a restart %s reads %d, not %d", held[0], got, want+1000)
+		t.Errorf("after a restart %s reads %d, not %d", replicas[0], got, want+1000)
 	}
-	f.stop(held[1], true) // gone for good
+	f.stop(replicas[1], true) // gone for good
 	for range 500 {
 		n := 0
 		for name, h := range f.hosts {
-			if name != held[1] && h.Status("g").Role != "none" {
+			if name != replicas[1] && h.Status("g").Role != "none" {
 				n++
 			}
 		}
@@ -184,7 +185,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	for name, h := range f.hosts {
-		if name != held[1] && f.read(h) != want+1000 {
+		if name != replicas[1] && f.read(h) != want+1000 {
 			t.Errorf("%s lost something after the replacement", name)
 		}
 	}
@@ -192,27 +193,27 @@
 
 // A group without three voters promises nothing, and one that was founded is not founded again by a member
 // whose disk is lost.
-func TestFoundedOnce(t *testing.T) {
-	f := newFleet(t, "a", "b")
+func TestGroupIsBootstrappedOnce(t *testing.T) {
+	f := newTestCluster(t, "a", "b")
 	time.Sleep(time.Second)
-	if _, err := f.hosts["a"].Propose(soon(t), "g", []byte("1")); err == nil {
+	if _, err := f.hosts["a"].Propose(timeoutContext(t), "g", []byte("1")); err == nil {
 		t.Error("two members promised something")
 	}
 	f.dirs["c"] = t.TempDir()
 	f.start("c")
 	f.add(f.hosts["a"], 7)
-	founder := first("g", livePeers(f.view()))
+	bootstrapper := firstRanked("g", livePeers(f.view()))
 	others := []string{}
 	for name := range f.hosts {
 		f.stop(name, false)
-		if name != founder {
+		if name != bootstrapper {
 			others = append(others, name)
 		}
 	}
-	if err := os.RemoveAll(f.dirs[founder]); err != nil {
+	if err := os.RemoveAll(f.dirs[bootstrapper]); err != nil {
 		t.Fatal(err)
 	}
-	h := f.start(founder)
+	h := f.start(bootstrapper)
 	time.Sleep(time.Second)
 	if st := h.Status("g"); st.Role != "none" {
 		t.Errorf("the founder without a disk founded again: %+v", st)
@@ -225,8 +226,8 @@
 	}
 }
 
-func TestBadCallers(t *testing.T) {
-	f := newFleet(t, "a", "b", "c")
+func TestMalformedFramesAreRejected(t *testing.T) {
+	f := newTestCluster(t, "a", "b", "c")
 	f.add(f.hosts["a"], 1)
 	h := f.hosts["b"]
 	frame := func(kind byte, body string) []byte {
@@ -238,10 +239,10 @@
 		"garbage":             []byte("GET / HTTP/1.1\r\n\r\n"),
 		"another fleet":       frame(frameHello, `{"protocol":1,"label":"other"}`),
 		"another protocol":    frame(frameHello, `{"protocol":7,"label":"test"}`),
-		"no hello":            frame(frameCall, `{}`),
+		"no hello":            frame(frameRequest, `{}`),
 		"an endless frame":    {0xff, 0xff, 0xff, 0xff, frameHello},
-		"a call cut off":      append(append([]byte{}, hello...), 0, 0, 1, 0, frameCall, '{'),
-		"a call that is none": append(append([]byte{}, hello...), frame(frameCall, "no json")...),
+		"a call cut off":      append(append([]byte{}, hello...), 0, 0, 1, 0, frameRequest, '{'),
+		"a call that is none": append(append([]byte{}, hello...), frame(frameRequest, "no json")...),
 		"a spoilt message":    append(append([]byte{}, hello...), frame(frameRaft, "\x01g\xff\xff\xff")...),
 		"a short message":     append(append([]byte{}, hello...), frame(frameRaft, "\xf0g")...),
 		"an unknown frame":    append(append([]byte{}, hello...), frame('?', "")...),
@@ -258,11 +259,12 @@
 		}
 		c.Close()
 	}
-	a := h.serve(soon(t), call{Kind: "propose", Group: "g", From: "stranger"})
+	a := h.handleRequest(timeoutContext(t), request{Kind: "propose", Group: "g", From: "stranger"})
 	if !strings.Contains(a.Err, "no member") {
 		t.Errorf("a batch of a stranger: %+v", a)
 	}
-	if a := h.serve(soon(t), call{Kind: "dance", Group: "g"}); !strings.Contains(a.Err, "is no call") {
+	a = h.handleRequest(timeoutContext(t), request{Kind: "dance", Group: "g"})
+	if !strings.Contains(a.Err, "is no call") {
 		t.Errorf("an unknown call: %+v", a)
 	}
 	h.deliver("none", &raftpb.Message{})
@@ -273,16 +275,16 @@
 }
 
 func TestOptionsAreChecked(t *testing.T) {
-	good := Options{Dir: "x", Replicas: 3, Expect: 3, CatchUp: 1, Heartbeat: 1, Election: 2, SnapshotEntries: 1,
-		SnapshotBytes: 1}
+	good := Options{Dir: "x", Replicas: 3, BootstrapExpect: 3, MaxLearnerLag: 1, HeartbeatInterval: 1,
+		ElectionTimeout: 2, SnapshotEntries: 1, SnapshotBytes: 1}
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for says, spoil := range map[string]func(*Options){
 		"ledger.replicas": func(o *Options) { o.Replicas = 2 }, "ledger.data": func(o *Options) { o.Dir = "" },
-		"ledger.expect":    func(o *Options) { o.Expect = 1 },
-		"ledger.election":  func(o *Options) { o.Election = 1 },
-		"ledger.catch_up":  func(o *Options) { o.CatchUp = 0 },
+		"ledger.expect":    func(o *Options) { o.BootstrapExpect = 1 },
+		"ledger.election":  func(o *Options) { o.ElectionTimeout = 1 },
+		"ledger.catch_up":  func(o *Options) { o.MaxLearnerLag = 0 },
 		"ledger.snapshot_": func(o *Options) { o.SnapshotBytes = 0 },
 	} {
 		o := good
--- a/internal/cluster/raftgroup/sender.go
+++ b/internal/cluster/raftgroup/sender.go
@@ -9,20 +9,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// restAfter is how long a member that cannot be reached is left alone.
-const restAfter = 100 * time.Millisecond
+// unreachableBackoff is how long a member that cannot be reached is left alone.
+const unreachableBackoff = 100 * time.Millisecond
 
-// outgoing is a message of a group's on its way.
-type outgoing struct {
+// outboundMsg is a message of a group's on its way.
+type outboundMsg struct {
 	group string
-	m     *raftpb.Message
+	msg   *raftpb.Message
 }
 
 // sender carries raft's messages to one member's disk, in their order, over one connection.
 type sender struct {
 	net   *network
 	to    uint64
-	queue chan outgoing
+	queue chan outboundMsg
 }
 
 // send queues a message; false where it cannot.
@@ -30,18 +30,18 @@
 	to := m.GetTo()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.closed || n.address[to] == "" {
+	if n.closed || n.addresses[to] == "" {
 		return false
 	}
 	s := n.senders[to]
 	if s == nil {
-		s = &sender{net: n, to: to, queue: make(chan outgoing, queueMost)}
+		s = &sender{net: n, to: to, queue: make(chan outboundMsg, sendQueueSize)}
 		n.senders[to] = s
 		n.done.Add(1)
 		go s.run()
 	}
 	select {
-	case s.queue <- outgoing{group, m}:
+	case s.queue <- outboundMsg{group, m}:
 		return true
 	default:
 		return false
@@ -55,16 +55,16 @@
 	address := ""
 	defer func() {
 		if c != nil {
-			s.net.drop(c)
+			s.net.closeConn(c)
 		}
 	}()
-	rest := time.NewTimer(silentMost / 2)
-	defer rest.Stop()
+	idle := time.NewTimer(idleTimeout / 2)
+	defer idle.Stop()
 	for {
 		select {
 		case <-s.net.stop:
 			return
-		case <-rest.C:
+		case <-idle.C:
 			s.net.mu.Lock()
 			if len(s.queue) == 0 {
 				delete(s.net.senders, s.to)
@@ -72,69 +72,69 @@
 				return
 			}
 			s.net.mu.Unlock()
-			rest.Reset(silentMost / 2)
+			idle.Reset(idleTimeout / 2)
 		case o := <-s.queue:
-			rest.Reset(silentMost / 2)
+			idle.Reset(idleTimeout / 2)
 			s.net.mu.Lock()
-			now := s.net.address[s.to]
+			current := s.net.addresses[s.to]
 			s.net.mu.Unlock()
-			if c != nil && now != address { // it moved
-				s.net.drop(c)
+			if c != nil && current != address { // it moved
+				s.net.closeConn(c)
 				c = nil
 			}
 			if c == nil {
 				var err error
-				if c, err = s.net.dial(context.Background(), now); err != nil {
+				if c, err = s.net.dial(context.Background(), current); err != nil {
 					c = nil
-					s.unreached(o)
+					s.reportUnreachable(o)
 					continue
 				}
-				address = now
-				go s.watch(c)
+				address = current
+				go s.closeOnEOF(c)
 			}
 			if !s.write(c, o) {
-				s.net.drop(c)
+				s.net.closeConn(c)
 				c = nil
-				s.unreached(o)
+				s.reportUnreachable(o)
 			}
 		}
 	}
 }
 
-// watch ends a connection once the other side closes it, so that the next message finds out.
-func (s *sender) watch(c net.Conn) {
+// closeOnEOF ends a connection once the other side closes it, so that the next message finds out.
+func (s *sender) closeOnEOF(c net.Conn) {
 	var one [1]byte
 	c.Read(one[:])
 	c.Close()
 }
 
-func (s *sender) write(c net.Conn, o outgoing) bool {
-	raw, err := proto.Marshal(o.m)
+func (s *sender) write(c net.Conn, o outboundMsg) bool {
+	raw, err := proto.Marshal(o.msg)
 	if err != nil {
 		return true // it never can be sent
 	}
-	within := writeWithin
+	timeout := writeTimeout
 	if len(raw) > 1<<20 {
-		within = time.Minute // a snapshot
+		timeout = time.Minute // a snapshot
 	}
-	c.SetWriteDeadline(time.Now().Add(within))
+	c.SetWriteDeadline(time.Now().Add(timeout))
 	if writeFrame(c, frameRaft, []byte{byte(len(o.group))}, []byte(o.group), raw) != nil {
 		return false
 	}
-	if o.m.GetType() == raftpb.MsgSnap {
-		s.net.host.snapshotSent(o.group, s.to)
+	if o.msg.GetType() == raftpb.MsgSnap {
+		s.net.host.reportSnapshotSent(o.group, s.to)
 	}
 	return true
 }
 
-// unreached tells the groups whose messages did not get out, and drops what waits: raft sends again.
-func (s *sender) unreached(o outgoing) {
-	s.net.host.undelivered(o.group, o.m)
+// reportUnreachable tells the groups whose messages did not get out, and drops what waits: raft sends again.
+func (s *sender) reportUnreachable(o outboundMsg) {
+	s.net.host.reportUndelivered(o.group, o.msg)
 	for {
 		select {
 		case o := <-s.queue:
-			if o.m.GetType() == raftpb.MsgSnap {
-				s.net.host.undelivered(o.group, o.m)
+			if o.msg.GetType() == raftpb.MsgSnap {
+				s.net.host.reportUndelivered(o.group, o.msg)
 			}
 			continue
 		default:
@@ -142,7 +142,7 @@
 		break
 	}
 	select {
-	case <-time.After(restAfter):
+	case <-time.After(unreachableBackoff):
 	case <-s.net.stop:
 	}
 }
--- a/internal/cluster/raftgroup/store.go
+++ b/internal/cluster/raftgroup/store.go
@@ -24,14 +24,14 @@
 // The file holds one bucket of what it is, and one bucket a group: the log by index, the hard state, the last
 // snapshot. Every value of a group has a checksum before it (xxhash, 8 bytes).
 var (
-	metaBucket = []byte("meta")
-	logBucket  = []byte("log")
-	hardKey    = []byte("hard")
-	snapKey    = []byte("snap")
+	metaBucket   = []byte("meta")
+	logBucket    = []byte("log")
+	hardStateKey = []byte("hard")
+	snapshotKey  = []byte("snap")
 )
 
-// Faults has the disk fail, for tests and the laboratory. A nil one does nothing.
-type Faults interface {
+// DiskFaults has the disk fail, for tests and the laboratory. A nil one does nothing.
+type DiskFaults interface {
 	// Sync is called before what is written is synced: it may wait, or return an error such as ENOSPC.
 	Sync() error
 }
@@ -41,17 +41,17 @@
 	db     *bolt.DB
 	path   string
 	id     uint64 // identity of this disk, drawn when the file was made
-	faults Faults
+	faults DiskFaults
 }
 
 // openStore opens the file in a folder, making both where they are missing. Errors name the file and say what
 // is wrong: of another fleet, of a newer format, held by another process, cut off.
-func openStore(dir, label string, faults Faults) (*store, error) {
+func openStore(dir, label string, faults DiskFaults) (*store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, "replica.db")
-	if err := checkWhole(path); err != nil {
+	if err := checkNotTruncated(path); err != nil {
 		return nil, err
 	}
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, NoFreelistSync: true,
@@ -70,9 +70,9 @@
 	return s, nil
 }
 
-// checkWhole refuses a file that is shorter than its own head says: reading on would end in a fault of the
-// memory it is mapped to.
-func checkWhole(path string) error {
+// checkNotTruncated refuses a file that is shorter than its own head says: reading on would end in a fault
+// of the memory it is mapped to.
+func checkNotTruncated(path string) error {
 	st, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -83,7 +83,7 @@
 	if st.Size() == 0 {
 		return nil // made and not yet written
 	}
-	cut := func(why string) error {
+	truncated := func(why string) error {
 		return fmt.Errorf("%s is cut off (%s); move it away and start again: the group brings this replica up "+
 			"anew from the others", path, why)
 	}
@@ -92,16 +92,16 @@
 		return fmt.Errorf("%s is held by another process", path)
 	}
 	if err != nil {
-		return cut(err.Error())
+		return truncated(err.Error())
 	}
 	defer db.Close()
 	tx, err := db.Begin(false)
 	if err != nil {
-		return cut(err.Error())
+		return truncated(err.Error())
 	}
 	defer tx.Rollback()
 	if want := tx.Size(); st.Size() < want {
-		return cut(fmt.Sprintf("%d bytes of %d", st.Size(), want))
+		return truncated(fmt.Sprintf("%d bytes of %d", st.Size(), want))
 	}
 	return nil
 }
@@ -146,11 +146,11 @@
 	return s.db.Update(f)
 }
 
-func seal(b []byte) []byte {
+func addChecksum(b []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(b)), xxhash.Sum64(b)), b...)
 }
 
-func unseal(b []byte) ([]byte, error) {
+func verifyChecksum(b []byte) ([]byte, error) {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
 		return nil, errors.New("its checksum does not fit")
 	}
@@ -186,7 +186,7 @@
 		}
 		ms = raft.NewMemoryStorage()
 		read := func(what string, raw []byte, into proto.Message) error {
-			plain, err := unseal(raw)
+			plain, err := verifyChecksum(raw)
 			if err == nil {
 				err = proto.Unmarshal(plain, into)
 			}
@@ -195,7 +195,7 @@
 			}
 			return nil
 		}
-		if raw := b.Get(snapKey); raw != nil {
+		if raw := b.Get(snapshotKey); raw != nil {
 			snap := &raftpb.Snapshot{}
 			if err := read("its snapshot", raw, snap); err != nil {
 				return err
@@ -204,7 +204,7 @@
 				return err
 			}
 		}
-		if raw := b.Get(hardKey); raw != nil {
+		if raw := b.Get(hardStateKey); raw != nil {
 			hard := &raftpb.HardState{}
 			if err := read("its hard state", raw, hard); err != nil {
 				return err
@@ -233,8 +233,8 @@
 	return ms, size, err
 }
 
-// create makes room for a group.
-func (s *store) create(group string) error {
+// createGroup makes room for a group.
+func (s *store) createGroup(group string) error {
 	return s.update(func(tx *bolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(groupBucket(group))
 		if err == nil {
@@ -256,7 +256,7 @@
 			if err != nil {
 				return err
 			}
-			if err := b.Put(snapKey, seal(raw)); err != nil {
+			if err := b.Put(snapshotKey, addChecksum(raw)); err != nil {
 				return err
 			}
 			if err := b.DeleteBucket(logBucket); err != nil { // the log starts anew behind the snapshot
@@ -271,7 +271,7 @@
 			if err != nil {
 				return err
 			}
-			if err := b.Put(hardKey, seal(raw)); err != nil {
+			if err := b.Put(hardStateKey, addChecksum(raw)); err != nil {
 				return err
 			}
 		}
@@ -285,7 +285,7 @@
 			if err != nil {
 				return err
 			}
-			if err := log.Put(indexKey(e.GetIndex()), seal(raw)); err != nil {
+			if err := log.Put(indexKey(e.GetIndex()), addChecksum(raw)); err != nil {
 				return err
 			}
 			size += int64(len(raw)) + 8
@@ -304,18 +304,18 @@
 }
 
 // compact writes a snapshot and drops the log before an index.
-func (s *store) compact(group string, snap *raftpb.Snapshot, before uint64) error {
+func (s *store) compact(group string, snap *raftpb.Snapshot, firstIndex uint64) error {
 	raw, err := proto.Marshal(snap)
 	if err != nil {
 		return err
 	}
 	return s.update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(groupBucket(group))
-		if err := b.Put(snapKey, seal(raw)); err != nil {
+		if err := b.Put(snapshotKey, addChecksum(raw)); err != nil {
 			return err
 		}
 		c := b.Bucket(logBucket).Cursor()
-		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < before; k, _ = c.First() {
+		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < firstIndex; k, _ = c.First() {
 			if err := c.Delete(); err != nil {
 				return err
 			}
@@ -324,16 +324,16 @@
 	})
 }
 
-// clear drops a group's log and snapshot, after its replica here was removed. What it voted stays.
-func (s *store) clear(group string) error {
+// clearGroup drops a group's log and snapshot, after its replica here was removed. What it voted stays.
+func (s *store) clearGroup(group string) error {
 	return s.update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(groupBucket(group))
-		if err := b.Delete(snapKey); err != nil {
+		if err := b.Delete(snapshotKey); err != nil {
 			return err
 		}
-		if raw := b.Get(hardKey); raw != nil {
+		if raw := b.Get(hardStateKey); raw != nil {
 			hard := &raftpb.HardState{}
-			if plain, err := unseal(raw); err != nil || proto.Unmarshal(plain, hard) != nil {
+			if plain, err := verifyChecksum(raw); err != nil || proto.Unmarshal(plain, hard) != nil {
 				return errors.New("its hard state does not decode")
 			}
 			hard.Commit = proto.Uint64(0)
@@ -341,7 +341,7 @@
 			if err != nil {
 				return err
 			}
-			if err := b.Put(hardKey, seal(plain)); err != nil {
+			if err := b.Put(hardStateKey, addChecksum(plain)); err != nil {
 				return err
 			}
 		}
@@ -353,8 +353,8 @@
 	})
 }
 
-// value and setValue are small things of the member's own, beside the groups.
-func (s *store) value(key string) string {
+// metaValue and setMetaValue are small things of the member's own, beside the groups.
+func (s *store) metaValue(key string) string {
 	var v string
 	s.db.View(func(tx *bolt.Tx) error {
 		v = string(tx.Bucket(metaBucket).Get([]byte(key)))
@@ -363,6 +363,6 @@
 	return v
 }
 
-func (s *store) setValue(key, value string) error {
+func (s *store) setMetaValue(key, value string) error {
 	return s.update(func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put([]byte(key), []byte(value)) })
 }
--- a/internal/cluster/raftgroup/store_test.go
+++ b/internal/cluster/raftgroup/store_test.go
@@ -32,12 +32,12 @@
 	return s
 }
 
-// filled makes a file with 40 log entries, each saved by itself, and returns its folder.
-func filled(t *testing.T) string {
+// storeWithEntries makes a file with 40 log entries, each saved by itself, and returns its folder.
+func storeWithEntries(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	s := mustOpen(t, dir)
-	if err := s.create("g"); err != nil {
+	if err := s.createGroup("g"); err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range entries(1, 40) {
@@ -53,9 +53,9 @@
 
 // A file cut at any byte of its last pages is refused, plainly, or read with all that it held: never with
 // less, and never with a crash.
-func TestStoreCutAnywhere(t *testing.T) {
-	path := filepath.Join(filled(t), "replica.db")
-	whole, err := os.ReadFile(path)
+func TestTruncatedStoreIsRejectedOrComplete(t *testing.T) {
+	path := filepath.Join(storeWithEntries(t), "replica.db")
+	full, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,10 +64,10 @@
 		t.Cleanup(func() { os.RemoveAll(fast) })
 		dir = fast
 	}
-	refused, read := 0, 0
+	rejected, read := 0, 0
 	// Every byte of the last page, then every 997th before.
-	for cut := len(whole) - 1; cut > 0; {
-		if err := os.WriteFile(filepath.Join(dir, "replica.db"), whole[:cut], 0o600); err != nil {
+	for cut := len(full) - 1; cut > 0; {
+		if err := os.WriteFile(filepath.Join(dir, "replica.db"), full[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, err := openStore(dir, "fleet", nil)
@@ -75,34 +75,34 @@
 		case err != nil && !strings.Contains(err.Error(), "replica.db"):
 			t.Fatalf("cut at %d: %v names no file", cut, err)
 		case err != nil:
-			refused++
+			rejected++
 		default:
 			ms, _, err := s.load("g")
 			if err != nil {
-				refused++
+				rejected++
 			} else if last, _ := ms.LastIndex(); last != 40 {
-				t.Fatalf("cut at %d of %d: read with %d entries", cut, len(whole), last)
+				t.Fatalf("cut at %d of %d: read with %d entries", cut, len(full), last)
 			} else {
 				read++
 			}
 			s.close()
 		}
-		if cut > len(whole)-4096 {
+		if cut > len(full)-4096 {
 			cut--
 		} else {
 			cut -= 997
 		}
 	}
-	t.Logf("%d bytes; %d cuts refused, %d read whole", len(whole), refused, read)
-	if refused == 0 {
+	t.Logf("%d bytes; %d cuts refused, %d read whole", len(full), rejected, read)
+	if rejected == 0 {
 		t.Error("no cut was refused")
 	}
 }
 
-func TestStoreTellsWhatItIs(t *testing.T) {
-	dir := filled(t)
+func TestStoreErrorsNameTheirCause(t *testing.T) {
+	dir := storeWithEntries(t)
 	put := func(key, value string) func(*store) error {
-		return func(s *store) error { return s.setValue(key, value) }
+		return func(s *store) error { return s.setMetaValue(key, value) }
 	}
 	for what, c := range map[string]struct {
 		spoil func(*store) error
@@ -156,8 +156,8 @@
 	}
 }
 
-func TestStoreOverwritesCompactsClears(t *testing.T) {
-	s := mustOpen(t, filled(t))
+func TestStoreOverwritesCompactsAndClears(t *testing.T) {
+	s := mustOpen(t, storeWithEntries(t))
 	last := func() (uint64, uint64) {
 		t.Helper()
 		ms, _, err := s.load("g")
@@ -187,7 +187,7 @@
 	if _, err := s.save("g", &raft.Ready{HardState: hard}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.clear("g"); err != nil {
+	if err := s.clearGroup("g"); err != nil {
 		t.Fatal(err)
 	}
 	ms, _, err := s.load("g")
@@ -223,7 +223,7 @@
 	}
 	defer s.close()
 	os.WriteFile(path, []byte(`{"full": true}`), 0o600)
-	if err := s.create("g"); err == nil || errors.Is(err, os.ErrNotExist) {
+	if err := s.createGroup("g"); err == nil || errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a full disk: %v", err)
 	}
 }
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -26,11 +26,12 @@
 	if p.ledger != nil {
 		ledgerAt, disk = p.ledger.host.Address(), p.ledger.host.ID()
 	}
-	f, err := gossip.Start(gossip.Options{Ledger: ledgerAt, Disk: disk,
+	f, err := gossip.Start(gossip.Options{LedgerAddress: ledgerAt, ReplicaID: disk,
 		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Seeds: c.Seeds, Label: c.Label,
-		Version: version, Hall: p.cfg.Policy.Hall, Probe: c.Probe, ProbeTimeout: c.Timeout, Gossip: c.Gossip,
-		SuspicionMult: c.Suspicion, Rejoin: c.Rejoin, SyncEach: c.SyncEach, Relay: c.Relay,
-		View: membership.Settings{GoneAfter: c.GoneAfter, FlapWindow: c.Flaps, Forget: c.Forget,
+		Version: version, Hall: p.cfg.Policy.Hall, ProbeInterval: c.Probe, ProbeTimeout: c.Timeout,
+		GossipInterval: c.Gossip,
+		SuspicionMult:  c.Suspicion, RejoinInterval: c.Rejoin, SyncIntervalPerMember: c.SyncEach, Relay: c.Relay,
+		Membership: membership.Settings{GoneAfter: c.GoneAfter, FlapWindow: c.Flaps, ForgetAfter: c.Forget,
 			MaxMembers: c.Members},
 		Log: p.log.Logger,
 	})
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -45,7 +45,7 @@
 	if err := set.Check(); err != nil {
 		return err
 	}
-	var faults raftgroup.Faults
+	var faults raftgroup.DiskFaults
 	if c.Faults != "" {
 		faults = raftgroup.FileFaults{Path: c.Faults}
 	}
@@ -53,11 +53,11 @@
 	var err error
 	l.host, err = raftgroup.Open(raftgroup.Options{
 		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Dir: c.Data, Label: p.cfg.Fleet.Label,
-		Hall: p.cfg.Policy.Hall, Replicas: c.Replicas, Expect: c.Expect, CatchUp: c.CatchUp,
-		Heartbeat: c.Heartbeat, Election: c.Election, GoneAfter: p.cfg.Fleet.GoneAfter,
+		Hall: p.cfg.Policy.Hall, Replicas: c.Replicas, BootstrapExpect: c.Expect, MaxLearnerLag: c.CatchUp,
+		HeartbeatInterval: c.Heartbeat, ElectionTimeout: c.Election, GoneAfter: p.cfg.Fleet.GoneAfter,
 		SnapshotEntries: c.SnapEvery, SnapshotBytes: int64(c.SnapBytes), Relay: p.cfg.Fleet.Relay,
 		Groups: []string{ledgerGroup}, Faults: faults, Log: p.log.Logger,
-		Machine: func(string) raftgroup.Machine {
+		NewStateMachine: func(string) raftgroup.StateMachine {
 			m, _ := groupstate.New(set) // checked above
 			return m
 		},
@@ -103,7 +103,7 @@
 	closer := pending.PeriodCloser{Period: p.cfg.Ledger.Period, Stop: l.stop, Propose: l.propose,
 		IsLeader: func() bool { return l.host.Leads(ledgerGroup) },
 		OpenPeriod: func() (uint64, bool) {
-			v, ok := l.host.Peek(ledgerGroup, openQuery)
+			v, ok := l.host.ReadStale(ledgerGroup, openQuery)
 			view, is := v.(ledger.View)
 			return view.OpenPeriod, ok && is
 		}}
@@ -126,8 +126,8 @@
 	var out []raftgroup.Peer
 	for _, m := range p.fleet.Members() {
 		live := m.Status == membership.Alive || m.Status == membership.Suspect
-		out = append(out, raftgroup.Peer{Address: m.Meta.Ledger, Member: placement.Member{Name: m.Name,
-			Replica: m.Meta.Disk, Hall: m.Meta.Hall, Gone: m.Gone,
+		out = append(out, raftgroup.Peer{Address: m.Meta.LedgerAddress, Member: placement.Member{Name: m.Name,
+			ReplicaID: m.Meta.ReplicaID, Hall: m.Meta.Hall, Gone: m.Gone,
 			Live: live && m.Meta.Phase != membership.Leaving}})
 	}
 	return out
--- a/internal/proxy/daemon/owner.go
+++ b/internal/proxy/daemon/owner.go
@@ -23,7 +23,7 @@
 	return s.host.Read(ctx, ledgerGroup, query)
 }
 
-func (s groupStore) Peek(query []byte) (any, bool) { return s.host.Peek(ledgerGroup, query) }
+func (s groupStore) Peek(query []byte) (any, bool) { return s.host.ReadStale(ledgerGroup, query) }
 
 // endpointSource is the list of servers as the chores use it.
 type endpointSource struct{ *discovery.Client }
--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -65,7 +65,7 @@
 	var out []raftgroup.Peer
 	for name, x := range m.members {
 		out = append(out, raftgroup.Peer{Address: x.host.Address(), Member: placement.Member{Name: name,
-			Replica: x.host.ID(), Live: !m.gone[name], Gone: m.gone[name]}})
+			ReplicaID: x.host.ID(), Live: !m.gone[name], Gone: m.gone[name]}})
 	}
 	return out
 }
@@ -76,9 +76,10 @@
 	x := &measured{}
 	var err error
 	x.host, err = raftgroup.Open(raftgroup.Options{Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure",
-		Replicas: 3, Expect: 3, CatchUp: 100, Heartbeat: 100 * time.Millisecond, Election: time.Second,
-		GoneAfter: time.Hour, SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Groups: []string{measureGroup},
-		Log: log, Machine: func(string) raftgroup.Machine {
+		Replicas: 3, BootstrapExpect: 3, MaxLearnerLag: 100, HeartbeatInterval: 100 * time.Millisecond,
+		ElectionTimeout: time.Second,
+		GoneAfter:       time.Hour, SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Groups: []string{measureGroup},
+		Log: log, NewStateMachine: func(string) raftgroup.StateMachine {
 			l, _ := groupstate.New(ledger.Settings{MaxPeriods: 1440, DedupPeriods: 2, MaxIDs: 1_000_000,
 				MaxTenants: 10_000,
 				MaxMembers: 4096})
