--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -30,28 +30,30 @@
 		kind     ChangeKind
 		id       uint64
 	}{
-		"whole":                         {abc, view, None, 0},
-		"a founder alone adds":          {abc[:1], view[:2], AddLearner, 2},
-		"a learner behind is waited on": {append(abc[:1:1], learner("b", 2, 50)), view, None, 0},
-		"a learner unseen is waited on": {append(abc[:1:1], learner("b", 2, 0)), view, None, 0},
-		"a learner near is promoted":    {append(abc[:1:1], learner("b", 2, 95)), view, Promote, 2},
-		"a dead one keeps its place while it may return": {abc,
+		"complete":                             {abc, view, None, 0},
+		"a group of one adds":                  {abc[:1], view[:2], AddLearner, 2},
+		"a learner behind is waited for":       {append(abc[:1:1], learner("b", 2, 50)), view, None, 0},
+		"a learner not heard of is waited for": {append(abc[:1:1], learner("b", 2, 0)), view, None, 0},
+		"a learner that caught up is promoted": {append(abc[:1:1], learner("b", 2, 95)), view, Promote, 2},
+		"a dead member keeps its replica while it may return": {abc,
 			[]Member{view[0], view[1], {Name: "c", ReplicaID: 3}, view[3]}, None, 0},
-		"a gone one is replaced by a learner first": {abc, []Member{view[0], view[1], gone("c", 3), view[3]},
+		"a gone member is replaced by a learner first": {abc, []Member{view[0], view[1], gone("c", 3), view[3]},
 			AddLearner, 4},
 		"then promoted": {append(abc[:3:3], learner("d", 4, 100)),
 			[]Member{view[0], view[1], gone("c", 3), view[3]}, Promote, 4},
-		"then the gone one is removed": {append(abc[:3:3], voter("d", 4)),
+		"then the gone member's replica is removed": {append(abc[:3:3], voter("d", 4)),
 			[]Member{view[0], view[1], gone("c", 3), view[3]}, Remove, 3},
-		"no candidate, no change":       {abc, []Member{view[0], view[1], gone("c", 3)}, None, 0},
-		"a wiped one comes back as new": {abc, []Member{view[0], view[1], live("c", 9, "")}, AddLearner, 9},
-		"and its old self is removed": {append(abc[:3:3], voter("c", 9)),
+		"no candidate, no change": {abc, []Member{view[0], view[1], gone("c", 3)}, None, 0},
+		"a member without its disk gets a new replica": {abc,
+			[]Member{view[0], view[1], live("c", 9, "")}, AddLearner, 9},
+		"and its old replica is removed": {append(abc[:3:3], voter("c", 9)),
 			[]Member{view[0], view[1], live("c", 9, "")}, Remove, 3},
-		"a learner that is lost is removed": {append(abc[:2:2], learner("c", 3, 0)),
+		"a lost learner is removed": {append(abc[:2:2], learner("c", 3, 0)),
 			[]Member{view[0], view[1], gone("c", 3), view[3]}, Remove, 3},
-		"a learner not needed is removed":   {append(abc[:3:3], learner("d", 4, 100)), view, Remove, 4},
-		"who holds nothing is no candidate": {abc[:2], []Member{view[0], view[1], live("e", 0, "")}, None, 0},
-		"who is unseen is not gone":         {abc, view[:2], None, 0},
+		"a learner not needed is removed": {append(abc[:3:3], learner("d", 4, 100)), view, Remove, 4},
+		"a member without a store is no candidate": {abc[:2],
+			[]Member{view[0], view[1], live("e", 0, "")}, None, 0},
+		"a member not in the view is not gone": {abc, view[:2], None, 0},
 	} {
 		got := Next(Group{Name: "g", Leader: 1, LastIndex: 100, Replicas: c.replicas}, c.view, testSettings)
 		if got.Kind != c.kind || got.ID != c.id {
@@ -99,7 +101,7 @@
 		}
 	}
 	if moved != 0 {
-		t.Errorf("the loss of one member moved %d replicas that it did not hold", moved)
+		t.Errorf("the loss of one member moved %d replicas that were not its own", moved)
 	}
 }
 
@@ -113,8 +115,8 @@
 }
 
 // Whatever happens to members, a group's changes go one at a time, never take the voters below what they
-// were while one is replaced, never make two voters of one member's name beyond a replacement, and come to
-// rest with all wanted voters live where enough live members are there.
+// were while one is replaced, never make two voters of one member's name beyond a replacement, and end
+// with all wanted voters live where enough live members are there.
 func TestChangesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 9).Draw(t, "members")
@@ -124,7 +126,7 @@
 		}
 		g := Group{Name: "g", Leader: 1, LastIndex: 1000, Replicas: []Replica{voter("m-0", 1)}}
 		next := uint64(100)
-		settle := func() {
+		converge := func() {
 			for range 60 {
 				c := Next(g, view, testSettings)
 				before := voters(g)
@@ -150,9 +152,9 @@
 					t.Fatalf("%v left %d voters", c, after)
 				}
 			}
-			t.Fatalf("no rest: %+v with %+v", g, view)
+			t.Fatalf("no end of changes: %+v with %+v", g, view)
 		}
-		settle()
+		converge()
 		for range rapid.IntRange(1, 8).Draw(t, "events") {
 			i := rapid.IntRange(1, n-1).Draw(t, "who")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
@@ -164,7 +166,7 @@
 				view[i].Live, view[i].Gone, view[i].ReplicaID = true, false, next
 				next++
 			}
-			settle()
+			converge()
 		}
 		alive := 0
 		for _, m := range view {
@@ -174,7 +176,7 @@
 		}
 		good := 0
 		for _, r := range g.Replicas {
-			if is, _ := isLost(r, view); !is && !r.Learner {
+			if lostReason(r, view) == "" && !r.Learner {
 				good++
 			}
 		}
@@ -203,7 +205,7 @@
 		t.Error(err)
 	}
 	if (Settings{Replicas: 3}).Check() == nil {
-		t.Error("no catch-up passes")
+		t.Error("no learner lag passes")
 	}
 	seen := map[int]bool{}
 	for i := range 100 {
@@ -214,9 +216,9 @@
 	}
 }
 
-// The estimate in docs/design/ledger.md: a lost hall takes one replica of each group at most, and each is
-// made up for by one move.
-func TestALostHallTakesNoMajority(t *testing.T) {
+// The estimate in docs/design/ledger.md: the loss of a hall takes at most one replica of each group, and
+// each is replaced by one move.
+func TestLossOfHallTakesNoMajority(t *testing.T) {
 	for members, groups := range map[int]int{300: 100, 3000: 1000} {
 		var all []Member
 		for i := range members {
