--- a/internal/cluster/raftgroup/sender.go
+++ b/internal/cluster/raftgroup/sender.go
@@ -9,140 +9,173 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// restAfter is how long a member that cannot be reached is left alone.
-const restAfter = 100 * time.Millisecond
+const (
+	// unreachableBackoff is how long nothing is sent to a member after a failed dial or write.
+	unreachableBackoff = 100 * time.Millisecond
+	// senderIdleTimeout ends a sender that had nothing to send. It is below idleTimeout, after which the other
+	// side closes the connection.
+	senderIdleTimeout = idleTimeout / 2
+	// snapshotWriteTimeout replaces writeTimeout for messages over largeMessage bytes, which hold snapshots.
+	snapshotWriteTimeout = time.Minute
+	largeMessage         = 1 << 20
+)
 
-// outgoing is a message of a group's on its way.
-type outgoing struct {
+// outboundMsg is a Raft message of a group that waits to be sent.
+type outboundMsg struct {
 	group string
-	m     *raftpb.Message
+	msg   *raftpb.Message
 }
 
-// sender carries raft's messages to one member's disk, in their order, over one connection.
+// sender sends Raft messages to one replica, in order, over one connection. It runs in a goroutine of its
+// own.
 type sender struct {
 	net   *network
-	to    uint64
-	queue chan outgoing
+	to    uint64 // replica ID
+	queue chan outboundMsg
+
+	// Owned by run.
+	conn    net.Conn // nil while not connected
+	address string   // that conn was dialed at
 }
 
-// send queues a message; false where it cannot.
+// send queues a message for its receiver; false where it can't be sent now, which Raft makes up for.
 func (n *network) send(group string, m *raftpb.Message) bool {
 	to := m.GetTo()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.closed || n.address[to] == "" {
+	if n.closed || n.addresses[to] == "" {
 		return false
 	}
 	s := n.senders[to]
 	if s == nil {
-		s = &sender{net: n, to: to, queue: make(chan outgoing, queueMost)}
+		s = &sender{net: n, to: to, queue: make(chan outboundMsg, sendQueueSize)}
 		n.senders[to] = s
 		n.done.Add(1)
 		go s.run()
 	}
 	select {
-	case s.queue <- outgoing{group, m}:
+	case s.queue <- outboundMsg{group, m}:
 		return true
 	default:
 		return false
 	}
 }
 
-// run carries messages until the network closes, or nothing was to be carried for a while.
+// run sends queued messages until the network closes or nothing was queued for senderIdleTimeout.
 func (s *sender) run() {
 	defer s.net.done.Done()
-	var c net.Conn
-	address := ""
-	defer func() {
-		if c != nil {
-			s.net.drop(c)
-		}
-	}()
-	rest := time.NewTimer(silentMost / 2)
-	defer rest.Stop()
+	defer s.disconnect()
+	idle := time.NewTimer(senderIdleTimeout)
+	defer idle.Stop()
 	for {
 		select {
 		case <-s.net.stop:
 			return
-		case <-rest.C:
-			s.net.mu.Lock()
-			if len(s.queue) == 0 {
-				delete(s.net.senders, s.to)
-				s.net.mu.Unlock()
+		case <-idle.C:
+			if s.retire() {
 				return
 			}
-			s.net.mu.Unlock()
-			rest.Reset(silentMost / 2)
-		case o := <-s.queue:
-			rest.Reset(silentMost / 2)
-			s.net.mu.Lock()
-			now := s.net.address[s.to]
-			s.net.mu.Unlock()
-			if c != nil && now != address { // it moved
-				s.net.drop(c)
-				c = nil
-			}
-			if c == nil {
-				var err error
-				if c, err = s.net.dial(context.Background(), now); err != nil {
-					c = nil
-					s.unreached(o)
-					continue
-				}
-				address = now
-				go s.watch(c)
-			}
-			if !s.write(c, o) {
-				s.net.drop(c)
-				c = nil
-				s.unreached(o)
+			idle.Reset(senderIdleTimeout)
+		case m := <-s.queue:
+			idle.Reset(senderIdleTimeout)
+			if !s.deliver(m) {
+				s.reportUnreachable(m)
 			}
 		}
 	}
 }
 
-// watch ends a connection once the other side closes it, so that the next message finds out.
-func (s *sender) watch(c net.Conn) {
-	var one [1]byte
-	c.Read(one[:])
+// retire takes the sender out of the network unless something was queued meanwhile.
+func (s *sender) retire() bool {
+	s.net.mu.Lock()
+	defer s.net.mu.Unlock()
+	if len(s.queue) > 0 {
+		return false
+	}
+	delete(s.net.senders, s.to)
+	return true
+}
+
+// deliver writes a message, connecting first where the sender is not connected or its member moved.
+func (s *sender) deliver(m outboundMsg) bool {
+	s.net.mu.Lock()
+	address := s.net.addresses[s.to]
+	s.net.mu.Unlock()
+	if address != s.address {
+		s.disconnect()
+	}
+	if s.conn == nil {
+		c, err := s.net.dial(context.Background(), address)
+		if err != nil {
+			return false
+		}
+		s.conn, s.address = c, address
+		go closeOnEOF(c)
+	}
+	if !s.write(s.conn, m) {
+		s.disconnect()
+		return false
+	}
+	return true
+}
+
+func (s *sender) disconnect() {
+	if s.conn != nil {
+		s.net.closeConn(s.conn)
+		s.conn = nil
+	}
+}
+
+// closeOnEOF closes a connection, on which nothing is ever received, once the other side does, so that the
+// next write fails.
+func closeOnEOF(c net.Conn) {
+	var b [1]byte
+	_, _ = c.Read(b[:]) // whatever ends the read, the connection is no use any more
 	c.Close()
 }
 
-func (s *sender) write(c net.Conn, o outgoing) bool {
-	raw, err := proto.Marshal(o.m)
+// write sends one message; false where the connection failed.
+func (s *sender) write(c net.Conn, m outboundMsg) bool {
+	raw, err := proto.Marshal(m.msg)
 	if err != nil {
-		return true // it never can be sent
+		return true // it can't ever be sent
 	}
-	within := writeWithin
-	if len(raw) > 1<<20 {
-		within = time.Minute // a snapshot
+	timeout := writeTimeout
+	if len(raw) > largeMessage {
+		timeout = snapshotWriteTimeout
 	}
-	c.SetWriteDeadline(time.Now().Add(within))
-	if writeFrame(c, frameRaft, []byte{byte(len(o.group))}, []byte(o.group), raw) != nil {
+	c.SetWriteDeadline(time.Now().Add(timeout))
+	if writeFrame(c, frameRaft, []byte{byte(len(m.group))}, []byte(m.group), raw) != nil {
 		return false
 	}
-	if o.m.GetType() == raftpb.MsgSnap {
-		s.net.host.snapshotSent(o.group, s.to)
+	if m.msg.GetType() == raftpb.MsgSnap {
+		s.net.host.reportSnapshotSent(m.group, s.to)
 	}
 	return true
 }
 
-// unreached tells the groups whose messages did not get out, and drops what waits: raft sends again.
-func (s *sender) unreached(o outgoing) {
-	s.net.host.undelivered(o.group, o.m)
+// reportUnreachable reports a message that was not sent to its group, drops what is queued, which Raft sends
+// again, and backs off.
+func (s *sender) reportUnreachable(m outboundMsg) {
+	s.net.host.reportUndelivered(m.group, m.msg)
+	s.dropQueued()
+	select {
+	case <-time.After(unreachableBackoff):
+	case <-s.net.stop:
+	}
+}
+
+// dropQueued empties the queue. Snapshots are reported: Raft sends a replica nothing until it is told what
+// became of one.
+func (s *sender) dropQueued() {
 	for {
 		select {
-		case o := <-s.queue:
-			if o.m.GetType() == raftpb.MsgSnap {
-				s.net.host.undelivered(o.group, o.m)
+		case m := <-s.queue:
+			if m.msg.GetType() == raftpb.MsgSnap {
+				s.net.host.reportUndelivered(m.group, m.msg)
 			}
-			continue
 		default:
+			return
 		}
-		break
-	}
-	select {
-	case <-time.After(restAfter):
-	case <-s.net.stop:
 	}
 }
