--- a/internal/router/dataplane/attempts.go
+++ b/internal/router/dataplane/attempts.go
@@ -2,35 +2,34 @@
 
 import "cresshub/internal/router/scheduler"
 
-// attempts counts the arrivals of one request at servers. The first call that has the prompt read and that a
-// server takes up is no arrival; later ones are, as is each one that a server rejects. The first arrival is
-// free, every other one is a repeat that the budget has to pay.
+// attemptCounter counts the attempts of one request at servers against its route's maximum. The first
+// prefill call that a server accepts is not counted; later ones are, as is each one that a server rejects.
+// The first counted attempt is free, each further one is a retry that the budget has to pay for.
 type attemptCounter struct {
-	maxAttempts     int // servers that the request may be sent to
+	maxAttempts     int // of the route
 	count           int
-	paidRetries     int  // repeats taken from the budget
-	prefillAccepted bool // a server has taken up, or may have, a call to read the prompt
-	// calls to read whose end tells not whether a server took them up, and that nobody paid for
+	paidRetries     int  // taken from the budget
+	prefillAccepted bool // a server has accepted, or may have, a prefill call
+	// unpaidPrefills are prefill calls that a server may have accepted, or not, and that are not paid for.
 	unpaidPrefills int
 }
 
-// permitted tells whether a call in that role leaves the request within its servers. A call that reads needs
-// room for the one that writes as well.
+// allows reports whether a call in that role keeps within the maximum. A prefill call needs room for the
+// decode call as well.
 func (a *attemptCounter) allows(role scheduler.Role) bool { return a.countAfter(role) <= a.maxAttempts }
 
-// price is how many repeats have to be taken from the budget before a call in that role.
+// retryCost is how many retries have to be taken from the budget before a call in that role.
 func (a *attemptCounter) retryCost(role scheduler.Role) int {
 	return max(a.countAfter(role)-1-a.paidRetries, 0) + a.unpaidPrefills
 }
 
-// pay notes that the price of a call in that role was taken from the budget.
+// recordPayment records that the cost of a call in that role was taken from the budget.
 func (a *attemptCounter) recordPayment(role scheduler.Role) {
 	a.paidRetries += a.retryCost(role) - a.unpaidPrefills
 	a.unpaidPrefills = 0
 }
 
-// after is the number of arrivals once the call, and where it reads the one that writes after it, has been
-// taken.
+// countAfter is the count once the call, and after a prefill call the decode call, has been accepted.
 func (a *attemptCounter) countAfter(role scheduler.Role) int {
 	if role == scheduler.Prefill && a.prefillAccepted {
 		return a.count + 2
@@ -38,7 +37,7 @@
 	return a.count + 1
 }
 
-// taken counts a call that a server took up, or may have.
+// recordAccepted counts a call that a server accepted, or may have.
 func (a *attemptCounter) recordAccepted(role scheduler.Role) {
 	if role == scheduler.Prefill && !a.prefillAccepted {
 		a.prefillAccepted = true
@@ -47,5 +46,5 @@
 	a.count++
 }
 
-// rejected counts a call that a server rejected.
+// recordRejected counts a call that a server rejected.
 func (a *attemptCounter) recordRejected() { a.count++ }
--- a/internal/router/dataplane/buffered.go
+++ b/internal/router/dataplane/buffered.go
@@ -1,47 +1,40 @@
 package dataplane
 
 import (
+	"errors"
 	"io"
 
 	"cresshub/internal/http1"
 )
 
-// maxBufferedResponse is how much of a response is buffered; a larger one is forwarded as it comes.
+// maxBufferedResponse is how much of a response is buffered, in bytes; a larger one is forwarded as it comes.
 const maxBufferedResponse = 64 << 10
 
-// bufferedResponse is a response whose body is in memory, complete unless it has overflowed.
+// bufferedResponse is a server's response, or the beginning of one, in memory.
 type bufferedResponse struct {
 	head *http1.Response
 	body []byte
 }
 
-func completeOnly(buffered *bufferedResponse, overflow bool) *bufferedResponse {
-	if overflow {
-		return nil
-	}
-	return buffered
-}
-
-// keep holds an answer until it is whole. Where it is too large for that, or no memory is left, rest is true
-// and the body goes on.
-func bufferResponse(c *call, head *http1.Response, body *http1.Body) (buffered *bufferedResponse,
-	overflow bool, err error) {
-	buffered = &bufferedResponse{head: head}
+// bufferResponse reads a response into memory. Where it is too large for that, or no memory is left, it
+// returns the beginning; body.Whole tells which.
+func bufferResponse(c *call, head *http1.Response, body *http1.Body) (*bufferedResponse, error) {
+	buffered := &bufferedResponse{head: head}
 	c.conn.SetReadDeadline(c.bufferDeadline())
 	for !body.Whole() {
 		if len(buffered.body) == cap(buffered.body) && !c.roundTrip.client.growBuffer(buffered, body.Length()) {
-			return buffered, true, nil
+			return buffered, nil
 		}
 		n, err := body.Read(buffered.body[len(buffered.body):cap(buffered.body)])
 		buffered.body = buffered.body[:len(buffered.body)+n]
-		if err != nil && err != io.EOF {
-			return buffered, false, err
+		if err != nil && !errors.Is(err, io.EOF) {
+			return buffered, err
 		}
 	}
-	return buffered, false, nil
+	return buffered, nil
 }
 
-// growBuffer makes room for more of an answer, length bytes long where that is known and else -1. The room is
+// growBuffer enlarges the buffer of a response, whose length is -1 where it is not known. The buffer is
 // counted as the request's.
 func (c *client) growBuffer(buffered *bufferedResponse, length int64) bool {
 	size := max(2*cap(buffered.body), initialBodyBuffer)
--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -14,30 +14,32 @@
 )
 
 const (
-	// earlyResponseTime is how long a server that does not let all of a request in may take to say why.
+	// earlyResponseTime is how long a server that does not read all of a request may take to say why.
 	earlyResponseTime = 200 * time.Millisecond
-	// maxSurplusResponses is how many answers to other requests are read past on one connection.
+	// maxSurplusResponses is how many responses to other requests are skipped on one connection.
 	maxSurplusResponses = 2
 )
 
-// call is one call of a request to one server.
+// call is one attempt of a request at one server, on one connection. It belongs to the client's goroutine.
 type call struct {
-	roundTrip        *roundTrip
-	choice           *scheduler.Call
-	role             scheduler.Role
-	conn             *connection
-	mustClose        bool // the connection must not be used again
-	outOfSync        bool // the connection's messages are out of step, so that it ends with this one
-	responseStarted  bool // the head of an answer has come
-	partlySent       bool // not all of the request was sent; the system may have told of a reset already
-	keepAliveTime    time.Duration
-	started          time.Time
-	timeToHead       time.Duration // after started, when the head of the answer came
-	timeToFirstEvent time.Duration // after started, when the first event was whole
+	roundTrip *roundTrip
+	choice    *scheduler.Call
+	role      scheduler.Role
+	conn      *connection // nil before connect and after disconnect
+
+	mustClose       bool // the connection must not be used again
+	outOfSync       bool // responses to other requests may follow on the connection
+	responseStarted bool // the head of a response has arrived
+	partlySent      bool // not all of the request was sent; the system may have reported a reset already
+
+	keepAliveTime    time.Duration // how long the server keeps the connection, 0 where it closes it
+	started          time.Time     // zero before the request is sent
+	timeToHead       time.Duration // from started to the head of the response
+	timeToFirstEvent time.Duration // from started to the first complete event
 }
 
-// run makes the call and passes its answer to the client. It returns nil where the client has the whole
-// answer.
+// run makes the call and forwards its response to the client. It returns nil where the client has the
+// complete response.
 func (c *call) run() *callFailure {
 	if f := c.connect(); f != nil {
 		return c.finish(f)
@@ -49,7 +51,7 @@
 	return c.finish(f)
 }
 
-// end tells the decisions how the call ended, and keeps or closes its connection.
+// finish reports to the scheduler how the call ended, and keeps or closes its connection.
 func (c *call) finish(f *callFailure) *callFailure {
 	c.roundTrip.inFlight = nil
 	outcome := scheduler.Served
@@ -67,7 +69,7 @@
 	return f
 }
 
-// logEnd tells of the call beside what the decision reckoned with; package calllog reads these lines.
+// logEnd logs the call beside what the scheduler expected of it; package latereport reads these lines.
 func (c *call) logEnd(outcome scheduler.Outcome) {
 	event := c.roundTrip.proxy.log.Debug()
 	if !event.Enabled() {
@@ -82,7 +84,7 @@
 		Dur("head_ms", c.timeToHead).Dur("event_ms", c.timeToFirstEvent).Dur("took_ms", took).Msg("front: call")
 }
 
-// took is how long the call has been under way, 0 where it was not sent.
+// elapsed is the time since the request was sent, 0 where it was not.
 func (c *call) elapsed() time.Duration {
 	if c.started.IsZero() {
 		return 0
@@ -90,7 +92,7 @@
 	return time.Since(c.started)
 }
 
-// exchange sends the request and reads the head of its answer.
+// exchange sends the request and reads the head of its response.
 func (c *call) exchange() (*http1.Response, *http1.Body, *callFailure) {
 	c.started = time.Now()
 	sendFailure := c.send()
@@ -105,12 +107,7 @@
 	}
 	c.roundTrip.proxy.counters.calls.Add(1)
 	if sendFailure == nil {
-		c.conn.returnEmptyBuffers()
-		// what it sees last is met again by reading
-		for c.conn.awaitReadable() == notReadable && c.extendReadDeadline() {
-			continue
-		}
-		c.conn.extender = c
+		c.awaitResponse()
 	}
 	head, body, f := c.readHead()
 	if f != nil && sendFailure != nil {
@@ -119,7 +116,17 @@
 	return head, body, f
 }
 
-// readHead reads the head of the answer to this request. Answers to others may stand before it.
+// awaitResponse waits for the first byte of the response without buffers. What ends the wait is met again by
+// reading; from then on reads go on after their deadline as extendReadDeadline says.
+func (c *call) awaitResponse() {
+	c.conn.returnEmptyBuffers()
+	for c.conn.awaitReadable() == notReadable && c.extendReadDeadline() {
+		continue
+	}
+	c.conn.extender = c
+}
+
+// readHead reads the head of the response to this request. Responses to others may stand before it.
 func (c *call) readHead() (*http1.Response, *http1.Body, *callFailure) {
 	rt := c.roundTrip
 	for range maxSurplusResponses + 1 {
@@ -133,14 +140,14 @@
 		}
 		rt.proxy.counters.surplus.Add(1)
 		c.outOfSync = true
-		if _, err := io.CopyN(io.Discard, body, maxBufferedResponse); err != io.EOF || head.Close {
+		if _, err := io.CopyN(io.Discard, body, maxBufferedResponse); !errors.Is(err, io.EOF) || head.Close {
 			break
 		}
 	}
 	return nil, nil, c.brokenFailure()
 }
 
-// send writes the request whole.
+// send writes the complete request.
 func (c *call) send() *callFailure {
 	c.conn.bytesSent = 0
 	c.conn.SetWriteDeadline(c.roundTrip.request.deadline)
@@ -155,7 +162,7 @@
 	return c.failureFrom(err)
 }
 
-// message is the client's request as the server gets it.
+// buildRequest returns the client's request as the server gets it.
 func (c *call) buildRequest() *http1.Request {
 	q := c.roundTrip.request
 	message := &http1.Request{Method: q.Method, Target: q.Target, Body: q.Body}
@@ -177,7 +184,7 @@
 	return c.roundTrip.relay.setResumePoint(message)
 }
 
-// firstByteDeadline is when the server counts as silent if nothing of its answer has come.
+// firstByteDeadline is when the call counts as timed out if no byte of its response has arrived.
 func (c *call) firstByteDeadline() time.Time {
 	rt := c.roundTrip
 	_, expected := c.choice.Expected()
@@ -192,9 +199,9 @@
 		rt.request.deadline.Sub(c.started)))
 }
 
-// extendReadDeadline tells whether a server that has been silent for too long is waited for all the same,
-// until it is asked again or the request's end: nobody else could go on, as the repeats have been used up
-// meanwhile or no other server is there.
+// extendReadDeadline reports whether a server that has timed out is waited for all the same, until it is
+// asked again or until the request's deadline: nobody else could go on, as the retries have been used up
+// meanwhile or there is no other server.
 func (c *call) extendReadDeadline() bool {
 	rt := c.roundTrip
 	deadline := rt.responseDeadline()
@@ -207,16 +214,16 @@
 	return true
 }
 
-// hasAlternative tells whether another server could go on in this one's place. A client that has a part of a
-// stream would lose the rest if all others reject it, so one of them has to have a place; for an answer that
-// has not begun they may as well be asked.
+// hasAlternative reports whether another server could go on in this one's place. A client that has a part
+// of a stream would lose the rest if all others reject it, so one of them has to have a free slot; for a
+// response that has not begun they may as well be asked.
 func (c *call) hasAlternative() bool {
 	rt := c.roundTrip
 	exists, free := rt.proxy.chooser.alternative(&rt.request.scheduling, c.choice.Server.ID)
 	return free || exists && !rt.relay.started
 }
 
-// bufferDeadline is when an answer counts as broken that has begun and is held until it is whole.
+// bufferDeadline is when a response counts as broken that has begun and is not buffered completely.
 func (c *call) bufferDeadline() time.Time {
 	rt := c.roundTrip
 	if !rt.mayRetry() {
@@ -226,7 +233,7 @@
 		rt.timeLeft())))
 }
 
-// heard takes in what the head of an answer says besides.
+// recordHead records what the head of a response says of its server and connection.
 func (c *call) recordHead(head *http1.Response) {
 	c.responseStarted = true
 	c.timeToHead = time.Since(c.started)
@@ -238,12 +245,13 @@
 	}
 }
 
-// whole notes that the answer has been read to its end, so that the connection may carry another request.
+// recordBodyEnd records that the response was read to its end, so that the connection may carry another
+// request.
 func (c *call) recordBodyEnd() {
 	c.mustClose = c.conn.hasBufferedInput() || c.keepAliveTime <= 0
 }
 
-// broken says how a call failed whose request was sent, in whole or in part.
+// failureFrom returns how a call failed whose request was sent, completely or in part.
 func (c *call) failureFrom(err error) *callFailure {
 	f := c.brokenFailure()
 	c.reportSuspect(err)
@@ -257,7 +265,7 @@
 	return f
 }
 
-// suspect tells the fleet where an error shows that the server's machine or process is not there.
+// reportSuspect reports the server where an error shows that its machine or process is down.
 func (c *call) reportSuspect(err error) {
 	timedOut := errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, context.DeadlineExceeded)
 	if c.roundTrip.stopReason() == notStopped && (timedOut || errors.Is(err, syscall.ECONNREFUSED)) {
@@ -265,6 +273,7 @@
 	}
 }
 
+// brokenFailure is the failure of a call whose connection ended, or whose response is unusable.
 func (c *call) brokenFailure() *callFailure {
 	return &callFailure{outcome: scheduler.Broken, fate: mayHaveRun}
 }
--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -13,7 +13,8 @@
 type chooser interface {
 	Update(now time.Duration, table *catalog.Table)
 	Split(now time.Duration, r *scheduler.Request) bool
-	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role, prefillServer *catalog.Server) *scheduler.Call
+	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role,
+		prefillServer *catalog.Server) *scheduler.Call
 	ObserveLoad(now time.Duration, server string, load scheduler.Load)
 	LastSuccess(server string) (time.Duration, bool)
 	FirstEvent(now time.Duration, call *scheduler.Call)
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// lingerTime and lingerBytes bound what is read of a client after an answer to a request that was not read
-	// whole: closing at once would reset the connection, and the answer with it.
+	// lingerTime and lingerBytes bound what is read of a client after the response to a request that was
+	// not read completely: closing at once would reset the connection, and the response with it.
 	lingerTime  = 250 * time.Millisecond
 	lingerBytes = 256 << 10
-	// localReplyWriteTime is how long a client may take to let an answer in that belongs to no request.
+	// localReplyWriteTime is how long a client may take to read a response that belongs to no request.
 	localReplyWriteTime = time.Second
-	// writeGrace is how long it may take beyond its request's end: the operators want nothing held a quarter of
-	// a second past the route's timeout.
+	// writeGrace is how long it may take beyond its request's deadline: the operators want nothing held a
+	// quarter of a second past the route's timeout.
 	writeGrace = 200 * time.Millisecond
-	// minWriteTime is how long it may take where this process is late itself: it had no turn, or was frozen.
+	// minWriteTime is how long it may take in any case, as this process may be late itself: not scheduled,
+	// or frozen.
 	minWriteTime = 50 * time.Millisecond
 )
 
@@ -30,16 +31,16 @@
 type client struct {
 	proxy         *Proxy
 	socket        *socket
-	reservedBytes int // bytes of the present body that were taken from the budget
+	reservedBytes int // of the present body, taken from the budget
 
-	responses  int  // given to the present request
-	mustLinger bool // the answer to a request that was not read whole has been sent
-	truncated  bool // the last answer was cut off, so that nothing may look like its end
+	responses  int  // to the present request
+	mustLinger bool // the response to a request that was not read completely has been sent
+	truncated  bool // the last response is incomplete, so that nothing may look like its end
 	hadRequest bool // the connection has carried a request
 
 	mu        sync.Mutex
 	idle      bool
-	roundTrip *roundTrip // under way, for Wait
+	roundTrip *roundTrip // in flight, for Wait; nil between requests
 }
 
 func (c *client) run() {
@@ -55,8 +56,8 @@
 	c.socket.returnBuffers()
 }
 
-// survive keeps a mistake that one request brings out from ending all others. A broken invariant panics in
-// tests only, and is to end them.
+// recoverPanic keeps a fault of the program that one request brings out from ending all others. A violated
+// invariant panics in tests only, and is to end them.
 func (c *client) recoverPanic() {
 	if cause := recover(); cause != nil {
 		if violation, ok := cause.(*invariant.ViolationError); ok {
@@ -91,7 +92,7 @@
 	return state == readable
 }
 
-// closeIfIdle ends the connection if no byte of a request has come.
+// closeIfIdle ends the connection if no byte of a request has arrived.
 func (c *client) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// abortRequest ends the calls of the request under way; the client gets an answer.
+// abortRequest aborts the calls of the request in flight; the client gets a response.
 func (c *client) abortRequest() {
 	c.mu.Lock()
 	rt := c.roundTrip
@@ -110,7 +111,7 @@
 	}
 }
 
-// serve reads one request and answers it. It returns whether the connection goes on.
+// serveRequest reads one request and answers it. It reports whether the connection goes on.
 func (c *client) serveRequest() bool {
 	defer c.releaseBody()
 	c.responses = 0
@@ -137,13 +138,13 @@
 	invariant.Assert(used >= 0, invariant.CountsNotNegative, "bodies take %d bytes", used)
 }
 
-// recordResponse notes that an answer to the present request begins.
+// recordResponse records that a response to the present request begins.
 func (c *client) recordResponse() {
 	c.responses++
 	invariant.Assert(c.responses <= 1, invariant.OneFinalAnswer, "a request got %d answers", c.responses)
 }
 
-// answer answers a request that was read whole.
+// handle answers a request that was read completely. It reports whether the connection goes on.
 func (c *client) handle(q *request) bool {
 	c.socket.SetWriteDeadline(q.writeDeadline())
 	switch {
@@ -169,9 +170,9 @@
 	c.roundTrip = rt
 }
 
-// setWriteDeadline gives the client the time to let in an answer that is written whole; q is nil where no
-// request could be read. An answer that is late may still arrive, and a deadline that has passed would keep
-// it from being written.
+// setWriteDeadline gives the client the time to read a response that is written at once; q is nil where no
+// request could be read. A late response may still arrive, and a deadline that has passed would keep it
+// from being written.
 func (c *client) setWriteDeadline(q *request) {
 	now := time.Now()
 	until := now.Add(localReplyWriteTime)
@@ -184,10 +185,10 @@
 	c.socket.SetWriteDeadline(until)
 }
 
-// ends tells whether the connection ends with the answer to a request.
+// closesAfter reports whether the connection ends with the response to a request.
 func (c *client) closesAfter(q *request) bool { return c.proxy.draining.Load() || q == nil || q.Close }
 
-// persistence tells the client how long its connection stays open: a little less than it does.
+// addKeepAlive tells the client how long its connection stays open: a little less than it does.
 func (c *client) addKeepAlive(response *http1.Response) {
 	keepAliveSeconds := int(c.proxy.limits().IdleTimeout/time.Second) - 1
 	if response.Close || keepAliveSeconds <= 0 {
--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -9,13 +9,13 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// The bounds of the time that a connection may take to come about.
 const (
+	// The bounds of the time that a connection may take to open.
 	minDialTimeout = 300 * time.Millisecond
 	maxDialTimeout = time.Second
 )
 
-// disconnect gives the connection back, or closes it where it must not be used again.
+// disconnect returns the connection to the pool, or closes it where it must not be used again.
 func (c *call) disconnect() {
 	if c.conn == nil {
 		return
@@ -51,7 +51,7 @@
 	c.conn, c.mustClose = conn, true
 	invariant.Assert(conn.server == c.choice.Server.ID, invariant.ConnectionOfServer,
 		"a connection to %s was taken for %s", conn.server, c.choice.Server.ID)
-	// The server may have left while the connection came about.
+	// The server may have left the table while the connection was opened.
 	if !rt.setAbortable(conn) || rt.timeLeft() < minTimeLeft ||
 		rt.proxy.servers().ByID(c.choice.Server.ID) == nil {
 		return abandoned
@@ -61,13 +61,13 @@
 
 func (c *call) connectionSpec() connectionSpec {
 	q := c.roundTrip.request
-	w := connectionSpec{server: c.choice.Server, maxIdle: maxIdleTime,
+	spec := connectionSpec{server: c.choice.Server, maxIdle: maxIdleTime,
 		maxPerServer:  c.roundTrip.proxy.serverConnectionQuota(q.service),
 		requestNumber: c.roundTrip.requestNumber}
 	if !q.route.Idempotent() {
-		w.maxIdle = maxIdleTimeUnsafe
+		spec.maxIdle = maxIdleTimeUnsafe
 	}
-	return w
+	return spec
 }
 
 func (c *call) connectDeadline() time.Time {
@@ -75,7 +75,7 @@
 	return earlier(q.deadline, time.Now().Add(min(max(q.route.LatencyTarget/2, minDialTimeout), maxDialTimeout)))
 }
 
-// canceller ends the opening of a connection.
+// canceller cancels the opening of a connection.
 type canceller context.CancelFunc
 
 func (c canceller) Close() error {
--- a/internal/router/dataplane/events.go
+++ b/internal/router/dataplane/events.go
@@ -5,17 +5,17 @@
 	"strconv"
 )
 
-// maxEventBytes bounds what is held of an event that is not whole yet.
+// maxEventBytes bounds what is buffered of an incomplete event.
 const maxEventBytes = 64 << 10
 
-// eventSplitter cuts a stream of bytes into whole events, each with the blank line that ends it.
+// eventSplitter splits a stream of bytes into server-sent events, each with the blank line that ends it.
 type eventSplitter struct {
 	buffer     []byte
-	eventStart int // of the event that is not whole yet
-	lineStart  int // the beginning of the first line that was not looked at yet
+	eventStart int // of the event that is not complete yet
+	lineStart  int // of the first line that was not scanned yet
 }
 
-// feed takes in bytes. Events that next returned before are not valid any more.
+// feed adds bytes. Events that next returned before are not valid any more.
 func (s *eventSplitter) feed(p []byte) {
 	if s.eventStart > 0 {
 		remaining := copy(s.buffer, s.buffer[s.eventStart:])
@@ -26,7 +26,7 @@
 	s.buffer = append(s.buffer, p...)
 }
 
-// next returns the next whole event, nil where there is none yet.
+// next returns the next complete event, nil where there is none yet.
 func (s *eventSplitter) next() []byte {
 	for {
 		end := bytes.IndexByte(s.buffer[s.lineStart:], '\n')
@@ -43,10 +43,10 @@
 	}
 }
 
-// rest is what has come of an event that is not whole.
+// partial is what has arrived of an incomplete event.
 func (s *eventSplitter) partial() []byte { return s.buffer[s.eventStart:] }
 
-// reset drops all that is held, for the stream of another server.
+// reset drops all that is buffered, for the stream of another server.
 func (s *eventSplitter) reset() { s.buffer, s.eventStart, s.lineStart = s.buffer[:0], 0, 0 }
 
 // eventID returns the number in an event's id line.
@@ -68,24 +68,24 @@
 	return 0, false
 }
 
-// order follows the ids of a stream's events.
+// eventOrder follows the ids of a stream's events.
 type eventOrder struct {
-	lastID      int64 // id of the last event passed on
-	hasLast     bool  // last holds an id
-	consecutive bool  // ids have risen by exactly one so far, and the service's events hold one piece each
-	resumed     bool  // another server goes on with the stream
+	lastID      int64 // of the last event that was forwarded
+	hasLast     bool  // lastID is known
+	consecutive bool  // ids have risen by exactly one so far, and the service's stride is one
+	resumed     bool  // another server has resumed the stream
 }
 
-// step is what is done with an event.
+// eventAction is what is done with an event.
 type eventAction int
 
 const (
 	actionForward eventAction = iota
 	actionSkip                // the client has it already
-	actionGap                 // pieces before it are missing
+	actionGap                 // events before it are missing
 )
 
-// follow decides on the event with that id. What the first server sends is passed on as it is.
+// decide returns what is done with the event of that id. What the first server sends is forwarded as it is.
 func (o *eventOrder) decide(id int64) eventAction {
 	switch {
 	case !o.hasLast:
@@ -100,7 +100,7 @@
 	return actionForward
 }
 
-// hasData tells whether an event holds a piece of the answer.
+// hasData reports whether an event carries data.
 func hasData(event []byte) bool {
 	return bytes.HasPrefix(event, []byte("data:")) || bytes.Contains(event, []byte("\ndata:"))
 }
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"io"
 	"net"
 	"strings"
@@ -13,19 +14,20 @@
 )
 
 const (
-	// handleLifetimeUsed is the part of a handle's life after which it is not used any more.
+	// handleLifetimeUsed is the fraction of a handle's lifetime after which it is not used any more.
 	handleLifetimeUsed = 0.8
-	// The bounds of the calls that free handles.
+	// The bounds of the calls that release handles.
 	maxReleases    = 16
 	releaseTimeout = time.Second
 )
 
-// ticket names the memory of a prompt at the server that has read it. It is used for its own request alone.
+// kvHandle names the prefix cache of a prompt at the server that has prefilled it. It is used for its own
+// request alone.
 type kvHandle struct {
 	server    *catalog.Server
 	id        string
-	expiresAt time.Time // the zero time where it does not lapse
-	tryID     string    // of the request whose prompt it holds
+	expiresAt time.Time // the zero time where it does not expire
+	tryID     string    // of the request whose prompt it names
 }
 
 func (h *kvHandle) prefillServer() *catalog.Server {
@@ -49,7 +51,8 @@
 	return h
 }
 
-// parseHandle reads the answer of a server that has read a prompt.
+// parseHandle reads the response of a server that has prefilled a prompt. It returns false for a handle
+// that does not fit into a header field and a path.
 func parseHandle(body []byte) (string, bool) {
 	var answer struct {
 		Handle string `json:"claim_ticket"`
@@ -57,12 +60,11 @@
 	if json.Unmarshal(body, &answer) != nil || answer.Handle == "" {
 		return "", false
 	}
-	// It becomes a part of a header field and of a path.
 	odd := func(c rune) bool { return c <= ' ' || c > '~' || c == '/' }
 	return answer.Handle, !strings.ContainsFunc(answer.Handle, odd)
 }
 
-// releaseHandle frees memory that the request does not use.
+// releaseHandle has the prefix cache freed that the request does not use.
 func (rt *roundTrip) releaseHandle() {
 	if rt.handle == nil {
 		return
@@ -71,7 +73,8 @@
 	rt.handle = nil
 }
 
-// handleReleaser frees the memory of prompts in the background. When it is busy handles are left to lapse.
+// handleReleaser has servers free prefix caches in the background. When it is busy handles are left to
+// expire.
 type handleReleaser struct {
 	pool  *pool
 	slots chan struct{}
@@ -93,7 +96,7 @@
 	}()
 }
 
-// delete makes the call. Nothing depends on its answer.
+// delete makes the call. Nothing depends on its result.
 func (r *handleReleaser) delete(h *kvHandle) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
@@ -113,7 +116,7 @@
 	if err == nil {
 		_, err = io.CopyN(io.Discard, body, maxBufferedResponse)
 	}
-	if err != io.EOF || !body.Whole() {
+	if !errors.Is(err, io.EOF) || !body.Whole() {
 		r.pool.discard(conn)
 		return
 	}
--- a/internal/router/dataplane/localreply.go
+++ b/internal/router/dataplane/localreply.go
@@ -7,13 +7,14 @@
 	"cresshub/internal/http1"
 )
 
-// refusal is the proxy's own answer to a request that is not passed on.
+// localReplyError is the proxy's own response to a request that is not answered by a server; Envoy calls it
+// a local reply.
 type localReplyError struct {
 	status          int
-	reason          string // one word for figures and logs; "" where a delivery tells the reason
+	reason          string // one word for metrics and logs; "" where the round trip has recorded it
 	remedy          string // what the client or the operator can do
 	retryAfter      time.Duration
-	closeConnection bool // the connection has to end, as what follows on it cannot be told
+	closeConnection bool // the connection has to end, as the next request on it cannot be found
 }
 
 func (r *localReplyError) Error() string { return r.remedy }
@@ -36,7 +37,7 @@
 		remedy: "no configuration is known yet; send the request again later"}
 )
 
-// refuse sends the proxy's own answer. It returns whether the connection goes on.
+// sendLocalReply sends the proxy's own response. It reports whether the connection goes on.
 func (c *client) sendLocalReply(q *request, reply *localReplyError) bool {
 	c.recordResponse()
 	c.proxy.recordLocalReply(q, reply)
--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// Stats counts what has happened since the start.
+// Stats are counts since the start of the process.
 type Stats struct {
 	Clients             int64 // connections accepted
 	ClientsRejected     int64 // connections closed at once as there were too many
--- a/internal/router/dataplane/outcome.go
+++ b/internal/router/dataplane/outcome.go
@@ -8,11 +8,12 @@
 	"cresshub/internal/metrics"
 )
 
-// ending is what became of a request in the end.
+// requestOutcome is what became of a request in the end; metrics and logs call it its ending.
 type requestOutcome string
 
 // The endings of a request.
 const (
+	// The outcomes of a request.
 	outcomeServed             requestOutcome = "served"         // the whole answer of a server
 	outcomeServerFailure      requestOutcome = "server_failure" // a server's own 5xx
 	outcomeRejected           requestOutcome = "refused"        // 503: it has not run
@@ -32,19 +33,20 @@
 	return outcomeFailed
 }
 
-// maxRejectionLogs and maxFailureLogs are how many lines a second tell of requests that were not served;
-// the figures count all of them.
+// maxRejectionLogs and maxFailureLogs are how many requests that were not served are logged a second; the
+// metrics count all of them.
 const (
 	maxRejectionLogs = 2
 	maxFailureLogs   = 8
 )
 
-// observer counts what became of requests and logs those that were not served.
+// observer counts what became of requests and logs those that were not served. It is safe for concurrent
+// use.
 type observer struct {
-	rejectionLog, failureLog zerolog.Logger // bounded in their lines
+	rejectionLog, failureLog zerolog.Logger // limited to so many lines a second
 
 	unserved     metrics.CounterFamily // by ending and reason
-	notForwarded metrics.CounterFamily // requests that no delivery was begun for, by reason
+	notForwarded metrics.CounterFamily // requests without a round trip, by reason
 	durations    metrics.Histogram
 }
 
@@ -82,7 +84,7 @@
 		Int("repeats_paid", rt.attempts.paidRetries).Array("calls", &rt.trace).Msg("front: request not served")
 }
 
-// recordLocalReply counts an own answer to a request that no delivery was begun for.
+// recordLocalReply counts a local reply to a request that no round trip was begun for.
 func (p *Proxy) recordLocalReply(q *request, reply *localReplyError) {
 	if reply.reason == "" {
 		return
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// defaultIdleTime is how long a connection stays idle whose server does not tell; it would tell whole
-	// seconds.
+	// defaultIdleTime is how long a connection stays idle whose server does not announce a time; it would
+	// announce whole seconds.
 	defaultIdleTime = 900 * time.Millisecond
-	// maxIdleTime bounds how long a connection stays idle, whatever its server tells.
+	// maxIdleTime bounds how long a connection stays idle, whatever its server announces.
 	maxIdleTime = 30 * time.Second
 	// maxIdleTimeUnsafe bounds it for requests that must not be sent twice: a server that closes while the
-	// request is on the way leaves open whether it ran.
+	// request is on its way leaves open whether it ran.
 	maxIdleTimeUnsafe = 4 * time.Second
-	// keepAliveMargin is taken off the time that a server tells.
+	// keepAliveMargin is subtracted from the time that a server announces.
 	keepAliveMargin = 500 * time.Millisecond
-	// minPerServer is the share of a server's connections that a proxy has however many proxies there are.
+	// minPerServer is how many connections to a server a proxy may have however many proxies there are.
 	minPerServer  = 2
 	sweepInterval = time.Second
 )
 
-// errNoConnectionFree says that the proxy has its share of a server's connections in use.
+// errNoConnectionFree says that the proxy has as many connections in use as it may have.
 var errNoConnectionFree = errors.New(
 	"all connections that this proxy may have to the server are in use; use another",
 )
 
-// connection is one to a server's incarnation.
+// connection is a connection to a server's incarnation. One call at a time uses it.
 type connection struct {
 	*socket
 	server      string
 	reused      bool        // it has carried a request before
-	lastRequest uint64      // number of the last request that it carried, 0 for one of the proxy's own
+	lastRequest uint64      // number of the last request on it, 0 for one of the proxy's own
 	largeBody   atomic.Bool // its last request has a large body
 	idleSince   time.Time
 	expiresAt   time.Time
 }
 
-// pool keeps connections to servers, by incarnation.
+// pool keeps the connections to servers, by incarnation. It is safe for concurrent use.
 type pool struct {
 	stats    *counters
 	isListed func(server string) bool
-	maxOpen  int // connections to all servers together
+	maxOpen  int // to all servers together
 
 	mu       sync.Mutex
 	open     int
@@ -57,25 +57,26 @@
 }
 
 type serverConnections struct {
-	open int           // in use, idle, and being dialled
-	idle []*connection // the last used at the end
+	open int           // in use, idle, or being dialled
+	idle []*connection // the one used last at the end
 }
 
 func newPool(stats *counters, maxOpen int, isListed func(server string) bool) *pool {
 	return &pool{stats: stats, maxOpen: maxOpen, isListed: isListed, servers: map[string]*serverConnections{}}
 }
 
-// want is what a call asks of its connection.
+// connectionSpec is what a call needs of its connection.
 type connectionSpec struct {
 	server       *catalog.Server
-	maxPerServer int           // connections that this proxy may have to the server, 0 where there is no bound
-	maxIdle      time.Duration // the longest that the connection may have been idle
-	// request is the number of the client's request, 0 for one of the proxy's own. The connection must not have
-	// carried it before: a server that answers twice would answer the second call with the first one's answer.
+	maxPerServer int           // connections of this proxy to the server, 0 where there is no bound
+	maxIdle      time.Duration // for how long the connection may have been idle
+	// requestNumber is the number of the client's request, 0 for one of the proxy's own. The connection
+	// must not have carried it before: a server that answers twice would answer the second call with the
+	// first one's response.
 	requestNumber uint64
 }
 
-// take returns a connection that is quiet: the one used last, or else a new one, which ctx bounds.
+// get returns a quiet connection: the one used last, or else a new one, whose dialling ctx bounds.
 func (p *pool) get(ctx context.Context, spec connectionSpec) (*connection, error) {
 	for {
 		c, err := p.reserve(spec, time.Now())
@@ -94,19 +95,19 @@
 	}
 }
 
-// suits tells whether an idle connection may carry the call.
+// suitable reports whether an idle connection may carry the call.
 func (c *connection) suitable(spec connectionSpec) bool {
 	repeated := spec.requestNumber != 0 && c.lastRequest == spec.requestNumber
 	return c.server == spec.server.ID && !repeated && c.fresh(spec, time.Now())
 }
 
-// fresh tells whether an idle connection may carry the call, as far as its age tells.
+// fresh reports whether an idle connection is young enough for the call.
 func (c *connection) fresh(spec connectionSpec, now time.Time) bool {
 	return now.Before(c.expiresAt) && now.Sub(c.idleSince) <= spec.maxIdle
 }
 
-// reserve returns an idle connection, or nil and the place for a new one. Where there is no place the idle
-// connection may be too old, or one to another server: to be closed for a place.
+// reserve returns an idle connection, or nil after it has reserved a slot for a new one. Where all slots
+// are taken the idle connection may be too old, or to another server: to be closed for its slot.
 func (p *pool) reserve(spec connectionSpec, now time.Time) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +168,7 @@
 	return &connection{socket: socket, server: spec.server.ID, lastRequest: spec.requestNumber}, nil
 }
 
-// keep takes a connection back for the next call; alive is how long the server keeps it.
+// put takes a connection back for the next call; keepAlive is how long the server keeps it.
 func (p *pool) put(c *connection, keepAlive time.Duration) {
 	if keepAlive <= 0 || c.hasBufferedInput() {
 		p.discard(c)
@@ -184,9 +185,9 @@
 	p.scheduleSweep()
 }
 
-// drop closes a connection.
+// discard closes a connection and releases its slot.
 func (p *pool) discard(c *connection) {
-	c.Close()
+	_ = c.Close() // nothing is left to be done for a connection that is given up
 	c.returnBuffers()
 	p.releaseSlot(c.server)
 }
@@ -203,7 +204,7 @@
 		"%d connections, %d to %s of which %d are idle", p.open, conns.open, server, len(conns.idle))
 }
 
-// scheduleSweep has the idle connections looked through once in a while, as long as there are any.
+// scheduleSweep has the idle connections checked in a while, as long as there are any.
 func (p *pool) scheduleSweep() {
 	if !p.sweeping {
 		p.sweeping = true
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -7,8 +7,9 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// prefill has a server read the prompt. Where that fails the request goes on without: the call does not
-// run the request, so it may be repeated as long as the budget allows.
+// prefill has a server prefill the prompt, and takes the handle of its prefix cache. Where that fails the
+// request goes on without: the call does not run the request, so it may be retried as long as the budget
+// allows.
 func (rt *roundTrip) prefill() {
 	for rt.handle == nil && !rt.finished() && rt.unreachableServers < maxUnreachable {
 		c := rt.newCall(scheduler.Prefill)
@@ -27,7 +28,7 @@
 	}
 }
 
-// handlePrefillFailure takes in how reading failed, and tells whether another server is asked to read.
+// handlePrefillFailure records how prefill failed, and reports whether another server is asked for it.
 func (rt *roundTrip) handlePrefillFailure(c *call, f *callFailure) bool {
 	rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, c.choice.Server.ID)
 	switch f.fate {
@@ -37,15 +38,15 @@
 		rt.attempts.recordRejected()
 	case mayHaveRun:
 		rt.attempts.recordAccepted(scheduler.Prefill)
-		if !c.responseStarted { // it may have stood in the server's queue, which makes the next call a repeat
+		if !c.responseStarted { // it may have been queued there, which makes the next call a retry
 			rt.attempts.unpaidPrefills++
 		}
-		return f.outcome != scheduler.TimedOut // so much time is lost that no second reader is waited for
+		return f.outcome != scheduler.TimedOut // else too much time is lost for a second one
 	}
 	return true
 }
 
-// read makes the call that has the prompt read.
+// prefill makes the call that has the prompt prefilled.
 func (c *call) prefill() *callFailure {
 	f := c.connect()
 	if f != nil {
@@ -61,11 +62,12 @@
 	return c.finish(f)
 }
 
+// receiveHandle takes the handle from the response to a prefill call.
 func (c *call) receiveHandle(head *http1.Response, body *http1.Body) *callFailure {
 	rt := c.roundTrip
 	class := classify(c.responseTraits(head, body))
-	buffered, truncated, err := bufferResponse(c, head, body)
-	if err == nil && !truncated {
+	buffered, err := bufferResponse(c, head, body)
+	if body.Whole() {
 		c.recordBodyEnd()
 	}
 	switch {
--- a/internal/router/dataplane/readrequest.go
+++ b/internal/router/dataplane/readrequest.go
@@ -9,14 +9,14 @@
 	"cresshub/internal/http1"
 )
 
-// initialBodyBuffer is what is taken at first for a body of unknown length.
+// initialBodyBuffer is what is reserved at first for a body of unknown length, in bytes.
 const initialBodyBuffer = 4 << 10
 
-// single are the fields that a request may hold only once: two sides might each heed another one.
+// singleFields are the fields that a request may hold only once: two sides might each use another one.
 var singleFields = []string{"Host", tryIDHeader, lastEventHeader}
 
-// receive reads one request whole. The error is a *refusal where the client is to be told, and anything else
-// where the connection is over. The body's bytes have been taken from the budget.
+// readRequest reads one request with its body, which is reserved from the budget. The error is a
+// *localReplyError where the client is to get a response, and anything else where the connection is over.
 func (c *client) readRequest() (*request, error) {
 	arrived := time.Now()
 	limits := c.proxy.limits()
@@ -38,7 +38,7 @@
 	return request, nil
 }
 
-// unreadable says what a client is told whose request could not be read.
+// readError turns an error of reading a request into the local reply to it, if there is one.
 func (c *client) readError(err error) error {
 	var malformed *http1.Malformed
 	var reply *localReplyError
@@ -64,7 +64,7 @@
 	return out.Flush()
 }
 
-// readBody keeps the whole body, so that it can be sent more than once.
+// readBody buffers the complete body, so that it can be sent more than once.
 func (c *client) readBody(q *request, body *http1.Body, maxBytes int, stallTimeout time.Duration) error {
 	if body.Length() > int64(maxBytes) {
 		return errTooLarge
@@ -97,7 +97,7 @@
 			q.Body = q.Body[:n]
 			return checkBodySize(n, maxBytes)
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return io.ErrUnexpectedEOF
 		}
 		if err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// grow makes room for more of a body.
+// growBody enlarges the buffer of a body to size bytes.
 func (c *client) growBody(q *request, size int) error {
 	if !c.proxy.bodies.Reserve(size - len(q.Body)) {
 		return errNoMemory
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -7,29 +7,24 @@
 	"cresshub/internal/http1"
 )
 
-// relay passes the answers of servers to the client: at most one head, and a body without a seam.
+// relay forwards the responses of servers to the client: at most one head, and one body that several
+// servers may have contributed to. It belongs to the client's goroutine.
 type relay struct {
 	client  *client
 	request *request
 
 	started   bool // the head has been sent
-	complete  bool // the answer has been sent whole
+	complete  bool // the response has been sent completely
 	keepAlive bool // the client's connection goes on after it
 	out       http1.BodyWriter
 
-	events      eventSplitter
-	order       eventOrder
-	replaceable bool // another server may take the stream up
-	// bytes without an id were passed on, so nobody can tell where another server should go on
-	hasUnnumbered bool
+	events        eventSplitter
+	order         eventOrder
+	replaceable   bool  // another server may resume the stream
+	hasUnnumbered bool  // data without an id was forwarded, so nobody can tell where another server should go on
 	lastForwarded int64 // id of the last event that the client got, or had before
 }
 
-// mayContinue tells whether another server may be asked: for the whole answer, or for the rest of a stream.
-func (r *relay) mayContinue() bool {
-	return !r.started || r.request.route.Resumable && r.order.hasLast && !r.hasUnnumbered
-}
-
 func newRelay(c *client, q *request) relay {
 	r := relay{client: c, request: q}
 	r.order.consecutive = q.service.Engine == nil || q.service.Engine.MaxTokensPerEvent <= 1
@@ -39,7 +34,13 @@
 	return r
 }
 
-// resume makes a request one for the rest of the stream, where a part has been passed on.
+// mayContinue reports whether another server may be asked: for the complete response, or for the rest of a
+// stream.
+func (r *relay) mayContinue() bool {
+	return !r.started || r.request.route.Resumable && r.order.hasLast && !r.hasUnnumbered
+}
+
+// setResumePoint turns a request into one for the rest of the stream, where a part has been forwarded.
 func (r *relay) setResumePoint(message *http1.Request) *http1.Request {
 	if !r.started {
 		return message
@@ -50,34 +51,36 @@
 			header = append(header, field)
 		}
 	}
-	message.Header = append(header, http1.Field{Name: lastEventHeader, Value: strconv.FormatInt(r.order.lastID,
-		10)})
+	lastID := strconv.FormatInt(r.order.lastID, 10)
+	message.Header = append(header, http1.Field{Name: lastEventHeader, Value: lastID})
 	return message
 }
 
-// answer passes on what a server answers. It returns nil where the client has it whole.
+// forwardResponse forwards a server's response. It returns nil where the client has it completely.
 func (r *relay) forwardResponse(c *call, head *http1.Response, body *http1.Body) *callFailure {
-	traits := c.responseTraits(head, body)
-	class := classify(traits)
+	class := classify(c.responseTraits(head, body))
 	switch {
-	case class == classForward && traits.status/100 == 2 && r.isStream(head):
+	case class == classForward && head.Status/100 == 2 && r.isStream(head):
 		return r.forwardStream(c, head, body)
 	case class == classForward && r.started: // not the rest of the stream
 		return c.brokenFailure()
 	}
-	buffered, overflow, err := bufferResponse(c, head, body)
+	buffered, err := bufferResponse(c, head, body)
 	if err != nil && class != classRejected && class != classMisdirected {
 		return c.failureFrom(err)
 	}
-	if err == nil && !overflow {
+	if body.Whole() {
 		c.recordBodyEnd()
 	}
 	switch class {
 	case classForward:
-		return r.forwardBody(c, buffered, body, overflow)
+		return r.forwardBody(c, buffered, body)
 	case classServerError:
-		return &callFailure{outcome: outcomeOfClass[class], fate: mayHaveRun, response: completeOnly(buffered,
-			overflow)}
+		failure := &callFailure{outcome: outcomeOfClass[class], fate: mayHaveRun}
+		if body.Whole() {
+			failure.response = buffered
+		}
+		return failure
 	case classRejected:
 		return &callFailure{outcome: c.rejectionOutcome(head), fate: notRun}
 	case classMisdirected:
@@ -87,11 +90,11 @@
 	return c.brokenFailure()
 }
 
-// pass sends the client an answer that is held whole, or as far as it is held and then the rest as it comes.
-func (r *relay) forwardBody(c *call, buffered *bufferedResponse, body *http1.Body,
-	overflow bool) *callFailure {
-	if !overflow {
-		r.recordComplete(r.writeBuffered(buffered))
+// forwardBody sends the client a response that is buffered completely, or what is buffered of it and then
+// the rest as it comes.
+func (r *relay) forwardBody(c *call, buffered *bufferedResponse, body *http1.Body) *callFailure {
+	if body.Whole() {
+		r.forwardBuffered(buffered)
 		return nil
 	}
 	response := r.clientHead(buffered.head)
@@ -116,17 +119,7 @@
 	return c.brokenFailure()
 }
 
-func (r *relay) closeBody(out http1.BodyWriter) bool {
-	return out.Close() == nil && r.client.socket.writer().Flush() == nil
-}
-
-// finish notes that the answer was sent to its end.
-func (r *relay) recordComplete(keepAlive bool) {
-	r.started, r.complete, r.keepAlive = true, true, keepAlive
-	r.client.proxy.counters.forwarded.Add(1)
-}
-
-// forwardBuffered sends a server's own failure. It returns whether the client's connection goes on.
+// forwardBuffered sends a buffered response. It reports whether the client's connection goes on.
 func (r *relay) forwardBuffered(buffered *bufferedResponse) bool {
 	r.recordComplete(r.writeBuffered(buffered))
 	return r.keepAlive
@@ -141,7 +134,7 @@
 	return response.Write(out) == nil && out.Flush() == nil && !response.Close
 }
 
-// head is a server's head as the client gets it.
+// clientHead is a server's head as the client gets it.
 func (r *relay) clientHead(from *http1.Response) *http1.Response {
 	response := &http1.Response{Status: from.Status, Bodiless: from.Bodiless, Length: from.Length}
 	response.Header = from.Header.EndToEnd()
@@ -149,3 +142,13 @@
 	r.client.addKeepAlive(response)
 	return response
 }
+
+func (r *relay) closeBody(out http1.BodyWriter) bool {
+	return out.Close() == nil && r.client.socket.writer().Flush() == nil
+}
+
+// recordComplete records that the response was sent to its end.
+func (r *relay) recordComplete(keepAlive bool) {
+	r.started, r.complete, r.keepAlive = true, true, keepAlive
+	r.client.proxy.counters.forwarded.Add(1)
+}
--- a/internal/router/dataplane/request.go
+++ b/internal/router/dataplane/request.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// marginDivisor of a request's time, within these bounds, is kept so that an answer of the proxy's own still
-	// reaches the client.
+	// A request's time divided by marginDivisor, within these bounds, is kept for a response of the proxy's
+	// own to reach the client.
 	marginDivisor = 50
 	minMargin     = 20 * time.Millisecond
 	maxMargin     = 100 * time.Millisecond
-	// defaultDeadline is how long a request is held that names no deadline and has no route.
+	// defaultDeadline is how long a request may take that names no deadline and has no route.
 	defaultDeadline = time.Minute
-	// maxDeadline is the longest one that is taken for one.
+	// maxDeadline is the longest deadline that is accepted.
 	maxDeadline = 24 * time.Hour
 )
 
@@ -26,9 +26,9 @@
 type request struct {
 	*http1.Request
 	tryID        string
-	arrived      time.Time // when its first byte was there
-	hardDeadline time.Time // when its client's deadline or its route's timeout is reached
-	deadline     time.Time // when the proxy's own answer is given at the latest, a little before the limit
+	arrived      time.Time // when its first byte was read
+	hardDeadline time.Time // the client's deadline or the route's timeout, whichever is earlier
+	deadline     time.Time // when the proxy answers itself at the latest, a little before hardDeadline
 	config       *fleetconfig.Config
 	route        *fleetconfig.Route // nil where there is none
 	service      *fleetconfig.Service
@@ -63,10 +63,10 @@
 	return q
 }
 
-// writeDeadline is when the client must have let its answer in.
+// writeDeadline is when the client must have read its response.
 func (q *request) writeDeadline() time.Time { return q.deadline.Add(writeGrace) }
 
-// pickTarget returns the service at a place between 0 and 1 of the route's weights.
+// pickTarget returns the service at a fraction, from 0 to 1, of the route's total weight.
 func pickTarget(route *fleetconfig.Route, fraction float64) string {
 	remaining := fraction * route.TotalWeight
 	for _, target := range route.Targets {
--- a/internal/router/dataplane/retrybudget.go
+++ b/internal/router/dataplane/retrybudget.go
@@ -7,44 +7,47 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// budgetBuckets is how many spans the retry window is counted in.
+// budgetBuckets is how many buckets the retry window is counted in.
 const budgetBuckets = 20
 
 // The parts of the allowance that the proxies together use. What is left covers requests that die before they
 // are counted, proxies that count each other late, and spans that do not meet the window's edges.
 const (
+	// The fractions of the allowance that the proxies together use. What is left covers requests that are
+	// lost before they are counted, proxies that count each other late, and buckets that do not meet the
+	// edges of the window.
 	ratioFraction = 0.8
 	slackFraction = 0.6
 )
 
-// allowance is what the rules let the service have in repeats.
+// allowance is what the configuration lets the service have in retries.
 type allowance struct {
 	window  time.Duration
-	ratio   float64 // repeats for each request
-	slack   float64 // repeats besides, in a window, for all proxies together
+	ratio   float64 // retries for each request
+	slack   float64 // retries besides, in a window, for all proxies together
 	proxies int     // the proxies that share the slack
 }
 
-// budget counts one service's requests and repeats over a sliding window. Times are on a steady clock.
+// retryBudget counts one service's requests and retries over a sliding window. Times are on a steady clock.
 type retryBudget struct {
 	buckets [budgetBuckets + 1]budgetBucket
 }
 
 type budgetBucket struct {
-	number   int64 // of the span since the clock began
+	number   int64 // of the bucket since the clock began
 	requests int
 	retries  int
 }
 
-// request counts a client's request.
+// recordRequest counts a client's request.
 func (b *retryBudget) recordRequest(now, window time.Duration) { b.bucket(now, window).requests++ }
 
-// charge counts a repeat, whether or not it is within the allowance.
+// recordRetries counts retries, whether or not they are within the allowance.
 func (b *retryBudget) recordRetries(now, window time.Duration, retries int) {
 	b.bucket(now, window).retries += retries
 }
 
-// take counts so many repeats if all of them are within the allowance, else none.
+// take counts so many retries if all of them are within the allowance, else none.
 func (b *retryBudget) take(now time.Duration, allowed allowance, retries int) bool {
 	if retries <= 0 {
 		return true
@@ -56,7 +59,7 @@
 	return true
 }
 
-// has tells whether one more repeat is within the allowance.
+// available reports whether one more retry is within the allowance.
 func (b *retryBudget) available(now time.Duration, allowed allowance) bool {
 	return float64(b.retries(now, allowed.window)+1) <= b.allowed(now, allowed)
 }
@@ -66,7 +69,7 @@
 	return ratioFraction*a.ratio*requests + slackFraction*a.slack/float64(max(a.proxies, 1))
 }
 
-// requests counts no more than the window holds: the spans that lie in it whole, and the present one.
+// requests counts no more than the window holds: the buckets that lie in it entirely, and the present one.
 func (b *retryBudget) requests(now, window time.Duration) (sum int) {
 	oldest := bucketNumber(now, window) - budgetBuckets + 1
 	for _, s := range b.buckets {
@@ -77,7 +80,7 @@
 	return sum
 }
 
-// repeats counts no less than the window holds: also the span that lies in it in part.
+// retries counts no less than the window holds: also the bucket that lies in it partly.
 func (b *retryBudget) retries(now, window time.Duration) (sum int) {
 	oldest := bucketNumber(now, window) - budgetBuckets
 	for _, s := range b.buckets {
@@ -97,17 +100,17 @@
 	return s
 }
 
-// bucketNumber begins above the numbers that a zero budget's slots bear.
+// bucketNumber begins above the numbers that a zero budget's buckets have.
 func bucketNumber(now, window time.Duration) int64 {
 	width := max(window/budgetBuckets, time.Millisecond)
 	return int64(now/width) + 2*budgetBuckets
 }
 
-// slackMargin is for how much longer than the window the shared slack is left alone after the start. A proxy
-// that was killed may have used its share right before, and it does not know the others yet.
+// slackMargin is for how much longer than the window the shared slack is not used after the start. A proxy
+// that was killed may have used its share right before, and its successor does not know the others yet.
 const slackMargin = time.Second
 
-// budgets holds the retry budget of each service. It is safe for concurrent use.
+// retryBudgets holds the retry budget of each service. It is safe for concurrent use.
 type retryBudgets struct {
 	bounds agentsettings.Bounds
 
@@ -120,7 +123,7 @@
 	return &retryBudgets{bounds: bounds, services: map[string]*retryBudget{}}
 }
 
-// request counts a client's request for a service.
+// recordRequest counts a client's request for a service.
 func (b *retryBudgets) recordRequest(now time.Duration, service string, proxies int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,14 +131,14 @@
 	b.forService(service).recordRequest(now, b.bounds.RetryWindow)
 }
 
-// take takes so many repeats, all or none.
+// take takes so many retries, all or none.
 func (b *retryBudgets) take(now time.Duration, service string, proxies, retries int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.forService(service).take(now, b.allowance(now, proxies), retries)
 }
 
-// has tells whether one more repeat may be taken now.
+// available reports whether one more retry may be taken now.
 func (b *retryBudgets) available(now time.Duration, service string, proxies int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -12,42 +12,43 @@
 const (
 	// minTimeLeft is the time below which nothing is sent to a server any more.
 	minTimeLeft = 5 * time.Millisecond
-	// maxUnreachable is how many servers may be found out of reach before a request is refused.
+	// maxUnreachable is how many servers may be unreachable before a request is answered 503.
 	maxUnreachable = 4
-	// The bounds of what a refused client is told to wait.
+	// The bounds of the Retry-After of a local reply.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = time.Second
 )
 
-// reason says why a delivery was told to stop.
+// stopReason says why a round trip was stopped.
 type stopReason int
 
 const (
 	notStopped         stopReason = iota
-	clientDisconnected            // the client has gone
-	proxyStopping                 // the process ends
+	clientDisconnected            // before its response was complete
+	proxyStopping                 // the process ends, and Wait has aborted the request
 )
 
-// delivery takes one request to servers until one of them answers it or nothing more may be tried.
+// roundTrip takes one request to servers until one of them answers it or nothing more may be tried. It
+// belongs to the client's goroutine, except for stop and what mu guards.
 type roundTrip struct {
 	proxy         *Proxy
 	client        *client
 	request       *request
-	requestNumber uint64 // of the request in this process
+	requestNumber uint64 // counts the requests of this process
 	relay         relay
 
 	attempts           attemptCounter
-	handle             *kvHandle // the prompt's memory at the server that read it, nil where there is none
-	worstFate          fate      // of all calls so far
-	serverError        *bufferedResponse
+	handle             *kvHandle         // the prompt's prefix cache where it was prefilled, nil where there is none
+	worstFate          fate              // of all calls so far
+	serverError        *bufferedResponse // the last one; forwarded if nothing more is tried
 	unreachableServers int
 	keepAlive          bool // the client's connection is good for another request
 	trace              roundTripTrace
-	inFlight           *call // the call that has begun and not ended, nil where there is none
+	inFlight           *call // nil between calls
 
 	mu        sync.Mutex
 	stopCause stopReason
-	abortable io.Closer // what a call waits on
+	abortable io.Closer // what stop has to close to wake the call
 }
 
 func newRoundTrip(c *client, q *request) *roundTrip {
@@ -57,7 +58,7 @@
 	return rt
 }
 
-// run sees the request through.
+// run makes calls until the request is answered.
 func (rt *roundTrip) run() {
 	defer rt.finishInterruptedCall()
 	proxy := rt.proxy
@@ -77,7 +78,7 @@
 		}
 		failure := c.run()
 		if failure == nil {
-			rt.handle = nil // the server that answered has taken the memory
+			rt.handle = nil // the server that answered has taken the prefix cache
 			break
 		}
 		if !rt.handleFailure(c, failure) {
@@ -88,7 +89,8 @@
 	rt.conclude()
 }
 
-// finishInterruptedCall ends the call under way where a panic has left it: it gives back what the call took.
+// finishInterruptedCall ends the call in flight where a panic has left it, and so returns what the call
+// reserved.
 func (rt *roundTrip) finishInterruptedCall() {
 	if c := rt.inFlight; c != nil {
 		c.mustClose = true
@@ -96,7 +98,7 @@
 	}
 }
 
-// hopeless tells whether no server could begin before the request's end.
+// cannotStartInTime reports whether no server could begin before the request's deadline.
 func (rt *roundTrip) cannotStartInTime() bool {
 	if rt.finished() {
 		return true
@@ -107,8 +109,8 @@
 
 func (rt *roundTrip) timeLeft() time.Duration { return time.Until(rt.request.deadline) }
 
-// responseDeadline is how long a server's answer is waited for at most: one that has begun goes on to the
-// request's limit, as no answer of the proxy's own could take its place.
+// responseDeadline is how long a server's response is waited for at most: one that has begun goes on to the
+// hard deadline, as no response of the proxy's own could take its place.
 func (rt *roundTrip) responseDeadline() time.Time {
 	if rt.relay.started {
 		return rt.request.hardDeadline
@@ -116,7 +118,7 @@
 	return rt.request.deadline
 }
 
-// over tells whether nothing more may be sent.
+// finished reports whether nothing more may be sent.
 func (rt *roundTrip) finished() bool {
 	return rt.stopReason() != notStopped || rt.timeLeft() < minTimeLeft
 }
@@ -127,7 +129,7 @@
 	return rt.stopCause
 }
 
-// stop ends the call under way and lets no other begin.
+// stop ends the call in flight and lets no other begin. Any goroutine may call it.
 func (rt *roundTrip) stop(reason stopReason) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -139,7 +141,7 @@
 	}
 }
 
-// attach names what stop has to close; it returns false where the delivery was stopped before.
+// setAbortable sets what stop has to close; it returns false where the round trip is stopped already.
 func (rt *roundTrip) setAbortable(closer io.Closer) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -150,7 +152,7 @@
 	return true
 }
 
-// nextCall chooses the server that makes the answer, nil where there is none or no repeat is left.
+// nextCall returns the call that answers the request, nil where there is no server or no retry left.
 func (rt *roundTrip) nextCall() *call {
 	if rt.handle.expired(time.Now()) {
 		rt.releaseHandle()
@@ -164,7 +166,8 @@
 	return rt.newCall(scheduler.Serve)
 }
 
-// chosen draws the server for a call in that role, if the request may be sent once more.
+// newCall chooses the server for a call in that role, and pays for it if it is a retry. It returns nil
+// where there is none.
 func (rt *roundTrip) newCall(role scheduler.Role) *call {
 	if !rt.attempts.allows(role) {
 		rt.trace.setReason(reasonAttemptsUsed)
@@ -185,7 +188,7 @@
 	return rt.inFlight
 }
 
-// pay takes what the call costs from the retry budget.
+// payForRetry takes what the call costs from the retry budget.
 func (rt *roundTrip) payForRetry(role scheduler.Role) bool {
 	proxy, cost := rt.proxy, rt.attempts.retryCost(role)
 	if !proxy.budgets.take(proxy.now(), rt.request.service.Name, proxy.state.Proxies(), cost) {
@@ -196,36 +199,46 @@
 	return true
 }
 
-// mayRetry tells whether another call could follow one that is under way now.
+// mayRetry reports whether another call could follow one that is in flight now.
 func (rt *roundTrip) mayRetry() bool {
 	proxy := rt.proxy
 	return rt.request.route.Idempotent() && rt.attempts.count+2 <= rt.attempts.maxAttempts &&
 		proxy.budgets.available(proxy.now(), rt.request.service.Name, proxy.state.Proxies())
 }
 
-// learn takes in how a call failed and tells whether another one may follow.
+// handleFailure records how a call failed, and reports whether another one may follow.
 func (rt *roundTrip) handleFailure(c *call, f *callFailure) bool {
 	rt.worstFate = max(rt.worstFate, f.fate)
 	if f.response != nil {
 		rt.serverError = f.response
 	}
-	switch {
-	case f.outcome == scheduler.Unreachable || f.outcome == scheduler.Abandoned && f.fate == notSent:
-		rt.unreachableServers++
-	case f.fate == notRun:
-		rt.attempts.recordRejected()
-	case f.fate == mayHaveRun:
-		rt.attempts.recordAccepted(c.role)
-	}
+	rt.countAttempt(c, f)
 	if !f.staleConnection && f.outcome != scheduler.HandleFailed {
 		rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, c.choice.Server.ID)
 	}
 	switch {
 	case rt.relay.started:
-		rt.handle = nil // the server that began the stream has taken the memory
+		rt.handle = nil // the server that began the stream has taken the prefix cache
 	case c.role == scheduler.Decode && f.handleConsumed():
 		rt.releaseHandle()
 	}
+	return rt.mayFollow()
+}
+
+// countAttempt counts a failed call against the route's attempts, or as one to an unreachable server.
+func (rt *roundTrip) countAttempt(c *call, f *callFailure) {
+	switch {
+	case f.outcome == scheduler.Unreachable || f.outcome == scheduler.Abandoned && f.fate == notSent:
+		rt.unreachableServers++
+	case f.fate == notRun:
+		rt.attempts.recordRejected()
+	case f.fate == mayHaveRun:
+		rt.attempts.recordAccepted(c.role)
+	}
+}
+
+// mayFollow reports whether another call may follow those that have failed, and records why not.
+func (rt *roundTrip) mayFollow() bool {
 	switch {
 	case !mayRepeat(rt.request.route.Idempotent(), rt.worstFate):
 		rt.trace.setReason(reasonMayHaveRun)
@@ -239,7 +252,7 @@
 	return false
 }
 
-// conclude gives the client its last word, unless it has its whole answer.
+// conclude ends the response to the client: with a response of its own if no server has begun one.
 func (rt *roundTrip) conclude() {
 	counters := &rt.proxy.counters
 	switch {
@@ -264,8 +277,8 @@
 	}
 }
 
-// cut makes sure that an answer that is not whole does not look so: where only the end of the connection
-// ends it, the connection is reset.
+// truncate makes sure that an incomplete response does not look complete: where only the end of the
+// connection ends it, the connection is reset.
 func (rt *roundTrip) truncate() {
 	rt.client.truncated = true
 	if conn, ok := rt.client.socket.Conn.(*net.TCPConn); ok && rt.request.Old {
@@ -273,6 +286,7 @@
 	}
 }
 
+// finalReply is the proxy's own response where nothing more is tried.
 func (rt *roundTrip) finalReply() *localReplyError {
 	late := rt.timeLeft() < minTimeLeft || rt.stopReason() == proxyStopping
 	switch finalStatus(rt.worstFate, late) {
@@ -287,7 +301,7 @@
 		remedy: "the server broke off, and the request may have run; look before sending it again"}
 }
 
-// retryAfter is the time after which a server will have a place again.
+// retryAfter is the time after which a server is expected to have a free slot.
 func (rt *roundTrip) retryAfter() time.Duration {
 	wait, _ := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
 	return min(max(wait, minRetryAfter), maxRetryAfter)
--- a/internal/router/dataplane/slidingmax.go
+++ b/internal/router/dataplane/slidingmax.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// slidingMaxWindow is for how long at least a higher count of proxies is remembered: a cut makes the count
-	// fall, while those beyond it go on using their share of the retry budget.
+	// slidingMaxWindow is for how long at least a higher count of proxies is remembered: a partition makes
+	// the count fall, while those beyond it go on using their share of the retry budget.
 	slidingMaxWindow  = 60 * time.Second
 	slidingMaxBuckets = 6
 )
 
-// peak is the highest of a figure's values within the last slidingMaxWindow, or a little longer.
+// slidingMax is the highest of a figure's values within the last slidingMaxWindow, or a little longer.
 type slidingMax struct {
 	numbers [slidingMaxBuckets + 1]int64
 	values  [slidingMaxBuckets + 1]int
 }
 
-// note takes in a value and returns the highest that is remembered.
+// observe adds a value and returns the highest within the window.
 func (p *slidingMax) observe(now time.Duration, value int) int {
 	number := int64(now/(slidingMaxWindow/slidingMaxBuckets)) + slidingMaxBuckets + 1
 	slot := number % int64(len(p.numbers))
--- a/internal/router/dataplane/socket.go
+++ b/internal/router/dataplane/socket.go
@@ -14,36 +14,36 @@
 
 const (
 	bufferSize = 4 << 10
-	// clientTimeout is how long sent bytes may stay unacknowledged by a client's machine before the system ends
-	// the connection.
+	// clientTimeout is how long sent bytes may stay unacknowledged by a client's machine before the system
+	// ends the connection.
 	clientTimeout = 3 * time.Second
-	// serverTimeout is the same for a server's: a machine that is up acknowledges within milliseconds, and each
-	// request that waits for a dead one is late.
+	// serverTimeout is the same for a server's: a machine that is up acknowledges within milliseconds, and
+	// each request that waits for a dead one is late.
 	serverTimeout = 800 * time.Millisecond
 )
 
 var (
 	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
-	// pastDeadline is a read deadline that wakes whoever reads.
+	// pastDeadline is a read deadline that wakes a waiting reader.
 	pastDeadline = time.Unix(1, 0)
 )
 
-// socket is a TCP connection whose buffers are lent to it while it reads or writes; one that waits has none.
+// socket is a TCP connection that borrows buffers while it reads or writes; one that waits has none.
 type socket struct {
 	net.Conn
 	raw syscall.RawConn
-	in  *bufio.Reader // nil while none is lent
+	in  *bufio.Reader // nil while none is borrowed
 	out *bufio.Writer // likewise
 
-	bytesSent int64 // bytes that the system has taken of the present message
+	bytesSent int64 // bytes of the present message that the system has taken
 
-	extender deadlineExtender // asked when the read deadline has passed; may be nil
+	extender deadlineExtender // is asked when the read deadline has passed; may be nil
 }
 
-// waiter decides on what to do about silence.
+// deadlineExtender decides whether a read goes on after its deadline.
 type deadlineExtender interface {
-	// extendReadDeadline tells whether to read on; then it has set a later deadline.
+	// extendReadDeadline reports whether to read on; then it has set a later deadline.
 	extendReadDeadline() bool
 }
 
@@ -66,7 +66,7 @@
 	return n, err
 }
 
-// Read reads, and goes on after its deadline as long as its waiter wants it to.
+// Read reads, and goes on after its deadline as long as its extender sets a later one.
 func (s *socket) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	for err != nil && s.extender != nil && errors.Is(err, os.ErrDeadlineExceeded) &&
@@ -76,7 +76,7 @@
 	return n, err
 }
 
-// reader lends the socket a buffer to read through.
+// reader borrows a buffer to read through.
 func (s *socket) reader() *bufio.Reader {
 	if s.in == nil {
 		s.in = readerPool.Get().(*bufio.Reader)
@@ -85,7 +85,7 @@
 	return s.in
 }
 
-// writer lends the socket a buffer to write through.
+// writer borrows a buffer to write through.
 func (s *socket) writer() *bufio.Writer {
 	if s.out == nil {
 		s.out = writerPool.Get().(*bufio.Writer)
@@ -94,7 +94,7 @@
 	return s.out
 }
 
-// rest gives back the buffers that hold nothing. No body may be under way through them.
+// returnEmptyBuffers returns the buffers that are empty. No body may be in transfer through them.
 func (s *socket) returnEmptyBuffers() {
 	if s.in != nil && s.in.Buffered() == 0 {
 		s.returnReader()
@@ -104,7 +104,7 @@
 	}
 }
 
-// release gives back the buffers, whatever they hold, of a connection that is over.
+// returnBuffers returns the buffers, whatever they contain, of a connection that is over.
 func (s *socket) returnBuffers() {
 	if s.in != nil {
 		s.returnReader()
@@ -126,13 +126,13 @@
 	s.out = nil
 }
 
-// hasBufferedInput tells whether bytes were read that nobody has taken yet.
+// hasBufferedInput reports whether bytes were read that nobody has taken yet.
 func (s *socket) hasBufferedInput() bool { return s.in != nil && s.in.Buffered() > 0 }
 
-// quiet tells whether nothing waits to be read, neither here nor in the system: no byte and no end.
+// quiet reports whether nothing waits to be read, neither here nor in the system: no byte and no end.
 func (s *socket) quiet() bool { return !s.hasBufferedInput() && s.readState() == notReadable }
 
-// sight is what a look at the system's side of a connection shows.
+// readState is what the system's side of a connection has for a reader.
 type readState int
 
 const (
@@ -141,7 +141,7 @@
 	readClosed // the other side has ended its sending, or the connection is broken
 )
 
-// look tells what waits in the system, and leaves it there.
+// readState returns what waits in the system, and leaves it there.
 func (s *socket) readState() readState {
 	state := readClosed
 	err := s.raw.Control(func(fd uintptr) { state = peek(fd) })
@@ -167,8 +167,8 @@
 	}
 }
 
-// await waits until bytes or an end can be read, and leaves them in the system. It returns nothing where the
-// read deadline passed.
+// awaitReadable waits until bytes or an end can be read, and leaves them in the system. It returns
+// notReadable where the read deadline passed.
 func (s *socket) awaitReadable() readState {
 	state := notReadable
 	err := s.raw.Read(func(fd uintptr) bool {
@@ -181,13 +181,13 @@
 	return state
 }
 
-// controlServer sets what a socket to a server has before it connects.
+// controlServer sets the options of a socket to a server before it connects.
 func controlServer(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, serverTimeout) }
 
 // setUserTimeout bounds how long sent bytes may stay unacknowledged.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	return raw.Control(func(fd uintptr) {
-		// Without the option a connection through a cut hangs for minutes; it still works, so no error ends it.
+		// Without the option a connection across a partition hangs for minutes, but it works: errors are ignored.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 }
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -13,7 +13,7 @@
 
 var streamBuffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// isStream tells whether an answer is a series of events.
+// isStream reports whether a response is a stream of events.
 func (r *relay) isStream(head *http1.Response) bool {
 	kind, _, _ := strings.Cut(head.Header.Get("Content-Type"), ";")
 	if kind == "" {
@@ -22,8 +22,8 @@
 	return strings.EqualFold(strings.TrimSpace(kind), eventStreamType)
 }
 
-// stream passes on events as they arrive, each one whole. Where it ends early the events that the client has
-// are the first ones of the stream, without a gap.
+// forwardStream forwards events as they arrive, each one complete. Where it ends early the events that the
+// client has are the first ones of the stream, without a gap.
 func (r *relay) forwardStream(c *call, head *http1.Response, body *http1.Body) *callFailure {
 	r.events.reset()
 	if r.started {
@@ -58,7 +58,7 @@
 	}
 }
 
-// forward writes the events that are whole.
+// forwardEvents writes the events that are complete.
 func (r *relay) forwardEvents(c *call, head *http1.Response) *callFailure {
 	for event := r.events.next(); event != nil; event = r.events.next() {
 		if f := r.forwardEvent(c, head, event); f != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// checkIDsRise holds the events of a server that took the stream up to follow those that the client has.
+// checkIDsRise checks that the events of a server that resumed the stream follow those that the client has.
 func (r *relay) checkIDsRise(event []byte) {
 	id, ok := eventID(event)
 	if !ok {
@@ -100,7 +100,7 @@
 	r.lastForwarded = id
 }
 
-// begin sends the head with the first event of the first server.
+// startResponse sends the head with the first event of the first server.
 func (r *relay) startResponse(c *call, head *http1.Response) error {
 	if r.started {
 		return nil
@@ -118,11 +118,11 @@
 	return err
 }
 
-// endStream ends the answer, as its server did.
+// endStream ends the response, as its server did.
 func (r *relay) endStream(c *call, head *http1.Response, body *http1.Body) *callFailure {
 	c.recordBodyEnd()
 	if partial := r.events.partial(); len(partial) > 0 {
-		if endsWithConnection(head, body) { // an event in two pieces shows that its server broke off
+		if endsWithConnection(head, body) { // an incomplete event shows that its server broke off
 			return c.brokenFailure()
 		}
 		if f := r.forwardEvent(c, head, partial); f != nil {
@@ -143,7 +143,7 @@
 	return r.client.socket.writer().Flush()
 }
 
-// clientFailure says that the client did not let the answer in.
+// clientFailure says that the client did not read the response.
 func (r *relay) clientFailure(c *call) *callFailure {
 	c.roundTrip.stop(clientDisconnected)
 	return &callFailure{outcome: scheduler.Abandoned, fate: mayHaveRun}
@@ -155,7 +155,7 @@
 	if !r.started {
 		return c.firstByteDeadline()
 	}
-	if !r.replaceable || !r.mayContinue() { // silence alone ends nothing
+	if !r.replaceable || !r.mayContinue() { // a pause alone ends nothing
 		return rt.request.hardDeadline
 	}
 	return earlier(rt.request.hardDeadline, time.Now().Add(streamTimeout(rt.request.route.GapTarget)))
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// finalReason says in one word why nothing more was tried for a request.
+// finalReason says in one word why nothing more was tried for a request; metrics and logs have it.
 type finalReason string
 
 // The reasons why a request ends without the whole answer of a server.
@@ -27,17 +27,17 @@
 	reasonClientDisconnected finalReason = "client_left"
 )
 
-// roundTripTrace is what is kept of a request's calls, to explain its end and to check promises by figures of
-// its own.
+// roundTripTrace records a request's calls, to explain its outcome and to check invariants by counts of its
+// own.
 type roundTripTrace struct {
 	reason           finalReason
 	failedCalls      []failedCall
-	attempts         int  // arrivals at servers that count among the tries of the route
-	freePrefillUsed  bool // the first call that reads, which does not count, has been taken up
-	unsafeMayHaveRun bool // what must not run twice may have run
+	attempts         int  // that count against the route's maximum
+	freePrefillUsed  bool // the first prefill call, which does not count, has been accepted
+	unsafeMayHaveRun bool // a request that must not run twice may have run
 }
 
-// failedCall is one call that did not bring the whole answer.
+// failedCall is a call that did not bring the complete response.
 type failedCall struct {
 	server  string
 	role    scheduler.Role
@@ -47,10 +47,10 @@
 	elapsed time.Duration
 }
 
-// setReason notes why nothing more is tried, as far as is known; another call takes that back.
+// setReason records why nothing more is tried, as far as is known; another call takes that back.
 func (t *roundTripTrace) setReason(reason finalReason) { t.reason = reason }
 
-// finalReason tells why a request ends.
+// finalReason returns why a request ends.
 func (t *roundTripTrace) finalReason(rt *roundTrip) finalReason {
 	switch {
 	case rt.stopReason() == clientDisconnected:
@@ -74,7 +74,7 @@
 	}
 }
 
-// endCall notes how a call ended; f is nil where the client has the whole answer.
+// endCall records how a call ended; f is nil where the client has the complete response.
 func (t *roundTripTrace) endCall(c *call, f *callFailure) {
 	rt := c.roundTrip
 	sent := c.conn != nil && c.conn.bytesSent > 0
@@ -90,8 +90,7 @@
 	}
 	took := c.elapsed()
 	t.failedCalls = append(t.failedCalls, failedCall{server: c.choice.Server.ID, role: c.role,
-		outcome: f.outcome,
-		fate:    f.fate, at: time.Since(rt.request.arrived) - took, elapsed: took})
+		outcome: f.outcome, fate: f.fate, at: time.Since(rt.request.arrived) - took, elapsed: took})
 }
 
 func (t *roundTripTrace) countAttempt(c *call, f *callFailure) {
@@ -103,11 +102,11 @@
 	t.attempts++
 	maxAttempts := c.roundTrip.request.route.MaxAttempts
 	invariant.Assert(t.attempts <= maxAttempts, invariant.AttemptsWithinRoute,
-		"try %s reached %d servers, %d are allowed",
-		c.roundTrip.request.tryID, t.attempts, maxAttempts)
+		"try %s reached %d servers, %d are allowed", c.roundTrip.request.tryID, t.attempts, maxAttempts)
 }
 
-// checkLocalReply holds an own answer that promises that the request has not run to what was sent of it.
+// checkLocalReply checks a local reply that promises that the request has not run against what was sent of
+// it.
 func (t *roundTripTrace) checkLocalReply(rt *roundTrip, status int) {
 	promises := status == 408 || status == 421 || status == 429 || status == 503
 	invariant.Assert(!promises || !t.unsafeMayHaveRun, invariant.RejectedNeverRan,
--- a/internal/router/dataplane/upload.go
+++ b/internal/router/dataplane/upload.go
@@ -9,12 +9,12 @@
 	"cresshub/internal/http1"
 )
 
-// largeBodySize is the size from which a body may not fit into what the systems on both sides hold of it, so
-// that it waits for the server's process to read.
+// largeBodySize is the size from which a body may not fit into the socket buffers of both sides, so that it
+// waits for the server's process to read.
 const largeBodySize = 32 << 10
 
-// write sends a message. While a large one waits for its server to read on, an answer may come before: then
-// what is still to be sent has little time left, and the connection ends with the answer.
+// writeRequest sends a message. While a large one waits for its server to read on, a response may arrive:
+// then what is still to be sent has little time left, and the connection ends with the response.
 func (c *call) writeRequest(message *http1.Request) error {
 	large := len(message.Body) >= largeBodySize
 	c.conn.setUnackedTimeout(large, c.roundTrip.timeLeft())
@@ -28,8 +28,8 @@
 	return out.Flush()
 }
 
-// watchEarlyResponse bounds the time of sending once bytes of an answer are there. The function that it
-// returns ends the wait.
+// watchEarlyResponse bounds the time of sending once bytes of a response have arrived. The function that it
+// returns ends the watch.
 func (c *call) watchEarlyResponse() (end func()) {
 	conn, done := c.conn, make(chan struct{})
 	conn.SetReadDeadline(time.Time{})
@@ -45,8 +45,8 @@
 	}
 }
 
-// setUnackedTimeout sets how long sent bytes may wait in the system. A process that does not read them makes
-// them wait just as a dead machine does; those of a large body are given the time of their request.
+// setUnackedTimeout sets how long sent bytes may stay unacknowledged. A process that does not read them
+// keeps them waiting just as a dead machine does; those of a large body get the time of their request.
 func (c *connection) setUnackedTimeout(large bool, timeLeft time.Duration) {
 	if !large && !c.largeBody.Load() {
 		return
@@ -59,8 +59,8 @@
 	c.largeBody.Store(large)
 }
 
-// bodyLeftUnread tells whether the server's process has, or may have, not read all of a large body that it
-// has answered. Its connection is no good for another request, which would have to wait behind the rest.
+// bodyLeftUnread reports whether the server's process may not have read all of a large body that it has
+// answered. Its connection is no good for another request, which would have to wait behind the rest.
 func (c *call) bodyLeftUnread(head *http1.Response) bool {
 	if len(c.roundTrip.request.Body) < largeBodySize {
 		return false
@@ -73,15 +73,15 @@
 func (c *connection) Close() error {
 	conn, ok := c.Conn.(*net.TCPConn)
 	if ok && c.largeBody.Load() && c.unsentBytes() > 0 {
-		_ = conn.SetLinger(0) // only a connection that is closed already refuses
+		_ = conn.SetLinger(0) // fails only on a connection that is closed already
 	}
 	return c.Conn.Close()
 }
 
-// unsent is how many bytes wait in the system for the other side to take them.
+// unsentBytes is how many bytes in the socket buffer the other side has not acknowledged.
 func (s *socket) unsentBytes() (bytes int) {
 	_ = s.raw.Control(func(fd uintptr) {
-		bytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) // where it can't be told nothing is known to wait
+		bytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) // 0 if it fails
 	})
 	return bytes
 }
