--- a/internal/router/dataplane/classify.go
+++ b/internal/router/dataplane/classify.go
@@ -47,7 +47,7 @@
 	notRun       bool // it carries Cresshub-Not-Run
 	stamped      bool // it carries Cresshub-Server-Stamp
 	encoded      bool // it carries Content-Encoding, so the body is not the server's
-	endUncertain bool // the end of the connection is its end, and a reset would not be told from it
+	endUncertain bool // only the connection ends it, and a reset could look the same
 }
 
 // classify returns the class of a response.
--- a/internal/router/dataplane/disconnect_test.go
+++ b/internal/router/dataplane/disconnect_test.go
@@ -99,6 +99,7 @@
 
 // crowded returns the address of a listener that lets no further connection in.
 func crowded(t *testing.T) string {
+	t.Helper()
 	c := qt.New(t)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	c.Assert(err, qt.IsNil)
--- a/internal/router/dataplane/fakeserver_test.go
+++ b/internal/router/dataplane/fakeserver_test.go
@@ -25,28 +25,31 @@
 // handler answers one request by what it writes to the connection; false ends the connection.
 type handler func(q *http1.Request, w io.Writer) bool
 
-func newServer(t testing.TB, id, service string, stage catalog.Role, answer handler) *server {
+func newServer(tb testing.TB, id, service string, stage catalog.Role, answer handler) *server {
+	tb.Helper()
 	s := &server{Server: &catalog.Server{ID: id, Service: service, Slots: 8, State: catalog.Ready, Role: stage}}
-	s.listen(t, func(conn net.Conn) { s.serve(conn, answer) })
+	s.listen(tb, func(conn net.Conn) { s.serve(conn, answer) })
 	return s
 }
 
 // listen gives each connection a goroutine until the test ends.
-func (s *server) listen(t testing.TB, serve func(net.Conn)) {
-	s.listenWith(t, net.ListenConfig{}, serve)
+func (s *server) listen(tb testing.TB, serve func(net.Conn)) {
+	tb.Helper()
+	s.listenWith(tb, net.ListenConfig{}, serve)
 }
 
-func (s *server) listenWith(t testing.TB, how net.ListenConfig, serve func(net.Conn)) {
+func (s *server) listenWith(tb testing.TB, how net.ListenConfig, serve func(net.Conn)) {
+	tb.Helper()
 	listener, err := how.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	s.listener = listener
 	s.Address = listener.Addr().String()
 	var under sync.WaitGroup
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		listener.Close()
 		mu.Lock()
 		for conn := range open {
@@ -128,10 +131,11 @@
 }
 
 // lookups returns servers of the service lookup that share a handler.
-func lookups(t testing.TB, answer handler) []*server {
+func lookups(tb testing.TB, answer handler) []*server {
+	tb.Helper()
 	var servers []*server
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
-		servers = append(servers, newServer(t, id, "lookup", catalog.NoRole, answer))
+		servers = append(servers, newServer(tb, id, "lookup", catalog.NoRole, answer))
 	}
 	return servers
 }
--- a/internal/router/dataplane/faults_test.go
+++ b/internal/router/dataplane/faults_test.go
@@ -176,6 +176,7 @@
 const faultClients = 8
 
 func faultAtEveryByte(t *testing.T, kind faultyAttempt) {
+	t.Helper()
 	servers := &faultyServers{tries: map[string]*faultyAttempt{}}
 	r := newRig(t, slack(1e6), lookups(t, servers.serve)...)
 	points := make(chan int)
--- a/internal/router/dataplane/malformedrequests_test.go
+++ b/internal/router/dataplane/malformedrequests_test.go
@@ -14,6 +14,7 @@
 
 // shortLimits let a client that is slow be seen soon.
 func shortLimits(t *testing.T) func(*agentsettings.Settings, *fakeState) {
+	t.Helper()
 	return func(_ *agentsettings.Settings, state *fakeState) {
 		config, err := fleetconfig.Parse([]byte(testConfig(
 			`{"envelope_bytes":1000,"contents_bytes":100,"envelope_ms":50,"idle_ms":50}`)))
--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -12,22 +12,22 @@
 // Stats are counts since the start of the process.
 type Stats struct {
 	Clients             int64 // connections accepted
-	ClientsRejected     int64 // connections closed at once as there were too many
-	Requests            int64 // requests read whole
-	Malformed           int64 // requests that were not proper HTTP/1.1 or beyond the limits
-	Forwarded           int64 // answers of servers passed on whole
+	ClientsRejected     int64 // connections closed at once, as there were too many
+	Requests            int64 // requests read completely
+	Malformed           int64 // requests that were no valid HTTP/1.1 or beyond the limits
+	Forwarded           int64 // responses of servers forwarded completely
 	Rejected            int64 // requests answered 503: they have not run
 	Failed              int64 // requests answered 502 or 504
-	Truncated           int64 // answers cut off after their beginning
-	ClientsDisconnected int64 // clients that left while their request was under way
+	Truncated           int64 // responses that ended before they were complete
+	ClientsDisconnected int64 // clients that disconnected while their request was in flight
 	Calls               int64 // calls sent to servers
 	Retries             int64 // calls that the retry budget paid for
-	Resumed             int64 // streams taken up at another server
-	Prefills            int64 // prompts read by one server for another
-	PrefillsFailed      int64 // prompts whose reading failed, or whose memory could not be fetched
-	Surplus             int64 // answers of servers that belonged to another request
+	Resumed             int64 // streams resumed at another server
+	Prefills            int64 // prompts prefilled by one server for another
+	PrefillsFailed      int64 // prompts whose prefill failed
+	Surplus             int64 // responses that belonged to another request
 	Dialled             int64 // connections opened to servers
-	Reused              int64 // calls sent on a connection that was used before
+	Reused              int64 // calls on a connection that was used before
 }
 
 type counters struct {
@@ -36,7 +36,7 @@
 	resumed, prefills, prefillsFailed, surplus, dialled, reused atomic.Int64
 }
 
-// Stats returns the counts of this moment.
+// Stats returns the present counts.
 func (p *Proxy) Stats() Stats {
 	c := &p.counters
 	return Stats{
--- a/internal/router/dataplane/outcome.go
+++ b/internal/router/dataplane/outcome.go
@@ -11,15 +11,14 @@
 // requestOutcome is what became of a request in the end; metrics and logs call it its ending.
 type requestOutcome string
 
-// The endings of a request.
+// The outcomes of a request.
 const (
-	// The outcomes of a request.
-	outcomeServed             requestOutcome = "served"         // the whole answer of a server
+	outcomeServed             requestOutcome = "served"         // the complete response of a server
 	outcomeServerFailure      requestOutcome = "server_failure" // a server's own 5xx
 	outcomeRejected           requestOutcome = "refused"        // 503: it has not run
 	outcomeFailed             requestOutcome = "failed"         // 502
 	outcomeTimedOut           requestOutcome = "timed_out"      // 504
-	outcomeTruncated          requestOutcome = "cut"            // the connection ends inside the answer
+	outcomeTruncated          requestOutcome = "cut"            // the connection ends within the response
 	outcomeClientDisconnected requestOutcome = "client_left"
 )
 
@@ -56,7 +55,7 @@
 }
 
 // observe counts the end of a request, and logs one that was not served with all its calls.
-func (p *Proxy) observe(rt *roundTrip, outcome requestOutcome, status int) {
+func (p *Proxy) recordOutcome(rt *roundTrip, outcome requestOutcome, status int) {
 	elapsed := time.Since(rt.request.arrived)
 	p.observer.durations.Observe(elapsed)
 	if outcome == outcomeServed {
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -46,7 +46,7 @@
 
 // pool keeps the connections to servers, by incarnation. It is safe for concurrent use.
 type pool struct {
-	stats    *counters
+	counters *counters
 	isListed func(server string) bool
 	maxOpen  int // to all servers together
 
@@ -61,8 +61,8 @@
 	idle []*connection // the one used last at the end
 }
 
-func newPool(stats *counters, maxOpen int, isListed func(server string) bool) *pool {
-	return &pool{stats: stats, maxOpen: maxOpen, isListed: isListed, servers: map[string]*serverConnections{}}
+func newPool(counters *counters, maxOpen int, isListed func(server string) bool) *pool {
+	return &pool{counters: counters, maxOpen: maxOpen, isListed: isListed, servers: map[string]*serverConnections{}}
 }
 
 // connectionSpec is what a call needs of its connection.
@@ -88,7 +88,7 @@
 		}
 		if c.suitable(spec) && c.quiet() {
 			c.reused, c.lastRequest = true, spec.requestNumber
-			p.stats.reused.Add(1)
+			p.counters.reused.Add(1)
 			return c, nil
 		}
 		p.discard(c)
@@ -164,7 +164,7 @@
 		p.releaseSlot(spec.server.ID)
 		return nil, err
 	}
-	p.stats.dialled.Add(1)
+	p.counters.dialled.Add(1)
 	return &connection{socket: socket, server: spec.server.ID, lastRequest: spec.requestNumber}, nil
 }
 
--- a/internal/router/dataplane/pool_test.go
+++ b/internal/router/dataplane/pool_test.go
@@ -10,6 +10,7 @@
 
 // poolOf returns a pool of so many connections, and two servers that let them be.
 func poolOf(t *testing.T, most int) (*pool, connectionSpec, connectionSpec) {
+	t.Helper()
 	p := newPool(&counters{}, most, func(string) bool { return true })
 	a := connectionSpec{server: newServer(t, "a", "s", "", ok("")).Server, maxIdle: time.Minute}
 	b := connectionSpec{server: newServer(t, "b", "s", "", ok("")).Server, maxIdle: time.Minute}
--- a/internal/router/dataplane/prefill_test.go
+++ b/internal/router/dataplane/prefill_test.go
@@ -29,6 +29,7 @@
 
 // pair starts readers and writers that share a handler each.
 func pair(t *testing.T, read, write handler) (readers, writers []*server) {
+	t.Helper()
 	for _, n := range []string{"1", "2", "3"} {
 		readers = append(readers, newServer(t, "i-r"+n, "language", catalog.Prefill, read))
 		writers = append(writers, newServer(t, "i-w"+n, "language", catalog.Decode, write))
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -113,8 +113,9 @@
 }
 
 // newRig starts a Front; change may alter its settings and state before.
-func newRig(t testing.TB, change func(*agentsettings.Settings, *fakeState), servers ...*server) *rig {
-	c := qt.New(t)
+func newRig(tb testing.TB, change func(*agentsettings.Settings, *fakeState), servers ...*server) *rig {
+	tb.Helper()
+	c := qt.New(tb)
 	config, err := fleetconfig.Parse([]byte(testConfig(testLimits)))
 	c.Assert(err, qt.IsNil)
 	settings, err := agentsettings.Parse([]byte(testSettings))
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -258,21 +258,21 @@
 	switch {
 	case rt.relay.complete:
 		rt.keepAlive = rt.relay.keepAlive
-		rt.proxy.observe(rt, outcomeServed, 0)
+		rt.proxy.recordOutcome(rt, outcomeServed, 0)
 	case rt.stopReason() == clientDisconnected:
 		counters.clientsDisconnected.Add(1)
-		rt.proxy.observe(rt, outcomeClientDisconnected, 0)
+		rt.proxy.recordOutcome(rt, outcomeClientDisconnected, 0)
 	case rt.relay.started:
 		counters.truncated.Add(1) // the connection ends without the last chunk
-		rt.proxy.observe(rt, outcomeTruncated, 0)
+		rt.proxy.recordOutcome(rt, outcomeTruncated, 0)
 		rt.truncate()
 	case rt.serverError != nil && rt.worstFate == mayHaveRun:
-		rt.proxy.observe(rt, outcomeServerFailure, rt.serverError.head.Status)
+		rt.proxy.recordOutcome(rt, outcomeServerFailure, rt.serverError.head.Status)
 		rt.keepAlive = rt.relay.forwardBuffered(rt.serverError)
 	default:
 		reply := rt.finalReply()
 		rt.trace.checkLocalReply(rt, reply.status)
-		rt.proxy.observe(rt, outcomeOfStatus(reply.status), reply.status)
+		rt.proxy.recordOutcome(rt, outcomeOfStatus(reply.status), reply.status)
 		rt.keepAlive = rt.client.sendLocalReply(rt.request, reply)
 	}
 }
--- a/internal/router/dataplane/slidingmax.go
+++ b/internal/router/dataplane/slidingmax.go
@@ -16,17 +16,17 @@
 }
 
 // observe adds a value and returns the highest within the window.
-func (p *slidingMax) observe(now time.Duration, value int) int {
+func (m *slidingMax) observe(now time.Duration, value int) int {
 	number := int64(now/(slidingMaxWindow/slidingMaxBuckets)) + slidingMaxBuckets + 1
-	slot := number % int64(len(p.numbers))
-	if p.numbers[slot] != number {
-		p.numbers[slot], p.values[slot] = number, 0
+	slot := number % int64(len(m.numbers))
+	if m.numbers[slot] != number {
+		m.numbers[slot], m.values[slot] = number, 0
 	}
-	p.values[slot] = max(p.values[slot], value)
+	m.values[slot] = max(m.values[slot], value)
 	highest := 0
-	for i := range p.numbers {
-		if p.numbers[i] >= number-slidingMaxBuckets {
-			highest = max(highest, p.values[i])
+	for i := range m.numbers {
+		if m.numbers[i] >= number-slidingMaxBuckets {
+			highest = max(highest, m.values[i])
 		}
 	}
 	return highest
--- a/internal/router/dataplane/surplus_test.go
+++ b/internal/router/dataplane/surplus_test.go
@@ -32,6 +32,7 @@
 // everySurplus sends two tries for each number of bytes: before the answer to the second one stands a piece
 // of the answer to the first one, or to a request that nobody sent.
 func everySurplus(t *testing.T, route string, framing framing, own bool) {
+	t.Helper()
 	var mu sync.Mutex
 	surplus := map[io.Writer]string{}
 	ran := map[string]bool{} // by try
@@ -105,6 +106,7 @@
 }
 
 func requestFaults(t *testing.T, route string, reused bool, fault fault) {
+	t.Helper()
 	var mu sync.Mutex
 	point, connections := 0, 0
 	whole := func(q *http1.Request, w io.Writer) bool {
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -12,17 +12,17 @@
 // finalReason says in one word why nothing more was tried for a request; metrics and logs have it.
 type finalReason string
 
-// The reasons why a request ends without the whole answer of a server.
+// The reasons why a request ends without the complete response of a server.
 const (
-	reasonNoCapacity   finalReason = "crowded"      // no server could begin before the request's end
-	reasonAttemptsUsed finalReason = "tries_used"   // the route allows no further server
+	reasonNoCapacity   finalReason = "crowded"      // no server could begin before the request's deadline
+	reasonAttemptsUsed finalReason = "tries_used"   // the route allows no further attempt
 	reasonNoServer     finalReason = "no_server"    // none is left to be asked
-	reasonRetryBudget  finalReason = "retry_budget" // a repeat is more than the service may get
+	reasonRetryBudget  finalReason = "retry_budget" // a retry is more than the service may get
 	reasonMayHaveRun   finalReason = "may_have_run" // it must not run twice
 	reasonUnreachable  finalReason = "unreachable"  // several servers could not be connected to
-	// a part was passed on that no other server can go on from
+	// a part was forwarded that no other server can resume
 	reasonNotResumable       finalReason = "not_resumable"
-	reasonDeadline           finalReason = "deadline" // its time is over
+	reasonDeadline           finalReason = "deadline" // it has passed
 	reasonStopping           finalReason = "stopping" // this process ends
 	reasonClientDisconnected finalReason = "client_left"
 )
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -31,6 +31,7 @@
 
 // narrow starts a server whose system holds little of what its process does not read.
 func narrow(t *testing.T, id string, serve func(net.Conn)) *server {
+	t.Helper()
 	s := &server{Server: &catalog.Server{ID: id, Service: "lookup", State: catalog.Ready}}
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
