--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -64,7 +64,7 @@
 			panic(violation)
 		}
 		c.proxy.log.Error().Interface("panic", cause).Bytes("stack", debug.Stack()).
-			Msg("front: a mistake of the program ended a client's connection; report it with the stack")
+			Msg("front: panic while serving a client, connection closed")
 	}
 }
 
--- a/internal/router/dataplane/outcome.go
+++ b/internal/router/dataplane/outcome.go
@@ -94,5 +94,5 @@
 		tryID = q.tryID
 	}
 	p.observer.rejectionLog.Info().Str("try", tryID).Int("status", reply.status).Str("reason", reply.reason).
-		Msg("front: request not taken")
+		Msg("front: request rejected")
 }
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -62,7 +62,8 @@
 }
 
 func newPool(counters *counters, maxOpen int, isListed func(server string) bool) *pool {
-	return &pool{counters: counters, maxOpen: maxOpen, isListed: isListed, servers: map[string]*serverConnections{}}
+	return &pool{counters: counters, maxOpen: maxOpen, isListed: isListed,
+		servers: map[string]*serverConnections{}}
 }
 
 // connectionSpec is what a call needs of its connection.
--- a/internal/router/dataplane/proxy.go
+++ b/internal/router/dataplane/proxy.go
@@ -129,7 +129,7 @@
 // Serve accepts clients until the listener is closed, and then returns nil.
 func (p *Proxy) Serve(listener net.Listener) error {
 	logFailure := func(err error) {
-		p.observer.failureLog.Warn().Err(err).Msg("front: cannot accept a client, trying again shortly")
+		p.observer.failureLog.Warn().Err(err).Msg("front: accept failed, retrying")
 	}
 	_ = acceptloop.Run(listener, logFailure, p.accept) // it ends with the listener
 	return nil
@@ -147,7 +147,7 @@
 	if !p.addClient(c) {
 		conn.Close()
 		p.counters.clientsRejected.Add(1)
-		p.observer.failureLog.Warn().Int("most", p.connectionLimit()).Msg("front: too many clients; one was closed")
+		p.observer.failureLog.Warn().Int("most", p.connectionLimit()).Msg("front: connection limit reached, client closed")
 		return
 	}
 	p.counters.clients.Add(1)
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -38,7 +38,7 @@
 	relay         relay
 
 	attempts           attemptCounter
-	handle             *kvHandle         // the prompt's prefix cache where it was prefilled, nil where there is none
+	handle             *kvHandle         // of the prompt's prefix cache, nil where there is none
 	worstFate          fate              // of all calls so far
 	serverError        *bufferedResponse // the last one; forwarded if nothing more is tried
 	unreachableServers int
