--- a/internal/router/dataplane/attempts_test.go
+++ b/internal/router/dataplane/attempts_test.go
@@ -14,36 +14,36 @@
 	rejected bool
 }
 
-func TestAttempts(t *testing.T) {
+func TestAttemptsAndRetryCost(t *testing.T) {
 	read, readNot := callResult{scheduler.Prefill, false}, callResult{scheduler.Prefill, true}
 	write, writeNot := callResult{scheduler.Decode, false}, callResult{scheduler.Decode, true}
 	serve := callResult{scheduler.Serve, false}
 	for _, test := range []struct {
 		name  string
-		most  int
+		max   int
 		calls []callResult
 		price []int          // of each call in turn
 		next  scheduler.Role // a call after them
-		may   bool           // it is within the servers of the request
-		costs int            // what it would cost
+		may   bool           // it is within the maximum
+		costs int            // how many retries it would cost
 	}{
-		{"the first one is free", 1, nil, nil, scheduler.Serve, true, 0},
-		{"one server only", 1, []callResult{serve}, []int{0}, scheduler.Serve, false, 1},
-		{"the second one costs", 2, []callResult{serve}, []int{0}, scheduler.Serve, true, 1},
-		{"reading comes beside", 1, []callResult{read}, []int{0}, scheduler.Decode, true, 0},
-		{"reading and writing", 1, []callResult{read, write}, []int{0, 0}, scheduler.Serve, false, 1},
-		{"a rejected reading is an arrival", 2, []callResult{readNot}, []int{0}, scheduler.Serve, true, 1},
-		{"and leaves no room for one server", 1, []callResult{readNot}, []int{0}, scheduler.Serve, false, 1},
-		{"nor for reading anew", 1, []callResult{readNot}, []int{0}, scheduler.Prefill, false, 1},
-		{"reading after a rejected one", 2, []callResult{readNot, read}, []int{0, 1}, scheduler.Decode, true, 0},
-		{"reading twice is an arrival", 2, []callResult{read, read}, []int{0, 1}, scheduler.Decode, true, 0},
-		{"a rejected writer", 2, []callResult{read, writeNot}, []int{0, 0}, scheduler.Serve, true, 1},
-		{"reading after a rejected writer", 3, []callResult{read, writeNot}, []int{0, 0}, scheduler.Prefill, true,
+		{"the first attempt is free", 1, nil, nil, scheduler.Serve, true, 0},
+		{"a maximum of one", 1, []callResult{serve}, []int{0}, scheduler.Serve, false, 1},
+		{"the second attempt is a retry", 2, []callResult{serve}, []int{0}, scheduler.Serve, true, 1},
+		{"the first prefill is not counted", 1, []callResult{read}, []int{0}, scheduler.Decode, true, 0},
+		{"prefill and decode", 1, []callResult{read, write}, []int{0, 0}, scheduler.Serve, false, 1},
+		{"a rejected prefill is counted", 2, []callResult{readNot}, []int{0}, scheduler.Serve, true, 1},
+		{"a rejected prefill uses a maximum of one", 1, []callResult{readNot}, []int{0}, scheduler.Serve, false, 1},
+		{"no prefill beyond a maximum of one", 1, []callResult{readNot}, []int{0}, scheduler.Prefill, false, 1},
+		{"prefill after a rejected one", 2, []callResult{readNot, read}, []int{0, 1}, scheduler.Decode, true, 0},
+		{"a second prefill is counted", 2, []callResult{read, read}, []int{0, 1}, scheduler.Decode, true, 0},
+		{"a rejected decode", 2, []callResult{read, writeNot}, []int{0, 0}, scheduler.Serve, true, 1},
+		{"prefill after a rejected decode", 3, []callResult{read, writeNot}, []int{0, 0}, scheduler.Prefill, true,
 			2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			a := attemptCounter{maxAttempts: test.most}
+			a := attemptCounter{maxAttempts: test.max}
 			for i, call := range test.calls {
 				c.Assert(a.allows(call.role), qt.IsTrue)
 				c.Assert(a.retryCost(call.role), qt.Equals, test.price[i], qt.Commentf("call %d", i))
--- a/internal/router/dataplane/bench_test.go
+++ b/internal/router/dataplane/bench_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// BenchmarkPlain is one request and its answer, with client and server in this process.
+// BenchmarkPlain is one request and its response, with client and server in this process.
 func BenchmarkPlain(b *testing.B) {
 	s := newServer(b, "i-1", "lookup", "", ok("the body"))
 	r := newRig(b, nil, s)
@@ -25,9 +25,9 @@
 	}
 }
 
-// BenchmarkSplit is a prompt read by one server and a stream of 20 events made by another.
+// BenchmarkSplit is a prompt prefilled by one server and a stream of 20 events decoded by another.
 func BenchmarkSplit(b *testing.B) {
-	reader := newServer(b, "i-r", "language", catalog.Prefill, readsPrompt("h"))
+	reader := newServer(b, "i-r", "language", catalog.Prefill, prefillsPrompt("h"))
 	writer := newServer(b, "i-w", "language", catalog.Decode, events(1, 20, true))
 	r := newRig(b, nil, reader, writer)
 	p := r.dial()
@@ -37,8 +37,8 @@
 	}
 }
 
-// BenchmarkIdleClients tells the memory of a client that is connected and asks nothing now, and of one whose
-// request waits for its server.
+// BenchmarkIdleClients measures the memory of a client that is connected and sends nothing now, and of one
+// whose request waits for its server.
 func BenchmarkIdleClients(b *testing.B) {
 	const clients = 500
 	for _, waits := range []bool{false, true} {
@@ -67,7 +67,7 @@
 	}
 }
 
-// inUse is what the heap and the stacks hold.
+// inUse is what the heap and the stacks take.
 func inUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/router/dataplane/breakpoints_test.go
+++ b/internal/router/dataplane/breakpoints_test.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/router/catalog"
 )
 
-// brokenAt answers the first request with so many bytes of what h writes and then breaks off, and the others
-// as next does. It tells whether all of the answer was written.
+// brokenAt answers the first request with so many bytes of what h writes and then breaks off, and the
+// others as next does. It reports whether the complete response was written.
 func brokenAt(point int, h, next handler) (handler, *atomic.Bool) {
 	whole := new(atomic.Bool)
 	first := func(q *http1.Request, w io.Writer) bool {
@@ -42,9 +42,9 @@
 	return result{answer.Status, string(answer.Body), err != nil}
 }
 
-// A server that breaks off after any number of bytes of its answer: no client takes a part for the whole, no
-// request that may run once is sent twice, and a stream that may be resumed is whole.
-func TestEveryPointOfBreakingOff(t *testing.T) {
+// A server that breaks off after any number of bytes of its response: no client takes a part for the whole,
+// no request that may run once is sent twice, and a stream that may be resumed is complete.
+func TestResponseBrokenOffAtEveryPoint(t *testing.T) {
 	plain, stream := ok("the body"), events(1, 3, true)
 	for _, test := range []struct {
 		route string
@@ -59,39 +59,40 @@
 			return g == result{200, "the body", false} && (calls == 1) == whole
 		}},
 		{"stream", stream, resumesUntil(3), func(g result, whole bool, calls int) bool {
-			return g == result{200, pieces(1, 3), false} && (calls == 1) == whole
+			return g == result{200, eventsText(1, 3), false} && (calls == 1) == whole
 		}},
 		{"firm", stream, stream, func(g result, whole bool, calls int) bool {
 			if whole {
-				return calls == 1 && g == result{200, pieces(1, 3), false}
+				return calls == 1 && g == result{200, eventsText(1, 3), false}
 			}
-			return calls == 1 && (g.status == 502 || g.cut && g.body != "" && strings.HasPrefix(pieces(1, 3), g.body))
+			begun := g.cut && g.body != "" && strings.HasPrefix(eventsText(1, 3), g.body)
+			return calls == 1 && (g.status == 502 || begun)
 		}},
 	} {
 		t.Run(test.route, func(t *testing.T) {
 			t.Parallel()
 			for point, whole := 0, false; !whole; point++ {
 				answers, all := brokenAt(point, test.first, test.next)
-				servers := lookups(t, answers)
+				servers := newLookupServers(t, answers)
 				r := newRig(t, nil, servers...)
 				p := r.dial()
 				p.send("POST", "/"+test.route+"/", "a", "")
 				g := p.result()
 				whole = all.Load()
 				r.awaitCallsEnded()
-				if !test.check(g, whole, arrivals(servers)) {
-					t.Fatalf("broken off after %d bytes: %+v with %d calls", point, g, arrivals(servers))
+				if !test.check(g, whole, requestsReceived(servers)) {
+					t.Fatalf("broken off after %d bytes: %+v with %d calls", point, g, requestsReceived(servers))
 				}
 			}
 		})
 	}
 }
 
-// A reader that breaks off at any point costs one repeat at most, and none once the head of its answer has
-// told that it took the call up: the writer reads the prompt itself.
-func TestEveryPointOfBreakingOffWhileReading(t *testing.T) {
+// A prefill server that breaks off at any point costs one retry at most, and none once the head of its
+// response has said that it accepted the call: the decode server prefills the prompt itself.
+func TestPrefillBrokenOffAtEveryPoint(t *testing.T) {
 	for point, whole := 0, false; !whole; point++ {
-		answers, all := brokenAt(point, readsPrompt("h"), readsPrompt("h"))
+		answers, all := brokenAt(point, prefillsPrompt("h"), prefillsPrompt("h"))
 		readers := []*server{newServer(t, "i-r", "language", catalog.Prefill, answers)}
 		writers := []*server{newServer(t, "i-w", "language", catalog.Decode, events(1, 2, true))}
 		r := newRig(t, slack(100), readers[0], writers[0])
@@ -101,7 +102,7 @@
 			r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(0))
 		}
 		whole = all.Load()
-		r.Assert(string(answer.Body), qt.Equals, pieces(1, 2))
+		r.Assert(string(answer.Body), qt.Equals, eventsText(1, 2))
 		r.awaitCallsEnded()
 		r.Assert(len(writers[0].got()), qt.Equals, 1)
 		handed := writers[0].got()[0].Header.Get(kvFromHeader) != ""
@@ -110,12 +111,13 @@
 }
 
 // Two breaks of one stream, at every pair of events.
-func TestStreamBrokenTwice(t *testing.T) {
+func TestStreamIsResumedTwice(t *testing.T) {
 	for first := range 5 {
 		for second := first; second < 6; second++ {
-			servers := lookups(t, inTurn(events(1, first, false), events(first+1, second, false), resumesUntil(6)))
+			servers := newLookupServers(t,
+				inTurn(events(1, first, false), events(first+1, second, false), resumesUntil(6)))
 			r := newRig(t, nil, servers...)
-			r.Assert(string(r.dial().ask("POST", "/stream/", "a", "").Body), qt.Equals, pieces(1, 6))
+			r.Assert(string(r.dial().ask("POST", "/stream/", "a", "").Body), qt.Equals, eventsText(1, 6))
 		}
 	}
 }
--- a/internal/router/dataplane/classify_test.go
+++ b/internal/router/dataplane/classify_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		responseTraits
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -15,9 +15,9 @@
 // deadlineOf is the time that a call was given, in milliseconds; 0 where none is told.
 func deadlineOf(q *http1.Request) int { return parseCount(q.Header.Get(deadlineHeader)) }
 
-// Every call tells its server what is left of the client's time: safe and unsafe requests, streams, readings
-// and what follows them, and a repeat that much less as the call before it took.
-func TestEveryCallCarriesWhatIsLeft(t *testing.T) {
+// Every call tells its server what is left of the client's time: safe and unsafe requests, streams, prefill
+// and what follows it, and a retry so much less as the previous call took.
+func TestEveryCallCarriesTheTimeLeft(t *testing.T) {
 	ended := make(chan string, 9)
 	begins := func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
@@ -37,23 +37,23 @@
 	} {
 		t.Run(test.route+" "+test.name, func(t *testing.T) {
 			t.Parallel()
-			servers := lookups(t, inTurn(test.first, test.second))
+			servers := newLookupServers(t, inTurn(test.first, test.second))
 			r := newRig(t, nil, servers...)
 			answer := r.dial().ask("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: 4500")
 			r.Assert(answer.Status, qt.Equals, 200)
 			first, second := deadlineOf(servers[0].got()[0]), deadlineOf(servers[1].got()[0])
 			r.Assert(first > 0 && first <= 4500, qt.IsTrue, qt.Commentf("%d", first))
 			r.Assert(second > 0 && second <= first-test.shorter, qt.IsTrue, qt.Commentf("%d after %d", second, first))
-			r.Assert(arrivals(servers), qt.Equals, 2)
+			r.Assert(requestsReceived(servers), qt.Equals, 2)
 		})
 	}
 }
 
-func TestCallsThatReadCarryWhatIsLeft(t *testing.T) {
+func TestPrefillCallsCarryTheTimeLeft(t *testing.T) {
 	t.Parallel()
 	ended := make(chan string, 9)
-	for _, read := range []handler{readsPrompt("h"), neverAnswer(ended), full} {
-		readers, writers := pair(t, inTurn(read, readsPrompt("h")), events(1, 3, true))
+	for _, read := range []handler{prefillsPrompt("h"), neverAnswer(ended), full} {
+		readers, writers := newModelServers(t, inTurn(read, prefillsPrompt("h")), events(1, 3, true))
 		r := newRig(t, nil, append(readers, writers...)...)
 		answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 1500")
 		r.Assert(answer.Status, qt.Equals, 200)
@@ -67,7 +67,7 @@
 	}
 }
 
-// A client that tells no deadline, or none that can be read, has the route's timeout.
+// A client that names no deadline, or none that can be parsed, has the route's timeout.
 func TestCallsWithoutADeadlineCarryTheTimeout(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
@@ -78,9 +78,9 @@
 	}
 }
 
-// A request that would last longer than its route's timeout has its last word by then, whatever the client
-// would wait and whatever its server has sent so far.
-func TestTheRoutesTimeoutEndsEveryKindOfRequest(t *testing.T) {
+// A request that would last longer than its route's timeout is ended by then, however long the client would
+// wait and whatever its server has sent so far.
+func TestRouteTimeoutEndsEveryKindOfRequest(t *testing.T) {
 	ended := make(chan string, 99)
 	for name, part := range map[string]func(q *http1.Request) string{
 		"silent":          func(*http1.Request) string { return "" },
@@ -96,7 +96,7 @@
 					return neverAnswer(ended)(q, w)
 				}
 				s := newServer(t, "i-1", "lookup", "", answer)
-				reader := newServer(t, "i-r", "language", catalog.Prefill, readsPrompt("h"))
+				reader := newServer(t, "i-r", "language", catalog.Prefill, prefillsPrompt("h"))
 				writer := newServer(t, "i-w", "language", catalog.Decode, answer)
 				r := newRig(t, nil, s, reader, writer)
 				r.state.config.Match("h", "/"+route+"/").Timeout = 200 * time.Millisecond
--- a/internal/router/dataplane/disconnect_test.go
+++ b/internal/router/dataplane/disconnect_test.go
@@ -16,16 +16,16 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// leaving are the ways in which a client goes.
-var leaving = map[string]func(conn *net.TCPConn){
+// disconnects are the ways in which a client disconnects.
+var disconnects = map[string]func(conn *net.TCPConn){
 	"closes":           func(conn *net.TCPConn) { conn.Close() },
 	"resets":           func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() },
 	"ends its sending": func(conn *net.TCPConn) { conn.CloseWrite() },
 }
 
-// A client that leaves, whatever its request is at: the call under way is cut off at its server, no other one
-// follows, and memory that was read for it is freed.
-func TestClientLeavesAtEachStage(t *testing.T) {
+// A client that disconnects, at whatever stage its request is: the call in flight is aborted at its server,
+// no other one follows, and a prefix cache that was prefilled for it is released.
+func TestClientDisconnectsAtEachStage(t *testing.T) {
 	ended := make(chan string, 999)
 	held := neverAnswer(ended)
 	begins := func(q *http1.Request, w io.Writer) bool {
@@ -36,7 +36,7 @@
 		io.WriteString(w, streamHead(q, "s")+chunk(event(2)))
 		return held(q, w)
 	}
-	handle := readsPrompt("h")
+	handle := prefillsPrompt("h")
 	for _, test := range []struct {
 		name, route string
 		read, serve []handler
@@ -46,28 +46,30 @@
 		{"at its server", "safe", nil, []handler{held, ok("x")}, 1, 0},
 		{"at its server", "unsafe", nil, []handler{held, ok("x")}, 1, 0},
 		{"after a rejection", "unsafe", nil, []handler{full, held, ok("x")}, 2, 0},
-		{"after a break", "safe", nil, []handler{breakOff, held, ok("x")}, 2, 0},
+		{"after a call broken off", "safe", nil, []handler{breakOff, held, ok("x")}, 2, 0},
 		{"within its stream", "firm", nil, []handler{begins, ok("x")}, 1, 0},
-		{"within a stream taken up", "stream", nil,
+		{"within a resumed stream", "stream", nil,
 			[]handler{streams("s", false, event(1)), goesOnAndStalls, resumesUntil(9)}, 2, 0},
-		{"while it is read", "model", []handler{held, handle}, []handler{begins}, 1, 0},
-		{"while it is read after a rejection", "modelfirm", []handler{full, held, handle}, []handler{begins}, 2, 0},
-		{"while its memory is fetched", "model", []handler{handle}, []handler{held, resumesUntil(9)}, 2, 1},
-		{"while it is written after a rejection", "modelfirm", []handler{handle}, []handler{full, held}, 3, 1},
-		{"within its written stream", "modelfirm", []handler{handle}, []handler{begins, resumesUntil(9)}, 2, 0},
+		{"during prefill", "model", []handler{held, handle}, []handler{begins}, 1, 0},
+		{"during prefill after a rejection", "modelfirm", []handler{full, held, handle}, []handler{begins}, 2, 0},
+		{"while the prefix cache is fetched", "model", []handler{handle}, []handler{held, resumesUntil(9)}, 2, 1},
+		{"during decode after a rejection", "modelfirm", []handler{handle}, []handler{full, held}, 3, 1},
+		{"within its decoded stream", "modelfirm", []handler{handle}, []handler{begins, resumesUntil(9)}, 2, 0},
 	} {
-		for way, leave := range leaving {
+		for way, leave := range disconnects {
 			t.Run(fmt.Sprintf("%s %s, %s", test.route, test.name, way), func(t *testing.T) {
 				t.Parallel()
-				var readers, writers []*server
+				var prefillers, decoders []*server
 				if test.read == nil {
-					writers = lookups(t, inTurn(test.serve...))
+					decoders = newLookupServers(t, inTurn(test.serve...))
 				} else {
-					readers, writers = pair(t, inTurn(test.read...), inTurn(test.serve...))
+					prefillers, decoders = newModelServers(t, inTurn(test.read...), inTurn(test.serve...))
+				}
+				r := newRig(t, nil, append(prefillers, decoders...)...)
+				setLongTimeouts(r, test.route)
+				calls := func() int {
+					return requestsReceived(prefillers) + requestsReceived(decoders) - releasedHandles(prefillers)
 				}
-				r := newRig(t, nil, append(readers, writers...)...)
-				patient(r, test.route)
-				calls := func() int { return arrivals(readers) + arrivals(writers) - releasedHandles(readers) }
 				p := r.dial()
 				p.send("POST", "/"+test.route+"/", "a", "prompt")
 				r.eventually("its last call came", func() bool { return calls() == test.calls })
@@ -76,13 +78,13 @@
 				case id := <-ended:
 					r.Assert(id, qt.Equals, "a")
 				case <-time.After(testTimeout):
-					r.Fatal("its server was not told")
+					r.Fatal("its server did not see the end of the connection")
 				}
 				r.awaitCallsEnded()
-				r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
-				r.eventually("its memory is freed", func() bool { return releasedHandles(readers) >= test.freed })
-				r.eventually("no call to free it is under way", func() bool { return len(r.proxy.handles.slots) == 0 })
-				r.Assert(releasedHandles(readers) <= 1, qt.IsTrue)
+				r.eventually("the client is removed", func() bool { return len(r.proxy.connectedClients()) == 0 })
+				r.eventually("its handle is released", func() bool { return releasedHandles(prefillers) >= test.freed })
+				r.eventually("no call to release it is in flight", func() bool { return len(r.proxy.handles.slots) == 0 })
+				r.Assert(releasedHandles(prefillers) <= 1, qt.IsTrue)
 				r.Assert(calls(), qt.Equals, test.calls)
 				outcomes := r.chooser.outcomes()
 				r.Assert(outcomes[len(outcomes)-1], qt.Equals, scheduler.Abandoned)
@@ -91,14 +93,14 @@
 	}
 }
 
-// patient makes a route's own times so long that none of them ends a request within a test.
-func patient(r *rig, route string) {
-	place := r.state.config.Match("h", "/"+route+"/")
-	place.Timeout, place.LatencyTarget, place.GapTarget = time.Minute, time.Minute, time.Minute
+// setLongTimeouts makes a route's own times so long that none of them ends a request within a test.
+func setLongTimeouts(r *rig, route string) {
+	configured := r.state.config.Match("h", "/"+route+"/")
+	configured.Timeout, configured.LatencyTarget, configured.GapTarget = time.Minute, time.Minute, time.Minute
 }
 
-// crowded returns the address of a listener that lets no further connection in.
-func crowded(t *testing.T) string {
+// fullListener returns the address of a listener that accepts no further connection.
+func fullListener(t *testing.T) string {
 	t.Helper()
 	c := qt.New(t)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -120,10 +122,10 @@
 	}
 }
 
-// A client that leaves while a connection is being opened for it.
-func TestClientLeavesWhileAServerIsDialled(t *testing.T) {
+// A client that disconnects while a connection is being opened for it.
+func TestClientDisconnectsWhileAServerIsDialled(t *testing.T) {
 	stuck := &server{Server: &catalog.Server{ID: "i-1", Service: "lookup", State: catalog.Ready}}
-	stuck.Address = crowded(t)
+	stuck.Address = fullListener(t)
 	other := newServer(t, "i-2", "lookup", "", ok("x"))
 	r := newRig(t, nil, stuck, other)
 	p := r.dial()
@@ -134,7 +136,7 @@
 		return len(r.chooser.open) == 1
 	})
 	p.Close()
-	r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
+	r.eventually("the client is removed", func() bool { return len(r.proxy.connectedClients()) == 0 })
 	r.awaitCallsEnded()
 	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 	r.Assert(other.got(), qt.HasLen, 0)
--- a/internal/router/dataplane/drain_test.go
+++ b/internal/router/dataplane/drain_test.go
@@ -17,7 +17,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-func TestClientThatLeavesEndsItsCall(t *testing.T) {
+func TestDisconnectEndsTheCall(t *testing.T) {
 	ended := make(chan string, 9)
 	beginning := func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
@@ -33,25 +33,25 @@
 		"within a firm stream":      {"firm", beginning},
 	} {
 		t.Run(name, func(t *testing.T) {
-			servers := lookups(t, test.answer)
+			servers := newLookupServers(t, test.answer)
 			r := newRig(t, nil, servers...)
 			p := r.dial()
 			p.send("POST", "/"+test.route+"/", "a", "")
-			r.eventually("it came", func() bool { return arrivals(servers) == 1 })
+			r.eventually("it came", func() bool { return requestsReceived(servers) == 1 })
 			p.Close()
 			r.Assert(<-ended, qt.Equals, "a")
 			r.awaitCallsEnded()
 			r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
-			r.Assert(arrivals(servers), qt.Equals, 1)
+			r.Assert(requestsReceived(servers), qt.Equals, 1)
 			r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 			r.Assert(r.proxy.Stats().ClientsDisconnected, qt.Equals, int64(1))
 		})
 	}
 }
 
-// A client that has sent more than one request and leaves is missed as soon as any other.
-// Unseen, its call would end as a silent one.
-func TestClientThatLeavesBehindItsNextRequest(t *testing.T) {
+// A client that has sent more than one request and disconnects is noticed as soon as any other. Otherwise
+// its call would count as timed out.
+func TestDisconnectBehindAPipelinedRequest(t *testing.T) {
 	const next = "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: b\r\n"
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
 		for _, reset := range []bool{false, true} {
@@ -102,7 +102,7 @@
 
 	r.proxy.Drain()
 	r.proxy.Drain()
-	_, err := idle.in.ReadByte() // without being asked, after a little while
+	_, err := idle.in.ReadByte() // it is closed after a little while, without a request
 	r.Assert(err, qt.Equals, io.EOF)
 
 	late := r.dial() // the listener is still there
@@ -121,7 +121,7 @@
 	r.Assert(r.proxy.connectedClients(), qt.HasLen, 0)
 }
 
-// awaitEmpty waits until every client has gone.
+// awaitEmpty waits until every client has disconnected.
 func (r *rig) awaitEmpty() {
 	r.Helper()
 	end := time.Now().Add(testTimeout)
@@ -137,9 +137,9 @@
 	r.proxy.drainStarted = time.Now().Add(-ago)
 }
 
-// A request that comes whole late in a drain may last longer than the process: its client is told to send it
+// A request that is read late in a drain may last longer than the process: its client is told to send it
 // elsewhere, and no server gets it.
-func TestLateRequestsOfADrainAreRefused(t *testing.T) {
+func TestLateRequestsOfADrainAreRejected(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("done"))
 	r := newRig(t, nil, s)
 	slow := r.dial()
@@ -157,8 +157,8 @@
 }
 
 // A stream that began before a drain did not say that its connection ends. Late in the drain the connection
-// takes no further request all the same.
-func TestKeptConnectionsEndLateInADrain(t *testing.T) {
+// accepts no further request all the same.
+func TestKeepAliveConnectionsEndLateInADrain(t *testing.T) {
 	goOn := make(chan bool)
 	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
@@ -183,7 +183,7 @@
 	r.Assert(s.got(), qt.HasLen, 1)
 }
 
-func TestWaitCutsOffWhatIsNotDone(t *testing.T) {
+func TestWaitAbortsRequestsInFlight(t *testing.T) {
 	ended := make(chan string, 9)
 	s := newServer(t, "i-1", "lookup", "", neverAnswer(ended))
 	r := newRig(t, nil, s)
@@ -212,7 +212,7 @@
 	r.awaitEmpty()
 }
 
-func TestConnectionsToAServerAreShared(t *testing.T) {
+func TestServerConnectionsAreDividedAmongProxies(t *testing.T) {
 	ended := make(chan string, 9)
 	s := newServer(t, "i-1", "lookup", "", neverAnswer(ended))
 	r := newRig(t, func(_ *agentsettings.Settings, state *fakeState) { state.proxies = 50 }, s) // 100 / 50 each
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestConnectionsOfServersThatLeftAreClosed(t *testing.T) {
+func TestConnectionsToUnlistedServersAreClosed(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
@@ -246,8 +246,8 @@
 	})
 }
 
-// The bytes behind the last request that is answered must not take the answer with them.
-func TestAnswerOutlivesWhatFollowsIt(t *testing.T) {
+// The bytes behind the last request that is answered must not take the response with them.
+func TestResponseSurvivesWhatFollowsIt(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
 	p := r.dial()
@@ -261,7 +261,7 @@
 	r.Assert(s.got(), qt.HasLen, 1)
 }
 
-func TestAMistakeEndsOneConnectionOnly(t *testing.T) {
+func TestPanicEndsOneConnectionOnly(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
 	r.chooser.panics.Store(true)
@@ -274,7 +274,7 @@
 	r.eventually("its place is free", func() bool { return len(r.proxy.connectedClients()) == 1 })
 }
 
-// Whatever was passed on to a server is answered whole, though idle connections are closed meanwhile.
+// Whatever was forwarded to a server is answered completely, though idle connections are closed meanwhile.
 func TestDrainUnderLoad(t *testing.T) {
 	for range 5 {
 		s := newServer(t, "i-1", "lookup", "", ok("done"))
@@ -325,9 +325,9 @@
 	}
 }
 
-// A process that had no turn for a while, or was frozen, is late with the answers that were due meanwhile. It
-// gives them all the same: to end the connection would tell the client nothing.
-func TestAnswersThatAreLateAreGiven(t *testing.T) {
+// A process that was not scheduled for a while, or was frozen, is late with the responses that were due
+// meanwhile. It sends them all the same: to end the connection would tell the client nothing.
+func TestLateResponsesAreSent(t *testing.T) {
 	r := newRig(t, nil)
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/router/dataplane/events_test.go
+++ b/internal/router/dataplane/events_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSplitterCutsWholeEvents(t *testing.T) {
+func TestSplitterReturnsCompleteEvents(t *testing.T) {
 	const text = "versions: 3\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: idle\n\n\nid: 3\ndata"
 	want := []string{"versions: 3\nid: 1\ndata: a\n\n", "id: 2\r\ndata: b\r\n\r\n", ": idle\n\n", "\n"}
 	for size := 1; size <= len(text); size++ {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestEventOrder(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		dense   bool
--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -10,8 +10,8 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// fakeChooser takes the first server in the table that was not tried, and notes what it is told. The
-// decider's lock guards all but what tests read.
+// fakeChooser chooses the first server in the table that is not excluded, and records what is reported to
+// it. The lock of lockedChooser guards all but what tests read.
 type fakeChooser struct {
 	mu            sync.Mutex
 	table         *catalog.Table
@@ -20,10 +20,10 @@
 	open          map[*scheduler.Call]bool
 	outcomesEnded []scheduler.Outcome
 	unpaired      int // calls ended twice, or never begun
-	firstEvents   int // first events
+	firstEvents   int
 	loads         []scheduler.Load
 	panics        atomic.Bool
-	// panicsInCalls has it panic while a call is under way.
+	// panicsInCalls has it panic while a call is in flight.
 	panicsInCalls atomic.Bool
 }
 
@@ -58,7 +58,7 @@
 	return call
 }
 
-// first returns the first server that may be sent to.
+// first returns the first server that may be chosen.
 func (f *fakeChooser) first(r *scheduler.Request, stage catalog.Role) *catalog.Server {
 	for _, s := range f.table.Service(r.Service.Name) {
 		if s.Role == stage && !slices.Contains(r.Excluded, s.ID) {
@@ -111,7 +111,7 @@
 	return slices.Clone(f.outcomesEnded)
 }
 
-// paired tells whether each call has ended once.
+// paired reports whether each call has ended once.
 func (f *fakeChooser) paired() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/router/dataplane/fakeserver_test.go
+++ b/internal/router/dataplane/fakeserver_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// server is one that a test scripts.
+// server is a server with scripted responses.
 type server struct {
 	*catalog.Server
 	listener net.Listener
@@ -96,7 +96,7 @@
 	}
 }
 
-// got returns the requests that came.
+// got returns the requests that have arrived.
 func (s *server) got() []*http1.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,8 +130,8 @@
 	}
 }
 
-// lookups returns servers of the service lookup that share a handler.
-func lookups(tb testing.TB, answer handler) []*server {
+// newLookupServers returns servers of the service lookup that share a handler.
+func newLookupServers(tb testing.TB, answer handler) []*server {
 	tb.Helper()
 	var servers []*server
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
@@ -140,8 +140,8 @@
 	return servers
 }
 
-// arrivals is how many requests came to all of them.
-func arrivals(servers []*server) (sum int) {
+// requestsReceived is how many requests arrived at all of them.
+func requestsReceived(servers []*server) (sum int) {
 	for _, s := range servers {
 		sum += len(s.got())
 	}
@@ -159,8 +159,7 @@
 	}
 }
 
-// silence answers nothing and waits for the other side to end the connection, which the request's channel
-// tells.
+// neverAnswer sends nothing and waits for the other side to end the connection, which it reports on ended.
 func neverAnswer(ended chan<- string) handler {
 	return func(q *http1.Request, w io.Writer) bool {
 		io.Copy(io.Discard, w.(net.Conn))
@@ -183,7 +182,7 @@
 	}
 }
 
-// events answers with a stream of the pieces from..to, ended or broken off.
+// events answers with a stream of the events from..to, ended or broken off.
 func events(from, to int, whole bool) handler {
 	return func(q *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, head(q, 200, "Cresshub-Server-Stamp: s"+fmt.Sprint(from), "Content-Type: text/event-stream",
@@ -200,7 +199,7 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-func pieces(from, to int) string {
+func eventsText(from, to int) string {
 	var all strings.Builder
 	for id := from; id <= to; id++ {
 		all.WriteString(event(id))
--- a/internal/router/dataplane/faults_test.go
+++ b/internal/router/dataplane/faults_test.go
@@ -15,7 +15,7 @@
 	"cresshub/internal/http1"
 )
 
-// fault is what a server does instead of going on with its answer.
+// fault is what a server does instead of completing its response.
 type fault string
 
 const (
@@ -24,7 +24,7 @@
 	stalls fault = "falls silent"
 )
 
-// framing is how an answer tells where it ends.
+// framing is how a response says where it ends.
 type framing string
 
 const (
@@ -33,8 +33,8 @@
 	byEnd    framing = "by the end of the connection"
 )
 
-// lay returns the answer to q with that body, and the length of its head.
-func (f framing) lay(q *http1.Request, kind string, parts ...string) (text string, headLength int) {
+// encode returns the response to q with that body, and the length of its head.
+func (f framing) encode(q *http1.Request, kind string, parts ...string) (text string, headLength int) {
 	fields := []string{stamp, "Content-Type: " + kind}
 	body := strings.Join(parts, "")
 	switch f {
@@ -52,28 +52,28 @@
 	return top + body, len(top)
 }
 
-// faultyAttempt is one try of a client and what its first server does with it.
+// faultyAttempt is one attempt of a client, and what its first server does with it.
 type faultyAttempt struct {
 	id, route string
 	framing   framing
 	fault     fault
-	point     int // bytes of the answer before the fault
+	point     int // bytes of the response before the fault
 
 	arrivals int
 }
 
 func (f *faultyAttempt) streams() bool { return f.route == "stream" || f.route == "firm" }
 
-// answer lays out the whole answer to a request of the try.
+// answer encodes the complete response to a request of the attempt.
 func (f *faultyAttempt) answer(q *http1.Request) (text string, headLength int) {
 	if !f.streams() {
-		return f.framing.lay(q, "text/plain", "body ", "of "+f.id)
+		return f.framing.encode(q, "text/plain", "body ", "of "+f.id)
 	}
 	var events []string
 	for piece := parseCount(q.Header.Get(lastEventHeader)) + 1; piece <= 3; piece++ {
-		events = append(events, pieceOf(f.id, piece))
+		events = append(events, eventOf(f.id, piece))
 	}
-	return f.framing.lay(q, eventStreamType, events...)
+	return f.framing.encode(q, eventStreamType, events...)
 }
 
 // body is what the client has to get.
@@ -81,19 +81,19 @@
 	if !f.streams() {
 		return "body of " + f.id
 	}
-	return pieceOf(f.id, 1) + pieceOf(f.id, 2) + pieceOf(f.id, 3)
+	return eventOf(f.id, 1) + eventOf(f.id, 2) + eventOf(f.id, 3)
 }
 
-// faultyServers break off the first answer of each try that is registered, and answer all others whole.
+// faultyServers break off the first response of each attempt that is registered, and complete all others.
 type faultyServers struct {
-	mu    sync.Mutex
-	tries map[string]*faultyAttempt
+	mu       sync.Mutex
+	attempts map[string]*faultyAttempt
 }
 
 func (s *faultyServers) serve(q *http1.Request, w io.Writer) bool {
 	id := q.Header.Get(tryIDHeader)
 	s.mu.Lock()
-	try := s.tries[id]
+	try := s.attempts[id]
 	if try != nil {
 		try.arrivals++
 	}
@@ -118,7 +118,8 @@
 	return false
 }
 
-// isComplete tells whether nobody can tell the answer from a whole one, as it was broken off.
+// isComplete reports whether the response, as it was broken off, cannot be distinguished from a complete
+// one.
 func (f *faultyAttempt) isComplete(text string, headLength int) bool {
 	if f.framing != byEnd {
 		return f.point == len(text)
@@ -127,7 +128,7 @@
 	return f.fault == closes && f.point >= headLength && (!f.streams() || betweenEvents)
 }
 
-// judge tells what is wrong with what the client of the try got, "" where all is well.
+// judge returns what is wrong with what the client of the attempt got, "" where all is well.
 func (f *faultyAttempt) judge(got result, text string, headLength int) string {
 	once := f.route == "unsafe" || f.route == "firm"
 	switch {
@@ -156,10 +157,10 @@
 	return ""
 }
 
-// A server that closes, resets or falls silent after any number of bytes of its answer, however the answer is
-// framed: a part is not taken for the whole, what may run once is not sent twice, what may be repeated is
-// answered by another server, and the next request on the client's connection gets its own answer.
-func TestFaultAtEveryByteOfAnAnswer(t *testing.T) {
+// A server that closes, resets or stalls after any number of bytes of its response, however the response is
+// framed: a part is not taken for the whole, what may run once is not sent twice, what is idempotent is
+// answered by another server, and the next request on the client's connection gets its own response.
+func TestFaultAtEveryByteOfAResponse(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
 		for _, framing := range []framing{byLength, byChunks, byEnd} {
 			for _, fault := range []fault{closes, resets, stalls} {
@@ -172,13 +173,13 @@
 	}
 }
 
-// faultClients is how many clients try at a time.
+// faultClients is how many clients send requests at a time.
 const faultClients = 8
 
 func faultAtEveryByte(t *testing.T, kind faultyAttempt) {
 	t.Helper()
-	servers := &faultyServers{tries: map[string]*faultyAttempt{}}
-	r := newRig(t, slack(1e6), lookups(t, servers.serve)...)
+	servers := &faultyServers{attempts: map[string]*faultyAttempt{}}
+	r := newRig(t, slack(1e6), newLookupServers(t, servers.serve)...)
 	points := make(chan int)
 	var under sync.WaitGroup
 	for range faultClients {
@@ -203,12 +204,12 @@
 	return &http1.Request{Header: http1.Header{{Name: tryIDHeader, Value: id}}}
 }
 
-// tryFault makes one try that breaks off at a point, and a request behind it.
+// tryFault makes one attempt that breaks off at a point, and a request behind it.
 func (p *testClient) tryFault(r *rig, servers *faultyServers, kind faultyAttempt, point int) {
 	try := kind
 	try.id, try.point = fmt.Sprintf("%03d", point), point
 	servers.mu.Lock()
-	servers.tries[try.id] = &try
+	servers.attempts[try.id] = &try
 	servers.mu.Unlock()
 	p.again(r)
 	deadline := ""
@@ -240,7 +241,7 @@
 	p.SetDeadline(time.Now().Add(testTimeout))
 }
 
-// post1 posts a request and reads its answer; a connection that ends with it is closed.
+// post1 posts a request and reads its response; a connection that ends with it is closed.
 func (p *testClient) post1(route, id, deadline string) result {
 	var fields string
 	if deadline != "" {
@@ -262,17 +263,17 @@
 	return got
 }
 
-// A reset that came while the request was being sent is told once, by the write; what is read after it ends
-// as if in order. So an answer that only the end of its connection ends does not count then.
+// A reset that arrives while the request is being sent is reported once, by the write; what is read after
+// it ends as if in order. So a response that only the end of its connection ends does not count then.
 func TestEndAfterABrokenSendIsNotTrusted(t *testing.T) {
 	c := qt.New(t)
 	q := requestOf("a")
-	text, _ := byEnd.lay(q, "text/plain", "body")
+	text, _ := byEnd.encode(q, "text/plain", "body")
 	head, body, err := http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
 	c.Assert(classify((&call{}).responseTraits(head, body)), qt.Equals, classForward)
 	c.Assert(classify((&call{partlySent: true}).responseTraits(head, body)), qt.Equals, classUnusable)
-	text, _ = byChunks.lay(q, "text/plain", "body")
+	text, _ = byChunks.encode(q, "text/plain", "body")
 	head, body, err = http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
 	c.Assert(classify((&call{partlySent: true}).responseTraits(head, body)), qt.Equals, classForward)
--- a/internal/router/dataplane/malformedrequests_test.go
+++ b/internal/router/dataplane/malformedrequests_test.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// shortLimits let a client that is slow be seen soon.
+// shortLimits let a slow client be noticed soon.
 func shortLimits(t *testing.T) func(*agentsettings.Settings, *fakeState) {
 	t.Helper()
 	return func(_ *agentsettings.Settings, state *fakeState) {
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestMalformedRequestsGoNowhere(t *testing.T) {
+func TestMalformedRequestsAreNotForwarded(t *testing.T) {
 	const begin = "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n"
 	const chunks = begin + "Transfer-Encoding: chunked\r\n\r\n"
 	for name, test := range map[string]struct {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestClientThatEndsInsideARequest(t *testing.T) {
+func TestClientClosesWithinARequest(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
 	const half = "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nab"
@@ -90,7 +90,7 @@
 	r.Assert(err, qt.Equals, io.EOF)
 }
 
-func TestClientsBeyondTheDescriptorsAreClosed(t *testing.T) {
+func TestClientsBeyondTheLimitAreClosed(t *testing.T) {
 	r := newRig(t, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 0 })
 	var some []*testClient
 	for range 16 {
--- a/internal/router/dataplane/outcome_test.go
+++ b/internal/router/dataplane/outcome_test.go
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// TestFailedRequestIsExplained: log and figures tell of a request that was not served where it went, how each
-// call ended, and why nothing more was tried.
-func TestFailedRequestIsExplained(t *testing.T) {
+// TestFailedRequestIsLoggedWithItsCalls: log and metrics say of a request that was not served where it was
+// sent, how each call ended, and why nothing more was tried.
+func TestFailedRequestIsLoggedWithItsCalls(t *testing.T) {
 	log := &logLines{}
 	broken := newServer(t, "a", "lookup", "", breakOff)
 	r := newRig(t, nil, broken)
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestReasonIsThatOfTheEnd: that no server could read the prompt is not why the request ends, where it went
-// on without.
-func TestReasonIsThatOfTheEnd(t *testing.T) {
+// TestLoggedReasonIsTheFinalOne: that no server could prefill the prompt is not why the request ends, where
+// it went on without.
+func TestLoggedReasonIsTheFinalOne(t *testing.T) {
 	log := &logLines{}
 	reader := newServer(t, "r", "language", catalog.Prefill, status(503, notRunHeader+": full"))
 	writer := newServer(t, "w", "language", catalog.Decode, breakOff)
--- a/internal/router/dataplane/panic_test.go
+++ b/internal/router/dataplane/panic_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestPanicInsideACallGivesBackWhatItTook: a mistake that one request brings out ends its connection alone.
+// TestPanicWithinACallReleasesWhatItReserved: a panic that one request causes ends its connection alone.
 // Its server does not count as busy for ever, and the connection to the server is closed.
-func TestPanicInsideACallGivesBackWhatItTook(t *testing.T) {
+func TestPanicWithinACallReleasesWhatItReserved(t *testing.T) {
 	answer := status(200, stampHeader+": a.1", loadHeader+": 1,0,4")
 	r := newRig(t, nil, newServer(t, "a", "lookup", "", answer))
 	r.chooser.panicsInCalls.Store(true)
--- a/internal/router/dataplane/pool_test.go
+++ b/internal/router/dataplane/pool_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// poolOf returns a pool of so many connections, and two servers that let them be.
-func poolOf(t *testing.T, most int) (*pool, connectionSpec, connectionSpec) {
+// newTestPool returns a pool of so many connections, and two servers that let them be.
+func newTestPool(t *testing.T, most int) (*pool, connectionSpec, connectionSpec) {
 	t.Helper()
 	p := newPool(&counters{}, most, func(string) bool { return true })
 	a := connectionSpec{server: newServer(t, "a", "s", "", ok("")).Server, maxIdle: time.Minute}
@@ -17,7 +17,7 @@
 	return p, a, b
 }
 
-func taken(c *qt.C, p *pool, w connectionSpec) *connection {
+func getConnection(c *qt.C, p *pool, w connectionSpec) *connection {
 	c.Helper()
 	conn, err := p.get(context.Background(), w)
 	c.Assert(err, qt.IsNil)
@@ -25,56 +25,56 @@
 	return conn
 }
 
-func TestPoolGivesTheLastUsedFirst(t *testing.T) {
+func TestPoolReturnsTheLastUsedFirst(t *testing.T) {
 	c := qt.New(t)
-	p, a, _ := poolOf(t, 9)
-	first, second := taken(c, p, a), taken(c, p, a)
+	p, a, _ := newTestPool(t, 9)
+	first, second := getConnection(c, p, a), getConnection(c, p, a)
 	p.put(second, time.Minute)
 	p.put(first, time.Minute)
-	c.Assert(taken(c, p, a), qt.Equals, first)
-	c.Assert(taken(c, p, a), qt.Equals, second)
-	c.Assert(taken(c, p, a).reused, qt.IsFalse)
+	c.Assert(getConnection(c, p, a), qt.Equals, first)
+	c.Assert(getConnection(c, p, a), qt.Equals, second)
+	c.Assert(getConnection(c, p, a).reused, qt.IsFalse)
 }
 
-func TestPoolLeavesOlderConnectionsToThoseWhoMayUseThem(t *testing.T) {
+func TestPoolKeepsOlderConnectionsForCallsThatMayUseThem(t *testing.T) {
 	c := qt.New(t)
-	p, a, _ := poolOf(t, 9)
-	old := taken(c, p, a)
+	p, a, _ := newTestPool(t, 9)
+	old := getConnection(c, p, a)
 	p.put(old, time.Minute)
 	old.idleSince = old.idleSince.Add(-10 * time.Second)
 	young := a
 	young.maxIdle = time.Second
-	c.Assert(taken(c, p, young), qt.Not(qt.Equals), old)
-	c.Assert(taken(c, p, a), qt.Equals, old)
+	c.Assert(getConnection(c, p, young), qt.Not(qt.Equals), old)
+	c.Assert(getConnection(c, p, a), qt.Equals, old)
 }
 
-func TestPoolDropsWhatHasExpired(t *testing.T) {
+func TestPoolDiscardsExpiredConnections(t *testing.T) {
 	c := qt.New(t)
-	p, a, _ := poolOf(t, 9)
+	p, a, _ := newTestPool(t, 9)
 	a.maxPerServer = 2
 	for range 2 {
-		taken(c, p, a)
+		getConnection(c, p, a)
 	}
 	_, err := p.get(context.Background(), a)
 	c.Assert(err, qt.Equals, errNoConnectionFree)
 
-	p, a, _ = poolOf(t, 9)
+	p, a, _ = newTestPool(t, 9)
 	a.maxPerServer = 2
-	first, second := taken(c, p, a), taken(c, p, a)
+	first, second := getConnection(c, p, a), getConnection(c, p, a)
 	p.put(first, time.Minute)
 	p.put(second, time.Minute)
 	first.expiresAt, second.expiresAt = time.Now(), time.Now()
-	c.Assert(taken(c, p, a).reused, qt.IsFalse) // a place is made for it
+	c.Assert(getConnection(c, p, a).reused, qt.IsFalse) // a place is made for it
 }
 
-func TestPoolAtItsEndTakesIdleOnesOfOthers(t *testing.T) {
+func TestFullPoolTakesIdleConnectionsOfOtherServers(t *testing.T) {
 	c := qt.New(t)
-	p, a, b := poolOf(t, 2)
-	idle, busy := taken(c, p, a), taken(c, p, a)
+	p, a, b := newTestPool(t, 2)
+	idle, busy := getConnection(c, p, a), getConnection(c, p, a)
 	_, err := p.get(context.Background(), b)
 	c.Assert(err, qt.Equals, errNoConnectionFree)
 	p.put(idle, time.Minute)
-	other := taken(c, p, b)
+	other := getConnection(c, p, b)
 	c.Assert(other.server, qt.Equals, "b")
 	c.Assert(idle.readState(), qt.Equals, readClosed)
 	p.discard(busy)
--- a/internal/router/dataplane/proxy.go
+++ b/internal/router/dataplane/proxy.go
@@ -147,7 +147,8 @@
 	if !p.addClient(c) {
 		conn.Close()
 		p.counters.clientsRejected.Add(1)
-		p.observer.failureLog.Warn().Int("most", p.connectionLimit()).Msg("front: connection limit reached, client closed")
+		p.observer.failureLog.Warn().Int("most", p.connectionLimit()).
+			Msg("front: connection limit reached, client closed")
 		return
 	}
 	p.counters.clients.Add(1)
--- a/internal/router/dataplane/proxy_test.go
+++ b/internal/router/dataplane/proxy_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-func TestPassesARequestAndItsAnswer(t *testing.T) {
+func TestForwardsARequestAndItsResponse(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("the body"))
 	r := newRig(t, nil, s)
 	p := r.dial()
@@ -41,7 +41,7 @@
 	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Served, scheduler.Served})
 }
 
-func TestFieldsOfOursDoNotComeFromClients(t *testing.T) {
+func TestReservedFieldsOfClientsAreDropped(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
 	r.dial().ask("GET", "/safe/", "a1", "", "Kv-From: 10.0.0.1:1/x", "Cresshub-Stage: reading", "Priority: 0",
@@ -55,10 +55,11 @@
 	r.Assert(got.Repeated(expectServerHeader), qt.Equals, "")
 }
 
-// What a model server is told of the request is what the client said, at each call: reading, after a
-// rejection, writing, another try and the rest of a stream taken up; and what is ours comes from us alone.
+// Each call tells a model server what the client said of the request: prefill, a second one after a
+// rejection, decode, a retry and the resumption of a stream; and the reserved fields come from the proxy
+// alone.
 func TestEachCallCarriesTheClientsFields(t *testing.T) {
-	readers, writers := pair(t, inTurn(full, readsPrompt("h")),
+	readers, writers := newModelServers(t, inTurn(full, prefillsPrompt("h")),
 		inTurn(full, streams("s", false, event(1)), resumesUntil(3)))
 	r := newRig(t, nil, append(readers, writers...)...)
 	r.state.config.Match("h", "/model/").MaxAttempts = 9
@@ -69,7 +70,7 @@
 		"Cresshub-Prompt-Prefix:5c1e07a2:800,91bd3f06:410,e4402b7d:250", "X-Other: kept",
 		"Connection: cresshub-model , Cresshub-Tokens", "Connection: Cresshub-Prompt-Prefix,Cresshub-Try-Id, X-Hop",
 		"X-Hop: 1", "Priority: 0", "Expect-Version: 3", "Cresshub-Stage: writing", "Kv-From: 10.0.0.1:1/x")
-	r.Assert(string(answer.Body), qt.Equals, pieces(1, 3))
+	r.Assert(string(answer.Body), qt.Equals, eventsText(1, 3))
 	calls := 0
 	for _, s := range append(readers, writers...) {
 		for _, q := range s.got() {
@@ -100,7 +101,7 @@
 	r.Assert(left <= 4900, qt.IsTrue, qt.Commentf("%d ms left of 5000", left))
 }
 
-func TestAnswersWithoutAServer(t *testing.T) {
+func TestLocalRepliesWithoutAServer(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
 	p := r.dial()
@@ -115,7 +116,7 @@
 	r.Assert(p.ask("GET", "/safe/", "a4", "").Status, qt.Equals, 200) // on the same connection
 }
 
-func TestRefusesWhatCouldNotBeginInTime(t *testing.T) {
+func TestRejectsWhatCannotStartInTime(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
 	r.chooser.wait = 20 * testTimeout
@@ -132,7 +133,7 @@
 	r.Assert(answer.Header.Get("Retry-After"), qt.Equals, "0.300")
 }
 
-func TestNoTable(t *testing.T) {
+func TestWithoutATable(t *testing.T) {
 	r := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.table = nil })
 	r.Assert(r.dial().ask("GET", "/safe/", "a1", "").Status, qt.Equals, 503)
 }
@@ -174,7 +175,7 @@
 	r.Assert(err, qt.IsNil)
 	r.Assert(string(answer.Body), qt.Equals, large)
 
-	// The write deadline of the request before is over by now.
+	// The write deadline of the previous request has passed by now.
 	r.proxy.connectedClients()[0].socket.SetWriteDeadline(pastDeadline)
 	io.WriteString(p, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"+
 		"Cresshub-Try-Id: a3\r\n\r\n")
@@ -189,7 +190,7 @@
 	r.eventually("the memory is given back", func() bool { return r.proxy.bodies.Used() == 0 })
 }
 
-func TestHeadAndOldClients(t *testing.T) {
+func TestHeadAndHTTP10Clients(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
 		if q.Method == "HEAD" {
 			fmt.Fprint(w, head(q, 200, "Cresshub-Server-Stamp: s"), "Content-Length: 7\r\n\r\n")
@@ -224,7 +225,7 @@
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a2", strings.Repeat("x", 4000)).Status, qt.Equals, 200)
 }
 
-func TestLoadsAreTold(t *testing.T) {
+func TestServerLoadsReachTheScheduler(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", status(200, stamp, "Cresshub-Server-Load: 3,1,8"))
 	r := newRig(t, nil, s)
 	r.dial().ask("GET", "/safe/", "a1", "")
--- a/internal/router/dataplane/randomfaults_test.go
+++ b/internal/router/dataplane/randomfaults_test.go
@@ -14,26 +14,26 @@
 	"cresshub/internal/router/catalog"
 )
 
-// lastPiece is how many pieces each stream of the troubled servers has.
-const lastPiece = 6
+// lastEvent is how many events each stream of the faulty model servers has.
+const lastEvent = 6
 
-// troubled are servers that do anything a server in trouble may do, and note what ran.
+// faultyModel are model servers that behave in every way a faulty server may, and record what ran.
 type faultyModel struct {
-	mu       sync.Mutex
-	random   *rand.Rand
-	runs     map[string]int     // by the id of a try
-	arrivals map[string]int     // likewise, without first readings
-	owners   map[string]string  // of handles, until they are taken
-	whole    map[string]bool    // tries that a server answered whole, on a connection that it had not spoiled
-	spoiled  map[io.Writer]bool // connections that carried what no request there had asked for
-	wrong    []string           // what no server may meet
-	handles  int
+	mu         sync.Mutex
+	random     *rand.Rand
+	runs       map[string]int     // by the id of the attempt
+	arrivals   map[string]int     // likewise, without first prefill calls
+	owners     map[string]string  // of handles, until they are taken
+	completed  map[string]bool    // attempts with a complete response on a connection that was not spoiled
+	spoiled    map[io.Writer]bool // connections with bytes that belong to no request on them
+	violations []string           // what no server may observe
+	handles    int
 }
 
 func newFaultyModel(seed uint64) *faultyModel {
 	return &faultyModel{random: rand.New(rand.NewPCG(seed, 3)), runs: map[string]int{},
 		arrivals: map[string]int{},
-		owners:   map[string]string{}, whole: map[string]bool{}, spoiled: map[io.Writer]bool{}}
+		owners:   map[string]string{}, completed: map[string]bool{}, spoiled: map[io.Writer]bool{}}
 }
 
 func (x *faultyModel) draw(n int) int {
@@ -51,7 +51,7 @@
 func (x *faultyModel) report(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.wrong = append(x.wrong, fmt.Sprintf(format, args...))
+	x.violations = append(x.violations, fmt.Sprintf(format, args...))
 }
 
 // answer handles a request that is to be run.
@@ -69,7 +69,7 @@
 	case 2:
 		return false
 	}
-	if from := q.Header.Get(kvFromHeader); from != "" && !x.takes(from, id) {
+	if from := q.Header.Get(kvFromHeader); from != "" && !x.takeHandle(from, id) {
 		return full(q, w)
 	}
 	x.count(x.runs, id)
@@ -83,30 +83,30 @@
 	case 3:
 		return status(503)(q, w)
 	case 4:
-		x.spoil(w)
+		x.spoilConnection(w)
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: other\r\n", stamp, "\r\n", length("other"), "other")
 	}
-	return x.write(q, w)
+	return x.decode(q, w)
 }
 
-// spoil notes that a connection carries more than the answers to its requests.
-func (x *faultyModel) spoil(w io.Writer) {
+// spoilConnection records that a connection carries more than the responses to its requests.
+func (x *faultyModel) spoilConnection(w io.Writer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.spoiled[w] = true
 }
 
-// complete notes that all of a try's own answer is about to be written.
+// complete records that all of an attempt's own response is about to be written.
 func (x *faultyModel) complete(id string, w io.Writer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.spoiled[w] {
-		x.whole[id] = true
+		x.completed[id] = true
 	}
 }
 
-// write writes the answer, and some times less or more than it.
-func (x *faultyModel) write(q *http1.Request, w io.Writer) bool {
+// decode writes the response, and at times less or more than it.
+func (x *faultyModel) decode(q *http1.Request, w io.Writer) bool {
 	id := q.Header.Get(tryIDHeader)
 	if strings.HasPrefix(q.Target, "/safe/") || strings.HasPrefix(q.Target, "/unsafe/") {
 		body := "for " + id
@@ -116,14 +116,14 @@
 		}
 		fmt.Fprintf(w, "%sContent-Length: %d\r\n\r\n%s", head(q, 200, stamp), told, body)
 		if told == len(body) && x.draw(8) == 0 {
-			x.spoil(w)
+			x.spoilConnection(w)
 			io.WriteString(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: late\r\nContent-Length: 0\r\n\r\n")
 		}
 		return told == len(body)
 	}
 	io.WriteString(w, streamHead(q, "s"))
-	for piece := parseCount(q.Header.Get(lastEventHeader)) + 1; piece <= lastPiece; piece++ {
-		text := chunk(pieceOf(id, piece))
+	for piece := parseCount(q.Header.Get(lastEventHeader)) + 1; piece <= lastEvent; piece++ {
+		text := chunk(eventOf(id, piece))
 		if x.draw(30) == 0 {
 			io.WriteString(w, text[:x.draw(len(text))])
 			return false
@@ -135,12 +135,12 @@
 	return true
 }
 
-func pieceOf(id string, piece int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", piece, id) }
+func eventOf(id string, piece int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", piece, id) }
 
-// read handles a call to a reader.
-func (x *faultyModel) read(q *http1.Request, w io.Writer) bool {
+// prefill handles a prefill call.
+func (x *faultyModel) prefill(q *http1.Request, w io.Writer) bool {
 	if q.Method == "DELETE" {
-		x.takes("x"+strings.TrimPrefix(q.Target, "/api/kv-handle"), "")
+		x.takeHandle("x"+strings.TrimPrefix(q.Target, "/api/kv-handle"), "")
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\n", length(""))
 		return true
 	}
@@ -158,11 +158,11 @@
 	handle := fmt.Sprint("h", x.handles)
 	x.owners[handle] = q.Header.Get(tryIDHeader)
 	x.mu.Unlock()
-	return readsPrompt(handle)(q, w)
+	return prefillsPrompt(handle)(q, w)
 }
 
-// takes takes the memory of a handle for a try, or frees it.
-func (x *faultyModel) takes(from, id string) bool {
+// takeHandle takes the prefix cache of a handle for an attempt, or releases it.
+func (x *faultyModel) takeHandle(from, id string) bool {
 	handle := from[strings.LastIndexByte(from, '/')+1:]
 	x.mu.Lock()
 	owner, kept := x.owners[handle]
@@ -174,7 +174,8 @@
 	return kept && x.draw(6) > 0
 }
 
-// tries sends requests one after the other, each on the connection of the one before where it is still good.
+// sendRequests sends requests one after the other, each on the connection of the previous one where it is
+// still good.
 func (x *faultyModel) sendRequests(r *rig, name string, count int, check func(id, route string, got result)) {
 	routes := []string{"safe", "unsafe", "stream", "firm", "model", "modelfirm", "single"}
 	p := &testClient{C: r.C}
@@ -201,9 +202,9 @@
 	}
 }
 
-// Many clients, and servers that do anything: whatever happens, the rules hold, whoever was answered whole is
-// served, and so is half of all requests.
-func TestRulesHoldInTrouble(t *testing.T) {
+// Many clients, and servers with random faults: whatever happens, the invariants hold, whoever got a
+// complete response is counted as served, and so is half of all requests.
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	const clients, requests, seeds = 8, 150, 3
 	served := 0
 	for seed := range uint64(seeds) {
@@ -214,7 +215,7 @@
 				servers = append(servers, newServer(t, fmt.Sprint("i-l", n), "lookup", "", x.answer))
 			}
 			for n := range 3 {
-				servers = append(servers, newServer(t, fmt.Sprint("i-r", n), "language", catalog.Prefill, x.read),
+				servers = append(servers, newServer(t, fmt.Sprint("i-r", n), "language", catalog.Prefill, x.prefill),
 					newServer(t, fmt.Sprint("i-w", n), "language", catalog.Decode, x.answer))
 			}
 			r := newRig(t, nil, servers...)
@@ -232,7 +233,7 @@
 			}
 			under.Wait()
 			r.awaitCallsEnded()
-			r.Assert(x.wrong, qt.HasLen, 0)
+			r.Assert(x.violations, qt.HasLen, 0)
 			t.Log("answers by status", results, "repeats", x.repeats(), "counts", r.proxy.Stats())
 			most := ratioFraction*0.2*clients*requests + 2*slackFraction*100
 			r.Assert(float64(x.repeats()) <= most, qt.IsTrue, qt.Commentf("%d repeats", x.repeats()))
@@ -244,7 +245,7 @@
 	qt.Assert(t, served > seeds*clients*requests/2, qt.IsTrue, qt.Commentf("%d served", served))
 }
 
-// repeats is how many arrivals were not the first of their try.
+// repeats is how many arrivals were not the first of their attempt.
 func (x *faultyModel) repeats() (sum int) {
 	for _, arrivals := range x.arrivals {
 		sum += max(arrivals-1, 0)
@@ -252,10 +253,10 @@
 	return sum
 }
 
-// check complains of an answer that breaks a rule.
+// check reports a response that breaks a rule.
 func (x *faultyModel) check(id, route string, got result) {
 	x.mu.Lock()
-	runs, arrivals, whole := x.runs[id], x.arrivals[id], x.whole[id]
+	runs, arrivals, whole := x.runs[id], x.arrivals[id], x.completed[id]
 	x.mu.Unlock()
 	once := route == "unsafe" || route == "firm" || route == "modelfirm"
 	most := 3
@@ -265,8 +266,8 @@
 	want := "for " + id
 	if route != "safe" && route != "unsafe" {
 		want = ""
-		for piece := 1; piece <= lastPiece; piece++ {
-			want += pieceOf(id, piece)
+		for piece := 1; piece <= lastEvent; piece++ {
+			want += eventOf(id, piece)
 		}
 	}
 	switch {
--- a/internal/router/dataplane/readdeadline_test.go
+++ b/internal/router/dataplane/readdeadline_test.go
@@ -14,29 +14,30 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// A silent server is given up for another one, and for nothing else: where no repeat is left when its time
-// has passed it is waited for to the end of the request.
-func TestSilentServerIsWaitedForWhereNoRepeatIsLeft(t *testing.T) {
+// A call that times out is given up for another server, and for nothing else: where no retry is left by
+// then its server is waited for until the request's deadline.
+func TestServerIsWaitedForWhereNoRetryIsLeft(t *testing.T) {
 	for _, test := range []struct {
 		name, route string
 		slack       float64
 		change      func(c *call)
 		waits       bool
 	}{
-		{"a repeat is left", "safe", 100, func(*call) {}, false},
-		{"no repeat is left", "safe", 0, func(*call) {}, true},
-		{"all servers were tried", "safe", 100, func(c *call) { c.roundTrip.attempts.count = 2 }, true},
-		{"never twice", "unsafe", 100, func(*call) {}, true},
-		{"a stream that may go on", "stream", 100, func(c *call) {
+		{"a retry is left", "safe", 100, func(*call) {}, false},
+		{"no retry is left", "safe", 0, func(*call) {}, true},
+		{"no attempt is left", "safe", 100, func(c *call) { c.roundTrip.attempts.count = 2 }, true},
+		{"not idempotent", "unsafe", 100, func(*call) {}, true},
+		{"a resumable stream", "stream", 100, func(c *call) {
 			c.roundTrip.relay.started, c.roundTrip.relay.order.hasLast = true, true
 		}, false},
-		{"a stream that may not go on", "stream", 100, func(c *call) { c.roundTrip.relay.started = true }, true},
-		{"a reader", "model", 0, func(c *call) { c.role = scheduler.Prefill }, false},
+		{"a stream that is not resumable", "stream", 100, func(c *call) { c.roundTrip.relay.started = true }, true},
+		{"prefill", "model", 0, func(c *call) { c.role = scheduler.Prefill }, false},
 		{"no time is left", "safe", 0, func(c *call) { c.roundTrip.request.deadline = time.Now() }, false},
-		{"the client has left", "safe", 0, func(c *call) { c.roundTrip.stopCause = clientDisconnected }, false},
+		{"the client has disconnected", "safe", 0,
+			func(c *call) { c.roundTrip.stopCause = clientDisconnected }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t, slack(test.slack), lookups(t, breakOff)...)
+			r := newRig(t, slack(test.slack), newLookupServers(t, breakOff)...)
 			_, err := r.readSilent(test.route, test.change)
 			if test.waits {
 				r.Assert(err, qt.IsNil)
@@ -47,7 +48,7 @@
 	}
 }
 
-// readSilent reads a byte from a server whose patience is over, and which then sends one.
+// readSilent reads a byte from a server that has timed out, and which then sends one.
 func (r *rig) readSilent(routeName string, change func(*call)) (int, error) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -69,25 +70,25 @@
 	return socket.Read(make([]byte, 1))
 }
 
-// A silent server that nobody else could stand in for is waited for: giving it up would end the answer
-// sooner, and for nothing.
-func TestSilentServerIsWaitedForWhereNobodyElseCanAnswer(t *testing.T) {
+// A server that has timed out and that no other one could replace is waited for: giving it up would end the
+// response sooner, and for nothing.
+func TestServerIsWaitedForWhereNoOtherCanAnswer(t *testing.T) {
 	begun := func(c *call) { c.roundTrip.relay.started, c.roundTrip.relay.order.hasLast = true, true }
 	untouched := func(*call) {}
 	other := &server{Server: &catalog.Server{ID: "i-2", Service: "lookup", State: catalog.Ready}}
 	for _, test := range []struct {
 		name, route string
 		others      []*server
-		full        bool // as far as the decisions know
+		full        bool // as far as the scheduler knows
 		change      func(c *call)
 		waits       bool
 	}{
-		{"nobody else is there", "safe", nil, false, untouched, true},
-		{"nobody else could take the stream up", "stream", nil, false, begun, true},
-		{"another one has a place", "safe", []*server{other}, false, untouched, false},
-		{"another one may take the stream up", "stream", []*server{other}, false, begun, false},
+		{"no other server", "safe", nil, false, untouched, true},
+		{"no other server for the stream", "stream", nil, false, begun, true},
+		{"another one has a free slot", "safe", []*server{other}, false, untouched, false},
+		{"another one may resume the stream", "stream", []*server{other}, false, begun, false},
 		{"all others would reject the stream", "stream", []*server{other}, true, begun, true},
-		{"all others are full before an answer", "safe", []*server{other}, true, untouched, false},
+		{"all others are full before a response", "safe", []*server{other}, true, untouched, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRig(t, slack(100), test.others...)
--- a/internal/router/dataplane/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestPairingRequest(t *testing.T) {
+func TestSchedulingRequest(t *testing.T) {
 	c := qt.New(t)
 	service := &fleetconfig.Service{Name: "s"}
 	r := schedulingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
@@ -32,7 +32,7 @@
 	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service})
 }
 
-func TestDeadline(t *testing.T) {
+func TestParseDeadline(t *testing.T) {
 	c := qt.New(t)
 	for text, want := range map[string]time.Duration{
 		"5000": 5 * time.Second, " 0 ": 0, "": -1, "x": -1, "-1": -1, "99999999999": -1,
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestIdleTime(t *testing.T) {
+func TestKeepAliveTime(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		header http1.Header
@@ -86,9 +86,9 @@
 	}
 }
 
-// A request ends, and its client has let its answer in, no later than a quarter of a second past the route's
-// timeout, whatever the client would wait.
-func TestNothingIsHeldPastTheRoutesTimeout(t *testing.T) {
+// A request ends, and its client has read its response, no later than a quarter of a second past the
+// route's timeout, however long the client would wait.
+func TestNothingIsHeldPastTheRouteTimeout(t *testing.T) {
 	c := qt.New(t)
 	config, err := fleetconfig.Parse([]byte(testConfig(testLimits)))
 	c.Assert(err, qt.IsNil)
@@ -109,7 +109,7 @@
 	}
 }
 
-// requestOfRoute returns a request that has just come on a route with a timeout.
+// requestOfRoute returns a request that has just arrived on a route with a timeout.
 func requestOfRoute(c *qt.C, route string, timeout time.Duration, deadline string) *request {
 	config, err := fleetconfig.Parse([]byte(testConfig(testLimits)))
 	c.Assert(err, qt.IsNil)
@@ -122,7 +122,7 @@
 }
 
 // A request has the time that its client and its route give it, however long that is, but for a tenth of a
-// second in which its answer reaches the client.
+// second in which its response reaches the client.
 func TestLongRequestsKeepTheirTime(t *testing.T) {
 	for _, test := range []struct {
 		timeout  time.Duration
@@ -143,8 +143,9 @@
 	}
 }
 
-// An answer that has begun is not ended before its time is over: nothing else could reach the client instead.
-func TestBegunAnswersGoOnToTheirDeadline(t *testing.T) {
+// A response that has started is not ended before its time is over: nothing else could reach the client
+// instead.
+func TestStartedResponsesGoOnToTheHardDeadline(t *testing.T) {
 	c := qt.New(t)
 	q := requestOfRoute(c, "firm", time.Minute, "6000")
 	begun := &call{roundTrip: &roundTrip{request: q, relay: relay{started: true}}}
--- a/internal/router/dataplane/response_test.go
+++ b/internal/router/dataplane/response_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAnswersOfAllSizes(t *testing.T) {
+func TestResponsesOfAllSizes(t *testing.T) {
 	for _, size := range []int{20, 4096, maxBufferedResponse, maxBufferedResponse + 1, 300_000} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, chunked), func(t *testing.T) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestCutAnswersDoNotLookWhole(t *testing.T) {
+func TestTruncatedResponsesDoNotLookComplete(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		for _, size := range []int{1000, 300_000} {
 			t.Run(fmt.Sprint(size, chunked), func(t *testing.T) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// An answer without a length is whole where its connection ends in order, and is not where it is reset.
-func TestAnswerThatOnlyItsConnectionEnds(t *testing.T) {
+// A response without a length is complete where its connection ends in order, and is not where it is reset.
+func TestResponseThatOnlyItsConnectionEnds(t *testing.T) {
 	for _, size := range []int{20, 300_000} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, reset), func(t *testing.T) {
@@ -118,13 +118,13 @@
 	}
 }
 
-func TestLargeAnswerWithoutMemoryIsPassedOnAsItComes(t *testing.T) {
+func TestLargeResponseWithoutMemoryIsForwardedAsItComes(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", sized(50_000, true, true))
 	r := newRig(t, func(settings *agentsettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 10_000 }, s)
 	r.Assert(len(r.dial().ask("GET", "/safe/", "a", "").Body), qt.Equals, 50_000)
 }
 
-func TestSurplusAnswers(t *testing.T) {
+func TestSurplusResponses(t *testing.T) {
 	other := "HTTP/1.1 200 OK\r\nCresshub-Try-Id: other\r\n" + stamp + "\r\nContent-Length: 5\r\n\r\nother"
 	for name, test := range map[string]struct {
 		answer handler
@@ -166,13 +166,13 @@
 	}
 }
 
-// A surplus answer that arrives while the connection is idle, or right after the next request was sent.
-func TestLateSurplusAnswer(t *testing.T) {
+// A surplus response that arrives while the connection is idle, or right after the next request was sent.
+func TestLateSurplusResponse(t *testing.T) {
 	late := make(chan bool, 1)
 	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
 		if q.Header.Get(tryIDHeader) == "a2" {
 			select {
-			case <-late: // the server answers the first request once more, and only then this one
+			case <-late: // the server answers the first request again, and only then this one
 				fmt.Fprint(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: a1\r\n", stamp, "\r\n", length("late"), "late")
 			default:
 			}
@@ -189,7 +189,7 @@
 	r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(2))
 }
 
-func TestConnectionsAreUsedAgainAsTheirServerTells(t *testing.T) {
+func TestConnectionsAreReusedAsTheirServerAnnounces(t *testing.T) {
 	for field, dialled := range map[string]int64{
 		"X: y": 1, "Keep-Alive: timeout=5": 1, "Keep-Alive: timeout=0": 3, "Connection: close": 3,
 	} {
@@ -219,7 +219,7 @@
 	r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(3))
 }
 
-// idleEnded tells whether all idle connections to a server have ended.
+// idleEnded reports whether all idle connections to a server have ended.
 func (r *rig) idleEnded(server string) bool {
 	r.proxy.pool.mu.Lock()
 	defer r.proxy.pool.mu.Unlock()
--- a/internal/router/dataplane/retry_test.go
+++ b/internal/router/dataplane/retry_test.go
@@ -24,8 +24,8 @@
 	halfAnswer = raw("HTTP/1.1 200 OK\r\nCresshub-Try-Id: a\r\n" + stamp + "\r\nContent-Length: 9\r\n\r\nhalf")
 )
 
-// cutting writes as its handler does and then breaks off.
-func cutting(h handler) handler {
+// breaksOffAfter writes as its handler does and then breaks off.
+func breaksOffAfter(h handler) handler {
 	return func(q *http1.Request, w io.Writer) bool {
 		h(q, w)
 		return false
@@ -46,7 +46,8 @@
 	for _, test := range []row{
 		{"reset", "unsafe", []handler{breakOff, good}, 502, 1, []scheduler.Outcome{broken}},
 		{"nonsense", "unsafe", []handler{nonsense, good}, 502, 1, []scheduler.Outcome{broken}},
-		{"half an answer", "unsafe", []handler{cutting(halfAnswer), good}, 502, 1, []scheduler.Outcome{broken}},
+		{"half an answer", "unsafe", []handler{breaksOffAfter(halfAnswer), good}, 502, 1,
+			[]scheduler.Outcome{broken}},
 		{"full", "unsafe", []handler{full, good}, 200, 2, []scheduler.Outcome{not, served}},
 		{"full thrice", "unsafe", []handler{full}, 503, 3, []scheduler.Outcome{not, not, not}},
 		{"full, then reset", "unsafe", []handler{full, breakOff, good}, 502, 2, []scheduler.Outcome{not, broken}},
@@ -74,7 +75,7 @@
 
 		{"reset", "safe", []handler{breakOff, good}, 200, 2, []scheduler.Outcome{broken, served}},
 		{"nonsense", "safe", []handler{nonsense, good}, 200, 2, []scheduler.Outcome{broken, served}},
-		{"half an answer", "safe", []handler{cutting(halfAnswer), good}, 200, 2, []scheduler.Outcome{broken,
+		{"half an answer", "safe", []handler{breaksOffAfter(halfAnswer), good}, 200, 2, []scheduler.Outcome{broken,
 			served}},
 		{"reset thrice", "safe", []handler{breakOff}, 502, 3, []scheduler.Outcome{broken, broken, broken}},
 		{"reset, then full", "safe", []handler{breakOff, full}, 502, 3, []scheduler.Outcome{broken, not, not}},
@@ -89,14 +90,14 @@
 			[]scheduler.Outcome{broken, served}},
 	} {
 		t.Run(test.route+" "+test.name, func(t *testing.T) {
-			servers := lookups(t, inTurn(test.answers...))
+			servers := newLookupServers(t, inTurn(test.answers...))
 			r := newRig(t, nil, servers...)
 			answer := r.dial().ask("POST", "/"+test.route+"/", "a", "once")
 			r.Assert(answer.Status, qt.Equals, test.status)
 			r.Assert(answer.Header.Get(tryIDHeader), qt.Equals, "a")
 			r.Assert(answer.Header.Get("Retry-After") != "", qt.Equals, test.status == 503)
 			r.Assert(answer.Header.Get(notRunHeader) == "" || answer.Status == 400, qt.IsTrue)
-			r.Assert(arrivals(servers), qt.Equals, test.arrivals)
+			r.Assert(requestsReceived(servers), qt.Equals, test.arrivals)
 			r.awaitCallsEnded()
 			r.Assert(r.chooser.outcomes(), qt.DeepEquals, test.outcomes)
 			r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(test.arrivals-1))
@@ -104,14 +105,14 @@
 	}
 }
 
-func TestGoneServersAreHinted(t *testing.T) {
-	servers := lookups(t, inTurn(elsewhere, ok("x")))
+func TestReplacedServersAreReported(t *testing.T) {
+	servers := newLookupServers(t, inTurn(elsewhere, ok("x")))
 	r := newRig(t, nil, servers...)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
 	r.Assert(r.state.Replaced(), qt.DeepEquals, []string{"i-1"})
 }
 
-func TestSpentBudgetEndsTheTries(t *testing.T) {
+func TestSpentBudgetEndsTheRetries(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		answer handler
@@ -120,16 +121,16 @@
 		{"reset", breakOff, 502}, {"full", full, 503}, {"its own failure", failure500, 500},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			servers := lookups(t, test.answer)
+			servers := newLookupServers(t, test.answer)
 			r := newRig(t, slack(0), servers...)
 			r.Assert(r.dial().ask("GET", "/safe/", "a", "").Status, qt.Equals, test.status)
-			r.Assert(arrivals(servers), qt.Equals, 1)
+			r.Assert(requestsReceived(servers), qt.Equals, 1)
 			r.awaitCallsEnded()
 		})
 	}
 }
 
-func TestServersOutOfReachAreNoArrivals(t *testing.T) {
+func TestUnreachableServersAreNoAttempts(t *testing.T) {
 	dead := newServer(t, "i-0", "lookup", "", ok("x"))
 	dead.listener.Close()
 	alive := newServer(t, "i-1", "lookup", "", ok("x"))
@@ -142,7 +143,7 @@
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 503)
 }
 
-func TestSilentServer(t *testing.T) {
+func TestServerThatTimesOut(t *testing.T) {
 	ended := make(chan string, 9)
 	for _, test := range []struct {
 		name, route, deadline string
@@ -154,11 +155,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			servers := lookups(t, inTurn(neverAnswer(ended), ok("x")))
+			servers := newLookupServers(t, inTurn(neverAnswer(ended), ok("x")))
 			r := newRig(t, nil, servers...)
 			answer := r.dial().ask("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: "+test.deadline)
 			r.Assert(answer.Status, qt.Equals, test.status)
-			r.Assert(arrivals(servers), qt.Equals, test.arrivals)
+			r.Assert(requestsReceived(servers), qt.Equals, test.arrivals)
 			<-ended // the connection does not outlive its request
 			r.awaitCallsEnded()
 			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.TimedOut)
@@ -182,8 +183,7 @@
 	r.Assert(late.got(), qt.HasLen, 1)
 }
 
-// TestServersThatRefuseConnectionsAreSuspected tells the fleet of a server whose process is gone, and of no
-// other.
+// TestServersThatRefuseConnectionsAreSuspected reports a server whose process has ended, and no other.
 func TestServersThatRefuseConnectionsAreSuspected(t *testing.T) {
 	away := newServer(t, "away", "lookup", "", ok("x"))
 	away.listener.Close()
--- a/internal/router/dataplane/retrybudget_test.go
+++ b/internal/router/dataplane/retrybudget_test.go
@@ -19,7 +19,7 @@
 		ratio    float64
 		slack    float64
 		proxies  int
-		want     int // repeats in one moment
+		want     int // retries in one moment
 	}{
 		{"nothing allowed", 0, 0.2, 0, 1, 0},
 		{"ratio alone", 100, 0.2, 0, 1, 16},
@@ -49,25 +49,24 @@
 func TestBudgetTakesAllOrNone(t *testing.T) {
 	c := qt.New(t)
 	var b retryBudget
-	allowed := allowance{window: window, slack: 5, proxies: 1} // 3 repeats
+	allowed := allowance{window: window, slack: 5, proxies: 1} // 3 retries
 	c.Assert(b.take(0, allowed, 2), qt.IsTrue)
 	c.Assert(b.take(0, allowed, 2), qt.IsFalse)
 	c.Assert(b.take(0, allowed, 1), qt.IsTrue)
 	c.Assert(b.take(0, allowed, 0), qt.IsTrue)
 }
 
-func TestBudgetCountsWhatWasCharged(t *testing.T) {
+func TestRecordedRetriesUseTheBudget(t *testing.T) {
 	c := qt.New(t)
 	var b retryBudget
-	allowed := allowance{window: window, slack: 5, proxies: 1} // 3 repeats
+	allowed := allowance{window: window, slack: 5, proxies: 1} // 3 retries
 	b.recordRetries(0, window, 3)
 	c.Assert(b.available(0, allowed), qt.IsFalse)
 	c.Assert(b.available(window+window/budgetBuckets, allowed), qt.IsTrue)
 }
 
-// Every span of the window holds no more repeats than the requests of that very span allow, whenever they
-// come.
-func TestBudgetHoldsInEverySpan(t *testing.T) {
+// Every window contains no more retries than the requests of that very window allow, whenever they come.
+func TestRetriesStayWithinTheAllowanceInEveryWindow(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		allowed := allowance{window: window, ratio: 0.2, slack: 10, proxies: 2}
@@ -110,7 +109,7 @@
 	return count
 }
 
-func TestSlackShareStaysWhenProxiesAreCutOff(t *testing.T) {
+func TestSlackShareStaysThroughAPartition(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudgets(agentsettings.Bounds{RetryRatio: 0, RetrySlack: 100, RetryWindow: window})
 	now := time.Minute
@@ -118,11 +117,11 @@
 	c.Assert(takeAll(b, now, 1), qt.Equals, 6) // 0.6 * 100 / 10, though only one is believed live now
 	now += 40 * time.Second
 	c.Assert(takeAll(b, now, 1), qt.Equals, 6)
-	now += 40 * time.Second // by now the others are gone for good
+	now += 40 * time.Second // by now the others have been away for longer than the window
 	c.Assert(takeAll(b, now, 1), qt.Equals, 60)
 }
 
-func TestSlackIsLeftAloneAfterTheStart(t *testing.T) {
+func TestSlackIsNotUsedAfterTheStart(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudgets(agentsettings.Bounds{RetryRatio: 0.5, RetrySlack: 100, RetryWindow: window})
 	for range 10 {
@@ -133,7 +132,7 @@
 	c.Assert(takeAll(b, window+slackMargin, 4), qt.Equals, 15)
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestEachServiceHasItsOwnBudget(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudgets(agentsettings.Bounds{RetrySlack: 10, RetryWindow: window})
 	c.Assert(takeAll(b, time.Minute, 1), qt.Equals, 6)
@@ -147,7 +146,7 @@
 	return taken
 }
 
-func TestPeakForgetsInTime(t *testing.T) {
+func TestSlidingMaxForgetsOldValues(t *testing.T) {
 	c := qt.New(t)
 	var p slidingMax
 	c.Assert(p.observe(0, 5), qt.Equals, 5)
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -20,10 +20,10 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// patience bounds every wait of a test; no verdict depends on how much of it is used.
+// testTimeout bounds every wait of a test; no result depends on how much of it is used.
 const testTimeout = 20 * time.Second
 
-// place is a route of a test; its name is the first part of its path.
+// testRoute is a route of a test; its name is the first part of its path.
 type testRoute struct {
 	name, kind, service string
 	tries               int
@@ -60,7 +60,7 @@
 "counters":{},"inner_ports":[1,2],
 "bounds":{"retry_ratio":0.2,"retry_window_s":10,"retry_slack":100,"grace_s":8}}`
 
-// fakeState is what the node knows.
+// fakeState is what the agent knows.
 type fakeState struct {
 	mu        sync.Mutex
 	config    *fleetconfig.Config
@@ -102,7 +102,7 @@
 	return append([]string(nil), s.replaced...)
 }
 
-// rig is a Front on loopback with the servers of a test.
+// rig is a Proxy on loopback with the servers of a test.
 type rig struct {
 	*qt.C
 	proxy    *Proxy
@@ -112,7 +112,7 @@
 	listener net.Listener
 }
 
-// newRig starts a Front; change may alter its settings and state before.
+// newRig starts a Proxy; change may alter its settings and state before.
 func newRig(tb testing.TB, change func(*agentsettings.Settings, *fakeState), servers ...*server) *rig {
 	tb.Helper()
 	c := qt.New(tb)
@@ -139,7 +139,7 @@
 	return r
 }
 
-// slack gives the tests' proxies together so many repeats besides.
+// slack gives the tests' proxies together so many retries besides.
 func slack(repeats float64) func(*agentsettings.Settings, *fakeState) {
 	return func(settings *agentsettings.Settings, _ *fakeState) { settings.Bounds.RetrySlack = repeats }
 }
@@ -152,13 +152,13 @@
 	return catalog.NewTable(1, all)
 }
 
-// settled waits until every call has ended and checks that each ended once.
+// awaitCallsEnded waits until every call has ended and checks that each ended once.
 func (r *rig) awaitCallsEnded() {
 	r.Helper()
 	r.eventually("each call ends once", r.chooser.paired)
 }
 
-// until waits for what happens on other goroutines.
+// eventually waits for what happens on other goroutines.
 func (r *rig) eventually(what string, holds func() bool) {
 	r.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); runtime.Gosched() {
@@ -168,7 +168,7 @@
 	}
 }
 
-// person is a client.
+// testClient is a client.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
@@ -183,7 +183,7 @@
 	return &testClient{Conn: conn, in: bufio.NewReader(conn), C: r.C}
 }
 
-// connect connects anew; false where nobody listens.
+// connect opens a new connection; it returns false where nobody listens.
 func (p *testClient) connect(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -207,7 +207,7 @@
 	p.Assert(err, qt.IsNil)
 }
 
-// read reads one answer; err tells of a body that was cut.
+// read reads one response; err says that a body was truncated.
 func (p *testClient) read() (*http1.Response, error) {
 	head, body, err := http1.ReadResponseHead(p.in, "GET")
 	if err != nil {
--- a/internal/router/dataplane/stream_test.go
+++ b/internal/router/dataplane/stream_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// resumesUntil answers with the pieces after Last-Event-Id up to the last one.
+// resumesUntil answers with the events after Last-Event-Id up to the last one.
 func resumesUntil(last int) handler {
 	return func(q *http1.Request, w io.Writer) bool {
 		from := parseCount(q.Header.Get(lastEventHeader)) + 1
@@ -73,7 +73,7 @@
 	r.Assert(r.chooser.firstEvents, qt.Equals, 1)
 }
 
-func TestStreamIsTakenUpAtAnotherServer(t *testing.T) {
+func TestStreamIsResumedAtAnotherServer(t *testing.T) {
 	const half = "id: 3\ndata: pie"
 	for _, test := range []struct {
 		name    string
@@ -82,22 +82,22 @@
 		calls   int
 	}{
 		{"broken between events", []handler{streams("first", false, event(1), event(2)), resumesUntil(5)},
-			pieces(1, 5), 2},
+			eventsText(1, 5), 2},
 		{"broken inside an event", []handler{streams("first", false, event(1), event(2)+half), resumesUntil(5)},
-			pieces(1, 5), 2},
+			eventsText(1, 5), 2},
 		{"broken twice",
 			[]handler{streams("first", false, event(1)), streams("second", false, event(2)), resumesUntil(4)},
-			pieces(1, 4), 3},
-		{"the next one is full", []handler{streams("first", false, event(1)), full, resumesUntil(4)}, pieces(1,
+			eventsText(1, 4), 3},
+		{"the next one is full", []handler{streams("first", false, event(1)), full, resumesUntil(4)}, eventsText(1,
 			4), 3},
 		{"the next one begins anew", []handler{streams("first", false, event(1), event(2)), events(1, 4, true)},
-			pieces(1, 4), 2},
+			eventsText(1, 4), 2},
 		{"nothing was missing", []handler{streams("first", false, event(1)), streams("second", true)},
-			pieces(1, 1), 2},
+			eventsText(1, 1), 2},
 		{"nonsense", []handler{func(q *http1.Request, w io.Writer) bool {
 			io.WriteString(w, streamHead(q, "first")+chunk(event(1))+"no chunk\r\n")
 			return false
-		}, resumesUntil(4)}, pieces(1, 4), 2},
+		}, resumesUntil(4)}, eventsText(1, 4), 2},
 		{"a line before an id", []handler{streams("first", false, "versions: 1\n"+event(1)),
 			streams("second", true, "versions: 2\n"+event(2))},
 			"versions: 1\n" + event(1) + "versions: 2\n" + event(2), 2},
@@ -105,12 +105,12 @@
 			event(1) + ": idle\n\n" + event(2), 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			servers := lookups(t, inTurn(test.answers...))
+			servers := newLookupServers(t, inTurn(test.answers...))
 			r := newRig(t, nil, servers...)
 			answer := r.dial().ask("POST", "/stream/", "a", "same")
 			r.Assert(string(answer.Body), qt.Equals, test.body)
 			r.Assert(answer.Header.Get(stampHeader), qt.Equals, "first")
-			r.Assert(arrivals(servers), qt.Equals, test.calls)
+			r.Assert(requestsReceived(servers), qt.Equals, test.calls)
 			r.awaitCallsEnded()
 			for _, s := range servers[1:] {
 				for _, q := range s.got() {
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestStreamsThatCannotGoOnAreCut(t *testing.T) {
+func TestStreamsThatCannotBeResumedAreTruncated(t *testing.T) {
 	first := streams("first", false, event(1), event(2))
 	for _, test := range []struct {
 		name, route string
@@ -133,32 +133,32 @@
 		body        string
 		calls       int
 	}{
-		{"firm route", "firm", 100, []handler{first, resumesUntil(5)}, pieces(1, 2), 1},
-		{"no repeat left", "stream", 0, []handler{first, resumesUntil(5)}, pieces(1, 2), 1},
-		{"no server left", "stream", 100, []handler{first, full, full, resumesUntil(5)}, pieces(1, 2), 3},
-		{"pieces missing", "stream", 100, []handler{first, events(4, 5, true)}, pieces(1, 2), 3},
-		{"another kind of answer", "stream", 100, []handler{first, ok("all of it")}, pieces(1, 2), 3},
+		{"firm route", "firm", 100, []handler{first, resumesUntil(5)}, eventsText(1, 2), 1},
+		{"no repeat left", "stream", 0, []handler{first, resumesUntil(5)}, eventsText(1, 2), 1},
+		{"no server left", "stream", 100, []handler{first, full, full, resumesUntil(5)}, eventsText(1, 2), 3},
+		{"pieces missing", "stream", 100, []handler{first, events(4, 5, true)}, eventsText(1, 2), 3},
+		{"another kind of answer", "stream", 100, []handler{first, ok("all of it")}, eventsText(1, 2), 3},
 		{"no id to go on from", "stream", 100, []handler{streams("first", false, "data: x\n\n"), resumesUntil(5)},
 			"data: x\n\n", 1},
 		{"a piece without an id", "stream", 100,
 			[]handler{streams("first", false, event(1), "data: x\n\n"), resumesUntil(5)}, event(1) + "data: x\n\n", 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			servers := lookups(t, inTurn(test.answers...))
+			servers := newLookupServers(t, inTurn(test.answers...))
 			r := newRig(t, slack(test.slack), servers...)
 			p := r.dial()
 			p.send("POST", "/"+test.route+"/", "a", "")
 			answer, err := p.read()
 			r.Assert(err, qt.Equals, io.ErrUnexpectedEOF)
 			r.Assert(string(answer.Body), qt.Equals, test.body)
-			r.Assert(arrivals(servers), qt.Equals, test.calls)
+			r.Assert(requestsReceived(servers), qt.Equals, test.calls)
 			r.awaitCallsEnded()
 			r.Assert(r.proxy.Stats().Truncated, qt.Equals, int64(1))
 		})
 	}
 }
 
-func TestSilentStream(t *testing.T) {
+func TestStreamThatTimesOut(t *testing.T) {
 	ended := make(chan string, 9)
 	silent := func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "first")+chunk(event(1)))
@@ -169,12 +169,12 @@
 		err   error
 		body  string
 	}{
-		{"stream", nil, pieces(1, 3)},
+		{"stream", nil, eventsText(1, 3)},
 		{"firm", io.ErrUnexpectedEOF, event(1)},
 	} {
 		t.Run(test.route, func(t *testing.T) {
 			t.Parallel()
-			servers := lookups(t, inTurn(silent, resumesUntil(3)))
+			servers := newLookupServers(t, inTurn(silent, resumesUntil(3)))
 			r := newRig(t, nil, servers...)
 			p := r.dial()
 			p.send("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: 3000")
@@ -189,20 +189,20 @@
 }
 
 func TestClientResumesItself(t *testing.T) {
-	servers := lookups(t, inTurn(func(q *http1.Request, w io.Writer) bool {
+	servers := newLookupServers(t, inTurn(func(q *http1.Request, w io.Writer) bool {
 		from := parseCount(q.Header.Get(lastEventHeader)) + 1
 		return events(from, from+1, false)(q, w)
 	}, resumesUntil(16)))
 	r := newRig(t, nil, servers...)
 	answer := r.dial().ask("POST", "/stream/", "a", "", "Last-Event-Id: 12")
-	r.Assert(string(answer.Body), qt.Equals, pieces(13, 16))
+	r.Assert(string(answer.Body), qt.Equals, eventsText(13, 16))
 	r.Assert(servers[0].got()[0].Header.Get(lastEventHeader), qt.Equals, "12")
 	r.Assert(servers[1].got()[0].Header.Get(lastEventHeader), qt.Equals, "14")
 	r.Assert(servers[1].got()[0].Header.Repeated(lastEventHeader), qt.Equals, "")
 }
 
-func TestStreamWithALengthAndAnOldClient(t *testing.T) {
-	all := pieces(1, 3) + "id: 4\ndata: without a blank line"
+func TestStreamWithALengthAndAnHTTP10Client(t *testing.T) {
+	all := eventsText(1, 3) + "id: 4\ndata: without a blank line"
 	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, head(q, 200, stamp, "Content-Type: text/event-stream; charset=utf-8"), length(all), all)
 		return true
@@ -216,10 +216,10 @@
 	r.Assert(string(answer.Body), qt.Equals, all)
 }
 
-func TestManySmallPieces(t *testing.T) {
+func TestManySmallChunks(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "s"))
-		text := pieces(1, 200)
+		text := eventsText(1, 200)
 		for at := 0; at < len(text); at += 7 {
 			io.WriteString(w, chunk(text[at:min(at+7, len(text))]))
 		}
@@ -229,7 +229,7 @@
 	r := newRig(t, nil, s)
 	p := r.dial()
 	for id := range 3 {
-		r.Assert(string(p.ask("POST", "/firm/", strconv.Itoa(id), "").Body), qt.Equals, pieces(1, 200))
+		r.Assert(string(p.ask("POST", "/firm/", strconv.Itoa(id), "").Body), qt.Equals, eventsText(1, 200))
 	}
 }
 
@@ -243,9 +243,9 @@
 	r.Assert(r.dial().ask("POST", "/firm/", "a", "").Status, qt.Equals, 502)
 }
 
-// What only the end of the connection ends is reset where it is not whole, also where the next request of the
-// client is there.
-func TestOldClientSeesThatItsStreamWasCut(t *testing.T) {
+// What only the end of the connection ends is reset where it is not complete, also where the client's next
+// request has arrived.
+func TestHTTP10ClientSeesThatItsStreamWasTruncated(t *testing.T) {
 	const request = "GET /firm/ HTTP/1.0\r\nHost: h\r\nCresshub-Try-Id: b\r\n\r\n"
 	for _, sent := range []string{request, request + request} {
 		next := make(chan bool)
@@ -268,8 +268,8 @@
 	}
 }
 
-// A silent server gives no reason to end a stream that no other server could go on with.
-func TestSilenceEndsOnlyWhatIsTakenUp(t *testing.T) {
+// A server that has stalled is no reason to end a stream that no other server could resume.
+func TestTimeoutEndsOnlyResumableStreams(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	q := &request{hardDeadline: now.Add(time.Minute), route: &fleetconfig.Route{Kind: fleetconfig.Stream}}
@@ -284,18 +284,18 @@
 	c.Assert(r.gapDeadline(call), qt.Equals, q.hardDeadline)
 }
 
-// The rest of an answer that is no stream is nowhere to be had.
-func TestLargeAnswerOnAStreamRouteIsNotMixed(t *testing.T) {
+// The rest of a response that is no stream cannot be had from another server.
+func TestLargeResponseOnAStreamRouteIsNotMixed(t *testing.T) {
 	large := func(q *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, head(q, 200, stamp, "Content-Type: text/plain"), "Content-Length: 300000\r\n\r\n")
 		w.Write(make([]byte, 200_000))
 		return false
 	}
-	servers := lookups(t, inTurn(large, resumesUntil(15)))
+	servers := newLookupServers(t, inTurn(large, resumesUntil(15)))
 	r := newRig(t, nil, servers...)
 	p := r.dial()
 	p.send("POST", "/stream/", "a", "", "Last-Event-Id: 12")
 	_, err := p.read()
 	r.Assert(err, qt.Equals, io.ErrUnexpectedEOF)
-	r.Assert(arrivals(servers), qt.Equals, 1)
+	r.Assert(requestsReceived(servers), qt.Equals, 1)
 }
--- a/internal/router/dataplane/surplus_test.go
+++ b/internal/router/dataplane/surplus_test.go
@@ -14,28 +14,28 @@
 	"cresshub/internal/http1"
 )
 
-// A server that puts any number of bytes of a surplus answer before the next one of the same connection, too
-// late for them to be seen while it was idle: nobody gets another one's answer.
-func TestEveryPieceOfALateSurplusAnswer(t *testing.T) {
+// A server that sends any number of bytes of a surplus response before the next one of the same connection,
+// too late for them to be noticed while it was idle: nobody gets another one's response.
+func TestEveryPartOfALateSurplusResponse(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
 		for _, framing := range []framing{byLength, byChunks} {
 			for _, own := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, %s, own id %t", route, framing, own), func(t *testing.T) {
 					t.Parallel()
-					everySurplus(t, route, framing, own)
+					surplusAtEveryByte(t, route, framing, own)
 				})
 			}
 		}
 	}
 }
 
-// everySurplus sends two tries for each number of bytes: before the answer to the second one stands a piece
-// of the answer to the first one, or to a request that nobody sent.
-func everySurplus(t *testing.T, route string, framing framing, own bool) {
+// surplusAtEveryByte sends two requests for each number of bytes: before the response to the second one
+// there is a part of the response to the first one, or to a request that nobody sent.
+func surplusAtEveryByte(t *testing.T, route string, framing framing, own bool) {
 	t.Helper()
 	var mu sync.Mutex
 	surplus := map[io.Writer]string{}
-	ran := map[string]bool{} // by try
+	ran := map[string]bool{} // by attempt
 	point := 0
 	serve := func(q *http1.Request, w io.Writer) bool {
 		try := &faultyAttempt{id: q.Header.Get(tryIDHeader), route: route, framing: framing}
@@ -52,7 +52,7 @@
 		io.WriteString(w, before+text)
 		return true
 	}
-	r := newRig(t, slack(1e6), lookups(t, serve)...)
+	r := newRig(t, slack(1e6), newLookupServers(t, serve)...)
 	p := r.dial()
 	length := len((&faultyAttempt{id: "000", route: route, framing: framing}).text())
 	served := 0
@@ -84,28 +84,28 @@
 	r.Assert(served > length, qt.IsTrue)
 }
 
-// text is the answer to the try.
+// text is the response to the attempt.
 func (f *faultyAttempt) text() string {
 	text, _ := f.answer(requestOf(f.id))
 	return text
 }
 
 // A server that ends the connection after any number of bytes of a request, on a new connection or on one
-// that it has forgotten: what may run once goes nowhere else, what may be repeated is answered elsewhere.
+// that it has forgotten: what may run once is not sent elsewhere, what is idempotent is answered elsewhere.
 func TestFaultAtEveryByteOfARequest(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
 		for _, reused := range []bool{false, true} {
 			for _, fault := range []fault{closes, resets} {
 				t.Run(fmt.Sprintf("%s, reused %t, %s", route, reused, fault), func(t *testing.T) {
 					t.Parallel()
-					requestFaults(t, route, reused, fault)
+					faultAtEveryRequestByte(t, route, reused, fault)
 				})
 			}
 		}
 	}
 }
 
-func requestFaults(t *testing.T, route string, reused bool, fault fault) {
+func faultAtEveryRequestByte(t *testing.T, route string, reused bool, fault fault) {
 	t.Helper()
 	var mu sync.Mutex
 	point, connections := 0, 0
--- a/internal/router/dataplane/timeouts_test.go
+++ b/internal/router/dataplane/timeouts_test.go
@@ -7,14 +7,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestReadPatience(t *testing.T) {
+func TestPrefillTimeout(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(prefillTimeout(0, 10*time.Second), qt.Equals, minPrefillTimeout)
 	c.Assert(prefillTimeout(time.Second, 10*time.Second), qt.Equals, prefillTimeoutFactor*time.Second)
 	c.Assert(prefillTimeout(time.Second, 4*time.Second), qt.Equals, 2*time.Second)
 }
 
-func TestServePatience(t *testing.T) {
+func TestResponseTimeout(t *testing.T) {
 	const short, long = 300 * time.Millisecond, time.Second
 	for _, test := range []struct{ target, expected, left, want time.Duration }{
 		{short, 0, 5 * time.Second, minResponseTimeout},
@@ -27,13 +27,13 @@
 	}
 }
 
-func TestStreamPatience(t *testing.T) {
+func TestStreamTimeout(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(streamTimeout(100*time.Millisecond), qt.Equals, time.Second)
 	c.Assert(streamTimeout(400*time.Millisecond), qt.Equals, 1200*time.Millisecond)
 }
 
-func TestReadTimesFollowWhatIsUsual(t *testing.T) {
+func TestPrefillTimesFollowTheMean(t *testing.T) {
 	c := qt.New(t)
 	times := newPrefillTimes()
 	c.Assert(times.expected("s"), qt.Equals, time.Duration(0))
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -21,7 +21,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// upload is larger than what the systems on both sides hold of it.
+// upload is larger than the socket buffers of both sides.
 const upload = 7 << 20
 
 func allowUploads(settings *agentsettings.Settings, state *fakeState) {
@@ -29,8 +29,8 @@
 	state.config.Limits.MaxBodyBytes = upload
 }
 
-// narrow starts a server whose system holds little of what its process does not read.
-func narrow(t *testing.T, id string, serve func(net.Conn)) *server {
+// newServerWithSmallBuffers starts a server whose system buffers little of what its process does not read.
+func newServerWithSmallBuffers(t *testing.T, id string, serve func(net.Conn)) *server {
 	t.Helper()
 	s := &server{Server: &catalog.Server{ID: id, Service: "lookup", State: catalog.Ready}}
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -42,9 +42,10 @@
 	return s
 }
 
-// A server that answers before it has read a long body, and reads on later: the client has its answer, and
-// the server finds nothing but that body where the rest of it is due. What follows takes another connection.
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+// A server that answers before it has read a long body, and reads on later: the client has its response,
+// and the server finds nothing but that body where the rest of it is due. What follows takes another
+// connection.
+func TestResponseBeforeTheBodyIsRead(t *testing.T) {
 	for _, answer := range []struct {
 		status int
 		answer handler
@@ -55,7 +56,7 @@
 				readOn, rest := make(chan bool), make(chan []byte, 1)
 				release := sync.OnceFunc(func() { close(readOn) })
 				defer release()
-				s := narrow(t, "i-1", func(conn net.Conn) {
+				s := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 					in := bufio.NewReader(conn)
 					q, body, err := http1.ReadRequestHead(in)
 					if err != nil {
@@ -83,10 +84,10 @@
 	}
 }
 
-// A process that does not read is silent, and not a machine that is dead: its request has all its time.
-func TestServerThatDoesNotReadIsSilent(t *testing.T) {
+// A process that does not read has stalled, and is not a dead machine: its request has all its time.
+func TestServerThatDoesNotReadTimesOut(t *testing.T) {
 	t.Parallel()
-	s := narrow(t, "i-1", func(conn net.Conn) {
+	s := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 		q, body, err := http1.ReadRequestHead(bufio.NewReader(conn))
 		if err == nil && body.Length() > 0 {
 			awaitHangUp(qt.New(t), conn, testTimeout)
@@ -103,11 +104,11 @@
 	r.Assert(r.state.suspected, qt.HasLen, 0)
 }
 
-// A server that does not read sees at once that its client has left.
-func TestClientLeavesAServerThatDoesNotRead(t *testing.T) {
+// A server that does not read notices at once that its client has disconnected.
+func TestClientDisconnectsFromAServerThatDoesNotRead(t *testing.T) {
 	t.Parallel()
 	came, gone := make(chan bool), make(chan bool)
-	s := narrow(t, "i-1", func(conn net.Conn) {
+	s := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 		if _, _, err := http1.ReadRequestHead(bufio.NewReader(conn)); err == nil {
 			close(came)
 			awaitHangUp(qt.New(t), conn, testTimeout/5) // without a reset it takes 15 s
@@ -137,7 +138,7 @@
 
 func TestSmallRequestsFindDeadMachinesSoon(t *testing.T) {
 	c := qt.New(t)
-	p, w, _ := poolOf(t, 9)
+	p, w, _ := newTestPool(t, 9)
 	conn, err := p.get(context.Background(), w)
 	c.Assert(err, qt.IsNil)
 	defer p.discard(conn)
--- a/internal/router/dataplane/validrequests_test.go
+++ b/internal/router/dataplane/validrequests_test.go
@@ -46,9 +46,9 @@
 	return requestText("GET", "/safe/", "", "X-Long: "+strings.Repeat("x", size-len(short)))
 }
 
-// No 3xx or 4xx of the proxy's own answers a proper request: not with a configuration, nor without one or
+// No 3xx or 4xx of the proxy's own answers a valid request: not with a configuration, nor without one or
 // without servers, when 503 tells the client when to come again.
-func TestProperRequestsAreNotDenied(t *testing.T) {
+func TestValidRequestsAreAccepted(t *testing.T) {
 	serve := ok("served")
 	for name, text := range properRequests {
 		for state, change := range map[string]func(*agentsettings.Settings, *fakeState){
@@ -57,7 +57,7 @@
 			"no servers":       func(_ *agentsettings.Settings, s *fakeState) { s.table = nil },
 		} {
 			t.Run(name+", "+state, func(t *testing.T) {
-				servers := append(lookups(t, serve), newServer(t, "i-w", "language", "writing", serve))
+				servers := append(newLookupServers(t, serve), newServer(t, "i-w", "language", "writing", serve))
 				r := newRig(t, change, servers...)
 				p := r.dial()
 				io.WriteString(p, text)
@@ -70,13 +70,13 @@
 				r.Assert(answer.Status, qt.Equals, 503)
 				r.Assert(answer.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 				r.Assert(answer.Header.Get(stampHeader), qt.Equals, "")
-				r.Assert(arrivals(servers), qt.Equals, 0)
+				r.Assert(requestsReceived(servers), qt.Equals, 0)
 			})
 		}
 	}
 }
 
-// Before a configuration is known no limit of it is either: what a site may allow is refused with 503, too.
+// Before a configuration is known no limit of it is either: what a site may allow is answered 503, too.
 func TestLargeRequestsBeforeAConfiguration(t *testing.T) {
 	large := requestText("POST", "/unsafe/", strings.Repeat("x", 6<<20))
 	for _, text := range []string{longestHead(60 << 10), large} {
