--- /dev/null
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -0,0 +1,54 @@
+package leaseholder
+
+import (
+	"encoding/json"
+	"testing"
+
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/ledger"
+)
+
+func TestGoldenPageIsReadAndWrittenByteForByte(t *testing.T) {
+	goldenJSON(t, "page.json", Page{Self: "odori-1", Holder: "susukino-2", Token: 1, Owns: true,
+		LeaseRemaining: 2,
+		Roles:          []RoleStatus{{Role: "export", LastRun: 3, Backlog: 4, Problem: "the sink answered 500"}},
+		Stats: Stats{Grants: 11, Renewals: 12, Losses: 13, Resigned: 14, Calls: 15, Rejected: 16, StaleEntries: 17,
+			Failed: 18, Entries: 19, Duplicates: 20, Resumed: 21},
+		Endpoints: &EndpointStatus{FromOwner: true, AgeMS: 31, Version: 32},
+		Store: &groupstate.View{Grant: lease.Grant{Holder: "odori-1", Token: 41, Renewed: 42}, Exported: 43,
+			Sending: 44, IntentToken: 45, Final: 46, Open: 47, Backlog: 48, PendingCorrections: 49,
+			Endpoints: groupstate.EndpointView{Version: 51, Changed: 52, Token: 53, Index: 54,
+				Raw: []byte(`{"index":54}`)},
+			Stats: groupstate.Stats{Grants: 61, Stale: 62, Rejected: 63, Periods: 64, Unsent: 65, Corrections: 66,
+				EndpointLists: 67}},
+		Problem: "the group has no leader"})
+}
+
+// What the billing sink is sent, and what it answers. An entry's id must stay: the sink knows repeats by it.
+func TestGoldenEntriesOfTheSinkAreReadAndWrittenByteForByte(t *testing.T) {
+	key := ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
+	sent := PeriodEntries(7, []ledger.Row{{Key: key, Usage: ledger.Usage{Count: 100, BytesIn: 200,
+		BytesOut: 300},
+		Corrections: ledger.Usage{Count: 1, BytesIn: 2, BytesOut: 3}}})
+	sent = append(sent, correctionEntries([]groupstate.PendingCorrection{{Seq: 8,
+		Correction: ledger.Correction{ID: "fix-1", Period: 6,
+			Key: key, Usage: ledger.Usage{Count: -4, BytesIn: -5, BytesOut: -6}, Reason: "counted twice"}}})...)
+	goldenSame(t, "entries.json", sent, []Entry{
+		{ID: "7/ramen-kita", Period: 7, Tenant: "ramen-kita",
+			Items: []LineItem{{"zone-lookup", "passed", ledger.Usage{Count: 101, BytesIn: 202, BytesOut: 303}}}},
+		{ID: "6/correction/fix-1", Period: 6, Tenant: "ramen-kita",
+			Items:  []LineItem{{"zone-lookup", "passed", ledger.Usage{Count: -4, BytesIn: -5, BytesOut: -6}}},
+			Reason: "counted twice"}})
+	goldenJSON(t, "entry.json", sent[1])
+	raw, err := json.Marshal(sent)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []Entry
+	if err := json.Unmarshal(goldenFile(t, "entries.json", raw), &got); err != nil {
+		t.Fatal(err)
+	}
+	goldenSame(t, "entries.json", got, sent)
+	goldenJSON(t, "taken.json", SinkReply{Stored: 9, Duplicates: 10})
+}
--- a/internal/router/dataplane/buffered.go
+++ b/internal/router/dataplane/buffered.go
@@ -17,11 +17,11 @@
 }
 
 // bufferResponse reads a response into memory. Where it is too large for that, or no memory is left, it
-// returns the beginning; body.Whole tells which.
+// returns the beginning; body.Complete reports which.
 func bufferResponse(c *call, head *http1.Response, body *http1.Body) (*bufferedResponse, error) {
 	buffered := &bufferedResponse{head: head}
 	c.conn.SetReadDeadline(c.bufferDeadline())
-	for !body.Whole() {
+	for !body.Complete() {
 		if len(buffered.body) == cap(buffered.body) && !c.roundTrip.client.growBuffer(buffered, body.Length()) {
 			return buffered, nil
 		}
--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -259,7 +259,7 @@
 		f.outcome = scheduler.TimedOut
 		return f
 	}
-	if c.conn.reused && !c.responseStarted && !errors.As(err, new(*http1.Malformed)) {
+	if c.conn.reused && !c.responseStarted && !errors.As(err, new(*http1.MalformedError)) {
 		f.staleConnection, f.outcome = true, scheduler.Abandoned
 	}
 	return f
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -116,7 +116,7 @@
 	if err == nil {
 		_, err = io.CopyN(io.Discard, body, maxBufferedResponse)
 	}
-	if !errors.Is(err, io.EOF) || !body.Whole() {
+	if !errors.Is(err, io.EOF) || !body.Complete() {
 		r.pool.discard(conn)
 		return
 	}
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -67,7 +67,7 @@
 	rt := c.roundTrip
 	class := classify(c.responseTraits(head, body))
 	buffered, err := bufferResponse(c, head, body)
-	if body.Whole() {
+	if body.Complete() {
 		c.recordBodyEnd()
 	}
 	switch {
--- a/internal/router/dataplane/readrequest.go
+++ b/internal/router/dataplane/readrequest.go
@@ -40,7 +40,7 @@
 
 // readError turns an error of reading a request into the local reply to it, if there is one.
 func (c *client) readError(err error) error {
-	var malformed *http1.Malformed
+	var malformed *http1.MalformedError
 	var reply *localReplyError
 	switch {
 	case errors.As(err, &reply):
@@ -55,7 +55,7 @@
 }
 
 func (c *client) sendContinue(head *http1.Request) error {
-	if !head.Expects {
+	if !head.ExpectsContinue {
 		return nil
 	}
 	c.socket.SetWriteDeadline(time.Now().Add(localReplyWriteTime))
@@ -69,7 +69,7 @@
 	if body.Length() > int64(maxBytes) {
 		return errTooLarge
 	}
-	if body.Whole() {
+	if body.Complete() {
 		return nil
 	}
 	initialSize := initialBodyBuffer
@@ -93,7 +93,7 @@
 		c.socket.SetReadDeadline(deadline)
 		m, err := body.Read(q.Body[n:])
 		n += m
-		if body.Whole() {
+		if body.Complete() {
 			q.Body = q.Body[:n]
 			return checkBodySize(n, maxBytes)
 		}
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -69,7 +69,7 @@
 	if err != nil && class != classRejected && class != classMisdirected {
 		return c.failureFrom(err)
 	}
-	if body.Whole() {
+	if body.Complete() {
 		c.recordBodyEnd()
 	}
 	switch class {
@@ -77,7 +77,7 @@
 		return r.forwardBody(c, buffered, body)
 	case classServerError:
 		failure := &callFailure{outcome: outcomeOfClass[class], fate: mayHaveRun}
-		if body.Whole() {
+		if body.Complete() {
 			failure.response = buffered
 		}
 		return failure
@@ -93,16 +93,16 @@
 // forwardBody sends the client a response that is buffered completely, or what is buffered of it and then
 // the rest as it comes.
 func (r *relay) forwardBody(c *call, buffered *bufferedResponse, body *http1.Body) *callFailure {
-	if body.Whole() {
+	if body.Complete() {
 		r.forwardBuffered(buffered)
 		return nil
 	}
 	response := r.clientHead(buffered.head)
-	response.Streams, response.Length, response.Body = true, body.Length(), buffered.body
+	response.Streaming, response.Length, response.Body = true, body.Length(), buffered.body
 	r.started, r.hasUnnumbered = true, true
 	r.client.recordResponse()
 	c.conn.SetReadDeadline(r.request.hardDeadline)
-	out, err := response.Begin(r.client.socket.writer(), r.request.Old)
+	out, err := response.Begin(r.client.socket.writer(), r.request.HTTP10)
 	buffer := make([]byte, bufferSize)
 	for err == nil {
 		var n int
@@ -110,7 +110,7 @@
 		if n > 0 {
 			_, err = out.Write(buffer[:n])
 		}
-		if body.Whole() {
+		if body.Complete() {
 			c.recordBodyEnd()
 			r.recordComplete(r.closeBody(out) && !response.Close)
 			return nil
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -214,7 +214,7 @@
 		return nil, err
 	}
 	head.Body, err = io.ReadAll(body)
-	if err == nil && !body.Whole() {
+	if err == nil && !body.Complete() {
 		err = io.ErrUnexpectedEOF
 	}
 	return head, err
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -281,7 +281,7 @@
 // connection ends it, the connection is reset.
 func (rt *roundTrip) truncate() {
 	rt.client.truncated = true
-	if conn, ok := rt.client.socket.Conn.(*net.TCPConn); ok && rt.request.Old {
+	if conn, ok := rt.client.socket.Conn.(*net.TCPConn); ok && rt.request.HTTP10 {
 		conn.SetLinger(0)
 	}
 }
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -39,10 +39,10 @@
 		if f := r.forwardEvents(c, head); f != nil {
 			return f
 		}
-		if body.Whole() {
+		if body.Complete() {
 			return r.endStream(c, head, body)
 		}
-		if err == nil && body.Ready() && len(r.events.partial()) <= maxEventBytes {
+		if err == nil && body.Buffered() && len(r.events.partial()) <= maxEventBytes {
 			continue
 		}
 		if r.flush() != nil {
@@ -109,11 +109,11 @@
 	c.roundTrip.proxy.chooser.firstEvent(c.choice)
 	r.replaceable = c.roundTrip.mayRetry()
 	response := r.clientHead(head)
-	response.Streams, response.Length = true, -1
+	response.Streaming, response.Length = true, -1
 	var err error
 	r.started = true
 	r.client.recordResponse()
-	r.out, err = response.Begin(r.client.socket.writer(), r.request.Old)
+	r.out, err = response.Begin(r.client.socket.writer(), r.request.HTTP10)
 	r.keepAlive = !response.Close
 	return err
 }
