--- a/internal/acceptloop/acceptloop.go
+++ b/internal/acceptloop/acceptloop.go
@@ -1,6 +1,7 @@
-// Package acceptloop accepts connections until a listener closes, whatever fails meanwhile. A process that is
-// short of descriptors or memory, or whose caller has left while it waited, fails to accept one connection; a
-// loop that ended at that would cut the process off from everybody for the rest of its life.
+// Package acceptloop accepts connections until a listener closes, whatever fails meanwhile. A process that
+// is short of descriptors or memory, or whose client has disconnected while it was in the backlog, fails to
+// accept one connection; a loop that ended at that would make the process unreachable until it is
+// restarted.
 package acceptloop
 
 import (
@@ -9,14 +10,15 @@
 	"time"
 )
 
-// The pause after a failure grows from the least to the most, as descriptors may come back at any moment.
+// The backoff after failures doubles within these bounds, as descriptors may become free at any moment.
 const (
 	minBackoff = 5 * time.Millisecond
 	maxBackoff = 100 * time.Millisecond
 )
 
-// Run hands each connection to take until the listener closes, and then returns net.ErrClosed. Each failure
-// is told to failed, which may be nil.
+// Run calls handle with each connection until the listener closes, and then returns net.ErrClosed. It calls
+// onError, which may be nil, with each failure. Both are called by Run's goroutine, which accepts no
+// further connection meanwhile.
 func Run(listener net.Listener, onError func(error), handle func(net.Conn)) error {
 	backoff := minBackoff
 	for {
--- a/internal/bodybudget/bodies_test.go
+++ b/internal/bodybudget/bodybudget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What is taken never exceeds the limit, and all that is given back can be taken again.
-func TestBudget(t *testing.T) {
+// What is reserved never exceeds the limit, and all that is released can be reserved again.
+func TestReservationsStayWithinTheLimit(t *testing.T) {
 	b := NewBudget(3 * ChunkSize)
 	for i := range 5 {
 		room, give := b.Buffer()
