--- a/internal/router/agent/list_endpoint.go
+++ b/internal/router/agent/list_endpoint.go
@@ -8,9 +8,10 @@
 	"cresshub/internal/http1"
 	"cresshub/internal/router/controlserver"
 	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
-// The calls by which people look into a process. They change nothing and need no other process.
+// The endpoints that list what this process knows. They change nothing and call no other process.
 const (
 	membersPath    = "/api/members"
 	serverListPath = "/api/servers"
@@ -25,15 +26,15 @@
 }
 
 type listedMember struct {
-	ID          string `json:"id"`
-	Name        string `json:"office"`
-	IP          string `json:"ip"`
-	Control     string `json:"control"`
-	Zone        string `json:"district,omitempty"`
-	State       string `json:"state"`
-	HasDisk     bool   `json:"has_disk"`
-	KeepsConfig bool   `json:"keeps_configuration"`
-	Follows     string `json:"follows,omitempty"`
+	ID       string `json:"id"`
+	Name     string `json:"office"`
+	IP       string `json:"ip"`
+	Control  string `json:"control"`
+	Zone     string `json:"district,omitempty"`
+	State    string `json:"state"`
+	HasDisk  bool   `json:"has_disk"`
+	IsMember bool   `json:"keeps_configuration"`
+	Follows  string `json:"follows,omitempty"`
 }
 
 // serverList is the answer to GET /api/servers.
@@ -53,7 +54,7 @@
 	Stage      string `json:"stage,omitempty"`
 	ChangingTo string `json:"changing_to,omitempty"`
 	Sequence   int64  `json:"postmark"`
-	HeardBy    string `json:"heard_by,omitempty"`
+	Watcher    string `json:"heard_by,omitempty"`
 }
 
 var stateNames = map[directory.State]string{
@@ -71,17 +72,16 @@
 			list.Members = append(list.Members, listMember(record, &view))
 		}
 	})
-	return listing(list)
+	return jsonResponse(list)
 }
 
 func listMember(record *directory.Record, view *view) listedMember {
-	keeps := false
-	for _, member := range view.members {
-		keeps = keeps || record.Member != "" && member.ID == record.Member
-	}
+	isMember := record.Member != "" && slices.ContainsFunc(view.members, func(m peerproto.MemberInfo) bool {
+		return m.ID == record.Member
+	})
 	return listedMember{
 		ID: record.ID, Name: record.Name, IP: record.Address, Control: record.Control, Zone: record.Zone,
-		State: stateNames[record.State], HasDisk: record.Member != "", KeepsConfig: keeps,
+		State: stateNames[record.State], HasDisk: record.Member != "", IsMember: isMember,
 		Follows: record.Watcher,
 	}
 }
@@ -96,14 +96,14 @@
 			list.Servers = append(list.Servers, listServer(d, record))
 		}
 	})
-	return listing(list)
+	return jsonResponse(list)
 }
 
 func listServer(d *directory.Directory, record *directory.Record) listedServer {
 	listed := listedServer{
 		ID: record.ID, Service: record.Service, Address: record.Address, Zone: record.Zone,
 		Version: record.Version, Slots: record.Slots, State: stateNames[record.State], Stage: record.Stage,
-		Sequence: record.Sequence, HeardBy: record.Watcher,
+		Sequence: record.Sequence, Watcher: record.Watcher,
 	}
 	if d.ChangingRole(record) {
 		listed.ChangingTo = d.Get(directory.OrderID(record.ID)).Stage
@@ -114,11 +114,11 @@
 // recordsOf returns the records of one kind, sorted by id.
 func recordsOf(d *directory.Directory, kind directory.Kind) []*directory.Record {
 	records := slices.DeleteFunc(d.Since(0), func(r *directory.Record) bool { return r.Kind != kind })
-	slices.SortFunc(records, func(a, b *directory.Record) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(records, func(x, y *directory.Record) int { return cmp.Compare(x.ID, y.ID) })
 	return records
 }
 
-func listing(list any) *http1.Response {
+func jsonResponse(list any) *http1.Response {
 	document, err := json.Marshal(list)
 	if err != nil {
 		return controlserver.Text(500, err.Error())
