--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -114,7 +114,7 @@
 }
 
 // decodeOrReset decodes a message of a hub. A connection that carries a malformed one is reset.
-func decodeOrReset(h *hub, body []byte, message any) bool {
+func decodeOrReset(h *hub, body []byte, message peerproto.Message) bool {
 	if peerproto.Decode(body, message) != nil {
 		h.link.Reset()
 		return false
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -52,7 +52,7 @@
 }
 
 // decodeOrClose decodes a message of another process. A connection that carries a malformed one is closed.
-func decodeOrClose(c *transport.Conn, body []byte, message any) bool {
+func decodeOrClose(c *transport.Conn, body []byte, message peerproto.Message) bool {
 	if peerproto.Decode(body, message) != nil {
 		c.Close()
 		return false
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -88,7 +88,7 @@
 	r.agent.state.update(now, func(d *directory.Directory) {
 		for _, order := range d.Orders() {
 			server := d.Get(strings.TrimPrefix(order.ID, directory.OrderID("")))
-			if server == nil || !server.Live() || server.Stage == order.Stage {
+			if server == nil || !server.Live() || server.Role == order.Role {
 				d.Merge(now, asLost(order))
 			}
 		}
@@ -121,13 +121,13 @@
 	addresses = map[string]string{}
 	a.state.read(func(d *directory.Directory) {
 		for _, record := range d.LiveServers() {
-			if record.Service != service || record.State != directory.Ready || record.Stage == "" {
+			if record.Service != service || record.State != directory.Ready || record.Role == "" {
 				continue
 			}
-			server := roleplan.Server{ID: record.ID, Zone: record.Zone, Role: catalog.Role(record.Stage),
+			server := roleplan.Server{ID: record.ID, Zone: record.Zone, Role: catalog.Role(record.Role),
 				Slots: record.Slots}
 			if d.ChangingRole(record) {
-				server.Changing, server.Role = true, catalog.Role(d.Get(directory.OrderID(record.ID)).Stage)
+				server.Changing, server.Role = true, catalog.Role(d.Get(directory.OrderID(record.ID)).Role)
 			}
 			servers = append(servers, server)
 			addresses[record.ID] = record.Address
@@ -152,7 +152,7 @@
 	a.state.update(now, func(d *directory.Directory) {
 		for _, order := range orders {
 			record := directory.Record{Kind: directory.KindOrder, ID: directory.OrderID(order.Server), Sequence: 1,
-				State: directory.Ready, Watcher: a.id, Service: service.Name, Stage: string(order.Role)}
+				State: directory.Ready, Watcher: a.id, Service: service.Name, Role: string(order.Role)}
 			if earlier := d.Get(record.ID); earlier != nil {
 				record.Sequence = earlier.Sequence + 1
 			}
