--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -43,6 +43,7 @@
 	lastSeen     *lastSeen
 	seedList     atomic.Pointer[[]string]
 
+	replicated     *broadcast // a hub has received records of this process
 	shuttingDown   atomic.Bool
 	fetchingConfig atomic.Bool // a configuration is being fetched from a hub
 	packed         packedConfig
@@ -56,7 +57,6 @@
 	hubs           map[string]*hub // by IP
 	linksClosed    bool            // for good
 	lastHubContact time.Duration   // when a hub last answered a ping
-	replicated     chan struct{}   // closed when a hub has received records
 
 	subscriptionMu sync.Mutex
 	subscription   subscription
@@ -79,7 +79,7 @@
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
-		hubs: map[string]*hub{}, replicated: make(chan struct{}), followers: map[*transport.Conn]chan struct{}{},
+		hubs: map[string]*hub{}, replicated: newBroadcast(), followers: map[*transport.Conn]chan struct{}{},
 		lastSeen: newLastSeen(), knownProxies: newKnownProxies(), probed: map[string]bool{},
 	}
 	for _, option := range options {
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -28,7 +28,7 @@
 	keepalive := time.NewTicker(feedKeepaliveInterval)
 	defer keepalive.Stop()
 	for {
-		changed := a.state.nextChange()
+		changed := a.state.changed.next()
 		feed := a.nextFeed(at.offset, at.epoch)
 		if config := a.state.Config(); config != nil && config.Version > at.version {
 			feed.Config, feed.Version = a.configUpdate(config, at.version), config.Version
@@ -56,7 +56,7 @@
 		case <-keepalive:
 			return true
 		case <-changed:
-			changed = a.state.nextChange()
+			changed = a.state.changed.next()
 			if a.hasUpdate(at) {
 				return true
 			}
--- a/internal/router/agent/hub_replication.go
+++ b/internal/router/agent/hub_replication.go
@@ -18,7 +18,7 @@
 // link is closed.
 func (a *Agent) pushToHub(h *hub) {
 	for {
-		changed := a.state.nextChange()
+		changed := a.state.changed.next()
 		if a.pushOnce(h) {
 			select {
 			case <-h.stop:
@@ -64,6 +64,6 @@
 	}
 	complete := h.state.replicatedTo >= offset
 	h.mu.Unlock()
-	a.notifyReplicated()
+	a.replicated.notify()
 	return complete
 }
--- a/internal/router/agent/quorum.go
+++ b/internal/router/agent/quorum.go
@@ -60,7 +60,7 @@
 	defer deadline.Stop()
 	hasOffset := func(h *hub) bool { return h.current().replicatedTo >= offset }
 	for {
-		replicated := a.nextReplicated()
+		replicated := a.replicated.next()
 		if a.majorityMeets(hasOffset) {
 			return true
 		}
@@ -71,17 +71,3 @@
 		}
 	}
 }
-
-// nextReplicated returns a channel that closes once a hub has received more records.
-func (a *Agent) nextReplicated() <-chan struct{} {
-	a.hubsMu.Lock()
-	defer a.hubsMu.Unlock()
-	return a.replicated
-}
-
-func (a *Agent) notifyReplicated() {
-	a.hubsMu.Lock()
-	defer a.hubsMu.Unlock()
-	close(a.replicated)
-	a.replicated = make(chan struct{})
-}
--- a/internal/router/agent/state.go
+++ b/internal/router/agent/state.go
@@ -35,18 +35,18 @@
 	config     atomic.Pointer[fleetconfig.Config]
 	table      atomic.Pointer[catalog.Table]
 	proxyCount atomic.Int32 // the highest number of live proxies within proxyCountWindow
+	changed    *broadcast   // of the directory, the configuration, the view or synced
 
 	mu           sync.Mutex
 	directory    *directory.Directory
 	patches      recentPatches
 	view         view
 	synced       bool          // this process knows the fleet well enough to take clients
-	changed      chan struct{} // closed at the next change of anything above
 	proxyCountAt time.Duration // when proxyCount was last reached
 }
 
 func newState() *state {
-	s := &state{directory: directory.New(), changed: make(chan struct{})}
+	s := &state{directory: directory.New(), changed: newBroadcast()}
 	s.table.Store(s.directory.Servers())
 	s.proxyCount.Store(1)
 	return s
@@ -81,7 +81,7 @@
 	}
 	s.table.Store(s.directory.Servers())
 	s.updateProxyCount(now)
-	s.notifyChange()
+	s.changed.notify()
 }
 
 // merge merges records into the directory.
@@ -131,7 +131,7 @@
 	invariant.Assert(before == nil || before.Version < config.Version, invariant.ConfigVersionRises,
 		"version %d replaces a later one", config.Version)
 	s.patches.record(before, config)
-	s.notifyChange()
+	s.changed.notify()
 	return true
 }
 
@@ -151,7 +151,7 @@
 		return false
 	}
 	s.view = view{epoch, members}
-	s.notifyChange()
+	s.changed.notify()
 	return true
 }
 
@@ -168,7 +168,7 @@
 	defer s.mu.Unlock()
 	if !s.synced {
 		s.synced = true
-		s.notifyChange()
+		s.changed.notify()
 	}
 }
 
@@ -177,17 +177,3 @@
 	defer s.mu.Unlock()
 	return s.synced
 }
-
-// nextChange returns a channel that closes at the next change of the directory, the configuration or the
-// view.
-func (s *state) nextChange() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.changed
-}
-
-// notifyChange wakes those who wait for a change; the lock is held.
-func (s *state) notifyChange() {
-	close(s.changed)
-	s.changed = make(chan struct{})
-}
