--- a/internal/router/scheduler/arrivals.go
+++ b/internal/router/scheduler/arrivals.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// What arrives while nothing newer is known, in ms of work:
+// The arrivals of Basic LI are the work in ms that arrives while no newer load is known:
 //
-//	arrive = T·λ·n
-//	T = mean over the candidates of min(age of the figure, maxAgeServiceTimes·S)
+//	arrivals = T·λ·n
+//	T = mean over the candidates of min(age of the report, maxAgeServiceTimes·S)
 //	λ = min(1, max(minUtilization, utilizationMargin·u))
 //
-// S is the mean time of a request; figures older than a few of them have lost their say by their decay, so
-// that T stays below maxAgeServiceTimes·S. u is the part of the servers' capacity in use, as the figures
-// tell it: the load that a leaving request leaves behind is spread as the one that an arriving request finds.
+// S is the mean time of a request; reports older than a few of them have lost their weight by their decay, so
+// that T stays below maxAgeServiceTimes·S. u is the fraction of the servers' capacity in use by their
+// reports: the load that a leaving request leaves behind is spread as the one that an arriving request finds.
 // λ errs on the high side, as the paper advises. n is the number of servers whose arrivals the draw stands
 // for: all candidates where any request of the service may go to any of them; one where the candidates follow
 // from the request's prompt, since other prompts have other candidates and only the requests that prefer the
@@ -21,35 +21,36 @@
 	utilizationMargin  = 1.25
 )
 
-// age is T in ms.
-func meanReportAge(now time.Duration, service float64, candidates []candidate) float64 {
+// expectedArrivals returns the arrivals in ms of work; arrivalServers is n.
+func expectedArrivals(
+	now time.Duration, pool *servicePool, role Role, candidates []candidate, arrivalServers int,
+) float64 {
+	serviceMs := pool.serviceTime(role, 0)
+	ageMs := meanReportAge(now, serviceMs, candidates)
+	if pool.peerLoadKnown {
+		ageMs = min(pool.peerLoadAgeMs, maxAgeServiceTimes*serviceMs)
+	}
+	return ageMs * assumedUtilization(pool.utilization(role)) * float64(arrivalServers)
+}
+
+// meanReportAge returns T in ms.
+func meanReportAge(now time.Duration, serviceMs float64, candidates []candidate) float64 {
 	if len(candidates) == 0 {
 		return 0
 	}
 	sum := 0.0
 	for i := range candidates {
-		c := &candidates[i]
-		limit := maxAgeServiceTimes * service
-		if c.hasReport {
-			limit = min(limit, ms(now-c.reportedAt))
+		candidate := &candidates[i]
+		age := maxAgeServiceTimes * serviceMs
+		if candidate.hasReport {
+			age = min(age, ms(now-candidate.reportedAt))
 		}
-		sum += limit
+		sum += age
 	}
 	return sum / float64(len(candidates))
 }
 
-// load is λ.
+// assumedUtilization returns λ.
 func assumedUtilization(observed *movingMean) float64 {
 	return min(1, max(minUtilization, utilizationMargin*observed.value))
 }
-
-// arrivals is arrive.
-func expectedArrivals(now time.Duration, pool *servicePool, role Role, candidates []candidate,
-	arrivalServers int) float64 {
-	service := pool.serviceTime(role, 0)
-	ageMs := meanReportAge(now, service, candidates)
-	if pool.peerLoadKnown {
-		ageMs = min(pool.peerLoadAgeMs, maxAgeServiceTimes*service)
-	}
-	return ageMs * assumedUtilization(pool.utilization(role)) * float64(arrivalServers)
-}
--- a/internal/router/scheduler/basic_li.go
+++ b/internal/router/scheduler/basic_li.go
@@ -6,7 +6,9 @@
 	"cresshub/balance"
 )
 
-// draw takes one candidate at random from the shares of water-filling.
+// draw takes one candidate at random with the probabilities of Basic LI: the water levels of the candidates,
+// weighted by their speeds, are filled up with what arrives. It makes one random draw, or none where there is
+// only one candidate.
 func (s *Scheduler) draw(now time.Duration, candidates []candidate, arrivalsMs float64) *candidate {
 	if len(candidates) == 1 {
 		return &candidates[0]
@@ -16,21 +18,21 @@
 		s.levels = append(s.levels, candidates[i].waterLevel())
 		s.weights = append(s.weights, candidates[i].weight(now))
 	}
-	at := s.random.Float64()
-	for i, share := range balance.Fill(s.levels, s.weights, arrivalsMs) {
-		if at -= share; at < 0 {
+	remaining := s.random.Float64()
+	for i, probability := range balance.Fill(s.levels, s.weights, arrivalsMs) {
+		if remaining -= probability; remaining < 0 {
 			return &candidates[i]
 		}
 	}
-	return &candidates[indexOfMin(s.levels)]
+	return &candidates[indexOfMin(s.levels)] // the probabilities add up to less by rounding
 }
 
 func indexOfMin(levels []float64) int {
-	at := 0
+	minimum := 0
 	for i := range levels {
-		if levels[i] < levels[at] {
-			at = i
+		if levels[i] < levels[minimum] {
+			minimum = i
 		}
 	}
-	return at
+	return minimum
 }
--- a/internal/router/scheduler/call.go
+++ b/internal/router/scheduler/call.go
@@ -1,10 +1,3 @@
-// Package scheduler decides which servers a request goes to: for a model service the server that reads the
-// prompt and the one that makes the tokens, for other services the one server. It is pure: it has no input,
-// output, clock or goroutine, and its callers hold a lock of their own. Times are on a steady clock.
-//
-// Each send is drawn at random from the shares of Basic LI (Dahlin, "Interpreting Stale Load Information"):
-// the levels known of the candidates are filled like water up to what arrives while nothing newer is known.
-// All levels are in milliseconds of work of the server; level.go states them, age.go states what arrives.
 package scheduler
 
 import (
@@ -23,11 +16,11 @@
 // Request is what a decision needs to know of a client's request.
 type Request struct {
 	Service      *fleetconfig.Service
-	Segments     []Segment // in order; the last one belongs to the request or its session
+	Segments     []Segment // in order; the last one belongs to the request or its session alone
 	PromptTokens int
-	OutputTokens int      // the most it generates
+	OutputTokens int      // upper bound
 	Excluded     []string // ids of servers that this request must not be sent to again
-	Idempotent   bool     // it may run more than once, so that it may try a server that has failed before
+	Idempotent   bool     // it may run more than once, so that it may probe a half-open server
 }
 
 // Role is what a call asks of its server.
@@ -35,9 +28,9 @@
 
 // The roles of a call.
 const (
-	Serve   Role = iota // answer the request, reading the prompt itself where it has one
-	Prefill             // read the prompt and hold its memory
-	Decode              // fetch the memory and make the tokens
+	Serve   Role = iota // answer the request, with a prefill of its own for a model service
+	Prefill             // compute the prompt's prefix cache and keep it for a decode server
+	Decode              // fetch the prefix cache and generate the tokens
 )
 
 // Outcome is how a call ended.
@@ -45,61 +38,62 @@
 
 // The outcomes of a call.
 const (
-	Served       Outcome = iota // a whole answer of success
-	Failed                      // the server's own failure, after it ran
-	Rejected                    // the server says that it did not run the request: it is full or late
+	Served       Outcome = iota // a complete answer of success
+	Failed                      // the server's own failure, after it ran the request
+	Rejected                    // the server did not run the request, and said so: it is full or late
 	Misdirected                 // another incarnation has the address
-	Unreachable                 // no connection came about
-	Broken                      // the connection ended or sent nonsense before the answer was whole
-	TimedOut                    // no answer within the time there was
-	Abandoned                   // the client left or the caller gave up for reasons of its own
-	HandleFailed                // the memory named could not be fetched
+	Unreachable                 // no connection was established
+	Broken                      // the connection ended, or its data was invalid, before the answer was complete
+	TimedOut                    // no answer in time
+	Abandoned                   // the client left, or the caller gave up for reasons of its own
+	HandleFailed                // the prefix cache that the handle names could not be fetched
 )
 
-// Call is one call under way.
+// Call is one call in flight. Scheduler.Choose begins it, Scheduler.Done ends it.
 type Call struct {
 	Server *catalog.Server
 	Role   Role
 
-	state                    *serverState
-	prefillServer            *serverState // that holds the memory of a call that writes
-	pool                     *servicePool
-	chain                    prefixChain
-	uncachedTokens           int  // of the prompt, that the server is taken to have to read
-	minUncached, maxUncached int  // the fewest and the most that they can be
-	outputTokens             int  // the most tokens that it makes
-	cachedBefore             int  // parts of the prompt that the server was known to hold
-	serverIdle               bool // nothing else was known to be at the server when the call was sent
-	inFlight                 float64
-	prefillMs                float64 // ms of reading that it brings a reader
-	expectedMs               float64 // ms until the first sign of an answer
-	// the same if the server holds nothing of the prompt, where it is to read it
-	uncachedMs   float64
+	state         *serverState
+	prefillServer *serverState // whose prefix cache a decode call fetches; may be nil
+	pool          *servicePool
+	chain         prefixChain
+
+	uncachedTokens int // prompt tokens that the server is expected to prefill
+	minUncached    int // the fewest that they can be
+	maxUncached    int // the most
+	outputTokens   int // upper bound
+	cachedBefore   int // segments of the prompt that the server was known to hold before
+
+	serverIdle bool    // nothing else was known to be at the server when the call began
+	inFlight   float64 // requests at the server when the call began
+	prefillMs  float64 // of prefill work that the call adds to its server, 0 once that is done
+	expectedMs float64 // until the first sign of an answer
+	uncachedMs float64 // the same for a prefill if the server holds nothing of the prompt
+
 	startedAt    time.Duration
-	firstEventAt time.Duration // of its first event
-	answered     bool
+	firstEventAt time.Duration
+	answered     bool // the first event has come
 	ended        bool
 }
 
-// Expected returns what the decision reckoned with: the tokens of the prompt that the server would read, and
-// the time until its first sign of an answer.
+// Expected returns what the decision expected: the prompt tokens that the server has to prefill, and the time
+// until the first sign of its answer.
 func (c *Call) Expected() (tokens int, wait time.Duration) {
-	return c.uncachedTokens, time.Duration(c.expectedMs * float64(time.Millisecond))
+	return c.uncachedTokens, duration(c.expectedMs)
 }
 
-// SharedPrefix returns the name of what the prompt shares with others, 0 where it shares nothing.
+// SharedPrefix returns the hash of the part of the prompt that other requests share, 0 where there is none.
 func (c *Call) SharedPrefix() uint64 {
-	name, _, _ := c.chain.shared()
-	return name
+	hash, _, _ := c.chain.shared()
+	return hash
 }
 
-// UncachedPrefill returns the time until a call to read is answered if the server holds nothing of the
+// UncachedPrefill returns the time until a prefill call is answered if the server holds nothing of the
 // prompt.
-func (c *Call) UncachedPrefill() time.Duration {
-	return time.Duration(c.uncachedMs * float64(time.Millisecond))
-}
+func (c *Call) UncachedPrefill() time.Duration { return duration(c.uncachedMs) }
 
-// Load is what a server tells of itself in Cresshub-Server-Load.
+// Load is what a server reports of itself in the header Cresshub-Server-Load, in requests.
 type Load struct{ Running, Waiting, Slots int }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/router/scheduler/candidates.go
+++ b/internal/router/scheduler/candidates.go
@@ -5,29 +5,42 @@
 	"time"
 )
 
-// patience is how long after its rest a server on probation gets requests that must not run twice, where no
-// other request has tried it before.
-const nonIdempotentProbeDelay = 3 * time.Second
+// candidate is a server that a decision is about.
+type candidate struct {
+	*serverState
+	inFlight       float64 // requests that it has
+	queueMs        float64 // of work that it has
+	prefillMs      float64 // that it takes to prefill the prompt
+	costMs         float64 // of the request there beyond what it costs everywhere
+	uncachedTokens int     // prompt tokens that it is expected to prefill
+	minUncached    int     // the fewest that they can be
+	maxUncached    int     // the most
+	score          uint64  // by rendezvous hashing of the prompt's shared prefix
+	cachesPrefix   bool    // it is known to hold the shared prefix
+	avoid          bool    // not taken while there are others
+}
 
-// eligible returns the servers that may take the call, with their queues and what they would have to read.
-// Servers in trouble or full are passed over while there are others.
-func (s *Scheduler) eligible(now time.Duration, pool *servicePool, request *Request, role Role,
-	chain *prefixChain) []candidate {
+// eligible returns the servers that may take a call, with their queues and what they would have to prefill.
+// Servers that are ejected, stuck or full are left out while there are others. The result is valid until the
+// next call of eligible.
+func (s *Scheduler) eligible(
+	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain,
+) []candidate {
 	servers := pool.serversFor(role)
-	average := meanReportedOthers(servers)
+	averageOthers := meanReportedOthers(servers)
 	pool.peerLoadAgeMs, pool.peerLoadKnown = s.peerLoadAge(now)
 	s.candidates = s.candidates[:0]
 	for _, server := range servers {
 		if !slices.Contains(request.Excluded, server.ID) {
 			s.candidates = append(s.candidates, candidate{serverState: server})
-			pool.estimateQueue(now, role, average, &s.candidates[len(s.candidates)-1])
+			pool.estimateQueue(now, role, averageOthers, &s.candidates[len(s.candidates)-1])
 		}
 	}
 	s.candidates = dropEjected(now, request, role, s.candidates)
 	serviceMs := pool.serviceTime(role, 0)
 	for i := range s.candidates {
-		x := &s.candidates[i]
-		x.avoid = x.stuck(now) || x.full(now, serviceMs)
+		candidate := &s.candidates[i]
+		candidate.avoid = candidate.stuck(now) || candidate.full(now, serviceMs)
 	}
 	s.candidates = dropAvoided(s.candidates)
 	if pool.service.Engine != nil && role != Decode {
@@ -36,8 +49,8 @@
 	return s.candidates
 }
 
-// fillUncached fills in what each candidate would have to read of a prompt: what this proxy has not sent
-// there. Other proxies may have, so that it may be no more than what the prompt shares with none.
+// fillUncached sets what each candidate would have to prefill: what this proxy has not sent there. Other
+// proxies may have sent the shared part of the prompt, so that it may be no more than the rest.
 func (s *Scheduler) fillUncached(chain *prefixChain) {
 	_, shared, _ := chain.shared()
 	for i := range s.candidates {
@@ -48,8 +61,8 @@
 	}
 }
 
-// dropEjected leaves out servers that rest, and those on probation but for one idempotent request at a time.
-// Where all are in trouble the one whose rest ends first is taken.
+// dropEjected leaves out ejected servers, and half-open ones that must not get this request. Where that
+// leaves none, it returns the one whose ejection ends first.
 func dropEjected(now time.Duration, request *Request, role Role, all []candidate) []candidate {
 	soonest := 0
 	for i := range all {
@@ -67,23 +80,7 @@
 	return available
 }
 
-// well tells whether a server may get a request: it does not rest, and where it failed before, the request
-// may try it.
-func (s *serverState) available(now time.Duration, idempotent bool) bool {
-	if now < s.ejectedUntil() {
-		return false
-	}
-	if !s.outliers.halfOpen() && !s.transferOutliers.halfOpen() {
-		return true
-	}
-	return len(s.calls) == 0 && (idempotent || now > s.ejectedUntil()+nonIdempotentProbeDelay)
-}
-
-func (s *serverState) ejectedUntil() time.Duration {
-	return max(s.outliers.ejectedUntil, s.transferOutliers.ejectedUntil)
-}
-
-// dropAvoided deletes the candidates to avoid, unless those are all.
+// dropAvoided deletes the candidates to avoid in place, unless those are all.
 func dropAvoided(all []candidate) []candidate {
 	count := 0
 	for i := range all {
@@ -97,3 +94,18 @@
 	}
 	return all[:count]
 }
+
+// full reports whether the server has no free slot: by its own calls, by a report that is still fresh, or
+// because it has just rejected a request.
+func (c *candidate) full(now time.Duration, serviceMs float64) bool {
+	if now < c.outliers.fullUntil {
+		return true
+	}
+	inFlight := float64(len(c.calls))
+	if c.hasReport && ms(now-c.reportedAt) < max(serviceMs, minFreshMs) {
+		inFlight += c.reportedOthers
+	}
+	return inFlight >= c.slots()
+}
+
+const minFreshMs = 100.0 // a report is fresh for the mean time of a request, and at least that long
--- a/internal/router/scheduler/estimates.go
+++ b/internal/router/scheduler/estimates.go
@@ -6,7 +6,12 @@
 	"cresshub/internal/router/catalog"
 )
 
-// ownTime is the ms until the first sign of an answer that a call takes by itself.
+const (
+	minSpeedCertainty = 0.9 // of a prefill's tokens, from which on its time says how fast the server is
+	minPaceTokens     = 4   // output tokens from which on a stream says how long a token takes
+)
+
+// ownTime returns the ms until the first sign of an answer that a call takes by itself, without waiting.
 func (p *servicePool) ownTime(call *Call) float64 {
 	switch {
 	case p.service.Engine == nil:
@@ -20,18 +25,17 @@
 	return p.transferTime(call.chain.tokens, true) + p.timePerToken.at(call.inFlight)
 }
 
-// recordUtilization takes a told load into λ.
+// recordUtilization adds a server's newest report to λ.
 func (p *servicePool) recordUtilization(server *serverState) {
-	switch {
-	case server.Role == catalog.Prefill:
+	if server.Server.Role == catalog.Prefill {
 		p.prefillUtilization.add(min(server.reportedOthers, 1), meanWindow)
-	default:
-		p.serveUtilization.add(min(float64(server.reported.Running+server.reported.Waiting)/server.slots(), 1),
-			meanWindow)
+		return
 	}
+	atServer := float64(server.reported.Running + server.reported.Waiting)
+	p.serveUtilization.add(min(atServer/server.slots(), 1), meanWindow)
 }
 
-// peerAnsweredSince tells whether another server of the call's kind answered well after the call was sent.
+// peerAnsweredSince reports whether another server has served a call of the same role since the call began.
 func (p *servicePool) peerAnsweredSince(call *Call) bool {
 	for _, server := range p.serversFor(call.Role) {
 		if server != call.state && server.outliers.lastSuccess > call.startedAt {
@@ -41,7 +45,7 @@
 	return false
 }
 
-// learn takes in what a served call tells of speeds.
+// learn adjusts the estimates by a served call that has just ended.
 func (p *servicePool) learn(now time.Duration, call *Call) {
 	tookMs := ms(now - call.startedAt)
 	switch {
@@ -54,6 +58,7 @@
 	}
 }
 
+// learnPlainTime leaves out calls that have probably waited for a slot.
 func (p *servicePool) learnPlainTime(call *Call, tookMs float64) {
 	expected := p.plainTime.value
 	if call.inFlight < call.state.slots() || tookMs < expected {
@@ -62,37 +67,33 @@
 	}
 }
 
-// learnPrefillTime takes in how long a read took. Where other proxies may have sent the shared parts there,
-// nobody tells how many tokens it was: such a sample is taken at the middle and counts for little.
+// learnPrefillTime takes a sample at the middle of the tokens that the prefill may have had. Where other
+// proxies may have sent the shared prefix there, that is uncertain, and the sample counts for little.
 func (p *servicePool) learnPrefillTime(call *Call, tookMs float64) {
 	p.prefillTokens.add(float64(call.uncachedTokens), meanWindow)
 	tokens := float64(call.minUncached+call.maxUncached) / 2
-	certain := float64(max(call.minUncached, 1)) / float64(max(call.maxUncached, 1))
+	certainty := float64(max(call.minUncached, 1)) / float64(max(call.maxUncached, 1))
 	expected := p.prefillTime.at(tokens)
-	p.prefillTime.add(tokens, tookMs, certain*certain)
-	if call.serverIdle && certain > minSpeedCertainty {
+	p.prefillTime.add(tokens, tookMs, certainty*certainty)
+	if call.serverIdle && certainty > minSpeedCertainty {
 		call.state.observeSpeed(expected, tookMs)
 	}
 }
 
-const minSpeedCertainty = 0.9 // certainty from which on a sample tells a server's speed
-
-// learnTimePerToken takes in the pace of a stream: the time between its first event and its end.
+// learnTimePerToken takes the time per token of a stream, from its first event to its end.
 func (p *servicePool) learnTimePerToken(now time.Duration, call *Call) {
 	p.outputTokens.add(float64(call.outputTokens), meanWindow)
 	if !call.answered || call.outputTokens < minPaceTokens {
 		return
 	}
-	pace := ms(now-call.firstEventAt) / float64(call.outputTokens-1)
+	perToken := ms(now-call.firstEventAt) / float64(call.outputTokens-1)
 	expected := p.timePerToken.at(call.inFlight)
-	p.timePerToken.add(call.inFlight, pace, 1)
-	call.state.observeSpeed(expected, pace)
+	p.timePerToken.add(call.inFlight, perToken, 1)
+	call.state.observeSpeed(expected, perToken)
 }
 
-const minPaceTokens = 4 // tokens that a stream must have to tell a pace
-
-// observeDirectPrefill follows how much this proxy's own prompts still have to be read at writers, beside its
-// calls there.
+// observeDirectPrefill follows the prefill work that this proxy's own calls have at a decode server, and the
+// number of those calls.
 func (p *servicePool) observeDirectPrefill(now time.Duration) {
 	if len(p.decodeServers) == 0 {
 		return
@@ -107,9 +108,9 @@
 	p.directCalls.add(calls/servers, meanWindow)
 }
 
-// peerDirectPrefillMs is the ms that prompts of other proxies still have to be read at a writer, on average.
-// No server tells it: other proxies are taken to send what this one sends, for as many calls as they have.
+// peerDirectPrefillMs returns the prefill work in ms that other proxies have at a decode server on average.
+// No server reports it: other proxies are assumed to send what this one sends, in proportion to their calls.
 func (p *servicePool) peerDirectPrefillMs(peerCalls float64) float64 {
-	const minCalls = 0.02 // calls; below, nothing follows from so few
+	const minCalls = 0.02 // below, nothing follows from so few
 	return p.directPrefillMs.value * peerCalls / max(p.directCalls.value, minCalls)
 }
--- a/internal/router/scheduler/outlier_detection.go
+++ b/internal/router/scheduler/outlier_detection.go
@@ -2,62 +2,93 @@
 
 import "time"
 
+// Outlier detection after Envoy's, by the outcomes of this proxy's own calls. There is no configuration: the
+// values below hold for all services.
 const (
-	// first rest of a server that another has the address of, or nobody
-	unreachableEjectionTime = time.Second
-	baseEjectionTime        = 500 * time.Millisecond // first rest of a server that answers badly
-	maxEjectionTime         = 10 * time.Second
-	// a server that rejected a request counts as full so long
-	rejectedFullTime           = 100 * time.Millisecond
-	consecutiveFailuresToEject = 2 // bad answers in a row before a server rests
-	// a call unanswered for so many times what was expected is stuck
+	// consecutiveFailuresToEject is how many calls in a row must fail before a server is ejected. A server
+	// that cannot be reached at all, or that answers nothing while others do, is ejected by the first one.
+	consecutiveFailuresToEject = 2
+
+	// The first ejection lasts for a base time, each further one without a success between for twice as long.
+	baseEjectionTime            = 500 * time.Millisecond
+	unreachableBaseEjectionTime = time.Second // base time of a server that cannot be reached
+	maxEjectionTime             = 10 * time.Second
+
+	// nonIdempotentProbeDelay is how long after its ejection a half-open server gets requests that must not
+	// run twice, where no other request has probed it before.
+	nonIdempotentProbeDelay = 3 * time.Second
+
+	// rejectedFullTime is how long a server that rejected a request counts as full.
+	rejectedFullTime = 100 * time.Millisecond
+
+	// A server is stuck, and avoided, while its oldest unanswered call has taken stuckExpectedFactor times
+	// the expected time, and at least minStuckTime.
 	stuckExpectedFactor = 6.0
-	minStuckTime        = time.Second // and for at least this long
-	// ms that a server counts as late by when it could not fetch memory
+	minStuckTime        = time.Second
+
+	// failedTransferLatenessMs counts as lateness of a decode server that could not fetch a prefix cache.
 	failedTransferLatenessMs = 500.0
 )
 
-// trust is how a server has answered lately. A server that failed rests for a time that grows with every
-// failure after a rest; then one request at a time tries it until one succeeds.
+// outlierDetector ejects a server from the candidates after failures. Its states: closed, in which the server
+// gets requests; ejected, in which it gets none; and half-open after the ejection, in which it gets one
+// idempotent request at a time until one of them succeeds (closed) or fails (ejected for longer).
 type outlierDetector struct {
-	consecutiveFailures int           // bad answers in a row
-	ejections           int           // rests since the last good answer
-	ejectedUntil        time.Duration // end of the rest
-	fullUntil           time.Duration // until when it counts as full
-	lastSuccess         time.Duration // when it last answered well
+	consecutiveFailures int
+	ejections           int // since the last success
+	ejectedUntil        time.Duration
+	fullUntil           time.Duration // the server rejected a request and counts as full
+	lastSuccess         time.Duration
 }
 
-// resting tells whether the server gets no requests at all.
 func (d *outlierDetector) ejected(now time.Duration) bool { return now < d.ejectedUntil }
 
-// probation tells whether a server has rested and not succeeded since.
+// halfOpen reports whether the server has been ejected and not succeeded since.
 func (d *outlierDetector) halfOpen() bool { return d.ejections > 0 }
 
 func (d *outlierDetector) recordSuccess(now time.Duration) {
 	d.consecutiveFailures, d.ejections, d.ejectedUntil, d.fullUntil, d.lastSuccess = 0, 0, 0, 0, now
 }
 
-// failed counts an outcome that speaks against the server. peerAnswered tells that another server of its kind
-// has answered since the call was sent, so that silence is the server's own.
+// recordFailure counts a failed call against the server. peerAnswered says that another server of its kind
+// has succeeded since the call began, so that a timeout is the server's own fault.
 func (d *outlierDetector) recordFailure(now time.Duration, outcome Outcome, peerAnswered bool) {
 	d.consecutiveFailures++
 	switch {
 	case outcome == Misdirected || outcome == Unreachable || outcome == TimedOut && peerAnswered:
-		d.eject(now, unreachableEjectionTime)
+		d.eject(now, unreachableBaseEjectionTime)
 	case d.consecutiveFailures >= consecutiveFailuresToEject || d.halfOpen():
 		d.eject(now, baseEjectionTime)
 	}
 }
 
+// eject ejects the server, unless it is ejected already: calls that were in flight together fail together.
 func (d *outlierDetector) eject(now, base time.Duration) {
 	if d.ejected(now) {
-		return // calls that were under way together failed together
+		return
 	}
-	d.ejectedUntil = now + min(base<<min(d.ejections, 8), maxEjectionTime)
+	const maxDoublings = 8 // far beyond maxEjectionTime; bounds the shift
+	d.ejectedUntil = now + min(base<<min(d.ejections, maxDoublings), maxEjectionTime)
 	d.ejections++
 }
 
-// stuck tells whether the oldest call without any answer waits for unusually long.
+// available reports whether the server may get a request: it is not ejected, and while it is half-open, the
+// request may probe it.
+func (s *serverState) available(now time.Duration, idempotent bool) bool {
+	if now < s.ejectedUntil() {
+		return false
+	}
+	if !s.outliers.halfOpen() && !s.transferOutliers.halfOpen() {
+		return true
+	}
+	return len(s.calls) == 0 && (idempotent || now > s.ejectedUntil()+nonIdempotentProbeDelay)
+}
+
+func (s *serverState) ejectedUntil() time.Duration {
+	return max(s.outliers.ejectedUntil, s.transferOutliers.ejectedUntil)
+}
+
+// stuck reports whether the oldest unanswered call has waited for unusually long.
 func (s *serverState) stuck(now time.Duration) bool {
 	for _, call := range s.calls {
 		if !call.answered {
@@ -67,26 +98,26 @@
 	return false
 }
 
-// succeeded counts for the server of a call, and for the one whose memory it fetched.
-func (call *Call) recordSuccess(now time.Duration) {
-	call.state.outliers.recordSuccess(now)
-	if call.prefillServer != nil {
-		call.prefillServer.transferOutliers.recordSuccess(now)
+// recordSuccess counts for the server of the call, and for the one whose prefix cache it fetched.
+func (c *Call) recordSuccess(now time.Duration) {
+	c.state.outliers.recordSuccess(now)
+	if c.prefillServer != nil {
+		c.prefillServer.transferOutliers.recordSuccess(now)
 	}
 }
 
-// failed counts an outcome against the server it speaks against.
-func (call *Call) recordFailure(now time.Duration, outcome Outcome) {
+// recordFailure counts an outcome against the server that is to blame for it.
+func (c *Call) recordFailure(now time.Duration, outcome Outcome) {
 	switch outcome {
 	case Rejected:
-		call.state.outliers.fullUntil = now + rejectedFullTime
+		c.state.outliers.fullUntil = now + rejectedFullTime
 	case Abandoned:
-	case HandleFailed: // the reader let the memory go, or the writer's moves have too long a queue
-		call.state.lateness.add(now, failedTransferLatenessMs, call.expectedMs)
-		if call.prefillServer != nil {
-			call.prefillServer.transferOutliers.recordFailure(now, outcome, false)
+	case HandleFailed: // the prefill server evicted the prefix, or the decode server's transfers queue up
+		c.state.lateness.add(now, failedTransferLatenessMs, c.expectedMs)
+		if c.prefillServer != nil {
+			c.prefillServer.transferOutliers.recordFailure(now, outcome, false)
 		}
 	default:
-		call.state.outliers.recordFailure(now, outcome, call.pool.peerAnsweredSince(call))
+		c.state.outliers.recordFailure(now, outcome, c.pool.peerAnsweredSince(c))
 	}
 }
--- a/internal/router/scheduler/outlier_detection_test.go
+++ b/internal/router/scheduler/outlier_detection_test.go
@@ -53,9 +53,9 @@
 	}{
 		{"served", []Outcome{Served}, 0},
 		{"given up by the caller", []Outcome{Abandoned, Abandoned, Abandoned}, 0},
-		{"another incarnation", []Outcome{Misdirected}, unreachableEjectionTime},
-		{"no connection", []Outcome{Unreachable}, unreachableEjectionTime},
-		{"silent while another answered", []Outcome{TimedOut}, unreachableEjectionTime},
+		{"another incarnation", []Outcome{Misdirected}, unreachableBaseEjectionTime},
+		{"no connection", []Outcome{Unreachable}, unreachableBaseEjectionTime},
+		{"silent while another answered", []Outcome{TimedOut}, unreachableBaseEjectionTime},
 		{"one failure", []Outcome{Failed}, 0},
 		{"two failures", []Outcome{Failed, Failed}, baseEjectionTime},
 		{"two failures, an answer between", []Outcome{Failed, Served, Failed}, 0},
@@ -90,7 +90,7 @@
 	c := qt.New(t)
 	chooser := plainScheduler(3)
 	chooser.Done(second, callAt(chooser, second, "a"), Unreachable)
-	over := second + unreachableEjectionTime
+	over := second + unreachableBaseEjectionTime
 	c.Check(countRequestsTo(chooser, over-1, "a", true), qt.Equals, 0)
 	c.Check(countRequestsTo(chooser, over, "a", false), qt.Equals, 0, qt.Commentf("it must not run twice"))
 	c.Check(countRequestsTo(chooser, over+nonIdempotentProbeDelay+1, "a", false) > 0, qt.IsTrue,
@@ -123,7 +123,7 @@
 	for _, call := range calls {
 		chooser.Done(second, call, Unreachable)
 	}
-	qt.Check(t, chooser.servers["a"].ejectedUntil(), qt.Equals, second+unreachableEjectionTime)
+	qt.Check(t, chooser.servers["a"].ejectedUntil(), qt.Equals, second+unreachableBaseEjectionTime)
 }
 
 func TestAllInTroubleTheLeastBadIsTaken(t *testing.T) {
--- a/internal/router/scheduler/peer_load.go
+++ b/internal/router/scheduler/peer_load.go
@@ -3,34 +3,21 @@
 import "time"
 
 const (
-	// peerLoadTTL is how long what other proxies told holds without a word from them.
-	peerLoadTTL = time.Second
-	// peerLoadDelayMs is the usual age in ms of what they tell, when it comes.
-	peerLoadDelayMs = 30.0
-	// bootstrapGrace is how long proxies that start together may take to find each other.
-	bootstrapGrace = 6 * time.Second
-	// prefixCatchUpTime is how long a proxy that did not hear the others has not caught up with what servers
-	// hold: by then most of the prompts that are in use have come up again.
-	prefixCatchUpTime = 30 * time.Second
-	// minBacklogFraction is the part of a work under way that counts until it has ended.
+	peerLoadTTL     = time.Second // after the last report of the other proxies, theirs are ignored
+	peerLoadDelayMs = 30.0        // usual age of a report when it arrives
+	// minBacklogFraction is the part of the work in flight that counts until it has ended.
 	minBacklogFraction = 0.25
 )
 
-// InFlightLoad is what one proxy, or several together, have under way at a server.
+// InFlightLoad is what one proxy, or several together, have in flight at a server.
 type InFlightLoad struct {
-	Server  string
-	Prefill time.Duration // work of prompts that are to be read there
+	Server  string        // id
+	Prefill time.Duration // work of prompts to be prefilled there, as the calls began
 	Calls   int
 }
 
-// CachedPrefixes names what prompts share that were sent to a server to be read for the first time.
-type CachedPrefixes struct {
-	Server string
-	Hashes []uint64
-}
-
-// InFlightChanges returns what this proxy has under way at the servers where that has changed since the last
-// call, or at all servers where it has anything.
+// InFlightChanges returns what this proxy has in flight at the servers where that has changed since the last
+// call, and with all at each server where it has anything. The order is random.
 func (s *Scheduler) InFlightChanges(all bool) []InFlightLoad {
 	var changes []InFlightLoad
 	for id, server := range s.servers {
@@ -42,10 +29,12 @@
 	return changes
 }
 
-// SetPeerLoad takes in what all other proxies together have under way at some servers, and that nothing else
-// has changed. With whole, they have nothing under way at any other server.
+// SetPeerLoad records what all other proxies together have in flight at some servers. At the other servers
+// nothing has changed, or with full, they have nothing in flight. It must be called at least every
+// peerLoadTTL: after a longer gap, and until prefixCatchUpTime has passed, this proxy may have missed
+// prefixes.
 func (s *Scheduler) SetPeerLoad(now time.Duration, peers []InFlightLoad, full bool) {
-	if now-s.peerLoadAt > peerLoadTTL { // something may have been missed
+	if now-s.peerLoadAt > peerLoadTTL {
 		s.assumeCachedUntil = now + prefixCatchUpTime
 	}
 	s.peerLoadAt = now
@@ -63,77 +52,20 @@
 	}
 }
 
-// TakeNewPrefixes returns what this proxy has sent to servers for the first time since the last call.
-func (s *Scheduler) TakeNewPrefixes() []CachedPrefixes {
-	var all []CachedPrefixes
-	for id, server := range s.servers {
-		if len(server.newPrefixes) > 0 {
-			all = append(all, CachedPrefixes{id, server.newPrefixes})
-			server.newPrefixes = nil
-		}
-	}
-	return all
-}
-
-// AddCachedPrefixes takes in what other proxies have sent to servers for the first time.
-func (s *Scheduler) AddCachedPrefixes(all []CachedPrefixes) {
-	for _, at := range all {
-		hash := serverHash(at.Server)
-		for _, name := range at.Hashes {
-			s.prefixes.touch(prefixKey{hash, name})
-		}
-	}
-}
-
-// KnownPrefixes returns what is known of which listed servers hold what, the most recently used ones. A proxy
-// that has made no decision yet tells what it was told itself.
-func (s *Scheduler) KnownPrefixes(limit int) []CachedPrefixes {
-	ids := map[uint64]string{}
-	for server := range s.table.All() {
-		ids[serverHash(server.ID)] = server.ID
-	}
-	names := map[string][]uint64{}
-	for _, key := range s.prefixes.newest(limit) {
-		if id := ids[key.server]; id != "" {
-			names[id] = append(names[id], key.hash)
-		}
-	}
-	all := make([]CachedPrefixes, 0, len(names))
-	for id, prefixes := range names {
-		all = append(all, CachedPrefixes{id, prefixes})
-	}
-	return all
-}
-
-// MarkPrefixesSynced notes that this proxy was told all that another one knows of what servers hold.
-func (s *Scheduler) MarkPrefixesSynced(now time.Duration) { s.peerLoadAt, s.assumeCachedUntil = now, 0 }
-
-// prefixesKnown tells whether this proxy has heard of all prompts that were sent to servers lately. Where it
-// has not, it takes the first-ranked server to hold them.
-func (s *Scheduler) prefixesKnown(now time.Duration) bool {
-	_, ok := s.peerLoadAge(now)
-	return ok && now >= s.assumeCachedUntil
-}
-
-// MarkFleetStart notes that nothing was sent to any server before this proxy started, together with all
-// others: there is nothing to miss until they have found each other.
-func (s *Scheduler) MarkFleetStart(now time.Duration) {
-	s.peerLoadAt, s.assumeCachedUntil = now+bootstrapGrace, 0
-}
-
-// peerLoadAge is T in ms where other proxies tell what they have under way, and whether they do.
-func (s *Scheduler) peerLoadAge(now time.Duration) (age float64, ok bool) {
+// peerLoadAge returns the age in ms of the other proxies' reports, and whether they are in use.
+func (s *Scheduler) peerLoadAge(now time.Duration) (ageMs float64, ok bool) {
 	if s.peerLoadAt == 0 || now-s.peerLoadAt > peerLoadTTL {
 		return 0, false
 	}
 	return peerLoadDelayMs, true
 }
 
-// backlog follows the work that others have brought to a server. Prompts are read one after the other, so
-// that what was there is less by the time since; a part counts until its end is told.
+// backlog estimates how much remains of the prefill work that others have sent to a server. Prefills run one
+// after the other, so that the work shrinks with time; minBacklogFraction of it stays until its end is
+// reported.
 type backlog struct {
-	outstandingMs float64 // ms of work of the calls under way, as they were sent
-	remainingMs   float64 // ms of it that was left at the time below
+	outstandingMs float64 // of work of the calls in flight, as they began
+	remainingMs   float64 // of it at the time below
 	at            time.Duration
 }
 
@@ -141,8 +73,8 @@
 	return max(b.remainingMs-ms(now-b.at), minBacklogFraction*b.outstandingMs)
 }
 
-// set takes in the work of all calls that are under way now.
-func (b *backlog) set(now time.Duration, outstanding float64) {
-	remaining := b.remainingAt(now) + max(0, outstanding-b.outstandingMs)
-	b.remainingMs, b.outstandingMs, b.at = min(remaining, outstanding), outstanding, now
+// set records the work of all calls that are in flight now, as they began.
+func (b *backlog) set(now time.Duration, outstandingMs float64) {
+	remainingMs := b.remainingAt(now) + max(0, outstandingMs-b.outstandingMs)
+	b.remainingMs, b.outstandingMs, b.at = min(remainingMs, outstandingMs), outstandingMs, now
 }
--- a/internal/router/scheduler/prefix_affinity.go
+++ b/internal/router/scheduler/prefix_affinity.go
@@ -3,74 +3,78 @@
 import "time"
 
 const (
-	// ranked is k, the number of servers that a prompt which shares parts with others may go to at least. One
-	// more would take load off the others for a moment and bring them a second reading of the same parts later.
+	// minAffinityServers is the least k, the number of servers that a prompt with a shared prefix may go to.
+	// One more would take load off the others for a moment and bring them a second prefill of the same prefix
+	// later.
 	minAffinityServers = 2
-	// firstPrefillDivisor is the part of the readers, as its inverse, that a prompt may go to which no reader
-	// holds: it is read for the first time wherever that is, so that more choices cost nothing but a second
-	// reading by a proxy that has not heard of the first one. Of eight readers or fewer that is no more than
-	// ranked.
+	// firstPrefillDivisor sets k for a prefix that no prefill server holds: one in so many prefill servers. It
+	// is prefilled for the first time wherever that is, so that more choices cost nothing but a second prefill
+	// by a proxy that has not heard of the first one. Of eight servers or fewer that is no more than
+	// minAffinityServers.
 	firstPrefillDivisor = 4
 )
 
-// affine returns the servers that a prompt may go to, and the n of what arrives. A prompt that shares nothing
-// may go to any server.
+// prefixAffinity returns the k servers that a prompt may go to, with their costs, and the number of servers
+// whose arrivals the draw among them stands for (arrivals.go). A prompt that shares nothing may go to any
+// server. All proxies rank the servers alike, by rendezvous hashing of the shared prefix.
 //
-// Readers: those that rank first among the servers that hold what it shares, as proxies tell each other, then
-// among the others; where none holds it, the part of the readers that ranks first, and since other prompts
-// are read there for the first time too, n grows with their number. Without word from the others, the first
-// ranks, which are taken to hold it. Writers, which get memory by moves as well: the first ranks, and those
-// that are known to hold nearly all of the prompt.
+// Prefill: the first ranks among the servers that hold the prefix, as the proxies tell each other, then among
+// the others. Where none holds it, the first ranks, one in firstPrefillDivisor; other prefixes are prefilled
+// there for the first time too, so that the arrivals grow with their number. Where this proxy may have missed
+// who holds what, the first ranks, which are assumed to hold it.
+//
+// Serve, at decode servers, which get prefixes by transfers as well: the first ranks, and those that are
+// known to hold nearly all of the prompt.
 func (s *Scheduler) prefixAffinity(
 	now time.Duration, pool *servicePool, role Role, candidates []candidate, chain *prefixChain,
-) ([]candidate, int) {
-	name, shared, ok := chain.shared()
+) (chosen []candidate, arrivalServers int) {
+	prefix, shared, ok := chain.shared()
 	if !ok {
-		s.estimateCost(pool, role, candidates)
+		pool.estimateCost(role, candidates)
 		return candidates, len(candidates)
 	}
-	k, arrivalServers := pool.popularity.affinityServers(name, len(candidates)), 1
+	k := pool.popularity.affinityServers(prefix, len(candidates))
+	arrivalServers = 1
 	switch {
 	case role != Prefill:
-		rank(candidates, name, k)
+		rank(candidates, prefix, k)
 		k = appendCached(candidates, k)
 	case pool.peerLoadKnown && markCached(candidates, chain.tokens-shared):
-		rank(candidates, name, k)
+		rank(candidates, prefix, k)
 	case !s.prefixesKnown(now):
-		rank(candidates, name, k)
+		rank(candidates, prefix, k)
 		assumeCached(candidates[:k-1], chain, shared)
 	default:
 		k = max(k, (len(candidates)+firstPrefillDivisor-1)/firstPrefillDivisor)
 		arrivalServers = k - minAffinityServers + 1
-		rank(candidates, name, k)
+		rank(candidates, prefix, k)
 	}
-	s.estimateCost(pool, role, candidates)
+	pool.estimateCost(role, candidates)
 	return candidates[:k], arrivalServers
 }
 
-// markCached marks the servers that are known to hold a prompt but for so many tokens, and tells whether
-// there are any.
+// markCached marks the servers that are known to hold a prompt but for maxUncached tokens, and reports
+// whether there are any.
 func markCached(all []candidate, maxUncached int) bool {
-	cached := false
+	found := false
 	for i := range all {
 		all[i].cachesPrefix = all[i].uncachedTokens <= maxUncached
-		cached = cached || all[i].cachesPrefix
+		found = found || all[i].cachesPrefix
 	}
-	return cached
+	return found
 }
 
-// rank moves the k servers that rank first for a name to the front, in their order: those marked as its
-// holders, then those with the highest scores.
-func rank(all []candidate, name uint64, k int) {
+// rank moves the k servers that rank first for a prefix to the front, in their order: those marked by
+// markCached, then those with the highest scores.
+func rank(all []candidate, prefix uint64, k int) {
 	for i := range all {
-		all[i].score = rendezvousScore(all[i].hash, name)
+		all[i].score = rendezvousScore(all[i].hash, prefix)
 	}
 	for i := range min(k, len(all)) {
 		selectBest(all, i)
 	}
 }
 
-// before tells whether a server ranks before another one.
 func (c *candidate) ranksBefore(other *candidate) bool {
 	if c.cachesPrefix != other.cachesPrefix {
 		return c.cachesPrefix
@@ -78,7 +82,7 @@
 	return c.score > other.score
 }
 
-// raise moves the server that ranks first from place i on to place i.
+// selectBest swaps the server that ranks first of all[i:] to index i.
 func selectBest(all []candidate, i int) {
 	best := i
 	for j := i + 1; j < len(all); j++ {
@@ -89,15 +93,15 @@
 	all[i], all[best] = all[best], all[i]
 }
 
-// assume takes the first-ranked servers to hold all that is shared. Other proxies have probably sent it
-// there, and where none has, reading it there is of use to the next request, and anywhere else it is not.
+// assumeCached assumes that servers hold the shared prefix. Other proxies have probably sent it there, and
+// where none has, a prefill there is of use to the next request, and anywhere else it is not.
 func assumeCached(first []candidate, chain *prefixChain, shared int) {
 	for i := range first {
 		first[i].uncachedTokens = min(first[i].uncachedTokens, chain.tokens-shared)
 	}
 }
 
-// holders moves servers behind the first k to their end that are known to hold nearly all of the prompt, and
+// appendCached moves the servers that are known to hold nearly all of the prompt behind the first k, and
 // returns the new k.
 func appendCached(all []candidate, k int) int {
 	for i := k; i < len(all); i++ {
@@ -109,17 +113,17 @@
 	return k
 }
 
-// price fills in what the prompt costs at each server.
-func (s *Scheduler) estimateCost(pool *servicePool, role Role, all []candidate) {
+// estimateCost sets what the prefill of a prompt takes and costs at each server.
+func (p *servicePool) estimateCost(role Role, all []candidate) {
 	for i := range all {
 		candidate := &all[i]
-		tokens := pool.prefillTime.slope * float64(candidate.uncachedTokens) / candidate.speed
+		tokensMs := p.prefillTime.slope * float64(candidate.uncachedTokens) / candidate.speed
 		if role == Serve {
-			candidate.prefillMs = pool.prefillTime.base + decodePrefillFactor*tokens
-			candidate.costMs = pool.prefillTime.base + directPrefillWeight*decodePrefillFactor*tokens
+			candidate.prefillMs = p.prefillTime.base + decodePrefillFactor*tokensMs
+			candidate.costMs = p.prefillTime.base + directPrefillWeight*decodePrefillFactor*tokensMs
 		} else {
-			candidate.prefillMs = pool.prefillTime.base + tokens
-			candidate.costMs = recomputeWeight * tokens
+			candidate.prefillMs = p.prefillTime.base + tokensMs
+			candidate.costMs = recomputeWeight * tokensMs
 		}
 	}
 }
--- /dev/null
+++ b/internal/router/scheduler/prefix_chain.go
@@ -0,0 +1,48 @@
+package scheduler
+
+import "github.com/cespare/xxhash/v2"
+
+const maxChainSegments = 16 // segments of a prompt that are looked at; later ones count as the request's own
+
+// prefixChain is a prompt as the chain of its prefixes. A segment can be reused only with all before it, so
+// that a prefix is identified by a hash over all its segments.
+type prefixChain struct {
+	hashes           [maxChainSegments]uint64 // of the prefix up to each segment
+	cumulativeTokens [maxChainSegments]int    // of the prefix up to each segment
+	length           int                      // segments
+	tokens           int                      // of the prompt
+}
+
+func newPrefixChain(request *Request) prefixChain {
+	chain := prefixChain{tokens: request.PromptTokens}
+	hash, tokens := xxhash.Sum64String(request.Service.Name), 0
+	for _, segment := range request.Segments[:min(len(request.Segments), maxChainSegments)] {
+		hash = mix(hash ^ xxhash.Sum64String(segment.ID))
+		tokens += segment.Tokens
+		chain.hashes[chain.length], chain.cumulativeTokens[chain.length] = hash, tokens
+		chain.length++
+	}
+	chain.tokens = max(chain.tokens, tokens)
+	return chain
+}
+
+// shared returns the hash and the tokens of the prefix that other requests share: all segments but the last.
+func (p *prefixChain) shared() (hash uint64, tokens int, ok bool) {
+	if p.length < 2 {
+		return 0, 0, false
+	}
+	return p.hashes[p.length-2], p.cumulativeTokens[p.length-2], true
+}
+
+// mix spreads the bits of a number (the finalizer of splitmix64).
+func mix(x uint64) uint64 {
+	x ^= x >> 30
+	x *= 0xbf58476d1ce4e5b9
+	x ^= x >> 27
+	x *= 0x94d049bb133111eb
+	return x ^ x>>31
+}
+
+// rendezvousScore returns a server's score for a prefix by rendezvous hashing: all proxies rank servers
+// alike, and a change of the servers moves only the prefixes of those that came or went.
+func rendezvousScore(server, prefix uint64) uint64 { return mix(mix(server) ^ prefix) }
--- /dev/null
+++ b/internal/router/scheduler/prefix_exchange.go
@@ -0,0 +1,75 @@
+package scheduler
+
+import "time"
+
+const (
+	// bootstrapGrace is how long proxies that start together may take to discover each other.
+	bootstrapGrace = 6 * time.Second
+	// prefixCatchUpTime is how long after a gap in the other proxies' reports this one may lack prefixes that
+	// they sent to servers: by then most prompts in use have come up again.
+	prefixCatchUpTime = 30 * time.Second
+)
+
+// CachedPrefixes says which shared prefixes a server holds, or has been sent to prefill for the first time.
+type CachedPrefixes struct {
+	Server string // id
+	Hashes []uint64
+}
+
+// TakeNewPrefixes returns the shared prefixes that this proxy has sent to servers for the first time since
+// the last call, for the other proxies. The order of servers is random.
+func (s *Scheduler) TakeNewPrefixes() []CachedPrefixes {
+	var taken []CachedPrefixes
+	for id, server := range s.servers {
+		if len(server.newPrefixes) > 0 {
+			taken = append(taken, CachedPrefixes{id, server.newPrefixes})
+			server.newPrefixes = nil
+		}
+	}
+	return taken
+}
+
+// AddCachedPrefixes records prefixes that other proxies have sent to servers.
+func (s *Scheduler) AddCachedPrefixes(added []CachedPrefixes) {
+	for _, cached := range added {
+		server := serverHash(cached.Server)
+		for _, prefix := range cached.Hashes {
+			s.prefixes.touch(prefixKey{server, prefix})
+		}
+	}
+}
+
+// KnownPrefixes returns the prefixes that listed servers are known to hold: the most recently used ones, at
+// most limit. It includes those that other proxies reported. The order of servers is random.
+func (s *Scheduler) KnownPrefixes(limit int) []CachedPrefixes {
+	ids := map[uint64]string{}
+	for server := range s.table.All() {
+		ids[serverHash(server.ID)] = server.ID
+	}
+	hashes := map[string][]uint64{}
+	for _, key := range s.prefixes.newest(limit) {
+		if id := ids[key.server]; id != "" {
+			hashes[id] = append(hashes[id], key.prefix)
+		}
+	}
+	known := make([]CachedPrefixes, 0, len(hashes))
+	for id, ofServer := range hashes {
+		known = append(known, CachedPrefixes{id, ofServer})
+	}
+	return known
+}
+
+// MarkPrefixesSynced records that this proxy has got all prefixes that another one knows of.
+func (s *Scheduler) MarkPrefixesSynced(now time.Duration) { s.peerLoadAt, s.assumeCachedUntil = now, 0 }
+
+// MarkFleetStart records that this proxy starts together with all others, so that no prefix was sent to any
+// server before: none can be missed until they have discovered each other.
+func (s *Scheduler) MarkFleetStart(now time.Duration) {
+	s.peerLoadAt, s.assumeCachedUntil = now+bootstrapGrace, 0
+}
+
+// prefixesKnown reports whether this proxy knows of all prefixes that were sent to servers lately.
+func (s *Scheduler) prefixesKnown(now time.Duration) bool {
+	_, ok := s.peerLoadAge(now)
+	return ok && now >= s.assumeCachedUntil
+}
--- a/internal/router/scheduler/prefix_index.go
+++ b/internal/router/scheduler/prefix_index.go
@@ -1,65 +1,17 @@
 package scheduler
 
-import "github.com/cespare/xxhash/v2"
+const maxPrefixEntries = 8192 // pairs of a server and a prefix that a proxy remembers
 
-const (
-	maxChainSegments = 16   // parts of a prompt that are looked at; the others count as the request's own
-	maxPrefixEntries = 8192 // parts of prompts that a proxy remembers the holders of
-)
-
-// prompt is a request's prompt as a chain of parts: a part can be reused only with all before it, so that its
-// name is the hash of them all.
-type prefixChain struct {
-	hashes           [maxChainSegments]uint64 // of the chain up to each part
-	cumulativeTokens [maxChainSegments]int    // tokens of the chain up to each part
-	length           int                      // parts
-	tokens           int
-}
-
-// newPrefixChain returns the chain of a request.
-func newPrefixChain(request *Request) prefixChain {
-	chain := prefixChain{tokens: request.PromptTokens}
-	name, tokens := xxhash.Sum64String(request.Service.Name), 0
-	for _, part := range request.Segments[:min(len(request.Segments), maxChainSegments)] {
-		name = mix(name ^ xxhash.Sum64String(part.ID))
-		tokens += part.Tokens
-		chain.hashes[chain.length], chain.cumulativeTokens[chain.length] = name, tokens
-		chain.length++
-	}
-	chain.tokens = max(chain.tokens, tokens)
-	return chain
-}
-
-// shared returns the name and tokens of the chain that other requests share: all parts but the last.
-func (p *prefixChain) shared() (name uint64, tokens int, ok bool) {
-	if p.length < 2 {
-		return 0, 0, false
-	}
-	return p.hashes[p.length-2], p.cumulativeTokens[p.length-2], true
-}
-
-// mix spreads the bits of a number (the finalizer of splitmix64).
-func mix(x uint64) uint64 {
-	x ^= x >> 30
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 27
-	x *= 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
-// score is a server's rank for a name by rendezvous hashing: all proxies rank alike, and a change of the
-// servers moves only the names of those that came or went.
-func rendezvousScore(server, name uint64) uint64 { return mix(mix(server) ^ name) }
-
-type prefixKey struct{ server, hash uint64 }
+// prefixKey says that a server holds a prefix.
+type prefixKey struct{ server, prefix uint64 } // hashes
 
 type prefixEntry struct {
 	prefixKey
-	newer, older int32
+	newer, older int32 // indexes of entries
 }
 
-// holdings remembers which servers hold which parts, the most recently used ones: a list from newest to
-// oldest in a ring around entry 0.
+// prefixIndex remembers which servers hold which prefixes, the most recently used ones. Its entries form a
+// doubly linked list from the newest to the oldest, in a ring around entry 0, which holds no prefix.
 type prefixIndex struct {
 	index   map[prefixKey]int32
 	entries []prefixEntry
@@ -70,93 +22,84 @@
 	return &prefixIndex{index: map[prefixKey]int32{}, entries: make([]prefixEntry, 1), limit: limit}
 }
 
-// tokens returns how much of a prompt a server is known to hold.
-func (h *prefixIndex) cachedTokens(server uint64, p *prefixChain) int {
-	for i := p.length - 1; i >= 0; i-- {
-		if _, ok := h.index[prefixKey{server, p.hashes[i]}]; ok {
-			return p.cumulativeTokens[i]
+// cachedTokens returns how many tokens of a prompt a server is known to hold.
+func (x *prefixIndex) cachedTokens(server uint64, chain *prefixChain) int {
+	for i := chain.length - 1; i >= 0; i-- {
+		if _, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
+			return chain.cumulativeTokens[i]
 		}
 	}
 	return 0
 }
 
-// note remembers that a server holds a prompt from now on, and returns how many of its parts it was known to
-// hold before.
-func (h *prefixIndex) record(server uint64, p *prefixChain) int {
-	before := 0
-	for i := range p.length {
-		key := prefixKey{server, p.hashes[i]}
-		if _, ok := h.index[key]; ok {
-			before = i + 1
+// record remembers that a server holds a prompt from now on, and returns how many of its segments it was
+// known to hold before.
+func (x *prefixIndex) record(server uint64, chain *prefixChain) (cachedBefore int) {
+	for i := range chain.length {
+		key := prefixKey{server, chain.hashes[i]}
+		if _, ok := x.index[key]; ok {
+			cachedBefore = i + 1
 		}
-		h.touch(key)
+		x.touch(key)
 	}
-	return before
+	return cachedBefore
 }
 
-func (h *prefixIndex) touch(key prefixKey) {
-	at, ok := h.index[key]
-	switch {
-	case ok:
-		h.unlink(at)
-	case len(h.entries) <= h.limit:
-		at = int32(len(h.entries))
-		h.entries = append(h.entries, prefixEntry{})
-	default:
-		at = h.entries[0].newer // of the ring's head, this is the oldest
-		h.unlink(at)
-		delete(h.index, h.entries[at].prefixKey)
+// drop forgets that a server holds a prompt, but for as many segments as it held before.
+func (x *prefixIndex) drop(server uint64, chain *prefixChain, cachedBefore int) {
+	for i := cachedBefore; i < chain.length; i++ {
+		if at, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
+			x.remove(at)
+		}
 	}
-	h.entries[at].prefixKey = key
-	h.index[key] = at
-	h.link(at)
-}
-
-// link makes an entry the newest.
-func (h *prefixIndex) link(at int32) {
-	head, newest := &h.entries[0], h.entries[0].older
-	h.entries[at].newer, h.entries[at].older = 0, newest
-	h.entries[newest].newer = at
-	head.older = at
 }
 
-func (h *prefixIndex) unlink(at int32) {
-	e := &h.entries[at]
-	h.entries[e.newer].older = e.older
-	h.entries[e.older].newer = e.newer
+// newest returns the most recently used entries, at most limit.
+func (x *prefixIndex) newest(limit int) []prefixKey {
+	var keys []prefixKey
+	for at := x.entries[0].older; at != 0 && len(keys) < limit; at = x.entries[at].older {
+		keys = append(keys, x.entries[at].prefixKey)
+	}
+	return keys
 }
 
-// newest returns the most recently used entries, at most so many.
-func (h *prefixIndex) newest(limit int) []prefixKey {
-	var all []prefixKey
-	for at := h.entries[0].older; at != 0 && len(all) < limit; at = h.entries[at].older {
-		all = append(all, h.entries[at].prefixKey)
+// touch makes an entry the newest. A new one replaces the oldest where the index is full.
+func (x *prefixIndex) touch(key prefixKey) {
+	at, ok := x.index[key]
+	switch {
+	case ok:
+		x.unlink(at)
+	case len(x.entries) <= x.limit:
+		at = int32(len(x.entries))
+		x.entries = append(x.entries, prefixEntry{})
+	default:
+		at = x.entries[0].newer // of the ring's entry 0: the oldest
+		x.unlink(at)
+		delete(x.index, x.entries[at].prefixKey)
 	}
-	return all
+	x.entries[at].prefixKey = key
+	x.index[key] = at
+	x.link(0, at, x.entries[0].older)
 }
 
-// linkOldest makes an entry the one that is reused next.
-func (h *prefixIndex) linkOldest(at int32) {
-	oldest := h.entries[0].newer
-	h.entries[at].older, h.entries[at].newer = 0, oldest
-	h.entries[oldest].older = at
-	h.entries[0].newer = at
+// remove empties an entry and makes it the oldest, so that it is reused next.
+func (x *prefixIndex) remove(at int32) {
+	entry := &x.entries[at]
+	delete(x.index, entry.prefixKey)
+	x.unlink(at)
+	entry.prefixKey = prefixKey{}
+	x.link(x.entries[0].newer, at, 0)
 }
 
-// drop forgets that a server holds a prompt, but for as many parts as it held before.
-func (h *prefixIndex) drop(server uint64, p *prefixChain, before int) {
-	for i := before; i < p.length; i++ {
-		if at, ok := h.index[prefixKey{server, p.hashes[i]}]; ok {
-			h.remove(at)
-		}
-	}
+// link inserts an entry between two neighbours.
+func (x *prefixIndex) link(newer, at, older int32) {
+	x.entries[at].newer, x.entries[at].older = newer, older
+	x.entries[newer].older = at
+	x.entries[older].newer = at
 }
 
-// remove makes an entry the one that is reused next.
-func (h *prefixIndex) remove(at int32) {
-	e := &h.entries[at]
-	delete(h.index, e.prefixKey)
-	h.unlink(at)
-	e.prefixKey = prefixKey{}
-	h.linkOldest(at)
+func (x *prefixIndex) unlink(at int32) {
+	entry := &x.entries[at]
+	x.entries[entry.newer].older = entry.older
+	x.entries[entry.older].newer = entry.newer
 }
--- a/internal/router/scheduler/prefix_popularity.go
+++ b/internal/router/scheduler/prefix_popularity.go
@@ -3,41 +3,41 @@
 import "math"
 
 const (
-	// recentPrompts is how many prompts back a proxy looks to learn how popular one is. All proxies get prompts
-	// of the same mix, so that they come to like answers without talking.
+	// recentPrompts is over how many prompts a proxy measures how popular a prefix is. All proxies get prompts
+	// of the same mix, so that they come to like answers without an exchange.
 	recentPrompts = 64
-	// popularMargin is how many times its share of the servers a popular prompt may go to.
+	// popularMargin is how many times its fraction of the servers a popular prefix may go to.
 	popularMargin = 2.0
 )
 
-// popularity remembers the names of what the last prompts of a service shared.
-type popularity struct {
-	names [recentPrompts]uint64
-	count int // of all prompts noted
+// prefixPopularity remembers the shared prefixes of the last prompts of a service.
+type prefixPopularity struct {
+	recent [recentPrompts]uint64 // hashes, as a ring
+	count  int                   // of all prompts recorded
 }
 
-func (p *popularity) record(name uint64) {
-	p.names[p.count%recentPrompts] = name
+func (p *prefixPopularity) record(prefix uint64) {
+	p.recent[p.count%recentPrompts] = prefix
 	p.count++
 }
 
-// share is the part of the last prompts that had the name, 0 until enough have come to tell.
-func (p *popularity) fraction(name uint64) float64 {
+// fraction returns the fraction of the last prompts that had the prefix, 0 until there are enough of them.
+func (p *prefixPopularity) fraction(prefix uint64) float64 {
 	if p.count < recentPrompts {
 		return 0
 	}
 	same := 0
-	for _, other := range p.names {
-		if other == name {
+	for _, other := range p.recent {
+		if other == prefix {
 			same++
 		}
 	}
 	return float64(same) / recentPrompts
 }
 
-// width is k: how many of so many servers a prompt may go to. One that makes up a large part of all prompts
-// needs as large a part of the servers.
-func (p *popularity) affinityServers(name uint64, servers int) int {
-	wanted := int(math.Ceil(popularMargin * p.fraction(name) * float64(servers)))
+// affinityServers returns k: how many of so many servers a prompt with the prefix may go to. A prefix of a
+// large part of all prompts needs as large a part of the servers.
+func (p *prefixPopularity) affinityServers(prefix uint64, servers int) int {
+	wanted := int(math.Ceil(popularMargin * p.fraction(prefix) * float64(servers)))
 	return min(max(minAffinityServers, wanted), servers)
 }
--- a/internal/router/scheduler/prefix_popularity_test.go
+++ b/internal/router/scheduler/prefix_popularity_test.go
@@ -14,7 +14,7 @@
 	}{
 		{1, 12, 12}, {2, 12, 12}, {4, 12, 6}, {16, 12, 2}, {64, 12, 2}, {4, 100, 50}, {1, 1, 1}, {64, 1, 1},
 	} {
-		var p popularity
+		var p prefixPopularity
 		for i := range 10 * recentPrompts {
 			name := uint64(1000 + i)
 			if i%test.every == 0 {
@@ -27,7 +27,7 @@
 }
 
 func TestPopularityIsUnknownAtFirst(t *testing.T) {
-	var p popularity
+	var p prefixPopularity
 	p.record(7)
 	qt.Assert(t, p.affinityServers(7, 12), qt.Equals, minAffinityServers)
 }
--- a/internal/router/scheduler/scheduler.go
+++ b/internal/router/scheduler/scheduler.go
@@ -8,25 +8,26 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// Scheduler holds what is known of the load of servers.
+// Scheduler chooses servers for the requests of one proxy. It is not safe for concurrent use.
 type Scheduler struct {
 	zone     string
 	random   *rand.Rand
 	table    *catalog.Table
-	servers  map[string]*serverState
-	pools    map[string]*servicePool
+	servers  map[string]*serverState // by id
+	pools    map[string]*servicePool // by name of the service
 	prefixes *prefixIndex
-	// assumeCachedUntil is until when prompts may be held that this proxy was not told of.
+
+	// assumeCachedUntil is until when servers may hold prefixes that this proxy was not told of.
 	assumeCachedUntil time.Duration
-	// when other proxies last told what they have under way, 0 where they never did
+	// peerLoadAt is when the other proxies last reported what they have in flight, 0 where they never did.
 	peerLoadAt time.Duration
 
-	candidates      []candidate // of the decision being made
-	rest            []candidate
+	// Buffers of the decision being made, reused by the next one.
+	candidates      []candidate
 	levels, weights []float64
 }
 
-// New returns a Chooser of a proxy in a zone.
+// New returns a Scheduler of a proxy in a zone. The seed determines all its random draws.
 func New(zone string, seed uint64) *Scheduler {
 	return &Scheduler{
 		zone: zone, random: rand.New(rand.NewPCG(seed, 1)), table: catalog.NewTable(0, nil),
@@ -35,12 +36,12 @@
 	}
 }
 
-// Update takes a newer table of servers.
+// Update replaces the table of servers. What is known of a server that is not listed any more is dropped.
 func (s *Scheduler) Update(now time.Duration, table *catalog.Table) {
 	s.table = table
 	for id := range s.servers {
 		if table.ByID(id) == nil {
-			delete(s.servers, id) // what it holds is remembered: it may have been lost for a moment only
+			delete(s.servers, id) // its prefixes stay in the index: it may be missing for a moment only
 		}
 	}
 	for _, pool := range s.pools {
@@ -48,6 +49,7 @@
 	}
 }
 
+// pool returns the state of a service, with the lists of the newest table.
 func (s *Scheduler) pool(now time.Duration, service *fleetconfig.Service) *servicePool {
 	pool := s.pools[service.Name]
 	if pool == nil {
@@ -61,10 +63,12 @@
 	return pool
 }
 
-// Choose draws the server for a call of that role and counts the call as under way; nil where no server may
-// take it. For Write, reader is the server that holds the prompt's memory.
-func (s *Scheduler) Choose(now time.Duration, request *Request, role Role,
-	prefillServer *catalog.Server) *Call {
+// Choose draws the server for a call of a role and begins the call there; Done must end it. It returns nil
+// where no server may take the call. For Decode, prefillServer is the server that holds the prefix cache of
+// the prompt; it is nil for the other roles.
+func (s *Scheduler) Choose(
+	now time.Duration, request *Request, role Role, prefillServer *catalog.Server,
+) *Call {
 	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
 	candidates := s.eligible(now, pool, request, role, &chain)
 	if len(candidates) == 0 {
@@ -79,47 +83,48 @@
 		candidates, arrivalServers = s.prefixAffinity(now, pool, role, candidates, &chain)
 	}
 	arrivalsMs := expectedArrivals(now, pool, role, candidates, arrivalServers)
-	if name, _, ok := chain.shared(); ok && role == Prefill {
-		pool.popularity.record(name)
+	if hash, _, ok := chain.shared(); ok && role == Prefill {
+		pool.popularity.record(hash)
 	}
-	call := s.send(now, pool, request, role, &chain, s.draw(now, candidates, arrivalsMs))
+	call := s.begin(now, pool, request, role, &chain, s.draw(now, candidates, arrivalsMs))
 	if prefillServer != nil {
 		call.prefillServer = s.servers[prefillServer.ID]
 	}
 	return call
 }
 
-// send counts a call as under way.
-func (s *Scheduler) send(
-	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain, to *candidate,
+// begin counts a call as in flight at the server that was drawn for it.
+func (s *Scheduler) begin(
+	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain, drawn *candidate,
 ) *Call {
+	const idleBelow = 0.5 // requests, as their number is an estimate
+	server := drawn.serverState
 	call := &Call{
-		Server: to.serverState.Server, Role: role, state: to.serverState, pool: pool, chain: *chain,
-		uncachedTokens: to.uncachedTokens, outputTokens: max(request.OutputTokens, 1),
-		minUncached: to.minUncached, maxUncached: to.maxUncached,
-		serverIdle: to.inFlight < 0.5,
-		inFlight:   to.inFlight, startedAt: now,
-	}
-	call.prefillMs = to.prefillMs
-	call.expectedMs = to.queueMs + pool.ownTime(call)
+		Server: server.Server, Role: role, state: server, pool: pool, chain: *chain,
+		uncachedTokens: drawn.uncachedTokens, minUncached: drawn.minUncached, maxUncached: drawn.maxUncached,
+		outputTokens: max(request.OutputTokens, 1),
+		serverIdle:   drawn.inFlight < idleBelow, inFlight: drawn.inFlight, prefillMs: drawn.prefillMs,
+		startedAt: now,
+	}
+	call.expectedMs = drawn.queueMs + pool.ownTime(call)
 	if role == Prefill {
-		call.uncachedMs = to.queueMs + pool.prefillTime.at(float64(chain.tokens))/to.speed
+		call.uncachedMs = drawn.queueMs + pool.prefillTime.at(float64(chain.tokens))/drawn.speed
 	}
-	to.serverState.beginCall(call)
+	server.beginCall(call)
 	if pool.service.Engine != nil {
-		call.cachedBefore = s.prefixes.record(to.hash, chain)
-		to.serverState.recordNewPrefix(role, chain, call.cachedBefore)
+		call.cachedBefore = s.prefixes.record(server.hash, chain)
+		server.recordNewPrefix(role, chain, call.cachedBefore)
 	}
 	return call
 }
 
-// ObserveLoad takes in the load that a server told with an answer.
+// ObserveLoad records the load that a server reported with an answer that has just come.
 func (s *Scheduler) ObserveLoad(now time.Duration, id string, load Load) {
 	s.ObserveLoadAt(now, id, load)
 }
 
-// ObserveLoadAt takes in the load that a server told at an earlier time: to another proxy, or in a report of
-// its own.
+// ObserveLoadAt records the load that a server reported at an earlier time: to another proxy, or in a report
+// of its own. It does not replace a newer report.
 func (s *Scheduler) ObserveLoadAt(at time.Duration, id string, load Load) {
 	server := s.servers[id]
 	if server == nil {
@@ -131,16 +136,16 @@
 	}
 }
 
-// LastSuccess returns when a server last answered a call well, and whether it has.
+// LastSuccess returns when a server last served a call of this proxy, and whether it has.
 func (s *Scheduler) LastSuccess(id string) (time.Duration, bool) {
-	state := s.servers[id]
-	if state == nil || state.outliers.lastSuccess == 0 {
+	server := s.servers[id]
+	if server == nil || server.outliers.lastSuccess == 0 {
 		return 0, false
 	}
-	return state.outliers.lastSuccess, true
+	return server.outliers.lastSuccess, true
 }
 
-// FirstEvent notes that the server of a call has begun to answer.
+// FirstEvent records that the server of a call has begun to answer.
 func (s *Scheduler) FirstEvent(now time.Duration, call *Call) {
 	if call.answered {
 		return
@@ -148,11 +153,12 @@
 	call.answered, call.firstEventAt = true, now
 	call.state.endPrefill(now, call)
 	took := ms(now - call.startedAt)
-	expected := max(call.expectedMs, call.uncachedMs) // that a reader holds less than assumed is no lateness
+	// A server that holds less of the prompt than assumed is not late for that.
+	expected := max(call.expectedMs, call.uncachedMs)
 	call.state.lateness.add(now, took-expected, expected)
 }
 
-// Done ends a call. Each call ends once.
+// Done ends a call and learns from its outcome. A second Done of a call does nothing.
 func (s *Scheduler) Done(now time.Duration, call *Call, outcome Outcome) {
 	if call.ended {
 		return
--- a/internal/router/scheduler/server_state.go
+++ b/internal/router/scheduler/server_state.go
@@ -10,49 +10,54 @@
 )
 
 const (
-	speedGain          = 0.1 // of a sample in a server's relative speed
-	minSpeed           = 0.25
-	maxSpeed           = 4.0
-	slowStartMinWeight = 0.2             // of a server's usual share, right after it was listed
-	slowStartWindow    = 2 * time.Second // until a new server has its whole share
-	baselineWindow     = 30.0            // figures that a server's usual load is the mean of
-	warmUpWeight       = 0.5             // of a server's usual share while it is cold
+	speedGain = 0.1 // weight of a sample in a server's relative speed
+	minSpeed  = 0.25
+	maxSpeed  = 4.0
+
+	slowStartWindow    = 2 * time.Second // in which a new server's weight grows to its full weight
+	slowStartMinWeight = 0.2             // of a server's full weight, right after it was listed
+	warmUpWeight       = 0.5             // of a server's full weight while it warms up
+
+	baselineWindow = 30.0 // reports over which the baseline of others' calls is averaged
 )
 
-// server is what is known of one server.
+// serverState is what is known of one server.
 type serverState struct {
 	*catalog.Server
-	hash     uint64
-	listedAt time.Duration // when it was first seen
-	warmAt   time.Duration // when it stops being cold
-	speed    float64       // of the server relative to the fleet's
-
-	reported         Load
-	reportedAt       time.Duration
-	hasReport        bool       // it told a load
-	reportedOthers   float64    // calls of other proxies at the time it told its load
-	baselineOthers   movingMean // of others, over what it told lately
-	calls            []*Call    // own calls under way, oldest first
-	ownPrefillMs     float64    // ms of work of own calls that only read, when they were sent
-	ownPrefillAt     time.Duration
-	changed          bool            // something of this proxy's began or ended there since that was last told
-	outliers         outlierDetector // by its own calls
-	transferOutliers outlierDetector // by the writers that fetched memory from it
+	hash     uint64        // of its id
+	listedAt time.Duration // when it was first listed
+	warmAt   time.Duration // when it has warmed up
+	speed    float64       // relative to the other servers of the service, 1 for the average
+
+	reported       Load // the newest report
+	reportedAt     time.Duration
+	hasReport      bool
+	reportedOthers float64    // calls of other proxies by the newest report
+	baselineOthers movingMean // of them over the last reports
+
+	calls        []*Call       // own calls in flight, oldest first
+	ownPrefillMs float64       // of prefill work of own calls, as they began
+	ownPrefillAt time.Duration // when it last changed
+	changed      bool          // own calls began or ended since that was last told to the peers
+
+	outliers         outlierDetector // by the outcomes of own calls
+	transferOutliers outlierDetector // by the transfers of its prefix cache to decode servers
 	lateness         lateness
 
-	newPrefixes []uint64 // names that the other proxies are to be told of
-	peerBacklog backlog  // work that other proxies told of
-	peerCalls   float64  // their calls
+	newPrefixes []uint64 // hashes that the peers are to be told of
+	peerBacklog backlog  // prefill work of other proxies, as they report it
+	peerCalls   float64  // calls of other proxies, as they report them
 }
 
-// serverHash is what stands for a server where prompts are ranked and remembered.
+// serverHash is the identity of a server in rendezvous hashing and in the prefix index.
 func serverHash(id string) uint64 { return xxhash.Sum64String(id) }
 
 func newServerState(now time.Duration, s *catalog.Server) *serverState {
 	return &serverState{Server: s, hash: serverHash(s.ID), listedAt: now, warmAt: now + s.WarmUp, speed: 1}
 }
 
-// list takes in what the newest table says of the server.
+// updateListing takes the server's entry of the newest table; each newer entry says anew how long it warms
+// up.
 func (s *serverState) updateListing(now time.Duration, newer *catalog.Server) {
 	if newer.Sequence != s.Sequence {
 		s.warmAt = now + newer.WarmUp
@@ -60,8 +65,8 @@
 	s.Server = newer
 }
 
-// tell takes in a load that the server told at a time, where it told no newer one: what of it is not this
-// proxy's own calls.
+// recordReport records the load that the server reported at a time, unless a newer report is known. What
+// exceeds this proxy's own calls of that time belongs to other proxies.
 func (s *serverState) recordReport(at time.Duration, load Load) {
 	if s.hasReport && at < s.reportedAt {
 		return
@@ -77,11 +82,11 @@
 	s.baselineOthers.add(s.reportedOthers, baselineWindow)
 }
 
-// recordNewPrefix remembers to tell the others of what a prompt shares that was sent here to be read for the
-// first time.
+// recordNewPrefix remembers a shared prefix to tell the peers of, where the server prefills it for the first
+// time.
 func (s *serverState) recordNewPrefix(role Role, chain *prefixChain, cachedBefore int) {
-	if name, _, ok := chain.shared(); ok && role == Prefill && cachedBefore < chain.length-1 {
-		s.newPrefixes = append(s.newPrefixes, name)
+	if hash, _, ok := chain.shared(); ok && role == Prefill && cachedBefore < chain.length-1 {
+		s.newPrefixes = append(s.newPrefixes, hash)
 	}
 }
 
@@ -104,7 +109,7 @@
 	s.endPrefill(now, call)
 }
 
-// read notes that the server has read the prompt of a call, or will not read it any more.
+// endPrefill takes a call's prefill off the server's work: it is done, or will not be done any more.
 func (s *serverState) endPrefill(now time.Duration, call *Call) {
 	if call.prefillMs == 0 {
 		return
@@ -112,19 +117,20 @@
 	s.changed = true
 	s.ownPrefillMs, s.ownPrefillAt = s.ownPrefillMs-call.prefillMs, now
 	call.prefillMs = 0
-	if s.ownPrefillMs < 1e-6 {
+	const roundingError = 1e-6
+	if s.ownPrefillMs < roundingError {
 		s.ownPrefillMs = 0
 	}
 }
 
-// remainingPrefillMs is the work in ms that own reads still have to do: reads run one after the other, so
-// that what the server has worked since one ended is done. A quarter stays until they have ended.
+// remainingPrefillMs returns the prefill work that own calls still have to wait for. Prefills run one after
+// the other, so that the time since one ended is taken off the next. A quarter stays until they have ended.
 func (s *serverState) remainingPrefillMs(now time.Duration) float64 {
 	const minFraction = 0.25
 	return max(s.ownPrefillMs-ms(now-s.ownPrefillAt), s.ownPrefillMs*minFraction)
 }
 
-// slots is how many requests the server runs at once.
+// slots returns how many requests the server runs at once.
 func (s *serverState) slots() float64 {
 	if s.hasReport && s.reported.Slots > 0 {
 		return float64(s.reported.Slots)
@@ -132,7 +138,7 @@
 	return float64(max(s.Slots, 1))
 }
 
-// weight is the server's speed relative to the others, less while it is new or cold.
+// weight returns the server's speed, less in slow start and while it warms up.
 func (s *serverState) weight(now time.Duration) float64 {
 	weight := s.speed
 	if age := now - s.listedAt; age < slowStartWindow {
@@ -144,7 +150,8 @@
 	return weight
 }
 
-// measured takes in how fast the server was, beside what was expected.
+// observeSpeed adjusts the server's speed to the time that something took there, relative to the expected
+// one.
 func (s *serverState) observeSpeed(expected, took float64) {
 	if took > 0 {
 		s.speed += speedGain * (expected/took - s.speed)
--- a/internal/router/scheduler/split.go
+++ b/internal/router/scheduler/split.go
@@ -3,18 +3,21 @@
 import "time"
 
 const (
-	// maxDirectTokens is the longest prompt that its writer reads itself: a few pieces between the tokens of its
-	// other requests, which a second call and a place in a reader's queue are not worth.
+	// maxDirectTokens is the longest prompt that its decode server prefills itself: a few chunks between the
+	// decode steps of other requests, which a second call and a slot at a prefill server are not worth.
 	maxDirectTokens = 2000
-	// maxDirectUncached is how many tokens a writer may have to read of a longer prompt that it is known to hold
-	// else.
+	// maxDirectUncached is how many tokens a decode server may have to prefill of a longer prompt of which it
+	// is known to hold the rest.
 	maxDirectUncached = 256
 )
 
-// Split tells whether a request is better read by one server and written by another, now. It is, unless
-// little has to be read at a writer, or the readers have no place. Estimates of the time until the first
-// token at either were tried in its place (docs/design/routing.md): they send too much to writers, since
-// what a prompt read there costs the streams of others does not show in any figure of its own request.
+// Split reports whether a request should now be split between a prefill and a decode server (disaggregated
+// serving). It should, unless a decode server has little to prefill, or the prefill servers have no free
+// slot.
+//
+// Estimates of the time until the first token were compared with this rule (docs/design/routing.md): they
+// send too much to decode servers, since what a prefill there costs the streams of other requests does not
+// show in any measure of the request itself.
 func (s *Scheduler) Split(now time.Duration, request *Request) bool {
 	if request.Service.Engine == nil {
 		return false
@@ -22,9 +25,9 @@
 	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
 	pool.observeDirectPrefill(now)
 	switch {
-	case !s.anyAvailable(now, pool.prefillServers):
+	case !anyNotEjected(now, pool.prefillServers):
 		return false
-	case !s.anyAvailable(now, pool.decodeServers):
+	case !anyNotEjected(now, pool.decodeServers):
 		return true
 	case request.PromptTokens <= maxDirectTokens || s.minDecodeUncached(pool, &chain) <= maxDirectUncached:
 		return false
@@ -32,7 +35,7 @@
 	return !allFull(now, pool, s.eligible(now, pool, request, Prefill, &chain))
 }
 
-// minDecodeUncached is the fewest tokens that a writer is known to have to read of a prompt.
+// minDecodeUncached returns the fewest tokens that a decode server would have to prefill of a prompt.
 func (s *Scheduler) minDecodeUncached(pool *servicePool, chain *prefixChain) int {
 	fewest := chain.tokens
 	for _, server := range pool.decodeServers {
@@ -41,18 +44,18 @@
 	return fewest
 }
 
-// allFull tells whether fresh figures say that no reader has a place left.
+// allFull reports whether no prefill server has a free slot.
 func allFull(now time.Duration, pool *servicePool, prefillServers []candidate) bool {
-	service := pool.serviceTime(Prefill, 0)
+	serviceMs := pool.serviceTime(Prefill, 0)
 	for i := range prefillServers {
-		if !prefillServers[i].full(now, service) {
+		if !prefillServers[i].full(now, serviceMs) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *Scheduler) anyAvailable(now time.Duration, servers []*serverState) bool {
+func anyNotEjected(now time.Duration, servers []*serverState) bool {
 	for _, server := range servers {
 		if now >= server.ejectedUntil() {
 			return true
@@ -60,5 +63,3 @@
 	}
 	return false
 }
-
-const neverMs = 1e12 // ms
--- a/internal/router/scheduler/split_test.go
+++ b/internal/router/scheduler/split_test.go
@@ -15,7 +15,7 @@
 	rest := func(c *Scheduler) { // all readers
 		for _, s := range c.servers {
 			if s.Role == catalog.Prefill {
-				s.outliers.eject(10*second, unreachableEjectionTime)
+				s.outliers.eject(10*second, unreachableBaseEjectionTime)
 			}
 		}
 	}
