--- a/internal/router/scheduler/arrivals_test.go
+++ b/internal/router/scheduler/arrivals_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestAgeIsBlendedAndBounded(t *testing.T) {
+func TestMeanReportAgeIsBounded(t *testing.T) {
 	const service = 100.0 // ms
 	now := 10 * second
 	at := func(age time.Duration) candidate { return candidate{serverState: testServer(0, now-age)} }
@@ -18,17 +18,17 @@
 		want float64
 	}{
 		{"none", nil, 0},
-		{"just told", []candidate{at(0), at(0)}, 0},
+		{"just reported", []candidate{at(0), at(0)}, 0},
 		{"the mean of the ages", []candidate{at(20 * time.Millisecond), at(60 * time.Millisecond)}, 40},
 		{"at most a few service times", []candidate{at(5 * second), at(0)}, maxAgeServiceTimes * service / 2},
-		{"no figure is an old one", []candidate{unknown}, maxAgeServiceTimes * service},
+		{"no report is an old one", []candidate{unknown}, maxAgeServiceTimes * service},
 	}
 	for _, test := range tests {
 		qt.Check(t, meanReportAge(now, service, test.all), isNear, test.want, 1e-6, qt.Commentf(test.name))
 	}
 }
 
-func TestLoadIsEstimatedHigh(t *testing.T) {
+func TestUtilizationIsAssumedHigh(t *testing.T) {
 	tests := []struct{ use, want float64 }{
 		{0, minUtilization}, {0.1, minUtilization}, {0.6, 0.6 * utilizationMargin}, {0.9, 1}, {1, 1},
 	}
@@ -37,24 +37,24 @@
 	}
 }
 
-func TestArrivalsAreAgeTimesLoadTimesServers(t *testing.T) {
+func TestArrivalsAreAgeTimesUtilizationTimesServers(t *testing.T) {
 	p := newServicePool(plainService())
 	p.plainTime, p.serveUtilization = movingMean{100, 1}, movingMean{0.6, 1}
 	now := 10 * second
-	told := candidate{serverState: testServer(0, now-50*time.Millisecond)}
-	qt.Check(t, expectedArrivals(now, p, Serve, []candidate{told, told}, 2), isNear, 50*0.75*2, 1e-6)
-	qt.Check(t, expectedArrivals(now, p, Serve, []candidate{told, told}, 1), isNear, 50*0.75, 1e-6)
+	reported := candidate{serverState: testServer(0, now-50*time.Millisecond)}
+	qt.Check(t, expectedArrivals(now, p, Serve, []candidate{reported, reported}, 2), isNear, 50*0.75*2, 1e-6)
+	qt.Check(t, expectedArrivals(now, p, Serve, []candidate{reported, reported}, 1), isNear, 50*0.75, 1e-6)
 }
 
-func TestUseIsWhatFiguresTell(t *testing.T) {
+func TestUtilizationFollowsReports(t *testing.T) {
 	c := qt.New(t)
-	chooser := modelScheduler(1, 1, 1)
-	chooser.Split(0, prompted("a", 0))
-	p := chooser.pools["model"]
+	scheduler := modelScheduler(1, 1, 1)
+	scheduler.Split(0, promptRequest("a", 0))
+	p := scheduler.pools["model"]
 	p.prefillUtilization, p.serveUtilization = movingMean{}, movingMean{}
 	for i := range 4 { // every other read leaves another behind
-		chooser.ObserveLoad(second, "r0", Load{Running: i % 2 * 3, Slots: 32})
-		chooser.ObserveLoad(second, "w0", Load{Running: 8, Slots: 32})
+		scheduler.ObserveLoad(second, "r0", Load{Running: i % 2 * 3, Slots: 32})
+		scheduler.ObserveLoad(second, "w0", Load{Running: 8, Slots: 32})
 	}
 	c.Check(p.prefillUtilization.value, isNear, 0.5, 1e-9)
 	c.Check(p.serveUtilization.value, isNear, 0.25, 1e-9)
--- a/internal/router/scheduler/basic_li_test.go
+++ b/internal/router/scheduler/basic_li_test.go
@@ -10,16 +10,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// drawn counts how often each candidate is drawn.
+// drawCounts counts how often each candidate is drawn.
 func drawCounts(levels []float64, arrive float64, n int) []float64 {
-	c := New("z0", 7)
+	scheduler := New("z0", 7)
 	var all []candidate
 	for _, level := range levels {
 		all = append(all, candidate{serverState: &serverState{speed: 1, listedAt: -time.Hour}, queueMs: level})
 	}
 	seen := make([]float64, len(levels))
 	for range n {
-		picked := c.draw(0, all, arrive)
+		picked := scheduler.draw(0, all, arrive)
 		for i := range all {
 			if &all[i] == picked {
 				seen[i]++
@@ -29,7 +29,7 @@
 	return seen
 }
 
-func TestDrawsFollowTheShares(t *testing.T) {
+func TestDrawsFollowTheProbabilitiesOfBasicLI(t *testing.T) {
 	const n = 20000
 	tests := []struct {
 		name   string
@@ -52,62 +52,62 @@
 	}
 }
 
-// TestStaleFiguresAreDrawnEvenly: what was told 5 s ago at one time of much difference says little now.
-func TestStaleFiguresAreDrawnEvenly(t *testing.T) {
-	c := plainScheduler(4)
-	c.Split(0, &Request{Service: plainService()})
-	countRequestsTo(c, 0, "a", true)
+// TestStaleReportsAreDrawnEvenly: a report of 5 s ago with large differences says little now.
+func TestStaleReportsAreDrawnEvenly(t *testing.T) {
+	scheduler := plainScheduler(4)
+	scheduler.Split(0, &Request{Service: plainService()})
+	countRequestsTo(scheduler, 0, "a", true)
 	for i, id := range []string{"a", "b", "c", "d"} {
-		c.ObserveLoad(10*second, id, Load{Running: i, Slots: 4})
+		scheduler.ObserveLoad(10*second, id, Load{Running: i, Slots: 4})
 	}
 	fresh, stale := map[string]int{}, map[string]int{}
 	for range 2000 {
 		for now, seen := range map[time.Duration]map[string]int{10 * second: fresh, 15 * second: stale} {
-			call := c.Choose(now, &Request{Service: plainService()}, Serve, nil)
+			call := scheduler.Choose(now, &Request{Service: plainService()}, Serve, nil)
 			seen[call.Server.ID]++
-			c.Done(now, call, Abandoned)
+			scheduler.Done(now, call, Abandoned)
 		}
 	}
-	qt.Check(t, fresh, qt.DeepEquals, map[string]int{"a": 2000}, qt.Commentf("just told, the shortest queue"))
+	qt.Check(t, fresh, qt.DeepEquals, map[string]int{"a": 2000}, qt.Commentf("the shortest queue"))
 	for _, n := range stale {
 		qt.Check(t, float64(n), isNear, 500.0, 250)
 	}
 }
 
-func TestShortQueuesAreFavouredLessWithAge(t *testing.T) {
+func TestShortQueuesArePreferredLessWithAge(t *testing.T) {
 	last := 1.0
 	for _, age := range []time.Duration{0, 30 * time.Millisecond, 100 * time.Millisecond, second} {
-		c := plainScheduler(2)
-		countRequestsTo(c, 0, "a", true)
-		c.ObserveLoad(10*second, "a", Load{Running: 0, Slots: 4})
-		c.ObserveLoad(10*second, "b", Load{Running: 3, Slots: 4})
-		part := float64(countRequestsTo(c, 10*second+age, "a", true)) / 100
+		scheduler := plainScheduler(2)
+		countRequestsTo(scheduler, 0, "a", true)
+		scheduler.ObserveLoad(10*second, "a", Load{Running: 0, Slots: 4})
+		scheduler.ObserveLoad(10*second, "b", Load{Running: 3, Slots: 4})
+		part := float64(countRequestsTo(scheduler, 10*second+age, "a", true)) / 100
 		qt.Check(t, part <= last+0.1, qt.IsTrue, qt.Commentf("%v: %v after %v", age, part, last))
 		last = part
 	}
 	qt.Check(t, last, isNear, 0.5, 0.2)
 }
 
-func TestNewServersAreNotPushedOver(t *testing.T) {
-	c := plainScheduler(3)
-	countRequestsTo(c, 0, "a", true)
+func TestNewServersStartSlowly(t *testing.T) {
+	scheduler := plainScheduler(3)
+	countRequestsTo(scheduler, 0, "a", true)
 	for _, id := range []string{"a", "b", "c"} {
-		c.ObserveLoad(60*second, id, Load{Running: 2, Slots: 4})
+		scheduler.ObserveLoad(60*second, id, Load{Running: 2, Slots: 4})
 	}
-	table := append([]*catalog.Server{}, c.table.Service("plain")...)
+	table := append([]*catalog.Server{}, scheduler.table.Service("plain")...)
 	table = append(table, &catalog.Server{ID: "d", Service: "plain", Slots: 4, State: catalog.Ready})
-	c.Update(60*second, catalog.NewTable(2, table))
-	qt.Check(t, countRequestsTo(c, 60*second+100*time.Millisecond, "d", true) < 20, qt.IsTrue)
-	qt.Check(t, float64(countRequestsTo(c, 80*second, "d", true)), isNear, 25.0, 15)
+	scheduler.Update(60*second, catalog.NewTable(2, table))
+	qt.Check(t, countRequestsTo(scheduler, 60*second+100*time.Millisecond, "d", true) < 20, qt.IsTrue)
+	qt.Check(t, float64(countRequestsTo(scheduler, 80*second, "d", true)), isNear, 25.0, 15)
 }
 
-func TestFullServersAreLeftWhileOthersAreFree(t *testing.T) {
-	c := plainScheduler(3)
-	countRequestsTo(c, 0, "a", true)
+func TestFullServersAreAvoidedWhileOthersAreFree(t *testing.T) {
+	scheduler := plainScheduler(3)
+	countRequestsTo(scheduler, 0, "a", true)
 	for _, id := range []string{"a", "b", "c"} {
-		c.ObserveLoad(10*second, id, Load{Running: 4, Slots: 4})
+		scheduler.ObserveLoad(10*second, id, Load{Running: 4, Slots: 4})
 	}
-	qt.Check(t, countRequestsTo(c, 10*second, "c", true) > 0, qt.IsTrue, qt.Commentf("all full"))
-	c.ObserveLoad(10*second, "a", Load{Running: 3, Slots: 4})
-	qt.Check(t, countRequestsTo(c, 10*second+50*time.Millisecond, "a", true), qt.Equals, 100)
+	qt.Check(t, countRequestsTo(scheduler, 10*second, "c", true) > 0, qt.IsTrue, qt.Commentf("all full"))
+	scheduler.ObserveLoad(10*second, "a", Load{Running: 3, Slots: 4})
+	qt.Check(t, countRequestsTo(scheduler, 10*second+50*time.Millisecond, "a", true), qt.Equals, 100)
 }
--- a/internal/router/scheduler/linear_fit_test.go
+++ b/internal/router/scheduler/linear_fit_test.go
@@ -7,14 +7,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestFitFindsTheLine(t *testing.T) {
+func TestLinearFitFindsTheLine(t *testing.T) {
 	tests := []struct {
 		name               string
 		base, slope, above float64
 	}{
 		{"as guessed", 10, 1.0 / 30, 1}, {"three times as fast", 20, 0.01, 1},
-		{"three times as slow", 20, 0.1, 1}, {"fast, with reads that wait", 20, 0.01, queuedSampleWeight},
-		{"slow, with reads that wait", 20, 0.1, queuedSampleWeight},
+		{"three times as slow", 20, 0.1, 1}, {"fast, with prefills that wait", 20, 0.01, queuedSampleWeight},
+		{"slow, with prefills that wait", 20, 0.1, queuedSampleWeight},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestFitFollowsTheQuickestSamples(t *testing.T) {
+func TestLinearFitFollowsTheQuickestSamples(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	f := newLinearFit(initialPrefillSetupMs, initialPrefillMsPerToken, initialPrefillTokens, queuedSampleWeight)
@@ -47,7 +47,7 @@
 	c.Check(f.at(3000), isNear, 80.0, 16)
 }
 
-func TestFitKeepsItsGuessWithoutSpread(t *testing.T) {
+func TestLinearFitKeepsItsGuessWithoutSpread(t *testing.T) {
 	c := qt.New(t)
 	f := newLinearFit(10, 0.1, 100, 1)
 	for range 200 {
--- a/internal/router/scheduler/prefix_index_test.go
+++ b/internal/router/scheduler/prefix_index_test.go
@@ -9,49 +9,49 @@
 	"cresshub/internal/router/catalog"
 )
 
-func chainOfSegments(parts ...string) *prefixChain {
+func chainOfSegments(segments ...string) *prefixChain {
 	r := &Request{Service: modelService()}
-	for _, id := range parts {
+	for _, id := range segments {
 		r.Segments = append(r.Segments, Segment{id, 100})
 	}
 	p := newPrefixChain(r)
 	return &p
 }
 
-func TestPartsAreNamedWithAllBeforeThem(t *testing.T) {
+func TestPrefixHashCoversAllSegments(t *testing.T) {
 	c := qt.New(t)
 	ab, ac, cb := chainOfSegments("a", "b"), chainOfSegments("a", "c"), chainOfSegments("c", "b")
 	c.Check(ab.hashes[0], qt.Equals, ac.hashes[0])
 	c.Check(ab.hashes[1], qt.Not(qt.Equals), ac.hashes[1])
-	c.Check(ab.hashes[1], qt.Not(qt.Equals), cb.hashes[1], qt.Commentf("the same part behind another one"))
+	c.Check(ab.hashes[1], qt.Not(qt.Equals), cb.hashes[1], qt.Commentf("the same segment behind another one"))
 }
 
-func TestSharedPartsAreAllButTheLast(t *testing.T) {
+func TestSharedPrefixIsAllButTheLastSegment(t *testing.T) {
 	tests := []struct {
-		parts  []string
-		tokens int
-		ok     bool
+		segments []string
+		tokens   int
+		ok       bool
 	}{
 		{nil, 0, false}, {[]string{"a"}, 0, false},
 		{[]string{"a", "b"}, 100, true}, {[]string{"a", "b", "c"}, 200, true},
 	}
 	for _, test := range tests {
-		_, tokens, ok := chainOfSegments(test.parts...).shared()
+		_, tokens, ok := chainOfSegments(test.segments...).shared()
 		qt.Check(t, ok, qt.Equals, test.ok)
 		qt.Check(t, tokens, qt.Equals, test.tokens)
 	}
 }
 
-func TestLongChainsAreCut(t *testing.T) {
-	var parts []string
+func TestLongChainsAreTruncated(t *testing.T) {
+	var segments []string
 	for i := range 3 * maxChainSegments {
-		parts = append(parts, fmt.Sprint(i))
+		segments = append(segments, fmt.Sprint(i))
 	}
-	chain := chainOfSegments(parts...)
+	chain := chainOfSegments(segments...)
 	qt.Check(t, chain.length, qt.Equals, maxChainSegments)
 }
 
-func TestHoldings(t *testing.T) {
+func TestPrefixIndexRecordsAndDrops(t *testing.T) {
 	c := qt.New(t)
 	h := newPrefixIndex(100)
 	c.Check(h.record(1, chainOfSegments("a", "b")), qt.Equals, 0)
@@ -62,27 +62,27 @@
 	c.Check(before, qt.Equals, 1)
 	h.drop(1, chainOfSegments("a", "d"), before)
 	c.Check(h.cachedTokens(1, chainOfSegments("a", "d")), qt.Equals, 100,
-		qt.Commentf("it held the first part before"))
+		qt.Commentf("it held the first segment before"))
 	h.record(2, chainOfSegments("a", "b"))
 	h.drop(1, chainOfSegments("a", "b"), 0)
 	c.Check(h.cachedTokens(1, chainOfSegments("a", "b")), qt.Equals, 0)
 	c.Check(h.cachedTokens(2, chainOfSegments("a", "b")), qt.Equals, 200)
 }
 
-// TestServersThatComeBackStillHoldTheirPrompts: a server that was lost for a moment has lost nothing.
-func TestServersThatComeBackStillHoldTheirPrompts(t *testing.T) {
+// TestServersThatComeBackKeepTheirPrefixes: a server that was lost for a moment has lost nothing.
+func TestServersThatComeBackKeepTheirPrefixes(t *testing.T) {
 	c := qt.New(t)
-	chooser := warmScheduler(1, 7, 11)
-	call := chooser.Choose(10*second, prompted("a", 1), Prefill, nil)
-	chooser.Done(11*second, call, Served)
-	table := chooser.table
-	chooser.Update(12*second, catalog.NewTable(2, nil))
-	chooser.Update(13*second, table)
-	chain := newPrefixChain(prompted("a", 2))
-	c.Check(chooser.prefixes.cachedTokens(serverHash(call.Server.ID), &chain), qt.Equals, 12000)
+	scheduler := warmScheduler(1, 7, 11)
+	call := scheduler.Choose(10*second, promptRequest("a", 1), Prefill, nil)
+	scheduler.Done(11*second, call, Served)
+	table := scheduler.table
+	scheduler.Update(12*second, catalog.NewTable(2, nil))
+	scheduler.Update(13*second, table)
+	chain := newPrefixChain(promptRequest("a", 2))
+	c.Check(scheduler.prefixes.cachedTokens(serverHash(call.Server.ID), &chain), qt.Equals, 12000)
 }
 
-func TestHoldingsAreBoundedAndKeepTheNewest(t *testing.T) {
+func TestPrefixIndexIsBoundedAndKeepsTheNewest(t *testing.T) {
 	c := qt.New(t)
 	h := newPrefixIndex(10)
 	for i := range 1000 {
@@ -116,7 +116,7 @@
 		load[was]++
 		if now := first(seven[:6], name); now != was {
 			moved++
-			c.Assert(was, qt.Equals, seven[6].hash, qt.Commentf("only names of the server that left move"))
+			c.Assert(was, qt.Equals, seven[6].hash, qt.Commentf("only prefixes of the server that left move"))
 		}
 	}
 	c.Check(float64(moved), isNear, 1000.0, 150)
--- a/internal/router/scheduler/prefix_popularity_test.go
+++ b/internal/router/scheduler/prefix_popularity_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestPopularPromptsMayGoToMoreServers(t *testing.T) {
+func TestPopularPrefixesMayGoToMoreServers(t *testing.T) {
 	for _, test := range []struct {
 		every   int // one prompt in so many has the name
 		servers int
--- a/internal/router/scheduler/water_level_test.go
+++ b/internal/router/scheduler/water_level_test.go
@@ -10,13 +10,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func testServer(others float64, toldAt time.Duration) *serverState {
+func testServer(others float64, reportedAt time.Duration) *serverState {
 	s := newServerState(0, &catalog.Server{ID: "a", Slots: 10, Role: catalog.Decode})
-	s.reportedOthers, s.reportedAt, s.hasReport, s.baselineOthers = others, toldAt, true, movingMean{others, 1}
+	s.reportedOthers, s.baselineOthers = others, movingMean{others, 1}
+	s.reportedAt, s.hasReport = reportedAt, true
 	return s
 }
 
-func TestOthersDecayTowardsTheUsualLoad(t *testing.T) {
+func TestOthersDecayTowardsTheBaseline(t *testing.T) {
 	const service, parallel, average = 100.0, 1.0, 2.0
 	usual := (average*baselinePrior + 8*1) / (baselinePrior + 1)
 	tau := decayServiceTimes * (1 + 8.0) * service
@@ -37,7 +38,7 @@
 	}
 }
 
-func TestServerWithoutFigureHasTheMeanOfTheOthers(t *testing.T) {
+func TestServerWithoutReportHasTheMeanOfTheOthers(t *testing.T) {
 	c := qt.New(t)
 	unknown := newServerState(0, &catalog.Server{ID: "b"})
 	all := []*serverState{testServer(2, 0), testServer(4, 0), unknown}
@@ -53,16 +54,16 @@
 	s.beginCall(early)
 	s.beginCall(late)
 	s.recordReport(2*second, Load{Running: 3, Waiting: 1, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 3.0, qt.Commentf("four told, one of them this proxy's"))
+	c.Check(s.reportedOthers, qt.Equals, 3.0, qt.Commentf("four reported, one of them this proxy's"))
 	s.recordReport(4*second, Load{Running: 1, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("fewer told than this proxy has"))
+	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("fewer reported than this proxy has"))
 	s.recordReport(3*second, Load{Running: 9, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("an older figure"))
+	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("an older report"))
 	s.endCall(5*second, early)
 	c.Check(s.calls, qt.HasLen, 1)
 }
 
-func TestOwnReadingDrainsWhileItRuns(t *testing.T) {
+func TestOwnPrefillWorkShrinksWhileItRuns(t *testing.T) {
 	s := testServer(0, 0)
 	first, second, third := &Call{prefillMs: 100}, &Call{prefillMs: 200}, &Call{prefillMs: 100}
 	for _, call := range []*Call{first, second, third} {
@@ -91,7 +92,7 @@
 	}
 }
 
-func TestLevels(t *testing.T) {
+func TestQueueEstimates(t *testing.T) {
 	p := newServicePool(modelService())
 	p.prefillTime, p.timePerToken = newLinearFit(10, 0.02, 1000, 1), newLinearFit(5, 0.5, 10, 1)
 	p.prefillTokens, p.outputTokens = movingMean{2000, 1}, movingMean{20, 1}
@@ -110,11 +111,11 @@
 		s    *serverState
 		want float64
 	}{
-		{"read: own tokens and others' calls", Prefill, reading, 80 + 2*(10+0.02*2000)},
-		{"write: calls over slots, each as slow as they are many", Decode, running, 20 * (5 + 0.5*5) * 5 / 10},
-		{"write: lateness", Decode, late, 50},
-		{"write: prompts read there do not count", Decode, direct, 20 * (5 + 0.5*1) / 10},
-		{"serve: prompts read there do", Serve, direct, 70 + 20*(5+0.5*1)/10},
+		{"prefill: own work and others' calls", Prefill, reading, 80 + 2*(10+0.02*2000)},
+		{"decode: calls over slots, each as slow as they are many", Decode, running, 20 * (5 + 0.5*5) * 5 / 10},
+		{"decode: lateness", Decode, late, 50},
+		{"decode: prefills there do not count", Decode, direct, 20 * (5 + 0.5*1) / 10},
+		{"serve: prefills there do", Serve, direct, 70 + 20*(5+0.5*1)/10},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -125,7 +126,7 @@
 	}
 }
 
-func TestLevelsOfServersWithoutModel(t *testing.T) {
+func TestQueueEstimateWithoutModel(t *testing.T) {
 	p := newServicePool(plainService())
 	p.plainTime = movingMean{40, 1}
 	x := candidate{serverState: testServer(5, second)}
@@ -133,7 +134,7 @@
 	qt.Check(t, x.queueMs, isNear, 40.0*5/10, 1e-6)
 }
 
-func TestDirectPromptsOfOtherProxies(t *testing.T) {
+func TestDirectPrefillsOfPeers(t *testing.T) {
 	p := newServicePool(modelService())
 	p.directPrefillMs, p.directCalls = movingMean{30, 1}, movingMean{0.5, 1}
 	tests := []struct{ others, want float64 }{{0, 0}, {0.5, 30}, {4.5, 270}}
@@ -142,7 +143,7 @@
 	}
 }
 
-func TestMoveTime(t *testing.T) {
+func TestTransferTime(t *testing.T) {
 	tests := []struct {
 		name     string
 		tokens   int
@@ -165,10 +166,10 @@
 
 func TestFullServers(t *testing.T) {
 	const service = 100.0
-	told := func(busy float64, age time.Duration) *candidate {
+	reported := func(busy float64, age time.Duration) *candidate {
 		return &candidate{serverState: testServer(busy, 10*second-age)}
 	}
-	rejecting := told(0, 0)
+	rejecting := reported(0, 0)
 	rejecting.outliers.fullUntil = 10*second + 1
 	own := &candidate{serverState: newServerState(0, &catalog.Server{ID: "a", Slots: 1})}
 	own.beginCall(&Call{})
@@ -177,9 +178,9 @@
 		c    *candidate
 		want bool
 	}{
-		{"free", told(9, 0), false},
-		{"full just now", told(10, 90*time.Millisecond), true},
-		{"full long ago", told(10, 5*second), false},
+		{"free", reported(9, 0), false},
+		{"full just now", reported(10, 90*time.Millisecond), true},
+		{"full long ago", reported(10, 5*second), false},
 		{"it has just rejected a request", rejecting, true},
 		{"own calls take all slots", own, true},
 	}
@@ -195,11 +196,11 @@
 		now  time.Duration
 		want float64
 	}{
-		{"long known", &serverState{speed: 1.5}, time.Minute, 1.5},
+		{"listed long ago", &serverState{speed: 1.5}, time.Minute, 1.5},
 		{"just listed", &serverState{speed: 1, listedAt: time.Minute}, time.Minute, slowStartMinWeight},
 		{"half way", &serverState{speed: 1, listedAt: time.Minute}, time.Minute + slowStartWindow/2,
 			(1 + slowStartMinWeight) / 2},
-		{"cold", &serverState{speed: 1, warmAt: 2 * time.Minute}, time.Minute, warmUpWeight},
+		{"warming up", &serverState{speed: 1, warmAt: 2 * time.Minute}, time.Minute, warmUpWeight},
 	}
 	for _, test := range tests {
 		qt.Check(t, test.s.weight(test.now), isNear, test.want, 1e-6, qt.Commentf(test.name))
