--- a/internal/router/scheduler/prefix_affinity.go
+++ b/internal/router/scheduler/prefix_affinity.go
@@ -56,12 +56,12 @@
 // markCached marks the servers that are known to hold a prompt but for maxUncached tokens, and reports
 // whether there are any.
 func markCached(all []candidate, maxUncached int) bool {
-	found := false
+	anyCached := false
 	for i := range all {
 		all[i].cachesPrefix = all[i].uncachedTokens <= maxUncached
-		found = found || all[i].cachesPrefix
+		anyCached = anyCached || all[i].cachesPrefix
 	}
-	return found
+	return anyCached
 }
 
 // rank moves the k servers that rank first for a prefix to the front, in their order: those marked by
