--- a/internal/simulation/routersim/arrivals.go
+++ b/internal/simulation/routersim/arrivals.go
@@ -9,10 +9,10 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// arrivals plans the requests of a kind: a Poisson process over all proxies.
-func (f *fleet) planArrivals(index int, random *rand.Rand) {
+// scheduleArrivals draws the requests of a kind, a Poisson process over all proxies, and schedules them.
+func (f *fleet) scheduleArrivals(index int, random *rand.Rand) {
 	kind := &f.scenario.Kinds[index]
-	sizes := f.sizes(kind, random)
+	sizes := sharedSizes(kind, random)
 	perSecond := kind.PerSecond * f.scenario.RateFactor
 	at := 0.0
 	for number := 0; ; number++ {
@@ -20,42 +20,43 @@
 		if at > f.scenario.Length.Seconds() {
 			return
 		}
-		r := f.request(kind, number, sizes, random)
+		request := f.drawRequest(kind, number, sizes, random)
 		p := f.proxies[random.IntN(len(f.proxies))]
-		f.clock.after(time.Duration(at*float64(time.Second)), func() { p.receive(kind, r) })
+		f.clock.after(time.Duration(at*float64(time.Second)), func() { p.receive(kind, request) })
 	}
 }
 
-// sizes draws the tokens of each shared part of each thing.
-func (f *fleet) sizes(kind *Kind, random *rand.Rand) [][]int {
+// sharedSizes draws the tokens of each thing of each shared segment.
+func sharedSizes(kind *Kind, random *rand.Rand) [][]int {
 	sizes := make([][]int, len(kind.Shared))
 	for i, shared := range kind.Shared {
 		for range shared.Things {
-			sizes[i] = append(sizes[i], 1+int(capped(logNormal(random, shared.Tokens, shared.Spread), shared.Max)))
+			tokens := capped(logNormal(random, shared.Tokens, shared.Spread), shared.Max)
+			sizes[i] = append(sizes[i], 1+int(tokens))
 		}
 	}
 	return sizes
 }
 
-// request draws one request. A thing of the last shared part has the same parts before it each time.
-func (f *fleet) request(kind *Kind, number int, sizes [][]int, random *rand.Rand) *scheduler.Request {
-	r := &scheduler.Request{Service: f.service, Idempotent: true}
+// drawRequest draws one request. The thing of the last shared segment determines those before it.
+func (f *fleet) drawRequest(kind *Kind, number int, sizes [][]int, random *rand.Rand) *scheduler.Request {
+	request := &scheduler.Request{Service: f.service, Idempotent: true}
+	add := func(id string, tokens int) {
+		request.Segments = append(request.Segments, scheduler.Segment{ID: id, Tokens: tokens})
+		request.PromptTokens += tokens
+	}
 	lastThing := random.IntN(kind.Shared[len(kind.Shared)-1].Things)
 	for i := range kind.Shared {
 		thing := lastThing % len(sizes[i])
-		id := fmt.Sprintf("%s.%d.%d", kind.Name, i, thing)
-		r.Segments = append(r.Segments, scheduler.Segment{ID: id, Tokens: sizes[i][thing]})
-		r.PromptTokens += sizes[i][thing]
+		add(fmt.Sprintf("%s.%d.%d", kind.Name, i, thing), sizes[i][thing])
 	}
 	ownTokens := 1 + int(capped(logNormal(random, kind.Own, kind.Spread), kind.MaxOwn))
-	r.Segments = append(r.Segments, scheduler.Segment{ID: fmt.Sprintf("%s.own.%d", kind.Name, number),
-		Tokens: ownTokens})
-	r.PromptTokens += ownTokens
-	r.OutputTokens = 1 + int(logNormal(random, kind.Output, kind.Spread))
-	return r
+	add(fmt.Sprintf("%s.own.%d", kind.Name, number), ownTokens)
+	request.OutputTokens = 1 + int(logNormal(random, kind.Output, kind.Spread))
+	return request
 }
 
-// bounded returns a size that is at most a bound, 0 for none.
+// capped returns a size that is at most a limit, 0 for none.
 func capped(size, limit float64) float64 {
 	if limit > 0 {
 		return min(size, limit)
@@ -63,7 +64,7 @@
 	return size
 }
 
-// logNormal draws a size around a mean.
+// logNormal draws a size from a log-normal distribution with a mean; spread is its sigma.
 func logNormal(random *rand.Rand, mean, spread float64) float64 {
 	return mean * math.Exp(spread*random.NormFloat64()-spread*spread/2)
 }
--- a/internal/simulation/routersim/clairvoyant.go
+++ b/internal/simulation/routersim/clairvoyant.go
@@ -7,14 +7,14 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// queues is what a clairvoyant knows of all servers at any time, by their ids.
+// serverQueues is what the clairvoyant policies of all proxies know together of the servers, by their ids.
 type serverQueues map[string]*serverQueue
 
-// queue is what was sent to one server.
+// serverQueue is what was sent to one server.
 type serverQueue struct {
-	freeAt       time.Duration   // until when it has work
-	cached       map[string]bool // parts, each named with all before it
-	promptTokens int             // of prompts
+	freeAt       time.Duration   // when it has done all of it
+	cached       map[string]bool // paths of segments
+	promptTokens int
 }
 
 // of returns the queue of a server.
@@ -25,9 +25,9 @@
 	return q[server]
 }
 
-// clairvoyant is a bound, not a policy: each request goes to the server that will have read it first, with
-// all that was sent anywhere known at once; of equal ones to that which was sent the least. What it cannot
-// serve in time hardly any choice of servers could.
+// clairvoyant is an upper bound, not a policy that could be built: each request goes to the server that will
+// be done with it first, by all that was sent from anywhere, known at once; of equal ones to that which was
+// sent the fewest tokens. What it cannot serve in time hardly any choice of servers could.
 type clairvoyant struct {
 	queues serverQueues
 	table  *catalog.Table
@@ -39,83 +39,86 @@
 	return PolicyFactory{"clairvoyant", func(string, uint64) Policy { return &clairvoyant{engine: &engine} }}
 }
 
-// Update takes a newer table.
+// Update implements Policy.
 func (c *clairvoyant) Update(_ time.Duration, table *catalog.Table) { c.table = table }
 
-// Split splits all but short prompts, as the real policy does.
-func (c *clairvoyant) Split(_ time.Duration, r *scheduler.Request) bool {
-	const shortPrompt = 2000
-	return r.PromptTokens > shortPrompt
+// Split implements Policy; it splits all but short prompts, as the scheduler does.
+func (c *clairvoyant) Split(_ time.Duration, request *scheduler.Request) bool {
+	const maxDirectTokens = 2000
+	return request.PromptTokens > maxDirectTokens
 }
 
-// Choose sends a call to the server that will be done with it first.
-func (c *clairvoyant) Choose(now time.Duration, r *scheduler.Request, role scheduler.Role,
-	reader *catalog.Server) *scheduler.Call {
+// Choose implements Policy.
+func (c *clairvoyant) Choose(
+	now time.Duration, request *scheduler.Request, role scheduler.Role, prefillServer *catalog.Server,
+) *scheduler.Call {
 	var best *catalog.Server
-	var done time.Duration
-	for _, s := range c.table.Service(r.Service.Name) {
-		if (s.Role == catalog.Prefill) != (role == scheduler.Prefill) {
+	var bestDone time.Duration
+	for _, server := range c.table.Service(request.Service.Name) {
+		if (server.Role == catalog.Prefill) != (role == scheduler.Prefill) {
 			continue
 		}
-		at := c.doneAt(now, s, r, role, reader)
-		if best == nil || at < done || at == done &&
-			c.queues.of(s.ID).promptTokens < c.queues.of(best.ID).promptTokens {
-			best, done = s, at
+		done := c.doneAt(now, server, request, role, prefillServer)
+		if best == nil || done < bestDone || done == bestDone &&
+			c.queues.of(server.ID).promptTokens < c.queues.of(best.ID).promptTokens {
+			best, bestDone = server, done
 		}
 	}
 	if best == nil {
 		return nil
 	}
 	queue := c.queues.of(best.ID)
-	queue.freeAt = done
-	queue.promptTokens += r.PromptTokens
-	for _, name := range prefixNames(r) {
-		queue.cached[name] = true
+	queue.freeAt = bestDone
+	queue.promptTokens += request.PromptTokens
+	for _, path := range segmentPaths(request) {
+		queue.cached[path] = true
 	}
 	return &scheduler.Call{Server: best, Role: role}
 }
 
-// doneAt is when a server will have read a request, or made its first token.
-func (c *clairvoyant) doneAt(now time.Duration, s *catalog.Server, r *scheduler.Request, role scheduler.Role,
-	reader *catalog.Server) time.Duration {
-	queue := c.queues.of(s.ID)
+// doneAt returns when a server would have the prefill of a request, or its first token.
+func (c *clairvoyant) doneAt(
+	now time.Duration, server *catalog.Server, request *scheduler.Request, role scheduler.Role,
+	prefillServer *catalog.Server,
+) time.Duration {
+	queue := c.queues.of(server.ID)
 	start := max(now, queue.freeAt)
 	if role == scheduler.Decode {
-		ms := float64(r.PromptTokens) * c.engine.TokenBytes * 8 / (c.engine.LinkMegabits * 1000)
-		if s.Zone != reader.Zone {
+		ms := c.engine.transferMs(request.PromptTokens)
+		if server.Zone != prefillServer.Zone {
 			ms *= crossZoneFactor
 		}
 		return start + milliseconds(ms)
 	}
 	tokens, cached := 0, 0
-	for i, name := range prefixNames(r) {
-		if tokens += r.Segments[i].Tokens; queue.cached[name] {
+	for i, path := range segmentPaths(request) {
+		if tokens += request.Segments[i].Tokens; queue.cached[path] {
 			cached = tokens
 		}
 	}
-	uncached, pace := float64(tokens-cached), 1.0
+	uncached, factor := float64(tokens-cached), 1.0
 	if role == scheduler.Serve {
-		pace = decodePrefillFactor
+		factor = decodePrefillFactor
 	}
 	pairs := uncached*float64(cached) + uncached*uncached/2
-	return start + milliseconds(pace*(uncached/c.engine.PrefillTokensPerMs+pairs/1e6*c.engine.MsPerMillionPairs))
+	return start + milliseconds(factor*c.engine.prefillMs(uncached, pairs))
 }
 
-// prefixNames returns the names of a prompt's parts, each with all before it.
-func prefixNames(r *scheduler.Request) []string {
-	names, name := make([]string, len(r.Segments)), ""
-	for i, part := range r.Segments {
-		name += "/" + part.ID
-		names[i] = name
+// segmentPaths returns the path of each segment of a prompt: its id after those of all before it.
+func segmentPaths(request *scheduler.Request) []string {
+	paths, path := make([]string, len(request.Segments)), ""
+	for i, segment := range request.Segments {
+		path += "/" + segment.ID
+		paths[i] = path
 	}
-	return names
+	return paths
 }
 
-// ObserveLoad is of no use here.
+// ObserveLoad implements Policy; it does nothing.
 func (c *clairvoyant) ObserveLoad(time.Duration, string, scheduler.Load) {}
 
-// FirstEvent is of no use here.
+// FirstEvent implements Policy; it does nothing.
 func (c *clairvoyant) FirstEvent(time.Duration, *scheduler.Call) {}
 
-// Done is of no use here.
+// Done implements Policy; it does nothing.
 func (c *clairvoyant) Done(time.Duration, *scheduler.Call, scheduler.Outcome) {}
--- a/internal/simulation/routersim/clock.go
+++ b/internal/simulation/routersim/clock.go
@@ -1,7 +1,3 @@
-// Package routersim plays the way of model requests through a fleet in virtual time: proxies that decide
-// each on its own, servers that read prompts and servers that make tokens. The real decisions (package
-// pairing) and rival policies play the same requests. It has no input, output, clock or goroutine: the same
-// scenario and seed give the same result everywhere.
 package routersim
 
 import (
@@ -9,13 +5,14 @@
 	"time"
 )
 
-// event is something that happens at a time; events of one time happen in the order of their making.
+// event runs at a time; events of the same time run in the order in which they were scheduled.
 type event struct {
 	at     time.Duration
 	number int
 	run    func()
 }
 
+// events is a heap.Interface.
 type events []event
 
 func (e events) Len() int      { return len(e) }
@@ -33,19 +30,20 @@
 	return x
 }
 
-// clock is virtual time and what will happen in it.
+// clock is virtual time, with the events scheduled in it.
 type clock struct {
 	now    time.Duration
 	number int
 	queue  events
 }
 
-func (c *clock) after(d time.Duration, run func()) {
+// after schedules an event; a negative delay counts as 0.
+func (c *clock) after(delay time.Duration, run func()) {
 	c.number++
-	heap.Push(&c.queue, event{c.now + max(d, 0), c.number, run})
+	heap.Push(&c.queue, event{c.now + max(delay, 0), c.number, run})
 }
 
-// play runs events until none is left or the time is over.
+// play runs all events up to a time, those scheduled meanwhile included.
 func (c *clock) play(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		next := heap.Pop(&c.queue).(event)
--- /dev/null
+++ b/internal/simulation/routersim/doc.go
@@ -0,0 +1,9 @@
+// Package routersim plays model requests through a router fleet in virtual time: proxies that each decide
+// with a policy of their own, prefill servers and decode servers with prefix caches, continuous batching and
+// chunked prefill. The real decisions (package scheduler), baseline policies and a clairvoyant bound play the
+// same requests, so that their results can be compared.
+//
+// Run plays one Scenario with one policy. It is pure and single-threaded: it has no input, output, clock or
+// goroutine, all events run in the order of the virtual clock, and the same scenario and seed give the same
+// result everywhere. Several runs may go on at once.
+package routersim
--- a/internal/simulation/routersim/fleet.go
+++ b/internal/simulation/routersim/fleet.go
@@ -12,23 +12,22 @@
 )
 
 const (
-	slowLinkFactor   = 10.0
-	slowEngineFactor = 4.0
-	sameZoneLatency  = 100 * time.Microsecond
+	sameZoneLatency  = 100 * time.Microsecond // one way
 	crossZoneLatency = 500 * time.Microsecond
+	drainTime        = 10 * time.Second // after the last arrival, for answers to end
 )
 
-// fleet is a run.
+// fleet is the state of a run.
 type fleet struct {
 	clock        clock
 	scenario     *Scenario
 	service      *fleetconfig.Service
-	random       *rand.Rand
-	servers      map[string]*server
+	random       *rand.Rand         // of servers and faults; arrivals have generators of their own
+	servers      map[string]*server // by id, dead ones included
 	proxies      []*proxy
 	counts       Counts
 	tableVersion uint64
-	queues       serverQueues // for the clairvoyant
+	queues       serverQueues // shared by clairvoyant policies
 }
 
 // Run plays a scenario with a policy.
@@ -44,10 +43,11 @@
 	}
 	f.start(policy)
 	f.schedule()
-	f.clock.play(scenario.Length + 10*time.Second)
+	f.clock.play(scenario.Length + drainTime)
 	return Result{policy.Name, f.counts}
 }
 
+// start adds the servers and proxies.
 func (f *fleet) start(policy PolicyFactory) {
 	for i := range f.scenario.PrefillServers {
 		f.addServer(catalog.Prefill, i, 0)
@@ -58,25 +58,25 @@
 	for i := range f.scenario.Proxies {
 		zone := zoneName(i % f.scenario.Zones)
 		p := &proxy{fleet: f, zone: zone, policy: policy.New(zone, f.scenario.Seed*1000+uint64(i))}
-		if all, ok := p.policy.(*clairvoyant); ok {
-			all.queues = f.queues
+		if bound, ok := p.policy.(*clairvoyant); ok {
+			bound.queues = f.queues
 		}
 		f.proxies = append(f.proxies, p)
 	}
 	f.publishTable()
 	if f.scenario.PeerLoadDelay > 0 {
-		f.startSharing()
+		f.startPeerExchange()
 	}
 }
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-func (f *fleet) addServer(stage catalog.Role, number, incarnation int) {
+func (f *fleet) addServer(role catalog.Role, number, incarnation int) {
 	s := &server{
 		Server: &catalog.Server{
-			ID: fmt.Sprintf("%s-%d-%d", stage, number, incarnation), Service: f.service.Name,
+			ID: fmt.Sprintf("%s-%d-%d", role, number, incarnation), Service: f.service.Name,
 			Slots: f.scenario.Engine.Slots, Zone: zoneName(number % f.scenario.Zones), State: catalog.Ready,
-			Role: stage,
+			Role: role,
 		},
 		clock: &f.clock, engine: &f.scenario.Engine, cache: newPrefixCache(f.scenario.Engine.CacheTokens),
 		speed: 1 + f.scenario.SpeedSpread*(2*f.random.Float64()-1), transferFactor: 1, counts: &f.counts,
@@ -84,7 +84,7 @@
 	f.servers[s.ID] = s
 }
 
-// live returns the servers that live, by their ids.
+// live returns the servers that are not dead, sorted by id.
 func (f *fleet) live() []*server {
 	var live []*server
 	for _, s := range f.servers {
@@ -96,7 +96,7 @@
 	return live
 }
 
-// list tells all proxies which servers live.
+// publishTable gives all proxies the table of the live servers.
 func (f *fleet) publishTable() {
 	var listed []*catalog.Server
 	for _, s := range f.live() {
@@ -109,42 +109,16 @@
 	}
 }
 
-// plan makes the arrivals and faults of the scenario.
+// schedule schedules the arrivals and faults of the scenario.
 func (f *fleet) schedule() {
 	for i := range f.scenario.Kinds {
-		f.planArrivals(i, rand.New(rand.NewPCG(f.scenario.Seed, uint64(100+i))))
+		f.scheduleArrivals(i, rand.New(rand.NewPCG(f.scenario.Seed, uint64(100+i))))
 	}
 	for _, fault := range f.scenario.Faults {
 		f.clock.after(fault.At, func() { f.inject(fault) })
 	}
 }
 
-// fail lets a fault happen to a share of the servers, drawn at random.
-func (f *fleet) inject(fault Fault) {
-	live := f.live()
-	f.random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	for i, s := range live[:int(fault.Fraction*float64(len(live))+0.5)] {
-		f.applyFault(s, fault, i)
-	}
-}
-
-func (f *fleet) applyFault(s *server, fault Fault, number int) {
-	lasting := fault.Until - fault.At
-	switch fault.Kind {
-	case SlowLink:
-		s.transferFactor = slowLinkFactor
-		f.clock.after(lasting, func() { s.transferFactor = 1 })
-	case Slow:
-		s.speed /= slowEngineFactor
-		f.clock.after(lasting, func() { s.speed *= slowEngineFactor })
-	case Crash:
-		s.crash()
-		f.clock.after(f.scenario.ListingDelay, f.publishTable)
-		f.clock.after(lasting, func() { f.addServer(s.Role, number, int(f.tableVersion)+1) })
-		f.clock.after(lasting+f.scenario.ListingDelay, f.publishTable)
-	}
-}
-
 func (f *fleet) networkDelay(zone string, s *server) time.Duration {
 	if s.Zone == zone {
 		return sameZoneLatency
--- a/internal/simulation/routersim/proxy.go
+++ b/internal/simulation/routersim/proxy.go
@@ -7,7 +7,10 @@
 	"cresshub/internal/router/scheduler"
 )
 
-const maxAttempts = 2 // servers that a request may be sent to, for each of its roles
+const (
+	maxAttempts       = 2   // servers that a request may be sent to, for each of its roles
+	lateValueFraction = 0.3 // of a request's value that an answer earns after the latency target
+)
 
 // proxy takes requests and decides with a policy of its own.
 type proxy struct {
@@ -16,39 +19,17 @@
 	policy Policy
 }
 
-// visit is a request at a proxy.
-type exchange struct {
-	proxy     *proxy
-	kind      *Kind
-	request   *scheduler.Request
-	arrivedAt time.Duration
-	attempts  int
-	finished  bool
-	call      *scheduler.Call
-	job       *job
-}
-
-func (p *proxy) receive(kind *Kind, r *scheduler.Request) {
+// receive takes a request from a client.
+func (p *proxy) receive(kind *Kind, request *scheduler.Request) {
 	f := p.fleet
 	f.counts.Requests++
 	f.counts.OfferedValue += kind.Value
-	v := &exchange{proxy: p, kind: kind, request: r, arrivedAt: f.clock.now}
-	f.clock.after(kind.Deadline, v.abandon)
-	v.route()
+	x := &exchange{proxy: p, kind: kind, request: request, arrivedAt: f.clock.now}
+	f.clock.after(kind.Deadline, x.abandon)
+	x.route()
 }
 
-// route sends the request on its way, whole or split.
-func (v *exchange) route() {
-	v.proxy.observeAllLoads()
-	if v.proxy.policy.Split(v.proxy.fleet.clock.now, v.request) {
-		v.send(scheduler.Prefill, nil)
-		return
-	}
-	v.proxy.fleet.counts.Direct++
-	v.send(scheduler.Serve, nil)
-}
-
-// refresh tells the policy all loads, in the scenarios that ask for it.
+// observeAllLoads reports the load of each server to the policy, in scenarios with AllLoadsKnown.
 func (p *proxy) observeAllLoads() {
 	if !p.fleet.scenario.AllLoadsKnown {
 		return
@@ -58,153 +39,157 @@
 	}
 }
 
-// exchange lets the other proxies hear a load that was told here.
-func (p *proxy) shareLoad(server string, load scheduler.Load) {
-	f := p.fleet
-	if f.scenario.LoadExchangeDelay == 0 {
-		return
-	}
-	at := f.clock.now
-	f.clock.after(f.scenario.LoadExchangeDelay, func() {
-		for _, other := range f.proxies {
-			if hearer, ok := other.policy.(loadObserver); ok && other != p {
-				hearer.ObserveLoadAt(at, server, load)
-			}
-		}
-	})
+// exchange is a request at a proxy, until its answer is complete.
+type exchange struct {
+	proxy     *proxy
+	kind      *Kind
+	request   *scheduler.Request
+	arrivedAt time.Duration
+	attempts  int
+	call      *scheduler.Call // the newest one
+	job       *job            // of that call, once it has arrived
+	answered  bool            // the first token has come, and the request is counted
+	finished  bool
 }
 
-// hearer is a policy that takes in what other proxies were told.
-type loadObserver interface {
-	ObserveLoadAt(at time.Duration, server string, load scheduler.Load)
+// route sends the request to one server, or split to two.
+func (x *exchange) route() {
+	x.proxy.observeAllLoads()
+	if x.proxy.policy.Split(x.proxy.fleet.clock.now, x.request) {
+		x.send(scheduler.Prefill, nil)
+		return
+	}
+	x.proxy.fleet.counts.Direct++
+	x.send(scheduler.Serve, nil)
 }
 
-// send makes one call.
-func (v *exchange) send(role scheduler.Role, reader *server) {
-	f := v.proxy.fleet
-	v.proxy.observeAllLoads()
-	var prefillServer *catalog.Server
-	if reader != nil {
-		prefillServer = reader.Server
+// send makes one call; a decode call fetches from prefillServer.
+func (x *exchange) send(role scheduler.Role, prefillServer *server) {
+	f := x.proxy.fleet
+	x.proxy.observeAllLoads()
+	var listed *catalog.Server
+	if prefillServer != nil {
+		listed = prefillServer.Server
 	}
-	call := v.proxy.policy.Choose(f.clock.now, v.request, role, prefillServer)
+	call := x.proxy.policy.Choose(f.clock.now, x.request, role, listed)
 	if call == nil {
-		v.fail()
+		x.fail()
 		return
 	}
-	v.call = call
+	x.call = call
 	to := f.servers[call.Server.ID]
-	f.clock.after(f.networkDelay(v.proxy.zone, to), func() { v.arrive(call, to, reader) })
+	f.clock.after(f.networkDelay(x.proxy.zone, to), func() { x.arrive(call, to, prefillServer) })
 }
 
 // arrive begins the call's job at its server.
-func (v *exchange) arrive(call *scheduler.Call, to, reader *server) {
-	if to.dead {
-		v.respond(to, func() { v.retry(call, scheduler.Unreachable) })
+func (x *exchange) arrive(call *scheduler.Call, at, prefillServer *server) {
+	if at.dead {
+		x.respond(at, func() { x.retry(call, scheduler.Unreachable) })
 		return
 	}
-	j := &job{role: call.Role, request: v.request, outputLeft: v.request.OutputTokens, urgency: v.urgency(call)}
-	v.job = j
+	j := &job{role: call.Role, request: x.request, outputLeft: x.request.OutputTokens, urgency: x.urgency(call)}
+	x.job = j
 	ended := false
 	j.onFirstToken = func() {
-		load := to.load(call.Role)
+		load := at.load(call.Role)
 		ended = call.Role == scheduler.Prefill
-		v.respond(to, func() { v.firstToken(call, to, load) })
+		x.respond(at, func() { x.firstToken(call, at, load) })
 	}
 	j.onLastToken = func() {
 		ended = true
-		v.respond(to, func() { v.lastToken(call) })
+		x.respond(at, func() { x.lastToken(call) })
 	}
-	to.onCrash = append(to.onCrash, func() {
+	at.onCrash = append(at.onCrash, func() {
 		if !ended {
-			v.respond(to, func() { v.retry(call, scheduler.Broken) })
+			x.respond(at, func() { x.retry(call, scheduler.Broken) })
 		}
 	})
 	if call.Role != scheduler.Decode {
-		to.enqueue(j)
-	} else if reader.dead || !to.fetchPrefix(j, reader) {
+		at.enqueue(j)
+	} else if prefillServer.dead || !at.fetchPrefix(j, prefillServer) {
 		ended = true
-		v.respond(to, func() { v.retry(call, scheduler.HandleFailed) })
+		x.respond(at, func() { x.retry(call, scheduler.HandleFailed) })
 	}
 }
 
-// urgency is that of a call: the route's, and less for each thousand tokens to be read.
-func (v *exchange) urgency(call *scheduler.Call) int {
-	const tokensPerStep, last = 1000, 9
+// urgency returns the urgency of a call: that of its kind, and one step less urgent for each thousand tokens
+// to prefill.
+func (x *exchange) urgency(call *scheduler.Call) int {
+	const tokensPerStep, leastUrgent = 1000, 9
 	tokens, _ := call.Expected()
-	return min(v.kind.Urgency+tokens/tokensPerStep, last)
+	return min(x.kind.Urgency+tokens/tokensPerStep, leastUrgent)
 }
 
-func (v *exchange) respond(from *server, run func()) {
-	v.proxy.fleet.clock.after(v.proxy.fleet.networkDelay(v.proxy.zone, from), run)
+// respond runs a function when an answer of a server has reached the proxy.
+func (x *exchange) respond(from *server, run func()) {
+	f := x.proxy.fleet
+	f.clock.after(f.networkDelay(x.proxy.zone, from), run)
 }
 
-// first is the first sign of an answer: a token, or the end of a read.
-func (v *exchange) firstToken(call *scheduler.Call, from *server, load scheduler.Load) {
-	if v.finished || v.call != call {
+// firstToken takes the first sign of an answer: a token, or the end of a prefill.
+func (x *exchange) firstToken(call *scheduler.Call, from *server, load scheduler.Load) {
+	if x.finished || x.call != call {
 		return
 	}
-	f, policy := v.proxy.fleet, v.proxy.policy
+	f, policy := x.proxy.fleet, x.proxy.policy
 	policy.ObserveLoad(f.clock.now, call.Server.ID, load)
-	v.proxy.shareLoad(call.Server.ID, load)
+	x.proxy.reportToPeers(call.Server.ID, load)
 	policy.FirstEvent(f.clock.now, call)
 	if call.Role == scheduler.Prefill {
 		policy.Done(f.clock.now, call, scheduler.Served)
-		v.send(scheduler.Decode, from)
+		x.send(scheduler.Decode, from)
 		return
 	}
-	took := f.clock.now - v.arrivedAt
+	x.answered = true
+	took := f.clock.now - x.arrivedAt
 	f.counts.firstTokenTimes = append(f.counts.firstTokenTimes, took)
 	f.counts.Served++
-	if took <= v.kind.LatencyTarget {
+	if took <= x.kind.LatencyTarget {
 		f.counts.InTime++
-		f.counts.EarnedValue += v.kind.Value
+		f.counts.EarnedValue += x.kind.Value
 	} else {
-		f.counts.EarnedValue += lateValueFraction * v.kind.Value
+		f.counts.EarnedValue += lateValueFraction * x.kind.Value
 	}
-	v.kind = &Kind{Value: v.kind.Value} // it is counted
 }
 
-const lateValueFraction = 0.3
-
-func (v *exchange) lastToken(call *scheduler.Call) {
-	if v.finished || v.call != call {
+func (x *exchange) lastToken(call *scheduler.Call) {
+	if x.finished || x.call != call {
 		return
 	}
-	v.finished = true
-	v.proxy.policy.Done(v.proxy.fleet.clock.now, call, scheduler.Served)
+	x.finished = true
+	x.proxy.policy.Done(x.proxy.fleet.clock.now, call, scheduler.Served)
 }
 
-// retry ends a call that failed and sends the request anew.
-func (v *exchange) retry(call *scheduler.Call, outcome scheduler.Outcome) {
-	if v.finished || v.call != call {
+// retry ends a call that failed and routes the request anew, unless the client has got a part of the answer.
+func (x *exchange) retry(call *scheduler.Call, outcome scheduler.Outcome) {
+	if x.finished || x.call != call {
 		return
 	}
-	v.proxy.policy.Done(v.proxy.fleet.clock.now, call, outcome)
-	v.attempts++
-	if v.kind.Name == "" || v.attempts >= maxAttempts { // a stream that had begun is not begun again
-		v.fail()
+	x.proxy.policy.Done(x.proxy.fleet.clock.now, call, outcome)
+	x.attempts++
+	if x.answered || x.attempts >= maxAttempts {
+		x.fail()
 		return
 	}
-	v.request.Excluded = append(v.request.Excluded, call.Server.ID)
-	v.route()
+	x.request.Excluded = append(x.request.Excluded, call.Server.ID)
+	x.route()
 }
 
-func (v *exchange) fail() {
-	v.finished = true
-	if v.kind.Name != "" {
-		v.proxy.fleet.counts.Failed++
+func (x *exchange) fail() {
+	x.finished = true
+	if !x.answered {
+		x.proxy.fleet.counts.Failed++
 	}
 }
 
 // abandon is the client leaving at its deadline, where nothing has come.
-func (v *exchange) abandon() {
-	if v.finished || v.kind.Name == "" {
+func (x *exchange) abandon() {
+	if x.finished || x.answered {
 		return
 	}
-	v.proxy.policy.Done(v.proxy.fleet.clock.now, v.call, scheduler.Abandoned)
-	if v.job != nil {
-		v.job.abandoned = true
+	x.proxy.policy.Done(x.proxy.fleet.clock.now, x.call, scheduler.Abandoned)
+	if x.job != nil {
+		x.job.abandoned = true
 	}
-	v.fail()
+	x.fail()
 }
--- a/internal/simulation/routersim/result.go
+++ b/internal/simulation/routersim/result.go
@@ -7,12 +7,22 @@
 
 // Counts is what a run counts.
 type Counts struct {
-	Requests, InTime, Served, Failed      int
-	OfferedValue, EarnedValue             float64 // worth
-	SharedTokens, SharedPrefilled         int     // of prompts; of those, read though shared
-	Transfers, CrossZoneTransfers, Direct int
+	Requests int
+	Served   int // with a first token
+	InTime   int // of them, within the latency target
+	Failed   int
+	Direct   int // sent to one server, unsplit
 
-	firstTokenTimes []time.Duration // times of the first token
+	OfferedValue float64 // of all requests
+	EarnedValue  float64
+
+	SharedTokens    int // of prompts
+	SharedPrefilled int // of them, not taken from a prefix cache
+
+	Transfers          int
+	CrossZoneTransfers int // of them
+
+	firstTokenTimes []time.Duration // since the request arrived
 }
 
 // Result is the counts of a policy in a scenario.
@@ -21,15 +31,15 @@
 	Counts
 }
 
-// EarnedFraction is the part of the worth earned.
+// EarnedFraction returns the earned fraction of the offered value.
 func (r *Result) EarnedFraction() float64 { return r.EarnedValue / max(r.OfferedValue, 1) }
 
-// RecomputedFraction is the part of shared tokens that was read.
-func (r *Result) RecomputedFraction() float64 {
+// PrefilledFraction returns the fraction of shared tokens that no prefix cache held.
+func (r *Result) PrefilledFraction() float64 {
 	return float64(r.SharedPrefilled) / max(float64(r.SharedTokens), 1)
 }
 
-// FirstTokenTime returns a quantile of the times of the first token.
+// FirstTokenTime returns a quantile of the times to the first token.
 func (r *Result) FirstTokenTime(quantile float64) time.Duration {
 	if len(r.firstTokenTimes) == 0 {
 		return 0
@@ -38,21 +48,21 @@
 	return r.firstTokenTimes[int(quantile*float64(len(r.firstTokenTimes)-1))]
 }
 
+// Fraction returns a count as a fraction of the requests.
+func (r *Result) Fraction(count int) float64 { return float64(count) / max(float64(r.Requests), 1) }
+
 // Merge adds the counts of another run.
 func (r *Result) Merge(other Result) {
 	r.Requests += other.Requests
-	r.InTime += other.InTime
 	r.Served += other.Served
+	r.InTime += other.InTime
 	r.Failed += other.Failed
+	r.Direct += other.Direct
 	r.OfferedValue += other.OfferedValue
 	r.EarnedValue += other.EarnedValue
 	r.SharedTokens += other.SharedTokens
 	r.SharedPrefilled += other.SharedPrefilled
 	r.Transfers += other.Transfers
 	r.CrossZoneTransfers += other.CrossZoneTransfers
-	r.Direct += other.Direct
 	r.firstTokenTimes = append(r.firstTokenTimes, other.firstTokenTimes...)
 }
-
-// Of returns a count as a part of the requests.
-func (r *Result) Fraction(count int) float64 { return float64(count) / max(float64(r.Requests), 1) }
--- a/internal/simulation/routersim/scenario.go
+++ b/internal/simulation/routersim/scenario.go
@@ -2,177 +2,53 @@
 
 import "time"
 
-// Kind is a kind of request.
-type Kind struct {
-	Name          string
-	PerSecond     float64 // over all proxies
-	Shared        []Shared
-	Own           float64 // tokens of the request's own part, on average
-	MaxOwn        float64 // tokens that it has at most, 0 for no bound
-	Urgency       int     // of its route, 0 first
-	Spread        float64 // of sizes: the sigma of a log-normal distribution
-	Output        float64 // tokens on average
-	LatencyTarget time.Duration
-	Deadline      time.Duration
-	Value         float64
-}
-
-// PeerLoadDelay is a part of a prompt that requests for the same thing have in common.
-type Shared struct {
-	Things int
-	Tokens float64 // on average
-	Spread float64
-	Max    float64 // tokens that it has at most, 0 for no bound
-}
-
-// Fault is something that happens to a share of the servers of a stage.
-type Fault struct {
-	At, Until time.Duration
-	Fraction  float64
-	Kind      FaultKind
-}
-
-// FaultKind is what happens.
-type FaultKind int
-
-// The kinds of faults.
-const (
-	Crash    FaultKind = iota // the server ends; another incarnation takes its place at Until
-	SlowLink                  // moves take slowLinkFactor as long
-	Slow                      // the engine takes slowEngineFactor as long
-)
-
-// Scenario is a fleet and what it is asked for.
+// Scenario is a fleet and the load on it.
 type Scenario struct {
-	Name                          string
-	Seed                          uint64
-	Length                        time.Duration
-	Zones, Proxies                int
-	PrefillServers, DecodeServers int
-	Engine                        Engine
-	SpeedSpread                   float64 // servers run at 1 ± this
-	Kinds                         []Kind
-	RateFactor                    float64 // times the rates of the kinds
-	Faults                        []Fault
-	ListingDelay                  time.Duration // until a crash or a start shows in the proxies' tables
-	LoadExchangeDelay             time.Duration // until proxies hear what the others were told; 0 for never
-	AllLoadsKnown                 bool          // proxies are told all loads before each decision: a bound
-	// PeerLoadDelay is until proxies hear what the others have under way, and what was sent where first; 0 for
-	// never.
+	Name   string
+	Seed   uint64
+	Length time.Duration // in which requests arrive
+
+	Zones          int
+	Proxies        int
+	PrefillServers int
+	DecodeServers  int
+	Engine         Engine
+	SpeedSpread    float64 // servers run at a speed of 1 ± this
+
+	Kinds      []Kind
+	RateFactor float64 // on the rates of the kinds
+	Faults     []Fault
+
+	// ListingDelay is how long a crash or a start takes to show in the proxies' tables.
+	ListingDelay time.Duration
+	// LoadExchangeDelay is how long the loads that servers report to a proxy take to the others; 0 for never.
+	LoadExchangeDelay time.Duration
+	// PeerLoadDelay is how long reports of what a proxy has in flight, and of prefixes that it sent to servers,
+	// take to the others; 0 for never.
 	PeerLoadDelay time.Duration
+	// AllLoadsKnown lets proxies know all loads at each decision, as a bound of what knowing more could bring.
+	AllLoadsKnown bool
 }
 
-// ModelEngine is an engine of a usual size.
-func ModelEngine() Engine {
-	return Engine{
-		Slots: 64, StepMs: 5, StepSlotMs: 0.15, PrefillTokensPerMs: 40, SetupMs: 8, PrefillChunk: 1024,
-		CacheTokens: 400_000, TokenBytes: 20_000, LinkMegabits: 150_000,
-	}
-}
-
-// Drafts are three kinds of requests: with long, middling and short prompts.
-func Drafts() []Kind {
-	const prompts, answers = 0.9, 0.8
-	return []Kind{
-		{
-			Name: "long", PerSecond: 9, Shared: []Shared{{Things: 70, Tokens: 13000, Spread: 0.6}}, Own: 3700,
-			Spread: prompts, Output: 15,
-			LatencyTarget: 800 * time.Millisecond, Deadline: 6 * time.Second, Value: 2,
-		}, {
-			Name: "middling", PerSecond: 6.5, Shared: []Shared{
-				{Things: 4, Tokens: 2500, Spread: 0.4}, {Things: 100, Tokens: 3800, Spread: 0.6}}, Own: 2900,
-			Spread: prompts, Output: 7, LatencyTarget: 600 * time.Millisecond, Deadline: 4 * time.Second, Value: 3,
-		}, {
-			Name: "short", PerSecond: 10, Shared: []Shared{
-				{Things: 8, Tokens: 200, Spread: 0.4}, {Things: 80, Tokens: 150, Spread: 0.6}}, Own: 1100,
-			Spread: answers, Output: 20, LatencyTarget: 500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1,
-		},
-	}
-}
-
-// Galleries is a fleet whose prompts are long beside its answers, and of which a third are read for the first
-// time: most late answers are late by their own length.
-func Galleries(seed uint64) Scenario {
-	engine := Engine{
-		Slots: 64, StepMs: 3.09, StepSlotMs: 0.0165, PrefillTokensPerMs: 61.8, MsPerMillionPairs: 0.367,
-		SetupMs: 3.7, PrefillChunk: 2048,
-		CacheTokens: 390_191, TokenBytes: 163_840, LinkMegabits: 1_800_000,
-	}
-	kinds := []Kind{
-		{
-			Name: "album", PerSecond: 22.5, Shared: []Shared{{Things: 285, Tokens: 13300, Spread: 0.7, Max: 39900}},
-			Own: 3720, MaxOwn: 53200, Spread: 1.1, Output: 8, Urgency: 1,
-			LatencyTarget: 600 * time.Millisecond, Deadline: 5 * time.Second, Value: 2,
-		}, {
-			Name: "tag", PerSecond: 17.5, Shared: []Shared{
-				{Things: 4, Tokens: 2520, Spread: 0.4, Max: 6290}, {Things: 98, Tokens: 3780, Spread: 0.7, Max: 11300}},
-			Own: 2890, MaxOwn: 39600, Spread: 1, Output: 3,
-			LatencyTarget: 500 * time.Millisecond, Deadline: 3 * time.Second, Value: 3,
-		}, {
-			Name: "label", PerSecond: 40.5, Shared: []Shared{
-				{Things: 15, Tokens: 210, Spread: 0.4, Max: 524}, {Things: 229, Tokens: 140, Spread: 0.7, Max: 419}},
-			Own: 1110, MaxOwn: 3790, Spread: 1, Output: 12, Urgency: 2,
-			LatencyTarget: 300 * time.Millisecond, Deadline: 5 * time.Second, Value: 1,
-		},
-	}
-	return Scenario{
-		Name: "galleries", Seed: seed, Length: 34 * time.Second, Zones: 3, Proxies: 23, PrefillServers: 20,
-		DecodeServers: 9,
-		Engine:        engine, Kinds: kinds, RateFactor: 1, ListingDelay: 1500 * time.Millisecond,
-		PeerLoadDelay: 60 * time.Millisecond,
-	}
-}
-
-// Calm is a small fleet on a usual day.
-func Calm(seed uint64) Scenario {
-	return Scenario{
-		Name: "calm", Seed: seed, Length: 40 * time.Second, Zones: 3, Proxies: 10, PrefillServers: 7,
-		DecodeServers: 11,
-		Engine:        ModelEngine(), SpeedSpread: 0.1, Kinds: Drafts(), RateFactor: 1,
-		ListingDelay: 1500 * time.Millisecond,
-	}
-}
-
-// Busy is the same fleet with its readers busy for two thirds of the time, where nothing is read twice.
-func Busy(seed uint64) Scenario {
-	s := Calm(seed)
-	s.Name, s.RateFactor = "busy", 1.6
-	return s
-}
-
-// Loaded is the same fleet with its readers at their limit.
-func Loaded(seed uint64) Scenario {
-	s := Calm(seed)
-	s.Name, s.RateFactor = "loaded", 2.2
-	return s
-}
-
-// Variants are other days and other engines.
-func Variants() []func(seed uint64) Scenario {
-	vary := func(name string, change func(s *Scenario)) func(uint64) Scenario {
-		return func(seed uint64) Scenario {
-			s := Calm(seed)
-			s.Name = name
-			change(&s)
-			return s
-		}
-	}
-	during := func(kind FaultKind, share float64) []Fault {
-		return []Fault{{At: 10 * time.Second, Until: 25 * time.Second, Fraction: share, Kind: kind}}
-	}
-	return []func(seed uint64) Scenario{
-		vary("few things, asked often", func(s *Scenario) { s.Kinds[0].Shared[0].Things, s.RateFactor = 4, 1.5 }),
-		vary("a fifth slow", func(s *Scenario) { s.Faults = during(Slow, 0.2) }),
-		vary("a third with slow links", func(s *Scenario) { s.Faults = during(SlowLink, 0.3) }),
-		vary("a fifth crash", func(s *Scenario) { s.Faults = during(Crash, 0.2) }),
-		vary("quick readers", func(s *Scenario) { s.Engine.PrefillTokensPerMs, s.RateFactor = 120, 3 }),
-		vary("slow engines", func(s *Scenario) {
-			s.Engine.PrefillTokensPerMs, s.Engine.StepMs, s.RateFactor = 12,
-				20, 0.3
-		}),
-		vary("140 servers", func(s *Scenario) {
-			s.PrefillServers, s.DecodeServers, s.Proxies, s.RateFactor = 56,
-				84, 40, 8
-		}),
-	}
+// Kind is a kind of request.
+type Kind struct {
+	Name          string
+	PerSecond     float64         // over all proxies
+	Shared        []SharedSegment // in their order in the prompt
+	Own           float64         // mean tokens of the request's own segment, the last one
+	MaxOwn        float64         // 0 for no limit
+	Output        float64         // mean tokens
+	Spread        float64         // of Own and Output: the sigma of a log-normal distribution
+	Urgency       int             // of its route, 0 first
+	LatencyTarget time.Duration   // to the first token
+	Deadline      time.Duration   // to the first token, at which the client leaves
+	Value         float64         // of an answer within the latency target
+}
+
+// SharedSegment is a segment of prompts that requests for the same thing have in common.
+type SharedSegment struct {
+	Things int
+	Tokens float64 // mean
+	Spread float64 // the sigma of a log-normal distribution
+	Max    float64 // tokens, 0 for no limit
 }
