--- a/internal/simulation/routersim/doc.go
+++ b/internal/simulation/routersim/doc.go
@@ -5,5 +5,6 @@
 //
 // Run plays one Scenario with one policy. It is pure and single-threaded: it has no input, output, clock or
 // goroutine, all events run in the order of the virtual clock, and the same scenario and seed give the same
-// result everywhere. Several runs may go on at once.
+// result everywhere. Several runs may go on at once. Only its own tests use it; with -v they print the tables
+// of docs/design/routing.md and docs/experiments/long-prompts.md.
 package routersim
