--- /dev/null
+++ b/internal/router/scheduler/outlier_detection_test.go
@@ -0,0 +1,169 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+)
+
+func TestEjectionAfterFailures(t *testing.T) {
+	tests := []struct {
+		name     string
+		outcomes []Outcome
+		ejection time.Duration
+	}{
+		{"served", []Outcome{Served}, 0},
+		{"abandoned by the caller", []Outcome{Abandoned, Abandoned, Abandoned}, 0},
+		{"another incarnation", []Outcome{Misdirected}, unreachableBaseEjectionTime},
+		{"no connection", []Outcome{Unreachable}, unreachableBaseEjectionTime},
+		{"timeout while another answered", []Outcome{TimedOut}, unreachableBaseEjectionTime},
+		{"one failure", []Outcome{Failed}, 0},
+		{"two failures", []Outcome{Failed, Failed}, baseEjectionTime},
+		{"two failures, a success between", []Outcome{Failed, Served, Failed}, 0},
+		{"one broken answer", []Outcome{Broken}, 0},
+		{"two broken answers", []Outcome{Broken, Broken}, baseEjectionTime},
+		{"prefix cache that could not be fetched", []Outcome{HandleFailed, HandleFailed}, 0},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			scheduler := plainScheduler(3)
+			for _, outcome := range test.outcomes {
+				call := callAt(scheduler, second, "a")
+				scheduler.Done(second+time.Millisecond, callAt(scheduler, second, "b"), Served)
+				scheduler.Done(second+2*time.Millisecond, call, outcome)
+			}
+			qt.Check(t, scheduler.servers["a"].ejectedUntil() > second, qt.Equals, test.ejection > 0)
+			if test.ejection > 0 {
+				qt.Check(t, scheduler.servers["a"].ejectedUntil(), qt.Equals, second+2*time.Millisecond+test.ejection)
+				qt.Check(t, countRequestsTo(scheduler, second+test.ejection, "a", true), qt.Equals, 0)
+			}
+		})
+	}
+}
+
+func TestTimeoutIsNoFaultWhileNoPeerAnswers(t *testing.T) {
+	scheduler := plainScheduler(3)
+	scheduler.Done(2*second, callAt(scheduler, second, "a"), TimedOut)
+	qt.Check(t, scheduler.servers["a"].ejectedUntil(), qt.Equals, time.Duration(0))
+}
+
+func TestHalfOpenServerIsProbedByOneIdempotentRequestAtATime(t *testing.T) {
+	c := qt.New(t)
+	scheduler := plainScheduler(3)
+	scheduler.Done(second, callAt(scheduler, second, "a"), Unreachable)
+	over := second + unreachableBaseEjectionTime
+	c.Check(countRequestsTo(scheduler, over-1, "a", true), qt.Equals, 0)
+	c.Check(countRequestsTo(scheduler, over, "a", false), qt.Equals, 0, qt.Commentf("it must not run twice"))
+	c.Check(countRequestsTo(scheduler, over+nonIdempotentProbeDelay+1, "a", false) > 0, qt.IsTrue,
+		qt.Commentf("no probe has been made"))
+	c.Check(countRequestsTo(scheduler, over, "a", true) > 0, qt.IsTrue)
+
+	probe := callAt(scheduler, over, "a")
+	c.Check(countRequestsTo(scheduler, over, "a", true), qt.Equals, 0, qt.Commentf("one request at a time"))
+	scheduler.Done(over+1, probe, Served)
+	c.Check(countRequestsTo(scheduler, over+1, "a", false) > 0, qt.IsTrue)
+}
+
+func TestEjectionTimeDoublesUpToItsMaximum(t *testing.T) {
+	scheduler := plainScheduler(2)
+	now := second
+	for _, want := range []time.Duration{1, 2, 4, 8, 10, 10} {
+		scheduler.Done(now, callAt(scheduler, now, "a"), Unreachable)
+		ejection := scheduler.servers["a"].ejectedUntil() - now
+		qt.Check(t, ejection, qt.Equals, want*second)
+		now += ejection
+	}
+}
+
+func TestCallsThatFailTogetherEjectOnce(t *testing.T) {
+	scheduler := plainScheduler(2)
+	var calls []*Call
+	for range 5 {
+		calls = append(calls, callAt(scheduler, second, "a"))
+	}
+	for _, call := range calls {
+		scheduler.Done(second, call, Unreachable)
+	}
+	qt.Check(t, scheduler.servers["a"].ejectedUntil(), qt.Equals, second+unreachableBaseEjectionTime)
+}
+
+func TestOfAllEjectedTheOneThatEndsFirstIsTaken(t *testing.T) {
+	c := qt.New(t)
+	scheduler := plainScheduler(3)
+	for _, id := range []string{"a", "b", "c"} {
+		scheduler.Done(second, callAt(scheduler, second, id), Unreachable)
+	}
+	for _, id := range []string{"a", "c"} {
+		scheduler.Done(2*second, callAt(scheduler, 2*second, id), Unreachable)
+	}
+	c.Check(countRequestsTo(scheduler, 2*second+1, "b", false), qt.Equals, 100)
+}
+
+func TestServerThatRejectedCountsAsFull(t *testing.T) {
+	c := qt.New(t)
+	scheduler := plainScheduler(3)
+	scheduler.Done(second, callAt(scheduler, second, "a"), Rejected)
+	c.Check(countRequestsTo(scheduler, second, "a", true), qt.Equals, 0)
+	c.Check(countRequestsTo(scheduler, second+rejectedFullTime, "a", true) > 0, qt.IsTrue)
+}
+
+func TestStuckServerIsAvoided(t *testing.T) {
+	c := qt.New(t)
+	scheduler := plainScheduler(3)
+	stuck := callAt(scheduler, second, "a")
+	c.Check(countRequestsTo(scheduler, second+minStuckTime/2, "a", true) > 0, qt.IsTrue)
+	c.Check(countRequestsTo(scheduler, second+minStuckTime+1, "a", true), qt.Equals, 0)
+	scheduler.FirstEvent(second+minStuckTime+2, stuck)
+	c.Check(countRequestsTo(scheduler, 20*second, "a", true) > 0, qt.IsTrue)
+}
+
+func TestFailedTransfersEjectThePrefillServer(t *testing.T) {
+	c := qt.New(t)
+	scheduler := warmScheduler(1, 3, 3)
+	prefillServer := scheduler.servers["r1"].Server
+	fetch := func(now time.Duration, outcome Outcome) {
+		scheduler.Done(now, scheduler.Choose(now, promptRequest("a", 1), Decode, prefillServer), outcome)
+	}
+	fetch(10*second, HandleFailed)
+	fetch(10*second, Served)
+	fetch(10*second, HandleFailed)
+	c.Check(scheduler.servers["r1"].ejectedUntil(), qt.Equals, time.Duration(0))
+	fetch(10*second, HandleFailed)
+	c.Check(scheduler.servers["r1"].ejectedUntil(), qt.Equals, 10*second+baseEjectionTime)
+	fetch(11*second, Served)
+	c.Check(scheduler.servers["r1"].available(11*second, false), qt.IsTrue)
+}
+
+func TestLatenessHasAToleranceAndDecays(t *testing.T) {
+	c := qt.New(t)
+	var l lateness
+	l.add(second, 30, 100)
+	c.Check(l.now(second), qt.Equals, 0.0, qt.Commentf("within the tolerance"))
+	l.add(second, 250, 100)
+	c.Check(l.now(second), isNear, lateGain*200, 1e-9)
+	c.Check(l.now(second+lateDecay), isNear, lateGain*200/2.718281828, 1e-6)
+}
+
+func TestLateDecodeServersGetLess(t *testing.T) {
+	scheduler := warmScheduler(1, 3, 6)
+	now := 10 * second
+	prefillServer := scheduler.servers["r0"].Server
+	slow := ""
+	seen := map[string]int{}
+	for range 300 {
+		now += 20 * time.Millisecond
+		call := scheduler.Choose(now, promptRequest("a", 1), Decode, prefillServer)
+		if slow == "" {
+			slow = call.Server.ID
+		}
+		seen[call.Server.ID]++
+		first := now + 30*time.Millisecond
+		if call.Server.ID == slow {
+			first = now + 900*time.Millisecond
+		}
+		scheduler.FirstEvent(first, call)
+		scheduler.Done(first, call, Served)
+	}
+	qt.Check(t, seen[slow] < 60, qt.IsTrue, qt.Commentf("%s: %v", slow, seen))
+}
