--- a/internal/router/agent/saved_directory_test.go
+++ b/internal/router/agent/saved_files_test.go
@@ -14,15 +14,15 @@
 func TestSavedServersAreReadAsWritten(t *testing.T) {
 	saved := savedFiles{segmentlog.OSFS{}, t.TempDir()}
 	records := []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 3, State: directory.Ready,
-		Service: "s", Address: "10.0.0.1:80", Stage: "reading"}}
+		Service: "s", Address: "10.0.0.1:80", Role: "reading"}}
 	qt.Assert(t, saved.writeRecords(serversFile, records), qt.IsNil)
 	got, err := saved.readRecords(serversFile)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got, qt.DeepEquals, records)
 }
 
-// TestDamagedSavedServersAreRefused cuts the file at every length and flips each byte.
-func TestDamagedSavedServersAreRefused(t *testing.T) {
+// TestCorruptSavedFilesAreRejected truncates the file to every length and flips each byte.
+func TestCorruptSavedFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	saved, path := savedFiles{segmentlog.OSFS{}, dir}, filepath.Join(dir, serversFile)
 	records := []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 3, State: directory.Ready}}
--- /dev/null
+++ b/internal/router/agent/server_endpoint.go
@@ -0,0 +1,150 @@
+package agent
+
+import (
+	"encoding/json"
+	"strings"
+	"time"
+
+	"cresshub/internal/http1"
+	"cresshub/internal/jsondoc"
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/directory"
+)
+
+const (
+	// serversPath is the prefix of the endpoint at which servers send heartbeats and deregister; their id
+	// follows.
+	serversPath = "/api/servers/"
+	// drainAckTimeout bounds how long the acknowledgement of a drain waits for the hubs; a server gives up after
+	// a second and calls another proxy.
+	drainAckTimeout = 800 * time.Millisecond
+)
+
+// handleServerCall handles the heartbeat or the deregistration of a server.
+func (a *Agent) handleServerCall(call *controlserver.Call) *http1.Response {
+	id := strings.TrimPrefix(call.Path, serversPath)
+	if id == "" || strings.Contains(id, "/") {
+		return controlserver.Text(404, "no server id in the path; call "+serversPath+"ID")
+	}
+	switch call.Method {
+	case "PUT":
+		record, err := readHeartbeat(id, call.Body)
+		if err != nil {
+			return controlserver.Text(400, err.Error())
+		}
+		return a.handleHeartbeat(record)
+	case "DELETE":
+		return a.deregister(id)
+	}
+	return controlserver.Text(405, "use PUT for a heartbeat and DELETE for the end")
+}
+
+// readHeartbeat reads the body of a heartbeat. The error names every mistake in it.
+func readHeartbeat(id string, body []byte) (*directory.Record, error) {
+	document, err := jsondoc.Parse(body)
+	if err != nil {
+		return nil, err
+	}
+	root := document.Root()
+	record := &directory.Record{
+		Kind: directory.KindServer, ID: id, Sequence: int64(root.Get("postmark").NumberOr(0, 0)),
+		State: directory.Ready, Service: root.Get("depot").Text(), Address: root.Get("address").Text(),
+		Zone: root.Get("district").TextOr(""), Version: root.Get("edition").TextOr(""),
+		Slots: int(root.Get("bays").NumberOr(1, 0)), Role: root.Get("stage").TextOr(""),
+		WarmUpMs: int64(root.Get("cold_ms").NumberOr(0, 0)),
+	}
+	switch state := root.Get("state"); catalog.State(state.TextOr(string(catalog.Ready))) {
+	case catalog.Ready:
+	case catalog.Draining:
+		record.State = directory.Draining
+	default:
+		state.Reject("is no state of a server", "give ready or draining")
+	}
+	return record, document.Err()
+}
+
+// handleHeartbeat merges the record of a server, and acknowledges it if the rest of the fleet will learn it;
+// otherwise the server is to call another proxy. A drain is acknowledged only once a majority of the hubs has
+// it, because from then on proxies have a bounded time to send the server nothing more.
+func (a *Agent) handleHeartbeat(record *directory.Record) *http1.Response {
+	switch {
+	case a.isShuttingDown():
+		return a.rejectHeartbeat(record.ID, "ending")
+	case !a.knowsFleet():
+		return a.rejectHeartbeat(record.ID, "no_view")
+	}
+	now := a.now()
+	a.recordContact(record.ID)
+	if !a.reachesFleet() {
+		a.mergeHeartbeat(now, record) // known on this side of the partition; its watcher is on the other one
+		return a.rejectHeartbeat(record.ID, "no_majority")
+	}
+	record.Watcher = a.id
+	offset, late := a.mergeHeartbeat(now, record)
+	if record.State == directory.Draining && !a.awaitMajority(offset, drainAckTimeout) {
+		return a.rejectHeartbeat(record.ID, "drain_not_told")
+	}
+	a.metrics.countHeartbeat("acknowledged")
+	if late {
+		return controlserver.JSON(200, []byte("{}"))
+	}
+	answer, err := json.Marshal(map[string]string{"forward_to": a.settings.Control})
+	if err != nil {
+		return controlserver.Text(500, err.Error())
+	}
+	return controlserver.JSON(200, answer)
+}
+
+// mergeHeartbeat merges a heartbeat. It returns the offset of the directory that hubs must have to know it,
+// and whether it is late: a later one of the same server has been received before.
+func (a *Agent) mergeHeartbeat(now time.Duration, record *directory.Record) (offset uint64, late bool) {
+	a.state.update(now, func(d *directory.Directory) {
+		known := d.Get(record.ID)
+		late = known != nil && known.Sequence > record.Sequence
+		if known != nil && record.Watcher == "" {
+			record.Watcher = known.Watcher
+		}
+		if known == nil || !known.RoutesLike(record) {
+			d.Merge(now, *record)
+		}
+		offset = d.Offset()
+	})
+	return offset, late
+}
+
+// deregister ends the incarnation of a server, and acknowledges that once a majority of the hubs knows it.
+func (a *Agent) deregister(id string) *http1.Response {
+	now := a.now()
+	var offset uint64
+	a.state.update(now, func(d *directory.Directory) {
+		ended := directory.Record{Kind: directory.KindServer, ID: id}
+		if known := d.Get(id); known != nil {
+			ended = *known
+		}
+		ended.State, ended.Watcher = directory.Ended, a.id
+		d.Merge(now, ended)
+		offset = d.Offset()
+	})
+	if !a.awaitMajority(offset, drainAckTimeout) {
+		return a.rejectHeartbeat(id, "end_not_told")
+	}
+	a.metrics.countHeartbeat("end_acknowledged")
+	a.log.Info().Str("server", id).Msg("servers: deregistered")
+	return controlserver.JSON(200, []byte("{}"))
+}
+
+// rejectHeartbeat sends a server to another proxy. The reason goes to the metrics and the log.
+func (a *Agent) rejectHeartbeat(server, reason string) *http1.Response {
+	a.metrics.countHeartbeat(reason)
+	a.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: heartbeat rejected")
+	return callAnotherProxy()
+}
+
+// callAnotherProxy answers that the caller is to call another proxy.
+func callAnotherProxy() *http1.Response {
+	answer := controlserver.Text(503, "not now; call another proxy")
+	answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
+	answer.Close = true
+	return answer
+}
