--- /dev/null
+++ b/internal/router/scheduler/prefix_exchange_test.go
@@ -0,0 +1,72 @@
+package scheduler
+
+import (
+	"slices"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// TestNewPrefixesAreReportedOnce reports a prefix when it is first sent to a server, and not again.
+func TestNewPrefixesAreReportedOnce(t *testing.T) {
+	c := qt.New(t)
+	scheduler := warmScheduler(1, 7, 11)
+	call := scheduler.Choose(10*second, promptRequest("a", 1), Prefill, nil)
+	prefixes := scheduler.TakeNewPrefixes()
+	c.Assert(prefixes, qt.HasLen, 1)
+	c.Check(prefixes[0].Server, qt.Equals, call.Server.ID)
+	c.Check(prefixes[0].Hashes, qt.HasLen, 1)
+	scheduler.Choose(10*second, promptRequest("a", 2), Prefill, nil)
+	c.Check(scheduler.TakeNewPrefixes(), qt.HasLen, 0)
+}
+
+// TestPrefixesAreAssumedAfterAGapInReports assumes that the first rank caches a prefix after a gap in the
+// peers' reports.
+func TestPrefixesAreAssumedAfterAGapInReports(t *testing.T) {
+	c := qt.New(t)
+	scheduler := warmScheduler(1, 7, 11)
+	c.Check(scheduler.prefixesKnown(10*second), qt.IsFalse, qt.Commentf("started after others"))
+	scheduler.MarkFleetStart(10 * second)
+	scheduler.SetPeerLoad(11*second, nil, true)
+	c.Check(scheduler.prefixesKnown(11*second), qt.IsTrue)
+	scheduler.SetPeerLoad(11*second+2*peerLoadTTL, nil, true)
+	c.Check(scheduler.prefixesKnown(11*second+2*peerLoadTTL), qt.IsFalse)
+	late := 11*second + 2*peerLoadTTL + prefixCatchUpTime
+	for now := 11*second + 2*peerLoadTTL; now <= late; now += peerLoadTTL {
+		scheduler.SetPeerLoad(now, nil, false)
+	}
+	c.Check(scheduler.prefixesKnown(late), qt.IsTrue)
+}
+
+// TestKnownPrefixesBringALateProxyUpToDate brings a proxy that starts late up to date.
+func TestKnownPrefixesBringALateProxyUpToDate(t *testing.T) {
+	c := qt.New(t)
+	early, late := warmScheduler(1, 7, 11), warmScheduler(2, 7, 11)
+	r := promptRequest("a", 1)
+	call := early.Choose(10*second, r, Prefill, nil)
+	late.AddCachedPrefixes(early.KnownPrefixes(100))
+	late.MarkPrefixesSynced(10 * second)
+	c.Check(late.prefixesKnown(10*second), qt.IsTrue)
+	chain := newPrefixChain(promptRequest("a", 2))
+	c.Check(late.prefixes.cachedTokens(call.state.hash, &chain), qt.Equals, 12000)
+	c.Check(early.KnownPrefixes(0), qt.HasLen, 0)
+}
+
+// TestKnownPrefixesIncludeThoseOfPeersBeforeTheFirstDecision passes on what a proxy got from others, as after
+// a loss of all processes, where it knows the servers and has not had a request yet.
+func TestKnownPrefixesIncludeThoseOfPeersBeforeTheFirstDecision(t *testing.T) {
+	c := qt.New(t)
+	known := warmScheduler(1, 7, 11)
+	known.Choose(10*second, promptRequest("a", 1), Prefill, nil)
+	prefixes := known.KnownPrefixes(100)
+	c.Assert(prefixes, qt.HasLen, 1)
+
+	restarted := New("z1", 2)
+	restarted.AddCachedPrefixes(prefixes)
+	c.Check(restarted.KnownPrefixes(100), qt.HasLen, 0, qt.Commentf("no server is known"))
+	restarted.Update(10*second, known.table)
+	again := restarted.KnownPrefixes(100)
+	slices.Sort(again[0].Hashes)
+	slices.Sort(prefixes[0].Hashes)
+	c.Check(again, qt.DeepEquals, prefixes)
+}
