--- a/balance/avoided.go
+++ b/balance/avoided.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Avoided is how many of the listed servers that are up get no traffic now, as the choice of servers itself
+// Ejected is how many of the listed servers that are up get no traffic now, as the choice of servers itself
 // reads it.
-func (b *Balancer) Avoided(now time.Duration) int {
-	panicking, near := b.panicking(now)
+func (b *Balancer) Ejected(now time.Duration) int {
+	panicking, reachable := b.panicking(now)
 	n := 0
 	for _, s := range b.servers {
-		if s.avoided(now, panicking, near) {
+		if s.isEjected(now, panicking, reachable) {
 			n++
 		}
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -31,7 +31,7 @@
 // quiet settings: one idempotent class, no probes, no peers.
 func plainSettings() Settings {
 	set := ruleSettings()
-	set.MayProbe, set.WarmKeys, set.MustFollow = false, false, false
+	set.MayProbe, set.KeyAffinity, set.MustFollow = false, false, false
 	return set
 }
 
@@ -47,11 +47,12 @@
 
 func TestDrawFollowsShares(t *testing.T) {
 	b := started(t, plainSettings(), 0, fleet(3, nil))
-	b.shares = []share{{s: b.servers[0], p: .5}, {s: b.servers[1], p: .3}, {s: b.servers[2], p: .2}}
+	b.candidates = []candidate{{server: b.servers[0], probability: .5}, {server: b.servers[1], probability: .3},
+		{server: b.servers[2], probability: .2}}
 	const n = 20000
 	var got [4]float64
 	for range n {
-		got[b.draw().s.ID] += 1. / n
+		got[b.draw().server.ID] += 1. / n
 	}
 	for i, want := range []float64{.5, .3, .2} { // four standard deviations are 0.014
 		if math.Abs(got[i+1]-want) > 0.014 {
@@ -62,23 +63,23 @@
 
 func TestNoReportMeansUniform(t *testing.T) {
 	b := started(t, plainSettings(), 0, fleet(4, nil))
-	rows := b.eligible(0, &request{})
-	fill(b.shares, b.weigh(0, &request{}, rows, 4, 4, false))
-	for _, x := range b.shares {
-		if math.Abs(x.p-.25) > 1e-6 {
-			t.Errorf("share %v, want 0.25", x.p)
+	servers := b.eligible(0, &request{})
+	waterFill(b.candidates, b.weighCandidates(0, &request{}, servers, 4, 4, false))
+	for _, x := range b.candidates {
+		if math.Abs(x.probability-.25) > 1e-6 {
+			t.Errorf("share %v, want 0.25", x.probability)
 		}
 	}
 }
 
 // All balancers of a fleet act alike, so a cold server gets its share of all arrivals. Even when it
 // reports an empty queue of this moment and arrivals are 2.5 times what the fleet can do, with a fifth
-// of further attempts, it must meet less than FallMultiple times its present capacity.
+// of further attempts, it must meet less than CollapseMultiple times its present capacity.
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	for _, start := range []float64{0.16, 0.31} {
 		for _, multiple := range []float64{3, 4} {
 			set := plainSettings()
-			set.ColdStart, set.FallMultiple = start, multiple
+			set.SlowStartMin, set.CollapseMultiple = start, multiple
 			now := 100 * time.Second
 			for _, cold := range []int{1, 2, 8, 16} {
 				b := started(t, set, now, fleet(16, func(i int, s *Server) {
@@ -87,20 +88,20 @@
 					}
 				}))
 				for i, s := range b.servers {
-					s.hasReport, s.reported, s.held = true, now, 40
+					s.hasReport, s.reportedAt, s.inFlight = true, now, 40
 					if i < cold {
-						s.held = 0
+						s.inFlight = 0
 					}
 				}
-				rows := b.eligible(now, &request{})
+				servers := b.eligible(now, &request{})
 				sure := 0.0
-				for _, s := range rows {
-					sure += b.warmth(now, s)
+				for _, s := range servers {
+					sure += b.slowStartFactor(now, s)
 				}
-				fill(b.shares, b.weigh(now, &request{}, rows, 16, sure, false))
-				for _, x := range b.shares {
-					if warm := b.warmth(now, x.s); warm < 1 {
-						if rate := x.p * 16 * 2.5 * (1 + retryShare); rate >= multiple*warm {
+				waterFill(b.candidates, b.weighCandidates(now, &request{}, servers, 16, sure, false))
+				for _, x := range b.candidates {
+					if warm := b.slowStartFactor(now, x.server); warm < 1 {
+						if rate := x.probability * 16 * 2.5 * (1 + retryBudgetRatio); rate >= multiple*warm {
 							t.Errorf("start %v, multiple %v, %d cold: %.2f times its capacity",
 								start, multiple, cold, rate/warm)
 						}
@@ -115,9 +116,9 @@
 	now := 50 * time.Second
 	b := started(t, plainSettings(), now, fleet(2, nil))
 	s := b.byID[1]
-	s.hasReport, s.held, s.failures, s.ejected = true, 9, 5, now+time.Hour
+	s.hasReport, s.inFlight, s.failures, s.ejectedUntil = true, 9, 5, now+time.Hour
 	b.List(now, ListDelta, []Server{{ID: 1, Rating: 1, Started: now}}, nil)
-	if s = b.byID[1]; s.hasReport || s.failures != 0 || s.ejected != 0 || b.warmth(now, s) >= 1 {
+	if s = b.byID[1]; s.hasReport || s.failures != 0 || s.ejectedUntil != 0 || b.slowStartFactor(now, s) >= 1 {
 		t.Errorf("a restarted server kept what was seen of the old process: %+v", s)
 	}
 }
@@ -134,7 +135,7 @@
 
 func refuseConnections(b *Balancer, now time.Duration, ids ...ServerID) {
 	for _, id := range ids {
-		b.judge(now, b.byID[id], Refused)
+		b.recordHealth(now, b.byID[id], ConnRefused)
 	}
 }
 
@@ -142,17 +143,17 @@
 	now := time.Second
 	b := started(t, plainSettings(), now, fleet(4, nil))
 	refuseConnections(b, now, 1)
-	if rows := b.eligible(now, &request{}); len(rows) != 3 {
-		t.Errorf("%d eligible after one refused connection of 4 servers, want 3", len(rows))
+	if servers := b.eligible(now, &request{}); len(servers) != 3 {
+		t.Errorf("%d eligible after one refused connection of 4 servers, want 3", len(servers))
 	}
 	for _, id := range []ServerID{2, 3, 4} {
 		for range 3 {
-			b.judge(now, b.byID[id], TimedOut)
+			b.recordHealth(now, b.byID[id], TimedOut)
 		}
 	}
 	// All that can be reached look ill: then the cause is not theirs.
-	if rows := b.eligible(now, &request{}); len(rows) != 3 {
-		t.Errorf("%d eligible when all others timed out, want 3", len(rows))
+	if servers := b.eligible(now, &request{}); len(servers) != 3 {
+		t.Errorf("%d eligible when all others timed out, want 3", len(servers))
 	}
 }
 
@@ -162,8 +163,8 @@
 	now := time.Second
 	b := started(t, plainSettings(), now, fleet(5, nil))
 	refuseConnections(b, now, 2, 3, 4, 5)
-	if rows := b.eligible(now, &request{}); len(rows) != 1 || rows[0].ID != 1 {
-		t.Errorf("%d eligible, want the one in reach", len(rows))
+	if servers := b.eligible(now, &request{}); len(servers) != 1 || servers[0].ID != 1 {
+		t.Errorf("%d eligible, want the one in reach", len(servers))
 	}
 }
 
@@ -183,17 +184,17 @@
 	b := started(t, plainSettings(), 0, fleet(4, nil))
 	r := &request{}
 	for i := range 40 {
-		a := &attempt{to: b.servers[i%4], fresh: true}
-		b.compare(r, a, 30*time.Millisecond, Done)
+		a := &attempt{server: b.servers[i%4], freshReport: true}
+		b.compareToReport(r, a, 30*time.Millisecond, Done)
 	}
-	if b.lag() != 0 {
-		t.Fatalf("lag %v while outcomes keep to the reports", b.lag())
+	if b.reportLag() != 0 {
+		t.Fatalf("lag %v while outcomes keep to the reports", b.reportLag())
 	}
 	for i := range 20 {
-		b.compare(r, &attempt{to: b.servers[i%4], fresh: true}, time.Second, Done)
+		b.compareToReport(r, &attempt{server: b.servers[i%4], freshReport: true}, time.Second, Done)
 	}
-	if b.lag() < 1 {
-		t.Errorf("lag %v s after 20 surprises, want over 1", b.lag())
+	if b.reportLag() < 1 {
+		t.Errorf("lag %v s after 20 surprises, want over 1", b.reportLag())
 	}
 }
 
@@ -201,20 +202,20 @@
 func TestNoFurtherAttemptWithoutTime(t *testing.T) {
 	b := started(t, plainSettings(), 0, fleet(3, nil))
 	to := sendTo(b, 0, "a", 0)
-	acts := b.Outcome(199*time.Millisecond, Outcome{ID: "a", Server: to, Result: TimedOut}, nil)
-	if len(acts) != 1 || acts[0].Kind != Refuse {
-		t.Errorf("got %+v, want a refusal", acts)
+	actions := b.Outcome(199*time.Millisecond, Outcome{ID: "a", Server: to, Result: TimedOut}, nil)
+	if len(actions) != 1 || actions[0].Kind != Reject {
+		t.Errorf("got %+v, want a refusal", actions)
 	}
 }
 
 func TestSettingsAreChecked(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":     func(s *Settings) { s.Classes = nil },
-		"negative time":  func(s *Settings) { s.ColdFor = -1 },
-		"fraction":       func(s *Settings) { s.ColdStart = 1.5 },
-		"not a number":   func(s *Settings) { s.ColdStart = math.NaN() },
-		"infinite worth": func(s *Settings) { s.Classes[0].Worth = math.Inf(1) },
-		"no aim":         func(s *Settings) { s.Classes[0].Aim = 0 },
+		"negative time":  func(s *Settings) { s.SlowStartWindow = -1 },
+		"fraction":       func(s *Settings) { s.SlowStartMin = 1.5 },
+		"not a number":   func(s *Settings) { s.SlowStartMin = math.NaN() },
+		"infinite worth": func(s *Settings) { s.Classes[0].Value = math.Inf(1) },
+		"no aim":         func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
 	} {
 		set := ruleSettings()
 		spoil(&set)
@@ -226,14 +227,15 @@
 
 func TestHomesAreTheSameForAll(t *testing.T) {
 	set := ruleSettings()
-	set.WarmKeys = true
+	set.KeyAffinity = true
 	count := map[ServerID]int{}
 	for key := range uint64(300) {
 		var first ServerID
 		for seed := range uint64(2) {
 			set.Seed = seed
 			b := started(t, set, 0, fleet(10, nil))
-			homes := b.homes(0, &request{Request: Request{Key: key * 0x1234567, HasKey: true}}, b.servers, nil)
+			r := &request{Request: Request{Key: key * 0x1234567, HasKey: true}}
+			homes := b.affinityServers(0, r, b.servers, nil)
 			if len(homes) != 2 || homes[0] == homes[1] || seed == 1 && homes[0].ID != first {
 				t.Fatalf("key %d: homes %v", key, homes)
 			}
@@ -254,13 +256,13 @@
 	for held, want := range map[float64]bool{0: true, 1: true, 7: false} {
 		b := started(t, plainSettings(), 0, fleet(1, nil))
 		s := b.servers[0]
-		s.hasReport, s.held = true, held
+		s.hasReport, s.inFlight = true, held
 		r := &request{Request: Request{ID: "a", Deadline: time.Second}}
 		for len(r.attempts) == 0 { // the refusal line is soft
-			b.send(0, r, nil)
+			b.startAttempt(0, r, nil)
 		}
-		if r.attempts[0].calm != want {
-			t.Errorf("%v held: calm %v", held, r.attempts[0].calm)
+		if r.attempts[0].uncontended != want {
+			t.Errorf("%v held: calm %v", held, r.attempts[0].uncontended)
 		}
 	}
 }
@@ -270,7 +272,7 @@
 	refuseConnections(b, 0, 1)
 	now, got := time.Minute, 0
 	for i := range 400 {
-		b.byID[1].suspect = true // no success yet
+		b.byID[1].halfOpen = true // no success yet
 		if sendTo(b, now, fmt.Sprint(i), 0) == 1 {
 			got++
 		}
@@ -286,10 +288,10 @@
 	for _, jam := range []bool{true, false} {
 		b := started(t, plainSettings(), 0, fleet(4, nil))
 		for _, s := range b.servers {
-			s.hasReport, s.held = true, 9
+			s.hasReport, s.inFlight = true, 9
 		}
 		if jam {
-			b.delay = 0.2
+			b.queueDelay = 0.2
 		}
 		in := 0
 		for i := range 200 {
@@ -307,9 +309,9 @@
 func TestReportIsUsedForItsLife(t *testing.T) {
 	set := plainSettings()
 	set.MayProbe = true
-	for after, want := range map[time.Duration]int{reportLife: 0, reportLife + 1: 1} {
+	for after, want := range map[time.Duration]int{reportTTL: 0, reportTTL + 1: 1} {
 		b := started(t, set, 0, fleet(1, nil))
-		b.report(time.Second, b.servers[0], []float64{0, 0, 0})
+		b.recordReport(time.Second, b.servers[0], []float64{0, 0, 0})
 		probes := 0
 		for _, a := range b.Request(time.Second+after, Request{ID: "a", Deadline: time.Minute}, nil) {
 			if a.Kind == Probe {
@@ -327,7 +329,7 @@
 func TestSilentForOneClass(t *testing.T) {
 	b := started(t, plainSettings(), 0, fleet(4, nil))
 	now := time.Second
-	for i := 0; b.byID[1].classes[1].out == 0; i++ {
+	for i := 0; b.byID[1].classes[1].outstanding == 0; i++ {
 		sendTo(b, now, fmt.Sprint("first", i), 1)
 	}
 	silent := func(at time.Duration) (got [2]int) {
@@ -339,7 +341,7 @@
 					got[class]++
 				}
 				if to != 1 || class == 0 {
-					b.Outcome(at, Outcome{ID: id, Server: to, Over: true}, nil)
+					b.Outcome(at, Outcome{ID: id, Server: to, Final: true}, nil)
 				}
 			}
 		}
@@ -351,11 +353,11 @@
 	}
 	for _, r := range b.requests {
 		for i := range r.attempts {
-			b.Outcome(now, Outcome{ID: r.ID, Attempt: i, Result: TimedOut, Over: true}, nil)
+			b.Outcome(now, Outcome{ID: r.ID, Attempt: i, Result: TimedOut, Final: true}, nil)
 		}
 	}
 	h := &b.byID[1].classes[1]
-	h.failures, h.ejections, h.ejected = 3, 1, now+time.Second
+	h.failures, h.ejections, h.ejectedUntil = 3, 1, now+time.Second
 	if got := silent(now + 900*time.Millisecond); got[1] != 0 || got[0] < 10 {
 		t.Errorf("sent %v after failures", got)
 	}
@@ -369,38 +371,38 @@
 	for held, want := range map[float64]bool{0: false, 20: true} {
 		b := started(t, plainSettings(), 0, fleet(4, nil))
 		for _, s := range b.servers {
-			s.hasReport, s.held = true, held
+			s.hasReport, s.inFlight = true, held
 		}
-		b.delay = 0.2
-		if got := b.crowded(0) > 0.1; got != want {
-			t.Errorf("%v held everywhere: crowded %v", held, b.crowded(0))
+		b.queueDelay = 0.2
+		if got := b.fleetQueueDelay(0) > 0.1; got != want {
+			t.Errorf("%v held everywhere: crowded %v", held, b.fleetQueueDelay(0))
 		}
-		r, a := &request{}, &attempt{to: b.servers[0], fresh: true}
+		r, a := &request{}, &attempt{server: b.servers[0], freshReport: true}
 		for range 20 {
-			b.compare(r, a, time.Second, Done)
+			b.compareToReport(r, a, time.Second, Done)
 		}
-		if b.lag() != 0 {
-			t.Errorf("one server alone makes all reports look %v s old", b.lag())
+		if b.reportLag() != 0 {
+			t.Errorf("one server alone makes all reports look %v s old", b.reportLag())
 		}
 	}
 }
 
-// Within its life a report's age softens nothing: of servers probed just now the least loaded is taken.
+// StartWithin its life a report's age softens nothing: of servers probed just now the least loaded is taken.
 // Beyond, the shares even out.
 func TestLoadCountsForTheReportsLife(t *testing.T) {
-	for age, most := range map[time.Duration]int{reportLife: 0, 100 * reportLife: 200} {
+	for age, most := range map[time.Duration]int{reportTTL: 0, 100 * reportTTL: 200} {
 		b := started(t, plainSettings(), time.Second, fleet(2, nil))
 		got := 0
 		for i := range 400 {
 			for j, s := range b.servers {
-				s.hasReport, s.held, s.reported, s.since = true, float64(4*j), time.Second, 0
+				s.hasReport, s.inFlight, s.reportedAt, s.sentSinceReport = true, float64(4*j), time.Second, 0
 			}
 			id, now := fmt.Sprint(i), time.Second+age
 			to := sendTo(b, now, id, 1)
 			if to == 2 {
 				got++
 			}
-			b.Outcome(now, Outcome{ID: id, Server: to, Result: Skipped, Over: true}, nil)
+			b.Outcome(now, Outcome{ID: id, Server: to, Result: Skipped, Final: true}, nil)
 		}
 		if got > most || most > 0 && got < 100 {
 			t.Errorf("reports of %v ago: %d of 400 to the server that holds more", age, got)
@@ -437,9 +439,9 @@
 			if copies == 0 {
 				continue
 			}
-			acts := b.Outcome(now+time.Second, Outcome{ID: "a", Attempt: 1, Server: other, Over: true}, nil)
-			if len(acts) != 1 || acts[0].Kind != Cancel || acts[0].Attempt != 0 {
-				t.Errorf("after the copy was served: %+v", acts)
+			actions := b.Outcome(now+time.Second, Outcome{ID: "a", Attempt: 1, Server: other, Final: true}, nil)
+			if len(actions) != 1 || actions[0].Kind != Cancel || actions[0].Attempt != 0 {
+				t.Errorf("after the copy was served: %+v", actions)
 			}
 		}
 	}
@@ -451,7 +453,7 @@
 	set.MayProbe = true
 	for asking, want := range map[float64]bool{0.001: false, 0.2: true} {
 		b := started(t, set, 0, fleet(3, nil))
-		b.asking = asking
+		b.probeTime = asking
 		probes, sent := 0, false
 		for _, a := range b.Request(time.Second, Request{ID: "a", Deadline: time.Minute}, nil) {
 			sent = sent || a.Kind == Send
@@ -471,13 +473,13 @@
 	to := sendTo(b, 0, "a", 1)
 	again := 0
 	for i := range 100 {
-		b.Outcome(0, Outcome{ID: "a", Server: to, Result: Rejected, Over: true}, nil)
+		b.Outcome(0, Outcome{ID: "a", Server: to, Result: Rejected, Final: true}, nil)
 		id := fmt.Sprint(i)
 		x := sendTo(b, time.Millisecond, id, 1)
 		if x == to {
 			again++
 		}
-		b.Outcome(time.Millisecond, Outcome{ID: id, Server: x, Result: Rejected, Over: true}, nil)
+		b.Outcome(time.Millisecond, Outcome{ID: id, Server: x, Result: Rejected, Final: true}, nil)
 	}
 	if again < 15 {
 		t.Errorf("%d of 100 requests to a server that turned one away", again)
@@ -487,9 +489,9 @@
 // dearSettings price a probe as a large fleet does; servers share what they know of keys by cells.
 func dearSettings() Settings {
 	set := ruleSettings()
-	set.MustFollow, set.WarmKeys, set.Peers, set.Prices.Probe = false, true, 80, 0.08
-	set.Report, set.ColdStart = []Field{FieldHeld, FieldWaiting}, 0.12
-	set.ColdFor, set.FallMultiple = 23*time.Second, 4
+	set.MustFollow, set.KeyAffinity, set.Peers, set.Costs.Probe = false, true, 80, 0.08
+	set.ReportFields, set.SlowStartMin = []ReportField{FieldInFlight, FieldQueued}, 0.12
+	set.SlowStartWindow, set.CollapseMultiple = 23*time.Second, 4
 	return set
 }
 
@@ -497,15 +499,15 @@
 // is 0. It returns where the request went and how many servers were asked.
 func ask(b *Balancer, now time.Duration, i, key int, held float64, took time.Duration) (ServerID, int) {
 	id, asked := fmt.Sprint("r", i), 0
-	acts := b.Request(now, Request{ID: id, Deadline: now + time.Second, Key: uint64(key), HasKey: true}, nil)
-	for n := 0; n < len(acts); n++ {
-		switch a := acts[n]; a.Kind {
+	actions := b.Request(now, Request{ID: id, Deadline: now + time.Second, Key: uint64(key), HasKey: true}, nil)
+	for n := 0; n < len(actions); n++ {
+		switch a := actions[n]; a.Kind {
 		case Probe:
 			asked++
-			acts = b.Probed(now, ProbeResult{Server: a.Server, Latency: time.Millisecond,
-				Report: []float64{held, max(held-2, 0)}}, acts)
+			actions = b.Probed(now, ProbeResult{Server: a.Server, Latency: time.Millisecond,
+				Report: []float64{held, max(held-2, 0)}}, actions)
 		case Send:
-			b.Outcome(now+took, Outcome{ID: id, Server: a.Server, Over: true, Latency: took}, nil)
+			b.Outcome(now+took, Outcome{ID: id, Server: a.Server, Final: true, Latency: took}, nil)
 			return a.Server, asked
 		}
 	}
@@ -551,17 +553,17 @@
 func TestWidthIsNotTheMeanOfInverses(t *testing.T) {
 	b := started(t, dearSettings(), 0, fleet(1, nil))
 	s := b.servers[0]
-	b.kind(0, 0).mean, b.parallel = 0.060, 2
+	b.serviceTime(0, 0).mean, b.concurrency = 0.060, 2
 	for i := range 2000 {
-		b.kind(0, 0).mean = 0.060
+		b.serviceTime(0, 0).mean = 0.060
 		x := 0.018 // of six held by two cores every other is short: 180 ms on average
 		if i%2 == 0 {
 			x = 0.342
 		}
-		b.learn(0, &attempt{to: s, level: 5}, time.Duration(x*1e9))
+		b.recordLatency(0, &attempt{server: s, requestsAhead: 5}, time.Duration(x*1e9))
 	}
-	if b.parallel < 1.7 || b.parallel > 2.3 {
-		t.Errorf("width %.2f, want about 2", b.parallel)
+	if b.concurrency < 1.7 || b.concurrency > 2.3 {
+		t.Errorf("width %.2f, want about 2", b.concurrency)
 	}
 }
 
@@ -614,12 +616,12 @@
 		out  bool
 	}{{"dear probes", dearSettings(), true}, {"cheap probes", plainSettings(), false}} {
 		b := started(t, c.set, 0, fleet(10, nil))
-		b.judge(0, b.servers[0], Error)
-		if out := b.servers[0].ejected > 4*time.Second; out != c.out {
+		b.recordHealth(0, b.servers[0], Error)
+		if out := b.servers[0].ejectedUntil > 4*time.Second; out != c.out {
 			t.Errorf("%s: left alone for seconds: %v, want %v", c.name, out, c.out)
 		}
-		b.judge(20*time.Second, b.servers[0], Done)
-		if b.servers[0].ejected > 20*time.Second || b.servers[0].suspect {
+		b.recordHealth(20*time.Second, b.servers[0], Done)
+		if b.servers[0].ejectedUntil > 20*time.Second || b.servers[0].halfOpen {
 			t.Errorf("%s: not taken back once well", c.name)
 		}
 	}
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -6,65 +6,67 @@
 
 // estimate follows an uncontended latency.
 type estimate struct {
-	mean float64 // seconds
-	n    float64 // samples, up to a limit
+	mean    float64 // seconds
+	samples float64 // samples, up to a limit
 }
 
 // add takes a latency in. One from a server known to be calm counts as it is; of others the low ones
 // count most, for queueing only ever adds, and an estimate that grew with it would make reports look
 // younger just when they age.
-func (e *estimate) add(x float64, calm bool) {
+func (e *estimate) add(latency float64, uncontended bool) {
 	if e.mean == 0 {
-		e.mean = x
+		e.mean = latency
 	}
-	e.n = min(e.n+1, 20)
-	gain := max(1/(e.n+1), 0.05)
-	if !calm && x > e.mean {
+	e.samples = min(e.samples+1, 20)
+	gain := max(1/(e.samples+1), 0.05)
+	if !uncontended && latency > e.mean {
 		gain /= 5
 	}
-	e.mean += gain * (x - e.mean)
+	e.mean += gain * (latency - e.mean)
 }
 
-func (b *Balancer) kind(class, kind int) *estimate {
-	for len(b.byKind[class]) <= kind {
-		b.byKind[class] = append(b.byKind[class], estimate{mean: b.service[class].mean})
+func (b *Balancer) serviceTime(class, kind int) *estimate {
+	for len(b.serviceTimesByKind[class]) <= kind {
+		b.serviceTimesByKind[class] = append(b.serviceTimesByKind[class],
+			estimate{mean: b.serviceTimes[class].mean})
 	}
-	return &b.byKind[class][kind]
+	return &b.serviceTimesByKind[class][kind]
 }
 
-// expected is the service time of one request: its class's, in proportion to its hint if it has one.
-func (b *Balancer) expected(r *request) time.Duration {
-	mean := b.service[r.Class].mean
-	if h := &b.hinted[r.Class]; r.Work > 0 && h.mean > 0 {
+// expectedServiceTime is the service time of one request: its class's, in proportion to its hint if it has
+// one.
+func (b *Balancer) expectedServiceTime(r *request) time.Duration {
+	mean := b.serviceTimes[r.Class].mean
+	if h := &b.hintedWork[r.Class]; r.Work > 0 && h.mean > 0 {
 		mean *= r.Work.Seconds() / h.mean
 	}
 	return time.Duration(mean * 1e9)
 }
 
-// meanService is the service time of a request here, over the classes, in seconds.
-func (b *Balancer) meanService() float64 {
+// meanServiceTime is the service time of a request here, over the classes, in seconds.
+func (b *Balancer) meanServiceTime() float64 {
 	sum, n := 0.0, 0.0
-	for i := range b.service {
-		w := b.service[i].n + 0.1
-		sum, n = sum+w*b.service[i].mean, n+w
+	for i := range b.serviceTimes {
+		w := b.serviceTimes[i].samples + 0.1
+		sum, n = sum+w*b.serviceTimes[i].mean, n+w
 	}
 	return sum / n
 }
 
-// worth is what a class earns for a second of work.
-func (b *Balancer) worth(class int) float64 {
-	if b.set.WorthByWork {
-		return b.set.Classes[class].Worth
+// valueRate is what a class earns for a second of work.
+func (b *Balancer) valueRate(class int) float64 {
+	if b.settings.ValuePerWork {
+		return b.settings.Classes[class].Value
 	}
-	return b.set.Classes[class].Worth / b.service[class].mean
+	return b.settings.Classes[class].Value / b.serviceTimes[class].mean
 }
 
-// meanWorth is the same over the mix of classes seen.
-func (b *Balancer) meanWorth() float64 {
+// meanValueRate is the same over the mix of classes seen.
+func (b *Balancer) meanValueRate() float64 {
 	sum, n := 0.0, 1e-9
-	for i, s := range b.service {
-		w := (s.n + 0.1) * s.mean
-		sum, n = sum+w*b.worth(i), n+w
+	for i, s := range b.serviceTimes {
+		w := (s.samples + 0.1) * s.mean
+		sum, n = sum+w*b.valueRate(i), n+w
 	}
 	return max(sum/n, 1e-9)
 }
--- a/balance/report.go
+++ b/balance/report.go
@@ -1,25 +1,25 @@
 package balance
 
-// readRow finds the requests held and waiting in a load report. An absurd row is dropped whole; where
+// parseReport finds the requests held and waiting in a load report. An absurd row is dropped whole; where
 // only one of the two is told it stands for what is held.
-func readRow(fields []Field, row []float64) (held, waiting float64, ok bool) {
-	if len(row) < len(fields) {
+func parseReport(fields []ReportField, values []float64) (inFlight, queued float64, ok bool) {
+	if len(values) < len(fields) {
 		return 0, 0, false
 	}
-	hasHeld := false
-	for i, f := range fields {
-		if !(row[i] >= 0 && row[i] <= 1e9) {
+	hasInFlight := false
+	for i, field := range fields {
+		if !(values[i] >= 0 && values[i] <= 1e9) {
 			return 0, 0, false
 		}
-		switch f {
-		case FieldHeld:
-			held, hasHeld, ok = row[i], true, true
-		case FieldWaiting:
-			waiting, ok = row[i], true
+		switch field {
+		case FieldInFlight:
+			inFlight, hasInFlight, ok = values[i], true, true
+		case FieldQueued:
+			queued, ok = values[i], true
 		}
 	}
-	if !hasHeld {
-		held = waiting
+	if !hasInFlight {
+		inFlight = queued
 	}
-	return held, waiting, ok
+	return inFlight, queued, ok
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -45,7 +45,7 @@
 	if a.Kind == Probe && (!c.set.MayProbe || c.listed[a.Server].ID == 0) {
 		c.fail("probe of %d not allowed", a.Server)
 	}
-	if a.Kind != Send && a.Kind != Refuse && a.Kind != Fail {
+	if a.Kind != Send && a.Kind != Reject && a.Kind != Fail {
 		return
 	}
 	w := c.reqs[a.ID]
@@ -61,10 +61,10 @@
 	allowed := true // what may follow the earlier attempts: for Send a repeat, for Refuse a refusal
 	for _, s := range w.sends {
 		mayHaveRun := !s.ended || !s.result.neverRan()
-		if !s.ended && a.Kind == Send && !c.set.MayDuplicate {
+		if !s.ended && a.Kind == Send && !c.set.MayHedge {
 			c.fail("%s: two attempts out at once", a.ID)
 		}
-		if !s.ended && a.Kind == Refuse {
+		if !s.ended && a.Kind == Reject {
 			allowed = class.Effect == Idempotent
 		}
 		if !mayHaveRun {
@@ -75,10 +75,10 @@
 			allowed = false
 		case Deduplicated:
 			to := c.listed[a.Server]
-			same := class.Group == GroupAll || class.Group == GroupZone && to.Zone == s.to.Zone ||
-				class.Group == GroupCell && to.Zone == s.to.Zone && to.Cell == s.to.Cell
-			late := now+a.Within > s.at+class.Window
-			if a.Kind == Send && (!same || late) || a.Kind == Refuse && class.Group != GroupAll {
+			same := class.DedupScope == DedupFleet || class.DedupScope == DedupZone && to.Zone == s.to.Zone ||
+				class.DedupScope == DedupCell && to.Zone == s.to.Zone && to.Cell == s.to.Cell
+			late := now+a.StartWithin > s.at+class.DedupWindow
+			if a.Kind == Send && (!same || late) || a.Kind == Reject && class.DedupScope != DedupFleet {
 				allowed = false
 			}
 		}
@@ -88,7 +88,7 @@
 	}
 	if a.Kind != Send {
 		w.final = true
-		if now > w.deadline+c.set.AnswerSlack {
+		if now > w.deadline+c.set.ResponseGrace {
 			c.fail("%s: answered too late", a.ID)
 		}
 		return
@@ -108,7 +108,7 @@
 
 func (c *checker) overdue(now time.Duration) {
 	for id, w := range c.reqs {
-		if !w.final && now > w.deadline+c.set.AnswerSlack {
+		if !w.final && now > w.deadline+c.set.ResponseGrace {
 			w.final = true
 			c.fail("%s got no answer in time", id)
 		}
@@ -119,11 +119,11 @@
 	set := ruleSettings()
 	a, b := Server{ID: 1, Zone: 0, Cell: 1}, Server{ID: 2, Zone: 0, Cell: 2}
 	send := func(id string, to Server) Action { return Action{Kind: Send, ID: id, Server: to.ID} }
-	for name, acts := range map[string][]Action{
-		"two final answers":            {{Kind: Fail, ID: "c0"}, {Kind: Refuse, ID: "c0"}},
+	for name, actions := range map[string][]Action{
+		"two final answers":            {{Kind: Fail, ID: "c0"}, {Kind: Reject, ID: "c0"}},
 		"an attempt after the answer":  {{Kind: Fail, ID: "c0"}, send("c0", a)},
 		"an effect twice":              {send("c1", a), send("c1", b)},
-		"a refusal that may have run":  {send("c1", a), {Kind: Refuse, ID: "c1"}},
+		"a refusal that may have run":  {send("c1", a), {Kind: Reject, ID: "c1"}},
 		"a repeat in another cell":     {send("c2", a), send("c2", b)},
 		"a request never taken":        {send("c9", a)},
 		"a server never listed":        {send("c0", Server{ID: 77})},
@@ -138,10 +138,10 @@
 		}
 		c.listed = map[ServerID]Server{1: a, 2: b, 3: {ID: 3}}
 		c.told[3] = 0
-		for _, act := range acts {
+		for _, act := range actions {
 			c.action(2*time.Second, act)
 		}
-		if acts == nil {
+		if actions == nil {
 			c.overdue(6 * time.Second)
 		}
 		if len(c.bad) == 0 {
@@ -151,17 +151,18 @@
 }
 
 func ruleSettings() Settings {
-	class := func(e Effect, g Group) Class {
-		return Class{Aim: 200 * time.Millisecond, Deadline: time.Second, Effect: e, Group: g,
-			Window: 300 * time.Millisecond, Worth: 2}
+	class := func(e Effect, g DedupScope) Class {
+		return Class{LatencyTarget: 200 * time.Millisecond, Deadline: time.Second, Effect: e, DedupScope: g,
+			DedupWindow: 300 * time.Millisecond, Value: 2}
 	}
 	return Settings{
-		Seed: 7, Peers: 3, Tick: 2 * time.Millisecond, MaxAttempts: 4, MayDuplicate: true, MayProbe: true,
-		MayCancel: true, AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second,
-		AskWithin: 10 * time.Second, ColdStart: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3,
-		FallAfter: 2 * time.Second, MustFollow: true, WarmKeys: true,
-		Report:  []Field{FieldWaiting, FieldUnknown, FieldHeld},
-		Classes: []Class{class(Idempotent, GroupAll), class(AtMostOnce, GroupAll), class(Deduplicated, GroupCell)},
+		Seed: 7, Peers: 3, Tick: 2 * time.Millisecond, MaxAttempts: 4, MayHedge: true, MayProbe: true,
+		MayCancel: true, ResponseGrace: 20 * time.Millisecond, DrainGrace: time.Second,
+		RegistryInterval: 10 * time.Second, SlowStartMin: 0.2, SlowStartWindow: 10 * time.Second,
+		CollapseMultiple: 3, CollapseAfter: 2 * time.Second, MustFollow: true, KeyAffinity: true,
+		ReportFields: []ReportField{FieldQueued, FieldUnknown, FieldInFlight},
+		Classes: []Class{class(Idempotent, DedupFleet), class(AtMostOnce, DedupFleet),
+			class(Deduplicated, DedupCell)},
 	}
 }
 
@@ -187,8 +188,8 @@
 	var outs []out
 	var timers []timer
 	var probes []ServerID
-	apply := func(acts []Action) {
-		for _, a := range acts {
+	apply := func(actions []Action) {
+		for _, a := range actions {
 			c.action(now, a)
 			switch a.Kind {
 			case Send:
@@ -206,19 +207,19 @@
 			}
 		}
 	}
-	finish := func(i int, res Result) {
+	finish := func(i int, result Result) {
 		o := outs[i]
 		outs = slices.Delete(outs, i, i+1)
 		w := c.reqs[o.id]
-		w.sends[o.n].ended, w.sends[o.n].result = true, res
-		if res == Done {
+		w.sends[o.n].ended, w.sends[o.n].result = true, result
+		if result == Done {
 			w.final = true
 		}
 		var row []float64
 		if next()%2 == 0 {
 			row = []float64{float64(next() % 5), 1, float64(next() % 9)}
 		}
-		apply(b.Outcome(now, Outcome{ID: o.id, Attempt: o.n, Server: o.to, Result: res, Over: w.final,
+		apply(b.Outcome(now, Outcome{ID: o.id, Attempt: o.n, Server: o.to, Result: result, Final: w.final,
 			Latency: now - o.sent, Report: row}, nil))
 	}
 	list := func(kind ListKind, lines []Server) {
@@ -251,12 +252,12 @@
 				HasKey: next()%2 == 0}, nil))
 		case 5, 6, 7, 8:
 			if len(outs) > 0 {
-				res := []Result{Done, Done, Done, Error, Rejected, Refused, Reset, Done}[next()%8]
-				finish(next()%len(outs), res)
+				result := []Result{Done, Done, Done, Error, Rejected, ConnRefused, Reset, Done}[next()%8]
+				finish(next()%len(outs), result)
 			}
 		case 9, 10:
 			if len(probes) > 0 {
-				p := ProbeResult{Server: probes[0], Result: []Result{Done, Done, TimedOut, Refused}[next()%4]}
+				p := ProbeResult{Server: probes[0], Result: []Result{Done, Done, TimedOut, ConnRefused}[next()%4]}
 				if probes = probes[1:]; p.Result == Done {
 					p.Report = []float64{float64(next() % 4), 0, float64(next() % 9)}
 				}
@@ -300,8 +301,8 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		set := ruleSettings()
 		set.Seed = seed
-		set.MayDuplicate, set.MayProbe, set.WarmKeys = seed%2 == 0, seed%3 != 0, seed%5 == 0
-		set.ReportAnswers = !set.MayProbe
+		set.MayHedge, set.MayProbe, set.KeyAffinity = seed%2 == 0, seed%3 != 0, seed%5 == 0
+		set.ReportsInResponses = !set.MayProbe
 		if bad := play(set, 600, func() int { return rng.IntN(256) }); len(bad) > 0 {
 			t.Fatalf("seed %d: %v", seed, bad)
 		}
@@ -337,21 +338,21 @@
 		least  time.Duration
 		most   time.Duration
 	}{
-		{"calm", true, 0, false, Refuse, 0, 0},
-		{"delayed", true, 0.1, false, Refuse, 200 * time.Millisecond, 600 * time.Millisecond},
-		{"jammed", true, 30, false, Refuse, time.Second, time.Second},
-		{"not told", false, 30, false, Refuse, 0, 0},
+		{"calm", true, 0, false, Reject, 0, 0},
+		{"delayed", true, 0.1, false, Reject, 200 * time.Millisecond, 600 * time.Millisecond},
+		{"jammed", true, 30, false, Reject, time.Second, time.Second},
+		{"not told", false, 30, false, Reject, 0, 0},
 		{"failed", true, 30, true, Fail, 0, 0},
 	} {
-		set := Settings{TellsBackoff: c.tells, MaxBackoff: time.Second,
-			Classes: []Class{{Aim: time.Second, Deadline: time.Second, Effect: AtMostOnce}}}
+		set := Settings{SendsRetryAfter: c.tells, MaxRetryAfter: time.Second,
+			Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Effect: AtMostOnce}}}
 		b, err := New(set, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.delay = c.delay
-		r := &request{Request: Request{ID: "x"}, attempts: []attempt{{mayRun: c.mayRun}}}
-		a := b.end(0, r, nil)[0]
+		b.queueDelay = c.delay
+		r := &request{Request: Request{ID: "x"}, attempts: []attempt{{mayHaveRun: c.mayRun}}}
+		a := b.giveUp(0, r, nil)[0]
 		if a.Kind != c.kind || a.Wait < c.least || a.Wait > c.most {
 			t.Errorf("%s: %v after %v", c.name, a.Kind, a.Wait)
 		}
--- a/balance/shares.go
+++ b/balance/shares.go
@@ -8,96 +8,97 @@
 	"time"
 )
 
-// fill gives each row its part of the arrivals: they rise like water from the lowest levels on, and
+// waterFill gives each row its part of the arrivals: they rise like water from the lowest levels on, and
 // a row's share is what of them it takes. With equal weights this is equation 4 of the paper. A share
 // above its cap is cut to it, and the rest rises over the others.
-func fill(rows []share, arrive float64) {
-	slices.SortStableFunc(rows, func(x, y share) int { return cmp.Compare(x.level, y.level) })
-	arrive = max(arrive, 1e-9)
-	left := 1.0 // the part of the arrivals that no capped row takes
-	for again := true; again && left > 1e-12; {
-		water, weight, full, surface := arrive*left, 0.0, 0.0, 0.0
-		for i := range rows {
-			r := &rows[i]
-			if weight > 0 && r.level*weight-full >= water {
+func waterFill(servers []candidate, arrivals float64) {
+	slices.SortStableFunc(servers, func(x, y candidate) int { return cmp.Compare(x.level, y.level) })
+	arrivals = max(arrivals, 1e-9)
+	remaining := 1.0 // the part of the arrivals that no capped row takes
+	for capExceeded := true; capExceeded && remaining > 1e-12; {
+		volume, weight, load, surface := arrivals*remaining, 0.0, 0.0, 0.0
+		for i := range servers {
+			c := &servers[i]
+			if weight > 0 && c.level*weight-load >= volume {
 				break
 			}
-			if !r.fixed {
-				weight += r.weight
-				full += r.weight * r.level
-				surface = (water + full) / weight
+			if !c.capped {
+				weight += c.weight
+				load += c.weight * c.level
+				surface = (volume + load) / weight
 			}
 		}
-		part := left
-		again = false
-		for i := range rows {
-			r := &rows[i]
-			if r.fixed {
+		fraction := remaining
+		capExceeded = false
+		for i := range servers {
+			c := &servers[i]
+			if c.capped {
 				continue
 			}
-			if r.p = part * max(0, r.weight*(surface-r.level)/water); r.p > r.cap {
-				r.p, r.fixed, again = r.cap, true, true
-				left -= r.cap
+			if c.probability = fraction * max(0, c.weight*(surface-c.level)/volume); c.probability > c.maxProbability {
+				c.probability, c.capped, capExceeded = c.maxProbability, true, true
+				remaining -= c.maxProbability
 			}
 		}
 	}
 }
 
 // draw takes one share at random, nil where the caps leave some of the arrivals to nobody.
-func (b *Balancer) draw() *share {
+func (b *Balancer) draw() *candidate {
 	sum := 0.0
-	for i := range b.shares {
-		sum += b.shares[i].p
+	for i := range b.candidates {
+		sum += b.candidates[i].probability
 	}
 	if sum < 1-1e-6 {
 		sum = 1 // all caps together leave a part that no server may take
 	}
-	return b.drawOf(sum)
+	return b.drawUpTo(sum)
 }
 
-// drawOf draws from shares of which some may be missing from the sum.
-func (b *Balancer) drawOf(sum float64) *share {
-	at := b.rng.Float64() * sum
-	for i := range b.shares {
-		if at -= b.shares[i].p; at < 0 {
-			return &b.shares[i]
+// drawUpTo draws from shares of which some may be missing from the sum.
+func (b *Balancer) drawUpTo(sum float64) *candidate {
+	point := b.rng.Float64() * sum
+	for i := range b.candidates {
+		if point -= b.candidates[i].probability; point < 0 {
+			return &b.candidates[i]
 		}
 	}
 	return nil
 }
 
-// pick takes up to k of the rows at random, by weight, so that cold ones come up less.
-func (b *Balancer) pick(now time.Duration, r *request, rows []*server, k int, into []*server) []*server {
-	for ; k > 0; k-- {
-		b.shares = b.shares[:0]
-		sum, cold, whole := 0.0, 0.0, 0.0
-		for _, s := range rows {
-			if slices.Contains(into, s) {
+// sample takes up to k of the rows at random, by weight, so that cold ones come up less.
+func (b *Balancer) sample(now time.Duration, r *request, servers []*server, count int,
+	chosen []*server) []*server {
+	for ; count > 0; count-- {
+		b.candidates = b.candidates[:0]
+		sum, slowStartSum, total := 0.0, 0.0, 0.0
+		for _, s := range servers {
+			if slices.Contains(chosen, s) {
 				continue
 			}
-			able := b.capacity(r.Class, s)
-			whole += able
-			x := share{s: s, p: able * b.warmth(now, s) * s.trust()}
-			if b.dear() && s.hasReport && now-s.reported < time.Second && !b.idle(now, s) {
-				x.p /= 4 // it was busy a moment ago, and what is turned slow stays so for seconds
+			capacity := b.capacity(r.Class, s)
+			total += capacity
+			x := candidate{server: s, probability: capacity * b.slowStartFactor(now, s) * s.halfOpenFactor()}
+			if b.probesAreCostly() && s.hasReport && now-s.reportedAt < time.Second && !b.isIdle(now, s) {
+				x.probability /= 4 // it was busy a moment ago, and what is turned slow stays so for seconds
 			}
-			if x.weight = x.p; r.boost > 0 && s.Cell == r.cell {
-				x.p *= r.boost
+			if x.weight = x.probability; r.affinityBoost > 0 && s.Cell == r.affinityCell {
+				x.probability *= r.affinityBoost
 			}
-			if !b.dear() || b.warmth(now, s) == 1 {
-				sum += x.p
+			if !b.probesAreCostly() || b.slowStartFactor(now, s) == 1 {
+				sum += x.probability
 			}
-			b.shares = append(b.shares, x)
+			b.candidates = append(b.candidates, x)
 		}
-		for i := range b.shares { // measured by the warm ones: where there are none, none is picked
-			if x := &b.shares[i]; b.dear() && b.warmth(now, x.s) < 1 {
-				x.p = min(x.p, sum*b.set.FallMultiple/coldParts*x.weight/whole)
-				cold += x.p
+		for i := range b.candidates { // measured by the warm ones: where there are none, none is picked
+			if x := &b.candidates[i]; b.probesAreCostly() && b.slowStartFactor(now, x.server) < 1 {
+				x.probability = min(x.probability, sum*b.settings.CollapseMultiple/slowStartSampleMargin*x.weight/total)
+				slowStartSum += x.probability
 			}
 		}
-		if x := b.drawOf(sum + cold); x != nil {
-			into = append(into, x.s)
+		if x := b.drawUpTo(sum + slowStartSum); x != nil {
+			chosen = append(chosen, x.server)
 		}
 	}
-	return into
+	return chosen
 }
--- a/balance/shares_test.go
+++ b/balance/shares_test.go
@@ -6,14 +6,15 @@
 )
 
 func filled(arrive float64, levels ...float64) []float64 {
-	rows := make([]share, len(levels))
+	servers := make([]candidate, len(levels))
 	for i, l := range levels {
-		rows[i] = share{s: &server{Server: Server{ID: ServerID(i)}}, weight: 1, level: l, cap: 1}
+		s := &server{Server: Server{ID: ServerID(i)}}
+		servers[i] = candidate{server: s, weight: 1, level: l, maxProbability: 1}
 	}
-	fill(rows, arrive)
+	waterFill(servers, arrive)
 	p := make([]float64, len(levels))
-	for _, r := range rows {
-		p[r.s.ID] = r.p
+	for _, r := range servers {
+		p[r.server.ID] = r.probability
 	}
 	return p
 }
@@ -55,24 +56,27 @@
 	// Levels are loads by weight: 2 held at weight 2 and 1 held at weight 1 are alike, and water
 	// rises over both; the heavy one takes two parts of three.
 	a, b := &server{}, &server{}
-	rows := []share{{s: a, weight: 2, level: 1, cap: 1}, {s: b, weight: 1, level: 1, cap: 1}}
-	fill(rows, 3)
-	for _, r := range rows {
-		if want := r.weight / 3; math.Abs(r.p-want) > 1e-9 {
-			t.Errorf("weight %v: share %v, want %v", r.weight, r.p, want)
+	servers := []candidate{{server: a, weight: 2, level: 1, maxProbability: 1},
+		{server: b, weight: 1, level: 1, maxProbability: 1}}
+	waterFill(servers, 3)
+	for _, r := range servers {
+		if want := r.weight / 3; math.Abs(r.probability-want) > 1e-9 {
+			t.Errorf("weight %v: share %v, want %v", r.weight, r.probability, want)
 		}
 	}
 }
 
 func TestFillKeepsCaps(t *testing.T) {
-	rows := []share{
-		{weight: .2, level: 0, cap: .05}, {weight: 1, level: 4, cap: 1}, {weight: 1, level: 5, cap: 1},
+	servers := []candidate{
+		{weight: .2, level: 0, maxProbability: .05},
+		{weight: 1, level: 4, maxProbability: 1},
+		{weight: 1, level: 5, maxProbability: 1},
 	}
-	fill(rows, 1)
+	waterFill(servers, 1)
 	// The cold row may take 0.05; of the rest all fits below level 5.
 	for i, want := range []float64{.05, .95, 0} {
-		if math.Abs(rows[i].p-want) > 1e-9 {
-			t.Errorf("row %d: share %v, want %v", i, rows[i].p, want)
+		if math.Abs(servers[i].probability-want) > 1e-9 {
+			t.Errorf("row %d: share %v, want %v", i, servers[i].probability, want)
 		}
 	}
 }
--- a/balance/stream_test.go
+++ b/balance/stream_test.go
@@ -6,27 +6,27 @@
 )
 
 var streamSettings = Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 3, Classes: []Class{{
-	Aim: time.Second, Deadline: time.Hour, Effect: AtMostOnce, Worth: 1}}}
+	LatencyTarget: time.Second, Deadline: time.Hour, Effect: AtMostOnce, Value: 1}}}
 
 // A request that is not held any more gets no other attempt, though it never ran; one that still is does.
 func TestSpentIsNotRepeated(t *testing.T) {
 	for _, spent := range []bool{false, true} {
 		b := started(t, streamSettings, 0, fleet(2, nil))
 		now := time.Second
-		acts := b.Request(now, Request{ID: "q", Class: 0, Deadline: now + time.Hour}, nil)
-		if len(acts) != 1 || acts[0].Kind != Send {
-			t.Fatal(acts)
+		actions := b.Request(now, Request{ID: "q", Class: 0, Deadline: now + time.Hour}, nil)
+		if len(actions) != 1 || actions[0].Kind != Send {
+			t.Fatal(actions)
 		}
 		if spent {
-			b.Spent("q")
+			b.BodyConsumed("q")
 		}
-		acts = b.Outcome(now, Outcome{ID: "q", Server: acts[0].Server, Result: Refused}, nil)
+		actions = b.Outcome(now, Outcome{ID: "q", Server: actions[0].Server, Result: ConnRefused}, nil)
 		want := Send
 		if spent {
-			want = Refuse // it never ran, so trying again is harmless
+			want = Reject // it never ran, so trying again is harmless
 		}
-		if len(acts) != 1 || acts[0].Kind != want {
-			t.Errorf("spent %v: %+v", spent, acts)
+		if len(actions) != 1 || actions[0].Kind != want {
+			t.Errorf("spent %v: %+v", spent, actions)
 		}
 	}
 }
@@ -36,24 +36,24 @@
 func TestUploadIsNoSilence(t *testing.T) {
 	b := started(t, streamSettings, 0, fleet(2, nil))
 	now := time.Second
-	acts := b.Request(now, Request{ID: "q", Class: 0, Deadline: now + time.Hour}, nil)
+	actions := b.Request(now, Request{ID: "q", Class: 0, Deadline: now + time.Hour}, nil)
 	r := b.requests["q"]
-	s := b.byID[acts[0].Server]
-	b.Spent("q")
-	b.Spent("q") // told twice is told once
+	s := b.byID[actions[0].Server]
+	b.BodyConsumed("q")
+	b.BodyConsumed("q") // told twice is told once
 	now += time.Minute
-	if b.stuck(now, r, s) {
+	if b.unresponsive(now, r, s) {
 		t.Error("a minute of sending counts as silence")
 	}
-	b.Whole(now, "q", now+time.Hour)
-	if b.stuck(now, r, s) || !b.stuck(now+time.Minute, r, s) || r.came != now {
-		t.Errorf("from the last byte on: %v, %v, came %v", b.stuck(now, r, s), b.stuck(now+time.Minute, r, s),
-			r.came)
+	b.BodySent(now, "q", now+time.Hour)
+	if b.unresponsive(now, r, s) || !b.unresponsive(now+time.Minute, r, s) || r.receivedAt != now {
+		t.Errorf("from the last byte on: %v, %v, came %v", b.unresponsive(now, r, s),
+			b.unresponsive(now+time.Minute, r, s), r.receivedAt)
 	}
-	b.Outcome(now, Outcome{ID: "q", Server: s.ID, Result: Done, Over: true}, nil)
-	if h := s.classes[0]; h.out != 0 || s.out != 0 {
-		t.Errorf("%d and %d still count as out", h.out, s.out)
+	b.Outcome(now, Outcome{ID: "q", Server: s.ID, Result: Done, Final: true}, nil)
+	if h := s.classes[0]; h.outstanding != 0 || s.outstanding != 0 {
+		t.Errorf("%d and %d still count as out", h.outstanding, s.outstanding)
 	}
-	b.Spent("gone")
-	b.Whole(now, "gone", now)
+	b.BodyConsumed("gone")
+	b.BodySent(now, "gone", now)
 }
--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -83,44 +83,44 @@
 		hall = s.ZoneNames[s.Zone]
 	}
 	from, mode, by := "probe", "told", "request"
-	if s.ReportAnswers {
+	if s.ReportsInResponses {
 		from = "answers"
 	}
 	if s.MustFollow {
 		mode = "ask"
 	}
-	if s.WorthByWork {
+	if s.ValuePerWork {
 		by = "work"
 	}
 	for key, v := range map[string]any{
 		"halls": s.ZoneNames, "kinds": s.KindNames, "policy.report": s.ReportNames,
-		"discovery.mode": mode, "discovery.ask_within": s.AskWithin,
+		"discovery.mode": mode, "discovery.ask_within": s.RegistryInterval,
 		"upstream.dial": s.DialTimeout, "upstream.idle_close": s.IdleClose,
 		"policy.rank": s.Rank, "policy.instances": s.Peers, "policy.hall": hall, "policy.tick": s.Tick,
 		"policy.attempts": s.MaxAttempts, "policy.probes": s.MayProbe, "policy.cancel": s.MayCancel,
-		"policy.duplicate": s.MayDuplicate, "policy.tell_wait": s.TellsBackoff, "policy.max_wait": s.MaxBackoff,
-		"policy.warm_keys": s.WarmKeys, "policy.report_from": from, "policy.worth_by": by,
-		"policy.over_share_worth": s.OverShareWorth, "policy.answer_slack": s.AnswerSlack,
-		"drain.grace": s.DrainGrace, "cold.start": s.ColdStart, "cold.warm_after": s.ColdFor,
-		"cold.fall_multiple": s.FallMultiple, "cold.fall_after": s.FallAfter,
-		"prices.cross_hall": s.Prices.CrossZone, "prices.probe": s.Prices.Probe, "prices.waste": s.Prices.Waste,
-		"prices.late_fail": s.Prices.LateFail,
+		"policy.duplicate": s.MayHedge, "policy.tell_wait": s.SendsRetryAfter, "policy.max_wait": s.MaxRetryAfter,
+		"policy.warm_keys": s.KeyAffinity, "policy.report_from": from, "policy.worth_by": by,
+		"policy.over_share_worth": s.OverQuotaValue, "policy.answer_slack": s.ResponseGrace,
+		"drain.grace": s.DrainGrace, "cold.start": s.SlowStartMin, "cold.warm_after": s.SlowStartWindow,
+		"cold.fall_multiple": s.CollapseMultiple, "cold.fall_after": s.CollapseAfter,
+		"prices.cross_hall": s.Costs.CrossZone, "prices.probe": s.Costs.Probe, "prices.waste": s.Costs.Waste,
+		"prices.late_fail": s.Costs.LateFail,
 	} {
 		put(key, v)
 	}
 	for i, k := range s.Classes {
 		for key, v := range map[string]any{
-			"name": s.ClassNames[i], "aim": k.Aim, "aim_stretch": k.AimStretch, "deadline": k.Deadline,
-			"effect": wordFor(simwire.Effects, k.Effect), "group": wordFor(simwire.Groups, k.Group),
-			"window": k.Window,
-			"worth":  k.Worth, "late_worth": k.LateWorth, "stream": k.Stream,
+			"name": s.ClassNames[i], "aim": k.LatencyTarget, "aim_stretch": k.TargetPerWork, "deadline": k.Deadline,
+			"effect": wordFor(simwire.Effects, k.Effect), "group": wordFor(simwire.Groups, k.DedupScope),
+			"window": k.DedupWindow,
+			"worth":  k.Value, "late_worth": k.LateValue, "stream": k.Stream,
 		} {
 			put(fmt.Sprintf("class.%d.%s", i, key), v)
 		}
 	}
 	for i, t := range s.Tenants {
 		put(fmt.Sprintf("tenant.%d.name", i), s.TenantNames[i])
-		put(fmt.Sprintf("tenant.%d.share", i), t.Share)
+		put(fmt.Sprintf("tenant.%d.share", i), t.Fraction)
 		put(fmt.Sprintf("tenant.%d.quota", i), t.QuotaPerSec)
 	}
 }
@@ -140,34 +140,38 @@
 	s := simwire.Settings{
 		Settings: balance.Settings{
 			Seed: c.Seeded(), Rank: p.Rank, Peers: p.Instances, Zone: c.hall(), Tick: p.Tick,
-			Prices: balance.Prices{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
+			Costs: balance.Costs{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
 				LateFail: c.Prices.LateFail},
-			OverShareWorth: p.OverShare, WorthByWork: p.WorthBy == "work",
-			MustFollow: c.Discovery.Mode == "ask" && c.Discovery.Address != "", AskWithin: c.Discovery.AskWithin,
-			DrainGrace: c.Drain.Grace, AnswerSlack: p.Slack,
-			ColdStart: c.Cold.Start, ColdFor: c.Cold.Warm, FallMultiple: c.Cold.Multiple, FallAfter: c.Cold.After,
-			MaxAttempts: p.Attempts, MayProbe: p.Probes, MayCancel: p.Cancel, MayDuplicate: p.Duplicate,
-			TellsBackoff: p.TellWait, MaxBackoff: p.MaxWait, DialTimeout: c.Upstream.Dial, WarmKeys: p.WarmKeys,
-			ReportAnswers: p.ReportFrom == "answers",
+			OverQuotaValue: p.OverShare, ValuePerWork: p.WorthBy == "work",
+			MustFollow:       c.Discovery.Mode == "ask" && c.Discovery.Address != "",
+			RegistryInterval: c.Discovery.AskWithin,
+			DrainGrace:       c.Drain.Grace, ResponseGrace: p.Slack,
+			SlowStartMin: c.Cold.Start, SlowStartWindow: c.Cold.Warm, CollapseMultiple: c.Cold.Multiple,
+			CollapseAfter: c.Cold.After,
+			MaxAttempts:   p.Attempts, MayProbe: p.Probes, MayCancel: p.Cancel, MayHedge: p.Duplicate,
+			SendsRetryAfter: p.TellWait, MaxRetryAfter: p.MaxWait, DialTimeout: c.Upstream.Dial,
+			KeyAffinity:        p.WarmKeys,
+			ReportsInResponses: p.ReportFrom == "answers",
 		},
 		ZoneNames: c.Halls, KindNames: c.Kinds, IdleClose: c.Upstream.IdleClose,
 	}
 	for _, k := range c.Classes {
 		s.ClassNames = append(s.ClassNames, k.Name)
 		s.Classes = append(s.Classes, balance.Class{
-			Aim: k.Aim, AimStretch: k.Stretch, Deadline: k.Deadline, Effect: simwire.Effects[k.Effect],
-			Group: simwire.Groups[k.Group], Window: k.Window, Worth: k.Worth, LateWorth: k.LateWorth, Stream: k.Stream,
+			LatencyTarget: k.Aim, TargetPerWork: k.Stretch, Deadline: k.Deadline, Effect: simwire.Effects[k.Effect],
+			DedupScope: simwire.Groups[k.Group], DedupWindow: k.Window, Value: k.Worth,
+			LateValue: k.LateWorth, Stream: k.Stream,
 		})
 	}
 	for _, t := range c.Tenants {
 		s.TenantNames = append(s.TenantNames, t.Name)
-		s.Tenants = append(s.Tenants, balance.Tenant{Share: t.Share, QuotaPerSec: t.Quota})
+		s.Tenants = append(s.Tenants, balance.Tenant{Fraction: t.Share, QuotaPerSec: t.Quota})
 	}
 	if p.ReportFrom == "none" {
 		return s
 	}
 	for _, w := range p.Report {
-		s.Report = append(s.Report, simwire.Fields[w])
+		s.ReportFields = append(s.ReportFields, simwire.Fields[w])
 		s.ReportNames = append(s.ReportNames, w)
 	}
 	return s
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -62,11 +62,11 @@
 		switch a.Kind {
 		case balance.Send:
 			c.addStep(Step{Kind: Send, Server: a.Server, Attempt: len(c.sentAt), GiveUpAt: d.giveUpAt(c, now, a.Wait),
-				StartBy: d.start.Add(now + a.Within - d.clockBase)})
+				StartBy: d.start.Add(now + a.StartWithin - d.clockBase)})
 			c.sentAt, c.timeouts = append(c.sentAt, now), append(c.timeouts, a.Wait)
 		case balance.Cancel:
 			c.addStep(Step{Kind: Cancel, Attempt: a.Attempt})
-		case balance.Refuse:
+		case balance.Reject:
 			d.finish(c, Step{Kind: Refuse, RetryAfter: a.Wait})
 		case balance.Fail:
 			d.finish(c, Step{Kind: Fail})
--- a/internal/proxy/dispatch/decide.go
+++ b/internal/proxy/dispatch/decide.go
@@ -24,13 +24,13 @@
 // How an attempt or a probe ends.
 const (
 	Served        = balance.Done
-	ErrorResponse = balance.Error     // may have run
-	Rejected      = balance.Rejected  // unseen, so it never ran
-	TimedOut      = balance.TimedOut  // may have run
-	NoConnection  = balance.Refused   // never ran
-	Reset         = balance.Reset     // may have run
-	Cancelled     = balance.Cancelled // may have run
-	Skipped       = balance.Skipped   // never ran, and no server is to blame
+	ErrorResponse = balance.Error       // may have run
+	Rejected      = balance.Rejected    // unseen, so it never ran
+	TimedOut      = balance.TimedOut    // may have run
+	NoConnection  = balance.ConnRefused // never ran
+	Reset         = balance.Reset       // may have run
+	Cancelled     = balance.Cancelled   // may have run
+	Skipped       = balance.Skipped     // never ran, and no server is to blame
 )
 
 // ResultNames are the words for the results, by their values.
@@ -142,7 +142,7 @@
 	d.calls[c.id] = c
 	d.execute(now, d.balancer.Request(now, balance.Request{
 		ID: c.id, Class: q.Class, Tenant: q.Tenant, Key: q.Key, HasKey: q.HasKey, Work: q.Work,
-		Deadline: d.toClock(q.Deadline), Repeat: q.Repeat,
+		Deadline: d.toClock(q.Deadline), ClientRetry: q.Repeat,
 	}, d.actions[:0]))
 	return c
 }
@@ -193,7 +193,7 @@
 		}
 		if s.Kind == Send { // the module counts it as out until it hears otherwise
 			d.execute(now, d.balancer.Outcome(now, balance.Outcome{
-				ID: c.id, Attempt: s.Attempt, Result: Skipped, Over: true,
+				ID: c.id, Attempt: s.Attempt, Result: Skipped, Final: true,
 			}, d.actions[:0]))
 			// Of an attempt that was never handed out nobody may hear: to cancel it would name one that the
 			// front has not started.
@@ -210,7 +210,7 @@
 func (d *Decider) BodyConsumed(c *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Spent(c.id)
+	d.balancer.BodyConsumed(c.id)
 }
 
 // BodySent says that the last byte of a request that is not held is sent, by that attempt. It returns until
@@ -220,7 +220,7 @@
 	defer d.unlock()
 	c.deadline = deadline
 	c.sentAt[attempt] = now
-	d.balancer.Whole(now, c.id, d.toClock(deadline))
+	d.balancer.BodySent(now, c.id, d.toClock(deadline))
 	return d.giveUpAt(c, now, c.timeouts[attempt])
 }
 
@@ -240,7 +240,7 @@
 	defer d.unlock()
 	answers = result == Served && !c.closed
 	d.execute(now, d.balancer.Outcome(now, balance.Outcome{
-		ID: c.id, Attempt: attempt, Result: result, Over: c.closed || answers,
+		ID: c.id, Attempt: attempt, Result: result, Final: c.closed || answers,
 		Latency: now - c.sentAt[attempt], Report: load,
 	}, d.actions[:0]))
 	if answers {
@@ -283,7 +283,7 @@
 func (d *Decider) Avoided() int {
 	now := d.lock()
 	defer d.unlock()
-	return d.balancer.Avoided(now)
+	return d.balancer.Ejected(now)
 }
 
 // Tick fires the timers that are due and returns the time until the next, an hour at most.
--- a/internal/proxy/dispatch/decide_test.go
+++ b/internal/proxy/dispatch/decide_test.go
@@ -41,10 +41,11 @@
 
 func decider(t *testing.T, set func(*balance.Settings)) (*Decider, *party) {
 	s := balance.Settings{
-		Tick: 5 * time.Millisecond, MaxAttempts: 3, MayCancel: true, AskWithin: time.Millisecond, MustFollow: true,
+		Tick: 5 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RegistryInterval: time.Millisecond,
+		MustFollow: true,
 		Classes: []balance.Class{
-			{Aim: time.Hour, Deadline: time.Hour, Effect: balance.Idempotent, Worth: 1},
-			{Aim: time.Hour, Deadline: time.Hour, Effect: balance.AtMostOnce, Worth: 1},
+			{LatencyTarget: time.Hour, Deadline: time.Hour, Effect: balance.Idempotent, Value: 1},
+			{LatencyTarget: time.Hour, Deadline: time.Hour, Effect: balance.AtMostOnce, Value: 1},
 		},
 	}
 	if set != nil {
--- a/internal/proxy/dispatch/orders_test.go
+++ b/internal/proxy/dispatch/orders_test.go
@@ -35,7 +35,7 @@
 	for class, effect := range []string{"may run again", "must not"} {
 		for res := range Result(len(ResultNames)) {
 			orders(4, func(order []int) {
-				d, p := decider(t, func(s *balance.Settings) { s.MayDuplicate = true })
+				d, p := decider(t, func(s *balance.Settings) { s.MayHedge = true })
 				d.UpdateList(true, []Server{{ID: 7, Rating: 1}, {ID: 8, Rating: 1}})
 				q := soon()
 				q.Class = class
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -87,7 +87,7 @@
 	for _, may := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", may), func(t *testing.T) {
 			r := newRig(t, func(s *balance.Settings) {
-				s.MayCancel, s.Classes[0].Aim = may, time.Second // an unusual time is a part of it
+				s.MayCancel, s.Classes[0].LatencyTarget = may, time.Second // an unusual time is a part of it
 			})
 			slow, answer := make(chan bool, 1), make(chan bool)
 			zone := func(name string) *nettest.Party {
@@ -236,7 +236,7 @@
 }
 
 func twoCopies(t *testing.T, framing string) {
-	r := newRig(t, func(s *balance.Settings) { s.Classes[0].Aim = time.Second })
+	r := newRig(t, func(s *balance.Settings) { s.Classes[0].LatencyTarget = time.Second })
 	bodies := make(chan string, 9)
 	zone := nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -62,10 +62,10 @@
 // alter the settings.
 func newRig(t testing.TB, change func(*balance.Settings)) *rig {
 	set := balance.Settings{
-		Tick: time.Millisecond, MaxAttempts: 3, MayCancel: true, MayDuplicate: true,
+		Tick: time.Millisecond, MaxAttempts: 3, MayCancel: true, MayHedge: true,
 		Classes: []balance.Class{
-			{Aim: time.Minute, Deadline: time.Minute, Effect: balance.Idempotent, Worth: 1},
-			{Aim: time.Minute, Deadline: time.Minute, Effect: balance.AtMostOnce, Worth: 8},
+			{LatencyTarget: time.Minute, Deadline: time.Minute, Effect: balance.Idempotent, Value: 1},
+			{LatencyTarget: time.Minute, Deadline: time.Minute, Effect: balance.AtMostOnce, Value: 8},
 		},
 	}
 	if change != nil {
--- a/internal/proxy/ingress/window_test.go
+++ b/internal/proxy/ingress/window_test.go
@@ -17,7 +17,7 @@
 	for _, late := range []bool{false, true} {
 		r := newRig(t, func(s *balance.Settings) {
 			c := &s.Classes[1]
-			c.Effect, c.Window, c.Group = balance.Deduplicated, window, balance.GroupAll
+			c.Effect, c.DedupWindow, c.DedupScope = balance.Deduplicated, window, balance.DedupFleet
 		})
 		first := make(chan time.Time, 1) // when it came to its first server, which breaks off
 		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
--- a/internal/proxy/simwire/decode.go
+++ b/internal/proxy/simwire/decode.go
@@ -82,7 +82,7 @@
 
 var results = map[string]balance.Result{
 	"done": balance.Done, "err": balance.Error, "busy": balance.Rejected, "etimedout": balance.TimedOut,
-	"econnrefused": balance.Refused, "econnreset": balance.Reset, "ecanceled": balance.Cancelled,
+	"econnrefused": balance.ConnRefused, "econnreset": balance.Reset, "ecanceled": balance.Cancelled,
 	"skipped": balance.Skipped,
 }
 
@@ -288,7 +288,7 @@
 	case "attempt":
 		ev.Outcome.Attempt, err = count(j)
 	case "over":
-		ev.Outcome.Over, err = j.Bool()
+		ev.Outcome.Final, err = j.Bool()
 	case "metrics":
 		d.row, err = numbers(j, d.row[:0])
 		*row = d.row
@@ -308,7 +308,7 @@
 	case "bitmap":
 		var bits int
 		bits, err = count(j)
-		ev.Request.Repeat = bits&2 != 0
+		ev.Request.ClientRetry = bits&2 != 0
 	case "lane":
 		ev.Request.Class, err = count(j)
 	case "size-hint-ms":
--- a/internal/proxy/simwire/encode.go
+++ b/internal/proxy/simwire/encode.go
@@ -45,7 +45,7 @@
 		e.open(`{"Withdraw":{"sidecar":`, sidecar)
 		e.text(`,"tid":`, a.ID)
 		e.whole(`,"attempt":`, uint64(a.Attempt))
-	case balance.Refuse:
+	case balance.Reject:
 		e.open(`{"Busy":{"sidecar":`, sidecar)
 		e.text(`,"tid":`, a.ID)
 		if a.Wait > 0 {
--- a/internal/proxy/simwire/settings.go
+++ b/internal/proxy/simwire/settings.go
@@ -17,13 +17,13 @@
 }
 
 // Groups are the words for who drops each other's repeats.
-var Groups = map[string]balance.Group{
-	"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
+var Groups = map[string]balance.DedupScope{
+	"all": balance.DedupFleet, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
 // Fields are the words for the values of a load report that decisions read; any other word is passed over.
-var Fields = map[string]balance.Field{
-	"active": balance.FieldHeld, "waiting": balance.FieldWaiting, "cpu": balance.FieldUtil,
+var Fields = map[string]balance.ReportField{
+	"active": balance.FieldInFlight, "waiting": balance.FieldQueued, "cpu": balance.FieldUtilization,
 }
 
 // reader returns a function that reads one value into a field of the settings.
@@ -103,8 +103,8 @@
 	}
 	err := object(j, map[string]reader{
 		"balancers": whole(&s.Peers), "rank": whole(&s.Rank), "locality": whole(&s.Zone),
-		"tick-ms": ms(&s.Tick), "over-share-worth": float(&s.OverShareWorth),
-		"counted-by": is(&s.WorthByWork, "work"), "registry-mode": is(&s.MustFollow, "on_request"),
+		"tick-ms": ms(&s.Tick), "over-share-worth": float(&s.OverQuotaValue),
+		"counted-by": is(&s.ValuePerWork, "work"), "registry-mode": is(&s.MustFollow, "on_request"),
 		"grades": array(func(j *jx.Decoder) error {
 			c, name, err := class(j)
 			s.Classes = append(s.Classes, c)
@@ -115,44 +115,44 @@
 			var t balance.Tenant
 			var name string
 			err := object(j, map[string]reader{
-				"quota-per-s": float(&t.QuotaPerSec), "portion": float(&t.Share), "name": text(&name),
+				"quota-per-s": float(&t.QuotaPerSec), "portion": float(&t.Fraction), "name": text(&name),
 			})
 			s.Tenants = append(s.Tenants, t)
 			s.TenantNames = append(s.TenantNames, name)
 			return err
 		}),
 		"deductions": nested(map[string]reader{
-			"cross-zone": float(&s.Prices.CrossZone), "probe": float(&s.Prices.Probe),
-			"waste":     float(&s.Prices.Waste),
-			"late-fail": float(&s.Prices.LateFail),
+			"cross-zone": float(&s.Costs.CrossZone), "probe": float(&s.Costs.Probe),
+			"waste":     float(&s.Costs.Waste),
+			"late-fail": float(&s.Costs.LateFail),
 		}),
 		"azs":   array(listed(&s.ZoneNames)),
 		"kinds": array(listed(&s.KindNames)),
-		"extra": nested(map[string]reader{"warm-keys": truth(&s.WarmKeys)}),
+		"extra": nested(map[string]reader{"warm-keys": truth(&s.KeyAffinity)}),
 		"invariants": nested(map[string]reader{
-			"answer-slack-ms": ms(&s.AnswerSlack), "ask-within-ms": ms(&s.AskWithin),
-			"cold-ms": ms(&s.ColdFor), "fall-multiple": float(&s.FallMultiple),
-			"start-capacity": float(&s.ColdStart), "stop-sending-within-ms": ms(&s.DrainGrace),
-			"tip-after-ms": ms(&s.FallAfter),
+			"answer-slack-ms": ms(&s.ResponseGrace), "ask-within-ms": ms(&s.RegistryInterval),
+			"cold-ms": ms(&s.SlowStartWindow), "fall-multiple": float(&s.CollapseMultiple),
+			"start-capacity": float(&s.SlowStartMin), "stop-sending-within-ms": ms(&s.DrainGrace),
+			"tip-after-ms": ms(&s.CollapseAfter),
 		}),
 		"limits": nested(map[string]reader{
 			"cancel": truth(&s.MayCancel), "dial-timeout-ms": ms(&s.DialTimeout),
 			"idle-close-ms": ms(&s.IdleClose), "max-attempts": whole(&s.MaxAttempts),
-			"max-retry-after-ms": ms(&s.MaxBackoff),
-			"may-duplicate":      truth(&s.MayDuplicate),
-			"probes":             truth(&s.MayProbe), "retry-after": truth(&s.TellsBackoff),
+			"max-retry-after-ms": ms(&s.MaxRetryAfter),
+			"may-duplicate":      truth(&s.MayHedge),
+			"probes":             truth(&s.MayProbe), "retry-after": truth(&s.SendsRetryAfter),
 		}),
 		"report": nested(map[string]reader{
 			"fields": array(func(j *jx.Decoder) error {
 				b, err := j.StrBytes()
-				s.Report = append(s.Report, Fields[string(b)])
+				s.ReportFields = append(s.ReportFields, Fields[string(b)])
 				s.ReportNames = append(s.ReportNames, string(b))
 				return err
 			}),
 			"source": into(&source, (*jx.Decoder).Str),
 		}),
 	})
-	s.ReportAnswers = source == "answers"
+	s.ReportsInResponses = source == "answers"
 	if err == nil && len(s.Classes) == 0 {
 		err = fmt.Errorf("field %q is missing or empty", "grades")
 	}
@@ -161,11 +161,11 @@
 
 func class(j *jx.Decoder) (c balance.Class, name string, err error) {
 	err = object(j, map[string]reader{
-		"aim-ms": ms(&c.Aim), "aim-stretch": float(&c.AimStretch), "deadline-ms": ms(&c.Deadline),
-		"late-worth": float(&c.LateWorth), "value": float(&c.Worth), "window-ms": ms(&c.Window),
+		"aim-ms": ms(&c.LatencyTarget), "aim-stretch": float(&c.TargetPerWork), "deadline-ms": ms(&c.Deadline),
+		"late-worth": float(&c.LateValue), "value": float(&c.Value), "window-ms": ms(&c.DedupWindow),
 		"stream": truth(&c.Stream), "name": text(&name),
 		"effect": into(&c.Effect, func(j *jx.Decoder) (balance.Effect, error) { return word(j, Effects) }),
-		"group":  into(&c.Group, func(j *jx.Decoder) (balance.Group, error) { return word(j, Groups) }),
+		"group":  into(&c.DedupScope, func(j *jx.Decoder) (balance.DedupScope, error) { return word(j, Groups) }),
 	})
 	return c, name, err
 }
--- a/internal/router/scheduler/draw.go
+++ b/internal/router/scheduler/draw.go
@@ -17,7 +17,7 @@
 		s.weights = append(s.weights, candidates[i].weight(now))
 	}
 	at := s.random.Float64()
-	for i, share := range balance.Fill(s.levels, s.weights, arrivalsMs) {
+	for i, share := range balance.WaterFill(s.levels, s.weights, arrivalsMs) {
 		if at -= share; at < 0 {
 			return &candidates[i]
 		}
--- a/internal/router/scheduler/draw_test.go
+++ b/internal/router/scheduler/draw_test.go
@@ -45,7 +45,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			weights := []float64{1, 1, 1}
 			seen := drawCounts(test.levels, test.arrive, n)
-			for i, share := range balance.Fill(test.levels, weights, test.arrive) {
+			for i, share := range balance.WaterFill(test.levels, weights, test.arrive) {
 				qt.Check(t, seen[i]/n, isNear, share, 0.015)
 			}
 		})
--- a/internal/simulation/proxysim/agents.go
+++ b/internal/simulation/proxysim/agents.go
@@ -126,7 +126,7 @@
 	}
 	if to < 0 {
 		delete(v.open, q.r.ID)
-		return append(acts, balance.Action{Kind: balance.Refuse, ID: q.r.ID})
+		return append(acts, balance.Action{Kind: balance.Reject, ID: q.r.ID})
 	}
 	q.sent = append(q.sent, to)
 	v.own[to]++
@@ -139,18 +139,18 @@
 	if q == nil {
 		return acts
 	}
-	if o.Over {
+	if o.Final {
 		delete(v.open, o.ID)
 		return acts
 	}
-	never := o.Result == balance.Rejected || o.Result == balance.Refused || o.Result == balance.Skipped
+	never := o.Result == balance.Rejected || o.Result == balance.ConnRefused || o.Result == balance.Skipped
 	unsafe := v.s.sc.Classes[q.r.Class].Unsafe
 	if len(q.sent) < v.s.sc.Rules.Attempts && now < q.r.Deadline && (never || !unsafe) {
 		return v.next(q, acts)
 	}
 	delete(v.open, o.ID)
 	if never && (!unsafe || len(q.sent) == 1) {
-		return append(acts, balance.Action{Kind: balance.Refuse, ID: o.ID})
+		return append(acts, balance.Action{Kind: balance.Reject, ID: o.ID})
 	}
 	return append(acts, balance.Action{Kind: balance.Fail, ID: o.ID})
 }
--- a/internal/simulation/proxysim/emulator_test.go
+++ b/internal/simulation/proxysim/emulator_test.go
@@ -190,7 +190,7 @@
 }
 
 func (r *reckless) Outcome(_ time.Duration, o balance.Outcome, a []balance.Action) []balance.Action {
-	if o.Over {
+	if o.Final {
 		return a
 	}
 	return append(a, balance.Action{Kind: balance.Fail, ID: o.ID})
--- a/internal/simulation/proxysim/lists.go
+++ b/internal/simulation/proxysim/lists.go
@@ -147,8 +147,8 @@
 func (s *lists) start(i int) {
 	p := &s.proxies[i]
 	agent, err := balance.New(balance.Settings{Seed: s.rnd.Uint64(), Rank: i, Peers: s.o.Proxies,
-		MustFollow: true, AskWithin: s.o.AskWithin, Tick: time.Millisecond, MaxAttempts: 1,
-		Classes: []balance.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, s.clock())
+		MustFollow: true, RegistryInterval: s.o.AskWithin, Tick: time.Millisecond, MaxAttempts: 1,
+		Classes: []balance.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}}, s.clock())
 	if err != nil {
 		panic(err) // the same settings for all, which a test takes
 	}
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -296,10 +296,10 @@
 	if !s.reuse(q.proxy, to) {
 		switch {
 		case sv.silent:
-			s.add(min(s.now+int64(s.sc.Network.Dial), until), evOutcome, r, int32(balance.Refused), c)
+			s.add(min(s.now+int64(s.sc.Network.Dial), until), evOutcome, r, int32(balance.ConnRefused), c)
 			return
 		case !sv.up || s.sc.Servers.Conns > 0 && int(sv.open) >= s.sc.Servers.Conns:
-			s.add(s.now+2*way, evOutcome, r, int32(balance.Refused), c)
+			s.add(s.now+2*way, evOutcome, r, int32(balance.ConnRefused), c)
 			return
 		}
 		s.tally.handshakes++
@@ -361,7 +361,7 @@
 	}
 	over := wins || !s.reqs[r].used || s.reqs[r].over
 	s.do(i, p.agent.Outcome(time.Duration(s.now), balance.Outcome{
-		ID: id, Attempt: n, Server: balance.ServerID(server + 1), Result: res, Over: over,
+		ID: id, Attempt: n, Server: balance.ServerID(server + 1), Result: res, Final: over,
 		Latency: time.Duration(s.now - sent),
 	}, s.acts[:0]))
 }
--- a/internal/simulation/proxysim/server.go
+++ b/internal/simulation/proxysim/server.go
@@ -326,7 +326,7 @@
 	case v.silent:
 		a.res, after = balance.TimedOut, int64(s.sc.Network.Dial)
 	case !v.up:
-		a.res = balance.Refused
+		a.res = balance.ConnRefused
 	default:
 		v.debt += float64(s.sc.Reports.Cost)
 		if a.row = s.report(v); s.sc.Reports.Model != "probe" {
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -231,7 +231,7 @@
 				s.send(r, int32(a.Server)-1, int64(a.Wait))
 			case balance.Cancel:
 				s.cancel(r, a.Attempt)
-			case balance.Refuse:
+			case balance.Reject:
 				s.answer(r, refused, a.Wait)
 			case balance.Fail:
 				s.answer(r, failed, 0)
--- a/internal/simulation/proxysim/simsetup.go
+++ b/internal/simulation/proxysim/simsetup.go
@@ -137,24 +137,24 @@
 	sc := s.sc
 	set := balance.Settings{
 		Seed: seed, Rank: int(rank), Peers: sc.Proxies.Count, Zone: int(s.proxies[rank].hall),
-		Tick:   time.Millisecond,
-		Report: []balance.Field{balance.FieldHeld, balance.FieldWaiting, balance.FieldUtil},
-		Prices: balance.Prices{CrossZone: sc.Prices.CrossHall, Probe: sc.Prices.Probe, Waste: sc.Prices.Waste,
+		Tick:         time.Millisecond,
+		ReportFields: []balance.ReportField{balance.FieldInFlight, balance.FieldQueued, balance.FieldUtilization},
+		Costs: balance.Costs{CrossZone: sc.Prices.CrossHall, Probe: sc.Prices.Probe, Waste: sc.Prices.Waste,
 			LateFail: sc.Prices.LateFail},
-		OverShareWorth: sc.Prices.OverShare, MustFollow: !s.registry.push, AskWithin: sc.Discovery.Within,
-		DrainGrace: sc.Rules.Grace, AnswerSlack: sc.Rules.Slack, ColdStart: sc.Servers.ColdStart,
-		ColdFor: sc.Servers.ColdFor, FallMultiple: sc.Rules.Multiple, FallAfter: sc.Rules.After,
-		MaxAttempts: sc.Rules.Attempts, MayProbe: true, MayCancel: true, MayDuplicate: true,
-		TellsBackoff: sc.Clients.Honour > 0, MaxBackoff: time.Second, DialTimeout: sc.Network.Dial,
-		WarmKeys: sc.Servers.WarmFor > 0,
+		OverQuotaValue: sc.Prices.OverShare, MustFollow: !s.registry.push, RegistryInterval: sc.Discovery.Within,
+		DrainGrace: sc.Rules.Grace, ResponseGrace: sc.Rules.Slack, SlowStartMin: sc.Servers.ColdStart,
+		SlowStartWindow: sc.Servers.ColdFor, CollapseMultiple: sc.Rules.Multiple, CollapseAfter: sc.Rules.After,
+		MaxAttempts: sc.Rules.Attempts, MayProbe: true, MayCancel: true, MayHedge: true,
+		SendsRetryAfter: sc.Clients.Honour > 0, MaxRetryAfter: time.Second, DialTimeout: sc.Network.Dial,
+		KeyAffinity: sc.Servers.WarmFor > 0,
 	}
 	for _, c := range sc.Classes {
-		b := balance.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth}
+		b := balance.Class{LatencyTarget: c.Aim, Deadline: c.Deadline, Value: c.Worth}
 		if c.Unsafe {
 			b.Effect = balance.AtMostOnce
 		}
-		if b.Aim == 0 { // far off, but not so far that the first guess of a service time, a fifth, lasts
-			b.Aim = 100 * c.Work
+		if b.LatencyTarget == 0 { // far off, but not so far that the first guess of a service time, a fifth, lasts
+			b.LatencyTarget = 100 * c.Work
 		}
 		if b.Deadline == 0 {
 			b.Deadline = forever
@@ -162,7 +162,7 @@
 		set.Classes = append(set.Classes, b)
 	}
 	for _, t := range sc.Tenants {
-		set.Tenants = append(set.Tenants, balance.Tenant{Share: t.Share, QuotaPerSec: t.Quota})
+		set.Tenants = append(set.Tenants, balance.Tenant{Fraction: t.Share, QuotaPerSec: t.Quota})
 	}
 	return set
 }
