--- a/internal/router/chain/acceptor.go
+++ b/internal/router/chain/acceptor.go
@@ -2,7 +2,7 @@
 
 // onPrepare promises to accept no proposal of a lower number for the successor of the current view.
 func (n *Node) onPrepare(m *Message) {
-	if !n.mayVoteOn(m) {
+	if !n.admits(m) {
 		return
 	}
 	acceptor := &n.state.acceptor
@@ -16,7 +16,7 @@
 
 // onAccept accepts a proposed view unless a higher proposal number was promised.
 func (n *Node) onAccept(m *Message) {
-	if !n.mayVoteOn(m) {
+	if !n.admits(m) {
 		return
 	}
 	n.state.acceptor = acceptorState{
@@ -27,9 +27,9 @@
 	n.send(m.From, Message{Kind: AcceptReply, ProposalNumber: m.ProposalNumber})
 }
 
-// mayVoteOn reports whether this node is an acceptor that has promised no number above that of a message. A
+// admits reports whether this node is an acceptor that has promised no number above that of a message. A
 // proposer with too low a number gets a Nack.
-func (n *Node) mayVoteOn(m *Message) bool {
+func (n *Node) admits(m *Message) bool {
 	if !n.state.view.isMember(n.state.id) {
 		return false
 	}
--- a/internal/router/chain/chain_test.go
+++ b/internal/router/chain/chain_test.go
@@ -61,8 +61,8 @@
 		tc.mustWrite("a", 0, 1, "one")
 		tc.run(200 * time.Millisecond)
 		for _, id := range tc.order {
-			entry, known := tc.machines[id].node.Committed()
-			tc.c.Assert(known, qt.IsTrue)
+			entry, ok := tc.machines[id].node.Committed()
+			tc.c.Assert(ok, qt.IsTrue)
 			tc.c.Assert(string(entry.Body), qt.Equals, "one")
 		}
 	}
@@ -248,8 +248,8 @@
 	tc.inTransit = nil
 	for _, id := range tc.order {
 		tc.restart(id)
-		entry, known := tc.machines[id].node.Committed()
-		tc.c.Assert(known, qt.IsTrue)
+		entry, ok := tc.machines[id].node.Committed()
+		tc.c.Assert(ok, qt.IsTrue)
 		tc.c.Assert(string(entry.Body), qt.Equals, "one")
 	}
 	tc.run(200 * time.Millisecond)
@@ -268,8 +268,8 @@
 	for _, id := range tc.order {
 		tc.restart(id)
 		tc.inTransit = nil // no message has arrived yet
-		entry, known := tc.machines[id].node.Committed()
-		tc.c.Assert(known, qt.IsTrue)
+		entry, ok := tc.machines[id].node.Committed()
+		tc.c.Assert(ok, qt.IsTrue)
 		want := "one"
 		if id == "c" {
 			want = "two"
--- a/internal/router/chain/codec.go
+++ b/internal/router/chain/codec.go
@@ -59,33 +59,21 @@
 	failed bool
 }
 
-// skip consumes a varint of the size that package binary returned for it; a size of 0 or below is an error.
-func (d *decoder) skip(size int) {
-	if size <= 0 {
-		d.fail()
-		return
-	}
-	d.data = d.data[size:]
-}
-
 // fail drops the rest of the record.
 func (d *decoder) fail() { d.data, d.failed = nil, true }
 
-func (d *decoder) number() uint64 {
-	value, size := binary.Uvarint(d.data)
-	d.skip(size)
-	if d.failed {
-		return 0
-	}
-	return value
-}
+func (d *decoder) number() uint64 { return decodeVarint(d, binary.Uvarint) }
+
+func (d *decoder) signed() int64 { return decodeVarint(d, binary.Varint) }
 
-func (d *decoder) signed() int64 {
-	value, size := binary.Varint(d.data)
-	d.skip(size)
-	if d.failed {
+// decodeVarint consumes a varint; read is the function of package binary for its type.
+func decodeVarint[T uint64 | int64](d *decoder, read func([]byte) (T, int)) T {
+	value, size := read(d.data)
+	if size <= 0 {
+		d.fail()
 		return 0
 	}
+	d.data = d.data[size:]
 	return value
 }
 
--- a/internal/router/chain/doc.go
+++ b/internal/router/chain/doc.go
@@ -18,7 +18,7 @@
 // those that are back at its tail, and replaces a member that stays unavailable by another machine. A
 // message of an older epoch is answered with the current view, which fences off a replaced head.
 //
-// A new epoch is closed until the head has resent its latest accepted entry down the whole chain. Before that
+// A new epoch is closed until the head has resent its latest accepted entry down the full chain. Before that
 // it serves nothing. An epoch that can't be opened, because no possible head is left, can be sealed: replicas
 // that promise never to open it prove that nothing was committed in it.
 //
--- a/internal/router/chain/fence_test.go
+++ b/internal/router/chain/fence_test.go
@@ -116,8 +116,8 @@
 	write := tc.propose("a", 1, 2, "two")
 	tc.run(20 * time.Millisecond)
 	tc.c.Assert(tc.outcome("a", write), qt.Equals, Outcome(0))
-	entry, known := tc.machines["c"].node.Committed()
-	tc.c.Assert(known, qt.IsTrue)
+	entry, ok := tc.machines["c"].node.Committed()
+	tc.c.Assert(ok, qt.IsTrue)
 	tc.c.Assert(string(entry.Body), qt.Equals, "one")
 	tc.c.Assert(tc.machines["c"].node.heartbeat().Stalled, qt.IsTrue)
 }
--- a/internal/router/chain/forward.go
+++ b/internal/router/chain/forward.go
@@ -9,7 +9,7 @@
 type forwardedRequest struct {
 	kind     requestKind
 	deadline time.Duration
-	// knownEntry is the committed entry that the head was told of, so that it may leave out the body.
+	// knownEntry is the committed entry that the request names to the head, so that it may leave out the body.
 	knownEntry Entry
 }
 
--- a/internal/router/chain/message.go
+++ b/internal/router/chain/message.go
@@ -49,7 +49,8 @@
 	MarkerReply
 )
 
-// Message is what nodes send each other. Its slices must not be modified: messages, effects and the node's
+// Message is what nodes send each other: like the Message of etcd's raft one flat struct for all kinds, see
+// Kind for the fields that each one uses. Its slices must not be modified: messages, effects and the node's
 // state share them.
 type Message struct {
 	Kind Kind
