--- a/internal/cluster/gossip/locks_test.go
+++ b/internal/cluster/gossip/locks_test.go
@@ -1,9 +1,7 @@
 package gossip
 
 import (
-	"fmt"
 	"log/slog"
-	"net"
 	"testing"
 	"time"
 
@@ -32,21 +30,21 @@
 	return f
 }
 
-// Whatever this member does by itself goes on while news of others comes in: memberlist tells of them under
+// Whatever this member does by itself goes on while updates of others come in: memberlist reports them under
 // its own lock, so that nothing may call it with the view's lock held.
 func TestNoLockIsHeldAcrossMemberlistCalls(t *testing.T) {
 	a := startMember(t, "a")
 	b := startMember(t, "b", a.Address())
 	done := make(chan error, 2)
 	end := time.Now().Add(time.Second)
-	go func() { // news
+	go func() { // updates
 		for i := 0; time.Now().Before(end); i++ {
 			b.SetPhase(membership.Phase(i%2), 50*time.Millisecond)
 			a.join([]string{b.Address()})
 		}
 		done <- nil
 	}()
-	go func() { // what the worker does, and what the door and other parts ask
+	go func() { // what syncLoop does, and what the admin API and other packages call
 		for time.Now().Before(end) {
 			a.rejoin()
 			a.startSuspectSync("b")
@@ -59,11 +57,11 @@
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
-			t.Fatal("the member stands still: two locks are taken in two orders")
+			t.Fatal("deadlock: two locks are taken in two orders")
 		}
 	}
 	if p := a.Snapshot(); len(p.Members) != 2 || p.Counters.Changes == 0 {
-		t.Error(fmt.Sprintf("no news came: %+v", p))
+		t.Errorf("no updates came: %+v", p)
 	}
 	ended := make(chan struct{})
 	go func() { a.Close(); b.Close(); close(ended) }()
@@ -74,12 +72,13 @@
 	}
 }
 
-// A member that comes back with its wall clock set back is heard all the same: after a kill, and a leave.
+// Updates of a member that restarts with its wall clock set back are accepted: after a kill, and after a
+// leave.
 func TestMemberIsAcceptedAfterItsClockWentBack(t *testing.T) {
 	a := startMember(t, "a")
 	defer a.Close()
 	later := time.Now().Add(time.Hour)
-	held := func() (m membership.Member) {
+	memberB := func() (m membership.Member) {
 		for _, m = range a.Members() {
 			if m.Name == "b" {
 				return m
@@ -89,9 +88,9 @@
 	}
 	until := func(what string, holds func(membership.Member) bool) {
 		t.Helper()
-		for end := time.Now().Add(10 * time.Second); !holds(held()); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(10 * time.Second); !holds(memberB()); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: never; held is %+v", what, held())
+				t.Fatalf("%s: never; b is %+v", what, memberB())
 			}
 		}
 	}
@@ -104,7 +103,7 @@
 		return m.Status == membership.Alive && m.Meta.Incarnation > uint64(later.UnixMilli())
 	})
 	b.SetPhase(membership.Draining, time.Second)
-	until("what it says of itself is heard", func(m membership.Member) bool {
+	until("an update of it is accepted", func(m membership.Member) bool {
 		return m.Meta.Phase == membership.Draining
 	})
 	b.Leave(time.Second)
@@ -116,8 +115,8 @@
 	})
 }
 
-// Another process under this member's name, met once a partition heals, is not outdone, whatever its start;
-// an earlier life at this member's own address is.
+// Another process under this member's name, met once a partition heals, is not superseded, whenever it
+// started; a previous incarnation at this member's own address is.
 func TestIncarnationOfDuplicateNameIsNotSuperseded(t *testing.T) {
 	a := startMember(t, "a")
 	defer a.Close()
@@ -126,8 +125,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hold := func(port int) uint64 {
-		n := &memberlist.Node{Name: "a", Addr: net.IP(ip), Port: uint16(port),
+	mergeWith := func(port int) uint64 {
+		n := &memberlist.Node{Name: "a", Addr: ip, Port: uint16(port),
 			Meta: encodeMeta(membership.Meta{Incarnation: before + 1000})}
 		if err := (*delegate)(a).NotifyMerge([]*memberlist.Node{n}); err != nil {
 			t.Fatal(err)
@@ -135,10 +134,10 @@
 		a.supersedePrevious()
 		return a.meta.Load().Incarnation
 	}
-	if got := hold(port ^ 1); got != before {
-		t.Errorf("beside a twin elsewhere the incarnation is %d, was %d", got, before)
+	if got := mergeWith(port ^ 1); got != before {
+		t.Errorf("beside another process of its name the incarnation is %d, was %d", got, before)
 	}
-	if got := hold(port); got != before+1001 {
-		t.Errorf("after an earlier life here the incarnation is %d, was %d", got, before)
+	if got := mergeWith(port); got != before+1001 {
+		t.Errorf("after a previous incarnation here the incarnation is %d, was %d", got, before)
 	}
 }
--- a/internal/cluster/gossip/meta.go
+++ b/internal/cluster/gossip/meta.go
@@ -7,7 +7,7 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// metaJSON is the metadata's form on the wire, JSON, at most memberlist.MetaMaxSize bytes.
+// metaJSON is a member's metadata as memberlist carries it: JSON of at most memberlist.MetaMaxSize bytes.
 type metaJSON struct {
 	Incarnation uint64 `json:"inc"`
 	Version     string `json:"ver,omitempty"`
@@ -18,8 +18,11 @@
 }
 
 func encodeMeta(m membership.Meta) []byte {
-	b, _ := json.Marshal(metaJSON{Incarnation: m.Incarnation, Version: m.Version, Hall: m.Hall,
+	b, err := json.Marshal(metaJSON{Incarnation: m.Incarnation, Version: m.Version, Hall: m.Hall,
 		Phase: m.Phase.String(), Ledger: m.LedgerAddress, Disk: m.ReplicaID})
+	if err != nil {
+		panic(err) // strings and numbers always encode
+	}
 	return b
 }
 
@@ -27,15 +30,15 @@
 	if len(b) == 0 {
 		return errors.New("no metadata")
 	}
-	var w metaJSON
-	if err := json.Unmarshal(b, &w); err != nil {
+	var decoded metaJSON
+	if err := json.Unmarshal(b, &decoded); err != nil {
 		return err
 	}
-	p, err := membership.ParsePhase(w.Phase)
+	phase, err := membership.ParsePhase(decoded.Phase)
 	if err != nil {
 		return err
 	}
-	*m = membership.Meta{Incarnation: w.Incarnation, Version: w.Version, Hall: w.Hall, Phase: p,
-		LedgerAddress: w.Ledger, ReplicaID: w.Disk}
+	*m = membership.Meta{Incarnation: decoded.Incarnation, Version: decoded.Version, Hall: decoded.Hall,
+		Phase: phase, LedgerAddress: decoded.Ledger, ReplicaID: decoded.Disk}
 	return nil
 }
--- /dev/null
+++ b/internal/cluster/gossip/observe.go
@@ -0,0 +1,150 @@
+package gossip
+
+import (
+	"bytes"
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"cresshub/internal/cluster/membership"
+)
+
+// observeSent reads a message that this member sends. memberlist has no event for a suspicion, but passes on
+// every update that is new to it, so that what it sends says what it knows.
+func (f *Fleet) observeSent(kind byte, msg gossipMessage) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if _, known := f.view.Get(msg.Node); !known && (kind == suspectMsg || kind == aliveMsg) {
+		return // the view's bound holds for the maps beside it, too
+	}
+	switch kind {
+	case pingMsg:
+		f.counters.Probes++
+	case indirectPingMsg:
+		f.counters.IndirectProbes++
+	case suspectMsg:
+		f.observeSuspect(msg)
+	case aliveMsg:
+		f.observeAlive(msg)
+	}
+}
+
+// observeSuspect takes a suspicion that this member raised or passes on; f.mu is held.
+func (f *Fleet) observeSuspect(msg gossipMessage) {
+	last, ok := f.suspectedIncarnations[msg.Node]
+	raised := msg.From == f.opts.Name && (!ok || last < msg.Incarnation)
+	if raised {
+		f.suspectedIncarnations[msg.Node] = msg.Incarnation
+		f.counters.Suspicions++
+	}
+	// A message is sent several times: one of an incarnation that was refuted since is no suspicion any more.
+	if msg.Incarnation >= f.swimIncarnations[msg.Node] {
+		f.changeStatus(msg.Node, membership.Alive, membership.Suspect, &f.counters.Suspected)
+	}
+	if raised {
+		f.queueSuspectSync(msg.Node)
+	}
+}
+
+// observeAlive takes a sign of life that this member gives or passes on: with a higher incarnation it refutes
+// a suspicion. f.mu is held.
+func (f *Fleet) observeAlive(msg gossipMessage) {
+	last, ok := f.swimIncarnations[msg.Node]
+	if ok && msg.Incarnation <= last {
+		return
+	}
+	if ok && msg.Node == f.opts.Name {
+		if f.pendingUpdates > 0 {
+			f.pendingUpdates--
+		} else {
+			f.counters.Refutations++
+		}
+	}
+	f.swimIncarnations[msg.Node] = msg.Incarnation
+	f.changeStatus(msg.Node, membership.Suspect, membership.Alive, &f.counters.Refuted)
+}
+
+// changeStatus changes a member that has one status in the view to another, and counts that; f.mu is held.
+func (f *Fleet) changeStatus(name string, from, to membership.Status, counter *int) {
+	m, ok := f.view.Get(name)
+	if !ok || m.Status != from {
+		return
+	}
+	*counter++
+	f.publish(f.view.Observe(f.now(), membership.Observation{Name: name, Address: m.Address, Status: to,
+		Meta: m.Meta}))
+}
+
+// observeNode hands an event of memberlist's to the view; f.mu is held.
+func (f *Fleet) observeNode(now time.Duration, n *memberlist.Node, status membership.Status) {
+	var meta membership.Meta
+	if err := decodeMeta(n.Meta, &meta); err != nil {
+		f.counters.MetaRefused++
+		f.log.Warn("fleet: metadata of a member does not decode", "member", n.Name, "err", err)
+		return
+	}
+	if status != membership.Alive {
+		f.forgetIncarnations(n.Name) // memberlist may forget it, and count anew when it is back
+	}
+	f.publish(f.view.Observe(now, membership.Observation{
+		Name: n.Name, Address: n.Address(), Status: status, Meta: meta,
+	}))
+}
+
+func (f *Fleet) forgetIncarnations(name string) {
+	delete(f.swimIncarnations, name)
+	delete(f.suspectedIncarnations, name)
+}
+
+// publish counts, logs and streams changes of the view; f.mu is held.
+func (f *Fleet) publish(changes []membership.Change) {
+	for _, c := range changes {
+		f.count(c)
+		level := slog.LevelInfo
+		if c.Kind == membership.Conflict || c.Kind == membership.Rejected {
+			level = slog.LevelWarn
+		}
+		m := c.Member
+		f.log.Log(context.Background(), level, "fleet: member "+c.Kind.String(), "member", m.Name,
+			"address", m.Address, "status", m.Status.String(), "was", c.Previous.String(),
+			"phase", m.Meta.Phase.String(), "incarnation", m.Meta.Incarnation, "gone", m.Gone)
+		select {
+		case f.changes <- c:
+		default:
+			f.counters.LostChanges++
+		}
+	}
+}
+
+// count counts a change; f.mu is held.
+func (f *Fleet) count(c membership.Change) {
+	switch c.Kind {
+	case membership.Joined:
+		f.counters.Joins++
+	case membership.Restarted:
+		f.counters.Restarts++
+	case membership.Changed:
+		f.counters.Changes++
+	case membership.BecameGone:
+		f.counters.Gone++
+	case membership.Returned:
+		f.counters.Returned++
+	case membership.Forgotten:
+		f.counters.Forgotten++
+		f.forgetIncarnations(c.Member.Name)
+	case membership.Conflict:
+		f.counters.Conflicts++
+	case membership.Rejected:
+		f.counters.Refused++
+	}
+}
+
+// logWriter logs memberlist's own lines at debug: what operators need is logged by this package.
+type logWriter struct{ log *slog.Logger }
+
+func (w *logWriter) Write(p []byte) (int, error) {
+	w.log.Debug("fleet: memberlist", "says", string(bytes.TrimRight(p, "\r\n")))
+	return len(p), nil
+}
--- /dev/null
+++ b/internal/cluster/gossip/page.go
@@ -0,0 +1,65 @@
+package gossip
+
+// Page is what /_fleet shows.
+type Page struct {
+	Self     string   `json:"self"`
+	Label    string   `json:"label"`
+	Members  []Member `json:"members"`
+	Counters Counters `json:"counters"`
+	Health   int      `json:"health"` // memberlist's awareness score: 0 is healthy, higher is slower
+}
+
+// Member is one row of the page, in the operators' words.
+type Member struct {
+	Name        string `json:"name"`
+	Address     string `json:"address"`
+	Status      string `json:"status"` // alive, suspect, dead, left
+	Gone        bool   `json:"gone"`   // others may replace it
+	Phase       string `json:"phase"`  // serving, draining, leaving
+	Incarnation uint64 `json:"incarnation"`
+	Version     string `json:"version,omitempty"`
+	Hall        string `json:"hall,omitempty"`
+	AgeMS       int64  `json:"age_ms"` // since Status last changed
+	Flaps       int    `json:"flaps"`
+	Suspected   int    `json:"suspected"` // times that this view had it suspect
+}
+
+// Counters count what this member observed since its start. Their names are those on the page.
+type Counters struct {
+	Joins, Restarts, Changes, Gone, Returned, Forgotten int
+	Conflicts, Refused, Rejoins, Syncs, LostChanges     int
+	MetaRefused                                         int // metadata of others that did not decode
+	MessagesRefused                                     int // messages of others that did not decode
+
+	Probes         int // probes sent
+	IndirectProbes int // requests to other members to probe one that did not answer
+	Suspicions     int // raised by this member's own probes
+	Suspected      int // members that became suspect in this view, whoever raised it
+	Refutations    int // of suspicions against this member, by itself
+	Refuted        int // suspicions in this view that their member refuted
+	Asked          int // suspects that states were exchanged with
+
+	PacketsIn, PacketsOut, StreamsIn, StreamsOut int64
+	BytesIn, BytesOut                            int64 // of datagrams and streams, labels included
+	WireRefused                                  int64 // malformed datagrams and streams
+	OtherLabel                                   int64 // datagrams and streams of another fleet
+}
+
+// Snapshot returns the view as it is now, members by name.
+func (f *Fleet) Snapshot() Page {
+	health := f.ml.GetHealthScore()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.now()
+	p := Page{Self: f.opts.Name, Label: f.opts.Label, Counters: f.counters, Health: health}
+	f.traffic.addTo(&p.Counters)
+	for _, m := range f.view.Snapshot() {
+		p.Members = append(p.Members, Member{
+			Name: m.Name, Address: m.Address, Status: m.Status.String(), Gone: m.Gone,
+			Phase: m.Meta.Phase.String(), Incarnation: m.Meta.Incarnation, Version: m.Meta.Version,
+			Hall: m.Meta.Hall, AgeMS: (now - m.StatusSince).Milliseconds(), Flaps: m.Flaps,
+			Suspected: m.Suspected,
+		})
+	}
+	return p
+}
--- a/internal/cluster/gossip/relay.go
+++ b/internal/cluster/gossip/relay.go
@@ -10,15 +10,15 @@
 	"golang.org/x/net/proxy"
 )
 
-// The relay seam, for tests and the laboratory: with Options.Relay set, streams to other members are opened
-// through a SOCKS5 server at that address (RFC 1928, CONNECT without a method of authentication) and
-// datagrams go to the same address in that RFC's UDP form (section 7), so that a fault rig stands between
-// every ordered pair of members. What comes in comes as it would without one.
+// The relay, for tests and the laboratory: with Options.Relay set, streams to other members are opened
+// through a SOCKS5 server at that address (RFC 1928, CONNECT without authentication) and datagrams go to
+// the same address in that RFC's UDP form (section 7), so that a fault injector stands between every
+// ordered pair of members. Inbound traffic is as without one.
 
-// relayHeaderSize is RSV, FRAG, ATYP 1 (IPv4), the address and the port.
+// relayHeaderSize is that of RSV, FRAG, ATYP 1 (IPv4), the address and the port.
 const relayHeaderSize = 10
 
-// RelayDatagram returns a datagram to an IPv4 address in the form of RFC 1928, section 7.
+// RelayDatagram returns a datagram to an IPv4 address as a relay reads it.
 func RelayDatagram(to netip.AddrPort, b []byte) []byte {
 	out := make([]byte, 0, relayHeaderSize+len(b))
 	out = append(out, 0, 0, 0, 1)
@@ -27,7 +27,7 @@
 	return append(append(out, byte(to.Port()>>8), byte(to.Port())), b...)
 }
 
-// ParseRelayDatagram reads that form. The payload is a part of b.
+// ParseRelayDatagram reads what RelayDatagram wrote. The payload aliases b.
 func ParseRelayDatagram(b []byte) (netip.AddrPort, []byte, error) {
 	if len(b) < relayHeaderSize || b[0] != 0 || b[1] != 0 || b[2] != 0 || b[3] != 1 {
 		return netip.AddrPort{}, nil, errors.New("no datagram to an IPv4 address by RFC 1928")
--- /dev/null
+++ b/internal/cluster/gossip/suspicion.go
@@ -0,0 +1,115 @@
+package gossip
+
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"cresshub/internal/cluster/membership"
+)
+
+// smallClusterSize is up to how many members a fleet counts as small.
+const smallClusterSize = 32
+
+// maxSuspectSyncs is how many suspects this member exchanges states with at once. A member whose own links
+// are slow suspects all others, and each exchange takes several times its links' delay: one after the
+// other, the last would come after its suspicion has ended.
+const maxSuspectSyncs = 16
+
+// scheduleSuspectSyncs has this member exchange states with those that its view has suspect, whoever raised
+// the suspicion, each at a time of its own: so it learns of a refutation that gossip did not bring here. In a
+// small fleet, where gossip misses more, that is before a suspicion that others confirm ends; in a large one
+// it is after, so that a lost member is not called by all. f.mu is held.
+func (f *Fleet) scheduleSuspectSyncs() {
+	now := f.now()
+	members := f.view.Snapshot()
+	minTimeout := float64(f.opts.SuspicionMult) * float64(f.opts.ProbeInterval)
+	// memberlist ends a suspicion within this time, by a death it reports or a refutation it passes on.
+	maxTimeout := 6*minTimeout*math.Max(1, math.Log10(float64(len(members)))) + float64(time.Second)
+	suspects := map[string]bool{}
+	for _, m := range members {
+		if m.Status != membership.Suspect {
+			continue
+		}
+		suspects[m.Name] = true
+		at, scheduled := f.suspectSyncAt[m.Name]
+		switch {
+		case float64(now-m.StatusSince) > maxTimeout:
+			f.changeStatus(m.Name, membership.Suspect, membership.Alive, &f.counters.Refuted)
+		case !scheduled:
+			f.suspectSyncAt[m.Name] = m.StatusSince + suspectSyncDelay(minTimeout, len(members))
+		case now >= at:
+			f.suspectSyncAt[m.Name] = now + time.Duration(2*minTimeout) // again if this one did not help
+			f.queueSuspectSync(m.Name)
+		}
+	}
+	for name := range f.suspectSyncAt {
+		if !suspects[name] {
+			delete(f.suspectSyncAt, name)
+		}
+	}
+}
+
+// suspectSyncDelay draws how long after a suspicion began states are exchanged with the suspect.
+func suspectSyncDelay(minTimeout float64, members int) time.Duration {
+	fraction := 1 + 2*rand.Float64()
+	if members <= smallClusterSize {
+		fraction = 0.3 + 0.4*rand.Float64()
+	}
+	return time.Duration(minTimeout * fraction)
+}
+
+// queueSuspectSync has syncLoop exchange states with a suspect, unless the queue is full: then very many
+// members are unreachable, or this one is.
+func (f *Fleet) queueSuspectSync(name string) {
+	select {
+	case f.suspectQueue <- name:
+	default:
+	}
+}
+
+// startSuspectSync exchanges states with a suspect in a goroutine, unless one does already or too many do:
+// scheduleSuspectSyncs queues it again as long as it is suspect.
+func (f *Fleet) startSuspectSync(name string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.suspectSyncs[name] || len(f.suspectSyncs) >= maxSuspectSyncs {
+		return
+	}
+	f.suspectSyncs[name] = true
+	f.done.Add(1)
+	go func() {
+		defer f.done.Done()
+		f.syncWithSuspect(name)
+		f.mu.Lock()
+		delete(f.suspectSyncs, name)
+		f.mu.Unlock()
+	}()
+}
+
+// syncWithSuspect exchanges states with a suspect twice: by the first exchange it learns of the suspicion, by
+// the second this member learns of its refutation. Gossip would carry both, but reaches each member only most
+// likely, and it is a member with slow links of its own that suspects many.
+func (f *Fleet) syncWithSuspect(name string) {
+	for attempt := range 2 {
+		f.mu.Lock()
+		m, ok := f.view.Get(name)
+		f.mu.Unlock()
+		if !ok || m.Status != membership.Suspect {
+			return
+		}
+		if n, _ := f.ml.Join([]string{m.Address}); n == 0 {
+			return
+		}
+		if attempt == 0 {
+			select {
+			case <-time.After(f.opts.ProbeTimeout / 2):
+			case <-f.stop:
+				return
+			}
+		}
+	}
+	f.mu.Lock()
+	f.counters.Asked++
+	f.mu.Unlock()
+}
--- /dev/null
+++ b/internal/cluster/gossip/sync.go
@@ -0,0 +1,154 @@
+package gossip
+
+import (
+	"math/rand/v2"
+	"net"
+	"time"
+
+	"cresshub/internal/cluster/membership"
+)
+
+// nameProbes is how many probes find out whether another process has this member's name.
+const nameProbes = 3
+
+// nameConflict is the address at which another process had this member's name in the last join; "" for none.
+func (f *Fleet) nameConflict() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.conflictAddress
+}
+
+// nameAnswersAt reports whether a process at an address answers probes of this member's name. Where nothing
+// does, the others only have not noticed yet that a previous incarnation ended.
+func (f *Fleet) nameAnswersAt(address string) bool {
+	to, err := net.ResolveUDPAddr("udp", address)
+	if err != nil {
+		return false
+	}
+	for range nameProbes {
+		if _, err := f.ml.Ping(f.opts.Name, to); err == nil {
+			return true
+		}
+	}
+	f.log.Info("fleet: name known at another address, which does not answer; joining until this one replaces it",
+		"held", address)
+	return false
+}
+
+// join exchanges states with the members at the given addresses, and returns with how many it did. A conflict
+// of names is in nameConflict then.
+func (f *Fleet) join(addresses []string) int {
+	f.mu.Lock()
+	f.conflictAddress = ""
+	f.mu.Unlock()
+	n, err := f.ml.Join(addresses)
+	if err != nil && n == 0 {
+		f.log.Debug("fleet: join reached nobody", "tried", len(addresses), "err", err)
+	}
+	return n
+}
+
+// supersedePrevious raises this member's incarnation above that of its previous start, where others still
+// have that and the wall clock went back since: they would ignore updates of a lower one.
+func (f *Fleet) supersedePrevious() {
+	f.mu.Lock()
+	m := *f.meta.Load()
+	previous := f.previousIncarnation
+	if previous > m.Incarnation {
+		m.Incarnation = previous + 1
+		f.meta.Store(&m)
+		f.pendingUpdates++
+	}
+	f.mu.Unlock()
+	if m.Incarnation != previous+1 {
+		return
+	}
+	f.log.Warn("fleet: a previous incarnation of this member started later; the wall clock went back",
+		"held", previous, "incarnation", m.Incarnation)
+	if err := f.ml.UpdateNode(f.opts.ProbeInterval); err != nil {
+		f.log.Debug("fleet: new incarnation not sent to all", "err", err)
+	}
+}
+
+// syncLoop does what waits for streams, until the member stops: it exchanges states with random members,
+// joins seeds and recently dead members again, one at a time, and starts exchanges with suspects beside
+// that.
+func (f *Fleet) syncLoop() {
+	defer f.done.Done()
+	rejoin, sync := time.NewTimer(jitter(f.opts.RejoinInterval)), time.NewTimer(jitter(f.syncInterval()))
+	defer rejoin.Stop()
+	defer sync.Stop()
+	for {
+		select {
+		case <-f.stop:
+			return
+		case <-rejoin.C:
+			f.rejoin()
+			rejoin.Reset(jitter(f.opts.RejoinInterval))
+		case <-sync.C:
+			f.syncRandomMember()
+			sync.Reset(jitter(f.syncInterval()))
+		case name := <-f.suspectQueue:
+			f.startSuspectSync(name)
+		}
+	}
+}
+
+// jitter returns d plus or minus up to a quarter, so that members started at once don't call at once.
+func jitter(d time.Duration) time.Duration { return d*3/4 + rand.N(d/2+1) }
+
+// syncInterval is the time between exchanges of full states. Each exchange holds all members, so that a fixed
+// interval would cost each member more as the fleet grows; they only make up for what gossip missed.
+func (f *Fleet) syncInterval() time.Duration {
+	return f.opts.SyncIntervalPerMember * time.Duration(f.ml.NumMembers())
+}
+
+// syncRandomMember exchanges full states with one live member, drawn at random.
+func (f *Fleet) syncRandomMember() {
+	f.mu.Lock()
+	var live []string
+	for _, m := range f.view.Snapshot() {
+		if m.Status == membership.Alive && m.Name != f.opts.Name {
+			live = append(live, m.Address)
+		}
+	}
+	f.mu.Unlock()
+	if len(live) > 0 && f.join([]string{live[rand.N(len(live))]}) > 0 {
+		f.mu.Lock()
+		f.counters.Syncs++
+		f.mu.Unlock()
+	}
+}
+
+// rejoin joins one recently dead member, as serf's reconnect does: after a partition that outlasts
+// suspicions, each side has the other dead and memberlist alone would never probe it again. With it goes
+// one seed that is not a live member: of a fleet never met, or whose dead members were forgotten.
+func (f *Fleet) rejoin() {
+	// Address takes memberlist's lock, under which memberlist's events take f.mu: not under f.mu.
+	live := map[string]bool{f.Address(): true}
+	f.mu.Lock()
+	for _, m := range f.view.Snapshot() {
+		live[m.Address] = live[m.Address] || m.Status == membership.Alive || m.Status == membership.Suspect
+	}
+	dead := f.view.RecentlyDead()
+	conflicting := f.conflictAddress != ""
+	f.mu.Unlock()
+	var targets, seeds []string
+	if len(dead) > 0 {
+		targets = append(targets, dead[rand.N(len(dead))].Address)
+	}
+	for _, seed := range f.opts.Seeds {
+		if conflicting || !live[seed] {
+			seeds = append(seeds, seed)
+		}
+	}
+	if len(seeds) > 0 {
+		targets = append(targets, seeds[rand.N(len(seeds))])
+	}
+	if len(targets) > 0 && f.join(targets) > 0 {
+		f.mu.Lock()
+		f.counters.Rejoins++
+		f.mu.Unlock()
+		f.supersedePrevious() // where no seed answered at the start
+	}
+}
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// maxPendingStreams is how many streams may wait to be looked at; one more is closed.
+	// maxPendingStreams is how many streams are checked at once; beyond, they are closed.
 	maxPendingStreams = 64
-	// maxStreamHead is how much of a stream is looked at before memberlist gets it.
+	// maxStreamHead is how many bytes of a stream are checked before memberlist gets it.
 	maxStreamHead = 128
 )
 
-// transport is memberlist's own transport with a gate before it: what comes is held to the label and the
-// bounds, what goes is read for suspicions and refutations, both are counted. Where there is a relay (tests
-// and the laboratory alone) everything to others goes through it.
+// transport is memberlist's own transport behind a filter: inbound traffic is checked for its label and
+// against the bounds, outbound datagrams are read for suspicions and refutations, and both are counted.
+// With a relay (tests and the laboratory alone), all outbound traffic goes through it.
 type transport struct {
 	*memberlist.NetTransport
 	fleet       *Fleet
@@ -74,7 +74,7 @@
 	var err error
 	t.once.Do(func() {
 		close(t.stop)
-		// It waits for its listeners, and they for somebody to take what they have read.
+		// It waits for its listeners, and they wait until what they have read is taken.
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -94,7 +94,7 @@
 	return err
 }
 
-// filterPackets hands on what passes the gate.
+// filterPackets hands on the datagrams that pass the checks.
 func (t *transport) filterPackets() {
 	defer t.done.Done()
 	for {
@@ -122,6 +122,7 @@
 	}
 }
 
+// errOtherLabel is a datagram or stream of another fleet.
 var errOtherLabel = errors.New("another fleet's label")
 
 func (t *transport) removeLabel(b []byte) ([]byte, error) {
@@ -132,16 +133,17 @@
 	return b, err
 }
 
-// reject counts and tells what the gate does not let in.
+// reject counts and logs a datagram or stream that does not pass the checks.
 func (t *transport) reject(what string, from net.Addr, err error) {
 	if errors.Is(err, errOtherLabel) {
 		t.fleet.traffic.otherLabel.Add(1)
 	} else {
 		t.fleet.traffic.rejected.Add(1)
 	}
-	t.fleet.log.Warn("fleet: a "+what+" was refused", "from", from.String(), "why", err.Error())
+	t.fleet.log.Warn("fleet: "+what+" rejected", "from", from.String(), "why", err.Error())
 }
 
+// filterStreams has each stream checked in a goroutine of its own.
 func (t *transport) filterStreams() {
 	defer t.done.Done()
 	for {
@@ -161,13 +163,13 @@
 	}
 }
 
-// filterStream looks at a stream's label and first bytes and hands it on whole, or closes it.
+// filterStream checks a stream's label and first bytes and hands on all of it, or closes it.
 func (t *transport) filterStream(c net.Conn) {
 	defer t.done.Done()
 	defer func() { <-t.streamSlots }()
 	t.fleet.traffic.streamsIn.Add(1)
 	c.SetDeadline(time.Now().Add(t.timeout))
-	counted := &countedConn{Conn: c, wire: &t.fleet.traffic}
+	counted := &countedConn{Conn: c, traffic: &t.fleet.traffic}
 	plain, label, err := memberlist.RemoveLabelHeaderFromStream(counted)
 	if err == nil && label != t.fleet.opts.Label {
 		err = fmt.Errorf("%w %q", errOtherLabel, label)
@@ -191,7 +193,8 @@
 	}
 }
 
-// checkHead waits until the head of a stream is there, however it was cut on its way, and checks it.
+// checkHead reads as much of a stream as it takes to check its head, in however many segments that arrives,
+// and says how many bytes the stream may have. It consumes nothing.
 func (t *transport) checkHead(in *bufio.Reader) (int, error) {
 	for n := 1; ; n = in.Buffered() + 1 {
 		if _, err := in.Peek(n); err != nil {
@@ -206,7 +209,7 @@
 	}
 }
 
-// limitedConn reads what was looked at first, and no more than its bound.
+// limitedConn is a stream that was checked, with the bytes that were, up to its bound.
 type limitedConn struct {
 	net.Conn
 	in io.Reader
@@ -214,21 +217,21 @@
 
 func (c *limitedConn) Read(b []byte) (int, error) { return c.in.Read(b) }
 
-// countedConn counts a stream's bytes.
+// countedConn counts a stream's bytes, both ways.
 type countedConn struct {
 	net.Conn
-	wire *traffic
+	traffic *traffic
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.wire.bytesIn.Add(int64(n))
+	c.traffic.bytesIn.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.wire.bytesOut.Add(int64(n))
+	c.traffic.bytesOut.Add(int64(n))
 	return n, err
 }
 
@@ -236,7 +239,7 @@
 	t.fleet.traffic.packetsOut.Add(1)
 	t.fleet.traffic.bytesOut.Add(int64(len(b)))
 	if plain, err := t.removeLabel(b); err == nil {
-		readPacket(plain, t.fleet.observeSent)
+		_ = readPacket(plain, t.fleet.observeSent) // all that memberlist sends is well-formed
 	}
 	if !t.relay.IsValid() {
 		return t.NetTransport.WriteTo(b, addr)
@@ -264,15 +267,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, wire: &t.fleet.traffic}, nil
+	return &countedConn{Conn: c, traffic: &t.fleet.traffic}, nil
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// traffic counts what passes on the gossip port, labels included.
+// traffic counts what passes the gossip port, labels included.
 type traffic struct {
 	packetsIn, packetsOut, bytesIn, bytesOut, streamsIn, streamsOut atomic.Int64
 	rejected, otherLabel                                            atomic.Int64
 }
+
+func (t *traffic) addTo(c *Counters) {
+	c.PacketsIn, c.PacketsOut = t.packetsIn.Load(), t.packetsOut.Load()
+	c.StreamsIn, c.StreamsOut = t.streamsIn.Load(), t.streamsOut.Load()
+	c.BytesIn, c.BytesOut = t.bytesIn.Load(), t.bytesOut.Load()
+	c.WireRefused, c.OtherLabel = t.rejected.Load(), t.otherLabel.Load()
+}
--- a/internal/cluster/gossip/wire.go
+++ b/internal/cluster/gossip/wire.go
@@ -4,13 +4,14 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"net"
 
 	"github.com/hashicorp/go-msgpack/v2/codec"
 	"github.com/hashicorp/memberlist"
 )
 
-// Message kinds of memberlist's protocol, versions 2 to 5. They are part of that protocol and only ever
-// appended to; memberlist does not export them.
+// Message kinds of memberlist's protocol, versions 2 to 5. memberlist does not export them; its protocol only
+// ever appends to them.
 const (
 	pingMsg byte = iota
 	indirectPingMsg
@@ -28,16 +29,18 @@
 	errMsg
 )
 
-// Bounds on what a message of another member may hold. memberlist itself allows a push/pull header that
-// makes it allocate a million entries and a user state of 20 MB.
+// Bounds on messages of other members. memberlist itself allows a push/pull header that has it allocate a
+// million entries and a user state of 20 MB.
 const (
-	maxNameBytes  = 255
-	maxUserBytes  = 1024
-	maxStateBytes = 1024 // bytes of one member in a full state exchange, metadata at most 512 of them
+	maxNameBytes    = 255
+	maxUserBytes    = 1024
+	maxStateBytes   = 1024 // of one member in a full state exchange, metadata at most 512 of them
+	baseStreamBytes = 4096 // of a stream without members
 )
 
-// gossipMessage is what any message says: the fields that the view and the counters read, in the protocol's
-// names. A body is read into it whatever its kind, which finds a body that does not decode.
+// gossipMessage has the fields of all kinds of messages that this package reads or checks, under the
+// protocol's names: the codec takes them from the struct. Every body is decoded into it, whatever its kind,
+// which finds those that don't decode.
 type gossipMessage struct {
 	SeqNo       uint32
 	Incarnation uint32
@@ -50,44 +53,50 @@
 	Target      []byte
 }
 
-// pushPullHeader is the head of a full state exchange.
+// pushPullHeader begins a full state exchange, under the protocol's names as well.
 type pushPullHeader struct {
 	Nodes        int
 	UserStateLen int
 	Join         bool
 }
 
-// decodeBody reads a message's body with the protocol's own codec and holds it to the bounds.
+// decodeBody decodes a message's body with the protocol's own codec and checks it against the bounds.
 func decodeBody(kind byte, body []byte) (gossipMessage, error) {
-	var g gossipMessage
+	var msg gossipMessage
 	if kind == userMsg {
 		if len(body) > maxUserBytes {
-			return g, fmt.Errorf("a message of %d bytes, %d at most", len(body), maxUserBytes)
+			return msg, fmt.Errorf("a message of %d bytes, %d at most", len(body), maxUserBytes)
 		}
-		return g, nil
+		return msg, nil
 	}
-	if err := codec.NewDecoderBytes(body, &codec.MsgpackHandle{}).Decode(&g); err != nil {
-		return g, err
+	if err := codec.NewDecoderBytes(body, &codec.MsgpackHandle{}).Decode(&msg); err != nil {
+		return msg, err
 	}
-	address := func(b []byte) bool { return len(b) == 4 || len(b) == 16 }
+	return msg, checkBounds(kind, msg)
+}
+
+// checkBounds returns what is wrong with a decoded message.
+func checkBounds(kind byte, msg gossipMessage) error {
 	switch {
-	case len(g.Node) > maxNameBytes || len(g.From) > maxNameBytes:
-		return g, errors.New("a name that is too long")
-	case len(g.Meta) > memberlist.MetaMaxSize:
-		return g, errors.New("metadata that is too long")
-	case kind >= suspectMsg && kind <= deadMsg && g.Node == "":
-		return g, errors.New("news of a member without a name")
-	case kind == aliveMsg && (!address(g.Addr) || len(g.Vsn) < 6):
-		return g, errors.New("a live member without an address or versions")
-	case kind == indirectPingMsg && !address(g.Target):
-		return g, errors.New("an indirect probe of no address")
+	case len(msg.Node) > maxNameBytes || len(msg.From) > maxNameBytes:
+		return errors.New("a name that is too long")
+	case len(msg.Meta) > memberlist.MetaMaxSize:
+		return errors.New("metadata that is too long")
+	case kind >= suspectMsg && kind <= deadMsg && msg.Node == "":
+		return errors.New("an update of a member without a name")
+	case kind == aliveMsg && (!isIP(msg.Addr) || len(msg.Vsn) < 6):
+		return errors.New("a live member without an address or versions")
+	case kind == indirectPingMsg && !isIP(msg.Target):
+		return errors.New("an indirect probe of no address")
 	}
-	return g, nil
+	return nil
 }
 
-// readPacket reads a datagram without its label and calls each for every message in it. The first thing
-// that cannot be is the error; each is then not called again, but may have been called before.
-func readPacket(b []byte, visit func(kind byte, g gossipMessage)) error {
+func isIP(b []byte) bool { return len(b) == net.IPv4len || len(b) == net.IPv6len }
+
+// readPacket reads a datagram without its label and calls visit for every message in it. At the first message
+// that is malformed it returns an error; visit may have been called for those before.
+func readPacket(b []byte, visit func(kind byte, msg gossipMessage)) error {
 	if len(b) >= 5 && b[0] == crcMsg {
 		b = b[5:] // memberlist checks the sum
 	}
@@ -102,11 +111,11 @@
 		return errors.New("a compound without a count")
 	}
 	count := int(b[1])
-	lengths, rest := b[2:], []byte(nil)
+	lengths := b[2:]
 	if len(lengths) < 2*count {
 		return errors.New("a compound cut off in its lengths")
 	}
-	rest = lengths[2*count:]
+	rest := lengths[2*count:]
 	for i := range count {
 		size := int(binary.BigEndian.Uint16(lengths[2*i:]))
 		if size > len(rest) {
@@ -120,7 +129,7 @@
 	return nil
 }
 
-func readMessage(b []byte, visit func(kind byte, g gossipMessage)) error {
+func readMessage(b []byte, visit func(kind byte, msg gossipMessage)) error {
 	if len(b) == 0 {
 		return errors.New("an empty message")
 	}
@@ -129,33 +138,33 @@
 	default:
 		return fmt.Errorf("kind %d is none that a datagram of this fleet holds", b[0])
 	}
-	g, err := decodeBody(b[0], b[1:])
+	msg, err := decodeBody(b[0], b[1:])
 	if err == nil && visit != nil {
-		visit(b[0], g)
+		visit(b[0], msg)
 	}
 	return err
 }
 
-// checkStream looks at the first bytes of a stream, after its label, and says how many bytes it may have.
+// checkStream checks the first bytes of a stream, after its label, and says how many bytes it may have.
 func checkStream(head []byte, maxMembers int) (int, error) {
 	if len(head) == 0 {
 		return 0, errors.New("an empty stream")
 	}
 	switch head[0] {
 	case pingMsg:
-		return 4096, nil
+		return baseStreamBytes, nil
 	case pushPullMsg:
-		var h pushPullHeader
-		if err := codec.NewDecoderBytes(head[1:], &codec.MsgpackHandle{}).Decode(&h); err != nil {
+		var header pushPullHeader
+		if err := codec.NewDecoderBytes(head[1:], &codec.MsgpackHandle{}).Decode(&header); err != nil {
 			return 0, fmt.Errorf("the head of a state exchange: %w", err)
 		}
-		if h.Nodes < 0 || h.Nodes > maxMembers {
-			return 0, fmt.Errorf("a state of %d members, max_members is %d", h.Nodes, maxMembers)
+		if header.Nodes < 0 || header.Nodes > maxMembers {
+			return 0, fmt.Errorf("a state of %d members, max_members is %d", header.Nodes, maxMembers)
 		}
-		if h.UserStateLen != 0 {
-			return 0, fmt.Errorf("a user state of %d bytes, there is none in this fleet", h.UserStateLen)
+		if header.UserStateLen != 0 {
+			return 0, fmt.Errorf("a user state of %d bytes, there is none in this fleet", header.UserStateLen)
 		}
-		return 4096 + h.Nodes*maxStateBytes, nil
+		return baseStreamBytes + header.Nodes*maxStateBytes, nil
 	}
 	return 0, fmt.Errorf("kind %d is none that a stream of this fleet opens with", head[0])
 }
--- a/internal/cluster/gossip/wire_test.go
+++ b/internal/cluster/gossip/wire_test.go
@@ -15,12 +15,12 @@
 	"cresshub/internal/cluster/membership"
 )
 
-func message(t testing.TB, kind byte, body any) []byte {
-	t.Helper()
+func message(tb testing.TB, kind byte, body any) []byte {
+	tb.Helper()
 	out := []byte{kind}
 	var b []byte
 	if err := codec.NewEncoderBytes(&b, &codec.MsgpackHandle{}).Encode(body); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return append(out, b...)
 }
@@ -37,12 +37,14 @@
 
 var versions = []uint8{1, 5, 2, 0, 0, 0}
 
-func suspectOf(t testing.TB) []byte {
-	return message(t, suspectMsg, body{"Incarnation": 3, "Node": "a", "From": "b"})
+func suspectOf(tb testing.TB) []byte {
+	tb.Helper()
+	return message(tb, suspectMsg, body{"Incarnation": 3, "Node": "a", "From": "b"})
 }
 
-func aliveOf(t testing.TB, addr []byte) []byte {
-	return message(t, aliveMsg, body{"Incarnation": 4, "Node": "a", "Addr": addr, "Port": 7,
+func aliveOf(tb testing.TB, addr []byte) []byte {
+	tb.Helper()
+	return message(tb, aliveMsg, body{"Incarnation": 4, "Node": "a", "Addr": addr, "Port": 7,
 		"Meta": []byte("{}"), "Vsn": versions})
 }
 
@@ -55,26 +57,26 @@
 	}{
 		"a probe with gossip behind it": {full, "0 3 4"},
 		"with a checksum before it":     {append([]byte{crcMsg, 0, 0, 0, 0}, full...), "0 3 4"},
-		"a message of the fleet":        {[]byte{userMsg, '{', '}'}, "8"},
+		"a message of this program":     {[]byte{userMsg, '{', '}'}, "8"},
 		"nothing":                       {nil, "empty"},
 		"garbage":                       {[]byte("GET / HTTP/1.1\r\n"), "kind 71"},
 		"compressed":                    {[]byte{compressMsg, 1, 2}, "kind 9"},
 		"encrypted":                     {[]byte{encryptMsg, 1, 2}, "kind 10"},
 		"a compound in a compound":      {compound(full), "kind 7"},
 		"a compound without a count":    {[]byte{compoundMsg}, "without a count"},
-		"cut off in its lengths":        {full[:5], "in its lengths"},
-		"cut off in its messages":       {full[:len(full)-1], "in its messages"},
+		"truncated in its lengths":      {full[:5], "in its lengths"},
+		"truncated in its messages":     {full[:len(full)-1], "in its messages"},
 		"an empty message":              {compound(nil), "an empty message"},
-		"a body cut off":                {suspectOf(t)[:9], "EOF"},
+		"a truncated body":              {suspectOf(t)[:9], "EOF"},
 		"a body of another shape":       {[]byte{suspectMsg, 0x93, 1, 2, 3}, "decode error"},
 		"a live member without address": {aliveOf(t, []byte{1, 2, 3}), "without an address"},
-		"news of no name":               {message(t, deadMsg, body{"Incarnation": 1}), "without a name"},
+		"an update of no name":          {message(t, deadMsg, body{"Incarnation": 1}), "without a name"},
 		"a long name":                   {message(t, deadMsg, body{"Node": strings.Repeat("x", 300)}), "too long"},
 		"long metadata": {message(t, aliveMsg, body{"Node": "a", "Meta": make([]byte, 600)}),
 			"metadata that is too long"},
-		"an indirect probe of nothing": {message(t, indirectPingMsg, body{"Node": "a"}), "no address"},
-		"an oversized message":         {make([]byte, 60_000), "decode error"},
-		"a huge message of the fleet":  {append([]byte{userMsg}, make([]byte, 2000)...), "at most"},
+		"an indirect probe of nothing":   {message(t, indirectPingMsg, body{"Node": "a"}), "no address"},
+		"an oversized message":           {make([]byte, 60_000), "decode error"},
+		"a huge message of this program": {append([]byte{userMsg}, make([]byte, 2000)...), "at most"},
 	} {
 		var kinds []string
 		err := readPacket(c.in, func(kind byte, _ gossipMessage) { kinds = append(kinds, string('0'+kind)) })
@@ -100,7 +102,7 @@
 		"too many members":   {head(1_000_000, 0), "max_members is 100"},
 		"a negative count":   {head(-1, 0), "a state of -1 members"},
 		"a user state":       {head(7, 20<<20), "user state"},
-		"cut off":            {head(7, 0)[:10], "EOF"},
+		"truncated":          {head(7, 0)[:10], "EOF"},
 		"compressed":         {[]byte{compressMsg, 1}, "kind 9"},
 		"nothing":            {nil, "empty"},
 		"a message by name":  {[]byte{userMsg, 1}, "kind 8"},
@@ -129,7 +131,7 @@
 	}
 }
 
-// FuzzReadPacket holds the gate's reader to no panic, and what it lets pass to what memberlist takes.
+// FuzzReadPacket: the transport's checks never panic, and pass only what is within the bounds.
 func FuzzReadPacket(f *testing.F) {
 	f.Add(compound(suspectOf(f), aliveOf(f, []byte{127, 0, 0, 1})))
 	f.Add(message(f, pingMsg, body{"SeqNo": 1}))
@@ -179,8 +181,7 @@
 	t.Fatalf("never: %s", what)
 }
 
-// What cannot be on the gossip port, and what another fleet sends, is counted and dropped, and the view
-// stays as it is.
+// Malformed traffic on the gossip port, and another fleet's, is counted and dropped; the view stays as it is.
 func TestTransportRejectsAndCountsMalformedTraffic(t *testing.T) {
 	a, err := startOne(t, "a", nil)
 	if err != nil {
