--- a/internal/cluster/gossip/fleet.go
+++ b/internal/cluster/gossip/fleet.go
@@ -87,7 +87,8 @@
 		f.join(o.Seeds)
 	}
 	if conflict := f.nameConflict(); conflict != "" && f.nameAnswersAt(conflict) {
-		err := fmt.Errorf("fleet: the name %q is held by a live member at %s; names must be unique", o.Name, conflict)
+		err := fmt.Errorf("fleet: the name %q is held by a live member at %s; names must be unique",
+			o.Name, conflict)
 		return nil, errors.Join(err, f.ml.Shutdown())
 	}
 	address := f.Address() // takes memberlist's lock: not under f.mu
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Members gossip phases by their names, and operators' pages show them, statuses and changes so. Package
-// fleet has the golden files of what is gossiped.
+// gossip has the golden files of what is gossiped.
 func TestGoldenNamesAreReadAndWrittenByteForByte(t *testing.T) {
 	var names struct{ Statuses, Phases, Changes []string }
 	for s := Alive; s <= Left; s++ {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -41,7 +41,7 @@
 	return v, kinds
 }
 
-func TestView(t *testing.T) {
+func TestViewFollowsObservations(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		steps []step
@@ -65,7 +65,7 @@
 		{"back after gone", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Dead, 1)}, {20 * s, nil},
 			{21 * s, observed("a", Alive, 1)}},
 			[]ChangeKind{Joined, Changed, BecameGone, Changed, Returned}, Alive, false},
-		{"a restart is told", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Dead, 1)},
+		{"a restart is reported", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Dead, 1)},
 			{2 * s, observed("a", Alive, 2)}}, []ChangeKind{Joined, Changed, Restarted, Changed}, Alive, false},
 		{"a leave is final", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Left, 1)},
 			{2 * s, observed("a", Alive, 1)}}, []ChangeKind{Joined, Changed}, Left, false},
@@ -73,7 +73,7 @@
 			{2 * s, observed("a", Alive, 2)}}, []ChangeKind{Joined, Changed, Restarted, Changed}, Alive, false},
 		{"left for long is gone", []step{{0, observed("a", Alive, 1)}, {s, observed("a", Left, 1)}, {11 * s, nil}},
 			[]ChangeKind{Joined, Changed, BecameGone}, Left, true},
-		{"the dead unseen are not held", []step{{0, observed("a", Dead, 1)}}, nil, 0, false},
+		{"a dead member never seen is not added", []step{{0, observed("a", Dead, 1)}}, nil, 0, false},
 	} {
 		v, kinds := play(t, c.steps)
 		if !equal(kinds, c.want) {
@@ -82,7 +82,7 @@
 		m, ok := v.Get("a")
 		if c.want == nil {
 			if ok {
-				t.Errorf("%s: holds %+v", c.name, m)
+				t.Errorf("%s: has %+v", c.name, m)
 			}
 			continue
 		}
@@ -104,26 +104,26 @@
 	return true
 }
 
-func TestTwoProcessesOneName(t *testing.T) {
+func TestNameClaimedByTwoProcessesIsAConflict(t *testing.T) {
 	v, _ := play(t, nil)
 	v.Observe(0, *observed("a", Alive, 5))
-	twin := *observed("a", Alive, 5)
-	twin.Address = "elsewhere:1"
-	if cs := v.Observe(s, twin); len(cs) != 1 || cs[0].Kind != Conflict {
-		t.Fatalf("a twin gives %v", cs)
+	other := *observed("a", Alive, 5)
+	other.Address = "elsewhere:1"
+	if cs := v.Observe(s, other); len(cs) != 1 || cs[0].Kind != Conflict {
+		t.Fatalf("a second process of the name gives %v", cs)
 	}
 	if m, _ := v.Get("a"); m.Address != "a:1" {
-		t.Errorf("the twin took the name: %+v", m)
+		t.Errorf("the second process took the name: %+v", m)
 	}
-	newer := twin
+	newer := other
 	newer.Meta.Incarnation = 6
 	v.Observe(2*s, newer)
 	if m, _ := v.Get("a"); m.Address != "elsewhere:1" {
-		t.Errorf("a restart at a new address was not taken: %+v", m)
+		t.Errorf("a restart at a new address was not accepted: %+v", m)
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	v, _ := play(t, nil)
 	for _, name := range []string{"a", "b", "c"} {
 		v.Observe(0, *observed(name, Alive, 1))
@@ -134,11 +134,11 @@
 	v.Observe(s, *observed("a", Left, 1))
 	v.Tick(s + testSettings.ForgetAfter)
 	if _, ok := v.Get("a"); ok || len(v.Snapshot()) != 2 {
-		t.Errorf("a member left long ago is held: %+v", v.Snapshot())
+		t.Errorf("a member that left long ago is not forgotten: %+v", v.Snapshot())
 	}
 	if cs := v.Observe(2*testSettings.ForgetAfter, *observed("d", Alive, 1)); len(cs) != 1 ||
 		cs[0].Kind != Joined {
-		t.Errorf("room made is not taken: %v", cs)
+		t.Errorf("the free row is not taken: %v", cs)
 	}
 }
 
