--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -9,25 +9,31 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// chooser is what the data plane asks of the scheduler; *scheduler.Scheduler in the program.
+// chooser is what the data plane asks of the scheduler; *scheduler.Scheduler in the program. Times are on the
+// steady clock of the Proxy.
 type chooser interface {
+	callChooser
+	peerExchange
+}
+
+// callChooser chooses the servers of calls and observes how the calls go.
+type callChooser interface {
+	// Update replaces the table of servers.
 	Update(now time.Duration, table *catalog.Table)
+	// Split reports whether the request's prompt is to be prefilled by one server for another.
 	Split(now time.Duration, r *scheduler.Request) bool
+	// Choose begins a call, nil where no server may be asked. Done has to end each call once.
 	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role,
 		prefillServer *catalog.Server) *scheduler.Call
-	ObserveLoad(now time.Duration, server string, load scheduler.Load)
-	LastSuccess(server string) (time.Duration, bool)
 	FirstEvent(now time.Duration, call *scheduler.Call)
 	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
+	ObserveLoad(now time.Duration, server string, load scheduler.Load)
+	// LastSuccess returns when a server last answered with success, and whether it has.
+	LastSuccess(server string) (time.Duration, bool)
+	// QueueDelay returns how long a request would wait for a slot, and whether one is free now.
 	QueueDelay(now time.Duration, r *scheduler.Request) (wait time.Duration, free bool)
+	// Alternative reports whether there is another server for the request, and one with a free slot.
 	Alternative(now time.Duration, r *scheduler.Request, server string) (exists, free bool)
-	InFlightChanges(all bool) []scheduler.InFlightLoad
-	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, full bool)
-	MarkFleetStart(now time.Duration)
-	TakeNewPrefixes() []scheduler.CachedPrefixes
-	AddCachedPrefixes(all []scheduler.CachedPrefixes)
-	KnownPrefixes(limit int) []scheduler.CachedPrefixes
-	MarkPrefixesSynced(now time.Duration)
 }
 
 // lockedChooser lets many goroutines use one chooser, and keeps it at the newest table of servers.
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -75,18 +75,18 @@
 	}
 	c.mu.Lock()
 	c.idle = true
-	until := time.Now().Add(c.proxy.limits().IdleTimeout)
+	deadline := time.Now().Add(c.proxy.limits().IdleTimeout)
 	if c.proxy.draining.Load() {
-		until = c.proxy.idleDeadline(c.hadRequest)
+		deadline = c.proxy.idleDeadline(c.hadRequest)
 	}
-	c.socket.SetReadDeadline(until)
+	c.socket.SetReadDeadline(deadline)
 	c.mu.Unlock()
 	state := c.socket.awaitReadable()
 	c.mu.Lock()
 	c.idle = false
 	c.socket.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
-	if state == notReadable { // this goroutine may have had its turn later than both the bytes and the deadline
+	if state == notReadable { // this goroutine may have been scheduled after both the bytes and the deadline
 		state = c.socket.readState()
 	}
 	return state == readable
@@ -141,7 +141,7 @@
 // recordResponse records that a response to the present request begins.
 func (c *client) recordResponse() {
 	c.responses++
-	invariant.Assert(c.responses <= 1, invariant.OneFinalAnswer, "a request got %d answers", c.responses)
+	invariant.Assert(c.responses <= 1, invariant.OneFinalAnswer, "a request got %d responses", c.responses)
 }
 
 // handle answers a request that was read completely. It reports whether the connection goes on.
@@ -175,14 +175,14 @@
 // from being written.
 func (c *client) setWriteDeadline(q *request) {
 	now := time.Now()
-	until := now.Add(localReplyWriteTime)
+	deadline := now.Add(localReplyWriteTime)
 	if q != nil {
-		until = q.writeDeadline()
+		deadline = q.writeDeadline()
 	}
-	if earliest := now.Add(minWriteTime); until.Before(earliest) {
-		until = earliest
+	if earliest := now.Add(minWriteTime); deadline.Before(earliest) {
+		deadline = earliest
 	}
-	c.socket.SetWriteDeadline(until)
+	c.socket.SetWriteDeadline(deadline)
 }
 
 // closesAfter reports whether the connection ends with the response to a request.
--- a/internal/router/dataplane/peerload.go
+++ b/internal/router/dataplane/peerload.go
@@ -9,6 +9,17 @@
 // maxKnownPrefixes bounds how many prefixes KnownPrefixes returns.
 const maxKnownPrefixes = 4096
 
+// peerExchange exchanges load and cached prefixes with the other proxies.
+type peerExchange interface {
+	InFlightChanges(all bool) []scheduler.InFlightLoad
+	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, full bool)
+	MarkFleetStart(now time.Duration)
+	TakeNewPrefixes() []scheduler.CachedPrefixes
+	AddCachedPrefixes(all []scheduler.CachedPrefixes)
+	KnownPrefixes(limit int) []scheduler.CachedPrefixes
+	MarkPrefixesSynced(now time.Duration)
+}
+
 // InFlightChanged returns a channel that holds a token when calls to model servers have begun or ended.
 func (p *Proxy) InFlightChanged() <-chan struct{} { return p.chooser.inFlightChanged }
 
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -67,10 +67,10 @@
 func (t *roundTripTrace) beginCall(c *call) {
 	rt := c.roundTrip
 	invariant.Assert(c.role == scheduler.Prefill || !t.unsafeMayHaveRun, invariant.UnsafeSentOnce,
-		"try %s goes to %s though it may have run", rt.request.tryID, c.choice.Server.ID)
+		"request %s is sent to %s though it may have run", rt.request.tryID, c.choice.Server.ID)
 	if c.role == scheduler.Decode {
 		invariant.Assert(rt.handle.tryID == rt.request.tryID, invariant.HandleOfOwnRequest,
-			"try %s goes on from the memory of try %s", rt.request.tryID, rt.handle.tryID)
+			"request %s decodes from the prefix cache of request %s", rt.request.tryID, rt.handle.tryID)
 	}
 }
 
@@ -102,7 +102,7 @@
 	t.attempts++
 	maxAttempts := c.roundTrip.request.route.MaxAttempts
 	invariant.Assert(t.attempts <= maxAttempts, invariant.AttemptsWithinRoute,
-		"try %s reached %d servers, %d are allowed", c.roundTrip.request.tryID, t.attempts, maxAttempts)
+		"request %s made %d attempts, %d are allowed", c.roundTrip.request.tryID, t.attempts, maxAttempts)
 }
 
 // checkLocalReply checks a local reply that promises that the request has not run against what was sent of
@@ -110,7 +110,7 @@
 func (t *roundTripTrace) checkLocalReply(rt *roundTrip, status int) {
 	promises := status == 408 || status == 421 || status == 429 || status == 503
 	invariant.Assert(!promises || !t.unsafeMayHaveRun, invariant.RejectedNeverRan,
-		"try %s is answered %d though it may have run", rt.request.tryID, status)
+		"request %s is answered %d though it may have run", rt.request.tryID, status)
 }
 
 // MarshalZerologArray writes the calls in the order in which they ended.
