--- /dev/null
+++ b/internal/router/agent/agent_test.go
@@ -0,0 +1,182 @@
+package agent
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/rs/zerolog"
+
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
+)
+
+// newTestAgent returns a process that was not run: it listens to nobody and calls nobody. It is the only
+// member of the view that it knows.
+func newTestAgent(t *testing.T) *Agent {
+	t.Helper()
+	settings := &agentsettings.Settings{
+		Name: "n", IP: "127.0.0.1", Control: "127.0.0.1:1", InnerPorts: [2]int{2, 3},
+		HeartbeatInterval: time.Second,
+		Seeds:             []string{"127.0.0.1:1"},
+	}
+	a, err := New(settings, zerolog.Nop())
+	qt.Assert(t, err, qt.IsNil)
+	a.state.learnView(1, []peerproto.MemberInfo{{ID: "m0", Address: settings.IP}})
+	return a
+}
+
+func heartbeat(state string, postmark string) *controlserver.Call {
+	return &controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte(
+		`{"depot":"s","address":"10.0.0.1:80","bays":4,"state":"` + state + `","postmark":` + postmark + `}`)}
+}
+
+// TestLateHeartbeatsChangeNothing follows a server by its calls, of which one is late.
+func TestLateHeartbeatsChangeNothing(t *testing.T) {
+	c := qt.New(t)
+	a := newTestAgent(t)
+	c.Assert(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 200)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
+	c.Assert(a.handleCall(heartbeat("draining", "3")).Status, qt.Equals, 200)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
+	c.Assert(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("a late call"))
+	c.Assert(a.handleCall(&controlserver.Call{Method: "DELETE", Path: serversPath + "a"}).Status, qt.Equals, 200)
+	c.Assert(a.handleCall(heartbeat("ready", "9")).Status, qt.Equals, 200)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("it has ended"))
+}
+
+func TestMalformedCallsAreRejected(t *testing.T) {
+	a := newTestAgent(t)
+	for _, test := range []struct {
+		name   string
+		call   controlserver.Call
+		status int
+		body   string
+	}{
+		{"a heartbeat that is no document",
+			controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{")}, 400, "(?s)document: .*"},
+		{"a heartbeat without fields",
+			controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte("{}")}, 400,
+			"(?s)depot: .*address: .*"},
+		{"a server id of two parts", controlserver.Call{Method: "PUT", Path: serversPath + "a/b"}, 404, "(?s).*"},
+		{"another method for a server", controlserver.Call{Method: "POST", Path: serversPath + "a"}, 405, "(?s).*"},
+		{"a configuration without If-Match",
+			controlserver.Call{Method: "PUT", Path: "/api/config", Body: []byte(`{"edition":1}`)}, 400,
+			"(?s)If-Match.*"},
+		{"another method for the configuration",
+			controlserver.Call{Method: "DELETE", Path: "/api/config"}, 405, "(?s).*"},
+		{"a read without a member", controlserver.Call{Method: "GET", Path: "/api/config"}, 503, "(?s).*"},
+		{"an unknown path", controlserver.Call{Method: "GET", Path: "/api/nothing"}, 404, "(?s).*"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			answer := a.handleCall(&test.call)
+			qt.Check(t, answer.Status, qt.Equals, test.status)
+			qt.Check(t, string(answer.Body), qt.Matches, test.body)
+		})
+	}
+}
+
+// TestDrainWithoutHubsIsNotAcknowledged: a process that reaches no hub can't promise that all keep off a
+// server.
+func TestDrainWithoutHubsIsNotAcknowledged(t *testing.T) {
+	c := qt.New(t)
+	a := newTestAgent(t)
+	a.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
+	a.hubs["127.0.0.9"] = &hub{ip: "127.0.0.9"}
+	c.Assert(a.awaitMajority(1, 0), qt.IsFalse)
+	a.hubs["127.0.0.9"].state.replicatedTo = 1
+	c.Assert(a.awaitMajority(1, 0), qt.IsTrue)
+}
+
+// TestFeedContinuesFromAnOffset gives a follower what it has not received, and a snapshot where its offset is
+// unknown.
+func TestFeedContinuesFromAnOffset(t *testing.T) {
+	c := qt.New(t)
+	a := newTestAgent(t)
+	a.handleCall(heartbeat("ready", "1"))
+	first := a.nextFeed(0, -1)
+	c.Assert(first.Records, qt.HasLen, 1)
+	a.handleCall(heartbeat("draining", "2"))
+	c.Assert(a.hasUpdate(feedPosition{uint64(first.To), 0, first.Epoch}), qt.IsTrue)
+	next := a.nextFeed(uint64(first.To), first.Epoch)
+	c.Assert(next.From, qt.Equals, first.To)
+	c.Assert(next.Records, qt.HasLen, 1)
+	c.Assert(next.Records[0].State, qt.Equals, directory.Draining)
+	c.Assert(a.nextFeed(99, 0).From, qt.Equals, int64(0))
+}
+
+// TestTimedOutServersAreLostUntilTheirNextHeartbeat marks a server lost that does not call any more, unless
+// this process was stalled meanwhile.
+func TestTimedOutServersAreLostUntilTheirNextHeartbeat(t *testing.T) {
+	c := qt.New(t)
+	a := newTestAgent(t)
+	a.handleCall(heartbeat("ready", "1"))
+	later := a.now() + time.Duration(2*maxMissedHeartbeats*float64(a.settings.HeartbeatInterval))
+	a.failures.observingSince = later
+	a.markTimedOut(later)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
+	a.failures.observingSince = 0
+	a.markTimedOut(later)
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
+	a.handleCall(heartbeat("ready", "2"))
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
+}
+
+// TestReportsOfLostServersAreBounded: a proxy that loses many servers at once is likely to be the one at
+// fault.
+func TestReportsOfLostServersAreBounded(t *testing.T) {
+	c := qt.New(t)
+	a := newTestAgent(t)
+	now := a.now()
+	a.state.update(now, func(d *directory.Directory) {
+		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
+			d.Merge(now, directory.Record{Kind: directory.KindServer, ID: id, Sequence: 1, State: directory.Ready,
+				Service: "s"})
+		}
+	})
+	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
+		a.reportLost(id, "test")
+	}
+	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
+}
+
+// TestEarlierProcessOfAMachineIsLost marks processes lost that another one at their address has
+// replaced. They might be the later ones, and could refute it.
+func TestEarlierProcessOfAMachineIsLost(t *testing.T) {
+	c := qt.New(t)
+	a := newTestAgent(t)
+	now := a.now()
+	proxy := directory.Record{Kind: directory.KindProxy, Sequence: 1, State: directory.Ready,
+		Address: "10.0.0.7"}
+	a.state.update(now, func(d *directory.Directory) {
+		for _, id := range []string{"old", "new"} {
+			proxy.ID = id
+			d.Merge(now, proxy)
+		}
+	})
+	a.markPredecessorsLost("new")
+	a.state.read(func(d *directory.Directory) {
+		c.Check(d.Get("old").State, qt.Equals, directory.Lost)
+		c.Check(d.Get("new").State, qt.Equals, directory.Ready)
+	})
+}
+
+// TestOrdersWaitForThePreviousHead: a new head waits until orders of the previous one have arrived.
+func TestOrdersWaitForThePreviousHead(t *testing.T) {
+	c := qt.New(t)
+	a := newTestAgent(t)
+	a.settings.Bounds.Lease = time.Hour
+	coordinator := &roleAssigner{agent: a, member: &chainMember{}}
+	c.Check(coordinator.maySendOrders(), qt.IsFalse)
+	coordinator.member.fence.Store(1)
+	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no previous head"))
+	coordinator.member.fence.Store(2)
+	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the same head under a higher fence"))
+	coordinator.member.fence.Store(0)
+	c.Check(coordinator.maySendOrders(), qt.IsFalse)
+	coordinator.member.fence.Store(3)
+	c.Check(coordinator.maySendOrders(), qt.IsFalse, qt.Commentf("another one may have been the head meanwhile"))
+}
--- /dev/null
+++ b/internal/router/agent/control_endpoint.go
@@ -0,0 +1,25 @@
+package agent
+
+import (
+	"strings"
+
+	"cresshub/internal/http1"
+	"cresshub/internal/router/controlserver"
+)
+
+// handleCall routes a call at the control address to its endpoint.
+func (a *Agent) handleCall(call *controlserver.Call) *http1.Response {
+	switch {
+	case strings.HasPrefix(call.Path, serversPath) && call.Path != serversPath:
+		return a.handleServerCall(call)
+	case call.Path == metricsPath:
+		return a.showMetrics(call)
+	case call.Path == membersPath:
+		return a.listMembers(call)
+	case call.Path == serverListPath:
+		return a.listServers(call)
+	case call.Path == configPath:
+		return a.handleConfigCall(call)
+	}
+	return controlserver.Text(404, "no such call; see api/control.openapi.yaml")
+}
