--- a/internal/router/agent/accessors.go
+++ b/internal/router/agent/accessors.go
@@ -21,10 +21,10 @@
 // Servers returns the servers that may get new requests.
 func (a *Agent) Servers() *catalog.Table { return a.state.Servers() }
 
-// Synced tells whether the process knows the fleet well enough to take clients.
+// Synced reports whether the process knows the fleet well enough to take clients.
 func (a *Agent) Synced() bool { return a.state.isSynced() }
 
-// IsHub tells whether this process is a hub: others send it their records.
+// IsHub reports whether this process is a hub: others send it their records.
 func (a *Agent) IsHub() bool { return a.isHub() }
 
 // FollowedHub returns the IP of the hub whose feed this process follows, "" for none.
--- a/internal/router/agent/chain_bootstrap.go
+++ b/internal/router/agent/chain_bootstrap.go
@@ -45,7 +45,7 @@
 	m.step(func(now time.Duration) chain.Effects { return m.machine.Bootstrap(now, members) })
 }
 
-// machinesWithDisk returns the machines whose processes have told the identity of their disk.
+// machinesWithDisk returns the machines whose processes have announced the identity of their disk.
 func (a *Agent) machinesWithDisk() []chain.Member {
 	var members []chain.Member
 	a.state.read(func(d *directory.Directory) {
--- a/internal/router/agent/chain_leave_test.go
+++ b/internal/router/agent/chain_leave_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-// hasLeft tells whether a member without a view has left: it may stop at once then.
+// hasLeft reports whether a member without a view has left: it may stop at once then.
 func hasLeft(m *chainMember) bool {
 	select {
 	case <-m.canStop():
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -78,8 +78,8 @@
 // leave bypasses the queue of events, which may be full: messages are sent again, this is said only once.
 func (m *chainMember) leave() { m.leaving.Store(true) }
 
-// post queues an event for the chain goroutine and tells whether there was capacity. An event may be dropped,
-// so it has to be one that is repeated, or whose loss the caller reports.
+// post queues an event for the chain goroutine and reports whether there was capacity. An event may be
+// dropped, so it has to be one that is repeated, or whose loss the caller reports.
 func (m *chainMember) post(event chainEvent) bool {
 	select {
 	case m.events <- event:
--- a/internal/router/agent/config_store.go
+++ b/internal/router/agent/config_store.go
@@ -24,7 +24,7 @@
 	start(done <-chan struct{})
 	// opened returns a channel that closes once the disk is open, where there is one.
 	opened() <-chan struct{}
-	// isMember tells whether this process is in the chain now.
+	// isMember reports whether this process is in the chain now.
 	isMember() bool
 	// leave asks the other members to take this process out of the chain, before it stops.
 	leave()
@@ -44,7 +44,7 @@
 	return newDeferredStore(a)
 }
 
-// isBootstrapper tells whether this process proposes the first view of a new fleet: the first seed does.
+// isBootstrapper reports whether this process proposes the first view of a new fleet: the first seed does.
 func (a *Agent) isBootstrapper() bool {
 	return a.settings.FirstStart && len(a.settings.Seeds) > 0 && hostOf(a.settings.Seeds[0]) == a.settings.IP
 }
--- a/internal/router/agent/dataplane_state.go
+++ b/internal/router/agent/dataplane_state.go
@@ -60,7 +60,7 @@
 	})
 }
 
-// allowLossReport counts a report and tells whether it is within the bound; the directory's lock is held.
+// allowLossReport counts a report and reports whether it is within the bound; the directory's lock is held.
 func (a *Agent) allowLossReport(now time.Duration) bool {
 	if now-a.lossReportsSince > lossReportWindow {
 		a.lossReportsSince, a.lossReports = now, 0
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// isTimedOut tells whether a process has neither called this one nor answered its requests for a timeout.
+// isTimedOut reports whether a process has neither called this one nor answered its requests for a timeout.
 func (a *Agent) isTimedOut(now time.Duration, d *directory.Directory, record *directory.Record,
 	timeout time.Duration) bool {
 	lastSign := max(a.failures.observingSince, d.ModifiedAt(record.ID))
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// hasUpdate tells whether there is something that a follower has not received.
+// hasUpdate reports whether there is something that a follower has not received.
 func (a *Agent) hasUpdate(at feedPosition) bool {
 	s := a.state
 	s.mu.Lock()
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -70,8 +70,8 @@
 	a.announceSelf(func(self *directory.Record) { self.Watcher = watcher })
 }
 
-// isUsableSource tells whether a hub may still be followed. One that does not reach a majority may miss what
-// the others acknowledge.
+// isUsableSource reports whether a hub may still be followed. One that does not reach a majority may miss
+// what the others acknowledge.
 func (a *Agent) isUsableSource(source *hub) bool {
 	state := source.current()
 	return state.hasSnapshot && state.reachesMajority && source.link.Connected() && a.hubAt(source.ip) == source
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -146,17 +146,17 @@
 	c.Assert(follower.digest(), qt.DeepEquals, request.Digest)
 }
 
-// sharedWork notes what a process was told of the others' work.
-type sharedWork struct {
+// recordingWorkload records the load of the others that a process was sent.
+type recordingWorkload struct {
 	noWorkload
-	others  []scheduler.InFlightLoad
-	whole   bool
-	prompts []scheduler.CachedPrefixes
+	others   []scheduler.InFlightLoad
+	full     bool
+	prefixes []scheduler.CachedPrefixes
 }
 
-func (s *sharedWork) SetPeerLoad(others []scheduler.InFlightLoad, full bool,
+func (s *recordingWorkload) SetPeerLoad(others []scheduler.InFlightLoad, full bool,
 	prompts []scheduler.CachedPrefixes) {
-	s.others, s.whole, s.prompts = others, full, prompts
+	s.others, s.full, s.prefixes = others, full, prompts
 }
 
 // TestGoldenWorkIsReadAndWrittenByteForByte: what is under way, in the forms for the hub, for other hubs and
@@ -176,8 +176,8 @@
 	c.Assert(decodePrefixes(work.Prefixes), qt.DeepEquals, prompts)
 
 	a := goldenAgent(t)
-	told := &sharedWork{}
-	a.workload = told
+	recorded := &recordingWorkload{}
+	a.workload = recorded
 	a.load.applyOwn(&peerproto.LoadReport{Servers: encodeLoad(changes[:1]),
 		Prefixes: encodePrefixes(prompts[:1])})
 	local := a.load.localLoad()
@@ -185,15 +185,15 @@
 		Servers: a.load.loadExcept(local, nil, true), Prefixes: a.load.localPrefixes}))
 
 	other := goldenAgent(t)
-	other.workload = told
+	other.workload = recorded
 	other.load.applyHub(nil, readGolden(c, "hub_work.bin"))
 	other.load.distribute(true)
-	c.Assert(told.others, qt.DeepEquals, changes[:1])
-	c.Assert(told.whole, qt.IsTrue)
-	c.Assert(told.prompts, qt.DeepEquals, prompts[:1])
+	c.Assert(recorded.others, qt.DeepEquals, changes[:1])
+	c.Assert(recorded.full, qt.IsTrue)
+	c.Assert(recorded.prefixes, qt.DeepEquals, prompts[:1])
 }
 
-// TestGoldenDemandsAreRead takes in what another proxy told with a ping.
+// TestGoldenDemandsAreRead records the demand that another proxy reports with a ping.
 func TestGoldenDemandsAreRead(t *testing.T) {
 	c := qt.New(t)
 	a := goldenAgent(t)
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -56,7 +56,7 @@
 	h.state.hasSnapshot, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
 }
 
-// isResponsive tells whether the hub has answered a ping within contactTimeout.
+// isResponsive reports whether the hub has answered a ping within contactTimeout.
 func (h *hub) isResponsive(now time.Duration) bool {
 	lastSeen := h.current().lastSeen
 	return lastSeen > 0 && now-lastSeen <= contactTimeout
--- a/internal/router/agent/hub_replication.go
+++ b/internal/router/agent/hub_replication.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// pushOnce sends the records of this process that the hub lacks, and tells whether it then has all.
+// pushOnce sends the records of this process that the hub lacks, and reports whether it then has all.
 func (a *Agent) pushOnce(h *hub) bool {
 	replicatedTo := h.current().replicatedTo
 	var records []directory.Record
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -56,7 +56,7 @@
 	return ips
 }
 
-// isHub tells whether this process is a hub itself.
+// isHub reports whether this process is a hub itself.
 func (a *Agent) isHub() bool {
 	view := a.state.currentView()
 	if view.epoch == 0 {
@@ -67,7 +67,7 @@
 	return view.hasMember(a.settings.IP)
 }
 
-// isIsolated tells whether no hub has answered for isolatedAfter.
+// isIsolated reports whether no hub has answered for isolatedAfter.
 func (a *Agent) isIsolated() bool {
 	a.hubsMu.Lock()
 	defer a.hubsMu.Unlock()
--- a/internal/router/agent/known_proxies.go
+++ b/internal/router/agent/known_proxies.go
@@ -74,7 +74,7 @@
 	k.changed = true
 }
 
-// resetChanged tells whether the addresses have changed since the last call.
+// resetChanged reports whether the addresses have changed since the last call.
 func (k *knownProxies) resetChanged() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/router/agent/persistence.go
+++ b/internal/router/agent/persistence.go
@@ -33,7 +33,7 @@
 	a.saveChanges(done)
 }
 
-// loadServers loads the servers that were live, with the prefix index, and tells whether there were any.
+// loadServers loads the servers that were live, with the prefix index, and reports whether there were any.
 func (a *Agent) loadServers() bool {
 	records, err := a.saved().readRecords(serversFile)
 	if err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// saveServers saves the records of the live servers and tells whether that succeeded.
+// saveServers saves the records of the live servers and reports whether that succeeded.
 func (a *Agent) saveServers() bool {
 	var records []directory.Record
 	a.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// maySendOrders updates the fencing token and tells whether orders may be sent with it now.
+// maySendOrders updates the fencing token and reports whether orders may be sent with it now.
 func (r *roleAssigner) maySendOrders() bool {
 	fence, now := r.member.fence.Load(), r.agent.now()
 	switch {
--- a/internal/router/agent/state.go
+++ b/internal/router/agent/state.go
@@ -24,7 +24,7 @@
 	members []peerproto.MemberInfo
 }
 
-// hasMember tells whether the machine with an IP is a member.
+// hasMember reports whether the machine with an IP is a member.
 func (v *view) hasMember(ip string) bool {
 	return slices.ContainsFunc(v.members, func(m peerproto.MemberInfo) bool { return m.Address == ip })
 }
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// isUnwatched tells whether a process has no live watcher, and has not called here either, for so long that
+// isUnwatched reports whether a process has no live watcher, and has not called here either, for so long that
 // it should have found another one.
 func (a *Agent) isUnwatched(now time.Duration, d *directory.Directory, record *directory.Record) bool {
 	isHub := record.Kind == directory.KindProxy && record.Watcher == ""
@@ -68,7 +68,7 @@
 	return a.isTimedOut(now, d, record, timeout)
 }
 
-// ranksFirst tells whether this hub ranks first for an id, by rendezvous hashing over the members that
+// ranksFirst reports whether this hub ranks first for an id, by rendezvous hashing over the members that
 // respond.
 func (a *Agent) ranksFirst(id string) bool {
 	now := a.now()
@@ -101,7 +101,7 @@
 	}()
 }
 
-// probeServer tells whether the incarnation that a record names answers at its address.
+// probeServer reports whether the incarnation that a record names answers at its address.
 func (a *Agent) probeServer(record *directory.Record) bool {
 	for range probeAttempts {
 		id, err := a.probeServerID(record)
--- a/internal/router/agent/view_announcer.go
+++ b/internal/router/agent/view_announcer.go
@@ -151,7 +151,7 @@
 	return ips
 }
 
-// hubAnswers tells whether a machine is a hub that has answered this process within contactTimeout.
+// hubAnswers reports whether a machine is a hub that has answered this process within contactTimeout.
 func (a *Agent) hubAnswers(ip string) bool {
 	h := a.hubAt(ip)
 	return h != nil && h.isResponsive(a.now())
