--- a/internal/router/dataplane/fakeserver_test.go
+++ b/internal/router/dataplane/fakeserver_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// server is one that a test scripts.
+// server is a server with scripted responses.
 type server struct {
 	*catalog.Server
 	listener net.Listener
@@ -25,28 +25,31 @@
 // handler answers one request by what it writes to the connection; false ends the connection.
 type handler func(q *http1.Request, w io.Writer) bool
 
-func newServer(t testing.TB, id, service string, stage catalog.Role, answer handler) *server {
+func newServer(tb testing.TB, id, service string, stage catalog.Role, answer handler) *server {
+	tb.Helper()
 	s := &server{Server: &catalog.Server{ID: id, Service: service, Slots: 8, State: catalog.Ready, Role: stage}}
-	s.listen(t, func(conn net.Conn) { s.serve(conn, answer) })
+	s.listen(tb, func(conn net.Conn) { s.serve(conn, answer) })
 	return s
 }
 
 // listen gives each connection a goroutine until the test ends.
-func (s *server) listen(t testing.TB, serve func(net.Conn)) {
-	s.listenWith(t, net.ListenConfig{}, serve)
+func (s *server) listen(tb testing.TB, serve func(net.Conn)) {
+	tb.Helper()
+	s.listenWith(tb, net.ListenConfig{}, serve)
 }
 
-func (s *server) listenWith(t testing.TB, how net.ListenConfig, serve func(net.Conn)) {
+func (s *server) listenWith(tb testing.TB, how net.ListenConfig, serve func(net.Conn)) {
+	tb.Helper()
 	listener, err := how.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	s.listener = listener
 	s.Address = listener.Addr().String()
 	var under sync.WaitGroup
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		listener.Close()
 		mu.Lock()
 		for conn := range open {
@@ -93,7 +96,7 @@
 	}
 }
 
-// got returns the requests that came.
+// got returns the requests that have arrived.
 func (s *server) got() []*http1.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,17 +130,18 @@
 	}
 }
 
-// lookups returns servers of the service lookup that share a handler.
-func lookups(t testing.TB, answer handler) []*server {
+// newLookupServers returns servers of the service lookup that share a handler.
+func newLookupServers(tb testing.TB, answer handler) []*server {
+	tb.Helper()
 	var servers []*server
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
-		servers = append(servers, newServer(t, id, "lookup", catalog.NoRole, answer))
+		servers = append(servers, newServer(tb, id, "lookup", catalog.NoRole, answer))
 	}
 	return servers
 }
 
-// arrivals is how many requests came to all of them.
-func arrivals(servers []*server) (sum int) {
+// requestsReceived is how many requests arrived at all of them.
+func requestsReceived(servers []*server) (sum int) {
 	for _, s := range servers {
 		sum += len(s.got())
 	}
@@ -155,8 +159,7 @@
 	}
 }
 
-// neverAnswer answers nothing and waits for the other side to end the connection, which the request's channel
-// tells.
+// neverAnswer sends nothing and waits for the other side to end the connection, which it reports on ended.
 func neverAnswer(ended chan<- string) handler {
 	return func(q *http1.Request, w io.Writer) bool {
 		io.Copy(io.Discard, w.(net.Conn))
@@ -179,7 +182,7 @@
 	}
 }
 
-// events answers with a stream of the pieces from..to, ended or broken off.
+// events answers with a stream of the events from..to, ended or broken off.
 func events(from, to int, whole bool) handler {
 	return func(q *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, head(q, 200, "Cresshub-Server-Stamp: s"+fmt.Sprint(from), "Content-Type: text/event-stream",
@@ -196,7 +199,7 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-func pieces(from, to int) string {
+func eventsText(from, to int) string {
 	var all strings.Builder
 	for id := from; id <= to; id++ {
 		all.WriteString(event(id))
