--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -80,12 +80,12 @@
 }
 
 // usageRecorder is what the clients' front tells of each final answer, nil where nobody counts.
-func (p *Proxy) usageRecorder() func(ingress.Use) {
+func (p *Proxy) usageRecorder() func(ingress.Usage) {
 	if p.ledger == nil {
 		return nil
 	}
 	rec := p.ledger.recorder
-	return func(u ingress.Use) {
+	return func(u ingress.Usage) {
 		rec.Count(ledger.Key{Tenant: u.Tenant, Class: u.Class, Answer: u.Answer}, u.ID, u.In, u.Out)
 	}
 }
--- a/internal/proxy/daemon/owner.go
+++ b/internal/proxy/daemon/owner.go
@@ -29,7 +29,7 @@
 type endpointSource struct{ *discovery.Client }
 
 func (l endpointSource) Feed(f leaseholder.Feed) {
-	l.Client.Feed(discovery.Feed{Held: f.FromOwner, Token: f.Token})
+	l.Client.Feed(discovery.Feed{ReplaceOnly: f.FromOwner, Token: f.Token})
 }
 
 // runRoles has this proxy take part in the fleet's chores where owner.chores says so.
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	p.discovery.Refused(runner.ReportRejection)
+	p.discovery.OnTokenRejected(runner.ReportRejection)
 	p.roles = runner
 	runner.Run()
 	if p.admin != nil {
--- a/internal/proxy/daemon/serve.go
+++ b/internal/proxy/daemon/serve.go
@@ -110,7 +110,7 @@
 	}
 	var servers []dispatch.Server
 	if known != nil {
-		if servers, err = p.discovery.Known(known); err != nil {
+		if servers, err = p.discovery.Restore(known); err != nil {
 			return nil, fmt.Errorf("the list of known servers: %w", err)
 		}
 	}
@@ -155,7 +155,7 @@
 		return false, "sending clients away"
 	case !p.upgrade.serving.Load():
 		return false, "not taking clients yet"
-	case p.discovery.Held() == 0:
+	case p.discovery.Listed() == 0:
 		return false, "no list of servers yet"
 	}
 	return true, ""
@@ -169,7 +169,7 @@
 
 // Gauges are figures that are true now. What drains is listed and gets nothing, so it counts as skipped.
 func (p *Proxy) Gauges() map[string]int {
-	held := p.discovery.Held()
+	held := p.discovery.Listed()
 	return map[string]int{
 		"known_zone_servers": held, "skipped_zone_servers": held - p.discovery.InService() + p.decider.Avoided(),
 	}
@@ -234,10 +234,10 @@
 }
 
 func listLimits(cfg *config.Config) discovery.Limits {
-	l := discovery.Limits{Silence: cfg.Discovery.Silence, MaxList: int(cfg.Discovery.MaxList)}
+	l := discovery.Limits{WatchTimeout: cfg.Discovery.Silence, MaxListBytes: int(cfg.Discovery.MaxList)}
 	if cfg.Discovery.Mode == "told" && cfg.Discovery.Address != "" {
 		// What discovery has binds from then on: a drain has to be heard well within its grace.
-		l.Again = max(cfg.Drain.Grace/4, 20*time.Millisecond)
+		l.MaxReopenDelay = max(cfg.Drain.Grace/4, 20*time.Millisecond)
 	}
 	return l
 }
--- a/internal/proxy/daemon/silence_test.go
+++ b/internal/proxy/daemon/silence_test.go
@@ -58,18 +58,20 @@
 		}
 		longest = max(longest, acts[0].Wait)
 	}
-	heard := limits.Silence + limits.Reopen() + dial
+	heard := limits.WatchTimeout + limits.TimeoutReopenDelay() + dial
 	// The follower makes that other call by itself; where it leaves it to the decisions the sum has to hold too,
 	// at the platform's settings.
-	for by, pause := range map[string]time.Duration{"follower": limits.Reopen(), "decisions": longest} {
+	for by, pause := range map[string]time.Duration{
+		"follower": limits.TimeoutReopenDelay(), "decisions": longest,
+	} {
 		if sum := heard + answer + pause + dial + answer; sum > binds {
 			t.Errorf("refused once, asked again by the %s: %v", by, sum)
 		}
 	}
-	if sum := heard + limits.Silence; sum > binds {
+	if sum := heard + limits.WatchTimeout; sum > binds {
 		t.Errorf("slow: %v", sum)
 	}
-	if limits.Again != 0 {
-		t.Errorf("asked for unasked, each %v", limits.Again)
+	if limits.MaxReopenDelay != 0 {
+		t.Errorf("asked for unasked, each %v", limits.MaxReopenDelay)
 	}
 }
--- a/internal/proxy/daemon/upgrade.go
+++ b/internal/proxy/daemon/upgrade.go
@@ -121,7 +121,7 @@
 		if p.waitForList(func() bool { return alone() || p.server.Ending() }); p.server.Ending() && !alone() {
 			return // the old one goes on, and is not told that we take its clients
 		}
-	case listLimits(p.startConfig).Again > 0:
+	case listLimits(p.startConfig).MaxReopenDelay > 0:
 		// What discovery has binds from the first request on. Where it cannot be had, what was known must do.
 		// Where the end is told meanwhile, who has connected is owed an answer all the same.
 		p.waitForList(func() bool { return p.stats.ListsFailed.Load() > 0 || p.server.Ending() })
@@ -165,7 +165,7 @@
 }
 
 // listReceived tells whether discovery has told the list since the start.
-func (p *Proxy) listReceived() bool { return p.stats.Lists.Load() > 0 && p.discovery.Held() > 0 }
+func (p *Proxy) listReceived() bool { return p.stats.Lists.Load() > 0 && p.discovery.Listed() > 0 }
 
 func (p *Proxy) waitForPredecessorExit() {
 	<-p.upgrade.predecessor.Gone()
--- a/internal/proxy/discovery/crossings_test.go
+++ b/internal/proxy/discovery/crossings_test.go
@@ -48,7 +48,7 @@
 func follow(t *testing.T, address string, l Limits) (*Client, *sink) {
 	s := &sink{make(chan string, 9), make(chan bool, 9)}
 	c := client(address)
-	l.MaxList = 1 << 16
+	l.MaxListBytes = 1 << 16
 	c.SetLimits(l)
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan bool)
@@ -59,7 +59,7 @@
 
 // A list is taken whatever lines and pieces it comes in, and one that is cut off, too large or no list leaves
 // the last good one.
-func TestListsInPieces(t *testing.T) {
+func TestListsInChunks(t *testing.T) {
 	one, two := entry(8, true, "a", "in_service"), entry(9, false, "b", "in_service")
 	indent := strings.NewReplacer("{", "{\n  ", ",", ",\r\n\t", "}", "\n}")
 	bytes := ""
@@ -86,10 +86,10 @@
 			c, s := follow(t, script(t, func(n int, _ string, conn *connbuffer.Conn) {
 				io.WriteString(conn, chunked+in.said)
 				conn.Close()
-			}), Limits{Silence: nettest.Patience})
+			}), Limits{WatchTimeout: nettest.Patience})
 			c.Follow()
 			<-s.failed
-			got := []int{c.Held(), c.InService(), len(s.listed), int(c.Index()) - 7}
+			got := []int{c.Listed(), c.InService(), len(s.listed), int(c.Index()) - 7}
 			if diff := cmp.Diff([]int{in.held, in.held, in.held, in.held}, got); diff != "" {
 				t.Errorf("held, in service, told, version: %s", diff)
 			}
@@ -99,7 +99,7 @@
 
 // A watch that falls silent, also in the midst of a list of which bytes go on coming, is opened anew from
 // what is held, without being asked for and without a word to the decisions.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+func TestTimedOutWatchIsReopened(t *testing.T) {
 	for name, last := range map[string]string{"between lists": "\n", "in a list": `{"index":9,"endpo`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -118,7 +118,7 @@
 				default:
 					t.Errorf("call %d: %s", n, target)
 				}
-			}), Limits{Silence: 100 * time.Millisecond})
+			}), Limits{WatchTimeout: 100 * time.Millisecond})
 			c.Follow()
 			if got := <-s.listed + ", " + <-s.listed; got != "true 1, false 1" || len(s.failed) > 0 {
 				t.Errorf("listed %s, told as failed %d times", got, len(s.failed))
@@ -129,7 +129,7 @@
 
 // What a silent watch misses binds soon, however long the decisions may go without asking: a first call
 // after it that is refused, reset or not answered either is made again without a word to them.
-func TestSilenceAndARefusal(t *testing.T) {
+func TestReopenAfterTimeoutIsRetriedOnce(t *testing.T) {
 	for name, refuse := range map[string]func(conn *connbuffer.Conn){
 		"refused": func(conn *connbuffer.Conn) {
 			io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
@@ -153,7 +153,7 @@
 						io.WriteString(conn, chunked+chunk(entry(9, true, "b", "in_service")))
 						<-over
 					}
-				}), Limits{Silence: 300 * time.Millisecond})
+				}), Limits{WatchTimeout: 300 * time.Millisecond})
 				c.Follow()
 				lists := 1
 				if opened {
@@ -178,13 +178,13 @@
 
 // Where what discovery has binds at once, a watch is not opened anew later after a silence than after any
 // other end.
-func TestReopenIsSoonWhereListsBind(t *testing.T) {
+func TestReopenDelayWhereListsBind(t *testing.T) {
 	for _, c := range []struct{ silence, again, want time.Duration }{
 		{2400 * time.Millisecond, 0, 600 * time.Millisecond},
 		{2400 * time.Millisecond, 150 * time.Millisecond, 100 * time.Millisecond},
 		{2400 * time.Millisecond, time.Hour, 600 * time.Millisecond},
 	} {
-		if got := (&Limits{Silence: c.silence, Again: c.again}).Reopen(); got != c.want {
+		if got := (&Limits{WatchTimeout: c.silence, MaxReopenDelay: c.again}).TimeoutReopenDelay(); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -192,7 +192,7 @@
 
 // While nothing gets through to discovery, as where a watch fell silent because a zone is cut off, it is
 // tried for as long as that takes: it costs discovery nothing, and what was missed binds soon after the cut.
-func TestSilenceOfACut(t *testing.T) {
+func TestReopenDuringPartition(t *testing.T) {
 	const cut = 9 // calls whose connections never come up
 	tries := make(chan bool, 99)
 	address := script(t, func(n int, _ string, conn *connbuffer.Conn) {
@@ -204,7 +204,7 @@
 	})
 	s := &sink{make(chan string, 9), make(chan bool, 9)}
 	c := client(address)
-	c.SetLimits(Limits{MaxList: 1 << 16, Silence: 200 * time.Millisecond})
+	c.SetLimits(Limits{MaxListBytes: 1 << 16, WatchTimeout: 200 * time.Millisecond})
 	dial := c.connect
 	c.connect = func(ctx context.Context, address string) (net.Conn, error) {
 		if tries <- true; len(tries) > 1 && len(tries) <= 1+cut {
@@ -236,7 +236,7 @@
 
 // Discovery that is back with a lower count tells changes to a list that is not ours: it is asked for afresh.
 // The change is taken in at once, for a drain binds.
-func TestDiscoveryCountsAnew(t *testing.T) {
+func TestIndexFallsBack(t *testing.T) {
 	for _, first := range []string{"terminating", "in_service"} {
 		c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
 			switch n {
@@ -254,21 +254,21 @@
 				}
 				io.WriteString(conn, chunked+chunk(entry(5, false, "c", "in_service")))
 			}
-		}), Limits{Silence: nettest.Patience})
+		}), Limits{WatchTimeout: nettest.Patience})
 		c.Follow()
 		got := []string{<-s.listed, <-s.listed, <-s.listed, <-s.listed}
 		if diff := cmp.Diff([]string{"true 1", "false 1", "true 1", "false 1"}, got); diff != "" {
 			t.Error(diff)
 		}
-		if c.Held() != 2 || c.Index() != 5 || len(s.failed) > 0 { // a, which the new count does not know, is gone
-			t.Errorf("%d held at version %d", c.Held(), c.Index())
+		if c.Listed() != 2 || c.Index() != 5 || len(s.failed) > 0 { // a, which the new count does not know, is gone
+			t.Errorf("%d held at version %d", c.Listed(), c.Index())
 		}
 	}
 }
 
 // Where changes bind unasked the whole list is asked for at the start, and again after every end, with nobody
 // asking.
-func TestUnasked(t *testing.T) {
+func TestFollowsAlways(t *testing.T) {
 	c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
 		want := "/registry/instances"
 		switch n {
@@ -286,21 +286,21 @@
 		if target != want {
 			t.Errorf("call %d: %s", n, target)
 		}
-	}), Limits{Silence: nettest.Patience, Again: 10 * time.Millisecond})
+	}), Limits{WatchTimeout: nettest.Patience, MaxReopenDelay: 10 * time.Millisecond})
 	for i, want := range []string{"true 1", "false 1", "false 1", "false 1"} {
 		if got := <-s.listed; got != want {
 			t.Errorf("list %d: %s", i, got)
 		}
 	}
-	if len(s.failed) > 0 || c.Held() != 2 {
-		t.Errorf("told as failed %d times, %d held", len(s.failed), c.Held())
+	if len(s.failed) > 0 || c.Listed() != 2 {
+		t.Errorf("told as failed %d times, %d held", len(s.failed), c.Listed())
 	}
 }
 
 // A watch is reset, and before another stands a server drains, one moves and one is new: the next watch goes
 // on from the last version told, and from its first word on nothing old holds. So it is where the reset comes
 // in the midst of that word.
-func TestResetBeforeADrain(t *testing.T) {
+func TestDrainDuringReset(t *testing.T) {
 	line := func(name, port, status string) string {
 		return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:%s","zone":"kita","type":"m2","group":1,`+
 			`"status":%q,"weight":1,"since_ms":0}`, name, port, status)
@@ -328,7 +328,7 @@
 				conn.Conn.(*net.TCPConn).SetLinger(0)
 				conn.Close()
 			}
-		}), Limits{Silence: nettest.Patience})
+		}), Limits{WatchTimeout: nettest.Patience})
 		for range 2 {
 			c.Follow()
 			<-s.failed
@@ -340,7 +340,7 @@
 		got := map[string]string{}
 		for _, name := range []string{"drains", "moves", "stays", "new"} {
 			c.mu.Lock()
-			id := c.id(name)
+			id := c.serverID(name)
 			c.mu.Unlock()
 			got[name], _ = c.Address(id)
 		}
--- a/internal/proxy/discovery/discovery.go
+++ b/internal/proxy/discovery/discovery.go
@@ -19,23 +19,23 @@
 
 // Limits are what discovery may keep this side waiting for; they may change while it is followed.
 type Limits struct {
-	// Silence is how long a watch may say nothing. A line is due every 2 s; one that stays out means
+	// WatchTimeout is how long a watch may say nothing. A line is due every 2 s; one that stays out means
 	// that changes may be lost, which bind whether they arrived or not.
-	Silence time.Duration
-	// MaxList bounds one object of the watch, in bytes.
-	MaxList int
-	// Again is the longest pause before a watch that ended is opened again, where changes bind from the moment
+	WatchTimeout time.Duration
+	// MaxListBytes bounds one object of the watch, in bytes.
+	MaxListBytes int
+	// MaxReopenDelay is the longest pause before a watch that ended is opened again, where changes bind from the moment
 	// discovery has them: then nobody asks for them by Follow. 0 is where somebody does.
-	Again time.Duration
+	MaxReopenDelay time.Duration
 }
 
-// Reopen is the longest pause before a watch that fell silent is opened anew: all watches may fall silent at
+// TimeoutReopenDelay is the longest pause before a watch that fell silent is opened anew: all watches may fall silent at
 // once, and what they miss binds soon.
-func (l *Limits) Reopen() time.Duration {
-	if l.Again > 0 {
-		return min(l.Silence/4, l.Again*2/3)
+func (l *Limits) TimeoutReopenDelay() time.Duration {
+	if l.MaxReopenDelay > 0 {
+		return min(l.WatchTimeout/4, l.MaxReopenDelay*2/3)
 	}
-	return l.Silence / 4
+	return l.WatchTimeout / 4
 }
 
 // Sink takes in what discovery says.
@@ -49,71 +49,72 @@
 
 // Client follows discovery, at one address at a time.
 type Client struct {
-	connect func(ctx context.Context, address string) (net.Conn, error)
-	limits  atomic.Pointer[Limits]
-	sink    Sink
-	changed func() // called after each list
-	budget  *descriptors.Budget
-	count   *stats.Set
-	log     *slog.Logger
-	asked   chan struct{}
-	moved   chan string
-	fixed   chan []byte // lists that come from elsewhere
-	feeds   chan Feed
-	told    chan *watch // a watch that has told the whole list afresh
-	ended   chan *watch
-	begun   time.Time    // heard counts from here, by the monotonic clock
-	heard   atomic.Int64 // when a watch said something last, ns since begun; 0 for never
-	refused func(token uint64, why string)
+	connect         func(ctx context.Context, address string) (net.Conn, error)
+	limits          atomic.Pointer[Limits]
+	sink            Sink
+	changed         func() // called after each list
+	budget          *descriptors.Budget
+	stats           *stats.Set
+	log             *slog.Logger
+	followRequests  chan struct{}
+	addressChanges  chan string
+	replacements    chan []byte // lists that come from elsewhere
+	feedChanges     chan Feed
+	syncedWatches   chan *watch // a watch that has told the whole list afresh
+	endedWatches    chan *watch
+	startTime       time.Time    // heard counts from here, by the monotonic clock
+	lastReceived    atomic.Int64 // when a watch said something last, ns since begun; 0 for never
+	onTokenRejected func(token uint64, why string)
 
 	// What Run alone uses.
-	address string
-	now     *watch // the one followed, nil while there is none
-	before  *watch // at the address left; it stands until the one followed has told the list
-	moving  bool   // nothing was told at address yet
-	again   int    // times that one was opened anew without being asked for, since one fell silent
-	retries int    // since the move, or since a watch told something last
-	feed    Feed
-	watches int64 // begun
+	address      string
+	current      *watch // the one followed, nil while there is none
+	previous     *watch // at the address left; it stands until the one followed has told the list
+	unsynced     bool   // nothing was told at address yet
+	quickReopens int    // times that one was opened anew without being asked for, since one fell silent
+	retries      int    // since the move, or since a watch told something last
+	feed         Feed
+	watchCount   int64 // begun
 
-	telling   sync.Mutex // keeps documents in one order here and at the sink
-	mu        sync.Mutex
-	names     Names
-	index     int64
-	source    int64  // number of the watch that is believed
-	origin    string // where the list comes from
-	byName    map[string]dispatch.ServerID
-	taken     map[dispatch.ServerID]string
-	inService map[dispatch.ServerID]string   // of those in service
-	listed    map[string]serverlist.Endpoint // by name, for whoever takes over from this process
+	deliverMu   sync.Mutex // keeps documents in one order here and at the sink
+	mu          sync.Mutex
+	names       Names
+	index       int64
+	sourceWatch int64  // number of the watch that is believed
+	origin      string // where the list comes from
+	idByName    map[string]dispatch.ServerID
+	nameByID    map[dispatch.ServerID]string
+	addresses   map[dispatch.ServerID]string   // of those in service
+	endpoints   map[string]serverlist.Endpoint // by name, for whoever takes over from this process
 }
 
 // watch is one call to discovery that stays open.
 type watch struct {
-	number  int64 // rises from watch to watch
-	address string
-	afresh  bool // the whole list is wanted: what another service counts is not continued
-	token   uint64
-	cancel  context.CancelFunc
-	said    bool  // it told something
-	err     error // why it ended
+	number    int64 // rises from watch to watch
+	address   string
+	fullList  bool // the whole list is wanted: what another service counts is not continued
+	token     uint64
+	cancel    context.CancelFunc
+	delivered bool  // it told something
+	err       error // why it ended
 }
 
 // New returns a Client that knows no server and asks nothing before Follow.
 func New(address string, dial time.Duration, limits Limits, names Names, budget *descriptors.Budget,
-	count *stats.Set, log *slog.Logger) *Client {
+	counters *stats.Set, log *slog.Logger) *Client {
 	c := &Client{
-		address: address, budget: budget, count: count, log: log,
+		address: address, budget: budget, stats: counters, log: log,
 		connect: func(ctx context.Context, address string) (net.Conn, error) {
 			return (&net.Dialer{Timeout: dial, KeepAlive: -1}).DialContext(ctx, "tcp", address)
 		},
-		asked: make(chan struct{}, 1), moved: make(chan string, 1), fixed: make(chan []byte, 1),
-		begun: time.Now(), feeds: make(chan Feed, 1), refused: func(uint64, string) {}, told: make(chan *watch),
-		ended:  make(chan *watch),
-		origin: address,
-		names:  Names{slices.Clone(names.Zones), slices.Clone(names.Kinds)},
-		byName: map[string]dispatch.ServerID{}, taken: map[dispatch.ServerID]string{},
-		inService: map[dispatch.ServerID]string{}, listed: map[string]serverlist.Endpoint{},
+		followRequests: make(chan struct{}, 1), addressChanges: make(chan string, 1),
+		replacements: make(chan []byte, 1), feedChanges: make(chan Feed, 1),
+		syncedWatches: make(chan *watch), endedWatches: make(chan *watch),
+		startTime: time.Now(), onTokenRejected: func(uint64, string) {},
+		origin:   address,
+		names:    Names{slices.Clone(names.Zones), slices.Clone(names.Kinds)},
+		idByName: map[string]dispatch.ServerID{}, nameByID: map[dispatch.ServerID]string{},
+		addresses: map[dispatch.ServerID]string{}, endpoints: map[string]serverlist.Endpoint{},
 	}
 	c.SetLimits(limits)
 	return c
@@ -125,7 +126,7 @@
 // Follow asks for the changes from now on; it returns at once. While a watch stands it is a no-op.
 func (c *Client) Follow() {
 	select {
-	case c.asked <- struct{}{}:
+	case c.followRequests <- struct{}{}:
 	default:
 	}
 }
@@ -133,62 +134,62 @@
 // Move follows discovery at another address from now on; it returns at once.
 func (c *Client) Move(address string) {
 	select {
-	case <-c.moved: // only the last of several counts
+	case <-c.addressChanges: // only the last of several counts
 	default:
 	}
-	c.moved <- address
+	c.addressChanges <- address
 }
 
 // Replace takes in a whole list that comes from elsewhere, in discovery's form; it returns at once.
 func (c *Client) Replace(raw []byte) {
 	select {
-	case <-c.fixed: // only the last of several counts
+	case <-c.replacements: // only the last of several counts
 	default:
 	}
-	c.fixed <- raw
+	c.replacements <- raw
 }
 
 // Feed says where lists come from.
 type Feed struct {
-	Held  bool   // from Replace alone: discovery is not asked
-	Token uint64 // fencing token that calls on discovery carry, 0 for none
+	ReplaceOnly bool   // from Replace alone: discovery is not asked
+	Token       uint64 // fencing token that calls on discovery carry, 0 for none
 }
 
 // Feed changes where lists come from; it returns at once. Calls that are under way with another token, or
 // where none is wanted, end.
 func (c *Client) Feed(f Feed) {
 	select {
-	case <-c.feeds: // only the last of several counts
+	case <-c.feedChanges: // only the last of several counts
 	default:
 	}
-	c.feeds <- f
+	c.feedChanges <- f
 }
 
-// Refused has refuse called where discovery refuses a call for its token. It is called before Run.
-func (c *Client) Refused(refuse func(token uint64, why string)) { c.refused = refuse }
+// OnTokenRejected has refuse called where discovery refuses a call for its token. It is called before Run.
+func (c *Client) OnTokenRejected(reject func(token uint64, why string)) { c.onTokenRejected = reject }
 
 // LastSeen is when discovery said something last on a watch, zero where it never did.
 func (c *Client) LastSeen() time.Time {
-	if at := c.heard.Load(); at != 0 {
-		return c.begun.Add(time.Duration(at))
+	if at := c.lastReceived.Load(); at != 0 {
+		return c.startTime.Add(time.Duration(at))
 	}
 	return time.Time{}
 }
 
-// fedBy takes over where lists come from.
-func (c *Client) fedBy(ctx context.Context, f Feed) {
+// applyFeed takes over where lists come from.
+func (c *Client) applyFeed(ctx context.Context, f Feed) {
 	if f == c.feed {
 		return
 	}
 	c.feed = f
-	c.leave(c.now)
-	c.leave(c.before)
-	c.now, c.before = nil, nil
+	c.stopWatch(c.current)
+	c.stopWatch(c.previous)
+	c.current, c.previous = nil, nil
 	c.mu.Lock()
-	c.source = c.watches + 1 // what the left ones have read and not told is not heard
+	c.sourceWatch = c.watchCount + 1 // what the left ones have read and not told is not heard
 	c.mu.Unlock()
-	if !f.Held {
-		c.now = c.start(ctx, c.address, c.moving)
+	if !f.ReplaceOnly {
+		c.current = c.startWatch(ctx, c.address, c.unsynced)
 	}
 }
 
@@ -198,43 +199,43 @@
 	retry := time.NewTimer(time.Hour)
 	defer retry.Stop()
 	select { // said before the start: nothing is asked before it holds
-	case f := <-c.feeds:
-		c.fedBy(ctx, f)
+	case f := <-c.feedChanges:
+		c.applyFeed(ctx, f)
 	default:
 	}
-	if c.unasked() && !c.feed.Held && c.now == nil {
-		c.moving = true // what was known before the start may be old, and what discovery has binds
-		c.now = c.start(ctx, c.address, true)
+	if c.followsAlways() && !c.feed.ReplaceOnly && c.current == nil {
+		c.unsynced = true // what was known before the start may be old, and what discovery has binds
+		c.current = c.startWatch(ctx, c.address, true)
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.asked:
-			if c.now == nil && !c.moving && !c.feed.Held {
-				c.now = c.start(ctx, c.address, false)
+		case <-c.followRequests:
+			if c.current == nil && !c.unsynced && !c.feed.ReplaceOnly {
+				c.current = c.startWatch(ctx, c.address, false)
 			}
-		case address := <-c.moved:
+		case address := <-c.addressChanges:
 			c.move(ctx, address)
-		case f := <-c.feeds:
-			c.fedBy(ctx, f)
-		case raw := <-c.fixed:
-			if err := c.tell(nil, raw); err != nil {
+		case f := <-c.feedChanges:
+			c.applyFeed(ctx, f)
+		case raw := <-c.replacements:
+			if err := c.deliver(nil, raw); err != nil {
 				c.log.Error("list kept, the new one cannot be used", logging.Err, err)
 			}
 		case <-retry.C:
-			if c.now == nil && (c.moving || c.again > 0 || c.unasked()) && !c.feed.Held {
-				c.now = c.start(ctx, c.address, c.moving)
+			if c.current == nil && (c.unsynced || c.quickReopens > 0 || c.followsAlways()) && !c.feed.ReplaceOnly {
+				c.current = c.startWatch(ctx, c.address, c.unsynced)
 			}
-		case w := <-c.told:
-			if w != c.now {
+		case w := <-c.syncedWatches:
+			if w != c.current {
 				break
 			}
-			c.moving, c.retries = false, 0
-			c.leave(c.before)
-			c.before = nil
-		case w := <-c.ended:
-			if wait := c.end(w); wait > 0 {
+			c.unsynced, c.retries = false, 0
+			c.stopWatch(c.previous)
+			c.previous = nil
+		case w := <-c.endedWatches:
+			if wait := c.handleEnd(w); wait > 0 {
 				retry.Reset(wait)
 			}
 		}
@@ -248,13 +249,13 @@
 		return
 	}
 	c.log.Info("discovery moved", "from", c.address, "to", address)
-	if c.moving {
-		c.leave(c.now)
+	if c.unsynced {
+		c.stopWatch(c.current)
 	} else {
-		c.before = c.now
+		c.previous = c.current
 	}
-	c.address, c.moving, c.retries = address, true, 0
-	if c.now = nil; !c.feed.Held {
-		c.now = c.start(ctx, address, true)
+	c.address, c.unsynced, c.retries = address, true, 0
+	if c.current = nil; !c.feed.ReplaceOnly {
+		c.current = c.startWatch(ctx, address, true)
 	}
 }
--- a/internal/proxy/discovery/discovery_test.go
+++ b/internal/proxy/discovery/discovery_test.go
@@ -19,12 +19,12 @@
 )
 
 func client(address string) *Client {
-	return New(address, time.Second, Limits{Silence: 3 * time.Second, MaxList: 1 << 20},
+	return New(address, time.Second, Limits{WatchTimeout: 3 * time.Second, MaxListBytes: 1 << 20},
 		Names{Zones: []string{"kita", "chuo"}, Kinds: []string{"m1", "m2"}},
 		descriptors.NewBudget(100, 0.6, 0.25), &stats.Set{}, slog.New(slog.DiscardHandler))
 }
 
-func TestTake(t *testing.T) {
+func TestApply(t *testing.T) {
 	const line = `{"index":%d,"snapshot":%v,"endpoints":[{"name":%q,"address":"127.0.0.1:%d","zone":%q,` +
 		`"type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":1700000000123}]}`
 	c := client("")
@@ -44,7 +44,7 @@
 		{fmt.Sprintf(line, 2, true, "b", 2, "kita", "in_service"), dispatch.Server{}, "b"},
 		{fmt.Sprintf(line, 9, false, "b", 2, "kita", "terminated"), dispatch.Server{State: balance.Removed}, ""},
 	} {
-		_, list, err := c.take(nil, []byte(step.in))
+		_, list, err := c.apply(nil, []byte(step.in))
 		if err != nil || len(list) != 1 {
 			t.Fatal(list, err)
 		}
@@ -53,12 +53,12 @@
 		if diff := cmp.Diff(step.want, list[0]); diff != "" {
 			t.Error(diff)
 		}
-		if _, held := c.byName["b"]; held && step.want.State == balance.Removed {
+		if _, held := c.idByName["b"]; held && step.want.State == balance.Removed {
 			t.Error("a name that left is kept for ever")
 		}
 		alive := ""
 		for _, name := range []string{"a", "b"} {
-			if _, ok := c.Address(c.id(name)); ok {
+			if _, ok := c.Address(c.serverID(name)); ok {
 				alive += name
 			}
 		}
@@ -69,7 +69,7 @@
 	for _, bad := range []string{`{`, `[]`, `{"endpoints":[{"name":"a","status":"asleep"}]}`,
 		`{"endpoints":[{"name":"","status":"in_service"}]}`,
 		`{"endpoints":[{"name":"a","status":"in_service","group":-1}]}`} {
-		if _, _, err := c.take(nil, []byte(bad)); err == nil {
+		if _, _, err := c.apply(nil, []byte(bad)); err == nil {
 			t.Errorf("took %s", bad)
 		}
 	}
@@ -78,8 +78,8 @@
 // The decisions place keys by these numbers, so all client proxies must give a name the same one.
 func TestIDsAreTheSameEverywhere(t *testing.T) {
 	x, y := client(""), client("")
-	y.id("s-9")
-	if x.id("s-1") != y.id("s-1") || x.id("s-1") == x.id("s-2") {
+	y.serverID("s-9")
+	if x.serverID("s-1") != y.serverID("s-1") || x.serverID("s-1") == x.serverID("s-2") {
 		t.Error("ids depend on what was seen before, or coincide")
 	}
 }
@@ -159,7 +159,7 @@
 	if diff := cmp.Diff([]string{"0", "7"}, []string{old.From(), fresh.From()}); diff != "" {
 		t.Error(diff)
 	}
-	if _, _, err := c.take(&watch{number: 1}, []byte(nettest.List(true, "in_service", nil))); err == nil {
+	if _, _, err := c.apply(&watch{number: 1}, []byte(nettest.List(true, "in_service", nil))); err == nil {
 		t.Error("a watch that was left is still heard")
 	}
 	c.Move(fresh.Address) // says nothing new
@@ -180,7 +180,7 @@
 		nettest.List(false, "terminating", map[string]string{"b": "127.0.0.1:2"}),
 		nettest.List(false, "terminated", map[string]string{"a": "127.0.0.1:1"}),
 	} {
-		if _, _, err := c.take(nil, []byte(doc)); err != nil {
+		if _, _, err := c.apply(nil, []byte(doc)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -189,9 +189,9 @@
 		t.Fatal(err)
 	}
 	next := client("")
-	list, err := next.Known(doc)
+	list, err := next.Restore(doc)
 	if err != nil || len(list) != 1 || list[0].State != balance.Draining || next.index != 7 ||
-		next.Held() != 1 || next.InService() != 0 {
+		next.Listed() != 1 || next.InService() != 0 {
 		t.Errorf("%s: %+v, %v, version %d", doc, list, err, next.index)
 	}
 }
--- a/internal/proxy/discovery/list.go
+++ b/internal/proxy/discovery/list.go
@@ -21,9 +21,9 @@
 	"in_service": balance.Up, "terminating": balance.Draining, "terminated": balance.Removed,
 }
 
-// Known takes in the list as it was held before the start and returns it for the decisions.
-func (c *Client) Known(raw []byte) ([]dispatch.Server, error) {
-	_, list, err := c.take(nil, raw)
+// Restore takes in the list as it was held before the start and returns it for the decisions.
+func (c *Client) Restore(raw []byte) ([]dispatch.Server, error) {
+	_, list, err := c.apply(nil, raw)
 	return list, err
 }
 
@@ -31,7 +31,7 @@
 func (c *Client) Address(s dispatch.ServerID) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a, ok := c.inService[s]
+	a, ok := c.addresses[s]
 	return a, ok
 }
 
@@ -39,7 +39,9 @@
 // there is none.
 func (c *Client) Export() ([]byte, error) {
 	c.mu.Lock()
-	doc := serverlist.Document{Index: c.index, Snapshot: true, Endpoints: slices.Collect(maps.Values(c.listed))}
+	doc := serverlist.Document{
+		Index: c.index, Snapshot: true, Endpoints: slices.Collect(maps.Values(c.endpoints)),
+	}
 	c.mu.Unlock()
 	if len(doc.Endpoints) == 0 {
 		return nil, nil
@@ -62,33 +64,33 @@
 	return c.index
 }
 
-// Held is how many servers the list holds, those that drain included.
-func (c *Client) Held() int {
+// Listed is how many servers the list holds, those that drain included.
+func (c *Client) Listed() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.byName)
+	return len(c.idByName)
 }
 
 // InService is how many of them are in service.
 func (c *Client) InService() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.inService)
+	return len(c.addresses)
 }
 
 // Name returns what a server is called, or "" where no list holds it.
 func (c *Client) Name(s dispatch.ServerID) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.taken[s]
+	return c.nameByID[s]
 }
 
-var errOvertaken = errors.New("another watch has told the list since")
+var errSuperseded = errors.New("another watch has told the list since")
 
-// take applies one document: from here on no attempt begins at a server that it takes out of service.
+// apply applies one document: from here on no attempt begins at a server that it takes out of service.
 // With its first one a watch becomes the source; the one before it is not heard any more. A change whose
-// count lies below what was told is taken in, with errFell: what lies between it and the list is unknown.
-func (c *Client) take(w *watch, raw []byte) (whole bool, list []dispatch.Server, err error) {
+// count lies below what was told is taken in, with errIndexFell: what lies between it and the list is unknown.
+func (c *Client) apply(w *watch, raw []byte) (full bool, list []dispatch.Server, err error) {
 	var doc serverlist.Document
 	if err := json.Unmarshal(raw, &doc); err != nil {
 		return false, nil, err
@@ -102,46 +104,46 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w != nil {
-		if w.number < c.source {
-			return false, nil, errOvertaken
+		if w.number < c.sourceWatch {
+			return false, nil, errSuperseded
 		}
-		c.source, c.origin = w.number, w.address
+		c.sourceWatch, c.origin = w.number, w.address
 		if !doc.Snapshot && doc.Index < c.index {
-			err = errFell
+			err = errIndexFell
 		}
 	}
 	c.index = doc.Index
 	if doc.Snapshot {
 		// A machine that is replaced comes back under another name: without this the names of all that
 		// ever were would be kept.
-		clear(c.inService)
-		clear(c.byName)
-		clear(c.taken)
-		clear(c.listed)
+		clear(c.addresses)
+		clear(c.idByName)
+		clear(c.nameByID)
+		clear(c.endpoints)
 	}
 	for i := range doc.Endpoints {
 		e := &doc.Endpoints[i]
 		s := dispatch.Server{
-			ID: c.id(e.Name), Zone: place(&c.names.Zones, e.Zone), Kind: place(&c.names.Kinds, e.Type),
+			ID: c.serverID(e.Name), Zone: position(&c.names.Zones, e.Zone), Kind: position(&c.names.Kinds, e.Type),
 			Cell: e.Group, State: states[e.Status], Rating: e.Weight,
 			Started: time.Duration(math.Round(e.SinceMS*1000)) * time.Microsecond,
 		}
 		list = append(list, s)
-		c.listed[e.Name] = *e
-		switch delete(c.inService, s.ID); s.State {
+		c.endpoints[e.Name] = *e
+		switch delete(c.addresses, s.ID); s.State {
 		case balance.Up:
-			c.inService[s.ID] = e.Address
+			c.addresses[s.ID] = e.Address
 		case balance.Removed: // or names would pile up where no whole list ever comes
-			delete(c.byName, e.Name)
-			delete(c.listed, e.Name)
-			delete(c.taken, s.ID)
+			delete(c.idByName, e.Name)
+			delete(c.endpoints, e.Name)
+			delete(c.nameByID, s.ID)
 		}
 	}
 	return doc.Snapshot, list, err
 }
 
-// place finds a word's position; one the settings do not name gets a position behind theirs.
-func place(words *[]string, w string) int {
+// position finds a word's position; one the settings do not name gets a position behind theirs.
+func position(words *[]string, w string) int {
 	i := slices.Index(*words, w)
 	if i < 0 {
 		i = len(*words)
@@ -150,18 +152,18 @@
 	return i
 }
 
-// id gives a name its number: the same at every client proxy, for the decisions place keys by it. Only
+// serverID gives a name its number: the same at every client proxy, for the decisions place keys by it. Only
 // where two names meet in one number does it depend on which was seen first.
-func (c *Client) id(name string) dispatch.ServerID {
-	if s, ok := c.byName[name]; ok {
+func (c *Client) serverID(name string) dispatch.ServerID {
+	if s, ok := c.idByName[name]; ok {
 		return s
 	}
 	h := fnv.New32a()
 	io.WriteString(h, name)
 	s := dispatch.ServerID(h.Sum32())
-	for c.taken[s] != "" {
+	for c.nameByID[s] != "" {
 		s++
 	}
-	c.byName[name], c.taken[s] = s, name
+	c.idByName[name], c.nameByID[s] = s, name
 	return s
 }
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -9,9 +9,9 @@
 	"cresshub/balance"
 )
 
-func (d *Decider) now() time.Duration { return d.clockBase + time.Since(d.start) }
+func (d *Decider) now() time.Duration { return d.clockBase + time.Since(d.startTime) }
 
-func (d *Decider) toClock(t time.Time) time.Duration { return d.clockBase + t.Sub(d.start) }
+func (d *Decider) toClock(t time.Time) time.Duration { return d.clockBase + t.Sub(d.startTime) }
 
 // lock takes the lock for one event and reads the clock.
 func (d *Decider) lock() time.Duration {
@@ -26,10 +26,10 @@
 	d.pendingProbes, d.pendingFollow = nil, false
 	d.mu.Unlock()
 	for _, s := range probes {
-		d.net.Probe(s)
+		d.network.Probe(s)
 	}
 	if follow {
-		d.net.Follow()
+		d.network.Follow()
 	}
 }
 
@@ -62,7 +62,7 @@
 		switch a.Kind {
 		case balance.Send:
 			c.addStep(Step{Kind: Send, Server: a.Server, Attempt: len(c.sentAt), GiveUpAt: d.giveUpAt(c, now, a.Wait),
-				StartBy: d.start.Add(now + a.Within - d.clockBase)})
+				StartBy: d.startTime.Add(now + a.Within - d.clockBase)})
 			c.sentAt, c.timeouts = append(c.sentAt, now), append(c.timeouts, a.Wait)
 		case balance.Cancel:
 			c.addStep(Step{Kind: Cancel, Attempt: a.Attempt})
--- a/internal/proxy/dispatch/decide.go
+++ b/internal/proxy/dispatch/decide.go
@@ -102,9 +102,9 @@
 
 // Decider makes the decisions of one client proxy. Its methods may be called from any goroutine.
 type Decider struct {
-	net            Network
+	network        Network
 	responseMargin time.Duration
-	start          time.Time
+	startTime      time.Time
 	clockBase      time.Duration // the clock's reading at start
 	wakeRun        chan struct{}
 
@@ -120,12 +120,13 @@
 
 // New returns a Decider that knows no server yet. A request is answered travel before its deadline at the
 // latest, so that the answer is with the client in time also when the machine is busy.
-func New(settings balance.Settings, responseMargin time.Duration, net Network) (*Decider, error) {
+func New(settings balance.Settings, responseMargin time.Duration, network Network) (*Decider, error) {
 	// The clock is monotonic and reads as Unix time at the start. Discovery tells starts of servers as
 	// Unix time, and a clock from 0 would make one that started before this process look long ago.
-	start := time.Now()
+	startTime := time.Now()
 	d := &Decider{
-		net: net, responseMargin: responseMargin, start: start, clockBase: time.Duration(start.UnixNano()),
+		network: network, responseMargin: responseMargin,
+		startTime: startTime, clockBase: time.Duration(startTime.UnixNano()),
 		wakeRun: make(chan struct{}, 1), calls: map[string]*Call{},
 	}
 	var err error
@@ -225,9 +226,9 @@
 }
 
 // giveUpAt is when an attempt that is sent now is given up.
-func (d *Decider) giveUpAt(c *Call, now, wait time.Duration) time.Time {
+func (d *Decider) giveUpAt(c *Call, now, timeout time.Duration) time.Time {
 	until := c.deadline.Add(-d.responseMargin)
-	if t := d.start.Add(now + wait - d.clockBase); wait > 0 && t.Before(until) {
+	if t := d.startTime.Add(now + timeout - d.clockBase); timeout > 0 && t.Before(until) {
 		until = t
 	}
 	return until
@@ -235,18 +236,18 @@
 
 // Report says how an attempt ended, or that its answer has begun, with the load its server told, if it did.
 // The first one that was served becomes the answer, which the result says.
-func (d *Decider) Report(c *Call, attempt int, result Result, load []float64) (answers bool) {
+func (d *Decider) Report(c *Call, attempt int, result Result, load []float64) (chosen bool) {
 	now := d.lock()
 	defer d.unlock()
-	answers = result == Served && !c.closed
+	chosen = result == Served && !c.closed
 	d.execute(now, d.balancer.Outcome(now, balance.Outcome{
-		ID: c.id, Attempt: attempt, Result: result, Over: c.closed || answers,
+		ID: c.id, Attempt: attempt, Result: result, Over: c.closed || chosen,
 		Latency: now - c.sentAt[attempt], Report: load,
 	}, d.actions[:0]))
-	if answers {
+	if chosen {
 		d.finish(c, Step{Kind: Answer, Attempt: attempt})
 	}
-	return answers
+	return chosen
 }
 
 // Probed says how a probe ended and how long it took.
--- a/internal/proxy/dispatch/decide_test.go
+++ b/internal/proxy/dispatch/decide_test.go
@@ -119,7 +119,7 @@
 
 // A step that its goroutine never saw must not stay counted as out at its server. Nor is it cancelled: a
 // front knows only attempts that were handed out.
-func TestGoneBeforeTheAttemptBegan(t *testing.T) {
+func TestClientGoneBeforeAttemptStarted(t *testing.T) {
 	d, p := decider(t, nil)
 	call := d.Open(soon(), p)
 	d.clientGone(call)
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestAttemptsEndBeforeTheDeadline(t *testing.T) {
+func TestAttemptGivenUpBeforeDeadline(t *testing.T) {
 	d, p := decider(t, nil)
 	q := soon()
 	q.Deadline = time.Now().Add(time.Minute)
--- a/internal/proxy/ingress/answer.go
+++ b/internal/proxy/ingress/answer.go
@@ -11,8 +11,8 @@
 	"cresshub/internal/proxy/upstream"
 )
 
-// answer finds a request's final answer. What of its body is not kept is in u, nil where that is nothing.
-func (s *Server) answer(c *client, q *http1.Request, u *upload, arrived time.Time) finalResponse {
+// respond finds a request's final answer. What of its body is not kept is in u, nil where that is nothing.
+func (s *Server) respond(c *client, q *http1.Request, u *upload, arrived time.Time) finalResponse {
 	if path, _, _ := bytes.Cut([]byte(q.Target), []byte("?")); string(path) == readyPath {
 		if !s.Serving() {
 			return finalResponse{response: textResponse(503, "sending clients away", true)}
@@ -20,7 +20,7 @@
 		return finalResponse{response: textResponse(200, "ready", false)}
 	}
 	request, status, reason := s.parse(q, arrived)
-	s.use(c, q, request.Class)
+	s.startUsage(c, q, request.Class)
 	if status != 0 {
 		s.countRejected(status, reason)
 		response := textResponse(status, reason, false)
@@ -39,7 +39,7 @@
 	s.Stats.Taken.Add()
 	if u != nil {
 		// Until its last byte is sent the client's time does not run.
-		u.timeout, request.Deadline = request.Deadline.Sub(arrived), arrived.Add(longest)
+		u.timeout, request.Deadline = request.Deadline.Sub(arrived), arrived.Add(maxTimeout)
 	} else {
 		s.Stats.InProgress.Add(1)
 		c.inProgress = true
@@ -121,13 +121,13 @@
 			attempts[step.Attempt].Cancel()
 		case dispatch.Answer:
 			s.Stats.Served.Add()
-			s.recordOutcome(c, "served", 200, attempts, step.Attempt)
+			s.noteOutcome(c, "served", 200, attempts, step.Attempt)
 			response := attempts[step.Attempt].outcome.Response
 			response.Header = response.Header.EndToEnd("X-Server-Load")
 			return finalResponse{response, &attempts[step.Attempt].outcome, &handled.Passed, &handled.Failed}
 		case dispatch.Refuse:
 			s.Stats.Refused.Add()
-			s.recordOutcome(c, "refused", 503, attempts, len(attempts)-1)
+			s.noteOutcome(c, "refused", 503, attempts, len(attempts)-1)
 			response := textResponse(503, "refused", false)
 			if step.RetryAfter > 0 {
 				wait := strconv.FormatFloat(step.RetryAfter.Seconds(), 'f', 3, 64)
@@ -140,11 +140,11 @@
 			if n := len(attempts); n > 0 && attempts[n-1].outcome.Result == dispatch.TimedOut {
 				status, reason = 504, "no answer in time"
 			}
-			s.recordOutcome(c, "failed", status, attempts, len(attempts)-1)
+			s.noteOutcome(c, "failed", status, attempts, len(attempts)-1)
 			return finalResponse{response: textResponse(status, reason, false), counter: &handled.Failed}
 		case dispatch.ClientGone:
 			s.Stats.Gone.Add()
-			s.recordOutcome(c, "gone", 0, attempts, len(attempts)-1)
+			s.noteOutcome(c, "gone", 0, attempts, len(attempts)-1)
 			if step.Attempt >= 0 {
 				s.Pool.Release(&attempts[step.Attempt].outcome)
 			}
@@ -153,8 +153,8 @@
 	}
 }
 
-// recordOutcome notes how a request ended, where it is to be logged; last is the attempt that decided it.
-func (s *Server) recordOutcome(c *client, outcome string, status int, attempts []*attempt, last int) {
+// noteOutcome notes how a request ended, where it is to be logged; last is the attempt that decided it.
+func (s *Server) noteOutcome(c *client, outcome string, status int, attempts []*attempt, last int) {
 	if c.logEntry == nil {
 		return
 	}
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -25,7 +25,7 @@
 
 	logEntry *logging.Final // of the request being served, where it is to be logged
 
-	usage      *Use // of the request being served, where use is counted
+	usage      *Usage // of the request being served, where use is counted
 	usageClass int
 }
 
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -14,8 +14,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// settled waits until nothing is held for anybody any more.
-func (r *rig) settled(t *testing.T) {
+// awaitReleased waits until nothing is held for anybody any more.
+func (r *rig) awaitReleased(t *testing.T) {
 	t.Helper()
 	nettest.Until(t, "nothing is held", func() bool {
 		r.Server.mu.Lock()
@@ -27,7 +27,7 @@
 
 // Whatever a bad client sends and however it goes, nothing stays held for it, at most its whole requests are
 // sent on, each once, and others are served.
-func TestBadClientsLeaveNothing(t *testing.T) {
+func TestBadClientsLeaveNoState(t *testing.T) {
 	much := ""
 	for i := range 300 {
 		much += get(fmt.Sprint("much-", i))
@@ -66,7 +66,7 @@
 					"\r\nConnection: close\r\n\r\n", 1)); a.Status != 200 {
 					t.Errorf("another client gets %d", a.Status)
 				}
-				r.settled(t)
+				r.awaitReleased(t)
 				came := map[string]int{}
 				for _, q := range zone.Got("") {
 					came[q.Header.Get(idField)]++
@@ -83,7 +83,7 @@
 
 // Of two copies the answer that is there first is passed on, once; the other one, cancelled or not, is
 // nobody's.
-func TestSecondCopyAnswersFirst(t *testing.T) {
+func TestHedgedRequestAnswersFirst(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", may), func(t *testing.T) {
 			r := newRig(t, func(s *balance.Settings) {
@@ -122,14 +122,14 @@
 				}
 			}
 			c.Close()
-			r.settled(t)
+			r.awaitReleased(t)
 		})
 	}
 }
 
 // Where all that may be tried has turned a request away it is refused at once, for it never ran; where the
 // last one broke off, what must not run twice has failed.
-func TestNothingLeftToTry(t *testing.T) {
+func TestNoServerLeftToAttempt(t *testing.T) {
 	away := &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
 	for name, c := range map[string]struct {
 		answers []*http1.Response
@@ -161,14 +161,14 @@
 				t.Errorf("%d attempts came, want %d", n, len(c.answers))
 			}
 			far.Close()
-			r.settled(t)
+			r.awaitReleased(t)
 		})
 	}
 }
 
 // A server that answers before the request is whole, and closes, has its answer passed on or its attempt
 // failed: it is not sent again, and nothing stays held.
-func TestAnswerBeforeTheRequestIsWhole(t *testing.T) {
+func TestResponseBeforeRequestIsComplete(t *testing.T) {
 	for _, status := range []int{200, 500} {
 		r := newRig(t, nil)
 		heads := make(chan bool, 9)
@@ -188,13 +188,13 @@
 			t.Errorf("%d: %d attempts", status, len(heads))
 		}
 		c.Close()
-		r.settled(t)
+		r.awaitReleased(t)
 	}
 }
 
 // A body may come as slowly as each piece of it comes within a stall, whatever of its form is already here;
 // the time for the head does not run on.
-func TestPieceOfABodyHasItsTime(t *testing.T) {
+func TestStallTimeoutRestartsWithEachChunk(t *testing.T) {
 	for _, size := range []int{1000, 100_000} { // kept, and streamed
 		r := newRig(t, nil)
 		limits := *r.limits.Load()
@@ -229,13 +229,13 @@
 
 // A second copy of a large request may be decided while the first waits for its connection. Its body is there
 // once: one of the two has it, whole, and the other was never sent.
-func TestTwoCopiesOfAnUpload(t *testing.T) {
+func TestUploadIsReadByOneAttempt(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 100000", "Transfer-Encoding: chunked"} {
-		t.Run(framing, func(t *testing.T) { twoCopies(t, framing) })
+		t.Run(framing, func(t *testing.T) { checkHedgedUpload(t, framing) })
 	}
 }
 
-func twoCopies(t *testing.T, framing string) {
+func checkHedgedUpload(t *testing.T, framing string) {
 	r := newRig(t, func(s *balance.Settings) { s.Classes[0].Aim = time.Second })
 	bodies := make(chan string, 9)
 	zone := nettest.Listen(t, func(c *connbuffer.Conn) {
@@ -283,7 +283,7 @@
 		t.Error(got)
 	}
 	c.Close()
-	r.settled(t)
+	r.awaitReleased(t)
 	whole := 0
 	for len(bodies) > 0 {
 		switch got := <-bodies; {
@@ -300,7 +300,7 @@
 
 // An answer that its server breaks off while it is passed on ends so that the client can tell, also where
 // only the end of the connection tells its length and more of the client's bytes wait behind the request.
-func TestBrokenStreamIsNoEnd(t *testing.T) {
+func TestBrokenStreamResetsClient(t *testing.T) {
 	for _, behind := range []string{"", "GET /api HTTP/1.0\r\n"} {
 		r := newRig(t, nil)
 		passed := make(chan bool)
@@ -331,7 +331,7 @@
 
 // A client that leaves just as the last byte of its large body is out is counted out again, whichever of the
 // two is noted first.
-func TestLeavesAsItsUploadIsWhole(t *testing.T) {
+func TestClientGoneAsUploadCompletes(t *testing.T) {
 	for _, leavesFirst := range []bool{true, false} {
 		r := newRig(t, nil)
 		sent, left := make(chan bool, 1), make(chan bool)
@@ -366,6 +366,6 @@
 			return len(r.clients) == 0
 		})
 		close(left)
-		r.settled(t)
+		r.awaitReleased(t)
 	}
 }
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -8,8 +8,8 @@
 	"cresshub/internal/proxy/drain"
 )
 
-// sweepEvery is how often a drain looks for connections to close.
-const sweepEvery = 10 * time.Millisecond
+// sweepInterval is how often a drain looks for connections to close.
+const sweepInterval = 10 * time.Millisecond
 
 // Serving tells whether clients are taken; /health/ready says the same.
 func (s *Server) Serving() bool { return s.drain.Load().Serving() }
@@ -17,10 +17,10 @@
 // Ending tells whether Shutdown was called.
 func (s *Server) Ending() bool { return s.drain.Load().Ending() }
 
-// leaving tells whether a client's connection ends with its present answer, as far as we have a say in
+// closesAfterResponse tells whether a client's connection ends with its present answer, as far as we have a say in
 // it. What it has sent behind its request is ours to answer, so where there is such it stays open for a
 // while.
-func (s *Server) leaving(c *client) bool {
+func (s *Server) closesAfterResponse(c *client) bool {
 	d := s.drain.Load()
 	return !d.Serving() && (d.Plan(time.Now(), s.Drain()).Last || c.Quiet())
 }
@@ -34,13 +34,13 @@
 	s.drain.Store(&next)
 	if on && !s.closingIdle {
 		s.closingIdle = true
-		go s.sweep()
+		go s.closeIdleLoop()
 	}
 }
 
-// sweep closes what a drain has come to close until clients are taken again, or Shutdown does it.
-func (s *Server) sweep() {
-	for ; ; time.Sleep(sweepEvery) {
+// closeIdleLoop closes what a drain has come to close until clients are taken again, or Shutdown does it.
+func (s *Server) closeIdleLoop() {
+	for ; ; time.Sleep(sweepInterval) {
 		s.mu.Lock()
 		if d := s.drain.Load(); d.Serving() || d.Ending() {
 			s.closingIdle = false
@@ -61,7 +61,7 @@
 	next := s.drain.Load().End(time.Now())
 	s.drain.Store(&next)
 	s.mu.Unlock()
-	for ; ; time.Sleep(sweepEvery) {
+	for ; ; time.Sleep(sweepInterval) {
 		p := s.drain.Load().Plan(time.Now(), s.Drain())
 		if p.Refuse {
 			// Until this moment every connection is accepted: one left waiting in the system's queue could
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -17,8 +17,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// held is a zone server whose answers wait until release is closed.
-func held(t *testing.T) (zone *nettest.Party, release chan bool) {
+// holdingZone is a zone server whose answers wait until release is closed.
+func holdingZone(t *testing.T) (zone *nettest.Party, release chan bool) {
 	release = make(chan bool)
 	return nettest.Serve(t, func(q *http1.Request) *http1.Response {
 		<-release
@@ -26,8 +26,8 @@
 	}), release
 }
 
-// ending begins the end of a rig and returns once its state says so.
-func (r *rig) ending(t *testing.T) {
+// startShutdown begins the end of a rig and returns once its state says so.
+func (r *rig) startShutdown(t *testing.T) {
 	go func() {
 		r.Shutdown(r.listener)
 		close(r.ended)
@@ -50,10 +50,10 @@
 
 // What a client sent before the end of its connection was in sight is answered, also where it did not
 // wait for the answer before; and the process ends after that.
-func TestEndAnswersWhatWasSentEarly(t *testing.T) {
+func TestShutdownServesPipelinedRequests(t *testing.T) {
 	for _, lame := range []bool{false, true} {
 		r := newRig(t, nil)
-		zone, release := held(t)
+		zone, release := holdingZone(t)
 		r.list(zone.Address)
 		c := nettest.Dial(t, r.address)
 		io.WriteString(c, get("one")+get("two"))
@@ -61,21 +61,21 @@
 		if lame {
 			r.LameDuck(true)
 		} else {
-			r.ending(t)
+			r.startShutdown(t)
 		}
 		close(release)
 		if got := outcome(c) + ", " + outcome(c) + ", " + outcome(c); got != "200 one, 200 two, end" {
 			t.Errorf("lame %v: %s", lame, got)
 		}
 		if lame {
-			r.ending(t)
+			r.startShutdown(t)
 		}
 		<-r.ended
 	}
 }
 
 // A request that was read together with the one before it is not taken for rest by whoever closes what rests.
-func TestWhatWasReadEarlyIsNoRest(t *testing.T) {
+func TestBufferedRequestIsNotIdle(t *testing.T) {
 	s := server()
 	far, near := tcpPair(t)
 	c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}
@@ -104,7 +104,7 @@
 
 // Nor is one whose first byte was taken out of the system a moment ago. Who closes what rests holds the lock
 // here from before the request until it has looked at the connection in every state.
-func TestFirstByteIsNoRest(t *testing.T) {
+func TestFirstByteEndsIdle(t *testing.T) {
 	r := newRig(t, nil)
 	zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	r.list(zone.Address)
@@ -162,16 +162,16 @@
 
 // Half a head is answered at the limit, servers that hang are waited for to the deadline and no longer,
 // and new connections are taken for as long as told.
-func TestEndWithAllKindsOfClients(t *testing.T) {
+func TestShutdownWithAllKindsOfClients(t *testing.T) {
 	r := newRig(t, nil)
-	zone, release := held(t)
+	zone, release := holdingZone(t)
 	defer close(release)
 	r.list(zone.Address)
 	half, hangs, rests := nettest.Dial(t, r.address), nettest.Dial(t, r.address), nettest.Dial(t, r.address)
 	io.WriteString(half, "GET /api HT")
 	io.WriteString(hangs, nettest.Request("POST", "assign", "hangs", 600*time.Millisecond))
 	nettest.Until(t, "the request is sent on", func() bool { return len(zone.Got("")) == 1 })
-	r.ending(t)
+	r.startShutdown(t)
 	var fresh []string
 	for began := time.Now(); time.Since(began) < 40*time.Millisecond; { // the rig accepts for 80 ms
 		c := nettest.Dial(t, r.address)
@@ -197,7 +197,7 @@
 
 // The last byte of a request may cross with the close of its connection: it is answered, or it was not
 // sent on.
-func TestRequestCrossesWithTheClose(t *testing.T) {
+func TestRequestCrossesWithClose(t *testing.T) {
 	r := newRig(t, nil)
 	zone := nettest.Serve(t, func(q *http1.Request) *http1.Response { return nettest.OK(q.Header.Get(idField)) })
 	r.list(zone.Address)
@@ -212,7 +212,7 @@
 			t.Fatalf("%+v", outcome)
 		}
 	}
-	r.ending(t)
+	r.startShutdown(t)
 	for i, c := range conns {
 		all.Add(1)
 		go func() { // over the time in which the sweeps close what rests
@@ -236,7 +236,7 @@
 }
 
 // On and off in any order leave one sweep at most, and the last word counts.
-func TestLameDuckWhileASweepRuns(t *testing.T) {
+func TestLameDuckTogglesKeepOneLoop(t *testing.T) {
 	r := newRig(t, nil)
 	for range 20 {
 		var all sync.WaitGroup
@@ -261,7 +261,7 @@
 
 // An answer that ends its connection is read whole, though more had come than was read: the end is a
 // plain one.
-func TestLastAnswerIsNotOvertaken(t *testing.T) {
+func TestLastResponseBeforeClose(t *testing.T) {
 	for name, full := range map[string]bool{"ends": false, "turned away": true} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, nil)
@@ -290,7 +290,7 @@
 
 // A request that is there when the time of rest is over is read all the same: the goroutine may have its turn
 // later than both.
-func TestRequestIsThereAsTheRestEnds(t *testing.T) {
+func TestRequestArrivesAsIdleTimeoutEnds(t *testing.T) {
 	r := newRig(t, nil)
 	limits := *r.limits.Load()
 	limits.First = time.Nanosecond
--- a/internal/proxy/ingress/exchange.go
+++ b/internal/proxy/ingress/exchange.go
@@ -77,14 +77,14 @@
 		s.reject(c, &http1.MalformedError{Status: 400, Reason: "more than one request"})
 		return false
 	}
-	f := s.answer(c, q, u, arrived)
+	f := s.respond(c, q, u, arrived)
 	if u != nil && u.malformed() != nil {
 		s.reject(c, u.malformed())
 		f.response = nil
 	}
 	if f.response != nil {
 		// What is left of a body is in the way of the next request.
-		f.response.Close = q.Close || s.leaving(c) || !body.Complete()
+		f.response.Close = q.Close || s.closesAfterResponse(c) || !body.Complete()
 		if c.usage != nil {
 			c.usage.In = body.BytesRead()
 		}
--- a/internal/proxy/ingress/ingress.go
+++ b/internal/proxy/ingress/ingress.go
@@ -55,7 +55,7 @@
 	Budget      *descriptors.Budget
 	Bodies      *bodybudget.Budget
 	Stats       *stats.Set
-	RecordUsage func(Use) // told of every final answer that was written; nil where nobody counts use
+	RecordUsage func(Usage) // told of every final answer that was written; nil where nobody counts use
 	Log         *slog.Logger
 }
 
@@ -140,8 +140,8 @@
 	if class, ok := s.classes[q.Header.Get("X-Priority-Class")]; flushed == nil && ok {
 		s.Stats.Class(class).Dropped.Add()
 		if t := (&client{}); s.RecordUsage != nil {
-			s.use(t, q, class)
-			s.used(t, &s.Stats.Class(class).Dropped, 0)
+			s.startUsage(t, q, class)
+			s.reportUsage(t, &s.Stats.Class(class).Dropped, 0)
 		}
 	}
 }
--- a/internal/proxy/ingress/left_test.go
+++ b/internal/proxy/ingress/left_test.go
@@ -33,7 +33,7 @@
 
 // A request whose client leaves while it waits is not sent on, whatever it waits for, and whatever else the
 // client had sent.
-func TestClientLeavesWhileItsRequestWaits(t *testing.T) {
+func TestClientGoneWhileRequestWaits(t *testing.T) {
 	for name, text := range map[string]string{
 		"alone":           get("id"),
 		"pipelined":       get("id") + get("next"),
@@ -73,7 +73,7 @@
 
 // The same while a connection is dialled for it, or after one that rested turned out closed, also where what
 // was sent may not be cancelled: this was not.
-func TestClientLeavesWhileADialStands(t *testing.T) {
+func TestClientGoneDuringDial(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		for _, rested := range []bool{true, false} {
 			t.Run(fmt.Sprintf("cancel %v, rested %v", may, rested), func(t *testing.T) {
--- a/internal/proxy/ingress/pass.go
+++ b/internal/proxy/ingress/pass.go
@@ -37,9 +37,9 @@
 	if err != nil {
 		return false
 	}
-	if f.outcome == nil || f.outcome.Rest == nil {
+	if f.outcome == nil || f.outcome.Stream == nil {
 		f.counter.Add()
-		s.used(c, f.counter, int64(len(response.Body)))
+		s.reportUsage(c, f.counter, int64(len(response.Body)))
 		return true
 	}
 	if t, ok := c.Conn.Conn.(*net.TCPConn); ok {
@@ -49,7 +49,7 @@
 	defer release()
 	written := int64(len(response.Body))
 	for {
-		n, readErr := f.outcome.Rest.Read(buffer)
+		n, readErr := f.outcome.Stream.Read(buffer)
 		written += int64(n)
 		c.SetWriteDeadline(time.Now().Add(limits.Stall))
 		if n > 0 {
@@ -67,7 +67,7 @@
 			// The client must be able to tell that this is not all. Where the end of the connection is the end of
 			// the body only a reset says so.
 			f.failedCounter.Add()
-			s.used(c, f.failedCounter, written)
+			s.reportUsage(c, f.failedCounter, written)
 			if t, ok := c.Conn.Conn.(*net.TCPConn); ok {
 				t.SetLinger(0)
 			}
@@ -77,7 +77,7 @@
 			return false
 		}
 		f.counter.Add()
-		s.used(c, f.counter, written)
+		s.reportUsage(c, f.counter, written)
 		return true
 	}
 }
--- a/internal/proxy/ingress/request.go
+++ b/internal/proxy/ingress/request.go
@@ -15,50 +15,52 @@
 
 const idField = "X-Request-ID"
 
-// steering are the header fields that say what a request is and how it is handled.
-var steering = []string{idField, "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "X-Retried", "Host"}
+// routingFields are the header fields that say what a request is and how it is handled.
+var routingFields = []string{idField, "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "X-Retried", "Host"}
 
-// longest bounds a request's time: whoever waits longer than this has no deadline at all.
-const longest = time.Hour
+// maxTimeout bounds a request's time: whoever waits longer than this has no deadline at all.
+const maxTimeout = time.Hour
 
 // parse reads what the decisions need to know of a request. A status other than 0 says what is wrong; the
 // class is set all the same, to -1 where none is named.
-func (s *Server) parse(q *http1.Request, arrived time.Time) (r dispatch.Request, status int, reason string) {
+func (s *Server) parse(message *http1.Request, arrived time.Time) (
+	r dispatch.Request, status int, reason string,
+) {
 	var known bool
-	if r.Class, known = s.classes[q.Header.Get("X-Priority-Class")]; !known {
+	if r.Class, known = s.classes[message.Header.Get("X-Priority-Class")]; !known {
 		r.Class = -1
 	}
-	if q.Method != "GET" && q.Method != "HEAD" && q.Method != "POST" {
+	if message.Method != "GET" && message.Method != "HEAD" && message.Method != "POST" {
 		return r, 405, "method is none of GET, HEAD and POST"
 	}
-	if q.Header.Get(idField) == "" {
+	if message.Header.Get(idField) == "" {
 		return r, 400, "no X-Request-ID"
 	}
-	if name := q.Header.Repeated(steering...); name != "" { // another reader may go by the other one
+	if name := message.Header.Repeated(routingFields...); name != "" { // another reader may go by the other one
 		return r, 400, name + " is repeated"
 	}
-	if q.Method != "POST" && (len(q.Body) > 0 || q.Length != 0) {
+	if message.Method != "POST" && (len(message.Body) > 0 || message.Length != 0) {
 		return r, 400, "GET with a body"
 	}
 	if !known {
 		return r, 400, "X-Priority-Class names no class"
 	}
 	var ok bool
-	if r.Tenant, ok = s.tenants[q.Header.Get("X-Tenant-Id")]; !ok && len(s.tenants) > 0 {
+	if r.Tenant, ok = s.tenants[message.Header.Get("X-Tenant-Id")]; !ok && len(s.tenants) > 0 {
 		return r, 400, "X-Tenant-Id names no tenant"
 	}
-	wait, err := strconv.ParseFloat(q.Header.Get("X-Timeout"), 64)
+	wait, err := strconv.ParseFloat(message.Header.Get("X-Timeout"), 64)
 	if err != nil || !(wait > 0) || math.IsInf(wait, 0) {
 		return r, 400, "X-Timeout is no time"
 	}
-	r.Deadline = arrived.Add(time.Duration(min(wait, longest.Seconds()) * float64(time.Second)))
-	r.Repeat = q.Header.Get("X-Retried") == "1"
-	r.Key, r.HasKey = key(q.Target)
+	r.Deadline = arrived.Add(time.Duration(min(wait, maxTimeout.Seconds()) * float64(time.Second)))
+	r.Repeat = message.Header.Get("X-Retried") == "1"
+	r.Key, r.HasKey = parseKey(message.Target)
 	return r, 0, ""
 }
 
-// key finds what a request concerns. Keys are 16 hex digits; any other word is a key too, by its hash.
-func key(target string) (uint64, bool) {
+// parseKey finds what a request concerns. Keys are 16 hex digits; any other word is a key too, by its hash.
+func parseKey(target string) (uint64, bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for pair := range strings.SplitSeq(query, "&") {
 		name, value, _ := strings.Cut(pair, "=")
--- a/internal/proxy/ingress/request_test.go
+++ b/internal/proxy/ingress/request_test.go
@@ -29,7 +29,7 @@
 			dispatch.Request{Tenant: 1, Key: 0x1f, HasKey: true, Deadline: in(480 * time.Millisecond)}, 0},
 		{"POST", "/api?other=2",
 			append(head("1", "assign", "x", "1e9"), http1.Field{Name: "X-Retried", Value: "1"}),
-			dispatch.Request{Class: 1, Deadline: in(longest), Repeat: true}, 0},
+			dispatch.Request{Class: 1, Deadline: in(maxTimeout), Repeat: true}, 0},
 		{"GET", "/", append(head("1", "lookup", "x", "1"), http1.Field{Name: "X-Timeout", Value: "2"}),
 			dispatch.Request{}, 400},
 		{"GET", "/", append(head("1", "lookup", "x", "1"), http1.Field{Name: "X-Request-Id", Value: "2"}),
@@ -54,7 +54,7 @@
 }
 
 func TestKey(t *testing.T) {
-	word, _ := key("/?key=tea%20house")
+	word, _ := parseKey("/?key=tea%20house")
 	for target, want := range map[string]string{
 		"/api?key=7f3a9c21e0b4d655": fmt.Sprint(uint64(0x7f3a9c21e0b4d655), true),
 		"/api?a=b&key=10":           fmt.Sprint(16, true),
@@ -63,7 +63,7 @@
 		"/api?monkey=1":             "0 false",
 		"/api":                      "0 false",
 	} {
-		if got := fmt.Sprint(key(target)); got != want {
+		if got := fmt.Sprint(parseKey(target)); got != want {
 			t.Errorf("%s: %s, want %s", target, got, want)
 		}
 	}
--- a/internal/proxy/ingress/wait_test.go
+++ b/internal/proxy/ingress/wait_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestWaitNoticesThatTheClientLeft(t *testing.T) {
+func TestWaitNoticesClientGone(t *testing.T) {
 	c, far := pair()
 	go far.Close()
 	if err := c.Wait(); err == nil {
@@ -63,7 +63,7 @@
 
 // Places go first from those that never asked, then from those stuck in a request, then from those that
 // rest, and never from one with a whole request or one that only just came.
-func TestWhoMakesRoom(t *testing.T) {
+func TestExpendabilityOrder(t *testing.T) {
 	s := server()
 	old := time.Now().Add(-time.Minute)
 	add := func(c *client) *client {
@@ -102,14 +102,14 @@
 		if s.requestLog.Load().Wants() {
 			t.Fatal("a line is wanted")
 		}
-		s.recordOutcome(c, "served", 200, tries, 0)
+		s.noteOutcome(c, "served", 200, tries, 0)
 		s.logRequest(c, time.Time{})
 	}); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-func TestBegins(t *testing.T) {
+func TestMayBeginRequest(t *testing.T) {
 	for behind, want := range map[string]bool{"": true, "GET /api": true, "PO": true, "POST /": true,
 		"\r\n": true, "\r\nGET /": true, "HEAD /": true, "GET http://h/": true, "\r\nxyz": false,
 		"xyz": false, "\n": false, "GETaway": false} {
--- a/internal/proxy/ingress/window_test.go
+++ b/internal/proxy/ingress/window_test.go
@@ -12,7 +12,7 @@
 
 // Servers drop a repeat within a window only. A repeat that was decided in time and has its first byte later,
 // because its connection came up late or its goroutine had to wait, is not written.
-func TestRepeatBeginsWithinTheWindow(t *testing.T) {
+func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	for _, late := range []bool{false, true} {
 		r := newRig(t, func(s *balance.Settings) {
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -12,8 +12,8 @@
 
 const head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 
-// parts is a server that writes an answer piece by piece: after each it waits for a token.
-func parts(t *testing.T, on chan bool, pieces ...string) (address string, wrote, ended chan bool) {
+// servePieces is a server that writes an answer piece by piece: after each it waits for a token.
+func servePieces(t *testing.T, on chan bool, pieces ...string) (address string, wrote, ended chan bool) {
 	wrote, ended = make(chan bool, 9), make(chan bool, 9)
 	address = nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
@@ -33,11 +33,11 @@
 
 // A cancel after the first byte of an answer ends the attempt and its connection; one after the last changes
 // nothing, and the connection takes the next.
-func TestCancelMeetsTheAnswer(t *testing.T) {
+func TestCancelDuringAndAfterResponse(t *testing.T) {
 	on := make(chan bool)
-	address, wrote, ended := parts(t, on, head[:3], head[3:]+"bo", "dy")
+	address, wrote, ended := servePieces(t, on, head[:3], head[3:]+"bo", "dy")
 	for begun := range 2 {
-		p := pool(&place{address: address}, nettest.Patience)
+		p := pool(&fakeDirectory{address: address}, nettest.Patience)
 		a, done := attempt(p, ever())
 		for range begun {
 			<-wrote
@@ -55,7 +55,7 @@
 		on <- true
 		<-ended
 	}
-	p := pool(&place{address: address}, nettest.Patience)
+	p := pool(&fakeDirectory{address: address}, nettest.Patience)
 	for range 2 {
 		a, done := attempt(p, ever())
 		for range 3 {
@@ -76,7 +76,7 @@
 
 // What stands behind an answer that ends its connection is no answer to anybody, and the next attempt has a
 // connection of its own.
-func TestCloseWithMoreBehind(t *testing.T) {
+func TestBytesAfterClosingResponseAreDropped(t *testing.T) {
 	for _, more := range []string{"", head + "late", "noise"} {
 		address := nettest.Listen(t, func(c *connbuffer.Conn) {
 			if _, err := http1.ReadRequest(c.In); err != nil {
@@ -85,7 +85,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nown"+more)
 			io.Copy(io.Discard, c) // it is the other side that ends it
 		})
-		p := pool(&place{address: address}, nettest.Patience)
+		p := pool(&fakeDirectory{address: address}, nettest.Patience)
 		for range 2 {
 			_, done := attempt(p, ever())
 			if out := <-done; out.Result != dispatch.Served || string(out.Response.Body) != "own" {
@@ -99,19 +99,19 @@
 }
 
 // At hand-over the server may have moved, or begun to drain: nothing is written at its old address.
-func TestMovedAtHandOver(t *testing.T) {
-	for name, move := range map[string]func(w *place, to string){
-		"moved":  func(w *place, to string) { w.address = to },
-		"drains": func(w *place, _ string) { w.out.Store(true) },
+func TestServerMovedOrDrainingAtReuse(t *testing.T) {
+	for name, move := range map[string]func(w *fakeDirectory, to string){
+		"moved":  func(w *fakeDirectory, to string) { w.address = to },
+		"drains": func(w *fakeDirectory, _ string) { w.removed.Store(true) },
 	} {
 		old := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("old") })
 		fresh := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("new") })
-		where := &place{address: old.Address}
+		where := &fakeDirectory{address: old.Address}
 		p := pool(where, nettest.Patience)
 		_, done := attempt(p, ever())
 		<-done
 		looks := 0
-		where.asked = func() { // the second look is right before the first byte
+		where.onLookup = func() { // the second look is right before the first byte
 			if looks++; looks == 2 {
 				move(where, fresh.Address)
 			}
--- a/internal/proxy/upstream/crossings_test.go
+++ b/internal/proxy/upstream/crossings_test.go
@@ -16,7 +16,7 @@
 
 // A second answer that comes some milliseconds late, when the next request is already out, is not taken
 // for the answer to that one: a connection rests before it is used again. A probe's answer needs no rest.
-func TestLateSecondAnswer(t *testing.T) {
+func TestLateDuplicateResponse(t *testing.T) {
 	second := make(chan bool) // closed when the second request has come
 	conns := make(chan int, 1)
 	conns <- 0
@@ -46,7 +46,7 @@
 			}
 		}
 	})
-	p := pool(&place{address: address}, time.Hour)
+	p := pool(&fakeDirectory{address: address}, time.Hour)
 	l := *p.limits.Load()
 	l.DuplicateGuard = time.Hour
 	p.SetLimits(l)
@@ -64,9 +64,9 @@
 	}
 }
 
-func TestRest(t *testing.T) {
+func TestReuseWaitsForDuplicateGuard(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	p := pool(&place{address: x.Address}, time.Hour)
+	p := pool(&fakeDirectory{address: x.Address}, time.Hour)
 	l := *p.limits.Load()
 	l.DuplicateGuard = time.Minute
 	p.SetLimits(l)
@@ -93,7 +93,7 @@
 
 // At hand-over a connection may turn out closed, reset, noisy or too old; and a sweep or a reclaim may
 // come just then. The attempt is made once, on one of its own, and nothing of it is written before.
-func TestHandOver(t *testing.T) {
+func TestIdleConnectionFailsAtReuse(t *testing.T) {
 	for name, happens := range map[string]func(p *Pool, c *conn, far *connbuffer.Conn){
 		"nothing": func(*Pool, *conn, *connbuffer.Conn) {},
 		"closed":  func(_ *Pool, _ *conn, far *connbuffer.Conn) { far.Close() },
@@ -120,7 +120,7 @@
 					c.Flush()
 				}
 			})
-			p := pool(&place{address: address}, time.Hour)
+			p := pool(&fakeDirectory{address: address}, time.Hour)
 			_, done := attempt(p, ever())
 			<-done
 			far := <-accepted
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -62,7 +62,7 @@
 		return Outcome{Result: a.resultOr(dispatch.Reset)}, false
 	}
 	outcome.Result, outcome.Response = a.classify(response), response
-	outcome.Load = c.pool.report.parse(response, a.probe)
+	outcome.Load = c.pool.reportFormat.parse(response, a.probe)
 	reusable = uninterrupted && !response.Close
 	if !streaming {
 		return outcome, reusable && body.Complete() && !c.netConn.HasBuffered()
@@ -72,7 +72,7 @@
 		return Outcome{Result: dispatch.Cancelled}, false
 	}
 	response.Streaming, response.Length = true, body.Length()
-	outcome.Rest = &Stream{conn: c, body: body, done: make(chan bool, 1)}
+	outcome.Stream = &Stream{conn: c, body: body, complete: make(chan bool, 1)}
 	return outcome, reusable
 }
 
@@ -138,10 +138,10 @@
 
 // Stream is the rest of an answer, read from its server by whoever passes it on.
 type Stream struct {
-	conn *conn
-	body *http1.Body
-	done chan bool // gets whether it was read to its end
-	once sync.Once
+	conn     *conn
+	body     *http1.Body
+	complete chan bool // gets whether it was read to its end
+	once     sync.Once
 }
 
 // Read reads of the rest; io.EOF comes only where the answer is whole. Its deadline is set anew each time:
@@ -151,7 +151,7 @@
 	return s.body.Read(p)
 }
 
-func (s *Stream) close() { s.once.Do(func() { s.done <- s.body.Complete() }) }
+func (s *Stream) finish() { s.once.Do(func() { s.complete <- s.body.Complete() }) }
 
 // message is the attempt's request as it is sent now.
 func (a *Attempt) message(host string) *http1.Request {
--- a/internal/proxy/upstream/report.go
+++ b/internal/proxy/upstream/report.go
@@ -22,7 +22,7 @@
 	"err_rps": "eps",
 }
 
-func newReportForm(names []string) reportFormat {
+func newReportFormat(names []string) reportFormat {
 	f := reportFormat{map[string]int{}, len(names)}
 	for i, n := range names {
 		f.index[n] = i
--- a/internal/proxy/upstream/rest_test.go
+++ b/internal/proxy/upstream/rest_test.go
@@ -15,7 +15,7 @@
 
 // What is left of an answer has all the time that a stall may last from its last piece on, whatever of its
 // form is already here, and no longer the time of its request.
-func TestRestOutlastsTheRequest(t *testing.T) {
+func TestStreamOutlastsRequestDeadline(t *testing.T) {
 	piece := strings.Repeat("x", 1000)
 	for name, form := range map[string]struct{ head, piece, end string }{
 		"chunks":        {"Transfer-Encoding: chunked", "3e8\r\n" + piece + "\r\n", "0\r\n\r\n"},
@@ -45,11 +45,11 @@
 				<-late
 				io.WriteString(c, form.end)
 			})
-			p := pool(&place{address: address}, time.Hour)
+			p := pool(&fakeDirectory{address: address}, time.Hour)
 			until := time.Now().Add(2 * time.Second)
 			_, done := attempt(p, until)
 			out := <-done
-			if out.Result != dispatch.Served || out.Rest == nil {
+			if out.Result != dispatch.Served || out.Stream == nil {
 				t.Fatalf("%s, %+v", dispatch.ResultNames[out.Result], out)
 			}
 			close(begun)
@@ -57,7 +57,7 @@
 				time.Sleep(time.Until(until.Add(100 * time.Millisecond))) // the time of the request is over
 				close(late)
 			}()
-			if n, err := io.Copy(io.Discard, out.Rest); err != nil {
+			if n, err := io.Copy(io.Discard, out.Stream); err != nil {
 				t.Errorf("%v after %d bytes", err, n+int64(len(out.Response.Body)))
 			}
 			p.Release(&out)
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -41,12 +41,12 @@
 
 // Pool holds the connections to all zone servers.
 type Pool struct {
-	directory Directory
-	limits    atomic.Pointer[Limits]
-	budget    *descriptors.Budget
-	stats     *stats.Set
-	report    reportFormat
-	bodies    *bodybudget.Budget
+	directory    Directory
+	limits       atomic.Pointer[Limits]
+	budget       *descriptors.Budget
+	stats        *stats.Set
+	reportFormat reportFormat
+	bodies       *bodybudget.Budget
 
 	mu   sync.Mutex
 	idle map[dispatch.ServerID][]*conn // the last used at the end
@@ -57,7 +57,7 @@
 func New(dir Directory, limits Limits, report []string, budget *descriptors.Budget, bodies *bodybudget.Budget,
 	counters *stats.Set) *Pool {
 	p := &Pool{
-		directory: dir, budget: budget, stats: counters, report: newReportForm(report), bodies: bodies,
+		directory: dir, budget: budget, stats: counters, reportFormat: newReportFormat(report), bodies: bodies,
 		idle: map[dispatch.ServerID][]*conn{},
 	}
 	p.SetLimits(limits)
@@ -72,7 +72,7 @@
 type Outcome struct {
 	Result   dispatch.Result
 	Response *http1.Response // of a Served one
-	Rest     *Stream         // what follows Answer's Body; nil where that is all
+	Stream   *Stream         // what follows Answer's Body; nil where that is all
 	Load     []float64       // nil where no load report came
 
 	reserved int // bytes taken from the budget for Answer's Body
@@ -82,8 +82,8 @@
 func (p *Pool) Release(o *Outcome) {
 	p.bodies.Release(o.reserved)
 	o.reserved = 0
-	if o.Rest != nil {
-		o.Rest.close()
+	if o.Stream != nil {
+		o.Stream.finish()
 	}
 }
 
@@ -158,8 +158,8 @@
 
 // countMissingReport counts probes that were answered without a load report that can be read: without reports
 // the decisions are blind.
-func (p *Pool) countMissingReport(o Outcome) {
-	if o.Result == dispatch.Served && o.Load == nil && p.report.size > 0 {
+func (p *Pool) countMissingReport(outcome Outcome) {
+	if outcome.Result == dispatch.Served && outcome.Load == nil && p.reportFormat.size > 0 {
 		p.stats.Blind.Add()
 	}
 }
@@ -191,22 +191,22 @@
 	// They stand in the order in which they were used. One whose late second answer could be taken for the next
 	// request's has to rest; of those only the last few are looked at, for one that a probe used. There may be
 	// hundreds.
-	at := sort.Search(len(list),
+	position := sort.Search(len(list),
 		func(i int) bool { return now.Sub(list[i].idleSince) < limits.DuplicateGuard }) - 1
-	for i := len(list) - 1; i > max(at, len(list)-1-probedSearchDepth); i-- {
+	for i := len(list) - 1; i > max(position, len(list)-1-probedSearchDepth); i-- {
 		if list[i].lastWasProbe {
-			at = i
+			position = i
 			break
 		}
 	}
-	if at < 0 {
+	if position < 0 {
 		return false
 	}
-	c := list[at]
+	c := list[position]
 	if c.address != address || now.Sub(c.idleSince) > limits.MaxIdle {
 		return false // the rest is older still; each closes itself when its time comes
 	}
-	p.idle[a.Server] = slices.Delete(list, at, at+1)
+	p.idle[a.Server] = slices.Delete(list, position, position+1)
 	c.next = a
 	c.netConn.SetReadDeadline(time.Unix(1, 0)) // wakes its goroutine
 	return true
@@ -294,9 +294,9 @@
 	for a := first; ; {
 		c.lastWasProbe = a.probe
 		outcome, reusable := c.exchange(a)
-		if outcome.Rest != nil {
+		if outcome.Stream != nil {
 			a.Done(outcome)
-			if complete := <-outcome.Rest.done; !complete || !reusable {
+			if complete := <-outcome.Stream.complete; !complete || !reusable {
 				c.close()
 				return
 			}
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -20,20 +20,20 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-type place struct {
-	address string
-	out     atomic.Bool // of service
-	asked   func()      // called on each look-up
+type fakeDirectory struct {
+	address  string
+	removed  atomic.Bool // of service
+	onLookup func()      // called on each look-up
 }
 
-func (p *place) Address(dispatch.ServerID) (string, bool) {
-	if p.asked != nil {
-		p.asked()
+func (p *fakeDirectory) Address(dispatch.ServerID) (string, bool) {
+	if p.onLookup != nil {
+		p.onLookup()
 	}
-	return p.address, !p.out.Load()
+	return p.address, !p.removed.Load()
 }
 
-func pool(p *place, reuse time.Duration) *Pool {
+func pool(p *fakeDirectory, reuse time.Duration) *Pool {
 	return New(p, Limits{Dial: nettest.Patience, MaxIdle: reuse, Probe: nettest.Patience,
 		BufferTime: 100 * time.Millisecond, Stall: nettest.Patience},
 		[]string{"active", "waiting", "cpu"}, descriptors.NewBudget(100, 0.6, 0.25), bodybudget.NewBudget(1<<20),
@@ -107,7 +107,7 @@
 			if c.want == dispatch.TimedOut {
 				until = time.Now().Add(2 * time.Second)
 			}
-			p := pool(&place{address: address}, time.Hour)
+			p := pool(&fakeDirectory{address: address}, time.Hour)
 			_, done := attempt(p, until)
 			got := <-done
 			if got.Result != c.want {
@@ -119,7 +119,7 @@
 }
 
 func TestNoConnection(t *testing.T) {
-	_, done := attempt(pool(&place{address: "127.0.0.1:1"}, time.Hour), ever()) // no test listens there
+	_, done := attempt(pool(&fakeDirectory{address: "127.0.0.1:1"}, time.Hour), ever()) // no test listens there
 	if got := <-done; got.Result != dispatch.NoConnection {
 		t.Error(dispatch.ResultNames[got.Result])
 	}
@@ -128,11 +128,11 @@
 // A list read while an attempt dials or waits for a connection still holds it back.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	where := &place{address: x.Address}
+	where := &fakeDirectory{address: x.Address}
 	looks := 0
-	where.asked = func() {
+	where.onLookup = func() {
 		if looks++; looks == 2 { // the first look-up is before the dial
-			where.out.Store(true)
+			where.removed.Store(true)
 		}
 	}
 	_, done := attempt(pool(where, time.Hour), ever())
@@ -148,7 +148,7 @@
 		want  int64
 	}{{time.Hour, 1}, {0, 5}} { // one too old at once is never written to again
 		x.Opened.Store(0)
-		p := pool(&place{address: x.Address}, c.reuse)
+		p := pool(&fakeDirectory{address: x.Address}, c.reuse)
 		for range 5 {
 			_, done := attempt(p, ever())
 			if got := <-done; got.Result != dispatch.Served {
@@ -168,7 +168,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	p := pool(&place{address: address}, time.Hour)
+	p := pool(&fakeDirectory{address: address}, time.Hour)
 	for range 3 {
 		_, done := attempt(p, ever())
 		if got := <-done; got.Result != dispatch.Served {
@@ -184,7 +184,7 @@
 
 // What comes between two exchanges, after a good answer, is not taken for the next one's answer, also
 // where the connection is handed over just then.
-func TestSecondCopyIsNoAnswer(t *testing.T) {
+func TestDuplicateIsNotNextResponse(t *testing.T) {
 	const copied = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
 	address := nettest.Listen(t, func(c *connbuffer.Conn) {
 		if _, err := http1.ReadRequest(c.In); err != nil {
@@ -193,7 +193,7 @@
 		io.WriteString(c, copied)
 		io.Copy(io.Discard, c)
 	})
-	p := pool(&place{address: address}, time.Hour)
+	p := pool(&fakeDirectory{address: address}, time.Hour)
 	nc := nettest.Dial(t, address)
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	nettest.Until(t, "the copy waits in the system", func() bool { return !nc.Quiet() })
@@ -207,7 +207,7 @@
 
 func TestCancelClosesTheConnection(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.Silence })
-	a, done := attempt(pool(&place{address: x.Address}, time.Hour), ever())
+	a, done := attempt(pool(&fakeDirectory{address: x.Address}, time.Hour), ever())
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("")) == 1 })
 	a.Cancel()
 	if got := <-done; got.Result != dispatch.Cancelled {
@@ -218,11 +218,11 @@
 
 func TestSweepAndReclaim(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	where := &place{address: x.Address}
+	where := &fakeDirectory{address: x.Address}
 	p := pool(where, time.Hour)
 	_, done := attempt(p, ever())
 	<-done
-	where.out.Store(true)
+	where.removed.Store(true)
 	p.Sweep()
 	if len(p.idle) != 0 || p.closeOldestIdle() {
 		t.Error("an idle connection stays")
@@ -232,7 +232,7 @@
 func TestProbeReadsTheReport(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(nil))
 	got := make(chan string, 1)
-	p := pool(&place{address: x.Address}, time.Hour)
+	p := pool(&fakeDirectory{address: x.Address}, time.Hour)
 	p.Probe(0, func(res dispatch.Result, _ time.Duration, load []float64) {
 		got <- fmt.Sprint(dispatch.ResultNames[res], load)
 	})
@@ -242,10 +242,10 @@
 }
 
 // A server that has too many probes at once says 503; were that an error, three would eject it.
-func TestProbeTurnedAway(t *testing.T) {
+func TestProbeRejected(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return &http1.Response{Status: 503} })
 	got := make(chan dispatch.Result, 1)
-	p := pool(&place{address: x.Address}, time.Hour)
+	p := pool(&fakeDirectory{address: x.Address}, time.Hour)
 	p.Probe(0, func(res dispatch.Result, _ time.Duration, _ []float64) {
 		got <- res
 	})
@@ -254,7 +254,7 @@
 	}
 }
 
-func TestReportForm(t *testing.T) {
+func TestReportFormat(t *testing.T) {
 	for _, c := range []struct {
 		in   string
 		want []float64
@@ -267,7 +267,8 @@
 		{"", nil},
 		{"<html>", nil},
 	} {
-		got := newReportForm([]string{"active", "waiting", "cpu"}).parse(&http1.Response{Body: []byte(c.in)}, true)
+		format := newReportFormat([]string{"active", "waiting", "cpu"})
+		got := format.parse(&http1.Response{Body: []byte(c.in)}, true)
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%q: %s", c.in, diff)
 		}
@@ -277,7 +278,7 @@
 // The rest of an answer that stops, ends early or brings more than it said is never taken for whole, keeps
 // its reader no longer than a stall may last, and leaves no connection to be used again; the budget gets
 // all back.
-func TestRestOfAnAnswer(t *testing.T) {
+func TestStreamEndsEarlyOrStalls(t *testing.T) {
 	const size = 100_000
 	for _, c := range []struct {
 		name  string
@@ -302,16 +303,16 @@
 					io.Copy(io.Discard, conn)
 				}
 			})
-			p := pool(&place{address: address}, time.Hour)
+			p := pool(&fakeDirectory{address: address}, time.Hour)
 			l := *p.limits.Load()
 			l.Stall = 300 * time.Millisecond
 			p.SetLimits(l)
 			_, done := attempt(p, ever())
 			out := <-done
-			if out.Result != dispatch.Served || out.Rest == nil {
+			if out.Result != dispatch.Served || out.Stream == nil {
 				t.Fatalf("%+v", out)
 			}
-			n, err := io.Copy(io.Discard, out.Rest)
+			n, err := io.Copy(io.Discard, out.Stream)
 			if got := n + int64(len(out.Response.Body)); (err == nil) != c.whole || c.whole && got != size {
 				t.Errorf("%d bytes, %v", got, err)
 			}
