--- a/internal/cluster/gossip/wire.go
+++ b/internal/cluster/gossip/wire.go
@@ -115,16 +115,16 @@
 	if len(lengths) < 2*count {
 		return errors.New("a compound cut off in its lengths")
 	}
-	rest := lengths[2*count:]
+	remaining := lengths[2*count:]
 	for i := range count {
 		size := int(binary.BigEndian.Uint16(lengths[2*i:]))
-		if size > len(rest) {
+		if size > len(remaining) {
 			return errors.New("a compound cut off in its messages")
 		}
-		if err := readMessage(rest[:size], visit); err != nil {
+		if err := readMessage(remaining[:size], visit); err != nil {
 			return err
 		}
-		rest = rest[size:]
+		remaining = remaining[size:]
 	}
 	return nil
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -160,7 +160,7 @@
 		return v.observeNew(now, obs)
 	}
 	newer := obs.Meta.Incarnation > e.Meta.Incarnation
-	restarted := newer || v.isNewLife(now, e, obs)
+	restarted := newer || v.clockWentBack(now, e, obs)
 	if e.Status == Left && !restarted {
 		return nil // a leave is final for its incarnation: late gossip of it alive changes nothing
 	}
@@ -193,9 +193,9 @@
 	return []Change{{Kind: Joined, At: now, Member: e.Member}}
 }
 
-// isNewLife reports whether a member that was down for GoneAfter is alive under another incarnation, though
-// its clock may say that it started before: gossip of an ended incarnation does not last that long.
-func (v *View) isNewLife(now time.Duration, e *entry, obs Observation) bool {
+// clockWentBack reports whether a member that was down for GoneAfter is alive under another incarnation,
+// though its clock may say that it started before: gossip of an ended incarnation does not last that long.
+func (v *View) clockWentBack(now time.Duration, e *entry, obs Observation) bool {
 	return !isUp(e.Status) && obs.Status == Alive && now-e.StatusSince >= v.settings.GoneAfter &&
 		obs.Meta.Incarnation != e.Meta.Incarnation
 }
--- a/internal/cluster/raftgroup/inbound.go
+++ b/internal/cluster/raftgroup/inbound.go
@@ -55,11 +55,9 @@
 func (n *network) trackInbound(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.closed {
-		c.Close()
+	if !n.trackLocked(c) {
 		return false
 	}
-	n.conns[c] = true
 	n.done.Add(1)
 	return true
 }
--- a/internal/cluster/raftgroup/network.go
+++ b/internal/cluster/raftgroup/network.go
@@ -98,6 +98,10 @@
 func (n *network) track(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
+	return n.trackLocked(c)
+}
+
+func (n *network) trackLocked(c net.Conn) bool {
 	if n.closed {
 		c.Close()
 		return false
