--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -20,8 +20,8 @@
 	nettest.Until(t, "nothing is held", func() bool {
 		r.Server.mu.Lock()
 		defer r.Server.mu.Unlock()
-		return len(r.clients) == 0 && len(r.open) == 0 && r.Bodies.Used() == 0 && len(r.away) == 0 &&
-			r.Count.InProgress.Load() == 0
+		return len(r.clients) == 0 && len(r.openIDs) == 0 && r.Bodies.Used() == 0 && len(r.rejecting) == 0 &&
+			r.Stats.InProgress.Load() == 0
 	})
 }
 
@@ -87,7 +87,7 @@
 	for _, may := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", may), func(t *testing.T) {
 			r := newRig(t, func(s *balance.Settings) {
-				s.MayCancel, s.Classes[0].Aim = may, time.Second // an unusual time is a part of it
+				s.MayCancel, s.Classes[0].LatencyTarget = may, time.Second // an unusual time is a part of it
 			})
 			slow, answer := make(chan bool, 1), make(chan bool)
 			zone := func(name string) *nettest.Party {
@@ -203,7 +203,7 @@
 		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
 			return nettest.OK(fmt.Sprint(len(q.Body)))
 		})
-		if size > http1.MaxBody {
+		if size > http1.MaxBufferedBody {
 			zone.Address = nettest.Listen(t, func(c *connbuffer.Conn) {
 				_, body, err := http1.ReadRequestHead(c.In)
 				if err == nil {
@@ -236,7 +236,7 @@
 }
 
 func twoCopies(t *testing.T, framing string) {
-	r := newRig(t, func(s *balance.Settings) { s.Classes[0].Aim = time.Second })
+	r := newRig(t, func(s *balance.Settings) { s.Classes[0].LatencyTarget = time.Second })
 	bodies := make(chan string, 9)
 	zone := nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
@@ -335,7 +335,7 @@
 	for _, leavesFirst := range []bool{true, false} {
 		r := newRig(t, nil)
 		sent, left := make(chan bool, 1), make(chan bool)
-		r.atSent = func() {
+		r.onBodySent = func() {
 			if leavesFirst {
 				sent <- true
 				<-left
@@ -356,10 +356,10 @@
 		if leavesFirst {
 			<-sent
 		} else {
-			nettest.Until(t, "it counts", func() bool { return r.Count.InProgress.Load() == 1 })
+			nettest.Until(t, "it counts", func() bool { return r.Stats.InProgress.Load() == 1 })
 		}
 		c.Close()
-		nettest.Until(t, "it is missed", func() bool { return r.Count.Gone.Load() == 1 })
+		nettest.Until(t, "it is missed", func() bool { return r.Stats.Gone.Load() == 1 })
 		nettest.Until(t, "its connection is closed", func() bool {
 			r.Server.mu.Lock()
 			defer r.Server.mu.Unlock()
--- /dev/null
+++ b/internal/router/agent/dataplane_state.go
@@ -0,0 +1,70 @@
+package agent
+
+import (
+	"time"
+
+	"cresshub/internal/router/catalog"
+	"cresshub/internal/router/dataplane"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/fleetconfig"
+)
+
+// A data plane in which many servers fail at once is likely to be the one at fault. So it may report at most
+// maxLossReports servers lost in each lossReportWindow.
+const (
+	lossReportWindow = 2 * time.Second
+	maxLossReports   = 4
+)
+
+// dataplaneState is the Agent as the data plane sees it.
+type dataplaneState Agent
+
+var _ dataplane.State = (*dataplaneState)(nil)
+
+// Config returns the configuration in force, nil until one is known.
+func (s *dataplaneState) Config() *fleetconfig.Config { return s.state.Config() }
+
+// Servers returns the servers that may get new requests.
+func (s *dataplaneState) Servers() *catalog.Table { return s.state.Servers() }
+
+// Proxies returns how many proxies share common budgets.
+func (s *dataplaneState) Proxies() int { return s.state.Proxies() }
+
+// ReportReplaced reports that another incarnation answers at a server's address, so that the server has
+// ended.
+func (s *dataplaneState) ReportReplaced(server string) {
+	(*Agent)(s).reportLost(server, "its address has another server")
+}
+
+// Suspect reports that a server's machine does not answer. The next heartbeat of the server refutes
+// it. It does nothing while no hub answers either, because then this machine is likely to be the one that is
+// partitioned.
+func (s *dataplaneState) Suspect(server string) {
+	a := (*Agent)(s)
+	if !a.isIsolated() {
+		a.reportLost(server, "its machine does not answer")
+	}
+}
+
+// reportLost marks a server lost, where allowLossReport allows it.
+func (a *Agent) reportLost(server, reason string) {
+	now := a.now()
+	a.state.update(now, func(d *directory.Directory) {
+		known := d.Get(server)
+		if known == nil || !known.Live() || !a.allowLossReport(now) {
+			return
+		}
+		lost := *known
+		lost.Watcher = a.id // this process then sends the record to the hubs
+		a.markLost(now, d, &lost, reason)
+	})
+}
+
+// allowLossReport counts a report and tells whether it is within the bound; the directory's lock is held.
+func (a *Agent) allowLossReport(now time.Duration) bool {
+	if now-a.lossReportsSince > lossReportWindow {
+		a.lossReportsSince, a.lossReports = now, 0
+	}
+	a.lossReports++
+	return a.lossReports <= maxLossReports
+}
--- a/internal/router/agent/inspection.go
+++ b/internal/router/agent/list_endpoint.go
@@ -1,15 +1,17 @@
 package agent
 
 import (
+	"cmp"
 	"encoding/json"
 	"slices"
 
 	"cresshub/internal/http1"
 	"cresshub/internal/router/controlserver"
 	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
-// The calls by which people look into a process. They change nothing and need no other process.
+// The endpoints that list what this process knows. They change nothing and call no other process.
 const (
 	membersPath    = "/api/members"
 	serverListPath = "/api/servers"
@@ -24,15 +26,15 @@
 }
 
 type listedMember struct {
-	ID          string `json:"id"`
-	Name        string `json:"office"`
-	IP          string `json:"ip"`
-	Control     string `json:"control"`
-	Zone        string `json:"district,omitempty"`
-	State       string `json:"state"`
-	HasDisk     bool   `json:"has_disk"`
-	KeepsConfig bool   `json:"keeps_configuration"`
-	Follows     string `json:"follows,omitempty"`
+	ID       string `json:"id"`
+	Name     string `json:"office"`
+	IP       string `json:"ip"`
+	Control  string `json:"control"`
+	Zone     string `json:"district,omitempty"`
+	State    string `json:"state"`
+	HasDisk  bool   `json:"has_disk"`
+	IsMember bool   `json:"keeps_configuration"`
+	Follows  string `json:"follows,omitempty"`
 }
 
 // serverList is the answer to GET /api/servers.
@@ -52,60 +54,59 @@
 	Stage      string `json:"stage,omitempty"`
 	ChangingTo string `json:"changing_to,omitempty"`
 	Sequence   int64  `json:"postmark"`
-	HeardBy    string `json:"heard_by,omitempty"`
+	Watcher    string `json:"heard_by,omitempty"`
 }
 
 var stateNames = map[directory.State]string{
 	directory.Ready: "ready", directory.Draining: "draining", directory.Lost: "lost", directory.Ended: "ended",
 }
 
-func (n *Node) listMembers(call *controlserver.Call) *http1.Response {
+func (a *Agent) listMembers(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
 		return onlyGet()
 	}
-	view := n.state.currentView()
-	list := memberList{Asked: n.id, Version: n.state.version(), Epoch: view.epoch, Members: []listedMember{}}
-	n.state.read(func(d *directory.Directory) {
+	view := a.state.currentView()
+	list := memberList{Asked: a.id, Version: a.state.version(), Epoch: view.epoch, Members: []listedMember{}}
+	a.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindProxy) {
 			list.Members = append(list.Members, listMember(record, &view))
 		}
 	})
-	return listing(list)
+	return jsonResponse(list)
 }
 
 func listMember(record *directory.Record, view *view) listedMember {
-	keeps := false
-	for _, member := range view.members {
-		keeps = keeps || record.Member != "" && member.ID == record.Member
-	}
+	isMember := record.Member != "" && slices.ContainsFunc(view.members, func(m peerproto.MemberInfo) bool {
+		return m.ID == record.Member
+	})
 	return listedMember{
 		ID: record.ID, Name: record.Name, IP: record.Address, Control: record.Control, Zone: record.Zone,
-		State: stateNames[record.State], HasDisk: record.Member != "", KeepsConfig: keeps,
+		State: stateNames[record.State], HasDisk: record.Member != "", IsMember: isMember,
 		Follows: record.Watcher,
 	}
 }
 
-func (n *Node) listServers(call *controlserver.Call) *http1.Response {
+func (a *Agent) listServers(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
 		return onlyGet()
 	}
-	list := serverList{Asked: n.id, Servers: []listedServer{}}
-	n.state.read(func(d *directory.Directory) {
+	list := serverList{Asked: a.id, Servers: []listedServer{}}
+	a.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindServer) {
 			list.Servers = append(list.Servers, listServer(d, record))
 		}
 	})
-	return listing(list)
+	return jsonResponse(list)
 }
 
 func listServer(d *directory.Directory, record *directory.Record) listedServer {
 	listed := listedServer{
 		ID: record.ID, Service: record.Service, Address: record.Address, Zone: record.Zone,
-		Version: record.Version, Slots: record.Slots, State: stateNames[record.State], Stage: record.Stage,
-		Sequence: record.Sequence, HeardBy: record.Watcher,
+		Version: record.Version, Slots: record.Slots, State: stateNames[record.State], Stage: record.Role,
+		Sequence: record.Sequence, Watcher: record.Watcher,
 	}
 	if d.ChangingRole(record) {
-		listed.ChangingTo = d.Get(directory.OrderID(record.ID)).Stage
+		listed.ChangingTo = d.Get(directory.OrderID(record.ID)).Role
 	}
 	return listed
 }
@@ -113,11 +114,11 @@
 // recordsOf returns the records of one kind, sorted by id.
 func recordsOf(d *directory.Directory, kind directory.Kind) []*directory.Record {
 	records := slices.DeleteFunc(d.Since(0), func(r *directory.Record) bool { return r.Kind != kind })
-	slices.SortFunc(records, func(a, b *directory.Record) int { return compareText(a.ID, b.ID) })
+	slices.SortFunc(records, func(x, y *directory.Record) int { return cmp.Compare(x.ID, y.ID) })
 	return records
 }
 
-func listing(list any) *http1.Response {
+func jsonResponse(list any) *http1.Response {
 	document, err := json.Marshal(list)
 	if err != nil {
 		return controlserver.Text(500, err.Error())
--- a/internal/router/agent/observe.go
+++ b/internal/router/agent/metrics.go
@@ -14,38 +14,38 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// metricsPath is where a process tells its figures, at the control address and at the port for metrics.
+// metricsPath is the endpoint of the metrics, at the control address and at the port for metrics.
 const metricsPath = "/metrics"
 
-// agentMetrics counts what happens on the control side.
+// agentMetrics are the metrics of the control side; those of the data plane are its own.
 type agentMetrics struct {
-	heartbeats      metrics.CounterFamily // by how they were answered
+	heartbeats      metrics.CounterFamily // by answer
 	configCalls     metrics.CounterFamily // by call and outcome
 	lostProcesses   metrics.CounterFamily // processes marked lost here, by kind and reason
 	orders          metrics.CounterFamily // to model servers, by status
-	sourceChanges   metrics.Counter
-	stalls          metrics.Counter
-	diskErrors      metrics.Counter
-	failedDiskOpens metrics.Counter // that failed
-	droppedEvents   metrics.Counter
-	reloadErrors    metrics.Counter
+	sourceChanges   metrics.Counter       // of the hub that is followed
+	stalls          metrics.Counter       // of this process
+	diskErrors      metrics.Counter       // steps of the chain that could not be persisted
+	failedDiskOpens metrics.Counter
+	droppedEvents   metrics.Counter // of the chain
+	reloadErrors    metrics.Counter // of the settings file
 	acceptErrors    metrics.Counter
-	handlerPanics   metrics.Counter // of the program, brought out by calls
-	diskWrites      metrics.Histogram
-	lastFence       atomic.Uint64 // of the last order sent
+	handlerPanics   metrics.Counter
+	diskWrites      metrics.Histogram // time of synced writes of the chain
+	lastOrderFence  atomic.Uint64     // fencing token of the last order, for its invariant
 }
 
-func (f *agentMetrics) countHeartbeat(answer string) {
-	f.heartbeats.With(metrics.Label{Name: "answer", Value: answer}).Add(1)
+func (m *agentMetrics) countHeartbeat(answer string) {
+	m.heartbeats.With(metrics.Label{Name: "answer", Value: answer}).Add(1)
 }
 
-func (f *agentMetrics) countLost(record *directory.Record, reason string) {
-	f.lostProcesses.With(metrics.Label{Name: "kind", Value: kindNames[record.Kind]},
+func (m *agentMetrics) countLost(record *directory.Record, reason string) {
+	m.lostProcesses.With(metrics.Label{Name: "kind", Value: kindNames[record.Kind]},
 		metrics.Label{Name: "reason", Value: reason}).Add(1)
 }
 
-func (f *agentMetrics) countOrder(status int) {
-	f.orders.With(metrics.Label{Name: "status", Value: strconv.Itoa(status)}).Add(1)
+func (m *agentMetrics) countOrder(status int) {
+	m.orders.With(metrics.Label{Name: "status", Value: strconv.Itoa(status)}).Add(1)
 }
 
 var kindNames = map[directory.Kind]string{
@@ -58,57 +58,59 @@
 	peerproto.OutcomeInvalid:     "invalid",
 }
 
-func (n *Node) observeConfigCall(call string, result *peerproto.Result) {
-	n.metrics.configCalls.With(metrics.Label{Name: "call", Value: call},
+func (a *Agent) observeConfigCall(call string, result *peerproto.Result) {
+	a.metrics.configCalls.With(metrics.Label{Name: "call", Value: call},
 		metrics.Label{Name: "outcome", Value: outcomeLabels[result.Outcome]}).Add(1)
 }
 
-// shownVersion is the highest version of the configuration that this process has acknowledged or shown.
+// shownVersion is the highest version of the configuration that this process has acknowledged or shown to an
+// operator. A later read must not return an older one.
 type shownVersion struct{ version atomic.Int64 }
 
 func (s *shownVersion) highest() int64 { return s.version.Load() }
 
 func (s *shownVersion) raise(version int64) {
-	for known := s.version.Load(); version > known; known = s.version.Load() {
-		if s.version.CompareAndSwap(known, version) {
+	for highest := s.version.Load(); version > highest; highest = s.version.Load() {
+		if s.version.CompareAndSwap(highest, version) {
 			return
 		}
 	}
 }
 
-// acceptFailed notes a connection of another process, a server or an operator that could not be accepted.
-func (n *Node) acceptFailed(err error) {
-	n.metrics.acceptErrors.Add(1)
-	n.acceptLog.Warn().Err(err).Msg("node: cannot accept a connection, trying again shortly")
+// acceptFailed records that a connection of another process, a server or an operator could not be accepted.
+// The listener retries.
+func (a *Agent) acceptFailed(err error) {
+	a.metrics.acceptErrors.Add(1)
+	a.acceptLog.Warn().Err(err).Msg("agent: accepting a connection failed; retrying")
 }
 
-// handlerPanicked notes a call that brought out a mistake of the program. A broken invariant panics in tests
-// only, and is to end them.
-func (n *Node) handlerPanicked(mistake *controlserver.PanicError) {
-	if violation, ok := mistake.Value.(*invariant.ViolationError); ok {
+// handlerPanicked records that the handler of a call panicked. A violated invariant panics in tests only, and
+// ends them.
+func (a *Agent) handlerPanicked(err *controlserver.PanicError) {
+	if violation, ok := err.Value.(*invariant.ViolationError); ok {
 		panic(violation)
 	}
-	n.metrics.handlerPanics.Add(1)
-	n.log.Error().Bytes("stack", mistake.Stack).Msg("node: " + mistake.Error())
+	a.metrics.handlerPanics.Add(1)
+	a.log.Error().Err(err).Bytes("stack", err.Stack).Msg("agent: handler panicked")
 }
 
-// serveMetrics tells the figures at their own port, where one is wanted, and returns what ends that. A
-// process that can't have the port carries on without.
-func (n *Node) serveMetrics() (end func()) {
-	if n.metricsPort == 0 {
+// serveMetrics serves the metrics at the port for metrics, where one is configured, and returns a function
+// that ends that. Without the port, the metrics are still served at the control address.
+func (a *Agent) serveMetrics() (end func()) {
+	if a.metricsPort == 0 {
 		return func() {}
 	}
-	listener, err := n.network.Listen(net.JoinHostPort(n.settings.IP, strconv.Itoa(n.metricsPort)))
+	listener, err := a.network.Listen(net.JoinHostPort(a.settings.IP, strconv.Itoa(a.metricsPort)))
 	if err != nil {
-		n.log.Warn().Err(err).Msg("metrics: the port can't be had; call /metrics at the control address")
+		a.log.Warn().Err(err).Msg("metrics: listening failed; call /metrics at the control address")
 		return func() {}
 	}
-	go n.newCallServer(n.showMetrics, 0).Serve(listener)
+	go a.serveCalls(listener, a.showMetrics, 0)
 	return func() { listener.Close() }
 }
 
-// showMetrics answers a call for the figures.
-func (n *Node) showMetrics(call *controlserver.Call) *http1.Response {
+// showMetrics handles a call for the metrics.
+func (a *Agent) showMetrics(call *controlserver.Call) *http1.Response {
 	if call.Path != metricsPath {
 		return controlserver.Text(404, "call "+metricsPath)
 	}
@@ -116,38 +118,39 @@
 		return controlserver.Text(405, "use GET to read the figures")
 	}
 	page := &metrics.Page{}
-	n.WriteMetrics(page)
+	a.WriteMetrics(page)
 	header := http1.Header{{Name: "Content-Type", Value: metrics.ContentType}}
 	return &http1.Response{Status: 200, Header: header, Body: page.Text()}
 }
 
-// WriteMetrics writes the figures of the process.
-func (n *Node) WriteMetrics(page *metrics.Page) {
+// WriteMetrics writes the metrics of the control side and, where there is one, of the data plane. It is safe
+// for concurrent use.
+func (a *Agent) WriteMetrics(page *metrics.Page) {
 	for _, count := range invariant.Counts() {
 		page.Counter("cresshub_invariant_violations_total", "Promises that the process saw broken.",
 			count.Violations, metrics.Label{Name: "check", Value: count.Check.String()})
 	}
-	n.writeState(page)
-	n.writeCounts(page)
-	n.writeProcess(page)
-	if n.front != nil {
-		n.front.WriteMetrics(page)
+	a.writeState(page)
+	a.writeCounts(page)
+	a.writeProcess(page)
+	if a.proxy != nil {
+		a.proxy.WriteMetrics(page)
 	}
 }
 
-func (n *Node) writeState(page *metrics.Page) {
-	view := n.state.currentView()
-	page.Flag("cresshub_ready", "Whether the platform should send clients here.", n.unready() == "")
+func (a *Agent) writeState(page *metrics.Page) {
+	view := a.state.currentView()
+	page.Flag("cresshub_ready", "Whether the platform should send clients here.", a.unready() == "")
 	page.Gauge("cresshub_config_version", "Version of the configuration in force, 0 for none.",
-		float64(n.state.version()))
+		float64(a.state.version()))
 	page.Gauge("cresshub_view_epoch", "Epoch of the view of the control state, 0 for none.", float64(view.epoch))
 	page.Gauge("cresshub_view_members", "Members of that view.", float64(len(view.members)))
 	page.Flag("cresshub_replica", "Whether this process is a replica of the control state.",
-		n.configStore.isMember())
-	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.", n.reachesMajority())
+		a.configStore.isMember())
+	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.", a.reachesMajority())
 	servers := map[directory.State]int{}
 	proxies := 0
-	n.state.read(func(d *directory.Directory) {
+	a.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindServer) {
 			servers[record.State]++
 		}
@@ -160,8 +163,8 @@
 	page.Gauge("cresshub_proxies", "Proxies that this process takes to be live.", float64(proxies))
 }
 
-func (n *Node) writeCounts(page *metrics.Page) {
-	f := &n.metrics
+func (a *Agent) writeCounts(page *metrics.Page) {
+	f := &a.metrics
 	page.Family("cresshub_heartbeats_total", "Calls of servers, by answer.", &f.heartbeats)
 	page.Family("cresshub_config_calls_total", "Calls on the configuration, by outcome.", &f.configCalls)
 	page.Family("cresshub_marked_lost_total", "Processes that this one marked lost.", &f.lostProcesses)
@@ -182,7 +185,7 @@
 	page.Counter("cresshub_call_mistakes_total", "Mistakes of the program that calls brought out.",
 		f.handlerPanics.Value())
 	page.Histogram("cresshub_disk_write_duration_seconds", "Writes of the control state, synced.", &f.diskWrites)
-	traffic := n.endpoint.Traffic()
+	traffic := a.endpoint.Traffic()
 	for kind, volume := range traffic.Sent {
 		if volume.Frames > 0 {
 			page.Counter("cresshub_peer_sent_bytes_total", "Bytes sent to other processes.", volume.Bytes,
@@ -191,10 +194,10 @@
 	}
 }
 
-func (n *Node) writeProcess(page *metrics.Page) {
+func (a *Agent) writeProcess(page *metrics.Page) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	page.Gauge("cresshub_uptime_seconds", "Time since the start.", n.now().Seconds())
+	page.Gauge("cresshub_uptime_seconds", "Time since the start.", a.now().Seconds())
 	page.Gauge("cresshub_goroutines", "Goroutines.", float64(runtime.NumGoroutine()))
 	page.Gauge("cresshub_heap_bytes", "Memory of live and unswept objects.", float64(memory.HeapAlloc))
 	page.Gauge("cresshub_runtime_bytes", "Memory that the runtime has from the system.", float64(memory.Sys))
--- /dev/null
+++ b/internal/router/agent/unwatched.go
@@ -0,0 +1,136 @@
+package agent
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"cresshub/internal/http1"
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
+)
+
+// A process whose watcher is lost or unknown is unwatched. A server then calls another proxy once its next
+// heartbeat has failed, and a proxy follows another hub, so that both are soon watched again. One that stays
+// unwatched either does not run any more, or calls proxies that no hub knows. The loss of its watcher does
+// not tell which: a hub that has just started would mark all servers lost. So the hub that ranks first for a
+// server probes it, and marks it lost only if it does not answer.
+
+const (
+	// unwatchedHeartbeats is how many intervals of heartbeats an unwatched process has to find another watcher.
+	unwatchedHeartbeats = 4
+	probeTimeout        = 500 * time.Millisecond
+	// probeAttempts is how often a server is probed before it is marked lost.
+	probeAttempts = 2
+	// maxConcurrentProbes bounds the servers that are probed at the same time.
+	maxConcurrentProbes = 8
+	// serverIDHeader names the incarnation that answers a health check.
+	serverIDHeader = "Cresshub-Server-Id"
+)
+
+// checkUnwatched marks unwatched proxies lost, and probes the unwatched servers for which this hub ranks
+// first.
+func (a *Agent) checkUnwatched(now time.Duration) {
+	var unwatched []*directory.Record
+	a.state.read(func(d *directory.Directory) {
+		for _, record := range slices.Concat(d.LiveServers(), d.Proxies()) {
+			if a.isUnwatched(now, d, record) {
+				unwatched = append(unwatched, record)
+			}
+		}
+	})
+	for _, record := range unwatched {
+		switch {
+		case record.Kind == directory.KindProxy:
+			a.markUnwatchedLost(record, "its watcher is gone")
+		case a.ranksFirst(record.ID):
+			a.startProbe(record)
+		}
+	}
+}
+
+// isUnwatched tells whether a process has no live watcher, and has not called here either, for so long that
+// it should have found another one.
+func (a *Agent) isUnwatched(now time.Duration, d *directory.Directory, record *directory.Record) bool {
+	isHub := record.Kind == directory.KindProxy && record.Watcher == ""
+	if record.ID == a.id || isHub {
+		return false
+	}
+	watcher := d.Get(record.Watcher)
+	if watcher != nil && watcher.Live() {
+		return false
+	}
+	timeout := unwatchedHeartbeats * a.settings.HeartbeatInterval
+	if watcher != nil && now-d.ModifiedAt(watcher.ID) <= timeout {
+		return false
+	}
+	return a.isTimedOut(now, d, record, timeout)
+}
+
+// ranksFirst tells whether this hub ranks first for an id, by rendezvous hashing over the members that
+// respond.
+func (a *Agent) ranksFirst(id string) bool {
+	now := a.now()
+	own := probeRank(id, a.settings.IP)
+	return !a.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
+		return h.isResponsive(now) && probeRank(id, member.Address) > own
+	})
+}
+
+func probeRank(id, ip string) uint64 { return xxhash.Sum64String(id + "/" + ip) }
+
+// startProbe probes a server in the background, unless that is under way or too many probes are. A server
+// that does not answer is marked lost.
+func (a *Agent) startProbe(record *directory.Record) {
+	a.probesMu.Lock()
+	defer a.probesMu.Unlock()
+	if a.probed[record.ID] || len(a.probed) >= maxConcurrentProbes {
+		return
+	}
+	a.probed[record.ID] = true
+	go func() {
+		if a.probeServer(record) {
+			a.recordContact(record.ID)
+		} else {
+			a.markUnwatchedLost(record, "its watcher is gone and it does not answer")
+		}
+		a.probesMu.Lock()
+		defer a.probesMu.Unlock()
+		delete(a.probed, record.ID)
+	}()
+}
+
+// probeServer tells whether the incarnation that a record names answers at its address.
+func (a *Agent) probeServer(record *directory.Record) bool {
+	for range probeAttempts {
+		id, err := a.probeServerID(record)
+		if err == nil {
+			return id == record.ID
+		}
+	}
+	return false
+}
+
+// probeServerID returns the id of the server that answers a health check at a record's address.
+func (a *Agent) probeServerID(record *directory.Record) (string, error) {
+	path := "/"
+	if config := a.state.Config(); config != nil && config.Services[record.Service] != nil {
+		path = config.Services[record.Service].HealthPath
+	}
+	answer, err := a.callServer(record.Address, &http1.Request{Method: "GET", Target: path}, probeTimeout)
+	if err != nil {
+		return "", err
+	}
+	return answer.Header.Get(serverIDHeader), nil
+}
+
+// markUnwatchedLost marks a process lost, unless its record has changed since, or it is watched again.
+func (a *Agent) markUnwatchedLost(record *directory.Record, reason string) {
+	now := a.now()
+	a.state.update(now, func(d *directory.Directory) {
+		if d.Get(record.ID) == record && a.isUnwatched(now, d, record) {
+			a.markLost(now, d, record, reason)
+		}
+	})
+}
--- /dev/null
+++ b/internal/router/agent/view_announcer.go
@@ -0,0 +1,180 @@
+package agent
+
+import (
+	"net"
+	"slices"
+	"time"
+
+	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
+)
+
+// A process that starts knows only its seeds, and these may know no more than itself: they may have no disk
+// and have started at the same moment. So a process that knows the view announces it to those that may not.
+// Every process announces it to its seeds. Members announce it also to all known proxies that do not call;
+// the addresses of those are persisted. A process that receives an announcement learns the view, and from
+// then on calls the members.
+
+const (
+	// announceInterval is how often the targets that are due are looked for.
+	announceInterval = 100 * time.Millisecond
+	announceTimeout  = 700 * time.Millisecond
+	// minAnnounceBackoff is the first interval of announcements to a process that does not answer. It doubles
+	// up to maxAnnounceBackoff, which also follows an answer as long as the process does not call.
+	minAnnounceBackoff = 100 * time.Millisecond
+	maxAnnounceBackoff = 1600 * time.Millisecond
+	// maxConcurrentAnnouncements bounds the announcements under way.
+	maxConcurrentAnnouncements = 16
+)
+
+// announcementTarget is a machine to which the view is announced.
+type announcementTarget struct {
+	inFlight  bool
+	knowsView bool          // its process has answered, and knows a view
+	nextAt    time.Duration // the earliest time of the next announcement
+	backoff   time.Duration
+}
+
+// viewAnnouncer announces the view to processes that may not know it. Its fields belong to the goroutine of
+// run; announcements under way report through results.
+type viewAnnouncer struct {
+	agent    *Agent
+	targets  map[string]*announcementTarget // by IP
+	results  chan announcementResult
+	inFlight int
+}
+
+type announcementResult struct {
+	ip        string
+	knowsView bool // the process that answered
+}
+
+func newViewAnnouncer(a *Agent) *viewAnnouncer {
+	return &viewAnnouncer{agent: a, targets: map[string]*announcementTarget{},
+		results: make(chan announcementResult, maxConcurrentAnnouncements)}
+}
+
+// run announces the view, once one is known, until done closes.
+func (v *viewAnnouncer) run(done <-chan struct{}) {
+	ticker := time.NewTicker(announceInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-done:
+			return
+		case result := <-v.results:
+			v.recordResult(result)
+		case <-ticker.C:
+			if v.agent.state.currentView().epoch > 0 {
+				v.startDue(v.targetIPs())
+			}
+		}
+	}
+}
+
+// startDue starts the announcements that are due.
+func (v *viewAnnouncer) startDue(targetIPs []string) {
+	now := v.agent.now()
+	for ip, target := range v.targets {
+		if !target.inFlight && !slices.Contains(targetIPs, ip) {
+			delete(v.targets, ip)
+		}
+	}
+	for _, ip := range targetIPs {
+		target := v.targets[ip]
+		if target == nil {
+			target = &announcementTarget{backoff: minAnnounceBackoff}
+			v.targets[ip] = target
+		}
+		if target.inFlight || now < target.nextAt || v.inFlight >= maxConcurrentAnnouncements {
+			continue
+		}
+		target.inFlight = true
+		v.inFlight++
+		go v.announce(ip)
+	}
+}
+
+// announce announces the view to one process.
+func (v *viewAnnouncer) announce(ip string) {
+	a := v.agent
+	body := peerproto.Encode(a.status())
+	frame, err := a.endpoint.CallOnce(a.peerAddress(ip), a.hello(), peerproto.KindAnnounce, body,
+		announceTimeout)
+	result := announcementResult{ip: ip}
+	var status peerproto.Status
+	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
+		result.knowsView = status.Epoch > 0
+		a.learnStatusView(&status)
+	}
+	v.results <- result
+}
+
+// recordResult ends an announcement and schedules the next one to its target.
+func (v *viewAnnouncer) recordResult(result announcementResult) {
+	v.inFlight--
+	target := v.targets[result.ip]
+	target.inFlight = false
+	target.knowsView = result.knowsView
+	if result.knowsView {
+		target.backoff = maxAnnounceBackoff
+	}
+	target.nextAt = v.agent.now() + target.backoff
+	target.backoff = min(2*target.backoff, maxAnnounceBackoff)
+}
+
+// targetIPs returns the IPs of the machines to which the view is to be announced.
+func (v *viewAnnouncer) targetIPs() []string {
+	a := v.agent
+	isHub := a.isHub()
+	calling := a.callingAddresses()
+	var ips []string
+	add := func(ip string) {
+		if ip != a.settings.IP && !calling[ip] && !slices.Contains(ips, ip) {
+			ips = append(ips, ip)
+		}
+	}
+	for _, seed := range a.seeds() {
+		ip, _, err := net.SplitHostPort(seed)
+		target := v.targets[ip]
+		mayLackView := isHub || target == nil || !target.knowsView
+		if err == nil && mayLackView && !a.hubAnswers(ip) {
+			add(ip)
+		}
+	}
+	if !isHub {
+		return ips
+	}
+	for _, ip := range a.knownProxies.addresses() {
+		add(ip)
+	}
+	return ips
+}
+
+// hubAnswers tells whether a machine is a hub that has answered this process within contactTimeout.
+func (a *Agent) hubAnswers(ip string) bool {
+	h := a.hubAt(ip)
+	return h != nil && h.isResponsive(a.now())
+}
+
+// callingAddresses returns the IPs of the proxies that have called this process within contactTimeout.
+func (a *Agent) callingAddresses() map[string]bool {
+	now := a.now()
+	calling := map[string]bool{}
+	a.state.read(func(d *directory.Directory) {
+		for _, proxy := range d.Proxies() {
+			if lastSeen, ok := a.lastSeen.of(proxy.ID); ok && now-lastSeen <= contactTimeout {
+				calling[proxy.Address] = true
+			}
+		}
+	})
+	return calling
+}
+
+// learnStatusView learns the view that another process knows. Where it is a newer one, links to its members
+// are opened.
+func (a *Agent) learnStatusView(status *peerproto.Status) {
+	if a.state.learnView(status.Epoch, status.Members) {
+		a.updateHubs()
+	}
+}
--- /dev/null
+++ b/internal/router/scheduler/prefix_affinity.go
@@ -0,0 +1,129 @@
+package scheduler
+
+import "time"
+
+const (
+	// minAffinityServers is the least k, the number of servers that a prompt with a shared prefix may go to.
+	// One more would take load off the others for a moment and bring them a second prefill of the same prefix
+	// later.
+	minAffinityServers = 2
+	// firstPrefillDivisor sets k for a prefix that no prefill server holds: one in so many prefill servers. It
+	// is prefilled for the first time wherever that is, so that more choices cost nothing but a second prefill
+	// by a proxy that has not heard of the first one. Of eight servers or fewer that is no more than
+	// minAffinityServers.
+	firstPrefillDivisor = 4
+)
+
+// prefixAffinity returns the k servers that a prompt may go to, with their costs, and the number of servers
+// whose arrivals the draw among them stands for (arrivals.go). A prompt that shares nothing may go to any
+// server. All proxies rank the servers alike, by rendezvous hashing of the shared prefix.
+//
+// Prefill: the first ranks among the servers that hold the prefix, as the proxies tell each other, then among
+// the others. Where none holds it, the first ranks, one in firstPrefillDivisor; other prefixes are prefilled
+// there for the first time too, so that the arrivals grow with their number. Where this proxy may have missed
+// who holds what, the first ranks, which are assumed to hold it.
+//
+// Serve, at decode servers, which get prefixes by transfers as well: the first ranks, and those that are
+// known to hold nearly all of the prompt.
+func (s *Scheduler) prefixAffinity(
+	now time.Duration, pool *servicePool, role Role, candidates []candidate, chain *prefixChain,
+) (chosen []candidate, arrivalServers int) {
+	prefix, shared, ok := chain.shared()
+	if !ok {
+		pool.estimateCost(role, candidates)
+		return candidates, len(candidates)
+	}
+	k := pool.popularity.affinityServers(prefix, len(candidates))
+	arrivalServers = 1
+	switch {
+	case role != Prefill:
+		rank(candidates, prefix, k)
+		k = appendCached(candidates, k)
+	case pool.peerLoadKnown && markCached(candidates, chain.tokens-shared):
+		rank(candidates, prefix, k)
+	case !s.prefixesKnown(now):
+		rank(candidates, prefix, k)
+		assumeCached(candidates[:k-1], chain, shared)
+	default:
+		k = max(k, (len(candidates)+firstPrefillDivisor-1)/firstPrefillDivisor)
+		arrivalServers = k - minAffinityServers + 1
+		rank(candidates, prefix, k)
+	}
+	pool.estimateCost(role, candidates)
+	return candidates[:k], arrivalServers
+}
+
+// markCached marks the servers that are known to hold a prompt but for maxUncached tokens, and reports
+// whether there are any.
+func markCached(all []candidate, maxUncached int) bool {
+	anyCached := false
+	for i := range all {
+		all[i].cachesPrefix = all[i].uncachedTokens <= maxUncached
+		anyCached = anyCached || all[i].cachesPrefix
+	}
+	return anyCached
+}
+
+// rank moves the k servers that rank first for a prefix to the front, in their order: those marked by
+// markCached, then those with the highest scores.
+func rank(all []candidate, prefix uint64, k int) {
+	for i := range all {
+		all[i].score = rendezvousScore(all[i].hash, prefix)
+	}
+	for i := range min(k, len(all)) {
+		selectBest(all, i)
+	}
+}
+
+func (c *candidate) ranksBefore(other *candidate) bool {
+	if c.cachesPrefix != other.cachesPrefix {
+		return c.cachesPrefix
+	}
+	return c.score > other.score
+}
+
+// selectBest swaps the server that ranks first of all[i:] to index i.
+func selectBest(all []candidate, i int) {
+	best := i
+	for j := i + 1; j < len(all); j++ {
+		if all[j].ranksBefore(&all[best]) {
+			best = j
+		}
+	}
+	all[i], all[best] = all[best], all[i]
+}
+
+// assumeCached assumes that servers hold the shared prefix. Other proxies have probably sent it there, and
+// where none has, a prefill there is of use to the next request, and anywhere else it is not.
+func assumeCached(first []candidate, chain *prefixChain, shared int) {
+	for i := range first {
+		first[i].uncachedTokens = min(first[i].uncachedTokens, chain.tokens-shared)
+	}
+}
+
+// appendCached moves the servers that are known to hold nearly all of the prompt behind the first k, and
+// returns the new k.
+func appendCached(all []candidate, k int) int {
+	for i := k; i < len(all); i++ {
+		if all[i].uncachedTokens <= maxDirectUncached {
+			all[i], all[k] = all[k], all[i]
+			k++
+		}
+	}
+	return k
+}
+
+// estimateCost sets what the prefill of a prompt takes and costs at each server.
+func (p *servicePool) estimateCost(role Role, all []candidate) {
+	for i := range all {
+		candidate := &all[i]
+		tokensMs := p.prefillTime.slope * float64(candidate.uncachedTokens) / candidate.speed
+		if role == Serve {
+			candidate.prefillMs = p.prefillTime.base + decodePrefillFactor*tokensMs
+			candidate.costMs = p.prefillTime.base + directPrefillWeight*decodePrefillFactor*tokensMs
+		} else {
+			candidate.prefillMs = p.prefillTime.base + tokensMs
+			candidate.costMs = recomputeWeight * tokensMs
+		}
+	}
+}
