--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -61,16 +61,12 @@
 	subscriptionMu sync.Mutex
 	subscription   subscription
 
-	followersMu sync.Mutex
-	followers   map[*transport.Conn]chan struct{} // closing one ends the feed on its connection
+	feeds       feedSet
+	probes      probeSet
+	failures    failureDetector
+	lossReports lossReports // of the data plane; guarded by the lock of state
 
-	probesMu sync.Mutex
-	probed   map[string]bool // ids of the servers that are being probed
-
-	failures         failureDetector
-	savedPrefixCount int           // how many cached prefixes were last saved; of the goroutine of persistState
-	lossReports      int           // of the data plane since lossReportsSince; guarded by the lock of state
-	lossReportsSince time.Duration // guarded by the lock of state
+	savedPrefixCount int // how many cached prefixes were last saved; of the goroutine of persistState
 }
 
 // New returns a process that does nothing yet. Run starts it.
@@ -79,8 +75,8 @@
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
-		hubs: map[string]*hub{}, replicated: newBroadcast(), followers: map[*transport.Conn]chan struct{}{},
-		lastSeen: newLastSeen(), knownProxies: newKnownProxies(), probed: map[string]bool{},
+		hubs: map[string]*hub{}, replicated: newBroadcast(), lastSeen: newLastSeen(),
+		knownProxies: newKnownProxies(), feeds: newFeedSet(), probes: newProbeSet(),
 	}
 	for _, option := range options {
 		option(a)
--- a/internal/router/agent/dataplane_state.go
+++ b/internal/router/agent/dataplane_state.go
@@ -46,12 +46,12 @@
 	}
 }
 
-// reportLost marks a server lost, where allowLossReport allows it.
+// reportLost marks a server lost, within the bound of reports.
 func (a *Agent) reportLost(server, reason string) {
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
 		known := d.Get(server)
-		if known == nil || !known.Live() || !a.allowLossReport(now) {
+		if known == nil || !known.Live() || !a.lossReports.allow(now) {
 			return
 		}
 		lost := *known
@@ -60,11 +60,17 @@
 	})
 }
 
-// allowLossReport counts a report and reports whether it is within the bound; the directory's lock is held.
-func (a *Agent) allowLossReport(now time.Duration) bool {
-	if now-a.lossReportsSince > lossReportWindow {
-		a.lossReportsSince, a.lossReports = now, 0
+// lossReports counts the reports in the present window.
+type lossReports struct {
+	count int
+	since time.Duration
+}
+
+// allow counts a report and reports whether it is within the bound.
+func (l *lossReports) allow(now time.Duration) bool {
+	if now-l.since > lossReportWindow {
+		l.since, l.count = now, 0
 	}
-	a.lossReports++
-	return a.lossReports <= maxLossReports
+	l.count++
+	return l.count <= maxLossReports
 }
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"sync"
 	"time"
 
 	"cresshub/internal/router/directory"
@@ -18,6 +19,38 @@
 	epoch   int64  // of the view, -1 for none received yet
 }
 
+// feedSet holds the feeds that this process serves, one for a connection. It is safe for concurrent use.
+type feedSet struct {
+	mu     sync.Mutex
+	cancel map[*transport.Conn]chan struct{} // closing one ends the feed
+}
+
+func newFeedSet() feedSet { return feedSet{cancel: map[*transport.Conn]chan struct{}{}} }
+
+// begin adds a feed, in place of an earlier one on the connection, and returns the channel that closes when
+// it is to end.
+func (s *feedSet) begin(c *transport.Conn) (cancel <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.endLocked(c)
+	s.cancel[c] = make(chan struct{})
+	return s.cancel[c]
+}
+
+// end ends the feed of a connection, where there is one.
+func (s *feedSet) end(c *transport.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.endLocked(c)
+}
+
+func (s *feedSet) endLocked(c *transport.Conn) {
+	if cancel := s.cancel[c]; cancel != nil {
+		close(cancel)
+		delete(s.cancel, c)
+	}
+}
+
 // serveFeed sends the changes of the directory, the configuration and the view to a follower, until its
 // connection ends or cancel closes. A follower of another feed begins with a snapshot.
 func (a *Agent) serveFeed(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -43,12 +43,7 @@
 // Closed ends what depends on the connection of another process. It implements transport.Handler.
 func (a *Agent) Closed(c *transport.Conn) {
 	a.load.removePeer(c)
-	a.followersMu.Lock()
-	defer a.followersMu.Unlock()
-	if cancel := a.followers[c]; cancel != nil {
-		close(cancel)
-		delete(a.followers, c)
-	}
+	a.feeds.end(c)
 }
 
 // decodeOrClose decodes a message of another process. A connection that carries a malformed one is closed.
@@ -112,14 +107,7 @@
 	if !decodeOrClose(c, frame.Body, &request) {
 		return
 	}
-	cancel := make(chan struct{})
-	a.followersMu.Lock()
-	if earlier := a.followers[c]; earlier != nil {
-		close(earlier)
-	}
-	a.followers[c] = cancel
-	a.followersMu.Unlock()
-	go a.serveFeed(c, &request, cancel)
+	go a.serveFeed(c, &request, a.feeds.begin(c))
 	a.sendPrefixIndex(c)
 }
 
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -80,24 +81,44 @@
 
 func probeRank(id, ip string) uint64 { return xxhash.Sum64String(id + "/" + ip) }
 
+// probeSet holds the servers that are being probed. It is safe for concurrent use.
+type probeSet struct {
+	mu  sync.Mutex
+	ids map[string]bool
+}
+
+func newProbeSet() probeSet { return probeSet{ids: map[string]bool{}} }
+
+// begin adds a probe and returns true, unless the server is being probed or maxConcurrentProbes others are.
+func (p *probeSet) begin(id string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.ids[id] || len(p.ids) >= maxConcurrentProbes {
+		return false
+	}
+	p.ids[id] = true
+	return true
+}
+
+func (p *probeSet) end(id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.ids, id)
+}
+
 // startProbe probes a server in the background, unless that is under way or too many probes are. A server
 // that does not answer is marked lost.
 func (a *Agent) startProbe(record *directory.Record) {
-	a.probesMu.Lock()
-	defer a.probesMu.Unlock()
-	if a.probed[record.ID] || len(a.probed) >= maxConcurrentProbes {
+	if !a.probes.begin(record.ID) {
 		return
 	}
-	a.probed[record.ID] = true
 	go func() {
+		defer a.probes.end(record.ID)
 		if a.probeServer(record) {
 			a.recordContact(record.ID)
 		} else {
 			a.markUnwatchedLost(record, "its watcher is gone and it does not answer")
 		}
-		a.probesMu.Lock()
-		defer a.probesMu.Unlock()
-		delete(a.probed, record.ID)
 	}()
 }
 
