--- /dev/null
+++ b/internal/proxy/upstream/attempt.go
@@ -0,0 +1,128 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"os"
+	"slices"
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"cresshub/internal/http1"
+	"cresshub/internal/proxy/dispatch"
+)
+
+// Attempt is one attempt of a request at one server. Its fields are set before Start and not changed after.
+type Attempt struct {
+	Server   dispatch.ServerID
+	Request  *http1.Request // without X-Timeout
+	Upload   Upload         // what follows Request's Body; nil where that is all
+	StartBy  time.Time      // its first byte must be written before; zero where there is no such bound
+	GiveUpAt time.Time      // it ends as TimedOut then
+	Done     func(Outcome)  // called once, from another goroutine
+
+	ctx    context.Context
+	cancel context.CancelFunc
+	probe  bool
+	state  atomic.Int32 // attemptPending, attemptStarted or attemptDropped
+}
+
+// The states of an attempt.
+const (
+	attemptPending = iota
+	attemptStarted // its first byte may be written
+	attemptDropped
+)
+
+// Upload is the part of a request's body that is not buffered. It can be read once, so one attempt alone has
+// it.
+type Upload interface {
+	// Claim is called before the first Read; false where another attempt has the body.
+	Claim() bool
+	// Read reads the next bytes. io.EOF ends the body, any other error is the client's.
+	Read(p []byte) (int, error)
+	// Sent is called once the last byte is written, and returns until when the response is waited for.
+	Sent() time.Time
+}
+
+// Outcome is how an attempt ended, or that its response has begun. Whoever gets one passes it to
+// Pool.Release.
+type Outcome struct {
+	Result   dispatch.Result
+	Response *http1.Response // nil where none was read
+	Stream   *Stream         // what follows Response's Body; nil where that is all
+	Load     []float64       // the server's load report; nil where none came
+
+	reserved int // bytes taken from the budget for Response's Body
+}
+
+// Cancel aborts the attempt if it is still under way: its connection is closed.
+func (a *Attempt) Cancel() { a.cancel() }
+
+// Drop aborts the attempt if none of it was written: its request has ended, and a server that never got it
+// has nothing to cancel.
+func (a *Attempt) Drop() {
+	if a.state.CompareAndSwap(attemptPending, attemptDropped) {
+		a.cancel()
+	}
+}
+
+func (a *Attempt) initContext() { a.ctx, a.cancel = context.WithCancel(context.Background()) }
+
+// message is the attempt's request as it is sent now: with the time left as X-Timeout.
+func (a *Attempt) message(host string) *http1.Request {
+	if a.probe {
+		return &http1.Request{Method: "GET", Target: "/stats", Header: http1.Header{{Name: "Host", Value: host}}}
+	}
+	q := *a.Request
+	left := strconv.FormatFloat(time.Until(a.GiveUpAt).Seconds(), 'f', 3, 64)
+	q.Header = append(slices.Clip(q.Header), http1.Field{Name: "X-Timeout", Value: left})
+	if q.Header.Get("Host") == "" { // HTTP/1.0 may come without one
+		q.Header = append(q.Header, http1.Field{Name: "Host", Value: host})
+	}
+	return &q
+}
+
+// method is the method of the attempt's request.
+func (a *Attempt) method() string {
+	if a.probe {
+		return "GET"
+	}
+	return a.Request.Method
+}
+
+// classify is the result that a response stands for.
+func (a *Attempt) classify(r *http1.Response) dispatch.Result {
+	switch {
+	case r.Status == 200:
+		return dispatch.Served
+	case a.probe && r.Status == 503:
+		return dispatch.Rejected // too many probes at once is no sign of an unhealthy server; an error would be
+	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Not-Processed") == "1":
+		return dispatch.Rejected
+	}
+	return dispatch.ErrorResponse
+}
+
+// receiveFailure is the result of an attempt whose response could not be read because of err.
+func (a *Attempt) receiveFailure(err error) dispatch.Result {
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return dispatch.TimedOut
+	case errors.As(err, new(*http1.MalformedError)):
+		// The server is reachable and has read the request: one malformed response doesn't count as a broken
+		// connection, which could have the server ejected.
+		return a.resultOr(dispatch.ErrorResponse)
+	}
+	return a.resultOr(dispatch.Reset)
+}
+
+// resultOr is the result of an attempt whose connection failed: Cancelled where that was our doing, else
+// otherwise.
+func (a *Attempt) resultOr(otherwise dispatch.Result) dispatch.Result {
+	if a.ctx.Err() != nil {
+		return dispatch.Cancelled
+	}
+	return otherwise
+}
--- a/internal/proxy/upstream/buffer.go
+++ b/internal/proxy/upstream/buffer.go
@@ -39,8 +39,8 @@
 	bufferTime time.Duration
 }
 
-// bufferResponse reads the buffered part of a response's body into response.Body. It returns the bytes taken from the
-// budget, and whether the rest of the body is streamed.
+// bufferResponse reads the buffered part of a response's body into response.Body. It returns the bytes taken
+// from the budget, and whether the rest of the body is streamed.
 func (c *conn) bufferResponse(a *Attempt, response *http1.Response, body *http1.Body) (
 	reserved int, streaming bool, err error,
 ) {
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -14,6 +14,7 @@
 
 // servePieces is a server that writes an answer piece by piece: after each it waits for a token.
 func servePieces(t *testing.T, on chan bool, pieces ...string) (address string, wrote, ended chan bool) {
+	t.Helper()
 	wrote, ended = make(chan bool, 9), make(chan bool, 9)
 	address = nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
--- /dev/null
+++ b/internal/proxy/upstream/conn.go
@@ -0,0 +1,139 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"cresshub/internal/connbuffer"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/dispatch"
+)
+
+// conn is one connection to a server. Its goroutine is run.
+type conn struct {
+	pool      *Pool
+	server    dispatch.ServerID
+	address   string
+	netConn   *connbuffer.Conn
+	closeOnce sync.Once
+
+	// The pool's lock guards these while the connection is idle.
+	idleSince    time.Time
+	next         *Attempt // handed over by reuseIdle
+	lastWasProbe bool     // the last exchange was a probe
+}
+
+func (c *conn) close() {
+	c.closeOnce.Do(func() {
+		c.netConn.Close()
+		c.pool.budget.Give(descriptors.Servers)
+	})
+}
+
+// run is the connection's goroutine; first is the attempt that it is opened for.
+func (c *conn) run(first *Attempt) {
+	if result, ok := c.dial(first); !ok {
+		first.Done(Outcome{Result: result})
+		return
+	}
+	defer c.close()
+	for a := first; ; {
+		if !c.serve(a) {
+			return
+		}
+		var usable bool
+		if a, usable = c.awaitAttempt(); a == nil {
+			return
+		}
+		if !usable {
+			// It closed just as it was handed over. No byte of the attempt was written, so on another
+			// connection it is still the first time that it is sent.
+			c.close()
+			go (&conn{pool: c.pool, server: c.server, address: c.address}).run(a)
+			return
+		}
+	}
+}
+
+// serve runs one attempt to its end and lists the connection as idle again; false where it is closed instead.
+func (c *conn) serve(a *Attempt) bool {
+	c.lastWasProbe = a.probe
+	outcome, reusable := c.exchange(a)
+	switch {
+	case outcome.Stream != nil:
+		a.Done(outcome)
+		if complete := <-outcome.Stream.complete; !complete || !reusable {
+			c.close()
+			return false
+		}
+		c.pool.park(c)
+	case reusable:
+		c.pool.park(c)
+		a.Done(outcome)
+	default:
+		c.close()
+		a.Done(outcome)
+		return false
+	}
+	return true
+}
+
+// awaitAttempt waits in Read until the next attempt is handed over. It returns nil where the connection was
+// closed or has been idle for too long, and usable false where that is so but an attempt was handed over all
+// the same.
+func (c *conn) awaitAttempt() (a *Attempt, usable bool) {
+	p := c.pool
+	p.mu.Lock()
+	if c.next == nil {
+		c.netConn.SetReadDeadline(c.idleSince.Add(p.limits.Load().MaxIdle))
+	}
+	p.mu.Unlock()
+	_, err := c.netConn.In.Peek(1)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	a, c.next = c.next, nil
+	p.removeIdle(c)
+	// The deadline that wakes this goroutine also ends Read when bytes wait in the system: a duplicate response,
+	// noise, or the end. The next request must not get them for its response.
+	// And MaxIdle may have passed since it was handed over, where this goroutine had to wait for its turn.
+	return a, errors.Is(err, os.ErrDeadlineExceeded) &&
+		(a == nil || c.netConn.Quiet() && time.Since(c.idleSince) <= p.limits.Load().MaxIdle)
+}
+
+var dialer = net.Dialer{KeepAlive: -1} // every exchange has a deadline of its own
+
+// dial opens the connection. Where it returns false the attempt never ran, and ends with the result.
+func (c *conn) dial(a *Attempt) (dispatch.Result, bool) {
+	if !c.pool.budget.Take(descriptors.Servers) {
+		return dispatch.Skipped, false
+	}
+	deadline := time.Now().Add(c.pool.limits.Load().Dial)
+	latest := a.GiveUpAt
+	if !a.StartBy.IsZero() && a.StartBy.Before(latest) {
+		latest = a.StartBy
+	}
+	attemptBounds := latest.Before(deadline)
+	if attemptBounds {
+		deadline = latest
+	}
+	ctx, cancel := context.WithDeadline(a.ctx, deadline)
+	defer cancel()
+	netConn, err := dialer.DialContext(ctx, "tcp", c.address)
+	if err == nil {
+		c.netConn = connbuffer.NewConn(netConn)
+		c.pool.stats.Opened.Add()
+		return dispatch.Served, true
+	}
+	c.pool.budget.Give(descriptors.Servers)
+	switch {
+	case a.ctx.Err() != nil:
+		return dispatch.Cancelled, false
+	case attemptBounds && ctx.Err() != nil:
+		return dispatch.Skipped, false // the attempt's time was over before the server's
+	}
+	return dispatch.NoConnection, false
+}
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -4,31 +4,17 @@
 	"context"
 	"errors"
 	"io"
-	"os"
-	"slices"
-	"strconv"
-	"sync"
 	"time"
 
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/dispatch"
 )
 
-// exchange sends one request and reads its answer, or of a large one the beginning. again tells whether the
-// connection may be used again once all of the answer is read.
+// exchange sends one request and reads its response, or of a large one the beginning. reusable tells whether
+// the connection may be used again once all of the response is read.
 func (c *conn) exchange(a *Attempt) (outcome Outcome, reusable bool) {
-	// The list may have changed while the attempt was dialling or waiting: a drain binds from the first
-	// byte on.
-	address, listed := c.pool.directory.Address(a.Server)
-	switch {
-	case a.ctx.Err() != nil:
-		return Outcome{Result: dispatch.Cancelled}, true
-	case !listed || address != c.address:
-		return Outcome{Result: dispatch.Rejected}, false
-	case !time.Now().Before(a.GiveUpAt), !a.StartBy.IsZero() && !time.Now().Before(a.StartBy):
-		return Outcome{Result: dispatch.Skipped}, true
-	case !a.state.CompareAndSwap(attemptPending, attemptStarted):
-		return Outcome{Result: dispatch.Cancelled}, true
+	if result, untouched := c.begin(a); result != dispatch.Served {
+		return Outcome{Result: result}, untouched
 	}
 	stop := context.AfterFunc(a.ctx, func() { c.netConn.Close() })
 	if result := c.send(a); result != dispatch.Served { // the last byte was not written: it never ran
@@ -38,11 +24,7 @@
 	if !a.probe {
 		c.pool.stats.Tries.Add()
 	}
-	method := "GET"
-	if !a.probe {
-		method = a.Request.Method
-	}
-	response, body, err := http1.ReadResponseHead(c.netConn.In, method)
+	response, body, err := http1.ReadResponseHead(c.netConn.In, a.method())
 	streaming := false
 	if err == nil {
 		outcome.reserved, streaming, err = c.bufferResponse(a, response, body)
@@ -50,16 +32,7 @@
 	uninterrupted := stop()
 	if err != nil {
 		c.pool.Release(&outcome)
-	}
-	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Outcome{Result: dispatch.TimedOut}, false
-	case errors.As(err, new(*http1.MalformedError)):
-		// The server is there and has read the request, so it is not broken off: one spoilt answer is no
-		// reason to leave a server alone.
-		return Outcome{Result: a.resultOr(dispatch.ErrorResponse)}, false
-	case err != nil:
-		return Outcome{Result: a.resultOr(dispatch.Reset)}, false
+		return Outcome{Result: a.receiveFailure(err)}, false
 	}
 	outcome.Result, outcome.Response = a.classify(response), response
 	outcome.Load = c.pool.reportFormat.parse(response, a.probe)
@@ -76,39 +49,67 @@
 	return outcome, reusable
 }
 
-// send writes the attempt's request. It returns Served once the last byte is out, else how the attempt ended.
+// begin marks the attempt as started and returns Served, or the result of an attempt that must not start any
+// more and whether the connection may still be used. The list may have changed while the attempt was dialling
+// or waiting: a drain binds from the first byte on.
+func (c *conn) begin(a *Attempt) (result dispatch.Result, reusable bool) {
+	address, listed := c.pool.directory.Address(a.Server)
+	switch {
+	case a.ctx.Err() != nil:
+		return dispatch.Cancelled, true
+	case !listed || address != c.address:
+		return dispatch.Rejected, false
+	case !time.Now().Before(a.GiveUpAt), !a.StartBy.IsZero() && !time.Now().Before(a.StartBy):
+		return dispatch.Skipped, true
+	case !a.state.CompareAndSwap(attemptPending, attemptStarted):
+		return dispatch.Cancelled, true
+	}
+	return dispatch.Served, true
+}
+
+// send writes the attempt's request. It returns Served once the last byte is written, else how the attempt
+// ended.
 func (c *conn) send(a *Attempt) dispatch.Result {
-	c.netConn.SetDeadline(a.GiveUpAt)
 	if a.Upload != nil {
-		c.netConn.SetDeadline(time.Now().Add(c.pool.limits.Load().Stall))
-	}
-	w, err := a.message(c.address).Begin(c.netConn.Out)
-	if err == nil && a.Upload != nil {
-		err = c.netConn.Flush() // before anything is read that nobody would have for another attempt
-	}
-	if err == nil && a.Upload != nil {
-		if err = c.upload(a, w); err != nil {
-			// The client stopped, or the server would not have the body. Neither is a reason to take the
-			// server for one out of reach: a bad client would have it left alone.
-			return a.resultOr(dispatch.Skipped)
-		}
+		return c.sendUpload(a)
 	}
+	c.netConn.SetDeadline(a.GiveUpAt)
+	_, err := a.message(c.address).Begin(c.netConn.Out)
 	if err == nil {
 		err = c.netConn.Flush()
 	}
 	if err != nil {
 		return a.resultOr(dispatch.NoConnection)
 	}
-	if a.Upload != nil {
-		a.GiveUpAt = a.Upload.Sent()
-		c.netConn.SetDeadline(a.GiveUpAt)
+	return dispatch.Served
+}
+
+// sendUpload is send for a request whose body is not all buffered.
+func (c *conn) sendUpload(a *Attempt) dispatch.Result {
+	c.netConn.SetDeadline(time.Now().Add(c.pool.limits.Load().Stall))
+	w, err := a.message(c.address).Begin(c.netConn.Out)
+	if err == nil {
+		err = c.netConn.Flush() // before anything is read of the body, which no other attempt could have then
 	}
+	if err != nil {
+		return a.resultOr(dispatch.NoConnection)
+	}
+	if err := c.upload(a, w); err != nil {
+		// The client stopped, or the server would not have the body. Neither counts as a server out of reach:
+		// a bad client could have it ejected.
+		return a.resultOr(dispatch.Skipped)
+	}
+	if c.netConn.Flush() != nil {
+		return a.resultOr(dispatch.NoConnection)
+	}
+	a.GiveUpAt = a.Upload.Sent()
+	c.netConn.SetDeadline(a.GiveUpAt)
 	return dispatch.Served
 }
 
 var errBodyClaimed = errors.New("another attempt has the body")
 
-// upload writes the part of a body that is not kept, at the pace of both sides.
+// upload writes the part of a body that is not buffered, at the pace of the slower side.
 func (c *conn) upload(a *Attempt, w http1.BodyWriter) error {
 	buffer, release := c.pool.bodies.Buffer()
 	defer release()
@@ -117,7 +118,7 @@
 	}
 	stall := c.pool.limits.Load().Stall
 	for {
-		n, left := a.Upload.Read(buffer)
+		n, readErr := a.Upload.Read(buffer)
 		c.netConn.SetWriteDeadline(time.Now().Add(stall))
 		if n > 0 {
 			if _, err := w.Write(buffer[:n]); err != nil {
@@ -127,62 +128,11 @@
 				return err
 			}
 		}
-		if left == io.EOF {
+		if errors.Is(readErr, io.EOF) {
 			return w.Close()
 		}
-		if left != nil {
-			return left
+		if readErr != nil {
+			return readErr
 		}
 	}
 }
-
-// Stream is the rest of an answer, read from its server by whoever passes it on.
-type Stream struct {
-	conn     *conn
-	body     *http1.Body
-	complete chan bool // gets whether it was read to its end
-	once     sync.Once
-}
-
-// Read reads of the rest; io.EOF comes only where the answer is whole. Its deadline is set anew each time:
-// what is here already may be the end of a chunk alone.
-func (s *Stream) Read(p []byte) (int, error) {
-	s.conn.netConn.SetReadDeadline(time.Now().Add(s.conn.pool.limits.Load().Stall))
-	return s.body.Read(p)
-}
-
-func (s *Stream) finish() { s.once.Do(func() { s.complete <- s.body.Complete() }) }
-
-// message is the attempt's request as it is sent now.
-func (a *Attempt) message(host string) *http1.Request {
-	if a.probe {
-		return &http1.Request{Method: "GET", Target: "/stats", Header: http1.Header{{Name: "Host", Value: host}}}
-	}
-	q := *a.Request
-	left := strconv.FormatFloat(time.Until(a.GiveUpAt).Seconds(), 'f', 3, 64)
-	q.Header = append(slices.Clip(q.Header), http1.Field{Name: "X-Timeout", Value: left})
-	if q.Header.Get("Host") == "" { // HTTP/1.0 may come without one
-		q.Header = append(q.Header, http1.Field{Name: "Host", Value: host})
-	}
-	return &q
-}
-
-// resultOr is how the attempt ended whose connection broke: given up by us, or as told.
-func (a *Attempt) resultOr(otherwise dispatch.Result) dispatch.Result {
-	if a.ctx.Err() != nil {
-		return dispatch.Cancelled
-	}
-	return otherwise
-}
-
-func (a *Attempt) classify(r *http1.Response) dispatch.Result {
-	switch {
-	case r.Status == 200:
-		return dispatch.Served
-	case a.probe && r.Status == 503:
-		return dispatch.Rejected // too many probes at once: no sign of ill health, which an error would be
-	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Not-Processed") == "1":
-		return dispatch.Rejected
-	}
-	return dispatch.ErrorResponse
-}
