--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -46,14 +46,14 @@
 	demandMeter *demandMeter
 
 	mu      sync.Mutex
-	chooser chooser
+	inner chooser
 	table   *catalog.Table
 }
 
 func newLockedChooser(zone string, state State, now func() time.Duration) *lockedChooser {
 	return &lockedChooser{state: state, now: now, demandMeter: newDemandMeter(),
 		inFlightChanged: make(chan struct{}, 1),
-		chooser:         scheduler.New(zone, rand.Uint64())}
+		inner:         scheduler.New(zone, rand.Uint64())}
 }
 
 // lock takes the lock and gives the chooser a newer table where there is one.
@@ -62,7 +62,7 @@
 	now = lc.now()
 	if table := servers(lc.state); table != lc.table {
 		lc.table = table
-		lc.chooser.Update(now, table)
+		lc.inner.Update(now, table)
 	}
 	return now, lc.mu.Unlock
 }
@@ -70,14 +70,14 @@
 func (lc *lockedChooser) split(r *scheduler.Request) bool {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.chooser.Split(now, r)
+	return lc.inner.Split(now, r)
 }
 
 func (lc *lockedChooser) choose(r *scheduler.Request, role scheduler.Role,
 	prefillServer *catalog.Server) *scheduler.Call {
 	now, unlock := lc.lock()
 	defer unlock()
-	call := lc.chooser.Choose(now, r, role, prefillServer)
+	call := lc.inner.Choose(now, r, role, prefillServer)
 	if call != nil {
 		lc.recordDemand(now, call, 1)
 	}
@@ -87,19 +87,19 @@
 func (lc *lockedChooser) observeLoad(server string, load scheduler.Load) {
 	now, unlock := lc.lock()
 	defer unlock()
-	lc.chooser.ObserveLoad(now, server, load)
+	lc.inner.ObserveLoad(now, server, load)
 }
 
 func (lc *lockedChooser) firstEvent(call *scheduler.Call) {
 	now, unlock := lc.lock()
 	defer unlock()
-	lc.chooser.FirstEvent(now, call)
+	lc.inner.FirstEvent(now, call)
 }
 
 func (lc *lockedChooser) done(call *scheduler.Call, outcome scheduler.Outcome) {
 	now, unlock := lc.lock()
 	defer unlock()
-	lc.chooser.Done(now, call, outcome)
+	lc.inner.Done(now, call, outcome)
 	lc.recordDemand(now, call, -1)
 }
 
@@ -121,11 +121,11 @@
 func (lc *lockedChooser) queueDelay(r *scheduler.Request) (wait time.Duration, free bool) {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.chooser.QueueDelay(now, r)
+	return lc.inner.QueueDelay(now, r)
 }
 
 func (lc *lockedChooser) alternative(r *scheduler.Request, server string) (exists, free bool) {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.chooser.Alternative(now, r, server)
+	return lc.inner.Alternative(now, r, server)
 }
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -158,8 +158,8 @@
 	rt := newRoundTrip(c, q)
 	c.setRoundTrip(rt)
 	defer c.setRoundTrip(nil)
-	w := watchDisconnect(c.socket, func() { rt.stop(clientDisconnected) })
-	defer w.stop()
+	watcher := watchDisconnect(c.socket, func() { rt.stop(clientDisconnected) })
+	defer watcher.stop()
 	rt.run()
 	return rt.keepAlive
 }
--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -35,12 +35,12 @@
 func (c *call) connect() *callFailure {
 	rt := c.roundTrip
 	abandoned := &callFailure{outcome: scheduler.Abandoned, fate: notSent}
-	dial, cancel := context.WithDeadline(context.Background(), c.connectDeadline())
+	ctx, cancel := context.WithDeadline(context.Background(), c.connectDeadline())
 	defer cancel()
 	if !rt.setAbortable(canceller(cancel)) {
 		return abandoned
 	}
-	conn, err := rt.proxy.pool.get(dial, c.connectionSpec())
+	conn, err := rt.proxy.pool.get(ctx, c.connectionSpec())
 	switch {
 	case errors.Is(err, errNoConnectionFree):
 		return abandoned
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -30,6 +30,16 @@
 	tryID     string    // of the request whose prompt it names
 }
 
+// newKVHandle returns a handle that expires after a part of its lifetime; 0 is for ever.
+func newKVHandle(server *catalog.Server, id, tryID string, lifetime time.Duration) *kvHandle {
+	h := &kvHandle{server: server, id: id, tryID: tryID}
+	if lifetime > 0 {
+		h.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeUsed))
+	}
+	return h
+}
+
+// prefillServer is the server that has the prefix cache, nil for no handle.
 func (h *kvHandle) prefillServer() *catalog.Server {
 	if h == nil {
 		return nil
@@ -37,20 +47,13 @@
 	return h.server
 }
 
+// source is the handle as the decode server gets it in Kv-From.
 func (h *kvHandle) source() string { return h.server.Address + "/" + h.id }
 
 func (h *kvHandle) expired(now time.Time) bool {
 	return h != nil && !h.expiresAt.IsZero() && now.After(h.expiresAt)
 }
 
-func newKVHandle(server *catalog.Server, id, tryID string, lifetime time.Duration) *kvHandle {
-	h := &kvHandle{server: server, id: id, tryID: tryID}
-	if lifetime > 0 {
-		h.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeUsed))
-	}
-	return h
-}
-
 // parseHandle reads the response of a server that has prefilled a prompt. It returns false for a handle
 // that does not fit into a header field and a path.
 func parseHandle(body []byte) (string, bool) {
--- a/internal/router/dataplane/peerload.go
+++ b/internal/router/dataplane/peerload.go
@@ -29,7 +29,7 @@
 	lc := p.chooser
 	lc.mu.Lock()
 	defer lc.mu.Unlock()
-	return lc.chooser.InFlightChanges(all)
+	return lc.inner.InFlightChanges(all)
 }
 
 // TakeNewPrefixes returns the prefixes that this proxy has sent to servers for the first time since the
@@ -38,7 +38,7 @@
 	lc := p.chooser
 	lc.mu.Lock()
 	defer lc.mu.Unlock()
-	return lc.chooser.TakeNewPrefixes()
+	return lc.inner.TakeNewPrefixes()
 }
 
 // SetPeerLoad takes over the calls that all other proxies together have in flight at some servers; with
@@ -47,15 +47,15 @@
 func (p *Proxy) SetPeerLoad(peers []scheduler.InFlightLoad, full bool, prefixes []scheduler.CachedPrefixes) {
 	now, unlock := p.chooser.lock()
 	defer unlock()
-	p.chooser.chooser.SetPeerLoad(now, peers, full)
-	p.chooser.chooser.AddCachedPrefixes(prefixes)
+	p.chooser.inner.SetPeerLoad(now, peers, full)
+	p.chooser.inner.AddCachedPrefixes(prefixes)
 }
 
 // MarkFleetStart records that no proxy has sent anything to a server before this one started.
 func (p *Proxy) MarkFleetStart() {
 	now, unlock := p.chooser.lock()
 	defer unlock()
-	p.chooser.chooser.MarkFleetStart(now)
+	p.chooser.inner.MarkFleetStart(now)
 }
 
 // SinceLastSuccess returns how long ago a server last answered a request of this proxy with success, and
@@ -63,7 +63,7 @@
 func (p *Proxy) SinceLastSuccess(server string) (time.Duration, bool) {
 	now, unlock := p.chooser.lock()
 	defer unlock()
-	at, answered := p.chooser.chooser.LastSuccess(server)
+	at, answered := p.chooser.inner.LastSuccess(server)
 	return now - at, answered
 }
 
@@ -72,7 +72,7 @@
 	lc := p.chooser
 	lc.mu.Lock()
 	defer lc.mu.Unlock()
-	return lc.chooser.KnownPrefixes(maxKnownPrefixes)
+	return lc.inner.KnownPrefixes(maxKnownPrefixes)
 }
 
 // SyncPrefixes adds what another proxy, or this one before it was restarted, knew of the prefixes cached at
@@ -80,6 +80,6 @@
 func (p *Proxy) SyncPrefixes(known []scheduler.CachedPrefixes) {
 	now, unlock := p.chooser.lock()
 	defer unlock()
-	p.chooser.chooser.AddCachedPrefixes(known)
-	p.chooser.chooser.MarkPrefixesSynced(now)
+	p.chooser.inner.AddCachedPrefixes(known)
+	p.chooser.inner.MarkPrefixesSynced(now)
 }
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -41,7 +41,7 @@
 		if !c.responseStarted { // it may have been queued there, which makes the next call a retry
 			rt.attempts.unpaidPrefills++
 		}
-		return f.outcome != scheduler.TimedOut // else too much time is lost for a second one
+		return f.outcome != scheduler.TimedOut // a timeout leaves too little time for a second one
 	}
 	return true
 }
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -125,7 +125,7 @@
 		change(settings, state)
 	}
 	r := &rig{C: c, state: state, proxy: New(settings, state, zerolog.Nop()), chooser: newFakeChooser()}
-	r.proxy.chooser.chooser = r.chooser
+	r.proxy.chooser.inner = r.chooser
 	r.proxy.started = r.proxy.started.Add(-time.Minute) // past the delay of the shared slack
 	r.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
