--- a/internal/proxy/dispatch/decide_test.go
+++ b/internal/proxy/dispatch/decide_test.go
@@ -41,10 +41,11 @@
 
 func decider(t *testing.T, set func(*balance.Settings)) (*Decider, *party) {
 	s := balance.Settings{
-		Tick: 5 * time.Millisecond, MaxAttempts: 3, MayCancel: true, AskWithin: time.Millisecond, MustFollow: true,
+		Tick: 5 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RegistryInterval: time.Millisecond,
+		MustFollow: true,
 		Classes: []balance.Class{
-			{Aim: time.Hour, Deadline: time.Hour, Effect: balance.Idempotent, Worth: 1},
-			{Aim: time.Hour, Deadline: time.Hour, Effect: balance.AtMostOnce, Worth: 1},
+			{LatencyTarget: time.Hour, Deadline: time.Hour, Effect: balance.Idempotent, Value: 1},
+			{LatencyTarget: time.Hour, Deadline: time.Hour, Effect: balance.AtMostOnce, Value: 1},
 		},
 	}
 	if set != nil {
@@ -119,7 +120,7 @@
 
 // A step that its goroutine never saw must not stay counted as out at its server. Nor is it cancelled: a
 // front knows only attempts that were handed out.
-func TestGoneBeforeTheAttemptBegan(t *testing.T) {
+func TestClientGoneBeforeAttemptStarted(t *testing.T) {
 	d, p := decider(t, nil)
 	call := d.Open(soon(), p)
 	d.clientGone(call)
@@ -131,7 +132,7 @@
 	}
 }
 
-func TestAttemptsEndBeforeTheDeadline(t *testing.T) {
+func TestAttemptGivenUpBeforeDeadline(t *testing.T) {
 	d, p := decider(t, nil)
 	q := soon()
 	q.Deadline = time.Now().Add(time.Minute)
--- /dev/null
+++ b/internal/router/scheduler/water_level_test.go
@@ -0,0 +1,90 @@
+package scheduler
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"cresshub/internal/router/catalog"
+
+	qt "github.com/frankban/quicktest"
+)
+
+func testServer(others float64, reportedAt time.Duration) *serverState {
+	s := newServerState(0, &catalog.Server{ID: "a", Slots: 10, Role: catalog.Decode})
+	s.reportedOthers, s.baselineOthers = others, movingMean{others, 1}
+	s.reportedAt, s.hasReport = reportedAt, true
+	return s
+}
+
+func TestOthersDecayTowardsTheBaseline(t *testing.T) {
+	const service, parallel, average = 100.0, 1.0, 2.0
+	usual := (average*baselinePrior + 8*1) / (baselinePrior + 1)
+	tau := decayServiceTimes * (1 + 8.0) * service
+	tests := []struct {
+		age  time.Duration
+		want float64
+	}{
+		{0, 8},
+		{duration(tau), usual + (8-usual)/math.E},
+		{duration(2 * tau), usual + (8-usual)/math.E/math.E},
+		{time.Hour, usual},
+	}
+	for _, test := range tests {
+		t.Run(test.age.String(), func(t *testing.T) {
+			got := testServer(8, second).estimatedOthers(second+test.age, average, parallel, service)
+			qt.Check(t, got, isNear, test.want, 1e-6)
+		})
+	}
+}
+
+func TestServerWithoutReportHasTheMeanOfTheOthers(t *testing.T) {
+	c := qt.New(t)
+	unknown := newServerState(0, &catalog.Server{ID: "b"})
+	all := []*serverState{testServer(2, 0), testServer(4, 0), unknown}
+	c.Check(meanReportedOthers(all), qt.Equals, 3.0)
+	c.Check(unknown.estimatedOthers(second, meanReportedOthers(all), 1, 100), qt.Equals, 3.0)
+	c.Check(meanReportedOthers([]*serverState{unknown}), qt.Equals, 0.0)
+}
+
+func TestQueueEstimates(t *testing.T) {
+	p := newServicePool(modelService())
+	p.prefillTime, p.timePerToken = newLinearFit(10, 0.02, 1000, 1), newLinearFit(5, 0.5, 10, 1)
+	p.prefillTokens, p.outputTokens = movingMean{2000, 1}, movingMean{20, 1}
+	const now = second
+	reading, running := testServer(2, now), testServer(4, now)
+	late, direct := testServer(0, now), testServer(0, now)
+	reading.beginCall(&Call{prefillMs: 80, startedAt: now})
+	reading.ownPrefillAt = now
+	running.beginCall(&Call{startedAt: now})
+	late.lateness = lateness{50, now}
+	direct.beginCall(&Call{prefillMs: 70, startedAt: now})
+	direct.ownPrefillAt = now
+	tests := []struct {
+		name string
+		role Role
+		s    *serverState
+		want float64
+	}{
+		{"prefill: own work and others' calls", Prefill, reading, 80 + 2*(10+0.02*2000)},
+		{"decode: calls over slots, each as slow as they are many", Decode, running, 20 * (5 + 0.5*5) * 5 / 10},
+		{"decode: lateness", Decode, late, 50},
+		{"decode: prefills there do not count", Decode, direct, 20 * (5 + 0.5*1) / 10},
+		{"serve: prefills there do", Serve, direct, 70 + 20*(5+0.5*1)/10},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			x := candidate{serverState: test.s}
+			p.estimateQueue(now, test.role, 0, &x)
+			qt.Check(t, x.queueMs, isNear, test.want, 1e-6)
+		})
+	}
+}
+
+func TestQueueEstimateWithoutModel(t *testing.T) {
+	p := newServicePool(plainService())
+	p.plainTime = movingMean{40, 1}
+	x := candidate{serverState: testServer(5, second)}
+	p.estimateQueue(second, Serve, 0, &x)
+	qt.Check(t, x.queueMs, isNear, 40.0*5/10, 1e-6)
+}
