--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -45,15 +45,15 @@
 
 	demandMeter *demandMeter
 
-	mu      sync.Mutex
+	mu    sync.Mutex
 	inner chooser
-	table   *catalog.Table
+	table *catalog.Table
 }
 
 func newLockedChooser(zone string, state State, now func() time.Duration) *lockedChooser {
 	return &lockedChooser{state: state, now: now, demandMeter: newDemandMeter(),
 		inFlightChanged: make(chan struct{}, 1),
-		inner:         scheduler.New(zone, rand.Uint64())}
+		inner:           scheduler.New(zone, rand.Uint64())}
 }
 
 // lock takes the lock and gives the chooser a newer table where there is one.
