--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -64,7 +64,7 @@
 func TestNoReportMeansUniform(t *testing.T) {
 	b := started(t, plainSettings(), 0, fleet(4, nil))
 	servers := b.eligible(0, &request{})
-	waterFill(b.candidates, b.weighCandidates(0, &request{}, servers, 4, 4, false))
+	waterFill(b.candidates, b.weighCandidates(0, &request{}, servers, fleetCapacity{4, 4}, false))
 	for _, x := range b.candidates {
 		if math.Abs(x.probability-.25) > 1e-6 {
 			t.Errorf("share %v, want 0.25", x.probability)
@@ -98,7 +98,7 @@
 				for _, s := range servers {
 					sure += b.slowStartFactor(now, s)
 				}
-				waterFill(b.candidates, b.weighCandidates(now, &request{}, servers, 16, sure, false))
+				waterFill(b.candidates, b.weighCandidates(now, &request{}, servers, fleetCapacity{16, sure}, false))
 				for _, x := range b.candidates {
 					if warm := b.slowStartFactor(now, x.server); warm < 1 {
 						if rate := x.probability * 16 * 2.5 * (1 + retryBudgetRatio); rate >= multiple*warm {
@@ -560,7 +560,7 @@
 		if i%2 == 0 {
 			x = 0.342
 		}
-		b.recordLatency(0, &attempt{server: s, requestsAhead: 5}, time.Duration(x*1e9))
+		b.recordServiceTime(0, &attempt{server: s, requestsAhead: 5}, time.Duration(x*1e9))
 	}
 	if b.concurrency < 1.7 || b.concurrency > 2.3 {
 		t.Errorf("width %.2f, want about 2", b.concurrency)
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -1,23 +1,24 @@
 package balance
 
-// What latencies tell of service times. What follows from them the policy files decide.
-
 import "time"
 
+// maxEstimateSamples bounds the weight of the past in an estimate.
+const maxEstimateSamples = 20
+
 // estimate follows an uncontended latency.
 type estimate struct {
 	mean    float64 // seconds
-	samples float64 // samples, up to a limit
+	samples float64 // up to maxEstimateSamples
 }
 
-// add takes a latency in. One from a server known to be calm counts as it is; of others the low ones
-// count most, for queueing only ever adds, and an estimate that grew with it would make reports look
+// add takes a latency in seconds. One from a server known to be uncontended counts as it is; of others the
+// low ones count most, for queueing only ever adds, and an estimate that grew with it would make reports look
 // younger just when they age.
 func (e *estimate) add(latency float64, uncontended bool) {
 	if e.mean == 0 {
 		e.mean = latency
 	}
-	e.samples = min(e.samples+1, 20)
+	e.samples = min(e.samples+1, maxEstimateSamples)
 	gain := max(1/(e.samples+1), 0.05)
 	if !uncontended && latency > e.mean {
 		gain /= 5
@@ -25,6 +26,7 @@
 	e.mean += gain * (latency - e.mean)
 }
 
+// serviceTime is the estimate for a class on a kind of machine; a new one begins with that of the class.
 func (b *Balancer) serviceTime(class, kind int) *estimate {
 	for len(b.serviceTimesByKind[class]) <= kind {
 		b.serviceTimesByKind[class] = append(b.serviceTimesByKind[class],
@@ -61,7 +63,7 @@
 	return b.settings.Classes[class].Value / b.serviceTimes[class].mean
 }
 
-// meanValueRate is the same over the mix of classes seen.
+// meanValueRate is the same over the mix of classes observed.
 func (b *Balancer) meanValueRate() float64 {
 	sum, n := 0.0, 1e-9
 	for i, s := range b.serviceTimes {
--- /dev/null
+++ b/balance/health.go
@@ -0,0 +1,115 @@
+package balance
+
+import "time"
+
+const (
+	// failuresToEject failures in a row eject a server, or a class on a server: an error or a timeout alone
+	// happens to healthy ones too. Refused and broken connections eject at once.
+	failuresToEject = 3
+	// baseEjectionTime doubles with each ejection in a row, up to maxEjectionDoublings times, with jitter.
+	baseEjectionTime, maxEjectionDoublings = time.Second, 4
+	// errorEjectionTime is the base after an error where probes are costly.
+	errorEjectionTime = 10 * time.Second
+	// unresponsiveAfter so many service times in a queue without a response a server counts as unresponsive.
+	unresponsiveAfter = 4
+	// panicThreshold of the reachable servers stay eligible whatever their health: when more look unhealthy the
+	// cause is rarely the servers, and the others could not carry the load.
+	panicThreshold = 0.5
+	// halfOpenWeight is the weight of a server that had no success since its ejection.
+	halfOpenWeight = 0.1
+)
+
+// recordHealth takes the result of an attempt or a probe of s.
+func (b *Balancer) recordHealth(now time.Duration, s *server, result Result) {
+	threshold, ejectionTime := failuresToEject, baseEjectionTime
+	switch result {
+	case Done:
+		s.failures, s.ejections, s.halfOpen, s.unreachable = 0, 0, false, false
+		return
+	case Cancelled, Skipped, Rejected:
+		return // a server that rejects some requests takes others, and its ejection would overload the rest
+	case Error:
+		// A balancer of many sees few requests: it would observe three errors in a row too late.
+		if b.probesAreCostly() {
+			threshold, ejectionTime = 1, errorEjectionTime
+		}
+	case ConnRefused, Reset:
+		threshold = 1
+		s.unreachable = result == ConnRefused
+	}
+	if s.failures++; s.failures >= threshold && now >= s.ejectedUntil {
+		s.ejections++
+		s.halfOpen = true
+		s.ejectedUntil = now + b.jitter(ejectionTime<<min(s.ejections-1, maxEjectionDoublings))
+	}
+}
+
+// recordClassHealth takes the result of an attempt for the health of its class on its server.
+func (b *Balancer) recordClassHealth(now time.Duration, class *classHealth, result Result) {
+	switch result {
+	case Done:
+		class.unservedSince, class.failures, class.ejections = now, 0, 0
+	case Error, TimedOut:
+		if class.failures++; class.failures >= failuresToEject && now >= class.ejectedUntil {
+			class.ejections++
+			class.ejectedUntil = now +
+				b.jitter(baseEjectionTime<<min(class.ejections-1, maxEjectionDoublings))
+		}
+	}
+}
+
+// panicking reports whether so few servers are healthy that ejected ones are used, and how many are
+// reachable. What is unreachable is no part of the threshold: a balancer in a partitioned zone can't reach
+// most of the list, and the servers near it must do.
+func (b *Balancer) panicking(now time.Duration) (panicking bool, reachable int) {
+	healthy := 0
+	for _, s := range b.servers {
+		if now >= s.ejectedUntil {
+			healthy++
+		}
+		if !s.unreachable || now >= s.ejectedUntil {
+			reachable++
+		}
+	}
+	return float64(healthy) < panicThreshold*float64(reachable), reachable
+}
+
+// isEjected reports whether s gets no traffic at all.
+func (s *server) isEjected(now time.Duration, panicking bool, reachable int) bool {
+	return now < s.ejectedUntil && (!panicking || s.unreachable && reachable > 0)
+}
+
+// Ejected is how many of the listed servers that are up get no traffic now.
+func (b *Balancer) Ejected(now time.Duration) int {
+	panicking, reachable := b.panicking(now)
+	n := 0
+	for _, s := range b.servers {
+		if s.isEjected(now, panicking, reachable) {
+			n++
+		}
+	}
+	return n
+}
+
+// unresponsive reports whether s leaves the class of r unanswered: some unhealthy servers do, while other
+// classes and probes are served. At first only the missing responses show it; after failures a server gets a
+// single attempt at a time.
+func (b *Balancer) unresponsive(now time.Duration, r *request, s *server) bool {
+	class := &s.classes[r.Class]
+	if s.probing && now-s.probedAt > b.probeTimeout() && !b.probesAreQueued() {
+		return true
+	}
+	if class.outstanding == 0 {
+		return now < class.ejectedUntil
+	}
+	return now < class.ejectedUntil || class.failures >= failuresToEject ||
+		(now-class.unservedSince).Seconds() > b.unusualLatency(r, s)
+}
+
+// halfOpenFactor lets little through to a server that was ejected, until one success.
+func (s *server) halfOpenFactor() float64 {
+	if s.halfOpen {
+		return halfOpenWeight
+	}
+	return 1
+}
--- a/balance/heat.go
+++ b/balance/hotkeys.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// keyCounter follows which keys are asked for most, over the last seconds and within a bound.
-type keyCounter struct {
-	counts    map[uint64]float64 // by key, fading
-	total     float64            // of all keys
-	decayedAt time.Duration
-}
-
 const (
-	keyDecayInterval, keyDecayFactor = time.Second, 0.93 // half is forgotten after ten seconds
-	maxKeys                          = 4096
+	// keyDecayFactor is applied every keyDecayInterval: half is forgotten after ten seconds.
+	keyDecayInterval, keyDecayFactor = time.Second, 0.93
+	// minKeyCount is the count below which a key is forgotten, maxKeys how many are counted at once.
+	minKeyCount, maxKeys = 0.3, 4096
 	// priorRequests is how many requests of other keys are taken to have come before the first: one early
 	// repeat makes no key hot.
 	priorRequests = 30
 )
 
-// record takes in one request for a key and returns the part of all requests that the key had until then.
+// keyCounter follows which keys are requested most, over the last seconds and within a bound.
+type keyCounter struct {
+	counts    map[uint64]float64 // by key, decaying
+	total     float64            // of all keys
+	decayedAt time.Duration
+}
+
+// record takes one request for a key and returns the fraction of all requests that the key had until then.
 func (c *keyCounter) record(now time.Duration, key uint64) float64 {
 	if c.counts == nil {
 		c.counts, c.decayedAt = map[uint64]float64{}, now
@@ -26,7 +28,7 @@
 		c.decayedAt = now
 		c.total *= keyDecayFactor
 		for k, n := range c.counts {
-			if n *= keyDecayFactor; n < 0.3 {
+			if n *= keyDecayFactor; n < minKeyCount {
 				delete(c.counts, k)
 			} else {
 				c.counts[k] = n
--- a/balance/report.go
+++ b/balance/parsereport.go
@@ -1,14 +1,17 @@
 package balance
 
-// parseReport finds the requests held and waiting in a load report. An absurd row is dropped whole; where
-// only one of the two is told it stands for what is held.
+// maxReportedValue is the highest value that a report can have.
+const maxReportedValue = 1e9
+
+// parseReport finds the requests in flight and queued in a load report. A report with an absurd value is
+// dropped altogether; where it has only one of the two, that one stands for the requests in flight.
 func parseReport(fields []ReportField, values []float64) (inFlight, queued float64, ok bool) {
 	if len(values) < len(fields) {
 		return 0, 0, false
 	}
 	hasInFlight := false
 	for i, field := range fields {
-		if !(values[i] >= 0 && values[i] <= 1e9) {
+		if !(values[i] >= 0 && values[i] <= maxReportedValue) {
 			return 0, 0, false
 		}
 		switch field {
--- /dev/null
+++ b/balance/reports.go
@@ -0,0 +1,51 @@
+package balance
+
+import "time"
+
+const (
+	// unknownReportAge is the age, in service times, that makes any difference between servers vanish.
+	unknownReportAge = 1e9
+	// reportTTL is how long a report says as much as a new one would: servers refresh theirs less often, and
+	// what was sent since is known.
+	reportTTL = 80 * time.Millisecond
+)
+
+// recordReport takes a load report of s.
+func (b *Balancer) recordReport(now time.Duration, s *server, values []float64) {
+	inFlight, queued, ok := parseReport(b.settings.ReportFields, values)
+	if !ok {
+		return
+	}
+	s.inFlight, s.queued, s.reportedAt, s.hasReport = inFlight, queued, now, true
+	s.reportSeq, s.sentSinceReport = s.reportSeq+1, 0
+	if b.reportLag() == 0 && !b.probesAreCostly() {
+		b.recordQueueDelay(now, b.queueDelayBehind(inFlight), 0.1)
+	}
+}
+
+// hasFreshReport reports whether the last report of s is as good as one of this moment.
+func (b *Balancer) hasFreshReport(now time.Duration, s *server) bool {
+	return s.hasReport && now-s.reportedAt <= max(reportTTL, 2*b.settings.Tick)
+}
+
+// reportLag is by how much reports look older than they came, in seconds. No report has its age with it.
+// Where outcomes keep to the forecast of fresh reports there is no lag; where most are far later, on one
+// server after the other, the reports are late, and following them as fresh makes all balancers herd. One
+// slow server does not raise enough doubt.
+func (b *Balancer) reportLag() float64 { return 4 * max(0, b.forecastMissRate-0.3) }
+
+// compareToReport compares the latency of an attempt with the forecast of the report before it.
+func (b *Balancer) compareToReport(r *request, a *attempt, latency time.Duration, result Result) {
+	forecast := max((a.requestsAhead+1)/b.concurrency/b.capacity(r.Class, a.server), 1) *
+		float64(b.expectedServiceTime(r))
+	late := 0.0
+	if float64(latency) > 2*forecast {
+		if late = 1; a.server == b.lastForecastMiss {
+			return // one unhealthy server says nothing of the reports of the others
+		}
+		b.lastForecastMiss = a.server
+	} else if result == TimedOut {
+		return // ended too early to say
+	}
+	b.forecastMissRate += 0.15 * (late - b.forecastMissRate)
+}
--- /dev/null
+++ b/balance/requests.go
@@ -0,0 +1,288 @@
+package balance
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// retryBudgetRatio is how many retries and hedged attempts a request may add on average: enough for
+	// scattered failures, too few to feed an overload. retryBudgetBurst is how many may come at once.
+	retryBudgetRatio, retryBudgetBurst = 0.2, 10.0
+	// maxDeferrals is how often a request waits for a server to be listed.
+	maxDeferrals = 8
+	// deferralTime is how long it waits each time, on average.
+	deferralTime = 100 * time.Millisecond
+)
+
+// Request takes a request that must get one final response.
+func (b *Balancer) Request(now time.Duration, q Request, actions []Action) []Action {
+	if b.requests[q.ID] != nil {
+		return actions
+	}
+	if q.Class < 0 || q.Class >= len(b.settings.Classes) {
+		return append(actions, Action{Kind: Reject, ID: q.ID})
+	}
+	b.seq++
+	r := &request{Request: q, seq: b.seq, receivedAt: now}
+	if q.HasKey && b.probesAreCostly() {
+		r.keyFraction = b.hotKeys.record(now, q.Key)
+	}
+	b.requests[q.ID], b.bySeq[r.seq] = r, r
+	b.retryBudget = min(b.retryBudget+retryBudgetRatio, retryBudgetBurst)
+	if q.Work > 0 {
+		b.hintedWork[q.Class].add(q.Work.Seconds(), true)
+	}
+	return b.nextAttempt(now, r, actions)
+}
+
+// nextAttempt starts the next attempt of r, defers it for probes or for want of servers, or gives it up.
+func (b *Balancer) nextAttempt(now time.Duration, r *request, actions []Action) []Action {
+	remaining := r.Deadline - now
+	if remaining <= b.settings.Tick {
+		return b.giveUp(now, r, actions)
+	}
+	servers := b.eligible(now, r)
+	if len(servers) == 0 {
+		if b.dedupServer(r) != nil || r.deferrals >= maxDeferrals {
+			return b.giveUp(now, r, actions)
+		}
+		r.deferrals++ // a list may still come
+		wait := min(remaining-b.settings.Tick, b.jitter(deferralTime))
+		return append(actions, b.timer(wait, timerDeferred, r.seq))
+	}
+	if b.settings.MayProbe && !r.probingDecided {
+		r.probingDecided = true
+		if b.probesAreCostly() {
+			// None are sent where the request is given up all the same.
+			if len(r.attempts) == 0 &&
+				r.isRejectedByDraw(b.rng, 2*b.rejectFraction(r, b.fleetQueueDelay(now))-1) {
+				return b.giveUp(now, r, actions)
+			}
+			b.preferAffinityCell(r, servers)
+			r.sample = r.sample[:0]
+			actions = b.probeOneMore(now, r, servers, actions)
+		} else {
+			actions = b.probeSample(now, r, servers, actions)
+		}
+		if r.pendingProbes > 0 {
+			return actions
+		}
+	}
+	return b.startAttempt(now, r, actions)
+}
+
+// startAttempt selects a server and sends an attempt there, or gives r up.
+func (b *Balancer) startAttempt(now time.Duration, r *request, actions []Action) []Action {
+	servers := b.eligible(now, r)
+	if n := len(r.sample); n > 0 && b.probesAreCostly() &&
+		!(b.hasFreshReport(now, r.sample[n-1]) && b.isIdle(now, r.sample[n-1])) {
+		if actions = b.probeOneMore(now, r, servers, actions); r.pendingProbes > 0 {
+			return actions
+		}
+	}
+	sample := r.takeSample(now, servers)
+	if len(servers) == 0 {
+		return b.nextAttempt(now, r, actions)
+	}
+	s := b.selectServer(now, r, servers, sample)
+	deadline := b.attemptDeadline(r)
+	if s == nil || now >= deadline || len(r.attempts) == 0 && b.shouldReject(now, r, s) ||
+		r.outstanding > 0 && r.hasAttempted(s) {
+		return b.giveUp(now, r, actions)
+	}
+	return b.sendAttempt(now, r, s, deadline, actions)
+}
+
+// takeSample ends the sampling of r: it returns the servers sampled that are still eligible, without those
+// that did not answer their probe in time, which are out of reach or unhealthy, unless none answered.
+func (r *request) takeSample(now time.Duration, eligible []*server) []*server {
+	if len(r.sample) == 0 {
+		return nil
+	}
+	sample := slices.DeleteFunc(r.sample, func(s *server) bool { return !slices.Contains(eligible, s) })
+	r.sample = nil
+	reporting := slices.DeleteFunc(slices.Clone(sample), func(s *server) bool {
+		return !s.hasReport || now-s.reportedAt > reportTTL
+	})
+	if len(reporting) > 0 {
+		return reporting
+	}
+	return sample
+}
+
+// sendAttempt starts an attempt of r on s.
+func (b *Balancer) sendAttempt(now time.Duration, r *request, s *server, deadline time.Duration,
+	actions []Action) []Action {
+	s.outstanding++
+	s.sentSinceReport++
+	s.classes[r.Class].attemptStarted(now)
+	r.outstanding++
+	freshReport := b.hasFreshReport(now, s)
+	// A server may share its cores between many requests: that none is queued is not yet uncontended.
+	uncontended := freshReport && s.queued == 0 && s.inFlight+float64(s.sentSinceReport) <= 2 &&
+		b.reportLag() == 0
+	r.attempts = append(r.attempts, attempt{server: s, sentAt: now, reportSeq: s.reportSeq,
+		requestsAhead: s.inFlight + float64(s.sentSinceReport-1),
+		freshReport:   freshReport, uncontended: uncontended, mayHaveRun: true})
+	actions = append(actions, Action{Kind: Send, ID: r.ID, Server: s.ID, Wait: b.attemptTimeout(now, r),
+		StartWithin: deadline - now})
+	if b.settings.MayHedge && b.settings.Classes[r.Class].Effect == Idempotent {
+		wait := time.Duration(b.unusualLatency(r, s) * 1e9)
+		if now+wait+b.expectedServiceTime(r) < r.receivedAt+b.latencyTarget(r) {
+			actions = append(actions, b.timer(wait, timerHedge, r.seq))
+		}
+	}
+	return actions
+}
+
+// hedge sends a second attempt beside one whose response is out for unusually long, where that is harmless.
+// It draws on the retry budget, so that in an overload there are few.
+func (b *Balancer) hedge(now time.Duration, r *request, actions []Action) []Action {
+	if r.finished || r.outstanding != 1 || b.retryBudget < 1 || now >= b.attemptDeadline(r) {
+		return actions
+	}
+	b.retryBudget--
+	return b.startAttempt(now, r, actions)
+}
+
+// Outcome takes how an attempt ended.
+func (b *Balancer) Outcome(now time.Duration, o Outcome, actions []Action) []Action {
+	r := b.requests[o.ID]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
+		return actions
+	}
+	b.recordOutcome(now, r, &o)
+	if r.finished || o.Final {
+		b.finish(r)
+		return b.cancelOutstanding(r, actions)
+	}
+	if r.outstanding > 0 {
+		return actions
+	}
+	if !b.mayRetry(now, r, o.Result) {
+		return b.giveUp(now, r, actions)
+	}
+	b.retryBudget--
+	r.probingDecided = false
+	return b.nextAttempt(now, r, actions)
+}
+
+// recordOutcome takes what the end of an attempt shows of its server.
+func (b *Balancer) recordOutcome(now time.Duration, r *request, o *Outcome) {
+	a := &r.attempts[o.Attempt]
+	s := a.server
+	a.ended, a.mayHaveRun = true, !o.Result.neverRan()
+	s.outstanding--
+	if a.reportSeq == s.reportSeq {
+		s.sentSinceReport--
+	}
+	r.outstanding--
+	if o.Report != nil {
+		b.recordReport(now, s, o.Report)
+	}
+	class := &s.classes[r.Class]
+	if !a.uploading {
+		class.outstanding--
+	}
+	b.recordClassHealth(now, class, o.Result)
+	b.recordHealth(now, s, o.Result)
+	b.recordLatency(now, r, a, o.Latency, o.Result)
+}
+
+// mayRetry reports whether r, whose last attempt ended with result, may have another one. One that can't earn
+// anything any more would only feed an overload.
+func (b *Balancer) mayRetry(now time.Duration, r *request, result Result) bool {
+	if result == Skipped || result == Done || b.retryBudget < 1 || now >= b.attemptDeadline(r) {
+		return false
+	}
+	return b.settings.Classes[r.Class].LateValue != 0 ||
+		now+b.expectedServiceTime(r) <= r.receivedAt+b.latencyTarget(r)
+}
+
+// giveUp gives r its final response, unless an attempt is outstanding that may bring one. A rejection says
+// when to come back: an overload dissolves over several times the queue delay that it causes.
+func (b *Balancer) giveUp(now time.Duration, r *request, actions []Action) []Action {
+	if r.outstanding > 0 {
+		return actions
+	}
+	response := Action{Kind: Reject, ID: r.ID}
+	if b.settings.SendsRetryAfter {
+		response.Wait = min(b.jitter(4*time.Duration(b.recentQueueDelay(now)*1e9)), b.settings.MaxRetryAfter)
+	}
+	c := &b.settings.Classes[r.Class]
+	for i := range r.attempts {
+		// A rejection says that a retry is harmless: only where nothing ran, or repeats are dropped.
+		if r.attempts[i].mayHaveRun &&
+			(c.Effect == AtMostOnce || c.Effect == Deduplicated && c.DedupScope != DedupFleet) {
+			response.Kind, response.Wait = Fail, 0
+		}
+	}
+	b.finish(r)
+	return append(actions, response)
+}
+
+// StreamStarted reports that the response of an attempt has begun: its request needs nothing more.
+func (b *Balancer) StreamStarted(now time.Duration, id string, attempt int, actions []Action) []Action {
+	if r := b.requests[id]; r != nil && !r.finished && attempt >= 0 && attempt < len(r.attempts) {
+		b.finish(r)
+	}
+	return actions
+}
+
+// ClientGone reports that the client does not wait any longer.
+func (b *Balancer) ClientGone(now time.Duration, id string, actions []Action) []Action {
+	if r := b.requests[id]; r != nil && !r.finished {
+		b.finish(r)
+		return b.cancelOutstanding(r, actions)
+	}
+	return actions
+}
+
+// cancelOutstanding withdraws the attempts of a finished request that have no outcome yet.
+func (b *Balancer) cancelOutstanding(r *request, actions []Action) []Action {
+	for i := range r.attempts {
+		if !r.attempts[i].ended && b.settings.MayCancel {
+			actions = append(actions, Action{Kind: Cancel, ID: r.ID, Attempt: i})
+		}
+	}
+	return actions
+}
+
+// latencyTarget is how soon after its start a response to r earns the full value.
+func (b *Balancer) latencyTarget(r *request) time.Duration {
+	c := &b.settings.Classes[r.Class]
+	return c.LatencyTarget + time.Duration(c.TargetPerWork*float64(r.Work))
+}
+
+// attemptTimeout is how long an attempt is waited for, 0 without limit: a response that earns nothing is not
+// worth a position in a queue.
+func (b *Balancer) attemptTimeout(now time.Duration, r *request) time.Duration {
+	c := &b.settings.Classes[r.Class]
+	if c.Stream || c.LateValue > 0 {
+		return 0
+	}
+	return max(b.latencyTarget(r)+c.LatencyTarget/8-(now-r.receivedAt), 2*b.settings.Tick)
+}
+
+// attemptDeadline is the time before which the rules allow one more attempt to begin; 0 where they allow
+// none.
+func (b *Balancer) attemptDeadline(r *request) time.Duration {
+	if r.bodyConsumed || len(r.attempts) >= b.settings.MaxAttempts || r.outstanding > 0 && !b.settings.MayHedge {
+		return 0
+	}
+	c, deadline := &b.settings.Classes[r.Class], r.Deadline
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if !a.mayHaveRun {
+			continue
+		}
+		switch c.Effect {
+		case AtMostOnce:
+			return 0
+		case Deduplicated:
+			deadline = min(deadline, a.sentAt+c.DedupWindow-2*b.settings.Tick)
+		}
+	}
+	return deadline
+}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -21,7 +21,6 @@
 	class    int
 	deadline time.Duration
 	final    bool
-	gone     bool // ended before this batch of events
 	sends    []watchedSend
 }
 
--- /dev/null
+++ b/balance/selection.go
@@ -0,0 +1,207 @@
+package balance
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// assumedLoad is the arrival rate a server is taken to have, as a fraction of what it can do. The paper
+	// advises a high value: to underestimate it makes herds, to overestimate it costs little.
+	assumedLoad = 1.0
+	// slowStartMargin divides the multiple of its capacity at which a server in slow start collapses. All
+	// balancers act alike, so what each sends to such a server adds up to its part of all arrivals. With
+	// arrivals at what the fleet can do, it gets 1/slowStartMargin of that multiple; the rest is for bursts,
+	// overload, retries and chance. slowStartSampleMargin is the same where servers are probed one by one and
+	// busy ones passed over.
+	slowStartMargin, slowStartSampleMargin = 8, 4
+	// busySampleDivisor makes a server that was busy less than busyMemory ago come up less in samples: one that
+	// got slow stays so for seconds.
+	busySampleDivisor, busyMemory = 4, time.Second
+)
+
+// selectServer draws one of the sample or, where that is empty, of all eligible servers by Basic LI. It is
+// nil where caps of servers in slow start leave the request to none.
+func (b *Balancer) selectServer(now time.Duration, r *request, eligible, sample []*server) *server {
+	var capacity fleetCapacity
+	for _, s := range eligible {
+		c := b.capacity(r.Class, s)
+		capacity.full += c
+		capacity.now += c * b.slowStartFactor(now, s)
+	}
+	if len(sample) > 0 {
+		arrivals := b.weighCandidates(now, r, sample, capacity, true)
+		waterFill(b.candidates, arrivals)
+		if drawn := b.draw(); drawn != nil {
+			return drawn.server
+		}
+		// A sample of servers in slow start may not take it; the others may.
+	}
+	arrivals := b.weighCandidates(now, r, eligible, capacity, false)
+	waterFill(b.candidates, arrivals)
+	if drawn := b.draw(); drawn != nil {
+		return drawn.server
+	}
+	return nil
+}
+
+// weighCandidates sets up the candidates for one request, with weight, level and cap, and returns the
+// arrivals to spread over them, in requests by weight.
+func (b *Balancer) weighCandidates(now time.Duration, r *request, servers []*server, capacity fleetCapacity,
+	sampled bool) float64 {
+	typicalLoad, reportAge := b.summarizeReports(now, servers)
+	b.candidates = b.candidates[:0]
+	totalWeight, homeWeight := 0.0, 0.0
+	for _, s := range servers {
+		slowStart := b.slowStartFactor(now, s)
+		weight := b.capacity(r.Class, s) * slowStart * s.halfOpenFactor()
+		c := candidate{server: s, weight: weight, maxProbability: 1}
+		if s.hasReport {
+			c.level = s.inFlight + float64(s.sentSinceReport)
+		} else {
+			c.level = typicalLoad + float64(s.outstanding)
+		}
+		c.level /= c.weight
+		if s.Zone == b.settings.Zone {
+			homeWeight += c.weight
+		}
+		if s == r.affinityServer {
+			// A request for a cached key takes less work, here and of the fleet: worth as much as one service time
+			// more to wait, and twice the weight where levels say nothing.
+			c.level -= b.concurrency
+			c.weight *= 2
+		}
+		if slowStart < 1 && !(sampled && b.probesAreCostly()) { // that was capped when it was sampled
+			c.maxProbability = b.settings.CollapseMultiple / slowStartMargin * c.weight / capacity.full
+			if sampled { // it comes up by its weight
+				c.maxProbability /= min(1, float64(len(servers))*c.weight/capacity.now)
+			}
+		}
+		totalWeight += c.weight
+		b.candidates = append(b.candidates, c)
+	}
+	arrivals := reportAge * assumedLoad * totalWeight * b.concurrency
+	if homeWeight > 0 {
+		b.penalizeOtherZones(b.crossZonePenalty(now, r, arrivals/homeWeight))
+	}
+	return arrivals
+}
+
+// summarizeReports returns the mean load in the reports of servers, in requests, and their mean age beyond
+// reportTTL in service times.
+func (b *Balancer) summarizeReports(now time.Duration, servers []*server) (typicalLoad, reportAge float64) {
+	known, age := 0.0, 0.0
+	for _, s := range servers {
+		if s.hasReport {
+			known++
+			typicalLoad += s.inFlight
+			age += max(now-s.reportedAt-reportTTL, 0).Seconds() // as good as new until then
+		}
+	}
+	if known == 0 {
+		return 0, unknownReportAge
+	}
+	return typicalLoad / known, (age/known + b.reportLag()) / b.meanServiceTime()
+}
+
+// penalizeOtherZones raises the levels of candidates that are not in this balancer's zone.
+func (b *Balancer) penalizeOtherZones(penalty float64) {
+	for i := range b.candidates {
+		if b.candidates[i].server.Zone != b.settings.Zone {
+			b.candidates[i].level += penalty
+		}
+	}
+}
+
+// crossZonePenalty is how much higher levels may be at home before another zone is worth its cost: a wait of
+// one latency target loses the whole value, so a cost is as much of a target, counted in service times. Old
+// levels can't show what is worth it, so with age the arrivals of a whole report interval stay at home too,
+// except as far as requests lately had a queue delay that takes up much of their target.
+func (b *Balancer) crossZonePenalty(now time.Duration, r *request, arrivals float64) float64 {
+	if b.settings.Costs.CrossZone <= 0 {
+		return 0
+	}
+	target := b.latencyTarget(r).Seconds()
+	allowed := min(max(b.recentQueueDelay(now)/target-0.1, 0)/0.4, 1)
+	return b.settings.Costs.CrossZone*target/b.serviceTimes[r.Class].mean*b.concurrency + arrivals*(1-allowed)
+}
+
+// sample appends up to count of the servers to chosen, drawn by weight, so that those in slow start come up
+// less.
+func (b *Balancer) sample(now time.Duration, r *request, servers []*server, count int,
+	chosen []*server) []*server {
+	for range count {
+		if s := b.sampleOne(now, r, servers, chosen); s != nil {
+			chosen = append(chosen, s)
+		}
+	}
+	return chosen
+}
+
+// sampleOne draws one of the servers that are not in chosen. Where probes are costly, those in slow start are
+// capped in relation to the others: where there are no others, it is nil.
+func (b *Balancer) sampleOne(now time.Duration, r *request, servers, chosen []*server) *server {
+	costly := b.probesAreCostly()
+	b.candidates = b.candidates[:0]
+	warmSum, slowStartSum, capacity := 0.0, 0.0, 0.0
+	for _, s := range servers {
+		if slices.Contains(chosen, s) {
+			continue
+		}
+		c := b.sampleCandidate(now, r, s)
+		capacity += b.capacity(r.Class, s)
+		if !costly || b.slowStartFactor(now, s) == 1 {
+			warmSum += c.probability
+		}
+		b.candidates = append(b.candidates, c)
+	}
+	for i := range b.candidates {
+		if c := &b.candidates[i]; costly && b.slowStartFactor(now, c.server) < 1 {
+			limit := warmSum * b.settings.CollapseMultiple / slowStartSampleMargin * c.weight / capacity
+			c.probability = min(c.probability, limit)
+			slowStartSum += c.probability
+		}
+	}
+	if drawn := b.drawUpTo(warmSum + slowStartSum); drawn != nil {
+		return drawn.server
+	}
+	return nil
+}
+
+// sampleCandidate is s with its weight in a sample, not yet capped; probabilities are in relation to their
+// sum.
+func (b *Balancer) sampleCandidate(now time.Duration, r *request, s *server) candidate {
+	weight := b.capacity(r.Class, s) * b.slowStartFactor(now, s) * s.halfOpenFactor()
+	if b.probesAreCostly() && s.hasReport && now-s.reportedAt < busyMemory && !b.isIdle(now, s) {
+		weight /= busySampleDivisor
+	}
+	c := candidate{server: s, weight: weight, probability: weight}
+	if r.affinityBoost > 0 && s.Cell == r.affinityCell {
+		c.probability *= r.affinityBoost
+	}
+	return c
+}
+
+// draw selects one of the candidates at random by their probabilities, nil where caps leave the request to
+// none.
+func (b *Balancer) draw() *candidate {
+	sum := 0.0
+	for i := range b.candidates {
+		sum += b.candidates[i].probability
+	}
+	if sum < 1-1e-6 {
+		sum = 1 // all caps together leave a part that no server may take
+	}
+	return b.drawUpTo(sum)
+}
+
+// drawUpTo draws a point below sum and selects the candidate that it falls on, nil where it falls beyond all.
+func (b *Balancer) drawUpTo(sum float64) *candidate {
+	point := b.rng.Float64() * sum
+	for i := range b.candidates {
+		if point -= b.candidates[i].probability; point < 0 {
+			return &b.candidates[i]
+		}
+	}
+	return nil
+}
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,16 +1,14 @@
-package balance
+// This file has the state of a Balancer and small steps on it, and decides nothing.
 
-// What a Balancer remembers, and the check of its settings. Every decision is in the policy files.
+package balance
 
 import (
-	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
 )
 
-// Balancer decides for one client process. It is not safe for concurrent use.
+// Balancer decides for one client proxy. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
@@ -22,137 +20,106 @@
 
 	serviceTimes       []estimate   // by class
 	serviceTimesByKind [][]estimate // by class and kind of machine
-	hintedWork         []estimate   // expected work told with the requests, by class
+	hintedWork         []estimate   // expected work that requests were given, by class
 	concurrency        float64      // requests a server works on at once
-	meanRating         float64      // mean rating of the servers listed
-	retryBudget        float64      // further attempts allowed now
-	queueDelay         float64      // what requests lately met beyond their service time, in seconds
+	meanRating         float64      // of the servers listed
+	retryBudget        float64      // retries and hedged attempts allowed now
+	queueDelay         float64      // recent latency beyond the service time, in seconds
 	queueDelayAt       time.Duration
 	probeTime          float64 // how long probes take, in seconds
-	lastForecastMiss   *server // the last one that did what its report did not foretell
-	forecastMissRate   float64 // part of late outcomes that fresh reports did not foretell
+	lastForecastMiss   *server // the last one whose latency its report did not foretell
+	forecastMissRate   float64 // fraction of outcomes that were late against their fresh reports
 	listFailures       int     // calls to the registry failed in a row
 
 	hotKeys      keyCounter
-	busyFraction float64 // part of the servers asked lately that were not idle
+	busyFraction float64 // of the servers probed lately, those that were not idle
 
-	eligibleBuf []*server   // scratch
-	candidates  []candidate // scratch
+	eligibleBuf []*server   // result of eligible, reused
+	candidates  []candidate // of the selection at hand, reused
 }
 
-// server is one line of the list with what this balancer has seen of it.
+// server is one entry of the list with what this balancer has observed of it.
 type server struct {
 	Server
 	inFlight, queued float64       // at the last report
 	reportedAt       time.Duration // when it came
 	hasReport        bool
-	reportSeq        int // counts reports, to tell which attempts the last one cannot have seen
-	sentSinceReport  int // own attempts out that were sent after the last report
-	outstanding      int // own attempts out
+	reportSeq        int // counts reports, to tell which attempts the last one can't include
+	sentSinceReport  int // own outstanding attempts that were sent after the last report
+	outstanding      int // own attempts
 
 	failures     int           // in a row
 	ejections    int           // in a row without a success between
 	ejectedUntil time.Duration // no traffic until then
 	halfOpen     bool          // ejected before, and no success since
-	unreachable  bool          // it could not be reached when last tried
+	unreachable  bool          // the last attempt found no connection
 	classes      []classHealth // by class
 
 	probing  bool
-	probedAt time.Duration // when its probe set off
-	waiters  []*request    // requests held until its probe returns
+	probedAt time.Duration // when its probe was sent
+	waiters  []*request    // requests deferred until its probe returns
 }
 
-// classHealth is what a server does with one class.
+// classHealth is how a server serves one class.
 type classHealth struct {
-	outstanding   int           // own attempts out
-	unservedSince time.Duration // nothing was served since then, while some were out
+	outstanding   int           // own attempts
+	unservedSince time.Duration // nothing was served since then, while some were outstanding
 	failures      int           // in a row
 	ejections     int           // in a row without a success between
 	ejectedUntil  time.Duration // none of this class until then
 }
 
-type attempt struct {
-	server        *server
-	sentAt        time.Duration
-	reportSeq     int
-	requestsAhead float64 // requests met there, as far as known
-	freshReport   bool    // a report of that moment told the level
-	uncontended   bool    // and that nothing waited
-	ended         bool
-	mayHaveRun    bool // it may have run, as far as is known
+// attemptStarted counts one more outstanding attempt.
+func (h *classHealth) attemptStarted(now time.Duration) {
+	if h.outstanding++; h.outstanding == 1 {
+		h.unservedSince = now
+	}
+}
 
-	uploading bool // its request is not whole yet, and not counted in its class's health
+// newServer is a server of which nothing is known yet.
+func (b *Balancer) newServer(s Server) *server {
+	return &server{Server: s, classes: make([]classHealth, len(b.settings.Classes))}
+}
+
+func (b *Balancer) removeServer(id ServerID) {
+	if s := b.byID[id]; s != nil {
+		delete(b.byID, id)
+		b.servers = slices.DeleteFunc(b.servers, func(o *server) bool { return o == s })
+	}
 }
 
+// request is one that has no final response yet, or whose attempts are still outstanding.
 type request struct {
 	Request
-	seq            uint64
-	receivedAt     time.Duration
-	attempts       []attempt
-	outstanding    int // attempts without an outcome
-	sample         []*server
-	affinityServer *server // where its key is likeliest warm
-	pendingProbes  int     // probes it waits for
+	seq         uint64
+	receivedAt  time.Duration
+	attempts    []attempt
+	outstanding int // attempts without an outcome
+	deferrals   int // times it was deferred for lack of servers
+	finished    bool
+	rejectDraw  float64 // from 0 to 1, 0 before the draw; the less, the sooner it is rejected
+
+	sample         []*server // servers to select from, probed or with fresh reports
+	pendingProbes  int       // probes it waits for
 	probingDecided bool
-	withoutProbe   bool    // sent without asking
-	deferrals      int     // times it was held for lack of servers
-	rejectDraw     float64 // from 0 to 1; the less, the sooner it is refused
-	keyFraction    float64 // part of all requests that its key has
-	affinityCell   int     // where its key is likeliest warm
+	withoutProbe   bool // sent without a probe though probes are allowed
+	affinityServer *server
+	affinityCell   int     // where its key is likeliest cached
 	affinityBoost  float64 // how much that cell is preferred, 0 where it is not
-	finished       bool
-	bodyConsumed   bool // not held any more, so no other attempt can be made
+	keyFraction    float64 // of all requests that have its key
+	bodyConsumed   bool    // its body is not retained any more, so there can be no other attempt
 }
 
-type candidate struct {
-	server         *server
-	weight         float64 // capacity now, relative
-	level          float64 // load a request meets there, by weight
-	maxProbability float64 // most it may be given
-	probability    float64
-	capped         bool
-	index          int // of the row before it was sorted, where Fill asks
-}
-
-func validate(settings *Settings) error {
-	if len(settings.Classes) == 0 {
-		return fmt.Errorf("settings: Classes is empty")
-	}
-	for i, c := range settings.Classes {
-		if c.LatencyTarget <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 {
-			return fmt.Errorf("settings: Classes[%d]: LatencyTarget and Deadline must be above 0, DedupWindow not below", i)
-		}
-		if !(c.Value >= 0) || math.IsInf(c.Value, 0) || !(c.LateValue >= 0 && c.LateValue <= 1) ||
-			!(c.TargetPerWork >= 0) || math.IsInf(c.TargetPerWork, 0) {
-			return fmt.Errorf("settings: Classes[%d]: Value, LateValue or TargetPerWork out of range", i)
-		}
-	}
-	for name, d := range map[string]time.Duration{
-		"Tick": settings.Tick, "RegistryInterval": settings.RegistryInterval, "DrainGrace": settings.DrainGrace,
-		"ResponseGrace": settings.ResponseGrace, "SlowStartWindow": settings.SlowStartWindow,
-		"CollapseAfter": settings.CollapseAfter, "MaxRetryAfter": settings.MaxRetryAfter,
-		"DialTimeout": settings.DialTimeout} {
-		if d < 0 {
-			return fmt.Errorf("settings: %s is negative", name)
-		}
-	}
-	if !(settings.SlowStartMin >= 0 && settings.SlowStartMin <= 1) {
-		return fmt.Errorf("settings: SlowStartMin is not from 0 to 1")
-	}
-	if !(settings.CollapseMultiple >= 0) || math.IsInf(settings.CollapseMultiple, 0) {
-		return fmt.Errorf("settings: CollapseMultiple is not a number from 0 on")
+// isRejectedByDraw draws once for a request and reports, each time it is asked, whether the request is in
+// such a fraction.
+func (r *request) isRejectedByDraw(rng *rand.Rand, fraction float64) bool {
+	if r.rejectDraw == 0 {
+		r.rejectDraw = 1 - rng.Float64()
 	}
-	return nil
-}
-
-// mix scatters the bits of a key and a server.
-func mix(x uint64) uint64 {
-	x = (x ^ x>>31) * 0x7fb5d329728ea185
-	x = (x ^ x>>27) * 0x81dadef4bc2dd44d
-	return x ^ x>>33
+	return r.rejectDraw < fraction
 }
 
-// hasAttempted tells whether an attempt went to s.
+// hasAttempted reports whether an attempt went to s.
 func (r *request) hasAttempted(s *server) bool {
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
@@ -162,13 +129,7 @@
 	return false
 }
 
-func (b *Balancer) removeServer(id ServerID) {
-	if s := b.byID[id]; s != nil {
-		delete(b.byID, id)
-		b.servers = slices.DeleteFunc(b.servers, func(o *server) bool { return o == s })
-	}
-}
-
+// finish marks r as answered and removes it once no attempt is outstanding.
 func (b *Balancer) finish(r *request) {
 	r.finished = true
 	delete(b.bySeq, r.seq)
@@ -177,10 +138,41 @@
 	}
 }
 
+// attempt is one sending of a request to a server.
+type attempt struct {
+	server        *server
+	sentAt        time.Duration
+	reportSeq     int     // of the server's last report when it was sent
+	requestsAhead float64 // in flight at the server, as far as known
+	freshReport   bool    // a report of that moment says so
+	uncontended   bool    // and that nothing was queued
+	ended         bool
+	mayHaveRun    bool // as far as is known
+	uploading     bool // its body is not complete yet, and it does not count in its class's health
+}
+
+// candidate is a server that an attempt may be sent to.
+type candidate struct {
+	server         *server
+	weight         float64 // capacity now, relative
+	level          float64 // load that a request finds there, by weight
+	maxProbability float64
+	probability    float64 // of its selection
+	capped         bool    // its probability is at the maximum
+	index          int     // before sorting, where WaterFill needs it
+}
+
+// fleetCapacity is the capacity of all servers eligible for a request.
+type fleetCapacity struct {
+	full float64 // were they all past their slow start
+	now  float64 // in slow start as far as they are
+}
+
+// The kinds of timers, the lowest two bits of a token; the others are the sequence number of a request.
 const (
-	timerDeferred = iota
-	timerFollow
-	timerHedge
+	timerDeferred = iota // a request waits for probes or for servers
+	timerFollow          // the registry is to be followed
+	timerHedge           // an attempt takes unusually long
 )
 
 func (b *Balancer) timer(wait time.Duration, kind int, seq uint64) Action {
@@ -191,12 +183,3 @@
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + b.rng.Float64()) * float64(d))
 }
-
-// isRejectedByDraw draws once for a request and tells, each time it is asked, whether it is among such a
-// part.
-func (r *request) isRejectedByDraw(rng *rand.Rand, fraction float64) bool {
-	if r.rejectDraw == 0 {
-		r.rejectDraw = 1 - rng.Float64()
-	}
-	return r.rejectDraw < fraction
-}
--- a/balance/stream.go
+++ b/balance/upload.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// BodyConsumed says that a request is not held any more: part of it went to the server of the attempt that
-// is out, and nobody has that part now. What comes of the attempt is unknown only from Whole on, so the
-// server is not taken for one that leaves its class unanswered meanwhile.
+// BodyConsumed reports that the body of a request is not retained any more: part of it went to the server of
+// the outstanding attempt and is lost for another one. What comes of the attempt is unknown only from
+// BodySent on, so the server does not count as unresponsive for the class meanwhile.
 func (b *Balancer) BodyConsumed(id string) {
 	r := b.requests[id]
 	if r == nil || r.bodyConsumed {
@@ -19,7 +19,8 @@
 	}
 }
 
-// BodySent says that the last byte of a request that was Spent is sent. Its time counts from now.
+// BodySent reports that the last byte of a request after BodyConsumed is sent. Its time counts from now, up
+// to the deadline.
 func (b *Balancer) BodySent(now time.Duration, id string, deadline time.Duration) {
 	r := b.requests[id]
 	if r == nil {
@@ -32,9 +33,6 @@
 			continue
 		}
 		a.uploading, a.sentAt = false, now
-		class := &a.server.classes[r.Class]
-		if class.outstanding++; class.outstanding == 1 {
-			class.unservedSince = now
-		}
+		a.server.classes[r.Class].attemptStarted(now)
 	}
 }
--- a/balance/waterfill.go
+++ b/balance/waterfill.go
@@ -1,18 +1,66 @@
 package balance
 
+import (
+	"cmp"
+	"slices"
+)
+
 // WaterFill returns for each server the probability with which it takes the next request, by equation 4 of
-// the paper with weights: arrivals rise like water over the levels, lowest first, and a server's share is
-// what it takes of them. Levels and arrive are in one unit; a weight is a server's speed relative to the
-// others.
+// the paper with weights: arrivals rise like water over the levels, lowest first, and the part of them that a
+// server takes is its probability. Levels and arrivals are in one unit; a weight is a server's speed relative
+// to the others.
 func WaterFill(levels, weights []float64, arrivals float64) []float64 {
-	servers := make([]candidate, len(levels))
-	for i := range servers {
-		servers[i] = candidate{level: levels[i], weight: weights[i], maxProbability: 1, index: i}
+	candidates := make([]candidate, len(levels))
+	for i := range candidates {
+		candidates[i] = candidate{level: levels[i], weight: weights[i], maxProbability: 1, index: i}
 	}
-	waterFill(servers, arrivals)
-	probabilities := make([]float64, len(servers))
-	for _, c := range servers {
+	waterFill(candidates, arrivals)
+	probabilities := make([]float64, len(candidates))
+	for _, c := range candidates {
 		probabilities[c.index] = c.probability
 	}
 	return probabilities
 }
+
+// waterFill sorts the candidates by level and sets their probabilities as WaterFill does. A probability above
+// its maximum is cut to that, and the rest rises over the others.
+func waterFill(candidates []candidate, arrivals float64) {
+	slices.SortStableFunc(candidates, func(x, y candidate) int { return cmp.Compare(x.level, y.level) })
+	arrivals = max(arrivals, 1e-9)
+	remaining := 1.0 // the part of the arrivals that no capped candidate takes
+	for capExceeded := true; capExceeded && remaining > 1e-12; {
+		volume := arrivals * remaining
+		surface := waterSurface(candidates, volume)
+		fraction := remaining
+		capExceeded = false
+		for i := range candidates {
+			c := &candidates[i]
+			if c.capped {
+				continue
+			}
+			c.probability = fraction * max(0, c.weight*(surface-c.level)/volume)
+			if c.probability > c.maxProbability {
+				c.probability, c.capped, capExceeded = c.maxProbability, true, true
+				remaining -= c.maxProbability
+			}
+		}
+	}
+}
+
+// waterSurface is the level up to which a volume of arrivals fills the candidates that are not capped, which
+// are sorted by level.
+func waterSurface(candidates []candidate, volume float64) float64 {
+	weight, load, surface := 0.0, 0.0, 0.0
+	for i := range candidates {
+		c := &candidates[i]
+		if weight > 0 && c.level*weight-load >= volume {
+			break
+		}
+		if !c.capped {
+			weight += c.weight
+			load += c.weight * c.level
+			surface = (volume + load) / weight
+		}
+	}
+	return surface
+}
