--- a/internal/simulation/experiment/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -187,7 +187,7 @@
 	if _, err := s.Plot("nonsense", false, false); err == nil {
 		t.Error("a metric that is none is drawn")
 	}
-	s.Days[0].Result.Breaks = []string{"never_twice broken by <b>"}
+	s.Days[0].Result.Violations = []string{"never_twice broken by <b>"}
 	var page bytes.Buffer
 	if err := s.Report(&page); err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 	}
 	d, err := Play("queues", map[string]string{"servers.count": "1", "servers.cores": "4"},
 		Job{Policy: "random", Seed: 3}, proxysim.Options{})
-	if err != nil || math.Abs(d.Result.Mean/Erlang(4, 0.9)-1) > 0.08 {
+	if err != nil || math.Abs(d.Result.MeanServiceTimes/Erlang(4, 0.9)-1) > 0.08 {
 		t.Errorf("%+v, %v", d, err)
 	}
 }
@@ -245,10 +245,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, x := range d.Result.Seconds[from:to] {
+		for _, x := range d.Result.ServiceBySecond[from:to] {
 			mean, n = mean+x, n+1
 		}
-		breaks = append(breaks, d.Result.Breaks...)
+		breaks = append(breaks, d.Result.Violations...)
 	}
 	return mean / n, breaks
 }
@@ -285,7 +285,7 @@
 			t.Fatal(err)
 		}
 		sim.Run(proxysim.Options{Policy: "random"})
-		return sim.Places()
+		return sim.TableSlots()
 	}
 	if short, long := held("20000"), held("400000"); long > 4*short {
 		t.Errorf("%d places for 20,000 requests and %d for 400,000", short, long)
--- a/internal/simulation/experiment/plot.go
+++ b/internal/simulation/experiment/plot.go
@@ -63,11 +63,11 @@
 	p.Y.Min, p.Y.Max = 0, 1.02
 	for i, c := range s.Cells() {
 		var line plotter.XYs
-		for t := range c.Days[0].Result.Seconds {
+		for t := range c.Days[0].Result.ServiceBySecond {
 			sum, n := 0.0, 0.0
 			for _, d := range c.Days {
-				if t < len(d.Result.Seconds) {
-					sum, n = sum+d.Result.Seconds[t], n+1
+				if t < len(d.Result.ServiceBySecond) {
+					sum, n = sum+d.Result.ServiceBySecond[t], n+1
 				}
 			}
 			line = append(line, plotter.XY{X: float64(t), Y: sum / n})
--- a/internal/simulation/experiment/report.go
+++ b/internal/simulation/experiment/report.go
@@ -103,7 +103,7 @@
 		data.Plots = append(data.Plots, drawn{m, template.HTML("<svg" + inner)})
 	}
 	for _, d := range s.Days {
-		for _, text := range d.Result.Breaks {
+		for _, text := range d.Result.Violations {
 			data.Breaks = append(data.Breaks, broken{d.id(), text})
 		}
 	}
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -83,21 +83,21 @@
 			tell(fmt.Sprintf("%s.%d.share", list, n-1), "all shares add up to %.4g, 1 is wanted", total)
 		}
 	}
-	shares("class", len(sc.Classes), func(i int) float64 { return sc.Classes[i].Share })
-	shares("kind", len(sc.Kinds), func(i int) float64 { return sc.Kinds[i].Share })
-	shares("tenant", len(sc.Tenants), func(i int) float64 { return sc.Tenants[i].Share })
+	shares("class", len(sc.Classes), func(i int) float64 { return sc.Classes[i].Fraction })
+	shares("kind", len(sc.Kinds), func(i int) float64 { return sc.Kinds[i].Fraction })
+	shares("tenant", len(sc.Tenants), func(i int) float64 { return sc.Tenants[i].Fraction })
 	for i, c := range sc.Classes {
-		if c.Deadline > 0 && c.Aim > c.Deadline {
-			tell(fmt.Sprintf("class.%d.aim", i), "%v is beyond the deadline %v", c.Aim, c.Deadline)
+		if c.Deadline > 0 && c.LatencyTarget > c.Deadline {
+			tell(fmt.Sprintf("class.%d.aim", i), "%v is beyond the deadline %v", c.LatencyTarget, c.Deadline)
 		}
 	}
 	for i, k := range sc.Kinds {
-		if k.Slow > k.Fast {
-			tell(fmt.Sprintf("kind.%d.slowest", i), "%g is above fastest %g", k.Slow, k.Fast)
+		if k.MinSpeed > k.MaxSpeed {
+			tell(fmt.Sprintf("kind.%d.slowest", i), "%g is above fastest %g", k.MinSpeed, k.MaxSpeed)
 		}
 	}
-	for i, t := range sc.Troubles {
-		if t.What == "hall_loss" && !slices.Contains(sc.Halls, t.Hall) {
+	for i, t := range sc.Faults {
+		if t.Type == "hall_loss" && !slices.Contains(sc.Halls, t.Hall) {
 			hint := ""
 			if w := settingsfile.Likely(t.Hall, sc.Halls); w != "" {
 				hint = "; did you mean " + w + "?"
@@ -108,8 +108,8 @@
 	if sc.WarmUp >= sc.Duration {
 		tell("warm_up", "%v is not before the end at %v", sc.WarmUp, sc.Duration)
 	}
-	if sc.Requests > 0 && sc.WarmN >= sc.Requests {
-		tell("warm_up_requests", "%d leaves none of %d requests to count", sc.WarmN, sc.Requests)
+	if sc.Requests > 0 && sc.WarmUpRequests >= sc.Requests {
+		tell("warm_up_requests", "%d leaves none of %d requests to count", sc.WarmUpRequests, sc.Requests)
 	}
 	if sc.Load.Utilisation == 0 && sc.Load.Rate == 0 {
 		tell("load.utilisation", "is 0 and so is load.rate: nothing arrives")
--- a/internal/simulation/experiment/validate.go
+++ b/internal/simulation/experiment/validate.go
@@ -180,9 +180,10 @@
 					if err != nil {
 						return err
 					}
-					if little := d.Result.Rate * d.Result.MeanMS / 1000; math.Abs(d.Result.Held/little-1) > 0.01 {
+					little := d.Result.Throughput * d.Result.MeanMS / 1000
+					if math.Abs(d.Result.MeanInSystem/little-1) > 0.01 {
 						return fmt.Errorf("%s, %s: %.4g held where Little's law wants %.4g", c.Name, p.policy,
-							d.Result.Held, little)
+							d.Result.MeanInSystem, little)
 					}
 					figures[mean] = append(figures[mean], Metrics[mean](d.Result))
 				}
--- a/internal/simulation/labcli/labcli.go
+++ b/internal/simulation/labcli/labcli.go
@@ -171,7 +171,7 @@
 
 func broken(s *experiment.Store) (texts []string) {
 	for _, d := range s.Days {
-		texts = append(texts, d.Result.Breaks...)
+		texts = append(texts, d.Result.Violations...)
 	}
 	return texts
 }
--- a/internal/simulation/labcli/rigowner.go
+++ b/internal/simulation/labcli/rigowner.go
@@ -121,7 +121,7 @@
 }
 
 func newLists() *cobra.Command {
-	o := proxysim.ListsOptions{}
+	o := proxysim.ListTrialOptions{}
 	var members []int
 	var trials []string
 	var asJSON bool
@@ -129,7 +129,7 @@
 		Use: "lists", Short: "Count calls on discovery in virtual time, at sizes that processes don't reach",
 		Example: "  cresshub-lab lists --members 300,3000 --trial rolling", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var rows []proxysim.ListsResult
+			var rows []proxysim.ListTrialResult
 			for _, trial := range trials {
 				for _, n := range members {
 					if n < 3 || n > 10000 {
@@ -137,7 +137,7 @@
 					}
 					for _, owned := range []bool{false, true} {
 						o.Proxies, o.Owner = n, owned
-						r, err := proxysim.ListsTrial(trial, o)
+						r, err := proxysim.RunListTrial(trial, o)
 						if err != nil {
 							return cli.Wrong("--trial %v", err)
 						}
@@ -152,14 +152,14 @@
 			fmt.Fprintln(w, "trial\tmembers\towner\tcalls a minute\tworst second\tasked alone\twatches\tno list\t")
 			for _, r := range rows {
 				fmt.Fprintf(w, "%s\t%d\t%v\t%d\t%d\t%d\t%d\t%d\t\n", r.Trial, r.Proxies, r.Owner, r.Calls, r.Peak,
-					r.Alone, r.Watches, r.Old)
+					r.SelfFetching, r.Watches, r.WithoutList)
 			}
 			return w.Flush()
 		},
 	}
 	f := c.Flags()
 	f.IntSliceVar(&members, "members", []int{5, 10, 30, 300, 3000}, "sizes of the fleet")
-	f.StringSliceVar(&trials, "trial", proxysim.ListsTrials, "which to play")
+	f.StringSliceVar(&trials, "trial", proxysim.ListTrialNames, "which to play")
 	f.DurationVar(&o.MaxAge, "list-max-age", 4*time.Second, "owner.list_max_age")
 	f.DurationVar(&o.Poll, "list-poll", 250*time.Millisecond, "owner.list_poll")
 	f.DurationVar(&o.Lease, "lease", 2*time.Second, "owner.lease")
--- a/internal/simulation/labcli/tools.go
+++ b/internal/simulation/labcli/tools.go
@@ -114,10 +114,10 @@
 			if err != nil {
 				return err
 			}
-			if len(d.Result.Life) == 0 {
+			if len(d.Result.Trace) == 0 {
 				return fmt.Errorf("there is no request %d on that day", request)
 			}
-			_, err = fmt.Fprintln(c.OutOrStdout(), strings.Join(d.Result.Life, "\n"))
+			_, err = fmt.Fprintln(c.OutOrStdout(), strings.Join(d.Result.Trace, "\n"))
 			return err
 		},
 	}
--- a/internal/simulation/proxysim/emulator_test.go
+++ b/internal/simulation/proxysim/emulator_test.go
@@ -17,48 +17,55 @@
 
 // queues are equal servers with exponential work, and nothing else.
 func queues(n, cores int, load float64, model string, delay float64, requests int) *Scenario {
-	return &Scenario{Name: "queues", Duration: forever, Requests: requests, MostHeld: 1 << 20,
-		Servers: Servers{Count: n, Cores: cores, ColdStart: 1, ChokeSlow: 1},
-		Load:    Load{Utilisation: load, Arrivals: "poisson", Work: "exponential"},
-		Proxies: Proxies{Count: 1}, Clients: Clients{Tries: 1, GiveUp: 1},
-		Network: Network{Idle: 5 * time.Second}, Reports: Reports{Model: model, Delay: delay, Spread: "fixed"},
-		Rules:   Rules{Attempts: 3, Grace: time.Second, Slack: time.Second},
-		Classes: []Class{{Name: "job", Share: 1, Work: time.Second, Worth: 1}}}
+	return &Scenario{Name: "queues", Duration: forever, Requests: requests, MaxInFlight: 1 << 20,
+		Servers: Servers{Count: n, Cores: cores, SlowStartMin: 1, ChokeFactor: 1},
+		Load:    Load{Utilisation: load, Arrivals: "poisson", WorkDistribution: "exponential"},
+		Proxies: Proxies{Count: 1}, Clients: Clients{MaxAttempts: 1, TimeoutFraction: 1},
+		Network: Network{IdleTimeout: 5 * time.Second},
+		Reports: Reports{Model: model, Delay: delay, DelaySpread: "fixed"},
+		Rules:   Rules{MaxAttempts: 3, DrainGrace: time.Second, AnswerGrace: time.Second},
+		Classes: []Class{{Name: "job", Fraction: 1, Work: time.Second, Value: 1}}}
 }
 
 // evening has all that may go wrong: cold halls, choking, drains, late lists, retries.
 func evening(load float64) *Scenario {
-	return &Scenario{Name: "evening", Duration: 30 * time.Second, WarmUp: time.Second, MostHeld: 1 << 20,
+	return &Scenario{Name: "evening", Duration: 30 * time.Second, WarmUp: time.Second, MaxInFlight: 1 << 20,
 		Halls: []string{"a", "b", "c"},
-		Servers: Servers{Count: 10, Waiting: 30, Conns: 500, Handshake: 2 * time.Millisecond, Crowded: 6,
-			ChokeAfter: 2 * time.Second, ChokeSlow: 2.8, ChokeIdle: 3 * time.Second, ChokeFor: 20 * time.Second,
-			ColdStart: 0.12, ColdFor: 10 * time.Second, WarmFor: 5 * time.Second, WarmPart: 0.5, WarmMost: 64},
-		Load:    Load{Utilisation: load, Arrivals: "poisson", Work: "uniform", Spread: 0.3, Keys: 300, Skew: 1.1},
-		Proxies: Proxies{Count: 5, Skew: 0.5}, Clients: Clients{Tries: 5, GiveUp: 0.5, Honour: 0.5},
-		Network: Network{Within: 200 * time.Microsecond, Across: 600 * time.Microsecond, Jitter: 0.2,
-			Dial: 250 * time.Millisecond, Idle: 5 * time.Second},
-		Reports:   Reports{Model: "probe", Refresh: 100 * time.Millisecond, Cost: 500 * time.Microsecond},
-		Discovery: Discovery{Delay: 2 * time.Second, Service: 5 * time.Millisecond, Within: 10 * time.Second},
-		Rules: Rules{Slack: 20 * time.Millisecond, Grace: 1500 * time.Millisecond, Multiple: 4,
-			After: 1500 * time.Millisecond, Attempts: 3},
-		Prices: Prices{CrossHall: 0.03, Handshake: 0.02, Probe: 0.01, Waste: 0.04, LateFail: 0.033, OverShare: 0.1},
-		Kinds: []Kind{{Name: "standard", Share: 0.6, Cores: 2, Slow: 1.5, Fast: 2.1},
-			{Name: "half", Share: 0.4, Cores: 2, Slow: 0.77, Fast: 1}},
+		Servers: Servers{Count: 10, QueueLimit: 30, MaxConns: 500, HandshakeWork: 2 * time.Millisecond,
+			ChokeQueue: 6,
+			ChokeAfter: 2 * time.Second, ChokeFactor: 2.8, ChokeIdle: 3 * time.Second, MaxChoke: 20 * time.Second,
+			SlowStartMin: 0.12, SlowStartWindow: 10 * time.Second, WarmKeyTTL: 5 * time.Second, WarmKeyWork: 0.5,
+			MaxWarmKeys: 64},
+		Load: Load{Utilisation: load, Arrivals: "poisson", WorkDistribution: "uniform", WorkSpread: 0.3,
+			Keys: 300, KeySkew: 1.1},
+		Proxies: Proxies{Count: 5, Skew: 0.5},
+		Clients: Clients{MaxAttempts: 5, TimeoutFraction: 0.5, HonorRetryAfter: 0.5},
+		Network: Network{WithinHall: 200 * time.Microsecond, AcrossHalls: 600 * time.Microsecond, Jitter: 0.2,
+			DialTimeout: 250 * time.Millisecond, IdleTimeout: 5 * time.Second},
+		Reports: Reports{Model: "probe", Refresh: 100 * time.Millisecond, ProbeWork: 500 * time.Microsecond},
+		Discovery: Discovery{Delay: 2 * time.Second, ServiceTime: 5 * time.Millisecond,
+			RegistryInterval: 10 * time.Second},
+		Rules: Rules{AnswerGrace: 20 * time.Millisecond, DrainGrace: 1500 * time.Millisecond, CollapseFactor: 4,
+			CollapseAfter: 1500 * time.Millisecond, MaxAttempts: 3},
+		Prices: Prices{CrossHall: 0.03, Handshake: 0.02, Probe: 0.01, Waste: 0.04, LateFail: 0.033,
+			OverQuotaValue: 0.1},
+		Kinds: []Kind{{Name: "standard", Fraction: 0.6, Cores: 2, MinSpeed: 1.5, MaxSpeed: 2.1},
+			{Name: "half", Fraction: 0.4, Cores: 2, MinSpeed: 0.77, MaxSpeed: 1}},
 		Classes: []Class{
-			{Name: "lookup", Share: 0.6, Work: 125 * time.Millisecond, Aim: 600 * time.Millisecond,
-				Deadline: 1500 * time.Millisecond, Worth: 2},
-			{Name: "assign", Share: 0.4, Work: 108 * time.Millisecond, Aim: 500 * time.Millisecond,
-				Deadline: 2 * time.Second, Worth: 8, Unsafe: true}},
-		Tenants: []Tenant{{Name: "x", Share: 0.7, Quota: 300}, {Name: "y", Share: 0.3, Quota: 300}},
-		Troubles: []Trouble{
-			{What: "hall_loss", At: 5 * time.Second, For: 6 * time.Second, Hall: "b", Proxies: true},
-			{What: "hall_loss", At: 14 * time.Second, For: 3 * time.Second, Hall: "c", Silent: true},
-			{What: "burst", At: 12 * time.Second, For: 4 * time.Second, Size: 1.5},
-			{What: "pauses", At: 18 * time.Second, For: 4 * time.Second, Size: 0.3,
-				Pause: 200 * time.Millisecond, Every: time.Second},
-			{What: "discovery_stale", At: 3 * time.Second, For: 9 * time.Second, Behind: 3 * time.Second},
-			{What: "rolling", At: 20 * time.Second, For: 6 * time.Second, Size: 0.3, Every: 2 * time.Second},
-			{What: "crash", At: 27 * time.Second, For: 2 * time.Second}}}
+			{Name: "lookup", Fraction: 0.6, Work: 125 * time.Millisecond, LatencyTarget: 600 * time.Millisecond,
+				Deadline: 1500 * time.Millisecond, Value: 2},
+			{Name: "assign", Fraction: 0.4, Work: 108 * time.Millisecond, LatencyTarget: 500 * time.Millisecond,
+				Deadline: 2 * time.Second, Value: 8, AtMostOnce: true}},
+		Tenants: []Tenant{{Name: "x", Fraction: 0.7, Quota: 300}, {Name: "y", Fraction: 0.3, Quota: 300}},
+		Faults: []Fault{
+			{Type: "hall_loss", At: 5 * time.Second, Duration: 6 * time.Second, Hall: "b", Proxies: true},
+			{Type: "hall_loss", At: 14 * time.Second, Duration: 3 * time.Second, Hall: "c", Unresponsive: true},
+			{Type: "burst", At: 12 * time.Second, Duration: 4 * time.Second, Size: 1.5},
+			{Type: "pauses", At: 18 * time.Second, Duration: 4 * time.Second, Size: 0.3,
+				PauseFor: 200 * time.Millisecond, Interval: time.Second},
+			{Type: "discovery_stale", At: 3 * time.Second, Duration: 9 * time.Second, Lag: 3 * time.Second},
+			{Type: "rolling", At: 20 * time.Second, Duration: 6 * time.Second, Size: 0.3, Interval: 2 * time.Second},
+			{Type: "crash", At: 27 * time.Second, Duration: 2 * time.Second}}}
 }
 
 func play(t testing.TB, sc *Scenario, o Options) *Result {
@@ -101,11 +108,11 @@
 		{"Basic LI at T = 200, 9% faster than random", "basic-li", "periodic", 100, 1, 0.9, 200, 10 / 1.09, 0.08},
 	} {
 		r := play(t, queues(c.n, c.cores, c.load, c.model, c.delay, 300000), Options{Policy: c.policy, Seed: 7})
-		if math.Abs(r.Mean/c.want-1) > c.within {
-			t.Errorf("%s: %.3f service times, %.3f are known", c.name, r.Mean, c.want)
+		if math.Abs(r.MeanServiceTimes/c.want-1) > c.within {
+			t.Errorf("%s: %.3f service times, %.3f are known", c.name, r.MeanServiceTimes, c.want)
 		}
-		if little := r.Rate * r.MeanMS / 1000; math.Abs(r.Held/little-1) > 0.01 {
-			t.Errorf("%s: %.3f held, Little's law wants %.3f", c.name, r.Held, little)
+		if little := r.Throughput * r.MeanMS / 1000; math.Abs(r.MeanInSystem/little-1) > 0.01 {
+			t.Errorf("%s: %.3f held, Little's law wants %.3f", c.name, r.MeanInSystem, little)
 		}
 	}
 }
@@ -144,16 +151,16 @@
 				t.Fatal(err)
 			}
 			r := s.Run(Options{Policy: policy, Seed: 5})
-			if r.Served+r.Refused+r.Failed != r.Requests || r.Requests == 0 || s.held != 0 {
+			if r.Served+r.Refused+r.Failed != r.Requests || r.Requests == 0 || s.inFlight != 0 {
 				t.Errorf("%s at %g: %d of %d ended, %d held", policy, load, r.Served+r.Refused+r.Failed, r.Requests,
-					s.held)
+					s.inFlight)
 			}
-			if n := r.Rules[NeverTwice] + r.Rules[OneAnswer] + r.Rules[DrainKept]; policy == "module" && n > 0 {
-				t.Errorf("the module breaks rules: %v\n%s", r.Rules, strings.Join(r.Breaks, "\n"))
+			if n := r.Rules[AtMostOnce] + r.Rules[OneAnswer] + r.Rules[DrainObeyed]; policy == "module" && n > 0 {
+				t.Errorf("the module breaks rules: %v\n%s", r.Rules, strings.Join(r.Violations, "\n"))
 			}
 			for i := range s.servers {
-				if s.servers[i].open < 0 {
-					t.Errorf("%s: server %d has %d connections", policy, i, s.servers[i].open)
+				if s.servers[i].conns < 0 {
+					t.Errorf("%s: server %d has %d connections", policy, i, s.servers[i].conns)
 				}
 			}
 		}
@@ -181,7 +188,7 @@
 func (r *reckless) Request(_ time.Duration, q balance.Request, a []balance.Action) []balance.Action {
 	send := balance.Action{Kind: balance.Send, ID: q.ID, Server: 1}
 	switch r.how {
-	case NeverTwice:
+	case AtMostOnce:
 		return append(a, send, send)
 	case OneAnswer:
 		return a
@@ -198,23 +205,24 @@
 
 // A break of each rule is seen and told with what led to it.
 func TestMonitorsSeeBreaks(t *testing.T) {
-	for _, rule := range []string{NeverTwice, OneAnswer, DrainKept, ColdKept} {
+	for _, rule := range []string{AtMostOnce, OneAnswer, DrainObeyed, SlowStartObeyed} {
 		sc := evening(0.3)
-		sc.Troubles = nil
-		sc.Clients.Tries = 1
+		sc.Faults = nil
+		sc.Clients.MaxAttempts = 1
 		switch rule {
-		case DrainKept:
+		case DrainObeyed:
 			sc.Discovery = Discovery{}
-			sc.Troubles = []Trouble{{What: "shrink", At: time.Second, For: time.Second, Size: 1, Every: time.Hour}}
-		case ColdKept:
-			sc.Troubles = []Trouble{{What: "crash", At: time.Second, For: time.Second}}
+			sc.Faults = []Fault{{Type: "shrink", At: time.Second, Duration: time.Second, Size: 1, Interval: time.Hour}}
+		case SlowStartObeyed:
+			sc.Faults = []Fault{{Type: "crash", At: time.Second, Duration: time.Second}}
 			sc.Load.Utilisation = 2
 		}
 		o := Options{Policy: "module", Seed: 1, Strict: true,
 			Module: func(balance.Settings, time.Duration) (Agent, error) { return &reckless{how: rule}, nil }}
 		r := play(t, sc, o)
-		if r.Rules[rule] == 0 || len(r.Breaks) == 0 || !strings.Contains(r.Breaks[0], "request") || r.Note == "" {
-			t.Errorf("%s: %v, %q", rule, r.Rules, r.Breaks)
+		if r.Rules[rule] == 0 || len(r.Violations) == 0 || !strings.Contains(r.Violations[0], "request") ||
+			r.Note == "" {
+			t.Errorf("%s: %v, %q", rule, r.Rules, r.Violations)
 		}
 	}
 }
@@ -226,7 +234,7 @@
 	if !strings.Contains(r.Note, "beyond") || r.Served != 20000 {
 		t.Errorf("%q, %d served", r.Note, r.Served)
 	}
-	sc.MostHeld = 1000
+	sc.MaxInFlight = 1000
 	if r := play(t, sc, Options{Policy: "random", Seed: 1}); !strings.Contains(r.Note, "most_held") {
 		t.Errorf("%q", r.Note)
 	}
--- a/internal/simulation/proxysim/kernel.go
+++ b/internal/simulation/proxysim/kernel.go
@@ -68,17 +68,17 @@
 			if child >= n {
 				break
 			}
-			least := child
+			earliest := child
 			for j := child + 1; j < min(child+4, n); j++ {
-				if h[j].before(&h[least]) {
-					least = j
+				if h[j].before(&h[earliest]) {
+					earliest = j
 				}
 			}
-			if !h[least].before(&last) {
+			if !h[earliest].before(&last) {
 				break
 			}
-			h[i] = h[least]
-			i = least
+			h[i] = h[earliest]
+			i = earliest
 		}
 		h[i] = last
 	}
--- a/internal/simulation/proxysim/lists.go
+++ b/internal/simulation/proxysim/lists.go
@@ -10,89 +10,90 @@
 	"cresshub/internal/cluster/groupstate"
 )
 
-// ListsOptions are a model of how a fleet's proxies come by the list of servers: each by a watch of its own
-// on discovery, asked anew as the decisions say (package balance), or by the owner's list in the replicated
-// store (package chore's Follower), with a watch of the owner's alone.
-type ListsOptions struct {
-	Proxies   int
-	Owner     bool
-	MaxAge    time.Duration // owner.list_max_age; 0 is 4 s
-	Poll      time.Duration // owner.list_poll; 0 is 250 ms
-	Lease     time.Duration // owner.lease; 0 is 2 s
-	Election  time.Duration // ledger.election; 0 is 1 s
-	AskWithin time.Duration // discovery.ask_within; 0 is 10 s
-	Silence   time.Duration // discovery.silence; 0 is 3 s
-	Seed      uint64
+// ListTrialOptions are a model of how a fleet's proxies come by the list of servers: each by a watch of its
+// own on discovery, asked anew as the decisions say (package balance), or by the owner's list in the
+// replicated store (package chore's Follower), with a watch of the owner's alone.
+type ListTrialOptions struct {
+	Proxies          int
+	Owner            bool
+	MaxAge           time.Duration // owner.list_max_age; 0 is 4 s
+	Poll             time.Duration // owner.list_poll; 0 is 250 ms
+	Lease            time.Duration // owner.lease; 0 is 2 s
+	Election         time.Duration // ledger.election; 0 is 1 s
+	RegistryInterval time.Duration // discovery.ask_within; 0 is 10 s
+	DiscoveryTimeout time.Duration // discovery.silence; 0 is 3 s
+	Seed             uint64
 }
 
-// ListsResult is what a trial of a minute came to.
-type ListsResult struct {
-	Trial   string `json:"trial"`
-	Proxies int    `json:"proxies"`
-	Owner   bool   `json:"owner"`
-	Calls   int    `json:"calls"`   // on discovery, in the minute
-	Peak    int    `json:"peak"`    // in the worst second
-	Alone   int    `json:"alone"`   // proxies that asked by themselves at some time, the owner left out
-	Watches int    `json:"watches"` // that stand in the end
-	Old     int    `json:"old"`     // proxies without a list in the end
+// ListTrialResult is what a trial of a minute came to.
+type ListTrialResult struct {
+	Trial        string `json:"trial"`
+	Proxies      int    `json:"proxies"`
+	Owner        bool   `json:"owner"`
+	Calls        int    `json:"calls"`   // on discovery, in the minute
+	Peak         int    `json:"peak"`    // in the worst second
+	SelfFetching int    `json:"alone"`   // proxies that asked by themselves at some time, the owner left out
+	Watches      int    `json:"watches"` // that stand in the end
+	WithoutList  int    `json:"old"`     // proxies without a list in the end
 }
 
-// ListsTrials are what may happen in a minute.
-var ListsTrials = []string{"quiet", "start", "rolling", "outage", "owner", "group"}
+// ListTrialNames are what may happen in a minute.
+var ListTrialNames = []string{"quiet", "start", "rolling", "outage", "owner", "group"}
 
 const (
-	listsPoll uint8 = iota
-	listsFollow
-	listsTell    // the owner says how the list is
-	listsOwner   // somebody becomes the owner
-	listsTrouble // stage in a
+	listPoll uint8 = iota
+	listWatch
+	listPublish  // the owner says how the list is
+	listElection // somebody becomes the owner
+	listFault    // stage in a
 )
 
-type listsProxy struct {
-	agent    *balance.Balancer
-	follower *groupstate.Follower
-	life     int32
-	own      bool // asks by itself
-	watching bool
-	listed   bool
-	alone    bool
+type listProxy struct {
+	agent           *balance.Balancer
+	follower        *groupstate.Follower
+	incarnation     int32
+	selfFetching    bool // asks by itself
+	watching        bool
+	listed          bool
+	everSelfFetched bool
 }
 
-type lists struct {
+type listTrial struct {
 	Kernel
-	o       ListsOptions
-	rnd     *rand.Rand
-	proxies []listsProxy
-	owner   int    // -1 while there is none
-	reign   uint64 // of the owner: the ticks of the ones before end
-	version uint64
-	down    bool // discovery answers nothing
-	stalled bool // the group has no leader
-	heard   int64
-	calls   []int64
-	acts    []balance.Action
+	opts       ListTrialOptions
+	rng        *rand.Rand
+	proxies    []listProxy
+	owner      int    // -1 while there is none
+	term       uint64 // of the owner: the ticks of the ones before end
+	version    uint64
+	down       bool // discovery answers nothing
+	leaderless bool // the group has no leader
+	lastSeen   int64
+	calls      []int64
+	actions    []balance.Action
 }
 
-// ListsTrial plays one trial.
-func ListsTrial(trial string, o ListsOptions) (ListsResult, error) {
-	r := ListsResult{Trial: trial, Proxies: o.Proxies, Owner: o.Owner}
-	if !slices.Contains(ListsTrials, trial) {
-		return r, fmt.Errorf("%q is none of %v", trial, ListsTrials)
+// RunListTrial plays one trial.
+func RunListTrial(trial string, o ListTrialOptions) (ListTrialResult, error) {
+	r := ListTrialResult{Trial: trial, Proxies: o.Proxies, Owner: o.Owner}
+	if !slices.Contains(ListTrialNames, trial) {
+		return r, fmt.Errorf("%q is none of %v", trial, ListTrialNames)
 	}
 	if o.Proxies < 3 {
 		return r, fmt.Errorf("%d proxies; at least 3 are wanted", o.Proxies)
 	}
 	for d, is := range map[*time.Duration]time.Duration{&o.MaxAge: 4 * time.Second,
 		&o.Poll: 250 * time.Millisecond, &o.Lease: 2 * time.Second, &o.Election: time.Second,
-		&o.AskWithin: 10 * time.Second, &o.Silence: 3 * time.Second} {
+		&o.RegistryInterval: 10 * time.Second, &o.DiscoveryTimeout: 3 * time.Second} {
 		if *d == 0 {
 			*d = is
 		}
 	}
-	s := &lists{o: o, owner: -1, rnd: rand.New(rand.NewPCG(o.Seed, 1)), proxies: make([]listsProxy, o.Proxies)}
+	s := &listTrial{opts: o, owner: -1, rng: rand.New(rand.NewPCG(o.Seed, 1)),
+		proxies: make([]listProxy, o.Proxies)}
 	for i := range s.proxies {
 		s.start(i)
-		s.add(s.within(o.Poll), listsPoll, int32(i), 0, 0)
+		s.add(s.randomWithin(o.Poll), listPoll, int32(i), 0, 0)
 	}
 	s.elect(o.Election + o.Election/2)
 	from := int64(0)
@@ -101,10 +102,10 @@
 		s.run(from, "")
 		s.calls = nil
 		for i := range s.proxies {
-			s.proxies[i].alone = false
+			s.proxies[i].everSelfFetched = false
 		}
 	}
-	at := func(d time.Duration, stage int32) { s.add(from+int64(d), listsTrouble, stage, 0, 0) }
+	at := func(d time.Duration, stage int32) { s.add(from+int64(d), listFault, stage, 0, 0) }
 	switch trial {
 	case "rolling":
 		for i := range s.proxies {
@@ -130,152 +131,152 @@
 		if p.watching {
 			r.Watches++
 		}
-		if p.alone && i != s.owner {
-			r.Alone++
+		if p.everSelfFetched && i != s.owner {
+			r.SelfFetching++
 		}
 		if !p.listed {
-			r.Old++
+			r.WithoutList++
 		}
 	}
 	return r, nil
 }
 
-func (s *lists) within(d time.Duration) int64 { return s.rnd.Int64N(int64(d)) }
-func (s *lists) clock() time.Duration         { return time.Duration(s.now) }
+func (s *listTrial) randomWithin(d time.Duration) int64 { return s.rng.Int64N(int64(d)) }
+func (s *listTrial) clock() time.Duration               { return time.Duration(s.now) }
 
 // start starts a proxy's process with no list.
-func (s *lists) start(i int) {
+func (s *listTrial) start(i int) {
 	p := &s.proxies[i]
-	agent, err := balance.New(balance.Settings{Seed: s.rnd.Uint64(), Rank: i, Peers: s.o.Proxies,
-		MustFollow: true, RegistryInterval: s.o.AskWithin, Tick: time.Millisecond, MaxAttempts: 1,
+	agent, err := balance.New(balance.Settings{Seed: s.rng.Uint64(), Rank: i, Peers: s.opts.Proxies,
+		MustFollow: true, RegistryInterval: s.opts.RegistryInterval, Tick: time.Millisecond, MaxAttempts: 1,
 		Classes: []balance.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}}, s.clock())
 	if err != nil {
 		panic(err) // the same settings for all, which a test takes
 	}
-	*p = listsProxy{agent: agent, life: p.life + 1, own: !s.o.Owner,
-		follower: groupstate.NewFollower(s.clock(), s.o.MaxAge, time.Duration(s.within(s.o.MaxAge)))}
-	s.do(i, agent.List(s.clock(), balance.ListCached, nil, s.acts[:0]))
+	*p = listProxy{agent: agent, incarnation: p.incarnation + 1, selfFetching: !s.opts.Owner,
+		follower: groupstate.NewFollower(s.clock(), s.opts.MaxAge, time.Duration(s.randomWithin(s.opts.MaxAge)))}
+	s.apply(i, agent.List(s.clock(), balance.ListCached, nil, s.actions[:0]))
 }
 
-// do carries out what the decisions want: calls, now or later.
-func (s *lists) do(i int, acts []balance.Action) {
+// apply carries out what the decisions want: calls, now or later.
+func (s *listTrial) apply(i int, acts []balance.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case balance.SetTimer:
-			s.add(s.now+int64(a.Wait), listsFollow, int32(i), s.proxies[i].life, a.Token)
+			s.add(s.now+int64(a.Wait), listWatch, int32(i), s.proxies[i].incarnation, a.Token)
 		case balance.FollowList:
-			s.call(i)
+			s.watchDiscovery(i)
 		}
 	}
 }
 
-// call is a proxy's call for a watch.
-func (s *lists) call(i int) {
+// watchDiscovery is a proxy's call for a watch.
+func (s *listTrial) watchDiscovery(i int) {
 	p := &s.proxies[i]
-	if !p.own || p.watching {
+	if !p.selfFetching || p.watching {
 		return
 	}
 	s.calls = append(s.calls, s.now)
-	p.alone = true
+	p.everSelfFetched = true
 	if s.down {
-		s.do(i, p.agent.List(s.clock(), balance.ListFailed, nil, s.acts[:0]))
+		s.apply(i, p.agent.List(s.clock(), balance.ListFailed, nil, s.actions[:0]))
 		return
 	}
 	p.watching, p.listed = true, true
-	p.agent.List(s.clock(), balance.ListDelta, nil, s.acts[:0])
+	p.agent.List(s.clock(), balance.ListDelta, nil, s.actions[:0])
 }
 
-// feed says whether a proxy asks by itself.
-func (s *lists) feed(i int) {
+// chooseSource says whether a proxy asks by itself.
+func (s *listTrial) chooseSource(i int) {
 	p := &s.proxies[i]
-	own := !s.o.Owner || i == s.owner || !p.follower.Fresh(s.clock())
-	if own == p.own {
+	selfFetching := !s.opts.Owner || i == s.owner || !p.follower.Fresh(s.clock())
+	if selfFetching == p.selfFetching {
 		return
 	}
-	if p.own = own; !own {
+	if p.selfFetching = selfFetching; !selfFetching {
 		p.watching = false
 		return
 	}
-	s.call(i)
+	s.watchDiscovery(i)
 }
 
 // elect has somebody become the owner after a time, if nobody is by then.
-func (s *lists) elect(after time.Duration) {
-	if s.o.Owner {
-		s.add(s.now+int64(after), listsOwner, 0, 0, 0)
+func (s *listTrial) elect(after time.Duration) {
+	if s.opts.Owner {
+		s.add(s.now+int64(after), listElection, 0, 0, 0)
 	}
 }
 
-func (s *lists) run(end int64, trial string) {
+func (s *listTrial) run(end int64, trial string) {
 	for len(s.heap) > 0 && s.heap[0].at <= end {
 		e, _ := s.next()
 		i := int(e.a)
 		switch e.kind {
-		case listsPoll:
-			if !s.o.Owner {
+		case listPoll:
+			if !s.opts.Owner {
 				break
 			}
-			told := groupstate.EndpointView{Version: s.version}
-			if p := &s.proxies[i]; !s.stalled && p.follower.Observe(s.clock(), told, 0) {
+			observed := groupstate.EndpointView{Version: s.version}
+			if p := &s.proxies[i]; !s.leaderless && p.follower.Observe(s.clock(), observed, 0) {
 				p.listed = true
 			}
-			s.feed(i)
-			s.add(s.now+int64(s.o.Poll), listsPoll, e.a, 0, 0)
-		case listsFollow:
-			if p := &s.proxies[i]; p.life == e.b {
-				s.do(i, p.agent.Timer(s.clock(), e.c, s.acts[:0]))
+			s.chooseSource(i)
+			s.add(s.now+int64(s.opts.Poll), listPoll, e.a, 0, 0)
+		case listWatch:
+			if p := &s.proxies[i]; p.incarnation == e.b {
+				s.apply(i, p.agent.Timer(s.clock(), e.c, s.actions[:0]))
 			}
-		case listsTell:
-			if e.c == s.reign {
-				s.tell()
+		case listPublish:
+			if e.c == s.term {
+				s.publish()
 			}
-		case listsOwner:
-			if s.owner < 0 && !s.stalled {
-				s.reign++
-				s.owner = s.rnd.IntN(min(3, s.o.Proxies)) // one of those with a replica
-				s.proxies[s.owner].watching = false       // its calls carry the token from now on
-				s.proxies[s.owner].own = false
-				s.feed(s.owner)
-				s.tell()
+		case listElection:
+			if s.owner < 0 && !s.leaderless {
+				s.term++
+				s.owner = s.rng.IntN(min(3, s.opts.Proxies)) // one of those with a replica
+				s.proxies[s.owner].watching = false          // its calls carry the token from now on
+				s.proxies[s.owner].selfFetching = false
+				s.chooseSource(s.owner)
+				s.publish()
 			}
-		case listsTrouble:
-			s.trouble(trial, i)
+		case listFault:
+			s.playFault(trial, i)
 		}
 	}
 	s.now = max(s.now, end)
 }
 
-// tell has the owner say how the list is, a quarter of its time apart, while it hears discovery.
-func (s *lists) tell() {
-	if s.owner < 0 || s.stalled {
+// publish has the owner say how the list is, a quarter of its time apart, while it hears discovery.
+func (s *listTrial) publish() {
+	if s.owner < 0 || s.leaderless {
 		return
 	}
 	p := &s.proxies[s.owner]
 	if p.watching {
-		s.heard = s.now
+		s.lastSeen = s.now
 	}
-	if p.listed && s.now-s.heard <= int64(s.o.Silence) {
+	if p.listed && s.now-s.lastSeen <= int64(s.opts.DiscoveryTimeout) {
 		s.version++
 	}
-	s.add(s.now+int64(s.o.MaxAge/4), listsTell, 0, 0, s.reign)
+	s.add(s.now+int64(s.opts.MaxAge/4), listPublish, 0, 0, s.term)
 }
 
-func (s *lists) trouble(trial string, stage int) {
-	takeover := s.o.Lease + s.o.Lease/8 // the others wait out the lease and the drift of both clocks
+func (s *listTrial) playFault(trial string, stage int) {
+	takeover := s.opts.Lease + s.opts.Lease/8 // the others wait out the lease and the drift of both clocks
 	switch trial {
 	case "rolling":
 		owned := stage == s.owner
 		s.start(stage)
 		if owned { // it gave the lease back
 			s.owner = -1
-			s.elect(s.o.Lease / 40)
+			s.elect(s.opts.Lease / 40)
 		}
 	case "outage":
 		s.down = stage == 0
 		for i := range s.proxies {
 			if p := &s.proxies[i]; s.down && p.watching {
 				p.watching = false
-				s.do(i, p.agent.List(s.clock(), balance.ListFailed, nil, s.acts[:0]))
+				s.apply(i, p.agent.List(s.clock(), balance.ListFailed, nil, s.actions[:0]))
 			}
 		}
 	case "owner":
@@ -286,10 +287,10 @@
 		}
 		s.elect(takeover)
 	case "group":
-		if s.stalled = stage == 0; s.stalled {
+		if s.leaderless = stage == 0; s.leaderless {
 			s.owner = -1
 		} else {
-			s.elect(s.o.Election + s.o.Election/2)
+			s.elect(s.opts.Election + s.opts.Election/2)
 		}
 	}
 }
--- a/internal/simulation/proxysim/lists_test.go
+++ b/internal/simulation/proxysim/lists_test.go
@@ -6,20 +6,20 @@
 // and changes of owner; without one each proxy makes its own. Where discovery or the group is lost, calls
 // stay below those without an owner, or at one a proxy.
 func TestListCallsStayFlat(t *testing.T) {
-	play := func(trial string, n int, owner bool) ListsResult {
+	play := func(trial string, n int, owner bool) ListTrialResult {
 		t.Helper()
-		r, err := ListsTrial(trial, ListsOptions{Proxies: n, Owner: owner, Seed: 7})
+		r, err := RunListTrial(trial, ListTrialOptions{Proxies: n, Owner: owner, Seed: 7})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := map[bool]int{true: 1, false: n}[owner]; r.Watches != want || r.Old > 0 {
-			t.Errorf("%s: %d watches stand in the end, %d are without a list: %+v", trial, r.Watches, r.Old, r)
+		if want := map[bool]int{true: 1, false: n}[owner]; r.Watches != want || r.WithoutList > 0 {
+			t.Errorf("%s: %d watches stand in the end, %d are without a list: %+v", trial, r.Watches, r.WithoutList, r)
 		}
 		return r
 	}
 	for _, n := range []int{5, 30, 300} {
 		for trial, most := range map[string]int{"quiet": 0, "start": 1, "rolling": 3, "owner": 1} {
-			if r := play(trial, n, true); r.Calls > most || r.Alone > 0 {
+			if r := play(trial, n, true); r.Calls > most || r.SelfFetching > 0 {
 				t.Errorf("%s with an owner: %+v", trial, r)
 			}
 		}
@@ -31,11 +31,11 @@
 		if with, without := play("outage", n, true), play("outage", n, false); with.Calls >= without.Calls {
 			t.Errorf("outage: %+v with an owner, %+v without", with, without)
 		}
-		if r := play("group", n, true); r.Calls > n+1 || r.Alone == 0 {
+		if r := play("group", n, true); r.Calls > n+1 || r.SelfFetching == 0 {
 			t.Errorf("the group is lost: %+v", r)
 		}
 	}
-	if _, err := ListsTrial("nothing", ListsOptions{Proxies: 5}); err == nil {
+	if _, err := RunListTrial("nothing", ListTrialOptions{Proxies: 5}); err == nil {
 		t.Error("a trial that is none was played")
 	}
 }
--- a/internal/simulation/proxysim/registry.go
+++ b/internal/simulation/proxysim/registry.go
@@ -8,15 +8,15 @@
 
 // registry is the service that lists servers: late, of fixed capacity, knowing only of processes.
 type registry struct {
-	push    bool // changes come unasked and at once
-	most    int  // servers that there may ever be
-	entries []balance.Server
-	changes []change
-	busy    int64 // handles calls until then
-	behind  int64 // told so much later, now
-	calls   int
-	fails   int
-	lines   int
+	push       bool // changes come unasked and at once
+	maxServers int  // servers that there may ever be
+	entries    []balance.Server
+	changes    []change
+	busyUntil  int64 // handles calls until then
+	lag        int64 // told so much later, now
+	calls      int
+	fails      int
+	lines      int
 }
 
 type change struct {
@@ -25,12 +25,12 @@
 }
 
 func (g *registry) init(s *Sim) {
-	o := &s.sc.Discovery
-	g.push = o.Delay == 0 && o.Service == 0
-	g.most = len(s.servers)
-	for _, t := range s.sc.Troubles {
-		if t.What == "rolling" {
-			g.most += int(t.Size*float64(len(s.servers))) + 1
+	o := &s.scenario.Discovery
+	g.push = o.Delay == 0 && o.ServiceTime == 0
+	g.maxServers = len(s.servers)
+	for _, t := range s.scenario.Faults {
+		if t.Type == "rolling" {
+			g.maxServers += int(t.Size*float64(len(s.servers))) + 1
 		}
 	}
 	// Room for those that replace others, so that pairs have a place.
@@ -49,8 +49,8 @@
 
 func (g *registry) version() uint64 { return uint64(len(g.changes)) }
 
-// whole is the list as it is, of what is in service or drains.
-func (g *registry) whole() []balance.Server {
+// fullList is the list as it is, of what is in service or drains.
+func (g *registry) fullList() []balance.Server {
 	var all []balance.Server
 	for _, e := range g.entries {
 		if e.State != balance.Removed {
@@ -60,8 +60,8 @@
 	return all
 }
 
-// change takes a server's new state in; every proxy is told later.
-func (s *Sim) change(i int32, state balance.ServerState) {
+// publishState takes a server's new state in; every proxy is told later.
+func (s *Sim) publishState(i int32, state balance.ServerState) {
 	g := &s.registry
 	if int(i) == len(g.entries) {
 		g.entries = append(g.entries, entry(s, i, s.capacity()/float64(len(s.servers))))
@@ -69,57 +69,57 @@
 	e := &g.entries[i]
 	e.State, e.Started = state, time.Duration(s.servers[i].started)
 	g.changes = append(g.changes, change{s.now, *e})
-	at := s.now + int64(s.sc.Discovery.Delay) + g.behind
+	at := s.now + int64(s.scenario.Discovery.Delay) + g.lag
 	for p := range s.proxies {
-		s.add(at, evTell, int32(p), 0, g.version())
+		s.add(at, evListChange, int32(p), 0, g.version())
 	}
 }
 
-// follow is a proxy's call for the changes from now on.
-func (s *Sim) follow(i int32) {
+// watchList is a proxy's call for the changes from now on.
+func (s *Sim) watchList(i int32) {
 	g := &s.registry
-	o := &s.sc.Discovery
+	o := &s.scenario.Discovery
 	g.calls++
 	way := s.latency(0, s.proxies[i].hall)
-	begin := max(g.busy, s.now)
-	life := uint64(s.proxies[i].life)
-	if o.Wait > 0 && begin-s.now > int64(o.Wait) {
+	begin := max(g.busyUntil, s.now)
+	life := uint64(s.proxies[i].incarnation)
+	if o.MaxWait > 0 && begin-s.now > int64(o.MaxWait) {
 		g.fails++
-		s.add(s.now+int64(o.Wait)+2*way, evListed, i, 1, life)
+		s.add(s.now+int64(o.MaxWait)+2*way, evListAnswer, i, 1, life)
 		return
 	}
-	g.busy = begin + int64(o.Service)
-	s.add(g.busy+2*way, evListed, i, 0, life)
+	g.busyUntil = begin + int64(o.ServiceTime)
+	s.add(g.busyUntil+2*way, evListAnswer, i, 0, life)
 }
 
-// listed is the answer to a call.
-func (s *Sim) listed(i int32, fails bool, life int32) {
+// listAnswered is the answer to a call.
+func (s *Sim) listAnswered(i int32, fails bool, life int32) {
 	p := &s.proxies[i]
-	if !p.alive || p.life != life {
+	if !p.alive || p.incarnation != life {
 		return
 	}
 	if fails {
 		p.watching = false
-		s.do(i, p.agent.List(time.Duration(s.now), balance.ListFailed, nil, s.acts[:0]))
+		s.apply(i, p.agent.List(time.Duration(s.now), balance.ListFailed, nil, s.actions[:0]))
 		return
 	}
 	p.watching = true
 	g := &s.registry
-	shown := g.version() // that is old enough to be told
-	for shown > p.version && g.changes[shown-1].at > s.now-int64(s.sc.Discovery.Delay)-g.behind {
-		shown--
+	visible := g.version() // that is old enough to be told
+	for visible > p.version && g.changes[visible-1].at > s.now-int64(s.scenario.Discovery.Delay)-g.lag {
+		visible--
 	}
-	s.deltas(i, shown, true)
+	s.sendDeltas(i, visible, true)
 }
 
-// tell hands a proxy the changes up to a version, if it watches.
-func (s *Sim) tell(i int32, version uint64) {
+// deliverChanges hands a proxy the changes up to a version, if it watches.
+func (s *Sim) deliverChanges(i int32, version uint64) {
 	if p := &s.proxies[i]; p.alive && (p.watching || s.registry.push) {
-		s.deltas(i, version, false)
+		s.sendDeltas(i, version, false)
 	}
 }
 
-func (s *Sim) deltas(i int32, version uint64, empty bool) {
+func (s *Sim) sendDeltas(i int32, version uint64, empty bool) {
 	p := &s.proxies[i]
 	if version <= p.version && !empty {
 		return
@@ -128,63 +128,63 @@
 	for ; p.version < version; p.version++ {
 		e := s.registry.changes[p.version].entry
 		list = append(list, e)
-		if p.told == nil {
-			p.told = map[int32]int64{}
+		if p.withdrawnAt == nil {
+			p.withdrawnAt = map[int32]int64{}
 		}
 		server := int32(e.ID) - 1
 		if e.State == balance.Up {
-			delete(p.told, server)
-		} else if _, known := p.told[server]; !known {
-			p.told[server] = s.now
+			delete(p.withdrawnAt, server)
+		} else if _, known := p.withdrawnAt[server]; !known {
+			p.withdrawnAt[server] = s.now
 		}
 	}
 	s.registry.lines += len(list)
-	s.do(i, p.agent.List(time.Duration(s.now), balance.ListDelta, list, s.acts[:0]))
+	s.apply(i, p.agent.List(time.Duration(s.now), balance.ListDelta, list, s.actions[:0]))
 }
 
-// trouble plays one of the scenario's troubles. Stage 0 begins it; the others are its own.
-func (s *Sim) trouble(n int, stage int32, c uint64, o Options) {
-	t := &s.sc.Troubles[n]
+// playFault plays one of the scenario's troubles. Stage 0 begins it; the others are its own.
+func (s *Sim) playFault(n int, stage int32, c uint64, o Options) {
+	t := &s.scenario.Faults[n]
 	later := func(d time.Duration, stage int32, c uint64) {
-		s.add(s.now+int64(d), evTrouble, int32(n), stage, c)
+		s.add(s.now+int64(d), evFault, int32(n), stage, c)
 	}
-	part := func() int { return int(t.Size*float64(s.sc.Servers.Count) + 0.5) }
-	switch t.What {
+	part := func() int { return int(t.Size*float64(s.scenario.Servers.Count) + 0.5) }
+	switch t.Type {
 	case "burst":
-		if s.surge = t.Size; stage == 0 {
-			later(t.For, 1, 0)
+		if s.burst = t.Size; stage == 0 {
+			later(t.Duration, 1, 0)
 		} else {
-			s.surge = 1
+			s.burst = 1
 		}
 	case "discovery_stale":
-		if s.registry.behind = int64(t.Behind); stage == 0 {
-			later(t.For, 1, 0)
+		if s.registry.lag = int64(t.Lag); stage == 0 {
+			later(t.Duration, 1, 0)
 		} else {
-			s.registry.behind = 0
+			s.registry.lag = 0
 		}
 	case "pauses":
-		for _, i := range s.some(part()) {
-			s.servers[i].paused = s.now + int64(t.Pause)
+		for _, i := range s.drawServers(part()) {
+			s.servers[i].pausedUntil = s.now + int64(t.PauseFor)
 			for _, j := range s.servers[i].running {
-				s.jobs[j].end += int64(t.Pause)
+				s.jobs[j].doneAt += int64(t.PauseFor)
 			}
 		}
-		if s.now+int64(t.Every) < int64(t.At+t.For) {
-			later(t.Every, 0, 0)
+		if s.now+int64(t.Interval) < int64(t.At+t.Duration) {
+			later(t.Interval, 0, 0)
 		}
 	case "crash", "hall_loss":
 		if stage == 0 {
-			later(t.For, 1, 0)
+			later(t.Duration, 1, 0)
 		}
-		s.loss(t, stage == 0, o)
+		s.loseServers(t, stage == 0, o)
 	case "shrink", "rolling":
-		s.replace(t, stage, c, part(), later)
+		s.replaceServers(t, stage, c, part(), later)
 	}
 }
 
-// some draws so many servers that are up.
-func (s *Sim) some(n int) (all []int32) {
-	for _, i := range s.streams.troubles.Perm(len(s.servers)) {
+// drawServers draws so many servers that are up.
+func (s *Sim) drawServers(n int) (all []int32) {
+	for _, i := range s.streams.faults.Perm(len(s.servers)) {
 		if v := &s.servers[i]; v.up && !v.draining && len(all) < n {
 			all = append(all, int32(i))
 		}
@@ -192,8 +192,8 @@
 	return all
 }
 
-// loss takes a hall or one server away, or brings it back cold.
-func (s *Sim) loss(t *Trouble, begins bool, o Options) {
+// loseServers takes a hall or one server away, or brings it back cold.
+func (s *Sim) loseServers(t *Fault, begins bool, o Options) {
 	hall := int32(-1)
 	for h, name := range s.halls {
 		if name == t.Hall {
@@ -202,27 +202,27 @@
 	}
 	for i := range s.servers {
 		v := &s.servers[i]
-		if t.What == "crash" && i != 0 || t.What == "hall_loss" && v.hall != hall || v.draining {
+		if t.Type == "crash" && i != 0 || t.Type == "hall_loss" && v.hall != hall || v.draining {
 			continue
 		}
 		switch {
-		case begins && t.Silent:
-			v.silent = true
+		case begins && t.Unresponsive:
+			v.unresponsive = true
 		case begins:
-			s.die(int32(i))
-			s.change(int32(i), balance.Removed)
-		case t.Silent: // cut off, it went on; what it held is answered to nobody
-			v.silent = false
-			s.die(int32(i))
-			s.rise(int32(i))
+			s.killServer(int32(i))
+			s.publishState(int32(i), balance.Removed)
+		case t.Unresponsive: // cut off, it went on; what it held is answered to nobody
+			v.unresponsive = false
+			s.killServer(int32(i))
+			s.restartServer(int32(i))
 		default:
-			s.rise(int32(i))
+			s.restartServer(int32(i))
 		}
 	}
 	for i := range s.proxies {
-		if p := &s.proxies[i]; t.What == "hall_loss" && t.Proxies && p.hall == hall {
+		if p := &s.proxies[i]; t.Type == "hall_loss" && t.Proxies && p.hall == hall {
 			if begins {
-				s.kill(int32(i))
+				s.killProxy(int32(i))
 			} else if err := s.startProxy(int32(i), o); err != nil {
 				s.monitor.stop = true // the same settings were taken before
 			}
@@ -230,72 +230,73 @@
 	}
 }
 
-// die ends a server's process: what it holds is reset.
-func (s *Sim) die(i int32) {
+// killServer ends a server's process: what it holds is reset.
+func (s *Sim) killServer(i int32) {
 	v := &s.servers[i]
 	all := append(append([]int32(nil), v.running...), v.queue[v.head:]...)
 	for _, j := range all {
-		s.end(j, balance.Reset, s.back(&s.jobs[j]), true)
+		s.finishJob(j, balance.Reset, s.returnLatency(&s.jobs[j]), true)
 	}
 	v.running, v.queue, v.head = v.running[:0], v.queue[:0], 0
 	v.up = false
-	v.life++
-	v.choked, v.crowdedAt, v.idleAt = false, 0, 0
+	v.incarnation++
+	v.choked, v.overloadedSince, v.idleSince = false, 0, 0
 	for p := range s.proxies { // its connections are gone
-		pr := s.pair(int32(p), i)
-		v.open -= int32(len(pr.idle))
-		pr.idle = pr.idle[:0]
+		pr := s.idleConnsOf(int32(p), i)
+		v.conns -= int32(len(pr.parkedAt))
+		pr.parkedAt = pr.parkedAt[:0]
 	}
-	s.board.changed(s, i)
+	s.board.recordLoad(s, i)
 }
 
-// rise starts a server's process anew, cold.
-func (s *Sim) rise(i int32) {
+// restartServer starts a server's process anew, cold.
+func (s *Sim) restartServer(i int32) {
 	v := &s.servers[i]
-	v.up, v.fell, v.warm, v.started = true, false, nil, max(s.now, 1)
-	s.change(i, balance.Up)
+	v.up, v.collapsed, v.warmKeys, v.started = true, false, nil, max(s.now, 1)
+	s.publishState(i, balance.Up)
 }
 
-// kill ends a proxy: what it held is left to its clients.
-func (s *Sim) kill(i int32) {
+// killProxy ends a proxy: what it held is left to its clients.
+func (s *Sim) killProxy(i int32) {
 	p := &s.proxies[i]
-	p.life++
+	p.incarnation++
 	p.alive, p.watching = false, false
-	for r := range s.reqs {
-		if q := &s.reqs[r]; q.used && !q.over && q.proxy == i {
-			q.over = true
-			s.held--
-			s.over(q.demand, failed, 0, !q.ran)
-			s.release(int32(r))
+	for r := range s.requests {
+		if q := &s.requests[r]; q.used && !q.answered && q.proxy == i {
+			q.answered = true
+			s.inFlight--
+			s.attemptAnswered(q.demand, failed, 0, !q.started)
+			s.releaseRequest(int32(r))
 		}
 	}
 }
 
-// replace drains servers one after the other; a rolling replacement starts another, cold, for each.
-func (s *Sim) replace(t *Trouble, stage int32, c uint64, n int, later func(time.Duration, int32, uint64)) {
+// replaceServers drains servers one after the other; a rolling replacement starts another, cold, for each.
+func (s *Sim) replaceServers(t *Fault, stage int32, c uint64, n int,
+	later func(time.Duration, int32, uint64)) {
 	switch stage {
 	case 0: // the c-th goes now
 		if c >= uint64(n) {
 			return
 		}
-		gone := s.some(1)
-		if len(gone) == 0 {
+		drained := s.drawServers(1)
+		if len(drained) == 0 {
 			return
 		}
-		s.servers[gone[0]].draining = true
-		s.change(gone[0], balance.Draining)
-		later(t.Every, 1, uint64(gone[0]))
-		if t.What == "rolling" && len(s.servers) < s.registry.most {
-			old := s.servers[gone[0]]
+		s.servers[drained[0]].draining = true
+		s.publishState(drained[0], balance.Draining)
+		later(t.Interval, 1, uint64(drained[0]))
+		if t.Type == "rolling" && len(s.servers) < s.registry.maxServers {
+			old := s.servers[drained[0]]
 			s.servers = append(s.servers, server{kind: old.kind, hall: old.hall, cores: old.cores,
 				speed: old.speed, started: max(s.now, 1), up: true})
-			s.board.grow(s)
-			s.change(int32(len(s.servers)-1), balance.Up)
+			s.board.addServer(s)
+			s.publishState(int32(len(s.servers)-1), balance.Up)
 		}
-		later(t.For/time.Duration(n), 0, c+1)
+		later(t.Duration/time.Duration(n), 0, c+1)
 	case 1:
 		i := int32(c)
-		s.die(i)
-		s.change(i, balance.Removed)
+		s.killServer(i)
+		s.publishState(i, balance.Removed)
 	}
 }
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -12,41 +12,41 @@
 type demand struct {
 	class, tenant, proxy int32
 	number               int32 // from 1, in order of arrival
-	tries                int32
-	runs                 int32 // times that it began to run
+	attempts             int32
+	starts               int32 // times that it began to run
 	refs                 int32 // requests that are of it
 	done                 bool
 	key                  uint64
 	work                 float64 // ns on a core of speed 1
-	at, deadline         int64
-	worth                float64
-	honours              bool
+	arrivedAt, deadline  int64
+	value                float64
+	honorsRetryAfter     bool
 	counted              bool // arrived after the warm-up
 }
 
 // request is one try at a proxy.
 type request struct {
-	demand   int32
-	proxy    int32
-	life     int32 // of the proxy
-	gen      uint32
-	used     bool
-	over     bool
-	ran      bool // some attempt has begun to run
-	out      int32
-	jobs     int32 // at servers
-	at       int64
-	deadline int64
-	attempts []attempt
+	demand      int32
+	proxy       int32
+	incarnation int32 // of the proxy
+	generation  uint32
+	used        bool
+	answered    bool
+	started     bool // some attempt has begun to run
+	open        int32
+	jobs        int32 // at servers
+	at          int64
+	deadline    int64
+	attempts    []attempt
 }
 
 type attempt struct {
-	server int32
-	job    int32
-	sent   int64
-	until  int64
-	out    bool
-	conn   bool // holds a connection
+	server  int32
+	job     int32
+	sent    int64
+	until   int64
+	open    bool
+	hasConn bool // holds a connection
 }
 
 // what became of a try or a demand
@@ -59,45 +59,45 @@
 // nextArrival is when the next request of the stream comes: the stream is one, whatever the number of
 // proxies.
 func (s *Sim) nextArrival() int64 {
-	rate := s.rate * s.surge
+	rate := s.rate * s.burst
 	if rate <= 0 {
 		return s.now + int64(time.Second)
 	}
 	return s.now + int64(s.streams.arrivals.ExpFloat64()/rate*1e9)
 }
 
-// pick draws a position from cumulated shares.
-func pick(cum []float64, x float64) int32 {
+// pickCumulative draws a position from cumulated shares.
+func pickCumulative(cum []float64, x float64) int32 {
 	i, _ := slices.BinarySearch(cum, x*cum[len(cum)-1])
 	return int32(min(i, len(cum)-1))
 }
 
 func (s *Sim) arrival() {
-	sc := s.sc
-	if s.now > s.ends || sc.Requests > 0 && s.arrived >= sc.Requests {
+	sc := s.scenario
+	if s.now > s.arrivalsEnd || sc.Requests > 0 && s.arrived >= sc.Requests {
 		s.arrived = -1 // the stream is over
 		return
 	}
 	// Everything about the request is drawn here, whatever becomes of it.
-	sh := s.streams.shape
-	who := pick(s.cum, sh.Float64())
+	shape := s.streams.shape
+	proxyIndex := pickCumulative(s.proxyCum, shape.Float64())
 	n := 1
 	if sc.Load.Arrivals == "bursty" {
 		n = max(1, int(sc.Load.Burst+0.5))
 	}
 	gap := 0.0
 	for i := range n {
-		d := s.newDemand(who)
+		d := s.newDemand(proxyIndex)
 		if i == 0 {
-			s.try(d)
+			s.startClientAttempt(d)
 		} else {
-			mean := sc.Load.Gap * s.serv
+			mean := sc.Load.BurstGap * s.meanService
 			if mean == 0 {
-				mean = s.proxies[who].gap / float64(n)
+				mean = s.proxies[proxyIndex].meanGap / float64(n)
 			}
-			gap += sh.ExpFloat64() * mean
-			s.held++ // it will come, so the day is not over
-			s.add(s.now+int64(gap), evTry, d, 1, 0)
+			gap += shape.ExpFloat64() * mean
+			s.inFlight++ // it will come, so the day is not over
+			s.add(s.now+int64(gap), evClientAttempt, d, 1, 0)
 		}
 	}
 	next := s.nextArrival()
@@ -109,45 +109,46 @@
 	}
 }
 
-func (s *Sim) newDemand(who int32) int32 {
-	sc, sh := s.sc, s.streams.shape
+func (s *Sim) newDemand(proxyIndex int32) int32 {
+	sc, shape := s.scenario, s.streams.shape
 	s.arrived++
-	s.last = s.now
-	d := demand{proxy: who, class: pick(s.cum2.class, sh.Float64()), number: int32(s.arrived), at: s.now}
-	if len(s.cum2.tenant) > 0 {
-		d.tenant = pick(s.cum2.tenant, sh.Float64())
+	s.lastArrival = s.now
+	d := demand{proxy: proxyIndex, class: pickCumulative(s.shareCum.class, shape.Float64()),
+		number: int32(s.arrived), arrivedAt: s.now}
+	if len(s.shareCum.tenant) > 0 {
+		d.tenant = pickCumulative(s.shareCum.tenant, shape.Float64())
 	}
-	d.honours = sh.Float64() < sc.Clients.Honour
+	d.honorsRetryAfter = shape.Float64() < sc.Clients.HonorRetryAfter
 	if s.zipf != nil {
 		d.key = s.zipf.Uint64()*0x9e3779b97f4a7c15 + 1
 	}
 	c := &sc.Classes[d.class]
-	d.work = float64(c.Work) * s.draw()
+	d.work = float64(c.Work) * s.workFactor()
 	d.deadline = s.now + int64(forever)
 	if c.Deadline > 0 {
 		d.deadline = s.now + int64(c.Deadline)
 	}
-	d.worth = c.Worth
+	d.value = c.Value
 	// An application stops and starts with its proxy: what it would have sent meanwhile is not asked for.
-	d.counted = s.now >= int64(sc.WarmUp) && s.arrived > sc.WarmN && s.proxies[who].alive
-	return s.takeDemand(d)
+	d.counted = s.now >= int64(sc.WarmUp) && s.arrived > sc.WarmUpRequests && s.proxies[proxyIndex].alive
+	return s.allocDemand(d)
 }
 
-// draw is a factor of mean 1 on the work of a class.
-func (s *Sim) draw() float64 {
+// workFactor is a factor of mean 1 on the work of a class.
+func (s *Sim) workFactor() float64 {
 	w := s.streams.work
-	switch s.sc.Load.Work {
+	switch s.scenario.Load.WorkDistribution {
 	case "fixed":
 		return 1
 	case "uniform":
-		return 1 + s.sc.Load.Spread*(2*w.Float64()-1)
+		return 1 + s.scenario.Load.WorkSpread*(2*w.Float64()-1)
 	case "pareto": // bounded from 0.5 on with exponent 2: mean 1
 		return min(0.5/math.Sqrt(1-w.Float64()), 1000)
 	}
 	return w.ExpFloat64()
 }
 
-func (s *Sim) takeDemand(d demand) int32 {
+func (s *Sim) allocDemand(d demand) int32 {
 	if n := len(s.free.demands); n > 0 {
 		i := s.free.demands[n-1]
 		s.free.demands = s.free.demands[:n-1]
@@ -158,100 +159,101 @@
 	return int32(len(s.demands) - 1)
 }
 
-// try sends a demand to its proxy once more.
-func (s *Sim) try(di int32) {
+// startClientAttempt sends a demand to its proxy once more.
+func (s *Sim) startClientAttempt(di int32) {
 	d := &s.demands[di]
-	if d.tries == 0 {
-		d.at = s.now
-		if c := &s.sc.Classes[d.class]; c.Deadline > 0 {
+	if d.attempts == 0 {
+		d.arrivedAt = s.now
+		if c := &s.scenario.Classes[d.class]; c.Deadline > 0 {
 			d.deadline = s.now + int64(c.Deadline)
 		}
 	}
-	if d.tries++; d.tries == 1 && d.counted {
-		s.tally.asked(s, di)
+	if d.attempts++; d.attempts == 1 && d.counted {
+		s.tally.countArrival(s, di)
 	}
 	p := &s.proxies[d.proxy]
 	if !p.alive { // its application went with it, or finds nobody
-		s.over(di, failed, 0, true)
+		s.attemptAnswered(di, failed, 0, true)
 		return
 	}
 	var r int32
-	if n := len(s.free.reqs); n > 0 {
-		r = s.free.reqs[n-1]
-		s.free.reqs = s.free.reqs[:n-1]
+	if n := len(s.free.requests); n > 0 {
+		r = s.free.requests[n-1]
+		s.free.requests = s.free.requests[:n-1]
 	} else {
-		s.reqs = append(s.reqs, request{})
-		r = int32(len(s.reqs) - 1)
+		s.requests = append(s.requests, request{})
+		r = int32(len(s.requests) - 1)
 	}
-	q := &s.reqs[r]
-	*q = request{demand: di, proxy: d.proxy, life: p.life, gen: q.gen + 1, used: true, at: s.now,
+	q := &s.requests[r]
+	*q = request{demand: di, proxy: d.proxy, incarnation: p.incarnation, generation: q.generation + 1,
+		used: true, at: s.now,
 		attempts: q.attempts[:0]}
 	d.refs++
 	q.deadline = d.deadline
-	if c := &s.sc.Classes[d.class]; c.Deadline > 0 {
-		q.deadline = min(d.deadline, s.now+int64(float64(c.Deadline)*s.sc.Clients.GiveUp))
-		s.add(q.deadline+int64(s.sc.Rules.Slack)+1, evTryEnd, r, 0, uint64(q.gen))
+	if c := &s.scenario.Classes[d.class]; c.Deadline > 0 {
+		q.deadline = min(d.deadline, s.now+int64(float64(c.Deadline)*s.scenario.Clients.TimeoutFraction))
+		s.add(q.deadline+int64(s.scenario.Rules.AnswerGrace)+1, evClientTimeout, r, 0, uint64(q.generation))
 	}
-	if s.held++; s.held > s.sc.MostHeld {
+	if s.inFlight++; s.inFlight > s.scenario.MaxInFlight {
 		s.overflow = true
 		return
 	}
-	s.monitor.note(s, "arrives", d.number, -1)
-	s.do(d.proxy, p.agent.Request(time.Duration(s.now), balance.Request{
-		ID: s.name(r), Class: int(d.class), Tenant: int(d.tenant), Key: d.key, HasKey: d.key != 0,
+	s.monitor.record(s, "arrives", d.number, -1)
+	s.apply(d.proxy, p.agent.Request(time.Duration(s.now), balance.Request{
+		ID: s.requestID(r), Class: int(d.class), Tenant: int(d.tenant), Key: d.key, HasKey: d.key != 0,
 		Deadline: time.Duration(q.deadline),
-	}, s.acts[:0]))
+	}, s.actions[:0]))
 }
 
-// tryEnd comes when a try should long have been answered.
-func (s *Sim) tryEnd(r int32, gen uint64) {
-	q := &s.reqs[r]
-	if !q.used || uint64(q.gen) != gen || q.over {
+// clientTimeout comes when a try should long have been answered.
+func (s *Sim) clientTimeout(r int32, gen uint64) {
+	q := &s.requests[r]
+	if !q.used || uint64(q.generation) != gen || q.answered {
 		return
 	}
-	s.monitor.broken(s, OneAnswer, s.demands[q.demand].number, -1)
+	s.monitor.recordViolation(s, OneAnswer, s.demands[q.demand].number, -1)
 	p := &s.proxies[q.proxy]
-	id := s.name(r)
-	s.answer(r, failed, 0)
-	if p.alive && p.life == q.life {
-		s.do(q.proxy, p.agent.ClientGone(time.Duration(s.now), id, s.acts[:0]))
+	id := s.requestID(r)
+	s.answerRequest(r, failed, 0)
+	if p.alive && p.incarnation == q.incarnation {
+		s.apply(q.proxy, p.agent.ClientGone(time.Duration(s.now), id, s.actions[:0]))
 	}
 }
 
-// answer gives a try its final answer.
-func (s *Sim) answer(r int32, how int, wait time.Duration) {
-	q := &s.reqs[r]
-	if q.over {
+// answerRequest gives a try its final answer.
+func (s *Sim) answerRequest(r int32, how int, wait time.Duration) {
+	q := &s.requests[r]
+	if q.answered {
 		return
 	}
-	q.over = true
-	s.held--
+	q.answered = true
+	s.inFlight--
 	d := &s.demands[q.demand]
-	if how == refused && s.sc.Classes[d.class].Unsafe && q.ran {
-		s.monitor.broken(s, NeverTwice, d.number, -1) // it says that trying again is harmless
+	if how == refused && s.scenario.Classes[d.class].AtMostOnce && q.started {
+		s.monitor.recordViolation(s, AtMostOnce, d.number, -1) // it says that trying again is harmless
 	}
-	s.monitor.note(s, [...]string{"is served", "is refused", "fails"}[how], d.number, -1)
-	s.over(q.demand, how, wait, false)
-	s.release(r)
+	s.monitor.record(s, [...]string{"is served", "is refused", "fails"}[how], d.number, -1)
+	s.attemptAnswered(q.demand, how, wait, false)
+	s.releaseRequest(r)
 }
 
-// over is the client's side of an answer: another try, or the end of its request.
-func (s *Sim) over(di int32, how int, wait time.Duration, unreachable bool) {
+// attemptAnswered is the client's side of an answer: another try, or the end of its request.
+func (s *Sim) attemptAnswered(di int32, how int, wait time.Duration, unreachable bool) {
 	d := &s.demands[di]
-	c := &s.sc.Classes[d.class]
-	again := how != served && int(d.tries) < s.sc.Clients.Tries &&
-		(how == refused || unreachable || !c.Unsafe)
-	pause := s.sc.Clients.Wait
-	if how == refused && d.honours {
+	c := &s.scenario.Classes[d.class]
+	again := how != served && int(d.attempts) < s.scenario.Clients.MaxAttempts &&
+		(how == refused || unreachable || !c.AtMostOnce)
+	pause := s.scenario.Clients.Backoff
+	if how == refused && d.honorsRetryAfter {
 		pause = max(pause, wait)
 	}
 	if at := s.now + int64(pause); again && at < d.deadline {
-		s.held++
-		s.add(max(at, s.now+1), evTry, di, 0, 0)
+		s.inFlight++
+		s.add(max(at, s.now+1), evClientAttempt, di, 0, 0)
 		return
 	}
 	if d.counted {
-		s.tally.ended(s, d, how)
+		s.tally.countAnswer(s, d, how)
 	}
 	d.done = true
 	if d.refs == 0 {
@@ -259,12 +261,12 @@
 	}
 }
 
-// release gives a request's place back once nothing refers to it.
-func (s *Sim) release(r int32) {
-	q := &s.reqs[r]
-	if q.used && q.over && q.out == 0 && q.jobs == 0 {
+// releaseRequest gives a request's place back once nothing refers to it.
+func (s *Sim) releaseRequest(r int32) {
+	q := &s.requests[r]
+	if q.used && q.answered && q.open == 0 && q.jobs == 0 {
 		q.used = false
-		s.free.reqs = append(s.free.reqs, r)
+		s.free.requests = append(s.free.requests, r)
 		d := &s.demands[q.demand]
 		if d.refs--; d.refs == 0 && d.done {
 			s.free.demands = append(s.free.demands, q.demand)
@@ -272,98 +274,100 @@
 	}
 }
 
-// send starts an attempt.
-func (s *Sim) send(r, to int32, wait int64) {
-	q := &s.reqs[r]
+// startAttempt starts an attempt.
+func (s *Sim) startAttempt(r, to int32, wait int64) {
+	q := &s.requests[r]
 	d := &s.demands[q.demand]
 	n := len(q.attempts)
 	until := q.deadline
 	if wait > 0 {
 		until = min(until, s.now+wait)
 	}
-	q.attempts = append(q.attempts, attempt{server: to, job: -1, sent: s.now, until: until, out: true})
-	q.out++
-	c := uint64(q.gen)<<8 | uint64(n)
+	q.attempts = append(q.attempts, attempt{server: to, job: -1, sent: s.now, until: until, open: true})
+	q.open++
+	c := uint64(q.generation)<<8 | uint64(n)
 	p, sv := &s.proxies[q.proxy], &s.servers[to]
-	if q.over || n >= s.sc.Rules.Attempts || until < s.now {
-		s.add(s.now, evOutcome, r, int32(balance.Skipped), c)
+	if q.answered || n >= s.scenario.Rules.MaxAttempts || until < s.now {
+		s.add(s.now, evAttemptEnd, r, int32(balance.Skipped), c)
 		return
 	}
-	s.monitor.sent(s, q, to, d)
-	s.tally.sent(s, d, p.hall != sv.hall)
+	s.monitor.checkSend(s, q, to, d)
+	s.tally.countAttempt(s, d, p.hall != sv.hall)
 	way := s.latency(p.hall, sv.hall)
 	handshake := 0.0
-	if !s.reuse(q.proxy, to) {
+	if !s.reuseConn(q.proxy, to) {
 		switch {
-		case sv.silent:
-			s.add(min(s.now+int64(s.sc.Network.Dial), until), evOutcome, r, int32(balance.ConnRefused), c)
+		case sv.unresponsive:
+			s.add(min(s.now+int64(s.scenario.Network.DialTimeout), until), evAttemptEnd, r,
+				int32(balance.ConnRefused), c)
 			return
-		case !sv.up || s.sc.Servers.Conns > 0 && int(sv.open) >= s.sc.Servers.Conns:
-			s.add(s.now+2*way, evOutcome, r, int32(balance.ConnRefused), c)
+		case !sv.up || s.scenario.Servers.MaxConns > 0 && int(sv.conns) >= s.scenario.Servers.MaxConns:
+			s.add(s.now+2*way, evAttemptEnd, r, int32(balance.ConnRefused), c)
 			return
 		}
 		s.tally.handshakes++
-		sv.open++
-		handshake = float64(s.sc.Servers.Handshake)
+		sv.conns++
+		handshake = float64(s.scenario.Servers.HandshakeWork)
 		way += 2 * s.latency(p.hall, sv.hall)
 	}
-	q.attempts[n].conn = true
-	j := s.takeJob(job{req: r, attempt: int32(n), server: to, life: sv.life, work: d.work, extra: handshake,
-		key: d.key})
+	q.attempts[n].hasConn = true
+	j := s.allocJob(job{req: r, attempt: int32(n), server: to, incarnation: sv.incarnation, work: d.work,
+		handshake: handshake,
+		key:       d.key})
 	q.attempts[n].job = j
 	q.jobs++
-	s.add(s.now+way, evArrive, j, 0, 0)
-	if s.sc.Classes[d.class].Deadline > 0 || wait > 0 {
-		s.add(until, evOutcome, r, int32(balance.TimedOut), c)
+	s.add(s.now+way, evServerArrival, j, 0, 0)
+	if s.scenario.Classes[d.class].Deadline > 0 || wait > 0 {
+		s.add(until, evAttemptEnd, r, int32(balance.TimedOut), c)
 	}
 }
 
-// cancel gives an attempt up.
-func (s *Sim) cancel(r int32, n int) {
-	q := &s.reqs[r]
-	if n < len(q.attempts) && q.attempts[n].out {
-		s.add(s.now, evOutcome, r, int32(balance.Cancelled), uint64(q.gen)<<8|uint64(n))
+// cancelAttempt gives an attempt up.
+func (s *Sim) cancelAttempt(r int32, n int) {
+	q := &s.requests[r]
+	if n < len(q.attempts) && q.attempts[n].open {
+		s.add(s.now, evAttemptEnd, r, int32(balance.Cancelled), uint64(q.generation)<<8|uint64(n))
 	}
 }
 
-// outcome ends an attempt at its proxy. The first that comes counts.
-func (s *Sim) outcome(r int32, res balance.Result, c uint64) {
-	q := &s.reqs[r]
+// attemptEnded ends an attempt at its proxy. The first that comes counts.
+func (s *Sim) attemptEnded(r int32, res balance.Result, c uint64) {
+	q := &s.requests[r]
 	n := int(c & 255)
-	if !q.used || uint64(q.gen) != c>>8 || !q.attempts[n].out {
+	if !q.used || uint64(q.generation) != c>>8 || !q.attempts[n].open {
 		return
 	}
 	a := &q.attempts[n]
-	a.out = false
-	q.out--
+	a.open = false
+	q.open--
 	i := q.proxy
 	p := &s.proxies[i]
-	if a.conn {
-		s.park(i, a.server, res == balance.Done || res == balance.Rejected || res == balance.Error)
+	if a.hasConn {
+		s.parkConn(i, a.server, res == balance.Done || res == balance.Rejected || res == balance.Error)
 	}
 	if a.job >= 0 && (res == balance.TimedOut || res == balance.Cancelled) {
 		s.jobs[a.job].abandoned = true
 	}
-	if !p.alive || p.life != q.life {
-		s.release(r)
+	if !p.alive || p.incarnation != q.incarnation {
+		s.releaseRequest(r)
 		return
 	}
-	wins := res == balance.Done && !q.over
+	wins := res == balance.Done && !q.answered
 	if res == balance.Done && !wins {
 		s.tally.wasted += s.demands[q.demand].work
 	}
-	id, server, sent := s.name(r), a.server, a.sent
-	s.monitor.note(s, resultNames[res], s.demands[q.demand].number, server)
+	id, server, sent := s.requestID(r), a.server, a.sent
+	s.monitor.record(s, resultNames[res], s.demands[q.demand].number, server)
 	if wins {
-		s.answer(r, served, 0)
+		s.answerRequest(r, served, 0)
 	} else {
-		s.release(r)
+		s.releaseRequest(r)
 	}
-	over := wins || !s.reqs[r].used || s.reqs[r].over
-	s.do(i, p.agent.Outcome(time.Duration(s.now), balance.Outcome{
+	over := wins || !s.requests[r].used || s.requests[r].answered
+	s.apply(i, p.agent.Outcome(time.Duration(s.now), balance.Outcome{
 		ID: id, Attempt: n, Server: balance.ServerID(server + 1), Result: res, Final: over,
 		Latency: time.Duration(s.now - sent),
-	}, s.acts[:0]))
+	}, s.actions[:0]))
 }
 
 var resultNames = [...]string{
--- a/internal/simulation/proxysim/server.go
+++ b/internal/simulation/proxysim/server.go
@@ -9,52 +9,52 @@
 
 // server is one zone server.
 type server struct {
-	kind, hall, cores, life int32
-	speed                   float64
-	up, silent, draining    bool
-	started                 int64 // 0 is long ago
-	running                 []int32
-	queue                   []int32 // jobs waiting, from head on
-	head                    int
-	open                    int32 // connections
-	paused                  int64
-	debt                    float64 // work of probes not done yet
+	kind, hall, cores, incarnation int32
+	speed                          float64
+	up, unresponsive, draining     bool
+	started                        int64 // 0 is long ago
+	running                        []int32
+	queue                          []int32 // jobs waiting, from head on
+	head                           int
+	conns                          int32 // connections
+	pausedUntil                    int64
+	probeWork                      float64 // work of probes not done yet
 
-	crowdedAt, idleAt int64 // since then, 0 where not
-	choked, everChoke bool
-	chokes            uint64 // stamp
+	overloadedSince, idleSince int64 // since then, 0 where not
+	choked, everChoked         bool
+	chokeSeq                   uint64 // stamp
 
-	warm map[uint64]int64 // keys met, with when
-	ring []uint64         // keys in the order met
-	next int
+	warmKeys  map[uint64]int64 // keys met, with when
+	warmOrder []uint64         // keys in the order met
+	warmNext  int
 
-	reportAt int64
-	reported [3]float64
+	reportedAt int64
+	reported   [3]float64
 
-	window  int64 // of what reached it while cold
-	reached float64
-	fell    bool
+	slowStartFrom int64 // of what reached it while cold
+	slowStartWork float64
+	collapsed     bool
 }
 
-func (v *server) waiting() int { return len(v.queue) - v.head }
-func (v *server) held() int    { return len(v.running) + v.waiting() }
+func (v *server) queued() int   { return len(v.queue) - v.head }
+func (v *server) inSystem() int { return len(v.running) + v.queued() }
 
 // job is an attempt at a server.
 type job struct {
-	req, attempt, server, life int32
-	work, extra                float64 // ns on a core of speed 1; extra is its connection's
-	key                        uint64
-	end                        int64
-	stamp                      uint32
-	used, abandoned            bool
+	req, attempt, server, incarnation int32
+	work, handshake                   float64 // ns on a core of speed 1; extra is its connection's
+	key                               uint64
+	doneAt                            int64
+	generation                        uint32
+	used, abandoned                   bool
 }
 
-func (s *Sim) takeJob(j job) int32 {
+func (s *Sim) allocJob(j job) int32 {
 	j.used = true
 	if n := len(s.free.jobs); n > 0 {
 		i := s.free.jobs[n-1]
 		s.free.jobs = s.free.jobs[:n-1]
-		j.stamp = s.jobs[i].stamp + 1
+		j.generation = s.jobs[i].generation + 1
 		s.jobs[i] = j
 		return i
 	}
@@ -62,146 +62,149 @@
 	return int32(len(s.jobs) - 1)
 }
 
-// end gives a job's place back and has its attempt end so, after that time; never where it says nothing.
-func (s *Sim) end(ji int32, res balance.Result, after int64, tells bool) {
+// finishJob gives a job's place back and has its attempt end so, after that time; never where it says
+// nothing.
+func (s *Sim) finishJob(ji int32, res balance.Result, delay int64, notify bool) {
 	j := &s.jobs[ji]
-	q := &s.reqs[j.req]
+	q := &s.requests[j.req]
 	q.attempts[j.attempt].job = -1
 	q.jobs--
-	if tells {
-		s.add(s.now+after, evOutcome, j.req, int32(res), uint64(q.gen)<<8|uint64(j.attempt))
+	if notify {
+		s.add(s.now+delay, evAttemptEnd, j.req, int32(res), uint64(q.generation)<<8|uint64(j.attempt))
 	}
 	j.used = false
 	s.free.jobs = append(s.free.jobs, ji)
-	s.release(j.req)
+	s.releaseRequest(j.req)
 }
 
-// back is one way from a server to the proxy of a job.
-func (s *Sim) back(j *job) int64 {
-	return s.latency(s.servers[j.server].hall, s.proxies[s.reqs[j.req].proxy].hall)
+// returnLatency is one way from a server to the proxy of a job.
+func (s *Sim) returnLatency(j *job) int64 {
+	return s.latency(s.servers[j.server].hall, s.proxies[s.requests[j.req].proxy].hall)
 }
 
-// arrive takes a request in at its server.
-func (s *Sim) arrive(ji int32) {
+// arriveAtServer takes a request in at its server.
+func (s *Sim) arriveAtServer(ji int32) {
 	j := &s.jobs[ji]
 	v := &s.servers[j.server]
-	back := s.back(j)
-	d := &s.demands[s.reqs[j.req].demand]
+	back := s.returnLatency(j)
+	d := &s.demands[s.requests[j.req].demand]
 	switch {
-	case v.silent:
-		s.end(ji, 0, 0, false)
+	case v.unresponsive:
+		s.finishJob(ji, 0, 0, false)
 		return
-	case !v.up || v.life != j.life:
-		s.end(ji, balance.Reset, back, true)
+	case !v.up || v.incarnation != j.incarnation:
+		s.finishJob(ji, balance.Reset, back, true)
 		return
 	}
-	s.push(j.server, j.work+j.extra, d.number)
-	limit := s.sc.Servers.Waiting
-	if v.draining || v.fell || len(v.running) >= int(v.cores) && limit > 0 && v.waiting() >= limit {
-		s.tally.turnedAway++
-		s.end(ji, balance.Rejected, back, true)
+	s.trackSlowStart(j.server, j.work+j.handshake, d.number)
+	limit := s.scenario.Servers.QueueLimit
+	if v.draining || v.collapsed || len(v.running) >= int(v.cores) && limit > 0 && v.queued() >= limit {
+		s.tally.rejected++
+		s.finishJob(ji, balance.Rejected, back, true)
 		return
 	}
 	if len(v.running) < int(v.cores) {
-		s.begin(ji)
+		s.startJob(ji)
 	} else {
 		v.queue = append(v.queue, ji)
 	}
-	s.board.changed(s, j.server)
-	s.board.access(s, s.reqs[j.req].proxy)
-	s.watchCrowd(j.server)
+	s.board.recordLoad(s, j.server)
+	s.board.readOnAccess(s, s.requests[j.req].proxy)
+	s.trackOverload(j.server)
 }
 
-// push sums up what reaches a cold server. Sent too much for too long, it falls over and stays down.
-func (s *Sim) push(i int32, work float64, number int32) {
+// trackSlowStart sums up what reaches a cold server. Sent too much for too long, it falls over and stays
+// down.
+func (s *Sim) trackSlowStart(i int32, work float64, number int32) {
 	v := &s.servers[i]
-	c := s.warmth(v)
-	if s.sc.Rules.Multiple <= 0 || c >= 1 || v.fell {
+	c := s.slowStartFraction(v)
+	if s.scenario.Rules.CollapseFactor <= 0 || c >= 1 || v.collapsed {
 		return
 	}
-	after := int64(s.sc.Rules.After)
-	if s.now-v.window > after {
-		v.window, v.reached = s.now, 0
+	after := int64(s.scenario.Rules.CollapseAfter)
+	if s.now-v.slowStartFrom > after {
+		v.slowStartFrom, v.slowStartWork = s.now, 0
 	}
-	v.reached += work
+	v.slowStartWork += work
 	can := c * float64(v.cores) * v.speed * float64(after)
-	if v.reached > s.sc.Rules.Multiple*can+4*float64(v.cores)*work { // a little slack for chance
-		v.fell = true
-		s.monitor.broken(s, ColdKept, number, i)
+	// a little slack for chance
+	if v.slowStartWork > s.scenario.Rules.CollapseFactor*can+4*float64(v.cores)*work {
+		v.collapsed = true
+		s.monitor.recordViolation(s, SlowStartObeyed, number, i)
 	}
 }
 
-// warmth is the part of its capacity that a server has now.
-func (s *Sim) warmth(v *server) float64 {
-	o := &s.sc.Servers
-	if o.ColdStart >= 1 || v.started == 0 || o.ColdFor <= 0 {
+// slowStartFraction is the part of its capacity that a server has now.
+func (s *Sim) slowStartFraction(v *server) float64 {
+	o := &s.scenario.Servers
+	if o.SlowStartMin >= 1 || v.started == 0 || o.SlowStartWindow <= 0 {
 		return 1
 	}
-	return min(1, o.ColdStart+(1-o.ColdStart)*float64(s.now-v.started)/float64(o.ColdFor))
+	return min(1, o.SlowStartMin+(1-o.SlowStartMin)*float64(s.now-v.started)/float64(o.SlowStartWindow))
 }
 
-// begin puts a job on a core.
-func (s *Sim) begin(ji int32) {
+// startJob puts a job on a core.
+func (s *Sim) startJob(ji int32) {
 	j := &s.jobs[ji]
 	v := &s.servers[j.server]
-	q := &s.reqs[j.req]
+	q := &s.requests[j.req]
 	d := &s.demands[q.demand]
-	s.monitor.note(s, "runs", d.number, j.server)
-	if d.runs++; d.runs > 1 && s.sc.Classes[d.class].Unsafe {
-		s.monitor.broken(s, NeverTwice, d.number, j.server)
+	s.monitor.record(s, "runs", d.number, j.server)
+	if d.starts++; d.starts > 1 && s.scenario.Classes[d.class].AtMostOnce {
+		s.monitor.recordViolation(s, AtMostOnce, d.number, j.server)
 	}
-	q.ran = true
+	q.started = true
 	work := j.work
-	if s.meets(v, j.key) {
-		work *= s.sc.Servers.WarmPart
+	if s.touchKey(v, j.key) {
+		work *= s.scenario.Servers.WarmKeyWork
 	}
-	took := (work + j.extra + v.debt) / (v.speed * s.warmth(v))
-	v.debt = 0
+	took := (work + j.handshake + v.probeWork) / (v.speed * s.slowStartFraction(v))
+	v.probeWork = 0
 	if v.choked {
-		took *= s.sc.Servers.ChokeSlow
+		took *= s.scenario.Servers.ChokeFactor
 	}
-	j.end = max(s.now, v.paused) + int64(took)
+	j.doneAt = max(s.now, v.pausedUntil) + int64(took)
 	v.running = append(v.running, ji)
-	s.add(j.end, evWorked, ji, v.life, uint64(j.stamp))
+	s.add(j.doneAt, evJobDone, ji, v.incarnation, uint64(j.generation))
 }
 
-// meets tells whether a key is warm and remembers it; who was met longest ago is forgotten first.
-func (s *Sim) meets(v *server, key uint64) bool {
-	o := &s.sc.Servers
-	if o.WarmFor <= 0 || key == 0 {
+// touchKey tells whether a key is warm and remembers it; who was met longest ago is forgotten first.
+func (s *Sim) touchKey(v *server, key uint64) bool {
+	o := &s.scenario.Servers
+	if o.WarmKeyTTL <= 0 || key == 0 {
 		return false
 	}
-	if v.warm == nil {
-		v.warm, v.ring = make(map[uint64]int64, o.WarmMost), make([]uint64, o.WarmMost)
+	if v.warmKeys == nil {
+		v.warmKeys, v.warmOrder = make(map[uint64]int64, o.MaxWarmKeys), make([]uint64, o.MaxWarmKeys)
 	}
-	at, met := v.warm[key]
+	at, met := v.warmKeys[key]
 	if !met {
-		if old := v.ring[v.next]; old != 0 {
-			delete(v.warm, old)
+		if old := v.warmOrder[v.warmNext]; old != 0 {
+			delete(v.warmKeys, old)
 		}
-		v.ring[v.next] = key
-		v.next = (v.next + 1) % len(v.ring)
+		v.warmOrder[v.warmNext] = key
+		v.warmNext = (v.warmNext + 1) % len(v.warmOrder)
 	}
-	v.warm[key] = s.now
-	return met && s.now-at <= int64(o.WarmFor)
+	v.warmKeys[key] = s.now
+	return met && s.now-at <= int64(o.WarmKeyTTL)
 }
 
-// worked ends a job on its core and gives the core to the next.
-func (s *Sim) worked(ji, life int32, stamp uint64) {
+// jobDone ends a job on its core and gives the core to the next.
+func (s *Sim) jobDone(ji, life int32, stamp uint64) {
 	j := &s.jobs[ji]
-	if !j.used || uint64(j.stamp) != stamp {
+	if !j.used || uint64(j.generation) != stamp {
 		return
 	}
 	i := j.server
 	v := &s.servers[i]
-	if v.life != life {
+	if v.incarnation != life {
 		return
 	}
-	if v.paused > s.now { // it stood still meanwhile: what is left is done after that
-		j.end = max(j.end, v.paused)
+	if v.pausedUntil > s.now { // it stood still meanwhile: what is left is done after that
+		j.doneAt = max(j.doneAt, v.pausedUntil)
 	}
-	if j.end > s.now {
-		s.add(j.end, evWorked, ji, life, stamp)
+	if j.doneAt > s.now {
+		s.add(j.doneAt, evJobDone, ji, life, stamp)
 		return
 	}
 	for n, r := range v.running {
@@ -214,124 +217,126 @@
 	if j.abandoned {
 		s.tally.wasted += j.work
 	}
-	s.end(ji, balance.Done, s.back(j), !v.silent)
-	for v.waiting() > 0 && len(v.running) < int(v.cores) {
+	s.finishJob(ji, balance.Done, s.returnLatency(j), !v.unresponsive)
+	for v.queued() > 0 && len(v.running) < int(v.cores) {
 		next := v.queue[v.head]
 		if v.head++; v.head > 64 && 2*v.head > len(v.queue) {
 			v.queue = v.queue[:copy(v.queue, v.queue[v.head:])]
 			v.head = 0
 		}
-		if s.jobs[next].abandoned && s.sc.Servers.Drops {
-			s.end(next, 0, 0, false)
+		if s.jobs[next].abandoned && s.scenario.Servers.DropsAbandoned {
+			s.finishJob(next, 0, 0, false)
 			continue
 		}
-		s.begin(next)
+		s.startJob(next)
 	}
-	s.board.changed(s, i)
-	s.watchCrowd(i)
+	s.board.recordLoad(s, i)
+	s.trackOverload(i)
 }
 
-// watchCrowd follows whether a server is crowded or idle, and chokes it or frees it when that has lasted.
-func (s *Sim) watchCrowd(i int32) {
-	o := &s.sc.Servers
+// trackOverload follows whether a server is crowded or idle, and chokes it or frees it when that has lasted.
+func (s *Sim) trackOverload(i int32) {
+	o := &s.scenario.Servers
 	v := &s.servers[i]
-	if o.Crowded <= 0 {
+	if o.ChokeQueue <= 0 {
 		return
 	}
-	if float64(v.waiting()) > o.Crowded*float64(v.cores) {
-		if v.crowdedAt == 0 && !v.choked {
-			v.crowdedAt = s.now
-			v.chokes++
-			s.add(s.now+int64(o.ChokeAfter), evChoke, i, 0, v.chokes)
+	if float64(v.queued()) > o.ChokeQueue*float64(v.cores) {
+		if v.overloadedSince == 0 && !v.choked {
+			v.overloadedSince = s.now
+			v.chokeSeq++
+			s.add(s.now+int64(o.ChokeAfter), evChoke, i, 0, v.chokeSeq)
 		}
 	} else {
-		v.crowdedAt = 0
+		v.overloadedSince = 0
 	}
-	if idle := v.held()*2 <= int(v.cores); !idle {
-		v.idleAt = 0
-	} else if v.choked && v.idleAt == 0 {
-		v.idleAt = s.now
+	if idle := v.inSystem()*2 <= int(v.cores); !idle {
+		v.idleSince = 0
+	} else if v.choked && v.idleSince == 0 {
+		v.idleSince = s.now
 		s.add(s.now+int64(o.ChokeIdle), evChoke, i, 1, uint64(s.now))
 	}
 }
 
-// choke begins it where the crowd has lasted, and ends it where the idleness has, or after its time.
-func (s *Sim) choke(i int32, ends bool, stamp uint64) {
+// updateChoke begins it where the crowd has lasted, and ends it where the idleness has, or after its time.
+func (s *Sim) updateChoke(i int32, ends bool, stamp uint64) {
 	v := &s.servers[i]
 	switch {
-	case ends && v.choked && (uint64(v.idleAt) == stamp && v.idleAt != 0 || stamp == v.chokes<<1|1<<63):
-		v.choked, v.crowdedAt, v.idleAt = false, 0, 0
-		s.watchCrowd(i)
-	case !ends && !v.choked && v.crowdedAt != 0 && v.chokes == stamp:
-		v.choked, v.everChoke = true, true
-		s.add(s.now+int64(s.sc.Servers.ChokeFor), evChoke, i, 1, v.chokes<<1|1<<63)
+	case ends && v.choked && (uint64(v.idleSince) == stamp && v.idleSince != 0 || stamp == v.chokeSeq<<1|1<<63):
+		v.choked, v.overloadedSince, v.idleSince = false, 0, 0
+		s.trackOverload(i)
+	case !ends && !v.choked && v.overloadedSince != 0 && v.chokeSeq == stamp:
+		v.choked, v.everChoked = true, true
+		s.add(s.now+int64(s.scenario.Servers.MaxChoke), evChoke, i, 1, v.chokeSeq<<1|1<<63)
 	}
 }
 
-// pair is the idle connections of a proxy to a server: when each was parked, the last at the end.
-type pair struct{ idle []int64 }
+// idleConns is the idle connections of a proxy to a server: when each was parked, the last at the end.
+type idleConns struct{ parkedAt []int64 }
 
-func (s *Sim) pair(i, to int32) *pair { return &s.pairs[int(i)*s.registry.most+int(to)] }
+func (s *Sim) idleConnsOf(i, to int32) *idleConns {
+	return &s.idleConns[int(i)*s.registry.maxServers+int(to)]
+}
 
-// reuse takes the connection parked last.
-func (s *Sim) reuse(i, to int32) bool {
-	p := s.pair(i, to)
-	if len(p.idle) == 0 || !s.servers[to].up {
+// reuseConn takes the connection parked last.
+func (s *Sim) reuseConn(i, to int32) bool {
+	p := s.idleConnsOf(i, to)
+	if len(p.parkedAt) == 0 || !s.servers[to].up {
 		return false
 	}
-	p.idle = p.idle[:len(p.idle)-1]
+	p.parkedAt = p.parkedAt[:len(p.parkedAt)-1]
 	return true
 }
 
-// park keeps a connection for the next attempt, or closes it.
-func (s *Sim) park(i, to int32, again bool) {
+// parkConn keeps a connection for the next attempt, or closes it.
+func (s *Sim) parkConn(i, to int32, again bool) {
 	if !again {
-		s.servers[to].open--
+		s.servers[to].conns--
 		return
 	}
-	p := s.pair(i, to)
-	p.idle = append(p.idle, s.now)
-	s.add(s.now+int64(s.sc.Network.Idle), evIdle, i, to, 0)
+	p := s.idleConnsOf(i, to)
+	p.parkedAt = append(p.parkedAt, s.now)
+	s.add(s.now+int64(s.scenario.Network.IdleTimeout), evIdleTimeout, i, to, 0)
 }
 
-// age closes connections that have rested too long.
-func (s *Sim) age(i, to int32) {
-	p := s.pair(i, to)
+// closeIdleConns closes connections that have rested too long.
+func (s *Sim) closeIdleConns(i, to int32) {
+	p := s.idleConnsOf(i, to)
 	n := 0
-	for n < len(p.idle) && p.idle[n] <= s.now-int64(s.sc.Network.Idle) {
+	for n < len(p.parkedAt) && p.parkedAt[n] <= s.now-int64(s.scenario.Network.IdleTimeout) {
 		n++
 	}
 	if n > 0 {
-		p.idle = p.idle[:copy(p.idle, p.idle[n:])]
-		s.servers[to].open -= int32(n)
+		p.parkedAt = p.parkedAt[:copy(p.parkedAt, p.parkedAt[n:])]
+		s.servers[to].conns -= int32(n)
 	}
 }
 
 // probeAnswer is one on its way back.
 type probeAnswer struct {
-	server, life int32
-	sent         int64
-	res          balance.Result
-	row          [3]float64
+	server, incarnation int32
+	sent                int64
+	res                 balance.Result
+	report              [3]float64
 }
 
-// probe is at its server. Under a model of the literature it is told what the board says.
-func (s *Sim) probe(to, i, life int32) {
+// probeServer is at its server. Under a model of the literature it is told what the board says.
+func (s *Sim) probeServer(to, i, life int32) {
 	v := &s.servers[to]
 	p := &s.proxies[i]
 	way := s.latency(v.hall, p.hall)
-	a := probeAnswer{server: to, life: life, sent: s.now - way}
+	a := probeAnswer{server: to, incarnation: life, sent: s.now - way}
 	after := way
 	switch {
-	case v.silent:
-		a.res, after = balance.TimedOut, int64(s.sc.Network.Dial)
+	case v.unresponsive:
+		a.res, after = balance.TimedOut, int64(s.scenario.Network.DialTimeout)
 	case !v.up:
 		a.res = balance.ConnRefused
 	default:
-		v.debt += float64(s.sc.Reports.Cost)
-		if a.row = s.report(v); s.sc.Reports.Model != "probe" {
-			a.row[0] = s.board.load(s, i, to)
-			a.row[1] = max(a.row[0]-float64(v.cores), 0)
+		v.probeWork += float64(s.scenario.Reports.ProbeWork)
+		if a.report = s.loadReport(v); s.scenario.Reports.Model != "probe" {
+			a.report[0] = s.board.load(s, i, to)
+			a.report[1] = max(a.report[0]-float64(v.cores), 0)
 		}
 	}
 	n := int32(len(s.answers))
@@ -342,37 +347,37 @@
 	} else {
 		s.answers = append(s.answers, a)
 	}
-	s.add(s.now+after, evProbed, n, i, 0)
+	s.add(s.now+after, evProbeAnswer, n, i, 0)
 }
 
-// report is what a server says of its load: made anew now and then, a little wrong.
-func (s *Sim) report(v *server) [3]float64 {
-	if refresh := int64(s.sc.Reports.Refresh); v.reportAt == 0 || s.now-v.reportAt >= refresh {
-		v.reportAt = max(s.now, 1)
+// loadReport is what a server says of its load: made anew now and then, a little wrong.
+func (s *Sim) loadReport(v *server) [3]float64 {
+	if refresh := int64(s.scenario.Reports.Refresh); v.reportedAt == 0 || s.now-v.reportedAt >= refresh {
+		v.reportedAt = max(s.now, 1)
 		noise := func(x float64) float64 {
-			if s.sc.Reports.Noise > 0 {
-				x *= 1 + s.sc.Reports.Noise*(2*s.streams.reports.Float64()-1)
+			if s.scenario.Reports.Noise > 0 {
+				x *= 1 + s.scenario.Reports.Noise*(2*s.streams.reports.Float64()-1)
 			}
 			return math.Round(x)
 		}
-		v.reported = [3]float64{noise(float64(v.held())), noise(float64(v.waiting())),
+		v.reported = [3]float64{noise(float64(v.inSystem())), noise(float64(v.queued())),
 			float64(len(v.running)) / float64(v.cores)}
 	}
 	return v.reported
 }
 
-func (s *Sim) probed(n, i int32) {
+func (s *Sim) probeAnswered(n, i int32) {
 	a := s.answers[n]
 	s.free.answers = append(s.free.answers, n)
 	p := &s.proxies[i]
-	if !p.alive || p.life != a.life {
+	if !p.alive || p.incarnation != a.incarnation {
 		return
 	}
 	var row []float64
 	if a.res == balance.Done {
-		row = a.row[:]
+		row = a.report[:]
 	}
-	s.do(i, p.agent.Probed(time.Duration(s.now), balance.ProbeResult{
+	s.apply(i, p.agent.Probed(time.Duration(s.now), balance.ProbeResult{
 		Server: balance.ServerID(a.server + 1), Result: a.res, Latency: time.Duration(s.now - a.sent), Report: row,
-	}, s.acts[:0]))
+	}, s.actions[:0]))
 }
--- a/internal/simulation/proxysim/simsetup.go
+++ b/internal/simulation/proxysim/simsetup.go
@@ -9,21 +9,21 @@
 )
 
 func (s *Sim) makeServers() {
-	kinds := s.sc.Kinds
+	kinds := s.scenario.Kinds
 	if len(kinds) == 0 {
-		kinds = []Kind{{Name: "server", Share: 1, Cores: s.sc.Servers.Cores, Slow: 1, Fast: 1}}
+		kinds = []Kind{{Name: "server", Fraction: 1, Cores: s.scenario.Servers.Cores, MinSpeed: 1, MaxSpeed: 1}}
 	}
 	given := make([]float64, len(kinds))
 	total := 0.0
 	for _, k := range kinds {
-		total += k.Share
+		total += k.Fraction
 	}
-	for i := range s.sc.Servers.Count {
+	for i := range s.scenario.Servers.Count {
 		// The kind that is furthest behind its share comes next, so that shares hold at any count.
-		kind, most := 0, math.Inf(-1)
+		kind, furthest := 0, math.Inf(-1)
 		for j, k := range kinds {
-			if behind := k.Share/total*float64(i+1) - given[j]; behind > most {
-				kind, most = j, behind
+			if behind := k.Fraction/total*float64(i+1) - given[j]; behind > furthest {
+				kind, furthest = j, behind
 			}
 		}
 		given[kind]++
@@ -33,7 +33,7 @@
 
 func (s *Sim) addServer(kind int, k Kind) int32 {
 	i := len(s.servers)
-	speed := k.Slow + (k.Fast-k.Slow)*s.streams.speeds.Float64()
+	speed := k.MinSpeed + (k.MaxSpeed-k.MinSpeed)*s.streams.speeds.Float64()
 	s.servers = append(s.servers, server{
 		kind: int32(kind), hall: int32(i % len(s.halls)), cores: int32(k.Cores), speed: speed, up: true,
 	})
@@ -50,55 +50,55 @@
 
 func (s *Sim) makeLoad() {
 	work, classes := 0.0, 0.0
-	for _, c := range s.sc.Classes {
-		classes += c.Share
-		s.cum2.class = append(s.cum2.class, classes)
-		work += c.Share * c.Work.Seconds()
+	for _, c := range s.scenario.Classes {
+		classes += c.Fraction
+		s.shareCum.class = append(s.shareCum.class, classes)
+		work += c.Fraction * c.Work.Seconds()
 	}
 	work /= classes
 	tenants := 0.0
-	for _, t := range s.sc.Tenants {
-		tenants += t.Share
-		s.cum2.tenant = append(s.cum2.tenant, tenants)
+	for _, t := range s.scenario.Tenants {
+		tenants += t.Fraction
+		s.shareCum.tenant = append(s.shareCum.tenant, tenants)
 	}
 	cores := 0
 	for i := range s.servers {
 		cores += int(s.servers[i].cores)
 	}
-	s.serv = work / (s.capacity() / float64(cores)) * 1e9
-	s.rate = s.sc.Load.Rate
+	s.meanService = work / (s.capacity() / float64(cores)) * 1e9
+	s.rate = s.scenario.Load.Rate
 	if s.rate <= 0 {
-		s.rate = s.sc.Load.Utilisation * s.capacity() / work
+		s.rate = s.scenario.Load.Utilisation * s.capacity() / work
 	}
-	if r := &s.sc.Reports; r.Model == "on-access" && r.Delay > 0 {
+	if r := &s.scenario.Reports; r.Model == "on-access" && r.Delay > 0 {
 		// As many proxies as ask once in that time, each.
-		copied := *s.sc
-		copied.Proxies.Count = max(1, int(s.rate*s.serv/1e9/r.Delay+0.5))
-		s.sc = &copied
+		copied := *s.scenario
+		copied.Proxies.Count = max(1, int(s.rate*s.meanService/1e9/r.Delay+0.5))
+		s.scenario = &copied
 	}
 	total := 0.0
-	for i := range s.sc.Proxies.Count {
-		total += math.Pow(float64(i+1), -s.sc.Proxies.Skew)
-		s.cum = append(s.cum, total)
+	for i := range s.scenario.Proxies.Count {
+		total += math.Pow(float64(i+1), -s.scenario.Proxies.Skew)
+		s.proxyCum = append(s.proxyCum, total)
 	}
-	if s.sc.Load.Keys > 0 {
-		s.zipf = rand.NewZipf(s.streams.keys, s.sc.Load.Skew, 4, uint64(s.sc.Load.Keys-1))
+	if s.scenario.Load.Keys > 0 {
+		s.zipf = rand.NewZipf(s.streams.keys, s.scenario.Load.KeySkew, 4, uint64(s.scenario.Load.Keys-1))
 	}
 }
 
 func (s *Sim) makeProxies(o Options) error {
 	s.registry.init(s)
-	s.pairs = make([]pair, s.sc.Proxies.Count*s.registry.most)
-	s.proxies = make([]proxy, s.sc.Proxies.Count)
-	total := s.cum[len(s.cum)-1]
+	s.idleConns = make([]idleConns, s.scenario.Proxies.Count*s.registry.maxServers)
+	s.proxies = make([]proxy, s.scenario.Proxies.Count)
+	total := s.proxyCum[len(s.proxyCum)-1]
 	for i := range s.proxies {
 		p := &s.proxies[i]
 		p.hall, p.module = int32(i%len(s.halls)), o.Policy == "module"
 		before := 0.0
 		if i > 0 {
-			before = s.cum[i-1]
+			before = s.proxyCum[i-1]
 		}
-		p.gap = 1e9 / (s.rate * (s.cum[i] - before) / total)
+		p.meanGap = 1e9 / (s.rate * (s.proxyCum[i] - before) / total)
 		if err := s.startProxy(int32(i), o); err != nil {
 			return err
 		}
@@ -109,9 +109,9 @@
 // startProxy starts a proxy that knows nothing but the list as it is.
 func (s *Sim) startProxy(i int32, o Options) error {
 	p := &s.proxies[i]
-	p.alive, p.watching, p.told = true, s.registry.push, nil
+	p.alive, p.watching, p.withdrawnAt = true, s.registry.push, nil
 	p.version = s.registry.version()
-	rng := stream(o.Seed+uint64(i)*0x9e3779b97f4a7c15+uint64(p.life), "policy")
+	rng := stream(o.Seed+uint64(i)*0x9e3779b97f4a7c15+uint64(p.incarnation), "policy")
 	if p.module {
 		make := o.Module
 		if make == nil {
@@ -122,35 +122,39 @@
 			return err
 		}
 	} else {
-		p.agent = newRival(s, i, o, rng)
+		p.agent = newBaseline(s, i, o, rng)
 	}
 	kind := balance.ListCached
 	if s.registry.push {
 		kind = balance.ListFull
 	}
-	s.do(i, p.agent.List(time.Duration(s.now), kind, s.registry.whole(), s.acts[:0]))
+	s.apply(i, p.agent.List(time.Duration(s.now), kind, s.registry.fullList(), s.actions[:0]))
 	return nil
 }
 
 // settings is what the module is told.
 func (s *Sim) settings(rank int32, seed uint64) balance.Settings {
-	sc := s.sc
+	sc := s.scenario
 	set := balance.Settings{
 		Seed: seed, Rank: int(rank), Peers: sc.Proxies.Count, Zone: int(s.proxies[rank].hall),
 		Tick:         time.Millisecond,
 		ReportFields: []balance.ReportField{balance.FieldInFlight, balance.FieldQueued, balance.FieldUtilization},
 		Costs: balance.Costs{CrossZone: sc.Prices.CrossHall, Probe: sc.Prices.Probe, Waste: sc.Prices.Waste,
 			LateFail: sc.Prices.LateFail},
-		OverQuotaValue: sc.Prices.OverShare, MustFollow: !s.registry.push, RegistryInterval: sc.Discovery.Within,
-		DrainGrace: sc.Rules.Grace, ResponseGrace: sc.Rules.Slack, SlowStartMin: sc.Servers.ColdStart,
-		SlowStartWindow: sc.Servers.ColdFor, CollapseMultiple: sc.Rules.Multiple, CollapseAfter: sc.Rules.After,
-		MaxAttempts: sc.Rules.Attempts, MayProbe: true, MayCancel: true, MayHedge: true,
-		SendsRetryAfter: sc.Clients.Honour > 0, MaxRetryAfter: time.Second, DialTimeout: sc.Network.Dial,
-		KeyAffinity: sc.Servers.WarmFor > 0,
+		OverQuotaValue: sc.Prices.OverQuotaValue, MustFollow: !s.registry.push,
+		RegistryInterval: sc.Discovery.RegistryInterval,
+		DrainGrace:       sc.Rules.DrainGrace, ResponseGrace: sc.Rules.AnswerGrace,
+		SlowStartMin:    sc.Servers.SlowStartMin,
+		SlowStartWindow: sc.Servers.SlowStartWindow, CollapseMultiple: sc.Rules.CollapseFactor,
+		CollapseAfter: sc.Rules.CollapseAfter,
+		MaxAttempts:   sc.Rules.MaxAttempts, MayProbe: true, MayCancel: true, MayHedge: true,
+		SendsRetryAfter: sc.Clients.HonorRetryAfter > 0, MaxRetryAfter: time.Second,
+		DialTimeout: sc.Network.DialTimeout,
+		KeyAffinity: sc.Servers.WarmKeyTTL > 0,
 	}
 	for _, c := range sc.Classes {
-		b := balance.Class{LatencyTarget: c.Aim, Deadline: c.Deadline, Value: c.Worth}
-		if c.Unsafe {
+		b := balance.Class{LatencyTarget: c.LatencyTarget, Deadline: c.Deadline, Value: c.Value}
+		if c.AtMostOnce {
 			b.Effect = balance.AtMostOnce
 		}
 		if b.LatencyTarget == 0 { // far off, but not so far that the first guess of a service time, a fifth, lasts
@@ -162,7 +166,7 @@
 		set.Classes = append(set.Classes, b)
 	}
 	for _, t := range sc.Tenants {
-		set.Tenants = append(set.Tenants, balance.Tenant{Fraction: t.Share, QuotaPerSec: t.Quota})
+		set.Tenants = append(set.Tenants, balance.Tenant{Fraction: t.Fraction, QuotaPerSec: t.Quota})
 	}
 	return set
 }
--- a/internal/simulation/proxysim/swim_test.go
+++ b/internal/simulation/proxysim/swim_test.go
@@ -9,8 +9,8 @@
 // swimSettings are those that the rig's scenarios play real processes with.
 func swimSettings(members int) SWIMOptions {
 	return SWIMOptions{Members: members, Probe: 200 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond,
-		Gossip: 100 * time.Millisecond, SuspicionMult: 4, Rejoin: 500 * time.Millisecond,
-		SyncEach: 500 * time.Millisecond, GossipToDead: 2 * time.Second, Latency: 150 * time.Microsecond,
+		Gossip: 100 * time.Millisecond, SuspicionMult: 4, RejoinInterval: 500 * time.Millisecond,
+		SyncPerMember: 500 * time.Millisecond, GossipToDead: 2 * time.Second, Latency: 150 * time.Microsecond,
 		Jitter: 300 * time.Microsecond, Seed: 1}
 }
 
@@ -18,7 +18,7 @@
 // settings in docs/fleet-view.md: medians of a killed member's death in all views, over 20 kills.
 func TestSWIMIsHeldAgainstProcesses(t *testing.T) {
 	for members, real := range map[int]float64{5: 1306, 7: 1219, 10: 1302, 30: 1604} {
-		r, err := SWIMTrial("kill", swimSettings(members), 40)
+		r, err := RunSWIMTrial("kill", swimSettings(members), 40)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,7 +28,7 @@
 		}
 	}
 	for members, real := range map[int][2]float64{5: {1032, 10.4}, 10: {1019, 10.2}, 30: {1007, 10.1}} {
-		r, err := SWIMTrial("quiet", swimSettings(members), 5)
+		r, err := RunSWIMTrial("quiet", swimSettings(members), 5)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,7 +46,7 @@
 	}{{7, 1, 176}, {30, 3, 462}} {
 		o := swimSettings(c.members)
 		o.Seeds = c.seeds
-		r, err := SWIMTrial("partition", o, 100)
+		r, err := RunSWIMTrial("partition", o, 100)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,11 +59,11 @@
 
 // What each member sends stays flat as the fleet grows.
 func TestSWIMCostIsFlat(t *testing.T) {
-	few, err := SWIMTrial("quiet", swimSettings(5), 3)
+	few, err := RunSWIMTrial("quiet", swimSettings(5), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	many, err := SWIMTrial("quiet", swimSettings(300), 1)
+	many, err := RunSWIMTrial("quiet", swimSettings(300), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,19 +74,19 @@
 }
 
 func TestSWIMTrials(t *testing.T) {
-	for _, trial := range SWIMTrials {
-		a, err := SWIMTrial(trial, swimSettings(7), 3)
+	for _, trial := range SWIMTrialNames {
+		a, err := RunSWIMTrial(trial, swimSettings(7), 3)
 		if err != nil || a.Missed > 0 {
 			t.Errorf("%s: %+v %v", trial, a, err)
 		}
-		if b, _ := SWIMTrial(trial, swimSettings(7), 3); a != b {
+		if b, _ := RunSWIMTrial(trial, swimSettings(7), 3); a != b {
 			t.Errorf("%s: the same seeds gave %+v and %+v", trial, a, b)
 		}
 	}
-	if _, err := SWIMTrial("dance", swimSettings(7), 1); err == nil {
+	if _, err := RunSWIMTrial("dance", swimSettings(7), 1); err == nil {
 		t.Error("a trial that is none was played")
 	}
-	if _, err := SWIMTrial("kill", swimSettings(2), 1); err == nil {
+	if _, err := RunSWIMTrial("kill", swimSettings(2), 1); err == nil {
 		t.Error("two members were played")
 	}
 }
@@ -101,11 +101,11 @@
 		s.Resume(6)
 		s.Run(8*time.Second, nil)
 	}
-	if s.Count.FalseDeaths > 0 || !s.Settled() {
-		t.Errorf("beside a paused member: %d false deaths, settled %v", s.Count.FalseDeaths, s.Settled())
+	if s.Count.FalseDeaths > 0 || !s.Converged() {
+		t.Errorf("beside a paused member: %d false deaths, settled %v", s.Count.FalseDeaths, s.Converged())
 	}
 	s = NewSWIM(swimSettings(7))
-	s.Cut(2, 1)
+	s.BlockLink(2, 1)
 	s.Run(20*time.Second, nil)
 	if s.Count.FalseDeaths > 0 || s.Count.Indirect == 0 {
 		t.Errorf("over a one-way link: %d false deaths, %d indirect probes", s.Count.FalseDeaths, s.Count.Indirect)
@@ -114,22 +114,22 @@
 	s.Kill(3)
 	s.Run(500*time.Millisecond, nil)
 	s.Restart(3)
-	if s.Run(10*time.Second, s.Settled); !s.Settled() || s.Holds(0, 3) != SWIMAlive {
+	if s.Run(10*time.Second, s.Converged); !s.Converged() || s.Status(0, 3) != SWIMAlive {
 		t.Error("a restart before the suspicion's end was not taken back")
 	}
 	s.Slow(4, 2*time.Millisecond)
 	s.Partition(3)
 	for range 3000 {
-		if s.Run(10*time.Millisecond, nil); s.Apart() {
+		if s.Run(10*time.Millisecond, nil); s.Partitioned() {
 			break
 		}
 	}
-	if !s.Apart() {
+	if !s.Partitioned() {
 		t.Fatal("the sides of a partition never held each other dead")
 	}
 	s.Heal()
 	s.recount()
-	if took := s.Run(10*time.Second, s.Settled); !s.Settled() {
+	if took := s.Run(10*time.Second, s.Converged); !s.Converged() {
 		t.Errorf("no one view %v after a heal", took)
 	}
 }
--- a/internal/simulation/proxysim/swimfaults.go
+++ b/internal/simulation/proxysim/swimfaults.go
@@ -19,7 +19,7 @@
 	s.boot(int32(i), true)
 	for j := range s.nodes {
 		if j != i && s.nodes[j].up {
-			s.join(int32(i), int32(j))
+			s.exchangeStates(int32(i), int32(j))
 			break
 		}
 	}
@@ -59,31 +59,31 @@
 	clear(s.side)
 	for i := range s.nodes {
 		m := &s.nodes[i]
-		if m.up && m.seedNext >= 0 && m.stalled > s.now {
-			s.join(int32(i), m.seedNext)
+		if m.up && m.nextSeed >= 0 && m.seedFrom > s.now {
+			s.exchangeStates(int32(i), m.nextSeed)
 		}
-		m.seedNext = -1
-		if m.up && m.stalledTo > s.now { // it rests from here on, not from when the stream would have ended
-			m.stalledTo = s.now
-			m.rejoins++
-			s.add(s.now+s.spread(s.o.Rejoin), swimRejoin, int32(i), m.rejoins, m.life)
+		m.nextSeed = -1
+		if m.up && m.stalledUntil > s.now { // it rests from here on, not from when the stream would have ended
+			m.stalledUntil = s.now
+			m.rejoinSeq++
+			s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, int32(i), m.rejoinSeq, m.process)
 		}
 	}
-	clear(s.cut)
+	clear(s.blocked)
 	clear(s.delay)
 }
 
-// Cut cuts the link from one member to another, in that direction alone.
-func (s *SWIM) Cut(from, to int) { s.cut[[2]int32{int32(from), int32(to)}] = true }
+// BlockLink cuts the link from one member to another, in that direction alone.
+func (s *SWIM) BlockLink(from, to int) { s.blocked[[2]int32{int32(from), int32(to)}] = true }
 
 // Slow delays all that a member sends and gets.
 func (s *SWIM) Slow(i int, by time.Duration) { s.delay[int32(i)] = int64(by) }
 
-// Apart tells whether each side of a partition holds itself alive and the other dead.
-func (s *SWIM) Apart() bool {
+// Partitioned tells whether each side of a partition holds itself alive and the other dead.
+func (s *SWIM) Partitioned() bool {
 	for i := range s.nodes {
 		for j := range s.nodes {
-			st := s.nodes[i].cells[j].status
+			st := s.nodes[i].views[j].status
 			if same := s.side[i] == s.side[j]; same && st != SWIMAlive || !same && st != SWIMDead {
 				return false
 			}
--- a/internal/simulation/proxysim/swimrun.go
+++ b/internal/simulation/proxysim/swimrun.go
@@ -27,7 +27,7 @@
 		return
 	}
 	if ticker := e.kind == swimProbe || e.kind == swimGossip || e.kind == swimRejoin ||
-		e.kind == swimSync; ticker && e.c != m.life {
+		e.kind == swimSync; ticker && e.c != m.process {
 		return
 	}
 	if m.paused {
@@ -36,25 +36,25 @@
 	}
 	switch e.kind {
 	case swimProbe:
-		s.add(s.now+int64(s.o.Probe), swimProbe, e.a, 0, e.c)
+		s.add(s.now+int64(s.opts.Probe), swimProbe, e.a, 0, e.c)
 		if m.probing >= 0 {
-			m.tick = true
+			m.missedTick = true
 		} else {
 			s.beginProbe(e.a)
 		}
 	case swimGossip:
-		s.add(s.now+int64(s.o.Gossip), swimGossip, e.a, 0, e.c)
+		s.add(s.now+int64(s.opts.Gossip), swimGossip, e.a, 0, e.c)
 		s.gossip(e.a)
 	case swimArrive:
 		p := s.pool[e.b]
 		s.arrive(e.a, &p)
 		s.release(e.b)
 	case swimProbeTimeout:
-		if m.probing >= 0 && m.probe == e.c && !m.acked {
-			s.askOthers(e.a)
+		if m.probing >= 0 && m.probeSeq == e.c && !m.acked {
+			s.probeIndirectly(e.a)
 		}
 	case swimProbeEnd:
-		if m.probing >= 0 && m.probe == e.c {
+		if m.probing >= 0 && m.probeSeq == e.c {
 			s.endProbe(e.a)
 		}
 	case swimNack:
@@ -63,27 +63,27 @@
 			s.send(packet{kind: msgNack, from: e.a, to: r.asker, seq: r.seq})
 		}
 	case swimSuspicion:
-		if t := m.suspects[e.b]; t != nil && t.gen == e.c {
-			s.dead(e.a, news{subject: e.b, from: e.a, inc: m.cells[e.b].inc, status: SWIMDead})
+		if t := m.suspects[e.b]; t != nil && t.generation == e.c {
+			s.dead(e.a, update{subject: e.b, from: e.a, inc: m.views[e.b].inc, status: SWIMDead})
 		}
 	case swimRejoin:
-		if e.b != m.rejoins {
+		if e.b != m.rejoinSeq {
 			return // a heal brought it forward
 		}
-		m.stalledTo = s.now + s.rejoin(e.a)
-		s.add(m.stalledTo+s.spread(s.o.Rejoin), swimRejoin, e.a, e.b, e.c)
+		m.stalledUntil = s.now + s.rejoin(e.a)
+		s.add(m.stalledUntil+s.jittered(s.opts.RejoinInterval), swimRejoin, e.a, e.b, e.c)
 	case swimSync:
-		s.add(s.now+s.spread(s.syncEvery(m)), swimSync, e.a, 0, e.c)
-		if j := s.draw(e.a, func(c cell) bool { return c.status == SWIMAlive }); j >= 0 {
+		s.add(s.now+s.jittered(s.syncInterval(m)), swimSync, e.a, 0, e.c)
+		if j := s.randomMember(e.a, func(c memberView) bool { return c.status == SWIMAlive }); j >= 0 {
 			s.Count.Syncs++
-			s.join(e.a, j)
+			s.exchangeStates(e.a, j)
 		}
-	case swimAsk:
-		s.ask(e.a, e.b, e.c)
-	case swimLasting:
+	case swimAskSuspect:
+		s.askSuspect(e.a, e.b, e.c)
+	case swimSuspicionLasts:
 		if t := m.suspects[e.b]; t != nil && uint64(t.start) == e.c {
-			s.ask(e.a, e.b, 0)
-			s.add(s.now+2*t.min, swimLasting, e.a, e.b, e.c)
+			s.askSuspect(e.a, e.b, 0)
+			s.add(s.now+2*t.min, swimSuspicionLasts, e.a, e.b, e.c)
 		}
 	case swimPush:
 		s.push(e.a, e.b)
--- a/internal/simulation/proxysim/swimtrial.go
+++ b/internal/simulation/proxysim/swimtrial.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// SWIMTrials are the trials that SWIMTrial plays.
-var SWIMTrials = []string{"quiet", "kill", "partition", "many", "join"}
+// SWIMTrialNames are the trials that RunSWIMTrial plays.
+var SWIMTrialNames = []string{"quiet", "kill", "partition", "many", "join"}
 
-// SWIMResult is what came of one trial over several seeds. Times are in milliseconds; 0 is none.
-type SWIMResult struct {
-	Trial   string  `json:"trial"`
-	Members int     `json:"members"`
-	Repeat  int     `json:"repeat"`
-	Median  float64 `json:"median_ms"` // detection of a kill, of many, a partition's two sides, or joining
-	Worst   float64 `json:"worst_ms"`
-	Heal    float64 `json:"heal_median_ms"` // one view again after a partition's end
-	HealTop float64 `json:"heal_worst_ms"`
-	Missed  int     `json:"missed"`                // did not settle within a minute
-	Bytes   float64 `json:"bytes_member_second"`   // sent
-	Packets float64 `json:"packets_member_second"` // sent, and streams opened
-	False   int64   `json:"false_deaths"`
+// SWIMTrialResult is what came of one trial over several seeds. Times are in milliseconds; 0 is none.
+type SWIMTrialResult struct {
+	Trial       string  `json:"trial"`
+	Members     int     `json:"members"`
+	Repeat      int     `json:"repeat"`
+	Median      float64 `json:"median_ms"` // detection of a kill, of many, a partition's two sides, or joining
+	Worst       float64 `json:"worst_ms"`
+	Heal        float64 `json:"heal_median_ms"` // one view again after a partition's end
+	HealWorst   float64 `json:"heal_worst_ms"`
+	Missed      int     `json:"missed"`                // did not settle within a minute
+	Bytes       float64 `json:"bytes_member_second"`   // sent
+	Packets     float64 `json:"packets_member_second"` // sent, and streams opened
+	FalseDeaths int64   `json:"false_deaths"`
 }
 
-// SWIMTrial plays one trial repeat times, each from a settled fleet (join: from one that knows nobody).
-func SWIMTrial(trial string, o SWIMOptions, repeat int) (SWIMResult, error) {
-	r := SWIMResult{Trial: trial, Members: o.Members, Repeat: repeat}
-	if !slices.Contains(SWIMTrials, trial) {
-		return r, fmt.Errorf("%q is none of %v", trial, SWIMTrials)
+// RunSWIMTrial plays one trial repeat times, each from a settled fleet (join: from one that knows nobody).
+func RunSWIMTrial(trial string, o SWIMOptions, repeat int) (SWIMTrialResult, error) {
+	r := SWIMTrialResult{Trial: trial, Members: o.Members, Repeat: repeat}
+	if !slices.Contains(SWIMTrialNames, trial) {
+		return r, fmt.Errorf("%q is none of %v", trial, SWIMTrialNames)
 	}
 	if o.Members < 3 {
 		return r, fmt.Errorf("%d members; at least 3 are wanted", o.Members)
@@ -39,7 +39,7 @@
 	var sum SWIMCounts
 	for i := range repeat {
 		o.Seed += uint64(i) * 7919
-		o.Cold = trial == "join"
+		o.StartEmpty = trial == "join"
 		s := NewSWIM(o)
 		until := func(into *[]time.Duration, holds func() bool) {
 			took := s.Run(most, holds)
@@ -57,20 +57,20 @@
 			s.Run(most, nil)
 		case "kill":
 			s.Kill(o.Members / 2)
-			until(&times, s.Settled)
+			until(&times, s.Converged)
 		case "many":
 			var all []int
 			for j := o.Members / 3; j < o.Members; j++ {
 				all = append(all, j)
 			}
 			s.Kill(all...)
-			until(&times, s.Settled)
+			until(&times, s.Converged)
 		case "join":
-			until(&times, s.Settled)
+			until(&times, s.Converged)
 		case "partition":
 			s.Partition(o.Members * 3 / 7)
 			// Looking at all pairs after each event would cost more than the events.
-			for t := time.Duration(0); t < most && !s.Apart(); t += 10 * time.Millisecond {
+			for t := time.Duration(0); t < most && !s.Partitioned(); t += 10 * time.Millisecond {
 				s.Run(10*time.Millisecond, nil)
 			}
 			times = append(times, time.Duration(s.now-from))
@@ -79,23 +79,23 @@
 			}
 			s.Heal()
 			s.recount()
-			until(&heals, s.Settled)
+			until(&heals, s.Converged)
 		}
 		lasted += time.Duration(s.now - from)
 		sum.Bytes += s.Count.Bytes - before.Bytes
 		sum.Packets += s.Count.Packets - before.Packets + s.Count.Streams - before.Streams
 		sum.FalseDeaths += s.Count.FalseDeaths - before.FalseDeaths
 	}
-	r.Median, r.Worst = middle(times)
-	r.Heal, r.HealTop = middle(heals)
+	r.Median, r.Worst = medianAndMax(times)
+	r.Heal, r.HealWorst = medianAndMax(heals)
 	if per := lasted.Seconds() * float64(o.Members); per > 0 {
 		r.Bytes, r.Packets = float64(sum.Bytes)/per, float64(sum.Packets)/per
 	}
-	r.False = sum.FalseDeaths
+	r.FalseDeaths = sum.FalseDeaths
 	return r, nil
 }
 
-func middle(all []time.Duration) (median, worst float64) {
+func medianAndMax(all []time.Duration) (median, worst float64) {
 	if len(all) == 0 {
 		return 0, 0
 	}
--- a/internal/simulation/proxysim/swimview.go
+++ b/internal/simulation/proxysim/swimview.go
@@ -4,28 +4,28 @@
 	"math"
 )
 
-// set puts what member i holds of j, and keeps the count of pairs that are held wrongly.
-func (s *SWIM) set(i, j int32, status SWIMStatus, inc uint32) {
-	c := &s.nodes[i].cells[j]
+// setStatus puts what member i holds of j, and keeps the count of pairs that are held wrongly.
+func (s *SWIM) setStatus(i, j int32, status SWIMStatus, inc uint32) {
+	c := &s.nodes[i].views[j]
 	if c.status == SWIMUnknown {
 		m := &s.nodes[i]
 		m.order = append(m.order, j)
-		at := s.rnd.IntN(len(m.order))
+		at := s.rng.IntN(len(m.order))
 		m.order[at], m.order[len(m.order)-1] = m.order[len(m.order)-1], m.order[at]
 	}
 	before := s.isWrong(i, j)
 	if c.status != status {
-		s.nodes[i].held[c.status]--
-		s.nodes[i].held[status]++
-		c.status, c.at = status, int32(s.now/1e6)
-		c.shown = c.shown && status != SWIMDead
+		s.nodes[i].byStatus[c.status]--
+		s.nodes[i].byStatus[status]++
+		c.status, c.changedAt = status, int32(s.now/1e6)
+		c.shownSuspect = c.shownSuspect && status != SWIMDead
 	}
 	c.inc = inc
 	if after := s.isWrong(i, j); before != after {
 		if after {
-			s.wrong++
+			s.wrongViews++
 		} else {
-			s.wrong--
+			s.wrongViews--
 		}
 	}
 }
@@ -35,55 +35,55 @@
 	if s.down[i] || s.nodes[i].paused {
 		return false
 	}
-	c := &s.nodes[i].cells[j]
+	c := &s.nodes[i].views[j]
 	if s.down[j] {
 		return c.status == SWIMAlive || c.status == SWIMSuspect
 	}
-	return c.status != SWIMAlive && c.status != SWIMSuspect || c.shown
+	return c.status != SWIMAlive && c.status != SWIMSuspect || c.shownSuspect
 }
 
-// show notes whether member i's view says that j is suspect.
-func (s *SWIM) show(i, j int32, suspect bool) {
-	c := &s.nodes[i].cells[j]
+// setShown notes whether member i's view says that j is suspect.
+func (s *SWIM) setShown(i, j int32, suspect bool) {
+	c := &s.nodes[i].views[j]
 	before := s.isWrong(i, j)
-	c.shown = suspect && c.status == SWIMSuspect
+	c.shownSuspect = suspect && c.status == SWIMSuspect
 	switch after := s.isWrong(i, j); {
 	case after && !before:
-		s.wrong++
+		s.wrongViews++
 	case before && !after:
-		s.wrong--
+		s.wrongViews--
 	}
 }
 
 // recount counts the pairs held wrongly anew, after something was done to members.
 func (s *SWIM) recount() {
-	s.wrong = 0
+	s.wrongViews = 0
 	for i := range s.nodes {
 		for j := range s.nodes {
 			if s.isWrong(int32(i), int32(j)) {
-				s.wrong++
+				s.wrongViews++
 			}
 		}
 	}
 }
 
-// Settled tells whether every running member's view says that exactly the running members are alive.
-func (s *SWIM) Settled() bool { return s.wrong == 0 }
+// Converged tells whether every running member's view says that exactly the running members are alive.
+func (s *SWIM) Converged() bool { return s.wrongViews == 0 }
 
-// Holds is what member i holds of j.
-func (s *SWIM) Holds(i, j int) SWIMStatus { return s.nodes[i].cells[j].status }
+// Status is what member i holds of j.
+func (s *SWIM) Status(i, j int) SWIMStatus { return s.nodes[i].views[j].status }
 
 // refute answers a suspicion or a death of this member itself.
 func (s *SWIM) refute(i int32, accused uint32) {
 	m := &s.nodes[i]
 	m.inc = max(m.inc, accused) + 1
-	m.cells[i].inc = m.inc
-	m.health = min(m.health+1, swimHealthMost-1)
+	m.views[i].inc = m.inc
+	m.health = min(m.health+1, swimMaxHealth-1)
 	s.Count.Refutations++
-	s.enqueue(i, news{subject: i, from: i, inc: m.inc, status: SWIMAlive})
+	s.enqueue(i, update{subject: i, from: i, inc: m.inc, status: SWIMAlive})
 }
 
-func (s *SWIM) alive(i int32, n news) {
+func (s *SWIM) alive(i int32, n update) {
 	m := &s.nodes[i]
 	if n.subject == i {
 		if n.inc > m.inc {
@@ -91,18 +91,18 @@
 		}
 		return
 	}
-	c := m.cells[n.subject]
+	c := m.views[n.subject]
 	if c.status != SWIMUnknown && n.inc <= c.inc {
 		return
 	}
 	delete(m.suspects, n.subject)
-	s.set(i, n.subject, SWIMAlive, n.inc)
+	s.setStatus(i, n.subject, SWIMAlive, n.inc)
 	s.enqueue(i, n)
 }
 
-func (s *SWIM) suspect(i int32, n news) {
+func (s *SWIM) suspect(i int32, n update) {
 	m := &s.nodes[i]
-	c := m.cells[n.subject]
+	c := m.views[n.subject]
 	if c.status == SWIMUnknown || n.inc < c.inc {
 		return
 	}
@@ -118,33 +118,34 @@
 		return
 	}
 	s.enqueue(i, n)
-	s.set(i, n.subject, SWIMSuspect, n.inc)
+	s.setStatus(i, n.subject, SWIMSuspect, n.inc)
 	known := len(m.order)
-	k := s.o.SuspicionMult - 2
+	k := s.opts.SuspicionMult - 2
 	if known-2 < k {
 		k = 0
 	}
-	least := int64(float64(s.o.SuspicionMult) * max(1, log10(max(1, known))) * float64(s.o.Probe))
-	s.gen++
-	t := &suspicion{gen: s.gen, k: k, min: least, max: least * swimMaxMult, start: s.now,
+	minWait := int64(float64(s.opts.SuspicionMult) * max(1, log10(max(1, known))) * float64(s.opts.Probe))
+	s.generation++
+	t := &suspicion{generation: s.generation, confirmationsWanted: k, min: minWait,
+		max: minWait * swimMaxSuspicionMult, start: s.now,
 		confirmedBy: []int32{n.from}}
 	m.suspects[n.subject] = t
 	wait := t.max
 	if k < 1 {
 		wait = t.min
 	}
-	s.add(s.now+wait, swimSuspicion, i, n.subject, t.gen)
-	part := 1 + 2*s.rnd.Float64()
-	if known <= swimFew {
-		part = 0.3 + 0.4*s.rnd.Float64()
+	s.add(s.now+wait, swimSuspicion, i, n.subject, t.generation)
+	fraction := 1 + 2*s.rng.Float64()
+	if known <= swimSmallFleet {
+		fraction = 0.3 + 0.4*s.rng.Float64()
 	}
-	s.add(s.now+int64(part*float64(least)), swimLasting, i, n.subject, uint64(t.start))
+	s.add(s.now+int64(fraction*float64(minWait)), swimSuspicionLasts, i, n.subject, uint64(t.start))
 }
 
 // confirm takes a further member's suspicion, which shortens the wait (Lifeguard).
-func (s *SWIM) confirm(i int32, n news, t *suspicion) {
+func (s *SWIM) confirm(i int32, n update, t *suspicion) {
 	got := len(t.confirmedBy) - 1
-	if got >= t.k {
+	if got >= t.confirmationsWanted {
 		return
 	}
 	for _, by := range t.confirmedBy {
@@ -155,17 +156,17 @@
 	t.confirmedBy = append(t.confirmedBy, n.from)
 	got++
 	s.Count.Confirmed++
-	part := math.Log(float64(got)+1) / math.Log(float64(t.k)+1)
-	wait := max(t.max-int64(part*float64(t.max-t.min)), t.min)
-	s.gen++
-	t.gen = s.gen
-	s.add(t.start+wait, swimSuspicion, i, n.subject, t.gen)
+	fraction := math.Log(float64(got)+1) / math.Log(float64(t.confirmationsWanted)+1)
+	wait := max(t.max-int64(fraction*float64(t.max-t.min)), t.min)
+	s.generation++
+	t.generation = s.generation
+	s.add(t.start+wait, swimSuspicion, i, n.subject, t.generation)
 	s.enqueue(i, n)
 }
 
-func (s *SWIM) dead(i int32, n news) {
+func (s *SWIM) dead(i int32, n update) {
 	m := &s.nodes[i]
-	c := m.cells[n.subject]
+	c := m.views[n.subject]
 	if c.status == SWIMUnknown || n.inc < c.inc {
 		return
 	}
@@ -182,5 +183,5 @@
 	if !s.down[n.subject] && !s.nodes[n.subject].paused {
 		s.Count.FalseDeaths++
 	}
-	s.set(i, n.subject, SWIMDead, n.inc)
+	s.setStatus(i, n.subject, SWIMDead, n.inc)
 }
