--- a/internal/simulation/proxysim/agents.go
+++ b/internal/simulation/proxysim/baseline.go
@@ -1,7 +1,6 @@
 package proxysim
 
 import (
-	"cmp"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -9,51 +8,40 @@
 	"cresshub/balance"
 )
 
-// Agent decides for one proxy. A balance.Balancer is one.
-type Agent interface {
-	List(now time.Duration, kind balance.ListKind, list []balance.Server, acts []balance.Action) []balance.Action
-	Request(now time.Duration, r balance.Request, acts []balance.Action) []balance.Action
-	Outcome(now time.Duration, o balance.Outcome, acts []balance.Action) []balance.Action
-	Probed(now time.Duration, r balance.ProbeResult, acts []balance.Action) []balance.Action
-	Timer(now time.Duration, token uint64, acts []balance.Action) []balance.Action
-	ClientGone(now time.Duration, id string, acts []balance.Action) []balance.Action
-}
+// maxDraws is how often a policy draws a server for one attempt until it finds one that was not attempted.
+const maxDraws = 4
 
-// baselinePolicy is a textbook policy: it chooses a server for each attempt by one rule and retries what
-// provably never ran, or may be repeated, elsewhere. Where the scenario has no board of its own, it reads the
-// servers' reports free of charge and refreshed as the scenario says, which favours it.
+// baselinePolicy is a textbook policy: it chooses a server for each attempt by one rule and retries elsewhere
+// what provably never ran or is idempotent. Where the scenario has no board of its own, it reads the servers'
+// reports without probes, refreshed as the scenario says, which favours it.
 type baselinePolicy struct {
 	sim         *Sim
-	self        int32
+	self        int32 // index of the proxy
 	policy      string
-	k           int
-	lambda      float64
+	k           int     // servers compared by k-choices and li-k
+	lambda      float64 // assumed arrival rate of a server, as a fraction of its capacity
 	rng         *rand.Rand
-	up          []int32 // servers listed as up
-	rating      []float64
+	up          []int32   // servers listed as up
+	rating      []float64 // of those in up
 	pending     map[string]*baselineRequest
-	outstanding []int32   // own attempts out, by server
-	credit      []float64 // of weighted round robin, by place in up
-	turn        int
-	following   bool
+	outstanding []int32   // open attempts, by server
+	credit      []float64 // of weighted round robin, by position in up
+	turn        int       // of round robin
+	following   bool      // the list is watched
 
-	liCum     []float64 // shares of basic-li for the board's version
+	liCum     []float64 // cumulated shares of Basic LI for the board's version
 	liVersion uint64
 	scratch   []serverLoad
 }
 
+// baselineRequest is a pending request.
 type baselineRequest struct {
-	request balance.Request
-	sent    []int32
-}
-
-type serverLoad struct {
-	server int32
-	load   float64
+	request   balance.Request
+	attempted []int32 // servers
 }
 
-func newBaseline(s *Sim, me int32, o Options, rng *rand.Rand) *baselinePolicy {
-	v := &baselinePolicy{sim: s, self: me, policy: o.Policy, k: o.K, lambda: o.Lambda, rng: rng,
+func newBaseline(s *Sim, self int32, o Options, rng *rand.Rand) *baselinePolicy {
+	v := &baselinePolicy{sim: s, self: self, policy: o.Policy, k: o.K, lambda: o.Lambda, rng: rng,
 		pending: map[string]*baselineRequest{}, outstanding: make([]int32, s.registry.maxServers)}
 	if v.k <= 0 {
 		v.k = 2
@@ -117,11 +105,11 @@
 	return v.sendNext(q, acts)
 }
 
-// sendNext sends a request to a server that it has not been at, if there is one.
+// sendNext sends a request to a server that it has not been sent to before, if a few draws find one.
 func (v *baselinePolicy) sendNext(q *baselineRequest, acts []balance.Action) []balance.Action {
 	to := int32(-1)
-	for range 4 { // a draw may hit one that it was at
-		if to = v.choose(); to < 0 || !slices.Contains(q.sent, to) {
+	for range maxDraws {
+		if to = v.choose(); to < 0 || !slices.Contains(q.attempted, to) {
 			break
 		}
 	}
@@ -129,7 +117,7 @@
 		delete(v.pending, q.request.ID)
 		return append(acts, balance.Action{Kind: balance.Reject, ID: q.request.ID})
 	}
-	q.sent = append(q.sent, to)
+	q.attempted = append(q.attempted, to)
 	v.outstanding[to]++
 	return append(acts, balance.Action{Kind: balance.Send, ID: q.request.ID, Server: balance.ServerID(to + 1)})
 }
@@ -147,11 +135,11 @@
 	}
 	neverRan := o.Result == balance.Rejected || o.Result == balance.ConnRefused || o.Result == balance.Skipped
 	unsafe := v.sim.scenario.Classes[q.request.Class].AtMostOnce
-	if len(q.sent) < v.sim.scenario.Rules.MaxAttempts && now < q.request.Deadline && (neverRan || !unsafe) {
+	if len(q.attempted) < v.sim.scenario.Rules.MaxAttempts && now < q.request.Deadline && (neverRan || !unsafe) {
 		return v.sendNext(q, acts)
 	}
 	delete(v.pending, o.ID)
-	if neverRan && (!unsafe || len(q.sent) == 1) {
+	if neverRan && (!unsafe || len(q.attempted) == 1) {
 		return append(acts, balance.Action{Kind: balance.Reject, ID: o.ID})
 	}
 	return append(acts, balance.Action{Kind: balance.Fail, ID: o.ID})
@@ -162,7 +150,7 @@
 	return acts
 }
 
-// choose picks a server by the policy's rule; -1 where none is listed.
+// choose picks a server by the policy's rule; -1 where none is listed as up.
 func (v *baselinePolicy) choose() int32 {
 	n := len(v.up)
 	if n == 0 {
@@ -194,7 +182,8 @@
 
 func (v *baselinePolicy) boardLoad(i int32) float64 { return v.sim.board.load(v.sim, v.self, i) }
 
-// trueWait is what a request sent now would wait at a server, in time: nobody real can know it.
+// trueWait is how long a request sent now would take at a server, relative to others. Only a simulation can
+// know it.
 func (v *baselinePolicy) trueWait(i int32) float64 {
 	x := &v.sim.servers[i]
 	if !x.up || x.unresponsive || x.draining || x.collapsed {
@@ -208,16 +197,14 @@
 	return wait + float64(max(x.inSystem()+1, int(x.cores)))/(speed*float64(x.cores))
 }
 
-// leastLoaded is the one of the lowest load among k drawn without repetition, ties broken at random.
+// leastLoaded is the server of the lowest load among k drawn without repetition, ties broken at random.
 func (v *baselinePolicy) leastLoaded(k int, load func(int32) float64) int32 {
 	n := len(v.up)
 	k = min(k, n)
 	best, lowest, ties := int32(-1), 0.0, 0
 	for i := range k {
-		if k < n { // the first k places of a shuffle
-			j := i + v.rng.IntN(n-i)
-			v.up[i], v.up[j] = v.up[j], v.up[i]
-			v.rating[i], v.rating[j] = v.rating[j], v.rating[i]
+		if k < n {
+			v.shuffleStep(i)
 		}
 		switch x := load(v.up[i]); {
 		case best < 0 || x < lowest:
@@ -231,7 +218,15 @@
 	return best
 }
 
-// weightedRoundRobin is smooth weighted round robin: weights are ratings over what the last report held.
+// shuffleStep makes a random choice among the positions from i on the one at i, a step of a Fisher-Yates
+// shuffle.
+func (v *baselinePolicy) shuffleStep(i int) {
+	j := i + v.rng.IntN(len(v.up)-i)
+	v.up[i], v.up[j] = v.up[j], v.up[i]
+	v.rating[i], v.rating[j] = v.rating[j], v.rating[i]
+}
+
+// weightedRoundRobin is smooth weighted round robin: the weights are ratings over the reported loads.
 func (v *baselinePolicy) weightedRoundRobin() int32 {
 	total, best := 0.0, 0
 	for n, i := range v.up {
@@ -245,63 +240,3 @@
 	v.credit[best] -= total
 	return v.up[best]
 }
-
-// basicLI is Basic LI of the paper, equations 3 and 4. The shares hold as long as the board does.
-func (v *baselinePolicy) basicLI() int32 {
-	age := v.sim.board.staleness(v.sim, v.self)
-	if version := v.sim.board.version(); version == 0 || version != v.liVersion || len(v.liCum) != len(v.up) {
-		v.scratch = v.scratch[:0]
-		for _, i := range v.up {
-			v.scratch = append(v.scratch, serverLoad{i, v.boardLoad(i)})
-		}
-		v.liCum = liShares(v.scratch, age*v.lambda*float64(len(v.up)), v.liCum[:0])
-		v.liVersion = version
-	}
-	return v.scratch[pickCumulative(v.liCum, v.rng.Float64())].server
-}
-
-// liK is Basic LI among k servers drawn at random, k in place of n.
-func (v *baselinePolicy) liK() int32 {
-	k := min(v.k, len(v.up))
-	v.scratch = v.scratch[:0]
-	for i := range k {
-		j := i + v.rng.IntN(len(v.up)-i)
-		v.up[i], v.up[j] = v.up[j], v.up[i]
-		v.rating[i], v.rating[j] = v.rating[j], v.rating[i]
-		v.scratch = append(v.scratch, serverLoad{v.up[i], v.boardLoad(v.up[i])})
-	}
-	v.liCum = liShares(v.scratch, v.sim.board.staleness(v.sim, v.self)*v.lambda*float64(k), v.liCum[:0])
-	return v.scratch[pickCumulative(v.liCum, v.rng.Float64())].server
-}
-
-// liShares sorts servers by load and returns the cumulated parts of the next arrivals that each gets, so that
-// those expected since the reports level the lowest loads.
-func liShares(servers []serverLoad, arrivals float64, cum []float64) []float64 {
-	slices.SortFunc(servers, func(a, b serverLoad) int {
-		return cmp.Or(cmp.Compare(a.load, b.load), cmp.Compare(a.server, b.server))
-	})
-	// l is the largest number of servers that the arrivals lift to the load of the last of them.
-	lifted, sum := 1, 0.0 // sum of loads of the first l
-	sum = servers[0].load
-	for lifted < len(servers) && float64(lifted+1)*servers[lifted].load-(sum+servers[lifted].load) < arrivals {
-		sum += servers[lifted].load
-		lifted++
-	}
-	total := 0.0
-	top := servers[lifted-1].load
-	remainder := (arrivals - (float64(lifted)*top - sum)) / float64(lifted)
-	for i := range lifted {
-		if p := top - servers[i].load + remainder; p > 0 {
-			total += p
-		}
-		cum = append(cum, total)
-	}
-	if total <= 0 { // no arrivals expected: the least loaded alone
-		cum = append(cum[:0], 1)
-		lifted = 1
-	}
-	for len(cum) < len(servers) {
-		cum = append(cum, cum[len(cum)-1])
-	}
-	return cum
-}
--- a/internal/simulation/proxysim/board.go
+++ b/internal/simulation/proxysim/board.go
@@ -5,15 +5,15 @@
 	"sort"
 )
 
-// board is what is known of the servers' loads: as in the literature on stale loads, or as reports are
-// refreshed.
+// board is the bulletin board of the literature on stale loads: what the proxies know of the servers' loads,
+// under the model of the scenario (Reports.Model).
 type board struct {
 	model        string
-	delay        float64 // ns
-	loads        []float64
-	updates      uint64        // times it was
-	at           int64         // the last time
-	sampledDelay float64       // for continuous: the delay of this moment's decision, ns
+	delay        float64       // ns
+	loads        []float64     // by server, as of the last refresh
+	updates      uint64        // refreshes so far; for continuous: delays drawn
+	at           int64         // of the last of them
+	sampledDelay float64       // for continuous: the delay of decisions at this time, ns
 	history      []loadHistory // by server, for continuous
 	rng          *rand.Rand
 	horizon      int64 // how far back the history must go
@@ -49,7 +49,7 @@
 	}
 }
 
-// addServer makes room for one server more.
+// addServer extends the tables by one server.
 func (b *board) addServer(s *Sim) {
 	b.loads = append(b.loads, 0)
 	if b.history != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// refresh posts all loads, and comes again after the period.
+// refresh posts all loads and schedules the next refresh.
 func (b *board) refresh(s *Sim) {
 	for i := range s.servers {
 		b.loads[i] = float64(s.servers[i].inSystem())
@@ -72,7 +72,7 @@
 	s.add(s.now+int64(b.delay), evBoardRefresh, 0, 0, 0)
 }
 
-// readOnAccess has a proxy see all loads as its request comes to the server; it decides by them the next
+// readOnAccess has a proxy observe all loads as its request reaches a server; it decides by them the next
 // time.
 func (b *board) readOnAccess(s *Sim, i int32) {
 	if b.model != "on-access" {
@@ -83,7 +83,7 @@
 	}
 }
 
-// recordLoad notes a server's load where the past is looked up.
+// recordLoad adds a server's load to its history where decisions look at the past.
 func (b *board) recordLoad(s *Sim, i int32) {
 	if b.history == nil {
 		return
@@ -101,7 +101,7 @@
 	t.at, t.load = append(t.at, s.now), append(t.load, load)
 }
 
-// load is what a proxy knows of a server's.
+// load is what proxy i knows of the load of server j.
 func (b *board) load(s *Sim, i, j int32) float64 {
 	switch b.model {
 	case "fresh":
@@ -117,8 +117,8 @@
 	return b.loads[j]
 }
 
-// pastLoad is a server's load as it was a delay ago. The delay is drawn once for a decision: all that is seen
-// then is of one age.
+// pastLoad is a server's load as it was a delay ago. The delay is drawn once for all decisions of one time,
+// so that each sees loads of one age.
 func (b *board) pastLoad(s *Sim, j int32) float64 {
 	if b.at != s.now || b.updates == 0 {
 		b.at = s.now
@@ -152,7 +152,7 @@
 	return b.delay / s.meanService
 }
 
-// version rises with each new board; 0 where every decision sees another.
+// version rises with each refresh; 0 where every decision sees other loads.
 func (b *board) version() uint64 {
 	if b.model == "periodic" || b.model == "probe" {
 		return b.updates
--- /dev/null
+++ b/internal/simulation/proxysim/doc.go
@@ -0,0 +1,17 @@
+// Package proxysim models the client proxies and what they balance in virtual time: clients, proxies, halls
+// (failure domains), zone servers, the service that lists the servers, and the servers' load reports. The
+// decisions of package balance, one instance a proxy, and textbook policies play the same scenarios.
+//
+// Sim is a discrete-event simulation: an event queue (Kernel) in order of virtual time, tables of requests,
+// attempts and jobs, and random streams that are split by purpose, so that all policies meet the same
+// arrivals. A request is served, refused or failed in the end; an attempt is open until its first outcome; a
+// server is up, unresponsive, draining or down, and may be choked or collapsed besides. SWIM models the
+// proxies' gossip, and RunListTrial how they come by the list of servers.
+//
+// The package does no input or output and reads no clock: the same scenario and seed give the same results on
+// any machine. Nothing in it is safe for concurrent use; separate simulations may run in parallel.
+//
+// Sources: M. Dahlin, Interpreting Stale Load Information (Basic LI and the models of stale load);
+// M. Mitzenmacher, The Power of Two Choices; SWIM (Das, Gupta and Motivala, DSN 2002) and Lifeguard (Dadgar,
+// Phillips and Currey, 2018).
+package proxysim
--- a/internal/simulation/proxysim/kernel.go
+++ b/internal/simulation/proxysim/kernel.go
@@ -1,14 +1,10 @@
-// Package proxysim is a model of what the proxy balances: clients, proxies, halls, zone servers, their list
-// and their load reports, in virtual time. The real decisions (package balance, one instance a proxy) and
-// rival policies play the same days. It does no input or output and knows no clock: the same scenario and
-// seed give the same results whatever the machine.
 package proxysim
 
-// event is one thing that happens: what, when, and to whom. It holds no pointer, so the queue costs the
-// collector nothing.
+// event is an entry of the queue. What a, b and c mean is said at each kind. It holds no pointer, so that the
+// garbage collector doesn't scan the queue.
 type event struct {
-	at   int64 // ns
-	seq  uint64
+	at   int64  // virtual time in ns
+	seq  uint64 // breaks ties by order of creation
 	c    uint64
 	a, b int32
 	kind uint8
@@ -16,25 +12,25 @@
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// Kernel is a queue of events in order of time, and of their making where times are equal. It allocates
-// only while the queue grows beyond what it ever held.
+// Kernel is a priority queue of events in order of time, and of creation where times are equal. It allocates
+// only while the queue grows beyond its largest size so far.
 type Kernel struct {
 	now  int64
 	seq  uint64
-	heap []event
+	heap []event // 4-ary
 	done uint64
 }
 
 // Now is the virtual time in ns.
 func (k *Kernel) Now() int64 { return k.now }
 
-// Events is how many have happened.
+// Events is the number of events that have happened.
 func (k *Kernel) Events() uint64 { return k.done }
 
-// Len is how many wait.
+// Len is the number of queued events.
 func (k *Kernel) Len() int { return len(k.heap) }
 
-// add puts an event in; one in the past happens now.
+// add queues an event; one in the past happens now.
 func (k *Kernel) add(at int64, kind uint8, a, b int32, c uint64) {
 	k.seq++
 	e := event{at: max(at, k.now), seq: k.seq, c: c, a: a, b: b, kind: kind}
@@ -52,8 +48,8 @@
 	h[i] = e
 }
 
-// next takes the earliest event out and moves the time there; false where none waits.
-func (k *Kernel) next() (event, bool) {
+// next removes the earliest event and advances the time to it; ok is false where the queue is empty.
+func (k *Kernel) next() (e event, ok bool) {
 	h := k.heap
 	if len(h) == 0 {
 		return event{}, false
--- a/internal/simulation/proxysim/lists.go
+++ b/internal/simulation/proxysim/listtrial.go
@@ -1,6 +1,7 @@
 package proxysim
 
 import (
+	"cmp"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -10,12 +11,12 @@
 	"cresshub/internal/cluster/groupstate"
 )
 
-// ListTrialOptions are a model of how a fleet's proxies come by the list of servers: each by a watch of its
-// own on discovery, asked anew as the decisions say (package balance), or by the owner's list in the
-// replicated store (package chore's Follower), with a watch of the owner's alone.
+// ListTrialOptions are the parameters of a model of how a fleet's proxies learn the list of servers: each by
+// a watch of its own on discovery, renewed as the decisions say (package balance), or by the list that the
+// owner of the role publishes in the replicated store (groupstate.Follower), where only the owner watches.
 type ListTrialOptions struct {
-	Proxies          int
-	Owner            bool
+	Proxies          int           // at least 3
+	Owner            bool          // there is an owner
 	MaxAge           time.Duration // owner.list_max_age; 0 is 4 s
 	Poll             time.Duration // owner.list_poll; 0 is 250 ms
 	Lease            time.Duration // owner.lease; 0 is 2 s
@@ -25,55 +26,78 @@
 	Seed             uint64
 }
 
-// ListTrialResult is what a trial of a minute came to.
+// ListTrialResult is the result of a trial of a minute.
 type ListTrialResult struct {
 	Trial        string `json:"trial"`
 	Proxies      int    `json:"proxies"`
 	Owner        bool   `json:"owner"`
 	Calls        int    `json:"calls"`   // on discovery, in the minute
 	Peak         int    `json:"peak"`    // in the worst second
-	SelfFetching int    `json:"alone"`   // proxies that asked by themselves at some time, the owner left out
-	Watches      int    `json:"watches"` // that stand in the end
+	SelfFetching int    `json:"alone"`   // proxies that asked discovery at some time, without the owner
+	Watches      int    `json:"watches"` // established in the end
 	WithoutList  int    `json:"old"`     // proxies without a list in the end
 }
 
-// ListTrialNames are what may happen in a minute.
+// ListTrialNames are the trials that RunListTrial plays.
 var ListTrialNames = []string{"quiet", "start", "rolling", "outage", "owner", "group"}
 
+// The kinds of events.
 const (
-	listPoll uint8 = iota
-	listWatch
-	listPublish  // the owner says how the list is
-	listElection // somebody becomes the owner
-	listFault    // stage in a
+	listPoll     uint8 = iota // a proxy reads the store; a: proxy
+	listWatch                 // a timer of a proxy's decisions; a: proxy, b: its incarnation, c: token
+	listPublish               // the owner publishes the list; c: term
+	listElection              // a member becomes the owner
+	listFault                 // a: stage
 )
 
+const (
+	trialTime   = time.Minute      // what a trial measures
+	settleTime  = 30 * time.Second // before it, unless the start is measured
+	faultFrom   = 10 * time.Second // of a trial
+	faultTo     = 18 * time.Second
+	rollingTime = 50 * time.Second // for a restart of all proxies
+)
+
+// listProxy is a proxy with the decisions that make its calls.
 type listProxy struct {
 	agent           *balance.Balancer
 	follower        *groupstate.Follower
 	incarnation     int32
-	selfFetching    bool // asks by itself
-	watching        bool
-	listed          bool
+	selfFetching    bool // may ask discovery
+	watching        bool // has a watch on discovery
+	listed          bool // has a list
 	everSelfFetched bool
 }
 
+// listTrial is a trial under way.
 type listTrial struct {
 	Kernel
+	name       string // "" until the measured minute
 	opts       ListTrialOptions
 	rng        *rand.Rand
 	proxies    []listProxy
 	owner      int    // -1 while there is none
-	term       uint64 // of the owner: the ticks of the ones before end
-	version    uint64
-	down       bool // discovery answers nothing
-	leaderless bool // the group has no leader
-	lastSeen   int64
+	term       uint64 // of the owner; events of earlier terms have no effect
+	version    uint64 // of the published list
+	down       bool   // discovery answers nothing
+	leaderless bool   // the group has no leader
+	lastSeen   int64  // when the owner last had a watch
 	calls      []int64
 	actions    []balance.Action
 }
 
-// RunListTrial plays one trial.
+// withDefaults sets the durations that are 0.
+func (o ListTrialOptions) withDefaults() ListTrialOptions {
+	o.MaxAge = cmp.Or(o.MaxAge, 4*time.Second)
+	o.Poll = cmp.Or(o.Poll, 250*time.Millisecond)
+	o.Lease = cmp.Or(o.Lease, 2*time.Second)
+	o.Election = cmp.Or(o.Election, time.Second)
+	o.RegistryInterval = cmp.Or(o.RegistryInterval, 10*time.Second)
+	o.DiscoveryTimeout = cmp.Or(o.DiscoveryTimeout, 3*time.Second)
+	return o
+}
+
+// RunListTrial plays a trial, one of ListTrialNames, for a minute of virtual time.
 func RunListTrial(trial string, o ListTrialOptions) (ListTrialResult, error) {
 	r := ListTrialResult{Trial: trial, Proxies: o.Proxies, Owner: o.Owner}
 	if !slices.Contains(ListTrialNames, trial) {
@@ -82,13 +106,25 @@
 	if o.Proxies < 3 {
 		return r, fmt.Errorf("%d proxies; at least 3 are wanted", o.Proxies)
 	}
-	for d, is := range map[*time.Duration]time.Duration{&o.MaxAge: 4 * time.Second,
-		&o.Poll: 250 * time.Millisecond, &o.Lease: 2 * time.Second, &o.Election: time.Second,
-		&o.RegistryInterval: 10 * time.Second, &o.DiscoveryTimeout: 3 * time.Second} {
-		if *d == 0 {
-			*d = is
+	s := newListTrial(o.withDefaults())
+	from := int64(0)
+	if trial != "start" { // from a stable fleet
+		from = int64(settleTime)
+		s.run(from)
+		s.calls = nil
+		for i := range s.proxies {
+			s.proxies[i].everSelfFetched = false
 		}
 	}
+	s.name = trial
+	s.scheduleFaults(from)
+	s.run(from + int64(trialTime))
+	s.measure(&r)
+	return r, nil
+}
+
+// newListTrial starts all proxies.
+func newListTrial(o ListTrialOptions) *listTrial {
 	s := &listTrial{opts: o, owner: -1, rng: rand.New(rand.NewPCG(o.Seed, 1)),
 		proxies: make([]listProxy, o.Proxies)}
 	for i := range s.proxies {
@@ -96,29 +132,27 @@
 		s.add(s.randomWithin(o.Poll), listPoll, int32(i), 0, 0)
 	}
 	s.elect(o.Election + o.Election/2)
-	from := int64(0)
-	if trial != "start" { // from a settled fleet
-		from = int64(30 * time.Second)
-		s.run(from, "")
-		s.calls = nil
-		for i := range s.proxies {
-			s.proxies[i].everSelfFetched = false
-		}
-	}
+	return s
+}
+
+// scheduleFaults queues the faults of the trial, which is measured from a time on.
+func (s *listTrial) scheduleFaults(from int64) {
 	at := func(d time.Duration, stage int32) { s.add(from+int64(d), listFault, stage, 0, 0) }
-	switch trial {
+	switch s.name {
 	case "rolling":
 		for i := range s.proxies {
-			at(time.Duration(i)*(50*time.Second)/time.Duration(o.Proxies), int32(i))
+			at(time.Duration(i)*rollingTime/time.Duration(s.opts.Proxies), int32(i))
 		}
 	case "outage", "group":
-		at(10*time.Second, 0)
-		at(18*time.Second, 1)
+		at(faultFrom, 0)
+		at(faultTo, 1)
 	case "owner":
-		at(10*time.Second, 0)
+		at(faultFrom, 0)
 	}
-	end := from + int64(time.Minute)
-	s.run(end, trial)
+}
+
+// measure fills in the result of the measured minute.
+func (s *listTrial) measure(r *ListTrialResult) {
 	r.Calls = len(s.calls)
 	for i, j := 0, 0; i < len(s.calls); i++ {
 		for s.calls[i]-s.calls[j] > int64(time.Second) {
@@ -138,27 +172,28 @@
 			r.WithoutList++
 		}
 	}
-	return r, nil
 }
 
+// randomWithin draws a time from 0 to d, in ns.
 func (s *listTrial) randomWithin(d time.Duration) int64 { return s.rng.Int64N(int64(d)) }
-func (s *listTrial) clock() time.Duration               { return time.Duration(s.now) }
 
-// start starts a proxy's process with no list.
+func (s *listTrial) clock() time.Duration { return time.Duration(s.now) }
+
+// start starts a proxy's process, without a list.
 func (s *listTrial) start(i int) {
 	p := &s.proxies[i]
 	agent, err := balance.New(balance.Settings{Seed: s.rng.Uint64(), Rank: i, Peers: s.opts.Proxies,
 		MustFollow: true, RegistryInterval: s.opts.RegistryInterval, Tick: time.Millisecond, MaxAttempts: 1,
 		Classes: []balance.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}}, s.clock())
 	if err != nil {
-		panic(err) // the same settings for all, which a test takes
+		panic(err) // the settings are constant but for the seed
 	}
 	*p = listProxy{agent: agent, incarnation: p.incarnation + 1, selfFetching: !s.opts.Owner,
 		follower: groupstate.NewFollower(s.clock(), s.opts.MaxAge, time.Duration(s.randomWithin(s.opts.MaxAge)))}
 	s.apply(i, agent.List(s.clock(), balance.ListCached, nil, s.actions[:0]))
 }
 
-// apply carries out what the decisions want: calls, now or later.
+// apply carries out the actions of a proxy's decisions: calls, now or later.
 func (s *listTrial) apply(i int, acts []balance.Action) {
 	for _, a := range acts {
 		switch a.Kind {
@@ -170,7 +205,7 @@
 	}
 }
 
-// watchDiscovery is a proxy's call for a watch.
+// watchDiscovery is a proxy's call on discovery for a watch.
 func (s *listTrial) watchDiscovery(i int) {
 	p := &s.proxies[i]
 	if !p.selfFetching || p.watching {
@@ -186,7 +221,7 @@
 	p.agent.List(s.clock(), balance.ListDelta, nil, s.actions[:0])
 }
 
-// chooseSource says whether a proxy asks by itself.
+// chooseSource switches a proxy between discovery and the published list, by whether that is fresh.
 func (s *listTrial) chooseSource(i int) {
 	p := &s.proxies[i]
 	selfFetching := !s.opts.Owner || i == s.owner || !p.follower.Fresh(s.clock())
@@ -200,53 +235,68 @@
 	s.watchDiscovery(i)
 }
 
-// elect has somebody become the owner after a time, if nobody is by then.
+// elect has a member become the owner after a time, if there is none by then.
 func (s *listTrial) elect(after time.Duration) {
 	if s.opts.Owner {
 		s.add(s.now+int64(after), listElection, 0, 0, 0)
 	}
 }
 
-func (s *listTrial) run(end int64, trial string) {
+// run plays until a virtual time in ns.
+func (s *listTrial) run(end int64) {
 	for len(s.heap) > 0 && s.heap[0].at <= end {
 		e, _ := s.next()
-		i := int(e.a)
-		switch e.kind {
-		case listPoll:
-			if !s.opts.Owner {
-				break
-			}
-			observed := groupstate.EndpointView{Version: s.version}
-			if p := &s.proxies[i]; !s.leaderless && p.follower.Observe(s.clock(), observed, 0) {
-				p.listed = true
-			}
-			s.chooseSource(i)
+		s.handle(e)
+	}
+	s.now = max(s.now, end)
+}
+
+// handle handles one event.
+func (s *listTrial) handle(e event) {
+	switch e.kind {
+	case listPoll:
+		if s.opts.Owner {
+			s.poll(int(e.a))
 			s.add(s.now+int64(s.opts.Poll), listPoll, e.a, 0, 0)
-		case listWatch:
-			if p := &s.proxies[i]; p.incarnation == e.b {
-				s.apply(i, p.agent.Timer(s.clock(), e.c, s.actions[:0]))
-			}
-		case listPublish:
-			if e.c == s.term {
-				s.publish()
-			}
-		case listElection:
-			if s.owner < 0 && !s.leaderless {
-				s.term++
-				s.owner = s.rng.IntN(min(3, s.opts.Proxies)) // one of those with a replica
-				s.proxies[s.owner].watching = false          // its calls carry the token from now on
-				s.proxies[s.owner].selfFetching = false
-				s.chooseSource(s.owner)
-				s.publish()
-			}
-		case listFault:
-			s.playFault(trial, i)
 		}
+	case listWatch:
+		if p := &s.proxies[e.a]; p.incarnation == e.b {
+			s.apply(int(e.a), p.agent.Timer(s.clock(), e.c, s.actions[:0]))
+		}
+	case listPublish:
+		if e.c == s.term {
+			s.publish()
+		}
+	case listElection:
+		if s.owner < 0 && !s.leaderless {
+			s.becomeOwner(s.rng.IntN(min(3, s.opts.Proxies))) // one of those with a replica
+		}
+	case listFault:
+		s.playFault(int(e.a))
 	}
-	s.now = max(s.now, end)
 }
 
-// publish has the owner say how the list is, a quarter of its time apart, while it hears discovery.
+// poll has a proxy read the store.
+func (s *listTrial) poll(i int) {
+	p := &s.proxies[i]
+	published := groupstate.EndpointView{Version: s.version}
+	if !s.leaderless && p.follower.Observe(s.clock(), published, 0) {
+		p.listed = true
+	}
+	s.chooseSource(i)
+}
+
+// becomeOwner begins a term of a proxy as the owner.
+func (s *listTrial) becomeOwner(i int) {
+	s.term++
+	s.owner = i
+	s.proxies[i].watching = false // its calls carry the fencing token from now on
+	s.proxies[i].selfFetching = false
+	s.chooseSource(i)
+	s.publish()
+}
+
+// publish has the owner publish the list, at a quarter of its maximum age, while it has a watch.
 func (s *listTrial) publish() {
 	if s.owner < 0 || s.leaderless {
 		return
@@ -261,13 +311,14 @@
 	s.add(s.now+int64(s.opts.MaxAge/4), listPublish, 0, 0, s.term)
 }
 
-func (s *listTrial) playFault(trial string, stage int) {
-	takeover := s.opts.Lease + s.opts.Lease/8 // the others wait out the lease and the drift of both clocks
-	switch trial {
+// playFault handles a fault of the trial.
+func (s *listTrial) playFault(stage int) {
+	takeover := s.opts.Lease + s.opts.Lease/8 // others wait for the lease and the drift of both clocks
+	switch s.name {
 	case "rolling":
 		owned := stage == s.owner
 		s.start(stage)
-		if owned { // it gave the lease back
+		if owned { // it released the lease
 			s.owner = -1
 			s.elect(s.opts.Lease / 40)
 		}
--- a/internal/simulation/proxysim/lists_test.go
+++ b/internal/simulation/proxysim/listtrial_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// With an owner the calls on discovery are as many whatever the size of the fleet, through starts, restarts
-// and changes of owner; without one each proxy makes its own. Where discovery or the group is lost, calls
-// stay below those without an owner, or at one a proxy.
+// With an owner the number of calls on discovery doesn't depend on the size of the fleet, through starts,
+// restarts and changes of the owner; without one each proxy makes its own. Where discovery or the group is
+// unavailable, calls stay below those without an owner, or at one a proxy.
 func TestListCallsStayFlat(t *testing.T) {
 	play := func(trial string, n int, owner bool) ListTrialResult {
 		t.Helper()
--- a/internal/simulation/proxysim/rules.go
+++ b/internal/simulation/proxysim/monitor.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The rules that the model watches.
+// The rules that are checked, by their names in results.
 const (
 	OneAnswer       = "one_final_answer"
 	AtMostOnce      = "never_twice"
@@ -13,29 +13,32 @@
 	SlowStartObeyed = "cold_not_pushed_over"
 )
 
-// monitor watches the rules. It keeps what happened lately, so that a break can be told with what led to it.
+// monitor checks the rules. It retains recent observations, so that a violation is reported with what led to
+// it.
 type monitor struct {
-	violations map[string]int
-	texts      []string
-	strict     bool
-	stop       bool
-	trace      int32
-	traceLines []string // of the traced request
-	ring       [1024]observation
-	recorded   int
+	violations map[string]int // by rule
+	texts      []string       // of the first violations
+	strict     bool           // the first violation ends the run
+	stop       bool           // the run ends early
+	trace      int32          // number of the traced request, 0 for none
+	traceLines []string
+	ring       [1024]observation // the latest
+	recorded   int               // observations in all
 }
 
+// observation is an event in the life of a request.
 type observation struct {
-	at     int64
+	at     int64 // virtual time in ns
 	what   string
-	number int32
-	server int32
+	number int32 // of the request
+	server int32 // -1 where none is concerned
 }
 
-// maxViolationTexts bounds the breaks told in words, maxTraceLines the lines of a traced request.
 const (
-	maxViolationTexts = 10
-	maxTraceLines     = 1000
+	maxViolationTexts = 10   // violations reported in words
+	maxTraceLines     = 1000 // lines of a traced request
+	// serverContext is how many of the latest observations of a violation's server are reported with it.
+	serverContext = 20
 )
 
 func (m *monitor) init(s *Sim, o Options) {
@@ -51,7 +54,7 @@
 	return fmt.Sprintf("%12s  request %d %s, server %d", at, f.number, f.what, f.server+1)
 }
 
-// record keeps a fact; words are constants, so that it costs no allocation.
+// record adds an observation. Its text is a constant, so that it costs no allocation.
 func (m *monitor) record(s *Sim, what string, number, server int32) {
 	f := observation{s.now, what, number, server}
 	m.ring[m.recorded%len(m.ring)] = f
@@ -61,7 +64,7 @@
 	}
 }
 
-// recordViolation counts a break and tells the last facts of its request and server.
+// recordViolation counts a violation and reports the latest observations of its request and server.
 func (m *monitor) recordViolation(s *Sim, rule string, number, server int32) {
 	m.violations[rule]++
 	if m.strict {
@@ -72,20 +75,20 @@
 	}
 	text := fmt.Sprintf("%s broken at %s by request %d", rule, time.Duration(s.now), number)
 	for i := max(0, m.recorded-len(m.ring)); i < m.recorded; i++ {
-		if f := m.ring[i%len(m.ring)]; f.number == number || server >= 0 && f.server == server &&
-			i > m.recorded-20 {
+		f := m.ring[i%len(m.ring)]
+		if f.number == number || server >= 0 && f.server == server && i > m.recorded-serverContext {
 			text += "\n" + f.String()
 		}
 	}
 	m.texts = append(m.texts, text)
 }
 
-// checkSend watches a send: nothing new goes to a server whose drain or end was told longer ago than the
-// grace.
+// checkSend checks an attempt: nothing new goes to a server whose drain or removal the proxy has known for
+// longer than the drain grace.
 func (m *monitor) checkSend(s *Sim, q *request, to int32, d *demand) {
 	m.record(s, "is sent", d.number, to)
-	if withdrawn, ok := s.proxies[q.proxy].withdrawnAt[to]; ok &&
-		s.now-withdrawn > int64(s.scenario.Rules.DrainGrace) {
+	withdrawn, ok := s.proxies[q.proxy].withdrawnAt[to]
+	if ok && s.now-withdrawn > int64(s.scenario.Rules.DrainGrace) {
 		m.recordViolation(s, DrainObeyed, d.number, to)
 	}
 }
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -8,14 +8,14 @@
 	"cresshub/balance"
 )
 
-// demand is what a client wants: one request with all its tries.
+// demand is a client's request with all its attempts at a proxy.
 type demand struct {
 	class, tenant, proxy int32
 	number               int32 // from 1, in order of arrival
-	attempts             int32
-	starts               int32 // times that it began to run
-	refs                 int32 // requests that are of it
-	done                 bool
+	attempts             int32 // begun so far
+	starts               int32 // times that it began to run at a server
+	refs                 int32 // requests that refer to it
+	done                 bool  // answered for good
 	key                  uint64
 	work                 float64 // ns on a core of speed 1
 	arrivedAt, deadline  int64
@@ -24,40 +24,35 @@
 	counted              bool // arrived after the warm-up
 }
 
-// request is one try at a proxy.
+// request is one attempt of a client at a proxy.
 type request struct {
 	demand      int32
 	proxy       int32
-	incarnation int32 // of the proxy
-	generation  uint32
-	used        bool
+	incarnation int32  // of the proxy
+	generation  uint32 // of the slot in the table
+	used        bool   // the slot is
 	answered    bool
-	started     bool // some attempt has begun to run
-	open        int32
+	started     bool  // some attempt has begun to run
+	open        int32 // attempts
 	jobs        int32 // at servers
 	at          int64
 	deadline    int64
 	attempts    []attempt
 }
 
-type attempt struct {
-	server  int32
-	job     int32
-	sent    int64
-	until   int64
-	open    bool
-	hasConn bool // holds a connection
-}
+// answer is how a request or a demand ended.
+type answer uint8
 
-// what became of a try or a demand
 const (
-	served = iota
+	served answer = iota
 	refused
 	failed
 )
 
-// nextArrival is when the next request of the stream comes: the stream is one, whatever the number of
-// proxies.
+// String is the word for a trace.
+func (a answer) String() string { return [...]string{"is served", "is refused", "fails"}[a] }
+
+// nextArrival is the time of the next arrival, of one stream for all proxies.
 func (s *Sim) nextArrival() int64 {
 	rate := s.rate * s.burst
 	if rate <= 0 {
@@ -66,19 +61,21 @@
 	return s.now + int64(s.streams.arrivals.ExpFloat64()/rate*1e9)
 }
 
-// pickCumulative draws a position from cumulated shares.
+// pickCumulative is the position in cumulated shares of x, which is drawn from 0 to 1.
 func pickCumulative(cum []float64, x float64) int32 {
 	i, _ := slices.BinarySearch(cum, x*cum[len(cum)-1])
 	return int32(min(i, len(cum)-1))
 }
 
+// arrival handles the next arrival of the stream, or the next burst of one proxy, and schedules the one after
+// it.
 func (s *Sim) arrival() {
 	sc := s.scenario
 	if s.now > s.arrivalsEnd || sc.Requests > 0 && s.arrived >= sc.Requests {
 		s.arrived = -1 // the stream is over
 		return
 	}
-	// Everything about the request is drawn here, whatever becomes of it.
+	// All random properties of the request are drawn here, so that policies meet the same requests.
 	shape := s.streams.shape
 	proxyIndex := pickCumulative(s.proxyCum, shape.Float64())
 	n := 1
@@ -96,7 +93,7 @@
 				mean = s.proxies[proxyIndex].meanGap / float64(n)
 			}
 			gap += shape.ExpFloat64() * mean
-			s.inFlight++ // it will come, so the day is not over
+			s.inFlight++ // it is still to come, so the run is not over
 			s.add(s.now+int64(gap), evClientAttempt, d, 1, 0)
 		}
 	}
@@ -129,7 +126,7 @@
 		d.deadline = s.now + int64(c.Deadline)
 	}
 	d.value = c.Value
-	// An application stops and starts with its proxy: what it would have sent meanwhile is not asked for.
+	// An application stops and starts with its proxy: what it would have sent meanwhile is not counted.
 	d.counted = s.now >= int64(sc.WarmUp) && s.arrived > sc.WarmUpRequests && s.proxies[proxyIndex].alive
 	return s.allocDemand(d)
 }
@@ -159,7 +156,7 @@
 	return int32(len(s.demands) - 1)
 }
 
-// startClientAttempt sends a demand to its proxy once more.
+// startClientAttempt sends a demand to its proxy, again after the first time.
 func (s *Sim) startClientAttempt(di int32) {
 	d := &s.demands[di]
 	if d.attempts == 0 {
@@ -172,22 +169,14 @@
 		s.tally.countArrival(s, di)
 	}
 	p := &s.proxies[d.proxy]
-	if !p.alive { // its application went with it, or finds nobody
+	if !p.alive {
 		s.attemptAnswered(di, failed, 0, true)
 		return
 	}
-	var r int32
-	if n := len(s.free.requests); n > 0 {
-		r = s.free.requests[n-1]
-		s.free.requests = s.free.requests[:n-1]
-	} else {
-		s.requests = append(s.requests, request{})
-		r = int32(len(s.requests) - 1)
-	}
+	r := s.allocRequest()
 	q := &s.requests[r]
 	*q = request{demand: di, proxy: d.proxy, incarnation: p.incarnation, generation: q.generation + 1,
-		used: true, at: s.now,
-		attempts: q.attempts[:0]}
+		used: true, at: s.now, attempts: q.attempts[:0]}
 	d.refs++
 	q.deadline = d.deadline
 	if c := &s.scenario.Classes[d.class]; c.Deadline > 0 {
@@ -205,7 +194,18 @@
 	}, s.actions[:0]))
 }
 
-// clientTimeout comes when a try should long have been answered.
+// allocRequest returns a free slot of the table.
+func (s *Sim) allocRequest() int32 {
+	if n := len(s.free.requests); n > 0 {
+		r := s.free.requests[n-1]
+		s.free.requests = s.free.requests[:n-1]
+		return r
+	}
+	s.requests = append(s.requests, request{})
+	return int32(len(s.requests) - 1)
+}
+
+// clientTimeout is when a request should have been answered at the latest.
 func (s *Sim) clientTimeout(r int32, gen uint64) {
 	q := &s.requests[r]
 	if !q.used || uint64(q.generation) != gen || q.answered {
@@ -220,8 +220,8 @@
 	}
 }
 
-// answerRequest gives a try its final answer.
-func (s *Sim) answerRequest(r int32, how int, wait time.Duration) {
+// answerRequest gives a request its final answer; retryAfter is what a refusal asks the client to wait.
+func (s *Sim) answerRequest(r int32, how answer, retryAfter time.Duration) {
 	q := &s.requests[r]
 	if q.answered {
 		return
@@ -230,24 +230,25 @@
 	s.inFlight--
 	d := &s.demands[q.demand]
 	if how == refused && s.scenario.Classes[d.class].AtMostOnce && q.started {
-		s.monitor.recordViolation(s, AtMostOnce, d.number, -1) // it says that trying again is harmless
+		s.monitor.recordViolation(s, AtMostOnce, d.number, -1) // a refusal says that a retry is safe
 	}
-	s.monitor.record(s, [...]string{"is served", "is refused", "fails"}[how], d.number, -1)
-	s.attemptAnswered(q.demand, how, wait, false)
+	s.monitor.record(s, how.String(), d.number, -1)
+	s.attemptAnswered(q.demand, how, retryAfter, false)
 	s.releaseRequest(r)
 }
 
-// attemptAnswered is the client's side of an answer: another try, or the end of its request.
-func (s *Sim) attemptAnswered(di int32, how int, wait time.Duration, unreachable bool) {
+// attemptAnswered is the client's side of an answer: a retry, or the end of its demand. An unreachable proxy
+// has begun nothing.
+func (s *Sim) attemptAnswered(di int32, how answer, retryAfter time.Duration, unreachable bool) {
 	d := &s.demands[di]
 	c := &s.scenario.Classes[d.class]
-	again := how != served && int(d.attempts) < s.scenario.Clients.MaxAttempts &&
+	retries := how != served && int(d.attempts) < s.scenario.Clients.MaxAttempts &&
 		(how == refused || unreachable || !c.AtMostOnce)
-	pause := s.scenario.Clients.Backoff
+	backoff := s.scenario.Clients.Backoff
 	if how == refused && d.honorsRetryAfter {
-		pause = max(pause, wait)
+		backoff = max(backoff, retryAfter)
 	}
-	if at := s.now + int64(pause); again && at < d.deadline {
+	if at := s.now + int64(backoff); retries && at < d.deadline {
 		s.inFlight++
 		s.add(max(at, s.now+1), evClientAttempt, di, 0, 0)
 		return
@@ -261,7 +262,7 @@
 	}
 }
 
-// releaseRequest gives a request's place back once nothing refers to it.
+// releaseRequest frees a request's slot once nothing refers to it.
 func (s *Sim) releaseRequest(r int32) {
 	q := &s.requests[r]
 	if q.used && q.answered && q.open == 0 && q.jobs == 0 {
@@ -273,103 +274,3 @@
 		}
 	}
 }
-
-// startAttempt starts an attempt.
-func (s *Sim) startAttempt(r, to int32, wait int64) {
-	q := &s.requests[r]
-	d := &s.demands[q.demand]
-	n := len(q.attempts)
-	until := q.deadline
-	if wait > 0 {
-		until = min(until, s.now+wait)
-	}
-	q.attempts = append(q.attempts, attempt{server: to, job: -1, sent: s.now, until: until, open: true})
-	q.open++
-	c := uint64(q.generation)<<8 | uint64(n)
-	p, sv := &s.proxies[q.proxy], &s.servers[to]
-	if q.answered || n >= s.scenario.Rules.MaxAttempts || until < s.now {
-		s.add(s.now, evAttemptEnd, r, int32(balance.Skipped), c)
-		return
-	}
-	s.monitor.checkSend(s, q, to, d)
-	s.tally.countAttempt(s, d, p.hall != sv.hall)
-	way := s.latency(p.hall, sv.hall)
-	handshake := 0.0
-	if !s.reuseConn(q.proxy, to) {
-		switch {
-		case sv.unresponsive:
-			s.add(min(s.now+int64(s.scenario.Network.DialTimeout), until), evAttemptEnd, r,
-				int32(balance.ConnRefused), c)
-			return
-		case !sv.up || s.scenario.Servers.MaxConns > 0 && int(sv.conns) >= s.scenario.Servers.MaxConns:
-			s.add(s.now+2*way, evAttemptEnd, r, int32(balance.ConnRefused), c)
-			return
-		}
-		s.tally.handshakes++
-		sv.conns++
-		handshake = float64(s.scenario.Servers.HandshakeWork)
-		way += 2 * s.latency(p.hall, sv.hall)
-	}
-	q.attempts[n].hasConn = true
-	j := s.allocJob(job{req: r, attempt: int32(n), server: to, incarnation: sv.incarnation, work: d.work,
-		handshake: handshake,
-		key:       d.key})
-	q.attempts[n].job = j
-	q.jobs++
-	s.add(s.now+way, evServerArrival, j, 0, 0)
-	if s.scenario.Classes[d.class].Deadline > 0 || wait > 0 {
-		s.add(until, evAttemptEnd, r, int32(balance.TimedOut), c)
-	}
-}
-
-// cancelAttempt gives an attempt up.
-func (s *Sim) cancelAttempt(r int32, n int) {
-	q := &s.requests[r]
-	if n < len(q.attempts) && q.attempts[n].open {
-		s.add(s.now, evAttemptEnd, r, int32(balance.Cancelled), uint64(q.generation)<<8|uint64(n))
-	}
-}
-
-// attemptEnded ends an attempt at its proxy. The first that comes counts.
-func (s *Sim) attemptEnded(r int32, res balance.Result, c uint64) {
-	q := &s.requests[r]
-	n := int(c & 255)
-	if !q.used || uint64(q.generation) != c>>8 || !q.attempts[n].open {
-		return
-	}
-	a := &q.attempts[n]
-	a.open = false
-	q.open--
-	i := q.proxy
-	p := &s.proxies[i]
-	if a.hasConn {
-		s.parkConn(i, a.server, res == balance.Done || res == balance.Rejected || res == balance.Error)
-	}
-	if a.job >= 0 && (res == balance.TimedOut || res == balance.Cancelled) {
-		s.jobs[a.job].abandoned = true
-	}
-	if !p.alive || p.incarnation != q.incarnation {
-		s.releaseRequest(r)
-		return
-	}
-	wins := res == balance.Done && !q.answered
-	if res == balance.Done && !wins {
-		s.tally.wasted += s.demands[q.demand].work
-	}
-	id, server, sent := s.requestID(r), a.server, a.sent
-	s.monitor.record(s, resultNames[res], s.demands[q.demand].number, server)
-	if wins {
-		s.answerRequest(r, served, 0)
-	} else {
-		s.releaseRequest(r)
-	}
-	over := wins || !s.requests[r].used || s.requests[r].answered
-	s.apply(i, p.agent.Outcome(time.Duration(s.now), balance.Outcome{
-		ID: id, Attempt: n, Server: balance.ServerID(server + 1), Result: res, Final: over,
-		Latency: time.Duration(s.now - sent),
-	}, s.actions[:0]))
-}
-
-var resultNames = [...]string{
-	"done", "error", "turned away", "timed out", "no connection", "reset", "cancelled", "not sent",
-}
--- a/internal/simulation/proxysim/scenario.go
+++ b/internal/simulation/proxysim/scenario.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// about stands before a key and carries what it is for.
+// about is the type of a blank field before a key, whose tag documents the key.
 type about = struct{}
 
-// Scenario is a day: everything that the model is told. Tags are read by the laboratory, which checks a
-// scenario before it is played; one built in code is taken as it is.
+// Scenario is the input of a simulation. Its tags are the one schema of scenario files, which package
+// settingsfile reads, checks and documents (docs/SCENARIO.md); a scenario built in code is taken as it is.
+// Keys keep the names of existing files where fields have clearer ones.
 type Scenario struct {
 	_              about         `doc:"what it is called in results"`
 	Name           string        `key:"name" default:"scenario"`
@@ -79,7 +80,7 @@
 	MaxWarmKeys int           `key:"warm_most" default:"64" min:"1" max:"100000000"`
 }
 
-// Kind is a kind of server. Its speed is drawn for each server, the same for every policy.
+// Kind is a hardware kind of servers. Its speed is drawn for each server, the same for every policy.
 type Kind struct {
 	_        about   `doc:"its name"`
 	Name     string  `key:"name" form:"name"`
@@ -93,7 +94,7 @@
 	MaxSpeed float64 `key:"fastest" default:"1" min:"0.0001" max:"10000"`
 }
 
-// Load is what arrives.
+// Load is the arrival process.
 type Load struct {
 	_                about   `doc:"part of what all servers can do, keys cold; used where rate is 0"`
 	Utilisation      float64 `key:"utilisation" default:"0.7" min:"0" max:"100"`
@@ -115,7 +116,7 @@
 	KeySkew          float64 `key:"key_skew" default:"1.1" min:"1.01" max:"10"`
 }
 
-// Proxies are the instances that decide.
+// Proxies are the instances that balance.
 type Proxies struct {
 	_     about   `doc:"how many there are"`
 	Count int     `key:"count" default:"1" min:"1" max:"100000"`
@@ -123,7 +124,7 @@
 	Skew  float64 `key:"skew" default:"0" min:"0" max:"10"`
 }
 
-// Clients are how callers behave.
+// Clients is the behavior of callers.
 type Clients struct {
 	_               about         `doc:"tries of a request in all"`
 	MaxAttempts     int           `key:"tries" default:"1" min:"1" max:"100"`
@@ -135,7 +136,7 @@
 	HonorRetryAfter float64       `key:"honour" default:"0" min:"0" max:"1"`
 }
 
-// Network is the ways between halls.
+// Network is latency and connections between halls.
 type Network struct {
 	_           about         `doc:"one way within a hall"`
 	WithinHall  time.Duration `key:"within" default:"0s" min:"0s" max:"1m"`
@@ -149,7 +150,7 @@
 	IdleTimeout time.Duration `key:"idle_close" default:"5s" min:"1ms" max:"1h"`
 }
 
-// Reports are what is known of the servers' load.
+// Reports are how the servers' loads become known.
 type Reports struct {
 	_           about         `doc:"probe: as asked for; the others are those of the literature"`
 	Model       string        `key:"model" default:"probe" enum:"probe|fresh|periodic|continuous|on-access"`
@@ -177,7 +178,7 @@
 	RegistryInterval time.Duration `key:"ask_within" default:"10s" min:"0s" max:"1h"`
 }
 
-// Rules are the figures of the four rules.
+// Rules are the parameters of the checked rules.
 type Rules struct {
 	_           about         `doc:"how long after its client's deadline an answer counts"`
 	AnswerGrace time.Duration `key:"slack" default:"20ms" min:"0s" max:"1m"`
@@ -193,7 +194,7 @@
 	MaxAttempts   int           `key:"attempts" default:"3" min:"1" max:"100"`
 }
 
-// Prices are what costs service, as the brief has them.
+// Prices are what is deducted from the service, as the task states them.
 type Prices struct {
 	_              about   `doc:"each request crossing halls once"`
 	CrossHall      float64 `key:"cross_hall" default:"0" min:"0" max:"1"`
@@ -211,7 +212,7 @@
 	OverQuotaValue float64 `key:"over_share" default:"0.1" min:"0" max:"1"`
 }
 
-// Class is a kind of request.
+// Class is a request class.
 type Class struct {
 	_             about         `doc:"its name"`
 	Name          string        `key:"name" form:"name"`
@@ -229,7 +230,7 @@
 	AtMostOnce    bool          `key:"never_twice" default:"false"`
 }
 
-// Tenant is one of those who share the servers.
+// Tenant is a tenant with its quota.
 type Tenant struct {
 	_        about   `doc:"its name"`
 	Name     string  `key:"name" form:"name"`
@@ -239,7 +240,7 @@
 	Quota    float64 `key:"quota" default:"0" min:"0" max:"100000000"`
 }
 
-// Fault is something that goes wrong.
+// Fault is an injected fault.
 type Fault struct {
 	_            about         `doc:"what"`
 	Type         string        `key:"what" enum:"burst|pauses|hall_loss|shrink|discovery_stale|rolling|crash"`
--- a/internal/simulation/proxysim/simsetup.go
+++ b/internal/simulation/proxysim/setup.go
@@ -19,7 +19,7 @@
 		total += k.Fraction
 	}
 	for i := range s.scenario.Servers.Count {
-		// The kind that is furthest behind its share comes next, so that shares hold at any count.
+		// The kind that is furthest behind its fraction comes next, so that fractions hold at any count.
 		kind, furthest := 0, math.Inf(-1)
 		for j, k := range kinds {
 			if behind := k.Fraction/total*float64(i+1) - given[j]; behind > furthest {
@@ -71,7 +71,7 @@
 		s.rate = s.scenario.Load.Utilisation * s.capacity() / work
 	}
 	if r := &s.scenario.Reports; r.Model == "on-access" && r.Delay > 0 {
-		// As many proxies as ask once in that time, each.
+		// As many proxies as each send one request in that time.
 		copied := *s.scenario
 		copied.Proxies.Count = max(1, int(s.rate*s.meanService/1e9/r.Delay+0.5))
 		s.scenario = &copied
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// startProxy starts a proxy that knows nothing but the list as it is.
+// startProxy starts a proxy with the current list.
 func (s *Sim) startProxy(i int32, o Options) error {
 	p := &s.proxies[i]
 	p.alive, p.watching, p.withdrawnAt = true, s.registry.push, nil
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// settings is what the module is told.
+// settings are those of the module at one proxy.
 func (s *Sim) settings(rank int32, seed uint64) balance.Settings {
 	sc := s.scenario
 	set := balance.Settings{
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -13,25 +13,24 @@
 
 // The kinds of events.
 const (
-	evArrival       uint8 = iota // the next request of the stream
-	evClientAttempt              // a client's next try; a: demand
-	evClientTimeout              // a try's deadline and slack are over; a: request, c: generation
+	evArrival       uint8 = iota // the next arrival of the stream
+	evClientAttempt              // a client's next attempt; a: demand
+	evClientTimeout              // a request's deadline and grace are over; a: request, c: generation
 	evServerArrival              // an attempt's last byte is at its server; a: job
-	evJobDone                    // a core is done with a job; a: job, b: server's life, c: stamp
-	// an attempt ends at its proxy; a: request, b: result, c: generation and attempt
-	evAttemptEnd
-	evTimer        // of an agent; a: proxy, b: its life, c: token
-	evProbe        // a probe is at its server; a: server, b: proxy, c: proxy's life
-	evProbeAnswer  // and back; a: index of the answer, b: proxy
-	evListChange   // discovery's changes are at a proxy; a: proxy, c: version
-	evListAnswer   // an answer of discovery; a: proxy, b: 1 where it failed, c: proxy's life
-	evBoardRefresh // the bulletin board is written anew
-	evFault        // a: its number, b: stage, c: server or round
-	evIdleTimeout  // idle connections grow old; a: proxy, b: server
-	evChoke        // a: server, b: 1 for the end of it, c: stamp
+	evJobDone                    // a job ends on its core; a: job, b: server's incarnation, c: generation
+	evAttemptEnd                 // an attempt ends at its proxy; a: request, b: result, c: attemptToken
+	evTimer                      // of an agent; a: proxy, b: its incarnation, c: token
+	evProbe                      // a probe is at its server; a: server, b: proxy, c: its incarnation
+	evProbeAnswer                // the answer is at the proxy; a: index of the answer, b: proxy
+	evListChange                 // changes of the list are at a proxy; a: proxy, c: version
+	evListAnswer                 // an answer of discovery; a: proxy, b: 1 where it failed, c: its incarnation
+	evBoardRefresh               // the bulletin board is refreshed
+	evFault                      // a: index of the fault, b: stage, c: depends on its type
+	evIdleTimeout                // of idle connections; a: proxy, b: server
+	evChoke                      // a: server, b: 1 for the end of it, c: stamp
 )
 
-// Sim plays one scenario with one policy.
+// Sim is one run of a scenario with one policy.
 type Sim struct {
 	Kernel
 	scenario *Scenario
@@ -47,17 +46,16 @@
 	jobs     []job
 	answers  []probeAnswer
 	free     struct{ requests, demands, jobs, answers []int32 }
-	inFlight int
-	tries    uint64 // ids given
+	inFlight int // requests, and attempts of clients that are still to come
 
 	streams     streams
-	rate        float64 // requests a second on an ordinary moment
-	burst       float64 // times that, now
+	rate        float64 // requests a second outside bursts
+	burst       float64 // factor on that, now
 	proxyCum    []float64
 	meanService float64 // mean service time, in ns
-	arrivalsEnd int64   // arrivals end then
-	arrived     int     // demands
-	lastArrival int64   // when the last of them came
+	arrivalsEnd int64   // ns
+	arrived     int     // demands so far, -1 once the stream has ended
+	lastArrival int64   // ns
 	shareCum    struct{ class, tenant []float64 }
 	zipf        *rand.Zipf
 
@@ -69,8 +67,8 @@
 	overflow bool
 }
 
-// streams are random numbers split by what they are for, so that two policies meet the same arrivals, keys
-// and work whatever they do between.
+// streams are random streams split by purpose, so that two policies meet the same arrivals, keys and work
+// whatever they decide.
 type streams struct {
 	arrivals, shape, work, keys, speeds, network, faults, clients, reports *rand.Rand
 }
@@ -81,7 +79,7 @@
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// proxy is one instance with what the model knows of it.
+// proxy is one instance of the client proxy.
 type proxy struct {
 	agent       Agent
 	module      bool
@@ -89,31 +87,32 @@
 	incarnation int32
 	alive       bool
 	watching    bool
-	version     uint64          // of the list, as last told
-	withdrawnAt map[int32]int64 // when a server's drain or end was told
-	loads       []float64       // as last seen, for on-access
+	version     uint64          // of the list, as delivered
+	withdrawnAt map[int32]int64 // when a server's drain or removal was delivered
+	loads       []float64       // as last observed, for on-access
 	meanGap     float64         // mean time between its requests, ns
 }
 
-// Policies are the names that New knows.
+// Policies are the names of the policies that New accepts.
 var Policies = []string{
 	"module", "random", "round-robin", "two-choices", "k-choices", "least-outstanding", "stale-shortest",
 	"weighted-round-robin", "basic-li", "li-k", "oracle",
 }
 
-// Options are what is played beside the scenario.
+// Options are the parameters of a run beside the scenario.
 type Options struct {
 	Policy string
 	Seed   uint64
-	K      int     // servers looked at by k-choices and li-k; 0 is 2
-	Lambda float64 // arrival rate that basic-li and li-k take a server to have; 0 is the true one
-	Trace  int     // a request whose life is kept as text, from 1; 0 is none
-	Strict bool    // the first break of a rule ends the day
+	K      int     // servers compared by k-choices and li-k; 0 is 2
+	Lambda float64 // arrival rate of a server that basic-li and li-k assume; 0 is the true one
+	Trace  int     // number of the request to be traced, from 1; 0 is none
+	Strict bool    // the first violation of a rule ends the run
 	// Module makes a proxy's decisions in place of package balance's; nil is that package.
 	Module func(set balance.Settings, now time.Duration) (Agent, error)
 }
 
-// New prepares a day. The error says which policy and model do not go together.
+// New prepares a run. The error says that the policy is unknown, the scenario has no class, or the module
+// rejects the settings.
 func New(sc *Scenario, o Options) (*Sim, error) {
 	if !slices.Contains(Policies, o.Policy) {
 		return nil, fmt.Errorf("policy %q is none of %v", o.Policy, Policies)
@@ -147,10 +146,11 @@
 	return s, nil
 }
 
-// forever stands for no deadline.
+// forever is used as a deadline where there is none.
 const forever = 10000 * time.Hour
 
-// Run plays the day to its end: all arrivals, and then until all is answered.
+// Run plays the scenario to its end: all arrivals, and then until all requests are answered. It is called
+// once.
 func (s *Sim) Run(o Options) *Result {
 	for {
 		e, ok := s.next()
@@ -161,7 +161,7 @@
 		case evArrival:
 			s.arrival()
 		case evClientAttempt:
-			s.inFlight-- // it was held while it waited to come
+			s.inFlight-- // it counted while it was still to come
 			s.startClientAttempt(e.a)
 		case evClientTimeout:
 			s.clientTimeout(e.a, e.c)
@@ -192,7 +192,7 @@
 		case evChoke:
 			s.updateChoke(e.a, e.b == 1, e.c)
 		}
-		// The stream and all that is held are over: what is left are timers and the board, which never end.
+		// What is queued otherwise, timers and the board, never ends.
 		if s.ended() {
 			break
 		}
@@ -200,14 +200,16 @@
 	return s.result()
 }
 
-// TableSlots is how many places its tables have taken: what was held at once at most, events among it.
+// TableSlots is the number of slots that the tables have grown to, the queue of events included: a measure of
+// the memory that a run takes.
 func (s *Sim) TableSlots() int {
 	return len(s.requests) + len(s.demands) + len(s.jobs) + len(s.answers) + cap(s.heap)
 }
 
+// ended reports whether the stream has ended and all requests are answered.
 func (s *Sim) ended() bool { return s.arrived < 0 && s.inFlight == 0 }
 
-// apply carries out what an agent says.
+// apply carries out the actions of a proxy's agent.
 func (s *Sim) apply(i int32, acts []balance.Action) {
 	s.actions = acts
 	p := &s.proxies[i]
@@ -241,7 +243,7 @@
 	}
 }
 
-// latency is one way between two halls.
+// latency draws the one-way latency between two halls.
 func (s *Sim) latency(from, to int32) int64 {
 	d := s.scenario.Network.WithinHall
 	if from != to {
@@ -256,11 +258,12 @@
 	return int64(d)
 }
 
-// An id is the place of a request in its table and its generation there, in base 36.
+// requestID is the id of a request for agents: its slot in the table and the slot's generation, in base 36.
 func (s *Sim) requestID(r int32) string {
 	return strconv.FormatUint(uint64(r)|uint64(s.requests[r].generation)<<31, 36)
 }
 
+// requestByID is the slot of an unanswered or open request; ok is false for one that has ended.
 func (s *Sim) requestByID(id string) (int32, bool) {
 	n, err := strconv.ParseUint(id, 36, 64)
 	r := int32(n & (1<<31 - 1))
--- a/internal/simulation/proxysim/emulator_test.go
+++ b/internal/simulation/proxysim/sim_test.go
@@ -169,8 +169,7 @@
 
 // reckless breaks each rule in turn.
 type reckless struct {
-	sent map[string]int
-	how  string
+	how string
 }
 
 func (r *reckless) List(_ time.Duration, _ balance.ListKind, _ []balance.Server,
--- a/internal/simulation/proxysim/swim.go
+++ b/internal/simulation/proxysim/swim.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// SWIMOptions are a model of the fleet view's gossip: SWIM (Das, Gupta and Motivala, DSN 2002) with Lifeguard
-// (Dadgar, Phillips and Currey, 2018), as memberlist plays it with the settings of package fleet. Sizes of
-// messages are those of memberlist's codec.
+// SWIMOptions are the parameters of a model of the client proxies' gossip: SWIM (Das, Gupta and Motivala, DSN
+// 2002) with Lifeguard (Dadgar, Phillips and Currey, 2018), as memberlist implements it with the settings of
+// package gossip. Sizes of messages are those of memberlist's codec.
 type SWIMOptions struct {
 	Members              int
 	Probe                time.Duration // between probes of one member
