--- a/internal/simulation/proxysim/sim_test.go
+++ b/internal/simulation/proxysim/sim_test.go
@@ -27,7 +27,7 @@
 		Classes: []Class{{Name: "job", Fraction: 1, Work: time.Second, Value: 1}}}
 }
 
-// evening has all that may go wrong: cold halls, choking, drains, late lists, retries.
+// evening has every kind of fault: lost halls, choking, drains, stale lists, retries.
 func evening(load float64) *Scenario {
 	return &Scenario{Name: "evening", Duration: 30 * time.Second, WarmUp: time.Second, MaxInFlight: 1 << 20,
 		Halls: []string{"a", "b", "c"},
@@ -68,11 +68,11 @@
 			{Type: "crash", At: 27 * time.Second, Duration: 2 * time.Second}}}
 }
 
-func play(t testing.TB, sc *Scenario, o Options) *Result {
-	t.Helper()
+func play(tb testing.TB, sc *Scenario, o Options) *Result {
+	tb.Helper()
 	s, err := New(sc, o)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s.Run(o)
 }
@@ -89,9 +89,9 @@
 	return 1 + wait/(sum+wait)/(float64(c)*(1-load))
 }
 
-// What is known of queues, and what the paper tells of its policies, within what these many requests leave
-// to chance.
-func TestAgainstWhatIsKnown(t *testing.T) {
+// Results of queueing theory, and those of the paper for its policies, hold within what these many requests
+// leave to chance.
+func TestMatchesKnownResults(t *testing.T) {
 	for _, c := range []struct {
 		name, policy, model string
 		n, cores            int
@@ -142,8 +142,8 @@
 	}
 }
 
-// Every request ends once, nothing is left open, and the module keeps the rules through all troubles.
-func TestEachEndsOnceThroughTroubles(t *testing.T) {
+// Every request ends once, nothing is left open, and the module obeys the rules through all faults.
+func TestEachRequestEndsOnceThroughFaults(t *testing.T) {
 	for _, policy := range Policies {
 		for _, load := range []float64{0.4, 0.9} {
 			s, err := New(evening(load), Options{Policy: policy, Seed: 5})
@@ -202,8 +202,8 @@
 	return append(a, balance.Action{Kind: balance.Fail, ID: o.ID})
 }
 
-// A break of each rule is seen and told with what led to it.
-func TestMonitorsSeeBreaks(t *testing.T) {
+// A violation of each rule is reported with what led to it.
+func TestMonitorReportsViolations(t *testing.T) {
 	for _, rule := range []string{AtMostOnce, OneAnswer, DrainObeyed, SlowStartObeyed} {
 		sc := evening(0.3)
 		sc.Faults = nil
@@ -226,7 +226,7 @@
 	}
 }
 
-// More than the servers can do for ever ends, and says so; so does a table that is full.
+// A load beyond capacity ends, and the result says so; so does a table that is full.
 func TestOverloadEnds(t *testing.T) {
 	sc := queues(2, 1, 1.5, "fresh", 0, 20000)
 	r := play(t, sc, Options{Policy: "random", Seed: 1})
@@ -239,7 +239,7 @@
 	}
 }
 
-// The queue hands events out in order of time and making, without allocating once it has grown.
+// The queue returns events in order of time and creation, without allocating once it has grown.
 func TestKernelOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var k Kernel
--- a/internal/simulation/proxysim/swim.go
+++ b/internal/simulation/proxysim/swim.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"math/rand/v2"
+	"slices"
 	"time"
 )
 
@@ -15,32 +16,33 @@
 	ProbeTimeout         time.Duration // for a direct answer; the whole probe takes Probe, scaled by health
 	Gossip               time.Duration // between rounds of gossip
 	SuspicionMult        int
-	RejoinInterval       time.Duration // between tries to join a dead member, a quarter more or less
-	SyncPerMember        time.Duration // between full exchanges, times the members known
-	GossipToDead         time.Duration // the dead hear gossip for so long
+	RejoinInterval       time.Duration // between attempts to join a dead member, a quarter more or less
+	SyncPerMember        time.Duration // between full state exchanges, times the members known
+	GossipToDead         time.Duration // how long after its death a member is still sent gossip
 	Latency              time.Duration // one way, of a datagram with its handling
-	Jitter               time.Duration // further, even from 0 to this
+	Jitter               time.Duration // added to it, uniformly from 0 to this
 	NameBytes, MetaBytes int           // bytes of a member's name and metadata; 0 is 4 and 58
 	LabelBytes           int           // bytes of the fleet's label; 0 is 8
-	Seeds                int           // members, counted from the first, that the others try to join; 0 is 1
-	StartEmpty           bool          // members know nobody at first and join member 0, all at once
+	Seeds                int           // the first members are seeds, which others join; 0 is 1
+	StartEmpty           bool          // members know nobody at first and all join member 0
 	Seed                 uint64
 }
 
 // The protocol's constants in memberlist's LAN settings.
 const (
-	swimGossipNodes      = 3
-	swimIndirect         = 3
-	swimRetransmit       = 8 // package fleet sets this
-	swimMaxSuspicionMult = 6 // a suspicion lasts so many times its least at most
-	swimMaxHealth        = 8
-	swimSmallFleet       = 32 // up to so many members a fleet is small, as in package fleet
+	swimGossipNodes      = 3  // members that gossip is sent to at a time
+	swimIndirect         = 3  // members that are asked for an indirect probe
+	swimRetransmit       = 8  // transmissions of an update, times log(members); package gossip sets this
+	swimMaxSuspicionMult = 6  // the longest suspicion over the shortest
+	swimMaxHealth        = 8  // bound of Lifeguard's local health multiplier
+	swimSmallFleet       = 32 // members up to which a fleet is small, as in package gossip
 	swimPacketBytes      = 1400
 )
 
-// SWIMStatus is what one member holds another to be.
+// SWIMStatus is a member's state in the view of another.
 type SWIMStatus uint8
 
+// The states of a member.
 const (
 	SWIMUnknown SWIMStatus = iota
 	SWIMAlive
@@ -50,42 +52,46 @@
 
 // SWIMCounts are sums over all members.
 type SWIMCounts struct {
-	Packets, Bytes, Streams              int64 // sent; bytes of streams included
-	Probes, Indirect, Suspicions         int64
-	Refutations, Deaths, FalseDeaths     int64 // a death is false where the member's process ran unhindered
-	Rejoins, Syncs, Confirmed, Truncated int64
+	Packets, Bytes, Streams          int64 // sent; bytes of streams included
+	Probes, Indirect, Suspicions     int64
+	Refutations, Deaths, FalseDeaths int64 // a death is false where the member's process was running
+	Rejoins, Syncs, Confirmed        int64
 }
 
+// The kinds of events; a is the member.
 const (
-	swimProbe uint8 = iota
-	swimGossip
-	swimArrive
-	swimProbeTimeout
-	swimProbeEnd
-	swimNack
-	swimSuspicion
-	swimRejoin
-	swimSync
-	swimPush
-	swimPull
-	swimAskSuspect     // a suspect is asked over a stream; c counts the tries
-	swimSuspicionLasts // a suspicion that lasts has its member asked; c is when it began
+	swimProbe          uint8 = iota // a ticker of probes; c: process
+	swimGossip                      // a ticker of gossip; c: process
+	swimArrive                      // a datagram arrives; b: position in the pool
+	swimProbeTimeout                // for the direct answer to a probe; c: sequence number
+	swimProbeEnd                    // a probe's time is over; c: sequence number
+	swimNack                        // a relayed probe is unanswered; c: sequence number
+	swimSuspicion                   // a suspicion ends with a death; b: subject, c: generation
+	swimRejoin                      // a ticker of rejoins; b: rejoinSeq, c: process
+	swimSync                        // a ticker of state exchanges; c: process
+	swimPush                        // a state arrives over a stream; b: its sender
+	swimPull                        // the answer to that arrives; b: its sender
+	swimAskSuspect                  // a suspect is asked over a stream; b: subject, c: attempts before
+	swimSuspicionLasts              // a lasting suspicion has its subject asked; b: subject, c: its start
 )
 
+// messageKind is the kind of a datagram's first message.
+type messageKind uint8
+
 const (
-	msgPing uint8 = iota
+	msgPing messageKind = iota
 	msgIndirect
 	msgAck
 	msgNack
-	msgGossip // no message of its own, gossip alone
+	msgGossip // gossip alone
 )
 
-// memberView is what one member holds of another.
+// memberView is what one member knows of another.
 type memberView struct {
 	inc          uint32
 	changedAt    int32 // ms, when status last changed
 	status       SWIMStatus
-	shownSuspect bool // suspect, as a view of package fleet says: from when that was first gossiped on
+	shownSuspect bool // package gossip shows it as suspect: since the suspicion was first gossiped
 }
 
 // update is a gossiped message: suspect, alive or dead.
@@ -96,40 +102,45 @@
 	sent          int16
 }
 
+// packet is a datagram.
 type packet struct {
-	kind     uint8
+	kind     messageKind
 	from, to int32
 	seq      uint64
 	target   int32 // of an indirect probe
 	gossip   []update
 }
 
+// suspicion is a suspected member in the view of another, as in Lifeguard: confirmations shorten it from max
+// towards min, which are in ns.
 type suspicion struct {
 	generation          uint64
 	confirmationsWanted int
 	min, max            int64
 	start               int64
-	confirmedBy         []int32 // the first is who raised it
+	confirmedBy         []int32 // members; the first one raised it
 }
 
+// relayedProbe is an indirect probe on behalf of another member.
 type relayedProbe struct {
 	asker int32
 	seq   uint64
 }
 
+// swimNode is the state of one member.
 type swimNode struct {
-	views      []memberView
-	order      []int32 // the round of probes
-	next       int
+	views      []memberView // by member
+	order      []int32      // the known members, in the order in which they are probed
+	next       int          // position in order
 	broadcasts []update
 	suspects   map[int32]*suspicion
-	byStatus   [4]int // members by status
-	inc        uint32
-	health     int
-	process    uint64 // its tickers carry this; those of an earlier life end
+	byStatus   [4]int // number of members by status
+	inc        uint32 // its incarnation number
+	health     int    // Lifeguard's local health multiplier
+	process    uint64 // identifies its run in events; tickers of earlier ones end
 	up         bool
 	paused     bool
-	waiting    []event // what came while paused
+	waiting    []event // that came while it was paused
 
 	seq           uint64
 	probing       int32 // -1: none
@@ -138,15 +149,15 @@
 	streamOK      bool
 	expectedNacks int
 	nacks         int
-	missedTick    bool  // a tick came while a probe ran
-	seedFrom      int64 // a stream over a cut link keeps its worker until then
-	nextSeed      int32 // and the seed is tried next
-	stalledUntil  int64 // with that try's stream
-	rejoinSeq     int32 // brought forward by heals
+	missedTick    bool  // a probe was due while another was under way
+	seedFrom      int64 // a stream over a blocked link stalls the rejoin until then
+	nextSeed      int32 // which is joined then; -1 for none
+	stalledUntil  int64 // the stream of that attempt stalls the rejoin until then
+	rejoinSeq     int32 // identifies the ticker of rejoins, which a heal replaces
 	relayed       map[uint64]relayedProbe
 }
 
-// SWIM is one fleet's gossip in virtual time.
+// SWIM is the gossip of one fleet in virtual time.
 type SWIM struct {
 	Kernel
 	opts       SWIMOptions
@@ -155,17 +166,17 @@
 	pool       []packet
 	free       []int32
 	generation uint64
-	drawn      []int32 // scratch
+	drawn      []int32 // the members that randomMembers returned last
 
 	side       []int8            // of a partition
 	blocked    map[[2]int32]bool // one-way links
 	delay      map[int32]int64   // further one-way delay of all links of a member
-	wrongViews int               // pairs of running members and members held otherwise than they are
+	wrongViews int               // pairs of a running member and a member that it sees otherwise than it is
 	down       []bool            // members that do not run
 	Count      SWIMCounts
 }
 
-// NewSWIM returns a fleet that knows itself whole, or one that joins at once.
+// NewSWIM returns a fleet whose members know each other, or all join at once.
 func NewSWIM(o SWIMOptions) *SWIM {
 	if o.NameBytes == 0 {
 		o.NameBytes, o.MetaBytes = 4, 58
@@ -189,8 +200,9 @@
 	return s
 }
 
-// boot gives a member its first state and starts its tickers, each at a time of its own.
-func (s *SWIM) boot(i int32, cold bool) {
+// boot gives a member its first state and starts its tickers, each at a time of its own. An empty member
+// knows itself alone.
+func (s *SWIM) boot(i int32, empty bool) {
 	m := &s.nodes[i]
 	n := s.opts.Members
 	*m = swimNode{views: make([]memberView, n), suspects: map[int32]*suspicion{}, inc: 1, up: true, probing: -1,
@@ -198,7 +210,7 @@
 	m.order = append(m.order, i)
 	m.views[i] = memberView{inc: 1, status: SWIMAlive}
 	m.byStatus[SWIMAlive] = 1
-	if !cold {
+	if !empty {
 		for j := range m.views {
 			m.views[j] = memberView{inc: 1, status: SWIMAlive}
 		}
@@ -213,20 +225,22 @@
 	s.add(stagger(s.opts.Probe), swimProbe, i, 0, m.seq)
 	s.add(stagger(s.opts.Gossip), swimGossip, i, 0, m.seq)
 	s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, i, m.rejoinSeq, m.seq)
-	if cold {
+	if empty {
 		s.add(s.now+s.jittered(s.syncInterval(m)), swimSync, i, 0, m.seq)
-	} else { // as long since a start as any
+	} else { // its last exchange may be any time ago
 		s.add(stagger(s.syncInterval(m)), swimSync, i, 0, m.seq)
 	}
 }
 
+// jittered draws an interval that is up to a quarter longer or shorter, in ns.
 func (s *SWIM) jittered(d time.Duration) int64 { return int64(d)*3/4 + s.rng.Int64N(int64(d)/2+1) }
 
+// syncInterval is the mean time between full state exchanges of a member.
 func (s *SWIM) syncInterval(m *swimNode) time.Duration {
 	return s.opts.SyncPerMember * time.Duration(max(1, len(m.order)))
 }
 
-// randomMember picks a member other than i whose cell fits, -1 where a bounded number of draws finds none.
+// randomMember draws a member other than i whose view fits, -1 where a bounded number of draws finds none.
 func (s *SWIM) randomMember(i int32, fits func(memberView) bool) int32 {
 	m := &s.nodes[i]
 	n := len(m.order)
@@ -238,134 +252,19 @@
 	return -1
 }
 
-// randomMembers picks up to k different members, as memberlist's kRandomNodes.
+// randomMembers draws up to k different members, as memberlist's kRandomNodes. The result is valid until the
+// next call.
 func (s *SWIM) randomMembers(i int32, k int, fits func(memberView) bool) []int32 {
 	m := &s.nodes[i]
 	n := len(m.order)
 	s.drawn = s.drawn[:0]
-	for try := 0; try < 3*n && len(s.drawn) < k; try++ {
+	for draws := 0; draws < 3*n && len(s.drawn) < k; draws++ {
 		j := m.order[s.rng.IntN(n)]
-		taken := j == i || !fits(m.views[j])
-		for _, o := range s.drawn {
-			taken = taken || o == j
-		}
-		if !taken {
+		if j != i && fits(m.views[j]) && !slices.Contains(s.drawn, j) {
 			s.drawn = append(s.drawn, j)
 		}
 	}
 	return s.drawn
 }
 
-// beginProbe probes the next member of the round that is neither dead nor this one.
-func (s *SWIM) beginProbe(i int32) {
-	m := &s.nodes[i]
-	for range len(m.order) + 1 {
-		if m.next >= len(m.order) {
-			m.next = 0
-			s.rng.Shuffle(len(m.order), func(a, b int) { m.order[a], m.order[b] = m.order[b], m.order[a] })
-		}
-		j := m.order[m.next]
-		m.next++
-		if st := m.views[j].status; j == i || st != SWIMAlive && st != SWIMSuspect {
-			continue
-		}
-		m.seq++
-		m.probing, m.probeSeq, m.acked, m.streamOK, m.expectedNacks, m.nacks = j, m.seq, false, false, 0, 0
-		s.Count.Probes++
-		p := packet{kind: msgPing, from: i, to: j, seq: m.seq}
-		if c := m.views[j]; c.status == SWIMSuspect {
-			p.gossip = []update{{subject: j, from: i, inc: c.inc, status: SWIMSuspect}}
-			s.transmit(p)
-		} else {
-			s.send(p)
-		}
-		s.add(s.now+int64(s.opts.ProbeTimeout), swimProbeTimeout, i, 0, m.seq)
-		s.add(s.now+int64(s.opts.Probe)*int64(m.health+1), swimProbeEnd, i, 0, m.seq)
-		return
-	}
-}
-
-// probeIndirectly has up to three members probe the one that did not answer, and tries a stream.
-func (s *SWIM) probeIndirectly(i int32) {
-	m := &s.nodes[i]
-	j := m.probing
-	for _, k := range append([]int32(nil), s.randomMembers(i, swimIndirect, func(c memberView) bool {
-		return c.status == SWIMAlive
-	})...) {
-		if k == j {
-			continue
-		}
-		m.expectedNacks++
-		s.Count.Indirect++
-		s.send(packet{kind: msgIndirect, from: i, to: k, seq: m.probeSeq, target: j})
-	}
-	s.Count.Streams++
-	m.streamOK = s.reaches(i, j) && s.reaches(j, i) && !s.nodes[j].paused
-}
-
-// endProbe judges a probe whose time is over.
-func (s *SWIM) endProbe(i int32) {
-	m := &s.nodes[i]
-	j := m.probing
-	m.probing = -1
-	if m.acked || m.streamOK {
-		m.health = max(0, m.health-1)
-	} else {
-		if m.expectedNacks > 0 {
-			m.health += m.expectedNacks - m.nacks
-		} else {
-			m.health++
-		}
-		m.health = min(m.health, swimMaxHealth-1)
-		if m.views[j].status == SWIMAlive {
-			s.Count.Suspicions++
-		}
-		s.suspect(i, update{subject: j, from: i, inc: m.views[j].inc, status: SWIMSuspect})
-	}
-	if m.missedTick {
-		m.missedTick = false
-		s.beginProbe(i)
-	}
-}
-
-// arrive handles a datagram.
-func (s *SWIM) arrive(i int32, p *packet) {
-	m := &s.nodes[i]
-	switch p.kind {
-	case msgPing:
-		s.send(packet{kind: msgAck, from: i, to: p.from, seq: p.seq})
-	case msgIndirect:
-		m.seq++
-		m.relayed[m.seq] = relayedProbe{p.from, p.seq}
-		s.send(packet{kind: msgPing, from: i, to: p.target, seq: m.seq})
-		s.add(s.now+int64(s.opts.ProbeTimeout), swimNack, i, 0, m.seq)
-	case msgAck:
-		if r, ok := m.relayed[p.seq]; ok {
-			delete(m.relayed, p.seq)
-			s.send(packet{kind: msgAck, from: i, to: r.asker, seq: r.seq})
-		} else if m.probing >= 0 && m.probeSeq == p.seq {
-			m.acked = true
-			s.endProbe(i)
-		}
-	case msgNack:
-		if m.probing >= 0 && m.probeSeq == p.seq {
-			m.nacks++
-		}
-	}
-	for _, n := range p.gossip {
-		s.applyUpdate(i, n)
-	}
-}
-
-func (s *SWIM) applyUpdate(i int32, n update) {
-	switch n.status {
-	case SWIMAlive:
-		s.alive(i, n)
-	case SWIMSuspect:
-		s.suspect(i, n)
-	case SWIMDead:
-		s.dead(i, n)
-	}
-}
-
 func log10(n int) float64 { return math.Log10(float64(n)) }
--- a/internal/simulation/proxysim/swim_test.go
+++ b/internal/simulation/proxysim/swim_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// swimSettings are those that the rig's scenarios play real processes with.
+// swimSettings are those of the scenarios that run real processes (package clusterrig).
 func swimSettings(members int) SWIMOptions {
 	return SWIMOptions{Members: members, Probe: 200 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond,
 		Gossip: 100 * time.Millisecond, SuspicionMult: 4, RejoinInterval: 500 * time.Millisecond,
@@ -14,9 +14,9 @@
 		Jitter: 300 * time.Microsecond, Seed: 1}
 }
 
-// The model's times are within a fifth of those that the rig measured with real processes, at the sizes and
+// The model's times are within a fifth of those that were measured with real processes, at the sizes and
 // settings in docs/fleet-view.md: medians of a killed member's death in all views, over 20 kills.
-func TestSWIMIsHeldAgainstProcesses(t *testing.T) {
+func TestSWIMMatchesProcesses(t *testing.T) {
 	for members, real := range map[int]float64{5: 1306, 7: 1219, 10: 1302, 30: 1604} {
 		r, err := RunSWIMTrial("kill", swimSettings(members), 40)
 		if err != nil {
@@ -38,7 +38,8 @@
 	}
 }
 
-// One view after a heal takes as long as in processes, within a fifth. Those of thirty have three seeds.
+// Convergence after a heal takes as long as with processes, within a fifth. Fleets of thirty have three
+// seeds.
 func TestSWIMHealsAsProcessesDo(t *testing.T) {
 	for _, c := range []struct {
 		members, seeds int
@@ -58,7 +59,7 @@
 }
 
 // What each member sends stays flat as the fleet grows.
-func TestSWIMCostIsFlat(t *testing.T) {
+func TestSWIMTrafficIsIndependentOfSize(t *testing.T) {
 	few, err := RunSWIMTrial("quiet", swimSettings(5), 3)
 	if err != nil {
 		t.Fatal(err)
@@ -91,8 +92,8 @@
 	}
 }
 
-// Faults do in the model what they do to processes: pauses and one-way links kill nobody healthy, a restart
-// is taken back, a partition heals.
+// Faults have the same effect as on processes: pauses and one-way links have no healthy member declared dead,
+// a restarted member is alive again, a partition heals.
 func TestSWIMFaults(t *testing.T) {
 	s := NewSWIM(swimSettings(7))
 	for range 10 {
--- a/internal/simulation/proxysim/swimfaults.go
+++ b/internal/simulation/proxysim/swimfaults.go
@@ -1,8 +1,6 @@
 package proxysim
 
-import (
-	"time"
-)
+import "time"
 
 // Kill ends members' processes at once.
 func (s *SWIM) Kill(members ...int) {
@@ -26,7 +24,7 @@
 	s.recount()
 }
 
-// Pause stops a member's process; what comes to it waits. Resume has it go on with all that came.
+// Pause stops a member's process; its events are queued. Resume has it handle them.
 func (s *SWIM) Pause(i int) {
 	s.nodes[i].paused = true
 	s.recount()
@@ -43,7 +41,7 @@
 	s.recount()
 }
 
-// Partition cuts the first members from the rest, both ways; Heal undoes it and all cut links and delays.
+// Partition separates the first members from the others, both ways; Heal undoes it.
 func (s *SWIM) Partition(first int) {
 	for i := range s.side {
 		s.side[i] = 0
@@ -53,8 +51,8 @@
 	}
 }
 
-// Heal takes all faults of the network away. A stream that stood over a cut link fails then, and its member
-// goes on to what it tries next.
+// Heal ends all faults of the network. A stream that stalled over a blocked link fails then, and its member
+// goes on to its next attempt.
 func (s *SWIM) Heal() {
 	clear(s.side)
 	for i := range s.nodes {
@@ -63,7 +61,7 @@
 			s.exchangeStates(int32(i), m.nextSeed)
 		}
 		m.nextSeed = -1
-		if m.up && m.stalledUntil > s.now { // it rests from here on, not from when the stream would have ended
+		if m.up && m.stalledUntil > s.now { // its interval begins now, not when the stream would have ended
 			m.stalledUntil = s.now
 			m.rejoinSeq++
 			s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, int32(i), m.rejoinSeq, m.process)
@@ -73,13 +71,13 @@
 	clear(s.delay)
 }
 
-// BlockLink cuts the link from one member to another, in that direction alone.
+// BlockLink loses all that one member sends to another, in that direction alone.
 func (s *SWIM) BlockLink(from, to int) { s.blocked[[2]int32{int32(from), int32(to)}] = true }
 
-// Slow delays all that a member sends and gets.
+// Slow delays all that a member sends and receives.
 func (s *SWIM) Slow(i int, by time.Duration) { s.delay[int32(i)] = int64(by) }
 
-// Partitioned tells whether each side of a partition holds itself alive and the other dead.
+// Partitioned reports whether each side of a partition sees itself alive and the other side dead.
 func (s *SWIM) Partitioned() bool {
 	for i := range s.nodes {
 		for j := range s.nodes {
--- a/internal/simulation/proxysim/swimnet.go
+++ b/internal/simulation/proxysim/swimnet.go
@@ -2,10 +2,11 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
-// enqueue puts news into a member's queue of gossip, in place of older news of the same subject.
+// enqueue queues an update for gossip, in place of an earlier one of the same subject.
 func (s *SWIM) enqueue(i int32, n update) {
 	m := &s.nodes[i]
 	n.sent = 0
@@ -29,7 +30,8 @@
 // stateBytes is the size of one member in a full exchange.
 func (s *SWIM) stateBytes() int { return 68 + s.opts.NameBytes + s.opts.MetaBytes }
 
-func (s *SWIM) messageBytes(kind uint8) int {
+// messageBytes is the size of a message in memberlist's codec.
+func (s *SWIM) messageBytes(kind messageKind) int {
 	switch kind {
 	case msgPing:
 		return 59 + 2*s.opts.NameBytes
@@ -43,7 +45,8 @@
 	return 0
 }
 
-// takeBroadcasts takes from a member's queue what fits into room bytes: the least sent first.
+// takeBroadcasts takes the queued updates that fit into a number of bytes, the least transmitted ones first,
+// and drops those that have been transmitted often enough.
 func (s *SWIM) takeBroadcasts(i int32, capacity int) []update {
 	m := &s.nodes[i]
 	if len(m.broadcasts) == 0 {
@@ -53,44 +56,36 @@
 	var out []update
 	for sent := int16(0); sent < limit && capacity > 2+27; sent++ {
 		for at := len(m.broadcasts) - 1; at >= 0; at-- {
-			n := &m.broadcasts[at]
-			if n.sent != sent || contains(out, n.subject) {
-				continue
-			}
-			size := s.updateBytes(n) + 2
-			if size > capacity {
+			u := &m.broadcasts[at]
+			size := s.updateBytes(u) + 2
+			if u.sent != sent || size > capacity || containsSubject(out, u.subject) {
 				continue
 			}
 			capacity -= size
-			if n.sent++; n.sent == 1 { // package fleet sees what memberlist holds as it goes out
-				s.setShown(i, n.subject, n.status == SWIMSuspect)
-				if n.status == SWIMSuspect && n.from == i {
-					s.add(s.now, swimAskSuspect, i, n.subject, 0)
-				}
+			if u.sent++; u.sent == 1 {
+				s.firstTransmission(i, u)
 			}
-			out = append(out, *n)
-		}
-	}
-	remaining := m.broadcasts[:0]
-	for _, n := range m.broadcasts {
-		if n.sent < limit {
-			remaining = append(remaining, n)
+			out = append(out, *u)
 		}
 	}
-	m.broadcasts = remaining
+	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(u update) bool { return u.sent >= limit })
 	return out
 }
 
-func contains(all []update, subject int32) bool {
-	for i := range all {
-		if all[i].subject == subject {
-			return true
-		}
+// firstTransmission is when package gossip observes an update that memberlist has queued, and asks the
+// subject of a suspicion that this member raised.
+func (s *SWIM) firstTransmission(i int32, u *update) {
+	s.setShown(i, u.subject, u.status == SWIMSuspect)
+	if u.status == SWIMSuspect && u.from == i {
+		s.add(s.now, swimAskSuspect, i, u.subject, 0)
 	}
-	return false
 }
 
-// gossip sends what waits to three members that live, or died lately.
+func containsSubject(updates []update, subject int32) bool {
+	return slices.ContainsFunc(updates, func(u update) bool { return u.subject == subject })
+}
+
+// gossip sends queued updates to members that are not dead, or have not been for long.
 func (s *SWIM) gossip(i int32) {
 	m := &s.nodes[i]
 	if len(m.broadcasts) == 0 {
@@ -98,10 +93,10 @@
 	}
 	nowMS := int32(s.now / 1e6)
 	lately := int32(s.opts.GossipToDead.Milliseconds())
-	to := append([]int32(nil), s.randomMembers(i, swimGossipNodes, func(c memberView) bool {
+	to := slices.Clone(s.randomMembers(i, swimGossipNodes, func(c memberView) bool {
 		return c.status == SWIMAlive || c.status == SWIMSuspect || c.status == SWIMDead &&
 			nowMS-c.changedAt <= lately
-	})...)
+	}))
 	for _, j := range to {
 		g := s.takeBroadcasts(i, swimPacketBytes-2-2-s.opts.LabelBytes)
 		if len(g) == 0 {
@@ -111,13 +106,13 @@
 	}
 }
 
-// send sends a message with gossip behind it.
+// send sends a message with queued updates piggybacked.
 func (s *SWIM) send(p packet) {
 	p.gossip = s.takeBroadcasts(p.from, swimPacketBytes-2-2-s.opts.LabelBytes-s.messageBytes(p.kind))
 	s.transmit(p)
 }
 
-// transmit puts a datagram on its way, or loses it.
+// transmit sends a datagram, which a fault may lose.
 func (s *SWIM) transmit(p packet) {
 	size := 2 + s.opts.LabelBytes + 5 + s.messageBytes(p.kind)
 	parts := len(p.gossip)
@@ -147,12 +142,13 @@
 	s.add(s.now+s.latency(p.from, p.to), swimArrive, p.to, at, 0)
 }
 
+// release frees a datagram's position in the pool.
 func (s *SWIM) release(at int32) {
 	s.pool[at].gossip = nil
 	s.free = append(s.free, at)
 }
 
-// latency draws how long a datagram takes.
+// latency draws the one-way latency of a datagram.
 func (s *SWIM) latency(from, to int32) int64 {
 	d := int64(s.opts.Latency) + s.delay[from] + s.delay[to]
 	if s.opts.Jitter > 0 {
@@ -161,23 +157,23 @@
 	return d
 }
 
-// reaches tells whether what one member sends gets to another's process or its socket.
+// reaches reports whether what one member sends arrives at another that is not down.
 func (s *SWIM) reaches(from, to int32) bool {
 	return s.side[from] == s.side[to] && !s.down[to] && !s.blocked[[2]int32{from, to}]
 }
 
-// exchangeStates exchanges whole states with another member, over a stream.
+// exchangeStates exchanges full states with another member, over a stream (push/pull).
 func (s *SWIM) exchangeStates(i, j int32) {
 	s.Count.Streams++
 	if !s.reaches(i, j) || !s.reaches(j, i) {
 		return
 	}
 	s.Count.Bytes += int64(2 + s.opts.LabelBytes + 40 + s.stateBytes()*len(s.nodes[i].order))
-	s.add(s.now+3*s.latency(i, j), swimPush, j, i, 0) // connect, then the state
+	s.add(s.now+3*s.latency(i, j), swimPush, j, i, 0) // a handshake, then the state
 }
 
-// askSuspect exchanges states with a suspect, twice, as package fleet does: by the first it hears of the
-// suspicion, by the second its refutation is heard.
+// askSuspect exchanges states with a suspect, twice, as package gossip does: the first exchange informs it of
+// the suspicion, the second returns its refutation.
 func (s *SWIM) askSuspect(i, j int32, attempt uint64) {
 	if s.nodes[i].views[j].status != SWIMSuspect {
 		return
@@ -188,7 +184,7 @@
 	}
 }
 
-// push is the other member's part of an exchange: it answers with its state and takes the caller's.
+// push is the other member's part of an exchange: it merges the caller's state and answers with its own.
 func (s *SWIM) push(j, i int32) {
 	if !s.nodes[i].up {
 		return
@@ -198,7 +194,7 @@
 	s.add(s.now+s.latency(j, i), swimPull, i, j, 0)
 }
 
-// merge has member i take the whole state of j. The dead of another are only suspected.
+// merge merges the full state of j into that of member i. A member that is dead there is only suspected here.
 func (s *SWIM) merge(i, j int32) {
 	m, o := &s.nodes[i], &s.nodes[j]
 	for _, k := range append([]int32(nil), o.order...) {
@@ -213,8 +209,8 @@
 	}
 }
 
-// rejoin tries one dead member, and then a seed that is dead, as package fleet does. It
-// returns how long streams over cut links keep it from going on.
+// rejoin attempts to join a dead member, and then a dead seed, as package gossip does. It returns for how
+// long streams over a partition stall it, in ns.
 func (s *SWIM) rejoin(i int32) int64 {
 	m := &s.nodes[i]
 	if m.byStatus[SWIMDead] == 0 {
@@ -243,7 +239,7 @@
 	return stalled
 }
 
-// deadSeeds are the seeds of a member that it holds dead.
+// deadSeeds are the seeds that are dead in the view of a member.
 func (s *SWIM) deadSeeds(i int32) (all []int32) {
 	for j := range int32(max(1, s.opts.Seeds)) {
 		if j != i && s.nodes[i].views[j].status == SWIMDead {
--- a/internal/simulation/proxysim/swimrun.go
+++ b/internal/simulation/proxysim/swimrun.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Run plays until the virtual time has moved on by d, or until stop says so after an event.
+// Run plays for a virtual time, or until stop, which may be nil, returns true after an event. It returns how
+// long it played.
 func (s *SWIM) Run(d time.Duration, stop func() bool) time.Duration {
 	start := s.now
 	end := start + int64(d)
@@ -17,31 +18,32 @@
 	return d
 }
 
-// handle does one event. Whatever comes to a paused member waits.
+// isTicker reports whether a kind of event repeats itself; a restart ends the tickers of the earlier process.
+func isTicker(kind uint8) bool {
+	return kind == swimProbe || kind == swimGossip || kind == swimRejoin || kind == swimSync
+}
+
+// handle handles an event unless its member is down, has restarted since, or is paused, which delays it.
 func (s *SWIM) handle(e event) {
 	m := &s.nodes[e.a]
-	if !m.up {
+	switch {
+	case !m.up:
 		if e.kind == swimArrive {
 			s.release(e.b)
 		}
-		return
-	}
-	if ticker := e.kind == swimProbe || e.kind == swimGossip || e.kind == swimRejoin ||
-		e.kind == swimSync; ticker && e.c != m.process {
-		return
-	}
-	if m.paused {
+	case isTicker(e.kind) && e.c != m.process:
+	case m.paused:
 		m.waiting = append(m.waiting, e)
-		return
+	default:
+		s.dispatch(m, e)
 	}
+}
+
+// dispatch handles an event of a running member.
+func (s *SWIM) dispatch(m *swimNode, e event) {
 	switch e.kind {
 	case swimProbe:
-		s.add(s.now+int64(s.opts.Probe), swimProbe, e.a, 0, e.c)
-		if m.probing >= 0 {
-			m.missedTick = true
-		} else {
-			s.beginProbe(e.a)
-		}
+		s.probeTick(m, e)
 	case swimGossip:
 		s.add(s.now+int64(s.opts.Gossip), swimGossip, e.a, 0, e.c)
 		s.gossip(e.a)
@@ -50,34 +52,23 @@
 		s.arrive(e.a, &p)
 		s.release(e.b)
 	case swimProbeTimeout:
-		if m.probing >= 0 && m.probeSeq == e.c && !m.acked {
+		if m.awaits(e.c) && !m.acked {
 			s.probeIndirectly(e.a)
 		}
 	case swimProbeEnd:
-		if m.probing >= 0 && m.probeSeq == e.c {
+		if m.awaits(e.c) {
 			s.endProbe(e.a)
 		}
 	case swimNack:
-		if r, ok := m.relayed[e.c]; ok {
-			delete(m.relayed, e.c)
-			s.send(packet{kind: msgNack, from: e.a, to: r.asker, seq: r.seq})
-		}
+		s.relayTimeout(m, e)
 	case swimSuspicion:
 		if t := m.suspects[e.b]; t != nil && t.generation == e.c {
 			s.dead(e.a, update{subject: e.b, from: e.a, inc: m.views[e.b].inc, status: SWIMDead})
 		}
 	case swimRejoin:
-		if e.b != m.rejoinSeq {
-			return // a heal brought it forward
-		}
-		m.stalledUntil = s.now + s.rejoin(e.a)
-		s.add(m.stalledUntil+s.jittered(s.opts.RejoinInterval), swimRejoin, e.a, e.b, e.c)
+		s.rejoinTick(m, e)
 	case swimSync:
-		s.add(s.now+s.jittered(s.syncInterval(m)), swimSync, e.a, 0, e.c)
-		if j := s.randomMember(e.a, func(c memberView) bool { return c.status == SWIMAlive }); j >= 0 {
-			s.Count.Syncs++
-			s.exchangeStates(e.a, j)
-		}
+		s.syncTick(m, e)
 	case swimAskSuspect:
 		s.askSuspect(e.a, e.b, e.c)
 	case swimSuspicionLasts:
@@ -91,3 +82,41 @@
 		s.merge(e.a, e.b)
 	}
 }
+
+// awaits reports whether a probe of that sequence number is under way.
+func (m *swimNode) awaits(seq uint64) bool { return m.probing >= 0 && m.probeSeq == seq }
+
+// probeTick begins a probe, or remembers that one is due.
+func (s *SWIM) probeTick(m *swimNode, e event) {
+	s.add(s.now+int64(s.opts.Probe), swimProbe, e.a, 0, e.c)
+	if m.probing >= 0 {
+		m.missedTick = true
+	} else {
+		s.beginProbe(e.a)
+	}
+}
+
+// relayTimeout tells the member that asked for an indirect probe that it is unanswered.
+func (s *SWIM) relayTimeout(m *swimNode, e event) {
+	if r, ok := m.relayed[e.c]; ok {
+		delete(m.relayed, e.c)
+		s.send(packet{kind: msgNack, from: e.a, to: r.asker, seq: r.seq})
+	}
+}
+
+// rejoinTick rejoins the dead, unless a heal has replaced the ticker.
+func (s *SWIM) rejoinTick(m *swimNode, e event) {
+	if e.b == m.rejoinSeq {
+		m.stalledUntil = s.now + s.rejoin(e.a)
+		s.add(m.stalledUntil+s.jittered(s.opts.RejoinInterval), swimRejoin, e.a, e.b, e.c)
+	}
+}
+
+// syncTick exchanges states with a member that is alive.
+func (s *SWIM) syncTick(m *swimNode, e event) {
+	s.add(s.now+s.jittered(s.syncInterval(m)), swimSync, e.a, 0, e.c)
+	if j := s.randomMember(e.a, func(c memberView) bool { return c.status == SWIMAlive }); j >= 0 {
+		s.Count.Syncs++
+		s.exchangeStates(e.a, j)
+	}
+}
--- a/internal/simulation/proxysim/swimview.go
+++ b/internal/simulation/proxysim/swimview.go
@@ -2,35 +2,40 @@
 
 import (
 	"math"
+	"slices"
 )
 
-// setStatus puts what member i holds of j, and keeps the count of pairs that are held wrongly.
+// changeView changes the view that member i has of j, and maintains the number of wrong views.
+func (s *SWIM) changeView(i, j int32, change func(*memberView)) {
+	before := s.isWrong(i, j)
+	change(&s.nodes[i].views[j])
+	switch after := s.isWrong(i, j); {
+	case after && !before:
+		s.wrongViews++
+	case before && !after:
+		s.wrongViews--
+	}
+}
+
+// setStatus sets the status of j in the view of member i.
 func (s *SWIM) setStatus(i, j int32, status SWIMStatus, inc uint32) {
-	c := &s.nodes[i].views[j]
-	if c.status == SWIMUnknown {
-		m := &s.nodes[i]
+	if m := &s.nodes[i]; m.views[j].status == SWIMUnknown {
 		m.order = append(m.order, j)
 		at := s.rng.IntN(len(m.order))
 		m.order[at], m.order[len(m.order)-1] = m.order[len(m.order)-1], m.order[at]
 	}
-	before := s.isWrong(i, j)
-	if c.status != status {
-		s.nodes[i].byStatus[c.status]--
-		s.nodes[i].byStatus[status]++
-		c.status, c.changedAt = status, int32(s.now/1e6)
-		c.shownSuspect = c.shownSuspect && status != SWIMDead
-	}
-	c.inc = inc
-	if after := s.isWrong(i, j); before != after {
-		if after {
-			s.wrongViews++
-		} else {
-			s.wrongViews--
+	s.changeView(i, j, func(c *memberView) {
+		if c.status != status {
+			s.nodes[i].byStatus[c.status]--
+			s.nodes[i].byStatus[status]++
+			c.status, c.changedAt = status, int32(s.now/1e6)
+			c.shownSuspect = c.shownSuspect && status != SWIMDead
 		}
-	}
+		c.inc = inc
+	})
 }
 
-// isWrong tells whether member i, which runs, holds j otherwise than it is.
+// isWrong reports whether member i runs and sees j otherwise than it is.
 func (s *SWIM) isWrong(i, j int32) bool {
 	if s.down[i] || s.nodes[i].paused {
 		return false
@@ -42,20 +47,12 @@
 	return c.status != SWIMAlive && c.status != SWIMSuspect || c.shownSuspect
 }
 
-// setShown notes whether member i's view says that j is suspect.
+// setShown sets whether member i shows j as suspect.
 func (s *SWIM) setShown(i, j int32, suspect bool) {
-	c := &s.nodes[i].views[j]
-	before := s.isWrong(i, j)
-	c.shownSuspect = suspect && c.status == SWIMSuspect
-	switch after := s.isWrong(i, j); {
-	case after && !before:
-		s.wrongViews++
-	case before && !after:
-		s.wrongViews--
-	}
+	s.changeView(i, j, func(c *memberView) { c.shownSuspect = suspect && c.status == SWIMSuspect })
 }
 
-// recount counts the pairs held wrongly anew, after something was done to members.
+// recount counts the wrong views again, after members were killed, paused and the like.
 func (s *SWIM) recount() {
 	s.wrongViews = 0
 	for i := range s.nodes {
@@ -67,13 +64,13 @@
 	}
 }
 
-// Converged tells whether every running member's view says that exactly the running members are alive.
+// Converged reports whether every running member sees exactly the running members as alive.
 func (s *SWIM) Converged() bool { return s.wrongViews == 0 }
 
-// Status is what member i holds of j.
+// Status is the status of j in the view of member i.
 func (s *SWIM) Status(i, j int) SWIMStatus { return s.nodes[i].views[j].status }
 
-// refute answers a suspicion or a death of this member itself.
+// refute has a member answer its own suspicion or death of an incarnation by a higher incarnation.
 func (s *SWIM) refute(i int32, accused uint32) {
 	m := &s.nodes[i]
 	m.inc = max(m.inc, accused) + 1
@@ -83,6 +80,7 @@
 	s.enqueue(i, update{subject: i, from: i, inc: m.inc, status: SWIMAlive})
 }
 
+// alive applies an update that says that a member is alive.
 func (s *SWIM) alive(i int32, n update) {
 	m := &s.nodes[i]
 	if n.subject == i {
@@ -100,6 +98,7 @@
 	s.enqueue(i, n)
 }
 
+// suspect applies an update that a member is suspect: it begins a suspicion or confirms one.
 func (s *SWIM) suspect(i int32, n update) {
 	m := &s.nodes[i]
 	c := m.views[n.subject]
@@ -142,16 +141,14 @@
 	s.add(s.now+int64(fraction*float64(minWait)), swimSuspicionLasts, i, n.subject, uint64(t.start))
 }
 
-// confirm takes a further member's suspicion, which shortens the wait (Lifeguard).
+// confirm adds a further member's suspicion, which shortens the suspicion (Lifeguard).
 func (s *SWIM) confirm(i int32, n update, t *suspicion) {
 	got := len(t.confirmedBy) - 1
 	if got >= t.confirmationsWanted {
 		return
 	}
-	for _, by := range t.confirmedBy {
-		if by == n.from {
-			return
-		}
+	if slices.Contains(t.confirmedBy, n.from) {
+		return
 	}
 	t.confirmedBy = append(t.confirmedBy, n.from)
 	got++
@@ -164,6 +161,7 @@
 	s.enqueue(i, n)
 }
 
+// dead applies an update that a member is dead.
 func (s *SWIM) dead(i int32, n update) {
 	m := &s.nodes[i]
 	c := m.views[n.subject]
--- a/internal/simulation/proxysim/tally.go
+++ b/internal/simulation/proxysim/tally.go
@@ -86,13 +86,13 @@
 func (t *tally) countAnswer(s *Sim, d *demand, how answer) {
 	t.trackInSystem(s, -1)
 	took := s.now - d.arrivedAt
-	aim := int64(s.scenario.Classes[d.class].LatencyTarget)
+	target := int64(s.scenario.Classes[d.class].LatencyTarget)
 	switch how {
 	case served:
 		t.served++
 		t.responseSum += float64(took)
 		_ = t.hist.RecordValue(max(took/1000, 1)) // a time beyond the histogram's hour is left out
-		if aim == 0 || took <= aim {
+		if target == 0 || took <= target {
 			t.inTime++
 			t.value += d.value
 			t.class[d.class] += d.value
@@ -108,7 +108,7 @@
 	default:
 		t.failed++
 	}
-	if how != served && aim > 0 && took > aim {
+	if how != served && target > 0 && took > target {
 		t.lateValue += d.value
 	}
 }
