--- a/internal/simulation/agentsim/absence.go
+++ b/internal/simulation/agentsim/absence.go
@@ -17,13 +17,13 @@
 type Absences struct {
 	Tolerated time.Duration // shorter absences are passed over
 
-	fleet *Fleet
-	about func(*Machine, *Server) bool
-	stop  chan struct{}
-	ended chan struct{}
-	open  map[absence]time.Duration // since when
-	lines []string
-	total time.Duration // over all pairs of a machine and a server
+	fleet    *Fleet
+	relevant func(*Machine, *Server) bool
+	stop     chan struct{}
+	ended    chan struct{}
+	open     map[absence]time.Duration // since when
+	lines    []string
+	total    time.Duration // over all pairs of a machine and a server
 }
 
 // absence is a machine that does not know a server.
@@ -34,7 +34,7 @@
 
 // WatchAbsences begins to look at the tables of the machines that run, for some machines and servers.
 func (f *Fleet) WatchAbsences(about func(*Machine, *Server) bool) *Absences {
-	a := &Absences{fleet: f, about: about, stop: make(chan struct{}), ended: make(chan struct{}),
+	a := &Absences{fleet: f, relevant: about, stop: make(chan struct{}), ended: make(chan struct{}),
 		open: map[absence]time.Duration{}}
 	go a.run()
 	return a
@@ -58,31 +58,31 @@
 		case <-a.stop:
 			return
 		case <-time.After(absenceInterval):
-			a.look()
+			a.check()
 		}
 	}
 }
 
-func (a *Absences) look() {
+func (a *Absences) check() {
 	for _, m := range a.fleet.Running() {
 		for _, s := range a.fleet.allServers() {
-			a.note(absence{m.Name, s.ID}, a.lacks(m, s))
+			a.record(absence{m.Name, s.ID}, a.missing(m, s))
 		}
 	}
 }
 
-func (a *Absences) lacks(m *Machine, s *Server) bool {
+func (a *Absences) missing(m *Machine, s *Server) bool {
 	p := m.process.Load()
-	return p != nil && a.about(m, s) && s.Calls() && s.known(newServerTime) &&
+	return p != nil && a.relevant(m, s) && s.Serving() && s.acknowledgedFor(newServerTime) &&
 		p.node.Servers().ByID(s.ID) == nil && a.fleet.Network.Reaches(m.IP, s.IP)
 }
 
-func (a *Absences) note(each absence, lacks bool) {
+func (a *Absences) record(each absence, missing bool) {
 	_, open := a.open[each]
 	switch {
-	case lacks && !open:
+	case missing && !open:
 		a.open[each] = a.fleet.Now()
-	case !lacks && open:
+	case !missing && open:
 		a.end(each)
 	}
 }
--- a/internal/simulation/agentsim/basic_test.go
+++ b/internal/simulation/agentsim/basic_test.go
@@ -16,11 +16,11 @@
 		history := &History{}
 		operator := f.AddOperator(history)
 		qt.Assert(t, operator.PutUntil(f.Machines, Change{0, 1, 0}, 4*time.Second, 0), qt.Equals, 200)
-		f.Await("all know the configuration", time.Second, f.Whole)
+		f.Await("all know the configuration", time.Second, f.Converged)
 		since := f.Now()
 		time.Sleep(time.Minute)
 		f.CheckNoneLost(since)
-		qt.Assert(t, f.Whole(), qt.Equals, "")
+		qt.Assert(t, f.Converged(), qt.Equals, "")
 		qt.Assert(t, history.Check(), qt.HasLen, 0)
 	})
 }
--- a/internal/simulation/agentsim/cut_test.go
+++ b/internal/simulation/agentsim/cut_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	cutTime = 20 * time.Second
+	partitionTime = 20 * time.Second
 	// agreeTime is within what time of the end of a cut all machines agree again.
 	agreeTime = 5 * time.Second
-	// changePause is between two changes of the operator on the side of the majority.
-	changePause = 400 * time.Millisecond
+	// changeInterval is between two changes of the operator on the side of the majority.
+	changeInterval = 400 * time.Millisecond
 )
 
-// cutCase is a way to cut a machine that keeps the configuration off from others.
-type cutCase struct {
+// partitionCase is a way to cut a machine that keeps the configuration off from others.
+type partitionCase struct {
 	name  string
 	fault simnet.Fault
 	out   bool // what the machine sends is lost
@@ -31,7 +31,7 @@
 	// far are the machines that it is cut off from.
 	far func(f *Fleet, member *Machine) []*Machine
 	// company says that followers, an operator and servers are cut off together with the machine.
-	company bool
+	withOthers bool
 }
 
 func otherMembers(f *Fleet, member *Machine) []*Machine {
@@ -40,22 +40,22 @@
 
 func otherMachines(f *Fleet, member *Machine) []*Machine { return f.Except(member) }
 
-var cutCases = []cutCase{
-	{name: "from members", out: true, in: true, fault: simnet.Silent, far: otherMembers},
-	{name: "from machines", out: true, in: true, fault: simnet.Silent, far: otherMachines},
+var partitionCases = []partitionCase{
+	{name: "from members", out: true, in: true, fault: simnet.Blackhole, far: otherMembers},
+	{name: "from machines", out: true, in: true, fault: simnet.Blackhole, far: otherMachines},
 	{name: "refused", out: true, in: true, fault: simnet.Refuse, far: otherMachines},
 	{name: "reset", out: true, in: true, fault: simnet.Reset, far: otherMachines},
-	{name: "outward", out: true, fault: simnet.Silent, far: otherMachines},
-	{name: "inward", in: true, fault: simnet.Silent, far: otherMachines},
-	{name: "outward to members", out: true, fault: simnet.Silent, far: otherMembers},
-	{name: "inward from members", in: true, fault: simnet.Silent, far: otherMembers},
-	{name: "with company", out: true, in: true, fault: simnet.Silent, far: otherMachines, company: true},
+	{name: "outward", out: true, fault: simnet.Blackhole, far: otherMachines},
+	{name: "inward", in: true, fault: simnet.Blackhole, far: otherMachines},
+	{name: "outward to members", out: true, fault: simnet.Blackhole, far: otherMembers},
+	{name: "inward from members", in: true, fault: simnet.Blackhole, far: otherMembers},
+	{name: "with company", out: true, in: true, fault: simnet.Blackhole, far: otherMachines, withOthers: true},
 }
 
-// TestMemberCutOff cuts off each machine that keeps the configuration in turn; one of them is the head of the
-// chain, one its tail.
-func TestMemberCutOff(t *testing.T) {
-	for _, test := range cutCases {
+// TestMemberPartitioned cuts off each machine that keeps the configuration in turn; one of them is the head
+// of the chain, one its tail.
+func TestMemberPartitioned(t *testing.T) {
+	for _, test := range partitionCases {
 		for member := range 3 {
 			t.Run(fmt.Sprintf("%s/%d", test.name, member), func(t *testing.T) {
 				t.Parallel()
@@ -65,48 +65,48 @@
 	}
 }
 
-// cutTrial is a cut under way.
-type cutTrial struct {
-	f    *Fleet
-	cut  *Machine
-	near []*Machine // the machine that is cut off, and those with it
+// partitionTrial is a cut under way.
+type partitionTrial struct {
+	f        *Fleet
+	isolated *Machine
+	near     []*Machine // the machine that is cut off, and those with it
 	// nearServers are cut off with them.
 	nearServers []string
 	far         []*Machine // all others
 	history     History
 	farSide     *Operator
 	nearSide    *Operator
-	doing       sync.WaitGroup
+	calls       sync.WaitGroup
 
 	mu      sync.Mutex
 	current Change // the newest that was sent
 }
 
-func (test *cutCase) run(t *testing.T, number int) {
+func (test *partitionCase) run(t *testing.T, number int) {
 	f := New(t, Options{Disks: 3, Others: 7, Servers: 12, Seed: int64(number)})
-	trial := &cutTrial{f: f, cut: f.Machines[number]}
-	trial.near = []*Machine{trial.cut}
+	trial := &partitionTrial{f: f, isolated: f.Machines[number]}
+	trial.near = []*Machine{trial.isolated}
 	trial.farSide, trial.nearSide = f.AddOperator(&trial.history), f.AddOperator(&trial.history)
 	trial.current = Change{0, 1, 0}
 	qt.Assert(t, trial.farSide.PutUntil(f.Machines, trial.current, 4*time.Second, 0), qt.Equals, 200)
 	time.Sleep(time.Second)
-	test.cut(trial)
+	test.begin(trial)
 	since := f.Now()
 	absences := f.WatchAbsences(Everywhere)
 	farAbsences := f.WatchAbsences(trial.bothFar)
-	for count := 0; f.Now()-since < cutTime; count++ {
+	for count := 0; f.Now()-since < partitionTime; count++ {
 		trial.step(since)
 		if count%5 == 4 && count/5 < len(f.Servers)/3 {
 			trial.drain(f.Servers[1+3*(count/5)])
 		}
 	}
-	trial.doing.Wait()
-	if test.company { // servers that come back have to be heard first
+	trial.calls.Wait()
+	if test.withOthers { // servers that come back have to be heard first
 		trial.checkAbsences(absences)
 	}
 	f.Heal()
-	f.Await("all agree after the cut", agreeTime, f.Whole)
-	if test.company {
+	f.Await("all agree after the cut", agreeTime, f.Converged)
+	if test.withOthers {
 		absences = f.WatchAbsences(Everywhere)
 	}
 	for _, m := range f.Machines {
@@ -118,15 +118,15 @@
 	f.CheckNoneLost(since)
 	trial.checkAbsences(absences)
 	trial.checkAbsences(farAbsences)
-	qt.Check(t, f.Whole(), qt.Equals, "")
+	qt.Check(t, f.Converged(), qt.Equals, "")
 	qt.Check(t, strings.Join(trial.history.Check(), "\n"), qt.Equals, "")
 }
 
 // cut begins the cut.
-func (test *cutCase) cut(trial *cutTrial) {
+func (test *partitionCase) begin(trial *partitionTrial) {
 	f := trial.f
-	near, far := IPs(trial.cut), IPs(test.far(f, trial.cut)...)
-	if test.company {
+	near, far := IPs(trial.isolated), IPs(test.far(f, trial.isolated)...)
+	if test.withOthers {
 		trial.near = append(trial.near, f.WithDisk(false)[:2]...)
 		near = append(IPs(trial.near...), trial.nearSide.IP)
 		far = append(IPs(f.Except(trial.near...)...), trial.farSide.IP)
@@ -140,7 +140,7 @@
 		}
 	}
 	trial.far = f.Except(trial.near...)
-	f.Note("cut %v, %v from %v", test.name, near, far)
+	f.Logf("cut %v, %v from %v", test.name, near, far)
 	if test.out {
 		f.Network.SetFault(near, far, test.fault)
 	}
@@ -151,11 +151,11 @@
 
 // step makes a change on the side of the majority while the operator on the other side sends the same change
 // and the one before, and reads; now and then a server drains.
-func (trial *cutTrial) step(since time.Duration) {
+func (trial *partitionTrial) step(since time.Duration) {
 	f := trial.f
 	earlier := trial.current
 	next := Change{earlier.Version, earlier.Version + 1, 0}
-	trial.doing.Go(func() {
+	trial.calls.Go(func() {
 		near := trial.nearSide.shuffled(trial.near)[0]
 		trial.nearSide.Get(near)
 		trial.nearSide.Put(near, earlier)
@@ -169,12 +169,12 @@
 	}
 	trial.current = next
 	trial.farSide.Get(trial.farSide.shuffled(trial.far)[0])
-	time.Sleep(changePause)
+	time.Sleep(changeInterval)
 }
 
 // drain has a server leave that calls the far side: once that is acknowledged, all machines in touch keep off
 // it in time.
-func (trial *cutTrial) drain(s *Server) {
+func (trial *partitionTrial) drain(s *Server) {
 	f := trial.f
 	if !f.Network.Reaches(s.IP, trial.far[0].IP) {
 		return
@@ -193,12 +193,12 @@
 }
 
 // checkAbsences ends a watch: no machine may have lacked a server that called and that it reached.
-func (trial *cutTrial) checkAbsences(absences *Absences) {
+func (trial *partitionTrial) checkAbsences(absences *Absences) {
 	missing, total := absences.Stop()
 	qt.Check(trial.f.TB, missing, qt.Equals, "", qt.Commentf("%v in all", total))
 }
 
 // bothFar tells whether neither a machine nor a server is cut off from most.
-func (trial *cutTrial) bothFar(m *Machine, s *Server) bool {
+func (trial *partitionTrial) bothFar(m *Machine, s *Server) bool {
 	return !slices.Contains(trial.near, m) && !slices.Contains(trial.nearServers, s.ID)
 }
--- a/internal/simulation/agentsim/eventlog.go
+++ b/internal/simulation/agentsim/eventlog.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// mostLines bounds the log; the oldest lines go first.
-const mostLines = 600
+// maxLines bounds the log; the oldest lines go first.
+const maxLines = 600
 
 // eventLog keeps the last lines that the processes and the test wrote, and who marked servers as lost.
 type eventLog struct {
@@ -17,11 +17,11 @@
 
 	mu    sync.Mutex
 	lines []string
-	lost  []lostMark // bounded by the length of a test
+	lost  []lostReport // bounded by the length of a test
 }
 
-// lostMark tells that a machine marked a server as lost that was calling and that it reached.
-type lostMark struct {
+// lostReport tells that a machine marked a server as lost that was calling and that it reached.
+type lostReport struct {
 	at                      time.Duration
 	machine, server, reason string
 }
@@ -30,7 +30,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines = append(l.lines, fmt.Sprintf("%9.3f %s", l.fleet.Now().Seconds(), line))
-	l.lines = l.lines[max(0, len(l.lines)-mostLines):]
+	l.lines = l.lines[max(0, len(l.lines)-maxLines):]
 }
 
 // String returns all lines.
@@ -41,17 +41,17 @@
 }
 
 // take takes a line of a machine's log.
-func (l *eventLog) take(machine *Machine, line []byte) {
+func (l *eventLog) addLogLine(machine *Machine, line []byte) {
 	l.add(machine.Name + ": " + strings.TrimSpace(string(line)))
 	var event struct{ ID, Message, Reason string }
 	if json.Unmarshal(line, &event) != nil || event.Message != "directory: marked lost" {
 		return
 	}
 	server := l.fleet.serverByID(event.ID)
-	if server != nil && server.Calls() && l.fleet.Network.Reaches(machine.IP, server.IP) {
+	if server != nil && server.Serving() && l.fleet.Network.Reaches(machine.IP, server.IP) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.lost = append(l.lost, lostMark{l.fleet.Now(), machine.Name, event.ID, event.Reason})
+		l.lost = append(l.lost, lostReport{l.fleet.Now(), machine.Name, event.ID, event.Reason})
 	}
 }
 
@@ -59,9 +59,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var lost []string
-	for _, mark := range l.lost {
-		if mark.at >= since {
-			lost = append(lost, fmt.Sprintf("%v: %s marked %s: %s", mark.at, mark.machine, mark.server, mark.reason))
+	for _, report := range l.lost {
+		if report.at >= since {
+			lost = append(lost, fmt.Sprintf("%v: %s marked %s: %s", report.at, report.machine, report.server,
+				report.reason))
 		}
 	}
 	return lost
@@ -76,7 +77,7 @@
 // Write implements io.Writer. What a killed process still writes is dropped.
 func (w *machineLog) Write(line []byte) (int, error) {
 	if !w.process.dead.Load() {
-		w.machine.fleet.log.take(w.machine, line)
+		w.machine.fleet.log.addLogLine(w.machine, line)
 	}
 	return len(line), nil
 }
--- a/internal/simulation/agentsim/fleet.go
+++ b/internal/simulation/agentsim/fleet.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// Beat is the time between two heartbeats of a server.
-	Beat = time.Second
+	// HeartbeatInterval is the time between two heartbeats of a server.
+	HeartbeatInterval = time.Second
 	// startSpread is within what time the machines start together.
 	startSpread = 300 * time.Millisecond
 	// seedCount is how many seeds a settings file names.
 	seedCount = 3
-	// lookInterval is how often an Await looks.
-	lookInterval = 20 * time.Millisecond
+	// pollInterval is how often an Await looks.
+	pollInterval = 20 * time.Millisecond
 	zoneCount    = 3
-	// endTime is within what time all goroutines of a process have ended after it.
-	endTime = 5 * time.Second
+	// goroutineGrace is within what time all goroutines of a process have ended after it.
+	goroutineGrace = 5 * time.Second
 )
 
 // Options describe a fleet.
@@ -54,11 +54,11 @@
 
 	mu sync.Mutex // guards Machines and Servers where others than the goroutine of the test read them
 
-	began  time.Time
-	folder string // of all disks
-	log    *eventLog
-	over   chan struct{}  // closed when servers and operators are to end
-	others sync.WaitGroup // servers
+	began   time.Time
+	folder  string // of all disks
+	log     *eventLog
+	done    chan struct{}  // closed when servers and operators are to end
+	parties sync.WaitGroup // servers
 	// processes are those of machines, ended ones included until their goroutines have ended.
 	processes sync.WaitGroup
 }
@@ -67,7 +67,7 @@
 // It is called in a bubble of synctest.Test with that bubble's t, whose cleanup ends the fleet.
 func New(tb testing.TB, options Options) *Fleet {
 	f := &Fleet{TB: tb, Options: options, Network: simnet.New(), Random: rand.New(rand.NewSource(options.Seed)),
-		began: time.Now(), over: make(chan struct{}), folder: tb.TempDir()}
+		began: time.Now(), done: make(chan struct{}), folder: tb.TempDir()}
 	f.log = &eventLog{fleet: f}
 	tb.Cleanup(f.Close)
 	for i := range options.Disks + options.Others {
@@ -77,17 +77,17 @@
 		f.AddServer(fmt.Sprintf("server-%02d", i))
 	}
 	f.StartTogether(f.Machines, true)
-	f.Await("the fleet is whole at first", 6*time.Second, f.Whole)
+	f.Await("the fleet is whole at first", 6*time.Second, f.Converged)
 	return f
 }
 
 // Close ends all parties, and shows the log where the test has failed.
 func (f *Fleet) Close() {
-	close(f.over)
-	f.others.Wait()
+	close(f.done)
+	f.parties.Wait()
 	f.kill(f.Machines...)
 	f.processes.Wait()
-	time.Sleep(endTime) // goroutines of the processes look at the clock before they end
+	time.Sleep(goroutineGrace) // goroutines of the processes look at the clock before they end
 	if f.TB.Failed() {
 		f.TB.Log(f.log.String())
 	}
@@ -110,8 +110,8 @@
 // Now returns the time since the fleet began.
 func (f *Fleet) Now() time.Duration { return time.Since(f.began) }
 
-// Note adds a line to the log.
-func (f *Fleet) Note(format string, values ...any) {
+// Logf adds a line to the log.
+func (f *Fleet) Logf(format string, values ...any) {
 	f.log.add("test: " + fmt.Sprintf(format, values...))
 }
 
@@ -129,7 +129,7 @@
 			f.TB.Errorf("at %v, %s: not within %v: %s", f.Now(), what, within, missing)
 			return time.Since(began)
 		}
-		time.Sleep(lookInterval)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -164,9 +164,9 @@
 	return slices.DeleteFunc(f.allMachines(), func(m *Machine) bool { return !m.Runs() })
 }
 
-// Whole returns "" where all running machines agree on the view, know the newest configuration that any of
-// them knows, and know all servers that call, and no others, as ready.
-func (f *Fleet) Whole() string { return f.Agree(f.Running()) }
+// Converged returns "" where all running machines agree on the view, know the newest configuration that any
+// of them knows, and know all servers that call, and no others, as ready.
+func (f *Fleet) Converged() string { return f.Agree(f.Running()) }
 
 // Agree is Whole for some machines.
 func (f *Fleet) Agree(machines []*Machine) string {
@@ -177,7 +177,7 @@
 	if epoch == 0 {
 		return "no machine knows a view"
 	}
-	wanted := f.callingServers()
+	wanted := f.servingIDs()
 	for _, m := range machines {
 		n := m.Node()
 		if n.Epoch() != epoch || n.ConfigVersion() != version {
@@ -210,15 +210,15 @@
 }
 
 // Cut cuts hosts off from others, both ways.
-func (f *Fleet) Cut(from, to []string, fault simnet.Fault) {
-	f.Note("cut %v from %v: %d", from, to, fault)
+func (f *Fleet) Partition(from, to []string, fault simnet.Fault) {
+	f.Logf("cut %v from %v: %d", from, to, fault)
 	f.Network.SetFault(from, to, fault)
 	f.Network.SetFault(to, from, fault)
 }
 
 // Heal ends all cuts.
 func (f *Fleet) Heal() {
-	f.Note("heal")
+	f.Logf("heal")
 	f.Network.Heal()
 }
 
--- a/internal/simulation/agentsim/history.go
+++ b/internal/simulation/agentsim/history.go
@@ -16,26 +16,26 @@
 }
 
 // span is when a call began and ended; ended is 0 while it runs.
-type span struct {
+type callRecord struct {
 	machine      string
 	began, ended time.Duration
 	status       int // 0 where no answer came
 }
 
 type putCall struct {
-	span
+	callRecord
 	change Change
 }
 
 type getCall struct {
-	span
-	version, mark int64
+	callRecord
+	version, variant int64
 }
 
 func (h *History) beginPut(now time.Duration, machine string, c Change) *putCall {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	call := &putCall{span{machine: machine, began: now}, c}
+	call := &putCall{callRecord{machine: machine, began: now}, c}
 	h.puts = append(h.puts, call)
 	return call
 }
@@ -49,15 +49,15 @@
 func (h *History) beginGet(now time.Duration, machine string) *getCall {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	call := &getCall{span: span{machine: machine, began: now}}
+	call := &getCall{callRecord: callRecord{machine: machine, began: now}}
 	h.gets = append(h.gets, call)
 	return call
 }
 
-func (h *History) endGet(call *getCall, now time.Duration, status int, version, mark int64) {
+func (h *History) endGet(call *getCall, now time.Duration, status int, version, variant int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	call.ended, call.status, call.version, call.mark = now, status, version, mark
+	call.ended, call.status, call.version, call.variant = now, status, version, variant
 }
 
 // Acknowledged returns the newest version that was acknowledged.
@@ -78,24 +78,24 @@
 func (h *History) Check() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	taken, breaks := h.taken()
-	breaks = append(breaks, h.checkReads(taken)...)
-	return append(breaks, h.checkRefusals(taken)...)
+	committed, violations := h.committed()
+	violations = append(violations, h.checkReads(committed)...)
+	return append(violations, h.checkRejections(committed)...)
 }
 
 // taken returns the changes that were in force at some time, by version: those acknowledged or read.
-func (h *History) taken() (map[int64]Change, []string) {
-	var breaks []string
-	taken := map[int64]Change{}
+func (h *History) committed() (map[int64]Change, []string) {
+	var violations []string
+	committed := map[int64]Change{}
 	sent := map[[2]int64]Change{}
 	note := func(c Change, how string) {
-		if known, ok := taken[c.Version]; ok && known != c {
-			breaks = append(breaks, fmt.Sprintf("%+v was %s, and %+v had been taken", c, how, known))
+		if known, ok := committed[c.Version]; ok && known != c {
+			violations = append(violations, fmt.Sprintf("%+v was %s, and %+v had been taken", c, how, known))
 		}
-		taken[c.Version] = c
+		committed[c.Version] = c
 	}
 	for _, call := range h.puts {
-		sent[[2]int64{call.change.Version, call.change.Mark}] = call.change
+		sent[[2]int64{call.change.Version, call.change.Variant}] = call.change
 		if call.status == 200 {
 			note(call.change, "acknowledged")
 		}
@@ -104,35 +104,37 @@
 		if call.status != 200 {
 			continue
 		}
-		c, ok := sent[[2]int64{call.version, call.mark}]
+		c, ok := sent[[2]int64{call.version, call.variant}]
 		if !ok {
-			breaks = append(breaks, fmt.Sprintf("%s read version %d, which nobody sent", call.machine, call.version))
+			violations = append(violations,
+				fmt.Sprintf("%s read version %d, which nobody sent", call.machine, call.version))
 			continue
 		}
 		note(c, "read at "+call.machine)
 	}
-	return taken, append(breaks, h.checkLine(taken)...)
+	return committed, append(violations, h.checkSuccession(committed)...)
 }
 
-// checkLine checks that no acknowledged change was passed over by a later one.
-func (h *History) checkLine(taken map[int64]Change) []string {
-	var breaks []string
+// checkSuccession checks that no acknowledged change was passed over by a later one.
+func (h *History) checkSuccession(committed map[int64]Change) []string {
+	var violations []string
 	var versions []int64
-	for version := range taken {
+	for version := range committed {
 		versions = append(versions, version)
 	}
 	slices.Sort(versions)
 	for i, version := range versions[:max(len(versions)-1, 0)] {
-		if next := taken[versions[i+1]]; next.Base < version {
-			breaks = append(breaks, fmt.Sprintf("%+v is lost: %+v does not build on it", taken[version], next))
+		if next := committed[versions[i+1]]; next.Base < version {
+			violations = append(violations,
+				fmt.Sprintf("%+v is lost: %+v does not build on it", committed[version], next))
 		}
 	}
-	return breaks
+	return violations
 }
 
 // checkReads checks that no read gave an older version than one acknowledged or read before it began.
 func (h *History) checkReads(map[int64]Change) []string {
-	var breaks []string
+	var violations []string
 	for _, call := range h.gets {
 		if call.status != 200 {
 			continue
@@ -149,39 +151,40 @@
 			}
 		}
 		if call.version < floor {
-			breaks = append(breaks, fmt.Sprintf("%v: %s read version %d, and %d was in force", call.began,
+			violations = append(violations, fmt.Sprintf("%v: %s read version %d, and %d was in force", call.began,
 				call.machine, call.version, floor))
 		}
 	}
-	return breaks
+	return violations
 }
 
-// checkRefusals checks that no change was refused that was taken, whenever that was, or that built on the
+// checkRejections checks that no change was refused that was taken, whenever that was, or that built on the
 // newest one that anybody may have sent by then.
-func (h *History) checkRefusals(taken map[int64]Change) []string {
-	var breaks []string
+func (h *History) checkRejections(committed map[int64]Change) []string {
+	var violations []string
 	for _, call := range h.puts {
 		if call.status != 412 {
 			continue
 		}
-		if taken[call.change.Version] == call.change {
-			breaks = append(breaks, fmt.Sprintf("%v: %s refused %+v, which was taken", call.began, call.machine,
-				call.change))
+		if committed[call.change.Version] == call.change {
+			violations = append(violations,
+				fmt.Sprintf("%v: %s refused %+v, which was taken", call.began, call.machine,
+					call.change))
 			continue
 		}
-		if !h.rivalled(call) {
-			breaks = append(breaks, fmt.Sprintf("%v: %s refused %+v, which built on the newest", call.began,
+		if !h.hasCompetitor(call) {
+			violations = append(violations, fmt.Sprintf("%v: %s refused %+v, which built on the newest", call.began,
 				call.machine, call.change))
 		}
 	}
-	return breaks
+	return violations
 }
 
 // rivalled tells whether another change above the refused one's base was sent before the refusal.
-func (h *History) rivalled(refused *putCall) bool {
+func (h *History) hasCompetitor(rejected *putCall) bool {
 	for _, other := range h.puts {
-		if other.change != refused.change && other.change.Version > refused.change.Base &&
-			other.began < refused.ended {
+		if other.change != rejected.change && other.change.Version > rejected.change.Base &&
+			other.began < rejected.ended {
 			return true
 		}
 	}
--- a/internal/simulation/agentsim/hunt_test.go
+++ b/internal/simulation/agentsim/hunt_test.go
@@ -21,8 +21,8 @@
 
 const (
 	huntRounds = 6
-	// huntPause is the most time between two troubles that count.
-	huntPause = 3 * time.Second
+	// maxHuntInterval is the most time between two troubles that count.
+	maxHuntInterval = 3 * time.Second
 )
 
 // hunt draws troubles at random: one machine that keeps the configuration at a time, as tolerated, together
@@ -50,7 +50,7 @@
 	h := &hunt{f: f, random: rand.New(rand.NewSource(seed))}
 	operator := f.AddOperator(&h.history)
 	h.change(operator, false)
-	troubles := []func(){h.killMember, h.cutMember, h.herd, h.turnOver, h.killOthers}
+	faults := []func(){h.killMember, h.partitionMember, h.restartAll, h.restartAllWithOtherSeeds, h.killOthers}
 	for range huntRounds {
 		stop := make(chan struct{})
 		stopped := make(chan struct{})
@@ -59,12 +59,12 @@
 			h.changeUntil(operator, stop)
 		}()
 		since := f.Now()
-		troubles[h.random.Intn(len(troubles))]()
+		faults[h.random.Intn(len(faults))]()
 		close(stop)
 		<-stopped
-		f.Await("all agree", agreeTime, f.Whole)
-		time.Sleep(Bounds().CatchUp + h.some(huntPause))
-		qt.Check(t, f.Whole(), qt.Equals, "", qt.Commentf("trouble at %v", since))
+		f.Await("all agree", agreeTime, f.Converged)
+		time.Sleep(Bounds().CatchUp + h.randomUpTo(maxHuntInterval))
+		qt.Check(t, f.Converged(), qt.Equals, "", qt.Commentf("trouble at %v", since))
 	}
 	h.change(operator, false)
 	for _, m := range f.Running() {
@@ -76,16 +76,16 @@
 }
 
 // some returns a time up to a bound.
-func (h *hunt) some(most time.Duration) time.Duration {
-	return time.Duration(h.random.Int63n(int64(most)))
+func (h *hunt) randomUpTo(bound time.Duration) time.Duration {
+	return time.Duration(h.random.Int63n(int64(bound)))
 }
 
 // change sends the next change until it is acknowledged, in time unless a loss of all is to be expected.
-func (h *hunt) change(operator *Operator, herd bool) {
+func (h *hunt) change(operator *Operator, allDown bool) {
 	began := h.f.Now()
 	h.version++
 	status := operator.PutUntil(h.f.Machines, Change{h.version - 1, h.version, 0}, 20*time.Second, 0.1)
-	if took := h.f.Now() - began; status != 200 || !herd && took > Bounds().Ack+Bounds().Ack/2 {
+	if took := h.f.Now() - began; status != 200 || !allDown && took > Bounds().Ack+Bounds().Ack/2 {
 		h.f.TB.Errorf("at %v a change got %d after %v", began, status, took)
 	}
 }
@@ -126,15 +126,16 @@
 		<-m.Terminate()
 	}
 	if h.random.Intn(2) == 0 {
-		h.f.Note("%s loses its disk", m.Name)
+		h.f.Logf("%s loses its disk", m.Name)
 		m.Wipe()
 	}
-	time.Sleep(300*time.Millisecond + h.some(10*time.Second))
+	time.Sleep(300*time.Millisecond + h.randomUpTo(10*time.Second))
 	m.Start(false)
 }
 
-// cutMember cuts a member off, with some others or alone, from all or from members, in one direction or both.
-func (h *hunt) cutMember() {
+// partitionMember cuts a member off, with some others or alone, from all or from members, in one direction or
+// both.
+func (h *hunt) partitionMember() {
 	near := []*Machine{h.member()}
 	far := otherMembers(h.f, near[0])
 	if h.random.Intn(2) == 0 {
@@ -143,20 +144,20 @@
 	}
 	fault := simnet.Fault(1 + h.random.Intn(3))
 	way := h.random.Intn(3)
-	h.f.Note("%v from %v, fault %d, way %d", IPs(near...), IPs(far...), fault, way)
+	h.f.Logf("%v from %v, fault %d, way %d", IPs(near...), IPs(far...), fault, way)
 	if way != 1 {
 		h.f.Network.SetFault(IPs(near...), IPs(far...), fault)
 	}
 	if way != 0 {
 		h.f.Network.SetFault(IPs(far...), IPs(near...), fault)
 	}
-	time.Sleep(300*time.Millisecond + h.some(15*time.Second))
+	time.Sleep(300*time.Millisecond + h.randomUpTo(15*time.Second))
 	h.f.Heal()
 }
 
 // herd ends all machines at once, at times with the loss of a disk.
-func (h *hunt) herd() {
-	time.Sleep(h.some(time.Second))
+func (h *hunt) restartAll() {
+	time.Sleep(h.randomUpTo(time.Second))
 	if h.random.Intn(2) == 0 {
 		h.f.PowerOffAll(h.f.Machines)
 	} else {
@@ -164,23 +165,23 @@
 	}
 	if h.random.Intn(2) == 0 {
 		m := h.member()
-		h.f.Note("%s loses its disk", m.Name)
+		h.f.Logf("%s loses its disk", m.Name)
 		m.Wipe()
 	}
-	time.Sleep(h.some(2 * time.Second))
+	time.Sleep(h.randomUpTo(2 * time.Second))
 	h.f.StartTogether(h.f.Machines, false)
 }
 
-// turnOver is a herd after the settings files have come to name other seeds.
-func (h *hunt) turnOver() {
+// restartAllWithOtherSeeds is a herd after the settings files have come to name other seeds.
+func (h *hunt) restartAllWithOtherSeeds() {
 	h.f.SetSeeds(otherSeeds(h.f)...)
-	h.herd()
+	h.restartAll()
 }
 
 // killOthers kills some machines without a disk.
 func (h *hunt) killOthers() {
 	killed := h.others()
 	h.f.PowerOffAll(killed)
-	time.Sleep(300*time.Millisecond + h.some(5*time.Second))
+	time.Sleep(300*time.Millisecond + h.randomUpTo(5*time.Second))
 	h.f.StartTogether(killed, false)
 }
--- a/internal/simulation/agentsim/machine.go
+++ b/internal/simulation/agentsim/machine.go
@@ -95,7 +95,8 @@
 	s := &agentsettings.Settings{
 		Name: m.Name, Role: "router", IP: m.IP, Zone: m.Zone, Region: "home", Control: m.Control(),
 		Ready: m.IP + ":" + strconv.Itoa(readyPort), InnerPorts: [2]int{innerPort, innerPort},
-		Seeds: m.Seeds, FirstStart: first, Counted: m.HasDisk, HeartbeatInterval: Beat, DiskBytes: 64 << 20,
+		Seeds: m.Seeds, FirstStart: first, Counted: m.HasDisk, HeartbeatInterval: HeartbeatInterval,
+		DiskBytes:        64 << 20,
 		TolerateMachines: 1, Bounds: Bounds(),
 	}
 	s.Bounds.Fenced = m.fleet.Options.Fenced
@@ -132,7 +133,7 @@
 		m.fleet.TB.Fatalf("%s: %v", m.Name, err)
 	}
 	m.process.Store(p)
-	m.fleet.Note("%s starts, seeds %v", m.Name, m.Seeds)
+	m.fleet.Logf("%s starts, seeds %v", m.Name, m.Seeds)
 	m.fleet.processes.Go(func() {
 		defer close(p.ended)
 		if err := p.node.Run(p.stop); err != nil && !p.dead.Load() {
@@ -189,7 +190,7 @@
 		if p == nil {
 			continue
 		}
-		f.Note("%s is killed", m.Name)
+		f.Logf("%s is killed", m.Name)
 		p.dead.Store(true)
 		p.network.Kill()
 		m.freezeDisk()
@@ -212,7 +213,7 @@
 
 // Terminate sends SIGTERM and returns a channel that closes when the process has ended.
 func (m *Machine) Terminate() <-chan struct{} {
-	m.fleet.Note("%s gets SIGTERM", m.Name)
+	m.fleet.Logf("%s gets SIGTERM", m.Name)
 	p := m.process.Load()
 	if !p.stopped.Swap(true) {
 		close(p.stop)
--- a/internal/simulation/agentsim/operator.go
+++ b/internal/simulation/agentsim/operator.go
@@ -17,14 +17,14 @@
 
 const (
 	serviceName = "model"
-	// firstTimeout is the timeout of the one route, to which a change's mark is added.
-	firstTimeout = 5000
+	// baseTimeout is the timeout of the one route, to which a change's mark is added.
+	baseTimeout = 5000
 )
 
 // Change is a change of the configuration. Two of one version differ by their marks.
 type Change struct {
 	Base, Version int64
-	Mark          int64
+	Variant       int64
 }
 
 // document returns the configuration after a change.
@@ -42,11 +42,11 @@
 // route returns the one route after a change.
 func (c Change) route() routerstandin.RouteDoc {
 	return routerstandin.RouteDoc{Name: "r", Host: "a.example", Prefix: "/", Class: "safe",
-		TimeoutMs: firstTimeout + c.Mark, TargetMs: 500, Service: serviceName, Tries: 2}
+		TimeoutMs: baseTimeout + c.Variant, TargetMs: 500, Service: serviceName, Tries: 2}
 }
 
 // isPatch tells whether a change is sent as a patch: every second one, so that both kinds meet on one base.
-func (c Change) isPatch() bool { return c.Base > 0 && (c.Version+c.Mark)%2 == 0 }
+func (c Change) isPatch() bool { return c.Base > 0 && (c.Version+c.Variant)%2 == 0 }
 
 // patchDocument is a patch as an operator sends it.
 type patchDocument struct {
@@ -79,13 +79,13 @@
 	return body
 }
 
-// markOf returns the mark of the change that a document is of.
-func markOf(body []byte) (version, mark int64, err error) {
+// variantOf returns the mark of the change that a document is of.
+func variantOf(body []byte) (version, mark int64, err error) {
 	var d routerstandin.Document
 	if err := json.Unmarshal(body, &d); err != nil {
 		return 0, 0, err
 	}
-	return d.Version, d.Routes[0].TimeoutMs - firstTimeout, nil
+	return d.Version, d.Routes[0].TimeoutMs - baseTimeout, nil
 }
 
 // Operator is a simulated operator. Its methods may be called by several goroutines.
@@ -116,7 +116,7 @@
 		status = answer.Status
 	}
 	o.history.endPut(call, o.fleet.Now(), status)
-	o.fleet.Note("operator %s: change %+v at %s: %d", o.IP, c, m.Name, status)
+	o.fleet.Logf("operator %s: change %+v at %s: %d", o.IP, c, m.Name, status)
 	return status
 }
 
@@ -153,11 +153,11 @@
 		o.history.endGet(call, o.fleet.Now(), status, 0, 0)
 		return 0, status
 	}
-	version, mark, err := markOf(answer.Body)
+	version, variant, err := variantOf(answer.Body)
 	if err != nil {
 		o.fleet.TB.Error(err)
 	}
-	o.history.endGet(call, o.fleet.Now(), 200, version, mark)
+	o.history.endGet(call, o.fleet.Now(), 200, version, variant)
 	return version, 200
 }
 
--- a/internal/simulation/agentsim/orders_test.go
+++ b/internal/simulation/agentsim/orders_test.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/simulation/simnet"
 )
 
-// orderTroubles are what befalls whoever holds the duty of giving stages; each lasts for some seconds.
-var orderTroubles = []struct {
+// orderFaults are what befalls whoever holds the duty of giving stages; each lasts for some seconds.
+var orderFaults = []struct {
 	name   string
 	strike func(f *Fleet, holder *Machine)
 }{
@@ -25,18 +25,21 @@
 		holder.Start(false)
 	}},
 	{"cut from members", func(f *Fleet, holder *Machine) {
-		f.cutFor(8*time.Second, holder, otherMembers(f, holder))
+		f.partitionFor(8*time.Second, holder, otherMembers(f, holder))
+	}},
+	{"cut from machines", func(f *Fleet,
+		holder *Machine) {
+		f.partitionFor(8*time.Second, holder, f.Except(holder))
 	}},
-	{"cut from machines", func(f *Fleet, holder *Machine) { f.cutFor(8*time.Second, holder, f.Except(holder)) }},
 	{"short cuts", func(f *Fleet, holder *Machine) {
 		for range 3 {
-			f.cutFor(1200*time.Millisecond, holder, otherMembers(f, holder))
+			f.partitionFor(1200*time.Millisecond, holder, otherMembers(f, holder))
 			time.Sleep(900 * time.Millisecond)
 		}
 	}},
 	{"herd", func(f *Fleet, _ *Machine) {
 		f.PowerOffAll(f.Machines)
-		time.Sleep(herdDown)
+		time.Sleep(downTime)
 		f.StartTogether(f.Machines, false)
 	}},
 }
@@ -46,31 +49,31 @@
 	if wipe {
 		m.Wipe()
 	}
-	time.Sleep(herdDown)
+	time.Sleep(downTime)
 	m.Start(false)
 }
 
-// cutFor cuts a machine off from others for a while. Servers hear of it all the time.
-func (f *Fleet) cutFor(long time.Duration, m *Machine, others []*Machine) {
-	f.Cut(IPs(m), IPs(others...), simnet.Silent)
-	time.Sleep(long)
+// partitionFor cuts a machine off from others for a while. Servers hear of it all the time.
+func (f *Fleet) partitionFor(duration time.Duration, m *Machine, others []*Machine) {
+	f.Partition(IPs(m), IPs(others...), simnet.Blackhole)
+	time.Sleep(duration)
 	f.Heal()
 }
 
-// TestOneHolderGivesStages strikes whoever holds the duty, time and again, while servers need orders: orders
-// to one server never come from two machines under one fence, never under a lower fence after a higher one,
-// and never from two machines within the lease.
-func TestOneHolderGivesStages(t *testing.T) {
-	for _, trouble := range orderTroubles {
+// TestOneLeaseHolderAssignsStages strikes whoever holds the duty, time and again, while servers need orders:
+// orders to one server never come from two machines under one fence, never under a lower fence after a higher
+// one, and never from two machines within the lease.
+func TestOneLeaseHolderAssignsStages(t *testing.T) {
+	for _, fault := range orderFaults {
 		for _, fenced := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s/fenced=%t", trouble.name, fenced), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/fenced=%t", fault.name, fenced), func(t *testing.T) {
 				t.Parallel()
 				options := Options{Servers: 9, Seed: 5, Stages: true, Fenced: fenced}
 				inFleet(t, options, func(t *testing.T, f *Fleet) {
 					stop := f.disturbStages()
 					for range 5 {
 						time.Sleep(5 * time.Second)
-						trouble.strike(f, f.holder())
+						fault.strike(f, f.leaseHolder())
 						time.Sleep(5 * time.Second)
 					}
 					close(stop)
@@ -86,15 +89,15 @@
 // that orders are needed all the time.
 func (f *Fleet) disturbStages() chan struct{} {
 	stop := make(chan struct{})
-	f.others.Go(func() {
+	f.parties.Go(func() {
 		for turn := 0; ; turn++ {
 			if s := f.Servers[turn%len(f.Servers)]; !s.Ordered(orderedTime) {
-				s.SetStage(reading)
+				s.SetStage(prefillStage)
 			}
 			select {
 			case <-stop:
 				return
-			case <-f.over:
+			case <-f.done:
 				return
 			case <-time.After(300 * time.Millisecond):
 			}
@@ -104,7 +107,7 @@
 }
 
 // holder returns the machine that gave the last order, the first one before there was any.
-func (f *Fleet) holder() *Machine {
+func (f *Fleet) leaseHolder() *Machine {
 	holder, last := f.Machines[0], time.Duration(0)
 	for _, s := range f.Servers {
 		orders := s.Orders()
@@ -132,40 +135,41 @@
 // checkOrders returns what contradicts that one machine at a time gives orders, a line each. The lease is
 // kept over all servers, though the rule is about each.
 func (f *Fleet) checkOrders() []string {
-	var breaks []string
+	var violations []string
 	var all []Order
 	for _, s := range f.Servers {
-		breaks = append(breaks, checkFences(s)...)
+		violations = append(violations, checkFences(s)...)
 		all = append(all, s.Orders()...)
 	}
 	slices.SortFunc(all, func(a, b Order) int { return cmp.Compare(a.At, b.At) })
 	for i, order := range all[min(1, len(all)):] {
 		if before := all[i]; order.From != before.From && order.At-before.At < Bounds().Lease {
-			breaks = append(breaks, fmt.Sprintf("%+v within the lease of %+v", order, before))
+			violations = append(violations, fmt.Sprintf("%+v within the lease of %+v", order, before))
 		}
 	}
-	return breaks
+	return violations
 }
 
 // checkFences checks the orders to one server.
 func checkFences(s *Server) []string {
-	var breaks []string
+	var violations []string
 	senders := map[uint64]string{}
 	highest := uint64(0)
 	for _, order := range s.Orders() {
 		if order.Expect != s.ID {
-			breaks = append(breaks, fmt.Sprintf("%s: %+v may reach another server at its address", s.ID, order))
+			violations = append(violations,
+				fmt.Sprintf("%s: %+v may reach another server at its address", s.ID, order))
 		}
 		if earlier, ok := senders[order.Fence]; ok && earlier != order.From {
-			breaks = append(breaks, fmt.Sprintf("%s: %+v under a fence of %s", s.ID, order, earlier))
+			violations = append(violations, fmt.Sprintf("%s: %+v under a fence of %s", s.ID, order, earlier))
 		}
 		if order.Fence < highest {
-			breaks = append(breaks, fmt.Sprintf("%s: %+v after fence %d", s.ID, order, highest))
+			violations = append(violations, fmt.Sprintf("%s: %+v after fence %d", s.ID, order, highest))
 		}
 		senders[order.Fence] = order.From
 		highest = max(highest, order.Fence)
 	}
-	return breaks
+	return violations
 }
 
 // TestFencesAfterTheLossOfAllDisks starts a fleet anew, with epochs that begin at 1, between servers that
@@ -174,14 +178,14 @@
 	inFleet(t, Options{Servers: 9, Seed: 6, Stages: true, Fenced: true}, func(t *testing.T, f *Fleet) {
 		stop := f.disturbStages()
 		for range 4 {
-			restart(f.holder(), false)
+			restart(f.leaseHolder(), false)
 			time.Sleep(6 * time.Second)
 		}
 		f.PowerOffAll(f.Machines)
 		for _, m := range f.WithDisk(true) {
 			m.Wipe()
 		}
-		time.Sleep(herdDown)
+		time.Sleep(downTime)
 		f.StartTogether(f.Machines, true)
 		operator := f.AddOperator(&History{operators: 1})
 		qt.Assert(t, operator.PutUntil(f.Machines, Change{0, 1, 0}, 10*time.Second, 0), qt.Equals, 200)
@@ -212,18 +216,18 @@
 
 // orderedTime is how long after an order a server may be out of service: it changes its stage, and tells so
 // with its next heartbeat.
-const orderedTime = stageSwitch + 2*Beat
+const orderedTime = stageSwitch + 2*HeartbeatInterval
 
-// TestOrdersNotSentBindNobody cuts the holder off from the other members while servers need orders. What it
+// TestUnsentOrdersHaveNoEffect cuts the holder off from the other members while servers need orders. What it
 // planned and could not send takes no server out of service, neither during the cut nor after it.
-func TestOrdersNotSentBindNobody(t *testing.T) {
+func TestUnsentOrdersHaveNoEffect(t *testing.T) {
 	inFleet(t, Options{Servers: 9, Seed: 7, Stages: true, Fenced: true}, func(t *testing.T, f *Fleet) {
 		time.Sleep(10 * time.Second)
-		holder := f.holder()
+		holder := f.leaseHolder()
 		absences := f.WatchAbsences(func(_ *Machine, s *Server) bool { return !s.Ordered(orderedTime) })
 		absences.Tolerated = time.Second
 		stop := f.disturbStages()
-		f.cutFor(25*time.Second, holder, otherMembers(f, holder))
+		f.partitionFor(25*time.Second, holder, otherMembers(f, holder))
 		close(stop)
 		time.Sleep(15 * time.Second)
 		missing, total := absences.Stop()
--- a/internal/simulation/agentsim/patch_test.go
+++ b/internal/simulation/agentsim/patch_test.go
@@ -39,7 +39,7 @@
 		c.Assert(operator.patch(f.Machines[6], 1, first), qt.Equals, 200)
 		second := `{"edition":8,"withdraw":{"routes":["q"]}}`
 		c.Assert(operator.patch(f.Machines[5], 3, second), qt.Equals, 200)
-		f.Await("all follow the patches", 2*time.Second, f.Whole)
+		f.Await("all follow the patches", 2*time.Second, f.Converged)
 		for _, m := range f.Machines {
 			for _, one := range []struct {
 				what    string
@@ -77,13 +77,13 @@
 			history := &History{}
 			operator := f.AddOperator(history)
 			c.Assert(operator.PutUntil(f.Machines, Change{0, 1, 0}, 4*time.Second, 0), qt.Equals, 200)
-			f.Await("all agree", 4*time.Second, f.Whole)
+			f.Await("all agree", 4*time.Second, f.Converged)
 			wiped := f.Machines[lost]
 			c.Assert(operator.PutUntil([]*Machine{wiped}, Change{1, 2, 0}, 4*time.Second, 0), qt.Equals, 200)
 			f.PowerOffAll(f.Machines)
 			wiped.Wipe()
 			f.StartTogether(f.Machines, false)
-			f.Await("all agree again", 12*time.Second, f.Whole)
+			f.Await("all agree again", 12*time.Second, f.Converged)
 			c.Assert(operator.PutUntil(f.Machines, Change{1, 2, 0}, 8*time.Second, 0), qt.Equals, 200)
 			c.Assert(operator.PutUntil(f.Machines, Change{2, 4, 0}, 8*time.Second, 0), qt.Equals, 200)
 			version, _ := operator.Get(f.Machines[6])
@@ -122,7 +122,7 @@
 // TestManyPatchesOnALargeConfiguration changes one of 3,000 routes after the other: all follow, and the
 // feeds carry the changes, not the document.
 func TestManyPatchesOnALargeConfiguration(t *testing.T) {
-	const routes, changes, mostFeedBytes = 3_000, 12, 600
+	const routes, changes, maxFeedBytes = 3_000, 12, 600
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := New(t, Options{Disks: 3, Others: 4, Seed: 5})
@@ -136,7 +136,7 @@
 			}
 			return ""
 		})
-		f.Await("all know it", 5*time.Second, f.Whole)
+		f.Await("all know it", 5*time.Second, f.Converged)
 		before := 0
 		for _, m := range f.WithDisk(true) {
 			before += operator.feedBytes(c, m)
@@ -147,14 +147,14 @@
 				"street_prefix":"/","timeout_ms":7,"depot":%q}]}}`, version, 97*version, version, serviceName)
 			c.Assert(operator.patch(f.Machines[version%7], version-1, body), qt.Equals, 200)
 		}
-		f.Await("all follow the patches", 2*time.Second, f.Whole)
+		f.Await("all follow the patches", 2*time.Second, f.Converged)
 		feeds := -before
 		for _, m := range f.WithDisk(true) {
 			feeds += operator.feedBytes(c, m)
 		}
 		ticks := int((f.Now()-began)/(400*time.Millisecond)) + 1
-		most := 4 * (changes + ticks) * mostFeedBytes // of four followers
-		c.Check(feeds < most, qt.IsTrue, qt.Commentf("%d bytes, %d at most", feeds, most))
+		bound := 4 * (changes + ticks) * maxFeedBytes // of four followers
+		c.Check(feeds < bound, qt.IsTrue, qt.Commentf("%d bytes, %d at most", feeds, bound))
 		version, _ := operator.Get(f.Machines[6])
 		c.Check(version, qt.Equals, int64(1+changes))
 	})
--- a/internal/simulation/agentsim/race_test.go
+++ b/internal/simulation/agentsim/race_test.go
@@ -26,19 +26,19 @@
 }
 
 const (
-	raceRounds   = 12
-	copiesAtOnce = 3 // machines that a change is sent to at the same time
-	answersLost  = 0.3
+	raceRounds      = 12
+	parallelSenders = 3 // machines that a change is sent to at the same time
+	answerLoss      = 0.3
 )
 
 func runRace(t *testing.T, seed int64) {
 	f := New(t, Options{Disks: 3, Others: 7, Servers: 3, Seed: seed})
 	history := &History{}
 	operators := []*Operator{f.AddOperator(history), f.AddOperator(history)}
-	trouble := make(chan struct{})
-	var troubles sync.WaitGroup
+	stop := make(chan struct{})
+	var partitions sync.WaitGroup
 	if seed%2 == 1 {
-		troubles.Go(func() { cutInTurn(f, trouble) })
+		partitions.Go(func() { partitionInTurn(f, stop) })
 	}
 	base := int64(0)
 	var taken []Change
@@ -48,13 +48,13 @@
 		taken = append(taken, winner)
 		base = version
 		again := taken[f.Random.Intn(len(taken))]
-		status := operators[round%2].PutUntil(f.Machines, again, 8*time.Second, answersLost)
+		status := operators[round%2].PutUntil(f.Machines, again, 8*time.Second, answerLoss)
 		qt.Check(t, status, qt.Equals, 200, qt.Commentf("%+v sent again", again))
 	}
-	close(trouble)
-	troubles.Wait()
+	close(stop)
+	partitions.Wait()
 	f.Heal()
-	f.Await("all agree", agreeTime, f.Whole)
+	f.Await("all agree", agreeTime, f.Converged)
 	for _, m := range f.Machines {
 		version, status := operators[0].Get(m)
 		qt.Check(t, status, qt.Equals, 200)
@@ -72,9 +72,9 @@
 	var mu sync.Mutex
 	for i, operator := range operators {
 		changes[i] = Change{base, version, 1 + int64(i)}
-		for range copiesAtOnce {
+		for range parallelSenders {
 			sending.Go(func() {
-				status := operator.PutUntil(f.Machines, changes[i], 12*time.Second, answersLost)
+				status := operator.PutUntil(f.Machines, changes[i], 12*time.Second, answerLoss)
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[i] = append(outcomes[i], status)
@@ -94,13 +94,13 @@
 	return Change{}
 }
 
-// cutInTurn cuts one member after the other off for some seconds each.
-func cutInTurn(f *Fleet, stop <-chan struct{}) {
+// partitionInTurn cuts one member after the other off for some seconds each.
+func partitionInTurn(f *Fleet, stop <-chan struct{}) {
 	pause := func(long time.Duration) bool {
 		select {
 		case <-stop:
 			return false
-		case <-f.over:
+		case <-f.done:
 			return false
 		case <-time.After(long):
 			return true
@@ -108,7 +108,7 @@
 	}
 	for turn := 0; ; turn++ {
 		m := f.Machines[turn%3]
-		f.Cut(IPs(m), IPs(f.Except(m)...), simnet.Silent)
+		f.Partition(IPs(m), IPs(f.Except(m)...), simnet.Blackhole)
 		if !pause(3 * time.Second) {
 			return
 		}
--- a/internal/simulation/agentsim/replace_test.go
+++ b/internal/simulation/agentsim/replace_test.go
@@ -45,7 +45,7 @@
 	fresh := f.Replace()
 	if planned {
 		fresh.Start(false)
-		f.Await("the new machine knows all", catchUpTime, f.Whole)
+		f.Await("the new machine knows all", catchUpTime, f.Converged)
 		change()
 		ended := old.Terminate()
 		change()
@@ -56,15 +56,15 @@
 		change()
 		fresh.Start(false)
 		time.Sleep(catchUpTime)
-		f.Await("the new machine knows all", time.Second, f.Whole)
+		f.Await("the new machine knows all", time.Second, f.Converged)
 	}
 	change() // acknowledged right before the next loss
 	other.PowerOff()
 	other.Wipe()
 	change()
-	time.Sleep(herdDown)
+	time.Sleep(downTime)
 	other.Start(false)
-	f.Await("all agree", catchUpTime, f.Whole)
+	f.Await("all agree", catchUpTime, f.Converged)
 	change()
 	for _, m := range f.Running() {
 		read, status := operator.Get(m)
@@ -76,9 +76,9 @@
 	change()
 	f.PowerOffAll(f.Machines)
 	fresh.Wipe()
-	time.Sleep(herdDown)
+	time.Sleep(downTime)
 	f.StartTogether(f.Except(old), false)
-	f.Await("all agree after the loss of all", recoverTime+startSpread, f.Whole)
+	f.Await("all agree after the loss of all", recoverTime+startSpread, f.Converged)
 	read := int64(0)
 	f.Await("the configuration is read back", Bounds().Ack, func() string {
 		var status int
@@ -110,13 +110,13 @@
 		qt.Assert(t, operator.PutUntil(f.Machines, Change{0, 1, 0}, 4*time.Second, 0), qt.Equals, 200)
 		back := f.Machines[1]
 		back.PowerOff()
-		time.Sleep(herdDown)
+		time.Sleep(downTime)
 		for version := range int64(manyChanges) {
 			status := operator.PutUntil(f.Running(), Change{version + 1, version + 2, 0}, Bounds().Ack, 0)
 			qt.Assert(t, status, qt.Equals, 200)
 		}
 		back.Start(false)
-		took := f.Await("it knows the newest", backTime, f.Whole)
+		took := f.Await("it knows the newest", backTime, f.Converged)
 		bytes := int64(0)
 		for _, volume := range back.Node().Traffic().Received {
 			bytes += volume.Bytes
--- a/internal/simulation/agentsim/server.go
+++ b/internal/simulation/agentsim/server.go
@@ -15,21 +15,21 @@
 	serverPort = 80
 	// callTimeout is after what silence servers and operators call the next machine.
 	callTimeout = time.Second
-	// retryPause is between two calls of one heartbeat.
-	retryPause = 100 * time.Millisecond
+	// retryInterval is between two calls of one heartbeat.
+	retryInterval = 100 * time.Millisecond
 	// stageSwitch is how long a server takes to change its stage.
-	stageSwitch = 1500 * time.Millisecond
-	serverSlots = 16
-	reading     = "reading"
+	stageSwitch  = 1500 * time.Millisecond
+	serverSlots  = 16
+	prefillStage = "reading"
 )
 
 // serverState is how far a server is with its life.
 type serverState int
 
 const (
-	serving serverState = iota
-	drainingState
-	gone // has sent DELETE or has died
+	stateServing serverState = iota
+	stateDraining
+	stateEnded // has sent DELETE or has died
 )
 
 // Server is a simulated server of the one service.
@@ -40,19 +40,19 @@
 	// Alternate lets the server ignore forward_to, so that each heartbeat goes to another machine.
 	Alternate bool
 
-	fleet   *Fleet
-	network *simnet.Process
-	end     chan struct{}
-	ended   sync.Once
+	fleet    *Fleet
+	network  *simnet.Process
+	stop     chan struct{}
+	stopOnce sync.Once
 
 	mu         sync.Mutex
 	random     *rand.Rand
 	state      serverState
-	postmark   int64
+	sequence   int64
 	forward    string
-	caller     string    // control address that acknowledged last
-	heardAt    time.Time // when
-	firstHeard time.Time // when a heartbeat was acknowledged for the first time
+	ackedBy    string    // control address that acknowledged last
+	lastAcked  time.Time // when
+	firstAcked time.Time // when a heartbeat was acknowledged for the first time
 	longestGap time.Duration
 	stage      string
 	switching  bool
@@ -64,11 +64,11 @@
 func (f *Fleet) AddServer(id string, first ...string) *Server {
 	number := len(f.Servers)
 	s := &Server{ID: id, IP: fmt.Sprintf("10.1.%d.%d", number/200, number%200+1),
-		Zone: fmt.Sprintf("zone-%d", number%zoneCount), fleet: f, end: make(chan struct{}),
+		Zone: fmt.Sprintf("zone-%d", number%zoneCount), fleet: f, stop: make(chan struct{}),
 		random: rand.New(rand.NewSource(f.Random.Int63()))}
 	s.network = f.Network.Host(s.IP).NewProcess()
 	if f.Options.Stages {
-		s.stage = reading
+		s.stage = prefillStage
 	}
 	s.listen()
 	if len(first) > 0 {
@@ -77,15 +77,15 @@
 	f.mu.Lock()
 	f.Servers = append(f.Servers, s)
 	f.mu.Unlock()
-	f.others.Go(s.run)
+	f.parties.Go(s.run)
 	return s
 }
 
-// Calls tells whether the server sends heartbeats as one that wants requests.
-func (s *Server) Calls() bool {
+// Serving tells whether the server sends heartbeats as one that wants requests.
+func (s *Server) Serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state == serving
+	return s.state == stateServing
 }
 
 // ReportTo has the next heartbeats go to a machine as if an answer had named it.
@@ -96,17 +96,17 @@
 }
 
 // told returns the state that heartbeats tell, "" once there are none.
-func (s *Server) told() string {
+func (s *Server) announcedState() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return [...]string{serving: "ready", drainingState: "draining", gone: ""}[s.state]
+	return [...]string{stateServing: "ready", stateDraining: "draining", stateEnded: ""}[s.state]
 }
 
-// Caller returns the control address that acknowledged the last heartbeat.
-func (s *Server) Caller() string {
+// AckedBy returns the control address that acknowledged the last heartbeat.
+func (s *Server) AckedBy() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.caller
+	return s.ackedBy
 }
 
 // LongestGap returns the longest time between two acknowledgements so far.
@@ -125,11 +125,11 @@
 	return nil
 }
 
-// callingServers returns the ids of the servers that are to get requests, sorted.
-func (f *Fleet) callingServers() []string {
+// servingIDs returns the ids of the servers that are to get requests, sorted.
+func (f *Fleet) servingIDs() []string {
 	var ids []string
 	for _, s := range f.Servers {
-		if s.Calls() {
+		if s.Serving() {
 			ids = append(ids, s.ID)
 		}
 	}
@@ -138,26 +138,26 @@
 }
 
 func (s *Server) run() {
-	time.Sleep(s.draw(Beat))
+	time.Sleep(s.randomUpTo(HeartbeatInterval))
 	for {
-		if state := s.told(); state != "" {
-			s.beat(s.heartbeat(state))
+		if state := s.announcedState(); state != "" {
+			s.sendHeartbeat(s.heartbeat(state))
 		}
 		select {
-		case <-s.fleet.over:
+		case <-s.fleet.done:
 			return
-		case <-s.end:
+		case <-s.stop:
 			return
-		case <-time.After(Beat - Beat/20 + s.draw(Beat/10)):
+		case <-time.After(HeartbeatInterval - HeartbeatInterval/20 + s.randomUpTo(HeartbeatInterval/10)):
 		}
 	}
 }
 
 // draw returns a random time up to a bound.
-func (s *Server) draw(most time.Duration) time.Duration {
+func (s *Server) randomUpTo(bound time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(s.random.Int63n(int64(most)))
+	return time.Duration(s.random.Int63n(int64(bound)))
 }
 
 func (s *Server) address() string { return fmt.Sprintf("%s:%d", s.IP, serverPort) }
@@ -165,24 +165,24 @@
 // Crash ends the server without a word.
 func (s *Server) Crash() {
 	s.mu.Lock()
-	s.state = gone
+	s.state = stateEnded
 	s.mu.Unlock()
 	s.network.Kill()
-	s.ended.Do(func() { close(s.end) })
+	s.stopOnce.Do(func() { close(s.stop) })
 }
 
 // Drain says draining at machines, those named first, and tells whether that was acknowledged.
 func (s *Server) Drain(first ...string) bool {
 	s.mu.Lock()
-	s.state = drainingState
+	s.state = stateDraining
 	s.mu.Unlock()
-	return s.beat(s.heartbeat("draining"), first...)
+	return s.sendHeartbeat(s.heartbeat("draining"), first...)
 }
 
 // Delete says that the server ends, at machines, those named first, and tells whether that was acknowledged.
 func (s *Server) Delete(first ...string) bool {
 	s.mu.Lock()
-	s.state = gone
+	s.state = stateEnded
 	s.mu.Unlock()
-	return s.tell(controlclient.Call{Method: "DELETE", Target: "/api/servers/" + s.ID}, first)
+	return s.callAny(controlclient.Call{Method: "DELETE", Target: "/api/servers/" + s.ID}, first)
 }
--- a/internal/simulation/agentsim/server_calls.go
+++ b/internal/simulation/agentsim/server_calls.go
@@ -21,31 +21,31 @@
 	Slots    int    `json:"bays"`
 	State    string `json:"state"`
 	Stage    string `json:"stage,omitempty"`
-	Postmark int64  `json:"postmark"`
+	Sequence int64  `json:"postmark"`
 }
 
 // heartbeat returns the next heartbeat.
 func (s *Server) heartbeat(state string) *heartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.postmark++
+	s.sequence++
 	return &heartbeat{Service: serviceName, Address: s.address(), Zone: s.Zone, Version: "v1",
-		Slots: serverSlots, State: state, Stage: s.stage, Postmark: s.postmark}
+		Slots: serverSlots, State: state, Stage: s.stage, Sequence: s.sequence}
 }
 
 // beat sends a heartbeat to machine after machine until one acknowledges it, and tells whether one did
 // before the next heartbeat is due.
-func (s *Server) beat(h *heartbeat, first ...string) bool {
+func (s *Server) sendHeartbeat(h *heartbeat, first ...string) bool {
 	body, err := json.Marshal(h)
 	if err != nil {
 		s.fleet.TB.Error(err)
 		return false
 	}
-	return s.tell(controlclient.Call{Method: "PUT", Target: "/api/servers/" + s.ID, Body: body}, first)
+	return s.callAny(controlclient.Call{Method: "PUT", Target: "/api/servers/" + s.ID, Body: body}, first)
 }
 
 // tell makes a call at machine after machine, those named first, until one acknowledges it.
-func (s *Server) tell(call controlclient.Call, first []string) bool {
+func (s *Server) callAny(call controlclient.Call, first []string) bool {
 	targets := slices.Clone(first)
 	s.mu.Lock()
 	if s.forward != "" && !s.Alternate {
@@ -63,7 +63,7 @@
 		if s.call(target, call) {
 			return true
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 	return false
 }
@@ -78,28 +78,28 @@
 		}
 		return false
 	}
-	var told struct {
+	var reply struct {
 		Forward string `json:"forward_to"`
 	}
-	if json.Unmarshal(answer.Body, &told) == nil && told.Forward != "" {
-		s.forward = told.Forward
+	if json.Unmarshal(answer.Body, &reply) == nil && reply.Forward != "" {
+		s.forward = reply.Forward
 	}
 	now := time.Now()
-	if !s.heardAt.IsZero() {
-		s.longestGap = max(s.longestGap, now.Sub(s.heardAt))
+	if !s.lastAcked.IsZero() {
+		s.longestGap = max(s.longestGap, now.Sub(s.lastAcked))
 	}
-	if s.firstHeard.IsZero() {
-		s.firstHeard = now
+	if s.firstAcked.IsZero() {
+		s.firstAcked = now
 	}
-	s.caller, s.heardAt = target, now
+	s.ackedBy, s.lastAcked = target, now
 	return true
 }
 
 // known tells whether heartbeats were acknowledged for so long.
-func (s *Server) known(long time.Duration) bool {
+func (s *Server) acknowledgedFor(long time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.firstHeard.IsZero() && time.Since(s.firstHeard) > long
+	return !s.firstAcked.IsZero() && time.Since(s.firstAcked) > long
 }
 
 // callFrom makes a call as a process of the network, within callTimeout.
@@ -112,11 +112,13 @@
 	return controlclient.DoWithDialer(ctx, dial, target, call)
 }
 
-// Late is a heartbeat that is long on its way.
-type Late struct{ heartbeat *heartbeat }
+// DelayedHeartbeat is a heartbeat that is long on its way.
+type DelayedHeartbeat struct{ heartbeat *heartbeat }
 
-// SendLate returns a heartbeat that arrives only when it is delivered.
-func (s *Server) SendLate() Late { return Late{s.heartbeat("ready")} }
+// DelayHeartbeat returns a heartbeat that arrives only when it is delivered.
+func (s *Server) DelayHeartbeat() DelayedHeartbeat { return DelayedHeartbeat{s.heartbeat("ready")} }
 
 // Deliver has a late heartbeat arrive at a machine, and tells whether it was acknowledged.
-func (s *Server) Deliver(late Late, m *Machine) bool { return s.beat(late.heartbeat, m.Control()) }
+func (s *Server) Deliver(late DelayedHeartbeat, m *Machine) bool {
+	return s.sendHeartbeat(late.heartbeat, m.Control())
+}
--- a/internal/simulation/agentsim/server_orders.go
+++ b/internal/simulation/agentsim/server_orders.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		s.fleet.TB.Fatal(err)
 	}
-	s.fleet.others.Go(func() {
-		<-s.fleet.over
+	s.fleet.parties.Go(func() {
+		<-s.fleet.done
 		s.network.Kill()
 	})
 	go func() {
@@ -94,12 +94,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	expect := call.Header.Get("Cresshub-Expect-Server")
-	status := s.judge(body.Stage, body.Fence)
+	status := s.orderStatus(body.Stage, body.Fence)
 	if expect != "" && expect != s.ID {
 		status = 421
 	}
 	s.orders = append(s.orders, Order{s.fleet.Now(), from, body.Holder, body.Fence, status, expect})
-	s.fleet.Note("%s got an order of %s, fence %d: %d", s.ID, from, body.Fence, status)
+	s.fleet.Logf("%s got an order of %s, fence %d: %d", s.ID, from, body.Fence, status)
 	if status == 202 {
 		s.switching = true
 		time.AfterFunc(stageSwitch, func() {
@@ -112,7 +112,7 @@
 }
 
 // judge returns the status for an order; the lock is held.
-func (s *Server) judge(stage string, fence uint64) int {
+func (s *Server) orderStatus(stage string, fence uint64) int {
 	switch {
 	case s.fleet.Options.Fenced && fence < s.fence:
 		return 412
--- a/internal/simulation/agentsim/servers_test.go
+++ b/internal/simulation/agentsim/servers_test.go
@@ -19,7 +19,7 @@
 		f := New(t, options)
 		operator := f.AddOperator(&History{})
 		qt.Assert(t, operator.PutUntil(f.Machines, Change{0, 1, 0}, 4*time.Second, 0), qt.Equals, 200)
-		f.Await("all know the configuration", 2*time.Second, f.Whole)
+		f.Await("all know the configuration", 2*time.Second, f.Converged)
 		test(t, f)
 	})
 }
@@ -40,9 +40,9 @@
 	inFleet(t, Options{Servers: 8, Seed: 1}, func(t *testing.T, f *Fleet) {
 		drained, deleted, both, stays := f.Servers[0], f.Servers[1], f.Servers[2], f.Servers[3]
 		leaving := []*Server{drained, deleted, both}
-		late := map[*Server]Late{stays: stays.SendLate()}
+		late := map[*Server]DelayedHeartbeat{stays: stays.DelayHeartbeat()}
 		for _, s := range leaving {
-			late[s] = s.SendLate()
+			late[s] = s.DelayHeartbeat()
 		}
 		qt.Check(t, drained.Drain(), qt.IsTrue)
 		qt.Check(t, deleted.Delete(), qt.IsTrue)
@@ -59,10 +59,10 @@
 			}
 			stays.Deliver(late[stays], m)
 			time.Sleep(200 * time.Millisecond)
-			qt.Check(t, f.Whole(), qt.Equals, "")
+			qt.Check(t, f.Converged(), qt.Equals, "")
 		}
 		time.Sleep(5 * time.Second)
-		qt.Check(t, f.Whole(), qt.Equals, "")
+		qt.Check(t, f.Converged(), qt.Equals, "")
 	})
 }
 
@@ -82,7 +82,7 @@
 }
 
 // watcherTrouble is what befalls a machine that servers report to.
-var watcherTroubles = []struct {
+var watcherFaults = []struct {
 	name   string
 	strike func(f *Fleet, m *Machine)
 	// tolerated is how long a server may be unknown: it notices that its machine is silent a second after
@@ -93,33 +93,33 @@
 	{name: "without power", strike: func(_ *Fleet, m *Machine) { m.PowerOff() }},
 	{name: "terminated", strike: func(_ *Fleet, m *Machine) { m.Terminate() }},
 	{name: "cut off", strike: func(f *Fleet, m *Machine) {
-		f.Cut(IPs(m), append(IPs(f.Except(m)...), f.serverIPs()...), simnet.Silent)
+		f.Partition(IPs(m), append(IPs(f.Except(m)...), f.serverIPs()...), simnet.Blackhole)
 	}},
 	{name: "cut off from machines", strike: func(f *Fleet, m *Machine) {
-		f.Cut(IPs(m), IPs(f.Except(m)...), simnet.Silent)
+		f.Partition(IPs(m), IPs(f.Except(m)...), simnet.Blackhole)
 	}},
 	{name: "cut off from servers", strike: func(f *Fleet, m *Machine) {
-		f.Cut(IPs(m), f.serverIPs(), simnet.Silent)
+		f.Partition(IPs(m), f.serverIPs(), simnet.Blackhole)
 	}, tolerated: 350 * time.Millisecond},
 }
 
-// TestWatchingMachineGone: the servers that reported to a machine with trouble are known without a gap by all
-// others, as they report elsewhere.
-func TestWatchingMachineGone(t *testing.T) {
-	for _, trouble := range watcherTroubles {
+// TestServersStayKnownWhenTheirWatcherFails: the servers that reported to a machine with trouble are known
+// without a gap by all others, as they report elsewhere.
+func TestServersStayKnownWhenTheirWatcherFails(t *testing.T) {
+	for _, fault := range watcherFaults {
 		for _, disk := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s/disk=%t", trouble.name, disk), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/disk=%t", fault.name, disk), func(t *testing.T) {
 				t.Parallel()
 				inFleet(t, Options{Servers: 20, Seed: 3}, func(t *testing.T, f *Fleet) {
 					struck := busiest(f, disk)
 					since := f.Now()
 					elsewhere := f.WatchAbsences(func(m *Machine, _ *Server) bool { return m != struck })
-					elsewhere.Tolerated = trouble.tolerated
-					trouble.strike(f, struck)
+					elsewhere.Tolerated = fault.tolerated
+					fault.strike(f, struck)
 					time.Sleep(20 * time.Second)
 					f.Heal()
 					if struck.Runs() {
-						f.Await("all agree", agreeTime, f.Whole)
+						f.Await("all agree", agreeTime, f.Converged)
 					}
 					time.Sleep(5 * time.Second)
 					missing, total := elsewhere.Stop()
@@ -135,7 +135,7 @@
 func busiest(f *Fleet, disk bool) *Machine {
 	reports := map[string]int{}
 	for _, s := range f.Servers {
-		reports[s.Caller()]++
+		reports[s.AckedBy()]++
 	}
 	var most *Machine
 	for _, m := range f.WithDisk(disk) {
@@ -146,9 +146,9 @@
 	return most
 }
 
-// TestThirdOfTheFleetCutOff cuts a hub off together with the machines that follow it, with their servers or
-// without: nobody else loses a server that calls, also after the cut.
-func TestThirdOfTheFleetCutOff(t *testing.T) {
+// TestThirdOfTheFleetPartitioned cuts a hub off together with the machines that follow it, with their servers
+// or without: nobody else loses a server that calls, also after the cut.
+func TestThirdOfTheFleetPartitioned(t *testing.T) {
 	for hub := range 3 {
 		for _, withServers := range []bool{false, true} {
 			t.Run(fmt.Sprintf("hub %d, servers=%t", hub, withServers), func(t *testing.T) {
@@ -177,10 +177,10 @@
 	isNear := func(m *Machine) bool { return strings.Contains(nearMachines+" ", m.IP+" ") }
 	since := f.Now()
 	absences := f.WatchAbsences(func(m *Machine, s *Server) bool { return !isNear(m) && !nearServers[s] })
-	f.Cut(nearIPs, farIPs, simnet.Silent)
+	f.Partition(nearIPs, farIPs, simnet.Blackhole)
 	time.Sleep(20 * time.Second)
 	f.Heal()
-	f.Await("all agree", agreeTime, f.Whole)
+	f.Await("all agree", agreeTime, f.Converged)
 	time.Sleep(5 * time.Second)
 	missing, total := absences.Stop()
 	qt.Check(t, missing, qt.Equals, "", qt.Commentf("%v in all", total))
@@ -198,28 +198,28 @@
 	return followers
 }
 
-// TestServersLeaveByTheMachineCutOff has servers call a machine first that is cut off from the others when
+// TestDrainsThroughAnIsolatedMachine has servers call a machine first that is cut off from the others when
 // they come, drain or end: others acknowledge that, and all in touch know in time.
-func TestServersLeaveByTheMachineCutOff(t *testing.T) {
+func TestDrainsThroughAnIsolatedMachine(t *testing.T) {
 	for member := range 3 {
 		t.Run(fmt.Sprint(member), func(t *testing.T) {
 			t.Parallel()
 			inFleet(t, Options{Servers: 12, Seed: int64(member)}, func(t *testing.T, f *Fleet) {
-				runLure(t, f, f.Machines[member])
+				runDepartures(t, f, f.Machines[member])
 			})
 		})
 	}
 }
 
-func runLure(t *testing.T, f *Fleet, cut *Machine) {
+func runDepartures(t *testing.T, f *Fleet, isolated *Machine) {
 	for _, s := range f.Servers {
-		s.ReportTo(cut)
+		s.ReportTo(isolated)
 	}
-	time.Sleep(2 * Beat)
-	qt.Assert(t, f.Whole(), qt.Equals, "")
-	f.Cut(IPs(cut), IPs(f.Except(cut)...), simnet.Silent)
-	inTouch := f.Except(cut)
-	keptOff := func(s *Server) {
+	time.Sleep(2 * HeartbeatInterval)
+	qt.Assert(t, f.Converged(), qt.Equals, "")
+	f.Partition(IPs(isolated), IPs(f.Except(isolated)...), simnet.Blackhole)
+	inTouch := f.Except(isolated)
+	awaitUnknown := func(s *Server) {
 		f.Await("all in touch keep off "+s.ID, Bounds().Drain, func() string {
 			for _, m := range inTouch {
 				if m.Node().Servers().ByID(s.ID) != nil {
@@ -232,12 +232,12 @@
 	for i, pause := range []time.Duration{0, time.Second, 3 * time.Second, 6 * time.Second} {
 		time.Sleep(pause)
 		drained, deleted := f.Servers[2*i], f.Servers[2*i+1]
-		qt.Check(t, drained.Drain(cut.Control()), qt.IsTrue)
-		keptOff(drained)
-		qt.Check(t, deleted.Delete(cut.Control()), qt.IsTrue)
-		keptOff(deleted)
+		qt.Check(t, drained.Drain(isolated.Control()), qt.IsTrue)
+		awaitUnknown(drained)
+		qt.Check(t, deleted.Delete(isolated.Control()), qt.IsTrue)
+		awaitUnknown(deleted)
 	}
-	come := f.AddServer("server-new", cut.Control())
+	come := f.AddServer("server-new", isolated.Control())
 	f.Await("all in touch know a server that came", 6*time.Second, func() string {
 		for _, m := range inTouch {
 			if m.Node().Servers().ByID(come.ID) == nil {
@@ -247,5 +247,5 @@
 		return ""
 	})
 	f.Heal()
-	f.Await("all agree", agreeTime, f.Whole)
+	f.Await("all agree", agreeTime, f.Converged)
 }
--- a/internal/simulation/agentsim/turnover_test.go
+++ b/internal/simulation/agentsim/turnover_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// herdDown is how long the machines are down that go at once.
-	herdDown = 1100 * time.Millisecond
+	// downTime is how long the machines are down that go at once.
+	downTime = 1100 * time.Millisecond
 	// recoverTime is within what time of its start a fleet that went at once knows all again.
 	recoverTime = 3 * time.Second
 )
@@ -64,7 +64,7 @@
 // startWithSeedsCutOff starts all machines while nobody reaches those that the settings files name.
 func startWithSeedsCutOff(f *Fleet) {
 	seeds := f.seedMachines()
-	f.Cut(IPs(seeds...), append(IPs(f.Except(seeds...)...), f.serverIPs()...), simnet.Silent)
+	f.Partition(IPs(seeds...), append(IPs(f.Except(seeds...)...), f.serverIPs()...), simnet.Blackhole)
 	startAll(f)
 }
 
@@ -115,7 +115,7 @@
 	history := &History{}
 	operator := f.AddOperator(history)
 	qt.Assert(t, operator.PutUntil(f.Machines, Change{0, 1, 0}, 4*time.Second, 0), qt.Equals, 200)
-	f.Await("all know the configuration", 2*time.Second, f.Whole)
+	f.Await("all know the configuration", 2*time.Second, f.Converged)
 	time.Sleep(time.Duration(f.Random.Int63n(int64(5 * time.Second))))
 	f.SetSeeds(otherSeeds(f)...)
 	if test.reload {
@@ -124,13 +124,13 @@
 		}
 		time.Sleep(time.Duration(f.Random.Int63n(int64(5 * time.Second))))
 	}
-	qt.Assert(t, f.Whole(), qt.Equals, "")
+	qt.Assert(t, f.Converged(), qt.Equals, "")
 	if test.powerOff {
 		f.PowerOffAll(f.Machines)
 	} else {
 		f.KillAll(f.Machines)
 	}
-	time.Sleep(herdDown)
+	time.Sleep(downTime)
 	since := f.Now()
 	test.start(f)
 	reached := f.reachable()
@@ -140,7 +140,7 @@
 	f.CheckNoneLost(since)
 	qt.Check(t, f.Agree(reached), qt.Equals, "")
 	f.Heal()
-	f.Await("all agree once nothing is cut", recoverTime, f.Whole)
+	f.Await("all agree once nothing is cut", recoverTime, f.Converged)
 	qt.Check(t, operator.PutUntil(f.Running(), Change{1, 2, 0}, 4*time.Second, 0), qt.Equals, 200)
 	qt.Check(t, history.Check(), qt.HasLen, 0)
 }
--- a/internal/simulation/experiment/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -27,7 +27,7 @@
 
 func playAll(t *testing.T, s *Store) {
 	t.Helper()
-	err := All(context.Background(), s.Header.Scenario, s.Header.Set, s.Missing(), 0, false, s.Add)
+	err := PlayAll(context.Background(), s.Header.Scenario, s.Header.Set, s.Missing(), 0, false, s.Add)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := 0
 	h := experiment()
-	err := All(ctx, h.Scenario, h.Set, h.Jobs(), 2, false, func(*Done) error {
+	err := PlayAll(ctx, h.Scenario, h.Set, h.Jobs(), 2, false, func(*RunResult) error {
 		n++
 		cancel()
 		return nil
@@ -204,11 +204,11 @@
 
 // Paired differences tell noise from a difference, and how many days would settle it.
 func TestStatistics(t *testing.T) {
-	e := Over([]float64{1, 2, 3, 4, 5}) // t = 2.776, sd = 1.5811
+	e := EstimateOf([]float64{1, 2, 3, 4, 5}) // t = 2.776, sd = 1.5811
 	if math.Abs(e.Mean-3) > 1e-9 || math.Abs(e.Half-1.963) > 0.001 {
 		t.Errorf("%+v", e)
 	}
-	if !math.IsNaN(Over([]float64{1}).Half) {
+	if !math.IsNaN(EstimateOf([]float64{1}).Half) {
 		t.Error("one day has an interval")
 	}
 	sure := Paired([]float64{1, 5, 9, 2}, []float64{2, 6.1, 10, 3})
--- a/internal/simulation/experiment/plot.go
+++ b/internal/simulation/experiment/plot.go
@@ -86,7 +86,7 @@
 }
 
 func (s *Store) overKey(p *plot.Plot, metric string, logX, logY bool) error {
-	if !Known(metric) {
+	if !KnownMetric(metric) {
 		return fmt.Errorf("%q is none of %s", metric, strings.Join(MetricNames(), ", "))
 	}
 	axis := s.Header.Over[0]
@@ -120,7 +120,7 @@
 		if words > 0 {
 			x = float64(slices.Index(axis.Values, c.Set[axis.Key]))
 		}
-		e := Over(c.Figures(metric))
+		e := EstimateOf(c.Figures(metric))
 		if math.IsNaN(e.Mean) || math.IsInf(e.Mean, 0) {
 			continue
 		}
--- a/internal/simulation/experiment/report.go
+++ b/internal/simulation/experiment/report.go
@@ -31,12 +31,12 @@
 </html>
 `))
 
-type drawn struct {
+type drawing struct {
 	Name string
 	SVG  template.HTML
 }
 
-type broken struct{ Who, Text string }
+type violation struct{ Who, Text string }
 
 // columns of the table of a report.
 var columns = []string{"service", "service_worst_10s", "mean_ms", "p99_ms", "refused", "failed", "probes"}
@@ -54,7 +54,7 @@
 		}
 		row = append(row, c.Policy, fmt.Sprint(len(c.Days)))
 		for _, m := range metrics {
-			row = append(row, Over(c.Figures(m)).String())
+			row = append(row, EstimateOf(c.Figures(m)).String())
 		}
 		rows = append(rows, row)
 	}
@@ -80,8 +80,8 @@
 		Title, What string
 		Head        []string
 		Rows        [][]string
-		Plots       []drawn
-		Breaks      []broken
+		Plots       []drawing
+		Breaks      []violation
 	}{Title: "Laboratory: " + h.Scenario}
 	var set []string
 	for _, k := range slices.Sorted(maps.Keys(h.Set)) {
@@ -100,11 +100,11 @@
 			return err
 		}
 		_, inner, _ := strings.Cut(string(svg), "<svg")
-		data.Plots = append(data.Plots, drawn{m, template.HTML("<svg" + inner)})
+		data.Plots = append(data.Plots, drawing{m, template.HTML("<svg" + inner)})
 	}
 	for _, d := range s.Days {
 		for _, text := range d.Result.Violations {
-			data.Breaks = append(data.Breaks, broken{d.id(), text})
+			data.Breaks = append(data.Breaks, violation{d.id(), text})
 		}
 	}
 	data.Breaks = data.Breaks[:min(len(data.Breaks), 20)]
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -23,15 +23,15 @@
 	Lambda float64           `json:"lambda,omitempty"`
 }
 
-// Done is a day played.
-type Done struct {
+// RunResult is a day played.
+type RunResult struct {
 	Job
 	Result *proxysim.Result `json:"result"`
 	Wall   float64          `json:"wall_s"`
 }
 
 // Play plays one day.
-func Play(scenario string, base map[string]string, j Job, o proxysim.Options) (*Done, error) {
+func Play(scenario string, base map[string]string, j Job, o proxysim.Options) (*RunResult, error) {
 	set := map[string]string{}
 	for k, v := range base {
 		set[k] = v
@@ -51,34 +51,34 @@
 	}
 	r := sim.Run(o)
 	r.Seed = j.Seed
-	return &Done{j, r, time.Since(began).Seconds()}, nil
+	return &RunResult{j, r, time.Since(began).Seconds()}, nil
 }
 
 // All plays days in parallel, as many at a time as there are processors or jobs says, and hands each to
 // take as it ends, one at a time. It stops at the first error or when ctx ends; days under way then end.
-func All(ctx context.Context, scenario string, base map[string]string, all []Job, jobs int, strict bool,
-	take func(*Done) error) error {
+func PlayAll(ctx context.Context, scenario string, base map[string]string, all []Job, jobs int, strict bool,
+	record func(*RunResult) error) error {
 	if jobs <= 0 {
 		jobs = runtime.GOMAXPROCS(0)
 	}
-	g, going := errgroup.WithContext(ctx)
+	g, groupCtx := errgroup.WithContext(ctx)
 	g.SetLimit(jobs)
-	turn := make(chan struct{}, 1)
+	recording := make(chan struct{}, 1)
 	for _, j := range all {
-		if going.Err() != nil {
+		if groupCtx.Err() != nil {
 			break
 		}
 		g.Go(func() error {
-			if going.Err() != nil {
-				return going.Err()
+			if groupCtx.Err() != nil {
+				return groupCtx.Err()
 			}
 			d, err := Play(scenario, base, j, proxysim.Options{Strict: strict})
 			if err != nil {
 				return err
 			}
-			turn <- struct{}{}
-			defer func() { <-turn }()
-			return take(d)
+			recording <- struct{}{}
+			defer func() { <-recording }()
+			return record(d)
 		})
 	}
 	if err := g.Wait(); err != nil {
@@ -88,7 +88,7 @@
 }
 
 // per is a count by request.
-func per(r *proxysim.Result, n int) float64 { return float64(n) / float64(max(r.Requests, 1)) }
+func perRequest(r *proxysim.Result, n int) float64 { return float64(n) / float64(max(r.Requests, 1)) }
 
 // Metrics are the figures of a day that statistics are made of, by name.
 var Metrics = map[string]func(*proxysim.Result) float64{
@@ -102,11 +102,11 @@
 	"service_worst_class":  func(r *proxysim.Result) float64 { return r.ServiceWorstClass },
 	"service_worst_tenant": func(r *proxysim.Result) float64 { return r.ServiceWorstTenant },
 	"prices":               func(r *proxysim.Result) float64 { return r.Prices },
-	"refused":              func(r *proxysim.Result) float64 { return per(r, r.Refused) },
-	"failed":               func(r *proxysim.Result) float64 { return per(r, r.Failed) },
-	"probes":               func(r *proxysim.Result) float64 { return per(r, r.Probes) },
-	"handshakes":           func(r *proxysim.Result) float64 { return per(r, r.Handshakes) },
-	"attempts":             func(r *proxysim.Result) float64 { return per(r, r.Attempts) },
+	"refused":              func(r *proxysim.Result) float64 { return perRequest(r, r.Refused) },
+	"failed":               func(r *proxysim.Result) float64 { return perRequest(r, r.Failed) },
+	"probes":               func(r *proxysim.Result) float64 { return perRequest(r, r.Probes) },
+	"handshakes":           func(r *proxysim.Result) float64 { return perRequest(r, r.Handshakes) },
+	"attempts":             func(r *proxysim.Result) float64 { return perRequest(r, r.Attempts) },
 	"list_calls":           func(r *proxysim.Result) float64 { return float64(r.ListCalls) },
 	"connections_a_server": func(r *proxysim.Result) float64 { return r.Conns },
 	"work_wasted":          func(r *proxysim.Result) float64 { return r.Wasted },
@@ -117,15 +117,15 @@
 const WallMetric = "wall_us_a_request"
 
 // figure is a metric of a day.
-func (d *Done) figure(metric string) float64 {
+func (d *RunResult) figure(metric string) float64 {
 	if metric == WallMetric {
 		return d.Wall * 1e6 / float64(max(d.Result.Requests, 1))
 	}
 	return Metrics[metric](d.Result)
 }
 
-// Known tells whether there is a metric of that name.
-func Known(metric string) bool { return metric == WallMetric || Metrics[metric] != nil }
+// KnownMetric tells whether there is a metric of that name.
+func KnownMetric(metric string) bool { return metric == WallMetric || Metrics[metric] != nil }
 
 // MetricNames are the names, sorted.
 func MetricNames() (names []string) {
@@ -142,8 +142,8 @@
 	N          int
 }
 
-// Over estimates from the figures of days.
-func Over(x []float64) Estimate {
+// EstimateOf estimates from the figures of days.
+func EstimateOf(x []float64) Estimate {
 	mean, sd := stat.MeanStdDev(x, nil)
 	if len(x) < 2 {
 		return Estimate{mean, math.NaN(), len(x)}
@@ -169,7 +169,7 @@
 	for i := range d {
 		d[i] = b[i] - a[i]
 	}
-	e := Over(d)
+	e := EstimateOf(d)
 	out := Difference{Estimate: e, Noise: !(math.Abs(e.Mean) > e.Half)}
 	if out.Noise && e.N > 1 && e.Mean != 0 {
 		sd := e.Half / student(e.N) * math.Sqrt(float64(e.N))
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -52,13 +52,13 @@
 	sc := &proxysim.Scenario{}
 	b.Into(sc)
 	if len(b.Problems) == 0 {
-		check(sc, b)
+		validate(sc, b)
 	}
 	return sc, b.Problems.Err()
 }
 
 // check finds what is wrong between keys.
-func check(sc *proxysim.Scenario, b *settingsfile.Builder) {
+func validate(sc *proxysim.Scenario, b *settingsfile.Builder) {
 	tell := func(path, format string, args ...any) {
 		o, ok := b.Origins[path]
 		if !ok || o.Source == "default" {
--- a/internal/simulation/experiment/store.go
+++ b/internal/simulation/experiment/store.go
@@ -68,7 +68,7 @@
 // none that was finished.
 type Store struct {
 	Header Header
-	Days   []*Done
+	Days   []*RunResult
 	f      *os.File
 }
 
@@ -128,7 +128,7 @@
 			}
 			continue
 		}
-		d := &Done{}
+		d := &RunResult{}
 		if json.Unmarshal(lines.Bytes(), d) == nil && d.Result != nil {
 			s.Days = append(s.Days, d)
 		}
@@ -151,7 +151,7 @@
 }
 
 // Add writes a day.
-func (s *Store) Add(d *Done) error {
+func (s *Store) Add(d *RunResult) error {
 	s.Days = append(s.Days, d)
 	if s.f == nil {
 		return nil
@@ -172,7 +172,7 @@
 type Cell struct {
 	Set    map[string]string
 	Policy string
-	Days   []*Done
+	Days   []*RunResult
 }
 
 // Cells groups the days, in the order of the experiment and each by seed.
@@ -191,7 +191,7 @@
 		}
 	}
 	for _, c := range all {
-		slices.SortFunc(c.Days, func(a, b *Done) int { return int(int64(a.Seed) - int64(b.Seed)) })
+		slices.SortFunc(c.Days, func(a, b *RunResult) int { return int(int64(a.Seed) - int64(b.Seed)) })
 	}
 	return slices.DeleteFunc(all, func(c *Cell) bool { return len(c.Days) == 0 })
 }
@@ -204,8 +204,8 @@
 	return x
 }
 
-// Across pairs the days of two results that have the same keys, policy and seed: b less a.
-func Across(a, b *Store, metric string) Difference {
+// PairStores pairs the days of two results that have the same keys, policy and seed: b less a.
+func PairStores(a, b *Store, metric string) Difference {
 	at := map[string]float64{}
 	for _, d := range a.Days {
 		at[d.id()] = d.figure(metric)
--- a/internal/simulation/experiment/validate.go
+++ b/internal/simulation/experiment/validate.go
@@ -15,12 +15,12 @@
 	Name     string  `json:"name"`
 	Source   string  `json:"source"`
 	Expected float64 `json:"expected"`
-	Found    float64 `json:"found"`
+	Measured float64 `json:"found"`
 	Half     float64 `json:"ci95"`
 	Within   float64 `json:"within"`             // relative bound held to
 	AtLeast  bool    `json:"at_least,omitempty"` // more than expected holds too
 	Holds    bool    `json:"holds"`
-	what     func([]map[string]Estimate) Estimate
+	combine  func([]map[string]Estimate) Estimate
 	plays    []play
 }
 
@@ -32,7 +32,7 @@
 	set    map[string]string
 }
 
-func q(policy string, kv ...string) play {
+func newPlay(policy string, kv ...string) play {
 	p := play{policy: policy, set: map[string]string{}}
 	for i := 0; i+1 < len(kv); i += 2 {
 		p.set[kv[i]] = kv[i+1]
@@ -87,37 +87,37 @@
 	var all []*Check
 	add := func(name, source string, want, within float64, what func([]map[string]Estimate) Estimate,
 		plays ...play) {
-		all = append(all, &Check{Name: name, Source: source, Expected: want, Within: within, what: what,
+		all = append(all, &Check{Name: name, Source: source, Expected: want, Within: within, combine: what,
 			plays: plays})
 	}
 	for _, l := range []float64{0.5, 0.8, 0.9} {
 		add(fmt.Sprintf("M/M/1 at %.1f", l), "queueing theory", 1/(1-l), 0.05, first,
-			q("random", n, "1", load, fmt.Sprint(l)))
+			newPlay("random", n, "1", load, fmt.Sprint(l)))
 	}
 	for _, c := range []int{2, 4, 16} {
 		add(fmt.Sprintf("M/M/%d at 0.9", c), "Erlang C", Erlang(c, 0.9), 0.05, first,
-			q("random", n, "1", "servers.cores", fmt.Sprint(c), load, "0.9"))
+			newPlay("random", n, "1", "servers.cores", fmt.Sprint(c), load, "0.9"))
 	}
 	for _, l := range []float64{0.5, 0.9} {
 		add(fmt.Sprintf("random, n = 100 at %.1f", l), "M/M/1", 1/(1-l), 0.03, first,
-			q("random", load, fmt.Sprint(l)))
+			newPlay("random", load, fmt.Sprint(l)))
 		add(fmt.Sprintf("two choices, n = 100 at %.1f", l), "mean field, n without bound", TwoChoices(l), 0.04,
 			first,
-			q("two-choices", load, fmt.Sprint(l)))
+			newPlay("two-choices", load, fmt.Sprint(l)))
 	}
-	periodic := func(p string, t string) play { return q(p, model, "periodic", delay, t) }
+	periodic := func(p string, t string) play { return newPlay(p, model, "periodic", delay, t) }
 	add("Basic LI against the best k at T = 40", "paper, 5.1: 41% faster", 1.41, 0.06, best,
 		periodic("basic-li", "40"),
 		periodic("random", "40"), periodic("two-choices", "40"), periodic("k-choices", "40").with(3))
 	add("Basic LI against random at T = 200", "paper, 5.1: 9%", 1.09, 0.04, best, periodic("basic-li", "200"),
 		periodic("random", "200"))
-	least := func(name, source string, want, within float64, plays ...play) {
+	atLeast := func(name, source string, want, within float64, plays ...play) {
 		add(name, source, want, within, best, plays...)
 		all[len(all)-1].AtLeast = true
 	}
-	least("Basic LI against k at T = 1", "paper, 5.1: at least as good", 1, 0.01, periodic("basic-li", "1"),
+	atLeast("Basic LI against k at T = 1", "paper, 5.1: at least as good", 1, 0.01, periodic("basic-li", "1"),
 		periodic("random", "1"), periodic("two-choices", "1"), periodic("k-choices", "1").with(3))
-	least("n = 8, T = 10: Basic LI against k", "paper, Figure 4: as for n = 100", 1, 0.01,
+	atLeast("n = 8, T = 10: Basic LI against k", "paper, Figure 4: as for n = 100", 1, 0.01,
 		periodic("basic-li", "10").and(n, "8"), periodic("random", "10").and(n, "8"),
 		periodic("two-choices", "10").and(n, "8"))
 	add("LI-2 over Basic LI, periodic, T = 10", "paper, Figure 14c: nearly identical", 1, 0.12, faster,
@@ -126,23 +126,27 @@
 	conservative.lambda = 1
 	add("Basic LI with lambda 1.0 for 0.9, T = 20", "paper, 5.6: within 1%", 1, 0.02, faster,
 		periodic("basic-li", "20"), conservative)
-	access := func(p string, kv ...string) play { return q(p, append(kv, model, "on-access", delay, "10")...) }
-	least("on access, T = 10: Basic LI against k", "paper, 5.3: outperforms all", 1, 0.01, access("basic-li"),
+	access := func(p string, kv ...string) play {
+		return newPlay(p,
+			append(kv, model, "on-access", delay, "10")...)
+	}
+	atLeast("on access, T = 10: Basic LI against k", "paper, 5.3: outperforms all", 1, 0.01, access("basic-li"),
 		access("random"), access("two-choices"), access("k-choices").with(3))
 	add("on access, T = 10: LI-2 over two choices", "paper, 5.7: similar", 1, 0.08, faster,
 		access("two-choices"),
 		access("li-k").with(2))
-	least("on access, T = 10: LI-3 against k", "paper, 5.7: outperforms all k", 1, 0.01, access("li-k").with(3),
+	atLeast("on access, T = 10: LI-3 against k", "paper, 5.7: outperforms all k", 1, 0.01,
+		access("li-k").with(3),
 		access("two-choices"), access("k-choices").with(3))
 	bursty := func(p string) play { return access(p, "load.arrivals", "bursty", "load.burst", "10") }
-	least("on access, bursts of 10, T = 10: Basic LI", "paper, 5.4: best or tied", 1, 0.02, bursty("basic-li"),
+	atLeast("on access, bursts of 10, T = 10: Basic LI", "paper, 5.4: best or tied", 1, 0.02, bursty("basic-li"),
 		bursty("random"), bursty("two-choices"), bursty("k-choices").with(3))
 	steady := func(p, spread string) play {
-		return q(p, model, "continuous", delay, "10", "reports.spread", spread)
+		return newPlay(p, model, "continuous", delay, "10", "reports.spread", spread)
 	}
-	least("continuous, fixed T = 10: Basic LI against k", "paper, 5.2: as good as any", 1, 0.01,
+	atLeast("continuous, fixed T = 10: Basic LI against k", "paper, 5.2: as good as any", 1, 0.01,
 		steady("basic-li", "fixed"), steady("random", "fixed"), steady("two-choices", "fixed"))
-	least("continuous, exponential T = 10: Basic LI against k", "paper, 5.2: up to 16% behind", 1/1.16, 0.01,
+	atLeast("continuous, exponential T = 10: Basic LI against k", "paper, 5.2: up to 16% behind", 1/1.16, 0.01,
 		steady("basic-li", "exponential"), steady("random", "exponential"), steady("two-choices", "exponential"))
 	add("two choices over random at T = 100", "paper, 2: random is twice as good", 2, 0.25,
 		func(e []map[string]Estimate) Estimate {
@@ -152,7 +156,7 @@
 		}, periodic("two-choices", "100"), periodic("random", "100"))
 	add("fresh, lighter load: shortest over random", "paper, 5.1, Figure 3: nearly a factor of two", 2, 0.1,
 		faster,
-		q("stale-shortest", load, "0.5"), q("random", load, "0.5"))
+		newPlay("stale-shortest", load, "0.5"), newPlay("random", load, "0.5"))
 	return all
 }
 
@@ -170,7 +174,7 @@
 			c.Within *= 2
 		}
 		g.Go(func() error {
-			var found []map[string]Estimate
+			var estimates []map[string]Estimate
 			for _, p := range c.plays {
 				p.set["requests"], p.set["warm_up_requests"] = fmt.Sprint(requests), fmt.Sprint(requests/4)
 				figures := map[string][]float64{}
@@ -187,11 +191,11 @@
 					}
 					figures[mean] = append(figures[mean], Metrics[mean](d.Result))
 				}
-				found = append(found, map[string]Estimate{mean: Over(figures[mean])})
+				estimates = append(estimates, map[string]Estimate{mean: EstimateOf(figures[mean])})
 			}
-			e := c.what(found)
-			c.Found, c.Half = e.Mean, e.Half
-			off := c.Found/c.Expected - 1
+			e := c.combine(estimates)
+			c.Measured, c.Half = e.Mean, e.Half
+			off := c.Measured/c.Expected - 1
 			c.Holds = off >= -c.Within && (c.AtLeast || off <= c.Within)
 			return nil
 		})
@@ -213,7 +217,7 @@
 		if c.AtLeast {
 			bound = "at least, " + bound
 		}
-		fmt.Fprintf(&b, "| %s | %s | %.3f | %.3f | ±%.3f | %s | %s |\n", c.Name, c.Source, c.Expected, c.Found,
+		fmt.Fprintf(&b, "| %s | %s | %.3f | %.3f | ±%.3f | %s | %s |\n", c.Name, c.Source, c.Expected, c.Measured,
 			c.Half, bound, holds)
 	}
 	return b.String()
--- a/internal/simulation/labcli/compare.go
+++ b/internal/simulation/labcli/compare.go
@@ -18,7 +18,7 @@
 )
 
 func newCompare() *cobra.Command {
-	var o choice
+	var o playFlags
 	var metrics []string
 	c := &cobra.Command{
 		Use: "compare FILE", Short: "Tell whether two policies differ on the same days",
@@ -33,7 +33,7 @@
 				return cli.Wrong("--policy names %d, two or more are wanted", len(h.Policies))
 			}
 			for _, m := range metrics {
-				if !experiment.Known(m) {
+				if !experiment.KnownMetric(m) {
 					return cli.Wrong("--metric %q is none of %s", m, strings.Join(experiment.MetricNames(), ", "))
 				}
 			}
@@ -58,7 +58,7 @@
 		Example: "  cresshub-lab difference before.jsonl after.jsonl --metric service",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			if !experiment.Known(metric) {
+			if !experiment.KnownMetric(metric) {
 				return cli.Wrong("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
 			}
 			a, err := experiment.Read(args[0])
@@ -69,7 +69,7 @@
 			if err != nil {
 				return err
 			}
-			d := experiment.Across(a, b, metric)
+			d := experiment.PairStores(a, b, metric)
 			verdict := "a difference"
 			if d.Noise {
 				verdict = "noise"
--- a/internal/simulation/labcli/labcli.go
+++ b/internal/simulation/labcli/labcli.go
@@ -39,7 +39,7 @@
 }
 
 // choice is what the commands that play days have in common.
-type choice struct {
+type playFlags struct {
 	policies []string
 	set      []string
 	seed     uint64
@@ -52,7 +52,7 @@
 	strict   bool
 }
 
-func (o *choice) add(c *cobra.Command) {
+func (o *playFlags) add(c *cobra.Command) {
 	f := c.Flags()
 	f.StringSliceVar(&o.policies, "policy", []string{"module"},
 		"one or more of "+strings.Join(proxysim.Policies, ", ")+", or all")
@@ -69,7 +69,7 @@
 }
 
 // header checks the flags and says what experiment they name.
-func (o *choice) header(scenario string) (experiment.Header, error) {
+func (o *playFlags) header(scenario string) (experiment.Header, error) {
 	h := experiment.Header{Scenario: scenario, Set: map[string]string{}, Seed: o.seed, Repeat: o.repeat, K: o.k,
 		Lambda: o.lambda, Policies: o.policies}
 	if len(o.policies) == 1 && o.policies[0] == "all" {
@@ -96,7 +96,7 @@
 }
 
 // play plays what is missing of an experiment. Interrupted, it keeps what was finished.
-func (o *choice) play(c *cobra.Command, h experiment.Header) (*experiment.Store, error) {
+func (o *playFlags) play(c *cobra.Command, h experiment.Header) (*experiment.Store, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	s := &experiment.Store{Header: h}
@@ -110,10 +110,11 @@
 	missing := s.Missing()
 	show, end := progress(c.ErrOrStderr(), len(missing))
 	defer end()
-	err := experiment.All(ctx, h.Scenario, h.Set, missing, o.jobs, o.strict, func(d *experiment.Done) error {
-		show()
-		return s.Add(d)
-	})
+	err := experiment.PlayAll(ctx, h.Scenario, h.Set, missing, o.jobs, o.strict,
+		func(d *experiment.RunResult) error {
+			show()
+			return s.Add(d)
+		})
 	if ctx.Err() != nil {
 		where := "; with --out they would have been kept"
 		if o.out != "" {
@@ -125,7 +126,7 @@
 }
 
 func newRun() *cobra.Command {
-	var o choice
+	var o playFlags
 	var profile string
 	c := &cobra.Command{
 		Use: "run FILE", Short: "Play a scenario with one or more policies",
@@ -158,8 +159,8 @@
 			} else {
 				err = printTable(c.OutOrStdout(), s)
 			}
-			if err == nil && o.strict && len(broken(s)) > 0 {
-				return fmt.Errorf("rules were broken:\n%s", strings.Join(broken(s), "\n"))
+			if err == nil && o.strict && len(violations(s)) > 0 {
+				return fmt.Errorf("rules were broken:\n%s", strings.Join(violations(s), "\n"))
 			}
 			return err
 		},
@@ -169,7 +170,7 @@
 	return c
 }
 
-func broken(s *experiment.Store) (texts []string) {
+func violations(s *experiment.Store) (texts []string) {
 	for _, d := range s.Days {
 		texts = append(texts, d.Result.Violations...)
 	}
@@ -252,7 +253,7 @@
 			}
 		}
 		for _, m := range experiment.MetricNames() {
-			e := experiment.Over(cell.Figures(m))
+			e := experiment.EstimateOf(cell.Figures(m))
 			p.Metrics[m] = e.Mean
 			if !math.IsNaN(e.Half) {
 				p.CI[m] = e.Half
@@ -266,7 +267,7 @@
 }
 
 func newSweep() *cobra.Command {
-	var o choice
+	var o playFlags
 	var over []string
 	c := &cobra.Command{
 		Use: "sweep FILE", Short: "Play a scenario over one or two keys",
--- a/internal/simulation/labcli/rig.go
+++ b/internal/simulation/labcli/rig.go
@@ -102,7 +102,7 @@
 			if err != nil {
 				return err
 			}
-			return tellRig(c.OutOrStdout(), rep, plot, asJSON)
+			return printRig(c.OutOrStdout(), rep, plot, asJSON)
 		},
 	}
 	f := c.Flags()
@@ -116,7 +116,7 @@
 	return c
 }
 
-func tellRig(w io.Writer, rep *clusterrig.Report, plot string, asJSON bool) error {
+func printRig(w io.Writer, rep *clusterrig.Report, plot string, asJSON bool) error {
 	if plot != "" {
 		f, err := os.Create(plot)
 		if err != nil {
--- a/internal/simulation/labcli/tools.go
+++ b/internal/simulation/labcli/tools.go
@@ -94,7 +94,7 @@
 }
 
 func newTrace() *cobra.Command {
-	var o choice
+	var o playFlags
 	var request int
 	c := &cobra.Command{
 		Use: "trace FILE", Short: "Tell one request's life",
@@ -146,7 +146,7 @@
 			}
 			for _, r := range rows {
 				if !r.Holds {
-					return fmt.Errorf("%s: found %.4g, expected %.4g", r.Name, r.Found, r.Expected)
+					return fmt.Errorf("%s: found %.4g, expected %.4g", r.Name, r.Measured, r.Expected)
 				}
 			}
 			return nil
--- a/internal/simulation/simnet/conn.go
+++ b/internal/simulation/simnet/conn.go
@@ -28,15 +28,15 @@
 	local    *net.TCPAddr
 	from, to string // IPs of this end's host and the other's
 
-	arriving      []chunk
-	arrivingBytes int
+	incoming      []chunk
+	incomingBytes int
 	closed        bool
-	broken        error         // what ended the connection from outside
+	failure       error         // what ended the connection from outside
 	changed       chan struct{} // closed at the next change of anything here
 	readDeadline  time.Time
 	writeDeadline time.Time
-	dropsUnsent   bool        // closing resets the connection
-	stalled       *time.Timer // ends the connection unless what was sent is acknowledged before
+	resetOnClose  bool        // closing resets the connection
+	ackTimer      *time.Timer // ends the connection unless what was sent is acknowledged before
 }
 
 // wake wakes all who wait on this end; the lock is held.
@@ -46,7 +46,7 @@
 }
 
 // gone tells whether the end holds no connection any more; the lock is held.
-func (c *conn) gone() bool { return c.closed || c.broken != nil }
+func (c *conn) ended() bool { return c.closed || c.failure != nil }
 
 // reaches tells whether what is sent here is acknowledged; the lock is held.
 func (c *conn) reaches() bool {
@@ -55,10 +55,10 @@
 
 // fail ends this end with an error; the lock is held.
 func (c *conn) fail(err error) {
-	if c.gone() {
+	if c.ended() {
 		return
 	}
-	c.broken = err
+	c.failure = err
 	c.release()
 }
 
@@ -77,12 +77,12 @@
 
 // release wakes all who wait here and forgets the connection once both ends are gone; the lock is held.
 func (c *conn) release() {
-	if c.stalled != nil {
-		c.stalled.Stop()
-		c.stalled = nil
+	if c.ackTimer != nil {
+		c.ackTimer.Stop()
+		c.ackTimer = nil
 	}
 	c.wake()
-	if c.peer.gone() {
+	if c.peer.ended() {
 		delete(c.network.conns, c)
 		delete(c.network.conns, c.peer)
 	}
@@ -92,32 +92,32 @@
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		c.network.mu.Lock()
-		count, wait, done, err := c.take(p)
+		count, wait, done, err := c.receive(p)
 		changed := c.changed
 		c.network.mu.Unlock()
 		if done {
 			return count, err
 		}
-		await(changed, wait)
+		waitFor(changed, wait)
 	}
 }
 
 // take reads what has arrived, or returns how long to wait for more, 0 for ever; the lock is held.
-func (c *conn) take(p []byte) (count int, wait time.Duration, done bool, err error) {
+func (c *conn) receive(p []byte) (count int, wait time.Duration, done bool, err error) {
 	now := time.Now()
 	switch {
 	case c.closed:
 		return 0, 0, true, net.ErrClosed
-	case c.broken != nil:
-		return 0, 0, true, c.broken
-	case passed(c.readDeadline, now):
+	case c.failure != nil:
+		return 0, 0, true, c.failure
+	case expired(c.readDeadline, now):
 		return 0, 0, true, os.ErrDeadlineExceeded
 	}
 	wait = until(c.readDeadline, now)
-	if len(c.arriving) == 0 || !c.network.passes(c.to, c.from) {
+	if len(c.incoming) == 0 || !c.network.passes(c.to, c.from) {
 		return 0, wait, false, nil
 	}
-	first := &c.arriving[0]
+	first := &c.incoming[0]
 	if first.due.After(now) {
 		return 0, sooner(wait, first.due.Sub(now)), false, nil
 	}
@@ -126,9 +126,9 @@
 	}
 	count = copy(p, first.bytes)
 	if first.bytes = first.bytes[count:]; len(first.bytes) == 0 {
-		c.arriving = c.arriving[1:]
+		c.incoming = c.incoming[1:]
 	}
-	c.arrivingBytes -= count
+	c.incomingBytes -= count
 	c.peer.wake()
 	return count, 0, true, nil
 }
@@ -146,7 +146,7 @@
 		if done {
 			return len(p), nil
 		}
-		await(changed, wait)
+		waitFor(changed, wait)
 	}
 }
 
@@ -156,20 +156,20 @@
 	switch {
 	case c.closed:
 		return 0, false, net.ErrClosed
-	case c.broken != nil:
-		return 0, false, c.broken
-	case passed(c.writeDeadline, now):
+	case c.failure != nil:
+		return 0, false, c.failure
+	case expired(c.writeDeadline, now):
 		return 0, false, os.ErrDeadlineExceeded
 	case c.network.faulty(c.from, c.to, Refuse) || c.network.faulty(c.from, c.to, Reset):
 		c.peer.fail(errReset)
 		c.fail(errReset)
 		return 0, false, errReset
-	case c.peer.gone() && c.reaches():
+	case c.peer.ended() && c.reaches():
 		c.fail(errReset)
 		return 0, false, errReset
 	}
-	c.watchAcknowledgement()
-	if c.peer.arrivingBytes > 0 && c.peer.arrivingBytes+len(p) > window {
+	c.startAckTimer()
+	if c.peer.incomingBytes > 0 && c.peer.incomingBytes+len(p) > window {
 		return until(c.writeDeadline, now), false, nil
 	}
 	c.peer.arrive(append([]byte{}, p...), now.Add(c.network.delay(c.from, c.to)))
@@ -178,21 +178,21 @@
 
 // arrive queues bytes, nil for the end of the stream, behind those that were sent before; the lock is held.
 func (c *conn) arrive(bytes []byte, due time.Time) {
-	c.arriving = append(c.arriving, chunk{bytes, due})
-	c.arrivingBytes += len(bytes)
+	c.incoming = append(c.incoming, chunk{bytes, due})
+	c.incomingBytes += len(bytes)
 	c.wake()
 }
 
-// watchAcknowledgement ends the connection after a while in which nothing that it sends is acknowledged; the
+// startAckTimer ends the connection after a while in which nothing that it sends is acknowledged; the
 // lock is held.
-func (c *conn) watchAcknowledgement() {
-	if c.stalled != nil || c.reaches() {
+func (c *conn) startAckTimer() {
+	if c.ackTimer != nil || c.reaches() {
 		return
 	}
-	c.stalled = time.AfterFunc(userTimeout, func() {
+	c.ackTimer = time.AfterFunc(userTimeout, func() {
 		c.network.mu.Lock()
 		defer c.network.mu.Unlock()
-		c.stalled = nil
+		c.ackTimer = nil
 		if !c.reaches() {
 			c.fail(errTimedOut)
 		}
@@ -206,12 +206,12 @@
 	if c.closed {
 		return nil
 	}
-	if c.dropsUnsent {
-		c.dropHeld()
+	if c.resetOnClose {
+		c.dropInTransit()
 		c.abort()
 		return nil
 	}
-	if c.broken == nil {
+	if c.failure == nil {
 		c.peer.arrive(nil, time.Now().Add(c.network.delay(c.from, c.to)))
 	}
 	c.closed = true
@@ -223,14 +223,14 @@
 func (c *conn) SetLinger(seconds int) error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	c.dropsUnsent = seconds == 0
+	c.resetOnClose = seconds == 0
 	return nil
 }
 
-// dropHeld forgets what a fault holds up on its way to the other end; the lock is held.
-func (c *conn) dropHeld() {
+// dropInTransit forgets what a fault holds up on its way to the other end; the lock is held.
+func (c *conn) dropInTransit() {
 	if !c.network.passes(c.from, c.to) {
-		c.peer.arriving, c.peer.arrivingBytes = nil, 0
+		c.peer.incoming, c.peer.incomingBytes = nil, 0
 	}
 }
 
@@ -264,7 +264,7 @@
 	return nil
 }
 
-func passed(deadline, now time.Time) bool { return !deadline.IsZero() && !deadline.After(now) }
+func expired(deadline, now time.Time) bool { return !deadline.IsZero() && !deadline.After(now) }
 
 // until returns the time to a deadline, 0 without one.
 func until(deadline, now time.Time) time.Duration {
@@ -283,12 +283,12 @@
 }
 
 // await waits for a change, and for so long at most unless that is 0.
-func await(changed <-chan struct{}, most time.Duration) {
-	if most == 0 {
+func waitFor(changed <-chan struct{}, limit time.Duration) {
+	if limit == 0 {
 		<-changed
 		return
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/internal/simulation/simnet/network.go
+++ b/internal/simulation/simnet/network.go
@@ -14,23 +14,23 @@
 
 // The faults of a direction.
 const (
-	None   Fault = iota
-	Silent       // nothing arrives; TCP sends it again, so that it arrives if the fault ends in time
-	Refuse       // new connections are refused, and old ones end with a reset when they are used
-	Reset        // connections open, and end with a reset when they are used
+	None      Fault = iota
+	Blackhole       // nothing arrives; TCP sends it again, so that it arrives if the fault ends in time
+	Refuse          // new connections are refused, and old ones end with a reset when they are used
+	Reset           // connections open, and end with a reset when they are used
 )
 
 const (
 	// defaultDelay is how long what is sent takes to the other host.
 	defaultDelay = 400 * time.Microsecond
 	// retransmission is the time between two attempts to open a connection.
-	retransmission = time.Second
+	retransmitInterval = time.Second
 	// userTimeout ends a connection whose other host acknowledges nothing.
 	userTimeout = 2 * time.Second
 	// window bounds the bytes on their way in one direction of a connection.
 	window = 256 << 10
 	// backlog bounds the connections that wait to be accepted.
-	backlog       = 128
+	maxBacklog    = 128
 	firstFreePort = 32768
 )
 
@@ -78,7 +78,7 @@
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.down = down
-	h.network.settle()
+	h.network.faultsChanged()
 }
 
 // SetFault sets the fault of each direction from one of some hosts to one of others.
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	n.settle()
+	n.faultsChanged()
 }
 
 // SetDelay sets how long what is sent takes from one of some hosts to one of others.
@@ -111,14 +111,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.faults)
-	n.settle()
+	n.faultsChanged()
 }
 
 // passes tells whether what is sent in a direction arrives; the lock is held.
 func (n *Network) passes(from, to string) bool {
 	source, target := n.hosts[from], n.hosts[to]
 	return source != nil && target != nil && !source.down && !target.down &&
-		n.faults[direction{from, to}] != Silent
+		n.faults[direction{from, to}] != Blackhole
 }
 
 // faulty tells whether either direction between two hosts has a fault; the lock is held.
@@ -136,9 +136,9 @@
 
 // settle wakes all who wait for data, and ends the connections whose lost data is answered by a reset now
 // that it arrives; the lock is held.
-func (n *Network) settle() {
+func (n *Network) faultsChanged() {
 	for c := range n.conns {
-		if c.stalled != nil && c.peer.gone() && c.reaches() {
+		if c.ackTimer != nil && c.peer.ended() && c.reaches() {
 			c.fail(errReset)
 		}
 		c.wake()
@@ -152,6 +152,6 @@
 func (n *Network) Reaches(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	whole := n.faults[direction{a, b}] == None && n.faults[direction{b, a}] == None
-	return whole && n.passes(a, b) && n.passes(b, a)
+	faultless := n.faults[direction{a, b}] == None && n.faults[direction{b, a}] == None
+	return faultless && n.passes(a, b) && n.passes(b, a)
 }
--- a/internal/simulation/simnet/process.go
+++ b/internal/simulation/simnet/process.go
@@ -26,7 +26,7 @@
 	p.dead = true
 	for _, l := range p.host.listeners {
 		if l.process == p {
-			l.shut()
+			l.stop()
 		}
 	}
 	for c := range n.conns {
@@ -46,13 +46,13 @@
 	if err != nil {
 		return nil, err
 	}
-	for left := timeout; left > 0; left -= retransmission {
+	for left := timeout; left > 0; left -= retransmitInterval {
 		c, answered, err := p.connect(ip, port)
 		if answered {
 			time.Sleep(p.host.network.roundTrip(p.host.ip, ip))
 			return c, err
 		}
-		time.Sleep(min(left, retransmission))
+		time.Sleep(min(left, retransmitInterval))
 	}
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(ip, port), Err: os.ErrDeadlineExceeded}
 }
@@ -78,7 +78,7 @@
 		return nil, false, nil
 	}
 	l := n.hosts[ip].listeners[port]
-	if l == nil || len(l.waiting) == backlog {
+	if l == nil || len(l.backlog) == maxBacklog {
 		return nil, true, refused
 	}
 	n.lastPort++
@@ -87,7 +87,7 @@
 	near.peer, far.peer = far, near
 	near.changed, far.changed = make(chan struct{}), make(chan struct{})
 	n.conns[near], n.conns[far] = struct{}{}, struct{}{}
-	l.waiting <- far
+	l.backlog <- far
 	return near, true, nil
 }
 
@@ -110,7 +110,7 @@
 	if p.host.listeners[port] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: address(p.host.ip, port), Err: syscall.EADDRINUSE}
 	}
-	l := &listener{process: p, port: port, waiting: make(chan *conn, backlog), closed: make(chan struct{})}
+	l := &listener{process: p, port: port, backlog: make(chan *conn, maxBacklog), closed: make(chan struct{})}
 	p.host.listeners[port] = l
 	return l, nil
 }
@@ -119,15 +119,15 @@
 type listener struct {
 	process *Process
 	port    int
-	waiting chan *conn
+	backlog chan *conn
 	closed  chan struct{}
-	shutOff bool // guarded by the network's lock
+	stopped bool // guarded by the network's lock
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.waiting:
+	case c := <-l.backlog:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -139,7 +139,7 @@
 	n := l.process.host.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l.shut()
+	l.stop()
 	return nil
 }
 
@@ -147,16 +147,16 @@
 func (l *listener) Addr() net.Addr { return address(l.process.host.ip, l.port) }
 
 // shut ends the listener and resets what nobody has accepted; the lock is held.
-func (l *listener) shut() {
-	if l.shutOff {
+func (l *listener) stop() {
+	if l.stopped {
 		return
 	}
-	l.shutOff = true
+	l.stopped = true
 	close(l.closed)
 	delete(l.process.host.listeners, l.port)
 	for {
 		select {
-		case c := <-l.waiting:
+		case c := <-l.backlog:
 			c.abort()
 		default:
 			return
--- a/internal/simulation/simnet/simnet_test.go
+++ b/internal/simulation/simnet/simnet_test.go
@@ -64,15 +64,15 @@
 	})
 }
 
-func TestSilenceHoldsUpAndThenEnds(t *testing.T) {
+func TestBlackholeDelaysAndThenEnds(t *testing.T) {
 	inBubble(t, func(c *qt.C) {
 		n, a, _, near, far := pair(c)
-		n.SetFault([]string{"10.0.0.1"}, []string{"10.0.0.2"}, Silent)
+		n.SetFault([]string{"10.0.0.1"}, []string{"10.0.0.2"}, Blackhole)
 		near.Write([]byte("held"))
 		time.Sleep(time.Second)
 		n.Heal()
 		c.Assert(read(c, far), qt.Equals, "held")
-		n.SetFault([]string{"10.0.0.2"}, []string{"10.0.0.1"}, Silent)
+		n.SetFault([]string{"10.0.0.2"}, []string{"10.0.0.1"}, Blackhole)
 		near.Write([]byte("unacknowledged"))
 		c.Assert(read(c, far), qt.Equals, "unacknowledged")
 		_, err := near.Read(make([]byte, 1))
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestDeadProcessResetsAndDeadHostIsSilent(t *testing.T) {
+func TestDeadProcessResetsAndDeadHostTimesOut(t *testing.T) {
 	inBubble(t, func(c *qt.C) {
 		n, a, b, near, _ := pair(c)
 		b.Kill()
