--- a/internal/simulation/agentsim/absence.go
+++ b/internal/simulation/agentsim/absences.go
@@ -13,9 +13,9 @@
 	newServerTime = 2 * time.Second
 )
 
-// Absences are the times in which machines did not know servers that called and that they reached.
+// Absences watches for times in which machines did not know servers that were serving and that they reached.
 type Absences struct {
-	Tolerated time.Duration // shorter absences are passed over
+	Tolerated time.Duration // shorter absences are ignored
 
 	fleet    *Fleet
 	relevant func(*Machine, *Server) bool
@@ -26,13 +26,13 @@
 	total    time.Duration // over all pairs of a machine and a server
 }
 
-// absence is a machine that does not know a server.
+// absence is a pair of a machine and a server that it does not know.
 type absence struct{ machine, server string }
 
-// Everywhere has a watch look at all machines and servers.
+// Everywhere has a watch cover all machines and servers.
 func Everywhere(*Machine, *Server) bool { return true }
 
-// WatchAbsences begins to look at the tables of the machines that run, for some machines and servers.
+// WatchAbsences begins to poll the server tables of the machines that run, for the relevant pairs.
 func (f *Fleet) WatchAbsences(about func(*Machine, *Server) bool) *Absences {
 	a := &Absences{fleet: f, relevant: about, stop: make(chan struct{}), ended: make(chan struct{}),
 		open: map[absence]time.Duration{}}
@@ -40,7 +40,7 @@
 	return a
 }
 
-// Stop ends the watch and returns the absences, a line each, and their sum.
+// Stop ends the watch and returns the absences, a line each, and their total duration.
 func (a *Absences) Stop() (string, time.Duration) {
 	close(a.stop)
 	<-a.ended
--- a/internal/simulation/agentsim/eventlog.go
+++ b/internal/simulation/agentsim/eventlog.go
@@ -11,7 +11,8 @@
 // maxLines bounds the log; the oldest lines go first.
 const maxLines = 600
 
-// eventLog keeps the last lines that the processes and the test wrote, and who marked servers as lost.
+// eventLog retains the latest lines of the logs of the processes and the test, and which servers were marked
+// as lost though they were serving.
 type eventLog struct {
 	fleet *Fleet
 
@@ -20,7 +21,7 @@
 	lost  []lostReport // bounded by the length of a test
 }
 
-// lostReport tells that a machine marked a server as lost that was calling and that it reached.
+// lostReport is that a machine marked a server as lost that was serving and that it reached.
 type lostReport struct {
 	at                      time.Duration
 	machine, server, reason string
@@ -40,7 +41,8 @@
 	return strings.Join(l.lines, "\n")
 }
 
-// take takes a line of a machine's log.
+// addLogLine adds a line of a machine's log, and records where it says that a serving server was marked as
+// lost.
 func (l *eventLog) addLogLine(machine *Machine, line []byte) {
 	l.add(machine.Name + ": " + strings.TrimSpace(string(line)))
 	var event struct{ ID, Message, Reason string }
@@ -55,6 +57,7 @@
 	}
 }
 
+// lostSince returns the reports since a time, a line each.
 func (l *eventLog) lostSince(since time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +77,7 @@
 	process *process
 }
 
-// Write implements io.Writer. What a killed process still writes is dropped.
+// Write implements io.Writer. What a killed process still writes is discarded.
 func (w *machineLog) Write(line []byte) (int, error) {
 	if !w.process.dead.Load() {
 		w.machine.fleet.log.addLogLine(w.machine, line)
--- a/internal/simulation/agentsim/fleet.go
+++ b/internal/simulation/agentsim/fleet.go
@@ -22,14 +22,14 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats of a server.
 	HeartbeatInterval = time.Second
-	// startSpread is within what time the machines start together.
+	// startSpread is the time within which machines that start together start.
 	startSpread = 300 * time.Millisecond
 	// seedCount is how many seeds a settings file names.
 	seedCount = 3
-	// pollInterval is how often an Await looks.
+	// pollInterval is the time between two checks of a condition by Await.
 	pollInterval = 20 * time.Millisecond
 	zoneCount    = 3
-	// goroutineGrace is within what time all goroutines of a process have ended after it.
+	// goroutineGrace is the time within which the goroutines of a process end after it.
 	goroutineGrace = 5 * time.Second
 )
 
@@ -37,13 +37,13 @@
 type Options struct {
 	Disks   int   // machines with a disk
 	Others  int   // machines without one
-	Servers int   // that call from the start
-	Seed    int64 // of whatever is drawn at random
-	Stages  bool  // servers take orders, and all read at first
-	Fenced  bool  // servers check fences
+	Servers int   // that serve from the start
+	Seed    int64 // of all random choices
+	Stages  bool  // servers take stage orders; all are in the prefill stage at first
+	Fenced  bool  // servers check fencing tokens
 }
 
-// Fleet is a fleet and the parties around it.
+// Fleet is a fleet of machines with its servers and operators.
 type Fleet struct {
 	TB       testing.TB
 	Options  Options
@@ -52,20 +52,21 @@
 	Servers  []*Server
 	Random   *rand.Rand // of the goroutine of the test
 
-	mu sync.Mutex // guards Machines and Servers where others than the goroutine of the test read them
+	mu sync.Mutex // guards Machines and Servers where other goroutines than the test's read them
 
 	began   time.Time
 	folder  string // of all disks
 	log     *eventLog
 	done    chan struct{}  // closed when servers and operators are to end
 	parties sync.WaitGroup // servers
-	// processes are those of machines, ended ones included until their goroutines have ended.
+	// processes are those of machines, until all of their goroutines have ended.
 	processes sync.WaitGroup
 }
 
-// New starts a fleet for the first time, with servers, and waits until all machines know them and the view.
-// It is called in a bubble of synctest.Test with that bubble's t, whose cleanup ends the fleet.
+// New starts a fleet for the first time, with servers, and waits until it has converged. It is called in a
+// bubble of synctest.Test with the test of that bubble, whose cleanup ends the fleet.
 func New(tb testing.TB, options Options) *Fleet {
+	tb.Helper()
 	f := &Fleet{TB: tb, Options: options, Network: simnet.New(), Random: rand.New(rand.NewSource(options.Seed)),
 		began: time.Now(), done: make(chan struct{}), folder: tb.TempDir()}
 	f.log = &eventLog{fleet: f}
@@ -77,17 +78,17 @@
 		f.AddServer(fmt.Sprintf("server-%02d", i))
 	}
 	f.StartTogether(f.Machines, true)
-	f.Await("the fleet is whole at first", 6*time.Second, f.Converged)
+	f.Await("the fleet converges at first", 6*time.Second, f.Converged)
 	return f
 }
 
-// Close ends all parties, and shows the log where the test has failed.
+// Close ends all processes and servers, and logs the events where the test has failed.
 func (f *Fleet) Close() {
 	close(f.done)
 	f.parties.Wait()
 	f.kill(f.Machines...)
 	f.processes.Wait()
-	time.Sleep(goroutineGrace) // goroutines of the processes look at the clock before they end
+	time.Sleep(goroutineGrace) // goroutines of the processes end at their next timer
 	if f.TB.Failed() {
 		f.TB.Log(f.log.String())
 	}
@@ -115,8 +116,8 @@
 	f.log.add("test: " + fmt.Sprintf(format, values...))
 }
 
-// Await looks until a condition holds, which returns "" then and else what is missing. The test ends where it
-// does not hold in time. It returns how long that took.
+// Await polls a condition, which returns what is missing, until that is "". The test fails where that takes
+// longer than a duration. It returns how long it took.
 func (f *Fleet) Await(what string, within time.Duration, condition func() string) time.Duration {
 	f.TB.Helper()
 	began := time.Now()
@@ -133,7 +134,7 @@
 	}
 }
 
-// StartTogether starts machines in any order within a short while.
+// StartTogether starts machines in random order within startSpread.
 func (f *Fleet) StartTogether(machines []*Machine, first bool) {
 	offsets := make([]time.Duration, len(machines))
 	for i := range offsets {
@@ -164,11 +165,11 @@
 	return slices.DeleteFunc(f.allMachines(), func(m *Machine) bool { return !m.Runs() })
 }
 
-// Converged returns "" where all running machines agree on the view, know the newest configuration that any
-// of them knows, and know all servers that call, and no others, as ready.
+// Converged returns "" where all running machines agree on the view, have the newest configuration that any
+// of them has, and know exactly the servers that serve as ready; otherwise what is missing.
 func (f *Fleet) Converged() string { return f.Agree(f.Running()) }
 
-// Agree is Whole for some machines.
+// Agree is Converged for some machines.
 func (f *Fleet) Agree(machines []*Machine) string {
 	epoch, version := int64(0), int64(0)
 	for _, m := range machines {
@@ -191,6 +192,7 @@
 	return ""
 }
 
+// without returns those of all that are not left out.
 func without(all, left []string) []string {
 	return slices.DeleteFunc(slices.Clone(all), func(one string) bool { return slices.Contains(left, one) })
 }
@@ -204,28 +206,28 @@
 	return ips
 }
 
-// Except returns the machines of the fleet but for some.
+// Except returns the machines of the fleet without some.
 func (f *Fleet) Except(left ...*Machine) []*Machine {
 	return slices.DeleteFunc(slices.Clone(f.Machines), func(m *Machine) bool { return slices.Contains(left, m) })
 }
 
-// Cut cuts hosts off from others, both ways.
+// Partition sets a fault between hosts and others, both ways.
 func (f *Fleet) Partition(from, to []string, fault simnet.Fault) {
 	f.Logf("cut %v from %v: %d", from, to, fault)
 	f.Network.SetFault(from, to, fault)
 	f.Network.SetFault(to, from, fault)
 }
 
-// Heal ends all cuts.
+// Heal ends all faults of the network.
 func (f *Fleet) Heal() {
 	f.Logf("heal")
 	f.Network.Heal()
 }
 
-// MarkedLost returns who marked live servers as lost since a time, a line each.
+// MarkedLost returns which serving servers were marked as lost since a time, a line each.
 func (f *Fleet) MarkedLost(since time.Duration) []string { return f.log.lostSince(since) }
 
-// CheckNoneLost fails the test where a server that calls was marked as lost since a time.
+// CheckNoneLost fails the test where a serving server was marked as lost since a time.
 func (f *Fleet) CheckNoneLost(since time.Duration) {
 	f.TB.Helper()
 	if lost := f.MarkedLost(since); len(lost) > 0 {
--- a/internal/simulation/agentsim/history.go
+++ b/internal/simulation/agentsim/history.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// History is what operators asked and were told, as their calls began and ended. It is as long as its test.
+// History records the calls of operators with the times of their begin and end. Its length is bounded by that
+// of the test. It is safe for concurrent use.
 type History struct {
 	mu        sync.Mutex
 	operators int
@@ -15,18 +16,20 @@
 	gets      []*getCall
 }
 
-// span is when a call began and ended; ended is 0 while it runs.
+// callRecord is what all calls have in common. ended is 0 while a call is under way.
 type callRecord struct {
 	machine      string
 	began, ended time.Duration
 	status       int // 0 where no answer came
 }
 
+// putCall is a call that sends a change.
 type putCall struct {
 	callRecord
 	change Change
 }
 
+// getCall is a call that reads the configuration.
 type getCall struct {
 	callRecord
 	version, variant int64
@@ -73,8 +76,8 @@
 	return newest
 }
 
-// Check returns what contradicts the rules, a line each: of one register that changes by compare-and-set,
-// whose changes may be sent again. The last reads must have come after all changes.
+// Check returns the violations of a linearizable register with compare-and-set whose changes may be sent
+// again, a line each. The last reads must come after all changes.
 func (h *History) Check() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,7 +86,7 @@
 	return append(violations, h.checkRejections(committed)...)
 }
 
-// taken returns the changes that were in force at some time, by version: those acknowledged or read.
+// committed returns the changes that were in force at some time, by version: those acknowledged or read.
 func (h *History) committed() (map[int64]Change, []string) {
 	var violations []string
 	committed := map[int64]Change{}
@@ -115,7 +118,7 @@
 	return committed, append(violations, h.checkSuccession(committed)...)
 }
 
-// checkSuccession checks that no acknowledged change was passed over by a later one.
+// checkSuccession checks that each committed change builds on the one before it, so that none is lost.
 func (h *History) checkSuccession(committed map[int64]Change) []string {
 	var violations []string
 	var versions []int64
@@ -158,7 +161,7 @@
 	return violations
 }
 
-// checkRejections checks that no change was refused that was taken, whenever that was, or that built on the
+// checkRejections checks that no change was rejected that was committed at any time, or that built on the
 // newest one that anybody may have sent by then.
 func (h *History) checkRejections(committed map[int64]Change) []string {
 	var violations []string
@@ -180,7 +183,7 @@
 	return violations
 }
 
-// rivalled tells whether another change above the refused one's base was sent before the refusal.
+// hasCompetitor reports whether another change above the rejected one's base was sent before the rejection.
 func (h *History) hasCompetitor(rejected *putCall) bool {
 	for _, other := range h.puts {
 		if other.change != rejected.change && other.change.Version > rejected.change.Base &&
--- a/internal/simulation/agentsim/hunt_test.go
+++ b/internal/simulation/agentsim/hunt_test.go
@@ -21,12 +21,12 @@
 
 const (
 	huntRounds = 6
-	// maxHuntInterval is the most time between two troubles that count.
+	// maxHuntInterval is the longest time between two faults that count.
 	maxHuntInterval = 3 * time.Second
 )
 
-// hunt draws troubles at random: one machine that keeps the configuration at a time, as tolerated, together
-// with any of the others.
+// hunt draws faults at random: of one member of the chain at a time, as tolerated, together with any of the
+// other machines.
 type hunt struct {
 	f       *Fleet
 	random  *rand.Rand
@@ -35,7 +35,7 @@
 }
 
 // TestHunt strikes a fleet at random while an operator changes the configuration: nothing that was
-// acknowledged is lost or refused, changes go on, and all agree soon after each trouble.
+// acknowledged is lost or rejected, changes go on, and all agree soon after each fault.
 func TestHunt(t *testing.T) {
 	for seed := *huntFirst; seed < *huntFirst+*huntSeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -46,6 +46,7 @@
 }
 
 func runHunt(t *testing.T, seed int64) {
+	t.Helper()
 	f := New(t, Options{Disks: 3, Others: 5, Servers: 10, Seed: seed})
 	h := &hunt{f: f, random: rand.New(rand.NewSource(seed))}
 	operator := f.AddOperator(&h.history)
@@ -64,7 +65,7 @@
 		<-stopped
 		f.Await("all agree", agreeTime, f.Converged)
 		time.Sleep(Bounds().CatchUp + h.randomUpTo(maxHuntInterval))
-		qt.Check(t, f.Converged(), qt.Equals, "", qt.Commentf("trouble at %v", since))
+		qt.Check(t, f.Converged(), qt.Equals, "", qt.Commentf("fault at %v", since))
 	}
 	h.change(operator, false)
 	for _, m := range f.Running() {
@@ -75,7 +76,7 @@
 	qt.Check(t, strings.Join(h.history.Check(), "\n"), qt.Equals, "")
 }
 
-// some returns a time up to a bound.
+// randomUpTo draws a duration below a bound.
 func (h *hunt) randomUpTo(bound time.Duration) time.Duration {
 	return time.Duration(h.random.Int63n(int64(bound)))
 }
@@ -133,7 +134,7 @@
 	m.Start(false)
 }
 
-// partitionMember cuts a member off, with some others or alone, from all or from members, in one direction or
+// partitionMember isolates a member, with some others or alone, from all or from members, in one direction or
 // both.
 func (h *hunt) partitionMember() {
 	near := []*Machine{h.member()}
@@ -155,7 +156,7 @@
 	h.f.Heal()
 }
 
-// herd ends all machines at once, at times with the loss of a disk.
+// restartAll kills all machines at once, at times with the loss of a disk, and starts them again.
 func (h *hunt) restartAll() {
 	time.Sleep(h.randomUpTo(time.Second))
 	if h.random.Intn(2) == 0 {
@@ -172,7 +173,7 @@
 	h.f.StartTogether(h.f.Machines, false)
 }
 
-// restartAllWithOtherSeeds is a herd after the settings files have come to name other seeds.
+// restartAllWithOtherSeeds is restartAll after the settings files have come to name other seeds.
 func (h *hunt) restartAllWithOtherSeeds() {
 	h.f.SetSeeds(otherSeeds(h.f)...)
 	h.restartAll()
--- a/internal/simulation/agentsim/machine.go
+++ b/internal/simulation/agentsim/machine.go
@@ -27,7 +27,7 @@
 
 	fleet   *Fleet
 	host    *simnet.Host
-	disk    string                  // folder; each process gets a copy of what the one before left
+	disk    string                  // folder; each process starts with a copy of its predecessor's
 	runs    int                     // processes started
 	process atomic.Pointer[process] // nil before the first start and after a kill
 }
@@ -68,7 +68,7 @@
 	return m
 }
 
-// SetSeeds writes the seeds into all settings files; processes read them at their start or when told.
+// SetSeeds writes the seeds into all settings files; processes read them at their start or on Reload.
 func (f *Fleet) SetSeeds(machines ...*Machine) {
 	var seeds []string
 	for _, m := range machines {
@@ -85,12 +85,13 @@
 // Node returns the process that runs.
 func (m *Machine) Node() *agent.Agent { return m.process.Load().node }
 
-// Runs tells whether a process runs.
+// Runs reports whether a process runs that is not stopping.
 func (m *Machine) Runs() bool {
 	p := m.process.Load()
 	return p != nil && !p.stopped.Load()
 }
 
+// settings returns the content of the machine's settings file.
 func (m *Machine) settings(first bool) *agentsettings.Settings {
 	s := &agentsettings.Settings{
 		Name: m.Name, Role: "router", IP: m.IP, Zone: m.Zone, Region: "home", Control: m.Control(),
@@ -106,7 +107,7 @@
 	return s
 }
 
-// Bounds are the figures of the rules, as the settings files give them by default.
+// Bounds are the time limits and the like that settings files give by default.
 func Bounds() agentsettings.Bounds {
 	return agentsettings.Bounds{
 		SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Touch: 3 * time.Second, Ack: 4 * time.Second,
@@ -116,7 +117,7 @@
 	}
 }
 
-// Start gives the machine power and starts its process.
+// Start gives the machine power and starts its process; first permits it to bootstrap the fleet.
 func (m *Machine) Start(first bool) {
 	m.fleet.TB.Helper()
 	m.nextDisk()
@@ -143,7 +144,7 @@
 	})
 }
 
-// nextDisk copies the disk for the next process, so that nothing that the one before still does reaches it.
+// nextDisk copies the disk for the next process, so that no late write of its predecessor reaches it.
 func (m *Machine) nextDisk() {
 	if !m.HasDisk {
 		return
@@ -165,7 +166,7 @@
 // Kill ends the process at once, and its connections are reset. Its disk stays as it is now.
 func (m *Machine) Kill() { m.fleet.kill(m) }
 
-// PowerOff ends the process and takes the machine off the network, so that others hear nothing of its end.
+// PowerOff ends the process and takes the machine off the network, so that its connections are not reset.
 func (m *Machine) PowerOff() {
 	m.host.SetDown(true)
 	m.Kill()
@@ -182,7 +183,7 @@
 // KillAll is Kill at the same moment for some machines.
 func (f *Fleet) KillAll(machines []*Machine) { f.kill(machines...) }
 
-// kill waits until nobody is in the middle of anything, so that no file is half written, and ends processes.
+// kill waits until all goroutines block, so that no write to a file is under way, and ends processes.
 func (f *Fleet) kill(machines ...*Machine) {
 	synctest.Wait()
 	for _, m := range machines {
@@ -201,7 +202,7 @@
 	}
 }
 
-// freezeDisk keeps what is on the disk now for the next process.
+// freezeDisk retains the present content of the disk for the next process.
 func (m *Machine) freezeDisk() {
 	if m.HasDisk {
 		m.nextDisk()
--- a/internal/simulation/agentsim/operator.go
+++ b/internal/simulation/agentsim/operator.go
@@ -17,11 +17,11 @@
 
 const (
 	serviceName = "model"
-	// baseTimeout is the timeout of the one route, to which a change's mark is added.
+	// baseTimeout is the timeout of the one route in ms, to which a change's variant is added.
 	baseTimeout = 5000
 )
 
-// Change is a change of the configuration. Two of one version differ by their marks.
+// Change is a change of the configuration. Two changes to one version differ by their variants.
 type Change struct {
 	Base, Version int64
 	Variant       int64
@@ -45,7 +45,7 @@
 		TimeoutMs: baseTimeout + c.Variant, TargetMs: 500, Service: serviceName, Tries: 2}
 }
 
-// isPatch tells whether a change is sent as a patch: every second one, so that both kinds meet on one base.
+// isPatch reports whether a change is sent as a patch: every second one, so that both kinds meet on one base.
 func (c Change) isPatch() bool { return c.Base > 0 && (c.Version+c.Variant)%2 == 0 }
 
 // patchDocument is a patch as an operator sends it.
@@ -56,7 +56,7 @@
 	} `json:"deliver"`
 }
 
-// call returns the call by which a change is asked for.
+// call returns the operator's call for a change.
 func (f *Fleet) call(c Change) controlclient.Call {
 	header := http1.Header{{Name: "If-Match", Value: strconv.FormatInt(c.Base, 10)},
 		{Name: "Content-Type", Value: "application/json"}}
@@ -71,6 +71,7 @@
 	return call
 }
 
+// encode returns a document as JSON.
 func (f *Fleet) encode(document any) []byte {
 	body, err := json.Marshal(document)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return body
 }
 
-// variantOf returns the mark of the change that a document is of.
+// variantOf returns the version and the variant of the change that a document results from.
 func variantOf(body []byte) (version, mark int64, err error) {
 	var d routerstandin.Document
 	if err := json.Unmarshal(body, &d); err != nil {
@@ -99,7 +100,7 @@
 	random *rand.Rand
 }
 
-// AddOperator adds an operator that notes its calls in a history.
+// AddOperator adds an operator that records its calls in a history.
 func (f *Fleet) AddOperator(history *History) *Operator {
 	history.operators++
 	ip := fmt.Sprintf("10.2.0.%d", history.operators)
@@ -120,20 +121,20 @@
 	return status
 }
 
-// PutUntil sends a change to machine after machine until one gives a clear answer, 200 or 412, which it
-// returns, or so much time has passed, in which case it returns 0. Each answer may be lost on its way by a
-// chance; the change is then sent again.
+// PutUntil sends a change to one machine after the other until one answers 200 or 412, which it returns, or a
+// duration has passed, in which case it returns 0. Each answer is lost with a probability; the change is then
+// sent again.
 func (o *Operator) PutUntil(machines []*Machine, c Change, within time.Duration, loss float64) int {
 	until := o.fleet.Now() + within
-	pause := 50 * time.Millisecond
+	backoff := 50 * time.Millisecond
 	for o.fleet.Now() < until {
 		for _, m := range o.shuffled(machines) {
 			status := o.Put(m, c)
 			if (status == 200 || status == 412) && !o.chance(loss) {
 				return status
 			}
-			time.Sleep(pause)
-			pause = min(pause*2, 400*time.Millisecond)
+			time.Sleep(backoff)
+			backoff = min(backoff*2, 400*time.Millisecond)
 			if o.fleet.Now() >= until {
 				return 0
 			}
--- a/internal/simulation/agentsim/orders_test.go
+++ b/internal/simulation/agentsim/orders_test.go
@@ -13,7 +13,7 @@
 	"cresshub/internal/simulation/simnet"
 )
 
-// orderFaults are what befalls whoever holds the duty of giving stages; each lasts for some seconds.
+// orderFaults are the faults of the lease holder that assigns stages; each lasts for some seconds.
 var orderFaults = []struct {
 	name   string
 	strike func(f *Fleet, holder *Machine)
@@ -24,20 +24,20 @@
 		<-holder.Terminate()
 		holder.Start(false)
 	}},
-	{"cut from members", func(f *Fleet, holder *Machine) {
+	{"isolated from members", func(f *Fleet, holder *Machine) {
 		f.partitionFor(8*time.Second, holder, otherMembers(f, holder))
 	}},
-	{"cut from machines", func(f *Fleet,
+	{"isolated from machines", func(f *Fleet,
 		holder *Machine) {
 		f.partitionFor(8*time.Second, holder, f.Except(holder))
 	}},
-	{"short cuts", func(f *Fleet, holder *Machine) {
+	{"short partitions", func(f *Fleet, holder *Machine) {
 		for range 3 {
 			f.partitionFor(1200*time.Millisecond, holder, otherMembers(f, holder))
 			time.Sleep(900 * time.Millisecond)
 		}
 	}},
-	{"herd", func(f *Fleet, _ *Machine) {
+	{"all machines", func(f *Fleet, _ *Machine) {
 		f.PowerOffAll(f.Machines)
 		time.Sleep(downTime)
 		f.StartTogether(f.Machines, false)
@@ -53,23 +53,23 @@
 	m.Start(false)
 }
 
-// partitionFor cuts a machine off from others for a while. Servers hear of it all the time.
+// partitionFor isolates a machine from others for a while. Servers reach it all the time.
 func (f *Fleet) partitionFor(duration time.Duration, m *Machine, others []*Machine) {
 	f.Partition(IPs(m), IPs(others...), simnet.Blackhole)
 	time.Sleep(duration)
 	f.Heal()
 }
 
-// TestOneLeaseHolderAssignsStages strikes whoever holds the duty, time and again, while servers need orders:
-// orders to one server never come from two machines under one fence, never under a lower fence after a higher
-// one, and never from two machines within the lease.
+// TestOneLeaseHolderAssignsStages injects faults of the lease holder, time and again, while servers need
+// orders: orders to one server never come from two machines under one fencing token, never under a lower
+// token after a higher one, and never from two machines within the lease.
 func TestOneLeaseHolderAssignsStages(t *testing.T) {
 	for _, fault := range orderFaults {
 		for _, fenced := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/fenced=%t", fault.name, fenced), func(t *testing.T) {
 				t.Parallel()
 				options := Options{Servers: 9, Seed: 5, Stages: true, Fenced: fenced}
-				inFleet(t, options, func(t *testing.T, f *Fleet) {
+				inFleet(t, options, func(f *Fleet) {
 					stop := f.disturbStages()
 					for range 5 {
 						time.Sleep(5 * time.Second)
@@ -77,8 +77,8 @@
 						time.Sleep(5 * time.Second)
 					}
 					close(stop)
-					qt.Check(t, strings.Join(f.checkOrders(), "\n"), qt.Equals, "")
-					qt.Check(t, f.orderCount() > 20, qt.IsTrue, qt.Commentf("%d orders", f.orderCount()))
+					qt.Check(f.TB, strings.Join(f.checkOrders(), "\n"), qt.Equals, "")
+					qt.Check(f.TB, f.orderCount() > 20, qt.IsTrue, qt.Commentf("%d orders", f.orderCount()))
 				})
 			})
 		}
@@ -106,7 +106,7 @@
 	return stop
 }
 
-// holder returns the machine that gave the last order, the first one before there was any.
+// leaseHolder returns the machine that gave the last order, the first machine before there was any.
 func (f *Fleet) leaseHolder() *Machine {
 	holder, last := f.Machines[0], time.Duration(0)
 	for _, s := range f.Servers {
@@ -132,8 +132,8 @@
 	return count
 }
 
-// checkOrders returns what contradicts that one machine at a time gives orders, a line each. The lease is
-// kept over all servers, though the rule is about each.
+// checkOrders returns the violations of the rule that one machine at a time gives orders, a line each. The
+// lease is checked over all servers, though the rule is about each.
 func (f *Fleet) checkOrders() []string {
 	var violations []string
 	var all []Order
@@ -150,7 +150,7 @@
 	return violations
 }
 
-// checkFences checks the orders to one server.
+// checkFences checks the fencing tokens of the orders to one server.
 func checkFences(s *Server) []string {
 	var violations []string
 	senders := map[uint64]string{}
@@ -173,9 +173,9 @@
 }
 
 // TestFencesAfterTheLossOfAllDisks starts a fleet anew, with epochs that begin at 1, between servers that
-// remember higher fences: whoever holds the duty stops or gets above them, and sends few orders in vain.
+// remember higher fences: the lease holder stops or gets above them, and sends few orders in vain.
 func TestFencesAfterTheLossOfAllDisks(t *testing.T) {
-	inFleet(t, Options{Servers: 9, Seed: 6, Stages: true, Fenced: true}, func(t *testing.T, f *Fleet) {
+	inFleet(t, Options{Servers: 9, Seed: 6, Stages: true, Fenced: true}, func(f *Fleet) {
 		stop := f.disturbStages()
 		for range 4 {
 			restart(f.leaseHolder(), false)
@@ -188,14 +188,14 @@
 		time.Sleep(downTime)
 		f.StartTogether(f.Machines, true)
 		operator := f.AddOperator(&History{operators: 1})
-		qt.Assert(t, operator.PutUntil(f.Machines, Change{0, 1, 0}, 10*time.Second, 0), qt.Equals, 200)
+		qt.Assert(f.TB, operator.PutUntil(f.Machines, Change{0, 1, 0}, 10*time.Second, 0), qt.Equals, 200)
 		began := f.Now()
 		absences := f.WatchAbsences(Everywhere)
 		absences.Tolerated = time.Second
 		time.Sleep(30 * time.Second)
 		close(stop)
 		missing, total := absences.Stop()
-		qt.Check(t, missing, qt.Equals, "", qt.Commentf("%v in all", total))
+		qt.Check(f.TB, missing, qt.Equals, "", qt.Commentf("%v in all", total))
 		refused, taken := 0, 0
 		for _, s := range f.Servers {
 			for _, order := range s.Orders() {
@@ -208,20 +208,21 @@
 				}
 			}
 		}
-		t.Logf("%d orders refused, %d taken in 30 s", refused, taken)
-		qt.Check(t, refused <= len(f.Servers)/2, qt.IsTrue, qt.Commentf("%d orders were refused", refused))
-		qt.Check(t, slices.ContainsFunc(f.Servers, func(s *Server) bool { return len(s.Orders()) > 0 }), qt.IsTrue)
+		f.TB.Logf("%d orders rejected, %d accepted in 30 s", refused, taken)
+		qt.Check(f.TB, refused <= len(f.Servers)/2, qt.IsTrue, qt.Commentf("%d orders were refused", refused))
+		qt.Check(f.TB, f.orderCount() > 0, qt.IsTrue)
 	})
 }
 
-// orderedTime is how long after an order a server may be out of service: it changes its stage, and tells so
-// with its next heartbeat.
+// orderedTime is how long after an order a server may be out of service: it switches its stage, and reports
+// that with its next heartbeat.
 const orderedTime = stageSwitch + 2*HeartbeatInterval
 
-// TestUnsentOrdersHaveNoEffect cuts the holder off from the other members while servers need orders. What it
-// planned and could not send takes no server out of service, neither during the cut nor after it.
+// TestUnsentOrdersHaveNoEffect isolates the lease holder from the other members while servers need orders.
+// What it planned and could not send takes no server out of service, neither during the partition nor after
+// it.
 func TestUnsentOrdersHaveNoEffect(t *testing.T) {
-	inFleet(t, Options{Servers: 9, Seed: 7, Stages: true, Fenced: true}, func(t *testing.T, f *Fleet) {
+	inFleet(t, Options{Servers: 9, Seed: 7, Stages: true, Fenced: true}, func(f *Fleet) {
 		time.Sleep(10 * time.Second)
 		holder := f.leaseHolder()
 		absences := f.WatchAbsences(func(_ *Machine, s *Server) bool { return !s.Ordered(orderedTime) })
@@ -231,6 +232,6 @@
 		close(stop)
 		time.Sleep(15 * time.Second)
 		missing, total := absences.Stop()
-		qt.Check(t, missing, qt.Equals, "", qt.Commentf("%v in all", total))
+		qt.Check(f.TB, missing, qt.Equals, "", qt.Commentf("%v in all", total))
 	})
 }
--- a/internal/simulation/agentsim/cut_test.go
+++ b/internal/simulation/agentsim/partition_test.go
@@ -16,24 +16,25 @@
 
 const (
 	partitionTime = 20 * time.Second
-	// agreeTime is within what time of the end of a cut all machines agree again.
+	// agreeTime is the time from the end of a fault within which all machines agree again.
 	agreeTime = 5 * time.Second
 	// changeInterval is between two changes of the operator on the side of the majority.
 	changeInterval = 400 * time.Millisecond
 )
 
-// partitionCase is a way to cut a machine that keeps the configuration off from others.
+// partitionCase is a way to isolate a machine that is a member of the chain.
 type partitionCase struct {
 	name  string
 	fault simnet.Fault
 	out   bool // what the machine sends is lost
 	in    bool // what others send to it is lost
-	// far are the machines that it is cut off from.
+	// far are the machines that it is isolated from.
 	far func(f *Fleet, member *Machine) []*Machine
-	// company says that followers, an operator and servers are cut off together with the machine.
+	// withOthers isolates followers, an operator and servers together with the machine.
 	withOthers bool
 }
 
+// otherMembers returns the machines with a disk but for one.
 func otherMembers(f *Fleet, member *Machine) []*Machine {
 	return slices.DeleteFunc(slices.Clone(f.WithDisk(true)), func(m *Machine) bool { return m == member })
 }
@@ -49,11 +50,11 @@
 	{name: "inward", in: true, fault: simnet.Blackhole, far: otherMachines},
 	{name: "outward to members", out: true, fault: simnet.Blackhole, far: otherMembers},
 	{name: "inward from members", in: true, fault: simnet.Blackhole, far: otherMembers},
-	{name: "with company", out: true, in: true, fault: simnet.Blackhole, far: otherMachines, withOthers: true},
+	{name: "with others", out: true, in: true, fault: simnet.Blackhole, far: otherMachines, withOthers: true},
 }
 
-// TestMemberPartitioned cuts off each machine that keeps the configuration in turn; one of them is the head
-// of the chain, one its tail.
+// TestMemberPartitioned isolates each member of the chain in turn, its head and its tail among them: changes
+// go on, no serving server is lost, and the history is linearizable.
 func TestMemberPartitioned(t *testing.T) {
 	for _, test := range partitionCases {
 		for member := range 3 {
@@ -65,24 +66,23 @@
 	}
 }
 
-// partitionTrial is a cut under way.
+// partitionTrial is a partition under way.
 type partitionTrial struct {
 	f        *Fleet
 	isolated *Machine
-	near     []*Machine // the machine that is cut off, and those with it
-	// nearServers are cut off with them.
+	near     []*Machine // the isolated machine, and those with it
+	// nearServers are isolated with them.
 	nearServers []string
 	far         []*Machine // all others
 	history     History
 	farSide     *Operator
 	nearSide    *Operator
 	calls       sync.WaitGroup
-
-	mu      sync.Mutex
-	current Change // the newest that was sent
+	current     Change // the newest that was sent
 }
 
 func (test *partitionCase) run(t *testing.T, number int) {
+	t.Helper()
 	f := New(t, Options{Disks: 3, Others: 7, Servers: 12, Seed: int64(number)})
 	trial := &partitionTrial{f: f, isolated: f.Machines[number]}
 	trial.near = []*Machine{trial.isolated}
@@ -101,11 +101,11 @@
 		}
 	}
 	trial.calls.Wait()
-	if test.withOthers { // servers that come back have to be heard first
+	if test.withOthers { // servers that are reachable again first have to report
 		trial.checkAbsences(absences)
 	}
 	f.Heal()
-	f.Await("all agree after the cut", agreeTime, f.Converged)
+	f.Await("all agree after the partition", agreeTime, f.Converged)
 	if test.withOthers {
 		absences = f.WatchAbsences(Everywhere)
 	}
@@ -122,7 +122,7 @@
 	qt.Check(t, strings.Join(trial.history.Check(), "\n"), qt.Equals, "")
 }
 
-// cut begins the cut.
+// begin begins the partition.
 func (test *partitionCase) begin(trial *partitionTrial) {
 	f := trial.f
 	near, far := IPs(trial.isolated), IPs(test.far(f, trial.isolated)...)
@@ -140,7 +140,7 @@
 		}
 	}
 	trial.far = f.Except(trial.near...)
-	f.Logf("cut %v, %v from %v", test.name, near, far)
+	f.Logf("partition %v, %v from %v", test.name, near, far)
 	if test.out {
 		f.Network.SetFault(near, far, test.fault)
 	}
@@ -165,15 +165,15 @@
 	began := f.Now()
 	status := trial.farSide.PutUntil(trial.far, next, 2*Bounds().Ack, 0)
 	if took := f.Now() - began; status != 200 || took > Bounds().Ack {
-		f.TB.Errorf("%v after the cut, a change got %d after %v", began-since, status, took)
+		f.TB.Errorf("%v after the partition began, a change got %d after %v", began-since, status, took)
 	}
 	trial.current = next
 	trial.farSide.Get(trial.farSide.shuffled(trial.far)[0])
 	time.Sleep(changeInterval)
 }
 
-// drain has a server leave that calls the far side: once that is acknowledged, all machines in touch keep off
-// it in time.
+// drain has a server drain that reaches the far side: once that is acknowledged, all machines there stop
+// sending to it in time.
 func (trial *partitionTrial) drain(s *Server) {
 	f := trial.f
 	if !f.Network.Reaches(s.IP, trial.far[0].IP) {
@@ -182,7 +182,7 @@
 	if !s.Drain(trial.farSide.shuffled(trial.far)[0].Control()) {
 		f.TB.Errorf("at %v the drain of %s was not acknowledged", f.Now(), s.ID)
 	}
-	f.Await("all in touch know of the drain of "+s.ID, Bounds().Drain, func() string {
+	f.Await("all on the far side know of the drain of "+s.ID, Bounds().Drain, func() string {
 		for _, m := range trial.far {
 			if m.Node().Servers().ByID(s.ID) != nil {
 				return m.Name + " does not"
@@ -192,13 +192,13 @@
 	})
 }
 
-// checkAbsences ends a watch: no machine may have lacked a server that called and that it reached.
+// checkAbsences ends a watch and checks that it observed no absence.
 func (trial *partitionTrial) checkAbsences(absences *Absences) {
 	missing, total := absences.Stop()
 	qt.Check(trial.f.TB, missing, qt.Equals, "", qt.Commentf("%v in all", total))
 }
 
-// bothFar tells whether neither a machine nor a server is cut off from most.
+// bothFar reports whether neither a machine nor a server is isolated.
 func (trial *partitionTrial) bothFar(m *Machine, s *Server) bool {
 	return !slices.Contains(trial.near, m) && !slices.Contains(trial.nearServers, s.ID)
 }
--- a/internal/simulation/agentsim/race_test.go
+++ b/internal/simulation/agentsim/race_test.go
@@ -15,7 +15,7 @@
 
 // TestOperatorsRace has two operators send different changes under the same versions, each to several
 // machines at once, while answers get lost and members come and go: exactly one change per version is taken,
-// all of its senders are told 200, also when it is sent again after later ones, and the other is refused.
+// all of its senders get 200, also when it is sent again after later ones, and the other is rejected.
 func TestOperatorsRace(t *testing.T) {
 	for seed := range int64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -32,6 +32,7 @@
 )
 
 func runRace(t *testing.T, seed int64) {
+	t.Helper()
 	f := New(t, Options{Disks: 3, Others: 7, Servers: 3, Seed: seed})
 	history := &History{}
 	operators := []*Operator{f.AddOperator(history), f.AddOperator(history)}
@@ -66,6 +67,7 @@
 // race has each operator send its change to several machines at once until each copy has a clear answer, and
 // returns the one that was taken.
 func race(t *testing.T, f *Fleet, operators []*Operator, base, version int64) Change {
+	t.Helper()
 	outcomes := make([][]int, len(operators))
 	changes := make([]Change, len(operators))
 	var sending sync.WaitGroup
@@ -94,7 +96,7 @@
 	return Change{}
 }
 
-// partitionInTurn cuts one member after the other off for some seconds each.
+// partitionInTurn isolates one member after the other for some seconds each.
 func partitionInTurn(f *Fleet, stop <-chan struct{}) {
 	pause := func(long time.Duration) bool {
 		select {
--- a/internal/simulation/agentsim/replace_test.go
+++ b/internal/simulation/agentsim/replace_test.go
@@ -27,6 +27,7 @@
 }
 
 func runReplacement(t *testing.T, member int, planned bool) {
+	t.Helper()
 	f := New(t, Options{Disks: 3, Others: 7, Servers: 6, Seed: int64(member)})
 	history := &History{}
 	operator := f.AddOperator(history)
--- a/internal/simulation/agentsim/server.go
+++ b/internal/simulation/agentsim/server.go
@@ -13,23 +13,23 @@
 
 const (
 	serverPort = 80
-	// callTimeout is after what silence servers and operators call the next machine.
+	// callTimeout is after what time without an answer servers and operators call the next machine.
 	callTimeout = time.Second
-	// retryInterval is between two calls of one heartbeat.
+	// retryInterval is the time between two attempts to send one heartbeat.
 	retryInterval = 100 * time.Millisecond
-	// stageSwitch is how long a server takes to change its stage.
+	// stageSwitch is how long a server takes to switch its stage.
 	stageSwitch  = 1500 * time.Millisecond
 	serverSlots  = 16
 	prefillStage = "reading"
 )
 
-// serverState is how far a server is with its life.
+// serverState is the state of a server.
 type serverState int
 
 const (
 	stateServing serverState = iota
 	stateDraining
-	stateEnded // has sent DELETE or has died
+	stateEnded // it has sent DELETE or has crashed
 )
 
 // Server is a simulated server of the one service.
@@ -37,7 +37,7 @@
 	ID   string
 	IP   string
 	Zone string
-	// Alternate lets the server ignore forward_to, so that each heartbeat goes to another machine.
+	// Alternate has the server ignore forward_to, so that each heartbeat goes to another machine.
 	Alternate bool
 
 	fleet    *Fleet
@@ -51,12 +51,12 @@
 	sequence   int64
 	forward    string
 	ackedBy    string    // control address that acknowledged last
-	lastAcked  time.Time // when
+	lastAcked  time.Time // when that was
 	firstAcked time.Time // when a heartbeat was acknowledged for the first time
 	longestGap time.Duration
 	stage      string
 	switching  bool
-	fence      uint64 // the highest seen
+	fence      uint64 // the highest observed
 	orders     []Order
 }
 
@@ -81,21 +81,21 @@
 	return s
 }
 
-// Serving tells whether the server sends heartbeats as one that wants requests.
+// Serving reports whether the server sends heartbeats and takes new requests.
 func (s *Server) Serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state == stateServing
 }
 
-// ReportTo has the next heartbeats go to a machine as if an answer had named it.
+// ReportTo has the next heartbeats go to a machine, as an answer with forward_to does.
 func (s *Server) ReportTo(m *Machine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forward = m.Control()
 }
 
-// told returns the state that heartbeats tell, "" once there are none.
+// announcedState returns the state in heartbeats, "" once there are none.
 func (s *Server) announcedState() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,6 +116,7 @@
 	return s.longestGap
 }
 
+// serverByID returns a server, nil if there is none of that id.
 func (f *Fleet) serverByID(id string) *Server {
 	for _, s := range f.allServers() {
 		if s.ID == id {
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// servingIDs returns the ids of the servers that are to get requests, sorted.
+// servingIDs returns the ids of the servers that serve, sorted.
 func (f *Fleet) servingIDs() []string {
 	var ids []string
 	for _, s := range f.Servers {
@@ -137,6 +138,7 @@
 	return ids
 }
 
+// run sends heartbeats until the server or the fleet ends.
 func (s *Server) run() {
 	time.Sleep(s.randomUpTo(HeartbeatInterval))
 	for {
@@ -153,7 +155,7 @@
 	}
 }
 
-// draw returns a random time up to a bound.
+// randomUpTo draws a duration below a bound.
 func (s *Server) randomUpTo(bound time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +164,7 @@
 
 func (s *Server) address() string { return fmt.Sprintf("%s:%d", s.IP, serverPort) }
 
-// Crash ends the server without a word.
+// Crash ends the server without notice.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	s.state = stateEnded
@@ -171,7 +173,7 @@
 	s.stopOnce.Do(func() { close(s.stop) })
 }
 
-// Drain says draining at machines, those named first, and tells whether that was acknowledged.
+// Drain announces the drain to machines, those named first, and reports whether that was acknowledged.
 func (s *Server) Drain(first ...string) bool {
 	s.mu.Lock()
 	s.state = stateDraining
@@ -179,7 +181,7 @@
 	return s.sendHeartbeat(s.heartbeat("draining"), first...)
 }
 
-// Delete says that the server ends, at machines, those named first, and tells whether that was acknowledged.
+// Delete announces the end to machines, those named first, and reports whether that was acknowledged.
 func (s *Server) Delete(first ...string) bool {
 	s.mu.Lock()
 	s.state = stateEnded
--- a/internal/simulation/agentsim/server_calls.go
+++ b/internal/simulation/agentsim/server_calls.go
@@ -33,8 +33,8 @@
 		Slots: serverSlots, State: state, Stage: s.stage, Sequence: s.sequence}
 }
 
-// beat sends a heartbeat to machine after machine until one acknowledges it, and tells whether one did
-// before the next heartbeat is due.
+// sendHeartbeat sends a heartbeat to one machine after the other until one acknowledges it, and reports
+// whether one did.
 func (s *Server) sendHeartbeat(h *heartbeat, first ...string) bool {
 	body, err := json.Marshal(h)
 	if err != nil {
@@ -44,7 +44,8 @@
 	return s.callAny(controlclient.Call{Method: "PUT", Target: "/api/servers/" + s.ID, Body: body}, first)
 }
 
-// tell makes a call at machine after machine, those named first, until one acknowledges it.
+// callAny makes a call at one machine after the other until one acknowledges it, and reports whether one did.
+// It begins with those given, then the one that an earlier answer named.
 func (s *Server) callAny(call controlclient.Call, first []string) bool {
 	targets := slices.Clone(first)
 	s.mu.Lock()
@@ -68,6 +69,7 @@
 	return false
 }
 
+// call makes a call at one machine and reports whether that acknowledged it.
 func (s *Server) call(target string, call controlclient.Call) bool {
 	answer, err := callFrom(s.network, target, call)
 	s.mu.Lock()
@@ -95,11 +97,11 @@
 	return true
 }
 
-// known tells whether heartbeats were acknowledged for so long.
-func (s *Server) acknowledgedFor(long time.Duration) bool {
+// acknowledgedFor reports whether the first acknowledgement of a heartbeat is longer ago than a duration.
+func (s *Server) acknowledgedFor(duration time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.firstAcked.IsZero() && time.Since(s.firstAcked) > long
+	return !s.firstAcked.IsZero() && time.Since(s.firstAcked) > duration
 }
 
 // callFrom makes a call as a process of the network, within callTimeout.
@@ -112,13 +114,13 @@
 	return controlclient.DoWithDialer(ctx, dial, target, call)
 }
 
-// DelayedHeartbeat is a heartbeat that is long on its way.
+// DelayedHeartbeat is a heartbeat in transit.
 type DelayedHeartbeat struct{ heartbeat *heartbeat }
 
-// DelayHeartbeat returns a heartbeat that arrives only when it is delivered.
+// DelayHeartbeat creates the next heartbeat, which arrives when Deliver is called.
 func (s *Server) DelayHeartbeat() DelayedHeartbeat { return DelayedHeartbeat{s.heartbeat("ready")} }
 
-// Deliver has a late heartbeat arrive at a machine, and tells whether it was acknowledged.
+// Deliver has a delayed heartbeat arrive at a machine, and reports whether it was acknowledged.
 func (s *Server) Deliver(late DelayedHeartbeat, m *Machine) bool {
 	return s.sendHeartbeat(late.heartbeat, m.Control())
 }
--- a/internal/simulation/agentsim/server_orders.go
+++ b/internal/simulation/agentsim/server_orders.go
@@ -27,13 +27,13 @@
 	return slices.Clone(s.orders)
 }
 
-// Ordered tells whether the server took an order within a time until now.
+// Ordered reports whether the server accepted an order within a duration until now.
 func (s *Server) Ordered(within time.Duration) bool {
 	now := s.fleet.Now()
 	return slices.ContainsFunc(s.Orders(), func(o Order) bool { return o.Status == 202 && now-o.At < within })
 }
 
-// listen takes orders and answers health checks.
+// listen serves stage orders and health checks until the fleet ends or the server crashes.
 func (s *Server) listen() {
 	listener, err := s.network.Listen(s.address())
 	if err != nil {
@@ -52,12 +52,12 @@
 			from, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 			handle := func(call *controlserver.Call) *http1.Response { return s.answer(from, call) }
 			server := &controlserver.Server{MaxBodyBytes: 4096, Handler: handle}
-			server.Serve(&oneConnection{Listener: listener, conn: c})
+			_ = server.Serve(&oneConnection{Listener: listener, conn: c}) // returns net.ErrClosed, always
 		}
 	}()
 }
 
-// oneConnection is a listener that accepts one connection.
+// oneConnection is a listener that accepts one connection and is closed then.
 type oneConnection struct {
 	net.Listener
 	conn net.Conn
@@ -73,7 +73,7 @@
 	return c, nil
 }
 
-// answer answers a call of another machine.
+// answer handles a call to the server.
 func (s *Server) answer(from string, call *controlserver.Call) *http1.Response {
 	if call.Method == "POST" && call.Path == "/api/order" {
 		return s.takeOrder(from, call)
@@ -83,6 +83,7 @@
 	return answer
 }
 
+// takeOrder handles a stage order and records it.
 func (s *Server) takeOrder(from string, call *controlserver.Call) *http1.Response {
 	var body struct {
 		Order, Stage, Holder string
@@ -111,7 +112,7 @@
 	return controlserver.Text(status, "")
 }
 
-// judge returns the status for an order; the lock is held.
+// orderStatus returns the status of the answer to an order. The lock is held.
 func (s *Server) orderStatus(stage string, fence uint64) int {
 	switch {
 	case s.fleet.Options.Fenced && fence < s.fence:
@@ -126,7 +127,7 @@
 	return 202
 }
 
-// SetStage gives the server a stage as if it had been restarted with it.
+// SetStage sets the stage, as a restart of the server with it does.
 func (s *Server) SetStage(stage string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/agentsim/servers_test.go
+++ b/internal/simulation/agentsim/servers_test.go
@@ -13,14 +13,15 @@
 )
 
 // inFleet runs a test with a fleet of ten machines, three with a disk, that has a configuration.
-func inFleet(t *testing.T, options Options, test func(t *testing.T, f *Fleet)) {
+func inFleet(t *testing.T, options Options, test func(f *Fleet)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		options.Disks, options.Others = 3, 7
 		f := New(t, options)
 		operator := f.AddOperator(&History{})
 		qt.Assert(t, operator.PutUntil(f.Machines, Change{0, 1, 0}, 4*time.Second, 0), qt.Equals, 200)
 		f.Await("all know the configuration", 2*time.Second, f.Converged)
-		test(t, f)
+		test(f)
 	})
 }
 
@@ -37,38 +38,38 @@
 // TestLateHeartbeats: nothing brings a server back that has said that it leaves, at whichever machine a late
 // heartbeat arrives; one that was only late does not change anything.
 func TestLateHeartbeats(t *testing.T) {
-	inFleet(t, Options{Servers: 8, Seed: 1}, func(t *testing.T, f *Fleet) {
+	inFleet(t, Options{Servers: 8, Seed: 1}, func(f *Fleet) {
 		drained, deleted, both, stays := f.Servers[0], f.Servers[1], f.Servers[2], f.Servers[3]
 		leaving := []*Server{drained, deleted, both}
 		late := map[*Server]DelayedHeartbeat{stays: stays.DelayHeartbeat()}
 		for _, s := range leaving {
 			late[s] = s.DelayHeartbeat()
 		}
-		qt.Check(t, drained.Drain(), qt.IsTrue)
-		qt.Check(t, deleted.Delete(), qt.IsTrue)
-		qt.Check(t, both.Drain(), qt.IsTrue)
+		qt.Check(f.TB, drained.Drain(), qt.IsTrue)
+		qt.Check(f.TB, deleted.Delete(), qt.IsTrue)
+		qt.Check(f.TB, both.Drain(), qt.IsTrue)
 		time.Sleep(Bounds().Drain)
-		qt.Check(t, both.Delete(), qt.IsTrue)
+		qt.Check(f.TB, both.Delete(), qt.IsTrue)
 		for _, s := range leaving {
 			f.Await("nobody sends to "+s.ID, Bounds().Drain, func() string { return f.nobodyKnows(s) })
 		}
 		for _, m := range f.Machines {
 			for _, s := range leaving {
 				s.Deliver(late[s], m)
-				qt.Check(t, f.nobodyKnows(s), qt.Equals, "")
+				qt.Check(f.TB, f.nobodyKnows(s), qt.Equals, "")
 			}
 			stays.Deliver(late[stays], m)
 			time.Sleep(200 * time.Millisecond)
-			qt.Check(t, f.Converged(), qt.Equals, "")
+			qt.Check(f.TB, f.Converged(), qt.Equals, "")
 		}
 		time.Sleep(5 * time.Second)
-		qt.Check(t, f.Converged(), qt.Equals, "")
+		qt.Check(f.TB, f.Converged(), qt.Equals, "")
 	})
 }
 
 // TestAlternatingHeartbeats: a server whose heartbeats each go to another machine is never lost.
 func TestAlternatingHeartbeats(t *testing.T) {
-	inFleet(t, Options{Servers: 8, Seed: 2}, func(t *testing.T, f *Fleet) {
+	inFleet(t, Options{Servers: 8, Seed: 2}, func(f *Fleet) {
 		for _, s := range f.Servers[:3] {
 			s.Alternate = true
 		}
@@ -77,7 +78,7 @@
 		time.Sleep(30 * time.Second)
 		f.CheckNoneLost(since)
 		missing, _ := absences.Stop()
-		qt.Check(t, missing, qt.Equals, "")
+		qt.Check(f.TB, missing, qt.Equals, "")
 	})
 }
 
@@ -85,7 +86,7 @@
 var watcherFaults = []struct {
 	name   string
 	strike func(f *Fleet, m *Machine)
-	// tolerated is how long a server may be unknown: it notices that its machine is silent a second after
+	// tolerated is how long a server may be unknown: it notices that its machine is unresponsive a second after
 	// its next heartbeat, and counts as lost after 1.9 heartbeats.
 	tolerated time.Duration
 }{
@@ -103,14 +104,14 @@
 	}, tolerated: 350 * time.Millisecond},
 }
 
-// TestServersStayKnownWhenTheirWatcherFails: the servers that reported to a machine with trouble are known
+// TestServersStayKnownWhenTheirWatcherFails: the servers that reported to a failed machine are known
 // without a gap by all others, as they report elsewhere.
 func TestServersStayKnownWhenTheirWatcherFails(t *testing.T) {
 	for _, fault := range watcherFaults {
 		for _, disk := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/disk=%t", fault.name, disk), func(t *testing.T) {
 				t.Parallel()
-				inFleet(t, Options{Servers: 20, Seed: 3}, func(t *testing.T, f *Fleet) {
+				inFleet(t, Options{Servers: 20, Seed: 3}, func(f *Fleet) {
 					struck := busiest(f, disk)
 					since := f.Now()
 					elsewhere := f.WatchAbsences(func(m *Machine, _ *Server) bool { return m != struck })
@@ -123,7 +124,7 @@
 					}
 					time.Sleep(5 * time.Second)
 					missing, total := elsewhere.Stop()
-					qt.Check(t, missing, qt.Equals, "", qt.Commentf("%v in all", total))
+					qt.Check(f.TB, missing, qt.Equals, "", qt.Commentf("%v in all", total))
 					f.CheckNoneLost(since)
 				})
 			})
@@ -146,22 +147,22 @@
 	return most
 }
 
-// TestThirdOfTheFleetPartitioned cuts a hub off together with the machines that follow it, with their servers
-// or without: nobody else loses a server that calls, also after the cut.
+// TestThirdOfTheFleetPartitioned isolates a hub together with the machines that follow it, with their servers
+// or without: no other machine loses a serving server, also after the partition.
 func TestThirdOfTheFleetPartitioned(t *testing.T) {
 	for hub := range 3 {
 		for _, withServers := range []bool{false, true} {
 			t.Run(fmt.Sprintf("hub %d, servers=%t", hub, withServers), func(t *testing.T) {
 				t.Parallel()
-				inFleet(t, Options{Servers: 30, Seed: int64(hub)}, func(t *testing.T, f *Fleet) {
-					runThirdCutOff(t, f, hub, withServers)
+				inFleet(t, Options{Servers: 30, Seed: int64(hub)}, func(f *Fleet) {
+					runThirdCutOff(f, hub, withServers)
 				})
 			})
 		}
 	}
 }
 
-func runThirdCutOff(t *testing.T, f *Fleet, hub int, withServers bool) {
+func runThirdCutOff(f *Fleet, hub int, withServers bool) {
 	near := append([]*Machine{f.Machines[hub]}, f.followersOf(f.Machines[hub])...)
 	far := f.Except(near...)
 	nearIPs, nearServers := IPs(near...), map[*Server]bool{}
@@ -183,7 +184,7 @@
 	f.Await("all agree", agreeTime, f.Converged)
 	time.Sleep(5 * time.Second)
 	missing, total := absences.Stop()
-	qt.Check(t, missing, qt.Equals, "", qt.Commentf("%v in all", total))
+	qt.Check(f.TB, missing, qt.Equals, "", qt.Commentf("%v in all", total))
 	f.CheckNoneLost(since)
 }
 
@@ -198,25 +199,25 @@
 	return followers
 }
 
-// TestDrainsThroughAnIsolatedMachine has servers call a machine first that is cut off from the others when
+// TestDrainsThroughAnIsolatedMachine has servers call a machine first that is isolated from the others when
 // they come, drain or end: others acknowledge that, and all in touch know in time.
 func TestDrainsThroughAnIsolatedMachine(t *testing.T) {
 	for member := range 3 {
 		t.Run(fmt.Sprint(member), func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, Options{Servers: 12, Seed: int64(member)}, func(t *testing.T, f *Fleet) {
-				runDepartures(t, f, f.Machines[member])
+			inFleet(t, Options{Servers: 12, Seed: int64(member)}, func(f *Fleet) {
+				runDepartures(f, f.Machines[member])
 			})
 		})
 	}
 }
 
-func runDepartures(t *testing.T, f *Fleet, isolated *Machine) {
+func runDepartures(f *Fleet, isolated *Machine) {
 	for _, s := range f.Servers {
 		s.ReportTo(isolated)
 	}
 	time.Sleep(2 * HeartbeatInterval)
-	qt.Assert(t, f.Converged(), qt.Equals, "")
+	qt.Assert(f.TB, f.Converged(), qt.Equals, "")
 	f.Partition(IPs(isolated), IPs(f.Except(isolated)...), simnet.Blackhole)
 	inTouch := f.Except(isolated)
 	awaitUnknown := func(s *Server) {
@@ -232,9 +233,9 @@
 	for i, pause := range []time.Duration{0, time.Second, 3 * time.Second, 6 * time.Second} {
 		time.Sleep(pause)
 		drained, deleted := f.Servers[2*i], f.Servers[2*i+1]
-		qt.Check(t, drained.Drain(isolated.Control()), qt.IsTrue)
+		qt.Check(f.TB, drained.Drain(isolated.Control()), qt.IsTrue)
 		awaitUnknown(drained)
-		qt.Check(t, deleted.Delete(isolated.Control()), qt.IsTrue)
+		qt.Check(f.TB, deleted.Delete(isolated.Control()), qt.IsTrue)
 		awaitUnknown(deleted)
 	}
 	come := f.AddServer("server-new", isolated.Control())
--- a/internal/simulation/agentsim/turnover_test.go
+++ b/internal/simulation/agentsim/turnover_test.go
@@ -12,21 +12,18 @@
 )
 
 const (
-	// downTime is how long the machines are down that go at once.
+	// downTime is how long machines are down that are killed.
 	downTime = 1100 * time.Millisecond
-	// recoverTime is within what time of its start a fleet that went at once knows all again.
+	// recoverTime is the time from its start within which a fleet converges that was killed as a whole.
 	recoverTime = 3 * time.Second
 )
 
-// turnover is a case of the loss of all processes, whose settings files name machines without a disk only as
-// seeds then.
+// turnover is a way to lose all processes when the settings files name only machines without a disk as seeds.
 type turnover struct {
 	name     string
 	powerOff bool
-	reload   bool                      // running processes are told of the new seeds before
-	start    func(f *Fleet)            // starts the machines again
-	seeds    func(f *Fleet) []*Machine // the new ones
-	late     time.Duration             // later than others machines with a disk start
+	reload   bool           // running processes reload the new seeds before
+	start    func(f *Fleet) // starts the machines again
 }
 
 // otherSeeds draws seeds without a disk.
@@ -46,7 +43,7 @@
 	{name: "power, reload before", powerOff: true, reload: true, start: startAll},
 	{name: "kill", start: startAll},
 	{name: "kill, reload before", reload: true, start: startAll},
-	{name: "disks late", powerOff: true, late: 2 * time.Second, start: startDisksLate},
+	{name: "disks late", powerOff: true, start: startDisksLate},
 	{name: "seeds down", powerOff: true, start: startWithoutSeeds},
 	{name: "seeds cut off", powerOff: true, start: startWithSeedsCutOff},
 }
@@ -61,7 +58,7 @@
 // startWithoutSeeds starts all machines but those that the settings files name.
 func startWithoutSeeds(f *Fleet) { f.StartTogether(f.Except(f.seedMachines()...), false) }
 
-// startWithSeedsCutOff starts all machines while nobody reaches those that the settings files name.
+// startWithSeedsCutOff starts all machines while those that the settings files name are unreachable.
 func startWithSeedsCutOff(f *Fleet) {
 	seeds := f.seedMachines()
 	f.Partition(IPs(seeds...), append(IPs(f.Except(seeds...)...), f.serverIPs()...), simnet.Blackhole)
@@ -96,7 +93,7 @@
 	return 10
 }
 
-// TestSeedTurnover loses all processes when the settings files name no machine that keeps the configuration.
+// TestSeedTurnover loses all processes when the settings files name no member of the chain.
 func TestSeedTurnover(t *testing.T) {
 	for _, test := range turnovers {
 		t.Run(test.name, func(t *testing.T) {
@@ -111,6 +108,7 @@
 }
 
 func (test *turnover) run(t *testing.T, seed int64) {
+	t.Helper()
 	f := New(t, Options{Disks: 3, Others: 7, Servers: 12, Seed: seed})
 	history := &History{}
 	operator := f.AddOperator(history)
@@ -134,13 +132,13 @@
 	since := f.Now()
 	test.start(f)
 	reached := f.reachable()
-	took := f.Await("the fleet is whole again", recoverTime, func() string { return f.Agree(reached) })
-	t.Logf("whole %v after the last start", took)
+	took := f.Await("the fleet converges again", recoverTime, func() string { return f.Agree(reached) })
+	t.Logf("converged %v after the last start", took)
 	time.Sleep(20 * time.Second)
 	f.CheckNoneLost(since)
 	qt.Check(t, f.Agree(reached), qt.Equals, "")
 	f.Heal()
-	f.Await("all agree once nothing is cut", recoverTime, f.Converged)
+	f.Await("all agree once no fault is left", recoverTime, f.Converged)
 	qt.Check(t, operator.PutUntil(f.Running(), Change{1, 2, 0}, 4*time.Second, 0), qt.Equals, 200)
 	qt.Check(t, history.Check(), qt.HasLen, 0)
 }
--- a/internal/simulation/simnet/conn.go
+++ b/internal/simulation/simnet/conn.go
@@ -14,13 +14,13 @@
 	errTimedOut = &net.OpError{Op: "write", Net: "tcp", Err: syscall.ETIMEDOUT}
 )
 
-// chunk is what one write sent; without bytes it is the end of the stream.
+// chunk is the data of one write; without bytes it is the end of the stream.
 type chunk struct {
 	bytes []byte
-	due   time.Time // when it arrives, as far as no fault holds it up
+	due   time.Time // when it arrives, unless a fault delays it
 }
 
-// conn is one end of a connection. All its fields but the first ones are guarded by the network's lock.
+// conn is one end of a connection. Its fields from incoming on are guarded by the network's lock.
 type conn struct {
 	network  *Network
 	process  *Process
@@ -31,29 +31,29 @@
 	incoming      []chunk
 	incomingBytes int
 	closed        bool
-	failure       error         // what ended the connection from outside
-	changed       chan struct{} // closed at the next change of anything here
+	failure       error         // why the connection ended without Close
+	changed       chan struct{} // closed and replaced at each change of the fields
 	readDeadline  time.Time
 	writeDeadline time.Time
-	resetOnClose  bool        // closing resets the connection
-	ackTimer      *time.Timer // ends the connection unless what was sent is acknowledged before
+	resetOnClose  bool        // Close resets the connection
+	ackTimer      *time.Timer // ends the connection unless sent data is acknowledged before
 }
 
-// wake wakes all who wait on this end; the lock is held.
+// wake wakes all goroutines that wait on this end. The lock is held.
 func (c *conn) wake() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// gone tells whether the end holds no connection any more; the lock is held.
+// ended reports whether this end is closed or has failed. The lock is held.
 func (c *conn) ended() bool { return c.closed || c.failure != nil }
 
-// reaches tells whether what is sent here is acknowledged; the lock is held.
+// reaches reports whether what is sent here is acknowledged. The lock is held.
 func (c *conn) reaches() bool {
 	return c.network.passes(c.from, c.to) && c.network.passes(c.to, c.from)
 }
 
-// fail ends this end with an error; the lock is held.
+// fail ends this end with an error. The lock is held.
 func (c *conn) fail(err error) {
 	if c.ended() {
 		return
@@ -62,8 +62,7 @@
 	c.release()
 }
 
-// abort ends this end without a word of its process, and resets the other one as far as it hears of that;
-// the lock is held.
+// abort closes this end with a reset, which may be lost. The lock is held.
 func (c *conn) abort() {
 	if c.closed {
 		return
@@ -75,7 +74,8 @@
 	}
 }
 
-// release wakes all who wait here and forgets the connection once both ends are gone; the lock is held.
+// release wakes all goroutines that wait here, and removes the connection once both ends have ended. The lock
+// is held.
 func (c *conn) release() {
 	if c.ackTimer != nil {
 		c.ackTimer.Stop()
@@ -102,7 +102,7 @@
 	}
 }
 
-// take reads what has arrived, or returns how long to wait for more, 0 for ever; the lock is held.
+// receive reads what has arrived, or returns how long to wait for more, 0 without limit. The lock is held.
 func (c *conn) receive(p []byte) (count int, wait time.Duration, done bool, err error) {
 	now := time.Now()
 	switch {
@@ -150,7 +150,8 @@
 	}
 }
 
-// send sends all of p, or returns how long to wait for room, 0 for ever; the lock is held.
+// send sends all of p, or returns how long to wait for space in the window, 0 without limit. The lock is
+// held.
 func (c *conn) send(p []byte) (wait time.Duration, done bool, err error) {
 	now := time.Now()
 	switch {
@@ -176,15 +177,15 @@
 	return 0, true, nil
 }
 
-// arrive queues bytes, nil for the end of the stream, behind those that were sent before; the lock is held.
+// arrive queues bytes, nil for the end of the stream, behind those that were sent before. The lock is held.
 func (c *conn) arrive(bytes []byte, due time.Time) {
 	c.incoming = append(c.incoming, chunk{bytes, due})
 	c.incomingBytes += len(bytes)
 	c.wake()
 }
 
-// startAckTimer ends the connection after a while in which nothing that it sends is acknowledged; the
-// lock is held.
+// startAckTimer ends the connection after userTimeout unless what it sends is acknowledged by then. The lock
+// is held.
 func (c *conn) startAckTimer() {
 	if c.ackTimer != nil || c.reaches() {
 		return
@@ -219,7 +220,7 @@
 	return nil
 }
 
-// SetLinger drops what has not arrived when the connection closes, where it is 0.
+// SetLinger has Close reset the connection and drop what has not arrived, where seconds is 0.
 func (c *conn) SetLinger(seconds int) error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -227,7 +228,7 @@
 	return nil
 }
 
-// dropInTransit forgets what a fault holds up on its way to the other end; the lock is held.
+// dropInTransit drops what a fault delays in transit to the other end. The lock is held.
 func (c *conn) dropInTransit() {
 	if !c.network.passes(c.from, c.to) {
 		c.peer.incoming, c.peer.incomingBytes = nil, 0
@@ -242,26 +243,30 @@
 
 // SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(at time.Time) error {
-	c.SetReadDeadline(at)
-	return c.SetWriteDeadline(at)
+	c.setDeadlines(at, &c.readDeadline, &c.writeDeadline)
+	return nil
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(at time.Time) error {
-	c.network.mu.Lock()
-	defer c.network.mu.Unlock()
-	c.readDeadline = at
-	c.wake()
+	c.setDeadlines(at, &c.readDeadline)
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(at time.Time) error {
+	c.setDeadlines(at, &c.writeDeadline)
+	return nil
+}
+
+// setDeadlines sets deadlines of this end.
+func (c *conn) setDeadlines(at time.Time, deadlines ...*time.Time) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	c.writeDeadline = at
+	for _, deadline := range deadlines {
+		*deadline = at
+	}
 	c.wake()
-	return nil
 }
 
 func expired(deadline, now time.Time) bool { return !deadline.IsZero() && !deadline.After(now) }
@@ -274,7 +279,7 @@
 	return deadline.Sub(now)
 }
 
-// sooner returns the shorter of two waits, of which 0 is for ever.
+// sooner returns the shorter of two waits, where 0 is without limit.
 func sooner(a, b time.Duration) time.Duration {
 	if a == 0 {
 		return b
@@ -282,7 +287,7 @@
 	return min(a, b)
 }
 
-// await waits for a change, and for so long at most unless that is 0.
+// waitFor waits for a change, for at most a limit unless that is 0.
 func waitFor(changed <-chan struct{}, limit time.Duration) {
 	if limit == 0 {
 		<-changed
--- a/internal/simulation/simnet/network.go
+++ b/internal/simulation/simnet/network.go
@@ -1,6 +1,11 @@
 // Package simnet is a network in memory for processes that run in a bubble of testing/synctest: its delays,
-// deadlines and time-outs use the bubble's clock. Hosts have addresses, processes run on hosts, and each
+// deadlines and timeouts use the bubble's clock. Hosts have addresses, processes run on hosts, and each
 // direction between two hosts can have a fault.
+//
+// It models TCP as far as processes notice it: connections are opened by retransmitted attempts, bytes arrive
+// in order after a delay, lost bytes arrive late or time out, and an end that no longer exists answers with a
+// reset. A host is up or down, a process alive or killed, an end of a connection open, closed or failed. One
+// lock guards the state of a network; all methods are safe for concurrent use.
 package simnet
 
 import (
@@ -9,41 +14,41 @@
 	"time"
 )
 
-// Fault is what goes wrong on the way from one host to another.
+// Fault is the fault of a direction from one host to another.
 type Fault int
 
 // The faults of a direction.
 const (
 	None      Fault = iota
-	Blackhole       // nothing arrives; TCP sends it again, so that it arrives if the fault ends in time
-	Refuse          // new connections are refused, and old ones end with a reset when they are used
+	Blackhole       // what is sent is lost; TCP retransmits it, so that it arrives if the fault ends in time
+	Refuse          // new connections are refused, and existing ones end with a reset when they are used
 	Reset           // connections open, and end with a reset when they are used
 )
 
 const (
-	// defaultDelay is how long what is sent takes to the other host.
+	// defaultDelay is the one-way delay between two hosts.
 	defaultDelay = 400 * time.Microsecond
-	// retransmission is the time between two attempts to open a connection.
+	// retransmitInterval is the time between two attempts to open a connection.
 	retransmitInterval = time.Second
 	// userTimeout ends a connection whose other host acknowledges nothing.
 	userTimeout = 2 * time.Second
-	// window bounds the bytes on their way in one direction of a connection.
+	// window bounds the bytes in transit in one direction of a connection.
 	window = 256 << 10
-	// backlog bounds the connections that wait to be accepted.
+	// maxBacklog bounds the connections of a listener that are not accepted yet.
 	maxBacklog    = 128
 	firstFreePort = 32768
 )
 
-// direction is a way from one host to another, by their IPs.
+// direction is from one host to another, by their IPs.
 type direction struct{ from, to string }
 
-// Network joins hosts. Its zero value is not usable; see New.
+// Network connects hosts. New creates one; its zero value isn't usable.
 type Network struct {
 	mu       sync.Mutex
 	hosts    map[string]*Host
 	faults   map[direction]Fault
 	delays   map[direction]time.Duration
-	conns    map[*conn]struct{} // that are open at either end
+	conns    map[*conn]struct{} // ends of connections of which at least one end is open
 	lastPort int
 }
 
@@ -73,7 +78,7 @@
 	return h
 }
 
-// SetDown cuts the power of a host or gives it back. What is sent to a host without power is lost silently.
+// SetDown takes the power of a host away or returns it. What is sent to a host without power is lost.
 func (h *Host) SetDown(down bool) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -81,7 +86,7 @@
 	h.network.faultsChanged()
 }
 
-// SetFault sets the fault of each direction from one of some hosts to one of others.
+// SetFault sets the fault of all directions from some hosts to others, by their IPs.
 func (n *Network) SetFault(from, to []string, fault Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,7 +100,7 @@
 	n.faultsChanged()
 }
 
-// SetDelay sets how long what is sent takes from one of some hosts to one of others.
+// SetDelay sets the one-way delay of all directions from some hosts to others, by their IPs.
 func (n *Network) SetDelay(from, to []string, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,19 +119,19 @@
 	n.faultsChanged()
 }
 
-// passes tells whether what is sent in a direction arrives; the lock is held.
+// passes reports whether what is sent in a direction arrives. The lock is held.
 func (n *Network) passes(from, to string) bool {
 	source, target := n.hosts[from], n.hosts[to]
 	return source != nil && target != nil && !source.down && !target.down &&
 		n.faults[direction{from, to}] != Blackhole
 }
 
-// faulty tells whether either direction between two hosts has a fault; the lock is held.
+// faulty reports whether either direction between two hosts has a fault. The lock is held.
 func (n *Network) faulty(a, b string, fault Fault) bool {
 	return n.faults[direction{a, b}] == fault || n.faults[direction{b, a}] == fault
 }
 
-// delay returns how long what is sent takes; the lock is held.
+// delay returns the one-way delay of a direction. The lock is held.
 func (n *Network) delay(from, to string) time.Duration {
 	if delay, set := n.delays[direction{from, to}]; set {
 		return delay
@@ -134,8 +139,8 @@
 	return defaultDelay
 }
 
-// settle wakes all who wait for data, and ends the connections whose lost data is answered by a reset now
-// that it arrives; the lock is held.
+// faultsChanged wakes all goroutines that wait for data, and ends the connections whose retransmitted data is
+// answered with a reset now that it arrives. The lock is held.
 func (n *Network) faultsChanged() {
 	for c := range n.conns {
 		if c.ackTimer != nil && c.peer.ended() && c.reaches() {
@@ -148,7 +153,7 @@
 // address returns the address of a port of a host.
 func address(ip string, port int) *net.TCPAddr { return &net.TCPAddr{IP: net.ParseIP(ip), Port: port} }
 
-// Reaches tells whether two hosts have power and no fault between them.
+// Reaches reports whether two hosts have power and no fault between them.
 func (n *Network) Reaches(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simulation/simnet/process.go
+++ b/internal/simulation/simnet/process.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Process is what opens and accepts connections on a host. It implements peerlink.Network.
+// Process opens and accepts connections on a host, as the network of an agent (agent.WithNetwork).
 type Process struct {
 	host *Host
 	dead bool // guarded by the network's lock
@@ -17,8 +17,8 @@
 // NewProcess starts a process on a host.
 func (h *Host) NewProcess() *Process { return &Process{host: h} }
 
-// Kill ends a process at once: its connections are reset, as far as the other ends hear of it, and whatever
-// its goroutines still do over the network fails.
+// Kill ends a process at once: its connections are reset, as far as the resets arrive, and whatever its
+// goroutines still do over the network fails.
 func (p *Process) Kill() {
 	n := p.host.network
 	n.mu.Lock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// Dial opens a connection.
+// Dial opens a connection to an address, within a timeout.
 func (p *Process) Dial(target string, timeout time.Duration) (net.Conn, error) {
 	ip, text, err := net.SplitHostPort(target)
 	if err != nil {
@@ -57,13 +57,14 @@
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(ip, port), Err: os.ErrDeadlineExceeded}
 }
 
+// roundTrip returns the delay both ways.
 func (n *Network) roundTrip(a, b string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay(a, b) + n.delay(b, a)
 }
 
-// connect sends one attempt and tells whether it is answered. The connection is a nil interface if it fails.
+// connect makes one attempt to open a connection and reports whether it is answered.
 func (p *Process) connect(ip string, port int) (c net.Conn, answered bool, err error) {
 	n := p.host.network
 	n.mu.Lock()
@@ -91,7 +92,7 @@
 	return near, true, nil
 }
 
-// Listen accepts connections at a port of the process's host.
+// Listen accepts connections at the port of an address, on the process's host.
 func (p *Process) Listen(at string) (net.Listener, error) {
 	_, text, err := net.SplitHostPort(at)
 	if err != nil {
@@ -115,7 +116,7 @@
 	return l, nil
 }
 
-// listener takes the connections to one port.
+// listener accepts the connections to one port.
 type listener struct {
 	process *Process
 	port    int
@@ -146,7 +147,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return address(l.process.host.ip, l.port) }
 
-// shut ends the listener and resets what nobody has accepted; the lock is held.
+// stop ends the listener and resets the connections that are not accepted yet. The lock is held.
 func (l *listener) stop() {
 	if l.stopped {
 		return
--- a/internal/simulation/simnet/simnet_test.go
+++ b/internal/simulation/simnet/simnet_test.go
@@ -27,6 +27,7 @@
 
 // inBubble runs a test in a bubble.
 func inBubble(t *testing.T, f func(c *qt.C)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) { f(qt.New(t)) })
 }
 
