--- a/internal/simulation/experiment/lab_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Every shipped scenario is right, and every mistake of a broken one is told with its line.
-func TestScenarios(t *testing.T) {
+// Every shipped scenario is valid, and every mistake of a broken one is reported with its line.
+func TestScenariosAreValidated(t *testing.T) {
 	if len(Shipped()) < 8 {
 		t.Errorf("only %v", Shipped())
 	}
@@ -104,9 +104,9 @@
 	}
 }
 
-// Cut off at any byte, a result file keeps the days that were finished, and the same experiment goes on to
-// the same result; another experiment does not touch it.
-func TestSweepGoesOnWhereItWasCutOff(t *testing.T) {
+// A result file that is truncated at any byte retains the days that had ended, and the same experiment
+// continues to the same result; another experiment doesn't touch it.
+func TestTruncatedSweepIsContinued(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.jsonl")
 	whole, err := Open(path, experiment())
 	if err != nil {
@@ -149,13 +149,13 @@
 	if _, err := Open(path, other); err == nil || !strings.Contains(err.Error(), "another experiment") {
 		t.Error(err)
 	}
-	if _, err := Open("lab_test.go", other); err == nil || !strings.Contains(err.Error(), "no result") {
+	if _, err := Open("experiment_test.go", other); err == nil || !strings.Contains(err.Error(), "no result") {
 		t.Error(err)
 	}
 }
 
-// An interrupt ends after the days under way and says so.
-func TestInterrupt(t *testing.T) {
+// An interrupt ends the experiment after the days under way, with an error.
+func TestInterruptEndsAfterDaysUnderWay(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := 0
 	h := experiment()
@@ -202,7 +202,7 @@
 	}
 }
 
-// Paired differences tell noise from a difference, and how many days would settle it.
+// Paired differences distinguish noise from a difference, and say how many days would make it significant.
 func TestStatistics(t *testing.T) {
 	e := EstimateOf([]float64{1, 2, 3, 4, 5}) // t = 2.776, sd = 1.5811
 	if math.Abs(e.Mean-3) > 1e-9 || math.Abs(e.Half-1.963) > 0.001 {
@@ -254,8 +254,8 @@
 }
 
 // Traffic doubles from second 20 to 28. Under random choice the clients' own retries and choked servers keep
-// the jam going long after the load is back to normal; the module is back in full service.
-func TestJamThatStays(t *testing.T) {
+// the overload going long after the load is back to normal; the module is back in full service.
+func TestModuleRecoversFromMetastableOverload(t *testing.T) {
 	before, _ := after(t, "burst", "random", 5, 18)
 	stuck, _ := after(t, "burst", "random", 45, 58)
 	left, breaks := after(t, "burst", "module", 45, 58)
@@ -264,15 +264,15 @@
 	}
 }
 
-// A hall that comes back cold into a surge is not pushed over by the module.
-func TestColdHallIntoSurge(t *testing.T) {
+// A hall that restarts during a surge does not collapse in slow start under the module.
+func TestHallInSlowStartSurvivesSurge(t *testing.T) {
 	service, breaks := after(t, "cold-surge", "module", 45, 58)
 	if service < 0.9 || len(breaks) > 0 {
 		t.Errorf("service %.2f; %v", service, breaks)
 	}
 }
 
-// The tables of the model grow with what is held at once, not with what was ever asked.
+// The tables of the model grow with the requests in flight, not with their number so far.
 func TestMemoryDoesNotGrowWithTime(t *testing.T) {
 	held := func(requests string) int {
 		sc, err := Load("queues", map[string]string{"requests": requests, "warm_up_requests": "0",
--- a/internal/simulation/experiment/plot.go
+++ b/internal/simulation/experiment/plot.go
@@ -16,8 +16,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// number reads a swept value: a figure, or a time in seconds; false for a word.
-func number(text string) (float64, bool) {
+// number parses a swept value: a number, or a duration, which is in seconds; ok is false for a word.
+func number(text string) (x float64, ok bool) {
 	if x, err := strconv.ParseFloat(text, 64); err == nil {
 		return x, true
 	}
@@ -27,8 +27,8 @@
 	return 0, false
 }
 
-// Plot draws a metric over the first swept key, a line for each policy and value of the second; without a
-// sweep it draws service by second. Bars are 95% intervals. It returns SVG.
+// Plot draws a metric over the first swept key, a line for each policy and value of the second key; without a
+// sweep it draws the service by second of arrival. Bars are 95% intervals. It returns SVG.
 func (s *Store) Plot(metric string, logX, logY bool) ([]byte, error) {
 	p := plot.New()
 	p.Legend.Top = true
@@ -57,6 +57,7 @@
 	return b.Bytes(), err
 }
 
+// overTime draws the mean service by second of arrival, a line for each policy.
 func (s *Store) overTime(p *plot.Plot) error {
 	p.Title.Text = s.Header.Scenario + ": worth served in time over worth asked, by second of arrival"
 	p.X.Label.Text, p.Y.Label.Text = "s", "service"
@@ -79,75 +80,100 @@
 	return nil
 }
 
-// points are a line with its error bars.
-type points struct {
+// series is a line with its error bars.
+type series struct {
 	plotter.XYs
 	plotter.YErrors
+	name string
 }
 
+// keyPlot is a plot of a metric over a swept key.
+type keyPlot struct {
+	axis       Axis
+	metric     string
+	nominal    bool // some value of the key is a word: values stand at equal distances
+	logX, logY bool
+	lines      []*series
+}
+
+// overKey draws a metric over the first swept key.
 func (s *Store) overKey(p *plot.Plot, metric string, logX, logY bool) error {
 	if !KnownMetric(metric) {
 		return fmt.Errorf("%q is none of %s", metric, strings.Join(MetricNames(), ", "))
 	}
-	axis := s.Header.Over[0]
-	p.Title.Text = fmt.Sprintf("%s: %s over %s", s.Header.Scenario, metric, axis.Key)
-	p.X.Label.Text, p.Y.Label.Text = axis.Key, metric
-	var names []string
-	lines := map[string]*points{}
-	words := 0
-	for _, v := range axis.Values {
-		if _, ok := number(v); !ok {
-			words++
-		}
-	}
-	if words > 0 {
-		p.NominalX(axis.Values...)
+	k := &keyPlot{axis: s.Header.Over[0], metric: metric, logX: logX, logY: logY}
+	p.Title.Text = fmt.Sprintf("%s: %s over %s", s.Header.Scenario, metric, k.axis.Key)
+	p.X.Label.Text, p.Y.Label.Text = k.axis.Key, metric
+	k.nominal = slices.ContainsFunc(k.axis.Values, func(v string) bool {
+		_, ok := number(v)
+		return !ok
+	})
+	if k.nominal {
+		p.NominalX(k.axis.Values...)
 	}
 	for _, c := range s.Cells() {
-		name := c.Policy
-		for _, k := range slices.Sorted(maps.Keys(c.Set)) {
-			if k != axis.Key {
-				name += " " + k + "=" + c.Set[k]
-			}
-		}
-		l := lines[name]
-		if l == nil {
-			l = &points{}
-			lines[name] = l
-			names = append(names, name)
-		}
-		x, _ := number(c.Set[axis.Key])
-		if words > 0 {
-			x = float64(slices.Index(axis.Values, c.Set[axis.Key]))
-		}
-		e := EstimateOf(c.Figures(metric))
-		if math.IsNaN(e.Mean) || math.IsInf(e.Mean, 0) {
-			continue
-		}
-		half := e.Half
-		if math.IsNaN(half) {
-			half = 0
-		}
-		if logX && x <= 0 || logY && e.Mean <= 0 {
-			return fmt.Errorf("%s = %s, %s = %.4g: a logarithmic scale takes only what is above 0", axis.Key,
-				c.Set[axis.Key], metric, e.Mean)
-		}
-		low := half
-		if logY { // an interval that reaches 0 would have no end there
-			low = min(low, 0.9*e.Mean)
+		if err := k.add(c); err != nil {
+			return err
 		}
-		l.XYs = append(l.XYs, plotter.XY{X: x, Y: e.Mean})
-		l.YErrors = append(l.YErrors, struct{ Low, High float64 }{low, half})
 	}
-	for i, name := range names {
-		if err := addLine(p, i, name, lines[name].XYs, lines[name]); err != nil {
+	for i, line := range k.lines {
+		if err := addLine(p, i, line.name, line.XYs, line); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func addLine(p *plot.Plot, i int, name string, xy plotter.XYs, bars *points) error {
+// add adds a cell to the line of its policy and its values of other keys. A cell without a finite mean has no
+// point.
+func (k *keyPlot) add(c *Cell) error {
+	line := k.line(c)
+	value := c.Set[k.axis.Key]
+	x, _ := number(value)
+	if k.nominal {
+		x = float64(slices.Index(k.axis.Values, value))
+	}
+	e := EstimateOf(c.Figures(k.metric))
+	if math.IsNaN(e.Mean) || math.IsInf(e.Mean, 0) {
+		return nil
+	}
+	if k.logX && x <= 0 || k.logY && e.Mean <= 0 {
+		return fmt.Errorf("%s = %s, %s = %.4g: a logarithmic scale takes only what is above 0", k.axis.Key, value,
+			k.metric, e.Mean)
+	}
+	high := e.Half
+	if math.IsNaN(high) {
+		high = 0
+	}
+	low := high
+	if k.logY { // the lower end must be above 0 there
+		low = min(low, 0.9*e.Mean)
+	}
+	line.XYs = append(line.XYs, plotter.XY{X: x, Y: e.Mean})
+	line.YErrors = append(line.YErrors, struct{ Low, High float64 }{low, high})
+	return nil
+}
+
+// line returns the line of a cell, a new one for the first cell of a line.
+func (k *keyPlot) line(c *Cell) *series {
+	name := c.Policy
+	for _, key := range slices.Sorted(maps.Keys(c.Set)) {
+		if key != k.axis.Key {
+			name += " " + key + "=" + c.Set[key]
+		}
+	}
+	for _, line := range k.lines {
+		if line.name == name {
+			return line
+		}
+	}
+	line := &series{name: name}
+	k.lines = append(k.lines, line)
+	return line
+}
+
+// addLine draws the i-th line, with error bars unless they are nil. A line without points is left out.
+func addLine(p *plot.Plot, i int, name string, xy plotter.XYs, bars *series) error {
 	if len(xy) == 0 {
 		return nil
 	}
--- a/internal/simulation/experiment/report.go
+++ b/internal/simulation/experiment/report.go
@@ -31,17 +31,19 @@
 </html>
 `))
 
+// drawing is a plot of a report.
 type drawing struct {
 	Name string
 	SVG  template.HTML
 }
 
+// violation is a violation of a rule with the day in which it occurred.
 type violation struct{ Who, Text string }
 
-// columns of the table of a report.
+// columns are the metrics in the table of a report.
 var columns = []string{"service", "service_worst_10s", "mean_ms", "p99_ms", "refused", "failed", "probes"}
 
-// Table is the estimates of all cells: a head and a row each, as text.
+// Table returns the estimates of all cells as text: a head, and a row for each cell.
 func (s *Store) Table(metrics []string) (head []string, rows [][]string) {
 	for _, a := range s.Header.Over {
 		head = append(head, a.Key)
@@ -61,7 +63,7 @@
 	return head, rows
 }
 
-// String writes an estimate with as many digits as its interval lets one trust.
+// String formats an estimate with as many digits as its interval justifies.
 func (e Estimate) String() string {
 	if math.IsNaN(e.Half) {
 		return fmt.Sprintf("%.4g", e.Mean)
@@ -73,7 +75,7 @@
 	return fmt.Sprintf("%.*f ±%.*f", digits, e.Mean, digits, e.Half)
 }
 
-// Report writes one page that needs nothing beside it: settings, tables, plots, and what was broken.
+// Report writes a self-contained HTML page: settings, a table, plots, and violations of rules.
 func (s *Store) Report(w io.Writer) error {
 	h := &s.Header
 	data := struct {
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/simulation/proxysim"
 )
 
-// Job is one day to be played: a scenario with keys set over it, a policy and a seed.
+// Job is one day to run: values of swept keys, a policy and a seed.
 type Job struct {
 	Set    map[string]string `json:"set,omitempty"` // of the swept keys
 	Policy string            `json:"policy"`
@@ -23,14 +23,14 @@
 	Lambda float64           `json:"lambda,omitempty"`
 }
 
-// RunResult is a day played.
+// RunResult is a day that has ended.
 type RunResult struct {
 	Job
 	Result *proxysim.Result `json:"result"`
 	Wall   float64          `json:"wall_s"`
 }
 
-// Play plays one day.
+// Play runs one day of a scenario, with the values of some keys replaced.
 func Play(scenario string, base map[string]string, j Job, o proxysim.Options) (*RunResult, error) {
 	set := map[string]string{}
 	for k, v := range base {
@@ -54,8 +54,9 @@
 	return &RunResult{j, r, time.Since(began).Seconds()}, nil
 }
 
-// All plays days in parallel, as many at a time as there are processors or jobs says, and hands each to
-// take as it ends, one at a time. It stops at the first error or when ctx ends; days under way then end.
+// PlayAll runs days in parallel, jobs at a time or, if that is 0, one a processor. It passes each day that
+// ends to record, from one goroutine at a time. It stops at the first error or when ctx is done; days under
+// way end before it returns.
 func PlayAll(ctx context.Context, scenario string, base map[string]string, all []Job, jobs int, strict bool,
 	record func(*RunResult) error) error {
 	if jobs <= 0 {
@@ -87,10 +88,10 @@
 	return ctx.Err()
 }
 
-// per is a count by request.
+// perRequest is a count over the number of requests.
 func perRequest(r *proxysim.Result, n int) float64 { return float64(n) / float64(max(r.Requests, 1)) }
 
-// Metrics are the figures of a day that statistics are made of, by name.
+// Metrics are the figures of a day that are estimated, by name.
 var Metrics = map[string]func(*proxysim.Result) float64{
 	"mean_ms":              func(r *proxysim.Result) float64 { return r.MeanMS },
 	"mean_service_times":   func(r *proxysim.Result) float64 { return r.MeanServiceTimes },
@@ -112,11 +113,11 @@
 	"work_wasted":          func(r *proxysim.Result) float64 { return r.Wasted },
 }
 
-// WallMetric is what a request with all its events cost this machine, in microseconds. Unlike the others it
-// differs from run to run; play with one job at a time to read it.
+// WallMetric is the wall time of a request with all its events on this machine, in microseconds. Unlike the
+// others it differs from run to run; run one job at a time to measure it.
 const WallMetric = "wall_us_a_request"
 
-// figure is a metric of a day.
+// figure returns a metric of a day.
 func (d *RunResult) figure(metric string) float64 {
 	if metric == WallMetric {
 		return d.Wall * 1e6 / float64(max(d.Result.Requests, 1))
@@ -124,10 +125,10 @@
 	return Metrics[metric](d.Result)
 }
 
-// KnownMetric tells whether there is a metric of that name.
+// KnownMetric reports whether there is a metric of that name.
 func KnownMetric(metric string) bool { return metric == WallMetric || Metrics[metric] != nil }
 
-// MetricNames are the names, sorted.
+// MetricNames returns the names of the metrics, sorted.
 func MetricNames() (names []string) {
 	for n := range Metrics {
 		names = append(names, n)
@@ -142,7 +143,7 @@
 	N          int
 }
 
-// EstimateOf estimates from the figures of days.
+// EstimateOf estimates the mean of figures.
 func EstimateOf(x []float64) Estimate {
 	mean, sd := stat.MeanStdDev(x, nil)
 	if len(x) < 2 {
@@ -151,19 +152,19 @@
 	return Estimate{mean, student(len(x)) * sd / math.Sqrt(float64(len(x))), len(x)}
 }
 
-// student is the factor of a 95% interval from n figures.
+// student is Student's t for a 95% interval from n figures.
 func student(n int) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(0.975)
 }
 
-// Difference is what comparing two policies on the same days came to.
+// Difference is the paired difference of two policies over the same days.
 type Difference struct {
 	Estimate
 	Noise   bool // the interval holds 0
-	Repeats int  // days that would settle a difference as large as this one; 0 where it is settled
+	Repeats int  // days that would make a difference of this size significant; 0 where it is
 }
 
-// Paired compares figures of the same days, b less a.
+// Paired estimates the difference of figures of the same days, b less a.
 func Paired(a, b []float64) Difference {
 	d := make([]float64, min(len(a), len(b)))
 	for i := range d {
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -1,5 +1,3 @@
-// Package experiment plays scenarios on the emulator: one or many, with several policies and seeds side by
-// side, and says how sure the figures are. Results are files that plots and reports are made from.
 package experiment
 
 import (
@@ -21,8 +19,9 @@
 	return settingsfile.NewSchema[proxysim.Scenario]("", "`cresshub lab docs` lists all keys")
 })
 
-// Load reads a scenario by the path of its file or by the name of a shipped one, with keys set over it, and
-// checks it as strictly as the program's own configuration. The error is keyed.Problems, all of them.
+// Load reads a scenario by the path of its file or by the name of a shipped one, with the values of some keys
+// replaced, and validates it as strictly as the program's own configuration. The error is of type
+// settingsfile.Problems and lists all of them.
 func Load(name string, set map[string]string) (*proxysim.Scenario, error) {
 	raw, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -52,71 +51,95 @@
 	sc := &proxysim.Scenario{}
 	b.Into(sc)
 	if len(b.Problems) == 0 {
-		validate(sc, b)
+		(&validator{sc, b}).validate()
 	}
 	return sc, b.Problems.Err()
 }
 
-// check finds what is wrong between keys.
-func validate(sc *proxysim.Scenario, b *settingsfile.Builder) {
-	tell := func(path, format string, args ...any) {
-		o, ok := b.Origins[path]
-		if !ok || o.Source == "default" {
-			o = settingsfile.Origin{Source: "file", Name: sc.Name, Line: 1}
-			for _, other := range b.Origins {
-				if other.Source == "file" {
-					o.Name = other.Name
-				}
+// validator reports what is wrong between the keys of a scenario.
+type validator struct {
+	scenario *proxysim.Scenario
+	builder  *settingsfile.Builder
+}
+
+// report adds a problem of a key, with its place in the file.
+func (v *validator) report(path, format string, args ...any) {
+	o, ok := v.builder.Origins[path]
+	if !ok || o.Source == "default" {
+		o = settingsfile.Origin{Source: "file", Name: v.scenario.Name, Line: 1}
+		for _, other := range v.builder.Origins {
+			if other.Source == "file" {
+				o.Name = other.Name
 			}
 		}
-		b.Problems.Add(o, schema().Shown(path), format, args...)
 	}
+	v.builder.Problems.Add(o, schema().Shown(path), format, args...)
+}
+
+// validate checks the scenario.
+func (v *validator) validate() {
+	sc := v.scenario
 	if len(sc.Classes) == 0 {
-		tell("class", "is missing; at least one [[class]] with name and work is wanted")
+		v.report("class", "is missing; at least one [[class]] with name and work is wanted")
 	}
-	shares := func(list string, n int, share func(int) float64) {
-		total := 0.0
-		for i := range n {
-			total += share(i)
-		}
-		if n > 0 && math.Abs(total-1) > 0.001 {
-			tell(fmt.Sprintf("%s.%d.share", list, n-1), "all shares add up to %.4g, 1 is wanted", total)
-		}
-	}
-	shares("class", len(sc.Classes), func(i int) float64 { return sc.Classes[i].Fraction })
-	shares("kind", len(sc.Kinds), func(i int) float64 { return sc.Kinds[i].Fraction })
-	shares("tenant", len(sc.Tenants), func(i int) float64 { return sc.Tenants[i].Fraction })
+	v.checkFractions("class", len(sc.Classes), func(i int) float64 { return sc.Classes[i].Fraction })
+	v.checkFractions("kind", len(sc.Kinds), func(i int) float64 { return sc.Kinds[i].Fraction })
+	v.checkFractions("tenant", len(sc.Tenants), func(i int) float64 { return sc.Tenants[i].Fraction })
 	for i, c := range sc.Classes {
 		if c.Deadline > 0 && c.LatencyTarget > c.Deadline {
-			tell(fmt.Sprintf("class.%d.aim", i), "%v is beyond the deadline %v", c.LatencyTarget, c.Deadline)
+			v.report(fmt.Sprintf("class.%d.aim", i), "%v is beyond the deadline %v", c.LatencyTarget, c.Deadline)
 		}
 	}
 	for i, k := range sc.Kinds {
 		if k.MinSpeed > k.MaxSpeed {
-			tell(fmt.Sprintf("kind.%d.slowest", i), "%g is above fastest %g", k.MinSpeed, k.MaxSpeed)
+			v.report(fmt.Sprintf("kind.%d.slowest", i), "%g is above fastest %g", k.MinSpeed, k.MaxSpeed)
 		}
 	}
-	for i, t := range sc.Faults {
-		if t.Type == "hall_loss" && !slices.Contains(sc.Halls, t.Hall) {
-			hint := ""
-			if w := settingsfile.Likely(t.Hall, sc.Halls); w != "" {
-				hint = "; did you mean " + w + "?"
-			}
-			tell(fmt.Sprintf("trouble.%d.hall", i), "%q is none of halls%s", t.Hall, hint)
+	v.checkHalls()
+	v.checkLength()
+}
+
+// checkFractions checks that the fractions of a list of tables add up to 1.
+func (v *validator) checkFractions(list string, n int, fraction func(int) float64) {
+	total := 0.0
+	for i := range n {
+		total += fraction(i)
+	}
+	if n > 0 && math.Abs(total-1) > 0.001 {
+		v.report(fmt.Sprintf("%s.%d.share", list, n-1), "all shares add up to %.4g, 1 is wanted", total)
+	}
+}
+
+// checkHalls checks that faults name halls of the scenario.
+func (v *validator) checkHalls() {
+	halls := v.scenario.Halls
+	for i, fault := range v.scenario.Faults {
+		if fault.Type != "hall_loss" || slices.Contains(halls, fault.Hall) {
+			continue
+		}
+		hint := ""
+		if likely := settingsfile.Likely(fault.Hall, halls); likely != "" {
+			hint = "; did you mean " + likely + "?"
 		}
+		v.report(fmt.Sprintf("trouble.%d.hall", i), "%q is none of halls%s", fault.Hall, hint)
 	}
+}
+
+// checkLength checks that requests arrive and some of them are counted.
+func (v *validator) checkLength() {
+	sc := v.scenario
 	if sc.WarmUp >= sc.Duration {
-		tell("warm_up", "%v is not before the end at %v", sc.WarmUp, sc.Duration)
+		v.report("warm_up", "%v is not before the end at %v", sc.WarmUp, sc.Duration)
 	}
 	if sc.Requests > 0 && sc.WarmUpRequests >= sc.Requests {
-		tell("warm_up_requests", "%d leaves none of %d requests to count", sc.WarmUpRequests, sc.Requests)
+		v.report("warm_up_requests", "%d leaves none of %d requests to count", sc.WarmUpRequests, sc.Requests)
 	}
 	if sc.Load.Utilisation == 0 && sc.Load.Rate == 0 {
-		tell("load.utilisation", "is 0 and so is load.rate: nothing arrives")
+		v.report("load.utilisation", "is 0 and so is load.rate: nothing arrives")
 	}
 }
 
-// Shipped names the scenarios that come with the program.
+// Shipped returns the names of the scenarios that come with the program.
 func Shipped() (names []string) {
 	entries, err := fs.Glob(scenarios.Files, "*.toml")
 	if err != nil {
@@ -128,7 +151,7 @@
 	return names
 }
 
-// Reference is the page of all keys of a scenario, in Markdown.
+// Reference is docs/SCENARIO.md, the page of all keys of a scenario.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("# Keys of a scenario\n\nWritten by \"cresshub lab docs\"; a test fails where it is stale.\n")
@@ -155,7 +178,7 @@
 	return b.String()
 }
 
-// Text is a shipped scenario as it stands in its file.
+// Text returns the file of a shipped scenario.
 func Text(name string) ([]byte, error) {
 	text, err := scenarios.Files.ReadFile(strings.TrimSuffix(name, ".toml") + ".toml")
 	if err != nil {
--- a/internal/simulation/experiment/store.go
+++ b/internal/simulation/experiment/store.go
@@ -13,7 +13,7 @@
 	"strings"
 )
 
-// Header says what a result file holds. Two files of the same header hold the same experiment.
+// Header describes an experiment. Two result files of the same header are of the same experiment.
 type Header struct {
 	Scenario string            `json:"scenario"`
 	Set      map[string]string `json:"set,omitempty"`
@@ -31,7 +31,7 @@
 	Values []string `json:"values"`
 }
 
-// Jobs are all days of the experiment, repeats of one cell together.
+// Jobs returns all days of the experiment, the repeats of one cell together.
 func (h *Header) Jobs() (all []Job) {
 	cells := []map[string]string{{}}
 	for _, a := range h.Over {
@@ -55,7 +55,7 @@
 	return all
 }
 
-// id tells a job from all others of an experiment.
+// id identifies a job within an experiment.
 func (j Job) id() string {
 	keys := slices.Sorted(maps.Keys(j.Set))
 	for i, k := range keys {
@@ -64,16 +64,16 @@
 	return fmt.Sprint(strings.Join(keys, " "), " ", j.Policy, " ", j.Seed)
 }
 
-// Store is a result file: a header and a line for each day, written as it ends, so that an interrupt loses
-// none that was finished.
+// Store is the results of an experiment, and their file: a header and a line for each day, which is written
+// when the day ends, so that an interrupt loses no day that has ended.
 type Store struct {
 	Header Header
 	Days   []*RunResult
-	f      *os.File
+	f      *os.File // nil where there is none to write to
 }
 
-// Open reads what a result file already holds of an experiment and goes on with it. One of another
-// experiment is refused.
+// Open opens the result file of an experiment, which it creates or continues. It is an error if the file is
+// of another experiment.
 func Open(path string, h Header) (*Store, error) {
 	s, err := Read(path)
 	switch {
@@ -92,7 +92,7 @@
 	for _, d := range s.Days {
 		lines = append(append(lines, mustJSON(d)...), '\n')
 	}
-	// Written beside and renamed, so that what a line was cut off in is dropped and nothing else is at risk.
+	// Written to another file and renamed, so that a truncated last line is dropped and no other is at risk.
 	fresh := path + ".new"
 	if err := os.WriteFile(fresh, lines, 0o644); err != nil {
 		return nil, err
@@ -104,15 +104,16 @@
 	return s, err
 }
 
+// mustJSON encodes a header or a day; null stands for a day with a figure that is not finite.
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
-	if err != nil { // a figure that is no number
+	if err != nil {
 		b = []byte("null")
 	}
 	return b
 }
 
-// Read reads a result file; a last line that is not whole is left out.
+// Read reads a result file. A truncated last line is left out.
 func Read(path string) (*Store, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return s, lines.Err()
 }
 
-// Missing are the days that are not there yet.
+// Missing returns the days that have no result yet.
 func (s *Store) Missing() (all []Job) {
 	have := map[string]bool{}
 	for _, d := range s.Days {
@@ -150,7 +151,7 @@
 	return all
 }
 
-// Add writes a day.
+// Add adds a day, and writes it where there is a file.
 func (s *Store) Add(d *RunResult) error {
 	s.Days = append(s.Days, d)
 	if s.f == nil {
@@ -160,7 +161,7 @@
 	return err
 }
 
-// Close ends the writing.
+// Close closes the file.
 func (s *Store) Close() error {
 	if s.f == nil {
 		return nil
@@ -168,14 +169,15 @@
 	return s.f.Close()
 }
 
-// Cell is all days of one policy at one place of the sweep.
+// Cell is all days of one policy at one point of the sweep.
 type Cell struct {
 	Set    map[string]string
 	Policy string
 	Days   []*RunResult
 }
 
-// Cells groups the days, in the order of the experiment and each by seed.
+// Cells groups the days, in the order of the experiment; those of a cell are in order of their seeds. A cell
+// without days is left out.
 func (s *Store) Cells() (all []*Cell) {
 	at := map[string]*Cell{}
 	key := func(j Job) string { j.Seed = 0; return j.id() }
@@ -196,7 +198,7 @@
 	return slices.DeleteFunc(all, func(c *Cell) bool { return len(c.Days) == 0 })
 }
 
-// Figures are a metric's values over the days of a cell.
+// Figures returns a metric's values over the days of a cell.
 func (c *Cell) Figures(metric string) (x []float64) {
 	for _, d := range c.Days {
 		x = append(x, d.figure(metric))
@@ -204,7 +206,7 @@
 	return x
 }
 
-// PairStores pairs the days of two results that have the same keys, policy and seed: b less a.
+// PairStores compares the days of two results that have the same keys, policy and seed: b less a.
 func PairStores(a, b *Store, metric string) Difference {
 	at := map[string]float64{}
 	for _, d := range a.Days {
