--- a/internal/proxy/dispatch/decide_test.go
+++ b/internal/proxy/dispatch/decider_test.go
@@ -10,7 +10,7 @@
 	"cresshub/balance"
 )
 
-// party stands for the network and for a client.
+// party stands in for the network and for a client.
 type party struct {
 	probes chan ServerID
 	follow chan bool
@@ -40,6 +40,7 @@
 func (p *party) PeerClosed() bool { return p.left }
 
 func decider(t *testing.T, set func(*balance.Settings)) (*Decider, *party) {
+	t.Helper()
 	s := balance.Settings{
 		Tick: 5 * time.Millisecond, MaxAttempts: 3, MayCancel: true, AskWithin: time.Millisecond, MustFollow: true,
 		Classes: []balance.Class{
@@ -117,8 +118,8 @@
 	}
 }
 
-// A step that its goroutine never saw must not stay counted as out at its server. Nor is it cancelled: a
-// front knows only attempts that were handed out.
+// A Send that its goroutine never picked must not stay counted as under way at its server. Nor is it
+// cancelled: the caller knows only attempts that it started.
 func TestClientGoneBeforeAttemptStarted(t *testing.T) {
 	d, p := decider(t, nil)
 	call := d.Open(soon(), p)
@@ -140,7 +141,7 @@
 	}
 }
 
-// A server that started after this process, as Unix time tells, is cold, not one of long ago.
+// A server that started after this process, by Unix time, is warming up, not one started long ago.
 func TestClockReadsAsUnixTime(t *testing.T) {
 	d, _ := decider(t, nil)
 	if off := time.Duration(time.Now().UnixNano()) - d.now(); off < -time.Minute || off > time.Minute {
@@ -165,8 +166,8 @@
 	<-p.follow
 }
 
-// A step to send may cross with its client's leaving, the first one or one after an attempt: it is not handed
-// out, and the decisions hear that the attempt was not made.
+// A Send, the first one or one after an attempt, may cross with the client's going away: it is not picked,
+// and the decisions learn that the attempt was not made.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for _, before := range []int{0, 1} {
 		d, p := decider(t, nil)
--- a/internal/proxy/dispatch/orders_test.go
+++ b/internal/proxy/dispatch/interleaving_test.go
@@ -7,8 +7,8 @@
 	"cresshub/balance"
 )
 
-// orders calls f with every order of the numbers below n.
-func orders(n int, f func([]int)) {
+// permutations calls f with every order of the numbers below n.
+func permutations(n int, f func([]int)) {
 	var extend func(done []int)
 	extend = func(done []int) {
 		if len(done) == n {
@@ -34,7 +34,7 @@
 func TestEveryOrder(t *testing.T) {
 	for class, effect := range []string{"may run again", "must not"} {
 		for res := range Result(len(ResultNames)) {
-			orders(4, func(order []int) {
+			permutations(4, func(order []int) {
 				d, p := decider(t, func(s *balance.Settings) { s.MayDuplicate = true })
 				d.UpdateList(true, []Server{{ID: 7, Rating: 1}, {ID: 8, Rating: 1}})
 				q := soon()
