--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -7,69 +7,62 @@
 	"time"
 
 	"cresshub/internal/connbuffer"
-	"cresshub/internal/proxy/config"
+	"cresshub/internal/http1"
 	"cresshub/internal/proxy/logging"
 )
 
-// client is one connection of the application. The server's lock guards the four behind the first two.
+// client is one connection of the application. It is the dispatch.Waiter of its requests.
 type client struct {
 	*connbuffer.Conn
-	wakeup chan struct{}
+	wakeup chan struct{}          // holds a token after Wake
+	upload atomic.Pointer[upload] // that an attempt reads or may read; nil where there is none
 
-	upload     atomic.Pointer[upload] // being read by an attempt; nil where there is none
-	since      time.Time              // in its present state from then on
-	idle       bool                   // no request is whole; whoever unsets it owns the connection
-	receiving  bool                   // but one has begun
-	unused     bool                   // none ever was
-	inProgress bool                   // a request that counts as in progress; only its goroutine uses this
+	// The server's lock guards these.
+	since     time.Time // when the present state began
+	idle      bool      // no request is complete; whoever unsets it owns the connection
+	receiving bool      // idle, but a request has begun
+	unused    bool      // no request was ever served
 
-	logEntry *logging.Final // of the request being served, where it is to be logged
-
-	usage      *Usage // of the request being served, where use is counted
+	// These belong to the connection's goroutine.
+	inProgress bool           // the request counts as in progress
+	logEntry   *logging.Final // of the request being served; nil where it is not logged
+	usage      *Usage         // of the request being served; nil where usage is not counted
 	usageClass int
 }
 
-// closedPollInterval is how often a client is looked for whose connection cannot be read.
+// closedPollInterval is how often a connection that can't be read is checked for whether its peer closed it.
 const closedPollInterval = 50 * time.Millisecond
 
-var errPeerClosed = errors.New("the client has ended its sending")
+// pastDeadline is a read deadline that wakes a goroutine from Read at once.
+var pastDeadline = time.Unix(1, 0)
+
+var errPeerClosed = errors.New("the client has closed its sending side")
 
-// Wait sits in Read until Wake, or until the client closes its side: a close and the end of its sending alone
-// look the same, so whoever wants an answer keeps both open. While an attempt reads the request's body, or
-// may begin to, the connection is left alone and only looked at.
+// Wait waits in Read until Wake, or until the client closes its side: a close and the end of its sending
+// alone look the same, so whoever wants a response keeps both open. While an attempt reads the request's
+// body, or may begin to, the connection is not read but checked now and then.
 func (c *client) Wait() error {
 	for u := c.upload.Load(); u != nil; u = c.upload.Load() {
-		select {
-		case <-c.wakeup:
-			return nil
-		case <-u.ended:
-			if err := u.clientError(); err != nil {
-				return err
-			}
-			c.upload.Store(nil) // before the deadline is set below, or a Wake between would not be heard
-		case <-time.After(closedPollInterval):
-			if c.PeerClosed() {
-				return errPeerClosed
-			}
+		if woken, err := c.awaitUpload(u); woken || err != nil {
+			return err
 		}
 	}
 	for {
-		// The deadline first: a Wake that comes after this line sets it again, one before has left its
-		// token.
+		// The deadline first: a Wake that comes after this line sets it again, one before it has left its token.
 		c.SetReadDeadline(time.Time{})
 		select {
 		case <-c.wakeup:
 			return nil
 		default:
 		}
-		buffered := c.In.Buffered() // of the next request, or what a client sends that does not wait for answers
+		buffered := c.In.Buffered() // of the next request, or of what a client sends without waiting
 		if buffered < c.In.Size() {
 			if _, err := c.In.Peek(buffered + 1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
 			}
 			continue
 		}
-		select { // no room to read on
+		select { // the buffer is full
 		case <-c.wakeup:
 			return nil
 		case <-time.After(closedPollInterval):
@@ -80,6 +73,24 @@
 	}
 }
 
+// awaitUpload waits for Wake, the end of the upload or a poll interval, whichever comes first.
+func (c *client) awaitUpload(u *upload) (woken bool, err error) {
+	select {
+	case <-c.wakeup:
+		return true, nil
+	case <-u.ended:
+		if err := u.clientError(); err != nil {
+			return false, err
+		}
+		c.upload.Store(nil) // before Wait sets the deadline, or a Wake between would be lost
+	case <-time.After(closedPollInterval):
+		if c.PeerClosed() {
+			return false, errPeerClosed
+		}
+	}
+	return false, nil
+}
+
 // Wake ends Wait.
 func (c *client) Wake() {
 	select {
@@ -87,49 +98,15 @@
 	default:
 	}
 	if c.upload.Load() == nil {
-		c.SetReadDeadline(time.Unix(1, 0))
+		c.SetReadDeadline(pastDeadline)
 	}
 }
 
-// markIdle marks the connection as between two requests, begin as in one; begin returns false where the
-// connection was closed meanwhile. Where the next request was read with the one before it has begun: nothing
-// of it waits in the system, where whoever closes what rests would see it.
-func (s *Server) markIdle(c *client) {
-	waits := c.HasBuffered()
-	s.mu.Lock()
-	c.idle, c.receiving, c.unused, c.since = true, waits, false, time.Now()
-	s.mu.Unlock()
-}
-
-// markReceiving notes the first byte of a request.
-func (s *Server) markReceiving(c *client) {
-	s.mu.Lock()
-	c.receiving, c.since = true, time.Now()
-	s.mu.Unlock()
-}
-
-func (s *Server) claim(c *client) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	was := c.idle
-	c.idle = false
-	return was
-}
-
-// expendability tells how well a connection can be done without, from 0, not at all, up. The time for those
-// that rest is short, for some clients open a connection for each request and keep it: at hundreds a second
-// what rests fills all places long before it is old.
-func (c *client) expendability(now time.Time, l *config.Clients) int {
-	age := now.Sub(c.since)
-	switch {
-	case !c.idle:
-		return 0
-	case c.receiving && age > l.Half && now.Sub(c.LastReceived()) > l.Half: // a slow one goes on coming
-		return 2
-	case !c.receiving && c.unused && age > l.Silent:
-		return 3
-	case !c.receiving && !c.unused && age > l.Rested:
-		return 1
+// read reads the next bytes of a request's body, for which the client has the time stall. Of a chunked body
+// what is buffered may be no more than the end of a chunk.
+func (c *client) read(body *http1.Body, p []byte, stall time.Duration) (int, error) {
+	if c.In.Buffered() == 0 || body.Length() < 0 {
+		c.SetReadDeadline(time.Now().Add(stall))
 	}
-	return 0
+	return body.Read(p)
 }
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -4,29 +4,27 @@
 	"net"
 	"time"
 
-	"cresshub/internal/proxy/descriptors"
 	"cresshub/internal/proxy/drain"
 )
 
-// sweepInterval is how often a drain looks for connections to close.
+// sweepInterval is how often a draining server looks for connections to close.
 const sweepInterval = 10 * time.Millisecond
 
-// Serving tells whether clients are taken; /health/ready says the same.
+// Serving reports whether clients are accepted; /health/ready says the same.
 func (s *Server) Serving() bool { return s.drain.Load().Serving() }
 
-// Ending tells whether Shutdown was called.
+// Ending reports whether Shutdown was called.
 func (s *Server) Ending() bool { return s.drain.Load().Ending() }
 
-// closesAfterResponse tells whether a client's connection ends with its present answer, as far as we have a say in
-// it. What it has sent behind its request is ours to answer, so where there is such it stays open for a
-// while.
+// closesAfterResponse reports whether a client's connection is to end with its present response. Where it has
+// sent more behind its request, which must be answered too, the connection stays open for a while.
 func (s *Server) closesAfterResponse(c *client) bool {
 	d := s.drain.Load()
 	return !d.Serving() && (d.Plan(time.Now(), s.Drain()).Last || c.Quiet())
 }
 
-// LameDuck sends clients away for a while, or takes them again; it returns at once. Everything that comes is
-// still answered.
+// LameDuck begins or ends a drain without a shutdown; it returns at once. Everything that arrives is still
+// answered.
 func (s *Server) LameDuck(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +36,7 @@
 	}
 }
 
-// closeIdleLoop closes what a drain has come to close until clients are taken again, or Shutdown does it.
+// closeIdleLoop closes the connections that a drain is due to close, until it ends or Shutdown does the same.
 func (s *Server) closeIdleLoop() {
 	for ; ; time.Sleep(sweepInterval) {
 		s.mu.Lock()
@@ -52,10 +50,10 @@
 	}
 }
 
-// Shutdown answers all that was taken and returns when nothing is owed. After the signal to end, clients
-// still open connections for a while, and use those they have as long as these stay open. Idle ones are
-// closed while a request that crosses with that can still come again, and the rest some time after the
-// last could have been opened.
+// Shutdown drains for good: it answers everything that was accepted and returns once no connection is left.
+// After the signal to end clients still open connections for a while, and use those they have while these
+// stay open. So idle ones are closed while a client can still retry a request that crosses with that, and the
+// others some time after the last could have been opened.
 func (s *Server) Shutdown(l net.Listener) {
 	s.mu.Lock()
 	next := s.drain.Load().End(time.Now())
@@ -64,8 +62,8 @@
 	for ; ; time.Sleep(sweepInterval) {
 		p := s.drain.Load().Plan(time.Now(), s.Drain())
 		if p.Refuse {
-			// Until this moment every connection is accepted: one left waiting in the system's queue could
-			// hold a request that is ours to answer.
+			// Until this moment every connection is accepted: one left in the kernel's backlog could hold a
+			// request that must be answered.
 			l.Close()
 		}
 		s.mu.Lock()
@@ -78,28 +76,16 @@
 	}
 }
 
-// closeBefore closes what a plan says; the lock is held. One whose next request waits in the system, not
-// read yet, is left alone: it is about to be served.
+// closeBefore closes the connections that a plan says. One whose next request has arrived and is not read yet
+// is left alone: it is about to be served. The lock is held.
 func (s *Server) closeBefore(p drain.Plan) {
 	for c := range s.clients {
 		switch {
 		case !c.idle:
 		case c.receiving && c.since.Before(p.Half):
-			c.SetReadDeadline(time.Unix(1, 0)) // its own goroutine tells it why
+			c.SetReadDeadline(pastDeadline) // its own goroutine says why
 		case !c.receiving && c.since.Before(p.Rested) && c.Still():
 			s.closeIdle(c)
 		}
 	}
 }
-
-// closeIdle closes a client's connection on which no request is whole.
-func (s *Server) closeIdle(c *client) bool {
-	if !c.idle {
-		return false
-	}
-	c.idle = false
-	delete(s.clients, c)
-	c.Close()
-	s.Budget.Give(descriptors.Clients)
-	return true
-}
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -19,6 +19,7 @@
 
 // holdingZone is a zone server whose answers wait until release is closed.
 func holdingZone(t *testing.T) (zone *nettest.Party, release chan bool) {
+	t.Helper()
 	release = make(chan bool)
 	return nettest.Serve(t, func(q *http1.Request) *http1.Response {
 		<-release
@@ -28,6 +29,7 @@
 
 // startShutdown begins the end of a rig and returns once its state says so.
 func (r *rig) startShutdown(t *testing.T) {
+	t.Helper()
 	go func() {
 		r.Shutdown(r.listener)
 		close(r.ended)
@@ -145,6 +147,7 @@
 }
 
 func tcpPair(t *testing.T) (far, near net.Conn) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -236,6 +236,7 @@
 }
 
 func checkHedgedUpload(t *testing.T, framing string) {
+	t.Helper()
 	r := newRig(t, func(s *balance.Settings) { s.Classes[0].Aim = time.Second })
 	bodies := make(chan string, 9)
 	zone := nettest.Listen(t, func(c *connbuffer.Conn) {
--- a/internal/proxy/ingress/request.go
+++ b/internal/proxy/ingress/parse.go
@@ -2,7 +2,6 @@
 
 import (
 	"hash/fnv"
-	"io"
 	"math"
 	"net/url"
 	"strconv"
@@ -15,14 +14,14 @@
 
 const idField = "X-Request-ID"
 
-// routingFields are the header fields that say what a request is and how it is handled.
+// routingFields are the header fields that decide how a request is handled. None may come twice.
 var routingFields = []string{idField, "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "X-Retried", "Host"}
 
-// maxTimeout bounds a request's time: whoever waits longer than this has no deadline at all.
+// maxTimeout bounds a request's time. A longer X-Timeout is as good as none.
 const maxTimeout = time.Hour
 
-// parse reads what the decisions need to know of a request. A status other than 0 says what is wrong; the
-// class is set all the same, to -1 where none is named.
+// parse reads what the decisions need to know of a request. A status other than 0, with its reason, says that
+// the request is rejected; the class is set all the same, to -1 where none is named.
 func (s *Server) parse(message *http1.Request, arrived time.Time) (
 	r dispatch.Request, status int, reason string,
 ) {
@@ -49,17 +48,18 @@
 	if r.Tenant, ok = s.tenants[message.Header.Get("X-Tenant-Id")]; !ok && len(s.tenants) > 0 {
 		return r, 400, "X-Tenant-Id names no tenant"
 	}
-	wait, err := strconv.ParseFloat(message.Header.Get("X-Timeout"), 64)
-	if err != nil || !(wait > 0) || math.IsInf(wait, 0) {
+	timeout, err := strconv.ParseFloat(message.Header.Get("X-Timeout"), 64)
+	if err != nil || !(timeout > 0) || math.IsInf(timeout, 0) {
 		return r, 400, "X-Timeout is no time"
 	}
-	r.Deadline = arrived.Add(time.Duration(min(wait, maxTimeout.Seconds()) * float64(time.Second)))
+	r.Deadline = arrived.Add(time.Duration(min(timeout, maxTimeout.Seconds()) * float64(time.Second)))
 	r.Repeat = message.Header.Get("X-Retried") == "1"
 	r.Key, r.HasKey = parseKey(message.Target)
 	return r, 0, ""
 }
 
-// parseKey finds what a request concerns. Keys are 16 hex digits; any other word is a key too, by its hash.
+// parseKey finds the key that a request's target names. Keys are 16 hex digits; any other text stands for its
+// hash.
 func parseKey(target string) (uint64, bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for pair := range strings.SplitSeq(query, "&") {
@@ -74,7 +74,7 @@
 			value = plain
 		}
 		h := fnv.New64a()
-		io.WriteString(h, value)
+		h.Write([]byte(value))
 		return h.Sum64(), true
 	}
 	return 0, false
--- /dev/null
+++ b/internal/proxy/ingress/requestlog.go
@@ -0,0 +1,43 @@
+package ingress
+
+import (
+	"time"
+
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/logging"
+)
+
+// startLogEntry starts the log entry of a request, where requests are logged.
+func (s *Server) startLogEntry(c *client, id string, request dispatch.Request) {
+	if !s.requestLog.Load().Wants() {
+		return
+	}
+	c.logEntry = &logging.Final{Request: id, Class: s.Classes[request.Class]}
+	if len(s.Tenants) > 0 {
+		c.logEntry.Tenant = s.Tenants[request.Tenant]
+	}
+}
+
+// noteOutcome adds to the log entry how a request ended; last is the attempt that decided it, -1 where there
+// was none.
+func (s *Server) noteOutcome(c *client, outcome string, status int, attempts []*attempt, last int) {
+	if c.logEntry == nil {
+		return
+	}
+	c.logEntry.Outcome, c.logEntry.Status, c.logEntry.Attempts = outcome, status, len(attempts)
+	if last >= 0 {
+		c.logEntry.Server = s.Name(attempts[last].Server)
+	}
+}
+
+// logRequest writes the request's log entry, once its response is written.
+func (s *Server) logRequest(c *client, arrived time.Time) {
+	if c.logEntry == nil {
+		return
+	}
+	c.logEntry.Took = time.Since(arrived)
+	if log := s.requestLog.Load(); log != nil {
+		log.Write(*c.logEntry)
+	}
+	c.logEntry = nil
+}
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -60,7 +60,8 @@
 
 // newRig starts a proxy that knows no server. Its class "lookup" may run again, "assign" must not; change may
 // alter the settings.
-func newRig(t testing.TB, change func(*balance.Settings)) *rig {
+func newRig(tb testing.TB, change func(*balance.Settings)) *rig {
+	tb.Helper()
 	set := balance.Settings{
 		Tick: time.Millisecond, MaxAttempts: 3, MayCancel: true, MayDuplicate: true,
 		Classes: []balance.Class{
@@ -74,7 +75,7 @@
 	r := &rig{listed: map[dispatch.ServerID]string{}, ended: make(chan struct{})}
 	decider, err := dispatch.New(set, 20*time.Millisecond, r)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	budget, room, count := descriptors.NewBudget(200, 0.6, 0.9), bodybudget.NewBudget(1<<20), stats.New(
 		[]string{"lookup", "assign"})
@@ -95,12 +96,12 @@
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	r.address, r.listener = l.Addr().String(), l
 	stop := make(chan struct{})
 	go decider.Run(stop)
 	go r.Serve(l)
-	t.Cleanup(func() { l.Close(); close(stop) })
+	tb.Cleanup(func() { l.Close(); close(stop) })
 	return r
 }
--- /dev/null
+++ b/internal/proxy/ingress/serve.go
@@ -0,0 +1,134 @@
+package ingress
+
+import (
+	"bufio"
+	"bytes"
+	"time"
+
+	"cresshub/internal/http1"
+	"cresshub/internal/proxy/config"
+)
+
+func (s *Server) serveConn(c *client) {
+	for s.serveRequest(c) {
+		s.markIdle(c)
+	}
+}
+
+// serveRequest serves one request; false means that the connection is closed.
+func (s *Server) serveRequest(c *client) (reusable bool) {
+	limits := s.limits.Load()
+	arriving := s.awaitRequest(c, limits)
+	var q *http1.Request
+	var body *http1.Body
+	var err error
+	reserved := 0
+	if arriving {
+		if q, body, err = http1.ReadRequestHead(c.In); err == nil {
+			reserved, err = s.bufferBody(c, q, body)
+		}
+	}
+	arrived := time.Now() // a request's time counts from its last byte
+	defer s.Bodies.Release(reserved)
+	if !s.claim(c) {
+		return false
+	}
+	defer func() {
+		if !reusable {
+			s.closeClaimed(c)
+		}
+	}()
+	switch {
+	case !arriving:
+		return false
+	case err != nil:
+		s.reject(c, err)
+		return false
+	case body.Complete() && !mayBeginRequest(c.In):
+		// The stated length is wrong: what was read as a complete request is a part of one.
+		s.reject(c, &http1.MalformedError{Status: 400, Reason: "more than one request"})
+		return false
+	}
+	return s.handle(c, q, body, arrived, limits)
+}
+
+// awaitRequest waits for the first byte of a request; false where none comes in time.
+func (s *Server) awaitRequest(c *client, limits *config.Clients) bool {
+	limit := limits.Idle
+	if c.unused { // only this goroutine unsets it
+		limit = limits.First
+	}
+	c.SetReadDeadline(time.Now().Add(limit))
+	// Whoever closes idle connections looks for bytes in the socket: none is consumed before the connection is
+	// marked as receiving.
+	if c.AwaitReadable() != nil {
+		return false
+	}
+	s.markReceiving(c)
+	c.SetReadDeadline(time.Now().Add(limits.Request))
+	_, err := c.In.Peek(1)
+	return err == nil
+}
+
+// handle responds to a request whose body is buffered, or of whose body an attempt reads the rest. It returns
+// whether the connection can be used again.
+func (s *Server) handle(c *client, q *http1.Request, body *http1.Body, arrived time.Time,
+	limits *config.Clients) (reusable bool) {
+	var u *upload
+	if !body.Complete() {
+		u = &upload{server: s, client: c, body: body, ended: make(chan struct{})}
+		c.upload.Store(u)
+		defer c.upload.Store(nil)
+		defer u.countOut()
+	}
+	f := s.respond(c, q, u, arrived)
+	if u != nil && u.malformed() != nil {
+		s.reject(c, u.malformed())
+		f.response = nil
+	}
+	if f.response != nil {
+		reusable = s.sendFinal(c, q, body, &f, limits)
+	}
+	if f.outcome != nil {
+		s.Pool.Release(f.outcome)
+	}
+	if c.inProgress {
+		c.inProgress = false
+		s.Stats.InProgress.Add(-1)
+	}
+	s.logRequest(c, arrived)
+	return reusable
+}
+
+// sendFinal writes the final response and, where the connection ends with it, has it arrive. It returns
+// whether the connection can be used again.
+func (s *Server) sendFinal(c *client, q *http1.Request, body *http1.Body, f *finalResponse,
+	limits *config.Clients) (reusable bool) {
+	// What is left of a body is in the way of the next request.
+	f.response.Close = q.Close || s.closesAfterResponse(c) || !body.Complete()
+	if c.usage != nil {
+		c.usage.In = body.BytesRead()
+	}
+	written := s.writeResponse(c, q, f)
+	switch {
+	case !written: // a regular end of the connection would say that this was all
+	case !body.Complete():
+		s.linger(c.Conn, limits.Discard)
+	case f.response.Close && !c.Quiet():
+		s.linger(c.Conn, limits.Linger)
+	}
+	return written && !f.response.Close
+}
+
+// mayBeginRequest tells whether what is buffered behind a request can be the start of another.
+func mayBeginRequest(r *bufio.Reader) bool {
+	b, _ := r.Peek(min(r.Buffered(), len("\r\nPOST ")))
+	b = bytes.TrimPrefix(b, []byte("\r\n"))
+	b = b[:min(len(b), len("POST "))]
+	for _, method := range []string{"GET ", "POST ", "HEAD "} {
+		if bytes.HasPrefix([]byte(method), b) || bytes.HasPrefix(b, []byte(method)) {
+			return true
+		}
+	}
+	return string(b) == "\r"
+}
--- a/internal/proxy/ingress/used.go
+++ b/internal/proxy/ingress/usage.go
@@ -7,19 +7,19 @@
 	"cresshub/internal/proxy/stats"
 )
 
-// Usage is one final answer that was written, as a ledger counts it.
+// Usage is one final response that was written, as the usage ledger counts it.
 type Usage struct {
 	Tenant, Class string
-	Answer        string // passed, dropped or bad_gateway, as the figures have them
-	ID            uint64 // of the request by its first try, hashed (xxhash); 0 where it has none
-	In, Out       int64  // bytes of bodies
+	Answer        string // passed, dropped or bad_gateway, as in the metrics
+	ID            uint64 // hash (xxhash) of the id of the request's first attempt; 0 where it has none
+	In, Out       int64  // bytes of the bodies of request and response
 }
 
-// firstAttemptIDField names the id of a request's first try, where a client that tries again says so. X-Request-ID is
-// fresh with every try.
+// firstAttemptIDField names the id of a request's first attempt where a client retries: X-Request-ID differs
+// with each of its attempts.
 const firstAttemptIDField = "X-First-Request-ID"
 
-// startUsage notes what a request uses, where somebody counts it.
+// startUsage begins the usage of a request, where usage is counted.
 func (s *Server) startUsage(c *client, q *http1.Request, class int) {
 	c.usage = nil
 	if s.RecordUsage == nil || class < 0 {
@@ -36,20 +36,20 @@
 	c.usage, c.usageClass = u, class
 }
 
-// reportUsage counts a request's use once its final answer has been written, as the figure that counted it says.
+// reportUsage reports a request's usage once its final response has been written; counter is what counted it.
 func (s *Server) reportUsage(c *client, counter *stats.Counter, out int64) {
 	u := c.usage
 	if u == nil || counter == nil {
 		return
 	}
 	c.usage = nil
-	h := s.Stats.Class(c.usageClass)
+	class := s.Stats.Class(c.usageClass)
 	switch counter {
-	case &h.Passed:
+	case &class.Passed:
 		u.Answer = "passed"
-	case &h.Dropped:
+	case &class.Dropped:
 		u.Answer = "dropped"
-	case &h.Failed:
+	case &class.Failed:
 		u.Answer = "bad_gateway"
 	default:
 		return
--- a/internal/proxy/upstream/buffer.go
+++ b/internal/proxy/upstream/buffer.go
@@ -5,19 +5,13 @@
 	"os"
 	"time"
 
+	"cresshub/internal/bodybudget"
 	"cresshub/internal/http1"
 )
 
-const (
-	// initialReservation is what is reserved first for a response of unknown length, in bytes.
-	initialReservation = 2 << 10
-	// largeBodyStart is how many bytes of a large response are read before it counts as served: one whose
-	// Content-Length is wrong often ends earlier.
-	largeBodyStart = 4 << 10
-	// streamWaitFactor is how many times Limits.BufferTime the next bytes of a response of unknown length are
-	// waited for before it is streamed.
-	streamWaitFactor = 4
-)
+// streamWaitFactor is how many times Limits.BufferTime the next bytes of a response of unknown length are
+// waited for before it is streamed.
+const streamWaitFactor = 4
 
 // responseBuffer reads the buffered part of a response's body: all of a small one, the start of one that is
 // known to be large, and of one of unknown length what arrives soon. Until something is passed on to the
@@ -28,12 +22,10 @@
 	response *http1.Response
 	body     *http1.Body
 
-	mayStream bool // the rest of the body may be passed on as it comes
-	large     bool // the length is known and beyond http1.MaxBufferedBody
-	size      int  // of the next reservation
-	read      int  // bytes of the body read so far
-	reserved  int  // bytes taken from the budget
-	waitedAt  int  // bytes that had been read when the server was first waited for; -1 before
+	reservation bodybudget.Reservation
+	mayStream   bool // the rest of the body may be passed on as it comes
+	read        int  // bytes of the body read so far
+	waitedAt    int  // bytes that had been read when the server was first waited for; -1 before
 
 	began      time.Time
 	bufferTime time.Duration
@@ -45,31 +37,28 @@
 	reserved int, streaming bool, err error,
 ) {
 	b := responseBuffer{
-		conn: c, attempt: a, response: response, body: body, waitedAt: -1, size: initialReservation,
-		mayStream: response.Status == 200 && !a.probe, // other large responses are not worth passing on
-		large:     body.Length() > http1.MaxBufferedBody,
+		conn: c, attempt: a, response: response, body: body, waitedAt: -1,
+		reservation: c.pool.bodies.Reservation(body.Length(), http1.MaxBufferedBody),
+		mayStream:   response.Status == 200 && !a.probe, // other large responses are not worth passing on
 	}
-	if body.Complete() || b.large && !b.mayStream {
+	if body.Complete() || b.reservation.Large() && !b.mayStream {
 		return 0, false, nil
 	}
-	switch {
-	case b.large:
-		b.size = largeBodyStart
-	case body.Length() >= 0:
-		b.size = int(body.Length())
-	}
 	b.began, b.bufferTime = time.Now(), c.pool.limits.Load().BufferTime
 	streaming, err = b.fill()
-	return b.reserved, streaming, err
+	return b.reservation.Bytes(), streaming, err
 }
 
 // fill reads until the body is complete or is to be streamed.
 func (b *responseBuffer) fill() (streaming bool, err error) {
 	for {
-		if b.read == len(b.response.Body) && !b.grow() {
-			return b.mayStream, nil
+		if b.read == len(b.response.Body) {
+			var ok bool
+			if b.response.Body, ok = b.reservation.Grow(b.response.Body); !ok {
+				return b.mayStream, nil
+			}
 		}
-		if b.mayStream && (b.large || b.body.Length() < 0) && b.awaitTooLong() {
+		if b.mayStream && (b.reservation.Large() || b.body.Length() < 0) && b.awaitTooLong() {
 			b.truncate()
 			return true, nil
 		}
@@ -88,20 +77,6 @@
 	}
 }
 
-// grow makes room for more of the body; false where nothing more is buffered.
-func (b *responseBuffer) grow() bool {
-	if b.read > 0 {
-		b.size = min(2*b.read, http1.MaxBufferedBody)
-	}
-	if b.read == http1.MaxBufferedBody || b.large && b.read == largeBodyStart ||
-		!b.conn.pool.bodies.Reserve(b.size-b.read) {
-		return false
-	}
-	b.reserved += b.size - b.read
-	b.response.Body = append(make([]byte, 0, b.size), b.response.Body...)[:b.size]
-	return true
-}
-
 // awaitTooLong waits for the next bytes of the body. It returns true where they take so long that what was
 // read is passed on. Read reports any other error.
 func (b *responseBuffer) awaitTooLong() bool {
@@ -111,7 +86,7 @@
 			b.waitedAt = b.read
 		}
 		until := giveUpAt
-		if limit := b.began.Add(streamWaitFactor * b.bufferTime); !b.large && limit.Before(until) {
+		if limit := b.began.Add(streamWaitFactor * b.bufferTime); !b.reservation.Large() && limit.Before(until) {
 			until = limit
 		}
 		netConn.SetReadDeadline(until)
