--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -326,7 +326,7 @@
 	}
 	replace("{", "configuration kept")
 	old.Send(t, "")
-	replace(configuration(fresh.Address, "null", 200), "discovery moved")
+	replace(configuration(fresh.Address, "null", 200), "discovery: moved")
 	fresh.Send(t, known("in_service", x))
 	a := nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request("GET", "lookup", "id", 15*time.Second))
 	if a.Status != 200 {
--- a/internal/proxy/discovery/values.go
+++ b/internal/proxy/discovery/valuereader.go
@@ -8,48 +8,49 @@
 	"time"
 )
 
-// valueReader reads a stream of JSON values, whatever lines and pieces they come in. Space between two of them is
-// a sign of life; one that has begun has to be whole in the time that the stream may be silent, so that bytes
-// that trickle do not keep a broken stream.
+// valueReader reads a stream of JSON values, however they are split into lines and chunks. Space between two
+// values is a heartbeat; a value that has begun must be complete within Limits.WatchTimeout, so that a
+// trickle of bytes does not keep a broken stream open. It is the io.Reader of its own decoder.
 type valueReader struct {
 	body        io.Reader
 	limits      func() Limits
-	setDeadline func(time.Time)
-	onReceive   func()
+	setDeadline func(time.Time) // of the connection
+	onReceive   func()          // called for each value and each heartbeat
 
-	dec       *json.Decoder
-	inValue   bool // a value has begun
-	deadline  time.Time
-	remaining int // bytes that it may still have
+	decoder   *json.Decoder
+	inValue   bool      // a value has begun
+	deadline  time.Time // of the value, or of the heartbeat before it
+	remaining int       // bytes that the value may still have
 }
 
 func newValueReader(
 	body io.Reader, limits func() Limits, setDeadline func(time.Time), onReceive func(),
 ) *valueReader {
 	v := &valueReader{body: body, limits: limits, setDeadline: setDeadline, onReceive: onReceive}
-	v.dec = json.NewDecoder(v)
+	v.decoder = json.NewDecoder(v)
 	return v
 }
 
-// next returns the next value, which holds until the call after it.
+// next returns the next value, which is valid until the following call.
 func (v *valueReader) next() (raw json.RawMessage, err error) {
-	rest, err := io.ReadAll(v.dec.Buffered())
+	rest, err := io.ReadAll(v.decoder.Buffered())
 	if err != nil {
 		return nil, err
 	}
 	rest = bytes.TrimLeft(rest, space)
 	v.inValue, v.remaining = len(rest) > 0, v.limits().MaxListBytes-len(rest)
 	v.deadline = time.Now().Add(v.limits().WatchTimeout)
-	if err := v.dec.Decode(&raw); err != nil {
+	if err := v.decoder.Decode(&raw); err != nil {
 		return nil, err
 	}
 	v.onReceive()
 	return raw, nil
 }
 
+// space is what JSON allows between values.
 const space = " \t\r\n"
 
-// Read is what the decoder reads by.
+// Read reads for the decoder.
 func (v *valueReader) Read(p []byte) (int, error) {
 	if v.remaining <= 0 {
 		return 0, fmt.Errorf("an object of more than %d bytes", v.limits().MaxListBytes)
--- a/internal/proxy/discovery/crossings_test.go
+++ b/internal/proxy/discovery/watch_test.go
@@ -29,6 +29,7 @@
 
 // script is a discovery whose n-th call, from 0 on, is answered by serve; the call's target is handed in.
 func script(t *testing.T, serve func(n int, target string, c *connbuffer.Conn)) string {
+	t.Helper()
 	calls := make(chan int, 1)
 	calls <- 0
 	return nettest.Listen(t, func(c *connbuffer.Conn) {
@@ -46,6 +47,7 @@
 
 // follow runs a client until the test ends.
 func follow(t *testing.T, address string, l Limits) (*Client, *sink) {
+	t.Helper()
 	s := &sink{make(chan string, 9), make(chan bool, 9)}
 	c := client(address)
 	l.MaxListBytes = 1 << 16
--- a/internal/proxy/ingress/reject.go
+++ b/internal/proxy/ingress/reject.go
@@ -72,7 +72,7 @@
 // countRejected counts a request that cannot be used.
 func (s *Server) countRejected(status int, reason string) {
 	s.Stats.Invalid.Add()
-	s.Log.Warn("request rejected", logging.Status, status, logging.Err, reason)
+	s.Log.Warn("ingress: request rejected", logging.Status, status, logging.Err, reason)
 }
 
 // textResponse is a response of our own; ends says that the connection ends with it.
--- a/internal/proxy/ingress/server.go
+++ b/internal/proxy/ingress/server.go
@@ -99,7 +99,7 @@
 			return nil
 		}
 		if err != nil { // short of descriptors, or the client went away while it waited
-			s.Log.Warn("accept failed", logging.Err, err)
+			s.Log.Warn("ingress: accept failed", logging.Err, err)
 			time.Sleep(acceptBackoff)
 			continue
 		}
