--- a/internal/router/chain/chain_test.go
+++ b/internal/router/chain/chain_test.go
@@ -214,7 +214,7 @@
 	tc.c.Assert(string(tc.machines["a"].node.state.accepted.Body), qt.Equals, "won")
 }
 
-func TestPendingEntryThatReachedTheNextHeadComesIntoForce(t *testing.T) {
+func TestPendingEntryThatReachedTheNextHeadIsCommitted(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.mustWrite("a", 0, 1, "one")
 	tc.drop = dropKind(Append, "c")
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestOpeningSendsNoBodyThatIsThere(t *testing.T) {
+func TestOpeningSendsNoBodyThatTheReplicaHas(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.mustWrite("a", 0, 1, "one")
 	bodies := 0
--- a/internal/router/chain/doc.go
+++ b/internal/router/chain/doc.go
@@ -27,7 +27,7 @@
 //
 // # Use
 //
-// A Node is driven by one goroutine at a time:
+// A Node is driven by one goroutine at a time; the example runs one alone:
 //
 //	node, effects, err := chain.Open(config, now(), records)
 //	...
--- a/internal/router/chain/head.go
+++ b/internal/router/chain/head.go
@@ -106,7 +106,7 @@
 		return
 	}
 	n.commitPending()
-	n.advance()
+	n.startNext()
 }
 
 // commitPending opens the epoch and commits the latest accepted entry, which the full chain has accepted.
@@ -144,7 +144,7 @@
 		h.waiters = append(h.waiters, r)
 	default:
 		h.queuedWrites = append(h.queuedWrites, r)
-		n.advance()
+		n.startNext()
 	}
 }
 
@@ -155,7 +155,7 @@
 		return
 	}
 	n.head.queuedReads = append(n.head.queuedReads, r)
-	n.advance()
+	n.startNext()
 }
 
 // isAccepted reports whether the latest accepted entry is the one that a write asks for.
@@ -163,8 +163,8 @@
 	return n.state.accepted.Version == r.proposal.Version && n.state.accepted.digest == r.digest
 }
 
-// advance starts the next write and the next marker if none is in flight.
-func (n *Node) advance() {
+// startNext starts the next write and the next marker if none is in flight.
+func (n *Node) startNext() {
 	h := &n.head
 	if !h.open {
 		return
@@ -231,7 +231,7 @@
 		}
 	}
 	h.queuedWrites = slices.Concat(retries, h.queuedWrites)
-	n.advance()
+	n.startNext()
 }
 
 // decide answers a write or confirmation by the committed entry and its history. A change that was committed
--- a/internal/router/chain/history_test.go
+++ b/internal/router/chain/history_test.go
@@ -188,7 +188,7 @@
 	tc.c.Assert(restored.state.accepted.history, qt.HasLen, 3)
 }
 
-func TestHistoryOutlivesARestartOfAll(t *testing.T) {
+func TestHistorySurvivesARestartOfAll(t *testing.T) {
 	tc := newCluster(t, 3, 3)
 	tc.writeVersions(1, 4)
 	tc.inTransit = nil
--- a/internal/router/chain/plan_test.go
+++ b/internal/router/chain/plan_test.go
@@ -225,7 +225,7 @@
 	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "b", "c"})
 }
 
-func TestSealIsAskedForOnlyIfItHelps(t *testing.T) {
+func TestSealIsRequestedOnlyIfItHelps(t *testing.T) {
 	c := qt.New(t)
 	view := testView("b", "a")
 	view.Fresh = []MemberID{"a"}
@@ -294,8 +294,8 @@
 	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "c"}) // b may lack the entries of epoch 10
 }
 
-// TestEpochsOfNothingAreForgottenFirst: all but one have a replica that missed them.
-func TestEpochsOfNothingAreForgottenFirst(t *testing.T) {
+// TestEpochsWithoutCommitsAreForgottenFirst: all but one have a replica that missed them.
+func TestEpochsWithoutCommitsAreForgottenFirst(t *testing.T) {
 	c := qt.New(t)
 	view := testView("a", "x")
 	view.Epoch, view.Fresh, view.Sources = 100, []MemberID{"x"}, []MemberID{"a", "b"}
--- a/internal/router/chain/sim_client_test.go
+++ b/internal/router/chain/sim_client_test.go
@@ -26,8 +26,8 @@
 	retryable []simInput
 }
 
-// next schedules the client's next operation.
-func (s *simClient) next() {
+// scheduleNext schedules the client's next operation.
+func (s *simClient) scheduleNext() {
 	w := s.world
 	w.after(time.Duration(w.random.Int63n(int64(300*time.Millisecond))), func() {
 		switch {
@@ -72,7 +72,7 @@
 		s.last = reply.Outcome
 		output := simOutput{reply.Outcome, reply.Entry.Version, string(reply.Entry.Body)}
 		w.recordReturn(s.id, simInput{}, called, output)
-		s.next()
+		s.scheduleNext()
 	})
 }
 
@@ -124,6 +124,6 @@
 			s.version = reply.Entry.Version
 		}
 		w.recordReturn(s.id, input, called, simOutput{outcome: outcome})
-		s.next()
+		s.scheduleNext()
 	})
 }
--- a/internal/router/chain/sim_nemesis_test.go
+++ b/internal/router/chain/sim_nemesis_test.go
@@ -16,15 +16,15 @@
 	added int
 }
 
-// next schedules the next fault.
-func (s *nemesis) next() {
+// scheduleNext schedules the next fault.
+func (s *nemesis) scheduleNext() {
 	w := s.world
 	w.after(time.Duration(w.random.Int63n(int64(900*time.Millisecond))), func() {
 		if w.now >= s.until {
 			return
 		}
 		s.fault()
-		s.next()
+		s.scheduleNext()
 	})
 }
 
--- a/internal/router/chain/sim_partition_test.go
+++ b/internal/router/chain/sim_partition_test.go
@@ -80,7 +80,7 @@
 	for id, address := range w.addresses {
 		client := &simClient{world: w.simWorld, id: id, onlyAddress: address, until: time.Hour}
 		client.onOutcome = func(outcome Outcome) { w.answer(address, outcome) }
-		client.next()
+		client.scheduleNext()
 	}
 	return w
 }
--- a/internal/router/chain/sim_race_test.go
+++ b/internal/router/chain/sim_race_test.go
@@ -59,7 +59,7 @@
 
 // play runs all rounds.
 func (w *raceWorld) play() {
-	w.faults.next()
+	w.faults.scheduleNext()
 	w.after(raceFaults, w.faults.healAll)
 	w.beginRound()
 	w.run(raceTime)
--- a/internal/router/chain/sim_retry_test.go
+++ b/internal/router/chain/sim_retry_test.go
@@ -9,7 +9,7 @@
 	input := s.retryable[w.random.Intn(len(s.retryable))]
 	judge := func(reply Reply) {
 		w.checkRetry(input, reply)
-		s.next()
+		s.scheduleNext()
 	}
 	if w.random.Intn(2) == 0 {
 		name := ChangeID{input.expected, input.version, digestOfBody([]byte(input.body))}
--- a/internal/router/chain/sim_test.go
+++ b/internal/router/chain/sim_test.go
@@ -105,9 +105,9 @@
 	s := &nemesis{world: w, until: w.now + simFaults}
 	w.duplicates = 0.05 * float64(w.random.Intn(2))
 	for client := range 4 {
-		(&simClient{world: w, id: client, until: s.until + simRecovery}).next()
+		(&simClient{world: w, id: client, until: s.until + simRecovery}).scheduleNext()
 	}
-	s.next()
+	s.scheduleNext()
 	w.run(simFaults)
 	w.tracef("all faults end")
 	s.healAll()
