--- a/internal/cluster/gossip/options.go
+++ b/internal/cluster/gossip/options.go
@@ -26,7 +26,7 @@
 	ProbeInterval         time.Duration // between probes, each of one member
 	ProbeTimeout          time.Duration // for the answer to one probe
 	GossipInterval        time.Duration // between rounds of gossip
-	SuspicionMult         int           // a suspicion lasts at least it * log10(members) * ProbeInterval
+	SuspicionMult         int           // times log10(members) and ProbeInterval: the least time of a suspicion
 	RejoinInterval        time.Duration // between attempts to join seeds and recently dead members
 	SyncIntervalPerMember time.Duration // between full exchanges of state, times the number of members
 	Relay                 string        // host:port of a SOCKS5 relay for all gossip; tests and laboratory only
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -47,7 +47,7 @@
 // Meta is a member's metadata.
 type Meta struct {
 	// Incarnation rises with every start of the process under its name: the start's wall time in milliseconds
-	// since 1970. By it a restart is told from a member that was there all along.
+	// since 1970. It distinguishes a restart from a member that was up all along.
 	Incarnation uint64
 	Version     string // of the program
 	Hall        string // failure domain
--- a/internal/cluster/raftgroup/calls.go
+++ b/internal/cluster/raftgroup/calls.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A command stands in the log behind the ID of the replica that proposed it and a request ID of that
+// A command is logged behind the ID of the replica that proposed it and a request ID of that
 // replica's, 8 bytes each, big endian. By them the proposer finds the call that waits for the result.
 const proposalHeaderSize = 16
 
--- a/internal/cluster/raftgroup/golden_test.go
+++ b/internal/cluster/raftgroup/golden_test.go
@@ -140,7 +140,7 @@
 	}
 	reply := goldenFile(t, "answer-elsewhere.bin", in.out.Bytes())
 
-	// The same from the caller's side. How long it waits is in the call, and is the clock's: held above.
+	// The same from the caller's side. How long it waits is in the request, and depends on the clock: see above.
 	h.net.dialer = &goldenWire{in: bytes.NewReader(reply)}
 	var a response
 	if err := h.net.call(t.Context(), "susukino-2:1", ask, &a); err != nil {
@@ -240,7 +240,7 @@
 	case o := <-out:
 		goldenSame(t, "proposal.bin", o.result, any(int64(17)))
 	default:
-		t.Error("proposal.bin: the proposer was not told")
+		t.Error("proposal.bin: the proposer got no outcome")
 	}
 }
 
