--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -9,25 +9,31 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// chooser is what the data plane asks of the scheduler; *scheduler.Scheduler in the program.
+// chooser is what the data plane asks of the scheduler; *scheduler.Scheduler in the program. Times are on the
+// steady clock of the Proxy.
 type chooser interface {
+	callChooser
+	peerExchange
+}
+
+// callChooser chooses the servers of calls and observes how the calls go.
+type callChooser interface {
+	// Update replaces the table of servers.
 	Update(now time.Duration, table *catalog.Table)
+	// Split reports whether the request's prompt is to be prefilled by one server for another.
 	Split(now time.Duration, r *scheduler.Request) bool
+	// Choose begins a call, nil where no server may be asked. Done has to end each call once.
 	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role,
 		prefillServer *catalog.Server) *scheduler.Call
-	ObserveLoad(now time.Duration, server string, load scheduler.Load)
-	LastSuccess(server string) (time.Duration, bool)
 	FirstEvent(now time.Duration, call *scheduler.Call)
 	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
+	ObserveLoad(now time.Duration, server string, load scheduler.Load)
+	// LastSuccess returns when a server last answered with success, and whether it has.
+	LastSuccess(server string) (time.Duration, bool)
+	// QueueDelay returns how long a request would wait for a slot, and whether one is free now.
 	QueueDelay(now time.Duration, r *scheduler.Request) (wait time.Duration, free bool)
+	// Alternative reports whether there is another server for the request, and one with a free slot.
 	Alternative(now time.Duration, r *scheduler.Request, server string) (exists, free bool)
-	InFlightChanges(all bool) []scheduler.InFlightLoad
-	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, full bool)
-	MarkFleetStart(now time.Duration)
-	TakeNewPrefixes() []scheduler.CachedPrefixes
-	AddCachedPrefixes(all []scheduler.CachedPrefixes)
-	KnownPrefixes(limit int) []scheduler.CachedPrefixes
-	MarkPrefixesSynced(now time.Duration)
 }
 
 // lockedChooser lets many goroutines use one chooser, and keeps it at the newest table of servers.
@@ -39,15 +45,15 @@
 
 	demandMeter *demandMeter
 
-	mu      sync.Mutex
-	chooser chooser
-	table   *catalog.Table
+	mu    sync.Mutex
+	inner chooser
+	table *catalog.Table
 }
 
 func newLockedChooser(zone string, state State, now func() time.Duration) *lockedChooser {
 	return &lockedChooser{state: state, now: now, demandMeter: newDemandMeter(),
 		inFlightChanged: make(chan struct{}, 1),
-		chooser:         scheduler.New(zone, rand.Uint64())}
+		inner:           scheduler.New(zone, rand.Uint64())}
 }
 
 // lock takes the lock and gives the chooser a newer table where there is one.
@@ -56,7 +62,7 @@
 	now = lc.now()
 	if table := servers(lc.state); table != lc.table {
 		lc.table = table
-		lc.chooser.Update(now, table)
+		lc.inner.Update(now, table)
 	}
 	return now, lc.mu.Unlock
 }
@@ -64,14 +70,14 @@
 func (lc *lockedChooser) split(r *scheduler.Request) bool {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.chooser.Split(now, r)
+	return lc.inner.Split(now, r)
 }
 
 func (lc *lockedChooser) choose(r *scheduler.Request, role scheduler.Role,
 	prefillServer *catalog.Server) *scheduler.Call {
 	now, unlock := lc.lock()
 	defer unlock()
-	call := lc.chooser.Choose(now, r, role, prefillServer)
+	call := lc.inner.Choose(now, r, role, prefillServer)
 	if call != nil {
 		lc.recordDemand(now, call, 1)
 	}
@@ -81,19 +87,19 @@
 func (lc *lockedChooser) observeLoad(server string, load scheduler.Load) {
 	now, unlock := lc.lock()
 	defer unlock()
-	lc.chooser.ObserveLoad(now, server, load)
+	lc.inner.ObserveLoad(now, server, load)
 }
 
 func (lc *lockedChooser) firstEvent(call *scheduler.Call) {
 	now, unlock := lc.lock()
 	defer unlock()
-	lc.chooser.FirstEvent(now, call)
+	lc.inner.FirstEvent(now, call)
 }
 
 func (lc *lockedChooser) done(call *scheduler.Call, outcome scheduler.Outcome) {
 	now, unlock := lc.lock()
 	defer unlock()
-	lc.chooser.Done(now, call, outcome)
+	lc.inner.Done(now, call, outcome)
 	lc.recordDemand(now, call, -1)
 }
 
@@ -115,11 +121,11 @@
 func (lc *lockedChooser) queueDelay(r *scheduler.Request) (wait time.Duration, free bool) {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.chooser.QueueDelay(now, r)
+	return lc.inner.QueueDelay(now, r)
 }
 
 func (lc *lockedChooser) alternative(r *scheduler.Request, server string) (exists, free bool) {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.chooser.Alternative(now, r, server)
+	return lc.inner.Alternative(now, r, server)
 }
