--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,60 +8,61 @@
 	"time"
 )
 
-// checker holds the actions of one Balancer against the rules that one balancer alone can keep.
+// checker checks the actions of one Balancer against the rules that one balancer alone can keep.
 type checker struct {
-	set    Settings
-	reqs   map[string]*watched
-	told   map[ServerID]time.Duration // when a drain or removal was told
-	listed map[ServerID]Server
-	bad    []string
+	settings   Settings
+	requests   map[string]*checkedRequest
+	drainedAt  map[ServerID]time.Duration // when a drain or removal was reported
+	listed     map[ServerID]Server
+	violations []string
 }
 
-type watched struct {
+type checkedRequest struct {
 	class    int
 	deadline time.Duration
 	final    bool
-	sends    []watchedSend
+	sends    []checkedSend
 }
 
-type watchedSend struct {
+type checkedSend struct {
 	to     Server
 	at     time.Duration
 	ended  bool
 	result Result
 }
 
-func newChecker(set Settings) *checker {
-	return &checker{set: set, reqs: map[string]*watched{}, told: map[ServerID]time.Duration{},
-		listed: map[ServerID]Server{}}
+func newChecker(settings Settings) *checker {
+	return &checker{settings: settings, requests: map[string]*checkedRequest{},
+		drainedAt: map[ServerID]time.Duration{}, listed: map[ServerID]Server{}}
 }
 
 func (c *checker) fail(format string, args ...any) {
-	c.bad = append(c.bad, fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
+// action checks one action.
 func (c *checker) action(now time.Duration, a Action) {
-	if a.Kind == Probe && (!c.set.MayProbe || c.listed[a.Server].ID == 0) {
+	if a.Kind == Probe && (!c.settings.MayProbe || c.listed[a.Server].ID == 0) {
 		c.fail("probe of %d not allowed", a.Server)
 	}
 	if a.Kind != Send && a.Kind != Reject && a.Kind != Fail {
 		return
 	}
-	w := c.reqs[a.ID]
-	if w == nil {
+	r := c.requests[a.ID]
+	if r == nil {
 		c.fail("%s names a request never taken", a.ID)
 		return
 	}
-	if w.final {
-		c.fail("%s: action %d after its final answer", a.ID, a.Kind)
+	if r.final {
+		c.fail("%s: action %d after its final response", a.ID, a.Kind)
 		return
 	}
-	class := c.set.Classes[w.class]
-	allowed := true // what may follow the earlier attempts: for Send a repeat, for Refuse a refusal
-	for _, s := range w.sends {
+	class := c.settings.Classes[r.class]
+	allowed := true // what may follow the earlier attempts: for Send a retry, for Reject a rejection
+	for _, s := range r.sends {
 		mayHaveRun := !s.ended || !s.result.neverRan()
-		if !s.ended && a.Kind == Send && !c.set.MayHedge {
-			c.fail("%s: two attempts out at once", a.ID)
+		if !s.ended && a.Kind == Send && !c.settings.MayHedge {
+			c.fail("%s: two attempts outstanding at once", a.ID)
 		}
 		if !s.ended && a.Kind == Reject {
 			allowed = class.Effect == Idempotent
@@ -86,9 +87,9 @@
 		c.fail("%s: action %d may repeat an effect", a.ID, a.Kind)
 	}
 	if a.Kind != Send {
-		w.final = true
-		if now > w.deadline+c.set.ResponseGrace {
-			c.fail("%s: answered too late", a.ID)
+		r.final = true
+		if now > r.deadline+c.settings.ResponseGrace {
+			c.fail("%s: final response too late", a.ID)
 		}
 		return
 	}
@@ -96,59 +97,62 @@
 	if !known {
 		c.fail("%s sent to %d, never listed", a.ID, a.Server)
 	}
-	if at, drains := c.told[a.Server]; drains && now > at+c.set.DrainGrace {
-		c.fail("%s sent to %d, told to drain %v ago", a.ID, a.Server, now-at)
+	if at, drains := c.drainedAt[a.Server]; drains && now > at+c.settings.DrainGrace {
+		c.fail("%s sent to %d, drained %v ago", a.ID, a.Server, now-at)
 	}
-	if len(w.sends) >= c.set.MaxAttempts {
+	if len(r.sends) >= c.settings.MaxAttempts {
 		c.fail("%s: too many attempts", a.ID)
 	}
-	w.sends = append(w.sends, watchedSend{to: s, at: now})
+	r.sends = append(r.sends, checkedSend{to: s, at: now})
 }
 
+// overdue finds requests without a final response after their deadline.
 func (c *checker) overdue(now time.Duration) {
-	for id, w := range c.reqs {
-		if !w.final && now > w.deadline+c.set.ResponseGrace {
-			w.final = true
-			c.fail("%s got no answer in time", id)
+	for id, r := range c.requests {
+		if !r.final && now > r.deadline+c.settings.ResponseGrace {
+			r.final = true
+			c.fail("%s got no response in time", id)
 		}
 	}
 }
 
 func TestCheckerCatches(t *testing.T) {
-	set := ruleSettings()
+	settings := ruleSettings()
 	a, b := Server{ID: 1, Zone: 0, Cell: 1}, Server{ID: 2, Zone: 0, Cell: 2}
 	send := func(id string, to Server) Action { return Action{Kind: Send, ID: id, Server: to.ID} }
 	for name, actions := range map[string][]Action{
-		"two final answers":            {{Kind: Fail, ID: "c0"}, {Kind: Reject, ID: "c0"}},
-		"an attempt after the answer":  {{Kind: Fail, ID: "c0"}, send("c0", a)},
-		"an effect twice":              {send("c1", a), send("c1", b)},
-		"a refusal that may have run":  {send("c1", a), {Kind: Reject, ID: "c1"}},
-		"a repeat in another cell":     {send("c2", a), send("c2", b)},
-		"a request never taken":        {send("c9", a)},
-		"a server never listed":        {send("c0", Server{ID: 77})},
-		"a server told to drain":       {send("c0", Server{ID: 3})},
-		"a probe of nobody":            {{Kind: Probe, Server: 77}},
-		"an attempt too many":          {send("c0", a), send("c0", a), send("c0", a), send("c0", a), send("c0", a)},
-		"an answer too late, or never": nil,
+		"two final responses":           {{Kind: Fail, ID: "c0"}, {Kind: Reject, ID: "c0"}},
+		"an attempt after the response": {{Kind: Fail, ID: "c0"}, send("c0", a)},
+		"an effect twice":               {send("c1", a), send("c1", b)},
+		"a rejection that may have run": {send("c1", a), {Kind: Reject, ID: "c1"}},
+		"a repeat in another cell":      {send("c2", a), send("c2", b)},
+		"a request never taken":         {send("c9", a)},
+		"a server never listed":         {send("c0", Server{ID: 77})},
+		"a server that drains":          {send("c0", Server{ID: 3})},
+		"a probe of nobody":             {{Kind: Probe, Server: 77}},
+		"an attempt too many": {send("c0", a), send("c0", a), send("c0", a), send("c0", a),
+			send("c0", a)},
+		"a response too late, or never": nil,
 	} {
-		c := newChecker(set)
-		for i := range set.Classes {
-			c.reqs[fmt.Sprint("c", i)] = &watched{class: i, deadline: 5 * time.Second}
+		c := newChecker(settings)
+		for i := range settings.Classes {
+			c.requests[fmt.Sprint("c", i)] = &checkedRequest{class: i, deadline: 5 * time.Second}
 		}
 		c.listed = map[ServerID]Server{1: a, 2: b, 3: {ID: 3}}
-		c.told[3] = 0
+		c.drainedAt[3] = 0
 		for _, act := range actions {
 			c.action(2*time.Second, act)
 		}
 		if actions == nil {
 			c.overdue(6 * time.Second)
 		}
-		if len(c.bad) == 0 {
+		if len(c.violations) == 0 {
 			t.Errorf("%s: not caught", name)
 		}
 	}
 }
 
+// ruleSettings have one class of each effect, and all that a balancer may do.
 func ruleSettings() Settings {
 	class := func(e Effect, g DedupScope) Class {
 		return Class{LatencyTarget: 200 * time.Millisecond, Deadline: time.Second, Effect: e, DedupScope: g,
@@ -165,14 +169,14 @@
 	}
 }
 
-// play feeds one Balancer a legal stream of events that the bytes of next choose.
-func play(set Settings, steps int, next func() int) []string {
-	c := newChecker(set)
-	b, err := New(set, 0)
+// play feeds one Balancer a legal stream of events that next chooses, and returns the rules violated.
+func play(settings Settings, steps int, next func() int) []string {
+	c := newChecker(settings)
+	b, err := New(settings, 0)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	type out struct {
+	type sentAttempt struct {
 		id   string
 		n    int
 		to   ServerID
@@ -184,7 +188,7 @@
 		due   time.Duration
 	}
 	now := 100 * time.Second
-	var outs []out
+	var outstanding []sentAttempt
 	var timers []timer
 	var probes []ServerID
 	apply := func(actions []Action) {
@@ -192,12 +196,12 @@
 			c.action(now, a)
 			switch a.Kind {
 			case Send:
-				if w := c.reqs[a.ID]; w != nil {
-					due := w.deadline
+				if r := c.requests[a.ID]; r != nil {
+					due := r.deadline
 					if a.Wait > 0 {
 						due = min(due, now+a.Wait)
 					}
-					outs = append(outs, out{a.ID, len(w.sends) - 1, a.Server, due, now})
+					outstanding = append(outstanding, sentAttempt{a.ID, len(r.sends) - 1, a.Server, due, now})
 				}
 			case Probe:
 				probes = append(probes, a.Server)
@@ -206,32 +210,32 @@
 			}
 		}
 	}
-	finish := func(i int, result Result) {
-		o := outs[i]
-		outs = slices.Delete(outs, i, i+1)
-		w := c.reqs[o.id]
-		w.sends[o.n].ended, w.sends[o.n].result = true, result
+	end := func(i int, result Result) {
+		o := outstanding[i]
+		outstanding = slices.Delete(outstanding, i, i+1)
+		r := c.requests[o.id]
+		r.sends[o.n].ended, r.sends[o.n].result = true, result
 		if result == Done {
-			w.final = true
+			r.final = true
 		}
-		var row []float64
+		var report []float64
 		if next()%2 == 0 {
-			row = []float64{float64(next() % 5), 1, float64(next() % 9)}
+			report = []float64{float64(next() % 5), 1, float64(next() % 9)}
 		}
-		apply(b.Outcome(now, Outcome{ID: o.id, Attempt: o.n, Server: o.to, Result: result, Final: w.final,
-			Latency: now - o.sent, Report: row}, nil))
+		apply(b.Outcome(now, Outcome{ID: o.id, Attempt: o.n, Server: o.to, Result: result, Final: r.final,
+			Latency: now - o.sent, Report: report}, nil))
 	}
-	list := func(kind ListKind, lines []Server) {
-		for _, s := range lines {
+	list := func(kind ListKind, entries []Server) {
+		for _, s := range entries {
 			if c.listed[s.ID] = s; s.State == Up {
-				delete(c.told, s.ID)
-			} else if _, before := c.told[s.ID]; !before {
-				c.told[s.ID] = now
+				delete(c.drainedAt, s.ID)
+			} else if _, before := c.drainedAt[s.ID]; !before {
+				c.drainedAt[s.ID] = now
 			}
 		}
-		apply(b.List(now, kind, lines, nil))
+		apply(b.List(now, kind, entries, nil))
 	}
-	line := func() Server {
+	entry := func() Server {
 		id := 1 + next()%12
 		s := Server{ID: ServerID(id), Zone: id % 2, Cell: id % 4, Rating: 1, State: ServerState(max(0, next()%6-3))}
 		if next()%4 == 0 {
@@ -239,20 +243,20 @@
 		}
 		return s
 	}
-	for i, id := 0, 0; i < steps && len(c.bad) == 0; i++ {
+	for i, id := 0, 0; i < steps && len(c.violations) == 0; i++ {
 		switch op := next() % 16; op {
 		case 0, 1, 2, 3, 4:
 			id++
-			class := next() % len(set.Classes)
+			class := next() % len(settings.Classes)
 			name := fmt.Sprint("r", id)
 			deadline := now + time.Duration(1+next()*4)*time.Millisecond
-			c.reqs[name] = &watched{class: class, deadline: deadline}
+			c.requests[name] = &checkedRequest{class: class, deadline: deadline}
 			apply(b.Request(now, Request{ID: name, Class: class, Deadline: deadline, Key: uint64(next() % 3),
 				HasKey: next()%2 == 0}, nil))
 		case 5, 6, 7, 8:
-			if len(outs) > 0 {
+			if len(outstanding) > 0 {
 				result := []Result{Done, Done, Done, Error, Rejected, ConnRefused, Reset, Done}[next()%8]
-				finish(next()%len(outs), result)
+				end(next()%len(outstanding), result)
 			}
 		case 9, 10:
 			if len(probes) > 0 {
@@ -263,7 +267,7 @@
 				apply(b.Probed(now, p, nil))
 			}
 		case 11:
-			list(ListDelta, []Server{line()})
+			list(ListDelta, []Server{entry()})
 		case 12:
 			list([]ListKind{ListFailed, ListDelta}[next()%2], nil)
 		case 14: // things unknown, repeated or over
@@ -271,12 +275,12 @@
 			apply(b.Timer(now, uint64(next()), nil))
 			apply(b.Probed(now, ProbeResult{Server: 99, Report: []float64{-1}}, nil))
 		case 15:
-			if w := c.reqs[fmt.Sprint("r", id)]; w != nil && !w.final {
-				w.final = true
+			if r := c.requests[fmt.Sprint("r", id)]; r != nil && !r.final {
+				r.final = true
 				apply(b.ClientGone(now, fmt.Sprint("r", id), nil))
 			}
 		}
-		now += time.Duration(next()%8) * set.Tick
+		now += time.Duration(next()%8) * settings.Tick
 		for k := 0; k < len(timers); k++ {
 			if tm := timers[k]; tm.due <= now {
 				timers = slices.Delete(timers, k, k+1)
@@ -284,26 +288,26 @@
 				apply(b.Timer(now, tm.token, nil))
 			}
 		}
-		for k := 0; k < len(outs); k++ {
-			if outs[k].due <= now {
-				finish(k, TimedOut)
+		for k := 0; k < len(outstanding); k++ {
+			if outstanding[k].due <= now {
+				end(k, TimedOut)
 				k--
 			}
 		}
 		c.overdue(now)
 	}
-	return c.bad
+	return c.violations
 }
 
 func TestRulesUnderRandomStreams(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		set := ruleSettings()
-		set.Seed = seed
-		set.MayHedge, set.MayProbe, set.KeyAffinity = seed%2 == 0, seed%3 != 0, seed%5 == 0
-		set.ReportsInResponses = !set.MayProbe
-		if bad := play(set, 600, func() int { return rng.IntN(256) }); len(bad) > 0 {
-			t.Fatalf("seed %d: %v", seed, bad)
+		settings := ruleSettings()
+		settings.Seed = seed
+		settings.MayHedge, settings.MayProbe, settings.KeyAffinity = seed%2 == 0, seed%3 != 0, seed%5 == 0
+		settings.ReportsInResponses = !settings.MayProbe
+		if violations := play(settings, 600, func() int { return rng.IntN(256) }); len(violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, violations)
 		}
 	}
 }
@@ -319,41 +323,8 @@
 			}
 			return at % 7
 		}
-		if bad := play(ruleSettings(), min(len(data), 400), next); len(bad) > 0 {
-			t.Fatal(bad)
+		if violations := play(ruleSettings(), min(len(data), 400), next); len(violations) > 0 {
+			t.Fatal(violations)
 		}
 	})
 }
-
-// A refusal says when to come back, as far as clients are told and no later than they would heed; a
-// failure promises nothing.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		tells  bool
-		delay  float64
-		mayRun bool
-		kind   ActionKind
-		least  time.Duration
-		most   time.Duration
-	}{
-		{"calm", true, 0, false, Reject, 0, 0},
-		{"delayed", true, 0.1, false, Reject, 200 * time.Millisecond, 600 * time.Millisecond},
-		{"jammed", true, 30, false, Reject, time.Second, time.Second},
-		{"not told", false, 30, false, Reject, 0, 0},
-		{"failed", true, 30, true, Fail, 0, 0},
-	} {
-		set := Settings{SendsRetryAfter: c.tells, MaxRetryAfter: time.Second,
-			Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Effect: AtMostOnce}}}
-		b, err := New(set, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.queueDelay = c.delay
-		r := &request{Request: Request{ID: "x"}, attempts: []attempt{{mayHaveRun: c.mayRun}}}
-		a := b.giveUp(0, r, nil)[0]
-		if a.Kind != c.kind || a.Wait < c.least || a.Wait > c.most {
-			t.Errorf("%s: %v after %v", c.name, a.Kind, a.Wait)
-		}
-	}
-}
--- a/balance/waterfill_test.go
+++ b/balance/waterfill_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-func filled(arrive float64, levels ...float64) []float64 {
+// filledProbabilities are those of candidates of equal weight, in the order of levels.
+func filledProbabilities(arrivals float64, levels ...float64) []float64 {
 	servers := make([]candidate, len(levels))
 	for i, l := range levels {
 		s := &server{Server: Server{ID: ServerID(i)}}
 		servers[i] = candidate{server: s, weight: 1, level: l, maxProbability: 1}
 	}
-	waterFill(servers, arrive)
+	waterFill(servers, arrivals)
 	p := make([]float64, len(levels))
 	for _, r := range servers {
 		p[r.server.ID] = r.probability
@@ -21,23 +22,23 @@
 
 // The values are worked by hand from equation 4: with l the largest count for which the l least
 // loaded can all be raised to the l-th level, P_i = ((L_l - L_i) + (A - sum(L_l - L_j)) / l) / A.
-func TestFillIsEquation4(t *testing.T) {
+func TestWaterFillIsEquation4(t *testing.T) {
 	for name, c := range map[string]struct {
-		arrive float64
-		levels []float64
-		want   []float64
+		arrivals float64
+		levels   []float64
+		want     []float64
 	}{
 		"fresh: all to the least loaded":        {1e-9, []float64{3, 1, 2}, []float64{0, 1, 0}},
 		"very old: uniform":                     {1e12, []float64{3, 1, 2, 9}, []float64{.25, .25, .25, .25}},
 		"in between, l = 2 of 3":                {3, []float64{1, 2, 9}, []float64{2. / 3, 1. / 3, 0}},
 		"arrivals just reach the third":         {4, []float64{1, 2, 4}, []float64{2.5 / 4, 1.5 / 4, 0}},
 		"all three, l = n":                      {9, []float64{0, 1, 2}, []float64{4. / 9, 3. / 9, 2. / 9}},
-		"ties share alike":                      {1, []float64{2, 2, 5}, []float64{.5, .5, 0}},
-		"ties share alike however few arrive":   {1e-9, []float64{2, 2, 2, 2}, []float64{.25, .25, .25, .25}},
+		"ties get equal parts":                  {1, []float64{2, 2, 5}, []float64{.5, .5, 0}},
+		"ties get equal parts of few arrivals":  {1e-9, []float64{2, 2, 2, 2}, []float64{.25, .25, .25, .25}},
 		"one server":                            {5, []float64{7}, []float64{1}},
 		"order of the list makes no difference": {3, []float64{9, 2, 1}, []float64{0, 1. / 3, 2. / 3}},
 	} {
-		got := filled(c.arrive, c.levels...)
+		got := filledProbabilities(c.arrivals, c.levels...)
 		sum := 0.0
 		for i := range got {
 			sum += got[i]
@@ -47,36 +48,36 @@
 			}
 		}
 		if math.Abs(sum-1) > 1e-6 {
-			t.Errorf("%s: shares sum to %v", name, sum)
+			t.Errorf("%s: probabilities sum to %v", name, sum)
 		}
 	}
 }
 
-func TestFillByWeight(t *testing.T) {
-	// Levels are loads by weight: 2 held at weight 2 and 1 held at weight 1 are alike, and water
-	// rises over both; the heavy one takes two parts of three.
+func TestWaterFillByWeight(t *testing.T) {
+	// Levels are loads by weight: 2 at weight 2 and 1 at weight 1 are alike, and water
+	// rises over both; the candidate of weight 2 takes two parts of three.
 	a, b := &server{}, &server{}
 	servers := []candidate{{server: a, weight: 2, level: 1, maxProbability: 1},
 		{server: b, weight: 1, level: 1, maxProbability: 1}}
 	waterFill(servers, 3)
 	for _, r := range servers {
 		if want := r.weight / 3; math.Abs(r.probability-want) > 1e-9 {
-			t.Errorf("weight %v: share %v, want %v", r.weight, r.probability, want)
+			t.Errorf("weight %v: probability %v, want %v", r.weight, r.probability, want)
 		}
 	}
 }
 
-func TestFillKeepsCaps(t *testing.T) {
+func TestWaterFillKeepsMaximums(t *testing.T) {
 	servers := []candidate{
 		{weight: .2, level: 0, maxProbability: .05},
 		{weight: 1, level: 4, maxProbability: 1},
 		{weight: 1, level: 5, maxProbability: 1},
 	}
 	waterFill(servers, 1)
-	// The cold row may take 0.05; of the rest all fits below level 5.
+	// The first may take 0.05; of the rest all fits below level 5.
 	for i, want := range []float64{.05, .95, 0} {
 		if math.Abs(servers[i].probability-want) > 1e-9 {
-			t.Errorf("row %d: share %v, want %v", i, servers[i].probability, want)
+			t.Errorf("candidate %d: probability %v, want %v", i, servers[i].probability, want)
 		}
 	}
 }
