--- a/internal/proxy/adminapi/operator_test.go
+++ b/internal/proxy/adminapi/server_test.go
@@ -31,9 +31,9 @@
 		t.Fatal(err)
 	}
 	p, count := &proxy{}, stats.New([]string{"lookup"})
-	d := New(l, p, count, slog.New(slog.DiscardHandler))
-	go d.Serve()
-	t.Cleanup(d.Close)
+	s := New(l, p, count, slog.New(slog.DiscardHandler))
+	go s.Serve()
+	t.Cleanup(s.Close)
 	return p, count, l.Addr().String()
 }
 
@@ -84,7 +84,7 @@
 	count.Class(0).Passed.Add()
 	count.Class(0).Dropped.Add()
 	count.Class(7).Failed.Add() // no such class: in no figure
-	count.Tries.Add()
+	count.RequestsSent.Add()
 	count.InProgress.Add(2)
 	want := "proxy.handled.lookup.passed:1|c\nproxy.handled.lookup.dropped:1|c\n" +
 		"proxy.handled.lookup.bad_gateway:0|c\nproxy.upstream_tries:1|c\nproxy.in_progress:2|g\n" +
@@ -97,7 +97,7 @@
 // Callers that connect and say nothing keep nobody out, and only as many as fit are held.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	_, _, at := door(t)
-	for range 5 * Callers {
+	for range 5 * MaxConns {
 		nettest.Dial(t, at)
 		if a := call(t, at, "GET /_ready"); a.Status != 200 {
 			t.Fatalf("status %d", a.Status)
@@ -105,7 +105,7 @@
 	}
 	// The first ones were closed for those that came later.
 	first := nettest.Dial(t, at)
-	for range Callers {
+	for range MaxConns {
 		nettest.Dial(t, at)
 	}
 	if _, err := io.ReadAll(first); err != nil && !strings.Contains(err.Error(), "reset") {
--- a/internal/proxy/cli/cli_test.go
+++ b/internal/proxy/cli/cli_test.go
@@ -13,7 +13,7 @@
 // Every command says what it is for and shows how it is called; examples name commands that are there.
 func TestHelpIsWhole(t *testing.T) {
 	root := newRoot(nil)
-	Group(root)
+	RejectBareGroups(root)
 	var walk func(c *cobra.Command)
 	walk = func(c *cobra.Command) {
 		if c.Short == "" || c.Example == "" {
--- a/internal/proxy/cli/config.go
+++ b/internal/proxy/cli/config.go
@@ -42,7 +42,7 @@
 				in.Environ = func() []string { return []string{"EDGE_CONFIG=" + args[0]} }
 			}
 			_, err := config.Load(in)
-			problems := settingsfile.Problems{}
+			problems := settingsfile.SettingErrors{}
 			if err != nil && !errors.As(err, &problems) {
 				return err
 			}
@@ -64,7 +64,7 @@
 				fmt.Fprintln(c.OutOrStdout(), err)
 			}
 			if err != nil {
-				return errTold
+				return errReported
 			}
 			return nil
 		},
@@ -82,7 +82,7 @@
 }
 
 func newShow() *cobra.Command {
-	var from sources
+	var from configFlags
 	var asJSON, all bool
 	c := &cobra.Command{
 		Use:   "show",
@@ -113,7 +113,7 @@
 			return w.Flush()
 		},
 	}
-	from.add(c)
+	from.register(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "print all keys as one JSON list")
 	c.Flags().BoolVar(&all, "all", false, "also keys at their default")
 	return c
@@ -127,7 +127,7 @@
 		Example: "  cresshub config docs\n  cresshub config docs --output -",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return write(c.OutOrStdout(), output, config.Reference(), true)
+			return writeFile(c.OutOrStdout(), output, config.Reference(), true)
 		},
 	}
 	c.Flags().StringVarP(&output, "output", "o", "docs/CONFIGURATION.md", "file to write, - for standard output")
@@ -144,15 +144,15 @@
 		Example: "  cresshub config init\n  cresshub config init -",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return write(c.OutOrStdout(), append(args, "cresshub.toml")[0], config.Beginning(), force)
+			return writeFile(c.OutOrStdout(), append(args, "cresshub.toml")[0], config.InitialFile(), force)
 		},
 	}
 	c.Flags().BoolVar(&force, "force", false, "replace a file that is there")
 	return c
 }
 
-// write puts text into a file, or on w where the path is "-".
-func write(w io.Writer, path, text string, replace bool) error {
+// writeFile puts text into a file, or on w where the path is "-".
+func writeFile(w io.Writer, path, text string, replace bool) error {
 	if path == "-" {
 		_, err := io.WriteString(w, text)
 		return err
--- a/internal/proxy/cli/fleet.go
+++ b/internal/proxy/cli/fleet.go
@@ -15,14 +15,14 @@
 func newFleet() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "Ask a running proxy for its view of the fleet of proxies",
 		Example: "  cresshub fleet members --door 127.0.0.1:9901 --json"}
-	var door string
+	var adminAddress string
 	var asJSON bool
 	members := &cobra.Command{
 		Use: "members", Short: "Print each member as this proxy sees it: state, age, incarnation",
 		Example: "  cresshub fleet members --door 127.0.0.1:9901", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var page gossip.Page
-			err := doorPage(door, "/_fleet", "keeps no view of a fleet (fleet.bind is empty there)", &page)
+			err := getPage(adminAddress, "/_fleet", "keeps no view of a fleet (fleet.bind is empty there)", &page)
 			if err != nil {
 				return err
 			}
@@ -42,37 +42,42 @@
 			return err
 		},
 	}
-	members.Flags().StringVar(&door, "door", "127.0.0.1:9901", "host and port of the proxy's operators' door")
+	addDoorFlag(members, &adminAddress)
 	members.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.AddCommand(members)
 	return c
 }
 
-// doorPage asks a door for a page; none says what a proxy without that page has not.
-func doorPage(door, path, none string, into any) error {
-	return doorCall(http.MethodGet, door, path, none, into)
+// addDoorFlag adds the flag for the address of a proxy's admin API.
+func addDoorFlag(c *cobra.Command, address *string) {
+	c.Flags().StringVar(address, "door", "127.0.0.1:9901", "host and port of the proxy's operators' door")
 }
 
-// doorCall makes a call on a door, within two seconds, and reads its answer.
-func doorCall(method, door, path, none string, into any) error {
+// getPage asks a door for a page; none says what a proxy without that page has not.
+func getPage(address, path, missing string, into any) error {
+	return callAdmin(http.MethodGet, address, path, missing, into)
+}
+
+// callAdmin makes a call on a door, within two seconds, and reads its answer.
+func callAdmin(method, address, path, missing string, into any) error {
 	client := http.Client{Timeout: 2 * time.Second}
-	q, err := http.NewRequest(method, "http://"+door+path, nil)
+	request, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
 		return err
 	}
-	a, err := client.Do(q)
+	response, err := client.Do(request)
 	if err != nil {
-		return fmt.Errorf("the door at %s: %w", door, err)
+		return fmt.Errorf("the door at %s: %w", address, err)
 	}
-	defer a.Body.Close()
-	if a.StatusCode == http.StatusNotFound {
-		return fmt.Errorf("the proxy at %s %s", door, none)
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusNotFound {
+		return fmt.Errorf("the proxy at %s %s", address, missing)
 	}
-	if a.StatusCode != http.StatusOK {
-		return fmt.Errorf("the door at %s answered %s", door, a.Status)
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("the door at %s answered %s", address, response.Status)
 	}
-	if err := json.NewDecoder(a.Body).Decode(into); err != nil {
-		return fmt.Errorf("the door at %s: its page does not decode: %w", door, err)
+	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
+		return fmt.Errorf("the door at %s: its page does not decode: %w", address, err)
 	}
 	return nil
 }
--- a/internal/proxy/cli/lab.go
+++ b/internal/proxy/cli/lab.go
@@ -14,17 +14,17 @@
 // newLab hands its arguments to the laboratory, a program of its own beside this one: its statistics, fonts
 // and plots must not weigh on a proxy.
 func newLab() *cobra.Command {
-	return handOver("lab", nil, "Try designs on an emulated fleet (the program cresshub-lab)",
+	return execLab("lab", nil, "Try designs on an emulated fleet (the program cresshub-lab)",
 		"  cresshub lab run snowy-evening --policy module,two-choices\n  cresshub lab --help")
 }
 
 // newRig hands its arguments to the laboratory's fault rig.
 func newRig() *cobra.Command {
-	return handOver("rig", []string{"rig"}, "Put faults between several processes (the program cresshub-lab)",
+	return execLab("rig", []string{"rig"}, "Put faults between several processes (the program cresshub-lab)",
 		"  cresshub rig run partition\n  cresshub rig --help")
 }
 
-func handOver(use string, first []string, short, example string) *cobra.Command {
+func execLab(use string, first []string, short, example string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Example: example, DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error {
--- a/internal/proxy/cli/ledger.go
+++ b/internal/proxy/cli/ledger.go
@@ -16,7 +16,7 @@
 func newLedger() *cobra.Command {
 	c := &cobra.Command{Use: "ledger", Short: "Ask a running proxy for the ledger of use by tenant",
 		Example: "  cresshub ledger show --door 127.0.0.1:9901 --tenant ramen-kita"}
-	var door, tenant string
+	var adminAddress, tenant string
 	var period uint64
 	var asJSON bool
 	show := &cobra.Command{
@@ -31,7 +31,7 @@
 				q.Set("period", fmt.Sprint(period))
 			}
 			var page daemon.LedgerPage
-			if err := doorPage(door, "/_ledger?"+q.Encode(), "holds no ledger (ledger.bind is empty there)",
+			if err := getPage(adminAddress, "/_ledger?"+q.Encode(), "holds no ledger (ledger.bind is empty there)",
 				&page); err != nil {
 				return err
 			}
@@ -41,8 +41,8 @@
 			return printLedger(c, &page)
 		},
 	}
+	addDoorFlag(show, &adminAddress)
 	f := show.Flags()
-	f.StringVar(&door, "door", "127.0.0.1:9901", "host and port of the proxy's operators' door")
 	f.StringVar(&tenant, "tenant", "", "this tenant alone")
 	f.Uint64Var(&period, "period", 0, "this period alone")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
@@ -51,7 +51,7 @@
 }
 
 func newLedgerCorrect() *cobra.Command {
-	var door, id, tenant, class, answer, reason string
+	var adminAddress, id, tenant, class, answer, reason string
 	var period uint64
 	var n, in, out int64
 	c := &cobra.Command{
@@ -64,21 +64,21 @@
 			for key, v := range map[string]int64{"period": int64(period), "n": n, "bytes_in": in, "bytes_out": out} {
 				q.Set(key, fmt.Sprint(v))
 			}
-			var r daemon.CorrectionReply
-			err := doorCall(http.MethodPost, door, "/_ledger/correct?"+q.Encode(),
-				"holds no ledger (ledger.bind is empty there)", &r)
+			var reply daemon.CorrectionReply
+			err := callAdmin(http.MethodPost, adminAddress, "/_ledger/correct?"+q.Encode(),
+				"holds no ledger (ledger.bind is empty there)", &reply)
 			if err != nil {
 				return err
 			}
-			if r.Problem != "" {
-				return fmt.Errorf("not corrected: %s", strings.ReplaceAll(r.Problem, "\n", ", "))
+			if reply.Problem != "" {
+				return fmt.Errorf("not corrected: %s", strings.ReplaceAll(reply.Problem, "\n", ", "))
 			}
-			_, err = fmt.Fprintln(c.OutOrStdout(), r.String())
+			_, err = fmt.Fprintln(c.OutOrStdout(), reply.String())
 			return err
 		},
 	}
+	addDoorFlag(c, &adminAddress)
 	f := c.Flags()
-	f.StringVar(&door, "door", "127.0.0.1:9901", "host and port of the proxy's operators' door")
 	f.StringVar(&id, "id", "", "name of the correction; one that is there already is not entered again")
 	f.StringVar(&tenant, "tenant", "", "tenant")
 	f.StringVar(&class, "class", "", "class")
@@ -107,18 +107,18 @@
 			}
 		}
 	}
-	g, h := &page.Group, &page.Here
+	group, here := &page.Group, &page.Here
 	fmt.Fprintln(w, "\nGROUP\tROLE HERE\tLEADER\tTERM\tAPPLIED\tVOTERS\tLEARNERS")
-	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", g.Group, g.Role, g.Leader,
-		g.Term, g.Applied, strings.Join(g.Voters, " "), strings.Join(g.Learners, " "))
+	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", group.Group, group.Role, group.Leader,
+		group.Term, group.Applied, strings.Join(group.Voters, " "), strings.Join(group.Learners, " "))
 	fmt.Fprintln(w, "\nCOUNTED HERE\tPROMISED\tWAITING\tIN MEMORY\tOLDEST\tLOST\tCOMMIT P99")
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d ms\t%d\t%.1f ms\n", h.Counted, h.Committed, h.Queued,
-		h.InMemory, h.OldestMS, h.Lost, h.CommitP99MS)
+	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d ms\t%d\t%.1f ms\n", here.Counted, here.Committed, here.Queued,
+		here.InMemory, here.OldestMS, here.Lost, here.CommitP99MS)
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if g.Stalled != "" {
-		fmt.Fprintln(c.OutOrStdout(), "this replica stands still:", g.Stalled)
+	if group.Stalled != "" {
+		fmt.Fprintln(c.OutOrStdout(), "this replica stands still:", group.Stalled)
 	}
 	if page.Problem != "" {
 		return fmt.Errorf("the ledger could not be read: %s", page.Problem)
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -13,14 +13,15 @@
 func newOwner() *cobra.Command {
 	c := &cobra.Command{Use: "owner", Short: "Ask a running proxy who owns the fleet's chores, and how they go",
 		Example: "  cresshub owner status --door 127.0.0.1:9901"}
-	var door string
+	var adminAddress string
 	var asJSON bool
 	status := &cobra.Command{
 		Use: "status", Short: "Print the owner, its token, what is left of its lease, and each chore's last run",
 		Example: "  cresshub owner status --door 127.0.0.1:9901 --json", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var p leaseholder.Page
-			if err := doorPage(door, "/_owner", "does no chores (owner.chores is empty there)", &p); err != nil {
+			err := getPage(adminAddress, "/_owner", "does no chores (owner.chores is empty there)", &p)
+			if err != nil {
 				return err
 			}
 			if asJSON {
@@ -29,7 +30,7 @@
 			return printOwner(c, &p)
 		},
 	}
-	status.Flags().StringVar(&door, "door", "127.0.0.1:9901", "host and port of the proxy's operators' door")
+	addDoorFlag(status, &adminAddress)
 	status.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.AddCommand(status)
 	return c
--- a/internal/proxy/cli/root.go
+++ b/internal/proxy/cli/root.go
@@ -18,13 +18,13 @@
 // usageError is a call that cannot be understood.
 type usageError struct{ error }
 
-func wrong(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
+func usageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// Wrong is the error of a call that cannot be understood.
-func Wrong(format string, args ...any) error { return wrong(format, args...) }
+// UsageErrorf is the error of a call that cannot be understood.
+func UsageErrorf(format string, args ...any) error { return usageErrorf(format, args...) }
 
-// errTold is a failure that the command has told in its own way.
-var errTold = errors.New("told already")
+// errReported is a failure that the command has told in its own way.
+var errReported = errors.New("told already")
 
 // Main runs one call of the program and returns its exit status: 0 done, 1 failed, 2 wrong use.
 func Main(args []string, signals <-chan os.Signal, stdout, stderr io.Writer) int {
@@ -37,7 +37,7 @@
 // Execute runs one call of a tree of commands and returns its exit status. Errors are one line each on
 // standard error.
 func Execute(root *cobra.Command, args []string, stdout, stderr io.Writer) int {
-	Group(root)
+	RejectBareGroups(root)
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
@@ -49,7 +49,7 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errTold):
+	case errors.Is(err, errReported):
 		return 1
 	case errors.As(err, &usage):
 		fmt.Fprintf(stderr, "%s: %v; see \"%s --help\"\n", root.Name(), err, cmd.CommandPath())
@@ -77,10 +77,11 @@
 	return root
 }
 
-// Group has a command that only holds others say so when it is called by itself or with a wrong word.
-func Group(c *cobra.Command) {
+// RejectBareGroups has a command that only holds others say so when it is called by itself or with a wrong
+// word.
+func RejectBareGroups(c *cobra.Command) {
 	for _, sub := range c.Commands() {
-		Group(sub)
+		RejectBareGroups(sub)
 	}
 	if !c.HasSubCommands() {
 		if c.DisableFlagParsing {
@@ -101,23 +102,23 @@
 		if len(given) == 0 {
 			c.SetOut(c.ErrOrStderr())
 			c.Help()
-			return wrong("a command is missing")
+			return usageErrorf("a command is missing")
 		}
 		hint := ""
 		if near := c.SuggestionsFor(given[0]); len(near) > 0 {
 			hint = "; did you mean " + strings.Join(near, " or ") + "?"
 		}
-		return wrong("%q is no command%s", given[0], hint)
+		return usageErrorf("%q is no command%s", given[0], hint)
 	}
 }
 
-// sources are the flags that say where a configuration comes from.
-type sources struct {
+// configFlags are the flags that say where a configuration comes from.
+type configFlags struct {
 	file, listen, discovery, name, level, format string
 	set                                          []string
 }
 
-func (s *sources) add(c *cobra.Command) {
+func (s *configFlags) register(c *cobra.Command) {
 	f := c.Flags()
 	f.StringVarP(&s.file, "config", "c", "", "configuration file (CRESSHUB_CONFIG)")
 	f.StringVar(&s.listen, "listen", "", "host:port that clients connect to (listen.address)")
@@ -129,7 +130,7 @@
 }
 
 // input is where the flags say a configuration is read from.
-func (s *sources) input() (config.Input, error) {
+func (s *configFlags) input() (config.Input, error) {
 	in := config.Input{File: s.file, Flags: map[string]string{}}
 	for key, value := range map[string]string{
 		"listen.address": s.listen, "discovery.address": s.discovery, "name": s.name, "log.level": s.level,
@@ -142,7 +143,7 @@
 	for _, pair := range s.set {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return in, wrong("--set %q is no KEY=VALUE", pair)
+			return in, usageErrorf("--set %q is no KEY=VALUE", pair)
 		}
 		in.Flags[key] = value
 	}
--- a/internal/proxy/cli/serve.go
+++ b/internal/proxy/cli/serve.go
@@ -22,7 +22,7 @@
 }
 
 func newServe(signals <-chan os.Signal) *cobra.Command {
-	var from sources
+	var from configFlags
 	c := &cobra.Command{
 		Use:   "serve",
 		Short: "Serve clients until SIGTERM",
@@ -40,16 +40,16 @@
 			if err != nil {
 				return err
 			}
-			daemon.Confine(cfg.Limits, 1)
+			daemon.SetRuntimeLimits(cfg.Limits, 1)
 			proxy, err := daemon.New(cfg, os.Stderr)
 			if err != nil {
 				return err
 			}
-			in.Again = true
+			in.Reload = true
 			proxy.Run(signals, func() (*config.Config, error) { return config.Load(in) })
 			return nil
 		},
 	}
-	from.add(c)
+	from.register(c)
 	return c
 }
--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -24,8 +24,8 @@
 	return c
 }
 
-// untilEnd waits for SIGINT or SIGTERM, or for so long.
-func untilEnd(c *cobra.Command, limit time.Duration) {
+// waitForSignal waits for SIGINT or SIGTERM, or for so long.
+func waitForSignal(c *cobra.Command, limit time.Duration) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -66,7 +66,7 @@
 				}
 			}()
 			fmt.Fprintln(c.ErrOrStderr(), "listening on", z.Address())
-			untilEnd(c, limit)
+			waitForSignal(c, limit)
 			if asJSON {
 				return printJSON(c.OutOrStdout(), z.Counts())
 			}
@@ -110,12 +110,12 @@
 			for _, s := range servers {
 				name, address, ok := strings.Cut(s, "=")
 				if !ok {
-					return wrong("--server %q is no NAME=HOST:PORT", s)
+					return usageErrorf("--server %q is no NAME=HOST:PORT", s)
 				}
 				d.Set(proxystandin.Endpoint{Name: name, Address: address, Status: "in_service", Weight: 1})
 			}
 			fmt.Fprintln(c.ErrOrStderr(), "listening on", d.Address())
-			untilEnd(c, limit)
+			waitForSignal(c, limit)
 			return nil
 		},
 	}
@@ -141,7 +141,7 @@
 			}
 			defer s.Close()
 			fmt.Fprintln(c.ErrOrStderr(), "listening on", s.Address())
-			untilEnd(c, limit)
+			waitForSignal(c, limit)
 			return printJSON(c.OutOrStdout(), s.Entries())
 		},
 	}
--- a/internal/proxy/cli/try.go
+++ b/internal/proxy/cli/try.go
@@ -37,13 +37,13 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			switch {
 			case o.For < 100*time.Millisecond || o.For > time.Hour:
-				return wrong("--for %s is out of range, 100ms to 1h is allowed", o.For)
+				return usageErrorf("--for %s is out of range, 100ms to 1h is allowed", o.For)
 			case o.Servers < 1 || o.Servers > 200:
-				return wrong("--servers %d is out of range, 1 to 200 is allowed", o.Servers)
+				return usageErrorf("--servers %d is out of range, 1 to 200 is allowed", o.Servers)
 			case !(o.Rate >= 0 && o.Rate <= 20000):
-				return wrong("--rate %g is out of range, 0 to 20000 is allowed", o.Rate)
+				return usageErrorf("--rate %g is out of range, 0 to 20000 is allowed", o.Rate)
 			case !(o.Load > 0 && o.Load <= 10):
-				return wrong("--load %g is out of range, above 0 to 10 is allowed", o.Load)
+				return usageErrorf("--load %g is out of range, above 0 to 10 is allowed", o.Load)
 			}
 			if err := proxytrial.CheckTrouble(o.Trouble); err != nil {
 				return usageError{err}
@@ -130,9 +130,9 @@
 	}
 	fmt.Fprintln(w)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	part := func(n int) float64 { return 100 * float64(n) / float64(max(r.Offered, 1)) }
+	percent := func(n int) float64 { return 100 * float64(n) / float64(max(r.Offered, 1)) }
 	fmt.Fprintln(t, "\noffered\tin time\tserved\trefused\tfailed\tp50\tp99\t")
-	fmt.Fprintf(t, "%d\t%d (%.1f%%)\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t\n", r.Offered, r.InTime, part(r.InTime),
+	fmt.Fprintf(t, "%d\t%d (%.1f%%)\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t\n", r.Offered, r.InTime, percent(r.InTime),
 		r.Served, r.Refused, r.Failed, r.P50, r.P99)
 	fmt.Fprintln(t, "\nserver\tattempts\tserved\tturned away\tprobes\tconnections\t")
 	for _, s := range r.Servers {
--- /dev/null
+++ b/internal/proxy/config/check_cluster.go
@@ -0,0 +1,147 @@
+package config
+
+import (
+	"net"
+	"slices"
+	"strings"
+	"time"
+
+	"cresshub/internal/cluster/lease"
+	"cresshub/internal/settingsfile"
+)
+
+// checkFleet holds the fleet's keys to each other, and to the platform, which bars talk among proxies.
+func (k *checker) checkFleet() {
+	f := &k.Fleet
+	if f.Bind == "" {
+		return
+	}
+	if k.onPlatform {
+		k.Add(k.originOf("fleet.bind"), "fleet.bind", "the platform bars talk among proxies (EDGE_CONFIG is set); "+
+			"leave fleet.bind empty there")
+		return
+	}
+	if f.ProbeTimeout >= f.ProbeInterval && k.valid("fleet.probe", "fleet.probe_timeout") {
+		k.Add(k.originOf("fleet.probe_timeout"), "fleet.probe_timeout", "%s is not below probe %s",
+			settingsfile.FormatDuration(f.ProbeTimeout), settingsfile.FormatDuration(f.ProbeInterval))
+	}
+	if f.ForgetAfter < f.GoneAfter && k.valid("fleet.forget", "fleet.gone_after") {
+		k.Add(k.originOf("fleet.forget"), "fleet.forget", "%s is before gone_after %s",
+			settingsfile.FormatDuration(f.ForgetAfter), settingsfile.FormatDuration(f.GoneAfter))
+	}
+	for _, address := range []string{k.Listen.Address, k.Operator} {
+		if address != "" && address == f.Bind && !strings.HasSuffix(address, ":0") {
+			k.Add(k.originOf("fleet.bind"), "fleet.bind", "%q is taken by clients or operators", address)
+		}
+	}
+	for i, seed := range f.Seeds {
+		if _, port, err := net.SplitHostPort(seed); err != nil || port == "" || port == "0" {
+			k.Add(k.originOf("fleet.seeds"), "fleet.seeds", "seed %d, %q, is no host and port", i+1, seed)
+		} else if seed == f.Bind || seed == f.Advertise {
+			k.Add(k.originOf("fleet.seeds"), "fleet.seeds", "seed %d, %q, is this member itself", i+1, seed)
+		}
+	}
+}
+
+// checkLedger holds the ledger's keys to each other, to the fleet's and to the platform.
+func (k *checker) checkLedger() {
+	l := &k.Ledger
+	if l.Bind == "" {
+		return
+	}
+	if k.onPlatform {
+		k.Add(k.originOf("ledger.bind"), "ledger.bind", "the platform bars talk among proxies and keeps no disk "+
+			"(EDGE_CONFIG is set); leave ledger.bind empty there")
+		return
+	}
+	if k.Fleet.Bind == "" {
+		k.Add(k.originOf("ledger.bind"), "ledger.bind", "needs fleet.bind: replicas are found by the fleet view")
+	}
+	if l.DataDir == "" {
+		k.Add(k.originOf("ledger.bind"), "ledger.data", "is missing; the ledger wants a folder of its own")
+	}
+	if l.Bind == k.Fleet.Bind && !strings.HasSuffix(l.Bind, ":0") {
+		k.Add(k.originOf("ledger.bind"), "ledger.bind", "%q is taken by fleet.bind", l.Bind)
+	}
+	if l.ElectionTimeout < 2*l.HeartbeatInterval && k.valid("ledger.election", "ledger.heartbeat") {
+		k.Add(k.originOf("ledger.election"), "ledger.election", "%s is below twice heartbeat %s",
+			settingsfile.FormatDuration(l.ElectionTimeout), settingsfile.FormatDuration(l.HeartbeatInterval))
+	}
+	if l.Replicas == 4 {
+		k.Add(k.originOf("ledger.replicas"), "ledger.replicas",
+			"4 outlive no more losses than 3; 3 or 5 are allowed")
+	}
+	if l.BootstrapExpect < l.Replicas && k.valid("ledger.expect", "ledger.replicas") {
+		k.Add(k.originOf("ledger.expect"), "ledger.expect", "%d is below replicas %d",
+			l.BootstrapExpect, l.Replicas)
+	}
+	if l.Period < l.FlushInterval && k.valid("ledger.period", "ledger.flush") {
+		k.Add(k.originOf("ledger.period"), "ledger.period", "%s is below flush %s",
+			settingsfile.FormatDuration(l.Period), settingsfile.FormatDuration(l.FlushInterval))
+	}
+}
+
+// HasRole tells whether a chore is among those that the fleet's owner does.
+func (o *Owner) HasRole(role string) bool { return slices.Contains(o.Roles, role) }
+
+// What the fleet's owner may do.
+const (
+	RoleExport = "export"
+	RoleList   = "list"
+)
+
+// LeaseSettings are the owner's lease as package lease wants it.
+func (c *Config) LeaseSettings() lease.Settings {
+	return lease.Settings{TTL: c.Owner.LeaseTTL, Drift: c.Owner.ClockDrift,
+		ElectionTimeout: c.Ledger.ElectionTimeout}
+}
+
+// checkOwner holds the owner's keys to each other, to the ledger's and to the platform.
+func (k *checker) checkOwner() {
+	o := &k.Owner
+	if len(o.Roles) == 0 {
+		return
+	}
+	report := func(key, format string, args ...any) {
+		path := "owner." + key
+		k.Add(k.originOf(path, "owner.chores"), path, format, args...)
+	}
+	if k.onPlatform {
+		report("chores", "the platform bars talk among proxies (EDGE_CONFIG is set); "+
+			"leave owner.chores empty there")
+		return
+	}
+	for _, c := range o.Roles {
+		if c != RoleExport && c != RoleList {
+			report("chores", "%q is no chore; there are export and list", c)
+		}
+	}
+	if k.Ledger.Bind == "" {
+		report("chores", "needs ledger.bind: leases and what chores leave are kept in the ledger's log")
+	}
+	if o.HasRole(RoleExport) && o.Sink == "" {
+		report("sink", "is missing; export wants the billing sink's host and port")
+	}
+	if o.HasRole(RoleList) && k.Discovery.Address == "" && len(k.Servers) > 0 {
+		report("chores", "list asks discovery, and the servers stand in this file")
+	}
+	if k.valid("owner.lease", "owner.drift", "ledger.election") {
+		if err := k.LeaseSettings().Check(); err != nil {
+			report("lease", "%v", err)
+		}
+	}
+	if o.HasRole(RoleList) && k.valid("owner.list_max_age", "owner.list_poll", "discovery.ask_within") {
+		if o.ListMaxAge > k.Discovery.AskWithin && k.Discovery.AskWithin > 0 {
+			report("list_max_age", "%s is beyond discovery.ask_within %s", settingsfile.FormatDuration(o.ListMaxAge),
+				settingsfile.FormatDuration(k.Discovery.AskWithin))
+		}
+		if minAge := 4 * o.ListPollInterval; o.ListMaxAge < minAge {
+			report("list_max_age", "%s is below four list_poll, %s", settingsfile.FormatDuration(o.ListMaxAge),
+				settingsfile.FormatDuration(minAge))
+		}
+	}
+	if o.ListMaxAge < o.LeaseTTL && o.HasRole(RoleList) && k.valid("owner.list_max_age", "owner.lease") {
+		report("list_max_age", "%s is below the lease %s: each change of owner would have all ask discovery",
+			settingsfile.FormatDuration(max(o.ListMaxAge, time.Millisecond)), settingsfile.FormatDuration(o.LeaseTTL))
+	}
+}
--- a/internal/proxy/config/config_test.go
+++ b/internal/proxy/config/config_test.go
@@ -79,7 +79,7 @@
 			t.Error(diff)
 		}
 		got := fmt.Sprintln(c.Name, c.Listen.Address, c.Discovery.Address, c.Limits.Cores, c.Limits.Memory,
-			c.Limits.Sockets, string(c.Known))
+			c.Limits.Descriptors, string(c.KnownServers))
 		if diff := cmp.Diff("n3 127.0.0.1:9 127.0.0.1:2 1.5 192MiB 1024 {\"index\":4}\n", got); diff != "" {
 			t.Error(diff)
 		}
@@ -119,7 +119,7 @@
 		{Input{}, []string{"CRESSHUB_CONFIG=c.toml"}, 1, "file"},
 		{Input{File: "c.toml"}, env[:1], 2, "platform"},
 		{Input{File: "c.toml"}, env, 3, "environment"},
-		{Input{File: "c.toml", Again: true}, env, 2, "platform"},
+		{Input{File: "c.toml", Reload: true}, env, 2, "platform"},
 		{Input{File: "c.toml"}, own, 4, "environment"},
 		{Input{File: "c.toml", Flags: flag}, own, 5, "flag"},
 	} {
@@ -180,7 +180,7 @@
 address = "nowhere:70000"
 `
 	_, err := loadTOML(text)
-	var got settingsfile.Problems
+	var got settingsfile.SettingErrors
 	if !errors.As(err, &got) {
 		t.Fatal(err)
 	}
@@ -248,10 +248,10 @@
 	if diff := cmp.Diff(Reference(), string(page)); diff != "" {
 		t.Errorf("docs/CONFIGURATION.md is stale; write it by \"bin/cresshub config docs\":\n%s", diff)
 	}
-	if _, err := loadTOML(Beginning()); err != nil {
+	if _, err := loadTOML(InitialFile()); err != nil {
 		t.Error(err)
 	}
-	commented := strings.ReplaceAll(Beginning(), "\n#", "\n") // every default as the file would hold it
+	commented := strings.ReplaceAll(InitialFile(), "\n#", "\n") // every default as the file would hold it
 	var lines []string
 	for l := range strings.Lines(commented) {
 		key, _, set := strings.Cut(l, " = ")
@@ -267,8 +267,8 @@
 			f.Reload != settingsfile.AtStart {
 			t.Errorf("%s: doc %q, reload %q", f.Path, f.Doc, f.Reload)
 		}
-		if !f.Must {
-			if _, err := f.Decode(settingsfile.Words(f.Default)); err != nil {
+		if !f.Required {
+			if _, err := f.Decode(settingsfile.Text(f.Default)); err != nil {
 				t.Errorf("%s: %v", f.Path, err)
 			}
 		}
@@ -279,7 +279,7 @@
 // the file's length.
 func TestBrokenLinesAreBounded(t *testing.T) {
 	_, err := loadTOML(strings.Repeat("a = [\n", 1<<20/6))
-	var ps settingsfile.Problems
+	var ps settingsfile.SettingErrors
 	if !errors.As(err, &ps) || len(ps) > 52 {
 		t.Errorf("%d problems: %.200v", len(ps), err)
 	}
@@ -315,7 +315,7 @@
 		if diff := cmp.Diff([][]string{c.live, c.restart}, [][]string{live, restart}); diff != "" {
 			t.Error(c.to, diff)
 		}
-		if again, _ := c.from.TakeLive(next).Changed(next); len(again) > 0 && restart == nil {
+		if again, _ := c.from.WithLive(next).Changed(next); len(again) > 0 && restart == nil {
 			t.Errorf("not taken over: %v", again)
 		}
 	}
@@ -326,7 +326,7 @@
 	c := &Config{Servers: []Server{{Name: "a", Address: "127.0.0.1:1"}}}
 	since := map[string]time.Time{}
 	c.ServerList(time.Time{}, since)
-	c.Servers = append(c.Servers, Server{Name: "b", Address: "127.0.0.1:2", Drains: true})
+	c.Servers = append(c.Servers, Server{Name: "b", Address: "127.0.0.1:2", Draining: true})
 	var got struct {
 		Endpoints []struct {
 			Status  string
@@ -349,7 +349,7 @@
 // Whatever stands in a file, reading it ends, tells lines that the file has, and takes no value in that a
 // check would refuse.
 func TestAnyText(t *testing.T) {
-	lines := strings.SplitAfter(Beginning()+small, "\n")
+	lines := strings.SplitAfter(InitialFile()+small, "\n")
 	piece := rapid.OneOf(rapid.SampledFrom(lines), rapid.SampledFrom([]string{
 		"[", "]]", "=", "\"", "'''", "\"\"\"",
 		"\n", "{", "}", "a.b.c = {x=1,y=[2,{z=3}]}\n", "[[class]]\n", "1e999", "-0", "\\u0000", "#"}))
@@ -361,7 +361,7 @@
 
 func checkText(t rapid.TB, text string) {
 	c, err := loadTOML(text)
-	var ps settingsfile.Problems
+	var ps settingsfile.SettingErrors
 	switch {
 	case err == nil:
 		for _, v := range c.Effective() {
@@ -381,7 +381,7 @@
 
 func FuzzTOML(f *testing.F) {
 	f.Add(small)
-	f.Add(Beginning())
+	f.Add(InitialFile())
 	f.Add("a = [\n[[class]]\n")
 	f.Fuzz(func(t *testing.T, text string) { checkText(t, text) })
 }
--- a/internal/proxy/config/effective.go
+++ b/internal/proxy/config/effective.go
@@ -30,7 +30,7 @@
 		if o.Source != "default" {
 			at = o.String()
 		}
-		all = append(all, Value{schema().Shown(path), plain(f, v), o.Source, at, f.Reload})
+		all = append(all, Value{schema().Display(path), displayed(f, v), o.Source, at, f.Reload})
 	}
 	for _, f := range schema().Fields {
 		if !strings.Contains(f.Path, "[]") {
@@ -50,8 +50,8 @@
 	return all
 }
 
-// plain is a value as JSON and people read it: times and sizes with their units.
-func plain(f *settingsfile.Field, v reflect.Value) any {
+// displayed is a value as JSON and people read it: times and sizes with their units.
+func displayed(f *settingsfile.Field, v reflect.Value) any {
 	switch x := v.Interface().(type) {
 	case time.Duration, Size:
 		return f.Format(v)
@@ -65,13 +65,13 @@
 func (c *Config) Changed(next *Config) (live, restart []string) {
 	before := map[string]string{}
 	reload := map[string]string{}
-	note := func(v Value) string { reload[v.Key] = v.Reload; return fmt.Sprint(v.Value) }
+	record := func(v Value) string { reload[v.Key] = v.Reload; return fmt.Sprint(v.Value) }
 	for _, v := range c.Effective() {
-		before[v.Key] = note(v)
+		before[v.Key] = record(v)
 	}
 	changed := map[string]bool{}
 	for _, v := range next.Effective() {
-		if was, ok := before[v.Key]; !ok || was != note(v) {
+		if was, ok := before[v.Key]; !ok || was != record(v) {
 			changed[v.Key] = true
 		}
 		reload[v.Key] = v.Reload
@@ -95,19 +95,19 @@
 	return live, restart
 }
 
-// TakeLive returns these values with those of next for all keys that change in a running program.
-func (c *Config) TakeLive(next *Config) *Config {
-	all := *c
-	all.origins = maps.Clone(c.origins)
-	from, to := reflect.ValueOf(next).Elem(), reflect.ValueOf(&all).Elem()
+// WithLive returns these values with those of next for all keys that change in a running program.
+func (c *Config) WithLive(next *Config) *Config {
+	merged := *c
+	merged.origins = maps.Clone(c.origins)
+	from, to := reflect.ValueOf(next).Elem(), reflect.ValueOf(&merged).Elem()
 	for _, f := range schema().Fields {
 		if f.Reload == settingsfile.Live && !strings.Contains(f.Path, "[]") {
 			to.FieldByIndex(f.Index).Set(from.FieldByIndex(f.Index))
-			all.origins[f.Path] = next.origins[f.Path]
+			merged.origins[f.Path] = next.origins[f.Path]
 		}
 	}
-	all.Servers = next.Servers
-	return &all
+	merged.Servers = next.Servers
+	return &merged
 }
 
 // FromPlatform tells whether the platform's file had a part in the values.
--- a/internal/proxy/config/load.go
+++ b/internal/proxy/config/load.go
@@ -17,13 +17,13 @@
 	Flags   map[string]string // values by key
 	Environ func() []string
 	Read    func(path string) ([]byte, error)
-	// Again tells that a running program reads once more: the platform's file was replaced since, and
+	// Reload tells that a running program reads once more: the platform's file was replaced since, and
 	// its discovery goes before EDGE_DISCOVERY, which still says what held at the start.
-	Again bool
+	Reload bool
 }
 
 // The variables that set keys under names of their own.
-var edgeVariables = map[string]string{
+var platformKeys = map[string]string{
 	"EDGE_NAME": "name", "EDGE_LISTEN": "listen.address", "EDGE_DISCOVERY": "discovery.address",
 	"EDGE_OPERATOR": "operator",
 }
@@ -33,9 +33,9 @@
 	platformVariable = "EDGE_CONFIG"
 )
 
-// Load reads all sources and returns the checked values, or keyed.Problems with every mistake in any of them.
-// Flags go before variables, those before the platform's file, that before the own file, and what nobody
-// sets has its default.
+// Load reads all sources and returns the checked values, or settingsfile.SettingErrors with every mistake in
+// any of them. Flags go before variables, those before the platform's file, that before the own file, and
+// what nobody sets has its default.
 func Load(in Input) (*Config, error) {
 	if in.Environ == nil {
 		in.Environ = os.Environ
@@ -55,7 +55,7 @@
 			path = env[fileVariable]
 		}
 		if raw, err := in.Read(path); err != nil {
-			b.Problems.Add(settingsfile.At("file", path), "", "cannot be read: %v", err)
+			b.Problems.Add(settingsfile.NewOrigin("file", path), "", "cannot be read: %v", err)
 		} else {
 			l, problems := schema().ReadTOML(path, raw)
 			b.Problems = append(b.Problems, problems...)
@@ -66,19 +66,19 @@
 	if path := env[platformVariable]; path != "" {
 		l, err := readPlatform(path, in.Read, c)
 		if err != nil {
-			b.Problems.Add(settingsfile.At("platform", path), "", "%v", err)
+			b.Problems.Add(settingsfile.NewOrigin("platform", path), "", "%v", err)
 		} else {
 			b.Add(l)
-			if _, told := l.Values["discovery.address"]; told && in.Again {
+			if _, told := l.Values["discovery.address"]; told && in.Reload {
 				delete(variables.Values, "discovery.address")
 			}
 		}
 	}
 	b.Add(variables)
 	b.Add(flags(in.Flags, &b.Problems))
-	b.Into(c)
-	c.drawn = rand.Uint64()
-	c.check(&b.Problems)
+	b.Decode(c)
+	c.drawnSeed = rand.Uint64()
+	c.validate(&b.Problems)
 	if err := b.Problems.Err(); err != nil {
 		return nil, err
 	}
@@ -87,27 +87,27 @@
 
 // environment reads the variables that set keys. One under the program's own prefix that sets nothing is
 // a mistake; others are none of its business.
-func environment(env map[string]string, problems *settingsfile.Problems) *settingsfile.Layer {
+func environment(env map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	l := settingsfile.NewLayer()
 	known := map[string]string{}
 	for _, f := range schema().Fields {
-		if v := schema().VariableOf(f); v != "" {
+		if v := schema().EnvVar(f); v != "" {
 			known[v] = f.Path
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(env)) {
-		o := settingsfile.At("environment", name)
-		path, edge := edgeVariables[name]
+		o := settingsfile.NewOrigin("environment", name)
+		path, edge := platformKeys[name]
 		switch own, ok := known[name]; {
 		case edge && env[name] != "":
 			if _, set := l.Values[path]; !set { // the own name of a key goes before the platform's
-				l.Set(path, settingsfile.Words(env[name]), o)
+				l.Set(path, settingsfile.Text(env[name]), o)
 			}
 		case ok:
-			l.Set(own, settingsfile.Words(env[name]), o)
+			l.Set(own, settingsfile.Text(env[name]), o)
 		case strings.HasPrefix(name, variablePrefix) && name != fileVariable:
 			hint := ""
-			if v := settingsfile.Likely(name, slices.Sorted(maps.Keys(known))); v != "" {
+			if v := settingsfile.Closest(name, slices.Sorted(maps.Keys(known))); v != "" {
 				hint = "; did you mean " + v + "?"
 			}
 			problems.Add(o, "", "sets no key%s", hint)
@@ -116,23 +116,23 @@
 	return l
 }
 
-func flags(set map[string]string, problems *settingsfile.Problems) *settingsfile.Layer {
+func flags(set map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	l := settingsfile.NewLayer()
 	for _, path := range slices.Sorted(maps.Keys(set)) {
-		o := settingsfile.At("flag", "--set "+path)
-		if _, _, _, ok := schema().Generic(path); !ok || strings.Contains(path, "[]") {
-			problems.Add(o, path, "is no key that a flag sets%s", schema().Meant(path))
+		o := settingsfile.NewOrigin("flag", "--set "+path)
+		if _, _, _, ok := schema().Resolve(path); !ok || strings.Contains(path, "[]") {
+			problems.Add(o, path, "is no key that a flag sets%s", schema().Suggest(path))
 			continue
 		}
-		l.Set(path, settingsfile.Words(set[path]), o)
+		l.Set(path, settingsfile.Text(set[path]), o)
 	}
 	return l
 }
 
-// Seeded returns the seed for random choices: as set, or one drawn when the configuration was loaded.
-func (c *Config) Seeded() uint64 {
+// RandomSeed returns the seed for random choices: as set, or one drawn when the configuration was loaded.
+func (c *Config) RandomSeed() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
 	}
-	return c.drawn
+	return c.drawnSeed
 }
--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -56,10 +56,10 @@
 		return nil, errors.New("says nothing")
 	}
 	if string(file.Known) != "null" {
-		c.Known = file.Known
+		c.KnownServers = file.Known
 	}
 	l := settingsfile.NewLayer()
-	put := func(key string, v any) { l.Set(key, v, settingsfile.At("platform", path)) }
+	put := func(key string, v any) { l.Set(key, v, settingsfile.NewOrigin("platform", path)) }
 	for key, text := range map[string]string{
 		"name": file.Name, "listen.address": file.Listen, "discovery.address": file.Discovery,
 		"operator": file.Operator,
@@ -72,12 +72,12 @@
 	put("limits.cores", file.Limits.Cores)
 	put("limits.memory", Size(file.Limits.MemoryMB)<<20)
 	put("limits.sockets", file.Limits.Sockets)
-	fromSettings(&set, put)
+	putSettings(&set, put)
 	return l, nil
 }
 
-// fromSettings tells the simulator's settings by the keys of the file; Settings is its inverse.
-func fromSettings(s *simwire.Settings, put func(key string, v any)) {
+// putSettings tells the simulator's settings by the keys of the file; Settings is its inverse.
+func putSettings(s *simwire.Settings, put func(key string, v any)) {
 	hall := "#" + strconv.Itoa(s.Zone)
 	if s.Zone >= 0 && s.Zone < len(s.ZoneNames) {
 		hall = s.ZoneNames[s.Zone]
@@ -111,7 +111,7 @@
 	for i, k := range s.Classes {
 		for key, v := range map[string]any{
 			"name": s.ClassNames[i], "aim": k.Aim, "aim_stretch": k.AimStretch, "deadline": k.Deadline,
-			"effect": wordFor(simwire.Effects, k.Effect), "group": wordFor(simwire.Groups, k.Group),
+			"effect": keyOf(simwire.Effects, k.Effect), "group": keyOf(simwire.Groups, k.Group),
 			"window": k.Window,
 			"worth":  k.Worth, "late_worth": k.LateWorth, "stream": k.Stream,
 		} {
@@ -125,7 +125,7 @@
 	}
 }
 
-func wordFor[T comparable](words map[string]T, v T) string {
+func keyOf[T comparable](words map[string]T, v T) string {
 	for _, w := range slices.Sorted(maps.Keys(words)) {
 		if words[w] == v {
 			return w
@@ -139,15 +139,17 @@
 	p := &c.Policy
 	s := simwire.Settings{
 		Settings: balance.Settings{
-			Seed: c.Seeded(), Rank: p.Rank, Peers: p.Instances, Zone: c.hall(), Tick: p.Tick,
+			Seed: c.RandomSeed(), Rank: p.Rank, Peers: p.Instances, Zone: c.hallIndex(), Tick: p.Tick,
 			Prices: balance.Prices{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
 				LateFail: c.Prices.LateFail},
-			OverShareWorth: p.OverShare, WorthByWork: p.WorthBy == "work",
+			OverShareWorth: p.OverShareValue, WorthByWork: p.ValueBy == "work",
 			MustFollow: c.Discovery.Mode == "ask" && c.Discovery.Address != "", AskWithin: c.Discovery.AskWithin,
-			DrainGrace: c.Drain.Grace, AnswerSlack: p.Slack,
-			ColdStart: c.Cold.Start, ColdFor: c.Cold.Warm, FallMultiple: c.Cold.Multiple, FallAfter: c.Cold.After,
-			MaxAttempts: p.Attempts, MayProbe: p.Probes, MayCancel: p.Cancel, MayDuplicate: p.Duplicate,
-			TellsBackoff: p.TellWait, MaxBackoff: p.MaxWait, DialTimeout: c.Upstream.Dial, WarmKeys: p.WarmKeys,
+			DrainGrace: c.Drain.Grace, AnswerSlack: p.AnswerSlack,
+			ColdStart: c.SlowStart.StartFraction, ColdFor: c.SlowStart.Duration,
+			FallMultiple: c.SlowStart.FallMultiple, FallAfter: c.SlowStart.FallAfter,
+			MaxAttempts: p.MaxAttempts, MayProbe: p.MayProbe, MayCancel: p.MayCancel, MayDuplicate: p.MayDuplicate,
+			TellsBackoff: p.SendRetryAfter, MaxBackoff: p.MaxRetryAfter,
+			DialTimeout: c.Upstream.DialTimeout, WarmKeys: p.WarmKeys,
 			ReportAnswers: p.ReportFrom == "answers",
 		},
 		ZoneNames: c.Halls, KindNames: c.Kinds, IdleClose: c.Upstream.IdleClose,
@@ -155,8 +157,9 @@
 	for _, k := range c.Classes {
 		s.ClassNames = append(s.ClassNames, k.Name)
 		s.Classes = append(s.Classes, balance.Class{
-			Aim: k.Aim, AimStretch: k.Stretch, Deadline: k.Deadline, Effect: simwire.Effects[k.Effect],
-			Group: simwire.Groups[k.Group], Window: k.Window, Worth: k.Worth, LateWorth: k.LateWorth, Stream: k.Stream,
+			Aim: k.LatencyTarget, AimStretch: k.TargetStretch, Deadline: k.Deadline, Effect: simwire.Effects[k.Effect],
+			Group: simwire.Groups[k.DedupGroup], Window: k.DedupWindow, Worth: k.Value, LateWorth: k.LateValue,
+			Stream: k.Stream,
 		})
 	}
 	for _, t := range c.Tenants {
@@ -175,19 +178,19 @@
 
 // DialLimit is how long a connection may take to stand.
 func (u *Upstream) DialLimit() time.Duration {
-	if u.Dial <= 0 {
+	if u.DialTimeout <= 0 {
 		return 250 * time.Millisecond
 	}
-	return u.Dial
+	return u.DialTimeout
 }
 
-// ReuseLimit is how long a connection may have rested to be used again: well short of when its server
+// MaxIdle is how long a connection may have rested to be used again: well short of when its server
 // closes it.
-func (u *Upstream) ReuseLimit() time.Duration {
+func (u *Upstream) MaxIdle() time.Duration {
 	if u.IdleClose <= 0 {
 		return time.Second
 	}
-	return time.Duration(float64(u.IdleClose) * u.Reuse)
+	return time.Duration(float64(u.IdleClose) * u.ReuseFraction)
 }
 
 // ServerList is the servers of the file in discovery's form; nil where they come from discovery. since
@@ -210,7 +213,7 @@
 		if !since[key].IsZero() {
 			e.SinceMS = float64(since[key].UnixMilli())
 		}
-		if s.Drains {
+		if s.Draining {
 			e.Status = "terminating"
 		}
 		list.Endpoints = append(list.Endpoints, e)
--- a/internal/proxy/config/reference.go
+++ b/internal/proxy/config/reference.go
@@ -30,7 +30,7 @@
 	return "[" + section + "]"
 }
 
-func last(f *settingsfile.Field) string { return f.Path[strings.LastIndexByte(f.Path, '.')+1:] }
+func lastKey(f *settingsfile.Field) string { return f.Path[strings.LastIndexByte(f.Path, '.')+1:] }
 
 const preface = `# Configuration
 
@@ -65,16 +65,16 @@
 		b.WriteString("\n| key | default | kind | allowed | reload |\n| --- | --- | --- | --- | --- |\n")
 		for _, f := range by[name] {
 			def := "`" + f.Default + "`"
-			if f.Must {
+			if f.Required {
 				def = "must be set"
 			} else if f.Default == "" {
 				def = "empty"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", last(f), def, f.Kind(), f.Allowed(), f.Reload)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", lastKey(f), def, f.Kind(), f.Allowed(), f.Reload)
 		}
 		b.WriteString("\n")
 		for _, f := range by[name] {
-			b.WriteString(wrap(fmt.Sprintf("- `%s`: %s.", last(f), f.Doc), "  "))
+			b.WriteString(wrap(fmt.Sprintf("- `%s`: %s.", lastKey(f), f.Doc), "  "))
 		}
 	}
 	return b.String()
@@ -83,24 +83,24 @@
 // wrap breaks text at 105 columns and indents what follows the first line.
 func wrap(text, indent string) string {
 	var b strings.Builder
-	room := 105
+	left := 105
 	for i, w := range strings.Fields(text) {
 		if i > 0 {
-			if len(w)+1 > room {
+			if len(w)+1 > left {
 				b.WriteString("\n" + indent)
-				room = 105 - len(indent)
+				left = 105 - len(indent)
 			} else {
 				b.WriteString(" ")
-				room--
+				left--
 			}
 		}
 		b.WriteString(w)
-		room -= len(w)
+		left -= len(w)
 	}
 	return b.String() + "\n"
 }
 
-const beginning = `# Configuration of cresshub. Lines that begin with "#" show defaults; what stands
+const initialHeader = `# Configuration of cresshub. Lines that begin with "#" show defaults; what stands
 # without it is an example to be changed. "cresshub config check FILE" tells every mistake.
 
 `
@@ -114,10 +114,10 @@
 	"server[].name": `"zone-1"`, "server[].address": `"127.0.0.1:9001"`, "server[].hall": `"kita"`,
 }
 
-// Beginning returns a file to begin with: every key with its meaning, those that have one at their default.
-func Beginning() string {
+// InitialFile returns a file to begin with: every key with its meaning, those that have one at their default.
+func InitialFile() string {
 	var b strings.Builder
-	b.WriteString(beginning)
+	b.WriteString(initialHeader)
 	names, by := sections()
 	for _, name := range names {
 		if name != "" {
@@ -126,9 +126,9 @@
 		for _, f := range by[name] {
 			b.WriteString(wrap("# "+f.Doc, "# "))
 			if set, ok := examples[f.Path]; ok {
-				fmt.Fprintf(&b, "%s = %s\n", last(f), set)
+				fmt.Fprintf(&b, "%s = %s\n", lastKey(f), set)
 			} else {
-				fmt.Fprintf(&b, "#%s = %s\n", last(f), written(f))
+				fmt.Fprintf(&b, "#%s = %s\n", lastKey(f), defaultTOML(f))
 			}
 		}
 	}
@@ -143,9 +143,9 @@
 	return b.String()
 }
 
-// written is the default as the file would hold it.
-func written(f *settingsfile.Field) string {
-	v, err := f.Decode(settingsfile.Words(f.Default))
+// defaultTOML is the default as the file would hold it.
+func defaultTOML(f *settingsfile.Field) string {
+	v, err := f.Decode(settingsfile.Text(f.Default))
 	if err != nil {
 		return `""`
 	}
--- a/internal/proxy/daemon/serve.go
+++ b/internal/proxy/daemon/daemon.go
@@ -41,15 +41,15 @@
 	discovery     *discovery.Client
 	server        *ingress.Server
 	listener      net.Listener
-	admin         *adminapi.Door      // nil where there is none
+	admin         *adminapi.Server    // nil where there is none
 	fleet         *gossip.Fleet       // nil where there is none
 	ledger        *ledgerNode         // nil where there is none
 	roles         *leaseholder.Runner // nil where there is none
 	shutdownTimes atomic.Pointer[config.Shutdown]
 	budget        *descriptors.Budget
 	bodies        *bodybudget.Budget
-	upgrade       upgrade
-	serversSince  map[string]time.Time // when servers of the file were first named, by name and address
+	handover      handoverState
+	firstNamed    map[string]time.Time // when servers of the file were first named, by name and address
 }
 
 // Follow and Probe are what the decisions may set off by themselves.
@@ -57,55 +57,56 @@
 
 // Probe asks a server for its load.
 func (p *Proxy) Probe(s dispatch.ServerID) {
-	p.pool.Probe(s, func(res dispatch.Result, took time.Duration, load []float64) {
-		p.decider.Probed(s, res, took, load)
+	p.pool.Probe(s, func(result dispatch.Result, took time.Duration, load []float64) {
+		p.decider.Probed(s, result, took, load)
 	})
 }
 
 // New wires a proxy and listens; it serves once Run is called. The log goes to w.
 func New(cfg *config.Config, w io.Writer) (*Proxy, error) {
-	set := cfg.Settings()
-	p := &Proxy{cfg: cfg, startConfig: cfg, stats: stats.New(set.ClassNames),
-		serversSince: map[string]time.Time{}}
+	settings := cfg.Settings()
+	p := &Proxy{cfg: cfg, startConfig: cfg, stats: stats.New(settings.ClassNames),
+		firstNamed: map[string]time.Time{}}
 	p.shutdownTimes.Store(&cfg.Shutdown)
 	p.log = logging.New(w, logging.Options{
-		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), Repeat: cfg.Log.Repeat,
+		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), RepeatRate: cfg.Log.RepeatRate,
 		Backlog: int(cfg.Log.Backlog),
 	})
 	log := p.log.With(logging.Name, cfg.Name)
 	p.log.Logger = log
 	var err error
-	if p.decider, err = dispatch.New(set.Settings, cfg.Policy.Travel, p); err != nil {
+	if p.decider, err = dispatch.New(settings.Settings, cfg.Policy.ResponseMargin, p); err != nil {
 		return nil, err
 	}
 	if err := p.inheritOrListen(); err != nil {
 		return nil, err
 	}
-	budget := descriptors.NewBudget(p.descriptors(), cfg.Limits.Clients, cfg.Limits.Crowded)
+	budget := descriptors.NewBudget(p.descriptorLimit(), cfg.Limits.ClientFraction, cfg.Limits.CrowdedFraction)
 	p.budget = budget
 	p.discovery = discovery.New(cfg.Discovery.Address, cfg.Upstream.DialLimit(), listLimits(cfg),
-		discovery.Names{Zones: set.ZoneNames, Kinds: set.KindNames}, budget, p.stats, log)
+		discovery.Names{Zones: settings.ZoneNames, Kinds: settings.KindNames}, budget, p.stats, log)
 	p.bodies = bodybudget.NewBudget(p.bodyBytes())
-	p.pool = upstream.New(p.discovery, poolLimits(cfg), set.ReportNames, budget, p.bodies, p.stats)
+	p.pool = upstream.New(p.discovery, poolLimits(cfg), settings.ReportNames, budget, p.bodies, p.stats)
 	if err := p.openLedger(); err != nil {
 		p.listener.Close()
 		return nil, err
 	}
 	p.server = ingress.New(ingress.Options{
-		Decider: p.decider, Pool: p.pool, Name: p.discovery.Name, Classes: set.ClassNames, Tenants: set.TenantNames,
-		Limits: cfg.Clients, Drain: p.drainTimes, Budget: budget, Bodies: p.bodies, Stats: p.stats,
+		Decider: p.decider, Pool: p.pool, Name: p.discovery.Name, Classes: settings.ClassNames,
+		Tenants: settings.TenantNames, Limits: cfg.Clients, Drain: p.drainTimes, Budget: budget,
+		Bodies: p.bodies, Stats: p.stats,
 		RecordUsage: p.usageRecorder(), Log: log,
 	})
 	p.server.LogRequests(p.requestLog())
-	known := cfg.Known
-	if old := p.upgrade.predecessor; old != nil && len(old.Known) > 0 {
+	known := cfg.KnownServers
+	if old := p.handover.predecessor; old != nil && len(old.Known) > 0 {
 		if old.Discovery == cfg.Discovery.Address {
 			known = old.Known // as of now; the configuration's is as of some time
 		} else { // another deployment's servers, and another count of changes
 			log.Warn("list of the old process left aside", "discovery", old.Discovery)
 		}
 	}
-	if list := cfg.ServerList(time.Time{}, p.serversSince); list != nil {
+	if list := cfg.ServerList(time.Time{}, p.firstNamed); list != nil {
 		known = list
 	}
 	var servers []dispatch.Server
@@ -116,12 +117,12 @@
 	}
 	p.decider.RestoreList(servers)
 	if cfg.Operator != "" {
-		door, err := listen(cfg.Operator, nil)
+		listener, err := listen(cfg.Operator, nil)
 		if err != nil {
 			p.listener.Close()
 			return nil, fmt.Errorf("operator: %w", err)
 		}
-		p.admin = adminapi.New(door, p, p.stats, log)
+		p.admin = adminapi.New(listener, p, p.stats, log)
 	}
 	err = p.joinFleet()
 	if err == nil {
@@ -153,7 +154,7 @@
 	switch {
 	case !p.server.Serving():
 		return false, "sending clients away"
-	case !p.upgrade.serving.Load():
+	case !p.handover.serving.Load():
 		return false, "not taking clients yet"
 	case p.discovery.Held() == 0:
 		return false, "no list of servers yet"
@@ -169,20 +170,21 @@
 
 // Gauges are figures that are true now. What drains is listed and gets nothing, so it counts as skipped.
 func (p *Proxy) Gauges() map[string]int {
-	held := p.discovery.Held()
+	known := p.discovery.Held()
 	return map[string]int{
-		"known_zone_servers": held, "skipped_zone_servers": held - p.discovery.InService() + p.decider.Avoided(),
+		"known_zone_servers": known, "skipped_zone_servers": known - p.discovery.InService() + p.decider.Avoided(),
 	}
 }
 
 func (p *Proxy) drainTimes() drain.Times {
 	t := *p.shutdownTimes.Load()
-	if p.upgrade.successorServing.Load() {
+	if p.handover.successorServing.Load() {
 		// The successor takes what comes from now on. What was never used closes as soon as all that crosses
 		// with the signal is here, or its request would have less than its time before the process is killed.
-		t.Accept, t.CloseAll = 0, min(t.CloseAll, t.CloseIdle+t.CloseIdle/4)
+		t.AcceptFor, t.CloseAll = 0, min(t.CloseAll, t.CloseIdle+t.CloseIdle/4)
 	}
-	return drain.Times{CloseIdle: t.CloseIdle, Accept: t.Accept, CloseAll: t.CloseAll, CloseHalf: t.CloseHalf}
+	return drain.Times{CloseIdle: t.CloseIdle, AcceptFor: t.AcceptFor,
+		CloseAll: t.CloseAll, ClosePartial: t.ClosePartial}
 }
 
 // Address is where clients connect.
@@ -226,7 +228,7 @@
 			}
 		}
 	}
-	if offer := p.upgrade.offer.Load(); offer != nil {
+	if offer := p.handover.offer.Load(); offer != nil {
 		offer.Close()
 	}
 	p.stats.Log(p.log.Logger, "exit", dispatch.ResultNames)
@@ -234,7 +236,7 @@
 }
 
 func listLimits(cfg *config.Config) discovery.Limits {
-	l := discovery.Limits{Silence: cfg.Discovery.Silence, MaxList: int(cfg.Discovery.MaxList)}
+	l := discovery.Limits{Silence: cfg.Discovery.WatchTimeout, MaxList: int(cfg.Discovery.MaxList)}
 	if cfg.Discovery.Mode == "told" && cfg.Discovery.Address != "" {
 		// What discovery has binds from then on: a drain has to be heard well within its grace.
 		l.Again = max(cfg.Drain.Grace/4, 20*time.Millisecond)
@@ -244,14 +246,14 @@
 
 func poolLimits(cfg *config.Config) upstream.Limits {
 	dial := cfg.Upstream.DialLimit()
-	return upstream.Limits{Dial: dial, MaxIdle: cfg.Upstream.ReuseLimit(),
-		DuplicateGuard: cfg.Upstream.Rest, Probe: dial + cfg.Upstream.Probe,
-		BufferTime: cfg.Upstream.Hold, Stall: cfg.Upstream.Stall}
+	return upstream.Limits{Dial: dial, MaxIdle: cfg.Upstream.MaxIdle(),
+		DuplicateGuard: cfg.Upstream.DuplicateGuard, Probe: dial + cfg.Upstream.ProbeTimeout,
+		BufferTime: cfg.Upstream.BufferTime, Stall: cfg.Upstream.StallTimeout}
 }
 
-func (p *Proxy) requestLog() *logging.Requests {
+func (p *Proxy) requestLog() *logging.RequestLog {
 	if !p.cfg.Log.Requests {
 		return nil
 	}
-	return logging.NewRequests(p.log.Logger, p.cfg.Log.Sample, p.cfg.Log.Rate)
+	return logging.NewRequestLog(p.log.Logger, p.cfg.Log.RequestSample, p.cfg.Log.RequestRate)
 }
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -22,17 +22,19 @@
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version
 	}
-	ledgerAt, disk := "", uint64(0)
+	ledgerAddress, replicaID := "", uint64(0)
 	if p.ledger != nil {
-		ledgerAt, disk = p.ledger.host.Address(), p.ledger.host.ID()
+		ledgerAddress, replicaID = p.ledger.host.Address(), p.ledger.host.ID()
 	}
-	f, err := gossip.Start(gossip.Options{LedgerAddress: ledgerAt, ReplicaID: disk,
-		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Seeds: c.Seeds, Label: c.Label,
-		Version: version, Hall: p.cfg.Policy.Hall, ProbeInterval: c.Probe, ProbeTimeout: c.Timeout,
-		GossipInterval: c.Gossip,
-		SuspicionMult:  c.Suspicion, RejoinInterval: c.Rejoin, SyncIntervalPerMember: c.SyncEach, Relay: c.Relay,
-		Membership: membership.Settings{GoneAfter: c.GoneAfter, FlapWindow: c.Flaps, ForgetAfter: c.Forget,
-			MaxMembers: c.Members},
+	f, err := gossip.Start(gossip.Options{
+		Name: p.cfg.Name, Version: version, Hall: p.cfg.Policy.Hall, Label: c.Label,
+		LedgerAddress: ledgerAddress, ReplicaID: replicaID,
+		Bind: c.Bind, Advertise: c.Advertise, Seeds: c.Seeds, Relay: c.Relay,
+		ProbeInterval: c.ProbeInterval, ProbeTimeout: c.ProbeTimeout, SuspicionMult: c.SuspicionMult,
+		GossipInterval: c.GossipInterval, RejoinInterval: c.RejoinInterval,
+		SyncIntervalPerMember: c.SyncIntervalPerMember,
+		Membership: membership.Settings{GoneAfter: c.GoneAfter, FlapWindow: c.FlapWindow,
+			ForgetAfter: c.ForgetAfter, MaxMembers: c.MaxMembers},
 		Log: p.log.Logger,
 	})
 	if err != nil {
@@ -40,7 +42,7 @@
 	}
 	p.fleet = f
 	if p.admin != nil {
-		p.admin.Page("/_fleet", func(url.Values) any { return f.Snapshot() })
+		p.admin.HandleGet("/_fleet", func(url.Values) any { return f.Snapshot() })
 	}
 	return nil
 }
--- a/internal/proxy/daemon/upgrade.go
+++ b/internal/proxy/daemon/handover.go
@@ -14,14 +14,14 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// upgrade is what the proxy knows of the process before it and of those after it.
-type upgrade struct {
-	path             string        // where they meet; "" for no handover
-	predecessor      *handover.Old // nil where none served before, or once it is gone
-	predecessorGone  chan struct{} // closed when there is none any more
-	offer            atomic.Pointer[handover.Offer]
-	serving          atomic.Bool // clients are taken
-	successorServing atomic.Bool // a successor takes them too
+// handoverState is what the proxy knows of the process before it and of those after it.
+type handoverState struct {
+	socketPath        string                // where they meet; "" for no handover
+	predecessor       *handover.Predecessor // nil where none served before, or once it is gone
+	predecessorExited chan struct{}         // closed when there is none any more
+	offer             atomic.Pointer[handover.Offer]
+	serving           atomic.Bool // clients are taken
+	successorServing  atomic.Bool // a successor takes them too
 
 	mu         sync.Mutex
 	alone      bool // no old process lives
@@ -31,18 +31,18 @@
 // inheritOrListen takes over the listening socket from the process that serves the address so far, or
 // listens.
 func (p *Proxy) inheritOrListen() error {
-	u := &p.upgrade
-	u.predecessorGone = make(chan struct{})
+	u := &p.handover
+	u.predecessorExited = make(chan struct{})
 	dir := p.startConfig.Handover.Dir
 	if dir == "" {
 		dir = os.Getenv("TMPDIR")
 	}
 	var control func(string, string, syscall.RawConn) error // two at one address by mistake are to be told so
 	if dir != "" {
-		control = handover.Share
+		control = handover.ReusePort
 		var err error
 		u.predecessor, err = handover.Join(handover.Path(dir, p.startConfig.Listen.Address),
-			p.startConfig.Handover.Wait)
+			p.startConfig.Handover.JoinTimeout)
 		if err != nil {
 			p.log.Warn("no handover, listening beside the old process", logging.Err, err)
 		}
@@ -50,24 +50,24 @@
 	if u.predecessor != nil {
 		p.log.Info("taking over from an old process", "listen", u.predecessor.Listener.Addr().String())
 		p.listener = u.predecessor.Listener
-		u.path = handover.Path(dir, p.Address())
+		u.socketPath = handover.Path(dir, p.Address())
 		p.applyLimits()
 		return nil
 	}
 	u.alone = true
-	close(u.predecessorGone)
+	close(u.predecessorExited)
 	var err error
 	if p.listener, err = listen(p.startConfig.Listen.Address, control); err != nil {
 		return fmt.Errorf("listen.address: %w", err)
 	}
 	if dir != "" {
-		u.path = handover.Path(dir, p.Address()) // the port is the system's choice where it is set to 0
+		u.socketPath = handover.Path(dir, p.Address()) // the port is the system's choice where it is set to 0
 	}
 	return nil
 }
 
 // limitFraction is the process's part of its limits: half while another process lives beside it.
-func (u *upgrade) limitFraction() float64 {
+func (u *handoverState) limitFraction() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.alone && u.successors == 0 {
@@ -76,11 +76,11 @@
 	return 0.5
 }
 
-// descriptors is how many connections and files the process may hold beside its door.
-func (p *Proxy) descriptors() int {
-	n := int(float64(descriptorLimit(p.startConfig.Limits.Sockets)) * p.upgrade.limitFraction())
+// descriptorLimit is how many connections and files the process may hold beside its door.
+func (p *Proxy) descriptorLimit() int {
+	n := int(float64(systemDescriptorLimit(p.startConfig.Limits.Descriptors)) * p.handover.limitFraction())
 	if p.startConfig.Operator != "" {
-		n -= adminapi.Callers + 1 // and its listener
+		n -= adminapi.MaxConns + 1 // and its listener
 	}
 	return n
 }
@@ -91,14 +91,14 @@
 	if memory == 0 {
 		memory = 64 << 20
 	}
-	return int64(memory * p.startConfig.Limits.Bodies * p.upgrade.limitFraction())
+	return int64(memory * p.startConfig.Limits.BodyFraction * p.handover.limitFraction())
 }
 
 // applyLimits sets the limits anew after a process beside this one came or went.
 func (p *Proxy) applyLimits() {
-	Confine(p.startConfig.Limits, p.upgrade.limitFraction())
+	SetRuntimeLimits(p.startConfig.Limits, p.handover.limitFraction())
 	if p.budget != nil {
-		p.budget.Resize(p.descriptors())
+		p.budget.Resize(p.descriptorLimit())
 		p.bodies.Resize(p.bodyBytes())
 	}
 }
@@ -106,10 +106,10 @@
 // acceptClients takes clients once that is sensible: at once where no old process serves them, else after
 // the list was heard afresh or some time has passed. Then new processes are met.
 func (p *Proxy) acceptClients() {
-	u := &p.upgrade
+	u := &p.handover
 	alone := func() bool { // nobody else takes them
 		select {
-		case <-u.predecessorGone:
+		case <-u.predecessorExited:
 			return true
 		default:
 			return false
@@ -129,16 +129,16 @@
 	go p.server.Serve(p.listener)
 	p.offerHandover()
 	u.serving.Store(true) // last, for the yes that follows is what the old process is ended at
-	words := []any{"listen", p.Address()}
+	attrs := []any{"listen", p.Address()}
 	if p.admin != nil {
-		words = append(words, "operator", p.admin.Address())
+		attrs = append(attrs, "operator", p.admin.Address())
 	}
-	p.log.Info("ready", words...)
+	p.log.Info("ready", attrs...)
 }
 
 // waitForList waits until the list was heard afresh, enough holds, or some time has passed.
 func (p *Proxy) waitForList(done func() bool) {
-	deadline := time.Now().Add(p.startConfig.Handover.Settle)
+	deadline := time.Now().Add(p.startConfig.Handover.ListTimeout)
 	for time.Now().Before(deadline) && !p.listReceived() && !done() {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -146,11 +146,11 @@
 
 // offerHandover makes this process the one that new ones find, and tells the old one that it takes clients.
 func (p *Proxy) offerHandover() {
-	u := &p.upgrade
-	if u.path == "" {
+	u := &p.handover
+	if u.socketPath == "" {
 		return
 	}
-	offer, err := handover.Listen(u.path)
+	offer, err := handover.Listen(u.socketPath)
 	if err != nil {
 		p.log.Warn("a new process cannot take over from this one, it has to listen beside it", logging.Err, err)
 	} else {
@@ -158,32 +158,32 @@
 		go offer.Serve(p)
 	}
 	if u.predecessor != nil {
-		if err := u.predecessor.Ready(); err != nil {
+		if err := u.predecessor.SendReady(); err != nil {
 			p.log.Warn("the old process was not told", logging.Err, err)
 		}
 	}
 }
 
 // listReceived tells whether discovery has told the list since the start.
-func (p *Proxy) listReceived() bool { return p.stats.Lists.Load() > 0 && p.discovery.Held() > 0 }
+func (p *Proxy) listReceived() bool { return p.stats.ListsRead.Load() > 0 && p.discovery.Held() > 0 }
 
 func (p *Proxy) waitForPredecessorExit() {
-	<-p.upgrade.predecessor.Gone()
-	p.upgrade.mu.Lock()
-	p.upgrade.alone = true
-	p.upgrade.mu.Unlock()
-	close(p.upgrade.predecessorGone)
+	<-p.handover.predecessor.Exited()
+	p.handover.mu.Lock()
+	p.handover.alone = true
+	p.handover.mu.Unlock()
+	close(p.handover.predecessorExited)
 	p.log.Info("the old process is gone")
 	p.applyLimits()
 }
 
-// Joins hands the listening socket to a new process. One that comes while the process before this one still
-// lives has to wait: three would share what is measured for two.
-func (p *Proxy) Joins() (handover.Terms, syscall.Conn, error) {
+// SuccessorJoined hands the listening socket to a new process. One that comes while the process before this
+// one still lives has to wait: three would share what is measured for two.
+func (p *Proxy) SuccessorJoined() (handover.Terms, syscall.Conn, error) {
 	select {
-	case <-p.upgrade.predecessorGone:
+	case <-p.handover.predecessorExited:
 	// the other one waits for us no longer than all of it
-	case <-time.After(p.startConfig.Handover.Wait / 4 * 3):
+	case <-time.After(p.startConfig.Handover.JoinTimeout / 4 * 3):
 	}
 	socket, ok := p.listener.(syscall.Conn)
 	if !ok {
@@ -198,17 +198,17 @@
 	return handover.Terms{Known: known, Discovery: p.discovery.Origin()}, socket, nil
 }
 
-// Serves notes that a new process takes clients.
-func (p *Proxy) Serves() { p.upgrade.successorServing.Store(true) }
+// SuccessorReady notes that a new process takes clients.
+func (p *Proxy) SuccessorReady() { p.handover.successorServing.Store(true) }
 
-// Left notes that a new process has gone; this one is alone again.
-func (p *Proxy) Left() {
+// SuccessorExited notes that a new process has gone; this one is alone again.
+func (p *Proxy) SuccessorExited() {
 	p.log.Warn("a new process has gone")
 	p.countSuccessors(-1)
 }
 
 func (p *Proxy) countSuccessors(n int) {
-	u := &p.upgrade
+	u := &p.handover
 	u.mu.Lock()
 	u.successors += n
 	if u.successors == 0 {
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -40,22 +40,24 @@
 	if c.Bind == "" {
 		return nil
 	}
-	set := ledger.Settings{MaxPeriods: c.Keep, DedupPeriods: c.Remember, MaxIDs: c.IDs, MaxTenants: c.Tenants,
-		MaxMembers: p.cfg.Fleet.Members}
+	set := ledger.Settings{MaxPeriods: c.MaxPeriods, DedupPeriods: c.DedupPeriods, MaxIDs: c.MaxIDs,
+		MaxTenants: c.MaxTenants, MaxMembers: p.cfg.Fleet.MaxMembers}
 	if err := set.Check(); err != nil {
 		return err
 	}
 	var faults raftgroup.DiskFaults
-	if c.Faults != "" {
-		faults = raftgroup.FileFaults{Path: c.Faults}
+	if c.FaultFile != "" {
+		faults = raftgroup.FileFaults{Path: c.FaultFile}
 	}
 	l := &ledgerNode{stop: make(chan struct{})}
 	var err error
 	l.host, err = raftgroup.Open(raftgroup.Options{
-		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Dir: c.Data, Label: p.cfg.Fleet.Label,
-		Hall: p.cfg.Policy.Hall, Replicas: c.Replicas, BootstrapExpect: c.Expect, MaxLearnerLag: c.CatchUp,
-		HeartbeatInterval: c.Heartbeat, ElectionTimeout: c.Election, GoneAfter: p.cfg.Fleet.GoneAfter,
-		SnapshotEntries: c.SnapEvery, SnapshotBytes: int64(c.SnapBytes), Relay: p.cfg.Fleet.Relay,
+		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Dir: c.DataDir, Label: p.cfg.Fleet.Label,
+		Hall: p.cfg.Policy.Hall, Replicas: c.Replicas, BootstrapExpect: c.BootstrapExpect,
+		MaxLearnerLag:     c.MaxLearnerLag,
+		HeartbeatInterval: c.HeartbeatInterval, ElectionTimeout: c.ElectionTimeout,
+		GoneAfter:       p.cfg.Fleet.GoneAfter,
+		SnapshotEntries: c.SnapshotEntries, SnapshotBytes: int64(c.SnapshotBytes), Relay: p.cfg.Fleet.Relay,
 		Groups: []string{ledgerGroup}, Faults: faults, Log: p.log.Logger,
 		NewStateMachine: func(string) raftgroup.StateMachine {
 			m, _ := groupstate.New(set) // checked above
@@ -65,8 +67,9 @@
 	if err != nil {
 		return err
 	}
-	l.recorder, err = pending.Open(pending.Options{Member: p.cfg.Name, Dir: c.Data, FlushInterval: c.Flush,
-		MaxQueuedBytes: int64(c.Outbox), Faults: faults, Log: p.log.Logger, Propose: l.propose})
+	l.recorder, err = pending.Open(pending.Options{Member: p.cfg.Name, Dir: c.DataDir,
+		FlushInterval: c.FlushInterval, MaxQueuedBytes: int64(c.MaxQueuedBytes),
+		Faults: faults, Log: p.log.Logger, Propose: l.propose})
 	if err != nil {
 		l.host.Close()
 		return err
@@ -84,9 +87,9 @@
 	if p.ledger == nil {
 		return nil
 	}
-	rec := p.ledger.recorder
+	recorder := p.ledger.recorder
 	return func(u ingress.Use) {
-		rec.Count(ledger.Key{Tenant: u.Tenant, Class: u.Class, Answer: u.Answer}, u.ID, u.In, u.Out)
+		recorder.Count(ledger.Key{Tenant: u.Tenant, Class: u.Class, Answer: u.Answer}, u.ID, u.In, u.Out)
 	}
 }
 
@@ -103,20 +106,20 @@
 	closer := pending.PeriodCloser{Period: p.cfg.Ledger.Period, Stop: l.stop, Propose: l.propose,
 		IsLeader: func() bool { return l.host.Leads(ledgerGroup) },
 		OpenPeriod: func() (uint64, bool) {
-			v, ok := l.host.ReadStale(ledgerGroup, openQuery)
-			view, is := v.(ledger.View)
-			return view.OpenPeriod, ok && is
+			v, ok := l.host.ReadStale(ledgerGroup, periodQuery)
+			view, isView := v.(ledger.View)
+			return view.OpenPeriod, ok && isView
 		}}
 	go closer.Run()
 	if p.admin != nil {
-		p.admin.Page("/_ledger", l.page)
-		p.admin.Action("/_ledger/correct", l.correct)
+		p.admin.HandleGet("/_ledger", l.readPage)
+		p.admin.HandlePost("/_ledger/correct", l.enterCorrection)
 	}
 	return nil
 }
 
-// openQuery asks for nothing but what every answer says.
-var openQuery, _ = json.Marshal(ledger.Query{Tenant: "-", Period: 1})
+// periodQuery asks for nothing but what every answer says.
+var periodQuery, _ = json.Marshal(ledger.Query{Tenant: "-", Period: 1})
 
 // peers is the fleet view as replicas are placed by it.
 func (p *Proxy) peers() []raftgroup.Peer {
@@ -141,8 +144,8 @@
 	Problem string           `json:"problem,omitempty"` // why the ledger could not be read
 }
 
-// page reads the ledger linearizably: what it shows holds all that was promised when it was asked.
-func (l *ledgerNode) page(params url.Values) any {
+// readPage reads the ledger linearizably: what it shows holds all that was promised when it was asked.
+func (l *ledgerNode) readPage(params url.Values) any {
 	page := LedgerPage{Group: l.host.Status(ledgerGroup), Here: l.recorder.Stats()}
 	query := ledger.Query{Tenant: params.Get("tenant")}
 	if text := params.Get("period"); text != "" {
@@ -152,10 +155,10 @@
 			return page
 		}
 	}
-	asked, _ := json.Marshal(query)
+	encoded, _ := json.Marshal(query)
 	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
 	defer cancel()
-	raw, err := l.host.Read(ctx, ledgerGroup, asked)
+	raw, err := l.host.Read(ctx, ledgerGroup, encoded)
 	if err == nil {
 		err = json.Unmarshal(raw, &page.Ledger)
 	}
@@ -174,8 +177,9 @@
 	Problem string `json:"problem,omitempty"`
 }
 
-// correct enters a correction against a closed period. Its id makes a call that is repeated count once.
-func (l *ledgerNode) correct(params url.Values) any {
+// enterCorrection enters a correction against a closed period. Its id makes a call that is repeated count
+// once.
+func (l *ledgerNode) enterCorrection(params url.Values) any {
 	correction := ledger.Correction{ID: params.Get("id"), Reason: params.Get("reason"),
 		Key: ledger.Key{Tenant: params.Get("tenant"),
 			Class: params.Get("class"), Answer: params.Get("answer")}}
--- a/internal/proxy/daemon/confine.go
+++ b/internal/proxy/daemon/limits.go
@@ -9,8 +9,8 @@
 	"cresshub/internal/proxy/config"
 )
 
-// Confine keeps the process within its limits on cores and memory, of which it has a part.
-func Confine(l config.Limits, fraction float64) {
+// SetRuntimeLimits keeps the process within its limits on cores and memory, of which it has a part.
+func SetRuntimeLimits(l config.Limits, fraction float64) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
@@ -21,8 +21,9 @@
 	}
 }
 
-// descriptorLimit is how many the process may hold: what it was told or what the system allows, if less.
-func descriptorLimit(configured int) int {
+// systemDescriptorLimit is how many the process may hold: what it was told or what the system allows, if
+// less.
+func systemDescriptorLimit(configured int) int {
 	var rlimit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit); err == nil && rlimit.Cur < math.MaxInt32 {
 		if configured <= 0 || int(rlimit.Cur) < configured {
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -17,12 +17,12 @@
 // only discovery is followed; whatever else it changes waits for the restart.
 func (p *Proxy) reload(next *config.Config, err error) {
 	if err != nil {
-		var problems settingsfile.Problems
+		var problems settingsfile.SettingErrors
 		if !errors.As(err, &problems) {
 			p.log.Error("configuration kept, the new one cannot be used", logging.Err, err)
 		}
-		for _, one := range problems {
-			p.log.Error("configuration kept, the new one cannot be used", logging.Err, one.String())
+		for _, problem := range problems {
+			p.log.Error("configuration kept, the new one cannot be used", logging.Err, problem.String())
 		}
 		return
 	}
@@ -36,7 +36,7 @@
 	}
 	p.log.Info("configuration read again", "discovery", next.Discovery.Address,
 		"changed", strings.Join(live, " "))
-	p.cfg = p.cfg.TakeLive(next)
+	p.cfg = p.cfg.WithLive(next)
 	p.apply(live)
 }
 
@@ -51,7 +51,7 @@
 		p.discovery.Move(p.cfg.Discovery.Address)
 	}
 	if changed("server[") {
-		p.discovery.Replace(p.cfg.ServerList(time.Now(), p.serversSince))
+		p.discovery.Replace(p.cfg.ServerList(time.Now(), p.firstNamed))
 	}
 	if changed("discovery.") {
 		p.discovery.SetLimits(listLimits(p.cfg))
@@ -67,7 +67,7 @@
 		p.shutdownTimes.Store(&times)
 	}
 	if changed("log.") {
-		p.log.Set(logging.ParseLevel(p.cfg.Log.Level), p.cfg.Log.Repeat)
+		p.log.SetLimits(logging.ParseLevel(p.cfg.Log.Level), p.cfg.Log.RepeatRate)
 		p.server.LogRequests(p.requestLog())
 	}
 }
--- a/internal/proxy/daemon/reload_test.go
+++ b/internal/proxy/daemon/reload_test.go
@@ -32,11 +32,11 @@
 	for range 4 {
 		joins.Go(func() {
 			for range 50 {
-				if _, _, err := p.Joins(); err != nil {
+				if _, _, err := p.SuccessorJoined(); err != nil {
 					t.Error(err)
 				}
-				p.Serves()
-				p.Left()
+				p.SuccessorReady()
+				p.SuccessorExited()
 			}
 		})
 	}
@@ -48,7 +48,7 @@
 	signals <- syscall.SIGHUP // also while it ends
 	signals <- syscall.SIGTERM
 	<-over
-	if read != 21 || p.upgrade.limitFraction() != 1 {
-		t.Errorf("read %d times; its part of the limits is %v", read, p.upgrade.limitFraction())
+	if read != 21 || p.handover.limitFraction() != 1 {
+		t.Errorf("read %d times; its part of the limits is %v", read, p.handover.limitFraction())
 	}
 }
--- a/internal/proxy/daemon/owner.go
+++ b/internal/proxy/daemon/roles.go
@@ -35,21 +35,21 @@
 // runRoles has this proxy take part in the fleet's chores where owner.chores says so.
 func (p *Proxy) runRoles() error {
 	c := &p.cfg.Owner
-	if len(c.Chores) == 0 || p.ledger == nil {
+	if len(c.Roles) == 0 || p.ledger == nil {
 		return nil
 	}
 	opts := leaseholder.Options{Name: p.cfg.Name, Lease: p.cfg.LeaseSettings(), Store: groupStore{p.ledger.host},
 		Log: p.log.Logger}
-	if c.Faults != "" {
-		opts.Faults = leaseholder.FileFaults{Path: c.Faults}
+	if c.FaultFile != "" {
+		opts.Faults = leaseholder.FileFaults{Path: c.FaultFile}
 	}
-	if c.Does(config.ChoreExport) {
-		opts.Export = &leaseholder.Exporter{Sink: c.Sink, CallTimeout: c.Call, BatchSize: c.AtOnce}
+	if c.HasRole(config.RoleExport) {
+		opts.Export = &leaseholder.Exporter{Sink: c.Sink, CallTimeout: c.CallTimeout, BatchSize: c.BatchSize}
 	}
-	if c.Does(config.ChoreList) {
-		opts.Endpoints = &leaseholder.EndpointSync{Source: endpointSource{p.discovery}, MaxAge: c.MaxAge,
-			Jitter:       rand.N(c.MaxAge),
-			PollInterval: c.Poll, WatchTimeout: p.cfg.Discovery.Silence}
+	if c.HasRole(config.RoleList) {
+		opts.Endpoints = &leaseholder.EndpointSync{Source: endpointSource{p.discovery}, MaxAge: c.ListMaxAge,
+			Jitter:       rand.N(c.ListMaxAge),
+			PollInterval: c.ListPollInterval, WatchTimeout: p.cfg.Discovery.WatchTimeout}
 	}
 	runner, err := leaseholder.New(opts)
 	if err != nil {
@@ -59,7 +59,7 @@
 	p.roles = runner
 	runner.Run()
 	if p.admin != nil {
-		p.admin.Page("/_owner", func(url.Values) any { return runner.Page() })
+		p.admin.HandleGet("/_owner", func(url.Values) any { return runner.Page() })
 	}
 	return nil
 }
--- a/internal/proxy/daemon/silence_test.go
+++ b/internal/proxy/daemon/times_test.go
@@ -30,7 +30,7 @@
 func TestEndIsOverBeforeTheKill(t *testing.T) {
 	const sure, opens = 700 * time.Millisecond, 400 * time.Millisecond
 	s := platform(t).Shutdown
-	for name, d := range map[string]time.Duration{"accept": s.Accept, "rest and half": s.CloseAll} {
+	for name, d := range map[string]time.Duration{"accept": s.AcceptFor, "rest and half": s.CloseAll} {
 		if d > sure || d < opens {
 			t.Errorf("%s: %v", name, d)
 		}
--- a/internal/proxy/descriptors/sockets_test.go
+++ b/internal/proxy/descriptors/budget_test.go
@@ -3,10 +3,10 @@
 import "testing"
 
 func TestBudget(t *testing.T) {
-	b := NewBudget(reserve+8, 0.6, 0.25)
+	b := NewBudget(reserved+8, 0.6, 0.25)
 	take := func(side Side, want bool) {
 		t.Helper()
-		if got := b.Take(side); got != want {
+		if got := b.Acquire(side); got != want {
 			t.Fatalf("%v of side %d, limits are 4 and 8; used %v", got, side, b.used)
 		}
 	}
@@ -23,12 +23,12 @@
 	take(Servers, false)
 	var idle [2]int
 	for side := range idle {
-		b.OnShort(Side(side), func() bool {
+		b.SetReclaim(Side(side), func() bool {
 			if idle[side] == 0 {
 				return false
 			}
 			idle[side]--
-			b.Give(Side(side))
+			b.Release(Side(side))
 			return true
 		})
 	}
@@ -41,31 +41,31 @@
 	take(Servers, false)
 	idle[Clients] = 1
 	take(Servers, true)
-	b.Give(Servers)
+	b.Release(Servers)
 	take(Servers, true)
 }
 
 // A process that has to share its limit closes what is idle, and takes no more than its part.
 func TestResize(t *testing.T) {
-	b := NewBudget(reserve+16, 0.6, 0.25)
+	b := NewBudget(reserved+16, 0.6, 0.25)
 	idle := 3
-	b.OnShort(Servers, func() bool {
+	b.SetReclaim(Servers, func() bool {
 		if idle == 0 {
 			return false
 		}
 		idle--
-		b.Give(Servers)
+		b.Release(Servers)
 		return true
 	})
 	for range 12 {
-		b.Take(Servers)
+		b.Acquire(Servers)
 	}
-	b.Resize(reserve + 8)
-	if idle != 0 || b.used[Servers] != 9 || b.Take(Servers) || b.Take(Clients) {
+	b.Resize(reserved + 8)
+	if idle != 0 || b.used[Servers] != 9 || b.Acquire(Servers) || b.Acquire(Clients) {
 		t.Errorf("%d idle left, %v used of 8", idle, b.used)
 	}
-	b.Resize(reserve + 16)
-	if !b.Take(Servers) || !b.Take(Clients) {
+	b.Resize(reserved + 16)
+	if !b.Acquire(Servers) || !b.Acquire(Clients) {
 		t.Error("the limit stays down")
 	}
 }
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -105,10 +105,10 @@
 }
 
 func (c *Client) watch(ctx context.Context, w *watch) error {
-	if !c.budget.Take(descriptors.Servers) {
+	if !c.budget.Acquire(descriptors.Servers) {
 		return errors.New("no socket left")
 	}
-	defer c.budget.Give(descriptors.Servers)
+	defer c.budget.Release(descriptors.Servers)
 	raw, err := c.connect(ctx, w.address)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 		return errCut
@@ -190,6 +190,6 @@
 	}
 	c.sink.UpdateList(whole, list)
 	c.changed()
-	c.count.Lists.Add()
+	c.count.ListsRead.Add()
 	return err
 }
--- a/internal/proxy/drain/drain_test.go
+++ b/internal/proxy/drain/drain_test.go
@@ -9,14 +9,14 @@
 
 var (
 	start = time.Unix(1000, 0)
-	times = Times{CloseIdle: 500 * time.Millisecond, Accept: 800 * time.Millisecond,
-		CloseAll: 1200 * time.Millisecond, CloseHalf: 3 * time.Second}
+	times = Times{CloseIdle: 500 * time.Millisecond, AcceptFor: 800 * time.Millisecond,
+		CloseAll: 1200 * time.Millisecond, ClosePartial: 3 * time.Second}
 )
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestPlanByAge(t *testing.T) {
-	lame, end := State{}.Lame(true, at(0)), State{}.End(at(0))
+	lame, end := State{}.LameDuck(true, at(0)), State{}.End(at(0))
 	for _, c := range []struct {
 		name  string
 		state State
@@ -25,17 +25,19 @@
 	}{
 		{"serving", State{}, 5000, Plan{}},
 		{"lame, at once", lame, 0, Plan{}},
-		{"lame, what rested", lame, 500, Plan{Rested: at(0)}},
-		{"lame, all that rest", lame, 1300, Plan{Rested: at(1300), Last: true}},
-		{"lame, heads too", lame, 3000, Plan{Rested: at(3000), Half: at(3000), Last: true}},
-		{"ending, what rested", end, 600, Plan{Rested: at(0)}},
-		{"ending, no more", end, 900, Plan{Rested: at(0), Refuse: true}},
-		{"ending, over", end, 1200, Plan{Rested: at(1200), Half: at(1200), Refuse: true, Last: true,
-			Over: true}},
-		{"both, the later began", lame.End(at(300)), 900, Plan{Rested: at(300)}},
-		{"half a request goes by the end", lame.End(at(100)), 1300, Plan{Rested: at(1300), Half: at(1300),
-			Refuse: true, Last: true, Over: true}},
-		{"both, the further counts", lame.End(at(1000)), 1300, Plan{Rested: at(1300), Last: true}},
+		{"lame, what rested", lame, 500, Plan{IdleBefore: at(0)}},
+		{"lame, all that rest", lame, 1300, Plan{IdleBefore: at(1300), LastResponse: true}},
+		{"lame, heads too", lame, 3000, Plan{IdleBefore: at(3000), PartialBefore: at(3000), LastResponse: true}},
+		{"ending, what rested", end, 600, Plan{IdleBefore: at(0)}},
+		{"ending, no more", end, 900, Plan{IdleBefore: at(0), StopAccepting: true}},
+		{"ending, over", end, 1200,
+			Plan{IdleBefore: at(1200), PartialBefore: at(1200), StopAccepting: true, LastResponse: true,
+				MayExit: true}},
+		{"both, the later began", lame.End(at(300)), 900, Plan{IdleBefore: at(300)}},
+		{"half a request goes by the end", lame.End(at(100)), 1300,
+			Plan{IdleBefore: at(1300), PartialBefore: at(1300),
+				StopAccepting: true, LastResponse: true, MayExit: true}},
+		{"both, the further counts", lame.End(at(1000)), 1300, Plan{IdleBefore: at(1300), LastResponse: true}},
 	} {
 		if diff := cmp.Diff(c.want, c.state.Plan(at(c.ms), times)); diff != "" {
 			t.Errorf("%s: %s", c.name, diff)
@@ -52,7 +54,7 @@
 		for i, left := 0, n; i < 4; i, left = i+1, left/4 {
 			c := calls[left%4]
 			if c.on || c.off {
-				s, lame = s.Lame(c.on, at(i)), c.on
+				s, lame = s.LameDuck(c.on, at(i)), c.on
 			}
 			if c.end {
 				s, ended = s.End(at(i)), true
@@ -61,13 +63,13 @@
 		if s.Serving() != (!lame && !ended) || s.Ending() != ended {
 			t.Errorf("order %d: serving %v, ending %v", n, s.Serving(), s.Ending())
 		}
-		if p := s.Plan(at(10000), times); p.Over != ended || p.Rested.IsZero() != s.Serving() {
+		if p := s.Plan(at(10000), times); p.MayExit != ended || p.IdleBefore.IsZero() != s.Serving() {
 			t.Errorf("order %d: %+v", n, p)
 		}
 	}
 	// A repeated call does not begin the drain anew.
-	again := State{}.Lame(true, at(0)).Lame(true, at(900)).End(at(1000)).End(at(2000))
-	if diff := cmp.Diff(State{}.Lame(true, at(0)).End(at(1000)).Plan(at(2200), times),
+	again := State{}.LameDuck(true, at(0)).LameDuck(true, at(900)).End(at(1000)).End(at(2000))
+	if diff := cmp.Diff(State{}.LameDuck(true, at(0)).End(at(1000)).Plan(at(2200), times),
 		again.Plan(at(2200), times)); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -31,18 +31,18 @@
 	return ends
 }
 
-// goldenOld hands over a socket that nobody calls.
-type goldenOld struct {
-	terms        Terms
-	l            *net.UnixListener
-	serves, left chan struct{}
+// goldenIncumbent hands over a socket that nobody calls.
+type goldenIncumbent struct {
+	terms         Terms
+	l             *net.UnixListener
+	ready, exited chan struct{}
 }
 
-func (o *goldenOld) Joins() (Terms, syscall.Conn, error) { return o.terms, o.l, nil }
-func (o *goldenOld) Serves()                             { close(o.serves) }
-func (o *goldenOld) Left()                               { close(o.left) }
+func (o *goldenIncumbent) SuccessorJoined() (Terms, syscall.Conn, error) { return o.terms, o.l, nil }
+func (o *goldenIncumbent) SuccessorReady()                               { close(o.ready) }
+func (o *goldenIncumbent) SuccessorExited()                              { close(o.exited) }
 
-func goldenSuccessor(t *testing.T) *goldenOld {
+func newGoldenIncumbent(t *testing.T) *goldenIncumbent {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "golden") // t.TempDir is too long for a Unix address
 	if err != nil {
@@ -54,19 +54,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return &goldenOld{l: l, serves: make(chan struct{}), left: make(chan struct{}),
+	return &goldenIncumbent{l: l, ready: make(chan struct{}), exited: make(chan struct{}),
 		terms: Terms{Known: []byte(`{"index":7}`), Discovery: "discovery.example:9"}}
 }
 
 // What the old process says, and the one word that the new one says to it. With it comes the socket, whose
 // number is the kernel's.
 func TestGoldenWordsOfBothSidesAreReadAndWrittenByteForByte(t *testing.T) {
-	s := goldenSuccessor(t)
+	s := newGoldenIncumbent(t)
 	goldenJSON(t, "terms.json", s.terms)
 
 	// The old side, as this program writes it, and a new side that says the word of the file.
 	ends := goldenPair(t)
-	go meet(ends[0], s)
+	go serveSuccessor(ends[0], s)
 	said := make([]byte, 4096)
 	rights := make([]byte, unix.CmsgSpace(4))
 	n, oob, _, _, err := ends[1].ReadMsgUnix(said[:4], rights)
@@ -102,13 +102,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &Old{conn: pair[1], gone: make(chan struct{})}
-	if err := o.receive(); err != nil {
+	o := &Predecessor{conn: pair[1], exited: make(chan struct{})}
+	if err := o.receiveTerms(); err != nil {
 		t.Fatal(err)
 	}
 	defer o.Listener.Close()
 	goldenSame(t, "old.bin", o.Terms, s.terms)
-	if err := o.Ready(); err != nil {
+	if err := o.SendReady(); err != nil {
 		t.Fatal(err)
 	}
 	o.Close()
@@ -120,9 +120,9 @@
 		t.Fatal(err)
 	}
 	ends[1].Close()
-	<-s.left
+	<-s.exited
 	select {
-	case <-s.serves:
+	case <-s.ready:
 	default:
 		t.Error("new.bin: the old side does not take it for the word that the new one serves")
 	}
--- a/internal/proxy/handover/handover.go
+++ b/internal/proxy/handover/handover.go
@@ -22,10 +22,10 @@
 
 const (
 	maxTerms = 64 << 20 // bytes; a list of servers is the largest part
-	// answering bounds each write to a process that joins, and how long it may take to say who it is.
-	answering  = 2 * time.Second
-	readyWord  = 'R'
-	longestRaw = 100 // a longer path does not fit a Unix address
+	// replyTimeout bounds each write to a process that joins, and how long it may take to say who it is.
+	replyTimeout = 2 * time.Second
+	readyByte    = 'R'
+	maxUnixPath  = 100 // a longer path does not fit a Unix address
 )
 
 // Terms are what the old process tells the new one.
@@ -41,9 +41,9 @@
 	return filepath.Join(dir, "cresshub-"+strconv.FormatUint(h.Sum64(), 36)+".sock")
 }
 
-// short returns a path to the same file that fits a Unix address, and what to call when it is done with.
-func short(path string) (string, func(), error) {
-	if len(path) <= longestRaw {
+// shortPath returns a path to the same file that fits a Unix address, and what to call when it is done with.
+func shortPath(path string) (string, func(), error) {
+	if len(path) <= maxUnixPath {
 		return path, func() {}, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -53,21 +53,21 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)), func() { dir.Close() }, nil
 }
 
-// Old is the process that serves the address so far.
-type Old struct {
+// Predecessor is the process that serves the address so far.
+type Predecessor struct {
 	Terms
 	Listener net.Listener // its own, shared
 	conn     *net.UnixConn
-	gone     chan struct{}
+	exited   chan struct{}
 }
 
 // Join asks the process that serves at path for its listening socket and waits so long for it. It returns
 // nil where there is no such process; a file that a killed one left behind is none.
-func Join(path string, wait time.Duration) (*Old, error) {
+func Join(path string, wait time.Duration) (*Predecessor, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, nil
 	}
-	at, done, err := short(path)
+	at, done, err := shortPath(path)
 	if err != nil {
 		return nil, err
 	}
@@ -79,23 +79,23 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &Old{conn: nc.(*net.UnixConn), gone: make(chan struct{})}
+	o := &Predecessor{conn: nc.(*net.UnixConn), exited: make(chan struct{})}
 	nc.SetDeadline(time.Now().Add(wait))
-	if err := o.receive(); err != nil {
+	if err := o.receiveTerms(); err != nil {
 		nc.Close()
 		return nil, err
 	}
 	nc.SetDeadline(time.Time{})
 	go func() {
 		io.Copy(io.Discard, nc)
-		close(o.gone)
+		close(o.exited)
 	}()
 	return o, nil
 }
 
-// receive reads the terms, with which the socket comes.
-func (o *Old) receive() error {
-	if err := trusted(o.conn); err != nil {
+// receiveTerms reads the terms, with which the socket comes.
+func (o *Predecessor) receiveTerms() error {
+	if err := checkPeerUser(o.conn); err != nil {
 		return err
 	}
 	var size [4]byte
@@ -133,41 +133,41 @@
 	return err
 }
 
-// Ready tells the old process that this one serves.
-func (o *Old) Ready() error {
-	o.conn.SetWriteDeadline(time.Now().Add(answering))
-	_, err := o.conn.Write([]byte{readyWord})
+// SendReady tells the old process that this one serves.
+func (o *Predecessor) SendReady() error {
+	o.conn.SetWriteDeadline(time.Now().Add(replyTimeout))
+	_, err := o.conn.Write([]byte{readyByte})
 	return err
 }
 
-// Gone is closed when the old process has ended.
-func (o *Old) Gone() <-chan struct{} { return o.gone }
+// Exited is closed when the old process has ended.
+func (o *Predecessor) Exited() <-chan struct{} { return o.exited }
 
 // Close ends the connection; the old process takes this one for gone.
-func (o *Old) Close() { o.conn.Close() }
+func (o *Predecessor) Close() { o.conn.Close() }
 
-// Successor is told what a new process does. Its methods may be called from several goroutines.
-type Successor interface {
-	// Joins returns the terms and the listening socket for a process that starts; it may wait.
-	Joins() (Terms, syscall.Conn, error)
-	// Serves says that the process which joined serves.
-	Serves()
-	// Left says that it is gone.
-	Left()
+// Incumbent is told what a new process does. Its methods may be called from several goroutines.
+type Incumbent interface {
+	// SuccessorJoined returns the terms and the listening socket for a process that starts; it may wait.
+	SuccessorJoined() (Terms, syscall.Conn, error)
+	// SuccessorReady says that the process which joined serves.
+	SuccessorReady()
+	// SuccessorExited says that it is gone.
+	SuccessorExited()
 }
 
 // Offer is how new processes find this one.
 type Offer struct {
-	l    *net.UnixListener
-	path string
-	file os.FileInfo
+	listener   *net.UnixListener
+	path       string
+	socketFile os.FileInfo
 }
 
 // Listen makes this process the one that is found at path, in the place of any other.
 func Listen(path string) (*Offer, error) {
-	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(own)
-	at, done, err := short(own)
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(temporary)
+	at, done, err := shortPath(temporary)
 	if err != nil {
 		return nil, err
 	}
@@ -176,11 +176,11 @@
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false)  // the name may be another's by then
-	err = os.Rename(own, path) // whole or not at all, so that nobody finds half a socket
+	l.SetUnlinkOnClose(false)        // the name may be another's by then
+	err = os.Rename(temporary, path) // whole or not at all, so that nobody finds half a socket
 	if err != nil {
 		l.Close()
-		os.Remove(own)
+		os.Remove(temporary)
 		return nil, err
 	}
 	file, err := os.Lstat(path)
@@ -193,33 +193,33 @@
 
 // Close ends the offer and removes its file, if it is not a successor's by now.
 func (o *Offer) Close() {
-	o.l.Close()
-	if file, err := os.Lstat(o.path); err == nil && os.SameFile(file, o.file) {
+	o.listener.Close()
+	if file, err := os.Lstat(o.path); err == nil && os.SameFile(file, o.socketFile) {
 		os.Remove(o.path)
 	}
 }
 
 // Serve meets new processes until Close.
-func (o *Offer) Serve(s Successor) {
+func (o *Offer) Serve(s Incumbent) {
 	for {
-		c, err := o.l.AcceptUnix()
+		c, err := o.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		go meet(c, s)
+		go serveSuccessor(c, s)
 	}
 }
 
-func meet(c *net.UnixConn, s Successor) {
+func serveSuccessor(c *net.UnixConn, s Incumbent) {
 	defer c.Close()
-	if trusted(c) != nil {
+	if checkPeerUser(c) != nil {
 		return
 	}
-	terms, socket, err := s.Joins()
+	terms, socket, err := s.SuccessorJoined()
 	if err != nil {
 		return
 	}
-	defer s.Left()
+	defer s.SuccessorExited()
 	text, err := json.Marshal(terms)
 	if err != nil {
 		return
@@ -228,7 +228,7 @@
 	if err != nil {
 		return
 	}
-	c.SetDeadline(time.Now().Add(answering))
+	c.SetDeadline(time.Now().Add(replyTimeout))
 	failed := raw.Control(func(fd uintptr) {
 		size := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
 		if _, _, err = c.WriteMsgUnix(size, unix.UnixRights(int(fd)), nil); err == nil {
@@ -240,15 +240,15 @@
 	}
 	c.SetDeadline(time.Time{})
 	var word [1]byte
-	if _, err := io.ReadFull(c, word[:]); err == nil && word[0] == readyWord {
-		s.Serves()
+	if _, err := io.ReadFull(c, word[:]); err == nil && word[0] == readyByte {
+		s.SuccessorReady()
 		io.Copy(io.Discard, c)
 	}
 }
 
-// trusted tells whether the other side is a process of the same user: a folder that others may write to
+// checkPeerUser tells whether the other side is a process of the same user: a folder that others may write to
 // must not let them have our clients.
-func trusted(c *net.UnixConn) error {
+func checkPeerUser(c *net.UnixConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
@@ -268,9 +268,9 @@
 	return nil
 }
 
-// Share sets on a socket, before it is bound, that a later process may listen at its address too: the way
+// ReusePort sets on a socket, before it is bound, that a later process may listen at its address too: the way
 // where none of the above is to be had.
-func Share(_, _ string, raw syscall.RawConn) error {
+func ReusePort(_, _ string, raw syscall.RawConn) error {
 	// An error is no reason not to listen: it only leaves the address to this process alone.
 	return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 }
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -14,21 +14,21 @@
 
 const patience = 20 * time.Second
 
-type successor struct {
-	l            *net.TCPListener
-	serves, left chan bool
+type fakeIncumbent struct {
+	l             *net.TCPListener
+	ready, exited chan bool
 }
 
-func (s *successor) Joins() (Terms, syscall.Conn, error) {
+func (s *fakeIncumbent) SuccessorJoined() (Terms, syscall.Conn, error) {
 	return Terms{Known: []byte(`{"index":7}`)}, s.l, nil
 }
-func (s *successor) Serves() { s.serves <- true }
-func (s *successor) Left()   { s.left <- true }
+func (s *fakeIncumbent) SuccessorReady()  { s.ready <- true }
+func (s *fakeIncumbent) SuccessorExited() { s.exited <- true }
 
 // listen is a listener that others may stand beside.
 func listen(t *testing.T, address string) *net.TCPListener {
 	t.Helper()
-	l, err := (&net.ListenConfig{Control: Share}).Listen(t.Context(), "tcp", address)
+	l, err := (&net.ListenConfig{Control: ReusePort}).Listen(t.Context(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,9 +36,9 @@
 	return l.(*net.TCPListener)
 }
 
-func offer(t *testing.T, path string) *successor {
+func offer(t *testing.T, path string) *fakeIncumbent {
 	t.Helper()
-	s := &successor{listen(t, "127.0.0.1:0"), make(chan bool, 1), make(chan bool, 1)}
+	s := &fakeIncumbent{listen(t, "127.0.0.1:0"), make(chan bool, 1), make(chan bool, 1)}
 	o, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 }
 
 // join is the new process; whatever it took is given back.
-func join(t *testing.T, path string) *Old {
+func join(t *testing.T, path string) *Predecessor {
 	t.Helper()
 	o, err := Join(path, patience)
 	if err != nil || o == nil {
@@ -86,17 +86,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := o.Ready(); err != nil {
+		if err := o.SendReady(); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, "the old one hears of ready", s.serves)
+		wait(t, "the old one hears of ready", s.ready)
 		s.l.Close()
 		c, err := o.Listener.Accept()
 		if err != nil || c.RemoteAddr().String() != early.LocalAddr().String() {
 			t.Errorf("%v, %v", c, err)
 		}
 		o.Close()
-		wait(t, "the old one hears that the new one left", s.left)
+		wait(t, "the old one hears that the new one left", s.exited)
 	}
 }
 
@@ -105,8 +105,8 @@
 	s := offer(t, path)
 	o := join(t, path)
 	o.conn.CloseWrite() // as the end of this process looks to the old one, which then hangs up
-	wait(t, "left", s.left)
-	wait(t, "gone", o.Gone())
+	wait(t, "left", s.exited)
+	wait(t, "gone", o.Exited())
 }
 
 // An old process that is killed anywhere in the midst of passing its socket leaves the new one with a plain
@@ -120,7 +120,7 @@
 		}
 		socket := listen(t, "127.0.0.1:0")
 		go func() {
-			c, err := o.l.AcceptUnix()
+			c, err := o.listener.AcceptUnix()
 			if err != nil {
 				return
 			}
@@ -142,12 +142,12 @@
 	s := offer(t, path)
 	for range 2 {
 		o := join(t, path)
-		if err := o.Ready(); err != nil {
+		if err := o.SendReady(); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, "it serves", s.serves)
+		wait(t, "it serves", s.ready)
 		o.Close()
-		wait(t, "it left", s.left)
+		wait(t, "it left", s.exited)
 	}
 	join(t, path)
 }
@@ -162,7 +162,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead.l.Close() // and the file stays, as where it was killed
+	dead.listener.Close() // and the file stays, as where it was killed
 	if o, err := Join(path, patience); o != nil || err != nil {
 		t.Errorf("a dead one: %v, %v", o, err)
 	}
--- a/internal/proxy/ingress/answer.go
+++ b/internal/proxy/ingress/answer.go
@@ -36,7 +36,7 @@
 			counter: &s.Stats.Class(request.Class).Failed}
 	}
 	defer s.releaseID(id)
-	s.Stats.Taken.Add()
+	s.Stats.Received.Add()
 	if u != nil {
 		// Until its last byte is sent the client's time does not run.
 		u.timeout, request.Deadline = request.Deadline.Sub(arrived), arrived.Add(longest)
@@ -44,8 +44,8 @@
 		s.Stats.InProgress.Add(1)
 		c.inProgress = true
 	}
-	if log := s.requestLog.Load(); log.Wants() {
-		c.logEntry = &logging.Final{Request: id, Class: s.Classes[request.Class]}
+	if log := s.requestLog.Load(); log.Allow() {
+		c.logEntry = &logging.RequestEntry{Request: id, Class: s.Classes[request.Class]}
 		if len(s.Tenants) > 0 {
 			c.logEntry.Tenant = s.Tenants[request.Tenant]
 		}
@@ -143,7 +143,7 @@
 			s.recordOutcome(c, "failed", status, attempts, len(attempts)-1)
 			return finalResponse{response: textResponse(status, reason, false), counter: &handled.Failed}
 		case dispatch.ClientGone:
-			s.Stats.Gone.Add()
+			s.Stats.ClientGone.Add()
 			s.recordOutcome(c, "gone", 0, attempts, len(attempts)-1)
 			if step.Attempt >= 0 {
 				s.Pool.Release(&attempts[step.Attempt].outcome)
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -23,7 +23,7 @@
 	unused     bool                   // none ever was
 	inProgress bool                   // a request that counts as in progress; only its goroutine uses this
 
-	logEntry *logging.Final // of the request being served, where it is to be logged
+	logEntry *logging.RequestEntry // of the request being served, where it is to be logged
 
 	usage      *Use // of the request being served, where use is counted
 	usageClass int
@@ -124,11 +124,12 @@
 	switch {
 	case !c.idle:
 		return 0
-	case c.receiving && age > l.Half && now.Sub(c.LastReceived()) > l.Half: // a slow one goes on coming
+	case c.receiving && age > l.ReclaimPartial &&
+		now.Sub(c.LastReceived()) > l.ReclaimPartial: // a slow one goes on coming
 		return 2
-	case !c.receiving && c.unused && age > l.Silent:
+	case !c.receiving && c.unused && age > l.ReclaimSilent:
 		return 3
-	case !c.receiving && !c.unused && age > l.Rested:
+	case !c.receiving && !c.unused && age > l.ReclaimIdle:
 		return 1
 	}
 	return 0
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -198,7 +198,7 @@
 	for _, size := range []int{1000, 100_000} { // kept, and streamed
 		r := newRig(t, nil)
 		limits := *r.limits.Load()
-		limits.Request = 200 * time.Millisecond
+		limits.HeadTimeout = 200 * time.Millisecond
 		r.SetLimits(limits)
 		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
 			return nettest.OK(fmt.Sprint(len(q.Body)))
@@ -359,7 +359,7 @@
 			nettest.Until(t, "it counts", func() bool { return r.Stats.InProgress.Load() == 1 })
 		}
 		c.Close()
-		nettest.Until(t, "it is missed", func() bool { return r.Stats.Gone.Load() == 1 })
+		nettest.Until(t, "it is missed", func() bool { return r.Stats.ClientGone.Load() == 1 })
 		nettest.Until(t, "its connection is closed", func() bool {
 			r.Server.mu.Lock()
 			defer r.Server.mu.Unlock()
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -22,7 +22,7 @@
 // while.
 func (s *Server) leaving(c *client) bool {
 	d := s.drain.Load()
-	return !d.Serving() && (d.Plan(time.Now(), s.Drain()).Last || c.Quiet())
+	return !d.Serving() && (d.Plan(time.Now(), s.Drain()).LastResponse || c.Quiet())
 }
 
 // LameDuck sends clients away for a while, or takes them again; it returns at once. Everything that comes is
@@ -30,7 +30,7 @@
 func (s *Server) LameDuck(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := s.drain.Load().Lame(on, time.Now())
+	next := s.drain.Load().LameDuck(on, time.Now())
 	s.drain.Store(&next)
 	if on && !s.closingIdle {
 		s.closingIdle = true
@@ -63,7 +63,7 @@
 	s.mu.Unlock()
 	for ; ; time.Sleep(sweepEvery) {
 		p := s.drain.Load().Plan(time.Now(), s.Drain())
-		if p.Refuse {
+		if p.StopAccepting {
 			// Until this moment every connection is accepted: one left waiting in the system's queue could
 			// hold a request that is ours to answer.
 			l.Close()
@@ -72,7 +72,7 @@
 		s.closeBefore(p)
 		left := len(s.clients)
 		s.mu.Unlock()
-		if left == 0 && p.Over && len(s.rejecting) == 0 {
+		if left == 0 && p.MayExit && len(s.rejecting) == 0 {
 			return
 		}
 	}
@@ -84,9 +84,9 @@
 	for c := range s.clients {
 		switch {
 		case !c.idle:
-		case c.receiving && c.since.Before(p.Half):
+		case c.receiving && c.since.Before(p.PartialBefore):
 			c.SetReadDeadline(time.Unix(1, 0)) // its own goroutine tells it why
-		case !c.receiving && c.since.Before(p.Rested) && c.Still():
+		case !c.receiving && c.since.Before(p.IdleBefore) && c.Still():
 			s.closeIdle(c)
 		}
 	}
@@ -100,6 +100,6 @@
 	c.idle = false
 	delete(s.clients, c)
 	c.Close()
-	s.Budget.Give(descriptors.Clients)
+	s.Budget.Release(descriptors.Clients)
 	return true
 }
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -85,7 +85,7 @@
 	c.In.Discard(10)
 	s.markIdle(c)
 	s.mu.Lock()
-	s.closeBefore(drain.Plan{Rested: time.Now().Add(time.Hour)})
+	s.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 	_, open := s.clients[c]
 	s.mu.Unlock()
 	if !open {
@@ -94,7 +94,7 @@
 	c.In.Discard(10)
 	s.markIdle(c)
 	s.mu.Lock()
-	s.closeBefore(drain.Plan{Rested: time.Now().Add(time.Hour)})
+	s.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 	_, open = s.clients[c]
 	s.mu.Unlock()
 	if open {
@@ -130,7 +130,7 @@
 			}
 			time.Sleep(100 * time.Microsecond)
 		}
-		r.closeBefore(drain.Plan{Rested: time.Now().Add(time.Hour)})
+		r.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 		r.Server.mu.Unlock()
 		if got := outcome(c); got != "200 " {
 			t.Errorf("%d: %s", i, got)
@@ -270,9 +270,9 @@
 			text := strings.Replace(get("id"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1) +
 				strings.Repeat(get("next"), 100)
 			if full {
-				for n := int64(1); r.Stats.TurnedAway.Load() == 0; n++ {
+				for n := int64(1); r.Stats.RejectedConns.Load() == 0; n++ {
 					io.WriteString(nettest.Dial(t, r.address), "GET /")
-					nettest.Until(t, "it is accepted", func() bool { return r.Stats.Accepted.Load() == n })
+					nettest.Until(t, "it is accepted", func() bool { return r.Stats.AcceptedConns.Load() == n })
 				}
 				text = post("id", 8000, strings.Repeat("x", 8000))
 			}
@@ -293,14 +293,14 @@
 func TestRequestIsThereAsTheRestEnds(t *testing.T) {
 	r := newRig(t, nil)
 	limits := *r.limits.Load()
-	limits.First = time.Nanosecond
+	limits.FirstRequestTimeout = time.Nanosecond
 	r.SetLimits(limits)
 	for range 20 {
 		far, near := tcpPair(t)
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1), idle: true, unused: true}
 		nettest.Until(t, "it is there", func() bool { return !c.Still() })
-		if !r.Budget.Take(descriptors.Clients) {
+		if !r.Budget.Acquire(descriptors.Clients) {
 			t.Fatal("no place")
 		}
 		r.serveConn(c)
--- a/internal/proxy/ingress/exchange.go
+++ b/internal/proxy/ingress/exchange.go
@@ -23,9 +23,9 @@
 // serveRequest serves one request; false means that the connection is closed.
 func (s *Server) serveRequest(c *client) (reusable bool) {
 	limits := s.limits.Load()
-	limit := limits.Idle
+	limit := limits.IdleTimeout
 	if c.unused { // only this goroutine unsets it
-		limit = limits.First
+		limit = limits.FirstRequestTimeout
 	}
 	c.SetReadDeadline(time.Now().Add(limit))
 	// Whoever closes what rests looks for bytes in the system: nothing is taken out before the connection
@@ -33,7 +33,7 @@
 	err := c.AwaitReadable()
 	if err == nil {
 		s.markReceiving(c)
-		c.SetReadDeadline(time.Now().Add(limits.Request))
+		c.SetReadDeadline(time.Now().Add(limits.HeadTimeout))
 		_, err = c.In.Peek(1)
 	}
 	silent := err != nil
@@ -56,7 +56,7 @@
 			delete(s.clients, c)
 			s.mu.Unlock()
 			c.Close()
-			s.Budget.Give(descriptors.Clients)
+			s.Budget.Release(descriptors.Clients)
 		}
 	}()
 	if silent {
@@ -93,7 +93,7 @@
 		switch {
 		case !written: // to end the sending in order would say that this was all
 		case !body.Complete():
-			s.linger(c, limits.Discard)
+			s.linger(c, limits.DiscardTimeout)
 		case f.response.Close && !c.Quiet():
 			s.linger(c, limits.Linger)
 		}
@@ -137,7 +137,7 @@
 		return
 	}
 	s.countRejected(status, err.Error())
-	c.SetWriteDeadline(time.Now().Add(s.limits.Load().Write))
+	c.SetWriteDeadline(time.Now().Add(s.limits.Load().WriteTimeout))
 	if textResponse(status, err.Error(), true).Write(c.Out) != nil || c.Flush() != nil {
 		return
 	}
--- a/internal/proxy/ingress/ingress.go
+++ b/internal/proxy/ingress/ingress.go
@@ -31,7 +31,7 @@
 	classes    map[string]int
 	tenants    map[string]int
 	limits     atomic.Pointer[config.Clients]
-	requestLog atomic.Pointer[logging.Requests]
+	requestLog atomic.Pointer[logging.RequestLog]
 	drain      atomic.Pointer[drain.State] // written under mu
 	rejecting  chan struct{}               // a token for each client being turned away
 	// for tests: called as an upload's last byte is out; nil in the program
@@ -63,12 +63,12 @@
 func New(o Options) *Server {
 	s := &Server{
 		Options: o, classes: positions(o.Classes), tenants: positions(o.Tenants),
-		rejecting: make(chan struct{}, o.Limits.AwayAtOne), clients: map[*client]struct{}{},
+		rejecting: make(chan struct{}, o.Limits.MaxRejecting), clients: map[*client]struct{}{},
 		openIDs: map[string]int{},
 	}
 	s.SetLimits(o.Limits)
 	s.drain.Store(&drain.State{})
-	o.Budget.OnShort(descriptors.Clients, s.closeMostExpendable)
+	o.Budget.SetReclaim(descriptors.Clients, s.closeMostExpendable)
 	return s
 }
 
@@ -76,7 +76,7 @@
 func (s *Server) SetLimits(l config.Clients) { s.limits.Store(&l) }
 
 // LogRequests sets where requests are logged; nil ends it.
-func (s *Server) LogRequests(r *logging.Requests) { s.requestLog.Store(r) }
+func (s *Server) LogRequests(r *logging.RequestLog) { s.requestLog.Store(r) }
 
 func positions(names []string) map[string]int {
 	at := map[string]int{}
@@ -98,9 +98,9 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		s.Stats.Accepted.Add()
-		if !s.Budget.Take(descriptors.Clients) {
-			s.Stats.TurnedAway.Add()
+		s.Stats.AcceptedConns.Add()
+		if !s.Budget.Acquire(descriptors.Clients) {
+			s.Stats.RejectedConns.Add()
 			select {
 			case s.rejecting <- struct{}{}:
 				go s.rejectConn(nc)
@@ -127,7 +127,7 @@
 	defer func() { <-s.rejecting }()
 	defer nc.Close()
 	c := connbuffer.NewConn(nc)
-	c.SetDeadline(time.Now().Add(s.limits.Load().Away))
+	c.SetDeadline(time.Now().Add(s.limits.Load().RejectTimeout))
 	q, body, err := http1.ReadRequestHead(c.In)
 	if err != nil {
 		return
--- a/internal/proxy/ingress/left_test.go
+++ b/internal/proxy/ingress/left_test.go
@@ -50,13 +50,13 @@
 				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 				c := nettest.Dial(t, r.address)
 				go io.WriteString(c, text) // not all of it is read
-				nettest.Until(t, "the request is taken", func() bool { return r.Stats.Taken.Load() == 1 })
+				nettest.Until(t, "the request is taken", func() bool { return r.Stats.Received.Load() == 1 })
 				began := time.Now()
 				leave(c.Conn.(*net.TCPConn))
 				nettest.Until(t, "the client is missed", func() bool {
-					return r.Stats.Gone.Load() == 1 || r.Stats.Refused.Load() > 0
+					return r.Stats.ClientGone.Load() == 1 || r.Stats.Refused.Load() > 0
 				})
-				if r.Stats.Gone.Load() != 1 {
+				if r.Stats.ClientGone.Load() != 1 {
 					t.Fatalf("it was waited for until its request was refused after %v", time.Since(began))
 				}
 				r.list(zone.Address)
@@ -118,7 +118,7 @@
 				io.WriteString(c, get("left"))
 				<-at
 				c.Close()
-				nettest.Until(t, "the client is missed", func() bool { return r.Stats.Gone.Load() == 1 })
+				nettest.Until(t, "the client is missed", func() bool { return r.Stats.ClientGone.Load() == 1 })
 				close(on)
 				r.list(zone.Address)
 				if a := nettest.Ask(t, nettest.Dial(t, r.address), get("after")); a.Status != 200 {
@@ -129,7 +129,7 @@
 					defer r.Server.mu.Unlock()
 					return r.openIDs["left"] == 0
 				})
-				if got := r.Stats.Tries.Load(); got != int64(from/2)+1 { // one for each client that stayed
+				if got := r.Stats.RequestsSent.Load(); got != int64(from/2)+1 { // one for each client that stayed
 					t.Errorf("%d attempts were written", got)
 				}
 			})
--- a/internal/proxy/ingress/pass.go
+++ b/internal/proxy/ingress/pass.go
@@ -29,7 +29,7 @@
 		response.Bodiless, response.Length, response.Body = true, int64(len(response.Body)), nil
 	}
 	limits := s.limits.Load()
-	c.SetWriteDeadline(time.Now().Add(limits.Write))
+	c.SetWriteDeadline(time.Now().Add(limits.WriteTimeout))
 	w, err := response.Begin(c.Out, q.HTTP10)
 	if err == nil {
 		err = c.Flush()
@@ -51,7 +51,7 @@
 	for {
 		n, readErr := f.outcome.Rest.Read(buffer)
 		written += int64(n)
-		c.SetWriteDeadline(time.Now().Add(limits.Stall))
+		c.SetWriteDeadline(time.Now().Add(limits.StallTimeout))
 		if n > 0 {
 			if _, err := w.Write(buffer[:n]); err != nil {
 				return false
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -84,12 +84,13 @@
 	r.Server = New(Options{
 		Decider: decider, Pool: pool, Name: func(dispatch.ServerID) string { return "s" },
 		Classes: []string{"lookup", "assign"}, Tenants: []string{"acme"},
-		Limits: config.Clients{First: wait, Request: wait, Stall: wait, Idle: wait, Write: wait,
-			Half: wait, Silent: wait, Rested: wait, Away: wait, AwayAtOne: 8,
-			Linger: time.Second, Discard: time.Second},
+		Limits: config.Clients{FirstRequestTimeout: wait, HeadTimeout: wait, StallTimeout: wait, IdleTimeout: wait,
+			WriteTimeout:   wait,
+			ReclaimPartial: wait, ReclaimSilent: wait, ReclaimIdle: wait, RejectTimeout: wait, MaxRejecting: 8,
+			Linger: time.Second, DiscardTimeout: time.Second},
 		Drain: func() drain.Times {
-			return drain.Times{CloseIdle: 50 * time.Millisecond, Accept: 80 * time.Millisecond,
-				CloseAll: 120 * time.Millisecond, CloseHalf: 300 * time.Millisecond}
+			return drain.Times{CloseIdle: 50 * time.Millisecond, AcceptFor: 80 * time.Millisecond,
+				CloseAll: 120 * time.Millisecond, ClosePartial: 300 * time.Millisecond}
 		},
 		Budget: budget, Bodies: room, Stats: count, Log: slog.New(slog.DiscardHandler),
 	})
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -26,7 +26,7 @@
 		return 0, nil
 	}
 	if q.ExpectsContinue && c.In.Buffered() == 0 { // what waits was sent without asking
-		c.SetWriteDeadline(time.Now().Add(s.limits.Load().Write))
+		c.SetWriteDeadline(time.Now().Add(s.limits.Load().WriteTimeout))
 		http1.WriteContinue(c.Out)
 		if err := c.Flush(); err != nil {
 			return 0, err
@@ -50,7 +50,7 @@
 			reserved += size - n
 			q.Body = append(make([]byte, 0, size), q.Body...)[:size]
 		}
-		m, err := c.read(body, q.Body[n:], s.limits.Load().Stall)
+		m, err := c.read(body, q.Body[n:], s.limits.Load().StallTimeout)
 		n += m
 		if body.Complete() {
 			q.Body, q.Length = q.Body[:n], 0
@@ -112,7 +112,7 @@
 	if u.err != nil {
 		return 0, u.err
 	}
-	n, err := u.client.read(u.body, p, u.server.limits.Load().Stall)
+	n, err := u.client.read(u.body, p, u.server.limits.Load().StallTimeout)
 	if err != nil {
 		u.err = err
 		close(u.ended)
--- a/internal/proxy/ingress/wait_test.go
+++ b/internal/proxy/ingress/wait_test.go
@@ -55,8 +55,8 @@
 }
 
 func server() *Server {
-	return New(Options{Limits: config.Clients{AwayAtOne: 1, Silent: 50 * time.Millisecond,
-		Half: 500 * time.Millisecond, Rested: 20 * time.Millisecond},
+	return New(Options{Limits: config.Clients{MaxRejecting: 1, ReclaimSilent: 50 * time.Millisecond,
+		ReclaimPartial: 500 * time.Millisecond, ReclaimIdle: 20 * time.Millisecond},
 		Bodies: bodybudget.NewBudget(1 << 20), Budget: descriptors.NewBudget(100, 0.6, 0.25),
 		Stats: &stats.Set{}, Log: slog.New(slog.DiscardHandler)})
 }
@@ -99,7 +99,7 @@
 	c, _ := pair()
 	tries := []*attempt{{}}
 	if n := testing.AllocsPerRun(1000, func() {
-		if s.requestLog.Load().Wants() {
+		if s.requestLog.Load().Allow() {
 			t.Fatal("a line is wanted")
 		}
 		s.recordOutcome(c, "served", 200, tries, 0)
--- a/internal/proxy/logging/logging.go
+++ b/internal/proxy/logging/logging.go
@@ -33,36 +33,37 @@
 
 // Options are how a logger writes. Level and Repeat may change while it is in use, by Set.
 type Options struct {
-	Format  string     // "text" or "json"
-	Level   slog.Level // least that is written
-	Repeat  float64    // lines a second with the same words; 0 is no bound
-	Backlog int        // bytes kept while the reader stalls
+	Format     string     // "text" or "json"
+	Level      slog.Level // least that is written
+	RepeatRate float64    // lines a second with the same words; 0 is no bound
+	Backlog    int        // bytes kept while the reader stalls
 }
 
 // Logger is a logger with what is needed to change and to end it.
 type Logger struct {
 	*slog.Logger
-	level  slog.LevelVar
-	repeat *repeats
-	out    *logwriter.Writer
+	level   slog.LevelVar
+	repeats *repeatLimiter
+	writer  *logwriter.Writer
 }
 
 // New returns a logger that writes to w from a goroutine of its own. Close ends it.
 func New(w io.Writer, o Options) *Logger {
-	l := &Logger{repeat: newRepeats(), out: logwriter.New(w, o.Backlog, lostLine(o.Format == "json"))}
+	l := &Logger{repeats: newRepeatLimiter(),
+		writer: logwriter.New(w, o.Backlog, lostRecord(o.Format == "json"))}
 	options := &slog.HandlerOptions{Level: &l.level}
-	var h slog.Handler = slog.NewTextHandler(l.out, options)
+	var h slog.Handler = slog.NewTextHandler(l.writer, options)
 	if o.Format == "json" {
-		options.ReplaceAttr = withUnit
-		h = slog.NewJSONHandler(l.out, options)
+		options.ReplaceAttr = durationsAsText
+		h = slog.NewJSONHandler(l.writer, options)
 	}
-	l.Logger = slog.New(&limited{h, l.repeat})
-	l.Set(o.Level, o.Repeat)
+	l.Logger = slog.New(&limitedHandler{h, l.repeats})
+	l.SetLimits(o.Level, o.RepeatRate)
 	return l
 }
 
-// lostLine returns what lays out the line that tells of lost ones.
-func lostLine(json bool) func(lost int64) string {
+// lostRecord returns what lays out the line that tells of lost ones.
+func lostRecord(json bool) func(lost int64) string {
 	form := "level=WARN msg=%q %s=%d\n"
 	if json {
 		form = "{\"level\":\"WARN\",\"msg\":%q,%q:%d}\n"
@@ -70,27 +71,27 @@
 	return func(lost int64) string { return fmt.Sprintf(form, "log lines lost, nobody read them", Lost, lost) }
 }
 
-// withUnit has a time written in JSON as in text, with its unit: a bare number of nanoseconds says nothing of
-// what it counts.
-func withUnit(_ []string, a slog.Attr) slog.Attr {
+// durationsAsText has a time written in JSON as in text, with its unit: a bare number of nanoseconds says
+// nothing of what it counts.
+func durationsAsText(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindDuration {
 		a.Value = slog.StringValue(a.Value.Duration().String())
 	}
 	return a
 }
 
-// Set changes the level and the bound on lines that repeat.
-func (l *Logger) Set(level slog.Level, repeat float64) {
+// SetLimits changes the level and the bound on lines that repeat.
+func (l *Logger) SetLimits(level slog.Level, repeat float64) {
 	l.level.Set(level)
-	l.repeat.set(repeat)
+	l.repeats.setRate(repeat)
 }
 
 // Close writes what is left, for at most so long.
 func (l *Logger) Close(wait time.Duration) {
-	if n := l.repeat.pending(); n > 0 {
+	if n := l.repeats.pending(); n > 0 {
 		l.Info("lines left out at the end", Dropped, n)
 	}
-	l.out.Close(wait)
+	l.writer.Close(wait)
 }
 
 // ParseLevel reads one of the words for a level; any other is info.
@@ -102,14 +103,14 @@
 	return l
 }
 
-// limited leaves lines out that repeat too often.
-type limited struct {
+// limitedHandler leaves lines out that repeat too often.
+type limitedHandler struct {
 	slog.Handler
-	repeat *repeats
+	repeats *repeatLimiter
 }
 
-func (h *limited) Handle(ctx context.Context, r slog.Record) error {
-	dropped, ok := h.repeat.take(r.Message, r.Time)
+func (h *limitedHandler) Handle(ctx context.Context, r slog.Record) error {
+	dropped, ok := h.repeats.allow(r.Message, r.Time)
 	if !ok {
 		return nil
 	}
@@ -119,70 +120,70 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-func (h *limited) WithAttrs(as []slog.Attr) slog.Handler {
-	return &limited{h.Handler.WithAttrs(as), h.repeat}
+func (h *limitedHandler) WithAttrs(as []slog.Attr) slog.Handler {
+	return &limitedHandler{h.Handler.WithAttrs(as), h.repeats}
 }
 
-func (h *limited) WithGroup(name string) slog.Handler {
-	return &limited{h.Handler.WithGroup(name), h.repeat}
+func (h *limitedHandler) WithGroup(name string) slog.Handler {
+	return &limitedHandler{h.Handler.WithGroup(name), h.repeats}
 }
 
-// repeats counts lines by their words. Words are constants of the program, so there are few; the bound
+// repeatLimiter counts lines by their words. Words are constants of the program, so there are few; the bound
 // is for the case that somebody forgets.
-type repeats struct {
-	mu   sync.Mutex
-	rate float64
-	by   map[string]*bucket
+type repeatLimiter struct {
+	mu      sync.Mutex
+	rate    float64
+	buckets map[string]*bucket
 }
 
-const maxWords = 512
+const maxMessages = 512
 
 // bucket holds what is left of a message's lines: rate a second, as many at once.
 type bucket struct {
-	left    float64
-	at      time.Time
-	dropped int64
+	tokens     float64
+	refilledAt time.Time
+	dropped    int64
 }
 
-func newRepeats() *repeats { return &repeats{by: map[string]*bucket{}} }
+func newRepeatLimiter() *repeatLimiter { return &repeatLimiter{buckets: map[string]*bucket{}} }
 
-func (r *repeats) set(rate float64) {
+func (r *repeatLimiter) setRate(rate float64) {
 	r.mu.Lock()
 	r.rate = rate
 	r.mu.Unlock()
 }
 
-// take tells whether a line may be written, and how many were left out before it.
-func (r *repeats) take(words string, now time.Time) (dropped int64, ok bool) {
+// allow tells whether a line may be written, and how many were left out before it.
+func (r *repeatLimiter) allow(message string, now time.Time) (dropped int64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.rate <= 0 || words == RequestLine || words == CountersLine {
+	if r.rate <= 0 || message == RequestMessage || message == CountersMessage {
 		return 0, true
 	}
-	b := r.by[words]
+	b := r.buckets[message]
 	if b == nil {
-		if len(r.by) >= maxWords {
-			clear(r.by)
+		if len(r.buckets) >= maxMessages {
+			clear(r.buckets)
 		}
-		b = &bucket{left: max(r.rate, 1), at: now}
-		r.by[words] = b
+		b = &bucket{tokens: max(r.rate, 1), refilledAt: now}
+		r.buckets[message] = b
 	}
-	b.left = min(b.left+r.rate*now.Sub(b.at).Seconds(), max(r.rate, 1))
-	b.at = now
-	if b.left < 1 {
+	b.tokens = min(b.tokens+r.rate*now.Sub(b.refilledAt).Seconds(), max(r.rate, 1))
+	b.refilledAt = now
+	if b.tokens < 1 {
 		b.dropped++
 		return 0, false
 	}
-	b.left--
+	b.tokens--
 	dropped, b.dropped = b.dropped, 0
 	return dropped, true
 }
 
 // pending is how many lines were left out and not told yet.
-func (r *repeats) pending() (n int64) {
+func (r *repeatLimiter) pending() (n int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.by {
+	for _, b := range r.buckets {
 		n += b.dropped
 	}
 	return n
--- a/internal/proxy/logging/logging_test.go
+++ b/internal/proxy/logging/logging_test.go
@@ -34,7 +34,7 @@
 // out, and at the end none is forgotten. Others are not held up by them.
 func TestRepeatsAreBoundedAndCounted(t *testing.T) {
 	var out page
-	l := New(&out, Options{Format: "json", Repeat: 3, Backlog: 1 << 20})
+	l := New(&out, Options{Format: "json", RepeatRate: 3, Backlog: 1 << 20})
 	for i := range 1000 {
 		l.With("a", i).Warn("again", "n", i)
 	}
@@ -67,9 +67,9 @@
 	var out page
 	l := New(&out, Options{Format: "text", Level: ParseLevel("warn"), Backlog: 1 << 20})
 	l.Info("one")
-	l.Set(ParseLevel("debug"), 0)
+	l.SetLimits(ParseLevel("debug"), 0)
 	l.Debug("two")
-	l.Set(ParseLevel("error"), 0)
+	l.SetLimits(ParseLevel("error"), 0)
 	l.Warn("three")
 	l.Close(time.Minute)
 	if got := fmt.Sprint(out.lines()); strings.Contains(got, "one") || !strings.Contains(got, "two") ||
@@ -96,7 +96,7 @@
 		b.ReadFrom(r)
 		done <- b.String()
 	}()
-	<-l.out.Done()
+	<-l.writer.Done()
 	w.Close()
 	text := <-done
 	lost := 0
@@ -117,7 +117,7 @@
 	for _, format := range []string{"text", "json"} {
 		var out page
 		l := New(&out, Options{Format: format, Backlog: 1 << 20})
-		NewRequests(l.Logger, 1, 0).Write(Final{Took: 1500 * time.Microsecond})
+		NewRequestLog(l.Logger, 1, 0).Write(RequestEntry{Took: 1500 * time.Microsecond})
 		l.Close(time.Minute)
 		if got := out.lines()[0]; !strings.Contains(got, "1.5ms") {
 			t.Errorf("%s: %s", format, got)
@@ -126,17 +126,17 @@
 }
 
 func TestRequestLog(t *testing.T) {
-	if (*Requests)(nil).Wants() {
+	if (*RequestLog)(nil).Allow() {
 		t.Error("one that is off wants a line")
 	}
 	var out page
-	l := New(&out, Options{Format: "text", Repeat: 1, Backlog: 1 << 20})
-	all := NewRequests(l.Logger, 1, 0)
+	l := New(&out, Options{Format: "text", RepeatRate: 1, Backlog: 1 << 20})
+	all := NewRequestLog(l.Logger, 1, 0)
 	for range 50 {
-		if !all.Wants() {
+		if !all.Allow() {
 			t.Fatal("a line is left out")
 		}
-		all.Write(Final{Request: "id", Class: "lookup", Server: "zone-1", Attempts: 2, Outcome: "served",
+		all.Write(RequestEntry{Request: "id", Class: "lookup", Server: "zone-1", Attempts: 2, Outcome: "served",
 			Status: 200, Took: 1500 * time.Microsecond})
 	}
 	l.Close(time.Minute)
@@ -145,13 +145,13 @@
 	if got := out.lines(); len(got) != 50 || !strings.HasSuffix(got[0], want) {
 		t.Errorf("%d lines, %q", len(got), got[0])
 	}
-	few, none := NewRequests(slog.New(slog.DiscardHandler), 1, 1), NewRequests(nil, 0, 0)
+	few, none := NewRequestLog(slog.New(slog.DiscardHandler), 1, 1), NewRequestLog(nil, 0, 0)
 	wanted := 0
 	for range 1000 {
-		if few.Wants() {
+		if few.Allow() {
 			wanted++
 		}
-		if none.Wants() {
+		if none.Allow() {
 			t.Fatal("a part of 0 takes one")
 		}
 	}
--- a/internal/proxy/simwire/decode.go
+++ b/internal/proxy/simwire/decode.go
@@ -105,17 +105,17 @@
 	From     int
 	Body     []byte
 
-	page   int
-	seen   fieldSet
-	server balance.ServerID
-	result balance.Result
-	rtt    time.Duration
-	tid    string
+	page    int
+	present fieldSet
+	server  balance.ServerID
+	result  balance.Result
+	rtt     time.Duration
+	tid     string
 }
 
 // Decoder reads batches. It keeps the numbered server lists, which belong to no instance.
 type Decoder struct {
-	dec     jx.Decoder
+	json    jx.Decoder
 	pages   [16][]balance.Server
 	hasPage [16]bool
 	ev      Event
@@ -127,36 +127,36 @@
 func (d *Decoder) Batch(line []byte, handle func(now time.Duration, ev *Event) error) (n int64, err error) {
 	var now time.Duration
 	var seen uint8
-	var later jx.Raw
-	d.dec.ResetBytes(line)
-	err = d.dec.ObjBytes(func(j *jx.Decoder, key []byte) (err error) {
+	var postponed jx.Raw
+	d.json.ResetBytes(line)
+	err = d.json.ObjBytes(func(j *jx.Decoder, key []byte) (err error) {
 		switch string(key) {
 		case "sim-time-ms":
 			seen |= 1
-			now, err = millis(j)
+			now, err = decodeMillis(j)
 		case "n":
 			seen |= 2
 			n, err = j.Int64()
 		case "happened":
 			seen |= 4
 			if seen&3 != 3 { // the clock is still to come
-				later, err = j.Raw()
-				return named(err, "happened")
+				postponed, err = j.Raw()
+				return withField(err, "happened")
 			}
 			return d.events(j, now, handle)
 		default:
 			return j.Skip()
 		}
-		return named(err, string(key))
+		return withField(err, string(key))
 	})
-	if err == nil && d.dec.Next() != jx.Invalid {
+	if err == nil && d.json.Next() != jx.Invalid {
 		err = errors.New("something follows the object")
 	}
 	if err == nil && seen != 7 {
 		err = fmt.Errorf("field %q is missing", [...]string{"sim-time-ms", "n", "happened"}[lowestUnset(seen)])
 	}
-	if err == nil && later != nil {
-		err = d.events(jx.DecodeBytes(later), now, handle)
+	if err == nil && postponed != nil {
+		err = d.events(jx.DecodeBytes(postponed), now, handle)
 	}
 	if err != nil {
 		// The JSON library tells how deep it was, a word a level, which helps nobody.
@@ -205,7 +205,7 @@
 	})
 }
 
-func named(err error, field string) error {
+func withField(err error, field string) error {
 	if err != nil {
 		return fmt.Errorf("field %q: %w", field, err)
 	}
@@ -223,22 +223,22 @@
 			return j.Skip()
 		}
 		if err != nil {
-			return named(err, string(key))
+			return withField(err, string(key))
 		}
-		ev.seen |= fieldNames[string(key)]
+		ev.present |= fieldNames[string(key)]
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	if missing := required[kind] &^ ev.seen; missing != 0 {
-		least := ""
+	if missing := required[kind] &^ ev.present; missing != 0 {
+		first := ""
 		for name, f := range fieldNames {
-			if missing&f != 0 && (least == "" || name < least) {
-				least = name
+			if missing&f != 0 && (first == "" || name < first) {
+				first = name
 			}
 		}
-		return fmt.Errorf("field %q is missing", least)
+		return fmt.Errorf("field %q is missing", first)
 	}
 	switch kind {
 	case NewRequest:
@@ -257,7 +257,7 @@
 		if ev.List == balance.ListFailed {
 			return nil
 		}
-		if ev.seen&fPage == 0 {
+		if ev.present&fPage == 0 {
 			return errors.New(`field "page" is missing`)
 		}
 		if ev.page < 0 || ev.page >= len(d.pages) || !d.hasPage[ev.page] {
@@ -274,7 +274,7 @@
 	ev := &d.ev
 	switch string(key) {
 	case "sidecar":
-		ev.Sidecar, err = count(j)
+		ev.Sidecar, err = decodeCount(j)
 	case "tid":
 		ev.tid, err = j.Str()
 	case "server":
@@ -282,15 +282,15 @@
 		id, err = j.UInt32()
 		ev.server = balance.ServerID(id)
 	case "how":
-		ev.result, err = word(j, results)
+		ev.result, err = decodeWord(j, results)
 	case "rtt-ms":
-		ev.rtt, err = millis(j)
+		ev.rtt, err = decodeMillis(j)
 	case "attempt":
-		ev.Outcome.Attempt, err = count(j)
+		ev.Outcome.Attempt, err = decodeCount(j)
 	case "over":
 		ev.Outcome.Over, err = j.Bool()
 	case "metrics":
-		d.row, err = numbers(j, d.row[:0])
+		d.row, err = decodeNumbers(j, d.row[:0])
 		*row = d.row
 	case "object":
 		if kind != NewRequest {
@@ -302,37 +302,37 @@
 			ev.Request.HasKey = true
 		}
 	case "team":
-		ev.Request.Tenant, err = count(j)
+		ev.Request.Tenant, err = decodeCount(j)
 	case "client-deadline-ms":
-		ev.Request.Deadline, err = millis(j)
+		ev.Request.Deadline, err = decodeMillis(j)
 	case "bitmap":
 		var bits int
-		bits, err = count(j)
+		bits, err = decodeCount(j)
 		ev.Request.Repeat = bits&2 != 0
 	case "lane":
-		ev.Request.Class, err = count(j)
+		ev.Request.Class, err = decodeCount(j)
 	case "size-hint-ms":
-		ev.Request.Work, err = millis(j)
+		ev.Request.Work, err = decodeMillis(j)
 	case "name":
 		if kind != Elapsed {
 			return false, nil
 		}
 		ev.Token, err = j.UInt64()
 	case "neighbour":
-		ev.From, err = count(j)
+		ev.From, err = decodeCount(j)
 	case "body":
 		ev.Body, err = j.StrBytes()
 	case "scope":
-		ev.List, err = word(j, scopes)
+		ev.List, err = decodeWord(j, scopes)
 	case "page":
 		ev.page, err = j.Int()
 	case "entries":
-		*entries, err = lines(j)
+		*entries, err = decodeServers(j)
 	case "salt":
-		ev.Settings.Seed, err = seed(j)
+		ev.Settings.Seed, err = decodeSeed(j)
 	case "facts":
 		var s Settings
-		s, err = settings(j)
+		s, err = decodeSettings(j)
 		s.Seed = cmp.Or(ev.Settings.Seed, s.Seed)
 		ev.Settings = s.Settings
 	default:
--- a/internal/proxy/simwire/encode.go
+++ b/internal/proxy/simwire/encode.go
@@ -8,82 +8,82 @@
 
 // Encoder writes replies. Nothing leaves it before the whole reply stands.
 type Encoder struct {
-	w    jx.Writer
-	some bool
+	writer    jx.Writer
+	hasAction bool
 }
 
 // Start begins a new reply.
 func (e *Encoder) Start() {
-	e.w.Reset()
-	e.some = false
-	e.w.RawStr(`{"actions":[`)
+	e.writer.Reset()
+	e.hasAction = false
+	e.writer.RawStr(`{"actions":[`)
 }
 
 // Finish closes the reply to batch n and returns its line, valid until the next Start.
 func (e *Encoder) Finish(n int64) []byte {
-	e.w.RawStr(`],"n":`)
-	e.w.Int64(n)
-	e.w.RawStr("}\n")
-	return e.w.Buf
+	e.writer.RawStr(`],"n":`)
+	e.writer.Int64(n)
+	e.writer.RawStr("}\n")
+	return e.writer.Buf
 }
 
 // Action adds one action of one instance.
 func (e *Encoder) Action(sidecar int, a *balance.Action) {
-	if e.some {
-		e.w.RawStr(",")
+	if e.hasAction {
+		e.writer.RawStr(",")
 	}
-	e.some = true
+	e.hasAction = true
 	switch a.Kind {
 	case balance.Send:
-		e.open(`{"Place":{"sidecar":`, sidecar)
-		e.text(`,"tid":`, a.ID)
-		e.whole(`,"server":`, uint64(a.Server))
+		e.openAction(`{"Place":{"sidecar":`, sidecar)
+		e.writeText(`,"tid":`, a.ID)
+		e.writeUint(`,"server":`, uint64(a.Server))
 		if a.Wait > 0 {
-			e.millis(`,"max-wait-ms":`, a)
+			e.writeWait(`,"max-wait-ms":`, a)
 		}
 	case balance.Cancel:
-		e.open(`{"Withdraw":{"sidecar":`, sidecar)
-		e.text(`,"tid":`, a.ID)
-		e.whole(`,"attempt":`, uint64(a.Attempt))
+		e.openAction(`{"Withdraw":{"sidecar":`, sidecar)
+		e.writeText(`,"tid":`, a.ID)
+		e.writeUint(`,"attempt":`, uint64(a.Attempt))
 	case balance.Refuse:
-		e.open(`{"Busy":{"sidecar":`, sidecar)
-		e.text(`,"tid":`, a.ID)
+		e.openAction(`{"Busy":{"sidecar":`, sidecar)
+		e.writeText(`,"tid":`, a.ID)
 		if a.Wait > 0 {
-			e.millis(`,"backoff-ms":`, a)
+			e.writeWait(`,"backoff-ms":`, a)
 		}
 	case balance.Fail:
-		e.open(`{"Fail":{"sidecar":`, sidecar)
-		e.text(`,"tid":`, a.ID)
+		e.openAction(`{"Fail":{"sidecar":`, sidecar)
+		e.writeText(`,"tid":`, a.ID)
 	case balance.Probe:
-		e.open(`{"Probe":{"sidecar":`, sidecar)
-		e.whole(`,"server":`, uint64(a.Server))
+		e.openAction(`{"Probe":{"sidecar":`, sidecar)
+		e.writeUint(`,"server":`, uint64(a.Server))
 	case balance.SetTimer:
-		e.open(`{"SetTimer":{"sidecar":`, sidecar)
-		e.millis(`,"delay-ms":`, a)
-		e.whole(`,"name":`, a.Token)
+		e.openAction(`{"SetTimer":{"sidecar":`, sidecar)
+		e.writeWait(`,"delay-ms":`, a)
+		e.writeUint(`,"name":`, a.Token)
 	case balance.FollowList:
-		e.open(`{"Follow":{"sidecar":`, sidecar)
-		e.w.RawStr(`,"enable":true`)
+		e.openAction(`{"Follow":{"sidecar":`, sidecar)
+		e.writer.RawStr(`,"enable":true`)
 	}
-	e.w.RawStr("}}")
+	e.writer.RawStr("}}")
 }
 
-func (e *Encoder) open(head string, sidecar int) {
-	e.w.RawStr(head)
-	e.w.Int(sidecar)
+func (e *Encoder) openAction(head string, sidecar int) {
+	e.writer.RawStr(head)
+	e.writer.Int(sidecar)
 }
 
-func (e *Encoder) text(name, v string) {
-	e.w.RawStr(name)
-	e.w.Str(v)
+func (e *Encoder) writeText(name, v string) {
+	e.writer.RawStr(name)
+	e.writer.Str(v)
 }
 
-func (e *Encoder) whole(name string, v uint64) {
-	e.w.RawStr(name)
-	e.w.UInt64(v)
+func (e *Encoder) writeUint(name string, v uint64) {
+	e.writer.RawStr(name)
+	e.writer.UInt64(v)
 }
 
-func (e *Encoder) millis(name string, a *balance.Action) {
-	e.w.RawStr(name)
-	e.w.Float64(float64(a.Wait) / 1e6)
+func (e *Encoder) writeWait(name string, a *balance.Action) {
+	e.writer.RawStr(name)
+	e.writer.Float64(float64(a.Wait) / 1e6)
 }
--- a/internal/proxy/simwire/settings.go
+++ b/internal/proxy/simwire/settings.go
@@ -26,24 +26,24 @@
 	"active": balance.FieldHeld, "waiting": balance.FieldWaiting, "cpu": balance.FieldUtil,
 }
 
-// reader returns a function that reads one value into a field of the settings.
-type reader func(*jx.Decoder) error
+// fieldDecoder returns a function that reads one value into a field of the settings.
+type fieldDecoder func(*jx.Decoder) error
 
-func into[T any](to *T, read func(*jx.Decoder) (T, error)) reader {
+func decodeInto[T any](to *T, read func(*jx.Decoder) (T, error)) fieldDecoder {
 	return func(j *jx.Decoder) (err error) {
 		*to, err = read(j)
 		return err
 	}
 }
 
-func float(to *float64) reader    { return into(to, (*jx.Decoder).Float64) }
-func whole(to *int) reader        { return into(to, count) }
-func truth(to *bool) reader       { return into(to, (*jx.Decoder).Bool) }
-func ms(to *time.Duration) reader { return into(to, millis) }
-func text(to *string) reader      { return into(to, (*jx.Decoder).Str) }
+func floatInto(to *float64) fieldDecoder        { return decodeInto(to, (*jx.Decoder).Float64) }
+func countInto(to *int) fieldDecoder            { return decodeInto(to, decodeCount) }
+func boolInto(to *bool) fieldDecoder            { return decodeInto(to, (*jx.Decoder).Bool) }
+func millisInto(to *time.Duration) fieldDecoder { return decodeInto(to, decodeMillis) }
+func textInto(to *string) fieldDecoder          { return decodeInto(to, (*jx.Decoder).Str) }
 
-// listed appends one word of a list.
-func listed(to *[]string) reader {
+// appendTo appends one word of a list.
+func appendTo(to *[]string) fieldDecoder {
 	return func(j *jx.Decoder) error {
 		w, err := j.Str()
 		*to = append(*to, w)
@@ -51,8 +51,8 @@
 	}
 }
 
-func is(to *bool, w string) reader {
-	return into(to, func(j *jx.Decoder) (bool, error) { return equals(j, w) })
+func equalsInto(to *bool, w string) fieldDecoder {
+	return decodeInto(to, func(j *jx.Decoder) (bool, error) { return equals(j, w) })
 }
 
 func equals(j *jx.Decoder, w string) (bool, error) {
@@ -60,14 +60,14 @@
 	return string(b) == w, err
 }
 
-// object reads the named values of an object and skips all others.
-func object(j *jx.Decoder, by map[string]reader) error {
+// decodeObject reads the named values of an object and skips all others.
+func decodeObject(j *jx.Decoder, by map[string]fieldDecoder) error {
 	return j.ObjBytes(func(j *jx.Decoder, key []byte) error {
 		read, ok := by[string(key)]
 		if !ok {
 			return j.Skip()
 		}
-		return named(read(j), string(key))
+		return withField(read(j), string(key))
 	})
 }
 
@@ -85,28 +85,28 @@
 
 // ReadSettings reads the object of the settings.
 func ReadSettings(raw []byte) (Settings, error) {
-	s, err := settings(jx.DecodeBytes(raw))
+	s, err := decodeSettings(jx.DecodeBytes(raw))
 	if err != nil {
 		return s, errors.New(strings.ReplaceAll(err.Error(), "callback: ", ""))
 	}
 	return s, nil
 }
 
-func settings(j *jx.Decoder) (Settings, error) {
+func decodeSettings(j *jx.Decoder) (Settings, error) {
 	s := Settings{Settings: balance.Settings{MaxAttempts: 1}}
 	source := ""
-	nested := func(by map[string]reader) reader {
-		return func(j *jx.Decoder) error { return object(j, by) }
+	nested := func(by map[string]fieldDecoder) fieldDecoder {
+		return func(j *jx.Decoder) error { return decodeObject(j, by) }
 	}
-	array := func(each func(*jx.Decoder) error) reader {
+	array := func(each func(*jx.Decoder) error) fieldDecoder {
 		return func(j *jx.Decoder) error { return j.Arr(each) }
 	}
-	err := object(j, map[string]reader{
-		"balancers": whole(&s.Peers), "rank": whole(&s.Rank), "locality": whole(&s.Zone),
-		"tick-ms": ms(&s.Tick), "over-share-worth": float(&s.OverShareWorth),
-		"counted-by": is(&s.WorthByWork, "work"), "registry-mode": is(&s.MustFollow, "on_request"),
+	err := decodeObject(j, map[string]fieldDecoder{
+		"balancers": countInto(&s.Peers), "rank": countInto(&s.Rank), "locality": countInto(&s.Zone),
+		"tick-ms": millisInto(&s.Tick), "over-share-worth": floatInto(&s.OverShareWorth),
+		"counted-by": equalsInto(&s.WorthByWork, "work"), "registry-mode": equalsInto(&s.MustFollow, "on_request"),
 		"grades": array(func(j *jx.Decoder) error {
-			c, name, err := class(j)
+			c, name, err := decodeClass(j)
 			s.Classes = append(s.Classes, c)
 			s.ClassNames = append(s.ClassNames, name)
 			return err
@@ -114,42 +114,42 @@
 		"tenants": array(func(j *jx.Decoder) error {
 			var t balance.Tenant
 			var name string
-			err := object(j, map[string]reader{
-				"quota-per-s": float(&t.QuotaPerSec), "portion": float(&t.Share), "name": text(&name),
+			err := decodeObject(j, map[string]fieldDecoder{
+				"quota-per-s": floatInto(&t.QuotaPerSec), "portion": floatInto(&t.Share), "name": textInto(&name),
 			})
 			s.Tenants = append(s.Tenants, t)
 			s.TenantNames = append(s.TenantNames, name)
 			return err
 		}),
-		"deductions": nested(map[string]reader{
-			"cross-zone": float(&s.Prices.CrossZone), "probe": float(&s.Prices.Probe),
-			"waste":     float(&s.Prices.Waste),
-			"late-fail": float(&s.Prices.LateFail),
+		"deductions": nested(map[string]fieldDecoder{
+			"cross-zone": floatInto(&s.Prices.CrossZone), "probe": floatInto(&s.Prices.Probe),
+			"waste":     floatInto(&s.Prices.Waste),
+			"late-fail": floatInto(&s.Prices.LateFail),
 		}),
-		"azs":   array(listed(&s.ZoneNames)),
-		"kinds": array(listed(&s.KindNames)),
-		"extra": nested(map[string]reader{"warm-keys": truth(&s.WarmKeys)}),
-		"invariants": nested(map[string]reader{
-			"answer-slack-ms": ms(&s.AnswerSlack), "ask-within-ms": ms(&s.AskWithin),
-			"cold-ms": ms(&s.ColdFor), "fall-multiple": float(&s.FallMultiple),
-			"start-capacity": float(&s.ColdStart), "stop-sending-within-ms": ms(&s.DrainGrace),
-			"tip-after-ms": ms(&s.FallAfter),
+		"azs":   array(appendTo(&s.ZoneNames)),
+		"kinds": array(appendTo(&s.KindNames)),
+		"extra": nested(map[string]fieldDecoder{"warm-keys": boolInto(&s.WarmKeys)}),
+		"invariants": nested(map[string]fieldDecoder{
+			"answer-slack-ms": millisInto(&s.AnswerSlack), "ask-within-ms": millisInto(&s.AskWithin),
+			"cold-ms": millisInto(&s.ColdFor), "fall-multiple": floatInto(&s.FallMultiple),
+			"start-capacity": floatInto(&s.ColdStart), "stop-sending-within-ms": millisInto(&s.DrainGrace),
+			"tip-after-ms": millisInto(&s.FallAfter),
 		}),
-		"limits": nested(map[string]reader{
-			"cancel": truth(&s.MayCancel), "dial-timeout-ms": ms(&s.DialTimeout),
-			"idle-close-ms": ms(&s.IdleClose), "max-attempts": whole(&s.MaxAttempts),
-			"max-retry-after-ms": ms(&s.MaxBackoff),
-			"may-duplicate":      truth(&s.MayDuplicate),
-			"probes":             truth(&s.MayProbe), "retry-after": truth(&s.TellsBackoff),
+		"limits": nested(map[string]fieldDecoder{
+			"cancel": boolInto(&s.MayCancel), "dial-timeout-ms": millisInto(&s.DialTimeout),
+			"idle-close-ms": millisInto(&s.IdleClose), "max-attempts": countInto(&s.MaxAttempts),
+			"max-retry-after-ms": millisInto(&s.MaxBackoff),
+			"may-duplicate":      boolInto(&s.MayDuplicate),
+			"probes":             boolInto(&s.MayProbe), "retry-after": boolInto(&s.TellsBackoff),
 		}),
-		"report": nested(map[string]reader{
+		"report": nested(map[string]fieldDecoder{
 			"fields": array(func(j *jx.Decoder) error {
 				b, err := j.StrBytes()
 				s.Report = append(s.Report, Fields[string(b)])
 				s.ReportNames = append(s.ReportNames, string(b))
 				return err
 			}),
-			"source": into(&source, (*jx.Decoder).Str),
+			"source": decodeInto(&source, (*jx.Decoder).Str),
 		}),
 	})
 	s.ReportAnswers = source == "answers"
@@ -159,13 +159,15 @@
 	return s, err
 }
 
-func class(j *jx.Decoder) (c balance.Class, name string, err error) {
-	err = object(j, map[string]reader{
-		"aim-ms": ms(&c.Aim), "aim-stretch": float(&c.AimStretch), "deadline-ms": ms(&c.Deadline),
-		"late-worth": float(&c.LateWorth), "value": float(&c.Worth), "window-ms": ms(&c.Window),
-		"stream": truth(&c.Stream), "name": text(&name),
-		"effect": into(&c.Effect, func(j *jx.Decoder) (balance.Effect, error) { return word(j, Effects) }),
-		"group":  into(&c.Group, func(j *jx.Decoder) (balance.Group, error) { return word(j, Groups) }),
+func decodeClass(j *jx.Decoder) (c balance.Class, name string, err error) {
+	err = decodeObject(j, map[string]fieldDecoder{
+		"aim-ms": millisInto(&c.Aim), "aim-stretch": floatInto(&c.AimStretch),
+		"deadline-ms": millisInto(&c.Deadline),
+		"late-worth":  floatInto(&c.LateWorth), "value": floatInto(&c.Worth), "window-ms": millisInto(&c.Window),
+		"stream": boolInto(&c.Stream), "name": textInto(&name),
+		"effect": decodeInto(&c.Effect,
+			func(j *jx.Decoder) (balance.Effect, error) { return decodeWord(j, Effects) }),
+		"group": decodeInto(&c.Group, func(j *jx.Decoder) (balance.Group, error) { return decodeWord(j, Groups) }),
 	})
 	return c, name, err
 }
--- a/internal/proxy/simwire/values.go
+++ b/internal/proxy/simwire/values.go
@@ -14,8 +14,8 @@
 	"cresshub/balance"
 )
 
-// seed takes any whole number, also one written with a sign.
-func seed(j *jx.Decoder) (uint64, error) {
+// decodeSeed takes any whole number, also one written with a sign.
+func decodeSeed(j *jx.Decoder) (uint64, error) {
 	n, err := j.Num()
 	if err != nil {
 		return 0, err
@@ -27,7 +27,7 @@
 	return uint64(i), err
 }
 
-func count(j *jx.Decoder) (int, error) {
+func decodeCount(j *jx.Decoder) (int, error) {
 	n, err := j.Int()
 	if err == nil && n < 0 {
 		err = errors.New("below 0")
@@ -35,8 +35,8 @@
 	return n, err
 }
 
-// millis reads milliseconds with fractions; the simulator counts in microseconds.
-func millis(j *jx.Decoder) (time.Duration, error) {
+// decodeMillis reads milliseconds with fractions; the simulator counts in microseconds.
+func decodeMillis(j *jx.Decoder) (time.Duration, error) {
 	f, err := j.Float64()
 	if err != nil {
 		return 0, err
@@ -47,7 +47,7 @@
 	return time.Duration(math.Round(f*1000)) * time.Microsecond, nil
 }
 
-func numbers(j *jx.Decoder, into []float64) ([]float64, error) {
+func decodeNumbers(j *jx.Decoder, into []float64) ([]float64, error) {
 	err := j.Arr(func(j *jx.Decoder) error {
 		f, err := j.Float64()
 		into = append(into, f)
@@ -56,7 +56,7 @@
 	return into, err
 }
 
-func word[T any](j *jx.Decoder, words map[string]T) (T, error) {
+func decodeWord[T any](j *jx.Decoder, words map[string]T) (T, error) {
 	b, err := j.StrBytes()
 	v, ok := words[string(b)]
 	if err == nil && !ok {
@@ -69,7 +69,7 @@
 	"IN": balance.Up, "LAME": balance.Draining, "OUT": balance.Removed,
 }
 
-func lines(j *jx.Decoder) ([]balance.Server, error) {
+func decodeServers(j *jx.Decoder) ([]balance.Server, error) {
 	list := []balance.Server{}
 	err := j.Arr(func(j *jx.Decoder) error {
 		s := balance.Server{Rating: 1}
@@ -82,22 +82,22 @@
 				s.ID = balance.ServerID(id)
 				seen |= 1
 			case "zone":
-				s.Zone, err = count(j)
+				s.Zone, err = decodeCount(j)
 			case "family-type":
-				s.Kind, err = count(j)
+				s.Kind, err = decodeCount(j)
 			case "pod":
-				s.Cell, err = count(j)
+				s.Cell, err = decodeCount(j)
 			case "stage-state":
-				s.State, err = word(j, states)
+				s.State, err = decodeWord(j, states)
 				seen |= 2
 			case "rating":
 				s.Rating, err = j.Float64()
 			case "boot-time-ms":
-				s.Started, err = millis(j)
+				s.Started, err = decodeMillis(j)
 			default:
 				return j.Skip()
 			}
-			return named(err, string(key))
+			return withField(err, string(key))
 		})
 		if err == nil && seen != 3 {
 			err = errors.New("a line lacks its server or its state")
--- a/internal/proxy/stats/counters.go
+++ b/internal/proxy/stats/stats.go
@@ -41,14 +41,22 @@
 // Set holds all figures of the process. Every request taken in is answered in one of the ways below or
 // its client goes away. New makes one that counts by class too.
 type Set struct {
-	Taken, Served, Refused, Failed, Gone, Invalid Counter // requests of clients
-	Accepted, TurnedAway                          Counter // connections of clients
-	Sent, Probed                                  Results // attempts and probes, by their end
-	Blind                                         Counter // probes served without a readable load report
-	Opened, Reused                                Counter // connections to zone servers
-	Lists, ListsFailed                            Counter // answers of discovery
-	Tries                                         Counter // attempts written whole to a server
-	InProgress                                    Gauge   // requests taken and not yet ended
+	// Requests of clients, by their end; Received counts them all.
+	Received, Served, Refused, Failed, ClientGone, Invalid Counter
+	// Connections of clients, and those of them that were turned away for want of descriptors.
+	AcceptedConns, RejectedConns Counter
+	// Attempts and probes at zone servers, by their end.
+	Attempts, Probes Results
+	// Probes answered without a readable load report.
+	ProbesWithoutReport Counter
+	// Connections to zone servers that were opened, and requests that went out on an open one.
+	Opened, Reused Counter
+	// Answers of discovery with a list that could be read, and calls that failed.
+	ListsRead, ListsFailed Counter
+	// Attempts whose request was written completely to a server.
+	RequestsSent Counter
+	// Requests received that have not ended yet.
+	InProgress Gauge
 
 	classes []string
 	handled []Handled
@@ -68,23 +76,23 @@
 }
 
 // Results counts by the place of a result in a short list.
-type Results struct{ by [8]Counter }
+type Results struct{ counts [8]Counter }
 
 // Add counts one end of that kind.
-func (r *Results) Add(kind int) { r.by[kind].Add() }
+func (r *Results) Add(kind int) { r.counts[kind].Add() }
 
-func (r *Results) log(names []string) slog.Attr {
-	var as []any
-	for i := range r.by {
-		if n := r.by[i].n.Load(); n > 0 {
+func (r *Results) attr(names []string) slog.Attr {
+	var attrs []any
+	for i := range r.counts {
+		if n := r.counts[i].n.Load(); n > 0 {
 			name := fmt.Sprint(i)
 			if i < len(names) {
 				name = names[i]
 			}
-			as = append(as, slog.Int64(name, n))
+			attrs = append(attrs, slog.Int64(name, n))
 		}
 	}
-	return slog.Group("", as...)
+	return slog.Group("", attrs...)
 }
 
 // WriteVars writes the operators' figures, one a line as name:value|kind, c for a count since the start and
@@ -98,7 +106,7 @@
 		line("handled."+class+".dropped", h.Dropped.n.Load(), "c")
 		line("handled."+class+".bad_gateway", h.Failed.n.Load(), "c")
 	}
-	line("upstream_tries", s.Tries.n.Load(), "c")
+	line("upstream_tries", s.RequestsSent.n.Load(), "c")
 	line("in_progress", s.InProgress.Load(), "g")
 	for _, name := range slices.Sorted(maps.Keys(gauges)) {
 		line(name, int64(gauges[name]), "g")
@@ -108,14 +116,15 @@
 
 // Log prints all figures; names are the words for the kinds of results.
 func (s *Set) Log(log *slog.Logger, why string, names []string) {
-	num := func(name string, c *Counter) slog.Attr { return slog.Int64(name, c.n.Load()) }
-	sent, probed := s.Sent.log(names), s.Probed.log(names)
+	counter := func(name string, c *Counter) slog.Attr { return slog.Int64(name, c.n.Load()) }
+	sent, probed := s.Attempts.attr(names), s.Probes.attr(names)
 	sent.Key, probed.Key = "sent", "probed"
-	log.Info(logging.CountersLine, "why", why,
-		slog.Group("requests", num("taken", &s.Taken), num("served", &s.Served), num("refused", &s.Refused),
-			num("failed", &s.Failed), num("gone", &s.Gone), num("invalid", &s.Invalid)),
-		slog.Group("clients", num("accepted", &s.Accepted), num("turned_away", &s.TurnedAway)),
-		sent, probed, num("probed_without_report", &s.Blind),
-		slog.Group("connections", num("opened", &s.Opened), num("reused", &s.Reused)),
-		slog.Group("lists", num("read", &s.Lists), num("failed", &s.ListsFailed)))
+	log.Info(logging.CountersMessage, "why", why,
+		slog.Group("requests", counter("taken", &s.Received), counter("served", &s.Served),
+			counter("refused", &s.Refused), counter("failed", &s.Failed),
+			counter("gone", &s.ClientGone), counter("invalid", &s.Invalid)),
+		slog.Group("clients", counter("accepted", &s.AcceptedConns), counter("turned_away", &s.RejectedConns)),
+		sent, probed, counter("probed_without_report", &s.ProbesWithoutReport),
+		slog.Group("connections", counter("opened", &s.Opened), counter("reused", &s.Reused)),
+		slog.Group("lists", counter("read", &s.ListsRead), counter("failed", &s.ListsFailed)))
 }
--- a/internal/proxy/stats/counters_test.go
+++ b/internal/proxy/stats/stats_test.go
@@ -9,11 +9,11 @@
 
 func TestLog(t *testing.T) {
 	var s Set
-	s.Taken.Add()
-	s.Taken.Add()
+	s.Received.Add()
+	s.Received.Add()
 	s.Served.Add()
-	s.Sent.Add(1)
-	s.Probed.Add(0)
+	s.Attempts.Add(1)
+	s.Probes.Add(0)
 	var out bytes.Buffer
 	s.Log(slog.New(slog.NewTextHandler(&out, nil)), "asked", []string{"good", "bad"})
 	for _, want := range []string{"why=asked", "requests.taken=2", "requests.served=1", "requests.gone=0",
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -36,7 +36,7 @@
 		return Outcome{Result: result}, false
 	}
 	if !a.probe {
-		c.pool.stats.Tries.Add()
+		c.pool.stats.RequestsSent.Add()
 	}
 	method := "GET"
 	if !a.probe {
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -61,7 +61,7 @@
 		idle: map[dispatch.ServerID][]*conn{},
 	}
 	p.SetLimits(limits)
-	budget.OnShort(descriptors.Servers, p.closeOldestIdle)
+	budget.SetReclaim(descriptors.Servers, p.closeOldestIdle)
 	return p
 }
 
@@ -123,7 +123,7 @@
 	done := a.Done
 	a.Done = func(o Outcome) {
 		a.cancel()
-		p.stats.Sent.Add(int(o.Result))
+		p.stats.Attempts.Add(int(o.Result))
 		done(o)
 	}
 	p.start(a)
@@ -148,7 +148,7 @@
 	a := &Attempt{Server: s, probe: true, GiveUpAt: began.Add(p.limits.Load().Probe)}
 	a.Done = func(o Outcome) {
 		a.cancel()
-		p.stats.Probed.Add(int(o.Result))
+		p.stats.Probes.Add(int(o.Result))
 		p.countMissingReport(o)
 		p.Release(&o)
 		done(o.Result, time.Since(began), o.Load)
@@ -160,7 +160,7 @@
 // the decisions are blind.
 func (p *Pool) countMissingReport(o Outcome) {
 	if o.Result == dispatch.Served && o.Load == nil && p.report.size > 0 {
-		p.stats.Blind.Add()
+		p.stats.ProbesWithoutReport.Add()
 	}
 }
 
@@ -280,7 +280,7 @@
 func (c *conn) close() {
 	c.closeOnce.Do(func() {
 		c.netConn.Close()
-		c.pool.budget.Give(descriptors.Servers)
+		c.pool.budget.Release(descriptors.Servers)
 	})
 }
 
@@ -349,7 +349,7 @@
 
 // dial opens the connection; where that fails the attempt provably never ran.
 func (c *conn) dial(a *Attempt) (dispatch.Result, bool) {
-	if !c.pool.budget.Take(descriptors.Servers) {
+	if !c.pool.budget.Acquire(descriptors.Servers) {
 		return dispatch.Skipped, false
 	}
 	until := time.Now().Add(c.pool.limits.Load().Dial)
@@ -369,7 +369,7 @@
 		c.pool.stats.Opened.Add()
 		return 0, true
 	}
-	c.pool.budget.Give(descriptors.Servers)
+	c.pool.budget.Release(descriptors.Servers)
 	switch {
 	case a.ctx.Err() != nil:
 		return dispatch.Cancelled, false
--- a/internal/settingsfile/builder.go
+++ b/internal/settingsfile/builder.go
@@ -14,7 +14,7 @@
 // Builder lays sources over one another.
 type Builder struct {
 	Origins  map[string]Origin // of each value, by path
-	Problems Problems
+	Problems SettingErrors
 	schema   *Schema
 	merged   *koanf.Koanf
 	tables   map[string][]Origin
@@ -41,13 +41,13 @@
 	maps.Copy(b.tables, l.Tables)
 	known := map[string]any{}
 	for path, v := range l.Values {
-		if _, _, _, ok := b.schema.Generic(path); ok {
+		if _, _, _, ok := b.schema.Resolve(path); ok {
 			known[path] = v
 			b.Origins[path] = l.Origins[path]
-		} else if b.schema.Section(path) || b.schema.lists[path] > 0 {
-			b.Problems.Add(l.Origins[path], b.schema.Shown(path), "is a section, and found is %s", Described(v))
+		} else if b.schema.HasSection(path) || b.schema.lists[path] > 0 {
+			b.Problems.Add(l.Origins[path], b.schema.Display(path), "is a section, and found is %s", Describe(v))
 		} else {
-			b.Problems.Add(l.Origins[path], b.schema.Shown(path), "is no key%s", b.schema.Meant(path))
+			b.Problems.Add(l.Origins[path], b.schema.Display(path), "is no key%s", b.schema.Suggest(path))
 		}
 	}
 	if err := b.merged.Load(confmap.Provider(known, "."), nil); err != nil {
@@ -55,14 +55,14 @@
 	}
 }
 
-// Into puts the merged values into the struct that to points to, or what is wrong with each into the
+// Decode puts the merged values into the struct that to points to, or what is wrong with each into the
 // problems.
-func (b *Builder) Into(to any) {
+func (b *Builder) Decode(to any) {
 	root := reflect.ValueOf(to).Elem()
 	for _, f := range b.schema.Fields {
 		list, key, inList := strings.Cut(f.Path, "[].")
 		if !inList {
-			b.one(f, f.Path, root.FieldByIndex(f.Index))
+			b.decodeField(f, f.Path, root.FieldByIndex(f.Index))
 			continue
 		}
 		slice := root.Field(b.schema.lists[list])
@@ -71,34 +71,34 @@
 			slice.Set(reflect.MakeSlice(slice.Type(), n, n))
 		}
 		for i := range n {
-			b.one(f, fmt.Sprintf("%s.%d.%s", list, i, key), slice.Index(i).FieldByIndex(f.Index))
+			b.decodeField(f, fmt.Sprintf("%s.%d.%s", list, i, key), slice.Index(i).FieldByIndex(f.Index))
 		}
 	}
 }
 
-func (b *Builder) one(f *Field, path string, to reflect.Value) {
+func (b *Builder) decodeField(f *Field, path string, to reflect.Value) {
 	raw := b.merged.Get(path)
-	o, set := b.Origins[path]
+	origin, set := b.Origins[path]
 	switch {
-	case !set && f.Must:
-		b.Problems.Add(b.tableOf(path), b.schema.Shown(path), "is missing; %s is wanted", f.Kind())
+	case !set && f.Required:
+		b.Problems.Add(b.tableOrigin(path), b.schema.Display(path), "is missing; %s is wanted", f.Kind())
 		return
 	case !set:
-		raw, o = Words(f.Default), Origin{Source: "default"}
-		b.Origins[path] = o
+		raw, origin = Text(f.Default), Origin{Source: "default"}
+		b.Origins[path] = origin
 	}
 	v, err := f.Decode(raw)
 	if err != nil {
-		b.Problems.Add(o, b.schema.Shown(path), "%v", err)
+		b.Problems.Add(origin, b.schema.Display(path), "%v", err)
 		return
 	}
 	to.Set(v)
 }
 
-// tableOf tells where the table begins that a missing key belongs to: at its header or, where it has none,
-// at the first of its keys.
-func (b *Builder) tableOf(path string) Origin {
-	if _, list, n, _ := b.schema.Generic(path); n < len(b.tables[list]) {
+// tableOrigin tells where the table begins that a missing key belongs to: at its header or, where it has
+// none, at the first of its keys.
+func (b *Builder) tableOrigin(path string) Origin {
+	if _, list, n, _ := b.schema.Resolve(path); n < len(b.tables[list]) {
 		return b.tables[list][n]
 	}
 	prefix := path[:strings.LastIndexByte(path, '.')+1]
--- a/internal/settingsfile/problem.go
+++ b/internal/settingsfile/errors.go
@@ -16,8 +16,8 @@
 	Line   int    // in a file, from 1; 0 where it is not known
 }
 
-// At is an origin without a line.
-func At(source, name string) Origin { return Origin{Source: source, Name: name} }
+// NewOrigin is an origin without a line.
+func NewOrigin(source, name string) Origin { return Origin{Source: source, Name: name} }
 
 func (o Origin) String() string {
 	switch {
@@ -29,24 +29,24 @@
 	return o.Name
 }
 
-// Problem is one mistake.
-type Problem struct {
+// SettingError is one mistake.
+type SettingError struct {
 	Origin
 	Key     string // as a person would write it; "" where the text itself is broken
 	Message string // what was found, what is allowed and what may help
 }
 
-func (p Problem) String() string {
+func (p SettingError) String() string {
 	if p.Key == "" {
 		return fmt.Sprintf("%s: %s", p.Origin, p.Message)
 	}
 	return fmt.Sprintf("%s: %s: %s", p.Origin, p.Key, p.Message)
 }
 
-// Problems are all mistakes found in one go, as an error with one line for each.
-type Problems []Problem
+// SettingErrors are all mistakes found in one go, as an error with one line for each.
+type SettingErrors []SettingError
 
-func (ps Problems) Error() string {
+func (ps SettingErrors) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
 		lines[i] = p.String()
@@ -55,18 +55,18 @@
 }
 
 // Add notes a mistake; key is as a person would write it.
-func (ps *Problems) Add(o Origin, key, format string, args ...any) {
-	*ps = append(*ps, Problem{o, key, fmt.Sprintf(format, args...)})
+func (ps *SettingErrors) Add(o Origin, key, format string, args ...any) {
+	*ps = append(*ps, SettingError{o, key, fmt.Sprintf(format, args...)})
 }
 
-func (ps Problems) sort() {
-	slices.SortStableFunc(ps, func(a, b Problem) int {
+func (ps SettingErrors) sort() {
+	slices.SortStableFunc(ps, func(a, b SettingError) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.Line, b.Line))
 	})
 }
 
 // Err returns the problems as an error, nil where there are none.
-func (ps Problems) Err() error {
+func (ps SettingErrors) Err() error {
 	if len(ps) == 0 {
 		return nil
 	}
@@ -74,15 +74,15 @@
 	return ps
 }
 
-// Likely returns the word that was probably meant, or "".
-func Likely(word string, words []string) string {
-	best, least := "", max(2, len(word)/4)+1
+// Closest returns the word that was probably meant, or "".
+func Closest(word string, words []string) string {
+	best, distance := "", max(2, len(word)/4)+1
 	for _, w := range words {
-		if d := levenshtein.ComputeDistance(word, w); d < least {
-			best, least = w, d
+		if d := levenshtein.ComputeDistance(word, w); d < distance {
+			best, distance = w, d
 		}
 	}
-	if least >= len(word) { // nothing in common
+	if distance >= len(word) { // nothing in common
 		return ""
 	}
 	return best
--- a/internal/settingsfile/schema.go
+++ b/internal/settingsfile/schema.go
@@ -23,17 +23,17 @@
 // Field is one key that may be set, as its tags and the line above it describe it. A key without the tag
 // `reload` takes a restart.
 type Field struct {
-	Path    string // with "[]" behind the name of a list of tables
-	Type    reflect.Type
-	Default string // in the form of the file; "" also where a key must be set
-	Must    bool   // has no default
-	Min     string
-	Max     string
-	Enum    []string
-	Form    string // "address", "listen", either with "?", "hex", "name", "hall" or ""
-	Reload  string
-	Doc     string
-	Index   []int // where it stands in its struct
+	Path     string // with "[]" behind the name of a list of tables
+	Type     reflect.Type
+	Default  string // in the form of the file; "" also where a key must be set
+	Required bool   // has no default
+	Min      string
+	Max      string
+	Enum     []string
+	Form     string // "address", "listen", either with "?", "hex", "name", "hall" or ""
+	Reload   string
+	Doc      string
+	Index    []int // where it stands in its struct
 }
 
 // Size is a number of bytes.
@@ -46,29 +46,29 @@
 
 // Schema is a struct's keys in their order, and its lists of tables.
 type Schema struct {
-	Fields   []*Field
-	byPath   map[string]*Field
-	lists    map[string]int // position in the struct by key
-	Variable string         // what variables that set keys begin with; "" where none do
-	Help     string         // where all keys are listed, for messages
+	Fields    []*Field
+	byPath    map[string]*Field
+	lists     map[string]int // position in the struct by key
+	EnvPrefix string         // what variables that set keys begin with; "" where none do
+	Help      string         // where all keys are listed, for messages
 }
 
 // NewSchema reads the tags of a struct type.
-func NewSchema[T any](variable, help string) *Schema {
-	s := &Schema{byPath: map[string]*Field{}, lists: map[string]int{}, Variable: variable, Help: help}
-	s.walk(reflect.TypeFor[T](), "", nil)
+func NewSchema[T any](envPrefix, help string) *Schema {
+	s := &Schema{byPath: map[string]*Field{}, lists: map[string]int{}, EnvPrefix: envPrefix, Help: help}
+	s.addFields(reflect.TypeFor[T](), "", nil)
 	for _, f := range s.Fields {
 		s.byPath[f.Path] = f
 	}
 	return s
 }
 
-func (s *Schema) walk(t reflect.Type, prefix string, index []int) {
+func (s *Schema) addFields(t reflect.Type, prefix string, index []int) {
 	doc := ""
 	for i := range t.NumField() {
 		sf := t.Field(i)
 		if text, ok := sf.Tag.Lookup("doc"); ok {
-			doc = text
+			doc = strings.TrimSpace(doc + " " + text)
 			continue
 		}
 		key, ok := sf.Tag.Lookup("key")
@@ -78,19 +78,20 @@
 		at := append(append([]int(nil), index...), i)
 		switch {
 		case sf.Type.Kind() == reflect.Struct:
-			s.walk(sf.Type, prefix+key+".", at)
+			s.addFields(sf.Type, prefix+key+".", at)
 		case sf.Type.Kind() == reflect.Slice && sf.Type.Elem().Kind() == reflect.Struct:
 			s.lists[key] = i
-			s.walk(sf.Type.Elem(), key+"[].", nil)
+			s.addFields(sf.Type.Elem(), key+"[].", nil)
 		default:
 			f := &Field{Path: prefix + key, Type: sf.Type, Min: sf.Tag.Get("min"), Max: sf.Tag.Get("max"),
 				Form: sf.Tag.Get("form"), Reload: cmp.Or(sf.Tag.Get("reload"), Restart), Doc: doc, Index: at}
 			def, has := sf.Tag.Lookup("default")
-			f.Default, f.Must = def, !has
+			f.Default, f.Required = def, !has
 			if e := sf.Tag.Get("enum"); e != "" {
 				f.Enum = strings.Split(e, "|")
 			}
 			s.Fields = append(s.Fields, f)
+			doc = ""
 		}
 	}
 }
@@ -133,20 +134,20 @@
 	return ""
 }
 
-// VariableOf is the environment variable that sets a key; "" for keys in lists of tables.
-func (s *Schema) VariableOf(f *Field) string {
-	if s.Variable == "" || strings.Contains(f.Path, "[]") {
+// EnvVar is the environment variable that sets a key; "" for keys in lists of tables.
+func (s *Schema) EnvVar(f *Field) string {
+	if s.EnvPrefix == "" || strings.Contains(f.Path, "[]") {
 		return ""
 	}
-	return s.Variable + strings.ToUpper(strings.ReplaceAll(f.Path, ".", "_"))
+	return s.EnvPrefix + strings.ToUpper(strings.ReplaceAll(f.Path, ".", "_"))
 }
 
 // Lists returns the keys of the lists of tables with their positions in the struct.
 func (s *Schema) Lists() map[string]int { return s.lists }
 
-// Generic turns the path of one value into that of its field and, where it stands in a list of tables,
+// Resolve turns the path of one value into that of its field and, where it stands in a list of tables,
 // tells which: "class.2.aim" is "class[].aim" of table 2 of "class".
-func (s *Schema) Generic(path string) (field, list string, n int, ok bool) {
+func (s *Schema) Resolve(path string) (field, list string, n int, ok bool) {
 	list, rest, _ := strings.Cut(path, ".")
 	if _, isList := s.lists[list]; !isList {
 		_, ok = s.byPath[path]
@@ -159,10 +160,10 @@
 	return field, list, n, ok && err == nil
 }
 
-// Shown is a path as a person would say it: "class.0.aim" is "class[1].aim".
-func (s *Schema) Shown(path string) string {
+// Display is a path as a person would say it: "class.0.aim" is "class[1].aim".
+func (s *Schema) Display(path string) string {
 	parts := strings.Split(path, ".")
-	if _, ok := s.lists[parts[0]]; ok && len(parts) > 1 && digits(parts[1]) {
+	if _, ok := s.lists[parts[0]]; ok && len(parts) > 1 && isNumber(parts[1]) {
 		n, _ := strconv.Atoi(parts[1])
 		parts[0] = fmt.Sprintf("%s[%d]", parts[0], n+1)
 		parts = slices.Delete(parts, 1, 2)
@@ -170,39 +171,39 @@
 	return strings.Join(parts, ".")
 }
 
-func digits(s string) bool { return s != "" && strings.Trim(s, "0123456789") == "" }
+func isNumber(s string) bool { return s != "" && strings.Trim(s, "0123456789") == "" }
 
-// Meant words the likely key for one that is not known, given by path.
-func (s *Schema) Meant(path string) string {
-	field, list, n, _ := s.Generic(path)
+// Suggest words the likely key for one that is not known, given by path.
+func (s *Schema) Suggest(path string) string {
+	field, list, n, _ := s.Resolve(path)
 	var all []string
 	for _, f := range s.Fields {
 		all = append(all, f.Path)
 	}
-	for l := range s.lists {
-		all = append(all, l)
+	for key := range s.lists {
+		all = append(all, key)
 	}
-	hit := Likely(field, all)
-	if hit == "" { // right word, other section
+	match := Closest(field, all)
+	if match == "" { // right word, other section
 		_, last, nested := strings.Cut(field, ".")
 		for _, f := range s.Fields {
-			if _, l, ok := strings.Cut(f.Path, "."); ok && nested && l == last {
-				hit = f.Path
+			if _, key, ok := strings.Cut(f.Path, "."); ok && nested && key == last {
+				match = f.Path
 				break
 			}
 		}
 	}
-	if hit == "" {
+	if match == "" {
 		return "; " + s.Help
 	}
 	if list != "" {
-		hit = strings.Replace(hit, list+"[].", fmt.Sprintf("%s[%d].", list, n+1), 1)
+		match = strings.Replace(match, list+"[].", fmt.Sprintf("%s[%d].", list, n+1), 1)
 	}
-	return "; did you mean " + strings.ReplaceAll(hit, "[].", ".") + "?"
+	return "; did you mean " + strings.ReplaceAll(match, "[].", ".") + "?"
 }
 
-// Section tells whether keys may stand under that name.
-func (s *Schema) Section(name string) bool {
+// HasSection tells whether keys may stand under that name.
+func (s *Schema) HasSection(name string) bool {
 	for _, f := range s.Fields {
 		if strings.HasPrefix(f.Path, name+".") {
 			return true
@@ -211,14 +212,14 @@
 	return false
 }
 
-func (s *Schema) meantSection(name string) string {
+func (s *Schema) suggestSection(name string) string {
 	var all []string
 	for _, f := range s.Fields {
 		if section, _, ok := strings.Cut(f.Path, "."); ok {
 			all = append(all, strings.TrimSuffix(section, "[]"))
 		}
 	}
-	if hit := Likely(name, all); hit != "" {
+	if hit := Closest(name, all); hit != "" {
 		return "; did you mean " + hit + "?"
 	}
 	return "; " + s.Help
--- a/internal/settingsfile/toml.go
+++ b/internal/settingsfile/toml.go
@@ -27,61 +27,61 @@
 func (l *Layer) Set(path string, v any, o Origin) { l.Values[path], l.Origins[path] = v, o }
 
 const (
-	maxFile   = 1 << 20 // bytes of a configuration file
-	maxBroken = 50      // lines that cannot be parsed, after which the rest is not looked at
+	maxFile        = 1 << 20 // bytes of a configuration file
+	maxBrokenLines = 50      // lines that cannot be parsed, after which the rest is not looked at
 )
 
 // tomlReader flattens one file. The library's syntax tree is read rather than its decoded values, for
 // only the tree knows lines, and only a reader that goes on after a mistake can list them all.
 type tomlReader struct {
-	schema   *Schema
-	file     string
-	raw      []byte
-	ends     []int // offsets of the ends of lines
-	broken   int
-	base     int // where the parser's part of raw begins
-	p        unstable.Parser
-	out      *Layer
-	problems Problems
-	prefix   string
-	skip     bool           // the table in force is a mistake: its keys would be told twice
-	tables   map[string]int // lines of the sections begun
+	schema       *Schema
+	file         string
+	raw          []byte
+	lineEnds     []int // offsets of the ends of lines
+	brokenLines  int
+	parseOffset  int // where the parser's part of raw begins
+	parser       unstable.Parser
+	layer        *Layer
+	problems     SettingErrors
+	prefix       string
+	skipTable    bool           // the table in force is a mistake: its keys would be told twice
+	sectionLines map[string]int // lines of the sections begun
 }
 
 // ReadTOML reads a whole file; mistakes do not end it, so that all are found.
-func (s *Schema) ReadTOML(file string, raw []byte) (*Layer, Problems) {
-	r := &tomlReader{schema: s, file: file, raw: raw, out: NewLayer(), tables: map[string]int{}}
+func (s *Schema) ReadTOML(file string, raw []byte) (*Layer, SettingErrors) {
+	r := &tomlReader{schema: s, file: file, raw: raw, layer: NewLayer(), sectionLines: map[string]int{}}
 	if len(raw) > maxFile {
 		r.problems.Add(Origin{"file", file, 0}, "", "holds %d bytes, %d are allowed", len(raw), maxFile)
-		return r.out, r.problems
+		return r.layer, r.problems
 	}
 	for i, b := range raw {
 		if b == '\n' {
-			r.ends = append(r.ends, i)
+			r.lineEnds = append(r.lineEnds, i)
 		}
 	}
 	for rest := 0; rest < len(raw); {
-		rest = r.read(rest)
+		rest = r.parseFrom(rest)
 	}
-	return r.out, r.problems
+	return r.layer, r.problems
 }
 
-// read goes through the file from an offset on, up to its end or the first broken line, and returns
+// parseFrom goes through the file from an offset on, up to its end or the first broken line, and returns
 // where to go on.
-func (r *tomlReader) read(from int) int {
-	r.base = from
-	r.p.Reset(r.raw[from:])
-	for r.p.NextExpression() {
-		switch e := r.p.Expression(); e.Kind {
+func (r *tomlReader) parseFrom(from int) int {
+	r.parseOffset = from
+	r.parser.Reset(r.raw[from:])
+	for r.parser.NextExpression() {
+		switch e := r.parser.Expression(); e.Kind {
 		case unstable.Table:
-			r.table(e, false)
+			r.openTable(e, false)
 		case unstable.ArrayTable:
-			r.table(e, true)
+			r.openTable(e, true)
 		case unstable.KeyValue:
 			r.keyValue(r.prefix, e)
 		}
 	}
-	err := r.p.Error()
+	err := r.parser.Error()
 	if err == nil {
 		return len(r.raw)
 	}
@@ -92,30 +92,30 @@
 		at = min(max(cap(r.raw)-cap(pe.Highlight), from), len(r.raw)-1)
 	}
 	line := r.lineOf(at)
-	if r.broken++; r.broken >= maxBroken {
+	if r.brokenLines++; r.brokenLines >= maxBrokenLines {
 		r.problems.Add(Origin{"file", r.file, line}, "", "%v; the rest was not looked at after %d such lines", err,
-			maxBroken)
+			maxBrokenLines)
 		return len(r.raw)
 	}
-	text := r.line(at)
+	text := r.lineText(at)
 	key, _, _ := strings.Cut(text, "=")
-	if key = strings.TrimSpace(key); key != "" && strings.Trim(key, bareKey) == "" {
+	if key = strings.TrimSpace(key); key != "" && strings.Trim(key, bareKeyChars) == "" {
 		key = r.prefix + key
 	} else {
 		key = ""
 	}
-	r.problems.Add(Origin{"file", r.file, line}, r.schema.Shown(key), "%s", hint(message, text))
-	return r.resume(at)
+	r.problems.Add(Origin{"file", r.file, line}, r.schema.Display(key), "%s", withHint(message, text))
+	return r.nextStart(at)
 }
 
 // lineOf is the number of the line that holds an offset, from 1.
 func (r *tomlReader) lineOf(offset int) int {
-	n, _ := slices.BinarySearch(r.ends, offset)
+	n, _ := slices.BinarySearch(r.lineEnds, offset)
 	return n + 1
 }
 
-// line is the text of the line that holds an offset.
-func (r *tomlReader) line(at int) string {
+// lineText is the text of the line that holds an offset.
+func (r *tomlReader) lineText(at int) string {
 	start := bytes.LastIndexByte(r.raw[:at], '\n') + 1
 	end := bytes.IndexByte(r.raw[at:], '\n')
 	if end < 0 {
@@ -124,11 +124,11 @@
 	return string(r.raw[start : at+end])
 }
 
-// bareKey is what a key without quotes is made of.
-const bareKey = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_-.0123456789"
+// bareKeyChars is what a key without quotes is made of.
+const bareKeyChars = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_-.0123456789"
 
-// hint adds the likely fix to a message of the parser.
-func hint(message, line string) string {
+// withHint adds the likely fix to a message of the parser.
+func withHint(message, line string) string {
 	_, value, set := strings.Cut(line, "=")
 	value = strings.TrimSpace(value)
 	switch {
@@ -140,8 +140,8 @@
 	return message
 }
 
-// resume finds the next line after a broken one that looks like a table or a key.
-func (r *tomlReader) resume(at int) int {
+// nextStart finds the next line after a broken one that looks like a table or a key.
+func (r *tomlReader) nextStart(at int) int {
 	for {
 		end := bytes.IndexByte(r.raw[at:], '\n')
 		if end < 0 {
@@ -156,7 +156,7 @@
 			line = line[:i]
 		}
 		key, _, set := bytes.Cut(line, []byte("="))
-		bare := strings.Trim(string(bytes.TrimSpace(key)), bareKey) == ""
+		bare := strings.Trim(string(bytes.TrimSpace(key)), bareKeyChars) == ""
 		if line[0] == '[' && bytes.Contains(line, []byte("]")) || set && bare {
 			return at
 		}
@@ -164,12 +164,12 @@
 }
 
 func (r *tomlReader) origin(n *unstable.Node) Origin {
-	offset := min(r.base+int(n.Raw.Offset), len(r.raw))
+	offset := min(r.parseOffset+int(n.Raw.Offset), len(r.raw))
 	return Origin{"file", r.file, r.lineOf(offset)}
 }
 
-// key joins the parts of a key and tells where it stands.
-func (r *tomlReader) key(n *unstable.Node) (string, Origin) {
+// joinKey joins the parts of a key and tells where it stands.
+func (r *tomlReader) joinKey(n *unstable.Node) (string, Origin) {
 	var parts []string
 	var o Origin
 	for it := n.Key(); it.Next(); {
@@ -181,73 +181,73 @@
 	return strings.Join(parts, "."), o
 }
 
-func (r *tomlReader) table(n *unstable.Node, listed bool) {
-	name, o := r.key(n)
+func (r *tomlReader) openTable(n *unstable.Node, listed bool) {
+	name, o := r.joinKey(n)
 	_, isList := r.schema.lists[name]
-	r.prefix, r.skip = name+".", true
-	switch before := r.tables[name]; {
+	r.prefix, r.skipTable = name+".", true
+	switch before := r.sectionLines[name]; {
 	case listed && isList:
-		r.prefix = r.begin(name, o) + "."
-	case listed && r.schema.Section(name):
-		r.problems.Add(o, r.schema.Shown(name), "stands once, as [%s], and is no list", name)
+		r.prefix = r.appendTable(name, o) + "."
+	case listed && r.schema.HasSection(name):
+		r.problems.Add(o, r.schema.Display(name), "stands once, as [%s], and is no list", name)
 		return
 	case !listed && isList:
-		r.problems.Add(o, r.schema.Shown(name), "is a list; each of its tables begins with [[%s]]", name)
+		r.problems.Add(o, r.schema.Display(name), "is a list; each of its tables begins with [[%s]]", name)
 		return
-	case !r.schema.Section(name):
-		r.problems.Add(o, r.schema.Shown(name), "is no section%s", r.schema.meantSection(name))
+	case !r.schema.HasSection(name):
+		r.problems.Add(o, r.schema.Display(name), "is no section%s", r.schema.suggestSection(name))
 		return
 	case before > 0:
-		r.problems.Add(o, r.schema.Shown(name), "stands twice, first on line %d", before)
+		r.problems.Add(o, r.schema.Display(name), "stands twice, first on line %d", before)
 		return
 	}
-	r.tables[name] = o.Line
-	r.skip = false
+	r.sectionLines[name] = o.Line
+	r.skipTable = false
 }
 
-// begin begins the next table of a list and returns its path.
-func (r *tomlReader) begin(list string, o Origin) string {
-	n := len(r.out.Tables[list])
-	r.out.Tables[list] = append(r.out.Tables[list], o)
+// appendTable begins the next table of a list and returns its path.
+func (r *tomlReader) appendTable(list string, o Origin) string {
+	n := len(r.layer.Tables[list])
+	r.layer.Tables[list] = append(r.layer.Tables[list], o)
 	return fmt.Sprintf("%s.%d", list, n)
 }
 
 func (r *tomlReader) keyValue(prefix string, n *unstable.Node) {
-	name, o := r.key(n)
-	if r.skip {
+	name, o := r.joinKey(n)
+	if r.skipTable {
 		return
 	}
-	r.value(prefix+name, o, n.Value())
+	r.setValue(prefix+name, o, n.Value())
 }
 
-// value takes a value in; tables and lists of tables written in line are taken apart.
-func (r *tomlReader) value(path string, o Origin, n *unstable.Node) {
-	if before, ok := r.out.Origins[path]; ok {
-		r.problems.Add(o, r.schema.Shown(path), "is set twice, first on line %d", before.Line)
+// setValue takes a value in; tables and lists of tables written in line are taken apart.
+func (r *tomlReader) setValue(path string, o Origin, n *unstable.Node) {
+	if before, ok := r.layer.Origins[path]; ok {
+		r.problems.Add(o, r.schema.Display(path), "is set twice, first on line %d", before.Line)
 		return
 	}
 	_, isList := r.schema.lists[path]
 	switch {
 	case n.Kind == unstable.InlineTable:
 		for it := n.Children(); it.Next(); {
-			name, at := r.key(it.Node())
-			r.value(path+"."+name, at, it.Node().Value())
+			name, at := r.joinKey(it.Node())
+			r.setValue(path+"."+name, at, it.Node().Value())
 		}
 	case n.Kind == unstable.Array && isList:
 		for it := n.Children(); it.Next(); {
 			if it.Node().Kind != unstable.InlineTable {
-				r.problems.Add(o, r.schema.Shown(path), "is a list of tables; each begins with [[%s]]", path)
+				r.problems.Add(o, r.schema.Display(path), "is a list of tables; each begins with [[%s]]", path)
 				return
 			}
-			r.value(r.begin(path, o), o, it.Node())
+			r.setValue(r.appendTable(path, o), o, it.Node())
 		}
 	default:
 		v, err := r.scalar(n)
 		if err != nil {
-			r.problems.Add(o, r.schema.Shown(path), "%v", err)
+			r.problems.Add(o, r.schema.Display(path), "%v", err)
 			return
 		}
-		r.out.Set(path, v, o)
+		r.layer.Set(path, v, o)
 	}
 }
 
--- a/internal/settingsfile/value.go
+++ b/internal/settingsfile/value.go
@@ -12,9 +12,9 @@
 	"github.com/dustin/go-humanize"
 )
 
-// Words is a value that came as text from a variable or a flag, where the form of the file does not tell
+// Text is a value that came as text from a variable or a flag, where the form of the file does not tell
 // a number from a word.
-type Words string
+type Text string
 
 // Decode turns a raw value into the field's type and checks it against the tags. The error says what was
 // found and what is allowed.
@@ -27,17 +27,17 @@
 }
 
 func (f *Field) convert(raw any) (reflect.Value, error) {
-	if w, ok := raw.(Words); ok {
-		raw = f.fromWords(string(w))
+	if w, ok := raw.(Text); ok {
+		raw = f.parseText(string(w))
 	}
 	if v := reflect.ValueOf(raw); v.IsValid() && v.Type() == f.Type {
 		return v, nil // typed already: the platform's
 	}
 	switch {
 	case f.Type == durationType:
-		return unit(raw, "time", `"250ms" or "2s" (units us, ms, s, m, h)`, time.ParseDuration)
+		return parseWithUnit(raw, "time", `"250ms" or "2s" (units us, ms, s, m, h)`, time.ParseDuration)
 	case f.Type == sizeType:
-		return unit(raw, "size", `"64KiB" or "1MiB" (units B, KiB, MiB, GiB, KB, MB, GB)`, parseSize)
+		return parseWithUnit(raw, "size", `"64KiB" or "1MiB" (units B, KiB, MiB, GiB, KB, MB, GB)`, parseSize)
 	}
 	switch f.Type.Kind() {
 	case reflect.Float64:
@@ -60,7 +60,7 @@
 			return reflect.ValueOf(all), nil
 		}
 	}
-	return reflect.Value{}, fmt.Errorf("found %s, %s is wanted", Described(raw), f.Kind())
+	return reflect.Value{}, fmt.Errorf("found %s, %s is wanted", Describe(raw), f.Kind())
 }
 
 func parseSize(s string) (Size, error) {
@@ -71,40 +71,41 @@
 	return Size(n), err
 }
 
-// fromWords reads text that did not come from a file as the kind that the field wants.
-func (f *Field) fromWords(w string) any {
+// parseText reads text that did not come from a file as the kind that the field wants.
+func (f *Field) parseText(text string) any {
 	switch {
 	case f.Type == durationType || f.Type == sizeType:
-		return w
+		return text
 	case f.Type.Kind() == reflect.Slice:
 		list := []any{}
-		for part := range strings.SplitSeq(w, ",") {
+		for part := range strings.SplitSeq(text, ",") {
 			if part = strings.TrimSpace(part); part != "" {
 				list = append(list, part)
 			}
 		}
 		return list
 	case f.Type.Kind() == reflect.Bool:
-		if b, err := strconv.ParseBool(w); err == nil {
+		if b, err := strconv.ParseBool(text); err == nil {
 			return b
 		}
 	case f.Type.Kind() == reflect.Int || f.Type.Kind() == reflect.Float64:
-		if n, err := strconv.ParseInt(w, 10, 64); err == nil {
+		if n, err := strconv.ParseInt(text, 10, 64); err == nil {
 			return n
 		}
-		if x, err := strconv.ParseFloat(w, 64); err == nil {
+		if x, err := strconv.ParseFloat(text, 64); err == nil {
 			return x
 		}
 	}
-	return w
+	return text
 }
 
-// unit reads a value that must carry a unit.
-func unit[T any](raw any, what, examples string, parse func(string) (T, error)) (reflect.Value, error) {
+// parseWithUnit reads a value that must carry a unit.
+func parseWithUnit[T any](raw any, what, examples string,
+	parse func(string) (T, error)) (reflect.Value, error) {
 	s, ok := raw.(string)
 	switch n := strings.Trim(s, "+-.0123456789 "); {
 	case !ok:
-		return reflect.Value{}, fmt.Errorf("found %s, a %s needs a unit: %s", Described(raw), what, examples)
+		return reflect.Value{}, fmt.Errorf("found %s, a %s needs a unit: %s", Describe(raw), what, examples)
 	case n == "":
 		return reflect.Value{}, fmt.Errorf("found %q without a unit, a %s is written %s", s, what, examples)
 	}
@@ -115,8 +116,8 @@
 	return reflect.ValueOf(v), nil
 }
 
-// Described is a raw value as a message names it.
-func Described(raw any) string {
+// Describe is a raw value as a message names it.
+func Describe(raw any) string {
 	switch v := raw.(type) {
 	case string:
 		return strconv.Quote(v)
@@ -133,7 +134,7 @@
 }
 
 func (f *Field) check(v reflect.Value) error {
-	if f.Min != "" && less(v, f.bound(f.Min)) || f.Max != "" && less(f.bound(f.Max), v) {
+	if f.Min != "" && less(v, f.parseBound(f.Min)) || f.Max != "" && less(f.parseBound(f.Max), v) {
 		return fmt.Errorf("%s is out of range, %s is allowed", f.Format(v), f.Allowed())
 	}
 	switch x := v.Interface().(type) {
@@ -156,7 +157,7 @@
 			}
 		}
 		hint := ""
-		if w := Likely(s, f.Enum); w != "" {
+		if w := Closest(s, f.Enum); w != "" {
 			hint = "; did you mean " + w + "?"
 		}
 		return fmt.Errorf("found %q, allowed are %s%s", s, strings.Join(f.Enum, ", "), hint)
@@ -180,12 +181,12 @@
 	return nil
 }
 
-// bound reads a bound of the tags, which are written as in the file; a wrong one is a mistake in this
+// parseBound reads a bound of the tags, which are written as in the file; a wrong one is a mistake in this
 // package.
-func (f *Field) bound(text string) reflect.Value {
-	v, err := f.convert(Words(text))
+func (f *Field) parseBound(text string) reflect.Value {
+	v, err := f.convert(Text(text))
 	if err != nil {
-		panic("keyed: tag of " + f.Path + ": " + err.Error())
+		panic("settingsfile: tag of " + f.Path + ": " + err.Error())
 	}
 	return v
 }
@@ -201,7 +202,7 @@
 func (f *Field) Format(v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case time.Duration:
-		return Short(x)
+		return FormatDuration(x)
 	case Size:
 		return x.String()
 	case []string:
@@ -211,8 +212,8 @@
 	}
 }
 
-// Short writes a time without parts that are zero: 1m0s is 1m.
-func Short(d time.Duration) string {
+// FormatDuration writes a time without parts that are zero: 1m0s is 1m.
+func FormatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
 		s = strings.TrimSuffix(s, "0s")
--- a/internal/simulation/experiment/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -68,7 +68,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var got settingsfile.Problems
+	var got settingsfile.SettingErrors
 	_, err := Load(file, map[string]string{"lod.rate": "1"})
 	if !errors.As(err, &got) {
 		t.Fatal(err)
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -22,7 +22,8 @@
 })
 
 // Load reads a scenario by the path of its file or by the name of a shipped one, with keys set over it, and
-// checks it as strictly as the program's own configuration. The error is keyed.Problems, all of them.
+// checks it as strictly as the program's own configuration. The error is
+// settingsfile.SettingErrors, all of them.
 func Load(name string, set map[string]string) (*proxysim.Scenario, error) {
 	raw, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -32,7 +33,7 @@
 	}
 	b := schema().NewBuilder()
 	if err != nil {
-		b.Problems.Add(settingsfile.At("file", name), "",
+		b.Problems.Add(settingsfile.NewOrigin("file", name), "",
 			"cannot be read, and no shipped scenario has that name: %v", err)
 		return nil, b.Problems.Err()
 	}
@@ -41,16 +42,16 @@
 	b.Add(l)
 	over := settingsfile.NewLayer()
 	for key, value := range set {
-		o := settingsfile.At("flag", "--set "+key)
-		if _, _, _, ok := schema().Generic(key); !ok {
-			b.Problems.Add(o, key, "is no key%s", schema().Meant(key))
+		o := settingsfile.NewOrigin("flag", "--set "+key)
+		if _, _, _, ok := schema().Resolve(key); !ok {
+			b.Problems.Add(o, key, "is no key%s", schema().Suggest(key))
 			continue
 		}
-		over.Set(key, settingsfile.Words(value), o)
+		over.Set(key, settingsfile.Text(value), o)
 	}
 	b.Add(over)
 	sc := &proxysim.Scenario{}
-	b.Into(sc)
+	b.Decode(sc)
 	if len(b.Problems) == 0 {
 		check(sc, b)
 	}
@@ -69,7 +70,7 @@
 				}
 			}
 		}
-		b.Problems.Add(o, schema().Shown(path), format, args...)
+		b.Problems.Add(o, schema().Display(path), format, args...)
 	}
 	if len(sc.Classes) == 0 {
 		tell("class", "is missing; at least one [[class]] with name and work is wanted")
@@ -99,7 +100,7 @@
 	for i, t := range sc.Troubles {
 		if t.What == "hall_loss" && !slices.Contains(sc.Halls, t.Hall) {
 			hint := ""
-			if w := settingsfile.Likely(t.Hall, sc.Halls); w != "" {
+			if w := settingsfile.Closest(t.Hall, sc.Halls); w != "" {
 				hint = "; did you mean " + w + "?"
 			}
 			tell(fmt.Sprintf("trouble.%d.hall", i), "%q is none of halls%s", t.Hall, hint)
@@ -143,7 +144,7 @@
 			fmt.Fprintf(&b, "\n## %s\n\n", name)
 		}
 		def := "default `" + f.Default + "`"
-		if f.Must {
+		if f.Required {
 			def = "must be set"
 		}
 		allowed := f.Allowed()
--- a/internal/simulation/labcli/compare.go
+++ b/internal/simulation/labcli/compare.go
@@ -30,11 +30,11 @@
 				return err
 			}
 			if len(h.Policies) < 2 {
-				return cli.Wrong("--policy names %d, two or more are wanted", len(h.Policies))
+				return cli.UsageErrorf("--policy names %d, two or more are wanted", len(h.Policies))
 			}
 			for _, m := range metrics {
 				if !experiment.Known(m) {
-					return cli.Wrong("--metric %q is none of %s", m, strings.Join(experiment.MetricNames(), ", "))
+					return cli.UsageErrorf("--metric %q is none of %s", m, strings.Join(experiment.MetricNames(), ", "))
 				}
 			}
 			s, err := o.play(c, h)
@@ -59,7 +59,7 @@
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			if !experiment.Known(metric) {
-				return cli.Wrong("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
+				return cli.UsageErrorf("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
 			}
 			a, err := experiment.Read(args[0])
 			if err != nil {
--- a/internal/simulation/labcli/labcli.go
+++ b/internal/simulation/labcli/labcli.go
@@ -77,16 +77,16 @@
 	}
 	for _, p := range h.Policies {
 		if !slices.Contains(proxysim.Policies, p) {
-			return h, cli.Wrong("--policy %q is none of %s", p, strings.Join(proxysim.Policies, ", "))
+			return h, cli.UsageErrorf("--policy %q is none of %s", p, strings.Join(proxysim.Policies, ", "))
 		}
 	}
 	if o.repeat < 1 || o.repeat > 10000 {
-		return h, cli.Wrong("--repeat %d is out of range, 1 to 10000 is allowed", o.repeat)
+		return h, cli.UsageErrorf("--repeat %d is out of range, 1 to 10000 is allowed", o.repeat)
 	}
 	for _, pair := range o.set {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return h, cli.Wrong("--set %q is no KEY=VALUE", pair)
+			return h, cli.UsageErrorf("--set %q is no KEY=VALUE", pair)
 		}
 		h.Set[key] = value
 	}
@@ -281,12 +281,12 @@
 				return err
 			}
 			if len(over) < 1 || len(over) > 2 {
-				return cli.Wrong("--over is wanted once or twice")
+				return cli.UsageErrorf("--over is wanted once or twice")
 			}
 			for _, a := range over {
 				key, values, ok := strings.Cut(a, "=")
 				if !ok || values == "" {
-					return cli.Wrong("--over %q is no KEY=VALUE,VALUE", a)
+					return cli.UsageErrorf("--over %q is no KEY=VALUE,VALUE", a)
 				}
 				h.Over = append(h.Over, experiment.Axis{Key: key, Values: strings.Split(values, ",")})
 			}
--- a/internal/simulation/labcli/rig.go
+++ b/internal/simulation/labcli/rig.go
@@ -61,7 +61,7 @@
 			for _, pair := range set {
 				key, value, ok := strings.Cut(pair, "=")
 				if !ok {
-					return cli.Wrong("--set %q is no KEY=VALUE", pair)
+					return cli.UsageErrorf("--set %q is no KEY=VALUE", pair)
 				}
 				keys[key] = value
 			}
@@ -167,7 +167,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.Rate < 1 || o.Rate > 1_000_000 || o.For <= 0 || o.For > time.Hour || o.Entries < 0 ||
 				o.Entries > 10_000_000 {
-				return cli.Wrong("--rate 1 to 1000000, --for up to 1h and --entries 0 to 10000000 are allowed")
+				return cli.UsageErrorf("--rate 1 to 1000000, --for up to 1h and --entries 0 to 10000000 are allowed")
 			}
 			dir, err := os.MkdirTemp(o.Dir, "cresshub-ledger-")
 			if err != nil {
--- a/internal/simulation/labcli/righerd.go
+++ b/internal/simulation/labcli/righerd.go
@@ -24,7 +24,7 @@
 			var rows []*clusterrig.Herd
 			for _, n := range members {
 				if n < 3 || n > 48 {
-					return cli.Wrong("--members 3 to 48 are allowed")
+					return cli.UsageErrorf("--members 3 to 48 are allowed")
 				}
 				err := withRig(program, dir, func(ctx context.Context, o clusterrig.Options) error {
 					h, err := clusterrig.TryHerd(ctx, o, n)
@@ -70,7 +70,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			if members < 3 || members > 30 || clients < 1 || clients > 256 || every < time.Second ||
 				lasting < every || lasting > 24*time.Hour {
-				return cli.Wrong("--members 3 to 30, --clients 1 to 256 and --every from 1s to --for are allowed")
+				return cli.UsageErrorf("--members 3 to 30, --clients 1 to 256 and --every from 1s to --for are allowed")
 			}
 			return withRig(program, dir, func(ctx context.Context, o clusterrig.Options) error {
 				all, err := clusterrig.Soak(ctx, o, members, clients, lasting, every)
--- a/internal/simulation/labcli/rigowner.go
+++ b/internal/simulation/labcli/rigowner.go
@@ -53,7 +53,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.Members < 4 || o.Members > 30 || min(o.Pauses, o.Cuts, o.Kills) < 0 ||
 				o.Pauses+o.Cuts+o.Kills > 10_000 {
-				return cli.Wrong("--members 4 to 30 and 10000 faults at most are allowed")
+				return cli.UsageErrorf("--members 4 to 30 and 10000 faults at most are allowed")
 			}
 			return withRig(program, dir, func(ctx context.Context, ro clusterrig.Options) error {
 				t, err := clusterrig.TryOwners(ctx, ro, o)
@@ -89,7 +89,7 @@
 			var rows []*clusterrig.ListCalls
 			for _, n := range members {
 				if n < 3 || n > 30 {
-					return cli.Wrong("--members 3 to 30 are allowed")
+					return cli.UsageErrorf("--members 3 to 30 are allowed")
 				}
 				for _, owned := range []bool{false, true} {
 					err := withRig(program, dir, func(ctx context.Context, o clusterrig.Options) error {
@@ -133,13 +133,13 @@
 			for _, trial := range trials {
 				for _, n := range members {
 					if n < 3 || n > 10000 {
-						return cli.Wrong("--members 3 to 10000 are allowed")
+						return cli.UsageErrorf("--members 3 to 10000 are allowed")
 					}
 					for _, owned := range []bool{false, true} {
 						o.Proxies, o.Owner = n, owned
 						r, err := proxysim.ListsTrial(trial, o)
 						if err != nil {
-							return cli.Wrong("--trial %v", err)
+							return cli.UsageErrorf("--trial %v", err)
 						}
 						rows = append(rows, r)
 					}
--- a/internal/simulation/labcli/swim.go
+++ b/internal/simulation/labcli/swim.go
@@ -26,19 +26,19 @@
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(repeat) != 1 && len(repeat) != len(members) {
-				return cli.Wrong("--repeat takes one count, or one for each of --members")
+				return cli.UsageErrorf("--repeat takes one count, or one for each of --members")
 			}
 			var rows []proxysim.SWIMResult
 			for _, trial := range trials {
 				for i, n := range members {
 					times := repeat[min(i, len(repeat)-1)]
 					if n < 3 || n > 10000 || times < 1 || times > 1000 {
-						return cli.Wrong("--members 3 to 10000 and --repeat 1 to 1000 are allowed")
+						return cli.UsageErrorf("--members 3 to 10000 and --repeat 1 to 1000 are allowed")
 					}
 					o.Members = n
 					r, err := proxysim.SWIMTrial(trial, o, times)
 					if err != nil {
-						return cli.Wrong("--trial %v", err)
+						return cli.UsageErrorf("--trial %v", err)
 					}
 					rows = append(rows, r)
 				}
--- a/internal/simulation/labcli/tools.go
+++ b/internal/simulation/labcli/tools.go
@@ -106,7 +106,7 @@
 				return err
 			}
 			if request < 1 {
-				return cli.Wrong("--request %d is out of range, they count from 1", request)
+				return cli.UsageErrorf("--request %d is out of range, they count from 1", request)
 			}
 			d, err := experiment.Play(h.Scenario, h.Set, experiment.Job{Policy: h.Policies[0], Seed: h.Seed, K: h.K,
 				Lambda: h.Lambda},
@@ -171,13 +171,13 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			host, _, err := net.SplitHostPort(args[0])
 			if err != nil {
-				return cli.Wrong("%q is no address; one is written 127.0.0.1:8080", args[0])
+				return cli.UsageErrorf("%q is no address; one is written 127.0.0.1:8080", args[0])
 			}
 			if ip := net.ParseIP(host); !anywhere && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-				return cli.Wrong("%s is not on this machine; --anywhere allows it", host)
+				return cli.UsageErrorf("%s is not on this machine; --anywhere allows it", host)
 			}
 			if !(o.Rate > 0 && o.Rate <= 20000) || lasting <= 0 || lasting > time.Hour || unsafe < 0 || unsafe > 1 {
-				return cli.Wrong("--rate above 0 to 20000, --for above 0 to 1h and --unsafe 0 to 1 are allowed")
+				return cli.UsageErrorf("--rate above 0 to 20000, --for above 0 to 1h and --unsafe 0 to 1 are allowed")
 			}
 			o.Address = args[0]
 			o.Classes = []proxystandin.LoadClass{
--- a/internal/testbed/clusterrig/scenario.go
+++ b/internal/testbed/clusterrig/scenario.go
@@ -127,12 +127,13 @@
 	return raw, err
 }
 
-// Load reads a scenario with keys set over it and checks it. The error is keyed.Problems, all of them.
+// Load reads a scenario with keys set over it and checks it. The error is
+// settingsfile.SettingErrors, all of them.
 func Load(name string, set map[string]string) (*Scenario, error) {
 	b := schema().NewBuilder()
 	raw, err := Text(name)
 	if err != nil {
-		b.Problems.Add(settingsfile.At("file", name), "",
+		b.Problems.Add(settingsfile.NewOrigin("file", name), "",
 			"cannot be read, and no shipped scenario has that name: %v", err)
 		return nil, b.Problems.Err()
 	}
@@ -141,11 +142,11 @@
 	b.Add(l)
 	over := settingsfile.NewLayer()
 	for key, value := range set {
-		over.Set(key, settingsfile.Words(value), settingsfile.At("flag", "--set "+key))
+		over.Set(key, settingsfile.Text(value), settingsfile.NewOrigin("flag", "--set "+key))
 	}
 	b.Add(over)
 	sc := &Scenario{}
-	b.Into(sc)
+	b.Decode(sc)
 	if len(b.Problems) == 0 {
 		sc.check(b)
 	}
@@ -162,7 +163,7 @@
 			if o.Source == "default" { // a key that is not there: told at the step's deed
 				o = b.Origins[fmt.Sprintf("step.%d.do", i)]
 			}
-			b.Problems.Add(o, schema().Shown(path), format, args...)
+			b.Problems.Add(o, schema().Display(path), format, args...)
 		}
 		if !slices.Contains(deeds, s.Do) {
 			tell("do", "%q is none of %s", s.Do, strings.Join(deeds, ", "))
