--- /dev/null
+++ b/balance/parsereport.go
@@ -0,0 +1,28 @@
+package balance
+
+// maxReportedValue is the highest value that a report can have.
+const maxReportedValue = 1e9
+
+// parseReport finds the requests in flight and queued in a load report. A report with an absurd value is
+// dropped altogether; where it has only one of the two, that one stands for the requests in flight.
+func parseReport(fields []ReportField, values []float64) (inFlight, queued float64, ok bool) {
+	if len(values) < len(fields) {
+		return 0, 0, false
+	}
+	hasInFlight := false
+	for i, field := range fields {
+		if !(values[i] >= 0 && values[i] <= maxReportedValue) {
+			return 0, 0, false
+		}
+		switch field {
+		case FieldInFlight:
+			inFlight, hasInFlight, ok = values[i], true, true
+		case FieldQueued:
+			queued, ok = values[i], true
+		}
+	}
+	if !hasInFlight {
+		inFlight = queued
+	}
+	return inFlight, queued, ok
+}
--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -83,44 +83,44 @@
 		hall = s.ZoneNames[s.Zone]
 	}
 	from, mode, by := "probe", "told", "request"
-	if s.ReportAnswers {
+	if s.ReportsInResponses {
 		from = "answers"
 	}
 	if s.MustFollow {
 		mode = "ask"
 	}
-	if s.WorthByWork {
+	if s.ValuePerWork {
 		by = "work"
 	}
 	for key, v := range map[string]any{
 		"halls": s.ZoneNames, "kinds": s.KindNames, "policy.report": s.ReportNames,
-		"discovery.mode": mode, "discovery.ask_within": s.AskWithin,
+		"discovery.mode": mode, "discovery.ask_within": s.RegistryInterval,
 		"upstream.dial": s.DialTimeout, "upstream.idle_close": s.IdleClose,
 		"policy.rank": s.Rank, "policy.instances": s.Peers, "policy.hall": hall, "policy.tick": s.Tick,
 		"policy.attempts": s.MaxAttempts, "policy.probes": s.MayProbe, "policy.cancel": s.MayCancel,
-		"policy.duplicate": s.MayDuplicate, "policy.tell_wait": s.TellsBackoff, "policy.max_wait": s.MaxBackoff,
-		"policy.warm_keys": s.WarmKeys, "policy.report_from": from, "policy.worth_by": by,
-		"policy.over_share_worth": s.OverShareWorth, "policy.answer_slack": s.AnswerSlack,
-		"drain.grace": s.DrainGrace, "cold.start": s.ColdStart, "cold.warm_after": s.ColdFor,
-		"cold.fall_multiple": s.FallMultiple, "cold.fall_after": s.FallAfter,
-		"prices.cross_hall": s.Prices.CrossZone, "prices.probe": s.Prices.Probe, "prices.waste": s.Prices.Waste,
-		"prices.late_fail": s.Prices.LateFail,
+		"policy.duplicate": s.MayHedge, "policy.tell_wait": s.SendsRetryAfter, "policy.max_wait": s.MaxRetryAfter,
+		"policy.warm_keys": s.KeyAffinity, "policy.report_from": from, "policy.worth_by": by,
+		"policy.over_share_worth": s.OverQuotaValue, "policy.answer_slack": s.ResponseGrace,
+		"drain.grace": s.DrainGrace, "cold.start": s.SlowStartMin, "cold.warm_after": s.SlowStartWindow,
+		"cold.fall_multiple": s.CollapseMultiple, "cold.fall_after": s.CollapseAfter,
+		"prices.cross_hall": s.Costs.CrossZone, "prices.probe": s.Costs.Probe, "prices.waste": s.Costs.Waste,
+		"prices.late_fail": s.Costs.LateFail,
 	} {
 		put(key, v)
 	}
 	for i, k := range s.Classes {
 		for key, v := range map[string]any{
-			"name": s.ClassNames[i], "aim": k.Aim, "aim_stretch": k.AimStretch, "deadline": k.Deadline,
-			"effect": keyOf(simwire.Effects, k.Effect), "group": keyOf(simwire.Groups, k.Group),
-			"window": k.Window,
-			"worth":  k.Worth, "late_worth": k.LateWorth, "stream": k.Stream,
+			"name": s.ClassNames[i], "aim": k.LatencyTarget, "aim_stretch": k.TargetPerWork, "deadline": k.Deadline,
+			"effect": keyOf(simwire.Effects, k.Effect), "group": keyOf(simwire.Groups, k.DedupScope),
+			"window": k.DedupWindow,
+			"worth":  k.Value, "late_worth": k.LateValue, "stream": k.Stream,
 		} {
 			put(fmt.Sprintf("class.%d.%s", i, key), v)
 		}
 	}
 	for i, t := range s.Tenants {
 		put(fmt.Sprintf("tenant.%d.name", i), s.TenantNames[i])
-		put(fmt.Sprintf("tenant.%d.share", i), t.Share)
+		put(fmt.Sprintf("tenant.%d.share", i), t.Fraction)
 		put(fmt.Sprintf("tenant.%d.quota", i), t.QuotaPerSec)
 	}
 }
@@ -134,48 +134,54 @@
 	return ""
 }
 
-// Settings is what the decisions are told, with the names and figures that the sockets need beside.
+// Settings returns the balancer's settings, with the names and figures that the sockets need beside.
 func (c *Config) Settings() simwire.Settings {
-	p := &c.Policy
 	s := simwire.Settings{
-		Settings: balance.Settings{
-			Seed: c.RandomSeed(), Rank: p.Rank, Peers: p.Instances, Zone: c.hallIndex(), Tick: p.Tick,
-			Prices: balance.Prices{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
-				LateFail: c.Prices.LateFail},
-			OverShareWorth: p.OverShareValue, WorthByWork: p.ValueBy == "work",
-			MustFollow: c.Discovery.Mode == "ask" && c.Discovery.Address != "", AskWithin: c.Discovery.AskWithin,
-			DrainGrace: c.Drain.Grace, AnswerSlack: p.AnswerSlack,
-			ColdStart: c.SlowStart.StartFraction, ColdFor: c.SlowStart.Duration,
-			FallMultiple: c.SlowStart.FallMultiple, FallAfter: c.SlowStart.FallAfter,
-			MaxAttempts: p.MaxAttempts, MayProbe: p.MayProbe, MayCancel: p.MayCancel, MayDuplicate: p.MayDuplicate,
-			TellsBackoff: p.SendRetryAfter, MaxBackoff: p.MaxRetryAfter,
-			DialTimeout: c.Upstream.DialTimeout, WarmKeys: p.WarmKeys,
-			ReportAnswers: p.ReportFrom == "answers",
-		},
-		ZoneNames: c.Halls, KindNames: c.Kinds, IdleClose: c.Upstream.IdleClose,
+		Settings: c.balanceSettings(), ZoneNames: c.Halls, KindNames: c.Kinds, IdleClose: c.Upstream.IdleClose,
 	}
 	for _, k := range c.Classes {
 		s.ClassNames = append(s.ClassNames, k.Name)
 		s.Classes = append(s.Classes, balance.Class{
-			Aim: k.LatencyTarget, AimStretch: k.TargetStretch, Deadline: k.Deadline, Effect: simwire.Effects[k.Effect],
-			Group: simwire.Groups[k.DedupGroup], Window: k.DedupWindow, Worth: k.Value, LateWorth: k.LateValue,
-			Stream: k.Stream,
+			LatencyTarget: k.LatencyTarget, TargetPerWork: k.TargetPerWork, Deadline: k.Deadline,
+			Effect: simwire.Effects[k.Effect], DedupScope: simwire.Groups[k.DedupScope], DedupWindow: k.DedupWindow,
+			Value: k.Value, LateValue: k.LateValue, Stream: k.Stream,
 		})
 	}
 	for _, t := range c.Tenants {
 		s.TenantNames = append(s.TenantNames, t.Name)
-		s.Tenants = append(s.Tenants, balance.Tenant{Share: t.Share, QuotaPerSec: t.Quota})
+		s.Tenants = append(s.Tenants, balance.Tenant{Fraction: t.Share, QuotaPerSec: t.Quota})
 	}
-	if p.ReportFrom == "none" {
+	if c.Policy.ReportFrom == "none" {
 		return s
 	}
-	for _, w := range p.Report {
-		s.Report = append(s.Report, simwire.Fields[w])
+	for _, w := range c.Policy.Report {
+		s.ReportFields = append(s.ReportFields, simwire.Fields[w])
 		s.ReportNames = append(s.ReportNames, w)
 	}
 	return s
 }
 
+// balanceSettings returns the single values of the balancer's settings; classes, tenants and the fields of a
+// load report come beside their names.
+func (c *Config) balanceSettings() balance.Settings {
+	p, w := &c.Policy, &c.SlowStart
+	return balance.Settings{
+		Seed: c.RandomSeed(), Rank: p.Rank, Peers: p.Instances, Zone: c.hallIndex(), Tick: p.Tick,
+		Costs: balance.Costs{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
+			LateFail: c.Prices.LateFail},
+		OverQuotaValue: p.OverQuotaValue, ValuePerWork: p.ValuedBy == "work",
+		MustFollow:       c.Discovery.Mode == "ask" && c.Discovery.Address != "",
+		RegistryInterval: c.Discovery.AskWithin,
+		DrainGrace:       c.Drain.Grace, ResponseGrace: p.ResponseGrace,
+		SlowStartMin: w.MinFraction, SlowStartWindow: w.Window,
+		CollapseMultiple: w.CollapseMultiple, CollapseAfter: w.CollapseAfter,
+		MaxAttempts: p.MaxAttempts, MayProbe: p.MayProbe, MayCancel: p.MayCancel, MayHedge: p.MayHedge,
+		SendsRetryAfter: p.SendRetryAfter, MaxRetryAfter: p.MaxRetryAfter,
+		DialTimeout: c.Upstream.DialTimeout, KeyAffinity: p.WarmKeys,
+		ReportsInResponses: p.ReportFrom == "answers",
+	}
+}
+
 // DialLimit is how long a connection may take to stand.
 func (u *Upstream) DialLimit() time.Duration {
 	if u.DialTimeout <= 0 {
--- a/internal/proxy/config/sections.go
+++ b/internal/proxy/config/sections.go
@@ -134,8 +134,8 @@
 	_         about `doc:"attempts may be given up by closing their connection"`
 	MayCancel bool  `key:"cancel" default:"true"`
 
-	_            about `doc:"what may be repeated may have two attempts out at once"`
-	MayDuplicate bool  `key:"duplicate" default:"true"`
+	_        about `doc:"what may be repeated may have two attempts out at once"`
+	MayHedge bool  `key:"duplicate" default:"true"`
 
 	_              about `doc:"refusals carry Retry-After"`
 	SendRetryAfter bool  `key:"tell_wait" default:"true"`
@@ -153,13 +153,13 @@
 	ReportFrom string `key:"report_from" default:"probe" enum:"probe|answers|none"`
 
 	_              about   `doc:"worth of a request beyond its tenant's share, as a part of its class's"`
-	OverShareValue float64 `key:"over_share_worth" default:"0.1" min:"0"`
+	OverQuotaValue float64 `key:"over_share_worth" default:"0.1" min:"0"`
 
-	_       about  `doc:"what a class's worth counts for"`
-	ValueBy string `key:"worth_by" default:"request" enum:"request|work"`
+	_        about  `doc:"what a class's worth counts for"`
+	ValuedBy string `key:"worth_by" default:"request" enum:"request|work"`
 
-	_           about         `doc:"how long after its deadline an answer still counts"`
-	AnswerSlack time.Duration `key:"answer_slack" default:"50ms" min:"0s" max:"1m"`
+	_             about         `doc:"how long after its deadline an answer still counts"`
+	ResponseGrace time.Duration `key:"answer_slack" default:"50ms" min:"0s" max:"1m"`
 }
 
 // Drain is the rule on servers that leave.
@@ -170,17 +170,17 @@
 
 // SlowStart is the rule on servers that have just started.
 type SlowStart struct {
-	_             about   `doc:"part of its capacity that a server starts with, at least"`
-	StartFraction float64 `key:"start" default:"0.12" min:"0" max:"1"`
+	_           about   `doc:"part of its capacity that a server starts with, at least"`
+	MinFraction float64 `key:"start" default:"0.12" min:"0" max:"1"`
 
-	_        about         `doc:"it is warm after this"`
-	Duration time.Duration `key:"warm_after" default:"23s" min:"0s" max:"1h"`
+	_      about         `doc:"it is warm after this"`
+	Window time.Duration `key:"warm_after" default:"23s" min:"0s" max:"1h"`
 
-	_            about   `doc:"more than this multiple of its present capacity"`
-	FallMultiple float64 `key:"fall_multiple" default:"4" min:"0"`
+	_                about   `doc:"more than this multiple of its present capacity"`
+	CollapseMultiple float64 `key:"fall_multiple" default:"4" min:"0"`
 
-	_         about         `doc:"for so long, and it falls over"`
-	FallAfter time.Duration `key:"fall_after" default:"1500ms" min:"0s" max:"1h"`
+	_             about         `doc:"for so long, and it falls over"`
+	CollapseAfter time.Duration `key:"fall_after" default:"1500ms" min:"0s" max:"1h"`
 }
 
 // Prices are what costs service, as parts of the worth offered.
@@ -231,7 +231,7 @@
 	LatencyTarget time.Duration `key:"aim" min:"1us" max:"24h"`
 
 	_             about   `doc:"the aim grows by this many times the request's expected work"`
-	TargetStretch float64 `key:"aim_stretch" default:"0" min:"0"`
+	TargetPerWork float64 `key:"aim_stretch" default:"0" min:"0"`
 
 	_        about         `doc:"how long a client waits over all its tries"`
 	Deadline time.Duration `key:"deadline" min:"1us" max:"24h"`
@@ -240,7 +240,7 @@
 	Effect string `key:"effect" enum:"idempotent|deduplicated|at_most_once"`
 
 	_          about  `doc:"servers that drop each other's repeats, where deduplicated"`
-	DedupGroup string `key:"group" default:"all" enum:"all|zone|cell"`
+	DedupScope string `key:"group" default:"all" enum:"all|zone|cell"`
 
 	_           about         `doc:"how long repeats are dropped"`
 	DedupWindow time.Duration `key:"window" default:"0s" min:"0s" max:"24h"`
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -111,7 +111,7 @@
 	}
 	var servers []dispatch.Server
 	if known != nil {
-		if servers, err = p.discovery.Known(known); err != nil {
+		if servers, err = p.discovery.Restore(known); err != nil {
 			return nil, fmt.Errorf("the list of known servers: %w", err)
 		}
 	}
@@ -156,7 +156,7 @@
 		return false, "sending clients away"
 	case !p.handover.serving.Load():
 		return false, "not taking clients yet"
-	case p.discovery.Held() == 0:
+	case p.discovery.Listed() == 0:
 		return false, "no list of servers yet"
 	}
 	return true, ""
@@ -170,7 +170,7 @@
 
 // Gauges are figures that are true now. What drains is listed and gets nothing, so it counts as skipped.
 func (p *Proxy) Gauges() map[string]int {
-	known := p.discovery.Held()
+	known := p.discovery.Listed()
 	return map[string]int{
 		"known_zone_servers": known, "skipped_zone_servers": known - p.discovery.InService() + p.decider.Avoided(),
 	}
@@ -236,10 +236,10 @@
 }
 
 func listLimits(cfg *config.Config) discovery.Limits {
-	l := discovery.Limits{Silence: cfg.Discovery.WatchTimeout, MaxList: int(cfg.Discovery.MaxList)}
+	l := discovery.Limits{WatchTimeout: cfg.Discovery.WatchTimeout, MaxListBytes: int(cfg.Discovery.MaxList)}
 	if cfg.Discovery.Mode == "told" && cfg.Discovery.Address != "" {
 		// What discovery has binds from then on: a drain has to be heard well within its grace.
-		l.Again = max(cfg.Drain.Grace/4, 20*time.Millisecond)
+		l.MaxReopenDelay = max(cfg.Drain.Grace/4, 20*time.Millisecond)
 	}
 	return l
 }
--- a/internal/proxy/ingress/window_test.go
+++ b/internal/proxy/ingress/window_test.go
@@ -12,12 +12,12 @@
 
 // Servers drop a repeat within a window only. A repeat that was decided in time and has its first byte later,
 // because its connection came up late or its goroutine had to wait, is not written.
-func TestRepeatBeginsWithinTheWindow(t *testing.T) {
+func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	for _, late := range []bool{false, true} {
 		r := newRig(t, func(s *balance.Settings) {
 			c := &s.Classes[1]
-			c.Effect, c.Window, c.Group = balance.Deduplicated, window, balance.GroupAll
+			c.Effect, c.DedupWindow, c.DedupScope = balance.Deduplicated, window, balance.DedupFleet
 		})
 		first := make(chan time.Time, 1) // when it came to its first server, which breaks off
 		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
--- a/internal/proxy/simwire/encode.go
+++ b/internal/proxy/simwire/encode.go
@@ -45,7 +45,7 @@
 		e.openAction(`{"Withdraw":{"sidecar":`, sidecar)
 		e.writeText(`,"tid":`, a.ID)
 		e.writeUint(`,"attempt":`, uint64(a.Attempt))
-	case balance.Refuse:
+	case balance.Reject:
 		e.openAction(`{"Busy":{"sidecar":`, sidecar)
 		e.writeText(`,"tid":`, a.ID)
 		if a.Wait > 0 {
--- a/internal/proxy/simwire/settings.go
+++ b/internal/proxy/simwire/settings.go
@@ -17,16 +17,16 @@
 }
 
 // Groups are the words for who drops each other's repeats.
-var Groups = map[string]balance.Group{
-	"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
+var Groups = map[string]balance.DedupScope{
+	"all": balance.DedupFleet, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
 // Fields are the words for the values of a load report that decisions read; any other word is passed over.
-var Fields = map[string]balance.Field{
-	"active": balance.FieldHeld, "waiting": balance.FieldWaiting, "cpu": balance.FieldUtil,
+var Fields = map[string]balance.ReportField{
+	"active": balance.FieldInFlight, "waiting": balance.FieldQueued, "cpu": balance.FieldUtilization,
 }
 
-// fieldDecoder returns a function that reads one value into a field of the settings.
+// fieldDecoder reads one value into the variable that it was made for.
 type fieldDecoder func(*jx.Decoder) error
 
 func decodeInto[T any](to *T, read func(*jx.Decoder) (T, error)) fieldDecoder {
@@ -42,7 +42,20 @@
 func millisInto(to *time.Duration) fieldDecoder { return decodeInto(to, decodeMillis) }
 func textInto(to *string) fieldDecoder          { return decodeInto(to, (*jx.Decoder).Str) }
 
-// appendTo appends one word of a list.
+// wordInto reads one of a fixed set of words.
+func wordInto[T any](to *T, words map[string]T) fieldDecoder {
+	return decodeInto(to, func(j *jx.Decoder) (T, error) { return decodeWord(j, words) })
+}
+
+// equalsInto reads whether a text is a given word.
+func equalsInto(to *bool, word string) fieldDecoder {
+	return decodeInto(to, func(j *jx.Decoder) (bool, error) {
+		b, err := j.StrBytes()
+		return string(b) == word, err
+	})
+}
+
+// appendTo appends one text to a list.
 func appendTo(to *[]string) fieldDecoder {
 	return func(j *jx.Decoder) error {
 		w, err := j.Str()
@@ -51,35 +64,36 @@
 	}
 }
 
-func equalsInto(to *bool, w string) fieldDecoder {
-	return decodeInto(to, func(j *jx.Decoder) (bool, error) { return equals(j, w) })
+// arrayOf calls each for every element of an array.
+func arrayOf(each fieldDecoder) fieldDecoder {
+	return func(j *jx.Decoder) error { return j.Arr(each) }
 }
 
-func equals(j *jx.Decoder, w string) (bool, error) {
-	b, err := j.StrBytes()
-	return string(b) == w, err
+// objectOf reads the named values of an object.
+func objectOf(fields map[string]fieldDecoder) fieldDecoder {
+	return func(j *jx.Decoder) error { return decodeObject(j, fields) }
 }
 
 // decodeObject reads the named values of an object and skips all others.
-func decodeObject(j *jx.Decoder, by map[string]fieldDecoder) error {
+func decodeObject(j *jx.Decoder, fields map[string]fieldDecoder) error {
 	return j.ObjBytes(func(j *jx.Decoder, key []byte) error {
-		read, ok := by[string(key)]
+		decode, ok := fields[string(key)]
 		if !ok {
 			return j.Skip()
 		}
-		return withField(read(j), string(key))
+		return withField(decode(j), string(key))
 	})
 }
 
-// Settings are all that the settings tell: what the balancer reads of them, and the names and figures
-// that a program on real sockets needs beside.
+// Settings are the settings of one instance: what the balancer reads of them, and the names and figures that
+// a program on real sockets needs beside. Each list of names has the order that numbers its items.
 type Settings struct {
 	balance.Settings
 	ClassNames  []string
 	TenantNames []string
 	ZoneNames   []string
 	KindNames   []string
-	ReportNames []string      // the words for Report
+	ReportNames []string      // the words for ReportFields
 	IdleClose   time.Duration // servers close a connection that has been idle for so long
 }
 
@@ -94,80 +108,103 @@
 
 func decodeSettings(j *jx.Decoder) (Settings, error) {
 	s := Settings{Settings: balance.Settings{MaxAttempts: 1}}
-	source := ""
-	nested := func(by map[string]fieldDecoder) fieldDecoder {
-		return func(j *jx.Decoder) error { return decodeObject(j, by) }
-	}
-	array := func(each func(*jx.Decoder) error) fieldDecoder {
-		return func(j *jx.Decoder) error { return j.Arr(each) }
-	}
 	err := decodeObject(j, map[string]fieldDecoder{
-		"balancers": countInto(&s.Peers), "rank": countInto(&s.Rank), "locality": countInto(&s.Zone),
-		"tick-ms": millisInto(&s.Tick), "over-share-worth": floatInto(&s.OverShareWorth),
-		"counted-by": equalsInto(&s.WorthByWork, "work"), "registry-mode": equalsInto(&s.MustFollow, "on_request"),
-		"grades": array(func(j *jx.Decoder) error {
-			c, name, err := decodeClass(j)
-			s.Classes = append(s.Classes, c)
-			s.ClassNames = append(s.ClassNames, name)
-			return err
-		}),
-		"tenants": array(func(j *jx.Decoder) error {
-			var t balance.Tenant
-			var name string
-			err := decodeObject(j, map[string]fieldDecoder{
-				"quota-per-s": floatInto(&t.QuotaPerSec), "portion": floatInto(&t.Share), "name": textInto(&name),
-			})
-			s.Tenants = append(s.Tenants, t)
-			s.TenantNames = append(s.TenantNames, name)
-			return err
-		}),
-		"deductions": nested(map[string]fieldDecoder{
-			"cross-zone": floatInto(&s.Prices.CrossZone), "probe": floatInto(&s.Prices.Probe),
-			"waste":     floatInto(&s.Prices.Waste),
-			"late-fail": floatInto(&s.Prices.LateFail),
-		}),
-		"azs":   array(appendTo(&s.ZoneNames)),
-		"kinds": array(appendTo(&s.KindNames)),
-		"extra": nested(map[string]fieldDecoder{"warm-keys": boolInto(&s.WarmKeys)}),
-		"invariants": nested(map[string]fieldDecoder{
-			"answer-slack-ms": millisInto(&s.AnswerSlack), "ask-within-ms": millisInto(&s.AskWithin),
-			"cold-ms": millisInto(&s.ColdFor), "fall-multiple": floatInto(&s.FallMultiple),
-			"start-capacity": floatInto(&s.ColdStart), "stop-sending-within-ms": millisInto(&s.DrainGrace),
-			"tip-after-ms": millisInto(&s.FallAfter),
-		}),
-		"limits": nested(map[string]fieldDecoder{
-			"cancel": boolInto(&s.MayCancel), "dial-timeout-ms": millisInto(&s.DialTimeout),
-			"idle-close-ms": millisInto(&s.IdleClose), "max-attempts": countInto(&s.MaxAttempts),
-			"max-retry-after-ms": millisInto(&s.MaxBackoff),
-			"may-duplicate":      boolInto(&s.MayDuplicate),
-			"probes":             boolInto(&s.MayProbe), "retry-after": boolInto(&s.TellsBackoff),
-		}),
-		"report": nested(map[string]fieldDecoder{
-			"fields": array(func(j *jx.Decoder) error {
-				b, err := j.StrBytes()
-				s.Report = append(s.Report, Fields[string(b)])
-				s.ReportNames = append(s.ReportNames, string(b))
-				return err
-			}),
-			"source": decodeInto(&source, (*jx.Decoder).Str),
+		"balancers":        countInto(&s.Peers),
+		"rank":             countInto(&s.Rank),
+		"locality":         countInto(&s.Zone),
+		"tick-ms":          millisInto(&s.Tick),
+		"over-share-worth": floatInto(&s.OverQuotaValue),
+		"counted-by":       equalsInto(&s.ValuePerWork, "work"),
+		"registry-mode":    equalsInto(&s.MustFollow, "on_request"),
+		"grades":           arrayOf(s.decodeClass),
+		"tenants":          arrayOf(s.decodeTenant),
+		"azs":              arrayOf(appendTo(&s.ZoneNames)),
+		"kinds":            arrayOf(appendTo(&s.KindNames)),
+		"deductions":       objectOf(s.costFields()),
+		"extra":            objectOf(map[string]fieldDecoder{"warm-keys": boolInto(&s.KeyAffinity)}),
+		"invariants":       objectOf(s.ruleFields()),
+		"limits":           objectOf(s.limitFields()),
+		"report": objectOf(map[string]fieldDecoder{
+			"fields": arrayOf(s.decodeReportField),
+			"source": equalsInto(&s.ReportsInResponses, "answers"),
 		}),
 	})
-	s.ReportAnswers = source == "answers"
 	if err == nil && len(s.Classes) == 0 {
 		err = fmt.Errorf("field %q is missing or empty", "grades")
 	}
 	return s, err
 }
 
-func decodeClass(j *jx.Decoder) (c balance.Class, name string, err error) {
-	err = decodeObject(j, map[string]fieldDecoder{
-		"aim-ms": millisInto(&c.Aim), "aim-stretch": floatInto(&c.AimStretch),
+func (s *Settings) costFields() map[string]fieldDecoder {
+	return map[string]fieldDecoder{
+		"cross-zone": floatInto(&s.Costs.CrossZone),
+		"probe":      floatInto(&s.Costs.Probe),
+		"waste":      floatInto(&s.Costs.Waste),
+		"late-fail":  floatInto(&s.Costs.LateFail),
+	}
+}
+
+func (s *Settings) ruleFields() map[string]fieldDecoder {
+	return map[string]fieldDecoder{
+		"answer-slack-ms":        millisInto(&s.ResponseGrace),
+		"ask-within-ms":          millisInto(&s.RegistryInterval),
+		"stop-sending-within-ms": millisInto(&s.DrainGrace),
+		"start-capacity":         floatInto(&s.SlowStartMin),
+		"cold-ms":                millisInto(&s.SlowStartWindow),
+		"fall-multiple":          floatInto(&s.CollapseMultiple),
+		"tip-after-ms":           millisInto(&s.CollapseAfter),
+	}
+}
+
+func (s *Settings) limitFields() map[string]fieldDecoder {
+	return map[string]fieldDecoder{
+		"max-attempts":       countInto(&s.MaxAttempts),
+		"may-duplicate":      boolInto(&s.MayHedge),
+		"cancel":             boolInto(&s.MayCancel),
+		"probes":             boolInto(&s.MayProbe),
+		"retry-after":        boolInto(&s.SendsRetryAfter),
+		"max-retry-after-ms": millisInto(&s.MaxRetryAfter),
+		"dial-timeout-ms":    millisInto(&s.DialTimeout),
+		"idle-close-ms":      millisInto(&s.IdleClose),
+	}
+}
+
+func (s *Settings) decodeClass(j *jx.Decoder) error {
+	var c balance.Class
+	var name string
+	err := decodeObject(j, map[string]fieldDecoder{
+		"name":        textInto(&name),
+		"aim-ms":      millisInto(&c.LatencyTarget),
+		"aim-stretch": floatInto(&c.TargetPerWork),
 		"deadline-ms": millisInto(&c.Deadline),
-		"late-worth":  floatInto(&c.LateWorth), "value": floatInto(&c.Worth), "window-ms": millisInto(&c.Window),
-		"stream": boolInto(&c.Stream), "name": textInto(&name),
-		"effect": decodeInto(&c.Effect,
-			func(j *jx.Decoder) (balance.Effect, error) { return decodeWord(j, Effects) }),
-		"group": decodeInto(&c.Group, func(j *jx.Decoder) (balance.Group, error) { return decodeWord(j, Groups) }),
+		"value":       floatInto(&c.Value),
+		"late-worth":  floatInto(&c.LateValue),
+		"effect":      wordInto(&c.Effect, Effects),
+		"group":       wordInto(&c.DedupScope, Groups),
+		"window-ms":   millisInto(&c.DedupWindow),
+		"stream":      boolInto(&c.Stream),
 	})
-	return c, name, err
+	s.Classes = append(s.Classes, c)
+	s.ClassNames = append(s.ClassNames, name)
+	return err
+}
+
+func (s *Settings) decodeTenant(j *jx.Decoder) error {
+	var t balance.Tenant
+	var name string
+	err := decodeObject(j, map[string]fieldDecoder{
+		"name":        textInto(&name),
+		"portion":     floatInto(&t.Fraction),
+		"quota-per-s": floatInto(&t.QuotaPerSec),
+	})
+	s.Tenants = append(s.Tenants, t)
+	s.TenantNames = append(s.TenantNames, name)
+	return err
+}
+
+func (s *Settings) decodeReportField(j *jx.Decoder) error {
+	b, err := j.StrBytes()
+	s.ReportFields = append(s.ReportFields, Fields[string(b)])
+	s.ReportNames = append(s.ReportNames, string(b))
+	return err
 }
--- a/internal/router/scheduler/basic_li.go
+++ b/internal/router/scheduler/basic_li.go
@@ -19,7 +19,7 @@
 		s.weights = append(s.weights, candidates[i].weight(now))
 	}
 	remaining := s.random.Float64()
-	for i, probability := range balance.Fill(s.levels, s.weights, arrivalsMs) {
+	for i, probability := range balance.WaterFill(s.levels, s.weights, arrivalsMs) {
 		if remaining -= probability; remaining < 0 {
 			return &candidates[i]
 		}
