--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -11,7 +11,7 @@
 	highest, total, inCell := uint64(0), 0.0, 0.0
 	for _, s := range servers {
 		capacity := b.capacity(r.Class, s)
-		if hash := mix(r.Key ^ uint64(s.Cell+1)*0x9e3779b97f4a7c15); hash > highest {
+		if hash := mix(r.Key ^ uint64(s.Cell+1)*goldenRatio); hash > highest {
 			highest, r.affinityCell, inCell = hash, s.Cell, 0
 		}
 		if total += capacity; s.Cell == r.affinityCell {
@@ -38,7 +38,7 @@
 		if b.slowStartFactor(now, s) < 1 {
 			continue // its cap counts on its coming up by chance alone
 		}
-		switch hash := mix(r.Key ^ uint64(s.ID)*0x9e3779b97f4a7c15); {
+		switch hash := mix(r.Key ^ uint64(s.ID)*goldenRatio); {
 		case first == nil || hash > firstHash:
 			first, second, firstHash, secondHash = s, first, hash, firstHash
 		case second == nil || hash > secondHash:
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -12,7 +12,7 @@
 	}
 	classes := len(settings.Classes)
 	b := &Balancer{
-		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 0x9e3779b97f4a7c15)),
+		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, goldenRatio)),
 		byID: map[ServerID]*server{}, requests: map[string]*request{}, bySeq: map[uint64]*request{},
 		serviceTimes: make([]estimate, classes), serviceTimesByKind: make([][]estimate, classes),
 		hintedWork: make([]estimate, classes), concurrency: 2,
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if !b.probesAreCostly() || b.probesAreQueued() {
-		b.recordQueueDelay(now, (latency - b.expectedServiceTime(r)).Seconds(), 0.2)
+		b.recordQueueDelay(now, (latency - b.expectedServiceTime(r)).Seconds(), measuredDelayGain)
 	}
 	if a.freshReport {
 		b.compareToReport(r, a, latency, result)
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -7,6 +7,18 @@
 // same settings and the same events give the same actions. A Balancer is not safe for concurrent use; the
 // caller serializes its events.
 //
+// # Events
+//
+//   - Request, ClientGone: a client's request and its end by the client.
+//   - Outcome, StreamStarted: the end of an attempt, and the beginning of a streamed response.
+//   - BodyConsumed, BodySent: a body too large to be retained for another attempt, and its last byte.
+//   - Probed: the end of a health probe, with a load report.
+//   - List: what the registry lists.
+//   - Timer: the end of the wait of a SetTimer action.
+//
+// Each request gets exactly one final response, unless its client leaves before: that of an attempt, reported
+// by Outcome.Final, or one of the actions Reject and Fail.
+//
 // # Selection
 //
 // Servers report how many requests they have in flight and queued, in probe responses or in responses to
--- a/balance/queuedelay.go
+++ b/balance/queuedelay.go
@@ -5,8 +5,12 @@
 	"time"
 )
 
-// queueDelayFade is the time, in seconds, in which a queue delay that nothing confirms falls to 1/e.
-const queueDelayFade = 3
+const (
+	// queueDelayFade is the time, in seconds, in which a queue delay that nothing confirms falls to 1/e.
+	queueDelayFade = 3
+	// reportedDelayGain and measuredDelayGain are the weights of one report and one latency in the average.
+	reportedDelayGain, measuredDelayGain = 0.1, 0.2
+)
 
 // recordQueueDelay takes by how much the latency of a request exceeded its service time, or would have where
 // a report was read, in seconds; gain is its weight in the moving average.
--- a/balance/rejection.go
+++ b/balance/rejection.go
@@ -21,7 +21,7 @@
 		expected := max((s.inFlight+float64(s.sentSinceReport)+1)/b.concurrency/capacity-1, 0) * b.meanServiceTime()
 		if b.probesAreCostly() {
 			// What a probe found says more than what one unhealthy server kept.
-			b.recordQueueDelay(now, expected, 0.1)
+			b.recordQueueDelay(now, expected, reportedDelayGain)
 			return r.isRejectedByDraw(b.rng, 2*b.rejectFraction(r, expected)-1)
 		}
 		wait = min(expected, 2*wait)
--- a/balance/reports.go
+++ b/balance/reports.go
@@ -8,6 +8,12 @@
 	// reportTTL is how long a report says as much as a new one would: servers refresh theirs less often, and
 	// what was sent since is known.
 	reportTTL = 80 * time.Millisecond
+	// missFactor times its forecast is the latency from which an attempt counts as a missed forecast, and
+	// missRateGain its weight in the moving average.
+	missFactor, missRateGain = 2, 0.15
+	// toleratedMissRate of missed forecasts are no sign of late reports; the rate beyond it stands for
+	// lagPerMissRate seconds of lag for each unit.
+	toleratedMissRate, lagPerMissRate = 0.3, 4
 )
 
 // recordReport takes a load report of s.
@@ -19,7 +25,7 @@
 	s.inFlight, s.queued, s.reportedAt, s.hasReport = inFlight, queued, now, true
 	s.reportSeq, s.sentSinceReport = s.reportSeq+1, 0
 	if b.reportLag() == 0 && !b.probesAreCostly() {
-		b.recordQueueDelay(now, b.queueDelayBehind(inFlight), 0.1)
+		b.recordQueueDelay(now, b.queueDelayBehind(inFlight), reportedDelayGain)
 	}
 }
 
@@ -32,14 +38,16 @@
 // Where outcomes keep to the forecast of fresh reports there is no lag; where most are far later, on one
 // server after the other, the reports are late, and following them as fresh makes all balancers herd. One
 // slow server does not raise enough doubt.
-func (b *Balancer) reportLag() float64 { return 4 * max(0, b.forecastMissRate-0.3) }
+func (b *Balancer) reportLag() float64 {
+	return lagPerMissRate * max(0, b.forecastMissRate-toleratedMissRate)
+}
 
 // compareToReport compares the latency of an attempt with the forecast of the report before it.
 func (b *Balancer) compareToReport(r *request, a *attempt, latency time.Duration, result Result) {
 	forecast := max((a.requestsAhead+1)/b.concurrency/b.capacity(r.Class, a.server), 1) *
 		float64(b.expectedServiceTime(r))
 	late := 0.0
-	if float64(latency) > 2*forecast {
+	if float64(latency) > missFactor*forecast {
 		if late = 1; a.server == b.lastForecastMiss {
 			return // one unhealthy server says nothing of the reports of the others
 		}
@@ -47,5 +55,5 @@
 	} else if result == TimedOut {
 		return // ended too early to say
 	}
-	b.forecastMissRate += 0.15 * (late - b.forecastMissRate)
+	b.forecastMissRate += missRateGain * (late - b.forecastMissRate)
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -8,6 +8,9 @@
 	"time"
 )
 
+// goldenRatio is 2^64 over the golden ratio, which spreads seeds and hashes.
+const goldenRatio = 0x9e3779b97f4a7c15
+
 // Balancer decides for one client proxy. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
--- a/lab/constants.sh
+++ b/lab/constants.sh
@@ -18,8 +18,8 @@
 while IFS='|' read -r old new; do
     rm -rf "$work/tree"
     copy "$work/tree"
-    sed -i "s#$old#$new#" "$work/tree/balance/balance.go"
-    if cmp -s "$work/tree/balance/balance.go" balance/balance.go; then
+    sed -i "s#$old#$new#" "$work"/tree/balance/*.go
+    if diff -rq "$work/tree/balance" balance > "$work/log"; then
         echo "not found: $old" >&2
         exit 1
     fi
@@ -30,16 +30,16 @@
         printf '%-48s %-16s %s\n' "$new" "$s" "$("$work/base.bin" difference "$work/base-$s" "$work/new")"
     done
 done <<'LIST'
-lambda = 1.0|lambda = 0.5
-lambda = 1.0|lambda = 2.0
-retryShare, retryBurst = 0.2, 10.0|retryShare, retryBurst = 0.1, 10.0
-retryShare, retryBurst = 0.2, 10.0|retryShare, retryBurst = 0.4, 10.0
-reportLife = 40|reportLife = 20
-reportLife = 40|reportLife = 80
-refusePart = 0.3|refusePart = 0.15
-refusePart = 0.3|refusePart = 0.6
-stuckAfter = 4|stuckAfter = 2
-stuckAfter = 4|stuckAfter = 8
-floorPart = 0.5|floorPart = 0.25
-floorPart = 0.5|floorPart = 0.75
+assumedLoad = 1.0|assumedLoad = 0.5
+assumedLoad = 1.0|assumedLoad = 2.0
+retryBudgetRatio, retryBudgetBurst = 0.2, 10.0|retryBudgetRatio, retryBudgetBurst = 0.1, 10.0
+retryBudgetRatio, retryBudgetBurst = 0.2, 10.0|retryBudgetRatio, retryBudgetBurst = 0.4, 10.0
+reportTTL = 80|reportTTL = 40
+reportTTL = 80|reportTTL = 160
+rejectTargetFraction, rejectServiceTimes = 0.3, 2.5|rejectTargetFraction, rejectServiceTimes = 0.15, 2.5
+rejectTargetFraction, rejectServiceTimes = 0.3, 2.5|rejectTargetFraction, rejectServiceTimes = 0.6, 2.5
+unresponsiveAfter = 4|unresponsiveAfter = 2
+unresponsiveAfter = 4|unresponsiveAfter = 8
+panicThreshold = 0.5|panicThreshold = 0.25
+panicThreshold = 0.5|panicThreshold = 0.75
 LIST
