--- a/internal/router/scheduler/water_level.go
+++ b/internal/router/scheduler/water_level.go
@@ -16,12 +16,12 @@
 //	Serve:    level = S(inFlight)·inFlight/slots + lateness
 //	                  [+ base + directPrefillWeight·decodePrefillFactor·slope·uncached/v for a prompt]
 //
-// where t is the age of the server's newest report, ū the mean of its last n reports, m the mean of others(0)
-// over the servers with a report, S the mean time of a request (servicePool.serviceTime), base and slope the
-// line through the measured times of prefills (servicePool.prefillTime), v the server's speed relative to the
-// fleet, and slots' is 1 for a prefill server. A report counts own calls too, so that others(0) is the report
-// less own calls at that moment; no call is counted twice, and the level is never below that of the own
-// calls. A server without a report has others() = m.
+// where t is the age of the server's newest report, ū the mean of its last n reports, m the mean of
+// others(0) over the servers with a report, S the mean time of a request (servicePool.serviceTime), base
+// and slope the line through the measured times of prefills (servicePool.prefillTime), v the server's
+// speed relative to the fleet, and slots' is 1 for a prefill server. A report counts own calls too, so
+// that others(0) is the report less own calls at that moment; no call is counted twice, and the level is
+// never below that of the own calls. A server without a report has others() = m.
 //
 // Where the other proxies report what they have in flight (peer_load.go), those reports replace others(t).
 
