--- a/balance/state.go
+++ b/balance/state.go
@@ -1,18 +1,19 @@
-package balance
+// This file has the state of a Balancer and small steps on it, and decides nothing.
 
-// What a Balancer remembers, and the check of its settings. Every decision is in the policy files.
+package balance
 
 import (
-	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
 )
 
-// Balancer decides for one client process. It is not safe for concurrent use.
+// goldenRatio is 2^64 over the golden ratio, which spreads seeds and hashes.
+const goldenRatio = 0x9e3779b97f4a7c15
+
+// Balancer decides for one client proxy. It is not safe for concurrent use.
 type Balancer struct {
-	set      Settings
+	settings Settings
 	rng      *rand.Rand
 	servers  []*server // listed and up, in the order they were first listed
 	byID     map[ServerID]*server
@@ -20,180 +21,168 @@
 	bySeq    map[uint64]*request
 	seq      uint64
 
-	service  []estimate   // by class
-	byKind   [][]estimate // by class and kind of machine
-	hinted   []estimate   // expected work told with the requests, by class
-	parallel float64      // requests a server works on at once
-	rating   float64      // mean rating of the servers listed
-	budget   float64      // further attempts allowed now
-	delay    float64      // what requests lately met beyond their service time, in seconds
-	delayAt  time.Duration
-	asking   float64 // how long probes take, in seconds
-	strange  *server // the last one that did what its report did not foretell
-	doubt    float64 // part of late outcomes that fresh reports did not foretell
-	failed   int     // calls to the registry failed in a row
-
-	keys heat
-	busy float64 // part of the servers asked lately that were not idle
-
-	rows   []*server // scratch
-	shares []share   // scratch
+	serviceTimes       []estimate   // by class
+	serviceTimesByKind [][]estimate // by class and kind of machine
+	hintedWork         []estimate   // expected work that requests were given, by class
+	concurrency        float64      // requests a server works on at once
+	meanRating         float64      // of the servers listed
+	retryBudget        float64      // retries and hedged attempts allowed now
+	queueDelay         float64      // recent latency beyond the service time, in seconds
+	queueDelayAt       time.Duration
+	probeTime          float64 // how long probes take, in seconds
+	lastForecastMiss   *server // the last one whose latency its report did not foretell
+	forecastMissRate   float64 // fraction of outcomes that were late against their fresh reports
+	listFailures       int     // calls to the registry failed in a row
+
+	hotKeys      keyCounter
+	busyFraction float64 // of the servers probed lately, those that were not idle
+
+	eligibleBuf []*server   // result of eligible, reused
+	candidates  []candidate // of the selection at hand, reused
 }
 
-// server is one line of the list with what this balancer has seen of it.
+// server is one entry of the list with what this balancer has observed of it.
 type server struct {
 	Server
-	held, waiting float64       // at the last report
-	reported      time.Duration // when it came
-	hasReport     bool
-	epoch         int // counts reports, to tell which attempts the last one cannot have seen
-	since         int // own attempts out that were sent after the last report
-	out           int // own attempts out
-
-	failures  int           // in a row
-	ejections int           // in a row without a success between
-	ejected   time.Duration // no traffic until then
-	suspect   bool          // ejected before, and no success since
-	cut       bool          // it could not be reached when last tried
-	classes   []health      // by class
-
-	probing bool
-	asked   time.Duration // when its probe set off
-	waiters []*request    // requests held until its probe returns
+	inFlight, queued float64       // at the last report
+	reportedAt       time.Duration // when it came
+	hasReport        bool
+	reportSeq        int // counts reports, to tell which attempts the last one can't include
+	sentSinceReport  int // own outstanding attempts that were sent after the last report
+	outstanding      int // own attempts
+
+	failures     int           // in a row
+	ejections    int           // in a row without a success between
+	ejectedUntil time.Duration // no traffic until then
+	halfOpen     bool          // ejected before, and no success since
+	unreachable  bool          // the last attempt found no connection
+	classes      []classHealth // by class
+
+	probing  bool
+	probedAt time.Duration // when its probe was sent
+	waiters  []*request    // requests deferred until its probe returns
 }
 
-// health is what a server does with one class.
-type health struct {
-	out       int           // own attempts out
-	since     time.Duration // nothing was served since then, while some were out
-	failures  int           // in a row
-	ejections int           // in a row without a success between
-	ejected   time.Duration // none of this class until then
+// classHealth is how a server serves one class.
+type classHealth struct {
+	outstanding   int           // own attempts
+	unservedSince time.Duration // nothing was served since then, while some were outstanding
+	failures      int           // in a row
+	ejections     int           // in a row without a success between
+	ejectedUntil  time.Duration // none of this class until then
 }
 
-type attempt struct {
-	to     *server
-	sent   time.Duration
-	epoch  int
-	level  float64 // requests met there, as far as known
-	fresh  bool    // a report of that moment told the level
-	calm   bool    // and that nothing waited
-	ended  bool
-	mayRun bool // it may have run, as far as is known
-
-	uploading bool // its request is not whole yet, and not counted in its class's health
+// attemptStarted counts one more outstanding attempt.
+func (h *classHealth) attemptStarted(now time.Duration) {
+	if h.outstanding++; h.outstanding == 1 {
+		h.unservedSince = now
+	}
 }
 
-type request struct {
-	Request
-	seq      uint64
-	came     time.Duration
-	attempts []attempt
-	out      int // attempts without an outcome
-	sample   []*server
-	home     *server // where its key is likeliest warm
-	pending  int     // probes it waits for
-	probed   bool
-	blind    bool    // sent without asking
-	holds    int     // times it was held for lack of servers
-	luck     float64 // from 0 to 1; the less, the sooner it is refused
-	heat     float64 // part of all requests that its key has
-	cell     int     // where its key is likeliest warm
-	boost    float64 // how much that cell is preferred, 0 where it is not
-	over     bool
-	spent    bool // not held any more, so no other attempt can be made
+// newServer is a server of which nothing is known yet.
+func (b *Balancer) newServer(s Server) *server {
+	return &server{Server: s, classes: make([]classHealth, len(b.settings.Classes))}
 }
 
-type share struct {
-	s      *server
-	weight float64 // capacity now, relative
-	level  float64 // load a request meets there, by weight
-	cap    float64 // most it may be given
-	p      float64
-	fixed  bool
-	index  int // of the row before it was sorted, where Fill asks
+func (b *Balancer) removeServer(id ServerID) {
+	if s := b.byID[id]; s != nil {
+		delete(b.byID, id)
+		b.servers = slices.DeleteFunc(b.servers, func(o *server) bool { return o == s })
+	}
 }
 
-func check(s *Settings) error {
-	if len(s.Classes) == 0 {
-		return fmt.Errorf("settings: Classes is empty")
-	}
-	for i, c := range s.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 {
-			return fmt.Errorf("settings: Classes[%d]: Aim and Deadline must be above 0, Window not below", i)
-		}
-		if !(c.Worth >= 0) || math.IsInf(c.Worth, 0) || !(c.LateWorth >= 0 && c.LateWorth <= 1) ||
-			!(c.AimStretch >= 0) || math.IsInf(c.AimStretch, 0) {
-			return fmt.Errorf("settings: Classes[%d]: Worth, LateWorth or AimStretch out of range", i)
-		}
-	}
-	for name, d := range map[string]time.Duration{"Tick": s.Tick, "AskWithin": s.AskWithin,
-		"DrainGrace": s.DrainGrace, "AnswerSlack": s.AnswerSlack, "ColdFor": s.ColdFor,
-		"FallAfter": s.FallAfter, "MaxBackoff": s.MaxBackoff, "DialTimeout": s.DialTimeout} {
-		if d < 0 {
-			return fmt.Errorf("settings: %s is negative", name)
-		}
-	}
-	if !(s.ColdStart >= 0 && s.ColdStart <= 1) {
-		return fmt.Errorf("settings: ColdStart is not from 0 to 1")
-	}
-	if !(s.FallMultiple >= 0) || math.IsInf(s.FallMultiple, 0) {
-		return fmt.Errorf("settings: FallMultiple is not a number from 0 on")
-	}
-	return nil
+// request is one that has no final response yet, or whose attempts are still outstanding.
+type request struct {
+	Request
+	seq         uint64
+	receivedAt  time.Duration
+	attempts    []attempt
+	outstanding int // attempts without an outcome
+	deferrals   int // times it was deferred for lack of servers
+	finished    bool
+	rejectDraw  float64 // from 0 to 1, 0 before the draw; the less, the sooner it is rejected
+
+	sample         []*server // servers to select from, probed or with fresh reports
+	pendingProbes  int       // probes it waits for
+	probingDecided bool
+	withoutProbe   bool // sent without a probe though probes are allowed
+	affinityServer *server
+	affinityCell   int     // where its key is likeliest cached
+	affinityBoost  float64 // how much that cell is preferred, 0 where it is not
+	keyFraction    float64 // of all requests that have its key
+	bodyConsumed   bool    // its body is not retained any more, so there can be no other attempt
 }
 
-// mix scatters the bits of a key and a server.
-func mix(x uint64) uint64 {
-	x = (x ^ x>>31) * 0x7fb5d329728ea185
-	x = (x ^ x>>27) * 0x81dadef4bc2dd44d
-	return x ^ x>>33
+// isRejectedByDraw draws once for a request and reports, each time it is asked, whether the request is in
+// such a fraction.
+func (r *request) isRejectedByDraw(rng *rand.Rand, fraction float64) bool {
+	if r.rejectDraw == 0 {
+		r.rejectDraw = 1 - rng.Float64()
+	}
+	return r.rejectDraw < fraction
 }
 
-// tried tells whether an attempt went to s.
-func (r *request) tried(s *server) bool {
+// hasAttempted reports whether an attempt went to s.
+func (r *request) hasAttempted(s *server) bool {
 	for i := range r.attempts {
-		if r.attempts[i].to == s {
+		if r.attempts[i].server == s {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Balancer) drop(id ServerID) {
-	if s := b.byID[id]; s != nil {
-		delete(b.byID, id)
-		b.servers = slices.DeleteFunc(b.servers, func(o *server) bool { return o == s })
-	}
-}
-
-func (b *Balancer) forget(r *request) {
-	r.over = true
+// finish marks r as answered and removes it once no attempt is outstanding.
+func (b *Balancer) finish(r *request) {
+	r.finished = true
 	delete(b.bySeq, r.seq)
-	if r.out == 0 {
+	if r.outstanding == 0 {
 		delete(b.requests, r.ID)
 	}
 }
 
+// attempt is one sending of a request to a server.
+type attempt struct {
+	server        *server
+	sentAt        time.Duration
+	reportSeq     int     // of the server's last report when it was sent
+	requestsAhead float64 // in flight at the server, as far as known
+	freshReport   bool    // a report of that moment says so
+	uncontended   bool    // and that nothing was queued
+	ended         bool
+	mayHaveRun    bool // as far as is known
+	uploading     bool // its body is not complete yet, and it does not count in its class's health
+}
+
+// candidate is a server that an attempt may be sent to.
+type candidate struct {
+	server         *server
+	weight         float64 // capacity now, relative
+	level          float64 // load that a request finds there, by weight
+	maxProbability float64
+	probability    float64 // of its selection
+	capped         bool    // its probability is at the maximum
+	index          int     // before sorting, where WaterFill needs it
+}
+
+// fleetCapacity is the capacity of all servers eligible for a request.
+type fleetCapacity struct {
+	full float64 // were they all past their slow start
+	now  float64 // in slow start as far as they are
+}
+
+// The kinds of timers, the lowest two bits of a token; the others are the sequence number of a request.
 const (
-	timerHold = iota
-	timerFollow
-	timerCopy
+	timerDeferred = iota // a request waits for probes or for servers
+	timerFollow          // the registry is to be followed
+	timerHedge           // an attempt takes unusually long
 )
 
 func (b *Balancer) timer(wait time.Duration, kind int, seq uint64) Action {
-	return Action{Kind: SetTimer, Wait: max(wait, b.set.Tick), Token: seq<<2 | uint64(kind)}
+	return Action{Kind: SetTimer, Wait: max(wait, b.settings.Tick), Token: seq<<2 | uint64(kind)}
 }
 
 // jitter spreads a wait over half to one and a half of it.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + b.rng.Float64()) * float64(d))
 }
-
-// unlucky draws once for a request and tells, each time it is asked, whether it is among such a part.
-func (r *request) unlucky(rng *rand.Rand, part float64) bool {
-	if r.luck == 0 {
-		r.luck = 1 - rng.Float64()
-	}
-	return r.luck < part
-}
--- /dev/null
+++ b/balance/upload.go
@@ -0,0 +1,38 @@
+package balance
+
+import "time"
+
+// BodyConsumed reports that the body of a request is not retained any more: part of it went to the server of
+// the outstanding attempt and is lost for another one. What comes of the attempt is unknown only from
+// BodySent on, so the server does not count as unresponsive for the class meanwhile.
+func (b *Balancer) BodyConsumed(id string) {
+	r := b.requests[id]
+	if r == nil || r.bodyConsumed {
+		return
+	}
+	r.bodyConsumed = true
+	for i := range r.attempts {
+		if a := &r.attempts[i]; !a.ended {
+			a.uploading = true
+			a.server.classes[r.Class].outstanding--
+		}
+	}
+}
+
+// BodySent reports that the last byte of a request after BodyConsumed is sent. Its time counts from now, up
+// to the deadline.
+func (b *Balancer) BodySent(now time.Duration, id string, deadline time.Duration) {
+	r := b.requests[id]
+	if r == nil {
+		return
+	}
+	r.receivedAt, r.Deadline = now, deadline
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if !a.uploading || a.ended {
+			continue
+		}
+		a.uploading, a.sentAt = false, now
+		a.server.classes[r.Class].attemptStarted(now)
+	}
+}
--- a/internal/cluster/gossip/meta.go
+++ b/internal/cluster/gossip/meta.go
@@ -7,8 +7,8 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// wireMeta is the metadata's form on the wire, JSON, at most memberlist.MetaMaxSize bytes.
-type wireMeta struct {
+// metaJSON is a member's metadata as memberlist carries it: JSON of at most memberlist.MetaMaxSize bytes.
+type metaJSON struct {
 	Incarnation uint64 `json:"inc"`
 	Version     string `json:"ver,omitempty"`
 	Hall        string `json:"hall,omitempty"`
@@ -18,8 +18,11 @@
 }
 
 func encodeMeta(m membership.Meta) []byte {
-	b, _ := json.Marshal(wireMeta{Incarnation: m.Incarnation, Version: m.Version, Hall: m.Hall,
-		Phase: m.Phase.String(), Ledger: m.Ledger, Disk: m.Disk})
+	b, err := json.Marshal(metaJSON{Incarnation: m.Incarnation, Version: m.Version, Hall: m.Hall,
+		Phase: m.Phase.String(), Ledger: m.LedgerAddress, Disk: m.ReplicaID})
+	if err != nil {
+		panic(err) // strings and numbers always encode
+	}
 	return b
 }
 
@@ -27,15 +30,15 @@
 	if len(b) == 0 {
 		return errors.New("no metadata")
 	}
-	var w wireMeta
-	if err := json.Unmarshal(b, &w); err != nil {
+	var decoded metaJSON
+	if err := json.Unmarshal(b, &decoded); err != nil {
 		return err
 	}
-	p, err := membership.ParsePhase(w.Phase)
+	phase, err := membership.ParsePhase(decoded.Phase)
 	if err != nil {
 		return err
 	}
-	*m = membership.Meta{Incarnation: w.Incarnation, Version: w.Version, Hall: w.Hall, Phase: p,
-		Ledger: w.Ledger, Disk: w.Disk}
+	*m = membership.Meta{Incarnation: decoded.Incarnation, Version: decoded.Version, Hall: decoded.Hall,
+		Phase: phase, LedgerAddress: decoded.Ledger, ReplicaID: decoded.Disk}
 	return nil
 }
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -63,10 +63,10 @@
 
 // runWatch connects and delivers documents until the watch ends, which is always an error.
 func (c *Client) runWatch(ctx context.Context, w *watch) error {
-	if !c.budget.Take(descriptors.Servers) {
+	if !c.budget.Acquire(descriptors.Servers) {
 		return errors.New("no socket left")
 	}
-	defer c.budget.Give(descriptors.Servers)
+	defer c.budget.Release(descriptors.Servers)
 	netConn, err := c.connect(ctx, w.address)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 		return errDialTimeout
@@ -155,6 +155,6 @@
 	}
 	c.sink.UpdateList(full, list)
 	c.changed()
-	c.stats.Lists.Add()
+	c.stats.ListsRead.Add()
 	return err
 }
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -51,11 +51,11 @@
 	switch a.Kind {
 	case balance.Send:
 		c.addStep(Step{Kind: Send, Server: a.Server, Attempt: len(c.sentAt), GiveUpAt: d.giveUpAt(c, now, a.Wait),
-			StartBy: d.fromClock(now + a.Within)})
+			StartBy: d.fromClock(now + a.StartWithin)})
 		c.sentAt, c.timeouts = append(c.sentAt, now), append(c.timeouts, a.Wait)
 	case balance.Cancel:
 		c.addStep(Step{Kind: Cancel, Attempt: a.Attempt})
-	case balance.Refuse:
+	case balance.Reject:
 		d.finish(c, Step{Kind: Refuse, RetryAfter: a.Wait})
 	case balance.Fail:
 		d.finish(c, Step{Kind: Fail})
--- a/internal/proxy/dispatch/call.go
+++ b/internal/proxy/dispatch/call.go
@@ -10,13 +10,13 @@
 // How an attempt or a probe ends.
 const (
 	Served        = balance.Done
-	ErrorResponse = balance.Error     // may have run
-	Rejected      = balance.Rejected  // the server did not process it, so it never ran
-	TimedOut      = balance.TimedOut  // may have run
-	NoConnection  = balance.Refused   // never ran
-	Reset         = balance.Reset     // may have run
-	Cancelled     = balance.Cancelled // may have run
-	Skipped       = balance.Skipped   // never ran, and no server is to blame
+	ErrorResponse = balance.Error       // may have run
+	Rejected      = balance.Rejected    // the server did not process it, so it never ran
+	TimedOut      = balance.TimedOut    // may have run
+	NoConnection  = balance.ConnRefused // never ran
+	Reset         = balance.Reset       // may have run
+	Cancelled     = balance.Cancelled   // may have run
+	Skipped       = balance.Skipped     // never ran, and no server is to blame
 )
 
 // ResultNames are the names of the results in logs and figures, by their values.
--- a/internal/proxy/dispatch/decider.go
+++ b/internal/proxy/dispatch/decider.go
@@ -76,7 +76,7 @@
 	d.calls[c.id] = c
 	d.execute(now, d.balancer.Request(now, balance.Request{
 		ID: c.id, Class: q.Class, Tenant: q.Tenant, Key: q.Key, HasKey: q.HasKey, Work: q.Work,
-		Deadline: d.toClock(q.Deadline), Repeat: q.Repeat,
+		Deadline: d.toClock(q.Deadline), ClientRetry: q.Repeat,
 	}, d.actions[:0]))
 	return c
 }
@@ -127,7 +127,7 @@
 		}
 		if s.Kind == Send { // balance counts it as under way until it hears otherwise
 			d.execute(now, d.balancer.Outcome(now, balance.Outcome{
-				ID: c.id, Attempt: s.Attempt, Result: Skipped, Over: true,
+				ID: c.id, Attempt: s.Attempt, Result: Skipped, Final: true,
 			}, d.actions[:0]))
 			c.dropCancel(s.Attempt) // the caller never started it
 		}
@@ -140,7 +140,7 @@
 func (d *Decider) BodyConsumed(c *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Spent(c.id)
+	d.balancer.BodyConsumed(c.id)
 }
 
 // BodySent says that an attempt has written the last byte of a request that can't be sent again, and sets the
@@ -150,7 +150,7 @@
 	defer d.unlock()
 	c.deadline = deadline
 	c.sentAt[attempt] = now
-	d.balancer.Whole(now, c.id, d.toClock(deadline))
+	d.balancer.BodySent(now, c.id, d.toClock(deadline))
 	return d.giveUpAt(c, now, c.timeouts[attempt])
 }
 
@@ -162,7 +162,7 @@
 	defer d.unlock()
 	chosen = result == Served && !c.closed
 	d.execute(now, d.balancer.Outcome(now, balance.Outcome{
-		ID: c.id, Attempt: attempt, Result: result, Over: c.closed || chosen,
+		ID: c.id, Attempt: attempt, Result: result, Final: c.closed || chosen,
 		Latency: now - c.sentAt[attempt], Report: load,
 	}, d.actions[:0]))
 	if chosen {
@@ -205,5 +205,5 @@
 func (d *Decider) Avoided() int {
 	now := d.lock()
 	defer d.unlock()
-	return d.balancer.Avoided(now)
+	return d.balancer.Ejected(now)
 }
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -36,7 +36,7 @@
 			counter: &s.Stats.Class(request.Class).Failed}
 	}
 	defer s.releaseID(id)
-	s.Stats.Taken.Add()
+	s.Stats.Received.Add()
 	if u != nil {
 		// Until its last byte is sent the client's time does not run.
 		u.timeout, request.Deadline = request.Deadline.Sub(arrived), arrived.Add(maxTimeout)
@@ -163,7 +163,7 @@
 		}
 		return finalResponse{response: response, counter: &class.Dropped}
 	case dispatch.ClientGone:
-		s.Stats.Gone.Add()
+		s.Stats.ClientGone.Add()
 		s.noteOutcome(c, "gone", 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
 			s.Pool.Release(&attempts[last.Attempt].outcome)
--- a/internal/proxy/ingress/buffer.go
+++ b/internal/proxy/ingress/buffer.go
@@ -27,7 +27,7 @@
 				return reservation.Bytes(), nil
 			}
 		}
-		m, err := c.read(body, q.Body[n:], s.limits.Load().Stall)
+		m, err := c.read(body, q.Body[n:], s.limits.Load().StallTimeout)
 		n += m
 		if body.Complete() {
 			q.Body, q.Length = q.Body[:n], 0
@@ -40,7 +40,7 @@
 }
 
 func (s *Server) sendContinue(c *client) error {
-	c.SetWriteDeadline(time.Now().Add(s.limits.Load().Write))
+	c.SetWriteDeadline(time.Now().Add(s.limits.Load().WriteTimeout))
 	http1.WriteContinue(c.Out)
 	return c.Flush()
 }
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -24,9 +24,9 @@
 	unused    bool      // no request was ever served
 
 	// These belong to the connection's goroutine.
-	inProgress bool           // the request counts as in progress
-	logEntry   *logging.Final // of the request being served; nil where it is not logged
-	usage      *Usage         // of the request being served; nil where usage is not counted
+	inProgress bool                  // the request counts as in progress
+	logEntry   *logging.RequestEntry // of the request being served; nil where it is not logged
+	usage      *Usage                // of the request being served; nil where usage is not counted
 	usageClass int
 }
 
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -20,7 +20,7 @@
 // sent more behind its request, which must be answered too, the connection stays open for a while.
 func (s *Server) closesAfterResponse(c *client) bool {
 	d := s.drain.Load()
-	return !d.Serving() && (d.Plan(time.Now(), s.Drain()).Last || c.Quiet())
+	return !d.Serving() && (d.Plan(time.Now(), s.Drain()).LastResponse || c.Quiet())
 }
 
 // LameDuck begins or ends a drain without a shutdown; it returns at once. Everything that arrives is still
@@ -28,7 +28,7 @@
 func (s *Server) LameDuck(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := s.drain.Load().Lame(on, time.Now())
+	next := s.drain.Load().LameDuck(on, time.Now())
 	s.drain.Store(&next)
 	if on && !s.closingIdle {
 		s.closingIdle = true
@@ -61,7 +61,7 @@
 	s.mu.Unlock()
 	for ; ; time.Sleep(sweepInterval) {
 		p := s.drain.Load().Plan(time.Now(), s.Drain())
-		if p.Refuse {
+		if p.StopAccepting {
 			// Until this moment every connection is accepted: one left in the kernel's backlog could hold a
 			// request that must be answered.
 			l.Close()
@@ -70,7 +70,7 @@
 		s.closeBefore(p)
 		left := len(s.clients)
 		s.mu.Unlock()
-		if left == 0 && p.Over && len(s.rejecting) == 0 {
+		if left == 0 && p.MayExit && len(s.rejecting) == 0 {
 			return
 		}
 	}
@@ -82,9 +82,9 @@
 	for c := range s.clients {
 		switch {
 		case !c.idle:
-		case c.receiving && c.since.Before(p.Half):
+		case c.receiving && c.since.Before(p.PartialBefore):
 			c.SetReadDeadline(pastDeadline) // its own goroutine says why
-		case !c.receiving && c.since.Before(p.Rested) && c.Still():
+		case !c.receiving && c.since.Before(p.IdleBefore) && c.Still():
 			s.closeIdle(c)
 		}
 	}
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -38,7 +38,7 @@
 	delete(s.clients, c)
 	s.mu.Unlock()
 	c.Close()
-	s.Budget.Give(descriptors.Clients)
+	s.Budget.Release(descriptors.Clients)
 }
 
 // closeIdle closes a connection that is idle or receiving; false where its goroutine owns it. The lock is
@@ -50,7 +50,7 @@
 	c.idle = false
 	delete(s.clients, c)
 	c.Close()
-	s.Budget.Give(descriptors.Clients)
+	s.Budget.Release(descriptors.Clients)
 	return true
 }
 
@@ -70,11 +70,12 @@
 	switch {
 	case !c.idle:
 		return notExpendable
-	case c.receiving && age > l.Half && now.Sub(c.LastReceived()) > l.Half: // a slow one still makes progress
+	case c.receiving && age > l.ReclaimPartial &&
+		now.Sub(c.LastReceived()) > l.ReclaimPartial: // a slow one still makes progress
 		return expendableStalled
-	case !c.receiving && c.unused && age > l.Silent:
+	case !c.receiving && c.unused && age > l.ReclaimSilent:
 		return expendableUnused
-	case !c.receiving && !c.unused && age > l.Rested:
+	case !c.receiving && !c.unused && age > l.ReclaimIdle:
 		return expendableIdle
 	}
 	return notExpendable
--- a/internal/proxy/ingress/interleaving_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -87,7 +87,7 @@
 	for _, may := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", may), func(t *testing.T) {
 			r := newRig(t, func(s *balance.Settings) {
-				s.MayCancel, s.Classes[0].Aim = may, time.Second // an unusual time is a part of it
+				s.MayCancel, s.Classes[0].LatencyTarget = may, time.Second // an unusual time is a part of it
 			})
 			slow, answer := make(chan bool, 1), make(chan bool)
 			zone := func(name string) *nettest.Party {
@@ -198,7 +198,7 @@
 	for _, size := range []int{1000, 100_000} { // kept, and streamed
 		r := newRig(t, nil)
 		limits := *r.limits.Load()
-		limits.Request = 200 * time.Millisecond
+		limits.HeadTimeout = 200 * time.Millisecond
 		r.SetLimits(limits)
 		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
 			return nettest.OK(fmt.Sprint(len(q.Body)))
@@ -237,7 +237,7 @@
 
 func checkHedgedUpload(t *testing.T, framing string) {
 	t.Helper()
-	r := newRig(t, func(s *balance.Settings) { s.Classes[0].Aim = time.Second })
+	r := newRig(t, func(s *balance.Settings) { s.Classes[0].LatencyTarget = time.Second })
 	bodies := make(chan string, 9)
 	zone := nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
@@ -360,7 +360,7 @@
 			nettest.Until(t, "it counts", func() bool { return r.Stats.InProgress.Load() == 1 })
 		}
 		c.Close()
-		nettest.Until(t, "it is missed", func() bool { return r.Stats.Gone.Load() == 1 })
+		nettest.Until(t, "it is missed", func() bool { return r.Stats.ClientGone.Load() == 1 })
 		nettest.Until(t, "its connection is closed", func() bool {
 			r.Server.mu.Lock()
 			defer r.Server.mu.Unlock()
--- a/internal/proxy/ingress/reject.go
+++ b/internal/proxy/ingress/reject.go
@@ -18,7 +18,7 @@
 	defer func() { <-s.rejecting }()
 	defer nc.Close()
 	c := connbuffer.NewConn(nc)
-	c.SetDeadline(time.Now().Add(s.limits.Load().Away))
+	c.SetDeadline(time.Now().Add(s.limits.Load().RejectTimeout))
 	q, body, err := http1.ReadRequestHead(c.In)
 	if err != nil {
 		return
@@ -52,7 +52,7 @@
 		return
 	}
 	s.countRejected(status, err.Error())
-	c.SetWriteDeadline(time.Now().Add(s.limits.Load().Write))
+	c.SetWriteDeadline(time.Now().Add(s.limits.Load().WriteTimeout))
 	if textResponse(status, err.Error(), true).Write(c.Out) != nil || c.Flush() != nil {
 		return
 	}
--- a/internal/proxy/ingress/requestlog.go
+++ b/internal/proxy/ingress/requestlog.go
@@ -9,10 +9,10 @@
 
 // startLogEntry starts the log entry of a request, where requests are logged.
 func (s *Server) startLogEntry(c *client, id string, request dispatch.Request) {
-	if !s.requestLog.Load().Wants() {
+	if !s.requestLog.Load().Allow() {
 		return
 	}
-	c.logEntry = &logging.Final{Request: id, Class: s.Classes[request.Class]}
+	c.logEntry = &logging.RequestEntry{Request: id, Class: s.Classes[request.Class]}
 	if len(s.Tenants) > 0 {
 		c.logEntry.Tenant = s.Tenants[request.Tenant]
 	}
--- a/internal/proxy/ingress/response.go
+++ b/internal/proxy/ingress/response.go
@@ -30,7 +30,7 @@
 		response.Bodiless, response.Length, response.Body = true, int64(len(response.Body)), nil
 	}
 	limits := s.limits.Load()
-	c.SetWriteDeadline(time.Now().Add(limits.Write))
+	c.SetWriteDeadline(time.Now().Add(limits.WriteTimeout))
 	w, err := response.Begin(c.Out, q.HTTP10)
 	if err == nil {
 		err = c.Flush()
@@ -40,7 +40,7 @@
 	}
 	written := int64(len(response.Body))
 	if f.outcome != nil && f.outcome.Stream != nil {
-		return s.streamResponse(c, w, f, written, limits.Stall)
+		return s.streamResponse(c, w, f, written, limits.StallTimeout)
 	}
 	f.counter.Add()
 	s.reportUsage(c, f.counter, written)
--- a/internal/proxy/ingress/serve.go
+++ b/internal/proxy/ingress/serve.go
@@ -54,9 +54,9 @@
 
 // awaitRequest waits for the first byte of a request; false where none comes in time.
 func (s *Server) awaitRequest(c *client, limits *config.Clients) bool {
-	limit := limits.Idle
+	limit := limits.IdleTimeout
 	if c.unused { // only this goroutine unsets it
-		limit = limits.First
+		limit = limits.FirstRequestTimeout
 	}
 	c.SetReadDeadline(time.Now().Add(limit))
 	// Whoever closes idle connections looks for bytes in the socket: none is consumed before the connection is
@@ -65,7 +65,7 @@
 		return false
 	}
 	s.markReceiving(c)
-	c.SetReadDeadline(time.Now().Add(limits.Request))
+	c.SetReadDeadline(time.Now().Add(limits.HeadTimeout))
 	_, err := c.In.Peek(1)
 	return err == nil
 }
@@ -113,7 +113,7 @@
 	switch {
 	case !written: // a regular end of the connection would say that this was all
 	case !body.Complete():
-		s.linger(c.Conn, limits.Discard)
+		s.linger(c.Conn, limits.DiscardTimeout)
 	case f.response.Close && !c.Quiet():
 		s.linger(c.Conn, limits.Linger)
 	}
--- a/internal/proxy/ingress/server.go
+++ b/internal/proxy/ingress/server.go
@@ -34,7 +34,7 @@
 	classes    map[string]int // positions by name
 	tenants    map[string]int // likewise
 	limits     atomic.Pointer[config.Clients]
-	requestLog atomic.Pointer[logging.Requests]
+	requestLog atomic.Pointer[logging.RequestLog]
 	drain      atomic.Pointer[drain.State] // written under mu
 	rejecting  chan struct{}               // a token for each client that is being rejected
 	onBodySent func()                      // set by tests: called as an upload's last byte is written
@@ -65,12 +65,12 @@
 func New(o Options) *Server {
 	s := &Server{
 		Options: o, classes: positions(o.Classes), tenants: positions(o.Tenants),
-		rejecting: make(chan struct{}, o.Limits.AwayAtOne), clients: map[*client]struct{}{},
+		rejecting: make(chan struct{}, o.Limits.MaxRejecting), clients: map[*client]struct{}{},
 		openIDs: map[string]int{},
 	}
 	s.SetLimits(o.Limits)
 	s.drain.Store(&drain.State{})
-	o.Budget.OnShort(descriptors.Clients, s.closeMostExpendable)
+	o.Budget.SetReclaim(descriptors.Clients, s.closeMostExpendable)
 	return s
 }
 
@@ -78,7 +78,7 @@
 func (s *Server) SetLimits(l config.Clients) { s.limits.Store(&l) }
 
 // LogRequests sets where requests are logged; nil ends it.
-func (s *Server) LogRequests(r *logging.Requests) { s.requestLog.Store(r) }
+func (s *Server) LogRequests(r *logging.RequestLog) { s.requestLog.Store(r) }
 
 func positions(names []string) map[string]int {
 	index := map[string]int{}
@@ -103,12 +103,12 @@
 			time.Sleep(acceptBackoff)
 			continue
 		}
-		s.Stats.Accepted.Add()
-		if s.Budget.Take(descriptors.Clients) {
+		s.Stats.AcceptedConns.Add()
+		if s.Budget.Acquire(descriptors.Clients) {
 			s.admit(nc)
 			continue
 		}
-		s.Stats.TurnedAway.Add()
+		s.Stats.RejectedConns.Add()
 		select {
 		case s.rejecting <- struct{}{}:
 			go s.rejectConn(nc)
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -53,7 +53,7 @@
 	if u.err != nil {
 		return 0, u.err
 	}
-	n, err := u.client.read(u.body, p, u.server.limits.Load().Stall)
+	n, err := u.client.read(u.body, p, u.server.limits.Load().StallTimeout)
 	if err != nil {
 		u.err = err
 		close(u.ended)
--- a/internal/proxy/simwire/settings.go
+++ b/internal/proxy/simwire/settings.go
@@ -17,33 +17,46 @@
 }
 
 // Groups are the words for who drops each other's repeats.
-var Groups = map[string]balance.Group{
-	"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
+var Groups = map[string]balance.DedupScope{
+	"all": balance.DedupFleet, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
 // Fields are the words for the values of a load report that decisions read; any other word is passed over.
-var Fields = map[string]balance.Field{
-	"active": balance.FieldHeld, "waiting": balance.FieldWaiting, "cpu": balance.FieldUtil,
+var Fields = map[string]balance.ReportField{
+	"active": balance.FieldInFlight, "waiting": balance.FieldQueued, "cpu": balance.FieldUtilization,
 }
 
-// reader returns a function that reads one value into a field of the settings.
-type reader func(*jx.Decoder) error
+// fieldDecoder reads one value into the variable that it was made for.
+type fieldDecoder func(*jx.Decoder) error
 
-func into[T any](to *T, read func(*jx.Decoder) (T, error)) reader {
+func decodeInto[T any](to *T, read func(*jx.Decoder) (T, error)) fieldDecoder {
 	return func(j *jx.Decoder) (err error) {
 		*to, err = read(j)
 		return err
 	}
 }
 
-func float(to *float64) reader    { return into(to, (*jx.Decoder).Float64) }
-func whole(to *int) reader        { return into(to, count) }
-func truth(to *bool) reader       { return into(to, (*jx.Decoder).Bool) }
-func ms(to *time.Duration) reader { return into(to, millis) }
-func text(to *string) reader      { return into(to, (*jx.Decoder).Str) }
+func floatInto(to *float64) fieldDecoder        { return decodeInto(to, (*jx.Decoder).Float64) }
+func countInto(to *int) fieldDecoder            { return decodeInto(to, decodeCount) }
+func boolInto(to *bool) fieldDecoder            { return decodeInto(to, (*jx.Decoder).Bool) }
+func millisInto(to *time.Duration) fieldDecoder { return decodeInto(to, decodeMillis) }
+func textInto(to *string) fieldDecoder          { return decodeInto(to, (*jx.Decoder).Str) }
 
-// listed appends one word of a list.
-func listed(to *[]string) reader {
+// wordInto reads one of a fixed set of words.
+func wordInto[T any](to *T, words map[string]T) fieldDecoder {
+	return decodeInto(to, func(j *jx.Decoder) (T, error) { return decodeWord(j, words) })
+}
+
+// equalsInto reads whether a text is a given word.
+func equalsInto(to *bool, word string) fieldDecoder {
+	return decodeInto(to, func(j *jx.Decoder) (bool, error) {
+		b, err := j.StrBytes()
+		return string(b) == word, err
+	})
+}
+
+// appendTo appends one text to a list.
+func appendTo(to *[]string) fieldDecoder {
 	return func(j *jx.Decoder) error {
 		w, err := j.Str()
 		*to = append(*to, w)
@@ -51,121 +64,147 @@
 	}
 }
 
-func is(to *bool, w string) reader {
-	return into(to, func(j *jx.Decoder) (bool, error) { return equals(j, w) })
+// arrayOf calls each for every element of an array.
+func arrayOf(each fieldDecoder) fieldDecoder {
+	return func(j *jx.Decoder) error { return j.Arr(each) }
 }
 
-func equals(j *jx.Decoder, w string) (bool, error) {
-	b, err := j.StrBytes()
-	return string(b) == w, err
+// objectOf reads the named values of an object.
+func objectOf(fields map[string]fieldDecoder) fieldDecoder {
+	return func(j *jx.Decoder) error { return decodeObject(j, fields) }
 }
 
-// object reads the named values of an object and skips all others.
-func object(j *jx.Decoder, by map[string]reader) error {
+// decodeObject reads the named values of an object and skips all others.
+func decodeObject(j *jx.Decoder, fields map[string]fieldDecoder) error {
 	return j.ObjBytes(func(j *jx.Decoder, key []byte) error {
-		read, ok := by[string(key)]
+		decode, ok := fields[string(key)]
 		if !ok {
 			return j.Skip()
 		}
-		return named(read(j), string(key))
+		return withField(decode(j), string(key))
 	})
 }
 
-// Settings are all that the settings tell: what the balancer reads of them, and the names and figures
-// that a program on real sockets needs beside.
+// Settings are the settings of one instance: what the balancer reads of them, and the names and figures that
+// a program on real sockets needs beside. Each list of names has the order that numbers its items.
 type Settings struct {
 	balance.Settings
 	ClassNames  []string
 	TenantNames []string
 	ZoneNames   []string
 	KindNames   []string
-	ReportNames []string      // the words for Report
+	ReportNames []string      // the words for ReportFields
 	IdleClose   time.Duration // servers close a connection that has been idle for so long
 }
 
 // ReadSettings reads the object of the settings.
 func ReadSettings(raw []byte) (Settings, error) {
-	s, err := settings(jx.DecodeBytes(raw))
+	s, err := decodeSettings(jx.DecodeBytes(raw))
 	if err != nil {
 		return s, errors.New(strings.ReplaceAll(err.Error(), "callback: ", ""))
 	}
 	return s, nil
 }
 
-func settings(j *jx.Decoder) (Settings, error) {
+func decodeSettings(j *jx.Decoder) (Settings, error) {
 	s := Settings{Settings: balance.Settings{MaxAttempts: 1}}
-	source := ""
-	nested := func(by map[string]reader) reader {
-		return func(j *jx.Decoder) error { return object(j, by) }
-	}
-	array := func(each func(*jx.Decoder) error) reader {
-		return func(j *jx.Decoder) error { return j.Arr(each) }
-	}
-	err := object(j, map[string]reader{
-		"balancers": whole(&s.Peers), "rank": whole(&s.Rank), "locality": whole(&s.Zone),
-		"tick-ms": ms(&s.Tick), "over-share-worth": float(&s.OverShareWorth),
-		"counted-by": is(&s.WorthByWork, "work"), "registry-mode": is(&s.MustFollow, "on_request"),
-		"grades": array(func(j *jx.Decoder) error {
-			c, name, err := class(j)
-			s.Classes = append(s.Classes, c)
-			s.ClassNames = append(s.ClassNames, name)
-			return err
-		}),
-		"tenants": array(func(j *jx.Decoder) error {
-			var t balance.Tenant
-			var name string
-			err := object(j, map[string]reader{
-				"quota-per-s": float(&t.QuotaPerSec), "portion": float(&t.Share), "name": text(&name),
-			})
-			s.Tenants = append(s.Tenants, t)
-			s.TenantNames = append(s.TenantNames, name)
-			return err
-		}),
-		"deductions": nested(map[string]reader{
-			"cross-zone": float(&s.Prices.CrossZone), "probe": float(&s.Prices.Probe),
-			"waste":     float(&s.Prices.Waste),
-			"late-fail": float(&s.Prices.LateFail),
-		}),
-		"azs":   array(listed(&s.ZoneNames)),
-		"kinds": array(listed(&s.KindNames)),
-		"extra": nested(map[string]reader{"warm-keys": truth(&s.WarmKeys)}),
-		"invariants": nested(map[string]reader{
-			"answer-slack-ms": ms(&s.AnswerSlack), "ask-within-ms": ms(&s.AskWithin),
-			"cold-ms": ms(&s.ColdFor), "fall-multiple": float(&s.FallMultiple),
-			"start-capacity": float(&s.ColdStart), "stop-sending-within-ms": ms(&s.DrainGrace),
-			"tip-after-ms": ms(&s.FallAfter),
-		}),
-		"limits": nested(map[string]reader{
-			"cancel": truth(&s.MayCancel), "dial-timeout-ms": ms(&s.DialTimeout),
-			"idle-close-ms": ms(&s.IdleClose), "max-attempts": whole(&s.MaxAttempts),
-			"max-retry-after-ms": ms(&s.MaxBackoff),
-			"may-duplicate":      truth(&s.MayDuplicate),
-			"probes":             truth(&s.MayProbe), "retry-after": truth(&s.TellsBackoff),
-		}),
-		"report": nested(map[string]reader{
-			"fields": array(func(j *jx.Decoder) error {
-				b, err := j.StrBytes()
-				s.Report = append(s.Report, Fields[string(b)])
-				s.ReportNames = append(s.ReportNames, string(b))
-				return err
-			}),
-			"source": into(&source, (*jx.Decoder).Str),
+	err := decodeObject(j, map[string]fieldDecoder{
+		"balancers":        countInto(&s.Peers),
+		"rank":             countInto(&s.Rank),
+		"locality":         countInto(&s.Zone),
+		"tick-ms":          millisInto(&s.Tick),
+		"over-share-worth": floatInto(&s.OverQuotaValue),
+		"counted-by":       equalsInto(&s.ValuePerWork, "work"),
+		"registry-mode":    equalsInto(&s.MustFollow, "on_request"),
+		"grades":           arrayOf(s.decodeClass),
+		"tenants":          arrayOf(s.decodeTenant),
+		"azs":              arrayOf(appendTo(&s.ZoneNames)),
+		"kinds":            arrayOf(appendTo(&s.KindNames)),
+		"deductions":       objectOf(s.costFields()),
+		"extra":            objectOf(map[string]fieldDecoder{"warm-keys": boolInto(&s.KeyAffinity)}),
+		"invariants":       objectOf(s.ruleFields()),
+		"limits":           objectOf(s.limitFields()),
+		"report": objectOf(map[string]fieldDecoder{
+			"fields": arrayOf(s.decodeReportField),
+			"source": equalsInto(&s.ReportsInResponses, "answers"),
 		}),
 	})
-	s.ReportAnswers = source == "answers"
 	if err == nil && len(s.Classes) == 0 {
 		err = fmt.Errorf("field %q is missing or empty", "grades")
 	}
 	return s, err
 }
 
-func class(j *jx.Decoder) (c balance.Class, name string, err error) {
-	err = object(j, map[string]reader{
-		"aim-ms": ms(&c.Aim), "aim-stretch": float(&c.AimStretch), "deadline-ms": ms(&c.Deadline),
-		"late-worth": float(&c.LateWorth), "value": float(&c.Worth), "window-ms": ms(&c.Window),
-		"stream": truth(&c.Stream), "name": text(&name),
-		"effect": into(&c.Effect, func(j *jx.Decoder) (balance.Effect, error) { return word(j, Effects) }),
-		"group":  into(&c.Group, func(j *jx.Decoder) (balance.Group, error) { return word(j, Groups) }),
+func (s *Settings) costFields() map[string]fieldDecoder {
+	return map[string]fieldDecoder{
+		"cross-zone": floatInto(&s.Costs.CrossZone),
+		"probe":      floatInto(&s.Costs.Probe),
+		"waste":      floatInto(&s.Costs.Waste),
+		"late-fail":  floatInto(&s.Costs.LateFail),
+	}
+}
+
+func (s *Settings) ruleFields() map[string]fieldDecoder {
+	return map[string]fieldDecoder{
+		"answer-slack-ms":        millisInto(&s.ResponseGrace),
+		"ask-within-ms":          millisInto(&s.RegistryInterval),
+		"stop-sending-within-ms": millisInto(&s.DrainGrace),
+		"start-capacity":         floatInto(&s.SlowStartMin),
+		"cold-ms":                millisInto(&s.SlowStartWindow),
+		"fall-multiple":          floatInto(&s.CollapseMultiple),
+		"tip-after-ms":           millisInto(&s.CollapseAfter),
+	}
+}
+
+func (s *Settings) limitFields() map[string]fieldDecoder {
+	return map[string]fieldDecoder{
+		"max-attempts":       countInto(&s.MaxAttempts),
+		"may-duplicate":      boolInto(&s.MayHedge),
+		"cancel":             boolInto(&s.MayCancel),
+		"probes":             boolInto(&s.MayProbe),
+		"retry-after":        boolInto(&s.SendsRetryAfter),
+		"max-retry-after-ms": millisInto(&s.MaxRetryAfter),
+		"dial-timeout-ms":    millisInto(&s.DialTimeout),
+		"idle-close-ms":      millisInto(&s.IdleClose),
+	}
+}
+
+func (s *Settings) decodeClass(j *jx.Decoder) error {
+	var c balance.Class
+	var name string
+	err := decodeObject(j, map[string]fieldDecoder{
+		"name":        textInto(&name),
+		"aim-ms":      millisInto(&c.LatencyTarget),
+		"aim-stretch": floatInto(&c.TargetPerWork),
+		"deadline-ms": millisInto(&c.Deadline),
+		"value":       floatInto(&c.Value),
+		"late-worth":  floatInto(&c.LateValue),
+		"effect":      wordInto(&c.Effect, Effects),
+		"group":       wordInto(&c.DedupScope, Groups),
+		"window-ms":   millisInto(&c.DedupWindow),
+		"stream":      boolInto(&c.Stream),
+	})
+	s.Classes = append(s.Classes, c)
+	s.ClassNames = append(s.ClassNames, name)
+	return err
+}
+
+func (s *Settings) decodeTenant(j *jx.Decoder) error {
+	var t balance.Tenant
+	var name string
+	err := decodeObject(j, map[string]fieldDecoder{
+		"name":        textInto(&name),
+		"portion":     floatInto(&t.Fraction),
+		"quota-per-s": floatInto(&t.QuotaPerSec),
 	})
-	return c, name, err
+	s.Tenants = append(s.Tenants, t)
+	s.TenantNames = append(s.TenantNames, name)
+	return err
+}
+
+func (s *Settings) decodeReportField(j *jx.Decoder) error {
+	b, err := j.StrBytes()
+	s.ReportFields = append(s.ReportFields, Fields[string(b)])
+	s.ReportNames = append(s.ReportNames, string(b))
+	return err
 }
--- /dev/null
+++ b/internal/router/agent/broadcast.go
@@ -0,0 +1,26 @@
+package agent
+
+import "sync"
+
+// broadcast wakes all goroutines that wait for its next event. It is safe for concurrent use.
+type broadcast struct {
+	mu    sync.Mutex
+	event chan struct{}
+}
+
+func newBroadcast() *broadcast { return &broadcast{event: make(chan struct{})} }
+
+// next returns a channel that closes at the next event. A waiter calls it before it looks at what it waits
+// for, so that it misses no event.
+func (b *broadcast) next() <-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.event
+}
+
+func (b *broadcast) notify() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	close(b.event)
+	b.event = make(chan struct{})
+}
--- a/internal/router/agent/hub_replication.go
+++ b/internal/router/agent/hub_replication.go
@@ -18,7 +18,7 @@
 // link is closed.
 func (a *Agent) pushToHub(h *hub) {
 	for {
-		changed := a.state.nextChange()
+		changed := a.state.changed.next()
 		if a.pushOnce(h) {
 			select {
 			case <-h.stop:
@@ -36,7 +36,7 @@
 	}
 }
 
-// pushOnce sends the records of this process that the hub lacks, and tells whether it then has all.
+// pushOnce sends the records of this process that the hub lacks, and reports whether it then has all.
 func (a *Agent) pushOnce(h *hub) bool {
 	replicatedTo := h.current().replicatedTo
 	var records []directory.Record
@@ -64,6 +64,6 @@
 	}
 	complete := h.state.replicatedTo >= offset
 	h.mu.Unlock()
-	a.notifyReplicated()
+	a.replicated.notify()
 	return complete
 }
--- a/internal/router/agent/list_endpoint_test.go
+++ b/internal/router/agent/list_endpoint_test.go
@@ -45,7 +45,7 @@
 	get(c, a, "/api/members", &list)
 	c.Assert(list, qt.DeepEquals, memberList{Asked: a.id, Epoch: 4, Members: []listedMember{
 		{ID: "p1", Name: "front-b", IP: "127.0.0.2", Control: "127.0.0.2:3", State: "ready", HasDisk: true,
-			KeepsConfig: true},
+			IsMember: true},
 		{ID: "p2", Name: "front-c", IP: "127.0.0.3", Control: "127.0.0.3:3", Zone: "kopli", State: "lost",
 			Follows: "p1"},
 	}})
@@ -66,7 +66,7 @@
 		{ID: "i-1", Service: "model", Address: "127.0.0.8:80", Zone: "kopli", Version: "v1", Slots: 8,
 			State: "ready", Stage: "writing", ChangingTo: "reading", Sequence: 7},
 		{ID: "i-2", Service: "lookup", Address: "127.0.0.9:80", Slots: 6, State: "draining", Sequence: 9,
-			HeardBy: "p1"},
+			Watcher: "p1"},
 	}})
 }
 
--- a/internal/router/cli/router.go
+++ b/internal/router/cli/router.go
@@ -84,7 +84,8 @@
 	})
 }
 
-// handleSignals reloads settings that changed and closes stop at the first signal to end.
+// handleSignals applies changed settings, on SIGHUP and by polling, until the first other signal; it then
+// closes stop and returns.
 func handleSignals(process *agent.Agent, signals <-chan os.Signal, stop chan<- struct{}) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// lingerTime and lingerBytes bound what is read of a client after an answer to a request that was not read
-	// whole: closing at once would reset the connection, and the answer with it.
+	// lingerTime and lingerBytes bound what is read of a client after the response to a request that was
+	// not read completely: closing at once would reset the connection, and the response with it.
 	lingerTime  = 250 * time.Millisecond
 	lingerBytes = 256 << 10
-	// localReplyWriteTime is how long a client may take to let an answer in that belongs to no request.
+	// localReplyWriteTime is how long a client may take to read a response that belongs to no request.
 	localReplyWriteTime = time.Second
-	// writeGrace is how long it may take beyond its request's end: the operators want nothing held a quarter of
-	// a second past the route's timeout.
+	// writeGrace is how long it may take beyond its request's deadline: the operators want nothing held a
+	// quarter of a second past the route's timeout.
 	writeGrace = 200 * time.Millisecond
-	// minWriteTime is how long it may take where this process is late itself: it had no turn, or was frozen.
+	// minWriteTime is how long it may take in any case, as this process may be late itself: not scheduled,
+	// or frozen.
 	minWriteTime = 50 * time.Millisecond
 )
 
@@ -30,16 +31,16 @@
 type client struct {
 	proxy         *Proxy
 	socket        *socket
-	reservedBytes int // bytes of the present body that were taken from the budget
+	reservedBytes int // of the present body, taken from the budget
 
-	responses  int  // given to the present request
-	mustLinger bool // the answer to a request that was not read whole has been sent
-	truncated  bool // the last answer was cut off, so that nothing may look like its end
+	responses  int  // to the present request
+	mustLinger bool // the response to a request that was not read completely has been sent
+	truncated  bool // the last response is incomplete, so that nothing may look like its end
 	hadRequest bool // the connection has carried a request
 
 	mu        sync.Mutex
 	idle      bool
-	roundTrip *roundTrip // under way, for Wait
+	roundTrip *roundTrip // in flight, for Wait; nil between requests
 }
 
 func (c *client) run() {
@@ -55,15 +56,15 @@
 	c.socket.returnBuffers()
 }
 
-// recoverPanic keeps a mistake that one request brings out from ending all others. A broken invariant panics
-// in tests only, and is to end them.
+// recoverPanic keeps a fault of the program that one request brings out from ending all others. A violated
+// invariant panics in tests only, and is to end them.
 func (c *client) recoverPanic() {
 	if cause := recover(); cause != nil {
 		if violation, ok := cause.(*invariant.ViolationError); ok {
 			panic(violation)
 		}
 		c.proxy.log.Error().Interface("panic", cause).Bytes("stack", debug.Stack()).
-			Msg("front: a mistake of the program ended a client's connection; report it with the stack")
+			Msg("front: panic while serving a client, connection closed")
 	}
 }
 
@@ -74,24 +75,24 @@
 	}
 	c.mu.Lock()
 	c.idle = true
-	until := time.Now().Add(c.proxy.limits().IdleTimeout)
+	deadline := time.Now().Add(c.proxy.limits().IdleTimeout)
 	if c.proxy.draining.Load() {
-		until = c.proxy.idleDeadline(c.hadRequest)
+		deadline = c.proxy.idleDeadline(c.hadRequest)
 	}
-	c.socket.SetReadDeadline(until)
+	c.socket.SetReadDeadline(deadline)
 	c.mu.Unlock()
 	state := c.socket.awaitReadable()
 	c.mu.Lock()
 	c.idle = false
 	c.socket.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
-	if state == notReadable { // this goroutine may have had its turn later than both the bytes and the deadline
+	if state == notReadable { // this goroutine may have been scheduled after both the bytes and the deadline
 		state = c.socket.readState()
 	}
 	return state == readable
 }
 
-// closeIfIdle ends the connection if no byte of a request has come.
+// closeIfIdle ends the connection if no byte of a request has arrived.
 func (c *client) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// abortRequest ends the calls of the request under way; the client gets an answer.
+// abortRequest aborts the calls of the request in flight; the client gets a response.
 func (c *client) abortRequest() {
 	c.mu.Lock()
 	rt := c.roundTrip
@@ -110,7 +111,7 @@
 	}
 }
 
-// serveRequest reads one request and answers it. It returns whether the connection goes on.
+// serveRequest reads one request and answers it. It reports whether the connection goes on.
 func (c *client) serveRequest() bool {
 	defer c.releaseBody()
 	c.responses = 0
@@ -137,13 +138,13 @@
 	invariant.Assert(used >= 0, invariant.CountsNotNegative, "bodies take %d bytes", used)
 }
 
-// recordResponse notes that an answer to the present request begins.
+// recordResponse records that a response to the present request begins.
 func (c *client) recordResponse() {
 	c.responses++
-	invariant.Assert(c.responses <= 1, invariant.OneFinalAnswer, "a request got %d answers", c.responses)
+	invariant.Assert(c.responses <= 1, invariant.OneFinalAnswer, "a request got %d responses", c.responses)
 }
 
-// handle answers a request that was read whole.
+// handle answers a request that was read completely. It reports whether the connection goes on.
 func (c *client) handle(q *request) bool {
 	c.socket.SetWriteDeadline(q.writeDeadline())
 	switch {
@@ -157,8 +158,8 @@
 	rt := newRoundTrip(c, q)
 	c.setRoundTrip(rt)
 	defer c.setRoundTrip(nil)
-	w := watchDisconnect(c.socket, func() { rt.stop(clientDisconnected) })
-	defer w.stop()
+	watcher := watchDisconnect(c.socket, func() { rt.stop(clientDisconnected) })
+	defer watcher.stop()
 	rt.run()
 	return rt.keepAlive
 }
@@ -169,57 +170,22 @@
 	c.roundTrip = rt
 }
 
-// sendLocalReply sends the proxy's own answer. It returns whether the connection goes on.
-func (c *client) sendLocalReply(q *request, reply *localReplyError) bool {
-	c.recordResponse()
-	c.proxy.recordLocalReply(q, reply)
-	text := reply.remedy + "\n"
-	response := &http1.Response{Status: reply.status, Body: []byte(text)}
-	response.Header = http1.Header{{Name: "Content-Type", Value: "text/plain"}}
-	if reply.retryAfter > 0 {
-		response.Header = append(response.Header, http1.Field{Name: "Retry-After",
-			Value: formatSeconds(reply.retryAfter)})
-	}
-	if q != nil && q.tryID != "" {
-		response.Header = append(response.Header, http1.Field{Name: tryIDHeader, Value: q.tryID})
-	}
-	if q != nil && q.Method == "HEAD" {
-		response.Bodiless, response.Length, response.Body = true, int64(len(text)), nil
-	}
-	switch {
-	case reply.status == 503:
-		c.proxy.counters.rejected.Add(1)
-	case reply.status == 502 || reply.status == 504:
-		c.proxy.counters.failed.Add(1)
-	}
-	response.Close = reply.closeConnection || c.closesAfter(q)
-	c.setWriteDeadline(q)
-	c.addKeepAlive(response)
-	if out := c.socket.writer(); response.Write(out) != nil || out.Flush() != nil {
-		return false
-	}
-	c.mustLinger = reply.closeConnection
-	return !response.Close
-}
-
-// setWriteDeadline gives the client the time to let in an answer that is written whole; q is nil where no
-// request could be read. An answer that is late may still arrive, and a deadline that has passed would keep
-// it from being written.
+// setWriteDeadline gives the client the time to read a response that is written at once; q is nil where no
+// request could be read. A late response may still arrive, and a deadline that has passed would keep it
+// from being written.
 func (c *client) setWriteDeadline(q *request) {
 	now := time.Now()
-	until := now.Add(localReplyWriteTime)
+	deadline := now.Add(localReplyWriteTime)
 	if q != nil {
-		until = q.writeDeadline()
+		deadline = q.writeDeadline()
 	}
-	if earliest := now.Add(minWriteTime); until.Before(earliest) {
-		until = earliest
+	if earliest := now.Add(minWriteTime); deadline.Before(earliest) {
+		deadline = earliest
 	}
-	c.socket.SetWriteDeadline(until)
+	c.socket.SetWriteDeadline(deadline)
 }
 
-func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
-
-// closesAfter tells whether the connection ends with the answer to a request.
+// closesAfter reports whether the connection ends with the response to a request.
 func (c *client) closesAfter(q *request) bool { return c.proxy.draining.Load() || q == nil || q.Close }
 
 // addKeepAlive tells the client how long its connection stays open: a little less than it does.
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -15,9 +15,9 @@
 // deadlineOf is the time that a call was given, in milliseconds; 0 where none is told.
 func deadlineOf(q *http1.Request) int { return parseCount(q.Header.Get(deadlineHeader)) }
 
-// Every call tells its server what is left of the client's time: safe and unsafe requests, streams, readings
-// and what follows them, and a repeat that much less as the call before it took.
-func TestEveryCallCarriesWhatIsLeft(t *testing.T) {
+// Every call tells its server what is left of the client's time: safe and unsafe requests, streams, prefill
+// and what follows it, and a retry so much less as the previous call took.
+func TestEveryCallCarriesTheTimeLeft(t *testing.T) {
 	ended := make(chan string, 9)
 	begins := func(q *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
@@ -26,39 +26,42 @@
 	for _, test := range []struct {
 		name, route   string
 		first, second handler
-		shorter       int // milliseconds that the first call takes at least
+		shorter       int // milliseconds that the first call takes at least, from its start on
 	}{
-		{"silent", "safe", neverAnswer(ended), ok("x"), 1500},
-		{"silent before the stream", "stream", neverAnswer(ended), events(1, 3, true), 1500},
-		{"silent within the stream", "stream", begins, resumesUntil(3), 1000},
+		{"stalled", "safe", neverAnswer(ended), ok("x"), 1500},
+		{"stalled before the stream", "stream", neverAnswer(ended), events(1, 3, true), 1500},
+		{"stalled within the stream", "stream", begins, resumesUntil(3), 1000},
 		{"full", "unsafe", full, ok("x"), 0},
 		{"full", "firm", full, events(1, 3, true), 0},
-		{"elsewhere", "unsafe", elsewhere, ok("x"), 0},
+		{"server replaced", "unsafe", replaced, ok("x"), 0},
 	} {
 		t.Run(test.route+" "+test.name, func(t *testing.T) {
 			t.Parallel()
-			servers := lookups(t, inTurn(test.first, test.second))
+			servers := newLookupServers(t, inTurn(test.first, test.second))
 			r := newRig(t, nil, servers...)
 			answer := r.dial().ask("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: 4500")
 			r.Assert(answer.Status, qt.Equals, 200)
 			first, second := deadlineOf(servers[0].got()[0]), deadlineOf(servers[1].got()[0])
 			r.Assert(first > 0 && first <= 4500, qt.IsTrue, qt.Commentf("%d", first))
-			r.Assert(second > 0 && second <= first-test.shorter, qt.IsTrue, qt.Commentf("%d after %d", second, first))
-			r.Assert(arrivals(servers), qt.Equals, 2)
+			// The first call's time runs from its start, which is after the request's arrival and before its
+			// deadline is written.
+			r.Assert(second > 0 && second <= 4500-test.shorter, qt.IsTrue, qt.Commentf("%d after %d", second, first))
+			r.Assert(second <= first, qt.IsTrue, qt.Commentf("%d after %d", second, first))
+			r.Assert(requestsReceived(servers), qt.Equals, 2)
 		})
 	}
 }
 
-func TestCallsThatReadCarryWhatIsLeft(t *testing.T) {
+func TestPrefillCallsCarryTheTimeLeft(t *testing.T) {
 	t.Parallel()
 	ended := make(chan string, 9)
-	for _, read := range []handler{readsPrompt("h"), neverAnswer(ended), full} {
-		readers, writers := pair(t, inTurn(read, readsPrompt("h")), events(1, 3, true))
-		r := newRig(t, nil, append(readers, writers...)...)
+	for _, read := range []handler{prefillsPrompt("h"), neverAnswer(ended), full} {
+		prefillers, decoders := newModelServers(t, inTurn(read, prefillsPrompt("h")), events(1, 3, true))
+		r := newRig(t, nil, append(prefillers, decoders...)...)
 		answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 1500")
 		r.Assert(answer.Status, qt.Equals, 200)
 		before := 1500
-		for _, s := range append(readers, writers...) {
+		for _, s := range append(prefillers, decoders...) {
 			for _, q := range s.got() {
 				r.Assert(deadlineOf(q) > 0 && deadlineOf(q) <= before, qt.IsTrue)
 				before = deadlineOf(q)
@@ -67,7 +70,7 @@
 	}
 }
 
-// A client that tells no deadline, or none that can be read, has the route's timeout.
+// A client that names no deadline, or none that can be parsed, has the route's timeout.
 func TestCallsWithoutADeadlineCarryTheTimeout(t *testing.T) {
 	s := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, nil, s)
@@ -78,15 +81,15 @@
 	}
 }
 
-// A request that would last longer than its route's timeout has its last word by then, whatever the client
-// would wait and whatever its server has sent so far.
-func TestTheRoutesTimeoutEndsEveryKindOfRequest(t *testing.T) {
+// A request that would last longer than its route's timeout is ended by then, however long the client would
+// wait and whatever its server has sent so far.
+func TestRouteTimeoutEndsEveryKindOfRequest(t *testing.T) {
 	ended := make(chan string, 99)
 	for name, part := range map[string]func(q *http1.Request) string{
-		"silent":          func(*http1.Request) string { return "" },
-		"a piece of head": func(q *http1.Request) string { return head(q, 200, stamp) },
-		"a piece of body": func(q *http1.Request) string { return head(q, 200, stamp) + length("twice") + "half" },
-		"an event":        func(q *http1.Request) string { return streamHead(q, "s") + chunk(event(1)) },
+		"nothing":        func(*http1.Request) string { return "" },
+		"a part of head": func(q *http1.Request) string { return head(q, 200, stamp) },
+		"a part of body": func(q *http1.Request) string { return head(q, 200, stamp) + length("twice") + "half" },
+		"an event":       func(q *http1.Request) string { return streamHead(q, "s") + chunk(event(1)) },
 	} {
 		for _, route := range []string{"safe", "unsafe", "stream", "firm", "model", "modelfirm"} {
 			t.Run(route+" "+name, func(t *testing.T) {
@@ -96,7 +99,7 @@
 					return neverAnswer(ended)(q, w)
 				}
 				s := newServer(t, "i-1", "lookup", "", answer)
-				reader := newServer(t, "i-r", "language", catalog.Prefill, readsPrompt("h"))
+				reader := newServer(t, "i-r", "language", catalog.Prefill, prefillsPrompt("h"))
 				writer := newServer(t, "i-w", "language", catalog.Decode, answer)
 				r := newRig(t, nil, s, reader, writer)
 				r.state.config.Match("h", "/"+route+"/").Timeout = 200 * time.Millisecond
--- a/internal/router/dataplane/retry_test.go
+++ b/internal/router/dataplane/retry_test.go
@@ -17,15 +17,15 @@
 const stamp = "Cresshub-Server-Stamp: s"
 
 var (
-	full       = status(503, "Cresshub-Not-Run: 1", "Cresshub-Server-Load: 8,3,8")
-	elsewhere  = status(421, "Cresshub-Not-Run: 1")
-	failure500 = status(500, stamp)
-	nonsense   = raw("this is no HTTP\r\n\r\n")
-	halfAnswer = raw("HTTP/1.1 200 OK\r\nCresshub-Try-Id: a\r\n" + stamp + "\r\nContent-Length: 9\r\n\r\nhalf")
+	full         = status(503, "Cresshub-Not-Run: 1", "Cresshub-Server-Load: 8,3,8")
+	replaced     = status(421, "Cresshub-Not-Run: 1")
+	failure500   = status(500, stamp)
+	nonsense     = raw("this is no HTTP\r\n\r\n")
+	halfResponse = raw("HTTP/1.1 200 OK\r\nCresshub-Try-Id: a\r\n" + stamp + "\r\nContent-Length: 9\r\n\r\nhalf")
 )
 
-// cutting writes as its handler does and then breaks off.
-func cutting(h handler) handler {
+// breaksOffAfter writes as its handler does and then breaks off.
+func breaksOffAfter(h handler) handler {
 	return func(q *http1.Request, w io.Writer) bool {
 		h(q, w)
 		return false
@@ -46,17 +46,18 @@
 	for _, test := range []row{
 		{"reset", "unsafe", []handler{breakOff, good}, 502, 1, []scheduler.Outcome{broken}},
 		{"nonsense", "unsafe", []handler{nonsense, good}, 502, 1, []scheduler.Outcome{broken}},
-		{"half an answer", "unsafe", []handler{cutting(halfAnswer), good}, 502, 1, []scheduler.Outcome{broken}},
+		{"half a response", "unsafe", []handler{breaksOffAfter(halfResponse), good}, 502, 1,
+			[]scheduler.Outcome{broken}},
 		{"full", "unsafe", []handler{full, good}, 200, 2, []scheduler.Outcome{not, served}},
-		{"full thrice", "unsafe", []handler{full}, 503, 3, []scheduler.Outcome{not, not, not}},
+		{"full three times", "unsafe", []handler{full}, 503, 3, []scheduler.Outcome{not, not, not}},
 		{"full, then reset", "unsafe", []handler{full, breakOff, good}, 502, 2, []scheduler.Outcome{not, broken}},
 		{"429 with a promise", "unsafe", []handler{status(429, "Cresshub-Not-Run: 1"), good}, 200, 2,
 			[]scheduler.Outcome{not, served}},
-		{"elsewhere", "unsafe", []handler{elsewhere, good}, 200, 2, []scheduler.Outcome{scheduler.Misdirected,
-			served}},
-		{"elsewhere without a word", "unsafe", []handler{status(421), good}, 200, 2,
+		{"replaced", "unsafe", []handler{replaced, good}, 200, 2,
+			[]scheduler.Outcome{scheduler.Misdirected, served}},
+		{"replaced without Cresshub-Not-Run", "unsafe", []handler{status(421), good}, 200, 2,
 			[]scheduler.Outcome{scheduler.Misdirected, served}},
-		{"elsewhere thrice", "unsafe", []handler{elsewhere}, 503, 3,
+		{"replaced three times", "unsafe", []handler{replaced}, 503, 3,
 			[]scheduler.Outcome{scheduler.Misdirected, scheduler.Misdirected, scheduler.Misdirected}},
 		{"503 without a promise", "unsafe", []handler{status(503), good}, 502, 1, []scheduler.Outcome{broken}},
 		{"429 without a promise", "unsafe", []handler{status(429), good}, 502, 1, []scheduler.Outcome{broken}},
@@ -74,29 +75,29 @@
 
 		{"reset", "safe", []handler{breakOff, good}, 200, 2, []scheduler.Outcome{broken, served}},
 		{"nonsense", "safe", []handler{nonsense, good}, 200, 2, []scheduler.Outcome{broken, served}},
-		{"half an answer", "safe", []handler{cutting(halfAnswer), good}, 200, 2, []scheduler.Outcome{broken,
-			served}},
-		{"reset thrice", "safe", []handler{breakOff}, 502, 3, []scheduler.Outcome{broken, broken, broken}},
+		{"half a response", "safe", []handler{breaksOffAfter(halfResponse), good}, 200, 2,
+			[]scheduler.Outcome{broken, served}},
+		{"reset three times", "safe", []handler{breakOff}, 502, 3, []scheduler.Outcome{broken, broken, broken}},
 		{"reset, then full", "safe", []handler{breakOff, full}, 502, 3, []scheduler.Outcome{broken, not, not}},
 		{"its own failure", "safe", []handler{failure500, good}, 200, 2, []scheduler.Outcome{failed, served}},
-		{"its own failure thrice", "safe", []handler{failure500}, 500, 3,
+		{"its own failure three times", "safe", []handler{failure500}, 500, 3,
 			[]scheduler.Outcome{failed, failed, failed}},
 		{"its own failure, then reset", "safe", []handler{failure500, breakOff}, 500, 3,
 			[]scheduler.Outcome{failed, broken, broken}},
-		{"503 without a promise", "safe", []handler{status(503), good}, 200, 2, []scheduler.Outcome{broken,
-			served}},
+		{"503 without a promise", "safe", []handler{status(503), good}, 200, 2,
+			[]scheduler.Outcome{broken, served}},
 		{"a stream broken before its first event", "stream", []handler{breakOff, good}, 200, 2,
 			[]scheduler.Outcome{broken, served}},
 	} {
 		t.Run(test.route+" "+test.name, func(t *testing.T) {
-			servers := lookups(t, inTurn(test.answers...))
+			servers := newLookupServers(t, inTurn(test.answers...))
 			r := newRig(t, nil, servers...)
 			answer := r.dial().ask("POST", "/"+test.route+"/", "a", "once")
 			r.Assert(answer.Status, qt.Equals, test.status)
 			r.Assert(answer.Header.Get(tryIDHeader), qt.Equals, "a")
 			r.Assert(answer.Header.Get("Retry-After") != "", qt.Equals, test.status == 503)
 			r.Assert(answer.Header.Get(notRunHeader) == "" || answer.Status == 400, qt.IsTrue)
-			r.Assert(arrivals(servers), qt.Equals, test.arrivals)
+			r.Assert(requestsReceived(servers), qt.Equals, test.arrivals)
 			r.awaitCallsEnded()
 			r.Assert(r.chooser.outcomes(), qt.DeepEquals, test.outcomes)
 			r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(test.arrivals-1))
@@ -104,14 +105,14 @@
 	}
 }
 
-func TestGoneServersAreHinted(t *testing.T) {
-	servers := lookups(t, inTurn(elsewhere, ok("x")))
+func TestReplacedServersAreReported(t *testing.T) {
+	servers := newLookupServers(t, inTurn(replaced, ok("x")))
 	r := newRig(t, nil, servers...)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
 	r.Assert(r.state.Replaced(), qt.DeepEquals, []string{"i-1"})
 }
 
-func TestSpentBudgetEndsTheTries(t *testing.T) {
+func TestSpentBudgetEndsTheRetries(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		answer handler
@@ -120,19 +121,19 @@
 		{"reset", breakOff, 502}, {"full", full, 503}, {"its own failure", failure500, 500},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			servers := lookups(t, test.answer)
+			servers := newLookupServers(t, test.answer)
 			r := newRig(t, slack(0), servers...)
 			r.Assert(r.dial().ask("GET", "/safe/", "a", "").Status, qt.Equals, test.status)
-			r.Assert(arrivals(servers), qt.Equals, 1)
+			r.Assert(requestsReceived(servers), qt.Equals, 1)
 			r.awaitCallsEnded()
 		})
 	}
 }
 
-func TestServersOutOfReachAreNoArrivals(t *testing.T) {
+func TestUnreachableServersAreNoAttempts(t *testing.T) {
 	dead := newServer(t, "i-0", "lookup", "", ok("x"))
+	alive := newServer(t, "i-1", "lookup", "", ok("x")) // opened first: it may get the port that dead gives back
 	dead.listener.Close()
-	alive := newServer(t, "i-1", "lookup", "", ok("x"))
 	r := newRig(t, slack(0), dead, alive)
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
 	r.awaitCallsEnded()
@@ -142,23 +143,23 @@
 	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 503)
 }
 
-func TestSilentServer(t *testing.T) {
+func TestServerThatTimesOut(t *testing.T) {
 	ended := make(chan string, 9)
 	for _, test := range []struct {
 		name, route, deadline string
 		status, arrivals      int
 	}{
-		{"never twice", "unsafe", "300", 504, 1},
-		{"no time for another one", "safe", "300", 504, 1},
-		{"another one", "safe", "4000", 200, 2},
+		{"not idempotent", "unsafe", "300", 504, 1},
+		{"no time for another server", "safe", "300", 504, 1},
+		{"another server", "safe", "4000", 200, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			servers := lookups(t, inTurn(neverAnswer(ended), ok("x")))
+			servers := newLookupServers(t, inTurn(neverAnswer(ended), ok("x")))
 			r := newRig(t, nil, servers...)
 			answer := r.dial().ask("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: "+test.deadline)
 			r.Assert(answer.Status, qt.Equals, test.status)
-			r.Assert(arrivals(servers), qt.Equals, test.arrivals)
+			r.Assert(requestsReceived(servers), qt.Equals, test.arrivals)
 			<-ended // the connection does not outlive its request
 			r.awaitCallsEnded()
 			r.Assert(r.chooser.outcomes()[0], qt.Equals, scheduler.TimedOut)
@@ -182,8 +183,7 @@
 	r.Assert(late.got(), qt.HasLen, 1)
 }
 
-// TestServersThatRefuseConnectionsAreSuspected tells the fleet of a server whose process is gone, and of no
-// other.
+// TestServersThatRefuseConnectionsAreSuspected reports a server whose process has ended, and no other.
 func TestServersThatRefuseConnectionsAreSuspected(t *testing.T) {
 	away := newServer(t, "away", "lookup", "", ok("x"))
 	away.listener.Close()
--- a/internal/router/dataplane/slidingmax.go
+++ b/internal/router/dataplane/slidingmax.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// slidingMaxWindow is for how long at least a higher count of proxies is remembered: a cut makes the count
-	// fall, while those beyond it go on using their share of the retry budget.
+	// slidingMaxWindow is for how long at least a higher count of proxies is remembered: a partition makes
+	// the count fall, while those beyond it go on using their share of the retry budget.
 	slidingMaxWindow  = 60 * time.Second
 	slidingMaxBuckets = 6
 )
@@ -15,18 +15,18 @@
 	values  [slidingMaxBuckets + 1]int
 }
 
-// observe takes in a value and returns the highest that is remembered.
-func (p *slidingMax) observe(now time.Duration, value int) int {
+// observe adds a value and returns the highest within the window.
+func (m *slidingMax) observe(now time.Duration, value int) int {
 	number := int64(now/(slidingMaxWindow/slidingMaxBuckets)) + slidingMaxBuckets + 1
-	slot := number % int64(len(p.numbers))
-	if p.numbers[slot] != number {
-		p.numbers[slot], p.values[slot] = number, 0
+	slot := number % int64(len(m.numbers))
+	if m.numbers[slot] != number {
+		m.numbers[slot], m.values[slot] = number, 0
 	}
-	p.values[slot] = max(p.values[slot], value)
+	m.values[slot] = max(m.values[slot], value)
 	highest := 0
-	for i := range p.numbers {
-		if p.numbers[i] >= number-slidingMaxBuckets {
-			highest = max(highest, p.values[i])
+	for i := range m.numbers {
+		if m.numbers[i] >= number-slidingMaxBuckets {
+			highest = max(highest, m.values[i])
 		}
 	}
 	return highest
--- /dev/null
+++ b/internal/router/scheduler/peer_load_test.go
@@ -0,0 +1,91 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"cresshub/internal/router/catalog"
+)
+
+func TestBacklogShrinksWithTime(t *testing.T) {
+	c := qt.New(t)
+	var b backlog
+	b.set(0, 1000)
+	c.Check(b.remainingAt(0), isNear, 1000.0, 1e-6)
+	c.Check(b.remainingAt(600*time.Millisecond), isNear, 400.0, 1e-6)
+	c.Check(b.remainingAt(5*second), isNear, 250.0, 1e-6, qt.Commentf("a quarter counts until its end is known"))
+	b.set(600*time.Millisecond, 1100)
+	c.Check(b.remainingAt(600*time.Millisecond), isNear, 500.0, 1e-6, qt.Commentf("new work comes on top"))
+	b.set(600*time.Millisecond, 100)
+	c.Check(b.remainingAt(600*time.Millisecond), isNear, 100.0, 1e-6,
+		qt.Commentf("no more remains than is in flight"))
+	b.set(second, 0)
+	c.Check(b.remainingAt(second), qt.Equals, 0.0)
+}
+
+// TestPrefillServersThatPeersFillAreAvoided sends prompts that share nothing where other proxies have nothing
+// in flight.
+func TestPrefillServersThatPeersFillAreAvoided(t *testing.T) {
+	r := promptRequest("a", 1)
+	r.Segments = r.Segments[:1]
+	seen := destinations(10*second, r, Prefill, func(scheduler *Scheduler) {
+		var others []InFlightLoad
+		for _, s := range scheduler.table.Service(r.Service.Name) {
+			if s.Role == catalog.Prefill && s.ID != "r3" {
+				others = append(others, InFlightLoad{Server: s.ID, Prefill: 2 * second, Calls: 2})
+			}
+		}
+		scheduler.SetPeerLoad(10*second, others, true)
+	})
+	qt.Check(t, seen, qt.DeepEquals, map[string]int{"r3": 200})
+}
+
+// TestPeerLoadExpires falls back to the servers' own reports when the other proxies time out.
+func TestPeerLoadExpires(t *testing.T) {
+	scheduler := warmScheduler(1, 7, 11)
+	scheduler.SetPeerLoad(10*second, nil, true)
+	_, ok := scheduler.peerLoadAge(10*second + peerLoadTTL)
+	qt.Check(t, ok, qt.IsTrue)
+	_, ok = scheduler.peerLoadAge(10*second + peerLoadTTL + 1)
+	qt.Check(t, ok, qt.IsFalse)
+}
+
+// TestInFlightChangesAreReportedOnce: a server is reported where a call began or ended since the last time.
+func TestInFlightChangesAreReportedOnce(t *testing.T) {
+	c := qt.New(t)
+	scheduler := warmScheduler(1, 7, 11)
+	scheduler.InFlightChanges(false)
+	call := scheduler.Choose(10*second, promptRequest("a", 1), Prefill, nil)
+	changes := scheduler.InFlightChanges(false)
+	c.Assert(changes, qt.HasLen, 1)
+	c.Check(changes[0].Server, qt.Equals, call.Server.ID)
+	c.Check(changes[0].Calls, qt.Equals, 1)
+	c.Check(changes[0].Prefill > 0, qt.IsTrue)
+	c.Check(scheduler.InFlightChanges(false), qt.HasLen, 0)
+	c.Check(scheduler.InFlightChanges(true), qt.HasLen, 1)
+	scheduler.Done(11*second, call, Served)
+	c.Check(scheduler.InFlightChanges(false), qt.DeepEquals, []InFlightLoad{{call.Server.ID, 0, 0}})
+}
+
+// TestUncachedPromptsGoToTheShorterQueue: where no server caches the shared prefix, the first rank has no
+// advantage; once another proxy has reported that it sent the prefix to a server, that one has.
+func TestUncachedPromptsGoToTheShorterQueue(t *testing.T) {
+	c := qt.New(t)
+	r := promptRequest("a", 1)
+	order := rankedPrefillServers(warmScheduler(1, 7, 11), r)
+	busy := []InFlightLoad{{Server: order[0], Prefill: second, Calls: 1}}
+	know := func(scheduler *Scheduler) {
+		scheduler.MarkFleetStart(10 * second)
+		scheduler.SetPeerLoad(10*second, busy, true)
+	}
+	seen := destinations(10*second, r, Prefill, know)
+	c.Check(seen, qt.DeepEquals, map[string]int{order[1]: 200})
+	name, _, _ := func() (uint64, int, bool) { p := newPrefixChain(r); return p.shared() }()
+	seen = destinations(10*second, r, Prefill, func(scheduler *Scheduler) {
+		know(scheduler)
+		scheduler.AddCachedPrefixes([]CachedPrefixes{{order[0], []uint64{name}}})
+	})
+	c.Check(seen, qt.DeepEquals, map[string]int{order[0]: 200})
+}
