--- a/internal/proxy/discovery/client_test.go
+++ b/internal/proxy/discovery/client_test.go
@@ -18,7 +18,7 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-func client(address string) *Client {
+func newClient(address string) *Client {
 	return New(address, time.Second, Limits{WatchTimeout: 3 * time.Second, MaxListBytes: 1 << 20},
 		Names{Zones: []string{"kita", "chuo"}, Kinds: []string{"m1", "m2"}},
 		descriptors.NewBudget(100, 0.6, 0.25), &stats.Set{}, slog.New(slog.DiscardHandler))
@@ -27,10 +27,10 @@
 func TestApply(t *testing.T) {
 	const line = `{"index":%d,"snapshot":%v,"endpoints":[{"name":%q,"address":"127.0.0.1:%d","zone":%q,` +
 		`"type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":1700000000123}]}`
-	c := client("")
+	c := newClient("")
 	for _, step := range []struct {
 		in    string
-		want  dispatch.Server // but for its ID
+		want  dispatch.Server // except its ID
 		alive string
 	}{
 		{
@@ -75,9 +75,9 @@
 	}
 }
 
-// The decisions place keys by these numbers, so all client proxies must give a name the same one.
-func TestIDsAreTheSameEverywhere(t *testing.T) {
-	x, y := client(""), client("")
+// The decisions place keys by ids, so all client proxies must give a name the same one.
+func TestIDsAreTheSameAtAllProxies(t *testing.T) {
+	x, y := newClient(""), newClient("")
 	y.serverID("s-9")
 	if x.serverID("s-1") != y.serverID("s-1") || x.serverID("s-1") == x.serverID("s-2") {
 		t.Error("ids depend on what was seen before, or coincide")
@@ -92,8 +92,8 @@
 func (s *sink) UpdateList(full bool, list []dispatch.Server) { s.listed <- fmt.Sprint(full, len(list)) }
 func (s *sink) ListFailed()                                  { s.failed <- true }
 
-// A watch that ends or answers badly is told as failed, and may be asked again.
-func TestWatch(t *testing.T) {
+// A watch that ends, or whose response is an error, is reported as failed, and Follow opens another.
+func TestEndedWatchIsReported(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	answers := []string{
 		head + "3\r\n{]\n\r\n",
@@ -110,7 +110,7 @@
 		io.WriteString(c, a)
 	})
 	s := &sink{make(chan string, 1), make(chan bool)}
-	c := client(address)
+	c := newClient(address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.Run(ctx, s, func() {})
@@ -127,12 +127,12 @@
 	}
 }
 
-// A move is followed at once and by ourselves, while the watch before it is heard until the new one has
-// told the whole list; after that it is not. The new service counts its versions anew.
+// A move is followed at once and without Follow, while the watch before it stays open until the new one has
+// delivered the full list. The new registry counts its changes anew.
 func TestMove(t *testing.T) {
 	old, fresh := nettest.NewDiscovery(t), nettest.NewDiscovery(t)
 	s := &sink{make(chan string, 9), make(chan bool, 9)}
-	c := client(old.Address)
+	c := newClient(old.Address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.Run(ctx, s, func() {})
@@ -149,7 +149,7 @@
 		}
 	}
 	list(old, true, 1)
-	fresh.Refuse.Store(2) // calls that fail are made again without being asked
+	fresh.Refuse.Store(2) // failed calls are made again without Follow
 	c.Move(fresh.Address)
 	nettest.Until(t, "the new service is asked", func() bool { return fresh.Refuse.Load() < 0 })
 	list(old, false, 2)
@@ -162,16 +162,16 @@
 	if _, _, err := c.apply(&watch{number: 1}, []byte(nettest.List(true, "in_service", nil))); err == nil {
 		t.Error("a watch that was left is still heard")
 	}
-	c.Move(fresh.Address) // says nothing new
+	c.Move(fresh.Address) // a no-op
 	list(fresh, false, 2)
 	if n := len(s.failed); n > 0 || fresh.Watches.Load() != 1 {
 		t.Errorf("%d times told as failed, %d watches", n, fresh.Watches.Load())
 	}
 }
 
-// The list as it is held goes to the next process whole: what drains and its place in the count included.
+// Export passes the full list to the next process, with draining servers and the index.
 func TestExport(t *testing.T) {
-	c := client("")
+	c := newClient("")
 	if doc, err := c.Export(); doc != nil || err != nil {
 		t.Errorf("of nothing: %s, %v", doc, err)
 	}
@@ -188,7 +188,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := client("")
+	next := newClient("")
 	list, err := next.Restore(doc)
 	if err != nil || len(list) != 1 || list[0].State != balance.Draining || next.index != 7 ||
 		next.Listed() != 1 || next.InService() != 0 {
--- a/internal/proxy/discovery/watch_test.go
+++ b/internal/proxy/discovery/watch_test.go
@@ -21,14 +21,14 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// entry is a list of one server in discovery's form.
-func entry(index int, whole bool, name, status string) string {
+// document is a list of one server in discovery's form.
+func document(index int, whole bool, name, status string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[{"name":%q,"address":"127.0.0.1:1",`+
 		`"zone":"kita","type":"m2","group":1,"status":%q,"weight":1,"since_ms":0}]}`, index, whole, name, status)
 }
 
-// script is a discovery whose n-th call, from 0 on, is answered by serve; the call's target is handed in.
-func script(t *testing.T, serve func(n int, target string, c *connbuffer.Conn)) string {
+// scriptedRegistry is a registry whose n-th call, from 0 on, is answered by serve, which gets its target.
+func scriptedRegistry(t *testing.T, serve func(n int, target string, c *connbuffer.Conn)) string {
 	t.Helper()
 	calls := make(chan int, 1)
 	calls <- 0
@@ -49,7 +49,7 @@
 func follow(t *testing.T, address string, l Limits) (*Client, *sink) {
 	t.Helper()
 	s := &sink{make(chan string, 9), make(chan bool, 9)}
-	c := client(address)
+	c := newClient(address)
 	l.MaxListBytes = 1 << 16
 	c.SetLimits(l)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -59,10 +59,10 @@
 	return c, s
 }
 
-// A list is taken whatever lines and pieces it comes in, and one that is cut off, too large or no list leaves
-// the last good one.
+// A list is applied however it is split into lines and chunks; one that is truncated, too large or invalid
+// leaves the last good one.
 func TestListsInChunks(t *testing.T) {
-	one, two := entry(8, true, "a", "in_service"), entry(9, false, "b", "in_service")
+	one, two := document(8, true, "a", "in_service"), document(9, false, "b", "in_service")
 	indent := strings.NewReplacer("{", "{\n  ", ",", ",\r\n\t", "}", "\n}")
 	bytes := ""
 	for i := range one {
@@ -81,11 +81,11 @@
 		"empty lines":           {chunk("\n") + chunk("\r\n") + chunk(one) + chunk("\n"), 1},
 		"too large":             {chunk(one) + chunk(`{"index":9,"more":"`+strings.Repeat("x", 1<<16)+`"}`), 1},
 		"no list":               {chunk(one) + chunk("nonsense"), 1},
-		"an unknown status":     {chunk(one) + chunk(entry(9, false, "b", "asleep")), 1},
+		"an unknown status":     {chunk(one) + chunk(document(9, false, "b", "asleep")), 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, s := follow(t, script(t, func(n int, _ string, conn *connbuffer.Conn) {
+			c, s := follow(t, scriptedRegistry(t, func(n int, _ string, conn *connbuffer.Conn) {
 				io.WriteString(conn, chunked+in.said)
 				conn.Close()
 			}), Limits{WatchTimeout: nettest.Patience})
@@ -99,16 +99,16 @@
 	}
 }
 
-// A watch that falls silent, also in the midst of a list of which bytes go on coming, is opened anew from
-// what is held, without being asked for and without a word to the decisions.
+// A watch that times out, also within a list of which bytes still trickle in, is reopened from the present
+// index, without Follow and without ListFailed.
 func TestTimedOutWatchIsReopened(t *testing.T) {
 	for name, last := range map[string]string{"between lists": "\n", "in a list": `{"index":9,"endpo`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
+			c, s := follow(t, scriptedRegistry(t, func(n int, target string, conn *connbuffer.Conn) {
 				switch {
 				case n == 0:
-					io.WriteString(conn, chunked+chunk(entry(8, true, "a", "in_service"))+chunk(last))
+					io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service"))+chunk(last))
 					for last != "\n" {
 						if _, err := io.WriteString(conn, chunk(" ")); err != nil {
 							return
@@ -116,7 +116,7 @@
 						time.Sleep(5 * time.Millisecond)
 					}
 				case target == "/registry/instances?watch=1&from=8":
-					io.WriteString(conn, chunked+chunk(entry(9, false, "b", "in_service")))
+					io.WriteString(conn, chunked+chunk(document(9, false, "b", "in_service")))
 				default:
 					t.Errorf("call %d: %s", n, target)
 				}
@@ -129,8 +129,8 @@
 	}
 }
 
-// What a silent watch misses binds soon, however long the decisions may go without asking: a first call
-// after it that is refused, reset or not answered either is made again without a word to them.
+// What a silent watch misses binds soon, however long it may be until the next Follow: a first call after it
+// that is refused, reset or not answered either is made again without ListFailed.
 func TestReopenAfterTimeoutIsRetriedOnce(t *testing.T) {
 	for name, refuse := range map[string]func(conn *connbuffer.Conn){
 		"refused": func(conn *connbuffer.Conn) {
@@ -139,20 +139,20 @@
 		"reset":        func(conn *connbuffer.Conn) { conn.Conn.(*net.TCPConn).SetLinger(0); conn.Close() },
 		"not answered": func(*connbuffer.Conn) {},
 	} {
-		for _, opened := range []bool{true, false} { // whether the watch that fell silent had said anything
+		for _, opened := range []bool{true, false} { // whether the watch that timed out had delivered anything
 			t.Run(fmt.Sprint(name, ", opened ", opened), func(t *testing.T) {
 				t.Parallel()
 				calls, over := make(chan int, 99), make(chan bool)
 				defer close(over)
-				c, s := follow(t, script(t, func(n int, _ string, conn *connbuffer.Conn) {
+				c, s := follow(t, scriptedRegistry(t, func(n int, _ string, conn *connbuffer.Conn) {
 					calls <- n
 					switch {
 					case n == 0 && opened:
-						io.WriteString(conn, chunked+chunk(entry(8, true, "a", "in_service")))
+						io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service")))
 					case n == 1:
 						refuse(conn)
 					case n >= 2:
-						io.WriteString(conn, chunked+chunk(entry(9, true, "b", "in_service")))
+						io.WriteString(conn, chunked+chunk(document(9, true, "b", "in_service")))
 						<-over
 					}
 				}), Limits{WatchTimeout: 300 * time.Millisecond})
@@ -178,8 +178,7 @@
 	}
 }
 
-// Where what discovery has binds at once, a watch is not opened anew later after a silence than after any
-// other end.
+// Where changes bind at once, a watch is reopened after a time-out no later than after any other end.
 func TestReopenDelayWhereListsBind(t *testing.T) {
 	for _, c := range []struct{ silence, again, want time.Duration }{
 		{2400 * time.Millisecond, 0, 600 * time.Millisecond},
@@ -192,20 +191,21 @@
 	}
 }
 
-// While nothing gets through to discovery, as where a watch fell silent because a zone is cut off, it is
-// tried for as long as that takes: it costs discovery nothing, and what was missed binds soon after the cut.
+// While no connection to the registry comes up, as where a watch timed out because of a partition, calls are
+// made for as long as that takes: they cost the registry nothing, and what was missed binds soon after the
+// partition heals.
 func TestReopenDuringPartition(t *testing.T) {
-	const cut = 9 // calls whose connections never come up
+	const cut = 9 // calls whose connections never open
 	tries := make(chan bool, 99)
-	address := script(t, func(n int, _ string, conn *connbuffer.Conn) {
+	address := scriptedRegistry(t, func(n int, _ string, conn *connbuffer.Conn) {
 		if n == 0 {
-			io.WriteString(conn, chunked+chunk(entry(8, true, "a", "in_service")))
+			io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service")))
 			return
 		}
-		io.WriteString(conn, chunked+chunk(entry(9, false, "a", "terminating")))
+		io.WriteString(conn, chunked+chunk(document(9, false, "a", "terminating")))
 	})
 	s := &sink{make(chan string, 9), make(chan bool, 9)}
-	c := client(address)
+	c := newClient(address)
 	c.SetLimits(Limits{MaxListBytes: 1 << 16, WatchTimeout: 200 * time.Millisecond})
 	dial := c.connect
 	c.connect = func(ctx context.Context, address string) (net.Conn, error) {
@@ -236,25 +236,26 @@
 	}
 }
 
-// Discovery that is back with a lower count tells changes to a list that is not ours: it is asked for afresh.
-// The change is taken in at once, for a drain binds.
+// A registry that is back with a lower index sends changes to a list that is not ours: the full list is asked
+// for. The change is applied at once, for a drain binds.
 func TestIndexFallsBack(t *testing.T) {
 	for _, first := range []string{"terminating", "in_service"} {
-		c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
+		c, s := follow(t, scriptedRegistry(t, func(n int, target string, conn *connbuffer.Conn) {
 			switch n {
 			case 0:
-				io.WriteString(conn, chunked+chunk(entry(8, true, "a", "in_service"))+chunk(entry(3, false, "b", first)))
+				io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service"))+
+					chunk(document(3, false, "b", first)))
 			case 1:
 				if target != "/registry/instances" {
 					t.Errorf("then %s", target)
 				}
-				nettest.OK(entry(4, true, "b", "in_service")).Write(conn.Out)
+				nettest.OK(document(4, true, "b", "in_service")).Write(conn.Out)
 				conn.Flush()
 			default:
 				if target != "/registry/instances?watch=1&from=4" {
 					t.Errorf("at last %s", target)
 				}
-				io.WriteString(conn, chunked+chunk(entry(5, false, "c", "in_service")))
+				io.WriteString(conn, chunked+chunk(document(5, false, "c", "in_service")))
 			}
 		}), Limits{WatchTimeout: nettest.Patience})
 		c.Follow()
@@ -268,19 +269,19 @@
 	}
 }
 
-// Where changes bind unasked the whole list is asked for at the start, and again after every end, with nobody
-// asking.
+// Where changes bind at once the full list is asked for at the start, and a watch is opened after every end,
+// without Follow.
 func TestFollowsAlways(t *testing.T) {
-	c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
+	c, s := follow(t, scriptedRegistry(t, func(n int, target string, conn *connbuffer.Conn) {
 		want := "/registry/instances"
 		switch n {
 		case 0, 1:
 			(&http1.Response{Status: 503}).Write(conn.Out)
 		case 2:
-			nettest.OK(entry(4, true, "a", "in_service")).Write(conn.Out)
-		default: // each watch tells one change and ends
+			nettest.OK(document(4, true, "a", "in_service")).Write(conn.Out)
+		default: // each watch sends one change and ends
 			want = fmt.Sprintf("/registry/instances?watch=1&from=%d", n+1)
-			io.WriteString(conn.Out, chunked+chunk(entry(n+2, false, "b", "in_service"))+"0\r\n\r\n")
+			io.WriteString(conn.Out, chunked+chunk(document(n+2, false, "b", "in_service"))+"0\r\n\r\n")
 		}
 		if conn.Flush(); n == 3 || n == 4 {
 			conn.Close()
@@ -299,9 +300,9 @@
 	}
 }
 
-// A watch is reset, and before another stands a server drains, one moves and one is new: the next watch goes
-// on from the last version told, and from its first word on nothing old holds. So it is where the reset comes
-// in the midst of that word.
+// A watch is reset, and before the next one opens a server drains, one moves and one is new: the next watch
+// continues from the last index delivered, and from its first document on nothing old is valid. So it is
+// where the reset comes within that document.
 func TestDrainDuringReset(t *testing.T) {
 	line := func(name, port, status string) string {
 		return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:%s","zone":"kita","type":"m2","group":1,`+
@@ -313,7 +314,7 @@
 	changes := list(12, false, line("drains", "1", "terminating"), line("moves", "22", "in_service"),
 		line("new", "4", "in_service"))
 	for _, cut := range []int{0, 1, len(changes) / 2, len(changes) - 1} {
-		c, s := follow(t, script(t, func(n int, target string, conn *connbuffer.Conn) {
+		c, s := follow(t, scriptedRegistry(t, func(n int, target string, conn *connbuffer.Conn) {
 			said, want := list(8, true, line("drains", "1", "in_service"), line("moves", "2", "in_service"),
 				line("stays", "3", "in_service")), "/registry/instances?watch=1&from=0"
 			switch n {
--- a/internal/proxy/dispatch/decider_test.go
+++ b/internal/proxy/dispatch/decider_test.go
@@ -10,8 +10,8 @@
 	"cresshub/balance"
 )
 
-// party stands in for the network and for a client.
-type party struct {
+// fakeClient is a client and the network in one.
+type fakeClient struct {
 	probes chan ServerID
 	follow chan bool
 	wake   chan bool
@@ -19,16 +19,16 @@
 	left   bool
 }
 
-func (p *party) Probe(s ServerID) { p.probes <- s }
-func (p *party) Follow()          { p.follow <- true }
-func (p *party) Wake() {
+func (p *fakeClient) Probe(s ServerID) { p.probes <- s }
+func (p *fakeClient) Follow()          { p.follow <- true }
+func (p *fakeClient) Wake() {
 	select {
 	case p.wake <- true:
 	default:
 	}
 }
 
-func (p *party) Wait() error {
+func (p *fakeClient) Wait() error {
 	select {
 	case <-p.wake:
 		return nil
@@ -37,9 +37,9 @@
 	}
 }
 
-func (p *party) PeerClosed() bool { return p.left }
+func (p *fakeClient) PeerClosed() bool { return p.left }
 
-func decider(t *testing.T, set func(*balance.Settings)) (*Decider, *party) {
+func newDecider(t *testing.T, set func(*balance.Settings)) (*Decider, *fakeClient) {
 	t.Helper()
 	s := balance.Settings{
 		Tick: 5 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RegistryInterval: time.Millisecond,
@@ -52,7 +52,7 @@
 	if set != nil {
 		set(&s)
 	}
-	p := &party{probes: make(chan ServerID, 9), follow: make(chan bool, 9), wake: make(chan bool, 1),
+	p := &fakeClient{probes: make(chan ServerID, 9), follow: make(chan bool, 9), wake: make(chan bool, 1),
 		gone: make(chan bool, 1)}
 	d, err := New(s, 20*time.Millisecond, p)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return d, p
 }
 
-func soon() Request { return Request{Class: 1, Deadline: time.Now().Add(time.Hour)} }
+func atMostOnceRequest() Request { return Request{Class: 1, Deadline: time.Now().Add(time.Hour)} }
 
 func kinds(d *Decider, c *Call, n int) (got []StepKind) {
 	for range n {
@@ -71,7 +71,7 @@
 	return got
 }
 
-func TestCall(t *testing.T) {
+func TestStepsOfCall(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		class   int
@@ -84,8 +84,8 @@
 		{"safe and nothing sent", 0, []Result{Skipped}, []StepKind{Send, Refuse}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, p := decider(t, nil)
-			q := soon()
+			d, p := newDecider(t, nil)
+			q := atMostOnceRequest()
 			q.Class = c.class
 			call := d.Open(q, p)
 			got := kinds(d, call, 1)
@@ -100,10 +100,10 @@
 	}
 }
 
-// Once the last step of a call is out its goroutine serves another request: no wake may reach that one.
+// After the last step of a call its goroutine serves another request: no Wake may reach that one.
 func TestNothingWakesAnEndedCall(t *testing.T) {
-	d, p := decider(t, nil)
-	call := d.Open(soon(), p)
+	d, p := newDecider(t, nil)
+	call := d.Open(atMostOnceRequest(), p)
 	d.Pick(call)
 	p.gone <- true
 	<-p.wake
@@ -122,20 +122,20 @@
 // A Send that its goroutine never picked must not stay counted as under way at its server. Nor is it
 // cancelled: the caller knows only attempts that it started.
 func TestClientGoneBeforeAttemptStarted(t *testing.T) {
-	d, p := decider(t, nil)
-	call := d.Open(soon(), p)
+	d, p := newDecider(t, nil)
+	call := d.Open(atMostOnceRequest(), p)
 	d.clientGone(call)
 	if got := kinds(d, call, 1); !cmp.Equal(got, []StepKind{ClientGone}) {
 		t.Error(got)
 	}
 	if len(d.calls) != 0 {
-		t.Error("the call is still held")
+		t.Error("the call is still open")
 	}
 }
 
 func TestAttemptGivenUpBeforeDeadline(t *testing.T) {
-	d, p := decider(t, nil)
-	q := soon()
+	d, p := newDecider(t, nil)
+	q := atMostOnceRequest()
 	q.Deadline = time.Now().Add(time.Minute)
 	if s := d.Pick(d.Open(q, p)); !s.GiveUpAt.Equal(q.Deadline.Add(-d.responseMargin)) {
 		t.Errorf("waits until %v of %v", s.GiveUpAt, q.Deadline)
@@ -144,19 +144,19 @@
 
 // A server that started after this process, by Unix time, is warming up, not one started long ago.
 func TestClockReadsAsUnixTime(t *testing.T) {
-	d, _ := decider(t, nil)
+	d, _ := newDecider(t, nil)
 	if off := time.Duration(time.Now().UnixNano()) - d.now(); off < -time.Minute || off > time.Minute {
 		t.Errorf("the clock is off by %v", off)
 	}
 }
 
 func TestTimersReachTheNetwork(t *testing.T) {
-	d, p := decider(t, func(s *balance.Settings) { s.MayProbe = true })
+	d, p := newDecider(t, func(s *balance.Settings) { s.MayProbe = true })
 	stop := make(chan struct{})
 	defer close(stop)
 	go d.Run(stop)
 	<-p.follow // the cached list is old: discovery is asked
-	call := d.Open(soon(), p)
+	call := d.Open(atMostOnceRequest(), p)
 	if s := <-p.probes; s != 7 {
 		t.Fatalf("probe of %d", s)
 	}
@@ -171,8 +171,8 @@
 // and the decisions learn that the attempt was not made.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for _, before := range []int{0, 1} {
-		d, p := decider(t, nil)
-		c := d.Open(soon(), p)
+		d, p := newDecider(t, nil)
+		c := d.Open(atMostOnceRequest(), p)
 		for i := range before {
 			if s := d.Pick(c); s.Kind != Send {
 				t.Fatalf("attempt %d: %+v", i, s)
@@ -184,7 +184,7 @@
 			t.Errorf("after %d attempts: %+v", before, s)
 		}
 		p.left = false
-		next := d.Open(soon(), p) // what was not made holds nothing back
+		next := d.Open(atMostOnceRequest(), p) // an attempt that was not made does not count as load
 		if s := d.Pick(next); s.Kind != Send {
 			t.Errorf("another client: %+v", s)
 		}
--- a/internal/proxy/dispatch/interleaving_test.go
+++ b/internal/proxy/dispatch/interleaving_test.go
@@ -28,21 +28,21 @@
 	extend(nil)
 }
 
-// Whatever the order in which an attempt's end, the client's leaving, a change of the list and a look at the
-// steps come, a call has one last step, an answer counts once, what must not run twice is sent again or
-// refused only where the attempt before it never ran, and nothing is held afterwards.
-func TestEveryOrder(t *testing.T) {
+// Whatever the order of an attempt's end, the client's going away, a change of the list and a Pick: a call
+// has one last step, one response counts, what must not run twice is sent again or refused only where the
+// attempt before it never ran, and nothing is retained afterwards.
+func TestEveryOrderOfEvents(t *testing.T) {
 	for class, effect := range []string{"may run again", "must not"} {
 		for res := range Result(len(ResultNames)) {
 			permutations(4, func(order []int) {
-				d, p := decider(t, func(s *balance.Settings) { s.MayHedge = true })
+				d, p := newDecider(t, func(s *balance.Settings) { s.MayHedge = true })
 				d.UpdateList(true, []Server{{ID: 7, Rating: 1}, {ID: 8, Rating: 1}})
-				q := soon()
+				q := atMostOnceRequest()
 				q.Class = class
 				c := d.Open(q, p)
 				name := fmt.Sprintf("%s, %s, order %v", effect, ResultNames[res], order)
 				last, sends, answers := 0, 0, 0
-				ran := false // an attempt that ended may have
+				ran := false // whether an attempt that ended may have run
 				take := func() {
 					for len(c.steps) > 0 {
 						s, _ := d.next(c, true)
@@ -73,7 +73,7 @@
 					case 0:
 						end(0, res)
 					case 1:
-						if last == 0 { // a goroutine that has its last step waits no more
+						if last == 0 { // a goroutine does not Wait after its last step
 							d.clientGone(c)
 						}
 					case 2:
@@ -83,7 +83,7 @@
 					}
 				}
 				take()
-				for i := 1; i < sends; i++ { // whatever else is out ends well, and late
+				for i := 1; i < sends; i++ { // the other attempts are served, and late
 					end(i, Served)
 					take()
 				}
--- a/internal/proxy/ingress/client_test.go
+++ b/internal/proxy/ingress/client_test.go
@@ -16,14 +16,14 @@
 	"cresshub/internal/proxy/stats"
 )
 
-func pair() (*client, net.Conn) {
+func newClient() (*client, net.Conn) {
 	near, far := net.Pipe()
 	return &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}, far
 }
 
-// A wake may come before its wait, during it, or with the next request already there; none is lost.
+// A Wake may come before its Wait, during it, or with the next request already there; none is lost.
 func TestWakeIsNotLost(t *testing.T) {
-	c, far := pair()
+	c, far := newClient()
 	for range 100 {
 		go c.Wake()
 		if err := c.Wait(); err != nil {
@@ -42,29 +42,29 @@
 		t.Fatal(err)
 	}
 	if c.In.Buffered() != len("early") {
-		t.Errorf("%d bytes of the next request kept", c.In.Buffered())
+		t.Errorf("%d bytes of the next request buffered", c.In.Buffered())
 	}
 }
 
 func TestWaitNoticesClientGone(t *testing.T) {
-	c, far := pair()
+	c, far := newClient()
 	go far.Close()
 	if err := c.Wait(); err == nil {
 		t.Error("the client is still there")
 	}
 }
 
-func server() *Server {
+func newServer() *Server {
 	return New(Options{Limits: config.Clients{MaxRejecting: 1, ReclaimSilent: 50 * time.Millisecond,
 		ReclaimPartial: 500 * time.Millisecond, ReclaimIdle: 20 * time.Millisecond},
 		Bodies: bodybudget.NewBudget(1 << 20), Budget: descriptors.NewBudget(100, 0.6, 0.25),
 		Stats: &stats.Set{}, Log: slog.New(slog.DiscardHandler)})
 }
 
-// Places go first from those that never asked, then from those stuck in a request, then from those that
-// rest, and never from one with a whole request or one that only just came.
+// Connections are closed first where they never sent a request, then where they stall within one, then where
+// they are idle, and never with a complete request or just after they opened.
 func TestExpendabilityOrder(t *testing.T) {
-	s := server()
+	s := newServer()
 	old := time.Now().Add(-time.Minute)
 	add := func(c *client) *client {
 		c.Conn = connbuffer.NewConn(func() net.Conn { near, _ := net.Pipe(); return near }())
@@ -82,25 +82,25 @@
 	}
 	for i, c := range order {
 		if !s.closeMostExpendable() {
-			t.Fatalf("only %d made room", i)
+			t.Fatalf("only %d were closed", i)
 		}
 		if _, held := s.clients[c]; held {
-			t.Errorf("another one than the %d. made room", i)
+			t.Errorf("another one than the %d. was closed", i)
 		}
 	}
 	if s.closeMostExpendable() {
-		t.Error("one in use made room")
+		t.Error("one in use was closed")
 	}
 }
 
-// With the log of requests off, it costs a request no allocation.
+// Without a request log, logging costs a request no allocation.
 func TestRequestLogOffIsFree(t *testing.T) {
-	s := server()
-	c, _ := pair()
+	s := newServer()
+	c, _ := newClient()
 	tries := []*attempt{{}}
 	if n := testing.AllocsPerRun(1000, func() {
 		if s.requestLog.Load().Allow() {
-			t.Fatal("a line is wanted")
+			t.Fatal("an entry is wanted")
 		}
 		s.noteOutcome(c, "served", 200, tries, 0)
 		s.logRequest(c, time.Time{})
--- a/internal/proxy/ingress/clientgone_test.go
+++ b/internal/proxy/ingress/clientgone_test.go
@@ -14,9 +14,9 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// leaves are the ways in which a client leaves. The end of its sending alone is one of them: it is all that a
-// close shows, and who cannot be told from one that has gone is not sent on.
-var leaves = map[string]func(*net.TCPConn){
+// clientDepartures are the ways in which a client goes away. The end of its sending alone is one of them: a
+// close shows no more than that, so such a client counts as gone.
+var clientDepartures = map[string]func(*net.TCPConn){
 	"closes":         func(c *net.TCPConn) { c.Close() },
 	"resets":         func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"ends sending":   func(c *net.TCPConn) { c.CloseWrite() },
@@ -25,14 +25,14 @@
 
 func get(id string) string { return nettest.Request("GET", "lookup", id, 30*time.Second) }
 
-// post is a request whose body is told to be so long.
+// post is a request that states the length of its body.
 func post(id string, length int, body string) string {
 	head := nettest.Request("POST", "assign", id, 30*time.Second)
 	return strings.Replace(head, "\r\n\r\n", fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n%s", length, body), 1)
 }
 
-// A request whose client leaves while it waits is not sent on, whatever it waits for, and whatever else the
-// client had sent.
+// A request whose client goes away while it waits is not sent any more, whatever it waits for, and whatever
+// else the client had sent.
 func TestClientGoneWhileRequestWaits(t *testing.T) {
 	for name, text := range map[string]string{
 		"alone":           get("id"),
@@ -43,17 +43,17 @@
 		"a whole upload":  post("id", 100_000, strings.Repeat("x", 100_000)),
 		"upload and more": post("id", 70_000, strings.Repeat("x", 70_000)) + get("next"),
 	} {
-		for way, leave := range leaves {
+		for way, leave := range clientDepartures {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				r := newRig(t, nil)
 				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 				c := nettest.Dial(t, r.address)
 				go io.WriteString(c, text) // not all of it is read
-				nettest.Until(t, "the request is taken", func() bool { return r.Stats.Received.Load() == 1 })
+				nettest.Until(t, "the request is received", func() bool { return r.Stats.Received.Load() == 1 })
 				began := time.Now()
 				leave(c.Conn.(*net.TCPConn))
-				nettest.Until(t, "the client is missed", func() bool {
+				nettest.Until(t, "the client counts as gone", func() bool {
 					return r.Stats.ClientGone.Load() == 1 || r.Stats.Refused.Load() > 0
 				})
 				if r.Stats.ClientGone.Load() != 1 {
@@ -71,8 +71,8 @@
 	}
 }
 
-// The same while a connection is dialled for it, or after one that rested turned out closed, also where what
-// was sent may not be cancelled: this was not.
+// The same while a connection is dialled for it, or after an idle one turned out closed, also where a sent
+// request must not be cancelled: this one was not sent.
 func TestClientGoneDuringDial(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		for _, rested := range []bool{true, false} {
@@ -82,7 +82,7 @@
 				var first *connbuffer.Conn
 				accepted := make(chan *connbuffer.Conn, 2)
 				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-				relay := nettest.Listen(t, func(c *connbuffer.Conn) { // answers once, and then closes when it is told
+				relay := nettest.Listen(t, func(c *connbuffer.Conn) { // answers once, and closes on a signal
 					accepted <- c
 					q, err := http1.ReadRequest(c.In)
 					if err == nil && q.Header.Get(idField) == "before" {
@@ -96,7 +96,7 @@
 					}
 				})
 				r.list(relay)
-				from := 1 // the look-ups that belong to the request that is left
+				from := 1 // the first look-up of the request whose client goes away
 				if rested {
 					nettest.Ask(t, nettest.Dial(t, r.address), get("before"))
 					first = <-accepted
@@ -104,8 +104,8 @@
 				}
 				at, on := make(chan bool), make(chan bool)
 				r.mu.Lock()
-				r.looked = func(n int) {
-					if n == from && rested { // just as the connection that rested is handed over
+				r.onLookup = func(n int) {
+					if n == from && rested { // just as the idle connection is handed over
 						first.Close()
 					}
 					if n == from+1 { // right before the first byte
@@ -118,7 +118,7 @@
 				io.WriteString(c, get("left"))
 				<-at
 				c.Close()
-				nettest.Until(t, "the client is missed", func() bool { return r.Stats.ClientGone.Load() == 1 })
+				nettest.Until(t, "the client counts as gone", func() bool { return r.Stats.ClientGone.Load() == 1 })
 				close(on)
 				r.list(zone.Address)
 				if a := nettest.Ask(t, nettest.Dial(t, r.address), get("after")); a.Status != 200 {
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -17,7 +17,7 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// holdingZone is a zone server whose answers wait until release is closed.
+// holdingZone is a zone server whose responses wait until release is closed.
 func holdingZone(t *testing.T) (zone *nettest.Party, release chan bool) {
 	t.Helper()
 	release = make(chan bool)
@@ -27,7 +27,7 @@
 	}), release
 }
 
-// startShutdown begins the end of a rig and returns once its state says so.
+// startShutdown begins the shutdown of a rig and returns once its state says so.
 func (r *rig) startShutdown(t *testing.T) {
 	t.Helper()
 	go func() {
@@ -37,7 +37,7 @@
 	nettest.Until(t, "it ends", func() bool { return !r.Serving() })
 }
 
-// outcome is what a client reads next: an answer's status and body, or how the connection ended.
+// outcome is what a client reads next: the status and body of a response, or how the connection ended.
 func outcome(c *connbuffer.Conn) string {
 	a, err := http1.ReadResponse(c.In)
 	var timeout net.Error
@@ -50,8 +50,8 @@
 	return "end"
 }
 
-// What a client sent before the end of its connection was in sight is answered, also where it did not
-// wait for the answer before; and the process ends after that.
+// Requests that a client sent before the connection was due to close are answered, also where it did not wait
+// for the response before; then Shutdown returns.
 func TestShutdownServesPipelinedRequests(t *testing.T) {
 	for _, lame := range []bool{false, true} {
 		r := newRig(t, nil)
@@ -76,9 +76,9 @@
 	}
 }
 
-// A request that was read together with the one before it is not taken for rest by whoever closes what rests.
+// A connection whose next request was buffered together with the one before does not count as idle.
 func TestBufferedRequestIsNotIdle(t *testing.T) {
-	s := server()
+	s := newServer()
 	far, near := tcpPair(t)
 	c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}
 	s.clients[c] = struct{}{}
@@ -104,15 +104,15 @@
 	}
 }
 
-// Nor is one whose first byte was taken out of the system a moment ago. Who closes what rests holds the lock
-// here from before the request until it has looked at the connection in every state.
+// Nor does one whose first byte has just been consumed from the socket. The test holds the lock as a drain
+// does, from before the request until it has seen the connection in every state.
 func TestFirstByteEndsIdle(t *testing.T) {
 	r := newRig(t, nil)
 	zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	r.list(zone.Address)
 	for i := range 10 {
 		c := nettest.Dial(t, r.address)
-		if i%2 > 0 { // one that rests after a request, and one that never had any
+		if i%2 > 0 { // one idle after a request, and one that never had any
 			nettest.Ask(t, c, get(fmt.Sprint("before-", i)))
 		}
 		var rests *client
@@ -126,7 +126,7 @@
 		r.Server.mu.Lock()
 		before := rests.LastReceived()
 		io.WriteString(c, get(fmt.Sprint(i)))
-		for range 50 { // or until its bytes were taken, which is all that there is to see
+		for range 50 { // or until its bytes are consumed, which is all there is to observe
 			if rests.LastReceived() != before {
 				break
 			}
@@ -163,8 +163,8 @@
 	return far, near
 }
 
-// Half a head is answered at the limit, servers that hang are waited for to the deadline and no longer,
-// and new connections are taken for as long as told.
+// On shutdown half a head is answered at the limit, servers that hang are waited for until the deadline and
+// no longer, and new connections are accepted for as long as configured.
 func TestShutdownWithAllKindsOfClients(t *testing.T) {
 	r := newRig(t, nil)
 	zone, release := holdingZone(t)
@@ -198,8 +198,7 @@
 	<-r.ended
 }
 
-// The last byte of a request may cross with the close of its connection: it is answered, or it was not
-// sent on.
+// The last byte of a request may cross with the close of its connection: it is answered, or it was not sent.
 func TestRequestCrossesWithClose(t *testing.T) {
 	r := newRig(t, nil)
 	zone := nettest.Serve(t, func(q *http1.Request) *http1.Response { return nettest.OK(q.Header.Get(idField)) })
@@ -218,7 +217,7 @@
 	r.startShutdown(t)
 	for i, c := range conns {
 		all.Add(1)
-		go func() { // over the time in which the sweeps close what rests
+		go func() { // throughout the time in which idle connections are closed
 			defer all.Done()
 			time.Sleep(time.Duration(i) * 3 * time.Millisecond)
 			io.WriteString(c, get(fmt.Sprint(i)))
@@ -238,7 +237,7 @@
 	}
 }
 
-// On and off in any order leave one sweep at most, and the last word counts.
+// On and off in any order leave one closeIdleLoop at most, and the last call counts.
 func TestLameDuckTogglesKeepOneLoop(t *testing.T) {
 	r := newRig(t, nil)
 	for range 20 {
@@ -262,8 +261,8 @@
 	}
 }
 
-// An answer that ends its connection is read whole, though more had come than was read: the end is a
-// plain one.
+// A response that ends its connection is received in full, though more had arrived than was read: the
+// connection ends with FIN, not with a reset.
 func TestLastResponseBeforeClose(t *testing.T) {
 	for name, full := range map[string]bool{"ends": false, "turned away": true} {
 		t.Run(name, func(t *testing.T) {
@@ -291,8 +290,8 @@
 	}
 }
 
-// A request that is there when the time of rest is over is read all the same: the goroutine may have its turn
-// later than both.
+// A request that has arrived when the idle time-out passes is served all the same: the goroutine may be
+// scheduled after both.
 func TestRequestArrivesAsIdleTimeoutEnds(t *testing.T) {
 	r := newRig(t, nil)
 	limits := *r.limits.Load()
--- a/internal/proxy/ingress/interleaving_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// awaitReleased waits until nothing is held for anybody any more.
+// awaitReleased waits until nothing is retained for any client.
 func (r *rig) awaitReleased(t *testing.T) {
 	t.Helper()
 	nettest.Until(t, "nothing is held", func() bool {
@@ -25,8 +25,8 @@
 	})
 }
 
-// Whatever a bad client sends and however it goes, nothing stays held for it, at most its whole requests are
-// sent on, each once, and others are served.
+// Whatever a bad client sends and however it goes away, no state is retained for it, at most its complete
+// requests are sent, each once, and others are served.
 func TestBadClientsLeaveNoState(t *testing.T) {
 	much := ""
 	for i := range 300 {
@@ -49,14 +49,14 @@
 		"a chunk without end": strings.Replace(post("chunk", 1, ""), "Content-Length: 1",
 			"Transfer-Encoding: chunked", 1) + "fffffffffff\r\nx",
 	} {
-		for way, leave := range leaves {
+		for way, leave := range clientDepartures {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				r := newRig(t, nil)
 				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 				r.list(zone.Address)
 				c := nettest.Dial(t, r.address)
-				io.WriteString(c, text) // as much as is taken before it is answered and closed
+				io.WriteString(c, text) // as much as is read before it is answered and closed
 				leave(c.Conn.(*net.TCPConn))
 				if way == "ends sending" {
 					io.Copy(io.Discard, c)
@@ -81,20 +81,20 @@
 	}
 }
 
-// Of two copies the answer that is there first is passed on, once; the other one, cancelled or not, is
-// nobody's.
+// Of two hedged attempts the first response is passed on, once; the other, cancelled or not, is dropped.
 func TestHedgedRequestAnswersFirst(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", may), func(t *testing.T) {
 			r := newRig(t, func(s *balance.Settings) {
-				s.MayCancel, s.Classes[0].LatencyTarget = may, time.Second // an unusual time is a part of it
+				// What counts as unusually long, and is hedged, is a fraction of the latency target.
+				s.MayCancel, s.Classes[0].LatencyTarget = may, time.Second
 			})
 			slow, answer := make(chan bool, 1), make(chan bool)
 			zone := func(name string) *nettest.Party {
 				return nettest.Serve(t, func(q *http1.Request) *http1.Response {
 					if q.Header.Get(idField) == "twice" {
 						select {
-						case slow <- true: // the first copy
+						case slow <- true: // the first attempt
 							<-answer
 							return nettest.OK("late")
 						default:
@@ -106,17 +106,17 @@
 			a, b := zone("a"), zone("b")
 			r.list(a.Address, b.Address)
 			c := nettest.Dial(t, r.address)
-			for i := range 9 { // what a usual answer takes is known then
+			for i := range 9 { // then the usual time of a response is known
 				nettest.Ask(t, c, get(fmt.Sprint("before-", i)))
 			}
 			if got := nettest.Ask(t, c, get("twice")); got.Status != 200 || string(got.Body) != "first" {
 				t.Errorf("%d %s", got.Status, got.Body)
 			}
 			if n := len(a.Got("")) + len(b.Got("")); n != 11 {
-				t.Errorf("%d came, want nine and two copies", n)
+				t.Errorf("%d came, want nine and two attempts", n)
 			}
 			close(answer)
-			for i := range 9 { // the late one is no answer to any of these
+			for i := range 9 { // the late response is not passed on to any of these
 				if got := nettest.Ask(t, c, get(fmt.Sprint("after-", i))); string(got.Body) != "first" {
 					t.Errorf("after it: %d %s", got.Status, got.Body)
 				}
@@ -127,8 +127,8 @@
 	}
 }
 
-// Where all that may be tried has turned a request away it is refused at once, for it never ran; where the
-// last one broke off, what must not run twice has failed.
+// Where every server has rejected a request it is refused at once, for it never ran; where the last attempt
+// broke off, what must not run twice has failed.
 func TestNoServerLeftToAttempt(t *testing.T) {
 	away := &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
 	for name, c := range map[string]struct {
@@ -154,7 +154,7 @@
 			if got := outcome(far); got != c.want {
 				t.Error(got)
 			}
-			if took := time.Since(began); took > 5*time.Second { // of 30 s that it has
+			if took := time.Since(began); took > 5*time.Second { // of a deadline of 30 s
 				t.Errorf("after %v", took)
 			}
 			if n := len(zone.Got("")); n != len(c.answers) || len(next) > 0 {
@@ -166,8 +166,8 @@
 	}
 }
 
-// A server that answers before the request is whole, and closes, has its answer passed on or its attempt
-// failed: it is not sent again, and nothing stays held.
+// Where a server answers before the request is complete, and closes, its response is passed on or the attempt
+// fails: the request is not sent again, and nothing is retained.
 func TestResponseBeforeRequestIsComplete(t *testing.T) {
 	for _, status := range []int{200, 500} {
 		r := newRig(t, nil)
@@ -192,10 +192,10 @@
 	}
 }
 
-// A body may come as slowly as each piece of it comes within a stall, whatever of its form is already here;
-// the time for the head does not run on.
+// A body may be as slow as each chunk of it arrives within a stall, whatever part of the coding is buffered
+// already; the time-out of the head does not apply to it.
 func TestStallTimeoutRestartsWithEachChunk(t *testing.T) {
-	for _, size := range []int{1000, 100_000} { // kept, and streamed
+	for _, size := range []int{1000, 100_000} { // buffered, and streamed
 		r := newRig(t, nil)
 		limits := *r.limits.Load()
 		limits.HeadTimeout = 200 * time.Millisecond
@@ -217,7 +217,7 @@
 		c := nettest.Dial(t, r.address)
 		text := strings.Replace(post("id", 1, ""), "Content-Length: 1", "Transfer-Encoding: chunked", 1)
 		io.WriteString(c, text+fmt.Sprintf("%x\r\n%s\r\n", size, strings.Repeat("x", size)))
-		time.Sleep(300 * time.Millisecond) // longer than a head may take
+		time.Sleep(300 * time.Millisecond) // longer than the time-out of a head
 		io.WriteString(c, "1\r\nx\r\n")
 		time.Sleep(300 * time.Millisecond)
 		io.WriteString(c, "0\r\n\r\n")
@@ -227,8 +227,8 @@
 	}
 }
 
-// A second copy of a large request may be decided while the first waits for its connection. Its body is there
-// once: one of the two has it, whole, and the other was never sent.
+// A hedged attempt of a large request may be decided while the first waits for its connection. Its body can
+// be read once: one of the two has all of it, and the other is never sent.
 func TestUploadIsReadByOneAttempt(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 100000", "Transfer-Encoding: chunked"} {
 		t.Run(framing, func(t *testing.T) { checkHedgedUpload(t, framing) })
@@ -262,9 +262,9 @@
 		nettest.Ask(t, c, get(fmt.Sprint("before-", i)))
 	}
 	r.mu.Lock()
-	from, both := r.looks, make(chan bool)
-	r.looked = func(n int) {
-		switch n - from { // 1 and 3 as the copies are decided, 2 and 4 right before their first bytes
+	from, both := r.lookups, make(chan bool)
+	r.onLookup = func(n int) {
+		switch n - from { // 1 and 3 as the attempts are decided, 2 and 4 right before their first bytes
 		case 2:
 			<-both
 		case 4:
@@ -299,8 +299,8 @@
 	}
 }
 
-// An answer that its server breaks off while it is passed on ends so that the client can tell, also where
-// only the end of the connection tells its length and more of the client's bytes wait behind the request.
+// A response that its server breaks off while it is streamed ends so that the client can tell, also where the
+// end of the connection delimits it and more of the client's bytes wait behind the request.
 func TestBrokenStreamResetsClient(t *testing.T) {
 	for _, behind := range []string{"", "GET /api HTTP/1.0\r\n"} {
 		r := newRig(t, nil)
@@ -330,8 +330,8 @@
 	}
 }
 
-// A client that leaves just as the last byte of its large body is out is counted out again, whichever of the
-// two is noted first.
+// A client that goes away just as the last byte of its large body is sent is counted out again, whichever of
+// the two is noticed first.
 func TestClientGoneAsUploadCompletes(t *testing.T) {
 	for _, leavesFirst := range []bool{true, false} {
 		r := newRig(t, nil)
@@ -347,7 +347,7 @@
 			if _, body, err := http1.ReadRequestHead(c.In); err == nil {
 				io.Copy(io.Discard, body)
 				got <- true
-				io.Copy(io.Discard, c) // and no answer
+				io.Copy(io.Discard, c) // and no response
 			}
 		})
 		r.list(zone)
@@ -360,7 +360,7 @@
 			nettest.Until(t, "it counts", func() bool { return r.Stats.InProgress.Load() == 1 })
 		}
 		c.Close()
-		nettest.Until(t, "it is missed", func() bool { return r.Stats.ClientGone.Load() == 1 })
+		nettest.Until(t, "it counts as gone", func() bool { return r.Stats.ClientGone.Load() == 1 })
 		nettest.Until(t, "its connection is closed", func() bool {
 			r.Server.mu.Lock()
 			defer r.Server.mu.Unlock()
--- a/internal/proxy/ingress/retrywindow_test.go
+++ b/internal/proxy/ingress/retrywindow_test.go
@@ -10,8 +10,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// Servers drop a repeat within a window only. A repeat that was decided in time and has its first byte later,
-// because its connection came up late or its goroutine had to wait, is not written.
+// Servers drop duplicates within a window only. A retry that was decided in time but would have its first
+// byte later, because its connection was slow to open or its goroutine had to wait, is not written.
 func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	for _, late := range []bool{false, true} {
@@ -19,7 +19,7 @@
 			c := &s.Classes[1]
 			c.Effect, c.DedupWindow, c.DedupScope = balance.Deduplicated, window, balance.DedupFleet
 		})
-		first := make(chan time.Time, 1) // when it came to its first server, which breaks off
+		first := make(chan time.Time, 1) // when the request arrived at its first server, which breaks off
 		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
 			if len(first) == 0 {
 				first <- time.Now()
@@ -29,8 +29,8 @@
 		})
 		r.list(zone.Address, zone.Address)
 		r.mu.Lock()
-		r.looked = func(n int) {
-			if n == 4 && late { // right before the first byte of the repeat
+		r.onLookup = func(n int) {
+			if n == 4 && late { // right before the first byte of the retry
 				at := <-first
 				time.Sleep(time.Until(at.Add(window))) // the window is over for sure
 				first <- at
@@ -41,7 +41,7 @@
 		io.WriteString(c, post("id", 1, "x"))
 		got, want := outcome(c), "200 "
 		if late {
-			want = "503 refused" // allowed: all servers drop repeats, so one more is harmless
+			want = "503 refused" // allowed: all servers drop duplicates, so a client's retry is harmless
 		}
 		if got != want {
 			t.Errorf("late %v: %s", late, got)
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -18,23 +18,23 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// rig is a proxy without discovery: what it lists, and when a look-up is answered, a test says.
+// rig is a proxy without discovery: the test sets the list and decides when a look-up returns.
 type rig struct {
 	*Server
 	address  string
 	listener net.Listener
 	ended    chan struct{} // closed when Shutdown has returned
 
-	mu     sync.Mutex
-	listed map[dispatch.ServerID]string
-	looked func(n int) // called on each look-up of an address with its number from 1 on
-	looks  int
+	mu       sync.Mutex
+	listed   map[dispatch.ServerID]string
+	onLookup func(n int) // called on each look-up of an address with its number from 1 on
+	lookups  int
 }
 
 func (r *rig) Address(s dispatch.ServerID) (string, bool) {
 	r.mu.Lock()
-	r.looks++
-	n, looked, a := r.looks, r.looked, r.listed[s]
+	r.lookups++
+	n, looked, a := r.lookups, r.onLookup, r.listed[s]
 	r.mu.Unlock()
 	if looked != nil {
 		looked(n)
@@ -45,7 +45,7 @@
 func (r *rig) Probe(dispatch.ServerID) {}
 func (r *rig) Follow()                 {}
 
-// list has the proxy told of servers, which take the numbers from 1 on.
+// list gives the proxy its list of servers, with ids from 1 on.
 func (r *rig) list(addresses ...string) {
 	var list []dispatch.Server
 	r.mu.Lock()
@@ -58,8 +58,8 @@
 	r.Decider.UpdateList(true, list)
 }
 
-// newRig starts a proxy that knows no server. Its class "lookup" may run again, "assign" must not; change may
-// alter the settings.
+// newRig starts a proxy with an empty list. Its class "lookup" is idempotent, "assign" must not run twice;
+// change may alter the settings.
 func newRig(tb testing.TB, change func(*balance.Settings)) *rig {
 	tb.Helper()
 	set := balance.Settings{
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -33,14 +33,14 @@
 	return p.address, !p.removed.Load()
 }
 
-func pool(p *fakeDirectory, reuse time.Duration) *Pool {
+func newPool(p *fakeDirectory, reuse time.Duration) *Pool {
 	return New(p, Limits{Dial: nettest.Patience, MaxIdle: reuse, Probe: nettest.Patience,
 		BufferTime: 100 * time.Millisecond, Stall: nettest.Patience},
 		[]string{"active", "waiting", "cpu"}, descriptors.NewBudget(100, 0.6, 0.25), bodybudget.NewBudget(1<<20),
 		&stats.Set{})
 }
 
-func attempt(p *Pool, until time.Time) (*Attempt, chan Outcome) {
+func startAttempt(p *Pool, until time.Time) (*Attempt, chan Outcome) {
 	done := make(chan Outcome, 1)
 	host := http1.Header{{Name: "Host", Value: "h"}}
 	a := &Attempt{Request: &http1.Request{Method: "POST", Target: "/api", Header: host},
@@ -49,42 +49,43 @@
 	return a, done
 }
 
-func ever() time.Time { return time.Now().Add(time.Hour) }
+func distantDeadline() time.Time { return time.Now().Add(time.Hour) }
 
-func TestOutcomes(t *testing.T) {
+func TestResultsOfResponses(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string // "" breaks, "silence" says nothing
 		want         dispatch.Result
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", dispatch.Served},
 		{"error", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorResponse},
-		{"turned away", "HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
-		{"over already", "HTTP/1.1 504 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
+		{"rejected", "HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
+		{"rejected, 504", "HTTP/1.1 504 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
 		{"a proxy's 503", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorResponse},
-		{"broken", "", dispatch.Reset},
-		{"broken in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", dispatch.Reset},
-		{"malformed", "hello\r\n\r\n", dispatch.ErrorResponse}, // the server itself is there
+		{"closed without a response", "", dispatch.Reset},
+		{"closed within the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", dispatch.Reset},
+		{"malformed", "hello\r\n\r\n", dispatch.ErrorResponse}, // the server is reachable
 		{"ended by close", "HTTP/1.1 200 OK\r\n\r\nbody", dispatch.Served},
 		{"ended by a reset", "HTTP/1.1 200 OK\r\n\r\nbody RESET", dispatch.Reset},
 		{"a reset in place of a body", "HTTP/1.1 200 OK\r\n\r\nRESET", dispatch.Reset},
-		{"a reset after much", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 30_000) + "RESET", dispatch.Reset},
+		{"a reset after 30 kB", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 30_000) + "RESET", dispatch.Reset},
 		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody", dispatch.ErrorResponse},
-		{"30 MB that are a lie", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.Reset},
-		{"30 MB that begin", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + strings.Repeat("x", 5000),
+		{"30 MB stated, 4 bytes sent", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.Reset},
+		{"30 MB stated, 5000 bytes sent", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" +
+			strings.Repeat("x", 5000),
 			dispatch.Served},
 		{"30 MB of an error", "HTTP/1.1 500 x\r\nContent-Length: 30000000\r\n\r\nbody", dispatch.ErrorResponse},
-		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: and more\r\n", 10_000),
+		{"an endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: and more\r\n", 10_000),
 			dispatch.ErrorResponse},
-		{"a line without end", "HTTP/1.1 200 " + strings.Repeat("O", 200_000), dispatch.ErrorResponse},
+		{"an endless line", "HTTP/1.1 200 " + strings.Repeat("O", 200_000), dispatch.ErrorResponse},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx",
 			dispatch.ErrorResponse},
 		{"a length beside chunks", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nx",
 			dispatch.ErrorResponse},
-		{"shorter than it said", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", dispatch.Reset},
-		{"longer than it said", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbody", dispatch.Served},
-		{"a chunk without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\nbody",
+		{"shorter than stated", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", dispatch.Reset},
+		{"longer than stated", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbody", dispatch.Served},
+		{"an endless chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\nbody",
 			dispatch.ErrorResponse},
-		{"a chunk cut off", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody", dispatch.Reset},
+		{"a truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody", dispatch.Reset},
 		{"interim answers", "HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", dispatch.Served},
 		{"silent", "silence", dispatch.TimedOut},
 	} {
@@ -103,12 +104,12 @@
 					conn.Conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			until := ever()
+			until := distantDeadline()
 			if c.want == dispatch.TimedOut {
 				until = time.Now().Add(2 * time.Second)
 			}
-			p := pool(&fakeDirectory{address: address}, time.Hour)
-			_, done := attempt(p, until)
+			p := newPool(&fakeDirectory{address: address}, time.Hour)
+			_, done := startAttempt(p, until)
 			got := <-done
 			if got.Result != c.want {
 				t.Errorf("%s", dispatch.ResultNames[got.Result])
@@ -118,14 +119,15 @@
 	}
 }
 
-func TestNoConnection(t *testing.T) {
-	_, done := attempt(pool(&fakeDirectory{address: "127.0.0.1:1"}, time.Hour), ever()) // no test listens there
+func TestNothingListens(t *testing.T) {
+	p := newPool(&fakeDirectory{address: "127.0.0.1:1"}, time.Hour) // no test listens on port 1
+	_, done := startAttempt(p, distantDeadline())
 	if got := <-done; got.Result != dispatch.NoConnection {
 		t.Error(dispatch.ResultNames[got.Result])
 	}
 }
 
-// A list read while an attempt dials or waits for a connection still holds it back.
+// A list that arrives while an attempt dials or waits for a connection still stops it.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	where := &fakeDirectory{address: x.Address}
@@ -135,22 +137,22 @@
 			where.removed.Store(true)
 		}
 	}
-	_, done := attempt(pool(where, time.Hour), ever())
+	_, done := startAttempt(newPool(where, time.Hour), distantDeadline())
 	if got := <-done; got.Result != dispatch.Rejected || len(x.Got("")) != 0 {
 		t.Errorf("%s, %d sent", dispatch.ResultNames[got.Result], len(x.Got("")))
 	}
 }
 
-func TestReuse(t *testing.T) {
+func TestIdleConnectionIsReused(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	for _, c := range []struct {
 		reuse time.Duration
 		want  int64
-	}{{time.Hour, 1}, {0, 5}} { // one too old at once is never written to again
+	}{{time.Hour, 1}, {0, 5}} { // one past MaxIdle at once is never reused
 		x.Opened.Store(0)
-		p := pool(&fakeDirectory{address: x.Address}, c.reuse)
+		p := newPool(&fakeDirectory{address: x.Address}, c.reuse)
 		for range 5 {
-			_, done := attempt(p, ever())
+			_, done := startAttempt(p, distantDeadline())
 			if got := <-done; got.Result != dispatch.Served {
 				t.Error(dispatch.ResultNames[got.Result])
 			}
@@ -161,20 +163,20 @@
 	}
 }
 
-// A connection that its server closed while it was idle takes no attempt with it.
+// No attempt is lost to a connection that its server closed while it was idle.
 func TestClosedWhileIdle(t *testing.T) {
 	address := nettest.Listen(t, func(c *connbuffer.Conn) {
 		if _, err := http1.ReadRequest(c.In); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	p := pool(&fakeDirectory{address: address}, time.Hour)
+	p := newPool(&fakeDirectory{address: address}, time.Hour)
 	for range 3 {
-		_, done := attempt(p, ever())
+		_, done := startAttempt(p, distantDeadline())
 		if got := <-done; got.Result != dispatch.Served {
 			t.Error(dispatch.ResultNames[got.Result])
 		}
-		nettest.Until(t, "the pool hears of the close", func() bool {
+		nettest.Until(t, "the pool notices the close", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return len(p.idle[0]) == 0
@@ -182,7 +184,7 @@
 	}
 }
 
-// What comes between two exchanges, after a good answer, is not taken for the next one's answer, also
+// Bytes that arrive between two exchanges, after a good response, are not taken for the next response, also
 // where the connection is handed over just then.
 func TestDuplicateIsNotNextResponse(t *testing.T) {
 	const copied = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
@@ -193,7 +195,7 @@
 		io.WriteString(c, copied)
 		io.Copy(io.Discard, c)
 	})
-	p := pool(&fakeDirectory{address: address}, time.Hour)
+	p := newPool(&fakeDirectory{address: address}, time.Hour)
 	nc := nettest.Dial(t, address)
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	nettest.Until(t, "the copy waits in the system", func() bool { return !nc.Quiet() })
@@ -207,7 +209,7 @@
 
 func TestCancelClosesTheConnection(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.Silence })
-	a, done := attempt(pool(&fakeDirectory{address: x.Address}, time.Hour), ever())
+	a, done := startAttempt(newPool(&fakeDirectory{address: x.Address}, time.Hour), distantDeadline())
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("")) == 1 })
 	a.Cancel()
 	if got := <-done; got.Result != dispatch.Cancelled {
@@ -216,11 +218,11 @@
 	<-x.Left
 }
 
-func TestSweepAndReclaim(t *testing.T) {
+func TestSweepClosesIdleConnections(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	where := &fakeDirectory{address: x.Address}
-	p := pool(where, time.Hour)
-	_, done := attempt(p, ever())
+	p := newPool(where, time.Hour)
+	_, done := startAttempt(p, distantDeadline())
 	<-done
 	where.removed.Store(true)
 	p.Sweep()
@@ -232,7 +234,7 @@
 func TestProbeReadsTheReport(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(nil))
 	got := make(chan string, 1)
-	p := pool(&fakeDirectory{address: x.Address}, time.Hour)
+	p := newPool(&fakeDirectory{address: x.Address}, time.Hour)
 	p.Probe(0, func(res dispatch.Result, _ time.Duration, load []float64) {
 		got <- fmt.Sprint(dispatch.ResultNames[res], load)
 	})
@@ -241,11 +243,11 @@
 	}
 }
 
-// A server that has too many probes at once says 503; were that an error, three would eject it.
+// A server that gets too many probes at once answers 503; counted as errors, three of them would eject it.
 func TestProbeRejected(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return &http1.Response{Status: 503} })
 	got := make(chan dispatch.Result, 1)
-	p := pool(&fakeDirectory{address: x.Address}, time.Hour)
+	p := newPool(&fakeDirectory{address: x.Address}, time.Hour)
 	p.Probe(0, func(res dispatch.Result, _ time.Duration, _ []float64) {
 		got <- res
 	})
@@ -261,7 +263,7 @@
 	}{
 		{"inflight=7,queue=2,util=0.61", []float64{7, 2, 0.61}},
 		{" util=0.5 , queue=1,more=x,inflight=3\n", []float64{3, 1, 0.5}},
-		{"active=8.304,waiting=0,cpu=0.877", []float64{8.304, 0, 0.877}}, // as met on the first days
+		{"active=8.304,waiting=0,cpu=0.877", []float64{8.304, 0, 0.877}}, // as some servers send it
 		{"inflight=7,queue=2", nil},
 		{"inflight=NaN,queue=2,util=0", nil},
 		{"", nil},
@@ -275,22 +277,21 @@
 	}
 }
 
-// The rest of an answer that stops, ends early or brings more than it said is never taken for whole, keeps
-// its reader no longer than a stall may last, and leaves no connection to be used again; the budget gets
-// all back.
+// A streamed response that stalls, ends early or is longer than stated never counts as complete, blocks its
+// reader no longer than Limits.Stall, and leaves no connection for reuse; all of its memory is released.
 func TestStreamEndsEarlyOrStalls(t *testing.T) {
 	const size = 100_000
 	for _, c := range []struct {
 		name  string
 		bytes int
-		stays bool // the server says nothing more and keeps the connection
+		stays bool // the server sends no more and does not close
 		whole bool
 		idle  int
 	}{
-		{"whole", size, true, true, 1},
-		{"stops", 50_000, true, false, 0},
+		{"complete", size, true, true, 1},
+		{"stalls", 50_000, true, false, 0},
 		{"ends early", 50_000, false, false, 0},
-		{"more than it said", size + 5, true, true, 0},
+		{"longer than stated", size + 5, true, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			address := nettest.Listen(t, func(conn *connbuffer.Conn) {
@@ -303,11 +304,11 @@
 					io.Copy(io.Discard, conn)
 				}
 			})
-			p := pool(&fakeDirectory{address: address}, time.Hour)
+			p := newPool(&fakeDirectory{address: address}, time.Hour)
 			l := *p.limits.Load()
 			l.Stall = 300 * time.Millisecond
 			p.SetLimits(l)
-			_, done := attempt(p, ever())
+			_, done := startAttempt(p, distantDeadline())
 			out := <-done
 			if out.Result != dispatch.Served || out.Stream == nil {
 				t.Fatalf("%+v", out)
@@ -317,7 +318,7 @@
 				t.Errorf("%d bytes, %v", got, err)
 			}
 			p.Release(&out)
-			p.Release(&out) // once more changes nothing
+			p.Release(&out) // a second call is a no-op
 			idle := func() (n int) {
 				p.mu.Lock()
 				defer p.mu.Unlock()
@@ -326,10 +327,10 @@
 				}
 				return n
 			}
-			nettest.Until(t, "the connection is put away", func() bool { return idle() == c.idle })
+			nettest.Until(t, "the connection is parked", func() bool { return idle() == c.idle })
 			time.Sleep(20 * time.Millisecond)
 			if idle() != c.idle || p.bodies.Used() != 0 {
-				t.Errorf("%d idle connections, %d bytes kept", idle(), p.bodies.Used())
+				t.Errorf("%d idle connections, %d bytes reserved", idle(), p.bodies.Used())
 			}
 		})
 	}
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -12,7 +12,7 @@
 
 const head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 
-// servePieces is a server that writes an answer piece by piece: after each it waits for a token.
+// servePieces is a server that writes a response in pieces: after each it waits for a token.
 func servePieces(t *testing.T, on chan bool, pieces ...string) (address string, wrote, ended chan bool) {
 	t.Helper()
 	wrote, ended = make(chan bool, 9), make(chan bool, 9)
@@ -32,14 +32,14 @@
 	return address, wrote, ended
 }
 
-// A cancel after the first byte of an answer ends the attempt and its connection; one after the last changes
-// nothing, and the connection takes the next.
+// A cancel within a response ends the attempt and its connection; one after the last byte changes nothing,
+// and the connection is reused.
 func TestCancelDuringAndAfterResponse(t *testing.T) {
 	on := make(chan bool)
 	address, wrote, ended := servePieces(t, on, head[:3], head[3:]+"bo", "dy")
 	for begun := range 2 {
-		p := pool(&fakeDirectory{address: address}, nettest.Patience)
-		a, done := attempt(p, ever())
+		p := newPool(&fakeDirectory{address: address}, nettest.Patience)
+		a, done := startAttempt(p, distantDeadline())
 		for range begun {
 			<-wrote
 			on <- true
@@ -47,7 +47,8 @@
 		<-wrote
 		a.Cancel()
 		if out := <-done; out.Result != dispatch.Cancelled || out.Response != nil || p.bodies.Used() != 0 {
-			t.Errorf("after %d pieces: %s, %d bytes kept", begun+1, dispatch.ResultNames[out.Result], p.bodies.Used())
+			t.Errorf("after %d pieces: %s, %d bytes reserved", begun+1, dispatch.ResultNames[out.Result],
+				p.bodies.Used())
 		}
 		for range 2 - begun {
 			on <- true
@@ -56,9 +57,9 @@
 		on <- true
 		<-ended
 	}
-	p := pool(&fakeDirectory{address: address}, nettest.Patience)
+	p := newPool(&fakeDirectory{address: address}, nettest.Patience)
 	for range 2 {
-		a, done := attempt(p, ever())
+		a, done := startAttempt(p, distantDeadline())
 		for range 3 {
 			<-wrote
 			on <- true
@@ -75,8 +76,7 @@
 	}
 }
 
-// What stands behind an answer that ends its connection is no answer to anybody, and the next attempt has a
-// connection of its own.
+// Bytes behind a response that ends its connection are dropped, and the next attempt gets a new connection.
 func TestBytesAfterClosingResponseAreDropped(t *testing.T) {
 	for _, more := range []string{"", head + "late", "noise"} {
 		address := nettest.Listen(t, func(c *connbuffer.Conn) {
@@ -84,11 +84,11 @@
 				return
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nown"+more)
-			io.Copy(io.Discard, c) // it is the other side that ends it
+			io.Copy(io.Discard, c) // the pool closes it
 		})
-		p := pool(&fakeDirectory{address: address}, nettest.Patience)
+		p := newPool(&fakeDirectory{address: address}, nettest.Patience)
 		for range 2 {
-			_, done := attempt(p, ever())
+			_, done := startAttempt(p, distantDeadline())
 			if out := <-done; out.Result != dispatch.Served || string(out.Response.Body) != "own" {
 				t.Errorf("more %q: %s", more, dispatch.ResultNames[out.Result])
 			}
@@ -99,25 +99,26 @@
 	}
 }
 
-// At hand-over the server may have moved, or begun to drain: nothing is written at its old address.
+// When a connection is handed over its server may have moved, or begun to drain: nothing is written to the
+// old address.
 func TestServerMovedOrDrainingAtReuse(t *testing.T) {
 	for name, move := range map[string]func(w *fakeDirectory, to string){
-		"moved":  func(w *fakeDirectory, to string) { w.address = to },
-		"drains": func(w *fakeDirectory, _ string) { w.removed.Store(true) },
+		"moved":    func(w *fakeDirectory, to string) { w.address = to },
+		"draining": func(w *fakeDirectory, _ string) { w.removed.Store(true) },
 	} {
 		old := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("old") })
 		fresh := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("new") })
 		where := &fakeDirectory{address: old.Address}
-		p := pool(where, nettest.Patience)
-		_, done := attempt(p, ever())
+		p := newPool(where, nettest.Patience)
+		_, done := startAttempt(p, distantDeadline())
 		<-done
 		looks := 0
-		where.onLookup = func() { // the second look is right before the first byte
+		where.onLookup = func() { // the second look-up is right before the first byte
 			if looks++; looks == 2 {
 				move(where, fresh.Address)
 			}
 		}
-		_, done = attempt(p, ever())
+		_, done = startAttempt(p, distantDeadline())
 		if out := <-done; out.Result != dispatch.Rejected {
 			t.Errorf("%s: %s", name, dispatch.ResultNames[out.Result])
 		}
--- a/internal/proxy/upstream/reuse_test.go
+++ b/internal/proxy/upstream/reuse_test.go
@@ -14,10 +14,11 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// A second answer that comes some milliseconds late, when the next request is already out, is not taken
-// for the answer to that one: a connection rests before it is used again. A probe's answer needs no rest.
+// A duplicate response that arrives some milliseconds late, when the next request is already sent, is not
+// taken for the response to that one: a connection is not reused before Limits.DuplicateGuard. After a probe
+// there is no such wait.
 func TestLateDuplicateResponse(t *testing.T) {
-	second := make(chan bool) // closed when the second request has come
+	second := make(chan bool) // closed when the second request has arrived
 	conns := make(chan int, 1)
 	conns <- 0
 	address := nettest.Listen(t, func(c *connbuffer.Conn) {
@@ -46,13 +47,13 @@
 			}
 		}
 	})
-	p := pool(&fakeDirectory{address: address}, time.Hour)
+	p := newPool(&fakeDirectory{address: address}, time.Hour)
 	l := *p.limits.Load()
 	l.DuplicateGuard = time.Hour
 	p.SetLimits(l)
 	var got []string
 	for range 2 {
-		_, done := attempt(p, ever())
+		_, done := startAttempt(p, distantDeadline())
 		out := <-done
 		if out.Response == nil {
 			t.Fatalf("%+v", out)
@@ -66,16 +67,16 @@
 
 func TestReuseWaitsForDuplicateGuard(t *testing.T) {
 	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	p := pool(&fakeDirectory{address: x.Address}, time.Hour)
+	p := newPool(&fakeDirectory{address: x.Address}, time.Hour)
 	l := *p.limits.Load()
 	l.DuplicateGuard = time.Minute
 	p.SetLimits(l)
 	probed := make(chan bool)
-	ask := func() { _, done := attempt(p, ever()); <-done }
+	ask := func() { _, done := startAttempt(p, distantDeadline()); <-done }
 	p.Probe(0, func(dispatch.Result, time.Duration, []float64) { probed <- true })
 	<-probed
-	ask() // on the same
-	ask() // on one of its own
+	ask() // on the probed connection
+	ask() // on a new connection
 	if n := x.Opened.Load(); n != 2 {
 		t.Errorf("%d connections after a probe and two requests", n)
 	}
@@ -85,14 +86,14 @@
 	}
 	p.idle[0][1].idleSince = time.Now()
 	p.mu.Unlock()
-	ask() // on the one that has rested, though another was used later
+	ask() // on the one idle for longer than the guard, though another was used later
 	if n := x.Opened.Load(); n != 2 {
-		t.Errorf("%d connections, one of which has rested", n)
+		t.Errorf("%d connections, one of which was past the guard", n)
 	}
 }
 
-// At hand-over a connection may turn out closed, reset, noisy or too old; and a sweep or a reclaim may
-// come just then. The attempt is made once, on one of its own, and nothing of it is written before.
+// A connection may turn out closed, reset, noisy or too old when it is handed over, or be swept or reclaimed
+// just then. The attempt is made once, on a new connection, and nothing of it is written to the old one.
 func TestIdleConnectionFailsAtReuse(t *testing.T) {
 	for name, happens := range map[string]func(p *Pool, c *conn, far *connbuffer.Conn){
 		"nothing": func(*Pool, *conn, *connbuffer.Conn) {},
@@ -120,24 +121,24 @@
 					c.Flush()
 				}
 			})
-			p := pool(&fakeDirectory{address: address}, time.Hour)
-			_, done := attempt(p, ever())
+			p := newPool(&fakeDirectory{address: address}, time.Hour)
+			_, done := startAttempt(p, distantDeadline())
 			<-done
 			far := <-accepted
 			<-got
-			// The lock keeps the connection's goroutine from looking before all has happened.
+			// The lock stops the connection's goroutine until everything has happened.
 			p.mu.Lock()
 			c := p.idle[0][0]
 			p.idle[0] = nil
 			next := make(chan Outcome, 1)
 			a := &Attempt{Request: &http1.Request{Method: "POST", Target: "/", Header: http1.Header{{Name: "Host",
-				Value: "h"}}}, GiveUpAt: ever(), Done: func(o Outcome) { next <- o }}
+				Value: "h"}}}, GiveUpAt: distantDeadline(), Done: func(o Outcome) { next <- o }}
 			a.initContext()
 			c.next = a
 			happens(p, c, far)
 			if name == "noise" || name == "a late answer" {
 				p.mu.Unlock()
-				nettest.Until(t, "it has come", func() bool {
+				nettest.Until(t, "it has arrived", func() bool {
 					p.mu.Lock()
 					defer p.mu.Unlock()
 					return c.next == nil || !c.netConn.Still()
--- a/internal/proxy/upstream/stream_test.go
+++ b/internal/proxy/upstream/stream_test.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// What is left of an answer has all the time that a stall may last from its last piece on, whatever of its
-// form is already here, and no longer the time of its request.
+// A streamed response may outlast its request's deadline: each Read may last Limits.Stall, whatever part of
+// the coding is buffered already.
 func TestStreamOutlastsRequestDeadline(t *testing.T) {
 	piece := strings.Repeat("x", 1000)
 	for name, form := range map[string]struct{ head, piece, end string }{
@@ -45,16 +45,16 @@
 				<-late
 				io.WriteString(c, form.end)
 			})
-			p := pool(&fakeDirectory{address: address}, time.Hour)
+			p := newPool(&fakeDirectory{address: address}, time.Hour)
 			until := time.Now().Add(2 * time.Second)
-			_, done := attempt(p, until)
+			_, done := startAttempt(p, until)
 			out := <-done
 			if out.Result != dispatch.Served || out.Stream == nil {
 				t.Fatalf("%s, %+v", dispatch.ResultNames[out.Result], out)
 			}
 			close(begun)
 			go func() {
-				time.Sleep(time.Until(until.Add(100 * time.Millisecond))) // the time of the request is over
+				time.Sleep(time.Until(until.Add(100 * time.Millisecond))) // past the deadline of the request
 				close(late)
 			}()
 			if n, err := io.Copy(io.Discard, out.Stream); err != nil {
