--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -56,10 +56,10 @@
 		return nil, errors.New("says nothing")
 	}
 	if string(file.Known) != "null" {
-		c.Known = file.Known
+		c.KnownServers = file.Known
 	}
 	l := settingsfile.NewLayer()
-	put := func(key string, v any) { l.Set(key, v, settingsfile.At("platform", path)) }
+	put := func(key string, v any) { l.Set(key, v, settingsfile.NewOrigin("platform", path)) }
 	for key, text := range map[string]string{
 		"name": file.Name, "listen.address": file.Listen, "discovery.address": file.Discovery,
 		"operator": file.Operator,
@@ -72,12 +72,12 @@
 	put("limits.cores", file.Limits.Cores)
 	put("limits.memory", Size(file.Limits.MemoryMB)<<20)
 	put("limits.sockets", file.Limits.Sockets)
-	fromSettings(&set, put)
+	putSettings(&set, put)
 	return l, nil
 }
 
-// fromSettings tells the simulator's settings by the keys of the file; Settings is its inverse.
-func fromSettings(s *simwire.Settings, put func(key string, v any)) {
+// putSettings tells the simulator's settings by the keys of the file; Settings is its inverse.
+func putSettings(s *simwire.Settings, put func(key string, v any)) {
 	hall := "#" + strconv.Itoa(s.Zone)
 	if s.Zone >= 0 && s.Zone < len(s.ZoneNames) {
 		hall = s.ZoneNames[s.Zone]
@@ -111,7 +111,7 @@
 	for i, k := range s.Classes {
 		for key, v := range map[string]any{
 			"name": s.ClassNames[i], "aim": k.LatencyTarget, "aim_stretch": k.TargetPerWork, "deadline": k.Deadline,
-			"effect": wordFor(simwire.Effects, k.Effect), "group": wordFor(simwire.Groups, k.DedupScope),
+			"effect": keyOf(simwire.Effects, k.Effect), "group": keyOf(simwire.Groups, k.DedupScope),
 			"window": k.DedupWindow,
 			"worth":  k.Value, "late_worth": k.LateValue, "stream": k.Stream,
 		} {
@@ -125,7 +125,7 @@
 	}
 }
 
-func wordFor[T comparable](words map[string]T, v T) string {
+func keyOf[T comparable](words map[string]T, v T) string {
 	for _, w := range slices.Sorted(maps.Keys(words)) {
 		if words[w] == v {
 			return w
@@ -134,64 +134,69 @@
 	return ""
 }
 
-// Settings is what the decisions are told, with the names and figures that the sockets need beside.
+// Settings returns the balancer's settings, with the names and figures that the sockets need beside.
 func (c *Config) Settings() simwire.Settings {
-	p := &c.Policy
 	s := simwire.Settings{
-		Settings: balance.Settings{
-			Seed: c.Seeded(), Rank: p.Rank, Peers: p.Instances, Zone: c.hall(), Tick: p.Tick,
-			Costs: balance.Costs{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
-				LateFail: c.Prices.LateFail},
-			OverQuotaValue: p.OverShare, ValuePerWork: p.WorthBy == "work",
-			MustFollow:       c.Discovery.Mode == "ask" && c.Discovery.Address != "",
-			RegistryInterval: c.Discovery.AskWithin,
-			DrainGrace:       c.Drain.Grace, ResponseGrace: p.Slack,
-			SlowStartMin: c.Cold.Start, SlowStartWindow: c.Cold.Warm, CollapseMultiple: c.Cold.Multiple,
-			CollapseAfter: c.Cold.After,
-			MaxAttempts:   p.Attempts, MayProbe: p.Probes, MayCancel: p.Cancel, MayHedge: p.Duplicate,
-			SendsRetryAfter: p.TellWait, MaxRetryAfter: p.MaxWait, DialTimeout: c.Upstream.Dial,
-			KeyAffinity:        p.WarmKeys,
-			ReportsInResponses: p.ReportFrom == "answers",
-		},
-		ZoneNames: c.Halls, KindNames: c.Kinds, IdleClose: c.Upstream.IdleClose,
+		Settings: c.balanceSettings(), ZoneNames: c.Halls, KindNames: c.Kinds, IdleClose: c.Upstream.IdleClose,
 	}
 	for _, k := range c.Classes {
 		s.ClassNames = append(s.ClassNames, k.Name)
 		s.Classes = append(s.Classes, balance.Class{
-			LatencyTarget: k.Aim, TargetPerWork: k.Stretch, Deadline: k.Deadline, Effect: simwire.Effects[k.Effect],
-			DedupScope: simwire.Groups[k.Group], DedupWindow: k.Window, Value: k.Worth,
-			LateValue: k.LateWorth, Stream: k.Stream,
+			LatencyTarget: k.LatencyTarget, TargetPerWork: k.TargetPerWork, Deadline: k.Deadline,
+			Effect: simwire.Effects[k.Effect], DedupScope: simwire.Groups[k.DedupScope], DedupWindow: k.DedupWindow,
+			Value: k.Value, LateValue: k.LateValue, Stream: k.Stream,
 		})
 	}
 	for _, t := range c.Tenants {
 		s.TenantNames = append(s.TenantNames, t.Name)
 		s.Tenants = append(s.Tenants, balance.Tenant{Fraction: t.Share, QuotaPerSec: t.Quota})
 	}
-	if p.ReportFrom == "none" {
+	if c.Policy.ReportFrom == "none" {
 		return s
 	}
-	for _, w := range p.Report {
+	for _, w := range c.Policy.Report {
 		s.ReportFields = append(s.ReportFields, simwire.Fields[w])
 		s.ReportNames = append(s.ReportNames, w)
 	}
 	return s
 }
 
+// balanceSettings returns the single values of the balancer's settings; classes, tenants and the fields of a
+// load report come beside their names.
+func (c *Config) balanceSettings() balance.Settings {
+	p, w := &c.Policy, &c.SlowStart
+	return balance.Settings{
+		Seed: c.RandomSeed(), Rank: p.Rank, Peers: p.Instances, Zone: c.hallIndex(), Tick: p.Tick,
+		Costs: balance.Costs{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
+			LateFail: c.Prices.LateFail},
+		OverQuotaValue: p.OverQuotaValue, ValuePerWork: p.ValuedBy == "work",
+		MustFollow:       c.Discovery.Mode == "ask" && c.Discovery.Address != "",
+		RegistryInterval: c.Discovery.AskWithin,
+		DrainGrace:       c.Drain.Grace, ResponseGrace: p.ResponseGrace,
+		SlowStartMin: w.MinFraction, SlowStartWindow: w.Window,
+		CollapseMultiple: w.CollapseMultiple, CollapseAfter: w.CollapseAfter,
+		MaxAttempts: p.MaxAttempts, MayProbe: p.MayProbe, MayCancel: p.MayCancel, MayHedge: p.MayHedge,
+		SendsRetryAfter: p.SendRetryAfter, MaxRetryAfter: p.MaxRetryAfter,
+		DialTimeout: c.Upstream.DialTimeout, KeyAffinity: p.WarmKeys,
+		ReportsInResponses: p.ReportFrom == "answers",
+	}
+}
+
 // DialLimit is how long a connection may take to stand.
 func (u *Upstream) DialLimit() time.Duration {
-	if u.Dial <= 0 {
+	if u.DialTimeout <= 0 {
 		return 250 * time.Millisecond
 	}
-	return u.Dial
+	return u.DialTimeout
 }
 
-// ReuseLimit is how long a connection may have rested to be used again: well short of when its server
+// MaxIdle is how long a connection may have rested to be used again: well short of when its server
 // closes it.
-func (u *Upstream) ReuseLimit() time.Duration {
+func (u *Upstream) MaxIdle() time.Duration {
 	if u.IdleClose <= 0 {
 		return time.Second
 	}
-	return time.Duration(float64(u.IdleClose) * u.Reuse)
+	return time.Duration(float64(u.IdleClose) * u.ReuseFraction)
 }
 
 // ServerList is the servers of the file in discovery's form; nil where they come from discovery. since
@@ -214,7 +219,7 @@
 		if !since[key].IsZero() {
 			e.SinceMS = float64(since[key].UnixMilli())
 		}
-		if s.Drains {
+		if s.Draining {
 			e.Status = "terminating"
 		}
 		list.Endpoints = append(list.Endpoints, e)
