--- a/balance/doc.go
+++ b/balance/doc.go
@@ -16,7 +16,7 @@
 //   - List: what the registry lists.
 //   - Timer: the end of the wait of a SetTimer action.
 //
-// Each request gets exactly one final response, unless its client leaves before: that of an attempt, reported
+// Each request gets exactly one final response, unless its client leaves first: that of an attempt, reported
 // by Outcome.Final, or one of the actions Reject and Fail.
 //
 // # Selection
