--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -57,7 +57,7 @@
 	b.StopTimer()
 }
 
-func quickZone(b *testing.B) *nettest.Party {
+func quickZone(b *testing.B) *nettest.ScriptedServer {
 	return nettest.Serve(b, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("done\n") }))
 }
 
--- a/cmd/cresshub/cli_test.go
+++ b/cmd/cresshub/cli_test.go
@@ -20,7 +20,7 @@
 )
 
 // own is a file of ours for servers that stand in it.
-func own(parties ...*nettest.Party) string {
+func own(parties ...*nettest.ScriptedServer) string {
 	var b strings.Builder
 	b.WriteString("[listen]\naddress = \"127.0.0.1:0\"\n[cold]\nstart = 1\n" +
 		"[[class]]\nname = \"lookup\"\naim = \"4s\"\ndeadline = \"15s\"\neffect = \"idempotent\"\n" +
@@ -152,7 +152,7 @@
 	p := serveOwn(t, own(slow))
 	c := nettest.Dial(t, p.address)
 	io.WriteString(c, nettest.Request("POST", "assign", "id", 15*time.Second))
-	nettest.Until(t, "the attempt arrives", func() bool { return len(slow.Got("/api")) == 1 })
+	nettest.Until(t, "the attempt arrives", func() bool { return len(slow.Received("/api")) == 1 })
 	reload := func(text, expect string) {
 		t.Helper()
 		writeFile(t, p.config, text)
--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -110,7 +110,7 @@
 	return ""
 }
 
-func known(status string, parties ...*nettest.Party) string {
+func known(status string, parties ...*nettest.ScriptedServer) string {
 	list := map[string]string{}
 	for i, p := range parties {
 		list[fmt.Sprintf("s-%d", i)] = p.Address
@@ -130,7 +130,7 @@
 	text := nettest.Request("POST", "assign", "id-1", 15*time.Second)
 	text = strings.Replace(text, "\r\n\r\n", "\r\nContent-Length: 5\r\n\r\nrider", 1)
 	a := nettest.Ask(t, c, text)
-	got := zone.Got("/api")
+	got := zone.Received("/api")
 	if a.Status != 200 || string(a.Body) != "for rider" || len(got) != 1 {
 		t.Fatalf("answer %d %q after %d attempts", a.Status, a.Body, len(got))
 	}
@@ -153,12 +153,12 @@
 		first               *http1.Response // what the first attempt meets
 		status, attempts    int
 	}{
-		{"unsafe, may have run", "POST", "assign", nettest.Break, 502, 1},
-		{"unsafe, silent", "POST", "assign", nettest.Silence, 504, 1},
+		{"unsafe, may have run", "POST", "assign", nettest.CloseConn, 502, 1},
+		{"unsafe, silent", "POST", "assign", nettest.NoResponse, 504, 1},
 		{"unsafe, error", "POST", "assign", &http1.Response{Status: 500}, 502, 1},
 		{"unsafe, 503 without a word on it", "POST", "assign", &http1.Response{Status: 503}, 502, 1},
 		{"unsafe, never ran", "POST", "assign", notRun, 200, 2},
-		{"safe, may have run", "GET", "lookup", nettest.Break, 200, 2},
+		{"safe, may have run", "GET", "lookup", nettest.CloseConn, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -176,7 +176,7 @@
 			p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x, y), 200)
 			began := time.Now()
 			a := nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request(c.method, c.class, "id", 15*time.Second))
-			attempts := len(x.Got("/api")) + len(y.Got("/api"))
+			attempts := len(x.Received("/api")) + len(y.Received("/api"))
 			if a.Status != c.status || attempts != c.attempts || time.Since(began) > 15*time.Second {
 				t.Errorf("status %d after %d attempts and %v; want %d after %d", a.Status, attempts,
 					time.Since(began), c.status, c.attempts)
@@ -193,7 +193,7 @@
 	p := start(t, list.Address, known("in_service", x), 200)
 	c := nettest.Dial(t, p.address)
 	nettest.Ask(t, c, nettest.Request("GET", "lookup", "id", 15*time.Second))
-	if len(x.Got("/api")) != 1 {
+	if len(x.Received("/api")) != 1 {
 		t.Fatal("the only server got nothing")
 	}
 	list.Send(t, nettest.List(false, "terminating", map[string]string{"s-0": x.Address}))
@@ -208,7 +208,7 @@
 			t.Fatalf("status %d", a.Status)
 		}
 	}
-	if x, y := len(x.Got("/api")), len(y.Got("/api")); x != 1 || y != 20 {
+	if x, y := len(x.Received("/api")), len(y.Received("/api")); x != 1 || y != 20 {
 		t.Errorf("%d to the one that drains, %d to the other", x-1, y)
 	}
 }
@@ -237,8 +237,8 @@
 		return strings.Contains(p.expect(t, "msg=counters"), "lists.read=3")
 	})
 	ask("second")
-	if len(x.Got("/api")) != 1 || len(y.Got("/api")) != 1 {
-		t.Errorf("%d and %d attempts", len(x.Got("/api")), len(y.Got("/api")))
+	if len(x.Received("/api")) != 1 || len(y.Received("/api")) != 1 {
+		t.Errorf("%d and %d attempts", len(x.Received("/api")), len(y.Received("/api")))
 	}
 	text = configuration("127.0.0.1:1", known("in_service", x), 200)
 	p = launch(t, strings.Replace(text, "on_request", "pushed", 1))
@@ -251,7 +251,7 @@
 // answered.
 func TestTermBeforeTheFirstList(t *testing.T) {
 	asked := make(chan bool, 9)
-	silent := nettest.Serve(t, func(*http1.Request) *http1.Response { asked <- true; return nettest.Silence })
+	silent := nettest.Serve(t, func(*http1.Request) *http1.Response { asked <- true; return nettest.NoResponse })
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -274,14 +274,14 @@
 }
 
 func TestClientGoneEndsItsAttempt(t *testing.T) {
-	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.Silence }))
+	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.NoResponse }))
 	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 200)
 	c := nettest.Dial(t, p.address)
 	io.WriteString(c, nettest.Request("GET", "lookup", "id", time.Hour))
-	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("/api")) == 1 })
+	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
 	c.Close()
 	select {
-	case <-x.Left:
+	case <-x.Abandoned:
 	case <-time.After(nettest.Patience):
 		t.Error("the attempt's connection stayed open")
 	}
@@ -296,7 +296,7 @@
 	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 200)
 	c := nettest.Dial(t, p.address)
 	io.WriteString(c, nettest.Request("POST", "assign", "id", time.Minute))
-	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("/api")) == 1 })
+	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.expect(t, "msg=ending")
 	fresh := nettest.Ask(t, nettest.Dial(t, p.address), "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -372,7 +372,7 @@
 
 // More clients than the budget has places for are told so; those within it are served on.
 func TestSocketBudget(t *testing.T) {
-	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.Silence }))
+	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.NoResponse }))
 	// 16 places, for both sides together.
 	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 40)
 	for range 30 { // say nothing, and cost those who ask nothing
@@ -389,7 +389,7 @@
 		io.WriteString(c, nettest.Request("GET", "lookup", fmt.Sprint("id", i), time.Hour))
 		all = append(all, c)
 	}
-	nettest.Until(t, "attempts arrive", func() bool { return len(x.Got("/api")) > 0 })
+	nettest.Until(t, "attempts arrive", func() bool { return len(x.Received("/api")) > 0 })
 	nettest.Until(t, "one beyond the budget is told", func() bool { // or only closed, as long as many are told
 		c := nettest.Dial(t, p.address)
 		io.WriteString(c, nettest.Request("GET", "lookup", "more", time.Hour))
@@ -441,13 +441,14 @@
 	c := nettest.Dial(t, p.address)
 	text := nettest.Request("POST", "assign", "id", 15*time.Second)
 	io.WriteString(c, text)
-	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("/api")) == 1 })
+	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
 	if a := nettest.Ask(t, nettest.Dial(t, p.address), text); a.Status != 409 {
 		t.Errorf("the same id gets %d", a.Status)
 	}
 	close(release)
-	if a, err := http1.ReadResponse(c.In); err != nil || string(a.Body) != "first" || len(x.Got("/api")) != 1 {
-		t.Errorf("%+v, %v after %d attempts", a, err, len(x.Got("/api")))
+	if a, err := http1.ReadResponse(c.In); err != nil || string(a.Body) != "first" ||
+		len(x.Received("/api")) != 1 {
+		t.Errorf("%+v, %v after %d attempts", a, err, len(x.Received("/api")))
 	}
 	if a := nettest.Ask(t, c, text); a.Status != 200 {
 		t.Errorf("an id that is free again gets %d", a.Status)
--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -94,7 +94,7 @@
 	rests, busy := nettest.Dial(t, p.address), nettest.Dial(t, p.address)
 	nettest.Ask(t, rests, ready)
 	io.WriteString(busy, nettest.Request("POST", "assign", "1", 15*time.Second))
-	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("/api")) == 1 })
+	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
 	if a := operate(t, door, "POST /_lameduck/on"); a.Status != 200 {
 		t.Fatalf("status %d", a.Status)
 	}
@@ -103,7 +103,7 @@
 	}
 	late := nettest.Dial(t, p.address)
 	io.WriteString(late, nettest.Request("POST", "assign", "2", 15*time.Second))
-	nettest.Until(t, "a late one is served", func() bool { return len(x.Got("/api")) == 2 })
+	nettest.Until(t, "a late one is served", func() bool { return len(x.Received("/api")) == 2 })
 	if _, err := rests.In.Peek(1); err != io.EOF {
 		t.Errorf("what rests ends with %v", err)
 	}
--- a/cmd/cresshub/settings_test.go
+++ b/cmd/cresshub/settings_test.go
@@ -28,12 +28,12 @@
 // whatever the method or the name of a class suggests.
 func TestDeploymentsKeepTheirOwnSettings(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	breaks := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.Break })
+	breaks := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.CloseConn })
 	// what each request gets: status and how often it was sent
-	ask := func(p *process, zones []*nettest.Party, method, class, tenant string) string {
+	ask := func(p *process, zones []*nettest.ScriptedServer, method, class, tenant string) string {
 		count := func() (n int) {
 			for _, z := range zones {
-				n += len(z.Got("/api"))
+				n += len(z.Received("/api"))
 			}
 			return n
 		}
@@ -47,7 +47,7 @@
 		_, p.address, _ = strings.Cut(p.expect(t, "msg=ready"), "listen=")
 		return p
 	}
-	var zones [2][]*nettest.Party
+	var zones [2][]*nettest.ScriptedServer
 	for i := range zones {
 		for range 4 {
 			zones[i] = append(zones[i], nettest.Serve(t, breaks))
@@ -88,7 +88,7 @@
 	old.cmd.Wait()
 	text := strings.Replace(nettest.Request("GET", "lookup", "id", 15*time.Second), "acme", "emca", 1)
 	a := nettest.Ask(t, nettest.Dial(t, old.address), text)
-	if a.Status != 200 || len(x.Got("/api")) != 0 || len(y.Got("/api")) != 1 {
-		t.Errorf("status %d, %d requests to the other deployment's server", a.Status, len(x.Got("/api")))
+	if a.Status != 200 || len(x.Received("/api")) != 0 || len(y.Received("/api")) != 1 {
+		t.Errorf("status %d, %d requests to the other deployment's server", a.Status, len(x.Received("/api")))
 	}
 }
--- a/internal/proxy/discovery/discovery_test.go
+++ b/internal/proxy/discovery/discovery_test.go
@@ -149,14 +149,14 @@
 		}
 	}
 	list(old, true, 1)
-	fresh.Refuse.Store(2) // calls that fail are made again without being asked
+	fresh.Rejections.Store(2) // calls that fail are made again without being asked
 	c.Move(fresh.Address)
-	nettest.Until(t, "the new service is asked", func() bool { return fresh.Refuse.Load() < 0 })
+	nettest.Until(t, "the new service is asked", func() bool { return fresh.Rejections.Load() < 0 })
 	list(old, false, 2)
 	list(fresh, true, 3)
-	<-old.Left
+	<-old.Abandoned
 	list(fresh, false, 1)
-	if diff := cmp.Diff([]string{"0", "7"}, []string{old.From(), fresh.From()}); diff != "" {
+	if diff := cmp.Diff([]string{"0", "7"}, []string{old.WatchedFrom(), fresh.WatchedFrom()}); diff != "" {
 		t.Error(diff)
 	}
 	if _, _, err := c.apply(&watch{number: 1}, []byte(nettest.List(true, "in_service", nil))); err == nil {
--- a/internal/proxy/ingress/crossings_test.go
+++ b/internal/proxy/ingress/crossings_test.go
@@ -68,7 +68,7 @@
 				}
 				r.awaitReleased(t)
 				came := map[string]int{}
-				for _, q := range zone.Got("") {
+				for _, q := range zone.Received("") {
 					came[q.Header.Get(idField)]++
 				}
 				for id, n := range came {
@@ -90,7 +90,7 @@
 				s.MayCancel, s.Classes[0].LatencyTarget = may, time.Second // an unusual time is a part of it
 			})
 			slow, answer := make(chan bool, 1), make(chan bool)
-			zone := func(name string) *nettest.Party {
+			zone := func(name string) *nettest.ScriptedServer {
 				return nettest.Serve(t, func(q *http1.Request) *http1.Response {
 					if q.Header.Get(idField) == "twice" {
 						select {
@@ -112,7 +112,7 @@
 			if got := nettest.Ask(t, c, get("twice")); got.Status != 200 || string(got.Body) != "first" {
 				t.Errorf("%d %s", got.Status, got.Body)
 			}
-			if n := len(a.Got("")) + len(b.Got("")); n != 11 {
+			if n := len(a.Received("")) + len(b.Received("")); n != 11 {
 				t.Errorf("%d came, want nine and two copies", n)
 			}
 			close(answer)
@@ -136,8 +136,8 @@
 		want    string
 	}{
 		"turned away":           {[]*http1.Response{away, away, away}, "503 refused"},
-		"broken off":            {[]*http1.Response{nettest.Break}, "502 failed"},
-		"away, then broken off": {[]*http1.Response{away, nettest.Break}, "502 failed"},
+		"broken off":            {[]*http1.Response{nettest.CloseConn}, "502 failed"},
+		"away, then broken off": {[]*http1.Response{away, nettest.CloseConn}, "502 failed"},
 		"away, then an error":   {[]*http1.Response{away, away, {Status: 500}}, "502 failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 			if took := time.Since(began); took > 5*time.Second { // of 30 s that it has
 				t.Errorf("after %v", took)
 			}
-			if n := len(zone.Got("")); n != len(c.answers) || len(next) > 0 {
+			if n := len(zone.Received("")); n != len(c.answers) || len(next) > 0 {
 				t.Errorf("%d attempts came, want %d", n, len(c.answers))
 			}
 			far.Close()
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -18,7 +18,7 @@
 )
 
 // holdingZone is a zone server whose answers wait until release is closed.
-func holdingZone(t *testing.T) (zone *nettest.Party, release chan bool) {
+func holdingZone(t *testing.T) (zone *nettest.ScriptedServer, release chan bool) {
 	release = make(chan bool)
 	return nettest.Serve(t, func(q *http1.Request) *http1.Response {
 		<-release
@@ -57,7 +57,7 @@
 		r.list(zone.Address)
 		c := nettest.Dial(t, r.address)
 		io.WriteString(c, get("one")+get("two"))
-		nettest.Until(t, "the first is sent on", func() bool { return len(zone.Got("")) == 1 })
+		nettest.Until(t, "the first is sent on", func() bool { return len(zone.Received("")) == 1 })
 		if lame {
 			r.LameDuck(true)
 		} else {
@@ -170,7 +170,7 @@
 	half, hangs, rests := nettest.Dial(t, r.address), nettest.Dial(t, r.address), nettest.Dial(t, r.address)
 	io.WriteString(half, "GET /api HT")
 	io.WriteString(hangs, nettest.Request("POST", "assign", "hangs", 600*time.Millisecond))
-	nettest.Until(t, "the request is sent on", func() bool { return len(zone.Got("")) == 1 })
+	nettest.Until(t, "the request is sent on", func() bool { return len(zone.Received("")) == 1 })
 	r.startShutdown(t)
 	var fresh []string
 	for began := time.Now(); time.Since(began) < 40*time.Millisecond; { // the rig accepts for 80 ms
@@ -225,7 +225,7 @@
 	all.Wait()
 	<-r.ended
 	sent := map[string]bool{}
-	for _, q := range zone.Got("") {
+	for _, q := range zone.Received("") {
 		sent[q.Header.Get(idField)] = true
 	}
 	for i, got := range answered {
--- a/internal/proxy/ingress/left_test.go
+++ b/internal/proxy/ingress/left_test.go
@@ -63,7 +63,7 @@
 				if a := nettest.Ask(t, nettest.Dial(t, r.address), get("other")); a.Status != 200 {
 					t.Errorf("another client gets %d", a.Status)
 				}
-				if got := zone.Got(""); len(got) != 1 || got[0].Header.Get(idField) != "other" {
+				if got := zone.Received(""); len(got) != 1 || got[0].Header.Get(idField) != "other" {
 					t.Errorf("%d requests were sent on", len(got))
 				}
 			})
--- a/internal/proxy/ingress/window_test.go
+++ b/internal/proxy/ingress/window_test.go
@@ -23,7 +23,7 @@
 		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
 			if len(first) == 0 {
 				first <- time.Now()
-				return nettest.Break
+				return nettest.CloseConn
 			}
 			return nettest.OK("")
 		})
@@ -46,7 +46,7 @@
 		if got != want {
 			t.Errorf("late %v: %s", late, got)
 		}
-		if n := len(zone.Got("")); n != map[bool]int{false: 2, true: 1}[late] {
+		if n := len(zone.Received("")); n != map[bool]int{false: 2, true: 1}[late] {
 			t.Errorf("late %v: %d attempts came", late, n)
 		}
 	}
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -136,8 +136,8 @@
 		}
 	}
 	_, done := attempt(pool(where, time.Hour), ever())
-	if got := <-done; got.Result != dispatch.Rejected || len(x.Got("")) != 0 {
-		t.Errorf("%s, %d sent", dispatch.ResultNames[got.Result], len(x.Got("")))
+	if got := <-done; got.Result != dispatch.Rejected || len(x.Received("")) != 0 {
+		t.Errorf("%s, %d sent", dispatch.ResultNames[got.Result], len(x.Received("")))
 	}
 }
 
@@ -206,14 +206,14 @@
 }
 
 func TestCancelClosesTheConnection(t *testing.T) {
-	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.Silence })
+	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.NoResponse })
 	a, done := attempt(pool(&fakeDirectory{address: x.Address}, time.Hour), ever())
-	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("")) == 1 })
+	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("")) == 1 })
 	a.Cancel()
 	if got := <-done; got.Result != dispatch.Cancelled {
 		t.Error(dispatch.ResultNames[got.Result])
 	}
-	<-x.Left
+	<-x.Abandoned
 }
 
 func TestSweepAndReclaim(t *testing.T) {
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -121,8 +121,9 @@
 		if out := <-done; out.Result != dispatch.Rejected {
 			t.Errorf("%s: %s", name, dispatch.ResultNames[out.Result])
 		}
-		if len(old.Got("")) != 1 || len(fresh.Got("")) != 0 {
-			t.Errorf("%s: %d came to the old address, %d to the new", name, len(old.Got("")), len(fresh.Got("")))
+		if len(old.Received("")) != 1 || len(fresh.Received("")) != 0 {
+			t.Errorf("%s: %d came to the old address, %d to the new", name, len(old.Received("")),
+				len(fresh.Received("")))
 		}
 	}
 }
--- a/internal/router/cli/soak.go
+++ b/internal/router/cli/soak.go
@@ -58,7 +58,7 @@
 		if ctx.Err() != nil {
 			return errInterrupted
 		}
-		if err != nil || report.Broken() > 0 {
+		if err != nil || report.Violations() > 0 {
 			broken++
 		}
 		if printErr := c.print(o.stdout, seed, report, err); printErr != nil {
@@ -74,7 +74,7 @@
 // soak runs the soak of a seed.
 func (c *soakCommand) soak(ctx context.Context, seed uint64) (*routertrial.SoakReport, error) {
 	options := routertrial.SoakOptions{
-		Program: c.Program, Seed: seed, Rounds: c.Rounds, Rate: c.Rate, Only: c.Only, Large: c.Large,
+		Program: c.Program, Seed: seed, Rounds: c.Rounds, Rate: c.Rate, OnlyFaults: c.Only, Large: c.Large,
 		LogLevel: c.Level,
 	}
 	if c.Logs != "" {
@@ -105,8 +105,8 @@
 	}
 	total := &report.Total
 	summary := fmt.Sprintf("seed %d: %.0f s, asked %d, served %d, refused %d, failed %d; %s\n", seed,
-		report.Seconds, total.Asked, total.Served(), total.Refused, total.Failed, playedFaults(report))
-	if runErr == nil && report.Broken() == 0 {
+		report.Seconds, total.Asked, total.Served(), total.Rejected, total.Failed, playedFaults(report))
+	if runErr == nil && report.Violations() == 0 {
 		_, _ = io.WriteString(out, summary) // if nobody reads it, the exit code still says so
 		return nil
 	}
--- a/internal/router/cli/trialreport.go
+++ b/internal/router/cli/trialreport.go
@@ -42,7 +42,7 @@
 func kindsTable(kinds []routerstandin.KindTally) *table {
 	t := newTable("KIND", "ASKED", "IN TIME", "LATE", "REFUSED", "FAILED", "P50", "P99")
 	for _, k := range kinds {
-		t.add(k.Kind, k.Asked, k.InTime, k.Late, k.Refused, k.Failed, milliseconds(k.P50), milliseconds(k.P99))
+		t.add(k.Kind, k.Asked, k.InTime, k.Late, k.Rejected, k.Failed, milliseconds(k.P50), milliseconds(k.P99))
 	}
 	return t
 }
@@ -53,7 +53,7 @@
 func serversTable(servers []routerstandin.ServerTally) *table {
 	t := newTable("SERVER", "SERVICE", "ZONE", "STAGE", "CALLS", "READ", "RUN", "TURNED AWAY", "BROKEN OFF")
 	for _, s := range servers {
-		t.add(s.ID, s.Service, s.Zone, s.Stage, s.Arrivals, s.Reads, s.Runs, s.Rejected, s.Broken)
+		t.add(s.ID, s.Service, s.Zone, s.Stage, s.Arrivals, s.Prefills, s.Runs, s.Rejected, s.Aborted)
 	}
 	return t
 }
@@ -62,11 +62,11 @@
 func rulesTable(rules []routerstandin.Verdict) *table {
 	t := newTable("RULE", "STATE")
 	for _, rule := range rules {
-		if rule.Breaks == 0 {
+		if rule.Violations == 0 {
 			t.add(rule.Rule, "kept")
 			continue
 		}
-		t.add(rule.Rule, fmt.Sprintf("BROKEN %d times", rule.Breaks))
+		t.add(rule.Rule, fmt.Sprintf("BROKEN %d times", rule.Violations))
 		for _, detail := range rule.Details {
 			t.add("", detail)
 		}
--- a/internal/router/cli/trials.go
+++ b/internal/router/cli/trials.go
@@ -30,8 +30,8 @@
 // trialVars are the names of faults for the tags of the flags.
 func trialVars() kong.Vars {
 	return kong.Vars{
-		"troubles":      strings.Join(append([]string{noFault}, routertrial.Troubles...), ","),
-		"soak_troubles": strings.Join(routertrial.TroubleNames(), ", "),
+		"troubles":      strings.Join(append([]string{noFault}, routertrial.Faults...), ","),
+		"soak_troubles": strings.Join(routertrial.SoakFaultNames(), ", "),
 	}
 }
 
--- a/internal/router/cli/try.go
+++ b/internal/router/cli/try.go
@@ -48,8 +48,8 @@
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	progress := newProgressLine(o.stderr, options.For)
-	options.Live = progress.show
+	progress := newProgressLine(o.stderr, options.Duration)
+	options.OnProgress = progress.show
 	report, err := routertrial.Run(ctx, options)
 	progress.clear()
 	if report != nil {
@@ -65,8 +65,8 @@
 
 // trialError returns why a trial failed, given the error of its run; nil if it succeeded.
 func trialError(report *routertrial.Report, err error) error {
-	if err == nil && report.Broken() > 0 {
-		return &rulesBrokenError{report.Broken()}
+	if err == nil && report.Violations() > 0 {
+		return &rulesBrokenError{report.Violations()}
 	}
 	return err
 }
@@ -74,10 +74,10 @@
 // options returns the options of the trial that the flags ask for.
 func (c *tryCommand) options() (routertrial.Options, error) {
 	options := routertrial.Options{
-		Program: c.Program, For: time.Duration(c.Seconds * float64(time.Second)), Rate: c.Rate, Seed: c.Seed,
+		Program: c.Program, Duration: time.Duration(c.Seconds * float64(time.Second)), Rate: c.Rate, Seed: c.Seed,
 	}
 	if c.Fault != noFault {
-		options.Trouble = c.Fault
+		options.Fault = c.Fault
 	}
 	switch { // negated so that NaN is out of range
 	case !(c.Seconds >= minTrySeconds && c.Seconds <= maxTrySeconds):
--- a/internal/router/cli/try_test.go
+++ b/internal/router/cli/try_test.go
@@ -118,7 +118,7 @@
 	var report routertrial.Report
 	c.Assert(json.Unmarshal(trial.out.Bytes(), &report), qt.IsNil)
 	c.Assert(report.Rules, qt.HasLen, len(routerstandin.Rules))
-	c.Assert(report.Broken(), qt.Equals, 0)
+	c.Assert(report.Violations(), qt.Equals, 0)
 	for _, kind := range report.Kinds {
 		c.Check(kind.Asked > 0, qt.IsTrue)
 		c.Check(kind.Served(), qt.Equals, kind.Asked, qt.Commentf("%+v", kind))
@@ -174,12 +174,12 @@
 	c := qt.New(t)
 	report := &routertrial.Report{Seconds: 5, Rate: 60, Notes: []string{"a note"},
 		Events: []string{"1.00 s  an event"},
-		Kinds: []routerstandin.KindTally{{Kind: "safe", Asked: 9, InTime: 5, Late: 1, Refused: 2, Failed: 1,
+		Kinds: []routerstandin.KindTally{{Kind: "safe", Asked: 9, InTime: 5, Late: 1, Rejected: 2, Failed: 1,
 			P50: 20.4}},
 		Servers: []routerstandin.ServerTally{{ID: "i-1", Service: "lookup", Zone: "north", Arrivals: 8, Runs: 7}},
 		Reasons: []routerstandin.Reason{{Count: 2, Text: "safe: 503"}},
 		Rules: []routerstandin.Verdict{{Rule: "MIXED"},
-			{Rule: "DRAIN", Breaks: 2, Details: []string{"one", "two"}}}}
+			{Rule: "DRAIN", Violations: 2, Details: []string{"one", "two"}}}}
 	var out bytes.Buffer
 	c.Assert(printReport(&out, report), qt.IsNil)
 	c.Assert(lines(out.String()), qt.DeepEquals, []string{
--- a/internal/simulation/agentsim/operator.go
+++ b/internal/simulation/agentsim/operator.go
@@ -29,10 +29,10 @@
 
 // document returns the configuration after a change.
 func (f *Fleet) document(c Change) []byte {
-	service := routerstandin.ServiceDoc{Name: serviceName, HealthPath: "/health", Lines: 100, Protocol: "h1"}
+	service := routerstandin.ServiceDoc{Name: serviceName, HealthPath: "/health", MaxConns: 100, Protocol: "h1"}
 	if f.Options.Stages {
 		service.Engine = &routerstandin.EngineSection{Slots: serverSlots, CacheTokens: 1 << 20, TokenBytes: 1024,
-			LinkMbps: 1000, Stride: 2, HandleLife: 5, StageSwitch: stageSwitch.Seconds(),
+			LinkMbps: 1000, TokensPerEvent: 2, HandleTTL: 5, SwitchTime: stageSwitch.Seconds(),
 			Models: []map[string]string{{"name": serviceName}}}
 	}
 	return f.encode(&routerstandin.Document{Version: c.Version, Services: []routerstandin.ServiceDoc{service},
@@ -42,7 +42,7 @@
 // route returns the one route after a change.
 func (c Change) route() routerstandin.RouteDoc {
 	return routerstandin.RouteDoc{Name: "r", Host: "a.example", Prefix: "/", Class: "safe",
-		TimeoutMs: firstTimeout + c.Mark, TargetMs: 500, Service: serviceName, Tries: 2}
+		TimeoutMs: firstTimeout + c.Mark, TargetMs: 500, Service: serviceName, MaxAttempts: 2}
 }
 
 // isPatch tells whether a change is sent as a patch: every second one, so that both kinds meet on one base.
--- a/internal/testbed/connserver/connserver.go
+++ b/internal/testbed/connserver/connserver.go
@@ -11,9 +11,9 @@
 
 // Listener accepts connections, gives each a goroutine, and can end all of them at once.
 type Listener struct {
-	l     net.Listener
-	serve func(*connbuffer.Conn)
-	most  int
+	listener net.Listener
+	serve    func(*connbuffer.Conn)
+	maxConns int
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
@@ -23,41 +23,41 @@
 
 // Listen accepts connections at an address, port 0 for one that the system chooses, and runs serve for
 // each. Beyond most connections, 0 for any number, new ones are closed at once.
-func Listen(address string, most int, serve func(*connbuffer.Conn)) (*Listener, error) {
-	l, err := net.Listen("tcp", address)
+func Listen(address string, maxConns int, serve func(*connbuffer.Conn)) (*Listener, error) {
+	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	ls := &Listener{l: l, serve: serve, most: most, conns: map[net.Conn]struct{}{}}
-	ls.all.Add(1)
-	go ls.accept()
-	return ls, nil
+	l := &Listener{listener: tcp, serve: serve, maxConns: maxConns, conns: map[net.Conn]struct{}{}}
+	l.all.Add(1)
+	go l.accept()
+	return l, nil
 }
 
 // Address is where it listens.
-func (l *Listener) Address() string { return l.l.Addr().String() }
+func (l *Listener) Address() string { return l.listener.Addr().String() }
 
 func (l *Listener) accept() {
 	defer l.all.Done()
-	_ = acceptloop.Run(l.l, nil, l.take) // it ends with the listener
+	_ = acceptloop.Run(l.listener, nil, l.start) // it ends with the listener
 }
 
-func (l *Listener) take(c net.Conn) {
-	if !l.hold(c) {
+func (l *Listener) start(c net.Conn) {
+	if !l.add(c) {
 		c.Close()
 		return
 	}
 	go func() {
 		defer l.all.Done()
-		defer l.drop(c)
+		defer l.remove(c)
 		l.serve(connbuffer.NewConn(c))
 	}()
 }
 
-func (l *Listener) hold(c net.Conn) bool {
+func (l *Listener) add(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || l.most > 0 && len(l.conns) >= l.most {
+	if l.closed || l.maxConns > 0 && len(l.conns) >= l.maxConns {
 		return false
 	}
 	l.conns[c] = struct{}{}
@@ -65,7 +65,7 @@
 	return true
 }
 
-func (l *Listener) drop(c net.Conn) {
+func (l *Listener) remove(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
@@ -83,7 +83,7 @@
 func (l *Listener) End() { l.end(false) }
 
 func (l *Listener) end(reset bool) {
-	l.l.Close()
+	l.listener.Close()
 	l.mu.Lock()
 	l.closed = true
 	for c := range l.conns {
--- a/internal/testbed/faultinject/faults.go
+++ b/internal/testbed/faultinject/faults.go
@@ -20,8 +20,8 @@
 	CommandDeaf = "deaf"
 	// CommandMute IP...: no connection to these machines comes about any more.
 	CommandMute = "mute"
-	// CommandHear ends all cuts; connections that were cut for long end with a reset, others go on.
-	CommandHear = "hear"
+	// CommandHeal ends all cuts; connections that were cut for long end with a reset, others go on.
+	CommandHeal = "hear"
 	// CommandDisk MODE: the disk is ok, full, hangs or is slow.
 	CommandDisk = "disk"
 	// CommandRefuse N: the next N tries to accept a connection fail for want of descriptors.
@@ -42,10 +42,10 @@
 )
 
 const (
-	// lookInterval is how often what is held up looks whether it may go on.
-	lookInterval = 5 * time.Millisecond
-	// slowDisk is what each operation of a slow disk takes besides.
-	slowDisk = 60 * time.Millisecond
+	// pollInterval is how often what is held up looks whether it may go on.
+	pollInterval = 5 * time.Millisecond
+	// slowDiskDelay is what each operation of a slow disk takes besides.
+	slowDiskDelay = 60 * time.Millisecond
 	// userTimeout is how long a cut may last until connections through it end with a reset.
 	userTimeout = 2 * time.Second
 )
@@ -54,13 +54,13 @@
 type Faults struct {
 	exit func() // ends the process on the spot
 
-	mu      sync.Mutex
-	deaf    map[string]time.Time // since when, by IP
-	mute    map[string]bool
-	disk    DiskMode
-	refused int // tries to accept that are still to fail
-	endIn   int // numbered points until the end, 0 for no end
-	conns   map[*conn]struct{}
+	mu       sync.Mutex
+	deaf     map[string]time.Time // since when, by IP
+	mute     map[string]bool
+	disk     DiskMode
+	refusals int // tries to accept that are still to fail
+	exitIn   int // numbered points until the end, 0 for no end
+	conns    map[*conn]struct{}
 }
 
 // New returns a process's faults: none.
@@ -70,10 +70,10 @@
 		conns: map[*conn]struct{}{}}
 }
 
-// UnknownCommand says that a line is no command.
-type UnknownCommand struct{ Line string }
+// UnknownCommandError says that a line is no command.
+type UnknownCommandError struct{ Line string }
 
-func (e *UnknownCommand) Error() string {
+func (e *UnknownCommandError) Error() string {
 	return fmt.Sprintf("%q is no command; see the commands of package faultinject", e.Line)
 }
 
@@ -109,24 +109,24 @@
 		for _, ip := range words[1:] {
 			f.mute[ip] = true
 		}
-	case CommandHear:
-		f.hear()
+	case CommandHeal:
+		f.heal()
 	case CommandDisk:
 		f.disk = DiskMode(strings.Join(words[1:], " "))
 	case CommandRefuse:
-		f.refused = number
+		f.refusals = number
 	case CommandEnd:
-		f.endIn = number
+		f.exitIn = number
 	default:
-		return &UnknownCommand{line}
+		return &UnknownCommandError{line}
 	}
 	return nil
 }
 
-// hear ends all cuts; the lock is held.
-func (f *Faults) hear() {
+// heal ends all cuts; the lock is held.
+func (f *Faults) heal() {
 	for c := range f.conns {
-		if since, cut := f.deaf[c.peer]; cut && time.Since(since) > userTimeout {
+		if since, partitioned := f.deaf[c.peer]; partitioned && time.Since(since) > userTimeout {
 			_ = c.TCPConn.SetLinger(0)
 			go c.Close()
 		}
@@ -135,14 +135,14 @@
 	clear(f.mute)
 }
 
-// point is one numbered point, at which the process may be told to end.
-func (f *Faults) point() {
+// passPoint is one numbered point, at which the process may be told to end.
+func (f *Faults) passPoint() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.endIn == 0 {
+	if f.exitIn == 0 {
 		return
 	}
-	if f.endIn--; f.endIn == 0 {
+	if f.exitIn--; f.exitIn == 0 {
 		f.exit()
 	}
 }
@@ -150,12 +150,12 @@
 func (f *Faults) isDeaf(ip string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, cut := f.deaf[ip]
-	return cut
+	_, partitioned := f.deaf[ip]
+	return partitioned
 }
 
-// isCut tells whether no connection to a machine comes about.
-func (f *Faults) isCut(ip string) bool {
+// isPartitioned tells whether no connection to a machine comes about.
+func (f *Faults) isPartitioned(ip string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, deaf := f.deaf[ip]
@@ -166,10 +166,10 @@
 func (f *Faults) takeRefusal() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refused == 0 {
+	if f.refusals == 0 {
 		return false
 	}
-	f.refused--
+	f.refusals--
 	return true
 }
 
--- a/internal/testbed/faultinject/faults_test.go
+++ b/internal/testbed/faultinject/faults_test.go
@@ -44,7 +44,7 @@
 	_, err = accepted.Read(one)
 	c.Assert(err, qt.ErrorIs, os.ErrDeadlineExceeded)
 	accepted.SetReadDeadline(time.Time{})
-	c.Assert(theirs.Do(CommandHear), qt.IsNil)
+	c.Assert(theirs.Do(CommandHeal), qt.IsNil)
 	_, err = io.ReadFull(accepted, one)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(one), qt.Equals, "a")
@@ -56,7 +56,7 @@
 	ours, theirs := New(), New()
 	dialled, accepted := pair(c, ours, theirs)
 	theirs.deaf[here] = time.Now().Add(-2 * userTimeout)
-	c.Assert(theirs.Do(CommandHear), qt.IsNil)
+	c.Assert(theirs.Do(CommandHeal), qt.IsNil)
 	_, err := dialled.Read(make([]byte, 1))
 	c.Assert(err, qt.Not(qt.IsNil))
 	_, err = accepted.Read(make([]byte, 1))
@@ -136,5 +136,5 @@
 		c.Assert(ended, qt.Equals, 1)
 		file.Close()
 	}
-	c.Assert(New().Do("nonsense"), qt.ErrorAs, new(*UnknownCommand))
+	c.Assert(New().Do("nonsense"), qt.ErrorAs, new(*UnknownCommandError))
 }
--- a/internal/testbed/faultinject/files.go
+++ b/internal/testbed/faultinject/files.go
@@ -12,7 +12,7 @@
 // numbered point before it begins and when it is done.
 type files struct {
 	faults *Faults
-	under  segmentlog.OSFS
+	osFS   segmentlog.OSFS
 }
 
 var _ segmentlog.FS = (*files)(nil)
@@ -22,13 +22,13 @@
 
 // begin waits as long as the disk hangs, and refuses what a full disk refuses.
 func (f *files) begin(op, name string, writes bool) error {
-	f.faults.point()
+	f.faults.passPoint()
 	for f.faults.diskMode() == DiskHang {
-		time.Sleep(lookInterval)
+		time.Sleep(pollInterval)
 	}
 	switch mode := f.faults.diskMode(); {
 	case mode == DiskSlow:
-		time.Sleep(slowDisk)
+		time.Sleep(slowDiskDelay)
 	case mode == DiskFull && writes:
 		return &os.PathError{Op: op, Path: name, Err: syscall.ENOSPC}
 	}
@@ -40,7 +40,7 @@
 	if err := f.begin("mkdir", dir, false); err != nil {
 		return err
 	}
-	return f.under.MakeDir(dir)
+	return f.osFS.MakeDir(dir)
 }
 
 // List implements segmentlog.FS.
@@ -48,7 +48,7 @@
 	if err := f.begin("list", dir, false); err != nil {
 		return nil, err
 	}
-	return f.under.List(dir)
+	return f.osFS.List(dir)
 }
 
 // ReadFile implements segmentlog.FS.
@@ -56,7 +56,7 @@
 	if err := f.begin("read", name, false); err != nil {
 		return nil, err
 	}
-	return f.under.ReadFile(name)
+	return f.osFS.ReadFile(name)
 }
 
 // Create implements segmentlog.FS.
@@ -64,7 +64,7 @@
 	if err := f.begin("create", name, true); err != nil {
 		return nil, err
 	}
-	return f.wrap(name)(f.under.Create(name))
+	return f.wrap(name)(f.osFS.Create(name))
 }
 
 // Open implements segmentlog.FS.
@@ -72,7 +72,7 @@
 	if err := f.begin("open", name, false); err != nil {
 		return nil, err
 	}
-	return f.wrap(name)(f.under.Open(name))
+	return f.wrap(name)(f.osFS.Open(name))
 }
 
 // Rename implements segmentlog.FS.
@@ -80,8 +80,8 @@
 	if err := f.begin("rename", from, true); err != nil {
 		return err
 	}
-	defer f.faults.point()
-	return f.under.Rename(from, to)
+	defer f.faults.passPoint()
+	return f.osFS.Rename(from, to)
 }
 
 // Remove implements segmentlog.FS.
@@ -89,8 +89,8 @@
 	if err := f.begin("remove", name, false); err != nil {
 		return err
 	}
-	defer f.faults.point()
-	return f.under.Remove(name)
+	defer f.faults.passPoint()
+	return f.osFS.Remove(name)
 }
 
 // SyncDir implements segmentlog.FS.
@@ -98,8 +98,8 @@
 	if err := f.begin("sync", dir, false); err != nil {
 		return err
 	}
-	defer f.faults.point()
-	return f.under.SyncDir(dir)
+	defer f.faults.passPoint()
+	return f.osFS.SyncDir(dir)
 }
 
 func (f *files) wrap(name string) func(segmentlog.File, error) (segmentlog.File, error) {
@@ -124,7 +124,7 @@
 		n, _ := f.File.WriteAt(data[:len(data)/2], offset)
 		return n, err
 	}
-	defer f.files.faults.point()
+	defer f.files.faults.passPoint()
 	return f.File.WriteAt(data, offset)
 }
 
@@ -133,7 +133,7 @@
 	if err := f.files.begin("truncate", f.name, false); err != nil {
 		return err
 	}
-	defer f.files.faults.point()
+	defer f.files.faults.passPoint()
 	return f.File.Truncate(size)
 }
 
@@ -142,6 +142,6 @@
 	if err := f.files.begin("sync", f.name, true); err != nil {
 		return err
 	}
-	defer f.files.faults.point()
+	defer f.files.faults.passPoint()
 	return f.File.Sync()
 }
--- a/internal/testbed/faultinject/network.go
+++ b/internal/testbed/faultinject/network.go
@@ -16,19 +16,21 @@
 type Network struct {
 	faults *Faults
 	ip     string
-	plain  string // address whose connections have no faults: that of clients
+	exempt string // address whose connections have no faults: that of clients
 }
 
 var _ transport.Network = (*Network)(nil)
 
 // Network returns the network of a machine. Connections accepted at the plain address have no faults, but
 // accepting them may fail.
-func (f *Faults) Network(ip, plain string) *Network { return &Network{faults: f, ip: ip, plain: plain} }
+func (f *Faults) Network(ip, exempt string) *Network {
+	return &Network{faults: f, ip: ip, exempt: exempt}
+}
 
 // Dial connects to an address. Through a cut it takes all its time in vain.
 func (n *Network) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	host, _, _ := net.SplitHostPort(address)
-	if n.faults.isCut(host) {
+	if n.faults.isPartitioned(host) {
 		time.Sleep(timeout)
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
@@ -46,13 +48,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &listener{Listener: l, faults: n.faults, plain: address == n.plain}, nil
+	return &listener{Listener: l, faults: n.faults, exempt: address == n.exempt}, nil
 }
 
 type listener struct {
 	net.Listener
 	faults *Faults
-	plain  bool
+	exempt bool
 }
 
 // Accept accepts a connection, or fails as it does without descriptors; the connection is lost then.
@@ -65,7 +67,7 @@
 		c.Close()
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
-	if l.plain {
+	if l.exempt {
 		return c, nil
 	}
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
@@ -78,9 +80,9 @@
 	faults *Faults
 	peer   string // IP of the other machine
 
-	reading sync.Mutex
-	held    []byte // read, and withheld
-	heldErr error
+	readMu      sync.Mutex
+	withheld    []byte // read, and withheld
+	withheldErr error
 
 	mu       sync.Mutex
 	deadline time.Time // of reading
@@ -97,32 +99,32 @@
 
 // Read reads, and holds what it has read as long as the other machine is not heard.
 func (c *conn) Read(p []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	for {
-		if err := c.awaitHearing(); err != nil {
+		if err := c.awaitHealed(); err != nil {
 			return 0, err
 		}
-		if len(c.held) == 0 && c.heldErr == nil {
+		if len(c.withheld) == 0 && c.withheldErr == nil {
 			n, err := c.TCPConn.Read(p)
 			if err != nil && n == 0 && os.IsTimeout(err) {
 				return 0, err
 			}
-			c.held, c.heldErr = append(c.held, p[:n]...), err
+			c.withheld, c.withheldErr = append(c.withheld, p[:n]...), err
 			continue
 		}
-		n := copy(p, c.held)
-		c.held = c.held[n:]
+		n := copy(p, c.withheld)
+		c.withheld = c.withheld[n:]
 		if n > 0 {
 			return n, nil
 		}
-		return 0, c.heldErr
+		return 0, c.withheldErr
 	}
 }
 
-// awaitHearing returns once the other machine is heard, or with the error of the read deadline or of a closed
+// awaitHealed returns once the other machine is heard, or with the error of the read deadline or of a closed
 // connection.
-func (c *conn) awaitHearing() error {
+func (c *conn) awaitHealed() error {
 	for c.faults.isDeaf(c.peer) {
 		c.mu.Lock()
 		closed, deadline := c.closed, c.deadline
@@ -133,14 +135,14 @@
 		case !deadline.IsZero() && !time.Now().Before(deadline):
 			return os.ErrDeadlineExceeded
 		}
-		time.Sleep(lookInterval)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
 // Write passes on: what a cut withholds is withheld by the machine that should hear it.
 func (c *conn) Write(p []byte) (int, error) {
-	c.faults.point()
+	c.faults.passPoint()
 	return c.TCPConn.Write(p)
 }
 
@@ -151,17 +153,17 @@
 
 // SetDeadline sets both deadlines.
 func (c *conn) SetDeadline(t time.Time) error {
-	c.noteDeadline(t)
+	c.recordReadDeadline(t)
 	return c.TCPConn.SetDeadline(t)
 }
 
 // SetReadDeadline sets the deadline of reading.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.noteDeadline(t)
+	c.recordReadDeadline(t)
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-func (c *conn) noteDeadline(t time.Time) {
+func (c *conn) recordReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
--- a/internal/testbed/nettest/nettest.go
+++ b/internal/testbed/nettest/nettest.go
@@ -22,23 +22,23 @@
 
 // What a handler may return in place of an answer.
 var (
-	Silence = &http1.Response{} // nothing comes; the connection stays until the other side ends it
-	Break   = &http1.Response{} // the connection ends
+	NoResponse = &http1.Response{} // nothing comes; the connection stays until the other side ends it
+	CloseConn  = &http1.Response{} // the connection ends
 )
 
-// Party is a server that a test scripts.
-type Party struct {
-	Address string
-	Opened  atomic.Int64  // connections accepted
-	Left    chan struct{} // one for each silent connection that the other side ended
+// ScriptedServer is a server that a test scripts.
+type ScriptedServer struct {
+	Address   string
+	Opened    atomic.Int64  // connections accepted
+	Abandoned chan struct{} // one for each silent connection that the other side ended
 
-	mu  sync.Mutex
-	got []*http1.Request
+	mu       sync.Mutex
+	received []*http1.Request
 }
 
 // Serve starts a party whose answers come from handle, which runs once a request.
-func Serve(t testing.TB, handle func(q *http1.Request) *http1.Response) *Party {
-	p := &Party{Left: make(chan struct{}, 64)}
+func Serve(t testing.TB, handle func(q *http1.Request) *http1.Response) *ScriptedServer {
+	p := &ScriptedServer{Abandoned: make(chan struct{}, 64)}
 	p.Address = Listen(t, func(c *connbuffer.Conn) {
 		p.Opened.Add(1)
 		for {
@@ -47,14 +47,14 @@
 				return
 			}
 			p.mu.Lock()
-			p.got = append(p.got, q)
+			p.received = append(p.received, q)
 			p.mu.Unlock()
 			switch a := handle(q); a {
-			case Break:
+			case CloseConn:
 				return
-			case Silence:
+			case NoResponse:
 				io.Copy(io.Discard, c.In)
-				p.Left <- struct{}{}
+				p.Abandoned <- struct{}{}
 				return
 			default:
 				if a.Write(c.Out) != nil || c.Flush() != nil || a.Close {
@@ -66,16 +66,16 @@
 	return p
 }
 
-// Got returns the requests received whose target begins with prefix.
-func (p *Party) Got(prefix string) (some []*http1.Request) {
+// Received returns the requests received whose target begins with prefix.
+func (p *ScriptedServer) Received(prefix string) (matching []*http1.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, q := range p.got {
+	for _, q := range p.received {
 		if strings.HasPrefix(q.Target, prefix) {
-			some = append(some, q)
+			matching = append(matching, q)
 		}
 	}
-	return some
+	return matching
 }
 
 // Listen accepts connections and gives each a goroutine, until the test ends.
@@ -104,20 +104,20 @@
 
 // Discovery is a list that a test writes.
 type Discovery struct {
-	Address string
-	Watches atomic.Int64  // that were opened
-	Refuse  atomic.Int64  // so many calls get 503 first
-	Left    chan struct{} // one for each watch that the other side ended
-	from    atomic.Value
-	lines   chan string
+	Address    string
+	Watches    atomic.Int64  // that were opened
+	Rejections atomic.Int64  // so many calls get 503 first
+	Abandoned  chan struct{} // one for each watch that the other side ended
+	from       atomic.Value
+	lines      chan string
 }
 
-// From is the version that the last watch asked for.
-func (d *Discovery) From() string { return d.from.Load().(string) }
+// WatchedFrom is the version that the last watch asked for.
+func (d *Discovery) WatchedFrom() string { return d.from.Load().(string) }
 
 // NewDiscovery starts a discovery; a watch says only what Send is given.
 func NewDiscovery(t testing.TB) *Discovery {
-	d := &Discovery{lines: make(chan string), Left: make(chan struct{}, 64)}
+	d := &Discovery{lines: make(chan string), Abandoned: make(chan struct{}, 64)}
 	d.Address = Listen(t, func(c *connbuffer.Conn) {
 		for {
 			q, err := http1.ReadRequest(c.In)
@@ -126,7 +126,7 @@
 			}
 			_, from, watch := strings.Cut(q.Target, "?watch=1&from=")
 			switch {
-			case d.Refuse.Add(-1) >= 0:
+			case d.Rejections.Add(-1) >= 0:
 				(&http1.Response{Status: 503}).Write(c.Out)
 			case !watch:
 				OK(<-d.lines).Write(c.Out)
@@ -154,7 +154,7 @@
 		case l := <-d.lines:
 			fmt.Fprintf(c.Out, "%x\r\n%s\n\r\n", len(l)+1, l)
 		case <-ended:
-			d.Left <- struct{}{}
+			d.Abandoned <- struct{}{}
 			return
 		}
 	}
--- a/internal/testbed/routerstandin/answer.go
+++ b/internal/testbed/routerstandin/answer.go
@@ -12,120 +12,123 @@
 	"cresshub/internal/http1"
 )
 
-// largestAnswer bounds the body of an answer, in bytes.
-const largestAnswer = 1 << 20
+// maxAnswerBytes bounds the body of an answer, in bytes.
+const maxAnswerBytes = 1 << 20
 
-// exchange sends a try and takes its answer in.
-func (a *asking) exchange(ctx context.Context, conn *clientConn, t *try) ending {
-	conn.SetWriteDeadline(a.until)
-	conn.SetReadDeadline(a.patienceEnd())
-	err := a.request.message(t.id, a.left(), t.resumeAt).Write(conn.Out)
+// roundTrip sends a try and takes its answer in.
+func (p *pendingRequest) roundTrip(ctx context.Context, conn *clientConn, attempt *attempt) attemptResult {
+	conn.SetWriteDeadline(p.deadline)
+	conn.SetReadDeadline(p.readDeadline())
+	err := p.request.message(attempt.id, p.timeLeft(), attempt.resumeAfter).Write(conn.Out)
 	if err == nil {
 		err = conn.Flush()
 	}
 	if err == nil {
-		a.client.observations.sentWhole(t)
+		p.client.observations.recordFullySent(attempt)
 	}
-	head, body, readErr := http1.ReadResponseHead(conn.In, a.request.Method)
+	head, body, readErr := http1.ReadResponseHead(conn.In, p.request.Method)
 	if readErr != nil {
-		return a.unanswered(ctx, conn, t, errors.Join(err, readErr))
+		return p.unanswered(ctx, conn, attempt, errors.Join(err, readErr))
 	}
-	a.checkHead(t, head)
+	p.checkHead(attempt, head)
 	if head.Status/100 == 2 {
-		return a.takeSuccess(ctx, conn, t, head, body)
+		return p.takeSuccess(ctx, conn, attempt, head, body)
 	}
-	return a.takeFailure(ctx, conn, t, head, body)
+	return p.takeFailure(ctx, conn, attempt, head, body)
 }
 
-// patienceEnd is when the client stops waiting for the next bytes.
-func (a *asking) patienceEnd() time.Time {
-	end := time.Now().Add(a.request.Kind.silence())
-	if a.until.Before(end) {
-		return a.until
+// readDeadline is when the client stops waiting for the next bytes.
+func (p *pendingRequest) readDeadline() time.Time {
+	end := time.Now().Add(p.request.Kind.eventTimeout())
+	if p.deadline.Before(end) {
+		return p.deadline
 	}
 	return end
 }
 
 // unanswered notes that a try ended without a whole answer.
-func (a *asking) unanswered(ctx context.Context, conn *clientConn, t *try, err error) ending {
+func (p *pendingRequest) unanswered(ctx context.Context, conn *clientConn, attempt *attempt,
+	err error) attemptResult {
 	conn.Close()
-	o := a.client.observations
+	o := p.client.observations
 	var malformed *http1.MalformedError
 	switch {
 	case ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded): // the client ended it
-		o.answered(t, 0, false, false)
-		return ending{reason: "no answer in time"}
+		o.recordAnswer(attempt, 0, false, false)
+		return attemptResult{reason: "no answer in time"}
 	case errors.As(err, &malformed):
-		o.Broken(Mixed, "try %s got bytes from %s that are no answer: %v", t.id, t.machine, err)
+		o.RecordViolation(RuleMixed, "try %s got bytes from %s that are no answer: %v", attempt.id, attempt.machine,
+			err)
 	}
-	o.cutOff(t)
-	return ending{unread: !o.seenBy(t), reason: "the connection ended"}
+	o.recordConnLost(attempt)
+	return attemptResult{unread: !o.reachedServer(attempt), reason: "the connection ended"}
 }
 
 // checkHead checks what the head of every answer must hold.
-func (a *asking) checkHead(t *try, head *http1.Response) {
-	if id := head.Header.Get(tryIDHeader); id != "" && id != t.id {
-		a.client.observations.Broken(Mixed, "try %s got the answer to %s from %s", t.id, id, t.machine)
+func (p *pendingRequest) checkHead(attempt *attempt, head *http1.Response) {
+	if id := head.Header.Get(attemptIDHeader); id != "" && id != attempt.id {
+		p.client.observations.RecordViolation(RuleMixed, "try %s got the answer to %s from %s", attempt.id, id,
+			attempt.machine)
 	}
 }
 
 // takeFailure reads an answer that is no success.
-func (a *asking) takeFailure(ctx context.Context, conn *clientConn, t *try, head *http1.Response,
-	body *http1.Body) ending {
-	text, err := readWhole(body)
+func (p *pendingRequest) takeFailure(ctx context.Context, conn *clientConn, attempt *attempt,
+	head *http1.Response, body *http1.Body) attemptResult {
+	text, err := readComplete(body)
 	if err != nil {
-		return a.unanswered(ctx, conn, t, err)
+		return p.unanswered(ctx, conn, attempt, err)
 	}
 	ownAnswer := head.Header.Get(stampHeader) == ""
-	a.client.observations.answered(t, head.Status, ownAnswer, false)
-	a.client.giveBack(conn, head)
-	return ending{status: head.Status, reason: fmt.Sprintf("%d: %s", head.Status, bytes.TrimSpace(text)),
+	p.client.observations.recordAnswer(attempt, head.Status, ownAnswer, false)
+	p.client.putIdle(conn, head)
+	return attemptResult{status: head.Status, reason: fmt.Sprintf("%d: %s", head.Status, bytes.TrimSpace(text)),
 		retryAfter: retryAfterOf(head.Header.Get(retryHeader))}
 }
 
 // takeSuccess reads a success and checks that it is the answer of a run of this try.
-func (a *asking) takeSuccess(ctx context.Context, conn *clientConn, t *try, head *http1.Response,
-	body *http1.Body) ending {
-	o := a.client.observations
+func (p *pendingRequest) takeSuccess(ctx context.Context, conn *clientConn, attempt *attempt,
+	head *http1.Response, body *http1.Body) attemptResult {
+	o := p.client.observations
 	stamp := head.Header.Get(stampHeader)
-	run := o.runOf(stamp)
-	if run == nil || run.try != t || head.Header.Get("Content-Encoding") != "" {
-		o.Broken(Mixed, "try %s got a success from %s with the stamp %q, which is not its server's", t.id,
-			t.machine, stamp)
-		o.answered(t, head.Status, false, false)
+	run := o.runByStamp(stamp)
+	if run == nil || run.attempt != attempt || head.Header.Get("Content-Encoding") != "" {
+		o.RecordViolation(RuleMixed, "try %s got a success from %s with the stamp %q, which is not its server's",
+			attempt.id, attempt.machine, stamp)
+		o.recordAnswer(attempt, head.Status, false, false)
 		conn.Close()
-		return ending{status: head.Status, reason: "an answer that is not its server's"}
+		return attemptResult{status: head.Status, reason: "an answer that is not its server's"}
 	}
 	var err error
-	if run.isEvent {
-		err = a.takeStream(conn, t, body)
+	if run.isStream {
+		err = p.takeStream(conn, attempt, body)
 	} else {
-		err = a.takeBody(t, run, body)
+		err = p.takeBody(attempt, run, body)
 	}
 	if err != nil {
-		return a.unanswered(ctx, conn, t, err)
+		return p.unanswered(ctx, conn, attempt, err)
 	}
-	o.answered(t, head.Status, false, true)
-	a.client.giveBack(conn, head)
-	return ending{status: head.Status, served: true}
+	o.recordAnswer(attempt, head.Status, false, true)
+	p.client.putIdle(conn, head)
+	return attemptResult{status: head.Status, served: true}
 }
 
 // takeBody reads a body and compares it with the one that the server sent.
-func (a *asking) takeBody(t *try, run *run, body *http1.Body) error {
-	got, err := readWhole(body)
+func (p *pendingRequest) takeBody(attempt *attempt, run *run, body *http1.Body) error {
+	got, err := readComplete(body)
 	if err != nil {
 		return err
 	}
-	a.latency = time.Since(a.began)
+	p.latency = time.Since(p.began)
 	if string(got) != run.body {
-		a.client.observations.Broken(Mixed, "try %s got %d bytes that are not the body of %s", t.id, len(got),
-			run.stamp)
+		p.client.observations.RecordViolation(RuleMixed, "try %s got %d bytes that are not the body of %s",
+			attempt.id, len(got), run.stamp)
 	}
 	return nil
 }
 
-func readWhole(body *http1.Body) ([]byte, error) {
-	got, err := io.ReadAll(io.LimitReader(body, largestAnswer))
+func readComplete(body *http1.Body) ([]byte, error) {
+	got, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err == nil && !body.Complete() {
 		err = io.ErrUnexpectedEOF
 	}
--- a/internal/testbed/routerstandin/breaks_test.go
+++ b/internal/testbed/routerstandin/breaks_test.go
@@ -24,7 +24,7 @@
 	}
 	w.Assert(w.operator.ReadBack(w.bounded()), qt.IsNil)
 	w.Assert(w.broken(), qt.HasLen, 0)
-	w.Assert(w.reader.Tally().Reads, qt.Equals, 6)
+	w.Assert(w.reader.Tally().Prefills, qt.Equals, 6)
 	w.Assert(w.writer.Tally().Runs, qt.Equals, 6)
 	w.Assert(w.lookup.Tally().Runs, qt.Equals, 6)
 }
@@ -36,26 +36,26 @@
 	kind  *Kind
 	wrong func(p *fakeProxy, x *passing) bool
 }{
-	{"sends an unsafe request twice", Twice, unsafeKind, func(p *fakeProxy, x *passing) bool {
+	{"sends an unsafe request twice", RuleTwice, unsafeKind, func(p *fakeProxy, x *passing) bool {
 		p.call(p.world.lookup, x.request)
 		return false
 	}},
-	{"refuses what has run", Refused, unsafeKind, func(p *fakeProxy, x *passing) bool {
+	{"refuses what has run", RuleRefused, unsafeKind, func(p *fakeProxy, x *passing) bool {
 		p.call(p.world.lookup, x.request)
 		x.reply(textOf(503, nil, ""))
 		return true
 	}},
-	{"invents a request", Unasked, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"invents a request", RuleUnasked, safeKind, func(p *fakeProxy, x *passing) bool {
 		invented := *x.request
-		invented.Header = http1.Header{field("Host", testHost), field(tryIDHeader, "invented")}
+		invented.Header = http1.Header{field("Host", testHost), field(attemptIDHeader, "invented")}
 		p.call(p.world.lookup, &invented)
 		return false
 	}},
-	{"changes a body", Unasked, unsafeKind, func(p *fakeProxy, x *passing) bool {
+	{"changes a body", RuleUnasked, unsafeKind, func(p *fakeProxy, x *passing) bool {
 		x.request.Body = []byte("another body")
 		return false
 	}},
-	{"gives an answer to another request", Mixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"gives an answer to another request", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
 		text := p.previous
 		if p.previous = p.answerOf(x.request); text == "" {
 			text = p.previous
@@ -63,25 +63,25 @@
 		x.reply(text)
 		return true
 	}},
-	{"shortens a body", Mixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"shortens a body", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
 		text := p.answerOf(x.request)
 		x.reply(strings.Replace(text[:len(text)-1], "Content-Length: 100", "Content-Length: 99", 1))
 		return true
 	}},
-	{"gives a success of its own", Mixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"gives a success of its own", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
 		x.reply(textOf(200, nil, "cached"))
 		return true
 	}},
-	{"sends what is no answer", Mixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"sends what is no answer", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
 		x.reply("nonsense\r\n\r\n")
 		return true
 	}},
-	{"answers once too often", Mixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"answers once too often", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
 		text := p.answerOf(x.request)
 		x.reply(text + text)
 		return true
 	}},
-	{"uses the memory of another request", Mixed, firmKind, func(p *fakeProxy, x *passing) bool {
+	{"uses the memory of another request", RuleMixed, firmKind, func(p *fakeProxy, x *passing) bool {
 		from := p.previous
 		if p.previous = p.readPrompt(x.request); from == "" {
 			return false
@@ -89,26 +89,26 @@
 		x.reply(p.call(p.world.writer, x.request, field(kvFromHeader, from)))
 		return true
 	}},
-	{"drops an event", Order, firmKind, func(p *fakeProxy, x *passing) bool {
+	{"drops an event", RuleOrder, firmKind, func(p *fakeProxy, x *passing) bool {
 		head, all := events(p.answerOf(x.request))
 		x.reply(withEvents(head, append(all[:1:1], all[2:]...)))
 		return true
 	}},
-	{"repeats an event", Order, firmKind, func(p *fakeProxy, x *passing) bool {
+	{"repeats an event", RuleOrder, firmKind, func(p *fakeProxy, x *passing) bool {
 		head, all := events(p.answerOf(x.request))
 		x.reply(withEvents(head, append(all[:2:2], all[1:]...)))
 		return true
 	}},
-	{"ends a stream early", Order, resumableKind, func(p *fakeProxy, x *passing) bool {
+	{"ends a stream early", RuleOrder, resumableKind, func(p *fakeProxy, x *passing) bool {
 		head, all := events(p.answerOf(x.request))
 		x.reply(withEvents(head, all[:2]))
 		return true
 	}},
-	{"uses a service that no route names", Route, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"uses a service that no route names", RuleRoute, safeKind, func(p *fakeProxy, x *passing) bool {
 		x.reply(p.call(p.world.other, x.request))
 		return true
 	}},
-	{"tries too often", Tries, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"tries too often", RuleAttempts, safeKind, func(p *fakeProxy, x *passing) bool {
 		p.call(p.world.lookup, x.request)
 		p.call(p.world.lookup, x.request)
 		return false
@@ -137,13 +137,13 @@
 	for range 5 { // 5 repeats, of which 4 and a tenth of 5 requests are allowed
 		w.ask(safeKind)
 	}
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{Budget})
+	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleBudget})
 }
 
 func TestSendingToALeavingServerIsSeen(t *testing.T) {
 	w := newWorld(t)
 	sendToALeavingServer(w, func() {})
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{Drain})
+	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleDrain})
 }
 
 // The acknowledgement of a machine in trouble binds the others.
@@ -151,26 +151,26 @@
 	w := newWorld(t)
 	const elsewhere = "10.9.9.9"
 	sendToALeavingServer(w, func() {
-		w.observations.Troubled(elsewhere, false)
+		w.observations.RecordFault(elsewhere, false)
 		w.lookup.mu.Lock()
 		defer w.lookup.mu.Unlock()
-		troubles := w.observations.troubles
-		w.lookup.acknowledgedAt, w.lookup.acknowledgedBy = troubles[len(troubles)-1].at, elsewhere
+		troubles := w.observations.faults
+		w.lookup.ackedAt, w.lookup.ackedBy = troubles[len(troubles)-1].at, elsewhere
 	})
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{Drain})
+	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleDrain})
 }
 
 // sendToALeavingServer has the proxy send to a server too long after its departure was acknowledged.
 func sendToALeavingServer(w *world, onceAcknowledged func()) {
 	left := make(chan bool, 1)
-	go func() { left <- w.lookup.Leave(time.Minute) }()
+	go func() { left <- w.lookup.Shutdown(time.Minute) }()
 	w.until("the departure is acknowledged", func() bool {
-		at, _ := w.lookup.leftSince()
+		at, _ := w.lookup.drainAckedAt()
 		return !at.IsZero()
 	})
 	onceAcknowledged()
 	w.Assert(w.ask(safeKind).Outcome, qt.Equals, Served) // within the bound
-	at, _ := w.lookup.leftSince()
+	at, _ := w.lookup.drainAckedAt()
 	w.past(at.Add(2 * testBounds.Drain))
 	w.Assert(w.ask(safeKind).Outcome, qt.Equals, Served)
 	w.lookup.Stop()
@@ -179,8 +179,8 @@
 
 func TestAnOldConfigurationIsSeen(t *testing.T) {
 	w := newWorld(t)
-	added := &Kind{Name: "added", Host: testHost, Prefix: "/added/", Class: fleetconfig.Safe, Aim: time.Second,
-		Deadline: 5 * time.Second}
+	added := &Kind{Name: "added", Host: testHost, Prefix: "/added/", Class: fleetconfig.Safe,
+		LatencyTarget: time.Second, Deadline: 5 * time.Second}
 	w.Assert(w.operator.Put(w.bounded(), testDocument(3, RouteOf(added, "lookup", 1))), qt.IsNil)
 	w.proxy.doWrong(func(p *fakeProxy, x *passing) bool {
 		x.reply(textOf(404, nil, ""))
@@ -189,7 +189,7 @@
 	w.ask(added) // within the bound, the older configuration may still be in force
 	w.past(time.Now().Add(2 * testBounds.Config))
 	w.ask(added)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{Config})
+	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
 func TestGoingBackToAnOldConfigurationIsSeen(t *testing.T) {
@@ -208,7 +208,7 @@
 	})
 	w.ask(safeKind)
 	w.ask(safeKind)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{Config})
+	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
 func TestAnotherConfigurationReadBackIsSeen(t *testing.T) {
@@ -218,7 +218,7 @@
 		"depots_list":[]}`))
 	})
 	w.Assert(w.operator.ReadBack(w.bounded()), qt.IsNil)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{Config})
+	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
 // A process that is asked to end must answer what it has read.
@@ -231,9 +231,9 @@
 		return true
 	})
 	w.ask(safeKind) // cut without a stop: that is no break
-	w.observations.Terminated(machine, false)
+	w.observations.RecordTermination(machine, false)
 	w.ask(safeKind)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{Lost})
+	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleLost})
 }
 
 func TestACutAfterAKillIsNoBreak(t *testing.T) {
@@ -244,9 +244,9 @@
 		x.conn.Close()
 		return true
 	})
-	w.observations.Terminated(machine, false)
+	w.observations.RecordTermination(machine, false)
 	w.observations.bounds.Touch = time.Minute
-	w.observations.Troubled(machine, false)
+	w.observations.RecordFault(machine, false)
 	w.ask(safeKind)
 	w.Assert(w.broken(), qt.HasLen, 0)
 }
@@ -254,18 +254,18 @@
 func TestOrdersOfTwoHoldersAreSeen(t *testing.T) {
 	for _, each := range []struct {
 		name   string
-		orders []lastSeen
+		orders []lastOrder
 		rules  []Rule
 	}{
-		{"one holder", []lastSeen{{holder: "a", fence: 1}, {holder: "a", fence: 2}}, nil},
-		{"one fence", []lastSeen{{holder: "a", fence: 1}, {holder: "b", fence: 1}}, []Rule{One}},
-		{"soon after", []lastSeen{{holder: "a", fence: 1}, {holder: "b", fence: 2}}, []Rule{One}},
-		{"a fence that servers check", []lastSeen{{holder: "a", fence: 3}, {holder: "a", fence: 2}}, nil},
+		{"one holder", []lastOrder{{holder: "a", fence: 1}, {holder: "a", fence: 2}}, nil},
+		{"one fence", []lastOrder{{holder: "a", fence: 1}, {holder: "b", fence: 1}}, []Rule{RuleOne}},
+		{"soon after", []lastOrder{{holder: "a", fence: 1}, {holder: "b", fence: 2}}, []Rule{RuleOne}},
+		{"a fence that servers check", []lastOrder{{holder: "a", fence: 3}, {holder: "a", fence: 2}}, nil},
 	} {
 		t.Run(each.name, func(t *testing.T) {
 			w := newWorld(t)
 			for _, order := range each.orders {
-				w.observations.ordered("i-1", order.holder, order.fence)
+				w.observations.recordOrder("i-1", order.holder, order.fence)
 			}
 			w.Assert(w.broken(), qt.DeepEquals, each.rules)
 		})
@@ -279,8 +279,8 @@
 		x.reply(textOf(502, nil, ""))
 		return true
 	})
-	w.observations.AllBack()
-	w.past(time.Now().Add(2 * testBounds.Recover))
+	w.observations.RecordAllRestarted()
+	w.past(time.Now().Add(2 * testBounds.Recovery))
 	w.ask(safeKind)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{Recover})
+	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleRecover})
 }
--- a/internal/testbed/routerstandin/budget.go
+++ b/internal/testbed/routerstandin/budget.go
@@ -9,15 +9,15 @@
 // serviceLoad is what the budget of repeats is judged by.
 type serviceLoad struct {
 	requests []time.Time // when clients sent them
-	extra    []time.Time // arrivals past the first of each request
+	repeats  []time.Time // arrivals past the first of each request
 }
 
 // judgeBudgets checks each service's repeats in every window that ends with one.
 func (o *Observations) judgeBudgets() {
 	for service, load := range o.loads() {
-		slices.SortFunc(load.extra, time.Time.Compare)
+		slices.SortFunc(load.repeats, time.Time.Compare)
 		slices.SortFunc(load.requests, time.Time.Compare)
-		for _, end := range load.extra {
+		for _, end := range load.repeats {
 			o.judgeWindow(service, load, end)
 		}
 	}
@@ -31,13 +31,13 @@
 		}
 		return loads[service]
 	}
-	for _, t := range o.inOrder {
-		if service := o.serviceOf(t); service != "" {
-			of(service).requests = append(of(service).requests, t.sent)
+	for _, attempt := range o.attemptsInOrder {
+		if service := o.serviceOf(attempt); service != "" {
+			of(service).requests = append(of(service).requests, attempt.sentAt)
 		}
-		for i, a := range counted(t) {
+		for i, a := range counted(attempt) {
 			if i > 0 {
-				of(a.service).extra = append(of(a.service).extra, a.at)
+				of(a.service).repeats = append(of(a.service).repeats, a.at)
 			}
 		}
 	}
@@ -45,12 +45,12 @@
 }
 
 // serviceOf names the service that a try was for: the one it reached, or the first that its route names.
-func (o *Observations) serviceOf(t *try) string {
-	if len(t.arrivals) > 0 {
-		return t.arrivals[0].service
+func (o *Observations) serviceOf(attempt *attempt) string {
+	if len(attempt.arrivals) > 0 {
+		return attempt.arrivals[0].service
 	}
 	for _, v := range slices.Backward(o.configs) {
-		if route := routeOf(v.config, t.request); route != nil {
+		if route := routeOf(v.config, attempt.request); route != nil {
 			return route.Targets[0].Service
 		}
 	}
@@ -67,8 +67,8 @@
 	}
 	requests := max(within(load.requests, 0), within(load.requests, window/2), within(load.requests, window))
 	allowed := o.bounds.RetryRatio*float64(requests) + o.bounds.RetrySlack
-	if repeats := within(load.extra, 0); float64(repeats) > allowed {
-		o.verdicts.broken(Budget, "service %s got %d repeats in %v, %.0f are allowed for %d requests", service,
+	if repeats := within(load.repeats, 0); float64(repeats) > allowed {
+		o.verdicts.record(RuleBudget, "service %s got %d repeats in %v, %.0f are allowed for %d requests", service,
 			repeats, window, allowed, requests)
 	}
 }
--- a/internal/testbed/routerstandin/client.go
+++ b/internal/testbed/routerstandin/client.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// leastTryTime is the time left below which a client does not try again.
-	leastTryTime = 20 * time.Millisecond
-	// failurePause is how long a client waits after a failure that names no time.
-	failurePause = 30 * time.Millisecond
-	// retryAfterPart of the time left is the longest that a client waits as told.
-	retryAfterPart = 3
+	// minAttemptTime is the time left below which a client does not try again.
+	minAttemptTime = 20 * time.Millisecond
+	// failureBackoff is how long a client waits after a failure that names no time.
+	failureBackoff = 30 * time.Millisecond
+	// retryAfterDivisor of the time left is the longest that a client waits as told.
+	retryAfterDivisor = 3
 )
 
 // Client sends requests as the program of one user does.
 type Client struct {
-	Number    int
-	Zone      string
-	Keeps     bool // it keeps connections for further requests
-	Impatient bool // it tries again at once and more often
+	Number     int
+	Zone       string
+	KeepsConns bool // it keeps connections for further requests
+	Impatient  bool // it tries again at once and more often
 
 	entry        *Entry
 	observations *Observations
@@ -36,7 +36,7 @@
 
 // NewClient returns a client of a zone.
 func NewClient(number int, zone string, entry *Entry, observations *Observations) *Client {
-	return &Client{Number: number, Zone: zone, Keeps: true, entry: entry, observations: observations}
+	return &Client{Number: number, Zone: zone, KeepsConns: true, entry: entry, observations: observations}
 }
 
 // Outcome is what has become of a request, all its tries together.
@@ -45,35 +45,35 @@
 // The outcomes of a request.
 const (
 	Served      Outcome = iota
-	Turned              // it was refused at last, and has not run
+	Rejected            // it was refused at last, and has not run
 	Failed              // anything else
 	Interrupted         // the trial ended before the request did
 )
 
 // Result is the end of a request.
 type Result struct {
-	Kind    *Kind
-	Outcome Outcome
-	Latency time.Duration // from the first try to the answer, of a stream to its first event
-	InTime  bool          // served within the aim and without a longer pause than the aim for pauses
-	Tries   int
-	Reason  string // why it was not served: the last answer, or what came in its place
+	Kind     *Kind
+	Outcome  Outcome
+	Latency  time.Duration // from the first try to the answer, of a stream to its first event
+	InTime   bool          // served within the aim and without a longer pause than the aim for pauses
+	Attempts int
+	Reason   string // why it was not served: the last answer, or what came in its place
 }
 
-// asking is a request on its way through its tries.
-type asking struct {
-	client  *Client
-	request *Request
-	began   time.Time
-	until   time.Time
-	tries   int
-	fixed   *Proxy // where all tries go, nil for the entry's choice
-	stream  streamCheck
-	latency time.Duration
+// pendingRequest is a request on its way through its tries.
+type pendingRequest struct {
+	client   *Client
+	request  *Request
+	began    time.Time
+	deadline time.Time
+	attempts int
+	proxy    *Proxy // where all tries go, nil for the entry's choice
+	stream   streamCheck
+	latency  time.Duration
 }
 
-// ending is how one try ended.
-type ending struct {
+// attemptResult is how one try ended.
+type attemptResult struct {
 	status     int // 0 for none
 	served     bool
 	reason     string // why it was not served
@@ -83,14 +83,14 @@
 
 // Do sends a request until it is served or nothing more may be tried.
 func (c *Client) Do(ctx context.Context, r *Request) Result {
-	a := &asking{client: c, request: r, began: time.Now()}
-	a.until = a.began.Add(r.Kind.Deadline)
+	a := &pendingRequest{client: c, request: r, began: time.Now()}
+	a.deadline = a.began.Add(r.Kind.Deadline)
 	for {
-		end := a.attempt(ctx)
+		end := a.sendOnce(ctx)
 		if ctx.Err() != nil && !end.served {
 			return Result{Kind: r.Kind, Outcome: Interrupted}
 		}
-		if !a.mayRetry(end) || !sleepFor(ctx, a.pause(end)) {
+		if !a.mayRetry(end) || !sleepFor(ctx, a.backoff(end)) {
 			return a.result(end)
 		}
 	}
@@ -98,20 +98,20 @@
 
 // Probe sends a request once to a proxy, and returns the status of the answer, 0 for none.
 func (c *Client) Probe(ctx context.Context, proxy Proxy, r *Request) int {
-	a := &asking{client: c, request: r, began: time.Now(), fixed: &proxy}
-	a.until = a.began.Add(r.Kind.Deadline)
-	return a.attempt(ctx).status
+	a := &pendingRequest{client: c, request: r, began: time.Now(), proxy: &proxy}
+	a.deadline = a.began.Add(r.Kind.Deadline)
+	return a.sendOnce(ctx).status
 }
 
-func (a *asking) left() time.Duration { return time.Until(a.until) }
+func (p *pendingRequest) timeLeft() time.Duration { return time.Until(p.deadline) }
 
 // mayRetry tells whether the request may be tried once more.
-func (a *asking) mayRetry(end ending) bool {
-	most := a.request.Kind.Retries
-	if a.client.Impatient {
-		most += 2
+func (p *pendingRequest) mayRetry(end attemptResult) bool {
+	maxRetries := p.request.Kind.Retries
+	if p.client.Impatient {
+		maxRetries += 2
 	}
-	if end.served || a.tries > most || a.left() < leastTryTime {
+	if end.served || p.attempts > maxRetries || p.timeLeft() < minAttemptTime {
 		return false
 	}
 	switch {
@@ -120,63 +120,63 @@
 	case promisesNoRun(end.status) || end.unread:
 		return true
 	}
-	return a.request.Kind.idempotent()
+	return p.request.Kind.idempotent()
 }
 
-// pause is how long the client waits before its next try.
-func (a *asking) pause(end ending) time.Duration {
+// backoff is how long the client waits before its next try.
+func (p *pendingRequest) backoff(end attemptResult) time.Duration {
 	switch {
-	case a.client.Impatient:
+	case p.client.Impatient:
 		return 0
 	case end.retryAfter > 0:
-		return min(end.retryAfter, a.left()/retryAfterPart)
+		return min(end.retryAfter, p.timeLeft()/retryAfterDivisor)
 	}
-	return failurePause
+	return failureBackoff
 }
 
-func (a *asking) result(end ending) Result {
-	kind := a.request.Kind
-	r := Result{Kind: kind, Outcome: Failed, Latency: a.latency, Tries: a.tries, Reason: end.reason}
+func (p *pendingRequest) result(end attemptResult) Result {
+	kind := p.request.Kind
+	r := Result{Kind: kind, Outcome: Failed, Latency: p.latency, Attempts: p.attempts, Reason: end.reason}
 	switch {
 	case end.served:
 		r.Outcome = Served
-		r.InTime = a.latency <= kind.Aim && (kind.Gap == 0 || a.stream.longest <= kind.Gap)
+		r.InTime = p.latency <= kind.LatencyTarget && (kind.GapTarget == 0 || p.stream.longestGap <= kind.GapTarget)
 	case promisesNoRun(end.status):
-		r.Outcome = Turned
+		r.Outcome = Rejected
 	}
 	return r
 }
 
-// attempt makes one try.
-func (a *asking) attempt(ctx context.Context) ending {
-	a.tries++
-	conn, err := a.connect(ctx)
+// sendOnce makes one try.
+func (p *pendingRequest) sendOnce(ctx context.Context) attemptResult {
+	p.attempts++
+	conn, err := p.connect(ctx)
 	if err != nil {
-		return ending{unread: true, reason: "no connection"}
+		return attemptResult{unread: true, reason: "no connection"}
 	}
-	t := &try{id: newTryID(), request: a.request, resumeAt: a.stream.last, machine: conn.machine, until: a.until,
-		probe: a.fixed != nil, kept: conn.used}
-	a.client.observations.sending(t)
+	attempt := &attempt{id: newAttemptID(), request: p.request, resumeAfter: p.stream.lastToken,
+		machine: conn.machine, deadline: p.deadline, probe: p.proxy != nil, reusedConn: conn.used}
+	p.client.observations.recordAttempt(attempt)
 	stopWatching := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
 	defer stopWatching()
-	return a.exchange(ctx, conn, t)
+	return p.roundTrip(ctx, conn, attempt)
 }
 
 // connect returns a connection that the client keeps, or a new one; further tries always open one.
-func (a *asking) connect(ctx context.Context) (*clientConn, error) {
-	if a.fixed != nil {
-		return dialProxy(ctx, *a.fixed)
+func (p *pendingRequest) connect(ctx context.Context) (*clientConn, error) {
+	if p.proxy != nil {
+		return dialProxy(ctx, *p.proxy)
 	}
-	if a.tries == 1 {
-		if conn := a.client.takeIdle(); conn != nil {
+	if p.attempts == 1 {
+		if conn := p.client.takeIdle(); conn != nil {
 			return conn, nil
 		}
 	}
-	proxy := a.client.entry.Choose(a.client.Zone, a.client.Number, a.tries-1)
+	proxy := p.client.entry.Choose(p.client.Zone, p.client.Number, p.attempts-1)
 	return dialProxy(ctx, proxy)
 }
 
-func newTryID() string {
+func newAttemptID() string {
 	var random [8]byte
 	rand.Read(random[:])
 	return hex.EncodeToString(random[:])
@@ -191,11 +191,11 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// silence is how long a client of a kind waits for the next event.
-func (k *Kind) silence() time.Duration {
-	const least, aims, gaps = 2 * time.Second, 4, 8
+// eventTimeout is how long a client of a kind waits for the next event.
+func (k *Kind) eventTimeout() time.Duration {
+	const minWait, aims, gaps = 2 * time.Second, 4, 8
 	if k.Class != fleetconfig.Stream {
 		return k.Deadline
 	}
-	return max(least, aims*k.Aim, gaps*k.Gap)
+	return max(minWait, aims*k.LatencyTarget, gaps*k.GapTarget)
 }
--- a/internal/testbed/routerstandin/client_test.go
+++ b/internal/testbed/routerstandin/client_test.go
@@ -58,7 +58,7 @@
 			w.proxy.doWrong(firstly(each.first))
 			result := w.ask(retrying(each.kind, 1))
 			w.Check(result.Outcome, qt.Equals, each.result)
-			w.Check(result.Tries, qt.Equals, each.tries)
+			w.Check(result.Attempts, qt.Equals, each.tries)
 			w.Check(w.broken(), qt.HasLen, 0)
 		})
 	}
@@ -66,12 +66,14 @@
 
 func TestClientsWaitAsTold(t *testing.T) {
 	w := newWorld(t)
-	a := &asking{client: w.client, request: NewRequest(safeKind, 1), until: time.Now().Add(3 * time.Second)}
-	w.Assert(a.pause(ending{status: 503, retryAfter: 200 * time.Millisecond}), qt.Equals, 200*time.Millisecond)
-	w.Assert(a.pause(ending{status: 503, retryAfter: time.Minute}) <= time.Second, qt.IsTrue)
+	a := &pendingRequest{client: w.client, request: NewRequest(safeKind, 1),
+		deadline: time.Now().Add(3 * time.Second)}
+	w.Assert(a.backoff(attemptResult{status: 503, retryAfter: 200 * time.Millisecond}), qt.Equals,
+		200*time.Millisecond)
+	w.Assert(a.backoff(attemptResult{status: 503, retryAfter: time.Minute}) <= time.Second, qt.IsTrue)
 	w.Assert(retryAfterOf("0.25"), qt.Equals, 250*time.Millisecond)
 	w.client.Impatient = true
-	w.Assert(a.pause(ending{status: 503, retryAfter: time.Minute}), qt.Equals, time.Duration(0))
+	w.Assert(a.backoff(attemptResult{status: 503, retryAfter: time.Minute}), qt.Equals, time.Duration(0))
 }
 
 // A client takes a stream up where it was cut, with a new try.
@@ -88,7 +90,7 @@
 	})
 	result := w.ask(resumableKind)
 	w.Assert(result.Outcome, qt.Equals, Served)
-	w.Assert(result.Tries, qt.Equals, 2)
+	w.Assert(result.Attempts, qt.Equals, 2)
 	w.Assert(w.broken(), qt.HasLen, 0)
 }
 
@@ -112,16 +114,16 @@
 	c := qt.New(t)
 	tally := NewTally(testKinds)
 	for i := range 100 {
-		tally.asked(safeKind)
-		tally.add(Result{Kind: safeKind, Outcome: Served, InTime: i < 90, Tries: 1,
+		tally.recordSent(safeKind)
+		tally.add(Result{Kind: safeKind, Outcome: Served, InTime: i < 90, Attempts: 1,
 			Latency: time.Duration(i+1) * time.Millisecond})
 	}
-	tally.asked(firmKind)
-	tally.add(Result{Kind: firmKind, Outcome: Turned, Tries: 2})
+	tally.recordSent(firmKind)
+	tally.add(Result{Kind: firmKind, Outcome: Rejected, Attempts: 2})
 	kinds := tally.Kinds()
 	safe, firm := kinds[0], kinds[2]
 	c.Assert([]int{safe.Asked, safe.InTime, safe.Late, safe.Served()}, qt.DeepEquals, []int{100, 90, 10, 100})
 	c.Assert([]float64{safe.P50, safe.P99}, qt.DeepEquals, []float64{51, 100})
-	c.Assert([]int{firm.Asked, firm.Refused, firm.Tries}, qt.DeepEquals, []int{1, 1, 2})
+	c.Assert([]int{firm.Asked, firm.Rejected, firm.Attempts}, qt.DeepEquals, []int{1, 1, 2})
 	c.Assert(tally.Total().Asked, qt.Equals, 101)
 }
--- a/internal/testbed/routerstandin/clientconn.go
+++ b/internal/testbed/routerstandin/clientconn.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// dialTime is how long a client waits for a new connection.
-	dialTime = time.Second
-	// keepMargin is taken off the time that a proxy tells in Keep-Alive.
-	keepMargin = 500 * time.Millisecond
+	// dialTimeout is how long a client waits for a new connection.
+	dialTimeout = time.Second
+	// keepAliveMargin is taken off the time that a proxy tells in Keep-Alive.
+	keepAliveMargin = 500 * time.Millisecond
 )
 
 // clientConn is a client's connection to a proxy.
@@ -28,7 +28,7 @@
 }
 
 func dialProxy(ctx context.Context, proxy Proxy) (*clientConn, error) {
-	bounded, cancel := context.WithTimeout(ctx, dialTime)
+	bounded, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(bounded, "tcp4", proxy.Front)
@@ -48,7 +48,7 @@
 		if conn.Quiet() && (conn.expires.IsZero() || time.Now().Before(conn.expires)) {
 			return conn
 		}
-		c.checkUnasked(conn)
+		c.checkUnsolicited(conn)
 		conn.Close()
 	}
 }
@@ -65,30 +65,30 @@
 	return conn
 }
 
-// checkUnasked notes a success that came while no request was waiting.
-func (c *Client) checkUnasked(conn *clientConn) {
-	conn.SetReadDeadline(time.Now().Add(dialTime))
+// checkUnsolicited notes a success that came while no request was waiting.
+func (c *Client) checkUnsolicited(conn *clientConn) {
+	conn.SetReadDeadline(time.Now().Add(dialTimeout))
 	if conn.Quiet() {
 		return
 	}
 	head, _, err := http1.ReadResponseHead(conn.In, "GET")
 	if err == nil && head.Status/100 == 2 {
-		c.observations.Broken(Mixed, "%s answered %d on a connection where no request was waiting", conn.machine,
-			head.Status)
+		c.observations.RecordViolation(RuleMixed, "%s answered %d on a connection where no request was waiting",
+			conn.machine, head.Status)
 	}
 }
 
-// giveBack keeps a connection for the client's next request, as its last answer allows.
-func (c *Client) giveBack(conn *clientConn, head *http1.Response) {
-	if !c.Keeps || head.Close {
+// putIdle keeps a connection for the client's next request, as its last answer allows.
+func (c *Client) putIdle(conn *clientConn, head *http1.Response) {
+	if !c.KeepsConns || head.Close {
 		conn.Close()
 		return
 	}
 	conn.SetDeadline(time.Time{})
 	conn.used = true
 	conn.expires = time.Time{}
-	if told := keepAliveOf(head); told > 0 {
-		conn.expires = time.Now().Add(told - keepMargin)
+	if keepAlive := keepAliveOf(head); keepAlive > 0 {
+		conn.expires = time.Now().Add(keepAlive - keepAliveMargin)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 // Close closes the connections that the client keeps.
 func (c *Client) Close() {
 	for conn := c.popIdle(); conn != nil; conn = c.popIdle() {
-		c.checkUnasked(conn)
+		c.checkUnsolicited(conn)
 		conn.Close()
 	}
 }
--- a/internal/testbed/routerstandin/configs.go
+++ b/internal/testbed/routerstandin/configs.go
@@ -10,22 +10,22 @@
 
 // configVersion is a configuration that an operator sent.
 type configVersion struct {
-	config  *fleetconfig.Config
-	base    int64 // the version that it builds on
-	patched bool  // it was sent as a patch, so that the fleet made its document
-	sentAt  time.Time
-	ackedAt time.Time // zero where it was not acknowledged
-	refused bool
+	config   *fleetconfig.Config
+	base     int64 // the version that it builds on
+	patched  bool  // it was sent as a patch, so that the fleet made its document
+	sentAt   time.Time
+	ackedAt  time.Time // zero where it was not acknowledged
+	rejected bool
 }
 
-// effect is the newest version that a machine was seen to follow.
-type effect struct {
+// observedVersion is the newest version that a machine was seen to follow.
+type observedVersion struct {
 	version int64
 	at      time.Time
 }
 
-// configSent notes a valid configuration before it is sent.
-func (o *Observations) configSent(config *fleetconfig.Config, base int64, patched bool) *configVersion {
+// recordConfigSent notes a valid configuration before it is sent.
+func (o *Observations) recordConfigSent(config *fleetconfig.Config, base int64, patched bool) *configVersion {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := &configVersion{config: config, base: base, patched: patched, sentAt: time.Now()}
@@ -33,34 +33,34 @@
 	return v
 }
 
-// configAcked notes the acknowledgement of a configuration.
-func (o *Observations) configAcked(v *configVersion) {
+// recordConfigAcked notes the acknowledgement of a configuration.
+func (o *Observations) recordConfigAcked(v *configVersion) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v.ackedAt = time.Now()
 	for _, other := range o.configs {
-		if other != v && !other.ackedAt.IsZero() && other.base == v.base && !other.same(v) {
-			o.verdicts.broken(Config, "editions %d and %d were both acknowledged on top of edition %d",
+		if other != v && !other.ackedAt.IsZero() && other.base == v.base && !other.sameAs(v) {
+			o.verdicts.record(RuleConfig, "editions %d and %d were both acknowledged on top of edition %d",
 				other.config.Version, v.config.Version, v.base)
 		}
 	}
 	allowed := o.bounds.Ack + time.Duration(v.config.RouteCount())*orderMargin
 	took := v.ackedAt.Sub(v.sentAt)
 	if took > allowed && o.coreStable(v.sentAt, v.sentAt.Add(allowed)) {
-		o.verdicts.broken(Acks, "edition %d was acknowledged after %v", v.config.Version,
+		o.verdicts.record(RuleAcks, "edition %d was acknowledged after %v", v.config.Version,
 			took.Round(time.Millisecond))
 	}
 }
 
-// same tells whether two that were sent are one configuration, sent twice.
-func (v *configVersion) same(other *configVersion) bool {
+// sameAs tells whether two that were sent are one configuration, sent twice.
+func (v *configVersion) sameAs(other *configVersion) bool {
 	return v.config.Version == other.config.Version && v.patched == other.patched &&
 		bytes.Equal(v.config.Raw(), other.config.Raw())
 }
 
-// isShownBy tells whether a document that the fleet shows is what was sent: the same bytes, or for a patch
+// matches tells whether a document that the fleet shows is what was sent: the same bytes, or for a patch
 // the same routes, services and limits.
-func (v *configVersion) isShownBy(raw []byte) bool {
+func (v *configVersion) matches(raw []byte) bool {
 	return bytes.Equal(v.config.Raw(), raw) || v.patched && sameItems(v.config.Raw(), raw)
 }
 
@@ -71,21 +71,21 @@
 	defer o.mu.Unlock()
 	shown, err := fleetconfig.Parse(raw)
 	if err != nil {
-		o.verdicts.broken(Config, "%s showed what is no configuration: %v", machine, err)
+		o.verdicts.record(RuleConfig, "%s showed what is no configuration: %v", machine, err)
 		return
 	}
 	known := false
 	for _, v := range o.configs {
 		if !v.ackedAt.IsZero() && v.ackedAt.Before(asked) && v.config.Version > shown.Version {
-			o.verdicts.broken(Config, "%s showed edition %d, and %d had been acknowledged %v before", machine,
+			o.verdicts.record(RuleConfig, "%s showed edition %d, and %d had been acknowledged %v before", machine,
 				shown.Version, v.config.Version, asked.Sub(v.ackedAt).Round(time.Millisecond))
 		}
-		if v.config.Version == shown.Version && v.isShownBy(raw) {
-			known = known || !v.refused
+		if v.config.Version == shown.Version && v.matches(raw) {
+			known = known || !v.rejected
 		}
 	}
 	if !known {
-		o.verdicts.broken(Config, "%s showed edition %d, which was refused or never sent so", machine,
+		o.verdicts.record(RuleConfig, "%s showed edition %d, which was refused or never sent so", machine,
 			shown.Version)
 	}
 }
@@ -93,11 +93,11 @@
 // orderMargin is the time that an operator allows more for each route.
 const orderMargin = 3 * time.Millisecond
 
-// configRefused notes that a configuration must never come into force.
-func (o *Observations) configRefused(v *configVersion) {
+// recordConfigRejected notes that a configuration must never come into force.
+func (o *Observations) recordConfigRejected(v *configVersion) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	v.refused = true
+	v.rejected = true
 }
 
 // newestAcked returns the newest acknowledged configuration, nil where there is none.
@@ -113,14 +113,14 @@
 	return newest
 }
 
-// possible returns the configurations that a machine in touch may follow for a request sent and handled then:
-// the newest that was acknowledged long enough before, and later ones. It returns none where no
+// possibleConfigs returns the configurations that a machine in touch may follow for a request sent and
+// handled then: the newest that was acknowledged long enough before, and later ones. It returns none where no
 // configuration must be known yet.
-func (o *Observations) possible(sent, handled time.Time) []*fleetconfig.Config {
+func (o *Observations) possibleConfigs(sent, handled time.Time) []*fleetconfig.Config {
 	var base *fleetconfig.Config
 	for _, v := range o.configs {
-		settled := !v.ackedAt.IsZero() && sent.Sub(v.ackedAt) > o.bounds.Config
-		if settled && (base == nil || v.config.Version > base.Version) {
+		inForce := !v.ackedAt.IsZero() && sent.Sub(v.ackedAt) > o.bounds.Config
+		if inForce && (base == nil || v.config.Version > base.Version) {
 			base = v.config
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	var all []*fleetconfig.Config
 	for _, v := range o.configs {
-		if v.config.Version >= base.Version && !v.refused && !v.sentAt.After(handled) {
+		if v.config.Version >= base.Version && !v.rejected && !v.sentAt.After(handled) {
 			all = append(all, v.config)
 		}
 	}
@@ -156,74 +156,76 @@
 }
 
 // judgeService checks that the service may run the try; the lock is held.
-func (o *Observations) judgeService(t *try, service string, at time.Time) {
+func (o *Observations) judgeService(attempt *attempt, service string, at time.Time) {
 	var oldest, newest int64
 	valid := false
 	for _, v := range o.configs {
-		if !allows(v.config, t.request, service) {
+		if !allows(v.config, attempt.request, service) {
 			continue
 		}
 		if oldest == 0 || v.config.Version < oldest {
 			oldest = v.config.Version
 		}
 		newest = max(newest, v.config.Version)
-		valid = valid || !v.refused
+		valid = valid || !v.rejected
 	}
 	switch {
 	case newest == 0:
-		o.verdicts.broken(Route, "service %s ran try %s of kind %s", service, t.id, t.request.Kind.Name)
+		o.verdicts.record(RuleRoute, "service %s ran try %s of kind %s", service, attempt.id,
+			attempt.request.Kind.Name)
 		return
 	case !valid:
-		o.verdicts.broken(Config, "service %s ran try %s by a refused configuration", service, t.id)
+		o.verdicts.record(RuleConfig, "service %s ran try %s by a refused configuration", service, attempt.id)
 		return
 	}
-	o.judgeAge(t, service, at)
-	o.judgeReturn(t, at, oldest, newest)
+	o.judgeStaleness(attempt, service, at)
+	o.judgeRollback(attempt, at, oldest, newest)
 }
 
-// judgeAge checks that the service may run the try by a configuration that may still be in force.
-func (o *Observations) judgeAge(t *try, service string, at time.Time) {
-	possible := o.possible(t.sent, at)
+// judgeStaleness checks that the service may run the try by a configuration that may still be in force.
+func (o *Observations) judgeStaleness(attempt *attempt, service string, at time.Time) {
+	possible := o.possibleConfigs(attempt.sentAt, at)
 	for _, config := range possible {
-		if allows(config, t.request, service) {
+		if allows(config, attempt.request, service) {
 			return
 		}
 	}
-	if len(possible) > 0 && o.inTouch(t.machine, t.sent, at) {
-		o.verdicts.broken(Config, "%s had service %s run try %s, which edition %d and later do not allow",
-			t.machine, service, t.id, possible[0].Version)
+	if len(possible) > 0 && o.inTouch(attempt.machine, attempt.sentAt, at) {
+		o.verdicts.record(RuleConfig, "%s had service %s run try %s, which edition %d and later do not allow",
+			attempt.machine, service, attempt.id, possible[0].Version)
 	}
 }
 
-// judgeReturn checks that a machine does not go back to an older version than it was seen to follow.
-func (o *Observations) judgeReturn(t *try, at time.Time, oldest, newest int64) {
-	seen := o.effects[t.machine]
-	if newest < seen.version && t.sent.Sub(seen.at) > o.bounds.Back {
-		o.verdicts.broken(Config, "%s went back from edition %d to %d with try %s", t.machine, seen.version, newest,
-			t.id)
+// judgeRollback checks that a machine does not go back to an older version than it was seen to follow.
+func (o *Observations) judgeRollback(attempt *attempt, at time.Time, oldest, newest int64) {
+	observed := o.observedVersions[attempt.machine]
+	if newest < observed.version && attempt.sentAt.Sub(observed.at) > o.bounds.Rollback {
+		o.verdicts.record(RuleConfig, "%s went back from edition %d to %d with try %s", attempt.machine,
+			observed.version, newest, attempt.id)
 	}
-	if oldest > seen.version {
-		o.effects[t.machine] = effect{oldest, at}
+	if oldest > observed.version {
+		o.observedVersions[attempt.machine] = observedVersion{oldest, at}
 	}
 }
 
-// judgeRefusal checks a 4xx that a proxy itself gave; the lock is held.
-func (o *Observations) judgeRefusal(t *try) {
-	if t.status < 400 || t.status > 499 || t.status == 408 || t.status == 421 || t.status == 429 {
+// judgeDenial checks a 4xx that a proxy itself gave; the lock is held.
+func (o *Observations) judgeDenial(attempt *attempt) {
+	if attempt.status < 400 || attempt.status > 499 || attempt.status == 408 || attempt.status == 421 ||
+		attempt.status == 429 {
 		return
 	}
-	possible := o.possible(t.sent, t.ended)
-	if len(possible) == 0 || !o.inTouch(t.machine, t.sent, t.ended) {
+	possible := o.possibleConfigs(attempt.sentAt, attempt.endedAt)
+	if len(possible) == 0 || !o.inTouch(attempt.machine, attempt.sentAt, attempt.endedAt) {
 		return
 	}
 	for _, config := range possible {
-		if routeOf(config, t.request) == nil {
+		if routeOf(config, attempt.request) == nil {
 			return
 		}
 	}
-	o.denied++
-	if t.status == 404 {
-		o.verdicts.broken(Config, "%s answered 404 to try %s, though edition %d and later have the route",
-			t.machine, t.id, possible[0].Version)
+	o.denials++
+	if attempt.status == 404 {
+		o.verdicts.record(RuleConfig, "%s answered 404 to try %s, though edition %d and later have the route",
+			attempt.machine, attempt.id, possible[0].Version)
 	}
 }
--- a/internal/testbed/routerstandin/controlcaller.go
+++ b/internal/testbed/routerstandin/controlcaller.go
@@ -11,36 +11,36 @@
 
 // The bounds of the pause between two calls of a caller that meets failures.
 const (
-	leastPause = 50 * time.Millisecond
-	mostPause  = 800 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
 // controlCaller calls the fleet at control addresses of a list, as servers and operators do: it moves to
 // another address after a failure, pausing for a growing time. It is not safe for concurrent use.
 type controlCaller struct {
-	controls func() []string
-	chosen   string
-	pause    time.Duration
-	// loses tells whether the next answer is lost on its way; nil for never.
-	loses func() bool
+	addresses func() []string
+	chosen    string
+	backoff   time.Duration
+	// dropResponse tells whether the next answer is lost on its way; nil for never.
+	dropResponse func() bool
 }
 
 // call makes one call at the address that is chosen now. It returns nil where there is no clear answer; then
 // the next call goes to another address.
-func (c *controlCaller) call(ctx context.Context, patience time.Duration,
+func (c *controlCaller) call(ctx context.Context, timeout time.Duration,
 	call controlclient.Call) *http1.Response {
 	if c.chosen == "" && !c.choose("") {
 		return nil
 	}
-	bounded, cancel := context.WithTimeout(ctx, patience)
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answer, err := controlclient.Do(bounded, c.chosen, call)
-	if c.loses != nil && c.loses() {
+	if c.dropResponse != nil && c.dropResponse() {
 		c.choose(c.chosen)
 		return nil
 	}
 	if err == nil && answer.Status < 500 && answer.Status != 408 && answer.Status != 429 {
-		c.pause = 0
+		c.backoff = 0
 		return answer
 	}
 	c.choose(c.chosen)
@@ -49,7 +49,7 @@
 
 // choose draws an address other than one to avoid, where there is a choice.
 func (c *controlCaller) choose(avoid string) bool {
-	all := c.controls()
+	all := c.addresses()
 	if len(all) == 0 {
 		return false
 	}
@@ -61,8 +61,8 @@
 	return true
 }
 
-// nextPause is how long to wait after a failure.
-func (c *controlCaller) nextPause() time.Duration {
-	c.pause = min(max(2*c.pause, leastPause), mostPause)
-	return c.pause
+// nextBackoff is how long to wait after a failure.
+func (c *controlCaller) nextBackoff() time.Duration {
+	c.backoff = min(max(2*c.backoff, minBackoff), maxBackoff)
+	return c.backoff
 }
--- a/internal/testbed/routerstandin/document.go
+++ b/internal/testbed/routerstandin/document.go
@@ -16,19 +16,19 @@
 
 // RouteDoc is a route of a Document.
 type RouteDoc struct {
-	Name      string      `json:"name"`
-	Host      string      `json:"town"`
-	Prefix    string      `json:"street_prefix"`
-	Class     string      `json:"mail_class"`
-	TimeoutMs int64       `json:"timeout_ms"`
-	TargetMs  int64       `json:"target_ms"`
-	Priority  int         `json:"priority"`
-	Service   string      `json:"depot,omitempty"`
-	Split     []TargetDoc `json:"apportion,omitempty"`
-	Tries     int         `json:"delivery_tries"`
-	Sticky    bool        `json:"same_courier"`
-	Resumable bool        `json:"redeliver"`
-	GapMs     int64       `json:"gap_aim_ms,omitempty"`
+	Name        string      `json:"name"`
+	Host        string      `json:"town"`
+	Prefix      string      `json:"street_prefix"`
+	Class       string      `json:"mail_class"`
+	TimeoutMs   int64       `json:"timeout_ms"`
+	TargetMs    int64       `json:"target_ms"`
+	Priority    int         `json:"priority"`
+	Service     string      `json:"depot,omitempty"`
+	Split       []TargetDoc `json:"apportion,omitempty"`
+	MaxAttempts int         `json:"delivery_tries"`
+	Sticky      bool        `json:"same_courier"`
+	Resumable   bool        `json:"redeliver"`
+	GapMs       int64       `json:"gap_aim_ms,omitempty"`
 }
 
 // TargetDoc is a service's part of a route.
@@ -41,7 +41,7 @@
 type ServiceDoc struct {
 	Name       string         `json:"name"`
 	HealthPath string         `json:"health_path"`
-	Lines      int            `json:"line_cap"`
+	MaxConns   int            `json:"line_cap"`
 	Protocol   string         `json:"protocol"`
 	Sealed     bool           `json:"sealed"`
 	Engine     *EngineSection `json:"engine,omitempty"`
@@ -49,14 +49,14 @@
 
 // EngineSection describes the model servers of a service.
 type EngineSection struct {
-	Slots       int                 `json:"bays"`
-	CacheTokens int                 `json:"kv_tokens"`
-	TokenBytes  float64             `json:"kv_bytes"`
-	LinkMbps    float64             `json:"link_mbps"`
-	Stride      int                 `json:"stride"`
-	HandleLife  float64             `json:"claim_s"`
-	StageSwitch float64             `json:"switch_s"`
-	Models      []map[string]string `json:"models"`
+	Slots          int                 `json:"bays"`
+	CacheTokens    int                 `json:"kv_tokens"`
+	TokenBytes     float64             `json:"kv_bytes"`
+	LinkMbps       float64             `json:"link_mbps"`
+	TokensPerEvent int                 `json:"stride"`
+	HandleTTL      float64             `json:"claim_s"`
+	SwitchTime     float64             `json:"switch_s"`
+	Models         []map[string]string `json:"models"`
 }
 
 // LimitsSection bounds what clients send.
@@ -68,19 +68,21 @@
 }
 
 // RouteOf returns the route of a kind of requests to a service, with a number of tries.
-func RouteOf(kind *Kind, service string, tries int) RouteDoc {
+func RouteOf(kind *Kind, service string, maxAttempts int) RouteDoc {
 	return RouteDoc{
 		Name: kind.Name, Host: kind.Host, Prefix: kind.Prefix, Class: string(kind.Class),
-		TimeoutMs: kind.Deadline.Milliseconds(), TargetMs: kind.Aim.Milliseconds(), Service: service, Tries: tries,
-		Sticky: kind.isStream(), Resumable: kind.Resumable, GapMs: kind.Gap.Milliseconds(),
+		TimeoutMs: kind.Deadline.Milliseconds(), TargetMs: kind.LatencyTarget.Milliseconds(), Service: service,
+		MaxAttempts: maxAttempts,
+		Sticky:      kind.isStream(), Resumable: kind.Resumable, GapMs: kind.GapTarget.Milliseconds(),
 	}
 }
 
 // EngineOf returns the section that describes such model servers.
 func EngineOf(e *Engine, slots int) *EngineSection {
 	return &EngineSection{
-		Slots: slots, CacheTokens: e.CacheTokens, TokenBytes: 18432, LinkMbps: 150000, Stride: e.Stride,
-		HandleLife: e.HandleLife.Seconds(), StageSwitch: e.StageSwitch.Seconds(),
+		Slots: slots, CacheTokens: e.CacheTokens, TokenBytes: 18432, LinkMbps: 150000,
+		TokensPerEvent: e.TokensPerEvent,
+		HandleTTL:      e.HandleTTL.Seconds(), SwitchTime: e.SwitchTime.Seconds(),
 		Models: []map[string]string{{"name": ModelName}},
 	}
 }
@@ -102,7 +104,7 @@
 	return raw, nil
 }
 
-// patience is how long an operator waits for one answer.
-func (d *Document) patience() time.Duration {
+// callTimeout is how long an operator waits for one answer.
+func (d *Document) callTimeout() time.Duration {
 	return operatorTimeout + time.Duration(len(d.Routes))*orderMargin
 }
--- a/internal/testbed/routerstandin/entry.go
+++ b/internal/testbed/routerstandin/entry.go
@@ -14,8 +14,8 @@
 const (
 	// readyInterval is how often the platform asks a proxy whether it is ready.
 	readyInterval = time.Second
-	// missesOut is how many times in a row a proxy must not say that it is ready until it gets no clients.
-	missesOut = 2
+	// maxMisses is how many times in a row a proxy must not say that it is ready until it gets no clients.
+	maxMisses = 2
 )
 
 // Proxy is a proxy as the platform knows it.
@@ -30,35 +30,35 @@
 	proxies []Proxy
 
 	mu     sync.Mutex
-	misses map[string]int // in a row, by ready address; missesOut until the first yes
+	misses map[string]int // in a row, by ready address; maxMisses until the first yes
 }
 
 // NewEntry returns an entry to which no proxy has said yet that it is ready.
 func NewEntry(proxies []Proxy) *Entry {
 	e := &Entry{proxies: proxies, misses: map[string]int{}}
 	for _, proxy := range proxies {
-		e.misses[proxy.Ready] = missesOut
+		e.misses[proxy.Ready] = maxMisses
 	}
 	return e
 }
 
 // Run asks each proxy each second until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
-	var asking sync.WaitGroup
+	var checks sync.WaitGroup
 	for _, proxy := range e.proxies {
-		asking.Go(func() {
+		checks.Go(func() {
 			for {
-				e.ask(ctx, proxy)
+				e.checkReady(ctx, proxy)
 				if !sleepFor(ctx, readyInterval) {
 					return
 				}
 			}
 		})
 	}
-	asking.Wait()
+	checks.Wait()
 }
 
-func (e *Entry) ask(ctx context.Context, proxy Proxy) {
+func (e *Entry) checkReady(ctx context.Context, proxy Proxy) {
 	bounded, cancel := context.WithTimeout(ctx, readyInterval)
 	defer cancel()
 	answer, err := controlclient.Do(bounded, proxy.Ready, controlclient.Call{Method: "GET", Target: readyPath})
@@ -77,7 +77,7 @@
 	defer e.mu.Unlock()
 	var ready []Proxy
 	for _, proxy := range e.proxies {
-		if e.misses[proxy.Ready] < missesOut {
+		if e.misses[proxy.Ready] < maxMisses {
 			ready = append(ready, proxy)
 		}
 	}
@@ -86,16 +86,16 @@
 
 // Choose names the proxy that gets a new connection of a client for its next try; each try has another
 // number.
-func (e *Entry) Choose(zone string, client, try int) Proxy {
-	of := e.receiving(zone)
+func (e *Entry) Choose(zone string, client, attempt int) Proxy {
+	eligible := e.eligible(zone)
 	hash := fnv.New32a()
 	hash.Write([]byte(strconv.Itoa(client)))
-	return of[(int(hash.Sum32())+try)%len(of)]
+	return eligible[(int(hash.Sum32())+attempt)%len(eligible)]
 }
 
-// receiving returns the proxies that get the connections of a zone: those that are ready, all of the zone
+// eligible returns the proxies that get the connections of a zone: those that are ready, all of the zone
 // where fewer than half are, and those of other zones where none is.
-func (e *Entry) receiving(zone string) []Proxy {
+func (e *Entry) eligible(zone string) []Proxy {
 	ready := e.Ready()
 	inZone := func(p Proxy) bool { return p.Zone == zone }
 	here := slices.DeleteFunc(slices.Clone(ready), func(p Proxy) bool { return !inZone(p) })
--- a/internal/testbed/routerstandin/exchange.go
+++ b/internal/testbed/routerstandin/exchange.go
@@ -11,54 +11,54 @@
 
 // exchange is one request at a server, and its answer.
 type exchange struct {
-	server   *Server
-	conn     *connbuffer.Conn
-	request  *http1.Request
-	arrival  *arrival
-	deadline time.Time
-	closes   bool // the connection ends with the answer
-	// treatment is how a server in trouble treats the request.
-	treatment Misbehaviour
-	gone      chan struct{} // closed when the caller has closed the connection
-	watched   chan struct{} // closed when nobody watches the connection any more
+	server     *Server
+	conn       *connbuffer.Conn
+	request    *http1.Request
+	arrival    *arrival
+	deadline   time.Time
+	closesConn bool // the connection ends with the answer
+	// misbehaviour is how a server in trouble treats the request.
+	misbehaviour Misbehaviour
+	callerGone   chan struct{} // closed when the caller has closed the connection
+	watchEnded   chan struct{} // closed when nobody watches the connection any more
 }
 
 // longAgo is a deadline that has passed.
 var longAgo = time.Unix(1, 0)
 
 func newExchange(s *Server, conn *connbuffer.Conn, request *http1.Request) *exchange {
-	x := &exchange{server: s, conn: conn, request: request, gone: make(chan struct{}),
-		watched: make(chan struct{}), closes: s.isLeaving(), treatment: s.treatment()}
+	x := &exchange{server: s, conn: conn, request: request, callerGone: make(chan struct{}),
+		watchEnded: make(chan struct{}), closesConn: s.isDraining(), misbehaviour: s.drawMisbehaviour()}
 	if left, err := strconv.Atoi(request.Header.Get(deadlineHeader)); err == nil {
 		x.deadline = time.Now().Add(time.Duration(left) * time.Millisecond)
 	}
 	return x
 }
 
-// watch has gone close once the caller closes the connection. Callers send nothing before the answer.
-func (x *exchange) watch() {
+// watchCaller has gone close once the caller closes the connection. Callers send nothing before the answer.
+func (x *exchange) watchCaller() {
 	x.conn.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(x.watched)
+		defer close(x.watchEnded)
 		if x.conn.AwaitReadable() == nil {
-			close(x.gone)
+			close(x.callerGone)
 		}
 	}()
 }
 
-func (x *exchange) unwatch() {
+func (x *exchange) stopWatching() {
 	x.conn.SetReadDeadline(longAgo)
-	<-x.watched
+	<-x.watchEnded
 }
 
-// pause waits, and tells whether the work goes on: the caller is there and the server runs.
-func (x *exchange) pause(d time.Duration) bool {
+// wait waits, and tells whether the work goes on: the caller is there and the server runs.
+func (x *exchange) wait(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-x.gone:
+	case <-x.callerGone:
 	case <-x.server.ended:
 	}
 	return false
@@ -67,30 +67,30 @@
 // pastDeadline tells whether the caller's time is over.
 func (x *exchange) pastDeadline() bool { return !x.deadline.IsZero() && time.Now().After(x.deadline) }
 
-// takePlace waits for a slot, and returns why there is none.
-func (x *exchange) takePlace() string {
-	var late <-chan time.Time
+// acquireSlot waits for a slot, and returns why there is none.
+func (x *exchange) acquireSlot() string {
+	var deadline <-chan time.Time
 	if !x.deadline.IsZero() {
 		timer := time.NewTimer(time.Until(x.deadline))
 		defer timer.Stop()
-		late = timer.C
+		deadline = timer.C
 	}
-	return x.server.places.acquire(late, x.gone, x.server.ended)
+	return x.server.slots.acquire(deadline, x.callerGone, x.server.ended)
 }
 
 // header returns the lines that every answer carries, with those given.
 func (x *exchange) header(more ...http1.Field) http1.Header {
 	var header http1.Header
-	if id := x.request.Header.Get(tryIDHeader); id != "" {
-		header = append(header, field(tryIDHeader, id))
+	if id := x.request.Header.Get(attemptIDHeader); id != "" {
+		header = append(header, field(attemptIDHeader, id))
 	}
-	if x.server.options.TellsLoad {
-		running, waiting := x.server.places.load()
+	if x.server.options.ReportsLoad {
+		running, waiting := x.server.slots.load()
 		header = append(header,
 			field(loadHeader, fmt.Sprintf("%d,%d,%d", running, waiting, x.server.options.Slots)))
 	}
-	if !x.closes {
-		header = append(header, field(keepAliveHeader, fmt.Sprintf("timeout=%d", int(idleTime.Seconds()))))
+	if !x.closesConn {
+		header = append(header, field(keepAliveHeader, fmt.Sprintf("timeout=%d", int(idleTimeout.Seconds()))))
 	}
 	return append(header, more...)
 }
@@ -102,10 +102,10 @@
 func (x *exchange) answerJSON(status int, document []byte) { x.send(status, document, jsonType()) }
 
 func (x *exchange) send(status int, body []byte, more ...http1.Field) {
-	x.conn.SetWriteDeadline(time.Now().Add(writeTime))
-	response := &http1.Response{Status: status, Header: x.header(more...), Body: body, Close: x.closes}
+	x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	response := &http1.Response{Status: status, Header: x.header(more...), Body: body, Close: x.closesConn}
 	if response.Write(x.conn.Out) != nil || x.conn.Flush() != nil {
-		x.closes = true
+		x.closesConn = true
 	}
 }
 
@@ -117,23 +117,23 @@
 	x.send(status, nil, field(notRunHeader, reason))
 }
 
-// begin notes that the server begins work on the request, and returns what notes the end.
-func (x *exchange) begin() (end func()) {
-	once := 0
-	if !x.arrival.try.request.Kind.idempotent() {
-		once = 1
+// trackWork notes that the server begins work on the request, and returns what notes the end.
+func (x *exchange) trackWork() (end func()) {
+	nonIdempotent := 0
+	if !x.arrival.attempt.request.Kind.idempotent() {
+		nonIdempotent = 1
 	}
-	x.server.tally.addOnce(once)
-	return func() { x.server.tally.addOnce(-once) }
+	x.server.tally.addNonIdempotent(nonIdempotent)
+	return func() { x.server.tally.addNonIdempotent(-nonIdempotent) }
 }
 
-// abandon ends the connection in the middle of a run.
-func (x *exchange) abandon() {
-	x.closes = true
-	x.server.tally.count(func(t *ServerTally) { t.Broken++ })
+// abort ends the connection in the middle of a run.
+func (x *exchange) abort() {
+	x.closesConn = true
+	x.server.tally.count(func(t *ServerTally) { t.Aborted++ })
 	select {
-	case <-x.gone: // the caller has left; the server did not break off
+	case <-x.callerGone: // the caller has left; the server did not break off
 	default:
-		x.server.options.Observations.brokeOff(x.arrival)
+		x.server.options.Observations.recordAbort(x.arrival)
 	}
 }
--- a/internal/testbed/routerstandin/fences.go
+++ b/internal/testbed/routerstandin/fences.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// lastSeen is the last order that a server got.
-type lastSeen struct {
+// lastOrder is the last order that a server got.
+type lastOrder struct {
 	holder string
 	fence  uint64
 	at     time.Time
 }
 
-// ordered notes an order that reached a server, and checks that one holder at a time gives them.
-func (o *Observations) ordered(server, holder string, fence uint64) {
+// recordOrder notes an order that reached a server, and checks that one holder at a time gives them.
+func (o *Observations) recordOrder(server, holder string, fence uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	last, known := o.orders[server]
+	last, known := o.lastOrders[server]
 	switch {
 	case !known || last.holder == holder && last.fence <= fence:
 	case last.fence == fence:
-		o.verdicts.broken(One, "%s and %s gave orders to %s with fence %d", last.holder, holder, server, fence)
+		o.verdicts.record(RuleOne, "%s and %s gave orders to %s with fence %d", last.holder, holder, server, fence)
 	case last.fence > fence && !o.bounds.Fenced:
-		o.verdicts.broken(One, "%s got fence %d from %s after fence %d", server, fence, holder, last.fence)
+		o.verdicts.record(RuleOne, "%s got fence %d from %s after fence %d", server, fence, holder, last.fence)
 	case last.holder != holder && now.Sub(last.at) < o.bounds.Lease:
-		o.verdicts.broken(One, "%s and %s gave orders to %s within %v", last.holder, holder, server,
+		o.verdicts.record(RuleOne, "%s and %s gave orders to %s within %v", last.holder, holder, server,
 			now.Sub(last.at).Round(time.Millisecond))
 	}
 	if !known || fence >= last.fence {
-		o.orders[server] = lastSeen{holder, fence, now}
+		o.lastOrders[server] = lastOrder{holder, fence, now}
 	}
 }
--- a/internal/testbed/routerstandin/handles.go
+++ b/internal/testbed/routerstandin/handles.go
@@ -12,8 +12,9 @@
 // fetchTimeout bounds the move of a prompt's memory; a longer one is not begun.
 const fetchTimeout = 2 * time.Second
 
-// fetch gets the memory of a prompt from the server that read it: IP:PORT/HANDLE. It tells whether it came.
-func (x *exchange) fetch(from string) bool {
+// fetchPrefix gets the memory of a prompt from the server that read it: IP:PORT/HANDLE. It tells whether it
+// came.
+func (x *exchange) fetchPrefix(from string) bool {
 	address, handle, ok := strings.Cut(from, "/")
 	if !ok {
 		return false
@@ -25,13 +26,13 @@
 	if err != nil || answer.Status != 200 {
 		return false
 	}
-	x.server.options.Observations.tookHandle(handle, x.arrival)
+	x.server.options.Observations.recordHandleUse(handle, x.arrival)
 	return true
 }
 
-// freeHandle gives out the memory of a prompt, or frees it.
-func (x *exchange) freeHandle(handle string) {
-	tokens, ok := x.server.engine.release(handle)
+// releaseHandle gives out the memory of a prompt, or frees it.
+func (x *exchange) releaseHandle(handle string) {
+	tokens, ok := x.server.engine.claim(handle)
 	if !ok {
 		x.answer(404)
 		return
--- a/internal/testbed/routerstandin/heartbeat.go
+++ b/internal/testbed/routerstandin/heartbeat.go
@@ -12,12 +12,12 @@
 const (
 	// heartbeatTimeout is when a heartbeat without an acknowledgement is sent to another proxy.
 	heartbeatTimeout = time.Second
-	// largestAck is the largest body, in bytes, with which an answer acknowledges.
-	largestAck = 4 << 10
-	// departureTime is how long a server that leaves waits for an acknowledgement at most.
-	departureTime = 4 * time.Second
-	// afterDrain is how much longer than the drain bound a server serves.
-	afterDrain = 300 * time.Millisecond
+	// maxAckBytes is the largest body, in bytes, with which an answer acknowledges.
+	maxAckBytes = 4 << 10
+	// departureTimeout is how long a server that leaves waits for an acknowledgement at most.
+	departureTimeout = 4 * time.Second
+	// drainMargin is how much longer than the drain bound a server serves.
+	drainMargin = 300 * time.Millisecond
 )
 
 // heartbeat is the body of a heartbeat.
@@ -34,50 +34,50 @@
 	Postmark int64         `json:"postmark"`
 }
 
-func (s *Server) heartbeat() heartbeat {
+func (s *Server) nextHeartbeat() heartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.postmark++
-	beat := heartbeat{Service: s.options.Service, Address: s.Address(), Zone: s.options.Zone,
+	next := heartbeat{Service: s.options.Service, Address: s.Address(), Zone: s.options.Zone,
 		Version: s.options.Version, Slots: s.options.Slots, State: "ready", Postmark: s.postmark}
-	if s.leaving {
-		beat.State = "draining"
+	if s.draining {
+		next.State = "draining"
 	}
 	if s.engine != nil {
-		beat.Stage, beat.Models = s.engine.currentStage(), servedModels
+		next.Stage, next.Models = s.engine.currentStage(), servedModels
 	}
-	return beat
+	return next
 }
 
-// sendHeartbeats tells the fleet of the server until it ends, and takes its leave if it departs.
-func (s *Server) sendHeartbeats() {
+// heartbeatLoop tells the fleet of the server until it ends, and takes its leave if it departs.
+func (s *Server) heartbeatLoop() {
 	ctx, cancel := s.untilEnded()
 	defer cancel()
-	caller := &controlCaller{controls: s.options.Controls, loses: s.options.LosesAnswers}
-	for ctx.Err() == nil && !s.hasDeparted() {
-		wait := s.options.Beat
-		if !s.beat(ctx, caller) {
-			wait = caller.nextPause()
+	caller := &controlCaller{addresses: s.options.ControlAddresses, dropResponse: s.options.DropResponse}
+	for ctx.Err() == nil && !s.isDeregistering() {
+		wait := s.options.HeartbeatInterval
+		if !s.sendHeartbeat(ctx, caller) {
+			wait = caller.nextBackoff()
 		}
 		s.sleep(wait)
 	}
-	if s.hasDeparted() {
-		s.sayFarewell(ctx, caller)
+	if s.isDeregistering() {
+		s.sendDeregistration(ctx, caller)
 	}
 }
 
-// beat sends one heartbeat and tells whether it was acknowledged.
-func (s *Server) beat(ctx context.Context, caller *controlCaller) bool {
-	told := s.heartbeat()
-	body, _ := json.Marshal(told)
+// sendHeartbeat sends one heartbeat and tells whether it was acknowledged.
+func (s *Server) sendHeartbeat(ctx context.Context, caller *controlCaller) bool {
+	sent := s.nextHeartbeat()
+	body, _ := json.Marshal(sent)
 	call := controlclient.Call{Method: "PUT", Target: serversPath + s.id, Body: body,
 		Header: http1.Header{jsonType()}}
 	answer := caller.call(ctx, heartbeatTimeout, call)
-	if answer == nil || answer.Status/100 != 2 || len(answer.Body) > largestAck {
+	if answer == nil || answer.Status/100 != 2 || len(answer.Body) > maxAckBytes {
 		return false
 	}
-	if told.State == "draining" {
-		s.noteAcknowledged(hostOf(caller.chosen))
+	if sent.State == "draining" {
+		s.recordDrainAck(hostOf(caller.chosen))
 	}
 	var forward struct {
 		To string `json:"forward_to"`
@@ -88,62 +88,62 @@
 	return true
 }
 
-func (s *Server) noteAcknowledged(machine string) {
+func (s *Server) recordDrainAck(machine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.acknowledgedAt.IsZero() {
-		s.acknowledgedAt, s.acknowledgedBy = time.Now(), machine
-		close(s.acknowledged)
+	if s.ackedAt.IsZero() {
+		s.ackedAt, s.ackedBy = time.Now(), machine
+		close(s.drainAcked)
 	}
 }
 
-// Leave ends the server in good order: it says so, serves on for drain, and takes its leave. It returns
+// Shutdown ends the server in good order: it says so, serves on for drain, and takes its leave. It returns
 // whether its departure was acknowledged.
-func (s *Server) Leave(drain time.Duration) bool {
+func (s *Server) Shutdown(drain time.Duration) bool {
 	began := time.Now()
 	s.mu.Lock()
-	s.leaving = true
+	s.draining = true
 	s.mu.Unlock()
-	s.hurry <- struct{}{}
-	patience := time.NewTimer(departureTime)
-	defer patience.Stop()
+	s.heartbeatNow <- struct{}{}
+	ackTimeout := time.NewTimer(departureTimeout)
+	defer ackTimeout.Stop()
 	acknowledged := false
 	select {
-	case <-s.acknowledged:
+	case <-s.drainAcked:
 		acknowledged = true
-		s.serveOn(drain + afterDrain)
-	case <-patience.C:
+		s.serveFor(drain + drainMargin)
+	case <-ackTimeout.C:
 	case <-s.ended:
 	}
-	s.options.Observations.serverLeft(began, acknowledged)
-	close(s.departed)
-	s.beating.Wait()
+	s.options.Observations.recordDrain(began, acknowledged)
+	close(s.deregister)
+	s.heartbeats.Wait()
 	s.end(false)
 	return acknowledged
 }
 
-func (s *Server) hasDeparted() bool {
+func (s *Server) isDeregistering() bool {
 	select {
-	case <-s.departed:
+	case <-s.deregister:
 		return true
 	default:
 		return false
 	}
 }
 
-// sayFarewell tells the fleet that the server ends; without an answer it ends all the same.
-func (s *Server) sayFarewell(ctx context.Context, caller *controlCaller) {
+// sendDeregistration tells the fleet that the server ends; without an answer it ends all the same.
+func (s *Server) sendDeregistration(ctx context.Context, caller *controlCaller) {
 	call := controlclient.Call{Method: "DELETE", Target: serversPath + s.id}
-	for began := time.Now(); time.Since(began) < departureTime && ctx.Err() == nil; {
+	for began := time.Now(); time.Since(began) < departureTimeout && ctx.Err() == nil; {
 		if caller.call(ctx, heartbeatTimeout, call) != nil {
 			return
 		}
-		s.serveOn(caller.nextPause())
+		s.serveFor(caller.nextBackoff())
 	}
 }
 
-// serveOn waits, unless the server ends.
-func (s *Server) serveOn(d time.Duration) {
+// serveFor waits, unless the server ends.
+func (s *Server) serveFor(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -171,8 +171,8 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-s.hurry:
-	case <-s.departed:
+	case <-s.heartbeatNow:
+	case <-s.deregister:
 	case <-s.ended:
 	}
 }
--- a/internal/testbed/routerstandin/judge.go
+++ b/internal/testbed/routerstandin/judge.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// deniedLeast and deniedPart bound how many proper requests may end with a proxy's own 4xx.
-	deniedLeast = 5
-	deniedPart  = 500
-	// unheardPart of the leaving servers may go without an acknowledgement.
-	unheardPart = 5
-	// mostKeptLost is how many requests of kept connections may get no answer though a sound server had them.
-	mostKeptLost = 3
-	// servedPart is the least part of the requests that is served after a recovery.
-	servedPart = 4
-	// afterGrace is how long after the grace planned work still counts.
-	afterGrace = time.Second
+	// minDenied and deniedOneIn bound how many proper requests may end with a proxy's own 4xx.
+	minDenied      = 5
+	deniedOneIn = 500
+	// unackedOneIn of the leaving servers may go without an acknowledgement.
+	unackedOneIn = 5
+	// maxLostOnReusedConns is how many requests of kept connections may get no answer though a sound server had
+	// them.
+	maxLostOnReusedConns = 3
+	// servedOneIn is the least part of the requests that is served after a recovery.
+	servedOneIn = 4
+	// graceMargin is how long after the grace planned work still counts.
+	graceMargin = time.Second
 )
 
 // Judge closes the observations and returns every rule with its breaks. Nothing may run any more.
@@ -22,8 +23,8 @@
 	defer o.mu.Unlock()
 	if !o.judged {
 		o.judged = true
-		for _, t := range o.inOrder {
-			o.judgeTry(t)
+		for _, attempt := range o.attemptsInOrder {
+			o.judgeAttempt(attempt)
 		}
 		o.judgeBudgets()
 		o.judgeRecovery()
@@ -32,24 +33,26 @@
 	return o.verdicts.list()
 }
 
-// judgeTry checks what is known only once a try is over.
-func (o *Observations) judgeTry(t *try) {
-	kind := t.request.Kind
-	if promisesNoRun(t.status) && len(t.runs) > 0 && !kind.idempotent() {
-		o.verdicts.broken(Refused, "try %s of kind %s was answered %d and ran at %s", t.id, kind.Name, t.status,
-			t.runs[0].server)
-	}
-	if most := o.mostTries(t); most > 0 && len(counted(t)) > most {
-		o.verdicts.broken(Tries, "try %s of kind %s reached %d servers, %d are allowed", t.id, kind.Name,
-			len(counted(t)), most)
-	}
-	if t.cut && t.kept && t.status == 0 && len(t.arrivals) > 0 && !t.broken && t.ended.Before(t.until) &&
-		o.inTouch(t.machine, t.sent, t.ended) {
-		o.keptLost++
-	}
-	if t.cut && o.lostByPlan(t) {
-		o.verdicts.broken(Lost, "try %s of kind %s was read by %s and its connection ended %v after its last byte",
-			t.id, kind.Name, t.machine, t.ended.Sub(t.lastByte).Round(time.Millisecond))
+// judgeAttempt checks what is known only once a try is over.
+func (o *Observations) judgeAttempt(attempt *attempt) {
+	kind := attempt.request.Kind
+	if promisesNoRun(attempt.status) && len(attempt.runs) > 0 && !kind.idempotent() {
+		o.verdicts.record(RuleRefused, "try %s of kind %s was answered %d and ran at %s", attempt.id, kind.Name,
+			attempt.status, attempt.runs[0].server)
+	}
+	if maxAttempts := o.maxAttempts(attempt); maxAttempts > 0 && len(counted(attempt)) > maxAttempts {
+		o.verdicts.record(RuleAttempts, "try %s of kind %s reached %d servers, %d are allowed", attempt.id,
+			kind.Name, len(counted(attempt)), maxAttempts)
+	}
+	if attempt.connLost && attempt.reusedConn && attempt.status == 0 && len(attempt.arrivals) > 0 &&
+		!attempt.aborted && attempt.endedAt.Before(attempt.deadline) &&
+		o.inTouch(attempt.machine, attempt.sentAt, attempt.endedAt) {
+		o.lostOnReusedConns++
+	}
+	if attempt.connLost && o.lostToPlannedStop(attempt) {
+		o.verdicts.record(RuleLost,
+			"try %s of kind %s was read by %s and its connection ended %v after its last byte", attempt.id, kind.Name,
+			attempt.machine, attempt.endedAt.Sub(attempt.fullySentAt).Round(time.Millisecond))
 	}
 }
 
@@ -59,104 +62,106 @@
 }
 
 // counted returns the arrivals that count among the attempts of a try.
-func counted(t *try) []*arrival {
+func counted(attempt *attempt) []*arrival {
 	var all []*arrival
-	for _, a := range t.arrivals {
-		if !a.free {
+	for _, a := range attempt.arrivals {
+		if !a.uncounted {
 			all = append(all, a)
 		}
 	}
 	return all
 }
 
-// mostTries is the largest number of servers that any configuration allows a try to be sent to.
-func (o *Observations) mostTries(t *try) int {
-	most := 0
+// maxAttempts is the largest number of servers that any configuration allows a try to be sent to.
+func (o *Observations) maxAttempts(attempt *attempt) int {
+	maxAttempts := 0
 	for _, v := range o.configs {
-		if route := routeOf(v.config, t.request); route != nil {
-			most = max(most, route.MaxAttempts)
+		if route := routeOf(v.config, attempt.request); route != nil {
+			maxAttempts = max(maxAttempts, route.MaxAttempts)
 		}
 	}
-	return most
+	return maxAttempts
 }
 
-// lostByPlan tells whether a try that was cut fell to a planned stop alone.
-func (o *Observations) lostByPlan(t *try) bool {
-	if t.lastByte.IsZero() || t.broken || !t.ended.Before(t.until) {
+// lostToPlannedStop tells whether a try that was cut fell to a planned stop alone.
+func (o *Observations) lostToPlannedStop(attempt *attempt) bool {
+	if attempt.fullySentAt.IsZero() || attempt.aborted || !attempt.endedAt.Before(attempt.deadline) {
 		return false
 	}
-	if len(t.arrivals) == 0 && t.ended.Sub(t.lastByte) <= o.bounds.Lost {
+	if len(attempt.arrivals) == 0 && attempt.endedAt.Sub(attempt.fullySentAt) <= o.bounds.Lost {
 		return false
 	}
 	planned := false
-	for _, trouble := range o.troubles {
-		over := trouble.at.Add(o.bounds.Grace + afterGrace)
-		if trouble.planned && trouble.machine == t.machine && !trouble.at.After(t.ended) && t.sent.Before(over) {
+	for _, fault := range o.faults {
+		over := fault.at.Add(o.bounds.Grace + graceMargin)
+		if fault.planned && fault.machine == attempt.machine && !fault.at.After(attempt.endedAt) &&
+			attempt.sentAt.Before(over) {
 			planned = true
 		}
 	}
-	unplanned := func(trouble trouble) bool { return !trouble.planned }
-	return planned && !o.anyTrouble(t.sent, t.ended, unplanned)
+	unplanned := func(fault machineFault) bool { return !fault.planned }
+	return planned && !o.anyFault(attempt.sentAt, attempt.endedAt, unplanned)
 }
 
 // judgeRecovery checks that requests are served again after all processes were lost.
 func (o *Observations) judgeRecovery() {
-	if o.backAt.IsZero() {
+	if o.allRestartedAt.IsZero() {
 		return
 	}
-	before, after := share{}, share{}
-	for _, t := range o.inOrder {
+	before, after := servedCount{}, servedCount{}
+	for _, attempt := range o.attemptsInOrder {
 		switch {
-		case t.probe:
-		case t.sent.After(o.backAt.Add(o.bounds.Recover)):
-			after.add(t.served)
-		case t.sent.Before(o.backAt):
-			before.add(t.served)
+		case attempt.probe:
+		case attempt.sentAt.After(o.allRestartedAt.Add(o.bounds.Recovery)):
+			after.add(attempt.served)
+		case attempt.sentAt.Before(o.allRestartedAt):
+			before.add(attempt.served)
 		}
 	}
 	if before.enough() && after.all > 0 && !after.enough() {
-		o.verdicts.broken(Recover, "%d of %d requests were served from %v on after all processes were back",
-			after.good, after.all, o.bounds.Recover)
+		o.verdicts.record(RuleRecover, "%d of %d requests were served from %v on after all processes were back",
+			after.good, after.all, o.bounds.Recovery)
 	}
 }
 
-// share counts how many of some requests were served.
-type share struct{ good, all int }
+// servedCount counts how many of some requests were served.
+type servedCount struct{ good, all int }
 
-func (s *share) add(good bool) {
+func (s *servedCount) add(good bool) {
 	s.all++
 	if good {
 		s.good++
 	}
 }
 
-func (s *share) enough() bool { return servedPart*s.good >= s.all }
+func (s *servedCount) enough() bool { return servedOneIn*s.good >= s.all }
 
 // judgeCounts checks the rules that allow a number of cases.
 func (o *Observations) judgeCounts() {
-	if allowed := deniedLeast + len(o.inOrder)/deniedPart; o.denied > allowed {
-		o.verdicts.broken(Denied, "%d proper requests ended with a 4xx of a proxy, %d are allowed", o.denied,
+	if allowed := minDenied + len(o.attemptsInOrder)/deniedOneIn; o.denials > allowed {
+		o.verdicts.record(RuleDenied, "%d proper requests ended with a 4xx of a proxy, %d are allowed", o.denials,
 			allowed)
 	}
-	if o.keptLost > mostKeptLost {
-		o.verdicts.broken(Lost, "%d requests of kept connections reached a sound server and got no answer, %d may",
-			o.keptLost, mostKeptLost)
+	if o.lostOnReusedConns > maxLostOnReusedConns {
+		o.verdicts.record(RuleLost,
+			"%d requests of kept connections reached a sound server and got no answer, %d may", o.lostOnReusedConns,
+			maxLostOnReusedConns)
 	}
-	if o.unheard*unheardPart > o.leaving {
-		o.verdicts.broken(Acks, "%d of %d servers that left in a calm time were not acknowledged", o.unheard,
-			o.leaving)
+	if o.unackedDrains*unackedOneIn > o.drains {
+		o.verdicts.record(RuleAcks, "%d of %d servers that left in a calm time were not acknowledged",
+			o.unackedDrains, o.drains)
 	}
 }
 
-// serverLeft notes how the departure of a server went that began at a time.
-func (o *Observations) serverLeft(began time.Time, acknowledged bool) {
+// recordDrain notes how the departure of a server went that began at a time.
+func (o *Observations) recordDrain(began time.Time, acknowledged bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.coreStable(began, time.Now()) {
 		return
 	}
-	o.leaving++
+	o.drains++
 	if !acknowledged {
-		o.unheard++
+		o.unackedDrains++
 	}
 }
--- a/internal/testbed/routerstandin/load.go
+++ b/internal/testbed/routerstandin/load.go
@@ -33,31 +33,31 @@
 func (l *Load) Tally() *Tally { return l.tally }
 
 // Run sends requests until sending ends, then waits for those under way, which end at once with ctx.
-func (l *Load) Run(ctx context.Context, sending <-chan struct{}) {
+func (l *Load) Run(ctx context.Context, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(l.options.Seed, 1))
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / l.options.Rate))
 	defer ticker.Stop()
-	var under sync.WaitGroup
-	defer under.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-sending:
+		case <-stop:
 			return
 		case <-ticker.C:
 		}
 		request := NewRequest(l.kindAt(random.Float64()), int(l.number.Add(1)))
 		client := l.options.Clients[random.IntN(len(l.options.Clients))]
-		l.tally.asked(request.Kind)
-		under.Go(func() { l.tally.add(client.Do(ctx, request)) })
+		l.tally.recordSent(request.Kind)
+		inFlight.Go(func() { l.tally.add(client.Do(ctx, request)) })
 	}
 }
 
 // kindAt returns the kind at a place between 0 and 1 of the shares.
-func (l *Load) kindAt(place float64) *Kind {
+func (l *Load) kindAt(position float64) *Kind {
 	for _, kind := range l.options.Kinds {
-		if place -= kind.Share; place < 0 {
+		if position -= kind.Fraction; position < 0 {
 			return kind
 		}
 	}
--- a/internal/testbed/routerstandin/misbehaviour.go
+++ b/internal/testbed/routerstandin/misbehaviour.go
@@ -13,62 +13,62 @@
 
 // The misbehaviours of servers.
 const (
-	Behaves      Misbehaviour = ""
-	LosesAnswers Misbehaviour = "loses answers"  // runs the request and ends the connection without an answer
-	CutsAnswers  Misbehaviour = "cuts answers"   // ends the connection inside the answer
-	AnswersTwice Misbehaviour = "answers twice"  // sends the answer once more behind it
-	Hangs        Misbehaviour = "hangs"          // begins, and says nothing more until its caller leaves
-	Sheds        Misbehaviour = "sheds"          // turns requests away though there is room
-	Fails        Misbehaviour = "fails"          // answers 500 after the work
-	Dawdles      Misbehaviour = "is slow"        // takes several times as long
-	Garbles      Misbehaviour = "sends nonsense" // answers with bytes that are no answer
+	NoMisbehaviour      Misbehaviour = ""
+	DropsResponses      Misbehaviour = "loses answers"  // runs the request, then ends the connection unanswered
+	TruncatesResponses  Misbehaviour = "cuts answers"   // ends the connection inside the answer
+	DuplicatesResponses Misbehaviour = "answers twice"  // sends the answer once more behind it
+	Hangs               Misbehaviour = "hangs"          // begins, and says nothing more until its caller leaves
+	ShedsLoad           Misbehaviour = "sheds"          // turns requests away though there is room
+	Fails               Misbehaviour = "fails"          // answers 500 after the work
+	IsSlow              Misbehaviour = "is slow"        // takes several times as long
+	SendsGarbage        Misbehaviour = "sends nonsense" // answers with bytes that are no answer
 )
 
 // Misbehaviours lists all of them.
 var Misbehaviours = []Misbehaviour{
-	LosesAnswers, CutsAnswers, AnswersTwice, Hangs, Sheds, Fails, Dawdles, Garbles,
+	DropsResponses, TruncatesResponses, DuplicatesResponses, Hangs, ShedsLoad, Fails, IsSlow, SendsGarbage,
 }
 
 const (
-	// dawdleTimes is how many times as long a slow server takes.
-	dawdleTimes = 6
+	// slowFactor is how many times as long a slow server takes.
+	slowFactor = 6
 	// hangTime bounds how long a server hangs whose caller does not leave.
 	hangTime = 8 * time.Second
 )
 
 // Misbehave has the server treat a part of its requests so from now on; Behaves ends it.
-func (s *Server) Misbehave(how Misbehaviour, part float64) {
+func (s *Server) Misbehave(misbehaviour Misbehaviour, fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.misbehaviour, s.misbehavedPart = how, part
+	s.misbehaviour, s.misbehavedFraction = misbehaviour, fraction
 }
 
-// treatment draws how the server treats its next request.
-func (s *Server) treatment() Misbehaviour {
+// drawMisbehaviour draws how the server treats its next request.
+func (s *Server) drawMisbehaviour() Misbehaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.misbehaviour == Behaves || rand.Float64() >= s.misbehavedPart {
-		return Behaves
+	if s.misbehaviour == NoMisbehaviour || rand.Float64() >= s.misbehavedFraction {
+		return NoMisbehaviour
 	}
 	return s.misbehaviour
 }
 
 // slowed returns how long work takes that usually takes d.
 func (x *exchange) slowed(d time.Duration) time.Duration {
-	if x.treatment == Dawdles {
-		return dawdleTimes * d
+	if x.misbehaviour == IsSlow {
+		return slowFactor * d
 	}
 	return d
 }
 
-// spoils ends a request, in place of its answer, as the treatment wants, and tells whether it did.
-func (x *exchange) spoils(stamp string) bool {
-	switch x.treatment {
-	case LosesAnswers:
+// injectFault ends a request, in place of its answer, as the treatment wants, and tells whether it did.
+func (x *exchange) injectFault(stamp string) bool {
+	switch x.misbehaviour {
+	case DropsResponses:
 	case Hangs:
-		x.pause(hangTime)
-	case Garbles:
-		x.conn.SetWriteDeadline(time.Now().Add(writeTime))
+		x.wait(hangTime)
+	case SendsGarbage:
+		x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, _ = x.conn.Out.WriteString("HTTP/1.1 two hundred\r\nnot: an answer\r\n\r\n")
 		_ = x.conn.Flush()
 	case Fails:
@@ -77,23 +77,23 @@
 	default:
 		return false
 	}
-	x.abandon()
+	x.abort()
 	return true
 }
 
-// sendCut sends an answer's head and half of its body, and ends the connection.
-func (x *exchange) sendCut(body, stamp string) {
-	x.conn.SetWriteDeadline(time.Now().Add(writeTime))
+// sendTruncated sends an answer's head and half of its body, and ends the connection.
+func (x *exchange) sendTruncated(body, stamp string) {
+	x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	response := &http1.Response{Status: 200, Header: x.header(field(stampHeader, stamp)),
 		Length: int64(len(body)), Streaming: true}
 	if out, err := response.Begin(x.conn.Out, false); err == nil {
 		_, _ = out.Write([]byte(body[:len(body)/2]))
 		_ = x.conn.Flush()
 	}
-	x.abandon()
+	x.abort()
 }
 
-// sendAgain sends a second answer to a request that has been answered.
-func (x *exchange) sendAgain(stamp string) {
+// sendDuplicate sends a second answer to a request that has been answered.
+func (x *exchange) sendDuplicate(stamp string) {
 	x.send(200, []byte(strings.Repeat("again ", 10)), field(stampHeader, stamp))
 }
--- a/internal/testbed/routerstandin/model.go
+++ b/internal/testbed/routerstandin/model.go
@@ -10,15 +10,15 @@
 	"cresshub/internal/http1"
 )
 
-// writerReadPace is the pace at which a writing server reads a prompt itself, against that of a reading
+// decodePrefillPace is the pace at which a writing server reads a prompt itself, against that of a reading
 // server.
-const writerReadPace = 0.5
+const decodePrefillPace = 0.5
 
 // work is what a request to a model server asks for.
 type work struct {
-	prompt   int // tokens
-	output   int // tokens
-	resumeAt int // tokens that the client has already
+	prompt      int // tokens
+	output      int // tokens
+	resumeAfter int // tokens that the client has already
 }
 
 func workOf(header http1.Header) work {
@@ -26,135 +26,135 @@
 	w := work{}
 	w.prompt, _ = strconv.Atoi(prompt)
 	w.output, _ = strconv.Atoi(output)
-	w.resumeAt, _ = strconv.Atoi(header.Get(lastEventHeader))
+	w.resumeAfter, _ = strconv.Atoi(header.Get(lastEventHeader))
 	return w
 }
 
 // runModel answers a request by the server's stage.
 func (x *exchange) runModel() {
-	stage, changing := x.server.engine.stageNow()
-	toRead := x.request.Header.Get(stageHeader) == Reading
+	stage, changing := x.server.engine.stageState()
+	isPrefill := x.request.Header.Get(stageHeader) == StagePrefill
 	handle := x.request.Header.Get(kvFromHeader)
 	switch {
 	case changing:
 		x.reject(503, "the stage changes")
-	case toRead != (stage == Reading):
+	case isPrefill != (stage == StagePrefill):
 		x.reject(421, "the stage is "+stage)
-	case toRead:
-		x.readPrompt()
+	case isPrefill:
+		x.prefill()
 	default:
-		x.write(handle)
+		x.decode(handle)
 	}
 }
 
-// enter takes a slot unless the stage changes meanwhile, and tells whether the work may begin.
-func (x *exchange) enter() bool {
-	problem := x.takePlace()
+// admit takes a slot unless the stage changes meanwhile, and tells whether the work may begin.
+func (x *exchange) admit() bool {
+	problem := x.acquireSlot()
 	if problem == "" {
-		_, changing := x.server.engine.stageNow()
+		_, changing := x.server.engine.stageState()
 		switch {
 		case changing:
 			problem = "the stage changes"
 		case x.pastDeadline():
-			problem = deadlineReason
+			problem = reasonDeadline
 		default:
 			return true
 		}
-		x.server.places.release()
+		x.server.slots.release()
 	}
 	x.reject(503, problem)
 	return false
 }
 
-// readPrompt reads the prompt and holds its memory for another server.
-func (x *exchange) readPrompt() {
-	if !x.enter() {
+// prefill reads the prompt and holds its memory for another server.
+func (x *exchange) prefill() {
+	if !x.admit() {
 		return
 	}
-	defer x.server.places.release()
-	defer x.begin()()
-	x.server.options.Observations.startReading(x.arrival)
+	defer x.server.slots.release()
+	defer x.trackWork()()
+	x.server.options.Observations.recordPrefill(x.arrival)
 	engine, w := x.server.engine, workOf(x.request.Header)
-	if !x.pause(x.slowed(engine.readTime(w.prompt, 1))) {
-		x.abandon()
+	if !x.wait(x.slowed(engine.prefillTime(w.prompt, 1))) {
+		x.abort()
 		return
 	}
-	if x.spoils("") {
+	if x.injectFault("") {
 		return
 	}
-	x.server.tally.count(func(t *ServerTally) { t.Reads++ })
-	handle := engine.hold(w.prompt)
-	x.server.options.Observations.newHandle(handle, x.arrival)
+	x.server.tally.count(func(t *ServerTally) { t.Prefills++ })
+	handle := engine.storePrefix(w.prompt)
+	x.server.options.Observations.recordHandle(handle, x.arrival)
 	document, _ := json.Marshal(map[string]any{"claim_ticket": handle, "tokens": w.prompt, "edition": 1})
 	x.answerJSON(200, document)
 }
 
-// write streams the answer, from memory that it fetches or after reading the prompt itself.
-func (x *exchange) write(from string) {
-	if !x.enter() {
+// decode streams the answer, from memory that it fetches or after reading the prompt itself.
+func (x *exchange) decode(kvFrom string) {
+	if !x.admit() {
 		return
 	}
-	defer x.server.places.release()
-	defer x.begin()()
+	defer x.server.slots.release()
+	defer x.trackWork()()
 	engine, w := x.server.engine, workOf(x.request.Header)
-	if x.treatment == Sheds {
+	if x.misbehaviour == ShedsLoad {
 		x.reject(503, "shed")
 		return
 	}
-	if from != "" && !x.fetch(from) {
+	if kvFrom != "" && !x.fetchPrefix(kvFrom) {
 		x.reject(503, "the memory can't be had")
 		return
 	}
-	run := x.server.options.Observations.startRun(x.arrival, w.resumeAt+1, true)
+	run := x.server.options.Observations.startRun(x.arrival, w.resumeAfter+1, true)
 	x.server.tally.count(func(t *ServerTally) { t.Runs++ })
-	wait := engine.MoveTime
-	if from == "" {
-		wait = engine.readTime(w.prompt, writerReadPace)
+	wait := engine.TransferTime
+	if kvFrom == "" {
+		wait = engine.prefillTime(w.prompt, decodePrefillPace)
 	}
-	if !x.pause(x.slowed(wait)) {
-		x.abandon()
+	if !x.wait(x.slowed(wait)) {
+		x.abort()
 		return
 	}
-	if x.treatment != Hangs && x.spoils(run.stamp) {
+	if x.misbehaviour != Hangs && x.injectFault(run.stamp) {
 		return
 	}
 	if !x.stream(run, w) {
-		x.abandon()
+		x.abort()
 		return
 	}
-	if x.treatment == AnswersTwice {
-		x.sendAgain(run.stamp)
+	if x.misbehaviour == DuplicatesResponses {
+		x.sendDuplicate(run.stamp)
 	}
 }
 
 // stream sends the events, and tells whether all were sent.
 func (x *exchange) stream(run *run, w work) bool {
-	x.conn.SetWriteDeadline(time.Now().Add(writeTime))
+	x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	header := x.header(field(stampHeader, run.stamp), field("Content-Type", "text/event-stream"))
-	response := &http1.Response{Status: 200, Header: header, Streaming: true, Length: -1, Close: x.closes}
+	response := &http1.Response{Status: 200, Header: header, Streaming: true, Length: -1, Close: x.closesConn}
 	out, err := response.Begin(x.conn.Out, false)
 	if err != nil {
 		return false
 	}
-	for last := w.resumeAt; last < w.output; {
-		if !x.pause(x.server.engine.Step) || x.pastDeadline() {
+	for last := w.resumeAfter; last < w.output; {
+		if !x.wait(x.server.engine.EventInterval) || x.pastDeadline() {
 			return false
 		}
 		first := last + 1
-		last = min(last+x.server.engine.Stride, w.output)
-		x.conn.SetWriteDeadline(time.Now().Add(writeTime))
+		last = min(last+x.server.engine.TokensPerEvent, w.output)
+		x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		event := eventOf(run, first, last, w.output)
-		if x.treatment == CutsAnswers && last > w.resumeAt+x.server.engine.Stride {
+		if x.misbehaviour == TruncatesResponses && last > w.resumeAfter+x.server.engine.TokensPerEvent {
 			event = event[:len(event)/2]
 		}
 		if _, err := out.Write(event); err != nil || x.conn.Flush() != nil {
 			return false
 		}
 		switch {
-		case x.treatment == CutsAnswers && last > w.resumeAt+x.server.engine.Stride:
+		case x.misbehaviour == TruncatesResponses && last > w.resumeAfter+x.server.engine.TokensPerEvent:
 			return false
-		case x.treatment == Hangs:
-			x.pause(hangTime)
+		case x.misbehaviour == Hangs:
+			x.wait(hangTime)
 			return false
 		}
 	}
--- a/internal/testbed/routerstandin/model_test.go
+++ b/internal/testbed/routerstandin/model_test.go
@@ -26,9 +26,9 @@
 func (w *world) known(kind *Kind) (request *Request, header []http1.Field) {
 	w.number++
 	request = NewRequest(kind, w.number)
-	t := &try{id: newTryID(), request: request, until: time.Now().Add(patience)}
-	w.observations.sending(t)
-	for _, f := range request.message(t.id, patience, 0).Header {
+	attempt := &attempt{id: newAttemptID(), request: request, deadline: time.Now().Add(patience)}
+	w.observations.recordAttempt(attempt)
+	for _, f := range request.message(attempt.id, patience, 0).Header {
 		if f.Name != "Host" {
 			header = append(header, f)
 		}
@@ -39,7 +39,7 @@
 func TestWrongCallsAreRejectedUnrun(t *testing.T) {
 	w := newWorld(t)
 	request, header := w.known(firmKind)
-	reading := field(stageHeader, Reading)
+	reading := field(stageHeader, StagePrefill)
 	for _, each := range []struct {
 		name   string
 		server *Server
@@ -68,7 +68,7 @@
 	w := newWorld(t)
 	request, header := w.known(firmKind)
 	answer := w.send(w.reader, request.Method, request.Target, string(request.Body),
-		append(header, field(stageHeader, Reading))...)
+		append(header, field(stageHeader, StagePrefill))...)
 	w.Assert(answer.Status, qt.Equals, 200)
 	var read struct {
 		Handle string `json:"claim_ticket"`
@@ -101,11 +101,11 @@
 	w.Check(order(`{"order":"stage","stage":"writing","holder":"a","fence":2}`), qt.Equals, 200)
 	w.Check(order(`{"order":"stage","stage":"reading","holder":"a","fence":3}`), qt.Equals, 202)
 	w.Check(order(`{"order":"stage","stage":"reading","holder":"a","fence":1}`), qt.Equals, 412)
-	w.until("the stage has changed", func() bool { return w.writer.Tally().Stage == Reading })
+	w.until("the stage has changed", func() bool { return w.writer.Tally().Stage == StagePrefill })
 	var report modelReport
 	w.Assert(json.Unmarshal(w.send(w.writer, "GET", reportPath, "").Body, &report), qt.IsNil)
-	w.Assert(report.Stage, qt.Equals, Reading)
-	w.Assert(report.Taken, qt.Equals, 1)
+	w.Assert(report.Stage, qt.Equals, StagePrefill)
+	w.Assert(report.OrdersTaken, qt.Equals, 1)
 	w.Assert(report.Busy, qt.IsFalse)
 }
 
@@ -120,23 +120,23 @@
 // Requests beyond slots and queue are turned away, and those in the queue get their turn.
 func TestPlacesAreGivenInTurn(t *testing.T) {
 	c := qt.New(t)
-	p := newPlaces(1, 1)
+	p := newSlotQueue(1, 1)
 	c.Assert(p.acquire(nil, nil, nil), qt.Equals, "")
 	got := make(chan string, 1)
 	go func() { got <- p.acquire(nil, nil, nil) }()
 	for running, waiting := p.load(); running+waiting < 2; running, waiting = p.load() {
 		runtime.Gosched()
 	}
-	c.Assert(p.acquire(nil, nil, nil), qt.Equals, fullReason)
+	c.Assert(p.acquire(nil, nil, nil), qt.Equals, reasonFull)
 	p.release()
 	c.Assert(<-got, qt.Equals, "")
-	idle := p.whenIdle()
+	idle := p.awaitIdle()
 	p.release()
 	<-idle
 	gone := make(chan struct{})
 	close(gone)
 	c.Assert(p.acquire(nil, nil, nil), qt.Equals, "")
-	c.Assert(p.acquire(nil, gone, nil), qt.Equals, leftReason)
+	c.Assert(p.acquire(nil, gone, nil), qt.Equals, reasonCallerGone)
 	p.release()
 	c.Assert(p.acquire(nil, nil, nil), qt.Equals, "")
 }
--- a/internal/testbed/routerstandin/names.go
+++ b/internal/testbed/routerstandin/names.go
@@ -4,7 +4,7 @@
 
 // Header fields of the protocol.
 const (
-	tryIDHeader     = "Cresshub-Try-Id"
+	attemptIDHeader = "Cresshub-Try-Id"
 	deadlineHeader  = "Cresshub-Deadline-Ms"
 	expectHeader    = "Cresshub-Expect-Server"
 	stampHeader     = "Cresshub-Server-Stamp"
@@ -33,8 +33,8 @@
 
 // The stages of model servers.
 const (
-	Reading = "reading" // reads prompts
-	Writing = "writing" // makes tokens
+	StagePrefill = "reading" // reads prompts
+	StageDecode  = "writing" // makes tokens
 )
 
 // ModelName is the model that all model servers hold.
--- a/internal/testbed/routerstandin/operator.go
+++ b/internal/testbed/routerstandin/operator.go
@@ -18,8 +18,8 @@
 // operatorTimeout is when an operator's call without an answer goes to another proxy.
 const operatorTimeout = time.Second
 
-// mostOddAnswers is how many unclear 4xx an operator takes until it gives a change up.
-const mostOddAnswers = 3
+// maxUnclearAnswers is how many unclear 4xx an operator takes until it gives a change up.
+const maxUnclearAnswers = 3
 
 // Operator changes the configuration and reads it back.
 type Operator struct {
@@ -32,8 +32,8 @@
 }
 
 // NewOperator returns an operator that knows the control addresses of a list.
-func NewOperator(controls func() []string, observations *Observations) *Operator {
-	return &Operator{observations: observations, caller: controlCaller{controls: controls}}
+func NewOperator(addresses func() []string, observations *Observations) *Operator {
+	return &Operator{observations: observations, caller: controlCaller{addresses: addresses}}
 }
 
 // BuildOn has the next change build on a document that another operator put.
@@ -43,12 +43,12 @@
 	o.current = document.Clone()
 }
 
-// LoseAnswers has each answer of the fleet lost on its way for which loses tells so.
-func (o *Operator) LoseAnswers(loses func() bool) { o.caller.loses = loses }
+// DropResponses has each answer of the fleet lost on its way for which loses tells so.
+func (o *Operator) DropResponses(drops func() bool) { o.caller.dropResponse = drops }
 
 // Refresh has the next change build on the configuration that the fleet shows now.
 func (o *Operator) Refresh(ctx context.Context) error {
-	answer, err := o.callUntilClear(ctx, operatorTimeout, controlclient.Call{Method: "GET", Target: configPath})
+	answer, err := o.callUntilFinal(ctx, operatorTimeout, controlclient.Call{Method: "GET", Target: configPath})
 	if err != nil {
 		return err
 	}
@@ -60,14 +60,14 @@
 	return nil
 }
 
-// Rejected says that the fleet refused a change for good.
-type Rejected struct {
+// RejectedError says that the fleet refused a change for good.
+type RejectedError struct {
 	Version int64
 	Status  int
 	Reason  string
 }
 
-func (e *Rejected) Error() string {
+func (e *RejectedError) Error() string {
 	return fmt.Sprintf("edition %d was refused with %d (%s); read the current edition and build on it",
 		e.Version, e.Status, e.Reason)
 }
@@ -124,35 +124,35 @@
 	if current := o.Current(); current != nil {
 		base = current.Version
 	}
-	sent := o.observations.configSent(config, base, method == "PATCH")
+	sent := o.observations.recordConfigSent(config, base, method == "PATCH")
 	call := controlclient.Call{Method: method, Target: configPath, Body: body,
 		Header: http1.Header{jsonType(), field("If-Match", strconv.FormatInt(base, 10))}}
-	answer, err := o.callUntilClear(ctx, document.patience(), call)
+	answer, err := o.callUntilFinal(ctx, document.callTimeout(), call)
 	if err != nil {
 		return err
 	}
 	if answer.Status != 200 {
-		o.observations.configRefused(sent)
-		return &Rejected{document.Version, answer.Status, string(bytes.TrimSpace(answer.Body))}
+		o.observations.recordConfigRejected(sent)
+		return &RejectedError{document.Version, answer.Status, string(bytes.TrimSpace(answer.Body))}
 	}
-	o.observations.configAcked(sent)
+	o.observations.recordConfigAcked(sent)
 	o.mu.Lock()
 	o.current = document.Clone()
 	o.mu.Unlock()
 	return nil
 }
 
-// callUntilClear makes a call at one proxy after the other until one answers it for good.
-func (o *Operator) callUntilClear(ctx context.Context, patience time.Duration,
+// callUntilFinal makes a call at one proxy after the other until one answers it for good.
+func (o *Operator) callUntilFinal(ctx context.Context, timeout time.Duration,
 	call controlclient.Call) (*http1.Response, error) {
-	for odd := 0; ; {
-		answer := o.caller.call(ctx, patience, call)
+	for unclear := 0; ; {
+		answer := o.caller.call(ctx, timeout, call)
 		if answer != nil {
-			if odd++; isFinal(answer.Status) || odd == mostOddAnswers {
+			if unclear++; isFinal(answer.Status) || unclear == maxUnclearAnswers {
 				return answer, nil
 			}
 		}
-		if !sleepFor(ctx, o.caller.nextPause()) {
+		if !sleepFor(ctx, o.caller.nextBackoff()) {
 			return nil, fmt.Errorf("%s %s got no clear answer: %w; look whether processes with a disk run",
 				call.Method, call.Target, ctx.Err())
 		}
@@ -171,9 +171,9 @@
 // ReadBack reads the configuration and checks that it is the newest one acknowledged.
 func (o *Operator) ReadBack(ctx context.Context) error {
 	call := controlclient.Call{Method: "GET", Target: configPath}
-	answer, err := o.callUntilClear(ctx, operatorTimeout, call)
+	answer, err := o.callUntilFinal(ctx, operatorTimeout, call)
 	if err != nil {
-		o.observations.Broken(Config, "the configuration can't be read back: %v", err)
+		o.observations.RecordViolation(RuleConfig, "the configuration can't be read back: %v", err)
 		return err
 	}
 	newest := o.observations.newestAcked()
@@ -181,12 +181,13 @@
 	switch {
 	case newest == nil:
 	case answer.Status != 200 || err != nil:
-		o.observations.Broken(Config, "the configuration read back is no configuration: %d, %v", answer.Status, err)
+		o.observations.RecordViolation(RuleConfig, "the configuration read back is no configuration: %d, %v",
+			answer.Status, err)
 	case config.Version < newest.config.Version:
-		o.observations.Broken(Config, "edition %d was read back, %d was acknowledged", config.Version,
+		o.observations.RecordViolation(RuleConfig, "edition %d was read back, %d was acknowledged", config.Version,
 			newest.config.Version)
-	case config.Version == newest.config.Version && !newest.isShownBy(answer.Body):
-		o.observations.Broken(Config, "edition %d was read back with another content", config.Version)
+	case config.Version == newest.config.Version && !newest.matches(answer.Body):
+		o.observations.RecordViolation(RuleConfig, "edition %d was read back with another content", config.Version)
 	}
 	return nil
 }
--- a/internal/testbed/routerstandin/orders.go
+++ b/internal/testbed/routerstandin/orders.go
@@ -18,12 +18,12 @@
 func (x *exchange) order() {
 	var body orderBody
 	err := json.Unmarshal(x.request.Body, &body)
-	known := body.Order == "stage" && (body.Stage == Reading || body.Stage == Writing)
+	known := body.Order == "stage" && (body.Stage == StagePrefill || body.Stage == StageDecode)
 	if err != nil || !known || body.Holder == "" || body.Fence == nil {
 		x.answer(400)
 		return
 	}
-	x.server.options.Observations.ordered(x.server.id, body.Holder, *body.Fence)
+	x.server.options.Observations.recordOrder(x.server.id, body.Holder, *body.Fence)
 	x.answer(x.server.engine.takeOrder(&body, x.server.options.Observations.bounds.Fenced))
 }
 
@@ -34,27 +34,27 @@
 	switch {
 	case fenced && *body.Fence < e.fence:
 		return 412
-	case e.changing || body.Expected != nil && *body.Expected != e.taken:
+	case e.changing || body.Expected != nil && *body.Expected != e.ordersTaken:
 		return 409
 	}
 	e.fence = max(e.fence, *body.Fence)
 	if e.stage == body.Stage {
 		return 200
 	}
-	e.taken++
+	e.ordersTaken++
 	e.changing = true
-	go e.change(body.Stage)
+	go e.switchStage(body.Stage)
 	return 202
 }
 
-// change waits for what runs to reach its end, and then for the time that the change itself takes.
-func (e *engineState) change(stage string) {
+// switchStage waits for what runs to reach its end, and then for the time that the change itself takes.
+func (e *engineState) switchStage(stage string) {
 	select {
-	case <-e.server.places.whenIdle():
+	case <-e.server.slots.awaitIdle():
 	case <-e.server.ended:
 		return
 	}
-	timer := time.NewTimer(e.StageSwitch)
+	timer := time.NewTimer(e.SwitchTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -68,15 +68,15 @@
 
 // modelReport is the answer to GET /api/report.
 type modelReport struct {
-	Stage   string        `json:"stage"`
-	Models  []servedModel `json:"models"`
-	Busy    bool          `json:"busy"`
-	Taken   int           `json:"postmark"`
-	Waiting int           `json:"waiting"`
-	Running int           `json:"running"`
-	Used    int           `json:"kv_used"`
-	Total   int           `json:"kv_total"`
-	Handles int           `json:"claim_tickets"`
+	Stage       string        `json:"stage"`
+	Models      []servedModel `json:"models"`
+	Busy        bool          `json:"busy"`
+	OrdersTaken int           `json:"postmark"`
+	Waiting     int           `json:"waiting"`
+	Running     int           `json:"running"`
+	Used        int           `json:"kv_used"`
+	Total       int           `json:"kv_total"`
+	Handles     int           `json:"claim_tickets"`
 }
 
 // servedModel is a model that a server holds.
@@ -90,10 +90,10 @@
 
 func (x *exchange) report() {
 	e := x.server.engine
-	handles, tokens := e.held()
-	running, waiting := x.server.places.load()
+	handles, tokens := e.cached()
+	running, waiting := x.server.slots.load()
 	e.mu.Lock()
-	report := modelReport{Stage: e.stage, Models: servedModels, Busy: e.changing, Taken: e.taken,
+	report := modelReport{Stage: e.stage, Models: servedModels, Busy: e.changing, OrdersTaken: e.ordersTaken,
 		Waiting: waiting, Running: running, Used: tokens, Total: e.CacheTokens, Handles: handles}
 	e.mu.Unlock()
 	document, _ := json.Marshal(report)
--- a/internal/testbed/routerstandin/places.go
+++ b/internal/testbed/routerstandin/places.go
@@ -8,58 +8,58 @@
 
 // Reasons why a request gets no place.
 const (
-	fullReason     = "full"
-	deadlineReason = "deadline"
-	leftReason     = "caller left"
-	endedReason    = "server ended"
+	reasonFull        = "full"
+	reasonDeadline    = "deadline"
+	reasonCallerGone  = "caller left"
+	reasonServerEnded = "server ended"
 )
 
-// places are a server's slots and the queue for them, first come first served.
-type places struct {
-	mu      sync.Mutex
-	slots   int
-	queue   int
-	running int
-	waiting []chan struct{} // closed when the slot is theirs
-	idle    chan struct{}   // closed when nothing runs, nil while nobody asked
+// slotQueue are a server's slots and the queue for them, first come first served.
+type slotQueue struct {
+	mu         sync.Mutex
+	slots      int
+	maxWaiting int
+	running    int
+	waiting    []chan struct{} // closed when the slot is theirs
+	idle       chan struct{}   // closed when nothing runs, nil while nobody asked
 }
 
-func newPlaces(slots, queue int) *places { return &places{slots: slots, queue: queue} }
+func newSlotQueue(slots, queue int) *slotQueue { return &slotQueue{slots: slots, maxWaiting: queue} }
 
 // acquire waits for a slot and returns "", or why there is none.
-func (p *places) acquire(late <-chan time.Time, gone, ended <-chan struct{}) string {
+func (p *slotQueue) acquire(deadline <-chan time.Time, callerGone, serverEnded <-chan struct{}) string {
 	p.mu.Lock()
 	if p.running < p.slots {
 		p.running++
 		p.mu.Unlock()
 		return ""
 	}
-	if len(p.waiting) >= p.queue {
+	if len(p.waiting) >= p.maxWaiting {
 		p.mu.Unlock()
-		return fullReason
+		return reasonFull
 	}
-	turn := make(chan struct{})
-	p.waiting = append(p.waiting, turn)
+	granted := make(chan struct{})
+	p.waiting = append(p.waiting, granted)
 	p.mu.Unlock()
 	reason := ""
 	select {
-	case <-turn:
+	case <-granted:
 		return ""
-	case <-late:
-		reason = deadlineReason
-	case <-gone:
-		reason = leftReason
-	case <-ended:
-		reason = endedReason
+	case <-deadline:
+		reason = reasonDeadline
+	case <-callerGone:
+		reason = reasonCallerGone
+	case <-serverEnded:
+		reason = reasonServerEnded
 	}
-	p.leaveQueue(turn)
+	p.cancelWait(granted)
 	return reason
 }
 
-// leaveQueue gives a place in the queue up, or the slot where it has just been given.
-func (p *places) leaveQueue(turn chan struct{}) {
+// cancelWait gives a place in the queue up, or the slot where it has just been given.
+func (p *slotQueue) cancelWait(granted chan struct{}) {
 	p.mu.Lock()
-	at := slices.Index(p.waiting, turn)
+	at := slices.Index(p.waiting, granted)
 	if at >= 0 {
 		p.waiting = slices.Delete(p.waiting, at, at+1)
 	}
@@ -70,7 +70,7 @@
 }
 
 // release gives a slot back.
-func (p *places) release() {
+func (p *slotQueue) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.waiting) > 0 {
@@ -85,14 +85,14 @@
 	}
 }
 
-func (p *places) load() (running, waiting int) {
+func (p *slotQueue) load() (running, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.running, len(p.waiting)
 }
 
-// whenIdle returns a channel that closes once nothing runs.
-func (p *places) whenIdle() <-chan struct{} {
+// awaitIdle returns a channel that closes once nothing runs.
+func (p *slotQueue) awaitIdle() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
--- a/internal/testbed/routerstandin/proxy_test.go
+++ b/internal/testbed/routerstandin/proxy_test.go
@@ -78,9 +78,9 @@
 	return p.call(p.world.lookup, request)
 }
 
-// readPrompt has the prompt read and returns where its memory is.
+// prefill has the prompt read and returns where its memory is.
 func (p *fakeProxy) readPrompt(request *http1.Request) string {
-	text := p.call(p.world.reader, request, field(stageHeader, Reading))
+	text := p.call(p.world.reader, request, field(stageHeader, StagePrefill))
 	_, body, _ := strings.Cut(text, "\r\n\r\n")
 	var answer struct {
 		Handle string `json:"claim_ticket"`
--- a/internal/testbed/routerstandin/registration_test.go
+++ b/internal/testbed/routerstandin/registration_test.go
@@ -12,13 +12,13 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// told decodes the heartbeats among some calls.
-func told(w *world, calls []*controlserver.Call) []heartbeat {
+// heartbeatsOf decodes the heartbeats among some calls.
+func heartbeatsOf(w *world, calls []*controlserver.Call) []heartbeat {
 	var all []heartbeat
 	for _, call := range calls {
-		var beat heartbeat
-		w.Assert(json.Unmarshal(call.Body, &beat), qt.IsNil)
-		all = append(all, beat)
+		var next heartbeat
+		w.Assert(json.Unmarshal(call.Body, &next), qt.IsNil)
+		all = append(all, next)
 	}
 	return all
 }
@@ -27,9 +27,9 @@
 	w := newWorld(t)
 	path := "PUT /api/servers/" + w.writer.ID()
 	w.until("three heartbeats come", func() bool { return len(w.control.got(path)) >= 3 })
-	beats := told(w, w.control.got(path))
+	beats := heartbeatsOf(w, w.control.got(path))
 	w.Assert(beats[0], qt.DeepEquals, heartbeat{Service: "model", Address: w.writer.Address(), Slots: 4,
-		State: "ready", Stage: Writing, Models: servedModels, Postmark: 1})
+		State: "ready", Stage: StageDecode, Models: servedModels, Postmark: 1})
 	for i, beat := range beats {
 		w.Assert(beat.Postmark, qt.Equals, int64(i+1))
 	}
@@ -62,13 +62,13 @@
 	w := newWorld(t)
 	id := w.lookup.ID()
 	const drain = 100 * time.Millisecond
-	w.Assert(w.lookup.Leave(drain), qt.IsTrue)
+	w.Assert(w.lookup.Shutdown(drain), qt.IsTrue)
 	w.Assert(w.control.got("DELETE /api/servers/"+id), qt.HasLen, 1)
-	beats := told(w, w.control.got("PUT /api/servers/"+id))
+	beats := heartbeatsOf(w, w.control.got("PUT /api/servers/"+id))
 	w.Assert(beats[len(beats)-1].State, qt.Equals, "draining")
-	acknowledged, machine := w.lookup.leftSince()
+	acknowledged, machine := w.lookup.drainAckedAt()
 	w.Assert(machine, qt.Equals, "127.0.0.1")
-	w.Assert(time.Since(acknowledged) >= drain+afterDrain, qt.IsTrue)
+	w.Assert(time.Since(acknowledged) >= drain+drainMargin, qt.IsTrue)
 	w.Assert(w.broken(), qt.HasLen, 0)
 }
 
@@ -137,7 +137,7 @@
 	} {
 		entry := NewEntry(proxies)
 		for _, ready := range each.ready {
-			entry.misses[ready] = missesOut - 1
+			entry.misses[ready] = maxMisses - 1
 		}
 		var got []string
 		for try := range 4 {
--- a/internal/testbed/routerstandin/request.go
+++ b/internal/testbed/routerstandin/request.go
@@ -15,12 +15,12 @@
 	Prefix    string // of the path
 	Class     fleetconfig.Kind
 	Resumable bool    // a stream may go on at another server
-	Share     float64 // of all requests
+	Fraction  float64 // of all requests
 
-	Aim      time.Duration // inside which an answer is in time, counted to the first event of a stream
-	Gap      time.Duration // the longest pause between events that is in time
-	Deadline time.Duration // how long the client waits
-	Retries  int           // further tries of a client
+	LatencyTarget time.Duration // inside which an answer is in time, counted to the first event of a stream
+	GapTarget     time.Duration // the longest pause between events that is in time
+	Deadline      time.Duration // how long the client waits
+	Retries       int           // further tries of a client
 
 	SharedTokens int // of the part of the prompt that the kind's requests share
 	OwnTokens    int // of the request's own part
@@ -55,11 +55,11 @@
 }
 
 // message lays a try out as it is sent.
-func (r *Request) message(id string, left time.Duration, resumeAt int) *http1.Request {
+func (r *Request) message(id string, timeLeft time.Duration, resumeAfter int) *http1.Request {
 	kind := r.Kind
 	header := http1.Header{
-		field("Host", kind.Host), field(tryIDHeader, id),
-		field(deadlineHeader, fmt.Sprint(max(left.Milliseconds(), 1))),
+		field("Host", kind.Host), field(attemptIDHeader, id),
+		field(deadlineHeader, fmt.Sprint(max(timeLeft.Milliseconds(), 1))),
 	}
 	if kind.OutputTokens > 0 {
 		own := fmt.Sprintf("%x", r.Number)
@@ -67,8 +67,8 @@
 			field(tokensHeader, fmt.Sprintf("%d,%d", kind.SharedTokens+kind.OwnTokens, kind.OutputTokens)),
 			field(prefixHeader, fmt.Sprintf("%x:%d,%s:%d", kind.Name, kind.SharedTokens, own, kind.OwnTokens)))
 	}
-	if resumeAt > 0 {
-		header = append(header, field(lastEventHeader, fmt.Sprint(resumeAt)))
+	if resumeAfter > 0 {
+		header = append(header, field(lastEventHeader, fmt.Sprint(resumeAfter)))
 	}
 	return &http1.Request{Method: r.Method, Target: r.Target, Header: header, Body: r.Body}
 }
--- a/internal/testbed/routerstandin/rude.go
+++ b/internal/testbed/routerstandin/rude.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/http1"
 )
 
-// rudeTime bounds one act of a rude client.
-const rudeTime = 3 * time.Second
+// rudeActionTimeout bounds one act of a rude client.
+const rudeActionTimeout = 3 * time.Second
 
 // RudeClient sends proxies what no well-behaved client does: halves of requests, nonsense, requests whose
 // answers it does not wait for or does not read. What it sends whole is a proper request of a try of its own;
@@ -35,12 +35,13 @@
 }
 
 // Run is rude at an even rate until ctx ends.
-func (c *RudeClient) Run(ctx context.Context, pause time.Duration) {
-	acts := []func(context.Context, *clientConn){
-		c.sendNothing, c.sendHalfAHead, c.sendHalfABody, c.leaveAtOnce, c.leaveLater, c.resetLater, c.readSlowly,
-		c.pipeline, c.sendNonsense, c.sendTooMuch, c.endSending,
+func (c *RudeClient) Run(ctx context.Context, interval time.Duration) {
+	actions := []func(context.Context, *clientConn){
+		c.sendNothing, c.sendHalfAHead, c.sendHalfABody, c.abandonAtOnce, c.abandonLater, c.resetLater,
+		c.readSlowly,
+		c.pipeline, c.sendNonsense, c.sendTooMuch, c.closeWrite,
 	}
-	for sleepFor(ctx, pause) {
+	for sleepFor(ctx, interval) {
 		ready := c.entry.Ready()
 		if len(ready) == 0 {
 			continue
@@ -49,25 +50,25 @@
 		if err != nil {
 			continue
 		}
-		conn.SetDeadline(time.Now().Add(rudeTime))
-		acts[c.random.IntN(len(acts))](ctx, conn)
+		conn.SetDeadline(time.Now().Add(rudeActionTimeout))
+		actions[c.random.IntN(len(actions))](ctx, conn)
 		conn.Close()
 	}
 }
 
-// newTry notes a try that is about to be sent, and returns it as it is sent.
-func (c *RudeClient) newTry(conn *clientConn) (*try, string) {
+// newAttempt notes a try that is about to be sent, and returns it as it is sent.
+func (c *RudeClient) newAttempt(conn *clientConn) (*attempt, string) {
 	kind := c.kinds[c.random.IntN(len(c.kinds))]
 	request := NewRequest(kind, c.number())
-	t := &try{id: newTryID(), request: request, machine: conn.machine, until: time.Now().Add(kind.Deadline),
-		probe: true}
-	c.observations.sending(t)
+	attempt := &attempt{id: newAttemptID(), request: request, machine: conn.machine,
+		deadline: time.Now().Add(kind.Deadline), probe: true}
+	c.observations.recordAttempt(attempt)
 	var text bytes.Buffer
 	out := bufio.NewWriter(&text)
-	if request.message(t.id, kind.Deadline, 0).Write(out) == nil {
+	if request.message(attempt.id, kind.Deadline, 0).Write(out) == nil {
 		_ = out.Flush() // a buffer takes everything
 	}
-	return t, text.String()
+	return attempt, text.String()
 }
 
 func (c *RudeClient) send(conn *clientConn, text string) {
@@ -75,85 +76,86 @@
 	_ = conn.Flush()
 }
 
-// leave notes that the client does not wait for an answer.
-func (c *RudeClient) leave(t *try) { c.observations.answered(t, 0, false, false) }
+// abandon notes that the client does not wait for an answer.
+func (c *RudeClient) abandon(attempt *attempt) { c.observations.recordAnswer(attempt, 0, false, false) }
 
 func (c *RudeClient) sendNothing(ctx context.Context, _ *clientConn) {
 	sleepFor(ctx, time.Duration(c.random.IntN(500))*time.Millisecond)
 }
 
 func (c *RudeClient) sendHalfAHead(ctx context.Context, conn *clientConn) {
-	c.send(conn, "POST /command/1 HTTP/1.1\r\nHost: lamps.example\r\nCresshub-Try-Id: half-"+newTryID())
+	c.send(conn, "POST /command/1 HTTP/1.1\r\nHost: lamps.example\r\nCresshub-Try-Id: half-"+newAttemptID())
 	sleepFor(ctx, time.Duration(c.random.IntN(800))*time.Millisecond)
 }
 
 func (c *RudeClient) sendHalfABody(ctx context.Context, conn *clientConn) {
-	c.send(conn, "POST /command/1 HTTP/1.1\r\nHost: lamps.example\r\nCresshub-Try-Id: half-"+newTryID()+
+	c.send(conn, "POST /command/1 HTTP/1.1\r\nHost: lamps.example\r\nCresshub-Try-Id: half-"+newAttemptID()+
 		"\r\nContent-Length: 100\r\n\r\nhalf")
 	sleepFor(ctx, time.Duration(c.random.IntN(800))*time.Millisecond)
 }
 
-func (c *RudeClient) leaveAtOnce(_ context.Context, conn *clientConn) {
-	t, text := c.newTry(conn)
+func (c *RudeClient) abandonAtOnce(_ context.Context, conn *clientConn) {
+	attempt, text := c.newAttempt(conn)
 	c.send(conn, text)
-	c.leave(t)
+	c.abandon(attempt)
 }
 
-func (c *RudeClient) leaveLater(ctx context.Context, conn *clientConn) {
-	t, text := c.newTry(conn)
+func (c *RudeClient) abandonLater(ctx context.Context, conn *clientConn) {
+	attempt, text := c.newAttempt(conn)
 	c.send(conn, text)
 	sleepFor(ctx, time.Duration(c.random.IntN(120))*time.Millisecond)
-	c.leave(t)
+	c.abandon(attempt)
 }
 
 func (c *RudeClient) resetLater(ctx context.Context, conn *clientConn) {
-	c.leaveLater(ctx, conn)
+	c.abandonLater(ctx, conn)
 	if tcp, ok := conn.Conn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// endSending ends its side of the connection and waits.
-func (c *RudeClient) endSending(ctx context.Context, conn *clientConn) {
-	t, text := c.newTry(conn)
+// closeWrite ends its side of the connection and waits.
+func (c *RudeClient) closeWrite(ctx context.Context, conn *clientConn) {
+	attempt, text := c.newAttempt(conn)
 	c.send(conn, text)
 	if tcp, ok := conn.Conn.Conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
 	sleepFor(ctx, 100*time.Millisecond)
-	c.leave(t)
+	c.abandon(attempt)
 }
 
 func (c *RudeClient) readSlowly(ctx context.Context, conn *clientConn) {
-	t, text := c.newTry(conn)
+	attempt, text := c.newAttempt(conn)
 	c.send(conn, text)
 	for range 20 {
 		if _, err := conn.In.ReadByte(); err != nil || !sleepFor(ctx, 25*time.Millisecond) {
 			break
 		}
 	}
-	c.leave(t)
+	c.abandon(attempt)
 }
 
 // pipeline sends two requests at once and reads both answers, which must come in this order.
 func (c *RudeClient) pipeline(_ context.Context, conn *clientConn) {
-	first, one := c.newTry(conn)
-	second, two := c.newTry(conn)
+	first, one := c.newAttempt(conn)
+	second, two := c.newAttempt(conn)
 	c.send(conn, one+two)
-	for _, t := range []*try{first, second} {
-		head, body, err := http1.ReadResponseHead(conn.In, t.request.Method)
+	for _, attempt := range []*attempt{first, second} {
+		head, body, err := http1.ReadResponseHead(conn.In, attempt.request.Method)
 		if err == nil {
-			_, err = readWhole(body)
+			_, err = readComplete(body)
 		}
 		if err != nil {
 			break
 		}
-		if id := head.Header.Get(tryIDHeader); id != "" && id != t.id {
-			c.observations.Broken(Mixed, "try %s, sent with another at once, got the answer to %s", t.id, id)
+		if id := head.Header.Get(attemptIDHeader); id != "" && id != attempt.id {
+			c.observations.RecordViolation(RuleMixed, "try %s, sent with another at once, got the answer to %s",
+				attempt.id, id)
 		}
 	}
-	c.leave(first)
-	c.leave(second)
+	c.abandon(first)
+	c.abandon(second)
 }
 
 func (c *RudeClient) sendNonsense(_ context.Context, conn *clientConn) {
@@ -168,7 +170,7 @@
 func (c *RudeClient) sendTooMuch(_ context.Context, conn *clientConn) {
 	var head strings.Builder
 	head.WriteString("GET /profile/1 HTTP/1.1\r\nHost: lamps.example\r\n")
-	head.WriteString("Cresshub-Try-Id: much-" + newTryID() + "\r\n")
+	head.WriteString("Cresshub-Try-Id: much-" + newAttemptID() + "\r\n")
 	for i := range 300 + c.random.IntN(300) {
 		fmt.Fprintf(&head, "X-Field-%d: %s\r\n", i, strings.Repeat("x", 60))
 	}
--- a/internal/testbed/routerstandin/server.go
+++ b/internal/testbed/routerstandin/server.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	// idleTime is how long an idle connection is kept; Keep-Alive tells it in whole seconds.
-	idleTime = 5 * time.Second
-	// writeTime bounds how long a caller may take to let an answer in.
-	writeTime = 5 * time.Second
-	// largestBody bounds the body of a request, in bytes.
-	largestBody = 1 << 20
+	// idleTimeout is how long an idle connection is kept; Keep-Alive tells it in whole seconds.
+	idleTimeout = 5 * time.Second
+	// writeTimeout bounds how long a caller may take to let an answer in.
+	writeTimeout = 5 * time.Second
+	// maxBodyBytes bounds the body of a request, in bytes.
+	maxBodyBytes = 1 << 20
 )
 
 // ServerOptions describe a server. Without an Engine it is an application server.
 type ServerOptions struct {
-	Service    string
-	Address    string // IP:port where it listens; port 0 for any
-	Zone       string
-	Version    string
-	Slots      int // requests that it runs at once
-	Queue      int // requests that wait besides
-	Lines      int // connections of all callers together
-	HealthPath string
-	TellsLoad  bool
-	Work       time.Duration // of a request to an application server
-	Engine     *Engine
-
-	Beat         time.Duration   // between heartbeats
-	Controls     func() []string // the control addresses that an operator's list holds now
-	Observations *Observations
-	// LosesAnswers tells whether the fleet's next answer to the server is lost on its way; nil for never.
-	LosesAnswers func() bool
+	Service     string
+	Address     string // IP:port where it listens; port 0 for any
+	Zone        string
+	Version     string
+	Slots       int // requests that it runs at once
+	Queue       int // requests that wait besides
+	MaxConns    int // connections of all callers together
+	HealthPath  string
+	ReportsLoad bool
+	WorkTime    time.Duration // of a request to an application server
+	Engine      *Engine
+
+	HeartbeatInterval time.Duration   // between heartbeats
+	ControlAddresses  func() []string // the control addresses that an operator's list holds now
+	Observations      *Observations
+	// DropResponse tells whether the fleet's next answer to the server is lost on its way; nil for never.
+	DropResponse func() bool
 }
 
 // Engine describes what a model server does.
 type Engine struct {
-	Stage       string
-	ReadPace    float64       // prompt tokens read in a ms
-	Step        time.Duration // between the events of a stream
-	Stride      int           // tokens of an event
-	MoveTime    time.Duration // of a prompt's memory from one server to another
-	HandleLife  time.Duration
-	StageSwitch time.Duration // from the end of what runs to the new stage
-	CacheTokens int           // memory
+	Stage          string
+	PrefillPace    float64       // prompt tokens read in a ms
+	EventInterval  time.Duration // between the events of a stream
+	TokensPerEvent int           // tokens of an event
+	TransferTime   time.Duration // of a prompt's memory from one server to another
+	HandleTTL      time.Duration
+	SwitchTime     time.Duration // from the end of what runs to the new stage
+	CacheTokens    int           // memory
 }
 
 // Server is one incarnation of a server.
@@ -61,45 +61,45 @@
 	options  ServerOptions
 	id       string
 	listener *connserver.Listener
-	places   *places
+	slots    *slotQueue
 	ended    chan struct{} // closed when the process ends
 	endOnce  sync.Once
 
-	hurry        chan struct{} // asks for a heartbeat now
-	acknowledged chan struct{} // closed when its departure was acknowledged
-	departed     chan struct{} // closed when it is to take its leave
+	heartbeatNow chan struct{} // asks for a heartbeat now
+	drainAcked   chan struct{} // closed when its departure was acknowledged
+	deregister   chan struct{} // closed when it is to take its leave
 
-	beating sync.WaitGroup
-	engine  *engineState
-	tally   serverTally
+	heartbeats sync.WaitGroup
+	engine     *engineState
+	tally      serverTally
 
-	mu             sync.Mutex
-	leaving        bool
-	acknowledgedAt time.Time // of its departure
-	acknowledgedBy string    // IP of the machine that did
-	postmark       int64     // of the last heartbeat
+	mu       sync.Mutex
+	draining bool
+	ackedAt  time.Time // of its departure
+	ackedBy  string    // IP of the machine that did
+	postmark int64     // of the last heartbeat
 
-	misbehaviour   Misbehaviour
-	misbehavedPart float64 // of the requests
+	misbehaviour       Misbehaviour
+	misbehavedFraction float64 // of the requests
 }
 
 // ServerTally is what a server has done.
 type ServerTally struct {
-	ID       string `json:"id"`
-	Service  string `json:"service"`
-	Zone     string `json:"zone"`
-	Stage    string `json:"stage,omitempty"`
-	Arrivals int    `json:"arrivals"` // calls other than health checks
-	Reads    int    `json:"reads"`    // prompts read for another server
-	Runs     int    `json:"runs"`
-	Rejected int    `json:"rejected"` // with a word that it did not run
-	Broken   int    `json:"broken"`   // runs left unfinished
-	Handles  int    `json:"handles_lapsed"`
+	ID             string `json:"id"`
+	Service        string `json:"service"`
+	Zone           string `json:"zone"`
+	Stage          string `json:"stage,omitempty"`
+	Arrivals       int    `json:"arrivals"` // calls other than health checks
+	Prefills       int    `json:"reads"`    // prompts read for another server
+	Runs           int    `json:"runs"`
+	Rejected       int    `json:"rejected"` // with a word that it did not run
+	Aborted        int    `json:"broken"`   // runs left unfinished
+	ExpiredHandles int    `json:"handles_lapsed"`
 }
 
 type serverTally struct {
-	mu   sync.Mutex
-	once int // requests at present that must run once
+	mu            sync.Mutex
+	nonIdempotent int // requests at present that must run once
 	ServerTally
 }
 
@@ -109,29 +109,29 @@
 	change(&t.ServerTally)
 }
 
-func (t *serverTally) addOnce(n int) {
+func (t *serverTally) addNonIdempotent(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.once += n
+	t.nonIdempotent += n
 }
 
 // StartServer starts a server that listens and sends heartbeats.
 func StartServer(options ServerOptions) (*Server, error) {
-	s := &Server{options: options, id: newServerID(), places: newPlaces(options.Slots, options.Queue),
-		ended: make(chan struct{}), hurry: make(chan struct{}, 1), acknowledged: make(chan struct{}),
-		departed: make(chan struct{})}
+	s := &Server{options: options, id: newServerID(), slots: newSlotQueue(options.Slots, options.Queue),
+		ended: make(chan struct{}), heartbeatNow: make(chan struct{}, 1), drainAcked: make(chan struct{}),
+		deregister: make(chan struct{})}
 	s.tally.ID, s.tally.Service, s.tally.Zone = s.id, options.Service, options.Zone
 	if options.Engine != nil {
 		s.engine = newEngineState(s, options.Engine)
 	}
 	var err error
-	if s.listener, err = connserver.Listen(options.Address, options.Lines, s.serve); err != nil {
+	if s.listener, err = connserver.Listen(options.Address, options.MaxConns, s.serve); err != nil {
 		return nil, err
 	}
-	s.beating.Add(1)
+	s.heartbeats.Add(1)
 	go func() {
-		defer s.beating.Done()
-		s.sendHeartbeats()
+		defer s.heartbeats.Done()
+		s.heartbeatLoop()
 	}()
 	return s, nil
 }
@@ -166,11 +166,11 @@
 	return tally
 }
 
-// AtWorkOnce tells whether the server is at work on a request that must run once.
-func (s *Server) AtWorkOnce() bool {
+// RunsNonIdempotent tells whether the server is at work on a request that must run once.
+func (s *Server) RunsNonIdempotent() bool {
 	s.tally.mu.Lock()
 	defer s.tally.mu.Unlock()
-	return s.tally.once > 0
+	return s.tally.nonIdempotent > 0
 }
 
 // Crash ends the server without a word, as when its process is killed.
@@ -182,35 +182,35 @@
 func (s *Server) end(reset bool) {
 	s.endOnce.Do(func() { close(s.ended) })
 	s.listener.Close(reset)
-	s.beating.Wait()
+	s.heartbeats.Wait()
 }
 
-// leftSince returns when its departure was acknowledged and by which machine; the zero time if it was not.
-func (s *Server) leftSince() (time.Time, string) {
+// drainAckedAt returns when its departure was acknowledged and by which machine; the zero time if it was not.
+func (s *Server) drainAckedAt() (time.Time, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.acknowledgedAt, s.acknowledgedBy
+	return s.ackedAt, s.ackedBy
 }
 
-func (s *Server) isLeaving() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leaving
+	return s.draining
 }
 
 // serve answers the requests of one connection, one at a time.
 func (s *Server) serve(conn *connbuffer.Conn) {
 	for {
-		conn.SetReadDeadline(time.Now().Add(idleTime))
+		conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		request, err := readRequest(conn)
 		if err != nil {
 			return
 		}
 		x := newExchange(s, conn, request)
-		x.watch()
+		x.watchCaller()
 		x.handle()
-		x.unwatch()
-		if x.closes || request.Close {
+		x.stopWatching()
+		if x.closesConn || request.Close {
 			return
 		}
 	}
@@ -221,7 +221,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Body, err = io.ReadAll(io.LimitReader(body, largestBody))
+	request.Body, err = io.ReadAll(io.LimitReader(body, maxBodyBytes))
 	if err == nil && !body.Complete() {
 		err = io.ErrShortBuffer
 	}
@@ -242,7 +242,7 @@
 	case s.engine != nil && request.Method == "POST" && path == orderPath:
 		x.order()
 	case s.engine != nil && request.Method == "DELETE" && strings.HasPrefix(path, handlePath):
-		x.freeHandle(strings.TrimPrefix(path, handlePath))
+		x.releaseHandle(strings.TrimPrefix(path, handlePath))
 	default:
 		x.run()
 	}
@@ -256,26 +256,26 @@
 
 // health answers a health check: it waits for a slot as a request does.
 func (x *exchange) health() {
-	if x.server.isLeaving() {
+	if x.server.isDraining() {
 		x.answer(503, field(serverIDHeader, x.server.id))
 		return
 	}
-	if problem := x.takePlace(); problem != "" {
+	if problem := x.acquireSlot(); problem != "" {
 		x.reject(503, problem)
 		return
 	}
-	defer x.server.places.release()
+	defer x.server.slots.release()
 	x.answer(200, field(serverIDHeader, x.server.id))
 }
 
 // run answers a client's request that the router passed on.
 func (x *exchange) run() {
 	x.server.tally.count(func(t *ServerTally) { t.Arrivals++ })
-	if x.request.Header.Get(tryIDHeader) == "" {
+	if x.request.Header.Get(attemptIDHeader) == "" {
 		x.reject(400, "no id")
 		return
 	}
-	if x.arrival = x.server.options.Observations.arrived(x.server, x.request); x.arrival == nil {
+	if x.arrival = x.server.options.Observations.recordArrival(x.server, x.request); x.arrival == nil {
 		x.reject(400, "unknown id")
 		return
 	}
--- a/internal/testbed/routerstandin/streamcheck.go
+++ b/internal/testbed/routerstandin/streamcheck.go
@@ -12,10 +12,10 @@
 
 // streamCheck follows a stream through all tries of its request.
 type streamCheck struct {
-	last    int       // token that came last
-	run     *run      // that made it
-	cameAt  time.Time // when it came
-	longest time.Duration
+	lastToken  int       // token that came last
+	lastRun    *run      // that made it
+	lastAt     time.Time // when it came
+	longestGap time.Duration
 }
 
 // event is one event of a stream.
@@ -27,27 +27,27 @@
 }
 
 // takeStream reads a stream to its end and checks every event.
-func (a *asking) takeStream(conn *clientConn, t *try, body *http1.Body) error {
+func (p *pendingRequest) takeStream(conn *clientConn, attempt *attempt, body *http1.Body) error {
 	lines := bufio.NewReader(body)
 	for {
-		conn.SetReadDeadline(a.patienceEnd())
+		conn.SetReadDeadline(p.readDeadline())
 		e, err := readEvent(lines)
 		if err == io.EOF && body.Complete() {
-			return a.checkEnd(t)
+			return p.checkEnd(attempt)
 		}
 		if err != nil {
 			return err
 		}
-		a.takeEvent(t, e)
+		p.takeEvent(attempt, e)
 	}
 }
 
 // readEvent reads one event; io.EOF says that there is none.
 func readEvent(lines *bufio.Reader) (*event, error) {
 	e := &event{}
-	for any := false; ; any = true {
+	for started := false; ; started = true {
 		line, err := lines.ReadString('\n')
-		if err == io.EOF && (any || line != "") {
+		if err == io.EOF && (started || line != "") {
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
@@ -80,31 +80,32 @@
 }
 
 // takeEvent checks an event against those before it.
-func (a *asking) takeEvent(t *try, e *event) {
-	o, s := a.client.observations, &a.stream
-	run := o.runOf(e.stamp)
+func (p *pendingRequest) takeEvent(attempt *attempt, e *event) {
+	o, s := p.client.observations, &p.stream
+	run := o.runByStamp(e.stamp)
 	switch {
-	case run == nil || run.try != t:
-		o.Broken(Mixed, "try %s got an event of another request: %+v", t.id, *e)
-	case e.first != s.last+1 || e.id != e.last:
-		o.Broken(Order, "try %s got event %+v after token %d", t.id, *e, s.last)
-	case s.run != nil && s.run != run && !a.request.Kind.Resumable:
-		o.Broken(Order, "try %s got events of the runs %s and %s", t.id, s.run.stamp, run.stamp)
+	case run == nil || run.attempt != attempt:
+		o.RecordViolation(RuleMixed, "try %s got an event of another request: %+v", attempt.id, *e)
+	case e.first != s.lastToken+1 || e.id != e.last:
+		o.RecordViolation(RuleOrder, "try %s got event %+v after token %d", attempt.id, *e, s.lastToken)
+	case s.lastRun != nil && s.lastRun != run && !p.request.Kind.Resumable:
+		o.RecordViolation(RuleOrder, "try %s got events of the runs %s and %s", attempt.id, s.lastRun.stamp,
+			run.stamp)
 	}
 	now := time.Now()
-	if s.cameAt.IsZero() {
-		a.latency = now.Sub(a.began)
+	if s.lastAt.IsZero() {
+		p.latency = now.Sub(p.began)
 	} else {
-		s.longest = max(s.longest, now.Sub(s.cameAt))
+		s.longestGap = max(s.longestGap, now.Sub(s.lastAt))
 	}
-	s.last, s.run, s.cameAt = e.last, run, now
+	s.lastToken, s.lastRun, s.lastAt = e.last, run, now
 }
 
 // checkEnd checks that a stream that ends as complete has its last piece.
-func (a *asking) checkEnd(t *try) error {
-	if a.stream.last != a.request.Kind.OutputTokens {
-		a.client.observations.Broken(Order, "try %s ended as complete after token %d of %d", t.id, a.stream.last,
-			a.request.Kind.OutputTokens)
+func (p *pendingRequest) checkEnd(attempt *attempt) error {
+	if p.stream.lastToken != p.request.Kind.OutputTokens {
+		p.client.observations.RecordViolation(RuleOrder, "try %s ended as complete after token %d of %d",
+			attempt.id, p.stream.lastToken, p.request.Kind.OutputTokens)
 	}
 	return nil
 }
--- a/internal/testbed/routerstandin/tally.go
+++ b/internal/testbed/routerstandin/tally.go
@@ -14,10 +14,10 @@
 	Asked       int     `json:"asked"`
 	InTime      int     `json:"in_time"`
 	Late        int     `json:"late"`
-	Refused     int     `json:"refused"`
+	Rejected    int     `json:"refused"`
 	Failed      int     `json:"failed"`
 	Interrupted int     `json:"interrupted,omitempty"` // by the end of the trial
-	Tries       int     `json:"tries"`
+	Attempts    int     `json:"tries"`
 	P50         float64 `json:"p50_ms"`
 	P99         float64 `json:"p99_ms"`
 
@@ -29,39 +29,39 @@
 
 // Tally counts results by kind. Its methods are safe for concurrent use.
 type Tally struct {
-	mu    sync.Mutex
-	kinds []string
-	by    map[string]*KindTally
+	mu     sync.Mutex
+	kinds  []string
+	byKind map[string]*KindTally
 
 	reasons map[string]int
 }
 
 // NewTally returns a tally of those kinds.
 func NewTally(kinds []*Kind) *Tally {
-	t := &Tally{by: map[string]*KindTally{}, reasons: map[string]int{}}
+	t := &Tally{byKind: map[string]*KindTally{}, reasons: map[string]int{}}
 	for _, kind := range kinds {
 		t.kinds = append(t.kinds, kind.Name)
-		t.by[kind.Name] = &KindTally{Kind: kind.Name}
+		t.byKind[kind.Name] = &KindTally{Kind: kind.Name}
 	}
 	return t
 }
 
-func (t *Tally) asked(kind *Kind) {
+func (t *Tally) recordSent(kind *Kind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.by[kind.Name].Asked++
+	t.byKind[kind.Name].Asked++
 }
 
 func (t *Tally) add(r Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.by[r.Kind.Name]
-	k.Tries += r.Tries
+	k := t.byKind[r.Kind.Name]
+	k.Attempts += r.Attempts
 	switch {
 	case r.Outcome == Interrupted:
 		k.Interrupted++
-	case r.Outcome == Turned:
-		k.Refused++
+	case r.Outcome == Rejected:
+		k.Rejected++
 	case r.Outcome == Failed:
 		k.Failed++
 	case r.InTime:
@@ -72,7 +72,7 @@
 	switch r.Outcome {
 	case Served:
 		k.latencies = append(k.latencies, r.Latency)
-	case Turned, Failed:
+	case Rejected, Failed:
 		t.reasons[r.Kind.Name+": "+r.Reason]++
 	}
 }
@@ -103,7 +103,7 @@
 	defer t.mu.Unlock()
 	var all []KindTally
 	for _, name := range t.kinds {
-		k := *t.by[name]
+		k := *t.byKind[name]
 		sorted := slices.Sorted(slices.Values(k.latencies))
 		k.P50, k.P99 = percentile(sorted, 50), percentile(sorted, 99)
 		k.latencies = nil
@@ -119,10 +119,10 @@
 		total.Asked += k.Asked
 		total.InTime += k.InTime
 		total.Late += k.Late
-		total.Refused += k.Refused
+		total.Rejected += k.Rejected
 		total.Failed += k.Failed
 		total.Interrupted += k.Interrupted
-		total.Tries += k.Tries
+		total.Attempts += k.Attempts
 	}
 	return total
 }
--- a/internal/testbed/routerstandin/world_test.go
+++ b/internal/testbed/routerstandin/world_test.go
@@ -25,14 +25,16 @@
 
 // The kinds of the tests.
 var (
-	safeKind = &Kind{Name: "safe", Host: testHost, Prefix: "/safe/", Class: fleetconfig.Safe, Aim: time.Second,
-		Deadline: 5 * time.Second, BodyBytes: 100}
+	safeKind = &Kind{Name: "safe", Host: testHost, Prefix: "/safe/", Class: fleetconfig.Safe,
+		LatencyTarget: time.Second, Deadline: 5 * time.Second, BodyBytes: 100}
 	unsafeKind = &Kind{Name: "unsafe", Host: testHost, Prefix: "/unsafe/", Class: fleetconfig.Unsafe,
-		Aim: time.Second, Deadline: 5 * time.Second, BodyBytes: 100}
-	firmKind = &Kind{Name: "firm", Host: testHost, Prefix: "/firm/", Class: fleetconfig.Stream, Aim: time.Second,
-		Gap: time.Second, Deadline: 5 * time.Second, OwnTokens: 10, OutputTokens: 7}
+		LatencyTarget: time.Second, Deadline: 5 * time.Second, BodyBytes: 100}
+	firmKind = &Kind{Name: "firm", Host: testHost, Prefix: "/firm/", Class: fleetconfig.Stream,
+		LatencyTarget: time.Second, GapTarget: time.Second, Deadline: 5 * time.Second, OwnTokens: 10,
+		OutputTokens: 7}
 	resumableKind = &Kind{Name: "resumable", Host: testHost, Prefix: "/resumable/", Class: fleetconfig.Stream,
-		Resumable: true, Aim: time.Second, Gap: time.Second, Deadline: 5 * time.Second, Retries: 1, OwnTokens: 10,
+		Resumable: true, LatencyTarget: time.Second, GapTarget: time.Second, Deadline: 5 * time.Second, Retries: 1,
+		OwnTokens:    10,
 		OutputTokens: 7}
 	testKinds = []*Kind{safeKind, unsafeKind, firmKind, resumableKind}
 )
@@ -41,7 +43,7 @@
 	Bounds: agentsettings.Bounds{Drain: 20 * time.Millisecond, Config: 20 * time.Millisecond, Lost: time.Second,
 		Grace: time.Second, Ack: time.Second, RetryRatio: 0.1, RetryWindow: time.Minute, RetrySlack: 4,
 		Lease: time.Minute, Fenced: true},
-	Recover: time.Millisecond,
+	Recovery: time.Millisecond,
 }
 
 // world is a small deployment with one proxy.
@@ -63,8 +65,8 @@
 	w := &world{C: qt.New(t), observations: NewObservations(testBounds)}
 	w.control = newFakeControl(w.C)
 	w.operator = NewOperator(w.control.addresses, w.observations)
-	w.reader = w.server("model", Reading)
-	w.writer = w.server("model", Writing)
+	w.reader = w.server("model", StagePrefill)
+	w.writer = w.server("model", StageDecode)
 	w.lookup = w.server("lookup", "")
 	w.other = w.server("other", "")
 	w.proxy = newFakeProxy(w)
@@ -94,11 +96,12 @@
 
 func (w *world) server(service, stage string) *Server {
 	options := ServerOptions{Service: service, Address: "127.0.0.1:0", Slots: 4, Queue: 2, HealthPath: "/health",
-		TellsLoad: true, Work: time.Millisecond, Beat: 20 * time.Millisecond, Controls: w.control.addresses,
-		Observations: w.observations}
+		ReportsLoad: true, WorkTime: time.Millisecond, HeartbeatInterval: 20 * time.Millisecond,
+		ControlAddresses: w.control.addresses,
+		Observations:     w.observations}
 	if stage != "" {
-		options.Engine = &Engine{Stage: stage, ReadPace: 100, Step: time.Millisecond, Stride: 2,
-			HandleLife: time.Minute, StageSwitch: time.Millisecond}
+		options.Engine = &Engine{Stage: stage, PrefillPace: 100, EventInterval: time.Millisecond, TokensPerEvent: 2,
+			HandleTTL: time.Minute, SwitchTime: time.Millisecond}
 	}
 	server, err := StartServer(options)
 	w.Assert(err, qt.IsNil)
@@ -137,9 +140,9 @@
 func (w *world) broken() []Rule {
 	var rules []Rule
 	for _, verdict := range w.observations.Judge() {
-		if verdict.Breaks > 0 {
+		if verdict.Violations > 0 {
 			rules = append(rules, verdict.Rule)
-			w.Logf("%s broken %d times: %s", verdict.Rule, verdict.Breaks, strings.Join(verdict.Details, "; "))
+			w.Logf("%s broken %d times: %s", verdict.Rule, verdict.Violations, strings.Join(verdict.Details, "; "))
 		}
 	}
 	return rules
--- a/internal/testbed/routertrial/change.go
+++ b/internal/testbed/routertrial/change.go
@@ -27,8 +27,8 @@
 	if !sleepFor(ctx, bounds.Config+probeMargin) {
 		return ctx.Err()
 	}
-	served := f.Probe(ctx, joiningKind)
-	gone := f.Probe(ctx, leavingKind)
+	served := f.Probe(ctx, addedKind)
+	gone := f.Probe(ctx, removedKind)
 	f.event("answers by status: on the added route %s, on the dropped one %s", byStatus(served), byStatus(gone))
 	return nil
 }
@@ -49,7 +49,7 @@
 	var probing sync.WaitGroup
 	statuses := map[int]int{}
 	client := routerstandin.NewClient(0, "", f.Entry, f.Observations)
-	client.Keeps = false
+	client.KeepsConns = false
 	for _, proxy := range f.Entry.Ready() {
 		probing.Go(func() {
 			status := client.Probe(ctx, proxy, routerstandin.NewRequest(kind, int(f.requests.Add(1))))
