--- a/internal/testbed/routertrial/configuration.go
+++ b/internal/testbed/routertrial/configuration.go
@@ -9,57 +9,59 @@
 
 // The places and services of a trial.
 const (
-	region       = "home"
-	host         = "lamps.example"
-	modelService = "lamp-llm"
-	lookup       = "telemetry-api"
-	lookupNext   = "telemetry-api-next" // takes a part of the lookups after a change
-	healthPath   = "/health"
-	tries        = 2
+	region            = "home"
+	host              = "lamps.example"
+	modelService      = "lamp-llm"
+	lookupService     = "telemetry-api"
+	nextLookupService = "telemetry-api-next" // takes a part of the lookups after a change
+	healthPath        = "/health"
+	maxAttempts       = 2
 )
 
 var zones = []string{"north", "middle", "south"}
 
 // engine is what the model servers do. A prompt of 2,600 tokens is read in 65 ms.
 var engine = routerstandin.Engine{
-	ReadPace: 40, Step: 10 * time.Millisecond, Stride: 2, MoveTime: 3 * time.Millisecond,
-	HandleLife: 5 * time.Second, StageSwitch: 500 * time.Millisecond, CacheTokens: 400000,
+	PrefillPace: 40, EventInterval: 10 * time.Millisecond, TokensPerEvent: 2, TransferTime: 3 * time.Millisecond,
+	HandleTTL: 5 * time.Second, SwitchTime: 500 * time.Millisecond, CacheTokens: 400000,
 }
 
 // The sizes of servers.
 const (
-	modelSlots  = 16
-	modelQueue  = 16
-	modelLines  = 200
-	lookupSlots = 6
-	lookupQueue = 8
-	lookupLines = 120
-	lookupWork  = 25 * time.Millisecond
+	modelSlots     = 16
+	modelQueue     = 16
+	modelMaxConns  = 200
+	lookupSlots    = 6
+	lookupQueue    = 8
+	lookupMaxConns = 120
+	lookupWorkTime = 25 * time.Millisecond
 )
 
 // kinds are the requests of the clients.
 var kinds = []*routerstandin.Kind{
-	{Name: "summary", Host: host, Prefix: "/summary/", Class: fleetconfig.Stream, Resumable: true, Share: 0.25,
-		Aim: 500 * time.Millisecond, Gap: 300 * time.Millisecond, Deadline: 5 * time.Second, Retries: 2,
-		SharedTokens: 1500, OwnTokens: 1100, OutputTokens: 12},
-	{Name: "check", Host: host, Prefix: "/check/", Class: fleetconfig.Stream, Share: 0.2,
-		Aim: 500 * time.Millisecond, Gap: 300 * time.Millisecond, Deadline: 4 * time.Second, Retries: 2,
+	{Name: "summary", Host: host, Prefix: "/summary/", Class: fleetconfig.Stream, Resumable: true,
+		Fraction: 0.25, LatencyTarget: 500 * time.Millisecond, GapTarget: 300 * time.Millisecond,
+		Deadline: 5 * time.Second, Retries: 2, SharedTokens: 1500, OwnTokens: 1100, OutputTokens: 12},
+	{Name: "check", Host: host, Prefix: "/check/", Class: fleetconfig.Stream, Fraction: 0.2,
+		LatencyTarget: 500 * time.Millisecond, GapTarget: 300 * time.Millisecond, Deadline: 4 * time.Second,
+		Retries:      2,
 		SharedTokens: 1800, OwnTokens: 800, OutputTokens: 6},
-	{Name: "tag", Host: host, Prefix: "/tag/", Class: fleetconfig.Stream, Resumable: true, Share: 0.2,
-		Aim: 400 * time.Millisecond, Gap: 300 * time.Millisecond, Deadline: 5 * time.Second, Retries: 2,
+	{Name: "tag", Host: host, Prefix: "/tag/", Class: fleetconfig.Stream, Resumable: true, Fraction: 0.2,
+		LatencyTarget: 400 * time.Millisecond, GapTarget: 300 * time.Millisecond, Deadline: 5 * time.Second,
+		Retries:      2,
 		SharedTokens: 350, OwnTokens: 500, OutputTokens: 16},
-	{Name: "profile", Host: host, Prefix: "/profile/", Class: fleetconfig.Safe, Share: 0.25,
-		Aim: 300 * time.Millisecond, Deadline: 4 * time.Second, Retries: 2, BodyBytes: 800},
-	{Name: "command", Host: host, Prefix: "/command/", Class: fleetconfig.Unsafe, Share: 0.1,
-		Aim: 300 * time.Millisecond, Deadline: 4 * time.Second, Retries: 2, BodyBytes: 300},
+	{Name: "profile", Host: host, Prefix: "/profile/", Class: fleetconfig.Safe, Fraction: 0.25,
+		LatencyTarget: 300 * time.Millisecond, Deadline: 4 * time.Second, Retries: 2, BodyBytes: 800},
+	{Name: "command", Host: host, Prefix: "/command/", Class: fleetconfig.Unsafe, Fraction: 0.1,
+		LatencyTarget: 300 * time.Millisecond, Deadline: 4 * time.Second, Retries: 2, BodyBytes: 300},
 }
 
-// leavingKind has a route in the first configuration only, joiningKind in later ones only.
+// removedKind has a route in the first configuration only, addedKind in later ones only.
 var (
-	leavingKind = &routerstandin.Kind{Name: "leaving", Host: host, Prefix: "/leaving/", Class: fleetconfig.Safe,
-		Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, BodyBytes: 100}
-	joiningKind = &routerstandin.Kind{Name: "joining", Host: host, Prefix: "/joining/", Class: fleetconfig.Safe,
-		Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, BodyBytes: 100}
+	removedKind = &routerstandin.Kind{Name: "leaving", Host: host, Prefix: "/leaving/", Class: fleetconfig.Safe,
+		LatencyTarget: 300 * time.Millisecond, Deadline: 2 * time.Second, BodyBytes: 100}
+	addedKind = &routerstandin.Kind{Name: "joining", Host: host, Prefix: "/joining/", Class: fleetconfig.Safe,
+		LatencyTarget: 300 * time.Millisecond, Deadline: 2 * time.Second, BodyBytes: 100}
 )
 
 // firstConfiguration is what the operator sends first.
@@ -70,17 +72,17 @@
 			IdleMs: 15000},
 	}
 	for _, kind := range kinds {
-		service := lookup
+		service := lookupService
 		if kind.Class == fleetconfig.Stream {
 			service = modelService
 		}
-		document.Routes = append(document.Routes, routerstandin.RouteOf(kind, service, tries))
+		document.Routes = append(document.Routes, routerstandin.RouteOf(kind, service, maxAttempts))
 	}
-	document.Routes = append(document.Routes, routerstandin.RouteOf(leavingKind, lookup, tries))
+	document.Routes = append(document.Routes, routerstandin.RouteOf(removedKind, lookupService, maxAttempts))
 	document.Services = []routerstandin.ServiceDoc{
-		{Name: modelService, HealthPath: healthPath, Lines: modelLines, Protocol: "h1",
+		{Name: modelService, HealthPath: healthPath, MaxConns: modelMaxConns, Protocol: "h1",
 			Engine: routerstandin.EngineOf(&engine, modelSlots)},
-		{Name: lookup, HealthPath: healthPath, Lines: lookupLines, Protocol: "h1"},
+		{Name: lookupService, HealthPath: healthPath, MaxConns: lookupMaxConns, Protocol: "h1"},
 	}
 	return document
 }
@@ -92,20 +94,22 @@
 	next.Routes = nil
 	for _, route := range current.Routes {
 		switch route.Name {
-		case leavingKind.Name, joiningKind.Name:
+		case removedKind.Name, addedKind.Name:
 			continue
 		case "profile":
 			route.Service = ""
-			route.Split = []routerstandin.TargetDoc{{Service: lookup, Weight: 70}, {Service: lookupNext, Weight: 30}}
+			route.Split = []routerstandin.TargetDoc{{Service: lookupService, Weight: 70},
+				{Service: nextLookupService, Weight: 30}}
 		case "check":
 			route.TimeoutMs += 100
 		}
 		next.Routes = append(next.Routes, route)
 	}
-	next.Routes = append(next.Routes, routerstandin.RouteOf(joiningKind, lookupNext, tries))
+	next.Routes = append(next.Routes, routerstandin.RouteOf(addedKind, nextLookupService, maxAttempts))
 	if len(next.Services) == 2 {
 		next.Services = append(next.Services,
-			routerstandin.ServiceDoc{Name: lookupNext, HealthPath: healthPath, Lines: lookupLines, Protocol: "h1"})
+			routerstandin.ServiceDoc{Name: nextLookupService, HealthPath: healthPath, MaxConns: lookupMaxConns,
+				Protocol: "h1"})
 	}
 	return next
 }
--- a/internal/testbed/routertrial/fleet.go
+++ b/internal/testbed/routertrial/fleet.go
@@ -20,35 +20,35 @@
 const (
 	// catchUp is how long a machine counts as lost after it has returned.
 	catchUp = 4 * time.Second
-	// firstConfigTime bounds how long the operator sends the first configuration.
-	firstConfigTime = 30 * time.Second
-	// readyTime bounds how long it may take until all machines are ready.
-	readyTime = 30 * time.Second
-	// clientsEach is how many clients each zone has.
-	clientsEach = 6
-	// impatientEach: one client in so many does not wait as told.
-	impatientEach = 8
+	// firstConfigTimeout bounds how long the operator sends the first configuration.
+	firstConfigTimeout = 30 * time.Second
+	// readyTimeout bounds how long it may take until all machines are ready.
+	readyTimeout = 30 * time.Second
+	// clientsPerZone is how many clients each zone has.
+	clientsPerZone = 6
+	// impatientEvery: one client in so many does not wait as told.
+	impatientEvery = 8
 	// fleeting: one client in so many opens a connection for each request.
-	fleeting = 3
+	noKeepAliveEvery = 3
 )
 
 // Options are what is tried.
 type Options struct {
-	Program string        // path of the program that has the router role
-	For     time.Duration // how long clients send
-	Rate    float64       // requests a second of all clients together
-	Trouble string        // "", or one of Troubles
-	Seed    uint64
-	Log     io.Writer // gets the logs of all processes, if set
+	Program  string        // path of the program that has the router role
+	Duration time.Duration // how long clients send
+	Rate     float64       // requests a second of all clients together
+	Fault    string        // "", or one of Troubles
+	Seed     uint64
+	Log      io.Writer // gets the logs of all processes, if set
 	// Large has four machines in each zone, two of them with a disk, and the loss of two to be borne, in place
 	// of two machines, one with a disk, and the loss of one.
 	Large bool
-	// Faulty has processes that lines on their standard input put faults into.
-	Faulty bool
+	// FaultInjection has processes that lines on their standard input put faults into.
+	FaultInjection bool
 	// LogLevel is the least level that the processes log, "" for the usual.
 	LogLevel string
-	// Live is called a few times a second while clients send, if it is set.
-	Live func(Progress)
+	// OnProgress is called a few times a second while clients send, if it is set.
+	OnProgress func(Progress)
 }
 
 // shape is how many machines there are in each zone, how many of them have a disk, and how many of those may
@@ -75,16 +75,17 @@
 	seedMachines []*Machine
 	dir          string
 	requests     atomic.Int64 // numbers the requests of all loads
-	// lostAnswers is the part, in thousandths, of the fleet's answers to servers and operators that are lost.
-	lostAnswers atomic.Int64
-	stop        context.CancelFunc
-	beside      sync.WaitGroup // goroutines that run beside
+	// droppedPermille is the part, in thousandths, of the fleet's answers to servers and operators that are
+	// lost.
+	droppedPermille atomic.Int64
+	stop            context.CancelFunc
+	background      sync.WaitGroup // goroutines that run beside
 
 	logMu sync.Mutex
 
-	eventsMu sync.Mutex
-	began    time.Time // when clients began to send
-	events   []string
+	eventsMu  sync.Mutex
+	startedAt time.Time // when clients began to send
+	events    []string
 
 	serversMu sync.Mutex
 	servers   []*routerstandin.Server     // that run
@@ -95,16 +96,16 @@
 // StartFleet starts the machines of each zone, of which the first have a disk, and servers, has the operator
 // send the first configuration, and waits until every machine is ready and knows every server.
 func StartFleet(ctx context.Context, options Options) (*Fleet, error) {
-	beside, stop := context.WithCancel(context.Background())
+	background, stop := context.WithCancel(context.Background())
 	f := &Fleet{options: options, stop: stop, Observations: routerstandin.NewObservations(bounds)}
-	if err := f.start(ctx, beside); err != nil {
+	if err := f.start(ctx, background); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *Fleet) start(ctx, beside context.Context) error {
+func (f *Fleet) start(ctx, background context.Context) error {
 	var err error
 	if f.dir, err = os.MkdirTemp("", "cresshub-fleet-try-"); err != nil {
 		return err
@@ -121,9 +122,9 @@
 	}
 	f.Operator = f.newOperator()
 	f.Entry = routerstandin.NewEntry(f.proxies())
-	f.beside.Go(func() { f.Entry.Run(beside) })
+	f.background.Go(func() { f.Entry.Run(background) })
 	f.addClients()
-	bounded, cancel := context.WithTimeout(ctx, firstConfigTime)
+	bounded, cancel := context.WithTimeout(ctx, firstConfigTimeout)
 	defer cancel()
 	if err := f.Operator.Put(bounded, firstConfiguration()); err != nil {
 		return err
@@ -141,7 +142,7 @@
 	for _, machine := range f.Machines {
 		machine.Kill()
 	}
-	f.beside.Wait()
+	f.background.Wait()
 	if f.network != nil {
 		f.network.close()
 	}
@@ -198,15 +199,15 @@
 	return all
 }
 
-// newOperator returns an operator some of whose answers are lost while lostAnswers says so.
+// newOperator returns an operator some of whose answers are lost while droppedPermille says so.
 func (f *Fleet) newOperator() *routerstandin.Operator {
 	operator := routerstandin.NewOperator(f.controls, f.Observations)
-	operator.LoseAnswers(f.losesAnswer)
+	operator.DropResponses(f.dropsResponse)
 	return operator
 }
 
-// losesAnswer draws whether an answer of the fleet is lost.
-func (f *Fleet) losesAnswer() bool { return rand.Int64N(1000) < f.lostAnswers.Load() }
+// dropsResponse draws whether an answer of the fleet is lost.
+func (f *Fleet) dropsResponse() bool { return rand.Int64N(1000) < f.droppedPermille.Load() }
 
 func (f *Fleet) proxies() []routerstandin.Proxy {
 	var all []routerstandin.Proxy
@@ -221,10 +222,10 @@
 }
 
 func (f *Fleet) addClients() {
-	for i := range clientsEach * len(zones) {
+	for i := range clientsPerZone * len(zones) {
 		client := routerstandin.NewClient(i, zones[i%len(zones)], f.Entry, f.Observations)
-		client.Keeps = i%fleeting != 0
-		client.Impatient = i%impatientEach == impatientEach-1
+		client.KeepsConns = i%noKeepAliveEvery != 0
+		client.Impatient = i%impatientEvery == impatientEvery-1
 		f.clients = append(f.clients, client)
 	}
 }
@@ -245,7 +246,7 @@
 
 // logOf returns where the log of a machine's process goes, nil for nowhere.
 func (f *Fleet) logOf(name string) io.Writer {
-	if f.options.Log == nil && !f.options.Faulty {
+	if f.options.Log == nil && !f.options.FaultInjection {
 		return nil
 	}
 	return &namedLog{fleet: f, name: name}
@@ -258,7 +259,7 @@
 }
 
 func (l *namedLog) Write(line []byte) (int, error) {
-	l.fleet.noteFaultIn(l.name, line)
+	l.fleet.recordFaultIn(l.name, line)
 	if l.fleet.options.Log == nil {
 		return len(line), nil
 	}
@@ -268,14 +269,14 @@
 	return len(line), nil
 }
 
-// faultMarks stand in log lines that tell of a fault of the program itself.
-var faultMarks = [][]byte{[]byte(`"message":"invariant `), []byte("front: a mistake of the program")}
+// faultPatterns stand in log lines that tell of a fault of the program itself.
+var faultPatterns = [][]byte{[]byte(`"message":"invariant `), []byte("front: a mistake of the program")}
 
-// noteFaultIn notes a log line that tells of a fault of the program itself.
-func (f *Fleet) noteFaultIn(name string, line []byte) {
-	for _, mark := range faultMarks {
-		if bytes.Contains(line, mark) {
-			f.Observations.Broken(routerstandin.Invariant, "%s: %s", name, bytes.TrimSpace(line))
+// recordFaultIn notes a log line that tells of a fault of the program itself.
+func (f *Fleet) recordFaultIn(name string, line []byte) {
+	for _, pattern := range faultPatterns {
+		if bytes.Contains(line, pattern) {
+			f.Observations.RecordViolation(routerstandin.RuleInvariant, "%s: %s", name, bytes.TrimSpace(line))
 		}
 	}
 }
--- a/internal/testbed/routertrial/hunt_test.go
+++ b/internal/testbed/routertrial/hunt_test.go
@@ -26,7 +26,7 @@
 // huntSteps is how many troubles a trial of the hunt has.
 const huntSteps = 6
 
-// Troubles drawn at random, some at the same time, break no rule.
+// Faults drawn at random, some at the same time, break no rule.
 func TestHunt(t *testing.T) {
 	if *huntTrials == 0 {
 		t.Skip("give the number of trials with -hunt N")
@@ -35,7 +35,7 @@
 		seed := *huntSeed + uint64(i)
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			h := &hunt{rig: newRig(t), random: rand.New(rand.NewPCG(seed, 7))}
-			h.over.Go(h.noteLosses)
+			h.over.Go(h.recordLosses)
 			for range huntSteps {
 				h.step()
 			}
@@ -58,12 +58,12 @@
 	lostAt time.Time // when a machine with a disk was lost last, which counts as lost for a while
 }
 
-// noteLosses notes when requests are not served, so that the trouble that cost them is seen.
-func (h *hunt) noteLosses() {
+// recordLosses notes when requests are not served, so that the trouble that cost them is seen.
+func (h *hunt) recordLosses() {
 	before := routerstandin.KindTally{}
 	for sleepFor(h.ctx, lossInterval) {
 		now := h.load.Tally().Total()
-		refused, failed, late := now.Refused-before.Refused, now.Failed-before.Failed, now.Late-before.Late
+		refused, failed, late := now.Rejected-before.Rejected, now.Failed-before.Failed, now.Late-before.Late
 		if refused+failed+late > 0 {
 			h.event("    refused %d, failed %d, late %d", refused, failed, late)
 		}
@@ -79,8 +79,8 @@
 // step plays a trouble of machines to its end, and at the same time for some of the steps a trouble of
 // servers and a change of the configuration.
 func (h *hunt) step() {
-	changed, troubled := make(chan error, 1), make(chan error, 1)
-	beside := func(result chan error, play func() error) {
+	changed, faulted := make(chan error, 1), make(chan error, 1)
+	sometimes := func(result chan error, play func() error) {
 		if h.random.IntN(2) == 0 {
 			result <- nil
 			return
@@ -88,23 +88,23 @@
 		go func() { result <- play() }()
 	}
 	next := nextConfiguration(h.Operator.Current())
-	beside(changed, func() error { return h.Operator.Change(h.ctx, next) })
-	serverTroubles := []func(context.Context) error{h.crashServers, h.drainServers}
-	trouble := serverTroubles[h.random.IntN(len(serverTroubles))]
-	beside(troubled, func() error { return trouble(h.ctx) })
+	sometimes(changed, func() error { return h.Operator.Change(h.ctx, next) })
+	serverFaults := []func(context.Context) error{h.crashServers, h.drainServers}
+	serverFault := serverFaults[h.random.IntN(len(serverFaults))]
+	sometimes(faulted, func() error { return serverFault(h.ctx) })
 	sleepFor(h.ctx, time.Duration(h.random.IntN(30))*time.Millisecond)
-	h.troubleMachines(changed)
+	h.injectMachineFault(changed)
 	h.Assert(<-changed, qt.IsNil)
-	h.Assert(<-troubled, qt.IsNil)
+	h.Assert(<-faulted, qt.IsNil)
 }
 
-func (h *hunt) troubleMachines(changed chan error) {
+func (h *hunt) injectMachineFault(changed chan error) {
 	switch h.random.IntN(8) {
 	case 0:
 	case 1:
-		h.loseDisk(false)
+		h.killMember(false)
 	case 2:
-		h.loseDisk(true)
+		h.killMember(true)
 	case 3:
 		h.killFollowers()
 	case 4:
@@ -113,11 +113,11 @@
 		h.Assert(h.killAll(h.ctx), qt.IsNil)
 		h.lostAt = time.Now()
 	case 6:
-		h.tolerable()
+		h.awaitTolerance()
 		h.Assert(h.freezeMachines(h.ctx, h.draw(true), h.draw(false)), qt.IsNil)
 		h.lostAt = time.Now()
 	case 7:
-		h.finalFault(<-changed)
+		h.killAllAfterAck(<-changed)
 		changed <- nil
 	}
 }
@@ -128,11 +128,11 @@
 	return machines[h.random.IntN(len(machines))]
 }
 
-// tolerable waits until another machine with a disk may be lost.
-func (h *hunt) tolerable() { sleepFor(h.ctx, catchUp-time.Since(h.lostAt)) }
+// awaitTolerance waits until another machine with a disk may be lost.
+func (h *hunt) awaitTolerance() { sleepFor(h.ctx, catchUp-time.Since(h.lostAt)) }
 
-func (h *hunt) loseDisk(wipe bool) {
-	h.tolerable()
+func (h *hunt) killMember(wipe bool) {
+	h.awaitTolerance()
 	h.Assert(h.killMachine(h.ctx, h.draw(true), wipe), qt.IsNil)
 	h.lostAt = time.Now()
 }
@@ -140,11 +140,11 @@
 func (h *hunt) terminate() {
 	m := h.draw(h.random.IntN(2) == 0)
 	if m.HasDisk {
-		h.tolerable()
+		h.awaitTolerance()
 	}
 	h.event("%s gets SIGTERM", m.Name)
 	m.Terminate(h.ctx)
-	h.Assert(h.startAgain(h.ctx, m), qt.IsNil)
+	h.Assert(h.restartMachine(h.ctx, m), qt.IsNil)
 	if m.HasDisk {
 		h.lostAt = time.Now()
 	}
@@ -157,14 +157,14 @@
 		m.Kill()
 	}
 	for _, m := range h.WithDisk(false) {
-		h.Assert(h.startAgain(h.ctx, m), qt.IsNil)
+		h.Assert(h.restartMachine(h.ctx, m), qt.IsNil)
 	}
 }
 
-// finalFault kills all processes right after an acknowledgement, and empties one disk besides.
-func (h *hunt) finalFault(err error) {
+// killAllAfterAck kills all processes right after an acknowledgement, and empties one disk besides.
+func (h *hunt) killAllAfterAck(err error) {
 	h.Assert(err, qt.IsNil)
-	h.tolerable()
+	h.awaitTolerance()
 	next := nextConfiguration(h.Operator.Current())
 	h.Assert(h.Operator.Change(h.ctx, next), qt.IsNil)
 	lost := h.draw(true)
@@ -174,7 +174,7 @@
 	}
 	h.Assert(lost.Wipe(), qt.IsNil)
 	h.Assert(h.StartMachines(h.ctx, false), qt.IsNil)
-	h.Observations.AllBack()
+	h.Observations.RecordAllRestarted()
 	h.Assert(h.AwaitMachines(h.ctx), qt.IsNil)
 	h.lostAt = time.Now()
 	second := routerstandin.NewOperator(h.controls, h.Observations)
--- a/internal/testbed/routertrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -14,8 +14,8 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// startTime bounds how long a process may take until it listens.
-const startTime = 15 * time.Second
+// startTimeout bounds how long a process may take until it listens.
+const startTimeout = 15 * time.Second
 
 // Machine is a machine of the fleet: a loopback IP, a folder, and a process of the router.
 type Machine struct {
@@ -30,12 +30,12 @@
 	fleet *Fleet
 	dir   string
 
-	mu      sync.Mutex
-	process *childprocess.Process // nil while none runs
-	ending  bool                  // the trial ends the process
-	faults  []string              // commands that hold now, for the next process too
-	// endsItself is a command by which the next process ends itself, "" where it is not to.
-	endsItself string
+	mu           sync.Mutex
+	process      *childprocess.Process // nil while none runs
+	exitExpected bool                  // the trial ends the process
+	faults       []string              // commands that hold now, for the next process too
+	// exitCommand is a command by which the next process ends itself, "" where it is not to.
+	exitCommand string
 }
 
 func (m *Machine) dataDir() string { return filepath.Join(m.dir, "data") }
@@ -48,19 +48,19 @@
 	if err := m.writeSettings(firstStart); err != nil {
 		return fmt.Errorf("preparing %s: %w; check the room in %s", m.Name, err, os.TempDir())
 	}
-	bounded, cancel := context.WithTimeout(ctx, startTime)
+	bounded, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	m.fleet.Observations.Troubled(m.IP, m.HasDisk)
+	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 	given := m.currentFaults()
 	process, err := childprocess.Run(bounded, m.command(given))
 	if err != nil {
 		return fmt.Errorf("starting %s at %s: %w", m.Name, m.IP, err)
 	}
 	m.mu.Lock()
-	m.process, m.ending = process, m.endsItself != ""
+	m.process, m.exitExpected = process, m.exitCommand != ""
 	m.mu.Unlock()
 	go m.watch(process)
-	m.correctFaults(process, given)
+	m.updateFaults(process, given)
 	return nil
 }
 
@@ -74,7 +74,7 @@
 		Path: options.Program, Args: []string{"router"}, Ready: `: started"`,
 		Env: []string{agentsettings.PathVariable + "=" + m.settingsPath()}, Log: m.fleet.logOf(m.Name),
 	}
-	if options.Faulty {
+	if options.FaultInjection {
 		command.Args, command.Input, command.LogBuffer = []string{"faulty-router"}, true, faultyLogBuffer
 		for _, fault := range faults {
 			command.Args = append(command.Args, "--fault", fault)
@@ -102,27 +102,27 @@
 	<-process.Ended()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.process == process && !m.ending {
-		m.fleet.Observations.Broken(routerstandin.Fault,
+	if m.process == process && !m.exitExpected {
+		m.fleet.Observations.RecordViolation(routerstandin.RuleFault,
 			"the process of %s ended by itself; the end of its log: %s",
 			m.Name, process.Tail())
 	}
 }
 
-// endProcess returns the process, which from now on may end.
-func (m *Machine) endProcess() *childprocess.Process {
+// releaseProcess returns the process, which from now on may end.
+func (m *Machine) releaseProcess() *childprocess.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ending = true
+	m.exitExpected = true
 	process := m.process
 	m.process = nil
 	return process
 }
 
-// Kill ends the process with SIGKILL.
+// FaultKill ends the process with SIGKILL.
 func (m *Machine) Kill() {
-	if process := m.endProcess(); process != nil {
-		m.fleet.Observations.Troubled(m.IP, m.HasDisk)
+	if process := m.releaseProcess(); process != nil {
+		m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 		process.Kill()
 	}
 }
@@ -130,19 +130,19 @@
 // Terminate ends the process with SIGTERM, and reports one that does not end within the grace or ends badly.
 // The end of ctx kills it.
 func (m *Machine) Terminate(ctx context.Context) {
-	process := m.endProcess()
+	process := m.releaseProcess()
 	if process == nil {
 		return
 	}
-	m.fleet.Observations.Terminated(m.IP, m.HasDisk)
+	m.fleet.Observations.RecordTermination(m.IP, m.HasDisk)
 	stopWatching := context.AfterFunc(ctx, process.Kill)
 	defer stopWatching()
 	if err := process.Stop(bounds.Grace); err != nil && ctx.Err() == nil {
-		m.fleet.Observations.Broken(routerstandin.Fault, "%s after SIGTERM: %v", m.Name, err)
+		m.fleet.Observations.RecordViolation(routerstandin.RuleFault, "%s after SIGTERM: %v", m.Name, err)
 	}
 }
 
-// Freeze stops the process for a while without ending it.
+// FaultFreeze stops the process for a while without ending it.
 func (m *Machine) Freeze(ctx context.Context, d time.Duration) {
 	m.mu.Lock()
 	process := m.process
@@ -150,12 +150,12 @@
 	if process == nil {
 		return
 	}
-	m.fleet.Observations.Troubled(m.IP, m.HasDisk)
+	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 	process.Signal(syscall.SIGSTOP)
 	sleepFor(ctx, d)
 	process.Signal(syscall.SIGCONT)
-	m.fleet.Observations.Troubled(m.IP, m.HasDisk)
+	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 }
 
-// Wipe empties the disk of a machine whose process does not run.
+// FaultWipe empties the disk of a machine whose process does not run.
 func (m *Machine) Wipe() error { return os.RemoveAll(m.dataDir()) }
--- a/internal/testbed/routertrial/machine_faults.go
+++ b/internal/testbed/routertrial/machine_faults.go
@@ -38,16 +38,16 @@
 
 // replaceFaults has a process obey commands in place of all that it obeyed.
 func replaceFaults(process *childprocess.Process, commands []string) {
-	healed := []string{faultinject.CommandHear, diskCommand(faultinject.DiskOK)}
+	healed := []string{faultinject.CommandHeal, diskCommand(faultinject.DiskOK)}
 	for _, command := range append(healed, commands...) {
 		_ = process.Send(command)
 	}
 }
 
-// correctFaults tells a process that has just started what has changed since it was given its faults: nobody
+// updateFaults tells a process that has just started what has changed since it was given its faults: nobody
 // could tell it before.
-func (m *Machine) correctFaults(process *childprocess.Process, given []string) {
-	if current := m.currentFaults(); m.fleet.options.Faulty && !slices.Equal(given, current) {
+func (m *Machine) updateFaults(process *childprocess.Process, given []string) {
+	if current := m.currentFaults(); m.fleet.options.FaultInjection && !slices.Equal(given, current) {
 		replaceFaults(process, current)
 	}
 }
@@ -61,64 +61,64 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	commands := slices.Clone(m.faults)
-	if m.endsItself != "" {
-		commands = append(commands, m.endsItself)
+	if m.exitCommand != "" {
+		commands = append(commands, m.exitCommand)
 	}
 	return commands
 }
 
-// StartToEnd starts a process that kills itself at the numbered point, which may lie before it listens, and
-// kills it where it does not get there.
-func (m *Machine) StartToEnd(ctx context.Context, point int, patience time.Duration) (ended bool) {
-	m.setEndsItself(fmt.Sprintf("%s %d", faultinject.CommandEnd, point))
-	defer m.setEndsItself("")
+// StartUntilPoint starts a process that kills itself at the numbered point, which may lie before it listens,
+// and kills it where it does not get there.
+func (m *Machine) StartUntilPoint(ctx context.Context, point int, timeout time.Duration) (exited bool) {
+	m.setExitCommand(fmt.Sprintf("%s %d", faultinject.CommandEnd, point))
+	defer m.setExitCommand("")
 	if m.Start(ctx, false) != nil {
 		return true
 	}
 	process := m.running()
-	return m.awaitOwnEnd(ctx, process, patience)
+	return m.awaitExit(ctx, process, timeout)
 }
 
-// setEndsItself has the next process obey a command by which it ends itself, "" for none.
-func (m *Machine) setEndsItself(command string) {
+// setExitCommand has the next process obey a command by which it ends itself, "" for none.
+func (m *Machine) setExitCommand(command string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.endsItself = command
+	m.exitCommand = command
 }
 
-// EndAtPoint has the process kill itself at the numbered point, and kills it where it does not get there.
-func (m *Machine) EndAtPoint(ctx context.Context, point int, patience time.Duration) (ended bool) {
+// ExitAtPoint has the process kill itself at the numbered point, and kills it where it does not get there.
+func (m *Machine) ExitAtPoint(ctx context.Context, point int, timeout time.Duration) (exited bool) {
 	process := m.running()
 	if process == nil {
 		return false
 	}
 	m.mu.Lock()
-	m.ending = true
+	m.exitExpected = true
 	m.mu.Unlock()
-	m.fleet.Observations.Troubled(m.IP, m.HasDisk)
+	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 	m.send("%s %d", faultinject.CommandEnd, point)
-	return m.awaitOwnEnd(ctx, process, patience)
+	return m.awaitExit(ctx, process, timeout)
 }
 
-// keepTroubled notes that a machine is in trouble until ctx ends.
-func (f *Fleet) keepTroubled(ctx context.Context, machines ...*Machine) {
+// recordFaultUntil notes that a machine is in trouble until ctx ends.
+func (f *Fleet) recordFaultUntil(ctx context.Context, machines ...*Machine) {
 	for {
 		for _, m := range machines {
-			f.Observations.Troubled(m.IP, m.HasDisk)
+			f.Observations.RecordFault(m.IP, m.HasDisk)
 		}
-		if !sleepFor(ctx, troubleInterval) {
+		if !sleepFor(ctx, faultRecordInterval) {
 			return
 		}
 	}
 }
 
-// troubleInterval is how often a trouble that goes on is noted.
-const troubleInterval = 200 * time.Millisecond
+// faultRecordInterval is how often a trouble that goes on is noted.
+const faultRecordInterval = 200 * time.Millisecond
 
-// awaitOwnEnd waits until the process has ended by itself, kills it where it does not, and tells which.
-func (m *Machine) awaitOwnEnd(ctx context.Context, process *childprocess.Process,
-	patience time.Duration) bool {
-	bounded, cancel := context.WithTimeout(ctx, patience)
+// awaitExit waits until the process has ended by itself, kills it where it does not, and tells which.
+func (m *Machine) awaitExit(ctx context.Context, process *childprocess.Process,
+	timeout time.Duration) bool {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	defer m.Kill()
 	select {
--- a/internal/testbed/routertrial/machine_faults_test.go
+++ b/internal/testbed/routertrial/machine_faults_test.go
@@ -11,18 +11,18 @@
 // A cut that ends while a process starts must not hold for that process: it was given the cut, and nobody
 // could tell it of the end.
 func TestCutThatEndsWhileAProcessStarts(t *testing.T) {
-	long(t)
-	r := newRigOf(t, Options{Faulty: true})
+	skipIfShort(t)
+	r := newRigOf(t, Options{FaultInjection: true})
 	m := r.WithDisk(false)[0]
 	cut := faultinject.CommandDeaf
 	for _, other := range r.WithDisk(true) {
 		cut += " " + other.IP
 	}
 	r.Assert(m.running().Send(cut), qt.IsNil)
-	m.correctFaults(m.running(), []string{cut})
+	m.updateFaults(m.running(), []string{cut})
 	r.Assert(r.Operator.Change(r.ctx, nextConfiguration(r.Operator.Current())), qt.IsNil)
 	r.await("the machine hears of the change", func() string {
-		if r.Probe(r.ctx, joiningKind)[200] < len(r.Machines) {
+		if r.Probe(r.ctx, addedKind)[200] < len(r.Machines) {
 			return "not yet"
 		}
 		return ""
--- a/internal/testbed/routertrial/network.go
+++ b/internal/testbed/routertrial/network.go
@@ -20,37 +20,37 @@
 	innerOffset   = 10
 	serverOffset  = 20 // of the servers, which are machines too
 
-	firstServer  = 101 // last number of the first server's IP
-	reservation  = 250 // last number of the IP that marks a network as taken
-	secondNumber = 77  // of the IPs of all networks
-	networks     = 200
-	mostNetworks = 20 // that are looked at
+	firstServerOctet  = 101 // last number of the first server's IP
+	reservationOctet  = 250 // last number of the IP that marks a network as taken
+	secondOctet       = 77  // of the IPs of all networks
+	networkCount      = 200
+	maxNetworksProbed = 20 // that are looked at
 )
 
 // network is a range of loopback addresses that nothing else uses.
 type network struct {
-	prefix string // of its IPs
-	port   int    // the first
-	mark   net.Listener
-	notes  []string // about addresses that were taken
+	prefix      string // of its IPs
+	port        int    // the first
+	reservation net.Listener
+	notes       []string // about addresses that were taken
 }
 
-// NoAddresses says that no range of loopback addresses is free.
-type NoAddresses struct{ Last error }
+// NoAddressesError says that no range of loopback addresses is free.
+type NoAddressesError struct{ Last error }
 
-func (e *NoAddresses) Error() string {
+func (e *NoAddressesError) Error() string {
 	return fmt.Sprintf("no free range of loopback addresses was found (%v); end what listens on 127.%d.x.y",
-		e.Last, secondNumber)
+		e.Last, secondOctet)
 }
 
 // reserveNetwork finds addresses for so many machines and servers, and marks them as taken until it is
 // closed.
 func reserveNetwork(machines, servers int) (*network, error) {
-	first := os.Getpid() % networks // trials that run at the same time look at different ones first
+	first := os.Getpid() % networkCount // trials that run at the same time look at different ones first
 	var notes []string
 	var problem error
-	for i := range mostNetworks {
-		prefix := fmt.Sprintf("127.%d.%d.", secondNumber, (first+i)%networks)
+	for i := range maxNetworksProbed {
+		prefix := fmt.Sprintf("127.%d.%d.", secondOctet, (first+i)%networkCount)
 		n := &network{prefix: prefix, port: firstPort + i*portsEach}
 		if problem = n.reserve(machines, servers); problem == nil {
 			n.notes = notes
@@ -61,19 +61,19 @@
 		}
 		notes = append(notes, fmt.Sprintf("%v; looking at other addresses", problem))
 	}
-	return nil, &NoAddresses{problem}
+	return nil, &NoAddressesError{problem}
 }
 
 func (n *network) reserve(machines, servers int) error {
-	mark, err := net.Listen("tcp4", n.address(reservation, controlOffset))
+	reservation, err := net.Listen("tcp4", n.address(reservationOctet, controlOffset))
 	if err != nil {
 		return err
 	}
 	if err := n.probe(machines, servers); err != nil {
-		mark.Close()
+		reservation.Close()
 		return err
 	}
-	n.mark = mark
+	n.reservation = reservation
 	return nil
 }
 
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (n *network) close() { n.mark.Close() }
+func (n *network) close() { n.reservation.Close() }
 
 func (n *network) ip(last int) string { return n.prefix + strconv.Itoa(last) }
 
@@ -108,5 +108,5 @@
 
 // serverAddress is where the server of that number listens.
 func (n *network) serverAddress(number int) string {
-	return n.address(firstServer+number, serverOffset)
+	return n.address(firstServerOctet+number, serverOffset)
 }
--- a/internal/testbed/routertrial/network_test.go
+++ b/internal/testbed/routertrial/network_test.go
@@ -12,7 +12,7 @@
 // Where an address is taken, the whole trial moves to others and tells.
 func TestTakenAddressesAreAvoided(t *testing.T) {
 	c := qt.New(t)
-	first := fmt.Sprintf("127.%d.%d.", secondNumber, os.Getpid()%networks)
+	first := fmt.Sprintf("127.%d.%d.", secondOctet, os.Getpid()%networkCount)
 	taken, err := net.Listen("tcp4", fmt.Sprintf("%s2:%d", first, firstPort+frontOffset))
 	if err == nil { // else somebody else has it, which is as good
 		defer taken.Close()
@@ -39,7 +39,7 @@
 
 func TestTroublesAreChecked(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(CheckTrouble(""), qt.IsNil)
-	c.Assert(CheckTrouble(Wipe), qt.IsNil)
-	c.Assert(CheckTrouble("rain"), qt.ErrorMatches, `"rain" is no trouble; name one of kill, wipe, .*`)
+	c.Assert(CheckFault(""), qt.IsNil)
+	c.Assert(CheckFault(FaultWipe), qt.IsNil)
+	c.Assert(CheckFault("rain"), qt.ErrorMatches, `"rain" is no trouble; name one of kill, wipe, .*`)
 }
--- a/internal/testbed/routertrial/ready.go
+++ b/internal/testbed/routertrial/ready.go
@@ -14,23 +14,23 @@
 // lookInterval is how often a wait looks again.
 const lookInterval = 20 * time.Millisecond
 
-// NotReady says that something did not come about in time.
-type NotReady struct {
-	What string
-	Wait time.Duration
-	Last string // what was seen last
+// NotReadyError says that something did not come about in time.
+type NotReadyError struct {
+	What     string
+	Wait     time.Duration
+	LastSeen string // what was seen last
 }
 
-func (e *NotReady) Error() string {
-	return fmt.Sprintf("%s: not within %v (%s); look into the logs with --log FILE", e.What, e.Wait, e.Last)
+func (e *NotReadyError) Error() string {
+	return fmt.Sprintf("%s: not within %v (%s); look into the logs with --log FILE", e.What, e.Wait, e.LastSeen)
 }
 
 // await looks until holds returns "", which else says what is missing.
-func await(ctx context.Context, what string, most time.Duration, holds func() string) error {
-	bounded, cancel := context.WithTimeout(ctx, most)
+func await(ctx context.Context, what string, timeout time.Duration, check func() string) error {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		missing := holds()
+		missing := check()
 		if missing == "" {
 			return nil
 		}
@@ -39,7 +39,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return &NotReady{what, most, missing}
+			return &NotReadyError{what, timeout, missing}
 		case <-time.After(lookInterval):
 		}
 	}
@@ -66,7 +66,7 @@
 // AwaitServers waits until every machine knows the servers that run, and no others, as ready.
 func (f *Fleet) AwaitServers(ctx context.Context) error {
 	for _, machine := range f.Machines {
-		err := await(ctx, machine.Name+" knows the servers", readyTime, func() string {
+		err := await(ctx, machine.Name+" knows the servers", readyTimeout, func() string {
 			known, err := machine.knownServers(ctx)
 			switch running := f.serverIDs(); {
 			case err != nil:
@@ -85,9 +85,9 @@
 
 // AwaitMachine waits until a machine says that it is ready and the entry gives clients to it.
 func (f *Fleet) AwaitMachine(ctx context.Context, m *Machine) error {
-	return await(ctx, m.Name+" is ready", readyTime, func() string {
+	return await(ctx, m.Name+" is ready", readyTimeout, func() string {
 		ready := func(p routerstandin.Proxy) bool { return p == m.proxy() }
-		if problem := m.unready(ctx); problem != "" {
+		if problem := m.notReadyReason(ctx); problem != "" {
 			return problem
 		}
 		if !slices.ContainsFunc(f.Entry.Ready(), ready) {
@@ -97,8 +97,8 @@
 	})
 }
 
-// unready returns why a machine is not ready, "" where it is.
-func (m *Machine) unready(ctx context.Context) string {
+// notReadyReason returns why a machine is not ready, "" where it is.
+func (m *Machine) notReadyReason(ctx context.Context) string {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	answer, err := controlclient.Do(bounded, m.Ready, controlclient.Call{Method: "GET", Target: "/api/ready"})
--- a/internal/testbed/routertrial/rig_test.go
+++ b/internal/testbed/routertrial/rig_test.go
@@ -94,7 +94,7 @@
 	r.Fleet, err = StartFleet(ctx, options)
 	c.Assert(err, qt.IsNil)
 	t.Logf("started in %v", time.Since(began).Round(time.Millisecond))
-	r.begin()
+	r.startClock()
 	r.load = r.NewLoad()
 	r.over.Go(func() { r.load.Run(ctx, r.sending) })
 	return r
@@ -130,7 +130,7 @@
 
 func (r *rig) await(what string, holds func() string) {
 	r.Helper()
-	r.Assert(await(r.ctx, what, readyTime, holds), qt.IsNil)
+	r.Assert(await(r.ctx, what, readyTimeout, holds), qt.IsNil)
 }
 
 // calm waits until the rules with a time bound bind every machine again.
@@ -145,7 +145,7 @@
 	checkRules(r.C, r.Observations.Judge())
 	total := r.load.Tally().Total()
 	r.Logf("asked %d, in time %d, late %d, refused %d, failed %d, interrupted %d", total.Asked, total.InTime,
-		total.Late, total.Refused, total.Failed, total.Interrupted)
+		total.Late, total.Rejected, total.Failed, total.Interrupted)
 	if r.Failed() {
 		r.Log(strings.Join(r.Events(), "\n"))
 	}
@@ -155,13 +155,13 @@
 // tailLog keeps the last lines of the processes' logs.
 type tailLog struct{ lines []string }
 
-// mostLogLines is how many lines a failed test shows.
-const mostLogLines = 200
+// maxLogLines is how many lines a failed test shows.
+const maxLogLines = 200
 
 // Write is called by one goroutine at a time.
 func (l *tailLog) Write(line []byte) (int, error) {
 	l.lines = append(l.lines, strings.TrimSuffix(string(line), "\n"))
-	l.lines = l.lines[max(0, len(l.lines)-mostLogLines):]
+	l.lines = l.lines[max(0, len(l.lines)-maxLogLines):]
 	return len(line), nil
 }
 
--- a/internal/testbed/routertrial/rules_test.go
+++ b/internal/testbed/routertrial/rules_test.go
@@ -13,7 +13,7 @@
 func checkRules(t testing.TB, rules []routerstandin.Verdict) {
 	t.Helper()
 	for _, verdict := range rules {
-		qt.Check(t, verdict.Breaks, qt.Equals, 0,
+		qt.Check(t, verdict.Violations, qt.Equals, 0,
 			qt.Commentf("%s: %s", verdict.Rule, strings.Join(verdict.Details, "\n")))
 	}
 }
--- a/internal/testbed/routertrial/servers.go
+++ b/internal/testbed/routertrial/servers.go
@@ -9,25 +9,28 @@
 
 // serverPlan names the service of each server, and the stage that it starts with.
 var serverPlan = []struct{ service, stage string }{
-	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
-	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
-	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
-	{lookup, ""}, {lookup, ""}, {lookup, ""}, {lookupNext, ""}, {lookupNext, ""},
+	{modelService, routerstandin.StagePrefill}, {modelService, routerstandin.StageDecode},
+	{modelService, routerstandin.StagePrefill}, {modelService, routerstandin.StageDecode},
+	{modelService, routerstandin.StagePrefill}, {modelService, routerstandin.StageDecode},
+	{lookupService, ""}, {lookupService, ""}, {lookupService, ""}, {nextLookupService, ""},
+	{nextLookupService, ""},
 }
 
 func (f *Fleet) startServers() error {
 	for i, planned := range serverPlan {
 		options := routerstandin.ServerOptions{
 			Service: planned.service, Address: f.network.serverAddress(i), Zone: zones[i%len(zones)], Version: "v1",
-			Slots: lookupSlots, Queue: lookupQueue, Lines: lookupLines, HealthPath: healthPath, TellsLoad: true,
-			Work: lookupWork, Beat: beat, Controls: f.controls, Observations: f.Observations,
-			LosesAnswers: f.losesAnswer,
+			Slots: lookupSlots, Queue: lookupQueue, MaxConns: lookupMaxConns, HealthPath: healthPath,
+			ReportsLoad: true,
+			WorkTime:    lookupWorkTime, HeartbeatInterval: heartbeatInterval, ControlAddresses: f.controls,
+			Observations: f.Observations,
+			DropResponse: f.dropsResponse,
 		}
 		if planned.service == modelService {
 			stage := engine
 			stage.Stage = planned.stage
 			options.Engine = &stage
-			options.Slots, options.Queue, options.Lines = modelSlots, modelQueue, modelLines
+			options.Slots, options.Queue, options.MaxConns = modelSlots, modelQueue, modelMaxConns
 		}
 		if err := f.StartServer(options); err != nil {
 			return err
--- a/internal/testbed/routertrial/settings.go
+++ b/internal/testbed/routertrial/settings.go
@@ -8,8 +8,8 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// beat is the time between heartbeats of servers.
-const beat = 600 * time.Millisecond
+// heartbeatInterval is the time between heartbeats of servers.
+const heartbeatInterval = 600 * time.Millisecond
 
 // bounds are the figures of the rules in a trial. They are those of the deployments, but for the time after
 // which a machine is in touch again, which is shorter so that more of a short trial is judged.
@@ -19,7 +19,7 @@
 		Lost: 200 * time.Millisecond, Config: 2 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second,
 		RetrySlack: 60, Fenced: true, Lease: 3 * time.Second,
 	},
-	Back: 250 * time.Millisecond, Recover: 6 * time.Second,
+	Rollback: 250 * time.Millisecond, Recovery: 6 * time.Second,
 }
 
 // settingsFile is the settings file of a machine.
@@ -35,7 +35,7 @@
 		"counters":    map[string]string{"front": m.Front, "ready": m.Ready, "control": m.Control},
 		"inner_ports": []int{f.network.port + innerOffset, f.network.port + innerOffset + innerPorts - 1},
 		"seeds":       f.seeds(), "first_start": firstStart, "counted": m.HasDisk, "discovery": "register",
-		"entry": "vip", "beat_ms": beat.Milliseconds(),
+		"entry": "vip", "beat_ms": heartbeatInterval.Milliseconds(),
 		"size_limits": map[string]any{"cpu_share": 0.72, "cores": 1, "memory_mb": 244, "fds": 4100,
 			"link_mbps": 1000, "disk_mb": 64},
 		"contracts": []string{"base", "drain", "config", "cost", "retry", "recover", "split", "stream", "engine"},
@@ -54,9 +54,9 @@
 		"ack_ms": bounds.Ack.Milliseconds(), "catch_up_s": catchUp.Seconds(),
 		"drain_ms": bounds.Drain.Milliseconds(), "grace_s": bounds.Grace.Seconds(),
 		"lost_ms": bounds.Lost.Milliseconds(), "config_ms": bounds.Config.Milliseconds(),
-		"back_ms": bounds.Back.Milliseconds(), "outer_ms": 5000, "retry_ratio": bounds.RetryRatio,
+		"back_ms": bounds.Rollback.Milliseconds(), "outer_ms": 5000, "retry_ratio": bounds.RetryRatio,
 		"retry_window_s": bounds.RetryWindow.Seconds(), "retry_slack": bounds.RetrySlack,
-		"recover_s": bounds.Recover.Seconds(), "transit_ms": 120, "again_s": 0, "fenced": bounds.Fenced,
+		"recover_s": bounds.Recovery.Seconds(), "transit_ms": 120, "again_s": 0, "fenced": bounds.Fenced,
 		"lease_ms": bounds.Lease.Milliseconds(), "thaw_ms": 300,
 	}
 }
--- a/internal/testbed/routertrial/soak.go
+++ b/internal/testbed/routertrial/soak.go
@@ -14,29 +14,29 @@
 
 const (
 	// The troubles of a round, and the time within which they begin.
-	leastTroubles  = 2
-	mostTroubles   = 4
-	roundSpread    = 1200 * time.Millisecond
-	betweenRounds  = 300 * time.Millisecond
-	recoverPart    = 4 // one round in so many begins only when the core has caught up
-	settledRequest = 60
-	// settleBound is how long after the end of all troubles every machine must be ready and know every server;
+	minFaults            = 2
+	maxFaults            = 4
+	roundSpread          = 1200 * time.Millisecond
+	betweenRounds        = 300 * time.Millisecond
+	catchUpEvery         = 4 // one round in so many begins only when the core has caught up
+	minServedAfterFaults = 60
+	// recoveryBound is how long after the end of all troubles every machine must be ready and know every server;
 	// the platform needs up to two seconds of it to ask.
-	settleBound = 12 * time.Second
-	rudePause   = 60 * time.Millisecond
-	readPause   = 40 * time.Millisecond
+	recoveryBound = 12 * time.Second
+	rudeInterval  = 60 * time.Millisecond
+	readInterval  = 40 * time.Millisecond
 )
 
 // SoakOptions are what is soaked.
 type SoakOptions struct {
-	Program  string // path of the program that has the faulty router role
-	Seed     uint64
-	Rounds   int     // of troubles that overlap
-	Rate     float64 // requests a second of all clients together
-	Only     []string
-	Large    bool // see Options
-	Log      io.Writer
-	LogLevel string
+	Program    string // path of the program that has the faulty router role
+	Seed       uint64
+	Rounds     int     // of troubles that overlap
+	Rate       float64 // requests a second of all clients together
+	OnlyFaults []string
+	Large      bool // see Options
+	Log        io.Writer
+	LogLevel   string
 }
 
 // SoakReport is what came of a soak.
@@ -50,11 +50,11 @@
 	Events  []string                `json:"events"`
 }
 
-// Broken is how many breaks of rules there were.
-func (r *SoakReport) Broken() int {
+// Violations is how many breaks of rules there were.
+func (r *SoakReport) Violations() int {
 	sum := 0
 	for _, rule := range r.Rules {
-		sum += rule.Breaks
+		sum += rule.Violations
 	}
 	return sum
 }
@@ -62,17 +62,17 @@
 // soak is one soak under way.
 type soak struct {
 	*Fleet
-	options  SoakOptions
-	random   *rand.Rand // of the goroutine that draws
-	troubles []soakTrouble
-	cuts     cuts
-
-	mu       sync.Mutex
-	busy     map[*Machine]bool // in a trouble that ends or stops the process
-	coreBusy int               // of those that count
-	wipedAt  time.Time         // when a machine last came back without its disk
-	wiping   bool
-	played   map[string]int
+	options    SoakOptions
+	random     *rand.Rand // of the goroutine that draws
+	faults     []soakFault
+	partitions partitions
+
+	mu           sync.Mutex
+	reserved     map[*Machine]bool // in a trouble that ends or stops the process
+	reservedCore int               // of those that count
+	wipedAt      time.Time         // when a machine last came back without its disk
+	wiping       bool
+	played       map[string]int
 
 	operating sync.Mutex // held while somebody changes the configuration
 }
@@ -81,23 +81,23 @@
 // send, and checks the rules. The error tells what kept the soak from being played to its end.
 func Soak(ctx context.Context, options SoakOptions) (*SoakReport, error) {
 	fleet, err := StartFleet(ctx, Options{Program: options.Program, Rate: options.Rate, Seed: options.Seed,
-		Log: options.Log, Faulty: true, LogLevel: options.LogLevel, Large: options.Large})
+		Log: options.Log, FaultInjection: true, LogLevel: options.LogLevel, Large: options.Large})
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.Close()
 	s := &soak{Fleet: fleet, options: options, random: rand.New(rand.NewPCG(options.Seed, 77)),
-		busy: map[*Machine]bool{}, played: map[string]int{}, cuts: newCuts(fleet)}
-	s.troubles = selectTroubles(options.Only)
-	if len(s.troubles) == 0 {
-		return nil, fmt.Errorf("no trouble is called %v; name some of %v", options.Only, TroubleNames())
+		reserved: map[*Machine]bool{}, played: map[string]int{}, partitions: newPartitions(fleet)}
+	s.faults = selectFaults(options.OnlyFaults)
+	if len(s.faults) == 0 {
+		return nil, fmt.Errorf("no trouble is called %v; name some of %v", options.OnlyFaults, SoakFaultNames())
 	}
 	return s.play(ctx)
 }
 
 // play runs the rounds beside the clients, and judges.
 func (s *soak) play(ctx context.Context) (*SoakReport, error) {
-	s.begin()
+	s.startClock()
 	load := s.NewLoad()
 	sending := make(chan struct{})
 	beside, stop := context.WithCancel(ctx)
@@ -105,12 +105,12 @@
 	var under sync.WaitGroup
 	under.Go(func() { load.Run(ctx, sending) })
 	under.Go(func() { s.readConfigurations(beside) })
-	under.Go(func() { s.watchFigures(beside) })
+	under.Go(func() { s.watchMetrics(beside) })
 	rude := routerstandin.NewRudeClient(s.Entry, s.Observations, kinds, s.options.Seed, s.nextNumber)
-	under.Go(func() { rude.Run(beside, rudePause) })
-	problem := s.playRounds(ctx)
+	under.Go(func() { rude.Run(beside, rudeInterval) })
+	problem := s.injectRounds(ctx)
 	if problem == nil {
-		problem = s.serveCalmly(ctx, load)
+		problem = s.checkServingAfterFaults(ctx, load)
 	}
 	close(sending)
 	stop()
@@ -129,17 +129,17 @@
 
 func (s *soak) nextNumber() int { return int(s.requests.Add(1)) }
 
-func (s *soak) playRounds(ctx context.Context) error {
+func (s *soak) injectRounds(ctx context.Context) error {
 	for round := range s.options.Rounds {
 		s.event("round %d", round+1)
-		if err := s.playRound(ctx); err != nil {
+		if err := s.injectRound(ctx); err != nil {
 			return err
 		}
-		if err := s.settle(ctx); err != nil {
+		if err := s.awaitRecovery(ctx); err != nil {
 			return err
 		}
 		pause := betweenRounds
-		if s.random.IntN(recoverPart) == 0 {
+		if s.random.IntN(catchUpEvery) == 0 {
 			pause = catchUp
 		}
 		if !sleepFor(ctx, pause) {
@@ -149,45 +149,46 @@
 	return nil
 }
 
-// playRound plays some troubles that begin at almost the same time.
-func (s *soak) playRound(ctx context.Context) error {
-	count := leastTroubles + s.random.IntN(mostTroubles-leastTroubles+1)
+// injectRound plays some troubles that begin at almost the same time.
+func (s *soak) injectRound(ctx context.Context) error {
+	count := minFaults + s.random.IntN(maxFaults-minFaults+1)
 	problems := make([]error, count)
-	var playing sync.WaitGroup
+	var injecting sync.WaitGroup
 	for i := range count {
-		trouble := s.troubles[s.random.IntN(len(s.troubles))]
-		lot := rand.New(rand.NewPCG(s.random.Uint64(), 1))
+		fault := s.faults[s.random.IntN(len(s.faults))]
+		rng := rand.New(rand.NewPCG(s.random.Uint64(), 1))
 		delay := time.Duration(s.random.Int64N(int64(roundSpread)))
-		playing.Go(func() {
+		injecting.Go(func() {
 			if sleepFor(ctx, delay) {
-				problems[i] = trouble.play(ctx, s, lot)
+				problems[i] = fault.inject(ctx, s, rng)
 			}
 		})
-		s.played[trouble.name]++
+		s.played[fault.name]++
 	}
-	playing.Wait()
+	injecting.Wait()
 	return errors.Join(problems...)
 }
 
-// settle waits until every machine is ready and knows every server again, which must not take long.
-func (s *soak) settle(ctx context.Context) error {
+// awaitRecovery waits until every machine is ready and knows every server again, which must not take long.
+func (s *soak) awaitRecovery(ctx context.Context) error {
 	began := time.Now()
 	err := s.AwaitReady(ctx)
 	took := time.Since(began).Round(10 * time.Millisecond)
 	s.event("ready again after %v", took)
-	if took > settleBound {
-		s.Observations.Broken(routerstandin.Recover, "the fleet was ready again only %v after the last trouble",
-			took)
+	if took > recoveryBound {
+		s.Observations.RecordViolation(routerstandin.RuleRecover,
+			"the fleet was ready again only %v after the last trouble", took)
 	}
-	var late *NotReady
+	var late *NotReadyError
 	if errors.As(err, &late) {
-		s.Observations.Broken(routerstandin.Recover, "%v", err)
+		s.Observations.RecordViolation(routerstandin.RuleRecover, "%v", err)
 	}
 	return err
 }
 
-// serveCalmly checks that, with nothing in trouble any more, a change is taken and requests are served.
-func (s *soak) serveCalmly(ctx context.Context, load *routerstandin.Load) error {
+// checkServingAfterFaults checks that, with nothing in trouble any more, a change is taken and requests are
+// served.
+func (s *soak) checkServingAfterFaults(ctx context.Context, load *routerstandin.Load) error {
 	if !sleepFor(ctx, bounds.Touch) {
 		return ctx.Err()
 	}
@@ -195,10 +196,10 @@
 		return err
 	}
 	before := load.Tally().Total()
-	return await(ctx, "requests are served", readyTime, func() string {
+	return await(ctx, "requests are served", readyTimeout, func() string {
 		now := load.Tally().Total()
-		if served := now.Served() - before.Served(); served < settledRequest {
-			return fmt.Sprintf("%d served, %d refused, %d failed", served, now.Refused-before.Refused,
+		if served := now.Served() - before.Served(); served < minServedAfterFaults {
+			return fmt.Sprintf("%d served, %d refused, %d failed", served, now.Rejected-before.Rejected,
 				now.Failed-before.Failed)
 		}
 		return ""
@@ -209,16 +210,17 @@
 func (s *soak) change(ctx context.Context) error {
 	s.operating.Lock()
 	defer s.operating.Unlock()
-	bounded, cancel := context.WithTimeout(ctx, readyTime)
+	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := s.Operator.Refresh(bounded); err != nil {
 		return err
 	}
 	next := nextConfiguration(s.Operator.Current())
 	err := s.Operator.Change(bounded, next)
-	var rejected *routerstandin.Rejected
+	var rejected *routerstandin.RejectedError
 	if errors.As(err, &rejected) {
-		s.Observations.Broken(routerstandin.Config, "a change that nobody raced with was refused: %v", err)
+		s.Observations.RecordViolation(routerstandin.RuleConfig, "a change that nobody raced with was refused: %v",
+			err)
 		return nil
 	}
 	return err
--- a/internal/testbed/routertrial/soak_callers.go
+++ b/internal/testbed/routertrial/soak_callers.go
@@ -9,25 +9,25 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// playStorm makes changes in quick succession.
-func playStorm(ctx context.Context, s *soak, lot *rand.Rand) error {
-	count := 3 + lot.IntN(12)
+// injectConfigBurst makes changes in quick succession.
+func injectConfigBurst(ctx context.Context, s *soak, rng *rand.Rand) error {
+	count := 3 + rng.IntN(12)
 	s.event("%d changes of the configuration", count)
 	for range count {
 		if err := s.change(ctx); err != nil {
 			s.event("a change got no clear answer: %v", err)
 			return ctx.Err()
 		}
-		sleepFor(ctx, between(lot, time.Millisecond, 120*time.Millisecond))
+		sleepFor(ctx, between(rng, time.Millisecond, 120*time.Millisecond))
 	}
 	return nil
 }
 
-// playRace has two operators change the same version at once.
-func playRace(ctx context.Context, s *soak, lot *rand.Rand) error {
+// injectConfigRace has two operators change the same version at once.
+func injectConfigRace(ctx context.Context, s *soak, rng *rand.Rand) error {
 	s.operating.Lock()
 	defer s.operating.Unlock()
-	bounded, cancel := context.WithTimeout(ctx, readyTime)
+	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := s.Operator.Refresh(bounded); err != nil {
 		return ctx.Err()
@@ -37,7 +37,7 @@
 	second.BuildOn(base)
 	one, other := nextConfiguration(base), nextConfiguration(base)
 	other.Routes[0].TimeoutMs += 500
-	if lot.IntN(2) == 0 {
+	if rng.IntN(2) == 0 {
 		other.Version++
 	}
 	s.event("two operators race for editions %d and %d", one.Version, other.Version)
@@ -45,35 +45,36 @@
 	go func() { results <- s.Operator.Put(bounded, one) }()
 	go func() { results <- second.Change(bounded, other) }()
 	first, last := <-results, <-results
-	var rejected *routerstandin.Rejected
+	var rejected *routerstandin.RejectedError
 	if errors.As(first, &rejected) && errors.As(last, &rejected) {
-		s.Observations.Broken(routerstandin.Config, "of two operators none won: %v and %v", first, last)
+		s.Observations.RecordViolation(routerstandin.RuleConfig, "of two operators none won: %v and %v", first,
+			last)
 	}
 	return ctx.Err()
 }
 
-// playAnswersLost loses answers of the fleet to operators and servers.
-func playAnswersLost(ctx context.Context, s *soak, lot *rand.Rand) error {
-	part := int64(200 + lot.IntN(500))
-	s.event("%d in 1000 answers to servers and operators are lost", part)
-	troubled, end := context.WithCancel(ctx)
+// injectDroppedResponses loses answers of the fleet to operators and servers.
+func injectDroppedResponses(ctx context.Context, s *soak, rng *rand.Rand) error {
+	permille := int64(200 + rng.IntN(500))
+	s.event("%d in 1000 answers to servers and operators are lost", permille)
+	faultCtx, end := context.WithCancel(ctx)
 	defer end()
-	go s.keepTroubled(troubled, s.Machines...)
-	s.lostAnswers.Store(part)
-	sleepFor(ctx, between(lot, time.Second, 4*time.Second))
-	s.lostAnswers.Store(0)
+	go s.recordFaultUntil(faultCtx, s.Machines...)
+	s.droppedPermille.Store(permille)
+	sleepFor(ctx, between(rng, time.Second, 4*time.Second))
+	s.droppedPermille.Store(0)
 	return nil
 }
 
-// playRudeClients has several rude clients at once.
-func playRudeClients(ctx context.Context, s *soak, lot *rand.Rand) error {
+// injectRudeClients has several rude clients at once.
+func injectRudeClients(ctx context.Context, s *soak, rng *rand.Rand) error {
 	s.event("many rude clients")
-	rude, end := context.WithTimeout(ctx, between(lot, time.Second, 4*time.Second))
+	rude, end := context.WithTimeout(ctx, between(rng, time.Second, 4*time.Second))
 	defer end()
 	done := make(chan struct{})
 	const clients = 6
 	for range clients {
-		client := routerstandin.NewRudeClient(s.Entry, s.Observations, kinds, lot.Uint64(), s.nextNumber)
+		client := routerstandin.NewRudeClient(s.Entry, s.Observations, kinds, rng.Uint64(), s.nextNumber)
 		go func() {
 			defer func() { done <- struct{}{} }()
 			client.Run(rude, 5*time.Millisecond)
--- a/internal/testbed/routertrial/soak_checks.go
+++ b/internal/testbed/routertrial/soak_checks.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	figuresPause = 400 * time.Millisecond
-	askTime      = time.Second
+	metricsInterval = 400 * time.Millisecond
+	callTimeout     = time.Second
 )
 
 // readConfigurations asks machines drawn by lot for the configuration, whatever trouble they are in, and
 // checks what they show.
 func (s *soak) readConfigurations(ctx context.Context) {
-	for sleepFor(ctx, readPause) {
+	for sleepFor(ctx, readInterval) {
 		s.readFrom(ctx, s.Machines[rand.IntN(len(s.Machines))])
 	}
 }
@@ -28,7 +28,7 @@
 // readFrom asks one machine, and tells whether it showed a configuration.
 func (s *soak) readFrom(ctx context.Context, m *Machine) bool {
 	asked := time.Now()
-	answer := m.ask(ctx, "/api/config")
+	answer := m.get(ctx, "/api/config")
 	if answer == nil {
 		return false
 	}
@@ -36,9 +36,9 @@
 	return true
 }
 
-// ask returns what a machine answers to a call for a path at its control address, nil where it is no 200.
-func (m *Machine) ask(ctx context.Context, path string) []byte {
-	bounded, cancel := context.WithTimeout(ctx, askTime)
+// get returns what a machine answers to a call for a path at its control address, nil where it is no 200.
+func (m *Machine) get(ctx context.Context, path string) []byte {
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := controlclient.Do(bounded, m.Control, controlclient.Call{Method: "GET", Target: path})
 	if err != nil || answer.Status != 200 {
@@ -50,43 +50,43 @@
 // readBackEverywhere checks that each machine shows the newest configuration at the end.
 func (s *soak) readBackEverywhere(ctx context.Context) error {
 	for _, m := range s.Machines {
-		err := await(ctx, m.Name+" shows the configuration", settleBound, func() string {
+		err := await(ctx, m.Name+" shows the configuration", recoveryBound, func() string {
 			if !s.readFrom(ctx, m) {
 				return "no clear answer"
 			}
 			return ""
 		})
 		if err != nil {
-			s.Observations.Broken(routerstandin.Config, "%v", err)
+			s.Observations.RecordViolation(routerstandin.RuleConfig, "%v", err)
 			return err
 		}
 	}
 	return s.Operator.ReadBack(ctx)
 }
 
-// watchFigures looks for broken invariants in the figures of all machines.
-func (s *soak) watchFigures(ctx context.Context) {
-	for sleepFor(ctx, figuresPause) {
+// watchMetrics looks for broken invariants in the figures of all machines.
+func (s *soak) watchMetrics(ctx context.Context) {
+	for sleepFor(ctx, metricsInterval) {
 		for _, m := range s.Machines {
-			s.checkFigures(m, m.ask(ctx, "/metrics"))
+			s.checkInvariantMetrics(m, m.get(ctx, "/metrics"))
 		}
 	}
 }
 
-// violationsName is the figure that counts broken invariants.
-const violationsName = "cresshub_invariant_violations_total{"
+// violationsMetric is the figure that counts broken invariants.
+const violationsMetric = "cresshub_invariant_violations_total{"
 
-func (s *soak) checkFigures(m *Machine, page []byte) {
+func (s *soak) checkInvariantMetrics(m *Machine, page []byte) {
 	for line := range bytes.Lines(page) {
 		line = bytes.TrimSpace(line)
-		if bytes.HasPrefix(line, []byte(violationsName)) && !bytes.HasSuffix(line, []byte(" 0")) {
-			s.Observations.Broken(routerstandin.Invariant, "%s tells %s", m.Name, line)
+		if bytes.HasPrefix(line, []byte(violationsMetric)) && !bytes.HasSuffix(line, []byte(" 0")) {
+			s.Observations.RecordViolation(routerstandin.RuleInvariant, "%s tells %s", m.Name, line)
 		}
 	}
 }
 
-// mostGoroutines is how many goroutines a process has at most when nothing is under way.
-const mostGoroutines = 200
+// maxIdleGoroutines is how many goroutines a process has at most when nothing is under way.
+const maxIdleGoroutines = 200
 
 // checkLeaks checks that each process has given back what requests took, now that nobody sends any more.
 func (s *soak) checkLeaks(ctx context.Context) error {
@@ -94,11 +94,11 @@
 		client.Close()
 	}
 	for _, m := range s.Machines {
-		err := await(ctx, m.Name+" gives back what it took", settleBound, func() string {
-			return leaked(m.ask(ctx, "/metrics"))
+		err := await(ctx, m.Name+" gives back what it took", recoveryBound, func() string {
+			return leaked(m.get(ctx, "/metrics"))
 		})
 		if err != nil {
-			s.Observations.Broken(routerstandin.Fault, "%v", err)
+			s.Observations.RecordViolation(routerstandin.RuleFault, "%v", err)
 			return err
 		}
 	}
@@ -107,19 +107,19 @@
 
 // leaked tells what a page of figures shows to be taken still, "" where nothing is.
 func leaked(page []byte) string {
-	for name, most := range map[string]float64{
-		"cresshub_body_bytes": 0, "cresshub_clients": 0, "cresshub_goroutines": mostGoroutines,
+	for name, limit := range map[string]float64{
+		"cresshub_body_bytes": 0, "cresshub_clients": 0, "cresshub_goroutines": maxIdleGoroutines,
 	} {
-		value, found := figureOf(page, name)
-		if !found || value > most {
-			return fmt.Sprintf("%s is %v, %v is the most", name, value, most)
+		value, ok := metricValue(page, name)
+		if !ok || value > limit {
+			return fmt.Sprintf("%s is %v, %v is the most", name, value, limit)
 		}
 	}
 	return ""
 }
 
-// figureOf returns a figure without labels.
-func figureOf(page []byte, name string) (value float64, found bool) {
+// metricValue returns a figure without labels.
+func metricValue(page []byte, name string) (value float64, ok bool) {
 	for line := range bytes.Lines(page) {
 		text, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte(name+" "))
 		if !ok {
--- a/internal/testbed/routertrial/soak_cuts.go
+++ b/internal/testbed/routertrial/soak_cuts.go
@@ -7,60 +7,60 @@
 	"cresshub/internal/testbed/faultinject"
 )
 
-// way is the way from one machine to another.
-type way struct{ from, to *Machine }
+// link is the way from one machine to another.
+type link struct{ from, to *Machine }
 
-// cuts are the ways between machines that are cut now, each as often as troubles cut it, and what else is
-// wrong with machines.
-type cuts struct {
+// partitions are the ways between machines that are cut now, each as often as troubles cut it, and what else
+// is wrong with machines.
+type partitions struct {
 	fleet *Fleet
 
 	mu    sync.Mutex
-	ways  map[way]int
+	links map[link]int
 	disks map[*Machine]faultinject.DiskMode
 }
 
-func newCuts(f *Fleet) cuts {
-	return cuts{fleet: f, ways: map[way]int{}, disks: map[*Machine]faultinject.DiskMode{}}
+func newPartitions(f *Fleet) partitions {
+	return partitions{fleet: f, links: map[link]int{}, disks: map[*Machine]faultinject.DiskMode{}}
 }
 
-// add cuts ways until the function that it returns is called.
-func (c *cuts) add(ways []way) (heal func()) {
-	c.change(ways, 1)
-	return func() { c.change(ways, -1) }
+// cut cuts ways until the function that it returns is called.
+func (c *partitions) cut(links []link) (heal func()) {
+	c.change(links, 1)
+	return func() { c.change(links, -1) }
 }
 
-func (c *cuts) change(ways []way, by int) {
+func (c *partitions) change(links []link, by int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	touched := map[*Machine]bool{}
-	for _, w := range ways {
-		if c.ways[w] += by; c.ways[w] == 0 {
-			delete(c.ways, w)
+	for _, l := range links {
+		if c.links[l] += by; c.links[l] == 0 {
+			delete(c.links, l)
 		}
-		touched[w.from], touched[w.to] = true, true
+		touched[l.from], touched[l.to] = true, true
 	}
-	c.tell(touched)
+	c.sendFaults(touched)
 }
 
 // setDisk has a machine's disk behave so from now on.
-func (c *cuts) setDisk(m *Machine, mode faultinject.DiskMode) {
+func (c *partitions) setDisk(m *Machine, mode faultinject.DiskMode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disks[m] = mode
-	c.tell(map[*Machine]bool{m: true})
+	c.sendFaults(map[*Machine]bool{m: true})
 }
 
-// tell has the processes of machines know their faults; the lock is held.
-func (c *cuts) tell(machines map[*Machine]bool) {
+// sendFaults has the processes of machines know their faults; the lock is held.
+func (c *partitions) sendFaults(machines map[*Machine]bool) {
 	for m := range machines {
 		var deaf, mute []string
-		for w := range c.ways {
-			if w.to == m {
-				deaf = append(deaf, w.from.IP)
+		for l := range c.links {
+			if l.to == m {
+				deaf = append(deaf, l.from.IP)
 			}
-			if w.from == m {
-				mute = append(mute, w.to.IP)
+			if l.from == m {
+				mute = append(mute, l.to.IP)
 			}
 		}
 		var commands []string
@@ -77,15 +77,15 @@
 	}
 }
 
-// bothWays are the ways between each machine of one group and each of another.
-func bothWays(group, others []*Machine) []way {
-	var ways []way
+// bothDirections are the ways between each machine of one group and each of another.
+func bothDirections(group, others []*Machine) []link {
+	var links []link
 	for _, m := range group {
 		for _, other := range others {
 			if m != other {
-				ways = append(ways, way{m, other}, way{other, m})
+				links = append(links, link{m, other}, link{other, m})
 			}
 		}
 	}
-	return ways
+	return links
 }
--- a/internal/testbed/routertrial/soak_machines.go
+++ b/internal/testbed/routertrial/soak_machines.go
@@ -10,10 +10,11 @@
 	"cresshub/internal/testbed/faultinject"
 )
 
-// mostPoint is the last numbered point at which a process is ended, mostStartPoint the last one of its start.
+// maxExitPoint is the last numbered point at which a process is ended, maxStartExitPoint the last one of its
+// start.
 const (
-	mostPoint      = 120
-	mostStartPoint = 40
+	maxExitPoint      = 120
+	maxStartExitPoint = 40
 )
 
 // restart starts a machine whose process has ended.
@@ -25,61 +26,61 @@
 	return nil
 }
 
-func playKill(ctx context.Context, s *soak, lot *rand.Rand, m *Machine) error {
+func injectKill(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	s.event("%s is killed", m.Name)
 	m.Kill()
-	sleepFor(ctx, between(lot, 50*time.Millisecond, 2*time.Second))
+	sleepFor(ctx, between(rng, 50*time.Millisecond, 2*time.Second))
 	return s.restart(ctx, m)
 }
 
-func playEndAtPoint(ctx context.Context, s *soak, lot *rand.Rand, m *Machine) error {
-	point := 1 + lot.IntN(mostPoint)
-	ended := m.EndAtPoint(ctx, point, 1500*time.Millisecond)
+func injectExitAtPoint(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
+	point := 1 + rng.IntN(maxExitPoint)
+	ended := m.ExitAtPoint(ctx, point, 1500*time.Millisecond)
 	s.event("%s ended at point %d: %t", m.Name, point, ended)
-	sleepFor(ctx, between(lot, 50*time.Millisecond, time.Second))
-	for range lot.IntN(3) { // and again while it starts
-		point = 1 + lot.IntN(mostStartPoint)
-		ended = m.StartToEnd(ctx, point, time.Second)
+	sleepFor(ctx, between(rng, 50*time.Millisecond, time.Second))
+	for range rng.IntN(3) { // and again while it starts
+		point = 1 + rng.IntN(maxStartExitPoint)
+		ended = m.StartUntilPoint(ctx, point, time.Second)
 		s.event("%s started and ended at point %d: %t", m.Name, point, ended)
 	}
 	return s.restart(ctx, m)
 }
 
-func playTerm(ctx context.Context, s *soak, lot *rand.Rand, m *Machine) error {
+func injectTermination(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	s.event("%s gets SIGTERM", m.Name)
 	m.Terminate(ctx)
 	s.event("%s has ended", m.Name)
 	return s.restart(ctx, m)
 }
 
-func playFreeze(ctx context.Context, s *soak, lot *rand.Rand, m *Machine) error {
+func injectFreeze(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	s.event("%s freezes", m.Name)
-	m.Freeze(ctx, between(lot, 200*time.Millisecond, 4*time.Second))
+	m.Freeze(ctx, between(rng, 200*time.Millisecond, 4*time.Second))
 	s.event("%s wakes", m.Name)
 	return nil
 }
 
-// playWipe has a machine lose its disk, unless another one has not caught up yet that lost its own.
-func playWipe(ctx context.Context, s *soak, lot *rand.Rand) error {
-	if !s.mayWipe() {
+// injectDiskLoss has a machine lose its disk, unless another one has not caught up yet that lost its own.
+func injectDiskLoss(ctx context.Context, s *soak, rng *rand.Rand) error {
+	if !s.reserveWipe() {
 		return nil
 	}
-	defer s.wiped()
-	m := s.take(lot, hasDisk)
+	defer s.releaseWipe()
+	m := s.reserveOne(rng, hasDisk)
 	if m == nil {
 		return nil
 	}
 	defer s.release(m)
 	s.event("%s is killed and loses its disk", m.Name)
 	m.Kill()
-	sleepFor(ctx, between(lot, 50*time.Millisecond, time.Second))
+	sleepFor(ctx, between(rng, 50*time.Millisecond, time.Second))
 	if err := m.Wipe(); err != nil {
 		return err
 	}
 	return s.restart(ctx, m)
 }
 
-func (s *soak) mayWipe() bool {
+func (s *soak) reserveWipe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wiping || time.Since(s.wipedAt) < 2*catchUp {
@@ -89,34 +90,34 @@
 	return true
 }
 
-func (s *soak) wiped() {
+func (s *soak) releaseWipe() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wiping, s.wipedAt = false, time.Now()
 }
 
-func playHerd(ctx context.Context, s *soak, lot *rand.Rand) error {
-	if !s.takeAll() {
+func injectKillAll(ctx context.Context, s *soak, rng *rand.Rand) error {
+	if !s.reserveAll() {
 		return nil
 	}
 	defer s.release(s.Machines...)
-	return s.killHerd(ctx, lot)
+	return s.killAndRestartAll(ctx, rng)
 }
 
-func (s *soak) killHerd(ctx context.Context, lot *rand.Rand) error {
+func (s *soak) killAndRestartAll(ctx context.Context, rng *rand.Rand) error {
 	s.event("all machines are killed")
 	for _, m := range s.Machines {
 		m.Kill()
 	}
-	sleepFor(ctx, between(lot, 50*time.Millisecond, time.Second))
+	sleepFor(ctx, between(rng, 50*time.Millisecond, time.Second))
 	err := s.StartMachines(ctx, false)
 	s.event("all machines run again")
 	return err
 }
 
-// playHerdAfterAck kills all processes right after a change was acknowledged; one may lose its disk.
-func playHerdAfterAck(ctx context.Context, s *soak, lot *rand.Rand) error {
-	if !s.takeAll() {
+// injectKillAllAfterAck kills all processes right after a change was acknowledged; one may lose its disk.
+func injectKillAllAfterAck(ctx context.Context, s *soak, rng *rand.Rand) error {
+	if !s.reserveAll() {
 		return nil
 	}
 	defer s.release(s.Machines...)
@@ -125,35 +126,36 @@
 	if err := s.change(bounded); err != nil {
 		s.event("a change got no clear answer: %v", err)
 	}
-	sleepFor(ctx, time.Duration(lot.Int64N(int64(15*time.Millisecond))))
+	sleepFor(ctx, time.Duration(rng.Int64N(int64(15*time.Millisecond))))
 	for _, m := range s.Machines {
 		m.Kill()
 	}
 	s.event("all machines are killed after a change")
-	if lot.IntN(2) == 0 && s.mayWipe() {
-		defer s.wiped()
-		lost := drawMachine(lot, s.WithDisk(true))
+	if rng.IntN(2) == 0 && s.reserveWipe() {
+		defer s.releaseWipe()
+		lost := drawMachine(rng, s.WithDisk(true))
 		s.event("%s loses its disk", lost.Name)
 		if err := lost.Wipe(); err != nil {
 			return err
 		}
 	}
-	sleepFor(ctx, between(lot, 50*time.Millisecond, time.Second))
+	sleepFor(ctx, between(rng, 50*time.Millisecond, time.Second))
 	return s.StartMachines(ctx, false)
 }
 
-// playDisk has a disk refuse writes, hang or be slow; sometimes its process is killed or stopped meanwhile.
-func playDisk(ctx context.Context, s *soak, lot *rand.Rand, m *Machine) error {
+// injectDiskFault has a disk refuse writes, hang or be slow; sometimes its process is killed or stopped
+// meanwhile.
+func injectDiskFault(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	modes := []faultinject.DiskMode{faultinject.DiskFull, faultinject.DiskHang, faultinject.DiskSlow}
-	mode := modes[lot.IntN(len(modes))]
-	troubled, end := context.WithCancel(ctx)
+	mode := modes[rng.IntN(len(modes))]
+	faultCtx, end := context.WithCancel(ctx)
 	defer end()
-	go s.keepTroubled(troubled, m)
+	go s.recordFaultUntil(faultCtx, m)
 	s.event("%s: disk %s", m.Name, mode)
-	s.cuts.setDisk(m, mode)
-	sleepFor(ctx, between(lot, 300*time.Millisecond, 4*time.Second))
+	s.partitions.setDisk(m, mode)
+	sleepFor(ctx, between(rng, 300*time.Millisecond, 4*time.Second))
 	var err error
-	switch lot.IntN(4) {
+	switch rng.IntN(4) {
 	case 0:
 		s.event("%s is killed, its disk is still %s", m.Name, mode)
 		m.Kill()
@@ -163,58 +165,58 @@
 		m.Terminate(ctx)
 		err = s.restart(ctx, m)
 	}
-	sleepFor(ctx, between(lot, 100*time.Millisecond, 2*time.Second))
-	s.cuts.setDisk(m, faultinject.DiskOK)
+	sleepFor(ctx, between(rng, 100*time.Millisecond, 2*time.Second))
+	s.partitions.setDisk(m, faultinject.DiskOK)
 	s.event("%s: disk ok", m.Name)
 	return err
 }
 
-// playAccept has a process fail to accept connections, as it does without descriptors.
-func playAccept(ctx context.Context, s *soak, lot *rand.Rand) error {
-	m := s.Machines[lot.IntN(len(s.Machines))]
-	troubled, end := context.WithCancel(ctx)
+// injectAcceptFailure has a process fail to accept connections, as it does without descriptors.
+func injectAcceptFailure(ctx context.Context, s *soak, rng *rand.Rand) error {
+	m := s.Machines[rng.IntN(len(s.Machines))]
+	faultCtx, end := context.WithCancel(ctx)
 	defer end()
-	go s.keepTroubled(troubled, m)
-	count := 1 + lot.IntN(6)
+	go s.recordFaultUntil(faultCtx, m)
+	count := 1 + rng.IntN(6)
 	s.event("%s fails to accept %d connections", m.Name, count)
 	m.send("%s %d", faultinject.CommandRefuse, count)
-	sleepFor(ctx, between(lot, 200*time.Millisecond, time.Second))
+	sleepFor(ctx, between(rng, 200*time.Millisecond, time.Second))
 	m.send("%s 0", faultinject.CommandRefuse)
 	return nil
 }
 
-// playReload writes the settings file in pieces, with other seeds, and sends SIGHUP at any moment.
-func playReload(ctx context.Context, s *soak, lot *rand.Rand) error {
-	m := s.Machines[lot.IntN(len(s.Machines))]
+// injectReload writes the settings file in pieces, with other seeds, and sends SIGHUP at any moment.
+func injectReload(ctx context.Context, s *soak, rng *rand.Rand) error {
+	m := s.Machines[rng.IntN(len(s.Machines))]
 	s.event("%s: settings change", m.Name)
 	raw, err := m.settingsFile(false)
 	if err != nil {
 		return err
 	}
-	half := lot.IntN(len(raw))
-	for _, part := range [][]byte{raw[:half], raw} {
-		if err := os.WriteFile(m.settingsPath(), part, 0o600); err != nil {
+	half := rng.IntN(len(raw))
+	for _, content := range [][]byte{raw[:half], raw} {
+		if err := os.WriteFile(m.settingsPath(), content, 0o600); err != nil {
 			return err
 		}
-		for range lot.IntN(3) {
+		for range rng.IntN(3) {
 			if process := m.running(); process != nil {
 				_ = process.Signal(syscall.SIGHUP)
 			}
-			sleepFor(ctx, between(lot, time.Millisecond, 30*time.Millisecond))
+			sleepFor(ctx, between(rng, time.Millisecond, 30*time.Millisecond))
 		}
 	}
 	return nil
 }
 
-// playLogStands has nobody read the log of a process for a while.
-func playLogStands(ctx context.Context, s *soak, lot *rand.Rand, m *Machine) error {
+// injectStalledLog has nobody read the log of a process for a while.
+func injectStalledLog(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	process := m.running()
 	if process == nil {
 		return nil
 	}
 	s.event("nobody reads the log of %s", m.Name)
 	process.PauseLog()
-	sleepFor(ctx, between(lot, time.Second, 4*time.Second))
+	sleepFor(ctx, between(rng, time.Second, 4*time.Second))
 	process.ResumeLog()
 	s.event("the log of %s is read", m.Name)
 	return nil
--- a/internal/testbed/routertrial/soak_networks.go
+++ b/internal/testbed/routertrial/soak_networks.go
@@ -7,63 +7,65 @@
 	"time"
 )
 
-// playCut cuts ways for a while.
-func (s *soak) playCut(ctx context.Context, lot *rand.Rand, what string, ways []way, machines ...*Machine) {
-	troubled, end := context.WithCancel(ctx)
+// injectPartition cuts ways for a while.
+func (s *soak) injectPartition(ctx context.Context, rng *rand.Rand, what string, links []link,
+	machines ...*Machine) {
+	faultCtx, end := context.WithCancel(ctx)
 	defer end()
-	go s.keepTroubled(troubled, machines...)
+	go s.recordFaultUntil(faultCtx, machines...)
 	s.event("cut: %s", what)
-	heal := s.cuts.add(ways)
-	sleepFor(ctx, between(lot, 300*time.Millisecond, 6*time.Second))
+	heal := s.partitions.cut(links)
+	sleepFor(ctx, between(rng, 300*time.Millisecond, 6*time.Second))
 	heal()
 	s.event("healed: %s", what)
 }
 
-// playCutMember cuts a machine with a disk off from the others that have one, or from all.
-func playCutMember(ctx context.Context, s *soak, lot *rand.Rand) error {
-	m := drawMachine(lot, s.WithDisk(true))
+// isolateMember cuts a machine with a disk off from the others that have one, or from all.
+func isolateMember(ctx context.Context, s *soak, rng *rand.Rand) error {
+	m := drawMachine(rng, s.WithDisk(true))
 	others, what := s.WithDisk(true), "the other members"
-	if lot.IntN(2) == 0 {
+	if rng.IntN(2) == 0 {
 		others, what = s.Machines, "all machines"
 	}
-	s.playCut(ctx, lot, m.Name+" from "+what, bothWays([]*Machine{m}, others), s.WithDisk(true)...)
+	s.injectPartition(ctx, rng, m.Name+" from "+what, bothDirections([]*Machine{m}, others), s.WithDisk(true)...)
 	return nil
 }
 
-// playCutHalves cuts the machines into two halves by lot.
-func playCutHalves(ctx context.Context, s *soak, lot *rand.Rand) error {
+// partitionHalves cuts the machines into two halves by lot.
+func partitionHalves(ctx context.Context, s *soak, rng *rand.Rand) error {
 	var one, other []*Machine
 	for _, m := range s.Machines {
-		if lot.IntN(2) == 0 {
+		if rng.IntN(2) == 0 {
 			one = append(one, m)
 		} else {
 			other = append(other, m)
 		}
 	}
-	s.playCut(ctx, lot, fmt.Sprintf("%d machines from %d", len(one), len(other)), bothWays(one, other),
-		s.Machines...)
+	s.injectPartition(ctx, rng, fmt.Sprintf("%d machines from %d", len(one), len(other)),
+		bothDirections(one, other), s.Machines...)
 	return nil
 }
 
-// playCutOneWay has a machine not hear another one, or nobody hear it.
-func playCutOneWay(ctx context.Context, s *soak, lot *rand.Rand) error {
-	from := s.Machines[lot.IntN(len(s.Machines))]
-	var ways []way
+// partitionOneWay has a machine not hear another one, or nobody hear it.
+func partitionOneWay(ctx context.Context, s *soak, rng *rand.Rand) error {
+	from := s.Machines[rng.IntN(len(s.Machines))]
+	var links []link
 	for _, to := range s.Machines {
-		if to != from && lot.IntN(3) > 0 {
-			ways = append(ways, way{from, to})
+		if to != from && rng.IntN(3) > 0 {
+			links = append(links, link{from, to})
 		}
 	}
-	s.playCut(ctx, lot, fmt.Sprintf("%s is not heard by %d", from.Name, len(ways)), ways, s.Machines...)
+	s.injectPartition(ctx, rng, fmt.Sprintf("%s is not heard by %d", from.Name, len(links)), links,
+		s.Machines...)
 	return nil
 }
 
-func playCutFollower(ctx context.Context, s *soak, lot *rand.Rand) error {
-	m := drawMachine(lot, s.WithDisk(false))
+func isolateFollower(ctx context.Context, s *soak, rng *rand.Rand) error {
+	m := drawMachine(rng, s.WithDisk(false))
 	members := s.WithDisk(true)
-	lot.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-	members = members[:1+lot.IntN(len(members))]
-	s.playCut(ctx, lot, fmt.Sprintf("%s from %d members", m.Name, len(members)),
-		bothWays([]*Machine{m}, members), m)
+	rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+	members = members[:1+rng.IntN(len(members))]
+	s.injectPartition(ctx, rng, fmt.Sprintf("%s from %d members", m.Name, len(members)),
+		bothDirections([]*Machine{m}, members), m)
 	return nil
 }
--- a/internal/testbed/routertrial/soak_servers.go
+++ b/internal/testbed/routertrial/soak_servers.go
@@ -10,46 +10,46 @@
 )
 
 // drawServer returns one of the servers that run.
-func (s *soak) drawServer(lot *rand.Rand) *routerstandin.Server {
+func (s *soak) drawServer(rng *rand.Rand) *routerstandin.Server {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
-	return s.servers[lot.IntN(len(s.servers))]
+	return s.servers[rng.IntN(len(s.servers))]
 }
 
 // takeServer takes one server out of those that run, so that no other trouble ends it too.
-func (s *soak) takeServer(lot *rand.Rand) *routerstandin.Server {
+func (s *soak) takeServer(rng *rand.Rand) *routerstandin.Server {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
 	if len(s.servers) < len(serverPlan)-1 {
 		return nil
 	}
-	at := lot.IntN(len(s.servers))
+	at := rng.IntN(len(s.servers))
 	server := s.servers[at]
 	s.servers = slices.Delete(s.servers, at, at+1)
 	return server
 }
 
-func (s *soak) noteEnded(server *routerstandin.Server) {
+func (s *soak) recordEnded(server *routerstandin.Server) {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
 	s.ended = append(s.ended, server.Tally())
 }
 
-func playCrashServer(ctx context.Context, s *soak, lot *rand.Rand) error {
-	server := s.takeServer(lot)
+func injectServerCrash(ctx context.Context, s *soak, rng *rand.Rand) error {
+	server := s.takeServer(rng)
 	if server == nil {
 		return nil
 	}
 	options := server.Options()
 	s.event("server %s of %s crashes", server.ID(), options.Service)
 	server.Crash()
-	s.noteEnded(server)
-	sleepFor(ctx, between(lot, 50*time.Millisecond, 2*time.Second))
+	s.recordEnded(server)
+	sleepFor(ctx, between(rng, 50*time.Millisecond, 2*time.Second))
 	return s.StartServer(options)
 }
 
-func playDrainServer(ctx context.Context, s *soak, lot *rand.Rand) error {
-	server := s.takeServer(lot)
+func injectServerDrain(ctx context.Context, s *soak, rng *rand.Rand) error {
+	server := s.takeServer(rng)
 	if server == nil {
 		return nil
 	}
@@ -61,27 +61,27 @@
 	s.event("server %s of %s leaves", server.ID(), options.Service)
 	stopWatching := context.AfterFunc(ctx, server.Stop)
 	defer stopWatching()
-	acknowledged := server.Leave(bounds.Drain)
-	s.noteEnded(server)
+	acknowledged := server.Shutdown(bounds.Drain)
+	s.recordEnded(server)
 	s.event("server %s has left, acknowledged: %t", server.ID(), acknowledged)
 	return nil
 }
 
-// playMisbehave has servers treat a part of their requests badly.
-func playMisbehave(ctx context.Context, s *soak, lot *rand.Rand) error {
-	how := routerstandin.Misbehaviours[lot.IntN(len(routerstandin.Misbehaviours))]
-	part := 0.2 + 0.8*lot.Float64()
+// injectMisbehaviour has servers treat a part of their requests badly.
+func injectMisbehaviour(ctx context.Context, s *soak, rng *rand.Rand) error {
+	misbehaviour := routerstandin.Misbehaviours[rng.IntN(len(routerstandin.Misbehaviours))]
+	fraction := 0.2 + 0.8*rng.Float64()
 	var servers []*routerstandin.Server
-	for range 1 + lot.IntN(4) {
-		servers = append(servers, s.drawServer(lot))
+	for range 1 + rng.IntN(4) {
+		servers = append(servers, s.drawServer(rng))
 	}
 	for _, server := range servers {
-		s.event("server %s of %s %s (%.1f)", server.ID(), server.Tally().Service, how, part)
-		server.Misbehave(how, part)
+		s.event("server %s of %s %s (%.1f)", server.ID(), server.Tally().Service, misbehaviour, fraction)
+		server.Misbehave(misbehaviour, fraction)
 	}
-	sleepFor(ctx, between(lot, 500*time.Millisecond, 4*time.Second))
+	sleepFor(ctx, between(rng, 500*time.Millisecond, 4*time.Second))
 	for _, server := range servers {
-		server.Misbehave(routerstandin.Behaves, 0)
+		server.Misbehave(routerstandin.NoMisbehaviour, 0)
 	}
 	return nil
 }
--- a/internal/testbed/routertrial/soak_test.go
+++ b/internal/testbed/routertrial/soak_test.go
@@ -22,7 +22,7 @@
 // Real processes in overlapping troubles break no rule and no invariant, and the fleet is ready again soon
 // after the last trouble.
 func TestSoak(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	for i := range *soakSeeds {
 		playSoak(t, SoakOptions{Seed: *soakFirst + uint64(i), Rounds: soakRounds, Large: i%3 == 1})
 	}
@@ -30,15 +30,15 @@
 
 // Each trouble of the soak is played once by itself, so that each of them is known to work.
 func TestEachTroubleOfTheSoak(t *testing.T) {
-	long(t)
-	for at, name := range TroubleNames() {
-		playSoak(t, SoakOptions{Seed: uint64(at), Rounds: 1, Only: []string{name}})
+	skipIfShort(t)
+	for at, name := range SoakFaultNames() {
+		playSoak(t, SoakOptions{Seed: uint64(at), Rounds: 1, OnlyFaults: []string{name}})
 	}
 }
 
 func playSoak(t *testing.T, options SoakOptions) {
 	options.Program, options.Rate = binary, testRate
-	name := fmt.Sprintf("seed=%d %s", options.Seed, strings.Join(options.Only, ","))
+	name := fmt.Sprintf("seed=%d %s", options.Seed, strings.Join(options.OnlyFaults, ","))
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
 		running <- struct{}{}
--- a/internal/testbed/routertrial/soak_troubles.go
+++ b/internal/testbed/routertrial/soak_troubles.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// soakTrouble is one kind of trouble that a soak draws. It plays to its end and leaves nothing behind.
-type soakTrouble struct {
-	name string
-	play func(ctx context.Context, s *soak, lot *rand.Rand) error
+// soakFault is one kind of trouble that a soak draws. It plays to its end and leaves nothing behind.
+type soakFault struct {
+	name   string
+	inject func(ctx context.Context, s *soak, lot *rand.Rand) error
 }
 
-var soakTroubles = []soakTrouble{
-	{"kill", onMachine(anyMachine, playKill)},
-	{"end_at_point", onMachine(anyMachine, playEndAtPoint)},
-	{"term", onMachine(anyMachine, playTerm)},
-	{"freeze", onMachine(anyMachine, playFreeze)},
-	{"wipe", playWipe},
-	{"herd", playHerd},
-	{"herd_after_ack", playHerdAfterAck},
-	{"cut_member", playCutMember},
-	{"cut_halves", playCutHalves},
-	{"cut_one_way", playCutOneWay},
-	{"cut_follower", playCutFollower},
-	{"disk", onMachine(hasDisk, playDisk)},
-	{"accept", playAccept},
-	{"reload", playReload},
-	{"log_stands", onMachine(anyMachine, playLogStands)},
-	{"crash_server", playCrashServer},
-	{"drain_server", playDrainServer},
-	{"misbehave", playMisbehave},
-	{"storm", playStorm},
-	{"race", playRace},
-	{"answers_lost", playAnswersLost},
-	{"rude_clients", playRudeClients},
+var soakFaults = []soakFault{
+	{"kill", onMachine(anyMachine, injectKill)},
+	{"end_at_point", onMachine(anyMachine, injectExitAtPoint)},
+	{"term", onMachine(anyMachine, injectTermination)},
+	{"freeze", onMachine(anyMachine, injectFreeze)},
+	{"wipe", injectDiskLoss},
+	{"herd", injectKillAll},
+	{"herd_after_ack", injectKillAllAfterAck},
+	{"cut_member", isolateMember},
+	{"cut_halves", partitionHalves},
+	{"cut_one_way", partitionOneWay},
+	{"cut_follower", isolateFollower},
+	{"disk", onMachine(hasDisk, injectDiskFault)},
+	{"accept", injectAcceptFailure},
+	{"reload", injectReload},
+	{"log_stands", onMachine(anyMachine, injectStalledLog)},
+	{"crash_server", injectServerCrash},
+	{"drain_server", injectServerDrain},
+	{"misbehave", injectMisbehaviour},
+	{"storm", injectConfigBurst},
+	{"race", injectConfigRace},
+	{"answers_lost", injectDroppedResponses},
+	{"rude_clients", injectRudeClients},
 }
 
-// TroubleNames names the troubles that a soak draws.
-func TroubleNames() []string {
+// SoakFaultNames names the troubles that a soak draws.
+func SoakFaultNames() []string {
 	var names []string
-	for _, trouble := range soakTroubles {
-		names = append(names, trouble.name)
+	for _, fault := range soakFaults {
+		names = append(names, fault.name)
 	}
 	return names
 }
 
-// selectTroubles returns the troubles with some names, all where none is given.
-func selectTroubles(names []string) []soakTrouble {
+// selectFaults returns the troubles with some names, all where none is given.
+func selectFaults(names []string) []soakFault {
 	if len(names) == 0 {
-		return soakTroubles
+		return soakFaults
 	}
-	return slices.DeleteFunc(slices.Clone(soakTroubles), func(trouble soakTrouble) bool {
-		return !slices.Contains(names, trouble.name)
+	return slices.DeleteFunc(slices.Clone(soakFaults), func(fault soakFault) bool {
+		return !slices.Contains(names, fault.name)
 	})
 }
 
 // between draws a time.
-func between(lot *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(lot.Int64N(int64(most-least)))
+func between(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 }
--- a/internal/testbed/routertrial/trial.go
+++ b/internal/testbed/routertrial/trial.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// liveInterval is how often progress is told.
-	liveInterval = 200 * time.Millisecond
-	// changePart and troublePart of the time are when the configuration changes and when the trouble begins.
-	changePart  = 6
-	troublePart = 3
-	// afterTrouble is how long clients send on after a trouble.
-	afterTrouble = 2 * time.Second
-	// settleTime is how long nothing is sent until the rules are judged, so that late runs are seen.
-	settleTime = 300 * time.Millisecond
-	// readBackTime bounds the reading back of the configuration.
-	readBackTime = 10 * time.Second
+	// progressInterval is how often progress is told.
+	progressInterval = 200 * time.Millisecond
+	// changeDivisor and faultDivisor of the time are when the configuration changes and when the trouble begins.
+	changeDivisor = 6
+	faultDivisor  = 3
+	// afterFault is how long clients send on after a trouble.
+	afterFault = 2 * time.Second
+	// quietTime is how long nothing is sent until the rules are judged, so that late runs are seen.
+	quietTime = 300 * time.Millisecond
+	// readBackTimeout bounds the reading back of the configuration.
+	readBackTimeout = 10 * time.Second
 )
 
 // Progress is how far a trial is.
 type Progress struct {
-	Elapsed time.Duration
-	Total   routerstandin.KindTally // of all kinds together
-	Last    string                  // what was done last
+	Elapsed   time.Duration
+	Total     routerstandin.KindTally // of all kinds together
+	LastEvent string                  // what was done last
 }
 
 // Report is what came of a trial.
 type Report struct {
 	Seconds float64                     `json:"seconds"`
 	Rate    float64                     `json:"rate"`
-	Trouble string                      `json:"trouble,omitempty"`
+	Fault   string                      `json:"trouble,omitempty"`
 	Kinds   []routerstandin.KindTally   `json:"kinds"`
 	Servers []routerstandin.ServerTally `json:"servers"`
 	Rules   []routerstandin.Verdict     `json:"rules"`
@@ -47,11 +47,11 @@
 	Notes   []string                    `json:"notes"`
 }
 
-// Broken is how many breaks of rules there were.
-func (r *Report) Broken() int {
+// Violations is how many breaks of rules there were.
+func (r *Report) Violations() int {
 	sum := 0
 	for _, rule := range r.Rules {
-		sum += rule.Breaks
+		sum += rule.Violations
 	}
 	return sum
 }
@@ -64,88 +64,88 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	return fleet.Play(ctx)
+	return fleet.Run(ctx)
 }
 
-// Play has clients send for the time that the options name, while the configuration changes and the trouble
+// Run has clients send for the time that the options name, while the configuration changes and the trouble
 // is played.
-func (f *Fleet) Play(ctx context.Context) (*Report, error) {
-	f.begin()
+func (f *Fleet) Run(ctx context.Context) (*Report, error) {
+	f.startClock()
 	load := f.NewLoad()
 	over, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if f.options.Live != nil {
-		f.beside.Go(func() { f.tellProgress(over, load) })
+	if f.options.OnProgress != nil {
+		f.background.Go(func() { f.reportProgress(over, load) })
 	}
 	sending := make(chan struct{})
 	played := make(chan error, 1)
 	go func() {
 		defer close(sending)
-		played <- f.playScript(ctx)
+		played <- f.runScript(ctx)
 	}()
 	load.Run(ctx, sending)
 	problem := <-played
-	if problem == nil && sleepFor(ctx, settleTime) {
-		bounded, cancel := context.WithTimeout(ctx, readBackTime)
+	if problem == nil && sleepFor(ctx, quietTime) {
+		bounded, cancel := context.WithTimeout(ctx, readBackTimeout)
 		defer cancel()
 		problem = f.Operator.ReadBack(bounded)
 	}
 	return f.report(load), errors.Join(ctx.Err(), problem)
 }
 
-// playScript changes the configuration, plays the trouble, and returns when the clients may stop.
-func (f *Fleet) playScript(ctx context.Context) error {
-	until := time.Now().Add(f.options.For)
+// runScript changes the configuration, plays the trouble, and returns when the clients may stop.
+func (f *Fleet) runScript(ctx context.Context) error {
+	until := time.Now().Add(f.options.Duration)
 	changed := make(chan error, 1)
 	go func() {
-		if !sleepFor(ctx, f.options.For/changePart) {
+		if !sleepFor(ctx, f.options.Duration/changeDivisor) {
 			changed <- nil
 			return
 		}
 		changed <- f.Change(ctx)
 	}()
-	var troubled error
-	if f.options.Trouble != "" && sleepFor(ctx, f.options.For/troublePart) {
-		if troubled = f.Trouble(ctx, f.options.Trouble); troubled == nil {
-			sleepFor(ctx, afterTrouble)
+	var faultErr error
+	if f.options.Fault != "" && sleepFor(ctx, f.options.Duration/faultDivisor) {
+		if faultErr = f.InjectFault(ctx, f.options.Fault); faultErr == nil {
+			sleepFor(ctx, afterFault)
 		}
 	}
-	problem := errors.Join(<-changed, troubled)
+	problem := errors.Join(<-changed, faultErr)
 	if problem == nil {
 		sleepFor(ctx, time.Until(until))
 	}
 	return problem
 }
 
-func (f *Fleet) tellProgress(ctx context.Context, load *routerstandin.Load) {
-	for sleepFor(ctx, liveInterval) {
-		f.options.Live(Progress{Elapsed: f.elapsed(), Total: load.Tally().Total(), Last: f.lastEvent()})
+func (f *Fleet) reportProgress(ctx context.Context, load *routerstandin.Load) {
+	for sleepFor(ctx, progressInterval) {
+		f.options.OnProgress(Progress{Elapsed: f.elapsed(), Total: load.Tally().Total(), LastEvent: f.lastEvent()})
 	}
 }
 
 func (f *Fleet) report(load *routerstandin.Load) *Report {
 	return &Report{
-		Seconds: f.elapsed().Seconds(), Rate: f.options.Rate, Trouble: f.options.Trouble,
+		Seconds: f.elapsed().Seconds(), Rate: f.options.Rate, Fault: f.options.Fault,
 		Kinds: load.Tally().Kinds(), Servers: f.ServerTallies(), Rules: f.Observations.Judge(),
 		Events: f.Events(), Notes: f.Notes(), Reasons: load.Tally().Reasons(),
 	}
 }
 
-// begin notes that clients begin to send.
-func (f *Fleet) begin() {
+// startClock notes that clients begin to send.
+func (f *Fleet) startClock() {
 	f.eventsMu.Lock()
 	defer f.eventsMu.Unlock()
-	f.began = time.Now()
+	f.startedAt = time.Now()
 }
 
 // elapsed is the time since clients began to send, 0 before.
 func (f *Fleet) elapsed() time.Duration {
 	f.eventsMu.Lock()
 	defer f.eventsMu.Unlock()
-	if f.began.IsZero() {
+	if f.startedAt.IsZero() {
 		return 0
 	}
-	return time.Since(f.began)
+	return time.Since(f.startedAt)
 }
 
 // event notes something that the trial does.
--- a/internal/testbed/routertrial/trial_test.go
+++ b/internal/testbed/routertrial/trial_test.go
@@ -22,14 +22,14 @@
 	r.Assert(total.Served(), qt.Equals, total.Asked)
 	reads, runs := 0, 0
 	for _, server := range r.ServerTallies() {
-		reads += server.Reads
+		reads += server.Prefills
 		runs += server.Runs
 	}
 	r.Assert(reads > 0, qt.IsTrue)
 	r.Assert(runs, qt.Equals, total.Asked)
 }
 
-func long(t *testing.T) {
+func skipIfShort(t *testing.T) {
 	if testing.Short() {
 		t.Skip("only the smallest trial is played with -short")
 	}
@@ -37,14 +37,14 @@
 
 // A change is in force at every proxy within the bound; one that is refused never is.
 func TestChangeIsInForceEverywhere(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	r.calm()
-	r.Assert(r.Probe(r.ctx, leavingKind), qt.DeepEquals, map[int]int{200: 6})
-	r.Assert(r.Probe(r.ctx, joiningKind), qt.DeepEquals, map[int]int{404: 6})
+	r.Assert(r.Probe(r.ctx, removedKind), qt.DeepEquals, map[int]int{200: 6})
+	r.Assert(r.Probe(r.ctx, addedKind), qt.DeepEquals, map[int]int{404: 6})
 	r.Assert(r.Change(r.ctx), qt.IsNil)
-	r.Assert(r.Probe(r.ctx, leavingKind), qt.DeepEquals, map[int]int{404: 6})
-	r.Assert(r.Probe(r.ctx, joiningKind), qt.DeepEquals, map[int]int{200: 6})
+	r.Assert(r.Probe(r.ctx, removedKind), qt.DeepEquals, map[int]int{404: 6})
+	r.Assert(r.Probe(r.ctx, addedKind), qt.DeepEquals, map[int]int{200: 6})
 	r.Assert(r.put("1", `{"edition":9,"routes":[],"depots_list":[]}`), qt.Equals, 412)
 	r.Assert(r.put("3", `{"edition":9,"routes":[{"town":"h","street_prefix":"/","timeout_ms":1,"depot":"none"}],
 		"depots_list":[]}`), qt.Equals, 400)
@@ -64,7 +64,7 @@
 
 // Of two operators that build on the same version one wins.
 func TestOneOfTwoOperatorsWins(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	one, other := nextConfiguration(firstConfiguration()), nextConfiguration(firstConfiguration())
 	other.Version++
@@ -75,7 +75,7 @@
 	results := make(chan error, 2)
 	go func() { results <- r.Operator.Put(r.ctx, one) }()
 	go func() { results <- second.Patch(r.ctx, other) }()
-	var rejected *routerstandin.Rejected
+	var rejected *routerstandin.RejectedError
 	first, last := <-results, <-results
 	r.Assert((first == nil) != (last == nil), qt.IsTrue, qt.Commentf("%v and %v", first, last))
 	if first == nil {
@@ -89,23 +89,23 @@
 // A machine that keeps the configuration is killed: the configuration can still be changed, the machine comes
 // back with the newest one, and the rules are kept throughout.
 func TestKilledMachineComesBack(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	killed := r.WithDisk(true)[0] // the founder, and the head of the chain at first
 	killed.Kill()
 	r.Assert(r.Operator.Change(r.ctx, nextConfiguration(r.Operator.Current())), qt.IsNil)
 	r.serve(60)
-	r.Assert(r.startAgain(r.ctx, killed), qt.IsNil)
+	r.Assert(r.restartMachine(r.ctx, killed), qt.IsNil)
 	r.Assert(r.AwaitServers(r.ctx), qt.IsNil)
 	r.calm()
-	r.Assert(r.Probe(r.ctx, joiningKind), qt.DeepEquals, map[int]int{200: 6})
+	r.Assert(r.Probe(r.ctx, addedKind), qt.DeepEquals, map[int]int{200: 6})
 	r.serve(30)
 	r.finish()
 }
 
 // A machine that lost its disk takes part again: once it has caught up, another may be lost.
 func TestWipedMachineComesBack(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	wiped, next := r.WithDisk(true)[1], r.WithDisk(true)[2]
 	r.Assert(r.killMachine(r.ctx, wiped, true), qt.IsNil)
@@ -113,28 +113,28 @@
 	next.Kill()
 	r.Assert(next.Wipe(), qt.IsNil)
 	r.Assert(r.Operator.Change(r.ctx, nextConfiguration(r.Operator.Current())), qt.IsNil)
-	r.Assert(r.startAgain(r.ctx, next), qt.IsNil)
+	r.Assert(r.restartMachine(r.ctx, next), qt.IsNil)
 	r.serve(30)
 	r.finish()
 }
 
 // A process that gets SIGTERM answers what it has read, whether its machine has a disk or not.
 func TestTerminatedProxyLosesNothing(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	r.calm()
 	for _, machine := range []*Machine{r.WithDisk(false)[1], r.WithDisk(true)[2]} {
 		machine.Terminate(r.ctx)
-		r.Assert(r.startAgain(r.ctx, machine), qt.IsNil)
+		r.Assert(r.restartMachine(r.ctx, machine), qt.IsNil)
 	}
 	total := r.finish()
 	r.Assert(total.Failed, qt.Equals, 0)
-	r.Assert(total.Refused, qt.Equals, 0)
+	r.Assert(total.Rejected, qt.Equals, 0)
 }
 
 // Nothing reaches a server that leaves once the bound has passed, and nothing is lost by its departure.
 func TestLeavingServersGetNothingMore(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	r.calm()
 	r.Assert(r.drainServers(r.ctx), qt.IsNil)
@@ -145,13 +145,13 @@
 
 // After the loss of all processes the fleet serves again, by the configuration that was acknowledged.
 func TestAllKilledComeBack(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	r.Assert(r.Operator.Change(r.ctx, nextConfiguration(r.Operator.Current())), qt.IsNil)
 	r.Assert(r.killAll(r.ctx), qt.IsNil)
 	r.serve(60)
 	r.calm()
-	statuses := r.Probe(r.ctx, joiningKind)
+	statuses := r.Probe(r.ctx, addedKind)
 	r.Assert(maps.Equal(statuses, map[int]int{200: 6}), qt.IsTrue, qt.Commentf("%v", statuses))
 	r.finish()
 }
@@ -159,22 +159,22 @@
 // The same where the settings files have come to name machines without a disk only: these find the view, the
 // configuration and each other, and no server that reports to them is lost.
 func TestAllKilledComeBackToOtherSeeds(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	r.Assert(r.Operator.Change(r.ctx, nextConfiguration(r.Operator.Current())), qt.IsNil)
-	r.Assert(r.Trouble(r.ctx, Turnover), qt.IsNil)
+	r.Assert(r.InjectFault(r.ctx, FaultTurnover), qt.IsNil)
 	r.Assert(r.AwaitServers(r.ctx), qt.IsNil)
 	r.serve(200) // longer than it takes until a server without a watcher is held to be lost
 	r.Assert(r.AwaitServers(r.ctx), qt.IsNil)
 	r.calm()
-	statuses := r.Probe(r.ctx, joiningKind)
+	statuses := r.Probe(r.ctx, addedKind)
 	r.Assert(maps.Equal(statuses, map[int]int{200: 6}), qt.IsTrue, qt.Commentf("%v", statuses))
 	r.finish()
 }
 
 // Servers that die are replaced by others at their addresses, and what must run once runs once.
 func TestCrashedServersAreReplaced(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	r := newRig(t)
 	r.Assert(r.crashServers(r.ctx), qt.IsNil)
 	r.Assert(r.AwaitServers(r.ctx), qt.IsNil)
--- a/internal/testbed/routertrial/trouble.go
+++ b/internal/testbed/routertrial/trouble.go
@@ -12,69 +12,70 @@
 
 // The troubles that can be played.
 const (
-	Kill   = "kill"   // a machine with a disk is killed and comes back
-	Wipe   = "wipe"   // a machine with a disk is killed and comes back with an empty disk
-	Drain  = "drain"  // servers leave in good order and others come
-	Roll   = "roll"   // the machines are stopped with SIGTERM and started in turn
-	Crash  = "crash"  // servers die without a word, and others come at their addresses
-	Herd   = "herd"   // all machines are killed at the same moment and come back
-	Freeze = "freeze" // a machine with a disk and one without stand still for a while
-	// Turnover is the loss of all processes after the settings files have come to name machines without a disk
-	// only, which know nothing of the fleet when they come back.
-	Turnover = "turnover"
+	FaultKill           = "kill"   // a machine with a disk is killed and comes back
+	FaultWipe           = "wipe"   // a machine with a disk is killed and comes back with an empty disk
+	FaultDrain          = "drain"  // servers leave in good order and others come
+	FaultRollingRestart = "roll"   // the machines are stopped with SIGTERM and started in turn
+	FaultCrash          = "crash"  // servers die without a word, and others come at their addresses
+	FaultKillAll        = "herd"   // all machines are killed at the same moment and come back
+	FaultFreeze         = "freeze" // a machine with a disk and one without stand still for a while
+	// FaultTurnover is the loss of all processes after the settings files have come to name machines without a
+	// disk only, which know nothing of the fleet when they come back.
+	FaultTurnover = "turnover"
 )
 
-// Troubles names all of them.
-var Troubles = []string{Kill, Wipe, Drain, Roll, Crash, Herd, Freeze, Turnover}
+// Faults names all of them.
+var Faults = []string{FaultKill, FaultWipe, FaultDrain, FaultRollingRestart, FaultCrash, FaultKillAll,
+	FaultFreeze, FaultTurnover}
 
 const (
 	// downTime is how long a machine or server is down.
 	downTime = time.Second
-	// workTime bounds the wait for a server to be at work, and workInterval is how often that is looked at.
-	workTime     = 2 * time.Second
+	// workTimeout bounds the wait for a server to be at work, and workInterval is how often that is looked at.
+	workTimeout  = 2 * time.Second
 	workInterval = time.Millisecond
-	// frozenTime is how long a machine stands still.
-	frozenTime = 2500 * time.Millisecond
-	// herdDown is the same after the loss of all processes.
-	herdDown = 300 * time.Millisecond
+	// freezeTime is how long a machine stands still.
+	freezeTime = 2500 * time.Millisecond
+	// killAllDownTime is the same after the loss of all processes.
+	killAllDownTime = 300 * time.Millisecond
 )
 
-// UnknownTrouble says that a word names no trouble.
-type UnknownTrouble struct{ Word string }
+// UnknownFaultError says that a word names no trouble.
+type UnknownFaultError struct{ Word string }
 
-func (e *UnknownTrouble) Error() string {
-	return fmt.Sprintf("%q is no trouble; name one of %s", e.Word, strings.Join(Troubles, ", "))
+func (e *UnknownFaultError) Error() string {
+	return fmt.Sprintf("%q is no trouble; name one of %s", e.Word, strings.Join(Faults, ", "))
 }
 
-// CheckTrouble refuses a word that names no trouble; "" stands for none.
-func CheckTrouble(word string) error {
-	if word != "" && !slices.Contains(Troubles, word) {
-		return &UnknownTrouble{word}
+// CheckFault refuses a word that names no trouble; "" stands for none.
+func CheckFault(word string) error {
+	if word != "" && !slices.Contains(Faults, word) {
+		return &UnknownFaultError{word}
 	}
 	return nil
 }
 
-// Trouble plays a trouble to its end.
-func (f *Fleet) Trouble(ctx context.Context, word string) error {
+// Fault plays a trouble to its end.
+func (f *Fleet) InjectFault(ctx context.Context, word string) error {
 	switch word {
-	case Kill:
+	case FaultKill:
 		return f.killMachine(ctx, f.WithDisk(true)[0], false)
-	case Wipe:
+	case FaultWipe:
 		return f.killMachine(ctx, f.WithDisk(true)[1], true)
-	case Drain:
+	case FaultDrain:
 		return f.drainServers(ctx)
-	case Roll:
+	case FaultRollingRestart:
 		return f.roll(ctx)
-	case Crash:
+	case FaultCrash:
 		return f.crashServers(ctx)
-	case Herd:
+	case FaultKillAll:
 		return f.killAll(ctx)
-	case Freeze:
+	case FaultFreeze:
 		return f.freezeMachines(ctx, f.WithDisk(true)[0], f.WithDisk(false)[0])
-	case Turnover:
+	case FaultTurnover:
 		return f.turnOverSeeds(ctx)
 	}
-	return CheckTrouble(word)
+	return CheckFault(word)
 }
 
 // killMachine kills a machine, empties its disk if so wanted, and starts it again.
@@ -90,10 +91,10 @@
 			return err
 		}
 	}
-	return f.startAgain(ctx, m)
+	return f.restartMachine(ctx, m)
 }
 
-func (f *Fleet) startAgain(ctx context.Context, m *Machine) error {
+func (f *Fleet) restartMachine(ctx context.Context, m *Machine) error {
 	if err := m.Start(ctx, false); err != nil {
 		return err
 	}
@@ -112,7 +113,7 @@
 		f.event("%s gets SIGTERM", m.Name)
 		m.Terminate(ctx)
 		f.event("%s has ended", m.Name)
-		if err := f.startAgain(ctx, m); err != nil {
+		if err := f.restartMachine(ctx, m); err != nil {
 			return err
 		}
 		if m.HasDisk && !sleepFor(ctx, catchUp) {
@@ -124,18 +125,18 @@
 
 // drainServers has a server of each service leave; each is replaced before.
 func (f *Fleet) drainServers(ctx context.Context) error {
-	for _, leaving := range f.oneOfEach() {
-		options := leaving.Options()
+	for _, draining := range f.oneServerOfEach() {
+		options := draining.Options()
 		options.Address = hostOf(options.Address) + ":0"
 		if err := f.StartServer(options); err != nil {
 			return err
 		}
-		f.event("server %s of %s leaves", leaving.ID(), options.Service)
-		stopWatching := context.AfterFunc(ctx, leaving.Stop)
-		acknowledged := leaving.Leave(bounds.Drain)
+		f.event("server %s of %s leaves", draining.ID(), options.Service)
+		stopWatching := context.AfterFunc(ctx, draining.Stop)
+		acknowledged := draining.Shutdown(bounds.Drain)
 		stopWatching()
-		f.Forget(leaving)
-		f.event("server %s has left, acknowledged: %t", leaving.ID(), acknowledged)
+		f.Forget(draining)
+		f.event("server %s has left, acknowledged: %t", draining.ID(), acknowledged)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -146,12 +147,12 @@
 // crashServers has a server of each service die, in the middle of work that must be done once where there is
 // some, and start anew at its address.
 func (f *Fleet) crashServers(ctx context.Context) error {
-	for _, dying := range f.oneOfEach() {
-		options := dying.Options()
-		f.awaitWork(ctx, dying)
-		f.event("server %s of %s crashes", dying.ID(), options.Service)
-		dying.Crash()
-		f.Forget(dying)
+	for _, crashing := range f.oneServerOfEach() {
+		options := crashing.Options()
+		f.awaitWork(ctx, crashing)
+		f.event("server %s of %s crashes", crashing.ID(), options.Service)
+		crashing.Crash()
+		f.Forget(crashing)
 		if !sleepFor(ctx, downTime) {
 			return ctx.Err()
 		}
@@ -165,18 +166,18 @@
 
 // awaitWork waits for a while until a server is at work on a request that must run once.
 func (f *Fleet) awaitWork(ctx context.Context, server *routerstandin.Server) {
-	for began := time.Now(); time.Since(began) < workTime && !server.AtWorkOnce(); {
+	for began := time.Now(); time.Since(began) < workTimeout && !server.RunsNonIdempotent(); {
 		if !sleepFor(ctx, workInterval) {
 			return
 		}
 	}
 }
 
-// oneOfEach returns a writing server, a reading server and a server of the lookups.
-func (f *Fleet) oneOfEach() []*routerstandin.Server {
+// oneServerOfEach returns a writing server, a reading server and a server of the lookups.
+func (f *Fleet) oneServerOfEach() []*routerstandin.Server {
 	all := []*routerstandin.Server{
-		f.ServerOf(modelService, routerstandin.Writing), f.ServerOf(modelService, routerstandin.Reading),
-		f.ServerOf(lookup, ""),
+		f.ServerOf(modelService, routerstandin.StageDecode), f.ServerOf(modelService, routerstandin.StagePrefill),
+		f.ServerOf(lookupService, ""),
 	}
 	return slices.DeleteFunc(all, func(s *routerstandin.Server) bool { return s == nil })
 }
@@ -187,13 +188,13 @@
 	for _, m := range f.Machines {
 		m.Kill()
 	}
-	if !sleepFor(ctx, herdDown) {
+	if !sleepFor(ctx, killAllDownTime) {
 		return ctx.Err()
 	}
 	if err := f.StartMachines(ctx, false); err != nil {
 		return err
 	}
-	f.Observations.AllBack()
+	f.Observations.RecordAllRestarted()
 	f.event("all machines run again")
 	if err := f.AwaitMachines(ctx); err != nil {
 		return err
@@ -213,7 +214,7 @@
 func (f *Fleet) freezeMachines(ctx context.Context, machines ...*Machine) error {
 	for _, m := range machines {
 		f.event("%s freezes", m.Name)
-		m.Freeze(ctx, frozenTime)
+		m.Freeze(ctx, freezeTime)
 		f.event("%s wakes", m.Name)
 		if err := f.AwaitMachine(ctx, m); err != nil {
 			return err
