--- a/internal/testbed/faultinject/faults.go
+++ b/internal/testbed/faultinject/faults.go
@@ -1,6 +1,6 @@
-// Package faultinject puts faults into one running process: cuts between it and other machines, a disk that
-// is full or hangs, connections that can't be accepted, and an end at a numbered point. Commands change them
-// while the process runs. It is for soaks; a process in service does not use it.
+// Package faultinject puts faults into one running process: partitions between it and other machines, a disk
+// that is full or hangs, connections that can't be accepted, and an end at a numbered point. Commands change
+// them while the process runs. It is for soaks; a process in service does not use it.
 package faultinject
 
 import (
@@ -20,11 +20,11 @@
 	CommandDeaf = "deaf"
 	// CommandMute IP...: no connection to these machines comes about any more.
 	CommandMute = "mute"
-	// CommandHeal ends all cuts; connections that were cut for long end with a reset, others go on.
+	// CommandHeal heals all partitions; connections that were cut for long end with a reset, others go on.
 	CommandHeal = "hear"
 	// CommandDisk MODE: the disk is ok, full, hangs or is slow.
 	CommandDisk = "disk"
-	// CommandRefuse N: the next N tries to accept a connection fail for want of descriptors.
+	// CommandRefuse N: the next N attempts to accept a connection fail for want of descriptors.
 	CommandRefuse = "refuse"
 	// CommandEnd N: the process kills itself at the Nth numbered point from now on.
 	CommandEnd = "end"
@@ -46,7 +46,7 @@
 	pollInterval = 5 * time.Millisecond
 	// slowDiskDelay is what each operation of a slow disk takes besides.
 	slowDiskDelay = 60 * time.Millisecond
-	// userTimeout is how long a cut may last until connections through it end with a reset.
+	// userTimeout is how long a partition may last until connections through it end with a reset.
 	userTimeout = 2 * time.Second
 )
 
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// heal ends all cuts; the lock is held.
+// heal heals all partitions; the lock is held.
 func (f *Faults) heal() {
 	for c := range f.conns {
 		if since, partitioned := f.deaf[c.peer]; partitioned && time.Since(since) > userTimeout {
@@ -154,7 +154,7 @@
 	return partitioned
 }
 
-// isPartitioned tells whether no connection to a machine comes about.
+// isPartitioned reports whether no connection to a machine comes about.
 func (f *Faults) isPartitioned(ip string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,7 +162,7 @@
 	return deaf || f.mute[ip]
 }
 
-// takeRefusal tells whether a try to accept is to fail.
+// takeRefusal reports whether an attempt to accept is to fail.
 func (f *Faults) takeRefusal() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/faultinject/faults_test.go
+++ b/internal/testbed/faultinject/faults_test.go
@@ -30,7 +30,7 @@
 	return dialled, accepted
 }
 
-// TestCutWithholds: what is sent through a cut comes once it has ended, and a read ends at its deadline
+// TestCutWithholds: what is sent through a partition comes once it has ended, and a read ends at its deadline
 // meanwhile.
 func TestCutWithholds(t *testing.T) {
 	c := qt.New(t)
--- a/internal/testbed/faultinject/network.go
+++ b/internal/testbed/faultinject/network.go
@@ -27,7 +27,7 @@
 	return &Network{faults: f, ip: ip, exempt: exempt}
 }
 
-// Dial connects to an address. Through a cut it takes all its time in vain.
+// Dial connects to an address. Through a partition it takes all its time in vain.
 func (n *Network) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	host, _, _ := net.SplitHostPort(address)
 	if n.faults.isPartitioned(host) {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// Write passes on: what a cut withholds is withheld by the machine that should hear it.
+// Write passes on: what a partition withholds is withheld by the machine that should hear it.
 func (c *conn) Write(p []byte) (int, error) {
 	c.faults.passPoint()
 	return c.TCPConn.Write(p)
--- a/internal/testbed/routerstandin/client.go
+++ b/internal/testbed/routerstandin/client.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// minAttemptTime is the time left below which a client does not try again.
+	// minAttemptTime is the time left below which a client does not retry.
 	minAttemptTime = 20 * time.Millisecond
-	// failureBackoff is how long a client waits after a failure that names no time.
+	// failureBackoff is how long a client waits after a failure without Retry-After.
 	failureBackoff = 30 * time.Millisecond
-	// retryAfterDivisor of the time left is the longest that a client waits as told.
+	// retryAfterDivisor: a client waits for Retry-After, but at most this fraction of the time left.
 	retryAfterDivisor = 3
 )
 
@@ -24,8 +24,8 @@
 type Client struct {
 	Number     int
 	Zone       string
-	KeepsConns bool // it keeps connections for further requests
-	Impatient  bool // it tries again at once and more often
+	KeepsConns bool // it reuses connections
+	Impatient  bool // it retries without backoff and more often
 
 	entry        *Entry
 	observations *Observations
@@ -39,13 +39,13 @@
 	return &Client{Number: number, Zone: zone, KeepsConns: true, entry: entry, observations: observations}
 }
 
-// Outcome is what has become of a request, all its tries together.
+// Outcome is what has become of a request, all its attempts together.
 type Outcome int
 
 // The outcomes of a request.
 const (
 	Served      Outcome = iota
-	Rejected            // it was refused at last, and has not run
+	Rejected            // the last answer was a rejection, and it has not run
 	Failed              // anything else
 	Interrupted         // the trial ended before the request did
 )
@@ -54,25 +54,25 @@
 type Result struct {
 	Kind     *Kind
 	Outcome  Outcome
-	Latency  time.Duration // from the first try to the answer, of a stream to its first event
-	InTime   bool          // served within the aim and without a longer pause than the aim for pauses
+	Latency  time.Duration // from the first attempt to the answer, of a stream to its first event
+	InTime   bool          // served within the latency target, without a gap above the gap target
 	Attempts int
-	Reason   string // why it was not served: the last answer, or what came in its place
+	Reason   string // why it was not served: the last answer, or the lack of one
 }
 
-// pendingRequest is a request on its way through its tries.
+// pendingRequest is a request between its first attempt and its outcome.
 type pendingRequest struct {
 	client   *Client
 	request  *Request
 	began    time.Time
 	deadline time.Time
 	attempts int
-	proxy    *Proxy // where all tries go, nil for the entry's choice
+	proxy    *Proxy // where all attempts go, nil for the entry's choice
 	stream   streamCheck
 	latency  time.Duration
 }
 
-// attemptResult is how one try ended.
+// attemptResult is how one attempt ended.
 type attemptResult struct {
 	status     int // 0 for none
 	served     bool
@@ -81,7 +81,7 @@
 	retryAfter time.Duration
 }
 
-// Do sends a request until it is served or nothing more may be tried.
+// Do sends a request until it is served or nothing more may be attempted.
 func (c *Client) Do(ctx context.Context, r *Request) Result {
 	a := &pendingRequest{client: c, request: r, began: time.Now()}
 	a.deadline = a.began.Add(r.Kind.Deadline)
@@ -90,7 +90,7 @@
 		if ctx.Err() != nil && !end.served {
 			return Result{Kind: r.Kind, Outcome: Interrupted}
 		}
-		if !a.mayRetry(end) || !sleepFor(ctx, a.backoff(end)) {
+		if !a.mayRetry(end) || !Sleep(ctx, a.backoff(end)) {
 			return a.result(end)
 		}
 	}
@@ -105,7 +105,7 @@
 
 func (p *pendingRequest) timeLeft() time.Duration { return time.Until(p.deadline) }
 
-// mayRetry tells whether the request may be tried once more.
+// mayRetry reports whether the request may be retried.
 func (p *pendingRequest) mayRetry(end attemptResult) bool {
 	maxRetries := p.request.Kind.Retries
 	if p.client.Impatient {
@@ -123,7 +123,7 @@
 	return p.request.Kind.idempotent()
 }
 
-// backoff is how long the client waits before its next try.
+// backoff is how long the client waits before its next attempt.
 func (p *pendingRequest) backoff(end attemptResult) time.Duration {
 	switch {
 	case p.client.Impatient:
@@ -147,7 +147,7 @@
 	return r
 }
 
-// sendOnce makes one try.
+// sendOnce makes one attempt.
 func (p *pendingRequest) sendOnce(ctx context.Context) attemptResult {
 	p.attempts++
 	conn, err := p.connect(ctx)
@@ -162,7 +162,7 @@
 	return p.roundTrip(ctx, conn, attempt)
 }
 
-// connect returns a connection that the client keeps, or a new one; further tries always open one.
+// connect returns an idle connection or a new one; retries always open a new one.
 func (p *pendingRequest) connect(ctx context.Context) (*clientConn, error) {
 	if p.proxy != nil {
 		return dialProxy(ctx, *p.proxy)
@@ -182,7 +182,7 @@
 	return hex.EncodeToString(random[:])
 }
 
-// retryAfterOf reads Retry-After: seconds, fractions included.
+// retryAfterOf parses Retry-After: seconds, fractions included; 0 where it is malformed.
 func retryAfterOf(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || seconds < 0 {
@@ -191,7 +191,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// eventTimeout is how long a client of a kind waits for the next event.
+// eventTimeout is how long a client waits for the next event of a stream, and for any other answer.
 func (k *Kind) eventTimeout() time.Duration {
 	const minWait, aims, gaps = 2 * time.Second, 4, 8
 	if k.Class != fleetconfig.Stream {
--- a/internal/testbed/routerstandin/answer.go
+++ b/internal/testbed/routerstandin/client_answer.go
@@ -15,7 +15,7 @@
 // maxAnswerBytes bounds the body of an answer, in bytes.
 const maxAnswerBytes = 1 << 20
 
-// roundTrip sends a try and takes its answer in.
+// roundTrip sends an attempt, and reads and checks its answer.
 func (p *pendingRequest) roundTrip(ctx context.Context, conn *clientConn, attempt *attempt) attemptResult {
 	conn.SetWriteDeadline(p.deadline)
 	conn.SetReadDeadline(p.readDeadline())
@@ -46,7 +46,7 @@
 	return end
 }
 
-// unanswered notes that a try ended without a whole answer.
+// unanswered records that an attempt ended without a complete answer.
 func (p *pendingRequest) unanswered(ctx context.Context, conn *clientConn, attempt *attempt,
 	err error) attemptResult {
 	conn.Close()
@@ -86,7 +86,7 @@
 		retryAfter: retryAfterOf(head.Header.Get(retryHeader))}
 }
 
-// takeSuccess reads a success and checks that it is the answer of a run of this try.
+// takeSuccess reads a success and checks that a run of this attempt produced it.
 func (p *pendingRequest) takeSuccess(ctx context.Context, conn *clientConn, attempt *attempt,
 	head *http1.Response, body *http1.Body) attemptResult {
 	o := p.client.observations
--- a/internal/testbed/routerstandin/clientconn.go
+++ b/internal/testbed/routerstandin/client_conn.go
@@ -15,7 +15,7 @@
 const (
 	// dialTimeout is how long a client waits for a new connection.
 	dialTimeout = time.Second
-	// keepAliveMargin is taken off the time that a proxy tells in Keep-Alive.
+	// keepAliveMargin is subtracted from the timeout that a proxy gives in Keep-Alive.
 	keepAliveMargin = 500 * time.Millisecond
 )
 
@@ -24,7 +24,7 @@
 	*connbuffer.Conn
 	machine string    // IP of the proxy
 	used    bool      // it has carried a request before
-	expires time.Time // when an idle one is not used any more, zero where nothing was told
+	expires time.Time // when an idle one must not be reused, zero for never
 }
 
 func dialProxy(ctx context.Context, proxy Proxy) (*clientConn, error) {
@@ -38,7 +38,7 @@
 	return &clientConn{Conn: connbuffer.NewConn(conn), machine: hostOf(proxy.Front)}, nil
 }
 
-// takeIdle returns a connection that the client keeps and that is still good, nil where there is none.
+// takeIdle returns an idle connection that is still usable, nil where there is none.
 func (c *Client) takeIdle() *clientConn {
 	for {
 		conn := c.popIdle()
@@ -65,7 +65,7 @@
 	return conn
 }
 
-// checkUnsolicited notes a success that came while no request was waiting.
+// checkUnsolicited records a success that came while no request was pending.
 func (c *Client) checkUnsolicited(conn *clientConn) {
 	conn.SetReadDeadline(time.Now().Add(dialTimeout))
 	if conn.Quiet() {
@@ -78,7 +78,7 @@
 	}
 }
 
-// putIdle keeps a connection for the client's next request, as its last answer allows.
+// putIdle keeps a connection for the client's next request, where its last answer allows that.
 func (c *Client) putIdle(conn *clientConn, head *http1.Response) {
 	if !c.KeepsConns || head.Close {
 		conn.Close()
@@ -95,7 +95,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// keepAliveOf reads how long a connection stays open, 0 where that is not told.
+// keepAliveOf returns the timeout that Keep-Alive gives, 0 for none.
 func keepAliveOf(head *http1.Response) time.Duration {
 	for part := range strings.SplitSeq(head.Header.Get(keepAliveHeader), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -107,7 +107,7 @@
 	return 0
 }
 
-// Close closes the connections that the client keeps.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	for conn := c.popIdle(); conn != nil; conn = c.popIdle() {
 		c.checkUnsolicited(conn)
--- a/internal/testbed/routerstandin/streamcheck.go
+++ b/internal/testbed/routerstandin/client_stream.go
@@ -10,7 +10,7 @@
 	"cresshub/internal/http1"
 )
 
-// streamCheck follows a stream through all tries of its request.
+// streamCheck follows a stream through all attempts of its request.
 type streamCheck struct {
 	lastToken  int       // token that came last
 	lastRun    *run      // that made it
@@ -101,7 +101,7 @@
 	s.lastToken, s.lastRun, s.lastAt = e.last, run, now
 }
 
-// checkEnd checks that a stream that ends as complete has its last piece.
+// checkEnd checks that a stream that ends as complete has its last event.
 func (p *pendingRequest) checkEnd(attempt *attempt) error {
 	if p.stream.lastToken != p.request.Kind.OutputTokens {
 		p.client.observations.RecordViolation(RuleOrder, "try %s ended as complete after token %d of %d",
--- a/internal/testbed/routerstandin/controlcaller.go
+++ b/internal/testbed/routerstandin/control_caller.go
@@ -9,19 +9,19 @@
 	"cresshub/internal/router/controlclient"
 )
 
-// The bounds of the pause between two calls of a caller that meets failures.
+// The bounds of the exponential backoff between two calls after failures.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
 )
 
 // controlCaller calls the fleet at control addresses of a list, as servers and operators do: it moves to
-// another address after a failure, pausing for a growing time. It is not safe for concurrent use.
+// another address after a failure, with a growing backoff. It is not safe for concurrent use.
 type controlCaller struct {
 	addresses func() []string
 	chosen    string
 	backoff   time.Duration
-	// dropResponse tells whether the next answer is lost on its way; nil for never.
+	// dropResponse reports whether the next response is dropped; nil for never.
 	dropResponse func() bool
 }
 
--- a/internal/testbed/routerstandin/document.go
+++ b/internal/testbed/routerstandin/document.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Document is a configuration as an operator sends it.
+// Document is a configuration as an operator sends it. The stand-in writes it from the operators' pages on
+// its own, so that the router's reading of it (package fleetconfig) is checked and not repeated.
 type Document struct {
 	Version  int64          `json:"edition"`
 	Routes   []RouteDoc     `json:"routes"`
@@ -31,7 +32,7 @@
 	GapMs       int64       `json:"gap_aim_ms,omitempty"`
 }
 
-// TargetDoc is a service's part of a route.
+// TargetDoc is a service's weight in a route.
 type TargetDoc struct {
 	Service string  `json:"depot"`
 	Weight  float64 `json:"share"`
@@ -67,7 +68,7 @@
 	IdleMs      int `json:"idle_ms"`
 }
 
-// RouteOf returns the route of a kind of requests to a service, with a number of tries.
+// RouteOf returns the route of a kind of requests to a service, with a number of attempts.
 func RouteOf(kind *Kind, service string, maxAttempts int) RouteDoc {
 	return RouteDoc{
 		Name: kind.Name, Host: kind.Host, Prefix: kind.Prefix, Class: string(kind.Class),
--- a/internal/testbed/routerstandin/entry.go
+++ b/internal/testbed/routerstandin/entry.go
@@ -14,7 +14,7 @@
 const (
 	// readyInterval is how often the platform asks a proxy whether it is ready.
 	readyInterval = time.Second
-	// maxMisses is how many times in a row a proxy must not say that it is ready until it gets no clients.
+	// maxMisses is how many readiness checks in a row a proxy fails until it gets no clients.
 	maxMisses = 2
 )
 
@@ -30,10 +30,10 @@
 	proxies []Proxy
 
 	mu     sync.Mutex
-	misses map[string]int // in a row, by ready address; maxMisses until the first yes
+	misses map[string]int // in a row, by ready address; maxMisses until the first success
 }
 
-// NewEntry returns an entry to which no proxy has said yet that it is ready.
+// NewEntry returns an entry that holds no proxy to be ready yet.
 func NewEntry(proxies []Proxy) *Entry {
 	e := &Entry{proxies: proxies, misses: map[string]int{}}
 	for _, proxy := range proxies {
@@ -42,14 +42,14 @@
 	return e
 }
 
-// Run asks each proxy each second until ctx ends.
+// Run checks the readiness of each proxy each second until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
 	var checks sync.WaitGroup
 	for _, proxy := range e.proxies {
 		checks.Go(func() {
 			for {
 				e.checkReady(ctx, proxy)
-				if !sleepFor(ctx, readyInterval) {
+				if !Sleep(ctx, readyInterval) {
 					return
 				}
 			}
@@ -84,8 +84,8 @@
 	return ready
 }
 
-// Choose names the proxy that gets a new connection of a client for its next try; each try has another
-// number.
+// Choose names the proxy that gets a new connection of a client for its next attempt; each attempt has
+// another number.
 func (e *Entry) Choose(zone string, client, attempt int) Proxy {
 	eligible := e.eligible(zone)
 	hash := fnv.New32a()
--- a/internal/testbed/routerstandin/judge.go
+++ b/internal/testbed/routerstandin/judge.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// minDenied and deniedOneIn bound how many proper requests may end with a proxy's own 4xx.
-	minDenied      = 5
+	// minDenied, and one in deniedOneIn attempts, is how many valid requests may end with a proxy's own 4xx.
+	minDenied   = 5
 	deniedOneIn = 500
-	// unackedOneIn of the leaving servers may go without an acknowledgement.
+	// unackedOneIn: one in so many draining servers may stay without an acknowledgement.
 	unackedOneIn = 5
-	// maxLostOnReusedConns is how many requests of kept connections may get no answer though a sound server had
-	// them.
+	// maxLostOnReusedConns is how many requests on reused connections may get no answer from a healthy server.
 	maxLostOnReusedConns = 3
-	// servedOneIn is the least part of the requests that is served after a recovery.
+	// servedOneIn: at least one in so many requests is served after a recovery.
 	servedOneIn = 4
-	// graceMargin is how long after the grace planned work still counts.
+	// graceMargin is how long beyond the grace period a planned stop may still cost requests.
 	graceMargin = time.Second
 )
 
-// Judge closes the observations and returns every rule with its breaks. Nothing may run any more.
+// Judge makes the checks that need all observations, once, and returns the verdicts on all rules. No stand-in
+// may run any more.
 func (o *Observations) Judge() []Verdict {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -33,7 +33,7 @@
 	return o.verdicts.list()
 }
 
-// judgeAttempt checks what is known only once a try is over.
+// judgeAttempt checks the rules that need the end of an attempt; the lock is held.
 func (o *Observations) judgeAttempt(attempt *attempt) {
 	kind := attempt.request.Kind
 	if promisesNoRun(attempt.status) && len(attempt.runs) > 0 && !kind.idempotent() {
@@ -56,12 +56,12 @@
 	}
 }
 
-// promisesNoRun tells whether a status says that the request has not run and never will.
+// promisesNoRun reports whether a status guarantees that the request has not run and never will.
 func promisesNoRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
-// counted returns the arrivals that count among the attempts of a try.
+// counted returns the arrivals that count against the limit of servers for one attempt.
 func counted(attempt *attempt) []*arrival {
 	var all []*arrival
 	for _, a := range attempt.arrivals {
@@ -72,7 +72,7 @@
 	return all
 }
 
-// maxAttempts is the largest number of servers that any configuration allows a try to be sent to.
+// maxAttempts returns the largest number of servers that any configuration allows an attempt to reach.
 func (o *Observations) maxAttempts(attempt *attempt) int {
 	maxAttempts := 0
 	for _, v := range o.configs {
@@ -83,7 +83,7 @@
 	return maxAttempts
 }
 
-// lostToPlannedStop tells whether a try that was cut fell to a planned stop alone.
+// lostToPlannedStop reports whether a planned stop alone cost an attempt its connection.
 func (o *Observations) lostToPlannedStop(attempt *attempt) bool {
 	if attempt.fullySentAt.IsZero() || attempt.aborted || !attempt.endedAt.Before(attempt.deadline) {
 		return false
@@ -103,7 +103,7 @@
 	return planned && !o.anyFault(attempt.sentAt, attempt.endedAt, unplanned)
 }
 
-// judgeRecovery checks that requests are served again after all processes were lost.
+// judgeRecovery checks that requests are served again after the loss of all processes; the lock is held.
 func (o *Observations) judgeRecovery() {
 	if o.allRestartedAt.IsZero() {
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-// servedCount counts how many of some requests were served.
+// servedCount counts requests and those of them that were served.
 type servedCount struct{ good, all int }
 
 func (s *servedCount) add(good bool) {
@@ -136,7 +136,7 @@
 
 func (s *servedCount) enough() bool { return servedOneIn*s.good >= s.all }
 
-// judgeCounts checks the rules that allow a number of cases.
+// judgeCounts checks the rules that allow a limited number of cases; the lock is held.
 func (o *Observations) judgeCounts() {
 	if allowed := minDenied + len(o.attemptsInOrder)/deniedOneIn; o.denials > allowed {
 		o.verdicts.record(RuleDenied, "%d proper requests ended with a 4xx of a proxy, %d are allowed", o.denials,
@@ -153,7 +153,7 @@
 	}
 }
 
-// recordDrain notes how the departure of a server went that began at a time.
+// recordDrain records a drain that began at a time, and whether it was acknowledged.
 func (o *Observations) recordDrain(began time.Time, acknowledged bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testbed/routerstandin/budget.go
+++ b/internal/testbed/routerstandin/judge_budget.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// serviceLoad is what the budget of repeats is judged by.
+// serviceLoad is what the retry budget of a service is judged by.
 type serviceLoad struct {
 	requests []time.Time // when clients sent them
 	repeats  []time.Time // arrivals past the first of each request
 }
 
-// judgeBudgets checks each service's repeats in every window that ends with one.
+// judgeBudgets checks each service's repeats in every window that ends with a repeat.
 func (o *Observations) judgeBudgets() {
 	for service, load := range o.loads() {
 		slices.SortFunc(load.repeats, time.Time.Compare)
@@ -44,7 +44,7 @@
 	return loads
 }
 
-// serviceOf names the service that a try was for: the one it reached, or the first that its route names.
+// serviceOf names the service that an attempt was for: the one it reached, or the first that its route names.
 func (o *Observations) serviceOf(attempt *attempt) string {
 	if len(attempt.arrivals) > 0 {
 		return attempt.arrivals[0].service
@@ -58,7 +58,7 @@
 }
 
 // judgeWindow compares the repeats of the window that ends then with the requests of that window, of the one
-// before it, or of the one half a window earlier, whichever holds most.
+// before it, or of the one half a window earlier, whichever has the most.
 func (o *Observations) judgeWindow(service string, load *serviceLoad, end time.Time) {
 	window := o.bounds.RetryWindow
 	within := func(times []time.Time, back time.Duration) int {
--- a/internal/testbed/routerstandin/configs.go
+++ b/internal/testbed/routerstandin/judge_config.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// configVersion is a configuration that an operator sent.
+// configVersion is a configuration that an operator sent, and what became of it.
 type configVersion struct {
 	config   *fleetconfig.Config
 	base     int64 // the version that it builds on
@@ -18,13 +18,13 @@
 	rejected bool
 }
 
-// observedVersion is the newest version that a machine was seen to follow.
+// observedVersion is the newest version that a machine was observed to follow.
 type observedVersion struct {
 	version int64
 	at      time.Time
 }
 
-// recordConfigSent notes a valid configuration before it is sent.
+// recordConfigSent records a valid configuration before it is sent.
 func (o *Observations) recordConfigSent(config *fleetconfig.Config, base int64, patched bool) *configVersion {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -33,7 +33,7 @@
 	return v
 }
 
-// recordConfigAcked notes the acknowledgement of a configuration.
+// recordConfigAcked records the acknowledgement of a configuration.
 func (o *Observations) recordConfigAcked(v *configVersion) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,20 +52,20 @@
 	}
 }
 
-// sameAs tells whether two that were sent are one configuration, sent twice.
+// sameAs reports whether two versions are one configuration that was sent twice.
 func (v *configVersion) sameAs(other *configVersion) bool {
 	return v.config.Version == other.config.Version && v.patched == other.patched &&
 		bytes.Equal(v.config.Raw(), other.config.Raw())
 }
 
-// matches tells whether a document that the fleet shows is what was sent: the same bytes, or for a patch
+// matches reports whether a document that the fleet shows is what was sent: the same bytes, or for a patch
 // the same routes, services and limits.
 func (v *configVersion) matches(raw []byte) bool {
 	return bytes.Equal(v.config.Raw(), raw) || v.patched && sameItems(v.config.Raw(), raw)
 }
 
 // CheckRead checks a configuration that a machine showed to someone who asked at a time: nothing older than
-// what was acknowledged before, nothing that was refused, and nothing that nobody sent.
+// what was acknowledged before, nothing that was rejected, and nothing that nobody sent.
 func (o *Observations) CheckRead(machine string, asked time.Time, raw []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,10 +90,10 @@
 	}
 }
 
-// orderMargin is the time that an operator allows more for each route.
+// orderMargin is the time that an operator allows in addition for each route.
 const orderMargin = 3 * time.Millisecond
 
-// recordConfigRejected notes that a configuration must never come into force.
+// recordConfigRejected records that a configuration must never come into force.
 func (o *Observations) recordConfigRejected(v *configVersion) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -114,8 +114,8 @@
 }
 
 // possibleConfigs returns the configurations that a machine in touch may follow for a request sent and
-// handled then: the newest that was acknowledged long enough before, and later ones. It returns none where no
-// configuration must be known yet.
+// handled then: the newest one that was acknowledged long enough before, and later ones. It returns none
+// while no configuration must be known yet. The lock is held.
 func (o *Observations) possibleConfigs(sent, handled time.Time) []*fleetconfig.Config {
 	var base *fleetconfig.Config
 	for _, v := range o.configs {
@@ -136,7 +136,7 @@
 	return all
 }
 
-// allows tells whether a configuration lets a service run a request.
+// allows reports whether a configuration lets a service run a request.
 func allows(config *fleetconfig.Config, r *Request, service string) bool {
 	route := routeOf(config, r)
 	if route == nil {
@@ -155,7 +155,7 @@
 	return config.Match(r.Kind.Host, path)
 }
 
-// judgeService checks that the service may run the try; the lock is held.
+// judgeService checks that the service may run the attempt; the lock is held.
 func (o *Observations) judgeService(attempt *attempt, service string, at time.Time) {
 	var oldest, newest int64
 	valid := false
@@ -182,7 +182,7 @@
 	o.judgeRollback(attempt, at, oldest, newest)
 }
 
-// judgeStaleness checks that the service may run the try by a configuration that may still be in force.
+// judgeStaleness checks that the service may run the attempt by a configuration that may still be in force.
 func (o *Observations) judgeStaleness(attempt *attempt, service string, at time.Time) {
 	possible := o.possibleConfigs(attempt.sentAt, at)
 	for _, config := range possible {
@@ -196,7 +196,7 @@
 	}
 }
 
-// judgeRollback checks that a machine does not go back to an older version than it was seen to follow.
+// judgeRollback checks that a machine does not go back to an older version than it was observed to follow.
 func (o *Observations) judgeRollback(attempt *attempt, at time.Time, oldest, newest int64) {
 	observed := o.observedVersions[attempt.machine]
 	if newest < observed.version && attempt.sentAt.Sub(observed.at) > o.bounds.Rollback {
--- a/internal/testbed/routerstandin/fences.go
+++ b/internal/testbed/routerstandin/judge_orders.go
@@ -9,7 +9,8 @@
 	at     time.Time
 }
 
-// recordOrder notes an order that reached a server, and checks that one holder at a time gives them.
+// recordOrder records an order that reached a server, with its fencing token, and checks that one holder of
+// the role at a time gives orders.
 func (o *Observations) recordOrder(server, holder string, fence uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testbed/routerstandin/load.go
+++ b/internal/testbed/routerstandin/load.go
@@ -16,7 +16,7 @@
 	Seed    uint64
 }
 
-// Load sends requests at an even rate whatever becomes of them.
+// Load sends requests at an even rate whatever becomes of them (open loop).
 type Load struct {
 	options LoadOptions
 	tally   *Tally
@@ -32,7 +32,7 @@
 // Tally returns what has become of the requests so far.
 func (l *Load) Tally() *Tally { return l.tally }
 
-// Run sends requests until sending ends, then waits for those under way, which end at once with ctx.
+// Run sends requests until stop is closed, then waits for those in flight, which end at once with ctx.
 func (l *Load) Run(ctx context.Context, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(l.options.Seed, 1))
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / l.options.Rate))
@@ -54,7 +54,7 @@
 	}
 }
 
-// kindAt returns the kind at a place between 0 and 1 of the shares.
+// kindAt returns the kind at a position between 0 and 1 of the cumulated fractions.
 func (l *Load) kindAt(position float64) *Kind {
 	for _, kind := range l.options.Kinds {
 		if position -= kind.Fraction; position < 0 {
--- a/internal/testbed/routerstandin/model.go
+++ b/internal/testbed/routerstandin/model.go
@@ -10,15 +10,14 @@
 	"cresshub/internal/http1"
 )
 
-// decodePrefillPace is the pace at which a writing server reads a prompt itself, against that of a reading
-// server.
+// decodePrefillPace is the pace of prefill on a decode server, in relation to that on a prefill server.
 const decodePrefillPace = 0.5
 
 // work is what a request to a model server asks for.
 type work struct {
 	prompt      int // tokens
 	output      int // tokens
-	resumeAfter int // tokens that the client has already
+	resumeAfter int // tokens that the client already has
 }
 
 func workOf(header http1.Header) work {
@@ -47,7 +46,7 @@
 	}
 }
 
-// admit takes a slot unless the stage changes meanwhile, and tells whether the work may begin.
+// admit takes a slot unless the stage changes meanwhile, and reports whether the work may begin.
 func (x *exchange) admit() bool {
 	problem := x.acquireSlot()
 	if problem == "" {
@@ -66,7 +65,7 @@
 	return false
 }
 
-// prefill reads the prompt and holds its memory for another server.
+// prefill computes a prompt's prefix cache and keeps it for another server.
 func (x *exchange) prefill() {
 	if !x.admit() {
 		return
@@ -89,7 +88,7 @@
 	x.answerJSON(200, document)
 }
 
-// decode streams the answer, from memory that it fetches or after reading the prompt itself.
+// decode streams the answer, from a prefix cache that it fetches or after its own prefill.
 func (x *exchange) decode(kvFrom string) {
 	if !x.admit() {
 		return
@@ -127,7 +126,7 @@
 	}
 }
 
-// stream sends the events, and tells whether all were sent.
+// stream sends the events, and reports whether all were sent.
 func (x *exchange) stream(run *run, w work) bool {
 	x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	header := x.header(field(stampHeader, run.stamp), field("Content-Type", "text/event-stream"))
@@ -161,7 +160,7 @@
 	return out.Close() == nil && x.conn.Flush() == nil
 }
 
-// eventOf lays out the event that holds the tokens first to last of a run.
+// eventOf returns the event with the tokens first to last of a run.
 func eventOf(run *run, first, last, output int) []byte {
 	end := ""
 	if last == output {
--- a/internal/testbed/routerstandin/engine.go
+++ b/internal/testbed/routerstandin/model_engine.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// engineState is what a model server holds: its stage, the memory of prompts for others, and the orders it
-// took.
+// engineState is the state of a model server: its stage, prefix caches for others, and the orders it took.
+// Its methods are safe for concurrent use.
 type engineState struct {
 	Engine
 	server *Server
 
 	mu          sync.Mutex
 	stage       string
-	changing    bool // an order is under way
-	ordersTaken int  // orders
+	changing    bool // an order is being carried out
+	ordersTaken int
 	fence       uint64
 	prefixes    map[string]cachedPrefix
 }
 
-// cachedPrefix is the memory of a prompt that waits to be fetched.
+// cachedPrefix is the prefix cache of a prompt that waits to be fetched.
 type cachedPrefix struct {
 	tokens  int
 	expires time.Time
@@ -31,7 +31,7 @@
 	return &engineState{Engine: *engine, server: s, stage: engine.Stage, prefixes: map[string]cachedPrefix{}}
 }
 
-// prefillTime is how long it takes to read a prompt, at a part of the reading pace.
+// prefillTime is how long the prefill of a prompt takes, at a pace in relation to PrefillPace.
 func (e *engineState) prefillTime(tokens int, pace float64) time.Duration {
 	if e.PrefillPace <= 0 {
 		return 0
@@ -50,7 +50,7 @@
 	return stage
 }
 
-// storePrefix keeps the memory of a prompt and returns its handle.
+// storePrefix keeps the prefix cache of a prompt and returns its handle.
 func (e *engineState) storePrefix(tokens int) string {
 	var random [6]byte
 	rand.Read(random[:])
@@ -61,7 +61,7 @@
 	return handle
 }
 
-// claim gives the memory of a handle out, once, and tells how many tokens it has.
+// claim removes the prefix cache of a handle, which is given out once, and returns its tokens.
 func (e *engineState) claim(handle string) (tokens int, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,7 +74,7 @@
 	return prefix.tokens, known
 }
 
-// cached counts the handles that have not lapsed, and their tokens.
+// cached counts the handles that have not expired, and their tokens.
 func (e *engineState) cached() (handles, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/testbed/routerstandin/handles.go
+++ b/internal/testbed/routerstandin/model_handles.go
@@ -9,11 +9,11 @@
 	"cresshub/internal/router/controlclient"
 )
 
-// fetchTimeout bounds the move of a prompt's memory; a longer one is not begun.
+// fetchTimeout bounds the transfer of a prefix cache.
 const fetchTimeout = 2 * time.Second
 
-// fetchPrefix gets the memory of a prompt from the server that read it: IP:PORT/HANDLE. It tells whether it
-// came.
+// fetchPrefix transfers a prefix cache, given as IP:PORT/HANDLE, from the server that computed it, and
+// reports whether that succeeded.
 func (x *exchange) fetchPrefix(from string) bool {
 	address, handle, ok := strings.Cut(from, "/")
 	if !ok {
@@ -30,7 +30,7 @@
 	return true
 }
 
-// releaseHandle gives out the memory of a prompt, or frees it.
+// releaseHandle hands a prefix cache out, after which it is freed.
 func (x *exchange) releaseHandle(handle string) {
 	tokens, ok := x.server.engine.claim(handle)
 	if !ok {
--- a/internal/testbed/routerstandin/orders.go
+++ b/internal/testbed/routerstandin/model_orders.go
@@ -47,7 +47,7 @@
 	return 202
 }
 
-// switchStage waits for what runs to reach its end, and then for the time that the change itself takes.
+// switchStage waits until nothing runs, and then for the time that the switch itself takes.
 func (e *engineState) switchStage(stage string) {
 	select {
 	case <-e.server.slots.awaitIdle():
@@ -79,7 +79,7 @@
 	Handles     int           `json:"claim_tickets"`
 }
 
-// servedModel is a model that a server holds.
+// servedModel is a model that a server serves.
 type servedModel struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"edition"`
--- a/internal/testbed/routerstandin/observations.go
+++ b/internal/testbed/routerstandin/observations.go
@@ -11,14 +11,14 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// Bounds are the figures that the rules are judged by.
+// Bounds are the limits that the rules are judged by.
 type Bounds struct {
 	agentsettings.Bounds
-	Rollback time.Duration // after a version's effect was seen, an older one must not be met at that machine
-	Recovery time.Duration // after all processes are back, requests must be served
+	Rollback time.Duration // how long a machine may follow an older version after a newer one
+	Recovery time.Duration // from the return of all processes until requests are served
 }
 
-// Observations is what all stand-ins of a trial have seen. Its methods are safe for concurrent use.
+// Observations is what all stand-ins of a trial have observed. Its methods are safe for concurrent use.
 type Observations struct {
 	bounds Bounds
 
@@ -26,14 +26,14 @@
 	verdicts         verdicts
 	attempts         map[string]*attempt
 	attemptsInOrder  []*attempt
-	runs             []*run                     // a run's number is its place plus one
-	handleOwners     map[string]string          // the try that owns each handle
+	runs             []*run                     // a run's number is its index plus one
+	handleOwners     map[string]string          // the attempt that owns each handle
 	configs          []*configVersion           // in the order in which they were sent
 	observedVersions map[string]observedVersion // by machine
 	lastOrders       map[string]lastOrder       // by server
 	faults           []machineFault
-	drains           int // servers that said in a calm time that they leave
-	unackedDrains    int // those of them that were not acknowledged
+	drains           int // servers that drained while the core was stable
+	unackedDrains    int // those of them whose drain was not acknowledged
 	denials          int
 	// lostOnReusedConns counts attempts on reused connections without an answer though a sound server had them.
 	lostOnReusedConns int
@@ -49,31 +49,32 @@
 	}
 }
 
-// RecordViolation notes a break that a caller has seen itself.
+// RecordViolation records a violation that a caller has observed itself.
 func (o *Observations) RecordViolation(rule Rule, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.verdicts.record(rule, format, args...)
 }
 
-// attempt is one request as one client sent it once.
+// attempt is one request as one client sent it once: a try in the words of the protocol's header
+// Cresshub-Try-Id.
 type attempt struct {
 	id          string
 	request     *Request
 	resumeAfter int    // Last-Event-Id, 0 for none
 	machine     string // IP of the proxy that took it
 	probe       bool   // it only shows which configuration is in force
-	reusedConn  bool   // it came on a connection that had carried another one before
+	reusedConn  bool   // its connection had carried another attempt before
 	sentAt      time.Time
-	fullySentAt time.Time // when all of it had been handed to the system
+	fullySentAt time.Time // when all of it was written to the socket
 	deadline    time.Time // when its client gives up
 	arrivals    []*arrival
 	runs        []*run
-	aborted     bool // a server broke off while at work on it
+	aborted     bool // a server aborted its work on it
 
 	status   int // of the answer, 0 for none
 	served   bool
-	endedAt  time.Time // when the answer was whole, or the connection ended
+	endedAt  time.Time // when the answer was complete, or the connection ended
 	connLost bool      // the connection ended without a complete answer
 }
 
@@ -83,21 +84,21 @@
 	server    string
 	service   string
 	at        time.Time
-	uncounted bool // it only had the prompt read, and was the first of the try to be taken up
+	uncounted bool // the first prefill of the attempt does not count as a server reached
 }
 
-// run is the work of a server on a try.
+// run is the work of a server on an attempt.
 type run struct {
 	number     int
 	attempt    *attempt
 	server     string
-	firstEvent int // id of its first event in a stream
+	firstEvent int // id of the first event of a stream
 	stamp      string
 	body       string // of an answer that is no stream
 	isStream   bool   // it answers with a stream
 }
 
-// recordAttempt notes that a client is about to send a try.
+// recordAttempt records that a client is about to send an attempt.
 func (o *Observations) recordAttempt(attempt *attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -106,14 +107,14 @@
 	o.attemptsInOrder = append(o.attemptsInOrder, attempt)
 }
 
-// recordFullySent notes that all of a try was handed to the system.
+// recordFullySent records that all of an attempt was written to the socket.
 func (o *Observations) recordFullySent(attempt *attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	attempt.fullySentAt = time.Now()
 }
 
-// recordArrival notes that a server got a request, and checks that it is what a client sent. It returns nil
+// recordArrival records that a server got a request, and checks that it is what a client sent. It returns nil
 // where no client sent such a request.
 func (o *Observations) recordArrival(server *Server, q *http1.Request) *arrival {
 	ackedAt, ackedBy := server.drainAckedAt()
@@ -129,7 +130,7 @@
 	a := &arrival{attempt: attempt, server: server.ID(), service: server.options.Service, at: time.Now()}
 	attempt.arrivals = append(attempt.arrivals, a)
 	late := !ackedAt.IsZero() && a.at.Sub(ackedAt) > o.bounds.Drain
-	// The acknowledgement binds all machines in touch, also where the one that gave it was not.
+	// The acknowledgement applies to all machines in touch, also where the one that gave it was not.
 	if late && o.inTouch(attempt.machine, attempt.sentAt, a.at) {
 		o.verdicts.record(RuleDrain,
 			"try %s from %s reached server %s %v after its departure was acknowledged by %s", attempt.id,
@@ -150,7 +151,7 @@
 	}
 }
 
-// recordPrefill notes that a server has taken up a call that only has the prompt read.
+// recordPrefill records that a server has begun a prefill.
 func (o *Observations) recordPrefill(a *arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -163,7 +164,8 @@
 	o.judgeService(a.attempt, a.service, time.Now())
 }
 
-// startRun notes that a server has begun work on a try; first is the id of the first event of a stream.
+// startRun records that a server has begun work on an attempt; first is the id of the first event of a
+// stream.
 func (o *Observations) startRun(a *arrival, first int, isStream bool) *run {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -183,14 +185,14 @@
 	return r
 }
 
-// recordAbort notes that a server left a run unfinished.
+// recordAbort records that a server left a run unfinished.
 func (o *Observations) recordAbort(a *arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a.attempt.aborted = true
 }
 
-// recordAnswer notes the end of a try with a whole answer.
+// recordAnswer records the end of an attempt with a complete answer.
 func (o *Observations) recordAnswer(attempt *attempt, status int, ownAnswer, served bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -200,28 +202,29 @@
 	}
 }
 
-// recordConnLost notes that a try ended without a whole answer.
+// recordConnLost records that an attempt ended without a complete answer.
 func (o *Observations) recordConnLost(attempt *attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	attempt.connLost, attempt.endedAt = true, time.Now()
 }
 
-// reachedServer tells whether some server got a try.
+// reachedServer reports whether some server got an attempt.
 func (o *Observations) reachedServer(attempt *attempt) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(attempt.arrivals) > 0
 }
 
-// recordHandle notes that a server holds memory for a try.
+// recordHandle records that a server holds a prefix cache for an attempt.
 func (o *Observations) recordHandle(handle string, a *arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.handleOwners[handle] = a.attempt.id
 }
 
-// recordHandleUse notes that a server goes on from memory for a try.
+// recordHandleUse records that a server continues an attempt from a prefix cache, which must be of the same
+// attempt.
 func (o *Observations) recordHandleUse(handle string, a *arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testbed/routerstandin/operator.go
+++ b/internal/testbed/routerstandin/operator.go
@@ -18,17 +18,17 @@
 // operatorTimeout is when an operator's call without an answer goes to another proxy.
 const operatorTimeout = time.Second
 
-// maxUnclearAnswers is how many unclear 4xx an operator takes until it gives a change up.
+// maxUnclearAnswers is how many unclear 4xx end a call of an operator.
 const maxUnclearAnswers = 3
 
-// Operator changes the configuration and reads it back.
+// Operator changes the configuration and reads it back. Calls must not overlap.
 type Operator struct {
 	observations *Observations
 	caller       controlCaller
 	changes      atomic.Int64 // sent by Change
 
 	mu      sync.Mutex
-	current *Document // the last that was acknowledged, nil for none
+	current *Document // the last one acknowledged, nil for none
 }
 
 // NewOperator returns an operator that knows the control addresses of a list.
@@ -43,7 +43,7 @@
 	o.current = document.Clone()
 }
 
-// DropResponses has each answer of the fleet lost on its way for which loses tells so.
+// DropResponses drops each response of the fleet for which drops returns true.
 func (o *Operator) DropResponses(drops func() bool) { o.caller.dropResponse = drops }
 
 // Refresh has the next change build on the configuration that the fleet shows now.
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// RejectedError says that the fleet refused a change for good.
+// RejectedError reports that the fleet rejected a change for good.
 type RejectedError struct {
 	Version int64
 	Status  int
@@ -82,14 +82,14 @@
 	return o.current.Clone()
 }
 
-// Put sends a document until it is taken or refused for good, or ctx ends. An error that is no *Rejected
-// leaves open whether the change is taken.
+// Put sends a document until it is acknowledged or rejected, or ctx ends. With an error other than
+// *RejectedError it is not known whether the change is in force.
 func (o *Operator) Put(ctx context.Context, document *Document) error {
 	return o.send(ctx, "PUT", document, document)
 }
 
-// Patch sends the difference between the last document that was acknowledged and another one, as Put sends
-// the whole. What has no names can't be changed so.
+// Patch sends the difference between the last acknowledged document and another one; errors are those of Put.
+// The limits, which have no names, can't be changed by it.
 func (o *Operator) Patch(ctx context.Context, document *Document) error {
 	current := o.Current()
 	if current == nil {
@@ -98,7 +98,7 @@
 	return o.send(ctx, "PATCH", document, patchBetween(current, document))
 }
 
-// Change sends a document whole or as a patch, by turns.
+// Change sends a document by Put and Patch in turn.
 func (o *Operator) Change(ctx context.Context, document *Document) error {
 	if o.changes.Add(1)%2 == 0 {
 		return o.Put(ctx, document)
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// callUntilFinal makes a call at one proxy after the other until one answers it for good.
+// callUntilFinal makes a call at one proxy after the other until one gives a final answer.
 func (o *Operator) callUntilFinal(ctx context.Context, timeout time.Duration,
 	call controlclient.Call) (*http1.Response, error) {
 	for unclear := 0; ; {
@@ -152,14 +152,14 @@
 				return answer, nil
 			}
 		}
-		if !sleepFor(ctx, o.caller.nextBackoff()) {
+		if !Sleep(ctx, o.caller.nextBackoff()) {
 			return nil, fmt.Errorf("%s %s got no clear answer: %w; look whether processes with a disk run",
 				call.Method, call.Target, ctx.Err())
 		}
 	}
 }
 
-// isFinal tells whether an answer ends a call of an operator.
+// isFinal reports whether an answer ends a call of an operator.
 func isFinal(status int) bool {
 	switch status {
 	case 200, 400, 409, 412, 413, 422:
@@ -168,7 +168,8 @@
 	return false
 }
 
-// ReadBack reads the configuration and checks that it is the newest one acknowledged.
+// ReadBack reads the configuration and checks that it is the newest one acknowledged. A violation is
+// recorded; the error only tells that there was no answer.
 func (o *Operator) ReadBack(ctx context.Context) error {
 	call := controlclient.Call{Method: "GET", Target: configPath}
 	answer, err := o.callUntilFinal(ctx, operatorTimeout, call)
@@ -192,8 +193,8 @@
 	return nil
 }
 
-// sleepFor waits, and tells whether ctx still goes on.
-func sleepFor(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d or until ctx ends, and reports whether ctx still goes on.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/testbed/routerstandin/patch.go
+++ b/internal/testbed/routerstandin/patch.go
@@ -26,7 +26,7 @@
 	Services []string `json:"depots_list,omitempty"`
 }
 
-// patchBetween returns the patch that makes one document of another. Limits have no names, and stay.
+// patchBetween returns the patch that turns one document into another. Limits have no names, and stay.
 func patchBetween(before, after *Document) *PatchDoc {
 	deliver, withdraw := &DeliverDoc{}, &WithdrawnDoc{}
 	deliver.Routes, withdraw.Routes = difference(before.Routes, after.Routes, nameOfRoute)
@@ -38,7 +38,7 @@
 
 func nameOfService(s ServiceDoc) string { return s.Name }
 
-// difference returns the items that are new or other in a list, and the names of those that are gone.
+// difference returns the items that are new or changed in a list, and the names of those removed.
 func difference[T any](before, after []T, nameOf func(T) string) (delivered []T, withdrawn []string) {
 	known := map[string]T{}
 	for _, one := range before {
@@ -51,14 +51,14 @@
 		delete(known, nameOf(one))
 	}
 	for _, one := range before {
-		if _, gone := known[nameOf(one)]; gone {
+		if _, removed := known[nameOf(one)]; removed {
 			withdrawn = append(withdrawn, nameOf(one))
 		}
 	}
 	return delivered, withdrawn
 }
 
-// sameItems tells whether two documents have the same items, in any order, and the same limits.
+// sameItems reports whether two documents have the same items, in any order, and the same limits.
 func sameItems(one, other []byte) bool {
 	var first, second Document
 	if json.Unmarshal(one, &first) != nil || json.Unmarshal(other, &second) != nil {
--- a/internal/testbed/routerstandin/names.go
+++ b/internal/testbed/routerstandin/protocol.go
@@ -2,7 +2,7 @@
 
 import "cresshub/internal/http1"
 
-// Header fields of the protocol.
+// Header fields of the protocol. The stand-ins name them anew instead of taking them from the router.
 const (
 	attemptIDHeader = "Cresshub-Try-Id"
 	deadlineHeader  = "Cresshub-Deadline-Ms"
@@ -31,13 +31,13 @@
 	readyPath   = "/api/ready"
 )
 
-// The stages of model servers.
+// The stages of model servers, in the words of the protocol.
 const (
-	StagePrefill = "reading" // reads prompts
-	StageDecode  = "writing" // makes tokens
+	StagePrefill = "reading" // computes the prefix caches of prompts
+	StageDecode  = "writing" // produces tokens
 )
 
-// ModelName is the model that all model servers hold.
+// ModelName is the model that all model servers serve.
 const ModelName = "m"
 
 // field returns a header line.
--- a/internal/testbed/routerstandin/request.go
+++ b/internal/testbed/routerstandin/request.go
@@ -14,13 +14,13 @@
 	Host      string
 	Prefix    string // of the path
 	Class     fleetconfig.Kind
-	Resumable bool    // a stream may go on at another server
+	Resumable bool    // a stream may be resumed at another server
 	Fraction  float64 // of all requests
 
-	LatencyTarget time.Duration // inside which an answer is in time, counted to the first event of a stream
-	GapTarget     time.Duration // the longest pause between events that is in time
+	LatencyTarget time.Duration // within which an answer, or the first event of a stream, is in time
+	GapTarget     time.Duration // the longest gap between events that is in time
 	Deadline      time.Duration // how long the client waits
-	Retries       int           // further tries of a client
+	Retries       int           // of a client
 
 	SharedTokens int // of the part of the prompt that the kind's requests share
 	OwnTokens    int // of the request's own part
@@ -34,7 +34,7 @@
 	return k.Class == fleetconfig.Safe || k.isStream() && k.Resumable
 }
 
-// Request is what a client wants answered, in one try or several.
+// Request is what a client wants answered, in one attempt or several.
 type Request struct {
 	Kind   *Kind
 	Number int
@@ -54,7 +54,7 @@
 	return r
 }
 
-// message lays a try out as it is sent.
+// message returns an attempt as it is sent.
 func (r *Request) message(id string, timeLeft time.Duration, resumeAfter int) *http1.Request {
 	kind := r.Kind
 	header := http1.Header{
--- a/internal/testbed/routerstandin/rude.go
+++ b/internal/testbed/routerstandin/rude_client.go
@@ -13,12 +13,12 @@
 	"cresshub/internal/http1"
 )
 
-// rudeActionTimeout bounds one act of a rude client.
+// rudeActionTimeout bounds one action of a rude client.
 const rudeActionTimeout = 3 * time.Second
 
 // RudeClient sends proxies what no well-behaved client does: halves of requests, nonsense, requests whose
-// answers it does not wait for or does not read. What it sends whole is a proper request of a try of its own;
-// nothing else of it may reach a server.
+// answers it does not wait for or does not read. What it sends completely is a valid request with an attempt
+// of its own; nothing else of it may reach a server.
 type RudeClient struct {
 	entry        *Entry
 	observations *Observations
@@ -34,14 +34,14 @@
 		random: rand.New(rand.NewPCG(seed, 3)), number: number}
 }
 
-// Run is rude at an even rate until ctx ends.
+// Run opens a connection and does something rude on it, then waits for the interval, until ctx ends.
 func (c *RudeClient) Run(ctx context.Context, interval time.Duration) {
 	actions := []func(context.Context, *clientConn){
 		c.sendNothing, c.sendHalfAHead, c.sendHalfABody, c.abandonAtOnce, c.abandonLater, c.resetLater,
 		c.readSlowly,
 		c.pipeline, c.sendNonsense, c.sendTooMuch, c.closeWrite,
 	}
-	for sleepFor(ctx, interval) {
+	for Sleep(ctx, interval) {
 		ready := c.entry.Ready()
 		if len(ready) == 0 {
 			continue
@@ -56,7 +56,7 @@
 	}
 }
 
-// newAttempt notes a try that is about to be sent, and returns it as it is sent.
+// newAttempt records an attempt that is about to be sent, and returns it as it is sent.
 func (c *RudeClient) newAttempt(conn *clientConn) (*attempt, string) {
 	kind := c.kinds[c.random.IntN(len(c.kinds))]
 	request := NewRequest(kind, c.number())
@@ -76,22 +76,22 @@
 	_ = conn.Flush()
 }
 
-// abandon notes that the client does not wait for an answer.
+// abandon records that the client does not wait for an answer.
 func (c *RudeClient) abandon(attempt *attempt) { c.observations.recordAnswer(attempt, 0, false, false) }
 
 func (c *RudeClient) sendNothing(ctx context.Context, _ *clientConn) {
-	sleepFor(ctx, time.Duration(c.random.IntN(500))*time.Millisecond)
+	Sleep(ctx, time.Duration(c.random.IntN(500))*time.Millisecond)
 }
 
 func (c *RudeClient) sendHalfAHead(ctx context.Context, conn *clientConn) {
 	c.send(conn, "POST /command/1 HTTP/1.1\r\nHost: lamps.example\r\nCresshub-Try-Id: half-"+newAttemptID())
-	sleepFor(ctx, time.Duration(c.random.IntN(800))*time.Millisecond)
+	Sleep(ctx, time.Duration(c.random.IntN(800))*time.Millisecond)
 }
 
 func (c *RudeClient) sendHalfABody(ctx context.Context, conn *clientConn) {
 	c.send(conn, "POST /command/1 HTTP/1.1\r\nHost: lamps.example\r\nCresshub-Try-Id: half-"+newAttemptID()+
 		"\r\nContent-Length: 100\r\n\r\nhalf")
-	sleepFor(ctx, time.Duration(c.random.IntN(800))*time.Millisecond)
+	Sleep(ctx, time.Duration(c.random.IntN(800))*time.Millisecond)
 }
 
 func (c *RudeClient) abandonAtOnce(_ context.Context, conn *clientConn) {
@@ -103,7 +103,7 @@
 func (c *RudeClient) abandonLater(ctx context.Context, conn *clientConn) {
 	attempt, text := c.newAttempt(conn)
 	c.send(conn, text)
-	sleepFor(ctx, time.Duration(c.random.IntN(120))*time.Millisecond)
+	Sleep(ctx, time.Duration(c.random.IntN(120))*time.Millisecond)
 	c.abandon(attempt)
 }
 
@@ -114,14 +114,14 @@
 	}
 }
 
-// closeWrite ends its side of the connection and waits.
+// closeWrite half-closes the connection and waits.
 func (c *RudeClient) closeWrite(ctx context.Context, conn *clientConn) {
 	attempt, text := c.newAttempt(conn)
 	c.send(conn, text)
 	if tcp, ok := conn.Conn.Conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	sleepFor(ctx, 100*time.Millisecond)
+	Sleep(ctx, 100*time.Millisecond)
 	c.abandon(attempt)
 }
 
@@ -129,7 +129,7 @@
 	attempt, text := c.newAttempt(conn)
 	c.send(conn, text)
 	for range 20 {
-		if _, err := conn.In.ReadByte(); err != nil || !sleepFor(ctx, 25*time.Millisecond) {
+		if _, err := conn.In.ReadByte(); err != nil || !Sleep(ctx, 25*time.Millisecond) {
 			break
 		}
 	}
--- a/internal/testbed/routerstandin/rules.go
+++ b/internal/testbed/routerstandin/rules.go
@@ -2,28 +2,28 @@
 
 import "fmt"
 
-// Rule names what can be broken, in the words of the system's rules.
+// Rule is a rule of the system, by the name that the operators' pages give it.
 type Rule string
 
-// The rules that the stand-ins can see.
+// The rules that the stand-ins can observe, each with what violates it.
 const (
-	RuleMixed    Rule = "MIXED"   // an answer is not the request's own, or not whole
+	RuleMixed    Rule = "MIXED"   // an answer is not the request's own, or incomplete
 	RuleUnasked  Rule = "UNASKED" // a server runs what no client sent
 	RuleTwice    Rule = "TWICE"   // what must run once runs again
 	RuleRefused  Rule = "REFUSED" // a refusal promised that the request has not run, and it has
 	RuleDenied   Rule = "DENIED"  // proper requests end with a 4xx of the proxy's own
 	RuleRoute    Rule = "ROUTE"   // a service runs what no configuration lets it run
-	RuleDrain    Rule = "DRAIN"   // a server that leaves is sent to for too long
-	RuleLost     Rule = "LOST"    // planned work costs a request that was read
-	RuleConfig   Rule = "CONFIG"  // an older, a refused or another configuration is in force
-	RuleBudget   Rule = "BUDGET"  // too many repeats reach a service
-	RuleOrder    Rule = "ORDER"   // a stream lacks a piece, has one twice or joins two runs
+	RuleDrain    Rule = "DRAIN"   // a draining server gets requests for too long
+	RuleLost     Rule = "LOST"    // a planned stop loses a request that was read
+	RuleConfig   Rule = "CONFIG"  // an older, a rejected or an unknown configuration is in force
+	RuleBudget   Rule = "BUDGET"  // the retries to a service exceed the retry budget
+	RuleOrder    Rule = "ORDER"   // a stream lacks an event, repeats one or joins two runs
 	RuleRecover  Rule = "RECOVER" // nothing is served after all processes were lost and came back
-	RuleOne      Rule = "ONE"     // two give orders to one server
-	RuleAttempts Rule = "TRIES"   // one try is sent to more servers than its route allows
-	RuleAcks     Rule = "ACKS"    // a proper change or departure is not acknowledged in time
+	RuleOne      Rule = "ONE"     // two owners give orders to one server
+	RuleAttempts Rule = "TRIES"   // a client's attempt is sent to more servers than its route allows
+	RuleAcks     Rule = "ACKS"    // a valid change or drain is not acknowledged in time
 	RuleFault    Rule = "FAULT"   // a process of the fleet ended by itself
-	// RuleInvariant: a process of the fleet saw a promise broken.
+	// RuleInvariant is violated where a process of the fleet reports a broken invariant.
 	RuleInvariant Rule = "INVARIANT"
 )
 
@@ -34,17 +34,26 @@
 	RuleFault, RuleInvariant,
 }
 
-// maxDetails is how many breaks of a rule are told in words.
+// maxDetails is how many violations of a rule are described.
 const maxDetails = 5
 
-// Verdict tells of one rule how often it was broken.
+// Verdict is how often a rule was violated.
 type Verdict struct {
 	Rule       Rule     `json:"rule"`
 	Violations int      `json:"breaks"`
-	Details    []string `json:"details,omitempty"` // of the first breaks
+	Details    []string `json:"details,omitempty"` // of the first violations
 }
 
-// verdicts counts breaks by rule.
+// CountViolations returns how many violations some verdicts count together.
+func CountViolations(rules []Verdict) int {
+	sum := 0
+	for _, rule := range rules {
+		sum += rule.Violations
+	}
+	return sum
+}
+
+// verdicts counts violations by rule.
 type verdicts map[Rule]*Verdict
 
 func newVerdicts() verdicts {
--- a/internal/testbed/routerstandin/server.go
+++ b/internal/testbed/routerstandin/server.go
@@ -29,8 +29,8 @@
 	Address     string // IP:port where it listens; port 0 for any
 	Zone        string
 	Version     string
-	Slots       int // requests that it runs at once
-	Queue       int // requests that wait besides
+	Slots       int // requests that it runs at a time
+	Queue       int // requests that may wait for a slot
 	MaxConns    int // connections of all callers together
 	HealthPath  string
 	ReportsLoad bool
@@ -38,22 +38,22 @@
 	Engine      *Engine
 
 	HeartbeatInterval time.Duration   // between heartbeats
-	ControlAddresses  func() []string // the control addresses that an operator's list holds now
+	ControlAddresses  func() []string // the control addresses as the operator's list has them now
 	Observations      *Observations
-	// DropResponse tells whether the fleet's next answer to the server is lost on its way; nil for never.
+	// DropResponse reports whether the fleet's next response to the server is dropped; nil for never.
 	DropResponse func() bool
 }
 
 // Engine describes what a model server does.
 type Engine struct {
 	Stage          string
-	PrefillPace    float64       // prompt tokens read in a ms
+	PrefillPace    float64       // prompt tokens per ms
 	EventInterval  time.Duration // between the events of a stream
 	TokensPerEvent int           // tokens of an event
-	TransferTime   time.Duration // of a prompt's memory from one server to another
+	TransferTime   time.Duration // of a prompt's prefix cache from one server to another
 	HandleTTL      time.Duration
-	SwitchTime     time.Duration // from the end of what runs to the new stage
-	CacheTokens    int           // memory
+	SwitchTime     time.Duration // from the end of the last run to the new stage
+	CacheTokens    int           // capacity of the prefix cache, as reported
 }
 
 // Server is one incarnation of a server.
@@ -66,8 +66,8 @@
 	endOnce  sync.Once
 
 	heartbeatNow chan struct{} // asks for a heartbeat now
-	drainAcked   chan struct{} // closed when its departure was acknowledged
-	deregister   chan struct{} // closed when it is to take its leave
+	drainAcked   chan struct{} // closed when its drain was acknowledged
+	deregister   chan struct{} // closed when it is to deregister
 
 	heartbeats sync.WaitGroup
 	engine     *engineState
@@ -75,7 +75,7 @@
 
 	mu       sync.Mutex
 	draining bool
-	ackedAt  time.Time // of its departure
+	ackedAt  time.Time // of its drain
 	ackedBy  string    // IP of the machine that did
 	postmark int64     // of the last heartbeat
 
@@ -90,16 +90,16 @@
 	Zone           string `json:"zone"`
 	Stage          string `json:"stage,omitempty"`
 	Arrivals       int    `json:"arrivals"` // calls other than health checks
-	Prefills       int    `json:"reads"`    // prompts read for another server
+	Prefills       int    `json:"reads"`    // prefills for another server
 	Runs           int    `json:"runs"`
-	Rejected       int    `json:"rejected"` // with a word that it did not run
-	Aborted        int    `json:"broken"`   // runs left unfinished
+	Rejected       int    `json:"rejected"` // with Cresshub-Not-Run
+	Aborted        int    `json:"broken"`   // runs that it did not finish
 	ExpiredHandles int    `json:"handles_lapsed"`
 }
 
 type serverTally struct {
 	mu            sync.Mutex
-	nonIdempotent int // requests at present that must run once
+	nonIdempotent int // requests in progress that must run once
 	ServerTally
 }
 
@@ -155,6 +155,12 @@
 	return options
 }
 
+// AtAnyPort returns options for another server at the same IP, at a port that the system chooses.
+func (o ServerOptions) AtAnyPort() ServerOptions {
+	o.Address = net.JoinHostPort(hostOf(o.Address), "0")
+	return o
+}
+
 // Tally returns what it has done so far.
 func (s *Server) Tally() ServerTally {
 	s.tally.mu.Lock()
@@ -166,14 +172,14 @@
 	return tally
 }
 
-// RunsNonIdempotent tells whether the server is at work on a request that must run once.
+// RunsNonIdempotent reports whether the server is at work on a request that must run once.
 func (s *Server) RunsNonIdempotent() bool {
 	s.tally.mu.Lock()
 	defer s.tally.mu.Unlock()
 	return s.tally.nonIdempotent > 0
 }
 
-// Crash ends the server without a word, as when its process is killed.
+// Crash ends the server at once, as when its process is killed: callers see a reset.
 func (s *Server) Crash() { s.end(true) }
 
 // Stop ends the server when the trial is over.
@@ -185,7 +191,7 @@
 	s.heartbeats.Wait()
 }
 
-// drainAckedAt returns when its departure was acknowledged and by which machine; the zero time if it was not.
+// drainAckedAt returns when its drain was acknowledged and by which machine; the zero time if it was not.
 func (s *Server) drainAckedAt() (time.Time, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +204,7 @@
 	return s.draining
 }
 
-// serve answers the requests of one connection, one at a time.
+// serve answers the requests of one connection in turn.
 func (s *Server) serve(conn *connbuffer.Conn) {
 	for {
 		conn.SetReadDeadline(time.Now().Add(idleTimeout))
@@ -248,7 +254,7 @@
 	}
 }
 
-// misdirected tells whether the request is meant for another incarnation.
+// misdirected reports whether the request is meant for another incarnation.
 func (x *exchange) misdirected() bool {
 	expected := x.request.Header.Get(expectHeader)
 	return expected != "" && expected != x.server.id
@@ -268,7 +274,7 @@
 	x.answer(200, field(serverIDHeader, x.server.id))
 }
 
-// run answers a client's request that the router passed on.
+// run answers a client's request that the router forwarded.
 func (x *exchange) run() {
 	x.server.tally.count(func(t *ServerTally) { t.Arrivals++ })
 	if x.request.Header.Get(attemptIDHeader) == "" {
--- a/internal/testbed/routerstandin/exchange.go
+++ b/internal/testbed/routerstandin/server_exchange.go
@@ -17,10 +17,10 @@
 	arrival    *arrival
 	deadline   time.Time
 	closesConn bool // the connection ends with the answer
-	// misbehaviour is how a server in trouble treats the request.
+	// misbehaviour is how a misbehaving server treats the request.
 	misbehaviour Misbehaviour
 	callerGone   chan struct{} // closed when the caller has closed the connection
-	watchEnded   chan struct{} // closed when nobody watches the connection any more
+	watchEnded   chan struct{} // closed when the watch of the connection has ended
 }
 
 // longAgo is a deadline that has passed.
@@ -35,7 +35,8 @@
 	return x
 }
 
-// watchCaller has gone close once the caller closes the connection. Callers send nothing before the answer.
+// watchCaller closes callerGone once the caller closes the connection. Callers send nothing before the
+// answer.
 func (x *exchange) watchCaller() {
 	x.conn.SetReadDeadline(time.Time{})
 	go func() {
@@ -51,7 +52,7 @@
 	<-x.watchEnded
 }
 
-// wait waits, and tells whether the work goes on: the caller is there and the server runs.
+// wait waits, and reports whether the work goes on: the caller is there and the server runs.
 func (x *exchange) wait(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -64,10 +65,10 @@
 	return false
 }
 
-// pastDeadline tells whether the caller's time is over.
+// pastDeadline reports whether the caller's deadline has passed.
 func (x *exchange) pastDeadline() bool { return !x.deadline.IsZero() && time.Now().After(x.deadline) }
 
-// acquireSlot waits for a slot, and returns why there is none.
+// acquireSlot waits for a slot, and returns "" or why there is none.
 func (x *exchange) acquireSlot() string {
 	var deadline <-chan time.Time
 	if !x.deadline.IsZero() {
@@ -78,7 +79,7 @@
 	return x.server.slots.acquire(deadline, x.callerGone, x.server.ended)
 }
 
-// header returns the lines that every answer carries, with those given.
+// header returns the fields that every answer has, and more.
 func (x *exchange) header(more ...http1.Field) http1.Header {
 	var header http1.Header
 	if id := x.request.Header.Get(attemptIDHeader); id != "" {
@@ -117,7 +118,7 @@
 	x.send(status, nil, field(notRunHeader, reason))
 }
 
-// trackWork notes that the server begins work on the request, and returns what notes the end.
+// trackWork records that work on the request begins, and returns the function that records its end.
 func (x *exchange) trackWork() (end func()) {
 	nonIdempotent := 0
 	if !x.arrival.attempt.request.Kind.idempotent() {
@@ -127,12 +128,12 @@
 	return func() { x.server.tally.addNonIdempotent(-nonIdempotent) }
 }
 
-// abort ends the connection in the middle of a run.
+// abort ends the connection during a run.
 func (x *exchange) abort() {
 	x.closesConn = true
 	x.server.tally.count(func(t *ServerTally) { t.Aborted++ })
 	select {
-	case <-x.callerGone: // the caller has left; the server did not break off
+	case <-x.callerGone: // the caller ended it, not the server
 	default:
 		x.server.options.Observations.recordAbort(x.arrival)
 	}
--- a/internal/testbed/routerstandin/heartbeat.go
+++ b/internal/testbed/routerstandin/server_heartbeat.go
@@ -12,9 +12,9 @@
 const (
 	// heartbeatTimeout is when a heartbeat without an acknowledgement is sent to another proxy.
 	heartbeatTimeout = time.Second
-	// maxAckBytes is the largest body, in bytes, with which an answer acknowledges.
+	// maxAckBytes bounds the body, in bytes, of an answer that acknowledges.
 	maxAckBytes = 4 << 10
-	// departureTimeout is how long a server that leaves waits for an acknowledgement at most.
+	// departureTimeout bounds the wait for the acknowledgement of a drain, and the attempts to deregister.
 	departureTimeout = 4 * time.Second
 	// drainMargin is how much longer than the drain bound a server serves.
 	drainMargin = 300 * time.Millisecond
@@ -49,7 +49,7 @@
 	return next
 }
 
-// heartbeatLoop tells the fleet of the server until it ends, and takes its leave if it departs.
+// heartbeatLoop sends heartbeats until the server ends, and deregisters it where it shuts down.
 func (s *Server) heartbeatLoop() {
 	ctx, cancel := s.untilEnded()
 	defer cancel()
@@ -66,7 +66,7 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat and tells whether it was acknowledged.
+// sendHeartbeat sends one heartbeat and reports whether it was acknowledged.
 func (s *Server) sendHeartbeat(ctx context.Context, caller *controlCaller) bool {
 	sent := s.nextHeartbeat()
 	body, _ := json.Marshal(sent)
@@ -97,8 +97,8 @@
 	}
 }
 
-// Shutdown ends the server in good order: it says so, serves on for drain, and takes its leave. It returns
-// whether its departure was acknowledged.
+// Shutdown ends the server gracefully: it reports that it drains, serves on for drain after the
+// acknowledgement, and deregisters. It returns whether the drain was acknowledged. Call it once.
 func (s *Server) Shutdown(drain time.Duration) bool {
 	began := time.Now()
 	s.mu.Lock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// sendDeregistration tells the fleet that the server ends; without an answer it ends all the same.
+// sendDeregistration deregisters the server at the fleet; without an answer it gives up after a while.
 func (s *Server) sendDeregistration(ctx context.Context, caller *controlCaller) {
 	call := controlclient.Call{Method: "DELETE", Target: serversPath + s.id}
 	for began := time.Now(); time.Since(began) < departureTimeout && ctx.Err() == nil; {
@@ -165,7 +165,7 @@
 	return ctx, cancel
 }
 
-// sleep waits, unless the server ends, departs or has news to tell.
+// sleep waits until the next heartbeat is due: for d, or less where the server ends, shuts down or drains.
 func (s *Server) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/testbed/routerstandin/misbehaviour.go
+++ b/internal/testbed/routerstandin/server_misbehaviour.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/http1"
 )
 
-// Misbehaviour is what a server in trouble does to a part of the requests that it takes up.
+// Misbehaviour is what a server does wrong with a fraction of its requests.
 type Misbehaviour string
 
 // The misbehaviours of servers.
@@ -17,11 +17,11 @@
 	DropsResponses      Misbehaviour = "loses answers"  // runs the request, then ends the connection unanswered
 	TruncatesResponses  Misbehaviour = "cuts answers"   // ends the connection inside the answer
 	DuplicatesResponses Misbehaviour = "answers twice"  // sends the answer once more behind it
-	Hangs               Misbehaviour = "hangs"          // begins, and says nothing more until its caller leaves
-	ShedsLoad           Misbehaviour = "sheds"          // turns requests away though there is room
+	Hangs               Misbehaviour = "hangs"          // begins, and stalls until its caller disconnects
+	ShedsLoad           Misbehaviour = "sheds"          // rejects requests though a slot is free
 	Fails               Misbehaviour = "fails"          // answers 500 after the work
 	IsSlow              Misbehaviour = "is slow"        // takes several times as long
-	SendsGarbage        Misbehaviour = "sends nonsense" // answers with bytes that are no answer
+	SendsGarbage        Misbehaviour = "sends nonsense" // answers with bytes that are no HTTP
 )
 
 // Misbehaviours lists all of them.
@@ -32,11 +32,11 @@
 const (
 	// slowFactor is how many times as long a slow server takes.
 	slowFactor = 6
-	// hangTime bounds how long a server hangs whose caller does not leave.
+	// hangTime bounds how long a server hangs whose caller stays connected.
 	hangTime = 8 * time.Second
 )
 
-// Misbehave has the server treat a part of its requests so from now on; Behaves ends it.
+// Misbehave applies a misbehaviour to a fraction of the requests from now on; Behaves ends it.
 func (s *Server) Misbehave(misbehaviour Misbehaviour, fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +61,7 @@
 	return d
 }
 
-// injectFault ends a request, in place of its answer, as the treatment wants, and tells whether it did.
+// injectFault applies the misbehaviours that replace the answer, and reports whether one did.
 func (x *exchange) injectFault(stamp string) bool {
 	switch x.misbehaviour {
 	case DropsResponses:
--- a/internal/testbed/routerstandin/places.go
+++ b/internal/testbed/routerstandin/server_slots.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Reasons why a request gets no place.
+// Reasons why a request gets no slot; they go into Cresshub-Not-Run.
 const (
 	reasonFull        = "full"
 	reasonDeadline    = "deadline"
@@ -20,8 +20,8 @@
 	slots      int
 	maxWaiting int
 	running    int
-	waiting    []chan struct{} // closed when the slot is theirs
-	idle       chan struct{}   // closed when nothing runs, nil while nobody asked
+	waiting    []chan struct{} // closed when the slot is granted
+	idle       chan struct{}   // closed when nothing runs, nil while nobody waits for that
 }
 
 func newSlotQueue(slots, queue int) *slotQueue { return &slotQueue{slots: slots, maxWaiting: queue} }
@@ -56,7 +56,7 @@
 	return reason
 }
 
-// cancelWait gives a place in the queue up, or the slot where it has just been given.
+// cancelWait leaves the queue, or releases the slot that was granted meanwhile.
 func (p *slotQueue) cancelWait(granted chan struct{}) {
 	p.mu.Lock()
 	at := slices.Index(p.waiting, granted)
@@ -69,7 +69,7 @@
 	}
 }
 
-// release gives a slot back.
+// release returns a slot, which goes to the first in the queue.
 func (p *slotQueue) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/routerstandin/tally.go
+++ b/internal/testbed/routerstandin/tally.go
@@ -8,7 +8,7 @@
 )
 
 // KindTally is what has become of the requests of one kind. Times are in milliseconds, from a request's first
-// try to its answer, of a stream to the first event.
+// attempt to its answer, of a stream to the first event.
 type KindTally struct {
 	Kind        string  `json:"kind"`
 	Asked       int     `json:"asked"`
@@ -127,7 +127,7 @@
 	return total
 }
 
-// percentile returns the value in ms below which so many in a hundred of the sorted values lie.
+// percentile returns a percentile of sorted values in ms.
 func percentile(sorted []time.Duration, hundredths int) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/testbed/routerstandin/breaks_test.go
+++ b/internal/testbed/routerstandin/violations_test.go
@@ -146,7 +146,7 @@
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleDrain})
 }
 
-// The acknowledgement of a machine in trouble binds the others.
+// The acknowledgement of a machine faulty binds the others.
 func TestSendingAfterTheAcknowledgementOfAMachineInTroubleIsSeen(t *testing.T) {
 	w := newWorld(t)
 	const elsewhere = "10.9.9.9"
--- a/internal/testbed/routertrial/change.go
+++ b/internal/testbed/routertrial/change.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	f.event("edition %d is acknowledged", next.Version)
-	if !sleepFor(ctx, bounds.Config+probeMargin) {
+	if !routerstandin.Sleep(ctx, bounds.Config+probeMargin) {
 		return ctx.Err()
 	}
 	served := f.Probe(ctx, addedKind)
@@ -43,7 +43,7 @@
 }
 
 // Probe sends a request of a kind to each proxy that gets clients, and returns how many answered with each
-// status, 0 standing for none. What an answer breaks is noted by the observations.
+// status, 0 standing for none. What an answer breaks is recorded by the observations.
 func (f *Fleet) Probe(ctx context.Context, kind *routerstandin.Kind) map[int]int {
 	var mu sync.Mutex
 	var probing sync.WaitGroup
--- a/internal/testbed/routertrial/trouble.go
+++ b/internal/testbed/routertrial/faults.go
@@ -10,7 +10,7 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// The troubles that can be played.
+// The faults that can be played.
 const (
 	FaultKill           = "kill"   // a machine with a disk is killed and comes back
 	FaultWipe           = "wipe"   // a machine with a disk is killed and comes back with an empty disk
@@ -40,14 +40,14 @@
 	killAllDownTime = 300 * time.Millisecond
 )
 
-// UnknownFaultError says that a word names no trouble.
+// UnknownFaultError says that a word names no fault.
 type UnknownFaultError struct{ Word string }
 
 func (e *UnknownFaultError) Error() string {
 	return fmt.Sprintf("%q is no trouble; name one of %s", e.Word, strings.Join(Faults, ", "))
 }
 
-// CheckFault refuses a word that names no trouble; "" stands for none.
+// CheckFault refuses a word that names no fault; "" stands for none.
 func CheckFault(word string) error {
 	if word != "" && !slices.Contains(Faults, word) {
 		return &UnknownFaultError{word}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Fault plays a trouble to its end.
+// Fault plays a fault to its end.
 func (f *Fleet) InjectFault(ctx context.Context, word string) error {
 	switch word {
 	case FaultKill:
@@ -82,7 +82,7 @@
 func (f *Fleet) killMachine(ctx context.Context, m *Machine, wipe bool) error {
 	f.event("%s is killed", m.Name)
 	m.Kill()
-	if !sleepFor(ctx, downTime) {
+	if !routerstandin.Sleep(ctx, downTime) {
 		return ctx.Err()
 	}
 	if wipe {
@@ -116,27 +116,19 @@
 		if err := f.restartMachine(ctx, m); err != nil {
 			return err
 		}
-		if m.HasDisk && !sleepFor(ctx, catchUp) {
+		if m.HasDisk && !routerstandin.Sleep(ctx, catchUp) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// drainServers has a server of each service leave; each is replaced before.
+// drainServers drains a server of each service; each is replaced before.
 func (f *Fleet) drainServers(ctx context.Context) error {
-	for _, draining := range f.oneServerOfEach() {
-		options := draining.Options()
-		options.Address = hostOf(options.Address) + ":0"
-		if err := f.StartServer(options); err != nil {
+	for _, server := range f.oneServerOfEach() {
+		if err := f.drainServer(ctx, server); err != nil {
 			return err
 		}
-		f.event("server %s of %s leaves", draining.ID(), options.Service)
-		stopWatching := context.AfterFunc(ctx, draining.Stop)
-		acknowledged := draining.Shutdown(bounds.Drain)
-		stopWatching()
-		f.Forget(draining)
-		f.event("server %s has left, acknowledged: %t", draining.ID(), acknowledged)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -144,6 +136,21 @@
 	return nil
 }
 
+// drainServer starts another server in place of one, and shuts that down gracefully. The end of ctx stops it.
+func (f *Fleet) drainServer(ctx context.Context, server *routerstandin.Server) error {
+	options := server.Options()
+	if err := f.StartServer(options.AtAnyPort()); err != nil {
+		return err
+	}
+	f.event("server %s of %s leaves", server.ID(), options.Service)
+	stopWatching := context.AfterFunc(ctx, server.Stop)
+	defer stopWatching()
+	acknowledged := server.Shutdown(bounds.Drain)
+	f.retire(server)
+	f.event("server %s has left, acknowledged: %t", server.ID(), acknowledged)
+	return nil
+}
+
 // crashServers has a server of each service die, in the middle of work that must be done once where there is
 // some, and start anew at its address.
 func (f *Fleet) crashServers(ctx context.Context) error {
@@ -152,8 +159,8 @@
 		f.awaitWork(ctx, crashing)
 		f.event("server %s of %s crashes", crashing.ID(), options.Service)
 		crashing.Crash()
-		f.Forget(crashing)
-		if !sleepFor(ctx, downTime) {
+		f.retire(crashing)
+		if !routerstandin.Sleep(ctx, downTime) {
 			return ctx.Err()
 		}
 		if err := f.StartServer(options); err != nil {
@@ -167,7 +174,7 @@
 // awaitWork waits for a while until a server is at work on a request that must run once.
 func (f *Fleet) awaitWork(ctx context.Context, server *routerstandin.Server) {
 	for began := time.Now(); time.Since(began) < workTimeout && !server.RunsNonIdempotent(); {
-		if !sleepFor(ctx, workInterval) {
+		if !routerstandin.Sleep(ctx, workInterval) {
 			return
 		}
 	}
@@ -188,7 +195,7 @@
 	for _, m := range f.Machines {
 		m.Kill()
 	}
-	if !sleepFor(ctx, killAllDownTime) {
+	if !routerstandin.Sleep(ctx, killAllDownTime) {
 		return ctx.Err()
 	}
 	if err := f.StartMachines(ctx, false); err != nil {
@@ -223,15 +230,3 @@
 	}
 	return ctx.Err()
 }
-
-// sleepFor waits, and tells whether ctx still goes on.
-func sleepFor(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/testbed/routertrial/fleet.go
+++ b/internal/testbed/routertrial/fleet.go
@@ -272,7 +272,7 @@
 // faultPatterns stand in log lines that tell of a fault of the program itself.
 var faultPatterns = [][]byte{[]byte(`"message":"invariant `), []byte("front: a mistake of the program")}
 
-// recordFaultIn notes a log line that tells of a fault of the program itself.
+// recordFaultIn records a log line that tells of a fault of the program itself.
 func (f *Fleet) recordFaultIn(name string, line []byte) {
 	for _, pattern := range faultPatterns {
 		if bytes.Contains(line, pattern) {
--- a/internal/testbed/routertrial/hunt_test.go
+++ b/internal/testbed/routertrial/hunt_test.go
@@ -23,7 +23,7 @@
 // lossInterval is how often requests that were not served are counted.
 const lossInterval = 250 * time.Millisecond
 
-// huntSteps is how many troubles a trial of the hunt has.
+// huntSteps is how many faults a trial of the hunt has.
 const huntSteps = 6
 
 // Faults drawn at random, some at the same time, break no rule.
@@ -51,17 +51,17 @@
 	}
 }
 
-// hunt is a trial whose troubles are drawn.
+// hunt is a trial whose faults are drawn.
 type hunt struct {
 	*rig
 	random *rand.Rand
 	lostAt time.Time // when a machine with a disk was lost last, which counts as lost for a while
 }
 
-// recordLosses notes when requests are not served, so that the trouble that cost them is seen.
+// recordLosses records when requests are not served, so that the fault that cost them is seen.
 func (h *hunt) recordLosses() {
 	before := routerstandin.KindTally{}
-	for sleepFor(h.ctx, lossInterval) {
+	for routerstandin.Sleep(h.ctx, lossInterval) {
 		now := h.load.Tally().Total()
 		refused, failed, late := now.Rejected-before.Rejected, now.Failed-before.Failed, now.Late-before.Late
 		if refused+failed+late > 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// step plays a trouble of machines to its end, and at the same time for some of the steps a trouble of
+// step plays a fault of machines to its end, and at the same time for some of the steps a fault of
 // servers and a change of the configuration.
 func (h *hunt) step() {
 	changed, faulted := make(chan error, 1), make(chan error, 1)
@@ -92,7 +92,7 @@
 	serverFaults := []func(context.Context) error{h.crashServers, h.drainServers}
 	serverFault := serverFaults[h.random.IntN(len(serverFaults))]
 	sometimes(faulted, func() error { return serverFault(h.ctx) })
-	sleepFor(h.ctx, time.Duration(h.random.IntN(30))*time.Millisecond)
+	routerstandin.Sleep(h.ctx, time.Duration(h.random.IntN(30))*time.Millisecond)
 	h.injectMachineFault(changed)
 	h.Assert(<-changed, qt.IsNil)
 	h.Assert(<-faulted, qt.IsNil)
@@ -129,7 +129,7 @@
 }
 
 // awaitTolerance waits until another machine with a disk may be lost.
-func (h *hunt) awaitTolerance() { sleepFor(h.ctx, catchUp-time.Since(h.lostAt)) }
+func (h *hunt) awaitTolerance() { routerstandin.Sleep(h.ctx, catchUp-time.Since(h.lostAt)) }
 
 func (h *hunt) killMember(wipe bool) {
 	h.awaitTolerance()
--- a/internal/testbed/routertrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -97,7 +97,7 @@
 	return os.WriteFile(m.settingsPath(), settings, 0o600)
 }
 
-// watch notes a process that ends by itself.
+// watch records a process that ends by itself.
 func (m *Machine) watch(process *childprocess.Process) {
 	<-process.Ended()
 	m.mu.Lock()
@@ -152,7 +152,7 @@
 	}
 	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 	process.Signal(syscall.SIGSTOP)
-	sleepFor(ctx, d)
+	routerstandin.Sleep(ctx, d)
 	process.Signal(syscall.SIGCONT)
 	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 }
--- a/internal/testbed/routertrial/machine_faults.go
+++ b/internal/testbed/routertrial/machine_faults.go
@@ -8,6 +8,7 @@
 
 	"cresshub/internal/childprocess"
 	"cresshub/internal/testbed/faultinject"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // running returns the machine's process, nil while none runs.
@@ -100,22 +101,22 @@
 	return m.awaitExit(ctx, process, timeout)
 }
 
-// recordFaultUntil notes that a machine is in trouble until ctx ends.
+// recordFaultUntil records that a machine is faulty until ctx ends.
 func (f *Fleet) recordFaultUntil(ctx context.Context, machines ...*Machine) {
 	for {
 		for _, m := range machines {
 			f.Observations.RecordFault(m.IP, m.HasDisk)
 		}
-		if !sleepFor(ctx, faultRecordInterval) {
+		if !routerstandin.Sleep(ctx, faultRecordInterval) {
 			return
 		}
 	}
 }
 
-// faultRecordInterval is how often a trouble that goes on is noted.
+// faultRecordInterval is how often a fault that goes on is recorded.
 const faultRecordInterval = 200 * time.Millisecond
 
-// awaitExit waits until the process has ended by itself, kills it where it does not, and tells which.
+// awaitExit waits until the process has ended by itself, kills it where it does not, and reports which.
 func (m *Machine) awaitExit(ctx context.Context, process *childprocess.Process,
 	timeout time.Duration) bool {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/testbed/routertrial/ready.go
+++ b/internal/testbed/routertrial/ready.go
@@ -18,7 +18,7 @@
 type NotReadyError struct {
 	What     string
 	Wait     time.Duration
-	LastSeen string // what was seen last
+	LastSeen string // what was observed last
 }
 
 func (e *NotReadyError) Error() string {
--- a/internal/testbed/routertrial/rig_test.go
+++ b/internal/testbed/routertrial/rig_test.go
@@ -134,7 +134,7 @@
 }
 
 // calm waits until the rules with a time bound bind every machine again.
-func (r *rig) calm() { r.Assert(sleepFor(r.ctx, bounds.Touch), qt.IsTrue) }
+func (r *rig) calm() { r.Assert(routerstandin.Sleep(r.ctx, bounds.Touch), qt.IsTrue) }
 
 // finish ends the clients, reads the configuration back, and checks that every rule was kept.
 func (r *rig) finish() routerstandin.KindTally {
--- a/internal/testbed/routertrial/servers.go
+++ b/internal/testbed/routertrial/servers.go
@@ -64,14 +64,15 @@
 	return nil
 }
 
-// Forget takes a server that has ended out of those that run.
-func (f *Fleet) Forget(server *routerstandin.Server) {
+// retire takes a server that has ended out of those that run, where it is still among them, and keeps its
+// tally.
+func (f *Fleet) retire(server *routerstandin.Server) {
 	f.serversMu.Lock()
 	defer f.serversMu.Unlock()
 	if at := slices.Index(f.servers, server); at >= 0 {
 		f.servers = slices.Delete(f.servers, at, at+1)
-		f.ended = append(f.ended, server.Tally())
 	}
+	f.ended = append(f.ended, server.Tally())
 }
 
 // serverIDs returns the ids of the servers that run, sorted.
--- a/internal/testbed/routertrial/soak.go
+++ b/internal/testbed/routertrial/soak.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// The troubles of a round, and the time within which they begin.
+	// The faults of a round, and the time within which they begin.
 	minFaults            = 2
 	maxFaults            = 4
 	roundSpread          = 1200 * time.Millisecond
 	betweenRounds        = 300 * time.Millisecond
 	catchUpEvery         = 4 // one round in so many begins only when the core has caught up
 	minServedAfterFaults = 60
-	// recoveryBound is how long after the end of all troubles every machine must be ready and know every server;
+	// recoveryBound is how long after the end of all faults every machine must be ready and know every server;
 	// the platform needs up to two seconds of it to ask.
 	recoveryBound = 12 * time.Second
 	rudeInterval  = 60 * time.Millisecond
@@ -31,7 +31,7 @@
 type SoakOptions struct {
 	Program    string // path of the program that has the faulty router role
 	Seed       uint64
-	Rounds     int     // of troubles that overlap
+	Rounds     int     // of faults that overlap
 	Rate       float64 // requests a second of all clients together
 	OnlyFaults []string
 	Large      bool // see Options
@@ -43,21 +43,15 @@
 type SoakReport struct {
 	Seed    uint64                  `json:"seed"`
 	Seconds float64                 `json:"seconds"`
-	Played  map[string]int          `json:"played"` // troubles by name
+	Played  map[string]int          `json:"played"` // faults by name
 	Total   routerstandin.KindTally `json:"total"`
 	Reasons []routerstandin.Reason  `json:"reasons"` // why requests were not served
 	Rules   []routerstandin.Verdict `json:"rules"`
 	Events  []string                `json:"events"`
 }
 
-// Violations is how many breaks of rules there were.
-func (r *SoakReport) Violations() int {
-	sum := 0
-	for _, rule := range r.Rules {
-		sum += rule.Violations
-	}
-	return sum
-}
+// Violations is how many violations of rules there were.
+func (r *SoakReport) Violations() int { return routerstandin.CountViolations(r.Rules) }
 
 // soak is one soak under way.
 type soak struct {
@@ -68,7 +62,7 @@
 	partitions partitions
 
 	mu           sync.Mutex
-	reserved     map[*Machine]bool // in a trouble that ends or stops the process
+	reserved     map[*Machine]bool // in a fault that ends or stops the process
 	reservedCore int               // of those that count
 	wipedAt      time.Time         // when a machine last came back without its disk
 	wiping       bool
@@ -77,7 +71,7 @@
 	operating sync.Mutex // held while somebody changes the configuration
 }
 
-// Soak plays rounds of overlapping troubles on a small fleet of real processes, while clients of all manners
+// Soak plays rounds of overlapping faults on a small fleet of real processes, while clients of all manners
 // send, and checks the rules. The error tells what kept the soak from being played to its end.
 func Soak(ctx context.Context, options SoakOptions) (*SoakReport, error) {
 	fleet, err := StartFleet(ctx, Options{Program: options.Program, Rate: options.Rate, Seed: options.Seed,
@@ -142,14 +136,14 @@
 		if s.random.IntN(catchUpEvery) == 0 {
 			pause = catchUp
 		}
-		if !sleepFor(ctx, pause) {
+		if !routerstandin.Sleep(ctx, pause) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// injectRound plays some troubles that begin at almost the same time.
+// injectRound plays some faults that begin at almost the same time.
 func (s *soak) injectRound(ctx context.Context) error {
 	count := minFaults + s.random.IntN(maxFaults-minFaults+1)
 	problems := make([]error, count)
@@ -159,7 +153,7 @@
 		rng := rand.New(rand.NewPCG(s.random.Uint64(), 1))
 		delay := time.Duration(s.random.Int64N(int64(roundSpread)))
 		injecting.Go(func() {
-			if sleepFor(ctx, delay) {
+			if routerstandin.Sleep(ctx, delay) {
 				problems[i] = fault.inject(ctx, s, rng)
 			}
 		})
@@ -186,10 +180,10 @@
 	return err
 }
 
-// checkServingAfterFaults checks that, with nothing in trouble any more, a change is taken and requests are
+// checkServingAfterFaults checks that, with nothing faulty any more, a change is taken and requests are
 // served.
 func (s *soak) checkServingAfterFaults(ctx context.Context, load *routerstandin.Load) error {
-	if !sleepFor(ctx, bounds.Touch) {
+	if !routerstandin.Sleep(ctx, bounds.Touch) {
 		return ctx.Err()
 	}
 	if err := s.change(ctx); err != nil {
--- a/internal/testbed/routertrial/soak_checks.go
+++ b/internal/testbed/routertrial/soak_checks.go
@@ -17,15 +17,15 @@
 	callTimeout     = time.Second
 )
 
-// readConfigurations asks machines drawn by lot for the configuration, whatever trouble they are in, and
+// readConfigurations asks machines drawn at random for the configuration, whatever fault they are in, and
 // checks what they show.
 func (s *soak) readConfigurations(ctx context.Context) {
-	for sleepFor(ctx, readInterval) {
+	for routerstandin.Sleep(ctx, readInterval) {
 		s.readFrom(ctx, s.Machines[rand.IntN(len(s.Machines))])
 	}
 }
 
-// readFrom asks one machine, and tells whether it showed a configuration.
+// readFrom asks one machine, and reports whether it showed a configuration.
 func (s *soak) readFrom(ctx context.Context, m *Machine) bool {
 	asked := time.Now()
 	answer := m.get(ctx, "/api/config")
@@ -64,16 +64,16 @@
 	return s.Operator.ReadBack(ctx)
 }
 
-// watchMetrics looks for broken invariants in the figures of all machines.
+// watchMetrics looks for broken invariants in the metrics of all machines.
 func (s *soak) watchMetrics(ctx context.Context) {
-	for sleepFor(ctx, metricsInterval) {
+	for routerstandin.Sleep(ctx, metricsInterval) {
 		for _, m := range s.Machines {
 			s.checkInvariantMetrics(m, m.get(ctx, "/metrics"))
 		}
 	}
 }
 
-// violationsMetric is the figure that counts broken invariants.
+// violationsMetric is the metric that counts broken invariants.
 const violationsMetric = "cresshub_invariant_violations_total{"
 
 func (s *soak) checkInvariantMetrics(m *Machine, page []byte) {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// leaked tells what a page of figures shows to be taken still, "" where nothing is.
+// leaked tells what a page of metrics shows to be taken still, "" where nothing is.
 func leaked(page []byte) string {
 	for name, limit := range map[string]float64{
 		"cresshub_body_bytes": 0, "cresshub_clients": 0, "cresshub_goroutines": maxIdleGoroutines,
@@ -118,7 +118,7 @@
 	return ""
 }
 
-// metricValue returns a figure without labels.
+// metricValue returns a metric without labels.
 func metricValue(page []byte, name string) (value float64, ok bool) {
 	for line := range bytes.Lines(page) {
 		text, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte(name+" "))
--- a/internal/testbed/routertrial/soak_callers.go
+++ b/internal/testbed/routertrial/soak_client_faults.go
@@ -18,7 +18,7 @@
 			s.event("a change got no clear answer: %v", err)
 			return ctx.Err()
 		}
-		sleepFor(ctx, between(rng, time.Millisecond, 120*time.Millisecond))
+		routerstandin.Sleep(ctx, between(rng, time.Millisecond, 120*time.Millisecond))
 	}
 	return nil
 }
@@ -61,7 +61,7 @@
 	defer end()
 	go s.recordFaultUntil(faultCtx, s.Machines...)
 	s.droppedPermille.Store(permille)
-	sleepFor(ctx, between(rng, time.Second, 4*time.Second))
+	routerstandin.Sleep(ctx, between(rng, time.Second, 4*time.Second))
 	s.droppedPermille.Store(0)
 	return nil
 }
--- a/internal/testbed/routertrial/soak_troubles.go
+++ b/internal/testbed/routertrial/soak_faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// soakFault is one kind of trouble that a soak draws. It plays to its end and leaves nothing behind.
+// soakFault is one kind of fault that a soak draws. It plays to its end and leaves nothing behind.
 type soakFault struct {
 	name   string
 	inject func(ctx context.Context, s *soak, lot *rand.Rand) error
@@ -38,7 +38,7 @@
 	{"rude_clients", injectRudeClients},
 }
 
-// SoakFaultNames names the troubles that a soak draws.
+// SoakFaultNames names the faults that a soak draws.
 func SoakFaultNames() []string {
 	var names []string
 	for _, fault := range soakFaults {
@@ -47,7 +47,7 @@
 	return names
 }
 
-// selectFaults returns the troubles with some names, all where none is given.
+// selectFaults returns the faults with some names, all where none is given.
 func selectFaults(names []string) []soakFault {
 	if len(names) == 0 {
 		return soakFaults
--- a/internal/testbed/routertrial/soak_machines.go
+++ b/internal/testbed/routertrial/soak_machine_faults.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"cresshub/internal/testbed/faultinject"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // maxExitPoint is the last numbered point at which a process is ended, maxStartExitPoint the last one of its
@@ -29,7 +30,7 @@
 func injectKill(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	s.event("%s is killed", m.Name)
 	m.Kill()
-	sleepFor(ctx, between(rng, 50*time.Millisecond, 2*time.Second))
+	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, 2*time.Second))
 	return s.restart(ctx, m)
 }
 
@@ -37,7 +38,7 @@
 	point := 1 + rng.IntN(maxExitPoint)
 	ended := m.ExitAtPoint(ctx, point, 1500*time.Millisecond)
 	s.event("%s ended at point %d: %t", m.Name, point, ended)
-	sleepFor(ctx, between(rng, 50*time.Millisecond, time.Second))
+	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, time.Second))
 	for range rng.IntN(3) { // and again while it starts
 		point = 1 + rng.IntN(maxStartExitPoint)
 		ended = m.StartUntilPoint(ctx, point, time.Second)
@@ -73,7 +74,7 @@
 	defer s.release(m)
 	s.event("%s is killed and loses its disk", m.Name)
 	m.Kill()
-	sleepFor(ctx, between(rng, 50*time.Millisecond, time.Second))
+	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, time.Second))
 	if err := m.Wipe(); err != nil {
 		return err
 	}
@@ -109,7 +110,7 @@
 	for _, m := range s.Machines {
 		m.Kill()
 	}
-	sleepFor(ctx, between(rng, 50*time.Millisecond, time.Second))
+	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, time.Second))
 	err := s.StartMachines(ctx, false)
 	s.event("all machines run again")
 	return err
@@ -126,7 +127,7 @@
 	if err := s.change(bounded); err != nil {
 		s.event("a change got no clear answer: %v", err)
 	}
-	sleepFor(ctx, time.Duration(rng.Int64N(int64(15*time.Millisecond))))
+	routerstandin.Sleep(ctx, time.Duration(rng.Int64N(int64(15*time.Millisecond))))
 	for _, m := range s.Machines {
 		m.Kill()
 	}
@@ -139,7 +140,7 @@
 			return err
 		}
 	}
-	sleepFor(ctx, between(rng, 50*time.Millisecond, time.Second))
+	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, time.Second))
 	return s.StartMachines(ctx, false)
 }
 
@@ -153,7 +154,7 @@
 	go s.recordFaultUntil(faultCtx, m)
 	s.event("%s: disk %s", m.Name, mode)
 	s.partitions.setDisk(m, mode)
-	sleepFor(ctx, between(rng, 300*time.Millisecond, 4*time.Second))
+	routerstandin.Sleep(ctx, between(rng, 300*time.Millisecond, 4*time.Second))
 	var err error
 	switch rng.IntN(4) {
 	case 0:
@@ -165,7 +166,7 @@
 		m.Terminate(ctx)
 		err = s.restart(ctx, m)
 	}
-	sleepFor(ctx, between(rng, 100*time.Millisecond, 2*time.Second))
+	routerstandin.Sleep(ctx, between(rng, 100*time.Millisecond, 2*time.Second))
 	s.partitions.setDisk(m, faultinject.DiskOK)
 	s.event("%s: disk ok", m.Name)
 	return err
@@ -180,7 +181,7 @@
 	count := 1 + rng.IntN(6)
 	s.event("%s fails to accept %d connections", m.Name, count)
 	m.send("%s %d", faultinject.CommandRefuse, count)
-	sleepFor(ctx, between(rng, 200*time.Millisecond, time.Second))
+	routerstandin.Sleep(ctx, between(rng, 200*time.Millisecond, time.Second))
 	m.send("%s 0", faultinject.CommandRefuse)
 	return nil
 }
@@ -202,7 +203,7 @@
 			if process := m.running(); process != nil {
 				_ = process.Signal(syscall.SIGHUP)
 			}
-			sleepFor(ctx, between(rng, time.Millisecond, 30*time.Millisecond))
+			routerstandin.Sleep(ctx, between(rng, time.Millisecond, 30*time.Millisecond))
 		}
 	}
 	return nil
@@ -216,7 +217,7 @@
 	}
 	s.event("nobody reads the log of %s", m.Name)
 	process.PauseLog()
-	sleepFor(ctx, between(rng, time.Second, 4*time.Second))
+	routerstandin.Sleep(ctx, between(rng, time.Second, 4*time.Second))
 	process.ResumeLog()
 	s.event("the log of %s is read", m.Name)
 	return nil
--- a/internal/testbed/routertrial/soak_networks.go
+++ b/internal/testbed/routertrial/soak_partition_faults.go
@@ -5,9 +5,11 @@
 	"fmt"
 	"math/rand/v2"
 	"time"
+
+	"cresshub/internal/testbed/routerstandin"
 )
 
-// injectPartition cuts ways for a while.
+// injectPartition cuts links for a while.
 func (s *soak) injectPartition(ctx context.Context, rng *rand.Rand, what string, links []link,
 	machines ...*Machine) {
 	faultCtx, end := context.WithCancel(ctx)
@@ -15,7 +17,7 @@
 	go s.recordFaultUntil(faultCtx, machines...)
 	s.event("cut: %s", what)
 	heal := s.partitions.cut(links)
-	sleepFor(ctx, between(rng, 300*time.Millisecond, 6*time.Second))
+	routerstandin.Sleep(ctx, between(rng, 300*time.Millisecond, 6*time.Second))
 	heal()
 	s.event("healed: %s", what)
 }
@@ -31,7 +33,7 @@
 	return nil
 }
 
-// partitionHalves cuts the machines into two halves by lot.
+// partitionHalves cuts the machines into two halves at random.
 func partitionHalves(ctx context.Context, s *soak, rng *rand.Rand) error {
 	var one, other []*Machine
 	for _, m := range s.Machines {
--- a/internal/testbed/routertrial/soak_cuts.go
+++ b/internal/testbed/routertrial/soak_partitions.go
@@ -10,7 +10,7 @@
 // link is the way from one machine to another.
 type link struct{ from, to *Machine }
 
-// partitions are the ways between machines that are cut now, each as often as troubles cut it, and what else
+// partitions are the links between machines that are cut now, each as often as faults cut it, and what else
 // is wrong with machines.
 type partitions struct {
 	fleet *Fleet
@@ -24,7 +24,7 @@
 	return partitions{fleet: f, links: map[link]int{}, disks: map[*Machine]faultinject.DiskMode{}}
 }
 
-// cut cuts ways until the function that it returns is called.
+// cut cuts links until the function that it returns is called.
 func (c *partitions) cut(links []link) (heal func()) {
 	c.change(links, 1)
 	return func() { c.change(links, -1) }
@@ -77,7 +77,7 @@
 	}
 }
 
-// bothDirections are the ways between each machine of one group and each of another.
+// bothDirections are the links between each machine of one group and each of another.
 func bothDirections(group, others []*Machine) []link {
 	var links []link
 	for _, m := range group {
--- a/internal/testbed/routertrial/soak_servers.go
+++ b/internal/testbed/routertrial/soak_server_faults.go
@@ -16,7 +16,7 @@
 	return s.servers[rng.IntN(len(s.servers))]
 }
 
-// takeServer takes one server out of those that run, so that no other trouble ends it too.
+// takeServer takes one server out of those that run, so that no other fault ends it too.
 func (s *soak) takeServer(rng *rand.Rand) *routerstandin.Server {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
@@ -29,12 +29,6 @@
 	return server
 }
 
-func (s *soak) recordEnded(server *routerstandin.Server) {
-	s.serversMu.Lock()
-	defer s.serversMu.Unlock()
-	s.ended = append(s.ended, server.Tally())
-}
-
 func injectServerCrash(ctx context.Context, s *soak, rng *rand.Rand) error {
 	server := s.takeServer(rng)
 	if server == nil {
@@ -43,8 +37,8 @@
 	options := server.Options()
 	s.event("server %s of %s crashes", server.ID(), options.Service)
 	server.Crash()
-	s.recordEnded(server)
-	sleepFor(ctx, between(rng, 50*time.Millisecond, 2*time.Second))
+	s.retire(server)
+	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, 2*time.Second))
 	return s.StartServer(options)
 }
 
@@ -53,18 +47,7 @@
 	if server == nil {
 		return nil
 	}
-	options := server.Options()
-	options.Address = hostOf(options.Address) + ":0"
-	if err := s.StartServer(options); err != nil {
-		return err
-	}
-	s.event("server %s of %s leaves", server.ID(), options.Service)
-	stopWatching := context.AfterFunc(ctx, server.Stop)
-	defer stopWatching()
-	acknowledged := server.Shutdown(bounds.Drain)
-	s.recordEnded(server)
-	s.event("server %s has left, acknowledged: %t", server.ID(), acknowledged)
-	return nil
+	return s.drainServer(ctx, server)
 }
 
 // injectMisbehaviour has servers treat a part of their requests badly.
@@ -79,7 +62,7 @@
 		s.event("server %s of %s %s (%.1f)", server.ID(), server.Tally().Service, misbehaviour, fraction)
 		server.Misbehave(misbehaviour, fraction)
 	}
-	sleepFor(ctx, between(rng, 500*time.Millisecond, 4*time.Second))
+	routerstandin.Sleep(ctx, between(rng, 500*time.Millisecond, 4*time.Second))
 	for _, server := range servers {
 		server.Misbehave(routerstandin.NoMisbehaviour, 0)
 	}
--- a/internal/testbed/routertrial/soak_test.go
+++ b/internal/testbed/routertrial/soak_test.go
@@ -16,11 +16,11 @@
 	soakFirst = flag.Uint64("soak-first", 1, "seed of the first of these soaks")
 )
 
-// soakRounds is how many rounds of troubles a soak of the tests has.
+// soakRounds is how many rounds of faults a soak of the tests has.
 const soakRounds = 3
 
-// Real processes in overlapping troubles break no rule and no invariant, and the fleet is ready again soon
-// after the last trouble.
+// Real processes in overlapping faults break no rule and no invariant, and the fleet is ready again soon
+// after the last fault.
 func TestSoak(t *testing.T) {
 	skipIfShort(t)
 	for i := range *soakSeeds {
@@ -28,7 +28,7 @@
 	}
 }
 
-// Each trouble of the soak is played once by itself, so that each of them is known to work.
+// Each fault of the soak is played once by itself, so that each of them is known to work.
 func TestEachTroubleOfTheSoak(t *testing.T) {
 	skipIfShort(t)
 	for at, name := range SoakFaultNames() {
--- a/internal/testbed/routertrial/trial.go
+++ b/internal/testbed/routertrial/trial.go
@@ -1,25 +1,24 @@
 // Package routertrial tries the router fleet on loopback: real processes of the program, each with a loopback
-// IP of its own, between stand-ins for servers, operator, platform and clients, with a trouble in the middle
-// if wanted. What becomes of the requests is counted, and so are breaks of the rules.
+// IP of its own, between stand-ins for servers, operator, platform and clients, with a fault in the middle
+// if wanted. What becomes of the requests is counted, and so are violations of the rules.
 package routertrial
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"net"
 	"time"
 
 	"cresshub/internal/testbed/routerstandin"
 )
 
 const (
-	// progressInterval is how often progress is told.
+	// progressInterval is how often progress is reported.
 	progressInterval = 200 * time.Millisecond
-	// changeDivisor and faultDivisor of the time are when the configuration changes and when the trouble begins.
+	// changeDivisor and faultDivisor of the time are when the configuration changes and when the fault begins.
 	changeDivisor = 6
 	faultDivisor  = 3
-	// afterFault is how long clients send on after a trouble.
+	// afterFault is how long clients send on after a fault.
 	afterFault = 2 * time.Second
 	// quietTime is how long nothing is sent until the rules are judged, so that late runs are seen.
 	quietTime = 300 * time.Millisecond
@@ -47,14 +46,8 @@
 	Notes   []string                    `json:"notes"`
 }
 
-// Violations is how many breaks of rules there were.
-func (r *Report) Violations() int {
-	sum := 0
-	for _, rule := range r.Rules {
-		sum += rule.Violations
-	}
-	return sum
-}
+// Violations is how many violations of rules there were.
+func (r *Report) Violations() int { return routerstandin.CountViolations(r.Rules) }
 
 // Run tries the fleet until the time is over or ctx ends; then what was measured so far is reported with
 // ctx's error. Nothing is left behind: no process, no socket, no file.
@@ -67,7 +60,7 @@
 	return fleet.Run(ctx)
 }
 
-// Run has clients send for the time that the options name, while the configuration changes and the trouble
+// Run has clients send for the time that the options name, while the configuration changes and the fault
 // is played.
 func (f *Fleet) Run(ctx context.Context) (*Report, error) {
 	f.startClock()
@@ -85,7 +78,7 @@
 	}()
 	load.Run(ctx, sending)
 	problem := <-played
-	if problem == nil && sleepFor(ctx, quietTime) {
+	if problem == nil && routerstandin.Sleep(ctx, quietTime) {
 		bounded, cancel := context.WithTimeout(ctx, readBackTimeout)
 		defer cancel()
 		problem = f.Operator.ReadBack(bounded)
@@ -93,32 +86,32 @@
 	return f.report(load), errors.Join(ctx.Err(), problem)
 }
 
-// runScript changes the configuration, plays the trouble, and returns when the clients may stop.
+// runScript changes the configuration, plays the fault, and returns when the clients may stop.
 func (f *Fleet) runScript(ctx context.Context) error {
 	until := time.Now().Add(f.options.Duration)
 	changed := make(chan error, 1)
 	go func() {
-		if !sleepFor(ctx, f.options.Duration/changeDivisor) {
+		if !routerstandin.Sleep(ctx, f.options.Duration/changeDivisor) {
 			changed <- nil
 			return
 		}
 		changed <- f.Change(ctx)
 	}()
 	var faultErr error
-	if f.options.Fault != "" && sleepFor(ctx, f.options.Duration/faultDivisor) {
+	if f.options.Fault != "" && routerstandin.Sleep(ctx, f.options.Duration/faultDivisor) {
 		if faultErr = f.InjectFault(ctx, f.options.Fault); faultErr == nil {
-			sleepFor(ctx, afterFault)
+			routerstandin.Sleep(ctx, afterFault)
 		}
 	}
 	problem := errors.Join(<-changed, faultErr)
 	if problem == nil {
-		sleepFor(ctx, time.Until(until))
+		routerstandin.Sleep(ctx, time.Until(until))
 	}
 	return problem
 }
 
 func (f *Fleet) reportProgress(ctx context.Context, load *routerstandin.Load) {
-	for sleepFor(ctx, progressInterval) {
+	for routerstandin.Sleep(ctx, progressInterval) {
 		f.options.OnProgress(Progress{Elapsed: f.elapsed(), Total: load.Tally().Total(), LastEvent: f.lastEvent()})
 	}
 }
@@ -131,7 +124,7 @@
 	}
 }
 
-// startClock notes that clients begin to send.
+// startClock records that clients begin to send.
 func (f *Fleet) startClock() {
 	f.eventsMu.Lock()
 	defer f.eventsMu.Unlock()
@@ -148,7 +141,7 @@
 	return time.Since(f.startedAt)
 }
 
-// event notes something that the trial does.
+// event records something that the trial does.
 func (f *Fleet) event(format string, args ...any) {
 	line := fmt.Sprintf("%6.2f s  ", f.elapsed().Seconds()) + fmt.Sprintf(format, args...)
 	f.eventsMu.Lock()
@@ -171,9 +164,3 @@
 	}
 	return f.events[len(f.events)-1]
 }
-
-// hostOf returns the IP of an address.
-func hostOf(address string) string {
-	host, _, _ := net.SplitHostPort(address)
-	return host
-}
--- a/internal/testbed/routertrial/trial_test.go
+++ b/internal/testbed/routertrial/trial_test.go
@@ -109,7 +109,7 @@
 	r := newRig(t)
 	wiped, next := r.WithDisk(true)[1], r.WithDisk(true)[2]
 	r.Assert(r.killMachine(r.ctx, wiped, true), qt.IsNil)
-	r.Assert(sleepFor(r.ctx, catchUp), qt.IsTrue)
+	r.Assert(routerstandin.Sleep(r.ctx, catchUp), qt.IsTrue)
 	next.Kill()
 	r.Assert(next.Wipe(), qt.IsNil)
 	r.Assert(r.Operator.Change(r.ctx, nextConfiguration(r.Operator.Current())), qt.IsNil)
