--- a/internal/testbed/routertrial/change.go
+++ b/internal/testbed/routertrial/change.go
@@ -12,11 +12,11 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// probeMargin is how long after the bound of configuration probes are sent.
+// probeMargin is how long after the bound of a configuration change probes are sent.
 const probeMargin = 20 * time.Millisecond
 
-// Change has the operator change the configuration, and looks whether the change is in force at every proxy
-// that gets clients once the bound for it has passed.
+// Change has the operator change the configuration, and probes every proxy that gets clients on the added and
+// the removed route once the bound for the change has passed.
 func (f *Fleet) Change(ctx context.Context) error {
 	next := nextConfiguration(f.Operator.Current())
 	f.event("edition %d is sent", next.Version)
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// byStatus lays counts of statuses out.
+// byStatus formats counts of statuses.
 func byStatus(counts map[int]int) string {
 	var parts []string
 	for _, status := range slices.Sorted(maps.Keys(counts)) {
@@ -43,7 +43,7 @@
 }
 
 // Probe sends a request of a kind to each proxy that gets clients, and returns how many answered with each
-// status, 0 standing for none. What an answer breaks is recorded by the observations.
+// status, 0 standing for none. The observations record violations.
 func (f *Fleet) Probe(ctx context.Context, kind *routerstandin.Kind) map[int]int {
 	var mu sync.Mutex
 	var probing sync.WaitGroup
--- a/internal/testbed/routertrial/configuration.go
+++ b/internal/testbed/routertrial/configuration.go
@@ -7,20 +7,20 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// The places and services of a trial.
+// The region, host and services of a trial.
 const (
 	region            = "home"
 	host              = "lamps.example"
 	modelService      = "lamp-llm"
 	lookupService     = "telemetry-api"
-	nextLookupService = "telemetry-api-next" // takes a part of the lookups after a change
+	nextLookupService = "telemetry-api-next" // gets a part of the lookups after a change
 	healthPath        = "/health"
 	maxAttempts       = 2
 )
 
 var zones = []string{"north", "middle", "south"}
 
-// engine is what the model servers do. A prompt of 2,600 tokens is read in 65 ms.
+// engine is what the model servers do. The prefill of 2,600 tokens takes 65 ms.
 var engine = routerstandin.Engine{
 	PrefillPace: 40, EventInterval: 10 * time.Millisecond, TokensPerEvent: 2, TransferTime: 3 * time.Millisecond,
 	HandleTTL: 5 * time.Second, SwitchTime: 500 * time.Millisecond, CacheTokens: 400000,
@@ -87,7 +87,8 @@
 	return document
 }
 
-// nextConfiguration changes the current one: a route goes, one comes, and one is split among two services.
+// nextConfiguration changes the current one: one route is removed, one
+// added, and one split between two services.
 func nextConfiguration(current *routerstandin.Document) *routerstandin.Document {
 	next := current.Clone()
 	next.Version += 2 // versions rise in uneven steps
--- a/internal/testbed/routertrial/faults.go
+++ b/internal/testbed/routertrial/faults.go
@@ -10,44 +10,45 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// The faults that can be played.
+// The faults of a trial, by the words of the flag --trouble.
 const (
 	FaultKill           = "kill"   // a machine with a disk is killed and comes back
 	FaultWipe           = "wipe"   // a machine with a disk is killed and comes back with an empty disk
-	FaultDrain          = "drain"  // servers leave in good order and others come
+	FaultDrain          = "drain"  // servers shut down gracefully and others start
 	FaultRollingRestart = "roll"   // the machines are stopped with SIGTERM and started in turn
-	FaultCrash          = "crash"  // servers die without a word, and others come at their addresses
+	FaultCrash          = "crash"  // servers crash, and others start at their addresses
 	FaultKillAll        = "herd"   // all machines are killed at the same moment and come back
-	FaultFreeze         = "freeze" // a machine with a disk and one without stand still for a while
-	// FaultTurnover is the loss of all processes after the settings files have come to name machines without a
-	// disk only, which know nothing of the fleet when they come back.
+	FaultFreeze         = "freeze" // a machine with a disk and one without are stopped (SIGSTOP) for a while
+	// FaultTurnover is the loss of all processes after the seeds in the settings files were replaced by machines
+	// without a disk, which know nothing of the fleet when they come back.
 	FaultTurnover = "turnover"
 )
 
-// Faults names all of them.
+// Faults lists all of them.
 var Faults = []string{FaultKill, FaultWipe, FaultDrain, FaultRollingRestart, FaultCrash, FaultKillAll,
 	FaultFreeze, FaultTurnover}
 
 const (
 	// downTime is how long a machine or server is down.
 	downTime = time.Second
-	// workTimeout bounds the wait for a server to be at work, and workInterval is how often that is looked at.
+	// workTimeout bounds the wait until a server works on a request that must run once, and workInterval is how
+	// often that is checked.
 	workTimeout  = 2 * time.Second
 	workInterval = time.Millisecond
-	// freezeTime is how long a machine stands still.
+	// freezeTime is how long a machine is stopped.
 	freezeTime = 2500 * time.Millisecond
-	// killAllDownTime is the same after the loss of all processes.
+	// killAllDownTime is how long all machines are down after the loss of all processes.
 	killAllDownTime = 300 * time.Millisecond
 )
 
-// UnknownFaultError says that a word names no fault.
+// UnknownFaultError reports a word that names no fault.
 type UnknownFaultError struct{ Word string }
 
 func (e *UnknownFaultError) Error() string {
 	return fmt.Sprintf("%q is no trouble; name one of %s", e.Word, strings.Join(Faults, ", "))
 }
 
-// CheckFault refuses a word that names no fault; "" stands for none.
+// CheckFault returns an *UnknownFaultError for a word that names no fault; "" stands for none.
 func CheckFault(word string) error {
 	if word != "" && !slices.Contains(Faults, word) {
 		return &UnknownFaultError{word}
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// Fault plays a fault to its end.
+// InjectFault injects a fault and returns when the fleet has recovered from it.
 func (f *Fleet) InjectFault(ctx context.Context, word string) error {
 	switch word {
 	case FaultKill:
@@ -78,7 +79,7 @@
 	return CheckFault(word)
 }
 
-// killMachine kills a machine, empties its disk if so wanted, and starts it again.
+// killMachine kills a machine, wipes its disk if so wanted, and restarts it.
 func (f *Fleet) killMachine(ctx context.Context, m *Machine, wipe bool) error {
 	f.event("%s is killed", m.Name)
 	m.Kill()
@@ -151,8 +152,8 @@
 	return nil
 }
 
-// crashServers has a server of each service die, in the middle of work that must be done once where there is
-// some, and start anew at its address.
+// crashServers crashes a server of each service, during a request that must run once where there is one, and
+// starts another at its address.
 func (f *Fleet) crashServers(ctx context.Context) error {
 	for _, crashing := range f.oneServerOfEach() {
 		options := crashing.Options()
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// awaitWork waits for a while until a server is at work on a request that must run once.
+// awaitWork waits, for workTimeout at most, until a server works on a request that must run once.
 func (f *Fleet) awaitWork(ctx context.Context, server *routerstandin.Server) {
 	for began := time.Now(); time.Since(began) < workTimeout && !server.RunsNonIdempotent(); {
 		if !routerstandin.Sleep(ctx, workInterval) {
@@ -180,7 +181,7 @@
 	}
 }
 
-// oneServerOfEach returns a writing server, a reading server and a server of the lookups.
+// oneServerOfEach returns a decode server, a prefill server and a server of the lookups.
 func (f *Fleet) oneServerOfEach() []*routerstandin.Server {
 	all := []*routerstandin.Server{
 		f.ServerOf(modelService, routerstandin.StageDecode), f.ServerOf(modelService, routerstandin.StagePrefill),
@@ -210,14 +211,14 @@
 	return nil
 }
 
-// turnOverSeeds has the settings files name machines without a disk, and then kills all processes.
+// turnOverSeeds replaces the seeds in the settings files by machines without a disk, and kills all processes.
 func (f *Fleet) turnOverSeeds(ctx context.Context) error {
 	f.seedMachines = f.WithDisk(false)
 	f.event("the settings name machines without a disk as seeds")
 	return f.killAll(ctx)
 }
 
-// freezeMachines has machines stand still, one after the other.
+// freezeMachines stops machines (SIGSTOP) for a while, one after the other.
 func (f *Fleet) freezeMachines(ctx context.Context, machines ...*Machine) error {
 	for _, m := range machines {
 		f.event("%s freezes", m.Name)
--- a/internal/testbed/routertrial/fleet.go
+++ b/internal/testbed/routertrial/fleet.go
@@ -26,26 +26,26 @@
 	readyTimeout = 30 * time.Second
 	// clientsPerZone is how many clients each zone has.
 	clientsPerZone = 6
-	// impatientEvery: one client in so many does not wait as told.
+	// impatientEvery: one client in so many ignores Retry-After.
 	impatientEvery = 8
-	// fleeting: one client in so many opens a connection for each request.
+	// noKeepAliveEvery: one client in so many opens a connection for each request.
 	noKeepAliveEvery = 3
 )
 
-// Options are what is tried.
+// Options describe a trial.
 type Options struct {
 	Program  string        // path of the program that has the router role
 	Duration time.Duration // how long clients send
 	Rate     float64       // requests a second of all clients together
-	Fault    string        // "", or one of Troubles
+	Fault    string        // "", or one of Faults
 	Seed     uint64
 	Log      io.Writer // gets the logs of all processes, if set
-	// Large has four machines in each zone, two of them with a disk, and the loss of two to be borne, in place
-	// of two machines, one with a disk, and the loss of one.
+	// Large has four machines in each zone, two of them with a disk, and tolerates the loss of two, in place of
+	// two machines, one with a disk, and the loss of one.
 	Large bool
-	// FaultInjection has processes that lines on their standard input put faults into.
+	// FaultInjection starts processes that take faults from their standard input (package faultinject).
 	FaultInjection bool
-	// LogLevel is the least level that the processes log, "" for the usual.
+	// LogLevel is the minimum level that the processes log, "" for the default.
 	LogLevel string
 	// OnProgress is called a few times a second while clients send, if it is set.
 	OnProgress func(Progress)
@@ -62,7 +62,8 @@
 	return shape{machines: 2, disks: 1, tolerated: 1}
 }
 
-// Fleet is a small fleet of processes on loopback, with stand-ins for all around it.
+// Fleet is a small fleet of processes on loopback, with stand-ins for all around it. Its methods may be
+// called from any goroutine, but Close, Run and the start of all machines only once at a time.
 type Fleet struct {
 	Machines     []*Machine
 	Observations *routerstandin.Observations
@@ -75,11 +76,10 @@
 	seedMachines []*Machine
 	dir          string
 	requests     atomic.Int64 // numbers the requests of all loads
-	// droppedPermille is the part, in thousandths, of the fleet's answers to servers and operators that are
-	// lost.
+	// droppedPermille is how many in a thousand responses of the fleet to servers and operators are dropped.
 	droppedPermille atomic.Int64
 	stop            context.CancelFunc
-	background      sync.WaitGroup // goroutines that run beside
+	background      sync.WaitGroup // goroutines that run until Close
 
 	logMu sync.Mutex
 
@@ -88,7 +88,7 @@
 	events    []string
 
 	serversMu sync.Mutex
-	servers   []*routerstandin.Server     // that run
+	servers   []*routerstandin.Server     // running
 	ended     []routerstandin.ServerTally // of those that have ended
 	clients   []*routerstandin.Client
 }
@@ -181,7 +181,7 @@
 	return slices.DeleteFunc(slices.Clone(f.Machines), func(m *Machine) bool { return m.HasDisk != disk })
 }
 
-// seeds are the control addresses that every process is told.
+// seeds are the control addresses in the settings file of every process.
 func (f *Fleet) seeds() []string {
 	var seeds []string
 	for _, machine := range f.seedMachines {
@@ -190,7 +190,7 @@
 	return seeds
 }
 
-// controls are the control addresses that operators and servers know. The list does not follow what happens.
+// controls are the control addresses that operators and servers know, whether the machines run or not.
 func (f *Fleet) controls() []string {
 	var all []string
 	for _, machine := range f.Machines {
@@ -199,14 +199,14 @@
 	return all
 }
 
-// newOperator returns an operator some of whose answers are lost while droppedPermille says so.
+// newOperator returns an operator that misses responses as droppedPermille says.
 func (f *Fleet) newOperator() *routerstandin.Operator {
 	operator := routerstandin.NewOperator(f.controls, f.Observations)
 	operator.DropResponses(f.dropsResponse)
 	return operator
 }
 
-// dropsResponse draws whether an answer of the fleet is lost.
+// dropsResponse draws whether a response of the fleet is dropped.
 func (f *Fleet) dropsResponse() bool { return rand.Int64N(1000) < f.droppedPermille.Load() }
 
 func (f *Fleet) proxies() []routerstandin.Proxy {
@@ -237,7 +237,7 @@
 	}, &f.requests)
 }
 
-// Notes tells what was found when the fleet was started.
+// Notes describes the addresses that the fleet uses, and those that were taken.
 func (f *Fleet) Notes() []string {
 	where := fmt.Sprintf("machines at %s1 to %s%d, clients' port %d, control port %d", f.network.prefix,
 		f.network.prefix, len(f.Machines), f.network.port+frontOffset, f.network.port+controlOffset)
@@ -252,7 +252,7 @@
 	return &namedLog{fleet: f, name: name}
 }
 
-// namedLog puts the time of the trial and the name of a machine before each line. Each Write is a line.
+// namedLog prefixes each line with the time of the trial and the name of a machine. Each Write is a line.
 type namedLog struct {
 	fleet *Fleet
 	name  string
@@ -269,10 +269,10 @@
 	return len(line), nil
 }
 
-// faultPatterns stand in log lines that tell of a fault of the program itself.
+// faultPatterns occur in log lines that report a fault of the program itself.
 var faultPatterns = [][]byte{[]byte(`"message":"invariant `), []byte("front: a mistake of the program")}
 
-// recordFaultIn records a log line that tells of a fault of the program itself.
+// recordFaultIn records a log line that reports a fault of the program itself.
 func (f *Fleet) recordFaultIn(name string, line []byte) {
 	for _, pattern := range faultPatterns {
 		if bytes.Contains(line, pattern) {
--- a/internal/testbed/routertrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -32,9 +32,9 @@
 
 	mu           sync.Mutex
 	process      *childprocess.Process // nil while none runs
-	exitExpected bool                  // the trial ends the process
-	faults       []string              // commands that hold now, for the next process too
-	// exitCommand is a command by which the next process ends itself, "" where it is not to.
+	exitExpected bool                  // the trial ends the process, so its exit is no violation
+	faults       []string              // commands in force now, for the next process too
+	// exitCommand is the command by which the next process kills itself, "" for none.
 	exitCommand string
 }
 
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// faultyLogBuffer is how much of a faulty process's log the system holds while nobody reads it, in bytes.
+// faultyLogBuffer is the buffer of the pipe that takes the log of a process with fault injection, in bytes.
 const faultyLogBuffer = 4096
 
-// command is how the machine's process is started, with commands that it is to obey from its start.
+// command returns how to start the machine's process, with commands of faults that it obeys from its start.
 func (m *Machine) command(faults []string) childprocess.Command {
 	options := &m.fleet.options
 	command := childprocess.Command{
@@ -97,7 +97,7 @@
 	return os.WriteFile(m.settingsPath(), settings, 0o600)
 }
 
-// watch records a process that ends by itself.
+// watch records a process that exits unexpectedly.
 func (m *Machine) watch(process *childprocess.Process) {
 	<-process.Ended()
 	m.mu.Lock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// releaseProcess returns the process, which from now on may end.
+// releaseProcess returns the process, whose exit is expected from now on, and leaves the machine without one.
 func (m *Machine) releaseProcess() *childprocess.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,7 +119,7 @@
 	return process
 }
 
-// FaultKill ends the process with SIGKILL.
+// Kill ends the process with SIGKILL.
 func (m *Machine) Kill() {
 	if process := m.releaseProcess(); process != nil {
 		m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
@@ -142,7 +142,7 @@
 	}
 }
 
-// FaultFreeze stops the process for a while without ending it.
+// Freeze stops the process (SIGSTOP) for a while.
 func (m *Machine) Freeze(ctx context.Context, d time.Duration) {
 	m.mu.Lock()
 	process := m.process
@@ -157,5 +157,5 @@
 	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 }
 
-// FaultWipe empties the disk of a machine whose process does not run.
+// Wipe empties the disk of a machine whose process does not run.
 func (m *Machine) Wipe() error { return os.RemoveAll(m.dataDir()) }
--- a/internal/testbed/routertrial/machine_faults.go
+++ b/internal/testbed/routertrial/machine_faults.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// setFaults has commands hold from now on, in place of those that held, for the next process too.
+// setFaults replaces the commands in force, for this process and the next.
 func (m *Machine) setFaults(commands []string) {
 	m.mu.Lock()
 	m.faults = commands
@@ -37,7 +37,7 @@
 	replaceFaults(process, commands)
 }
 
-// replaceFaults has a process obey commands in place of all that it obeyed.
+// replaceFaults heals all faults of a process and sends it commands.
 func replaceFaults(process *childprocess.Process, commands []string) {
 	healed := []string{faultinject.CommandHeal, diskCommand(faultinject.DiskOK)}
 	for _, command := range append(healed, commands...) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// updateFaults tells a process that has just started what has changed since it was given its faults: nobody
-// could tell it before.
+// updateFaults sends a process that has just started the faults that changed since its command line was
+// built; it could not be reached before.
 func (m *Machine) updateFaults(process *childprocess.Process, given []string) {
 	if current := m.currentFaults(); m.fleet.options.FaultInjection && !slices.Equal(given, current) {
 		replaceFaults(process, current)
@@ -57,7 +57,7 @@
 	return faultinject.CommandDisk + " " + string(mode)
 }
 
-// currentFaults returns the commands that the next process is to obey from its start.
+// currentFaults returns the commands that the next process obeys from its start.
 func (m *Machine) currentFaults() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +80,7 @@
 	return m.awaitExit(ctx, process, timeout)
 }
 
-// setExitCommand has the next process obey a command by which it ends itself, "" for none.
+// setExitCommand sets the command by which the next process kills itself, "" for none.
 func (m *Machine) setExitCommand(command string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,7 +101,7 @@
 	return m.awaitExit(ctx, process, timeout)
 }
 
-// recordFaultUntil records that a machine is faulty until ctx ends.
+// recordFaultUntil records again and again that machines are faulty, until ctx ends.
 func (f *Fleet) recordFaultUntil(ctx context.Context, machines ...*Machine) {
 	for {
 		for _, m := range machines {
@@ -113,10 +113,11 @@
 	}
 }
 
-// faultRecordInterval is how often a fault that goes on is recorded.
+// faultRecordInterval is how often a lasting fault is recorded.
 const faultRecordInterval = 200 * time.Millisecond
 
-// awaitExit waits until the process has ended by itself, kills it where it does not, and reports which.
+// awaitExit waits until the process has ended by itself, kills it after the timeout, and reports whether it
+// had ended.
 func (m *Machine) awaitExit(ctx context.Context, process *childprocess.Process,
 	timeout time.Duration) bool {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/testbed/routertrial/network.go
+++ b/internal/testbed/routertrial/network.go
@@ -11,20 +11,20 @@
 
 // On loopback each machine has an IP of its own, so that all machines can have the same ports.
 const (
-	firstPort     = 8140 // of the first network that is looked at
+	firstPort     = 8140 // of the first network that is probed
 	portsEach     = 32   // between the ports of two networks
-	innerPorts    = 4    // that the processes of the fleet have among themselves
+	innerPorts    = 4    // for connections among the processes of the fleet
 	readyOffset   = 0
 	frontOffset   = 4
 	controlOffset = 6
 	innerOffset   = 10
-	serverOffset  = 20 // of the servers, which are machines too
+	serverOffset  = 20 // of the servers, which have IPs of their own
 
-	firstServerOctet  = 101 // last number of the first server's IP
-	reservationOctet  = 250 // last number of the IP that marks a network as taken
+	firstServerOctet  = 101 // last octet of the first server's IP
+	reservationOctet  = 250 // last octet of the IP that reserves a network
 	secondOctet       = 77  // of the IPs of all networks
 	networkCount      = 200
-	maxNetworksProbed = 20 // that are looked at
+	maxNetworksProbed = 20 // before giving up
 )
 
 // network is a range of loopback addresses that nothing else uses.
@@ -35,7 +35,7 @@
 	notes       []string // about addresses that were taken
 }
 
-// NoAddressesError says that no range of loopback addresses is free.
+// NoAddressesError reports that no range of loopback addresses is free.
 type NoAddressesError struct{ Last error }
 
 func (e *NoAddressesError) Error() string {
@@ -43,10 +43,10 @@
 		e.Last, secondOctet)
 }
 
-// reserveNetwork finds addresses for so many machines and servers, and marks them as taken until it is
+// reserveNetwork finds addresses for so many machines and servers, and reserves them until the network is
 // closed.
 func reserveNetwork(machines, servers int) (*network, error) {
-	first := os.Getpid() % networkCount // trials that run at the same time look at different ones first
+	first := os.Getpid() % networkCount // concurrent trials begin with different ones
 	var notes []string
 	var problem error
 	for i := range maxNetworksProbed {
--- a/internal/testbed/routertrial/ready.go
+++ b/internal/testbed/routertrial/ready.go
@@ -11,10 +11,10 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// lookInterval is how often a wait looks again.
+// lookInterval is how often await checks its condition.
 const lookInterval = 20 * time.Millisecond
 
-// NotReadyError says that something did not come about in time.
+// NotReadyError reports a condition that was not met in time.
 type NotReadyError struct {
 	What     string
 	Wait     time.Duration
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s: not within %v (%s); look into the logs with --log FILE", e.What, e.Wait, e.LastSeen)
 }
 
-// await looks until holds returns "", which else says what is missing.
+// await calls check until it returns "", or a *NotReadyError with what check said was missing.
 func await(ctx context.Context, what string, timeout time.Duration, check func() string) error {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// AwaitMachine waits until a machine says that it is ready and the entry gives clients to it.
+// AwaitMachine waits until a machine reports that it is ready and the entry gives clients to it.
 func (f *Fleet) AwaitMachine(ctx context.Context, m *Machine) error {
 	return await(ctx, m.Name+" is ready", readyTimeout, func() string {
 		ready := func(p routerstandin.Proxy) bool { return p == m.proxy() }
@@ -111,7 +111,7 @@
 	return ""
 }
 
-// knownServers returns the ids of the servers that a machine's process holds to be ready, sorted.
+// knownServers returns the ids of the servers that a machine's process lists as ready, sorted.
 func (m *Machine) knownServers(ctx context.Context) ([]string, error) {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/testbed/routertrial/servers.go
+++ b/internal/testbed/routertrial/servers.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// ServerOf returns a server of a service that runs and has a stage now, "" for any; nil where there is none.
+// ServerOf returns a running server of a service that is in a stage now, "" for any; nil where there is none.
 func (f *Fleet) ServerOf(service, stage string) *routerstandin.Server {
 	f.serversMu.Lock()
 	defer f.serversMu.Unlock()
--- a/internal/testbed/routertrial/settings.go
+++ b/internal/testbed/routertrial/settings.go
@@ -11,8 +11,8 @@
 // heartbeatInterval is the time between heartbeats of servers.
 const heartbeatInterval = 600 * time.Millisecond
 
-// bounds are the figures of the rules in a trial. They are those of the deployments, but for the time after
-// which a machine is in touch again, which is shorter so that more of a short trial is judged.
+// bounds are the limits of the rules in a trial. They are those of the deployments, except for the time after
+// a fault until the rules apply again (Touch), which is shorter so that more of a short trial is judged.
 var bounds = routerstandin.Bounds{
 	Bounds: agentsettings.Bounds{
 		Touch: 1500 * time.Millisecond, Ack: 4 * time.Second, Drain: 2 * time.Second, Grace: 8 * time.Second,
--- a/internal/testbed/routertrial/soak.go
+++ b/internal/testbed/routertrial/soak.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// The faults of a round, and the time within which they begin.
+	// The number of faults in a round, and the time within which they begin.
 	minFaults            = 2
 	maxFaults            = 4
 	roundSpread          = 1200 * time.Millisecond
 	betweenRounds        = 300 * time.Millisecond
-	catchUpEvery         = 4 // one round in so many begins only when the core has caught up
+	catchUpEvery         = 4 // one round in so many begins only after catchUp
 	minServedAfterFaults = 60
 	// recoveryBound is how long after the end of all faults every machine must be ready and know every server;
-	// the platform needs up to two seconds of it to ask.
+	// up to two seconds of it go to the readiness checks of the platform.
 	recoveryBound = 12 * time.Second
 	rudeInterval  = 60 * time.Millisecond
 	readInterval  = 40 * time.Millisecond
 )
 
-// SoakOptions are what is soaked.
+// SoakOptions describe a soak.
 type SoakOptions struct {
-	Program    string // path of the program that has the faulty router role
+	Program    string // path of the program, which must have the role faulty-router
 	Seed       uint64
 	Rounds     int     // of faults that overlap
 	Rate       float64 // requests a second of all clients together
@@ -53,18 +53,18 @@
 // Violations is how many violations of rules there were.
 func (r *SoakReport) Violations() int { return routerstandin.CountViolations(r.Rules) }
 
-// soak is one soak under way.
+// soak is a running soak.
 type soak struct {
 	*Fleet
 	options    SoakOptions
-	random     *rand.Rand // of the goroutine that draws
+	random     *rand.Rand // used by one goroutine only
 	faults     []soakFault
 	partitions partitions
 
 	mu           sync.Mutex
-	reserved     map[*Machine]bool // in a fault that ends or stops the process
-	reservedCore int               // of those that count
-	wipedAt      time.Time         // when a machine last came back without its disk
+	reserved     map[*Machine]bool // by a fault that ends or stops the process
+	reservedCore int               // reserved machines with a disk
+	wipedAt      time.Time         // when a machine last came back with an empty disk
 	wiping       bool
 	played       map[string]int
 
@@ -72,7 +72,7 @@
 }
 
 // Soak plays rounds of overlapping faults on a small fleet of real processes, while clients of all manners
-// send, and checks the rules. The error tells what kept the soak from being played to its end.
+// send, and checks the rules. The error is what ended the soak early.
 func Soak(ctx context.Context, options SoakOptions) (*SoakReport, error) {
 	fleet, err := StartFleet(ctx, Options{Program: options.Program, Rate: options.Rate, Seed: options.Seed,
 		Log: options.Log, FaultInjection: true, LogLevel: options.LogLevel, Large: options.Large})
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// injectRound plays some faults that begin at almost the same time.
+// injectRound injects some faults that begin at almost the same time, and waits for their end.
 func (s *soak) injectRound(ctx context.Context) error {
 	count := minFaults + s.random.IntN(maxFaults-minFaults+1)
 	problems := make([]error, count)
@@ -163,7 +163,8 @@
 	return errors.Join(problems...)
 }
 
-// awaitRecovery waits until every machine is ready and knows every server again, which must not take long.
+// awaitRecovery waits until every machine is ready and knows every server again; more than recoveryBound is a
+// violation.
 func (s *soak) awaitRecovery(ctx context.Context) error {
 	began := time.Now()
 	err := s.AwaitReady(ctx)
@@ -180,8 +181,8 @@
 	return err
 }
 
-// checkServingAfterFaults checks that, with nothing faulty any more, a change is taken and requests are
-// served.
+// checkServingAfterFaults checks that a change is acknowledged and requests are served once all faults have
+// ended.
 func (s *soak) checkServingAfterFaults(ctx context.Context, load *routerstandin.Load) error {
 	if !routerstandin.Sleep(ctx, bounds.Touch) {
 		return ctx.Err()
@@ -200,7 +201,7 @@
 	})
 }
 
-// change has the operator make one more change of what the fleet shows now.
+// change has the operator make a change on top of the configuration that the fleet shows now.
 func (s *soak) change(ctx context.Context) error {
 	s.operating.Lock()
 	defer s.operating.Unlock()
--- a/internal/testbed/routertrial/soak_checks.go
+++ b/internal/testbed/routertrial/soak_checks.go
@@ -17,15 +17,14 @@
 	callTimeout     = time.Second
 )
 
-// readConfigurations asks machines drawn at random for the configuration, whatever fault they are in, and
-// checks what they show.
+// readConfigurations reads the configuration from random machines, faulty or not, and checks what they show.
 func (s *soak) readConfigurations(ctx context.Context) {
 	for routerstandin.Sleep(ctx, readInterval) {
 		s.readFrom(ctx, s.Machines[rand.IntN(len(s.Machines))])
 	}
 }
 
-// readFrom asks one machine, and reports whether it showed a configuration.
+// readFrom reads from one machine, and reports whether it showed a configuration.
 func (s *soak) readFrom(ctx context.Context, m *Machine) bool {
 	asked := time.Now()
 	answer := m.get(ctx, "/api/config")
@@ -36,7 +35,7 @@
 	return true
 }
 
-// get returns what a machine answers to a call for a path at its control address, nil where it is no 200.
+// get returns the body of a GET at a machine's control address, nil unless it is answered with 200.
 func (m *Machine) get(ctx context.Context, path string) []byte {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -85,10 +84,11 @@
 	}
 }
 
-// maxIdleGoroutines is how many goroutines a process has at most when nothing is under way.
+// maxIdleGoroutines is how many goroutines an idle process may have.
 const maxIdleGoroutines = 200
 
-// checkLeaks checks that each process has given back what requests took, now that nobody sends any more.
+// checkLeaks checks that each process has released the memory, connections and goroutines of requests. The
+// load must have ended.
 func (s *soak) checkLeaks(ctx context.Context) error {
 	for _, client := range s.clients {
 		client.Close()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// leaked tells what a page of metrics shows to be taken still, "" where nothing is.
+// leaked returns which metric of a page shows a leak, "" for none.
 func leaked(page []byte) string {
 	for name, limit := range map[string]float64{
 		"cresshub_body_bytes": 0, "cresshub_clients": 0, "cresshub_goroutines": maxIdleGoroutines,
--- a/internal/testbed/routertrial/soak_client_faults.go
+++ b/internal/testbed/routertrial/soak_client_faults.go
@@ -53,7 +53,7 @@
 	return ctx.Err()
 }
 
-// injectDroppedResponses loses answers of the fleet to operators and servers.
+// injectDroppedResponses drops responses of the fleet to operators and servers for a while.
 func injectDroppedResponses(ctx context.Context, s *soak, rng *rand.Rand) error {
 	permille := int64(200 + rng.IntN(500))
 	s.event("%d in 1000 answers to servers and operators are lost", permille)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// injectRudeClients has several rude clients at once.
+// injectRudeClients runs several rude clients at once for a while.
 func injectRudeClients(ctx context.Context, s *soak, rng *rand.Rand) error {
 	s.event("many rude clients")
 	rude, end := context.WithTimeout(ctx, between(rng, time.Second, 4*time.Second))
--- a/internal/testbed/routertrial/soak_faults.go
+++ b/internal/testbed/routertrial/soak_faults.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// soakFault is one kind of fault that a soak draws. It plays to its end and leaves nothing behind.
+// soakFault is one kind of fault that a soak draws. inject returns when the fault is over and undone; it
+// draws from rng alone, so that a seed gives the same faults each time.
 type soakFault struct {
 	name   string
 	inject func(ctx context.Context, s *soak, lot *rand.Rand) error
@@ -57,7 +58,7 @@
 	})
 }
 
-// between draws a time.
+// between draws a duration.
 func between(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 }
--- a/internal/testbed/routertrial/soak_machine_faults.go
+++ b/internal/testbed/routertrial/soak_machine_faults.go
@@ -11,7 +11,7 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// maxExitPoint is the last numbered point at which a process is ended, maxStartExitPoint the last one of its
+// maxExitPoint is the last numbered point at which a process exits, maxStartExitPoint the last one during its
 // start.
 const (
 	maxExitPoint      = 120
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// injectDiskLoss has a machine lose its disk, unless another one has not caught up yet that lost its own.
+// injectDiskLoss wipes the disk of a machine, unless another machine has not caught up since its own loss.
 func injectDiskLoss(ctx context.Context, s *soak, rng *rand.Rand) error {
 	if !s.reserveWipe() {
 		return nil
@@ -116,7 +116,7 @@
 	return err
 }
 
-// injectKillAllAfterAck kills all processes right after a change was acknowledged; one may lose its disk.
+// injectKillAllAfterAck kills all processes right after a change was acknowledged, and may wipe one disk.
 func injectKillAllAfterAck(ctx context.Context, s *soak, rng *rand.Rand) error {
 	if !s.reserveAll() {
 		return nil
@@ -144,7 +144,7 @@
 	return s.StartMachines(ctx, false)
 }
 
-// injectDiskFault has a disk refuse writes, hang or be slow; sometimes its process is killed or stopped
+// injectDiskFault makes a disk full, hanging or slow; sometimes its process is killed or terminated
 // meanwhile.
 func injectDiskFault(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	modes := []faultinject.DiskMode{faultinject.DiskFull, faultinject.DiskHang, faultinject.DiskSlow}
@@ -172,7 +172,7 @@
 	return err
 }
 
-// injectAcceptFailure has a process fail to accept connections, as it does without descriptors.
+// injectAcceptFailure makes a process fail to accept connections, as it does without descriptors.
 func injectAcceptFailure(ctx context.Context, s *soak, rng *rand.Rand) error {
 	m := s.Machines[rng.IntN(len(s.Machines))]
 	faultCtx, end := context.WithCancel(ctx)
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// injectReload writes the settings file in pieces, with other seeds, and sends SIGHUP at any moment.
+// injectReload writes the settings file in two steps and sends SIGHUP at any moment.
 func injectReload(ctx context.Context, s *soak, rng *rand.Rand) error {
 	m := s.Machines[rng.IntN(len(s.Machines))]
 	s.event("%s: settings change", m.Name)
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// injectStalledLog has nobody read the log of a process for a while.
+// injectStalledLog stops reading the log of a process for a while.
 func injectStalledLog(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	process := m.running()
 	if process == nil {
--- a/internal/testbed/routertrial/soak_partition_faults.go
+++ b/internal/testbed/routertrial/soak_partition_faults.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// injectPartition cuts links for a while.
+// injectPartition cuts links for a while. Rules with a time bound do not apply to the machines meanwhile.
 func (s *soak) injectPartition(ctx context.Context, rng *rand.Rand, what string, links []link,
 	machines ...*Machine) {
 	faultCtx, end := context.WithCancel(ctx)
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// partitionHalves cuts the machines into two halves at random.
+// partitionHalves partitions the machines into two random groups.
 func partitionHalves(ctx context.Context, s *soak, rng *rand.Rand) error {
 	var one, other []*Machine
 	for _, m := range s.Machines {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// partitionOneWay has a machine not hear another one, or nobody hear it.
+// partitionOneWay cuts the links from a machine to some others, but not those back.
 func partitionOneWay(ctx context.Context, s *soak, rng *rand.Rand) error {
 	from := s.Machines[rng.IntN(len(s.Machines))]
 	var links []link
--- a/internal/testbed/routertrial/soak_partitions.go
+++ b/internal/testbed/routertrial/soak_partitions.go
@@ -7,11 +7,11 @@
 	"cresshub/internal/testbed/faultinject"
 )
 
-// link is the way from one machine to another.
+// link is the direction from one machine to another.
 type link struct{ from, to *Machine }
 
-// partitions are the links between machines that are cut now, each as often as faults cut it, and what else
-// is wrong with machines.
+// partitions counts for each link how many faults cut it now, and has the faults of disks. Its methods are
+// safe for concurrent use.
 type partitions struct {
 	fleet *Fleet
 
@@ -24,7 +24,7 @@
 	return partitions{fleet: f, links: map[link]int{}, disks: map[*Machine]faultinject.DiskMode{}}
 }
 
-// cut cuts links until the function that it returns is called.
+// cut cuts links until heal is called.
 func (c *partitions) cut(links []link) (heal func()) {
 	c.change(links, 1)
 	return func() { c.change(links, -1) }
@@ -43,7 +43,7 @@
 	c.sendFaults(touched)
 }
 
-// setDisk has a machine's disk behave so from now on.
+// setDisk sets how a machine's disk behaves from now on.
 func (c *partitions) setDisk(m *Machine, mode faultinject.DiskMode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +51,7 @@
 	c.sendFaults(map[*Machine]bool{m: true})
 }
 
-// sendFaults has the processes of machines know their faults; the lock is held.
+// sendFaults sends the processes of machines their current faults; the lock is held.
 func (c *partitions) sendFaults(machines map[*Machine]bool) {
 	for m := range machines {
 		var deaf, mute []string
--- a/internal/testbed/routertrial/soak_reservations.go
+++ b/internal/testbed/routertrial/soak_reservations.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// reserveOne draws a machine that is affected by no such fault, and reserves it; nil where there is none. Of
-// the machines that count no more are taken at a time than may be lost.
+// reserveOne reserves a random eligible machine for a fault that ends or stops its process; nil where there
+// is none. No more machines with a disk are reserved at a time than may be lost.
 func (s *soak) reserveOne(rng *rand.Rand, eligible func(*Machine) bool) *Machine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,7 +24,7 @@
 	return m
 }
 
-// reserveAll reserves all machines, or none where one is faulty.
+// reserveAll reserves all machines, or none where one is reserved already.
 func (s *soak) reserveAll() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +37,7 @@
 	return true
 }
 
-// reserve records that a machine is faulty; the lock is held.
+// reserve reserves a machine; the lock is held.
 func (s *soak) reserve(m *Machine) {
 	s.reserved[m] = true
 	if m.HasDisk {
@@ -60,7 +60,7 @@
 
 func hasDisk(m *Machine) bool { return m.HasDisk }
 
-// onMachine has a fault befall a machine that is in no other one that ends or stops its process.
+// onMachine wraps a fault of one machine: it reserves an eligible machine for it, or injects nothing.
 func onMachine(eligible func(*Machine) bool, inject func(context.Context, *soak, *rand.Rand, *Machine) error,
 ) func(context.Context, *soak, *rand.Rand) error {
 	return func(ctx context.Context, s *soak, rng *rand.Rand) error {
@@ -73,7 +73,7 @@
 	}
 }
 
-// drawMachine returns one of some machines.
+// drawMachine returns a random machine.
 func drawMachine(rng *rand.Rand, machines []*Machine) *Machine {
 	return machines[rng.IntN(len(machines))]
 }
--- a/internal/testbed/routertrial/soak_server_faults.go
+++ b/internal/testbed/routertrial/soak_server_faults.go
@@ -9,14 +9,14 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// drawServer returns one of the servers that run.
+// drawServer returns a random running server.
 func (s *soak) drawServer(rng *rand.Rand) *routerstandin.Server {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
 	return s.servers[rng.IntN(len(s.servers))]
 }
 
-// takeServer takes one server out of those that run, so that no other fault ends it too.
+// takeServer removes a random server from those that run, so that no other fault ends it too.
 func (s *soak) takeServer(rng *rand.Rand) *routerstandin.Server {
 	s.serversMu.Lock()
 	defer s.serversMu.Unlock()
@@ -50,7 +50,7 @@
 	return s.drainServer(ctx, server)
 }
 
-// injectMisbehaviour has servers treat a part of their requests badly.
+// injectMisbehaviour has some servers misbehave for a while.
 func injectMisbehaviour(ctx context.Context, s *soak, rng *rand.Rand) error {
 	misbehaviour := routerstandin.Misbehaviours[rng.IntN(len(routerstandin.Misbehaviours))]
 	fraction := 0.2 + 0.8*rng.Float64()
--- a/internal/testbed/routertrial/trial.go
+++ b/internal/testbed/routertrial/trial.go
@@ -1,6 +1,16 @@
-// Package routertrial tries the router fleet on loopback: real processes of the program, each with a loopback
-// IP of its own, between stand-ins for servers, operator, platform and clients, with a fault in the middle
-// if wanted. What becomes of the requests is counted, and so are violations of the rules.
+// Package routertrial runs the router fleet on loopback: real processes of the program, each with a loopback
+// IP of its own, between stand-ins (package routerstandin) for servers, operator, platform and clients. It
+// counts what becomes of the requests, and violations of the rules.
+//
+// Run is a trial with one fault in the middle if wanted (cresshub-fleet try); Soak injects rounds of
+// overlapping faults drawn from a seed (cresshub-fleet soak). Both start a Fleet, which reserves a range of
+// loopback addresses, starts the machines and servers, has the operator put a first configuration and waits
+// until all are ready; Fleet.Close ends every process, stand-in and goroutine and removes all files. A soak
+// injects network and disk faults through commands on the standard input of its processes (package
+// faultinject).
+//
+// A trial runs the clients' load, the change of the configuration and the fault each in a goroutine of its
+// own; what they share lies behind the locks of Fleet and Machine.
 package routertrial
 
 import (
@@ -15,18 +25,18 @@
 const (
 	// progressInterval is how often progress is reported.
 	progressInterval = 200 * time.Millisecond
-	// changeDivisor and faultDivisor of the time are when the configuration changes and when the fault begins.
+	// The configuration changes after 1/changeDivisor of the time, the fault begins after 1/faultDivisor.
 	changeDivisor = 6
 	faultDivisor  = 3
 	// afterFault is how long clients send on after a fault.
 	afterFault = 2 * time.Second
-	// quietTime is how long nothing is sent until the rules are judged, so that late runs are seen.
+	// quietTime is how long nothing is sent before the rules are judged, so that late runs are observed.
 	quietTime = 300 * time.Millisecond
-	// readBackTimeout bounds the reading back of the configuration.
+	// readBackTimeout bounds the read-back of the configuration.
 	readBackTimeout = 10 * time.Second
 )
 
-// Progress is how far a trial is.
+// Progress is a snapshot of a running trial.
 type Progress struct {
 	Elapsed   time.Duration
 	Total     routerstandin.KindTally // of all kinds together
@@ -49,8 +59,8 @@
 // Violations is how many violations of rules there were.
 func (r *Report) Violations() int { return routerstandin.CountViolations(r.Rules) }
 
-// Run tries the fleet until the time is over or ctx ends; then what was measured so far is reported with
-// ctx's error. Nothing is left behind: no process, no socket, no file.
+// Run runs a trial until its time is over or ctx ends; then it returns what was measured so far with ctx's
+// error. Nothing is left behind: no process, no socket, no file.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	fleet, err := StartFleet(ctx, options)
 	if err != nil {
@@ -60,8 +70,8 @@
 	return fleet.Run(ctx)
 }
 
-// Run has clients send for the time that the options name, while the configuration changes and the fault
-// is played.
+// Run has clients send for the duration of the options, while the configuration changes and the fault is
+// injected.
 func (f *Fleet) Run(ctx context.Context) (*Report, error) {
 	f.startClock()
 	load := f.NewLoad()
@@ -86,7 +96,7 @@
 	return f.report(load), errors.Join(ctx.Err(), problem)
 }
 
-// runScript changes the configuration, plays the fault, and returns when the clients may stop.
+// runScript changes the configuration, injects the fault, and returns when the clients may stop.
 func (f *Fleet) runScript(ctx context.Context) error {
 	until := time.Now().Add(f.options.Duration)
 	changed := make(chan error, 1)
@@ -141,7 +151,7 @@
 	return time.Since(f.startedAt)
 }
 
-// event records something that the trial does.
+// event records an event of the trial, with the time since clients began to send.
 func (f *Fleet) event(format string, args ...any) {
 	line := fmt.Sprintf("%6.2f s  ", f.elapsed().Seconds()) + fmt.Sprintf(format, args...)
 	f.eventsMu.Lock()
