--- a/internal/testbed/routertrial/fleet.go
+++ b/internal/testbed/routertrial/fleet.go
@@ -270,7 +270,10 @@
 }
 
 // faultPatterns occur in log lines that report a fault of the program itself.
-var faultPatterns = [][]byte{[]byte(`"message":"invariant `), []byte("front: a mistake of the program")}
+var faultPatterns = [][]byte{[]byte(`"message":"invariant `), []byte(panicMessage)}
+
+// panicMessage begins the message with which the data plane logs a panic.
+const panicMessage = "front: panic while serving a client"
 
 // recordFaultIn records a log line that reports a fault of the program itself.
 func (f *Fleet) recordFaultIn(name string, line []byte) {
