--- a/internal/testbed/routertrial/servers.go
+++ b/internal/testbed/routertrial/servers.go
@@ -9,25 +9,28 @@
 
 // serverPlan names the service of each server, and the stage that it starts with.
 var serverPlan = []struct{ service, stage string }{
-	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
-	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
-	{modelService, routerstandin.Reading}, {modelService, routerstandin.Writing},
-	{lookup, ""}, {lookup, ""}, {lookup, ""}, {lookupNext, ""}, {lookupNext, ""},
+	{modelService, routerstandin.StagePrefill}, {modelService, routerstandin.StageDecode},
+	{modelService, routerstandin.StagePrefill}, {modelService, routerstandin.StageDecode},
+	{modelService, routerstandin.StagePrefill}, {modelService, routerstandin.StageDecode},
+	{lookupService, ""}, {lookupService, ""}, {lookupService, ""}, {nextLookupService, ""},
+	{nextLookupService, ""},
 }
 
 func (f *Fleet) startServers() error {
 	for i, planned := range serverPlan {
 		options := routerstandin.ServerOptions{
 			Service: planned.service, Address: f.network.serverAddress(i), Zone: zones[i%len(zones)], Version: "v1",
-			Slots: lookupSlots, Queue: lookupQueue, Lines: lookupLines, HealthPath: healthPath, TellsLoad: true,
-			Work: lookupWork, Beat: beat, Controls: f.controls, Observations: f.Observations,
-			LosesAnswers: f.losesAnswer,
+			Slots: lookupSlots, Queue: lookupQueue, MaxConns: lookupMaxConns, HealthPath: healthPath,
+			ReportsLoad: true,
+			WorkTime:    lookupWorkTime, HeartbeatInterval: heartbeatInterval, ControlAddresses: f.controls,
+			Observations: f.Observations,
+			DropResponse: f.dropsResponse,
 		}
 		if planned.service == modelService {
 			stage := engine
 			stage.Stage = planned.stage
 			options.Engine = &stage
-			options.Slots, options.Queue, options.Lines = modelSlots, modelQueue, modelLines
+			options.Slots, options.Queue, options.MaxConns = modelSlots, modelQueue, modelMaxConns
 		}
 		if err := f.StartServer(options); err != nil {
 			return err
@@ -48,7 +51,7 @@
 	return nil
 }
 
-// ServerOf returns a server of a service that runs and has a stage now, "" for any; nil where there is none.
+// ServerOf returns a running server of a service that is in a stage now, "" for any; nil where there is none.
 func (f *Fleet) ServerOf(service, stage string) *routerstandin.Server {
 	f.serversMu.Lock()
 	defer f.serversMu.Unlock()
@@ -61,14 +64,15 @@
 	return nil
 }
 
-// Forget takes a server that has ended out of those that run.
-func (f *Fleet) Forget(server *routerstandin.Server) {
+// retire takes a server that has ended out of those that run, where it is still among them, and keeps its
+// tally.
+func (f *Fleet) retire(server *routerstandin.Server) {
 	f.serversMu.Lock()
 	defer f.serversMu.Unlock()
 	if at := slices.Index(f.servers, server); at >= 0 {
 		f.servers = slices.Delete(f.servers, at, at+1)
-		f.ended = append(f.ended, server.Tally())
 	}
+	f.ended = append(f.ended, server.Tally())
 }
 
 // serverIDs returns the ids of the servers that run, sorted.
--- a/internal/testbed/routertrial/soak_checks.go
+++ b/internal/testbed/routertrial/soak_checks.go
@@ -13,22 +13,21 @@
 )
 
 const (
-	figuresPause = 400 * time.Millisecond
-	askTime      = time.Second
+	metricsInterval = 400 * time.Millisecond
+	callTimeout     = time.Second
 )
 
-// readConfigurations asks machines drawn by lot for the configuration, whatever trouble they are in, and
-// checks what they show.
+// readConfigurations reads the configuration from random machines, faulty or not, and checks what they show.
 func (s *soak) readConfigurations(ctx context.Context) {
-	for sleepFor(ctx, readPause) {
+	for routerstandin.Sleep(ctx, readInterval) {
 		s.readFrom(ctx, s.Machines[rand.IntN(len(s.Machines))])
 	}
 }
 
-// readFrom asks one machine, and tells whether it showed a configuration.
+// readFrom reads from one machine, and reports whether it showed a configuration.
 func (s *soak) readFrom(ctx context.Context, m *Machine) bool {
 	asked := time.Now()
-	answer := m.ask(ctx, "/api/config")
+	answer := m.get(ctx, "/api/config")
 	if answer == nil {
 		return false
 	}
@@ -36,9 +35,9 @@
 	return true
 }
 
-// ask returns what a machine answers to a call for a path at its control address, nil where it is no 200.
-func (m *Machine) ask(ctx context.Context, path string) []byte {
-	bounded, cancel := context.WithTimeout(ctx, askTime)
+// get returns the body of a GET at a machine's control address, nil unless it is answered with 200.
+func (m *Machine) get(ctx context.Context, path string) []byte {
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := controlclient.Do(bounded, m.Control, controlclient.Call{Method: "GET", Target: path})
 	if err != nil || answer.Status != 200 {
@@ -50,76 +49,77 @@
 // readBackEverywhere checks that each machine shows the newest configuration at the end.
 func (s *soak) readBackEverywhere(ctx context.Context) error {
 	for _, m := range s.Machines {
-		err := await(ctx, m.Name+" shows the configuration", settleBound, func() string {
+		err := await(ctx, m.Name+" shows the configuration", recoveryBound, func() string {
 			if !s.readFrom(ctx, m) {
 				return "no clear answer"
 			}
 			return ""
 		})
 		if err != nil {
-			s.Observations.Broken(routerstandin.Config, "%v", err)
+			s.Observations.RecordViolation(routerstandin.RuleConfig, "%v", err)
 			return err
 		}
 	}
 	return s.Operator.ReadBack(ctx)
 }
 
-// watchFigures looks for broken invariants in the figures of all machines.
-func (s *soak) watchFigures(ctx context.Context) {
-	for sleepFor(ctx, figuresPause) {
+// watchMetrics looks for broken invariants in the metrics of all machines.
+func (s *soak) watchMetrics(ctx context.Context) {
+	for routerstandin.Sleep(ctx, metricsInterval) {
 		for _, m := range s.Machines {
-			s.checkFigures(m, m.ask(ctx, "/metrics"))
+			s.checkInvariantMetrics(m, m.get(ctx, "/metrics"))
 		}
 	}
 }
 
-// violationsName is the figure that counts broken invariants.
-const violationsName = "cresshub_invariant_violations_total{"
+// violationsMetric is the metric that counts broken invariants.
+const violationsMetric = "cresshub_invariant_violations_total{"
 
-func (s *soak) checkFigures(m *Machine, page []byte) {
+func (s *soak) checkInvariantMetrics(m *Machine, page []byte) {
 	for line := range bytes.Lines(page) {
 		line = bytes.TrimSpace(line)
-		if bytes.HasPrefix(line, []byte(violationsName)) && !bytes.HasSuffix(line, []byte(" 0")) {
-			s.Observations.Broken(routerstandin.Invariant, "%s tells %s", m.Name, line)
+		if bytes.HasPrefix(line, []byte(violationsMetric)) && !bytes.HasSuffix(line, []byte(" 0")) {
+			s.Observations.RecordViolation(routerstandin.RuleInvariant, "%s tells %s", m.Name, line)
 		}
 	}
 }
 
-// mostGoroutines is how many goroutines a process has at most when nothing is under way.
-const mostGoroutines = 200
+// maxIdleGoroutines is how many goroutines an idle process may have.
+const maxIdleGoroutines = 200
 
-// checkLeaks checks that each process has given back what requests took, now that nobody sends any more.
+// checkLeaks checks that each process has released the memory, connections and goroutines of requests. The
+// load must have ended.
 func (s *soak) checkLeaks(ctx context.Context) error {
 	for _, client := range s.clients {
 		client.Close()
 	}
 	for _, m := range s.Machines {
-		err := await(ctx, m.Name+" gives back what it took", settleBound, func() string {
-			return leaked(m.ask(ctx, "/metrics"))
+		err := await(ctx, m.Name+" gives back what it took", recoveryBound, func() string {
+			return leaked(m.get(ctx, "/metrics"))
 		})
 		if err != nil {
-			s.Observations.Broken(routerstandin.Fault, "%v", err)
+			s.Observations.RecordViolation(routerstandin.RuleFault, "%v", err)
 			return err
 		}
 	}
 	return nil
 }
 
-// leaked tells what a page of figures shows to be taken still, "" where nothing is.
+// leaked returns which metric of a page shows a leak, "" for none.
 func leaked(page []byte) string {
-	for name, most := range map[string]float64{
-		"cresshub_body_bytes": 0, "cresshub_clients": 0, "cresshub_goroutines": mostGoroutines,
+	for name, limit := range map[string]float64{
+		"cresshub_body_bytes": 0, "cresshub_clients": 0, "cresshub_goroutines": maxIdleGoroutines,
 	} {
-		value, found := figureOf(page, name)
-		if !found || value > most {
-			return fmt.Sprintf("%s is %v, %v is the most", name, value, most)
+		value, ok := metricValue(page, name)
+		if !ok || value > limit {
+			return fmt.Sprintf("%s is %v, %v is the most", name, value, limit)
 		}
 	}
 	return ""
 }
 
-// figureOf returns a figure without labels.
-func figureOf(page []byte, name string) (value float64, found bool) {
+// metricValue returns a metric without labels.
+func metricValue(page []byte, name string) (value float64, ok bool) {
 	for line := range bytes.Lines(page) {
 		text, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte(name+" "))
 		if !ok {
--- a/internal/testbed/routertrial/soak_test.go
+++ b/internal/testbed/routertrial/soak_test.go
@@ -16,29 +16,29 @@
 	soakFirst = flag.Uint64("soak-first", 1, "seed of the first of these soaks")
 )
 
-// soakRounds is how many rounds of troubles a soak of the tests has.
+// soakRounds is how many rounds of faults a soak of the tests has.
 const soakRounds = 3
 
-// Real processes in overlapping troubles break no rule and no invariant, and the fleet is ready again soon
-// after the last trouble.
+// Real processes in overlapping faults break no rule and no invariant, and the fleet is ready again soon
+// after the last fault.
 func TestSoak(t *testing.T) {
-	long(t)
+	skipIfShort(t)
 	for i := range *soakSeeds {
 		playSoak(t, SoakOptions{Seed: *soakFirst + uint64(i), Rounds: soakRounds, Large: i%3 == 1})
 	}
 }
 
-// Each trouble of the soak is played once by itself, so that each of them is known to work.
+// Each fault of the soak is played once by itself, so that each of them is known to work.
 func TestEachTroubleOfTheSoak(t *testing.T) {
-	long(t)
-	for at, name := range TroubleNames() {
-		playSoak(t, SoakOptions{Seed: uint64(at), Rounds: 1, Only: []string{name}})
+	skipIfShort(t)
+	for at, name := range SoakFaultNames() {
+		playSoak(t, SoakOptions{Seed: uint64(at), Rounds: 1, OnlyFaults: []string{name}})
 	}
 }
 
 func playSoak(t *testing.T, options SoakOptions) {
 	options.Program, options.Rate = binary, testRate
-	name := fmt.Sprintf("seed=%d %s", options.Seed, strings.Join(options.Only, ","))
+	name := fmt.Sprintf("seed=%d %s", options.Seed, strings.Join(options.OnlyFaults, ","))
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
 		running <- struct{}{}
