--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -17,7 +17,7 @@
 	sink, s, a := startExport(t)
 	s.addPeriod(5)
 	eventually(t, "period 1", func() error { return exported(s, 1) })
-	sink.Trouble(proxystandin.SinkTrouble{Reset: true}) // the sink stores and a does not hear of it
+	sink.SetFault(proxystandin.SinkFault{Reset: true}) // the sink stores and a does not hear of it
 	s.addPeriod(7)
 	eventually(t, "period 2 begun", func() error {
 		if len(sink.Entries()) < 3 {
@@ -31,7 +31,7 @@
 	if v := s.view(); v.Grant.Holder != "" || v.Sending != 2 {
 		t.Fatalf("after its end %+v", v)
 	}
-	sink.Trouble(proxystandin.SinkTrouble{})
+	sink.SetFault(proxystandin.SinkFault{})
 	b := startRunner(t, s, "b", sink.Address(), nil)
 	eventually(t, "period 2", func() error { return exported(s, 2) })
 	eventually(t, "the correction", func() error {
@@ -41,7 +41,7 @@
 		return nil
 	})
 	e := sink.Entries()["2/ramen-kita"]
-	if len(e.Lines) != 1 || e.Lines[0].N != 7 || e.Lines[0].In != 14 || len(sink.Entries()) != 5 {
+	if len(e.Lines) != 1 || e.Lines[0].Count != 7 || e.Lines[0].BytesIn != 14 || len(sink.Entries()) != 5 {
 		t.Errorf("%+v of %d", e, len(sink.Entries()))
 	}
 	if _, _, err := sink.Audit(); err != nil {
--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -50,8 +50,8 @@
 			since := time.Time{}
 			if cold {
 				since = time.Now()
-				o.Cold = proxystandin.Cold{Start: 0.12, Warm: 23 * time.Second, Multiple: 4,
-					After: 1500 * time.Millisecond}
+				o.WarmUp = proxystandin.WarmUp{StartFraction: 0.12, Duration: 23 * time.Second, OverloadMultiple: 4,
+					OverloadAfter: 1500 * time.Millisecond}
 			}
 			z, err := proxystandin.StartZone(o, since)
 			if err != nil {
@@ -79,8 +79,8 @@
 	f.StringVar(&o.Listen, "listen", "127.0.0.1:0", "host:port; port 0 lets the system choose")
 	f.IntVar(&o.Cores, "cores", 2, "requests worked on at once")
 	f.Float64Var(&o.Speed, "speed", 1.8, "of a core; 1 is the yardstick")
-	f.IntVar(&o.Waiting, "waiting", 16, "places to wait in")
-	f.IntVar(&o.Connections, "connections", 1500, "open at once")
+	f.IntVar(&o.MaxQueued, "waiting", 16, "places to wait in")
+	f.IntVar(&o.MaxConnections, "connections", 1500, "open at once")
 	f.DurationVar(&o.Handshake, "handshake", 2*time.Millisecond, "time that a new connection costs")
 	f.DurationVar(&lookup, "lookup", 125*time.Millisecond, "mean work of a zone-lookup on a core of speed 1")
 	f.DurationVar(&assign, "assign", 108*time.Millisecond, "mean work of a rider-assign")
--- a/internal/proxy/cli/try.go
+++ b/internal/proxy/cli/try.go
@@ -36,16 +36,16 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			switch {
-			case o.For < 100*time.Millisecond || o.For > time.Hour:
-				return wrong("--for %s is out of range, 100ms to 1h is allowed", o.For)
+			case o.Duration < 100*time.Millisecond || o.Duration > time.Hour:
+				return wrong("--for %s is out of range, 100ms to 1h is allowed", o.Duration)
 			case o.Servers < 1 || o.Servers > 200:
 				return wrong("--servers %d is out of range, 1 to 200 is allowed", o.Servers)
 			case !(o.Rate >= 0 && o.Rate <= 20000):
 				return wrong("--rate %g is out of range, 0 to 20000 is allowed", o.Rate)
-			case !(o.Load > 0 && o.Load <= 10):
-				return wrong("--load %g is out of range, above 0 to 10 is allowed", o.Load)
+			case !(o.LoadFactor > 0 && o.LoadFactor <= 10):
+				return wrong("--load %g is out of range, above 0 to 10 is allowed", o.LoadFactor)
 			}
-			if err := proxytrial.CheckTrouble(o.Trouble); err != nil {
+			if err := proxytrial.CheckFault(o.Fault); err != nil {
 				return usageError{err}
 			}
 			var err error
@@ -75,19 +75,19 @@
 				return fmt.Errorf("interrupted; what was measured until then is above")
 			case err != nil:
 				return err
-			case r.Broken() > 0:
-				return fmt.Errorf("rules were broken %d times", r.Broken())
+			case r.Violations() > 0:
+				return fmt.Errorf("rules were broken %d times", r.Violations())
 			}
 			return nil
 		},
 	}
 	c.SetContext(context.Background())
 	f := c.Flags()
-	f.DurationVar(&o.For, "for", 10*time.Second, "how long the load lasts")
+	f.DurationVar(&o.Duration, "for", 10*time.Second, "how long the load lasts")
 	f.IntVar(&o.Servers, "servers", 10, "zone servers, two in five of half speed")
 	f.Float64Var(&o.Rate, "rate", 0, "requests a second; 0 goes by --load")
-	f.Float64Var(&o.Load, "load", 0.6, "part of what the servers can do with cold keys")
-	f.StringVar(&o.Trouble, "trouble", "", "in the middle: "+strings.Join(proxytrial.Troubles, ", "))
+	f.Float64Var(&o.LoadFactor, "load", 0.6, "part of what the servers can do with cold keys")
+	f.StringVar(&o.Fault, "trouble", "", "in the middle: "+strings.Join(proxytrial.Faults, ", "))
 	f.Uint64Var(&o.Seed, "seed", 1, "for arrivals, work and keys")
 	f.StringArrayVar(&o.Set, "set", nil, "KEY=VALUE of the proxy's configuration; may be repeated")
 	f.StringVar(&logFile, "log", "", "file for the proxy's log")
@@ -104,15 +104,15 @@
 	var now atomic.Pointer[proxystandin.Totals]
 	now.Store(&proxystandin.Totals{})
 	lines := mpb.New(mpb.WithOutput(w), mpb.WithWidth(24))
-	bar := lines.AddBar(o.For.Milliseconds(), mpb.BarRemoveOnComplete(),
+	bar := lines.AddBar(o.Duration.Milliseconds(), mpb.BarRemoveOnComplete(),
 		mpb.AppendDecorators(decor.Any(func(decor.Statistics) string {
 			t := now.Load()
 			return fmt.Sprintf("offered %d  in time %d  refused %d  p99 %s", t.Offered, t.InTime,
-				t.By[proxystandin.Refused], t.P99.Round(time.Millisecond))
+				t.ByKind[proxystandin.Refused], t.P99.Round(time.Millisecond))
 		})))
-	o.Live = func(done time.Duration, t proxystandin.Totals) {
+	o.Progress = func(done time.Duration, t proxystandin.Totals) {
 		now.Store(&t)
-		bar.SetCurrent(min(done, o.For).Milliseconds())
+		bar.SetCurrent(min(done, o.Duration).Milliseconds())
 	}
 	return func() {
 		bar.Abort(true)
@@ -125,8 +125,8 @@
 		return printJSON(w, r)
 	}
 	fmt.Fprintf(w, "%.1f s at %.0f requests a second", r.Seconds, r.Rate)
-	if r.Trouble != "" {
-		fmt.Fprintf(w, ", trouble: %s", r.Trouble)
+	if r.Fault != "" {
+		fmt.Fprintf(w, ", trouble: %s", r.Fault)
 	}
 	fmt.Fprintln(w)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -136,14 +136,14 @@
 		r.Served, r.Refused, r.Failed, r.P50, r.P99)
 	fmt.Fprintln(t, "\nserver\tattempts\tserved\tturned away\tprobes\tconnections\t")
 	for _, s := range r.Servers {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Name, s.Requests, s.Served, s.TurnedAway, s.Probes, s.Opened)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Name, s.Requests, s.Served, s.Rejected, s.Probes, s.Opened)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
-	for _, rule := range []string{proxytrial.OneAnswer, proxytrial.NeverTwice, proxytrial.DrainKept,
-		proxytrial.ColdKept} {
+	for _, rule := range []string{proxytrial.OneAnswer, proxytrial.NeverTwice, proxytrial.DrainObeyed,
+		proxytrial.WarmUpObeyed} {
 		state := "kept"
 		if n := r.Rules[rule]; n > 0 {
 			state = fmt.Sprintf("BROKEN %d times", n)
--- a/internal/simulation/labcli/righerd.go
+++ b/internal/simulation/labcli/righerd.go
@@ -21,13 +21,13 @@
 		Use: "herd", Short: "Kill seven in ten proxies at once; count all probes, connections and list calls",
 		Example: "  cresshub rig herd --members 8,24,48", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var rows []*clusterrig.Herd
+			var rows []*clusterrig.RestartStorm
 			for _, n := range members {
 				if n < 3 || n > 48 {
 					return cli.Wrong("--members 3 to 48 are allowed")
 				}
 				err := withRig(program, dir, func(ctx context.Context, o clusterrig.Options) error {
-					h, err := clusterrig.TryHerd(ctx, o, n)
+					h, err := clusterrig.RunRestartStorm(ctx, o, n)
 					rows = append(rows, h)
 					return err
 				})
@@ -43,7 +43,7 @@
 			for _, h := range rows {
 				for _, s := range []struct {
 					what string
-					clusterrig.HerdSums
+					clusterrig.StormTotals
 					ready string
 				}{{"quiet", h.Quiet, ""}, {"killed", h.Killed, fmt.Sprintf("%.0f ms", h.ReadyMS)}} {
 					fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", h.Members, s.what, s.Requests, s.Lost, s.Probes,
--- a/internal/simulation/labcli/rigowner.go
+++ b/internal/simulation/labcli/rigowner.go
@@ -51,12 +51,12 @@
 		Use: "owner", Short: "Pause, cut off and kill owners of the fleet's chores; count what old ones still did",
 		Example: "  cresshub rig owner --pauses 50 --cuts 10 --kills 20", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if o.Members < 4 || o.Members > 30 || min(o.Pauses, o.Cuts, o.Kills) < 0 ||
-				o.Pauses+o.Cuts+o.Kills > 10_000 {
+			if o.Members < 4 || o.Members > 30 || min(o.Pauses, o.Partitions, o.Kills) < 0 ||
+				o.Pauses+o.Partitions+o.Kills > 10_000 {
 				return cli.Wrong("--members 4 to 30 and 10000 faults at most are allowed")
 			}
 			return withRig(program, dir, func(ctx context.Context, ro clusterrig.Options) error {
-				t, err := clusterrig.TryOwners(ctx, ro, o)
+				t, err := clusterrig.RunOwnerTrial(ctx, ro, o)
 				if err != nil {
 					return err
 				}
@@ -70,7 +70,7 @@
 	f := c.Flags()
 	f.IntVar(&o.Members, "members", 5, "processes")
 	f.IntVar(&o.Pauses, "pauses", 50, "owners paused for three leases and woken")
-	f.IntVar(&o.Cuts, "cuts", 10, "owners cut off from the other members, not from the sinks")
+	f.IntVar(&o.Partitions, "cuts", 10, "owners cut off from the other members, not from the sinks")
 	f.IntVar(&o.Kills, "kills", 20, "owners killed and restarted")
 	f.DurationVar(&o.Lease, "lease", 2*time.Second, "owner.lease")
 	f.DurationVar(&o.Election, "election", time.Second, "ledger.election")
@@ -93,7 +93,7 @@
 				}
 				for _, owned := range []bool{false, true} {
 					err := withRig(program, dir, func(ctx context.Context, o clusterrig.Options) error {
-						r, err := clusterrig.TryLists(ctx, o, n, owned)
+						r, err := clusterrig.CountListCalls(ctx, o, n, owned)
 						rows = append(rows, r)
 						return err
 					})
--- a/internal/simulation/labcli/tools.go
+++ b/internal/simulation/labcli/tools.go
@@ -181,10 +181,10 @@
 			}
 			o.Address = args[0]
 			o.Classes = []proxystandin.LoadClass{
-				{Name: "zone-lookup", Share: 1 - unsafe, Aim: 600 * time.Millisecond,
-					Deadline: 1500 * time.Millisecond, Worth: 2},
-				{Name: "rider-assign", Share: unsafe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
-					Worth: 8, Unsafe: true},
+				{Name: "zone-lookup", Fraction: 1 - unsafe, LatencyTarget: 600 * time.Millisecond,
+					Deadline: 1500 * time.Millisecond, Value: 2},
+				{Name: "rider-assign", Fraction: unsafe, LatencyTarget: 500 * time.Millisecond, Deadline: 2 * time.Second,
+					Value: 8, Unsafe: true},
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -194,11 +194,11 @@
 			l.Run(ctx)
 			t := l.Tally().Totals()
 			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-			out := map[string]any{"offered": t.Offered, "served": t.By[proxystandin.Served],
+			out := map[string]any{"offered": t.Offered, "served": t.ByKind[proxystandin.Served],
 				"served_in_time": t.InTime,
-				"refused":        t.By[proxystandin.Refused], "failed": t.By[proxystandin.Failed],
-				"no_answer":   t.By[proxystandin.NoAnswer],
-				"unreachable": t.By[proxystandin.Unreachable], "not_sent": t.By[proxystandin.NotSent],
+				"refused":        t.ByKind[proxystandin.Refused], "failed": t.ByKind[proxystandin.Failed],
+				"no_answer":   t.ByKind[proxystandin.NoAnswer],
+				"unreachable": t.ByKind[proxystandin.Unreachable], "not_sent": t.ByKind[proxystandin.NotSent],
 				"p50_ms": ms(t.P50),
 				"p99_ms": ms(t.P99), "max_ms": ms(t.Max), "load_lag_ms": ms(t.Lag)}
 			if asJSON {
@@ -206,8 +206,8 @@
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(),
 				"offered %d, served %d (%d in time), refused %d, failed %d, no answer %d, p50 %s, p99 %s\n", t.Offered,
-				t.By[proxystandin.Served], t.InTime, t.By[proxystandin.Refused], t.By[proxystandin.Failed],
-				t.By[proxystandin.NoAnswer],
+				t.ByKind[proxystandin.Served], t.InTime, t.ByKind[proxystandin.Refused], t.ByKind[proxystandin.Failed],
+				t.ByKind[proxystandin.NoAnswer],
 				t.P50, t.P99)
 			return err
 		},
@@ -218,9 +218,9 @@
 	f.Float64Var(&unsafe, "unsafe", 0.4, "part of rider-assign")
 	f.StringSliceVar(&o.Tenants, "tenant", nil, "tenants, in equal parts")
 	f.IntVar(&o.Keys, "keys", 300, "distinct keys")
-	f.IntVar(&o.Open, "connections", 1000, "open at once")
+	f.IntVar(&o.MaxConnections, "connections", 1000, "open at once")
 	f.Uint64Var(&o.Seed, "seed", 1, "of arrivals and keys")
-	f.StringVar(&o.IDs, "ids", "load", "what request ids begin with")
+	f.StringVar(&o.IDPrefix, "ids", "load", "what request ids begin with")
 	f.BoolVar(&anywhere, "anywhere", false, "allow an address that is not on this machine")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
 	return c
--- a/internal/testbed/clusterrig/clients.go
+++ b/internal/testbed/clusterrig/clients.go
@@ -18,22 +18,22 @@
 // Clients send requests to members as clients do and counts the final answers that come, by what a ledger
 // counts them.
 type Clients struct {
-	mu      sync.Mutex
-	answers map[ledger.Key]int64
-	by      map[string]int64 // answers by member
-	lost    int64            // requests without a whole answer
-	next    int
-	client  http.Client
+	mu       sync.Mutex
+	answers  map[ledger.Key]int64
+	byMember map[string]int64 // answers by member
+	lost     int64            // requests without a whole answer
+	next     int
+	client   http.Client
 }
 
 // NewClients returns clients that have sent nothing.
 func NewClients() *Clients {
-	return &Clients{answers: map[ledger.Key]int64{}, by: map[string]int64{},
+	return &Clients{answers: map[ledger.Key]int64{}, byMember: map[string]int64{},
 		client: http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
-// Ask sends one request to a member; id "" is a fresh one, first the id of its first try, if it says so.
-func (l *Clients) Ask(m *Member, tenant, class, id, first string) error {
+// Send sends one request to a member; id "" is a fresh one, first the id of its first try, if it says so.
+func (l *Clients) Send(m *Member, tenant, class, id, first string) error {
 	if id == "" {
 		id = fmt.Sprintf("%016x", rand.Uint64())
 	}
@@ -68,12 +68,12 @@
 		answer = "dropped"
 	}
 	l.answers[ledger.Key{Tenant: tenant, Class: class, Answer: answer}]++
-	l.by[m.Name]++
+	l.byMember[m.Name]++
 	return nil
 }
 
-// clientPause is between two requests of one client: what is tried is not how much the members bear.
-const clientPause = 15 * time.Millisecond
+// clientInterval is between two requests of one client: what is tried is not how much the members bear.
+const clientInterval = 15 * time.Millisecond
 
 // Run sends requests to members in turn with so many clients at once until ctx ends.
 func (l *Clients) Run(ctx context.Context, ms []*Member, clients int) {
@@ -89,8 +89,8 @@
 				if n%3 == 0 {
 					class = "rider-assign"
 				}
-				l.Ask(ms[n%len(ms)], Tenants[n%len(Tenants)], class, "", "")
-				time.Sleep(clientPause)
+				l.Send(ms[n%len(ms)], Tenants[n%len(Tenants)], class, "", "")
+				time.Sleep(clientInterval)
 			}
 		})
 	}
@@ -110,8 +110,8 @@
 	return out, sum
 }
 
-// Add takes over what other clients got.
-func (l *Clients) Add(o *Clients) {
+// Merge takes over what other clients got.
+func (l *Clients) Merge(o *Clients) {
 	answers, _ := o.Answers()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/clusterrig/history_test.go
+++ b/internal/testbed/clusterrig/history_test.go
@@ -58,7 +58,7 @@
 		all.Go(func() {
 			for asked := int64(1); c.Err() == nil; asked++ {
 				from := time.Now()
-				if err := clients.Ask(m, Tenants[0], "zone-lookup", "", ""); err != nil {
+				if err := clients.Send(m, Tenants[0], "zone-lookup", "", ""); err != nil {
 					t.Errorf("a request got no answer: %v", err)
 					return
 				}
@@ -95,7 +95,7 @@
 		})
 	}
 	lead := leader(t, r)
-	r.Net.Partition([]string{lead.Name}, Names(without(r.Members, lead)))
+	r.Net.Partition([]string{lead.Name}, MemberNames(without(r.Members, lead)))
 	time.Sleep(1500 * time.Millisecond)
 	r.Net.Heal()
 	time.Sleep(time.Second)
--- a/internal/testbed/clusterrig/ledger_faults_test.go
+++ b/internal/testbed/clusterrig/ledger_faults_test.go
@@ -109,7 +109,7 @@
 	for _, v := range p.Group.Replicas {
 		var own daemon.LedgerPage
 		m := r.Member(v.Member)
-		if m == nil || m.State() != Up || m.Ask("/_ledger?period=1&tenant=-", &own) != nil ||
+		if m == nil || m.State() != Up || m.GetJSON("/_ledger?period=1&tenant=-", &own) != nil ||
 			own.Group.Disk != v.Disk || v.Learner || v.Behind > 50 {
 			return fmt.Errorf("%+v, its member has disk %s", v, own.Group.Disk)
 		}
@@ -125,7 +125,7 @@
 	old := leader(t, r)
 	rest := without(r.Members, old)
 	l := during(t, r.Members, 6, func() {
-		r.Net.Partition([]string{old.Name}, Names(rest))
+		r.Net.Partition([]string{old.Name}, MemberNames(rest))
 		cut := time.Now()
 		for {
 			if p, err := ledgerPage(old, "?period=1&tenant=-"); err != nil || p.Group.Role != "leader" {
@@ -134,14 +134,14 @@
 			if time.Since(cut) > 5*time.Second {
 				t.Fatal("the leader that was cut off still leads")
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 		var p daemon.LedgerPage
-		must(t, old.Ask("/_ledger", &p))
+		must(t, old.GetJSON("/_ledger", &p))
 		promised := p.Here.Committed
 		untilLedger(t, rest, 10*time.Second, "the majority reads and goes on", readable)
 		time.Sleep(time.Second) // long enough for what it should not promise
-		must(t, old.Ask("/_ledger", &p))
+		must(t, old.GetJSON("/_ledger", &p))
 		if p.Here.Committed != promised || p.Ledger != nil {
 			t.Errorf("cut off, it promised %d more and read %v", p.Here.Committed-promised, p.Ledger != nil)
 		}
@@ -169,25 +169,25 @@
 			// What is applied tells that batches go on; a read at a leader whose syncs are slow may be too late
 			// for the door.
 			var p daemon.LedgerPage
-			must(t, leader(t, r).Ask("/_ledger?period=1&tenant=-", &p))
+			must(t, leader(t, r).GetJSON("/_ledger?period=1&tenant=-", &p))
 			before, begun := p.Group.Applied, time.Now()
 			for p.Group.Applied < before+5 {
 				if time.Since(begun) > 20*time.Second {
 					t.Fatalf("%s is slow, and batches stand: %+v", m.Name, p.Group)
 				}
 				time.Sleep(50 * time.Millisecond)
-				leader(t, r).Ask("/_ledger?period=1&tenant=-", &p)
+				leader(t, r).GetJSON("/_ledger?period=1&tenant=-", &p)
 			}
 			t.Logf("%s is slow, batches go on after %v", m.Name, time.Since(begun))
 			faults(m, `{"full": true}`)
 			stalls := func(_ *Member) error {
 				var p daemon.LedgerPage
-				if err := m.Ask("/_ledger?period=1&tenant=-", &p); err != nil || p.Group.Stalled == "" {
+				if err := m.GetJSON("/_ledger?period=1&tenant=-", &p); err != nil || p.Group.Stalled == "" {
 					return fmt.Errorf("it does not say that it stands: %+v (%v)", p.Group, err)
 				}
 				return nil
 			}
-			for begun = time.Now(); stalls(m) != nil; time.Sleep(pollEvery) {
+			for begun = time.Now(); stalls(m) != nil; time.Sleep(pollInterval) {
 				if time.Since(begun) > 10*time.Second {
 					t.Fatal(stalls(m))
 				}
@@ -212,7 +212,7 @@
 	r := startLedger(t, 3, Options{})
 	l := NewClients()
 	a, b := r.Members[0], r.Members[1]
-	must(t, l.Ask(a, Tenants[0], "zone-lookup", "the-first-try", ""))
+	must(t, l.Send(a, Tenants[0], "zone-lookup", "the-first-try", ""))
 	settled(t, r, l, 10*time.Second)
 	in := func(period uint64) int64 {
 		p, err := ledgerPage(b, fmt.Sprintf("?period=%d", period))
@@ -239,14 +239,14 @@
 			}
 			return nil
 		})
-	must(t, l.Ask(b, Tenants[0], "zone-lookup", "the-second-try", "the-first-try"))
+	must(t, l.Send(b, Tenants[0], "zone-lookup", "the-second-try", "the-first-try"))
 	settled(t, r, l, 10*time.Second)
 	if in(first) != 2 {
 		t.Errorf("period %d counts %d answers, and both belong there", first, in(first))
 	}
 	same(t, r, l)
 	correct := func(args ...string) string {
-		all := append([]string{"ledger", "correct", "--door", a.Door, "--tenant", Tenants[0], "--class",
+		all := append([]string{"ledger", "correct", "--door", a.Admin, "--tenant", Tenants[0], "--class",
 			"zone-lookup", "--answer", "passed", "--n", "-1", "--reason", "test"}, args...)
 		out, _ := exec.Command(binary, all...).CombinedOutput()
 		return string(out)
--- a/internal/testbed/clusterrig/ledger_test.go
+++ b/internal/testbed/clusterrig/ledger_test.go
@@ -27,7 +27,7 @@
 func startLedger(t *testing.T, members int, o Options) *Rig {
 	t.Helper()
 	o.Members, o.Zones = members, 3
-	o.Extra += ledgerKeys + fmt.Sprintf("expect = %d\n", max(3, members/2+1))
+	o.ExtraTOML += ledgerKeys + fmt.Sprintf("expect = %d\n", max(3, members/2+1))
 	r := start(t, o)
 	formed(t, r)
 	return r
@@ -35,7 +35,7 @@
 
 func ledgerPage(m *Member, query string) (daemon.LedgerPage, error) {
 	var p daemon.LedgerPage
-	err := m.Ask("/_ledger"+query, &p)
+	err := m.GetJSON("/_ledger"+query, &p)
 	if err == nil && p.Problem != "" {
 		err = fmt.Errorf("%s", p.Problem)
 	}
@@ -161,7 +161,7 @@
 	for range 400 {
 		for _, m := range r.Running() {
 			var p daemon.LedgerPage
-			if m.Ask("/_ledger?period=1&tenant=-", &p) == nil && p.Group.Role == "leader" {
+			if m.GetJSON("/_ledger?period=1&tenant=-", &p) == nil && p.Group.Role == "leader" {
 				return m
 			}
 		}
--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -30,50 +30,50 @@
 	Entries int // log entries that a wiped replica catches up with
 }
 
-// Measured is what came of it.
+// MeasuredMembers is what came of it.
 type Measured struct {
-	Answers    int64   `json:"answers"`
-	Promised   int64   `json:"promised"`
-	PerSecond  float64 `json:"answers_per_second"`
-	P50        float64 `json:"commit_p50_ms"`
-	P99        float64 `json:"commit_p99_ms"`
-	Max        float64 `json:"commit_max_ms"`
-	Entries    int64   `json:"entries"`
-	EntriesPer float64 `json:"entries_per_second"`
-	CatchUpMS  float64 `json:"catch_up_ms"` // of a replica with an empty disk, until it counts as one
-	DiskBytes  int64   `json:"disk_bytes"`  // of one replica's file in the end
+	Answers          int64   `json:"answers"`
+	Committed        int64   `json:"promised"`
+	PerSecond        float64 `json:"answers_per_second"`
+	P50              float64 `json:"commit_p50_ms"`
+	P99              float64 `json:"commit_p99_ms"`
+	Max              float64 `json:"commit_max_ms"`
+	Entries          int64   `json:"entries"`
+	EntriesPerSecond float64 `json:"entries_per_second"`
+	CatchUpMS        float64 `json:"catch_up_ms"` // of a replica with an empty disk, until it counts as one
+	DiskBytes        int64   `json:"disk_bytes"`  // of one replica's file in the end
 }
 
 const measureGroup = "ledger"
 
-// measured is one member of the measurement.
-type measured struct {
-	host *raftgroup.Host
-	rec  *pending.Recorder
+// measuredMember is one member of the measurement.
+type measuredMember struct {
+	host     *raftgroup.Host
+	recorder *pending.Recorder
 }
 
-type measure struct {
+type measurement struct {
 	o       MeasureOptions
 	mu      sync.Mutex
-	members map[string]*measured
-	gone    map[string]bool
+	members map[string]*measuredMember
+	removed map[string]bool
 }
 
-func (m *measure) view() []raftgroup.Peer {
+func (m *measurement) peers() []raftgroup.Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []raftgroup.Peer
 	for name, x := range m.members {
 		out = append(out, raftgroup.Peer{Address: x.host.Address(), Member: placement.Member{Name: name,
-			ReplicaID: x.host.ID(), Live: !m.gone[name], Gone: m.gone[name]}})
+			ReplicaID: x.host.ID(), Live: !m.removed[name], Gone: m.removed[name]}})
 	}
 	return out
 }
 
-func (m *measure) start(name string) error {
+func (m *measurement) start(name string) error {
 	dir := filepath.Join(m.o.Dir, name)
 	log := slog.New(slog.DiscardHandler)
-	x := &measured{}
+	x := &measuredMember{}
 	var err error
 	x.host, err = raftgroup.Open(raftgroup.Options{Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure",
 		Replicas: 3, BootstrapExpect: 3, MaxLearnerLag: 100, HeartbeatInterval: 100 * time.Millisecond,
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	x.rec, err = pending.Open(pending.Options{Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond,
+	x.recorder, err = pending.Open(pending.Options{Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond,
 		MaxQueuedBytes: 64 << 20, Log: log, Propose: func(ctx context.Context, b []byte) (ledger.Result, error) {
 			return pending.DecodeResult(x.host.Propose(ctx, measureGroup, b))
 		}})
@@ -97,21 +97,21 @@
 	}
 	m.mu.Lock()
 	m.members[name] = x
-	delete(m.gone, name)
+	delete(m.removed, name)
 	m.mu.Unlock()
-	if err := x.host.Run(m.view); err != nil {
+	if err := x.host.Run(m.peers); err != nil {
 		return err
 	}
-	x.rec.Run()
+	x.recorder.Run()
 	return nil
 }
 
 // Measure has three members count at the rate, then fills the log and wipes a replica.
 func Measure(ctx context.Context, o MeasureOptions) (r Measured, err error) {
-	m := &measure{o: o, members: map[string]*measured{}, gone: map[string]bool{}}
+	m := &measurement{o: o, members: map[string]*measuredMember{}, removed: map[string]bool{}}
 	defer func() {
 		for _, x := range m.members {
-			err = errors.Join(err, x.rec.Close(), x.host.Close())
+			err = errors.Join(err, x.recorder.Close(), x.host.Close())
 		}
 	}()
 	for _, name := range []string{"a", "b", "c"} {
@@ -119,20 +119,20 @@
 			return r, err
 		}
 	}
-	if err := m.whole(ctx, time.Minute); err != nil {
+	if err := m.waitFullyReplicated(ctx, time.Minute); err != nil {
 		return r, err
 	}
 	began := time.Now()
 	m.count(ctx, o.Rate, o.For)
 	took := time.Since(began)
 	for _, x := range m.members {
-		x.rec.WaitCommitted(10 * time.Second)
-		f := x.rec.Stats()
+		x.recorder.WaitCommitted(10 * time.Second)
+		f := x.recorder.Stats()
 		r.Answers += f.Counted
-		r.Promised += f.Committed
+		r.Committed += f.Committed
 		r.P50, r.P99, r.Max = max(r.P50, f.CommitP50MS), max(r.P99, f.CommitP99MS), max(r.Max, f.CommitMaxMS)
 	}
-	r.PerSecond = float64(r.Promised) / took.Seconds()
+	r.PerSecond = float64(r.Committed) / took.Seconds()
 	if err := m.catchUp(ctx, &r); err != nil {
 		return r, err
 	}
@@ -143,12 +143,12 @@
 }
 
 // count has the members count answers at the rate for a while, every 10 ms what is due.
-func (m *measure) count(ctx context.Context, rate int, lasting time.Duration) {
+func (m *measurement) count(ctx context.Context, rate int, lasting time.Duration) {
 	start := time.Now()
 	done := 0
 	var all []*pending.Recorder
 	for _, x := range m.members {
-		all = append(all, x.rec)
+		all = append(all, x.recorder)
 	}
 	for ctx.Err() == nil && time.Since(start) < lasting {
 		for due := int(time.Since(start).Seconds() * float64(rate)); done < due; done++ {
@@ -160,7 +160,7 @@
 }
 
 // catchUp fills the log, wipes a follower, and waits until it counts as a replica again.
-func (m *measure) catchUp(ctx context.Context, r *Measured) error {
+func (m *measurement) catchUp(ctx context.Context, r *Measured) error {
 	lead := m.leader(ctx)
 	if lead == "" || m.o.Entries == 0 {
 		return ctx.Err()
@@ -183,13 +183,13 @@
 	}
 	all.Wait()
 	r.Entries = int64(m.o.Entries) - failed.Load()
-	r.EntriesPer = float64(r.Entries) / time.Since(began).Seconds()
+	r.EntriesPerSecond = float64(r.Entries) / time.Since(began).Seconds()
 	wiped := "a"
 	if lead == wiped {
 		wiped = "b"
 	}
 	x := m.members[wiped]
-	err := errors.Join(x.rec.Close(), x.host.Close(), os.RemoveAll(filepath.Join(m.o.Dir, wiped)))
+	err := errors.Join(x.recorder.Close(), x.host.Close(), os.RemoveAll(filepath.Join(m.o.Dir, wiped)))
 	if err != nil {
 		return err
 	}
@@ -197,12 +197,12 @@
 	if err := m.start(wiped); err != nil {
 		return err
 	}
-	err = m.whole(ctx, time.Minute)
+	err = m.waitFullyReplicated(ctx, time.Minute)
 	r.CatchUpMS = ms(time.Since(began))
 	return err
 }
 
-func (m *measure) leader(ctx context.Context) string {
+func (m *measurement) leader(ctx context.Context) string {
 	for ctx.Err() == nil {
 		for name, x := range m.members {
 			if x.host.Leads(measureGroup) {
@@ -214,19 +214,19 @@
 	return ""
 }
 
-// whole waits until the group is the three disks that its members have now, caught up.
-func (m *measure) whole(ctx context.Context, most time.Duration) error {
-	end := time.Now().Add(most)
+// waitFullyReplicated waits until the group is the three disks that its members have now, caught up.
+func (m *measurement) waitFullyReplicated(ctx context.Context, limit time.Duration) error {
+	end := time.Now().Add(limit)
 	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		st := m.members[m.leader(ctx)].host.Status(measureGroup)
-		good := 0
+		caughtUp := 0
 		for _, rep := range st.Replicas {
 			x := m.members[rep.Member]
 			if x != nil && x.host.Status(measureGroup).Disk == rep.Disk && !rep.Learner && rep.Behind <= 100 {
-				good++
+				caughtUp++
 			}
 		}
-		if good == 3 && len(st.Replicas) == 3 {
+		if caughtUp == 3 && len(st.Replicas) == 3 {
 			return nil
 		}
 	}
@@ -237,8 +237,8 @@
 func (r *Measured) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "ANSWERS\tPROMISED\tPER SECOND\tCOMMIT P50\tP99\tMAX\tENTRIES\tPER SECOND\tCATCH UP\tDISK")
-	fmt.Fprintf(t, "%d\t%d\t%.0f\t%.1f ms\t%.1f ms\t%.1f ms\t%d\t%.0f\t%.0f ms\t%d\n", r.Answers, r.Promised,
-		r.PerSecond, r.P50, r.P99, r.Max, r.Entries, r.EntriesPer, r.CatchUpMS, r.DiskBytes)
+	fmt.Fprintf(t, "%d\t%d\t%.0f\t%.1f ms\t%.1f ms\t%.1f ms\t%d\t%.0f\t%.0f ms\t%d\n", r.Answers, r.Committed,
+		r.PerSecond, r.P50, r.P99, r.Max, r.Entries, r.EntriesPerSecond, r.CatchUpMS, r.DiskBytes)
 	return t.Flush()
 }
 
--- a/internal/testbed/clusterrig/owner.go
+++ b/internal/testbed/clusterrig/owner.go
@@ -15,11 +15,11 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// LeaseOfTests is the lease in OwnerKeys, short so that many fit into a while.
-const LeaseOfTests = 600 * time.Millisecond
+// TestLease is the lease in TestOwnerTOML, short so that many fit into a while.
+const TestLease = 600 * time.Millisecond
 
-// OwnerKeys are the keys of members in tests of owners: a ledger with short periods, and both chores.
-const OwnerKeys = `[ledger]
+// TestOwnerTOML are the keys of members in tests of owners: a ledger with short periods, and both chores.
+const TestOwnerTOML = `[ledger]
 bind = "127.0.0.1:0"
 data = "{data}"
 period = "200ms"
@@ -40,24 +40,26 @@
 
 // OwnerPage is what a member's door says of the chores.
 func OwnerPage(m *Member) (p leaseholder.Page, err error) {
-	err = m.Ask("/_owner", &p)
+	err = m.GetJSON("/_owner", &p)
 	if err == nil && p.Problem != "" {
 		err = errors.New(p.Problem)
 	}
 	return p, err
 }
 
-// Owner waits for the member that acts as the owner, other than those left out, and returns its token too.
-func (r *Rig) Owner(ctx context.Context, limit time.Duration, not ...*Member) (*Member, uint64, error) {
+// WaitOwner waits for the member that acts as the owner, other than those left out, and returns its token
+// too.
+func (r *Rig) WaitOwner(ctx context.Context, limit time.Duration, exclude ...*Member) (*Member, uint64,
+	error) {
 	var last error
 	end := time.Now().Add(limit)
 	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		for _, m := range r.Running() {
-			if slices.Contains(not, m) {
+			if slices.Contains(exclude, m) {
 				continue
 			}
 			var p leaseholder.Page
-			if last = m.Ask("/_owner", &p); last == nil && p.Owns {
+			if last = m.GetJSON("/_owner", &p); last == nil && p.Owns {
 				return m, p.Token, nil
 			}
 		}
@@ -65,9 +67,9 @@
 	return nil, 0, fmt.Errorf("nobody owns the chores after %v (%v)", limit, last)
 }
 
-// linger has a member stand still between its look at the lease and each of its calls, and waits until it
+// delayCalls has a member stand still between its look at the lease and each of its calls, and waits until it
 // does; calls go out late from then on.
-func linger(ctx context.Context, m *Member, d time.Duration) error {
+func delayCalls(ctx context.Context, m *Member, d time.Duration) error {
 	faults := m.Data + ".calls"
 	text := fmt.Appendf(nil, `{"call_delay_ms": %d}`, d.Milliseconds())
 	if err := os.WriteFile(faults, text, 0o600); err != nil {
@@ -83,52 +85,52 @@
 	}
 }
 
-// Sent is what the sink has of each key, all periods and corrections added up.
-func (r *Rig) Sent() map[ledger.Key]int64 {
+// SinkTotals is what the sink has of each key, all periods and corrections added up.
+func (r *Rig) SinkTotals() map[ledger.Key]int64 {
 	out := map[ledger.Key]int64{}
 	for _, e := range r.Sink.Entries() {
 		for _, l := range e.Lines {
-			out[ledger.Key{Tenant: e.Tenant, Class: l.Class, Answer: l.Answer}] += l.N
+			out[ledger.Key{Tenant: e.Tenant, Class: l.Class, Answer: l.Answer}] += l.Count
 		}
 	}
 	return out
 }
 
-// Exported waits until the sink has all answers that clients got, and says whether each period and tenant
+// WaitExported waits until the sink has all answers that clients got, and says whether each period and tenant
 // of the ledger is there once, as the ledger has it.
-func (r *Rig) Exported(ctx context.Context, l *Clients, limit time.Duration) error {
+func (r *Rig) WaitExported(ctx context.Context, l *Clients, limit time.Duration) error {
 	want, sum := l.Answers()
 	end := time.Now().Add(limit)
 	for {
-		err := r.whole(want)
+		err := r.checkSinkTotals(want)
 		if err == nil {
 			break
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("of %d answers the ledger counts %d: %w", sum, r.counted(), err)
+			return fmt.Errorf("of %d answers the ledger counts %d: %w", sum, r.ledgerAnswers(), err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	if _, _, err := r.Sink.Audit(); err != nil {
 		return err
 	}
-	return r.asTheLedger()
+	return r.checkSinkAgainstLedger()
 }
 
-// counted is how many answers the ledger has, by whichever member can read it; -1 where none can.
-func (r *Rig) counted() int64 {
+// ledgerAnswers is how many answers the ledger has, by whichever member can read it; -1 where none can.
+func (r *Rig) ledgerAnswers() int64 {
 	for _, m := range r.Running() {
 		var p daemon.LedgerPage
-		if m.Ask("/_ledger", &p) == nil && p.Ledger != nil {
+		if m.GetJSON("/_ledger", &p) == nil && p.Ledger != nil {
 			return p.Ledger.Stats.Answers
 		}
 	}
 	return -1
 }
 
-// whole tells whether the sink's sums are those of the answers.
-func (r *Rig) whole(want map[ledger.Key]int64) error {
-	got := r.Sent()
+// checkSinkTotals tells whether the sink's sums are those of the answers.
+func (r *Rig) checkSinkTotals(want map[ledger.Key]int64) error {
+	got := r.SinkTotals()
 	for k, n := range want {
 		if got[k] != n {
 			return fmt.Errorf("%v: the sink has %d, clients got %d", k, got[k], n)
@@ -142,20 +144,20 @@
 	return nil
 }
 
-// asTheLedger holds the sink's entries to the ledger's rows, period by period.
-func (r *Rig) asTheLedger() error {
+// checkSinkAgainstLedger holds the sink's entries to the ledger's rows, period by period.
+func (r *Rig) checkSinkAgainstLedger() error {
 	var page daemon.LedgerPage
 	var o leaseholder.Page
-	for try := 0; ; try++ {
-		m := r.Running()[try%len(r.Running())]
+	for attempt := 0; ; attempt++ {
+		m := r.Running()[attempt%len(r.Running())]
 		var err error
 		if o, err = OwnerPage(m); err == nil {
-			err = m.Ask("/_ledger", &page)
+			err = m.GetJSON("/_ledger", &page)
 		}
 		if err == nil && page.Ledger != nil {
 			break
 		}
-		if try > 100 {
+		if attempt > 100 {
 			return fmt.Errorf("the ledger could not be read: %v %s", err, page.Problem)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -171,8 +173,8 @@
 				return fmt.Errorf("period %d, %s: the sink has %+v, the ledger %+v", p.ID, e.Tenant, got, e)
 			}
 			for i, line := range e.Items {
-				if g := got.Lines[i]; g.Class != line.Class || g.Answer != line.Answer || g.N != line.Count ||
-					g.In != line.BytesIn || g.Out != line.BytesOut {
+				if g := got.Lines[i]; g.Class != line.Class || g.Answer != line.Answer || g.Count != line.Count ||
+					g.BytesIn != line.BytesIn || g.BytesOut != line.BytesOut {
 					return fmt.Errorf("period %d, %s: the sink has %+v, the ledger %+v", p.ID, e.Tenant, got, e)
 				}
 			}
@@ -181,25 +183,25 @@
 	return nil
 }
 
-// StaleReport is what came of old owners that woke late.
-type StaleReport struct {
-	Pauses, Cuts int
-	Refused      int // calls of old owners that the sink and discovery refused
-	Ended        int // watches of old owners that discovery ended
-	Entries      int // entries of old owners that the log refused
-	Median       time.Duration
-	Worst        time.Duration // until another owned the chores
+// FaultedOwners is what came of old owners that woke late.
+type FaultedOwners struct {
+	Pauses, Partitions int
+	Refused            int // calls of old owners that the sink and discovery refused
+	EndedWatches       int // watches of old owners that discovery ended
+	RefusedEntries     int // entries of old owners that the log refused
+	Median             time.Duration
+	Worst              time.Duration // until another owned the chores
 }
 
-// Stale pauses owners for three leases and wakes them, and cuts owners off from the other members but not
-// from the sinks, so often each. The trouble finds each owner between its look at the lease and a call, which
-// goes out once another owns the chores and the sink has heard of that; the round waits until the sink has
-// refused it and the old owner says that it owns nothing.
-func (r *Rig) Stale(ctx context.Context, lease time.Duration, pauses, cuts int) (StaleReport, error) {
-	rep := StaleReport{Pauses: pauses, Cuts: cuts}
+// FaultOwners pauses owners for three leases and wakes them, and cuts owners off from the other members but
+// not from the sinks, so often each. The trouble finds each owner between its look at the lease and a call,
+// which goes out once another owns the chores and the sink has heard of that; the round waits until the sink
+// has refused it and the old owner says that it owns nothing.
+func (r *Rig) FaultOwners(ctx context.Context, lease time.Duration, pauses, cuts int) (FaultedOwners, error) {
+	rep := FaultedOwners{Pauses: pauses, Partitions: cuts}
 	var took []time.Duration
 	for i := range pauses + cuts {
-		t, err := r.late(ctx, lease, i < pauses)
+		t, err := r.faultOwner(ctx, lease, i < pauses)
 		if err != nil {
 			return rep, fmt.Errorf("round %d: %w", i, err)
 		}
@@ -209,16 +211,16 @@
 	rep.Median, rep.Worst = took[len(took)/2], took[len(took)-1]
 	_, refused, err := r.Sink.Audit()
 	d := r.Discovery.OwnerCalls()
-	rep.Refused, rep.Ended = refused+d.Stale, d.Ended
+	rep.Refused, rep.EndedWatches = refused+d.Stale, d.EndedWatches
 	if p, pageErr := OwnerPage(r.Running()[0]); pageErr == nil {
-		rep.Entries = int(p.Store.Stats.Stale)
+		rep.RefusedEntries = int(p.Store.Stats.Stale)
 	}
 	return rep, err
 }
 
-// late plays one round of Stale and says how long another owner took.
-func (r *Rig) late(ctx context.Context, lease time.Duration, pause bool) (time.Duration, error) {
-	old, token, err := r.Owner(ctx, 10*time.Second)
+// faultOwner plays one round of FaultOwners and says how long another owner took.
+func (r *Rig) faultOwner(ctx context.Context, lease time.Duration, pause bool) (time.Duration, error) {
+	old, token, err := r.WaitOwner(ctx, 10*time.Second)
 	if err != nil {
 		return 0, err
 	}
@@ -227,19 +229,19 @@
 	if !pause { // nothing else holds the call up
 		stands = 3 * lease
 	}
-	if err := linger(ctx, old, stands); err != nil {
+	if err := delayCalls(ctx, old, stands); err != nil {
 		return 0, err
 	}
 	begun := time.Now()
 	if pause {
 		err = r.Pause(old)
 	} else {
-		r.Net.Partition([]string{old.Name}, Names(others))
+		r.Net.Partition([]string{old.Name}, MemberNames(others))
 	}
 	if err != nil {
 		return 0, err
 	}
-	next, higher, err := r.Owner(ctx, 10*time.Second, old)
+	next, higher, err := r.WaitOwner(ctx, 10*time.Second, old)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", old.Name, err)
 	}
@@ -247,7 +249,7 @@
 	if higher <= token {
 		return took, fmt.Errorf("%s has token %d after %d", next.Name, higher, token)
 	}
-	err = r.calls(ctx, fmt.Sprintf("of token %d", higher), func(c proxystandin.SinkCall) bool {
+	err = r.waitSinkCall(ctx, fmt.Sprintf("of token %d", higher), func(c proxystandin.SinkCall) bool {
 		return c.Token >= higher
 	})
 	if err != nil {
@@ -264,15 +266,15 @@
 	if err != nil {
 		return took, err
 	}
-	err = r.calls(ctx, fmt.Sprintf("of token %d, late", token), func(c proxystandin.SinkCall) bool {
+	err = r.waitSinkCall(ctx, fmt.Sprintf("of token %d, late", token), func(c proxystandin.SinkCall) bool {
 		return c.Token == token && c.Status == http.StatusConflict
 	})
-	return took, errors.Join(err, r.stepsDown(ctx, old, token), os.Remove(old.Data+".calls"))
+	return took, errors.Join(err, r.waitStepDown(ctx, old, token), os.Remove(old.Data+".calls"))
 }
 
-// calls waits until the sink has seen a call.
-func (r *Rig) calls(ctx context.Context, what string, is func(proxystandin.SinkCall) bool) error {
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(pollEvery) {
+// waitSinkCall waits until the sink has seen a call.
+func (r *Rig) waitSinkCall(ctx context.Context, what string, is func(proxystandin.SinkCall) bool) error {
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(pollInterval) {
 		if slices.ContainsFunc(r.Sink.Calls(), is) {
 			return nil
 		}
@@ -282,12 +284,12 @@
 	}
 }
 
-// stepsDown waits until a member says that it does not own the chores under a token any more.
-func (r *Rig) stepsDown(ctx context.Context, m *Member, token uint64) error {
+// waitStepDown waits until a member says that it does not own the chores under a token any more.
+func (r *Rig) waitStepDown(ctx context.Context, m *Member, token uint64) error {
 	var p leaseholder.Page
 	var err error
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if err = m.Ask("/_owner", &p); err == nil && (!p.Owns || p.Token > token) {
+		if err = m.GetJSON("/_owner", &p); err == nil && (!p.Owns || p.Token > token) {
 			return nil
 		}
 		if ctx.Err() != nil {
--- a/internal/testbed/clusterrig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -14,19 +14,19 @@
 
 // takeover is how long a new owner may take here, where a dozen fleets share the machine. The number wanted,
 // a lease and a second, is measured by `cresshub rig owner` on a quiet one.
-const takeover = LeaseOfTests + 3*time.Second
+const takeover = TestLease + 3*time.Second
 
 // startOwners starts members with chores and waits until one owns them.
 func startOwners(t *testing.T, o Options, ledger string, other ...*strings.Replacer) *Rig {
 	t.Helper()
 	o.Zones, o.Sink = 3, true
-	o.Extra += strings.Replace(OwnerKeys, "[ledger]\n", "[ledger]\n"+ledger, 1)
+	o.ExtraTOML += strings.Replace(TestOwnerTOML, "[ledger]\n", "[ledger]\n"+ledger, 1)
 	for _, r := range other {
-		o.Extra = r.Replace(o.Extra)
+		o.ExtraTOML = r.Replace(o.ExtraTOML)
 	}
 	r := start(t, o)
 	formed(t, r)
-	m, token, err := r.Owner(ctx(t), 15*time.Second)
+	m, token, err := r.WaitOwner(ctx(t), 15*time.Second)
 	must(t, err)
 	t.Logf("%s owns the chores with token %d", m.Name, token)
 	return r
@@ -35,7 +35,7 @@
 // exported holds the sink to the answers that clients got and to the ledger.
 func exported(t *testing.T, r *Rig, l *Clients) {
 	t.Helper()
-	must(t, r.Exported(ctx(t), l, 20*time.Second))
+	must(t, r.WaitExported(ctx(t), l, 20*time.Second))
 	_, sum := l.Answers()
 	_, refused, _ := r.Sink.Audit()
 	t.Logf("%d answers, all in the sink, in %d entries of %d calls, %d of them refused; discovery refused %d",
@@ -54,7 +54,7 @@
 
 func ownerOf(t *testing.T, r *Rig, limit time.Duration, not ...*Member) (*Member, uint64) {
 	t.Helper()
-	m, token, err := r.Owner(ctx(t), limit, not...)
+	m, token, err := r.WaitOwner(ctx(t), limit, not...)
 	must(t, err)
 	return m, token
 }
@@ -64,26 +64,26 @@
 func TestOwnerExports(t *testing.T) {
 	t.Parallel()
 	r := startOwners(t, Options{Members: 5}, "")
-	before := r.Discovery.Asked()
+	before := r.Discovery.Calls()
 	l := during(t, r.Members, 6, func() {
 		time.Sleep(time.Second)
 		name, err := r.Zones.Add(time.Now())
 		must(t, err)
-		for begun := time.Now(); r.Zones.Counts()[name].Requests == 0; time.Sleep(pollEvery) {
+		for begun := time.Now(); r.Zones.Counts()[name].Requests == 0; time.Sleep(pollInterval) {
 			if time.Since(begun) > 10*time.Second {
 				t.Fatal("a new zone server is in discovery's list and got nothing")
 			}
 		}
 	})
 	exported(t, r, l)
-	if asked := r.Discovery.Asked(); asked > before || before > 3 {
+	if asked := r.Discovery.Calls(); asked > before || before > 3 {
 		t.Errorf("five members asked discovery %d times until there was an owner, and %d times after", before,
 			asked-before)
 	}
-	if d := r.Discovery.OwnerCalls(); d.Taken == 0 {
+	if d := r.Discovery.OwnerCalls(); d.Accepted == 0 {
 		t.Errorf("no call on discovery carried a token: %+v", d)
 	}
-	text := command(t, "owner", "status", "--door", r.Members[0].Door)
+	text := command(t, "owner", "status", "--door", r.Members[0].Admin)
 	for _, want := range []string{"OWNER", "export", "list", "the list here comes from"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("the status says nothing of %q:\n%s", want, text)
@@ -102,10 +102,10 @@
 		if underRace {
 			rounds = 2
 		}
-		rep, err := r.Stale(ctx(t), LeaseOfTests, rounds, rounds/2)
+		rep, err := r.FaultOwners(ctx(t), TestLease, rounds, rounds/2)
 		must(t, err)
 		t.Logf("%+v", rep)
-		if rep.Refused < rep.Pauses+rep.Cuts {
+		if rep.Refused < rep.Pauses+rep.Partitions {
 			t.Errorf("%d calls of late owners were refused", rep.Refused)
 		}
 		if rep.Worst > takeover {
@@ -128,7 +128,7 @@
 				`election = "150ms"`, `heartbeat = "40ms"`, `heartbeat = "20ms"`)
 			r := startOwners(t, Options{Members: 5, Relay: true}, "", keys)
 			l := during(t, spare(r, replicas(t, r)), 4, func() {
-				rep, err := r.Stale(ctx(t), 300*time.Millisecond, 25, 0)
+				rep, err := r.FaultOwners(ctx(t), 300*time.Millisecond, 25, 0)
 				must(t, err)
 				t.Logf("%+v", rep)
 				if rep.Refused < rep.Pauses {
@@ -182,7 +182,7 @@
 			if took > takeover {
 				t.Errorf("a new owner took %v, %v at most is wanted", took, takeover)
 			}
-			r.Sink.Trouble(proxystandin.SinkTrouble{})
+			r.Sink.SetFault(proxystandin.SinkFault{})
 			for _, v := range r.Members {
 				if v.State() == Killed {
 					must(t, r.Restart(ctx(t), v, false, false))
@@ -207,7 +207,7 @@
 // not heard of yet.
 func sending(t *testing.T, r *Rig, m *Member) {
 	t.Helper()
-	r.Sink.Trouble(proxystandin.SinkTrouble{Slow: 300 * time.Millisecond})
+	r.Sink.SetFault(proxystandin.SinkFault{Delay: 300 * time.Millisecond})
 	stored := len(r.Sink.Entries())
 	for begun := time.Now(); len(r.Sink.Entries()) == stored; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > 10*time.Second {
@@ -258,7 +258,7 @@
 func TestOwnerThroughRestarts(t *testing.T) {
 	t.Parallel()
 	r := startOwners(t, Options{Members: 5}, "")
-	asked := r.Discovery.Asked()
+	asked := r.Discovery.Calls()
 	c, stop := context.WithCancel(ctx(t))
 	l := NewClients()
 	done := make(chan struct{})
@@ -270,19 +270,19 @@
 	}
 	stop()
 	<-done
-	t.Logf("restarted in turn, discovery was asked %d times more", r.Discovery.Asked()-asked)
+	t.Logf("restarted in turn, discovery was asked %d times more", r.Discovery.Calls()-asked)
 	settled(t, r, l, 15*time.Second)
 	exported(t, r, l)
-	asked = r.Discovery.Asked()
+	asked = r.Discovery.Calls()
 	r.Kill(r.Members...)
 	must(t, r.SpawnAll(ctx(t), r.Members))
 	m, _ := ownerOf(t, r, 15*time.Second)
 	more := during(t, r.Members, 4, func() { time.Sleep(time.Second) })
-	l.Add(more)
+	l.Merge(more)
 	exported(t, r, l)
 	t.Logf("killed at once and started, %s owns the chores; discovery was asked %d times more", m.Name,
-		r.Discovery.Asked()-asked)
-	if waves := r.Discovery.Asked() - asked; waves > 2 {
+		r.Discovery.Calls()-asked)
+	if waves := r.Discovery.Calls() - asked; waves > 2 {
 		t.Errorf("five members that start at once asked discovery %d times", waves)
 	}
 }
@@ -293,21 +293,21 @@
 	t.Parallel()
 	r := startOwners(t, Options{Members: 3}, "")
 	l := during(t, r.Members, 4, func() {
-		for what, trouble := range map[string]proxystandin.SinkTrouble{
+		for what, trouble := range map[string]proxystandin.SinkFault{
 			"503":          {Status: 503},
 			"400":          {Status: 400},
-			"too slow":     {Slow: time.Second},
+			"too slow":     {Delay: time.Second},
 			"a reset":      {Reset: true},
 			"garbage":      {Garbage: true},
 			"another 200":  {Status: 204},
 			"a lie of 409": {Status: 409},
 		} {
 			refused, _ := exporting(r)
-			r.Sink.Trouble(trouble)
+			r.Sink.SetFault(trouble)
 			untilExport(t, r, what, func(now int64, problem string) bool {
 				return problem != "" || now > refused && trouble.Status == 409
 			})
-			r.Sink.Trouble(proxystandin.SinkTrouble{})
+			r.Sink.SetFault(proxystandin.SinkFault{})
 			untilExport(t, r, "well again", func(_ int64, problem string) bool { return problem == "" })
 		}
 	})
@@ -365,6 +365,6 @@
 		if time.Since(begun) > 10*time.Second {
 			t.Fatalf("%s: never seen; %d refused, %q", what, refused, problem)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/internal/testbed/clusterrig/ownertrial.go
+++ b/internal/testbed/clusterrig/ownertrial.go
@@ -17,53 +17,54 @@
 // OwnerTrialOptions are how owners are tried: with a lease and an election timeout, so many pauses, cuts and
 // kills, while clients send.
 type OwnerTrialOptions struct {
-	Members, Pauses, Cuts, Kills int
-	Lease, Election              time.Duration
+	Members, Pauses, Partitions, Kills int
+	Lease, Election                    time.Duration
 }
 
 // OwnerTrial is what came of it.
 type OwnerTrial struct {
-	LeaseMS    float64 `json:"lease_ms"`
-	ElectionMS float64 `json:"election_ms"`
-	Pauses     int     `json:"pauses"`
-	Cuts       int     `json:"cuts"`
-	Kills      int     `json:"kills"`
-	LateMedian float64 `json:"late_median_ms"` // until another owned the chores after a pause or a cut
-	LateWorst  float64 `json:"late_worst_ms"`
-	KillMedian float64 `json:"kill_median_ms"`
-	KillWorst  float64 `json:"kill_worst_ms"`
-	Refused    int     `json:"refused"` // calls of old owners that sinks refused
-	Ended      int     `json:"ended"`   // watches of old owners that discovery ended
-	Entries    int     `json:"entries_refused"`
-	Stale      int     `json:"stale_taken"` // calls of old owners that the sink took
-	Answers    int64   `json:"answers"`     // that clients got
-	Sent       int64   `json:"sent"`        // of them in the sink
-	Exported   int     `json:"entries"`     // in the sink
-	Periods    int     `json:"periods"`     // of them, different ones
-	Lists      int     `json:"list_calls"`
+	LeaseMS        float64 `json:"lease_ms"`
+	ElectionMS     float64 `json:"election_ms"`
+	Pauses         int     `json:"pauses"`
+	Partitions     int     `json:"cuts"`
+	Kills          int     `json:"kills"`
+	LateMedian     float64 `json:"late_median_ms"` // until another owned the chores after a pause or a cut
+	LateWorst      float64 `json:"late_worst_ms"`
+	KillMedian     float64 `json:"kill_median_ms"`
+	KillWorst      float64 `json:"kill_worst_ms"`
+	Refused        int     `json:"refused"` // calls of old owners that sinks refused
+	EndedWatches   int     `json:"ended"`   // watches of old owners that discovery ended
+	RefusedEntries int     `json:"entries_refused"`
+	StaleAccepted  int     `json:"stale_taken"` // calls of old owners that the sink took
+	Answers        int64   `json:"answers"`     // that clients got
+	Sent           int64   `json:"sent"`        // of them in the sink
+	Exported       int     `json:"entries"`     // in the sink
+	Periods        int     `json:"periods"`     // of them, different ones
+	Lists          int     `json:"list_calls"`
 }
 
-// TryOwners starts members and injects the faults.
-func TryOwners(ctx context.Context, o Options, t OwnerTrialOptions) (*OwnerTrial, error) {
+// RunOwnerTrial starts members and injects the faults.
+func RunOwnerTrial(ctx context.Context, o Options, t OwnerTrialOptions) (*OwnerTrial, error) {
 	o.Members, o.Zones, o.Sink, o.Relay = t.Members, 3, true, true
-	if o.Fleet == "" {
+	if o.FleetTOML == "" {
 		// No replica is replaced while its member is paused or away: those that clients talk to would come to hold
 		// replicas, and be killed as owners with what they have in memory of their clients.
-		o.Fleet = strings.Replace(TestKeys, `gone_after = "2s"`, `gone_after = "10m"`, 1) + "forget = \"1h\"\n"
+		o.FleetTOML = strings.Replace(TestFleetTOML, `gone_after = "2s"`, `gone_after = "10m"`, 1) +
+			"forget = \"1h\"\n"
 	}
-	keys := strings.Replace(OwnerKeys, `lease = "600ms"`, fmt.Sprintf("lease = %q", t.Lease), 1)
+	keys := strings.Replace(TestOwnerTOML, `lease = "600ms"`, fmt.Sprintf("lease = %q", t.Lease), 1)
 	keys = strings.Replace(keys, `list_max_age = "2s"`, fmt.Sprintf("list_max_age = %q",
 		max(2*time.Second, 2*t.Lease)), 1)
-	o.Extra += strings.Replace(keys, `election = "300ms"`, fmt.Sprintf("election = %q", t.Election), 1)
+	o.ExtraTOML += strings.Replace(keys, `election = "300ms"`, fmt.Sprintf("election = %q", t.Election), 1)
 	r, err := Start(ctx, o)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	if _, _, err := r.Owner(ctx, 30*time.Second+4*t.Lease); err != nil {
+	if _, _, err := r.WaitOwner(ctx, 30*time.Second+4*t.Lease); err != nil {
 		return nil, err
 	}
-	spare, err := r.spare(ctx)
+	spare, err := r.nonReplicas(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -71,49 +72,49 @@
 	l := NewClients()
 	done := make(chan struct{})
 	go func() { defer close(done); l.Run(c, spare, 4) }()
-	rep := &OwnerTrial{LeaseMS: ms(t.Lease), ElectionMS: ms(t.Election), Pauses: t.Pauses, Cuts: t.Cuts,
-		Kills: t.Kills}
-	err = r.tryOwners(ctx, t, rep)
+	rep := &OwnerTrial{LeaseMS: ms(t.Lease), ElectionMS: ms(t.Election), Pauses: t.Pauses,
+		Partitions: t.Partitions, Kills: t.Kills}
+	err = r.injectOwnerFaults(ctx, t, rep)
 	stop()
 	<-done
 	if err != nil {
 		return nil, err
 	}
-	if err := r.Exported(ctx, l, time.Minute); err != nil {
+	if err := r.WaitExported(ctx, l, time.Minute); err != nil {
 		return nil, err
 	}
 	_, rep.Answers = l.Answers()
-	for _, n := range r.Sent() {
+	for _, n := range r.SinkTotals() {
 		rep.Sent += n
 	}
 	periods := map[uint64]bool{}
 	for _, e := range r.Sink.Entries() {
 		periods[e.Period] = true
 	}
-	rep.Exported, rep.Periods, rep.Lists = len(r.Sink.Entries()), len(periods), r.Discovery.Asked()
-	rep.Stale, rep.Refused, err = r.Sink.Audit()
+	rep.Exported, rep.Periods, rep.Lists = len(r.Sink.Entries()), len(periods), r.Discovery.Calls()
+	rep.StaleAccepted, rep.Refused, err = r.Sink.Audit()
 	d := r.Discovery.OwnerCalls()
-	rep.Refused, rep.Ended = rep.Refused+d.Stale, d.Ended
+	rep.Refused, rep.EndedWatches = rep.Refused+d.Stale, d.EndedWatches
 	return rep, err
 }
 
-func (r *Rig) tryOwners(ctx context.Context, t OwnerTrialOptions, rep *OwnerTrial) error {
-	if t.Pauses+t.Cuts > 0 {
-		late, err := r.Stale(ctx, t.Lease, t.Pauses, t.Cuts)
+func (r *Rig) injectOwnerFaults(ctx context.Context, t OwnerTrialOptions, rep *OwnerTrial) error {
+	if t.Pauses+t.Partitions > 0 {
+		late, err := r.FaultOwners(ctx, t.Lease, t.Pauses, t.Partitions)
 		if err != nil {
 			return err
 		}
-		rep.LateMedian, rep.LateWorst, rep.Entries = ms(late.Median), ms(late.Worst), late.Entries
+		rep.LateMedian, rep.LateWorst, rep.RefusedEntries = ms(late.Median), ms(late.Worst), late.RefusedEntries
 	}
 	var took []time.Duration
 	for range t.Kills {
-		m, token, err := r.Owner(ctx, 10*time.Second+t.Lease)
+		m, token, err := r.WaitOwner(ctx, 10*time.Second+t.Lease)
 		if err != nil {
 			return err
 		}
 		r.Kill(m)
 		begun := time.Now()
-		next, higher, err := r.Owner(ctx, 10*time.Second+t.Lease)
+		next, higher, err := r.WaitOwner(ctx, 10*time.Second+t.Lease)
 		if err != nil {
 			return err
 		}
@@ -132,16 +133,16 @@
 	return ctx.Err()
 }
 
-// spare are the members that hold no replica: what a killed one has in memory of its clients is lost, and
-// they are not killed.
-func (r *Rig) spare(ctx context.Context) ([]*Member, error) {
+// nonReplicas are the members that hold no replica: what a killed one has in memory of its clients is lost,
+// and they are not killed.
+func (r *Rig) nonReplicas(ctx context.Context) ([]*Member, error) {
 	for ctx.Err() == nil {
 		var p daemon.LedgerPage
-		if err := r.Members[0].Ask("/_ledger?period=1&tenant=-", &p); err != nil {
+		if err := r.Members[0].GetJSON("/_ledger?period=1&tenant=-", &p); err != nil {
 			return nil, err
 		}
 		lead := r.Member(p.Group.Leader)
-		if lead != nil && lead.Ask("/_ledger?period=1&tenant=-", &p) == nil && len(p.Group.Voters) >= 3 {
+		if lead != nil && lead.GetJSON("/_ledger?period=1&tenant=-", &p) == nil && len(p.Group.Voters) >= 3 {
 			out := slices.DeleteFunc(slices.Clone(r.Members), func(m *Member) bool {
 				return slices.Contains(p.Group.Voters, m.Name)
 			})
@@ -159,11 +160,12 @@
 func (t *OwnerTrial) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "FAULT\tINJECTED\tNEW OWNER MEDIAN\tWORST")
-	fmt.Fprintf(tw, "paused three leases, cut off\t%d, %d\t%.0f ms\t%.0f ms\n", t.Pauses, t.Cuts, t.LateMedian,
-		t.LateWorst)
+	fmt.Fprintf(tw, "paused three leases, cut off\t%d, %d\t%.0f ms\t%.0f ms\n", t.Pauses, t.Partitions,
+		t.LateMedian, t.LateWorst)
 	fmt.Fprintf(tw, "killed and restarted\t%d\t%.0f ms\t%.0f ms\n", t.Kills, t.KillMedian, t.KillWorst)
 	fmt.Fprintln(tw, "\nCALLS REFUSED\tWATCHES ENDED\tLOG ENTRIES REFUSED\tSTALE CALLS TAKEN\tLIST CALLS")
-	fmt.Fprintf(tw, "%d\t%d\t%d\t%d\t%d\n", t.Refused, t.Ended, t.Entries, t.Stale, t.Lists)
+	fmt.Fprintf(tw, "%d\t%d\t%d\t%d\t%d\n", t.Refused, t.EndedWatches, t.RefusedEntries, t.StaleAccepted,
+		t.Lists)
 	fmt.Fprintln(tw, "\nANSWERS\tSENT\tENTRIES\tPERIODS")
 	fmt.Fprintf(tw, "%d\t%d\t%d\t%d\n", t.Answers, t.Sent, t.Exported, t.Periods)
 	return tw.Flush()
@@ -191,12 +193,12 @@
 	OutageFor = 8 * time.Second
 )
 
-// TryLists counts a fleet's calls on discovery, with an owner or without one.
-func TryLists(ctx context.Context, o Options, members int, owned bool) (*ListCalls, error) {
+// CountListCalls counts a fleet's calls on discovery, with an owner or without one.
+func CountListCalls(ctx context.Context, o Options, members int, owned bool) (*ListCalls, error) {
 	o.Members, o.Zones, o.Sink = members, 3, true
-	o.Fleet = TestKeys
+	o.FleetTOML = TestFleetTOML
 	if owned {
-		o.Extra = OwnerKeys
+		o.ExtraTOML = TestOwnerTOML
 	}
 	begun := time.Now()
 	r, err := Start(ctx, o)
@@ -238,10 +240,10 @@
 			return r.SpawnAll(ctx, r.Members)
 		}},
 	} {
-		if err := errors.Join(phase.act(), r.listed(ctx, 60*time.Second)); err != nil {
+		if err := errors.Join(phase.act(), r.waitReady(ctx, 60*time.Second)); err != nil {
 			return nil, err
 		}
-		now := r.Discovery.Asked()
+		now := r.Discovery.Calls()
 		*phase.into, asked = now-asked, now
 	}
 	c.Seconds = time.Since(begun).Seconds()
@@ -249,9 +251,9 @@
 	return c, nil
 }
 
-// listed waits until every member says that it is ready, which wants a list.
-func (r *Rig) listed(ctx context.Context, limit time.Duration) error {
-	for end := time.Now().Add(limit); ; time.Sleep(pollEvery) {
+// waitReady waits until every member says that it is ready, which wants a list.
+func (r *Rig) waitReady(ctx context.Context, limit time.Duration) error {
+	for end := time.Now().Add(limit); ; time.Sleep(pollInterval) {
 		i := slices.IndexFunc(r.Members, func(m *Member) bool { return !m.Ready() })
 		if i < 0 {
 			return nil
--- a/internal/testbed/clusterrig/play_test.go
+++ b/internal/testbed/clusterrig/player_test.go
@@ -68,12 +68,12 @@
 	if rep.Failures != 1 || rep.Steps[2].Failed != 1 || rep.Steps[0].Failed+rep.Steps[1].Failed != 0 {
 		t.Errorf("the report counts %+v", rep.Steps)
 	}
-	if rep.Steps[0].Median < 100 || rep.Looks == 0 || rep.BytesPerS <= 0 || rep.Measured != 1 {
+	if rep.Steps[0].Median < 100 || rep.Views == 0 || rep.BytesPerSecond <= 0 || rep.MeasuredMembers != 1 {
 		t.Errorf("the report measures %+v", rep)
 	}
 	seen := false
 	for _, raw := range bytes.Split(bytes.TrimSpace(rec.Bytes()), []byte("\n")) {
-		var l line
+		var l event
 		must(t, json.Unmarshal(raw, &l))
 		seen = seen || l.By == "m-1" && l.Sees["m-0"] == "dead"
 	}
--- a/internal/testbed/clusterrig/plot.go
+++ b/internal/testbed/clusterrig/report.go
@@ -30,13 +30,13 @@
 	fmt.Fprint(t, "\nJOINED\tSECONDS\tSUSPICIONS\tREFUTED\tFALSE DEATHS\tLOOKS\tBYTES/MEMBER/S\t"+
 		"PACKETS/MEMBER/S\n")
 	fmt.Fprintf(t, "%.0f ms\t%.1f\t%d\t%d\t%d\t%d\t%.0f\t%.1f\n", r.JoinedMS, r.Seconds, r.Suspicions,
-		r.Refutations, r.FalseDeaths, r.Looks, r.BytesPerS, r.PacketsPerS)
+		r.Refutations, r.FalseDeaths, r.Views, r.BytesPerSecond, r.PacketsPerSecond)
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, s := range r.Steps {
-		if s.LastFail != "" {
-			fmt.Fprintf(w, "%s: %s\n", s.Step, s.LastFail)
+		if s.LastFailure != "" {
+			fmt.Fprintf(w, "%s: %s\n", s.Step, s.LastFailure)
 		}
 	}
 	return nil
@@ -50,7 +50,7 @@
 	p.Y.Min, p.Y.Max = 0, float64(r.Members)+0.5
 	p.Add(plotter.NewGrid())
 	lines := map[string]plotter.XYs{}
-	for _, s := range r.sampled {
+	for _, s := range r.samples {
 		lines[s.by] = append(lines[s.by], plotter.XY{X: s.at.Seconds(), Y: float64(s.alive)})
 	}
 	for i, by := range slices.Sorted(maps.Keys(lines)) {
@@ -66,7 +66,7 @@
 			p.Legend.Add(by, l)
 		}
 	}
-	for _, m := range r.stepped {
+	for _, m := range r.stepStarts {
 		at, err := plotter.NewLine(plotter.XYs{{X: m.at.Seconds(), Y: 0}, {X: m.at.Seconds(), Y: p.Y.Max}})
 		if err != nil {
 			return err
--- a/internal/testbed/clusterrig/rig.go
+++ b/internal/testbed/clusterrig/rig.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	startWithin = 20 * time.Second // of one process
-	stopWithin  = 10 * time.Second // of one process after SIGTERM
-	startsMost  = 12               // processes started at a time
+	startTimeout        = 20 * time.Second // of one process
+	stopTimeout         = 10 * time.Second // of one process after SIGTERM
+	maxConcurrentStarts = 12               // processes started at a time
 )
 
 // classes are what every member serves.
@@ -49,19 +49,19 @@
 
 // Options are what a rig is made of.
 type Options struct {
-	Program string   // path of the proxy's binary
-	Dir     string   // a folder of the rig's own, for files and data of members
-	Members int      // named m-0, m-1, ...
-	Halls   []string // members stand in them in turn; none is one hall
-	Alone   bool     // members know nothing of each other: no [fleet]
-	Fleet   string   // keys of [fleet] beside bind, seeds and relay, as TOML
-	Extra   string   // further TOML of every member's file; {data} is its data folder, {sink} the billing sink
-	Seeds   int      // how many members, counted from the first, are seeds of the others; 0 is 1
-	Relay   bool     // gossip goes through a faulty network
-	Seed    uint64   // of losses and jitter
-	Zones   int      // zone servers that stand in behind the members
-	Sink    bool     // a billing sink stands in
-	Log     io.Writer
+	Program    string   // path of the proxy's binary
+	Dir        string   // a folder of the rig's own, for files and data of members
+	Members    int      // named m-0, m-1, ...
+	Halls      []string // members stand in them in turn; none is one hall
+	Standalone bool     // members know nothing of each other: no [fleet]
+	FleetTOML  string   // keys of [fleet] beside bind, seeds and relay, as TOML
+	ExtraTOML  string   // TOML appended to each member's file; {data} is its data folder, {sink} the sink
+	Seeds      int      // how many members, counted from the first, are seeds of the others; 0 is 1
+	Relay      bool     // gossip goes through a faulty network
+	Seed       uint64   // of losses and jitter
+	Zones      int      // zone servers that stand in behind the members
+	Sink       bool     // a billing sink stands in
+	Log        io.Writer
 }
 
 // State is what the rig did to a member's process.
@@ -80,7 +80,7 @@
 	Hall   string
 	Data   string // its data folder, which outlives the process
 	Gossip string // where it gossips
-	Door   string // its operators' door
+	Admin  string // its operators' door
 	Listen string // its clients' address
 	Ledger string // where it is reached for the ledger, if it takes part
 
@@ -88,7 +88,7 @@
 
 	mu     sync.Mutex // of what a look from another goroutine reads
 	state  State
-	door   string
+	admin  string
 	listen string
 }
 
@@ -99,10 +99,10 @@
 	return m.state
 }
 
-func (m *Member) become(s State) {
+func (m *Member) setState(s State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state, m.door, m.listen = s, m.Door, m.Listen
+	m.state, m.admin, m.listen = s, m.Admin, m.Listen
 }
 
 // Log is the end of its process's log.
@@ -116,8 +116,8 @@
 	Zones     *proxystandin.Fleet // nil where there are none
 	Sink      *proxystandin.Sink  // nil where there is none
 
-	o   Options
-	out *lockedWriter
+	opts Options
+	log  *lockedWriter
 }
 
 type lockedWriter struct {
@@ -133,9 +133,9 @@
 
 // Start starts the members: the seeds first, one after the other, then the rest together.
 func Start(ctx context.Context, o Options) (*Rig, error) {
-	r := &Rig{o: o}
+	r := &Rig{opts: o}
 	if o.Log != nil {
-		r.out = &lockedWriter{w: o.Log}
+		r.log = &lockedWriter{w: o.Log}
 	}
 	var err error
 	if o.Zones > 0 {
@@ -144,8 +144,8 @@
 			halls = []string{"hall"}
 		}
 		if r.Zones, err = proxystandin.StartFleet(proxystandin.FleetOptions{Servers: o.Zones, Halls: halls,
-			Work:    zoneWork,
-			Waiting: 64, Seed: o.Seed}); err != nil {
+			Work:      zoneWork,
+			MaxQueued: 64, Seed: o.Seed}); err != nil {
 			return nil, err
 		}
 		r.Discovery = r.Zones.Discovery
@@ -191,7 +191,7 @@
 // SpawnAll starts several members together.
 func (r *Rig) SpawnAll(ctx context.Context, ms []*Member) error {
 	var g errgroup.Group
-	g.SetLimit(startsMost)
+	g.SetLimit(maxConcurrentStarts)
 	for _, m := range ms {
 		g.Go(func() error { return r.Spawn(ctx, m, false) })
 	}
@@ -223,58 +223,58 @@
 	if err := os.MkdirAll(m.Data, 0o700); err != nil {
 		return err
 	}
-	file := filepath.Join(r.o.Dir, m.Name+".toml")
-	text, err := r.file(m, moved)
+	file := filepath.Join(r.opts.Dir, m.Name+".toml")
+	text, err := r.configuration(m, moved)
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	var log io.Writer
-	if r.out != nil {
-		log = r.out
+	if r.log != nil {
+		log = r.log
 	}
-	p, err := childprocess.Start(ctx, r.o.Program, file, nil, log)
+	p, err := childprocess.Start(ctx, r.opts.Program, file, nil, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.Name, err)
 	}
 	m.process = p
-	m.Gossip, m.Door, m.Listen = p.Field("gossip"), p.Field("operator"), p.Field("listen")
-	m.become(Up)
+	m.Gossip, m.Admin, m.Listen = p.Field("gossip"), p.Field("operator"), p.Field("listen")
+	m.setState(Up)
 	if r.Net == nil {
 		return nil
 	}
 	if m.Ledger = p.Field("ledger"); m.Ledger != "" {
-		if err := r.Net.Place(m.Name, m.Ledger); err != nil {
+		if err := r.Net.AddAddress(m.Name, m.Ledger); err != nil {
 			return err
 		}
 	}
-	return r.Net.Place(m.Name, m.Gossip)
+	return r.Net.AddAddress(m.Name, m.Gossip)
 }
 
-// file is a member's configuration.
-func (r *Rig) file(m *Member, moved bool) (string, error) {
+// configuration is a member's configuration.
+func (r *Rig) configuration(m *Member, moved bool) (string, error) {
 	bind := m.Gossip
 	if bind == "" || moved {
 		bind = "127.0.0.1:0"
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\noperator = \"127.0.0.1:0\"\n", m.Name)
-	if len(r.o.Halls) > 0 {
+	if len(r.opts.Halls) > 0 {
 		fmt.Fprintf(&b, "halls = [\"%s\"]\nkinds = [\"standard\", \"half-speed\"]\n[policy]\nhall = %q\n",
-			strings.Join(r.o.Halls, `", "`), m.Hall)
+			strings.Join(r.opts.Halls, `", "`), m.Hall)
 	}
 	fmt.Fprintf(&b, "[listen]\naddress = \"127.0.0.1:0\"\n[discovery]\naddress = %q\n", r.Discovery.Address())
 	fmt.Fprintf(&b, "[limits]\ncores = 1\n")
-	if r.o.Alone {
-		return b.String() + classes + r.o.Extra, nil
+	if r.opts.Standalone {
+		return b.String() + classes + r.opts.ExtraTOML, nil
 	}
-	fmt.Fprintf(&b, "[fleet]\nbind = %q\n%s\n", bind, r.o.Fleet)
+	fmt.Fprintf(&b, "[fleet]\nbind = %q\n%s\n", bind, r.opts.FleetTOML)
 	var seeds []string
-	for _, s := range r.Members[:min(max(r.o.Seeds, 1), len(r.Members))] {
+	for _, s := range r.Members[:min(max(r.opts.Seeds, 1), len(r.Members))] {
 		if s != m && s.Gossip != "" {
 			seeds = append(seeds, s.Gossip)
 		}
@@ -298,7 +298,7 @@
 		fmt.Fprintf(&b, "relay = %q\n", relay)
 	}
 	b.WriteString(classes)
-	extra := strings.ReplaceAll(r.o.Extra, "{data}", m.Data)
+	extra := strings.ReplaceAll(r.opts.ExtraTOML, "{data}", m.Data)
 	if r.Sink != nil {
 		extra = strings.ReplaceAll(extra, "{sink}", r.Sink.Address())
 	}
@@ -319,7 +319,7 @@
 func (r *Rig) Kill(ms ...*Member) {
 	for _, m := range ms {
 		m.process.Signal(syscall.SIGKILL)
-		m.become(Killed)
+		m.setState(Killed)
 	}
 	for _, m := range ms {
 		m.process.Kill()
@@ -334,19 +334,19 @@
 	if is := m.State(); is != from {
 		return fmt.Errorf("%s is %s, not %s", m.Name, is, from)
 	}
-	m.become(to)
+	m.setState(to)
 	return m.process.Signal(s)
 }
 
 // Term ends a member with SIGTERM; told is called once the signal is sent, before the process has ended.
-func (r *Rig) Term(m *Member, told func()) error {
+func (r *Rig) Term(m *Member, onSignalled func()) error {
 	if err := r.signal(m, syscall.SIGTERM, Up, Ended); err != nil {
 		return err
 	}
-	if told != nil {
-		told()
+	if onSignalled != nil {
+		onSignalled()
 	}
-	return m.process.Stop(stopWithin)
+	return m.process.Stop(stopTimeout)
 }
 
 // Restart starts a member that was killed or ended again: at a new address with moved, with an empty data
--- a/internal/testbed/clusterrig/rig_test.go
+++ b/internal/testbed/clusterrig/rig_test.go
@@ -65,8 +65,8 @@
 		t.Cleanup(func() { f.Close() })
 		o.Log = f
 	}
-	if o.Fleet == "" {
-		o.Fleet = TestKeys
+	if o.FleetTOML == "" {
+		o.FleetTOML = TestFleetTOML
 	}
 	r, err := Start(ctx(t), o)
 	if err != nil {
@@ -77,7 +77,7 @@
 			t.Error(err)
 		}
 	})
-	took, err := r.Settle(ctx(t), 30*time.Second)
+	took, err := r.WaitConverged(ctx(t), 30*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 
 func until(t *testing.T, ms []*Member, limit time.Duration, what string, holds func(gossip.Page) error) {
 	t.Helper()
-	took, err := Until(ctx(t), ms, limit, holds)
+	took, err := WaitViews(ctx(t), ms, limit, holds)
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
@@ -112,9 +112,9 @@
 	for range 3 {
 		m := r.Members[3]
 		r.Kill(m)
-		until(t, r.Running(), 3*time.Second, "dead everywhere", Sees("dead", m.Name))
+		until(t, r.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", m.Name))
 		must(t, r.Restart(ctx(t), m, false, false))
-		until(t, r.Running(), 5*time.Second, "back everywhere", One(Names(r.Running())...))
+		until(t, r.Running(), 5*time.Second, "back everywhere", OnlyAlive(MemberNames(r.Running())...))
 	}
 }
 
@@ -124,14 +124,14 @@
 	r := start(t, Options{Members: 7, Relay: true})
 	a, b := r.Members[:3], r.Members[3:]
 	cut := time.Now()
-	r.Net.Partition(Names(a), Names(b))
-	until(t, a, 15*time.Second, "the three see the four dead", One(Names(a)...))
-	until(t, b, 15*time.Second, "the four see the three dead", One(Names(b)...))
+	r.Net.Partition(MemberNames(a), MemberNames(b))
+	until(t, a, 15*time.Second, "the three see the four dead", OnlyAlive(MemberNames(a)...))
+	until(t, b, 15*time.Second, "the four see the three dead", OnlyAlive(MemberNames(b)...))
 	if rest := 20*time.Second - time.Since(cut); rest > 0 && !underRace {
 		time.Sleep(rest) // the issue's length; nothing is judged by it
 	}
 	r.Net.Heal()
-	until(t, r.Members, 5*time.Second, "one view after the heal", One(Names(r.Members)...))
+	until(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
 }
 
 // Case 3: a member that is paused again and again, then one whose links are slow: no healthy member is ever
@@ -146,9 +146,9 @@
 	looks := 0
 	calm := func(lasting time.Duration) {
 		for end := time.Now().Add(lasting); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			for by, p := range Look(r.Running()) {
+			for by, p := range FetchViews(r.Running()) {
 				for _, m := range healthy {
-					if seen, ok := Of(p, m.Name); !ok || seen.Status == "dead" || seen.Status == "left" {
+					if seen, ok := FindMember(p, m.Name); !ok || seen.Status == "dead" || seen.Status == "left" {
 						t.Fatalf("%s sees %s %q", by, m.Name, seen.Status)
 					}
 				}
@@ -162,7 +162,7 @@
 		must(t, r.Resume(slow))
 		calm(6 * time.Second)
 	}
-	until(t, r.Members, 5*time.Second, "one view after the pauses", One(Names(r.Members)...))
+	until(t, r.Members, 5*time.Second, "one view after the pauses", OnlyAlive(MemberNames(r.Members)...))
 	for _, m := range healthy {
 		r.Net.Set(m.Name, slow.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
 		r.Net.Set(slow.Name, m.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
@@ -170,7 +170,7 @@
 	calm(28 * time.Second)
 	t.Logf("%d views looked at; none held a healthy member dead", looks)
 	r.Net.Heal()
-	until(t, r.Members, 10*time.Second, "one view in the end", One(Names(r.Members)...))
+	until(t, r.Members, 10*time.Second, "one view in the end", OnlyAlive(MemberNames(r.Members)...))
 }
 
 // Case 4: A reaches B, B does not reach A: the others' probes keep both alive in the others' views.
@@ -178,20 +178,20 @@
 	t.Parallel()
 	r := start(t, Options{Members: 7, Relay: true})
 	a, b := r.Members[1], r.Members[2]
-	r.Net.Set(b.Name, a.Name, faultnet.Fault{Cut: true})
+	r.Net.Set(b.Name, a.Name, faultnet.Fault{Blocked: true})
 	others := without(r.Members, a, b)
 	end := time.Now().Add(6 * time.Second)
 	for time.Now().Before(end) {
-		for by, p := range Look(others) {
+		for by, p := range FetchViews(others) {
 			for _, m := range []*Member{a, b} {
-				if seen, ok := Of(p, m.Name); !ok || seen.Status == "dead" {
+				if seen, ok := FindMember(p, m.Name); !ok || seen.Status == "dead" {
 					t.Fatalf("%s sees %s %q", by, m.Name, seen.Status)
 				}
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	p := Look([]*Member{a})[a.Name]
+	p := FetchViews([]*Member{a})[a.Name]
 	if p.Counters.IndirectProbes == 0 {
 		t.Error("no probe went round the cut link")
 	}
@@ -199,7 +199,7 @@
 		t.Error("the cut link lost nothing")
 	}
 	r.Net.Heal()
-	until(t, r.Members, 5*time.Second, "one view after the heal", One(Names(r.Members)...))
+	until(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
 }
 
 // Case 5: restarts under the same name: before the suspicion ends, at a new address, with a wiped folder.
@@ -217,18 +217,18 @@
 		{"after its death, at a new address", true, false, true},
 	} {
 		m := r.Members[2]
-		before, _ := Of(Look(r.Members[:1])[r.Members[0].Name], m.Name)
+		before, _ := FindMember(FetchViews(r.Members[:1])[r.Members[0].Name], m.Name)
 		r.Kill(m)
 		if c.dead {
-			until(t, r.Running(), 3*time.Second, "dead everywhere", Sees("dead", m.Name))
+			until(t, r.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", m.Name))
 		}
 		must(t, r.Restart(ctx(t), m, c.moved, c.wiped))
 		until(t, r.Members, 10*time.Second, c.name, func(p gossip.Page) error {
-			now, _ := Of(p, m.Name)
+			now, _ := FindMember(p, m.Name)
 			if now.Incarnation <= before.Incarnation || now.Address != m.Gossip {
 				return fmt.Errorf("%s is %+v, was %+v", m.Name, now, before)
 			}
-			return One(Names(r.Members)...)(p)
+			return OnlyAlive(MemberNames(r.Members)...)(p)
 		})
 	}
 }
@@ -238,7 +238,7 @@
 	t.Parallel()
 	r := start(t, Options{Members: 30, Seeds: 3})
 	r.Kill(r.Members[10:]...)
-	until(t, r.Members[:10], 20*time.Second, "twenty dead at once", One(Names(r.Members[:10])...))
+	until(t, r.Members[:10], 20*time.Second, "twenty dead at once", OnlyAlive(MemberNames(r.Members[:10])...))
 }
 
 // Case 7: a drain and then a SIGTERM are in every view within a second, with no suspicion on the way.
@@ -249,7 +249,7 @@
 	must(t, m.Drain(true))
 	phase := func(want string) func(gossip.Page) error {
 		return func(p gossip.Page) error {
-			if s, _ := Of(p, m.Name); s.Phase != want || s.Status != "alive" {
+			if s, _ := FindMember(p, m.Name); s.Phase != want || s.Status != "alive" {
 				return fmt.Errorf("%s is %s and %s", m.Name, s.Status, s.Phase)
 			}
 			return nil
@@ -259,9 +259,9 @@
 	must(t, m.Drain(false))
 	until(t, r.Members, time.Second, "serving everywhere", phase("serving"))
 	others := without(r.Members, m)
-	must(t, r.Term(m, func() { until(t, others, time.Second, "left everywhere", Sees("left", m.Name)) }))
-	for by, p := range Look(others) {
-		if s, _ := Of(p, m.Name); s.Suspected != 0 || s.Flaps != 1 {
+	must(t, r.Term(m, func() { until(t, others, time.Second, "left everywhere", StatusIs("left", m.Name)) }))
+	for by, p := range FetchViews(others) {
+		if s, _ := FindMember(p, m.Name); s.Suspected != 0 || s.Flaps != 1 {
 			t.Errorf("%s saw %s on its way out as %+v", by, m.Name, s)
 		}
 	}
@@ -273,13 +273,13 @@
 	t.Parallel()
 	r := start(t, Options{Members: 3})
 	m := r.Members[1]
-	text, err := os.ReadFile(filepath.Join(r.o.Dir, m.Name+".toml"))
+	text, err := os.ReadFile(filepath.Join(r.opts.Dir, m.Name+".toml"))
 	must(t, err)
 	twin := strings.Replace(string(text), `[fleet]
 bind = "`, fmt.Sprintf("[fleet]\nseeds = [%q]\nbind = \"127.0.0.1:0\" # ", r.Members[0].Gossip), 1)
 	i := strings.LastIndex(twin, "seeds = ")
 	twin = twin[:i] + "# " + twin[i:]
-	file := filepath.Join(r.o.Dir, "twin.toml")
+	file := filepath.Join(r.opts.Dir, "twin.toml")
 	must(t, os.WriteFile(file, []byte(twin), 0o600))
 	if out, err := exec.Command(binary, "serve", "--config", file).CombinedOutput(); err == nil ||
 		!strings.Contains(string(out), "is held by a live member") {
@@ -287,7 +287,7 @@
 	}
 	// Its label is another in the file now, which takes a restart.
 	changed := strings.Replace(string(text), "[fleet]\n", "[fleet]\nlabel = \"other\"\n", 1)
-	must(t, os.WriteFile(filepath.Join(r.o.Dir, m.Name+".toml"), []byte(changed), 0o600))
+	must(t, os.WriteFile(filepath.Join(r.opts.Dir, m.Name+".toml"), []byte(changed), 0o600))
 	must(t, m.process.Signal(1))
 	for range 200 {
 		if strings.Contains(m.Log(), "fleet.label") {
@@ -298,11 +298,11 @@
 	if !strings.Contains(m.Log(), "fleet.label") {
 		t.Errorf("the reload was not told to be refused:\n%s", m.Log())
 	}
-	for by, p := range Look(r.Members) {
-		if err := One(Names(r.Members)...)(p); err != nil || p.Label != "cresshub" {
+	for by, p := range FetchViews(r.Members) {
+		if err := OnlyAlive(MemberNames(r.Members)...)(p); err != nil || p.Label != "cresshub" {
 			t.Errorf("%s, label %q: %v", by, p.Label, err)
 		}
-		if s, _ := Of(p, m.Name); s.Flaps != 0 {
+		if s, _ := FindMember(p, m.Name); s.Flaps != 0 {
 			t.Errorf("%s saw %s flap: %+v", by, m.Name, s)
 		}
 	}
--- a/internal/testbed/clusterrig/scenario.go
+++ b/internal/testbed/clusterrig/scenario.go
@@ -19,31 +19,39 @@
 
 // Scenario is what the rig plays: members, their settings, and steps in order of time.
 type Scenario struct {
-	_       about         `doc:"what it is called in results"`
-	Name    string        `key:"name" default:"scenario"`
-	_       about         `doc:"processes, named m-0, m-1 and so on"`
-	Members int           `key:"members" default:"7" min:"2" max:"200"`
-	_       about         `doc:"halls that members stand in, in turn"`
-	Halls   []string      `key:"halls" default:""`
-	_       about         `doc:"members, counted from the first, that the others join by"`
-	Seeds   int           `key:"seeds" default:"1" min:"1" max:"200"`
-	_       about         `doc:"how often the steps are played, on the same processes"`
-	Repeat  int           `key:"repeat" default:"1" min:"1" max:"1000"`
-	_       about         `doc:"a round lasts at least so long, whatever its steps take"`
-	Lasts   time.Duration `key:"lasts" default:"0s" min:"0s" max:"24h"`
-	_       about         `doc:"after the start, before the first round: news of the start is still on its way"`
-	Settle  time.Duration `key:"settle" default:"0s" min:"0s" max:"1h"`
-	_       about         `doc:"between looks at all views for the record"`
-	Sample  time.Duration `key:"sample" default:"100ms" min:"10ms" max:"1m"`
-	_       about         `doc:"a member that no step names must never be dead in any view"`
-	Calm    bool          `key:"healthy_never_dead" default:"false"`
-
-	Fleet Fleet  `key:"fleet"`
-	Steps []Step `key:"step"`
+	_    about  `doc:"what it is called in results"`
+	Name string `key:"name" default:"scenario"`
+
+	_       about `doc:"processes, named m-0, m-1 and so on"`
+	Members int   `key:"members" default:"7" min:"2" max:"200"`
+
+	_     about    `doc:"halls that members stand in, in turn"`
+	Halls []string `key:"halls" default:""`
+
+	_     about `doc:"members, counted from the first, that the others join by"`
+	Seeds int   `key:"seeds" default:"1" min:"1" max:"200"`
+
+	_      about `doc:"how often the steps are played, on the same processes"`
+	Repeat int   `key:"repeat" default:"1" min:"1" max:"1000"`
+
+	_        about         `doc:"a round lasts at least so long, whatever its steps take"`
+	MinRound time.Duration `key:"lasts" default:"0s" min:"0s" max:"24h"`
+
+	_      about         `doc:"after the start, before the first round: news of the start is still on its way"`
+	Warmup time.Duration `key:"settle" default:"0s" min:"0s" max:"1h"`
+
+	_              about         `doc:"between looks at all views for the record"`
+	SampleInterval time.Duration `key:"sample" default:"100ms" min:"10ms" max:"1m"`
+
+	_                about `doc:"a member that no step names must never be dead in any view"`
+	HealthyNeverDead bool  `key:"healthy_never_dead" default:"false"`
+
+	Fleet FleetSettings `key:"fleet"`
+	Steps []Step        `key:"step"`
 }
 
-// Fleet is the members' settings; their meaning is that of the program's own keys.
-type Fleet struct {
+// FleetSettings is the members' settings; their meaning is that of the program's own keys.
+type FleetSettings struct {
 	Probe     time.Duration `key:"probe" default:"200ms" min:"10ms" max:"1m"`
 	Timeout   time.Duration `key:"probe_timeout" default:"100ms" min:"5ms" max:"30s"`
 	Gossip    time.Duration `key:"gossip" default:"100ms" min:"5ms" max:"1m"`
@@ -54,15 +62,15 @@
 }
 
 // toml is the section as a member's file has it.
-func (f *Fleet) toml() string {
+func (f *FleetSettings) toml() string {
 	return fmt.Sprintf("probe = %q\nprobe_timeout = %q\ngossip = %q\nsuspicion_mult = %d\nrejoin = %q\n"+
 		"sync_each = %q\ngone_after = %q\n", f.Probe, f.Timeout, f.Gossip, f.Suspicion, f.Rejoin, f.SyncEach,
 		f.GoneAfter)
 }
 
-// TestKeys are the keys of [fleet] that the numbers in docs/fleet-view.md are measured with: a scenario's
-// defaults.
-const TestKeys = `probe = "200ms"
+// TestFleetTOML are the keys of [fleet] that the numbers in docs/fleet-view.md are measured with: a
+// scenario's defaults.
+const TestFleetTOML = `probe = "200ms"
 probe_timeout = "100ms"
 gossip = "100ms"
 suspicion_mult = 4
@@ -73,32 +81,42 @@
 
 // Step is one thing done at a time, and what is expected of all views after it.
 type Step struct {
-	_      about         `doc:"after the round's start; a step waits for what the one before it expects"`
-	At     time.Duration `key:"at" default:"0s" min:"0s" max:"24h"`
-	_      about         `doc:"what is done; restart, move and wipe start what has ended, link sets a fault"`
-	Do     string        `key:"do" form:"name"`
-	_      about         `doc:"members it is done to, m-0..m-4 a range, * all; of a partition one side"`
-	Who    []string      `key:"who" default:""`
-	_      about         `doc:"of a link: the members at its other end"`
-	To     []string      `key:"to" default:""`
-	_      about         `doc:"of a link: nothing crosses from who to to"`
-	Cut    bool          `key:"cut" default:"false"`
-	_      about         `doc:"of a link: the other direction as well"`
-	Both   bool          `key:"both_ways" default:"false"`
-	_      about         `doc:"of a link: part of the datagrams lost"`
-	Drop   float64       `key:"drop" default:"0" min:"0" max:"1"`
-	_      about         `doc:"of a link: delay on top of the way"`
-	Delay  time.Duration `key:"delay" default:"0s" min:"0s" max:"1m"`
+	_  about         `doc:"after the round's start; a step waits for what the one before it expects"`
+	At time.Duration `key:"at" default:"0s" min:"0s" max:"24h"`
+
+	_  about  `doc:"what is done; restart, move and wipe start what has ended, link sets a fault"`
+	Do string `key:"do" form:"name"`
+
+	_   about    `doc:"members it is done to, m-0..m-4 a range, * all; of a partition one side"`
+	Who []string `key:"who" default:""`
+
+	_  about    `doc:"of a link: the members at its other end"`
+	To []string `key:"to" default:""`
+
+	_       about `doc:"of a link: nothing crosses from who to to"`
+	Blocked bool  `key:"cut" default:"false"`
+
+	_    about `doc:"of a link: the other direction as well"`
+	Both bool  `key:"both_ways" default:"false"`
+
+	_    about   `doc:"of a link: part of the datagrams lost"`
+	Drop float64 `key:"drop" default:"0" min:"0" max:"1"`
+
+	_     about         `doc:"of a link: delay on top of the way"`
+	Delay time.Duration `key:"delay" default:"0s" min:"0s" max:"1m"`
+
 	_      about         `doc:"of a link: further delay, even from 0 to this"`
 	Jitter time.Duration `key:"jitter" default:"0s" min:"0s" max:"1m"`
-	_      about         `doc:"what all running views say: who is dead, left, alive; one: just the running"`
-	Expect string        `key:"expect" default:"none" enum:"none|dead|left|alive|one|sides"`
+
+	_      about  `doc:"what all running views say: who is dead, left, alive; one: just the running"`
+	Expect string `key:"expect" default:"none" enum:"none|dead|left|alive|one|sides"`
+
 	_      about         `doc:"by when; later is a failure"`
 	Within time.Duration `key:"within" default:"10s" min:"10ms" max:"1h"`
 }
 
-// deeds are what a step may do.
-var deeds = []string{"kill", "pause", "resume", "term", "drain", "serve", "restart", "move", "wipe",
+// actions are what a step may do.
+var actions = []string{"kill", "pause", "resume", "term", "drain", "serve", "restart", "move", "wipe",
 	"partition", "link", "heal", "wait"}
 
 var schema = sync.OnceValue(func() *settingsfile.Schema {
@@ -156,7 +174,7 @@
 func (sc *Scenario) check(b *settingsfile.Builder) {
 	var last time.Duration
 	for i, s := range sc.Steps {
-		tell := func(key, format string, args ...any) {
+		report := func(key, format string, args ...any) {
 			path := fmt.Sprintf("step.%d.%s", i, key)
 			o := b.Origins[path]
 			if o.Source == "default" { // a key that is not there: told at the step's deed
@@ -164,33 +182,33 @@
 			}
 			b.Problems.Add(o, schema().Shown(path), format, args...)
 		}
-		if !slices.Contains(deeds, s.Do) {
-			tell("do", "%q is none of %s", s.Do, strings.Join(deeds, ", "))
+		if !slices.Contains(actions, s.Do) {
+			report("do", "%q is none of %s", s.Do, strings.Join(actions, ", "))
 		}
 		if s.At < last {
-			tell("at", "%v is before the step above, at %v", s.At, last)
+			report("at", "%v is before the step above, at %v", s.At, last)
 		}
 		last = s.At
 		for key, names := range map[string][]string{"who": s.Who, "to": s.To} {
-			for _, name := range sc.members(names) {
-				if !slices.Contains(sc.names(), name) {
-					tell(key, "%q is no member; there are m-0 to m-%d", name, sc.Members-1)
+			for _, name := range sc.expand(names) {
+				if !slices.Contains(sc.memberNames(), name) {
+					report(key, "%q is no member; there are m-0 to m-%d", name, sc.Members-1)
 				}
 			}
 		}
 		if len(s.Who) == 0 && s.Do != "heal" && s.Do != "wait" {
-			tell("who", "is missing; %s is done to members", s.Do)
+			report("who", "is missing; %s is done to members", s.Do)
 		}
 		if s.Do == "link" && len(s.To) == 0 {
-			tell("to", "is missing; a link has two ends")
+			report("to", "is missing; a link has two ends")
 		}
 		if (s.Expect == "dead" || s.Expect == "left" || s.Expect == "alive") && len(s.Who) == 0 {
-			tell("expect", "%s is expected of nobody: who is empty", s.Expect)
+			report("expect", "%s is expected of nobody: who is empty", s.Expect)
 		}
 	}
 }
 
-func (sc *Scenario) names() []string {
+func (sc *Scenario) memberNames() []string {
 	var out []string
 	for i := range sc.Members {
 		out = append(out, fmt.Sprintf("m-%d", i))
@@ -198,10 +216,10 @@
 	return out
 }
 
-// members are those that a list of names means: * is all, m-3..m-9 a range.
-func (sc *Scenario) members(names []string) []string {
+// expand are those that a list of names means: * is all, m-3..m-9 a range.
+func (sc *Scenario) expand(names []string) []string {
 	var out []string
-	all := sc.names()
+	all := sc.memberNames()
 	for _, name := range names {
 		first, last, isRange := strings.Cut(name, "..")
 		a, b := slices.Index(all, first), slices.Index(all, last)
@@ -217,7 +235,7 @@
 	return out
 }
 
-// relayed tells whether a step needs the faulty network.
-func (sc *Scenario) relayed() bool {
+// needsRelay tells whether a step needs the faulty network.
+func (sc *Scenario) needsRelay() bool {
 	return slices.ContainsFunc(sc.Steps, func(s Step) bool { return s.Do == "partition" || s.Do == "link" })
 }
--- a/internal/testbed/clusterrig/soak.go
+++ b/internal/testbed/clusterrig/soak.go
@@ -14,9 +14,9 @@
 	"cresshub/internal/proxy/daemon"
 )
 
-// soakKeys bound what the ledger keeps so that it is full after a minute: from then on memory and disk are to
+// soakTOML bound what the ledger keeps so that it is full after a minute: from then on memory and disk are to
 // stay as they are.
-const soakKeys = `[ledger]
+const soakTOML = `[ledger]
 bind = "127.0.0.1:0"
 data = "{data}"
 period = "1s"
@@ -36,7 +36,7 @@
 	Seconds float64 `json:"seconds"`
 	Answers int64   `json:"answers"`
 	Applied uint64  `json:"applied"`  // log index
-	Memory  int64   `json:"rss_kb"`   // of the largest member
+	RSS     int64   `json:"rss_kb"`   // of the largest member
 	Anon    int64   `json:"anon_kb"`  // of it, what is no file
 	Disk    int64   `json:"disk_kb"`  // of the largest data folder
 	Entries int     `json:"exported"` // entries in the sink
@@ -45,13 +45,13 @@
 // Soak runs members with a ledger and chores under a load for a while and looks at their memory and disk.
 func Soak(ctx context.Context, o Options, members, clients int, lasting, every time.Duration) ([]SoakSample,
 	error) {
-	o.Members, o.Zones, o.Sink, o.Fleet, o.Extra = members, 3, true, TestKeys, soakKeys
+	o.Members, o.Zones, o.Sink, o.FleetTOML, o.ExtraTOML = members, 3, true, TestFleetTOML, soakTOML
 	r, err := Start(ctx, o)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	if _, _, err := r.Owner(ctx, time.Minute); err != nil {
+	if _, _, err := r.WaitOwner(ctx, time.Minute); err != nil {
 		return nil, err
 	}
 	c, stop := context.WithCancel(ctx)
@@ -62,7 +62,7 @@
 	var out []SoakSample
 	begun := time.Now()
 	for {
-		s, err := r.look(l)
+		s, err := r.soakSample(l)
 		if err != nil {
 			return out, err
 		}
@@ -79,10 +79,10 @@
 	}
 	stop()
 	<-done
-	return out, r.Exported(ctx, l, time.Minute)
+	return out, r.WaitExported(ctx, l, time.Minute)
 }
 
-func (r *Rig) look(l *Clients) (s SoakSample, err error) {
+func (r *Rig) soakSample(l *Clients) (s SoakSample, err error) {
 	_, s.Answers = l.Answers()
 	s.Entries = len(r.Sink.Entries())
 	for _, m := range r.Members {
@@ -90,8 +90,8 @@
 		if err != nil {
 			return s, err
 		}
-		s.Memory = max(s.Memory, field(string(text), "VmRSS:"))
-		s.Anon = max(s.Anon, field(string(text), "RssAnon:"))
+		s.RSS = max(s.RSS, statusField(string(text), "VmRSS:"))
+		s.Anon = max(s.Anon, statusField(string(text), "RssAnon:"))
 		var bytes int64
 		err = filepath.WalkDir(m.Data, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() {
@@ -108,15 +108,15 @@
 		}
 		s.Disk = max(s.Disk, bytes>>10)
 		var p daemon.LedgerPage
-		if err := m.Ask("/_ledger?period=1&tenant=-", &p); err == nil {
+		if err := m.GetJSON("/_ledger?period=1&tenant=-", &p); err == nil {
 			s.Applied = max(s.Applied, p.Group.Applied)
 		}
 	}
 	return s, nil
 }
 
-// field is a number of /proc's status.
-func field(text, name string) (kb int64) {
+// statusField is a number of /proc's status.
+func statusField(text, name string) (kb int64) {
 	_, rest, _ := strings.Cut(text, name)
 	fmt.Sscan(rest, &kb)
 	return kb
@@ -127,7 +127,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "seconds\tanswers\tlog index\tmemory\tof it anonymous\tdisk\tentries sent\t")
 	for _, s := range all {
-		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d kB\t%d kB\t%d kB\t%d\t\n", s.Seconds, s.Answers, s.Applied, s.Memory,
+		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d kB\t%d kB\t%d kB\t%d\t\n", s.Seconds, s.Answers, s.Applied, s.RSS,
 			s.Anon, s.Disk, s.Entries)
 	}
 	return t.Flush()
--- a/internal/testbed/clusterrig/views.go
+++ b/internal/testbed/clusterrig/wait.go
@@ -12,18 +12,18 @@
 	"cresshub/internal/cluster/gossip"
 )
 
-// pollEvery is how often a condition is looked at.
-const pollEvery = 15 * time.Millisecond
+// pollInterval is how often a condition is looked at.
+const pollInterval = 15 * time.Millisecond
 
-// doors asks the operators' doors; one call a connection, as they take.
-var doors = http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// adminClient asks the operators' doors; one call a connection, as they take.
+var adminClient = http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ask reads a JSON page of a member's door.
-func (m *Member) Ask(path string, into any) error {
+// GetJSON reads a JSON page of a member's door.
+func (m *Member) GetJSON(path string, into any) error {
 	m.mu.Lock()
-	door := m.door
+	door := m.admin
 	m.mu.Unlock()
-	a, err := doors.Get("http://" + door + path)
+	a, err := adminClient.Get("http://" + door + path)
 	if err != nil {
 		return err
 	}
@@ -37,9 +37,9 @@
 // Ready tells whether a member says that it is ready.
 func (m *Member) Ready() bool {
 	m.mu.Lock()
-	door := m.door
+	door := m.admin
 	m.mu.Unlock()
-	a, err := doors.Get("http://" + door + "/_ready")
+	a, err := adminClient.Get("http://" + door + "/_ready")
 	if err != nil {
 		return false
 	}
@@ -53,7 +53,7 @@
 	if on {
 		path = "/_lameduck/on"
 	}
-	a, err := doors.Post("http://"+m.Door+path, "", nil)
+	a, err := adminClient.Post("http://"+m.Admin+path, "", nil)
 	if err != nil {
 		return err
 	}
@@ -67,8 +67,8 @@
 // Views are the pages of the members that run, by their name.
 type Views map[string]gossip.Page
 
-// Of returns what a view says of a member; false where it does not hold it.
-func Of(p gossip.Page, name string) (gossip.Member, bool) {
+// FindMember returns what a view says of a member; false where it does not hold it.
+func FindMember(p gossip.Page, name string) (gossip.Member, bool) {
 	i := slices.IndexFunc(p.Members, func(m gossip.Member) bool { return m.Name == name })
 	if i < 0 {
 		return gossip.Member{}, false
@@ -87,15 +87,15 @@
 	return up
 }
 
-// Look asks the given members for their views, all at once. One that does not answer is left out.
-func Look(ms []*Member) Views {
+// FetchViews asks the given members for their views, all at once. One that does not answer is left out.
+func FetchViews(ms []*Member) Views {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	out := Views{}
 	for _, m := range ms {
 		all.Go(func() {
 			var p gossip.Page
-			if m.Ask("/_fleet", &p) == nil {
+			if m.GetJSON("/_fleet", &p) == nil {
 				mu.Lock()
 				defer mu.Unlock()
 				out[m.Name] = p
@@ -106,13 +106,13 @@
 	return out
 }
 
-// Until looks at the views of the given members until holds is true of every one of them, and says how long
-// that took. A member without a view does not hold. The error tells what each said last.
-func Until(ctx context.Context, ms []*Member, limit time.Duration,
+// WaitViews looks at the views of the given members until holds is true of every one of them, and says how
+// long that took. A member without a view does not hold. The error tells what each said last.
+func WaitViews(ctx context.Context, ms []*Member, limit time.Duration,
 	holds func(gossip.Page) error) (time.Duration, error) {
 	start := time.Now()
 	for {
-		views := Look(ms)
+		views := FetchViews(ms)
 		took := time.Since(start)
 		var last error
 		for _, m := range ms {
@@ -130,18 +130,18 @@
 			return took, fmt.Errorf("not within %v: %w", limit, last)
 		}
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return took, ctx.Err()
 		}
 	}
 }
 
-// Sees returns a condition: a view holds each of the named members in that status.
-func Sees(status string, names ...string) func(gossip.Page) error {
+// StatusIs returns a condition: a view holds each of the named members in that status.
+func StatusIs(status string, names ...string) func(gossip.Page) error {
 	return func(p gossip.Page) error {
 		for _, name := range names {
-			if m, ok := Of(p, name); !ok || m.Status != status {
+			if m, ok := FindMember(p, name); !ok || m.Status != status {
 				return fmt.Errorf("%s is %q, not %q", name, m.Status, status)
 			}
 		}
@@ -149,8 +149,9 @@
 	}
 }
 
-// One returns a condition: a view holds exactly the named members alive, and nobody else alive or suspect.
-func One(names ...string) func(gossip.Page) error {
+// OnlyAlive returns a condition: a view holds exactly the named members alive, and nobody else alive or
+// suspect.
+func OnlyAlive(names ...string) func(gossip.Page) error {
 	return func(p gossip.Page) error {
 		n := 0
 		for _, m := range p.Members {
@@ -161,12 +162,12 @@
 		if n != len(names) {
 			return fmt.Errorf("%d are alive, not %d", n, len(names))
 		}
-		return Sees("alive", names...)(p)
+		return StatusIs("alive", names...)(p)
 	}
 }
 
-// Names are the members' names.
-func Names(ms []*Member) []string {
+// MemberNames are the members' names.
+func MemberNames(ms []*Member) []string {
 	var out []string
 	for _, m := range ms {
 		out = append(out, m.Name)
@@ -174,8 +175,8 @@
 	return out
 }
 
-// Settle waits until every running member sees exactly the running members alive.
-func (r *Rig) Settle(ctx context.Context, limit time.Duration) (time.Duration, error) {
+// WaitConverged waits until every running member sees exactly the running members alive.
+func (r *Rig) WaitConverged(ctx context.Context, limit time.Duration) (time.Duration, error) {
 	up := r.Running()
-	return Until(ctx, up, limit, One(Names(up)...))
+	return WaitViews(ctx, up, limit, OnlyAlive(MemberNames(up)...))
 }
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -19,10 +19,10 @@
 
 // Fault is what befalls what crosses a link, in one direction.
 type Fault struct {
-	Cut    bool          // nothing crosses; streams stand still
-	Drop   float64       // part of the datagrams that get lost; a stream is held up instead
-	Delay  time.Duration // on top of the way
-	Jitter time.Duration // further delay, even from 0 to this
+	Blocked bool          // nothing crosses; streams stand still
+	Drop    float64       // part of the datagrams that get lost; a stream is held up instead
+	Delay   time.Duration // on top of the way
+	Jitter  time.Duration // further delay, even from 0 to this
 }
 
 // Counts are what crossed a link so far, or did not.
@@ -31,12 +31,12 @@
 }
 
 const (
-	queueMost   = 4096 // datagrams under way on one link; more are lost
-	chunksMost  = 256  // pieces of a stream under way in one direction; more wait
-	chunk       = 16 << 10
-	handshake   = 2 * time.Second
-	heldFor     = 5 * time.Second        // a stream that is opened over a cut link is held so long
-	resendAfter = 200 * time.Millisecond // what a lost segment costs a stream
+	maxQueued          = 4096 // datagrams under way on one link; more are lost
+	maxChunks          = 256  // pieces of a stream under way in one direction; more wait
+	chunkSize          = 16 << 10
+	handshakeTimeout   = 2 * time.Second
+	blockedDialTimeout = 5 * time.Second        // a stream that is opened over a cut link is held so long
+	retransmitDelay    = 200 * time.Millisecond // what a lost segment costs a stream
 )
 
 // pair is an ordered pair of members.
@@ -50,15 +50,15 @@
 
 // Net is the faulty network. Its methods may be called from any goroutine.
 type Net struct {
-	mu      sync.Mutex
-	links   map[pair]*link
-	names   map[netip.AddrPort]string
-	relays  map[string]*relay
-	changed chan struct{} // closes with the next change of a fault
-	rnd     *rand.Rand
-	out     *net.UDPConn // what carries datagrams on
-	closed  chan struct{}
-	done    sync.WaitGroup
+	mu       sync.Mutex
+	links    map[pair]*link
+	memberAt map[netip.AddrPort]string
+	relays   map[string]*relay
+	changed  chan struct{} // closes with the next change of a fault
+	rng      *rand.Rand
+	udp      *net.UDPConn // what carries datagrams on
+	closed   chan struct{}
+	done     sync.WaitGroup
 }
 
 // New returns a network without faults; seed draws losses and jitter.
@@ -67,8 +67,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Net{links: map[pair]*link{}, names: map[netip.AddrPort]string{}, relays: map[string]*relay{},
-		changed: make(chan struct{}), rnd: rand.New(rand.NewPCG(seed, 1)), out: out,
+	return &Net{links: map[pair]*link{}, memberAt: map[netip.AddrPort]string{}, relays: map[string]*relay{},
+		changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 1)), udp: out,
 		closed: make(chan struct{})}, nil
 }
 
@@ -79,7 +79,7 @@
 	if r, ok := n.relays[name]; ok {
 		return r.address, nil
 	}
-	r, err := n.open(name)
+	r, err := n.openRelay(name)
 	if err != nil {
 		return "", fmt.Errorf("the relay of %s: %w", name, err)
 	}
@@ -87,15 +87,16 @@
 	return r.address, nil
 }
 
-// Place says that what is sent to address is meant for the member of that name. A member may have several.
-func (n *Net) Place(name, address string) error {
+// AddAddress says that what is sent to address is meant for the member of that name. A member may have
+// several.
+func (n *Net) AddAddress(name, address string) error {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return fmt.Errorf("the address of %s: %w", name, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names[a] = name
+	n.memberAt[a] = name
 	return nil
 }
 
@@ -113,7 +114,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.link(from, to).fault = f
-	n.tell()
+	n.signalChange()
 }
 
 // Partition cuts all links between members of different sets, both ways, and leaves the others as they are.
@@ -125,13 +126,13 @@
 			for _, from := range a {
 				for _, to := range b {
 					if i != j {
-						n.link(from, to).fault.Cut = true
+						n.link(from, to).fault.Blocked = true
 					}
 				}
 			}
 		}
 	}
-	n.tell()
+	n.signalChange()
 }
 
 // Heal takes all faults away.
@@ -141,11 +142,11 @@
 	for _, l := range n.links {
 		l.fault = Fault{}
 	}
-	n.tell()
+	n.signalChange()
 }
 
-// tell wakes what waits for a change; n.mu is held.
-func (n *Net) tell() {
+// signalChange wakes what waits for a change; n.mu is held.
+func (n *Net) signalChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
@@ -171,7 +172,7 @@
 		r.close()
 	}
 	n.mu.Unlock()
-	n.out.Close()
+	n.udp.Close()
 	n.done.Wait()
 }
 
@@ -179,35 +180,35 @@
 func (n *Net) delay(f Fault) time.Duration {
 	d := f.Delay
 	if f.Jitter > 0 {
-		d += time.Duration(n.rnd.Int64N(int64(f.Jitter) + 1))
+		d += time.Duration(n.rng.Int64N(int64(f.Jitter) + 1))
 	}
 	return d
 }
 
 var errUnknown = errors.New("no member is placed at that address")
 
-// send carries one datagram on, or loses it.
-func (n *Net) send(from string, to netip.AddrPort, b []byte) {
+// forward carries one datagram on, or loses it.
+func (n *Net) forward(from string, to netip.AddrPort, payload []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.link(from, n.names[to])
-	if l.fault.Cut || l.fault.Drop > 0 && n.rnd.Float64() < l.fault.Drop || l.queued >= queueMost {
+	l := n.link(from, n.memberAt[to])
+	if l.fault.Blocked || l.fault.Drop > 0 && n.rng.Float64() < l.fault.Drop || l.queued >= maxQueued {
 		l.counts.Lost++
 		return
 	}
 	l.counts.Datagrams++
-	l.counts.Bytes += int64(len(b))
+	l.counts.Bytes += int64(len(payload))
 	wait := n.delay(l.fault)
 	if wait <= 0 {
-		n.out.WriteToUDPAddrPort(b, to)
+		n.udp.WriteToUDPAddrPort(payload, to)
 		return
 	}
 	l.queued++
-	late := append([]byte(nil), b...)
+	delayed := append([]byte(nil), payload...)
 	time.AfterFunc(wait, func() {
 		n.mu.Lock()
 		l.queued--
 		n.mu.Unlock()
-		n.out.WriteToUDPAddrPort(late, to) // after Close it fails, and is lost
+		n.udp.WriteToUDPAddrPort(delayed, to) // after Close it fails, and is lost
 	})
 }
--- a/internal/testbed/faultnet/relay.go
+++ b/internal/testbed/faultnet/relay.go
@@ -20,13 +20,13 @@
 	streams net.Listener
 	packets *net.UDPConn
 
-	mu   sync.Mutex
-	open map[net.Conn]bool
+	mu    sync.Mutex
+	conns map[net.Conn]bool
 }
 
-// open makes a relay with one port for streams and datagrams. The system chooses the stream's port; where
-// that port is taken for datagrams another is tried.
-func (n *Net) open(name string) (*relay, error) {
+// openRelay makes a relay with one port for streams and datagrams. The system chooses the stream's port;
+// where that port is taken for datagrams another is tried.
+func (n *Net) openRelay(name string) (*relay, error) {
 	var last error
 	for range 20 {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 			continue
 		}
 		p.SetReadBuffer(1 << 20)
-		r := &relay{net: n, name: name, address: at.String(), streams: l, packets: p, open: map[net.Conn]bool{}}
+		r := &relay{net: n, name: name, address: at.String(), streams: l, packets: p, conns: map[net.Conn]bool{}}
 		n.done.Add(2)
 		go r.servePackets()
 		go r.serveStreams()
@@ -55,29 +55,29 @@
 	r.packets.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c := range r.open {
+	for c := range r.conns {
 		c.Close()
 	}
-	r.open = nil
+	r.conns = nil
 }
 
-// keep notes a connection so that close ends it; false where the relay is closed.
-func (r *relay) keep(c net.Conn) bool {
+// track notes a connection so that close ends it; false where the relay is closed.
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.open == nil {
+	if r.conns == nil {
 		c.Close()
 		return false
 	}
-	r.open[c] = true
+	r.conns[c] = true
 	return true
 }
 
-func (r *relay) drop(c net.Conn) {
+func (r *relay) closeConn(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.open, c)
+	delete(r.conns, c)
 }
 
 func (r *relay) servePackets() {
@@ -92,7 +92,7 @@
 			continue
 		}
 		if to, payload, err := gossip.ParseRelayDatagram(b[:size]); err == nil {
-			r.net.send(r.name, to, payload)
+			r.net.forward(r.name, to, payload)
 		}
 	}
 }
@@ -108,18 +108,18 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		if r.keep(c) {
+		if r.track(c) {
 			r.net.done.Add(1)
-			go r.stream(c)
+			go r.serveStream(c)
 		}
 	}
 }
 
-// stream serves one CONNECT.
-func (r *relay) stream(c net.Conn) {
+// serveStream serves one CONNECT.
+func (r *relay) serveStream(c net.Conn) {
 	defer r.net.done.Done()
-	defer r.drop(c)
-	c.SetDeadline(time.Now().Add(handshake))
+	defer r.closeConn(c)
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	in := bufio.NewReader(c)
 	to, err := connect(in, c)
 	if err != nil {
@@ -128,46 +128,46 @@
 	c.SetDeadline(time.Time{})
 	n := r.net
 	n.mu.Lock()
-	name := n.names[to]
-	there, back := n.link(r.name, name), n.link(name, r.name)
-	there.counts.Streams++
-	changed, cut := n.changed, there.fault.Cut || back.fault.Cut
-	if cut {
-		there.counts.Refused++
+	name := n.memberAt[to]
+	out, back := n.link(r.name, name), n.link(name, r.name)
+	out.counts.Streams++
+	changed, blocked := n.changed, out.fault.Blocked || back.fault.Blocked
+	if blocked {
+		out.counts.Refused++
 	}
-	wait := n.delay(there.fault) + n.delay(back.fault)
+	delay := n.delay(out.fault) + n.delay(back.fault)
 	n.mu.Unlock()
-	if cut {
+	if blocked {
 		// Opening a connection over a cut link finds nobody: it stands until the caller gives up or the
 		// link heals, when the caller's next try gets through.
 		select {
-		case <-time.After(heldFor):
+		case <-time.After(blockedDialTimeout):
 		case <-changed:
 		case <-n.closed:
 		}
 		return
 	}
 	select {
-	case <-time.After(wait):
+	case <-time.After(delay):
 	case <-n.closed:
 		return
 	}
-	o, err := net.DialTimeout("tcp4", to.String(), handshake)
+	upstream, err := net.DialTimeout("tcp4", to.String(), handshakeTimeout)
 	if err != nil {
 		c.Write([]byte{5, 5, 0, 1, 0, 0, 0, 0, 0, 0}) // connection refused
 		return
 	}
-	if !r.keep(o) {
+	if !r.track(upstream) {
 		return
 	}
-	defer r.drop(o)
+	defer r.closeConn(upstream)
 	if _, err := c.Write([]byte{5, 0, 0, 1, 0, 0, 0, 0, 0, 0}); err != nil {
 		return
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); n.pipe(in, c, o, there) }()
-	go func() { defer both.Done(); n.pipe(o, o, c, back) }()
+	go func() { defer both.Done(); n.pipe(in, c, upstream, out) }()
+	go func() { defer both.Done(); n.pipe(upstream, upstream, c, back) }()
 	both.Wait()
 }
 
@@ -194,33 +194,33 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(q[4:8])), uint16(q[8])<<8|uint16(q[9])), nil
 }
 
-// piece is a part of a stream under way: due at a time, or the end.
-type piece struct {
-	b   []byte
-	due time.Time
+// chunk is a part of a stream under way: due at a time, or the end.
+type chunk struct {
+	data []byte
+	due  time.Time
 }
 
 // pipe carries one direction of a stream over a link, with its delays, and closes the other side's writing
 // once this side's ends.
 func (n *Net) pipe(in io.Reader, from, to net.Conn, l *link) {
-	way := make(chan piece, chunksMost)
-	gone := make(chan struct{})
+	inFlight := make(chan chunk, maxChunks)
+	stopped := make(chan struct{})
 	go func() {
-		defer close(way)
+		defer close(inFlight)
 		for {
-			b := make([]byte, chunk)
+			b := make([]byte, chunkSize)
 			size, err := in.Read(b)
 			if size > 0 {
 				n.mu.Lock()
 				wait := n.delay(l.fault)
-				if l.fault.Drop > 0 && n.rnd.Float64() < l.fault.Drop {
-					wait += resendAfter
+				if l.fault.Drop > 0 && n.rng.Float64() < l.fault.Drop {
+					wait += retransmitDelay
 				}
 				l.counts.Bytes += int64(size)
 				n.mu.Unlock()
 				select {
-				case way <- piece{b[:size], time.Now().Add(wait)}:
-				case <-gone:
+				case inFlight <- chunk{b[:size], time.Now().Add(wait)}:
+				case <-stopped:
 					return
 				}
 			}
@@ -229,12 +229,12 @@
 			}
 		}
 	}()
-	defer close(gone)
-	for p := range way {
-		if !n.passes(p.due, l) {
+	defer close(stopped)
+	for p := range inFlight {
+		if !n.waitOpen(p.due, l) {
 			break
 		}
-		if _, err := to.Write(p.b); err != nil {
+		if _, err := to.Write(p.data); err != nil {
 			from.Close()
 			return
 		}
@@ -244,8 +244,8 @@
 	}
 }
 
-// passes waits until a piece is due and the link is open; false where the network closes first.
-func (n *Net) passes(due time.Time, l *link) bool {
+// waitOpen waits until a piece is due and the link is open; false where the network closes first.
+func (n *Net) waitOpen(due time.Time, l *link) bool {
 	if wait := time.Until(due); wait > 0 {
 		select {
 		case <-time.After(wait):
@@ -255,9 +255,9 @@
 	}
 	for {
 		n.mu.Lock()
-		cut, changed := l.fault.Cut, n.changed
+		blocked, changed := l.fault.Blocked, n.changed
 		n.mu.Unlock()
-		if !cut {
+		if !blocked {
 			return true
 		}
 		select {
--- a/internal/testbed/proxystandin/discovery.go
+++ b/internal/testbed/proxystandin/discovery.go
@@ -40,33 +40,33 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// heartbeat is how often a watch says something while nothing changes.
-const heartbeat = 2 * time.Second
+// heartbeatInterval is how often a watch says something while nothing changes.
+const heartbeatInterval = 2 * time.Second
 
-// kept is how many changes discovery remembers; who asks from before gets the whole list.
-const kept = 1024
+// maxChanges is how many changes discovery remembers; who asks from before gets the whole list.
+const maxChanges = 1024
 
 // Discovery is the service that tells which zone servers there are.
 type Discovery struct {
-	l *Listener
+	listener *Listener
 
-	mu      sync.Mutex
-	index   int64
-	now     map[string]Endpoint
-	changes []change
-	changed chan struct{} // closes with the next change
-	ended   chan struct{}
-	failing bool
-	asked   int
-	fence   lease.Fence // of calls that carry a token
-	owners  OwnerCalls
-	once    sync.Once
-	told    func([]Endpoint) // gets what a caller has just been told; may be nil
+	mu          sync.Mutex
+	index       int64
+	current     map[string]Endpoint
+	changes     []change
+	changed     chan struct{} // closes with the next change
+	closed      chan struct{}
+	failing     bool
+	calls       int
+	fence       lease.Fence // of calls that carry a token
+	ownerCalls  OwnerCalls
+	closeOnce   sync.Once
+	onDelivered func([]Endpoint) // gets what a caller has just been told; may be nil
 }
 
 // OwnerCalls are the calls that carried a fencing token: taken, refused for an older one than was seen, and
 // refused as none; and watches that ended because a newer token came.
-type OwnerCalls struct{ Taken, Stale, Bad, Ended int }
+type OwnerCalls struct{ Accepted, Stale, Malformed, EndedWatches int }
 
 type change struct {
 	index int64
@@ -75,42 +75,43 @@
 
 // StartDiscovery starts a discovery with an empty list.
 func StartDiscovery(address string) (*Discovery, error) {
-	d := &Discovery{now: map[string]Endpoint{}, changed: make(chan struct{}), ended: make(chan struct{})}
+	d := &Discovery{current: map[string]Endpoint{}, changed: make(chan struct{}), closed: make(chan struct{})}
 	var err error
-	d.l, err = Listen(address, 0, d.serve)
+	d.listener, err = Listen(address, 0, d.serve)
 	return d, err
 }
 
-// OnTold names who hears of entries that a caller has just been told. It is to be called before any caller.
-func (d *Discovery) OnTold(told func([]Endpoint)) { d.told = told }
+// OnDelivered names who hears of entries that a caller has just been told. It is to be called before any
+// caller.
+func (d *Discovery) OnDelivered(onDelivered func([]Endpoint)) { d.onDelivered = onDelivered }
 
-// noteTold notes entries that a caller has just been told.
-func (d *Discovery) noteTold(entries []Endpoint) {
-	if d.told != nil && len(entries) > 0 {
-		d.told(entries)
+// notifyDelivered notes entries that a caller has just been told.
+func (d *Discovery) notifyDelivered(entries []Endpoint) {
+	if d.onDelivered != nil && len(entries) > 0 {
+		d.onDelivered(entries)
 	}
 }
 
 // Address is where it listens.
-func (d *Discovery) Address() string { return d.l.Address() }
+func (d *Discovery) Address() string { return d.listener.Address() }
 
-// Asked is how many calls it took.
-func (d *Discovery) Asked() int {
+// Calls is how many calls it took.
+func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asked
+	return d.calls
 }
 
 // OwnerCalls are the calls that carried a fencing token.
 func (d *Discovery) OwnerCalls() OwnerCalls {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.owners
+	return d.ownerCalls
 }
 
-// pass looks at a call's fencing token; one without any is anybody's. The status is 0 where it may go on. A
+// admit looks at a call's fencing token; one without any is anybody's. The status is 0 where it may go on. A
 // higher token than was seen ends the watches that older ones hold.
-func (d *Discovery) pass(text string) (token uint64, status int, why string) {
+func (d *Discovery) admit(text string) (token uint64, status int, problem string) {
 	if text == "" {
 		return 0, 0, ""
 	}
@@ -118,15 +119,15 @@
 	defer d.mu.Unlock()
 	token, err := lease.ParseToken(text)
 	if err != nil {
-		d.owners.Bad++
+		d.ownerCalls.Malformed++
 		return 0, 400, err.Error()
 	}
 	before := d.fence.Highest
 	if err := d.fence.Admit(token); err != nil {
-		d.owners.Stale++
+		d.ownerCalls.Stale++
 		return 0, 409, err.Error()
 	}
-	d.owners.Taken++
+	d.ownerCalls.Accepted++
 	if before != 0 && token > before {
 		close(d.changed)
 		d.changed = make(chan struct{})
@@ -134,14 +135,14 @@
 	return token, 0, ""
 }
 
-// overtaken tells whether a watch's token is older than one that was seen since.
-func (d *Discovery) overtaken(token uint64) bool {
+// superseded tells whether a watch's token is older than one that was seen since.
+func (d *Discovery) superseded(token uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if token == 0 || token >= d.fence.Highest {
 		return false
 	}
-	d.owners.Ended++
+	d.ownerCalls.EndedWatches++
 	return true
 }
 
@@ -153,12 +154,12 @@
 		d.index++
 		d.changes = append(d.changes, change{d.index, e})
 		if e.Status == "terminated" {
-			delete(d.now, e.Name)
+			delete(d.current, e.Name)
 		} else {
-			d.now[e.Name] = e
+			d.current[e.Name] = e
 		}
 	}
-	if extra := len(d.changes) - kept; extra > 0 {
+	if extra := len(d.changes) - maxChanges; extra > 0 {
 		d.changes = slices.Delete(d.changes, 0, extra)
 	}
 	close(d.changed)
@@ -176,19 +177,19 @@
 
 // Close ends it.
 func (d *Discovery) Close() {
-	d.once.Do(func() { close(d.ended) })
-	d.l.Close(false)
+	d.closeOnce.Do(func() { close(d.closed) })
+	d.listener.Close(false)
 }
 
 // since returns what changed after a version, or the whole list where that is not known any more, and a
 // channel that closes with the next change.
-func (d *Discovery) since(from int64, whole bool) (document, <-chan struct{}, bool) {
+func (d *Discovery) since(from int64, full bool) (document, <-chan struct{}, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	doc := document{Index: d.index, Endpoints: []Endpoint{}}
-	if whole || from > d.index || len(d.changes) > 0 && from < d.changes[0].index-1 {
+	if full || from > d.index || len(d.changes) > 0 && from < d.changes[0].index-1 {
 		doc.Snapshot = true
-		for _, e := range d.now {
+		for _, e := range d.current {
 			doc.Endpoints = append(doc.Endpoints, e)
 		}
 		slices.SortFunc(doc.Endpoints, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
@@ -205,77 +206,77 @@
 func (d *Discovery) serve(c *connbuffer.Conn) {
 	for {
 		c.SetDeadline(time.Now().Add(time.Minute))
-		q, err := http1.ReadRequest(c.In)
+		req, err := http1.ReadRequest(c.In)
 		if err != nil {
 			return
 		}
-		path, query, _ := strings.Cut(q.Target, "?")
+		path, query, _ := strings.Cut(req.Target, "?")
 		_, from, watch := strings.Cut(query, "watch=1&from=")
 		version, err := strconv.ParseInt(from, 10, 64)
 		d.mu.Lock()
-		d.asked++
+		d.calls++
 		failing := d.failing
 		d.mu.Unlock()
-		token, status, why := d.pass(q.Header.Get(lease.TokenHeader))
-		answer := &http1.Response{Status: 200}
+		token, status, problem := d.admit(req.Header.Get(lease.TokenHeader))
+		resp := &http1.Response{Status: 200}
 		var listed []Endpoint
 		switch {
 		case failing:
-			answer.Status = 503
+			resp.Status = 503
 		case status != 0:
-			answer.Status, answer.Body = status, []byte(why+"\n")
+			resp.Status, resp.Body = status, []byte(problem+"\n")
 		case path != "/registry/instances" || watch && err != nil:
-			answer.Status = 404
+			resp.Status = 404
 		case watch:
 			d.watch(c, version, token)
 			return
 		default:
 			doc, _, _ := d.since(0, true)
-			answer.Body, _ = json.Marshal(doc)
+			resp.Body, _ = json.Marshal(doc)
 			listed = doc.Endpoints
 		}
-		if answer.Write(c.Out) != nil || c.Flush() != nil {
+		if resp.Write(c.Out) != nil || c.Flush() != nil {
 			return
 		}
-		d.noteTold(listed)
+		d.notifyDelivered(listed)
 	}
 }
 
 // watch tells changes until the other side or this one ends.
 func (d *Discovery) watch(c *connbuffer.Conn, from int64, token uint64) {
 	io.WriteString(c.Out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	left := make(chan struct{})
+	hungUp := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(hungUp)
 		c.SetReadDeadline(time.Time{})
 		io.Copy(io.Discard, c.In)
 	}()
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
 		doc, changed, failing := d.since(from, from == 0 && first)
-		if failing || d.overtaken(token) {
+		if failing || d.superseded(token) {
 			return
 		}
-		line := []byte{}
+		payload := []byte{}
 		if first || len(doc.Endpoints) > 0 {
-			line, _ = json.Marshal(doc)
+			payload, _ = json.Marshal(doc)
 			from = doc.Index
 		}
-		c.SetWriteDeadline(time.Now().Add(heartbeat))
-		fmt.Fprintf(c.Out, "%x\r\n%s\n\r\n", len(line)+1, line)
+		c.SetWriteDeadline(time.Now().Add(heartbeatInterval))
+		fmt.Fprintf(c.Out, "%x\r\n%s\n\r\n", len(payload)+1, payload)
 		if c.Flush() != nil {
 			return
 		}
-		if len(line) > 0 {
-			d.noteTold(doc.Endpoints)
+		if len(payload) > 0 {
+			d.notifyDelivered(doc.Endpoints)
 		}
 		select {
 		case <-changed:
-		case <-beat.C:
-		case <-left:
+		case <-heartbeat.C:
+		case <-hungUp:
 			return
-		case <-d.ended:
+		case <-d.closed:
 			return
 		}
 	}
--- a/internal/testbed/proxystandin/fleet.go
+++ b/internal/testbed/proxystandin/fleet.go
@@ -11,32 +11,32 @@
 
 // FleetOptions describe zone servers of two kinds in several halls, as the brief has them.
 type FleetOptions struct {
-	Servers   int
-	Halls     []string
-	Work      map[string]time.Duration // mean work of a request by class, on a core of speed 1
-	HalfSpeed float64                  // part of the servers that are of the slow kind
-	Waiting   int
-	Cold      Cold
-	Seed      uint64
+	Servers           int
+	Halls             []string
+	Work              map[string]time.Duration // mean work of a request by class, on a core of speed 1
+	HalfSpeedFraction float64                  // part of the servers that are of the slow kind
+	MaxQueued         int
+	WarmUp            WarmUp
+	Seed              uint64
 }
 
 // The kinds of server and their speeds.
 const (
 	Standard, HalfSpeed           = "standard", "half-speed"
 	standardSpeed, halfSpeedSpeed = 1.8, 0.9
-	coresEach                     = 2
+	coresPerServer                = 2
 )
 
 // Fleet is zone servers with the discovery that tells of them.
 type Fleet struct {
 	Discovery *Discovery
-	o         FleetOptions
+	opts      FleetOptions
 
-	mu    sync.Mutex
-	now   map[string]*member
-	all   []*Zone // ever started
-	next  int
-	ended bool
+	mu      sync.Mutex
+	running map[string]*member
+	started []*Zone // ever started
+	next    int
+	closed  bool
 }
 
 type member struct {
@@ -44,17 +44,17 @@
 	entry Endpoint
 }
 
-// inService is the status of a server that takes work.
-const inService = "in_service"
+// statusInService is the status of a server that takes work.
+const statusInService = "in_service"
 
 // StartFleet starts the servers, warm, and a discovery that lists them, on loopback.
 func StartFleet(o FleetOptions) (*Fleet, error) {
-	f := &Fleet{o: o, now: map[string]*member{}}
+	f := &Fleet{opts: o, running: map[string]*member{}}
 	var err error
 	if f.Discovery, err = StartDiscovery("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	f.Discovery.OnTold(f.noteTold)
+	f.Discovery.OnDelivered(f.recordDrainNotified)
 	for range o.Servers {
 		if _, err := f.Add(time.Time{}); err != nil {
 			f.Close()
@@ -66,7 +66,7 @@
 
 // speed is that of the n-th server: the slow ones are spread evenly over the fleet.
 func (f *Fleet) speed(n int) (kind string, speed float64) {
-	if int(float64(n+1)*f.o.HalfSpeed) > int(float64(n)*f.o.HalfSpeed) {
+	if int(float64(n+1)*f.opts.HalfSpeedFraction) > int(float64(n)*f.opts.HalfSpeedFraction) {
 		return HalfSpeed, halfSpeedSpeed
 	}
 	return Standard, standardSpeed
@@ -76,7 +76,7 @@
 func (f *Fleet) Capacity(n int) (c float64) {
 	for i := range n {
 		_, speed := f.speed(i)
-		c += speed * coresEach
+		c += speed * coresPerServer
 	}
 	return c
 }
@@ -89,17 +89,17 @@
 	f.mu.Unlock()
 	kind, speed := f.speed(n)
 	e := Endpoint{
-		Name: fmt.Sprintf("zone-%02d", n+1), Zone: f.o.Halls[n%len(f.o.Halls)], Type: kind, Group: n + 1,
-		Status: inService, Weight: speed / standardSpeed,
+		Name: fmt.Sprintf("zone-%02d", n+1), Zone: f.opts.Halls[n%len(f.opts.Halls)], Type: kind, Group: n + 1,
+		Status: statusInService, Weight: speed / standardSpeed,
 	}
 	return e.Name, f.start(n, e, speed, since)
 }
 
 func (f *Fleet) start(n int, e Endpoint, speed float64, since time.Time) error {
 	z, err := StartZone(ZoneOptions{
-		Name: e.Name, Listen: "127.0.0.1:0", Cores: coresEach, Speed: speed, Waiting: f.o.Waiting,
-		Connections: 1500, Handshake: 2 * time.Millisecond, Work: f.o.Work, Spread: 0.3, WarmFor: 5 * time.Second,
-		WarmPart: 0.5, Cold: f.o.Cold, Seed: f.o.Seed + uint64(n),
+		Name: e.Name, Listen: "127.0.0.1:0", Cores: coresPerServer, Speed: speed, MaxQueued: f.opts.MaxQueued,
+		MaxConnections: 1500, Handshake: 2 * time.Millisecond, Work: f.opts.Work, Spread: 0.3,
+		KeyCacheTTL: 5 * time.Second, CachedKeyCost: 0.5, WarmUp: f.opts.WarmUp, Seed: f.opts.Seed + uint64(n),
 	}, since)
 	if err != nil {
 		return err
@@ -110,12 +110,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ended {
+	if f.closed {
 		z.Close()
 		return errors.New("the fleet has ended")
 	}
-	f.now[e.Name] = &member{z, e}
-	f.all = append(f.all, z)
+	f.running[e.Name] = &member{z, e}
+	f.started = append(f.started, z)
 	f.Discovery.Set(e)
 	return nil
 }
@@ -124,33 +124,33 @@
 func (f *Fleet) Names() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Sorted(maps.Keys(f.now))
+	return slices.Sorted(maps.Keys(f.running))
 }
 
 func (f *Fleet) member(name string) *member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now[name]
+	return f.running[name]
 }
 
-// tell changes a server's status in the list.
-func (f *Fleet) tell(m *member, status string) {
+// publishStatus changes a server's status in the list.
+func (f *Fleet) publishStatus(m *member, status string) {
 	e := m.entry
 	e.Status = status
 	f.Discovery.Set(e)
 }
 
-// noteTold notes when a proxy was first told that nothing new may reach a server: not before discovery could
-// tell it.
-func (f *Fleet) noteTold(entries []Endpoint) {
+// recordDrainNotified notes when a proxy was first told that nothing new may reach a server: not before
+// discovery could tell it.
+func (f *Fleet) recordDrainNotified(entries []Endpoint) {
 	now := time.Now()
 	for _, entry := range entries {
-		if entry.Status == inService {
+		if entry.Status == statusInService {
 			continue
 		}
 		for _, zone := range f.Zones() {
 			if zone.Name() == entry.Name && zone.Address() == entry.Address {
-				zone.ToldFirst(now)
+				zone.RecordFirstDrainNotified(now)
 			}
 		}
 	}
@@ -159,15 +159,15 @@
 // Drain tells that a server wants nothing new; it finishes what it has. Leave ends it.
 func (f *Fleet) Drain(name string) {
 	if m := f.member(name); m != nil {
-		f.tell(m, "terminating")
+		f.publishStatus(m, "terminating")
 		m.zone.Drain()
 	}
 }
 
-// Leave ends a server and tells so.
-func (f *Fleet) Leave(name string) {
+// Terminate ends a server and tells so.
+func (f *Fleet) Terminate(name string) {
 	if m := f.remove(name); m != nil {
-		f.tell(m, "terminated")
+		f.publishStatus(m, "terminated")
 		m.zone.Close()
 	}
 }
@@ -175,8 +175,8 @@
 func (f *Fleet) remove(name string) *member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.now[name]
-	delete(f.now, name)
+	m := f.running[name]
+	delete(f.running, name)
 	return m
 }
 
@@ -188,14 +188,14 @@
 }
 
 // Crash ends a server's process without a word; Gone tells that it is gone.
-func (f *Fleet) Crash(name string) (gone func(), again func() error) {
+func (f *Fleet) Crash(name string) (announce func(), restart func() error) {
 	m := f.remove(name)
 	if m == nil {
 		return func() {}, func() error { return nil }
 	}
 	m.zone.Crash()
-	return func() { f.tell(m, "terminated") }, func() error {
-		return f.start(len(f.Zones()), m.entry, m.zone.o.Speed, time.Now())
+	return func() { f.publishStatus(m, "terminated") }, func() error {
+		return f.start(len(f.Zones()), m.entry, m.zone.opts.Speed, time.Now())
 	}
 }
 
@@ -203,14 +203,14 @@
 func (f *Fleet) Zones() []*Zone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.all)
+	return slices.Clone(f.started)
 }
 
 // RanTwice is how many unsafe requests ran more than once, whichever servers they ran on.
 func (f *Fleet) RanTwice() (n int) {
 	runs := map[string]int{}
 	for _, z := range f.Zones() {
-		for id, k := range z.Ran() {
+		for id, k := range z.Runs() {
 			if runs[id] += k; runs[id] == 2 || k > 1 && runs[id] == k {
 				n++
 			}
@@ -226,12 +226,12 @@
 		c, sum := z.Counts(), all[z.Name()]
 		sum.Requests += c.Requests
 		sum.Served += c.Served
-		sum.TurnedAway += c.TurnedAway
+		sum.Rejected += c.Rejected
 		sum.Probes += c.Probes
 		sum.Opened += c.Opened
 		sum.RanTwice += c.RanTwice
 		sum.AfterDrain += c.AfterDrain
-		sum.FellOver += c.FellOver
+		sum.Overloaded += c.Overloaded
 		all[z.Name()] = sum
 	}
 	return all
@@ -240,7 +240,7 @@
 // Close ends all servers and the discovery, and waits for their goroutines.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	f.ended = true
+	f.closed = true
 	f.mu.Unlock()
 	for _, z := range f.Zones() {
 		z.Close()
--- a/internal/testbed/proxystandin/listener.go
+++ b/internal/testbed/proxystandin/listener.go
@@ -13,6 +13,6 @@
 
 // Listen accepts connections at an address, port 0 for one that the system chooses, and runs serve for
 // each. Beyond most connections, 0 for any number, new ones are closed at once.
-func Listen(address string, most int, serve func(*connbuffer.Conn)) (*Listener, error) {
-	return connserver.Listen(address, most, serve)
+func Listen(address string, maxConns int, serve func(*connbuffer.Conn)) (*Listener, error) {
+	return connserver.Listen(address, maxConns, serve)
 }
--- a/internal/testbed/proxystandin/load.go
+++ b/internal/testbed/proxystandin/load.go
@@ -19,24 +19,24 @@
 
 // LoadOptions describe the application's requests.
 type LoadOptions struct {
-	Address string
-	Rate    float64 // requests a second, on average; arrivals are Poisson and wait for nothing
-	Classes []LoadClass
-	Tenants []string
-	Keys    int // distinct keys, a few far more popular than the rest
-	Open    int // connections at once; an arrival beyond them fails here and is told apart
-	Seed    uint64
-	IDs     string // what ids begin with
+	Address        string
+	Rate           float64 // requests a second, on average; arrivals are Poisson and wait for nothing
+	Classes        []LoadClass
+	Tenants        []string
+	Keys           int // distinct keys, a few far more popular than the rest
+	MaxConnections int // connections at once; an arrival beyond them fails here and is told apart
+	Seed           uint64
+	IDPrefix       string // what ids begin with
 }
 
 // LoadClass is one class of requests.
 type LoadClass struct {
-	Name     string
-	Share    float64 // of the requests
-	Aim      time.Duration
-	Deadline time.Duration
-	Worth    float64
-	Unsafe   bool // must not run twice: POST
+	Name          string
+	Fraction      float64 // of the requests
+	LatencyTarget time.Duration
+	Deadline      time.Duration
+	Value         float64
+	Unsafe        bool // must not run twice: POST
 }
 
 // answerSlack is how long after its deadline an answer still counts as given in time.
@@ -45,11 +45,11 @@
 // Load sends requests at a rate whatever becomes of them, and counts what does. Times are taken from when
 // a request was due, so that a stall is not hidden by arrivals that waited for it.
 type Load struct {
-	o     LoadOptions
-	tally *Tally
-	rng   *rand.Rand
-	zipf  *rand.Zipf
-	all   sync.WaitGroup
+	opts     LoadOptions
+	tally    *Tally
+	rng      *rand.Rand
+	zipf     *rand.Zipf
+	inFlight sync.WaitGroup
 
 	mu   sync.Mutex
 	idle []*connbuffer.Conn
@@ -58,14 +58,14 @@
 
 // NewLoad returns a load that sends nothing yet.
 func NewLoad(o LoadOptions) *Load {
-	if o.Open <= 0 {
-		o.Open = 256
+	if o.MaxConnections <= 0 {
+		o.MaxConnections = 256
 	}
-	if o.IDs == "" {
-		o.IDs = "r"
+	if o.IDPrefix == "" {
+		o.IDPrefix = "r"
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 0x2545f491))
-	return &Load{o: o, tally: NewTally(), rng: rng, zipf: rand.NewZipf(rng, 1.1, 4, uint64(max(o.Keys, 1)-1))}
+	return &Load{opts: o, tally: NewTally(), rng: rng, zipf: rand.NewZipf(rng, 1.1, 4, uint64(max(o.Keys, 1)-1))}
 }
 
 // Tally is what has become of the requests so far.
@@ -77,144 +77,144 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for n := 0; ; n++ {
-		due = due.Add(time.Duration(l.rng.ExpFloat64() / l.o.Rate * float64(time.Second)))
+		due = due.Add(time.Duration(l.rng.ExpFloat64() / l.opts.Rate * float64(time.Second)))
 		timer.Reset(time.Until(due))
 		select {
 		case <-ctx.Done():
-			l.all.Wait()
+			l.inFlight.Wait()
 			l.closeIdle()
 			return
 		case <-timer.C:
 		}
-		l.tally.lag(time.Since(due))
-		class := l.class()
-		q := l.request(class, n)
-		l.all.Add(1)
+		l.tally.recordLag(time.Since(due))
+		class := l.drawClass()
+		req := l.newRequest(class, n)
+		l.inFlight.Add(1)
 		go func(due time.Time) { // the loop goes on with its own
-			defer l.all.Done()
-			l.one(class, q, due)
+			defer l.inFlight.Done()
+			l.send(class, req, due)
 		}(due)
 	}
 }
 
-func (l *Load) class() *LoadClass {
+func (l *Load) drawClass() *LoadClass {
 	x := l.rng.Float64()
-	for i := range l.o.Classes {
-		if x -= l.o.Classes[i].Share; x < 0 {
-			return &l.o.Classes[i]
+	for i := range l.opts.Classes {
+		if x -= l.opts.Classes[i].Fraction; x < 0 {
+			return &l.opts.Classes[i]
 		}
 	}
-	return &l.o.Classes[len(l.o.Classes)-1]
+	return &l.opts.Classes[len(l.opts.Classes)-1]
 }
 
-func (l *Load) request(c *LoadClass, n int) *http1.Request {
+func (l *Load) newRequest(c *LoadClass, n int) *http1.Request {
 	method := "GET"
 	if c.Unsafe {
 		method = "POST"
 	}
 	h := http1.Header{
 		{Name: "Host", Value: "backend.local"},
-		{Name: "X-Request-ID", Value: l.o.IDs + "-" + strconv.Itoa(n)},
+		{Name: "X-Request-ID", Value: l.opts.IDPrefix + "-" + strconv.Itoa(n)},
 		{Name: "X-Priority-Class", Value: c.Name},
 	}
-	if len(l.o.Tenants) > 0 {
-		h = append(h, http1.Field{Name: "X-Tenant-Id", Value: l.o.Tenants[l.rng.IntN(len(l.o.Tenants))]})
+	if len(l.opts.Tenants) > 0 {
+		h = append(h, http1.Field{Name: "X-Tenant-Id", Value: l.opts.Tenants[l.rng.IntN(len(l.opts.Tenants))]})
 	}
 	return &http1.Request{Method: method, Target: fmt.Sprintf("/api?key=%016x", l.zipf.Uint64()+1), Header: h}
 }
 
-// one sends a request and counts what comes of it.
-func (l *Load) one(class *LoadClass, q *http1.Request, due time.Time) {
-	until := due.Add(class.Deadline)
-	left := strconv.FormatFloat(time.Until(until).Seconds(), 'f', 3, 64)
-	q.Header = append(q.Header, http1.Field{Name: "X-Timeout", Value: left})
-	a, c, err := l.exchange(q, until.Add(answerSlack))
+// send sends a request and counts what comes of it.
+func (l *Load) send(class *LoadClass, req *http1.Request, due time.Time) {
+	deadline := due.Add(class.Deadline)
+	timeout := strconv.FormatFloat(time.Until(deadline).Seconds(), 'f', 3, 64)
+	req.Header = append(req.Header, http1.Field{Name: "X-Timeout", Value: timeout})
+	resp, c, err := l.exchange(req, deadline.Add(answerSlack))
 	took := time.Since(due)
-	id := q.Header.Get("X-Request-ID")
-	o := Outcome{Class: class, Took: took}
+	id := req.Header.Get("X-Request-ID")
+	outcome := Outcome{Class: class, Latency: took}
 	switch {
-	case errors.Is(err, errNoPlace):
-		o.Kind = NotSent
+	case errors.Is(err, errNoConnection):
+		outcome.Kind = NotSent
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		o.Kind = NoAnswer
+		outcome.Kind = NoAnswer
 	case err != nil:
-		o.Kind = Unreachable
-		if !errors.Is(err, errNotTaken) { // taken, and then cut off
-			o.Kind = NoAnswer
+		outcome.Kind = Unreachable
+		if !errors.Is(err, errNotSent) { // taken, and then cut off
+			outcome.Kind = NoAnswer
 		}
-	case a.Status == 200:
-		o.Kind = Served
-		o.Wrong = !strings.HasPrefix(string(a.Body), id+" ")
-		if _, server, ok := strings.Cut(strings.TrimSpace(string(a.Body)), " served by "); ok {
-			o.Server = server
+	case resp.Status == 200:
+		outcome.Kind = Served
+		outcome.Mismatched = !strings.HasPrefix(string(resp.Body), id+" ")
+		if _, server, ok := strings.Cut(strings.TrimSpace(string(resp.Body)), " served by "); ok {
+			outcome.Server = server
 		}
-	case a.Status == 429 || a.Status == 503:
-		o.Kind = Refused
+	case resp.Status == 429 || resp.Status == 503:
+		outcome.Kind = Refused
 	default:
-		o.Kind = Failed
+		outcome.Kind = Failed
 	}
 	if c != nil {
-		o.Second = c.In.Buffered() > 0
-		l.give(c, err == nil && !a.Close && !o.Second)
+		outcome.ExtraAnswer = c.In.Buffered() > 0
+		l.release(c, err == nil && !resp.Close && !outcome.ExtraAnswer)
 	}
-	l.tally.add(o)
+	l.tally.add(outcome)
 }
 
 var (
-	errNoPlace  = errors.New("no connection left")
-	errNotTaken = errors.New("the request was not taken")
+	errNoConnection = errors.New("no connection left")
+	errNotSent      = errors.New("the request was not taken")
 )
 
 // exchange sends one request and reads its answer. Where the other side closed a resting connection just
 // as the request was on its way, it is sent once more on a new one, as the protocol has it.
-func (l *Load) exchange(q *http1.Request, until time.Time) (*http1.Response, *connbuffer.Conn, error) {
+func (l *Load) exchange(req *http1.Request, deadline time.Time) (*http1.Response, *connbuffer.Conn, error) {
 	for {
-		c, used, err := l.take(until)
+		c, reused, err := l.acquire(deadline)
 		if err != nil {
 			return nil, nil, err
 		}
-		c.SetDeadline(until)
-		err = q.Write(c.Out)
+		c.SetDeadline(deadline)
+		err = req.Write(c.Out)
 		if err == nil {
 			err = c.Flush()
 		}
-		var a *http1.Response
+		var resp *http1.Response
 		if err == nil {
 			if _, err = c.In.Peek(1); err == nil {
-				a, err = http1.ReadResponse(c.In)
-				return a, c, err
+				resp, err = http1.ReadResponse(c.In)
+				return resp, c, err
 			}
 		}
-		if used && !errors.Is(err, os.ErrDeadlineExceeded) {
-			l.give(c, false)
+		if reused && !errors.Is(err, os.ErrDeadlineExceeded) {
+			l.release(c, false)
 			continue
 		}
-		return a, c, err
+		return resp, c, err
 	}
 }
 
-// take returns a connection that rests, or a new one.
-func (l *Load) take(until time.Time) (c *connbuffer.Conn, used bool, err error) {
+// acquire returns a connection that rests, or a new one.
+func (l *Load) acquire(deadline time.Time) (c *connbuffer.Conn, reused bool, err error) {
 	for {
 		l.mu.Lock()
 		if n := len(l.idle); n > 0 {
 			c, l.idle = l.idle[n-1], l.idle[:n-1]
 		}
-		full := c == nil && l.open >= l.o.Open
-		if c == nil && !full {
+		exhausted := c == nil && l.open >= l.opts.MaxConnections
+		if c == nil && !exhausted {
 			l.open++
 		}
 		l.mu.Unlock()
 		switch {
-		case full:
-			return nil, false, errNoPlace
+		case exhausted:
+			return nil, false, errNoConnection
 		case c == nil:
-			nc, err := (&net.Dialer{Deadline: until, KeepAlive: -1}).Dial("tcp", l.o.Address)
+			nc, err := (&net.Dialer{Deadline: deadline, KeepAlive: -1}).Dial("tcp", l.opts.Address)
 			if err != nil {
 				l.mu.Lock()
 				l.open--
 				l.mu.Unlock()
-				return nil, false, errors.Join(errNotTaken, err)
+				return nil, false, errors.Join(errNotSent, err)
 			}
 			return connbuffer.NewConn(nc), false, nil
 		case c.Quiet():
@@ -223,17 +223,17 @@
 		// It closed while it rested, or something came that nobody asked for.
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := c.In.Peek(1); err == nil {
-			l.tally.second()
+			l.tally.addExtraAnswer()
 		}
-		l.give(c, false)
+		l.release(c, false)
 		c = nil
 	}
 }
 
-func (l *Load) give(c *connbuffer.Conn, again bool) {
+func (l *Load) release(c *connbuffer.Conn, reusable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if again {
+	if reusable {
 		l.idle = append(l.idle, c)
 		return
 	}
--- a/internal/testbed/proxystandin/sink.go
+++ b/internal/testbed/proxystandin/sink.go
@@ -26,11 +26,11 @@
 
 // SinkLine is an entry's sum of one class and final answer.
 type SinkLine struct {
-	Class  string `json:"class"`
-	Answer string `json:"answer"`
-	N      int64  `json:"n"`
-	In     int64  `json:"bytes_in"`
-	Out    int64  `json:"bytes_out"`
+	Class    string `json:"class"`
+	Answer   string `json:"answer"`
+	Count    int64  `json:"n"`
+	BytesIn  int64  `json:"bytes_in"`
+	BytesOut int64  `json:"bytes_out"`
 }
 
 // SinkCall is one call that the sink saw.
@@ -43,70 +43,70 @@
 	Repeated int
 }
 
-// SinkTrouble is how the sink goes wrong.
-type SinkTrouble struct {
+// SinkFault is how the sink goes wrong.
+type SinkFault struct {
 	Status  int           // answers this and stores nothing; 0 for none
-	Slow    time.Duration // before it answers, after it has stored
+	Delay   time.Duration // before it answers, after it has stored
 	Reset   bool          // stores, and resets the connection instead of answering
 	Garbage bool          // stores, and answers what makes no sense
 }
 
 // Bounds of what the sink takes and keeps.
 const (
-	sinkBody  = 8 << 20
-	sinkCalls = 1 << 20
+	maxSinkBody  = 8 << 20
+	maxSinkCalls = 1 << 20
 )
 
 // Sink is the billing service that takes exports of the ledger: POST /entries with an array of SinkEntry and
 // a fencing token. It keeps the highest token seen, refuses lower ones with 409, and answers an entry that it
 // has with "repeated" without storing it twice.
 type Sink struct {
-	l net.Listener
-	s http.Server
-
-	mu       sync.Mutex
-	fence    lease.Fence
-	entries  map[string]SinkEntry
-	calls    []SinkCall
-	trouble  SinkTrouble
-	differed int // entries that came again with other content, refused with 422
+	listener net.Listener
+	server   http.Server
+
+	mu        sync.Mutex
+	fence     lease.Fence
+	entries   map[string]SinkEntry
+	calls     []SinkCall
+	fault     SinkFault
+	conflicts int // entries that came again with other content, refused with 422
 }
 
 // StartSink starts an empty sink.
 func StartSink(address string) (*Sink, error) {
 	s := &Sink{entries: map[string]SinkEntry{}}
 	var err error
-	if s.l, err = net.Listen("tcp", address); err != nil {
+	if s.listener, err = net.Listen("tcp", address); err != nil {
 		return nil, err
 	}
-	s.s = http.Server{Handler: http.HandlerFunc(s.serve), ReadTimeout: 10 * time.Second,
+	s.server = http.Server{Handler: http.HandlerFunc(s.serve), ReadTimeout: 10 * time.Second,
 		WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute}
-	go s.s.Serve(s.l)
+	go s.server.Serve(s.listener)
 	return s, nil
 }
 
 // Address is where it listens.
-func (s *Sink) Address() string { return s.l.Addr().String() }
+func (s *Sink) Address() string { return s.listener.Addr().String() }
 
 // Close ends it.
-func (s *Sink) Close() { s.s.Close() }
+func (s *Sink) Close() { s.server.Close() }
 
-// Trouble has calls go wrong from now on.
-func (s *Sink) Trouble(t SinkTrouble) {
+// SetFault has calls go wrong from now on.
+func (s *Sink) SetFault(t SinkFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
+	s.fault = t
 }
 
 // Entries are those stored, by id.
 func (s *Sink) Entries() map[string]SinkEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]SinkEntry, len(s.entries))
+	entries := make(map[string]SinkEntry, len(s.entries))
 	for id, e := range s.entries {
-		out[id] = e
+		entries[id] = e
 	}
-	return out
+	return entries
 }
 
 // Calls are all calls so far, in the order they were decided on.
@@ -116,57 +116,57 @@
 	return slices.Clone(s.calls)
 }
 
-// Differed is how many entries came again with other content.
-func (s *Sink) Differed() int {
+// Conflicts is how many entries came again with other content.
+func (s *Sink) Conflicts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.differed
+	return s.conflicts
 }
 
-func (s *Sink) serve(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != "/entries" || q.Method != http.MethodPost {
+func (s *Sink) serve(w http.ResponseWriter, req *http.Request) {
+	if req.URL.Path != "/entries" || req.Method != http.MethodPost {
 		http.Error(w, "there is POST /entries alone", http.StatusNotFound)
 		return
 	}
 	call := SinkCall{At: time.Now(), Status: http.StatusOK}
 	var entries []SinkEntry
-	token, err := lease.ParseToken(q.Header.Get(lease.TokenHeader))
+	token, err := lease.ParseToken(req.Header.Get(lease.TokenHeader))
 	if err == nil {
-		err = json.NewDecoder(http.MaxBytesReader(w, q.Body, sinkBody)).Decode(&entries)
+		err = json.NewDecoder(http.MaxBytesReader(w, req.Body, maxSinkBody)).Decode(&entries)
 	}
 	if err == nil {
-		err = sensible(entries)
+		err = validateEntries(entries)
 	}
 	call.Token, call.Entries = token, len(entries)
 	s.mu.Lock()
-	trouble := s.trouble
-	why := ""
+	fault := s.fault
+	problem := ""
 	switch {
 	case err != nil:
-		call.Status, why = http.StatusBadRequest, err.Error()
-	case trouble.Status != 0:
-		call.Status, why = trouble.Status, "in trouble"
+		call.Status, problem = http.StatusBadRequest, err.Error()
+	case fault.Status != 0:
+		call.Status, problem = fault.Status, "in trouble"
 	default:
 		if err := s.fence.Admit(token); err != nil {
-			call.Status, why = http.StatusConflict, err.Error()
+			call.Status, problem = http.StatusConflict, err.Error()
 			break
 		}
-		if why = s.store(entries, &call); why != "" {
+		if problem = s.store(entries, &call); problem != "" {
 			call.Status = http.StatusUnprocessableEntity
 		}
 	}
-	if s.calls = append(s.calls, call); len(s.calls) > sinkCalls {
-		s.calls = slices.Delete(s.calls, 0, sinkCalls/2)
+	if s.calls = append(s.calls, call); len(s.calls) > maxSinkCalls {
+		s.calls = slices.Delete(s.calls, 0, maxSinkCalls/2)
 	}
 	s.mu.Unlock()
-	time.Sleep(trouble.Slow)
+	time.Sleep(fault.Delay)
 	switch {
-	case trouble.Reset:
+	case fault.Reset:
 		panic(http.ErrAbortHandler)
-	case trouble.Garbage:
+	case fault.Garbage:
 		fmt.Fprint(w, `{"stored": "many`)
 	case call.Status != http.StatusOK:
-		http.Error(w, why, call.Status)
+		http.Error(w, problem, call.Status)
 	default:
 		fmt.Fprintf(w, "{\"stored\":%d,\"repeated\":%d}\n", call.Stored, call.Repeated)
 	}
@@ -176,7 +176,7 @@
 func (s *Sink) store(entries []SinkEntry, call *SinkCall) string {
 	for _, e := range entries {
 		if old, ok := s.entries[e.ID]; ok && !reflect.DeepEqual(old, e) {
-			s.differed++
+			s.conflicts++
 			return fmt.Sprintf("entry %q differs from what is stored", e.ID)
 		}
 	}
@@ -191,8 +191,8 @@
 	return ""
 }
 
-// sensible tells what is wrong with entries, naming the first.
-func sensible(entries []SinkEntry) error {
+// validateEntries tells what is wrong with entries, naming the first.
+func validateEntries(entries []SinkEntry) error {
 	ids := map[string]bool{}
 	for i, e := range entries {
 		switch {
@@ -229,7 +229,7 @@
 		err = fmt.Errorf("%d calls of stale owners were taken", stale)
 	case stored != entries:
 		err = fmt.Errorf("%d entries were stored, and there are %d", stored, entries)
-	case s.Differed() > 0:
+	case s.Conflicts() > 0:
 		err = errors.New("an entry came again with other content")
 	}
 	return stale, refused, err
--- a/internal/testbed/proxystandin/standin_test.go
+++ b/internal/testbed/proxystandin/standin_test.go
@@ -71,7 +71,7 @@
 
 // One is worked on, one waits, the third is turned away unseen; what is turned away never ran.
 func TestZoneTurnsAwayWhatFindsItFull(t *testing.T) {
-	z := zone(t, ZoneOptions{Waiting: 1, Work: map[string]time.Duration{"rider": time.Hour}})
+	z := zone(t, ZoneOptions{MaxQueued: 1, Work: map[string]time.Duration{"rider": time.Hour}})
 	for i := range 2 {
 		c := dial(t, z.Address())
 		go io.Copy(io.Discard, c)
@@ -86,7 +86,7 @@
 	if a.Status != 503 || a.Header.Get("X-Not-Processed") != "1" || report != "inflight=2,queue=1,util=1.00" {
 		t.Errorf("%d, %s", a.Status, report)
 	}
-	if ran := z.Ran(); len(ran) > 1 || ran["third"] != 0 {
+	if ran := z.Runs(); len(ran) > 1 || ran["third"] != 0 {
 		t.Errorf("ran: %v", ran)
 	}
 }
@@ -98,21 +98,21 @@
 	for range 2 {
 		ask(t, c, "/", "same", "rider")
 	}
-	z.Told(time.Now().Add(-DrainGrace - time.Second))
+	z.RecordDrainNotified(time.Now().Add(-DrainGrace - time.Second))
 	ask(t, c, "/", "late", "rider")
-	f := &Fleet{all: []*Zone{z, z}} // an id that ran on two servers ran twice
+	f := &Fleet{started: []*Zone{z, z}} // an id that ran on two servers ran twice
 	if n := z.Counts(); n.RanTwice != 1 || n.AfterDrain != 1 || f.RanTwice() != 2 {
 		t.Errorf("%+v, over the fleet %d", n, f.RanTwice())
 	}
 	cold := zone(t, ZoneOptions{Cores: 1, Work: map[string]time.Duration{"a": 50 * time.Millisecond},
-		Cold: Cold{Start: 0.1, Warm: time.Hour, Multiple: 1, After: time.Hour}})
+		WarmUp: WarmUp{StartFraction: 0.1, Duration: time.Hour, OverloadMultiple: 1, OverloadAfter: time.Hour}})
 	cold.started = time.Now()
 	now := time.Now()
-	cold.window = now
+	cold.overloadWindowStart = now
 	for range 3 { // of an hour's capacity a quarter, a half, and more than all with one request in hand
-		cold.push(time.Hour, now)
+		cold.recordArrival(time.Hour, now)
 	}
-	if n := cold.Counts(); n.FellOver != 1 {
+	if n := cold.Counts(); n.Overloaded != 1 {
 		t.Errorf("%+v", n)
 	}
 	if a := ask(t, dial(t, cold.Address()), "/", "x", "a"); a.Status != 503 {
@@ -152,7 +152,7 @@
 		second.Endpoints[0].Status != "terminated" || second.Index != 3 {
 		t.Errorf("%+v, %+v", first, second)
 	}
-	for i := range kept + 1 { // who asks from before what is remembered gets all
+	for i := range maxChanges + 1 { // who asks from before what is remembered gets all
 		d.Set(Endpoint{Name: "b", Group: i, Status: "in_service"})
 	}
 	if doc, _, _ := d.since(2, false); !doc.Snapshot || len(doc.Endpoints) != 1 {
@@ -191,8 +191,9 @@
 		t.Fatal(err)
 	}
 	defer l.Close(false)
-	load := NewLoad(LoadOptions{Address: l.Address(), Rate: 500, IDs: "a", Open: 50, Classes: []LoadClass{
-		{Name: "x", Share: 1, Aim: time.Hour, Deadline: patience, Worth: 2}}})
+	load := NewLoad(LoadOptions{Address: l.Address(), Rate: 500, IDPrefix: "a", MaxConnections: 50,
+		Classes: []LoadClass{
+			{Name: "x", Fraction: 1, LatencyTarget: time.Hour, Deadline: patience, Value: 2}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for load.Tally().Totals().Offered < 20 {
@@ -203,11 +204,11 @@
 	load.Run(ctx)
 	got := load.Tally().Totals()
 	sum := 0
-	for _, n := range got.By {
+	for _, n := range got.ByKind {
 		sum += n
 	}
-	if got.By[Served] != 2 || got.By[Failed] != 1 || got.By[NoAnswer] != 1 || got.Wrong != 1 ||
-		got.By[Refused] != got.Offered-4 || sum != got.Offered || got.Servers["z"] != 1 || got.InTime != 2 {
+	if got.ByKind[Served] != 2 || got.ByKind[Failed] != 1 || got.ByKind[NoAnswer] != 1 || got.Mismatched != 1 ||
+		got.ByKind[Refused] != got.Offered-4 || sum != got.Offered || got.Servers["z"] != 1 || got.InTime != 2 {
 		t.Errorf("%+v", got)
 	}
 	if !strings.HasPrefix(fmt.Sprint(load.idle), "[]") || load.open != 0 {
@@ -227,7 +228,7 @@
 	told := func() time.Time {
 		zone.mu.Lock()
 		defer zone.mu.Unlock()
-		return zone.told
+		return zone.drainNotifiedAt
 	}
 	list := func() int {
 		c, err := net.Dial("tcp", f.Discovery.Address())
--- a/internal/testbed/proxystandin/zone.go
+++ b/internal/testbed/proxystandin/zone.go
@@ -14,65 +14,65 @@
 
 // ZoneOptions describe one zone server.
 type ZoneOptions struct {
-	Name        string
-	Listen      string                   // host:port; port 0 lets the system choose
-	Cores       int                      // requests worked on at once
-	Speed       float64                  // yardstick 1
-	Waiting     int                      // places to wait in; beyond them requests are turned away unseen
-	Connections int                      // open at once; 0 is any number
-	Handshake   time.Duration            // work that a new connection costs
-	Work        map[string]time.Duration // mean work of a request by class, on a core of speed 1
-	Spread      float64                  // work varies from 1-Spread to 1+Spread times the mean
-	WarmFor     time.Duration            // a key met within this time ...
-	WarmPart    float64                  // ... costs this part of the work; 0 or 1 for no difference
-	Cold        Cold
-	Seed        uint64
-	Idle        time.Duration // a connection that rests for so long is closed; 0 is 5 s
+	Name           string
+	Listen         string                   // host:port; port 0 lets the system choose
+	Cores          int                      // requests worked on at once
+	Speed          float64                  // yardstick 1
+	MaxQueued      int                      // places to wait in; beyond them requests are turned away unseen
+	MaxConnections int                      // open at once; 0 is any number
+	Handshake      time.Duration            // work that a new connection costs
+	Work           map[string]time.Duration // mean work of a request by class, on a core of speed 1
+	Spread         float64                  // work varies from 1-Spread to 1+Spread times the mean
+	KeyCacheTTL    time.Duration            // a key met within this time ...
+	CachedKeyCost  float64                  // ... costs this part of the work; 0 or 1 for no difference
+	WarmUp         WarmUp
+	Seed           uint64
+	IdleTimeout    time.Duration // a connection that rests for so long is closed; 0 is 5 s
 }
 
-// Cold is how a server that has just started behaves.
-type Cold struct {
-	Start    float64       // part of its capacity at the start; 0 is warm at once
-	Warm     time.Duration // full capacity after this
-	Multiple float64       // sent more than this multiple of its capacity ...
-	After    time.Duration // ... for so long, it falls over
+// WarmUp is how a server that has just started behaves.
+type WarmUp struct {
+	StartFraction    float64       // part of its capacity at the start; 0 is warm at once
+	Duration         time.Duration // full capacity after this
+	OverloadMultiple float64       // sent more than this multiple of its capacity ...
+	OverloadAfter    time.Duration // ... for so long, it falls over
 }
 
 // Zone is a zone server: HTTP/1.1 as the protocol has it, work done by waiting.
 type Zone struct {
-	o  ZoneOptions
-	l  *Listener
-	mu sync.Mutex
+	opts     ZoneOptions
+	listener *Listener
+	mu       sync.Mutex
 	zoneState
 }
 
 // zoneState is guarded by the zone's lock.
 type zoneState struct {
-	rng      *rand.Rand
-	started  time.Time // of this process; zero is long ago
-	working  int
-	waiting  []chan bool // true: go on; false: turned away
-	paused   time.Time   // works on nothing until then
-	draining bool
-	ended    bool
-	told     time.Time            // when its drain or end was told to the proxies
-	met      map[string]time.Time // keys
-	window   time.Time            // in which arrivals of a cold server are summed up
-	arrived  time.Duration        // work in it
-	counts   ZoneCounts
-	ran      map[string]int // by id, how often an unsafe request ran
+	rng                 *rand.Rand
+	started             time.Time // of this process; zero is long ago
+	running             int
+	queue               []chan bool // true: go on; false: turned away
+	pausedUntil         time.Time   // works on nothing until then
+	draining            bool
+	ended               bool
+	drainNotifiedAt     time.Time            // when its drain or end was told to the proxies
+	keyLastSeen         map[string]time.Time // keys
+	overloadWindowStart time.Time            // in which arrivals of a cold server are summed up
+	arrivedWork         time.Duration        // work in it
+	counts              ZoneCounts
+	runs                map[string]int // by id, how often an unsafe request ran
 }
 
 // ZoneCounts are what a zone server saw.
 type ZoneCounts struct {
 	Requests   int `json:"requests"`    // received whole
 	Served     int `json:"served"`      // answered 200
-	TurnedAway int `json:"turned_away"` // never ran
+	Rejected   int `json:"turned_away"` // never ran
 	Probes     int `json:"probes"`
 	Opened     int `json:"opened"`      // connections
 	RanTwice   int `json:"ran_twice"`   // unsafe requests that ran before, here
 	AfterDrain int `json:"after_drain"` // received later than the grace after the drain was told
-	FellOver   int `json:"fell_over"`   // times it was pushed over while cold
+	Overloaded int `json:"fell_over"`   // times it was pushed over while cold
 }
 
 // maxRemembered bounds the ids and keys that a server remembers.
@@ -80,26 +80,26 @@
 
 // StartZone starts a zone server. since is its start as discovery tells it, zero for long ago.
 func StartZone(o ZoneOptions, since time.Time) (*Zone, error) {
-	if o.Cores <= 0 || o.Speed <= 0 || o.Waiting < 0 || o.Spread < 0 || o.Spread > 1 {
+	if o.Cores <= 0 || o.Speed <= 0 || o.MaxQueued < 0 || o.Spread < 0 || o.Spread > 1 {
 		return nil, fmt.Errorf("zone %s: cores and speed must be above 0, waiting not below, spread 0 to 1", o.Name)
 	}
-	if o.Idle <= 0 {
-		o.Idle = 5 * time.Second
+	if o.IdleTimeout <= 0 {
+		o.IdleTimeout = 5 * time.Second
 	}
-	z := &Zone{o: o, zoneState: zoneState{
-		rng: rand.New(rand.NewPCG(o.Seed, 0x5bd1e995)), started: since, met: map[string]time.Time{},
-		ran: map[string]int{},
+	z := &Zone{opts: o, zoneState: zoneState{
+		rng: rand.New(rand.NewPCG(o.Seed, 0x5bd1e995)), started: since, keyLastSeen: map[string]time.Time{},
+		runs: map[string]int{},
 	}}
 	var err error
-	z.l, err = Listen(o.Listen, o.Connections, z.serve)
+	z.listener, err = Listen(o.Listen, o.MaxConnections, z.serve)
 	return z, err
 }
 
 // Address is where it listens.
-func (z *Zone) Address() string { return z.l.Address() }
+func (z *Zone) Address() string { return z.listener.Address() }
 
 // Name is what it is called.
-func (z *Zone) Name() string { return z.o.Name }
+func (z *Zone) Name() string { return z.opts.Name }
 
 // Started is when its process started; zero is long ago.
 func (z *Zone) Started() time.Time { return z.started }
@@ -111,12 +111,12 @@
 	return z.counts
 }
 
-// Ran returns how often each unsafe request ran here, by id.
-func (z *Zone) Ran() map[string]int {
+// Runs returns how often each unsafe request ran here, by id.
+func (z *Zone) Runs() map[string]int {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	all := make(map[string]int, len(z.ran))
-	for id, n := range z.ran {
+	all := make(map[string]int, len(z.runs))
+	for id, n := range z.runs {
 		all[id] = n
 	}
 	return all
@@ -129,112 +129,112 @@
 	z.mu.Unlock()
 }
 
-// Told notes when the proxies were told that nothing new may reach it.
-func (z *Zone) Told(at time.Time) {
+// RecordDrainNotified notes when the proxies were told that nothing new may reach it.
+func (z *Zone) RecordDrainNotified(at time.Time) {
 	z.mu.Lock()
-	z.told = at
+	z.drainNotifiedAt = at
 	z.mu.Unlock()
 }
 
-// ToldFirst is Told unless an earlier time was noted.
-func (z *Zone) ToldFirst(at time.Time) {
+// RecordFirstDrainNotified is RecordDrainNotified unless an earlier time was noted.
+func (z *Zone) RecordFirstDrainNotified(at time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.told.IsZero() {
-		z.told = at
+	if z.drainNotifiedAt.IsZero() {
+		z.drainNotifiedAt = at
 	}
 }
 
 // Pause has it stand still.
 func (z *Zone) Pause(d time.Duration) {
 	z.mu.Lock()
-	z.paused = time.Now().Add(d)
+	z.pausedUntil = time.Now().Add(d)
 	z.mu.Unlock()
 }
 
 // Crash ends it as a process that dies: its connections are reset.
-func (z *Zone) Crash() { z.end(true) }
+func (z *Zone) Crash() { z.shutDown(true) }
 
 // Close ends it.
-func (z *Zone) Close() { z.end(false) }
+func (z *Zone) Close() { z.shutDown(false) }
 
-func (z *Zone) end(reset bool) {
+func (z *Zone) shutDown(reset bool) {
 	z.mu.Lock()
 	z.draining, z.ended = true, true
-	for _, w := range z.waiting {
+	for _, w := range z.queue {
 		w <- false
 	}
-	z.waiting = nil
+	z.queue = nil
 	z.mu.Unlock()
-	z.l.Close(reset)
+	z.listener.Close(reset)
 }
 
 // capacity is the part of its full capacity that it has now.
 func (z *Zone) capacity(now time.Time) float64 {
-	c := z.o.Cold
-	if c.Start <= 0 || c.Warm <= 0 || z.started.IsZero() {
+	warmUp := z.opts.WarmUp
+	if warmUp.StartFraction <= 0 || warmUp.Duration <= 0 || z.started.IsZero() {
 		return 1
 	}
-	age := now.Sub(z.started).Seconds() / c.Warm.Seconds()
-	return min(1, c.Start+(1-c.Start)*max(age, 0))
+	age := now.Sub(z.started).Seconds() / warmUp.Duration.Seconds()
+	return min(1, warmUp.StartFraction+(1-warmUp.StartFraction)*max(age, 0))
 }
 
 func (z *Zone) serve(c *connbuffer.Conn) {
 	z.mu.Lock()
 	z.counts.Opened++
 	z.mu.Unlock()
-	time.Sleep(z.o.Handshake)
+	time.Sleep(z.opts.Handshake)
 	for {
-		c.SetDeadline(time.Now().Add(z.o.Idle))
-		q, err := http1.ReadRequest(c.In)
+		c.SetDeadline(time.Now().Add(z.opts.IdleTimeout))
+		req, err := http1.ReadRequest(c.In)
 		if err != nil {
 			return
 		}
 		c.SetDeadline(time.Time{})
-		a := z.answer(q, time.Now())
-		if a == nil {
+		resp := z.respond(req, time.Now())
+		if resp == nil {
 			return
 		}
-		c.SetWriteDeadline(time.Now().Add(z.o.Idle))
-		if a.Write(c.Out) != nil || c.Flush() != nil || a.Close {
+		c.SetWriteDeadline(time.Now().Add(z.opts.IdleTimeout))
+		if resp.Write(c.Out) != nil || c.Flush() != nil || resp.Close {
 			return
 		}
 	}
 }
 
 var (
-	liveAnswer = &http1.Response{Status: 200}
-	notRun     = &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
+	liveResponse = &http1.Response{Status: 200}
+	notProcessed = &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
 )
 
-// answer serves one request; nil where the server ended meanwhile.
-func (z *Zone) answer(q *http1.Request, now time.Time) *http1.Response {
-	switch q.Target {
+// respond serves one request; nil where the server ended meanwhile.
+func (z *Zone) respond(req *http1.Request, now time.Time) *http1.Response {
+	switch req.Target {
 	case "/health/live":
-		return liveAnswer
+		return liveResponse
 	case "/stats":
-		return &http1.Response{Status: 200, Body: []byte(z.report(now))}
+		return &http1.Response{Status: 200, Body: []byte(z.loadReport(now))}
 	}
-	id, class := q.Header.Get("X-Request-ID"), q.Header.Get("X-Priority-Class")
+	id, class := req.Header.Get("X-Request-ID"), req.Header.Get("X-Priority-Class")
 	if id == "" {
 		return &http1.Response{Status: 404}
 	}
-	work, turn, ok := z.admit(id, class, q.Target, now)
+	work, turn, ok := z.admit(id, class, req.Target, now)
 	if !ok {
-		return notRun
+		return notProcessed
 	}
 	if turn != nil && !<-turn {
-		return notRun
+		return notProcessed
 	}
-	z.begin(id, class)
-	if !z.work(work) {
+	z.recordRun(id, class)
+	if !z.execute(work) {
 		return nil
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.leave()
+	z.releaseCore()
 	z.counts.Served++
-	return &http1.Response{Status: 200, Body: []byte(id + " served by " + z.o.Name + "\n")}
+	return &http1.Response{Status: 200, Body: []byte(id + " served by " + z.opts.Name + "\n")}
 }
 
 // admit takes a request in: at once, or after its turn has come.
@@ -242,95 +242,96 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.counts.Requests++
-	if !z.told.IsZero() && now.Sub(z.told) > DrainGrace {
+	if !z.drainNotifiedAt.IsZero() && now.Sub(z.drainNotifiedAt) > DrainGrace {
 		z.counts.AfterDrain++
 	}
-	work = z.draw(class, target, now)
-	z.push(work, now)
-	if z.draining || z.working >= z.o.Cores && len(z.waiting) >= z.o.Waiting {
-		z.counts.TurnedAway++
+	work = z.drawWork(class, target, now)
+	z.recordArrival(work, now)
+	if z.draining || z.running >= z.opts.Cores && len(z.queue) >= z.opts.MaxQueued {
+		z.counts.Rejected++
 		return 0, nil, false
 	}
-	if z.working < z.o.Cores {
-		z.working++
+	if z.running < z.opts.Cores {
+		z.running++
 		return work, nil, true
 	}
 	turn = make(chan bool, 1)
-	z.waiting = append(z.waiting, turn)
+	z.queue = append(z.queue, turn)
 	return work, turn, true
 }
 
-// begin notes that an unsafe request runs.
-func (z *Zone) begin(id, class string) {
+// recordRun notes that an unsafe request runs.
+func (z *Zone) recordRun(id, class string) {
 	if !strings.HasPrefix(class, UnsafePrefix) {
 		return
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if _, known := z.ran[id]; !known && len(z.ran) >= maxRemembered {
+	if _, known := z.runs[id]; !known && len(z.runs) >= maxRemembered {
 		return
 	}
-	if z.ran[id]++; z.ran[id] > 1 {
+	if z.runs[id]++; z.runs[id] > 1 {
 		z.counts.RanTwice++
 	}
 }
 
-// leave gives the core to whoever has waited longest.
-func (z *Zone) leave() {
-	if len(z.waiting) > 0 {
-		z.waiting[0] <- true
-		z.waiting = z.waiting[1:]
+// releaseCore gives the core to whoever has waited longest.
+func (z *Zone) releaseCore() {
+	if len(z.queue) > 0 {
+		z.queue[0] <- true
+		z.queue = z.queue[1:]
 		return
 	}
-	z.working--
+	z.running--
 }
 
-// draw is how long a request takes on one core of this server.
-func (z *Zone) draw(class, target string, now time.Time) time.Duration {
-	mean, ok := z.o.Work[class]
+// drawWork is how long a request takes on one core of this server.
+func (z *Zone) drawWork(class, target string, now time.Time) time.Duration {
+	mean, ok := z.opts.Work[class]
 	if !ok {
 		mean = 10 * time.Millisecond
 	}
-	work := mean.Seconds() * (1 + z.o.Spread*(2*z.rng.Float64()-1)) / z.o.Speed
-	if _, key, has := strings.Cut(target, "key="); has && z.o.WarmPart > 0 && z.o.WarmPart < 1 {
-		if last, met := z.met[key]; met && now.Sub(last) < z.o.WarmFor {
-			work *= z.o.WarmPart
+	work := mean.Seconds() * (1 + z.opts.Spread*(2*z.rng.Float64()-1)) / z.opts.Speed
+	if _, key, ok := strings.Cut(target, "key="); ok && z.opts.CachedKeyCost > 0 && z.opts.CachedKeyCost < 1 {
+		if last, seen := z.keyLastSeen[key]; seen && now.Sub(last) < z.opts.KeyCacheTTL {
+			work *= z.opts.CachedKeyCost
 		}
-		if len(z.met) >= maxRemembered {
-			clear(z.met)
+		if len(z.keyLastSeen) >= maxRemembered {
+			clear(z.keyLastSeen)
 		}
-		z.met[key] = now
+		z.keyLastSeen[key] = now
 	}
 	return time.Duration(work / z.capacity(now) * float64(time.Second))
 }
 
-// push sums up what reaches a cold server; held beyond what it can do for too long, it falls over.
-func (z *Zone) push(work time.Duration, now time.Time) {
-	c := z.o.Cold
+// recordArrival sums up what reaches a cold server; held beyond what it can do for too long, it falls over.
+func (z *Zone) recordArrival(work time.Duration, now time.Time) {
+	warmUp := z.opts.WarmUp
 	capacity := z.capacity(now)
-	if capacity >= 1 || c.After <= 0 {
+	if capacity >= 1 || warmUp.OverloadAfter <= 0 {
 		return
 	}
-	if now.Sub(z.window) > c.After {
-		z.window, z.arrived = now, 0
+	if now.Sub(z.overloadWindowStart) > warmUp.OverloadAfter {
+		z.overloadWindowStart, z.arrivedWork = now, 0
 	}
-	z.arrived += work
-	can := c.After.Seconds() * float64(z.o.Cores) // work is in this server's own time already
-	if z.arrived.Seconds() > c.Multiple*can+float64(z.o.Cores)*work.Seconds() {
-		z.counts.FellOver++
+	z.arrivedWork += work
+	// Work is in this server's own time already.
+	possible := warmUp.OverloadAfter.Seconds() * float64(z.opts.Cores)
+	if z.arrivedWork.Seconds() > warmUp.OverloadMultiple*possible+float64(z.opts.Cores)*work.Seconds() {
+		z.counts.Overloaded++
 		z.draining = true
-		z.window, z.arrived = now, 0
+		z.overloadWindowStart, z.arrivedWork = now, 0
 	}
 }
 
-// work waits as long as the work takes, longer while the server stands still, and not beyond its end;
+// execute waits as long as the work takes, longer while the server stands still, and not beyond its end;
 // then it returns false.
-func (z *Zone) work(d time.Duration) bool {
-	var paused time.Time // the pause that end has in it
+func (z *Zone) execute(d time.Duration) bool {
+	var included time.Time // the pause that end has in it
 	for end := time.Now().Add(d); ; {
 		z.mu.Lock()
-		if still := time.Until(z.paused); still > 0 && !z.paused.Equal(paused) {
-			paused, end = z.paused, end.Add(still)
+		if remaining := time.Until(z.pausedUntil); remaining > 0 && !z.pausedUntil.Equal(included) {
+			included, end = z.pausedUntil, end.Add(remaining)
 		}
 		ended := z.ended
 		z.mu.Unlock()
@@ -342,11 +343,11 @@
 	}
 }
 
-// report is the load report that probes get.
-func (z *Zone) report(now time.Time) string {
+// loadReport is the load report that probes get.
+func (z *Zone) loadReport(now time.Time) string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.counts.Probes++
-	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", z.working+len(z.waiting), len(z.waiting),
-		math.Min(1, float64(z.working)/float64(z.o.Cores)))
+	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", z.running+len(z.queue), len(z.queue),
+		math.Min(1, float64(z.running)/float64(z.opts.Cores)))
 }
--- a/internal/testbed/proxytrial/trouble.go
+++ b/internal/testbed/proxytrial/fault.go
@@ -10,33 +10,33 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// Troubles are what may be played in the middle of a trial.
-var Troubles = []string{"drain", "pause", "crash", "cold", mixed}
+// Faults are what may be played in the middle of a trial.
+var Faults = []string{"drain", "pause", "crash", "cold", mixed}
 
-// CheckTrouble refuses a word that names none.
-func CheckTrouble(word string) error {
-	if word != "" && !slices.Contains(Troubles, word) {
-		return fmt.Errorf("--trouble %q is none of %s", word, strings.Join(Troubles, ", "))
+// CheckFault refuses a word that names none.
+func CheckFault(word string) error {
+	if word != "" && !slices.Contains(Faults, word) {
+		return fmt.Errorf("--trouble %q is none of %s", word, strings.Join(Faults, ", "))
 	}
 	return nil
 }
 
-// trouble plays one in the middle third of the time. It returns when it is over or ctx ends; an error is
+// injectFault plays one in the middle third of the time. It returns when it is over or ctx ends; an error is
 // a fault of the stand-ins.
-func trouble(ctx context.Context, f *proxystandin.Fleet, o Options) error {
-	if o.Trouble == "" || !sleep(ctx, o.For/3) {
+func injectFault(ctx context.Context, f *proxystandin.Fleet, o Options) error {
+	if o.Fault == "" || !sleep(ctx, o.Duration/3) {
 		return nil
 	}
 	names := f.Names()
 	victim := names[0]
-	switch o.Trouble {
+	switch o.Fault {
 	case "drain":
 		f.Drain(victim)
-		if sleep(ctx, o.For/6+proxystandin.DrainGrace) {
-			f.Leave(victim)
+		if sleep(ctx, o.Duration/6+proxystandin.DrainGrace) {
+			f.Terminate(victim)
 		}
 	case "pause":
-		for end := time.Now().Add(o.For / 3); time.Now().Before(end); {
+		for end := time.Now().Add(o.Duration / 3); time.Now().Before(end); {
 			for _, n := range names[:(len(names)+2)/3] {
 				f.Pause(n, 300*time.Millisecond)
 			}
@@ -45,11 +45,11 @@
 			}
 		}
 	case "crash":
-		gone, again := f.Crash(victim)
+		announce, restart := f.Crash(victim)
 		sleep(ctx, 500*time.Millisecond)
-		gone()
-		if sleep(ctx, o.For/6) {
-			return again()
+		announce()
+		if sleep(ctx, o.Duration/6) {
+			return restart()
 		}
 	case "cold":
 		for range max(1, len(names)/3) {
--- a/internal/testbed/proxytrial/mixed.go
+++ b/internal/testbed/proxytrial/mixed.go
@@ -19,45 +19,46 @@
 
 const (
 	// Each round begins that many troubles within roundSpread.
-	troublesAtOnce = 3
-	roundSpread    = 400 * time.Millisecond
-	// longestStall is how long nobody reads the proxy's log at most.
-	longestStall = 1500 * time.Millisecond
+	concurrentFaults = 3
+	roundSpread      = 400 * time.Millisecond
+	// maxLogStall is how long nobody reads the proxy's log at most.
+	maxLogStall = 1500 * time.Millisecond
 )
 
-// mixture plays overlapping troubles of servers, discovery and the proxy's own process.
-type mixture struct {
+// mixedFaults plays overlapping troubles of servers, discovery and the proxy's own process.
+type mixedFaults struct {
 	fleet *proxystandin.Fleet
 	proxy *childprocess.Process
 	file  string // the proxy's configuration
 	text  []byte // of that file
 
-	mu   sync.Mutex
-	busy map[string]bool // servers in trouble
-	held bool            // nobody reads the log
+	mu         sync.Mutex
+	faulty     map[string]bool // servers in trouble
+	logStalled bool            // nobody reads the log
 }
 
-// playMixed plays rounds of troubles until ctx ends, and leaves everything well.
-func playMixed(ctx context.Context, f *proxystandin.Fleet, proxy *childprocess.Process, file string,
+// injectMixed plays rounds of troubles until ctx ends, and leaves everything well.
+func injectMixed(ctx context.Context, f *proxystandin.Fleet, proxy *childprocess.Process, file string,
 	seed uint64) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	m := &mixture{fleet: f, proxy: proxy, file: file, text: text, busy: map[string]bool{}}
-	lot := rand.New(rand.NewPCG(seed, 5))
-	plays := []func(context.Context, *rand.Rand) error{
-		m.crash, m.drain, m.pause, m.cold, m.failDiscovery, m.reload, m.reloadBadly, m.askCounters, m.stallLog,
+	m := &mixedFaults{fleet: f, proxy: proxy, file: file, text: text, faulty: map[string]bool{}}
+	rng := rand.New(rand.NewPCG(seed, 5))
+	faults := []func(context.Context, *rand.Rand) error{
+		m.crash, m.drain, m.pause, m.addWarmingUp, m.failDiscovery, m.reload, m.reloadInvalid,
+		m.requestCounters, m.stallLog,
 	}
 	for ctx.Err() == nil {
-		problems := make([]error, troublesAtOnce)
+		problems := make([]error, concurrentFaults)
 		var playing sync.WaitGroup
-		for i := range troublesAtOnce {
-			play, own := plays[lot.IntN(len(plays))], rand.New(rand.NewPCG(lot.Uint64(), 1))
-			delay := time.Duration(lot.Int64N(int64(roundSpread)))
+		for i := range concurrentFaults {
+			inject, own := faults[rng.IntN(len(faults))], rand.New(rand.NewPCG(rng.Uint64(), 1))
+			delay := time.Duration(rng.Int64N(int64(roundSpread)))
 			playing.Go(func() {
 				if sleep(ctx, delay) {
-					problems[i] = play(ctx, own)
+					problems[i] = inject(ctx, own)
 				}
 			})
 		}
@@ -69,45 +70,45 @@
 	return nil
 }
 
-func upTo(lot *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(lot.Int64N(int64(most)))
+func upTo(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(limit)))
 }
 
-// take reserves a server that is in no trouble, "" where too few are well.
-func (m *mixture) take(lot *rand.Rand) string {
+// reserve reserves a server that is in no trouble, "" where too few are well.
+func (m *mixedFaults) reserve(rng *rand.Rand) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	names := slices.DeleteFunc(m.fleet.Names(), func(name string) bool { return m.busy[name] })
+	names := slices.DeleteFunc(m.fleet.Names(), func(name string) bool { return m.faulty[name] })
 	if len(names) < 3 {
 		return ""
 	}
-	name := names[lot.IntN(len(names))]
-	m.busy[name] = true
+	name := names[rng.IntN(len(names))]
+	m.faulty[name] = true
 	return name
 }
 
-func (m *mixture) release(name string) {
+func (m *mixedFaults) release(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.busy, name)
+	delete(m.faulty, name)
 }
 
-func (m *mixture) crash(ctx context.Context, lot *rand.Rand) error {
-	name := m.take(lot)
+func (m *mixedFaults) crash(ctx context.Context, rng *rand.Rand) error {
+	name := m.reserve(rng)
 	if name == "" {
 		return nil
 	}
 	defer m.release(name)
-	gone, again := m.fleet.Crash(name)
-	sleep(ctx, upTo(lot, 500*time.Millisecond))
-	gone()
-	sleep(ctx, upTo(lot, time.Second))
-	return again()
+	announce, restart := m.fleet.Crash(name)
+	sleep(ctx, upTo(rng, 500*time.Millisecond))
+	announce()
+	sleep(ctx, upTo(rng, time.Second))
+	return restart()
 }
 
 // drain has a server leave, and another one take its place.
-func (m *mixture) drain(ctx context.Context, lot *rand.Rand) error {
-	name := m.take(lot)
+func (m *mixedFaults) drain(ctx context.Context, rng *rand.Rand) error {
+	name := m.reserve(rng)
 	if name == "" {
 		return nil
 	}
@@ -115,56 +116,56 @@
 		return err
 	}
 	m.fleet.Drain(name)
-	if sleep(ctx, proxystandin.DrainGrace+upTo(lot, time.Second)) {
-		m.fleet.Leave(name)
+	if sleep(ctx, proxystandin.DrainGrace+upTo(rng, time.Second)) {
+		m.fleet.Terminate(name)
 	}
 	return nil
 }
 
-func (m *mixture) pause(ctx context.Context, lot *rand.Rand) error {
-	for range 1 + lot.IntN(3) {
-		name := m.take(lot)
+func (m *mixedFaults) pause(ctx context.Context, rng *rand.Rand) error {
+	for range 1 + rng.IntN(3) {
+		name := m.reserve(rng)
 		if name == "" {
 			return nil
 		}
-		m.fleet.Pause(name, 100*time.Millisecond+upTo(lot, 500*time.Millisecond))
-		sleep(ctx, upTo(lot, 300*time.Millisecond))
+		m.fleet.Pause(name, 100*time.Millisecond+upTo(rng, 500*time.Millisecond))
+		sleep(ctx, upTo(rng, 300*time.Millisecond))
 		m.release(name)
 	}
 	return nil
 }
 
-func (m *mixture) cold(context.Context, *rand.Rand) error {
-	if len(m.fleet.Names()) > 2*troublesAtOnce+10 {
+func (m *mixedFaults) addWarmingUp(context.Context, *rand.Rand) error {
+	if len(m.fleet.Names()) > 2*concurrentFaults+10 {
 		return nil
 	}
 	_, err := m.fleet.Add(time.Now())
 	return err
 }
 
-func (m *mixture) failDiscovery(ctx context.Context, lot *rand.Rand) error {
+func (m *mixedFaults) failDiscovery(ctx context.Context, rng *rand.Rand) error {
 	m.fleet.Discovery.Fail(true)
-	sleep(ctx, upTo(lot, time.Second))
+	sleep(ctx, upTo(rng, time.Second))
 	m.fleet.Discovery.Fail(false)
 	return nil
 }
 
 // reload has the proxy read its configuration again, several times at once, as it is.
-func (m *mixture) reload(ctx context.Context, lot *rand.Rand) error {
-	for range 1 + lot.IntN(8) {
+func (m *mixedFaults) reload(ctx context.Context, rng *rand.Rand) error {
+	for range 1 + rng.IntN(8) {
 		if err := m.proxy.Signal(syscall.SIGHUP); err != nil {
 			return err
 		}
-		sleep(ctx, upTo(lot, 20*time.Millisecond))
+		sleep(ctx, upTo(rng, 20*time.Millisecond))
 	}
 	return nil
 }
 
-// reloadBadly writes the file in pieces, and has the proxy read it at any moment.
-func (m *mixture) reloadBadly(ctx context.Context, lot *rand.Rand) error {
+// reloadInvalid writes the file in pieces, and has the proxy read it at any moment.
+func (m *mixedFaults) reloadInvalid(ctx context.Context, rng *rand.Rand) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	half := lot.IntN(len(m.text))
+	half := rng.IntN(len(m.text))
 	for _, text := range [][]byte{m.text[:half], []byte(strings.Repeat("nonsense ", 10)), m.text} {
 		if err := os.WriteFile(m.file, text, 0o600); err != nil {
 			return err
@@ -172,32 +173,32 @@
 		if err := m.proxy.Signal(syscall.SIGHUP); err != nil {
 			return err
 		}
-		sleep(ctx, upTo(lot, 20*time.Millisecond))
+		sleep(ctx, upTo(rng, 20*time.Millisecond))
 	}
 	return nil
 }
 
-func (m *mixture) askCounters(context.Context, *rand.Rand) error {
+func (m *mixedFaults) requestCounters(context.Context, *rand.Rand) error {
 	return m.proxy.Signal(syscall.SIGUSR1)
 }
 
 // stallLog has nobody read the proxy's log for a while.
-func (m *mixture) stallLog(ctx context.Context, lot *rand.Rand) error {
-	if !m.hold(true) {
+func (m *mixedFaults) stallLog(ctx context.Context, rng *rand.Rand) error {
+	if !m.setLogStalled(true) {
 		return nil
 	}
-	defer m.hold(false)
+	defer m.setLogStalled(false)
 	m.proxy.PauseLog()
-	sleep(ctx, upTo(lot, longestStall))
+	sleep(ctx, upTo(rng, maxLogStall))
 	m.proxy.ResumeLog()
 	return nil
 }
 
-// hold notes whether the log is held, and tells whether that is news.
-func (m *mixture) hold(held bool) bool {
+// setLogStalled notes whether the log is held, and tells whether that is news.
+func (m *mixedFaults) setLogStalled(stalled bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	news := m.held != held
-	m.held = held
-	return news
+	changed := m.logStalled != stalled
+	m.logStalled = stalled
+	return changed
 }
