--- a/internal/testbed/clusterrig/race_on_test.go
+++ b/internal/testbed/clusterrig/race_on_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package rig
+package clusterrig
 
 // underRace tells that the tests run under the race detector, which sees this process but not the program's:
 // what only takes long is left out there.
