--- a/internal/testbed/proxystandin/discovery.go
+++ b/internal/testbed/proxystandin/discovery.go
@@ -15,13 +15,14 @@
 	"cresshub/internal/http1"
 )
 
-// The rules that stand-ins count breaks of.
+// The rules whose violations the stand-ins count.
 const (
-	DrainGrace   = 1500 * time.Millisecond
-	UnsafePrefix = "rider" // classes whose names begin so must never run twice
+	DrainGrace   = 1500 * time.Millisecond // from the notification of a drain until no request may arrive
+	UnsafePrefix = "rider"                 // requests of classes with this prefix must never run twice
 )
 
-// Endpoint is one line of discovery's list.
+// Endpoint is one zone server in discovery. It repeats the decoding of proxy/discovery on purpose: what the
+// stand-in serves is independent of what the proxy reads.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -33,20 +34,20 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-// document is what discovery sends.
+// document is one message of discovery: a snapshot, or the changes up to Index.
 type document struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// heartbeatInterval is how often a watch says something while nothing changes.
+// heartbeatInterval is how often a watch sends an empty line while nothing changes.
 const heartbeatInterval = 2 * time.Second
 
-// maxChanges is how many changes discovery remembers; who asks from before gets the whole list.
+// maxChanges is how many changes discovery retains; a watch from before them gets a snapshot.
 const maxChanges = 1024
 
-// Discovery is the service that tells which zone servers there are.
+// Discovery is the service that lists the zone servers and streams changes to watches.
 type Discovery struct {
 	listener *Listener
 
@@ -58,22 +59,26 @@
 	closed      chan struct{}
 	failing     bool
 	calls       int
-	fence       lease.Fence // of calls that carry a token
+	fence       lease.Fence // for calls that carry a token
 	ownerCalls  OwnerCalls
 	closeOnce   sync.Once
-	onDelivered func([]Endpoint) // gets what a caller has just been told; may be nil
+	onDelivered func([]Endpoint) // receives what a caller was just sent; may be nil
 }
 
-// OwnerCalls are the calls that carried a fencing token: taken, refused for an older one than was seen, and
-// refused as none; and watches that ended because a newer token came.
-type OwnerCalls struct{ Accepted, Stale, Malformed, EndedWatches int }
+// OwnerCalls counts the calls that carried a fencing token.
+type OwnerCalls struct {
+	Accepted     int
+	Stale        int // refused: lower than a token seen before
+	Malformed    int // refused: no token
+	EndedWatches int // ended as a higher token arrived
+}
 
 type change struct {
 	index int64
 	entry Endpoint
 }
 
-// StartDiscovery starts a discovery with an empty list.
+// StartDiscovery starts discovery at address with an empty list.
 func StartDiscovery(address string) (*Discovery, error) {
 	d := &Discovery{current: map[string]Endpoint{}, changed: make(chan struct{}), closed: make(chan struct{})}
 	var err error
@@ -81,36 +86,36 @@
 	return d, err
 }
 
-// OnDelivered names who hears of entries that a caller has just been told. It is to be called before any
-// caller.
+// OnDelivered sets a callback for the entries that a caller was just sent. It must be set before the first
+// call.
 func (d *Discovery) OnDelivered(onDelivered func([]Endpoint)) { d.onDelivered = onDelivered }
 
-// notifyDelivered notes entries that a caller has just been told.
+// notifyDelivered reports entries that a caller was just sent.
 func (d *Discovery) notifyDelivered(entries []Endpoint) {
 	if d.onDelivered != nil && len(entries) > 0 {
 		d.onDelivered(entries)
 	}
 }
 
-// Address is where it listens.
+// Address returns the host:port it listens on.
 func (d *Discovery) Address() string { return d.listener.Address() }
 
-// Calls is how many calls it took.
+// Calls returns how many calls arrived, watches included.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// OwnerCalls are the calls that carried a fencing token.
+// OwnerCalls returns the counts of calls that carried a fencing token.
 func (d *Discovery) OwnerCalls() OwnerCalls {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ownerCalls
 }
 
-// admit looks at a call's fencing token; one without any is anybody's. The status is 0 where it may go on. A
-// higher token than was seen ends the watches that older ones hold.
+// admit checks a call's fencing token; a call without one passes. status is 0 if it may proceed, else the
+// HTTP status to answer with problem. A token higher than any before ends the watches of lower ones.
 func (d *Discovery) admit(text string) (token uint64, status int, problem string) {
 	if text == "" {
 		return 0, 0, ""
@@ -135,7 +140,7 @@
 	return token, 0, ""
 }
 
-// superseded tells whether a watch's token is older than one that was seen since.
+// superseded reports whether a higher token arrived since a watch began, and counts the end of that watch.
 func (d *Discovery) superseded(token uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -146,14 +151,14 @@
 	return true
 }
 
-// Set changes entries and tells every watch. A terminated one leaves the list.
+// Set changes entries and notifies every watch. A terminated entry leaves the list.
 func (d *Discovery) Set(entries ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range entries {
 		d.index++
 		d.changes = append(d.changes, change{d.index, e})
-		if e.Status == "terminated" {
+		if e.Status == statusTerminated {
 			delete(d.current, e.Name)
 		} else {
 			d.current[e.Name] = e
@@ -166,7 +171,7 @@
 	d.changed = make(chan struct{})
 }
 
-// Fail has all calls answered with 503 and ends the watches, or ends that.
+// Fail makes all calls be answered with 503 and ends the watches; false ends the fault.
 func (d *Discovery) Fail(failing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,14 +180,14 @@
 	d.changed = make(chan struct{})
 }
 
-// Close ends it.
+// Close ends all watches and connections and waits for their goroutines.
 func (d *Discovery) Close() {
 	d.closeOnce.Do(func() { close(d.closed) })
 	d.listener.Close(false)
 }
 
-// since returns what changed after a version, or the whole list where that is not known any more, and a
-// channel that closes with the next change.
+// since returns the changes after index from, or a snapshot if full or if those changes are no longer
+// retained. It also returns a channel that closes with the next change, and whether discovery is failing.
 func (d *Discovery) since(from int64, full bool) (document, <-chan struct{}, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -242,14 +247,14 @@
 	}
 }
 
-// watch tells changes until the other side or this one ends.
+// watch streams changes, a JSON line in a chunk each, until either side ends.
 func (d *Discovery) watch(c *connbuffer.Conn, from int64, token uint64) {
-	io.WriteString(c.Out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	c.Out.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	hungUp := make(chan struct{})
 	go func() {
 		defer close(hungUp)
 		c.SetReadDeadline(time.Time{})
-		io.Copy(io.Discard, c.In)
+		_, _ = io.Copy(io.Discard, c.In) // ends with the connection, however it ends
 	}()
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
@@ -264,7 +269,7 @@
 			from = doc.Index
 		}
 		c.SetWriteDeadline(time.Now().Add(heartbeatInterval))
-		fmt.Fprintf(c.Out, "%x\r\n%s\n\r\n", len(payload)+1, payload)
+		_, _ = fmt.Fprintf(c.Out, "%x\r\n%s\n\r\n", len(payload)+1, payload) // Flush returns its error
 		if c.Flush() != nil {
 			return
 		}
--- a/internal/testbed/proxystandin/fleet.go
+++ b/internal/testbed/proxystandin/fleet.go
@@ -9,32 +9,37 @@
 	"time"
 )
 
-// FleetOptions describe zone servers of two kinds in several halls, as the brief has them.
+// FleetOptions describe zone servers of two kinds in several halls.
 type FleetOptions struct {
 	Servers           int
 	Halls             []string
 	Work              map[string]time.Duration // mean work of a request by class, on a core of speed 1
-	HalfSpeedFraction float64                  // part of the servers that are of the slow kind
+	HalfSpeedFraction float64                  // fraction of the servers that are of the slow kind
 	MaxQueued         int
 	WarmUp            WarmUp
 	Seed              uint64
 }
 
-// The kinds of server and their speeds.
+// The kinds of server.
 const (
-	Standard, HalfSpeed           = "standard", "half-speed"
-	standardSpeed, halfSpeedSpeed = 1.8, 0.9
-	coresPerServer                = 2
+	Standard  = "standard"
+	HalfSpeed = "half-speed"
 )
 
-// Fleet is zone servers with the discovery that tells of them.
+const (
+	standardSpeed  = 1.8
+	halfSpeedSpeed = 0.9
+	coresPerServer = 2
+)
+
+// Fleet is a set of zone servers and the discovery service that lists them.
 type Fleet struct {
 	Discovery *Discovery
 	opts      FleetOptions
 
 	mu      sync.Mutex
 	running map[string]*member
-	started []*Zone // ever started
+	started []*Zone // all that were ever started
 	next    int
 	closed  bool
 }
@@ -44,10 +49,14 @@
 	entry Endpoint
 }
 
-// statusInService is the status of a server that takes work.
-const statusInService = "in_service"
+// The states of a server in discovery.
+const (
+	statusInService   = "in_service"
+	statusTerminating = "terminating"
+	statusTerminated  = "terminated"
+)
 
-// StartFleet starts the servers, warm, and a discovery that lists them, on loopback.
+// StartFleet starts the servers at full capacity, and a discovery service that lists them, on loopback.
 func StartFleet(o FleetOptions) (*Fleet, error) {
 	f := &Fleet{opts: o, running: map[string]*member{}}
 	var err error
@@ -64,7 +73,7 @@
 	return f, nil
 }
 
-// speed is that of the n-th server: the slow ones are spread evenly over the fleet.
+// speed returns the kind and speed of the n-th server: slow ones are spread evenly over the fleet.
 func (f *Fleet) speed(n int) (kind string, speed float64) {
 	if int(float64(n+1)*f.opts.HalfSpeedFraction) > int(float64(n)*f.opts.HalfSpeedFraction) {
 		return HalfSpeed, halfSpeedSpeed
@@ -72,7 +81,7 @@
 	return Standard, standardSpeed
 }
 
-// Capacity is the work a second that the first n servers can do, in seconds of a core of speed 1.
+// Capacity returns the work per second that the first n servers can do, in seconds of a core of speed 1.
 func (f *Fleet) Capacity(n int) (c float64) {
 	for i := range n {
 		_, speed := f.speed(i)
@@ -81,7 +90,8 @@
 	return c
 }
 
-// Add starts one more server and tells of it; since is when its process started, zero for long ago.
+// Add starts one more server and lists it. since is the start of its process, zero for long ago. It returns
+// the server's name.
 func (f *Fleet) Add(since time.Time) (string, error) {
 	f.mu.Lock()
 	n := f.next
@@ -120,7 +130,7 @@
 	return nil
 }
 
-// Names returns the servers that are there, sorted.
+// Names returns the names of the running servers, sorted.
 func (f *Fleet) Names() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,15 +143,15 @@
 	return f.running[name]
 }
 
-// publishStatus changes a server's status in the list.
+// publishStatus changes a server's status in discovery.
 func (f *Fleet) publishStatus(m *member, status string) {
 	e := m.entry
 	e.Status = status
 	f.Discovery.Set(e)
 }
 
-// recordDrainNotified notes when a proxy was first told that nothing new may reach a server: not before
-// discovery could tell it.
+// recordDrainNotified records when a proxy first learned that it may send a server nothing new: not before
+// discovery could deliver it.
 func (f *Fleet) recordDrainNotified(entries []Endpoint) {
 	now := time.Now()
 	for _, entry := range entries {
@@ -156,18 +166,18 @@
 	}
 }
 
-// Drain tells that a server wants nothing new; it finishes what it has. Leave ends it.
+// Drain lists a server as terminating and lets it finish what it has; Terminate ends it.
 func (f *Fleet) Drain(name string) {
 	if m := f.member(name); m != nil {
-		f.publishStatus(m, "terminating")
+		f.publishStatus(m, statusTerminating)
 		m.zone.Drain()
 	}
 }
 
-// Terminate ends a server and tells so.
+// Terminate ends a server and lists it as terminated.
 func (f *Fleet) Terminate(name string) {
 	if m := f.remove(name); m != nil {
-		f.publishStatus(m, "terminated")
+		f.publishStatus(m, statusTerminated)
 		m.zone.Close()
 	}
 }
@@ -180,33 +190,34 @@
 	return m
 }
 
-// Pause has a server stand still.
+// Pause stalls a server for d.
 func (f *Fleet) Pause(name string, d time.Duration) {
 	if m := f.member(name); m != nil {
 		m.zone.Pause(d)
 	}
 }
 
-// Crash ends a server's process without a word; Gone tells that it is gone.
+// Crash kills a server's process. announce lists it as terminated, restart starts it again under its name at
+// a new address, in warm-up.
 func (f *Fleet) Crash(name string) (announce func(), restart func() error) {
 	m := f.remove(name)
 	if m == nil {
 		return func() {}, func() error { return nil }
 	}
 	m.zone.Crash()
-	return func() { f.publishStatus(m, "terminated") }, func() error {
+	return func() { f.publishStatus(m, statusTerminated) }, func() error {
 		return f.start(len(f.Zones()), m.entry, m.zone.opts.Speed, time.Now())
 	}
 }
 
-// Zones returns all servers that ever were.
+// Zones returns all servers ever started, in order of their start.
 func (f *Fleet) Zones() []*Zone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.started)
 }
 
-// RanTwice is how many unsafe requests ran more than once, whichever servers they ran on.
+// RanTwice returns how many unsafe requests ran more than once, on whichever servers.
 func (f *Fleet) RanTwice() (n int) {
 	runs := map[string]int{}
 	for _, z := range f.Zones() {
@@ -219,7 +230,7 @@
 	return n
 }
 
-// Counts returns what the servers saw by name, a server's several lives added up.
+// Counts returns the servers' counts by name, summed over a server's restarts.
 func (f *Fleet) Counts() map[string]ZoneCounts {
 	all := map[string]ZoneCounts{}
 	for _, z := range f.Zones() {
@@ -237,7 +248,7 @@
 	return all
 }
 
-// Close ends all servers and the discovery, and waits for their goroutines.
+// Close ends all servers and discovery, and waits for their goroutines.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	f.closed = true
--- a/internal/testbed/proxystandin/load.go
+++ b/internal/testbed/proxystandin/load.go
@@ -17,33 +17,34 @@
 	"cresshub/internal/http1"
 )
 
-// LoadOptions describe the application's requests.
+// LoadOptions describe the application's requests to one proxy.
 type LoadOptions struct {
 	Address        string
-	Rate           float64 // requests a second, on average; arrivals are Poisson and wait for nothing
+	Rate           float64 // requests a second on average; Poisson arrivals, open loop
 	Classes        []LoadClass
 	Tenants        []string
-	Keys           int // distinct keys, a few far more popular than the rest
-	MaxConnections int // connections at once; an arrival beyond them fails here and is told apart
+	Keys           int // distinct keys, of Zipf popularity
+	MaxConnections int // open at once, 0 for 256; an arrival beyond them counts as NotSent
 	Seed           uint64
-	IDPrefix       string // what ids begin with
+	IDPrefix       string // of request ids; "" is r
 }
 
 // LoadClass is one class of requests.
 type LoadClass struct {
 	Name          string
-	Fraction      float64 // of the requests
+	Fraction      float64 // of all requests
 	LatencyTarget time.Duration
 	Deadline      time.Duration
 	Value         float64
-	Unsafe        bool // must not run twice: POST
+	Unsafe        bool // must not run twice; sent as POST
 }
 
 // answerSlack is how long after its deadline an answer still counts as given in time.
 const answerSlack = 50 * time.Millisecond
 
-// Load sends requests at a rate whatever becomes of them, and counts what does. Times are taken from when
-// a request was due, so that a stall is not hidden by arrivals that waited for it.
+// Load is an open-loop load generator: it sends requests at a rate independent of the answers. Latencies
+// count from the scheduled arrival, so that a stall isn't hidden by arrivals that waited for it (coordinated
+// omission).
 type Load struct {
 	opts     LoadOptions
 	tally    *Tally
@@ -56,7 +57,7 @@
 	open int
 }
 
-// NewLoad returns a load that sends nothing yet.
+// NewLoad returns a load that Run starts.
 func NewLoad(o LoadOptions) *Load {
 	if o.MaxConnections <= 0 {
 		o.MaxConnections = 256
@@ -68,10 +69,10 @@
 	return &Load{opts: o, tally: NewTally(), rng: rng, zipf: rand.NewZipf(rng, 1.1, 4, uint64(max(o.Keys, 1)-1))}
 }
 
-// Tally is what has become of the requests so far.
+// Tally returns the outcomes so far.
 func (l *Load) Tally() *Tally { return l.tally }
 
-// Run sends until ctx ends, then waits for what is out.
+// Run sends until ctx ends, then waits for the requests in flight. It may be called once.
 func (l *Load) Run(ctx context.Context) {
 	due := time.Now()
 	timer := time.NewTimer(0)
@@ -90,7 +91,7 @@
 		class := l.drawClass()
 		req := l.newRequest(class, n)
 		l.inFlight.Add(1)
-		go func(due time.Time) { // the loop goes on with its own
+		go func(due time.Time) { // a copy, as the loop advances its own
 			defer l.inFlight.Done()
 			l.send(class, req, due)
 		}(due)
@@ -123,35 +124,17 @@
 	return &http1.Request{Method: method, Target: fmt.Sprintf("/api?key=%016x", l.zipf.Uint64()+1), Header: h}
 }
 
-// send sends a request and counts what comes of it.
+// send sends one request and tallies its outcome.
 func (l *Load) send(class *LoadClass, req *http1.Request, due time.Time) {
 	deadline := due.Add(class.Deadline)
 	timeout := strconv.FormatFloat(time.Until(deadline).Seconds(), 'f', 3, 64)
 	req.Header = append(req.Header, http1.Field{Name: "X-Timeout", Value: timeout})
 	resp, c, err := l.exchange(req, deadline.Add(answerSlack))
-	took := time.Since(due)
-	id := req.Header.Get("X-Request-ID")
-	outcome := Outcome{Class: class, Latency: took}
-	switch {
-	case errors.Is(err, errNoConnection):
-		outcome.Kind = NotSent
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		outcome.Kind = NoAnswer
-	case err != nil:
-		outcome.Kind = Unreachable
-		if !errors.Is(err, errNotSent) { // taken, and then cut off
-			outcome.Kind = NoAnswer
-		}
-	case resp.Status == 200:
-		outcome.Kind = Served
-		outcome.Mismatched = !strings.HasPrefix(string(resp.Body), id+" ")
-		if _, server, ok := strings.Cut(strings.TrimSpace(string(resp.Body)), " served by "); ok {
-			outcome.Server = server
-		}
-	case resp.Status == 429 || resp.Status == 503:
-		outcome.Kind = Refused
-	default:
-		outcome.Kind = Failed
+	outcome := Outcome{Class: class, Latency: time.Since(due), Kind: classify(resp, err)}
+	if outcome.Kind == Served {
+		body := string(resp.Body)
+		outcome.Mismatched = !strings.HasPrefix(body, req.Header.Get("X-Request-ID")+" ")
+		_, outcome.Server, _ = strings.Cut(strings.TrimSpace(body), " served by ")
 	}
 	if c != nil {
 		outcome.ExtraAnswer = c.In.Buffered() > 0
@@ -160,13 +143,32 @@
 	l.tally.add(outcome)
 }
 
+// classify returns the kind of an exchange's outcome; resp is nil exactly if err isn't.
+func classify(resp *http1.Response, err error) OutcomeKind {
+	switch {
+	case errors.Is(err, errNoConnection):
+		return NotSent
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return NoAnswer
+	case errors.Is(err, errNotSent):
+		return Unreachable
+	case err != nil: // sent, then the connection broke
+		return NoAnswer
+	case resp.Status == 200:
+		return Served
+	case resp.Status == 429 || resp.Status == 503:
+		return Refused
+	}
+	return Failed
+}
+
 var (
 	errNoConnection = errors.New("no connection left")
-	errNotSent      = errors.New("the request was not taken")
+	errNotSent      = errors.New("the request was not sent")
 )
 
-// exchange sends one request and reads its answer. Where the other side closed a resting connection just
-// as the request was on its way, it is sent once more on a new one, as the protocol has it.
+// exchange sends one request and reads its answer. If the peer closed a reused connection while the request
+// was in transit, it is sent again on another (RFC 9112, section 9.3.1).
 func (l *Load) exchange(req *http1.Request, deadline time.Time) (*http1.Response, *connbuffer.Conn, error) {
 	for {
 		c, reused, err := l.acquire(deadline)
@@ -193,7 +195,7 @@
 	}
 }
 
-// acquire returns a connection that rests, or a new one.
+// acquire returns an idle connection or dials a new one.
 func (l *Load) acquire(deadline time.Time) (c *connbuffer.Conn, reused bool, err error) {
 	for {
 		l.mu.Lock()
@@ -220,7 +222,7 @@
 		case c.Quiet():
 			return c, true, nil
 		}
-		// It closed while it rested, or something came that nobody asked for.
+		// The peer closed it while it was idle, or sent an answer to no request.
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := c.In.Peek(1); err == nil {
 			l.tally.addExtraAnswer()
@@ -251,13 +253,14 @@
 	l.idle = nil
 }
 
-// AwaitReady asks for /health/ready until it answers 200 or ctx ends.
+// AwaitReady polls /health/ready at address until it answers 200 or ctx ends.
 func AwaitReady(ctx context.Context, address string) error {
 	for {
 		nc, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", address)
 		if err == nil {
 			nc.SetDeadline(time.Now().Add(time.Second))
-			io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+			// A failed write shows in the read.
+			_, _ = io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 			a, err := http1.ReadResponse(connbuffer.NewConn(nc).In)
 			nc.Close()
 			if err == nil && a.Status == 200 {
--- a/internal/testbed/proxystandin/sink.go
+++ b/internal/testbed/proxystandin/sink.go
@@ -15,7 +15,7 @@
 	"cresshub/internal/cluster/lease"
 )
 
-// SinkEntry is what the billing sink stores: sums of one period and tenant, or a correction.
+// SinkEntry is the unit that the billing sink stores: the sums of one period and tenant, or a correction.
 type SinkEntry struct {
 	ID     string     `json:"id"`
 	Period uint64     `json:"period"`
@@ -24,7 +24,7 @@
 	Reason string     `json:"reason,omitempty"`
 }
 
-// SinkLine is an entry's sum of one class and final answer.
+// SinkLine is the sum of an entry for one class and final answer.
 type SinkLine struct {
 	Class    string `json:"class"`
 	Answer   string `json:"answer"`
@@ -33,33 +33,33 @@
 	BytesOut int64  `json:"bytes_out"`
 }
 
-// SinkCall is one call that the sink saw.
+// SinkCall is one call on the sink, with its result.
 type SinkCall struct {
 	At       time.Time
-	Token    uint64 // 0 where the call had none that could be read
+	Token    uint64 // 0 if the call had none or a malformed one
 	Status   int
 	Entries  int
 	Stored   int
 	Repeated int
 }
 
-// SinkFault is how the sink goes wrong.
+// SinkFault is a fault that the sink injects into its answers.
 type SinkFault struct {
-	Status  int           // answers this and stores nothing; 0 for none
-	Delay   time.Duration // before it answers, after it has stored
-	Reset   bool          // stores, and resets the connection instead of answering
-	Garbage bool          // stores, and answers what makes no sense
+	Status  int           // answers this status and stores nothing; 0 for none
+	Delay   time.Duration // before the answer, after storing
+	Reset   bool          // stores, then resets the connection instead of answering
+	Garbage bool          // stores, then answers malformed JSON
 }
 
-// Bounds of what the sink takes and keeps.
+// Bounds of what the sink accepts and retains.
 const (
 	maxSinkBody  = 8 << 20
 	maxSinkCalls = 1 << 20
 )
 
-// Sink is the billing service that takes exports of the ledger: POST /entries with an array of SinkEntry and
-// a fencing token. It keeps the highest token seen, refuses lower ones with 409, and answers an entry that it
-// has with "repeated" without storing it twice.
+// Sink is the billing service that receives exports of the ledger: POST /entries with an array of SinkEntry
+// and a fencing token. It remembers the highest token, refuses lower ones with 409, and is idempotent: an
+// entry that is stored already counts as "repeated".
 type Sink struct {
 	listener net.Listener
 	server   http.Server
@@ -69,10 +69,10 @@
 	entries   map[string]SinkEntry
 	calls     []SinkCall
 	fault     SinkFault
-	conflicts int // entries that came again with other content, refused with 422
+	conflicts int // entries sent again with different content, refused with 422
 }
 
-// StartSink starts an empty sink.
+// StartSink starts an empty sink at address.
 func StartSink(address string) (*Sink, error) {
 	s := &Sink{entries: map[string]SinkEntry{}}
 	var err error
@@ -81,24 +81,24 @@
 	}
 	s.server = http.Server{Handler: http.HandlerFunc(s.serve), ReadTimeout: 10 * time.Second,
 		WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute}
-	go s.server.Serve(s.listener)
+	go func() { _ = s.server.Serve(s.listener) }() // returns an error in any case, once Close is called
 	return s, nil
 }
 
-// Address is where it listens.
+// Address returns the host:port it listens on.
 func (s *Sink) Address() string { return s.listener.Addr().String() }
 
-// Close ends it.
-func (s *Sink) Close() { s.server.Close() }
+// Close closes the listener and all connections.
+func (s *Sink) Close() { _ = s.server.Close() }
 
-// SetFault has calls go wrong from now on.
-func (s *Sink) SetFault(t SinkFault) {
+// SetFault injects f into all calls from now on; the zero SinkFault ends that.
+func (s *Sink) SetFault(f SinkFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = t
+	s.fault = f
 }
 
-// Entries are those stored, by id.
+// Entries returns the stored entries by id.
 func (s *Sink) Entries() map[string]SinkEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,14 +109,14 @@
 	return entries
 }
 
-// Calls are all calls so far, in the order they were decided on.
+// Calls returns all calls so far, in the order of their decisions.
 func (s *Sink) Calls() []SinkCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// Conflicts is how many entries came again with other content.
+// Conflicts returns how many entries were sent again with different content.
 func (s *Sink) Conflicts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,26 +128,50 @@
 		http.Error(w, "there is POST /entries alone", http.StatusNotFound)
 		return
 	}
-	call := SinkCall{At: time.Now(), Status: http.StatusOK}
-	var entries []SinkEntry
-	token, err := lease.ParseToken(req.Header.Get(lease.TokenHeader))
+	received := time.Now()
+	token, entries, err := readExport(w, req)
+	call, fault, problem := s.decide(SinkCall{At: received, Token: token, Entries: len(entries)}, entries, err)
+	time.Sleep(fault.Delay)
+	switch {
+	case fault.Reset:
+		panic(http.ErrAbortHandler)
+	case fault.Garbage:
+		_, _ = fmt.Fprint(w, `{"stored": "many`) // the caller may have hung up
+	case call.Status != http.StatusOK:
+		http.Error(w, problem, call.Status)
+	default:
+		// A caller that has hung up learns nothing; the entries are stored.
+		_, _ = fmt.Fprintf(w, "{\"stored\":%d,\"repeated\":%d}\n", call.Stored, call.Repeated)
+	}
+}
+
+// readExport reads the token and the entries of a call; the token is valid even if the entries are malformed.
+func readExport(w http.ResponseWriter, req *http.Request) (token uint64, entries []SinkEntry, err error) {
+	token, err = lease.ParseToken(req.Header.Get(lease.TokenHeader))
 	if err == nil {
 		err = json.NewDecoder(http.MaxBytesReader(w, req.Body, maxSinkBody)).Decode(&entries)
 	}
 	if err == nil {
 		err = validateEntries(entries)
 	}
-	call.Token, call.Entries = token, len(entries)
+	return token, entries, err
+}
+
+// decide applies a call to the sink, unless readErr or the fence refuses it, and logs it. It returns the call
+// with its result, the fault to inject into its answer, and the problem where the status isn't 200.
+func (s *Sink) decide(call SinkCall, entries []SinkEntry, readErr error) (SinkCall, SinkFault, string) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	fault := s.fault
+	call.Status = http.StatusOK
 	problem := ""
 	switch {
-	case err != nil:
-		call.Status, problem = http.StatusBadRequest, err.Error()
+	case readErr != nil:
+		call.Status, problem = http.StatusBadRequest, readErr.Error()
 	case fault.Status != 0:
 		call.Status, problem = fault.Status, "in trouble"
 	default:
-		if err := s.fence.Admit(token); err != nil {
+		if err := s.fence.Admit(call.Token); err != nil {
 			call.Status, problem = http.StatusConflict, err.Error()
 			break
 		}
@@ -158,21 +182,11 @@
 	if s.calls = append(s.calls, call); len(s.calls) > maxSinkCalls {
 		s.calls = slices.Delete(s.calls, 0, maxSinkCalls/2)
 	}
-	s.mu.Unlock()
-	time.Sleep(fault.Delay)
-	switch {
-	case fault.Reset:
-		panic(http.ErrAbortHandler)
-	case fault.Garbage:
-		fmt.Fprint(w, `{"stored": "many`)
-	case call.Status != http.StatusOK:
-		http.Error(w, problem, call.Status)
-	default:
-		fmt.Fprintf(w, "{\"stored\":%d,\"repeated\":%d}\n", call.Stored, call.Repeated)
-	}
+	return call, fault, problem
 }
 
-// store stores all entries of a call, or none where one differs from what is stored under its id.
+// store stores all entries of a call, or none if one differs from what is stored under its id; then it
+// returns the problem. s.mu is held.
 func (s *Sink) store(entries []SinkEntry, call *SinkCall) string {
 	for _, e := range entries {
 		if old, ok := s.entries[e.ID]; ok && !reflect.DeepEqual(old, e) {
@@ -191,7 +205,7 @@
 	return ""
 }
 
-// validateEntries tells what is wrong with entries, naming the first.
+// validateEntries returns the first problem of entries.
 func validateEntries(entries []SinkEntry) error {
 	ids := map[string]bool{}
 	for i, e := range entries {
@@ -208,8 +222,9 @@
 	return nil
 }
 
-// Audit reads the calls as they came and says what no fence may let through: a token taken that is lower than
-// one taken before, or more stored than there are entries. It does not use the sink's own fence.
+// Audit replays the calls and reports what no fence may let through: an accepted token that is lower than one
+// accepted before, or more entries stored than exist. It doesn't use the sink's own fence. stale counts the
+// accepted calls of former owners, refused those answered with 409.
 func (s *Sink) Audit() (stale, refused int, err error) {
 	highest, stored := uint64(0), 0
 	for _, c := range s.Calls() {
--- a/internal/testbed/proxystandin/tally.go
+++ b/internal/testbed/proxystandin/tally.go
@@ -8,31 +8,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// OutcomeKind is what became of one request.
+// OutcomeKind classifies what became of one request.
 type OutcomeKind int
 
-// The kinds of ends.
+// The kinds of outcomes.
 const (
 	Served      OutcomeKind = iota // 200
-	Refused                        // 429 or 503: trying again is harmless
+	Refused                        // 429 or 503: a retry is harmless
 	Failed                         // any other answer
-	NoAnswer                       // taken, and no answer until its deadline and the slack
+	NoAnswer                       // sent, without an answer by its deadline and the slack
 	Unreachable                    // it could not be sent
-	NotSent                        // the load itself was short of connections
+	NotSent                        // the load itself had no connection left
 	outcomeKinds
 )
 
-// Outcome is the end of one request.
+// Outcome is the result of one request.
 type Outcome struct {
 	Class       *LoadClass
 	Kind        OutcomeKind
-	Latency     time.Duration // from when it was due
-	Server      string        // that served it
-	Mismatched  bool          // the answer is to another request
+	Latency     time.Duration // from its scheduled arrival
+	Server      string        // the server that answered
+	Mismatched  bool          // the answer belongs to another request
 	ExtraAnswer bool          // more than one answer came
 }
 
-// Tally counts ends. Its methods may be called from any goroutine.
+// Tally aggregates outcomes. Its methods may be called from any goroutine.
 type Tally struct {
 	mu        sync.Mutex
 	totals    Totals
@@ -43,17 +43,17 @@
 type Totals struct {
 	Offered                   int
 	ByKind                    [outcomeKinds]int
-	InTime                    int // served within the aim
+	InTime                    int // served within the latency target
 	ServedValue, OfferedValue float64
-	Mismatched                int // answers to another request
-	ExtraAnswers              int // second answers
+	Mismatched                int // answers that belong to another request
+	ExtraAnswers              int // answers beyond the first
 	Servers                   map[string]int
 	P50, P99                  time.Duration // of served requests
 	Max                       time.Duration
-	Lag                       time.Duration // longest that the load itself sent late
+	Lag                       time.Duration // the most that the load itself was late in sending
 }
 
-// NewTally returns an empty one.
+// NewTally returns an empty tally.
 func NewTally() *Tally {
 	return &Tally{
 		totals:    Totals{Servers: map[string]int{}},
@@ -67,7 +67,7 @@
 	t.mu.Unlock()
 }
 
-// addExtraAnswer counts an answer that came behind the one to its request.
+// addExtraAnswer counts an answer that arrived after the one to its request.
 func (t *Tally) addExtraAnswer() {
 	t.mu.Lock()
 	t.totals.ExtraAnswers++
@@ -95,7 +95,8 @@
 		s.InTime++
 		s.ServedValue += o.Class.Value
 	}
-	t.latencies.RecordValue(max(o.Latency.Microseconds(), 1)) // the range holds any request's time
+	// No request takes the hour that ends the range.
+	_ = t.latencies.RecordValue(max(o.Latency.Microseconds(), 1))
 }
 
 // Totals returns the counts so far.
--- a/internal/testbed/proxystandin/zone.go
+++ b/internal/testbed/proxystandin/zone.go
@@ -16,29 +16,29 @@
 type ZoneOptions struct {
 	Name           string
 	Listen         string                   // host:port; port 0 lets the system choose
-	Cores          int                      // requests worked on at once
-	Speed          float64                  // yardstick 1
-	MaxQueued      int                      // places to wait in; beyond them requests are turned away unseen
-	MaxConnections int                      // open at once; 0 is any number
+	Cores          int                      // requests served concurrently
+	Speed          float64                  // relative to a standard core, which is 1
+	MaxQueued      int                      // queue capacity; requests beyond it are rejected
+	MaxConnections int                      // open at once; 0 is no limit
 	Handshake      time.Duration            // work that a new connection costs
 	Work           map[string]time.Duration // mean work of a request by class, on a core of speed 1
 	Spread         float64                  // work varies from 1-Spread to 1+Spread times the mean
-	KeyCacheTTL    time.Duration            // a key met within this time ...
-	CachedKeyCost  float64                  // ... costs this part of the work; 0 or 1 for no difference
+	KeyCacheTTL    time.Duration            // a key requested again within this time ...
+	CachedKeyCost  float64                  // ... costs this fraction of the work; 0 or 1 for no difference
 	WarmUp         WarmUp
 	Seed           uint64
-	IdleTimeout    time.Duration // a connection that rests for so long is closed; 0 is 5 s
+	IdleTimeout    time.Duration // a connection idle for so long is closed; 0 is 5 s
 }
 
-// WarmUp is how a server that has just started behaves.
+// WarmUp is the slow start of a server whose process has just started.
 type WarmUp struct {
-	StartFraction    float64       // part of its capacity at the start; 0 is warm at once
+	StartFraction    float64       // fraction of its capacity at the start; 0 is full capacity at once
 	Duration         time.Duration // full capacity after this
-	OverloadMultiple float64       // sent more than this multiple of its capacity ...
-	OverloadAfter    time.Duration // ... for so long, it falls over
+	OverloadMultiple float64       // offered more than this multiple of its capacity ...
+	OverloadAfter    time.Duration // ... for so long, it stops taking requests
 }
 
-// Zone is a zone server: HTTP/1.1 as the protocol has it, work done by waiting.
+// Zone is a zone server: it speaks HTTP/1.1 and simulates work by sleeping.
 type Zone struct {
 	opts     ZoneOptions
 	listener *Listener
@@ -46,39 +46,40 @@
 	zoneState
 }
 
-// zoneState is guarded by the zone's lock.
+// zoneState is the part of a Zone that its mu guards.
 type zoneState struct {
 	rng                 *rand.Rand
-	started             time.Time // of this process; zero is long ago
+	started             time.Time // start of its process; zero is long ago
 	running             int
-	queue               []chan bool // true: go on; false: turned away
-	pausedUntil         time.Time   // works on nothing until then
+	queue               []chan bool // requests that wait for a core: true runs it, false rejects it
+	pausedUntil         time.Time   // nothing progresses until then
 	draining            bool
 	ended               bool
-	drainNotifiedAt     time.Time            // when its drain or end was told to the proxies
-	keyLastSeen         map[string]time.Time // keys
-	overloadWindowStart time.Time            // in which arrivals of a cold server are summed up
-	arrivedWork         time.Duration        // work in it
+	drainNotifiedAt     time.Time            // when proxies learned of its drain or end
+	keyLastSeen         map[string]time.Time // by request key
+	overloadWindowStart time.Time            // of the window over which arrivals are summed during warm-up
+	arrivedWork         time.Duration        // in that window
 	counts              ZoneCounts
 	runs                map[string]int // by id, how often an unsafe request ran
 }
 
-// ZoneCounts are what a zone server saw.
+// ZoneCounts are the events that a zone server counted.
 type ZoneCounts struct {
-	Requests   int `json:"requests"`    // received whole
+	Requests   int `json:"requests"`    // received completely
 	Served     int `json:"served"`      // answered 200
-	Rejected   int `json:"turned_away"` // never ran
+	Rejected   int `json:"turned_away"` // not processed
 	Probes     int `json:"probes"`
 	Opened     int `json:"opened"`      // connections
-	RanTwice   int `json:"ran_twice"`   // unsafe requests that ran before, here
-	AfterDrain int `json:"after_drain"` // received later than the grace after the drain was told
-	Overloaded int `json:"fell_over"`   // times it was pushed over while cold
+	RanTwice   int `json:"ran_twice"`   // unsafe requests run here more than once
+	AfterDrain int `json:"after_drain"` // received more than DrainGrace after proxies learned of the drain
+	Overloaded int `json:"fell_over"`   // times it was overloaded during warm-up
 }
 
-// maxRemembered bounds the ids and keys that a server remembers.
+// maxRemembered bounds the request ids and the keys that a server remembers.
 const maxRemembered = 1 << 17
 
-// StartZone starts a zone server. since is its start as discovery tells it, zero for long ago.
+// StartZone starts a zone server. since is the start of its process as discovery reports it; zero is long
+// ago, which means no warm-up.
 func StartZone(o ZoneOptions, since time.Time) (*Zone, error) {
 	if o.Cores <= 0 || o.Speed <= 0 || o.MaxQueued < 0 || o.Spread < 0 || o.Spread > 1 {
 		return nil, fmt.Errorf("zone %s: cores and speed must be above 0, waiting not below, spread 0 to 1", o.Name)
@@ -95,16 +96,13 @@
 	return z, err
 }
 
-// Address is where it listens.
+// Address returns the host:port it listens on.
 func (z *Zone) Address() string { return z.listener.Address() }
 
-// Name is what it is called.
+// Name returns its name in discovery.
 func (z *Zone) Name() string { return z.opts.Name }
 
-// Started is when its process started; zero is long ago.
-func (z *Zone) Started() time.Time { return z.started }
-
-// Counts returns what it saw so far.
+// Counts returns the counts so far.
 func (z *Zone) Counts() ZoneCounts {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -122,21 +120,22 @@
 	return all
 }
 
-// Drain has it finish what it holds and turn all else away.
+// Drain makes it finish queued and running requests and reject all others.
 func (z *Zone) Drain() {
 	z.mu.Lock()
 	z.draining = true
 	z.mu.Unlock()
 }
 
-// RecordDrainNotified notes when the proxies were told that nothing new may reach it.
+// RecordDrainNotified records when proxies learned that they may send nothing new; DrainGrace runs from
+// there.
 func (z *Zone) RecordDrainNotified(at time.Time) {
 	z.mu.Lock()
 	z.drainNotifiedAt = at
 	z.mu.Unlock()
 }
 
-// RecordFirstDrainNotified is RecordDrainNotified unless an earlier time was noted.
+// RecordFirstDrainNotified is RecordDrainNotified unless a time was recorded before.
 func (z *Zone) RecordFirstDrainNotified(at time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -145,17 +144,17 @@
 	}
 }
 
-// Pause has it stand still.
+// Pause stalls its work for d, as a stopped process would.
 func (z *Zone) Pause(d time.Duration) {
 	z.mu.Lock()
 	z.pausedUntil = time.Now().Add(d)
 	z.mu.Unlock()
 }
 
-// Crash ends it as a process that dies: its connections are reset.
+// Crash ends it as a killed process would: its connections are reset.
 func (z *Zone) Crash() { z.shutDown(true) }
 
-// Close ends it.
+// Close ends it and closes its connections.
 func (z *Zone) Close() { z.shutDown(false) }
 
 func (z *Zone) shutDown(reset bool) {
@@ -169,7 +168,7 @@
 	z.listener.Close(reset)
 }
 
-// capacity is the part of its full capacity that it has now.
+// capacity is the fraction of its full capacity at now; z.mu is held or the zone not yet shared.
 func (z *Zone) capacity(now time.Time) float64 {
 	warmUp := z.opts.WarmUp
 	if warmUp.StartFraction <= 0 || warmUp.Duration <= 0 || z.started.IsZero() {
@@ -207,19 +206,19 @@
 	notProcessed = &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
 )
 
-// respond serves one request; nil where the server ended meanwhile.
+// respond serves one request. It returns nil if the server ended meanwhile.
 func (z *Zone) respond(req *http1.Request, now time.Time) *http1.Response {
 	switch req.Target {
 	case "/health/live":
 		return liveResponse
 	case "/stats":
-		return &http1.Response{Status: 200, Body: []byte(z.loadReport(now))}
+		return &http1.Response{Status: 200, Body: []byte(z.loadReport())}
 	}
 	id, class := req.Header.Get("X-Request-ID"), req.Header.Get("X-Priority-Class")
 	if id == "" {
 		return &http1.Response{Status: 404}
 	}
-	work, turn, ok := z.admit(id, class, req.Target, now)
+	work, turn, ok := z.admit(class, req.Target, now)
 	if !ok {
 		return notProcessed
 	}
@@ -237,8 +236,9 @@
 	return &http1.Response{Status: 200, Body: []byte(id + " served by " + z.opts.Name + "\n")}
 }
 
-// admit takes a request in: at once, or after its turn has come.
-func (z *Zone) admit(id, class, target string, now time.Time) (work time.Duration, turn chan bool, ok bool) {
+// admit reserves a core for a request, or a place in the queue, in which case a value on turn tells whether
+// to run it. It returns false where the request is rejected.
+func (z *Zone) admit(class, target string, now time.Time) (work time.Duration, turn chan bool, ok bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.counts.Requests++
@@ -260,7 +260,7 @@
 	return work, turn, true
 }
 
-// recordRun notes that an unsafe request runs.
+// recordRun counts the runs of an unsafe request.
 func (z *Zone) recordRun(id, class string) {
 	if !strings.HasPrefix(class, UnsafePrefix) {
 		return
@@ -275,7 +275,7 @@
 	}
 }
 
-// releaseCore gives the core to whoever has waited longest.
+// releaseCore passes the core on to the longest waiting request; z.mu is held.
 func (z *Zone) releaseCore() {
 	if len(z.queue) > 0 {
 		z.queue[0] <- true
@@ -285,7 +285,7 @@
 	z.running--
 }
 
-// drawWork is how long a request takes on one core of this server.
+// drawWork draws how long a request takes on one core of this server now; z.mu is held.
 func (z *Zone) drawWork(class, target string, now time.Time) time.Duration {
 	mean, ok := z.opts.Work[class]
 	if !ok {
@@ -304,7 +304,8 @@
 	return time.Duration(work / z.capacity(now) * float64(time.Second))
 }
 
-// recordArrival sums up what reaches a cold server; held beyond what it can do for too long, it falls over.
+// recordArrival sums the work offered during warm-up. A server offered more than OverloadMultiple of its
+// capacity over a window of OverloadAfter is overloaded and drains; z.mu is held.
 func (z *Zone) recordArrival(work time.Duration, now time.Time) {
 	warmUp := z.opts.WarmUp
 	capacity := z.capacity(now)
@@ -324,10 +325,10 @@
 	}
 }
 
-// execute waits as long as the work takes, longer while the server stands still, and not beyond its end;
-// then it returns false.
+// execute sleeps as long as the work takes, longer while the server is paused. It returns false if the server
+// ends first.
 func (z *Zone) execute(d time.Duration) bool {
-	var included time.Time // the pause that end has in it
+	var included time.Time // the pause that end already includes
 	for end := time.Now().Add(d); ; {
 		z.mu.Lock()
 		if remaining := time.Until(z.pausedUntil); remaining > 0 && !z.pausedUntil.Equal(included) {
@@ -343,8 +344,8 @@
 	}
 }
 
-// loadReport is the load report that probes get.
-func (z *Zone) loadReport(now time.Time) string {
+// loadReport answers a load probe.
+func (z *Zone) loadReport() string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.counts.Probes++
