--- a/internal/testbed/proxystandin/fleet.go
+++ b/internal/testbed/proxystandin/fleet.go
@@ -9,34 +9,39 @@
 	"time"
 )
 
-// FleetOptions describe zone servers of two kinds in several halls, as the brief has them.
+// FleetOptions describe zone servers of two kinds in several halls.
 type FleetOptions struct {
-	Servers   int
-	Halls     []string
-	Work      map[string]time.Duration // mean work of a request by class, on a core of speed 1
-	HalfSpeed float64                  // part of the servers that are of the slow kind
-	Waiting   int
-	Cold      Cold
-	Seed      uint64
+	Servers           int
+	Halls             []string
+	Work              map[string]time.Duration // mean work of a request by class, on a core of speed 1
+	HalfSpeedFraction float64                  // fraction of the servers that are of the slow kind
+	MaxQueued         int
+	WarmUp            WarmUp
+	Seed              uint64
 }
 
-// The kinds of server and their speeds.
+// The kinds of server.
 const (
-	Standard, HalfSpeed           = "standard", "half-speed"
-	standardSpeed, halfSpeedSpeed = 1.8, 0.9
-	coresEach                     = 2
+	Standard  = "standard"
+	HalfSpeed = "half-speed"
 )
 
-// Fleet is zone servers with the discovery that tells of them.
+const (
+	standardSpeed  = 1.8
+	halfSpeedSpeed = 0.9
+	coresPerServer = 2
+)
+
+// Fleet is a set of zone servers and the discovery service that lists them.
 type Fleet struct {
 	Discovery *Discovery
-	o         FleetOptions
+	opts      FleetOptions
 
-	mu    sync.Mutex
-	now   map[string]*member
-	all   []*Zone // ever started
-	next  int
-	ended bool
+	mu      sync.Mutex
+	running map[string]*member
+	started []*Zone // all that were ever started
+	next    int
+	closed  bool
 }
 
 type member struct {
@@ -44,17 +49,21 @@
 	entry Endpoint
 }
 
-// inService is the status of a server that takes work.
-const inService = "in_service"
+// The states of a server in discovery.
+const (
+	statusInService   = "in_service"
+	statusTerminating = "terminating"
+	statusTerminated  = "terminated"
+)
 
-// StartFleet starts the servers, warm, and a discovery that lists them, on loopback.
+// StartFleet starts the servers at full capacity, and a discovery service that lists them, on loopback.
 func StartFleet(o FleetOptions) (*Fleet, error) {
-	f := &Fleet{o: o, now: map[string]*member{}}
+	f := &Fleet{opts: o, running: map[string]*member{}}
 	var err error
 	if f.Discovery, err = StartDiscovery("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	f.Discovery.OnTold(f.noteTold)
+	f.Discovery.OnDelivered(f.recordDrainNotified)
 	for range o.Servers {
 		if _, err := f.Add(time.Time{}); err != nil {
 			f.Close()
@@ -64,24 +73,25 @@
 	return f, nil
 }
 
-// speed is that of the n-th server: the slow ones are spread evenly over the fleet.
+// speed returns the kind and speed of the n-th server: slow ones are spread evenly over the fleet.
 func (f *Fleet) speed(n int) (kind string, speed float64) {
-	if int(float64(n+1)*f.o.HalfSpeed) > int(float64(n)*f.o.HalfSpeed) {
+	if int(float64(n+1)*f.opts.HalfSpeedFraction) > int(float64(n)*f.opts.HalfSpeedFraction) {
 		return HalfSpeed, halfSpeedSpeed
 	}
 	return Standard, standardSpeed
 }
 
-// Capacity is the work a second that the first n servers can do, in seconds of a core of speed 1.
+// Capacity returns the work per second that the first n servers can do, in seconds of a core of speed 1.
 func (f *Fleet) Capacity(n int) (c float64) {
 	for i := range n {
 		_, speed := f.speed(i)
-		c += speed * coresEach
+		c += speed * coresPerServer
 	}
 	return c
 }
 
-// Add starts one more server and tells of it; since is when its process started, zero for long ago.
+// Add starts one more server and lists it. since is the start of its process, zero for long ago. It returns
+// the server's name.
 func (f *Fleet) Add(since time.Time) (string, error) {
 	f.mu.Lock()
 	n := f.next
@@ -89,17 +99,17 @@
 	f.mu.Unlock()
 	kind, speed := f.speed(n)
 	e := Endpoint{
-		Name: fmt.Sprintf("zone-%02d", n+1), Zone: f.o.Halls[n%len(f.o.Halls)], Type: kind, Group: n + 1,
-		Status: inService, Weight: speed / standardSpeed,
+		Name: fmt.Sprintf("zone-%02d", n+1), Zone: f.opts.Halls[n%len(f.opts.Halls)], Type: kind, Group: n + 1,
+		Status: statusInService, Weight: speed / standardSpeed,
 	}
 	return e.Name, f.start(n, e, speed, since)
 }
 
 func (f *Fleet) start(n int, e Endpoint, speed float64, since time.Time) error {
 	z, err := StartZone(ZoneOptions{
-		Name: e.Name, Listen: "127.0.0.1:0", Cores: coresEach, Speed: speed, Waiting: f.o.Waiting,
-		Connections: 1500, Handshake: 2 * time.Millisecond, Work: f.o.Work, Spread: 0.3, WarmFor: 5 * time.Second,
-		WarmPart: 0.5, Cold: f.o.Cold, Seed: f.o.Seed + uint64(n),
+		Name: e.Name, Listen: "127.0.0.1:0", Cores: coresPerServer, Speed: speed, MaxQueued: f.opts.MaxQueued,
+		MaxConnections: 1500, Handshake: 2 * time.Millisecond, Work: f.opts.Work, Spread: 0.3,
+		KeyCacheTTL: 5 * time.Second, CachedKeyCost: 0.5, WarmUp: f.opts.WarmUp, Seed: f.opts.Seed + uint64(n),
 	}, since)
 	if err != nil {
 		return err
@@ -110,64 +120,64 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ended {
+	if f.closed {
 		z.Close()
 		return errors.New("the fleet has ended")
 	}
-	f.now[e.Name] = &member{z, e}
-	f.all = append(f.all, z)
+	f.running[e.Name] = &member{z, e}
+	f.started = append(f.started, z)
 	f.Discovery.Set(e)
 	return nil
 }
 
-// Names returns the servers that are there, sorted.
+// Names returns the names of the running servers, sorted.
 func (f *Fleet) Names() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Sorted(maps.Keys(f.now))
+	return slices.Sorted(maps.Keys(f.running))
 }
 
 func (f *Fleet) member(name string) *member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now[name]
+	return f.running[name]
 }
 
-// tell changes a server's status in the list.
-func (f *Fleet) tell(m *member, status string) {
+// publishStatus changes a server's status in discovery.
+func (f *Fleet) publishStatus(m *member, status string) {
 	e := m.entry
 	e.Status = status
 	f.Discovery.Set(e)
 }
 
-// noteTold notes when a proxy was first told that nothing new may reach a server: not before discovery could
-// tell it.
-func (f *Fleet) noteTold(entries []Endpoint) {
+// recordDrainNotified records when a proxy first learned that it may send a server nothing new: not before
+// discovery could deliver it.
+func (f *Fleet) recordDrainNotified(entries []Endpoint) {
 	now := time.Now()
 	for _, entry := range entries {
-		if entry.Status == inService {
+		if entry.Status == statusInService {
 			continue
 		}
 		for _, zone := range f.Zones() {
 			if zone.Name() == entry.Name && zone.Address() == entry.Address {
-				zone.ToldFirst(now)
+				zone.RecordFirstDrainNotified(now)
 			}
 		}
 	}
 }
 
-// Drain tells that a server wants nothing new; it finishes what it has. Leave ends it.
+// Drain lists a server as terminating and lets it finish what it has; Terminate ends it.
 func (f *Fleet) Drain(name string) {
 	if m := f.member(name); m != nil {
-		f.tell(m, "terminating")
+		f.publishStatus(m, statusTerminating)
 		m.zone.Drain()
 	}
 }
 
-// Leave ends a server and tells so.
-func (f *Fleet) Leave(name string) {
+// Terminate ends a server and lists it as terminated.
+func (f *Fleet) Terminate(name string) {
 	if m := f.remove(name); m != nil {
-		f.tell(m, "terminated")
+		f.publishStatus(m, statusTerminated)
 		m.zone.Close()
 	}
 }
@@ -175,42 +185,43 @@
 func (f *Fleet) remove(name string) *member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.now[name]
-	delete(f.now, name)
+	m := f.running[name]
+	delete(f.running, name)
 	return m
 }
 
-// Pause has a server stand still.
+// Pause stalls a server for d.
 func (f *Fleet) Pause(name string, d time.Duration) {
 	if m := f.member(name); m != nil {
 		m.zone.Pause(d)
 	}
 }
 
-// Crash ends a server's process without a word; Gone tells that it is gone.
-func (f *Fleet) Crash(name string) (gone func(), again func() error) {
+// Crash kills a server's process. announce lists it as terminated, restart starts it again under its name at
+// a new address, in warm-up.
+func (f *Fleet) Crash(name string) (announce func(), restart func() error) {
 	m := f.remove(name)
 	if m == nil {
 		return func() {}, func() error { return nil }
 	}
 	m.zone.Crash()
-	return func() { f.tell(m, "terminated") }, func() error {
-		return f.start(len(f.Zones()), m.entry, m.zone.o.Speed, time.Now())
+	return func() { f.publishStatus(m, statusTerminated) }, func() error {
+		return f.start(len(f.Zones()), m.entry, m.zone.opts.Speed, time.Now())
 	}
 }
 
-// Zones returns all servers that ever were.
+// Zones returns all servers ever started, in order of their start.
 func (f *Fleet) Zones() []*Zone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.all)
+	return slices.Clone(f.started)
 }
 
-// RanTwice is how many unsafe requests ran more than once, whichever servers they ran on.
+// RanTwice returns how many unsafe requests ran more than once, on whichever servers.
 func (f *Fleet) RanTwice() (n int) {
 	runs := map[string]int{}
 	for _, z := range f.Zones() {
-		for id, k := range z.Ran() {
+		for id, k := range z.Runs() {
 			if runs[id] += k; runs[id] == 2 || k > 1 && runs[id] == k {
 				n++
 			}
@@ -219,28 +230,28 @@
 	return n
 }
 
-// Counts returns what the servers saw by name, a server's several lives added up.
+// Counts returns the servers' counts by name, summed over a server's restarts.
 func (f *Fleet) Counts() map[string]ZoneCounts {
 	all := map[string]ZoneCounts{}
 	for _, z := range f.Zones() {
 		c, sum := z.Counts(), all[z.Name()]
 		sum.Requests += c.Requests
 		sum.Served += c.Served
-		sum.TurnedAway += c.TurnedAway
+		sum.Rejected += c.Rejected
 		sum.Probes += c.Probes
 		sum.Opened += c.Opened
 		sum.RanTwice += c.RanTwice
 		sum.AfterDrain += c.AfterDrain
-		sum.FellOver += c.FellOver
+		sum.Overloaded += c.Overloaded
 		all[z.Name()] = sum
 	}
 	return all
 }
 
-// Close ends all servers and the discovery, and waits for their goroutines.
+// Close ends all servers and discovery, and waits for their goroutines.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	f.ended = true
+	f.closed = true
 	f.mu.Unlock()
 	for _, z := range f.Zones() {
 		z.Close()
