--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -68,7 +68,7 @@
 		bodies: bodies, idle: map[dispatch.ServerID][]*conn{},
 	}
 	p.SetLimits(limits)
-	budget.OnShort(descriptors.Servers, p.closeOldestIdle)
+	budget.SetReclaim(descriptors.Servers, p.closeOldestIdle)
 	return p
 }
 
@@ -80,7 +80,7 @@
 	done := a.Done
 	a.Done = func(o Outcome) {
 		a.cancel()
-		p.stats.Sent.Add(int(o.Result))
+		p.stats.Attempts.Add(int(o.Result))
 		done(o)
 	}
 	p.start(a)
@@ -95,7 +95,7 @@
 	a := &Attempt{Server: s, probe: true, GiveUpAt: began.Add(p.limits.Load().Probe)}
 	a.Done = func(o Outcome) {
 		a.cancel()
-		p.stats.Probed.Add(int(o.Result))
+		p.stats.Probes.Add(int(o.Result))
 		p.countMissingReport(o)
 		p.Release(&o)
 		done(o.Result, time.Since(began), o.Load)
@@ -107,7 +107,7 @@
 // the decisions are blind.
 func (p *Pool) countMissingReport(outcome Outcome) {
 	if outcome.Result == dispatch.Served && outcome.Load == nil && p.reportFormat.size > 0 {
-		p.stats.Blind.Add()
+		p.stats.ProbesWithoutReport.Add()
 	}
 }
 
