--- a/internal/proxy/simwire/decode.go
+++ b/internal/proxy/simwire/decode.go
@@ -1,11 +1,17 @@
-// Package simwire reads and writes the simulator's JSON lines. It is the only place that knows their
-// words; it takes no decisions.
+// Package simwire translates between the simulator's JSON lines and the balancer: a line with a batch of events
+// comes in, each event goes to the balancer of its instance, and the actions go out as one line of reply. It is
+// the only package that knows the words of that protocol, whose settings object the platform's configuration
+// file shares (ReadSettings); it takes no decisions.
+//
+// A Host holds the balancers by number. It, its Decoder and its Encoder reuse their buffers and are used from
+// one goroutine at a time.
 package simwire
 
 import (
 	"cmp"
 	"errors"
 	"fmt"
+	"math/bits"
 	"strconv"
 	"strings"
 	"time"
@@ -15,7 +21,7 @@
 	"cresshub/balance"
 )
 
-// Kind names an event.
+// Kind is the kind of an event.
 type Kind uint8
 
 // The events that reach the handler; pages are kept by the Decoder itself.
@@ -105,12 +111,15 @@
 	From     int
 	Body     []byte
 
-	page    int
-	present fieldSet
+	// What has been read and has its place once the whole event is known.
+	present fieldSet // the required fields that came
+	page    int      // number of a server list
+	entries []balance.Server
+	tid     string
 	server  balance.ServerID
 	result  balance.Result
 	rtt     time.Duration
-	tid     string
+	report  []float64
 }
 
 // Decoder reads batches. It keeps the numbered server lists, which belong to no instance.
@@ -122,24 +131,33 @@
 	row     []float64
 }
 
-// Batch reads one line. The handler is called for each event, in order, with the batch's clock.
-// Errors name the batch, the event and the field.
+// The fields of a batch, by the bits that tell which of them came.
+const (
+	hasTime = 1 << iota
+	hasNumber
+	hasEvents
+)
+
+var batchFields = [...]string{"sim-time-ms", "n", "happened"}
+
+// Batch reads one line and returns the batch's number. The handler is called for each event, in order, with the
+// batch's time since the simulation began. Errors name the batch, the event and the field.
 func (d *Decoder) Batch(line []byte, handle func(now time.Duration, ev *Event) error) (n int64, err error) {
 	var now time.Duration
-	var seen uint8
+	var present uint8
 	var postponed jx.Raw
 	d.json.ResetBytes(line)
 	err = d.json.ObjBytes(func(j *jx.Decoder, key []byte) (err error) {
 		switch string(key) {
 		case "sim-time-ms":
-			seen |= 1
+			present |= hasTime
 			now, err = decodeMillis(j)
 		case "n":
-			seen |= 2
+			present |= hasNumber
 			n, err = j.Int64()
 		case "happened":
-			seen |= 4
-			if seen&3 != 3 { // the clock is still to come
+			present |= hasEvents
+			if present != hasTime|hasNumber|hasEvents { // the clock or the number follows
 				postponed, err = j.Raw()
 				return withField(err, "happened")
 			}
@@ -152,28 +170,19 @@
 	if err == nil && d.json.Next() != jx.Invalid {
 		err = errors.New("something follows the object")
 	}
-	if err == nil && seen != 7 {
-		err = fmt.Errorf("field %q is missing", [...]string{"sim-time-ms", "n", "happened"}[lowestUnset(seen)])
+	if err == nil && present != hasTime|hasNumber|hasEvents {
+		err = fmt.Errorf("field %q is missing", batchFields[bits.TrailingZeros8(^present)])
 	}
 	if err == nil && postponed != nil {
 		err = d.events(jx.DecodeBytes(postponed), now, handle)
 	}
 	if err != nil {
-		// The JSON library tells how deep it was, a word a level, which helps nobody.
+		// The JSON library says "callback: " once for each level of nesting.
 		return n, fmt.Errorf("batch %d: %s", n, strings.ReplaceAll(err.Error(), "callback: ", ""))
 	}
 	return n, nil
 }
 
-func lowestUnset(seen uint8) int {
-	for i := range 3 {
-		if seen&(1<<i) == 0 {
-			return i
-		}
-	}
-	return 0
-}
-
 func (d *Decoder) events(j *jx.Decoder, now time.Duration, handle func(time.Duration, *Event) error) error {
 	index := -1
 	return j.Arr(func(j *jx.Decoder) error {
@@ -212,13 +221,12 @@
 	return nil
 }
 
+// event reads one event into d.ev and checks that it has the fields that its kind needs.
 func (d *Decoder) event(j *jx.Decoder, kind Kind) error {
 	ev := &d.ev
 	*ev = Event{Kind: kind}
-	var entries []balance.Server
-	var row []float64
 	err := j.ObjBytes(func(j *jx.Decoder, key []byte) error {
-		known, err := d.field(j, key, kind, &entries, &row)
+		known, err := d.field(j, key)
 		if !known && err == nil {
 			return j.Skip()
 		}
@@ -232,51 +240,105 @@
 		return err
 	}
 	if missing := required[kind] &^ ev.present; missing != 0 {
-		first := ""
-		for name, f := range fieldNames {
-			if missing&f != 0 && (first == "" || name < first) {
-				first = name
-			}
-		}
-		return fmt.Errorf("field %q is missing", first)
+		return fmt.Errorf("field %q is missing", missing.firstName())
 	}
 	switch kind {
 	case NewRequest:
 		ev.Request.ID = ev.tid
 	case Ended, Established, TimedOutClient:
 		o := &ev.Outcome
-		o.ID, o.Server, o.Result, o.Latency, o.Report = ev.tid, ev.server, ev.result, ev.rtt, row
+		o.ID, o.Server, o.Result, o.Latency, o.Report = ev.tid, ev.server, ev.result, ev.rtt, ev.report
 	case Echo:
-		ev.Probe = balance.ProbeResult{Server: ev.server, Result: ev.result, Latency: ev.rtt, Report: row}
+		ev.Probe = balance.ProbeResult{Server: ev.server, Result: ev.result, Latency: ev.rtt, Report: ev.report}
 	case page:
-		if ev.page < 0 || ev.page >= len(d.pages) {
-			return errors.New(`field "page": not from 0 to 15`)
-		}
-		d.pages[ev.page], d.hasPage[ev.page] = entries, true
+		return d.storePage()
 	case Registry:
-		if ev.List == balance.ListFailed {
-			return nil
-		}
-		if ev.present&fPage == 0 {
-			return errors.New(`field "page" is missing`)
-		}
-		if ev.page < 0 || ev.page >= len(d.pages) || !d.hasPage[ev.page] {
-			return fmt.Errorf(`field "page": no Directory has number %d`, ev.page)
+		return d.loadPage()
+	}
+	return nil
+}
+
+// firstName is the name of the alphabetically first field of a set.
+func (s fieldSet) firstName() string {
+	first := ""
+	for name, f := range fieldNames {
+		if s&f != 0 && (first == "" || name < first) {
+			first = name
 		}
-		ev.Servers = d.pages[ev.page]
 	}
+	return first
+}
+
+// storePage keeps the server list of a Directory event under its number.
+func (d *Decoder) storePage() error {
+	ev := &d.ev
+	if ev.page < 0 || ev.page >= len(d.pages) {
+		return errors.New(`field "page": not from 0 to 15`)
+	}
+	d.pages[ev.page], d.hasPage[ev.page] = ev.entries, true
 	return nil
 }
 
-// field reads one field of an event; known is false, and nothing read, where the name says nothing.
-func (d *Decoder) field(j *jx.Decoder, key []byte, kind Kind, entries *[]balance.Server,
-	row *[]float64) (known bool, err error) {
+// loadPage gives a Registry event the server list that it names by number.
+func (d *Decoder) loadPage() error {
+	ev := &d.ev
+	if ev.List == balance.ListFailed {
+		return nil
+	}
+	if ev.present&fPage == 0 {
+		return errors.New(`field "page" is missing`)
+	}
+	if ev.page < 0 || ev.page >= len(d.pages) || !d.hasPage[ev.page] {
+		return fmt.Errorf(`field "page": no Directory has number %d`, ev.page)
+	}
+	ev.Servers = d.pages[ev.page]
+	return nil
+}
+
+// field reads one field of an event; known is false, and nothing read, where the name says nothing to an event
+// of this kind.
+func (d *Decoder) field(j *jx.Decoder, key []byte) (known bool, err error) {
 	ev := &d.ev
 	switch string(key) {
 	case "sidecar":
 		ev.Sidecar, err = decodeCount(j)
 	case "tid":
 		ev.tid, err = j.Str()
+	case "name":
+		if ev.Kind != Elapsed {
+			return false, nil
+		}
+		ev.Token, err = j.UInt64()
+	case "neighbour":
+		ev.From, err = decodeCount(j)
+	case "body":
+		ev.Body, err = j.StrBytes()
+	case "salt":
+		ev.Settings.Seed, err = decodeSeed(j)
+	case "facts":
+		var s Settings
+		s, err = decodeSettings(j)
+		s.Seed = cmp.Or(ev.Settings.Seed, s.Seed)
+		ev.Settings = s.Settings
+	case "scope":
+		ev.List, err = decodeWord(j, scopes)
+	case "page":
+		ev.page, err = j.Int()
+	case "entries":
+		ev.entries, err = decodeServers(j)
+	default:
+		if known, err = d.resultField(j, key); known {
+			return true, err
+		}
+		return d.requestField(j, key)
+	}
+	return true, err
+}
+
+// resultField reads a field that tells how an attempt or a probe went.
+func (d *Decoder) resultField(j *jx.Decoder, key []byte) (known bool, err error) {
+	ev := &d.ev
+	switch string(key) {
 	case "server":
 		var id uint32
 		id, err = j.UInt32()
@@ -291,9 +353,19 @@
 		ev.Outcome.Final, err = j.Bool()
 	case "metrics":
 		d.row, err = decodeNumbers(j, d.row[:0])
-		*row = d.row
+		ev.report = d.row
+	default:
+		return false, nil
+	}
+	return true, err
+}
+
+// requestField reads a field that describes a new request.
+func (d *Decoder) requestField(j *jx.Decoder, key []byte) (known bool, err error) {
+	ev := &d.ev
+	switch string(key) {
 	case "object":
-		if kind != NewRequest {
+		if ev.Kind != NewRequest {
 			return false, nil
 		}
 		var b []byte
@@ -306,35 +378,13 @@
 	case "client-deadline-ms":
 		ev.Request.Deadline, err = decodeMillis(j)
 	case "bitmap":
-		var bits int
-		bits, err = decodeCount(j)
-		ev.Request.ClientRetry = bits&2 != 0
+		var flags int
+		flags, err = decodeCount(j)
+		ev.Request.ClientRetry = flags&2 != 0
 	case "lane":
 		ev.Request.Class, err = decodeCount(j)
 	case "size-hint-ms":
 		ev.Request.Work, err = decodeMillis(j)
-	case "name":
-		if kind != Elapsed {
-			return false, nil
-		}
-		ev.Token, err = j.UInt64()
-	case "neighbour":
-		ev.From, err = decodeCount(j)
-	case "body":
-		ev.Body, err = j.StrBytes()
-	case "scope":
-		ev.List, err = decodeWord(j, scopes)
-	case "page":
-		ev.page, err = j.Int()
-	case "entries":
-		*entries, err = decodeServers(j)
-	case "salt":
-		ev.Settings.Seed, err = decodeSeed(j)
-	case "facts":
-		var s Settings
-		s, err = decodeSettings(j)
-		s.Seed = cmp.Or(ev.Settings.Seed, s.Seed)
-		ev.Settings = s.Settings
 	default:
 		return false, nil
 	}
--- a/internal/proxy/simwire/encode.go
+++ b/internal/proxy/simwire/encode.go
@@ -6,7 +6,7 @@
 	"cresshub/balance"
 )
 
-// Encoder writes replies. Nothing leaves it before the whole reply stands.
+// Encoder writes one reply at a time into its buffer.
 type Encoder struct {
 	writer    jx.Writer
 	hasAction bool
@@ -36,24 +36,24 @@
 	switch a.Kind {
 	case balance.Send:
 		e.openAction(`{"Place":{"sidecar":`, sidecar)
-		e.writeText(`,"tid":`, a.ID)
+		e.writeID(a.ID)
 		e.writeUint(`,"server":`, uint64(a.Server))
 		if a.Wait > 0 {
 			e.writeWait(`,"max-wait-ms":`, a)
 		}
 	case balance.Cancel:
 		e.openAction(`{"Withdraw":{"sidecar":`, sidecar)
-		e.writeText(`,"tid":`, a.ID)
+		e.writeID(a.ID)
 		e.writeUint(`,"attempt":`, uint64(a.Attempt))
 	case balance.Reject:
 		e.openAction(`{"Busy":{"sidecar":`, sidecar)
-		e.writeText(`,"tid":`, a.ID)
+		e.writeID(a.ID)
 		if a.Wait > 0 {
 			e.writeWait(`,"backoff-ms":`, a)
 		}
 	case balance.Fail:
 		e.openAction(`{"Fail":{"sidecar":`, sidecar)
-		e.writeText(`,"tid":`, a.ID)
+		e.writeID(a.ID)
 	case balance.Probe:
 		e.openAction(`{"Probe":{"sidecar":`, sidecar)
 		e.writeUint(`,"server":`, uint64(a.Server))
@@ -73,9 +73,9 @@
 	e.writer.Int(sidecar)
 }
 
-func (e *Encoder) writeText(name, v string) {
-	e.writer.RawStr(name)
-	e.writer.Str(v)
+func (e *Encoder) writeID(id string) {
+	e.writer.RawStr(`,"tid":`)
+	e.writer.Str(id)
 }
 
 func (e *Encoder) writeUint(name string, v uint64) {
@@ -83,6 +83,7 @@
 	e.writer.UInt64(v)
 }
 
+// writeWait writes an action's time in milliseconds.
 func (e *Encoder) writeWait(name string, a *balance.Action) {
 	e.writer.RawStr(name)
 	e.writer.Float64(float64(a.Wait) / 1e6)
--- a/internal/proxy/simwire/host.go
+++ b/internal/proxy/simwire/host.go
@@ -8,7 +8,7 @@
 	"cresshub/balance"
 )
 
-// Host holds the instances by number.
+// Host holds the balancers of the simulated instances by number.
 type Host struct {
 	decoder   Decoder
 	encoder   Encoder
@@ -19,8 +19,8 @@
 // NewHost returns a Host without instances.
 func NewHost() *Host { return &Host{instances: map[int]*balance.Balancer{}} }
 
-// Reply hands the events of one line to their instances and returns the reply line, which is valid
-// until the next call. After an error the Host must not be used again.
+// Reply passes the events of one line to their instances and returns the reply line, which is valid until the
+// next call. After an error the Host must not be used again: some events of the line have taken effect.
 func (h *Host) Reply(line []byte) ([]byte, error) {
 	h.encoder.Start()
 	n, err := h.decoder.Batch(line, h.handle)
--- a/internal/proxy/simwire/simwire_test.go
+++ b/internal/proxy/simwire/simwire_test.go
@@ -36,7 +36,7 @@
 	return fmt.Sprintf(`{"sim-time-ms":%v,"n":%d,"happened":[%s]}`+"\n", at, n, strings.Join(events, ","))
 }
 
-func TestReply(t *testing.T) {
+func TestReplyCarriesTheActionsOfABatch(t *testing.T) {
 	h := NewHost()
 	reply := func(line string) string {
 		t.Helper()
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestBadLines(t *testing.T) {
+func TestErrorsNameBatchEventAndField(t *testing.T) {
 	ok := boot(3)
 	for name, c := range map[string]struct{ line, want string }{
 		"not JSON":         {"nonsense\n", "batch 0"},
@@ -85,7 +85,7 @@
 }
 
 // The same events give the same bytes, and instances act in one host as they do alone.
-func TestDeterministicAndAlone(t *testing.T) {
+func TestSameEventsGiveSameBytesAndInstancesAreIndependent(t *testing.T) {
 	run := func(instances ...int) []byte {
 		h := NewHost()
 		var all bytes.Buffer
--- a/internal/proxy/simwire/values.go
+++ b/internal/proxy/simwire/values.go
@@ -1,5 +1,3 @@
-// This file reads single values of the simulator's words.
-
 package simwire
 
 import (
@@ -14,7 +12,7 @@
 	"cresshub/balance"
 )
 
-// decodeSeed takes any whole number, also one written with a sign.
+// decodeSeed reads any whole number of 64 bits, with or without a sign.
 func decodeSeed(j *jx.Decoder) (uint64, error) {
 	n, err := j.Num()
 	if err != nil {
