--- /dev/null
+++ b/internal/proxy/daemon/admin.go
@@ -0,0 +1,48 @@
+package daemon
+
+import (
+	"fmt"
+
+	"cresshub/internal/proxy/adminapi"
+)
+
+// openAdmin opens the admin API's listener where `operator` names its address.
+func (p *Proxy) openAdmin() error {
+	if p.cfg.Operator == "" {
+		return nil
+	}
+	listener, err := listen(p.cfg.Operator, nil)
+	if err != nil {
+		return fmt.Errorf("operator: %w", err)
+	}
+	p.admin = adminapi.New(listener, p, p.stats, p.log.Logger)
+	return nil
+}
+
+// Ready reports whether the proxy serves clients by a list of servers, and why not.
+func (p *Proxy) Ready() (bool, string) {
+	switch {
+	case !p.server.Serving():
+		return false, "sending clients away"
+	case !p.handover.serving.Load():
+		return false, "not taking clients yet"
+	case p.discovery.Listed() == 0:
+		return false, "no list of servers yet"
+	}
+	return true, ""
+}
+
+// LameDuck begins or ends a drain, and tells the fleet.
+func (p *Proxy) LameDuck(on bool) {
+	p.server.LameDuck(on)
+	p.setFleetPhase(on)
+}
+
+// Gauges are the figures that are true now, by name. A draining server is listed and gets nothing, so it
+// counts as skipped.
+func (p *Proxy) Gauges() map[string]int {
+	known := p.discovery.Listed()
+	return map[string]int{
+		"known_zone_servers": known, "skipped_zone_servers": known - p.discovery.InService() + p.decider.Avoided(),
+	}
+}
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -1,5 +1,15 @@
-// Package daemon runs one client proxy: it wires the parts from a checked configuration, minds signals,
-// takes over what a changed configuration may change, and returns once nothing is owed.
+// Package daemon runs one client proxy. New wires the parts from a checked configuration and opens the
+// listeners; Run serves until a signal, takes over what a reread configuration may change, and returns once
+// every request that was accepted has been answered.
+//
+// A Proxy goes through these states: waiting (it listens or has inherited a listener, and waits for its first
+// list of servers where it takes over from another process), serving, draining (lame duck, by an operator's
+// call, until the next one) and shutting down (after SIGTERM or SIGINT, for good). Ready tells the first
+// three apart.
+//
+// New and Run belong to one goroutine, which alone reads and replaces the present configuration. The admin
+// API calls Ready, LameDuck and Gauges, the handover's goroutines call the methods of handover.Incumbent, and
+// the decider calls Follow and Probe, each from goroutines of their own.
 package daemon
 
 import (
@@ -27,53 +37,40 @@
 	"cresshub/internal/proxy/upstream"
 )
 
-// logCloseTimeout bounds how long the end waits for whoever reads the log.
+// logCloseTimeout bounds how long Run waits at its end for whoever reads the log.
 const logCloseTimeout = 500 * time.Millisecond
 
 // Proxy is one client proxy with its parts.
 type Proxy struct {
-	cfg           *config.Config // as it is now; of whoever calls New and Run alone
-	startConfig   *config.Config // as it was at the start, where what takes a restart stands for good
-	log           *logging.Logger
-	stats         *stats.Set
-	decider       *dispatch.Decider
-	pool          *upstream.Pool
-	discovery     *discovery.Client
-	server        *ingress.Server
-	listener      net.Listener
-	admin         *adminapi.Server    // nil where there is none
-	fleet         *gossip.Fleet       // nil where there is none
-	ledger        *ledgerNode         // nil where there is none
-	roles         *leaseholder.Runner // nil where there is none
-	shutdownTimes atomic.Pointer[config.Shutdown]
+	cfg         *config.Config // in force now; only New and Run touch it
+	startConfig *config.Config // in force at the start: keys that need a restart keep its values
+
+	log       *logging.Logger
+	stats     *stats.Set
+	decider   *dispatch.Decider
+	pool      *upstream.Pool
+	discovery *discovery.Client
+	server    *ingress.Server
+	listener  net.Listener
+	admin     *adminapi.Server    // nil without `operator`
+	fleet     *gossip.Fleet       // nil without `fleet.bind`
+	ledger    *ledgerNode         // nil without `ledger.bind`
+	roles     *leaseholder.Runner // nil without `owner.chores`
+
 	budget        *descriptors.Budget
 	bodies        *bodybudget.Budget
+	shutdownTimes atomic.Pointer[config.Shutdown]
 	handover      handoverState
-	firstNamed    map[string]time.Time // when servers of the file were first named, by name and address
-}
-
-// Follow and Probe are what the decisions may set off by themselves.
-func (p *Proxy) Follow() { p.discovery.Follow() }
-
-// Probe asks a server for its load.
-func (p *Proxy) Probe(s dispatch.ServerID) {
-	p.pool.Probe(s, func(result dispatch.Result, took time.Duration, load []float64) {
-		p.decider.Probed(s, result, took, load)
-	})
+	firstNamed    map[string]time.Time // when each [[server]] was first named; see config.ServerList
 }
 
-// New wires a proxy and listens; it serves once Run is called. The log goes to w.
+// New wires a proxy and opens its listeners; it serves once Run is called. The log goes to w. The error says
+// which key of the configuration can't be put into effect, most often an address that is taken.
 func New(cfg *config.Config, w io.Writer) (*Proxy, error) {
 	settings := cfg.Settings()
-	p := &Proxy{cfg: cfg, startConfig: cfg, stats: stats.New(settings.ClassNames),
+	p := &Proxy{cfg: cfg, startConfig: cfg, log: newLogger(cfg, w), stats: stats.New(settings.ClassNames),
 		firstNamed: map[string]time.Time{}}
 	p.shutdownTimes.Store(&cfg.Shutdown)
-	p.log = logging.New(w, logging.Options{
-		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), RepeatRate: cfg.Log.RepeatRate,
-		Backlog: int(cfg.Log.Backlog),
-	})
-	log := p.log.With(logging.Name, cfg.Name)
-	p.log.Logger = log
 	var err error
 	if p.decider, err = dispatch.New(settings.Settings, cfg.Policy.ResponseMargin, p); err != nil {
 		return nil, err
@@ -81,117 +78,120 @@
 	if err := p.inheritOrListen(); err != nil {
 		return nil, err
 	}
-	budget := descriptors.NewBudget(p.descriptorLimit(), cfg.Limits.ClientFraction, cfg.Limits.CrowdedFraction)
-	p.budget = budget
-	p.discovery = discovery.New(cfg.Discovery.Address, cfg.Upstream.DialLimit(), listLimits(cfg),
-		discovery.Names{Zones: settings.ZoneNames, Kinds: settings.KindNames}, budget, p.stats, log)
-	p.bodies = bodybudget.NewBudget(p.bodyBytes())
-	p.pool = upstream.New(p.discovery, poolLimits(cfg), settings.ReportNames, budget, p.bodies, p.stats)
-	if err := p.openLedger(); err != nil {
-		p.listener.Close()
+	if err := p.wire(); err != nil {
+		p.closeAfterFailedStart()
 		return nil, err
 	}
+	return p, nil
+}
+
+func newLogger(cfg *config.Config, w io.Writer) *logging.Logger {
+	log := logging.New(w, logging.Options{
+		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), RepeatRate: cfg.Log.RepeatRate,
+		Backlog: int(cfg.Log.Backlog),
+	})
+	log.Logger = log.With(logging.Name, cfg.Name)
+	return log
+}
+
+// wire makes the parts in the order in which they need each other.
+func (p *Proxy) wire() error {
+	p.newUpstream()
+	if err := p.openLedger(); err != nil {
+		return err
+	}
+	p.newIngress()
+	if err := p.restoreList(); err != nil {
+		return err
+	}
+	if err := p.openAdmin(); err != nil {
+		return err
+	}
+	if err := p.joinFleet(); err != nil {
+		return err
+	}
+	if err := p.runLedger(); err != nil {
+		return err
+	}
+	return p.runRoles()
+}
+
+// newUpstream makes what leads to the servers: the budgets, discovery and the connection pool.
+func (p *Proxy) newUpstream() {
+	cfg, settings := p.cfg, p.cfg.Settings()
+	p.budget = descriptors.NewBudget(p.descriptorLimit(), cfg.Limits.ClientFraction, cfg.Limits.CrowdedFraction)
+	p.bodies = bodybudget.NewBudget(p.bodyBytes())
+	p.discovery = discovery.New(cfg.Discovery.Address, cfg.Upstream.DialLimit(), listLimits(cfg),
+		discovery.Names{Zones: settings.ZoneNames, Kinds: settings.KindNames}, p.budget, p.stats, p.log.Logger)
+	p.pool = upstream.New(p.discovery, poolLimits(cfg), settings.ReportNames, p.budget, p.bodies, p.stats)
+}
+
+func (p *Proxy) newIngress() {
+	settings := p.cfg.Settings()
 	p.server = ingress.New(ingress.Options{
 		Decider: p.decider, Pool: p.pool, Name: p.discovery.Name, Classes: settings.ClassNames,
-		Tenants: settings.TenantNames, Limits: cfg.Clients, Drain: p.drainTimes, Budget: budget,
-		Bodies: p.bodies, Stats: p.stats,
-		RecordUsage: p.usageRecorder(), Log: log,
+		Tenants: settings.TenantNames, Limits: p.cfg.Clients, Drain: p.drainTimes, Budget: p.budget,
+		Bodies: p.bodies, Stats: p.stats, RecordUsage: p.usageRecorder(), Log: p.log.Logger,
 	})
 	p.server.LogRequests(p.requestLog())
-	known := cfg.KnownServers
+}
+
+// restoreList gives the decider the list of servers to begin with: the configuration's own [[server]] tables,
+// else the predecessor's list, which is newer than the platform's, else the platform's.
+func (p *Proxy) restoreList() error {
+	known := p.cfg.KnownServers
 	if old := p.handover.predecessor; old != nil && len(old.Known) > 0 {
-		if old.Discovery == cfg.Discovery.Address {
-			known = old.Known // as of now; the configuration's is as of some time
-		} else { // another deployment's servers, and another count of changes
-			log.Warn("list of the old process left aside", "discovery", old.Discovery)
+		if old.Discovery == p.cfg.Discovery.Address {
+			known = old.Known
+		} else { // another deployment's servers, whose list counts its changes from another start
+			p.log.Warn("list of the old process left aside", "discovery", old.Discovery)
 		}
 	}
-	if list := cfg.ServerList(time.Time{}, p.firstNamed); list != nil {
+	if list := p.cfg.ServerList(time.Time{}, p.firstNamed); list != nil {
 		known = list
 	}
 	var servers []dispatch.Server
 	if known != nil {
+		var err error
 		if servers, err = p.discovery.Restore(known); err != nil {
-			return nil, fmt.Errorf("the list of known servers: %w", err)
+			return fmt.Errorf("the list of known servers: %w", err)
 		}
 	}
 	p.decider.RestoreList(servers)
-	if cfg.Operator != "" {
-		listener, err := listen(cfg.Operator, nil)
-		if err != nil {
-			p.listener.Close()
-			return nil, fmt.Errorf("operator: %w", err)
-		}
-		p.admin = adminapi.New(listener, p, p.stats, log)
-	}
-	err = p.joinFleet()
-	if err == nil {
-		err = p.runLedger()
-	}
-	if err == nil {
-		err = p.runRoles()
+	return nil
+}
+
+// closeAfterFailedStart closes what New has opened.
+func (p *Proxy) closeAfterFailedStart() {
+	p.closeLedger()
+	if p.fleet != nil {
+		p.fleet.Close()
 	}
-	if err != nil {
-		p.closeLedger()
-		if p.fleet != nil {
-			p.fleet.Close()
-		}
-		p.listener.Close()
-		if p.admin != nil {
-			p.admin.Close()
-		}
-		return nil, err
+	p.listener.Close()
+	if p.admin != nil {
+		p.admin.Close()
 	}
-	return p, nil
 }
 
 func listen(address string, control func(string, string, syscall.RawConn) error) (net.Listener, error) {
 	return (&net.ListenConfig{KeepAlive: -1, Control: control}).Listen(context.Background(), "tcp", address)
 }
 
-// Ready tells whether the process is ready to serve, and why not.
-func (p *Proxy) Ready() (bool, string) {
-	switch {
-	case !p.server.Serving():
-		return false, "sending clients away"
-	case !p.handover.serving.Load():
-		return false, "not taking clients yet"
-	case p.discovery.Listed() == 0:
-		return false, "no list of servers yet"
-	}
-	return true, ""
-}
-
-// LameDuck sends clients away for a while, or takes them again.
-func (p *Proxy) LameDuck(on bool) {
-	p.server.LameDuck(on)
-	p.setFleetPhase(on)
-}
-
-// Gauges are figures that are true now. What drains is listed and gets nothing, so it counts as skipped.
-func (p *Proxy) Gauges() map[string]int {
-	known := p.discovery.Listed()
-	return map[string]int{
-		"known_zone_servers": known, "skipped_zone_servers": known - p.discovery.InService() + p.decider.Avoided(),
-	}
-}
+// Follow has discovery watched for changes of the list; the decider calls it.
+func (p *Proxy) Follow() { p.discovery.Follow() }
 
-func (p *Proxy) drainTimes() drain.Times {
-	t := *p.shutdownTimes.Load()
-	if p.handover.successorServing.Load() {
-		// The successor takes what comes from now on. What was never used closes as soon as all that crosses
-		// with the signal is here, or its request would have less than its time before the process is killed.
-		t.AcceptFor, t.CloseAll = 0, min(t.CloseAll, t.CloseIdle+t.CloseIdle/4)
-	}
-	return drain.Times{CloseIdle: t.CloseIdle, AcceptFor: t.AcceptFor,
-		CloseAll: t.CloseAll, ClosePartial: t.ClosePartial}
+// Probe asks a server for its load and reports the result to the decider, which calls it.
+func (p *Proxy) Probe(s dispatch.ServerID) {
+	p.pool.Probe(s, func(result dispatch.Result, took time.Duration, load []float64) {
+		p.decider.Probed(s, result, took, load)
+	})
 }
 
 // Address is where clients connect.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Run serves until SIGTERM or SIGINT and returns once nothing is owed. On SIGHUP reread gives the
-// configuration as it is then; on SIGUSR1 the counters are logged.
+// Run serves until SIGTERM or SIGINT and returns once every accepted request has been answered. On SIGHUP it
+// takes over the configuration that reread returns, on SIGUSR1 it logs the counters.
 func (p *Proxy) Run(signals <-chan os.Signal, reread func() (*config.Config, error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -203,52 +203,61 @@
 		defer p.admin.Close()
 	}
 
-	var done chan struct{} // closes when nothing is owed any more
-	for ending := false; !ending; {
+	p.handleSignals(signals, reread)
+
+	if offer := p.handover.offer.Load(); offer != nil {
+		offer.Close()
+	}
+	p.stats.Log(p.log.Logger, "exit", dispatch.ResultNames)
+	p.log.Close(logCloseTimeout)
+}
+
+// handleSignals acts on signals until the shutdown that one of them began is complete.
+func (p *Proxy) handleSignals(signals <-chan os.Signal, reread func() (*config.Config, error)) {
+	var done <-chan struct{} // nil until a shutdown begins
+	for {
 		select {
 		case <-done:
-			ending = true
+			return
 		case sig := <-signals:
 			switch {
 			case sig == syscall.SIGUSR1:
 				p.stats.Log(p.log.Logger, "asked", dispatch.ResultNames)
-			case sig == syscall.SIGHUP: // also while ending: what is owed still needs the list
+			case sig == syscall.SIGHUP: // also during a shutdown: requests under way still need the list
 				p.reload(reread())
 			case done == nil:
 				p.log.Info("ending", "signal", sig.String())
-				done = make(chan struct{})
-				go func() {
-					fleetLeft := make(chan struct{})
-					go func() { p.leaveFleet(); close(fleetLeft) }()
-					p.server.Shutdown(p.listener)
-					p.closeLedger() // once all answers are out and counted
-					<-fleetLeft
-					close(done)
-				}()
+				done = p.shutdown()
 			}
 		}
 	}
-	if offer := p.handover.offer.Load(); offer != nil {
-		offer.Close()
-	}
-	p.stats.Log(p.log.Logger, "exit", dispatch.ResultNames)
-	p.log.Close(logCloseTimeout)
 }
 
-func listLimits(cfg *config.Config) discovery.Limits {
-	l := discovery.Limits{WatchTimeout: cfg.Discovery.WatchTimeout, MaxListBytes: int(cfg.Discovery.MaxList)}
-	if cfg.Discovery.Mode == "told" && cfg.Discovery.Address != "" {
-		// What discovery has binds from then on: a drain has to be heard well within its grace.
-		l.MaxReopenDelay = max(cfg.Drain.Grace/4, 20*time.Millisecond)
-	}
-	return l
+// shutdown begins to drain; the channel closes once every accepted request has been answered.
+func (p *Proxy) shutdown() <-chan struct{} {
+	done := make(chan struct{})
+	go func() {
+		fleetLeft := make(chan struct{})
+		go func() { p.leaveFleet(); close(fleetLeft) }()
+		p.server.Shutdown(p.listener)
+		p.closeLedger() // once all responses are out and counted
+		<-fleetLeft
+		close(done)
+	}()
+	return done
 }
 
-func poolLimits(cfg *config.Config) upstream.Limits {
-	dial := cfg.Upstream.DialLimit()
-	return upstream.Limits{Dial: dial, MaxIdle: cfg.Upstream.MaxIdle(),
-		DuplicateGuard: cfg.Upstream.DuplicateGuard, Probe: dial + cfg.Upstream.ProbeTimeout,
-		BufferTime: cfg.Upstream.BufferTime, Stall: cfg.Upstream.StallTimeout}
+// drainTimes are the times of a drain that begins or goes on now.
+func (p *Proxy) drainTimes() drain.Times {
+	t := *p.shutdownTimes.Load()
+	if p.handover.successorServing.Load() {
+		// The successor takes new connections from now on. An unused one closes as soon as a request that
+		// crosses with the signal must have arrived, or that request would have less than its time before
+		// the process is killed.
+		t.AcceptFor, t.CloseAll = 0, min(t.CloseAll, t.CloseIdle+t.CloseIdle/4)
+	}
+	return drain.Times{CloseIdle: t.CloseIdle, AcceptFor: t.AcceptFor,
+		CloseAll: t.CloseAll, ClosePartial: t.ClosePartial}
 }
 
 func (p *Proxy) requestLog() *logging.RequestLog {
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -7,12 +7,13 @@
 
 	"cresshub/internal/cluster/gossip"
 	"cresshub/internal/cluster/membership"
+	"cresshub/internal/proxy/logging"
 )
 
-// leaveTimeout bounds how long a leave waits for the news to spread at SIGTERM.
+// leaveTimeout bounds how long a change of this proxy's phase waits until gossip has spread it.
 const leaveTimeout = time.Second
 
-// joinFleet starts this proxy's membership of the fleet where fleet.bind says so.
+// joinFleet starts this proxy's membership of the fleet where fleet.bind names an address.
 func (p *Proxy) joinFleet() error {
 	c := &p.cfg.Fleet
 	if c.Bind == "" {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// setFleetPhase tells the fleet that this proxy drains or serves again.
+// setFleetPhase has the fleet see this proxy as draining or serving.
 func (p *Proxy) setFleetPhase(draining bool) {
 	if p.fleet == nil {
 		return
@@ -57,16 +58,16 @@
 		phase = membership.Draining
 	}
 	if err := p.fleet.SetPhase(phase, leaveTimeout); err != nil {
-		p.log.Warn("fleet: the new phase was not told to all", "phase", phase.String(), "err", err)
+		p.log.Warn("fleet: the new phase did not spread", "phase", phase.String(), logging.Err, err)
 	}
 }
 
-// leaveFleet tells the fleet that this proxy goes, before it stops taking clients.
+// leaveFleet has the fleet see that this proxy shuts down, before it stops accepting clients.
 func (p *Proxy) leaveFleet() {
 	if p.fleet == nil {
 		return
 	}
 	if err := p.fleet.Leave(leaveTimeout); err != nil {
-		p.log.Warn("fleet: the leave was not told to all", "err", err)
+		p.log.Warn("fleet: the leave did not spread", logging.Err, err)
 	}
 }
--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -9,27 +9,27 @@
 	"syscall"
 	"time"
 
-	"cresshub/internal/proxy/adminapi"
 	"cresshub/internal/proxy/handover"
 	"cresshub/internal/proxy/logging"
 )
 
-// handoverState is what the proxy knows of the process before it and of those after it.
+// handoverState is what the proxy knows of its predecessor, the process that served the address before it,
+// and of its successors.
 type handoverState struct {
-	socketPath        string                // where they meet; "" for no handover
-	predecessor       *handover.Predecessor // nil where none served before, or once it is gone
-	predecessorExited chan struct{}         // closed when there is none any more
+	socketPath        string                // of the Unix socket; "" without handover
+	predecessor       *handover.Predecessor // nil where no process served the address
+	predecessorExited chan struct{}         // closed when there is no predecessor, or none any more
 	offer             atomic.Pointer[handover.Offer]
-	serving           atomic.Bool // clients are taken
-	successorServing  atomic.Bool // a successor takes them too
+	serving           atomic.Bool // this process accepts clients
+	successorServing  atomic.Bool // a successor accepts them too
 
 	mu         sync.Mutex
-	alone      bool // no old process lives
-	successors int  // that live
+	alone      bool // predecessorExited is closed
+	successors int  // connected successors
 }
 
-// inheritOrListen takes over the listening socket from the process that serves the address so far, or
-// listens.
+// inheritOrListen takes the listening socket over from the process that serves the address so far, or opens
+// one.
 func (p *Proxy) inheritOrListen() error {
 	u := &p.handover
 	u.predecessorExited = make(chan struct{})
@@ -37,7 +37,8 @@
 	if dir == "" {
 		dir = os.Getenv("TMPDIR")
 	}
-	var control func(string, string, syscall.RawConn) error // two at one address by mistake are to be told so
+	// Without handover the address isn't shared, so that a second process at it by mistake gets an error.
+	var control func(string, string, syscall.RawConn) error
 	if dir != "" {
 		control = handover.ReusePort
 		var err error
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// limitFraction is the process's part of its limits: half while another process lives beside it.
+// limitFraction is the process's fraction of its limits: half while a predecessor or a successor lives.
 func (u *handoverState) limitFraction() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -76,38 +77,11 @@
 	return 0.5
 }
 
-// descriptorLimit is how many connections and files the process may hold beside its door.
-func (p *Proxy) descriptorLimit() int {
-	n := int(float64(systemDescriptorLimit(p.startConfig.Limits.Descriptors)) * p.handover.limitFraction())
-	if p.startConfig.Operator != "" {
-		n -= adminapi.MaxConns + 1 // and its listener
-	}
-	return n
-}
-
-// bodyBytes is how much memory bodies may take.
-func (p *Proxy) bodyBytes() int64 {
-	memory := float64(p.startConfig.Limits.Memory)
-	if memory == 0 {
-		memory = 64 << 20
-	}
-	return int64(memory * p.startConfig.Limits.BodyFraction * p.handover.limitFraction())
-}
-
-// applyLimits sets the limits anew after a process beside this one came or went.
-func (p *Proxy) applyLimits() {
-	SetRuntimeLimits(p.startConfig.Limits, p.handover.limitFraction())
-	if p.budget != nil {
-		p.budget.Resize(p.descriptorLimit())
-		p.bodies.Resize(p.bodyBytes())
-	}
-}
-
-// acceptClients takes clients once that is sensible: at once where no old process serves them, else after
-// the list was heard afresh or some time has passed. Then new processes are met.
+// acceptClients begins to accept clients: at once where no predecessor serves them, else when discovery has
+// sent a list or handover.settle has passed. Then successors can find this process.
 func (p *Proxy) acceptClients() {
 	u := &p.handover
-	alone := func() bool { // nobody else takes them
+	alone := func() bool { // no predecessor accepts clients
 		select {
 		case <-u.predecessorExited:
 			return true
@@ -119,16 +93,16 @@
 	case u.predecessor != nil:
 		go p.waitForPredecessorExit()
 		if p.waitForList(func() bool { return alone() || p.server.Ending() }); p.server.Ending() && !alone() {
-			return // the old one goes on, and is not told that we take its clients
+			return // the predecessor goes on: it isn't told that this process serves
 		}
 	case listLimits(p.startConfig).MaxReopenDelay > 0:
-		// What discovery has binds from the first request on. Where it cannot be had, what was known must do.
-		// Where the end is told meanwhile, who has connected is owed an answer all the same.
+		// What discovery has binds from the first request on. If it can't be reached, the known list must do.
+		// A shutdown ends the wait too: clients that have connected meanwhile still get their responses.
 		p.waitForList(func() bool { return p.stats.ListsFailed.Load() > 0 || p.server.Ending() })
 	}
-	go p.server.Serve(p.listener)
+	go func() { _ = p.server.Serve(p.listener) }() // its error is nil once the listener is closed
 	p.offerHandover()
-	u.serving.Store(true) // last, for the yes that follows is what the old process is ended at
+	u.serving.Store(true) // last: whoever ends the old process does so once this one is ready
 	attrs := []any{"listen", p.Address()}
 	if p.admin != nil {
 		attrs = append(attrs, "operator", p.admin.Address())
@@ -136,15 +110,15 @@
 	p.log.Info("ready", attrs...)
 }
 
-// waitForList waits until the list was heard afresh, enough holds, or some time has passed.
-func (p *Proxy) waitForList(done func() bool) {
+// waitForList waits until discovery has sent a list, stop returns true, or handover.settle has passed.
+func (p *Proxy) waitForList(stop func() bool) {
 	deadline := time.Now().Add(p.startConfig.Handover.ListTimeout)
-	for time.Now().Before(deadline) && !p.listReceived() && !done() {
+	for time.Now().Before(deadline) && !p.listReceived() && !stop() {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// offerHandover makes this process the one that new ones find, and tells the old one that it takes clients.
+// offerHandover makes this process the one that successors find, and tells the predecessor that it serves.
 func (p *Proxy) offerHandover() {
 	u := &p.handover
 	if u.socketPath == "" {
@@ -164,9 +138,10 @@
 	}
 }
 
-// listReceived tells whether discovery has told the list since the start.
+// listReceived reports whether discovery has sent a list since the start.
 func (p *Proxy) listReceived() bool { return p.stats.ListsRead.Load() > 0 && p.discovery.Listed() > 0 }
 
+// waitForPredecessorExit takes the whole of the limits once the predecessor has ended.
 func (p *Proxy) waitForPredecessorExit() {
 	<-p.handover.predecessor.Exited()
 	p.handover.mu.Lock()
@@ -177,12 +152,12 @@
 	p.applyLimits()
 }
 
-// SuccessorJoined hands the listening socket to a new process. One that comes while the process before this
-// one still lives has to wait: three would share what is measured for two.
+// SuccessorJoined returns the listening socket and the list of servers for a process that takes over. One
+// that comes while this process's own predecessor still lives has to wait, since the limits are measured for
+// two processes; it waits for less than the successor's own patience, handover.wait.
 func (p *Proxy) SuccessorJoined() (handover.Terms, syscall.Conn, error) {
 	select {
 	case <-p.handover.predecessorExited:
-	// the other one waits for us no longer than all of it
 	case <-time.After(p.startConfig.Handover.JoinTimeout / 4 * 3):
 	}
 	socket, ok := p.listener.(syscall.Conn)
@@ -198,10 +173,10 @@
 	return handover.Terms{Known: known, Discovery: p.discovery.Origin()}, socket, nil
 }
 
-// SuccessorReady notes that a new process takes clients.
+// SuccessorReady records that a successor accepts clients, so that a shutdown need not wait for late ones.
 func (p *Proxy) SuccessorReady() { p.handover.successorServing.Store(true) }
 
-// SuccessorExited notes that a new process has gone; this one is alone again.
+// SuccessorExited records that a successor's connection has closed.
 func (p *Proxy) SuccessorExited() {
 	p.log.Warn("a new process has gone")
 	p.countSuccessors(-1)
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -4,9 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
-	"net/url"
-	"strconv"
 	"time"
 
 	"cresshub/internal/cluster/groupstate"
@@ -16,25 +13,25 @@
 	"cresshub/internal/cluster/placement"
 	"cresshub/internal/cluster/raftgroup"
 	"cresshub/internal/proxy/ingress"
+	"cresshub/internal/proxy/logging"
 )
 
 const (
-	// ledgerGroup is the name of the group that holds the ledger.
+	// ledgerGroup is the name of the Raft group that replicates the ledger.
 	ledgerGroup = "ledger"
-	// commitWaitTimeout bounds how long the end waits for the last counts to be committed; what is not is kept.
+	// commitWaitTimeout bounds how long a shutdown waits until the last counts are committed; the outbox on
+	// disk keeps what isn't.
 	commitWaitTimeout = time.Second
-	// pageReadTimeout bounds a read for the operators' door, which answers within a second.
-	pageReadTimeout = 700 * time.Millisecond
 )
 
-// ledgerNode is this proxy's part in the ledger.
+// ledgerNode is this proxy's part in the replicated ledger of use by tenant.
 type ledgerNode struct {
-	host     *raftgroup.Host
-	recorder *pending.Recorder
-	stop     chan struct{}
+	host     *raftgroup.Host   // its replica of the group, if it has one, and its way to the leader
+	recorder *pending.Recorder // counts that aren't committed yet
+	stop     chan struct{}     // closed at shutdown
 }
 
-// openLedger opens this proxy's part in the ledger where ledger.bind says so: its disk and its listener.
+// openLedger opens the ledger's files and listener where ledger.bind names an address; runLedger starts it.
 func (p *Proxy) openLedger() error {
 	c := &p.cfg.Ledger
 	if c.Bind == "" {
@@ -71,8 +68,7 @@
 		FlushInterval: c.FlushInterval, MaxQueuedBytes: int64(c.MaxQueuedBytes),
 		Faults: faults, Log: p.log.Logger, Propose: l.propose})
 	if err != nil {
-		l.host.Close()
-		return err
+		return errors.Join(err, l.host.Close())
 	}
 	p.ledger = l
 	return nil
@@ -82,7 +78,7 @@
 	return pending.DecodeResult(l.host.Propose(ctx, ledgerGroup, command))
 }
 
-// usageRecorder is what the clients' front tells of each final answer, nil where nobody counts.
+// usageRecorder returns what counts the use of each final response, nil without a ledger.
 func (p *Proxy) usageRecorder() func(ingress.Usage) {
 	if p.ledger == nil {
 		return nil
@@ -93,7 +89,7 @@
 	}
 }
 
-// runLedger has the opened part take part in the fleet.
+// runLedger starts what openLedger opened: it needs the fleet's members, who are known by now.
 func (p *Proxy) runLedger() error {
 	l := p.ledger
 	if l == nil {
@@ -118,10 +114,10 @@
 	return nil
 }
 
-// periodQuery asks for nothing but what every answer says.
+// periodQuery reads nothing of the ledger: every answer carries the open period's number.
 var periodQuery, _ = json.Marshal(ledger.Query{Tenant: "-", Period: 1})
 
-// peers is the fleet view as replicas are placed by it.
+// peers returns the fleet's members as the placement of replicas needs them.
 func (p *Proxy) peers() []raftgroup.Peer {
 	if p.fleet == nil {
 		return nil
@@ -136,90 +132,8 @@
 	return out
 }
 
-// LedgerPage is what /_ledger shows.
-type LedgerPage struct {
-	Group   raftgroup.Status `json:"group"`
-	Here    pending.Stats    `json:"here"`
-	Ledger  *ledger.View     `json:"ledger,omitempty"`
-	Problem string           `json:"problem,omitempty"` // why the ledger could not be read
-}
-
-// readPage reads the ledger linearizably: what it shows holds all that was promised when it was asked.
-func (l *ledgerNode) readPage(params url.Values) any {
-	page := LedgerPage{Group: l.host.Status(ledgerGroup), Here: l.recorder.Stats()}
-	query := ledger.Query{Tenant: params.Get("tenant")}
-	if text := params.Get("period"); text != "" {
-		var err error
-		if query.Period, err = strconv.ParseUint(text, 10, 64); err != nil {
-			page.Problem = "period is no whole number"
-			return page
-		}
-	}
-	encoded, _ := json.Marshal(query)
-	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
-	defer cancel()
-	raw, err := l.host.Read(ctx, ledgerGroup, encoded)
-	if err == nil {
-		err = json.Unmarshal(raw, &page.Ledger)
-	}
-	if err != nil {
-		page.Problem = err.Error()
-		if errors.Is(err, raftgroup.ErrNotLeader) {
-			page.Problem = "the group has no leader that was reached"
-		}
-	}
-	return page
-}
-
-// CorrectionReply is what /_ledger/correct answers.
-type CorrectionReply struct {
-	ledger.Result
-	Problem string `json:"problem,omitempty"`
-}
-
-// enterCorrection enters a correction against a closed period. Its id makes a call that is repeated count
-// once.
-func (l *ledgerNode) enterCorrection(params url.Values) any {
-	correction := ledger.Correction{ID: params.Get("id"), Reason: params.Get("reason"),
-		Key: ledger.Key{Tenant: params.Get("tenant"),
-			Class: params.Get("class"), Answer: params.Get("answer")}}
-	var errs []error
-	parseInt := func(key string, required bool) int64 {
-		if !required && params.Get(key) == "" {
-			return 0
-		}
-		n, err := strconv.ParseInt(params.Get(key), 10, 64)
-		if err != nil {
-			errs = append(errs, fmt.Errorf("%s is no whole number", key))
-		}
-		return n
-	}
-	correction.Period = uint64(max(parseInt("period", true), 0))
-	correction.Usage = ledger.Usage{Count: parseInt("n", true), BytesIn: parseInt("bytes_in", false),
-		BytesOut: parseInt("bytes_out", false)}
-	for _, key := range []string{"id", "tenant", "class", "answer", "reason"} {
-		if params.Get(key) == "" {
-			errs = append(errs, fmt.Errorf("%s is missing", key))
-		}
-	}
-	if err := errors.Join(errs...); err != nil {
-		return CorrectionReply{Problem: err.Error()}
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
-	defer cancel()
-	result, err := l.propose(ctx, correction.Encode())
-	switch {
-	case errors.Is(err, raftgroup.ErrUnknown):
-		return CorrectionReply{result, "whether it was entered is not known; call again with the same id"}
-	case err != nil:
-		return CorrectionReply{result, err.Error()}
-	case result.Status == ledger.StatusRejected:
-		return CorrectionReply{result, "the period is open, or not kept any more"}
-	}
-	return CorrectionReply{Result: result}
-}
-
-// closeLedger ends this proxy's part: what was counted is committed, or kept for the next life.
+// closeLedger ends this proxy's part in the ledger: what was counted is committed, or stays in the outbox for
+// the next start. Further calls do nothing.
 func (p *Proxy) closeLedger() {
 	l := p.ledger
 	if l == nil {
@@ -234,9 +148,9 @@
 	p.closeRoles()
 	l.recorder.WaitCommitted(commitWaitTimeout)
 	if err := l.recorder.Close(); err != nil {
-		p.log.Warn("ledger: the file of waiting counts", "err", err)
+		p.log.Warn("ledger: the outbox was not closed cleanly", logging.Err, err)
 	}
 	if err := l.host.Close(); err != nil {
-		p.log.Warn("ledger: the replicas' file", "err", err)
+		p.log.Warn("ledger: the replica's log was not closed cleanly", logging.Err, err)
 	}
 }
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -11,10 +11,10 @@
 	"cresshub/internal/settingsfile"
 )
 
-// reload takes over what changed. A configuration that cannot be used changes nothing, and neither does
-// one of our own file that changes a key which takes a restart: half of it in force would be a third
-// configuration that nobody wrote. The platform's file is another matter, for there it is agreed that
-// only discovery is followed; whatever else it changes waits for the restart.
+// reload takes over the keys that changed. A configuration that can't be used changes nothing, and neither
+// does one of our own file with a changed key that needs a restart: taking over the other keys would make a
+// third configuration that nobody wrote. With the platform's file it is agreed that only live keys are taken
+// over, and the others wait for the restart.
 func (p *Proxy) reload(next *config.Config, err error) {
 	if err != nil {
 		var problems settingsfile.SettingErrors
@@ -40,7 +40,7 @@
 	p.apply(live)
 }
 
-// apply hands the values of changed keys to the parts that use them.
+// apply passes the values of changed keys to the parts that use them.
 func (p *Proxy) apply(live []string) {
 	changed := func(prefixes ...string) bool {
 		return slices.ContainsFunc(live, func(key string) bool {
--- a/internal/proxy/daemon/reload_test.go
+++ b/internal/proxy/daemon/reload_test.go
@@ -10,23 +10,23 @@
 	"cresshub/internal/proxy/config"
 )
 
-// A new process may join, leave and be counted while the configuration is read again. The race detector sees
-// what both would touch.
-func TestReloadWhileANewProcessJoins(t *testing.T) {
+// Successors may join and exit while the configuration is reread; the race detector sees what both would
+// touch.
+func TestReloadWhileASuccessorJoins(t *testing.T) {
 	t.Setenv("TMPDIR", "")
-	p, err := New(platform(t), io.Discard)
+	p, err := New(platformConfig(t), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	signals, over, read := make(chan os.Signal), make(chan bool), 0
+	signals, ended, read := make(chan os.Signal), make(chan bool), 0
 	go func() {
 		p.Run(signals, func() (*config.Config, error) {
-			next := platform(t)
+			next := platformConfig(t)
 			next.Log.Level = []string{"error", "warn"}[read%2]
 			read++
 			return next, nil
 		})
-		close(over)
+		close(ended)
 	}()
 	var joins sync.WaitGroup
 	for range 4 {
@@ -47,7 +47,7 @@
 	signals <- syscall.SIGTERM
 	signals <- syscall.SIGHUP // also while it ends
 	signals <- syscall.SIGTERM
-	<-over
+	<-ended
 	if read != 21 || p.handover.limitFraction() != 1 {
 		t.Errorf("read %d times; its part of the limits is %v", read, p.handover.limitFraction())
 	}
--- a/internal/proxy/daemon/roles.go
+++ b/internal/proxy/daemon/roles.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/proxy/discovery"
 )
 
-// groupStore is the ledger's group as the chores use it.
+// groupStore lets the singleton roles store their state in the ledger's Raft group.
 type groupStore struct{ host *raftgroup.Host }
 
 func (s groupStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
@@ -25,14 +25,14 @@
 
 func (s groupStore) Peek(query []byte) (any, bool) { return s.host.ReadStale(ledgerGroup, query) }
 
-// endpointSource is the list of servers as the chores use it.
+// endpointSource lets the role that reads discovery for all members feed the list of servers.
 type endpointSource struct{ *discovery.Client }
 
 func (l endpointSource) Feed(f leaseholder.Feed) {
 	l.Client.Feed(discovery.Feed{ReplaceOnly: f.FromOwner, Token: f.Token})
 }
 
-// runRoles has this proxy take part in the fleet's chores where owner.chores says so.
+// runRoles has this proxy compete for the fleet's singleton roles that owner.chores names.
 func (p *Proxy) runRoles() error {
 	c := &p.cfg.Owner
 	if len(c.Roles) == 0 || p.ledger == nil {
@@ -48,8 +48,8 @@
 	}
 	if c.HasRole(config.RoleList) {
 		opts.Endpoints = &leaseholder.EndpointSync{Source: endpointSource{p.discovery}, MaxAge: c.ListMaxAge,
-			Jitter:       rand.N(c.ListMaxAge),
-			PollInterval: c.ListPollInterval, WatchTimeout: p.cfg.Discovery.WatchTimeout}
+			Jitter: rand.N(c.ListMaxAge), PollInterval: c.ListPollInterval,
+			WatchTimeout: p.cfg.Discovery.WatchTimeout}
 	}
 	runner, err := leaseholder.New(opts)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// closeRoles gives the lease back, if this proxy holds it.
+// closeRoles stops the roles and resigns the lease, if this proxy holds it.
 func (p *Proxy) closeRoles() {
 	if p.roles != nil {
 		p.roles.Close()
--- a/internal/proxy/daemon/times_test.go
+++ b/internal/proxy/daemon/times_test.go
@@ -8,8 +8,9 @@
 	"cresshub/internal/proxy/config"
 )
 
-// platform is the configuration as the platform gives it, with all else by default.
-func platform(t *testing.T) *config.Config {
+// platformConfig is the configuration that the platform's file gives, with all else by default.
+func platformConfig(t *testing.T) *config.Config {
+	t.Helper()
 	cfg, err := config.Load(config.Input{
 		Environ: func() []string { return []string{"EDGE_CONFIG=x"} },
 		Read: func(string) ([]byte, error) {
@@ -24,13 +25,13 @@
 	return cfg
 }
 
-// The platform may kill a process once its longest deadline and 0.7 s have passed since the signal to
-// end, and has clients open connections for 0.4 s: no connection is kept at rest, or for a request that
-// is not whole, so long that what comes on it could be cut.
-func TestEndIsOverBeforeTheKill(t *testing.T) {
+// The platform may kill a process once its longest deadline and 0.7 s have passed since SIGTERM, and clients
+// go on opening connections for 0.4 s: no idle connection, nor one with an incomplete request, is kept for so
+// long that a request on it could be cut off.
+func TestShutdownIsOverBeforeThePlatformKills(t *testing.T) {
 	const sure, opens = 700 * time.Millisecond, 400 * time.Millisecond
-	s := platform(t).Shutdown
-	for name, d := range map[string]time.Duration{"accept": s.AcceptFor, "rest and half": s.CloseAll} {
+	s := platformConfig(t).Shutdown
+	for name, d := range map[string]time.Duration{"accept_for": s.AcceptFor, "close_all_after": s.CloseAll} {
 		if d > sure || d < opens {
 			t.Errorf("%s: %v", name, d)
 		}
@@ -40,9 +41,9 @@
 // What a silent watch misses binds 6 s after it fell silent. That is time enough, at the platform's settings
 // and with the longest pause everywhere, to miss it, to have one call refused, and to make another; and so it
 // is where one call takes as long as a call may.
-func TestSilenceEndsBeforeItBinds(t *testing.T) {
+func TestSilentWatchIsReplacedBeforeMissedChangesBind(t *testing.T) {
 	const binds, answer = 6 * time.Second, 400 * time.Millisecond // of each of two calls
-	cfg := platform(t)
+	cfg := platformConfig(t)
 	limits, dial := listLimits(cfg), cfg.Upstream.DialLimit()
 	longest := time.Duration(0) // pause of the decisions after a call that failed
 	for seed := range uint64(1000) {
