--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -31,7 +31,7 @@
 	return ends
 }
 
-// goldenIncumbent hands over a socket that nobody calls.
+// goldenIncumbent hands over a socket that nobody connects to.
 type goldenIncumbent struct {
 	terms         Terms
 	l             *net.UnixListener
@@ -44,7 +44,7 @@
 
 func newGoldenIncumbent(t *testing.T) *goldenIncumbent {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "golden") // t.TempDir is too long for a Unix address
+	dir, err := os.MkdirTemp("", "golden") //nolint:usetesting // t.TempDir is too long for a Unix address
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,13 +58,13 @@
 		terms: Terms{Known: []byte(`{"index":7}`), Discovery: "discovery.example:9"}}
 }
 
-// What the old process says, and the one word that the new one says to it. With it comes the socket, whose
-// number is the kernel's.
-func TestGoldenWordsOfBothSidesAreReadAndWrittenByteForByte(t *testing.T) {
+// What the incumbent sends, and the one byte that the successor sends. The socket comes as a descriptor,
+// whose number is the kernel's.
+func TestGoldenMessagesOfBothSidesAreReadAndWrittenByteForByte(t *testing.T) {
 	s := newGoldenIncumbent(t)
 	goldenJSON(t, "terms.json", s.terms)
 
-	// The old side, as this program writes it, and a new side that says the word of the file.
+	// The incumbent, as this program writes, and a successor that sends the byte of the file.
 	ends := goldenPair(t)
 	go serveSuccessor(ends[0], s)
 	said := make([]byte, 4096)
@@ -88,7 +88,7 @@
 	}
 	old := goldenFile(t, "old.bin", said[:4+length])
 
-	// The new side, as this program reads and writes it, of an old side that says the file.
+	// The successor, as this program reads and writes, and an incumbent that sends the file.
 	pair := goldenPair(t)
 	raw, err := s.l.SyscallConn()
 	if err != nil {
@@ -124,7 +124,7 @@
 	select {
 	case <-s.ready:
 	default:
-		t.Error("new.bin: the old side does not take it for the word that the new one serves")
+		t.Error("new.bin: the incumbent does not take it for the byte by which a successor is ready")
 	}
 }
 
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 type fakeIncumbent struct {
 	l             *net.TCPListener
@@ -25,7 +25,7 @@
 func (s *fakeIncumbent) SuccessorReady()  { s.ready <- true }
 func (s *fakeIncumbent) SuccessorExited() { s.exited <- true }
 
-// listen is a listener that others may stand beside.
+// listen opens a listener whose address other sockets may share.
 func listen(t *testing.T, address string) *net.TCPListener {
 	t.Helper()
 	l, err := (&net.ListenConfig{Control: ReusePort}).Listen(t.Context(), "tcp", address)
@@ -48,10 +48,10 @@
 	return s
 }
 
-// join is the new process; whatever it took is given back.
+// join is the successor; the test closes what it took over.
 func join(t *testing.T, path string) *Predecessor {
 	t.Helper()
-	o, err := Join(path, patience)
+	o, err := Join(path, testTimeout)
 	if err != nil || o == nil {
 		t.Fatalf("%v, %v", o, err)
 	}
@@ -63,14 +63,14 @@
 	t.Helper()
 	select {
 	case <-c:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("never: %s", what)
 	}
 }
 
-// The new process gets the same socket: what connected before the old one left is still there. So it is
-// where the path is too long for a Unix address.
-func TestPassesTheSocket(t *testing.T) {
+// What connected before the incumbent closed its listener is still there for the successor, also where the
+// path is too long for a Unix address.
+func TestSuccessorGetsTheSameSocket(t *testing.T) {
 	for _, dir := range []string{"", strings.Repeat("long/", 30)} {
 		dir = filepath.Join(t.TempDir(), dir)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -89,29 +89,29 @@
 		if err := o.SendReady(); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, "the old one hears of ready", s.ready)
+		wait(t, "the incumbent sees that the successor is ready", s.ready)
 		s.l.Close()
 		c, err := o.Listener.Accept()
 		if err != nil || c.RemoteAddr().String() != early.LocalAddr().String() {
 			t.Errorf("%v, %v", c, err)
 		}
 		o.Close()
-		wait(t, "the old one hears that the new one left", s.exited)
+		wait(t, "the incumbent sees that the successor exited", s.exited)
 	}
 }
 
-func TestOldGoes(t *testing.T) {
+func TestBothSidesSeeTheConnectionEnd(t *testing.T) {
 	path := Path(t.TempDir(), "a")
 	s := offer(t, path)
 	o := join(t, path)
-	o.conn.CloseWrite() // as the end of this process looks to the old one, which then hangs up
+	o.conn.CloseWrite() // as the exit of this process looks to the incumbent, which then closes
 	wait(t, "left", s.exited)
 	wait(t, "gone", o.Exited())
 }
 
-// An old process that is killed anywhere in the midst of passing its socket leaves the new one with a plain
-// error at once; a new one that dies after its yes leaves the old one for the next.
-func TestKilledInTheMidst(t *testing.T) {
+// An incumbent that is killed anywhere while it passes its socket gives the successor an error at once; a
+// successor that exits after it was ready leaves the incumbent for the next one.
+func TestEitherSideMayBeKilledAtAnyPoint(t *testing.T) {
 	for _, sent := range []int{0, 2, 4, 9} { // of the size and the terms, the socket with the first byte
 		path := Path(t.TempDir(), "a")
 		o, err := Listen(path)
@@ -133,7 +133,7 @@
 			})
 		}()
 		began := time.Now()
-		if old, err := Join(path, patience); old != nil || err == nil || time.Since(began) > patience/2 {
+		if old, err := Join(path, testTimeout); old != nil || err == nil || time.Since(began) > testTimeout/2 {
 			t.Errorf("killed after %d bytes: %v, %v after %v", sent, old, err, time.Since(began))
 		}
 		o.Close()
@@ -152,10 +152,9 @@
 	join(t, path)
 }
 
-// What a killed process leaves behind is nobody, and the next one takes its place.
-func TestLeavings(t *testing.T) {
+func TestSocketFileOfAKilledProcessCountsAsNone(t *testing.T) {
 	path := Path(t.TempDir(), "a")
-	if o, err := Join(path, patience); o != nil || err != nil {
+	if o, err := Join(path, testTimeout); o != nil || err != nil {
 		t.Errorf("nothing there: %v, %v", o, err)
 	}
 	dead, err := Listen(path)
@@ -163,7 +162,7 @@
 		t.Fatal(err)
 	}
 	dead.listener.Close() // and the file stays, as where it was killed
-	if o, err := Join(path, patience); o != nil || err != nil {
+	if o, err := Join(path, testTimeout); o != nil || err != nil {
 		t.Errorf("a dead one: %v, %v", o, err)
 	}
 	dead.Close()
@@ -177,8 +176,7 @@
 	join(t, path)
 }
 
-// An old process that stands still keeps the new one only so long.
-func TestSilentOld(t *testing.T) {
+func TestJoinGivesUpOnASilentIncumbent(t *testing.T) {
 	path := Path(t.TempDir(), "a")
 	o, err := Listen(path)
 	if err != nil {
@@ -190,21 +188,21 @@
 	}
 }
 
-func TestOtherFile(t *testing.T) {
+func TestFileThatIsNoSocketCountsAsNone(t *testing.T) {
 	path := Path(t.TempDir(), "a")
 	if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if o, err := Join(path, patience); o != nil || err != nil {
+	if o, err := Join(path, testTimeout); o != nil || err != nil {
 		t.Errorf("a file that is no socket: %v, %v", o, err)
 	}
 	offer(t, path)
 	join(t, path)
 }
 
-// Why the socket is passed: of connections that wait to be accepted when the old process leaves, those in
-// a queue of its own are lost, those in the shared one are not.
-func TestWaitingConnections(t *testing.T) {
+// Why the socket is passed: of the connections that wait to be accepted when the incumbent closes its
+// listener, those in a queue of its own are lost, those in a shared one are not.
+func TestConnectionsInTheSharedQueueSurvive(t *testing.T) {
 	const waiting = 64 // each falls into either queue by chance
 	for _, passed := range []bool{true, false} {
 		path := Path(t.TempDir(), "a")
