--- a/internal/proxy/handover/handover.go
+++ b/internal/proxy/handover/handover.go
@@ -5,8 +5,8 @@
 // The incumbent listens at Path in a directory that both processes see: Listen and Offer.Serve. The successor
 // connects with Join. On that connection
 //
-//   - the incumbent sends its Terms: their length as 4 bytes, most significant first, and the Terms as JSON; the
-//     listening socket comes with the first of these bytes (SCM_RIGHTS);
+//   - the incumbent sends its Terms: their length as 4 bytes, most significant first, and the Terms as JSON;
+//     the listening socket comes with the first of these bytes (SCM_RIGHTS);
 //   - the successor sends the byte 'R' once it accepts clients;
 //   - the connection then stays open, and its end tells either side that the other has exited.
 //
