--- a/internal/proxy/descriptors/budget.go
+++ b/internal/proxy/descriptors/budget.go
@@ -1,10 +1,12 @@
-// Package descriptors keeps the program under its limit on descriptors.
+// Package descriptors keeps the process under its limit on file descriptors, which clients and servers share.
+// A Budget counts open connections; where it is exhausted it closes an idle one of the side that may spare
+// it, so that neither a flood of clients nor idle connections to servers keep requests from being served.
 package descriptors
 
 import "sync"
 
-// reserved are the descriptors outside the budget: standard streams, the poller, the listener, files
-// opened in passing, and room to turn a client away with an answer.
+// reserved are the descriptors outside the budget: standard streams, the poller, the listener, files opened
+// in passing, and those on which a client is rejected with a response.
 const reserved = 24
 
 // Side is who a connection is for.
@@ -12,24 +14,27 @@
 
 // The two sides.
 const (
-	Clients Side = iota // the application
-	Servers             // zone servers and discovery
+	Clients Side = iota // connections from the application
+	Servers             // connections to zone servers and discovery
 )
 
-// Budget counts the open connections of both sides together.
+// Budget counts the open connections of both sides together. Its methods may be called from any goroutine,
+// except for SetReclaim, which is called before the first Acquire.
 type Budget struct {
-	mu                              sync.Mutex
-	limit                           int
-	sideLimits                      [2]int // for each side
-	crowdedAt                       int    // places of clients
-	used                            [2]int
-	reclaim                         [2]func() bool
-	clientFraction, crowdedFraction float64 // the parts that the two above are of the limit
+	clientFraction  float64
+	crowdedFraction float64
+	reclaim         [2]func() bool // by Side
+
+	mu         sync.Mutex
+	limit      int    // connections of both sides
+	sideLimits [2]int // by Side
+	crowdedAt  int    // connections of clients beyond which Crowded is true
+	used       [2]int // by Side
 }
 
-// NewBudget returns the budget of a process that may hold so many descriptors. Clients get a part of the
-// places, for a request that is in but cannot get out only holds one; beyond the part crowded of all
-// places they count as many.
+// NewBudget returns the budget of a process that may hold so many descriptors. Clients get the fraction
+// clientFraction of the connections at most, since a client whose request can't be sent on to a server only
+// waits; Crowded is true beyond crowdedFraction.
 func NewBudget(descriptors int, clientFraction, crowdedFraction float64) *Budget {
 	b := &Budget{clientFraction: clientFraction, crowdedFraction: crowdedFraction}
 	b.setLimits(descriptors)
@@ -38,13 +43,13 @@
 
 func (b *Budget) setLimits(descriptors int) {
 	b.limit = max(descriptors-reserved, 8)
-	part := func(of float64) int { return int(of*float64(b.limit) + 1e-9) }
-	b.sideLimits = [2]int{Clients: part(b.clientFraction), Servers: b.limit}
-	b.crowdedAt = part(b.crowdedFraction)
+	fraction := func(f float64) int { return int(f*float64(b.limit) + 1e-9) } // 0.3 of 10 is 3
+	b.sideLimits = [2]int{Clients: fraction(b.clientFraction), Servers: b.limit}
+	b.crowdedAt = fraction(b.crowdedFraction)
 }
 
-// Resize changes how many descriptors the process may hold. Of what is beyond that, idle connections close
-// at once and the others as they end.
+// Resize changes how many descriptors the process may hold. Where more are in use, idle connections close at
+// once and the others as they end.
 func (b *Budget) Resize(descriptors int) {
 	b.mu.Lock()
 	b.setLimits(descriptors)
@@ -59,10 +64,12 @@
 	}
 }
 
-// SetReclaim sets how to close one idle connection of a side; it gives its place back before it returns true.
+// SetReclaim sets what closes one idle connection of a side. It calls Release before it returns true, and
+// returns false where none is idle.
 func (b *Budget) SetReclaim(side Side, closeOne func() bool) { b.reclaim[side] = closeOne }
 
-// Acquire takes a place for a connection.
+// Acquire counts one more connection of a side, after closing an idle one where that is needed. It returns
+// false where the budget is exhausted and nothing is idle.
 func (b *Budget) Acquire(side Side) bool {
 	for {
 		b.mu.Lock()
@@ -74,16 +81,18 @@
 			return true
 		}
 		b.mu.Unlock()
-		// A side that has all it may have makes room itself, so that a flood of clients does not cost the
+		// Clients at their own limit cost only idle clients, so that a flood of them doesn't close the
 		// connections to servers.
-		if !(!sideFull && b.reclaimOne(Servers)) && !b.reclaimOne(Clients) {
+		reclaimed := !sideFull && b.reclaimOne(Servers) || b.reclaimOne(Clients)
+		if !reclaimed {
 			return false
 		}
 	}
 }
 
-// Crowded tells whether clients hold more than the part that counts as many. They, too, hold only so many
-// connections, and some keep each for good after one request: what rests then keeps their next ones out.
+// Crowded reports whether clients hold more than the fraction that counts as many. Clients have a limit on
+// their connections, too, and some keep each open after its one request: idle ones then keep their next ones
+// out.
 func (b *Budget) Crowded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +101,7 @@
 
 func (b *Budget) reclaimOne(side Side) bool { return b.reclaim[side] != nil && b.reclaim[side]() }
 
-// Release returns a place.
+// Release counts one connection of a side less.
 func (b *Budget) Release(side Side) {
 	b.mu.Lock()
 	b.used[side]--
--- a/internal/proxy/descriptors/budget_test.go
+++ b/internal/proxy/descriptors/budget_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-func TestBudget(t *testing.T) {
+func TestBudgetReclaimsIdleConnectionsAtItsLimits(t *testing.T) {
 	b := NewBudget(reserved+8, 0.6, 0.25)
-	take := func(side Side, want bool) {
+	acquire := func(side Side, want bool) {
 		t.Helper()
 		if got := b.Acquire(side); got != want {
 			t.Fatalf("%v of side %d, limits are 4 and 8; used %v", got, side, b.used)
@@ -14,13 +14,13 @@
 		if b.Crowded() != (i > 2) {
 			t.Errorf("crowded %v with %d clients of 8 places", b.Crowded(), i)
 		}
-		take(Clients, true)
+		acquire(Clients, true)
 	}
-	take(Clients, false)
+	acquire(Clients, false)
 	for range 4 {
-		take(Servers, true)
+		acquire(Servers, true)
 	}
-	take(Servers, false)
+	acquire(Servers, false)
 	var idle [2]int
 	for side := range idle {
 		b.SetReclaim(Side(side), func() bool {
@@ -33,20 +33,20 @@
 		})
 	}
 	idle = [2]int{1, 1}
-	take(Clients, true) // a flood of clients costs no connection to a server
+	acquire(Clients, true) // a flood of clients costs no connection to a server
 	if idle != [2]int{0, 1} {
 		t.Errorf("idle left: %v", idle)
 	}
-	take(Servers, true)
-	take(Servers, false)
+	acquire(Servers, true)
+	acquire(Servers, false)
 	idle[Clients] = 1
-	take(Servers, true)
+	acquire(Servers, true)
 	b.Release(Servers)
-	take(Servers, true)
+	acquire(Servers, true)
 }
 
-// A process that has to share its limit closes what is idle, and takes no more than its part.
-func TestResize(t *testing.T) {
+// A process that shares its limit closes idle connections and acquires no more than its fraction.
+func TestResizeClosesIdleConnections(t *testing.T) {
 	b := NewBudget(reserved+16, 0.6, 0.25)
 	idle := 3
 	b.SetReclaim(Servers, func() bool {
--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -1,25 +1,29 @@
-// Package drain is the one state machine by which a proxy sends its clients away, be it for a while or for
-// good. It is pure: whoever keeps a State hands in the time and does what Plan says.
+// Package drain decides how a proxy sends its clients away: for a while, by an operator's lame duck call, or
+// for good, once it shuts down. Idle connections close first, so that clients find another proxy before
+// requests are refused; a request that has begun always gets its response.
+//
+// It is a pure state machine: whoever keeps a State (package ingress) passes in the time and does what Plan
+// says. A State is a value, which any goroutine may read.
 package drain
 
 import "time"
 
-// Times are counted from the moment a drain began.
+// Times are how long after the beginning of a drain each step follows.
 type Times struct {
-	CloseIdle    time.Duration // connections that rested when it began close
-	AcceptFor    time.Duration // new connections are taken until then, where the process ends
-	CloseAll     time.Duration // all that rest close, also those that came since
-	ClosePartial time.Duration // those with an incomplete request close too; at the end with CloseAll
+	CloseIdle    time.Duration // connections close that were idle when it began
+	AcceptFor    time.Duration // new connections are no longer accepted; at a shutdown alone
+	CloseAll     time.Duration // all idle connections close, also those that came since
+	ClosePartial time.Duration // incomplete requests close too; at a shutdown with CloseAll at the latest
 }
 
-// State is how far a proxy is with sending its clients away. The zero State serves.
+// State tells which drains are on and since when. The zero State serves.
 type State struct {
-	lameSince time.Time // since when clients are sent away for a while
-	endSince  time.Time // since when for good
+	lameSince time.Time // of the lame duck state; zero where it is off
+	endSince  time.Time // of the shutdown; zero before it
 }
 
-// LameDuck returns the state after an operator's call: clients are sent away for a while, or taken again. An
-// on while it is on changes nothing, and nothing undoes End.
+// LameDuck returns the state after an operator's call, which begins or ends the drain for a while. Beginning
+// it again changes nothing, and nothing undoes End.
 func (s State) LameDuck(on bool, now time.Time) State {
 	switch {
 	case !on:
@@ -30,7 +34,7 @@
 	return s
 }
 
-// End returns the state after the signal to end; only the first one counts.
+// End returns the state after a signal to shut down; only the first one counts.
 func (s State) End(now time.Time) State {
 	if s.endSince.IsZero() {
 		s.endSince = now
@@ -38,27 +42,27 @@
 	return s
 }
 
-// Serving tells whether clients are taken.
+// Serving reports whether no drain is on.
 func (s State) Serving() bool { return s.lameSince.IsZero() && s.endSince.IsZero() }
 
-// Ending tells whether the process is to end.
+// Ending reports whether the process shuts down.
 func (s State) Ending() bool { return !s.endSince.IsZero() }
 
 // Plan is what a state means at one moment.
 type Plan struct {
-	// IdleBefore: connections that rest since before this moment are to close; zero for none.
+	// IdleBefore: connections that have been idle since before this time are to close; zero for none.
 	IdleBefore time.Time
-	// PartialBefore: so are those whose request began before this moment and is not whole; zero for none.
+	// PartialBefore: so are those with an incomplete request that began before this time; zero for none.
 	PartialBefore time.Time
-	// StopAccepting tells that new connections are no longer taken.
+	// StopAccepting: new connections are no longer accepted.
 	StopAccepting bool
-	// LastResponse tells that a client's next answer is its last one, also where more of it waits to be read.
+	// LastResponse: the next response on each connection is its last, also where a further request has come.
 	LastResponse bool
-	// MayExit tells that the process may end once it holds no connection.
+	// MayExit: the process may exit once no connection is open.
 	MayExit bool
 }
 
-// Plan returns what is to be done at a moment. Where both drains are on, the one that is further counts.
+// Plan returns what is to be done at a moment. Where both drains are on, the one that has got further counts.
 func (s State) Plan(now time.Time, t Times) Plan {
 	var p Plan
 	for _, began := range []time.Time{s.lameSince, s.endSince} {
@@ -78,7 +82,7 @@
 	}
 	if !s.endSince.IsZero() {
 		age := now.Sub(s.endSince)
-		if age >= t.CloseAll { // what comes later could be cut by whoever ends the process for good
+		if age >= t.CloseAll { // the process may be killed before a later request has its response
 			p.PartialBefore = now
 		}
 		p.StopAccepting, p.MayExit = age >= t.AcceptFor, age >= t.CloseAll && age >= t.AcceptFor
--- a/internal/proxy/drain/drain_test.go
+++ b/internal/proxy/drain/drain_test.go
@@ -15,7 +15,7 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func TestPlanByAge(t *testing.T) {
+func TestPlanFollowsTheAgeOfTheDrain(t *testing.T) {
 	lame, end := State{}.LameDuck(true, at(0)), State{}.End(at(0))
 	for _, c := range []struct {
 		name  string
@@ -24,29 +24,32 @@
 		want  Plan
 	}{
 		{"serving", State{}, 5000, Plan{}},
-		{"lame, at once", lame, 0, Plan{}},
-		{"lame, what rested", lame, 500, Plan{IdleBefore: at(0)}},
-		{"lame, all that rest", lame, 1300, Plan{IdleBefore: at(1300), LastResponse: true}},
-		{"lame, heads too", lame, 3000, Plan{IdleBefore: at(3000), PartialBefore: at(3000), LastResponse: true}},
-		{"ending, what rested", end, 600, Plan{IdleBefore: at(0)}},
-		{"ending, no more", end, 900, Plan{IdleBefore: at(0), StopAccepting: true}},
-		{"ending, over", end, 1200,
+		{"lame duck, at once", lame, 0, Plan{}},
+		{"lame duck, idle connections", lame, 500, Plan{IdleBefore: at(0)}},
+		{"lame duck, all idle ones", lame, 1300, Plan{IdleBefore: at(1300), LastResponse: true}},
+		{"lame duck, incomplete requests", lame, 3000,
+			Plan{IdleBefore: at(3000), PartialBefore: at(3000), LastResponse: true}},
+		{"shutdown, idle connections", end, 600, Plan{IdleBefore: at(0)}},
+		{"shutdown, no new ones", end, 900, Plan{IdleBefore: at(0), StopAccepting: true}},
+		{"shutdown, may exit", end, 1200,
 			Plan{IdleBefore: at(1200), PartialBefore: at(1200), StopAccepting: true, LastResponse: true,
 				MayExit: true}},
-		{"both, the later began", lame.End(at(300)), 900, Plan{IdleBefore: at(300)}},
-		{"half a request goes by the end", lame.End(at(100)), 1300,
+		{"both, begun later", lame.End(at(300)), 900, Plan{IdleBefore: at(300)}},
+		{"both, incomplete requests by the shutdown", lame.End(at(100)), 1300,
 			Plan{IdleBefore: at(1300), PartialBefore: at(1300),
 				StopAccepting: true, LastResponse: true, MayExit: true}},
-		{"both, the further counts", lame.End(at(1000)), 1300, Plan{IdleBefore: at(1300), LastResponse: true}},
+		{"both, the further one counts", lame.End(at(1000)), 1300, Plan{IdleBefore: at(1300), LastResponse: true}},
 	} {
-		if diff := cmp.Diff(c.want, c.state.Plan(at(c.ms), times)); diff != "" {
-			t.Errorf("%s: %s", c.name, diff)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if diff := cmp.Diff(c.want, c.state.Plan(at(c.ms), times)); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 }
 
-// Over every order of four calls, the state is what the last on or off says, unless the end was told.
-func TestAllOrders(t *testing.T) {
+// Over every order of four calls, the state is what the last on or off says, unless the shutdown began.
+func TestAnyOrderOfCallsKeepsTheLastLameDuckAndTheEnd(t *testing.T) {
 	type call struct{ on, off, end bool }
 	calls := []call{{on: true}, {off: true}, {end: true}, {}} // the last one is SIGHUP, which means nothing here
 	for n := range 256 {
--- a/internal/proxy/stats/stats_test.go
+++ b/internal/proxy/stats/stats_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLog(t *testing.T) {
+func TestLogGroupsCountersAndNamesResults(t *testing.T) {
 	var s Set
 	s.Received.Add()
 	s.Received.Add()
