--- a/internal/proxy/adminapi/server.go
+++ b/internal/proxy/adminapi/server.go
@@ -1,18 +1,18 @@
-// Package adminapi is the operators' door: an address of its own that takes one call a connection, however
-// busy the proxy is with its clients.
+// Package adminapi serves the operators' HTTP calls at an address of their own, so that they are answered
+// however many clients the proxy has: its connections aren't counted with the clients' and servers' ones.
+//
+// GET /_ready, GET /_vars, POST /_lameduck/on and POST /_lameduck/off are always there. The owners of further
+// state (the fleet's view, the ledger, the singleton roles) add calls that answer in JSON with HandleGet and
+// HandlePost before Serve. One connection takes one call.
 package adminapi
 
 import (
-	"encoding/json"
 	"errors"
 	"io"
 	"log/slog"
-	"maps"
 	"net"
-	"net/url"
 	"os"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -22,106 +22,91 @@
 	"cresshub/internal/proxy/stats"
 )
 
+// MaxConns is how many connections are open at a time, and so how many descriptors the daemon sets aside
+// besides that of the listener. For one more the oldest that has sent no call yet is closed.
+const MaxConns = 16
+
 const (
-	// MaxConns is how many connections the door holds at once, and so how many descriptors are set aside
-	// for it beside its listener. Where one more comes the one that waits longest goes.
-	MaxConns = 16
-	// callTimeout is how long a caller may take for its head, or for its answer.
-	callTimeout   = 5 * time.Second
-	lingerTimeout = 200 * time.Millisecond // for what follows the head, which is not read as a call
+	callTimeout   = 5 * time.Second        // for a call's head to come, and then for the response to be taken
+	lingerTimeout = 200 * time.Millisecond // for bytes after the head, which are read and dropped
+	acceptBackoff = 5 * time.Millisecond   // after an accept that failed
 )
 
-// Proxy is what operators can ask of the proxy and tell it.
+// Proxy is what the calls read and do. Its methods are called from any goroutine.
 type Proxy interface {
-	// Ready tells whether the process is ready to serve, and why not.
+	// Ready reports whether the process is ready to serve, and why not.
 	Ready() (bool, string)
-	// LameDuck sends clients away, or takes them again.
+	// LameDuck begins or ends a drain that sends clients away.
 	LameDuck(on bool)
-	// Gauges are figures that are true now, by name.
+	// Gauges returns the figures that are true now, by name.
 	Gauges() map[string]int
 }
 
-// Server takes the operators' calls.
+// Server accepts the operators' connections and answers their calls.
 type Server struct {
 	proxy    Proxy
 	stats    *stats.Set
 	log      *slog.Logger
 	listener net.Listener
 
-	endpoints map[string]endpoint // further calls, answered as JSON; set before Serve
+	builtin map[string]endpoint // by path; read-only after New
+	added   map[string]endpoint // by path; read-only after Serve began
 
 	mu    sync.Mutex
 	conns []*conn // the oldest first
 }
 
-// endpoint is a further call: its method, and what its answer is made of.
-type endpoint struct {
-	method  string
-	respond func(url.Values) any
-}
-
-// HandleGet adds a GET call at path whose answer is what page returns, as JSON. It is called before Serve.
-func (s *Server) HandleGet(path string, page func(url.Values) any) { s.handle(path, "GET", page) }
-
-// HandlePost adds a POST call at path that does something and answers in JSON, by what its query says.
-func (s *Server) HandlePost(path string, act func(url.Values) any) { s.handle(path, "POST", act) }
-
-func (s *Server) handle(path, method string, page func(url.Values) any) {
-	if s.endpoints == nil {
-		s.endpoints = map[string]endpoint{}
-	}
-	s.endpoints[path] = endpoint{method, page}
-}
-
+// conn is one open connection.
 type conn struct {
 	*connbuffer.Conn
-	headRead bool // its head is whole: it is answered and not closed for another
+	headRead bool // its call has come: it is answered and not closed for a newer one; guarded by Server.mu
 }
 
-// New returns a door at a listener; Serve opens it.
+// New returns a server of the admin API at a listener; Serve begins to accept.
 func New(listener net.Listener, proxy Proxy, counters *stats.Set, log *slog.Logger) *Server {
-	return &Server{proxy: proxy, stats: counters, log: log, listener: listener}
+	s := &Server{proxy: proxy, stats: counters, log: log, listener: listener, added: map[string]endpoint{}}
+	s.builtin = map[string]endpoint{
+		"/_ready":        {"GET", s.ready},
+		"/_vars":         {"GET", s.vars},
+		"/_lameduck/on":  {"POST", s.lameDuck(true)},
+		"/_lameduck/off": {"POST", s.lameDuck(false)},
+	}
+	return s
 }
 
 // Address is where operators connect.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve takes calls until Close.
+// Serve accepts connections until Close.
 func (s *Server) Serve() {
 	for {
-		nc, err := s.listener.Accept()
+		accepted, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			s.log.Warn("operators: accept failed", logging.Err, err)
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(acceptBackoff)
 			continue
 		}
-		c := &conn{Conn: connbuffer.NewConn(nc)}
+		c := &conn{Conn: connbuffer.NewConn(accepted)}
 		s.addConn(c)
 		go s.serveConn(c)
 	}
 }
 
-// Close ends the door; calls that are being answered are answered.
+// Close closes the listener. Calls that have come still get their responses.
 func (s *Server) Close() { s.listener.Close() }
 
-// addConn lists a caller. Where all places are taken the one that has kept silent for longest is closed, so
-// that callers who connect and say nothing keep nobody out.
+// addConn lists a connection. At MaxConns it closes the oldest one that has sent no call, so that callers who
+// connect and send nothing keep nobody out.
 func (s *Server) addConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= MaxConns {
-		evicted := 0
-		for i, other := range s.conns {
-			if !other.headRead {
-				evicted = i
-				break
-			}
-		}
+		evicted := max(0, slices.IndexFunc(s.conns, func(other *conn) bool { return !other.headRead }))
 		s.conns[evicted].Close()
-		s.conns = append(s.conns[:evicted], s.conns[evicted+1:]...)
+		s.conns = slices.Delete(s.conns, evicted, evicted+1)
 	}
 	s.conns = append(s.conns, c)
 }
@@ -129,14 +114,12 @@
 func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, other := range s.conns {
-		if other == c {
-			s.conns = append(s.conns[:i], s.conns[i+1:]...)
-			return
-		}
+	if i := slices.Index(s.conns, c); i >= 0 {
+		s.conns = slices.Delete(s.conns, i, i+1)
 	}
 }
 
+// serveConn answers the one call of a connection.
 func (s *Server) serveConn(c *conn) {
 	defer s.removeConn(c)
 	defer c.Close()
@@ -162,72 +145,9 @@
 	if response.Write(c.Out) != nil || c.Flush() != nil {
 		return
 	}
-	// A close with unread bytes is a reset, which could overtake the answer.
-	if tcp, ok := c.Conn.Conn.(*net.TCPConn); ok {
-		tcp.CloseWrite()
+	// Closing with unread bytes sends a reset, which could overtake the response.
+	if tcp, ok := c.Conn.Conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(lingerTimeout))
-		io.CopyN(io.Discard, c.In, http1.MaxBufferedBody)
-	}
-}
-
-// respond answers a call.
-func (s *Server) respond(request *http1.Request) *http1.Response {
-	path, query, _ := strings.Cut(request.Target, "?")
-	method := "GET"
-	added, extra := s.endpoints[path]
-	switch {
-	case extra:
-		method = added.method
-	case path == "/_ready" || path == "/_vars":
-	case path == "/_lameduck/on" || path == "/_lameduck/off":
-		method = "POST"
-	default:
-		return textResponse(404, "no such call; there are GET /_ready, GET /_vars"+s.endpointList()+
-			" and POST /_lameduck/on and off")
-	}
-	if request.Method != method {
-		response := textResponse(405, "the method is "+method)
-		response.Header = append(response.Header, http1.Field{Name: "Allow", Value: method})
-		return response
-	}
-	if extra {
-		params, err := url.ParseQuery(query)
-		if err != nil {
-			return textResponse(400, "the query cannot be read")
-		}
-		body, err := json.Marshal(added.respond(params))
-		if err != nil {
-			return textResponse(500, err.Error())
-		}
-		return &http1.Response{Status: 200, Body: append(body, '\n'),
-			Header: http1.Header{{Name: "Content-Type", Value: "application/json"}}}
+		_, _ = io.CopyN(io.Discard, c.In, http1.MaxBufferedBody) // the response is out; any end will do
 	}
-	switch path {
-	case "/_ready":
-		if ok, why := s.proxy.Ready(); !ok {
-			return textResponse(503, why)
-		}
-		return textResponse(200, "ready")
-	case "/_vars":
-		var text strings.Builder
-		s.stats.WriteVars(&text, s.proxy.Gauges())
-		return textResponse(200, strings.TrimSuffix(text.String(), "\n"))
-	}
-	on := path == "/_lameduck/on"
-	s.log.Info("lame duck", "on", on)
-	s.proxy.LameDuck(on)
-	return textResponse(200, "done")
-}
-
-func (s *Server) endpointList() string {
-	var out strings.Builder
-	for _, path := range slices.Sorted(maps.Keys(s.endpoints)) {
-		out.WriteString(", " + s.endpoints[path].method + " " + path)
-	}
-	return out.String()
-}
-
-func textResponse(status int, text string) *http1.Response {
-	return &http1.Response{Status: status, Body: []byte(text + "\n"),
-		Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}}
 }
--- a/internal/proxy/adminapi/server_test.go
+++ b/internal/proxy/adminapi/server_test.go
@@ -16,21 +16,23 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-type proxy struct {
+type fakeProxy struct {
 	lame  atomic.Bool
 	calls atomic.Int64
 }
 
-func (p *proxy) Ready() (bool, string)  { return !p.lame.Load(), "lame" }
-func (p *proxy) LameDuck(on bool)       { p.lame.Store(on); p.calls.Add(1) }
-func (p *proxy) Gauges() map[string]int { return map[string]int{"known_zone_servers": 3} }
+func (p *fakeProxy) Ready() (bool, string)  { return !p.lame.Load(), "lame" }
+func (p *fakeProxy) LameDuck(on bool)       { p.lame.Store(on); p.calls.Add(1) }
+func (p *fakeProxy) Gauges() map[string]int { return map[string]int{"known_zone_servers": 3} }
 
-func door(t *testing.T) (*proxy, *stats.Set, string) {
+// serve starts an admin API and returns its proxy, its counters and its address.
+func serve(t *testing.T) (*fakeProxy, *stats.Set, string) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, count := &proxy{}, stats.New([]string{"lookup"})
+	p, count := &fakeProxy{}, stats.New([]string{"lookup"})
 	s := New(l, p, count, slog.New(slog.DiscardHandler))
 	go s.Serve()
 	t.Cleanup(s.Close)
@@ -42,8 +44,8 @@
 	return nettest.Ask(t, nettest.Dial(t, address), line+" HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
-func TestCalls(t *testing.T) {
-	p, _, at := door(t)
+func TestBuiltInCalls(t *testing.T) {
+	p, _, at := serve(t)
 	for _, c := range []struct {
 		text, want string
 		lame       bool
@@ -79,8 +81,8 @@
 	}
 }
 
-func TestVars(t *testing.T) {
-	_, count, at := door(t)
+func TestVarsHasEveryFigureOnItsLine(t *testing.T) {
+	_, count, at := serve(t)
 	count.Class(0).Passed.Add()
 	count.Class(0).Dropped.Add()
 	count.Class(7).Failed.Add() // no such class: in no figure
@@ -94,9 +96,9 @@
 	}
 }
 
-// Callers that connect and say nothing keep nobody out, and only as many as fit are held.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	_, _, at := door(t)
+// Callers that connect and send nothing keep nobody out, and no more than MaxConns stay open.
+func TestCallersThatSendNothingKeepNobodyOut(t *testing.T) {
+	_, _, at := serve(t)
 	for range 5 * MaxConns {
 		nettest.Dial(t, at)
 		if a := call(t, at, "GET /_ready"); a.Status != 200 {
