--- a/internal/proxy/logging/logging.go
+++ b/internal/proxy/logging/logging.go
@@ -1,45 +1,45 @@
-// Package logging makes the program's logger: log/slog, in text or JSON, with one vocabulary of
-// attributes, a bound on lines that repeat, and a writer that never makes the program wait for whoever
-// reads its log.
+// Package logging makes the proxy's logger: log/slog in text or JSON, with one vocabulary of attributes, a
+// rate limit on records with the same message, and a writer that never makes the proxy wait for whoever reads
+// its log: beyond a backlog, records are dropped and counted.
+//
+// Loggers and request logs may be used from any goroutine.
 package logging
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"log/slog"
-	"sync"
 	"time"
 
 	"cresshub/internal/logwriter"
 )
 
-// The names of attributes. A line says the same thing by the same name wherever it comes from.
+// The names of attributes: the same thing has the same name in every record. Scripts read them.
 const (
-	Name    = "name"    // of this instance
+	Name    = "name"    // name of this instance
 	Request = "request" // id of a request
 	Class   = "class"
 	Tenant  = "tenant"
 	Server  = "server"  // name of a zone server
 	Attempt = "attempt" // number of attempts made
 	Outcome = "outcome"
-	Took    = "took" // time from a request's arrival to its answer
+	Took    = "took" // time from a request's arrival to its response
 	Status  = "status"
 	Address = "address"
 	Err     = "err"
-	Dropped = "dropped" // lines with the same words left out since the last one
-	Lost    = "lost"    // lines lost because nobody read the log
+	Dropped = "dropped" // records with the same message left out since the last one
+	Lost    = "lost"    // records lost because nobody read the log
 )
 
-// Options are how a logger writes. Level and Repeat may change while it is in use, by Set.
+// Options are how a logger writes. SetLimits changes Level and RepeatRate while it is in use.
 type Options struct {
 	Format     string     // "text" or "json"
-	Level      slog.Level // least that is written
-	RepeatRate float64    // lines a second with the same words; 0 is no bound
-	Backlog    int        // bytes kept while the reader stalls
+	Level      slog.Level // lowest that is written
+	RepeatRate float64    // records a second with the same message; 0 is no limit
+	Backlog    int        // bytes kept while nobody reads the log
 }
 
-// Logger is a logger with what is needed to change and to end it.
+// Logger is a slog.Logger whose limits can be changed and that has to be closed.
 type Logger struct {
 	*slog.Logger
 	level   slog.LevelVar
@@ -62,7 +62,7 @@
 	return l
 }
 
-// lostRecord returns what lays out the line that tells of lost ones.
+// lostRecord returns what formats the record with the number of lost ones.
 func lostRecord(json bool) func(lost int64) string {
 	form := "level=WARN msg=%q %s=%d\n"
 	if json {
@@ -71,8 +71,7 @@
 	return func(lost int64) string { return fmt.Sprintf(form, "log lines lost, nobody read them", Lost, lost) }
 }
 
-// durationsAsText has a time written in JSON as in text, with its unit: a bare number of nanoseconds says
-// nothing of what it counts.
+// durationsAsText replaces durations, which JSON would have as numbers of nanoseconds, by text with a unit.
 func durationsAsText(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindDuration {
 		a.Value = slog.StringValue(a.Value.Duration().String())
@@ -80,21 +79,21 @@
 	return a
 }
 
-// SetLimits changes the level and the bound on lines that repeat.
-func (l *Logger) SetLimits(level slog.Level, repeat float64) {
+// SetLimits changes the lowest level and the records a second with the same message.
+func (l *Logger) SetLimits(level slog.Level, repeatRate float64) {
 	l.level.Set(level)
-	l.repeats.setRate(repeat)
+	l.repeats.setRate(repeatRate)
 }
 
-// Close writes what is left, for at most so long.
-func (l *Logger) Close(wait time.Duration) {
+// Close writes what is left and ends the writer, within the timeout.
+func (l *Logger) Close(timeout time.Duration) {
 	if n := l.repeats.pending(); n > 0 {
 		l.Info("lines left out at the end", Dropped, n)
 	}
-	l.writer.Close(wait)
+	l.writer.Close(timeout)
 }
 
-// ParseLevel reads one of the words for a level; any other is info.
+// ParseLevel returns the level of a name; an unknown name is info.
 func ParseLevel(word string) slog.Level {
 	var l slog.Level
 	if l.UnmarshalText([]byte(word)) != nil {
@@ -102,89 +101,3 @@
 	}
 	return l
 }
-
-// limitedHandler leaves lines out that repeat too often.
-type limitedHandler struct {
-	slog.Handler
-	repeats *repeatLimiter
-}
-
-func (h *limitedHandler) Handle(ctx context.Context, r slog.Record) error {
-	dropped, ok := h.repeats.allow(r.Message, r.Time)
-	if !ok {
-		return nil
-	}
-	if dropped > 0 {
-		r.AddAttrs(slog.Int64(Dropped, dropped))
-	}
-	return h.Handler.Handle(ctx, r)
-}
-
-func (h *limitedHandler) WithAttrs(as []slog.Attr) slog.Handler {
-	return &limitedHandler{h.Handler.WithAttrs(as), h.repeats}
-}
-
-func (h *limitedHandler) WithGroup(name string) slog.Handler {
-	return &limitedHandler{h.Handler.WithGroup(name), h.repeats}
-}
-
-// repeatLimiter counts lines by their words. Words are constants of the program, so there are few; the bound
-// is for the case that somebody forgets.
-type repeatLimiter struct {
-	mu      sync.Mutex
-	rate    float64
-	buckets map[string]*bucket
-}
-
-const maxMessages = 512
-
-// bucket holds what is left of a message's lines: rate a second, as many at once.
-type bucket struct {
-	tokens     float64
-	refilledAt time.Time
-	dropped    int64
-}
-
-func newRepeatLimiter() *repeatLimiter { return &repeatLimiter{buckets: map[string]*bucket{}} }
-
-func (r *repeatLimiter) setRate(rate float64) {
-	r.mu.Lock()
-	r.rate = rate
-	r.mu.Unlock()
-}
-
-// allow tells whether a line may be written, and how many were left out before it.
-func (r *repeatLimiter) allow(message string, now time.Time) (dropped int64, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.rate <= 0 || message == RequestMessage || message == CountersMessage {
-		return 0, true
-	}
-	b := r.buckets[message]
-	if b == nil {
-		if len(r.buckets) >= maxMessages {
-			clear(r.buckets)
-		}
-		b = &bucket{tokens: max(r.rate, 1), refilledAt: now}
-		r.buckets[message] = b
-	}
-	b.tokens = min(b.tokens+r.rate*now.Sub(b.refilledAt).Seconds(), max(r.rate, 1))
-	b.refilledAt = now
-	if b.tokens < 1 {
-		b.dropped++
-		return 0, false
-	}
-	b.tokens--
-	dropped, b.dropped = b.dropped, 0
-	return dropped, true
-}
-
-// pending is how many lines were left out and not told yet.
-func (r *repeatLimiter) pending() (n int64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, b := range r.buckets {
-		n += b.dropped
-	}
-	return n
-}
--- a/internal/proxy/logging/logging_test.go
+++ b/internal/proxy/logging/logging_test.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// page is a log that a test reads while it is written.
-type page struct {
+// syncBuffer is a log that a test reads while it is written.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (p *page) Write(b []byte) (int, error) {
+func (p *syncBuffer) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.b.Write(b)
 }
 
-func (p *page) lines() []string {
+func (p *syncBuffer) lines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Split(strings.TrimSpace(p.b.String()), "\n")
 }
 
-// Lines with the same words are bounded, whatever their attributes; the next one tells how many were left
-// out, and at the end none is forgotten. Others are not held up by them.
+// Records with the same message are limited, whatever their attributes; the next one has the number of those
+// that were dropped, and Close reports the rest. Other messages are not affected.
 func TestRepeatsAreBoundedAndCounted(t *testing.T) {
-	var out page
+	var out syncBuffer
 	l := New(&out, Options{Format: "json", RepeatRate: 3, Backlog: 1 << 20})
 	for i := range 1000 {
 		l.With("a", i).Warn("again", "n", i)
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestLevelChanges(t *testing.T) {
-	var out page
+func TestLevelChangesWhileTheLoggerIsInUse(t *testing.T) {
+	var out syncBuffer
 	l := New(&out, Options{Format: "text", Level: ParseLevel("warn"), Backlog: 1 << 20})
 	l.Info("one")
 	l.SetLimits(ParseLevel("debug"), 0)
@@ -78,8 +78,7 @@
 	}
 }
 
-// A reader that stalls keeps nobody waiting; what is lost is counted once it reads on.
-func TestStalledReader(t *testing.T) {
+func TestStalledReaderDelaysNobodyAndLossesAreCounted(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -112,10 +111,9 @@
 	}
 }
 
-// A time carries its unit in both forms.
-func TestTimesCarryUnits(t *testing.T) {
+func TestDurationsCarryTheirUnit(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
-		var out page
+		var out syncBuffer
 		l := New(&out, Options{Format: format, Backlog: 1 << 20})
 		NewRequestLog(l.Logger, 1, 0).Write(RequestEntry{Took: 1500 * time.Microsecond})
 		l.Close(time.Minute)
@@ -125,11 +123,11 @@
 	}
 }
 
-func TestRequestLog(t *testing.T) {
+func TestRequestLogKeepsToItsSampleAndRate(t *testing.T) {
 	if (*RequestLog)(nil).Allow() {
 		t.Error("one that is off wants a line")
 	}
-	var out page
+	var out syncBuffer
 	l := New(&out, Options{Format: "text", RepeatRate: 1, Backlog: 1 << 20})
 	all := NewRequestLog(l.Logger, 1, 0)
 	for range 50 {
--- a/internal/proxy/logging/requestlog.go
+++ b/internal/proxy/logging/requestlog.go
@@ -9,22 +9,22 @@
 	"golang.org/x/time/rate"
 )
 
-// The messages of lines that are asked for one by one, and so have no bound on their repeats: in the log of
-// requests, which has one of its own, and the counters.
+// The messages of records that the limit on repeats passes over: those of requests, which have a limit of
+// their own, and the counters, each of which is asked for.
 const (
 	RequestMessage  = "request"
 	CountersMessage = "counters"
 )
 
-// RequestLog is the log of requests: one line for a final answer. A nil one is off and costs a comparison.
+// RequestLog writes one record for each of a sample of requests. A nil one is off and costs a comparison.
 type RequestLog struct {
 	log    *slog.Logger
 	sample float64
 	limit  *rate.Limiter
 }
 
-// NewRequestLog returns a log for so large a part of the requests and at most so many lines a second; a
-// rate of 0 is no bound.
+// NewRequestLog returns a log of the fraction sample of all requests, with at most perSecond records a
+// second; 0 is no limit.
 func NewRequestLog(log *slog.Logger, sample, perSecond float64) *RequestLog {
 	r := &RequestLog{log: log, sample: sample, limit: rate.NewLimiter(rate.Inf, 0)}
 	if perSecond > 0 {
@@ -42,12 +42,12 @@
 	Took                           time.Duration
 }
 
-// Allow draws whether the next request is logged.
+// Allow decides by chance and by the rate whether the next request is logged.
 func (r *RequestLog) Allow() bool {
 	return r != nil && (r.sample >= 1 || rand.Float64() < r.sample) && r.limit.Allow()
 }
 
-// Write logs one answer.
+// Write logs one request that Allow chose.
 func (r *RequestLog) Write(entry RequestEntry) {
 	r.log.LogAttrs(context.Background(), slog.LevelInfo, RequestMessage,
 		slog.String(Request, entry.Request), slog.String(Class, entry.Class), slog.String(Tenant, entry.Tenant),
