--- a/internal/testbed/routertrial/machine_faults.go
+++ b/internal/testbed/routertrial/machine_faults.go
@@ -8,6 +8,7 @@
 
 	"cresshub/internal/childprocess"
 	"cresshub/internal/testbed/faultinject"
+	"cresshub/internal/testbed/routerstandin"
 )
 
 // running returns the machine's process, nil while none runs.
@@ -24,7 +25,7 @@
 	}
 }
 
-// setFaults has commands hold from now on, in place of those that held, for the next process too.
+// setFaults replaces the commands in force, for this process and the next.
 func (m *Machine) setFaults(commands []string) {
 	m.mu.Lock()
 	m.faults = commands
@@ -36,18 +37,18 @@
 	replaceFaults(process, commands)
 }
 
-// replaceFaults has a process obey commands in place of all that it obeyed.
+// replaceFaults heals all faults of a process and sends it commands.
 func replaceFaults(process *childprocess.Process, commands []string) {
-	healed := []string{faultinject.CommandHear, diskCommand(faultinject.DiskOK)}
+	healed := []string{faultinject.CommandHeal, diskCommand(faultinject.DiskOK)}
 	for _, command := range append(healed, commands...) {
 		_ = process.Send(command)
 	}
 }
 
-// correctFaults tells a process that has just started what has changed since it was given its faults: nobody
-// could tell it before.
-func (m *Machine) correctFaults(process *childprocess.Process, given []string) {
-	if current := m.currentFaults(); m.fleet.options.Faulty && !slices.Equal(given, current) {
+// updateFaults sends a process that has just started the faults that changed since its command line was
+// built; it could not be reached before.
+func (m *Machine) updateFaults(process *childprocess.Process, given []string) {
+	if current := m.currentFaults(); m.fleet.options.FaultInjection && !slices.Equal(given, current) {
 		replaceFaults(process, current)
 	}
 }
@@ -56,69 +57,70 @@
 	return faultinject.CommandDisk + " " + string(mode)
 }
 
-// currentFaults returns the commands that the next process is to obey from its start.
+// currentFaults returns the commands that the next process obeys from its start.
 func (m *Machine) currentFaults() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	commands := slices.Clone(m.faults)
-	if m.endsItself != "" {
-		commands = append(commands, m.endsItself)
+	if m.exitCommand != "" {
+		commands = append(commands, m.exitCommand)
 	}
 	return commands
 }
 
-// StartToEnd starts a process that kills itself at the numbered point, which may lie before it listens, and
-// kills it where it does not get there.
-func (m *Machine) StartToEnd(ctx context.Context, point int, patience time.Duration) (ended bool) {
-	m.setEndsItself(fmt.Sprintf("%s %d", faultinject.CommandEnd, point))
-	defer m.setEndsItself("")
+// StartUntilPoint starts a process that kills itself at the numbered point, which may lie before it listens,
+// and kills it where it does not get there.
+func (m *Machine) StartUntilPoint(ctx context.Context, point int, timeout time.Duration) (exited bool) {
+	m.setExitCommand(fmt.Sprintf("%s %d", faultinject.CommandEnd, point))
+	defer m.setExitCommand("")
 	if m.Start(ctx, false) != nil {
 		return true
 	}
 	process := m.running()
-	return m.awaitOwnEnd(ctx, process, patience)
+	return m.awaitExit(ctx, process, timeout)
 }
 
-// setEndsItself has the next process obey a command by which it ends itself, "" for none.
-func (m *Machine) setEndsItself(command string) {
+// setExitCommand sets the command by which the next process kills itself, "" for none.
+func (m *Machine) setExitCommand(command string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.endsItself = command
+	m.exitCommand = command
 }
 
-// EndAtPoint has the process kill itself at the numbered point, and kills it where it does not get there.
-func (m *Machine) EndAtPoint(ctx context.Context, point int, patience time.Duration) (ended bool) {
+// ExitAtPoint has the process kill itself at the numbered point, and kills it where it does not get there.
+func (m *Machine) ExitAtPoint(ctx context.Context, point int, timeout time.Duration) (exited bool) {
 	process := m.running()
 	if process == nil {
 		return false
 	}
 	m.mu.Lock()
-	m.ending = true
+	m.exitExpected = true
 	m.mu.Unlock()
-	m.fleet.Observations.Troubled(m.IP, m.HasDisk)
+	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 	m.send("%s %d", faultinject.CommandEnd, point)
-	return m.awaitOwnEnd(ctx, process, patience)
+	return m.awaitExit(ctx, process, timeout)
 }
 
-// keepTroubled notes that a machine is in trouble until ctx ends.
-func (f *Fleet) keepTroubled(ctx context.Context, machines ...*Machine) {
+// recordFaultUntil records again and again that machines are faulty, until ctx ends.
+func (f *Fleet) recordFaultUntil(ctx context.Context, machines ...*Machine) {
 	for {
 		for _, m := range machines {
-			f.Observations.Troubled(m.IP, m.HasDisk)
+			f.Observations.RecordFault(m.IP, m.HasDisk)
 		}
-		if !sleepFor(ctx, troubleInterval) {
+		if !routerstandin.Sleep(ctx, faultRecordInterval) {
 			return
 		}
 	}
 }
 
-// troubleInterval is how often a trouble that goes on is noted.
-const troubleInterval = 200 * time.Millisecond
+// faultRecordInterval is how often a lasting fault is recorded.
+const faultRecordInterval = 200 * time.Millisecond
 
-// awaitOwnEnd waits until the process has ended by itself, kills it where it does not, and tells which.
-func (m *Machine) awaitOwnEnd(ctx context.Context, process *childprocess.Process,
-	patience time.Duration) bool {
-	bounded, cancel := context.WithTimeout(ctx, patience)
+// awaitExit waits until the process has ended by itself, kills it after the timeout, and reports whether it
+// had ended.
+func (m *Machine) awaitExit(ctx context.Context, process *childprocess.Process,
+	timeout time.Duration) bool {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	defer m.Kill()
 	select {
