--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -138,8 +138,8 @@
 		}
 	}
 	_, done := startAttempt(newPool(where, time.Hour), distantDeadline())
-	if got := <-done; got.Result != dispatch.Rejected || len(x.Got("")) != 0 {
-		t.Errorf("%s, %d sent", dispatch.ResultNames[got.Result], len(x.Got("")))
+	if got := <-done; got.Result != dispatch.Rejected || len(x.Received("")) != 0 {
+		t.Errorf("%s, %d sent", dispatch.ResultNames[got.Result], len(x.Received("")))
 	}
 }
 
@@ -208,14 +208,14 @@
 }
 
 func TestCancelClosesTheConnection(t *testing.T) {
-	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.Silence })
+	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.NoResponse })
 	a, done := startAttempt(newPool(&fakeDirectory{address: x.Address}, time.Hour), distantDeadline())
-	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("")) == 1 })
+	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("")) == 1 })
 	a.Cancel()
 	if got := <-done; got.Result != dispatch.Cancelled {
 		t.Error(dispatch.ResultNames[got.Result])
 	}
-	<-x.Left
+	<-x.Abandoned
 }
 
 func TestSweepClosesIdleConnections(t *testing.T) {
