--- a/internal/proxy/daemon/admin.go
+++ b/internal/proxy/daemon/admin.go
@@ -43,6 +43,6 @@
 func (p *Proxy) Gauges() map[string]int {
 	known := p.discovery.Listed()
 	return map[string]int{
-		"known_zone_servers": known, "skipped_zone_servers": known - p.discovery.InService() + p.decider.Avoided(),
+		"known_zone_servers": known, "skipped_zone_servers": known - p.discovery.InService() + p.decider.Ejected(),
 	}
 }
--- a/internal/proxy/dispatch/call.go
+++ b/internal/proxy/dispatch/call.go
@@ -26,13 +26,13 @@
 
 // Request is one request of a client, whatever protocol it came by.
 type Request struct {
-	Class    int // position in the settings
-	Tenant   int // likewise
-	Key      uint64
-	HasKey   bool
-	Deadline time.Time     // when the client gives up
-	Work     time.Duration // expected work on a standard core; 0 where unknown
-	Repeat   bool          // the client says that it sent the request before
+	Class       int // position in the settings
+	Tenant      int // likewise
+	Key         uint64
+	HasKey      bool
+	Deadline    time.Time     // when the client gives up
+	Work        time.Duration // expected work on a standard core; 0 where unknown
+	ClientRetry bool          // the client says that it sent the request before
 }
 
 // Waiter lets the goroutine of a request sleep.
--- a/internal/proxy/dispatch/decider.go
+++ b/internal/proxy/dispatch/decider.go
@@ -76,7 +76,7 @@
 	d.calls[c.id] = c
 	d.execute(now, d.balancer.Request(now, balance.Request{
 		ID: c.id, Class: q.Class, Tenant: q.Tenant, Key: q.Key, HasKey: q.HasKey, Work: q.Work,
-		Deadline: d.toClock(q.Deadline), ClientRetry: q.Repeat,
+		Deadline: d.toClock(q.Deadline), ClientRetry: q.ClientRetry,
 	}, d.actions[:0]))
 	return c
 }
@@ -201,8 +201,8 @@
 	d.execute(now, d.balancer.List(now, kind, list, d.actions[:0]))
 }
 
-// Avoided is the number of listed servers in service that get no traffic now.
-func (d *Decider) Avoided() int {
+// Ejected is the number of listed servers in service that get no traffic now.
+func (d *Decider) Ejected() int {
 	now := d.lock()
 	defer d.unlock()
 	return d.balancer.Ejected(now)
--- a/internal/proxy/ingress/clientgone_test.go
+++ b/internal/proxy/ingress/clientgone_test.go
@@ -64,7 +64,7 @@
 					t.Errorf("another client gets %d", a.Status)
 				}
 				if got := zone.Received(""); len(got) != 1 || got[0].Header.Get(idField) != "other" {
-					t.Errorf("%d requests were sent on", len(got))
+					t.Errorf("%d requests were sent", len(got))
 				}
 			})
 		}
@@ -92,7 +92,7 @@
 						return
 					}
 					if err == nil {
-						t.Errorf("%s was sent on", q.Header.Get(idField))
+						t.Errorf("%s was sent", q.Header.Get(idField))
 					}
 				})
 				r.list(relay)
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -59,7 +59,7 @@
 		r.list(zone.Address)
 		c := nettest.Dial(t, r.address)
 		io.WriteString(c, get("one")+get("two"))
-		nettest.Until(t, "the first is sent on", func() bool { return len(zone.Received("")) == 1 })
+		nettest.Until(t, "the first is sent", func() bool { return len(zone.Received("")) == 1 })
 		if lame {
 			r.LameDuck(true)
 		} else {
@@ -116,7 +116,7 @@
 			nettest.Ask(t, c, get(fmt.Sprint("before-", i)))
 		}
 		var rests *client
-		nettest.Until(t, "it rests", func() bool {
+		nettest.Until(t, "it is idle", func() bool {
 			r.Server.mu.Lock()
 			defer r.Server.mu.Unlock()
 			for rests = range r.clients {
@@ -173,7 +173,7 @@
 	half, hangs, rests := nettest.Dial(t, r.address), nettest.Dial(t, r.address), nettest.Dial(t, r.address)
 	io.WriteString(half, "GET /api HT")
 	io.WriteString(hangs, nettest.Request("POST", "assign", "hangs", 600*time.Millisecond))
-	nettest.Until(t, "the request is sent on", func() bool { return len(zone.Received("")) == 1 })
+	nettest.Until(t, "the request is sent", func() bool { return len(zone.Received("")) == 1 })
 	r.startShutdown(t)
 	var fresh []string
 	for began := time.Now(); time.Since(began) < 40*time.Millisecond; { // the rig accepts for 80 ms
@@ -232,7 +232,7 @@
 	}
 	for i, got := range answered {
 		if id := fmt.Sprint(i); (got == "200 "+id) != sent[id] || got == "nothing" {
-			t.Errorf("%s: %s, sent on: %v", id, got, sent[id])
+			t.Errorf("%s: %s, sent: %v", id, got, sent[id])
 		}
 	}
 }
--- a/internal/proxy/ingress/parse.go
+++ b/internal/proxy/ingress/parse.go
@@ -53,7 +53,7 @@
 		return r, 400, "X-Timeout is no time"
 	}
 	r.Deadline = arrived.Add(time.Duration(min(timeout, maxTimeout.Seconds()) * float64(time.Second)))
-	r.Repeat = message.Header.Get("X-Retried") == "1"
+	r.ClientRetry = message.Header.Get("X-Retried") == "1"
 	r.Key, r.HasKey = parseKey(message.Target)
 	return r, 0, ""
 }
--- a/internal/proxy/ingress/parse_test.go
+++ b/internal/proxy/ingress/parse_test.go
@@ -29,7 +29,7 @@
 			dispatch.Request{Tenant: 1, Key: 0x1f, HasKey: true, Deadline: in(480 * time.Millisecond)}, 0},
 		{"POST", "/api?other=2",
 			append(head("1", "assign", "x", "1e9"), http1.Field{Name: "X-Retried", Value: "1"}),
-			dispatch.Request{Class: 1, Deadline: in(maxTimeout), Repeat: true}, 0},
+			dispatch.Request{Class: 1, Deadline: in(maxTimeout), ClientRetry: true}, 0},
 		{"GET", "/", append(head("1", "lookup", "x", "1"), http1.Field{Name: "X-Timeout", Value: "2"}),
 			dispatch.Request{}, 400},
 		{"GET", "/", append(head("1", "lookup", "x", "1"), http1.Field{Name: "X-Request-Id", Value: "2"}),
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -3,6 +3,7 @@
 import (
 	"io"
 	"testing"
+	"time"
 
 	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
@@ -128,3 +129,14 @@
 		}
 	}
 }
+
+func TestCancelClosesTheConnection(t *testing.T) {
+	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.NoResponse })
+	a, done := startAttempt(newPool(&fakeDirectory{address: x.Address}, time.Hour), distantDeadline())
+	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("")) == 1 })
+	a.Cancel()
+	if got := <-done; got.Result != dispatch.Cancelled {
+		t.Error(dispatch.ResultNames[got.Result])
+	}
+	<-x.Abandoned
+}
--- a/internal/proxy/upstream/reuse_test.go
+++ b/internal/proxy/upstream/reuse_test.go
@@ -161,3 +161,80 @@
 		})
 	}
 }
+
+func TestIdleConnectionIsReused(t *testing.T) {
+	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+	for _, c := range []struct {
+		reuse time.Duration
+		want  int64
+	}{{time.Hour, 1}, {0, 5}} { // one past MaxIdle at once is never reused
+		x.Opened.Store(0)
+		p := newPool(&fakeDirectory{address: x.Address}, c.reuse)
+		for range 5 {
+			_, done := startAttempt(p, distantDeadline())
+			if got := <-done; got.Result != dispatch.Served {
+				t.Error(dispatch.ResultNames[got.Result])
+			}
+		}
+		if got := x.Opened.Load(); got != c.want {
+			t.Errorf("%d connections with reuse for %v, want %d", got, c.reuse, c.want)
+		}
+	}
+}
+
+// No attempt is lost to a connection that its server closed while it was idle.
+func TestClosedWhileIdle(t *testing.T) {
+	address := nettest.Listen(t, func(c *connbuffer.Conn) {
+		if _, err := http1.ReadRequest(c.In); err == nil {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		}
+	})
+	p := newPool(&fakeDirectory{address: address}, time.Hour)
+	for range 3 {
+		_, done := startAttempt(p, distantDeadline())
+		if got := <-done; got.Result != dispatch.Served {
+			t.Error(dispatch.ResultNames[got.Result])
+		}
+		nettest.Until(t, "the pool notices the close", func() bool {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			return len(p.idle[0]) == 0
+		})
+	}
+}
+
+// Bytes that arrive between two exchanges, after a good response, are not taken for the next response, also
+// where the connection is handed over just then.
+func TestDuplicateIsNotNextResponse(t *testing.T) {
+	const copied = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
+	address := nettest.Listen(t, func(c *connbuffer.Conn) {
+		if _, err := http1.ReadRequest(c.In); err != nil {
+			return
+		}
+		io.WriteString(c, copied)
+		io.Copy(io.Discard, c)
+	})
+	p := newPool(&fakeDirectory{address: address}, time.Hour)
+	nc := nettest.Dial(t, address)
+	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+	nettest.Until(t, "the copy waits in the system", func() bool { return !nc.Quiet() })
+	a := &Attempt{}
+	c := &conn{pool: p, netConn: nc, next: a, idleSince: time.Now()}
+	nc.SetReadDeadline(time.Unix(1, 0))
+	if got, usable := c.awaitAttempt(); got != a || usable {
+		t.Errorf("attempt handed over: %v, connection usable: %v", got == a, usable)
+	}
+}
+
+func TestSweepClosesIdleConnections(t *testing.T) {
+	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+	where := &fakeDirectory{address: x.Address}
+	p := newPool(where, time.Hour)
+	_, done := startAttempt(p, distantDeadline())
+	<-done
+	where.removed.Store(true)
+	p.Sweep()
+	if len(p.idle) != 0 || p.closeOldestIdle() {
+		t.Error("an idle connection stays")
+	}
+}
--- a/internal/proxy/upstream/stream_test.go
+++ b/internal/proxy/upstream/stream_test.go
@@ -64,3 +64,62 @@
 		})
 	}
 }
+
+// A streamed response that stalls, ends early or is longer than stated never counts as complete, blocks its
+// reader no longer than Limits.Stall, and leaves no connection for reuse; all of its memory is released.
+func TestStreamEndsEarlyOrStalls(t *testing.T) {
+	const size = 100_000
+	for _, c := range []struct {
+		name  string
+		bytes int
+		stays bool // the server sends no more and does not close
+		whole bool
+		idle  int
+	}{
+		{"complete", size, true, true, 1},
+		{"stalls", 50_000, true, false, 0},
+		{"ends early", 50_000, false, false, 0},
+		{"longer than stated", size + 5, true, true, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			address := nettest.Listen(t, func(conn *connbuffer.Conn) {
+				if _, err := http1.ReadRequest(conn.In); err != nil {
+					return
+				}
+				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size,
+					strings.Repeat("x", c.bytes))
+				if c.stays {
+					io.Copy(io.Discard, conn)
+				}
+			})
+			p := newPool(&fakeDirectory{address: address}, time.Hour)
+			l := *p.limits.Load()
+			l.Stall = 300 * time.Millisecond
+			p.SetLimits(l)
+			_, done := startAttempt(p, distantDeadline())
+			out := <-done
+			if out.Result != dispatch.Served || out.Stream == nil {
+				t.Fatalf("%+v", out)
+			}
+			n, err := io.Copy(io.Discard, out.Stream)
+			if got := n + int64(len(out.Response.Body)); (err == nil) != c.whole || c.whole && got != size {
+				t.Errorf("%d bytes, %v", got, err)
+			}
+			p.Release(&out)
+			p.Release(&out) // a second call is a no-op
+			idle := func() (n int) {
+				p.mu.Lock()
+				defer p.mu.Unlock()
+				for _, list := range p.idle {
+					n += len(list)
+				}
+				return n
+			}
+			nettest.Until(t, "the connection is parked", func() bool { return idle() == c.idle })
+			time.Sleep(20 * time.Millisecond)
+			if idle() != c.idle || p.bodies.Used() != 0 {
+				t.Errorf("%d idle connections, %d bytes reserved", idle(), p.bodies.Used())
+			}
+		})
+	}
+}
