--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -47,7 +47,7 @@
 	s.startLogEntry(c, id, request)
 	return s.runAttempts(c, id, request,
 		&http1.Request{Method: q.Method, Target: q.Target, Body: q.Body, Length: q.Length,
-			Header: q.Header.EndToEnd("X-Timeout")}, u)
+			Header: q.Header.EndToEnd(timeoutField)}, u)
 }
 
 // readiness is the response to a health check of this proxy.
--- a/internal/proxy/ingress/parse.go
+++ b/internal/proxy/ingress/parse.go
@@ -12,10 +12,18 @@
 	"cresshub/internal/proxy/dispatch"
 )
 
-const idField = "X-Request-ID"
+// Header fields of a request. Their names are the operators' page's.
+const (
+	idField             = "X-Request-ID"       // unique among open requests; a retry has its own
+	firstAttemptIDField = "X-First-Request-ID" // of a client's retry: the id of the request that it repeats
+	retriedField        = "X-Retried"          // "1" in a client's retry
+	classField          = "X-Priority-Class"
+	tenantField         = "X-Tenant-Id"
+	timeoutField        = "X-Timeout" // s from the request's last byte that the client waits
+)
 
 // routingFields are the header fields that decide how a request is handled. None may come twice.
-var routingFields = []string{idField, "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "X-Retried", "Host"}
+var routingFields = []string{idField, classField, tenantField, timeoutField, retriedField, "Host"}
 
 // maxTimeout bounds a request's time. A longer X-Timeout is as good as none.
 const maxTimeout = time.Hour
@@ -26,7 +34,7 @@
 	r dispatch.Request, status int, reason string,
 ) {
 	var known bool
-	if r.Class, known = s.classes[message.Header.Get("X-Priority-Class")]; !known {
+	if r.Class, known = s.classes[message.Header.Get(classField)]; !known {
 		r.Class = -1
 	}
 	if message.Method != "GET" && message.Method != "HEAD" && message.Method != "POST" {
@@ -45,15 +53,15 @@
 		return r, 400, "X-Priority-Class names no class"
 	}
 	var ok bool
-	if r.Tenant, ok = s.tenants[message.Header.Get("X-Tenant-Id")]; !ok && len(s.tenants) > 0 {
+	if r.Tenant, ok = s.tenants[message.Header.Get(tenantField)]; !ok && len(s.tenants) > 0 {
 		return r, 400, "X-Tenant-Id names no tenant"
 	}
-	timeout, err := strconv.ParseFloat(message.Header.Get("X-Timeout"), 64)
+	timeout, err := strconv.ParseFloat(message.Header.Get(timeoutField), 64)
 	if err != nil || !(timeout > 0) || math.IsInf(timeout, 0) {
 		return r, 400, "X-Timeout is no time"
 	}
 	r.Deadline = arrived.Add(time.Duration(min(timeout, maxTimeout.Seconds()) * float64(time.Second)))
-	r.ClientRetry = message.Header.Get("X-Retried") == "1"
+	r.ClientRetry = message.Header.Get(retriedField) == "1"
 	r.Key, r.HasKey = parseKey(message.Target)
 	return r, 0, ""
 }
--- a/internal/proxy/ingress/reject.go
+++ b/internal/proxy/ingress/reject.go
@@ -28,7 +28,7 @@
 	if flushErr == nil && !(body.Complete() && c.Quiet()) {
 		defer s.linger(c, s.limits.Load().Linger)
 	}
-	if class, ok := s.classes[q.Header.Get("X-Priority-Class")]; flushErr == nil && ok {
+	if class, ok := s.classes[q.Header.Get(classField)]; flushErr == nil && ok {
 		s.Stats.Class(class).Dropped.Add()
 		if t := (&client{}); s.RecordUsage != nil {
 			s.startUsage(t, q, class)
--- a/internal/proxy/ingress/usage.go
+++ b/internal/proxy/ingress/usage.go
@@ -15,17 +15,13 @@
 	In, Out       int64  // bytes of the bodies of request and response
 }
 
-// firstAttemptIDField names the id of a request's first attempt where a client retries: X-Request-ID differs
-// with each of its attempts.
-const firstAttemptIDField = "X-First-Request-ID"
-
 // startUsage begins the usage of a request, where usage is counted.
 func (s *Server) startUsage(c *client, q *http1.Request, class int) {
 	c.usage = nil
 	if s.RecordUsage == nil || class < 0 {
 		return
 	}
-	u := &Usage{Tenant: q.Header.Get("X-Tenant-Id"), Class: s.Classes[class]}
+	u := &Usage{Tenant: q.Header.Get(tenantField), Class: s.Classes[class]}
 	id := q.Header.Get(firstAttemptIDField)
 	if id == "" {
 		id = q.Header.Get(idField)
