--- a/internal/testbed/connserver/connserver.go
+++ b/internal/testbed/connserver/connserver.go
@@ -1,4 +1,5 @@
-// Package connserver accepts connections, gives each a goroutine, and can end all of them at once.
+// Package connserver is the accept loop of the stand-ins: it gives each connection a goroutine, bounds their
+// number, and can close all of them at once, with a reset where a crash is simulated.
 package connserver
 
 import (
@@ -9,7 +10,7 @@
 	"cresshub/internal/connbuffer"
 )
 
-// Listener accepts connections, gives each a goroutine, and can end all of them at once.
+// Listener accepts connections and runs a goroutine for each. Its methods are safe for concurrent use.
 type Listener struct {
 	listener net.Listener
 	serve    func(*connbuffer.Conn)
@@ -18,11 +19,12 @@
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
-	all    sync.WaitGroup
+	all    sync.WaitGroup // the accept loop and the goroutines of connections
 }
 
 // Listen accepts connections at an address, port 0 for one that the system chooses, and runs serve for
-// each. Beyond most connections, 0 for any number, new ones are closed at once.
+// each in a goroutine; the connection is closed when serve returns. Beyond maxConns connections, 0 for any
+// number, new ones are closed at once.
 func Listen(address string, maxConns int, serve func(*connbuffer.Conn)) (*Listener, error) {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
@@ -34,7 +36,7 @@
 	return l, nil
 }
 
-// Address is where it listens.
+// Address returns the address with the port on which it listens.
 func (l *Listener) Address() string { return l.listener.Addr().String() }
 
 func (l *Listener) accept() {
@@ -72,14 +74,14 @@
 	c.Close()
 }
 
-// Close ends all connections at once and waits for their goroutines. With reset the other sides see a
-// reset, as when a process dies, otherwise the end of the stream.
+// Close closes the listener and all connections, and waits for their goroutines. With reset the other sides
+// see a reset, as when a process dies, otherwise the end of the stream.
 func (l *Listener) Close(reset bool) {
 	l.end(reset)
 	l.all.Wait()
 }
 
-// End ends all connections without waiting for goroutines that may be held up elsewhere.
+// End closes the listener and all connections without waiting for goroutines, which may be blocked elsewhere.
 func (l *Listener) End() { l.end(false) }
 
 func (l *Listener) end(reset bool) {
@@ -88,7 +90,7 @@
 	l.closed = true
 	for c := range l.conns {
 		if t, ok := c.(*net.TCPConn); ok && reset {
-			t.SetLinger(0)
+			_ = t.SetLinger(0) // fails only on a closed connection
 		}
 		c.Close()
 	}
--- a/internal/testbed/faultinject/faults.go
+++ b/internal/testbed/faultinject/faults.go
@@ -1,6 +1,15 @@
-// Package faultinject puts faults into one running process: partitions between it and other machines, a disk
-// that is full or hangs, connections that can't be accepted, and an end at a numbered point. Commands change
-// them while the process runs. It is for soaks; a process in service does not use it.
+// Package faultinject injects faults into one running process: partitions between it and other machines, a
+// disk that is full, hangs or is slow, connections that can't be accepted, and a SIGKILL at a numbered point.
+// Commands change the faults while the process runs. It is for soaks (package routertrial); a process in
+// service does not use it.
+//
+// Faults has the state, behind one lock. The process works through Faults.Network and Faults.Files, which
+// consult it at each operation: what a partition or a hanging disk holds up polls until it may go on. A
+// partition withholds what was received instead of losing it, as TCP does, and resets connections that were
+// cut for longer than userTimeout when it heals.
+//
+// The numbered points are the begin and the end of each operation that changes the disk, and each write to a
+// connection; the number counts those passed since the command.
 package faultinject
 
 import (
@@ -14,19 +23,19 @@
 	"time"
 )
 
-// The commands, one a line, with their arguments.
+// The commands, one a line, with their arguments. The words are those of scripts and logs.
 const (
-	// CommandDeaf IP...: nothing that these machines send is heard any more.
+	// CommandDeaf IP...: nothing that these machines send is received any more.
 	CommandDeaf = "deaf"
-	// CommandMute IP...: no connection to these machines comes about any more.
+	// CommandMute IP...: no connection to these machines is established any more.
 	CommandMute = "mute"
-	// CommandHeal heals all partitions; connections that were cut for long end with a reset, others go on.
+	// CommandHeal heals all partitions; connections that were cut for more than userTimeout are reset.
 	CommandHeal = "hear"
 	// CommandDisk MODE: the disk is ok, full, hangs or is slow.
 	CommandDisk = "disk"
-	// CommandRefuse N: the next N attempts to accept a connection fail for want of descriptors.
+	// CommandRefuse N: the next N attempts to accept a connection fail with EMFILE.
 	CommandRefuse = "refuse"
-	// CommandEnd N: the process kills itself at the Nth numbered point from now on.
+	// CommandEnd N: the process kills itself at the Nth numbered point from now on; 0 cancels that.
 	CommandEnd = "end"
 )
 
@@ -42,15 +51,15 @@
 )
 
 const (
-	// pollInterval is how often what is held up looks whether it may go on.
+	// pollInterval is how often an operation that is held up checks whether it may go on.
 	pollInterval = 5 * time.Millisecond
-	// slowDiskDelay is what each operation of a slow disk takes besides.
+	// slowDiskDelay is added to each operation of a slow disk.
 	slowDiskDelay = 60 * time.Millisecond
-	// userTimeout is how long a partition may last until connections through it end with a reset.
+	// userTimeout is how long a partition may last until connections through it are reset when it heals.
 	userTimeout = 2 * time.Second
 )
 
-// Faults are those of one process. Its methods are safe for concurrent use.
+// Faults are the faults of one process. Its methods are safe for concurrent use.
 type Faults struct {
 	exit func() // ends the process on the spot
 
@@ -58,26 +67,26 @@
 	deaf     map[string]time.Time // since when, by IP
 	mute     map[string]bool
 	disk     DiskMode
-	refusals int // tries to accept that are still to fail
-	exitIn   int // numbered points until the end, 0 for no end
+	refusals int // attempts to accept that are still to fail
+	exitIn   int // numbered points until the process kills itself, 0 for never
 	conns    map[*conn]struct{}
 }
 
-// New returns a process's faults: none.
+// New returns the faults of this process: none so far.
 func New() *Faults {
 	kill := func() { _ = syscall.Kill(syscall.Getpid(), syscall.SIGKILL) }
 	return &Faults{exit: kill, deaf: map[string]time.Time{}, mute: map[string]bool{}, disk: DiskOK,
 		conns: map[*conn]struct{}{}}
 }
 
-// UnknownCommandError says that a line is no command.
+// UnknownCommandError reports a line that is no command.
 type UnknownCommandError struct{ Line string }
 
 func (e *UnknownCommandError) Error() string {
 	return fmt.Sprintf("%q is no command; see the commands of package faultinject", e.Line)
 }
 
-// Obey carries commands out, one a line, until the reader ends. It returns the first error.
+// Obey executes commands, one a line, until the reader ends. It returns the first error.
 func (f *Faults) Obey(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -88,7 +97,7 @@
 	return lines.Err()
 }
 
-// Do carries one command out.
+// Do executes one command; an empty line is none. The error is an *UnknownCommandError.
 func (f *Faults) Do(line string) error {
 	words := strings.Fields(line)
 	if len(words) == 0 {
@@ -128,14 +137,14 @@
 	for c := range f.conns {
 		if since, partitioned := f.deaf[c.peer]; partitioned && time.Since(since) > userTimeout {
 			_ = c.TCPConn.SetLinger(0)
-			go c.Close()
+			go func() { _ = c.Close() }() // it takes the lock; a failed close leaves nothing to be done
 		}
 	}
 	clear(f.deaf)
 	clear(f.mute)
 }
 
-// passPoint is one numbered point, at which the process may be told to end.
+// passPoint passes a numbered point, at which the process kills itself if that is due.
 func (f *Faults) passPoint() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -154,7 +163,7 @@
 	return partitioned
 }
 
-// isPartitioned reports whether no connection to a machine comes about.
+// isPartitioned reports whether no connection to a machine can be established.
 func (f *Faults) isPartitioned(ip string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/faultinject/files.go
+++ b/internal/testbed/faultinject/files.go
@@ -8,8 +8,8 @@
 	"cresshub/internal/segmentlog"
 )
 
-// files is the machine's file system with the faults of a process. Each operation that changes something is a
-// numbered point before it begins and when it is done.
+// files is the machine's file system with the faults of a process. Each operation passes a numbered point
+// before it begins, and one that changes something passes another when it is done.
 type files struct {
 	faults *Faults
 	osFS   segmentlog.OSFS
@@ -20,7 +20,8 @@
 // Files returns the file system of the process.
 func (f *Faults) Files() segmentlog.FS { return &files{faults: f} }
 
-// begin waits as long as the disk hangs, and refuses what a full disk refuses.
+// begin passes a numbered point, waits while the disk hangs or is slow, and fails with ENOSPC where the disk
+// is full and the operation needs space.
 func (f *files) begin(op, name string, writes bool) error {
 	f.faults.passPoint()
 	for f.faults.diskMode() == DiskHang {
--- a/internal/testbed/faultinject/network.go
+++ b/internal/testbed/faultinject/network.go
@@ -11,23 +11,23 @@
 	"cresshub/internal/router/transport"
 )
 
-// Network is the machine's network with the faults of a process. Connections come from the machine's own IP,
-// so that the other side's faults can tell who calls.
+// Network is the machine's network with the faults of a process. Connections are dialled from the machine's
+// own IP, by which the other side's faults recognize it.
 type Network struct {
 	faults *Faults
 	ip     string
-	exempt string // address whose connections have no faults: that of clients
+	exempt string // address whose connections have no faults: the one for clients
 }
 
 var _ transport.Network = (*Network)(nil)
 
-// Network returns the network of a machine. Connections accepted at the plain address have no faults, but
+// Network returns the network of a machine. Connections accepted at the exempt address have no faults, but
 // accepting them may fail.
 func (f *Faults) Network(ip, exempt string) *Network {
 	return &Network{faults: f, ip: ip, exempt: exempt}
 }
 
-// Dial connects to an address. Through a partition it takes all its time in vain.
+// Dial connects to an address. Through a partition it fails with a time-out after the whole timeout.
 func (n *Network) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	host, _, _ := net.SplitHostPort(address)
 	if n.faults.isPartitioned(host) {
@@ -57,7 +57,7 @@
 	exempt bool
 }
 
-// Accept accepts a connection, or fails as it does without descriptors; the connection is lost then.
+// Accept accepts a connection, or fails with EMFILE and closes it.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -74,14 +74,14 @@
 	return l.faults.wrap(c.(*net.TCPConn), host), nil
 }
 
-// conn withholds what comes from a machine that is not heard.
+// conn withholds what it receives while a partition separates it from the other machine.
 type conn struct {
 	*net.TCPConn
 	faults *Faults
 	peer   string // IP of the other machine
 
 	readMu      sync.Mutex
-	withheld    []byte // read, and withheld
+	withheld    []byte // received, but not yet returned
 	withheldErr error
 
 	mu       sync.Mutex
@@ -97,7 +97,7 @@
 	return wrapped
 }
 
-// Read reads, and holds what it has read as long as the other machine is not heard.
+// Read reads, and withholds what it has received until no partition separates the machines.
 func (c *conn) Read(p []byte) (int, error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -122,8 +122,8 @@
 	}
 }
 
-// awaitHealed returns once the other machine is heard, or with the error of the read deadline or of a closed
-// connection.
+// awaitHealed returns nil once no partition separates the machines, os.ErrDeadlineExceeded at the read
+// deadline, and net.ErrClosed once the connection is closed.
 func (c *conn) awaitHealed() error {
 	for c.faults.isDeaf(c.peer) {
 		c.mu.Lock()
@@ -140,13 +140,13 @@
 	return nil
 }
 
-// Write passes on: what a partition withholds is withheld by the machine that should hear it.
+// Write passes a numbered point and writes; a partition takes effect on the receiving side.
 func (c *conn) Write(p []byte) (int, error) {
 	c.faults.passPoint()
 	return c.TCPConn.Write(p)
 }
 
-// ReadFrom hides that of the system's connection, which would not call Write.
+// ReadFrom hides the method of the embedded connection, which would not call Write.
 func (c *conn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
--- a/internal/testbed/routerstandin/client_stream.go
+++ b/internal/testbed/routerstandin/client_stream.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -32,7 +33,7 @@
 	for {
 		conn.SetReadDeadline(p.readDeadline())
 		e, err := readEvent(lines)
-		if err == io.EOF && body.Complete() {
+		if errors.Is(err, io.EOF) && body.Complete() {
 			return p.checkEnd(attempt)
 		}
 		if err != nil {
@@ -47,7 +48,7 @@
 	e := &event{}
 	for started := false; ; started = true {
 		line, err := lines.ReadString('\n')
-		if err == io.EOF && (started || line != "") {
+		if errors.Is(err, io.EOF) && (started || line != "") {
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
--- a/internal/testbed/routerstandin/world_test.go
+++ b/internal/testbed/routerstandin/world_test.go
@@ -62,6 +62,7 @@
 }
 
 func newWorld(t *testing.T) *world {
+	t.Helper()
 	w := &world{C: qt.New(t), observations: NewObservations(testBounds)}
 	w.control = newFakeControl(w.C)
 	w.operator = NewOperator(w.control.addresses, w.observations)
--- a/internal/testbed/routertrial/fleet.go
+++ b/internal/testbed/routertrial/fleet.go
@@ -147,7 +147,7 @@
 		f.network.close()
 	}
 	if f.dir != "" {
-		os.RemoveAll(f.dir)
+		_ = os.RemoveAll(f.dir) // it lies in the folder for temporary files
 	}
 }
 
@@ -252,7 +252,8 @@
 	return &namedLog{fleet: f, name: name}
 }
 
-// namedLog prefixes each line with the time of the trial and the name of a machine. Each Write is a line.
+// namedLog prefixes each line with the time of the trial and the name of a machine. Each Write is a line. It
+// ignores errors of the log, so that a full disk of the trial does not disturb the processes.
 type namedLog struct {
 	fleet *Fleet
 	name  string
@@ -265,7 +266,7 @@
 	}
 	l.fleet.logMu.Lock()
 	defer l.fleet.logMu.Unlock()
-	fmt.Fprintf(l.fleet.options.Log, "%8.3f s %s %s", l.fleet.elapsed().Seconds(), l.name, line)
+	_, _ = fmt.Fprintf(l.fleet.options.Log, "%8.3f s %s %s", l.fleet.elapsed().Seconds(), l.name, line)
 	return len(line), nil
 }
 
--- a/internal/testbed/routertrial/hunt_test.go
+++ b/internal/testbed/routertrial/hunt_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// The hunt is played on demand: go test ./internal/fleettrial -run TestHunt -hunt 20 -timeout 1h
+// The hunt is played on demand: go test ./internal/testbed/routertrial -run TestHunt -hunt 20 -timeout 1h
 var (
 	huntTrials = flag.Int("hunt", 0, "trials with troubles drawn at random")
 	huntSeed   = flag.Uint64("hunt-seed", 1, "seed of the first of these trials")
--- a/internal/testbed/routertrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -151,9 +151,9 @@
 		return
 	}
 	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
-	process.Signal(syscall.SIGSTOP)
+	_ = process.Signal(syscall.SIGSTOP) // fails only where the process has just ended
 	routerstandin.Sleep(ctx, d)
-	process.Signal(syscall.SIGCONT)
+	_ = process.Signal(syscall.SIGCONT)
 	m.fleet.Observations.RecordFault(m.IP, m.HasDisk)
 }
 
--- a/internal/testbed/routertrial/rig_test.go
+++ b/internal/testbed/routertrial/rig_test.go
@@ -68,10 +68,14 @@
 }
 
 // newRig starts a fleet and its clients. The rules are judged when the test calls finish.
-func newRig(t *testing.T) *rig { return newRigOf(t, Options{}) }
+func newRig(t *testing.T) *rig {
+	t.Helper()
+	return newRigOf(t, Options{})
+}
 
 // newRigOf is newRig with options of the test.
 func newRigOf(t *testing.T, options Options) *rig {
+	t.Helper()
 	t.Parallel()
 	running <- struct{}{}
 	c := qt.New(t)
@@ -165,4 +169,7 @@
 	return len(line), nil
 }
 
-func (l *tailLog) print(t *testing.T) { t.Log("the end of the logs:\n" + strings.Join(l.lines, "\n")) }
+func (l *tailLog) print(t *testing.T) {
+	t.Helper()
+	t.Log("the end of the logs:\n" + strings.Join(l.lines, "\n"))
+}
--- a/internal/testbed/routertrial/rules_test.go
+++ b/internal/testbed/routertrial/rules_test.go
@@ -10,10 +10,10 @@
 )
 
 // checkRules checks that no rule was broken.
-func checkRules(t testing.TB, rules []routerstandin.Verdict) {
-	t.Helper()
+func checkRules(tb testing.TB, rules []routerstandin.Verdict) {
+	tb.Helper()
 	for _, verdict := range rules {
-		qt.Check(t, verdict.Violations, qt.Equals, 0,
+		qt.Check(tb, verdict.Violations, qt.Equals, 0,
 			qt.Commentf("%s: %s", verdict.Rule, strings.Join(verdict.Details, "\n")))
 	}
 }
--- a/internal/testbed/routertrial/soak_test.go
+++ b/internal/testbed/routertrial/soak_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The long soak is played on demand: go test ./internal/fleettrial -run TestSoak -soak 50 -timeout 2h
+// The long soak is played on demand: go test ./internal/testbed/routertrial -run TestSoak -soak 50 -timeout 2h
 var (
 	soakSeeds = flag.Int("soak", 2, "soaks of overlapping troubles drawn at random")
 	soakFirst = flag.Uint64("soak-first", 1, "seed of the first of these soaks")
@@ -37,6 +37,7 @@
 }
 
 func playSoak(t *testing.T, options SoakOptions) {
+	t.Helper()
 	options.Program, options.Rate = binary, testRate
 	name := fmt.Sprintf("seed=%d %s", options.Seed, strings.Join(options.OnlyFaults, ","))
 	t.Run(name, func(t *testing.T) {
--- a/internal/testbed/routertrial/trial_test.go
+++ b/internal/testbed/routertrial/trial_test.go
@@ -30,6 +30,7 @@
 }
 
 func skipIfShort(t *testing.T) {
+	t.Helper()
 	if testing.Short() {
 		t.Skip("only the smallest trial is played with -short")
 	}
