--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -139,7 +139,7 @@
 			Value: strconv.Itoa(int(allowed.window.Seconds()))})
 }
 
-// count returns how many connections to servers there are.
+// openCount returns how many connections to servers there are.
 func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
