--- a/internal/testbed/proxytrial/fault.go
+++ b/internal/testbed/proxytrial/fault.go
@@ -10,10 +10,10 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// Faults are what may be played in the middle of a trial.
+// Faults are the names of the faults that a trial can inject.
 var Faults = []string{"drain", "pause", "crash", "cold", mixed}
 
-// CheckFault refuses a word that names none.
+// CheckFault returns an error unless word is empty or names a fault.
 func CheckFault(word string) error {
 	if word != "" && !slices.Contains(Faults, word) {
 		return fmt.Errorf("--trouble %q is none of %s", word, strings.Join(Faults, ", "))
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// injectFault plays one in the middle third of the time. It returns when it is over or ctx ends; an error is
-// a fault of the stand-ins.
+// injectFault injects o.Fault in the middle third of the time. It returns when the fault is over or ctx ends;
+// an error is one of the stand-ins.
 func injectFault(ctx context.Context, f *proxystandin.Fleet, o Options) error {
 	if o.Fault == "" || !sleep(ctx, o.Duration/3) {
 		return nil
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// sleep returns false where ctx ended first.
+// sleep returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/testbed/proxytrial/mixed.go
+++ b/internal/testbed/proxytrial/mixed.go
@@ -14,18 +14,18 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// mixed is the trouble in which several others, drawn by the seed, overlap until the time is over.
+// mixed is the fault in which several others, drawn from the seed, overlap until the time is over.
 const mixed = "mixed"
 
 const (
-	// Each round begins that many troubles within roundSpread.
+	// Each batch starts that many faults within batchSpread.
 	concurrentFaults = 3
-	roundSpread      = 400 * time.Millisecond
-	// maxLogStall is how long nobody reads the proxy's log at most.
+	batchSpread      = 400 * time.Millisecond
+	// maxLogStall bounds how long the proxy's log is left unread.
 	maxLogStall = 1500 * time.Millisecond
 )
 
-// mixedFaults plays overlapping troubles of servers, discovery and the proxy's own process.
+// mixedFaults injects overlapping faults of servers, discovery and the proxy's own process.
 type mixedFaults struct {
 	fleet *proxystandin.Fleet
 	proxy *childprocess.Process
@@ -33,11 +33,11 @@
 	text  []byte // of that file
 
 	mu         sync.Mutex
-	faulty     map[string]bool // servers in trouble
-	logStalled bool            // nobody reads the log
+	faulty     map[string]bool // servers with a fault
+	logStalled bool            // the log is left unread
 }
 
-// injectMixed plays rounds of troubles until ctx ends, and leaves everything well.
+// injectMixed injects batches of faults until ctx ends, and then heals them.
 func injectMixed(ctx context.Context, f *proxystandin.Fleet, proxy *childprocess.Process, file string,
 	seed uint64) error {
 	text, err := os.ReadFile(file)
@@ -51,30 +51,31 @@
 		m.requestCounters, m.stallLog,
 	}
 	for ctx.Err() == nil {
-		problems := make([]error, concurrentFaults)
-		var playing sync.WaitGroup
+		errs := make([]error, concurrentFaults)
+		var batch sync.WaitGroup
 		for i := range concurrentFaults {
 			inject, own := faults[rng.IntN(len(faults))], rand.New(rand.NewPCG(rng.Uint64(), 1))
-			delay := time.Duration(rng.Int64N(int64(roundSpread)))
-			playing.Go(func() {
+			delay := time.Duration(rng.Int64N(int64(batchSpread)))
+			batch.Go(func() {
 				if sleep(ctx, delay) {
-					problems[i] = inject(ctx, own)
+					errs[i] = inject(ctx, own)
 				}
 			})
 		}
-		playing.Wait()
-		if at := slices.IndexFunc(problems, func(err error) bool { return err != nil }); at >= 0 {
-			return problems[at]
+		batch.Wait()
+		if at := slices.IndexFunc(errs, func(err error) bool { return err != nil }); at >= 0 {
+			return errs[at]
 		}
 	}
 	return nil
 }
 
+// upTo draws a duration below limit.
 func upTo(rng *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(rng.Int64N(int64(limit)))
 }
 
-// reserve reserves a server that is in no trouble, "" where too few are well.
+// reserve reserves a server without a fault; it returns "" if too few are healthy.
 func (m *mixedFaults) reserve(rng *rand.Rand) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,7 +107,7 @@
 	return restart()
 }
 
-// drain has a server leave, and another one take its place.
+// drain drains and terminates a server after another one has joined.
 func (m *mixedFaults) drain(ctx context.Context, rng *rand.Rand) error {
 	name := m.reserve(rng)
 	if name == "" {
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// reload has the proxy read its configuration again, several times at once, as it is.
+// reload makes the proxy reload its unchanged configuration several times in quick succession.
 func (m *mixedFaults) reload(ctx context.Context, rng *rand.Rand) error {
 	for range 1 + rng.IntN(8) {
 		if err := m.proxy.Signal(syscall.SIGHUP); err != nil {
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// reloadInvalid writes the file in pieces, and has the proxy read it at any moment.
+// reloadInvalid writes truncated and malformed files, then the valid one, with a reload after each.
 func (m *mixedFaults) reloadInvalid(ctx context.Context, rng *rand.Rand) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -182,7 +183,7 @@
 	return m.proxy.Signal(syscall.SIGUSR1)
 }
 
-// stallLog has nobody read the proxy's log for a while.
+// stallLog leaves the proxy's log unread for a while.
 func (m *mixedFaults) stallLog(ctx context.Context, rng *rand.Rand) error {
 	if !m.setLogStalled(true) {
 		return nil
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// setLogStalled notes whether the log is held, and tells whether that is news.
+// setLogStalled records whether the log is stalled and reports whether that changed.
 func (m *mixedFaults) setLogStalled(stalled bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
