--- a/internal/proxy/config/load.go
+++ b/internal/proxy/config/load.go
@@ -120,7 +120,7 @@
 	l := settingsfile.NewLayer()
 	for _, path := range slices.Sorted(maps.Keys(set)) {
 		o := settingsfile.NewOrigin("flag", "--set "+path)
-		if _, _, _, ok := schema().Resolve(path); !ok || strings.Contains(path, "[]") {
+		if _, ok := schema().Resolve(path); !ok || strings.Contains(path, "[]") {
 			problems.Add(o, path, "is no key that a flag sets%s", schema().Suggest(path))
 			continue
 		}
--- a/internal/settingsfile/builder.go
+++ b/internal/settingsfile/builder.go
@@ -11,37 +11,36 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// Builder lays sources over one another.
+// Builder merges layers and decodes the result.
 type Builder struct {
 	Origins  map[string]Origin // of each value, by path
-	Problems SettingErrors
+	Problems SettingErrors     // all mistakes so far
 	schema   *Schema
 	merged   *koanf.Koanf
-	tables   map[string][]Origin
+	tables   map[string][]Origin // where each table of a list begins, by list
 }
 
-// NewBuilder returns one without sources.
+// NewBuilder returns a Builder without layers.
 func (s *Schema) NewBuilder() *Builder {
 	return &Builder{
 		Origins: map[string]Origin{}, schema: s, merged: koanf.New("."), tables: map[string][]Origin{},
 	}
 }
 
-// Add lays a source over those before. A list of tables is replaced as a whole.
+// Add lays a layer over those before. A list of tables replaces the one before as a whole.
 func (b *Builder) Add(l *Layer) {
 	for list := range b.schema.lists {
-		if slices.ContainsFunc(slices.Collect(maps.Keys(l.Values)), func(path string) bool {
-			return strings.HasPrefix(path, list+".")
-		}) {
+		inList := func(path string) bool { return strings.HasPrefix(path, list+".") }
+		if slices.ContainsFunc(slices.Collect(maps.Keys(l.Values)), inList) {
 			b.merged.Delete(list)
 			delete(b.tables, list)
-			maps.DeleteFunc(b.Origins, func(path string, _ Origin) bool { return strings.HasPrefix(path, list+".") })
+			maps.DeleteFunc(b.Origins, func(path string, _ Origin) bool { return inList(path) })
 		}
 	}
 	maps.Copy(b.tables, l.Tables)
 	known := map[string]any{}
 	for path, v := range l.Values {
-		if _, _, _, ok := b.schema.Resolve(path); ok {
+		if _, ok := b.schema.Resolve(path); ok {
 			known[path] = v
 			b.Origins[path] = l.Origins[path]
 		} else if b.schema.HasSection(path) || b.schema.lists[path] > 0 {
@@ -55,8 +54,8 @@
 	}
 }
 
-// Decode puts the merged values into the struct that to points to, or what is wrong with each into the
-// problems.
+// Decode puts the merged values, and defaults for the others, into the struct that to points to. What can't
+// be decoded goes to Problems.
 func (b *Builder) Decode(to any) {
 	root := reflect.ValueOf(to).Elem()
 	for _, f := range b.schema.Fields {
@@ -95,11 +94,11 @@
 	to.Set(v)
 }
 
-// tableOrigin tells where the table begins that a missing key belongs to: at its header or, where it has
-// none, at the first of its keys.
+// tableOrigin returns where the table begins that a missing key belongs to: at its header or, without one, at
+// the first of its keys.
 func (b *Builder) tableOrigin(path string) Origin {
-	if _, list, n, _ := b.schema.Resolve(path); n < len(b.tables[list]) {
-		return b.tables[list][n]
+	if key, _ := b.schema.Resolve(path); key.Table < len(b.tables[key.List]) {
+		return b.tables[key.List][key.Table]
 	}
 	prefix := path[:strings.LastIndexByte(path, '.')+1]
 	var first Origin
--- a/internal/settingsfile/errors.go
+++ b/internal/settingsfile/errors.go
@@ -9,14 +9,14 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// Origin tells where a value came from.
+// Origin is where a value came from.
 type Origin struct {
 	Source string // "default", "file", "platform", "environment" or "flag"
 	Name   string // path of the file, the variable or the flag
-	Line   int    // in a file, from 1; 0 where it is not known
+	Line   int    // in the file, from 1; 0 where it is not known
 }
 
-// NewOrigin is an origin without a line.
+// NewOrigin returns an origin without a line.
 func NewOrigin(source, name string) Origin { return Origin{Source: source, Name: name} }
 
 func (o Origin) String() string {
@@ -29,10 +29,10 @@
 	return o.Name
 }
 
-// SettingError is one mistake.
+// SettingError is one mistake in the settings.
 type SettingError struct {
 	Origin
-	Key     string // as a person would write it; "" where the text itself is broken
+	Key     string // as Schema.Display gives it; "" where the text itself is malformed
 	Message string // what was found, what is allowed and what may help
 }
 
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("%s: %s: %s", p.Origin, p.Key, p.Message)
 }
 
-// SettingErrors are all mistakes found in one go, as an error with one line for each.
+// SettingErrors are all mistakes in the settings, as an error with one line for each.
 type SettingErrors []SettingError
 
 func (ps SettingErrors) Error() string {
@@ -54,7 +54,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Add notes a mistake; key is as a person would write it.
+// Add adds a mistake; key is as Schema.Display gives it.
 func (ps *SettingErrors) Add(o Origin, key, format string, args ...any) {
 	*ps = append(*ps, SettingError{o, key, fmt.Sprintf(format, args...)})
 }
@@ -65,7 +65,7 @@
 	})
 }
 
-// Err returns the problems as an error, nil where there are none.
+// Err returns the mistakes, sorted by file and line, as an error; nil where there are none.
 func (ps SettingErrors) Err() error {
 	if len(ps) == 0 {
 		return nil
@@ -74,7 +74,7 @@
 	return ps
 }
 
-// Closest returns the word that was probably meant, or "".
+// Closest returns the word that was probably meant, "" where none is near.
 func Closest(word string, words []string) string {
 	best, distance := "", max(2, len(word)/4)+1
 	for _, w := range words {
--- a/internal/settingsfile/schema.go
+++ b/internal/settingsfile/schema.go
@@ -1,6 +1,20 @@
-// Package settingsfile reads files of settings into structs whose tags carry each key's default, bounds,
-// words and meaning. It tells all mistakes of a file in one go, each with its line and a likely fix. The
-// program's own configuration and the laboratory's scenarios are such structs.
+// Package settingsfile reads settings into structs whose tags carry each key's default, bounds, allowed words
+// and documentation. The proxy's configuration and the laboratory's scenarios are such structs.
+//
+// A Schema is made of a struct type. Each source of settings becomes a Layer: a TOML file by ReadTOML,
+// environment variables and flags by the caller. A Builder merges layers in order of precedence and decodes
+// the result into the struct. Mistakes don't end the reading: all of them are collected as SettingErrors,
+// each with its file and line, and the likely fix.
+//
+// A field of the struct with the tag key is one setting:
+//
+//	_       about         `doc:"what the key does, in which unit"`
+//	Timeout time.Duration `key:"timeout" default:"2s" min:"10ms" max:"1m" reload:"live"`
+//
+// The text of doc belongs to the next field with a key; several such lines are joined. A key without default
+// must be set. A field that is a struct is a section, one that is a slice of structs a list of tables.
+//
+// A Schema may be used from any goroutine; the other types belong to one.
 package settingsfile
 
 import (
@@ -13,27 +27,35 @@
 	"time"
 )
 
-// How a changed key reaches a running program, as the tag `reload` says it.
+// The values of the tag reload: how a changed key reaches a running program.
 const (
-	Live    = "live"    // taken over at once
-	Restart = "restart" // takes a restart
-	AtStart = "start"   // read at the start alone; a change is passed over
+	Live    = "live"    // at once
+	Restart = "restart" // by a restart
+	AtStart = "start"   // not at all: it is read at the start, and a change is passed over
 )
 
-// Field is one key that may be set, as its tags and the line above it describe it. A key without the tag
-// `reload` takes a restart.
+// The values of the tag form: what a text must look like.
+const (
+	formAddress         = "address" // host:port that is connected to
+	formOptionalAddress = "address?"
+	formListen          = "listen" // host:port that is listened at; port 0 is allowed
+	formOptionalListen  = "listen?"
+	formHex             = "hex"  // up to 16 hex digits, or empty
+	formName            = "name" // not empty
+)
+
+// Field is one key that may be set, as its tags describe it.
 type Field struct {
-	Path     string // with "[]" behind the name of a list of tables
+	Path     string // as "section.key", in a list of tables as "list[].key"
 	Type     reflect.Type
-	Default  string // in the form of the file; "" also where a key must be set
+	Default  string // as the file would have it; "" also where the key must be set
 	Required bool   // has no default
-	Min      string
-	Max      string
+	Min, Max string // bounds, as the file would have them; "" for none
 	Enum     []string
-	Form     string // "address", "listen", either with "?", "hex", "name", "hall" or ""
-	Reload   string
+	Form     string
+	Reload   string // Live, Restart or AtStart; Restart without a tag
 	Doc      string
-	Index    []int // where it stands in its struct
+	Index    []int // of the struct's field, as for reflect.Value.FieldByIndex; in a list, of its table's field
 }
 
 // Size is a number of bytes.
@@ -44,13 +66,14 @@
 	sizeType     = reflect.TypeFor[Size]()
 )
 
-// Schema is a struct's keys in their order, and its lists of tables.
+// Schema is the keys of a struct type and its lists of tables.
 type Schema struct {
-	Fields    []*Field
-	byPath    map[string]*Field
-	lists     map[string]int // position in the struct by key
-	EnvPrefix string         // what variables that set keys begin with; "" where none do
-	Help      string         // where all keys are listed, for messages
+	Fields    []*Field // in the struct's order
+	EnvPrefix string   // of the environment variables that set keys; "" where none do
+	Help      string   // where all keys are listed, for messages
+
+	byPath map[string]*Field
+	lists  map[string]int // index of a list's field in the struct, by key
 }
 
 // NewSchema reads the tags of a struct type.
@@ -63,6 +86,7 @@
 	return s
 }
 
+// addFields adds the fields of a struct, whose keys begin with prefix.
 func (s *Schema) addFields(t reflect.Type, prefix string, index []int) {
 	doc := ""
 	for i := range t.NumField() {
@@ -83,19 +107,23 @@
 			s.lists[key] = i
 			s.addFields(sf.Type.Elem(), key+"[].", nil)
 		default:
-			f := &Field{Path: prefix + key, Type: sf.Type, Min: sf.Tag.Get("min"), Max: sf.Tag.Get("max"),
-				Form: sf.Tag.Get("form"), Reload: cmp.Or(sf.Tag.Get("reload"), Restart), Doc: doc, Index: at}
-			def, has := sf.Tag.Lookup("default")
-			f.Default, f.Required = def, !has
-			if e := sf.Tag.Get("enum"); e != "" {
-				f.Enum = strings.Split(e, "|")
-			}
-			s.Fields = append(s.Fields, f)
+			s.Fields = append(s.Fields, newField(prefix+key, doc, sf, at))
 			doc = ""
 		}
 	}
 }
 
+func newField(path, doc string, sf reflect.StructField, index []int) *Field {
+	f := &Field{Path: path, Type: sf.Type, Min: sf.Tag.Get("min"), Max: sf.Tag.Get("max"),
+		Form: sf.Tag.Get("form"), Reload: cmp.Or(sf.Tag.Get("reload"), Restart), Doc: doc, Index: index}
+	value, ok := sf.Tag.Lookup("default")
+	f.Default, f.Required = value, !ok
+	if words := sf.Tag.Get("enum"); words != "" {
+		f.Enum = strings.Split(words, "|")
+	}
+	return f
+}
+
 // Kind says what a value looks like, for people.
 func (f *Field) Kind() string {
 	switch {
@@ -105,9 +133,9 @@
 		return "time with a unit"
 	case f.Type == sizeType:
 		return "size with a unit"
-	case strings.HasPrefix(f.Form, "address") || strings.HasPrefix(f.Form, "listen"):
+	case f.isAddress():
 		return "host:port"
-	case f.Form == "hex":
+	case f.Form == formHex:
 		return "hex digits"
 	}
 	switch f.Type.Kind() {
@@ -123,7 +151,15 @@
 	return "text"
 }
 
-// Allowed says which values are taken, for people; "" where all of the kind are.
+func (f *Field) isAddress() bool {
+	switch f.Form {
+	case formAddress, formOptionalAddress, formListen, formOptionalListen:
+		return true
+	}
+	return false
+}
+
+// Allowed says which values of the kind are allowed, for people; "" where all are.
 func (f *Field) Allowed() string {
 	switch {
 	case f.Min != "" && f.Max != "":
@@ -134,7 +170,7 @@
 	return ""
 }
 
-// EnvVar is the environment variable that sets a key; "" for keys in lists of tables.
+// EnvVar returns the environment variable that sets a key; "" for keys in lists of tables.
 func (s *Schema) EnvVar(f *Field) string {
 	if s.EnvPrefix == "" || strings.Contains(f.Path, "[]") {
 		return ""
@@ -142,25 +178,31 @@
 	return s.EnvPrefix + strings.ToUpper(strings.ReplaceAll(f.Path, ".", "_"))
 }
 
-// Lists returns the keys of the lists of tables with their positions in the struct.
+// Lists returns the keys of the lists of tables with the indexes of their fields in the struct.
 func (s *Schema) Lists() map[string]int { return s.lists }
 
-// Resolve turns the path of one value into that of its field and, where it stands in a list of tables,
-// tells which: "class.2.aim" is "class[].aim" of table 2 of "class".
-func (s *Schema) Resolve(path string) (field, list string, n int, ok bool) {
+// Key is what the path of one value refers to.
+type Key struct {
+	Field string // path of the Field: "class[].aim" for "class.2.aim"
+	List  string // list of tables that it stands in: "class"; "" for none
+	Table int    // which of the list's tables, from 0
+}
+
+// Resolve returns what the path of one value refers to, and whether there is such a key.
+func (s *Schema) Resolve(path string) (Key, bool) {
 	list, rest, _ := strings.Cut(path, ".")
 	if _, isList := s.lists[list]; !isList {
-		_, ok = s.byPath[path]
-		return path, "", 0, ok
+		_, ok := s.byPath[path]
+		return Key{Field: path}, ok
 	}
 	number, rest, _ := strings.Cut(rest, ".")
-	n, err := strconv.Atoi(number)
-	field = list + "[]." + rest
-	_, ok = s.byPath[field]
-	return field, list, n, ok && err == nil
+	table, err := strconv.Atoi(number)
+	field := list + "[]." + rest
+	_, ok := s.byPath[field]
+	return Key{Field: field, List: list, Table: table}, ok && err == nil
 }
 
-// Display is a path as a person would say it: "class.0.aim" is "class[1].aim".
+// Display returns a path as people write it: "class.0.aim" is "class[1].aim".
 func (s *Schema) Display(path string) string {
 	parts := strings.Split(path, ".")
 	if _, ok := s.lists[parts[0]]; ok && len(parts) > 1 && isNumber(parts[1]) {
@@ -173,36 +215,45 @@
 
 func isNumber(s string) bool { return s != "" && strings.Trim(s, "0123456789") == "" }
 
-// Suggest words the likely key for one that is not known, given by path.
+// Suggest returns the end of a message on an unknown key: the key that was probably meant, or where all are
+// listed.
 func (s *Schema) Suggest(path string) string {
-	field, list, n, _ := s.Resolve(path)
+	key, _ := s.Resolve(path)
 	var all []string
 	for _, f := range s.Fields {
 		all = append(all, f.Path)
 	}
-	for key := range s.lists {
-		all = append(all, key)
-	}
-	match := Closest(field, all)
-	if match == "" { // right word, other section
-		_, last, nested := strings.Cut(field, ".")
-		for _, f := range s.Fields {
-			if _, key, ok := strings.Cut(f.Path, "."); ok && nested && key == last {
-				match = f.Path
-				break
-			}
-		}
+	for list := range s.lists {
+		all = append(all, list)
+	}
+	match := Closest(key.Field, all)
+	if match == "" {
+		match = s.inOtherSection(key.Field)
 	}
 	if match == "" {
 		return "; " + s.Help
 	}
-	if list != "" {
-		match = strings.Replace(match, list+"[].", fmt.Sprintf("%s[%d].", list, n+1), 1)
+	if key.List != "" {
+		match = strings.Replace(match, key.List+"[].", fmt.Sprintf("%s[%d].", key.List, key.Table+1), 1)
 	}
 	return "; did you mean " + strings.ReplaceAll(match, "[].", ".") + "?"
 }
 
-// HasSection tells whether keys may stand under that name.
+// inOtherSection returns the first key that has the same name in another section, "" where there is none.
+func (s *Schema) inOtherSection(field string) string {
+	_, name, nested := strings.Cut(field, ".")
+	if !nested {
+		return ""
+	}
+	for _, f := range s.Fields {
+		if _, other, ok := strings.Cut(f.Path, "."); ok && other == name {
+			return f.Path
+		}
+	}
+	return ""
+}
+
+// HasSection reports whether a section or a list of tables has that name.
 func (s *Schema) HasSection(name string) bool {
 	for _, f := range s.Fields {
 		if strings.HasPrefix(f.Path, name+".") {
@@ -212,6 +263,7 @@
 	return false
 }
 
+// suggestSection is Suggest for the name of a section.
 func (s *Schema) suggestSection(name string) string {
 	var all []string
 	for _, f := range s.Fields {
@@ -219,8 +271,8 @@
 			all = append(all, strings.TrimSuffix(section, "[]"))
 		}
 	}
-	if hit := Closest(name, all); hit != "" {
-		return "; did you mean " + hit + "?"
+	if match := Closest(name, all); match != "" {
+		return "; did you mean " + match + "?"
 	}
 	return "; " + s.Help
 }
--- a/internal/settingsfile/toml.go
+++ b/internal/settingsfile/toml.go
@@ -11,19 +11,20 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Layer is what one source says: values by path, with where each stands.
+// Layer is what one source sets: values by path, with where each stands. The values of a file are string,
+// int64, float64, bool and []any; other sources may also give Text, or values of the fields' types.
 type Layer struct {
 	Values  map[string]any
 	Origins map[string]Origin
-	Tables  map[string][]Origin // where each table of a list begins
+	Tables  map[string][]Origin // where each table of a list begins, by list
 }
 
-// NewLayer returns an empty one.
+// NewLayer returns a layer without values.
 func NewLayer() *Layer {
 	return &Layer{map[string]any{}, map[string]Origin{}, map[string][]Origin{}}
 }
 
-// Set puts a value in.
+// Set sets the value of a path.
 func (l *Layer) Set(path string, v any, o Origin) { l.Values[path], l.Origins[path] = v, o }
 
 const (
@@ -31,24 +32,27 @@
 	maxBrokenLines = 50      // lines that cannot be parsed, after which the rest is not looked at
 )
 
-// tomlReader flattens one file. The library's syntax tree is read rather than its decoded values, for
-// only the tree knows lines, and only a reader that goes on after a mistake can list them all.
+// tomlReader flattens one file. It reads the library's syntax tree rather than its decoded values: only the
+// tree has lines, and only reading can go on after a mistake, so that all are found.
 type tomlReader struct {
-	schema       *Schema
-	file         string
-	raw          []byte
-	lineEnds     []int // offsets of the ends of lines
-	brokenLines  int
-	parseOffset  int // where the parser's part of raw begins
-	parser       unstable.Parser
-	layer        *Layer
-	problems     SettingErrors
-	prefix       string
-	skipTable    bool           // the table in force is a mistake: its keys would be told twice
-	sectionLines map[string]int // lines of the sections begun
+	schema      *Schema
+	file        string
+	raw         []byte
+	lineEnds    []int // offsets of the line feeds in raw
+	parser      unstable.Parser
+	parseOffset int // where the parser's input begins in raw
+	brokenLines int // lines that can't be parsed, so far
+
+	prefix       string         // of the keys of the present table, with a dot at its end
+	skipTable    bool           // the present table is a mistake: its keys would be further ones
+	sectionLines map[string]int // lines of the headers so far, by section
+
+	layer    *Layer
+	problems SettingErrors
 }
 
-// ReadTOML reads a whole file; mistakes do not end it, so that all are found.
+// ReadTOML reads a file whose contents are raw. The layer has what could be read, the errors have all
+// mistakes.
 func (s *Schema) ReadTOML(file string, raw []byte) (*Layer, SettingErrors) {
 	r := &tomlReader{schema: s, file: file, raw: raw, layer: NewLayer(), sectionLines: map[string]int{}}
 	if len(raw) > maxFile {
@@ -66,7 +70,7 @@
 	return r.layer, r.problems
 }
 
-// parseFrom goes through the file from an offset on, up to its end or the first broken line, and returns
+// parseFrom reads from an offset to the end of the file or the first malformed line, and returns the offset
 // where to go on.
 func (r *tomlReader) parseFrom(from int) int {
 	r.parseOffset = from
@@ -81,20 +85,23 @@
 			r.keyValue(r.prefix, e)
 		}
 	}
-	err := r.parser.Error()
-	if err == nil {
-		return len(r.raw)
+	if err := r.parser.Error(); err != nil {
+		return r.skipBroken(from, err)
 	}
-	at, message := len(r.raw)-1, err.Error()
-	var pe *unstable.ParserError
-	if errors.As(err, &pe) {
-		// The highlight is cut out of raw, so its capacity tells where it begins.
-		at = min(max(cap(r.raw)-cap(pe.Highlight), from), len(r.raw)-1)
+	return len(r.raw)
+}
+
+// skipBroken reports the line that the parser could not read and returns the offset where to go on.
+func (r *tomlReader) skipBroken(from int, err error) int {
+	at := len(r.raw) - 1
+	var parseErr *unstable.ParserError
+	if errors.As(err, &parseErr) {
+		// Highlight is a slice of raw, so its capacity tells where it begins.
+		at = min(max(cap(r.raw)-cap(parseErr.Highlight), from), len(r.raw)-1)
 	}
-	line := r.lineOf(at)
+	origin := Origin{"file", r.file, r.lineOf(at)}
 	if r.brokenLines++; r.brokenLines >= maxBrokenLines {
-		r.problems.Add(Origin{"file", r.file, line}, "", "%v; the rest was not looked at after %d such lines", err,
-			maxBrokenLines)
+		r.problems.Add(origin, "", "%v; the rest was not looked at after %d such lines", err, maxBrokenLines)
 		return len(r.raw)
 	}
 	text := r.lineText(at)
@@ -104,17 +111,17 @@
 	} else {
 		key = ""
 	}
-	r.problems.Add(Origin{"file", r.file, line}, r.schema.Display(key), "%s", withHint(message, text))
+	r.problems.Add(origin, r.schema.Display(key), "%s", withHint(err.Error(), text))
 	return r.nextStart(at)
 }
 
-// lineOf is the number of the line that holds an offset, from 1.
+// lineOf returns the number, from 1, of the line that an offset is in.
 func (r *tomlReader) lineOf(offset int) int {
 	n, _ := slices.BinarySearch(r.lineEnds, offset)
 	return n + 1
 }
 
-// lineText is the text of the line that holds an offset.
+// lineText returns the line that an offset is in.
 func (r *tomlReader) lineText(at int) string {
 	start := bytes.LastIndexByte(r.raw[:at], '\n') + 1
 	end := bytes.IndexByte(r.raw[at:], '\n')
@@ -124,10 +131,10 @@
 	return string(r.raw[start : at+end])
 }
 
-// bareKeyChars is what a key without quotes is made of.
+// bareKeyChars are what a key without quotes consists of, and the dots between its parts.
 const bareKeyChars = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_-.0123456789"
 
-// withHint adds the likely fix to a message of the parser.
+// withHint appends the likely fix to a message of the parser.
 func withHint(message, line string) string {
 	_, value, set := strings.Cut(line, "=")
 	value = strings.TrimSpace(value)
@@ -140,7 +147,8 @@
 	return message
 }
 
-// nextStart finds the next line after a broken one that looks like a table or a key.
+// nextStart returns the offset of the next line after a malformed one that looks like a table's header or a
+// key.
 func (r *tomlReader) nextStart(at int) int {
 	for {
 		end := bytes.IndexByte(r.raw[at:], '\n')
@@ -181,6 +189,7 @@
 	return strings.Join(parts, "."), o
 }
 
+// openTable begins the table of a header, [name] or, where listed, [[name]].
 func (r *tomlReader) openTable(n *unstable.Node, listed bool) {
 	name, o := r.joinKey(n)
 	_, isList := r.schema.lists[name]
@@ -220,7 +229,7 @@
 	r.setValue(prefix+name, o, n.Value())
 }
 
-// setValue takes a value in; tables and lists of tables written in line are taken apart.
+// setValue sets the value of a path. Inline tables are split into their keys.
 func (r *tomlReader) setValue(path string, o Origin, n *unstable.Node) {
 	if before, ok := r.layer.Origins[path]; ok {
 		r.problems.Add(o, r.schema.Display(path), "is set twice, first on line %d", before.Line)
@@ -251,6 +260,7 @@
 	}
 }
 
+// scalar converts a value that is no table; a list's elements are scalars, too.
 func (r *tomlReader) scalar(n *unstable.Node) (any, error) {
 	text := string(n.Data)
 	switch n.Kind {
--- a/internal/settingsfile/value.go
+++ b/internal/settingsfile/value.go
@@ -5,6 +5,7 @@
 	"math"
 	"net"
 	"reflect"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -12,12 +13,12 @@
 	"github.com/dustin/go-humanize"
 )
 
-// Text is a value that came as text from a variable or a flag, where the form of the file does not tell
-// a number from a word.
+// Text is a value that came as text, from a variable or a flag, where numbers and booleans aren't marked as
+// in a file; lists are separated by commas.
 type Text string
 
-// Decode turns a raw value into the field's type and checks it against the tags. The error says what was
-// found and what is allowed.
+// Decode converts a value as a layer has it into the field's type and checks it against the tags. The error
+// says what was found and what is allowed.
 func (f *Field) Decode(raw any) (reflect.Value, error) {
 	v, err := f.convert(raw)
 	if err != nil {
@@ -31,7 +32,7 @@
 		raw = f.parseText(string(w))
 	}
 	if v := reflect.ValueOf(raw); v.IsValid() && v.Type() == f.Type {
-		return v, nil // typed already: the platform's
+		return v, nil // a layer may hold typed values
 	}
 	switch {
 	case f.Type == durationType:
@@ -71,7 +72,7 @@
 	return Size(n), err
 }
 
-// parseText reads text that did not come from a file as the kind that the field wants.
+// parseText converts a Text to what the file would have given for this field.
 func (f *Field) parseText(text string) any {
 	switch {
 	case f.Type == durationType || f.Type == sizeType:
@@ -116,7 +117,7 @@
 	return reflect.ValueOf(v), nil
 }
 
-// Describe is a raw value as a message names it.
+// Describe returns how a message names a value of a layer.
 func Describe(raw any) string {
 	switch v := raw.(type) {
 	case string:
@@ -151,38 +152,45 @@
 func (f *Field) checkText(s string) error {
 	switch {
 	case len(f.Enum) > 0:
-		for _, e := range f.Enum {
-			if e == s {
-				return nil
-			}
+		if slices.Contains(f.Enum, s) {
+			return nil
 		}
 		hint := ""
 		if w := Closest(s, f.Enum); w != "" {
 			hint = "; did you mean " + w + "?"
 		}
 		return fmt.Errorf("found %q, allowed are %s%s", s, strings.Join(f.Enum, ", "), hint)
-	case f.Form == "name" && s == "":
+	case f.Form == formName && s == "":
 		return fmt.Errorf("is empty, a name is wanted")
-	case f.Form == "hex" && s != "":
+	case f.Form == formHex && s != "":
 		if _, err := strconv.ParseUint(s, 16, 64); err != nil {
 			return fmt.Errorf("%q is not up to 16 hex digits", s)
 		}
-	case f.Form == "address" || f.Form == "listen" || (f.Form == "address?" || f.Form == "listen?") && s != "":
-		_, port, err := net.SplitHostPort(s)
-		if err != nil {
-			return fmt.Errorf("%q is no address; one is written 127.0.0.1:8080", s)
-		}
-		if n, err := strconv.ParseUint(port, 10, 16); err != nil {
-			return fmt.Errorf("%q has port %q, 0 to 65535 is allowed", s, port)
-		} else if n == 0 && !strings.HasPrefix(f.Form, "listen") {
-			return fmt.Errorf("%q has port 0, which only an address to listen at may have", s)
-		}
+	case (f.Form == formOptionalAddress || f.Form == formOptionalListen) && s == "":
+		return nil
+	case f.isAddress():
+		return f.checkAddress(s)
+	}
+	return nil
+}
+
+func (f *Field) checkAddress(s string) error {
+	_, port, err := net.SplitHostPort(s)
+	if err != nil {
+		return fmt.Errorf("%q is no address; one is written 127.0.0.1:8080", s)
+	}
+	n, err := strconv.ParseUint(port, 10, 16)
+	if err != nil {
+		return fmt.Errorf("%q has port %q, 0 to 65535 is allowed", s, port)
+	}
+	if n == 0 && f.Form != formListen && f.Form != formOptionalListen {
+		return fmt.Errorf("%q has port 0, which only an address to listen at may have", s)
 	}
 	return nil
 }
 
-// parseBound reads a bound of the tags, which are written as in the file; a wrong one is a mistake in this
-// package.
+// parseBound reads a bound of the tags, which are written as in the file; a malformed one is a programming
+// error.
 func (f *Field) parseBound(text string) reflect.Value {
 	v, err := f.convert(Text(text))
 	if err != nil {
@@ -212,7 +220,7 @@
 	}
 }
 
-// FormatDuration writes a time without parts that are zero: 1m0s is 1m.
+// FormatDuration writes a duration without the parts that are zero: 1m0s is 1m.
 func FormatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
@@ -224,7 +232,7 @@
 	return s
 }
 
-// String writes a size with the largest unit that divides it.
+// String writes a size with the largest unit that divides it, as the file would have it.
 func (s Size) String() string {
 	for _, u := range []struct {
 		bytes Size
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -43,7 +43,7 @@
 	over := settingsfile.NewLayer()
 	for key, value := range set {
 		o := settingsfile.NewOrigin("flag", "--set "+key)
-		if _, _, _, ok := schema().Resolve(key); !ok {
+		if _, ok := schema().Resolve(key); !ok {
 			b.Problems.Add(o, key, "is no key%s", schema().Suggest(key))
 			continue
 		}
