--- a/internal/router/cli/soak.go
+++ b/internal/router/cli/soak.go
@@ -127,8 +127,8 @@
 // playedFaults lists how often each fault was injected.
 func playedFaults(report *routertrial.SoakReport) string {
 	var played []string
-	for _, name := range slices.Sorted(maps.Keys(report.Played)) {
-		played = append(played, fmt.Sprintf("%s %d", name, report.Played[name]))
+	for _, name := range slices.Sorted(maps.Keys(report.Injected)) {
+		played = append(played, fmt.Sprintf("%s %d", name, report.Injected[name]))
 	}
 	return strings.Join(played, ", ")
 }
--- a/internal/testbed/faultinject/faults.go
+++ b/internal/testbed/faultinject/faults.go
@@ -171,8 +171,8 @@
 	return deaf || f.mute[ip]
 }
 
-// takeRefusal reports whether an attempt to accept is to fail.
-func (f *Faults) takeRefusal() bool {
+// consumeRefusal reports whether an attempt to accept is to fail.
+func (f *Faults) consumeRefusal() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refusals == 0 {
--- a/internal/testbed/faultinject/faults_test.go
+++ b/internal/testbed/faultinject/faults_test.go
@@ -30,9 +30,9 @@
 	return dialled, accepted
 }
 
-// TestCutWithholds: what is sent through a partition comes once it has ended, and a read ends at its deadline
-// meanwhile.
-func TestCutWithholds(t *testing.T) {
+// TestPartitionWithholds: what is sent through a partition comes once it has ended, and a read ends at its
+// deadline meanwhile.
+func TestPartitionWithholds(t *testing.T) {
 	c := qt.New(t)
 	ours, theirs := New(), New()
 	dialled, accepted := pair(c, ours, theirs)
@@ -50,8 +50,8 @@
 	c.Assert(string(one), qt.Equals, "a")
 }
 
-// TestLongCutResets: a connection that was cut for longer than the system waits ends with a reset.
-func TestLongCutResets(t *testing.T) {
+// TestLongPartitionResets: a connection that was cut for longer than userTimeout is reset.
+func TestLongPartitionResets(t *testing.T) {
 	c := qt.New(t)
 	ours, theirs := New(), New()
 	dialled, accepted := pair(c, ours, theirs)
@@ -63,8 +63,8 @@
 	c.Assert(err, qt.Not(qt.IsNil))
 }
 
-// TestCutKeepsConnectionsFromComingAbout in both directions.
-func TestCutKeepsConnectionsFromComingAbout(t *testing.T) {
+// TestPartitionPreventsNewConnections to a machine, whichever direction is cut.
+func TestPartitionPreventsNewConnections(t *testing.T) {
 	for _, command := range []string{CommandDeaf, CommandMute} {
 		faults := New()
 		qt.Assert(t, faults.Do(command+" "+there), qt.IsNil)
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestRefusedAccept fails as often as it was told to.
-func TestRefusedAccept(t *testing.T) {
+// TestAcceptFailsAsOftenAsRequested: after that, connections are accepted again.
+func TestAcceptFailsAsOftenAsRequested(t *testing.T) {
 	c := qt.New(t)
 	faults := New()
 	l, err := faults.Network(here, "").Listen(here + ":0")
@@ -120,8 +120,8 @@
 	c.Assert(<-done, qt.IsNil)
 }
 
-// TestEndAtANumberedPoint ends the process at each point of a write in turn.
-func TestEndAtANumberedPoint(t *testing.T) {
+// TestProcessEndsAtANumberedPoint tries each point of a write in turn.
+func TestProcessEndsAtANumberedPoint(t *testing.T) {
 	c := qt.New(t)
 	for point := 1; point <= 3; point++ {
 		faults, ended := New(), 0
--- a/internal/testbed/faultinject/network.go
+++ b/internal/testbed/faultinject/network.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if l.faults.takeRefusal() {
+	if l.faults.consumeRefusal() {
 		c.Close()
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
--- a/internal/testbed/routerstandin/client.go
+++ b/internal/testbed/routerstandin/client.go
@@ -117,7 +117,7 @@
 	switch {
 	case end.status == 400 || end.status == 401 || end.status == 404 || end.status == 413 || end.status == 431:
 		return false
-	case promisesNoRun(end.status) || end.unread:
+	case guaranteesNotRun(end.status) || end.unread:
 		return true
 	}
 	return p.request.Kind.idempotent()
@@ -141,7 +141,7 @@
 	case end.served:
 		r.Outcome = Served
 		r.InTime = p.latency <= kind.LatencyTarget && (kind.GapTarget == 0 || p.stream.longestGap <= kind.GapTarget)
-	case promisesNoRun(end.status):
+	case guaranteesNotRun(end.status):
 		r.Outcome = Rejected
 	}
 	return r
--- a/internal/testbed/routerstandin/client_answer.go
+++ b/internal/testbed/routerstandin/client_answer.go
@@ -32,9 +32,9 @@
 	}
 	p.checkHead(attempt, head)
 	if head.Status/100 == 2 {
-		return p.takeSuccess(ctx, conn, attempt, head, body)
+		return p.readSuccess(ctx, conn, attempt, head, body)
 	}
-	return p.takeFailure(ctx, conn, attempt, head, body)
+	return p.readFailure(ctx, conn, attempt, head, body)
 }
 
 // readDeadline is when the client stops waiting for the next bytes.
@@ -72,8 +72,8 @@
 	}
 }
 
-// takeFailure reads an answer that is no success.
-func (p *pendingRequest) takeFailure(ctx context.Context, conn *clientConn, attempt *attempt,
+// readFailure reads an answer that is no success.
+func (p *pendingRequest) readFailure(ctx context.Context, conn *clientConn, attempt *attempt,
 	head *http1.Response, body *http1.Body) attemptResult {
 	text, err := readComplete(body)
 	if err != nil {
@@ -86,8 +86,8 @@
 		retryAfter: retryAfterOf(head.Header.Get(retryHeader))}
 }
 
-// takeSuccess reads a success and checks that a run of this attempt produced it.
-func (p *pendingRequest) takeSuccess(ctx context.Context, conn *clientConn, attempt *attempt,
+// readSuccess reads a success and checks that a run of this attempt produced it.
+func (p *pendingRequest) readSuccess(ctx context.Context, conn *clientConn, attempt *attempt,
 	head *http1.Response, body *http1.Body) attemptResult {
 	o := p.client.observations
 	stamp := head.Header.Get(stampHeader)
@@ -101,9 +101,9 @@
 	}
 	var err error
 	if run.isStream {
-		err = p.takeStream(conn, attempt, body)
+		err = p.readStream(conn, attempt, body)
 	} else {
-		err = p.takeBody(attempt, run, body)
+		err = p.readBody(attempt, run, body)
 	}
 	if err != nil {
 		return p.unanswered(ctx, conn, attempt, err)
@@ -113,8 +113,8 @@
 	return attemptResult{status: head.Status, served: true}
 }
 
-// takeBody reads a body and compares it with the one that the server sent.
-func (p *pendingRequest) takeBody(attempt *attempt, run *run, body *http1.Body) error {
+// readBody reads a body and compares it with the one that the server sent.
+func (p *pendingRequest) readBody(attempt *attempt, run *run, body *http1.Body) error {
 	got, err := readComplete(body)
 	if err != nil {
 		return err
--- a/internal/testbed/routerstandin/client_stream.go
+++ b/internal/testbed/routerstandin/client_stream.go
@@ -27,8 +27,8 @@
 	end         bool
 }
 
-// takeStream reads a stream to its end and checks every event.
-func (p *pendingRequest) takeStream(conn *clientConn, attempt *attempt, body *http1.Body) error {
+// readStream reads a stream to its end and checks every event.
+func (p *pendingRequest) readStream(conn *clientConn, attempt *attempt, body *http1.Body) error {
 	lines := bufio.NewReader(body)
 	for {
 		conn.SetReadDeadline(p.readDeadline())
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		p.takeEvent(attempt, e)
+		p.checkEvent(attempt, e)
 	}
 }
 
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// takeEvent checks an event against those before it.
-func (p *pendingRequest) takeEvent(attempt *attempt, e *event) {
+// checkEvent checks an event against those before it.
+func (p *pendingRequest) checkEvent(attempt *attempt, e *event) {
 	o, s := p.client.observations, &p.stream
 	run := o.runByStamp(e.stamp)
 	switch {
--- a/internal/testbed/routerstandin/client_test.go
+++ b/internal/testbed/routerstandin/client_test.go
@@ -8,24 +8,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// retrying returns a copy of a kind whose clients try so many times more.
-func retrying(kind *Kind, retries int) *Kind {
-	more := *kind
-	more.Retries = retries
-	return &more
+// withRetries returns a copy of a kind with a number of retries.
+func withRetries(kind *Kind, retries int) *Kind {
+	clone := *kind
+	clone.Retries = retries
+	return &clone
 }
 
-// cut stands for a connection that ends without an answer.
-const cut = ""
+// closedConn stands for a connection that ends without an answer.
+const closedConn = ""
 
-// firstly has the first request answered in another way, and all others rightly.
-func firstly(text string) func(p *fakeProxy, x *passing) bool {
-	return func(p *fakeProxy, x *passing) bool {
+// onFirstRequest answers the first request with a text, and leaves all others to the correct server.
+func onFirstRequest(text string) func(p *fakeProxy, x *proxiedRequest) bool {
+	return func(p *fakeProxy, x *proxiedRequest) bool {
 		if p.previous != "" {
 			return false
 		}
 		p.previous = "asked"
-		if text == cut {
+		if text == closedConn {
 			x.conn.Close()
 			return true
 		}
@@ -34,8 +34,8 @@
 	}
 }
 
-func TestClientsTryAgainAsTheProtocolTells(t *testing.T) {
-	refused := textOf(503, nil, "")
+func TestClientsRetryAsTheProtocolAllows(t *testing.T) {
+	rejected := textOf(503, nil, "")
 	for _, each := range []struct {
 		name   string
 		kind   *Kind
@@ -43,20 +43,20 @@
 		tries  int
 		result Outcome
 	}{
-		{"safe after a refusal", safeKind, refused, 2, Served},
+		{"safe after a rejection", safeKind, rejected, 2, Served},
 		{"safe after a failure", safeKind, textOf(502, nil, ""), 2, Served},
-		{"safe after a cut", safeKind, cut, 2, Served},
-		{"unsafe after a refusal", unsafeKind, refused, 2, Served},
+		{"safe after a closed connection", safeKind, closedConn, 2, Served},
+		{"unsafe after a rejection", unsafeKind, rejected, 2, Served},
 		{"unsafe after a failure", unsafeKind, textOf(502, nil, ""), 1, Failed},
-		{"unsafe after a cut before any server", unsafeKind, cut, 2, Served},
+		{"unsafe after a closed connection before any server", unsafeKind, closedConn, 2, Served},
 		{"safe after 404", safeKind, textOf(404, nil, ""), 1, Failed},
-		{"stream after a failure", firmKind, textOf(504, nil, ""), 1, Failed},
-		{"resumable stream after a failure", resumableKind, textOf(504, nil, ""), 2, Served},
+		{"stream after a failure", onceOnlyStreamKind, textOf(504, nil, ""), 1, Failed},
+		{"resumable stream after a failure", resumableStreamKind, textOf(504, nil, ""), 2, Served},
 	} {
 		t.Run(each.name, func(t *testing.T) {
 			w := newWorld(t)
-			w.proxy.doWrong(firstly(each.first))
-			result := w.ask(retrying(each.kind, 1))
+			w.proxy.setMisbehaviour(onFirstRequest(each.first))
+			result := w.ask(withRetries(each.kind, 1))
 			w.Check(result.Outcome, qt.Equals, each.result)
 			w.Check(result.Attempts, qt.Equals, each.tries)
 			w.Check(w.broken(), qt.HasLen, 0)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestClientsWaitAsTold(t *testing.T) {
+func TestClientsHonourRetryAfter(t *testing.T) {
 	w := newWorld(t)
 	a := &pendingRequest{client: w.client, request: NewRequest(safeKind, 1),
 		deadline: time.Now().Add(3 * time.Second)}
@@ -76,10 +76,10 @@
 	w.Assert(a.backoff(attemptResult{status: 503, retryAfter: time.Minute}), qt.Equals, time.Duration(0))
 }
 
-// A client takes a stream up where it was cut, with a new try.
-func TestClientsTakeUpACutStream(t *testing.T) {
+// A client resumes a broken stream after its last event, with a new attempt.
+func TestClientsResumeABrokenStream(t *testing.T) {
 	w := newWorld(t)
-	w.proxy.doWrong(func(p *fakeProxy, x *passing) bool {
+	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
 		if p.previous != "" {
 			return false
 		}
@@ -88,14 +88,14 @@
 		x.conn.Close()
 		return true
 	})
-	result := w.ask(resumableKind)
+	result := w.ask(resumableStreamKind)
 	w.Assert(result.Outcome, qt.Equals, Served)
 	w.Assert(result.Attempts, qt.Equals, 2)
 	w.Assert(w.broken(), qt.HasLen, 0)
 }
 
-// A kept connection is used again until its time is over, and one that has ended is not.
-func TestClientsKeepConnections(t *testing.T) {
+// An idle connection is reused until it expires, and one that was closed is not.
+func TestClientsReuseConnections(t *testing.T) {
 	w := newWorld(t)
 	w.ask(safeKind)
 	first := w.client.popIdle()
@@ -118,8 +118,8 @@
 		tally.add(Result{Kind: safeKind, Outcome: Served, InTime: i < 90, Attempts: 1,
 			Latency: time.Duration(i+1) * time.Millisecond})
 	}
-	tally.recordSent(firmKind)
-	tally.add(Result{Kind: firmKind, Outcome: Rejected, Attempts: 2})
+	tally.recordSent(onceOnlyStreamKind)
+	tally.add(Result{Kind: onceOnlyStreamKind, Outcome: Rejected, Attempts: 2})
 	kinds := tally.Kinds()
 	safe, firm := kinds[0], kinds[2]
 	c.Assert([]int{safe.Asked, safe.InTime, safe.Late, safe.Served()}, qt.DeepEquals, []int{100, 90, 10, 100})
--- a/internal/testbed/routerstandin/judge.go
+++ b/internal/testbed/routerstandin/judge.go
@@ -36,7 +36,7 @@
 // judgeAttempt checks the rules that need the end of an attempt; the lock is held.
 func (o *Observations) judgeAttempt(attempt *attempt) {
 	kind := attempt.request.Kind
-	if promisesNoRun(attempt.status) && len(attempt.runs) > 0 && !kind.idempotent() {
+	if guaranteesNotRun(attempt.status) && len(attempt.runs) > 0 && !kind.idempotent() {
 		o.verdicts.record(RuleRefused, "try %s of kind %s was answered %d and ran at %s", attempt.id, kind.Name,
 			attempt.status, attempt.runs[0].server)
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// promisesNoRun reports whether a status guarantees that the request has not run and never will.
-func promisesNoRun(status int) bool {
+// guaranteesNotRun reports whether a status guarantees that the request has not run and never will.
+func guaranteesNotRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
--- a/internal/testbed/routerstandin/model_orders.go
+++ b/internal/testbed/routerstandin/model_orders.go
@@ -24,11 +24,11 @@
 		return
 	}
 	x.server.options.Observations.recordOrder(x.server.id, body.Holder, *body.Fence)
-	x.answer(x.server.engine.takeOrder(&body, x.server.options.Observations.bounds.Fenced))
+	x.answer(x.server.engine.acceptOrder(&body, x.server.options.Observations.bounds.Fenced))
 }
 
-// takeOrder begins to carry an order out, and returns the status of the answer.
-func (e *engineState) takeOrder(body *orderBody, fenced bool) int {
+// acceptOrder begins to carry an order out, and returns the status of the answer.
+func (e *engineState) acceptOrder(body *orderBody, fenced bool) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
--- a/internal/testbed/routerstandin/model_test.go
+++ b/internal/testbed/routerstandin/model_test.go
@@ -23,7 +23,7 @@
 }
 
 // known returns the header of a request of a kind that a client has sent.
-func (w *world) known(kind *Kind) (request *Request, header []http1.Field) {
+func (w *world) knownRequest(kind *Kind) (request *Request, header []http1.Field) {
 	w.number++
 	request = NewRequest(kind, w.number)
 	attempt := &attempt{id: newAttemptID(), request: request, deadline: time.Now().Add(patience)}
@@ -38,36 +38,36 @@
 
 func TestWrongCallsAreRejectedUnrun(t *testing.T) {
 	w := newWorld(t)
-	request, header := w.known(firmKind)
-	reading := field(stageHeader, StagePrefill)
+	request, header := w.knownRequest(onceOnlyStreamKind)
+	prefill := field(stageHeader, StagePrefill)
 	for _, each := range []struct {
 		name   string
 		server *Server
 		more   http1.Field
 		status int
 	}{
-		{"another incarnation", w.writer, field(expectHeader, "i-other"), 421},
-		{"reading at a writing server", w.writer, reading, 421},
-		{"running at a reading server", w.reader, field("X-None", ""), 421},
-		{"memory that nobody holds", w.writer, field(kvFromHeader, w.reader.Address()+"/gone"), 503},
-		{"memory at a server that is not there", w.writer, field(kvFromHeader, "127.0.0.1:1/gone"), 503},
+		{"another incarnation", w.decodeServer, field(expectHeader, "i-other"), 421},
+		{"prefill at a decode server", w.decodeServer, prefill, 421},
+		{"decode at a prefill server", w.prefillServer, field("X-None", ""), 421},
+		{"unknown handle", w.decodeServer, field(kvFromHeader, w.prefillServer.Address()+"/gone"), 503},
+		{"handle of an unreachable server", w.decodeServer, field(kvFromHeader, "127.0.0.1:1/gone"), 503},
 	} {
 		answer := w.send(each.server, request.Method, request.Target, string(request.Body),
 			append(header, each.more)...)
 		w.Check(answer.Status, qt.Equals, each.status, qt.Commentf(each.name))
 		w.Check(answer.Header.Get(notRunHeader), qt.Not(qt.Equals), "", qt.Commentf(each.name))
 	}
-	w.Assert(w.writer.Tally().Runs, qt.Equals, 0)
-	answer := w.send(w.writer, "POST", "/firm/1", "")
+	w.Assert(w.decodeServer.Tally().Runs, qt.Equals, 0)
+	answer := w.send(w.decodeServer, "POST", "/firm/1", "")
 	w.Assert(answer.Status, qt.Equals, 400)
 	w.Assert(answer.Header.Get(notRunHeader), qt.Not(qt.Equals), "")
 }
 
 // A handle is given out once.
-func TestMemoryIsTakenOnce(t *testing.T) {
+func TestHandleIsGivenOutOnce(t *testing.T) {
 	w := newWorld(t)
-	request, header := w.known(firmKind)
-	answer := w.send(w.reader, request.Method, request.Target, string(request.Body),
+	request, header := w.knownRequest(onceOnlyStreamKind)
+	answer := w.send(w.prefillServer, request.Method, request.Target, string(request.Body),
 		append(header, field(stageHeader, StagePrefill))...)
 	w.Assert(answer.Status, qt.Equals, 200)
 	var read struct {
@@ -75,16 +75,16 @@
 		Tokens int    `json:"tokens"`
 	}
 	w.Assert(json.Unmarshal(answer.Body, &read), qt.IsNil)
-	w.Assert(read.Tokens, qt.Equals, firmKind.OwnTokens)
-	w.Assert(w.send(w.reader, "DELETE", handlePath+read.Handle, "").Status, qt.Equals, 200)
-	w.Assert(w.send(w.reader, "DELETE", handlePath+read.Handle, "").Status, qt.Equals, 404)
+	w.Assert(read.Tokens, qt.Equals, onceOnlyStreamKind.OwnTokens)
+	w.Assert(w.send(w.prefillServer, "DELETE", handlePath+read.Handle, "").Status, qt.Equals, 200)
+	w.Assert(w.send(w.prefillServer, "DELETE", handlePath+read.Handle, "").Status, qt.Equals, 404)
 }
 
-// A writing server reads the prompt itself where it is given no memory, and goes on after Last-Event-Id.
-func TestWriterGoesOnWhereTheClientIs(t *testing.T) {
+// A decode server does the prefill itself where it is given no handle, and resumes after Last-Event-Id.
+func TestDecodeResumesAfterTheLastEventID(t *testing.T) {
 	w := newWorld(t)
-	request, header := w.known(resumableKind)
-	answer := w.send(w.writer, request.Method, request.Target, string(request.Body),
+	request, header := w.knownRequest(resumableStreamKind)
+	answer := w.send(w.decodeServer, request.Method, request.Target, string(request.Body),
 		append(header, field(lastEventHeader, "4"))...)
 	stamp := answer.Header.Get(stampHeader)
 	w.Assert(string(answer.Body), qt.Equals,
@@ -93,7 +93,7 @@
 
 func TestOrdersChangeTheStage(t *testing.T) {
 	w := newWorld(t)
-	order := func(body string) int { return w.send(w.writer, "POST", orderPath, body).Status }
+	order := func(body string) int { return w.send(w.decodeServer, "POST", orderPath, body).Status }
 	w.Check(order(`{"order":"stage","stage":"reading","fence":2}`), qt.Equals, 400)
 	w.Check(order(`{"order":"stage","stage":"reading","holder":"a"}`), qt.Equals, 400)
 	w.Check(order(`{"order":"load","stage":"reading","holder":"a","fence":2}`), qt.Equals, 400)
@@ -101,15 +101,15 @@
 	w.Check(order(`{"order":"stage","stage":"writing","holder":"a","fence":2}`), qt.Equals, 200)
 	w.Check(order(`{"order":"stage","stage":"reading","holder":"a","fence":3}`), qt.Equals, 202)
 	w.Check(order(`{"order":"stage","stage":"reading","holder":"a","fence":1}`), qt.Equals, 412)
-	w.until("the stage has changed", func() bool { return w.writer.Tally().Stage == StagePrefill })
+	w.until("the stage has changed", func() bool { return w.decodeServer.Tally().Stage == StagePrefill })
 	var report modelReport
-	w.Assert(json.Unmarshal(w.send(w.writer, "GET", reportPath, "").Body, &report), qt.IsNil)
+	w.Assert(json.Unmarshal(w.send(w.decodeServer, "GET", reportPath, "").Body, &report), qt.IsNil)
 	w.Assert(report.Stage, qt.Equals, StagePrefill)
 	w.Assert(report.OrdersTaken, qt.Equals, 1)
 	w.Assert(report.Busy, qt.IsFalse)
 }
 
-func TestHealthTellsTheServer(t *testing.T) {
+func TestHealthCheckNamesTheServer(t *testing.T) {
 	w := newWorld(t)
 	answer := w.send(w.lookup, "GET", "/health", "")
 	w.Assert(answer.Status, qt.Equals, 200)
@@ -117,8 +117,8 @@
 	w.Assert(strings.HasSuffix(answer.Header.Get(loadHeader), ",0,4"), qt.IsTrue)
 }
 
-// Requests beyond slots and queue are turned away, and those in the queue get their turn.
-func TestPlacesAreGivenInTurn(t *testing.T) {
+// Requests beyond slots and queue are rejected, and those in the queue get slots in their order.
+func TestSlotsAreGrantedInOrder(t *testing.T) {
 	c := qt.New(t)
 	p := newSlotQueue(1, 1)
 	c.Assert(p.acquire(nil, nil, nil), qt.Equals, "")
--- a/internal/testbed/routerstandin/proxy_test.go
+++ b/internal/testbed/routerstandin/proxy_test.go
@@ -18,18 +18,19 @@
 	"cresshub/internal/testbed/connserver"
 )
 
-// fakeProxy is a router that is simple enough to be right, and that a test may make wrong.
+// fakeProxy is a router that is simple enough to be correct, and that a test may make misbehave.
 type fakeProxy struct {
 	world    *world
 	listener *connserver.Listener
 
-	mu       sync.Mutex
-	wrong    func(p *fakeProxy, x *passing) bool // does a request in another way; false leaves it as it is
-	previous string                              // the last answer's text
+	mu sync.Mutex
+	// misbehave serves a request in a wrong way; false leaves it to be served correctly.
+	misbehave func(p *fakeProxy, x *proxiedRequest) bool
+	previous  string // the last answer's text
 }
 
-// passing is a request on its way through the proxy.
-type passing struct {
+// proxiedRequest is a request on its way through the proxy.
+type proxiedRequest struct {
 	conn    *connbuffer.Conn
 	request *http1.Request
 }
@@ -43,15 +44,15 @@
 	return p
 }
 
-func (p *fakeProxy) known() Proxy {
+func (p *fakeProxy) asProxy() Proxy {
 	return Proxy{Front: p.listener.Address(), Ready: p.listener.Address()}
 }
 
-// doWrong has the following requests passed on in another way.
-func (p *fakeProxy) doWrong(wrong func(p *fakeProxy, x *passing) bool) {
+// setMisbehaviour serves the following requests in a wrong way.
+func (p *fakeProxy) setMisbehaviour(misbehave func(p *fakeProxy, x *proxiedRequest) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wrong = wrong
+	p.misbehave = misbehave
 }
 
 func (p *fakeProxy) serve(conn *connbuffer.Conn) {
@@ -61,32 +62,32 @@
 			return
 		}
 		p.mu.Lock()
-		wrong := p.wrong
+		misbehave := p.misbehave
 		p.mu.Unlock()
-		x := &passing{conn, request}
-		if wrong == nil || !wrong(p, x) {
+		x := &proxiedRequest{conn, request}
+		if misbehave == nil || !misbehave(p, x) {
 			x.reply(p.answerOf(x.request))
 		}
 	}
 }
 
-// answerOf gets the answer of the right server as text.
+// answerOf gets the answer of the correct server as text.
 func (p *fakeProxy) answerOf(request *http1.Request) string {
 	if strings.HasPrefix(request.Target, "/firm/") || strings.HasPrefix(request.Target, "/resumable/") {
-		return p.call(p.world.writer, request, field(kvFromHeader, p.readPrompt(request)))
+		return p.call(p.world.decodeServer, request, field(kvFromHeader, p.readPrompt(request)))
 	}
 	return p.call(p.world.lookup, request)
 }
 
-// prefill has the prompt read and returns where its memory is.
+// prefill has a server compute the prefix cache of the prompt and returns its handle.
 func (p *fakeProxy) readPrompt(request *http1.Request) string {
-	text := p.call(p.world.reader, request, field(stageHeader, StagePrefill))
+	text := p.call(p.world.prefillServer, request, field(stageHeader, StagePrefill))
 	_, body, _ := strings.Cut(text, "\r\n\r\n")
 	var answer struct {
 		Handle string `json:"claim_ticket"`
 	}
 	p.world.Check(json.Unmarshal([]byte(body), &answer), qt.IsNil)
-	return p.world.reader.Address() + "/" + answer.Handle
+	return p.world.prefillServer.Address() + "/" + answer.Handle
 }
 
 // call sends a request to a server and returns the answer as text, without chunks.
@@ -103,9 +104,9 @@
 	p.world.Assert(r.Flush(), qt.IsNil)
 	head, body, err := http1.ReadResponseHead(r.In, request.Method)
 	p.world.Assert(err, qt.IsNil)
-	whole, err := io.ReadAll(body)
+	content, err := io.ReadAll(body)
 	p.world.Assert(err, qt.IsNil)
-	return textOf(head.Status, head.Header.EndToEnd(), string(whole))
+	return textOf(head.Status, head.Header.EndToEnd(), string(content))
 }
 
 // textOf lays an answer out.
@@ -118,7 +119,7 @@
 	return text.String() + "\r\n" + body
 }
 
-func (x *passing) reply(text string) {
+func (x *proxiedRequest) reply(text string) {
 	io.WriteString(x.conn.Out, text)
 	x.conn.Flush()
 }
@@ -129,17 +130,17 @@
 	return head, strings.SplitAfter(strings.TrimSuffix(body, "\n\n"), "\n\n")
 }
 
-// withEvents lays a stream's answer out anew with other events.
+// withEvents returns a stream's answer with other events.
 func withEvents(head string, all []string) string {
 	body := strings.Join(all, "")
 	if !strings.HasSuffix(body, "\n\n") {
 		body += "\n\n"
 	}
-	var kept []string
+	var fields []string
 	for line := range strings.SplitSeq(head, "\r\n") {
 		if !strings.HasPrefix(line, "Content-Length") {
-			kept = append(kept, line)
+			fields = append(fields, line)
 		}
 	}
-	return fmt.Sprintf("%s\r\nContent-Length: %d\r\n\r\n%s", strings.Join(kept, "\r\n"), len(body), body)
+	return fmt.Sprintf("%s\r\nContent-Length: %d\r\n\r\n%s", strings.Join(fields, "\r\n"), len(body), body)
 }
--- a/internal/testbed/routerstandin/registration_test.go
+++ b/internal/testbed/routerstandin/registration_test.go
@@ -23,20 +23,20 @@
 	return all
 }
 
-func TestHeartbeatsTellTheServer(t *testing.T) {
+func TestHeartbeatsDescribeTheServer(t *testing.T) {
 	w := newWorld(t)
-	path := "PUT /api/servers/" + w.writer.ID()
+	path := "PUT /api/servers/" + w.decodeServer.ID()
 	w.until("three heartbeats come", func() bool { return len(w.control.got(path)) >= 3 })
 	beats := heartbeatsOf(w, w.control.got(path))
-	w.Assert(beats[0], qt.DeepEquals, heartbeat{Service: "model", Address: w.writer.Address(), Slots: 4,
+	w.Assert(beats[0], qt.DeepEquals, heartbeat{Service: "model", Address: w.decodeServer.Address(), Slots: 4,
 		State: "ready", Stage: StageDecode, Models: servedModels, Postmark: 1})
 	for i, beat := range beats {
 		w.Assert(beat.Postmark, qt.Equals, int64(i+1))
 	}
 }
 
-// A server follows forward_to until a heartbeat fails there, and then chooses from the list.
-func TestHeartbeatsFollowAndChooseAnew(t *testing.T) {
+// A server follows forward_to until a heartbeat fails there, and then draws from the list again.
+func TestHeartbeatsFollowForwardToUntilItFails(t *testing.T) {
 	w := newWorld(t)
 	var failing bool
 	second := newFakeControl(w.C)
@@ -58,7 +58,7 @@
 	w.until("the first one is called again", func() bool { return len(w.control.got("PUT")) > at })
 }
 
-func TestALeavingServerServesOnAndTakesItsLeave(t *testing.T) {
+func TestShutdownServesOnAndDeregisters(t *testing.T) {
 	w := newWorld(t)
 	id := w.lookup.ID()
 	const drain = 100 * time.Millisecond
@@ -72,8 +72,8 @@
 	w.Assert(w.broken(), qt.HasLen, 0)
 }
 
-// A crashed server says nothing, and another one may take its address.
-func TestACrashedServerSaysNothing(t *testing.T) {
+// A crashed server sends nothing, and another one may listen at its address.
+func TestCrashedServerSendsNothing(t *testing.T) {
 	w := newWorld(t)
 	options := w.lookup.Options()
 	w.lookup.Crash()
@@ -81,15 +81,15 @@
 	w.Assert(err, qt.IsNil)
 	w.Cleanup(next.Stop)
 	w.Assert(next.Address(), qt.Equals, w.lookup.Address())
-	told := func(server *Server) int { return len(w.control.got("PUT /api/servers/" + server.ID())) }
+	heartbeats := func(server *Server) int { return len(w.control.got("PUT /api/servers/" + server.ID())) }
 	const onTheWay = 1 // heartbeat that may have been sent at the crash
-	most := told(w.lookup) + onTheWay
-	w.until("the next one is told", func() bool { return told(next) > onTheWay+2 })
-	w.Assert(told(w.lookup) <= most, qt.IsTrue)
+	limit := heartbeats(w.lookup) + onTheWay
+	w.until("the next one sends heartbeats", func() bool { return heartbeats(next) > onTheWay+2 })
+	w.Assert(heartbeats(w.lookup) <= limit, qt.IsTrue)
 	w.Assert(w.control.got("DELETE"), qt.HasLen, 0)
 }
 
-func TestOperatorMovesOnUntilAClearAnswer(t *testing.T) {
+func TestOperatorRetriesUntilAFinalAnswer(t *testing.T) {
 	w := newWorld(t)
 	calls := 0
 	w.control.set(func(call *controlserver.Call) *http1.Response {
@@ -108,7 +108,7 @@
 	w.Assert(w.operator.Current().Version, qt.Equals, int64(4))
 }
 
-func TestOperatorTakesARefusalAsFinal(t *testing.T) {
+func TestOperatorTakesARejectionAsFinal(t *testing.T) {
 	w := newWorld(t)
 	w.control.set(func(call *controlserver.Call) *http1.Response {
 		if call.Path != configPath {
@@ -121,7 +121,7 @@
 	w.Assert(w.operator.Current().Version, qt.Equals, int64(1))
 }
 
-// The platform leaves a proxy out after two misses, and uses all of a zone where fewer than half are in.
+// The platform leaves a proxy out after two misses, and uses all of a zone where fewer than half are ready.
 func TestEntryChoosesAmongReadyProxies(t *testing.T) {
 	c := qt.New(t)
 	proxies := []Proxy{{"a", "a1", "a1"}, {"a", "a2", "a2"}, {"a", "a3", "a3"}, {"b", "b1", "b1"}}
@@ -140,8 +140,8 @@
 			entry.misses[ready] = maxMisses - 1
 		}
 		var got []string
-		for try := range 4 {
-			if front := entry.Choose(each.zone, 7, try).Front; !slices.Contains(got, front) {
+		for attempt := range 4 {
+			if front := entry.Choose(each.zone, 7, attempt).Front; !slices.Contains(got, front) {
 				got = append(got, front)
 			}
 		}
--- a/internal/testbed/routerstandin/violations_test.go
+++ b/internal/testbed/routerstandin/violations_test.go
@@ -12,8 +12,8 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// What a right router does breaks nothing, and is counted.
-func TestRightRouterBreaksNoRule(t *testing.T) {
+// What a correct router does violates nothing, and is counted.
+func TestCorrectRouterViolatesNoRule(t *testing.T) {
 	w := newWorld(t)
 	for _, kind := range testKinds {
 		for range 3 {
@@ -24,38 +24,38 @@
 	}
 	w.Assert(w.operator.ReadBack(w.bounded()), qt.IsNil)
 	w.Assert(w.broken(), qt.HasLen, 0)
-	w.Assert(w.reader.Tally().Prefills, qt.Equals, 6)
-	w.Assert(w.writer.Tally().Runs, qt.Equals, 6)
+	w.Assert(w.prefillServer.Tally().Prefills, qt.Equals, 6)
+	w.Assert(w.decodeServer.Tally().Runs, qt.Equals, 6)
 	w.Assert(w.lookup.Tally().Runs, qt.Equals, 6)
 }
 
-// wrongs are routers that do one thing wrong, and the rule that each breaks.
-var wrongs = []struct {
+// violations are routers that do one thing wrong, and the rule that each breaks.
+var violations = []struct {
 	name  string
 	rule  Rule
 	kind  *Kind
-	wrong func(p *fakeProxy, x *passing) bool
+	wrong func(p *fakeProxy, x *proxiedRequest) bool
 }{
-	{"sends an unsafe request twice", RuleTwice, unsafeKind, func(p *fakeProxy, x *passing) bool {
+	{"sends an unsafe request twice", RuleTwice, unsafeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		p.call(p.world.lookup, x.request)
 		return false
 	}},
-	{"refuses what has run", RuleRefused, unsafeKind, func(p *fakeProxy, x *passing) bool {
+	{"rejects what has run", RuleRefused, unsafeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		p.call(p.world.lookup, x.request)
 		x.reply(textOf(503, nil, ""))
 		return true
 	}},
-	{"invents a request", RuleUnasked, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"invents a request", RuleUnasked, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		invented := *x.request
 		invented.Header = http1.Header{field("Host", testHost), field(attemptIDHeader, "invented")}
 		p.call(p.world.lookup, &invented)
 		return false
 	}},
-	{"changes a body", RuleUnasked, unsafeKind, func(p *fakeProxy, x *passing) bool {
+	{"changes a body", RuleUnasked, unsafeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		x.request.Body = []byte("another body")
 		return false
 	}},
-	{"gives an answer to another request", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"gives an answer to the wrong request", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		text := p.previous
 		if p.previous = p.answerOf(x.request); text == "" {
 			text = p.previous
@@ -63,63 +63,64 @@
 		x.reply(text)
 		return true
 	}},
-	{"shortens a body", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"shortens a body", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		text := p.answerOf(x.request)
 		x.reply(strings.Replace(text[:len(text)-1], "Content-Length: 100", "Content-Length: 99", 1))
 		return true
 	}},
-	{"gives a success of its own", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"gives a success of its own", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		x.reply(textOf(200, nil, "cached"))
 		return true
 	}},
-	{"sends what is no answer", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"sends what is no answer", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		x.reply("nonsense\r\n\r\n")
 		return true
 	}},
-	{"answers once too often", RuleMixed, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"answers once too often", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		text := p.answerOf(x.request)
 		x.reply(text + text)
 		return true
 	}},
-	{"uses the memory of another request", RuleMixed, firmKind, func(p *fakeProxy, x *passing) bool {
+	{"uses the prefix cache of another request", RuleMixed, onceOnlyStreamKind, func(p *fakeProxy,
+		x *proxiedRequest) bool {
 		from := p.previous
 		if p.previous = p.readPrompt(x.request); from == "" {
 			return false
 		}
-		x.reply(p.call(p.world.writer, x.request, field(kvFromHeader, from)))
+		x.reply(p.call(p.world.decodeServer, x.request, field(kvFromHeader, from)))
 		return true
 	}},
-	{"drops an event", RuleOrder, firmKind, func(p *fakeProxy, x *passing) bool {
+	{"drops an event", RuleOrder, onceOnlyStreamKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		head, all := events(p.answerOf(x.request))
 		x.reply(withEvents(head, append(all[:1:1], all[2:]...)))
 		return true
 	}},
-	{"repeats an event", RuleOrder, firmKind, func(p *fakeProxy, x *passing) bool {
+	{"repeats an event", RuleOrder, onceOnlyStreamKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		head, all := events(p.answerOf(x.request))
 		x.reply(withEvents(head, append(all[:2:2], all[1:]...)))
 		return true
 	}},
-	{"ends a stream early", RuleOrder, resumableKind, func(p *fakeProxy, x *passing) bool {
+	{"ends a stream early", RuleOrder, resumableStreamKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		head, all := events(p.answerOf(x.request))
 		x.reply(withEvents(head, all[:2]))
 		return true
 	}},
-	{"uses a service that no route names", RuleRoute, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"uses a service that no route names", RuleRoute, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		x.reply(p.call(p.world.other, x.request))
 		return true
 	}},
-	{"tries too often", RuleAttempts, safeKind, func(p *fakeProxy, x *passing) bool {
+	{"makes too many attempts", RuleAttempts, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
 		p.call(p.world.lookup, x.request)
 		p.call(p.world.lookup, x.request)
 		return false
 	}},
 }
 
-func TestEachBreakIsSeen(t *testing.T) {
-	for _, each := range wrongs {
+func TestEachViolationIsDetected(t *testing.T) {
+	for _, each := range violations {
 		t.Run(each.name, func(t *testing.T) {
 			w := newWorld(t)
-			w.proxy.doWrong(each.wrong)
+			w.proxy.setMisbehaviour(each.wrong)
 			w.ask(each.kind)
 			w.ask(each.kind)
 			w.client.Close()
@@ -128,9 +129,9 @@
 	}
 }
 
-func TestTooManyRepeatsAreSeen(t *testing.T) {
+func TestTooManyRetriesAreDetected(t *testing.T) {
 	w := newWorld(t)
-	w.proxy.doWrong(func(p *fakeProxy, x *passing) bool {
+	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
 		p.call(p.world.lookup, x.request)
 		return false
 	})
@@ -140,17 +141,17 @@
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleBudget})
 }
 
-func TestSendingToALeavingServerIsSeen(t *testing.T) {
+func TestRequestToADrainingServerIsDetected(t *testing.T) {
 	w := newWorld(t)
-	sendToALeavingServer(w, func() {})
+	sendToADrainingServer(w, func() {})
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleDrain})
 }
 
-// The acknowledgement of a machine faulty binds the others.
-func TestSendingAfterTheAcknowledgementOfAMachineInTroubleIsSeen(t *testing.T) {
+// The acknowledgement of a faulty machine applies to the others.
+func TestRequestAfterTheAcknowledgementOfAFaultyMachineIsDetected(t *testing.T) {
 	w := newWorld(t)
 	const elsewhere = "10.9.9.9"
-	sendToALeavingServer(w, func() {
+	sendToADrainingServer(w, func() {
 		w.observations.RecordFault(elsewhere, false)
 		w.lookup.mu.Lock()
 		defer w.lookup.mu.Unlock()
@@ -160,10 +161,10 @@
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleDrain})
 }
 
-// sendToALeavingServer has the proxy send to a server too long after its departure was acknowledged.
-func sendToALeavingServer(w *world, onceAcknowledged func()) {
-	left := make(chan bool, 1)
-	go func() { left <- w.lookup.Shutdown(time.Minute) }()
+// sendToADrainingServer has the proxy send to a server too long after its departure was acknowledged.
+func sendToADrainingServer(w *world, onceAcknowledged func()) {
+	drained := make(chan bool, 1)
+	go func() { drained <- w.lookup.Shutdown(time.Minute) }()
 	w.until("the departure is acknowledged", func() bool {
 		at, _ := w.lookup.drainAckedAt()
 		return !at.IsZero()
@@ -174,15 +175,15 @@
 	w.past(at.Add(2 * testBounds.Drain))
 	w.Assert(w.ask(safeKind).Outcome, qt.Equals, Served)
 	w.lookup.Stop()
-	w.Assert(<-left, qt.IsTrue)
+	w.Assert(<-drained, qt.IsTrue)
 }
 
-func TestAnOldConfigurationIsSeen(t *testing.T) {
+func TestOldConfigurationIsDetected(t *testing.T) {
 	w := newWorld(t)
 	added := &Kind{Name: "added", Host: testHost, Prefix: "/added/", Class: fleetconfig.Safe,
 		LatencyTarget: time.Second, Deadline: 5 * time.Second}
 	w.Assert(w.operator.Put(w.bounded(), testDocument(3, RouteOf(added, "lookup", 1))), qt.IsNil)
-	w.proxy.doWrong(func(p *fakeProxy, x *passing) bool {
+	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
 		x.reply(textOf(404, nil, ""))
 		return true
 	})
@@ -192,12 +193,12 @@
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
-func TestGoingBackToAnOldConfigurationIsSeen(t *testing.T) {
+func TestRollbackToAnOldConfigurationIsDetected(t *testing.T) {
 	w := newWorld(t)
 	moved := testDocument(3)
 	moved.Routes[0].Service = "other"
 	w.Assert(w.operator.Put(w.bounded(), moved), qt.IsNil)
-	w.proxy.doWrong(func(p *fakeProxy, x *passing) bool {
+	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
 		server := p.world.other
 		if p.previous != "" {
 			server = p.world.lookup
@@ -211,7 +212,7 @@
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
-func TestAnotherConfigurationReadBackIsSeen(t *testing.T) {
+func TestWrongConfigurationReadBackIsDetected(t *testing.T) {
 	w := newWorld(t)
 	w.control.set(func(*controlserver.Call) *http1.Response {
 		return controlserver.JSON(200, []byte(`{"edition":1,"routes":[],
@@ -221,29 +222,28 @@
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
-// A process that is asked to end must answer what it has read.
-func TestACutAtAPlannedStopIsSeen(t *testing.T) {
+// runAndClose has a request run and closes the connection in place of an answer.
+func runAndClose(p *fakeProxy, x *proxiedRequest) bool {
+	p.call(p.world.lookup, x.request)
+	x.conn.Close()
+	return true
+}
+
+// A process that gets SIGTERM must answer what it has read.
+func TestLossAtAPlannedStopIsDetected(t *testing.T) {
 	w := newWorld(t)
 	machine := hostOf(w.proxy.listener.Address())
-	w.proxy.doWrong(func(p *fakeProxy, x *passing) bool {
-		p.call(p.world.lookup, x.request)
-		x.conn.Close()
-		return true
-	})
-	w.ask(safeKind) // cut without a stop: that is no break
+	w.proxy.setMisbehaviour(runAndClose)
+	w.ask(safeKind) // lost without a stop: no violation
 	w.observations.RecordTermination(machine, false)
 	w.ask(safeKind)
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleLost})
 }
 
-func TestACutAfterAKillIsNoBreak(t *testing.T) {
+func TestLossAfterAKillIsNoViolation(t *testing.T) {
 	w := newWorld(t)
 	machine := hostOf(w.proxy.listener.Address())
-	w.proxy.doWrong(func(p *fakeProxy, x *passing) bool {
-		p.call(p.world.lookup, x.request)
-		x.conn.Close()
-		return true
-	})
+	w.proxy.setMisbehaviour(runAndClose)
 	w.observations.RecordTermination(machine, false)
 	w.observations.bounds.Touch = time.Minute
 	w.observations.RecordFault(machine, false)
@@ -251,7 +251,7 @@
 	w.Assert(w.broken(), qt.HasLen, 0)
 }
 
-func TestOrdersOfTwoHoldersAreSeen(t *testing.T) {
+func TestOrdersOfTwoHoldersAreDetected(t *testing.T) {
 	for _, each := range []struct {
 		name   string
 		orders []lastOrder
@@ -272,10 +272,10 @@
 	}
 }
 
-func TestNothingServedAfterARecoveryIsSeen(t *testing.T) {
+func TestNothingServedAfterARecoveryIsDetected(t *testing.T) {
 	w := newWorld(t)
 	w.ask(safeKind)
-	w.proxy.doWrong(func(p *fakeProxy, x *passing) bool {
+	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
 		x.reply(textOf(502, nil, ""))
 		return true
 	})
--- a/internal/testbed/routerstandin/world_test.go
+++ b/internal/testbed/routerstandin/world_test.go
@@ -29,14 +29,13 @@
 		LatencyTarget: time.Second, Deadline: 5 * time.Second, BodyBytes: 100}
 	unsafeKind = &Kind{Name: "unsafe", Host: testHost, Prefix: "/unsafe/", Class: fleetconfig.Unsafe,
 		LatencyTarget: time.Second, Deadline: 5 * time.Second, BodyBytes: 100}
-	firmKind = &Kind{Name: "firm", Host: testHost, Prefix: "/firm/", Class: fleetconfig.Stream,
+	onceOnlyStreamKind = &Kind{Name: "firm", Host: testHost, Prefix: "/firm/", Class: fleetconfig.Stream,
 		LatencyTarget: time.Second, GapTarget: time.Second, Deadline: 5 * time.Second, OwnTokens: 10,
 		OutputTokens: 7}
-	resumableKind = &Kind{Name: "resumable", Host: testHost, Prefix: "/resumable/", Class: fleetconfig.Stream,
-		Resumable: true, LatencyTarget: time.Second, GapTarget: time.Second, Deadline: 5 * time.Second, Retries: 1,
-		OwnTokens:    10,
-		OutputTokens: 7}
-	testKinds = []*Kind{safeKind, unsafeKind, firmKind, resumableKind}
+	resumableStreamKind = &Kind{Name: "resumable", Host: testHost, Prefix: "/resumable/",
+		Class: fleetconfig.Stream, Resumable: true, LatencyTarget: time.Second, GapTarget: time.Second,
+		Deadline: 5 * time.Second, Retries: 1, OwnTokens: 10, OutputTokens: 7}
+	testKinds = []*Kind{safeKind, unsafeKind, onceOnlyStreamKind, resumableStreamKind}
 )
 
 var testBounds = Bounds{
@@ -49,16 +48,16 @@
 // world is a small deployment with one proxy.
 type world struct {
 	*qt.C
-	observations *Observations
-	operator     *Operator
-	control      *fakeControl
-	proxy        *fakeProxy
-	client       *Client
-	reader       *Server
-	writer       *Server
-	lookup       *Server
-	other        *Server // of a service that no route names
-	number       int
+	observations  *Observations
+	operator      *Operator
+	control       *fakeControl
+	proxy         *fakeProxy
+	client        *Client
+	prefillServer *Server
+	decodeServer  *Server
+	lookup        *Server
+	other         *Server // of a service that no route names
+	number        int
 }
 
 func newWorld(t *testing.T) *world {
@@ -66,12 +65,12 @@
 	w := &world{C: qt.New(t), observations: NewObservations(testBounds)}
 	w.control = newFakeControl(w.C)
 	w.operator = NewOperator(w.control.addresses, w.observations)
-	w.reader = w.server("model", StagePrefill)
-	w.writer = w.server("model", StageDecode)
+	w.prefillServer = w.server("model", StagePrefill)
+	w.decodeServer = w.server("model", StageDecode)
 	w.lookup = w.server("lookup", "")
 	w.other = w.server("other", "")
 	w.proxy = newFakeProxy(w)
-	entry := NewEntry([]Proxy{w.proxy.known()})
+	entry := NewEntry([]Proxy{w.proxy.asProxy()})
 	w.client = NewClient(1, "", entry, w.observations)
 	w.Cleanup(w.client.Close)
 	w.Assert(w.operator.Put(w.bounded(), testDocument(1)), qt.IsNil)
--- a/internal/testbed/routertrial/change.go
+++ b/internal/testbed/routertrial/change.go
@@ -15,21 +15,22 @@
 // probeMargin is how long after the bound of a configuration change probes are sent.
 const probeMargin = 20 * time.Millisecond
 
-// Change has the operator change the configuration, and probes every proxy that gets clients on the added and
-// the removed route once the bound for the change has passed.
-func (f *Fleet) Change(ctx context.Context) error {
+// ChangeConfig has the operator change the configuration, and probes every proxy that gets clients on the
+// added and the removed route once the bound for the change has passed.
+func (f *Fleet) ChangeConfig(ctx context.Context) error {
 	next := nextConfiguration(f.Operator.Current())
-	f.event("edition %d is sent", next.Version)
+	f.logEvent("edition %d is sent", next.Version)
 	if err := f.Operator.Change(ctx, next); err != nil {
 		return err
 	}
-	f.event("edition %d is acknowledged", next.Version)
+	f.logEvent("edition %d is acknowledged", next.Version)
 	if !routerstandin.Sleep(ctx, bounds.Config+probeMargin) {
 		return ctx.Err()
 	}
 	served := f.Probe(ctx, addedKind)
 	gone := f.Probe(ctx, removedKind)
-	f.event("answers by status: on the added route %s, on the dropped one %s", byStatus(served), byStatus(gone))
+	f.logEvent("answers by status: on the added route %s, on the dropped one %s", byStatus(served),
+		byStatus(gone))
 	return nil
 }
 
--- a/internal/testbed/routertrial/faults.go
+++ b/internal/testbed/routertrial/faults.go
@@ -66,7 +66,7 @@
 	case FaultDrain:
 		return f.drainServers(ctx)
 	case FaultRollingRestart:
-		return f.roll(ctx)
+		return f.rollingRestart(ctx)
 	case FaultCrash:
 		return f.crashServers(ctx)
 	case FaultKillAll:
@@ -81,13 +81,13 @@
 
 // killMachine kills a machine, wipes its disk if so wanted, and restarts it.
 func (f *Fleet) killMachine(ctx context.Context, m *Machine, wipe bool) error {
-	f.event("%s is killed", m.Name)
+	f.logEvent("%s is killed", m.Name)
 	m.Kill()
 	if !routerstandin.Sleep(ctx, downTime) {
 		return ctx.Err()
 	}
 	if wipe {
-		f.event("%s loses its disk", m.Name)
+		f.logEvent("%s loses its disk", m.Name)
 		if err := m.Wipe(); err != nil {
 			return err
 		}
@@ -99,21 +99,21 @@
 	if err := m.Start(ctx, false); err != nil {
 		return err
 	}
-	f.event("%s runs again", m.Name)
+	f.logEvent("%s runs again", m.Name)
 	if err := f.AwaitMachine(ctx, m); err != nil {
 		return err
 	}
-	f.event("%s is ready", m.Name)
+	f.logEvent("%s is ready", m.Name)
 	return nil
 }
 
 // roll stops and starts every machine in turn. A machine with a disk counts as lost for a while after its
 // return, and no other one may be stopped meanwhile.
-func (f *Fleet) roll(ctx context.Context) error {
+func (f *Fleet) rollingRestart(ctx context.Context) error {
 	for _, m := range f.Machines {
-		f.event("%s gets SIGTERM", m.Name)
+		f.logEvent("%s gets SIGTERM", m.Name)
 		m.Terminate(ctx)
-		f.event("%s has ended", m.Name)
+		f.logEvent("%s has ended", m.Name)
 		if err := f.restartMachine(ctx, m); err != nil {
 			return err
 		}
@@ -143,12 +143,12 @@
 	if err := f.StartServer(options.AtAnyPort()); err != nil {
 		return err
 	}
-	f.event("server %s of %s leaves", server.ID(), options.Service)
+	f.logEvent("server %s of %s leaves", server.ID(), options.Service)
 	stopWatching := context.AfterFunc(ctx, server.Stop)
 	defer stopWatching()
 	acknowledged := server.Shutdown(bounds.Drain)
 	f.retire(server)
-	f.event("server %s has left, acknowledged: %t", server.ID(), acknowledged)
+	f.logEvent("server %s has left, acknowledged: %t", server.ID(), acknowledged)
 	return nil
 }
 
@@ -158,7 +158,7 @@
 	for _, crashing := range f.oneServerOfEach() {
 		options := crashing.Options()
 		f.awaitWork(ctx, crashing)
-		f.event("server %s of %s crashes", crashing.ID(), options.Service)
+		f.logEvent("server %s of %s crashes", crashing.ID(), options.Service)
 		crashing.Crash()
 		f.retire(crashing)
 		if !routerstandin.Sleep(ctx, downTime) {
@@ -167,7 +167,7 @@
 		if err := f.StartServer(options); err != nil {
 			return err
 		}
-		f.event("a server starts at %s", options.Address)
+		f.logEvent("a server starts at %s", options.Address)
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 
 // killAll kills all processes at the same moment and starts them again.
 func (f *Fleet) killAll(ctx context.Context) error {
-	f.event("all machines are killed")
+	f.logEvent("all machines are killed")
 	for _, m := range f.Machines {
 		m.Kill()
 	}
@@ -203,31 +203,31 @@
 		return err
 	}
 	f.Observations.RecordAllRestarted()
-	f.event("all machines run again")
+	f.logEvent("all machines run again")
 	if err := f.AwaitMachines(ctx); err != nil {
 		return err
 	}
-	f.event("all machines are ready")
+	f.logEvent("all machines are ready")
 	return nil
 }
 
 // turnOverSeeds replaces the seeds in the settings files by machines without a disk, and kills all processes.
 func (f *Fleet) turnOverSeeds(ctx context.Context) error {
 	f.seedMachines = f.WithDisk(false)
-	f.event("the settings name machines without a disk as seeds")
+	f.logEvent("the settings name machines without a disk as seeds")
 	return f.killAll(ctx)
 }
 
 // freezeMachines stops machines (SIGSTOP) for a while, one after the other.
 func (f *Fleet) freezeMachines(ctx context.Context, machines ...*Machine) error {
 	for _, m := range machines {
-		f.event("%s freezes", m.Name)
+		f.logEvent("%s freezes", m.Name)
 		m.Freeze(ctx, freezeTime)
-		f.event("%s wakes", m.Name)
+		f.logEvent("%s wakes", m.Name)
 		if err := f.AwaitMachine(ctx, m); err != nil {
 			return err
 		}
-		f.event("%s is ready", m.Name)
+		f.logEvent("%s is ready", m.Name)
 	}
 	return ctx.Err()
 }
--- a/internal/testbed/routertrial/hunt_test.go
+++ b/internal/testbed/routertrial/hunt_test.go
@@ -65,7 +65,7 @@
 		now := h.load.Tally().Total()
 		refused, failed, late := now.Rejected-before.Rejected, now.Failed-before.Failed, now.Late-before.Late
 		if refused+failed+late > 0 {
-			h.event("    refused %d, failed %d, late %d", refused, failed, late)
+			h.logEvent("    refused %d, failed %d, late %d", refused, failed, late)
 		}
 		before = now
 		select {
@@ -142,7 +142,7 @@
 	if m.HasDisk {
 		h.awaitTolerance()
 	}
-	h.event("%s gets SIGTERM", m.Name)
+	h.logEvent("%s gets SIGTERM", m.Name)
 	m.Terminate(h.ctx)
 	h.Assert(h.restartMachine(h.ctx, m), qt.IsNil)
 	if m.HasDisk {
@@ -153,7 +153,7 @@
 // killFollowers kills all machines without a disk at once.
 func (h *hunt) killFollowers() {
 	for _, m := range h.WithDisk(false) {
-		h.event("%s is killed", m.Name)
+		h.logEvent("%s is killed", m.Name)
 		m.Kill()
 	}
 	for _, m := range h.WithDisk(false) {
@@ -168,7 +168,7 @@
 	next := nextConfiguration(h.Operator.Current())
 	h.Assert(h.Operator.Change(h.ctx, next), qt.IsNil)
 	lost := h.draw(true)
-	h.event("%s loses its disk right after edition %d, and all are killed", lost.Name, next.Version)
+	h.logEvent("%s loses its disk right after edition %d, and all are killed", lost.Name, next.Version)
 	for _, m := range h.Machines {
 		m.Kill()
 	}
--- a/internal/testbed/routertrial/machine_faults_test.go
+++ b/internal/testbed/routertrial/machine_faults_test.go
@@ -8,18 +8,18 @@
 	"cresshub/internal/testbed/faultinject"
 )
 
-// A cut that ends while a process starts must not hold for that process: it was given the cut, and nobody
-// could tell it of the end.
-func TestCutThatEndsWhileAProcessStarts(t *testing.T) {
+// A partition that heals while a process starts must not stay in force for that process: its command line has
+// the partition, and until it listens nobody can tell it of the end.
+func TestPartitionThatHealsDuringAStart(t *testing.T) {
 	skipIfShort(t)
 	r := newRigOf(t, Options{FaultInjection: true})
 	m := r.WithDisk(false)[0]
-	cut := faultinject.CommandDeaf
+	partition := faultinject.CommandDeaf
 	for _, other := range r.WithDisk(true) {
-		cut += " " + other.IP
+		partition += " " + other.IP
 	}
-	r.Assert(m.running().Send(cut), qt.IsNil)
-	m.updateFaults(m.running(), []string{cut})
+	r.Assert(m.running().Send(partition), qt.IsNil)
+	m.updateFaults(m.running(), []string{partition})
 	r.Assert(r.Operator.Change(r.ctx, nextConfiguration(r.Operator.Current())), qt.IsNil)
 	r.await("the machine hears of the change", func() string {
 		if r.Probe(r.ctx, addedKind)[200] < len(r.Machines) {
--- a/internal/testbed/routertrial/network_test.go
+++ b/internal/testbed/routertrial/network_test.go
@@ -37,7 +37,7 @@
 	c.Assert(one.prefix, qt.Not(qt.Equals), other.prefix)
 }
 
-func TestTroublesAreChecked(t *testing.T) {
+func TestFaultsAreChecked(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(CheckFault(""), qt.IsNil)
 	c.Assert(CheckFault(FaultWipe), qt.IsNil)
--- a/internal/testbed/routertrial/ready.go
+++ b/internal/testbed/routertrial/ready.go
@@ -11,8 +11,8 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// lookInterval is how often await checks its condition.
-const lookInterval = 20 * time.Millisecond
+// checkInterval is how often await checks its condition.
+const checkInterval = 20 * time.Millisecond
 
 // NotReadyError reports a condition that was not met in time.
 type NotReadyError struct {
@@ -40,7 +40,7 @@
 				return ctx.Err()
 			}
 			return &NotReadyError{what, timeout, missing}
-		case <-time.After(lookInterval):
+		case <-time.After(checkInterval):
 		}
 	}
 }
--- a/internal/testbed/routertrial/soak.go
+++ b/internal/testbed/routertrial/soak.go
@@ -41,13 +41,13 @@
 
 // SoakReport is what came of a soak.
 type SoakReport struct {
-	Seed    uint64                  `json:"seed"`
-	Seconds float64                 `json:"seconds"`
-	Played  map[string]int          `json:"played"` // faults by name
-	Total   routerstandin.KindTally `json:"total"`
-	Reasons []routerstandin.Reason  `json:"reasons"` // why requests were not served
-	Rules   []routerstandin.Verdict `json:"rules"`
-	Events  []string                `json:"events"`
+	Seed     uint64                  `json:"seed"`
+	Seconds  float64                 `json:"seconds"`
+	Injected map[string]int          `json:"played"` // faults by name
+	Total    routerstandin.KindTally `json:"total"`
+	Reasons  []routerstandin.Reason  `json:"reasons"` // why requests were not served
+	Rules    []routerstandin.Verdict `json:"rules"`
+	Events   []string                `json:"events"`
 }
 
 // Violations is how many violations of rules there were.
@@ -66,7 +66,7 @@
 	reservedCore int               // reserved machines with a disk
 	wipedAt      time.Time         // when a machine last came back with an empty disk
 	wiping       bool
-	played       map[string]int
+	injected     map[string]int
 
 	operating sync.Mutex // held while somebody changes the configuration
 }
@@ -81,16 +81,16 @@
 	}
 	defer fleet.Close()
 	s := &soak{Fleet: fleet, options: options, random: rand.New(rand.NewPCG(options.Seed, 77)),
-		reserved: map[*Machine]bool{}, played: map[string]int{}, partitions: newPartitions(fleet)}
+		reserved: map[*Machine]bool{}, injected: map[string]int{}, partitions: newPartitions(fleet)}
 	s.faults = selectFaults(options.OnlyFaults)
 	if len(s.faults) == 0 {
 		return nil, fmt.Errorf("no trouble is called %v; name some of %v", options.OnlyFaults, SoakFaultNames())
 	}
-	return s.play(ctx)
+	return s.run(ctx)
 }
 
 // play runs the rounds beside the clients, and judges.
-func (s *soak) play(ctx context.Context) (*SoakReport, error) {
+func (s *soak) run(ctx context.Context) (*SoakReport, error) {
 	s.startClock()
 	load := s.NewLoad()
 	sending := make(chan struct{})
@@ -115,7 +115,7 @@
 	if problem == nil {
 		problem = s.checkLeaks(ctx)
 	}
-	report := &SoakReport{Seed: s.options.Seed, Seconds: s.elapsed().Seconds(), Played: s.played,
+	report := &SoakReport{Seed: s.options.Seed, Seconds: s.elapsed().Seconds(), Injected: s.injected,
 		Total: load.Tally().Total(), Reasons: load.Tally().Reasons(), Rules: s.Observations.Judge(),
 		Events: s.Events()}
 	return report, errors.Join(ctx.Err(), problem)
@@ -125,7 +125,7 @@
 
 func (s *soak) injectRounds(ctx context.Context) error {
 	for round := range s.options.Rounds {
-		s.event("round %d", round+1)
+		s.logEvent("round %d", round+1)
 		if err := s.injectRound(ctx); err != nil {
 			return err
 		}
@@ -157,7 +157,7 @@
 				problems[i] = fault.inject(ctx, s, rng)
 			}
 		})
-		s.played[fault.name]++
+		s.injected[fault.name]++
 	}
 	injecting.Wait()
 	return errors.Join(problems...)
@@ -169,7 +169,7 @@
 	began := time.Now()
 	err := s.AwaitReady(ctx)
 	took := time.Since(began).Round(10 * time.Millisecond)
-	s.event("ready again after %v", took)
+	s.logEvent("ready again after %v", took)
 	if took > recoveryBound {
 		s.Observations.RecordViolation(routerstandin.RuleRecover,
 			"the fleet was ready again only %v after the last trouble", took)
@@ -187,7 +187,7 @@
 	if !routerstandin.Sleep(ctx, bounds.Touch) {
 		return ctx.Err()
 	}
-	if err := s.change(ctx); err != nil {
+	if err := s.changeConfig(ctx); err != nil {
 		return err
 	}
 	before := load.Tally().Total()
@@ -202,7 +202,7 @@
 }
 
 // change has the operator make a change on top of the configuration that the fleet shows now.
-func (s *soak) change(ctx context.Context) error {
+func (s *soak) changeConfig(ctx context.Context) error {
 	s.operating.Lock()
 	defer s.operating.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
--- a/internal/testbed/routertrial/soak_client_faults.go
+++ b/internal/testbed/routertrial/soak_client_faults.go
@@ -12,10 +12,10 @@
 // injectConfigBurst makes changes in quick succession.
 func injectConfigBurst(ctx context.Context, s *soak, rng *rand.Rand) error {
 	count := 3 + rng.IntN(12)
-	s.event("%d changes of the configuration", count)
+	s.logEvent("%d changes of the configuration", count)
 	for range count {
-		if err := s.change(ctx); err != nil {
-			s.event("a change got no clear answer: %v", err)
+		if err := s.changeConfig(ctx); err != nil {
+			s.logEvent("a change got no clear answer: %v", err)
 			return ctx.Err()
 		}
 		routerstandin.Sleep(ctx, between(rng, time.Millisecond, 120*time.Millisecond))
@@ -40,7 +40,7 @@
 	if rng.IntN(2) == 0 {
 		other.Version++
 	}
-	s.event("two operators race for editions %d and %d", one.Version, other.Version)
+	s.logEvent("two operators race for editions %d and %d", one.Version, other.Version)
 	results := make(chan error, 2)
 	go func() { results <- s.Operator.Put(bounded, one) }()
 	go func() { results <- second.Change(bounded, other) }()
@@ -56,7 +56,7 @@
 // injectDroppedResponses drops responses of the fleet to operators and servers for a while.
 func injectDroppedResponses(ctx context.Context, s *soak, rng *rand.Rand) error {
 	permille := int64(200 + rng.IntN(500))
-	s.event("%d in 1000 answers to servers and operators are lost", permille)
+	s.logEvent("%d in 1000 answers to servers and operators are lost", permille)
 	faultCtx, end := context.WithCancel(ctx)
 	defer end()
 	go s.recordFaultUntil(faultCtx, s.Machines...)
@@ -68,7 +68,7 @@
 
 // injectRudeClients runs several rude clients at once for a while.
 func injectRudeClients(ctx context.Context, s *soak, rng *rand.Rand) error {
-	s.event("many rude clients")
+	s.logEvent("many rude clients")
 	rude, end := context.WithTimeout(ctx, between(rng, time.Second, 4*time.Second))
 	defer end()
 	done := make(chan struct{})
--- a/internal/testbed/routertrial/soak_machine_faults.go
+++ b/internal/testbed/routertrial/soak_machine_faults.go
@@ -23,12 +23,12 @@
 	if err := m.Start(ctx, false); err != nil {
 		return err
 	}
-	s.event("%s runs again", m.Name)
+	s.logEvent("%s runs again", m.Name)
 	return nil
 }
 
 func injectKill(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
-	s.event("%s is killed", m.Name)
+	s.logEvent("%s is killed", m.Name)
 	m.Kill()
 	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, 2*time.Second))
 	return s.restart(ctx, m)
@@ -37,27 +37,27 @@
 func injectExitAtPoint(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
 	point := 1 + rng.IntN(maxExitPoint)
 	ended := m.ExitAtPoint(ctx, point, 1500*time.Millisecond)
-	s.event("%s ended at point %d: %t", m.Name, point, ended)
+	s.logEvent("%s ended at point %d: %t", m.Name, point, ended)
 	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, time.Second))
 	for range rng.IntN(3) { // and again while it starts
 		point = 1 + rng.IntN(maxStartExitPoint)
 		ended = m.StartUntilPoint(ctx, point, time.Second)
-		s.event("%s started and ended at point %d: %t", m.Name, point, ended)
+		s.logEvent("%s started and ended at point %d: %t", m.Name, point, ended)
 	}
 	return s.restart(ctx, m)
 }
 
 func injectTermination(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
-	s.event("%s gets SIGTERM", m.Name)
+	s.logEvent("%s gets SIGTERM", m.Name)
 	m.Terminate(ctx)
-	s.event("%s has ended", m.Name)
+	s.logEvent("%s has ended", m.Name)
 	return s.restart(ctx, m)
 }
 
 func injectFreeze(ctx context.Context, s *soak, rng *rand.Rand, m *Machine) error {
-	s.event("%s freezes", m.Name)
+	s.logEvent("%s freezes", m.Name)
 	m.Freeze(ctx, between(rng, 200*time.Millisecond, 4*time.Second))
-	s.event("%s wakes", m.Name)
+	s.logEvent("%s wakes", m.Name)
 	return nil
 }
 
@@ -72,7 +72,7 @@
 		return nil
 	}
 	defer s.release(m)
-	s.event("%s is killed and loses its disk", m.Name)
+	s.logEvent("%s is killed and loses its disk", m.Name)
 	m.Kill()
 	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, time.Second))
 	if err := m.Wipe(); err != nil {
@@ -106,13 +106,13 @@
 }
 
 func (s *soak) killAndRestartAll(ctx context.Context, rng *rand.Rand) error {
-	s.event("all machines are killed")
+	s.logEvent("all machines are killed")
 	for _, m := range s.Machines {
 		m.Kill()
 	}
 	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, time.Second))
 	err := s.StartMachines(ctx, false)
-	s.event("all machines run again")
+	s.logEvent("all machines run again")
 	return err
 }
 
@@ -124,18 +124,18 @@
 	defer s.release(s.Machines...)
 	bounded, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	if err := s.change(bounded); err != nil {
-		s.event("a change got no clear answer: %v", err)
+	if err := s.changeConfig(bounded); err != nil {
+		s.logEvent("a change got no clear answer: %v", err)
 	}
 	routerstandin.Sleep(ctx, time.Duration(rng.Int64N(int64(15*time.Millisecond))))
 	for _, m := range s.Machines {
 		m.Kill()
 	}
-	s.event("all machines are killed after a change")
+	s.logEvent("all machines are killed after a change")
 	if rng.IntN(2) == 0 && s.reserveWipe() {
 		defer s.releaseWipe()
 		lost := drawMachine(rng, s.WithDisk(true))
-		s.event("%s loses its disk", lost.Name)
+		s.logEvent("%s loses its disk", lost.Name)
 		if err := lost.Wipe(); err != nil {
 			return err
 		}
@@ -152,23 +152,23 @@
 	faultCtx, end := context.WithCancel(ctx)
 	defer end()
 	go s.recordFaultUntil(faultCtx, m)
-	s.event("%s: disk %s", m.Name, mode)
+	s.logEvent("%s: disk %s", m.Name, mode)
 	s.partitions.setDisk(m, mode)
 	routerstandin.Sleep(ctx, between(rng, 300*time.Millisecond, 4*time.Second))
 	var err error
 	switch rng.IntN(4) {
 	case 0:
-		s.event("%s is killed, its disk is still %s", m.Name, mode)
+		s.logEvent("%s is killed, its disk is still %s", m.Name, mode)
 		m.Kill()
 		err = s.restart(ctx, m)
 	case 1:
-		s.event("%s gets SIGTERM, its disk is still %s", m.Name, mode)
+		s.logEvent("%s gets SIGTERM, its disk is still %s", m.Name, mode)
 		m.Terminate(ctx)
 		err = s.restart(ctx, m)
 	}
 	routerstandin.Sleep(ctx, between(rng, 100*time.Millisecond, 2*time.Second))
 	s.partitions.setDisk(m, faultinject.DiskOK)
-	s.event("%s: disk ok", m.Name)
+	s.logEvent("%s: disk ok", m.Name)
 	return err
 }
 
@@ -179,7 +179,7 @@
 	defer end()
 	go s.recordFaultUntil(faultCtx, m)
 	count := 1 + rng.IntN(6)
-	s.event("%s fails to accept %d connections", m.Name, count)
+	s.logEvent("%s fails to accept %d connections", m.Name, count)
 	m.send("%s %d", faultinject.CommandRefuse, count)
 	routerstandin.Sleep(ctx, between(rng, 200*time.Millisecond, time.Second))
 	m.send("%s 0", faultinject.CommandRefuse)
@@ -189,7 +189,7 @@
 // injectReload writes the settings file in two steps and sends SIGHUP at any moment.
 func injectReload(ctx context.Context, s *soak, rng *rand.Rand) error {
 	m := s.Machines[rng.IntN(len(s.Machines))]
-	s.event("%s: settings change", m.Name)
+	s.logEvent("%s: settings change", m.Name)
 	raw, err := m.settingsFile(false)
 	if err != nil {
 		return err
@@ -215,10 +215,10 @@
 	if process == nil {
 		return nil
 	}
-	s.event("nobody reads the log of %s", m.Name)
+	s.logEvent("nobody reads the log of %s", m.Name)
 	process.PauseLog()
 	routerstandin.Sleep(ctx, between(rng, time.Second, 4*time.Second))
 	process.ResumeLog()
-	s.event("the log of %s is read", m.Name)
+	s.logEvent("the log of %s is read", m.Name)
 	return nil
 }
--- a/internal/testbed/routertrial/soak_partition_faults.go
+++ b/internal/testbed/routertrial/soak_partition_faults.go
@@ -15,11 +15,11 @@
 	faultCtx, end := context.WithCancel(ctx)
 	defer end()
 	go s.recordFaultUntil(faultCtx, machines...)
-	s.event("cut: %s", what)
+	s.logEvent("cut: %s", what)
 	heal := s.partitions.cut(links)
 	routerstandin.Sleep(ctx, between(rng, 300*time.Millisecond, 6*time.Second))
 	heal()
-	s.event("healed: %s", what)
+	s.logEvent("healed: %s", what)
 }
 
 // isolateMember cuts a machine with a disk off from the others that have one, or from all.
--- a/internal/testbed/routertrial/soak_server_faults.go
+++ b/internal/testbed/routertrial/soak_server_faults.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	options := server.Options()
-	s.event("server %s of %s crashes", server.ID(), options.Service)
+	s.logEvent("server %s of %s crashes", server.ID(), options.Service)
 	server.Crash()
 	s.retire(server)
 	routerstandin.Sleep(ctx, between(rng, 50*time.Millisecond, 2*time.Second))
@@ -59,7 +59,7 @@
 		servers = append(servers, s.drawServer(rng))
 	}
 	for _, server := range servers {
-		s.event("server %s of %s %s (%.1f)", server.ID(), server.Tally().Service, misbehaviour, fraction)
+		s.logEvent("server %s of %s %s (%.1f)", server.ID(), server.Tally().Service, misbehaviour, fraction)
 		server.Misbehave(misbehaviour, fraction)
 	}
 	routerstandin.Sleep(ctx, between(rng, 500*time.Millisecond, 4*time.Second))
--- a/internal/testbed/routertrial/soak_test.go
+++ b/internal/testbed/routertrial/soak_test.go
@@ -10,7 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The long soak is played on demand: go test ./internal/testbed/routertrial -run TestSoak -soak 50 -timeout 2h
+// The long soak is played on demand: go test ./internal/testbed/routertrial -run TestSoak -soak 50 -timeout
+// 2h
 var (
 	soakSeeds = flag.Int("soak", 2, "soaks of overlapping troubles drawn at random")
 	soakFirst = flag.Uint64("soak-first", 1, "seed of the first of these soaks")
@@ -24,19 +25,19 @@
 func TestSoak(t *testing.T) {
 	skipIfShort(t)
 	for i := range *soakSeeds {
-		playSoak(t, SoakOptions{Seed: *soakFirst + uint64(i), Rounds: soakRounds, Large: i%3 == 1})
+		runSoak(t, SoakOptions{Seed: *soakFirst + uint64(i), Rounds: soakRounds, Large: i%3 == 1})
 	}
 }
 
 // Each fault of the soak is played once by itself, so that each of them is known to work.
-func TestEachTroubleOfTheSoak(t *testing.T) {
+func TestEachSoakFault(t *testing.T) {
 	skipIfShort(t)
 	for at, name := range SoakFaultNames() {
-		playSoak(t, SoakOptions{Seed: uint64(at), Rounds: 1, OnlyFaults: []string{name}})
+		runSoak(t, SoakOptions{Seed: uint64(at), Rounds: 1, OnlyFaults: []string{name}})
 	}
 }
 
-func playSoak(t *testing.T, options SoakOptions) {
+func runSoak(t *testing.T, options SoakOptions) {
 	t.Helper()
 	options.Program, options.Rate = binary, testRate
 	name := fmt.Sprintf("seed=%d %s", options.Seed, strings.Join(options.OnlyFaults, ","))
--- a/internal/testbed/routertrial/stalled_log_test.go
+++ b/internal/testbed/routertrial/stalled_log_test.go
@@ -11,7 +11,7 @@
 
 // A process whose log nobody reads serves on: whoever collects logs must not hold up clients, servers or the
 // other processes.
-func TestLogThatNobodyReadsHoldsNothingUp(t *testing.T) {
+func TestStalledLogDelaysNothing(t *testing.T) {
 	skipIfShort(t)
 	r := newRigOf(t, Options{FaultInjection: true, LogLevel: "debug"})
 	m := r.WithDisk(false)[0]
--- a/internal/testbed/routertrial/trial.go
+++ b/internal/testbed/routertrial/trial.go
@@ -105,7 +105,7 @@
 			changed <- nil
 			return
 		}
-		changed <- f.Change(ctx)
+		changed <- f.ChangeConfig(ctx)
 	}()
 	var faultErr error
 	if f.options.Fault != "" && routerstandin.Sleep(ctx, f.options.Duration/faultDivisor) {
@@ -152,7 +152,7 @@
 }
 
 // event records an event of the trial, with the time since clients began to send.
-func (f *Fleet) event(format string, args ...any) {
+func (f *Fleet) logEvent(format string, args ...any) {
 	line := fmt.Sprintf("%6.2f s  ", f.elapsed().Seconds()) + fmt.Sprintf(format, args...)
 	f.eventsMu.Lock()
 	defer f.eventsMu.Unlock()
--- a/internal/testbed/routertrial/trial_test.go
+++ b/internal/testbed/routertrial/trial_test.go
@@ -43,7 +43,7 @@
 	r.calm()
 	r.Assert(r.Probe(r.ctx, removedKind), qt.DeepEquals, map[int]int{200: 6})
 	r.Assert(r.Probe(r.ctx, addedKind), qt.DeepEquals, map[int]int{404: 6})
-	r.Assert(r.Change(r.ctx), qt.IsNil)
+	r.Assert(r.ChangeConfig(r.ctx), qt.IsNil)
 	r.Assert(r.Probe(r.ctx, removedKind), qt.DeepEquals, map[int]int{404: 6})
 	r.Assert(r.Probe(r.ctx, addedKind), qt.DeepEquals, map[int]int{200: 6})
 	r.Assert(r.put("1", `{"edition":9,"routes":[],"depots_list":[]}`), qt.Equals, 412)
@@ -134,7 +134,7 @@
 }
 
 // Nothing reaches a server that leaves once the bound has passed, and nothing is lost by its departure.
-func TestLeavingServersGetNothingMore(t *testing.T) {
+func TestDrainingServersGetNoMoreRequests(t *testing.T) {
 	skipIfShort(t)
 	r := newRig(t)
 	r.calm()
