--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -1,14 +1,6 @@
-// Package faultnet is a faulty network of loopback relays for several processes of the program: between every
-// ordered pair of members stands a link that can drop, delay or cut what crosses it, for datagrams and
-// streams alike.
-//
-// Each member sends through a relay of its own, a SOCKS5 server (RFC 1928: CONNECT for streams, the UDP form
-// of section 7 for datagrams, at one port), so the relay knows who sends; who is meant it knows by address,
-// which Place tells. Nothing needs rights, and nothing outside the members' own sockets is touched.
 package faultnet
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -17,35 +9,40 @@
 	"time"
 )
 
-// Fault is what befalls what crosses a link, in one direction.
+// Fault is the fault of a link, in one direction.
 type Fault struct {
-	Blocked bool          // nothing crosses; streams stand still
-	Drop    float64       // part of the datagrams that get lost; a stream is held up instead
-	Delay   time.Duration // on top of the way
-	Jitter  time.Duration // further delay, even from 0 to this
+	Blocked bool          // nothing crosses; streams stall
+	Drop    float64       // fraction of the datagrams lost; a stream is delayed by a retransmission instead
+	Delay   time.Duration // added to the time in transit
+	Jitter  time.Duration // further delay, uniform from 0 to this
 }
 
-// Counts are what crossed a link so far, or did not.
+// Counts are the totals of a link so far.
 type Counts struct {
-	Datagrams, Lost, Bytes, Streams, Refused int64
+	Datagrams int64 // forwarded
+	Lost      int64 // datagrams
+	Bytes     int64 // of datagrams and streams
+	Streams   int64
+	Refused   int64 // of Streams, those opened over a blocked link
 }
 
 const (
-	maxQueued          = 4096 // datagrams under way on one link; more are lost
-	maxChunks          = 256  // pieces of a stream under way in one direction; more wait
+	maxQueued          = 4096 // delayed datagrams on one link; more are lost
+	maxChunks          = 256  // chunks of a stream in transit in one direction; more wait
 	chunkSize          = 16 << 10
 	handshakeTimeout   = 2 * time.Second
-	blockedDialTimeout = 5 * time.Second        // a stream that is opened over a cut link is held so long
-	retransmitDelay    = 200 * time.Millisecond // what a lost segment costs a stream
+	blockedDialTimeout = 5 * time.Second        // a stream opened over a blocked link waits so long
+	retransmitDelay    = 200 * time.Millisecond // delay of a stream whose segment is lost
 )
 
 // pair is an ordered pair of members.
 type pair struct{ from, to string }
 
+// link is guarded by Net.mu.
 type link struct {
 	fault  Fault
 	counts Counts
-	queued int
+	queued int // delayed datagrams
 }
 
 // Net is the faulty network. Its methods may be called from any goroutine.
@@ -56,12 +53,12 @@
 	relays   map[string]*relay
 	changed  chan struct{} // closes with the next change of a fault
 	rng      *rand.Rand
-	udp      *net.UDPConn // what carries datagrams on
+	udp      *net.UDPConn // forwards datagrams to their receivers
 	closed   chan struct{}
 	done     sync.WaitGroup
 }
 
-// New returns a network without faults; seed draws losses and jitter.
+// New returns a network without faults. Losses and jitter are drawn from seed.
 func New(seed uint64) (*Net, error) {
 	out, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -72,7 +69,7 @@
 		closed: make(chan struct{})}, nil
 }
 
-// Relay returns the address of the relay that the member of that name sends through, opening it if need be.
+// Relay returns the address of the relay that the named member sends through, and opens it on the first call.
 func (n *Net) Relay(name string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,7 +78,7 @@
 	}
 	r, err := n.openRelay(name)
 	if err != nil {
-		return "", fmt.Errorf("the relay of %s: %w", name, err)
+		return "", fmt.Errorf("relay of %s: %w", name, err)
 	}
 	n.relays[name] = r
 	return r.address, nil
@@ -92,7 +89,7 @@
 func (n *Net) AddAddress(name, address string) error {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return fmt.Errorf("the address of %s: %w", name, err)
+		return fmt.Errorf("address of %s: %w", name, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,6 +97,7 @@
 	return nil
 }
 
+// link returns the link between two members, creating it on the first use; n.mu is held.
 func (n *Net) link(from, to string) *link {
 	l := n.links[pair{from, to}]
 	if l == nil {
@@ -109,7 +107,7 @@
 	return l
 }
 
-// Set puts a fault on the link from one member to another, in that direction alone.
+// Set sets the fault of the link from one member to another, in that direction only.
 func (n *Net) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -117,25 +115,29 @@
 	n.signalChange()
 }
 
-// Partition cuts all links between members of different sets, both ways, and leaves the others as they are.
+// Partition blocks all links between members of different sets, both ways, and leaves the others as they are.
 func (n *Net) Partition(sets ...[]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for i, a := range sets {
-		for j, b := range sets {
-			for _, from := range a {
-				for _, to := range b {
-					if i != j {
-						n.link(from, to).fault.Blocked = true
-					}
-				}
-			}
+	for i, set := range sets {
+		for _, other := range sets[i+1:] {
+			n.block(set, other)
+			n.block(other, set)
 		}
 	}
 	n.signalChange()
 }
 
-// Heal takes all faults away.
+// block blocks all links from one set of members to another; n.mu is held.
+func (n *Net) block(senders, receivers []string) {
+	for _, from := range senders {
+		for _, to := range receivers {
+			n.link(from, to).fault.Blocked = true
+		}
+	}
+}
+
+// Heal removes all faults.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -145,20 +147,20 @@
 	n.signalChange()
 }
 
-// signalChange wakes what waits for a change; n.mu is held.
+// signalChange wakes the goroutines that wait for a change of a fault; n.mu is held.
 func (n *Net) signalChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// Counts are those of the link from one member to another.
+// Counts returns the totals of the link from one member to another.
 func (n *Net) Counts(from, to string) Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.link(from, to).counts
 }
 
-// Close ends all relays and what crosses them.
+// Close ends all relays, and the streams through them, and waits for their goroutines.
 func (n *Net) Close() {
 	n.mu.Lock()
 	select {
@@ -172,11 +174,11 @@
 		r.close()
 	}
 	n.mu.Unlock()
-	n.udp.Close()
+	_ = n.udp.Close() // closed once: nothing to report
 	n.done.Wait()
 }
 
-// delay draws how long a thing takes over a link; n.mu is held.
+// delay draws the delay of a datagram or chunk under a fault; n.mu is held.
 func (n *Net) delay(f Fault) time.Duration {
 	d := f.Delay
 	if f.Jitter > 0 {
@@ -185,9 +187,7 @@
 	return d
 }
 
-var errUnknown = errors.New("no member is placed at that address")
-
-// forward carries one datagram on, or loses it.
+// forward forwards one datagram to its receiver, or loses it.
 func (n *Net) forward(from string, to netip.AddrPort, payload []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -200,7 +200,7 @@
 	l.counts.Bytes += int64(len(payload))
 	wait := n.delay(l.fault)
 	if wait <= 0 {
-		n.udp.WriteToUDPAddrPort(payload, to)
+		_, _ = n.udp.WriteToUDPAddrPort(payload, to) // a failure is a lost datagram
 		return
 	}
 	l.queued++
@@ -209,6 +209,6 @@
 		n.mu.Lock()
 		l.queued--
 		n.mu.Unlock()
-		n.udp.WriteToUDPAddrPort(delayed, to) // after Close it fails, and is lost
+		_, _ = n.udp.WriteToUDPAddrPort(delayed, to) // a failure, also after Close, is a lost datagram
 	})
 }
--- a/internal/testbed/faultnet/relay.go
+++ b/internal/testbed/faultnet/relay.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/cluster/gossip"
 )
 
-// relay is what one member sends through.
+// relay is the SOCKS5 server that one member sends through.
 type relay struct {
 	net     *Net
 	name    string
@@ -24,11 +24,18 @@
 	conns map[net.Conn]bool
 }
 
-// openRelay makes a relay with one port for streams and datagrams. The system chooses the stream's port;
-// where that port is taken for datagrams another is tried.
+const (
+	// relayPortAttempts bounds the search for a port that is free for streams and datagrams.
+	relayPortAttempts = 20
+	// readBuffer is the size of a datagram socket's buffer, in bytes.
+	readBuffer = 1 << 20
+)
+
+// openRelay opens a relay with one port for streams and datagrams: the system chooses the port for streams;
+// if it is taken for datagrams, another is chosen.
 func (n *Net) openRelay(name string) (*relay, error) {
 	var last error
-	for range 20 {
+	for range relayPortAttempts {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -40,7 +47,7 @@
 			l.Close()
 			continue
 		}
-		p.SetReadBuffer(1 << 20)
+		_ = p.SetReadBuffer(readBuffer) // with the default buffer more datagrams get lost in a burst
 		r := &relay{net: n, name: name, address: at.String(), streams: l, packets: p, conns: map[net.Conn]bool{}}
 		n.done.Add(2)
 		go r.servePackets()
@@ -52,7 +59,7 @@
 
 func (r *relay) close() {
 	r.streams.Close()
-	r.packets.Close()
+	_ = r.packets.Close() // closed once: nothing to report
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -61,7 +68,8 @@
 	r.conns = nil
 }
 
-// track notes a connection so that close ends it; false where the relay is closed.
+// track registers a connection so that close ends it. If the relay is closed, it closes the connection and
+// returns false.
 func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,6 +81,7 @@
 	return true
 }
 
+// closeConn closes a connection that track registered.
 func (r *relay) closeConn(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
@@ -115,7 +124,7 @@
 	}
 }
 
-// serveStream serves one CONNECT.
+// serveStream serves one CONNECT: it dials the receiver and pipes both directions.
 func (r *relay) serveStream(c net.Conn) {
 	defer r.net.done.Done()
 	defer r.closeConn(c)
@@ -126,10 +135,40 @@
 		return
 	}
 	c.SetDeadline(time.Time{})
-	n := r.net
+	out, back, ok := r.net.crossToDial(r.name, to)
+	if !ok {
+		return
+	}
+	upstream, err := net.DialTimeout("tcp4", to.String(), handshakeTimeout)
+	if err != nil {
+		_, _ = c.Write(replyRefused) // the stream ends in any case
+		return
+	}
+	if !r.track(upstream) {
+		return
+	}
+	defer r.closeConn(upstream)
+	if _, err := c.Write(replySucceeded); err != nil {
+		return
+	}
+	var both sync.WaitGroup
+	both.Go(func() { r.net.pipe(in, c, upstream, out) })
+	both.Go(func() { r.net.pipe(upstream, upstream, c, back) })
+	both.Wait()
+}
+
+// Replies to CONNECT (RFC 1928, section 6).
+var (
+	replySucceeded = []byte{5, 0, 0, 1, 0, 0, 0, 0, 0, 0}
+	replyRefused   = []byte{5, 5, 0, 1, 0, 0, 0, 0, 0, 0}
+)
+
+// crossToDial counts a new stream from a member to an address and waits as long as its handshake takes over
+// the links out and back, which it returns. It returns false if a link is blocked or the network closes.
+func (n *Net) crossToDial(from string, address netip.AddrPort) (out, back *link, ok bool) {
 	n.mu.Lock()
-	name := n.memberAt[to]
-	out, back := n.link(r.name, name), n.link(name, r.name)
+	to := n.memberAt[address]
+	out, back = n.link(from, to), n.link(to, from)
 	out.counts.Streams++
 	changed, blocked := n.changed, out.fault.Blocked || back.fault.Blocked
 	if blocked {
@@ -138,40 +177,25 @@
 	delay := n.delay(out.fault) + n.delay(back.fault)
 	n.mu.Unlock()
 	if blocked {
-		// Opening a connection over a cut link finds nobody: it stands until the caller gives up or the
-		// link heals, when the caller's next try gets through.
+		// A dial over a blocked link gets no answer: it waits until the caller gives up or a fault changes; the
+		// caller's retry then gets through.
 		select {
 		case <-time.After(blockedDialTimeout):
 		case <-changed:
 		case <-n.closed:
 		}
-		return
+		return nil, nil, false
 	}
 	select {
 	case <-time.After(delay):
+		return out, back, true
 	case <-n.closed:
-		return
-	}
-	upstream, err := net.DialTimeout("tcp4", to.String(), handshakeTimeout)
-	if err != nil {
-		c.Write([]byte{5, 5, 0, 1, 0, 0, 0, 0, 0, 0}) // connection refused
-		return
+		return nil, nil, false
 	}
-	if !r.track(upstream) {
-		return
-	}
-	defer r.closeConn(upstream)
-	if _, err := c.Write([]byte{5, 0, 0, 1, 0, 0, 0, 0, 0, 0}); err != nil {
-		return
-	}
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); n.pipe(in, c, upstream, out) }()
-	go func() { defer both.Done(); n.pipe(upstream, upstream, c, back) }()
-	both.Wait()
 }
 
-// connect reads the greeting and the request of RFC 1928 and answers the greeting.
+// connect reads the greeting and the request of RFC 1928, answers the greeting and returns the address asked
+// for.
 func connect(in *bufio.Reader, out io.Writer) (netip.AddrPort, error) {
 	var to netip.AddrPort
 	head := make([]byte, 2)
@@ -194,40 +218,20 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(q[4:8])), uint16(q[8])<<8|uint16(q[9])), nil
 }
 
-// chunk is a part of a stream under way: due at a time, or the end.
+// chunk is a part of a stream in transit.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pipe carries one direction of a stream over a link, with its delays, and closes the other side's writing
-// once this side's ends.
+// pipe forwards one direction of a stream over a link, with its delays, and closes the write side of to once
+// in ends. from is the connection that in reads; it is closed if to fails.
 func (n *Net) pipe(in io.Reader, from, to net.Conn, l *link) {
 	inFlight := make(chan chunk, maxChunks)
 	stopped := make(chan struct{})
 	go func() {
 		defer close(inFlight)
-		for {
-			b := make([]byte, chunkSize)
-			size, err := in.Read(b)
-			if size > 0 {
-				n.mu.Lock()
-				wait := n.delay(l.fault)
-				if l.fault.Drop > 0 && n.rng.Float64() < l.fault.Drop {
-					wait += retransmitDelay
-				}
-				l.counts.Bytes += int64(size)
-				n.mu.Unlock()
-				select {
-				case inFlight <- chunk{b[:size], time.Now().Add(wait)}:
-				case <-stopped:
-					return
-				}
-			}
-			if err != nil {
-				return
-			}
-		}
+		n.readChunks(in, l, inFlight, stopped)
 	}()
 	defer close(stopped)
 	for p := range inFlight {
@@ -240,11 +244,43 @@
 		}
 	}
 	if c, ok := to.(*net.TCPConn); ok {
-		c.CloseWrite()
+		_ = c.CloseWrite() // fails only if the stream is broken already
+	}
+}
+
+// readChunks reads a stream's chunks and sends them to inFlight, each due after its delay over the link,
+// until the stream ends or stopped closes.
+func (n *Net) readChunks(in io.Reader, l *link, inFlight chan<- chunk, stopped <-chan struct{}) {
+	for {
+		b := make([]byte, chunkSize)
+		size, err := in.Read(b)
+		if size > 0 {
+			delay := n.chunkDelay(l, size)
+			select {
+			case inFlight <- chunk{b[:size], time.Now().Add(delay)}:
+			case <-stopped:
+				return
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// chunkDelay counts a chunk and draws its delay over a link.
+func (n *Net) chunkDelay(l *link, size int) time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delay := n.delay(l.fault)
+	if l.fault.Drop > 0 && n.rng.Float64() < l.fault.Drop {
+		delay += retransmitDelay
 	}
+	l.counts.Bytes += int64(size)
+	return delay
 }
 
-// waitOpen waits until a piece is due and the link is open; false where the network closes first.
+// waitOpen waits until a chunk is due and the link is open. It returns false if the network closes first.
 func (n *Net) waitOpen(due time.Time, l *link) bool {
 	if wait := time.Until(due); wait > 0 {
 		select {
