--- a/internal/proxy/config/check.go
+++ b/internal/proxy/config/check.go
@@ -10,9 +10,9 @@
 	"cresshub/internal/settingsfile"
 )
 
-// validate finds what is wrong between keys; each by itself has been checked, and one that failed then is
-// left out here, so that no mistake is told twice. What the platform says is held only to what the
-// decisions need, for there it is the platform that must be right.
+// validate reports mistakes between keys. Each key by itself has been checked, and one that failed is left
+// out here, so that no mistake is reported twice. What the platform sets is only held to what the balancer
+// needs: there, the platform has to be right.
 func (c *Config) validate(problems *settingsfile.SettingErrors) {
 	k := &checker{Config: c, SettingErrors: problems, invalid: map[string]bool{}}
 	for _, p := range *problems {
@@ -53,18 +53,19 @@
 	}
 }
 
+// checker is the state of one validation.
 type checker struct {
 	*Config
 	*settingsfile.SettingErrors
-	invalid    map[string]bool // keys and sections with a mistake, as shown
-	unreadable bool            // parts of the file say nothing that can be told
+	invalid    map[string]bool // keys and sections with a mistake of their own, as displayed
+	unreadable bool            // parts of the file could not be read, so that keys may be missing by mistake
 }
 
 func (k *checker) report(o settingsfile.Origin, path, format string, args ...any) {
 	k.Add(o, schema().Display(path), format, args...)
 }
 
-// valid tells whether none of the keys has a mistake of its own.
+// valid reports whether none of the keys has a mistake of its own.
 func (k *checker) valid(paths ...string) bool {
 	return !slices.ContainsFunc(paths, func(p string) bool { return k.invalid[schema().Display(p)] })
 }
@@ -88,7 +89,7 @@
 	}
 }
 
-// checkUnique tells the second use of a word that only one table of a list may have.
+// checkUnique reports a value that a second table of a list has, of a key whose values must differ.
 func (k *checker) checkUnique(list string, n int, word func(int) string, key string) {
 	first := map[string]int{}
 	for i := range n {
@@ -139,7 +140,7 @@
 	}
 }
 
-// originOf tells where the first of the paths stands that somebody set.
+// originOf returns where the first of the paths stands that a source has set.
 func (c *Config) originOf(paths ...string) settingsfile.Origin {
 	for _, p := range paths {
 		if o, ok := c.origins[p]; ok && o.Source != "default" {
@@ -149,7 +150,7 @@
 	return c.fileOrigin()
 }
 
-// fileOrigin is the origin of what should be there and is not: the file that was read, if any.
+// fileOrigin returns the beginning of the file that was read, if any: where a missing key is reported.
 func (c *Config) fileOrigin() settingsfile.Origin {
 	best := settingsfile.Origin{Source: "none", Name: "configuration"}
 	for _, o := range c.origins {
@@ -160,13 +161,13 @@
 	return best
 }
 
-// hallIndex is the number of this instance's hall: the place of its name, or the number behind a "#" where
-// the platform's list of names is shorter; -1 where there is none.
+// hallIndex returns the index of this instance's hall in Halls, or the number after "#" where the platform's
+// list of names is shorter than its numbers; -1 where there is none.
 func (c *Config) hallIndex() int {
 	if i := slices.Index(c.Halls, c.Policy.Hall); i >= 0 {
 		return i
 	}
-	if c.Policy.Hall == "" && len(c.Halls) == 0 { // all stand in one
+	if c.Policy.Hall == "" && len(c.Halls) == 0 { // all servers are in one
 		return 0
 	}
 	if number, ok := strings.CutPrefix(c.Policy.Hall, "#"); ok {
--- a/internal/proxy/config/check_cluster.go
+++ b/internal/proxy/config/check_cluster.go
@@ -2,15 +2,13 @@
 
 import (
 	"net"
-	"slices"
 	"strings"
 	"time"
 
-	"cresshub/internal/cluster/lease"
 	"cresshub/internal/settingsfile"
 )
 
-// checkFleet holds the fleet's keys to each other, and to the platform, which bars talk among proxies.
+// checkFleet checks the fleet's keys against each other and the platform.
 func (k *checker) checkFleet() {
 	f := &k.Fleet
 	if f.Bind == "" {
@@ -43,7 +41,7 @@
 	}
 }
 
-// checkLedger holds the ledger's keys to each other, to the fleet's and to the platform.
+// checkLedger checks the ledger's keys against each other, the fleet's and the platform.
 func (k *checker) checkLedger() {
 	l := &k.Ledger
 	if l.Bind == "" {
@@ -81,67 +79,61 @@
 	}
 }
 
-// HasRole tells whether a chore is among those that the fleet's owner does.
-func (o *Owner) HasRole(role string) bool { return slices.Contains(o.Roles, role) }
-
-// What the fleet's owner may do.
-const (
-	RoleExport = "export"
-	RoleList   = "list"
-)
-
-// LeaseSettings are the owner's lease as package lease wants it.
-func (c *Config) LeaseSettings() lease.Settings {
-	return lease.Settings{TTL: c.Owner.LeaseTTL, Drift: c.Owner.ClockDrift,
-		ElectionTimeout: c.Ledger.ElectionTimeout}
-}
-
-// checkOwner holds the owner's keys to each other, to the ledger's and to the platform.
+// checkOwner checks the roles' keys against each other, the ledger's, discovery's and the platform.
 func (k *checker) checkOwner() {
 	o := &k.Owner
 	if len(o.Roles) == 0 {
 		return
 	}
-	report := func(key, format string, args ...any) {
-		path := "owner." + key
-		k.Add(k.originOf(path, "owner.chores"), path, format, args...)
-	}
 	if k.onPlatform {
-		report("chores", "the platform bars talk among proxies (EDGE_CONFIG is set); "+
+		k.reportOwner("chores", "the platform bars talk among proxies (EDGE_CONFIG is set); "+
 			"leave owner.chores empty there")
 		return
 	}
-	for _, c := range o.Roles {
-		if c != RoleExport && c != RoleList {
-			report("chores", "%q is no chore; there are export and list", c)
+	for _, role := range o.Roles {
+		if role != RoleExport && role != RoleList {
+			k.reportOwner("chores", "%q is no chore; there are export and list", role)
 		}
 	}
 	if k.Ledger.Bind == "" {
-		report("chores", "needs ledger.bind: leases and what chores leave are kept in the ledger's log")
+		k.reportOwner("chores", "needs ledger.bind: leases and what chores leave are kept in the ledger's log")
 	}
 	if o.HasRole(RoleExport) && o.Sink == "" {
-		report("sink", "is missing; export wants the billing sink's host and port")
+		k.reportOwner("sink", "is missing; export wants the billing sink's host and port")
 	}
 	if o.HasRole(RoleList) && k.Discovery.Address == "" && len(k.Servers) > 0 {
-		report("chores", "list asks discovery, and the servers stand in this file")
+		k.reportOwner("chores", "list asks discovery, and the servers stand in this file")
 	}
 	if k.valid("owner.lease", "owner.drift", "ledger.election") {
 		if err := k.LeaseSettings().Check(); err != nil {
-			report("lease", "%v", err)
+			k.reportOwner("lease", "%v", err)
 		}
 	}
-	if o.HasRole(RoleList) && k.valid("owner.list_max_age", "owner.list_poll", "discovery.ask_within") {
+	if o.HasRole(RoleList) {
+		k.checkListAge()
+	}
+}
+
+// checkListAge checks how old the owner's list may get.
+func (k *checker) checkListAge() {
+	o := &k.Owner
+	if k.valid("owner.list_max_age", "owner.list_poll", "discovery.ask_within") {
 		if o.ListMaxAge > k.Discovery.AskWithin && k.Discovery.AskWithin > 0 {
-			report("list_max_age", "%s is beyond discovery.ask_within %s", settingsfile.FormatDuration(o.ListMaxAge),
-				settingsfile.FormatDuration(k.Discovery.AskWithin))
+			k.reportOwner("list_max_age", "%s is beyond discovery.ask_within %s",
+				settingsfile.FormatDuration(o.ListMaxAge), settingsfile.FormatDuration(k.Discovery.AskWithin))
 		}
 		if minAge := 4 * o.ListPollInterval; o.ListMaxAge < minAge {
-			report("list_max_age", "%s is below four list_poll, %s", settingsfile.FormatDuration(o.ListMaxAge),
-				settingsfile.FormatDuration(minAge))
+			k.reportOwner("list_max_age", "%s is below four list_poll, %s",
+				settingsfile.FormatDuration(o.ListMaxAge), settingsfile.FormatDuration(minAge))
 		}
 	}
-	if o.ListMaxAge < o.LeaseTTL && o.HasRole(RoleList) && k.valid("owner.list_max_age", "owner.lease") {
-		report("list_max_age", "%s is below the lease %s: each change of owner would have all ask discovery",
+	if o.ListMaxAge < o.LeaseTTL && k.valid("owner.list_max_age", "owner.lease") {
+		k.reportOwner("list_max_age", "%s is below the lease %s: each change of owner would have all ask discovery",
 			settingsfile.FormatDuration(max(o.ListMaxAge, time.Millisecond)), settingsfile.FormatDuration(o.LeaseTTL))
 	}
 }
+
+func (k *checker) reportOwner(key, format string, args ...any) {
+	path := "owner." + key
+	k.Add(k.originOf(path, "owner.chores"), path, format, args...)
+}
--- a/internal/proxy/config/effective.go
+++ b/internal/proxy/config/effective.go
@@ -11,7 +11,7 @@
 	"cresshub/internal/settingsfile"
 )
 
-// Value is one key as it is in force.
+// Value is one key and its value in force.
 type Value struct {
 	Key    string `json:"key"`
 	Value  any    `json:"value"`
@@ -20,7 +20,7 @@
 	Reload string `json:"reload"`
 }
 
-// Effective returns all keys in their order with where each value came from.
+// Effective returns all keys in the order of the reference page, with where each value came from.
 func (c *Config) Effective() []Value {
 	var all []Value
 	root := reflect.ValueOf(c).Elem()
@@ -50,7 +50,7 @@
 	return all
 }
 
-// displayed is a value as JSON and people read it: times and sizes with their units.
+// displayed returns a value as JSON and people read it: durations and sizes as text with a unit.
 func displayed(f *settingsfile.Field, v reflect.Value) any {
 	switch x := v.Interface().(type) {
 	case time.Duration, Size:
@@ -60,28 +60,28 @@
 	}
 }
 
-// Changed returns the keys whose values differ, sorted into those taken over at once and those that need
-// a restart. Keys read at the start alone are passed over.
+// Changed returns the keys whose values differ: those that are taken over at once and those that need a
+// restart. Keys that are only read at the start are passed over.
 func (c *Config) Changed(next *Config) (live, restart []string) {
 	before := map[string]string{}
 	reload := map[string]string{}
-	record := func(v Value) string { reload[v.Key] = v.Reload; return fmt.Sprint(v.Value) }
 	for _, v := range c.Effective() {
-		before[v.Key] = record(v)
+		before[v.Key] = fmt.Sprint(v.Value)
+		reload[v.Key] = v.Reload
 	}
 	changed := map[string]bool{}
 	for _, v := range next.Effective() {
-		if was, ok := before[v.Key]; !ok || was != record(v) {
+		if was, ok := before[v.Key]; !ok || was != fmt.Sprint(v.Value) {
 			changed[v.Key] = true
 		}
 		reload[v.Key] = v.Reload
 		delete(before, v.Key)
 	}
-	for key := range before { // of a table that is gone
+	for key := range before { // in a table that next doesn't have
 		changed[key] = true
 	}
 	if (c.Discovery.Address == "") != (next.Discovery.Address == "") {
-		reload["discovery.address"] = settingsfile.Restart // servers come from elsewhere then, by other rules
+		reload["discovery.address"] = settingsfile.Restart // [[server]] tables follow other rules
 		maps.DeleteFunc(changed, func(key string, _ bool) bool { return strings.HasPrefix(key, "server[") })
 	}
 	for _, key := range slices.Sorted(maps.Keys(changed)) {
@@ -95,7 +95,7 @@
 	return live, restart
 }
 
-// WithLive returns these values with those of next for all keys that change in a running program.
+// WithLive returns a copy of c with next's values of the keys that change in a running program.
 func (c *Config) WithLive(next *Config) *Config {
 	merged := *c
 	merged.origins = maps.Clone(c.origins)
@@ -110,7 +110,7 @@
 	return &merged
 }
 
-// FromPlatform tells whether the platform's file had a part in the values.
+// FromPlatform reports whether any value came from the platform's file.
 func (c *Config) FromPlatform() bool {
 	for _, o := range c.origins {
 		if o.Source == "platform" {
--- a/internal/proxy/config/load.go
+++ b/internal/proxy/config/load.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"cmp"
 	"maps"
 	"math/rand/v2"
 	"os"
@@ -13,16 +14,16 @@
 
 // Input is where a configuration is read from. Nil functions stand for the process's own.
 type Input struct {
-	File    string            // the own file; "" for none, CRESSHUB_CONFIG then names it
+	File    string            // own file; "" for the one that CRESSHUB_CONFIG names, if any
 	Flags   map[string]string // values by key
 	Environ func() []string
 	Read    func(path string) ([]byte, error)
-	// Reload tells that a running program reads once more: the platform's file was replaced since, and
-	// its discovery goes before EDGE_DISCOVERY, which still says what held at the start.
+	// Reload is set where a running program reads again: the platform may have replaced its file since, so that
+	// its discovery address has precedence over EDGE_DISCOVERY, which is as of the start.
 	Reload bool
 }
 
-// The variables that set keys under names of their own.
+// platformKeys are the keys that the platform's variables set.
 var platformKeys = map[string]string{
 	"EDGE_NAME": "name", "EDGE_LISTEN": "listen.address", "EDGE_DISCOVERY": "discovery.address",
 	"EDGE_OPERATOR": "operator",
@@ -34,8 +35,7 @@
 )
 
 // Load reads all sources and returns the checked values, or settingsfile.SettingErrors with every mistake in
-// any of them. Flags go before variables, those before the platform's file, that before the own file, and
-// what nobody sets has its default.
+// any of them.
 func Load(in Input) (*Config, error) {
 	if in.Environ == nil {
 		in.Environ = os.Environ
@@ -49,27 +49,18 @@
 		env[name] = value
 	}
 	b := schema().NewBuilder()
-	c := &Config{origins: b.Origins, onPlatform: env[platformVariable] != ""}
-	if path := in.File; path != "" || env[fileVariable] != "" {
-		if path == "" {
-			path = env[fileVariable]
-		}
-		if raw, err := in.Read(path); err != nil {
-			b.Problems.Add(settingsfile.NewOrigin("file", path), "", "cannot be read: %v", err)
-		} else {
-			l, problems := schema().ReadTOML(path, raw)
-			b.Problems = append(b.Problems, problems...)
-			b.Add(l)
-		}
+	c := &Config{origins: b.Origins, onPlatform: env[platformVariable] != "", drawnSeed: rand.Uint64()}
+	if path := cmp.Or(in.File, env[fileVariable]); path != "" {
+		addFile(b, path, in.Read)
 	}
 	variables := environment(env, &b.Problems)
 	if path := env[platformVariable]; path != "" {
-		l, err := readPlatform(path, in.Read, c)
+		layer, err := readPlatform(path, in.Read, c)
 		if err != nil {
 			b.Problems.Add(settingsfile.NewOrigin("platform", path), "", "%v", err)
 		} else {
-			b.Add(l)
-			if _, told := l.Values["discovery.address"]; told && in.Reload {
+			b.Add(layer)
+			if _, ok := layer.Values["discovery.address"]; ok && in.Reload {
 				delete(variables.Values, "discovery.address")
 			}
 		}
@@ -77,7 +68,6 @@
 	b.Add(variables)
 	b.Add(flags(in.Flags, &b.Problems))
 	b.Decode(c)
-	c.drawnSeed = rand.Uint64()
 	c.validate(&b.Problems)
 	if err := b.Problems.Err(); err != nil {
 		return nil, err
@@ -85,8 +75,20 @@
 	return c, nil
 }
 
-// environment reads the variables that set keys. One under the program's own prefix that sets nothing is
-// a mistake; others are none of its business.
+// addFile adds the own file.
+func addFile(b *settingsfile.Builder, path string, read func(string) ([]byte, error)) {
+	raw, err := read(path)
+	if err != nil {
+		b.Problems.Add(settingsfile.NewOrigin("file", path), "", "cannot be read: %v", err)
+		return
+	}
+	layer, problems := schema().ReadTOML(path, raw)
+	b.Problems = append(b.Problems, problems...)
+	b.Add(layer)
+}
+
+// environment reads the variables that set keys. One with the program's own prefix that sets no key is a
+// mistake.
 func environment(env map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	l := settingsfile.NewLayer()
 	known := map[string]string{}
@@ -116,6 +118,7 @@
 	return l
 }
 
+// flags reads the values that flags set by key.
 func flags(set map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	l := settingsfile.NewLayer()
 	for _, path := range slices.Sorted(maps.Keys(set)) {
@@ -129,7 +132,7 @@
 	return l
 }
 
-// RandomSeed returns the seed for random choices: as set, or one drawn when the configuration was loaded.
+// RandomSeed returns the seed of random choices: as set, or one drawn when the configuration was loaded.
 func (c *Config) RandomSeed() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -7,10 +7,8 @@
 	"maps"
 	"slices"
 	"strconv"
-	"time"
 
 	"cresshub/balance"
-	"cresshub/internal/proxy/serverlist"
 	"cresshub/internal/proxy/simwire"
 	"cresshub/internal/settingsfile"
 )
@@ -181,53 +179,3 @@
 		ReportsInResponses: p.ReportFrom == "answers",
 	}
 }
-
-// DialLimit is how long a connection may take to stand.
-func (u *Upstream) DialLimit() time.Duration {
-	if u.DialTimeout <= 0 {
-		return 250 * time.Millisecond
-	}
-	return u.DialTimeout
-}
-
-// MaxIdle is how long a connection may have rested to be used again: well short of when its server
-// closes it.
-func (u *Upstream) MaxIdle() time.Duration {
-	if u.IdleClose <= 0 {
-		return time.Second
-	}
-	return time.Duration(float64(u.IdleClose) * u.ReuseFraction)
-}
-
-// ServerList is the servers of the file in discovery's form; nil where they come from discovery. since
-// keeps when each was first named. One that was not named before counts as started now: nothing tells
-// whether it is warm, and a cold one must not be pushed over.
-func (c *Config) ServerList(now time.Time, since map[string]time.Time) json.RawMessage {
-	if len(c.Servers) == 0 {
-		return nil
-	}
-	list := serverlist.Document{Snapshot: true}
-	named := map[string]bool{}
-	for _, s := range c.Servers {
-		key := s.Name + " " + s.Address
-		named[key] = true
-		if _, ok := since[key]; !ok {
-			since[key] = now
-		}
-		e := serverlist.Endpoint{Name: s.Name, Address: s.Address, Zone: s.Hall, Type: s.Kind, Group: s.Cell,
-			Status: "in_service", Weight: s.Weight}
-		if !since[key].IsZero() {
-			e.SinceMS = float64(since[key].UnixMilli())
-		}
-		if s.Draining {
-			e.Status = "terminating"
-		}
-		list.Endpoints = append(list.Endpoints, e)
-	}
-	maps.DeleteFunc(since, func(key string, _ time.Time) bool { return !named[key] })
-	raw, err := json.Marshal(list)
-	if err != nil {
-		return nil // no such value can stand in a checked struct
-	}
-	return raw
-}
--- a/internal/proxy/config/reference.go
+++ b/internal/proxy/config/reference.go
@@ -7,7 +7,7 @@
 	"cresshub/internal/settingsfile"
 )
 
-// sections are the headings of the reference page in the order of the struct.
+// sections returns the names of the sections, in the order of the struct, and the keys of each.
 func sections() (names []string, by map[string][]*settingsfile.Field) {
 	by = map[string][]*settingsfile.Field{}
 	for _, f := range schema().Fields {
@@ -35,23 +35,23 @@
 const preface = `# Configuration
 
 Every key of cresshub.toml. This page is written by "cresshub config docs" from the program itself and a
-test fails where it is stale; change the tags in internal/proxy/config/config.go, not this page.
+test fails where it is stale; change the tags in internal/proxy/config, not this page.
 
 - **Form.** TOML. Times and sizes carry a unit ("250ms", "64KiB"); a bare number where a unit belongs is an
-  error. An unknown key is an error and gets the likely one. All mistakes of a file are told in one go.
+  error. An unknown key is an error and gets the likely one. All mistakes of a file are reported at once.
 - **Precedence.** Flags, then variables, then the platform's file (EDGE_CONFIG), then this file, then
   defaults. Each key outside a list of tables has a variable: CRESSHUB_ and its path in capitals with "_"
   for ".", so CRESSHUB_LOG_LEVEL. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_OPERATOR set name,
   listen.address, discovery.address and operator. CRESSHUB_CONFIG names the file where no flag does.
 - **Reload.** On SIGHUP the file is read again. "live" keys are taken over at once. If a "restart" key has
-  changed, the whole reload is refused and the log names the key; nothing is taken over by halves. "start"
+  changed, the whole reload is refused and the log names the key; no part of it is taken over. "start"
   keys are read at the start alone, and a change is passed over. From the platform's file only live keys
   are taken and the rest waits for the restart.
-- **Checks.** "cresshub config check FILE" tells all mistakes, "cresshub config show" the values in force
+- **Checks.** "cresshub config check FILE" lists all mistakes, "cresshub config show" the values in force
   and where each comes from, "cresshub config init" writes a file to begin with.
 `
 
-// Reference returns the reference page of all keys, in Markdown.
+// Reference returns the reference page of all keys, docs/CONFIGURATION.md.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString(preface)
@@ -80,15 +80,17 @@
 	return b.String()
 }
 
-// wrap breaks text at 105 columns and indents what follows the first line.
+const pageWidth = 105
+
+// wrap breaks text into lines of pageWidth and indents all but the first.
 func wrap(text, indent string) string {
 	var b strings.Builder
-	left := 105
+	left := pageWidth
 	for i, w := range strings.Fields(text) {
 		if i > 0 {
 			if len(w)+1 > left {
 				b.WriteString("\n" + indent)
-				left = 105 - len(indent)
+				left = pageWidth - len(indent)
 			} else {
 				b.WriteString(" ")
 				left--
@@ -101,11 +103,11 @@
 }
 
 const initialHeader = `# Configuration of cresshub. Lines that begin with "#" show defaults; what stands
-# without it is an example to be changed. "cresshub config check FILE" tells every mistake.
+# without it is an example to be changed. "cresshub config check FILE" lists every mistake.
 
 `
 
-// examples are the keys of a first file that are set, in the form of the file.
+// examples are the keys that a first file sets, in the form of the file.
 var examples = map[string]string{
 	"halls": `["kita"]`, "listen.address": `"127.0.0.1:8080"`, "policy.hall": `"kita"`,
 	"class[].name": `"zone-lookup"`, "class[].aim": `"600ms"`, "class[].deadline": `"1500ms"`,
@@ -114,7 +116,8 @@
 	"server[].name": `"zone-1"`, "server[].address": `"127.0.0.1:9001"`, "server[].hall": `"kita"`,
 }
 
-// InitialFile returns a file to begin with: every key with its meaning, those that have one at their default.
+// InitialFile returns a file to begin with: every key with its documentation, set to an example or, as a
+// comment, to its default.
 func InitialFile() string {
 	var b strings.Builder
 	b.WriteString(initialHeader)
@@ -143,7 +146,7 @@
 	return b.String()
 }
 
-// defaultTOML is the default as the file would hold it.
+// defaultTOML returns a key's default as the file would hold it.
 func defaultTOML(f *settingsfile.Field) string {
 	v, err := f.Decode(settingsfile.Text(f.Default))
 	if err != nil {
