--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -58,6 +58,7 @@
 }
 
 func quickZone(b *testing.B) *nettest.ScriptedServer {
+	b.Helper()
 	return nettest.Serve(b, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("done\n") }))
 }
 
@@ -130,6 +131,7 @@
 
 // free is an address that nobody listens at now.
 func free(b *testing.B) string {
+	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -197,6 +199,7 @@
 
 // resident is a process's resident memory in MB.
 func resident(b *testing.B, pid int) float64 {
+	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		b.Fatal(err)
--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -45,6 +45,7 @@
 // largeZone is a zone server: it answers with a body as long as the query's size asks, chunked where it says
 // so, and tells in a header the sum of the body it got. Raw answers replace that by id.
 func largeZone(t *testing.T, raw func(q *http1.Request, body *http1.Body, c *connbuffer.Conn) bool) string {
+	t.Helper()
 	return nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
 			q, body, err := http1.ReadRequestHead(c.In)
--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -74,13 +74,13 @@
 }
 
 // run starts the program with arguments and variables; its log can be read by expect.
-func run(t testing.TB, file string, args []string, env ...string) *process {
-	t.Helper()
-	return spawn(t, exec.Command(os.Args[0], args...), file, env...)
+func run(tb testing.TB, file string, args []string, env ...string) *process {
+	tb.Helper()
+	return spawn(tb, exec.Command(os.Args[0], args...), file, env...)
 }
 
-func spawn(t testing.TB, cmd *exec.Cmd, file string, env ...string) *process {
-	t.Helper()
+func spawn(tb testing.TB, cmd *exec.Cmd, file string, env ...string) *process {
+	tb.Helper()
 	p := &process{cmd: cmd, config: file}
 	p.cmd.Env = append(append(os.Environ(), asProgram+"=1"), env...)
 	out, err := p.cmd.StderrPipe()
@@ -88,10 +88,10 @@
 		err = p.cmd.Start()
 	}
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	p.log, p.pipe = bufio.NewScanner(out), out
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		p.cmd.Process.Kill()
 		p.cmd.Wait()
 	})
@@ -99,14 +99,14 @@
 }
 
 // expect reads the log up to a line that holds word.
-func (p *process) expect(t testing.TB, word string) string {
-	t.Helper()
+func (p *process) expect(tb testing.TB, word string) string {
+	tb.Helper()
 	for p.log.Scan() {
 		if strings.Contains(p.log.Text(), word) {
 			return p.log.Text()
 		}
 	}
-	t.Fatalf("the log ended without %q", word)
+	tb.Fatalf("the log ended without %q", word)
 	return ""
 }
 
--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"cresshub/internal/connbuffer"
 	"fmt"
 	"io"
 	"net"
@@ -13,6 +12,8 @@
 	"testing"
 	"time"
 
+	"cresshub/internal/connbuffer"
+
 	"cresshub/internal/http1"
 	"cresshub/internal/testbed/nettest"
 )
