--- a/internal/testbed/routerstandin/client.go
+++ b/internal/testbed/routerstandin/client.go
@@ -83,65 +83,66 @@
 
 // Do sends a request until it is served or nothing more may be attempted.
 func (c *Client) Do(ctx context.Context, r *Request) Result {
-	a := &pendingRequest{client: c, request: r, began: time.Now()}
-	a.deadline = a.began.Add(r.Kind.Deadline)
+	p := &pendingRequest{client: c, request: r, began: time.Now()}
+	p.deadline = p.began.Add(r.Kind.Deadline)
 	for {
-		end := a.sendOnce(ctx)
-		if ctx.Err() != nil && !end.served {
+		last := p.sendOnce(ctx)
+		if ctx.Err() != nil && !last.served {
 			return Result{Kind: r.Kind, Outcome: Interrupted}
 		}
-		if !a.mayRetry(end) || !Sleep(ctx, a.backoff(end)) {
-			return a.result(end)
+		if !p.mayRetry(last) || !Sleep(ctx, p.backoff(last)) {
+			return p.result(last)
 		}
 	}
 }
 
 // Probe sends a request once to a proxy, and returns the status of the answer, 0 for none.
 func (c *Client) Probe(ctx context.Context, proxy Proxy, r *Request) int {
-	a := &pendingRequest{client: c, request: r, began: time.Now(), proxy: &proxy}
-	a.deadline = a.began.Add(r.Kind.Deadline)
-	return a.sendOnce(ctx).status
+	p := &pendingRequest{client: c, request: r, began: time.Now(), proxy: &proxy}
+	p.deadline = p.began.Add(r.Kind.Deadline)
+	return p.sendOnce(ctx).status
 }
 
 func (p *pendingRequest) timeLeft() time.Duration { return time.Until(p.deadline) }
 
 // mayRetry reports whether the request may be retried.
-func (p *pendingRequest) mayRetry(end attemptResult) bool {
+func (p *pendingRequest) mayRetry(last attemptResult) bool {
 	maxRetries := p.request.Kind.Retries
 	if p.client.Impatient {
 		maxRetries += 2
 	}
-	if end.served || p.attempts > maxRetries || p.timeLeft() < minAttemptTime {
+	if last.served || p.attempts > maxRetries || p.timeLeft() < minAttemptTime {
 		return false
 	}
 	switch {
-	case end.status == 400 || end.status == 401 || end.status == 404 || end.status == 413 || end.status == 431:
+	case last.status == 400 || last.status == 401 || last.status == 404 || last.status == 413 ||
+		last.status == 431:
 		return false
-	case guaranteesNotRun(end.status) || end.unread:
+	case guaranteesNotRun(last.status) || last.unread:
 		return true
 	}
 	return p.request.Kind.idempotent()
 }
 
 // backoff is how long the client waits before its next attempt.
-func (p *pendingRequest) backoff(end attemptResult) time.Duration {
+func (p *pendingRequest) backoff(last attemptResult) time.Duration {
 	switch {
 	case p.client.Impatient:
 		return 0
-	case end.retryAfter > 0:
-		return min(end.retryAfter, p.timeLeft()/retryAfterDivisor)
+	case last.retryAfter > 0:
+		return min(last.retryAfter, p.timeLeft()/retryAfterDivisor)
 	}
 	return failureBackoff
 }
 
-func (p *pendingRequest) result(end attemptResult) Result {
+func (p *pendingRequest) result(last attemptResult) Result {
 	kind := p.request.Kind
-	r := Result{Kind: kind, Outcome: Failed, Latency: p.latency, Attempts: p.attempts, Reason: end.reason}
+	r := Result{Kind: kind, Outcome: Failed, Latency: p.latency, Attempts: p.attempts, Reason: last.reason}
 	switch {
-	case end.served:
+	case last.served:
 		r.Outcome = Served
 		r.InTime = p.latency <= kind.LatencyTarget && (kind.GapTarget == 0 || p.stream.longestGap <= kind.GapTarget)
-	case guaranteesNotRun(end.status):
+	case guaranteesNotRun(last.status):
 		r.Outcome = Rejected
 	}
 	return r
@@ -193,9 +194,9 @@
 
 // eventTimeout is how long a client waits for the next event of a stream, and for any other answer.
 func (k *Kind) eventTimeout() time.Duration {
-	const minWait, aims, gaps = 2 * time.Second, 4, 8
+	const minWait, targets, gaps = 2 * time.Second, 4, 8
 	if k.Class != fleetconfig.Stream {
 		return k.Deadline
 	}
-	return max(minWait, aims*k.LatencyTarget, gaps*k.GapTarget)
+	return max(minWait, targets*k.LatencyTarget, gaps*k.GapTarget)
 }
--- a/internal/testbed/routerstandin/client_answer.go
+++ b/internal/testbed/routerstandin/client_answer.go
@@ -54,7 +54,7 @@
 	var malformed *http1.MalformedError
 	switch {
 	case ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded): // the client ended it
-		o.recordAnswer(attempt, 0, false, false)
+		o.recordNotServed(attempt, 0)
 		return attemptResult{reason: "no answer in time"}
 	case errors.As(err, &malformed):
 		o.RecordViolation(RuleMixed, "try %s got bytes from %s that are no answer: %v", attempt.id, attempt.machine,
@@ -79,8 +79,11 @@
 	if err != nil {
 		return p.unanswered(ctx, conn, attempt, err)
 	}
-	ownAnswer := head.Header.Get(stampHeader) == ""
-	p.client.observations.recordAnswer(attempt, head.Status, ownAnswer, false)
+	if head.Header.Get(stampHeader) == "" {
+		p.client.observations.recordProxyFailure(attempt, head.Status)
+	} else {
+		p.client.observations.recordNotServed(attempt, head.Status)
+	}
 	p.client.putIdle(conn, head)
 	return attemptResult{status: head.Status, reason: fmt.Sprintf("%d: %s", head.Status, bytes.TrimSpace(text)),
 		retryAfter: retryAfterOf(head.Header.Get(retryHeader))}
@@ -95,7 +98,7 @@
 	if run == nil || run.attempt != attempt || head.Header.Get("Content-Encoding") != "" {
 		o.RecordViolation(RuleMixed, "try %s got a success from %s with the stamp %q, which is not its server's",
 			attempt.id, attempt.machine, stamp)
-		o.recordAnswer(attempt, head.Status, false, false)
+		o.recordNotServed(attempt, head.Status)
 		conn.Close()
 		return attemptResult{status: head.Status, reason: "an answer that is not its server's"}
 	}
@@ -108,7 +111,7 @@
 	if err != nil {
 		return p.unanswered(ctx, conn, attempt, err)
 	}
-	o.recordAnswer(attempt, head.Status, false, true)
+	o.recordServed(attempt, head.Status)
 	p.client.putIdle(conn, head)
 	return attemptResult{status: head.Status, served: true}
 }
--- a/internal/testbed/routerstandin/client_stream.go
+++ b/internal/testbed/routerstandin/client_stream.go
@@ -82,24 +82,24 @@
 
 // checkEvent checks an event against those before it.
 func (p *pendingRequest) checkEvent(attempt *attempt, e *event) {
-	o, s := p.client.observations, &p.stream
+	o, stream := p.client.observations, &p.stream
 	run := o.runByStamp(e.stamp)
 	switch {
 	case run == nil || run.attempt != attempt:
 		o.RecordViolation(RuleMixed, "try %s got an event of another request: %+v", attempt.id, *e)
-	case e.first != s.lastToken+1 || e.id != e.last:
-		o.RecordViolation(RuleOrder, "try %s got event %+v after token %d", attempt.id, *e, s.lastToken)
-	case s.lastRun != nil && s.lastRun != run && !p.request.Kind.Resumable:
-		o.RecordViolation(RuleOrder, "try %s got events of the runs %s and %s", attempt.id, s.lastRun.stamp,
+	case e.first != stream.lastToken+1 || e.id != e.last:
+		o.RecordViolation(RuleOrder, "try %s got event %+v after token %d", attempt.id, *e, stream.lastToken)
+	case stream.lastRun != nil && stream.lastRun != run && !p.request.Kind.Resumable:
+		o.RecordViolation(RuleOrder, "try %s got events of the runs %s and %s", attempt.id, stream.lastRun.stamp,
 			run.stamp)
 	}
 	now := time.Now()
-	if s.lastAt.IsZero() {
+	if stream.lastAt.IsZero() {
 		p.latency = now.Sub(p.began)
 	} else {
-		s.longestGap = max(s.longestGap, now.Sub(s.lastAt))
+		stream.longestGap = max(stream.longestGap, now.Sub(stream.lastAt))
 	}
-	s.lastToken, s.lastRun, s.lastAt = e.last, run, now
+	stream.lastToken, stream.lastRun, stream.lastAt = e.last, run, now
 }
 
 // checkEnd checks that a stream that ends as complete has its last event.
--- a/internal/testbed/routerstandin/model_test.go
+++ b/internal/testbed/routerstandin/model_test.go
@@ -22,7 +22,7 @@
 	return answer
 }
 
-// known returns the header of a request of a kind that a client has sent.
+// knownRequest returns a request that a client is recorded to have sent, with its header.
 func (w *world) knownRequest(kind *Kind) (request *Request, header []http1.Field) {
 	w.number++
 	request = NewRequest(kind, w.number)
--- a/internal/testbed/routerstandin/observations.go
+++ b/internal/testbed/routerstandin/observations.go
@@ -35,7 +35,8 @@
 	drains           int // servers that drained while the core was stable
 	unackedDrains    int // those of them whose drain was not acknowledged
 	denials          int
-	// lostOnReusedConns counts attempts on reused connections without an answer though a sound server had them.
+	// lostOnReusedConns counts attempts on reused connections that got no answer though a healthy server had
+	// them.
 	lostOnReusedConns int
 	allRestartedAt    time.Time // when all processes were back after the loss of all
 	judged            bool
@@ -116,17 +117,17 @@
 
 // recordArrival records that a server got a request, and checks that it is what a client sent. It returns nil
 // where no client sent such a request.
-func (o *Observations) recordArrival(server *Server, q *http1.Request) *arrival {
+func (o *Observations) recordArrival(server *Server, request *http1.Request) *arrival {
 	ackedAt, ackedBy := server.drainAckedAt()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	attempt := o.attempts[q.Header.Get(attemptIDHeader)]
+	attempt := o.attempts[request.Header.Get(attemptIDHeader)]
 	if attempt == nil {
 		o.verdicts.record(RuleUnasked, "server %s got id %q, which no client sent", server.ID(),
-			q.Header.Get(attemptIDHeader))
+			request.Header.Get(attemptIDHeader))
 		return nil
 	}
-	o.checkUnchanged(attempt, q)
+	o.checkUnchanged(attempt, request)
 	a := &arrival{attempt: attempt, server: server.ID(), service: server.options.Service, at: time.Now()}
 	attempt.arrivals = append(attempt.arrivals, a)
 	late := !ackedAt.IsZero() && a.at.Sub(ackedAt) > o.bounds.Drain
@@ -139,14 +140,15 @@
 	return a
 }
 
-func (o *Observations) checkUnchanged(attempt *attempt, q *http1.Request) {
-	r := attempt.request
-	if q.Method != r.Method || q.Target != r.Target || !bytes.Equal(q.Body, r.Body) {
-		o.verdicts.record(RuleUnasked, "try %s reached a server changed: %s %s with %d bytes", attempt.id, q.Method,
-			q.Target, len(q.Body))
+func (o *Observations) checkUnchanged(attempt *attempt, request *http1.Request) {
+	expected := attempt.request
+	if request.Method != expected.Method || request.Target != expected.Target ||
+		!bytes.Equal(request.Body, expected.Body) {
+		o.verdicts.record(RuleUnasked, "try %s reached a server changed: %s %s with %d bytes", attempt.id,
+			request.Method, request.Target, len(request.Body))
 	}
-	resumed, _ := strconv.Atoi(q.Header.Get(lastEventHeader))
-	if resumed < attempt.resumeAfter || resumed != attempt.resumeAfter && !r.Kind.idempotent() {
+	resumed, _ := strconv.Atoi(request.Header.Get(lastEventHeader))
+	if resumed < attempt.resumeAfter || resumed != attempt.resumeAfter && !expected.Kind.idempotent() {
 		o.verdicts.record(RuleOrder, "try %s reached a server with Last-Event-Id %d", attempt.id, resumed)
 	}
 }
@@ -192,14 +194,27 @@
 	a.attempt.aborted = true
 }
 
-// recordAnswer records the end of an attempt with a complete answer.
-func (o *Observations) recordAnswer(attempt *attempt, status int, ownAnswer, served bool) {
+// recordServed records the end of an attempt with a success.
+func (o *Observations) recordServed(attempt *attempt, status int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	attempt.status, attempt.served, attempt.endedAt = status, served, time.Now()
-	if ownAnswer {
-		o.judgeDenial(attempt)
-	}
+	attempt.status, attempt.served, attempt.endedAt = status, true, time.Now()
+}
+
+// recordNotServed records the end of an attempt with a complete answer that does not serve it, or, with
+// status 0, by its client.
+func (o *Observations) recordNotServed(attempt *attempt, status int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	attempt.status, attempt.endedAt = status, time.Now()
+}
+
+// recordProxyFailure records the end of an attempt with a failure that the proxy itself answered.
+func (o *Observations) recordProxyFailure(attempt *attempt, status int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	attempt.status, attempt.endedAt = status, time.Now()
+	o.judgeDenial(attempt)
 }
 
 // recordConnLost records that an attempt ended without a complete answer.
--- a/internal/testbed/routerstandin/proxy_test.go
+++ b/internal/testbed/routerstandin/proxy_test.go
@@ -79,7 +79,7 @@
 	return p.call(p.world.lookup, request)
 }
 
-// prefill has a server compute the prefix cache of the prompt and returns its handle.
+// readPrompt has a server compute the prefix cache of the prompt and returns its address and handle.
 func (p *fakeProxy) readPrompt(request *http1.Request) string {
 	text := p.call(p.world.prefillServer, request, field(stageHeader, StagePrefill))
 	_, body, _ := strings.Cut(text, "\r\n\r\n")
--- a/internal/testbed/routerstandin/rude_client.go
+++ b/internal/testbed/routerstandin/rude_client.go
@@ -77,7 +77,7 @@
 }
 
 // abandon records that the client does not wait for an answer.
-func (c *RudeClient) abandon(attempt *attempt) { c.observations.recordAnswer(attempt, 0, false, false) }
+func (c *RudeClient) abandon(attempt *attempt) { c.observations.recordNotServed(attempt, 0) }
 
 func (c *RudeClient) sendNothing(ctx context.Context, _ *clientConn) {
 	Sleep(ctx, time.Duration(c.random.IntN(500))*time.Millisecond)
--- a/internal/testbed/routertrial/faults.go
+++ b/internal/testbed/routertrial/faults.go
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// roll stops and starts every machine in turn. A machine with a disk counts as lost for a while after its
-// return, and no other one may be stopped meanwhile.
+// rollingRestart terminates and restarts every machine in turn. A machine with a disk counts as lost until it
+// has caught up, and no other one may be terminated meanwhile.
 func (f *Fleet) rollingRestart(ctx context.Context) error {
 	for _, m := range f.Machines {
 		f.logEvent("%s gets SIGTERM", m.Name)
--- a/internal/testbed/routertrial/fleet.go
+++ b/internal/testbed/routertrial/fleet.go
@@ -167,13 +167,13 @@
 
 // StartMachines starts the processes of all machines at the same time.
 func (f *Fleet) StartMachines(ctx context.Context, firstStart bool) error {
-	problems := make([]error, len(f.Machines))
+	errs := make([]error, len(f.Machines))
 	var starting sync.WaitGroup
 	for i, machine := range f.Machines {
-		starting.Go(func() { problems[i] = machine.Start(ctx, firstStart) })
+		starting.Go(func() { errs[i] = machine.Start(ctx, firstStart) })
 	}
 	starting.Wait()
-	return errors.Join(problems...)
+	return errors.Join(errs...)
 }
 
 // WithDisk returns the machines that have a disk, or those that have none.
--- a/internal/testbed/routertrial/hunt_test.go
+++ b/internal/testbed/routertrial/hunt_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// The hunt is played on demand: go test ./internal/testbed/routertrial -run TestHunt -hunt 20 -timeout 1h
+// The hunt runs on demand: go test ./internal/testbed/routertrial -run TestHunt -hunt 20 -timeout 1h
 var (
 	huntTrials = flag.Int("hunt", 0, "trials with troubles drawn at random")
 	huntSeed   = flag.Uint64("hunt-seed", 1, "seed of the first of these trials")
@@ -76,8 +76,8 @@
 	}
 }
 
-// step plays a fault of machines to its end, and at the same time for some of the steps a fault of
-// servers and a change of the configuration.
+// step injects a fault of machines and waits for its end, and at the same time for some of the steps a fault
+// of servers and a change of the configuration.
 func (h *hunt) step() {
 	changed, faulted := make(chan error, 1), make(chan error, 1)
 	sometimes := func(result chan error, play func() error) {
--- a/internal/testbed/routertrial/network.go
+++ b/internal/testbed/routertrial/network.go
@@ -48,20 +48,20 @@
 func reserveNetwork(machines, servers int) (*network, error) {
 	first := os.Getpid() % networkCount // concurrent trials begin with different ones
 	var notes []string
-	var problem error
+	var lastErr error
 	for i := range maxNetworksProbed {
 		prefix := fmt.Sprintf("127.%d.%d.", secondOctet, (first+i)%networkCount)
 		n := &network{prefix: prefix, port: firstPort + i*portsEach}
-		if problem = n.reserve(machines, servers); problem == nil {
+		if lastErr = n.reserve(machines, servers); lastErr == nil {
 			n.notes = notes
 			return n, nil
 		}
-		if !errors.Is(problem, syscall.EADDRINUSE) {
+		if !errors.Is(lastErr, syscall.EADDRINUSE) {
 			break
 		}
-		notes = append(notes, fmt.Sprintf("%v; looking at other addresses", problem))
+		notes = append(notes, fmt.Sprintf("%v; looking at other addresses", lastErr))
 	}
-	return nil, &NoAddressesError{problem}
+	return nil, &NoAddressesError{lastErr}
 }
 
 func (n *network) reserve(machines, servers int) error {
--- a/internal/testbed/routertrial/soak.go
+++ b/internal/testbed/routertrial/soak.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// The number of faults in a round, and the time within which they begin.
+	// A round has from minFaults to maxFaults faults, which begin within roundSpread.
 	minFaults            = 2
 	maxFaults            = 4
 	roundSpread          = 1200 * time.Millisecond
 	betweenRounds        = 300 * time.Millisecond
-	catchUpEvery         = 4 // one round in so many begins only after catchUp
-	minServedAfterFaults = 60
+	catchUpEvery         = 4  // one round in so many begins only after catchUp
+	minServedAfterFaults = 60 // requests, until a soak counts as recovered
 	// recoveryBound is how long after the end of all faults every machine must be ready and know every server;
 	// up to two seconds of it go to the readiness checks of the platform.
 	recoveryBound = 12 * time.Second
@@ -68,11 +68,11 @@
 	wiping       bool
 	injected     map[string]int
 
-	operating sync.Mutex // held while somebody changes the configuration
+	configMu sync.Mutex // held while a configuration change is in progress
 }
 
-// Soak plays rounds of overlapping faults on a small fleet of real processes, while clients of all manners
-// send, and checks the rules. The error is what ended the soak early.
+// Soak injects rounds of overlapping faults into a small fleet of real processes, while well-behaved and rude
+// clients send, and checks the rules. The error is what ended the soak early.
 func Soak(ctx context.Context, options SoakOptions) (*SoakReport, error) {
 	fleet, err := StartFleet(ctx, Options{Program: options.Program, Rate: options.Rate, Seed: options.Seed,
 		Log: options.Log, FaultInjection: true, LogLevel: options.LogLevel, Large: options.Large})
@@ -89,36 +89,36 @@
 	return s.run(ctx)
 }
 
-// play runs the rounds beside the clients, and judges.
+// run injects the rounds of faults while clients send, and judges.
 func (s *soak) run(ctx context.Context) (*SoakReport, error) {
 	s.startClock()
 	load := s.NewLoad()
-	sending := make(chan struct{})
-	beside, stop := context.WithCancel(ctx)
+	stopLoad := make(chan struct{})
+	backgroundCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var under sync.WaitGroup
-	under.Go(func() { load.Run(ctx, sending) })
-	under.Go(func() { s.readConfigurations(beside) })
-	under.Go(func() { s.watchMetrics(beside) })
+	var background sync.WaitGroup
+	background.Go(func() { load.Run(ctx, stopLoad) })
+	background.Go(func() { s.readConfigurations(backgroundCtx) })
+	background.Go(func() { s.watchMetrics(backgroundCtx) })
 	rude := routerstandin.NewRudeClient(s.Entry, s.Observations, kinds, s.options.Seed, s.nextNumber)
-	under.Go(func() { rude.Run(beside, rudeInterval) })
-	problem := s.injectRounds(ctx)
-	if problem == nil {
-		problem = s.checkServingAfterFaults(ctx, load)
+	background.Go(func() { rude.Run(backgroundCtx, rudeInterval) })
+	err := s.injectRounds(ctx)
+	if err == nil {
+		err = s.checkServingAfterFaults(ctx, load)
 	}
-	close(sending)
+	close(stopLoad)
 	stop()
-	under.Wait()
-	if problem == nil {
-		problem = s.readBackEverywhere(ctx)
+	background.Wait()
+	if err == nil {
+		err = s.readBackEverywhere(ctx)
 	}
-	if problem == nil {
-		problem = s.checkLeaks(ctx)
+	if err == nil {
+		err = s.checkLeaks(ctx)
 	}
 	report := &SoakReport{Seed: s.options.Seed, Seconds: s.elapsed().Seconds(), Injected: s.injected,
 		Total: load.Tally().Total(), Reasons: load.Tally().Reasons(), Rules: s.Observations.Judge(),
 		Events: s.Events()}
-	return report, errors.Join(ctx.Err(), problem)
+	return report, errors.Join(ctx.Err(), err)
 }
 
 func (s *soak) nextNumber() int { return int(s.requests.Add(1)) }
@@ -132,11 +132,11 @@
 		if err := s.awaitRecovery(ctx); err != nil {
 			return err
 		}
-		pause := betweenRounds
+		interval := betweenRounds
 		if s.random.IntN(catchUpEvery) == 0 {
-			pause = catchUp
+			interval = catchUp
 		}
-		if !routerstandin.Sleep(ctx, pause) {
+		if !routerstandin.Sleep(ctx, interval) {
 			return ctx.Err()
 		}
 	}
@@ -146,7 +146,7 @@
 // injectRound injects some faults that begin at almost the same time, and waits for their end.
 func (s *soak) injectRound(ctx context.Context) error {
 	count := minFaults + s.random.IntN(maxFaults-minFaults+1)
-	problems := make([]error, count)
+	errs := make([]error, count)
 	var injecting sync.WaitGroup
 	for i := range count {
 		fault := s.faults[s.random.IntN(len(s.faults))]
@@ -154,13 +154,13 @@
 		delay := time.Duration(s.random.Int64N(int64(roundSpread)))
 		injecting.Go(func() {
 			if routerstandin.Sleep(ctx, delay) {
-				problems[i] = fault.inject(ctx, s, rng)
+				errs[i] = fault.inject(ctx, s, rng)
 			}
 		})
 		s.injected[fault.name]++
 	}
 	injecting.Wait()
-	return errors.Join(problems...)
+	return errors.Join(errs...)
 }
 
 // awaitRecovery waits until every machine is ready and knows every server again; more than recoveryBound is a
@@ -201,10 +201,10 @@
 	})
 }
 
-// change has the operator make a change on top of the configuration that the fleet shows now.
+// changeConfig has the operator make a change on top of the configuration that the fleet shows now.
 func (s *soak) changeConfig(ctx context.Context) error {
-	s.operating.Lock()
-	defer s.operating.Unlock()
+	s.configMu.Lock()
+	defer s.configMu.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := s.Operator.Refresh(bounded); err != nil {
--- a/internal/testbed/routertrial/soak_client_faults.go
+++ b/internal/testbed/routertrial/soak_client_faults.go
@@ -25,8 +25,8 @@
 
 // injectConfigRace has two operators change the same version at once.
 func injectConfigRace(ctx context.Context, s *soak, rng *rand.Rand) error {
-	s.operating.Lock()
-	defer s.operating.Unlock()
+	s.configMu.Lock()
+	defer s.configMu.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := s.Operator.Refresh(bounded); err != nil {
--- a/internal/testbed/routertrial/soak_test.go
+++ b/internal/testbed/routertrial/soak_test.go
@@ -10,8 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The long soak is played on demand: go test ./internal/testbed/routertrial -run TestSoak -soak 50 -timeout
-// 2h
+// The long soak runs on demand: go test ./internal/testbed/routertrial -run TestSoak -soak 50 -timeout 2h
 var (
 	soakSeeds = flag.Int("soak", 2, "soaks of overlapping troubles drawn at random")
 	soakFirst = flag.Uint64("soak-first", 1, "seed of the first of these soaks")
@@ -29,7 +28,7 @@
 	}
 }
 
-// Each fault of the soak is played once by itself, so that each of them is known to work.
+// Each fault of the soak is injected once by itself, so that each of them is known to work.
 func TestEachSoakFault(t *testing.T) {
 	skipIfShort(t)
 	for at, name := range SoakFaultNames() {
--- a/internal/testbed/routertrial/trial.go
+++ b/internal/testbed/routertrial/trial.go
@@ -75,25 +75,25 @@
 func (f *Fleet) Run(ctx context.Context) (*Report, error) {
 	f.startClock()
 	load := f.NewLoad()
-	over, cancel := context.WithCancel(ctx)
+	progressCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if f.options.OnProgress != nil {
-		f.background.Go(func() { f.reportProgress(over, load) })
+		f.background.Go(func() { f.reportProgress(progressCtx, load) })
 	}
-	sending := make(chan struct{})
-	played := make(chan error, 1)
+	stopLoad := make(chan struct{})
+	scriptDone := make(chan error, 1)
 	go func() {
-		defer close(sending)
-		played <- f.runScript(ctx)
+		defer close(stopLoad)
+		scriptDone <- f.runScript(ctx)
 	}()
-	load.Run(ctx, sending)
-	problem := <-played
-	if problem == nil && routerstandin.Sleep(ctx, quietTime) {
+	load.Run(ctx, stopLoad)
+	err := <-scriptDone
+	if err == nil && routerstandin.Sleep(ctx, quietTime) {
 		bounded, cancel := context.WithTimeout(ctx, readBackTimeout)
 		defer cancel()
-		problem = f.Operator.ReadBack(bounded)
+		err = f.Operator.ReadBack(bounded)
 	}
-	return f.report(load), errors.Join(ctx.Err(), problem)
+	return f.report(load), errors.Join(ctx.Err(), err)
 }
 
 // runScript changes the configuration, injects the fault, and returns when the clients may stop.
@@ -113,11 +113,11 @@
 			routerstandin.Sleep(ctx, afterFault)
 		}
 	}
-	problem := errors.Join(<-changed, faultErr)
-	if problem == nil {
+	err := errors.Join(<-changed, faultErr)
+	if err == nil {
 		routerstandin.Sleep(ctx, time.Until(until))
 	}
-	return problem
+	return err
 }
 
 func (f *Fleet) reportProgress(ctx context.Context, load *routerstandin.Load) {
@@ -151,7 +151,7 @@
 	return time.Since(f.startedAt)
 }
 
-// event records an event of the trial, with the time since clients began to send.
+// logEvent records an event of the trial, with the time since clients began to send.
 func (f *Fleet) logEvent(format string, args ...any) {
 	line := fmt.Sprintf("%6.2f s  ", f.elapsed().Seconds()) + fmt.Sprintf(format, args...)
 	f.eventsMu.Lock()
