--- /dev/null
+++ b/internal/proxy/cli/admin.go
@@ -0,0 +1,49 @@
+package cli
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/spf13/cobra"
+)
+
+// adminTimeout bounds one call on the admin API, which answers within a second.
+const adminTimeout = 2 * time.Second
+
+// addDoorFlag adds the flag with the address of a proxy's admin API.
+func addDoorFlag(c *cobra.Command, address *string) {
+	c.Flags().StringVar(address, "door", "127.0.0.1:9901", "host and port of the proxy's operators' door")
+}
+
+// getPage reads a page of a proxy's admin API into the value that into points to. missing says what a proxy
+// without that page lacks.
+func getPage(address, path, missing string, into any) error {
+	return callAdmin(http.MethodGet, address, path, missing, into)
+}
+
+// callAdmin makes a call on a proxy's admin API and decodes its answer, within adminTimeout.
+func callAdmin(method, address, path, missing string, into any) error {
+	client := http.Client{Timeout: adminTimeout}
+	request, err := http.NewRequest(method, "http://"+address+path, nil)
+	if err != nil {
+		return err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return fmt.Errorf("the door at %s: %w", address, err)
+	}
+	defer response.Body.Close()
+	switch response.StatusCode {
+	case http.StatusOK:
+	case http.StatusNotFound:
+		return fmt.Errorf("the proxy at %s %s", address, missing)
+	default:
+		return fmt.Errorf("the door at %s answered %s", address, response.Status)
+	}
+	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
+		return fmt.Errorf("the door at %s: its page does not decode: %w", address, err)
+	}
+	return nil
+}
--- a/internal/proxy/cli/cli_test.go
+++ b/internal/proxy/cli/cli_test.go
@@ -11,7 +11,7 @@
 )
 
 // Every command says what it is for and shows how it is called; examples name commands that are there.
-func TestHelpIsWhole(t *testing.T) {
+func TestEveryCommandHasHelpAndWorkingExamples(t *testing.T) {
 	root := newRoot(nil)
 	RejectBareGroups(root)
 	var walk func(c *cobra.Command)
@@ -44,9 +44,9 @@
 	walk(root)
 }
 
-// With the platform's variables the check refuses what talks among proxies, each part by its key; without
-// them the same file is fine.
-func TestCheckOnThePlatform(t *testing.T) {
+// With the platform's variables the check rejects what proxies would send each other, each part by its key;
+// without them the same file is valid.
+func TestConfigCheckOnThePlatformRejectsTrafficBetweenProxies(t *testing.T) {
 	platform := `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":64,"sockets":1024},"known":null,"settings":{"azs":["a"],"kinds":["m"],
 		"balancers":4,"rank":2,"grades":[{"name":"lookup","aim-ms":100,"deadline-ms":500,"effect":"idempotent",
--- a/internal/proxy/cli/config.go
+++ b/internal/proxy/cli/config.go
@@ -8,7 +8,6 @@
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -42,28 +41,14 @@
 				in.Environ = func() []string { return []string{"EDGE_CONFIG=" + args[0]} }
 			}
 			_, err := config.Load(in)
-			problems := settingsfile.SettingErrors{}
+			var problems settingsfile.SettingErrors
 			if err != nil && !errors.As(err, &problems) {
 				return err
 			}
-			if asJSON {
-				type row struct {
-					File    string `json:"file"`
-					Line    int    `json:"line"`
-					Key     string `json:"key"`
-					Message string `json:"message"`
-				}
-				rows := []row{}
-				for _, p := range problems {
-					rows = append(rows, row{p.Name, p.Line, p.Key, p.Message})
-				}
-				if err := printJSON(c.OutOrStdout(), rows); err != nil {
-					return err
-				}
-			} else if err != nil {
-				fmt.Fprintln(c.OutOrStdout(), err)
+			if err := printProblems(c.OutOrStdout(), problems, asJSON); err != nil {
+				return err
 			}
-			if err != nil {
+			if len(problems) > 0 {
 				return errReported
 			}
 			return nil
@@ -73,7 +58,29 @@
 	return c
 }
 
-// platformVariables are those that the platform sets, where it does.
+// printProblems prints mistakes, a line each or as one JSON list.
+func printProblems(w io.Writer, problems settingsfile.SettingErrors, asJSON bool) error {
+	if !asJSON {
+		if len(problems) == 0 {
+			return nil
+		}
+		_, err := fmt.Fprintln(w, problems)
+		return err
+	}
+	type row struct {
+		File    string `json:"file"`
+		Line    int    `json:"line"`
+		Key     string `json:"key"`
+		Message string `json:"message"`
+	}
+	rows := []row{}
+	for _, p := range problems {
+		rows = append(rows, row{p.Name, p.Line, p.Key, p.Message})
+	}
+	return printJSON(w, rows)
+}
+
+// platformVariables returns the platform's environment variables, where it has set them.
 func platformVariables() []string {
 	if os.Getenv("EDGE_CONFIG") == "" {
 		return nil
@@ -104,13 +111,13 @@
 			if asJSON {
 				return printJSON(c.OutOrStdout(), values)
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
+			w := newTable(c.OutOrStdout(), 0)
 			for _, v := range values {
 				if all || v.Source != "default" {
-					fmt.Fprintf(w, "%s\t%v\t%s\t%s\n", v.Key, v.Value, v.Source, v.At)
+					w.printf("%s\t%v\t%s\t%s\n", v.Key, v.Value, v.Source, v.At)
 				}
 			}
-			return w.Flush()
+			return w.flush()
 		},
 	}
 	from.register(c)
@@ -151,7 +158,7 @@
 	return c
 }
 
-// writeFile puts text into a file, or on w where the path is "-".
+// writeFile writes text to a file, or to w where the path is "-".
 func writeFile(w io.Writer, path, text string, replace bool) error {
 	if path == "-" {
 		_, err := io.WriteString(w, text)
--- a/internal/proxy/cli/lab.go
+++ b/internal/proxy/cli/lab.go
@@ -11,19 +11,21 @@
 	"github.com/spf13/cobra"
 )
 
-// newLab hands its arguments to the laboratory, a program of its own beside this one: its statistics, fonts
-// and plots must not weigh on a proxy.
+// newLab passes its arguments to the laboratory, a program of its own beside this one, so that its
+// statistics, fonts and plots are no part of a proxy.
 func newLab() *cobra.Command {
 	return execLab("lab", nil, "Try designs on an emulated fleet (the program cresshub-lab)",
 		"  cresshub lab run snowy-evening --policy module,two-choices\n  cresshub lab --help")
 }
 
-// newRig hands its arguments to the laboratory's fault rig.
+// newRig passes its arguments to the laboratory's fault rig.
 func newRig() *cobra.Command {
 	return execLab("rig", []string{"rig"}, "Put faults between several processes (the program cresshub-lab)",
 		"  cresshub rig run partition\n  cresshub rig --help")
 }
 
+// execLab returns a command that replaces this process by the laboratory's program, with the arguments first
+// and then its own.
 func execLab(use string, first []string, short, example string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Example: example, DisableFlagParsing: true,
--- a/internal/proxy/cli/ledger.go
+++ b/internal/proxy/cli/ledger.go
@@ -5,7 +5,6 @@
 	"net/http"
 	"net/url"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -92,33 +91,34 @@
 }
 
 func printLedger(c *cobra.Command, page *daemon.LedgerPage) error {
-	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
+	w := newTable(c.OutOrStdout(), 0)
 	if v := page.Ledger; v != nil {
-		fmt.Fprintln(w, "PERIOD\tCLOSED\tTENANT\tCLASS\tANSWER\tN\tBYTES IN\tBYTES OUT\tCORRECTED")
+		w.println("PERIOD\tCLOSED\tTENANT\tCLASS\tANSWER\tN\tBYTES IN\tBYTES OUT\tCORRECTED")
 		for _, p := range v.Periods {
 			closed := "open"
 			if p.ClosedMS > 0 {
 				closed = time.UnixMilli(p.ClosedMS).UTC().Format(time.RFC3339)
 			}
 			for _, r := range p.Rows {
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%+d\n", p.ID, closed, r.Tenant, r.Class, r.Answer,
-					r.Count,
-					r.BytesIn, r.BytesOut, r.Corrections.Count)
+				w.printf("%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%+d\n", p.ID, closed, r.Tenant, r.Class, r.Answer,
+					r.Count, r.BytesIn, r.BytesOut, r.Corrections.Count)
 			}
 		}
 	}
 	group, here := &page.Group, &page.Here
-	fmt.Fprintln(w, "\nGROUP\tROLE HERE\tLEADER\tTERM\tAPPLIED\tVOTERS\tLEARNERS")
-	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", group.Group, group.Role, group.Leader,
+	w.println("\nGROUP\tROLE HERE\tLEADER\tTERM\tAPPLIED\tVOTERS\tLEARNERS")
+	w.printf("%s\t%s\t%s\t%d\t%d\t%s\t%s\n", group.Group, group.Role, group.Leader,
 		group.Term, group.Applied, strings.Join(group.Voters, " "), strings.Join(group.Learners, " "))
-	fmt.Fprintln(w, "\nCOUNTED HERE\tPROMISED\tWAITING\tIN MEMORY\tOLDEST\tLOST\tCOMMIT P99")
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d ms\t%d\t%.1f ms\n", here.Counted, here.Committed, here.Queued,
+	w.println("\nCOUNTED HERE\tPROMISED\tWAITING\tIN MEMORY\tOLDEST\tLOST\tCOMMIT P99")
+	w.printf("%d\t%d\t%d\t%d\t%d ms\t%d\t%.1f ms\n", here.Counted, here.Committed, here.Queued,
 		here.InMemory, here.OldestMS, here.Lost, here.CommitP99MS)
-	if err := w.Flush(); err != nil {
+	if err := w.flush(); err != nil {
 		return err
 	}
 	if group.Stalled != "" {
-		fmt.Fprintln(c.OutOrStdout(), "this replica stands still:", group.Stalled)
+		if _, err := fmt.Fprintln(c.OutOrStdout(), "this replica stands still:", group.Stalled); err != nil {
+			return err
+		}
 	}
 	if page.Problem != "" {
 		return fmt.Errorf("the ledger could not be read: %s", page.Problem)
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -37,7 +36,7 @@
 }
 
 func printOwner(c *cobra.Command, p *leaseholder.Page) error {
-	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
+	w := newTable(c.OutOrStdout(), 0)
 	holder, left := p.Holder, "known there alone"
 	if holder == "" {
 		holder = "(nobody)"
@@ -45,19 +44,19 @@
 	if p.Owns {
 		left = fmt.Sprintf("%d ms", p.LeaseRemaining)
 	}
-	fmt.Fprintln(w, "OWNER\tTOKEN\tHERE\tLEASE LEFT")
-	fmt.Fprintf(w, "%s\t%d\t%v\t%s\n", holder, p.Token, p.Owns, left)
-	fmt.Fprintln(w, "\nCHORE\tLAST RUN HERE\tWAITING\tPROBLEM")
+	w.println("OWNER\tTOKEN\tHERE\tLEASE LEFT")
+	w.printf("%s\t%d\t%v\t%s\n", holder, p.Token, p.Owns, left)
+	w.println("\nCHORE\tLAST RUN HERE\tWAITING\tPROBLEM")
 	for _, s := range p.Roles {
 		last := "never"
 		if s.LastRun >= 0 {
 			last = (time.Duration(s.LastRun) * time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", s.Role, last, s.Backlog, s.Problem)
+		w.printf("%s\t%s\t%d\t%s\n", s.Role, last, s.Backlog, s.Problem)
 	}
 	if v := p.Store; v != nil {
-		fmt.Fprintln(w, "\nEXPORTED\tSENDING\tMAY BE SENT\tOPEN\tCORRECTIONS\tLIST\tSTALE ENTRIES")
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.Exported, v.Sending, v.Final, v.Open, v.PendingCorrections,
+		w.println("\nEXPORTED\tSENDING\tMAY BE SENT\tOPEN\tCORRECTIONS\tLIST\tSTALE ENTRIES")
+		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.Exported, v.Sending, v.Final, v.Open, v.PendingCorrections,
 			v.Endpoints.Version, v.Stats.Stale)
 	}
 	if l := p.Endpoints; l != nil {
@@ -65,13 +64,13 @@
 		if l.FromOwner {
 			from = "the owner"
 		}
-		fmt.Fprintf(w, "\nthe list here comes from %s; an owner told it %d ms ago\n", from, l.AgeMS)
+		w.printf("\nthe list here comes from %s; an owner told it %d ms ago\n", from, l.AgeMS)
 	}
 	f := &p.Stats
-	fmt.Fprintln(w, "\nLEASES HERE\tLOST\tGIVEN BACK\tCALLS\tREFUSED\tFAILED\tENTRIES\tREPEATED\tRESUMED")
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", f.Grants, f.Losses, f.Resigned, f.Calls, f.Rejected,
+	w.println("\nLEASES HERE\tLOST\tGIVEN BACK\tCALLS\tREFUSED\tFAILED\tENTRIES\tREPEATED\tRESUMED")
+	w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", f.Grants, f.Losses, f.Resigned, f.Calls, f.Rejected,
 		f.Failed, f.Entries, f.Duplicates, f.Resumed)
-	if err := w.Flush(); err != nil {
+	if err := w.flush(); err != nil {
 		return err
 	}
 	if p.Problem != "" {
--- a/internal/proxy/cli/root.go
+++ b/internal/proxy/cli/root.go
@@ -1,9 +1,11 @@
-// Package cli is the command line: one root, its sub-commands, and how they end. A command that cannot be
-// understood ends with 2, one that failed with 1, one that did what it was told with 0.
+// Package cli is the command line of cresshub: a root command and its sub-commands, in a file for each
+// (Cobra). The exit status is 0 for success, 1 for a command that failed and 2 for one that is used wrongly.
+// Results go to standard output, with --json as one JSON value; errors are one line each on standard error.
+//
+// The laboratory's command line shares Execute, RejectBareGroups and UsageErrorf.
 package cli
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -15,27 +17,31 @@
 	"cresshub/internal/proxy/config"
 )
 
-// usageError is a call that cannot be understood.
+// usageError is the error of a command that is used wrongly.
 type usageError struct{ error }
 
-func usageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
+// UsageErrorf returns the error of a command that is used wrongly, which ends with exitUsage.
+func UsageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// UsageErrorf is the error of a call that cannot be understood.
-func UsageErrorf(format string, args ...any) error { return usageErrorf(format, args...) }
+// errReported is the error of a command that has printed its failure itself.
+var errReported = errors.New("already reported")
 
-// errReported is a failure that the command has told in its own way.
-var errReported = errors.New("told already")
+// The exit statuses.
+const (
+	exitDone   = 0
+	exitFailed = 1
+	exitUsage  = 2
+)
 
-// Main runs one call of the program and returns its exit status: 0 done, 1 failed, 2 wrong use.
+// Main runs the program with its arguments and returns its exit status.
 func Main(args []string, signals <-chan os.Signal, stdout, stderr io.Writer) int {
 	if len(args) == 0 && os.Getenv("EDGE_CONFIG") != "" {
-		args = []string{"serve"} // as the platform starts it
+		args = []string{"serve"} // the platform gives no arguments
 	}
 	return Execute(newRoot(signals), args, stdout, stderr)
 }
 
-// Execute runs one call of a tree of commands and returns its exit status. Errors are one line each on
-// standard error.
+// Execute runs a tree of commands with arguments, prints the errors and returns the exit status.
 func Execute(root *cobra.Command, args []string, stdout, stderr io.Writer) int {
 	RejectBareGroups(root)
 	root.SilenceErrors, root.SilenceUsage = true, true
@@ -48,17 +54,17 @@
 	var usage usageError
 	switch {
 	case err == nil:
-		return 0
+		return exitDone
 	case errors.Is(err, errReported):
-		return 1
+		return exitFailed
 	case errors.As(err, &usage):
-		fmt.Fprintf(stderr, "%s: %v; see \"%s --help\"\n", root.Name(), err, cmd.CommandPath())
-		return 2
+		root.PrintErrf("%s: %v; see \"%s --help\"\n", root.Name(), err, cmd.CommandPath())
+		return exitUsage
 	}
 	for line := range strings.SplitSeq(err.Error(), "\n") {
-		fmt.Fprintf(stderr, "%s: %s\n", root.Name(), line)
+		root.PrintErrf("%s: %s\n", root.Name(), line)
 	}
-	return 1
+	return exitFailed
 }
 
 func newRoot(signals <-chan os.Signal) *cobra.Command {
@@ -77,7 +83,8 @@
 	return root
 }
 
-// RejectBareGroups has a command that only holds others say so when it is called by itself or with a wrong
+// RejectBareGroups makes wrong arguments usage errors, for a command and all below it. A command that only
+// groups others has its help printed when it is called by itself, and suggests one of them for an unknown
 // word.
 func RejectBareGroups(c *cobra.Command) {
 	for _, sub := range c.Commands() {
@@ -101,18 +108,20 @@
 	c.RunE = func(c *cobra.Command, given []string) error {
 		if len(given) == 0 {
 			c.SetOut(c.ErrOrStderr())
-			c.Help()
-			return usageErrorf("a command is missing")
+			if err := c.Help(); err != nil {
+				return err
+			}
+			return UsageErrorf("a command is missing")
 		}
 		hint := ""
 		if near := c.SuggestionsFor(given[0]); len(near) > 0 {
 			hint = "; did you mean " + strings.Join(near, " or ") + "?"
 		}
-		return usageErrorf("%q is no command%s", given[0], hint)
+		return UsageErrorf("%q is no command%s", given[0], hint)
 	}
 }
 
-// configFlags are the flags that say where a configuration comes from.
+// configFlags are the flags that select and override the configuration.
 type configFlags struct {
 	file, listen, discovery, name, level, format string
 	set                                          []string
@@ -129,7 +138,7 @@
 	f.StringArrayVar(&s.set, "set", nil, "KEY=VALUE for any key outside a list of tables; may be repeated")
 }
 
-// input is where the flags say a configuration is read from.
+// input returns the sources of the configuration that the flags select.
 func (s *configFlags) input() (config.Input, error) {
 	in := config.Input{File: s.file, Flags: map[string]string{}}
 	for key, value := range map[string]string{
@@ -143,12 +152,9 @@
 	for _, pair := range s.set {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return in, usageErrorf("--set %q is no KEY=VALUE", pair)
+			return in, UsageErrorf("--set %q is no KEY=VALUE", pair)
 		}
 		in.Flags[key] = value
 	}
 	return in, nil
 }
-
-// printJSON writes one value on one line.
-func printJSON(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
--- a/internal/proxy/cli/serve.go
+++ b/internal/proxy/cli/serve.go
@@ -11,9 +11,9 @@
 	"cresshub/internal/proxy/daemon"
 )
 
-// Signals listens for those that a serving program minds. It is called before anything else, for a signal
-// that nobody listens for ends the process. That of a pipe without a reader is ignored: the end of whoever
-// reads the log is no reason to end.
+// Signals returns the signals that a serving program handles. It is called before anything else, since a
+// signal that is not handled ends the process. SIGPIPE is ignored: that nobody reads the log any more is no
+// reason to end.
 func Signals() <-chan os.Signal {
 	signal.Ignore(syscall.SIGPIPE)
 	signals := make(chan os.Signal, 64)
--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -24,8 +24,8 @@
 	return c
 }
 
-// waitForSignal waits for SIGINT or SIGTERM, or for so long.
-func waitForSignal(c *cobra.Command, limit time.Duration) {
+// waitForSignal waits for SIGINT or SIGTERM, for no longer than the limit.
+func waitForSignal(limit time.Duration) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -65,8 +65,8 @@
 					z.Drain()
 				}
 			}()
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", z.Address())
-			waitForSignal(c, limit)
+			c.PrintErrln("listening on", z.Address())
+			waitForSignal(limit)
 			if asJSON {
 				return printJSON(c.OutOrStdout(), z.Counts())
 			}
@@ -110,12 +110,12 @@
 			for _, s := range servers {
 				name, address, ok := strings.Cut(s, "=")
 				if !ok {
-					return usageErrorf("--server %q is no NAME=HOST:PORT", s)
+					return UsageErrorf("--server %q is no NAME=HOST:PORT", s)
 				}
 				d.Set(proxystandin.Endpoint{Name: name, Address: address, Status: "in_service", Weight: 1})
 			}
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", d.Address())
-			waitForSignal(c, limit)
+			c.PrintErrln("listening on", d.Address())
+			waitForSignal(limit)
 			return nil
 		},
 	}
@@ -140,8 +140,8 @@
 				return err
 			}
 			defer s.Close()
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", s.Address())
-			waitForSignal(c, limit)
+			c.PrintErrln("listening on", s.Address())
+			waitForSignal(limit)
 			return printJSON(c.OutOrStdout(), s.Entries())
 		},
 	}
--- a/internal/proxy/cli/try.go
+++ b/internal/proxy/cli/try.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -35,18 +36,8 @@
 			"  cresshub try --for 5s --json",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			switch {
-			case o.For < 100*time.Millisecond || o.For > time.Hour:
-				return usageErrorf("--for %s is out of range, 100ms to 1h is allowed", o.For)
-			case o.Servers < 1 || o.Servers > 200:
-				return usageErrorf("--servers %d is out of range, 1 to 200 is allowed", o.Servers)
-			case !(o.Rate >= 0 && o.Rate <= 20000):
-				return usageErrorf("--rate %g is out of range, 0 to 20000 is allowed", o.Rate)
-			case !(o.Load > 0 && o.Load <= 10):
-				return usageErrorf("--load %g is out of range, above 0 to 10 is allowed", o.Load)
-			}
-			if err := proxytrial.CheckTrouble(o.Trouble); err != nil {
-				return usageError{err}
+			if err := checkTrial(&o); err != nil {
+				return err
 			}
 			var err error
 			if o.Program, err = os.Executable(); err != nil {
@@ -60,25 +51,7 @@
 				defer f.Close()
 				o.Log = f
 			}
-			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
-			defer stop()
-			end := watchTrial(c.ErrOrStderr(), &o)
-			r, err := proxytrial.Run(ctx, o)
-			end()
-			if r != nil {
-				if perr := printTrial(c.OutOrStdout(), r, asJSON); err == nil {
-					err = perr
-				}
-			}
-			switch {
-			case ctx.Err() != nil:
-				return fmt.Errorf("interrupted; what was measured until then is above")
-			case err != nil:
-				return err
-			case r.Broken() > 0:
-				return fmt.Errorf("rules were broken %d times", r.Broken())
-			}
-			return nil
+			return runTrial(c, o, asJSON)
 		},
 	}
 	c.SetContext(context.Background())
@@ -95,7 +68,48 @@
 	return c
 }
 
-// watchTrial shows a live line where somebody can see it, and returns what ends that.
+// checkTrial checks the flags of a trial.
+func checkTrial(o *proxytrial.Options) error {
+	switch {
+	case o.For < 100*time.Millisecond || o.For > time.Hour:
+		return UsageErrorf("--for %s is out of range, 100ms to 1h is allowed", o.For)
+	case o.Servers < 1 || o.Servers > 200:
+		return UsageErrorf("--servers %d is out of range, 1 to 200 is allowed", o.Servers)
+	case !(o.Rate >= 0 && o.Rate <= 20000):
+		return UsageErrorf("--rate %g is out of range, 0 to 20000 is allowed", o.Rate)
+	case !(o.Load > 0 && o.Load <= 10):
+		return UsageErrorf("--load %g is out of range, above 0 to 10 is allowed", o.Load)
+	}
+	if err := proxytrial.CheckTrouble(o.Trouble); err != nil {
+		return usageError{err}
+	}
+	return nil
+}
+
+// runTrial runs a trial and prints its report, also where it was interrupted or failed.
+func runTrial(c *cobra.Command, o proxytrial.Options, asJSON bool) error {
+	ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	end := watchTrial(c.ErrOrStderr(), &o)
+	report, err := proxytrial.Run(ctx, o)
+	end()
+	if report != nil {
+		if printErr := printTrial(c.OutOrStdout(), report, asJSON); err == nil {
+			err = printErr
+		}
+	}
+	switch {
+	case ctx.Err() != nil:
+		return errors.New("interrupted; what was measured until then is above")
+	case err != nil:
+		return err
+	case report.Broken() > 0:
+		return fmt.Errorf("rules were broken %d times", report.Broken())
+	}
+	return nil
+}
+
+// watchTrial shows the progress where w is a terminal, and returns what ends that.
 func watchTrial(w io.Writer, o *proxytrial.Options) func() {
 	f, ok := w.(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) {
@@ -124,31 +138,36 @@
 	if asJSON {
 		return printJSON(w, r)
 	}
-	fmt.Fprintf(w, "%.1f s at %.0f requests a second", r.Seconds, r.Rate)
+	title := newOutput(w)
+	title.printf("%.1f s at %.0f requests a second", r.Seconds, r.Rate)
 	if r.Trouble != "" {
-		fmt.Fprintf(w, ", trouble: %s", r.Trouble)
+		title.printf(", trouble: %s", r.Trouble)
 	}
-	fmt.Fprintln(w)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	title.println()
+	if err := title.flush(); err != nil {
+		return err
+	}
+	t := newTable(w, tabwriter.AlignRight)
 	percent := func(n int) float64 { return 100 * float64(n) / float64(max(r.Offered, 1)) }
-	fmt.Fprintln(t, "\noffered\tin time\tserved\trefused\tfailed\tp50\tp99\t")
-	fmt.Fprintf(t, "%d\t%d (%.1f%%)\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t\n", r.Offered, r.InTime, percent(r.InTime),
+	t.println("\noffered\tin time\tserved\trefused\tfailed\tp50\tp99\t")
+	t.printf("%d\t%d (%.1f%%)\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t\n", r.Offered, r.InTime, percent(r.InTime),
 		r.Served, r.Refused, r.Failed, r.P50, r.P99)
-	fmt.Fprintln(t, "\nserver\tattempts\tserved\tturned away\tprobes\tconnections\t")
+	t.println("\nserver\tattempts\tserved\tturned away\tprobes\tconnections\t")
 	for _, s := range r.Servers {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Name, s.Requests, s.Served, s.TurnedAway, s.Probes, s.Opened)
+		t.printf("%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Name, s.Requests, s.Served, s.TurnedAway, s.Probes, s.Opened)
 	}
-	if err := t.Flush(); err != nil {
+	if err := t.flush(); err != nil {
 		return err
 	}
-	fmt.Fprintln(w)
+	rules := newOutput(w)
+	rules.println()
 	for _, rule := range []string{proxytrial.OneAnswer, proxytrial.NeverTwice, proxytrial.DrainKept,
 		proxytrial.ColdKept} {
 		state := "kept"
 		if n := r.Rules[rule]; n > 0 {
 			state = fmt.Sprintf("BROKEN %d times", n)
 		}
-		fmt.Fprintf(w, "%-22s %s\n", rule, state)
+		rules.printf("%-22s %s\n", rule, state)
 	}
-	return nil
+	return rules.flush()
 }
