--- a/internal/simulation/proxysim/swim_test.go
+++ b/internal/simulation/proxysim/swim_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// swimSettings are those that the rig's scenarios play real processes with.
+// swimSettings are those of the scenarios that run real processes (package clusterrig).
 func swimSettings(members int) SWIMOptions {
 	return SWIMOptions{Members: members, Probe: 200 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond,
-		Gossip: 100 * time.Millisecond, SuspicionMult: 4, Rejoin: 500 * time.Millisecond,
-		SyncEach: 500 * time.Millisecond, GossipToDead: 2 * time.Second, Latency: 150 * time.Microsecond,
+		Gossip: 100 * time.Millisecond, SuspicionMult: 4, RejoinInterval: 500 * time.Millisecond,
+		SyncPerMember: 500 * time.Millisecond, GossipToDead: 2 * time.Second, Latency: 150 * time.Microsecond,
 		Jitter: 300 * time.Microsecond, Seed: 1}
 }
 
-// The model's times are within a fifth of those that the rig measured with real processes, at the sizes and
+// The model's times are within a fifth of those that were measured with real processes, at the sizes and
 // settings in docs/fleet-view.md: medians of a killed member's death in all views, over 20 kills.
-func TestSWIMIsHeldAgainstProcesses(t *testing.T) {
+func TestSWIMMatchesProcesses(t *testing.T) {
 	for members, real := range map[int]float64{5: 1306, 7: 1219, 10: 1302, 30: 1604} {
-		r, err := SWIMTrial("kill", swimSettings(members), 40)
+		r, err := RunSWIMTrial("kill", swimSettings(members), 40)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,7 +28,7 @@
 		}
 	}
 	for members, real := range map[int][2]float64{5: {1032, 10.4}, 10: {1019, 10.2}, 30: {1007, 10.1}} {
-		r, err := SWIMTrial("quiet", swimSettings(members), 5)
+		r, err := RunSWIMTrial("quiet", swimSettings(members), 5)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,8 @@
 	}
 }
 
-// One view after a heal takes as long as in processes, within a fifth. Those of thirty have three seeds.
+// Convergence after a heal takes as long as with processes, within a fifth. Fleets of thirty have three
+// seeds.
 func TestSWIMHealsAsProcessesDo(t *testing.T) {
 	for _, c := range []struct {
 		members, seeds int
@@ -46,7 +47,7 @@
 	}{{7, 1, 176}, {30, 3, 462}} {
 		o := swimSettings(c.members)
 		o.Seeds = c.seeds
-		r, err := SWIMTrial("partition", o, 100)
+		r, err := RunSWIMTrial("partition", o, 100)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,12 +59,12 @@
 }
 
 // What each member sends stays flat as the fleet grows.
-func TestSWIMCostIsFlat(t *testing.T) {
-	few, err := SWIMTrial("quiet", swimSettings(5), 3)
+func TestSWIMTrafficIsIndependentOfSize(t *testing.T) {
+	few, err := RunSWIMTrial("quiet", swimSettings(5), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	many, err := SWIMTrial("quiet", swimSettings(300), 1)
+	many, err := RunSWIMTrial("quiet", swimSettings(300), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,25 +75,25 @@
 }
 
 func TestSWIMTrials(t *testing.T) {
-	for _, trial := range SWIMTrials {
-		a, err := SWIMTrial(trial, swimSettings(7), 3)
+	for _, trial := range SWIMTrialNames {
+		a, err := RunSWIMTrial(trial, swimSettings(7), 3)
 		if err != nil || a.Missed > 0 {
 			t.Errorf("%s: %+v %v", trial, a, err)
 		}
-		if b, _ := SWIMTrial(trial, swimSettings(7), 3); a != b {
+		if b, _ := RunSWIMTrial(trial, swimSettings(7), 3); a != b {
 			t.Errorf("%s: the same seeds gave %+v and %+v", trial, a, b)
 		}
 	}
-	if _, err := SWIMTrial("dance", swimSettings(7), 1); err == nil {
+	if _, err := RunSWIMTrial("dance", swimSettings(7), 1); err == nil {
 		t.Error("a trial that is none was played")
 	}
-	if _, err := SWIMTrial("kill", swimSettings(2), 1); err == nil {
+	if _, err := RunSWIMTrial("kill", swimSettings(2), 1); err == nil {
 		t.Error("two members were played")
 	}
 }
 
-// Faults do in the model what they do to processes: pauses and one-way links kill nobody healthy, a restart
-// is taken back, a partition heals.
+// Faults have the same effect as on processes: pauses and one-way links have no healthy member declared dead,
+// a restarted member is alive again, a partition heals.
 func TestSWIMFaults(t *testing.T) {
 	s := NewSWIM(swimSettings(7))
 	for range 10 {
@@ -101,11 +102,11 @@
 		s.Resume(6)
 		s.Run(8*time.Second, nil)
 	}
-	if s.Count.FalseDeaths > 0 || !s.Settled() {
-		t.Errorf("beside a paused member: %d false deaths, settled %v", s.Count.FalseDeaths, s.Settled())
+	if s.Count.FalseDeaths > 0 || !s.Converged() {
+		t.Errorf("beside a paused member: %d false deaths, settled %v", s.Count.FalseDeaths, s.Converged())
 	}
 	s = NewSWIM(swimSettings(7))
-	s.Cut(2, 1)
+	s.BlockLink(2, 1)
 	s.Run(20*time.Second, nil)
 	if s.Count.FalseDeaths > 0 || s.Count.Indirect == 0 {
 		t.Errorf("over a one-way link: %d false deaths, %d indirect probes", s.Count.FalseDeaths, s.Count.Indirect)
@@ -114,22 +115,22 @@
 	s.Kill(3)
 	s.Run(500*time.Millisecond, nil)
 	s.Restart(3)
-	if s.Run(10*time.Second, s.Settled); !s.Settled() || s.Holds(0, 3) != SWIMAlive {
+	if s.Run(10*time.Second, s.Converged); !s.Converged() || s.Status(0, 3) != SWIMAlive {
 		t.Error("a restart before the suspicion's end was not taken back")
 	}
 	s.Slow(4, 2*time.Millisecond)
 	s.Partition(3)
 	for range 3000 {
-		if s.Run(10*time.Millisecond, nil); s.Apart() {
+		if s.Run(10*time.Millisecond, nil); s.Partitioned() {
 			break
 		}
 	}
-	if !s.Apart() {
+	if !s.Partitioned() {
 		t.Fatal("the sides of a partition never held each other dead")
 	}
 	s.Heal()
 	s.recount()
-	if took := s.Run(10*time.Second, s.Settled); !s.Settled() {
+	if took := s.Run(10*time.Second, s.Converged); !s.Converged() {
 		t.Errorf("no one view %v after a heal", took)
 	}
 }
--- a/internal/simulation/proxysim/swimfaults.go
+++ b/internal/simulation/proxysim/swimfaults.go
@@ -1,8 +1,6 @@
 package proxysim
 
-import (
-	"time"
-)
+import "time"
 
 // Kill ends members' processes at once.
 func (s *SWIM) Kill(members ...int) {
@@ -19,14 +17,14 @@
 	s.boot(int32(i), true)
 	for j := range s.nodes {
 		if j != i && s.nodes[j].up {
-			s.join(int32(i), int32(j))
+			s.exchangeStates(int32(i), int32(j))
 			break
 		}
 	}
 	s.recount()
 }
 
-// Pause stops a member's process; what comes to it waits. Resume has it go on with all that came.
+// Pause stops a member's process; its events are queued. Resume has it handle them.
 func (s *SWIM) Pause(i int) {
 	s.nodes[i].paused = true
 	s.recount()
@@ -43,7 +41,7 @@
 	s.recount()
 }
 
-// Partition cuts the first members from the rest, both ways; Heal undoes it and all cut links and delays.
+// Partition separates the first members from the others, both ways; Heal undoes it.
 func (s *SWIM) Partition(first int) {
 	for i := range s.side {
 		s.side[i] = 0
@@ -53,37 +51,37 @@
 	}
 }
 
-// Heal takes all faults of the network away. A stream that stood over a cut link fails then, and its member
-// goes on to what it tries next.
+// Heal ends all faults of the network. A stream that stalled over a blocked link fails then, and its member
+// goes on to its next attempt.
 func (s *SWIM) Heal() {
 	clear(s.side)
 	for i := range s.nodes {
 		m := &s.nodes[i]
-		if m.up && m.seedNext >= 0 && m.stalled > s.now {
-			s.join(int32(i), m.seedNext)
+		if m.up && m.nextSeed >= 0 && m.seedFrom > s.now {
+			s.exchangeStates(int32(i), m.nextSeed)
 		}
-		m.seedNext = -1
-		if m.up && m.stalledTo > s.now { // it rests from here on, not from when the stream would have ended
-			m.stalledTo = s.now
-			m.rejoins++
-			s.add(s.now+s.spread(s.o.Rejoin), swimRejoin, int32(i), m.rejoins, m.life)
+		m.nextSeed = -1
+		if m.up && m.stalledUntil > s.now { // its interval begins now, not when the stream would have ended
+			m.stalledUntil = s.now
+			m.rejoinSeq++
+			s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, int32(i), m.rejoinSeq, m.process)
 		}
 	}
-	clear(s.cut)
+	clear(s.blocked)
 	clear(s.delay)
 }
 
-// Cut cuts the link from one member to another, in that direction alone.
-func (s *SWIM) Cut(from, to int) { s.cut[[2]int32{int32(from), int32(to)}] = true }
+// BlockLink loses all that one member sends to another, in that direction alone.
+func (s *SWIM) BlockLink(from, to int) { s.blocked[[2]int32{int32(from), int32(to)}] = true }
 
-// Slow delays all that a member sends and gets.
+// Slow delays all that a member sends and receives.
 func (s *SWIM) Slow(i int, by time.Duration) { s.delay[int32(i)] = int64(by) }
 
-// Apart tells whether each side of a partition holds itself alive and the other dead.
-func (s *SWIM) Apart() bool {
+// Partitioned reports whether each side of a partition sees itself alive and the other side dead.
+func (s *SWIM) Partitioned() bool {
 	for i := range s.nodes {
 		for j := range s.nodes {
-			st := s.nodes[i].cells[j].status
+			st := s.nodes[i].views[j].status
 			if same := s.side[i] == s.side[j]; same && st != SWIMAlive || !same && st != SWIMDead {
 				return false
 			}
--- a/internal/testbed/routerstandin/world_test.go
+++ b/internal/testbed/routerstandin/world_test.go
@@ -25,50 +25,52 @@
 
 // The kinds of the tests.
 var (
-	safeKind = &Kind{Name: "safe", Host: testHost, Prefix: "/safe/", Class: fleetconfig.Safe, Aim: time.Second,
-		Deadline: 5 * time.Second, BodyBytes: 100}
+	safeKind = &Kind{Name: "safe", Host: testHost, Prefix: "/safe/", Class: fleetconfig.Safe,
+		LatencyTarget: time.Second, Deadline: 5 * time.Second, BodyBytes: 100}
 	unsafeKind = &Kind{Name: "unsafe", Host: testHost, Prefix: "/unsafe/", Class: fleetconfig.Unsafe,
-		Aim: time.Second, Deadline: 5 * time.Second, BodyBytes: 100}
-	firmKind = &Kind{Name: "firm", Host: testHost, Prefix: "/firm/", Class: fleetconfig.Stream, Aim: time.Second,
-		Gap: time.Second, Deadline: 5 * time.Second, OwnTokens: 10, OutputTokens: 7}
-	resumableKind = &Kind{Name: "resumable", Host: testHost, Prefix: "/resumable/", Class: fleetconfig.Stream,
-		Resumable: true, Aim: time.Second, Gap: time.Second, Deadline: 5 * time.Second, Retries: 1, OwnTokens: 10,
+		LatencyTarget: time.Second, Deadline: 5 * time.Second, BodyBytes: 100}
+	onceOnlyStreamKind = &Kind{Name: "firm", Host: testHost, Prefix: "/firm/", Class: fleetconfig.Stream,
+		LatencyTarget: time.Second, GapTarget: time.Second, Deadline: 5 * time.Second, OwnTokens: 10,
 		OutputTokens: 7}
-	testKinds = []*Kind{safeKind, unsafeKind, firmKind, resumableKind}
+	resumableStreamKind = &Kind{Name: "resumable", Host: testHost, Prefix: "/resumable/",
+		Class: fleetconfig.Stream, Resumable: true, LatencyTarget: time.Second, GapTarget: time.Second,
+		Deadline: 5 * time.Second, Retries: 1, OwnTokens: 10, OutputTokens: 7}
+	testKinds = []*Kind{safeKind, unsafeKind, onceOnlyStreamKind, resumableStreamKind}
 )
 
 var testBounds = Bounds{
 	Bounds: agentsettings.Bounds{Drain: 20 * time.Millisecond, Config: 20 * time.Millisecond, Lost: time.Second,
 		Grace: time.Second, Ack: time.Second, RetryRatio: 0.1, RetryWindow: time.Minute, RetrySlack: 4,
 		Lease: time.Minute, Fenced: true},
-	Recover: time.Millisecond,
+	Recovery: time.Millisecond,
 }
 
 // world is a small deployment with one proxy.
 type world struct {
 	*qt.C
-	observations *Observations
-	operator     *Operator
-	control      *fakeControl
-	proxy        *fakeProxy
-	client       *Client
-	reader       *Server
-	writer       *Server
-	lookup       *Server
-	other        *Server // of a service that no route names
-	number       int
+	observations  *Observations
+	operator      *Operator
+	control       *fakeControl
+	proxy         *fakeProxy
+	client        *Client
+	prefillServer *Server
+	decodeServer  *Server
+	lookup        *Server
+	other         *Server // of a service that no route names
+	number        int
 }
 
 func newWorld(t *testing.T) *world {
+	t.Helper()
 	w := &world{C: qt.New(t), observations: NewObservations(testBounds)}
 	w.control = newFakeControl(w.C)
 	w.operator = NewOperator(w.control.addresses, w.observations)
-	w.reader = w.server("model", Reading)
-	w.writer = w.server("model", Writing)
+	w.prefillServer = w.server("model", StagePrefill)
+	w.decodeServer = w.server("model", StageDecode)
 	w.lookup = w.server("lookup", "")
 	w.other = w.server("other", "")
 	w.proxy = newFakeProxy(w)
-	entry := NewEntry([]Proxy{w.proxy.known()})
+	entry := NewEntry([]Proxy{w.proxy.asProxy()})
 	w.client = NewClient(1, "", entry, w.observations)
 	w.Cleanup(w.client.Close)
 	w.Assert(w.operator.Put(w.bounded(), testDocument(1)), qt.IsNil)
@@ -94,11 +96,12 @@
 
 func (w *world) server(service, stage string) *Server {
 	options := ServerOptions{Service: service, Address: "127.0.0.1:0", Slots: 4, Queue: 2, HealthPath: "/health",
-		TellsLoad: true, Work: time.Millisecond, Beat: 20 * time.Millisecond, Controls: w.control.addresses,
-		Observations: w.observations}
+		ReportsLoad: true, WorkTime: time.Millisecond, HeartbeatInterval: 20 * time.Millisecond,
+		ControlAddresses: w.control.addresses,
+		Observations:     w.observations}
 	if stage != "" {
-		options.Engine = &Engine{Stage: stage, ReadPace: 100, Step: time.Millisecond, Stride: 2,
-			HandleLife: time.Minute, StageSwitch: time.Millisecond}
+		options.Engine = &Engine{Stage: stage, PrefillPace: 100, EventInterval: time.Millisecond, TokensPerEvent: 2,
+			HandleTTL: time.Minute, SwitchTime: time.Millisecond}
 	}
 	server, err := StartServer(options)
 	w.Assert(err, qt.IsNil)
@@ -137,9 +140,9 @@
 func (w *world) broken() []Rule {
 	var rules []Rule
 	for _, verdict := range w.observations.Judge() {
-		if verdict.Breaks > 0 {
+		if verdict.Violations > 0 {
 			rules = append(rules, verdict.Rule)
-			w.Logf("%s broken %d times: %s", verdict.Rule, verdict.Breaks, strings.Join(verdict.Details, "; "))
+			w.Logf("%s broken %d times: %s", verdict.Rule, verdict.Violations, strings.Join(verdict.Details, "; "))
 		}
 	}
 	return rules
