--- a/internal/testbed/proxystandin/discovery.go
+++ b/internal/testbed/proxystandin/discovery.go
@@ -21,9 +21,9 @@
 	UnsafePrefix = "rider"                 // requests of classes with this prefix must never run twice
 )
 
-// Endpoint is one line of discovery's list. As stand-ins know nothing of the proxy, the form of the list and how
-// changes apply to it stand here once more, apart from internal/proxy/serverlist and internal/proxy/discovery: a
-// stand-in that shared the proxy's reading would share its mistakes.
+// Endpoint is one line of discovery's list. As stand-ins know nothing of the proxy, the form of the list and
+// how changes apply to it stand here once more, apart from internal/proxy/serverlist and
+// internal/proxy/discovery: a stand-in that shared the proxy's reading would share its mistakes.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
