--- a/internal/proxy/daemon/reload_test.go
+++ b/internal/proxy/daemon/reload_test.go
@@ -10,33 +10,33 @@
 	"cresshub/internal/proxy/config"
 )
 
-// A new process may join, leave and be counted while the configuration is read again. The race detector sees
-// what both would touch.
-func TestReloadWhileANewProcessJoins(t *testing.T) {
+// Successors may join and exit while the configuration is reread; the race detector sees what both would
+// touch.
+func TestReloadWhileASuccessorJoins(t *testing.T) {
 	t.Setenv("TMPDIR", "")
-	p, err := New(platform(t), io.Discard)
+	p, err := New(platformConfig(t), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	signals, over, read := make(chan os.Signal), make(chan bool), 0
+	signals, ended, read := make(chan os.Signal), make(chan bool), 0
 	go func() {
 		p.Run(signals, func() (*config.Config, error) {
-			next := platform(t)
+			next := platformConfig(t)
 			next.Log.Level = []string{"error", "warn"}[read%2]
 			read++
 			return next, nil
 		})
-		close(over)
+		close(ended)
 	}()
 	var joins sync.WaitGroup
 	for range 4 {
 		joins.Go(func() {
 			for range 50 {
-				if _, _, err := p.Joins(); err != nil {
+				if _, _, err := p.SuccessorJoined(); err != nil {
 					t.Error(err)
 				}
-				p.Serves()
-				p.Left()
+				p.SuccessorReady()
+				p.SuccessorExited()
 			}
 		})
 	}
@@ -47,8 +47,8 @@
 	signals <- syscall.SIGTERM
 	signals <- syscall.SIGHUP // also while it ends
 	signals <- syscall.SIGTERM
-	<-over
-	if read != 21 || p.upgrade.limitFraction() != 1 {
-		t.Errorf("read %d times; its part of the limits is %v", read, p.upgrade.limitFraction())
+	<-ended
+	if read != 21 || p.handover.limitFraction() != 1 {
+		t.Errorf("read %d times; its part of the limits is %v", read, p.handover.limitFraction())
 	}
 }
--- a/internal/proxy/daemon/owner.go
+++ b/internal/proxy/daemon/roles.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/proxy/discovery"
 )
 
-// groupStore is the ledger's group as the chores use it.
+// groupStore lets the singleton roles store their state in the ledger's Raft group.
 type groupStore struct{ host *raftgroup.Host }
 
 func (s groupStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
@@ -25,31 +25,31 @@
 
 func (s groupStore) Peek(query []byte) (any, bool) { return s.host.ReadStale(ledgerGroup, query) }
 
-// endpointSource is the list of servers as the chores use it.
+// endpointSource lets the role that reads discovery for all members feed the list of servers.
 type endpointSource struct{ *discovery.Client }
 
 func (l endpointSource) Feed(f leaseholder.Feed) {
 	l.Client.Feed(discovery.Feed{ReplaceOnly: f.FromOwner, Token: f.Token})
 }
 
-// runRoles has this proxy take part in the fleet's chores where owner.chores says so.
+// runRoles has this proxy compete for the fleet's singleton roles that owner.chores names.
 func (p *Proxy) runRoles() error {
 	c := &p.cfg.Owner
-	if len(c.Chores) == 0 || p.ledger == nil {
+	if len(c.Roles) == 0 || p.ledger == nil {
 		return nil
 	}
 	opts := leaseholder.Options{Name: p.cfg.Name, Lease: p.cfg.LeaseSettings(), Store: groupStore{p.ledger.host},
 		Log: p.log.Logger}
-	if c.Faults != "" {
-		opts.Faults = leaseholder.FileFaults{Path: c.Faults}
+	if c.FaultFile != "" {
+		opts.Faults = leaseholder.FileFaults{Path: c.FaultFile}
 	}
-	if c.Does(config.ChoreExport) {
-		opts.Export = &leaseholder.Exporter{Sink: c.Sink, CallTimeout: c.Call, BatchSize: c.AtOnce}
+	if c.HasRole(config.RoleExport) {
+		opts.Export = &leaseholder.Exporter{Sink: c.Sink, CallTimeout: c.CallTimeout, BatchSize: c.BatchSize}
 	}
-	if c.Does(config.ChoreList) {
-		opts.Endpoints = &leaseholder.EndpointSync{Source: endpointSource{p.discovery}, MaxAge: c.MaxAge,
-			Jitter:       rand.N(c.MaxAge),
-			PollInterval: c.Poll, WatchTimeout: p.cfg.Discovery.Silence}
+	if c.HasRole(config.RoleList) {
+		opts.Endpoints = &leaseholder.EndpointSync{Source: endpointSource{p.discovery}, MaxAge: c.ListMaxAge,
+			Jitter: rand.N(c.ListMaxAge), PollInterval: c.ListPollInterval,
+			WatchTimeout: p.cfg.Discovery.WatchTimeout}
 	}
 	runner, err := leaseholder.New(opts)
 	if err != nil {
@@ -59,12 +59,12 @@
 	p.roles = runner
 	runner.Run()
 	if p.admin != nil {
-		p.admin.Page("/_owner", func(url.Values) any { return runner.Page() })
+		p.admin.HandleGet("/_owner", func(url.Values) any { return runner.Page() })
 	}
 	return nil
 }
 
-// closeRoles gives the lease back, if this proxy holds it.
+// closeRoles stops the roles and resigns the lease, if this proxy holds it.
 func (p *Proxy) closeRoles() {
 	if p.roles != nil {
 		p.roles.Close()
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -18,23 +18,23 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// rig is a proxy without discovery: what it lists, and when a look-up is answered, a test says.
+// rig is a proxy without discovery: the test sets the list and decides when a look-up returns.
 type rig struct {
 	*Server
 	address  string
 	listener net.Listener
 	ended    chan struct{} // closed when Shutdown has returned
 
-	mu     sync.Mutex
-	listed map[dispatch.ServerID]string
-	looked func(n int) // called on each look-up of an address with its number from 1 on
-	looks  int
+	mu       sync.Mutex
+	listed   map[dispatch.ServerID]string
+	onLookup func(n int) // called on each look-up of an address with its number from 1 on
+	lookups  int
 }
 
 func (r *rig) Address(s dispatch.ServerID) (string, bool) {
 	r.mu.Lock()
-	r.looks++
-	n, looked, a := r.looks, r.looked, r.listed[s]
+	r.lookups++
+	n, looked, a := r.lookups, r.onLookup, r.listed[s]
 	r.mu.Unlock()
 	if looked != nil {
 		looked(n)
@@ -45,7 +45,7 @@
 func (r *rig) Probe(dispatch.ServerID) {}
 func (r *rig) Follow()                 {}
 
-// list has the proxy told of servers, which take the numbers from 1 on.
+// list gives the proxy its list of servers, with ids from 1 on.
 func (r *rig) list(addresses ...string) {
 	var list []dispatch.Server
 	r.mu.Lock()
@@ -58,9 +58,10 @@
 	r.Decider.UpdateList(true, list)
 }
 
-// newRig starts a proxy that knows no server. Its class "lookup" may run again, "assign" must not; change may
-// alter the settings.
-func newRig(t testing.TB, change func(*balance.Settings)) *rig {
+// newRig starts a proxy with an empty list. Its class "lookup" is idempotent, "assign" must not run twice;
+// change may alter the settings.
+func newRig(tb testing.TB, change func(*balance.Settings)) *rig {
+	tb.Helper()
 	set := balance.Settings{
 		Tick: time.Millisecond, MaxAttempts: 3, MayCancel: true, MayHedge: true,
 		Classes: []balance.Class{
@@ -74,7 +75,7 @@
 	r := &rig{listed: map[dispatch.ServerID]string{}, ended: make(chan struct{})}
 	decider, err := dispatch.New(set, 20*time.Millisecond, r)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	budget, room, count := descriptors.NewBudget(200, 0.6, 0.9), bodybudget.NewBudget(1<<20), stats.New(
 		[]string{"lookup", "assign"})
@@ -84,23 +85,24 @@
 	r.Server = New(Options{
 		Decider: decider, Pool: pool, Name: func(dispatch.ServerID) string { return "s" },
 		Classes: []string{"lookup", "assign"}, Tenants: []string{"acme"},
-		Limits: config.Clients{First: wait, Request: wait, Stall: wait, Idle: wait, Write: wait,
-			Half: wait, Silent: wait, Rested: wait, Away: wait, AwayAtOne: 8,
-			Linger: time.Second, Discard: time.Second},
+		Limits: config.Clients{FirstRequestTimeout: wait, HeadTimeout: wait, StallTimeout: wait, IdleTimeout: wait,
+			WriteTimeout:   wait,
+			ReclaimPartial: wait, ReclaimSilent: wait, ReclaimIdle: wait, RejectTimeout: wait, MaxRejecting: 8,
+			Linger: time.Second, DiscardTimeout: time.Second},
 		Drain: func() drain.Times {
-			return drain.Times{CloseIdle: 50 * time.Millisecond, Accept: 80 * time.Millisecond,
-				CloseAll: 120 * time.Millisecond, CloseHalf: 300 * time.Millisecond}
+			return drain.Times{CloseIdle: 50 * time.Millisecond, AcceptFor: 80 * time.Millisecond,
+				CloseAll: 120 * time.Millisecond, ClosePartial: 300 * time.Millisecond}
 		},
 		Budget: budget, Bodies: room, Stats: count, Log: slog.New(slog.DiscardHandler),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	r.address, r.listener = l.Addr().String(), l
 	stop := make(chan struct{})
 	go decider.Run(stop)
 	go r.Serve(l)
-	t.Cleanup(func() { l.Close(); close(stop) })
+	tb.Cleanup(func() { l.Close(); close(stop) })
 	return r
 }
--- a/internal/proxy/logging/logging_test.go
+++ b/internal/proxy/logging/logging_test.go
@@ -12,29 +12,29 @@
 	"time"
 )
 
-// page is a log that a test reads while it is written.
-type page struct {
+// syncBuffer is a log that a test reads while it is written.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (p *page) Write(b []byte) (int, error) {
+func (p *syncBuffer) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.b.Write(b)
 }
 
-func (p *page) lines() []string {
+func (p *syncBuffer) lines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Split(strings.TrimSpace(p.b.String()), "\n")
 }
 
-// Lines with the same words are bounded, whatever their attributes; the next one tells how many were left
-// out, and at the end none is forgotten. Others are not held up by them.
+// Records with the same message are limited, whatever their attributes; the next one has the number of those
+// that were dropped, and Close reports the rest. Other messages are not affected.
 func TestRepeatsAreBoundedAndCounted(t *testing.T) {
-	var out page
-	l := New(&out, Options{Format: "json", Repeat: 3, Backlog: 1 << 20})
+	var out syncBuffer
+	l := New(&out, Options{Format: "json", RepeatRate: 3, Backlog: 1 << 20})
 	for i := range 1000 {
 		l.With("a", i).Warn("again", "n", i)
 	}
@@ -63,13 +63,13 @@
 	}
 }
 
-func TestLevelChanges(t *testing.T) {
-	var out page
+func TestLevelChangesWhileTheLoggerIsInUse(t *testing.T) {
+	var out syncBuffer
 	l := New(&out, Options{Format: "text", Level: ParseLevel("warn"), Backlog: 1 << 20})
 	l.Info("one")
-	l.Set(ParseLevel("debug"), 0)
+	l.SetLimits(ParseLevel("debug"), 0)
 	l.Debug("two")
-	l.Set(ParseLevel("error"), 0)
+	l.SetLimits(ParseLevel("error"), 0)
 	l.Warn("three")
 	l.Close(time.Minute)
 	if got := fmt.Sprint(out.lines()); strings.Contains(got, "one") || !strings.Contains(got, "two") ||
@@ -78,8 +78,7 @@
 	}
 }
 
-// A reader that stalls keeps nobody waiting; what is lost is counted once it reads on.
-func TestStalledReader(t *testing.T) {
+func TestStalledReaderDelaysNobodyAndLossesAreCounted(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +95,7 @@
 		b.ReadFrom(r)
 		done <- b.String()
 	}()
-	<-l.out.Done()
+	<-l.writer.Done()
 	w.Close()
 	text := <-done
 	lost := 0
@@ -112,12 +111,11 @@
 	}
 }
 
-// A time carries its unit in both forms.
-func TestTimesCarryUnits(t *testing.T) {
+func TestDurationsCarryTheirUnit(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
-		var out page
+		var out syncBuffer
 		l := New(&out, Options{Format: format, Backlog: 1 << 20})
-		NewRequests(l.Logger, 1, 0).Write(Final{Took: 1500 * time.Microsecond})
+		NewRequestLog(l.Logger, 1, 0).Write(RequestEntry{Took: 1500 * time.Microsecond})
 		l.Close(time.Minute)
 		if got := out.lines()[0]; !strings.Contains(got, "1.5ms") {
 			t.Errorf("%s: %s", format, got)
@@ -125,18 +123,18 @@
 	}
 }
 
-func TestRequestLog(t *testing.T) {
-	if (*Requests)(nil).Wants() {
+func TestRequestLogKeepsToItsSampleAndRate(t *testing.T) {
+	if (*RequestLog)(nil).Allow() {
 		t.Error("one that is off wants a line")
 	}
-	var out page
-	l := New(&out, Options{Format: "text", Repeat: 1, Backlog: 1 << 20})
-	all := NewRequests(l.Logger, 1, 0)
+	var out syncBuffer
+	l := New(&out, Options{Format: "text", RepeatRate: 1, Backlog: 1 << 20})
+	all := NewRequestLog(l.Logger, 1, 0)
 	for range 50 {
-		if !all.Wants() {
+		if !all.Allow() {
 			t.Fatal("a line is left out")
 		}
-		all.Write(Final{Request: "id", Class: "lookup", Server: "zone-1", Attempts: 2, Outcome: "served",
+		all.Write(RequestEntry{Request: "id", Class: "lookup", Server: "zone-1", Attempts: 2, Outcome: "served",
 			Status: 200, Took: 1500 * time.Microsecond})
 	}
 	l.Close(time.Minute)
@@ -145,13 +143,13 @@
 	if got := out.lines(); len(got) != 50 || !strings.HasSuffix(got[0], want) {
 		t.Errorf("%d lines, %q", len(got), got[0])
 	}
-	few, none := NewRequests(slog.New(slog.DiscardHandler), 1, 1), NewRequests(nil, 0, 0)
+	few, none := NewRequestLog(slog.New(slog.DiscardHandler), 1, 1), NewRequestLog(nil, 0, 0)
 	wanted := 0
 	for range 1000 {
-		if few.Wants() {
+		if few.Allow() {
 			wanted++
 		}
-		if none.Wants() {
+		if none.Allow() {
 			t.Fatal("a part of 0 takes one")
 		}
 	}
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -30,7 +30,7 @@
 func (c *conn) close() {
 	c.closeOnce.Do(func() {
 		c.netConn.Close()
-		c.pool.budget.Give(descriptors.Servers)
+		c.pool.budget.Release(descriptors.Servers)
 	})
 }
 
@@ -108,7 +108,7 @@
 
 // dial opens the connection. Where it returns false the attempt never ran, and ends with the result.
 func (c *conn) dial(a *Attempt) (dispatch.Result, bool) {
-	if !c.pool.budget.Take(descriptors.Servers) {
+	if !c.pool.budget.Acquire(descriptors.Servers) {
 		return dispatch.Skipped, false
 	}
 	deadline := time.Now().Add(c.pool.limits.Load().Dial)
@@ -128,7 +128,7 @@
 		c.pool.stats.Opened.Add()
 		return dispatch.Served, true
 	}
-	c.pool.budget.Give(descriptors.Servers)
+	c.pool.budget.Release(descriptors.Servers)
 	switch {
 	case a.ctx.Err() != nil:
 		return dispatch.Cancelled, false
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -21,7 +21,7 @@
 
 // Load reads a scenario by the path of its file or by the name of a shipped one, with the values of some keys
 // replaced, and validates it as strictly as the program's own configuration. The error is of type
-// settingsfile.Problems and lists all of them.
+// settingsfile.SettingErrors and lists all of them.
 func Load(name string, set map[string]string) (*proxysim.Scenario, error) {
 	raw, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -31,7 +31,7 @@
 	}
 	b := schema().NewBuilder()
 	if err != nil {
-		b.Problems.Add(settingsfile.At("file", name), "",
+		b.Problems.Add(settingsfile.NewOrigin("file", name), "",
 			"cannot be read, and no shipped scenario has that name: %v", err)
 		return nil, b.Problems.Err()
 	}
@@ -40,16 +40,16 @@
 	b.Add(l)
 	over := settingsfile.NewLayer()
 	for key, value := range set {
-		o := settingsfile.At("flag", "--set "+key)
-		if _, _, _, ok := schema().Generic(key); !ok {
-			b.Problems.Add(o, key, "is no key%s", schema().Meant(key))
+		o := settingsfile.NewOrigin("flag", "--set "+key)
+		if _, ok := schema().Resolve(key); !ok {
+			b.Problems.Add(o, key, "is no key%s", schema().Suggest(key))
 			continue
 		}
-		over.Set(key, settingsfile.Words(value), o)
+		over.Set(key, settingsfile.Text(value), o)
 	}
 	b.Add(over)
 	sc := &proxysim.Scenario{}
-	b.Into(sc)
+	b.Decode(sc)
 	if len(b.Problems) == 0 {
 		(&validator{sc, b}).validate()
 	}
@@ -73,7 +73,7 @@
 			}
 		}
 	}
-	v.builder.Problems.Add(o, schema().Shown(path), format, args...)
+	v.builder.Problems.Add(o, schema().Display(path), format, args...)
 }
 
 // validate checks the scenario.
@@ -118,7 +118,7 @@
 			continue
 		}
 		hint := ""
-		if likely := settingsfile.Likely(fault.Hall, halls); likely != "" {
+		if likely := settingsfile.Closest(fault.Hall, halls); likely != "" {
 			hint = "; did you mean " + likely + "?"
 		}
 		v.report(fmt.Sprintf("trouble.%d.hall", i), "%q is none of halls%s", fault.Hall, hint)
@@ -166,7 +166,7 @@
 			fmt.Fprintf(&b, "\n## %s\n\n", name)
 		}
 		def := "default `" + f.Default + "`"
-		if f.Must {
+		if f.Required {
 			def = "must be set"
 		}
 		allowed := f.Allowed()
--- a/internal/testbed/connserver/connserver.go
+++ b/internal/testbed/connserver/connserver.go
@@ -1,4 +1,5 @@
-// Package connserver accepts connections, gives each a goroutine, and can end all of them at once.
+// Package connserver is the accept loop of the stand-ins: it gives each connection a goroutine, bounds their
+// number, and can close all of them at once, with a reset where a crash is simulated.
 package connserver
 
 import (
@@ -9,55 +10,56 @@
 	"cresshub/internal/connbuffer"
 )
 
-// Listener accepts connections, gives each a goroutine, and can end all of them at once.
+// Listener accepts connections and runs a goroutine for each. Its methods are safe for concurrent use.
 type Listener struct {
-	l     net.Listener
-	serve func(*connbuffer.Conn)
-	most  int
+	listener net.Listener
+	serve    func(*connbuffer.Conn)
+	maxConns int
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
-	all    sync.WaitGroup
+	all    sync.WaitGroup // the accept loop and the goroutines of connections
 }
 
 // Listen accepts connections at an address, port 0 for one that the system chooses, and runs serve for
-// each. Beyond most connections, 0 for any number, new ones are closed at once.
-func Listen(address string, most int, serve func(*connbuffer.Conn)) (*Listener, error) {
-	l, err := net.Listen("tcp", address)
+// each in a goroutine; the connection is closed when serve returns. Beyond maxConns connections, 0 for any
+// number, new ones are closed at once.
+func Listen(address string, maxConns int, serve func(*connbuffer.Conn)) (*Listener, error) {
+	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	ls := &Listener{l: l, serve: serve, most: most, conns: map[net.Conn]struct{}{}}
-	ls.all.Add(1)
-	go ls.accept()
-	return ls, nil
+	l := &Listener{listener: tcp, serve: serve, maxConns: maxConns, conns: map[net.Conn]struct{}{}}
+	l.all.Add(1)
+	go l.accept()
+	return l, nil
 }
 
-// Address is where it listens.
-func (l *Listener) Address() string { return l.l.Addr().String() }
+// Address returns the address with the port on which it listens.
+func (l *Listener) Address() string { return l.listener.Addr().String() }
 
 func (l *Listener) accept() {
 	defer l.all.Done()
-	_ = acceptloop.Run(l.l, nil, l.take) // it ends with the listener
+	_ = acceptloop.Run(l.listener, nil, l.start) // it ends with the listener
 }
 
-func (l *Listener) take(c net.Conn) {
-	if !l.hold(c) {
+func (l *Listener) start(c net.Conn) {
+	if !l.add(c) {
 		c.Close()
 		return
 	}
 	go func() {
 		defer l.all.Done()
-		defer l.drop(c)
+		defer l.remove(c)
 		l.serve(connbuffer.NewConn(c))
 	}()
 }
 
-func (l *Listener) hold(c net.Conn) bool {
+func (l *Listener) add(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || l.most > 0 && len(l.conns) >= l.most {
+	if l.closed || l.maxConns > 0 && len(l.conns) >= l.maxConns {
 		return false
 	}
 	l.conns[c] = struct{}{}
@@ -65,30 +67,30 @@
 	return true
 }
 
-func (l *Listener) drop(c net.Conn) {
+func (l *Listener) remove(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 	c.Close()
 }
 
-// Close ends all connections at once and waits for their goroutines. With reset the other sides see a
-// reset, as when a process dies, otherwise the end of the stream.
+// Close closes the listener and all connections, and waits for their goroutines. With reset the other sides
+// see a reset, as when a process dies, otherwise the end of the stream.
 func (l *Listener) Close(reset bool) {
 	l.end(reset)
 	l.all.Wait()
 }
 
-// End ends all connections without waiting for goroutines that may be held up elsewhere.
+// End closes the listener and all connections without waiting for goroutines, which may be blocked elsewhere.
 func (l *Listener) End() { l.end(false) }
 
 func (l *Listener) end(reset bool) {
-	l.l.Close()
+	l.listener.Close()
 	l.mu.Lock()
 	l.closed = true
 	for c := range l.conns {
 		if t, ok := c.(*net.TCPConn); ok && reset {
-			t.SetLinger(0)
+			_ = t.SetLinger(0) // fails only on a closed connection
 		}
 		c.Close()
 	}
--- a/internal/testbed/faultinject/network.go
+++ b/internal/testbed/faultinject/network.go
@@ -11,24 +11,26 @@
 	"cresshub/internal/router/transport"
 )
 
-// Network is the machine's network with the faults of a process. Connections come from the machine's own IP,
-// so that the other side's faults can tell who calls.
+// Network is the machine's network with the faults of a process. Connections are dialled from the machine's
+// own IP, by which the other side's faults recognize it.
 type Network struct {
 	faults *Faults
 	ip     string
-	plain  string // address whose connections have no faults: that of clients
+	exempt string // address whose connections have no faults: the one for clients
 }
 
 var _ transport.Network = (*Network)(nil)
 
-// Network returns the network of a machine. Connections accepted at the plain address have no faults, but
+// Network returns the network of a machine. Connections accepted at the exempt address have no faults, but
 // accepting them may fail.
-func (f *Faults) Network(ip, plain string) *Network { return &Network{faults: f, ip: ip, plain: plain} }
+func (f *Faults) Network(ip, exempt string) *Network {
+	return &Network{faults: f, ip: ip, exempt: exempt}
+}
 
-// Dial connects to an address. Through a cut it takes all its time in vain.
+// Dial connects to an address. Through a partition it fails with a time-out after the whole timeout.
 func (n *Network) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	host, _, _ := net.SplitHostPort(address)
-	if n.faults.isCut(host) {
+	if n.faults.isPartitioned(host) {
 		time.Sleep(timeout)
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
@@ -46,41 +48,41 @@
 	if err != nil {
 		return nil, err
 	}
-	return &listener{Listener: l, faults: n.faults, plain: address == n.plain}, nil
+	return &listener{Listener: l, faults: n.faults, exempt: address == n.exempt}, nil
 }
 
 type listener struct {
 	net.Listener
 	faults *Faults
-	plain  bool
+	exempt bool
 }
 
-// Accept accepts a connection, or fails as it does without descriptors; the connection is lost then.
+// Accept accepts a connection, or fails with EMFILE and closes it.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	if l.faults.takeRefusal() {
+	if l.faults.consumeRefusal() {
 		c.Close()
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
-	if l.plain {
+	if l.exempt {
 		return c, nil
 	}
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	return l.faults.wrap(c.(*net.TCPConn), host), nil
 }
 
-// conn withholds what comes from a machine that is not heard.
+// conn withholds what it receives while a partition separates it from the other machine.
 type conn struct {
 	*net.TCPConn
 	faults *Faults
 	peer   string // IP of the other machine
 
-	reading sync.Mutex
-	held    []byte // read, and withheld
-	heldErr error
+	readMu      sync.Mutex
+	withheld    []byte // received, but not yet returned
+	withheldErr error
 
 	mu       sync.Mutex
 	deadline time.Time // of reading
@@ -95,34 +97,34 @@
 	return wrapped
 }
 
-// Read reads, and holds what it has read as long as the other machine is not heard.
+// Read reads, and withholds what it has received until no partition separates the machines.
 func (c *conn) Read(p []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	for {
-		if err := c.awaitHearing(); err != nil {
+		if err := c.awaitHealed(); err != nil {
 			return 0, err
 		}
-		if len(c.held) == 0 && c.heldErr == nil {
+		if len(c.withheld) == 0 && c.withheldErr == nil {
 			n, err := c.TCPConn.Read(p)
 			if err != nil && n == 0 && os.IsTimeout(err) {
 				return 0, err
 			}
-			c.held, c.heldErr = append(c.held, p[:n]...), err
+			c.withheld, c.withheldErr = append(c.withheld, p[:n]...), err
 			continue
 		}
-		n := copy(p, c.held)
-		c.held = c.held[n:]
+		n := copy(p, c.withheld)
+		c.withheld = c.withheld[n:]
 		if n > 0 {
 			return n, nil
 		}
-		return 0, c.heldErr
+		return 0, c.withheldErr
 	}
 }
 
-// awaitHearing returns once the other machine is heard, or with the error of the read deadline or of a closed
-// connection.
-func (c *conn) awaitHearing() error {
+// awaitHealed returns nil once no partition separates the machines, os.ErrDeadlineExceeded at the read
+// deadline, and net.ErrClosed once the connection is closed.
+func (c *conn) awaitHealed() error {
 	for c.faults.isDeaf(c.peer) {
 		c.mu.Lock()
 		closed, deadline := c.closed, c.deadline
@@ -133,35 +135,35 @@
 		case !deadline.IsZero() && !time.Now().Before(deadline):
 			return os.ErrDeadlineExceeded
 		}
-		time.Sleep(lookInterval)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// Write passes on: what a cut withholds is withheld by the machine that should hear it.
+// Write passes a numbered point and writes; a partition takes effect on the receiving side.
 func (c *conn) Write(p []byte) (int, error) {
-	c.faults.point()
+	c.faults.passPoint()
 	return c.TCPConn.Write(p)
 }
 
-// ReadFrom hides that of the system's connection, which would not call Write.
+// ReadFrom hides the method of the embedded connection, which would not call Write.
 func (c *conn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
 
 // SetDeadline sets both deadlines.
 func (c *conn) SetDeadline(t time.Time) error {
-	c.noteDeadline(t)
+	c.recordReadDeadline(t)
 	return c.TCPConn.SetDeadline(t)
 }
 
 // SetReadDeadline sets the deadline of reading.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.noteDeadline(t)
+	c.recordReadDeadline(t)
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-func (c *conn) noteDeadline(t time.Time) {
+func (c *conn) recordReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
