--- a/internal/testbed/clusterrig/clients.go
+++ b/internal/testbed/clusterrig/clients.go
@@ -12,47 +12,48 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// Tenants are those whose requests the load sends.
+// Tenants are the tenants whose requests clients send.
 var Tenants = []string{"ramen-kita", "soup-curry-chuo", "jingisukan-east"}
 
-// Clients send requests to members as clients do and counts the final answers that come, by what a ledger
-// counts them.
+// Clients send requests to members and count the final answers by the ledger's keys. The methods may be
+// called from any goroutine.
 type Clients struct {
 	mu       sync.Mutex
 	answers  map[ledger.Key]int64
-	byMember map[string]int64 // answers by member
-	lost     int64            // requests without a whole answer
+	byMember map[string]int64 // answers by member name
+	lost     int64            // requests without a complete answer
 	next     int
 	client   http.Client
 }
 
-// NewClients returns clients that have sent nothing.
+// NewClients returns clients that haven't sent anything yet.
 func NewClients() *Clients {
 	return &Clients{answers: map[ledger.Key]int64{}, byMember: map[string]int64{},
 		client: http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
-// Send sends one request to a member; id "" is a fresh one, first the id of its first try, if it says so.
+// Send sends one request to a member. id "" draws a new one; first is the id of the first attempt, "" for
+// none.
 func (l *Clients) Send(m *Member, tenant, class, id, first string) error {
 	if id == "" {
 		id = fmt.Sprintf("%016x", rand.Uint64())
 	}
 	m.mu.Lock()
-	at := m.listen
+	address := m.listen
 	m.mu.Unlock()
-	q, err := http.NewRequest("GET", "http://"+at+"/api?key="+id, nil)
+	req, err := http.NewRequest("GET", "http://"+address+"/api?key="+id, nil)
 	if err != nil {
 		return err
 	}
-	q.Header = http.Header{"X-Request-Id": {id}, "X-Priority-Class": {class}, "X-Tenant-Id": {tenant},
+	req.Header = http.Header{"X-Request-Id": {id}, "X-Priority-Class": {class}, "X-Tenant-Id": {tenant},
 		"X-Timeout": {"2"}}
 	if first != "" {
-		q.Header.Set("X-First-Request-ID", first)
+		req.Header.Set("X-First-Request-ID", first)
 	}
-	a, err := l.client.Do(q)
+	resp, err := l.client.Do(req)
 	if err == nil {
-		_, err = io.Copy(io.Discard, a.Body)
-		a.Body.Close()
+		_, err = io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +62,7 @@
 		return err
 	}
 	answer := "bad_gateway"
-	switch a.StatusCode {
+	switch resp.StatusCode {
 	case 200:
 		answer = "passed"
 	case 429, 503:
@@ -72,10 +73,25 @@
 	return nil
 }
 
-// clientInterval is between two requests of one client: what is tried is not how much the members bear.
+// clientInterval is the pause between two requests of one client: the members' capacity isn't under test.
 const clientInterval = 15 * time.Millisecond
 
-// Run sends requests to members in turn with so many clients at once until ctx ends.
+// Start sends requests to members in turn with so many concurrent clients, until stop, which waits for them,
+// or the end of ctx.
+func (l *Clients) Start(ctx context.Context, ms []*Member, clients int) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		l.Run(ctx, ms, clients)
+	}()
+	return func() {
+		cancel()
+		<-done
+	}
+}
+
+// Run sends requests to members in turn with so many concurrent clients until ctx ends.
 func (l *Clients) Run(ctx context.Context, ms []*Member, clients int) {
 	var all sync.WaitGroup
 	for range clients {
@@ -89,7 +105,7 @@
 				if n%3 == 0 {
 					class = "rider-assign"
 				}
-				l.Send(ms[n%len(ms)], Tenants[n%len(Tenants)], class, "", "")
+				_ = l.Send(ms[n%len(ms)], Tenants[n%len(Tenants)], class, "", "") // counted as lost
 				time.Sleep(clientInterval)
 			}
 		})
@@ -97,7 +113,7 @@
 	all.Wait()
 }
 
-// Answers are the final answers that came, by key, and how many by one member.
+// Answers returns the final answers by key, and their sum.
 func (l *Clients) Answers() (map[ledger.Key]int64, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,7 +126,7 @@
 	return out, sum
 }
 
-// Merge takes over what other clients got.
+// Merge adds the counts of other clients.
 func (l *Clients) Merge(o *Clients) {
 	answers, _ := o.Answers()
 	l.mu.Lock()
@@ -121,7 +137,7 @@
 	l.lost += o.Lost()
 }
 
-// Lost is how many requests got no whole answer.
+// Lost returns how many requests got no complete answer.
 func (l *Clients) Lost() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/clusterrig/history_test.go
+++ b/internal/testbed/clusterrig/history_test.go
@@ -50,7 +50,7 @@
 		history = append(history, porcupine.Operation{ClientId: client, Input: ledgerOp{read: op.read}, Output: op,
 			Call: from.Sub(begun).Nanoseconds(), Return: time.Since(begun).Nanoseconds()})
 	}
-	c, stop := context.WithTimeout(ctx(t), 8*time.Second)
+	c, stop := context.WithTimeout(testContext(t), 8*time.Second)
 	defer stop()
 	clients := NewClients()
 	var all sync.WaitGroup
@@ -102,7 +102,7 @@
 	if victim := leader(t, r); victim != writers[0] && victim != writers[1] {
 		r.Kill(victim)
 		time.Sleep(time.Second)
-		must(t, r.Restart(ctx(t), victim, false, false))
+		must(t, r.Spawn(testContext(t), victim, Unchanged))
 	}
 	all.Wait()
 	writes, reads := 0, 0
--- a/internal/testbed/clusterrig/ledger_faults_test.go
+++ b/internal/testbed/clusterrig/ledger_faults_test.go
@@ -14,19 +14,19 @@
 
 // Case 1: kill -9 of the leader in the midst of a stream of batches, of a follower, and of both followers one
 // after the other; each comes back with its disk.
-func TestLedgerKills(t *testing.T) {
+func TestLedgerSurvivesKills(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{})
-	l := during(t, spare(r, replicas(t, r)), 6, func() {
+	l := withClients(t, nonReplicas(r, replicas(t, r)), 6, func() {
 		for i := range 3 {
 			held := replicas(t, r)
 			victim := held[min(i, 1)]
-			before := applied(t, held)
+			before := appliedIndex(t, held)
 			r.Kill(victim)
 			begun := time.Now()
 			next := leader(t, r)
-			untilLedger(t, []*Member{next}, 5*time.Second, fmt.Sprintf("%s killed, batches go on", victim.Name),
-				func(_ *Member, p *daemon.LedgerPage) error { return beyond(p, before+10) })
+			waitLedger(t, []*Member{next}, 5*time.Second, fmt.Sprintf("%s killed, batches go on", victim.Name),
+				func(_ *Member, p *daemon.LedgerPage) error { return appliedBeyond(p, before+10) })
 			if took := time.Since(begun); i == 0 && took > 5*time.Second {
 				t.Errorf("a new leader took %v", took)
 			}
@@ -35,34 +35,34 @@
 				for _, m := range other {
 					if m.State() == Up && m != leader(t, r) {
 						r.Kill(m)
-						must(t, r.Restart(ctx(t), m, false, false))
+						must(t, r.Spawn(testContext(t), m, Unchanged))
 						break
 					}
 				}
 			}
-			must(t, r.Restart(ctx(t), victim, false, false))
-			untilLedger(t, r.Running(), 10*time.Second, "all read again", readable)
+			must(t, r.Spawn(testContext(t), victim, Unchanged))
+			waitLedger(t, r.Running(), 10*time.Second, "all read again", checkReadable)
 		}
 	})
-	settled(t, r, l, 15*time.Second)
-	same(t, r, l)
+	waitCommitted(t, r, l, 15*time.Second)
+	checkLedgerAnswers(t, r, l)
 }
 
-func readable(_ *Member, p *daemon.LedgerPage) error {
+func checkReadable(_ *Member, p *daemon.LedgerPage) error {
 	if p.Ledger == nil {
 		return fmt.Errorf("not read")
 	}
 	return nil
 }
 
-func applied(t *testing.T, ms []*Member) uint64 {
+func appliedIndex(t *testing.T, ms []*Member) uint64 {
 	t.Helper()
 	p, err := ledgerPage(ms[0], "?period=1&tenant=-")
 	must(t, err)
 	return p.Group.Applied
 }
 
-func beyond(p *daemon.LedgerPage, index uint64) error {
+func appliedBeyond(p *daemon.LedgerPage, index uint64) error {
 	if p.Group.Applied < index {
 		return fmt.Errorf("applied %d, not %d", p.Group.Applied, index)
 	}
@@ -71,38 +71,38 @@
 
 // Case 2: a replica is killed and its data folder wiped. It comes back empty and catches up under a new
 // identity; another is killed for good and replaced by a further member. Nothing promised is lost.
-func TestLedgerReplacesWipedAndGone(t *testing.T) {
+func TestLedgerReplacesWipedAndDeadReplicas(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{})
 	held := replicas(t, r)
 	// Clients talk to members that stay, or what a killed process held in memory would be missing.
-	talked := spare(r, held)
-	l := during(t, talked, 6, func() {
+	talked := nonReplicas(r, held)
+	l := withClients(t, talked, 6, func() {
 		wiped := held[1]
 		r.Kill(wiped)
-		must(t, r.Restart(ctx(t), wiped, false, true))
-		untilLedger(t, []*Member{leader(t, r)}, 20*time.Second, "three voters, the wiped one anew",
-			func(_ *Member, p *daemon.LedgerPage) error { return whole(r, p) })
+		must(t, r.Spawn(testContext(t), wiped, EmptyDisk))
+		waitLedger(t, []*Member{leader(t, r)}, 20*time.Second, "three voters, the wiped one anew",
+			func(_ *Member, p *daemon.LedgerPage) error { return checkFullyReplicated(r, p) })
 		gone := without(replicas(t, r), talked...)[0]
 		r.Kill(gone)
-		untilLedger(t, []*Member{leader(t, r)}, 30*time.Second, "three voters without the gone one",
+		waitLedger(t, []*Member{leader(t, r)}, 30*time.Second, "three voters without the gone one",
 			func(_ *Member, p *daemon.LedgerPage) error {
 				for _, v := range p.Group.Voters {
 					if v == gone.Name {
 						return fmt.Errorf("voters %v", p.Group.Voters)
 					}
 				}
-				return whole(r, p)
+				return checkFullyReplicated(r, p)
 			})
-		must(t, r.Restart(ctx(t), gone, false, false)) // with its old disk, which the group does not list
+		must(t, r.Spawn(testContext(t), gone, Unchanged)) // with its old disk, which the group does not list
 	})
-	settled(t, r, l, 15*time.Second)
-	same(t, r, l)
+	waitCommitted(t, r, l, 15*time.Second)
+	checkLedgerAnswers(t, r, l)
 }
 
 // whole tells whether a group has three voters on the disks that their members have now, all caught up, and
 // no learner. p is the leader's page.
-func whole(r *Rig, p *daemon.LedgerPage) error {
+func checkFullyReplicated(r *Rig, p *daemon.LedgerPage) error {
 	if len(p.Group.Replicas) != 3 {
 		return fmt.Errorf("replicas %+v", p.Group.Replicas)
 	}
@@ -119,12 +119,12 @@
 
 // Case 3: the leader is cut off in a minority. It promises nothing from then on, the majority elects another
 // and goes on, and after the heal nothing that the old one took is counted twice.
-func TestLedgerLeaderCutOff(t *testing.T) {
+func TestLedgerPartitionedLeaderCommitsNothing(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{Relay: true})
 	old := leader(t, r)
 	rest := without(r.Members, old)
-	l := during(t, r.Members, 6, func() {
+	l := withClients(t, r.Members, 6, func() {
 		r.Net.Partition([]string{old.Name}, MemberNames(rest))
 		cut := time.Now()
 		for {
@@ -139,7 +139,7 @@
 		var p daemon.LedgerPage
 		must(t, old.GetJSON("/_ledger", &p))
 		promised := p.Here.Committed
-		untilLedger(t, rest, 10*time.Second, "the majority reads and goes on", readable)
+		waitLedger(t, rest, 10*time.Second, "the majority reads and goes on", checkReadable)
 		time.Sleep(time.Second) // long enough for what it should not promise
 		must(t, old.GetJSON("/_ledger", &p))
 		if p.Here.Committed != promised || p.Ledger != nil {
@@ -150,19 +150,19 @@
 		}
 		r.Net.Heal()
 	})
-	settled(t, r, l, 15*time.Second)
-	same(t, r, l)
+	waitCommitted(t, r, l, 15*time.Second)
+	checkLedgerAnswers(t, r, l)
 }
 
 // Case 4: a slow disk and a full one, at the leader and at a follower. The group slows or stands, plainly;
 // clients are served all the while, and nothing promised is lost.
-func TestLedgerDisks(t *testing.T) {
+func TestLedgerOnSlowAndFullDisks(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{})
 	faults := func(m *Member, text string) {
 		must(t, os.WriteFile(m.Data+".faults", []byte(text), 0o600))
 	}
-	l := during(t, r.Members, 6, func() {
+	l := withClients(t, r.Members, 6, func() {
 		for i := range 2 {
 			m := replicas(t, r)[i]
 			faults(m, `{"sync_delay_ms": 200}`)
@@ -193,27 +193,27 @@
 				}
 			}
 			others := without(r.Members, m)
-			untilLedger(t, others, 15*time.Second, m.Name+" is full, the others read", readable)
+			waitLedger(t, others, 15*time.Second, m.Name+" is full, the others read", checkReadable)
 			faults(m, `{}`)
-			untilLedger(t, r.Members, 15*time.Second, m.Name+" has room again", readable)
+			waitLedger(t, r.Members, 15*time.Second, m.Name+" has room again", checkReadable)
 		}
 	})
 	if l.Lost() > 0 {
 		t.Errorf("%d requests got no answer while disks failed", l.Lost())
 	}
-	settled(t, r, l, 15*time.Second)
-	same(t, r, l)
+	waitCommitted(t, r, l, 15*time.Second)
+	checkLedgerAnswers(t, r, l)
 }
 
 // Case 6: a client's retry of one request through another proxy after a restart counts in the period of its
 // first answer.
-func TestLedgerRetryCountsWhereItWasFirst(t *testing.T) {
+func TestLedgerCountsRetryInPeriodOfFirstAnswer(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 3, Options{})
 	l := NewClients()
 	a, b := r.Members[0], r.Members[1]
 	must(t, l.Send(a, Tenants[0], "zone-lookup", "the-first-try", ""))
-	settled(t, r, l, 10*time.Second)
+	waitCommitted(t, r, l, 10*time.Second)
 	in := func(period uint64) int64 {
 		p, err := ledgerPage(b, fmt.Sprintf("?period=%d", period))
 		must(t, err)
@@ -231,8 +231,8 @@
 		}
 	}
 	must(t, r.Term(a, nil))
-	must(t, r.Restart(ctx(t), a, false, false))
-	untilLedger(t, r.Running(), 10*time.Second, "the first answer's period has closed",
+	must(t, r.Spawn(testContext(t), a, Unchanged))
+	waitLedger(t, r.Running(), 10*time.Second, "the first answer's period has closed",
 		func(_ *Member, p *daemon.LedgerPage) error {
 			if p.Ledger.OpenPeriod == first {
 				return fmt.Errorf("period %d is open", first)
@@ -240,11 +240,11 @@
 			return nil
 		})
 	must(t, l.Send(b, Tenants[0], "zone-lookup", "the-second-try", "the-first-try"))
-	settled(t, r, l, 10*time.Second)
+	waitCommitted(t, r, l, 10*time.Second)
 	if in(first) != 2 {
 		t.Errorf("period %d counts %d answers, and both belong there", first, in(first))
 	}
-	same(t, r, l)
+	checkLedgerAnswers(t, r, l)
 	correct := func(args ...string) string {
 		all := append([]string{"ledger", "correct", "--door", a.Admin, "--tenant", Tenants[0], "--class",
 			"zone-lookup", "--answer", "passed", "--n", "-1", "--reason", "test"}, args...)
@@ -268,7 +268,7 @@
 
 // Bad input: a data folder of another fleet, one that cannot be written, a disk cut off. The start says so,
 // naming the key, and a batch of an unknown member is refused.
-func TestLedgerRefusesBadFolders(t *testing.T) {
+func TestLedgerRefusesForeignDataFolders(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 3, Options{})
 	m := r.Members[2]
@@ -285,7 +285,7 @@
 		"a folder in its way": {func() { must(t, os.Remove(path)); must(t, os.Mkdir(path, 0o700)) }, "replica.db"},
 	} {
 		c.spoil()
-		err := r.Restart(ctx(t), m, false, false)
+		err := r.Spawn(testContext(t), m, Unchanged)
 		if err == nil {
 			t.Fatalf("%s: it started", what)
 		}
@@ -295,6 +295,6 @@
 		must(t, os.RemoveAll(path))
 		must(t, os.WriteFile(path, good, 0o600))
 	}
-	must(t, r.Restart(ctx(t), m, false, false))
-	untilLedger(t, r.Members, 10*time.Second, "the good folder is taken again", readable)
+	must(t, r.Spawn(testContext(t), m, Unchanged))
+	waitLedger(t, r.Members, 10*time.Second, "the good folder is taken again", checkReadable)
 }
--- a/internal/testbed/clusterrig/ledger_test.go
+++ b/internal/testbed/clusterrig/ledger_test.go
@@ -1,7 +1,6 @@
 package clusterrig
 
 import (
-	"context"
 	"fmt"
 	"testing"
 	"time"
@@ -29,7 +28,7 @@
 	o.Members, o.Zones = members, 3
 	o.ExtraTOML += ledgerKeys + fmt.Sprintf("expect = %d\n", max(3, members/2+1))
 	r := start(t, o)
-	formed(t, r)
+	waitGroupFormed(t, r)
 	return r
 }
 
@@ -42,8 +41,8 @@
 	return p, err
 }
 
-// untilLedger waits until holds is true of every running member's page.
-func untilLedger(t *testing.T, ms []*Member, limit time.Duration, what string,
+// waitLedger waits until holds is true of every running member's page.
+func waitLedger(t *testing.T, ms []*Member, limit time.Duration, what string,
 	holds func(*Member, *daemon.LedgerPage) error) time.Duration {
 	t.Helper()
 	begun := time.Now()
@@ -75,7 +74,7 @@
 	}
 }
 
-func formed(t *testing.T, r *Rig) {
+func waitGroupFormed(t *testing.T, r *Rig) {
 	t.Helper()
 	has := func(_ *Member, p *daemon.LedgerPage) error {
 		if p.Group.Role != "none" && len(p.Group.Voters) < 3 {
@@ -86,16 +85,16 @@
 		}
 		return nil
 	}
-	untilLedger(t, r.Running(), 30*time.Second, "the group has formed", has)
+	waitLedger(t, r.Running(), 30*time.Second, "the group has formed", has)
 }
 
 // settled waits until nothing that the running members counted is unpromised and the ledger has no fewer
 // answers than clients got. The second is not said by the first: a client may have its answer just before the
 // member counts it.
-func settled(t *testing.T, r *Rig, l *Clients, limit time.Duration) {
+func waitCommitted(t *testing.T, r *Rig, l *Clients, limit time.Duration) {
 	t.Helper()
 	_, sum := l.Answers()
-	untilLedger(t, r.Running(), limit, "all is promised", func(_ *Member, p *daemon.LedgerPage) error {
+	waitLedger(t, r.Running(), limit, "all is promised", func(_ *Member, p *daemon.LedgerPage) error {
 		if p.Here.Queued+p.Here.InMemory > 0 {
 			return fmt.Errorf("%d wait, %d in memory", p.Here.Queued, p.Here.InMemory)
 		}
@@ -114,7 +113,7 @@
 }
 
 // totals are the ledger's answers by key, over all periods and corrections, as one member reads them.
-func totals(t *testing.T, m *Member) map[ledger.Key]int64 {
+func ledgerTotals(t *testing.T, m *Member) map[ledger.Key]int64 {
 	t.Helper()
 	var p daemon.LedgerPage
 	var err error
@@ -137,11 +136,11 @@
 }
 
 // same holds the ledger, read at every running member, to the answers that clients got.
-func same(t *testing.T, r *Rig, l *Clients) {
+func checkLedgerAnswers(t *testing.T, r *Rig, l *Clients) {
 	t.Helper()
 	want, sum := l.Answers()
 	for _, m := range r.Running() {
-		got := totals(t, m)
+		got := ledgerTotals(t, m)
 		for k, n := range want {
 			if got[k] != n {
 				t.Errorf("%s: %v counts %d, clients got %d", m.Name, k, got[k], n)
@@ -187,27 +186,21 @@
 }
 
 // during runs a load against members while act goes on.
-func during(t *testing.T, ms []*Member, clients int, act func()) *Clients {
+func withClients(t *testing.T, ms []*Member, clients int, act func()) *Clients {
 	t.Helper()
 	l := NewClients()
-	c, stop := context.WithCancel(ctx(t))
-	done := make(chan struct{})
-	go func() { defer close(done); l.Run(c, ms, clients) }()
-	func() {
-		defer stop()
-		act()
-	}()
-	<-done
+	defer l.Start(testContext(t), ms, clients)()
+	act()
 	return l
 }
 
 // spare returns n members that hold no replica, or fewer.
-func spare(r *Rig, held []*Member) []*Member { return without(r.Members, held...) }
+func nonReplicas(r *Rig, held []*Member) []*Member { return without(r.Members, held...) }
 
 func TestLedgerCountsWhatClientsGot(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{})
-	l := during(t, r.Members, 8, func() { time.Sleep(3 * time.Second) })
-	settled(t, r, l, 10*time.Second)
-	same(t, r, l)
+	l := withClients(t, r.Members, 8, func() { time.Sleep(3 * time.Second) })
+	waitCommitted(t, r, l, 10*time.Second)
+	checkLedgerAnswers(t, r, l)
 }
--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -11,7 +11,6 @@
 	"path/filepath"
 	"sync"
 	"sync/atomic"
-	"text/tabwriter"
 	"time"
 
 	"cresshub/internal/cluster/groupstate"
@@ -21,16 +20,16 @@
 	"cresshub/internal/cluster/raftgroup"
 )
 
-// MeasureOptions are how the ledger is measured: its replicas in this process, on a real disk, without the
-// clients' front, which other measurements are for.
+// MeasureOptions describe a measurement of the ledger alone: its replicas run in this process, on a real
+// disk, without the proxy's data path.
 type MeasureOptions struct {
 	Dir     string
-	Rate    int // answers a second, over all members
+	Rate    int // answers per second, over all members
 	For     time.Duration
-	Entries int // log entries that a wiped replica catches up with
+	Entries int // log entries that a wiped replica must catch up with
 }
 
-// MeasuredMembers is what came of it.
+// Measured is the result of a measurement.
 type Measured struct {
 	Answers          int64   `json:"answers"`
 	Committed        int64   `json:"promised"`
@@ -40,18 +39,19 @@
 	Max              float64 `json:"commit_max_ms"`
 	Entries          int64   `json:"entries"`
 	EntriesPerSecond float64 `json:"entries_per_second"`
-	CatchUpMS        float64 `json:"catch_up_ms"` // of a replica with an empty disk, until it counts as one
-	DiskBytes        int64   `json:"disk_bytes"`  // of one replica's file in the end
+	CatchUpMS        float64 `json:"catch_up_ms"` // of a replica with an empty disk, until it is caught up
+	DiskBytes        int64   `json:"disk_bytes"`  // of one replica's file at the end
 }
 
 const measureGroup = "ledger"
 
-// measuredMember is one member of the measurement.
+// measuredMember is one member: its replica host and its recorder of usage.
 type measuredMember struct {
 	host     *raftgroup.Host
 	recorder *pending.Recorder
 }
 
+// measurement is the state of one measurement.
 type measurement struct {
 	o       MeasureOptions
 	mu      sync.Mutex
@@ -59,6 +59,7 @@
 	removed map[string]bool
 }
 
+// peers returns the members as the hosts' view of the membership.
 func (m *measurement) peers() []raftgroup.Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,6 +71,7 @@
 	return out
 }
 
+// start starts or restarts a member.
 func (m *measurement) start(name string) error {
 	dir := filepath.Join(m.o.Dir, name)
 	log := slog.New(slog.DiscardHandler)
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// Measure has three members count at the rate, then fills the log and wipes a replica.
+// Measure lets three members count answers at the rate, then fills the log and lets a wiped replica catch up.
 func Measure(ctx context.Context, o MeasureOptions) (r Measured, err error) {
 	m := &measurement{o: o, members: map[string]*measuredMember{}, removed: map[string]bool{}}
 	defer func() {
@@ -122,9 +124,9 @@
 	if err := m.waitFullyReplicated(ctx, time.Minute); err != nil {
 		return r, err
 	}
-	began := time.Now()
+	started := time.Now()
 	m.count(ctx, o.Rate, o.For)
-	took := time.Since(began)
+	took := time.Since(started)
 	for _, x := range m.members {
 		x.recorder.WaitCommitted(10 * time.Second)
 		f := x.recorder.Stats()
@@ -142,7 +144,7 @@
 	return r, ctx.Err()
 }
 
-// count has the members count answers at the rate for a while, every 10 ms what is due.
+// count lets the members count answers at the rate for a while; every 10 ms those that are due.
 func (m *measurement) count(ctx context.Context, rate int, lasting time.Duration) {
 	start := time.Now()
 	done := 0
@@ -159,15 +161,15 @@
 	}
 }
 
-// catchUp fills the log, wipes a follower, and waits until it counts as a replica again.
+// catchUp fills the log, wipes a follower, and waits until it is a replica again.
 func (m *measurement) catchUp(ctx context.Context, r *Measured) error {
-	lead := m.leader(ctx)
-	if lead == "" || m.o.Entries == 0 {
+	leader := m.leader(ctx)
+	if leader == "" || m.o.Entries == 0 {
 		return ctx.Err()
 	}
 	var next, failed atomic.Int64
 	var all sync.WaitGroup
-	began := time.Now()
+	started := time.Now()
 	for w := range 1024 {
 		all.Go(func() {
 			member := fmt.Sprint("writer-", w)
@@ -175,7 +177,7 @@
 				b := ledger.Batch{Member: member, Incarnation: 1, Seq: seq, Usage: []ledger.KeyUsage{{
 					Key:   ledger.Key{Tenant: Tenants[w%3], Class: "zone-lookup", Answer: "passed"},
 					Usage: ledger.Usage{Count: 1}}}}
-				if _, err := m.members[lead].host.Propose(ctx, measureGroup, b.Encode()); err != nil {
+				if _, err := m.members[leader].host.Propose(ctx, measureGroup, b.Encode()); err != nil {
 					failed.Add(1)
 				}
 			}
@@ -183,9 +185,9 @@
 	}
 	all.Wait()
 	r.Entries = int64(m.o.Entries) - failed.Load()
-	r.EntriesPerSecond = float64(r.Entries) / time.Since(began).Seconds()
+	r.EntriesPerSecond = float64(r.Entries) / time.Since(started).Seconds()
 	wiped := "a"
-	if lead == wiped {
+	if leader == wiped {
 		wiped = "b"
 	}
 	x := m.members[wiped]
@@ -193,15 +195,16 @@
 	if err != nil {
 		return err
 	}
-	began = time.Now()
+	started = time.Now()
 	if err := m.start(wiped); err != nil {
 		return err
 	}
 	err = m.waitFullyReplicated(ctx, time.Minute)
-	r.CatchUpMS = ms(time.Since(began))
+	r.CatchUpMS = ms(time.Since(started))
 	return err
 }
 
+// leader waits for the group's leader; "" if ctx ends first.
 func (m *measurement) leader(ctx context.Context) string {
 	for ctx.Err() == nil {
 		for name, x := range m.members {
@@ -214,7 +217,7 @@
 	return ""
 }
 
-// waitFullyReplicated waits until the group is the three disks that its members have now, caught up.
+// waitFullyReplicated waits until the group consists of the current disks of the three members, caught up.
 func (m *measurement) waitFullyReplicated(ctx context.Context, limit time.Duration) error {
 	end := time.Now().Add(limit)
 	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
@@ -230,16 +233,15 @@
 			return nil
 		}
 	}
-	return errors.New("the group did not become whole in time")
+	return errors.New("the group was not fully replicated in time")
 }
 
-// Print writes what was measured as a table.
+// Print writes the result as a table.
 func (r *Measured) Print(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "ANSWERS\tPROMISED\tPER SECOND\tCOMMIT P50\tP99\tMAX\tENTRIES\tPER SECOND\tCATCH UP\tDISK")
-	fmt.Fprintf(t, "%d\t%d\t%.0f\t%.1f ms\t%.1f ms\t%.1f ms\t%d\t%.0f\t%.0f ms\t%d\n", r.Answers, r.Committed,
-		r.PerSecond, r.P50, r.P99, r.Max, r.Entries, r.EntriesPerSecond, r.CatchUpMS, r.DiskBytes)
-	return t.Flush()
+	const header = "ANSWERS\tPROMISED\tPER SECOND\tCOMMIT P50\tP99\tMAX\tENTRIES\tPER SECOND\tCATCH UP\tDISK\n"
+	row := fmt.Sprintf("%d\t%d\t%.0f\t%.1f ms\t%.1f ms\t%.1f ms\t%d\t%.0f\t%.0f ms\t%d\n", r.Answers,
+		r.Committed, r.PerSecond, r.P50, r.P99, r.Max, r.Entries, r.EntriesPerSecond, r.CatchUpMS, r.DiskBytes)
+	return writeTable(w, header+row, 0)
 }
 
 // JSON writes it as one object.
--- /dev/null
+++ b/internal/testbed/clusterrig/ownerfaults.go
@@ -0,0 +1,157 @@
+package clusterrig
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"os"
+	"slices"
+	"time"
+
+	"cresshub/internal/cluster/leaseholder"
+	"cresshub/internal/testbed/proxystandin"
+)
+
+// ownerTimeout bounds the waits for an owner, and for its calls.
+const ownerTimeout = 10 * time.Second
+
+// FaultedOwners is the result of FaultOwners.
+type FaultedOwners struct {
+	Pauses, Partitions int
+	Refused            int // calls of former owners that the sink and discovery refused
+	EndedWatches       int // watches of former owners that discovery ended
+	RefusedEntries     int // log entries of former owners that the group refused
+	Median             time.Duration
+	Worst              time.Duration // until another member owned the roles
+}
+
+// FaultOwners pauses owners for three leases and resumes them, and partitions owners from the other members
+// but not from sink and discovery, as often as asked. Each fault hits the owner between its check of the
+// lease and a call, which goes out once another member owns the roles and the sink has seen a call of that
+// one. A round ends when the sink has refused the call and the former owner reports that it owns nothing.
+func (r *Rig) FaultOwners(ctx context.Context, lease time.Duration, pauses, partitions int) (FaultedOwners,
+	error) {
+	rep := FaultedOwners{Pauses: pauses, Partitions: partitions}
+	var took []time.Duration
+	for i := range pauses + partitions {
+		t, err := r.faultOwner(ctx, lease, i < pauses)
+		if err != nil {
+			return rep, fmt.Errorf("round %d: %w", i, err)
+		}
+		took = append(took, t)
+	}
+	slices.Sort(took)
+	rep.Median, rep.Worst = took[len(took)/2], took[len(took)-1]
+	_, refused, err := r.Sink.Audit()
+	calls := r.Discovery.OwnerCalls()
+	rep.Refused, rep.EndedWatches = refused+calls.Stale, calls.EndedWatches
+	if p, pageErr := OwnerPage(r.Running()[0]); pageErr == nil {
+		rep.RefusedEntries = int(p.Store.Stats.Stale)
+	}
+	return rep, err
+}
+
+// faultOwner injects one fault of FaultOwners and returns how long it took until another member owned the
+// roles.
+func (r *Rig) faultOwner(ctx context.Context, lease time.Duration, pause bool) (took time.Duration,
+	err error) {
+	old, token, err := r.WaitOwner(ctx, ownerTimeout)
+	if err != nil {
+		return 0, err
+	}
+	delay := lease
+	if !pause { // nothing else delays the call
+		delay = 3 * lease
+	}
+	if err := delayCalls(ctx, old, delay); err != nil {
+		return 0, err
+	}
+	started := time.Now()
+	if err := r.isolate(old, pause); err != nil {
+		return 0, err
+	}
+	next, higher, err := r.WaitOwner(ctx, ownerTimeout, old)
+	if err != nil {
+		return 0, fmt.Errorf("%s: %w", old.Name, err)
+	}
+	took = time.Since(started)
+	if higher <= token {
+		return took, fmt.Errorf("%s has token %d after %d", next.Name, higher, token)
+	}
+	err = r.waitSinkCall(ctx, fmt.Sprintf("of token %d", higher), func(c proxystandin.SinkCall) bool {
+		return c.Token >= higher
+	})
+	if err != nil {
+		return took, err
+	}
+	time.Sleep(3*lease - time.Since(started)) // the length of the fault; nothing is judged by it
+	if err := r.rejoin(old, pause); err != nil {
+		return took, err
+	}
+	err = r.waitSinkCall(ctx, fmt.Sprintf("of token %d, late", token), func(c proxystandin.SinkCall) bool {
+		return c.Token == token && c.Status == http.StatusConflict
+	})
+	return took, errors.Join(err, r.waitStepDown(ctx, old, token), os.Remove(callFaults(old)))
+}
+
+// isolate pauses a member, or partitions it from all others.
+func (r *Rig) isolate(m *Member, pause bool) error {
+	if pause {
+		return r.Pause(m)
+	}
+	others := slices.DeleteFunc(slices.Clone(r.Members), func(o *Member) bool { return o == m })
+	r.Net.Partition([]string{m.Name}, MemberNames(others))
+	return nil
+}
+
+// rejoin ends isolate.
+func (r *Rig) rejoin(m *Member, paused bool) error {
+	if paused {
+		return r.Resume(m)
+	}
+	r.Net.Heal()
+	return nil
+}
+
+// callFaults is the file that ShortLeaseTOML names for faults of a member's calls.
+func callFaults(m *Member) string { return m.Data + ".calls" }
+
+// delayCalls delays each of a member's calls by d after its check of the lease, and waits until a call is
+// delayed.
+func delayCalls(ctx context.Context, m *Member, d time.Duration) error {
+	text := fmt.Appendf(nil, `{"call_delay_ms": %d}`, d.Milliseconds())
+	if err := os.WriteFile(callFaults(m), text, 0o600); err != nil {
+		return err
+	}
+	return poll(ctx, ownerTimeout, time.Millisecond, func() error {
+		if os.Remove(callFaults(m)+leaseholder.StalledSuffix) != nil {
+			return fmt.Errorf("%s makes no call", m.Name)
+		}
+		return nil
+	})
+}
+
+// waitSinkCall waits until the sink has seen a call that matches.
+func (r *Rig) waitSinkCall(ctx context.Context, what string, match func(proxystandin.SinkCall) bool) error {
+	return poll(ctx, ownerTimeout, pollInterval, func() error {
+		if !slices.ContainsFunc(r.Sink.Calls(), match) {
+			return fmt.Errorf("the sink saw no call %s", what)
+		}
+		return nil
+	})
+}
+
+// waitStepDown waits until a member reports that it no longer owns the roles under a token.
+func (r *Rig) waitStepDown(ctx context.Context, m *Member, token uint64) error {
+	const limit = 5 * time.Second
+	return poll(ctx, limit, ownerPollInterval, func() error {
+		var p leaseholder.Page
+		err := m.GetJSON("/_owner", &p)
+		if err == nil && (!p.Owns || p.Token > token) {
+			return nil
+		}
+		return errors.Join(fmt.Errorf("%s reports after %v that it owns the roles with token %d: %+v", m.Name,
+			limit, token, p), err)
+	})
+}
--- a/internal/testbed/clusterrig/player.go
+++ b/internal/testbed/clusterrig/player.go
@@ -16,79 +16,26 @@
 	"cresshub/internal/testbed/faultnet"
 )
 
-// convergenceTimeout bounds how long the members may take to see each other at the start.
+// convergenceTimeout bounds how long the members may take to see each other after the start.
 const convergenceTimeout = 60 * time.Second
 
-// StepReport is what came of one step over all rounds. Times are in milliseconds.
-type StepReport struct {
-	Step        string  `json:"step"`
-	Expect      string  `json:"expect,omitempty"`
-	Times       int     `json:"times"`
-	Failed      int     `json:"failed"`
-	Median      float64 `json:"median_ms"`
-	Worst       float64 `json:"worst_ms"`
-	LastFailure string  `json:"last_failure,omitempty"`
-
-	latencies *hdrhistogram.Histogram // us
-}
-
-// Report is what came of a scenario.
-type Report struct {
-	Scenario         string        `json:"scenario"`
-	Members          int           `json:"members"`
-	Settings         FleetSettings `json:"settings"`
-	Seconds          float64       `json:"seconds"`
-	JoinedMS         float64       `json:"joined_ms"` // one view everywhere after the start
-	Steps            []StepReport  `json:"steps"`
-	FalseDeaths      int           `json:"false_deaths"` // looks that held a member dead which no step names
-	Views            int           `json:"looks"`        // views looked at for the record
-	Suspicions       int           `json:"suspicions"`
-	Refutations      int           `json:"refutations"`
-	BytesPerSecond   float64       `json:"bytes_per_member_second"`   // sent
-	PacketsPerSecond float64       `json:"packets_per_member_second"` // sent, and streams opened
-	Failures         int           `json:"failures"`
-	MeasuredMembers  int           `json:"members_measured"` // that lived through all of it, for the two above
-	samples          []sample
-	stepStarts       []stepStart
-}
-
-// sample is how many members a view holds alive at a time.
-type sample struct {
-	at    time.Duration
-	by    string
-	alive int
-}
-
-type stepStart struct {
-	at   time.Duration
-	step string
-}
-
-// event is one line of the record.
-type event struct {
-	MS    int64             `json:"ms"`
-	By    string            `json:"by,omitempty"`
-	Sees  map[string]string `json:"sees,omitempty"`
-	Step  string            `json:"step,omitempty"`
-	Took  *int64            `json:"took_ms,omitempty"`
-	Error string            `json:"error,omitempty"`
-}
-
-// player plays one scenario.
+// player plays one scenario on a rig: one goroutine plays the steps, another one samples the views and owns
+// lastViews and the report's samples.
 type player struct {
 	*Rig
 	scenario *Scenario
 	report   *Report
-	touched  []string // members that a step names
+	touched  []string // names of the members that a step acts on
 	start    time.Time
 
-	mu        sync.Mutex // of the record, the report's samples and the last views
-	events    *json.Encoder
-	lastViews map[string]map[string]string
+	lastViews map[string]map[string]string // by observer, the status of each member
+
+	mu     sync.Mutex // guards events and report.stepStarts
+	events *json.Encoder
 }
 
-// Play starts the members, plays the scenario and returns what came of it. The record goes to rec as JSON
-// lines, if there is one. An error is one of the rig itself; what the scenario expects and does not find is
+// Play starts the members, plays the scenario and returns its report. Steps and changed views are recorded to
+// rec, which may be nil, as JSON lines. An error is one of the rig itself; expectations that failed are
 // counted in the report.
 func Play(ctx context.Context, sc *Scenario, o Options, rec io.Writer) (_ *Report, err error) {
 	o.Members, o.Halls, o.Seeds = sc.Members, sc.Halls, sc.Seeds
@@ -117,55 +64,31 @@
 		return nil, fmt.Errorf("at the start: %w", err)
 	}
 	p.report.JoinedMS = ms(joined)
-	select {
-	case <-time.After(sc.Warmup):
-	case <-ctx.Done():
-		return nil, ctx.Err()
+	if err := sleep(ctx, sc.Warmup); err != nil {
+		return nil, err
 	}
 	p.start = time.Now()
 	before := FetchViews(r.Members)
 	sampling, stop := context.WithCancel(ctx)
-	sampled := make(chan struct{})
-	go func() { defer close(sampled); p.sampleAll(sampling) }()
+	var sampler sync.WaitGroup
+	sampler.Go(func() { p.sampleAll(sampling) })
 	for range sc.Repeat {
 		if err = p.playRound(ctx); err != nil {
 			break
 		}
 	}
 	stop()
-	<-sampled
+	sampler.Wait()
 	p.report.Seconds = time.Since(p.start).Seconds()
 	p.summarizeTraffic(before, FetchViews(r.Running()))
 	p.summarizeSteps()
 	return p.report, err
 }
 
-// String says what a step does.
-func (s *Step) String() string {
-	who := fmt.Sprint(s.Who)
-	if len(s.Who) > 4 {
-		who = fmt.Sprintf("%d members", len(s.Who))
-	}
-	switch {
-	case len(s.Who) == 0:
-		return s.Do
-	case s.Do == "link":
-		return fmt.Sprintf("link %s to %v", who, s.To)
-	}
-	return s.Do + " " + who
-}
-
-// playRound plays the steps once.
+// playRound plays all steps once.
 func (p *player) playRound(ctx context.Context) error {
-	began := time.Now()
-	wait := func(d time.Duration) error {
-		select {
-		case <-time.After(d - time.Since(began)):
-			return nil
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-	}
+	started := time.Now()
+	wait := func(d time.Duration) error { return sleep(ctx, d-time.Since(started)) }
 	for i := range p.scenario.Steps {
 		s := &p.scenario.Steps[i]
 		if err := wait(s.At); err != nil {
@@ -178,7 +101,7 @@
 	return wait(p.scenario.MinRound)
 }
 
-// playStep does one step and waits for what it expects.
+// playStep does one step and waits until its expectation holds, or fails.
 func (p *player) playStep(ctx context.Context, s *Step, rep *StepReport) error {
 	p.record(event{MS: time.Since(p.start).Milliseconds(), Step: s.String()})
 	var ms []*Member
@@ -191,43 +114,46 @@
 	if err := p.act(ctx, s, ms, await); err != nil {
 		return fmt.Errorf("%s: %w", s.String(), err)
 	}
-	if s.Do != "term" {
+	if s.Do != actionTerm {
 		await()
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	rep.Times++
-	l := event{MS: time.Since(p.start).Milliseconds(), Step: s.String() + ": done"}
-	if s.Expect != "none" {
-		rep.latencies.RecordValue(took.Microseconds())
+	done := event{MS: time.Since(p.start).Milliseconds(), Step: s.String() + ": done"}
+	if s.Expect != expectNone {
+		_ = rep.latencies.RecordValue(took.Microseconds()) // an hour, the longest Within, is in its range
 		t := took.Milliseconds()
-		l.Took = &t
+		done.Took = &t
 	}
 	if missed != nil {
 		rep.Failed++
 		rep.LastFailure = missed.Error()
-		l.Error = missed.Error()
+		done.Error = missed.Error()
 	}
-	p.record(l)
+	p.record(done)
 	return nil
 }
 
-// act does what a step says. A SIGTERM calls told while the process ends.
+// act does what a step says. A SIGTERM calls onSignalled while the process
+// ends.
 func (p *player) act(ctx context.Context, s *Step, ms []*Member, onSignalled func()) error {
 	switch s.Do {
-	case "kill":
+	case actionKill:
 		p.Kill(ms...)
-	case "restart", "move":
-		return p.forEach(ms, func(m *Member) error { return p.Restart(ctx, m, s.Do == "move", false) })
-	case "wipe":
-		return p.forEach(ms, func(m *Member) error { return p.Restart(ctx, m, false, true) })
-	case "partition":
+	case actionRestart:
+		return p.forEach(ms, func(m *Member) error { return p.Spawn(ctx, m, Unchanged) })
+	case actionMove:
+		return p.forEach(ms, func(m *Member) error { return p.Spawn(ctx, m, NewAddress) })
+	case actionWipe:
+		return p.forEach(ms, func(m *Member) error { return p.Spawn(ctx, m, EmptyDisk) })
+	case actionPartition:
 		side := p.scenario.expand(s.Who)
 		others := slices.DeleteFunc(p.scenario.memberNames(),
 			func(n string) bool { return slices.Contains(side, n) })
 		p.Net.Partition(side, others)
-	case "link":
+	case actionLink:
 		f := faultnet.Fault{Blocked: s.Blocked, Drop: s.Drop, Delay: s.Delay, Jitter: s.Jitter}
 		for _, from := range p.scenario.expand(s.Who) {
 			for _, to := range p.scenario.expand(s.To) {
@@ -237,22 +163,23 @@
 				}
 			}
 		}
-	case "heal":
+	case actionHeal:
 		if p.Net != nil {
 			p.Net.Heal()
 		}
-	case "term":
+	case actionTerm:
 		return p.forEach(ms, func(m *Member) error { return p.Term(m, onSignalled) })
-	case "pause":
+	case actionPause:
 		return p.forEach(ms, p.Pause)
-	case "resume":
+	case actionResume:
 		return p.forEach(ms, p.Resume)
-	case "drain", "serve":
-		return p.forEach(ms, func(m *Member) error { return m.Drain(s.Do == "drain") })
+	case actionDrain, actionServe:
+		return p.forEach(ms, func(m *Member) error { return m.Drain(s.Do == actionDrain) })
 	}
 	return nil
 }
 
+// forEach calls do for members in turn, up to the first error.
 func (p *player) forEach(ms []*Member, do func(*Member) error) error {
 	for _, m := range ms {
 		if err := do(m); err != nil {
@@ -262,35 +189,35 @@
 	return nil
 }
 
-// expect waits for what a step expects.
+// expect waits for what a step expects, and returns how long that took.
 func (p *player) expect(ctx context.Context, s *Step) (time.Duration, error) {
 	up := p.Running()
 	who := p.scenario.expand(s.Who)
 	switch s.Expect {
-	case "none":
+	case expectNone:
 		return 0, nil
-	case "one":
+	case expectOne:
 		return WaitViews(ctx, up, s.Within, OnlyAlive(MemberNames(up)...))
-	case "sides":
-		var a, b []*Member
+	case expectSides:
+		var side, other []*Member
 		for _, m := range up {
 			if slices.Contains(who, m.Name) {
-				a = append(a, m)
+				side = append(side, m)
 			} else {
-				b = append(b, m)
+				other = append(other, m)
 			}
 		}
-		first, err := WaitViews(ctx, a, s.Within, OnlyAlive(MemberNames(a)...))
+		first, err := WaitViews(ctx, side, s.Within, OnlyAlive(MemberNames(side)...))
 		if err != nil {
 			return first, err
 		}
-		second, err := WaitViews(ctx, b, s.Within, OnlyAlive(MemberNames(b)...))
+		second, err := WaitViews(ctx, other, s.Within, OnlyAlive(MemberNames(other)...))
 		return first + second, err
 	}
 	return WaitViews(ctx, up, s.Within, StatusIs(s.Expect, who...))
 }
 
-// sampleAll looks at all views again and again.
+// sampleAll samples all views at intervals until ctx ends.
 func (p *player) sampleAll(ctx context.Context) {
 	tick := time.NewTicker(p.scenario.SampleInterval)
 	defer tick.Stop()
@@ -307,6 +234,7 @@
 	}
 }
 
+// sample adds a view to the report, and to the record if it has changed.
 func (p *player) sample(at time.Duration, by string, v gossip.Page) {
 	sees := map[string]string{}
 	alive := 0
@@ -327,19 +255,20 @@
 	}
 }
 
-// record adds a line to the record.
-func (p *player) record(l event) {
+// record writes an event to the record.
+func (p *player) record(e event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l.Step != "" && l.Took == nil && l.Error == "" {
-		p.report.stepStarts = append(p.report.stepStarts, stepStart{time.Duration(l.MS) * time.Millisecond, l.Step})
+	if e.Step != "" && e.Took == nil && e.Error == "" {
+		p.report.stepStarts = append(p.report.stepStarts, stepStart{time.Duration(e.MS) * time.Millisecond, e.Step})
 	}
 	if p.events != nil {
-		p.events.Encode(l)
+		_ = p.events.Encode(e) // an incomplete record doesn't end the scenario
 	}
 }
 
-// summarizeTraffic sums what members that lived through all of it sent.
+// summarizeTraffic fills in the suspicions, and the traffic of members that no step acted on, between two
+// moments.
 func (p *player) summarizeTraffic(before, after Views) {
 	r := p.report
 	for name, v := range after {
@@ -360,7 +289,7 @@
 	}
 }
 
-// summarizeSteps fills in what the steps' times come to.
+// summarizeSteps fills in the steps' latencies and the number of failures.
 func (p *player) summarizeSteps() {
 	for i := range p.report.Steps {
 		s := &p.report.Steps[i]
@@ -373,4 +302,5 @@
 	}
 }
 
+// ms returns a duration in milliseconds.
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/testbed/clusterrig/player_test.go
+++ b/internal/testbed/clusterrig/player_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestScenariosAreChecked(t *testing.T) {
+func TestScenarioProblemsAreReported(t *testing.T) {
 	for _, name := range Shipped() {
 		if _, err := Load(name, nil); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -47,7 +47,7 @@
 }
 
 // A scenario is played, recorded, judged, printed and drawn; what does not come in time is a failure.
-func TestPlay(t *testing.T) {
+func TestPlayRecordsAndJudgesScenario(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("starts several processes")
@@ -61,7 +61,7 @@
 	sc.Steps = append(sc.Steps, Step{At: 5 * time.Second, Do: "kill", Who: []string{"m-2"}, Expect: "left",
 		Within: 50 * time.Millisecond})
 	var rec, table, svg bytes.Buffer
-	rep, err := Play(ctx(t), sc, Options{Program: binary, Dir: t.TempDir()}, &rec)
+	rep, err := Play(testContext(t), sc, Options{Program: binary, Dir: t.TempDir()}, &rec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,3 +86,12 @@
 		t.Errorf("printed:\n%s\ndrawn: %d bytes", table.String(), svg.Len())
 	}
 }
+
+// The figures in docs/fleet-view.md were measured with these keys.
+func TestDefaultFleetTOML(t *testing.T) {
+	const want = "probe = \"200ms\"\nprobe_timeout = \"100ms\"\ngossip = \"100ms\"\nsuspicion_mult = 4\n" +
+		"rejoin = \"500ms\"\nsync_each = \"500ms\"\ngone_after = \"2s\"\n"
+	if got := DefaultFleetTOML(); got != want {
+		t.Errorf("the keys are\n%s, not\n%s", got, want)
+	}
+}
--- a/internal/testbed/clusterrig/rig_test.go
+++ b/internal/testbed/clusterrig/rig_test.go
@@ -38,7 +38,9 @@
 
 // folder is a test's own folder, in memory where there is such a file system: many groups that sync at once
 // on one disk are slow in a way that no test here is about. The numbers in docs are taken on a disk.
-func folder(t *testing.T) string {
+func dataFolder(t *testing.T) string {
+	t.Helper()
+	//nolint:usetesting // t.TempDir lies on a disk
 	if dir, err := os.MkdirTemp("/dev/shm", "cresshub-rig-"); err == nil {
 		t.Cleanup(func() { os.RemoveAll(dir) })
 		return dir
@@ -46,7 +48,9 @@
 	return t.TempDir()
 }
 
-func ctx(t *testing.T) context.Context {
+// testContext bounds one wait of a test.
+func testContext(t *testing.T) context.Context {
+	t.Helper()
 	c, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	t.Cleanup(cancel)
 	return c
@@ -58,7 +62,7 @@
 	if testing.Short() {
 		t.Skip("starts several processes")
 	}
-	o.Program, o.Dir, o.Seed = binary, folder(t), 1
+	o.Program, o.Dir, o.Seed = binary, dataFolder(t), 1
 	if path := os.Getenv("RIG_LOG"); path != "" { // for whoever looks into a failure
 		f, err := os.Create(path + "-" + t.Name())
 		must(t, err)
@@ -66,9 +70,9 @@
 		o.Log = f
 	}
 	if o.FleetTOML == "" {
-		o.FleetTOML = TestFleetTOML
+		o.FleetTOML = DefaultFleetTOML()
 	}
-	r, err := Start(ctx(t), o)
+	r, err := Start(testContext(t), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +81,7 @@
 			t.Error(err)
 		}
 	})
-	took, err := r.WaitConverged(ctx(t), 30*time.Second)
+	took, err := r.WaitConverged(testContext(t), 30*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,17 +89,17 @@
 	return r
 }
 
-func until(t *testing.T, ms []*Member, limit time.Duration, what string, holds func(gossip.Page) error) {
+func waitViews(t *testing.T, ms []*Member, limit time.Duration, what string, holds func(gossip.Page) error) {
 	t.Helper()
-	took, err := WaitViews(ctx(t), ms, limit, holds)
+	took, err := WaitViews(testContext(t), ms, limit, holds)
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 	t.Logf("%s after %v", what, took)
 }
 
-func without(all []*Member, gone ...*Member) []*Member {
-	return slices.DeleteFunc(slices.Clone(all), func(m *Member) bool { return slices.Contains(gone, m) })
+func without(all []*Member, excluded ...*Member) []*Member {
+	return slices.DeleteFunc(slices.Clone(all), func(m *Member) bool { return slices.Contains(excluded, m) })
 }
 
 func must(t *testing.T, err error) {
@@ -112,31 +116,31 @@
 	for range 3 {
 		m := r.Members[3]
 		r.Kill(m)
-		until(t, r.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", m.Name))
-		must(t, r.Restart(ctx(t), m, false, false))
-		until(t, r.Running(), 5*time.Second, "back everywhere", OnlyAlive(MemberNames(r.Running())...))
+		waitViews(t, r.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", m.Name))
+		must(t, r.Spawn(testContext(t), m, Unchanged))
+		waitViews(t, r.Running(), 5*time.Second, "back everywhere", OnlyAlive(MemberNames(r.Running())...))
 	}
 }
 
 // Case 2: a partition that outlasts the dead timeout, then healed: one view everywhere again.
-func TestPartitionHeals(t *testing.T) {
+func TestViewsConvergeAfterPartition(t *testing.T) {
 	t.Parallel()
 	r := start(t, Options{Members: 7, Relay: true})
 	a, b := r.Members[:3], r.Members[3:]
 	cut := time.Now()
 	r.Net.Partition(MemberNames(a), MemberNames(b))
-	until(t, a, 15*time.Second, "the three see the four dead", OnlyAlive(MemberNames(a)...))
-	until(t, b, 15*time.Second, "the four see the three dead", OnlyAlive(MemberNames(b)...))
+	waitViews(t, a, 15*time.Second, "the three see the four dead", OnlyAlive(MemberNames(a)...))
+	waitViews(t, b, 15*time.Second, "the four see the three dead", OnlyAlive(MemberNames(b)...))
 	if rest := 20*time.Second - time.Since(cut); rest > 0 && !underRace {
 		time.Sleep(rest) // the length; nothing is judged by it
 	}
 	r.Net.Heal()
-	until(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
+	waitViews(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
 }
 
 // Case 3: a member that is paused again and again, then one whose links are slow: no healthy member is ever
 // dead in any view.
-func TestSlowMemberHarmsNobody(t *testing.T) {
+func TestSlowMemberKillsNoHealthyOne(t *testing.T) {
 	t.Parallel()
 	if underRace {
 		t.Skip("takes a minute and adds nothing for the race detector")
@@ -162,7 +166,7 @@
 		must(t, r.Resume(slow))
 		calm(6 * time.Second)
 	}
-	until(t, r.Members, 5*time.Second, "one view after the pauses", OnlyAlive(MemberNames(r.Members)...))
+	waitViews(t, r.Members, 5*time.Second, "one view after the pauses", OnlyAlive(MemberNames(r.Members)...))
 	for _, m := range healthy {
 		r.Net.Set(m.Name, slow.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
 		r.Net.Set(slow.Name, m.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
@@ -170,7 +174,7 @@
 	calm(28 * time.Second)
 	t.Logf("%d views looked at; none held a healthy member dead", looks)
 	r.Net.Heal()
-	until(t, r.Members, 10*time.Second, "one view in the end", OnlyAlive(MemberNames(r.Members)...))
+	waitViews(t, r.Members, 10*time.Second, "one view in the end", OnlyAlive(MemberNames(r.Members)...))
 }
 
 // Case 4: A reaches B, B does not reach A: the others' probes keep both alive in the others' views.
@@ -199,31 +203,31 @@
 		t.Error("the cut link lost nothing")
 	}
 	r.Net.Heal()
-	until(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
+	waitViews(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
 }
 
 // Case 5: restarts under the same name: before the suspicion ends, at a new address, with a wiped folder.
-func TestRestarts(t *testing.T) {
+func TestMemberRestartsUnderItsName(t *testing.T) {
 	t.Parallel()
 	r := start(t, Options{Members: 5})
 	for _, c := range []struct {
-		name         string
-		moved, wiped bool
-		dead         bool // wait until the others hold it dead first
+		name   string
+		change Change
+		dead   bool // wait until the others hold it dead first
 	}{
-		{"at once, at its address", false, false, false},
-		{"at once, at a new address", true, false, false},
-		{"at once, with a wiped folder", false, true, false},
-		{"after its death, at a new address", true, false, true},
+		{"at once, at its address", Unchanged, false},
+		{"at once, at a new address", NewAddress, false},
+		{"at once, with a wiped folder", EmptyDisk, false},
+		{"after its death, at a new address", NewAddress, true},
 	} {
 		m := r.Members[2]
 		before, _ := FindMember(FetchViews(r.Members[:1])[r.Members[0].Name], m.Name)
 		r.Kill(m)
 		if c.dead {
-			until(t, r.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", m.Name))
+			waitViews(t, r.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", m.Name))
 		}
-		must(t, r.Restart(ctx(t), m, c.moved, c.wiped))
-		until(t, r.Members, 10*time.Second, c.name, func(p gossip.Page) error {
+		must(t, r.Spawn(testContext(t), m, c.change))
+		waitViews(t, r.Members, 10*time.Second, c.name, func(p gossip.Page) error {
 			now, _ := FindMember(p, m.Name)
 			if now.Incarnation <= before.Incarnation || now.Address != m.Gossip {
 				return fmt.Errorf("%s is %+v, was %+v", m.Name, now, before)
@@ -234,15 +238,16 @@
 }
 
 // Case 6: thirty processes started at once, then twenty of them killed at once.
-func TestManyAtOnce(t *testing.T) {
+func TestManyMembersDieAtOnce(t *testing.T) {
 	t.Parallel()
 	r := start(t, Options{Members: 30, Seeds: 3})
 	r.Kill(r.Members[10:]...)
-	until(t, r.Members[:10], 20*time.Second, "twenty dead at once", OnlyAlive(MemberNames(r.Members[:10])...))
+	waitViews(t, r.Members[:10], 20*time.Second, "twenty dead at once",
+		OnlyAlive(MemberNames(r.Members[:10])...))
 }
 
 // Case 7: a drain and then a SIGTERM are in every view within a second, with no suspicion on the way.
-func TestDrainAndLeave(t *testing.T) {
+func TestDrainAndTermSpreadWithoutSuspicion(t *testing.T) {
 	t.Parallel()
 	r := start(t, Options{Members: 7})
 	m := r.Members[4]
@@ -255,11 +260,11 @@
 			return nil
 		}
 	}
-	until(t, r.Members, time.Second, "draining everywhere", phase("draining"))
+	waitViews(t, r.Members, time.Second, "draining everywhere", phase("draining"))
 	must(t, m.Drain(false))
-	until(t, r.Members, time.Second, "serving everywhere", phase("serving"))
+	waitViews(t, r.Members, time.Second, "serving everywhere", phase("serving"))
 	others := without(r.Members, m)
-	must(t, r.Term(m, func() { until(t, others, time.Second, "left everywhere", StatusIs("left", m.Name)) }))
+	must(t, r.Term(m, func() { waitViews(t, others, time.Second, "left everywhere", StatusIs("left", m.Name)) }))
 	for by, p := range FetchViews(others) {
 		if s, _ := FindMember(p, m.Name); s.Suspected != 0 || s.Flaps != 1 {
 			t.Errorf("%s saw %s on its way out as %+v", by, m.Name, s)
@@ -269,7 +274,7 @@
 
 // A second process under a live member's name is refused at its start, and nobody's view flaps. A reload
 // that changes the fleet's keys is refused and told.
-func TestTakenNameAndReload(t *testing.T) {
+func TestTakenNameAndChangedLabelAreRefused(t *testing.T) {
 	t.Parallel()
 	r := start(t, Options{Members: 3})
 	m := r.Members[1]
--- a/internal/testbed/clusterrig/scenario.go
+++ b/internal/testbed/clusterrig/scenario.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io/fs"
 	"os"
+	"reflect"
 	"slices"
 	"strings"
 	"sync"
@@ -14,10 +15,11 @@
 	scenarios "cresshub/lab"
 )
 
-// about stands before a key and carries what it is for.
+// about is the type of the blank field before a key that carries the key's documentation.
 type about = struct{}
 
-// Scenario is what the rig plays: members, their settings, and steps in order of time.
+// Scenario is a file that the rig plays: members, their settings, and steps in order of time. Package
+// settingsfile derives its keys, defaults, bounds and documentation from the tags.
 type Scenario struct {
 	_    about  `doc:"what it is called in results"`
 	Name string `key:"name" default:"scenario"`
@@ -50,7 +52,7 @@
 	Steps []Step        `key:"step"`
 }
 
-// FleetSettings is the members' settings; their meaning is that of the program's own keys.
+// FleetSettings are the members' keys of [fleet], under the program's own names.
 type FleetSettings struct {
 	Probe     time.Duration `key:"probe" default:"200ms" min:"10ms" max:"1m"`
 	Timeout   time.Duration `key:"probe_timeout" default:"100ms" min:"5ms" max:"30s"`
@@ -61,25 +63,29 @@
 	GoneAfter time.Duration `key:"gone_after" default:"2s" min:"100ms" max:"24h"`
 }
 
-// toml is the section as a member's file has it.
+// toml returns the settings as keys of a member's [fleet].
 func (f *FleetSettings) toml() string {
-	return fmt.Sprintf("probe = %q\nprobe_timeout = %q\ngossip = %q\nsuspicion_mult = %d\nrejoin = %q\n"+
-		"sync_each = %q\ngone_after = %q\n", f.Probe, f.Timeout, f.Gossip, f.Suspicion, f.Rejoin, f.SyncEach,
-		f.GoneAfter)
+	var b strings.Builder
+	for field, value := range reflect.ValueOf(*f).Fields() {
+		key := field.Tag.Get("key")
+		if d, ok := value.Interface().(time.Duration); ok {
+			fmt.Fprintf(&b, "%s = %q\n", key, d)
+		} else {
+			fmt.Fprintf(&b, "%s = %v\n", key, value)
+		}
+	}
+	return b.String()
+}
+
+// DefaultFleetTOML returns the keys of [fleet] that the numbers in docs/fleet-view.md are measured with: the
+// defaults of a scenario.
+func DefaultFleetTOML() string {
+	sc := &Scenario{}
+	schema().NewBuilder().Into(sc)
+	return sc.Fleet.toml()
 }
 
-// TestFleetTOML are the keys of [fleet] that the numbers in docs/fleet-view.md are measured with: a
-// scenario's defaults.
-const TestFleetTOML = `probe = "200ms"
-probe_timeout = "100ms"
-gossip = "100ms"
-suspicion_mult = 4
-rejoin = "500ms"
-sync_each = "500ms"
-gone_after = "2s"
-`
-
-// Step is one thing done at a time, and what is expected of all views after it.
+// Step is one action, and what is expected of all views after it.
 type Step struct {
 	_  about         `doc:"after the round's start; a step waits for what the one before it expects"`
 	At time.Duration `key:"at" default:"0s" min:"0s" max:"24h"`
@@ -115,15 +121,38 @@
 	Within time.Duration `key:"within" default:"10s" min:"10ms" max:"1h"`
 }
 
-// actions are what a step may do.
-var actions = []string{"kill", "pause", "resume", "term", "drain", "serve", "restart", "move", "wipe",
-	"partition", "link", "heal", "wait"}
+// The values of Step.Do.
+const (
+	actionKill      = "kill"
+	actionPause     = "pause"
+	actionResume    = "resume"
+	actionTerm      = "term"
+	actionDrain     = "drain"
+	actionServe     = "serve"
+	actionRestart   = "restart"
+	actionMove      = "move"
+	actionWipe      = "wipe"
+	actionPartition = "partition"
+	actionLink      = "link"
+	actionHeal      = "heal"
+	actionWait      = "wait"
+)
+
+var actions = []string{actionKill, actionPause, actionResume, actionTerm, actionDrain, actionServe,
+	actionRestart, actionMove, actionWipe, actionPartition, actionLink, actionHeal, actionWait}
+
+// The values of Step.Expect, beside the statuses of a member.
+const (
+	expectNone  = "none"
+	expectOne   = "one"   // every running member has exactly the running ones alive in its view
+	expectSides = "sides" // the same for each side of a partition
+)
 
 var schema = sync.OnceValue(func() *settingsfile.Schema {
 	return settingsfile.NewSchema[Scenario]("", "`cresshub rig show NAME` prints a shipped scenario")
 })
 
-// Shipped are the names of the scenarios that come with the program.
+// Shipped returns the names of the scenarios that come with the program.
 func Shipped() []string {
 	entries, _ := scenarios.Rig.ReadDir("rig")
 	var names []string
@@ -133,7 +162,7 @@
 	return names
 }
 
-// Text is a scenario's file, by its path or the name of a shipped one.
+// Text returns the text of a scenario by the path of its file or the name of a shipped one.
 func Text(name string) ([]byte, error) {
 	raw, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -145,7 +174,8 @@
 	return raw, err
 }
 
-// Load reads a scenario with keys set over it and checks it. The error is keyed.Problems, all of them.
+// Load reads a scenario, overrides keys with set, and validates it. The error is settingsfile.Problems: all
+// that were found.
 func Load(name string, set map[string]string) (*Scenario, error) {
 	b := schema().NewBuilder()
 	raw, err := Text(name)
@@ -170,44 +200,52 @@
 	return sc, b.Problems.Err()
 }
 
-// check finds what is wrong between keys.
+// check adds the problems between keys to b.
 func (sc *Scenario) check(b *settingsfile.Builder) {
+	members := sc.memberNames()
 	var last time.Duration
-	for i, s := range sc.Steps {
+	for i := range sc.Steps {
+		step := &sc.Steps[i]
 		report := func(key, format string, args ...any) {
 			path := fmt.Sprintf("step.%d.%s", i, key)
-			o := b.Origins[path]
-			if o.Source == "default" { // a key that is not there: told at the step's deed
-				o = b.Origins[fmt.Sprintf("step.%d.do", i)]
+			origin := b.Origins[path]
+			if origin.Source == "default" { // of a key that isn't there: reported at the step's action
+				origin = b.Origins[fmt.Sprintf("step.%d.do", i)]
 			}
-			b.Problems.Add(o, schema().Shown(path), format, args...)
+			b.Problems.Add(origin, schema().Shown(path), format, args...)
 		}
-		if !slices.Contains(actions, s.Do) {
-			report("do", "%q is none of %s", s.Do, strings.Join(actions, ", "))
+		if !slices.Contains(actions, step.Do) {
+			report("do", "%q is none of %s", step.Do, strings.Join(actions, ", "))
 		}
-		if s.At < last {
-			report("at", "%v is before the step above, at %v", s.At, last)
+		if step.At < last {
+			report("at", "%v is before the step above, at %v", step.At, last)
 		}
-		last = s.At
-		for key, names := range map[string][]string{"who": s.Who, "to": s.To} {
+		last = step.At
+		for key, names := range map[string][]string{"who": step.Who, "to": step.To} {
 			for _, name := range sc.expand(names) {
-				if !slices.Contains(sc.memberNames(), name) {
+				if !slices.Contains(members, name) {
 					report(key, "%q is no member; there are m-0 to m-%d", name, sc.Members-1)
 				}
 			}
 		}
-		if len(s.Who) == 0 && s.Do != "heal" && s.Do != "wait" {
-			report("who", "is missing; %s is done to members", s.Do)
-		}
-		if s.Do == "link" && len(s.To) == 0 {
-			report("to", "is missing; a link has two ends")
-		}
-		if (s.Expect == "dead" || s.Expect == "left" || s.Expect == "alive") && len(s.Who) == 0 {
-			report("expect", "%s is expected of nobody: who is empty", s.Expect)
-		}
+		step.check(report)
+	}
+}
+
+// check reports keys of a step that are missing for its action or its expectation.
+func (s *Step) check(report func(key, format string, args ...any)) {
+	if len(s.Who) == 0 && s.Do != actionHeal && s.Do != actionWait {
+		report("who", "is missing; %s is done to members", s.Do)
+	}
+	if s.Do == actionLink && len(s.To) == 0 {
+		report("to", "is missing; a link has two ends")
+	}
+	if len(s.Who) == 0 && slices.Contains([]string{"dead", "left", "alive"}, s.Expect) {
+		report("expect", "%s is expected of nobody: who is empty", s.Expect)
 	}
 }
 
+// memberNames returns the names of all members.
 func (sc *Scenario) memberNames() []string {
 	var out []string
 	for i := range sc.Members {
@@ -216,7 +254,7 @@
 	return out
 }
 
-// expand are those that a list of names means: * is all, m-3..m-9 a range.
+// expand returns the members that a list of names stands for: * is all, m-3..m-9 a range.
 func (sc *Scenario) expand(names []string) []string {
 	var out []string
 	all := sc.memberNames()
@@ -235,7 +273,24 @@
 	return out
 }
 
-// needsRelay tells whether a step needs the faulty network.
+// needsRelay reports whether a step needs the faulty network.
 func (sc *Scenario) needsRelay() bool {
-	return slices.ContainsFunc(sc.Steps, func(s Step) bool { return s.Do == "partition" || s.Do == "link" })
+	return slices.ContainsFunc(sc.Steps, func(s Step) bool {
+		return s.Do == actionPartition || s.Do == actionLink
+	})
+}
+
+// String describes what a step does.
+func (s *Step) String() string {
+	who := fmt.Sprint(s.Who)
+	if len(s.Who) > 4 {
+		who = fmt.Sprintf("%d members", len(s.Who))
+	}
+	switch {
+	case len(s.Who) == 0:
+		return s.Do
+	case s.Do == actionLink:
+		return fmt.Sprintf("link %s to %v", who, s.To)
+	}
+	return s.Do + " " + who
 }
--- a/internal/testbed/clusterrig/soak.go
+++ b/internal/testbed/clusterrig/soak.go
@@ -14,8 +14,8 @@
 	"cresshub/internal/proxy/daemon"
 )
 
-// soakTOML bound what the ledger keeps so that it is full after a minute: from then on memory and disk are to
-// stay as they are.
+// soakTOML bounds what the ledger retains so that it is full after a minute: from then on memory and disk
+// must not grow.
 const soakTOML = `[ledger]
 bind = "127.0.0.1:0"
 data = "{data}"
@@ -31,57 +31,54 @@
 sink = "{sink}"
 `
 
-// SoakSample is one look at the members.
+// SoakSample is one measurement of the members.
 type SoakSample struct {
 	Seconds float64 `json:"seconds"`
 	Answers int64   `json:"answers"`
 	Applied uint64  `json:"applied"`  // log index
 	RSS     int64   `json:"rss_kb"`   // of the largest member
-	Anon    int64   `json:"anon_kb"`  // of it, what is no file
+	Anon    int64   `json:"anon_kb"`  // of it, not backed by files
 	Disk    int64   `json:"disk_kb"`  // of the largest data folder
 	Entries int     `json:"exported"` // entries in the sink
 }
 
-// Soak runs members with a ledger and chores under a load for a while and looks at their memory and disk.
+// Soak runs members with a ledger and the singleton roles under a load, samples their memory and disk at
+// intervals, and at the end checks that every answer was exported once.
 func Soak(ctx context.Context, o Options, members, clients int, lasting, every time.Duration) ([]SoakSample,
 	error) {
-	o.Members, o.Zones, o.Sink, o.FleetTOML, o.ExtraTOML = members, 3, true, TestFleetTOML, soakTOML
+	o.Members, o.Zones, o.Sink, o.FleetTOML, o.ExtraTOML = members, 3, true, DefaultFleetTOML(), soakTOML
 	r, err := Start(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
+	defer r.discard()
 	if _, _, err := r.WaitOwner(ctx, time.Minute); err != nil {
 		return nil, err
 	}
-	c, stop := context.WithCancel(ctx)
-	l := NewClients()
-	done := make(chan struct{})
-	go func() { defer close(done); l.Run(c, r.Members, clients) }()
-	defer func() { stop(); <-done }()
-	var out []SoakSample
-	begun := time.Now()
+	load := NewClients()
+	stop := load.Start(ctx, r.Members, clients)
+	defer stop()
+	var samples []SoakSample
+	started := time.Now()
 	for {
-		s, err := r.soakSample(l)
+		s, err := r.soakSample(load)
 		if err != nil {
-			return out, err
+			return samples, err
 		}
-		s.Seconds = time.Since(begun).Seconds()
-		out = append(out, s)
-		if time.Since(begun) >= lasting {
+		s.Seconds = time.Since(started).Seconds()
+		samples = append(samples, s)
+		if time.Since(started) >= lasting {
 			break
 		}
-		select {
-		case <-time.After(min(every, lasting-time.Since(begun))):
-		case <-ctx.Done():
-			return out, ctx.Err()
+		if err := sleep(ctx, min(every, lasting-time.Since(started))); err != nil {
+			return samples, err
 		}
 	}
 	stop()
-	<-done
-	return out, r.WaitExported(ctx, l, time.Minute)
+	return samples, r.WaitExported(ctx, load, time.Minute)
 }
 
+// soakSample samples the members now.
 func (r *Rig) soakSample(l *Clients) (s SoakSample, err error) {
 	_, s.Answers = l.Answers()
 	s.Entries = len(r.Sink.Entries())
@@ -92,17 +89,7 @@
 		}
 		s.RSS = max(s.RSS, statusField(string(text), "VmRSS:"))
 		s.Anon = max(s.Anon, statusField(string(text), "RssAnon:"))
-		var bytes int64
-		err = filepath.WalkDir(m.Data, func(path string, d fs.DirEntry, err error) error {
-			if err != nil || d.IsDir() {
-				return err
-			}
-			info, err := d.Info()
-			if err == nil {
-				bytes += info.Size()
-			}
-			return err
-		})
+		bytes, err := folderSize(m.Data)
 		if err != nil {
 			return s, err
 		}
@@ -115,20 +102,35 @@
 	return s, nil
 }
 
-// statusField is a number of /proc's status.
+// folderSize returns the size of all files in a folder, in bytes.
+func folderSize(folder string) (bytes int64, err error) {
+	err = filepath.WalkDir(folder, func(_ string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() {
+			return err
+		}
+		info, err := d.Info()
+		if err == nil {
+			bytes += info.Size()
+		}
+		return err
+	})
+	return bytes, err
+}
+
+// statusField returns a number of /proc/PID/status, 0 if it isn't there.
 func statusField(text, name string) (kb int64) {
 	_, rest, _ := strings.Cut(text, name)
-	fmt.Sscan(rest, &kb)
+	_, _ = fmt.Sscan(rest, &kb) // of a field that isn't there
 	return kb
 }
 
-// PrintSoak writes the samples as a table.
-func PrintSoak(w io.Writer, all []SoakSample) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "seconds\tanswers\tlog index\tmemory\tof it anonymous\tdisk\tentries sent\t")
-	for _, s := range all {
-		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d kB\t%d kB\t%d kB\t%d\t\n", s.Seconds, s.Answers, s.Applied, s.RSS,
+// PrintSoak writes samples as a table.
+func PrintSoak(w io.Writer, samples []SoakSample) error {
+	var b strings.Builder
+	b.WriteString("seconds\tanswers\tlog index\tmemory\tof it anonymous\tdisk\tentries sent\t\n")
+	for _, s := range samples {
+		fmt.Fprintf(&b, "%.0f\t%d\t%d\t%d kB\t%d kB\t%d kB\t%d\t\n", s.Seconds, s.Answers, s.Applied, s.RSS,
 			s.Anon, s.Disk, s.Entries)
 	}
-	return t.Flush()
+	return writeTable(w, b.String(), tabwriter.AlignRight)
 }
--- a/internal/testbed/clusterrig/storm.go
+++ b/internal/testbed/clusterrig/storm.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// RestartStorm is what a fleet of proxies that know nothing of each other asks for, all proxies added up, at
-// a load that does not grow with them: over a quiet while, and over one as long in which seven in ten are
-// killed at once and started again while discovery answers nothing.
+// RestartStorm is the total load that independent proxies put on zone servers and discovery at a client load
+// that doesn't grow with their number: over a quiet phase, and over one as long in which seven in ten are
+// killed at once and restarted while discovery fails.
 type RestartStorm struct {
 	Members int         `json:"members"`
-	Seconds float64     `json:"seconds"` // of each while
+	Seconds float64     `json:"seconds"` // of each phase
 	Quiet   StormTotals `json:"quiet"`
 	Killed  StormTotals `json:"killed"`
-	ReadyMS float64     `json:"ready_ms"` // from the kill until every member has a list again
+	ReadyMS float64     `json:"ready_ms"` // from the kill until every member has a list of servers again
 }
 
-// StormTotals are sums over all proxies, as the zone servers and discovery saw them.
+// StormTotals are totals over all proxies, counted by clients, zone servers and discovery.
 type StormTotals struct {
 	Requests int64 `json:"requests"` // final answers that clients got
 	Lost     int64 `json:"lost"`     // requests without one, to members that were killed
@@ -27,13 +27,15 @@
 }
 
 const (
-	stormZones   = 12
-	stormClients = 8
-	stormPhase   = 15 * time.Second
-	stormOutage  = 3 * time.Second // discovery answers nothing for so long from the kill on
+	stormZones        = 12
+	stormClients      = 8
+	stormWarmup       = 5 * time.Second // connections are open and estimates stand
+	stormPhase        = 15 * time.Second
+	stormOutage       = 3 * time.Second // discovery fails for so long from the kill on
+	stormReadyTimeout = time.Minute
 )
 
-// RunRestartStorm plays it with so many proxies.
+// RunRestartStorm measures a restart storm of so many proxies.
 func RunRestartStorm(ctx context.Context, o Options, members int) (*RestartStorm, error) {
 	o.Members, o.Zones, o.Standalone = members, stormZones, true
 	o.ExtraTOML = fmt.Sprintf("[policy]\ninstances = %d\nprobes = true\n", members)
@@ -41,51 +43,49 @@
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	if err := r.waitReady(ctx, time.Minute); err != nil {
+	defer r.discard()
+	if err := r.waitReady(ctx, stormReadyTimeout); err != nil {
 		return nil, err
 	}
-	c, stop := context.WithCancel(ctx)
-	l := NewClients()
-	done := make(chan struct{})
-	go func() { defer close(done); l.Run(c, r.Members, stormClients) }()
-	defer func() { stop(); <-done }()
-	rest := func(d time.Duration) {
-		select {
-		case <-time.After(d):
-		case <-ctx.Done():
-		}
+	clients := NewClients()
+	defer clients.Start(ctx, r.Members, stormClients)()
+	_ = sleep(ctx, stormWarmup)
+	storm := &RestartStorm{Members: members, Seconds: stormPhase.Seconds()}
+	before := r.stormTotals(clients)
+	_ = sleep(ctx, stormPhase)
+	storm.Quiet = r.stormTotals(clients).minus(before)
+	before = r.stormTotals(clients)
+	started := time.Now()
+	if err := r.restartInOutage(ctx, r.Members[:members*7/10]); err != nil {
+		return nil, err
 	}
-	rest(5 * time.Second) // connections stand, estimates are there
-	h := &RestartStorm{Members: members, Seconds: stormPhase.Seconds()}
-	before := r.stormTotals(l)
-	rest(stormPhase)
-	h.Quiet = r.stormTotals(l).minus(before)
-	before = r.stormTotals(l)
-	begun := time.Now()
-	dead := r.Members[:members*7/10]
+	storm.ReadyMS = ms(time.Since(started))
+	_ = sleep(ctx, stormPhase-time.Since(started))
+	storm.Killed = r.stormTotals(clients).minus(before)
+	return storm, ctx.Err() // also of an interrupted sleep
+}
+
+// restartInOutage kills members at once and restarts them while discovery fails, and waits until all members
+// are ready after that.
+func (r *Rig) restartInOutage(ctx context.Context, victims []*Member) error {
+	started := time.Now()
 	r.Discovery.Fail(true)
-	r.Kill(dead...)
-	if err := r.SpawnAll(ctx, dead); err != nil {
-		return nil, err
+	r.Kill(victims...)
+	if err := r.SpawnAll(ctx, victims); err != nil {
+		return err
 	}
-	rest(stormOutage - time.Since(begun))
+	_ = sleep(ctx, stormOutage-time.Since(started)) // an interruption shows in waitReady
 	r.Discovery.Fail(false)
-	if err := r.waitReady(ctx, time.Minute); err != nil {
-		return nil, err
-	}
-	h.ReadyMS = ms(time.Since(begun))
-	rest(stormPhase - time.Since(begun))
-	h.Killed = r.stormTotals(l).minus(before)
-	return h, ctx.Err()
+	return r.waitReady(ctx, stormReadyTimeout)
 }
 
-func (r *Rig) stormTotals(l *Clients) (s StormTotals) {
-	_, s.Requests = l.Answers()
-	s.Lost = l.Lost()
-	for _, c := range r.Zones.Counts() {
-		s.Probes += c.Probes
-		s.Opened += c.Opened
+// stormTotals returns the totals so far.
+func (r *Rig) stormTotals(c *Clients) (s StormTotals) {
+	_, s.Requests = c.Answers()
+	s.Lost = c.Lost()
+	for _, z := range r.Zones.Counts() {
+		s.Probes += z.Probes
+		s.Opened += z.Opened
 	}
 	s.Lists = r.Discovery.Calls()
 	return s
--- a/internal/testbed/proxystandin/discovery.go
+++ b/internal/testbed/proxystandin/discovery.go
@@ -82,8 +82,10 @@
 func StartDiscovery(address string) (*Discovery, error) {
 	d := &Discovery{current: map[string]Endpoint{}, changed: make(chan struct{}), closed: make(chan struct{})}
 	var err error
-	d.listener, err = Listen(address, 0, d.serve)
-	return d, err
+	if d.listener, err = Listen(address, 0, d.serve); err != nil {
+		return nil, err
+	}
+	return d, nil
 }
 
 // OnDelivered sets a callback for the entries that a caller was just sent. It must be set before the first
