--- a/internal/proxy/config/load.go
+++ b/internal/proxy/config/load.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"cmp"
 	"maps"
 	"math/rand/v2"
 	"os"
@@ -13,17 +14,17 @@
 
 // Input is where a configuration is read from. Nil functions stand for the process's own.
 type Input struct {
-	File    string            // the own file; "" for none, CRESSHUB_CONFIG then names it
+	File    string            // own file; "" for the one that CRESSHUB_CONFIG names, if any
 	Flags   map[string]string // values by key
 	Environ func() []string
 	Read    func(path string) ([]byte, error)
-	// Again tells that a running program reads once more: the platform's file was replaced since, and
-	// its discovery goes before EDGE_DISCOVERY, which still says what held at the start.
-	Again bool
+	// Reload is set where a running program reads again: the platform may have replaced its file since, so that
+	// its discovery address has precedence over EDGE_DISCOVERY, which is as of the start.
+	Reload bool
 }
 
-// The variables that set keys under names of their own.
-var edgeVariables = map[string]string{
+// platformKeys are the keys that the platform's variables set.
+var platformKeys = map[string]string{
 	"EDGE_NAME": "name", "EDGE_LISTEN": "listen.address", "EDGE_DISCOVERY": "discovery.address",
 	"EDGE_OPERATOR": "operator",
 }
@@ -33,9 +34,8 @@
 	platformVariable = "EDGE_CONFIG"
 )
 
-// Load reads all sources and returns the checked values, or keyed.Problems with every mistake in any of them.
-// Flags go before variables, those before the platform's file, that before the own file, and what nobody
-// sets has its default.
+// Load reads all sources and returns the checked values, or settingsfile.SettingErrors with every mistake in
+// any of them.
 func Load(in Input) (*Config, error) {
 	if in.Environ == nil {
 		in.Environ = os.Environ
@@ -49,65 +49,67 @@
 		env[name] = value
 	}
 	b := schema().NewBuilder()
-	c := &Config{origins: b.Origins, onPlatform: env[platformVariable] != ""}
-	if path := in.File; path != "" || env[fileVariable] != "" {
-		if path == "" {
-			path = env[fileVariable]
-		}
-		if raw, err := in.Read(path); err != nil {
-			b.Problems.Add(settingsfile.At("file", path), "", "cannot be read: %v", err)
-		} else {
-			l, problems := schema().ReadTOML(path, raw)
-			b.Problems = append(b.Problems, problems...)
-			b.Add(l)
-		}
+	c := &Config{origins: b.Origins, onPlatform: env[platformVariable] != "", drawnSeed: rand.Uint64()}
+	if path := cmp.Or(in.File, env[fileVariable]); path != "" {
+		addFile(b, path, in.Read)
 	}
 	variables := environment(env, &b.Problems)
 	if path := env[platformVariable]; path != "" {
-		l, err := readPlatform(path, in.Read, c)
+		layer, err := readPlatform(path, in.Read, c)
 		if err != nil {
-			b.Problems.Add(settingsfile.At("platform", path), "", "%v", err)
+			b.Problems.Add(settingsfile.NewOrigin("platform", path), "", "%v", err)
 		} else {
-			b.Add(l)
-			if _, told := l.Values["discovery.address"]; told && in.Again {
+			b.Add(layer)
+			if _, ok := layer.Values["discovery.address"]; ok && in.Reload {
 				delete(variables.Values, "discovery.address")
 			}
 		}
 	}
 	b.Add(variables)
 	b.Add(flags(in.Flags, &b.Problems))
-	b.Into(c)
-	c.drawn = rand.Uint64()
-	c.check(&b.Problems)
+	b.Decode(c)
+	c.validate(&b.Problems)
 	if err := b.Problems.Err(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// environment reads the variables that set keys. One under the program's own prefix that sets nothing is
-// a mistake; others are none of its business.
-func environment(env map[string]string, problems *settingsfile.Problems) *settingsfile.Layer {
+// addFile adds the own file.
+func addFile(b *settingsfile.Builder, path string, read func(string) ([]byte, error)) {
+	raw, err := read(path)
+	if err != nil {
+		b.Problems.Add(settingsfile.NewOrigin("file", path), "", "cannot be read: %v", err)
+		return
+	}
+	layer, problems := schema().ReadTOML(path, raw)
+	b.Problems = append(b.Problems, problems...)
+	b.Add(layer)
+}
+
+// environment reads the variables that set keys. One with the program's own prefix that sets no key is a
+// mistake.
+func environment(env map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	l := settingsfile.NewLayer()
 	known := map[string]string{}
 	for _, f := range schema().Fields {
-		if v := schema().VariableOf(f); v != "" {
+		if v := schema().EnvVar(f); v != "" {
 			known[v] = f.Path
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(env)) {
-		o := settingsfile.At("environment", name)
-		path, edge := edgeVariables[name]
+		o := settingsfile.NewOrigin("environment", name)
+		path, edge := platformKeys[name]
 		switch own, ok := known[name]; {
 		case edge && env[name] != "":
 			if _, set := l.Values[path]; !set { // the own name of a key goes before the platform's
-				l.Set(path, settingsfile.Words(env[name]), o)
+				l.Set(path, settingsfile.Text(env[name]), o)
 			}
 		case ok:
-			l.Set(own, settingsfile.Words(env[name]), o)
+			l.Set(own, settingsfile.Text(env[name]), o)
 		case strings.HasPrefix(name, variablePrefix) && name != fileVariable:
 			hint := ""
-			if v := settingsfile.Likely(name, slices.Sorted(maps.Keys(known))); v != "" {
+			if v := settingsfile.Closest(name, slices.Sorted(maps.Keys(known))); v != "" {
 				hint = "; did you mean " + v + "?"
 			}
 			problems.Add(o, "", "sets no key%s", hint)
@@ -116,23 +118,24 @@
 	return l
 }
 
-func flags(set map[string]string, problems *settingsfile.Problems) *settingsfile.Layer {
+// flags reads the values that flags set by key.
+func flags(set map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	l := settingsfile.NewLayer()
 	for _, path := range slices.Sorted(maps.Keys(set)) {
-		o := settingsfile.At("flag", "--set "+path)
-		if _, _, _, ok := schema().Generic(path); !ok || strings.Contains(path, "[]") {
-			problems.Add(o, path, "is no key that a flag sets%s", schema().Meant(path))
+		o := settingsfile.NewOrigin("flag", "--set "+path)
+		if _, ok := schema().Resolve(path); !ok || strings.Contains(path, "[]") {
+			problems.Add(o, path, "is no key that a flag sets%s", schema().Suggest(path))
 			continue
 		}
-		l.Set(path, settingsfile.Words(set[path]), o)
+		l.Set(path, settingsfile.Text(set[path]), o)
 	}
 	return l
 }
 
-// Seeded returns the seed for random choices: as set, or one drawn when the configuration was loaded.
-func (c *Config) Seeded() uint64 {
+// RandomSeed returns the seed of random choices: as set, or one drawn when the configuration was loaded.
+func (c *Config) RandomSeed() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
 	}
-	return c.drawn
+	return c.drawnSeed
 }
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -11,18 +11,18 @@
 	"cresshub/internal/settingsfile"
 )
 
-// reload takes over what changed. A configuration that cannot be used changes nothing, and neither does
-// one of our own file that changes a key which takes a restart: half of it in force would be a third
-// configuration that nobody wrote. The platform's file is another matter, for there it is agreed that
-// only discovery is followed; whatever else it changes waits for the restart.
+// reload takes over the keys that changed. A configuration that can't be used changes nothing, and neither
+// does one of our own file with a changed key that needs a restart: taking over the other keys would make a
+// third configuration that nobody wrote. With the platform's file it is agreed that only live keys are taken
+// over, and the others wait for the restart.
 func (p *Proxy) reload(next *config.Config, err error) {
 	if err != nil {
-		var problems settingsfile.Problems
+		var problems settingsfile.SettingErrors
 		if !errors.As(err, &problems) {
 			p.log.Error("configuration kept, the new one cannot be used", logging.Err, err)
 		}
-		for _, one := range problems {
-			p.log.Error("configuration kept, the new one cannot be used", logging.Err, one.String())
+		for _, problem := range problems {
+			p.log.Error("configuration kept, the new one cannot be used", logging.Err, problem.String())
 		}
 		return
 	}
@@ -36,11 +36,11 @@
 	}
 	p.log.Info("configuration read again", "discovery", next.Discovery.Address,
 		"changed", strings.Join(live, " "))
-	p.cfg = p.cfg.TakeLive(next)
+	p.cfg = p.cfg.WithLive(next)
 	p.apply(live)
 }
 
-// apply hands the values of changed keys to the parts that use them.
+// apply passes the values of changed keys to the parts that use them.
 func (p *Proxy) apply(live []string) {
 	changed := func(prefixes ...string) bool {
 		return slices.ContainsFunc(live, func(key string) bool {
@@ -51,7 +51,7 @@
 		p.discovery.Move(p.cfg.Discovery.Address)
 	}
 	if changed("server[") {
-		p.discovery.Replace(p.cfg.ServerList(time.Now(), p.serversSince))
+		p.discovery.Replace(p.cfg.ServerList(time.Now(), p.firstNamed))
 	}
 	if changed("discovery.") {
 		p.discovery.SetLimits(listLimits(p.cfg))
@@ -67,7 +67,7 @@
 		p.shutdownTimes.Store(&times)
 	}
 	if changed("log.") {
-		p.log.Set(logging.ParseLevel(p.cfg.Log.Level), p.cfg.Log.Repeat)
+		p.log.SetLimits(logging.ParseLevel(p.cfg.Log.Level), p.cfg.Log.RepeatRate)
 		p.server.LogRequests(p.requestLog())
 	}
 }
--- /dev/null
+++ b/internal/proxy/descriptors/budget_test.go
@@ -0,0 +1,71 @@
+package descriptors
+
+import "testing"
+
+func TestBudgetReclaimsIdleConnectionsAtItsLimits(t *testing.T) {
+	b := NewBudget(reserved+8, 0.6, 0.25)
+	acquire := func(side Side, want bool) {
+		t.Helper()
+		if got := b.Acquire(side); got != want {
+			t.Fatalf("%v of side %d, limits are 4 and 8; used %v", got, side, b.used)
+		}
+	}
+	for i := range 4 {
+		if b.Crowded() != (i > 2) {
+			t.Errorf("crowded %v with %d clients of 8 places", b.Crowded(), i)
+		}
+		acquire(Clients, true)
+	}
+	acquire(Clients, false)
+	for range 4 {
+		acquire(Servers, true)
+	}
+	acquire(Servers, false)
+	var idle [2]int
+	for side := range idle {
+		b.SetReclaim(Side(side), func() bool {
+			if idle[side] == 0 {
+				return false
+			}
+			idle[side]--
+			b.Release(Side(side))
+			return true
+		})
+	}
+	idle = [2]int{1, 1}
+	acquire(Clients, true) // a flood of clients costs no connection to a server
+	if idle != [2]int{0, 1} {
+		t.Errorf("idle left: %v", idle)
+	}
+	acquire(Servers, true)
+	acquire(Servers, false)
+	idle[Clients] = 1
+	acquire(Servers, true)
+	b.Release(Servers)
+	acquire(Servers, true)
+}
+
+// A process that shares its limit closes idle connections and acquires no more than its fraction.
+func TestResizeClosesIdleConnections(t *testing.T) {
+	b := NewBudget(reserved+16, 0.6, 0.25)
+	idle := 3
+	b.SetReclaim(Servers, func() bool {
+		if idle == 0 {
+			return false
+		}
+		idle--
+		b.Release(Servers)
+		return true
+	})
+	for range 12 {
+		b.Acquire(Servers)
+	}
+	b.Resize(reserved + 8)
+	if idle != 0 || b.used[Servers] != 9 || b.Acquire(Servers) || b.Acquire(Clients) {
+		t.Errorf("%d idle left, %v used of 8", idle, b.used)
+	}
+	b.Resize(reserved + 16)
+	if !b.Acquire(Servers) || !b.Acquire(Clients) {
+		t.Error("the limit stays down")
+	}
+}
--- a/internal/proxy/ingress/request.go
+++ b/internal/proxy/ingress/parse.go
@@ -2,7 +2,6 @@
 
 import (
 	"hash/fnv"
-	"io"
 	"math"
 	"net/url"
 	"strconv"
@@ -13,21 +12,29 @@
 	"cresshub/internal/proxy/dispatch"
 )
 
-const idField = "X-Request-ID"
+// Header fields of a request. Their names are the operators' page's.
+const (
+	idField             = "X-Request-ID"       // unique among open requests; a retry has its own
+	firstAttemptIDField = "X-First-Request-ID" // of a client's retry: the id of the request that it repeats
+	retriedField        = "X-Retried"          // "1" in a client's retry
+	classField          = "X-Priority-Class"
+	tenantField         = "X-Tenant-Id"
+	timeoutField        = "X-Timeout" // s from the request's last byte that the client waits
+)
 
-// routingFields are the header fields that say what a request is and how it is handled.
-var routingFields = []string{idField, "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "X-Retried", "Host"}
+// routingFields are the header fields that decide how a request is handled. None may come twice.
+var routingFields = []string{idField, classField, tenantField, timeoutField, retriedField, "Host"}
 
-// maxTimeout bounds a request's time: whoever waits longer than this has no deadline at all.
+// maxTimeout bounds a request's time. A longer X-Timeout is as good as none.
 const maxTimeout = time.Hour
 
-// parse reads what the decisions need to know of a request. A status other than 0 says what is wrong; the
-// class is set all the same, to -1 where none is named.
+// parse reads what the decisions need to know of a request. A status other than 0, with its reason, says that
+// the request is rejected; the class is set all the same, to -1 where none is named.
 func (s *Server) parse(message *http1.Request, arrived time.Time) (
 	r dispatch.Request, status int, reason string,
 ) {
 	var known bool
-	if r.Class, known = s.classes[message.Header.Get("X-Priority-Class")]; !known {
+	if r.Class, known = s.classes[message.Header.Get(classField)]; !known {
 		r.Class = -1
 	}
 	if message.Method != "GET" && message.Method != "HEAD" && message.Method != "POST" {
@@ -46,20 +53,21 @@
 		return r, 400, "X-Priority-Class names no class"
 	}
 	var ok bool
-	if r.Tenant, ok = s.tenants[message.Header.Get("X-Tenant-Id")]; !ok && len(s.tenants) > 0 {
+	if r.Tenant, ok = s.tenants[message.Header.Get(tenantField)]; !ok && len(s.tenants) > 0 {
 		return r, 400, "X-Tenant-Id names no tenant"
 	}
-	wait, err := strconv.ParseFloat(message.Header.Get("X-Timeout"), 64)
-	if err != nil || !(wait > 0) || math.IsInf(wait, 0) {
+	timeout, err := strconv.ParseFloat(message.Header.Get(timeoutField), 64)
+	if err != nil || !(timeout > 0) || math.IsInf(timeout, 0) {
 		return r, 400, "X-Timeout is no time"
 	}
-	r.Deadline = arrived.Add(time.Duration(min(wait, maxTimeout.Seconds()) * float64(time.Second)))
-	r.Repeat = message.Header.Get("X-Retried") == "1"
+	r.Deadline = arrived.Add(time.Duration(min(timeout, maxTimeout.Seconds()) * float64(time.Second)))
+	r.ClientRetry = message.Header.Get(retriedField) == "1"
 	r.Key, r.HasKey = parseKey(message.Target)
 	return r, 0, ""
 }
 
-// parseKey finds what a request concerns. Keys are 16 hex digits; any other word is a key too, by its hash.
+// parseKey finds the key that a request's target names. Keys are 16 hex digits; any other text stands for its
+// hash.
 func parseKey(target string) (uint64, bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for pair := range strings.SplitSeq(query, "&") {
@@ -74,7 +82,7 @@
 			value = plain
 		}
 		h := fnv.New64a()
-		io.WriteString(h, value)
+		h.Write([]byte(value))
 		return h.Sum64(), true
 	}
 	return 0, false
--- a/internal/simulation/agentsim/eventlog.go
+++ b/internal/simulation/agentsim/eventlog.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// mostLines bounds the log; the oldest lines go first.
-const mostLines = 600
+// maxLines bounds the log; the oldest lines go first.
+const maxLines = 600
 
-// eventLog keeps the last lines that the processes and the test wrote, and who marked servers as lost.
+// eventLog retains the latest lines of the logs of the processes and the test, and which servers were marked
+// as lost though they were serving.
 type eventLog struct {
 	fleet *Fleet
 
 	mu    sync.Mutex
 	lines []string
-	lost  []lostMark // bounded by the length of a test
+	lost  []lostReport // bounded by the length of a test
 }
 
-// lostMark tells that a machine marked a server as lost that was calling and that it reached.
-type lostMark struct {
+// lostReport is that a machine marked a server as lost that was serving and that it reached.
+type lostReport struct {
 	at                      time.Duration
 	machine, server, reason string
 }
@@ -30,7 +31,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines = append(l.lines, fmt.Sprintf("%9.3f %s", l.fleet.Now().Seconds(), line))
-	l.lines = l.lines[max(0, len(l.lines)-mostLines):]
+	l.lines = l.lines[max(0, len(l.lines)-maxLines):]
 }
 
 // String returns all lines.
@@ -40,28 +41,31 @@
 	return strings.Join(l.lines, "\n")
 }
 
-// take takes a line of a machine's log.
-func (l *eventLog) take(machine *Machine, line []byte) {
+// addLogLine adds a line of a machine's log, and records where it says that a serving server was marked as
+// lost.
+func (l *eventLog) addLogLine(machine *Machine, line []byte) {
 	l.add(machine.Name + ": " + strings.TrimSpace(string(line)))
 	var event struct{ ID, Message, Reason string }
 	if json.Unmarshal(line, &event) != nil || event.Message != "directory: marked lost" {
 		return
 	}
 	server := l.fleet.serverByID(event.ID)
-	if server != nil && server.Calls() && l.fleet.Network.Reaches(machine.IP, server.IP) {
+	if server != nil && server.Serving() && l.fleet.Network.Reaches(machine.IP, server.IP) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.lost = append(l.lost, lostMark{l.fleet.Now(), machine.Name, event.ID, event.Reason})
+		l.lost = append(l.lost, lostReport{l.fleet.Now(), machine.Name, event.ID, event.Reason})
 	}
 }
 
+// lostSince returns the reports since a time, a line each.
 func (l *eventLog) lostSince(since time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var lost []string
-	for _, mark := range l.lost {
-		if mark.at >= since {
-			lost = append(lost, fmt.Sprintf("%v: %s marked %s: %s", mark.at, mark.machine, mark.server, mark.reason))
+	for _, report := range l.lost {
+		if report.at >= since {
+			lost = append(lost, fmt.Sprintf("%v: %s marked %s: %s", report.at, report.machine, report.server,
+				report.reason))
 		}
 	}
 	return lost
@@ -73,10 +77,10 @@
 	process *process
 }
 
-// Write implements io.Writer. What a killed process still writes is dropped.
+// Write implements io.Writer. What a killed process still writes is discarded.
 func (w *machineLog) Write(line []byte) (int, error) {
 	if !w.process.dead.Load() {
-		w.machine.fleet.log.take(w.machine, line)
+		w.machine.fleet.log.addLogLine(w.machine, line)
 	}
 	return len(line), nil
 }
--- a/internal/simulation/agentsim/operator.go
+++ b/internal/simulation/agentsim/operator.go
@@ -17,22 +17,22 @@
 
 const (
 	serviceName = "model"
-	// firstTimeout is the timeout of the one route, to which a change's mark is added.
-	firstTimeout = 5000
+	// baseTimeout is the timeout of the one route in ms, to which a change's variant is added.
+	baseTimeout = 5000
 )
 
-// Change is a change of the configuration. Two of one version differ by their marks.
+// Change is a change of the configuration. Two changes to one version differ by their variants.
 type Change struct {
 	Base, Version int64
-	Mark          int64
+	Variant       int64
 }
 
 // document returns the configuration after a change.
 func (f *Fleet) document(c Change) []byte {
-	service := routerstandin.ServiceDoc{Name: serviceName, HealthPath: "/health", Lines: 100, Protocol: "h1"}
+	service := routerstandin.ServiceDoc{Name: serviceName, HealthPath: "/health", MaxConns: 100, Protocol: "h1"}
 	if f.Options.Stages {
 		service.Engine = &routerstandin.EngineSection{Slots: serverSlots, CacheTokens: 1 << 20, TokenBytes: 1024,
-			LinkMbps: 1000, Stride: 2, HandleLife: 5, StageSwitch: stageSwitch.Seconds(),
+			LinkMbps: 1000, TokensPerEvent: 2, HandleTTL: 5, SwitchTime: stageSwitch.Seconds(),
 			Models: []map[string]string{{"name": serviceName}}}
 	}
 	return f.encode(&routerstandin.Document{Version: c.Version, Services: []routerstandin.ServiceDoc{service},
@@ -42,11 +42,11 @@
 // route returns the one route after a change.
 func (c Change) route() routerstandin.RouteDoc {
 	return routerstandin.RouteDoc{Name: "r", Host: "a.example", Prefix: "/", Class: "safe",
-		TimeoutMs: firstTimeout + c.Mark, TargetMs: 500, Service: serviceName, Tries: 2}
+		TimeoutMs: baseTimeout + c.Variant, TargetMs: 500, Service: serviceName, MaxAttempts: 2}
 }
 
-// isPatch tells whether a change is sent as a patch: every second one, so that both kinds meet on one base.
-func (c Change) isPatch() bool { return c.Base > 0 && (c.Version+c.Mark)%2 == 0 }
+// isPatch reports whether a change is sent as a patch: every second one, so that both kinds meet on one base.
+func (c Change) isPatch() bool { return c.Base > 0 && (c.Version+c.Variant)%2 == 0 }
 
 // patchDocument is a patch as an operator sends it.
 type patchDocument struct {
@@ -56,7 +56,7 @@
 	} `json:"deliver"`
 }
 
-// call returns the call by which a change is asked for.
+// call returns the operator's call for a change.
 func (f *Fleet) call(c Change) controlclient.Call {
 	header := http1.Header{{Name: "If-Match", Value: strconv.FormatInt(c.Base, 10)},
 		{Name: "Content-Type", Value: "application/json"}}
@@ -71,6 +71,7 @@
 	return call
 }
 
+// encode returns a document as JSON.
 func (f *Fleet) encode(document any) []byte {
 	body, err := json.Marshal(document)
 	if err != nil {
@@ -79,13 +80,13 @@
 	return body
 }
 
-// markOf returns the mark of the change that a document is of.
-func markOf(body []byte) (version, mark int64, err error) {
+// variantOf returns the version and the variant of the change that a document results from.
+func variantOf(body []byte) (version, mark int64, err error) {
 	var d routerstandin.Document
 	if err := json.Unmarshal(body, &d); err != nil {
 		return 0, 0, err
 	}
-	return d.Version, d.Routes[0].TimeoutMs - firstTimeout, nil
+	return d.Version, d.Routes[0].TimeoutMs - baseTimeout, nil
 }
 
 // Operator is a simulated operator. Its methods may be called by several goroutines.
@@ -99,7 +100,7 @@
 	random *rand.Rand
 }
 
-// AddOperator adds an operator that notes its calls in a history.
+// AddOperator adds an operator that records its calls in a history.
 func (f *Fleet) AddOperator(history *History) *Operator {
 	history.operators++
 	ip := fmt.Sprintf("10.2.0.%d", history.operators)
@@ -116,24 +117,24 @@
 		status = answer.Status
 	}
 	o.history.endPut(call, o.fleet.Now(), status)
-	o.fleet.Note("operator %s: change %+v at %s: %d", o.IP, c, m.Name, status)
+	o.fleet.Logf("operator %s: change %+v at %s: %d", o.IP, c, m.Name, status)
 	return status
 }
 
-// PutUntil sends a change to machine after machine until one gives a clear answer, 200 or 412, which it
-// returns, or so much time has passed, in which case it returns 0. Each answer may be lost on its way by a
-// chance; the change is then sent again.
+// PutUntil sends a change to one machine after the other until one answers 200 or 412, which it returns, or a
+// duration has passed, in which case it returns 0. Each answer is lost with a probability; the change is then
+// sent again.
 func (o *Operator) PutUntil(machines []*Machine, c Change, within time.Duration, loss float64) int {
 	until := o.fleet.Now() + within
-	pause := 50 * time.Millisecond
+	backoff := 50 * time.Millisecond
 	for o.fleet.Now() < until {
 		for _, m := range o.shuffled(machines) {
 			status := o.Put(m, c)
 			if (status == 200 || status == 412) && !o.chance(loss) {
 				return status
 			}
-			time.Sleep(pause)
-			pause = min(pause*2, 400*time.Millisecond)
+			time.Sleep(backoff)
+			backoff = min(backoff*2, 400*time.Millisecond)
 			if o.fleet.Now() >= until {
 				return 0
 			}
@@ -153,11 +154,11 @@
 		o.history.endGet(call, o.fleet.Now(), status, 0, 0)
 		return 0, status
 	}
-	version, mark, err := markOf(answer.Body)
+	version, variant, err := variantOf(answer.Body)
 	if err != nil {
 		o.fleet.TB.Error(err)
 	}
-	o.history.endGet(call, o.fleet.Now(), 200, version, mark)
+	o.history.endGet(call, o.fleet.Now(), 200, version, variant)
 	return version, 200
 }
 
--- a/internal/simulation/agentsim/server.go
+++ b/internal/simulation/agentsim/server.go
@@ -13,23 +13,23 @@
 
 const (
 	serverPort = 80
-	// callTimeout is after what silence servers and operators call the next machine.
+	// callTimeout is after what time without an answer servers and operators call the next machine.
 	callTimeout = time.Second
-	// retryPause is between two calls of one heartbeat.
-	retryPause = 100 * time.Millisecond
-	// stageSwitch is how long a server takes to change its stage.
-	stageSwitch = 1500 * time.Millisecond
-	serverSlots = 16
-	reading     = "reading"
+	// retryInterval is the time between two attempts to send one heartbeat.
+	retryInterval = 100 * time.Millisecond
+	// stageSwitch is how long a server takes to switch its stage.
+	stageSwitch  = 1500 * time.Millisecond
+	serverSlots  = 16
+	prefillStage = "reading"
 )
 
-// serverState is how far a server is with its life.
+// serverState is the state of a server.
 type serverState int
 
 const (
-	serving serverState = iota
-	drainingState
-	gone // has sent DELETE or has died
+	stateServing serverState = iota
+	stateDraining
+	stateEnded // it has sent DELETE or has crashed
 )
 
 // Server is a simulated server of the one service.
@@ -37,26 +37,26 @@
 	ID   string
 	IP   string
 	Zone string
-	// Alternate lets the server ignore forward_to, so that each heartbeat goes to another machine.
+	// Alternate has the server ignore forward_to, so that each heartbeat goes to another machine.
 	Alternate bool
 
-	fleet   *Fleet
-	network *simnet.Process
-	end     chan struct{}
-	ended   sync.Once
+	fleet    *Fleet
+	network  *simnet.Process
+	stop     chan struct{}
+	stopOnce sync.Once
 
 	mu         sync.Mutex
 	random     *rand.Rand
 	state      serverState
-	postmark   int64
+	sequence   int64
 	forward    string
-	caller     string    // control address that acknowledged last
-	heardAt    time.Time // when
-	firstHeard time.Time // when a heartbeat was acknowledged for the first time
+	ackedBy    string    // control address that acknowledged last
+	lastAcked  time.Time // when that was
+	firstAcked time.Time // when a heartbeat was acknowledged for the first time
 	longestGap time.Duration
 	stage      string
 	switching  bool
-	fence      uint64 // the highest seen
+	fence      uint64 // the highest observed
 	orders     []Order
 }
 
@@ -64,11 +64,11 @@
 func (f *Fleet) AddServer(id string, first ...string) *Server {
 	number := len(f.Servers)
 	s := &Server{ID: id, IP: fmt.Sprintf("10.1.%d.%d", number/200, number%200+1),
-		Zone: fmt.Sprintf("zone-%d", number%zoneCount), fleet: f, end: make(chan struct{}),
+		Zone: fmt.Sprintf("zone-%d", number%zoneCount), fleet: f, stop: make(chan struct{}),
 		random: rand.New(rand.NewSource(f.Random.Int63()))}
 	s.network = f.Network.Host(s.IP).NewProcess()
 	if f.Options.Stages {
-		s.stage = reading
+		s.stage = prefillStage
 	}
 	s.listen()
 	if len(first) > 0 {
@@ -77,36 +77,36 @@
 	f.mu.Lock()
 	f.Servers = append(f.Servers, s)
 	f.mu.Unlock()
-	f.others.Go(s.run)
+	f.parties.Go(s.run)
 	return s
 }
 
-// Calls tells whether the server sends heartbeats as one that wants requests.
-func (s *Server) Calls() bool {
+// Serving reports whether the server sends heartbeats and takes new requests.
+func (s *Server) Serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state == serving
+	return s.state == stateServing
 }
 
-// ReportTo has the next heartbeats go to a machine as if an answer had named it.
+// ReportTo has the next heartbeats go to a machine, as an answer with forward_to does.
 func (s *Server) ReportTo(m *Machine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forward = m.Control()
 }
 
-// told returns the state that heartbeats tell, "" once there are none.
-func (s *Server) told() string {
+// announcedState returns the state in heartbeats, "" once there are none.
+func (s *Server) announcedState() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return [...]string{serving: "ready", drainingState: "draining", gone: ""}[s.state]
+	return [...]string{stateServing: "ready", stateDraining: "draining", stateEnded: ""}[s.state]
 }
 
-// Caller returns the control address that acknowledged the last heartbeat.
-func (s *Server) Caller() string {
+// AckedBy returns the control address that acknowledged the last heartbeat.
+func (s *Server) AckedBy() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.caller
+	return s.ackedBy
 }
 
 // LongestGap returns the longest time between two acknowledgements so far.
@@ -116,6 +116,7 @@
 	return s.longestGap
 }
 
+// serverByID returns a server, nil if there is none of that id.
 func (f *Fleet) serverByID(id string) *Server {
 	for _, s := range f.allServers() {
 		if s.ID == id {
@@ -125,11 +126,11 @@
 	return nil
 }
 
-// callingServers returns the ids of the servers that are to get requests, sorted.
-func (f *Fleet) callingServers() []string {
+// servingIDs returns the ids of the servers that serve, sorted.
+func (f *Fleet) servingIDs() []string {
 	var ids []string
 	for _, s := range f.Servers {
-		if s.Calls() {
+		if s.Serving() {
 			ids = append(ids, s.ID)
 		}
 	}
@@ -137,52 +138,53 @@
 	return ids
 }
 
+// run sends heartbeats until the server or the fleet ends.
 func (s *Server) run() {
-	time.Sleep(s.draw(Beat))
+	time.Sleep(s.randomUpTo(HeartbeatInterval))
 	for {
-		if state := s.told(); state != "" {
-			s.beat(s.heartbeat(state))
+		if state := s.announcedState(); state != "" {
+			s.sendHeartbeat(s.heartbeat(state))
 		}
 		select {
-		case <-s.fleet.over:
+		case <-s.fleet.done:
 			return
-		case <-s.end:
+		case <-s.stop:
 			return
-		case <-time.After(Beat - Beat/20 + s.draw(Beat/10)):
+		case <-time.After(HeartbeatInterval - HeartbeatInterval/20 + s.randomUpTo(HeartbeatInterval/10)):
 		}
 	}
 }
 
-// draw returns a random time up to a bound.
-func (s *Server) draw(most time.Duration) time.Duration {
+// randomUpTo draws a duration below a bound.
+func (s *Server) randomUpTo(bound time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(s.random.Int63n(int64(most)))
+	return time.Duration(s.random.Int63n(int64(bound)))
 }
 
 func (s *Server) address() string { return fmt.Sprintf("%s:%d", s.IP, serverPort) }
 
-// Crash ends the server without a word.
+// Crash ends the server without notice.
 func (s *Server) Crash() {
 	s.mu.Lock()
-	s.state = gone
+	s.state = stateEnded
 	s.mu.Unlock()
 	s.network.Kill()
-	s.ended.Do(func() { close(s.end) })
+	s.stopOnce.Do(func() { close(s.stop) })
 }
 
-// Drain says draining at machines, those named first, and tells whether that was acknowledged.
+// Drain announces the drain to machines, those named first, and reports whether that was acknowledged.
 func (s *Server) Drain(first ...string) bool {
 	s.mu.Lock()
-	s.state = drainingState
+	s.state = stateDraining
 	s.mu.Unlock()
-	return s.beat(s.heartbeat("draining"), first...)
+	return s.sendHeartbeat(s.heartbeat("draining"), first...)
 }
 
-// Delete says that the server ends, at machines, those named first, and tells whether that was acknowledged.
+// Delete announces the end to machines, those named first, and reports whether that was acknowledged.
 func (s *Server) Delete(first ...string) bool {
 	s.mu.Lock()
-	s.state = gone
+	s.state = stateEnded
 	s.mu.Unlock()
-	return s.tell(controlclient.Call{Method: "DELETE", Target: "/api/servers/" + s.ID}, first)
+	return s.callAny(controlclient.Call{Method: "DELETE", Target: "/api/servers/" + s.ID}, first)
 }
--- a/internal/simulation/agentsim/turnover_test.go
+++ b/internal/simulation/agentsim/turnover_test.go
@@ -12,21 +12,18 @@
 )
 
 const (
-	// herdDown is how long the machines are down that go at once.
-	herdDown = 1100 * time.Millisecond
-	// recoverTime is within what time of its start a fleet that went at once knows all again.
+	// downTime is how long machines are down that are killed.
+	downTime = 1100 * time.Millisecond
+	// recoverTime is the time from its start within which a fleet converges that was killed as a whole.
 	recoverTime = 3 * time.Second
 )
 
-// turnover is a case of the loss of all processes, whose settings files name machines without a disk only as
-// seeds then.
+// turnover is a way to lose all processes when the settings files name only machines without a disk as seeds.
 type turnover struct {
 	name     string
 	powerOff bool
-	reload   bool                      // running processes are told of the new seeds before
-	start    func(f *Fleet)            // starts the machines again
-	seeds    func(f *Fleet) []*Machine // the new ones
-	late     time.Duration             // later than others machines with a disk start
+	reload   bool           // running processes reload the new seeds before
+	start    func(f *Fleet) // starts the machines again
 }
 
 // otherSeeds draws seeds without a disk.
@@ -46,7 +43,7 @@
 	{name: "power, reload before", powerOff: true, reload: true, start: startAll},
 	{name: "kill", start: startAll},
 	{name: "kill, reload before", reload: true, start: startAll},
-	{name: "disks late", powerOff: true, late: 2 * time.Second, start: startDisksLate},
+	{name: "disks late", powerOff: true, start: startDisksLate},
 	{name: "seeds down", powerOff: true, start: startWithoutSeeds},
 	{name: "seeds cut off", powerOff: true, start: startWithSeedsCutOff},
 }
@@ -61,10 +58,10 @@
 // startWithoutSeeds starts all machines but those that the settings files name.
 func startWithoutSeeds(f *Fleet) { f.StartTogether(f.Except(f.seedMachines()...), false) }
 
-// startWithSeedsCutOff starts all machines while nobody reaches those that the settings files name.
+// startWithSeedsCutOff starts all machines while those that the settings files name are unreachable.
 func startWithSeedsCutOff(f *Fleet) {
 	seeds := f.seedMachines()
-	f.Cut(IPs(seeds...), append(IPs(f.Except(seeds...)...), f.serverIPs()...), simnet.Silent)
+	f.Partition(IPs(seeds...), append(IPs(f.Except(seeds...)...), f.serverIPs()...), simnet.Blackhole)
 	startAll(f)
 }
 
@@ -96,7 +93,7 @@
 	return 10
 }
 
-// TestSeedTurnover loses all processes when the settings files name no machine that keeps the configuration.
+// TestSeedTurnover loses all processes when the settings files name no member of the chain.
 func TestSeedTurnover(t *testing.T) {
 	for _, test := range turnovers {
 		t.Run(test.name, func(t *testing.T) {
@@ -111,11 +108,12 @@
 }
 
 func (test *turnover) run(t *testing.T, seed int64) {
+	t.Helper()
 	f := New(t, Options{Disks: 3, Others: 7, Servers: 12, Seed: seed})
 	history := &History{}
 	operator := f.AddOperator(history)
 	qt.Assert(t, operator.PutUntil(f.Machines, Change{0, 1, 0}, 4*time.Second, 0), qt.Equals, 200)
-	f.Await("all know the configuration", 2*time.Second, f.Whole)
+	f.Await("all know the configuration", 2*time.Second, f.Converged)
 	time.Sleep(time.Duration(f.Random.Int63n(int64(5 * time.Second))))
 	f.SetSeeds(otherSeeds(f)...)
 	if test.reload {
@@ -124,23 +122,23 @@
 		}
 		time.Sleep(time.Duration(f.Random.Int63n(int64(5 * time.Second))))
 	}
-	qt.Assert(t, f.Whole(), qt.Equals, "")
+	qt.Assert(t, f.Converged(), qt.Equals, "")
 	if test.powerOff {
 		f.PowerOffAll(f.Machines)
 	} else {
 		f.KillAll(f.Machines)
 	}
-	time.Sleep(herdDown)
+	time.Sleep(downTime)
 	since := f.Now()
 	test.start(f)
 	reached := f.reachable()
-	took := f.Await("the fleet is whole again", recoverTime, func() string { return f.Agree(reached) })
-	t.Logf("whole %v after the last start", took)
+	took := f.Await("the fleet converges again", recoverTime, func() string { return f.Agree(reached) })
+	t.Logf("converged %v after the last start", took)
 	time.Sleep(20 * time.Second)
 	f.CheckNoneLost(since)
 	qt.Check(t, f.Agree(reached), qt.Equals, "")
 	f.Heal()
-	f.Await("all agree once nothing is cut", recoverTime, f.Whole)
+	f.Await("all agree once no fault is left", recoverTime, f.Converged)
 	qt.Check(t, operator.PutUntil(f.Running(), Change{1, 2, 0}, 4*time.Second, 0), qt.Equals, 200)
 	qt.Check(t, history.Check(), qt.HasLen, 0)
 }
--- a/internal/simulation/experiment/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -27,7 +27,7 @@
 
 func playAll(t *testing.T, s *Store) {
 	t.Helper()
-	err := All(context.Background(), s.Header.Scenario, s.Header.Set, s.Missing(), 0, false, s.Add)
+	err := PlayAll(context.Background(), s.Header.Scenario, s.Header.Set, s.Missing(), 0, false, s.Add)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var got settingsfile.Problems
+	var got settingsfile.SettingErrors
 	_, err := Load(file, map[string]string{"lod.rate": "1"})
 	if !errors.As(err, &got) {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := 0
 	h := experiment()
-	err := All(ctx, h.Scenario, h.Set, h.Jobs(), 2, false, func(*Done) error {
+	err := PlayAll(ctx, h.Scenario, h.Set, h.Jobs(), 2, false, func(*RunResult) error {
 		n++
 		cancel()
 		return nil
@@ -187,7 +187,7 @@
 	if _, err := s.Plot("nonsense", false, false); err == nil {
 		t.Error("a metric that is none is drawn")
 	}
-	s.Days[0].Result.Breaks = []string{"never_twice broken by <b>"}
+	s.Days[0].Result.Violations = []string{"never_twice broken by <b>"}
 	var page bytes.Buffer
 	if err := s.Report(&page); err != nil {
 		t.Fatal(err)
@@ -204,11 +204,11 @@
 
 // Paired differences tell noise from a difference, and how many days would settle it.
 func TestStatistics(t *testing.T) {
-	e := Over([]float64{1, 2, 3, 4, 5}) // t = 2.776, sd = 1.5811
+	e := EstimateOf([]float64{1, 2, 3, 4, 5}) // t = 2.776, sd = 1.5811
 	if math.Abs(e.Mean-3) > 1e-9 || math.Abs(e.Half-1.963) > 0.001 {
 		t.Errorf("%+v", e)
 	}
-	if !math.IsNaN(Over([]float64{1}).Half) {
+	if !math.IsNaN(EstimateOf([]float64{1}).Half) {
 		t.Error("one day has an interval")
 	}
 	sure := Paired([]float64{1, 5, 9, 2}, []float64{2, 6.1, 10, 3})
@@ -231,7 +231,7 @@
 	}
 	d, err := Play("queues", map[string]string{"servers.count": "1", "servers.cores": "4"},
 		Job{Policy: "random", Seed: 3}, proxysim.Options{})
-	if err != nil || math.Abs(d.Result.Mean/Erlang(4, 0.9)-1) > 0.08 {
+	if err != nil || math.Abs(d.Result.MeanServiceTimes/Erlang(4, 0.9)-1) > 0.08 {
 		t.Errorf("%+v, %v", d, err)
 	}
 }
@@ -245,10 +245,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, x := range d.Result.Seconds[from:to] {
+		for _, x := range d.Result.ServiceBySecond[from:to] {
 			mean, n = mean+x, n+1
 		}
-		breaks = append(breaks, d.Result.Breaks...)
+		breaks = append(breaks, d.Result.Violations...)
 	}
 	return mean / n, breaks
 }
@@ -285,7 +285,7 @@
 			t.Fatal(err)
 		}
 		sim.Run(proxysim.Options{Policy: "random"})
-		return sim.Places()
+		return sim.TableSlots()
 	}
 	if short, long := held("20000"), held("400000"); long > 4*short {
 		t.Errorf("%d places for 20,000 requests and %d for 400,000", short, long)
--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -22,7 +22,8 @@
 })
 
 // Load reads a scenario by the path of its file or by the name of a shipped one, with keys set over it, and
-// checks it as strictly as the program's own configuration. The error is keyed.Problems, all of them.
+// checks it as strictly as the program's own configuration. The error is
+// settingsfile.SettingErrors, all of them.
 func Load(name string, set map[string]string) (*proxysim.Scenario, error) {
 	raw, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -32,7 +33,7 @@
 	}
 	b := schema().NewBuilder()
 	if err != nil {
-		b.Problems.Add(settingsfile.At("file", name), "",
+		b.Problems.Add(settingsfile.NewOrigin("file", name), "",
 			"cannot be read, and no shipped scenario has that name: %v", err)
 		return nil, b.Problems.Err()
 	}
@@ -41,24 +42,24 @@
 	b.Add(l)
 	over := settingsfile.NewLayer()
 	for key, value := range set {
-		o := settingsfile.At("flag", "--set "+key)
-		if _, _, _, ok := schema().Generic(key); !ok {
-			b.Problems.Add(o, key, "is no key%s", schema().Meant(key))
+		o := settingsfile.NewOrigin("flag", "--set "+key)
+		if _, ok := schema().Resolve(key); !ok {
+			b.Problems.Add(o, key, "is no key%s", schema().Suggest(key))
 			continue
 		}
-		over.Set(key, settingsfile.Words(value), o)
+		over.Set(key, settingsfile.Text(value), o)
 	}
 	b.Add(over)
 	sc := &proxysim.Scenario{}
-	b.Into(sc)
+	b.Decode(sc)
 	if len(b.Problems) == 0 {
-		check(sc, b)
+		validate(sc, b)
 	}
 	return sc, b.Problems.Err()
 }
 
 // check finds what is wrong between keys.
-func check(sc *proxysim.Scenario, b *settingsfile.Builder) {
+func validate(sc *proxysim.Scenario, b *settingsfile.Builder) {
 	tell := func(path, format string, args ...any) {
 		o, ok := b.Origins[path]
 		if !ok || o.Source == "default" {
@@ -69,7 +70,7 @@
 				}
 			}
 		}
-		b.Problems.Add(o, schema().Shown(path), format, args...)
+		b.Problems.Add(o, schema().Display(path), format, args...)
 	}
 	if len(sc.Classes) == 0 {
 		tell("class", "is missing; at least one [[class]] with name and work is wanted")
@@ -83,23 +84,23 @@
 			tell(fmt.Sprintf("%s.%d.share", list, n-1), "all shares add up to %.4g, 1 is wanted", total)
 		}
 	}
-	shares("class", len(sc.Classes), func(i int) float64 { return sc.Classes[i].Share })
-	shares("kind", len(sc.Kinds), func(i int) float64 { return sc.Kinds[i].Share })
-	shares("tenant", len(sc.Tenants), func(i int) float64 { return sc.Tenants[i].Share })
+	shares("class", len(sc.Classes), func(i int) float64 { return sc.Classes[i].Fraction })
+	shares("kind", len(sc.Kinds), func(i int) float64 { return sc.Kinds[i].Fraction })
+	shares("tenant", len(sc.Tenants), func(i int) float64 { return sc.Tenants[i].Fraction })
 	for i, c := range sc.Classes {
-		if c.Deadline > 0 && c.Aim > c.Deadline {
-			tell(fmt.Sprintf("class.%d.aim", i), "%v is beyond the deadline %v", c.Aim, c.Deadline)
+		if c.Deadline > 0 && c.LatencyTarget > c.Deadline {
+			tell(fmt.Sprintf("class.%d.aim", i), "%v is beyond the deadline %v", c.LatencyTarget, c.Deadline)
 		}
 	}
 	for i, k := range sc.Kinds {
-		if k.Slow > k.Fast {
-			tell(fmt.Sprintf("kind.%d.slowest", i), "%g is above fastest %g", k.Slow, k.Fast)
+		if k.MinSpeed > k.MaxSpeed {
+			tell(fmt.Sprintf("kind.%d.slowest", i), "%g is above fastest %g", k.MinSpeed, k.MaxSpeed)
 		}
 	}
-	for i, t := range sc.Troubles {
-		if t.What == "hall_loss" && !slices.Contains(sc.Halls, t.Hall) {
+	for i, t := range sc.Faults {
+		if t.Type == "hall_loss" && !slices.Contains(sc.Halls, t.Hall) {
 			hint := ""
-			if w := settingsfile.Likely(t.Hall, sc.Halls); w != "" {
+			if w := settingsfile.Closest(t.Hall, sc.Halls); w != "" {
 				hint = "; did you mean " + w + "?"
 			}
 			tell(fmt.Sprintf("trouble.%d.hall", i), "%q is none of halls%s", t.Hall, hint)
@@ -108,8 +109,8 @@
 	if sc.WarmUp >= sc.Duration {
 		tell("warm_up", "%v is not before the end at %v", sc.WarmUp, sc.Duration)
 	}
-	if sc.Requests > 0 && sc.WarmN >= sc.Requests {
-		tell("warm_up_requests", "%d leaves none of %d requests to count", sc.WarmN, sc.Requests)
+	if sc.Requests > 0 && sc.WarmUpRequests >= sc.Requests {
+		tell("warm_up_requests", "%d leaves none of %d requests to count", sc.WarmUpRequests, sc.Requests)
 	}
 	if sc.Load.Utilisation == 0 && sc.Load.Rate == 0 {
 		tell("load.utilisation", "is 0 and so is load.rate: nothing arrives")
@@ -143,7 +144,7 @@
 			fmt.Fprintf(&b, "\n## %s\n\n", name)
 		}
 		def := "default `" + f.Default + "`"
-		if f.Must {
+		if f.Required {
 			def = "must be set"
 		}
 		allowed := f.Allowed()
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -13,65 +13,64 @@
 
 // The kinds of events.
 const (
-	evArrival uint8 = iota // the next request of the stream
-	evTry                  // a client's next try; a: demand
-	evTryEnd               // a try's deadline and slack are over; a: request, c: generation
-	evArrive               // an attempt's last byte is at its server; a: job
-	evWorked               // a core is done with a job; a: job, b: server's life, c: stamp
-	evOutcome              // an attempt ends at its proxy; a: request, b: result, c: generation and attempt
-	evTimer                // of an agent; a: proxy, b: its life, c: token
-	evProbe                // a probe is at its server; a: server, b: proxy, c: proxy's life
-	evProbed               // and back; a: index of the answer, b: proxy
-	evTell                 // discovery's changes are at a proxy; a: proxy, c: version
-	evListed               // an answer of discovery; a: proxy, b: 1 where it failed, c: proxy's life
-	evBoard                // the bulletin board is written anew
-	evTrouble              // a: its number, b: stage, c: server or round
-	evIdle                 // idle connections grow old; a: proxy, b: server
-	evChoke                // a: server, b: 1 for the end of it, c: stamp
+	evArrival       uint8 = iota // the next arrival of the stream
+	evClientAttempt              // a client's next attempt; a: demand
+	evClientTimeout              // a request's deadline and grace are over; a: request, c: generation
+	evServerArrival              // an attempt's last byte is at its server; a: job
+	evJobDone                    // a job ends on its core; a: job, b: server's incarnation, c: generation
+	evAttemptEnd                 // an attempt ends at its proxy; a: request, b: result, c: attemptToken
+	evTimer                      // of an agent; a: proxy, b: its incarnation, c: token
+	evProbe                      // a probe is at its server; a: server, b: proxy, c: its incarnation
+	evProbeAnswer                // the answer is at the proxy; a: index of the answer, b: proxy
+	evListChange                 // changes of the list are at a proxy; a: proxy, c: version
+	evListAnswer                 // an answer of discovery; a: proxy, b: 1 where it failed, c: its incarnation
+	evBoardRefresh               // the bulletin board is refreshed
+	evFault                      // a: index of the fault, b: stage, c: depends on its type
+	evIdleTimeout                // of idle connections; a: proxy, b: server
+	evChoke                      // a: server, b: 1 for the end of it, c: stamp
 )
 
-// Sim plays one scenario with one policy.
+// Sim is one run of a scenario with one policy.
 type Sim struct {
 	Kernel
-	sc     *Scenario
-	policy string
-	halls  []string
+	scenario *Scenario
+	policy   string
+	halls    []string
 
-	servers []server
-	proxies []proxy
-	pairs   []pair // idle connections, by proxy and server
+	servers   []server
+	proxies   []proxy
+	idleConns []idleConns // idle connections, by proxy and server
 
-	reqs    []request
-	demands []demand
-	jobs    []job
-	answers []probeAnswer
-	free    struct{ reqs, demands, jobs, answers []int32 }
-	held    int
-	tries   uint64 // ids given
+	requests []request
+	demands  []demand
+	jobs     []job
+	answers  []probeAnswer
+	free     struct{ requests, demands, jobs, answers []int32 }
+	inFlight int // requests, and attempts of clients that are still to come
 
-	streams streams
-	rate    float64 // requests a second on an ordinary moment
-	surge   float64 // times that, now
-	cum     []float64
-	serv    float64 // mean service time, in ns
-	ends    int64   // arrivals end then
-	arrived int     // demands
-	last    int64   // when the last of them came
-	cum2    struct{ class, tenant []float64 }
-	zipf    *rand.Zipf
+	streams     streams
+	rate        float64 // requests a second outside bursts
+	burst       float64 // factor on that, now
+	proxyCum    []float64
+	meanService float64 // mean service time, in ns
+	arrivalsEnd int64   // ns
+	arrived     int     // demands so far, -1 once the stream has ended
+	lastArrival int64   // ns
+	shareCum    struct{ class, tenant []float64 }
+	zipf        *rand.Zipf
 
 	registry registry
 	board    board
 	monitor  monitor
 	tally    tally
-	acts     []balance.Action
+	actions  []balance.Action
 	overflow bool
 }
 
-// streams are random numbers split by what they are for, so that two policies meet the same arrivals, keys
-// and work whatever they do between.
+// streams are random streams split by purpose, so that two policies meet the same arrivals, keys and work
+// whatever they decide.
 type streams struct {
-	arrivals, shape, work, keys, speeds, network, troubles, clients, reports *rand.Rand
+	arrivals, shape, work, keys, speeds, network, faults, clients, reports *rand.Rand
 }
 
 func stream(seed uint64, purpose string) *rand.Rand {
@@ -80,39 +79,40 @@
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// proxy is one instance with what the model knows of it.
+// proxy is one instance of the client proxy.
 type proxy struct {
-	agent    Agent
-	module   bool
-	hall     int32
-	life     int32
-	alive    bool
-	watching bool
-	version  uint64          // of the list, as last told
-	told     map[int32]int64 // when a server's drain or end was told
-	loads    []float64       // as last seen, for on-access
-	gap      float64         // mean time between its requests, ns
+	agent       Agent
+	module      bool
+	hall        int32
+	incarnation int32
+	alive       bool
+	watching    bool
+	version     uint64          // of the list, as delivered
+	withdrawnAt map[int32]int64 // when a server's drain or removal was delivered
+	loads       []float64       // as last observed, for on-access
+	meanGap     float64         // mean time between its requests, ns
 }
 
-// Policies are the names that New knows.
+// Policies are the names of the policies that New accepts.
 var Policies = []string{
 	"module", "random", "round-robin", "two-choices", "k-choices", "least-outstanding", "stale-shortest",
 	"weighted-round-robin", "basic-li", "li-k", "oracle",
 }
 
-// Options are what is played beside the scenario.
+// Options are the parameters of a run beside the scenario.
 type Options struct {
 	Policy string
 	Seed   uint64
-	K      int     // servers looked at by k-choices and li-k; 0 is 2
-	Lambda float64 // arrival rate that basic-li and li-k take a server to have; 0 is the true one
-	Trace  int     // a request whose life is kept as text, from 1; 0 is none
-	Strict bool    // the first break of a rule ends the day
+	K      int     // servers compared by k-choices and li-k; 0 is 2
+	Lambda float64 // arrival rate of a server that basic-li and li-k assume; 0 is the true one
+	Trace  int     // number of the request to be traced, from 1; 0 is none
+	Strict bool    // the first violation of a rule ends the run
 	// Module makes a proxy's decisions in place of package balance's; nil is that package.
 	Module func(set balance.Settings, now time.Duration) (Agent, error)
 }
 
-// New prepares a day. The error says which policy and model do not go together.
+// New prepares a run. The error says that the policy is unknown, the scenario has no class, or the module
+// rejects the settings.
 func New(sc *Scenario, o Options) (*Sim, error) {
 	if !slices.Contains(Policies, o.Policy) {
 		return nil, fmt.Errorf("policy %q is none of %v", o.Policy, Policies)
@@ -120,14 +120,14 @@
 	if len(sc.Classes) == 0 {
 		return nil, fmt.Errorf("the scenario has no class")
 	}
-	s := &Sim{sc: sc, policy: o.Policy, surge: 1, halls: sc.Halls}
+	s := &Sim{scenario: sc, policy: o.Policy, burst: 1, halls: sc.Halls}
 	if len(s.halls) == 0 {
 		s.halls = []string{"hall"}
 	}
 	s.streams = streams{
 		arrivals: stream(o.Seed, "arrivals"), shape: stream(o.Seed, "shape"), work: stream(o.Seed, "work"),
 		keys: stream(o.Seed, "keys"), speeds: stream(o.Seed, "speeds"), network: stream(o.Seed, "network"),
-		troubles: stream(o.Seed, "troubles"), clients: stream(o.Seed, "clients"),
+		faults: stream(o.Seed, "troubles"), clients: stream(o.Seed, "clients"),
 		reports: stream(o.Seed, "reports"),
 	}
 	s.makeServers()
@@ -138,18 +138,19 @@
 		return nil, err
 	}
 	s.board.init(s)
-	for i := range sc.Troubles {
-		s.add(int64(sc.Troubles[i].At), evTrouble, int32(i), 0, 0)
+	for i := range sc.Faults {
+		s.add(int64(sc.Faults[i].At), evFault, int32(i), 0, 0)
 	}
-	s.ends = int64(sc.Duration)
+	s.arrivalsEnd = int64(sc.Duration)
 	s.add(s.nextArrival(), evArrival, 0, 0, 0)
 	return s, nil
 }
 
-// forever stands for no deadline.
+// forever is used as a deadline where there is none.
 const forever = 10000 * time.Hour
 
-// Run plays the day to its end: all arrivals, and then until all is answered.
+// Run plays the scenario to its end: all arrivals, and then until all requests are answered. It is called
+// once.
 func (s *Sim) Run(o Options) *Result {
 	for {
 		e, ok := s.next()
@@ -159,39 +160,39 @@
 		switch e.kind {
 		case evArrival:
 			s.arrival()
-		case evTry:
-			s.held-- // it was held while it waited to come
-			s.try(e.a)
-		case evTryEnd:
-			s.tryEnd(e.a, e.c)
-		case evArrive:
-			s.arrive(e.a)
-		case evWorked:
-			s.worked(e.a, e.b, e.c)
-		case evOutcome:
-			s.outcome(e.a, balance.Result(e.b), e.c)
+		case evClientAttempt:
+			s.inFlight-- // it counted while it was still to come
+			s.startClientAttempt(e.a)
+		case evClientTimeout:
+			s.clientTimeout(e.a, e.c)
+		case evServerArrival:
+			s.arriveAtServer(e.a)
+		case evJobDone:
+			s.jobDone(e.a, e.b, e.c)
+		case evAttemptEnd:
+			s.attemptEnded(e.a, balance.Result(e.b), e.c)
 		case evTimer:
-			if p := &s.proxies[e.a]; p.alive && p.life == e.b {
-				s.do(e.a, p.agent.Timer(time.Duration(s.now), e.c, s.acts[:0]))
+			if p := &s.proxies[e.a]; p.alive && p.incarnation == e.b {
+				s.apply(e.a, p.agent.Timer(time.Duration(s.now), e.c, s.actions[:0]))
 			}
 		case evProbe:
-			s.probe(e.a, e.b, int32(e.c))
-		case evProbed:
-			s.probed(e.a, e.b)
-		case evTell:
-			s.tell(e.a, e.c)
-		case evListed:
-			s.listed(e.a, e.b == 1, int32(e.c))
-		case evBoard:
-			s.board.write(s)
-		case evTrouble:
-			s.trouble(int(e.a), e.b, e.c, o)
-		case evIdle:
-			s.age(e.a, e.b)
+			s.probeServer(e.a, e.b, int32(e.c))
+		case evProbeAnswer:
+			s.probeAnswered(e.a, e.b)
+		case evListChange:
+			s.deliverChanges(e.a, e.c)
+		case evListAnswer:
+			s.listAnswered(e.a, e.b == 1, int32(e.c))
+		case evBoardRefresh:
+			s.board.refresh(s)
+		case evFault:
+			s.playFault(int(e.a), e.b, e.c, o)
+		case evIdleTimeout:
+			s.closeIdleConns(e.a, e.b)
 		case evChoke:
-			s.choke(e.a, e.b == 1, e.c)
+			s.updateChoke(e.a, e.b == 1, e.c)
 		}
-		// The stream and all that is held are over: what is left are timers and the board, which never end.
+		// What is queued otherwise, timers and the board, never ends.
 		if s.ended() {
 			break
 		}
@@ -199,71 +200,75 @@
 	return s.result()
 }
 
-// Places is how many places its tables have taken: what was held at once at most, events among it.
-func (s *Sim) Places() int {
-	return len(s.reqs) + len(s.demands) + len(s.jobs) + len(s.answers) + cap(s.heap)
+// TableSlots is the number of slots that the tables have grown to, the queue of events included: a measure of
+// the memory that a run takes.
+func (s *Sim) TableSlots() int {
+	return len(s.requests) + len(s.demands) + len(s.jobs) + len(s.answers) + cap(s.heap)
 }
 
-func (s *Sim) ended() bool { return s.arrived < 0 && s.held == 0 }
+// ended reports whether the stream has ended and all requests are answered.
+func (s *Sim) ended() bool { return s.arrived < 0 && s.inFlight == 0 }
 
-// do carries out what an agent says.
-func (s *Sim) do(i int32, acts []balance.Action) {
-	s.acts = acts
+// apply carries out the actions of a proxy's agent.
+func (s *Sim) apply(i int32, acts []balance.Action) {
+	s.actions = acts
 	p := &s.proxies[i]
 	for n := range acts {
 		a := &acts[n]
 		switch a.Kind {
 		case balance.SetTimer:
-			s.add(s.now+int64(a.Wait), evTimer, i, p.life, a.Token)
+			s.add(s.now+int64(a.Wait), evTimer, i, p.incarnation, a.Token)
 		case balance.Probe:
 			s.tally.probes++
 			j := int32(a.Server) - 1
-			s.add(s.now+s.latency(p.hall, s.servers[j].hall), evProbe, j, i, uint64(p.life))
+			s.add(s.now+s.latency(p.hall, s.servers[j].hall), evProbe, j, i, uint64(p.incarnation))
 		case balance.FollowList:
-			s.follow(i)
+			s.watchList(i)
 		default:
-			r, ok := s.open(a.ID)
+			r, ok := s.requestByID(a.ID)
 			if !ok {
 				continue
 			}
 			switch a.Kind {
 			case balance.Send:
-				s.send(r, int32(a.Server)-1, int64(a.Wait))
+				s.startAttempt(r, int32(a.Server)-1, int64(a.Wait))
 			case balance.Cancel:
-				s.cancel(r, a.Attempt)
+				s.cancelAttempt(r, a.Attempt)
 			case balance.Reject:
-				s.answer(r, refused, a.Wait)
+				s.answerRequest(r, refused, a.Wait)
 			case balance.Fail:
-				s.answer(r, failed, 0)
+				s.answerRequest(r, failed, 0)
 			}
 		}
 	}
 }
 
-// latency is one way between two halls.
+// latency draws the one-way latency between two halls.
 func (s *Sim) latency(from, to int32) int64 {
-	d := s.sc.Network.Within
+	d := s.scenario.Network.WithinHall
 	if from != to {
-		d = s.sc.Network.Across
+		d = s.scenario.Network.AcrossHalls
 	}
 	if d == 0 {
 		return 0
 	}
-	if j := s.sc.Network.Jitter; j > 0 {
+	if j := s.scenario.Network.Jitter; j > 0 {
 		return int64(float64(d) * (1 + j*(2*s.streams.network.Float64()-1)))
 	}
 	return int64(d)
 }
 
-// An id is the place of a request in its table and its generation there, in base 36.
-func (s *Sim) name(r int32) string {
-	return strconv.FormatUint(uint64(r)|uint64(s.reqs[r].gen)<<31, 36)
+// requestID is the id of a request for agents: its slot in the table and the slot's generation, in base 36.
+func (s *Sim) requestID(r int32) string {
+	return strconv.FormatUint(uint64(r)|uint64(s.requests[r].generation)<<31, 36)
 }
 
-func (s *Sim) open(id string) (int32, bool) {
+// requestByID is the slot of an unanswered or open request; ok is false for one that has ended.
+func (s *Sim) requestByID(id string) (int32, bool) {
 	n, err := strconv.ParseUint(id, 36, 64)
 	r := int32(n & (1<<31 - 1))
-	if err != nil || int(r) >= len(s.reqs) || uint64(s.reqs[r].gen) != n>>31 || !s.reqs[r].used {
+	if err != nil || int(r) >= len(s.requests) || uint64(s.requests[r].generation) != n>>31 ||
+		!s.requests[r].used {
 		return 0, false
 	}
 	return r, true
--- a/internal/simulation/simnet/process.go
+++ b/internal/simulation/simnet/process.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Process is what opens and accepts connections on a host. It implements peerlink.Network.
+// Process opens and accepts connections on a host, as the network of an agent (agent.WithNetwork).
 type Process struct {
 	host *Host
 	dead bool // guarded by the network's lock
@@ -17,8 +17,8 @@
 // NewProcess starts a process on a host.
 func (h *Host) NewProcess() *Process { return &Process{host: h} }
 
-// Kill ends a process at once: its connections are reset, as far as the other ends hear of it, and whatever
-// its goroutines still do over the network fails.
+// Kill ends a process at once: its connections are reset, as far as the resets arrive, and whatever its
+// goroutines still do over the network fails.
 func (p *Process) Kill() {
 	n := p.host.network
 	n.mu.Lock()
@@ -26,7 +26,7 @@
 	p.dead = true
 	for _, l := range p.host.listeners {
 		if l.process == p {
-			l.shut()
+			l.stop()
 		}
 	}
 	for c := range n.conns {
@@ -36,7 +36,7 @@
 	}
 }
 
-// Dial opens a connection.
+// Dial opens a connection to an address, within a timeout.
 func (p *Process) Dial(target string, timeout time.Duration) (net.Conn, error) {
 	ip, text, err := net.SplitHostPort(target)
 	if err != nil {
@@ -46,24 +46,25 @@
 	if err != nil {
 		return nil, err
 	}
-	for left := timeout; left > 0; left -= retransmission {
+	for left := timeout; left > 0; left -= retransmitInterval {
 		c, answered, err := p.connect(ip, port)
 		if answered {
 			time.Sleep(p.host.network.roundTrip(p.host.ip, ip))
 			return c, err
 		}
-		time.Sleep(min(left, retransmission))
+		time.Sleep(min(left, retransmitInterval))
 	}
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(ip, port), Err: os.ErrDeadlineExceeded}
 }
 
+// roundTrip returns the delay both ways.
 func (n *Network) roundTrip(a, b string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay(a, b) + n.delay(b, a)
 }
 
-// connect sends one attempt and tells whether it is answered. The connection is a nil interface if it fails.
+// connect makes one attempt to open a connection and reports whether it is answered.
 func (p *Process) connect(ip string, port int) (c net.Conn, answered bool, err error) {
 	n := p.host.network
 	n.mu.Lock()
@@ -78,7 +79,7 @@
 		return nil, false, nil
 	}
 	l := n.hosts[ip].listeners[port]
-	if l == nil || len(l.waiting) == backlog {
+	if l == nil || len(l.backlog) == maxBacklog {
 		return nil, true, refused
 	}
 	n.lastPort++
@@ -87,11 +88,11 @@
 	near.peer, far.peer = far, near
 	near.changed, far.changed = make(chan struct{}), make(chan struct{})
 	n.conns[near], n.conns[far] = struct{}{}, struct{}{}
-	l.waiting <- far
+	l.backlog <- far
 	return near, true, nil
 }
 
-// Listen accepts connections at a port of the process's host.
+// Listen accepts connections at the port of an address, on the process's host.
 func (p *Process) Listen(at string) (net.Listener, error) {
 	_, text, err := net.SplitHostPort(at)
 	if err != nil {
@@ -110,24 +111,24 @@
 	if p.host.listeners[port] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: address(p.host.ip, port), Err: syscall.EADDRINUSE}
 	}
-	l := &listener{process: p, port: port, waiting: make(chan *conn, backlog), closed: make(chan struct{})}
+	l := &listener{process: p, port: port, backlog: make(chan *conn, maxBacklog), closed: make(chan struct{})}
 	p.host.listeners[port] = l
 	return l, nil
 }
 
-// listener takes the connections to one port.
+// listener accepts the connections to one port.
 type listener struct {
 	process *Process
 	port    int
-	waiting chan *conn
+	backlog chan *conn
 	closed  chan struct{}
-	shutOff bool // guarded by the network's lock
+	stopped bool // guarded by the network's lock
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.waiting:
+	case c := <-l.backlog:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -139,24 +140,24 @@
 	n := l.process.host.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l.shut()
+	l.stop()
 	return nil
 }
 
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return address(l.process.host.ip, l.port) }
 
-// shut ends the listener and resets what nobody has accepted; the lock is held.
-func (l *listener) shut() {
-	if l.shutOff {
+// stop ends the listener and resets the connections that are not accepted yet. The lock is held.
+func (l *listener) stop() {
+	if l.stopped {
 		return
 	}
-	l.shutOff = true
+	l.stopped = true
 	close(l.closed)
 	delete(l.process.host.listeners, l.port)
 	for {
 		select {
-		case c := <-l.waiting:
+		case c := <-l.backlog:
 			c.abort()
 		default:
 			return
--- a/internal/testbed/clusterrig/scenario.go
+++ b/internal/testbed/clusterrig/scenario.go
@@ -81,7 +81,7 @@
 // defaults of a scenario.
 func DefaultFleetTOML() string {
 	sc := &Scenario{}
-	schema().NewBuilder().Into(sc)
+	schema().NewBuilder().Decode(sc)
 	return sc.Fleet.toml()
 }
 
@@ -174,13 +174,13 @@
 	return raw, err
 }
 
-// Load reads a scenario, overrides keys with set, and validates it. The error is settingsfile.Problems: all
+// Load reads a scenario, overrides keys with set, and validates it. The error is settingsfile.SettingErrors: all
 // that were found.
 func Load(name string, set map[string]string) (*Scenario, error) {
 	b := schema().NewBuilder()
 	raw, err := Text(name)
 	if err != nil {
-		b.Problems.Add(settingsfile.At("file", name), "",
+		b.Problems.Add(settingsfile.NewOrigin("file", name), "",
 			"cannot be read, and no shipped scenario has that name: %v", err)
 		return nil, b.Problems.Err()
 	}
@@ -189,11 +189,11 @@
 	b.Add(l)
 	over := settingsfile.NewLayer()
 	for key, value := range set {
-		over.Set(key, settingsfile.Words(value), settingsfile.At("flag", "--set "+key))
+		over.Set(key, settingsfile.Text(value), settingsfile.NewOrigin("flag", "--set "+key))
 	}
 	b.Add(over)
 	sc := &Scenario{}
-	b.Into(sc)
+	b.Decode(sc)
 	if len(b.Problems) == 0 {
 		sc.check(b)
 	}
@@ -212,7 +212,7 @@
 			if origin.Source == "default" { // of a key that isn't there: reported at the step's action
 				origin = b.Origins[fmt.Sprintf("step.%d.do", i)]
 			}
-			b.Problems.Add(origin, schema().Shown(path), format, args...)
+			b.Problems.Add(origin, schema().Display(path), format, args...)
 		}
 		if !slices.Contains(actions, step.Do) {
 			report("do", "%q is none of %s", step.Do, strings.Join(actions, ", "))
--- a/internal/testbed/routertrial/change.go
+++ b/internal/testbed/routertrial/change.go
@@ -12,28 +12,29 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// probeMargin is how long after the bound of configuration probes are sent.
+// probeMargin is how long after the bound of a configuration change probes are sent.
 const probeMargin = 20 * time.Millisecond
 
-// Change has the operator change the configuration, and looks whether the change is in force at every proxy
-// that gets clients once the bound for it has passed.
-func (f *Fleet) Change(ctx context.Context) error {
+// ChangeConfig has the operator change the configuration, and probes every proxy that gets clients on the
+// added and the removed route once the bound for the change has passed.
+func (f *Fleet) ChangeConfig(ctx context.Context) error {
 	next := nextConfiguration(f.Operator.Current())
-	f.event("edition %d is sent", next.Version)
+	f.logEvent("edition %d is sent", next.Version)
 	if err := f.Operator.Change(ctx, next); err != nil {
 		return err
 	}
-	f.event("edition %d is acknowledged", next.Version)
-	if !sleepFor(ctx, bounds.Config+probeMargin) {
+	f.logEvent("edition %d is acknowledged", next.Version)
+	if !routerstandin.Sleep(ctx, bounds.Config+probeMargin) {
 		return ctx.Err()
 	}
-	served := f.Probe(ctx, joiningKind)
-	gone := f.Probe(ctx, leavingKind)
-	f.event("answers by status: on the added route %s, on the dropped one %s", byStatus(served), byStatus(gone))
+	served := f.Probe(ctx, addedKind)
+	gone := f.Probe(ctx, removedKind)
+	f.logEvent("answers by status: on the added route %s, on the dropped one %s", byStatus(served),
+		byStatus(gone))
 	return nil
 }
 
-// byStatus lays counts of statuses out.
+// byStatus formats counts of statuses.
 func byStatus(counts map[int]int) string {
 	var parts []string
 	for _, status := range slices.Sorted(maps.Keys(counts)) {
@@ -43,13 +44,13 @@
 }
 
 // Probe sends a request of a kind to each proxy that gets clients, and returns how many answered with each
-// status, 0 standing for none. What an answer breaks is noted by the observations.
+// status, 0 standing for none. The observations record violations.
 func (f *Fleet) Probe(ctx context.Context, kind *routerstandin.Kind) map[int]int {
 	var mu sync.Mutex
 	var probing sync.WaitGroup
 	statuses := map[int]int{}
 	client := routerstandin.NewClient(0, "", f.Entry, f.Observations)
-	client.Keeps = false
+	client.KeepsConns = false
 	for _, proxy := range f.Entry.Ready() {
 		probing.Go(func() {
 			status := client.Probe(ctx, proxy, routerstandin.NewRequest(kind, int(f.requests.Add(1))))
