--- a/internal/testbed/clusterrig/history_test.go
+++ b/internal/testbed/clusterrig/history_test.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// A ledger as porcupine reads its history: a count that rises by one with each write, and reads of it.
+// ledgerOp is an operation of the history that porcupine checks: the count rises by one, or is read.
 type ledgerOp struct {
 	read bool
 	n    int64 // what a read returned
@@ -33,22 +33,22 @@
 	},
 }
 
-// The whole history of counts and reads is linearizable: a count takes from its request until its member says
-// that it is promised, a read from its call to its answer, while the leader is killed and comes back, and is
-// cut off and healed.
+// The history of all counts and reads is linearizable while the leader is killed and restarted, and
+// partitioned and healed. A count lasts from its request until its member reports it committed, a read from
+// its call to its answer.
 func TestLedgerHistoryIsLinearizable(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{Relay: true})
-	held := replicas(t, r)
-	writers := without(r.Members, held...)
-	begun := time.Now()
+	replicated := replicas(t, r)
+	writers := without(r.Members, replicated...)
+	started := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	note := func(client int, op ledgerOp, from time.Time) {
+	record := func(client int, op ledgerOp, from time.Time) {
 		mu.Lock()
 		defer mu.Unlock()
 		history = append(history, porcupine.Operation{ClientId: client, Input: ledgerOp{read: op.read}, Output: op,
-			Call: from.Sub(begun).Nanoseconds(), Return: time.Since(begun).Nanoseconds()})
+			Call: from.Sub(started).Nanoseconds(), Return: time.Since(started).Nanoseconds()})
 	}
 	c, stop := context.WithTimeout(testContext(t), 8*time.Second)
 	defer stop()
@@ -62,7 +62,7 @@
 					t.Errorf("a request got no answer: %v", err)
 					return
 				}
-				// Until the member has promised as many as were asked of it, one write at a time. That nothing
+				// Until the member has committed as many as were asked of it, one write at a time. That nothing
 				// waits there says less: a client may have its answer just before the member counts it.
 				for {
 					p, _ := ledgerPage(m, "?period=1&tenant=-")
@@ -70,16 +70,16 @@
 						break
 					}
 					if time.Since(from) > 30*time.Second {
-						t.Errorf("a count was not promised: %+v", p.Here)
+						t.Errorf("a count was not committed: %+v", p.Here)
 						return
 					}
 					time.Sleep(5 * time.Millisecond)
 				}
-				note(i, ledgerOp{}, from)
+				record(i, ledgerOp{}, from)
 			}
 		})
 	}
-	for i, m := range []*Member{writers[0], held[1], held[2]} {
+	for i, m := range []*Member{writers[0], replicated[1], replicated[2]} {
 		all.Go(func() {
 			for c.Err() == nil {
 				from := time.Now()
@@ -88,7 +88,7 @@
 					for _, period := range p.Ledger.Periods {
 						n += period.Total().Count
 					}
-					note(10+i, ledgerOp{read: true, n: n}, from)
+					record(10+i, ledgerOp{read: true, n: n}, from)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -113,7 +113,7 @@
 			writes++
 		}
 	}
-	t.Logf("%d counts promised, %d reads", writes, reads)
+	t.Logf("%d counts committed, %d reads", writes, reads)
 	if writes < 10 || reads < 50 {
 		t.Errorf("a history of %d counts and %d reads shows little", writes, reads)
 	}
--- a/internal/testbed/clusterrig/ledger_faults_test.go
+++ b/internal/testbed/clusterrig/ledger_faults_test.go
@@ -19,18 +19,18 @@
 	r := startLedger(t, 5, Options{})
 	l := withClients(t, nonReplicas(r, replicas(t, r)), 6, func() {
 		for i := range 3 {
-			held := replicas(t, r)
-			victim := held[min(i, 1)]
-			before := appliedIndex(t, held)
+			replicated := replicas(t, r)
+			victim := replicated[min(i, 1)]
+			before := appliedIndex(t, replicated)
 			r.Kill(victim)
-			begun := time.Now()
+			started := time.Now()
 			next := leader(t, r)
 			waitLedger(t, []*Member{next}, 5*time.Second, fmt.Sprintf("%s killed, batches go on", victim.Name),
 				func(_ *Member, p *daemon.LedgerPage) error { return appliedBeyond(p, before+10) })
-			if took := time.Since(begun); i == 0 && took > 5*time.Second {
+			if took := time.Since(started); i == 0 && took > 5*time.Second {
 				t.Errorf("a new leader took %v", took)
 			}
-			if i == 2 { // the second follower while the first is away stops the group; nothing is promised
+			if i == 2 { // the second follower while the first is away stops the group; nothing is committed
 				other := replicas(t, r)[1:]
 				for _, m := range other {
 					if m.State() == Up && m != leader(t, r) {
@@ -70,38 +70,38 @@
 }
 
 // Case 2: a replica is killed and its data folder wiped. It comes back empty and catches up under a new
-// identity; another is killed for good and replaced by a further member. Nothing promised is lost.
+// identity; another is killed for good and replaced by a further member. Nothing committed is lost.
 func TestLedgerReplacesWipedAndDeadReplicas(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{})
-	held := replicas(t, r)
-	// Clients talk to members that stay, or what a killed process held in memory would be missing.
-	talked := nonReplicas(r, held)
-	l := withClients(t, talked, 6, func() {
-		wiped := held[1]
+	replicated := replicas(t, r)
+	// Clients talk to members that stay, or the counts in memory of a killed process would be missing.
+	targets := nonReplicas(r, replicated)
+	l := withClients(t, targets, 6, func() {
+		wiped := replicated[1]
 		r.Kill(wiped)
 		must(t, r.Spawn(testContext(t), wiped, EmptyDisk))
 		waitLedger(t, []*Member{leader(t, r)}, 20*time.Second, "three voters, the wiped one anew",
 			func(_ *Member, p *daemon.LedgerPage) error { return checkFullyReplicated(r, p) })
-		gone := without(replicas(t, r), talked...)[0]
-		r.Kill(gone)
-		waitLedger(t, []*Member{leader(t, r)}, 30*time.Second, "three voters without the gone one",
+		dead := without(replicas(t, r), targets...)[0]
+		r.Kill(dead)
+		waitLedger(t, []*Member{leader(t, r)}, 30*time.Second, "three voters without the dead one",
 			func(_ *Member, p *daemon.LedgerPage) error {
 				for _, v := range p.Group.Voters {
-					if v == gone.Name {
+					if v == dead.Name {
 						return fmt.Errorf("voters %v", p.Group.Voters)
 					}
 				}
 				return checkFullyReplicated(r, p)
 			})
-		must(t, r.Spawn(testContext(t), gone, Unchanged)) // with its old disk, which the group does not list
+		must(t, r.Spawn(testContext(t), dead, Unchanged)) // with its old disk, which the group does not list
 	})
 	waitCommitted(t, r, l, 15*time.Second)
 	checkLedgerAnswers(t, r, l)
 }
 
-// whole tells whether a group has three voters on the disks that their members have now, all caught up, and
-// no learner. p is the leader's page.
+// checkFullyReplicated checks whether a group has three voters on the disks that their members have now, all
+// caught up, and no learner. p is the leader's page.
 func checkFullyReplicated(r *Rig, p *daemon.LedgerPage) error {
 	if len(p.Group.Replicas) != 3 {
 		return fmt.Errorf("replicas %+v", p.Group.Replicas)
@@ -117,36 +117,36 @@
 	return nil
 }
 
-// Case 3: the leader is cut off in a minority. It promises nothing from then on, the majority elects another
-// and goes on, and after the heal nothing that the old one took is counted twice.
+// Case 3: the leader is partitioned in a minority. It commits nothing from then on, the majority elects
+// another and goes on, and after the heal nothing that the old one accepted is counted twice.
 func TestLedgerPartitionedLeaderCommitsNothing(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{Relay: true})
 	old := leader(t, r)
-	rest := without(r.Members, old)
+	others := without(r.Members, old)
 	l := withClients(t, r.Members, 6, func() {
-		r.Net.Partition([]string{old.Name}, MemberNames(rest))
-		cut := time.Now()
+		r.Net.Partition([]string{old.Name}, MemberNames(others))
+		partitionedAt := time.Now()
 		for {
 			if p, err := ledgerPage(old, "?period=1&tenant=-"); err != nil || p.Group.Role != "leader" {
 				break // it has stepped down, and reads no more
 			}
-			if time.Since(cut) > 5*time.Second {
-				t.Fatal("the leader that was cut off still leads")
+			if time.Since(partitionedAt) > 5*time.Second {
+				t.Fatal("the partitioned leader still leads")
 			}
 			time.Sleep(pollInterval)
 		}
 		var p daemon.LedgerPage
 		must(t, old.GetJSON("/_ledger", &p))
-		promised := p.Here.Committed
-		waitLedger(t, rest, 10*time.Second, "the majority reads and goes on", checkReadable)
-		time.Sleep(time.Second) // long enough for what it should not promise
+		committed := p.Here.Committed
+		waitLedger(t, others, 10*time.Second, "the majority reads and goes on", checkReadable)
+		time.Sleep(time.Second) // long enough for what it must not commit
 		must(t, old.GetJSON("/_ledger", &p))
-		if p.Here.Committed != promised || p.Ledger != nil {
-			t.Errorf("cut off, it promised %d more and read %v", p.Here.Committed-promised, p.Ledger != nil)
+		if p.Here.Committed != committed || p.Ledger != nil {
+			t.Errorf("partitioned, it committed %d more and read %v", p.Here.Committed-committed, p.Ledger != nil)
 		}
 		if p.Here.Queued == 0 {
-			t.Error("cut off, nothing waits at it")
+			t.Error("partitioned, nothing is queued at it")
 		}
 		r.Net.Heal()
 	})
@@ -155,7 +155,7 @@
 }
 
 // Case 4: a slow disk and a full one, at the leader and at a follower. The group slows or stands, plainly;
-// clients are served all the while, and nothing promised is lost.
+// clients are served all the while, and nothing committed is lost.
 func TestLedgerOnSlowAndFullDisks(t *testing.T) {
 	t.Parallel()
 	r := startLedger(t, 5, Options{})
@@ -166,19 +166,19 @@
 		for i := range 2 {
 			m := replicas(t, r)[i]
 			faults(m, `{"sync_delay_ms": 200}`)
-			// What is applied tells that batches go on; a read at a leader whose syncs are slow may be too late
-			// for the door.
+			// What is applied shows that batches go on; a read at a leader whose syncs are slow may be too late
+			// for the admin address.
 			var p daemon.LedgerPage
 			must(t, leader(t, r).GetJSON("/_ledger?period=1&tenant=-", &p))
-			before, begun := p.Group.Applied, time.Now()
+			before, started := p.Group.Applied, time.Now()
 			for p.Group.Applied < before+5 {
-				if time.Since(begun) > 20*time.Second {
+				if time.Since(started) > 20*time.Second {
 					t.Fatalf("%s is slow, and batches stand: %+v", m.Name, p.Group)
 				}
 				time.Sleep(50 * time.Millisecond)
 				leader(t, r).GetJSON("/_ledger?period=1&tenant=-", &p)
 			}
-			t.Logf("%s is slow, batches go on after %v", m.Name, time.Since(begun))
+			t.Logf("%s is slow, batches go on after %v", m.Name, time.Since(started))
 			faults(m, `{"full": true}`)
 			stalls := func(_ *Member) error {
 				var p daemon.LedgerPage
@@ -187,8 +187,8 @@
 				}
 				return nil
 			}
-			for begun = time.Now(); stalls(m) != nil; time.Sleep(pollInterval) {
-				if time.Since(begun) > 10*time.Second {
+			for started = time.Now(); stalls(m) != nil; time.Sleep(pollInterval) {
+				if time.Since(started) > 10*time.Second {
 					t.Fatal(stalls(m))
 				}
 			}
@@ -266,7 +266,7 @@
 	}
 }
 
-// Bad input: a data folder of another fleet, one that cannot be written, a disk cut off. The start says so,
+// Bad input: a data folder of another fleet, one that cannot be written, a truncated file. The start says so,
 // naming the key, and a batch of an unknown member is refused.
 func TestLedgerRefusesForeignDataFolders(t *testing.T) {
 	t.Parallel()
--- a/internal/testbed/clusterrig/ledger_test.go
+++ b/internal/testbed/clusterrig/ledger_test.go
@@ -22,7 +22,7 @@
 faults = "{data}.faults"
 `
 
-// startLedger starts members with a ledger and waits until it promises.
+// startLedger starts members with a ledger and waits until its group has formed.
 func startLedger(t *testing.T, members int, o Options) *Rig {
 	t.Helper()
 	o.Members, o.Zones = members, 3
@@ -41,11 +41,11 @@
 	return p, err
 }
 
-// waitLedger waits until holds is true of every running member's page.
+// waitLedger waits until holds accepts the page of every member.
 func waitLedger(t *testing.T, ms []*Member, limit time.Duration, what string,
 	holds func(*Member, *daemon.LedgerPage) error) time.Duration {
 	t.Helper()
-	begun := time.Now()
+	started := time.Now()
 	for {
 		var last error
 		for _, m := range ms {
@@ -58,7 +58,7 @@
 				break
 			}
 		}
-		took := time.Since(begun)
+		took := time.Since(started)
 		if last == nil {
 			t.Logf("%s after %v", what, took)
 			return took
@@ -74,6 +74,7 @@
 	}
 }
 
+// waitGroupFormed waits until every running member reads the ledger of a group with three voters.
 func waitGroupFormed(t *testing.T, r *Rig) {
 	t.Helper()
 	has := func(_ *Member, p *daemon.LedgerPage) error {
@@ -88,13 +89,13 @@
 	waitLedger(t, r.Running(), 30*time.Second, "the group has formed", has)
 }
 
-// settled waits until nothing that the running members counted is unpromised and the ledger has no fewer
-// answers than clients got. The second is not said by the first: a client may have its answer just before the
-// member counts it.
+// waitCommitted waits until nothing that the running members counted is uncommitted and the ledger has no
+// fewer answers than clients got. The first doesn't imply the second: a client may have its answer just
+// before the member counts it.
 func waitCommitted(t *testing.T, r *Rig, l *Clients, limit time.Duration) {
 	t.Helper()
 	_, sum := l.Answers()
-	waitLedger(t, r.Running(), limit, "all is promised", func(_ *Member, p *daemon.LedgerPage) error {
+	waitLedger(t, r.Running(), limit, "all is committed", func(_ *Member, p *daemon.LedgerPage) error {
 		if p.Here.Queued+p.Here.InMemory > 0 {
 			return fmt.Errorf("%d wait, %d in memory", p.Here.Queued, p.Here.InMemory)
 		}
@@ -112,7 +113,7 @@
 	})
 }
 
-// totals are the ledger's answers by key, over all periods and corrections, as one member reads them.
+// ledgerTotals returns the ledger's answers by key, over all periods and corrections, read at one member.
 func ledgerTotals(t *testing.T, m *Member) map[ledger.Key]int64 {
 	t.Helper()
 	var p daemon.LedgerPage
@@ -135,7 +136,8 @@
 	return out
 }
 
-// same holds the ledger, read at every running member, to the answers that clients got.
+// checkLedgerAnswers checks that the ledger, read at every running member, counts the answers that clients
+// got.
 func checkLedgerAnswers(t *testing.T, r *Rig, l *Clients) {
 	t.Helper()
 	want, sum := l.Answers()
@@ -155,6 +157,7 @@
 	t.Logf("%d answers, %d requests without one; the ledger counts each once", sum, l.Lost())
 }
 
+// leader waits for the leader of the ledger's group.
 func leader(t *testing.T, r *Rig) *Member {
 	t.Helper()
 	for range 400 {
@@ -170,7 +173,7 @@
 	return nil
 }
 
-// replicas are the members that hold a replica, the leader first.
+// replicas returns the members with a replica, the leader first.
 func replicas(t *testing.T, r *Rig) []*Member {
 	t.Helper()
 	lead := leader(t, r)
@@ -185,7 +188,7 @@
 	return out
 }
 
-// during runs a load against members while act goes on.
+// withClients runs clients against members during act, and returns them once they have stopped.
 func withClients(t *testing.T, ms []*Member, clients int, act func()) *Clients {
 	t.Helper()
 	l := NewClients()
@@ -194,8 +197,8 @@
 	return l
 }
 
-// spare returns n members that hold no replica, or fewer.
-func nonReplicas(r *Rig, held []*Member) []*Member { return without(r.Members, held...) }
+// nonReplicas returns the members without a replica.
+func nonReplicas(r *Rig, replicated []*Member) []*Member { return without(r.Members, replicated...) }
 
 func TestLedgerCountsWhatClientsGot(t *testing.T) {
 	t.Parallel()
--- a/internal/testbed/clusterrig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -11,11 +11,11 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// takeover is how long a new owner may take here, where a dozen fleets share the machine. The number wanted,
-// a lease and a second, is measured by `cresshub rig owner` on a quiet one.
+// takeoverLimit bounds the time until there is a new owner here, where a dozen rigs share the machine. The
+// requirement, a lease and a second, is measured by `cresshub rig owner` on a quiet one.
 const takeoverLimit = ShortLease + 3*time.Second
 
-// startOwners starts members with chores and waits until one owns them.
+// startOwners starts members with the singleton roles and waits until one owns them.
 func startOwners(t *testing.T, o Options, ledger string, other ...*strings.Replacer) *Rig {
 	t.Helper()
 	o.Zones, o.Sink = 3, true
@@ -27,11 +27,11 @@
 	waitGroupFormed(t, r)
 	m, token, err := r.WaitOwner(testContext(t), 15*time.Second)
 	must(t, err)
-	t.Logf("%s owns the chores with token %d", m.Name, token)
+	t.Logf("%s owns the roles with token %d", m.Name, token)
 	return r
 }
 
-// exported holds the sink to the answers that clients got and to the ledger.
+// checkExported checks the sink against the answers that clients got and against the ledger.
 func checkExported(t *testing.T, r *Rig, l *Clients) {
 	t.Helper()
 	must(t, r.WaitExported(testContext(t), l, 20*time.Second))
@@ -68,8 +68,8 @@
 		time.Sleep(time.Second)
 		name, err := r.Zones.Add(time.Now())
 		must(t, err)
-		for begun := time.Now(); r.Zones.Counts()[name].Requests == 0; time.Sleep(pollInterval) {
-			if time.Since(begun) > 10*time.Second {
+		for started := time.Now(); r.Zones.Counts()[name].Requests == 0; time.Sleep(pollInterval) {
+			if time.Since(started) > 10*time.Second {
 				t.Fatal("a new zone server is in discovery's list and got nothing")
 			}
 		}
@@ -90,8 +90,8 @@
 	}
 }
 
-// Cases 1 and 2: an owner is paused for three leases and woken, or cut off from the group and not from the
-// sinks. Another owns the chores within a lease and a second; whatever the old one does is refused, it
+// Cases 1 and 2: an owner is paused for three leases and resumed, or partitioned from the group and not from
+// the sinks. Another owns the roles within a lease and a second; whatever the old one does is refused, it
 // notices, and it acts no more.
 func TestResumedOwnerIsFenced(t *testing.T) {
 	t.Parallel()
@@ -139,27 +139,27 @@
 	}
 }
 
-// Case 3: kill -9 of the owner in the middle of an export, then of its whole hall, half of the processes, at
+// Case 3: kill -9 of the owner in the middle of an export, then of its entire hall, half of the processes, at
 // once. The next owner finishes the period.
 func TestOwnerKilledDuringExport(t *testing.T) {
 	t.Parallel()
 	// Halls a, b, a, c in turn: half of the members stand in a, and each hall has one replica.
 	r := startOwners(t, Options{Members: 8, Halls: []string{"a", "b", "a", "c"}}, "")
-	var talked []*Member
-	held := replicas(t, r)
-	for _, m := range without(r.Members, held...) {
+	var targets []*Member
+	replicated := replicas(t, r)
+	for _, m := range without(r.Members, replicated...) {
 		if m.Hall != "a" {
-			talked = append(talked, m)
+			targets = append(targets, m)
 		}
 	}
-	l := withClients(t, talked, 4, func() {
+	l := withClients(t, targets, 4, func() {
 		for _, hall := range []bool{false, true} {
 			m, token := waitOwner(t, r, 10*time.Second)
 			// Until the owner stands in the hall that is to fall, and is none that clients talk to: on a slow
 			// machine one of those may have come to hold a replica.
-			for tries := 0; hall && m.Hall != "a" || slices.Contains(talked, m); tries++ {
-				if tries == 20 {
-					t.Fatal("no member that may be killed ever owned the chores")
+			for attempts := 0; hall && m.Hall != "a" || slices.Contains(targets, m); attempts++ {
+				if attempts == 20 {
+					t.Fatal("no member that may be killed ever owned the roles")
 				}
 				must(t, r.Term(m, nil))
 				must(t, r.Spawn(testContext(t), m, Unchanged))
@@ -171,10 +171,10 @@
 				victims = inHall(r, "a")
 			}
 			r.Kill(victims...)
-			begun := time.Now()
+			started := time.Now()
 			next, higher := waitOwner(t, r, 10*time.Second)
-			took := time.Since(begun)
-			t.Logf("%s and %d more killed; %s owns the chores after %v", m.Name, len(victims)-1, next.Name, took)
+			took := time.Since(started)
+			t.Logf("%s and %d more killed; %s owns the roles after %v", m.Name, len(victims)-1, next.Name, took)
 			if higher <= token {
 				t.Errorf("token %d follows %d", higher, token)
 			}
@@ -202,14 +202,14 @@
 	return out
 }
 
-// sending has the sink answer slowly and waits until it has stored something of an export that its owner has
-// not heard of yet.
+// waitExporting delays the sink's answers and waits until it has stored an entry whose owner has no answer
+// yet.
 func waitExporting(t *testing.T, r *Rig, m *Member) {
 	t.Helper()
 	r.Sink.SetFault(proxystandin.SinkFault{Delay: 300 * time.Millisecond})
 	stored := len(r.Sink.Entries())
-	for begun := time.Now(); len(r.Sink.Entries()) == stored; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > 10*time.Second {
+	for started := time.Now(); len(r.Sink.Entries()) == stored; time.Sleep(time.Millisecond) {
+		if time.Since(started) > 10*time.Second {
 			p, err := OwnerPage(m)
 			t.Fatalf("%s sends nothing: %+v (%v)", m.Name, p, err)
 		}
@@ -253,7 +253,7 @@
 }
 
 // Case 5: every member is restarted in turn, then all are killed at once and started again. No period is
-// exported twice or missed, and discovery sees no wave of calls.
+// exported twice or missed, and discovery sees no burst of calls.
 func TestExportIsExactThroughRestarts(t *testing.T) {
 	t.Parallel()
 	r := startOwners(t, Options{Members: 5}, "")
@@ -277,20 +277,20 @@
 	more := withClients(t, r.Members, 4, func() { time.Sleep(time.Second) })
 	l.Merge(more)
 	checkExported(t, r, l)
-	t.Logf("killed at once and started, %s owns the chores; discovery was asked %d times more", m.Name,
+	t.Logf("killed at once and started, %s owns the roles; discovery was asked %d times more", m.Name,
 		r.Discovery.Calls()-asked)
 	if waves := r.Discovery.Calls() - asked; waves > 2 {
 		t.Errorf("five members that start at once asked discovery %d times", waves)
 	}
 }
 
-// Bad input: a sink that answers slowly, with errors, resets and garbage. The export stands, plainly, and
-// goes on once the sink is well; nothing is stored twice.
+// Bad input: a sink that answers slowly, with errors, resets and garbage. The export stalls, visibly, and
+// goes on once the sink is healthy; nothing is stored twice.
 func TestExportRecoversFromSinkFaults(t *testing.T) {
 	t.Parallel()
 	r := startOwners(t, Options{Members: 3}, "")
 	l := withClients(t, r.Members, 4, func() {
-		for what, trouble := range map[string]proxystandin.SinkFault{
+		for what, fault := range map[string]proxystandin.SinkFault{
 			"503":          {Status: 503},
 			"400":          {Status: 400},
 			"too slow":     {Delay: time.Second},
@@ -300,9 +300,9 @@
 			"a lie of 409": {Status: 409},
 		} {
 			refused, _ := exportState(r)
-			r.Sink.SetFault(trouble)
+			r.Sink.SetFault(fault)
 			waitExportState(t, r, what, func(now int64, problem string) bool {
-				return problem != "" || now > refused && trouble.Status == 409
+				return problem != "" || now > refused && fault.Status == 409
 			})
 			r.Sink.SetFault(proxystandin.SinkFault{})
 			waitExportState(t, r, "well again", func(_ int64, problem string) bool { return problem == "" })
@@ -333,10 +333,10 @@
 	}
 }
 
-// exporting is how many calls were refused for their token, over all members, and what the owner's export
-// stands for, if it stands.
+// exportState returns how many calls were refused for their token, over all members, and the problem that
+// stalls the owner's export, if any.
 func exportState(r *Rig) (refused int64, problem string) {
-	problem = "nobody owns the chores"
+	problem = "nobody owns the roles"
 	for _, m := range r.Running() {
 		p, err := OwnerPage(m)
 		if err != nil || len(p.Roles) == 0 {
@@ -352,14 +352,14 @@
 
 func waitExportState(t *testing.T, r *Rig, what string, holds func(refused int64, problem string) bool) {
 	t.Helper()
-	begun := time.Now()
+	started := time.Now()
 	for {
 		refused, problem := exportState(r)
 		if holds(refused, problem) {
-			t.Logf("%s after %v: %s", what, time.Since(begun), problem)
+			t.Logf("%s after %v: %s", what, time.Since(started), problem)
 			return
 		}
-		if time.Since(begun) > 10*time.Second {
+		if time.Since(started) > 10*time.Second {
 			t.Fatalf("%s: never seen; %d refused, %q", what, refused, problem)
 		}
 		time.Sleep(pollInterval)
--- a/internal/testbed/clusterrig/rig_test.go
+++ b/internal/testbed/clusterrig/rig_test.go
@@ -36,8 +36,9 @@
 	}())
 }
 
-// folder is a test's own folder, in memory where there is such a file system: many groups that sync at once
-// on one disk are slow in a way that no test here is about. The numbers in docs are taken on a disk.
+// dataFolder returns a folder of a test's own, in memory if there is such a file system: many groups that
+// sync to one disk at once are slow in a way that no test here is about. The figures in docs are measured on
+// a disk.
 func dataFolder(t *testing.T) string {
 	t.Helper()
 	//nolint:usetesting // t.TempDir lies on a disk
@@ -56,7 +57,8 @@
 	return c
 }
 
-// start starts members with the settings that the issue's numbers are written for, and waits for one view.
+// start starts members, with the default keys of scenarios unless others are given, and waits until their
+// views converge.
 func start(t *testing.T, o Options) *Rig {
 	t.Helper()
 	if testing.Short() {
@@ -127,12 +129,12 @@
 	t.Parallel()
 	r := start(t, Options{Members: 7, Relay: true})
 	a, b := r.Members[:3], r.Members[3:]
-	cut := time.Now()
+	partitionedAt := time.Now()
 	r.Net.Partition(MemberNames(a), MemberNames(b))
 	waitViews(t, a, 15*time.Second, "the three see the four dead", OnlyAlive(MemberNames(a)...))
 	waitViews(t, b, 15*time.Second, "the four see the three dead", OnlyAlive(MemberNames(b)...))
-	if rest := 20*time.Second - time.Since(cut); rest > 0 && !underRace {
-		time.Sleep(rest) // the issue's length; nothing is judged by it
+	if remaining := 20*time.Second - time.Since(partitionedAt); remaining > 0 && !underRace {
+		time.Sleep(remaining) // the issue's length; nothing is judged by it
 	}
 	r.Net.Heal()
 	waitViews(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
@@ -172,7 +174,7 @@
 		r.Net.Set(slow.Name, m.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
 	}
 	calm(28 * time.Second)
-	t.Logf("%d views looked at; none held a healthy member dead", looks)
+	t.Logf("%d views looked at; a healthy member was dead in none", looks)
 	r.Net.Heal()
 	waitViews(t, r.Members, 10*time.Second, "one view in the end", OnlyAlive(MemberNames(r.Members)...))
 }
@@ -197,10 +199,10 @@
 	}
 	p := FetchViews([]*Member{a})[a.Name]
 	if p.Counters.IndirectProbes == 0 {
-		t.Error("no probe went round the cut link")
+		t.Error("no probe went round the blocked link")
 	}
 	if c := r.Net.Counts(b.Name, a.Name); c.Lost == 0 {
-		t.Error("the cut link lost nothing")
+		t.Error("the blocked link lost nothing")
 	}
 	r.Net.Heal()
 	waitViews(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
@@ -273,7 +275,7 @@
 }
 
 // A second process under a live member's name is refused at its start, and nobody's view flaps. A reload
-// that changes the fleet's keys is refused and told.
+// that changes the fleet's keys is refused and logged.
 func TestTakenNameAndChangedLabelAreRefused(t *testing.T) {
 	t.Parallel()
 	r := start(t, Options{Members: 3})
@@ -301,7 +303,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if !strings.Contains(m.Log(), "fleet.label") {
-		t.Errorf("the reload was not told to be refused:\n%s", m.Log())
+		t.Errorf("the refusal of the reload was not logged:\n%s", m.Log())
 	}
 	for by, p := range FetchViews(r.Members) {
 		if err := OnlyAlive(MemberNames(r.Members)...)(p); err != nil || p.Label != "cresshub" {
--- a/internal/testbed/clusterrig/scenario.go
+++ b/internal/testbed/clusterrig/scenario.go
@@ -174,8 +174,8 @@
 	return raw, err
 }
 
-// Load reads a scenario, overrides keys with set, and validates it. The error is settingsfile.SettingErrors: all
-// that were found.
+// Load reads a scenario, overrides keys with set, and validates it. The error is
+// settingsfile.SettingErrors: all that were found.
 func Load(name string, set map[string]string) (*Scenario, error) {
 	b := schema().NewBuilder()
 	raw, err := Text(name)
