--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -53,10 +53,9 @@
 
 // measurement is the state of one measurement.
 type measurement struct {
-	o       MeasureOptions
+	opts    MeasureOptions
 	mu      sync.Mutex
 	members map[string]*measuredMember
-	removed map[string]bool
 }
 
 // peers returns the members as the hosts' view of the membership.
@@ -66,14 +65,14 @@
 	var out []raftgroup.Peer
 	for name, x := range m.members {
 		out = append(out, raftgroup.Peer{Address: x.host.Address(), Member: placement.Member{Name: name,
-			ReplicaID: x.host.ID(), Live: !m.removed[name], Gone: m.removed[name]}})
+			ReplicaID: x.host.ID(), Live: true}})
 	}
 	return out
 }
 
 // start starts or restarts a member.
 func (m *measurement) start(name string) error {
-	dir := filepath.Join(m.o.Dir, name)
+	dir := filepath.Join(m.opts.Dir, name)
 	log := slog.New(slog.DiscardHandler)
 	x := &measuredMember{}
 	var err error
@@ -99,7 +98,6 @@
 	}
 	m.mu.Lock()
 	m.members[name] = x
-	delete(m.removed, name)
 	m.mu.Unlock()
 	if err := x.host.Run(m.peers); err != nil {
 		return err
@@ -110,7 +108,7 @@
 
 // Measure lets three members count answers at the rate, then fills the log and lets a wiped replica catch up.
 func Measure(ctx context.Context, o MeasureOptions) (r Measured, err error) {
-	m := &measurement{o: o, members: map[string]*measuredMember{}, removed: map[string]bool{}}
+	m := &measurement{opts: o, members: map[string]*measuredMember{}}
 	defer func() {
 		for _, x := range m.members {
 			err = errors.Join(err, x.recorder.Close(), x.host.Close())
@@ -164,7 +162,7 @@
 // catchUp fills the log, wipes a follower, and waits until it is a replica again.
 func (m *measurement) catchUp(ctx context.Context, r *Measured) error {
 	leader := m.leader(ctx)
-	if leader == "" || m.o.Entries == 0 {
+	if leader == "" || m.opts.Entries == 0 {
 		return ctx.Err()
 	}
 	var next, failed atomic.Int64
@@ -173,7 +171,7 @@
 	for w := range 1024 {
 		all.Go(func() {
 			member := fmt.Sprint("writer-", w)
-			for seq := uint64(1); ctx.Err() == nil && next.Add(1) <= int64(m.o.Entries); seq++ {
+			for seq := uint64(1); ctx.Err() == nil && next.Add(1) <= int64(m.opts.Entries); seq++ {
 				b := ledger.Batch{Member: member, Incarnation: 1, Seq: seq, Usage: []ledger.KeyUsage{{
 					Key:   ledger.Key{Tenant: Tenants[w%3], Class: "zone-lookup", Answer: "passed"},
 					Usage: ledger.Usage{Count: 1}}}}
@@ -184,14 +182,14 @@
 		})
 	}
 	all.Wait()
-	r.Entries = int64(m.o.Entries) - failed.Load()
+	r.Entries = int64(m.opts.Entries) - failed.Load()
 	r.EntriesPerSecond = float64(r.Entries) / time.Since(started).Seconds()
 	wiped := "a"
 	if leader == wiped {
 		wiped = "b"
 	}
 	x := m.members[wiped]
-	err := errors.Join(x.recorder.Close(), x.host.Close(), os.RemoveAll(filepath.Join(m.o.Dir, wiped)))
+	err := errors.Join(x.recorder.Close(), x.host.Close(), os.RemoveAll(filepath.Join(m.opts.Dir, wiped)))
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/proxytrial/fault.go
+++ b/internal/testbed/proxytrial/fault.go
@@ -10,8 +10,17 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
+// The names of the faults, as users write them.
+const (
+	drain = "drain"
+	pause = "pause"
+	crash = "crash"
+	cold  = "cold"  // servers in warm-up join
+	mixed = "mixed" // several others, drawn from the seed, overlap until the time is over
+)
+
 // Faults are the names of the faults that a trial can inject.
-var Faults = []string{"drain", "pause", "crash", "cold", mixed}
+var Faults = []string{drain, pause, crash, cold, mixed}
 
 // CheckFault returns an error unless word is empty or names a fault.
 func CheckFault(word string) error {
@@ -30,12 +39,12 @@
 	names := f.Names()
 	victim := names[0]
 	switch o.Fault {
-	case "drain":
+	case drain:
 		f.Drain(victim)
 		if sleep(ctx, o.Duration/6+proxystandin.DrainGrace) {
 			f.Terminate(victim)
 		}
-	case "pause":
+	case pause:
 		for end := time.Now().Add(o.Duration / 3); time.Now().Before(end); {
 			for _, n := range names[:(len(names)+2)/3] {
 				f.Pause(n, 300*time.Millisecond)
@@ -44,14 +53,14 @@
 				return nil
 			}
 		}
-	case "crash":
+	case crash:
 		announce, restart := f.Crash(victim)
 		sleep(ctx, 500*time.Millisecond)
 		announce()
 		if sleep(ctx, o.Duration/6) {
 			return restart()
 		}
-	case "cold":
+	case cold:
 		for range max(1, len(names)/3) {
 			if _, err := f.Add(time.Now()); err != nil {
 				return err
--- a/internal/testbed/proxytrial/mixed.go
+++ b/internal/testbed/proxytrial/mixed.go
@@ -14,9 +14,6 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// mixed is the fault in which several others, drawn from the seed, overlap until the time is over.
-const mixed = "mixed"
-
 const (
 	// Each batch starts that many faults within batchSpread.
 	concurrentFaults = 3
