--- a/internal/proxy/cli/cli_test.go
+++ b/internal/proxy/cli/cli_test.go
@@ -2,12 +2,17 @@
 
 import (
 	"bytes"
+	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"github.com/google/go-cmp/cmp"
 	"github.com/spf13/cobra"
+
+	"cresshub/internal/cluster/gossip"
+	"cresshub/internal/testbed/proxystandin"
 )
 
 // Every command says what it is for and shows how it is called; examples name commands that are there.
@@ -94,3 +99,23 @@
 		}
 	}
 }
+
+// What commands print as text has these names, whatever the fields are called.
+func TestNamesOfPrintedCountsStay(t *testing.T) {
+	var out bytes.Buffer
+	counts := proxystandin.ZoneCounts{Requests: 1, Rejected: 3, Overloaded: 8}
+	if err := printZoneCounts(&out, counts); err != nil {
+		t.Fatal(err)
+	}
+	want := "{Requests:1 Served:0 TurnedAway:3 Probes:0 Opened:0 RanTwice:0 AfterDrain:0 FellOver:8}\n"
+	if diff := cmp.Diff(want, out.String()); diff != "" {
+		t.Error(diff)
+	}
+	want = "{Joins:0 Restarts:0 Changes:0 Gone:0 Returned:0 Forgotten:0 Conflicts:0 Refused:0 Rejoins:0 " +
+		"Syncs:0 LostChanges:0 MetaRefused:0 MessagesRefused:0 Probes:0 IndirectProbes:0 Suspicions:0 Suspected:0 " +
+		"Refutations:0 Refuted:0 Asked:0 PacketsIn:0 PacketsOut:0 StreamsIn:0 StreamsOut:0 BytesIn:0 BytesOut:0 " +
+		"WireRefused:0 OtherLabel:0}"
+	if diff := cmp.Diff(want, fmt.Sprintf("%+v", gossip.Counters{})); diff != "" { // as fleet members prints it
+		t.Error(diff)
+	}
+}
--- a/internal/proxy/cli/config.go
+++ b/internal/proxy/cli/config.go
@@ -99,11 +99,7 @@
 		Example: "  cresshub config show -c cresshub.toml\n  cresshub config show -c cresshub.toml --json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			in, err := from.input()
-			if err != nil {
-				return err
-			}
-			cfg, err := config.Load(in)
+			cfg, _, err := from.load()
 			if err != nil {
 				return err
 			}
--- a/internal/proxy/cli/root.go
+++ b/internal/proxy/cli/root.go
@@ -127,29 +127,39 @@
 	set                                          []string
 }
 
-func (s *configFlags) register(c *cobra.Command) {
-	f := c.Flags()
-	f.StringVarP(&s.file, "config", "c", "", "configuration file (CRESSHUB_CONFIG)")
-	f.StringVar(&s.listen, "listen", "", "host:port that clients connect to (listen.address)")
-	f.StringVar(&s.discovery, "discovery", "", "host:port of discovery (discovery.address)")
-	f.StringVar(&s.name, "name", "", "name of this instance (name)")
-	f.StringVar(&s.level, "log-level", "", "debug, info, warn or error (log.level)")
-	f.StringVar(&s.format, "log-format", "", "text or json (log.format)")
-	f.StringArrayVar(&s.set, "set", nil, "KEY=VALUE for any key outside a list of tables; may be repeated")
+func (f *configFlags) register(c *cobra.Command) {
+	set := c.Flags()
+	set.StringVarP(&f.file, "config", "c", "", "configuration file (CRESSHUB_CONFIG)")
+	set.StringVar(&f.listen, "listen", "", "host:port that clients connect to (listen.address)")
+	set.StringVar(&f.discovery, "discovery", "", "host:port of discovery (discovery.address)")
+	set.StringVar(&f.name, "name", "", "name of this instance (name)")
+	set.StringVar(&f.level, "log-level", "", "debug, info, warn or error (log.level)")
+	set.StringVar(&f.format, "log-format", "", "text or json (log.format)")
+	set.StringArrayVar(&f.set, "set", nil, "KEY=VALUE for any key outside a list of tables; may be repeated")
+}
+
+// load reads the configuration that the flags select, and returns its sources for reading it again.
+func (f *configFlags) load() (*config.Config, config.Input, error) {
+	in, err := f.input()
+	if err != nil {
+		return nil, in, err
+	}
+	cfg, err := config.Load(in)
+	return cfg, in, err
 }
 
 // input returns the sources of the configuration that the flags select.
-func (s *configFlags) input() (config.Input, error) {
-	in := config.Input{File: s.file, Flags: map[string]string{}}
+func (f *configFlags) input() (config.Input, error) {
+	in := config.Input{File: f.file, Flags: map[string]string{}}
 	for key, value := range map[string]string{
-		"listen.address": s.listen, "discovery.address": s.discovery, "name": s.name, "log.level": s.level,
-		"log.format": s.format,
+		"listen.address": f.listen, "discovery.address": f.discovery, "name": f.name, "log.level": f.level,
+		"log.format": f.format,
 	} {
 		if value != "" {
 			in.Flags[key] = value
 		}
 	}
-	for _, pair := range s.set {
+	for _, pair := range f.set {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
 			return in, UsageErrorf("--set %q is no KEY=VALUE", pair)
--- a/internal/proxy/cli/serve.go
+++ b/internal/proxy/cli/serve.go
@@ -32,11 +32,7 @@
 			"  cresshub serve -c cresshub.toml --set log.requests=true",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			in, err := from.input()
-			if err != nil {
-				return err
-			}
-			cfg, err := config.Load(in)
+			cfg, in, err := from.load()
 			if err != nil {
 				return err
 			}
--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"strings"
@@ -70,8 +71,7 @@
 			if asJSON {
 				return printJSON(c.OutOrStdout(), z.Counts())
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "%+v\n", z.Counts())
-			return err
+			return printZoneCounts(c.OutOrStdout(), z.Counts())
 		},
 	}
 	f := c.Flags()
@@ -92,6 +92,14 @@
 	return c
 }
 
+// printZoneCounts prints the counts under the names that scripts read.
+func printZoneCounts(w io.Writer, n proxystandin.ZoneCounts) error {
+	_, err := fmt.Fprintf(w, "{Requests:%d Served:%d TurnedAway:%d Probes:%d Opened:%d RanTwice:%d "+
+		"AfterDrain:%d FellOver:%d}\n", n.Requests, n.Served, n.Rejected, n.Probes, n.Opened, n.RanTwice, n.AfterDrain,
+		n.Overloaded)
+	return err
+}
+
 func newStandinDiscovery() *cobra.Command {
 	var listen string
 	var servers []string
--- a/internal/proxy/config/check_cluster.go
+++ b/internal/proxy/config/check_cluster.go
@@ -14,9 +14,7 @@
 	if f.Bind == "" {
 		return
 	}
-	if k.onPlatform {
-		k.Add(k.originOf("fleet.bind"), "fleet.bind", "the platform bars talk among proxies (EDGE_CONFIG is set); "+
-			"leave fleet.bind empty there")
+	if k.barredOnPlatform("fleet.bind", "talk among proxies") {
 		return
 	}
 	if f.ProbeTimeout >= f.ProbeInterval && k.valid("fleet.probe", "fleet.probe_timeout") {
@@ -41,15 +39,21 @@
 	}
 }
 
+// barredOnPlatform reports a key that must be empty on the platform, and whether this is the platform.
+func (k *checker) barredOnPlatform(key, bars string) bool {
+	if k.onPlatform {
+		k.Add(k.originOf(key), key, "the platform bars %s (EDGE_CONFIG is set); leave %s empty there", bars, key)
+	}
+	return k.onPlatform
+}
+
 // checkLedger checks the ledger's keys against each other, the fleet's and the platform.
 func (k *checker) checkLedger() {
 	l := &k.Ledger
 	if l.Bind == "" {
 		return
 	}
-	if k.onPlatform {
-		k.Add(k.originOf("ledger.bind"), "ledger.bind", "the platform bars talk among proxies and keeps no disk "+
-			"(EDGE_CONFIG is set); leave ledger.bind empty there")
+	if k.barredOnPlatform("ledger.bind", "talk among proxies and keeps no disk") {
 		return
 	}
 	if k.Fleet.Bind == "" {
@@ -85,9 +89,7 @@
 	if len(o.Roles) == 0 {
 		return
 	}
-	if k.onPlatform {
-		k.reportOwner("chores", "the platform bars talk among proxies (EDGE_CONFIG is set); "+
-			"leave owner.chores empty there")
+	if k.barredOnPlatform("owner.chores", "talk among proxies") {
 		return
 	}
 	for _, role := range o.Roles {
--- a/internal/proxy/config/config.go
+++ b/internal/proxy/config/config.go
@@ -26,9 +26,6 @@
 	return settingsfile.NewSchema[Config](variablePrefix, "`cresshub config docs` lists all")
 })
 
-// Fields returns all keys in the order of the reference page.
-func Fields() []*settingsfile.Field { return schema().Fields }
-
 // about is the type of the blank fields whose tags document the key that follows.
 type about = struct{}
 
--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/settingsfile"
 )
 
-// readPlatform reads the platform's file, whose settings are the simulator's, as values of the same keys
-// that the own file sets. The list of servers it knows goes into c.
+// readPlatform reads the platform's file, whose settings have the simulator's form, as values of the keys of
+// the own file. Its list of servers goes to c.KnownServers.
 func readPlatform(path string, read func(string) ([]byte, error), c *Config) (*settingsfile.Layer, error) {
 	raw, err := read(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return l, nil
 }
 
-// putSettings tells the simulator's settings by the keys of the file; Settings is its inverse.
+// putSettings puts the simulator's settings under the keys of the own file; Config.Settings is the inverse.
 func putSettings(s *simwire.Settings, put func(key string, v any)) {
 	hall := "#" + strconv.Itoa(s.Zone)
 	if s.Zone >= 0 && s.Zone < len(s.ZoneNames) {
@@ -123,6 +123,7 @@
 	}
 }
 
+// keyOf returns the word for a value; "" where there is none.
 func keyOf[T comparable](words map[string]T, v T) string {
 	for _, w := range slices.Sorted(maps.Keys(words)) {
 		if words[w] == v {
--- a/internal/proxy/config/reference_test.go
+++ b/internal/proxy/config/reference_test.go
@@ -33,7 +33,7 @@
 	if _, err := loadTOML(strings.Join(lines, "")); err != nil {
 		t.Error(err)
 	}
-	for _, f := range Fields() { // bounds that can be read, and defaults within them
+	for _, f := range schema().Fields { // bounds that can be read, and defaults within them
 		if f.Doc == "" || f.Reload != settingsfile.Live && f.Reload != settingsfile.Restart &&
 			f.Reload != settingsfile.AtStart {
 			t.Errorf("%s: doc %q, reload %q", f.Path, f.Doc, f.Reload)
--- a/internal/proxy/daemon/admin.go
+++ b/internal/proxy/daemon/admin.go
@@ -32,7 +32,7 @@
 	return true, ""
 }
 
-// LameDuck begins or ends a drain, and tells the fleet.
+// LameDuck begins or ends a drain, and has the fleet see it.
 func (p *Proxy) LameDuck(on bool) {
 	p.server.LameDuck(on)
 	p.setFleetPhase(on)
--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -93,7 +93,7 @@
 	case u.predecessor != nil:
 		go p.waitForPredecessorExit()
 		if p.waitForList(func() bool { return alone() || p.server.Ending() }); p.server.Ending() && !alone() {
-			return // the predecessor goes on: it isn't told that this process serves
+			return // the predecessor goes on, as it has not been notified
 		}
 	case listLimits(p.startConfig).MaxReopenDelay > 0:
 		// What discovery has binds from the first request on. If it can't be reached, the known list must do.
@@ -118,7 +118,7 @@
 	}
 }
 
-// offerHandover makes this process the one that successors find, and tells the predecessor that it serves.
+// offerHandover makes this process the one that successors find, and notifies the predecessor.
 func (p *Proxy) offerHandover() {
 	u := &p.handover
 	if u.socketPath == "" {
@@ -133,7 +133,7 @@
 	}
 	if u.predecessor != nil {
 		if err := u.predecessor.SendReady(); err != nil {
-			p.log.Warn("the old process was not told", logging.Err, err)
+			p.log.Warn("the old process could not be notified", logging.Err, err)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 // listReceived reports whether discovery has sent a list since the start.
 func (p *Proxy) listReceived() bool { return p.stats.ListsRead.Load() > 0 && p.discovery.Listed() > 0 }
 
-// waitForPredecessorExit takes the whole of the limits once the predecessor has ended.
+// waitForPredecessorExit takes over the predecessor's half of the limits once it has exited.
 func (p *Proxy) waitForPredecessorExit() {
 	<-p.handover.predecessor.Exited()
 	p.handover.mu.Lock()
--- a/internal/proxy/simwire/decode.go
+++ b/internal/proxy/simwire/decode.go
@@ -1,7 +1,7 @@
-// Package simwire translates between the simulator's JSON lines and the balancer: a line with a batch of events
-// comes in, each event goes to the balancer of its instance, and the actions go out as one line of reply. It is
-// the only package that knows the words of that protocol, whose settings object the platform's configuration
-// file shares (ReadSettings); it takes no decisions.
+// Package simwire translates between the simulator's JSON lines and the balancer: a line with a batch of
+// events comes in, each event goes to the balancer of its instance, and the actions go out as one line of
+// reply. It is the only package that knows the words of that protocol, whose settings object the platform's
+// configuration file shares (ReadSettings); it takes no decisions.
 //
 // A Host holds the balancers by number. It, its Decoder and its Encoder reuse their buffers and are used from
 // one goroutine at a time.
@@ -24,7 +24,7 @@
 // Kind is the kind of an event.
 type Kind uint8
 
-// The events that reach the handler; pages are kept by the Decoder itself.
+// The events that reach the handler. The Decoder itself stores pages, the numbered server lists.
 const (
 	Boot Kind = iota + 1
 	Registry
@@ -140,8 +140,8 @@
 
 var batchFields = [...]string{"sim-time-ms", "n", "happened"}
 
-// Batch reads one line and returns the batch's number. The handler is called for each event, in order, with the
-// batch's time since the simulation began. Errors name the batch, the event and the field.
+// Batch reads one line and returns the batch's number. The handler is called for each event, in order, with
+// the batch's time since the simulation began. Errors name the batch, the event and the field.
 func (d *Decoder) Batch(line []byte, handle func(now time.Duration, ev *Event) error) (n int64, err error) {
 	var now time.Duration
 	var present uint8
@@ -295,8 +295,8 @@
 	return nil
 }
 
-// field reads one field of an event; known is false, and nothing read, where the name says nothing to an event
-// of this kind.
+// field reads one field of an event; known is false, and nothing read, where the name has no meaning in an
+// event of this kind.
 func (d *Decoder) field(j *jx.Decoder, key []byte) (known bool, err error) {
 	ev := &d.ev
 	switch string(key) {
--- a/internal/proxy/simwire/settings.go
+++ b/internal/proxy/simwire/settings.go
@@ -11,17 +11,17 @@
 	"cresshub/balance"
 )
 
-// Effects are the words for what a second run of a request would do.
+// Effects are the names of what a second run of a request would do.
 var Effects = map[string]balance.Effect{
 	"idempotent": balance.Idempotent, "deduplicated": balance.Deduplicated, "at_most_once": balance.AtMostOnce,
 }
 
-// Groups are the words for who drops each other's repeats.
+// Groups are the names of the sets of servers that drop the second run of a deduplicated request.
 var Groups = map[string]balance.DedupScope{
 	"all": balance.DedupFleet, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
-// Fields are the words for the values of a load report that decisions read; any other word is passed over.
+// Fields are the names of the values of a load report that the balancer reads; others are skipped.
 var Fields = map[string]balance.ReportField{
 	"active": balance.FieldInFlight, "waiting": balance.FieldQueued, "cpu": balance.FieldUtilization,
 }
@@ -93,7 +93,7 @@
 	TenantNames []string
 	ZoneNames   []string
 	KindNames   []string
-	ReportNames []string      // the words for ReportFields
+	ReportNames []string      // of ReportFields
 	IdleClose   time.Duration // servers close a connection that has been idle for so long
 }
 
--- a/internal/proxy/simwire/values.go
+++ b/internal/proxy/simwire/values.go
@@ -25,6 +25,7 @@
 	return uint64(i), err
 }
 
+// decodeCount reads a whole number from 0 on.
 func decodeCount(j *jx.Decoder) (int, error) {
 	n, err := j.Int()
 	if err == nil && n < 0 {
@@ -45,6 +46,7 @@
 	return time.Duration(math.Round(f*1000)) * time.Microsecond, nil
 }
 
+// decodeNumbers appends an array of numbers.
 func decodeNumbers(j *jx.Decoder, into []float64) ([]float64, error) {
 	err := j.Arr(func(j *jx.Decoder) error {
 		f, err := j.Float64()
@@ -54,6 +56,7 @@
 	return into, err
 }
 
+// decodeWord reads one of a fixed set of words.
 func decodeWord[T any](j *jx.Decoder, words map[string]T) (T, error) {
 	b, err := j.StrBytes()
 	v, ok := words[string(b)]
@@ -67,18 +70,19 @@
 	"IN": balance.Up, "LAME": balance.Draining, "OUT": balance.Removed,
 }
 
+// decodeServers reads the entries of a server list.
 func decodeServers(j *jx.Decoder) ([]balance.Server, error) {
 	list := []balance.Server{}
 	err := j.Arr(func(j *jx.Decoder) error {
 		s := balance.Server{Rating: 1}
-		seen := 0
+		hasID, hasState := false, false
 		err := j.ObjBytes(func(j *jx.Decoder, key []byte) (err error) {
 			switch string(key) {
 			case "server":
 				var id uint32
 				id, err = j.UInt32()
 				s.ID = balance.ServerID(id)
-				seen |= 1
+				hasID = true
 			case "zone":
 				s.Zone, err = decodeCount(j)
 			case "family-type":
@@ -87,7 +91,7 @@
 				s.Cell, err = decodeCount(j)
 			case "stage-state":
 				s.State, err = decodeWord(j, states)
-				seen |= 2
+				hasState = true
 			case "rating":
 				s.Rating, err = j.Float64()
 			case "boot-time-ms":
@@ -97,7 +101,7 @@
 			}
 			return withField(err, string(key))
 		})
-		if err == nil && seen != 3 {
+		if err == nil && !(hasID && hasState) {
 			err = errors.New("a line lacks its server or its state")
 		}
 		list = append(list, s)
