--- a/internal/proxy/cli/cli_test.go
+++ b/internal/proxy/cli/cli_test.go
@@ -112,7 +112,8 @@
 		t.Error(diff)
 	}
 	want = "{Joins:0 Restarts:0 Changes:0 Gone:0 Returned:0 Forgotten:0 Conflicts:0 Refused:0 Rejoins:0 " +
-		"Syncs:0 LostChanges:0 MetaRefused:0 MessagesRefused:0 Probes:0 IndirectProbes:0 Suspicions:0 Suspected:0 " +
+		"Syncs:0 LostChanges:0 MetaRefused:0 MessagesRefused:0 Probes:0 IndirectProbes:0 Suspicions:0 " +
+		"Suspected:0 " +
 		"Refutations:0 Refuted:0 Asked:0 PacketsIn:0 PacketsOut:0 StreamsIn:0 StreamsOut:0 BytesIn:0 BytesOut:0 " +
 		"WireRefused:0 OtherLabel:0}"
 	if diff := cmp.Diff(want, fmt.Sprintf("%+v", gossip.Counters{})); diff != "" { // as fleet members prints it
--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -95,7 +95,8 @@
 // printZoneCounts prints the counts under the names that scripts read.
 func printZoneCounts(w io.Writer, n proxystandin.ZoneCounts) error {
 	_, err := fmt.Fprintf(w, "{Requests:%d Served:%d TurnedAway:%d Probes:%d Opened:%d RanTwice:%d "+
-		"AfterDrain:%d FellOver:%d}\n", n.Requests, n.Served, n.Rejected, n.Probes, n.Opened, n.RanTwice, n.AfterDrain,
+		"AfterDrain:%d FellOver:%d}\n",
+		n.Requests, n.Served, n.Rejected, n.Probes, n.Opened, n.RanTwice, n.AfterDrain,
 		n.Overloaded)
 	return err
 }
