--- a/internal/proxy/config/check.go
+++ b/internal/proxy/config/check.go
@@ -20,7 +20,7 @@
 		if section, _, ok := strings.Cut(p.Key, "."); ok {
 			k.invalid[section] = true
 		}
-		k.unreadable = k.unreadable || p.Key == "" || strings.Contains(p.Message, "is no section")
+		k.unreadable = k.unreadable || p.HidesKeys
 	}
 	if c.origins["class.0.name"].Source != "platform" {
 		k.checkClasses()
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -4,8 +4,8 @@
 //
 // A Proxy goes through these states: waiting (it listens or has inherited a listener, and waits for its first
 // list of servers where it takes over from another process), serving, draining (lame duck, by an operator's
-// call, until the next one) and shutting down (after SIGTERM or SIGINT, for good). Ready tells the first
-// three apart.
+// call, until the next one) and shutting down (after SIGTERM or SIGINT, for good). Ready is true only while
+// it serves by a list of servers.
 //
 // New and Run belong to one goroutine, which alone reads and replaces the present configuration. The admin
 // API calls Ready, LameDuck and Gauges, the handover's goroutines call the methods of handover.Incumbent, and
--- a/internal/settingsfile/errors.go
+++ b/internal/settingsfile/errors.go
@@ -34,6 +34,8 @@
 	Origin
 	Key     string // as Schema.Display gives it; "" where the text itself is malformed
 	Message string // what was found, what is allowed and what may help
+	// HidesKeys is set where a part of the file was skipped, so that keys in it may seem to be missing.
+	HidesKeys bool
 }
 
 func (p SettingError) String() string {
@@ -56,7 +58,7 @@
 
 // Add adds a mistake; key is as Schema.Display gives it.
 func (ps *SettingErrors) Add(o Origin, key, format string, args ...any) {
-	*ps = append(*ps, SettingError{o, key, fmt.Sprintf(format, args...)})
+	*ps = append(*ps, SettingError{o, key, fmt.Sprintf(format, args...), key == ""})
 }
 
 func (ps SettingErrors) sort() {
--- a/internal/settingsfile/toml.go
+++ b/internal/settingsfile/toml.go
@@ -205,6 +205,7 @@
 		return
 	case !r.schema.HasSection(name):
 		r.problems.Add(o, r.schema.Display(name), "is no section%s", r.schema.suggestSection(name))
+		r.problems[len(r.problems)-1].HidesKeys = true
 		return
 	case before > 0:
 		r.problems.Add(o, r.schema.Display(name), "stands twice, first on line %d", before)
