--- a/internal/proxy/simwire/decode.go
+++ b/internal/proxy/simwire/decode.go
@@ -24,7 +24,7 @@
 // Kind is the kind of an event.
 type Kind uint8
 
-// The events that reach the handler; pages are kept by the Decoder itself.
+// The events that reach the handler. The Decoder itself stores pages, the numbered server lists.
 const (
 	Boot Kind = iota + 1
 	Registry
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// field reads one field of an event; known is false, and nothing read, where the name says nothing to an
+// field reads one field of an event; known is false, and nothing read, where the name has no meaning in an
 // event of this kind.
 func (d *Decoder) field(j *jx.Decoder, key []byte) (known bool, err error) {
 	ev := &d.ev
