--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -324,7 +324,7 @@
 		p.cmd.Process.Signal(syscall.SIGHUP)
 		p.expect(t, expect)
 	}
-	replace("{", "configuration kept")
+	replace("{", "config: not reloaded")
 	old.Send(t, "")
 	replace(configuration(fresh.Address, "null", 200), "discovery moved")
 	fresh.Send(t, known("in_service", x))
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -9,10 +9,10 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// leaveTimeout bounds how long a leave waits for the news to spread at SIGTERM.
+// leaveTimeout bounds how long a change of phase, or the leave at SIGTERM, waits to reach all members.
 const leaveTimeout = time.Second
 
-// joinFleet starts this proxy's membership of the fleet where fleet.bind says so.
+// joinFleet joins the fleet's gossip where fleet.bind says so.
 func (p *Proxy) joinFleet() error {
 	c := &p.cfg.Fleet
 	if c.Bind == "" {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// setFleetPhase tells the fleet that this proxy drains or serves again.
+// setFleetPhase announces that this proxy drains, or serves again.
 func (p *Proxy) setFleetPhase(draining bool) {
 	if p.fleet == nil {
 		return
@@ -55,16 +55,16 @@
 		phase = membership.Draining
 	}
 	if err := p.fleet.SetPhase(phase, leaveTimeout); err != nil {
-		p.log.Warn("fleet: the new phase was not told to all", "phase", phase.String(), "err", err)
+		p.log.Warn("fleet: phase not announced to all members", "phase", phase.String(), "err", err)
 	}
 }
 
-// leaveFleet tells the fleet that this proxy goes, before it stops taking clients.
+// leaveFleet announces that this proxy leaves, before it stops accepting clients.
 func (p *Proxy) leaveFleet() {
 	if p.fleet == nil {
 		return
 	}
 	if err := p.fleet.Leave(leaveTimeout); err != nil {
-		p.log.Warn("fleet: the leave was not told to all", "err", err)
+		p.log.Warn("fleet: leave not announced to all members", "err", err)
 	}
 }
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -27,14 +27,14 @@
 	pageReadTimeout = 700 * time.Millisecond
 )
 
-// ledgerNode is this proxy's part in the ledger.
+// ledgerNode is this proxy's replica host of the ledger's Raft group, and its recorder of usage.
 type ledgerNode struct {
 	host     *raftgroup.Host
 	recorder *pending.Recorder
 	stop     chan struct{}
 }
 
-// openLedger opens this proxy's part in the ledger where ledger.bind says so: its disk and its listener.
+// openLedger opens the files and the listener of the ledger where ledger.bind says so.
 func (p *Proxy) openLedger() error {
 	c := &p.cfg.Ledger
 	if c.Bind == "" {
@@ -68,7 +68,7 @@
 	l.recorder, err = pending.Open(pending.Options{Member: p.cfg.Name, Dir: c.Data, FlushInterval: c.Flush,
 		MaxQueuedBytes: int64(c.Outbox), Faults: faults, Log: p.log.Logger, Propose: l.propose})
 	if err != nil {
-		l.host.Close()
+		_ = l.host.Close() // the error of the recorder is the one to report
 		return err
 	}
 	p.ledger = l
@@ -79,7 +79,7 @@
 	return pending.DecodeResult(l.host.Propose(ctx, ledgerGroup, command))
 }
 
-// usageRecorder is what the clients' front tells of each final answer, nil where nobody counts.
+// usageRecorder returns the function that counts each final answer, nil if there is no ledger.
 func (p *Proxy) usageRecorder() func(ingress.Use) {
 	if p.ledger == nil {
 		return nil
@@ -90,7 +90,7 @@
 	}
 }
 
-// runLedger has the opened part take part in the fleet.
+// runLedger starts what openLedger has opened. The fleet has to be joined before.
 func (p *Proxy) runLedger() error {
 	l := p.ledger
 	if l == nil {
@@ -115,10 +115,10 @@
 	return nil
 }
 
-// openQuery asks for nothing but what every answer says.
+// openQuery selects no rows: the number of the open period is in every answer.
 var openQuery, _ = json.Marshal(ledger.Query{Tenant: "-", Period: 1})
 
-// peers is the fleet view as replicas are placed by it.
+// peers returns the members of the fleet, by which replicas are placed.
 func (p *Proxy) peers() []raftgroup.Peer {
 	if p.fleet == nil {
 		return nil
@@ -141,7 +141,7 @@
 	Problem string           `json:"problem,omitempty"` // why the ledger could not be read
 }
 
-// page reads the ledger linearizably: what it shows holds all that was promised when it was asked.
+// page reads the ledger linearizably: it shows all that was committed before the call.
 func (l *ledgerNode) page(params url.Values) any {
 	page := LedgerPage{Group: l.host.Status(ledgerGroup), Here: l.recorder.Stats()}
 	query := ledger.Query{Tenant: params.Get("tenant")}
@@ -174,11 +174,28 @@
 	Problem string `json:"problem,omitempty"`
 }
 
-// correct enters a correction against a closed period. Its id makes a call that is repeated count once.
+// correct proposes a correction of a closed period. A call repeated with the same id counts once.
 func (l *ledgerNode) correct(params url.Values) any {
-	correction := ledger.Correction{ID: params.Get("id"), Reason: params.Get("reason"),
-		Key: ledger.Key{Tenant: params.Get("tenant"),
-			Class: params.Get("class"), Answer: params.Get("answer")}}
+	correction, err := parseCorrection(params)
+	if err != nil {
+		return CorrectionReply{Problem: err.Error()}
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
+	defer cancel()
+	result, err := l.propose(ctx, correction.Encode())
+	switch {
+	case errors.Is(err, raftgroup.ErrUnknown):
+		return CorrectionReply{result, "whether it was entered is not known; call again with the same id"}
+	case err != nil:
+		return CorrectionReply{result, err.Error()}
+	case result.Status == ledger.StatusRejected:
+		return CorrectionReply{result, "the period is open, or not kept any more"}
+	}
+	return CorrectionReply{Result: result}
+}
+
+// parseCorrection reads a correction from the parameters of a call. Its error names all that is wrong.
+func parseCorrection(params url.Values) (*ledger.Correction, error) {
 	var errs []error
 	parseInt := func(key string, required bool) int64 {
 		if !required && params.Get(key) == "" {
@@ -190,32 +207,25 @@
 		}
 		return n
 	}
-	correction.Period = uint64(max(parseInt("period", true), 0))
-	correction.Usage = ledger.Usage{Count: parseInt("n", true), BytesIn: parseInt("bytes_in", false),
-		BytesOut: parseInt("bytes_out", false)}
+	correction := &ledger.Correction{
+		ID:     params.Get("id"),
+		Period: uint64(max(parseInt("period", true), 0)),
+		Key: ledger.Key{Tenant: params.Get("tenant"), Class: params.Get("class"),
+			Answer: params.Get("answer")},
+		Usage: ledger.Usage{Count: parseInt("n", true), BytesIn: parseInt("bytes_in", false),
+			BytesOut: parseInt("bytes_out", false)},
+		Reason: params.Get("reason"),
+	}
 	for _, key := range []string{"id", "tenant", "class", "answer", "reason"} {
 		if params.Get(key) == "" {
 			errs = append(errs, fmt.Errorf("%s is missing", key))
 		}
 	}
-	if err := errors.Join(errs...); err != nil {
-		return CorrectionReply{Problem: err.Error()}
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
-	defer cancel()
-	result, err := l.propose(ctx, correction.Encode())
-	switch {
-	case errors.Is(err, raftgroup.ErrUnknown):
-		return CorrectionReply{result, "whether it was entered is not known; call again with the same id"}
-	case err != nil:
-		return CorrectionReply{result, err.Error()}
-	case result.Status == ledger.StatusRejected:
-		return CorrectionReply{result, "the period is open, or not kept any more"}
-	}
-	return CorrectionReply{Result: result}
+	return correction, errors.Join(errs...)
 }
 
-// closeLedger ends this proxy's part: what was counted is committed, or kept for the next life.
+// closeLedger ends this proxy's part, once: what was counted is committed, or stays in the outbox for the
+// next incarnation.
 func (p *Proxy) closeLedger() {
 	l := p.ledger
 	if l == nil {
@@ -230,9 +240,9 @@
 	p.closeRoles()
 	l.recorder.WaitCommitted(commitWaitTimeout)
 	if err := l.recorder.Close(); err != nil {
-		p.log.Warn("ledger: the file of waiting counts", "err", err)
+		p.log.Warn("ledger: outbox not closed", "err", err)
 	}
 	if err := l.host.Close(); err != nil {
-		p.log.Warn("ledger: the replicas' file", "err", err)
+		p.log.Warn("ledger: replicas not closed", "err", err)
 	}
 }
--- a/internal/proxy/daemon/confine.go
+++ b/internal/proxy/daemon/limits.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/proxy/config"
 )
 
-// Confine keeps the process within its limits on cores and memory, of which it has a part.
+// Confine limits the process to its cores, and to a fraction of its memory.
 func Confine(l config.Limits, fraction float64) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
@@ -21,7 +21,8 @@
 	}
 }
 
-// descriptorLimit is how many the process may hold: what it was told or what the system allows, if less.
+// descriptorLimit returns how many file descriptors the process may use: the configured number, or what the
+// system allows if that is less.
 func descriptorLimit(configured int) int {
 	var rlimit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit); err == nil && rlimit.Cur < math.MaxInt32 {
--- a/internal/proxy/daemon/silence_test.go
+++ b/internal/proxy/daemon/limits_test.go
@@ -10,6 +10,7 @@
 
 // platform is the configuration as the platform gives it, with all else by default.
 func platform(t *testing.T) *config.Config {
+	t.Helper()
 	cfg, err := config.Load(config.Input{
 		Environ: func() []string { return []string{"EDGE_CONFIG=x"} },
 		Read: func(string) ([]byte, error) {
--- a/internal/proxy/daemon/serve.go
+++ b/internal/proxy/daemon/proxy.go
@@ -1,5 +1,9 @@
-// Package daemon runs one client proxy: it wires the parts from a checked configuration, minds signals,
-// takes over what a changed configuration may change, and returns once nothing is owed.
+// Package daemon runs one client proxy: it wires the parts from a checked configuration, handles signals,
+// applies what a changed configuration may change, and returns once all clients are answered.
+//
+// A process is in one of these states: it waits for a list of servers, serves, drains after SIGTERM or
+// SIGINT, or has ended. Beside a predecessor or a successor at the same address (package handover) it has
+// half of its limits. New and Run are for one goroutine; the other methods may be called from any.
 package daemon
 
 import (
@@ -62,7 +66,8 @@
 	})
 }
 
-// New wires a proxy and listens; it serves once Run is called. The log goes to w.
+// New wires a proxy and listens, or takes the listener over from a predecessor. It serves once Run is called.
+// The log goes to w.
 func New(cfg *config.Config, w io.Writer) (*Proxy, error) {
 	set := cfg.Settings()
 	p := &Proxy{cfg: cfg, startConfig: cfg, stats: stats.New(set.ClassNames),
@@ -97,58 +102,81 @@
 		RecordUsage: p.usageRecorder(), Log: log,
 	})
 	p.server.LogRequests(p.requestLog())
-	known := cfg.Known
+	if err := p.restoreServers(); err != nil {
+		return nil, err
+	}
+	if err := p.openAdmin(); err != nil {
+		p.listener.Close()
+		return nil, err
+	}
+	if err := p.joinCluster(); err != nil {
+		p.closeLedger()
+		if p.fleet != nil {
+			p.fleet.Close()
+		}
+		p.listener.Close()
+		if p.admin != nil {
+			p.admin.Close()
+		}
+		return nil, err
+	}
+	return p, nil
+}
+
+// restoreServers gives the decisions the servers known from before: those of the configuration, of the
+// predecessor, or of the configuration's file.
+func (p *Proxy) restoreServers() error {
+	known := p.cfg.Known
 	if old := p.upgrade.predecessor; old != nil && len(old.Known) > 0 {
-		if old.Discovery == cfg.Discovery.Address {
-			known = old.Known // as of now; the configuration's is as of some time
-		} else { // another deployment's servers, and another count of changes
-			log.Warn("list of the old process left aside", "discovery", old.Discovery)
+		if old.Discovery == p.cfg.Discovery.Address {
+			known = old.Known // as of now; the configuration's is older
+		} else { // another deployment's servers, and another numbering of changes
+			p.log.Warn("handover: list of the old process ignored", "discovery", old.Discovery)
 		}
 	}
-	if list := cfg.ServerList(time.Time{}, p.serversSince); list != nil {
+	if list := p.cfg.ServerList(time.Time{}, p.serversSince); list != nil {
 		known = list
 	}
 	var servers []dispatch.Server
 	if known != nil {
+		var err error
 		if servers, err = p.discovery.Known(known); err != nil {
-			return nil, fmt.Errorf("the list of known servers: %w", err)
+			return fmt.Errorf("the list of known servers: %w", err)
 		}
 	}
 	p.decider.RestoreList(servers)
-	if cfg.Operator != "" {
-		door, err := listen(cfg.Operator, nil)
-		if err != nil {
-			p.listener.Close()
-			return nil, fmt.Errorf("operator: %w", err)
-		}
-		p.admin = adminapi.New(door, p, p.stats, log)
+	return nil
+}
+
+// openAdmin listens for operators where the configuration says so.
+func (p *Proxy) openAdmin() error {
+	if p.cfg.Operator == "" {
+		return nil
 	}
-	err = p.joinFleet()
-	if err == nil {
-		err = p.runLedger()
+	listener, err := listen(p.cfg.Operator, nil)
+	if err != nil {
+		return fmt.Errorf("operator: %w", err)
 	}
-	if err == nil {
-		err = p.runRoles()
+	p.admin = adminapi.New(listener, p, p.stats, p.log.Logger)
+	return nil
+}
+
+// joinCluster starts what this proxy shares with the others, where the configuration says so.
+func (p *Proxy) joinCluster() error {
+	if err := p.joinFleet(); err != nil {
+		return err
 	}
-	if err != nil {
-		p.closeLedger()
-		if p.fleet != nil {
-			p.fleet.Close()
-		}
-		p.listener.Close()
-		if p.admin != nil {
-			p.admin.Close()
-		}
-		return nil, err
+	if err := p.runLedger(); err != nil {
+		return err
 	}
-	return p, nil
+	return p.runRoles()
 }
 
 func listen(address string, control func(string, string, syscall.RawConn) error) (net.Listener, error) {
 	return (&net.ListenConfig{KeepAlive: -1, Control: control}).Listen(context.Background(), "tcp", address)
 }
 
-// Ready tells whether the process is ready to serve, and why not.
+// Ready reports whether the process is ready to serve, and otherwise why not.
 func (p *Proxy) Ready() (bool, string) {
 	switch {
 	case !p.server.Serving():
@@ -161,17 +189,19 @@
 	return true, ""
 }
 
-// LameDuck sends clients away for a while, or takes them again.
+// LameDuck drains clients, or serves them again.
 func (p *Proxy) LameDuck(on bool) {
 	p.server.LameDuck(on)
 	p.setFleetPhase(on)
 }
 
-// Gauges are figures that are true now. What drains is listed and gets nothing, so it counts as skipped.
+// Gauges returns the present values by the name of their metric. A draining server is listed and gets
+// nothing, so it counts as skipped.
 func (p *Proxy) Gauges() map[string]int {
-	held := p.discovery.Held()
+	known := p.discovery.Held()
 	return map[string]int{
-		"known_zone_servers": held, "skipped_zone_servers": held - p.discovery.InService() + p.decider.Avoided(),
+		"known_zone_servers":   known,
+		"skipped_zone_servers": known - p.discovery.InService() + p.decider.Avoided(),
 	}
 }
 
@@ -185,11 +215,11 @@
 	return drain.Times{CloseIdle: t.CloseIdle, Accept: t.Accept, CloseAll: t.CloseAll, CloseHalf: t.CloseHalf}
 }
 
-// Address is where clients connect.
+// Address returns the address at which clients connect.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Run serves until SIGTERM or SIGINT and returns once nothing is owed. On SIGHUP reread gives the
-// configuration as it is then; on SIGUSR1 the counters are logged.
+// Run serves until SIGTERM or SIGINT and returns once all clients are answered. On SIGHUP it applies the
+// configuration that reread returns; on SIGUSR1 it logs the counters.
 func (p *Proxy) Run(signals <-chan os.Signal, reread func() (*config.Config, error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -201,7 +231,7 @@
 		defer p.admin.Close()
 	}
 
-	var done chan struct{} // closes when nothing is owed any more
+	var done chan struct{} // nil until shutdown begins, closed once it is over
 	for ending := false; !ending; {
 		select {
 		case <-done:
@@ -215,14 +245,7 @@
 			case done == nil:
 				p.log.Info("ending", "signal", sig.String())
 				done = make(chan struct{})
-				go func() {
-					fleetLeft := make(chan struct{})
-					go func() { p.leaveFleet(); close(fleetLeft) }()
-					p.server.Shutdown(p.listener)
-					p.closeLedger() // once all answers are out and counted
-					<-fleetLeft
-					close(done)
-				}()
+				go func() { p.shutdown(); close(done) }()
 			}
 		}
 	}
@@ -233,6 +256,16 @@
 	p.log.Close(logCloseTimeout)
 }
 
+// shutdown leaves the fleet, drains clients and ends this proxy's part in the ledger. It returns once all
+// clients are answered.
+func (p *Proxy) shutdown() {
+	fleetLeft := make(chan struct{})
+	go func() { p.leaveFleet(); close(fleetLeft) }()
+	p.server.Shutdown(p.listener)
+	p.closeLedger() // once all answers are out and counted
+	<-fleetLeft
+}
+
 func listLimits(cfg *config.Config) discovery.Limits {
 	l := discovery.Limits{Silence: cfg.Discovery.Silence, MaxList: int(cfg.Discovery.MaxList)}
 	if cfg.Discovery.Mode == "told" && cfg.Discovery.Address != "" {
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -11,30 +11,29 @@
 	"cresshub/internal/settingsfile"
 )
 
-// reload takes over what changed. A configuration that cannot be used changes nothing, and neither does
-// one of our own file that changes a key which takes a restart: half of it in force would be a third
-// configuration that nobody wrote. The platform's file is another matter, for there it is agreed that
-// only discovery is followed; whatever else it changes waits for the restart.
+// reload applies what changed. An invalid configuration changes nothing, and neither does a file of our own
+// that changes a key which needs a restart: applying half of it would make a configuration that nobody wrote.
+// Of the platform's file it is agreed that only discovery is applied; other changes wait for the restart.
 func (p *Proxy) reload(next *config.Config, err error) {
 	if err != nil {
 		var problems settingsfile.Problems
 		if !errors.As(err, &problems) {
-			p.log.Error("configuration kept, the new one cannot be used", logging.Err, err)
+			p.log.Error("config: not reloaded, the new configuration is invalid", logging.Err, err)
 		}
 		for _, one := range problems {
-			p.log.Error("configuration kept, the new one cannot be used", logging.Err, one.String())
+			p.log.Error("config: not reloaded, the new configuration is invalid", logging.Err, one.String())
 		}
 		return
 	}
 	live, restart := p.cfg.Changed(next)
 	if len(restart) > 0 {
 		if !next.FromPlatform() {
-			p.log.Error("configuration kept, a change needs a restart", "keys", strings.Join(restart, " "))
+			p.log.Error("config: not reloaded, a change needs a restart", "keys", strings.Join(restart, " "))
 			return
 		}
-		p.log.Warn("changes wait for a restart", "keys", strings.Join(restart, " "))
+		p.log.Warn("config: changes wait for a restart", "keys", strings.Join(restart, " "))
 	}
-	p.log.Info("configuration read again", "discovery", next.Discovery.Address,
+	p.log.Info("config: reloaded", "discovery", next.Discovery.Address,
 		"changed", strings.Join(live, " "))
 	p.cfg = p.cfg.TakeLive(next)
 	p.apply(live)
--- a/internal/proxy/daemon/owner.go
+++ b/internal/proxy/daemon/roles.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/proxy/discovery"
 )
 
-// groupStore is the ledger's group as the chores use it.
+// groupStore is the ledger's Raft group as leaseholder.Store.
 type groupStore struct{ host *raftgroup.Host }
 
 func (s groupStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
@@ -25,14 +25,14 @@
 
 func (s groupStore) Peek(query []byte) (any, bool) { return s.host.ReadStale(ledgerGroup, query) }
 
-// endpointSource is the list of servers as the chores use it.
+// endpointSource is the client of discovery as leaseholder.EndpointSource.
 type endpointSource struct{ *discovery.Client }
 
 func (l endpointSource) Feed(f leaseholder.Feed) {
 	l.Client.Feed(discovery.Feed{Held: f.FromOwner, Token: f.Token})
 }
 
-// runRoles has this proxy take part in the fleet's chores where owner.chores says so.
+// runRoles has this proxy compete for the lease of the fleet's singleton roles where owner.chores names any.
 func (p *Proxy) runRoles() error {
 	c := &p.cfg.Owner
 	if len(c.Chores) == 0 || p.ledger == nil {
@@ -48,8 +48,7 @@
 	}
 	if c.Does(config.ChoreList) {
 		opts.Endpoints = &leaseholder.EndpointSync{Source: endpointSource{p.discovery}, MaxAge: c.MaxAge,
-			Jitter:       rand.N(c.MaxAge),
-			PollInterval: c.Poll, WatchTimeout: p.cfg.Discovery.Silence}
+			Jitter: rand.N(c.MaxAge), PollInterval: c.Poll, WatchTimeout: p.cfg.Discovery.Silence}
 	}
 	runner, err := leaseholder.New(opts)
 	if err != nil {
@@ -64,7 +63,7 @@
 	return nil
 }
 
-// closeRoles gives the lease back, if this proxy holds it.
+// closeRoles releases the lease if this proxy holds it.
 func (p *Proxy) closeRoles() {
 	if p.roles != nil {
 		p.roles.Close()
--- a/internal/proxy/daemon/upgrade.go
+++ b/internal/proxy/daemon/upgrade.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// upgrade is what the proxy knows of the process before it and of those after it.
+// upgrade is the state of handovers: from the process before this one, and to those after it.
 type upgrade struct {
 	path             string        // where they meet; "" for no handover
 	predecessor      *handover.Old // nil where none served before, or once it is gone
@@ -44,11 +44,11 @@
 		u.predecessor, err = handover.Join(handover.Path(dir, p.startConfig.Listen.Address),
 			p.startConfig.Handover.Wait)
 		if err != nil {
-			p.log.Warn("no handover, listening beside the old process", logging.Err, err)
+			p.log.Warn("handover: no handover, listening beside the old process", logging.Err, err)
 		}
 	}
 	if u.predecessor != nil {
-		p.log.Info("taking over from an old process", "listen", u.predecessor.Listener.Addr().String())
+		p.log.Info("handover: taking over from an old process", "listen", u.predecessor.Listener.Addr().String())
 		p.listener = u.predecessor.Listener
 		u.path = handover.Path(dir, p.Address())
 		p.applyLimits()
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// limitFraction is the process's part of its limits: half while another process lives beside it.
+// limitFraction returns the fraction of its limits that the process may use: half while another process runs
+// beside it.
 func (u *upgrade) limitFraction() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -76,7 +77,7 @@
 	return 0.5
 }
 
-// descriptors is how many connections and files the process may hold beside its door.
+// descriptors returns how many file descriptors the process may use beside those of the admin API.
 func (p *Proxy) descriptors() int {
 	n := int(float64(descriptorLimit(p.startConfig.Limits.Sockets)) * p.upgrade.limitFraction())
 	if p.startConfig.Operator != "" {
@@ -85,7 +86,7 @@
 	return n
 }
 
-// bodyBytes is how much memory bodies may take.
+// bodyBytes returns how much memory buffered bodies may take.
 func (p *Proxy) bodyBytes() int64 {
 	memory := float64(p.startConfig.Limits.Memory)
 	if memory == 0 {
@@ -94,7 +95,7 @@
 	return int64(memory * p.startConfig.Limits.Bodies * p.upgrade.limitFraction())
 }
 
-// applyLimits sets the limits anew after a process beside this one came or went.
+// applyLimits sets the limits again after a process beside this one came or went.
 func (p *Proxy) applyLimits() {
 	Confine(p.startConfig.Limits, p.upgrade.limitFraction())
 	if p.budget != nil {
@@ -103,8 +104,8 @@
 	}
 }
 
-// acceptClients takes clients once that is sensible: at once where no old process serves them, else after
-// the list was heard afresh or some time has passed. Then new processes are met.
+// acceptClients serves clients at once if no predecessor serves them, else after a list of servers was
+// received or Handover.Settle has passed. Then it offers the listener to successors.
 func (p *Proxy) acceptClients() {
 	u := &p.upgrade
 	alone := func() bool { // nobody else takes them
@@ -126,7 +127,7 @@
 		// Where the end is told meanwhile, who has connected is owed an answer all the same.
 		p.waitForList(func() bool { return p.stats.ListsFailed.Load() > 0 || p.server.Ending() })
 	}
-	go p.server.Serve(p.listener)
+	go func() { _ = p.server.Serve(p.listener) }() // it ends when the listener is closed
 	p.offerHandover()
 	u.serving.Store(true) // last, for the yes that follows is what the old process is ended at
 	words := []any{"listen", p.Address()}
@@ -152,14 +153,14 @@
 	}
 	offer, err := handover.Listen(u.path)
 	if err != nil {
-		p.log.Warn("a new process cannot take over from this one, it has to listen beside it", logging.Err, err)
+		p.log.Warn("handover: no socket for new processes, they have to listen beside this one", logging.Err, err)
 	} else {
 		u.offer.Store(offer)
 		go offer.Serve(p)
 	}
 	if u.predecessor != nil {
 		if err := u.predecessor.Ready(); err != nil {
-			p.log.Warn("the old process was not told", logging.Err, err)
+			p.log.Warn("handover: old process not notified", logging.Err, err)
 		}
 	}
 }
@@ -173,7 +174,7 @@
 	p.upgrade.alone = true
 	p.upgrade.mu.Unlock()
 	close(p.upgrade.predecessorGone)
-	p.log.Info("the old process is gone")
+	p.log.Info("handover: the old process is gone")
 	p.applyLimits()
 }
 
@@ -193,7 +194,7 @@
 	if err != nil {
 		return handover.Terms{}, nil, err
 	}
-	p.log.Info("a new process takes over")
+	p.log.Info("handover: a new process takes over")
 	p.countSuccessors(+1)
 	return handover.Terms{Known: known, Discovery: p.discovery.Origin()}, socket, nil
 }
@@ -203,7 +204,7 @@
 
 // Left notes that a new process has gone; this one is alone again.
 func (p *Proxy) Left() {
-	p.log.Warn("a new process has gone")
+	p.log.Warn("handover: a new process has gone")
 	p.countSuccessors(-1)
 }
 
