--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"cresshub/internal/connbuffer"
 	"fmt"
 	"io"
 	"net"
@@ -13,6 +12,8 @@
 	"testing"
 	"time"
 
+	"cresshub/internal/connbuffer"
+
 	"cresshub/internal/http1"
 	"cresshub/internal/testbed/nettest"
 )
@@ -94,7 +95,7 @@
 	rests, busy := nettest.Dial(t, p.address), nettest.Dial(t, p.address)
 	nettest.Ask(t, rests, ready)
 	io.WriteString(busy, nettest.Request("POST", "assign", "1", 15*time.Second))
-	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Got("/api")) == 1 })
+	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
 	if a := operate(t, door, "POST /_lameduck/on"); a.Status != 200 {
 		t.Fatalf("status %d", a.Status)
 	}
@@ -103,7 +104,7 @@
 	}
 	late := nettest.Dial(t, p.address)
 	io.WriteString(late, nettest.Request("POST", "assign", "2", 15*time.Second))
-	nettest.Until(t, "a late one is served", func() bool { return len(x.Got("/api")) == 2 })
+	nettest.Until(t, "a late one is served", func() bool { return len(x.Received("/api")) == 2 })
 	if _, err := rests.In.Peek(1); err != io.EOF {
 		t.Errorf("what rests ends with %v", err)
 	}
--- a/internal/proxy/cli/config.go
+++ b/internal/proxy/cli/config.go
@@ -8,7 +8,6 @@
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -42,29 +41,15 @@
 				in.Environ = func() []string { return []string{"EDGE_CONFIG=" + args[0]} }
 			}
 			_, err := config.Load(in)
-			problems := settingsfile.Problems{}
+			var problems settingsfile.SettingErrors
 			if err != nil && !errors.As(err, &problems) {
 				return err
 			}
-			if asJSON {
-				type row struct {
-					File    string `json:"file"`
-					Line    int    `json:"line"`
-					Key     string `json:"key"`
-					Message string `json:"message"`
-				}
-				rows := []row{}
-				for _, p := range problems {
-					rows = append(rows, row{p.Name, p.Line, p.Key, p.Message})
-				}
-				if err := printJSON(c.OutOrStdout(), rows); err != nil {
-					return err
-				}
-			} else if err != nil {
-				fmt.Fprintln(c.OutOrStdout(), err)
+			if err := printProblems(c.OutOrStdout(), problems, asJSON); err != nil {
+				return err
 			}
-			if err != nil {
-				return errTold
+			if len(problems) > 0 {
+				return errReported
 			}
 			return nil
 		},
@@ -73,7 +58,29 @@
 	return c
 }
 
-// platformVariables are those that the platform sets, where it does.
+// printProblems prints mistakes, a line each or as one JSON list.
+func printProblems(w io.Writer, problems settingsfile.SettingErrors, asJSON bool) error {
+	if !asJSON {
+		if len(problems) == 0 {
+			return nil
+		}
+		_, err := fmt.Fprintln(w, problems)
+		return err
+	}
+	type row struct {
+		File    string `json:"file"`
+		Line    int    `json:"line"`
+		Key     string `json:"key"`
+		Message string `json:"message"`
+	}
+	rows := []row{}
+	for _, p := range problems {
+		rows = append(rows, row{p.Name, p.Line, p.Key, p.Message})
+	}
+	return printJSON(w, rows)
+}
+
+// platformVariables returns the platform's environment variables, where it has set them.
 func platformVariables() []string {
 	if os.Getenv("EDGE_CONFIG") == "" {
 		return nil
@@ -82,7 +89,7 @@
 }
 
 func newShow() *cobra.Command {
-	var from sources
+	var from configFlags
 	var asJSON, all bool
 	c := &cobra.Command{
 		Use:   "show",
@@ -104,16 +111,16 @@
 			if asJSON {
 				return printJSON(c.OutOrStdout(), values)
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
+			w := newTable(c.OutOrStdout(), 0)
 			for _, v := range values {
 				if all || v.Source != "default" {
-					fmt.Fprintf(w, "%s\t%v\t%s\t%s\n", v.Key, v.Value, v.Source, v.At)
+					w.printf("%s\t%v\t%s\t%s\n", v.Key, v.Value, v.Source, v.At)
 				}
 			}
-			return w.Flush()
+			return w.flush()
 		},
 	}
-	from.add(c)
+	from.register(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "print all keys as one JSON list")
 	c.Flags().BoolVar(&all, "all", false, "also keys at their default")
 	return c
@@ -127,7 +134,7 @@
 		Example: "  cresshub config docs\n  cresshub config docs --output -",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return write(c.OutOrStdout(), output, config.Reference(), true)
+			return writeFile(c.OutOrStdout(), output, config.Reference(), true)
 		},
 	}
 	c.Flags().StringVarP(&output, "output", "o", "docs/CONFIGURATION.md", "file to write, - for standard output")
@@ -144,15 +151,15 @@
 		Example: "  cresshub config init\n  cresshub config init -",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return write(c.OutOrStdout(), append(args, "cresshub.toml")[0], config.Beginning(), force)
+			return writeFile(c.OutOrStdout(), append(args, "cresshub.toml")[0], config.InitialFile(), force)
 		},
 	}
 	c.Flags().BoolVar(&force, "force", false, "replace a file that is there")
 	return c
 }
 
-// write puts text into a file, or on w where the path is "-".
-func write(w io.Writer, path, text string, replace bool) error {
+// writeFile writes text to a file, or to w where the path is "-".
+func writeFile(w io.Writer, path, text string, replace bool) error {
 	if path == "-" {
 		_, err := io.WriteString(w, text)
 		return err
--- a/internal/proxy/cli/root.go
+++ b/internal/proxy/cli/root.go
@@ -1,9 +1,11 @@
-// Package cli is the command line: one root, its sub-commands, and how they end. A command that cannot be
-// understood ends with 2, one that failed with 1, one that did what it was told with 0.
+// Package cli is the command line of cresshub: a root command and its sub-commands, in a file for each
+// (Cobra). The exit status is 0 for success, 1 for a command that failed and 2 for one that is used wrongly.
+// Results go to standard output, with --json as one JSON value; errors are one line each on standard error.
+//
+// The laboratory's command line shares Execute, RejectBareGroups and UsageErrorf.
 package cli
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -15,29 +17,33 @@
 	"cresshub/internal/proxy/config"
 )
 
-// usageError is a call that cannot be understood.
+// usageError is the error of a command that is used wrongly.
 type usageError struct{ error }
 
-func wrong(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
+// UsageErrorf returns the error of a command that is used wrongly, which ends with exitUsage.
+func UsageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// Wrong is the error of a call that cannot be understood.
-func Wrong(format string, args ...any) error { return wrong(format, args...) }
+// errReported is the error of a command that has printed its failure itself.
+var errReported = errors.New("already reported")
 
-// errTold is a failure that the command has told in its own way.
-var errTold = errors.New("told already")
+// The exit statuses.
+const (
+	exitDone   = 0
+	exitFailed = 1
+	exitUsage  = 2
+)
 
-// Main runs one call of the program and returns its exit status: 0 done, 1 failed, 2 wrong use.
+// Main runs the program with its arguments and returns its exit status.
 func Main(args []string, signals <-chan os.Signal, stdout, stderr io.Writer) int {
 	if len(args) == 0 && os.Getenv("EDGE_CONFIG") != "" {
-		args = []string{"serve"} // as the platform starts it
+		args = []string{"serve"} // the platform gives no arguments
 	}
 	return Execute(newRoot(signals), args, stdout, stderr)
 }
 
-// Execute runs one call of a tree of commands and returns its exit status. Errors are one line each on
-// standard error.
+// Execute runs a tree of commands with arguments, prints the errors and returns the exit status.
 func Execute(root *cobra.Command, args []string, stdout, stderr io.Writer) int {
-	Group(root)
+	RejectBareGroups(root)
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
@@ -48,17 +54,17 @@
 	var usage usageError
 	switch {
 	case err == nil:
-		return 0
-	case errors.Is(err, errTold):
-		return 1
+		return exitDone
+	case errors.Is(err, errReported):
+		return exitFailed
 	case errors.As(err, &usage):
-		fmt.Fprintf(stderr, "%s: %v; see \"%s --help\"\n", root.Name(), err, cmd.CommandPath())
-		return 2
+		root.PrintErrf("%s: %v; see \"%s --help\"\n", root.Name(), err, cmd.CommandPath())
+		return exitUsage
 	}
 	for line := range strings.SplitSeq(err.Error(), "\n") {
-		fmt.Fprintf(stderr, "%s: %s\n", root.Name(), line)
+		root.PrintErrf("%s: %s\n", root.Name(), line)
 	}
-	return 1
+	return exitFailed
 }
 
 func newRoot(signals <-chan os.Signal) *cobra.Command {
@@ -77,10 +83,12 @@
 	return root
 }
 
-// Group has a command that only holds others say so when it is called by itself or with a wrong word.
-func Group(c *cobra.Command) {
+// RejectBareGroups makes wrong arguments usage errors, for a command and all below it. A command that only
+// groups others has its help printed when it is called by itself, and suggests one of them for an unknown
+// word.
+func RejectBareGroups(c *cobra.Command) {
 	for _, sub := range c.Commands() {
-		Group(sub)
+		RejectBareGroups(sub)
 	}
 	if !c.HasSubCommands() {
 		if c.DisableFlagParsing {
@@ -100,24 +108,26 @@
 	c.RunE = func(c *cobra.Command, given []string) error {
 		if len(given) == 0 {
 			c.SetOut(c.ErrOrStderr())
-			c.Help()
-			return wrong("a command is missing")
+			if err := c.Help(); err != nil {
+				return err
+			}
+			return UsageErrorf("a command is missing")
 		}
 		hint := ""
 		if near := c.SuggestionsFor(given[0]); len(near) > 0 {
 			hint = "; did you mean " + strings.Join(near, " or ") + "?"
 		}
-		return wrong("%q is no command%s", given[0], hint)
+		return UsageErrorf("%q is no command%s", given[0], hint)
 	}
 }
 
-// sources are the flags that say where a configuration comes from.
-type sources struct {
+// configFlags are the flags that select and override the configuration.
+type configFlags struct {
 	file, listen, discovery, name, level, format string
 	set                                          []string
 }
 
-func (s *sources) add(c *cobra.Command) {
+func (s *configFlags) register(c *cobra.Command) {
 	f := c.Flags()
 	f.StringVarP(&s.file, "config", "c", "", "configuration file (CRESSHUB_CONFIG)")
 	f.StringVar(&s.listen, "listen", "", "host:port that clients connect to (listen.address)")
@@ -128,8 +138,8 @@
 	f.StringArrayVar(&s.set, "set", nil, "KEY=VALUE for any key outside a list of tables; may be repeated")
 }
 
-// input is where the flags say a configuration is read from.
-func (s *sources) input() (config.Input, error) {
+// input returns the sources of the configuration that the flags select.
+func (s *configFlags) input() (config.Input, error) {
 	in := config.Input{File: s.file, Flags: map[string]string{}}
 	for key, value := range map[string]string{
 		"listen.address": s.listen, "discovery.address": s.discovery, "name": s.name, "log.level": s.level,
@@ -142,12 +152,9 @@
 	for _, pair := range s.set {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return in, wrong("--set %q is no KEY=VALUE", pair)
+			return in, UsageErrorf("--set %q is no KEY=VALUE", pair)
 		}
 		in.Flags[key] = value
 	}
 	return in, nil
 }
-
-// printJSON writes one value on one line.
-func printJSON(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
--- a/internal/proxy/cli/serve.go
+++ b/internal/proxy/cli/serve.go
@@ -11,9 +11,9 @@
 	"cresshub/internal/proxy/daemon"
 )
 
-// Signals listens for those that a serving program minds. It is called before anything else, for a signal
-// that nobody listens for ends the process. That of a pipe without a reader is ignored: the end of whoever
-// reads the log is no reason to end.
+// Signals returns the signals that a serving program handles. It is called before anything else, since a
+// signal that is not handled ends the process. SIGPIPE is ignored: that nobody reads the log any more is no
+// reason to end.
 func Signals() <-chan os.Signal {
 	signal.Ignore(syscall.SIGPIPE)
 	signals := make(chan os.Signal, 64)
@@ -22,7 +22,7 @@
 }
 
 func newServe(signals <-chan os.Signal) *cobra.Command {
-	var from sources
+	var from configFlags
 	c := &cobra.Command{
 		Use:   "serve",
 		Short: "Serve clients until SIGTERM",
@@ -40,16 +40,16 @@
 			if err != nil {
 				return err
 			}
-			daemon.Confine(cfg.Limits, 1)
+			daemon.SetRuntimeLimits(cfg.Limits, 1)
 			proxy, err := daemon.New(cfg, os.Stderr)
 			if err != nil {
 				return err
 			}
-			in.Again = true
+			in.Reload = true
 			proxy.Run(signals, func() (*config.Config, error) { return config.Load(in) })
 			return nil
 		},
 	}
-	from.add(c)
+	from.register(c)
 	return c
 }
--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -24,8 +24,8 @@
 	return c
 }
 
-// untilEnd waits for SIGINT or SIGTERM, or for so long.
-func untilEnd(c *cobra.Command, limit time.Duration) {
+// waitForSignal waits for SIGINT or SIGTERM, for no longer than the limit.
+func waitForSignal(limit time.Duration) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -50,8 +50,8 @@
 			since := time.Time{}
 			if cold {
 				since = time.Now()
-				o.Cold = proxystandin.Cold{Start: 0.12, Warm: 23 * time.Second, Multiple: 4,
-					After: 1500 * time.Millisecond}
+				o.WarmUp = proxystandin.WarmUp{StartFraction: 0.12, Duration: 23 * time.Second, OverloadMultiple: 4,
+					OverloadAfter: 1500 * time.Millisecond}
 			}
 			z, err := proxystandin.StartZone(o, since)
 			if err != nil {
@@ -65,8 +65,8 @@
 					z.Drain()
 				}
 			}()
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", z.Address())
-			untilEnd(c, limit)
+			c.PrintErrln("listening on", z.Address())
+			waitForSignal(limit)
 			if asJSON {
 				return printJSON(c.OutOrStdout(), z.Counts())
 			}
@@ -79,8 +79,8 @@
 	f.StringVar(&o.Listen, "listen", "127.0.0.1:0", "host:port; port 0 lets the system choose")
 	f.IntVar(&o.Cores, "cores", 2, "requests worked on at once")
 	f.Float64Var(&o.Speed, "speed", 1.8, "of a core; 1 is the yardstick")
-	f.IntVar(&o.Waiting, "waiting", 16, "places to wait in")
-	f.IntVar(&o.Connections, "connections", 1500, "open at once")
+	f.IntVar(&o.MaxQueued, "waiting", 16, "places to wait in")
+	f.IntVar(&o.MaxConnections, "connections", 1500, "open at once")
 	f.DurationVar(&o.Handshake, "handshake", 2*time.Millisecond, "time that a new connection costs")
 	f.DurationVar(&lookup, "lookup", 125*time.Millisecond, "mean work of a zone-lookup on a core of speed 1")
 	f.DurationVar(&assign, "assign", 108*time.Millisecond, "mean work of a rider-assign")
@@ -110,12 +110,12 @@
 			for _, s := range servers {
 				name, address, ok := strings.Cut(s, "=")
 				if !ok {
-					return wrong("--server %q is no NAME=HOST:PORT", s)
+					return UsageErrorf("--server %q is no NAME=HOST:PORT", s)
 				}
 				d.Set(proxystandin.Endpoint{Name: name, Address: address, Status: "in_service", Weight: 1})
 			}
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", d.Address())
-			untilEnd(c, limit)
+			c.PrintErrln("listening on", d.Address())
+			waitForSignal(limit)
 			return nil
 		},
 	}
@@ -140,8 +140,8 @@
 				return err
 			}
 			defer s.Close()
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", s.Address())
-			untilEnd(c, limit)
+			c.PrintErrln("listening on", s.Address())
+			waitForSignal(limit)
 			return printJSON(c.OutOrStdout(), s.Entries())
 		},
 	}
--- /dev/null
+++ b/internal/proxy/daemon/daemon.go
@@ -0,0 +1,268 @@
+// Package daemon runs one client proxy. New wires the parts from a checked configuration and opens the
+// listeners; Run serves until a signal, takes over what a reread configuration may change, and returns once
+// every request that was accepted has been answered.
+//
+// A Proxy goes through these states: waiting (it listens or has inherited a listener, and waits for its first
+// list of servers where it takes over from another process), serving, draining (lame duck, by an operator's
+// call, until the next one) and shutting down (after SIGTERM or SIGINT, for good). Ready tells the first
+// three apart.
+//
+// New and Run belong to one goroutine, which alone reads and replaces the present configuration. The admin
+// API calls Ready, LameDuck and Gauges, the handover's goroutines call the methods of handover.Incumbent, and
+// the decider calls Follow and Probe, each from goroutines of their own.
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"cresshub/internal/bodybudget"
+	"cresshub/internal/cluster/gossip"
+	"cresshub/internal/cluster/leaseholder"
+	"cresshub/internal/proxy/adminapi"
+	"cresshub/internal/proxy/config"
+	"cresshub/internal/proxy/descriptors"
+	"cresshub/internal/proxy/discovery"
+	"cresshub/internal/proxy/dispatch"
+	"cresshub/internal/proxy/drain"
+	"cresshub/internal/proxy/ingress"
+	"cresshub/internal/proxy/logging"
+	"cresshub/internal/proxy/stats"
+	"cresshub/internal/proxy/upstream"
+)
+
+// logCloseTimeout bounds how long Run waits at its end for whoever reads the log.
+const logCloseTimeout = 500 * time.Millisecond
+
+// Proxy is one client proxy with its parts.
+type Proxy struct {
+	cfg         *config.Config // in force now; only New and Run touch it
+	startConfig *config.Config // in force at the start: keys that need a restart keep its values
+
+	log       *logging.Logger
+	stats     *stats.Set
+	decider   *dispatch.Decider
+	pool      *upstream.Pool
+	discovery *discovery.Client
+	server    *ingress.Server
+	listener  net.Listener
+	admin     *adminapi.Server    // nil without `operator`
+	fleet     *gossip.Fleet       // nil without `fleet.bind`
+	ledger    *ledgerNode         // nil without `ledger.bind`
+	roles     *leaseholder.Runner // nil without `owner.chores`
+
+	budget        *descriptors.Budget
+	bodies        *bodybudget.Budget
+	shutdownTimes atomic.Pointer[config.Shutdown]
+	handover      handoverState
+	firstNamed    map[string]time.Time // when each [[server]] was first named; see config.ServerList
+}
+
+// New wires a proxy and opens its listeners; it serves once Run is called. The log goes to w. The error says
+// which key of the configuration can't be put into effect, most often an address that is taken.
+func New(cfg *config.Config, w io.Writer) (*Proxy, error) {
+	settings := cfg.Settings()
+	p := &Proxy{cfg: cfg, startConfig: cfg, log: newLogger(cfg, w), stats: stats.New(settings.ClassNames),
+		firstNamed: map[string]time.Time{}}
+	p.shutdownTimes.Store(&cfg.Shutdown)
+	var err error
+	if p.decider, err = dispatch.New(settings.Settings, cfg.Policy.ResponseMargin, p); err != nil {
+		return nil, err
+	}
+	if err := p.inheritOrListen(); err != nil {
+		return nil, err
+	}
+	if err := p.wire(); err != nil {
+		p.closeAfterFailedStart()
+		return nil, err
+	}
+	return p, nil
+}
+
+func newLogger(cfg *config.Config, w io.Writer) *logging.Logger {
+	log := logging.New(w, logging.Options{
+		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), RepeatRate: cfg.Log.RepeatRate,
+		Backlog: int(cfg.Log.Backlog),
+	})
+	log.Logger = log.With(logging.Name, cfg.Name)
+	return log
+}
+
+// wire makes the parts in the order in which they need each other.
+func (p *Proxy) wire() error {
+	p.newUpstream()
+	if err := p.openLedger(); err != nil {
+		return err
+	}
+	p.newIngress()
+	if err := p.restoreList(); err != nil {
+		return err
+	}
+	if err := p.openAdmin(); err != nil {
+		return err
+	}
+	if err := p.joinFleet(); err != nil {
+		return err
+	}
+	if err := p.runLedger(); err != nil {
+		return err
+	}
+	return p.runRoles()
+}
+
+// newUpstream makes what leads to the servers: the budgets, discovery and the connection pool.
+func (p *Proxy) newUpstream() {
+	cfg, settings := p.cfg, p.cfg.Settings()
+	p.budget = descriptors.NewBudget(p.descriptorLimit(), cfg.Limits.ClientFraction, cfg.Limits.CrowdedFraction)
+	p.bodies = bodybudget.NewBudget(p.bodyBytes())
+	p.discovery = discovery.New(cfg.Discovery.Address, cfg.Upstream.DialLimit(), listLimits(cfg),
+		discovery.Names{Zones: settings.ZoneNames, Kinds: settings.KindNames}, p.budget, p.stats, p.log.Logger)
+	p.pool = upstream.New(p.discovery, poolLimits(cfg), settings.ReportNames, p.budget, p.bodies, p.stats)
+}
+
+func (p *Proxy) newIngress() {
+	settings := p.cfg.Settings()
+	p.server = ingress.New(ingress.Options{
+		Decider: p.decider, Pool: p.pool, Name: p.discovery.Name, Classes: settings.ClassNames,
+		Tenants: settings.TenantNames, Limits: p.cfg.Clients, Drain: p.drainTimes, Budget: p.budget,
+		Bodies: p.bodies, Stats: p.stats, RecordUsage: p.usageRecorder(), Log: p.log.Logger,
+	})
+	p.server.LogRequests(p.requestLog())
+}
+
+// restoreList gives the decider the list of servers to begin with: the configuration's own [[server]] tables,
+// else the predecessor's list, which is newer than the platform's, else the platform's.
+func (p *Proxy) restoreList() error {
+	known := p.cfg.KnownServers
+	if old := p.handover.predecessor; old != nil && len(old.Known) > 0 {
+		if old.Discovery == p.cfg.Discovery.Address {
+			known = old.Known
+		} else { // another deployment's servers, whose list counts its changes from another start
+			p.log.Warn("list of the old process left aside", "discovery", old.Discovery)
+		}
+	}
+	if list := p.cfg.ServerList(time.Time{}, p.firstNamed); list != nil {
+		known = list
+	}
+	var servers []dispatch.Server
+	if known != nil {
+		var err error
+		if servers, err = p.discovery.Restore(known); err != nil {
+			return fmt.Errorf("the list of known servers: %w", err)
+		}
+	}
+	p.decider.RestoreList(servers)
+	return nil
+}
+
+// closeAfterFailedStart closes what New has opened.
+func (p *Proxy) closeAfterFailedStart() {
+	p.closeLedger()
+	if p.fleet != nil {
+		p.fleet.Close()
+	}
+	p.listener.Close()
+	if p.admin != nil {
+		p.admin.Close()
+	}
+}
+
+func listen(address string, control func(string, string, syscall.RawConn) error) (net.Listener, error) {
+	return (&net.ListenConfig{KeepAlive: -1, Control: control}).Listen(context.Background(), "tcp", address)
+}
+
+// Follow has discovery watched for changes of the list; the decider calls it.
+func (p *Proxy) Follow() { p.discovery.Follow() }
+
+// Probe asks a server for its load and reports the result to the decider, which calls it.
+func (p *Proxy) Probe(s dispatch.ServerID) {
+	p.pool.Probe(s, func(result dispatch.Result, took time.Duration, load []float64) {
+		p.decider.Probed(s, result, took, load)
+	})
+}
+
+// Address is where clients connect.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
+
+// Run serves until SIGTERM or SIGINT and returns once every accepted request has been answered. On SIGHUP it
+// takes over the configuration that reread returns, on SIGUSR1 it logs the counters.
+func (p *Proxy) Run(signals <-chan os.Signal, reread func() (*config.Config, error)) {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go p.decider.Run(ctx.Done())
+	go p.discovery.Run(ctx, p.decider, p.pool.Sweep)
+	go p.acceptClients()
+	if p.admin != nil {
+		go p.admin.Serve()
+		defer p.admin.Close()
+	}
+
+	p.handleSignals(signals, reread)
+
+	if offer := p.handover.offer.Load(); offer != nil {
+		offer.Close()
+	}
+	p.stats.Log(p.log.Logger, "exit", dispatch.ResultNames)
+	p.log.Close(logCloseTimeout)
+}
+
+// handleSignals acts on signals until the shutdown that one of them began is complete.
+func (p *Proxy) handleSignals(signals <-chan os.Signal, reread func() (*config.Config, error)) {
+	var done <-chan struct{} // nil until a shutdown begins
+	for {
+		select {
+		case <-done:
+			return
+		case sig := <-signals:
+			switch {
+			case sig == syscall.SIGUSR1:
+				p.stats.Log(p.log.Logger, "asked", dispatch.ResultNames)
+			case sig == syscall.SIGHUP: // also during a shutdown: requests under way still need the list
+				p.reload(reread())
+			case done == nil:
+				p.log.Info("ending", "signal", sig.String())
+				done = p.shutdown()
+			}
+		}
+	}
+}
+
+// shutdown begins to drain; the channel closes once every accepted request has been answered.
+func (p *Proxy) shutdown() <-chan struct{} {
+	done := make(chan struct{})
+	go func() {
+		fleetLeft := make(chan struct{})
+		go func() { p.leaveFleet(); close(fleetLeft) }()
+		p.server.Shutdown(p.listener)
+		p.closeLedger() // once all responses are out and counted
+		<-fleetLeft
+		close(done)
+	}()
+	return done
+}
+
+// drainTimes are the times of a drain that begins or goes on now.
+func (p *Proxy) drainTimes() drain.Times {
+	t := *p.shutdownTimes.Load()
+	if p.handover.successorServing.Load() {
+		// The successor takes new connections from now on. An unused one closes as soon as a request that
+		// crosses with the signal must have arrived, or that request would have less than its time before
+		// the process is killed.
+		t.AcceptFor, t.CloseAll = 0, min(t.CloseAll, t.CloseIdle+t.CloseIdle/4)
+	}
+	return drain.Times{CloseIdle: t.CloseIdle, AcceptFor: t.AcceptFor,
+		CloseAll: t.CloseAll, ClosePartial: t.ClosePartial}
+}
+
+func (p *Proxy) requestLog() *logging.RequestLog {
+	if !p.cfg.Log.Requests {
+		return nil
+	}
+	return logging.NewRequestLog(p.log.Logger, p.cfg.Log.RequestSample, p.cfg.Log.RequestRate)
+}
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -7,12 +7,13 @@
 
 	"cresshub/internal/cluster/gossip"
 	"cresshub/internal/cluster/membership"
+	"cresshub/internal/proxy/logging"
 )
 
-// leaveTimeout bounds how long a change of phase, or the leave at SIGTERM, waits to reach all members.
+// leaveTimeout bounds how long a change of this proxy's phase waits until gossip has spread it.
 const leaveTimeout = time.Second
 
-// joinFleet joins the fleet's gossip where fleet.bind says so.
+// joinFleet starts this proxy's membership of the fleet where fleet.bind names an address.
 func (p *Proxy) joinFleet() error {
 	c := &p.cfg.Fleet
 	if c.Bind == "" {
@@ -22,17 +23,19 @@
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version
 	}
-	ledgerAt, disk := "", uint64(0)
+	ledgerAddress, replicaID := "", uint64(0)
 	if p.ledger != nil {
-		ledgerAt, disk = p.ledger.host.Address(), p.ledger.host.ID()
+		ledgerAddress, replicaID = p.ledger.host.Address(), p.ledger.host.ID()
 	}
-	f, err := gossip.Start(gossip.Options{LedgerAddress: ledgerAt, ReplicaID: disk,
-		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Seeds: c.Seeds, Label: c.Label,
-		Version: version, Hall: p.cfg.Policy.Hall, ProbeInterval: c.Probe, ProbeTimeout: c.Timeout,
-		GossipInterval: c.Gossip,
-		SuspicionMult:  c.Suspicion, RejoinInterval: c.Rejoin, SyncIntervalPerMember: c.SyncEach, Relay: c.Relay,
-		Membership: membership.Settings{GoneAfter: c.GoneAfter, FlapWindow: c.Flaps, ForgetAfter: c.Forget,
-			MaxMembers: c.Members},
+	f, err := gossip.Start(gossip.Options{
+		Name: p.cfg.Name, Version: version, Hall: p.cfg.Policy.Hall, Label: c.Label,
+		LedgerAddress: ledgerAddress, ReplicaID: replicaID,
+		Bind: c.Bind, Advertise: c.Advertise, Seeds: c.Seeds, Relay: c.Relay,
+		ProbeInterval: c.ProbeInterval, ProbeTimeout: c.ProbeTimeout, SuspicionMult: c.SuspicionMult,
+		GossipInterval: c.GossipInterval, RejoinInterval: c.RejoinInterval,
+		SyncIntervalPerMember: c.SyncIntervalPerMember,
+		Membership: membership.Settings{GoneAfter: c.GoneAfter, FlapWindow: c.FlapWindow,
+			ForgetAfter: c.ForgetAfter, MaxMembers: c.MaxMembers},
 		Log: p.log.Logger,
 	})
 	if err != nil {
@@ -40,12 +43,12 @@
 	}
 	p.fleet = f
 	if p.admin != nil {
-		p.admin.Page("/_fleet", func(url.Values) any { return f.Snapshot() })
+		p.admin.HandleGet("/_fleet", func(url.Values) any { return f.Snapshot() })
 	}
 	return nil
 }
 
-// setFleetPhase announces that this proxy drains, or serves again.
+// setFleetPhase has the fleet see this proxy as draining or serving.
 func (p *Proxy) setFleetPhase(draining bool) {
 	if p.fleet == nil {
 		return
@@ -55,16 +58,16 @@
 		phase = membership.Draining
 	}
 	if err := p.fleet.SetPhase(phase, leaveTimeout); err != nil {
-		p.log.Warn("fleet: phase not announced to all members", "phase", phase.String(), "err", err)
+		p.log.Warn("fleet: the new phase did not spread", "phase", phase.String(), logging.Err, err)
 	}
 }
 
-// leaveFleet announces that this proxy leaves, before it stops accepting clients.
+// leaveFleet has the fleet see that this proxy shuts down, before it stops accepting clients.
 func (p *Proxy) leaveFleet() {
 	if p.fleet == nil {
 		return
 	}
 	if err := p.fleet.Leave(leaveTimeout); err != nil {
-		p.log.Warn("fleet: leave not announced to all members", "err", err)
+		p.log.Warn("fleet: the leave did not spread", logging.Err, err)
 	}
 }
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -11,35 +11,36 @@
 	"cresshub/internal/settingsfile"
 )
 
-// reload applies what changed. An invalid configuration changes nothing, and neither does a file of our own
-// that changes a key which needs a restart: applying half of it would make a configuration that nobody wrote.
-// Of the platform's file it is agreed that only discovery is applied; other changes wait for the restart.
+// reload takes over the keys that changed. A configuration that can't be used changes nothing, and neither
+// does one of our own file with a changed key that needs a restart: taking over the other keys would make a
+// third configuration that nobody wrote. With the platform's file it is agreed that only live keys are taken
+// over, and the others wait for the restart.
 func (p *Proxy) reload(next *config.Config, err error) {
 	if err != nil {
-		var problems settingsfile.Problems
+		var problems settingsfile.SettingErrors
 		if !errors.As(err, &problems) {
-			p.log.Error("config: not reloaded, the new configuration is invalid", logging.Err, err)
+			p.log.Error("configuration kept, the new one cannot be used", logging.Err, err)
 		}
-		for _, one := range problems {
-			p.log.Error("config: not reloaded, the new configuration is invalid", logging.Err, one.String())
+		for _, problem := range problems {
+			p.log.Error("configuration kept, the new one cannot be used", logging.Err, problem.String())
 		}
 		return
 	}
 	live, restart := p.cfg.Changed(next)
 	if len(restart) > 0 {
 		if !next.FromPlatform() {
-			p.log.Error("config: not reloaded, a change needs a restart", "keys", strings.Join(restart, " "))
+			p.log.Error("configuration kept, a change needs a restart", "keys", strings.Join(restart, " "))
 			return
 		}
-		p.log.Warn("config: changes wait for a restart", "keys", strings.Join(restart, " "))
+		p.log.Warn("changes wait for a restart", "keys", strings.Join(restart, " "))
 	}
-	p.log.Info("config: reloaded", "discovery", next.Discovery.Address,
+	p.log.Info("configuration read again", "discovery", next.Discovery.Address,
 		"changed", strings.Join(live, " "))
-	p.cfg = p.cfg.TakeLive(next)
+	p.cfg = p.cfg.WithLive(next)
 	p.apply(live)
 }
 
-// apply hands the values of changed keys to the parts that use them.
+// apply passes the values of changed keys to the parts that use them.
 func (p *Proxy) apply(live []string) {
 	changed := func(prefixes ...string) bool {
 		return slices.ContainsFunc(live, func(key string) bool {
@@ -50,7 +51,7 @@
 		p.discovery.Move(p.cfg.Discovery.Address)
 	}
 	if changed("server[") {
-		p.discovery.Replace(p.cfg.ServerList(time.Now(), p.serversSince))
+		p.discovery.Replace(p.cfg.ServerList(time.Now(), p.firstNamed))
 	}
 	if changed("discovery.") {
 		p.discovery.SetLimits(listLimits(p.cfg))
@@ -66,7 +67,7 @@
 		p.shutdownTimes.Store(&times)
 	}
 	if changed("log.") {
-		p.log.Set(logging.ParseLevel(p.cfg.Log.Level), p.cfg.Log.Repeat)
+		p.log.SetLimits(logging.ParseLevel(p.cfg.Log.Level), p.cfg.Log.RepeatRate)
 		p.server.LogRequests(p.requestLog())
 	}
 }
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -17,8 +17,9 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// held is a zone server whose answers wait until release is closed.
-func held(t *testing.T) (zone *nettest.Party, release chan bool) {
+// holdingZone is a zone server whose responses wait until release is closed.
+func holdingZone(t *testing.T) (zone *nettest.ScriptedServer, release chan bool) {
+	t.Helper()
 	release = make(chan bool)
 	return nettest.Serve(t, func(q *http1.Request) *http1.Response {
 		<-release
@@ -26,8 +27,9 @@
 	}), release
 }
 
-// ending begins the end of a rig and returns once its state says so.
-func (r *rig) ending(t *testing.T) {
+// startShutdown begins the shutdown of a rig and returns once its state says so.
+func (r *rig) startShutdown(t *testing.T) {
+	t.Helper()
 	go func() {
 		r.Shutdown(r.listener)
 		close(r.ended)
@@ -35,7 +37,7 @@
 	nettest.Until(t, "it ends", func() bool { return !r.Serving() })
 }
 
-// outcome is what a client reads next: an answer's status and body, or how the connection ended.
+// outcome is what a client reads next: the status and body of a response, or how the connection ended.
 func outcome(c *connbuffer.Conn) string {
 	a, err := http1.ReadResponse(c.In)
 	var timeout net.Error
@@ -48,35 +50,35 @@
 	return "end"
 }
 
-// What a client sent before the end of its connection was in sight is answered, also where it did not
-// wait for the answer before; and the process ends after that.
-func TestEndAnswersWhatWasSentEarly(t *testing.T) {
+// Requests that a client sent before the connection was due to close are answered, also where it did not wait
+// for the response before; then Shutdown returns.
+func TestShutdownServesPipelinedRequests(t *testing.T) {
 	for _, lame := range []bool{false, true} {
 		r := newRig(t, nil)
-		zone, release := held(t)
+		zone, release := holdingZone(t)
 		r.list(zone.Address)
 		c := nettest.Dial(t, r.address)
 		io.WriteString(c, get("one")+get("two"))
-		nettest.Until(t, "the first is sent on", func() bool { return len(zone.Got("")) == 1 })
+		nettest.Until(t, "the first is sent", func() bool { return len(zone.Received("")) == 1 })
 		if lame {
 			r.LameDuck(true)
 		} else {
-			r.ending(t)
+			r.startShutdown(t)
 		}
 		close(release)
 		if got := outcome(c) + ", " + outcome(c) + ", " + outcome(c); got != "200 one, 200 two, end" {
 			t.Errorf("lame %v: %s", lame, got)
 		}
 		if lame {
-			r.ending(t)
+			r.startShutdown(t)
 		}
 		<-r.ended
 	}
 }
 
-// A request that was read together with the one before it is not taken for rest by whoever closes what rests.
-func TestWhatWasReadEarlyIsNoRest(t *testing.T) {
-	s := server()
+// A connection whose next request was buffered together with the one before does not count as idle.
+func TestBufferedRequestIsNotIdle(t *testing.T) {
+	s := newServer()
 	far, near := tcpPair(t)
 	c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}
 	s.clients[c] = struct{}{}
@@ -85,7 +87,7 @@
 	c.In.Discard(10)
 	s.markIdle(c)
 	s.mu.Lock()
-	s.closeBefore(drain.Plan{Rested: time.Now().Add(time.Hour)})
+	s.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 	_, open := s.clients[c]
 	s.mu.Unlock()
 	if !open {
@@ -94,7 +96,7 @@
 	c.In.Discard(10)
 	s.markIdle(c)
 	s.mu.Lock()
-	s.closeBefore(drain.Plan{Rested: time.Now().Add(time.Hour)})
+	s.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 	_, open = s.clients[c]
 	s.mu.Unlock()
 	if open {
@@ -102,19 +104,19 @@
 	}
 }
 
-// Nor is one whose first byte was taken out of the system a moment ago. Who closes what rests holds the lock
-// here from before the request until it has looked at the connection in every state.
-func TestFirstByteIsNoRest(t *testing.T) {
+// Nor does one whose first byte has just been consumed from the socket. The test holds the lock as a drain
+// does, from before the request until it has seen the connection in every state.
+func TestFirstByteEndsIdle(t *testing.T) {
 	r := newRig(t, nil)
 	zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	r.list(zone.Address)
 	for i := range 10 {
 		c := nettest.Dial(t, r.address)
-		if i%2 > 0 { // one that rests after a request, and one that never had any
+		if i%2 > 0 { // one idle after a request, and one that never had any
 			nettest.Ask(t, c, get(fmt.Sprint("before-", i)))
 		}
 		var rests *client
-		nettest.Until(t, "it rests", func() bool {
+		nettest.Until(t, "it is idle", func() bool {
 			r.Server.mu.Lock()
 			defer r.Server.mu.Unlock()
 			for rests = range r.clients {
@@ -124,13 +126,13 @@
 		r.Server.mu.Lock()
 		before := rests.LastReceived()
 		io.WriteString(c, get(fmt.Sprint(i)))
-		for range 50 { // or until its bytes were taken, which is all that there is to see
+		for range 50 { // or until its bytes are consumed, which is all there is to observe
 			if rests.LastReceived() != before {
 				break
 			}
 			time.Sleep(100 * time.Microsecond)
 		}
-		r.closeBefore(drain.Plan{Rested: time.Now().Add(time.Hour)})
+		r.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 		r.Server.mu.Unlock()
 		if got := outcome(c); got != "200 " {
 			t.Errorf("%d: %s", i, got)
@@ -145,6 +147,7 @@
 }
 
 func tcpPair(t *testing.T) (far, near net.Conn) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -160,18 +163,18 @@
 	return far, near
 }
 
-// Half a head is answered at the limit, servers that hang are waited for to the deadline and no longer,
-// and new connections are taken for as long as told.
-func TestEndWithAllKindsOfClients(t *testing.T) {
+// On shutdown half a head is answered at the limit, servers that hang are waited for until the deadline and
+// no longer, and new connections are accepted for as long as configured.
+func TestShutdownWithAllKindsOfClients(t *testing.T) {
 	r := newRig(t, nil)
-	zone, release := held(t)
+	zone, release := holdingZone(t)
 	defer close(release)
 	r.list(zone.Address)
 	half, hangs, rests := nettest.Dial(t, r.address), nettest.Dial(t, r.address), nettest.Dial(t, r.address)
 	io.WriteString(half, "GET /api HT")
 	io.WriteString(hangs, nettest.Request("POST", "assign", "hangs", 600*time.Millisecond))
-	nettest.Until(t, "the request is sent on", func() bool { return len(zone.Got("")) == 1 })
-	r.ending(t)
+	nettest.Until(t, "the request is sent", func() bool { return len(zone.Received("")) == 1 })
+	r.startShutdown(t)
 	var fresh []string
 	for began := time.Now(); time.Since(began) < 40*time.Millisecond; { // the rig accepts for 80 ms
 		c := nettest.Dial(t, r.address)
@@ -195,9 +198,8 @@
 	<-r.ended
 }
 
-// The last byte of a request may cross with the close of its connection: it is answered, or it was not
-// sent on.
-func TestRequestCrossesWithTheClose(t *testing.T) {
+// The last byte of a request may cross with the close of its connection: it is answered, or it was not sent.
+func TestRequestCrossesWithClose(t *testing.T) {
 	r := newRig(t, nil)
 	zone := nettest.Serve(t, func(q *http1.Request) *http1.Response { return nettest.OK(q.Header.Get(idField)) })
 	r.list(zone.Address)
@@ -212,10 +214,10 @@
 			t.Fatalf("%+v", outcome)
 		}
 	}
-	r.ending(t)
+	r.startShutdown(t)
 	for i, c := range conns {
 		all.Add(1)
-		go func() { // over the time in which the sweeps close what rests
+		go func() { // throughout the time in which idle connections are closed
 			defer all.Done()
 			time.Sleep(time.Duration(i) * 3 * time.Millisecond)
 			io.WriteString(c, get(fmt.Sprint(i)))
@@ -225,18 +227,18 @@
 	all.Wait()
 	<-r.ended
 	sent := map[string]bool{}
-	for _, q := range zone.Got("") {
+	for _, q := range zone.Received("") {
 		sent[q.Header.Get(idField)] = true
 	}
 	for i, got := range answered {
 		if id := fmt.Sprint(i); (got == "200 "+id) != sent[id] || got == "nothing" {
-			t.Errorf("%s: %s, sent on: %v", id, got, sent[id])
+			t.Errorf("%s: %s, sent: %v", id, got, sent[id])
 		}
 	}
 }
 
-// On and off in any order leave one sweep at most, and the last word counts.
-func TestLameDuckWhileASweepRuns(t *testing.T) {
+// On and off in any order leave one closeIdleLoop at most, and the last call counts.
+func TestLameDuckTogglesKeepOneLoop(t *testing.T) {
 	r := newRig(t, nil)
 	for range 20 {
 		var all sync.WaitGroup
@@ -259,9 +261,9 @@
 	}
 }
 
-// An answer that ends its connection is read whole, though more had come than was read: the end is a
-// plain one.
-func TestLastAnswerIsNotOvertaken(t *testing.T) {
+// A response that ends its connection is received in full, though more had arrived than was read: the
+// connection ends with FIN, not with a reset.
+func TestLastResponseBeforeClose(t *testing.T) {
 	for name, full := range map[string]bool{"ends": false, "turned away": true} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, nil)
@@ -270,9 +272,9 @@
 			text := strings.Replace(get("id"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1) +
 				strings.Repeat(get("next"), 100)
 			if full {
-				for n := int64(1); r.Stats.TurnedAway.Load() == 0; n++ {
+				for n := int64(1); r.Stats.RejectedConns.Load() == 0; n++ {
 					io.WriteString(nettest.Dial(t, r.address), "GET /")
-					nettest.Until(t, "it is accepted", func() bool { return r.Stats.Accepted.Load() == n })
+					nettest.Until(t, "it is accepted", func() bool { return r.Stats.AcceptedConns.Load() == n })
 				}
 				text = post("id", 8000, strings.Repeat("x", 8000))
 			}
@@ -288,19 +290,19 @@
 	}
 }
 
-// A request that is there when the time of rest is over is read all the same: the goroutine may have its turn
-// later than both.
-func TestRequestIsThereAsTheRestEnds(t *testing.T) {
+// A request that has arrived when the idle time-out passes is served all the same: the goroutine may be
+// scheduled after both.
+func TestRequestArrivesAsIdleTimeoutEnds(t *testing.T) {
 	r := newRig(t, nil)
 	limits := *r.limits.Load()
-	limits.First = time.Nanosecond
+	limits.FirstRequestTimeout = time.Nanosecond
 	r.SetLimits(limits)
 	for range 20 {
 		far, near := tcpPair(t)
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1), idle: true, unused: true}
 		nettest.Until(t, "it is there", func() bool { return !c.Still() })
-		if !r.Budget.Take(descriptors.Clients) {
+		if !r.Budget.Acquire(descriptors.Clients) {
 			t.Fatal("no place")
 		}
 		r.serveConn(c)
--- a/internal/proxy/logging/logging.go
+++ b/internal/proxy/logging/logging.go
@@ -1,68 +1,69 @@
-// Package logging makes the program's logger: log/slog, in text or JSON, with one vocabulary of
-// attributes, a bound on lines that repeat, and a writer that never makes the program wait for whoever
-// reads its log.
+// Package logging makes the proxy's logger: log/slog in text or JSON, with one vocabulary of attributes, a
+// rate limit on records with the same message, and a writer that never makes the proxy wait for whoever reads
+// its log: beyond a backlog, records are dropped and counted.
+//
+// Loggers and request logs may be used from any goroutine.
 package logging
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"log/slog"
-	"sync"
 	"time"
 
 	"cresshub/internal/logwriter"
 )
 
-// The names of attributes. A line says the same thing by the same name wherever it comes from.
+// The names of attributes: the same thing has the same name in every record. Scripts read them.
 const (
-	Name    = "name"    // of this instance
+	Name    = "name"    // name of this instance
 	Request = "request" // id of a request
 	Class   = "class"
 	Tenant  = "tenant"
 	Server  = "server"  // name of a zone server
 	Attempt = "attempt" // number of attempts made
 	Outcome = "outcome"
-	Took    = "took" // time from a request's arrival to its answer
+	Took    = "took" // time from a request's arrival to its response
 	Status  = "status"
 	Address = "address"
 	Err     = "err"
-	Dropped = "dropped" // lines with the same words left out since the last one
-	Lost    = "lost"    // lines lost because nobody read the log
+	Dropped = "dropped" // records with the same message left out since the last one
+	Lost    = "lost"    // records lost because nobody read the log
 )
 
-// Options are how a logger writes. Level and Repeat may change while it is in use, by Set.
+// Options are how a logger writes. SetLimits changes Level and RepeatRate while it is in use.
 type Options struct {
-	Format  string     // "text" or "json"
-	Level   slog.Level // least that is written
-	Repeat  float64    // lines a second with the same words; 0 is no bound
-	Backlog int        // bytes kept while the reader stalls
+	Format     string     // "text" or "json"
+	Level      slog.Level // lowest that is written
+	RepeatRate float64    // records a second with the same message; 0 is no limit
+	Backlog    int        // bytes kept while nobody reads the log
 }
 
-// Logger is a logger with what is needed to change and to end it.
+// Logger is a slog.Logger whose limits can be changed and that has to be closed.
 type Logger struct {
 	*slog.Logger
-	level  slog.LevelVar
-	repeat *repeats
-	out    *logwriter.Writer
+	level   slog.LevelVar
+	repeats *repeatLimiter
+	writer  *logwriter.Writer
 }
 
 // New returns a logger that writes to w from a goroutine of its own. Close ends it.
 func New(w io.Writer, o Options) *Logger {
-	l := &Logger{repeat: newRepeats(), out: logwriter.New(w, o.Backlog, lostLine(o.Format == "json"))}
+	l := &Logger{repeats: newRepeatLimiter(),
+		writer: logwriter.New(w, o.Backlog, lostRecord(o.Format == "json"))}
 	options := &slog.HandlerOptions{Level: &l.level}
-	var h slog.Handler = slog.NewTextHandler(l.out, options)
+	var h slog.Handler = slog.NewTextHandler(l.writer, options)
 	if o.Format == "json" {
-		options.ReplaceAttr = withUnit
-		h = slog.NewJSONHandler(l.out, options)
+		options.ReplaceAttr = durationsAsText
+		h = slog.NewJSONHandler(l.writer, options)
 	}
-	l.Logger = slog.New(&limited{h, l.repeat})
-	l.Set(o.Level, o.Repeat)
+	l.Logger = slog.New(&limitedHandler{h, l.repeats})
+	l.SetLimits(o.Level, o.RepeatRate)
 	return l
 }
 
-// lostLine returns what lays out the line that tells of lost ones.
-func lostLine(json bool) func(lost int64) string {
+// lostRecord returns what formats the record with the number of lost ones.
+func lostRecord(json bool) func(lost int64) string {
 	form := "level=WARN msg=%q %s=%d\n"
 	if json {
 		form = "{\"level\":\"WARN\",\"msg\":%q,%q:%d}\n"
@@ -70,30 +71,29 @@
 	return func(lost int64) string { return fmt.Sprintf(form, "log lines lost, nobody read them", Lost, lost) }
 }
 
-// withUnit has a time written in JSON as in text, with its unit: a bare number of nanoseconds says nothing of
-// what it counts.
-func withUnit(_ []string, a slog.Attr) slog.Attr {
+// durationsAsText replaces durations, which JSON would have as numbers of nanoseconds, by text with a unit.
+func durationsAsText(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindDuration {
 		a.Value = slog.StringValue(a.Value.Duration().String())
 	}
 	return a
 }
 
-// Set changes the level and the bound on lines that repeat.
-func (l *Logger) Set(level slog.Level, repeat float64) {
+// SetLimits changes the lowest level and the records a second with the same message.
+func (l *Logger) SetLimits(level slog.Level, repeatRate float64) {
 	l.level.Set(level)
-	l.repeat.set(repeat)
+	l.repeats.setRate(repeatRate)
 }
 
-// Close writes what is left, for at most so long.
-func (l *Logger) Close(wait time.Duration) {
-	if n := l.repeat.pending(); n > 0 {
+// Close writes what is left and ends the writer, within the timeout.
+func (l *Logger) Close(timeout time.Duration) {
+	if n := l.repeats.pending(); n > 0 {
 		l.Info("lines left out at the end", Dropped, n)
 	}
-	l.out.Close(wait)
+	l.writer.Close(timeout)
 }
 
-// ParseLevel reads one of the words for a level; any other is info.
+// ParseLevel returns the level of a name; an unknown name is info.
 func ParseLevel(word string) slog.Level {
 	var l slog.Level
 	if l.UnmarshalText([]byte(word)) != nil {
@@ -101,89 +101,3 @@
 	}
 	return l
 }
-
-// limited leaves lines out that repeat too often.
-type limited struct {
-	slog.Handler
-	repeat *repeats
-}
-
-func (h *limited) Handle(ctx context.Context, r slog.Record) error {
-	dropped, ok := h.repeat.take(r.Message, r.Time)
-	if !ok {
-		return nil
-	}
-	if dropped > 0 {
-		r.AddAttrs(slog.Int64(Dropped, dropped))
-	}
-	return h.Handler.Handle(ctx, r)
-}
-
-func (h *limited) WithAttrs(as []slog.Attr) slog.Handler {
-	return &limited{h.Handler.WithAttrs(as), h.repeat}
-}
-
-func (h *limited) WithGroup(name string) slog.Handler {
-	return &limited{h.Handler.WithGroup(name), h.repeat}
-}
-
-// repeats counts lines by their words. Words are constants of the program, so there are few; the bound
-// is for the case that somebody forgets.
-type repeats struct {
-	mu   sync.Mutex
-	rate float64
-	by   map[string]*bucket
-}
-
-const maxWords = 512
-
-// bucket holds what is left of a message's lines: rate a second, as many at once.
-type bucket struct {
-	left    float64
-	at      time.Time
-	dropped int64
-}
-
-func newRepeats() *repeats { return &repeats{by: map[string]*bucket{}} }
-
-func (r *repeats) set(rate float64) {
-	r.mu.Lock()
-	r.rate = rate
-	r.mu.Unlock()
-}
-
-// take tells whether a line may be written, and how many were left out before it.
-func (r *repeats) take(words string, now time.Time) (dropped int64, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.rate <= 0 || words == RequestLine || words == CountersLine {
-		return 0, true
-	}
-	b := r.by[words]
-	if b == nil {
-		if len(r.by) >= maxWords {
-			clear(r.by)
-		}
-		b = &bucket{left: max(r.rate, 1), at: now}
-		r.by[words] = b
-	}
-	b.left = min(b.left+r.rate*now.Sub(b.at).Seconds(), max(r.rate, 1))
-	b.at = now
-	if b.left < 1 {
-		b.dropped++
-		return 0, false
-	}
-	b.left--
-	dropped, b.dropped = b.dropped, 0
-	return dropped, true
-}
-
-// pending is how many lines were left out and not told yet.
-func (r *repeats) pending() (n int64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, b := range r.by {
-		n += b.dropped
-	}
-	return n
-}
--- /dev/null
+++ b/internal/proxy/logging/requestlog.go
@@ -0,0 +1,56 @@
+package logging
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"time"
+
+	"golang.org/x/time/rate"
+)
+
+// The messages of records that the limit on repeats passes over: those of requests, which have a limit of
+// their own, and the counters, each of which is asked for.
+const (
+	RequestMessage  = "request"
+	CountersMessage = "counters"
+)
+
+// RequestLog writes one record for each of a sample of requests. A nil one is off and costs a comparison.
+type RequestLog struct {
+	log    *slog.Logger
+	sample float64
+	limit  *rate.Limiter
+}
+
+// NewRequestLog returns a log of the fraction sample of all requests, with at most perSecond records a
+// second; 0 is no limit.
+func NewRequestLog(log *slog.Logger, sample, perSecond float64) *RequestLog {
+	r := &RequestLog{log: log, sample: sample, limit: rate.NewLimiter(rate.Inf, 0)}
+	if perSecond > 0 {
+		r.limit = rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
+	}
+	return r
+}
+
+// RequestEntry is what became of one request.
+type RequestEntry struct {
+	Request, Class, Tenant, Server string
+	Attempts                       int
+	Outcome                        string
+	Status                         int
+	Took                           time.Duration
+}
+
+// Allow decides by chance and by the rate whether the next request is logged.
+func (r *RequestLog) Allow() bool {
+	return r != nil && (r.sample >= 1 || rand.Float64() < r.sample) && r.limit.Allow()
+}
+
+// Write logs one request that Allow chose.
+func (r *RequestLog) Write(entry RequestEntry) {
+	r.log.LogAttrs(context.Background(), slog.LevelInfo, RequestMessage,
+		slog.String(Request, entry.Request), slog.String(Class, entry.Class), slog.String(Tenant, entry.Tenant),
+		slog.String(Server, entry.Server), slog.Int(Attempt, entry.Attempts), slog.String(Outcome, entry.Outcome),
+		slog.Int(Status, entry.Status), slog.Duration(Took, entry.Took))
+}
--- /dev/null
+++ b/internal/router/scheduler/prefix_index.go
@@ -0,0 +1,105 @@
+package scheduler
+
+const maxPrefixEntries = 8192 // pairs of a server and a prefix that a proxy remembers
+
+// prefixKey says that a server holds a prefix.
+type prefixKey struct{ server, prefix uint64 } // hashes
+
+type prefixEntry struct {
+	prefixKey
+	newer, older int32 // indexes of entries
+}
+
+// prefixIndex remembers which servers hold which prefixes, the most recently used ones. Its entries form a
+// doubly linked list from the newest to the oldest, in a ring around entry 0, which holds no prefix.
+type prefixIndex struct {
+	index   map[prefixKey]int32
+	entries []prefixEntry
+	limit   int
+}
+
+func newPrefixIndex(limit int) *prefixIndex {
+	return &prefixIndex{index: map[prefixKey]int32{}, entries: make([]prefixEntry, 1), limit: limit}
+}
+
+// cachedTokens returns how many tokens of a prompt a server is known to hold.
+func (x *prefixIndex) cachedTokens(server uint64, chain *prefixChain) int {
+	for i := chain.length - 1; i >= 0; i-- {
+		if _, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
+			return chain.cumulativeTokens[i]
+		}
+	}
+	return 0
+}
+
+// record remembers that a server holds a prompt from now on, and returns how many of its segments it was
+// known to hold before.
+func (x *prefixIndex) record(server uint64, chain *prefixChain) (cachedBefore int) {
+	for i := range chain.length {
+		key := prefixKey{server, chain.hashes[i]}
+		if _, ok := x.index[key]; ok {
+			cachedBefore = i + 1
+		}
+		x.touch(key)
+	}
+	return cachedBefore
+}
+
+// drop forgets that a server holds a prompt, but for as many segments as it held before.
+func (x *prefixIndex) drop(server uint64, chain *prefixChain, cachedBefore int) {
+	for i := cachedBefore; i < chain.length; i++ {
+		if at, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
+			x.remove(at)
+		}
+	}
+}
+
+// newest returns the most recently used entries, at most limit.
+func (x *prefixIndex) newest(limit int) []prefixKey {
+	var keys []prefixKey
+	for at := x.entries[0].older; at != 0 && len(keys) < limit; at = x.entries[at].older {
+		keys = append(keys, x.entries[at].prefixKey)
+	}
+	return keys
+}
+
+// touch makes an entry the newest. A new one replaces the oldest where the index is full.
+func (x *prefixIndex) touch(key prefixKey) {
+	at, ok := x.index[key]
+	switch {
+	case ok:
+		x.unlink(at)
+	case len(x.entries) <= x.limit:
+		at = int32(len(x.entries))
+		x.entries = append(x.entries, prefixEntry{})
+	default:
+		at = x.entries[0].newer // of the ring's entry 0: the oldest
+		x.unlink(at)
+		delete(x.index, x.entries[at].prefixKey)
+	}
+	x.entries[at].prefixKey = key
+	x.index[key] = at
+	x.link(0, at, x.entries[0].older)
+}
+
+// remove empties an entry and makes it the oldest, so that it is reused next.
+func (x *prefixIndex) remove(at int32) {
+	entry := &x.entries[at]
+	delete(x.index, entry.prefixKey)
+	x.unlink(at)
+	entry.prefixKey = prefixKey{}
+	x.link(x.entries[0].newer, at, 0)
+}
+
+// link inserts an entry between two neighbours.
+func (x *prefixIndex) link(newer, at, older int32) {
+	x.entries[at].newer, x.entries[at].older = newer, older
+	x.entries[newer].older = at
+	x.entries[older].newer = at
+}
+
+func (x *prefixIndex) unlink(at int32) {
+	entry := &x.entries[at]
+	x.entries[entry.newer].older = entry.older
+	x.entries[entry.older].newer = entry.newer
+}
--- /dev/null
+++ b/internal/router/scheduler/scheduler_test.go
@@ -0,0 +1,113 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"cresshub/internal/router/catalog"
+
+	qt "github.com/frankban/quicktest"
+)
+
+func TestSplitRequestPrefillsAtOneServerAndDecodesAtAnother(t *testing.T) {
+	c := qt.New(t)
+	scheduler := warmUp(modelScheduler(1, 3, 3), 10*second)
+	r := promptRequest("a", 1)
+	c.Assert(scheduler.Split(10*second, r), qt.IsTrue)
+	read := scheduler.Choose(10*second, r, Prefill, nil)
+	c.Assert(read.Server.Role, qt.Equals, catalog.Prefill)
+	write := scheduler.Choose(10*second, r, Decode, read.Server)
+	c.Assert(write.Server.Role, qt.Equals, catalog.Decode)
+}
+
+// prefillDuration is what a prefill server of these tests takes.
+func prefillDuration(tokens int) time.Duration {
+	return 15*time.Millisecond + time.Duration(tokens)*time.Millisecond/40
+}
+
+func TestPromptsStayWithTheirPrefillServer(t *testing.T) {
+	c := qt.New(t)
+	cached := map[string]bool{}
+	proxies := []*Scheduler{warmUp(modelScheduler(1, 7, 11), 10*second), warmUp(modelScheduler(2, 7, 11),
+		10*second)}
+	now := 10 * second
+	for thing := range 30 {
+		seen := map[string]int{}
+		for own := range 6 {
+			scheduler := proxies[own%2]
+			r := promptRequest(fmt.Sprint("thing", thing), own)
+			call := scheduler.Choose(now, r, Prefill, nil)
+			seen[call.Server.ID]++
+			tokens, key := 2000, fmt.Sprint(call.Server.ID, thing)
+			if !cached[key] {
+				cached[key], tokens = true, 14000
+			}
+			now += prefillDuration(tokens)
+			scheduler.FirstEvent(now, call)
+			scheduler.ObserveLoad(now, call.Server.ID, Load{Slots: 32})
+			scheduler.Done(now, call, Served)
+			now += 300 * time.Millisecond
+		}
+		c.Check(seen, qt.HasLen, 1, qt.Commentf("thing %d", thing))
+	}
+}
+
+func TestNoServerOnlyWhereAllAreExcluded(t *testing.T) {
+	c := qt.New(t)
+	scheduler := modelScheduler(1, 1, 2)
+	r := promptRequest("a", 1)
+	for _, id := range []string{"w0", "w1"} {
+		for range 3 {
+			call := scheduler.Choose(second, &Request{Service: r.Service, Excluded: other(id)}, Decode, nil)
+			c.Assert(call.Server.ID, qt.Equals, id)
+			scheduler.Done(second, call, Unreachable)
+		}
+	}
+	c.Assert(scheduler.Choose(second, r, Decode, nil), qt.IsNotNil)
+	r.Excluded = []string{"w0", "w1"}
+	c.Assert(scheduler.Choose(second, r, Decode, nil), qt.IsNil)
+}
+
+func other(id string) []string {
+	if id == "w0" {
+		return []string{"w1"}
+	}
+	return []string{"w0"}
+}
+
+func TestNoSplitAfterTheLastPrefillServerIsLost(t *testing.T) {
+	c := qt.New(t)
+	scheduler := modelScheduler(1, 1, 2)
+	r := promptRequest("a", 1)
+	call := scheduler.Choose(second, r, Prefill, nil)
+	scheduler.Done(second, call, Unreachable)
+	c.Assert(scheduler.Split(second, r), qt.IsFalse)
+	c.Assert(scheduler.Choose(second, r, Serve, nil).Server.Role, qt.Equals, catalog.Decode)
+	scheduler.Update(2*second, catalog.NewTable(2, modelServers(0, 2)))
+	c.Assert(scheduler.Split(4*second, r), qt.IsFalse)
+}
+
+func benchmark(b *testing.B, prefillServers, decodeServers int) {
+	b.Helper()
+	scheduler := warmUp(modelScheduler(1, prefillServers, decodeServers), 10*second)
+	requests := make([]*Request, 200)
+	for i := range requests {
+		requests[i] = promptRequest(fmt.Sprint("thing", i%50), i)
+	}
+	now := 10 * second
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		now += time.Millisecond
+		r := requests[i%len(requests)]
+		scheduler.Split(now, r)
+		read := scheduler.Choose(now, r, Prefill, nil)
+		write := scheduler.Choose(now, r, Decode, read.Server)
+		scheduler.Done(now, read, Served)
+		scheduler.FirstEvent(now, write)
+		scheduler.Done(now, write, Served)
+	}
+}
+
+func BenchmarkSplitRequest18(b *testing.B)  { benchmark(b, 7, 11) }
+func BenchmarkSplitRequest140(b *testing.B) { benchmark(b, 56, 84) }
--- a/internal/simulation/agentsim/race_test.go
+++ b/internal/simulation/agentsim/race_test.go
@@ -15,7 +15,7 @@
 
 // TestOperatorsRace has two operators send different changes under the same versions, each to several
 // machines at once, while answers get lost and members come and go: exactly one change per version is taken,
-// all of its senders are told 200, also when it is sent again after later ones, and the other is refused.
+// all of its senders get 200, also when it is sent again after later ones, and the other is rejected.
 func TestOperatorsRace(t *testing.T) {
 	for seed := range int64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -26,19 +26,20 @@
 }
 
 const (
-	raceRounds   = 12
-	copiesAtOnce = 3 // machines that a change is sent to at the same time
-	answersLost  = 0.3
+	raceRounds      = 12
+	parallelSenders = 3 // machines that a change is sent to at the same time
+	answerLoss      = 0.3
 )
 
 func runRace(t *testing.T, seed int64) {
+	t.Helper()
 	f := New(t, Options{Disks: 3, Others: 7, Servers: 3, Seed: seed})
 	history := &History{}
 	operators := []*Operator{f.AddOperator(history), f.AddOperator(history)}
-	trouble := make(chan struct{})
-	var troubles sync.WaitGroup
+	stop := make(chan struct{})
+	var partitions sync.WaitGroup
 	if seed%2 == 1 {
-		troubles.Go(func() { cutInTurn(f, trouble) })
+		partitions.Go(func() { partitionInTurn(f, stop) })
 	}
 	base := int64(0)
 	var taken []Change
@@ -48,13 +49,13 @@
 		taken = append(taken, winner)
 		base = version
 		again := taken[f.Random.Intn(len(taken))]
-		status := operators[round%2].PutUntil(f.Machines, again, 8*time.Second, answersLost)
+		status := operators[round%2].PutUntil(f.Machines, again, 8*time.Second, answerLoss)
 		qt.Check(t, status, qt.Equals, 200, qt.Commentf("%+v sent again", again))
 	}
-	close(trouble)
-	troubles.Wait()
+	close(stop)
+	partitions.Wait()
 	f.Heal()
-	f.Await("all agree", agreeTime, f.Whole)
+	f.Await("all agree", agreeTime, f.Converged)
 	for _, m := range f.Machines {
 		version, status := operators[0].Get(m)
 		qt.Check(t, status, qt.Equals, 200)
@@ -66,15 +67,16 @@
 // race has each operator send its change to several machines at once until each copy has a clear answer, and
 // returns the one that was taken.
 func race(t *testing.T, f *Fleet, operators []*Operator, base, version int64) Change {
+	t.Helper()
 	outcomes := make([][]int, len(operators))
 	changes := make([]Change, len(operators))
 	var sending sync.WaitGroup
 	var mu sync.Mutex
 	for i, operator := range operators {
 		changes[i] = Change{base, version, 1 + int64(i)}
-		for range copiesAtOnce {
+		for range parallelSenders {
 			sending.Go(func() {
-				status := operator.PutUntil(f.Machines, changes[i], 12*time.Second, answersLost)
+				status := operator.PutUntil(f.Machines, changes[i], 12*time.Second, answerLoss)
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[i] = append(outcomes[i], status)
@@ -94,13 +96,13 @@
 	return Change{}
 }
 
-// cutInTurn cuts one member after the other off for some seconds each.
-func cutInTurn(f *Fleet, stop <-chan struct{}) {
+// partitionInTurn isolates one member after the other for some seconds each.
+func partitionInTurn(f *Fleet, stop <-chan struct{}) {
 	pause := func(long time.Duration) bool {
 		select {
 		case <-stop:
 			return false
-		case <-f.over:
+		case <-f.done:
 			return false
 		case <-time.After(long):
 			return true
@@ -108,7 +110,7 @@
 	}
 	for turn := 0; ; turn++ {
 		m := f.Machines[turn%3]
-		f.Cut(IPs(m), IPs(f.Except(m)...), simnet.Silent)
+		f.Partition(IPs(m), IPs(f.Except(m)...), simnet.Blackhole)
 		if !pause(3 * time.Second) {
 			return
 		}
--- a/internal/simulation/labcli/tools.go
+++ b/internal/simulation/labcli/tools.go
@@ -94,7 +94,7 @@
 }
 
 func newTrace() *cobra.Command {
-	var o choice
+	var o playFlags
 	var request int
 	c := &cobra.Command{
 		Use: "trace FILE", Short: "Tell one request's life",
@@ -106,7 +106,7 @@
 				return err
 			}
 			if request < 1 {
-				return cli.Wrong("--request %d is out of range, they count from 1", request)
+				return cli.UsageErrorf("--request %d is out of range, they count from 1", request)
 			}
 			d, err := experiment.Play(h.Scenario, h.Set, experiment.Job{Policy: h.Policies[0], Seed: h.Seed, K: h.K,
 				Lambda: h.Lambda},
@@ -114,10 +114,10 @@
 			if err != nil {
 				return err
 			}
-			if len(d.Result.Life) == 0 {
+			if len(d.Result.Trace) == 0 {
 				return fmt.Errorf("there is no request %d on that day", request)
 			}
-			_, err = fmt.Fprintln(c.OutOrStdout(), strings.Join(d.Result.Life, "\n"))
+			_, err = fmt.Fprintln(c.OutOrStdout(), strings.Join(d.Result.Trace, "\n"))
 			return err
 		},
 	}
@@ -146,7 +146,7 @@
 			}
 			for _, r := range rows {
 				if !r.Holds {
-					return fmt.Errorf("%s: found %.4g, expected %.4g", r.Name, r.Found, r.Expected)
+					return fmt.Errorf("%s: found %.4g, expected %.4g", r.Name, r.Measured, r.Expected)
 				}
 			}
 			return nil
@@ -171,20 +171,20 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			host, _, err := net.SplitHostPort(args[0])
 			if err != nil {
-				return cli.Wrong("%q is no address; one is written 127.0.0.1:8080", args[0])
+				return cli.UsageErrorf("%q is no address; one is written 127.0.0.1:8080", args[0])
 			}
 			if ip := net.ParseIP(host); !anywhere && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-				return cli.Wrong("%s is not on this machine; --anywhere allows it", host)
+				return cli.UsageErrorf("%s is not on this machine; --anywhere allows it", host)
 			}
 			if !(o.Rate > 0 && o.Rate <= 20000) || lasting <= 0 || lasting > time.Hour || unsafe < 0 || unsafe > 1 {
-				return cli.Wrong("--rate above 0 to 20000, --for above 0 to 1h and --unsafe 0 to 1 are allowed")
+				return cli.UsageErrorf("--rate above 0 to 20000, --for above 0 to 1h and --unsafe 0 to 1 are allowed")
 			}
 			o.Address = args[0]
 			o.Classes = []proxystandin.LoadClass{
-				{Name: "zone-lookup", Share: 1 - unsafe, Aim: 600 * time.Millisecond,
-					Deadline: 1500 * time.Millisecond, Worth: 2},
-				{Name: "rider-assign", Share: unsafe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
-					Worth: 8, Unsafe: true},
+				{Name: "zone-lookup", Fraction: 1 - unsafe, LatencyTarget: 600 * time.Millisecond,
+					Deadline: 1500 * time.Millisecond, Value: 2},
+				{Name: "rider-assign", Fraction: unsafe, LatencyTarget: 500 * time.Millisecond, Deadline: 2 * time.Second,
+					Value: 8, Unsafe: true},
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -194,11 +194,11 @@
 			l.Run(ctx)
 			t := l.Tally().Totals()
 			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-			out := map[string]any{"offered": t.Offered, "served": t.By[proxystandin.Served],
+			out := map[string]any{"offered": t.Offered, "served": t.ByKind[proxystandin.Served],
 				"served_in_time": t.InTime,
-				"refused":        t.By[proxystandin.Refused], "failed": t.By[proxystandin.Failed],
-				"no_answer":   t.By[proxystandin.NoAnswer],
-				"unreachable": t.By[proxystandin.Unreachable], "not_sent": t.By[proxystandin.NotSent],
+				"refused":        t.ByKind[proxystandin.Refused], "failed": t.ByKind[proxystandin.Failed],
+				"no_answer":   t.ByKind[proxystandin.NoAnswer],
+				"unreachable": t.ByKind[proxystandin.Unreachable], "not_sent": t.ByKind[proxystandin.NotSent],
 				"p50_ms": ms(t.P50),
 				"p99_ms": ms(t.P99), "max_ms": ms(t.Max), "load_lag_ms": ms(t.Lag)}
 			if asJSON {
@@ -206,8 +206,8 @@
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(),
 				"offered %d, served %d (%d in time), refused %d, failed %d, no answer %d, p50 %s, p99 %s\n", t.Offered,
-				t.By[proxystandin.Served], t.InTime, t.By[proxystandin.Refused], t.By[proxystandin.Failed],
-				t.By[proxystandin.NoAnswer],
+				t.ByKind[proxystandin.Served], t.InTime, t.ByKind[proxystandin.Refused], t.ByKind[proxystandin.Failed],
+				t.ByKind[proxystandin.NoAnswer],
 				t.P50, t.P99)
 			return err
 		},
@@ -218,9 +218,9 @@
 	f.Float64Var(&unsafe, "unsafe", 0.4, "part of rider-assign")
 	f.StringSliceVar(&o.Tenants, "tenant", nil, "tenants, in equal parts")
 	f.IntVar(&o.Keys, "keys", 300, "distinct keys")
-	f.IntVar(&o.Open, "connections", 1000, "open at once")
+	f.IntVar(&o.MaxConnections, "connections", 1000, "open at once")
 	f.Uint64Var(&o.Seed, "seed", 1, "of arrivals and keys")
-	f.StringVar(&o.IDs, "ids", "load", "what request ids begin with")
+	f.StringVar(&o.IDPrefix, "ids", "load", "what request ids begin with")
 	f.BoolVar(&anywhere, "anywhere", false, "allow an address that is not on this machine")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
 	return c
