--- a/internal/cluster/groupstate/snapshot.go
+++ b/internal/cluster/groupstate/snapshot.go
@@ -62,7 +62,7 @@
 		return fmt.Errorf("a snapshot that does not decode: %w", err)
 	}
 	if s.Format != snapshotFormat {
-		return fmt.Errorf("a snapshot of the chores of format %d; this program reads %d", s.Format, snapshotFormat)
+		return fmt.Errorf("a snapshot of the group of format %d; this program reads %d", s.Format, snapshotFormat)
 	}
 	if err := m.Ledger.Restore(s.Ledger); err != nil {
 		return err
