--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -70,7 +70,7 @@
 // updateFeed sets where the list comes from now: for the lease holder from discovery under its token, for
 // others from the store while the list there is fresh, else from discovery without a token.
 func (s *EndpointSync) updateFeed() {
-	token, _, owns := s.runner.ActiveLease()
+	token, _, owns := s.runner.activeLease()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	feed := Feed{Token: token}
@@ -101,7 +101,7 @@
 		case <-tick.C:
 		}
 		s.updateFeed()
-		token, _, owns := s.runner.ActiveLease()
+		token, _, owns := s.runner.activeLease()
 		if owns && time.Since(s.Source.LastSeen()) <= s.WatchTimeout {
 			s.recordRun(s.publish(token))
 		}
@@ -180,7 +180,7 @@
 	if view.Version == 0 {
 		return
 	}
-	_, _, owns := s.runner.ActiveLease()
+	_, _, owns := s.runner.activeLease()
 	localIndex := s.Source.Index()
 	s.mu.Lock()
 	accepted := s.follower.Observe(s.runner.now(), view, localIndex)
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -61,7 +61,7 @@
 			return
 		case <-time.After(delay):
 		}
-		token, _, ok := e.runner.ActiveLease()
+		token, _, ok := e.runner.activeLease()
 		if !ok {
 			delay = interval
 			continue
--- a/internal/cluster/leaseholder/runner.go
+++ b/internal/cluster/leaseholder/runner.go
@@ -255,9 +255,9 @@
 	}
 }
 
-// ActiveLease returns the token of the lease that this member holds and how long the lease lasts; false if it
+// activeLease returns the token of the lease that this member holds and how long the lease lasts; false if it
 // holds none.
-func (r *Runner) ActiveLease() (token uint64, remaining time.Duration, ok bool) {
+func (r *Runner) activeLease() (token uint64, remaining time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -269,7 +269,7 @@
 
 // checkLease returns how long the lease with that token lasts, ErrNotOwner if this member doesn't hold it.
 func (r *Runner) checkLease(token uint64) (remaining time.Duration, err error) {
-	current, remaining, ok := r.ActiveLease()
+	current, remaining, ok := r.activeLease()
 	if !ok || current != token {
 		return 0, ErrNotOwner
 	}
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -63,11 +63,11 @@
 // and its commands are rejected as stale.
 func TestPartitionedOwnerStopsByItself(t *testing.T) {
 	sink, s, a := startExport(t)
-	old, _, _ := a.ActiveLease()
+	old, _, _ := a.activeLease()
 	b := startRunner(t, s, "b", sink.Address(), nil)
 	s.setPartitioned(true, "a")
 	eventually(t, "b owns", ownsLease(b))
-	if _, _, ok := a.ActiveLease(); ok {
+	if _, _, ok := a.activeLease(); ok {
 		t.Error("two own the lease")
 	}
 	s.addPeriod(1)
