--- a/internal/testbed/routerstandin/registration_test.go
+++ b/internal/testbed/routerstandin/server_heartbeat_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"slices"
 	"testing"
 	"time"
 
@@ -88,64 +87,3 @@
 	w.Assert(heartbeats(w.lookup) <= limit, qt.IsTrue)
 	w.Assert(w.control.got("DELETE"), qt.HasLen, 0)
 }
-
-func TestOperatorRetriesUntilAFinalAnswer(t *testing.T) {
-	w := newWorld(t)
-	calls := 0
-	w.control.set(func(call *controlserver.Call) *http1.Response {
-		if call.Path != configPath {
-			return controlserver.JSON(200, []byte("{}"))
-		}
-		if calls++; calls < 3 {
-			return controlserver.Text(503, "not now")
-		}
-		return controlserver.JSON(200, []byte("{}"))
-	})
-	w.Assert(w.operator.Put(w.bounded(), testDocument(4)), qt.IsNil)
-	w.Assert(calls, qt.Equals, 3)
-	puts := w.control.got("PUT /api/config")
-	w.Assert(puts[len(puts)-1].Header.Get("If-Match"), qt.Equals, "1")
-	w.Assert(w.operator.Current().Version, qt.Equals, int64(4))
-}
-
-func TestOperatorTakesARejectionAsFinal(t *testing.T) {
-	w := newWorld(t)
-	w.control.set(func(call *controlserver.Call) *http1.Response {
-		if call.Path != configPath {
-			return controlserver.JSON(200, []byte("{}"))
-		}
-		return controlserver.Text(412, "edition 9 is current")
-	})
-	err := w.operator.Put(w.bounded(), testDocument(4))
-	w.Assert(err, qt.ErrorMatches, `edition 4 was refused with 412 \(edition 9 is current\); .*`)
-	w.Assert(w.operator.Current().Version, qt.Equals, int64(1))
-}
-
-// The platform leaves a proxy out after two misses, and uses all of a zone where fewer than half are ready.
-func TestEntryChoosesAmongReadyProxies(t *testing.T) {
-	c := qt.New(t)
-	proxies := []Proxy{{"a", "a1", "a1"}, {"a", "a2", "a2"}, {"a", "a3", "a3"}, {"b", "b1", "b1"}}
-	for _, each := range []struct {
-		ready  []string
-		zone   string
-		expect []string
-	}{
-		{[]string{"a1", "a2", "b1"}, "a", []string{"a1", "a2"}},
-		{[]string{"a1", "b1"}, "a", []string{"a1", "a2", "a3"}},
-		{[]string{"b1"}, "a", []string{"b1"}},
-		{nil, "b", []string{"b1"}},
-	} {
-		entry := NewEntry(proxies)
-		for _, ready := range each.ready {
-			entry.misses[ready] = maxMisses - 1
-		}
-		var got []string
-		for attempt := range 4 {
-			if front := entry.Choose(each.zone, 7, attempt).Front; !slices.Contains(got, front) {
-				got = append(got, front)
-			}
-		}
-		slices.Sort(got)
-		c.Check(got, qt.DeepEquals, each.expect, qt.Commentf("%+v", each))
-	}
-}
--- a/internal/testbed/routertrial/settings.go
+++ b/internal/testbed/routertrial/settings.go
@@ -22,7 +22,8 @@
 	Rollback: 250 * time.Millisecond, Recovery: 6 * time.Second,
 }
 
-// settingsFile is the settings file of a machine.
+// settingsFile returns the settings file of a machine as the platform writes it. It repeats the names of the
+// operators' pages on purpose instead of encoding the types of agentsettings.
 func (m *Machine) settingsFile(firstStart bool) ([]byte, error) {
 	f := m.fleet
 	districts := map[string]string{}
