--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -69,7 +69,7 @@
 	return f
 }
 
-// logEnd logs the call beside what the scheduler expected of it; package latereport reads these lines.
+// logEnd logs the call together with what the scheduler expected of it; package latereport reads these lines.
 func (c *call) logEnd(outcome scheduler.Outcome) {
 	event := c.roundTrip.proxy.log.Debug()
 	if !event.Enabled() {
@@ -116,8 +116,9 @@
 	return head, body, f
 }
 
-// awaitResponse waits for the first byte of the response without buffers. What ends the wait is met again by
-// reading; from then on reads go on after their deadline as extendReadDeadline says.
+// awaitResponse waits for the first byte of the response without buffers. An error that ends the wait is
+// returned again by the next read. From then on extendReadDeadline decides whether reads go on after their
+// deadline.
 func (c *call) awaitResponse() {
 	c.conn.returnEmptyBuffers()
 	for c.conn.awaitReadable() == notReadable && c.extendReadDeadline() {
@@ -192,21 +193,24 @@
 		usual := rt.proxy.prefillTimes.expected(rt.request.service.Name)
 		return c.started.Add(prefillTimeout(max(usual, c.choice.UncachedPrefill()), rt.timeLeft()))
 	}
-	if !rt.mayRetry() {
+	if !rt.couldRetry() {
 		return rt.request.deadline
 	}
 	return c.started.Add(responseTimeout(rt.request.route.LatencyTarget, expected,
 		rt.request.deadline.Sub(c.started)))
 }
 
-// extendReadDeadline reports whether a server that has timed out is waited for all the same, until it is
-// asked again or until the request's deadline: nobody else could go on, as the retries have been used up
-// meanwhile or there is no other server.
+// extendReadDeadline reports whether to go on waiting for a server that has timed out, because no retry could
+// replace it: none is left, or there is no other server. It then sets a later deadline, at which it is called
+// again, up to the response's deadline.
 func (c *call) extendReadDeadline() bool {
 	rt := c.roundTrip
 	deadline := rt.responseDeadline()
 	expired := rt.stopReason() != notStopped || !time.Now().Before(deadline)
-	if expired || c.role == scheduler.Prefill || rt.mayRetry() && rt.relay.mayContinue() && c.hasAlternative() {
+	if expired || c.role == scheduler.Prefill {
+		return false
+	}
+	if rt.couldRetry() && rt.relay.canSwitchServer() && c.hasAlternative() {
 		return false
 	}
 	next := time.Now().Add(streamTimeout(rt.request.route.GapTarget))
@@ -214,9 +218,9 @@
 	return true
 }
 
-// hasAlternative reports whether another server could go on in this one's place. A client that has a part
-// of a stream would lose the rest if all others reject it, so one of them has to have a free slot; for a
-// response that has not begun they may as well be asked.
+// hasAlternative reports whether another server could replace this one. A client that has a part of a stream
+// would lose the rest if all other servers rejected the request, so one of them must have a free slot. Before
+// the response has begun, the existence of another server is enough.
 func (c *call) hasAlternative() bool {
 	rt := c.roundTrip
 	exists, free := rt.proxy.chooser.alternative(&rt.request.scheduling, c.choice.Server.ID)
@@ -226,7 +230,7 @@
 // bufferDeadline is when a response counts as broken that has begun and is not buffered completely.
 func (c *call) bufferDeadline() time.Time {
 	rt := c.roundTrip
-	if !rt.mayRetry() {
+	if !rt.couldRetry() {
 		return rt.request.deadline
 	}
 	return earlier(rt.request.deadline, time.Now().Add(responseTimeout(rt.request.route.LatencyTarget, 0,
--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -56,7 +56,7 @@
 		inner:           scheduler.New(zone, rand.Uint64())}
 }
 
-// lock takes the lock and gives the chooser a newer table where there is one.
+// lock takes the lock and updates the chooser if there is a newer table of servers.
 func (lc *lockedChooser) lock() (now time.Duration, unlock func()) {
 	lc.mu.Lock()
 	now = lc.now()
--- a/internal/router/dataplane/classify.go
+++ b/internal/router/dataplane/classify.go
@@ -5,31 +5,6 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// fate is what is known of whether a call's request has run.
-type fate int
-
-// The fates, the worst last.
-const (
-	notSent    fate = iota // no byte left this process
-	notRun                 // the server says that it did not run it
-	mayHaveRun             // bytes were sent, and nothing says that it did not run
-)
-
-// mayRepeat reports whether the request may be sent again after a call that ended so.
-func mayRepeat(idempotent bool, worst fate) bool { return idempotent || worst != mayHaveRun }
-
-// finalStatus is the status of the proxy's own response where nothing more is tried. 503 promises that the
-// request has not run and never will; 502 and 504 promise nothing.
-func finalStatus(worst fate, late bool) int {
-	switch {
-	case worst != mayHaveRun:
-		return 503
-	case late:
-		return 504
-	}
-	return 502
-}
-
 // responseClass is what is done with a server's response.
 type responseClass int
 
--- a/internal/router/dataplane/classify_test.go
+++ b/internal/router/dataplane/classify_test.go
@@ -52,7 +52,7 @@
 		{false, notRun, true, 503, 503},
 		{false, mayHaveRun, false, 502, 504},
 	} {
-		c.Assert(mayRepeat(test.idempotent, test.worst), qt.Equals, test.repeat)
+		c.Assert(retryIsSafe(test.idempotent, test.worst), qt.Equals, test.repeat)
 		c.Assert(finalStatus(test.worst, false), qt.Equals, test.status)
 		c.Assert(finalStatus(test.worst, true), qt.Equals, test.late)
 	}
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -19,8 +19,8 @@
 	lingerBytes = 256 << 10
 	// localReplyWriteTime is how long a client may take to read a response that belongs to no request.
 	localReplyWriteTime = time.Second
-	// writeGrace is how long it may take beyond its request's deadline: the operators want nothing held a
-	// quarter of a second past the route's timeout.
+	// writeGrace is how long it may take beyond its request's deadline: the operators require that nothing is
+	// left open a quarter of a second past the route's timeout.
 	writeGrace = 200 * time.Millisecond
 	// minWriteTime is how long it may take in any case, as this process may be late itself: not scheduled,
 	// or frozen.
@@ -56,8 +56,8 @@
 	c.socket.returnBuffers()
 }
 
-// recoverPanic keeps a fault of the program that one request brings out from ending all others. A violated
-// invariant panics in tests only, and is to end them.
+// recoverPanic confines a panic to the connection whose request caused it. A violated invariant panics in
+// tests only, where it has to end the test.
 func (c *client) recoverPanic() {
 	if cause := recover(); cause != nil {
 		if violation, ok := cause.(*invariant.ViolationError); ok {
@@ -68,7 +68,7 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. It returns false where the connection is over.
+// awaitRequest waits for the first byte of a request. It returns false if the connection has ended.
 func (c *client) awaitRequest() bool {
 	if c.socket.hasBufferedInput() {
 		return true
@@ -128,7 +128,7 @@
 	c.hadRequest = true
 	c.proxy.counters.requests.Add(1)
 	c.socket.returnEmptyBuffers()
-	return c.handle(request)
+	return c.answer(request)
 }
 
 func (c *client) releaseBody() {
@@ -145,7 +145,7 @@
 }
 
 // handle answers a request that was read completely. It reports whether the connection goes on.
-func (c *client) handle(q *request) bool {
+func (c *client) answer(q *request) bool {
 	c.socket.SetWriteDeadline(q.writeDeadline())
 	switch {
 	case c.proxy.rejectsInDrain():
@@ -170,9 +170,8 @@
 	c.roundTrip = rt
 }
 
-// setWriteDeadline gives the client the time to read a response that is written at once; q is nil where no
-// request could be read. A late response may still arrive, and a deadline that has passed would keep it
-// from being written.
+// setWriteDeadline sets how long the client may take to read a response that is written at once; q is nil if
+// no request could be read. The deadline is never in the past, so that a late response can still be sent.
 func (c *client) setWriteDeadline(q *request) {
 	now := time.Now()
 	deadline := now.Add(localReplyWriteTime)
@@ -188,7 +187,7 @@
 // closesAfter reports whether the connection ends with the response to a request.
 func (c *client) closesAfter(q *request) bool { return c.proxy.draining.Load() || q == nil || q.Close }
 
-// addKeepAlive tells the client how long its connection stays open: a little less than it does.
+// addKeepAlive announces to the client how long its connection stays open, one second less than it does.
 func (c *client) addKeepAlive(response *http1.Response) {
 	keepAliveSeconds := int(c.proxy.limits().IdleTimeout/time.Second) - 1
 	if response.Close || keepAliveSeconds <= 0 {
--- a/internal/router/dataplane/disconnect.go
+++ b/internal/router/dataplane/disconnect.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollInterval is how often a client is polled whose next bytes have arrived already: no read tells then
-// that it has disconnected.
+// pollInterval is how often a client is polled whose next request has arrived already: a read would return
+// those bytes before it reports the disconnect.
 const pollInterval = 100 * time.Millisecond
 
 // disconnectWatcher notices that a client disconnects while its request is in flight.
--- a/internal/router/dataplane/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -5,7 +5,32 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// callFailure says how a call ended that did not bring the complete response.
+// fate is what is known of whether a call's request has run.
+type fate int
+
+// The fates, the worst last.
+const (
+	notSent    fate = iota // no byte left this process
+	notRun                 // the server says that it did not run it
+	mayHaveRun             // bytes were sent, and nothing says that it did not run
+)
+
+// retryIsSafe reports whether the request may be sent again after a call that ended so.
+func retryIsSafe(idempotent bool, worst fate) bool { return idempotent || worst != mayHaveRun }
+
+// finalStatus is the status of the proxy's own response where nothing more is tried. 503 promises that the
+// request has not run and never will; 502 and 504 promise nothing.
+func finalStatus(worst fate, late bool) int {
+	switch {
+	case worst != mayHaveRun:
+		return 503
+	case late:
+		return 504
+	}
+	return 502
+}
+
+// callFailure describes a call that did not bring the complete response.
 type callFailure struct {
 	outcome  scheduler.Outcome
 	fate     fate
@@ -19,8 +44,8 @@
 	return f.fate == mayHaveRun || f.outcome == scheduler.HandleFailed
 }
 
-// reportReplaced reports that another incarnation may have the server's address. A model server may as well
-// have changed its role, so of those nothing is reported.
+// reportReplaced reports that another incarnation may have the server's address. Model servers are exempt:
+// one that has changed its role answers in the same way.
 func (c *call) reportReplaced() {
 	if c.roundTrip.request.service.Engine == nil {
 		c.roundTrip.proxy.state.ReportReplaced(c.choice.Server.ID)
--- a/internal/router/dataplane/headers.go
+++ b/internal/router/dataplane/headers.go
@@ -88,9 +88,9 @@
 	return scheduler.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// reservedFields are the fields that the system sets at servers; what a client sends in them is dropped. It
-// could have its prompt prefilled in place of answered, take another one's prefix cache, go before others,
-// or be rejected by every server at the cost of the retry budget.
+// reservedFields are the fields that only the proxy may set; those of a client are dropped. With them a
+// client could have its prompt prefilled instead of answered, use another client's prefix cache, raise its
+// priority, or be rejected by every server at the expense of the retry budget.
 var reservedFields = []string{deadlineHeader, expectServerHeader, stageHeader, kvFromHeader, priorityHeader,
 	expectVersionHeader}
 
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -30,7 +30,8 @@
 	tryID     string    // of the request whose prompt it names
 }
 
-// newKVHandle returns a handle that expires after a part of its lifetime; 0 is for ever.
+// newKVHandle returns a handle that is used for the first handleLifetimeUsed of its lifetime; a lifetime of 0
+// never ends.
 func newKVHandle(server *catalog.Server, id, tryID string, lifetime time.Duration) *kvHandle {
 	h := &kvHandle{server: server, id: id, tryID: tryID}
 	if lifetime > 0 {
@@ -67,7 +68,7 @@
 	return answer.Handle, !strings.ContainsFunc(answer.Handle, odd)
 }
 
-// releaseHandle has the prefix cache freed that the request does not use.
+// releaseHandle has the prefill server free the prefix cache, which the request does not use any more.
 func (rt *roundTrip) releaseHandle() {
 	if rt.handle == nil {
 		return
--- a/internal/router/dataplane/outcome.go
+++ b/internal/router/dataplane/outcome.go
@@ -8,7 +8,8 @@
 	"cresshub/internal/metrics"
 )
 
-// requestOutcome is what became of a request in the end; metrics and logs call it its ending.
+// requestOutcome is how a request ended; metrics and logs have it as "ending". docs/fleet-operating.md
+// explains the values to operators.
 type requestOutcome string
 
 // The outcomes of a request.
@@ -54,7 +55,7 @@
 	o.failureLog = log.Sample(&zerolog.BurstSampler{Burst: maxFailureLogs, Period: time.Second})
 }
 
-// observe counts the end of a request, and logs one that was not served with all its calls.
+// recordOutcome counts how a request ended, and logs one that was not served, with all its failed calls.
 func (p *Proxy) recordOutcome(rt *roundTrip, outcome requestOutcome, status int) {
 	elapsed := time.Since(rt.request.arrived)
 	p.observer.durations.Observe(elapsed)
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -34,9 +34,9 @@
 	return r
 }
 
-// mayContinue reports whether another server may be asked: for the complete response, or for the rest of a
-// stream.
-func (r *relay) mayContinue() bool {
+// canSwitchServer reports whether another server may be asked: for the complete response, or for the rest of
+// a stream.
+func (r *relay) canSwitchServer() bool {
 	return !r.started || r.request.route.Resumable && r.order.hasLast && !r.hasUnnumbered
 }
 
--- a/internal/router/dataplane/retrybudget.go
+++ b/internal/router/dataplane/retrybudget.go
@@ -10,8 +10,6 @@
 // budgetBuckets is how many buckets the retry window is counted in.
 const budgetBuckets = 20
 
-// The parts of the allowance that the proxies together use. What is left covers requests that die before they
-// are counted, proxies that count each other late, and spans that do not meet the window's edges.
 const (
 	// The fractions of the allowance that the proxies together use. What is left covers requests that are
 	// lost before they are counted, proxies that count each other late, and buckets that do not meet the
@@ -20,7 +18,7 @@
 	slackFraction = 0.6
 )
 
-// allowance is what the configuration lets the service have in retries.
+// allowance is how many retries the settings allow a service.
 type allowance struct {
 	window  time.Duration
 	ratio   float64 // retries for each request
@@ -106,8 +104,9 @@
 	return int64(now/width) + 2*budgetBuckets
 }
 
-// slackMargin is for how much longer than the window the shared slack is not used after the start. A proxy
-// that was killed may have used its share right before, and its successor does not know the others yet.
+// slackMargin is added to the window to give the time after the start in which the shared slack is not used.
+// The process before this one may have used its part of the slack just before it was killed, and this one
+// does not know the other proxies yet.
 const slackMargin = time.Second
 
 // retryBudgets holds the retry budget of each service. It is safe for concurrent use.
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -28,7 +28,7 @@
 	proxyStopping                 // the process ends, and Wait has aborted the request
 )
 
-// roundTrip takes one request to servers until one of them answers it or nothing more may be tried. It
+// roundTrip sends one request to servers until one of them answers it or no further attempt is permitted. It
 // belongs to the client's goroutine, except for stop and what mu guards.
 type roundTrip struct {
 	proxy         *Proxy
@@ -89,8 +89,7 @@
 	rt.conclude()
 }
 
-// finishInterruptedCall ends the call in flight where a panic has left it, and so returns what the call
-// reserved.
+// finishInterruptedCall ends a call that a panic interrupted, and so releases what it had reserved.
 func (rt *roundTrip) finishInterruptedCall() {
 	if c := rt.inFlight; c != nil {
 		c.mustClose = true
@@ -109,8 +108,8 @@
 
 func (rt *roundTrip) timeLeft() time.Duration { return time.Until(rt.request.deadline) }
 
-// responseDeadline is how long a server's response is waited for at most: one that has begun goes on to the
-// hard deadline, as no response of the proxy's own could take its place.
+// responseDeadline is the latest time at which a server's response may end. A response that has begun may use
+// the time up to the hard deadline, because no local reply could replace it any more.
 func (rt *roundTrip) responseDeadline() time.Time {
 	if rt.relay.started {
 		return rt.request.hardDeadline
@@ -188,7 +187,8 @@
 	return rt.inFlight
 }
 
-// payForRetry takes what the call costs from the retry budget.
+// payForRetry takes the cost of a call from the retry budget, and reports whether the budget allowed it. A
+// first attempt costs nothing.
 func (rt *roundTrip) payForRetry(role scheduler.Role) bool {
 	proxy, cost := rt.proxy, rt.attempts.retryCost(role)
 	if !proxy.budgets.take(proxy.now(), rt.request.service.Name, proxy.state.Proxies(), cost) {
@@ -199,8 +199,8 @@
 	return true
 }
 
-// mayRetry reports whether another call could follow one that is in flight now.
-func (rt *roundTrip) mayRetry() bool {
+// couldRetry reports whether another call could follow one that is in flight now.
+func (rt *roundTrip) couldRetry() bool {
 	proxy := rt.proxy
 	return rt.request.route.Idempotent() && rt.attempts.count+2 <= rt.attempts.maxAttempts &&
 		proxy.budgets.available(proxy.now(), rt.request.service.Name, proxy.state.Proxies())
@@ -222,7 +222,7 @@
 	case c.role == scheduler.Decode && f.handleConsumed():
 		rt.releaseHandle()
 	}
-	return rt.mayFollow()
+	return rt.mayCallAgain()
 }
 
 // countAttempt counts a failed call against the route's attempts, or as one to an unreachable server.
@@ -237,14 +237,14 @@
 	}
 }
 
-// mayFollow reports whether another call may follow those that have failed, and records why not.
-func (rt *roundTrip) mayFollow() bool {
+// mayCallAgain reports whether the calls that have failed permit another one, and records why not.
+func (rt *roundTrip) mayCallAgain() bool {
 	switch {
-	case !mayRepeat(rt.request.route.Idempotent(), rt.worstFate):
+	case !retryIsSafe(rt.request.route.Idempotent(), rt.worstFate):
 		rt.trace.setReason(reasonMayHaveRun)
 	case rt.unreachableServers >= maxUnreachable:
 		rt.trace.setReason(reasonUnreachable)
-	case !rt.relay.mayContinue():
+	case !rt.relay.canSwitchServer():
 		rt.trace.setReason(reasonNotResumable)
 	default:
 		return true
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -28,7 +28,7 @@
 	r.events.reset()
 	if r.started {
 		r.order.resumed = true
-		r.replaceable = c.roundTrip.mayRetry()
+		r.replaceable = c.roundTrip.couldRetry()
 		r.client.proxy.counters.resumed.Add(1)
 	}
 	buffer := streamBuffers.Get().(*[bufferSize]byte)
@@ -107,7 +107,7 @@
 	}
 	c.timeToFirstEvent = time.Since(c.started)
 	c.roundTrip.proxy.chooser.firstEvent(c.choice)
-	r.replaceable = c.roundTrip.mayRetry()
+	r.replaceable = c.roundTrip.couldRetry()
 	response := r.clientHead(head)
 	response.Streaming, response.Length = true, -1
 	var err error
@@ -155,7 +155,7 @@
 	if !r.started {
 		return c.firstByteDeadline()
 	}
-	if !r.replaceable || !r.mayContinue() { // a pause alone ends nothing
+	if !r.replaceable || !r.canSwitchServer() { // a pause alone ends nothing
 		return rt.request.hardDeadline
 	}
 	return earlier(rt.request.hardDeadline, time.Now().Add(streamTimeout(rt.request.route.GapTarget)))
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -9,18 +9,19 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// finalReason says in one word why nothing more was tried for a request; metrics and logs have it.
+// finalReason is why no further attempt was made for a request; metrics and logs have it as "reason".
+// docs/fleet-operating.md explains the values to operators.
 type finalReason string
 
 // The reasons why a request ends without the complete response of a server.
 const (
 	reasonNoCapacity   finalReason = "crowded"      // no server could begin before the request's deadline
 	reasonAttemptsUsed finalReason = "tries_used"   // the route allows no further attempt
-	reasonNoServer     finalReason = "no_server"    // none is left to be asked
-	reasonRetryBudget  finalReason = "retry_budget" // a retry is more than the service may get
-	reasonMayHaveRun   finalReason = "may_have_run" // it must not run twice
-	reasonUnreachable  finalReason = "unreachable"  // several servers could not be connected to
-	// a part was forwarded that no other server can resume
+	reasonNoServer     finalReason = "no_server"    // the scheduler has no further server for the request
+	reasonRetryBudget  finalReason = "retry_budget" // the service's retry budget is used up
+	reasonMayHaveRun   finalReason = "may_have_run" // the request must not run twice
+	reasonUnreachable  finalReason = "unreachable"  // maxUnreachable servers could not be connected to
+	// a part of a stream was forwarded that no other server can resume
 	reasonNotResumable       finalReason = "not_resumable"
 	reasonDeadline           finalReason = "deadline" // it has passed
 	reasonStopping           finalReason = "stopping" // this process ends
@@ -47,7 +48,7 @@
 	elapsed time.Duration
 }
 
-// setReason records why nothing more is tried, as far as is known; another call takes that back.
+// setReason records why no further attempt is made; starting another call resets it to "".
 func (t *roundTripTrace) setReason(reason finalReason) { t.reason = reason }
 
 // finalReason returns why a request ends.
--- a/internal/router/dataplane/upload.go
+++ b/internal/router/dataplane/upload.go
@@ -13,8 +13,8 @@
 // waits for the server's process to read.
 const largeBodySize = 32 << 10
 
-// writeRequest sends a message. While a large one waits for its server to read on, a response may arrive:
-// then what is still to be sent has little time left, and the connection ends with the response.
+// writeRequest sends a message. A response may arrive while a large one waits for its server to read: the
+// rest must then be sent within earlyResponseTime, and the connection ends with the response.
 func (c *call) writeRequest(message *http1.Request) error {
 	large := len(message.Body) >= largeBodySize
 	c.conn.setUnackedTimeout(large, c.roundTrip.timeLeft())
@@ -59,8 +59,8 @@
 	c.largeBody.Store(large)
 }
 
-// bodyLeftUnread reports whether the server's process may not have read all of a large body that it has
-// answered. Its connection is no good for another request, which would have to wait behind the rest.
+// bodyLeftUnread reports whether a server may have answered a large body without reading all of it. The
+// connection can't be reused then: the next request would wait behind the rest of the body.
 func (c *call) bodyLeftUnread(head *http1.Response) bool {
 	if len(c.roundTrip.request.Body) < largeBodySize {
 		return false
@@ -68,8 +68,8 @@
 	return head.Status/100 != 2 || c.conn.unsentBytes() > 0
 }
 
-// Close closes the connection, and resets it where a part of a large body is still to be sent. Else its end
-// would stand behind that part, and a server that does not read would not see it.
+// Close closes the connection, and resets it if a part of a large body is still unsent. An orderly end would
+// be queued after that part, where a server that does not read would not notice it.
 func (c *connection) Close() error {
 	conn, ok := c.Conn.(*net.TCPConn)
 	if ok && c.largeBody.Load() && c.unsentBytes() > 0 {
