--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -149,13 +149,13 @@
 	switch last.Kind {
 	case dispatch.Answer:
 		s.Stats.Served.Add()
-		s.noteOutcome(c, "served", 200, attempts, last.Attempt)
+		s.recordOutcome(c, "served", 200, attempts, last.Attempt)
 		outcome := &attempts[last.Attempt].outcome
 		outcome.Response.Header = outcome.Response.Header.EndToEnd("X-Server-Load")
 		return finalResponse{outcome.Response, outcome, &class.Passed, &class.Failed}
 	case dispatch.Refuse:
 		s.Stats.Refused.Add()
-		s.noteOutcome(c, "refused", 503, attempts, len(attempts)-1)
+		s.recordOutcome(c, "refused", 503, attempts, len(attempts)-1)
 		response := textResponse(503, "refused", false)
 		if last.RetryAfter > 0 {
 			wait := strconv.FormatFloat(last.RetryAfter.Seconds(), 'f', 3, 64)
@@ -164,7 +164,7 @@
 		return finalResponse{response: response, counter: &class.Dropped}
 	case dispatch.ClientGone:
 		s.Stats.ClientGone.Add()
-		s.noteOutcome(c, "gone", 0, attempts, len(attempts)-1)
+		s.recordOutcome(c, "gone", 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
 			s.Pool.Release(&attempts[last.Attempt].outcome)
 		}
@@ -175,6 +175,6 @@
 	if n := len(attempts); n > 0 && attempts[n-1].outcome.Result == dispatch.TimedOut {
 		status, reason = 504, "no answer in time"
 	}
-	s.noteOutcome(c, "failed", status, attempts, len(attempts)-1)
+	s.recordOutcome(c, "failed", status, attempts, len(attempts)-1)
 	return finalResponse{response: textResponse(status, reason, false), counter: &class.Failed}
 }
--- a/internal/proxy/ingress/client_test.go
+++ b/internal/proxy/ingress/client_test.go
@@ -102,7 +102,7 @@
 		if s.requestLog.Load().Allow() {
 			t.Fatal("an entry is wanted")
 		}
-		s.noteOutcome(c, "served", 200, tries, 0)
+		s.recordOutcome(c, "served", 200, tries, 0)
 		s.logRequest(c, time.Time{})
 	}); n > 0 {
 		t.Errorf("%v allocations", n)
--- a/internal/proxy/ingress/requestlog.go
+++ b/internal/proxy/ingress/requestlog.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// noteOutcome adds to the log entry how a request ended; last is the attempt that decided it, -1 where there
+// recordOutcome adds to the log entry how a request ended; last is the attempt that decided it, -1 if there
 // was none.
-func (s *Server) noteOutcome(c *client, outcome string, status int, attempts []*attempt, last int) {
+func (s *Server) recordOutcome(c *client, outcome string, status int, attempts []*attempt, last int) {
 	if c.logEntry == nil {
 		return
 	}
--- a/internal/router/agent/chain_leave_test.go
+++ b/internal/router/agent/chain_leave_test.go
@@ -44,7 +44,7 @@
 		close(disk.gate)
 		time.Sleep(2 * chainTick)
 		synctest.Wait()
-		c.Check(hasLeft(control.chain.Load()), qt.IsTrue)
+		c.Check(hasLeft(control.member.Load()), qt.IsTrue)
 		close(done)
 		synctest.Wait()
 		control.close()
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -34,7 +34,7 @@
 	agent    *Agent
 	machine  *chain.Node     // of the chain goroutine
 	log      *segmentlog.Log // nil without a disk
-	identity string          // of this machine's disk; it is the lease holder's name in stage orders
+	identity string          // of this machine's disk; role orders name their issuer by it
 	events   chan chainEvent
 	ended    chan struct{} // closed when the chain goroutine has ended
 	leaving  atomic.Bool   // this process is shutting down
@@ -75,7 +75,8 @@
 
 func (m *chainMember) canStop() <-chan struct{} { return m.handedOff }
 
-// leave bypasses the queue of events, which may be full: messages are sent again, this is said only once.
+// leave bypasses the queue of events, which may be full: a dropped message is sent again, but leave is called
+// only once.
 func (m *chainMember) leave() { m.leaving.Store(true) }
 
 // post queues an event for the chain goroutine and reports whether there was capacity. An event may be
@@ -125,7 +126,7 @@
 	}
 }
 
-// sendLeave tells the other members once that this process is shutting down.
+// sendLeave announces to the other members, once, that this process is shutting down.
 func (m *chainMember) sendLeave() {
 	if m.leaving.Load() && !m.leaveSent {
 		m.leaveSent = true
--- a/internal/router/agent/config_distribution.go
+++ b/internal/router/agent/config_distribution.go
@@ -43,8 +43,8 @@
 	return peerproto.PackPatches(&peerproto.Patches{Patches: patches})
 }
 
-// fetchConfig fetches a newer configuration from a hub, where the feed has not brought it. Only one fetch is
-// under way at a time.
+// fetchConfig fetches a newer configuration from a hub. It is how a hub that is no replica gets it, and a
+// follower whose feed has not brought it. Only one fetch is in flight at a time.
 func (a *Agent) fetchConfig(h *hub) {
 	if a.state.Config() != nil {
 		time.Sleep(fetchDelay)
--- a/internal/router/agent/config_store.go
+++ b/internal/router/agent/config_store.go
@@ -9,8 +9,8 @@
 
 // configStore is this process's replica of the chain-replicated configuration. The implementations are
 // chainMember, which runs the state machine of package chain, deferredStore, which opens the disk of a
-// chainMember in the background, and noConfigStore, which stands for a machine without a disk. Its methods
-// are safe for concurrent use.
+// chainMember in the background, and noConfigStore, for a machine without a disk. Its methods are safe for
+// concurrent use.
 type configStore interface {
 	// propose asks for a full configuration to be committed and returns how that ended.
 	propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -41,7 +41,7 @@
 // that may hang or fail: until the disk is open, the process serves like one without a disk.
 type deferredStore struct {
 	agent   *Agent
-	chain   atomic.Pointer[chainMember] // nil until the disk is open
+	member  atomic.Pointer[chainMember] // nil until the disk is open
 	ready   chan struct{}               // closed once it is
 	leaving atomic.Bool                 // this process is shutting down
 }
@@ -60,7 +60,7 @@
 		return
 	}
 	d.agent.announceSelf(func(self *directory.Record) { self.Member = member.identity })
-	d.chain.Store(member)
+	d.member.Store(member)
 	if d.leaving.Load() { // since before there was a member that could record it
 		member.leave()
 	}
@@ -87,7 +87,7 @@
 
 // store returns the member once the disk is open.
 func (d *deferredStore) store() configStore {
-	if member := d.chain.Load(); member != nil {
+	if member := d.member.Load(); member != nil {
 		return member
 	}
 	return noConfigStore{}
--- a/internal/router/agent/doc.go
+++ b/internal/router/agent/doc.go
@@ -25,7 +25,7 @@
 // # Concurrency
 //
 // Run may be called once. Reload, ReloadFailed, WriteMetrics and the accessors are safe for concurrent use.
-// Run starts the goroutines of the agent and tells them to end before it returns; calls under way end by
+// Run starts the goroutines of the agent and signals them to end before it returns; calls in flight end by
 // their timeouts. The state has one lock; the functions given to its update and read methods run with it
 // held, and must not take it again. The locks of the hubs, the subscription and the load table may be taken
 // before that of the state, never after it. The state machine of the chain belongs to the chain goroutine
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -7,8 +7,9 @@
 )
 
 // Each process monitors the servers that call it and the proxies that follow it: it is their watcher, as the
-// records name it. Hubs monitor each other. What has not called for its timeout is marked lost, which it can
-// refute.
+// records name it. Hubs monitor each other. A process that has not called within its timeout is marked lost,
+// which it can refute. This detector decides what the directory has; the members of the chain detect each
+// other's failures by heartbeats of their own (chain/peers.go).
 
 const (
 	// failureCheckInterval is how often the monitored processes are checked.
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -31,7 +31,7 @@
 	id              string        // of the process that answers there
 	replicatedTo    uint64        // offset of this process's directory up to which it has the records
 	lastSeen        time.Duration // when it last answered a ping, 0 for never on this connection
-	hasSnapshot     bool          // it knows the fleet, so that it may be followed
+	hasSnapshot     bool          // it is synced, so that its feed may be followed
 	reachesMajority bool          // more than half of the members answer it
 }
 
--- a/internal/router/agent/known_proxies.go
+++ b/internal/router/agent/known_proxies.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// proxyRetention is how long the address of a proxy is known after it was last live.
+	// proxyRetention is how long the address of a proxy is retained after it was last live.
 	proxyRetention = 10 * time.Minute
-	// maxKnownProxies bounds the known addresses; those that were live last stay.
+	// maxKnownProxies bounds the known addresses; the most recently live ones are retained.
 	maxKnownProxies = 2048
 )
 
@@ -67,7 +67,7 @@
 	return slices.Sorted(maps.Keys(k.lastLive))
 }
 
-// setChanged has the addresses saved once more, after saving them failed.
+// setChanged has the addresses saved again, after saving them failed.
 func (k *knownProxies) setChanged() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/router/agent/ready_endpoint.go
+++ b/internal/router/agent/ready_endpoint.go
@@ -8,7 +8,7 @@
 // readyPath is the endpoint of the platform's readiness checks.
 const readyPath = "/api/ready"
 
-// handleReady tells the platform whether clients are to be sent here.
+// handleReady answers the platform's readiness check: whether clients may be sent here.
 func (a *Agent) handleReady(call *controlserver.Call) *http1.Response {
 	if call.Path != readyPath {
 		return controlserver.Text(404, "call "+readyPath)
--- a/internal/router/agent/workload.go
+++ b/internal/router/agent/workload.go
@@ -8,7 +8,7 @@
 )
 
 // Workload is the data plane as far as the other processes need to know it: its in-flight load and what it
-// knows of the prefix caches of the model servers. Its methods are safe for concurrent use.
+// has observed of the prefix caches of the model servers. Its methods are safe for concurrent use.
 type Workload interface {
 	// InFlightChanged returns a channel that holds a token when calls to model servers have begun or ended.
 	InFlightChanged() <-chan struct{}
--- a/internal/router/agentsettings/settings.go
+++ b/internal/router/agentsettings/settings.go
@@ -44,7 +44,7 @@
 	// FirstStart is set when the whole fleet starts for the first time (first_start, false), so that there is no
 	// configuration or view to be learned from others.
 	FirstStart bool
-	// Counted tells that the loss of this machine counts towards TolerateMachines (counted, false). It has no
+	// Counted says that the loss of this machine counts towards TolerateMachines (counted, false). It has no
 	// effect.
 	Counted bool
 	// DataDir is the folder for durable state (data_dir, "" for a machine without a disk). Only machines with a
@@ -109,7 +109,7 @@
 	RetrySlack  float64
 	// Transit is the longest time that an event takes from a server to its client (transit_ms, 120 ms).
 	Transit time.Duration
-	// Fenced tells that servers check the fencing tokens of orders (fenced, false).
+	// Fenced says that servers check the fencing tokens of orders (fenced, false).
 	Fenced bool
 	// Lease is the least time between orders of two successive heads of the chain (lease_ms, 3000 ms). A new
 	// head waits for it.
--- a/internal/router/chain/head.go
+++ b/internal/router/chain/head.go
@@ -76,8 +76,9 @@
 	n.head = headState{marker: n.config.Random.Uint64()}
 }
 
-// openEpoch sends the latest accepted entry down the chain, as the first of the epoch or again.
-func (n *Node) openEpoch() {
+// sendAccepted sends the head's latest accepted entry down the chain: at the start of an epoch, which opens
+// once the tail has acknowledged it, and again while an acknowledgement is missing.
+func (n *Node) sendAccepted() {
 	if n.state.accepted.Epoch != n.state.view.Epoch {
 		n.state.accepted.Epoch = n.state.view.Epoch
 		n.changed[recordPosition] = true
@@ -93,7 +94,7 @@
 		return
 	}
 	if (!h.open || h.pending) && n.now-h.sentAt >= n.config.ResendAfter {
-		n.openEpoch()
+		n.sendAccepted()
 	}
 	if len(h.markedReads) > 0 && n.now-h.markerSentAt >= n.config.ResendAfter {
 		n.sendMarker()
@@ -138,7 +139,7 @@
 	switch {
 	case r.proposal.Version <= r.proposal.Expected:
 		n.answer(r, Invalid)
-	case !n.enoughReplicas() || n.stalled || h.queued() >= n.config.QueueLimit:
+	case !n.enoughReplicas() || n.diskFailing || h.queued() >= n.config.QueueLimit:
 		n.answer(r, Unavailable)
 	case h.pending && n.isAccepted(r):
 		h.waiters = append(h.waiters, r)
@@ -235,7 +236,8 @@
 }
 
 // decide answers a write or confirmation by the committed entry and its history. A change that was committed
-// is acknowledged also if a later one has replaced it. One that the history may have forgotten is left open.
+// is acknowledged even if a later one has replaced it. If the history may no longer include the change, its
+// outcome is unknown, and the answer is Unavailable.
 func (n *Node) decide(r request) {
 	accepted := &n.state.accepted
 	switch {
--- a/internal/router/chain/heartbeat.go
+++ b/internal/router/chain/heartbeat.go
@@ -9,7 +9,7 @@
 		EntryEpoch: n.state.accepted.Epoch,
 		Open:       n.IsOpenHead(),
 		Draining:   n.draining,
-		Stalled:    n.stalled || n.awaitsBootstrap(),
+		Stalled:    n.diskFailing || n.awaitsBootstrap(),
 		Sealed:     n.state.sealed != 0 && n.state.sealed == n.state.view.Epoch,
 		Sequence:   n.state.committedSequence,
 	}
--- a/internal/router/chain/node.go
+++ b/internal/router/chain/node.go
@@ -21,7 +21,7 @@
 	local   []Message
 	effects Effects
 	// stalled says that the latest records could not be made durable.
-	stalled bool
+	diskFailing bool
 
 	peers map[MemberID]*peerState
 	// contacts are nodes that may know the view, see SetContacts.
@@ -86,7 +86,7 @@
 	n.resetBootstrapTakeover()
 	n.startEpoch()
 	if n.isHead() {
-		n.openEpoch()
+		n.sendAccepted()
 	}
 	return n, n.finish(), nil
 }
@@ -189,14 +189,14 @@
 }
 
 // PersistFailed reverts the latest step because its records could not be made durable. All requests that
-// wait are answered Unavailable. The node counts as stalled until a later write succeeds.
+// wait are answered Unavailable. The disk counts as failing until a later write succeeds.
 func (n *Node) PersistFailed(now time.Duration) Effects {
 	failed := n.effects
 	n.now = max(n.now, now)
 	n.state = n.stable
 	n.effects, n.local = Effects{}, nil
 	n.changed = [recordKinds]bool{}
-	n.stalled = true
+	n.diskFailing = true
 	n.lastDiskProbe = n.now
 	for _, reply := range failed.Replies {
 		n.effects.Replies = append(n.effects.Replies, Reply{Request: reply.Request, Outcome: Unavailable})
@@ -214,7 +214,7 @@
 func (n *Node) begin(now time.Duration) {
 	n.now = max(n.now, now)
 	if len(n.effects.Persist) > 0 {
-		n.stalled = false
+		n.diskFailing = false
 	}
 	n.stable = n.state
 	n.effects = Effects{}
@@ -261,7 +261,7 @@
 	if n.state.commitUnpersisted && n.now-n.state.unpersistedSince >= n.config.PersistCommitAfter {
 		n.changed[recordPosition] = true
 	}
-	if n.stalled && n.now-n.lastDiskProbe >= n.config.ResendAfter {
+	if n.diskFailing && n.now-n.lastDiskProbe >= n.config.ResendAfter {
 		n.lastDiskProbe = n.now
 		n.changed[recordPosition] = true
 	}
--- a/internal/router/chain/peers.go
+++ b/internal/router/chain/peers.go
@@ -11,7 +11,7 @@
 	heartbeatsPerContact = 3
 )
 
-// peerState is what this node knows of another one, like the Progress of etcd's raft.
+// peerState is the last observed state of another node, like the Progress of etcd's raft.
 type peerState struct {
 	member   Member
 	lastSeen time.Duration
@@ -81,9 +81,9 @@
 	}
 }
 
-// compensateForProcessStall keeps members from being suspected because this process itself did not run,
-// unless they had timed out before. It does so for members only: a candidate that stopped meanwhile must not
-// be taken for a live one.
+// compensateForProcessStall keeps members from being suspected only because this process itself did not run.
+// It leaves out members that had timed out before the stall, and all candidates: one that stopped meanwhile
+// must not count as live.
 func (n *Node) compensateForProcessStall() {
 	lastTick := n.lastTick
 	n.lastTick = n.now
--- a/internal/router/chain/plan.go
+++ b/internal/router/chain/plan.go
@@ -14,15 +14,15 @@
 	ReplaceAfter     time.Duration
 }
 
-// PeerObservation is what one node knows of another one.
+// PeerObservation is the state of one node as another one has observed it.
 type PeerObservation struct {
 	Member  Member
 	HasDisk bool
 	// SinceLastSeen is the time since its latest message; StableFor is how long its messages had arrived without
 	// a gap by then.
 	SinceLastSeen, StableFor time.Duration
-	// Degraded says that it drains or that its disk fails, DegradedFor for how long; Draining tells the two
-	// apart.
+	// Degraded says that it drains or that its disk fails, DegradedFor for how long; Draining distinguishes the
+	// two.
 	Degraded, Draining bool
 	DegradedFor        time.Duration
 	// EntryEpoch is the latest epoch in which it accepted an entry.
@@ -37,7 +37,7 @@
 	BehindFor time.Duration
 }
 
-// Observation is what one node knows of all nodes, itself included.
+// Observation is what one node has observed of all nodes, itself included.
 type Observation struct {
 	Self  MemberID
 	Peers map[MemberID]PeerObservation
@@ -105,12 +105,12 @@
 	return false
 }
 
-// planner has the inputs of one planning.
+// planner holds the inputs of one run of Plan or of the predicates beside it.
 type planner struct {
 	view     *View
 	observed Observation
 	rules    Rules
-	// assumeSealed takes the epoch for sealed.
+	// assumeSealed treats the epoch as sealed, to learn whether sealing it would help.
 	assumeSealed bool
 }
 
--- a/internal/router/chain/proposer.go
+++ b/internal/router/chain/proposer.go
@@ -34,7 +34,7 @@
 	// planned is the result of the planner, unchanged since plannedSince; its epoch is 0 if there is none.
 	planned      View
 	plannedSince time.Duration
-	// stuckSince is since when no view can follow; 0 if one can.
+	// stuckSince is since when no view can follow unless the epoch is sealed; 0 if one can.
 	stuckSince time.Duration
 	// acceptedAt is when this node, as an acceptor, accepted a view of whose decision it has not learnt.
 	acceptedAt time.Duration
@@ -91,7 +91,7 @@
 
 // mayPropose reports whether this node may start a proposal now.
 func (n *Node) mayPropose() bool {
-	return n.proposer.phase == idle && n.now >= n.proposer.backoffUntil && !n.stalled
+	return n.proposer.phase == idle && n.now >= n.proposer.backoffUntil && !n.diskFailing
 }
 
 // decisionOverdue reports whether this node has accepted a view and not learnt of a decision for too long.
@@ -100,7 +100,8 @@
 		n.now >= n.proposer.acceptedAt+n.config.ReproposeAfter+rankDelay
 }
 
-// tickSeal asks the replicas to seal an epoch that for long could neither be opened nor followed by another.
+// tickSeal asks the replicas to seal an epoch that could neither be opened nor followed by another one for
+// Config.SealAfter.
 func (n *Node) tickSeal(observation Observation) {
 	p := &n.proposer
 	if !SealNeeded(n.state.view, observation, n.rules()) {
@@ -216,7 +217,7 @@
 	}
 }
 
-// onNack gives up a proposal whose number is too low.
+// onNack abandons a proposal whose number is too low.
 func (n *Node) onNack(m *Message) {
 	p := &n.proposer
 	p.maxCounter = max(p.maxCounter, m.ProposalNumber.Counter)
--- a/internal/router/chain/receive.go
+++ b/internal/router/chain/receive.go
@@ -83,7 +83,7 @@
 	n.changed[recordView] = true
 	n.startEpoch()
 	if n.isHead() {
-		n.openEpoch()
+		n.sendAccepted()
 	}
 }
 
--- a/internal/router/chain/replica.go
+++ b/internal/router/chain/replica.go
@@ -102,7 +102,7 @@
 	n.sendAck()
 }
 
-// sendAck tells the head that all replicas have accepted the entry.
+// sendAck acknowledges to the head that all replicas have accepted the entry.
 func (n *Node) sendAck() {
 	if n.enoughReplicas() {
 		n.setCommitted()
--- a/internal/router/chain/sim_test.go
+++ b/internal/router/chain/sim_test.go
@@ -130,7 +130,7 @@
 		state := &m.node.state
 		w.tracef("%s is %s in epoch %d, accepted %d of epoch %d, sealed %d, stalled %v, draining %v, busy until %v",
 			address, state.id, state.view.Epoch, state.accepted.Sequence, state.accepted.Epoch, state.sealed,
-			m.node.stalled,
+			m.node.diskFailing,
 			m.node.draining, m.busyUntil)
 	}
 }
--- a/internal/router/chain/view.go
+++ b/internal/router/chain/view.go
@@ -15,14 +15,15 @@
 }
 
 // View is the configuration of the chain in one epoch. A decided view is immutable. The zero View, of epoch
-// 0, stands for none.
+// 0, means that no view has been decided.
 type View struct {
 	Epoch uint64
 	// Members are the acceptors that decide the next view by a majority.
 	Members []Member
 	// Chain are the replicas from head to tail, all of them members.
 	Chain []MemberID
-	// Fresh are the replicas that may lack the committed entry until they accept one in this epoch.
+	// Fresh are the replicas that were no source (see Sources) when this view was planned. Each may lack the
+	// committed entry until it accepts one in this epoch.
 	Fresh []MemberID
 	// Sources have every entry that was committed before the first epoch of Unopened, or before this one if
 	// Unopened is empty. One of them may become head if nothing is known to have been committed since.
--- a/internal/router/directory/doc.go
+++ b/internal/router/directory/doc.go
@@ -4,9 +4,9 @@
 //
 // Replicas agree because Merge is commutative and idempotent. The process that a record describes numbers its
 // own changes (Record.Sequence); of two records of one id the greater sequence wins, and of one sequence the
-// greater State, so that a time-out (Lost) counts until the process is heard from again and an end (Ended)
-// counts for ever. This is the precedence that SWIM gives alive, suspect and dead members, with a sequence of
-// the process in the place of SWIM's incarnation number.
+// greater State, so that a time-out (Lost) stands until the process refutes it and an end (Ended) is final.
+// This is the precedence that SWIM gives alive, suspect and dead members, with a sequence of the process in
+// the place of SWIM's incarnation number.
 //
 //   - Every change gets the next offset of this replica's feed. Since returns what changed after an offset,
 //     and with offset 0 a snapshot, as Consul's state store does with its indexes.
--- a/internal/router/fleetconfig/itemlist.go
+++ b/internal/router/fleetconfig/itemlist.go
@@ -23,7 +23,7 @@
 	nextPosition uint64               // of the next item that is appended
 }
 
-// ambiguousPosition stands for the positions of several items with one name.
+// ambiguousPosition marks a name that several items have.
 const ambiguousPosition = ^uint64(0)
 
 // positionKey sorts like the positions themselves.
--- a/internal/router/scheduler/scheduler.go
+++ b/internal/router/scheduler/scheduler.go
@@ -17,7 +17,7 @@
 	pools    map[string]*servicePool // by name of the service
 	prefixes *prefixIndex
 
-	// assumeCachedUntil is until when servers may hold prefixes that this proxy was not told of.
+	// assumeCachedUntil is until when servers may have cached prefixes that were not reported to this proxy.
 	assumeCachedUntil time.Duration
 	// peerLoadAt is when the other proxies last reported what they have in flight, 0 where they never did.
 	peerLoadAt time.Duration
--- a/internal/router/scheduler/server_state.go
+++ b/internal/router/scheduler/server_state.go
@@ -21,7 +21,7 @@
 	baselineWindow = 30.0 // reports over which the baseline of others' calls is averaged
 )
 
-// serverState is what is known of one server.
+// serverState is what this proxy knows about one server.
 type serverState struct {
 	*catalog.Server
 	hash     uint64        // of its id
@@ -38,13 +38,13 @@
 	calls        []*Call       // own calls in flight, oldest first
 	ownPrefillMs float64       // of prefill work of own calls, as they began
 	ownPrefillAt time.Duration // when it last changed
-	changed      bool          // own calls began or ended since that was last told to the peers
+	changed      bool          // own calls began or ended since they were last reported to the peers
 
 	outliers         outlierDetector // by the outcomes of own calls
 	transferOutliers outlierDetector // by the transfers of its prefix cache to decode servers
 	lateness         lateness
 
-	newPrefixes []uint64 // hashes that the peers are to be told of
+	newPrefixes []uint64 // hashes that are not yet reported to the peers
 	peerBacklog backlog  // prefill work of other proxies, as they report it
 	peerCalls   float64  // calls of other proxies, as they report them
 }
--- a/internal/router/scheduler/service_pool.go
+++ b/internal/router/scheduler/service_pool.go
@@ -22,7 +22,7 @@
 // behind prefills that nobody reported, and waiting only ever adds.
 const queuedSampleWeight = 0.05
 
-// servicePool is what is known of the servers of a service as a whole.
+// servicePool is what this proxy knows about all servers of a service together.
 type servicePool struct {
 	service *fleetconfig.Service
 
