--- a/balance/health.go
+++ b/balance/health.go
@@ -106,7 +106,7 @@
 		(now-class.unservedSince).Seconds() > b.unusualLatency(r, s)
 }
 
-// halfOpenFactor lets little through to a server that was ejected, until one success.
+// halfOpenFactor reduces the traffic to a server that was ejected, until its first success.
 func (s *server) halfOpenFactor() float64 {
 	if s.halfOpen {
 		return halfOpenWeight
--- a/balance/parsereport.go
+++ b/balance/parsereport.go
@@ -4,7 +4,7 @@
 const maxReportedValue = 1e9
 
 // parseReport finds the requests in flight and queued in a load report. A report with an absurd value is
-// dropped altogether; where it has only one of the two, that one stands for the requests in flight.
+// dropped altogether; if it has only one of the two, that one is used as the requests in flight.
 func parseReport(fields []ReportField, values []float64) (inFlight, queued float64, ok bool) {
 	if len(values) < len(fields) {
 		return 0, 0, false
--- a/balance/reports.go
+++ b/balance/reports.go
@@ -5,14 +5,14 @@
 const (
 	// unknownReportAge is the age, in service times, that makes any difference between servers vanish.
 	unknownReportAge = 1e9
-	// reportTTL is how long a report says as much as a new one would: servers refresh theirs less often, and
-	// what was sent since is known.
+	// reportTTL is how long a report is as good as a new one: servers refresh theirs less often, and the
+	// attempts sent since then are known.
 	reportTTL = 80 * time.Millisecond
 	// missFactor times its forecast is the latency from which an attempt counts as a missed forecast, and
 	// missRateGain its weight in the moving average.
 	missFactor, missRateGain = 2, 0.15
-	// toleratedMissRate of missed forecasts are no sign of late reports; the rate beyond it stands for
-	// lagPerMissRate seconds of lag for each unit.
+	// A rate of missed forecasts up to toleratedMissRate is no sign of late reports; each unit beyond it counts
+	// as lagPerMissRate seconds of lag.
 	toleratedMissRate, lagPerMissRate = 0.3, 4
 )
 
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -36,7 +36,8 @@
 	return b.nextAttempt(now, r, actions)
 }
 
-// nextAttempt starts the next attempt of r, defers it for probes or for want of servers, or gives it up.
+// nextAttempt starts the next attempt of r, defers it because probes are awaited or no server is available,
+// or gives r up.
 func (b *Balancer) nextAttempt(now time.Duration, r *request, actions []Action) []Action {
 	remaining := r.Deadline - now
 	if remaining <= b.settings.Tick {
@@ -168,7 +169,7 @@
 	return b.nextAttempt(now, r, actions)
 }
 
-// recordOutcome takes what the end of an attempt shows of its server.
+// recordOutcome updates the state of the server by the outcome of an attempt.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, o *Outcome) {
 	a := &r.attempts[o.Attempt]
 	s := a.server
@@ -200,8 +201,8 @@
 		now+b.expectedServiceTime(r) <= r.receivedAt+b.latencyTarget(r)
 }
 
-// giveUp gives r its final response, unless an attempt is outstanding that may bring one. A rejection says
-// when to come back: an overload dissolves over several times the queue delay that it causes.
+// giveUp answers r with a rejection or failure, unless an attempt is outstanding that may still succeed. A
+// rejection advises when to retry: an overload takes several times its queue delay to clear.
 func (b *Balancer) giveUp(now time.Duration, r *request, actions []Action) []Action {
 	if r.outstanding > 0 {
 		return actions
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// List takes what the registry lists.
+// List updates the servers from a list of the registry, or records that following the list failed.
 func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server, actions []Action) []Action {
 	if kind == ListFailed {
 		b.listFailures++
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -101,7 +101,7 @@
 	ReportsInResponses bool // load reports come with outcomes, not with probes alone
 }
 
-// validate says what is wrong with the settings, nil if nothing is.
+// validate returns an error that describes what is wrong with the settings, nil if nothing is.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("settings: Classes is empty")
--- a/internal/cluster/gossip/delegates.go
+++ b/internal/cluster/gossip/delegates.go
@@ -18,9 +18,9 @@
 // NotifyUpdate is called when a member's metadata changes.
 func (e *eventDelegate) NotifyUpdate(n *memberlist.Node) { e.notify(n, membership.Alive) }
 
-// NotifyLeave is called when a member left or died; memberlist's Node does not say which (its State field is
-// never set). What tells them apart: a member sets its phase to leaving before it leaves, and announces the
-// leave to each member in a datagram, which arrives before the gossip of it.
+// NotifyLeave is called when a member left or died; memberlist's Node does not distinguish the two (its State
+// field is never set). A member that leaves sets its phase to leaving first, and announces the leave to each
+// member in a datagram, which normally arrives before gossip of the leave.
 func (e *eventDelegate) NotifyLeave(n *memberlist.Node) {
 	f := (*Fleet)(e)
 	status := membership.Dead
@@ -96,10 +96,10 @@
 	}
 }
 
-// NotifyMerge is called with all members that another one knows, before a join merges them; among them may be
-// this one's previous incarnation. While this member starts, any of its name is taken for that: beside a live
-// one its start fails. Later only one at this member's own address is: another process under this name must
-// not be superseded, or the two would supersede each other for good.
+// NotifyMerge is called with all members that another one knows, before a join merges them. They may include
+// this member's previous incarnation. While this member starts, any record of its name is treated as that; if
+// a live process has the name, the start fails. Later, only a record with this member's own address is: two
+// live processes of one name must not go on superseding each other.
 func (d *delegate) NotifyMerge(peers []*memberlist.Node) error {
 	f := (*Fleet)(d)
 	for _, n := range peers {
--- a/internal/cluster/gossip/observe.go
+++ b/internal/cluster/gossip/observe.go
@@ -11,8 +11,8 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// observeSent reads a message that this member sends. memberlist has no event for a suspicion, but passes on
-// every update that is new to it, so that what it sends says what it knows.
+// observeSent inspects a message that this member sends. memberlist has no event for a suspicion, but
+// forwards every update that is new to it, so its messages reveal what it has learnt.
 func (f *Fleet) observeSent(kind byte, msg gossipMessage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -48,8 +48,8 @@
 	}
 }
 
-// observeAlive takes a sign of life that this member gives or passes on: with a higher incarnation it refutes
-// a suspicion. f.mu is held.
+// observeAlive handles an alive message that this member sends or forwards: with a higher incarnation it
+// refutes a suspicion. f.mu is held.
 func (f *Fleet) observeAlive(msg gossipMessage) {
 	last, ok := f.swimIncarnations[msg.Node]
 	if ok && msg.Incarnation <= last {
--- a/internal/cluster/gossip/options.go
+++ b/internal/cluster/gossip/options.go
@@ -11,7 +11,7 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// Options configure a member; Check says what is wrong with them.
+// Options configure a member; Check returns what is wrong with them.
 type Options struct {
 	Name          string
 	Bind          string   // host:port for gossip, UDP and TCP; port 0 lets the system choose
--- a/internal/cluster/gossip/sync.go
+++ b/internal/cluster/gossip/sync.go
@@ -121,8 +121,9 @@
 }
 
 // rejoin joins one recently dead member, as serf's reconnect does: after a partition that outlasts
-// suspicions, each side has the other dead and memberlist alone would never probe it again. With it goes
-// one seed that is not a live member: of a fleet never met, or whose dead members were forgotten.
+// suspicions, each side considers the other dead and memberlist alone would never probe it again. It also
+// joins one seed that is not a live member: the fleet may never have been joined, or its dead members
+// forgotten.
 func (f *Fleet) rejoin() {
 	// Address takes memberlist's lock, under which memberlist's events take f.mu: not under f.mu.
 	live := map[string]bool{f.Address(): true}
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -194,7 +194,7 @@
 }
 
 // checkHead reads as much of a stream as it takes to check its head, in however many segments that arrives,
-// and says how many bytes the stream may have. It consumes nothing.
+// and returns how many bytes the stream may have. It consumes nothing.
 func (t *transport) checkHead(in *bufio.Reader) (int, error) {
 	for n := 1; ; n = in.Buffered() + 1 {
 		if _, err := in.Peek(n); err != nil {
--- a/internal/cluster/gossip/wire.go
+++ b/internal/cluster/gossip/wire.go
@@ -29,8 +29,8 @@
 	errMsg
 )
 
-// Bounds on messages of other members. memberlist itself allows a push/pull header that has it allocate a
-// million entries and a user state of 20 MB.
+// Bounds on messages of other members. memberlist by itself accepts a push/pull header that makes it allocate
+// a million entries and a user state of 20 MB.
 const (
 	maxNameBytes    = 255
 	maxUserBytes    = 1024
@@ -145,7 +145,7 @@
 	return err
 }
 
-// checkStream checks the first bytes of a stream, after its label, and says how many bytes it may have.
+// checkStream checks the first bytes of a stream, after its label, and returns how many bytes it may have.
 func checkStream(head []byte, maxMembers int) (int, error) {
 	if len(head) == 0 {
 		return 0, errors.New("an empty stream")
--- a/internal/cluster/membership/doc.go
+++ b/internal/cluster/membership/doc.go
@@ -13,7 +13,7 @@
 //   - the table is bounded: members left or gone for Settings.ForgetAfter are dropped, and beyond
 //     Settings.MaxMembers a new name is rejected.
 //
-// States of a member: alive, suspect, dead and left by SWIM, and beside them gone or not. A suspect is alive
-// again when it refutes; a leave is final for its incarnation; dead or left turns to gone by Tick, and gone
-// ends when the member is back or forgotten.
+// States of a member: alive, suspect, dead or left as in SWIM, and independently gone or not. A suspect is
+// alive again when it refutes; a leave is final for its incarnation; Tick makes dead and left members gone,
+// which ends when the member returns or is forgotten.
 package membership
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -153,7 +153,7 @@
 	return &View{settings: settings, self: self, entries: map[string]*entry{}}, nil
 }
 
-// Observe takes what the gossip layer observed at a time, and returns what changed.
+// Observe applies an observation that the gossip layer made at a time, and returns the changes.
 func (v *View) Observe(now time.Duration, obs Observation) []Change {
 	e, known := v.entries[obs.Name]
 	if !known {
--- a/internal/cluster/placement/doc.go
+++ b/internal/cluster/placement/doc.go
@@ -5,7 +5,7 @@
 //
 // Members are ranked for each group by rendezvous hashing (Thaler and Ravishankar, 1998), so that every
 // member ranks them alike and the loss of one moves only its own replicas. Replicas stay where they are
-// while their members live: a better ranked newcomer replaces nobody. A replica is replaced only once its
+// while their members are live: a better ranked newcomer replaces none. A replica is replaced only once its
 // member counts as gone (package membership's hysteresis, never one suspicion) or came back under another
 // replica ID, which means that its disk is lost.
 //
--- a/internal/cluster/raftgroup/bootstrap.go
+++ b/internal/cluster/raftgroup/bootstrap.go
@@ -18,8 +18,8 @@
 
 // bootstrap makes a group that no member has. Only the live member that ranks first for the group does, and
 // only with the votes of a majority of all known members (of BootstrapExpect, if those are more). A vote is
-// stored and never given to another, so that a group is bootstrapped once in a fleet's life. The group begins
-// with this replica, grows from it, and takes no proposals until it has minVoters.
+// stored and never given to another candidate, so that a group is bootstrapped only once in a fleet. The
+// group begins with this replica, grows from it, and accepts no proposals until it has minVoters.
 func (h *Host) bootstrap(name string) {
 	h.mu.Lock()
 	peers, exists := slices.Clone(h.peers), h.groups[name] != nil
@@ -42,8 +42,8 @@
 	h.log.Info("ledger: group bootstrapped", "group", name, "votes", votes)
 }
 
-// collectBootstrapVotes asks live members, this one among them, for their votes, and counts those given;
-// errGroupExists where one of them has the group.
+// collectBootstrapVotes requests the votes of live members, this one among them, and returns how many voted.
+// The error is errGroupExists if one of them has the group.
 func (h *Host) collectBootstrapVotes(name string, live []Peer) (int, error) {
 	votes := 0
 	for _, p := range live {
--- a/internal/cluster/raftgroup/calls.go
+++ b/internal/cluster/raftgroup/calls.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// call runs start in the group's goroutine and waits for an outcome on the channel that start is given.
-// ErrUnknown says that ctx ended first.
+// call runs start in the group's goroutine and waits for an outcome on the channel that start is given. The
+// error is ErrUnknown if ctx ended first.
 func (g *group) call(ctx context.Context, start func(out chan outcome)) (any, error) {
 	out := make(chan outcome, 1)
 	if err := g.enqueue(func() { start(out) }); err != nil {
@@ -41,8 +41,9 @@
 	}
 }
 
-// A command is logged behind the ID of the replica that proposed it and a request ID of that
-// replica's, 8 bytes each, big endian. By them the proposer finds the call that waits for the result.
+// proposalHeaderSize is the size of the header before a logged command: the ID of the replica that proposed
+// it and that replica's request ID, 8 bytes each, big endian. By them the proposer finds the call that waits
+// for the result.
 const proposalHeaderSize = 16
 
 // propose has a command committed and applied, and returns the state machine's result.
--- a/internal/cluster/raftgroup/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/cluster/placement"
 )
 
-// viewInterval is between looks at the fleet's view.
+// viewInterval is how often the fleet's view is polled.
 const viewInterval = 100 * time.Millisecond
 
 // Peer is a member of the fleet, as the fleet's view has it.
--- a/internal/cluster/raftgroup/network.go
+++ b/internal/cluster/raftgroup/network.go
@@ -142,7 +142,7 @@
 }
 
 // call sends a request to a member and reads the response into resp, until ctx ends or for a minute at most.
-// errNotSent says that the member certainly did not receive it.
+// The error is errNotSent if the member certainly did not receive it.
 func (n *network) call(ctx context.Context, address string, req request, resp *response) error {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/cluster/raftgroup/options.go
+++ b/internal/cluster/raftgroup/options.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/cluster/placement"
 )
 
-// Options configure a Host; Check says what is wrong with them.
+// Options configure a Host; Check returns what is wrong with them.
 type Options struct {
 	Name      string // of this member
 	Bind      string // host:port to listen at for other members; port 0 lets the system choose
--- a/internal/cluster/raftgroup/sender.go
+++ b/internal/cluster/raftgroup/sender.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// dropQueued empties the queue. Snapshots are reported: Raft sends a replica nothing until it is told what
-// became of one.
+// dropQueued empties the queue. Dropped snapshots are reported as failed: raft sends a replica nothing until
+// the outcome of a snapshot is reported.
 func (s *sender) dropQueued() {
 	for {
 		select {
--- a/internal/cluster/raftgroup/snapshot.go
+++ b/internal/cluster/raftgroup/snapshot.go
@@ -17,9 +17,9 @@
 
 var stateCodec = &codec.MsgpackHandle{}
 
-// onDemandSnapshots is raft's storage, which takes a snapshot of the present state where raft wants one for a
-// replica that is far behind. The last one on disk may be from before that replica was added, and a replica
-// accepts no snapshot that does not list it.
+// onDemandSnapshots is a raft storage that takes a snapshot of the present state when raft needs one for a
+// replica that lags far. The last one on disk may be older than that replica, and a replica accepts no
+// snapshot that does not list it.
 type onDemandSnapshots struct {
 	*raft.MemoryStorage
 	g *group
--- a/internal/cluster/raftgroup/status.go
+++ b/internal/cluster/raftgroup/status.go
@@ -92,7 +92,7 @@
 	return s
 }
 
-// replicaStatus is what this replica, as leader, knows of all, by member and ID.
+// replicaStatus returns the state of all replicas as this one, the leader, knows it, sorted by member and ID.
 func (g *group) replicaStatus(st *raft.Status) []ReplicaStatus {
 	var out []ReplicaStatus
 	last, _ := g.storage.LastIndex() // never fails in memory
@@ -110,8 +110,8 @@
 // Leads reports whether this member leads a group.
 func (h *Host) Leads(group string) bool { return h.Status(group).Role == roleLeader }
 
-// ReadStale answers a query from this member's own replica, which may lag behind; false where it has none, or
-// the query fails.
+// ReadStale answers a query from this member's own replica, which may lag. It returns false if this member
+// has no replica, or the query fails.
 func (h *Host) ReadStale(group string, query []byte) (any, bool) {
 	g := h.group(group)
 	if g == nil {
--- a/internal/cluster/raftgroup/store_group.go
+++ b/internal/cluster/raftgroup/store_group.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// load reads a group into a storage of raft's, and says how many bytes of log that was. The storage is nil
-// where the file does not have the group.
+// load reads a group into a raft storage and returns that with the size of the log in bytes. The storage is
+// nil if the file does not have the group.
 func (s *store) load(group string) (*raft.MemoryStorage, int64, error) {
 	var storage *raft.MemoryStorage
 	var size int64
@@ -64,8 +64,8 @@
 	return storage.ApplySnapshot(snap)
 }
 
-// loadHardState reads the hard state, behind the snapshot. A commit index that rises by itself is not synced,
-// so that the snapshot's may be higher.
+// loadHardState reads the hard state, once the snapshot is loaded. A change of the commit index alone is not
+// synced, so the index of the snapshot may be higher.
 func loadHardState(b *bolt.Bucket, storage *raft.MemoryStorage) error {
 	raw := b.Get(hardStateKey)
 	if raw == nil {
@@ -83,7 +83,7 @@
 	return storage.SetHardState(hardState)
 }
 
-// loadEntries reads the log behind the snapshot, which must have no gap, and says how many bytes that was.
+// loadEntries reads the log after the snapshot, which must have no gap, and returns its size in bytes.
 func loadEntries(b *bolt.Bucket, storage *raft.MemoryStorage) (int64, error) {
 	first, err := storage.FirstIndex()
 	if err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// putValue writes a group's value, and says how many bytes that was.
+// putValue writes a group's value and returns its size in bytes.
 func putValue(b *bolt.Bucket, key []byte, value proto.Message) (int64, error) {
 	plain, err := proto.Marshal(value)
 	if err != nil {
@@ -127,8 +127,8 @@
 	return checksumSize + int64(len(plain)), b.Put(key, addChecksum(plain))
 }
 
-// save stores what a Ready of raft's wants on disk, in one synced transaction, and says how many bytes of log
-// that was.
+// save stores the durable part of a raft.Ready in one synced transaction, and returns how many bytes of log
+// that added.
 func (s *store) save(group string, rd *raft.Ready) (int64, error) {
 	var size int64
 	err := s.update(func(tx *bolt.Tx) error {
@@ -150,7 +150,7 @@
 	return size, err
 }
 
-// saveSnapshot replaces the snapshot by a leader's. The log begins anew behind it.
+// saveSnapshot replaces the snapshot by a leader's, and the log by an empty one that follows it.
 func saveSnapshot(b *bolt.Bucket, snap *raftpb.Snapshot) error {
 	if _, err := putValue(b, snapshotKey, snap); err != nil {
 		return err
@@ -166,8 +166,8 @@
 	return err
 }
 
-// saveEntries appends entries to the log, and says how many bytes that was. Former entries from the first of
-// them on were of another leader, and are overwritten or deleted.
+// saveEntries appends entries to the log and returns their size in bytes. Stored entries from the first new
+// index on come from an earlier leader, and are overwritten or deleted.
 func saveEntries(log *bolt.Bucket, entries []*raftpb.Entry) (int64, error) {
 	if len(entries) == 0 {
 		return 0, nil
--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -134,7 +134,7 @@
 // Move follows discovery at another address from now on; it returns at once.
 func (c *Client) Move(address string) { replaceLast(c.addressChanges, address) }
 
-// Replace takes in a full list from elsewhere, in discovery's form; it returns at once.
+// Replace applies a full list from another source, in discovery's form; it returns at once.
 func (c *Client) Replace(raw []byte) { replaceLast(c.replacements, raw) }
 
 // Feed changes where lists come from; it returns at once. Calls that are under way with another token, or
--- a/internal/proxy/discovery/run.go
+++ b/internal/proxy/discovery/run.go
@@ -125,9 +125,9 @@
 	c.previous = nil
 }
 
-// handleEnd takes in that a watch ended and returns the delay before the next is opened unasked, 0 for never.
-// One is after a move, after a time-out, and where changes bind at once: nobody would call Follow, and what
-// the registry has meanwhile binds.
+// handleEnd handles the end of a watch and returns the delay before the next one is opened without Follow, 0
+// for never. That is done after a move, after a time-out, and where changes bind at once: nobody would call
+// Follow then, and the changes that the registry has meanwhile bind.
 func (c *Client) handleEnd(w *watch) time.Duration {
 	w.cancel()
 	if w == c.previous {
--- a/internal/proxy/discovery/table.go
+++ b/internal/proxy/discovery/table.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Restore takes in the list from before the start, as Export wrote it, and returns it for the decisions.
+// Restore applies the list from before the start, as Export wrote it, and returns it for package dispatch.
 func (t *table) Restore(raw []byte) ([]dispatch.Server, error) {
 	_, list, err := t.apply(nil, raw)
 	return list, err
@@ -110,17 +110,17 @@
 	return t.nameByID[s]
 }
 
-// ignoreWatchesBefore has what older watches deliver from now on ignored.
+// ignoreWatchesBefore makes apply ignore the documents of watches with a lower number.
 func (t *table) ignoreWatchesBefore(number int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sourceWatch = number
 }
 
-// apply takes in one document, of a watch or, where w is nil, from elsewhere: from here on no attempt begins
-// at a server that it takes out of service. With its first document a watch becomes the source, and older
-// ones are ignored. A change whose index is below the list's is taken in, and errIndexFell returned with it:
-// what lies between the two is unknown.
+// apply applies one document of a watch or, if w is nil, of another source: from then on no attempt begins at
+// a server that it takes out of service. With its first document a watch becomes the source, and older
+// watches are ignored. A change whose index is below the list's is applied and errIndexFell returned with it,
+// because the changes between the two are unknown.
 func (t *table) apply(w *watch, raw []byte) (full bool, list []dispatch.Server, err error) {
 	doc, err := parse(raw)
 	if err != nil {
@@ -166,7 +166,7 @@
 	return doc, nil
 }
 
-// applyEndpoint takes in one server and returns it for the decisions.
+// applyEndpoint applies the entry of one server and returns it for package dispatch.
 func (t *table) applyEndpoint(e *serverlist.Endpoint) dispatch.Server {
 	s := dispatch.Server{
 		ID: t.serverID(e.Name), Zone: position(&t.names.Zones, e.Zone), Kind: position(&t.names.Kinds, e.Type),
@@ -185,7 +185,7 @@
 	return s
 }
 
-// position finds a name's position; one that is not there is added behind the others.
+// position returns a name's position; an unknown name is appended.
 func position(names *[]string, name string) int {
 	i := slices.Index(*names, name)
 	if i < 0 {
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -145,7 +145,7 @@
 	return body, err
 }
 
-// deliver takes in one document of a watch, or of Replace where w is nil, and hands it to the sink.
+// deliver applies one document of a watch, or of Replace if w is nil, and passes the servers to the sink.
 func (c *Client) deliver(w *watch, raw []byte) error {
 	c.deliverMu.Lock()
 	defer c.deliverMu.Unlock()
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// advance gives a call the step that an action asks for.
+// advance adds to a call the step that an action asks for.
 func (d *Decider) advance(c *Call, now time.Duration, a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
--- a/internal/proxy/dispatch/decider.go
+++ b/internal/proxy/dispatch/decider.go
@@ -67,7 +67,7 @@
 	return d, err
 }
 
-// Open takes a request that must get one final answer.
+// Open begins a call for a request, which gets exactly one final step.
 func (d *Decider) Open(q Request, w Waiter) *Call {
 	now := d.lock()
 	defer d.unlock()
@@ -82,7 +82,7 @@
 }
 
 // Pick returns the next step of a call and sleeps until there is one. Only the call's own goroutine calls it.
-// Before a Send it looks whether the client is gone: for such a client nothing is sent any more.
+// Before a Send it checks whether the client has disconnected: for such a client nothing is sent any more.
 func (d *Decider) Pick(c *Call) Step {
 	for checked := false; ; {
 		s, ok := d.next(c, checked)
@@ -125,7 +125,7 @@
 		if s.Kind == Answer {
 			responseAttempt = s.Attempt
 		}
-		if s.Kind == Send { // balance counts it as under way until it hears otherwise
+		if s.Kind == Send { // balance counts it as in flight until its outcome is reported
 			d.execute(now, d.balancer.Outcome(now, balance.Outcome{
 				ID: c.id, Attempt: s.Attempt, Result: Skipped, Final: true,
 			}, d.actions[:0]))
@@ -154,9 +154,9 @@
 	return d.giveUpAt(c, now, c.timeouts[attempt])
 }
 
-// Report says how an attempt ended, or that its response has begun, with its server's load report, nil where
-// there was none. The first attempt that was served becomes the answer; then chosen is true, else the caller
-// drops the response.
+// Report records how an attempt ended, or that its response has begun, with its server's load report, nil if
+// there was none. The first attempt that was served becomes the answer, and chosen is true; otherwise the
+// caller drops the response.
 func (d *Decider) Report(c *Call, attempt int, result Result, load []float64) (chosen bool) {
 	now := d.lock()
 	defer d.unlock()
@@ -171,7 +171,7 @@
 	return chosen
 }
 
-// Probed says how a probe ended, how long it took, and the load report, nil where there was none.
+// Probed records how a probe ended, how long it took, and the load report, nil if there was none.
 func (d *Decider) Probed(s ServerID, result Result, took time.Duration, load []float64) {
 	now := d.lock()
 	defer d.unlock()
@@ -180,10 +180,10 @@
 	}, d.actions[:0]))
 }
 
-// RestoreList takes in the list of servers as it was before the start of this process.
+// RestoreList applies the list of servers that was saved before the start of this process.
 func (d *Decider) RestoreList(list []Server) { d.applyList(balance.ListCached, list) }
 
-// UpdateList takes in a list from discovery: the full one, or only the servers that changed.
+// UpdateList applies a list from discovery: the full one, or only the servers that changed.
 func (d *Decider) UpdateList(full bool, list []Server) {
 	if full {
 		d.applyList(balance.ListFull, list)
@@ -192,7 +192,7 @@
 	}
 }
 
-// ListFailed says that following discovery failed or ended.
+// ListFailed records that following discovery failed or ended.
 func (d *Decider) ListFailed() { d.applyList(balance.ListFailed, nil) }
 
 func (d *Decider) applyList(kind balance.ListKind, list []Server) {
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -13,8 +13,8 @@
 
 const readyPath = "/health/ready"
 
-// respond finds a request's final response. The part of its body that is not buffered is in u, nil where
-// there is none.
+// respond parses a request, runs its attempts and returns its final response. u is the part of the body that
+// is not buffered, nil if there is none.
 func (s *Server) respond(c *client, q *http1.Request, u *upload, arrived time.Time) finalResponse {
 	if path, _, _ := strings.Cut(q.Target, "?"); path == readyPath {
 		return finalResponse{response: s.readiness()}
@@ -92,7 +92,7 @@
 	outcome upstream.Outcome
 }
 
-// runAttempts takes the steps of a request's call until they end it.
+// runAttempts carries out the steps that the Decider returns for a request, until one ends it.
 func (s *Server) runAttempts(c *client, id string, request dispatch.Request, message *http1.Request,
 	u *upload) finalResponse {
 	select {
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -7,8 +7,8 @@
 	"cresshub/internal/proxy/descriptors"
 )
 
-// markIdle marks the connection as between two requests. Where bytes of the next request are buffered already
-// that one has begun: others, who look at the socket, would not see it.
+// markIdle marks the connection as between two requests, or as receiving if bytes of the next request are
+// buffered already: other goroutines check only the socket and would not notice those.
 func (s *Server) markIdle(c *client) {
 	buffered := c.HasBuffered()
 	s.mu.Lock()
@@ -23,7 +23,7 @@
 	s.mu.Unlock()
 }
 
-// claim marks the connection as owned by its goroutine; false where somebody closed it meanwhile.
+// claim marks the connection as owned by its goroutine; false if another goroutine has closed it meanwhile.
 func (s *Server) claim(c *client) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 	return true
 }
 
-// How well a connection can be done without, from least to most.
+// The degrees of expendability of a connection, ascending.
 const (
 	notExpendable = iota
 	expendableIdle
@@ -62,9 +62,9 @@
 	expendableUnused
 )
 
-// expendability tells how well the connection can be done without. The limit for idle ones is short, for some
-// clients open a connection for each request and leave it open: at hundreds a second idle connections take
-// all descriptors long before they are old.
+// expendability returns how readily the connection may be closed to free its descriptor. The limit for idle
+// ones is short, because some clients open a connection for each request and leave it open: at hundreds a
+// second, idle connections would take all descriptors within seconds.
 func (c *client) expendability(now time.Time, l *config.Clients) int {
 	age := now.Sub(c.since)
 	switch {
@@ -81,7 +81,7 @@
 	return notExpendable
 }
 
-// closeMostExpendable closes the connection that can best be done without, to free its descriptor: one that
+// closeMostExpendable closes the most expendable connection, to free its descriptor: one that
 // never sent a request before one that stalls within a request, and that before one between two requests. It
 // returns false where there is none.
 func (s *Server) closeMostExpendable() bool {
@@ -99,8 +99,8 @@
 	}
 }
 
-// mostExpendable is the connection that can best be done without, of several the one longest in its state;
-// nil where there is none. The lock is held.
+// mostExpendable returns the most expendable connection, of several the one longest in its state; nil if none
+// is expendable. The lock is held.
 func (s *Server) mostExpendable(now time.Time, limits *config.Clients) *client {
 	var candidate *client
 	highest := notExpendable
--- a/internal/proxy/ingress/parse.go
+++ b/internal/proxy/ingress/parse.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/proxy/dispatch"
 )
 
-// Header fields of a request. Their names are the operators' page's.
+// Header fields of a request, named as on the operators' page.
 const (
 	idField             = "X-Request-ID"       // unique among open requests; a retry has its own
 	firstAttemptIDField = "X-First-Request-ID" // of a client's retry: the id of the request that it repeats
@@ -28,8 +28,8 @@
 // maxTimeout bounds a request's time. A longer X-Timeout is as good as none.
 const maxTimeout = time.Hour
 
-// parse reads what the decisions need to know of a request. A status other than 0, with its reason, says that
-// the request is rejected; the class is set all the same, to -1 where none is named.
+// parse returns what package dispatch needs to know of a request. A status other than 0, with its reason,
+// means that the request is rejected. The class is set in any case, to -1 if no known one is named.
 func (s *Server) parse(message *http1.Request, arrived time.Time) (
 	r dispatch.Request, status int, reason string,
 ) {
@@ -66,8 +66,7 @@
 	return r, 0, ""
 }
 
-// parseKey finds the key that a request's target names. Keys are 16 hex digits; any other text stands for its
-// hash.
+// parseKey returns the key that a request's target names. Keys are 16 hex digits; any other text is hashed.
 func parseKey(target string) (uint64, bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for pair := range strings.SplitSeq(query, "&") {
--- a/internal/proxy/ingress/reject.go
+++ b/internal/proxy/ingress/reject.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// reject responds to what is no complete request, as far as there is somebody to respond to.
+// reject responds to a malformed or incomplete request, unless its client has disconnected.
 func (s *Server) reject(c *client, err error) {
 	status := 0
 	var malformed *http1.MalformedError
@@ -75,7 +75,7 @@
 	s.Log.Warn("ingress: request rejected", logging.Status, status, logging.Err, reason)
 }
 
-// textResponse is a response of our own; ends says that the connection ends with it.
+// textResponse returns a response of the proxy's own; ends says that the connection ends with it.
 func textResponse(status int, text string, ends bool) *http1.Response {
 	return &http1.Response{Status: status, Body: []byte(text + "\n"), Close: ends,
 		Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}}
--- a/internal/proxy/ingress/serve.go
+++ b/internal/proxy/ingress/serve.go
@@ -100,8 +100,8 @@
 	return reusable
 }
 
-// sendFinal writes the final response and, where the connection ends with it, has it arrive. It returns
-// whether the connection can be used again.
+// sendFinal writes the final response and, if the connection ends with it, lingers so that the response is
+// not lost to a reset. It returns whether the connection can be used again.
 func (s *Server) sendFinal(c *client, q *http1.Request, body *http1.Body, f *finalResponse,
 	limits *config.Clients) (reusable bool) {
 	// What is left of a body is in the way of the next request.
@@ -120,7 +120,7 @@
 	return written && !f.response.Close
 }
 
-// mayBeginRequest tells whether what is buffered behind a request can be the start of another.
+// mayBeginRequest reports whether the bytes that are buffered after a request may begin another one.
 func mayBeginRequest(r *bufio.Reader) bool {
 	b, _ := r.Peek(min(r.Buffered(), len("\r\nPOST ")))
 	b = bytes.TrimPrefix(b, []byte("\r\n"))
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -39,7 +39,7 @@
 	attempt int
 }
 
-// Claim says that from here on there can be no other attempt; false where another one has claimed the body.
+// Claim reserves the body for this attempt, which is then the last one; false if another one has claimed it.
 func (u attemptUpload) Claim() bool {
 	if !u.claimed.CompareAndSwap(false, true) {
 		return false
@@ -73,7 +73,7 @@
 	return u.server.Decider.BodySent(u.call, u.attempt, time.Now().Add(u.timeout))
 }
 
-// countOut ends the request's being in progress, which Sent may no longer begin.
+// countOut ends the count of the request as in progress; Sent does not begin it after that.
 func (u *upload) countOut() {
 	if u.progress.Swap(uploadEnded) == uploadCounted {
 		u.server.Stats.InProgress.Add(-1)
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -92,7 +92,7 @@
 	return a.Request.Method
 }
 
-// classify is the result that a response stands for.
+// classify returns the result of an attempt that got a response.
 func (a *Attempt) classify(r *http1.Response) dispatch.Result {
 	switch {
 	case r.Status == 200:
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -10,8 +10,8 @@
 	"cresshub/internal/proxy/dispatch"
 )
 
-// exchange sends one request and reads its response, or of a large one the beginning. reusable tells whether
-// the connection may be used again once all of the response is read.
+// exchange sends one request and reads its response, or the beginning of a large one. reusable reports
+// whether the connection may be used again once all of the response is read.
 func (c *conn) exchange(a *Attempt) (outcome Outcome, reusable bool) {
 	if result, untouched := c.begin(a); result != dispatch.Served {
 		return Outcome{Result: result}, untouched
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -4,8 +4,8 @@
 // A Pool is used from any goroutine. Each connection has a goroutine of its own, which dials, runs one
 // exchange after the other and between two of them waits in Read, so that it notices when the server closes.
 // A connection is thus dialling, in an exchange, streaming the rest of a response to whoever holds its
-// Stream, or idle; only idle ones stand in the pool's list, and whoever takes one from there hands it the
-// next attempt.
+// Stream, or idle. Only idle ones are in the pool's list; reuseIdle takes one from it and passes it the next
+// attempt.
 //
 // An attempt of which no byte was written provably never ran, and its result says so (Rejected, NoConnection,
 // Skipped): only then may the caller send a request again that must not run twice. The split of the work
--- a/internal/proxy/upstream/stream.go
+++ b/internal/proxy/upstream/stream.go
@@ -23,5 +23,5 @@
 	return s.body.Read(p)
 }
 
-// finish lets the connection's goroutine go on; only the first call counts.
+// finish returns the connection to its goroutine; only the first call has an effect.
 func (s *Stream) finish() { s.once.Do(func() { s.complete <- s.body.Complete() }) }
--- a/internal/segmentlog/doc.go
+++ b/internal/segmentlog/doc.go
@@ -11,7 +11,7 @@
 //	state.restore(records)
 //	...
 //	if err := log.Append(record); err != nil {
-//		return err // the record doesn't count; the log may be used on
+//		return err // the record was not appended; the log is still usable
 //	}
 //	if log.Size() > limit {
 //		err = log.Compact(state.snapshot())
@@ -19,7 +19,7 @@
 //
 // # Layout
 //
-// The log is one segment file. A segment begins with a header and a snapshot, one frame that stands for every
+// The log is one segment file. A segment begins with a header and a snapshot, one frame that replaces every
 // record before it; each Append adds one frame and syncs it before it returns. Compact writes a new segment
 // under a temporary name, syncs it, renames it, syncs the folder, and only then removes the old one. The
 // segment with the highest number is the log; any other is a leftover.
@@ -31,14 +31,15 @@
 // # Torn writes and corruption
 //
 // Two things distinguish a torn last frame from one that has changed since it was written. A crash leaves
-// each sector of a write as it was or as it should be, so a torn frame ends early or has a sector that was
-// never written; one of which nothing is missing is corrupt. And once a frame is synced, a marker is written
-// after it, without a sync of its own: whatever is invalid before a marker is corrupt. Not distinguished is a
-// frame with a whole sector of zeros in it, or one that is truncated, whose marker was lost by a crash, too.
-// A record should not end in zeros, which could be taken for a sector that was not written.
+// each sector of a write either old or new, so a torn frame ends early or has a sector that was never
+// written; an invalid frame with all its sectors is corrupt. And once a frame is synced, a marker is
+// written after it, without a sync of its own: an invalid frame before a marker is corrupt. The two can't
+// be distinguished if the marker was lost in a crash, too, and the corrupt frame is truncated or has a full
+// sector of zeros. A record should not end in zeros, which could be taken for a sector that was not
+// written.
 //
 // # Concurrency
 //
-// A Log has no goroutine and is not safe for concurrent use. Nothing keeps two processes from opening one
-// folder; the owner has to.
+// A Log has no goroutine and is not safe for concurrent use. The owner has to ensure that no other process
+// opens the folder.
 package segmentlog
--- a/internal/segmentlog/frame.go
+++ b/internal/segmentlog/frame.go
@@ -52,8 +52,8 @@
 // isSyncMarker reports whether a frame is a sync marker. A snapshot, too, may have no records.
 func (f *frame) isSyncMarker() bool { return len(f.records) == 0 && f.sequence > 0 }
 
-// frameHeaderChecksum covers a frame's header and the number of its segment, so that a frame that stands as
-// data inside another file's record isn't taken for one of this segment.
+// frameHeaderChecksum covers a frame's header and the number of its segment, so that the bytes of a frame
+// that are the data of another file's record aren't taken for a frame of this segment.
 func frameHeaderChecksum(header []byte, segment uint64) uint32 {
 	sum := crc32.Checksum(header[:16], castagnoli)
 	return crc32.Update(sum, castagnoli, binary.LittleEndian.AppendUint64(nil, segment))
--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -7,7 +7,7 @@
 
 // Options are what a log's owner may set.
 type Options struct {
-	// Snapshot returns records that stand for all appended so far, with those of the Append that calls it.
+	// Snapshot returns records that replace all appended so far, including those of the Append that calls it.
 	// Without it the log begins a new segment only by Compact.
 	Snapshot func() [][]byte
 	// MaxGrowth is how far a segment grows beyond its snapshot before Append begins a new one, in bytes.
