--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -13,7 +13,7 @@
 // io.ErrUnexpectedEOF, unless only the end of the connection delimits it.
 type Body struct {
 	r          *bufio.Reader
-	length     int64 // by Content-Length, -1 if it is unknown
+	length     int64 // by the head of the message, -1 if it is unknown
 	remaining  int64 // of the body, or of the present chunk
 	chunked    bool
 	untilClose bool
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -64,7 +64,7 @@
 
 // expendability returns how readily the connection may be closed to free its descriptor. The limit for idle
 // ones is short, because some clients open a connection for each request and leave it open: at hundreds a
-// second, idle connections would take all descriptors within seconds.
+// second, idle connections would take all descriptors long before they time out.
 func (c *client) expendability(now time.Time, l *config.Clients) int {
 	age := now.Sub(c.since)
 	switch {
