--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// ratingSamples is how many samples the rating of a server counts for beside measured latencies.
+// ratingSamples is the weight of a server's rating among measured latencies, in samples.
 const ratingSamples = 4
 
-// unusualLatency is how long, in seconds, a response of s seldom takes.
+// unusualLatency is the latency, in seconds, that a response of s seldom exceeds.
 func (b *Balancer) unusualLatency(r *request, s *server) float64 {
 	queue := max((s.inFlight+float64(s.sentSinceReport))/b.concurrency, 1)
 	return unresponsiveAfter * queue * b.serviceTime(r.Class, s.Kind).mean
 }
 
-// recordLatency takes how long an attempt of r took, as far as its result makes that telling.
+// recordLatency records the latency of an attempt of r, if its result makes the latency meaningful.
 func (b *Balancer) recordLatency(now time.Duration, r *request, a *attempt, latency time.Duration,
 	result Result) {
 	if result != Done && result != TimedOut {
@@ -61,7 +61,7 @@
 	return (ratingSamples*rated + kindTime.samples*measured) / (ratingSamples + kindTime.samples)
 }
 
-// slowStartFactor is the fraction of its capacity that a server is sure to have.
+// slowStartFactor is the fraction of its capacity that a server has by its slow start, 1 once that is over.
 func (b *Balancer) slowStartFactor(now time.Duration, s *server) float64 {
 	if s.Started <= 0 || now >= s.Started+b.settings.SlowStartWindow {
 		return 1
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -11,9 +11,9 @@
 	samples float64 // up to maxEstimateSamples
 }
 
-// add takes a latency in seconds. One from a server known to be uncontended counts as it is; of others the
-// low ones count most, for queueing only ever adds, and an estimate that grew with it would make reports look
-// younger just when they age.
+// add adds a latency in seconds. A latency of a server known to be uncontended has full weight. Of the
+// others, low ones count most: queueing can only lengthen a latency, and an estimate that grew with it
+// would make reports look younger just when they age.
 func (e *estimate) add(latency float64, uncontended bool) {
 	if e.mean == 0 {
 		e.mean = latency
--- a/balance/events.go
+++ b/balance/events.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ServerID names a server and says nothing else about it.
+// ServerID identifies a server; the number has no other meaning.
 type ServerID uint32
 
-// ServerState is what the registry knows of a server.
+// ServerState is the state of a server in the registry.
 type ServerState uint8
 
 // The states of a listed server; only one that is Up gets attempts.
--- a/balance/health.go
+++ b/balance/health.go
@@ -19,7 +19,7 @@
 	halfOpenWeight = 0.1
 )
 
-// recordHealth takes the result of an attempt or a probe of s.
+// recordHealth updates the health of s by the result of an attempt or a probe.
 func (b *Balancer) recordHealth(now time.Duration, s *server, result Result) {
 	threshold, ejectionTime := failuresToEject, baseEjectionTime
 	switch result {
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordClassHealth takes the result of an attempt for the health of its class on its server.
+// recordClassHealth updates the health of a class on a server by the result of an attempt.
 func (b *Balancer) recordClassHealth(now time.Duration, class *classHealth, result Result) {
 	switch result {
 	case Done:
--- a/balance/hotkeys.go
+++ b/balance/hotkeys.go
@@ -12,14 +12,14 @@
 	priorRequests = 30
 )
 
-// keyCounter follows which keys are requested most, over the last seconds and within a bound.
+// keyCounter finds the keys that are requested most, over the last seconds and in bounded memory.
 type keyCounter struct {
 	counts    map[uint64]float64 // by key, decaying
 	total     float64            // of all keys
 	decayedAt time.Duration
 }
 
-// record takes one request for a key and returns the fraction of all requests that the key had until then.
+// record counts a request for a key and returns the fraction of all requests that the key had before.
 func (c *keyCounter) record(now time.Duration, key uint64) float64 {
 	if c.counts == nil {
 		c.counts, c.decayedAt = map[uint64]float64{}, now
--- a/balance/probes.go
+++ b/balance/probes.go
@@ -92,7 +92,7 @@
 	return append(actions, b.timer(min(r.Deadline-now-b.settings.Tick, b.probeTimeout()), timerDeferred, r.seq))
 }
 
-// Probed takes how a probe ended, and goes on with the requests that waited for it.
+// Probed records how a probe ended, and continues the requests that waited for it.
 func (b *Balancer) Probed(now time.Duration, p ProbeResult, actions []Action) []Action {
 	s := b.byID[p.Server]
 	if s == nil || !s.probing {
--- a/balance/queuedelay.go
+++ b/balance/queuedelay.go
@@ -12,8 +12,8 @@
 	reportedDelayGain, measuredDelayGain = 0.1, 0.2
 )
 
-// recordQueueDelay takes by how much the latency of a request exceeded its service time, or would have where
-// a report was read, in seconds; gain is its weight in the moving average.
+// recordQueueDelay records by how many seconds the latency of a request exceeded its service time, or would
+// have by a report; gain is the weight in the moving average.
 func (b *Balancer) recordQueueDelay(now time.Duration, wait, gain float64) {
 	b.queueDelay, b.queueDelayAt = b.recentQueueDelay(now), now
 	b.queueDelay += gain * (max(wait, 0) - b.queueDelay)
--- a/balance/reports.go
+++ b/balance/reports.go
@@ -16,7 +16,7 @@
 	toleratedMissRate, lagPerMissRate = 0.3, 4
 )
 
-// recordReport takes a load report of s.
+// recordReport records a load report of s.
 func (b *Balancer) recordReport(now time.Duration, s *server, values []float64) {
 	inFlight, queued, ok := parseReport(b.settings.ReportFields, values)
 	if !ok {
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -15,7 +15,7 @@
 	deferralTime = 100 * time.Millisecond
 )
 
-// Request takes a request that must get one final response.
+// Request begins a request, which gets exactly one final response.
 func (b *Balancer) Request(now time.Duration, q Request, actions []Action) []Action {
 	if b.requests[q.ID] != nil {
 		return actions
@@ -137,8 +137,8 @@
 	return actions
 }
 
-// hedge sends a second attempt beside one whose response is out for unusually long, where that is harmless.
-// It draws on the retry budget, so that in an overload there are few.
+// hedge sends a second attempt while the first takes unusually long, if running both is harmless. It draws on
+// the retry budget, so that hedges are few in an overload.
 func (b *Balancer) hedge(now time.Duration, r *request, actions []Action) []Action {
 	if r.finished || r.outstanding != 1 || b.retryBudget < 1 || now >= b.attemptDeadline(r) {
 		return actions
@@ -147,7 +147,7 @@
 	return b.startAttempt(now, r, actions)
 }
 
-// Outcome takes how an attempt ended.
+// Outcome records how an attempt ended.
 func (b *Balancer) Outcome(now time.Duration, o Outcome, actions []Action) []Action {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
@@ -191,8 +191,8 @@
 	b.recordLatency(now, r, a, o.Latency, o.Result)
 }
 
-// mayRetry reports whether r, whose last attempt ended with result, may have another one. One that can't earn
-// anything any more would only feed an overload.
+// mayRetry reports whether r, whose last attempt ended with result, may have another one. A retry that can't
+// earn any value any more would only add to an overload.
 func (b *Balancer) mayRetry(now time.Duration, r *request, result Result) bool {
 	if result == Skipped || result == Done || b.retryBudget < 1 || now >= b.attemptDeadline(r) {
 		return false
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -40,7 +40,7 @@
 	Stream        bool          // the response is a stream
 }
 
-// Tenant is one of those who share the fleet.
+// Tenant is one of the tenants that share the fleet.
 type Tenant struct {
 	Fraction    float64 // of the service
 	QuotaPerSec float64 // requests a second, through all balancers together, inside its fraction
@@ -65,7 +65,7 @@
 	FieldUtilization                    // fraction of the processor in use
 )
 
-// Settings are all that a Balancer knows of the deployment; they don't change.
+// Settings describe the deployment to a Balancer; they don't change.
 type Settings struct {
 	Seed         uint64
 	Rank         int // number of this balancer among its peers
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,4 +1,4 @@
-// This file has the state of a Balancer and small steps on it, and decides nothing.
+// This file has the state of a Balancer and small operations on it; the decisions are in other files.
 
 package balance
 
@@ -113,8 +113,8 @@
 	bodyConsumed   bool    // its body is not retained any more, so there can be no other attempt
 }
 
-// isRejectedByDraw draws once for a request and reports, each time it is asked, whether the request is in
-// such a fraction.
+// isRejectedByDraw reports whether a request falls into a fraction of all requests. It draws once for each
+// request, so that later calls are consistent.
 func (r *request) isRejectedByDraw(rng *rand.Rand, fraction float64) bool {
 	if r.rejectDraw == 0 {
 		r.rejectDraw = 1 - rng.Float64()
--- a/balance/upload.go
+++ b/balance/upload.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// BodyConsumed reports that the body of a request is not retained any more: part of it went to the server of
-// the outstanding attempt and is lost for another one. What comes of the attempt is unknown only from
-// BodySent on, so the server does not count as unresponsive for the class meanwhile.
+// BodyConsumed reports that the body of a request is not retained any more: a part of it was sent to the
+// server of the outstanding attempt, and no other attempt can send it. Until BodySent the server can't have
+// answered, so it does not count as unresponsive for the class.
 func (b *Balancer) BodyConsumed(id string) {
 	r := b.requests[id]
 	if r == nil || r.bodyConsumed {
--- a/internal/cluster/gossip/fleet.go
+++ b/internal/cluster/gossip/fleet.go
@@ -157,7 +157,7 @@
 // now is the view's clock: the monotonic time since the start.
 func (f *Fleet) now() time.Duration { return time.Since(f.start) }
 
-// tickLoop lets the view's time pass, until the member stops.
+// tickLoop passes the time to the view at intervals, until the member stops.
 func (f *Fleet) tickLoop() {
 	defer f.done.Done()
 	tick := time.NewTicker(max(f.opts.ProbeInterval/2, 20*time.Millisecond))
@@ -215,7 +215,7 @@
 }
 
 // announceLeave sends each live member a leaveMessage. Gossip of the new phase may reach some after the leave
-// itself, which they would take for a death.
+// itself, which would then look like a failure.
 func (f *Fleet) announceLeave() {
 	msg, err := json.Marshal(leaveMessage{Name: f.opts.Name, Incarnation: f.meta.Load().Incarnation})
 	if err != nil {
--- a/internal/cluster/gossip/suspicion.go
+++ b/internal/cluster/gossip/suspicion.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// smallClusterSize is up to how many members a fleet counts as small.
+// smallClusterSize is the number of members up to which a fleet counts as small.
 const smallClusterSize = 32
 
 // maxSuspectSyncs is how many suspects this member exchanges states with at once. A member whose own links
@@ -16,10 +16,10 @@
 // other, the last would come after its suspicion has ended.
 const maxSuspectSyncs = 16
 
-// scheduleSuspectSyncs has this member exchange states with those that its view has suspect, whoever raised
-// the suspicion, each at a time of its own: so it learns of a refutation that gossip did not bring here. In a
-// small fleet, where gossip misses more, that is before a suspicion that others confirm ends; in a large one
-// it is after, so that a lost member is not called by all. f.mu is held.
+// scheduleSuspectSyncs schedules an exchange of states with each suspect of the view, whichever member
+// raised the suspicion, at a time drawn for each. In this way it learns of a refutation that gossip has not
+// delivered. In a small fleet, where gossip misses more, the exchange comes before a confirmed suspicion
+// ends; in a large one it comes after, so that not all members call a lost one. f.mu is held.
 func (f *Fleet) scheduleSuspectSyncs() {
 	now := f.now()
 	members := f.view.Snapshot()
--- a/internal/cluster/gossip/sync.go
+++ b/internal/cluster/gossip/sync.go
@@ -48,8 +48,8 @@
 	return n
 }
 
-// supersedePrevious raises this member's incarnation above that of its previous start, where others still
-// have that and the wall clock went back since: they would ignore updates of a lower one.
+// supersedePrevious raises this member's incarnation above that of its previous start, if other members still
+// have that one and the wall clock has gone back since: they would ignore updates of a lower incarnation.
 func (f *Fleet) supersedePrevious() {
 	f.mu.Lock()
 	m := *f.meta.Load()
@@ -70,9 +70,8 @@
 	}
 }
 
-// syncLoop does what waits for streams, until the member stops: it exchanges states with random members,
-// joins seeds and recently dead members again, one at a time, and starts exchanges with suspects beside
-// that.
+// syncLoop runs the tasks that use streams, until the member stops: it exchanges states with random members
+// and joins seeds and recently dead members again, one at a time, and starts the exchanges with suspects.
 func (f *Fleet) syncLoop() {
 	defer f.done.Done()
 	rejoin, sync := time.NewTimer(jitter(f.opts.RejoinInterval)), time.NewTimer(jitter(f.syncInterval()))
--- a/internal/cluster/raftgroup/group.go
+++ b/internal/cluster/raftgroup/group.go
@@ -26,9 +26,9 @@
 	Restore([]byte) error
 }
 
-// The ways a call on a group fails. A proposal that failed in another way than by ErrUnknown has not been
-// applied and will not be; after ErrUnknown it may have been, and is proposed again under the same id.
-// Members send these errors to each other as their texts.
+// The errors of a call on a group. After ErrUnknown a proposal may have been applied, and is proposed again
+// under the same id; after any other error it has not been applied and will not be. Members send these errors
+// to each other by their texts.
 var (
 	ErrNotLeader = errors.New("this replica does not lead the group")
 	ErrForming   = errors.New("the group has fewer than three voters yet, and promises nothing")
@@ -89,7 +89,7 @@
 	stats              GroupStats
 }
 
-// outcome is what becomes of a call on a group.
+// outcome is the result of a call on a group, or its error.
 type outcome struct {
 	result any
 	err    error
--- a/internal/cluster/raftgroup/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -21,7 +21,7 @@
 	Address string // where its Host listens; "" where it has none
 }
 
-// Host is this member's part in the groups: its store, its connections and its replicas.
+// Host runs this member's replicas of all groups, with their common store and connections.
 type Host struct {
 	opts  Options
 	log   *slog.Logger
--- a/internal/router/agent/broadcast.go
+++ b/internal/router/agent/broadcast.go
@@ -10,8 +10,8 @@
 
 func newBroadcast() *broadcast { return &broadcast{event: make(chan struct{})} }
 
-// next returns a channel that closes at the next event. A waiter calls it before it looks at what it waits
-// for, so that it misses no event.
+// next returns a channel that closes at the next event. A waiter calls it before it checks the state that it
+// waits for, so that it misses no event.
 func (b *broadcast) next() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -25,8 +25,8 @@
 	lastReceived time.Duration // when the last message of the feed came, or the source was chosen
 }
 
-// runSubscription follows the feed of one hub, unless this process is a hub itself: hubs receive all changes
-// at first hand and repair their directories by anti-entropy.
+// runSubscription follows the feed of one hub, unless this process is a hub itself: every process sends its
+// changes to each hub, and hubs repair their directories by anti-entropy.
 func (a *Agent) runSubscription(done <-chan struct{}) {
 	runEvery(sourceCheckInterval, done, func() {
 		a.updateHubs()
--- a/internal/router/agent/self_record.go
+++ b/internal/router/agent/self_record.go
@@ -2,7 +2,7 @@
 
 import "cresshub/internal/router/directory"
 
-// mergeRemote merges records of another process, and refutes what is wrong in them about this one.
+// mergeRemote merges records of another process, and refutes them if they say that this one is lost.
 func (a *Agent) mergeRemote(records []directory.Record) {
 	if len(records) == 0 {
 		return
@@ -11,7 +11,7 @@
 	a.refute()
 }
 
-// refute announces this process once more where its record says that it is lost, as in SWIM.
+// refute announces this process again if its record says that it is lost, as in SWIM.
 func (a *Agent) refute() {
 	var isLost bool
 	a.state.read(func(d *directory.Directory) {
--- a/internal/router/cli/reload.go
+++ b/internal/router/cli/reload.go
@@ -23,7 +23,7 @@
 	lastProblem  string    // of the last read, so that a lasting error is reported once
 }
 
-// readsAfterChange is how many polls after a change read the file once more.
+// readsAfterChange is how many polls after a change read the file again.
 const readsAfterChange = 2
 
 func newSettingsReloader(apply func(*agentsettings.Settings), onError func(error)) *settingsReloader {
--- a/internal/router/dataplane/headers.go
+++ b/internal/router/dataplane/headers.go
@@ -94,7 +94,7 @@
 var reservedFields = []string{deadlineHeader, expectServerHeader, stageHeader, kvFromHeader, priorityHeader,
 	expectVersionHeader}
 
-// protectedFields are the fields that reach the server whatever a client's Connection says of them: without
+// protectedFields are the fields that are forwarded even if a client's Connection field names them: without
 // one of them the server would run another request than the client's.
 var protectedFields = []string{"Host", tryIDHeader, lastEventHeader, modelHeader, tokensHeader, prefixHeader}
 
--- a/internal/router/dataplane/peerload.go
+++ b/internal/router/dataplane/peerload.go
@@ -41,7 +41,7 @@
 	return lc.inner.TakeNewPrefixes()
 }
 
-// SetPeerLoad takes over the calls that all other proxies together have in flight at some servers; with
+// SetPeerLoad sets the calls that all other proxies together have in flight at some servers; with
 // full, they have none elsewhere. It also adds the prefixes that they have sent to servers for the first
 // time.
 func (p *Proxy) SetPeerLoad(peers []scheduler.InFlightLoad, full bool, prefixes []scheduler.CachedPrefixes) {
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -18,8 +18,8 @@
 	defaultIdleTime = 900 * time.Millisecond
 	// maxIdleTime bounds how long a connection stays idle, whatever its server announces.
 	maxIdleTime = 30 * time.Second
-	// maxIdleTimeUnsafe bounds it for requests that must not be sent twice: a server that closes while the
-	// request is on its way leaves open whether it ran.
+	// maxIdleTimeUnsafe bounds it for requests that must not be sent twice: if the server closes the connection
+	// while the request is on its way, nobody knows whether it ran.
 	maxIdleTimeUnsafe = 4 * time.Second
 	// keepAliveMargin is subtracted from the time that a server announces.
 	keepAliveMargin = 500 * time.Millisecond
@@ -28,7 +28,7 @@
 	sweepInterval = time.Second
 )
 
-// errNoConnectionFree says that the proxy has as many connections in use as it may have.
+// errNoConnectionFree means that as many connections are in use as the limits allow.
 var errNoConnectionFree = errors.New(
 	"all connections that this proxy may have to the server are in use; use another",
 )
@@ -169,7 +169,7 @@
 	return &connection{socket: socket, server: spec.server.ID, lastRequest: spec.requestNumber}, nil
 }
 
-// put takes a connection back for the next call; keepAlive is how long the server keeps it.
+// put returns a connection to the pool; keepAlive is how long the server keeps it open.
 func (p *pool) put(c *connection, keepAlive time.Duration) {
 	if keepAlive <= 0 || c.hasBufferedInput() {
 		p.discard(c)
@@ -205,7 +205,7 @@
 		"%d connections, %d to %s of which %d are idle", p.open, conns.open, server, len(conns.idle))
 }
 
-// scheduleSweep has the idle connections checked in a while, as long as there are any.
+// scheduleSweep schedules the next sweep, as long as there are idle connections.
 func (p *pool) scheduleSweep() {
 	if !p.sweeping {
 		p.sweeping = true
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -106,8 +106,7 @@
 		"request %s made %d attempts, %d are allowed", c.roundTrip.request.tryID, t.attempts, maxAttempts)
 }
 
-// checkLocalReply checks a local reply that promises that the request has not run against what was sent of
-// it.
+// checkLocalReply checks that a request which may have run gets no local reply that promises the opposite.
 func (t *roundTripTrace) checkLocalReply(rt *roundTrip, status int) {
 	promises := status == 408 || status == 421 || status == 429 || status == 503
 	invariant.Assert(!promises || !t.unsafeMayHaveRun, invariant.RejectedNeverRan,
--- a/internal/router/directory/doc.go
+++ b/internal/router/directory/doc.go
@@ -1,6 +1,6 @@
-// Package directory is the table in which proxies share what they know of servers, of each other and of
-// orders to servers. Each proxy has a replica of it, and no replica is the authority: a change reaches the
-// others by the feeds of hubs and by anti-entropy, in any order and more than once.
+// Package directory is the eventually consistent table of the servers, the proxies and the orders to
+// servers. Each proxy has a replica of it, and no replica is the authority: a change reaches the others by
+// the feeds of hubs and by anti-entropy, in any order and possibly more than once.
 //
 // Replicas agree because Merge is commutative and idempotent. The process that a record describes numbers its
 // own changes (Record.Sequence); of two records of one id the greater sequence wins, and of one sequence the
--- a/internal/router/scheduler/arrivals.go
+++ b/internal/router/scheduler/arrivals.go
@@ -8,13 +8,12 @@
 //	T = mean over the candidates of min(age of the report, maxAgeServiceTimes·S)
 //	λ = min(1, max(minUtilization, utilizationMargin·u))
 //
-// S is the mean time of a request; reports older than a few of them have lost their weight by their decay, so
-// that T stays below maxAgeServiceTimes·S. u is the fraction of the servers' capacity in use by their
-// reports: the load that a leaving request leaves behind is spread as the one that an arriving request finds.
-// λ errs on the high side, as the paper advises. n is the number of servers whose arrivals the draw stands
-// for: all candidates where any request of the service may go to any of them; one where the candidates follow
-// from the request's prompt, since other prompts have other candidates and only the requests that prefer the
-// same server fill the same ones.
+// S is the mean time of a request; reports older than a few of them have lost their weight by their decay,
+// so that T stays below maxAgeServiceTimes·S. u is the fraction of the servers' capacity in use by their
+// reports: these come with answers, and the load that a departing request leaves behind is distributed like
+// the one that an arriving request finds. λ errs on the high side, as the paper advises. n is the number of
+// servers whose arrivals compete for the candidates: all of them if any request of the service may go to any
+// candidate; one if the candidates depend on the prompt, because other prompts then have other candidates.
 const (
 	maxAgeServiceTimes = 2.0
 	minUtilization     = 0.5
--- a/internal/router/scheduler/basic_li.go
+++ b/internal/router/scheduler/basic_li.go
@@ -6,9 +6,9 @@
 	"cresshub/balance"
 )
 
-// draw takes one candidate at random with the probabilities of Basic LI: the water levels of the candidates,
-// weighted by their speeds, are filled up with what arrives. It makes one random draw, or none where there is
-// only one candidate.
+// draw selects one candidate at random with the probabilities of Basic LI: the water levels of the
+// candidates, weighted by their speeds, are filled up with the arrivals. It makes one random draw, or none
+// if there is only one candidate.
 func (s *Scheduler) draw(now time.Duration, candidates []candidate, arrivalsMs float64) *candidate {
 	if len(candidates) == 1 {
 		return &candidates[0]
--- a/internal/router/scheduler/call.go
+++ b/internal/router/scheduler/call.go
@@ -13,7 +13,7 @@
 	Tokens int
 }
 
-// Request is what a decision needs to know of a client's request.
+// Request is the part of a client's request that decisions depend on.
 type Request struct {
 	Service      *fleetconfig.Service
 	Segments     []Segment // in order; the last one belongs to the request or its session alone
@@ -23,7 +23,7 @@
 	Idempotent   bool     // it may run more than once, so that it may probe a half-open server
 }
 
-// Role is what a call asks of its server.
+// Role is what a server does for a call: prefill, decode, or both.
 type Role int
 
 // The roles of a call.
@@ -78,7 +78,7 @@
 }
 
 // Expected returns what the decision expected: the prompt tokens that the server has to prefill, and the time
-// until the first sign of its answer.
+// until the first byte of its answer.
 func (c *Call) Expected() (tokens int, wait time.Duration) {
 	return c.uncachedTokens, duration(c.expectedMs)
 }
@@ -89,7 +89,7 @@
 	return hash
 }
 
-// UncachedPrefill returns the time until a prefill call is answered if the server holds nothing of the
+// UncachedPrefill returns the time until a prefill call is answered if the server has cached nothing of the
 // prompt.
 func (c *Call) UncachedPrefill() time.Duration { return duration(c.uncachedMs) }
 
--- a/internal/router/scheduler/candidates.go
+++ b/internal/router/scheduler/candidates.go
@@ -49,8 +49,8 @@
 	return s.candidates
 }
 
-// fillUncached sets what each candidate would have to prefill: what this proxy has not sent there. Other
-// proxies may have sent the shared part of the prompt, so that it may be no more than the rest.
+// fillUncached sets how many tokens each candidate would have to prefill: those that this proxy has not sent
+// there. If other proxies may have sent the shared part of the prompt, the minimum is the rest.
 func (s *Scheduler) fillUncached(chain *prefixChain) {
 	_, shared, _ := chain.shared()
 	for i := range s.candidates {
--- a/internal/router/scheduler/doc.go
+++ b/internal/router/scheduler/doc.go
@@ -10,9 +10,9 @@
 //   - candidates.go: the servers that may take the call, without those that are ejected or full;
 //     outlier_detection.go ejects servers after consecutive failures (Envoy's outlier detection) and lets
 //     them back in through a half-open state.
-//   - prefix_affinity.go and zone_preference.go narrow them down: a prefill goes to the servers that hold the
-//     shared part of its prompt or rank first for it by rendezvous hashing, a decode to the zone of its
-//     prefill server.
+//   - prefix_affinity.go and zone_preference.go narrow them down: a prefill goes to the servers that have
+//     cached the shared part of its prompt or rank first for it by rendezvous hashing, a decode to the zone of
+//     its prefill server.
 //   - water_level.go estimates the queue of each candidate in milliseconds of its work.
 //   - basic_li.go draws one at random from the probabilities of Basic LI (Dahlin, "Interpreting Stale Load
 //     Information", 1999): the water levels of the candidates are filled up with the work that arrives while
@@ -22,8 +22,8 @@
 //
 // Per server: the load that it reported last, this proxy's own calls, speed, lateness and outlier detection
 // (server_state.go). Per service: estimates of prefill time, time per output token and utilization
-// (service_pool.go, estimates.go). Over all: which servers hold which prefixes (prefix_index.go), and what
-// the other proxies have in flight (peer_load.go). Nothing is persisted.
+// (service_pool.go, estimates.go). Over all: which servers have cached which prefixes (prefix_index.go), and
+// what the other proxies have in flight (peer_load.go). Nothing is persisted.
 //
 // # Concurrency
 //
--- a/internal/router/scheduler/estimates.go
+++ b/internal/router/scheduler/estimates.go
@@ -11,7 +11,7 @@
 	minPaceTokens     = 4   // output tokens from which on a stream says how long a token takes
 )
 
-// ownTime returns the ms until the first sign of an answer that a call takes by itself, without waiting.
+// ownTime returns the time in ms that a call takes until the first byte of its answer, without queueing.
 func (p *servicePool) ownTime(call *Call) float64 {
 	switch {
 	case p.service.Engine == nil:
@@ -67,8 +67,9 @@
 	}
 }
 
-// learnPrefillTime takes a sample at the middle of the tokens that the prefill may have had. Where other
-// proxies may have sent the shared prefix there, that is uncertain, and the sample counts for little.
+// learnPrefillTime adds a sample at the mean of the minimum and the maximum of tokens that the prefill may
+// have had. They differ if other proxies may have sent the shared prefix there; the sample then has less
+// weight.
 func (p *servicePool) learnPrefillTime(call *Call, tookMs float64) {
 	p.prefillTokens.add(float64(call.uncachedTokens), meanWindow)
 	tokens := float64(call.minUncached+call.maxUncached) / 2
--- a/internal/router/scheduler/outlier_detection.go
+++ b/internal/router/scheduler/outlier_detection.go
@@ -98,7 +98,7 @@
 	return false
 }
 
-// recordSuccess counts for the server of the call, and for the one whose prefix cache it fetched.
+// recordSuccess records a success of the server of the call, and of the one whose prefix cache it fetched.
 func (c *Call) recordSuccess(now time.Duration) {
 	c.state.outliers.recordSuccess(now)
 	if c.prefillServer != nil {
--- a/internal/router/scheduler/prefix_affinity.go
+++ b/internal/router/scheduler/prefix_affinity.go
@@ -7,24 +7,24 @@
 	// One more would take load off the others for a moment and bring them a second prefill of the same prefix
 	// later.
 	minAffinityServers = 2
-	// firstPrefillDivisor sets k for a prefix that no prefill server holds: one in so many prefill servers. It
-	// is prefilled for the first time wherever that is, so that more choices cost nothing but a second prefill
-	// by a proxy that has not heard of the first one. Of eight servers or fewer that is no more than
-	// minAffinityServers.
+	// firstPrefillDivisor sets k for a prefix that no prefill server has cached: the number of prefill
+	// servers divided by it. Any server has to prefill such a prefix completely, so that more choices cost
+	// nothing except a second prefill by a proxy to which the first one is not reported yet. With eight
+	// servers or fewer, k is minAffinityServers.
 	firstPrefillDivisor = 4
 )
 
 // prefixAffinity returns the k servers that a prompt may go to, with their costs, and the number of servers
-// whose arrivals the draw among them stands for (arrivals.go). A prompt that shares nothing may go to any
-// server. All proxies rank the servers alike, by rendezvous hashing of the shared prefix.
+// whose arrivals compete for them (n in arrivals.go). A prompt that shares nothing may go to any server. All
+// proxies rank the servers alike, by rendezvous hashing of the shared prefix.
 //
-// Prefill: the first ranks among the servers that hold the prefix, as the proxies tell each other, then among
-// the others. Where none holds it, the first ranks, one in firstPrefillDivisor; other prefixes are prefilled
-// there for the first time too, so that the arrivals grow with their number. Where this proxy may have missed
-// who holds what, the first ranks, which are assumed to hold it.
+// Prefill: the servers of the first ranks, those first that have cached the prefix by the reports of the
+// proxies. If none has, one in firstPrefillDivisor of all; other new prefixes are prefilled there too, so
+// that the arrivals grow with the number of these servers. If this proxy may have missed reports, the
+// servers of the first ranks are assumed to have cached it.
 //
-// Serve, at decode servers, which get prefixes by transfers as well: the first ranks, and those that are
-// known to hold nearly all of the prompt.
+// Serve, at decode servers, which get prefixes by transfers as well: the servers of the first ranks, and
+// those that are known to have cached nearly all of the prompt.
 func (s *Scheduler) prefixAffinity(
 	now time.Duration, pool *servicePool, role Role, candidates []candidate, chain *prefixChain,
 ) (chosen []candidate, arrivalServers int) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// appendCached moves the servers that are known to hold nearly all of the prompt behind the first k, and
-// returns the new k.
+// appendCached moves the servers that are known to have cached nearly all of the prompt to the positions
+// after the first k, and returns the new k.
 func appendCached(all []candidate, k int) int {
 	for i := k; i < len(all); i++ {
 		if all[i].uncachedTokens <= maxDirectUncached {
--- a/internal/router/scheduler/prefix_exchange.go
+++ b/internal/router/scheduler/prefix_exchange.go
@@ -6,11 +6,12 @@
 	// bootstrapGrace is how long proxies that start together may take to discover each other.
 	bootstrapGrace = 6 * time.Second
 	// prefixCatchUpTime is how long after a gap in the other proxies' reports this one may lack prefixes that
-	// they sent to servers: by then most prompts in use have come up again.
+	// they sent to servers. After that most prompts in use have been reported again.
 	prefixCatchUpTime = 30 * time.Second
 )
 
-// CachedPrefixes says which shared prefixes a server holds, or has been sent to prefill for the first time.
+// CachedPrefixes are shared prefixes that a server has cached, or has been sent to prefill for the first
+// time.
 type CachedPrefixes struct {
 	Server string // id
 	Hashes []uint64
@@ -39,7 +40,7 @@
 	}
 }
 
-// KnownPrefixes returns the prefixes that listed servers are known to hold: the most recently used ones, at
+// KnownPrefixes returns the prefixes that listed servers are known to have cached: the most recent ones, at
 // most limit. It includes those that other proxies reported. The order of servers is random.
 func (s *Scheduler) KnownPrefixes(limit int) []CachedPrefixes {
 	ids := map[uint64]string{}
@@ -59,16 +60,16 @@
 	return known
 }
 
-// MarkPrefixesSynced records that this proxy has got all prefixes that another one knows of.
+// MarkPrefixesSynced records that this proxy has received all prefixes that another one knows.
 func (s *Scheduler) MarkPrefixesSynced(now time.Duration) { s.peerLoadAt, s.assumeCachedUntil = now, 0 }
 
-// MarkFleetStart records that this proxy starts together with all others, so that no prefix was sent to any
-// server before: none can be missed until they have discovered each other.
+// MarkFleetStart records that this proxy starts together with all others. No prefix was sent to any server
+// before, so until the proxies have discovered each other this one has missed none.
 func (s *Scheduler) MarkFleetStart(now time.Duration) {
 	s.peerLoadAt, s.assumeCachedUntil = now+bootstrapGrace, 0
 }
 
-// prefixesKnown reports whether this proxy knows of all prefixes that were sent to servers lately.
+// prefixesKnown reports whether this proxy knows all prefixes that were sent to servers lately.
 func (s *Scheduler) prefixesKnown(now time.Duration) bool {
 	_, ok := s.peerLoadAge(now)
 	return ok && now >= s.assumeCachedUntil
--- a/internal/router/scheduler/prefix_index.go
+++ b/internal/router/scheduler/prefix_index.go
@@ -2,7 +2,7 @@
 
 const maxPrefixEntries = 8192 // pairs of a server and a prefix that a proxy remembers
 
-// prefixKey says that a server holds a prefix.
+// prefixKey identifies a prefix that a server has cached.
 type prefixKey struct{ server, prefix uint64 } // hashes
 
 type prefixEntry struct {
@@ -10,8 +10,8 @@
 	newer, older int32 // indexes of entries
 }
 
-// prefixIndex remembers which servers hold which prefixes, the most recently used ones. Its entries form a
-// doubly linked list from the newest to the oldest, in a ring around entry 0, which holds no prefix.
+// prefixIndex records which servers have cached which prefixes, as an LRU cache. Its entries form a doubly
+// linked list from the newest to the oldest, in a ring around entry 0, which has no prefix.
 type prefixIndex struct {
 	index   map[prefixKey]int32
 	entries []prefixEntry
@@ -22,7 +22,7 @@
 	return &prefixIndex{index: map[prefixKey]int32{}, entries: make([]prefixEntry, 1), limit: limit}
 }
 
-// cachedTokens returns how many tokens of a prompt a server is known to hold.
+// cachedTokens returns how many tokens of a prompt a server is known to have cached.
 func (x *prefixIndex) cachedTokens(server uint64, chain *prefixChain) int {
 	for i := chain.length - 1; i >= 0; i-- {
 		if _, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
@@ -32,8 +32,8 @@
 	return 0
 }
 
-// record remembers that a server holds a prompt from now on, and returns how many of its segments it was
-// known to hold before.
+// record records that a server has cached a prompt, and returns how many of its segments were recorded
+// before.
 func (x *prefixIndex) record(server uint64, chain *prefixChain) (cachedBefore int) {
 	for i := range chain.length {
 		key := prefixKey{server, chain.hashes[i]}
@@ -45,7 +45,7 @@
 	return cachedBefore
 }
 
-// drop forgets that a server holds a prompt, but for as many segments as it held before.
+// drop removes what record has added for a prompt; the segments that were recorded before it stay.
 func (x *prefixIndex) drop(server uint64, chain *prefixChain, cachedBefore int) {
 	for i := cachedBefore; i < chain.length; i++ {
 		if at, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
--- a/internal/router/scheduler/queue_delay.go
+++ b/internal/router/scheduler/queue_delay.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// QueueDelay estimates how long a request would wait for a free slot if it were sent now, beside its own
-// work, and whether a server that may take it has a free slot. Without such a server it returns 0 and false.
+// QueueDelay estimates how long a request would wait for a free slot if it were sent now, not counting its
+// own work, and whether a server that may take it has a free slot. Without such a server it returns 0 and
+// false.
 func (s *Scheduler) QueueDelay(now time.Duration, request *Request) (wait time.Duration, free bool) {
 	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
 	wait, free = s.slotDelay(now, pool, request, Serve, &chain)
--- a/internal/router/scheduler/scheduler.go
+++ b/internal/router/scheduler/scheduler.go
@@ -19,7 +19,7 @@
 
 	// assumeCachedUntil is until when servers may have cached prefixes that were not reported to this proxy.
 	assumeCachedUntil time.Duration
-	// peerLoadAt is when the other proxies last reported what they have in flight, 0 where they never did.
+	// peerLoadAt is when the other proxies last reported what they have in flight, 0 if they never did.
 	peerLoadAt time.Duration
 
 	// Buffers of the decision being made, reused by the next one.
--- a/internal/router/scheduler/server_state.go
+++ b/internal/router/scheduler/server_state.go
@@ -56,8 +56,8 @@
 	return &serverState{Server: s, hash: serverHash(s.ID), listedAt: now, warmAt: now + s.WarmUp, speed: 1}
 }
 
-// updateListing takes the server's entry of the newest table; each newer entry says anew how long it warms
-// up.
+// updateListing applies the server's entry of the newest table. The warm-up starts again with each newer
+// sequence of the entry.
 func (s *serverState) updateListing(now time.Duration, newer *catalog.Server) {
 	if newer.Sequence != s.Sequence {
 		s.warmAt = now + newer.WarmUp
--- a/internal/router/scheduler/service_pool.go
+++ b/internal/router/scheduler/service_pool.go
@@ -18,8 +18,8 @@
 	initialServiceMs            = 60.0 // of a request to a service without a model
 )
 
-// queuedSampleWeight is how much a prefill counts that took longer than its estimate: it has probably waited
-// behind prefills that nobody reported, and waiting only ever adds.
+// queuedSampleWeight is the weight of a prefill that took longer than its estimate: it has probably waited
+// in a queue that was not reported, and a wait can only lengthen it.
 const queuedSampleWeight = 0.05
 
 // servicePool is what this proxy knows about all servers of a service together.
--- a/internal/router/scheduler/water_level.go
+++ b/internal/router/scheduler/water_level.go
@@ -29,10 +29,10 @@
 	decayServiceTimes = 2.0 // mean request times in which a lone report loses most of its weight
 	baselinePrior     = 3.0 // reports that the mean of all servers counts for in a server's baseline
 
-	// recomputeWeight weighs a prefill of what another server holds already. Beside its time it takes of the
-	// prefill servers' common capacity, so that all other requests wait for longer, evicts other prefixes,
-	// leaves a copy that no other proxy looks for, and has a price. docs/design/routing.md has the weights
-	// that were compared.
+	// recomputeWeight weighs a prefill of tokens that another server has cached already. Besides its time, it
+	// uses the common capacity of the prefill servers, so that all other requests wait longer, evicts other
+	// prefixes, leaves a copy that no other proxy looks for, and has a price. docs/design/routing.md compares
+	// weights.
 	recomputeWeight = 4.0
 
 	// directPrefillWeight weighs a prefill at a decode server: its chunks run between the decode steps of
--- a/internal/router/transport/handler.go
+++ b/internal/router/transport/handler.go
@@ -2,11 +2,11 @@
 
 import "cresshub/internal/router/peerproto"
 
-// Handler takes the frames that callers send. Its methods are called by the goroutine that reads the
-// connection, so those of several connections at the same time, and a call that takes long has to be answered
+// Handler handles the frames that callers send. Its methods run on the goroutine that reads the connection,
+// so they may run at the same time for different connections, and a call that takes long has to be answered
 // by another goroutine.
 type Handler interface {
-	// Handle takes a frame other than a Hello.
+	// Handle handles a frame other than a Hello.
 	Handle(c *Conn, frame peerproto.Frame)
 	// Closed is called last, when the connection has ended.
 	Closed(c *Conn)
