--- a/balance/requests.go
+++ b/balance/requests.go
@@ -15,7 +15,7 @@
 	deferralTime = 100 * time.Millisecond
 )
 
-// Request takes a request that must get one final response.
+// Request begins a request, which gets exactly one final response.
 func (b *Balancer) Request(now time.Duration, q Request, actions []Action) []Action {
 	if b.requests[q.ID] != nil {
 		return actions
@@ -36,7 +36,8 @@
 	return b.nextAttempt(now, r, actions)
 }
 
-// nextAttempt starts the next attempt of r, defers it for probes or for want of servers, or gives it up.
+// nextAttempt starts the next attempt of r, defers it because probes are awaited or no server is available,
+// or gives r up.
 func (b *Balancer) nextAttempt(now time.Duration, r *request, actions []Action) []Action {
 	remaining := r.Deadline - now
 	if remaining <= b.settings.Tick {
@@ -136,8 +137,8 @@
 	return actions
 }
 
-// hedge sends a second attempt beside one whose response is out for unusually long, where that is harmless.
-// It draws on the retry budget, so that in an overload there are few.
+// hedge sends a second attempt while the first takes unusually long, if running both is harmless. It draws on
+// the retry budget, so that hedges are few in an overload.
 func (b *Balancer) hedge(now time.Duration, r *request, actions []Action) []Action {
 	if r.finished || r.outstanding != 1 || b.retryBudget < 1 || now >= b.attemptDeadline(r) {
 		return actions
@@ -146,7 +147,7 @@
 	return b.startAttempt(now, r, actions)
 }
 
-// Outcome takes how an attempt ended.
+// Outcome records how an attempt ended.
 func (b *Balancer) Outcome(now time.Duration, o Outcome, actions []Action) []Action {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
@@ -168,7 +169,7 @@
 	return b.nextAttempt(now, r, actions)
 }
 
-// recordOutcome takes what the end of an attempt shows of its server.
+// recordOutcome updates the state of the server by the outcome of an attempt.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, o *Outcome) {
 	a := &r.attempts[o.Attempt]
 	s := a.server
@@ -190,8 +191,8 @@
 	b.recordLatency(now, r, a, o.Latency, o.Result)
 }
 
-// mayRetry reports whether r, whose last attempt ended with result, may have another one. One that can't earn
-// anything any more would only feed an overload.
+// mayRetry reports whether r, whose last attempt ended with result, may have another one. A retry that can't
+// earn any value any more would only add to an overload.
 func (b *Balancer) mayRetry(now time.Duration, r *request, result Result) bool {
 	if result == Skipped || result == Done || b.retryBudget < 1 || now >= b.attemptDeadline(r) {
 		return false
@@ -200,8 +201,8 @@
 		now+b.expectedServiceTime(r) <= r.receivedAt+b.latencyTarget(r)
 }
 
-// giveUp gives r its final response, unless an attempt is outstanding that may bring one. A rejection says
-// when to come back: an overload dissolves over several times the queue delay that it causes.
+// giveUp answers r with a rejection or failure, unless an attempt is outstanding that may still succeed. A
+// rejection advises when to retry: an overload takes several times its queue delay to clear.
 func (b *Balancer) giveUp(now time.Duration, r *request, actions []Action) []Action {
 	if r.outstanding > 0 {
 		return actions
--- a/internal/cluster/raftgroup/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/cluster/placement"
 )
 
-// viewInterval is between looks at the fleet's view.
+// viewInterval is how often the fleet's view is polled.
 const viewInterval = 100 * time.Millisecond
 
 // Peer is a member of the fleet, as the fleet's view has it.
@@ -21,7 +21,7 @@
 	Address string // where its Host listens; "" where it has none
 }
 
-// Host is this member's part in the groups: its store, its connections and its replicas.
+// Host runs this member's replicas of all groups, with their common store and connections.
 type Host struct {
 	opts  Options
 	log   *slog.Logger
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -13,8 +13,8 @@
 
 const readyPath = "/health/ready"
 
-// respond finds a request's final response. The part of its body that is not buffered is in u, nil where
-// there is none.
+// respond parses a request, runs its attempts and returns its final response. u is the part of the body that
+// is not buffered, nil if there is none.
 func (s *Server) respond(c *client, q *http1.Request, u *upload, arrived time.Time) finalResponse {
 	if path, _, _ := strings.Cut(q.Target, "?"); path == readyPath {
 		return finalResponse{response: s.readiness()}
@@ -92,7 +92,7 @@
 	outcome upstream.Outcome
 }
 
-// runAttempts takes the steps of a request's call until they end it.
+// runAttempts carries out the steps that the Decider returns for a request, until one ends it.
 func (s *Server) runAttempts(c *client, id string, request dispatch.Request, message *http1.Request,
 	u *upload) finalResponse {
 	select {
@@ -149,13 +149,13 @@
 	switch last.Kind {
 	case dispatch.Answer:
 		s.Stats.Served.Add()
-		s.noteOutcome(c, "served", 200, attempts, last.Attempt)
+		s.recordOutcome(c, "served", 200, attempts, last.Attempt)
 		outcome := &attempts[last.Attempt].outcome
 		outcome.Response.Header = outcome.Response.Header.EndToEnd("X-Server-Load")
 		return finalResponse{outcome.Response, outcome, &class.Passed, &class.Failed}
 	case dispatch.Refuse:
 		s.Stats.Refused.Add()
-		s.noteOutcome(c, "refused", 503, attempts, len(attempts)-1)
+		s.recordOutcome(c, "refused", 503, attempts, len(attempts)-1)
 		response := textResponse(503, "refused", false)
 		if last.RetryAfter > 0 {
 			wait := strconv.FormatFloat(last.RetryAfter.Seconds(), 'f', 3, 64)
@@ -164,7 +164,7 @@
 		return finalResponse{response: response, counter: &class.Dropped}
 	case dispatch.ClientGone:
 		s.Stats.ClientGone.Add()
-		s.noteOutcome(c, "gone", 0, attempts, len(attempts)-1)
+		s.recordOutcome(c, "gone", 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
 			s.Pool.Release(&attempts[last.Attempt].outcome)
 		}
@@ -175,6 +175,6 @@
 	if n := len(attempts); n > 0 && attempts[n-1].outcome.Result == dispatch.TimedOut {
 		status, reason = 504, "no answer in time"
 	}
-	s.noteOutcome(c, "failed", status, attempts, len(attempts)-1)
+	s.recordOutcome(c, "failed", status, attempts, len(attempts)-1)
 	return finalResponse{response: textResponse(status, reason, false), counter: &class.Failed}
 }
