--- a/balance/upload.go
+++ b/balance/upload.go
@@ -3,8 +3,8 @@
 import "time"
 
 // BodyConsumed reports that the body of a request is not retained any more: a part of it was sent to the
-// server of the outstanding attempt, and no other attempt can send it. Until BodySent the server can't have
-// answered, so it does not count as unresponsive for the class.
+// server of the outstanding attempt, and no other attempt can send it. Until BodySent no answer is due, so
+// the server does not count as unresponsive for the class.
 func (b *Balancer) BodyConsumed(id string) {
 	r := b.requests[id]
 	if r == nil || r.bodyConsumed {
--- a/internal/router/fleetconfig/route.go
+++ b/internal/router/fleetconfig/route.go
@@ -50,7 +50,7 @@
 	Priority int
 
 	// MaxAttempts ("delivery_tries") is the most servers that one request is sent to, the first included.
-	// Defaults to 1, which disables retries and hedging.
+	// Defaults to 1, which disables retries.
 	MaxAttempts int
 
 	// Resumable ("redeliver") allows a stream to be continued at another server with Last-Event-Id. Defaults to
--- a/internal/router/scheduler/doc.go
+++ b/internal/router/scheduler/doc.go
@@ -11,8 +11,8 @@
 //     outlier_detection.go ejects servers after consecutive failures (Envoy's outlier detection) and lets
 //     them back in through a half-open state.
 //   - prefix_affinity.go and zone_preference.go narrow them down: a prefill goes to the servers that have
-//     cached the shared part of its prompt or rank first for it by rendezvous hashing, a decode to the zone of
-//     its prefill server.
+//     cached the shared part of its prompt or rank first for it by rendezvous hashing, a decode to the zone
+//     of its prefill server.
 //   - water_level.go estimates the queue of each candidate in milliseconds of its work.
 //   - basic_li.go draws one at random from the probabilities of Basic LI (Dahlin, "Interpreting Stale Load
 //     Information", 1999): the water levels of the candidates are filled up with the work that arrives while
