--- a/internal/testbed/nettest/nettest.go
+++ b/internal/testbed/nettest/nettest.go
@@ -39,20 +39,20 @@
 }
 
 // Serve starts a server that answers each request as handle returns. It ends with the test.
-func Serve(tb testing.TB, handle func(q *http1.Request) *http1.Response) *ScriptedServer {
+func Serve(tb testing.TB, handle func(request *http1.Request) *http1.Response) *ScriptedServer {
 	tb.Helper()
 	s := &ScriptedServer{Abandoned: make(chan struct{}, 64)}
 	s.Address = Listen(tb, func(c *connbuffer.Conn) {
 		s.Opened.Add(1)
 		for {
-			q, err := http1.ReadRequest(c.In)
+			request, err := http1.ReadRequest(c.In)
 			if err != nil {
 				return
 			}
 			s.mu.Lock()
-			s.received = append(s.received, q)
+			s.received = append(s.received, request)
 			s.mu.Unlock()
-			switch a := handle(q); a {
+			switch answer := handle(request); answer {
 			case CloseConn:
 				return
 			case NoResponse:
@@ -60,7 +60,7 @@
 				s.Abandoned <- struct{}{}
 				return
 			default:
-				if a.Write(c.Out) != nil || c.Flush() != nil || a.Close {
+				if answer.Write(c.Out) != nil || c.Flush() != nil || answer.Close {
 					return
 				}
 			}
@@ -73,9 +73,9 @@
 func (s *ScriptedServer) Received(prefix string) (matching []*http1.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, q := range s.received {
-		if strings.HasPrefix(q.Target, prefix) {
-			matching = append(matching, q)
+	for _, request := range s.received {
+		if strings.HasPrefix(request.Target, prefix) {
+			matching = append(matching, request)
 		}
 	}
 	return matching
@@ -95,12 +95,12 @@
 
 // Zone is the handler of a zone server: health checks get the report of an idle server, all else gets what
 // work returns.
-func Zone(work func(q *http1.Request) *http1.Response) func(*http1.Request) *http1.Response {
-	return func(q *http1.Request) *http1.Response {
-		if q.Target == "/stats" {
+func Zone(work func(request *http1.Request) *http1.Response) func(*http1.Request) *http1.Response {
+	return func(request *http1.Request) *http1.Response {
+		if request.Target == "/stats" {
 			return OK("inflight=0,queue=0,util=0.00")
 		}
-		return work(q)
+		return work(request)
 	}
 }
 
@@ -126,11 +126,11 @@
 	d := &Discovery{lines: make(chan string), Abandoned: make(chan struct{}, 64)}
 	d.Address = Listen(tb, func(c *connbuffer.Conn) {
 		for {
-			q, err := http1.ReadRequest(c.In)
+			request, err := http1.ReadRequest(c.In)
 			if err != nil {
 				return
 			}
-			_, from, watch := strings.Cut(q.Target, "?watch=1&from=")
+			_, from, watch := strings.Cut(request.Target, "?watch=1&from=")
 			switch {
 			case d.Rejections.Add(-1) >= 0:
 				_ = (&http1.Response{Status: 503}).Write(c.Out)
@@ -157,8 +157,8 @@
 	}()
 	for c.Flush() == nil {
 		select {
-		case l := <-d.lines:
-			_, _ = fmt.Fprintf(c.Out, "%x\r\n%s\n\r\n", len(l)+1, l)
+		case line := <-d.lines:
+			_, _ = fmt.Fprintf(c.Out, "%x\r\n%s\n\r\n", len(line)+1, line)
 		case <-ended:
 			d.Abandoned <- struct{}{}
 			return
@@ -179,10 +179,10 @@
 // List is a list as discovery sends it, a snapshot or an update: addresses by name, all with one status.
 func List(snapshot bool, status string, addresses map[string]string) string {
 	var entries []string
-	for name, a := range addresses {
+	for name, address := range addresses {
 		entries = append(entries, fmt.Sprintf(
 			`{"name":%q,"address":%q,"zone":"kita","type":"m2","group":1,"status":%q,"weight":1,"since_ms":0}`,
-			name, a, status))
+			name, address, status))
 	}
 	return fmt.Sprintf(`{"index":7,"snapshot":%v,"endpoints":[%s]}`, snapshot, strings.Join(entries, ","))
 }
@@ -206,11 +206,11 @@
 	if err := c.Flush(); err != nil {
 		tb.Fatal(err)
 	}
-	a, err := http1.ReadResponse(c.In)
+	answer, err := http1.ReadResponse(c.In)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return a
+	return answer
 }
 
 // Request is the text of a request as the application sends it.
--- a/internal/testbed/routertrial/rig_test.go
+++ b/internal/testbed/routertrial/rig_test.go
@@ -41,7 +41,7 @@
 
 // withProgram builds the program for the tests.
 func withProgram(m *testing.M) int {
-	dir, err := os.MkdirTemp("", "cresshub-fleettrial-")
+	dir, err := os.MkdirTemp("", "cresshub-routertrial-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
