--- a/internal/simulation/labcli/compare.go
+++ b/internal/simulation/labcli/compare.go
@@ -1,5 +1,3 @@
-// This file has the commands that compare designs and policies.
-
 package labcli
 
 import (
@@ -7,7 +5,6 @@
 	"fmt"
 	"io"
 	"math"
-	"os"
 	"strings"
 	"text/tabwriter"
 
@@ -17,6 +14,7 @@
 	"cresshub/internal/simulation/experiment"
 )
 
+// newCompare is the command compare.
 func newCompare() *cobra.Command {
 	var o playFlags
 	var metrics []string
@@ -50,6 +48,7 @@
 	return c
 }
 
+// newDifference is the command difference.
 func newDifference() *cobra.Command {
 	var metric string
 	c := &cobra.Command{
@@ -82,6 +81,7 @@
 	return c
 }
 
+// printCompare prints the paired differences of all policies from the first one.
 func printCompare(w io.Writer, s *experiment.Store, metrics []string, asJSON bool) error {
 	type row struct {
 		A       string   `json:"a"`
@@ -107,7 +107,7 @@
 	if asJSON {
 		return json.NewEncoder(w).Encode(rows)
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	t := &table{w: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
 	for _, r := range rows {
 		verdict := "a difference"
 		switch {
@@ -122,16 +122,7 @@
 		if r.Half != nil {
 			half = *r.Half
 		}
-		fmt.Fprintf(t, "%s less %s\t%s\t%.4g\t±%.2g\t%s\n", r.B, r.A, r.Metric, r.Diff, half, verdict)
-	}
-	return t.Flush()
-}
-
-// write puts bytes into a file, or on w where the path is "-".
-func write(w io.Writer, path string, b []byte) error {
-	if path == "-" {
-		_, err := w.Write(b)
-		return err
+		t.row("%s less %s\t%s\t%.4g\t±%.2g\t%s", r.B, r.A, r.Metric, r.Diff, half, verdict)
 	}
-	return os.WriteFile(path, b, 0o644)
+	return t.flush()
 }
--- /dev/null
+++ b/internal/simulation/labcli/load.go
@@ -0,0 +1,110 @@
+package labcli
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"cresshub/internal/proxy/cli"
+	"cresshub/internal/testbed/proxystandin"
+)
+
+// loadFlags are the flags of the command load.
+type loadFlags struct {
+	options  proxystandin.LoadOptions
+	duration time.Duration
+	anywhere bool // addresses of other machines are allowed
+	unsafe   float64
+	json     bool
+}
+
+// newLoad is the command load.
+func newLoad() *cobra.Command {
+	var l loadFlags
+	c := &cobra.Command{
+		Use: "load ADDRESS", Short: "Send an open-loop load to a live proxy",
+		Long: "Requests come as a Poisson stream and wait for nothing; times are taken from when each was due.\n" +
+			"The proxy must know the classes zone-lookup and rider-assign.",
+		Example: "  cresshub-lab load 127.0.0.1:8080 --rate 200 --for 30s",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			if err := l.check(args[0]); err != nil {
+				return err
+			}
+			l.options.Address = args[0]
+			return l.run(c.OutOrStdout())
+		},
+	}
+	f := c.Flags()
+	f.Float64Var(&l.options.Rate, "rate", 100, "requests a second")
+	f.DurationVar(&l.duration, "for", 10*time.Second, "how long")
+	f.Float64Var(&l.unsafe, "unsafe", 0.4, "part of rider-assign")
+	f.StringSliceVar(&l.options.Tenants, "tenant", nil, "tenants, in equal parts")
+	f.IntVar(&l.options.Keys, "keys", 300, "distinct keys")
+	f.IntVar(&l.options.MaxConnections, "connections", 1000, "open at once")
+	f.Uint64Var(&l.options.Seed, "seed", 1, "of arrivals and keys")
+	f.StringVar(&l.options.IDPrefix, "ids", "load", "what request ids begin with")
+	f.BoolVar(&l.anywhere, "anywhere", false, "allow an address that is not on this machine")
+	f.BoolVar(&l.json, "json", false, "print one JSON object")
+	return c
+}
+
+// check checks the flags, and that the address is of this machine unless others are allowed.
+func (l *loadFlags) check(address string) error {
+	host, _, err := net.SplitHostPort(address)
+	if err != nil {
+		return cli.UsageErrorf("%q is no address; one is written 127.0.0.1:8080", address)
+	}
+	if ip := net.ParseIP(host); !l.anywhere && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
+		return cli.UsageErrorf("%s is not on this machine; --anywhere allows it", host)
+	}
+	rate := l.options.Rate
+	if !(rate > 0 && rate <= 20000) || l.duration <= 0 || l.duration > time.Hour || l.unsafe < 0 ||
+		l.unsafe > 1 {
+		return cli.UsageErrorf("--rate above 0 to 20000, --for above 0 to 1h and --unsafe 0 to 1 are allowed")
+	}
+	return nil
+}
+
+// run sends the load until its end or a signal, and prints what became of it.
+func (l *loadFlags) run(w io.Writer) error {
+	l.options.Classes = loadClasses(l.unsafe)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, l.duration)
+	defer cancel()
+	load := proxystandin.NewLoad(l.options)
+	load.Run(ctx)
+	t := load.Tally().Totals()
+	if l.json {
+		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+		return json.NewEncoder(w).Encode(map[string]any{"offered": t.Offered,
+			"served": t.ByKind[proxystandin.Served], "served_in_time": t.InTime,
+			"refused": t.ByKind[proxystandin.Refused], "failed": t.ByKind[proxystandin.Failed],
+			"no_answer": t.ByKind[proxystandin.NoAnswer], "unreachable": t.ByKind[proxystandin.Unreachable],
+			"not_sent": t.ByKind[proxystandin.NotSent], "p50_ms": ms(t.P50), "p99_ms": ms(t.P99),
+			"max_ms": ms(t.Max), "load_lag_ms": ms(t.Lag)})
+	}
+	_, err := fmt.Fprintf(w,
+		"offered %d, served %d (%d in time), refused %d, failed %d, no answer %d, p50 %s, p99 %s\n", t.Offered,
+		t.ByKind[proxystandin.Served], t.InTime, t.ByKind[proxystandin.Refused], t.ByKind[proxystandin.Failed],
+		t.ByKind[proxystandin.NoAnswer], t.P50, t.P99)
+	return err
+}
+
+// loadClasses are the classes of the load, of which a fraction must not run twice.
+func loadClasses(unsafe float64) []proxystandin.LoadClass {
+	return []proxystandin.LoadClass{
+		{Name: "zone-lookup", Fraction: 1 - unsafe, LatencyTarget: 600 * time.Millisecond,
+			Deadline: 1500 * time.Millisecond, Value: 2},
+		{Name: "rider-assign", Fraction: unsafe, LatencyTarget: 500 * time.Millisecond, Deadline: 2 * time.Second,
+			Value: 8, Unsafe: true},
+	}
+}
--- a/internal/simulation/labcli/rig.go
+++ b/internal/simulation/labcli/rig.go
@@ -19,6 +19,7 @@
 	"cresshub/internal/testbed/clusterrig"
 )
 
+// newRig is the command rig.
 func newRig() *cobra.Command {
 	c := &cobra.Command{
 		Use: "rig", Short: "Start several processes of the program, put faults between them, and check their views",
@@ -31,6 +32,7 @@
 	return c
 }
 
+// newRigShow is the command rig show.
 func newRigShow() *cobra.Command {
 	return &cobra.Command{
 		Use: "show NAME", Short: "Print a scenario's file", Example: "  cresshub rig show slow > mine.toml",
@@ -46,76 +48,80 @@
 	}
 }
 
+// rigRunFlags are the flags of the command rig run.
+type rigRunFlags struct {
+	rig  rigFlags
+	out  string
+	plot string
+	log  string
+	set  []string
+	seed uint64
+}
+
+// newRigRun is the command rig run.
 func newRigRun() *cobra.Command {
-	var program, out, plot, log string
-	var set []string
-	var asJSON bool
-	var seed uint64
+	var r rigRunFlags
 	c := &cobra.Command{
 		Use: "run FILE", Short: "Play a scenario; ends with 1 where something expected did not come in time",
 		Example: "  cresshub rig run kill --set members=10 --set repeat=5\n" +
 			"  cresshub rig run slow -o slow.jsonl --plot slow.svg --json",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			keys := map[string]string{}
-			for _, pair := range set {
-				key, value, ok := strings.Cut(pair, "=")
-				if !ok {
-					return cli.UsageErrorf("--set %q is no KEY=VALUE", pair)
-				}
-				keys[key] = value
-			}
-			sc, err := clusterrig.Load(args[0], keys)
+			report, err := r.run(args[0])
 			if err != nil {
 				return err
 			}
-			o := clusterrig.Options{Program: program, Seed: seed}
-			if o.Program == "" {
-				if o.Program, err = proxyProgram(); err != nil {
-					return err
-				}
-			}
-			if o.Dir, err = os.MkdirTemp("", "cresshub-rig-"); err != nil {
+			return printRig(c.OutOrStdout(), report, r.plot, r.rig.json)
+		},
+	}
+	f := c.Flags()
+	f.StringVar(&r.rig.program, "program", "", "path of the proxy; the one beside this program where empty")
+	f.StringVarP(&r.out, "out", "o", "", "file for the record of all views, JSON lines")
+	f.StringVar(&r.plot, "plot", "", "file for a plot of the views over time, SVG")
+	f.StringVar(&r.log, "log", "", "file for the logs of all members")
+	f.StringArrayVar(&r.set, "set", nil, "KEY=VALUE of the scenario; may be repeated")
+	f.Uint64Var(&r.seed, "seed", 1, "of losses and jitter")
+	f.BoolVar(&r.rig.json, "json", false, "print one JSON object")
+	return c
+}
+
+// run plays a scenario, by its file or name, with real processes.
+func (r *rigRunFlags) run(scenario string) (report *clusterrig.Report, err error) {
+	keys, err := parseSet(r.set)
+	if err != nil {
+		return nil, err
+	}
+	sc, err := clusterrig.Load(scenario, keys)
+	if err != nil {
+		return nil, err
+	}
+	err = r.rig.run(func(ctx context.Context, o clusterrig.Options) error {
+		o.Seed = r.seed
+		if r.log != "" {
+			f, err := os.Create(r.log)
+			if err != nil {
 				return err
 			}
-			defer os.RemoveAll(o.Dir)
-			if log != "" {
-				f, err := os.Create(log)
-				if err != nil {
-					return err
-				}
-				defer f.Close()
-				o.Log = f
-			}
-			var rec io.Writer
-			if out != "" {
-				f, err := os.Create(out)
-				if err != nil {
-					return err
-				}
-				defer f.Close()
-				rec = f
-			}
-			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-			defer stop()
-			rep, err := clusterrig.Play(ctx, sc, o, rec)
+			defer f.Close()
+			o.Log = f
+		}
+		var record io.Writer
+		if r.out != "" {
+			f, err := os.Create(r.out)
 			if err != nil {
 				return err
 			}
-			return printRig(c.OutOrStdout(), rep, plot, asJSON)
-		},
-	}
-	f := c.Flags()
-	f.StringVar(&program, "program", "", "path of the proxy; the one beside this program where empty")
-	f.StringVarP(&out, "out", "o", "", "file for the record of all views, JSON lines")
-	f.StringVar(&plot, "plot", "", "file for a plot of the views over time, SVG")
-	f.StringVar(&log, "log", "", "file for the logs of all members")
-	f.StringArrayVar(&set, "set", nil, "KEY=VALUE of the scenario; may be repeated")
-	f.Uint64Var(&seed, "seed", 1, "of losses and jitter")
-	f.BoolVar(&asJSON, "json", false, "print one JSON object")
-	return c
+			defer f.Close()
+			record = f
+		}
+		report, err = clusterrig.Play(ctx, sc, o, record)
+		return err
+	})
+	return report, err
 }
 
+// printRig writes the plot of a report, if a path is given, and prints the report. It is an error if
+// something expected did not occur.
 func printRig(w io.Writer, rep *clusterrig.Report, plot string, asJSON bool) error {
 	if plot != "" {
 		f, err := os.Create(plot)
@@ -158,6 +164,7 @@
 	return path, nil
 }
 
+// newRigLedger is the command rig ledger.
 func newRigLedger() *cobra.Command {
 	var o clusterrig.MeasureOptions
 	var asJSON bool
@@ -173,7 +180,7 @@
 			if err != nil {
 				return err
 			}
-			defer os.RemoveAll(dir)
+			defer removeTemp(dir)
 			o.Dir = dir
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
--- /dev/null
+++ b/internal/simulation/labcli/rigtrials.go
@@ -0,0 +1,199 @@
+package labcli
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"cresshub/internal/proxy/cli"
+	"cresshub/internal/testbed/clusterrig"
+)
+
+// rigFlags are the flags of every trial with processes.
+type rigFlags struct {
+	program string
+	dir     string
+	json    bool
+}
+
+// add defines the flags of a command.
+func (r *rigFlags) add(c *cobra.Command) {
+	f := c.Flags()
+	f.StringVar(&r.program, "program", "", "path of the proxy; the one beside this program where empty")
+	f.StringVar(&r.dir, "dir", "", "folder for the members' data; the system's for temporary files where empty")
+	f.BoolVar(&r.json, "json", false, "print JSON")
+}
+
+// run runs a trial with a temporary folder and the proxy's program, until a signal.
+func (r *rigFlags) run(trial func(context.Context, clusterrig.Options) error) error {
+	o := clusterrig.Options{Program: r.program}
+	var err error
+	if o.Program == "" {
+		if o.Program, err = proxyProgram(); err != nil {
+			return err
+		}
+	}
+	if o.Dir, err = os.MkdirTemp(r.dir, "cresshub-rig-"); err != nil {
+		return err
+	}
+	defer removeTemp(o.Dir)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	return trial(ctx, o)
+}
+
+// removeTemp removes a temporary folder. What is left after a failure is for the system to remove.
+func removeTemp(dir string) { _ = os.RemoveAll(dir) }
+
+// newRigOwner is the command rig owner.
+func newRigOwner() *cobra.Command {
+	var o clusterrig.OwnerTrialOptions
+	var rig rigFlags
+	c := &cobra.Command{
+		Use: "owner", Short: "Pause, cut off and kill owners of the fleet's chores; count what old ones still did",
+		Example: "  cresshub rig owner --pauses 50 --cuts 10 --kills 20", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if o.Members < 4 || o.Members > 30 || min(o.Pauses, o.Partitions, o.Kills) < 0 ||
+				o.Pauses+o.Partitions+o.Kills > 10_000 {
+				return cli.UsageErrorf("--members 4 to 30 and 10000 faults at most are allowed")
+			}
+			return rig.run(func(ctx context.Context, rigOptions clusterrig.Options) error {
+				t, err := clusterrig.RunOwnerTrial(ctx, rigOptions, o)
+				if err != nil {
+					return err
+				}
+				if rig.json {
+					return t.JSON(c.OutOrStdout())
+				}
+				return t.Print(c.OutOrStdout())
+			})
+		},
+	}
+	f := c.Flags()
+	f.IntVar(&o.Members, "members", 5, "processes")
+	f.IntVar(&o.Pauses, "pauses", 50, "owners paused for three leases and woken")
+	f.IntVar(&o.Partitions, "cuts", 10, "owners cut off from the other members, not from the sinks")
+	f.IntVar(&o.Kills, "kills", 20, "owners killed and restarted")
+	f.DurationVar(&o.Lease, "lease", 2*time.Second, "owner.lease")
+	f.DurationVar(&o.Election, "election", time.Second, "ledger.election")
+	rig.add(c)
+	return c
+}
+
+// newRigLists is the command rig lists.
+func newRigLists() *cobra.Command {
+	var rig rigFlags
+	var members []int
+	c := &cobra.Command{
+		Use: "lists", Short: "Count a fleet's calls on discovery, with an owner and without one",
+		Example: "  cresshub rig lists --members 5,10,30", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			var rows []*clusterrig.ListCalls
+			for _, n := range members {
+				if n < 3 || n > 30 {
+					return cli.UsageErrorf("--members 3 to 30 are allowed")
+				}
+				for _, owned := range []bool{false, true} {
+					err := rig.run(func(ctx context.Context, o clusterrig.Options) error {
+						r, err := clusterrig.CountListCalls(ctx, o, n, owned)
+						rows = append(rows, r)
+						return err
+					})
+					if err != nil {
+						return err
+					}
+				}
+			}
+			return printRows(c, rig.json, rows,
+				"members\towner\tstart\tquiet\trolling\toutage\tat once\tseconds\tcalls a minute\t",
+				func(t *table, r *clusterrig.ListCalls) {
+					t.row("%d\t%v\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t", r.Members, r.Owner, r.Start, r.Quiet,
+						r.Rolling, r.Outage, r.AtOnce, r.Seconds, r.Minute)
+				})
+		},
+	}
+	c.Flags().IntSliceVar(&members, "members", []int{5, 10, 30}, "sizes of the fleet")
+	rig.add(c)
+	return c
+}
+
+// newRigHerd is the command of the restart storm, under the word that operators know.
+func newRigHerd() *cobra.Command {
+	var rig rigFlags
+	var members []int
+	c := &cobra.Command{
+		Use: "herd", Short: "Kill seven in ten proxies at once; count all probes, connections and list calls",
+		Example: "  cresshub rig herd --members 8,24,48", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			var rows []*clusterrig.RestartStorm
+			for _, n := range members {
+				if n < 3 || n > 48 {
+					return cli.UsageErrorf("--members 3 to 48 are allowed")
+				}
+				err := rig.run(func(ctx context.Context, o clusterrig.Options) error {
+					storm, err := clusterrig.RunRestartStorm(ctx, o, n)
+					rows = append(rows, storm)
+					return err
+				})
+				if err != nil {
+					return err
+				}
+			}
+			return printRows(c, rig.json, rows,
+				"members\tover 15 s\trequests\tlost\tprobes\tconnections\tlist calls\tall ready\t",
+				func(t *table, r *clusterrig.RestartStorm) {
+					stormRow(t, r.Members, "quiet", r.Quiet, "")
+					stormRow(t, r.Members, "killed", r.Killed, fmt.Sprintf("%.0f ms", r.ReadyMS))
+				})
+		},
+	}
+	c.Flags().IntSliceVar(&members, "members", []int{8, 24, 48}, "sizes of the fleet")
+	rig.add(c)
+	return c
+}
+
+// stormRow adds the totals of one phase of a restart storm.
+func stormRow(t *table, members int, phase string, s clusterrig.StormTotals, ready string) {
+	t.row("%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t", members, phase, s.Requests, s.Lost, s.Probes, s.Opened,
+		s.Lists, ready)
+}
+
+// newRigSoak is the command rig soak.
+func newRigSoak() *cobra.Command {
+	var rig rigFlags
+	var members, clients int
+	var duration, interval time.Duration
+	c := &cobra.Command{
+		Use: "soak", Short: "Run the ledger and the chores under a load; look at memory and disk as time passes",
+		Example: "  cresshub rig soak --for 30m --every 3m", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if members < 3 || members > 30 || clients < 1 || clients > 256 || interval < time.Second ||
+				duration < interval || duration > 24*time.Hour {
+				return cli.UsageErrorf("--members 3 to 30, --clients 1 to 256 and --every from 1s to --for are allowed")
+			}
+			return rig.run(func(ctx context.Context, o clusterrig.Options) error {
+				samples, err := clusterrig.Soak(ctx, o, members, clients, duration, interval)
+				if err != nil {
+					return err
+				}
+				if rig.json {
+					return json.NewEncoder(c.OutOrStdout()).Encode(samples)
+				}
+				return clusterrig.PrintSoak(c.OutOrStdout(), samples)
+			})
+		},
+	}
+	f := c.Flags()
+	f.IntVar(&members, "members", 5, "processes")
+	f.IntVar(&clients, "clients", 8, "clients that send at once")
+	f.DurationVar(&duration, "for", 30*time.Minute, "how long")
+	f.DurationVar(&interval, "every", 3*time.Minute, "between looks")
+	rig.add(c)
+	return c
+}
--- /dev/null
+++ b/internal/simulation/labcli/run.go
@@ -0,0 +1,179 @@
+package labcli
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"math"
+	"os"
+	"runtime/pprof"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"cresshub/internal/simulation/experiment"
+)
+
+// newRun is the command run.
+func newRun() *cobra.Command {
+	var o playFlags
+	var profile string
+	c := &cobra.Command{
+		Use: "run FILE", Short: "Play a scenario with one or more policies",
+		Example: "  cresshub-lab run queues --policy random,basic-li --set load.utilisation=0.9 --json\n" +
+			"  cresshub-lab run hall-loss --policy module --repeat 8 -o hall.jsonl",
+		Args: cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			h, err := o.header(args[0])
+			if err != nil {
+				return err
+			}
+			if profile != "" {
+				stop, err := startProfile(profile)
+				if err != nil {
+					return err
+				}
+				defer stop()
+			}
+			began := time.Now()
+			s, err := o.play(c, h)
+			if err != nil {
+				return err
+			}
+			if o.json {
+				err = printRun(c.OutOrStdout(), s, time.Since(began))
+			} else {
+				err = printTable(c.OutOrStdout(), s)
+			}
+			if err == nil && o.strict && len(violations(s)) > 0 {
+				return fmt.Errorf("rules were broken:\n%s", strings.Join(violations(s), "\n"))
+			}
+			return err
+		},
+	}
+	o.add(c)
+	c.Flags().StringVar(&profile, "profile", "", "file for a profile of the processor's time")
+	return c
+}
+
+// startProfile writes a profile of the processor's time to a file until stop is called.
+func startProfile(path string) (stop func(), err error) {
+	f, err := os.Create(path)
+	if err != nil {
+		return nil, err
+	}
+	if err := pprof.StartCPUProfile(f); err != nil {
+		f.Close()
+		return nil, err
+	}
+	return func() {
+		pprof.StopCPUProfile()
+		f.Close()
+	}, nil
+}
+
+// violations returns the reports of all violated rules.
+func violations(s *experiment.Store) (texts []string) {
+	for _, d := range s.Days {
+		texts = append(texts, d.Result.Violations...)
+	}
+	return texts
+}
+
+// columns are the metrics in the table that run and sweep print.
+var columns = []string{"service", "service_worst_10s", "mean_service_times", "p50_ms", "p99_ms",
+	"refused", "failed"}
+
+// maxNotes bounds the notes below a table.
+const maxNotes = 20
+
+// printTable prints the estimates of all cells, and notes of violated rules and runs that ended early.
+func printTable(w io.Writer, s *experiment.Store) error {
+	head, rows := s.Table(columns)
+	t := newTable(w)
+	for _, row := range append([][]string{head}, rows...) {
+		t.row("%s\t", strings.Join(row, "\t"))
+	}
+	if err := t.flush(); err != nil {
+		return err
+	}
+	notes := map[string]bool{}
+	for _, d := range s.Days {
+		for rule, n := range d.Result.Rules {
+			if n > 0 {
+				notes[fmt.Sprintf("%s: %s broken %d times with seed %d", d.Policy, rule, n, d.Seed)] = true
+			}
+		}
+		if d.Result.Note != "" {
+			notes[d.Policy+": "+d.Result.Note] = true
+		}
+	}
+	sorted := slices.Sorted(maps.Keys(notes))
+	for _, n := range sorted[:min(len(sorted), maxNotes)] {
+		if _, err := fmt.Fprintln(w, n); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// policyResult is a policy's part of the JSON that run prints: sums over the days, and means with the half
+// width of their 95% intervals.
+type policyResult struct {
+	Name     string             `json:"name"`
+	Days     int                `json:"days"`
+	Requests int                `json:"requests"`
+	Served   int                `json:"served"`
+	Refused  int                `json:"refused"`
+	Failed   int                `json:"failed"`
+	Mean     float64            `json:"mean_ms"`
+	Times    float64            `json:"mean_service_times"`
+	P50      float64            `json:"p50_ms"`
+	P99      float64            `json:"p99_ms"`
+	Service  float64            `json:"service"`
+	Rules    map[string]int     `json:"rules"`
+	CI       map[string]float64 `json:"ci95"`
+	Metrics  map[string]float64 `json:"metrics"`
+	Notes    []string           `json:"notes,omitempty"`
+}
+
+// printRun prints the results of all policies as a JSON object.
+func printRun(w io.Writer, s *experiment.Store, wall time.Duration) error {
+	out := struct {
+		Scenario string         `json:"scenario"`
+		Seed     uint64         `json:"seed"`
+		Events   uint64         `json:"events"`
+		Wall     float64        `json:"wall_s"`
+		Policies []policyResult `json:"policies"`
+	}{Scenario: s.Header.Scenario, Seed: s.Header.Seed, Wall: wall.Seconds()}
+	for _, cell := range s.Cells() {
+		p := policyResult{Name: cell.Policy, Days: len(cell.Days), Rules: map[string]int{},
+			CI: map[string]float64{}, Metrics: map[string]float64{}}
+		for _, d := range cell.Days {
+			r := d.Result
+			out.Events += r.Events
+			p.Requests, p.Served = p.Requests+r.Requests, p.Served+r.Served
+			p.Refused, p.Failed = p.Refused+r.Refused, p.Failed+r.Failed
+			for rule, n := range r.Rules {
+				p.Rules[rule] += n
+			}
+			if r.Note != "" && !slices.Contains(p.Notes, r.Note) {
+				p.Notes = append(p.Notes, r.Note)
+			}
+		}
+		for _, m := range experiment.MetricNames() {
+			e := experiment.EstimateOf(cell.Figures(m))
+			p.Metrics[m] = e.Mean
+			if !math.IsNaN(e.Half) {
+				p.CI[m] = e.Half
+			}
+		}
+		p.Mean, p.Times, p.P50 = p.Metrics["mean_ms"], p.Metrics["mean_service_times"], p.Metrics["p50_ms"]
+		p.P99, p.Service = p.Metrics["p99_ms"], p.Metrics["service"]
+		out.Policies = append(out.Policies, p)
+	}
+	return json.NewEncoder(w).Encode(out)
+}
--- /dev/null
+++ b/internal/simulation/labcli/validate.go
@@ -0,0 +1,44 @@
+package labcli
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"cresshub/internal/simulation/experiment"
+)
+
+// newValidate is the command validate.
+func newValidate() *cobra.Command {
+	var quick, asJSON bool
+	c := &cobra.Command{
+		Use: "validate", Short: "Hold the emulator against results that nobody here made",
+		Example: "  cresshub-lab validate",
+		Args:    cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			rows, err := experiment.Validate(quick)
+			if err != nil {
+				return err
+			}
+			if asJSON {
+				err = json.NewEncoder(c.OutOrStdout()).Encode(rows)
+			} else {
+				_, err = io.WriteString(c.OutOrStdout(), experiment.ValidationTable(rows))
+			}
+			if err != nil {
+				return err
+			}
+			for _, r := range rows {
+				if !r.Holds {
+					return fmt.Errorf("%s: found %.4g, expected %.4g", r.Name, r.Measured, r.Expected)
+				}
+			}
+			return nil
+		},
+	}
+	c.Flags().BoolVar(&quick, "quick", false, "a fifth of the requests, wider bounds")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON list")
+	return c
+}
