--- a/internal/router/agent/chain_leave_test.go
+++ b/internal/router/agent/chain_leave_test.go
@@ -40,7 +40,7 @@
 		done := make(chan struct{})
 		control.start(done)
 		synctest.Wait()
-		control.leave()
+		control.drain()
 		close(disk.gate)
 		time.Sleep(2 * chainTick)
 		synctest.Wait()
@@ -63,7 +63,7 @@
 		nothing := func(time.Duration) chain.Effects { return chain.Effects{} }
 		for member.post(nothing) {
 		}
-		member.leave()
+		member.drain()
 		done := make(chan struct{})
 		member.start(done)
 		time.Sleep(2 * chainTick)
@@ -78,7 +78,7 @@
 // hasLeft reports whether a member without a view has left: it may stop at once then.
 func hasLeft(m *chainMember) bool {
 	select {
-	case <-m.canStop():
+	case <-m.drained():
 		return true
 	default:
 		return false
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -37,7 +37,7 @@
 	identity string          // of this machine's disk; role orders name their issuer by it
 	events   chan chainEvent
 	ended    chan struct{} // closed when the chain goroutine has ended
-	leaving  atomic.Bool   // this process is shutting down
+	draining atomic.Bool   // this process is shutting down
 
 	// What the chain goroutine publishes after each step.
 	inChain   atomic.Bool
@@ -53,7 +53,7 @@
 	lastRequest uint64
 
 	// State of the chain goroutine alone.
-	leaveSent         bool // the state machine knows that this process is shutting down
+	drainSent         bool // the state machine knows that this process is shutting down
 	isHandedOff       bool // handedOff is closed
 	committedSequence uint64
 	publishedVersion  int64
@@ -73,11 +73,11 @@
 
 func (m *chainMember) opened() <-chan struct{} { return closedChannel }
 
-func (m *chainMember) canStop() <-chan struct{} { return m.handedOff }
+func (m *chainMember) drained() <-chan struct{} { return m.handedOff }
 
-// leave bypasses the queue of events, which may be full: a dropped message is sent again, but leave is called
+// drain bypasses the queue of events, which may be full: a dropped message is sent again, but drain is called
 // only once.
-func (m *chainMember) leave() { m.leaving.Store(true) }
+func (m *chainMember) drain() { m.draining.Store(true) }
 
 // post queues an event for the chain goroutine and reports whether there was capacity. An event may be
 // dropped, so it has to be one that is repeated, or whose loss the caller reports.
@@ -118,7 +118,7 @@
 		case event := <-m.events:
 			m.step(event)
 		case <-ticker.C:
-			m.sendLeave()
+			m.startDrain()
 			m.machine.SetContacts(m.contacts())
 			m.step(m.machine.Tick)
 			m.tryBootstrap()
@@ -126,10 +126,10 @@
 	}
 }
 
-// sendLeave announces to the other members, once, that this process is shutting down.
-func (m *chainMember) sendLeave() {
-	if m.leaving.Load() && !m.leaveSent {
-		m.leaveSent = true
+// startDrain announces to the other members, once, that this process is shutting down.
+func (m *chainMember) startDrain() {
+	if m.draining.Load() && !m.drainSent {
+		m.drainSent = true
 		m.step(m.machine.Drain)
 	}
 }
--- a/internal/router/agent/config_store.go
+++ b/internal/router/agent/config_store.go
@@ -26,11 +26,11 @@
 	opened() <-chan struct{}
 	// isMember reports whether this process is in the chain now.
 	isMember() bool
-	// leave asks the other members to take this process out of the chain, before it stops.
-	leave()
-	// canStop returns a channel that closes once the others have all that this replica has accepted, so that
-	// the process may stop after leave.
-	canStop() <-chan struct{}
+	// drain asks the other members to take this process out of the chain, before it stops.
+	drain()
+	// drained returns a channel that closes once the others have all that this replica has accepted, so that
+	// the process may stop after drain.
+	drained() <-chan struct{}
 	// close releases the disk and the links, after the channel that start was given has closed.
 	close()
 }
@@ -76,10 +76,10 @@
 func (noConfigStore) receive([]byte)           {}
 func (noConfigStore) start(<-chan struct{})    {}
 func (noConfigStore) isMember() bool           { return false }
-func (noConfigStore) leave()                   {}
+func (noConfigStore) drain()                   {}
 func (noConfigStore) close()                   {}
 func (noConfigStore) opened() <-chan struct{}  { return closedChannel }
-func (noConfigStore) canStop() <-chan struct{} { return closedChannel }
+func (noConfigStore) drained() <-chan struct{} { return closedChannel }
 
 // closedChannel is returned where there is nothing to wait for.
 var closedChannel = func() <-chan struct{} {
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -40,10 +40,10 @@
 // deferredStore is the configStore of a machine with a disk. It opens the disk in the background, because
 // that may hang or fail: until the disk is open, the process serves like one without a disk.
 type deferredStore struct {
-	agent   *Agent
-	member  atomic.Pointer[chainMember] // nil until the disk is open
-	ready   chan struct{}               // closed once it is
-	leaving atomic.Bool                 // this process is shutting down
+	agent    *Agent
+	member   atomic.Pointer[chainMember] // nil until the disk is open
+	ready    chan struct{}               // closed once it is
+	draining atomic.Bool                 // this process is shutting down
 }
 
 func newDeferredStore(a *Agent) *deferredStore {
@@ -61,8 +61,8 @@
 	}
 	d.agent.announceSelf(func(self *directory.Record) { self.Member = member.identity })
 	d.member.Store(member)
-	if d.leaving.Load() { // since before there was a member that could record it
-		member.leave()
+	if d.draining.Load() { // since before there was a member that could record it
+		member.drain()
 	}
 	member.start(done)
 	close(d.ready)
@@ -109,11 +109,11 @@
 
 func (d *deferredStore) opened() <-chan struct{} { return d.ready }
 
-func (d *deferredStore) leave() {
-	d.leaving.Store(true)
-	d.store().leave()
+func (d *deferredStore) drain() {
+	d.draining.Store(true)
+	d.store().drain()
 }
 
-func (d *deferredStore) canStop() <-chan struct{} { return d.store().canStop() }
+func (d *deferredStore) drained() <-chan struct{} { return d.store().drained() }
 
 func (d *deferredStore) close() { d.store().close() }
--- a/internal/router/agent/shutdown.go
+++ b/internal/router/agent/shutdown.go
@@ -16,7 +16,7 @@
 	if a.proxy != nil {
 		a.proxy.Drain()
 	}
-	go a.configStore.leave()
+	go a.configStore.drain()
 	time.Sleep(plan.closeListener)
 	if l.front != nil {
 		l.front.Close()
@@ -38,7 +38,7 @@
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-a.configStore.canStop():
+	case <-a.configStore.drained():
 	case <-timer.C:
 		a.log.Warn().Msg("agent: shutting down without handing off the configuration in time")
 	}
--- a/internal/router/agent/shutdown_test.go
+++ b/internal/router/agent/shutdown_test.go
@@ -16,7 +16,7 @@
 	needed chan struct{}
 }
 
-func (m neededMember) canStop() <-chan struct{} { return m.needed }
+func (m neededMember) drained() <-chan struct{} { return m.needed }
 
 // TestShutdownWaitsForTheHandoff: a process that is one of the last replicas goes on until others have all
 // that it accepted, or its time is over.
