--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -31,7 +31,7 @@
 	return servers
 }
 
-// dedupServer is the first server where a deduplicated request may have run, nil where there is none; repeats
+// dedupServer is the first server where a deduplicated request may have run, nil if there is none; repeats
 // must stay in its scope.
 func (b *Balancer) dedupServer(r *request) *server {
 	if b.settings.Classes[r.Class].Effect != Deduplicated {
--- a/balance/events.go
+++ b/balance/events.go
@@ -45,7 +45,7 @@
 	Key         uint64
 	HasKey      bool
 	Deadline    time.Duration // when the client gives up, on the caller's clock
-	Work        time.Duration // expected work on a standard core; 0 where unknown
+	Work        time.Duration // expected work on a standard core; 0 if unknown
 	ClientRetry bool          // the client marked it as a retry
 }
 
@@ -75,7 +75,7 @@
 	Result  Result
 	Final   bool // the request has its final response
 	Latency time.Duration
-	Report  []float64 // load report of the server in the order of Settings.ReportFields; nil where none came
+	Report  []float64 // load report of the server in the order of Settings.ReportFields; nil if none came
 }
 
 // ProbeResult reports the end of one probe. As in an Outcome, Report is valid during the call only.
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -266,7 +266,7 @@
 	return max(b.latencyTarget(r)+c.LatencyTarget/8-(now-r.receivedAt), 2*b.settings.Tick)
 }
 
-// attemptDeadline is the time before which the rules allow one more attempt to begin; 0 where they allow
+// attemptDeadline is the time before which the rules allow one more attempt to begin; 0 if they allow
 // none.
 func (b *Balancer) attemptDeadline(r *request) time.Duration {
 	if r.bodyConsumed || len(r.attempts) >= b.settings.MaxAttempts || r.outstanding > 0 && !b.settings.MayHedge {
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -195,7 +195,7 @@
 	return b.drawUpTo(sum)
 }
 
-// drawUpTo draws a point below sum and selects the candidate that it falls on, nil where it falls beyond all.
+// drawUpTo draws a point below sum and selects the candidate that it falls on, nil if it falls beyond all.
 func (b *Balancer) drawUpTo(sum float64) *candidate {
 	point := b.rng.Float64() * sum
 	for i := range b.candidates {
--- a/balance/state.go
+++ b/balance/state.go
@@ -108,7 +108,7 @@
 	withoutProbe   bool // sent without a probe though probes are allowed
 	affinityServer *server
 	affinityCell   int     // where its key is likeliest cached
-	affinityBoost  float64 // how much that cell is preferred, 0 where it is not
+	affinityBoost  float64 // how much that cell is preferred, 0 if it is not
 	keyFraction    float64 // of all requests that have its key
 	bodyConsumed   bool    // its body is not retained any more, so there can be no other attempt
 }
--- a/internal/cluster/gossip/delegates.go
+++ b/internal/cluster/gossip/delegates.go
@@ -59,7 +59,7 @@
 // delegate gives memberlist this member's metadata and receives the messages of members.
 type delegate Fleet
 
-// NodeMeta is this member's metadata, nil where it is over the limit.
+// NodeMeta is this member's metadata, nil if it is over the limit.
 func (d *delegate) NodeMeta(limit int) []byte {
 	b := encodeMeta(*(*Fleet)(d).meta.Load())
 	if len(b) > limit {
--- a/internal/cluster/gossip/options.go
+++ b/internal/cluster/gossip/options.go
@@ -20,8 +20,8 @@
 	Label         string   // members of another label are rejected; may be empty
 	Version       string   // of the program
 	Hall          string   // failure domain
-	LedgerAddress string   // host:port of this member's raftgroup.Host; "" where it has none
-	ReplicaID     uint64   // of this member's replicas; 0 where it has none
+	LedgerAddress string   // host:port of this member's raftgroup.Host; "" if it has none
+	ReplicaID     uint64   // of this member's replicas; 0 if it has none
 
 	ProbeInterval         time.Duration // between probes, each of one member
 	ProbeTimeout          time.Duration // for the answer to one probe
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -52,7 +52,7 @@
 	Version     string // of the program
 	Hall        string // failure domain
 	Phase       Phase
-	// LedgerAddress is the host:port of the member's replicas and ReplicaID their ID; "" and 0 where it has
+	// LedgerAddress is the host:port of the member's replicas and ReplicaID their ID; "" and 0 if it has
 	// none.
 	LedgerAddress string
 	ReplicaID     uint64
@@ -287,7 +287,7 @@
 	return out
 }
 
-// Get returns the member of a name; false where it is not in the table.
+// Get returns the member of a name; false if it is not in the table.
 func (v *View) Get(name string) (Member, bool) {
 	e, ok := v.entries[name]
 	if !ok {
--- a/internal/cluster/placement/next.go
+++ b/internal/cluster/placement/next.go
@@ -59,7 +59,7 @@
 	return len(rs.voters)-len(rs.lostVoters) >= s.Replicas
 }
 
-// lostReason says why a replica's disk is not coming back; "" where it may. A member that is not in the view
+// lostReason says why a replica's disk is not coming back; "" if it may. A member that is not in the view
 // is not lost: the caller adds it to the view as gone when that has lasted.
 func lostReason(r Replica, view []Member) string {
 	i := slices.IndexFunc(view, func(m Member) bool { return m.Name == r.Name })
--- a/internal/cluster/raftgroup/bootstrap.go
+++ b/internal/cluster/raftgroup/bootstrap.go
@@ -92,7 +92,7 @@
 	})
 }
 
-// firstRanked is the live member that ranks first for a group; "" where none is live.
+// firstRanked is the live member that ranks first for a group; "" if none is live.
 func firstRanked(group string, live []Peer) string {
 	ranked := make([]placement.Member, 0, len(live))
 	for _, p := range live {
--- a/internal/cluster/raftgroup/client.go
+++ b/internal/cluster/raftgroup/client.go
@@ -68,7 +68,7 @@
 	return nil, lastErr
 }
 
-// nextCandidate is the hinted leader, else the first candidate, that was not attempted; "" where all were.
+// nextCandidate is the hinted leader, else the first candidate, that was not attempted; "" if all were.
 func nextCandidate(hint string, candidates []string, attempted map[string]bool) string {
 	if hint != "" && !attempted[hint] {
 		return hint
@@ -114,7 +114,7 @@
 	return out
 }
 
-// leaderHint is the member that last led a group as far as this one knows; "" where it doesn't.
+// leaderHint is the member that last led a group as far as this one knows; "" if it doesn't.
 func (h *Host) leaderHint(group string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,7 +148,7 @@
 	return resp, resp.err()
 }
 
-// addressOf is where a member of the view listens; "" where it is not in the view or doesn't listen.
+// addressOf is where a member of the view listens; "" if it is not in the view or doesn't listen.
 func (h *Host) addressOf(name string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/cluster/raftgroup/group.go
+++ b/internal/cluster/raftgroup/group.go
@@ -84,7 +84,7 @@
 	lead               uint64    // replica ID of the leader, raft.None where there is none
 	lastLeaderContact  time.Time // a message of a leader was last received
 	diskErr            error     // why the last write failed; nil while the disk works
-	confChangeProposed time.Time // of the membership change not applied yet; zero where there is none
+	confChangeProposed time.Time // of the membership change not applied yet; zero if there is none
 	removed            bool
 	stats              GroupStats
 }
--- a/internal/cluster/raftgroup/handler.go
+++ b/internal/cluster/raftgroup/handler.go
@@ -58,7 +58,7 @@
 	return name == h.opts.Name || slices.ContainsFunc(h.peers, func(p Peer) bool { return p.Name == name })
 }
 
-// leader is the member that this replica takes for the leader; "" where it knows none.
+// leader is the member that this replica takes for the leader; "" if it knows none.
 func (g *group) leader() string {
 	out := make(chan string, 1)
 	if g.enqueue(func() { out <- g.memberNames[g.rawNode.BasicStatus().Lead] }) != nil {
--- a/internal/cluster/raftgroup/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -18,7 +18,7 @@
 // Peer is a member of the fleet, as the fleet's view has it.
 type Peer struct {
 	placement.Member
-	Address string // where its Host listens; "" where it has none
+	Address string // where its Host listens; "" if it has none
 }
 
 // Host runs this member's replicas of all groups, with their common store and connections.
@@ -133,7 +133,7 @@
 	}
 }
 
-// group is this member's replica of a group; nil where it has none.
+// group is this member's replica of a group; nil if it has none.
 func (h *Host) group(name string) *group {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/cluster/raftgroup/inbound.go
+++ b/internal/cluster/raftgroup/inbound.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// trackInbound has close end a connection and wait for its goroutine; false where the network is closed.
+// trackInbound has close end a connection and wait for its goroutine; false if the network is closed.
 func (n *network) trackInbound(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/raftgroup/network.go
+++ b/internal/cluster/raftgroup/network.go
@@ -94,7 +94,7 @@
 	n.done.Wait()
 }
 
-// track has close end a connection; false where the network is closed, and the connection with it.
+// track has close end a connection; false if the network is closed, and the connection with it.
 func (n *network) track(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// takeIdle takes an idle connection to a member out of the pool, nil where there is none that is still open.
+// takeIdle takes an idle connection to a member out of the pool, nil if there is none that is still open.
 func (n *network) takeIdle(address string) net.Conn {
 	for {
 		n.mu.Lock()
--- a/internal/cluster/raftgroup/reconfigure.go
+++ b/internal/cluster/raftgroup/reconfigure.go
@@ -65,7 +65,7 @@
 	return out
 }
 
-// transferLeadership hands leadership to the live voter whose log is the longest; false where this replica
+// transferLeadership hands leadership to the live voter whose log is the longest; false if this replica
 // does not lead or there is no such voter.
 func (g *group) transferLeadership() bool {
 	st := g.rawNode.Status()
--- a/internal/cluster/raftgroup/sender.go
+++ b/internal/cluster/raftgroup/sender.go
@@ -38,7 +38,7 @@
 	address string   // that conn was dialed at
 }
 
-// send queues a message for its receiver; false where it can't be sent now, which Raft makes up for.
+// send queues a message for its receiver; false if it can't be sent now, which Raft makes up for.
 func (n *network) send(group string, m *raftpb.Message) bool {
 	to := m.GetTo()
 	n.mu.Lock()
@@ -134,7 +134,7 @@
 	c.Close()
 }
 
-// write sends one message; false where the connection failed.
+// write sends one message; false if the connection failed.
 func (s *sender) write(c net.Conn, m outboundMsg) bool {
 	raw, err := proto.Marshal(m.msg)
 	if err != nil {
--- a/internal/cluster/raftgroup/store.go
+++ b/internal/cluster/raftgroup/store.go
@@ -156,7 +156,7 @@
 	return s.db.Update(f)
 }
 
-// metaValue reads a value of the file's own, "" where there is none.
+// metaValue reads a value of the file's own, "" if there is none.
 func (s *store) metaValue(key string) string {
 	var v string
 	_ = s.db.View(func(tx *bolt.Tx) error { // fails for a closed file alone
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -36,7 +36,7 @@
 	return b
 }
 
-// Length returns the length of the full body in bytes, -1 where it is unknown before its end.
+// Length returns the length of the full body in bytes, -1 if it is unknown before its end.
 func (b *Body) Length() int64 { return b.length }
 
 // BytesRead returns the number of bytes read so far.
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -101,7 +101,7 @@
 	Body   []byte // the full body, or its beginning where Length is not 0
 	Close  bool   // the connection closes after this message
 
-	// Length is the length in bytes of a body that Body does not hold in full, -1 where it is unknown. It is 0
+	// Length is the length in bytes of a body that Body does not hold in full, -1 if it is unknown. It is 0
 	// where Body holds all of it.
 	Length          int64
 	ExpectsContinue bool // the client awaits 100 Continue before it sends the body
@@ -116,7 +116,7 @@
 	Close  bool
 
 	Streaming bool  // Body does not hold the full body
-	Length    int64 // of the full body where Streaming or Bodiless is set; -1 where unknown
+	Length    int64 // of the full body where Streaming or Bodiless is set; -1 if unknown
 	Bodiless  bool  // a response to HEAD: it has a length and no body
 }
 
--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -150,7 +150,7 @@
 	requests <- last
 }
 
-// LastSeen is when a watch last received something, zero where none ever did.
+// LastSeen is when a watch last received something, zero if none ever did.
 func (c *Client) LastSeen() time.Time {
 	if at := c.lastReceived.Load(); at != 0 {
 		return c.startTime.Add(time.Duration(at))
--- a/internal/proxy/discovery/run.go
+++ b/internal/proxy/discovery/run.go
@@ -159,7 +159,7 @@
 	return 0
 }
 
-// quickReopenDelay is the delay before a watch is reopened after a time-out, 0 where it is not reopened for
+// quickReopenDelay is the delay before a watch is reopened after a time-out, 0 if it is not reopened for
 // that. What a silent watch misses, be it one that never delivered anything, binds at a time of its own,
 // whatever the time until the next Follow: so one call after it that fails is made again, too. Calls that get
 // no connection, as from a partitioned zone, do not count, for they cost the registry nothing.
--- a/internal/proxy/discovery/table.go
+++ b/internal/proxy/discovery/table.go
@@ -53,7 +53,7 @@
 	return list, err
 }
 
-// Address returns where a server listens; false where it is not in service.
+// Address returns where a server listens; false if it is not in service.
 func (t *table) Address(s dispatch.ServerID) (string, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +61,7 @@
 	return address, ok
 }
 
-// Export returns the list in discovery's form, the same bytes for the same list; nil where it is empty.
+// Export returns the list in discovery's form, the same bytes for the same list; nil if it is empty.
 func (t *table) Export() ([]byte, error) {
 	t.mu.Lock()
 	doc := serverlist.Document{
@@ -103,7 +103,7 @@
 	return len(t.addresses)
 }
 
-// Name returns a server's name, "" where it is not in the list.
+// Name returns a server's name, "" if it is not in the list.
 func (t *table) Name(s dispatch.ServerID) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/proxy/dispatch/call.go
+++ b/internal/proxy/dispatch/call.go
@@ -31,7 +31,7 @@
 	Key         uint64
 	HasKey      bool
 	Deadline    time.Time     // when the client gives up
-	Work        time.Duration // expected work on a standard core; 0 where unknown
+	Work        time.Duration // expected work on a standard core; 0 if unknown
 	ClientRetry bool          // the client says that it sent the request before
 }
 
@@ -65,7 +65,7 @@
 	Attempt    int           // position among the attempts of the call, from 0
 	StartBy    time.Time     // of a Send: its first byte must be written before
 	GiveUpAt   time.Time     // of a Send: when it has timed out
-	RetryAfter time.Duration // of a Refuse; 0 where there is no advice
+	RetryAfter time.Duration // of a Refuse; 0 if there is no advice
 }
 
 // Call is one request from Open to its last step. The Decider's lock guards it.
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -58,7 +58,7 @@
 	return textResponse(200, "ready", false)
 }
 
-// openID records that a request with this id is open; false where the id is in use. Servers take what is sent
+// openID records that a request with this id is open; false if the id is in use. Servers take what is sent
 // under an id in use for a duplicate, whoever sent it.
 func (s *Server) openID(id string) bool {
 	s.mu.Lock()
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -15,7 +15,7 @@
 type client struct {
 	*connbuffer.Conn
 	wakeup chan struct{}          // holds a token after Wake
-	upload atomic.Pointer[upload] // that an attempt reads or may read; nil where there is none
+	upload atomic.Pointer[upload] // that an attempt reads or may read; nil if there is none
 
 	// The server's lock guards these.
 	since     time.Time // when the present state began
@@ -25,7 +25,7 @@
 
 	// These belong to the connection's goroutine.
 	inProgress bool                  // the request counts as in progress
-	logEntry   *logging.RequestEntry // of the request being served; nil where it is not logged
+	logEntry   *logging.RequestEntry // of the request being served; nil if it is not logged
 	usage      *Usage                // of the request being served; nil where usage is not counted
 	usageClass int
 }
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -16,7 +16,7 @@
 // Ending reports whether Shutdown was called.
 func (s *Server) Ending() bool { return s.drain.Load().Ending() }
 
-// closesAfterResponse reports whether a client's connection is to end with its present response. Where it has
+// closesAfterResponse reports whether a client's connection is to end with its present response. If it has
 // sent more behind its request, which must be answered too, the connection stays open for a while.
 func (s *Server) closesAfterResponse(c *client) bool {
 	d := s.drain.Load()
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -83,7 +83,7 @@
 
 // closeMostExpendable closes the most expendable connection, to free its descriptor: one that
 // never sent a request before one that stalls within a request, and that before one between two requests. It
-// returns false where there is none.
+// returns false if there is none.
 func (s *Server) closeMostExpendable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/ingress/response.go
+++ b/internal/proxy/ingress/response.go
@@ -14,7 +14,7 @@
 // finalResponse is a request's final response and what belongs to it.
 type finalResponse struct {
 	response      *http1.Response   // nil where nobody waits for one
-	outcome       *upstream.Outcome // where response comes from, to be released; nil where it is our own
+	outcome       *upstream.Outcome // where response comes from, to be released; nil if it is our own
 	counter       *stats.Counter    // counts it once it is written; nil where its request is of no class
 	failedCounter *stats.Counter    // counts it instead if its server breaks it off; set where outcome is
 }
--- a/internal/proxy/ingress/serve.go
+++ b/internal/proxy/ingress/serve.go
@@ -52,7 +52,7 @@
 	return s.handle(c, q, body, arrived, limits)
 }
 
-// awaitRequest waits for the first byte of a request; false where none comes in time.
+// awaitRequest waits for the first byte of a request; false if none comes in time.
 func (s *Server) awaitRequest(c *client, limits *config.Clients) bool {
 	limit := limits.IdleTimeout
 	if c.unused { // only this goroutine unsets it
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// malformed is the error of a malformed body; nil where it was well-formed, or was not read to its end.
+// malformed is the error of a malformed body; nil if it was well-formed, or was not read to its end.
 func (u *upload) malformed() error {
 	select {
 	case <-u.ended:
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// clientError is the error with which the body broke off; nil where it is complete.
+// clientError is the error with which the body broke off; nil if it is complete.
 func (u *upload) clientError() error {
 	if errors.Is(u.err, io.EOF) {
 		return nil
--- a/internal/proxy/ingress/usage.go
+++ b/internal/proxy/ingress/usage.go
@@ -11,7 +11,7 @@
 type Usage struct {
 	Tenant, Class string
 	Answer        string // passed, dropped or bad_gateway, as in the metrics
-	ID            uint64 // hash (xxhash) of the id of the request's first attempt; 0 where it has none
+	ID            uint64 // hash (xxhash) of the id of the request's first attempt; 0 if it has none
 	In, Out       int64  // bytes of the bodies of request and response
 }
 
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -17,8 +17,8 @@
 type Attempt struct {
 	Server   dispatch.ServerID
 	Request  *http1.Request // without X-Timeout
-	Upload   Upload         // what follows Request's Body; nil where that is all
-	StartBy  time.Time      // its first byte must be written before; zero where there is no such bound
+	Upload   Upload         // what follows Request's Body; nil if that is all
+	StartBy  time.Time      // its first byte must be written before; zero if there is no such bound
 	GiveUpAt time.Time      // it ends as TimedOut then
 	Done     func(Outcome)  // called once, from another goroutine
 
@@ -50,9 +50,9 @@
 // Pool.Release.
 type Outcome struct {
 	Result   dispatch.Result
-	Response *http1.Response // nil where none was read
-	Stream   *Stream         // what follows Response's Body; nil where that is all
-	Load     []float64       // the server's load report; nil where none came
+	Response *http1.Response // nil if none was read
+	Stream   *Stream         // what follows Response's Body; nil if that is all
+	Load     []float64       // the server's load report; nil if none came
 
 	reserved int // bytes taken from the budget for Response's Body
 }
--- a/internal/proxy/upstream/buffer.go
+++ b/internal/proxy/upstream/buffer.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// awaitTooLong waits for the next bytes of the body. It returns true where they take so long that what was
+// awaitTooLong waits for the next bytes of the body. It returns true if they take so long that what was
 // read is passed on. Read reports any other error.
 func (b *responseBuffer) awaitTooLong() bool {
 	netConn, giveUpAt := b.conn.netConn, b.attempt.GiveUpAt
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// serve runs one attempt to its end and lists the connection as idle again; false where it is closed instead.
+// serve runs one attempt to its end and lists the connection as idle again; false if it is closed instead.
 func (c *conn) serve(a *Attempt) bool {
 	c.lastWasProbe = a.probe
 	outcome, reusable := c.exchange(a)
@@ -82,8 +82,8 @@
 	return true
 }
 
-// awaitAttempt waits in Read until the next attempt is handed over. It returns nil where the connection was
-// closed or has been idle for too long, and usable false where that is so but an attempt was handed over all
+// awaitAttempt waits in Read until the next attempt is handed over. It returns nil if the connection was
+// closed or has been idle for too long, and usable false if that is so but an attempt was handed over all
 // the same.
 func (c *conn) awaitAttempt() (a *Attempt, usable bool) {
 	p := c.pool
@@ -106,7 +106,7 @@
 
 var dialer = net.Dialer{KeepAlive: -1} // every exchange has a deadline of its own
 
-// dial opens the connection. Where it returns false the attempt never ran, and ends with the result.
+// dial opens the connection. If it returns false the attempt never ran, and ends with the result.
 func (c *conn) dial(a *Attempt) (dispatch.Result, bool) {
 	if !c.pool.budget.Acquire(descriptors.Servers) {
 		return dispatch.Skipped, false
--- a/internal/proxy/upstream/idle.go
+++ b/internal/proxy/upstream/idle.go
@@ -13,7 +13,7 @@
 // pastDeadline is a read deadline that wakes a goroutine from Read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// reuseIdle hands the attempt to an idle connection to address; false where none may be used. The one used
+// reuseIdle hands the attempt to an idle connection to address; false if none may be used. The one used
 // last is preferred, so that connections not needed reach MaxIdle and close: a request written into a
 // connection that its server closes just then may or may not have run.
 func (p *Pool) reuseIdle(a *Attempt, address string) bool {
@@ -36,7 +36,7 @@
 }
 
 // reusablePosition is the position of the connection used last on which no late duplicate of a response is to
-// be expected: one that has been idle for guard, or whose last exchange was a probe; -1 where there is none.
+// be expected: one that has been idle for guard, or whose last exchange was a probe; -1 if there is none.
 func reusablePosition(list []*conn, now time.Time, guard time.Duration) int {
 	guarded := sort.Search(len(list), func(i int) bool { return now.Sub(list[i].idleSince) < guard })
 	for i := len(list) - 1; i >= max(guarded, len(list)-probedSearchDepth); i-- {
@@ -63,7 +63,7 @@
 	}
 }
 
-// closeOldestIdle closes the connection that has been idle longest, to free its descriptor; false where none
+// closeOldestIdle closes the connection that has been idle longest, to free its descriptor; false if none
 // is idle.
 func (p *Pool) closeOldestIdle() bool {
 	p.mu.Lock()
--- a/internal/proxy/upstream/loadreport.go
+++ b/internal/proxy/upstream/loadreport.go
@@ -33,7 +33,7 @@
 	return f
 }
 
-// parse returns the report's values in the order of the settings, or nil where one is missing or no finite
+// parse returns the report's values in the order of the settings, or nil if one is missing or no finite
 // number. A probe's response may have the report as its body, any other has it in a header.
 func (f reportFormat) parse(response *http1.Response, probe bool) []float64 {
 	text := response.Header.Get("X-Server-Load")
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -25,7 +25,7 @@
 
 // Directory resolves servers.
 type Directory interface {
-	// Address is where a server listens; false where it is not in service.
+	// Address is where a server listens; false if it is not in service.
 	Address(dispatch.ServerID) (string, bool)
 }
 
--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -30,7 +30,7 @@
 	endpoint     *transport.Endpoint
 	id           string // of this process's record in the directory
 	started      time.Time
-	proxy        *dataplane.Proxy // nil where the role does not serve clients
+	proxy        *dataplane.Proxy // nil if the role does not serve clients
 	workload     Workload         // the proxy, where there is one
 	assignsRoles bool             // to model servers, while this process is the head of the chain
 	metricsPort  int              // 0 for none
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -41,7 +41,7 @@
 
 	// What the chain goroutine publishes after each step.
 	inChain   atomic.Bool
-	fence     atomic.Uint64 // epoch in which this member is the head and the chain is open, 0 where it is not
+	fence     atomic.Uint64 // epoch in which this member is the head and the chain is open, 0 if it is not
 	handedOff chan struct{} // closed once this member has left and the others have all that it has accepted
 	committed chan []byte   // the newest committed configuration that is not yet applied, as it is stored
 
@@ -58,7 +58,7 @@
 	committedSequence uint64
 	publishedVersion  int64
 	publishedEpoch    uint64
-	bootstrap         *bootstrap // nil where this process does not bootstrap the fleet, or once it has a view
+	bootstrap         *bootstrap // nil if this process does not bootstrap the fleet, or once it has a view
 }
 
 func (m *chainMember) isMember() bool { return m.inChain.Load() }
@@ -134,7 +134,7 @@
 	}
 }
 
-// step runs one event, persists its records, and only then executes the other effects. Where the disk fails,
+// step runs one event, persists its records, and only then executes the other effects. If the disk fails,
 // the state machine decides what may still be sent.
 func (m *chainMember) step(event chainEvent) {
 	effects := event(m.agent.now())
--- a/internal/router/agent/chain_patch.go
+++ b/internal/router/agent/chain_patch.go
@@ -17,7 +17,7 @@
 func storedDigest(body []byte) chain.Digest { return fleetconfig.StoredDigest(body) }
 
 // patch applies a patch to the version that it builds on, and proposes the full configuration that results.
-// Where that version is not current any more, the patch was either committed before or is rejected.
+// If that version is not current any more, the patch was either committed before or is rejected.
 func (m *chainMember) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	patch, err := fleetconfig.ParsePatch(change.Expected, change.Body)
 	if err != nil {
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -94,7 +94,7 @@
 }
 
 // chooseSource returns the hub to follow, by rendezvous hashing over those that respond and reach a majority;
-// the one to avoid comes last. Where none reaches a majority, a process without a connected source takes one
+// the one to avoid comes last. If none reaches a majority, a process without a connected source takes one
 // that does not.
 func (a *Agent) chooseSource(avoid *hub) *hub {
 	var inMajority, others []*hub
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -86,7 +86,7 @@
 	return hubs
 }
 
-// hubAt returns the link to a hub, nil where there is none.
+// hubAt returns the link to a hub, nil if there is none.
 func (a *Agent) hubAt(ip string) *hub {
 	a.hubsMu.Lock()
 	defer a.hubsMu.Unlock()
--- a/internal/router/agent/ready_endpoint.go
+++ b/internal/router/agent/ready_endpoint.go
@@ -19,7 +19,7 @@
 	return controlserver.Text(200, "ready")
 }
 
-// unready returns why no clients are to be sent here, "" where they are.
+// unready returns why no clients are to be sent here, "" if they are.
 func (a *Agent) unready() string {
 	switch {
 	case a.isShuttingDown():
--- a/internal/router/agent/view_announcer.go
+++ b/internal/router/agent/view_announcer.go
@@ -171,7 +171,7 @@
 	return calling
 }
 
-// learnStatusView learns the view that another process knows. Where it is a newer one, links to its members
+// learnStatusView learns the view that another process knows. If it is a newer one, links to its members
 // are opened.
 func (a *Agent) learnStatusView(status *peerproto.Status) {
 	if a.state.learnView(status.Epoch, status.Members) {
--- a/internal/router/catalog/table.go
+++ b/internal/router/catalog/table.go
@@ -30,7 +30,7 @@
 // Service returns the servers of a service, sorted by id. The caller must not change the slice.
 func (t *Table) Service(name string) []*Server { return t.byService[name] }
 
-// ByID returns the server of an id, nil where the table has none.
+// ByID returns the server of an id, nil if the table has none.
 func (t *Table) ByID(id string) *Server { return t.byID[id] }
 
 // All returns the servers, in no order.
--- a/internal/router/dataplane/buffered.go
+++ b/internal/router/dataplane/buffered.go
@@ -16,7 +16,7 @@
 	body []byte
 }
 
-// bufferResponse reads a response into memory. Where it is too large for that, or no memory is left, it
+// bufferResponse reads a response into memory. If it is too large for that, or no memory is left, it
 // returns the beginning; body.Complete reports which.
 func bufferResponse(c *call, head *http1.Response, body *http1.Body) (*bufferedResponse, error) {
 	buffered := &bufferedResponse{head: head}
@@ -34,7 +34,7 @@
 	return buffered, nil
 }
 
-// growBuffer enlarges the buffer of a response, whose length is -1 where it is not known. The buffer is
+// growBuffer enlarges the buffer of a response, whose length is -1 if it is not known. The buffer is
 // counted as the request's.
 func (c *client) growBuffer(buffered *bufferedResponse, length int64) bool {
 	size := max(2*cap(buffered.body), initialBodyBuffer)
--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -32,13 +32,13 @@
 	responseStarted bool // the head of a response has arrived
 	partlySent      bool // not all of the request was sent; the system may have reported a reset already
 
-	keepAliveTime    time.Duration // how long the server keeps the connection, 0 where it closes it
+	keepAliveTime    time.Duration // how long the server keeps the connection, 0 if it closes it
 	started          time.Time     // zero before the request is sent
 	timeToHead       time.Duration // from started to the head of the response
 	timeToFirstEvent time.Duration // from started to the first complete event
 }
 
-// run makes the call and forwards its response to the client. It returns nil where the client has the
+// run makes the call and forwards its response to the client. It returns nil if the client has the
 // complete response.
 func (c *call) run() *callFailure {
 	if f := c.connect(); f != nil {
@@ -84,7 +84,7 @@
 		Dur("head_ms", c.timeToHead).Dur("event_ms", c.timeToFirstEvent).Dur("took_ms", took).Msg("front: call")
 }
 
-// elapsed is the time since the request was sent, 0 where it was not.
+// elapsed is the time since the request was sent, 0 if it was not.
 func (c *call) elapsed() time.Duration {
 	if c.started.IsZero() {
 		return 0
--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -22,7 +22,7 @@
 	Update(now time.Duration, table *catalog.Table)
 	// Split reports whether the request's prompt is to be prefilled by one server for another.
 	Split(now time.Duration, r *scheduler.Request) bool
-	// Choose begins a call, nil where no server may be asked. Done has to end each call once.
+	// Choose begins a call, nil if no server may be asked. Done has to end each call once.
 	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role,
 		prefillServer *catalog.Server) *scheduler.Call
 	FirstEvent(now time.Duration, call *scheduler.Call)
--- a/internal/router/dataplane/events.go
+++ b/internal/router/dataplane/events.go
@@ -26,7 +26,7 @@
 	s.buffer = append(s.buffer, p...)
 }
 
-// next returns the next complete event, nil where there is none yet.
+// next returns the next complete event, nil if there is none yet.
 func (s *eventSplitter) next() []byte {
 	for {
 		end := bytes.IndexByte(s.buffer[s.lineStart:], '\n')
--- a/internal/router/dataplane/headers.go
+++ b/internal/router/dataplane/headers.go
@@ -129,7 +129,7 @@
 	return strings.Join(options, ",")
 }
 
-// keepAliveTime is how long a connection may stay idle after such a response, 0 where it ends.
+// keepAliveTime is how long a connection may stay idle after such a response, 0 if it ends.
 func keepAliveTime(head *http1.Response) time.Duration {
 	if head.Close {
 		return 0
--- a/internal/router/dataplane/localreply.go
+++ b/internal/router/dataplane/localreply.go
@@ -11,7 +11,7 @@
 // a local reply.
 type localReplyError struct {
 	status          int
-	reason          string // one word for metrics and logs; "" where the round trip has recorded it
+	reason          string // one word for metrics and logs; "" if the round trip has recorded it
 	remedy          string // what the client or the operator can do
 	retryAfter      time.Duration
 	closeConnection bool // the connection has to end, as the next request on it cannot be found
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -69,7 +69,7 @@
 // connectionSpec is what a call needs of its connection.
 type connectionSpec struct {
 	server       *catalog.Server
-	maxPerServer int           // connections of this proxy to the server, 0 where there is no bound
+	maxPerServer int           // connections of this proxy to the server, 0 if there is no bound
 	maxIdle      time.Duration // for how long the connection may have been idle
 	// requestNumber is the number of the client's request, 0 for one of the proxy's own. The connection
 	// must not have carried it before: a server that answers twice would answer the second call with the
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -7,7 +7,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// prefill has a server prefill the prompt, and takes the handle of its prefix cache. Where that fails the
+// prefill has a server prefill the prompt, and takes the handle of its prefix cache. If that fails the
 // request goes on without: the call does not run the request, so it may be retried as long as the budget
 // allows.
 func (rt *roundTrip) prefill() {
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -56,7 +56,7 @@
 	return message
 }
 
-// forwardResponse forwards a server's response. It returns nil where the client has it completely.
+// forwardResponse forwards a server's response. It returns nil if the client has it completely.
 func (r *relay) forwardResponse(c *call, head *http1.Response, body *http1.Body) *callFailure {
 	class := classify(c.responseTraits(head, body))
 	switch {
--- a/internal/router/dataplane/request.go
+++ b/internal/router/dataplane/request.go
@@ -30,7 +30,7 @@
 	hardDeadline time.Time // the client's deadline or the route's timeout, whichever is earlier
 	deadline     time.Time // when the proxy answers itself at the latest, a little before hardDeadline
 	config       *fleetconfig.Config
-	route        *fleetconfig.Route // nil where there is none
+	route        *fleetconfig.Route // nil if there is none
 	service      *fleetconfig.Service
 	scheduling   scheduler.Request
 }
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -38,7 +38,7 @@
 	relay         relay
 
 	attempts           attemptCounter
-	handle             *kvHandle         // of the prompt's prefix cache, nil where there is none
+	handle             *kvHandle         // of the prompt's prefix cache, nil if there is none
 	worstFate          fate              // of all calls so far
 	serverError        *bufferedResponse // the last one; forwarded if nothing more is tried
 	unreachableServers int
@@ -140,7 +140,7 @@
 	}
 }
 
-// setAbortable sets what stop has to close; it returns false where the round trip is stopped already.
+// setAbortable sets what stop has to close; it returns false if the round trip is stopped already.
 func (rt *roundTrip) setAbortable(closer io.Closer) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -151,7 +151,7 @@
 	return true
 }
 
-// nextCall returns the call that answers the request, nil where there is no server or no retry left.
+// nextCall returns the call that answers the request, nil if there is no server or no retry left.
 func (rt *roundTrip) nextCall() *call {
 	if rt.handle.expired(time.Now()) {
 		rt.releaseHandle()
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -22,7 +22,7 @@
 	return strings.EqualFold(strings.TrimSpace(kind), eventStreamType)
 }
 
-// forwardStream forwards events as they arrive, each one complete. Where it ends early the events that the
+// forwardStream forwards events as they arrive, each one complete. If it ends early the events that the
 // client has are the first ones of the stream, without a gap.
 func (r *relay) forwardStream(c *call, head *http1.Response, body *http1.Body) *callFailure {
 	r.events.reset()
--- a/internal/router/dataplane/timeouts.go
+++ b/internal/router/dataplane/timeouts.go
@@ -68,7 +68,7 @@
 	t.mean[service] = (before*prefillTimeWeight + took) / (prefillTimeWeight + 1)
 }
 
-// expected is how long prefill usually takes, 0 where that is not known.
+// expected is how long prefill usually takes, 0 if that is not known.
 func (t *prefillTimes) expected(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// endCall records how a call ended; f is nil where the client has the complete response.
+// endCall records how a call ended; f is nil if the client has the complete response.
 func (t *roundTripTrace) endCall(c *call, f *callFailure) {
 	rt := c.roundTrip
 	sent := c.conn != nil && c.conn.bytesSent > 0
--- a/internal/router/directory/directory.go
+++ b/internal/router/directory/directory.go
@@ -38,7 +38,7 @@
 	return &Directory{entries: map[string]*entry{}, tombstones: map[string]time.Duration{}}
 }
 
-// Offset returns the offset of the last change in this replica's feed, 0 where there was none.
+// Offset returns the offset of the last change in this replica's feed, 0 if there was none.
 func (d *Directory) Offset() uint64 { return d.offset }
 
 // Merge merges a record and reports whether it changed this replica. A record that is no newer than the one
@@ -105,7 +105,7 @@
 	d.tombstones[id] = now
 }
 
-// Get returns the record of an id, nil where there is none.
+// Get returns the record of an id, nil if there is none.
 func (d *Directory) Get(id string) *Record {
 	if e := d.entries[id]; e != nil {
 		return e.record
--- a/internal/router/peerproto/messages.go
+++ b/internal/router/peerproto/messages.go
@@ -44,7 +44,7 @@
 	To      int64              `avro:"to"`   // offset of the last change
 	Records []directory.Record `avro:"records"`
 	Version int64              `avro:"version"` // of the configuration in force at the hub
-	// Config is that configuration, packed, or the patches that lead to it; empty where the follower has it.
+	// Config is that configuration, packed, or the patches that lead to it; empty if the follower has it.
 	Config  []byte       `avro:"config"`
 	Epoch   int64        `avro:"epoch"`   // of the latest view known to the hub
 	Members []MemberInfo `avro:"members"` // of that view
--- a/internal/router/scheduler/call.go
+++ b/internal/router/scheduler/call.go
@@ -83,7 +83,7 @@
 	return c.uncachedTokens, duration(c.expectedMs)
 }
 
-// SharedPrefix returns the hash of the part of the prompt that other requests share, 0 where there is none.
+// SharedPrefix returns the hash of the part of the prompt that other requests share, 0 if there is none.
 func (c *Call) SharedPrefix() uint64 {
 	hash, _, _ := c.chain.shared()
 	return hash
--- a/internal/router/scheduler/service_pool.go
+++ b/internal/router/scheduler/service_pool.go
@@ -115,7 +115,7 @@
 	return p.outputTokens.value * p.timePerToken.at(inFlight)
 }
 
-// transferTime returns the ms that the prefix cache of a prompt takes to a decode server, 0 where the speed
+// transferTime returns the ms that the prefix cache of a prompt takes to a decode server, 0 if the speed
 // of links is unknown.
 func (p *servicePool) transferTime(tokens int, crossZone bool) float64 {
 	engine := p.service.Engine
--- a/internal/router/scheduler/water_level.go
+++ b/internal/router/scheduler/water_level.go
@@ -23,7 +23,7 @@
 // that others(0) is the report less own calls at that moment; no call is counted twice, and the level is
 // never below that of the own calls. A server without a report has others() = m.
 //
-// Where the other proxies report what they have in flight (peer_load.go), those reports replace others(t).
+// If the other proxies report what they have in flight (peer_load.go), those reports replace others(t).
 
 const (
 	decayServiceTimes = 2.0 // mean request times in which a lone report loses most of its weight
--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -32,7 +32,7 @@
 	closed    bool
 }
 
-// Append makes records durable as one unit. Where the segment would grow beyond Options.MaxGrowth, a new
+// Append makes records durable as one unit. If the segment would grow beyond Options.MaxGrowth, a new
 // segment with a snapshot takes the place of the frame. After an error, which is ErrClosed, a *WriteError or
 // that of too many bytes at once, none of the records counts and the log is as before.
 func (l *Log) Append(records ...[]byte) error {
