--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"strings"
@@ -24,8 +25,8 @@
 	return c
 }
 
-// waitForSignal waits for SIGINT or SIGTERM, or for so long.
-func waitForSignal(c *cobra.Command, limit time.Duration) {
+// waitForSignal waits for SIGINT or SIGTERM, for no longer than the limit.
+func waitForSignal(limit time.Duration) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -65,13 +66,12 @@
 					z.Drain()
 				}
 			}()
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", z.Address())
-			waitForSignal(c, limit)
+			c.PrintErrln("listening on", z.Address())
+			waitForSignal(limit)
 			if asJSON {
 				return printJSON(c.OutOrStdout(), z.Counts())
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "%+v\n", z.Counts())
-			return err
+			return printZoneCounts(c.OutOrStdout(), z.Counts())
 		},
 	}
 	f := c.Flags()
@@ -92,6 +92,15 @@
 	return c
 }
 
+// printZoneCounts prints the counts under the names that scripts read.
+func printZoneCounts(w io.Writer, n proxystandin.ZoneCounts) error {
+	_, err := fmt.Fprintf(w, "{Requests:%d Served:%d TurnedAway:%d Probes:%d Opened:%d RanTwice:%d "+
+		"AfterDrain:%d FellOver:%d}\n",
+		n.Requests, n.Served, n.Rejected, n.Probes, n.Opened, n.RanTwice, n.AfterDrain,
+		n.Overloaded)
+	return err
+}
+
 func newStandinDiscovery() *cobra.Command {
 	var listen string
 	var servers []string
@@ -110,12 +119,12 @@
 			for _, s := range servers {
 				name, address, ok := strings.Cut(s, "=")
 				if !ok {
-					return usageErrorf("--server %q is no NAME=HOST:PORT", s)
+					return UsageErrorf("--server %q is no NAME=HOST:PORT", s)
 				}
 				d.Set(proxystandin.Endpoint{Name: name, Address: address, Status: "in_service", Weight: 1})
 			}
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", d.Address())
-			waitForSignal(c, limit)
+			c.PrintErrln("listening on", d.Address())
+			waitForSignal(limit)
 			return nil
 		},
 	}
@@ -140,8 +149,8 @@
 				return err
 			}
 			defer s.Close()
-			fmt.Fprintln(c.ErrOrStderr(), "listening on", s.Address())
-			waitForSignal(c, limit)
+			c.PrintErrln("listening on", s.Address())
+			waitForSignal(limit)
 			return printJSON(c.OutOrStdout(), s.Entries())
 		},
 	}
