--- a/internal/testbed/clusterrig/ownerfaults.go
+++ b/internal/testbed/clusterrig/ownerfaults.go
@@ -30,8 +30,8 @@
 // but not from sink and discovery, as often as asked. Each fault hits the owner between its check of the
 // lease and a call, which goes out once another member owns the roles and the sink has seen a call of that
 // one. A round ends when the sink has refused the call and the former owner reports that it owns nothing. A
-// call may take no longer than the lease lasted when it was checked; on a busy machine that can be too short to
-// reach the sink. Such a round shows nothing and is repeated, at most as often as there are rounds.
+// call may take no longer than the lease lasted when it was checked; on a busy machine that can be too short
+// to reach the sink. Such a round shows nothing and is repeated, at most as often as there are rounds.
 func (r *Rig) FaultOwners(ctx context.Context, lease time.Duration, pauses, partitions int) (FaultedOwners,
 	error) {
 	rep := FaultedOwners{Pauses: pauses, Partitions: partitions}
@@ -112,8 +112,8 @@
 // sink.
 var errLateCallTimedOut = errors.New("the late call timed out before it reached the sink")
 
-// waitLateCall waits until the sink has refused the delayed call of a former owner, of whose calls so many had
-// failed before.
+// waitLateCall waits until the sink has refused the delayed call of a former owner, of whose calls so many
+// had failed before.
 func (r *Rig) waitLateCall(ctx context.Context, old *Member, token uint64, failedBefore int64) error {
 	refused := func(c proxystandin.SinkCall) bool {
 		return c.Token == token && c.Status == http.StatusConflict
