--- a/internal/simulation/agentsim/history.go
+++ b/internal/simulation/agentsim/history.go
@@ -91,7 +91,7 @@
 	var violations []string
 	committed := map[int64]Change{}
 	sent := map[[2]int64]Change{}
-	note := func(c Change, how string) {
+	commit := func(c Change, how string) {
 		if known, ok := committed[c.Version]; ok && known != c {
 			violations = append(violations, fmt.Sprintf("%+v was %s, and %+v had been taken", c, how, known))
 		}
@@ -100,7 +100,7 @@
 	for _, call := range h.puts {
 		sent[[2]int64{call.change.Version, call.change.Variant}] = call.change
 		if call.status == 200 {
-			note(call.change, "acknowledged")
+			commit(call.change, "acknowledged")
 		}
 	}
 	for _, call := range h.gets {
@@ -113,7 +113,7 @@
 				fmt.Sprintf("%s read version %d, which nobody sent", call.machine, call.version))
 			continue
 		}
-		note(c, "read at "+call.machine)
+		commit(c, "read at "+call.machine)
 	}
 	return committed, append(violations, h.checkSuccession(committed)...)
 }
--- a/internal/simulation/proxysim/baseline.go
+++ b/internal/simulation/proxysim/baseline.go
@@ -49,11 +49,11 @@
 	if v.lambda <= 0 {
 		work := 0.0
 		for i, c := range s.scenario.Classes {
-			share := s.shareCum.class[i]
+			fraction := s.shareCum.class[i]
 			if i > 0 {
-				share -= s.shareCum.class[i-1]
+				fraction -= s.shareCum.class[i-1]
 			}
-			work += share * c.Work.Seconds()
+			work += fraction * c.Work.Seconds()
 		}
 		v.lambda = s.rate * work / s.shareCum.class[len(s.shareCum.class)-1] / s.capacity()
 	}
--- a/internal/simulation/proxysim/doc.go
+++ b/internal/simulation/proxysim/doc.go
@@ -6,7 +6,8 @@
 // attempts and jobs, and random streams that are split by purpose, so that all policies meet the same
 // arrivals. A request is served, refused or failed in the end; an attempt is open until its first outcome; a
 // server is up, unresponsive, draining or down, and may be choked or collapsed besides. SWIM models the
-// proxies' gossip, and RunListTrial how they learn the list of servers.
+// proxies' gossip, and RunListTrial how they learn the list of servers. The faults of SWIM that no trial
+// plays (Restart, Pause, BlockLink, Slow) are for tests, which compare the model with real processes.
 //
 // The package does no input or output and reads no clock: the same scenario and seed give the same results on
 // any machine. Nothing in it is safe for concurrent use; separate simulations may run in parallel.
--- a/internal/simulation/proxysim/probes.go
+++ b/internal/simulation/proxysim/probes.go
@@ -16,11 +16,11 @@
 }
 
 // probeServer handles a probe at its server. Under a model of the literature the answer is that of the board.
-func (s *Sim) probeServer(to, i, life int32) {
+func (s *Sim) probeServer(to, i, incarnation int32) {
 	v := &s.servers[to]
 	p := &s.proxies[i]
 	way := s.latency(v.hall, p.hall)
-	a := probeAnswer{server: to, incarnation: life, sent: s.now - way}
+	a := probeAnswer{server: to, incarnation: incarnation, sent: s.now - way}
 	after := way
 	switch {
 	case v.unresponsive:
--- a/internal/simulation/proxysim/registry.go
+++ b/internal/simulation/proxysim/registry.go
@@ -15,10 +15,9 @@
 	busyUntil  int64 // ns, with calls queued so far
 	lag        int64 // further delay of changes now, ns
 	calls      int
-	fails      int
-	lines      int
 }
 
+// change is a change of one entry, with the time of its publication.
 type change struct {
 	at    int64
 	entry balance.Server
@@ -81,20 +80,19 @@
 	g.calls++
 	way := s.latency(0, s.proxies[i].hall)
 	begin := max(g.busyUntil, s.now)
-	life := uint64(s.proxies[i].incarnation)
+	incarnation := uint64(s.proxies[i].incarnation)
 	if o.MaxWait > 0 && begin-s.now > int64(o.MaxWait) {
-		g.fails++
-		s.add(s.now+int64(o.MaxWait)+2*way, evListAnswer, i, 1, life)
+		s.add(s.now+int64(o.MaxWait)+2*way, evListAnswer, i, 1, incarnation)
 		return
 	}
 	g.busyUntil = begin + int64(o.ServiceTime)
-	s.add(g.busyUntil+2*way, evListAnswer, i, 0, life)
+	s.add(g.busyUntil+2*way, evListAnswer, i, 0, incarnation)
 }
 
 // listAnswered handles the answer to a call.
-func (s *Sim) listAnswered(i int32, fails bool, life int32) {
+func (s *Sim) listAnswered(i int32, fails bool, incarnation int32) {
 	p := &s.proxies[i]
-	if !p.alive || p.incarnation != life {
+	if !p.alive || p.incarnation != incarnation {
 		return
 	}
 	if fails {
@@ -138,6 +136,5 @@
 			p.withdrawnAt[server] = s.now
 		}
 	}
-	s.registry.lines += len(list)
 	s.apply(i, p.agent.List(time.Duration(s.now), balance.ListDelta, list, s.actions[:0]))
 }
--- a/internal/simulation/proxysim/server.go
+++ b/internal/simulation/proxysim/server.go
@@ -195,21 +195,21 @@
 }
 
 // jobDone ends a job on its core, on which the next one starts.
-func (s *Sim) jobDone(ji, life int32, stamp uint64) {
+func (s *Sim) jobDone(ji, incarnation int32, stamp uint64) {
 	j := &s.jobs[ji]
 	if !j.used || uint64(j.generation) != stamp {
 		return
 	}
 	i := j.server
 	v := &s.servers[i]
-	if v.incarnation != life {
+	if v.incarnation != incarnation {
 		return
 	}
 	if v.pausedUntil > s.now { // the rest is done after the pause
 		j.doneAt = max(j.doneAt, v.pausedUntil)
 	}
 	if j.doneAt > s.now {
-		s.add(j.doneAt, evJobDone, ji, life, stamp)
+		s.add(j.doneAt, evJobDone, ji, incarnation, stamp)
 		return
 	}
 	for n, r := range v.running {
--- a/internal/simulation/simnet/network.go
+++ b/internal/simulation/simnet/network.go
@@ -1,6 +1,6 @@
 // Package simnet is a network in memory for processes that run in a bubble of testing/synctest: its delays,
 // deadlines and timeouts use the bubble's clock. Hosts have addresses, processes run on hosts, and each
-// direction between two hosts can have a fault.
+// direction between two hosts can have a fault. It is a helper for tests, which agentsim builds on.
 //
 // It models TCP as far as processes notice it: connections are opened by retransmitted attempts, bytes arrive
 // in order after a delay, lost bytes arrive late or time out, and an end that no longer exists answers with a
