--- a/internal/router/chain/bootstrap.go
+++ b/internal/router/chain/bootstrap.go
@@ -9,21 +9,33 @@
 // follows it.
 const retriesBeforeShrinking = 4
 
-// bootstrapState is the state of a node that tries to have a first view agreed on. An attempt that isn't
-// accepted by all of its members is followed by one of a later epoch, which a member accepts only if it
-// includes a majority of each attempt before it.
+// bootstrapState is the volatile state of a node that tries to have a first view agreed on. An attempt is a
+// first view that is proposed by Genesis; it is decided once all of its members have accepted it. One that
+// doesn't get there is followed by an attempt of a later epoch, which names the earlier ones in
+// View.Unopened. What a member has accepted is durable, in durableState.genesis.
+//
+// At most one attempt can ever be used, because of three invariants, which mayAcceptGenesis and hasRevoked
+// keep at each member:
+//
+//   - It accepts attempts in ascending order of epochs, at most one per epoch.
+//   - It accepts a later attempt only if that names all attempts that it has accepted, and has a majority of
+//     the chain of each attempt that it names among its members.
+//   - It never adopts an attempt that a later one which it has accepted names.
+//
+// Once a later attempt is decided, a majority of each earlier one therefore never adopts that one, so that it
+// can neither open nor decide a successor.
 type bootstrapState struct {
-	// view is the attempt, consented are the members that have durably accepted it.
-	view      View
-	consented []MemberID
-	// replied are the nodes that have replied since the last retry, retries counts those of this attempt.
+	// view is the attempt. Its members in accepted have durably accepted it.
+	view     View
+	accepted []MemberID
+	// replied are the nodes that have replied since the last retry. retries counts those of this attempt.
 	replied []Member
 	retries int
-	// candidates are those of the last call of Node.Bootstrap.
+	// candidates are the members that the last call of Node.Bootstrap named.
 	candidates []Member
 	// competing are attempts of other nodes that view doesn't name.
 	competing []PastChain
-	// startedAt is when the attempt or its last retry began, sentAt when Genesis was sent last.
+	// startedAt is when the attempt or its last retry began. sentAt is when Genesis was sent last.
 	startedAt, sentAt time.Duration
 }
 
@@ -34,22 +46,36 @@
 // too few to survive the loss of a disk, nothing is sent until Config.BootstrapRetryAfter has passed.
 func (n *Node) Bootstrap(now time.Duration, members []Member) Effects {
 	n.begin(now)
-	tooFew := len(members) < n.config.bootstrapMembers() && n.now-n.started < n.config.BootstrapRetryAfter
-	switch {
-	case n.state.view.Epoch != 0 || len(members) == 0 || n.bootstrap == nil && tooFew:
-	case n.bootstrap == nil || n.bootstrap.view.Epoch == 1 && len(n.bootstrap.replied) == 0:
-		n.startBootstrapAttempt(firstView(1, members, nil), members)
-	default:
-		n.bootstrap.candidates = members
+	if n.state.view.Epoch == 0 && len(members) > 0 {
+		n.bootstrapWith(members)
 	}
 	return n.finish()
 }
 
+// bootstrapWith starts the first attempt, or starts it again with other members while none has replied.
+// Otherwise the members are candidates of the next attempt.
+func (n *Node) bootstrapWith(members []Member) {
+	attempt := n.bootstrap
+	if attempt == nil && n.awaitsMoreMembers(members) {
+		return
+	}
+	if attempt == nil || attempt.view.Epoch == 1 && len(attempt.replied) == 0 {
+		n.startBootstrapAttempt(firstView(1, members, nil), members)
+		return
+	}
+	attempt.candidates = members
+}
+
+// awaitsMoreMembers reports whether a first attempt should wait because too few members are known.
+func (n *Node) awaitsMoreMembers(members []Member) bool {
+	return len(members) < n.config.bootstrapMembers() && n.now-n.started < n.config.BootstrapRetryAfter
+}
+
 // bootstrapMembers returns how many members a first view needs so that a majority is left, with the required
 // replicas, after all losses that are tolerated.
 func (c *Config) bootstrapMembers() int { return 2*c.RequiredReplicas - 1 }
 
-// startBootstrapAttempt proposes a first view.
+// startBootstrapAttempt proposes a first view; candidates are the members to add if it fails.
 func (n *Node) startBootstrapAttempt(view View, candidates []Member) {
 	n.bootstrap = &bootstrapState{view: view, candidates: candidates, startedAt: n.now}
 	n.sendGenesis()
@@ -64,30 +90,39 @@
 	}
 }
 
-// tickBootstrap resends Genesis, retries and starts further attempts. A member that has accepted a first view
-// and is not notified of any decided one takes over: the node that bootstraps may have failed for good.
+// tickBootstrap lets time pass for the bootstrap, which ends once this node has a view.
 func (n *Node) tickBootstrap() {
-	b := n.bootstrap
-	if n.state.view.Epoch != 0 {
+	switch {
+	case n.state.view.Epoch != 0:
 		n.bootstrap = nil
-		return
+	case n.bootstrap == nil:
+		n.takeOverBootstrap()
+	default:
+		n.continueBootstrap()
 	}
-	if b == nil {
-		if n.state.genesis.Epoch > 0 && n.now >= n.bootstrapTakeoverAt {
-			n.startBootstrapAttempt(n.state.genesis, nil)
-		}
-		return
+}
+
+// takeOverBootstrap continues an attempt that this node has accepted if it is not notified of any decided
+// view for too long: the node that bootstraps may have failed for good.
+func (n *Node) takeOverBootstrap() {
+	if n.state.genesis.Epoch > 0 && n.now >= n.bootstrapTakeoverAt {
+		n.startBootstrapAttempt(n.state.genesis, nil)
 	}
-	if n.now-b.startedAt >= n.config.BootstrapRetryAfter {
-		b.startedAt = n.now
-		b.retries++
-		if next, ok := b.nextAttempt(n.config.bootstrapMembers()); ok {
-			n.startBootstrapAttempt(next, b.candidates)
+}
+
+// continueBootstrap starts the next attempt, or retries or resends this one, when that is due.
+func (n *Node) continueBootstrap() {
+	attempt := n.bootstrap
+	if n.now-attempt.startedAt >= n.config.BootstrapRetryAfter {
+		attempt.startedAt = n.now
+		attempt.retries++
+		if next, ok := attempt.nextAttempt(n.config.bootstrapMembers()); ok {
+			n.startBootstrapAttempt(next, attempt.candidates)
 			return
 		}
-		b.replied = nil
+		attempt.replied = nil
 	}
-	if n.now-b.sentAt >= n.config.ResendAfter {
+	if n.now-attempt.sentAt >= n.config.ResendAfter {
 		n.sendGenesis()
 	}
 }
@@ -98,19 +133,42 @@
 	n.bootstrapTakeoverAt = n.now + n.config.BootstrapRetryAfter + jitter
 }
 
-// nextAttempt returns the attempt after this one, if there is any use in it: of the nodes that have replied
-// and of candidates that were not asked. One with fewer than minMembers is made only after some retries.
+// nextAttempt returns the attempt after this one, or false if this one should be retried: because the next
+// one would have fewer than minMembers, which is allowed only after some retries, because it would be no
+// different, or because no member could accept it.
 func (b *bootstrapState) nextAttempt(minMembers int) (View, bool) {
-	unopened := slices.Clone(b.view.Unopened)
+	members, earlier := b.nextMembers(), b.earlierAttempts()
+	if len(members) < min(minMembers, len(b.view.Members)) && b.retries < retriesBeforeShrinking {
+		return View{}, false
+	}
+	next := firstView(epochAfter(earlier), members, earlier)
+	same := slices.Equal(sortedIDs(next.Chain), sortedIDs(b.view.Chain)) && len(b.competing) == 0
+	return next, !same && len(earlier) <= maxUnopened && next.keepsMajorities()
+}
+
+// earlierAttempts returns the attempts that the next one has to name: this one and all known before it.
+func (b *bootstrapState) earlierAttempts() []PastChain {
+	earlier := slices.Clone(b.view.Unopened)
 	for _, past := range append([]PastChain{b.view.asPast()}, b.competing...) {
-		if !containsPast(unopened, past) {
-			unopened = append(unopened, past)
+		if !containsPast(earlier, past) {
+			earlier = append(earlier, past)
 		}
 	}
+	return earlier
+}
+
+// epochAfter returns the first epoch after those of some past chains.
+func epochAfter(earlier []PastChain) uint64 {
 	epoch := uint64(0)
-	for _, past := range unopened {
+	for _, past := range earlier {
 		epoch = max(epoch, past.Epoch+1)
 	}
+	return epoch
+}
+
+// nextMembers returns the members of the next attempt: the nodes that have replied, and the candidates that
+// were not asked.
+func (b *bootstrapState) nextMembers() []Member {
 	members := slices.Clone(b.replied)
 	for _, candidate := range b.candidates {
 		included := b.view.isMember(candidate.ID) || slices.Contains(memberIDs(members), candidate.ID)
@@ -118,15 +176,11 @@
 			members = append(members, candidate)
 		}
 	}
-	if len(members) < min(minMembers, len(b.view.Members)) && b.retries < retriesBeforeShrinking {
-		return View{}, false
-	}
-	next := firstView(epoch, members, unopened)
-	same := slices.Equal(sortedIDs(next.Chain), sortedIDs(b.view.Chain)) && len(b.competing) == 0
-	return next, !same && len(unopened) <= maxUnopened && next.keepsMajorities()
+	return members
 }
 
-// onGenesis accepts a first view if it may, and reports the latest one that this node has accepted.
+// onGenesis accepts an attempt if it may, and reports the latest one that this node has accepted. The record
+// of an attempt is durable before the reply leaves, see Effects.
 func (n *Node) onGenesis(m *Message) {
 	if n.config.HasDisk && n.mayAcceptGenesis(&m.View) {
 		n.state.genesis = m.View
@@ -142,31 +196,33 @@
 	})
 }
 
-// mayAcceptGenesis reports whether this node may accept a first view: one per epoch, in ascending order. A
-// later attempt has to name all that this node has accepted, and to include a majority of each one it names.
-// That majority then never adopts the named one, so that it can neither open nor be succeeded by another
-// view.
+// mayAcceptGenesis reports whether this node may accept an attempt by the invariants of bootstrapState.
 func (n *Node) mayAcceptGenesis(view *View) bool {
-	latest := &n.state.genesis
-	if view.Epoch <= latest.Epoch || !view.isMember(n.state.id) {
+	switch {
+	case view.Epoch <= n.state.genesis.Epoch || !view.isMember(n.state.id):
 		return false
-	}
-	if view.Epoch == 1 {
+	case view.Epoch == 1:
 		return n.config.AllowBootstrap || n.state.bootstrapAllowed
-	}
-	if len(view.Unopened) == 0 || !view.keepsMajorities() {
+	case len(view.Unopened) == 0:
 		return false
+	default:
+		return view.keepsMajorities() && n.namesAcceptedAttempts(view)
 	}
-	earlier := latest.Unopened
+}
+
+// namesAcceptedAttempts reports whether an attempt names all that this node has accepted.
+func (n *Node) namesAcceptedAttempts(view *View) bool {
+	latest := &n.state.genesis
+	accepted := latest.Unopened
 	if latest.Epoch > 0 {
-		earlier = append(slices.Clone(earlier), latest.asPast())
+		accepted = append(slices.Clone(accepted), latest.asPast())
 	}
 	missing := func(past PastChain) bool { return !containsPast(view.Unopened, past) }
-	return !slices.ContainsFunc(earlier, missing)
+	return !slices.ContainsFunc(accepted, missing)
 }
 
-// hasRevoked reports whether this node has accepted a later attempt than a first view, which it must never
-// adopt then.
+// hasRevoked reports whether this node has accepted a later attempt than a first view. It must never adopt
+// that view then.
 func (n *Node) hasRevoked(view *View) bool {
 	return n.state.view.Epoch == 0 && containsPast(n.state.genesis.Unopened, view.asPast())
 }
@@ -177,37 +233,51 @@
 
 // onGenesisReply decides the first view once all of its members have accepted it.
 func (n *Node) onGenesisReply(m *Message) {
-	b := n.bootstrap
-	if n.state.view.Epoch != 0 || b == nil || m.View.Epoch == 0 {
+	attempt := n.bootstrap
+	if n.state.view.Epoch != 0 || attempt == nil || m.View.Epoch == 0 {
 		return
 	}
-	if !m.View.equal(b.view) {
+	if !m.View.equal(attempt.view) {
 		n.onCompetingGenesis(m)
 		return
 	}
-	b.recordReply(m)
-	if !slices.Contains(b.consented, m.From) {
-		b.consented = append(b.consented, m.From)
+	attempt.recordReply(m)
+	attempt.recordAccepted(m.From)
+	if attempt.acceptedByAll() {
+		n.adopt(attempt.view)
+		n.broadcastView(nil)
 	}
-	for _, id := range memberIDs(b.view.Members) {
-		if !slices.Contains(b.consented, id) {
-			return
-		}
+}
+
+// recordAccepted adds a member to those that have accepted the attempt.
+func (b *bootstrapState) recordAccepted(id MemberID) {
+	if !slices.Contains(b.accepted, id) {
+		b.accepted = append(b.accepted, id)
 	}
-	n.adopt(b.view)
-	n.broadcastView(nil)
+}
+
+// acceptedByAll reports whether all members have accepted the attempt, which decides it.
+func (b *bootstrapState) acceptedByAll() bool {
+	missing := func(member Member) bool { return !slices.Contains(b.accepted, member.ID) }
+	return !slices.ContainsFunc(b.view.Members, missing)
 }
 
 // onCompetingGenesis continues with another attempt if that is later, or of the same epoch while nobody has
 // accepted the own one. Any other is recorded for the next attempt to name.
 func (n *Node) onCompetingGenesis(m *Message) {
-	b := n.bootstrap
-	if m.View.Epoch > b.view.Epoch || m.View.Epoch == b.view.Epoch && len(b.consented) == 0 {
-		n.startBootstrapAttempt(m.View, b.candidates)
+	attempt := n.bootstrap
+	sameEpoch := m.View.Epoch == attempt.view.Epoch
+	if m.View.Epoch > attempt.view.Epoch || sameEpoch && len(attempt.accepted) == 0 {
+		n.startBootstrapAttempt(m.View, attempt.candidates)
 		return
 	}
-	b.recordReply(m)
-	for _, past := range append([]PastChain{m.View.asPast()}, m.View.Unopened...) {
+	attempt.recordReply(m)
+	attempt.recordCompeting(&m.View)
+}
+
+// recordCompeting adds an attempt of another node, and those that it names, to the competing ones.
+func (b *bootstrapState) recordCompeting(view *View) {
+	for _, past := range append([]PastChain{view.asPast()}, view.Unopened...) {
 		known := containsPast(b.view.Unopened, past) || containsPast(b.competing, past)
 		if !known && len(b.competing) < maxUnopened {
 			b.competing = append(b.competing, past)
--- a/internal/router/chain/durable.go
+++ b/internal/router/chain/durable.go
@@ -2,16 +2,27 @@
 
 import "fmt"
 
-// The kinds of durable records, the first byte of each. A record replaces the earlier ones of its kind.
+// The kinds of durable records, the first byte of each, with the values that follow it. A record replaces the
+// earlier ones of its kind. The records of one step are persisted in ascending order of kinds: a view before
+// the acceptor that it resets, an entry before its position and history.
 const (
+	// recordIdentity: id, and 1 if bootstrapAllowed.
 	recordIdentity = iota + 1
+	// recordGenesis: genesis.
 	recordGenesis
-	recordView // a new view also resets the acceptor
+	// recordView: view. It also resets the acceptor.
+	recordView
+	// recordAcceptor: promised, accepted, acceptedView.
 	recordAcceptor
+	// recordEntry: epoch, sequence, version and body of the accepted entry, without its history.
 	recordEntry
-	recordPosition  // what changes of an entry without its body, and the sealed epoch
-	recordHistory   // of the latest recordEntry; logs of earlier releases have none
-	recordSuccessor // an entry whose history is the one of the entry before it and that entry
+	// recordPosition: epoch of the accepted entry, committedSequence, sealed.
+	recordPosition
+	// recordHistory: history of the latest recordEntry. Logs of earlier releases have none.
+	recordHistory
+	// recordSuccessor: an entry like recordEntry, whose history is that of the entry before it and that entry.
+	recordSuccessor
+	// recordKinds is one more than the highest kind.
 	recordKinds
 )
 
@@ -31,7 +42,8 @@
 		"the control state to join anew", e.Kind, e.Reason)
 }
 
-// durableState is what a node persists. It corresponds to Raft's persistent state on all servers.
+// durableState is what a node persists. It corresponds to Raft's persistent state on all servers. Only a step
+// of Node changes it, and the step's records are durable before anything that depends on the change leaves.
 type durableState struct {
 	id MemberID
 	// bootstrapAllowed says that this disk was first used with Config.AllowBootstrap set.
@@ -52,9 +64,12 @@
 	sealed uint64
 }
 
-// acceptorState is the state of the Paxos acceptor for the successor of the current view.
+// acceptorState is the state of the Paxos acceptor for the successor of the current view; a new view resets
+// it. The number accepted is never above promised.
 type acceptorState struct {
-	promised     ProposalNumber
+	// promised is the highest number that was prepared or accepted; lower ones are rejected.
+	promised ProposalNumber
+	// accepted is the number of the latest accepted proposal, zero if there is none, and acceptedView its view.
 	accepted     ProposalNumber
 	acceptedView View
 }
@@ -111,7 +126,7 @@
 	case recordAcceptor:
 		s.acceptor = acceptorState{data.proposalNumber(), data.proposalNumber(), data.view()}
 	case recordEntry:
-		s.accepted = config.newAcceptedEntry(data.entry(), nil) // recordHistory follows
+		s.accepted = config.newAcceptedEntry(data.entry(), nil) // a recordHistory follows
 		s.predecessor = acceptedEntry{}
 	case recordSuccessor:
 		entry := data.entry()
--- a/internal/router/chain/forward.go
+++ b/internal/router/chain/forward.go
@@ -63,28 +63,26 @@
 // onForward takes a request at the head. Another node rejects it and sends the view that names the head.
 func (n *Node) onForward(m *Message) {
 	r := request{from: m.From, id: m.Request, deadline: n.now + n.config.RequestTimeout}
-	if !n.isHead() {
+	switch {
+	case !n.isHead():
 		n.answer(r, Unavailable)
 		n.sendView(m.From)
-		return
-	}
-	if m.Kind == ForwardRead {
+	case m.Kind == ForwardRead:
 		r.kind, r.knownSequence = readRequest, m.Sequence
-		n.addRead(r)
-		return
-	}
-	r.proposal = Proposal{Expected: m.Expected, Version: m.Version, Body: m.Body}
-	if len(m.Digest) == 0 {
+		n.addForMarker(r)
+	case len(m.Digest) == 0:
+		r.proposal = Proposal{Expected: m.Expected, Version: m.Version, Body: m.Body}
 		r.digest = n.config.DigestOf(m.Body)
 		n.addWrite(r)
-		return
-	}
-	r.kind = confirmRequest
-	if copy(r.digest[:], m.Digest) < len(r.digest) {
-		n.answer(r, Unavailable) // the digest is truncated
-		return
+	default:
+		r.kind = confirmRequest
+		r.proposal = Proposal{Expected: m.Expected, Version: m.Version, Body: m.Body}
+		if copy(r.digest[:], m.Digest) < len(r.digest) {
+			n.answer(r, Unavailable) // the digest is truncated
+			return
+		}
+		n.addForMarker(r)
 	}
-	n.addRead(r)
 }
 
 // onForwardReply delivers the head's answer to the local caller.
--- a/internal/router/chain/head.go
+++ b/internal/router/chain/head.go
@@ -13,17 +13,21 @@
 	// open says that the full chain has accepted the head's entry in this epoch.
 	open bool
 	// pending says that the latest accepted entry is a write that is not committed; waiters want its outcome.
+	// One write is pending at a time.
 	pending bool
 	waiters []request
 	// sentAt is when the latest accepted entry was sent last.
 	sentAt time.Duration
 	// queuedWrites wait until the pending write is committed.
 	queuedWrites []request
-	// queuedReads wait for the next marker, markedReads for the one in flight. Both may hold writes that seem
-	// to conflict: that is certain only once the chain has confirmed that this node is still its head.
-	queuedReads, markedReads []request
-	marker                   uint64
-	markerSentAt             time.Duration
+	// queuedForMarker are to be confirmed by the next marker: reads, confirmations, and writes that seem to
+	// conflict, which is certain only once the chain has confirmed that this node is still its head.
+	queuedForMarker []request
+	// awaitingMarker are the requests that the marker in flight confirms; none is in flight if it is empty.
+	awaitingMarker []request
+	// marker is the number of the latest marker; it was sent last at markerSentAt.
+	marker       uint64
+	markerSentAt time.Duration
 }
 
 // requestKind is the type of a request.
@@ -57,12 +61,12 @@
 
 // queues returns all queues of requests.
 func (h *headState) queues() []*[]request {
-	return []*[]request{&h.waiters, &h.queuedWrites, &h.queuedReads, &h.markedReads}
+	return []*[]request{&h.waiters, &h.queuedWrites, &h.queuedForMarker, &h.awaitingMarker}
 }
 
 // queued returns the number of requests that wait.
 func (h *headState) queued() int {
-	return len(h.waiters) + len(h.queuedWrites) + len(h.queuedReads) + len(h.markedReads)
+	return len(h.waiters) + len(h.queuedWrites) + len(h.queuedForMarker) + len(h.awaitingMarker)
 }
 
 // resetHead answers all requests of the epoch that has ended and starts with a marker that no earlier epoch
@@ -89,14 +93,14 @@
 
 // resend repeats what was not acknowledged within Config.ResendAfter.
 func (n *Node) resend() {
-	h := &n.head
+	head := &n.head
 	if !n.isHead() {
 		return
 	}
-	if (!h.open || h.pending) && n.now-h.sentAt >= n.config.ResendAfter {
+	if (!head.open || head.pending) && n.now-head.sentAt >= n.config.ResendAfter {
 		n.sendAccepted()
 	}
-	if len(h.markedReads) > 0 && n.now-h.markerSentAt >= n.config.ResendAfter {
+	if len(head.awaitingMarker) > 0 && n.now-head.markerSentAt >= n.config.ResendAfter {
 		n.sendMarker()
 	}
 }
@@ -112,11 +116,11 @@
 
 // commitPending opens the epoch and commits the latest accepted entry, which the full chain has accepted.
 func (n *Node) commitPending() {
-	h := &n.head
-	if h.open && !h.pending {
+	head := &n.head
+	if head.open && !head.pending {
 		return
 	}
-	h.open, h.pending = true, false
+	head.open, head.pending = true, false
 	if !n.enoughReplicas() {
 		return
 	}
@@ -127,35 +131,35 @@
 	for _, id := range n.state.view.Chain[1:] {
 		n.send(id, Message{Kind: Commit, Sequence: n.state.accepted.Sequence})
 	}
-	for _, r := range h.waiters {
+	for _, r := range head.waiters {
 		n.answer(r, Applied)
 	}
-	h.waiters = nil
+	head.waiters = nil
 }
 
 // addWrite queues a write. One that equals the pending write waits for its outcome.
 func (n *Node) addWrite(r request) {
-	h := &n.head
+	head := &n.head
 	switch {
 	case r.proposal.Version <= r.proposal.Expected:
 		n.answer(r, Invalid)
-	case !n.enoughReplicas() || n.diskFailing || h.queued() >= n.config.QueueLimit:
+	case !n.enoughReplicas() || n.diskFailing || head.queued() >= n.config.QueueLimit:
 		n.answer(r, Unavailable)
-	case h.pending && n.isAccepted(r):
-		h.waiters = append(h.waiters, r)
+	case head.pending && n.isAccepted(r):
+		head.waiters = append(head.waiters, r)
 	default:
-		h.queuedWrites = append(h.queuedWrites, r)
+		head.queuedWrites = append(head.queuedWrites, r)
 		n.startNext()
 	}
 }
 
-// addRead queues a request that waits for a marker: a read or a confirmation.
-func (n *Node) addRead(r request) {
+// addForMarker queues a request that a marker has to confirm: a read or a confirmation.
+func (n *Node) addForMarker(r request) {
 	if n.head.queued() >= n.config.QueueLimit {
 		n.answer(r, Unavailable)
 		return
 	}
-	n.head.queuedReads = append(n.head.queuedReads, r)
+	n.head.queuedForMarker = append(n.head.queuedForMarker, r)
 	n.startNext()
 }
 
@@ -166,31 +170,42 @@
 
 // startNext starts the next write and the next marker if none is in flight.
 func (n *Node) startNext() {
-	h := &n.head
-	if !h.open {
-		return
+	if n.head.open {
+		n.startNextWrite()
+		n.startNextMarker()
 	}
-	for !h.pending && len(h.queuedWrites) > 0 {
-		next := h.queuedWrites[0]
-		h.queuedWrites = h.queuedWrites[1:]
+}
+
+// startNextWrite starts the first queued write whose expected version is the accepted one. All before it, and
+// confirmations, need a marker.
+func (n *Node) startNextWrite() {
+	head := &n.head
+	for !head.pending && len(head.queuedWrites) > 0 {
+		next := head.queuedWrites[0]
+		head.queuedWrites = head.queuedWrites[1:]
 		if next.kind == writeRequest && n.state.accepted.Version == next.proposal.Expected {
 			n.startWrite(next)
 		} else {
-			h.queuedReads = append(h.queuedReads, next)
+			head.queuedForMarker = append(head.queuedForMarker, next)
 		}
 	}
-	if len(h.markedReads) == 0 && len(h.queuedReads) > 0 {
-		h.markedReads, h.queuedReads = h.queuedReads, nil
-		h.marker++
+}
+
+// startNextMarker sends a marker for all requests that need one if none is in flight.
+func (n *Node) startNextMarker() {
+	head := &n.head
+	if len(head.awaitingMarker) == 0 && len(head.queuedForMarker) > 0 {
+		head.awaitingMarker, head.queuedForMarker = head.queuedForMarker, nil
+		head.marker++
 		n.sendMarker()
 	}
 }
 
 // startWrite accepts a proposal as the next entry and propagates it.
 func (n *Node) startWrite(r request) {
-	h := &n.head
-	h.pending, h.sentAt = true, n.now
-	h.waiters = append(h.waiters, r)
+	head := &n.head
+	head.pending, head.sentAt = true, n.now
+	head.waiters = append(head.waiters, r)
 	next := Entry{
 		Epoch: n.state.view.Epoch, Sequence: n.state.accepted.Sequence + 1,
 		Version: r.proposal.Version, Body: r.proposal.Body,
@@ -202,37 +217,41 @@
 // sendMarker sends the marker of the batch in flight down the chain.
 func (n *Node) sendMarker() {
 	n.head.markerSentAt = n.now
-	if next := n.state.view.successor(n.state.id); next != "" {
-		n.send(next, Message{Kind: Marker, Marker: n.head.marker})
-		return
-	}
-	n.send(n.state.id, Message{Kind: MarkerReply, Marker: n.head.marker, Sequence: n.state.accepted.Sequence})
+	n.passMarker(n.head.marker)
 }
 
-// onMarkerReply answers the batch: after the last of its requests came in, the chain was still in this epoch.
+// onMarkerReply answers the batch that the marker confirms: after the last of its requests came in, the chain
+// was still in this epoch.
 func (n *Node) onMarkerReply(m *Message) {
-	h := &n.head
-	if !n.isHead() || m.From != n.state.view.tail() || m.Marker != h.marker || len(h.markedReads) == 0 {
+	head := &n.head
+	if !n.isHead() || m.From != n.state.view.tail() || m.Marker != head.marker || len(head.awaitingMarker) == 0 {
 		return
 	}
-	if h.pending && m.Sequence == n.state.accepted.Sequence {
+	if head.pending && m.Sequence == n.state.accepted.Sequence {
 		n.commitPending()
 	}
-	batch := h.markedReads
-	h.markedReads = nil
-	var retries []request
+	confirmed := head.awaitingMarker
+	head.awaitingMarker = nil
+	n.answerConfirmed(confirmed)
+	n.startNext()
+}
+
+// answerConfirmed answers a batch that a marker has confirmed. While a write is pending, others of the batch
+// go back to the front of the queue of writes, in their order.
+func (n *Node) answerConfirmed(batch []request) {
+	head := &n.head
+	var requeued []request
 	for _, r := range batch {
 		switch {
 		case r.kind == readRequest:
 			n.answerRead(r)
-		case h.pending:
-			retries = append(retries, r)
+		case head.pending:
+			requeued = append(requeued, r)
 		default:
 			n.decide(r)
 		}
 	}
-	h.queuedWrites = slices.Concat(retries, h.queuedWrites)
-	n.startNext()
+	head.queuedWrites = slices.Concat(requeued, head.queuedWrites)
 }
 
 // decide answers a write or confirmation by the committed entry and its history. A change that was committed
@@ -254,19 +273,24 @@
 	}
 }
 
-// answerRead answers a read with the committed entry.
+// answerRead answers a read with the committed entry, or Unavailable if this head doesn't know it.
 func (n *Node) answerRead(r request) {
-	committed := n.state.committedKnown
-	if !n.head.pending {
-		committed = committed && n.state.committed.Sequence == n.state.accepted.Sequence
-	}
-	if !committed {
+	if !n.knowsLatestCommitted() {
 		n.answer(r, Unavailable)
 		return
 	}
 	n.answer(r, Applied)
 }
 
+// knowsLatestCommitted reports whether the entry known to be committed is the latest one. Without a pending
+// write that is the accepted entry, which counts only once enough replicas have it.
+func (n *Node) knowsLatestCommitted() bool {
+	if !n.state.committedKnown {
+		return false
+	}
+	return n.head.pending || n.state.committed.Sequence == n.state.accepted.Sequence
+}
+
 // answer sends the outcome of a request to the node at which it came in. The body is left out if the reader
 // already has it.
 func (n *Node) answer(r request, outcome Outcome) {
--- a/internal/router/chain/history.go
+++ b/internal/router/chain/history.go
@@ -6,7 +6,11 @@
 // at most 45 in a message.
 const defaultHistoryLength = 4096
 
-// PastEntry identifies an entry that was committed before another one, without its body.
+// PastEntry identifies an entry that was committed before another one, without its body. The history of an
+// entry lists its latest Config.HistoryLength predecessors, oldest first. By it the head tells whether a
+// write whose acknowledgement was lost had been committed, after later writes have replaced it.
+//
+// A history is immutable: messages, the accepted entry and Node.stable share it.
 type PastEntry struct {
 	Version int64
 	Digest  Digest
@@ -15,8 +19,8 @@
 // pastEntry returns the entry as its successors' histories name it.
 func (e *acceptedEntry) pastEntry() PastEntry { return PastEntry{e.Version, e.digest} }
 
-// successor returns the entry that follows a committed one. A history is never changed in place: messages and
-// Node.stable share it.
+// successor returns the entry that follows this one, which is committed. Its history is this entry's with
+// this entry added, in a slice of its own.
 func (e *acceptedEntry) successor(entry Entry, digest Digest, historyLength int) acceptedEntry {
 	next := acceptedEntry{Entry: entry, digest: digest}
 	if e.Sequence == 0 {
@@ -28,18 +32,20 @@
 	return next
 }
 
-// isPredecessorOf reports whether an Append message brings the write that follows this entry.
+// isPredecessorOf reports whether an Append message brings the write that follows this entry: the message
+// names this entry last in its history, or none if this is the empty register.
 func (e *acceptedEntry) isPredecessorOf(m *Message) bool {
 	if m.Resend || m.Sequence != e.Sequence+1 {
 		return false
 	}
-	if e.Sequence == 0 || len(m.History) == 0 {
-		return e.Sequence == 0 && len(m.History) == 0
+	if len(m.History) == 0 {
+		return e.Sequence == 0
 	}
-	return m.History[len(m.History)-1] == e.pastEntry()
+	return e.Sequence != 0 && m.History[len(m.History)-1] == e.pastEntry()
 }
 
-// includes reports whether a change led to this entry or to one of its history.
+// includes reports whether a change, given by its version and digest, led to this entry or to one of its
+// history.
 func (e *acceptedEntry) includes(version int64, digest Digest) bool {
 	change := PastEntry{version, digest}
 	return e.pastEntry() == change || slices.Contains(e.history, change)
@@ -52,6 +58,7 @@
 	if len(e.history) > 0 {
 		oldest = e.history[0].Version
 	}
+	// One entry was written per sequence number, so that a complete history has Sequence-1 entries.
 	truncated := uint64(len(e.history))+1 < e.Sequence
 	return truncated && version < oldest
 }
--- a/internal/router/chain/node.go
+++ b/internal/router/chain/node.go
@@ -17,12 +17,14 @@
 	state, stable registerState
 	// changed are the kinds of records that the step has to persist.
 	changed [recordKinds]bool
-	// local are messages of this node to itself, handled before the step ends.
-	local   []Message
+	// local are messages of this node to itself, handled in their order before the step ends.
+	local []Message
+	// effects are those of the latest step.
 	effects Effects
-	// stalled says that the latest records could not be made durable.
+	// diskFailing says that the latest records could not be made durable. Heartbeats report it as Stalled.
 	diskFailing bool
 
+	// peers are the other nodes that were seen, and all other members of the view.
 	peers map[MemberID]*peerState
 	// contacts are nodes that may know the view, see SetContacts.
 	contacts []Member
@@ -30,6 +32,7 @@
 	draining      bool
 	drainingSince time.Duration
 
+	// Times of the latest event of each kind; started is when Open was called.
 	started               time.Duration
 	lastTick              time.Duration
 	lastHeartbeat         time.Duration
@@ -38,9 +41,11 @@
 	// epochSince is since when this node has its view.
 	epochSince time.Duration
 
+	// head is in use only while this node is the head of its view.
 	head headState
 	// forwards are the local requests that the head has not answered, by number.
 	forwards map[uint64]forwardedRequest
+	// proposer is in use only while this node is a member.
 	proposer proposerState
 	// bootstrap is nil unless this node tries to have a first view agreed on. At bootstrapTakeoverAt it begins
 	// to do so with the one that it has accepted.
@@ -48,15 +53,17 @@
 	bootstrapTakeoverAt time.Duration
 }
 
-// registerState is what PersistFailed resets: the durable state and what is derived from it.
+// registerState is what PersistFailed resets: the durable state and what is derived from it. Copies share
+// slices, which are therefore never changed in place.
 type registerState struct {
 	durableState
 	// committed is the latest entry known to be committed, if committedKnown.
 	committed      acceptedEntry
 	committedKnown bool
-	// commitUnpersisted says that committedSequence has changed at unpersistedSince and isn't persisted yet.
-	commitUnpersisted bool
-	unpersistedSince  time.Duration
+	// commitUnpersisted says that committedSequence has changed at commitUnpersistedSince and isn't persisted
+	// yet. After a crash, the node learns it from the chain again.
+	commitUnpersisted      bool
+	commitUnpersistedSince time.Duration
 }
 
 // Open restores a node from the records that its disk holds, in their order; none for an empty disk or
@@ -94,17 +101,18 @@
 // restoreCommitted sets the latest entry known to be committed. That the accepted entry is committed may be
 // persisted late; until the chain confirms it, the one before it is the latest known to be committed.
 func (n *Node) restoreCommitted() {
-	s := &n.state
+	state := &n.state
 	switch {
-	case s.accepted.Sequence > 0 && s.committedSequence == s.accepted.Sequence:
-		s.committed, s.committedKnown = s.accepted, true
-	case s.predecessor.Sequence > 0:
-		s.committed, s.committedKnown = s.predecessor, true
+	case state.accepted.Sequence > 0 && state.committedSequence == state.accepted.Sequence:
+		state.committed, state.committedKnown = state.accepted, true
+	case state.predecessor.Sequence > 0:
+		state.committed, state.committedKnown = state.predecessor, true
 	}
-	s.predecessor = acceptedEntry{}
+	state.predecessor = acceptedEntry{}
 }
 
-// SnapshotRecords returns records that replace all earlier ones, including those of the latest step.
+// SnapshotRecords returns records that replace all earlier ones, including those of the latest step. The
+// accepted entry is one recordEntry with a recordHistory, whatever kind it was persisted as.
 func (n *Node) SnapshotRecords() [][]byte {
 	var records [][]byte
 	for kind := recordIdentity; kind < recordSuccessor; kind++ {
@@ -134,7 +142,8 @@
 // only the address is known.
 func (n *Node) SetContacts(contacts []Member) { n.contacts = slices.Clone(contacts) }
 
-// Receive handles a message of another node.
+// Receive handles a message of another node. The transport has to ensure that it comes from a node of the
+// same fleet: Message.From is trusted.
 func (n *Node) Receive(now time.Duration, m Message) Effects {
 	n.begin(now)
 	n.handle(m)
@@ -180,12 +189,18 @@
 	case n.InChain():
 		return false
 	}
-	head := n.peers[view.head()]
-	if head == nil || !n.recentlySeen(head) || !head.heartbeat.Open || head.heartbeat.Epoch != view.Epoch {
+	if !n.isEpochOpenAt(view.head()) {
 		return false
 	}
-	p := planner{view: view, observed: n.observe(), rules: n.rules()}
-	return !view.isMember(n.state.id) || len(p.candidates()) == 0
+	plan := planner{view: view, observed: n.observe(), rules: n.rules()}
+	return !view.isMember(n.state.id) || len(plan.candidates()) == 0
+}
+
+// isEpochOpenAt reports whether another node has lately reported, as the head, that the epoch is open.
+func (n *Node) isEpochOpenAt(head MemberID) bool {
+	peer := n.peers[head]
+	return peer != nil && n.recentlySeen(peer) && peer.heartbeat.Open &&
+		peer.heartbeat.Epoch == n.state.view.Epoch
 }
 
 // PersistFailed reverts the latest step because its records could not be made durable. All requests that
@@ -198,16 +213,22 @@
 	n.changed = [recordKinds]bool{}
 	n.diskFailing = true
 	n.lastDiskProbe = n.now
+	n.revokeReplies(failed)
+	n.startEpoch()
+	return n.finish()
+}
+
+// revokeReplies answers Unavailable what a failed step had answered: those requests have left their queues
+// already, and its replies must not leave the process.
+func (n *Node) revokeReplies(failed Effects) {
 	for _, reply := range failed.Replies {
-		n.effects.Replies = append(n.effects.Replies, Reply{Request: reply.Request, Outcome: Unavailable})
+		n.reply(Reply{Request: reply.Request, Outcome: Unavailable})
 	}
 	for _, envelope := range failed.Messages {
 		if n.isHead() && envelope.Message.Kind == ForwardReply {
 			n.answer(request{from: envelope.To.ID, id: envelope.Message.Request}, Unavailable)
 		}
 	}
-	n.startEpoch()
-	return n.finish()
 }
 
 // begin starts a step. The records of the step before it are durable.
@@ -258,7 +279,7 @@
 // persistDeferred persists a committed sequence that has waited for long enough, and probes a disk that has
 // failed.
 func (n *Node) persistDeferred() {
-	if n.state.commitUnpersisted && n.now-n.state.unpersistedSince >= n.config.PersistCommitAfter {
+	if n.state.commitUnpersisted && n.now-n.state.commitUnpersistedSince >= n.config.PersistCommitAfter {
 		n.changed[recordPosition] = true
 	}
 	if n.diskFailing && n.now-n.lastDiskProbe >= n.config.ResendAfter {
--- a/internal/router/chain/peers.go
+++ b/internal/router/chain/peers.go
@@ -13,11 +13,13 @@
 
 // peerState is the last observed state of another node, like the Progress of etcd's raft.
 type peerState struct {
-	member   Member
+	member Member
+	// lastSeen is when its latest message came. Of a member that was never seen, see trackMembers.
 	lastSeen time.Duration
 	// stableSince is when its messages began to arrive without a gap.
 	stableSince time.Duration
-	heartbeat   Message
+	// heartbeat is the latest one; its Kind is 0 if none has come.
+	heartbeat Message
 	// degradedSince is when the peer began to report that it drains or that its disk fails; 0 if it does not.
 	degradedSince time.Duration
 }
@@ -135,27 +137,40 @@
 func (n *Node) observe() Observation {
 	observation := Observation{Self: n.state.id, Peers: map[MemberID]PeerObservation{}}
 	for id, peer := range n.peers {
-		observed := PeerObservation{
-			Member:        peer.member,
-			HasDisk:       peer.heartbeat.HasDisk,
-			SinceLastSeen: n.now - peer.lastSeen,
-			StableFor:     peer.lastSeen - peer.stableSince,
-			Degraded:      peer.degradedSince != 0,
-			Draining:      peer.heartbeat.Draining && !peer.heartbeat.Stalled,
-			EntryEpoch:    peer.heartbeat.EntryEpoch,
-			Sealed:        peer.heartbeat.Sealed && peer.heartbeat.Epoch == n.state.view.Epoch,
-		}
-		if peer.heartbeat.Kind == Heartbeat && peer.heartbeat.Epoch == n.state.view.Epoch {
-			observed.ReportedInEpoch, observed.ReceivesFrom = true, peer.heartbeat.ReceivesFrom
-		}
-		if peer.heartbeat.Kind == Heartbeat && peer.heartbeat.Epoch < n.state.view.Epoch {
-			observed.BehindFor = n.now - n.epochSince
-		}
-		if observed.Degraded {
-			observed.DegradedFor = n.now - peer.degradedSince
-		}
-		observation.Peers[id] = observed
+		observation.Peers[id] = n.observePeer(peer)
 	}
+	observation.Peers[n.state.id] = n.observeSelf()
+	return observation
+}
+
+// observePeer returns the planner's input of another node.
+func (n *Node) observePeer(peer *peerState) PeerObservation {
+	heartbeat := &peer.heartbeat
+	observed := PeerObservation{
+		Member:        peer.member,
+		HasDisk:       heartbeat.HasDisk,
+		SinceLastSeen: n.now - peer.lastSeen,
+		StableFor:     peer.lastSeen - peer.stableSince,
+		Degraded:      peer.degradedSince != 0,
+		Draining:      heartbeat.Draining && !heartbeat.Stalled,
+		EntryEpoch:    heartbeat.EntryEpoch,
+		Sealed:        heartbeat.Sealed && heartbeat.Epoch == n.state.view.Epoch,
+	}
+	hasReported := heartbeat.Kind == Heartbeat
+	if hasReported && heartbeat.Epoch == n.state.view.Epoch {
+		observed.ReportedInEpoch, observed.ReceivesFrom = true, heartbeat.ReceivesFrom
+	}
+	if hasReported && heartbeat.Epoch < n.state.view.Epoch {
+		observed.BehindFor = n.now - n.epochSince
+	}
+	if observed.Degraded {
+		observed.DegradedFor = n.now - peer.degradedSince
+	}
+	return observed
+}
+
+// observeSelf returns the planner's input of this node, from the heartbeat that it would send now.
+func (n *Node) observeSelf() PeerObservation {
 	own := n.heartbeat()
 	self := PeerObservation{
 		Member: n.Self(), HasDisk: n.config.HasDisk, StableFor: n.now - n.started, Degraded: isDegraded(&own),
@@ -165,6 +180,5 @@
 	if n.draining {
 		self.DegradedFor = n.now - n.drainingSince
 	}
-	observation.Peers[n.state.id] = self
-	return observation
+	return self
 }
--- a/internal/router/chain/plan.go
+++ b/internal/router/chain/plan.go
@@ -37,7 +37,7 @@
 	BehindFor time.Duration
 }
 
-// Observation is what one node has observed of all nodes, itself included.
+// Observation is what one node has observed of all nodes. Itself and all members of its view are among Peers.
 type Observation struct {
 	Self  MemberID
 	Peers map[MemberID]PeerObservation
--- a/internal/router/chain/proposer.go
+++ b/internal/router/chain/proposer.go
@@ -8,10 +8,11 @@
 // proposerPhase is the phase of a Paxos proposal.
 type proposerPhase int
 
+// The phases: idle, then preparing (Paxos phase 1), then accepting (phase 2), then a decision or idle again.
 const (
-	idle proposerPhase = iota
-	preparing
-	accepting
+	phaseIdle      proposerPhase = iota
+	phasePreparing               // waits for a majority of PrepareReply
+	phaseAccepting               // waits for a majority of AcceptReply
 )
 
 // proposerState is the state of the Paxos proposer for the successor of the current view. It is volatile.
@@ -60,16 +61,11 @@
 	if !n.state.view.isMember(n.state.id) {
 		return
 	}
-	p := &n.proposer
-	if p.phase != idle && n.now >= p.deadline {
+	if n.proposer.phase != phaseIdle && n.now >= n.proposer.deadline {
 		n.backOff()
 	}
 	observation := n.observe()
-	planned, ok := Plan(n.state.view, observation, n.rules())
-	if !planned.equal(p.planned) {
-		p.plannedSince = n.now
-	}
-	p.planned = planned
+	ok := n.updatePlan(observation)
 	rankDelay := time.Duration(n.rank(observation)) * n.config.ProposeStagger
 	if n.decisionOverdue(rankDelay) && n.mayPropose() {
 		n.prepare()
@@ -79,19 +75,34 @@
 		n.tickSeal(observation)
 		return
 	}
-	p.stuckSince = 0
-	proposeAt := p.plannedSince + rankDelay
-	if Disputed(n.state.view, observation, n.rules()) {
-		proposeAt += n.config.StabilizationDelay
-	}
-	if n.now >= proposeAt && n.mayPropose() {
+	n.proposer.stuckSince = 0
+	if n.now >= n.proposeAt(observation, rankDelay) && n.mayPropose() {
 		n.prepare()
 	}
 }
 
+// updatePlan runs the planner and reports whether another view should follow.
+func (n *Node) updatePlan(observation Observation) bool {
+	planned, ok := Plan(n.state.view, observation, n.rules())
+	if !planned.equal(n.proposer.planned) {
+		n.proposer.plannedSince = n.now
+	}
+	n.proposer.planned = planned
+	return ok
+}
+
+// proposeAt returns when this node may propose the planned view.
+func (n *Node) proposeAt(observation Observation, rankDelay time.Duration) time.Duration {
+	at := n.proposer.plannedSince + rankDelay
+	if Disputed(n.state.view, observation, n.rules()) {
+		at += n.config.StabilizationDelay
+	}
+	return at
+}
+
 // mayPropose reports whether this node may start a proposal now.
 func (n *Node) mayPropose() bool {
-	return n.proposer.phase == idle && n.now >= n.proposer.backoffUntil && !n.diskFailing
+	return n.proposer.phase == phaseIdle && n.now >= n.proposer.backoffUntil && !n.diskFailing
 }
 
 // decisionOverdue reports whether this node has accepted a view and not learnt of a decision for too long.
@@ -141,11 +152,11 @@
 	return rank
 }
 
-// prepare starts a proposal with a number above all that were observed.
+// prepare starts phase 1 of a proposal with a number above all that were observed.
 func (n *Node) prepare() {
 	p := &n.proposer
 	p.maxCounter = max(p.maxCounter, n.state.acceptor.promised.Counter) + 1
-	p.phase, p.number = preparing, ProposalNumber{p.maxCounter, n.state.id}
+	p.phase, p.number = phasePreparing, ProposalNumber{p.maxCounter, n.state.id}
 	p.highestAccepted, p.highestAcceptedView, p.replied = ProposalNumber{}, View{}, nil
 	p.deadline = n.now + n.config.ProposeTimeout
 	n.broadcast(Message{Kind: Prepare, ProposalNumber: p.number, View: n.state.view})
@@ -167,7 +178,7 @@
 	if !slices.Contains(p.replied, m.From) {
 		p.replied = append(p.replied, m.From)
 	}
-	if expected == preparing && p.highestAccepted.less(m.AcceptedNumber) {
+	if expected == phasePreparing && p.highestAccepted.less(m.AcceptedNumber) {
 		p.highestAccepted, p.highestAcceptedView = m.AcceptedNumber, m.View
 	}
 	return len(p.replied) >= majority(n.state.view.Members)
@@ -176,27 +187,37 @@
 // onPrepareReply proposes a view once a majority has promised: the accepted one of the highest number if
 // there is any, else what the planner wants.
 func (n *Node) onPrepareReply(m *Message) {
-	if !n.countReply(m, preparing) {
+	if !n.countReply(m, phasePreparing) {
 		return
 	}
-	p := &n.proposer
-	p.view = p.highestAcceptedView
-	if p.highestAccepted == (ProposalNumber{}) {
-		planned, ok := Plan(n.state.view, n.observe(), n.rules())
-		if !ok {
-			p.phase = idle
-			return
-		}
-		p.view = planned
+	view, ok := n.viewToPropose()
+	if !ok {
+		n.proposer.phase = phaseIdle
+		return
 	}
-	p.phase, p.replied = accepting, nil
+	n.propose(view)
+}
+
+// viewToPropose returns the view for phase 2, or false if the planner wants none any more. By Paxos an
+// accepted view, which may be decided already, takes precedence over the own choice.
+func (n *Node) viewToPropose() (View, bool) {
+	if n.proposer.highestAccepted != (ProposalNumber{}) {
+		return n.proposer.highestAcceptedView, true
+	}
+	return Plan(n.state.view, n.observe(), n.rules())
+}
+
+// propose starts phase 2 of the proposal.
+func (n *Node) propose(view View) {
+	p := &n.proposer
+	p.phase, p.view, p.replied = phaseAccepting, view, nil
 	p.deadline = n.now + n.config.ProposeTimeout
 	n.broadcast(Message{Kind: Accept, ProposalNumber: p.number, View: p.view})
 }
 
 // onAcceptReply decides the view once a majority has accepted it.
 func (n *Node) onAcceptReply(m *Message) {
-	if !n.countReply(m, accepting) {
+	if !n.countReply(m, phaseAccepting) {
 		return
 	}
 	old, next := n.state.view, n.proposer.view
@@ -221,7 +242,7 @@
 func (n *Node) onNack(m *Message) {
 	p := &n.proposer
 	p.maxCounter = max(p.maxCounter, m.ProposalNumber.Counter)
-	if p.phase != idle && p.number.less(m.ProposalNumber) {
+	if p.phase != phaseIdle && p.number.less(m.ProposalNumber) {
 		n.backOff()
 	}
 }
@@ -229,7 +250,7 @@
 // backOff ends a proposal and waits a random time, so that one of two dueling proposers gets through.
 func (n *Node) backOff() {
 	p := &n.proposer
-	p.phase = idle
+	p.phase = phaseIdle
 	backoff := n.config.ProposeStagger/4 + time.Duration(n.config.Random.Int63n(int64(n.config.ProposeStagger)))
 	p.backoffUntil = n.now + backoff
 }
--- a/internal/router/chain/receive.go
+++ b/internal/router/chain/receive.go
@@ -14,7 +14,7 @@
 	case ForwardReply:
 		n.onForwardReply(&m)
 		return
-	case Prepare, Append:
+	case Prepare, Append: // they carry the sender's view, and go on to the check of epochs
 		n.adopt(m.View)
 	}
 	switch epoch := n.state.view.Epoch; {
@@ -87,7 +87,7 @@
 	}
 }
 
-// startEpoch resets what belongs to one epoch.
+// startEpoch resets what belongs to one epoch. It draws one random number, for the first marker.
 func (n *Node) startEpoch() {
 	n.epochSince = n.now
 	n.proposer = proposerState{acceptedAt: n.now}
--- a/internal/router/chain/replica.go
+++ b/internal/router/chain/replica.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if accepted.Epoch == view.Epoch && m.Sequence < accepted.Sequence {
-		return
+		return // delayed by the network
 	}
 	if !accepted.matches(m) {
 		n.acceptNew(m)
@@ -32,7 +32,7 @@
 func (n *Node) acceptNew(m *Message) {
 	view, accepted := &n.state.view, &n.state.accepted
 	if accepted.Epoch == view.Epoch && m.Sequence == accepted.Sequence {
-		return
+		return // within an epoch, a sequence has one entry
 	}
 	extends := accepted.isPredecessorOf(m)
 	if !m.HasBody || !m.Resend && !extends {
@@ -54,8 +54,9 @@
 	n.repropagate()
 }
 
-// acceptSuccessor accepts the entry that follows the latest accepted one, which is committed. Its record
-// doesn't repeat the history. A second one in the same step is persisted as a full entry.
+// acceptSuccessor accepts the entry that follows the latest accepted one, which is committed. It is persisted
+// without its history. As a step persists at most one record of a kind, an entry that is accepted after
+// another one in the same step is persisted with its full history.
 func (n *Node) acceptSuccessor(entry Entry, digest Digest) {
 	next := n.state.accepted.successor(entry, digest, n.config.HistoryLength)
 	if n.changed[recordEntry] || n.changed[recordSuccessor] {
@@ -74,7 +75,7 @@
 }
 
 // propagate sends a new write to the successor. The tail instead acknowledges it to the head, and answers the
-// node at which the request came in if that isn't the head.
+// node at which the request came in (origin) if that isn't the head.
 func (n *Node) propagate(origin MemberID, requestID uint64) {
 	if next := n.state.view.successor(n.state.id); next != "" {
 		m := n.appendMessage()
@@ -153,22 +154,28 @@
 // setCommitted marks the latest accepted entry as committed.
 func (n *Node) setCommitted() {
 	if n.state.committedSequence != n.state.accepted.Sequence && !n.state.commitUnpersisted {
-		n.state.commitUnpersisted, n.state.unpersistedSince = true, n.now
+		n.state.commitUnpersisted, n.state.commitUnpersistedSince = true, n.now
 	}
 	n.state.committedSequence = n.state.accepted.Sequence
 	n.state.committed, n.state.committedKnown = n.state.accepted, true
 }
 
-// onMarker passes a marker to the successor, or answers it as the tail. A replica at which the epoch isn't
-// open drops it.
+// onMarker passes a marker on. A replica at which the epoch isn't open drops it.
 func (n *Node) onMarker(m *Message) {
 	view := &n.state.view
-	if m.From != view.predecessor(n.state.id) || n.state.accepted.Epoch != view.Epoch {
-		return
+	if m.From == view.predecessor(n.state.id) && n.state.accepted.Epoch == view.Epoch {
+		n.passMarker(m.Marker)
 	}
+}
+
+// passMarker sends a marker to the successor. The tail answers it to the head.
+func (n *Node) passMarker(marker uint64) {
+	view := &n.state.view
 	if next := view.successor(n.state.id); next != "" {
-		n.send(next, Message{Kind: Marker, Marker: m.Marker})
+		n.send(next, Message{Kind: Marker, Marker: marker})
 		return
 	}
-	n.send(view.head(), Message{Kind: MarkerReply, Marker: m.Marker, Sequence: n.state.accepted.Sequence})
+	n.send(view.head(), Message{
+		Kind: MarkerReply, Marker: marker, Sequence: n.state.accepted.Sequence,
+	})
 }
--- a/internal/router/chain/view.go
+++ b/internal/router/chain/view.go
@@ -14,8 +14,12 @@
 	Address string
 }
 
-// View is the configuration of the chain in one epoch. A decided view is immutable. The zero View, of epoch
-// 0, means that no view has been decided.
+// View is the configuration of the chain in one epoch. A decided view is immutable, and its slices are
+// shared. The zero View, of epoch 0, means that no view has been decided.
+//
+// What Plan and the bootstrap keep of every view: the chain has at least a majority of the members; its head
+// is a source; fresh replicas are in the chain and the head isn't one of them; of each chain in Unopened, a
+// first view has a majority among its members.
 type View struct {
 	Epoch uint64
 	// Members are the acceptors that decide the next view by a majority.
--- a/internal/router/chain/view_change_test.go
+++ b/internal/router/chain/view_change_test.go
@@ -234,7 +234,7 @@
 		tc.run(testTick)
 		for _, id := range []MemberID{"a", "b"} {
 			n := tc.machines[id].node
-			if n.proposer.planned.Epoch == 2 && n.proposer.phase == idle && tc.now >= n.proposer.backoffUntil {
+			if n.proposer.planned.Epoch == 2 && n.proposer.phase == phaseIdle && tc.now >= n.proposer.backoffUntil {
 				tc.do(id, func(n *Node) Effects { n.begin(tc.now); n.prepare(); return n.finish() })
 			}
 		}
