--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -30,10 +30,10 @@
 	ObserveLoad(now time.Duration, server string, load scheduler.Load)
 	// LastSuccess returns when a server last answered with success, and whether it has.
 	LastSuccess(server string) (time.Duration, bool)
-	// QueueDelay returns how long a request would wait for a slot, and whether one is free now.
-	QueueDelay(now time.Duration, r *scheduler.Request) (wait time.Duration, free bool)
-	// Alternative reports whether there is another server for the request, and one with a free slot.
-	Alternative(now time.Duration, r *scheduler.Request, server string) (exists, free bool)
+	// QueueDelay estimates how long a request would wait for a slot.
+	QueueDelay(now time.Duration, r *scheduler.Request) scheduler.SlotDelay
+	// Alternative looks for a server for the request other than the one of an id.
+	Alternative(now time.Duration, r *scheduler.Request, serverID string) scheduler.Alternative
 }
 
 // lockedChooser lets many goroutines use one chooser, and keeps it at the newest table of servers.
@@ -118,14 +118,14 @@
 	}
 }
 
-func (lc *lockedChooser) queueDelay(r *scheduler.Request) (wait time.Duration, free bool) {
+func (lc *lockedChooser) queueDelay(r *scheduler.Request) scheduler.SlotDelay {
 	now, unlock := lc.lock()
 	defer unlock()
 	return lc.inner.QueueDelay(now, r)
 }
 
-func (lc *lockedChooser) alternative(r *scheduler.Request, server string) (exists, free bool) {
+func (lc *lockedChooser) alternative(r *scheduler.Request, serverID string) scheduler.Alternative {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.inner.Alternative(now, r, server)
+	return lc.inner.Alternative(now, r, serverID)
 }
--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -93,15 +93,18 @@
 	f.outcomesEnded = append(f.outcomesEnded, outcome)
 }
 
-func (f *fakeChooser) QueueDelay(time.Duration, *scheduler.Request) (time.Duration, bool) {
-	return f.wait, f.wait == 0
+func (f *fakeChooser) QueueDelay(time.Duration, *scheduler.Request) scheduler.SlotDelay {
+	return scheduler.SlotDelay{Wait: f.wait, HasFreeSlot: f.wait == 0}
 }
 
-func (f *fakeChooser) Alternative(_ time.Duration, r *scheduler.Request, server string) (exists, free bool) {
+func (f *fakeChooser) Alternative(
+	_ time.Duration, r *scheduler.Request, serverID string,
+) scheduler.Alternative {
+	exists := false
 	for _, s := range f.table.Service(r.Service.Name) {
-		exists = exists || s.ID != server && s.Role != catalog.Prefill && !slices.Contains(r.Excluded, s.ID)
+		exists = exists || s.ID != serverID && s.Role != catalog.Prefill && !slices.Contains(r.Excluded, s.ID)
 	}
-	return exists, exists && f.wait == 0
+	return scheduler.Alternative{Exists: exists, HasFreeSlot: exists && f.wait == 0}
 }
 
 // outcomes returns how the calls have ended, in their order.
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -102,8 +102,8 @@
 	if rt.finished() {
 		return true
 	}
-	wait, free := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
-	return !free && wait >= rt.timeLeft()
+	delay := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
+	return !delay.HasFreeSlot && delay.Wait >= rt.timeLeft()
 }
 
 func (rt *roundTrip) timeLeft() time.Duration { return time.Until(rt.request.deadline) }
@@ -303,6 +303,6 @@
 
 // retryAfter is the time after which a server is expected to have a free slot.
 func (rt *roundTrip) retryAfter() time.Duration {
-	wait, _ := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
-	return min(max(wait, minRetryAfter), maxRetryAfter)
+	delay := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
+	return min(max(delay.Wait, minRetryAfter), maxRetryAfter)
 }
--- a/internal/router/scheduler/arrivals.go
+++ b/internal/router/scheduler/arrivals.go
@@ -37,16 +37,16 @@
 	if len(candidates) == 0 {
 		return 0
 	}
-	sum := 0.0
+	sumMs := 0.0
 	for i := range candidates {
 		candidate := &candidates[i]
-		age := maxAgeServiceTimes * serviceMs
+		ageMs := maxAgeServiceTimes * serviceMs
 		if candidate.hasReport {
-			age = min(age, ms(now-candidate.reportedAt))
+			ageMs = min(ageMs, ms(now-candidate.reportedAt))
 		}
-		sum += age
+		sumMs += ageMs
 	}
-	return sum / float64(len(candidates))
+	return sumMs / float64(len(candidates))
 }
 
 // assumedUtilization returns λ.
--- a/internal/router/scheduler/basic_li.go
+++ b/internal/router/scheduler/basic_li.go
@@ -27,6 +27,7 @@
 	return &candidates[indexOfMin(s.levels)] // the probabilities add up to less by rounding
 }
 
+// indexOfMin returns the index of the lowest level, of equals the first.
 func indexOfMin(levels []float64) int {
 	minimum := 0
 	for i := range levels {
--- a/internal/router/scheduler/call.go
+++ b/internal/router/scheduler/call.go
@@ -60,8 +60,8 @@
 	chain         prefixChain
 
 	uncachedTokens int // prompt tokens that the server is expected to prefill
-	minUncached    int // the fewest that they can be
-	maxUncached    int // the most
+	minUncached    int // the fewest tokens that they can be
+	maxUncached    int // the most tokens
 	outputTokens   int // upper bound
 	cachedBefore   int // segments of the prompt that the server was known to hold before
 
@@ -69,7 +69,7 @@
 	inFlight   float64 // requests at the server when the call began
 	prefillMs  float64 // of prefill work that the call adds to its server, 0 once that is done
 	expectedMs float64 // until the first sign of an answer
-	uncachedMs float64 // the same for a prefill if the server holds nothing of the prompt
+	uncachedMs float64 // the same for a prefill if the server has cached nothing of the prompt
 
 	startedAt    time.Duration
 	firstEventAt time.Duration
@@ -85,8 +85,8 @@
 
 // SharedPrefix returns the hash of the part of the prompt that other requests share, 0 if there is none.
 func (c *Call) SharedPrefix() uint64 {
-	hash, _, _ := c.chain.shared()
-	return hash
+	shared, _ := c.chain.shared()
+	return shared.hash
 }
 
 // UncachedPrefill returns the time until a prefill call is answered if the server has cached nothing of the
@@ -96,6 +96,8 @@
 // Load is what a server reports of itself in the header Cresshub-Server-Load, in requests.
 type Load struct{ Running, Waiting, Slots int }
 
+// ms returns a duration in milliseconds, the unit of all estimates.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// duration is the inverse of ms.
 func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/router/scheduler/candidates.go
+++ b/internal/router/scheduler/candidates.go
@@ -27,13 +27,13 @@
 	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain,
 ) []candidate {
 	servers := pool.serversFor(role)
-	averageOthers := meanReportedOthers(servers)
+	meanOthers := meanReportedOthers(servers)
 	pool.peerLoadAgeMs, pool.peerLoadKnown = s.peerLoadAge(now)
 	s.candidates = s.candidates[:0]
 	for _, server := range servers {
 		if !slices.Contains(request.Excluded, server.ID) {
 			s.candidates = append(s.candidates, candidate{serverState: server})
-			pool.estimateQueue(now, role, averageOthers, &s.candidates[len(s.candidates)-1])
+			pool.estimateQueue(now, role, meanOthers, &s.candidates[len(s.candidates)-1])
 		}
 	}
 	s.candidates = dropEjected(now, request, role, s.candidates)
@@ -52,12 +52,12 @@
 // fillUncached sets how many tokens each candidate would have to prefill: those that this proxy has not sent
 // there. If other proxies may have sent the shared part of the prompt, the minimum is the rest.
 func (s *Scheduler) fillUncached(chain *prefixChain) {
-	_, shared, _ := chain.shared()
+	shared, _ := chain.shared()
 	for i := range s.candidates {
 		candidate := &s.candidates[i]
 		candidate.uncachedTokens = chain.tokens - s.prefixes.cachedTokens(candidate.hash, chain)
 		candidate.maxUncached = candidate.uncachedTokens
-		candidate.minUncached = min(candidate.uncachedTokens, chain.tokens-shared)
+		candidate.minUncached = min(candidate.uncachedTokens, chain.tokens-shared.tokens)
 	}
 }
 
--- a/internal/router/scheduler/estimates.go
+++ b/internal/router/scheduler/estimates.go
@@ -25,7 +25,7 @@
 	return p.transferTime(call.chain.tokens, true) + p.timePerToken.at(call.inFlight)
 }
 
-// recordUtilization adds a server's newest report to λ.
+// recordUtilization adds a server's newest report to u of arrivals.go.
 func (p *servicePool) recordUtilization(server *serverState) {
 	if server.Server.Role == catalog.Prefill {
 		p.prefillUtilization.add(min(server.reportedOthers, 1), meanWindow)
@@ -60,10 +60,10 @@
 
 // learnPlainTime leaves out calls that have probably waited for a slot.
 func (p *servicePool) learnPlainTime(call *Call, tookMs float64) {
-	expected := p.plainTime.value
-	if call.inFlight < call.state.slots() || tookMs < expected {
+	expectedMs := p.plainTime.value
+	if call.inFlight < call.state.slots() || tookMs < expectedMs {
 		p.plainTime.add(tookMs, meanWindow)
-		call.state.observeSpeed(expected, tookMs)
+		call.state.observeSpeed(expectedMs, tookMs)
 	}
 }
 
@@ -74,10 +74,10 @@
 	p.prefillTokens.add(float64(call.uncachedTokens), meanWindow)
 	tokens := float64(call.minUncached+call.maxUncached) / 2
 	certainty := float64(max(call.minUncached, 1)) / float64(max(call.maxUncached, 1))
-	expected := p.prefillTime.at(tokens)
+	expectedMs := p.prefillTime.at(tokens)
 	p.prefillTime.add(tokens, tookMs, certainty*certainty)
 	if call.serverIdle && certainty > minSpeedCertainty {
-		call.state.observeSpeed(expected, tookMs)
+		call.state.observeSpeed(expectedMs, tookMs)
 	}
 }
 
@@ -87,10 +87,10 @@
 	if !call.answered || call.outputTokens < minPaceTokens {
 		return
 	}
-	perToken := ms(now-call.firstEventAt) / float64(call.outputTokens-1)
-	expected := p.timePerToken.at(call.inFlight)
-	p.timePerToken.add(call.inFlight, perToken, 1)
-	call.state.observeSpeed(expected, perToken)
+	perTokenMs := ms(now-call.firstEventAt) / float64(call.outputTokens-1)
+	expectedMs := p.timePerToken.at(call.inFlight)
+	p.timePerToken.add(call.inFlight, perTokenMs, 1)
+	call.state.observeSpeed(expectedMs, perTokenMs)
 }
 
 // observeDirectPrefill follows the prefill work that this proxy's own calls have at a decode server, and the
--- a/internal/router/scheduler/helpers_test.go
+++ b/internal/router/scheduler/helpers_test.go
@@ -74,12 +74,12 @@
 // rankedPrefillServers returns the ids of the prefill servers in the order in which a prompt prefers them.
 func rankedPrefillServers(scheduler *Scheduler, r *Request) []string {
 	chain := newPrefixChain(r)
-	name, _, _ := chain.shared()
+	shared, _ := chain.shared()
 	var all []candidate
 	for _, s := range scheduler.pool(0, r.Service).prefillServers {
 		all = append(all, candidate{serverState: s})
 	}
-	rank(all, name, len(all))
+	rank(all, shared.hash, len(all))
 	var ids []string
 	for i := range all {
 		ids = append(ids, all[i].ID)
--- a/internal/router/scheduler/lateness.go
+++ b/internal/router/scheduler/lateness.go
@@ -22,14 +22,15 @@
 	at    time.Duration
 }
 
-// add adds a sample; both values are in ms, and an early answer counts as 0.
-func (l *lateness) add(now time.Duration, late, expected float64) {
-	late = max(0, late-max(lateToleranceFactor*expected, minLateToleranceMs))
-	current := l.now(now)
-	l.value, l.at = current+lateGain*(late-current), now
+// add adds a sample: an answer that came lateMs after the time that was expected for it, expectedMs after the
+// call began. An early or tolerated answer counts as 0.
+func (l *lateness) add(now time.Duration, lateMs, expectedMs float64) {
+	lateMs = max(0, lateMs-max(lateToleranceFactor*expectedMs, minLateToleranceMs))
+	currentMs := l.now(now)
+	l.value, l.at = currentMs+lateGain*(lateMs-currentMs), now
 }
 
-// now returns the lateness in ms.
+// now returns the lateness in ms, decayed to the present.
 func (l *lateness) now(now time.Duration) float64 {
 	if l.value == 0 {
 		return 0
--- a/internal/router/scheduler/linear_fit.go
+++ b/internal/router/scheduler/linear_fit.go
@@ -49,6 +49,7 @@
 	f.solve()
 }
 
+// decay scales the weights of all earlier samples.
 func (f *linearFit) decay(factor float64) {
 	f.weights *= factor
 	f.sumX *= factor
@@ -57,6 +58,7 @@
 	f.sumXY *= factor
 }
 
+// accumulate adds a weighted sample to the sums.
 func (f *linearFit) accumulate(x, y, weight float64) {
 	f.weights += weight
 	f.sumX += weight * x
@@ -82,9 +84,13 @@
 const meanWindow = 60 // samples that the means of a pool remember
 
 // movingMean is a mean that becomes an exponentially weighted one after as many samples as its window has.
-type movingMean struct{ value, samples float64 }
+type movingMean struct {
+	value   float64
+	samples float64 // counted so far, at most the window
+}
 
-func (m *movingMean) add(x, window float64) {
+// add adds a sample; window is in samples.
+func (m *movingMean) add(sample, window float64) {
 	m.samples = min(m.samples+1, window)
-	m.value += (x - m.value) / m.samples
+	m.value += (sample - m.value) / m.samples
 }
--- a/internal/router/scheduler/outlier_detection.go
+++ b/internal/router/scheduler/outlier_detection.go
@@ -41,14 +41,14 @@
 	lastSuccess         time.Duration
 }
 
+// ejected reports whether the server is in the ejected state.
 func (d *outlierDetector) ejected(now time.Duration) bool { return now < d.ejectedUntil }
 
 // halfOpen reports whether the server has been ejected and not succeeded since.
 func (d *outlierDetector) halfOpen() bool { return d.ejections > 0 }
 
-func (d *outlierDetector) recordSuccess(now time.Duration) {
-	d.consecutiveFailures, d.ejections, d.ejectedUntil, d.fullUntil, d.lastSuccess = 0, 0, 0, 0, now
-}
+// recordSuccess closes the detector.
+func (d *outlierDetector) recordSuccess(now time.Duration) { *d = outlierDetector{lastSuccess: now} }
 
 // recordFailure counts a failed call against the server. peerAnswered says that another server of its kind
 // has succeeded since the call began, so that a timeout is the server's own fault.
@@ -84,6 +84,7 @@
 	return len(s.calls) == 0 && (idempotent || now > s.ejectedUntil()+nonIdempotentProbeDelay)
 }
 
+// ejectedUntil returns the end of the later of the server's two ejections.
 func (s *serverState) ejectedUntil() time.Duration {
 	return max(s.outliers.ejectedUntil, s.transferOutliers.ejectedUntil)
 }
--- a/internal/router/scheduler/peer_load.go
+++ b/internal/router/scheduler/peer_load.go
@@ -69,6 +69,7 @@
 	at            time.Duration
 }
 
+// remainingAt returns the remaining work in ms.
 func (b *backlog) remainingAt(now time.Duration) float64 {
 	return max(b.remainingMs-ms(now-b.at), minBacklogFraction*b.outstandingMs)
 }
--- a/internal/router/scheduler/peer_load_test.go
+++ b/internal/router/scheduler/peer_load_test.go
@@ -82,10 +82,11 @@
 	}
 	seen := destinations(10*second, r, Prefill, know)
 	c.Check(seen, qt.DeepEquals, map[string]int{order[1]: 200})
-	name, _, _ := func() (uint64, int, bool) { p := newPrefixChain(r); return p.shared() }()
+	chain := newPrefixChain(r)
+	shared, _ := chain.shared()
 	seen = destinations(10*second, r, Prefill, func(scheduler *Scheduler) {
 		know(scheduler)
-		scheduler.AddCachedPrefixes([]CachedPrefixes{{order[0], []uint64{name}}})
+		scheduler.AddCachedPrefixes([]CachedPrefixes{{order[0], []uint64{shared.hash}}})
 	})
 	c.Check(seen, qt.DeepEquals, map[string]int{order[0]: 200})
 }
--- a/internal/router/scheduler/prefix_affinity.go
+++ b/internal/router/scheduler/prefix_affinity.go
@@ -28,29 +28,29 @@
 func (s *Scheduler) prefixAffinity(
 	now time.Duration, pool *servicePool, role Role, candidates []candidate, chain *prefixChain,
 ) (chosen []candidate, arrivalServers int) {
-	prefix, shared, ok := chain.shared()
+	shared, ok := chain.shared()
 	if !ok {
 		pool.estimateCost(role, candidates)
 		return candidates, len(candidates)
 	}
-	k := pool.popularity.affinityServers(prefix, len(candidates))
+	count := pool.popularity.affinityServers(shared.hash, len(candidates)) // k
 	arrivalServers = 1
 	switch {
 	case role != Prefill:
-		rank(candidates, prefix, k)
-		k = appendCached(candidates, k)
-	case pool.peerLoadKnown && markCached(candidates, chain.tokens-shared):
-		rank(candidates, prefix, k)
+		rank(candidates, shared.hash, count)
+		count = appendCached(candidates, count)
+	case pool.peerLoadKnown && markCached(candidates, chain.tokens-shared.tokens):
+		rank(candidates, shared.hash, count)
 	case !s.prefixesKnown(now):
-		rank(candidates, prefix, k)
-		assumeCached(candidates[:k-1], chain, shared)
+		rank(candidates, shared.hash, count)
+		assumeCached(candidates[:count-1], chain, shared.tokens)
 	default:
-		k = max(k, (len(candidates)+firstPrefillDivisor-1)/firstPrefillDivisor)
-		arrivalServers = k - minAffinityServers + 1
-		rank(candidates, prefix, k)
+		count = max(count, (len(candidates)+firstPrefillDivisor-1)/firstPrefillDivisor)
+		arrivalServers = count - minAffinityServers + 1
+		rank(candidates, shared.hash, count)
 	}
 	pool.estimateCost(role, candidates)
-	return candidates[:k], arrivalServers
+	return candidates[:count], arrivalServers
 }
 
 // markCached marks the servers that are known to hold a prompt but for maxUncached tokens, and reports
@@ -64,17 +64,18 @@
 	return anyCached
 }
 
-// rank moves the k servers that rank first for a prefix to the front, in their order: those marked by
-// markCached, then those with the highest scores.
-func rank(all []candidate, prefix uint64, k int) {
+// rank moves the servers that rank first for a prefix to the front, as many as count, in their order: those
+// marked by markCached, then those with the highest scores.
+func rank(all []candidate, prefix uint64, count int) {
 	for i := range all {
 		all[i].score = rendezvousScore(all[i].hash, prefix)
 	}
-	for i := range min(k, len(all)) {
+	for i := range min(count, len(all)) {
 		selectBest(all, i)
 	}
 }
 
+// ranksBefore reports whether a server ranks before another one: by the mark of markCached, then by score.
 func (c *candidate) ranksBefore(other *candidate) bool {
 	if c.cachesPrefix != other.cachesPrefix {
 		return c.cachesPrefix
@@ -82,38 +83,39 @@
 	return c.score > other.score
 }
 
-// selectBest swaps the server that ranks first of all[i:] to index i.
-func selectBest(all []candidate, i int) {
-	best := i
-	for j := i + 1; j < len(all); j++ {
-		if all[j].ranksBefore(&all[best]) {
-			best = j
+// selectBest swaps the server that ranks first of all[from:] to index from.
+func selectBest(all []candidate, from int) {
+	best := from
+	for i := from + 1; i < len(all); i++ {
+		if all[i].ranksBefore(&all[best]) {
+			best = i
 		}
 	}
-	all[i], all[best] = all[best], all[i]
+	all[from], all[best] = all[best], all[from]
 }
 
 // assumeCached assumes that servers hold the shared prefix. Other proxies have probably sent it there, and
 // where none has, a prefill there is of use to the next request, and anywhere else it is not.
-func assumeCached(first []candidate, chain *prefixChain, shared int) {
+func assumeCached(first []candidate, chain *prefixChain, sharedTokens int) {
 	for i := range first {
-		first[i].uncachedTokens = min(first[i].uncachedTokens, chain.tokens-shared)
+		first[i].uncachedTokens = min(first[i].uncachedTokens, chain.tokens-sharedTokens)
 	}
 }
 
 // appendCached moves the servers that are known to have cached nearly all of the prompt to the positions
-// after the first k, and returns the new k.
-func appendCached(all []candidate, k int) int {
-	for i := k; i < len(all); i++ {
+// after the chosen ones, and returns how many are chosen then.
+func appendCached(all []candidate, chosen int) int {
+	for i := chosen; i < len(all); i++ {
 		if all[i].uncachedTokens <= maxDirectUncached {
-			all[i], all[k] = all[k], all[i]
-			k++
+			all[i], all[chosen] = all[chosen], all[i]
+			chosen++
 		}
 	}
-	return k
+	return chosen
 }
 
-// estimateCost sets what the prefill of a prompt takes and costs at each server.
+// estimateCost sets prefillMs and costMs of each server: how long the prefill of the prompt takes there, and
+// what it adds to the water level.
 func (p *servicePool) estimateCost(role Role, all []candidate) {
 	for i := range all {
 		candidate := &all[i]
--- a/internal/router/scheduler/prefix_affinity_test.go
+++ b/internal/router/scheduler/prefix_affinity_test.go
@@ -195,7 +195,7 @@
 	c := qt.New(t)
 	r := promptRequest("a", 1)
 	chain := newPrefixChain(r)
-	name, _, _ := chain.shared()
+	shared, _ := chain.shared()
 	order := rankedPrefillServers(warmScheduler(1, 20, 25), r)
 	for _, test := range []struct{ holders, want []string }{
 		{[]string{order[9]}, []string{order[9], order[0]}},
@@ -204,7 +204,7 @@
 	} {
 		scheduler := syncedScheduler(20, 25)
 		for _, id := range test.holders {
-			scheduler.AddCachedPrefixes([]CachedPrefixes{{id, []uint64{name}}})
+			scheduler.AddCachedPrefixes([]CachedPrefixes{{id, []uint64{shared.hash}}})
 		}
 		ids, n := affinityServers(scheduler, r)
 		c.Check(ids, qt.DeepEquals, test.want)
--- a/internal/router/scheduler/prefix_chain.go
+++ b/internal/router/scheduler/prefix_chain.go
@@ -13,6 +13,7 @@
 	tokens           int                      // of the prompt
 }
 
+// newPrefixChain returns the chain of a request's prompt. Prefixes of different services never match.
 func newPrefixChain(request *Request) prefixChain {
 	chain := prefixChain{tokens: request.PromptTokens}
 	hash, tokens := xxhash.Sum64String(request.Service.Name), 0
@@ -26,12 +27,20 @@
 	return chain
 }
 
-// shared returns the hash and the tokens of the prefix that other requests share: all segments but the last.
-func (p *prefixChain) shared() (hash uint64, tokens int, ok bool) {
+// sharedPrefix is the part of a prompt that other requests share.
+type sharedPrefix struct {
+	hash   uint64
+	tokens int
+}
+
+// shared returns the prefix that other requests share: all segments but the last. It is false if there is
+// none.
+func (p *prefixChain) shared() (sharedPrefix, bool) {
 	if p.length < 2 {
-		return 0, 0, false
+		return sharedPrefix{}, false
 	}
-	return p.hashes[p.length-2], p.cumulativeTokens[p.length-2], true
+	last := p.length - 2
+	return sharedPrefix{hash: p.hashes[last], tokens: p.cumulativeTokens[last]}, true
 }
 
 // mix spreads the bits of a number (the finalizer of splitmix64).
--- a/internal/router/scheduler/prefix_chain_test.go
+++ b/internal/router/scheduler/prefix_chain_test.go
@@ -34,9 +34,9 @@
 		{[]string{"a", "b"}, 100, true}, {[]string{"a", "b", "c"}, 200, true},
 	}
 	for _, test := range tests {
-		_, tokens, ok := chainOfSegments(test.segments...).shared()
+		shared, ok := chainOfSegments(test.segments...).shared()
 		qt.Check(t, ok, qt.Equals, test.ok)
-		qt.Check(t, tokens, qt.Equals, test.tokens)
+		qt.Check(t, shared.tokens, qt.Equals, test.tokens)
 	}
 }
 
--- a/internal/router/scheduler/prefix_index.go
+++ b/internal/router/scheduler/prefix_index.go
@@ -5,6 +5,7 @@
 // prefixKey identifies a prefix that a server has cached.
 type prefixKey struct{ server, prefix uint64 } // hashes
 
+// prefixEntry is one entry of the list, linked by the indexes of its neighbours.
 type prefixEntry struct {
 	prefixKey
 	newer, older int32 // indexes of entries
@@ -18,6 +19,7 @@
 	limit   int
 }
 
+// newPrefixIndex returns an empty index of at most limit entries.
 func newPrefixIndex(limit int) *prefixIndex {
 	return &prefixIndex{index: map[prefixKey]int32{}, entries: make([]prefixEntry, 1), limit: limit}
 }
@@ -98,6 +100,7 @@
 	x.entries[older].newer = at
 }
 
+// unlink takes an entry out of the list.
 func (x *prefixIndex) unlink(at int32) {
 	entry := &x.entries[at]
 	x.entries[entry.newer].older = entry.older
--- a/internal/router/scheduler/prefix_popularity.go
+++ b/internal/router/scheduler/prefix_popularity.go
@@ -16,6 +16,7 @@
 	count  int                   // of all prompts recorded
 }
 
+// record adds the shared prefix of a prompt, in place of the oldest one.
 func (p *prefixPopularity) record(prefix uint64) {
 	p.recent[p.count%recentPrompts] = prefix
 	p.count++
@@ -35,7 +36,8 @@
 	return float64(same) / recentPrompts
 }
 
-// affinityServers returns k: how many of so many servers a prompt with the prefix may go to. A prefix of a
+// affinityServers returns how many of so many servers a prompt with the prefix may go to (k of
+// prefix_affinity.go). A prefix of a
 // large part of all prompts needs as large a part of the servers.
 func (p *prefixPopularity) affinityServers(prefix uint64, servers int) int {
 	wanted := int(math.Ceil(popularMargin * p.fraction(prefix) * float64(servers)))
--- a/internal/router/scheduler/queue_delay.go
+++ b/internal/router/scheduler/queue_delay.go
@@ -6,48 +6,60 @@
 	"time"
 )
 
-// QueueDelay estimates how long a request would wait for a free slot if it were sent now, not counting its
-// own work, and whether a server that may take it has a free slot. Without such a server it returns 0 and
-// false.
-func (s *Scheduler) QueueDelay(now time.Duration, request *Request) (wait time.Duration, free bool) {
+// SlotDelay is how soon a request would get a slot if it were sent now. It is zero if no server may take the
+// request.
+type SlotDelay struct {
+	// Wait is the shortest time until a server has a free slot, not counting the request's own work.
+	Wait time.Duration
+	// HasFreeSlot says that a server has a free slot now.
+	HasFreeSlot bool
+}
+
+// Alternative says whether another server could answer a request.
+type Alternative struct {
+	Exists      bool // a server may take the request
+	HasFreeSlot bool // such a server has a free slot
+}
+
+// QueueDelay estimates how long a request would wait for a free slot if it were sent now. The delays of a
+// request that would be split between a prefill and a decode server add up, and both need a free slot.
+func (s *Scheduler) QueueDelay(now time.Duration, request *Request) SlotDelay {
 	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
-	wait, free = s.slotDelay(now, pool, request, Serve, &chain)
+	serve := s.slotDelay(now, pool, request, Serve, &chain)
 	if request.Service.Engine == nil || !s.Split(now, request) {
-		return wait, free
+		return serve
 	}
-	prefillWait, prefillFree := s.slotDelay(now, pool, request, Prefill, &chain)
-	return wait + prefillWait, free && prefillFree
+	prefill := s.slotDelay(now, pool, request, Prefill, &chain)
+	return SlotDelay{serve.Wait + prefill.Wait, serve.HasFreeSlot && prefill.HasFreeSlot}
 }
 
-// Alternative reports whether a server other than the named one could answer the request, and whether such a
-// server has a free slot.
-func (s *Scheduler) Alternative(now time.Duration, request *Request, server string) (exists, free bool) {
+// Alternative looks for a server other than the one of an id that could answer the request.
+func (s *Scheduler) Alternative(now time.Duration, request *Request, serverID string) Alternative {
 	elsewhere := *request
-	elsewhere.Excluded = append(slices.Clone(request.Excluded), server)
+	elsewhere.Excluded = append(slices.Clone(request.Excluded), serverID)
 	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
-	_, free = s.slotDelay(now, pool, &elsewhere, Serve, &chain)
-	return len(s.candidates) > 0, free
+	delay := s.slotDelay(now, pool, &elsewhere, Serve, &chain)
+	return Alternative{Exists: len(s.candidates) > 0, HasFreeSlot: delay.HasFreeSlot}
 }
 
-// slotDelay returns the shortest wait for a slot at the servers of a role, and whether one of them has a free
-// slot.
+// slotDelay returns the shortest delay at the servers of a role. It leaves those servers in s.candidates.
 func (s *Scheduler) slotDelay(
 	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain,
-) (wait time.Duration, free bool) {
+) SlotDelay {
 	candidates := s.eligible(now, pool, request, role, chain)
 	if len(candidates) == 0 {
-		return 0, false
+		return SlotDelay{}
 	}
-	shortestMs := math.Inf(1)
+	shortestMs, hasFreeSlot := math.Inf(1), false
 	for i := range candidates {
 		candidate := &candidates[i]
 		excess := candidate.inFlight + 1 - candidate.slots()
-		free = free || excess <= 0
+		hasFreeSlot = hasFreeSlot || excess <= 0
 		waitMs := candidate.queueMs
 		if role != Prefill {
 			waitMs = max(excess, 0) / candidate.slots() * pool.serviceTime(role, candidate.inFlight)
 		}
 		shortestMs = min(shortestMs, waitMs)
 	}
-	return duration(shortestMs), free
+	return SlotDelay{duration(shortestMs), hasFreeSlot}
 }
--- a/internal/router/scheduler/queue_delay_test.go
+++ b/internal/router/scheduler/queue_delay_test.go
@@ -32,17 +32,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			scheduler := warmScheduler(1, 7, 11)
 			test.prepare(scheduler)
-			wait, free := scheduler.QueueDelay(10*second, promptRequest("a", 1))
-			qt.Check(t, wait > time.Millisecond, qt.Equals, test.waits, qt.Commentf("%v", wait))
-			qt.Check(t, free, qt.Equals, test.free)
+			delay := scheduler.QueueDelay(10*second, promptRequest("a", 1))
+			qt.Check(t, delay.Wait > time.Millisecond, qt.Equals, test.waits, qt.Commentf("%v", delay.Wait))
+			qt.Check(t, delay.HasFreeSlot, qt.Equals, test.free)
 		})
 	}
 }
 
 func TestQueueDelayWithoutServers(t *testing.T) {
-	wait, free := New("z0", 1).QueueDelay(0, &Request{Service: plainService()})
-	qt.Check(t, wait, qt.Equals, time.Duration(0))
-	qt.Check(t, free, qt.IsFalse)
+	delay := New("z0", 1).QueueDelay(0, &Request{Service: plainService()})
+	qt.Check(t, delay.Wait, qt.Equals, time.Duration(0))
+	qt.Check(t, delay.HasFreeSlot, qt.IsFalse)
 }
 
 func TestAlternative(t *testing.T) {
@@ -67,9 +67,9 @@
 			scheduler, r := plainScheduler(test.servers), &Request{Service: plainService()}
 			test.prepare(scheduler, r)
 			tried := len(r.Excluded)
-			exists, free := scheduler.Alternative(10*second, r, "a")
-			qt.Check(t, exists, qt.Equals, test.exists)
-			qt.Check(t, free, qt.Equals, test.free)
+			alternative := scheduler.Alternative(10*second, r, "a")
+			qt.Check(t, alternative.Exists, qt.Equals, test.exists)
+			qt.Check(t, alternative.HasFreeSlot, qt.Equals, test.free)
 			qt.Check(t, r.Excluded, qt.HasLen, tried)
 		})
 	}
@@ -82,7 +82,7 @@
 	for _, id := range []string{"a", "b"} {
 		scheduler.ObserveLoad(10*second, id, Load{Running: 4, Waiting: 3, Slots: 4})
 	}
-	wait, free := scheduler.QueueDelay(10*second, &Request{Service: plainService()})
-	qt.Check(t, free, qt.IsFalse)
-	qt.Check(t, ms(wait), isNear, 80.0*4/4, 1e-3, qt.Commentf("three before it and its own turn"))
+	delay := scheduler.QueueDelay(10*second, &Request{Service: plainService()})
+	qt.Check(t, delay.HasFreeSlot, qt.IsFalse)
+	qt.Check(t, ms(delay.Wait), isNear, 80.0*4/4, 1e-3, qt.Commentf("three before it and its own turn"))
 }
--- a/internal/router/scheduler/scheduler.go
+++ b/internal/router/scheduler/scheduler.go
@@ -83,8 +83,8 @@
 		candidates, arrivalServers = s.prefixAffinity(now, pool, role, candidates, &chain)
 	}
 	arrivalsMs := expectedArrivals(now, pool, role, candidates, arrivalServers)
-	if hash, _, ok := chain.shared(); ok && role == Prefill {
-		pool.popularity.record(hash)
+	if shared, ok := chain.shared(); ok && role == Prefill {
+		pool.popularity.record(shared.hash)
 	}
 	call := s.begin(now, pool, request, role, &chain, s.draw(now, candidates, arrivalsMs))
 	if prefillServer != nil {
@@ -118,7 +118,7 @@
 	return call
 }
 
-// ObserveLoad records the load that a server reported with an answer that has just come.
+// ObserveLoad records the load that a server, named by its id, reported with an answer that has just come.
 func (s *Scheduler) ObserveLoad(now time.Duration, id string, load Load) {
 	s.ObserveLoadAt(now, id, load)
 }
@@ -152,10 +152,10 @@
 	}
 	call.answered, call.firstEventAt = true, now
 	call.state.endPrefill(now, call)
-	took := ms(now - call.startedAt)
-	// A server that holds less of the prompt than assumed is not late for that.
-	expected := max(call.expectedMs, call.uncachedMs)
-	call.state.lateness.add(now, took-expected, expected)
+	tookMs := ms(now - call.startedAt)
+	// A server that has cached less of the prompt than assumed is not late for that.
+	expectedMs := max(call.expectedMs, call.uncachedMs)
+	call.state.lateness.add(now, tookMs-expectedMs, expectedMs)
 }
 
 // Done ends a call and learns from its outcome. A second Done of a call does nothing.
--- a/internal/router/scheduler/server_state.go
+++ b/internal/router/scheduler/server_state.go
@@ -52,8 +52,11 @@
 // serverHash is the identity of a server in rendezvous hashing and in the prefix index.
 func serverHash(id string) uint64 { return xxhash.Sum64String(id) }
 
-func newServerState(now time.Duration, s *catalog.Server) *serverState {
-	return &serverState{Server: s, hash: serverHash(s.ID), listedAt: now, warmAt: now + s.WarmUp, speed: 1}
+// newServerState returns the state of a server that the table lists for the first time.
+func newServerState(now time.Duration, listed *catalog.Server) *serverState {
+	return &serverState{
+		Server: listed, hash: serverHash(listed.ID), listedAt: now, warmAt: now + listed.WarmUp, speed: 1,
+	}
 }
 
 // updateListing applies the server's entry of the newest table. The warm-up starts again with each newer
@@ -85,11 +88,12 @@
 // recordNewPrefix remembers a shared prefix to tell the peers of, where the server prefills it for the first
 // time.
 func (s *serverState) recordNewPrefix(role Role, chain *prefixChain, cachedBefore int) {
-	if hash, _, ok := chain.shared(); ok && role == Prefill && cachedBefore < chain.length-1 {
-		s.newPrefixes = append(s.newPrefixes, hash)
+	if shared, ok := chain.shared(); ok && role == Prefill && cachedBefore < chain.length-1 {
+		s.newPrefixes = append(s.newPrefixes, shared.hash)
 	}
 }
 
+// beginCall counts a call and its prefill as the server's work.
 func (s *serverState) beginCall(call *Call) {
 	s.changed = true
 	if call.prefillMs > 0 {
@@ -101,10 +105,11 @@
 	s.calls = append(s.calls, call)
 }
 
+// endCall takes a call off the server's work.
 func (s *serverState) endCall(now time.Duration, call *Call) {
 	s.changed = true
-	if at := slices.Index(s.calls, call); at >= 0 {
-		s.calls = slices.Delete(s.calls, at, at+1)
+	if index := slices.Index(s.calls, call); index >= 0 {
+		s.calls = slices.Delete(s.calls, index, index+1)
 	}
 	s.endPrefill(now, call)
 }
@@ -150,11 +155,11 @@
 	return weight
 }
 
-// observeSpeed adjusts the server's speed to the time that something took there, relative to the expected
-// one.
-func (s *serverState) observeSpeed(expected, took float64) {
-	if took > 0 {
-		s.speed += speedGain * (expected/took - s.speed)
+// observeSpeed adjusts the server's speed to the time in ms that something took there, relative to the
+// expected one.
+func (s *serverState) observeSpeed(expectedMs, tookMs float64) {
+	if tookMs > 0 {
+		s.speed += speedGain * (expectedMs/tookMs - s.speed)
 	}
 	s.speed = min(max(s.speed, minSpeed), maxSpeed)
 }
--- a/internal/router/scheduler/service_pool.go
+++ b/internal/router/scheduler/service_pool.go
@@ -22,7 +22,8 @@
 // in a queue that was not reported, and a wait can only lengthen it.
 const queuedSampleWeight = 0.05
 
-// servicePool is what this proxy knows about all servers of a service together.
+// servicePool is what this proxy knows about all servers of a service together. Its servers' own states are
+// in Scheduler.servers, which the lists here share.
 type servicePool struct {
 	service *fleetconfig.Service
 
@@ -40,13 +41,14 @@
 	plainTime          movingMean // ms of a request to a service without a model, beside waiting
 	prefillTokens      movingMean // uncached tokens of a prefill
 	outputTokens       movingMean // of a request
-	prefillUtilization movingMean // λ of the prefill servers: the fraction of time in which they have work
-	serveUtilization   movingMean // λ of the others
+	prefillUtilization movingMean // u of the prefill servers: the fraction of time in which they have work
+	serveUtilization   movingMean // u of the others: the fraction of their slots in use
 
 	directPrefillMs movingMean // that a decode server still has to work on this proxy's own prompts
 	directCalls     movingMean // own calls at a decode server
 }
 
+// newServicePool returns a pool without servers and with the initial estimates.
 func newServicePool(service *fleetconfig.Service) *servicePool {
 	return &servicePool{
 		service: service,
@@ -96,7 +98,7 @@
 	return p.decodeServers
 }
 
-// utilization returns the mean that follows λ for a role.
+// utilization returns u of arrivals.go for a role.
 func (p *servicePool) utilization(role Role) *movingMean {
 	if role == Prefill {
 		return &p.prefillUtilization
@@ -124,11 +126,11 @@
 	}
 	const bitsPerByte, bitsPerMsAtOneMbps = 8, 1000
 	bits := float64(tokens) * engine.KVBytesPerToken * bitsPerByte
-	transfer := bits / (engine.LinkMbps * bitsPerMsAtOneMbps)
+	transferMs := bits / (engine.LinkMbps * bitsPerMsAtOneMbps)
 	if crossZone {
-		transfer *= crossZoneFactor
+		transferMs *= crossZoneFactor
 	}
-	return transfer
+	return transferMs
 }
 
 const crossZoneFactor = 2 // transfers between zones take that many times as long
--- a/internal/router/scheduler/split.go
+++ b/internal/router/scheduler/split.go
@@ -55,6 +55,7 @@
 	return true
 }
 
+// anyNotEjected reports whether a server isn't ejected; it may be half-open.
 func anyNotEjected(now time.Duration, servers []*serverState) bool {
 	for _, server := range servers {
 		if now >= server.ejectedUntil() {
--- a/internal/router/scheduler/water_level.go
+++ b/internal/router/scheduler/water_level.go
@@ -60,42 +60,43 @@
 }
 
 // estimatedOthers returns others(t): the newest report, decayed towards the server's baseline. The baseline
-// is the mean of its last reports and, as long as those are few, the average of all servers.
-func (s *serverState) estimatedOthers(now time.Duration, average, parallel, serviceMs float64) float64 {
-	baseline := (average*baselinePrior + s.baselineOthers.value*s.baselineOthers.samples) /
+// is the mean of its last reports and, as long as those are few, meanOthers, the mean over all servers (m).
+// slots is slots' of the formulas above, serviceMs is S.
+func (s *serverState) estimatedOthers(now time.Duration, meanOthers, slots, serviceMs float64) float64 {
+	baseline := (meanOthers*baselinePrior + s.baselineOthers.value*s.baselineOthers.samples) /
 		(baselinePrior + s.baselineOthers.samples)
 	if !s.hasReport {
 		return baseline
 	}
-	decay := decayServiceTimes * (1 + s.reportedOthers/parallel) * serviceMs
-	return baseline + (s.reportedOthers-baseline)*math.Exp(-ms(now-s.reportedAt)/decay)
+	decayMs := decayServiceTimes * (1 + s.reportedOthers/slots) * serviceMs
+	return baseline + (s.reportedOthers-baseline)*math.Exp(-ms(now-s.reportedAt)/decayMs)
 }
 
-// estimateQueue sets inFlight and queueMs of a candidate; average is the mean of all servers' others(0).
-func (p *servicePool) estimateQueue(now time.Duration, role Role, average float64, c *candidate) {
-	parallel := c.slots()
+// estimateQueue sets inFlight and queueMs of a server; meanOthers is m.
+func (p *servicePool) estimateQueue(now time.Duration, role Role, meanOthers float64, server *candidate) {
+	slots := server.slots()
 	if role == Prefill {
-		parallel = 1
+		slots = 1
 	}
-	serviceMs := p.serviceTime(role, c.reportedOthers)
-	others := c.estimatedOthers(now, average, parallel, serviceMs)
-	othersPrefillMs := others * serviceMs / c.speed
+	serviceMs := p.serviceTime(role, server.reportedOthers)
+	others := server.estimatedOthers(now, meanOthers, slots, serviceMs)
+	othersPrefillMs := others * serviceMs / server.speed
 	if p.peerLoadKnown {
-		others, othersPrefillMs = c.peerCalls, c.peerBacklog.remainingAt(now)
+		others, othersPrefillMs = server.peerCalls, server.peerBacklog.remainingAt(now)
 	}
-	c.inFlight = others + float64(len(c.calls))
+	server.inFlight = others + float64(len(server.calls))
 	if role == Prefill {
-		c.queueMs = c.remainingPrefillMs(now) + othersPrefillMs
+		server.queueMs = server.remainingPrefillMs(now) + othersPrefillMs
 		return
 	}
-	if now < c.outliers.fullUntil {
-		c.inFlight = max(c.inFlight, parallel)
+	if now < server.outliers.fullUntil {
+		server.inFlight = max(server.inFlight, slots)
 	}
-	c.queueMs = p.serviceTime(role, c.inFlight)*c.inFlight/parallel + c.lateness.now(now)
+	server.queueMs = p.serviceTime(role, server.inFlight)*server.inFlight/slots + server.lateness.now(now)
 	if role == Serve && p.service.Engine != nil {
 		if !p.peerLoadKnown {
-			othersPrefillMs = p.peerDirectPrefillMs(average)
+			othersPrefillMs = p.peerDirectPrefillMs(meanOthers)
 		}
-		c.queueMs += c.remainingPrefillMs(now) + othersPrefillMs
+		server.queueMs += server.remainingPrefillMs(now) + othersPrefillMs
 	}
 }
