--- a/internal/router/catalog/table.go
+++ b/internal/router/catalog/table.go
@@ -6,23 +6,22 @@
 )
 
 // Table is an immutable list of the servers that may get new requests, in the indexes that the choice of a
-// server needs. It may be read by any goroutine.
+// server needs. It may be read by any goroutine. A table has no version: a reader that holds a pointer to
+// one tells a newer one by its other address.
 type Table struct {
-	Version   uint64 // rises with every change of the directory that the table was made from
 	byService map[string][]*Server
 	byID      map[string]*Server
 }
 
 // NewTable returns a table of servers, which must be sorted by id.
-func NewTable(version uint64, servers []*Server) *Table {
+func NewTable(servers []*Server) *Table {
 	t := &Table{
-		Version:   version,
 		byService: map[string][]*Server{},
 		byID:      make(map[string]*Server, len(servers)),
 	}
-	for _, s := range servers {
-		t.byService[s.Service] = append(t.byService[s.Service], s)
-		t.byID[s.ID] = s
+	for _, server := range servers {
+		t.byService[server.Service] = append(t.byService[server.Service], server)
+		t.byID[server.ID] = server
 	}
 	return t
 }
--- a/internal/router/dataplane/proxy.go
+++ b/internal/router/dataplane/proxy.go
@@ -110,7 +110,7 @@
 	return noServers
 }
 
-var noServers = catalog.NewTable(0, nil)
+var noServers = catalog.NewTable(nil)
 
 func (p *Proxy) limits() fleetconfig.Limits {
 	if config := p.state.Config(); config != nil {
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -149,7 +149,7 @@
 	for _, s := range servers {
 		all = append(all, s.Server)
 	}
-	return catalog.NewTable(1, all)
+	return catalog.NewTable(all)
 }
 
 // awaitCallsEnded waits until every call has ended and checks that each ended once.
--- a/internal/router/directory/queries.go
+++ b/internal/router/directory/queries.go
@@ -40,7 +40,7 @@
 		}
 	}
 	slices.SortFunc(servers, func(a, b *catalog.Server) int { return cmp.Compare(a.ID, b.ID) })
-	d.servers = catalog.NewTable(d.offset, servers)
+	d.servers = catalog.NewTable(servers)
 	return d.servers
 }
 
--- a/internal/router/scheduler/basic_li_test.go
+++ b/internal/router/scheduler/basic_li_test.go
@@ -96,7 +96,7 @@
 	}
 	table := append([]*catalog.Server{}, scheduler.table.Service("plain")...)
 	table = append(table, &catalog.Server{ID: "d", Service: "plain", Slots: 4, State: catalog.Ready})
-	scheduler.Update(60*second, catalog.NewTable(2, table))
+	scheduler.Update(60*second, catalog.NewTable(table))
 	qt.Check(t, countRequestsTo(scheduler, 60*second+100*time.Millisecond, "d", true) < 20, qt.IsTrue)
 	qt.Check(t, float64(countRequestsTo(scheduler, 80*second, "d", true)), isNear, 25.0, 15)
 }
--- a/internal/router/scheduler/helpers_test.go
+++ b/internal/router/scheduler/helpers_test.go
@@ -34,7 +34,7 @@
 
 func modelScheduler(seed uint64, prefillServers, decodeServers int) *Scheduler {
 	scheduler := New("z0", seed)
-	scheduler.Update(0, catalog.NewTable(1, modelServers(prefillServers, decodeServers)))
+	scheduler.Update(0, catalog.NewTable(modelServers(prefillServers, decodeServers)))
 	return scheduler
 }
 
@@ -106,7 +106,7 @@
 		})
 	}
 	scheduler := New("z0", 1)
-	scheduler.Update(0, catalog.NewTable(1, all))
+	scheduler.Update(0, catalog.NewTable(all))
 	return scheduler
 }
 
--- a/internal/router/scheduler/prefix_affinity_test.go
+++ b/internal/router/scheduler/prefix_affinity_test.go
@@ -116,7 +116,7 @@
 		case 5:
 			crashed = call.Server.ID
 		case 8:
-			scheduler.Update(now, catalog.NewTable(2, withoutServer(modelServers(7, 11), crashed)))
+			scheduler.Update(now, catalog.NewTable(withoutServer(modelServers(7, 11), crashed)))
 		}
 	}
 	c.Check(prefills, qt.Equals, 2, qt.Commentf("%v", cached))
@@ -143,7 +143,7 @@
 		servers[i] = &younger
 	}
 	slices.SortFunc(servers, func(x, y *catalog.Server) int { return strings.Compare(x.ID, y.ID) })
-	scheduler.Update(20*second, catalog.NewTable(2, servers))
+	scheduler.Update(20*second, catalog.NewTable(servers))
 	for thing, was := range before {
 		r := promptRequest(thing, 1)
 		now := rankedPrefillServers(scheduler, r)[0]
--- a/internal/router/scheduler/prefix_index_test.go
+++ b/internal/router/scheduler/prefix_index_test.go
@@ -34,7 +34,7 @@
 	call := scheduler.Choose(10*second, promptRequest("a", 1), Prefill, nil)
 	scheduler.Done(11*second, call, Served)
 	table := scheduler.table
-	scheduler.Update(12*second, catalog.NewTable(2, nil))
+	scheduler.Update(12*second, catalog.NewTable(nil))
 	scheduler.Update(13*second, table)
 	chain := newPrefixChain(promptRequest("a", 2))
 	c.Check(scheduler.prefixes.cachedTokens(serverHash(call.Server.ID), &chain), qt.Equals, 12000)
--- a/internal/router/scheduler/scheduler.go
+++ b/internal/router/scheduler/scheduler.go
@@ -30,7 +30,7 @@
 // New returns a Scheduler of a proxy in a zone. The seed determines all its random draws.
 func New(zone string, seed uint64) *Scheduler {
 	return &Scheduler{
-		zone: zone, random: rand.New(rand.NewPCG(seed, 1)), table: catalog.NewTable(0, nil),
+		zone: zone, random: rand.New(rand.NewPCG(seed, 1)), table: catalog.NewTable(nil),
 		servers: map[string]*serverState{}, pools: map[string]*servicePool{},
 		prefixes: newPrefixIndex(maxPrefixEntries),
 	}
--- a/internal/router/scheduler/scheduler_test.go
+++ b/internal/router/scheduler/scheduler_test.go
@@ -84,7 +84,7 @@
 	scheduler.Done(second, call, Unreachable)
 	c.Assert(scheduler.Split(second, r), qt.IsFalse)
 	c.Assert(scheduler.Choose(second, r, Serve, nil).Server.Role, qt.Equals, catalog.Decode)
-	scheduler.Update(2*second, catalog.NewTable(2, modelServers(0, 2)))
+	scheduler.Update(2*second, catalog.NewTable(modelServers(0, 2)))
 	c.Assert(scheduler.Split(4*second, r), qt.IsFalse)
 }
 
--- a/internal/simulation/routersim/faults.go
+++ b/internal/simulation/routersim/faults.go
@@ -47,7 +47,7 @@
 	case Crash:
 		s.crash()
 		f.clock.after(f.scenario.ListingDelay, f.publishTable)
-		f.clock.after(lasting, func() { f.addServer(s.Role, number, int(f.tableVersion)+1) })
+		f.clock.after(lasting, func() { f.addServer(s.Role, number, int(f.publishedTables)+1) })
 		f.clock.after(lasting+f.scenario.ListingDelay, f.publishTable)
 	}
 }
--- a/internal/simulation/routersim/fleet.go
+++ b/internal/simulation/routersim/fleet.go
@@ -19,15 +19,15 @@
 
 // fleet is the state of a run.
 type fleet struct {
-	clock        clock
-	scenario     *Scenario
-	service      *fleetconfig.Service
-	random       *rand.Rand         // of servers and faults; arrivals have generators of their own
-	servers      map[string]*server // by id, dead ones included
-	proxies      []*proxy
-	counts       Counts
-	tableVersion uint64
-	queues       serverQueues // shared by clairvoyant policies
+	clock           clock
+	scenario        *Scenario
+	service         *fleetconfig.Service
+	random          *rand.Rand         // of servers and faults; arrivals have generators of their own
+	servers         map[string]*server // by id, dead ones included
+	proxies         []*proxy
+	counts          Counts
+	publishedTables uint64       // counted, which tells the runs of a restarted server apart
+	queues          serverQueues // shared by clairvoyant policies
 }
 
 // Run plays a scenario with a policy.
@@ -102,8 +102,8 @@
 	for _, s := range f.live() {
 		listed = append(listed, s.Server)
 	}
-	f.tableVersion++
-	table := catalog.NewTable(f.tableVersion, listed)
+	f.publishedTables++
+	table := catalog.NewTable(listed)
 	for _, p := range f.proxies {
 		p.policy.Update(f.clock.now, table)
 	}
