--- a/internal/router/chain/codec.go
+++ b/internal/router/chain/codec.go
@@ -88,7 +88,7 @@
 }
 
 // count reads the length of a list or text. It fails if that exceeds the bytes that are left, as each element
-// takes at least one; a corrupt length can so never cause a large allocation.
+// takes at least one, so that a corrupt length allocates no more than the size of the record allows.
 func (d *decoder) count() int {
 	value := d.number()
 	if value > uint64(len(d.data)) {
--- a/internal/router/directory/digest.go
+++ b/internal/router/directory/digest.go
@@ -18,7 +18,9 @@
 // RangeOf returns the range of an id.
 func RangeOf(id string) int { return int(xxhash.Sum64String(id) % NumRanges) }
 
-// toggle adds a record to the digest, or removes one that was added before.
+// toggle adds a record to the digest, or removes one that was added before. The hash is over the id, the
+// sequence and the state. The watcher of a server, which may be set under the same sequence, is no part of
+// it.
 func (d *Digest) toggle(r *Record) {
 	if r.State == Ended {
 		return
--- a/internal/router/directory/directory.go
+++ b/internal/router/directory/directory.go
@@ -17,14 +17,15 @@
 	tombstoneTTL = 2 * time.Minute
 )
 
-// entry is a record and when this replica merged it.
+// entry is a record and its last change in this replica.
 type entry struct {
 	record     *Record
 	offset     uint64        // of the record's last change in this replica's feed
 	modifiedAt time.Duration // when that change was merged
 }
 
-// Directory is one replica.
+// Directory is one replica. Its offsets, and the times at which records expire, are its own; only the records
+// and the digest are alike in all replicas.
 type Directory struct {
 	entries    map[string]*entry        // by id
 	tombstones map[string]time.Duration // by id, when the record expired
@@ -71,9 +72,9 @@
 // Expire removes the records of processes that ended or were lost long ago, and old tombstones. It bounds a
 // replica by the processes that run and those that went within LostTTL.
 func (d *Directory) Expire(now time.Duration) {
-	for id, e := range d.entries {
-		if d.expired(now, e) {
-			d.bury(now, id, e)
+	for id, existing := range d.entries {
+		if d.expired(now, existing) {
+			d.bury(now, id, existing)
 		}
 	}
 	for id, buriedAt := range d.tombstones {
@@ -85,33 +86,33 @@
 
 // expired reports whether a record is to be removed. That of an order is retained as long as the server's,
 // because the next order to it takes the next sequence number.
-func (d *Directory) expired(now time.Duration, e *entry) bool {
-	age := now - e.modifiedAt
+func (d *Directory) expired(now time.Duration, existing *entry) bool {
+	record, age := existing.record, now-existing.modifiedAt
 	switch {
-	case e.record.State == Ended:
+	case record.State == Ended:
 		return age > EndedTTL
-	case e.record.State != Lost || age <= LostTTL:
+	case record.State != Lost || age <= LostTTL:
 		return false
-	case e.record.Kind == KindOrder:
-		return d.entries[orderTarget(e.record.ID)] == nil
+	case record.Kind == KindOrder:
+		return d.entries[orderTarget(record.ID)] == nil
 	}
 	return true
 }
 
 // bury replaces an expired record by a tombstone.
-func (d *Directory) bury(now time.Duration, id string, e *entry) {
-	d.digest.toggle(e.record)
+func (d *Directory) bury(now time.Duration, id string, expired *entry) {
+	d.digest.toggle(expired.record)
 	delete(d.entries, id)
 	d.tombstones[id] = now
 }
 
 // Get returns the record of an id, nil if there is none.
 func (d *Directory) Get(id string) *Record {
-	if e := d.entries[id]; e != nil {
-		return e.record
+	if existing := d.entries[id]; existing != nil {
+		return existing.record
 	}
 	return nil
 }
 
-// ModifiedAt returns when the record of an id, which must be there, was last changed in this replica.
+// ModifiedAt returns when the record of an id was last changed in this replica. It panics if there is none.
 func (d *Directory) ModifiedAt(id string) time.Duration { return d.entries[id].modifiedAt }
--- a/internal/router/directory/record.go
+++ b/internal/router/directory/record.go
@@ -54,19 +54,18 @@
 // supersedes reports whether r is to replace existing, a record of the same id. Of two proxies that received
 // the same heartbeat the one that acknowledged it, and so is the watcher, wins.
 func (r *Record) supersedes(existing *Record) bool {
-	if existing.State == Ended {
+	switch {
+	case existing.State == Ended:
 		return false
-	}
-	if r.State == Ended {
+	case r.State == Ended:
 		return true
-	}
-	if r.Sequence != existing.Sequence {
+	case r.Sequence != existing.Sequence:
 		return r.Sequence > existing.Sequence
-	}
-	if r.State != existing.State {
+	case r.State != existing.State:
 		return r.State > existing.State
+	default:
+		return r.Kind == KindServer && existing.Watcher == "" && r.Watcher != ""
 	}
-	return existing.Watcher == "" && r.Watcher != "" && r.Kind == KindServer
 }
 
 // OrderID returns the id of the record of the order to a server.
--- a/internal/router/fleetconfig/apply.go
+++ b/internal/router/fleetconfig/apply.go
@@ -73,6 +73,7 @@
 	valueCount        int // of the resulting document
 }
 
+// newPatchApplication returns the state in which nothing of a patch is applied yet; body is the patch's text.
 func newPatchApplication(base *Config, root jsondoc.Node, body []byte) *patchApplication {
 	a := &patchApplication{
 		base: base, deliver: root.Get(deliverField), withdraw: root.Get(withdrawField),
@@ -211,6 +212,7 @@
 	}
 }
 
+// result returns the version that the patch makes.
 func (a *patchApplication) result(patch *Patch) *Config {
 	return &Config{
 		Version: patch.Version, Services: a.services, Limits: a.base.Limits, routeIndex: a.routeIndex,
--- a/internal/router/fleetconfig/itemlist.go
+++ b/internal/router/fleetconfig/itemlist.go
@@ -80,10 +80,12 @@
 	nextPosition uint64
 }
 
+// txn begins a change of the list.
 func (l *itemList) txn() *itemListTxn {
 	return &itemListTxn{l.byPosition.Txn(), l.positions.Txn(), l.nextPosition}
 }
 
+// commit returns the changed list.
 func (t *itemListTxn) commit() itemList {
 	return itemList{t.byPosition.Commit(), t.positions.Commit(), t.nextPosition}
 }
--- a/internal/router/fleetconfig/patch.go
+++ b/internal/router/fleetconfig/patch.go
@@ -27,6 +27,7 @@
 	Version int64 // that it was applied to
 }
 
+// Error implements error.
 func (e *BaseVersionError) Error() string {
 	return fmt.Sprintf("the patch builds on version %d, and this is version %d; read the current version and "+
 		"build on it", e.Base, e.Version)
--- a/internal/router/peerproto/codec.go
+++ b/internal/router/peerproto/codec.go
@@ -16,6 +16,7 @@
 // DecodeError means that a body is not the expected message of this release.
 type DecodeError struct{ Reason string }
 
+// Error implements error.
 func (e *DecodeError) Error() string {
 	return "a message can't be read (" + e.Reason + "); check that its sender is a process of this release"
 }
--- a/internal/router/peerproto/frame.go
+++ b/internal/router/peerproto/frame.go
@@ -14,7 +14,7 @@
 const (
 	// headerSize is the size of the length of the body, the kind and the call number, all big-endian.
 	headerSize = 4 + 1 + 8
-	// maxPreallocated is the longest body for which memory is allocated before its bytes have come.
+	// maxPreallocated is the longest body in bytes for which memory is allocated before its bytes have come.
 	maxPreallocated = 64 << 10
 )
 
@@ -31,12 +31,14 @@
 // FrameTooLongError means that the other side announced a body longer than MaxBody.
 type FrameTooLongError struct{ Length uint32 }
 
+// Error implements error.
 func (e *FrameTooLongError) Error() string {
 	return fmt.Sprintf("a frame of %d bytes is beyond %d; check that the caller is a process of this fleet",
 		e.Length, MaxBody)
 }
 
-// WriteFrame writes a frame to w and flushes it.
+// WriteFrame writes a frame to w and flushes it. The caller ensures that the body isn't longer than MaxBody;
+// the other side would close the connection.
 func WriteFrame(w *bufio.Writer, f Frame) error {
 	var header [headerSize]byte
 	binary.BigEndian.PutUint32(header[:], uint32(len(f.Body)))
--- a/internal/router/peerproto/schemas.go
+++ b/internal/router/peerproto/schemas.go
@@ -12,6 +12,7 @@
 // schemas are the record schemas of schemas.avsc by name.
 var schemas = parseSchemas()
 
+// parseSchemas reads the embedded schemas; it panics if they are invalid, which the tests would show.
 func parseSchemas() map[string]avro.Schema {
 	byName := map[string]avro.Schema{}
 	for _, schema := range avro.MustParse(schemasSource).(*avro.UnionSchema).Types() {
--- a/internal/router/roleplan/roleplan.go
+++ b/internal/router/roleplan/roleplan.go
@@ -68,15 +68,7 @@
 	if len(servers) < 2 {
 		return nil
 	}
-	decoding, changing := 0, 0
-	for _, server := range servers {
-		if server.Role == catalog.Decode {
-			decoding++
-		}
-		if server.Changing {
-			changing++
-		}
-	}
+	decoding := count(servers, func(server Server) bool { return server.Role == catalog.Decode })
 	surplus := decoding - wantedDecodeServers(len(servers), servers[0].Slots, demand)
 	from, to := catalog.Decode, catalog.Prefill
 	if surplus < 0 {
@@ -85,15 +77,34 @@
 		}
 		surplus, from, to = -surplus, catalog.Prefill, catalog.Decode
 	}
-	allowed := len(servers)
 	if demand.HasTraffic {
-		allowed = max(1, int(maxChangingFraction*float64(len(servers)))) - changing
 		surplus -= toleratedSurplus
 	}
-	return chooseServers(servers, from, to, min(surplus, allowed))
+	return chooseServers(servers, from, to, min(surplus, allowedChanges(servers, demand)))
+}
+
+// allowedChanges returns how many more servers may change their role now: any number without traffic.
+func allowedChanges(servers []Server, demand Demand) int {
+	if !demand.HasTraffic {
+		return len(servers)
+	}
+	changing := count(servers, func(server Server) bool { return server.Changing })
+	return max(1, int(maxChangingFraction*float64(len(servers)))) - changing
+}
+
+// count returns the number of servers of which a condition holds.
+func count(servers []Server, condition func(Server) bool) int {
+	total := 0
+	for _, server := range servers {
+		if condition(server) {
+			total++
+		}
+	}
+	return total
 }
 
-// wantedDecodeServers returns how many of a number of servers are to decode.
+// wantedDecodeServers returns how many of a number of servers, each with a number of slots, are to decode.
+// All servers of a service have as many slots, so that those of the first one stand for all.
 func wantedDecodeServers(servers, slots int, demand Demand) int {
 	wanted := math.Ceil(minDecodeFraction * float64(servers))
 	if demand.HasTraffic && slots > 0 {
--- a/internal/router/transport/conn.go
+++ b/internal/router/transport/conn.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	queueLength  = 128             // frames that wait to be sent on a connection
+	queueLength  = 128             // frames that may wait to be sent on a connection
 	writeTimeout = 2 * time.Second // of one frame
 	bufferSize   = 2048            // bytes, of each direction of a connection
 )
 
-// Conn is one connection. Its methods may be called by any goroutine, except Peer.
+// Conn is one connection, open until Close, a failed read or write, or a full queue. Its methods may be
+// called by any goroutine, except Peer.
 type Conn struct {
 	netConn   net.Conn
 	traffic   *trafficCounters
--- a/internal/router/transport/link.go
+++ b/internal/router/transport/link.go
@@ -24,8 +24,8 @@
 	maxDialTimeout = 700 * time.Millisecond
 )
 
-// Link keeps one connection to an address, and opens it again whenever it ends. Its methods may be called by
-// any goroutine.
+// Link keeps one connection to an address, and opens it again whenever it ends. It is connecting, connected,
+// or stopped, which is final. Its methods may be called by any goroutine.
 type Link struct {
 	Address string // IP:port
 
@@ -39,7 +39,7 @@
 	pending    map[uint64]chan peerproto.Frame // by call id, where to send the answer
 	lastCallID uint64
 	stopped    bool
-	stop       chan struct{}
+	stop       chan struct{} // closed by Stop
 }
 
 // Connected reports whether there is a connection.
--- a/internal/router/transport/traffic.go
+++ b/internal/router/transport/traffic.go
@@ -47,6 +47,7 @@
 	counts[kind].bytes.Add(int64(frame.Size()))
 }
 
+// snapshot returns the counters' values, each read by itself.
 func (c *trafficCounters) snapshot() Traffic {
 	var traffic Traffic
 	for kind := range traffic.Sent {
