--- a/internal/cluster/raftgroup/options.go
+++ b/internal/cluster/raftgroup/options.go
@@ -9,29 +9,56 @@
 	"cresshub/internal/cluster/placement"
 )
 
-// Options configure a Host; Check returns what is wrong with them.
+// Options configure a Host. Open checks them and copies them: a later change has no effect. The defaults
+// named here are those of the settings in the client proxy's configuration; a zero field stands for itself.
 type Options struct {
-	Name      string // of this member
-	Bind      string // host:port to listen at for other members; port 0 lets the system choose
-	Advertise string // host:port others reach it at; "" is the address listened at
-	Dir       string // folder of its own for the store, on a disk that lasts
-	Label     string // the fleet's; members and stores of another are rejected
-	Hall      string // failure domain
+	// Name is this member's name, unique in the fleet.
+	Name string
+	// Bind is the host:port to listen at for other members. With port 0 the system chooses a port.
+	Bind string
+	// Advertise is the host:port at which other members reach this one, for the fleet's metadata. Empty, the
+	// default, is the address that Bind led to.
+	Advertise string
+	// Dir is the directory of the store, of this Host alone, on a disk that survives restarts. Where it is lost,
+	// the replicas on it are, and the groups replace them.
+	Dir string
+	// Label is the fleet's. Connections from members, and a store, with another label are rejected.
+	Label string
 
-	Replicas          int           // voters wanted of a group: 3 or 5
-	BootstrapExpect   int           // live members needed to bootstrap a group
-	MaxLearnerLag     int           // log entries a learner may be behind when it is promoted
-	HeartbeatInterval time.Duration // between a leader's heartbeats; raft's tick
-	ElectionTimeout   time.Duration // without a leader for one to two of it, a follower stands for election
-	GoneAfter         time.Duration // a replica's member that is not in the view for so long counts as gone
-	SnapshotEntries   int           // log entries between snapshots
-	SnapshotBytes     int64         // bytes of log between snapshots
-	Relay             string        // address of a SOCKS5 relay to other members; tests and laboratory only
+	// Replicas is how many voters a group is brought to: 3 (the default), which survive the loss of one, or 5,
+	// which survive the loss of two.
+	Replicas int
+	// BootstrapExpect is how many live members there have to be before a group is bootstrapped; 3 by default and
+	// at least. It should be more than half of all members, so that two halves of a partitioned fleet don't each
+	// bootstrap one.
+	BootstrapExpect int
+	// MaxLearnerLag is how many log entries a learner may lack when it is promoted to a voter; 100 by default.
+	MaxLearnerLag int
+	// HeartbeatInterval is the time between a leader's heartbeats, and raft's tick; 100 ms by default.
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is how long a follower that receives nothing of a leader waits before it stands for
+	// election: from once to twice as long, drawn by raft; 1 s by default. At least twice HeartbeatInterval. The
+	// other timeouts of a group derive from it.
+	ElectionTimeout time.Duration
+	// GoneAfter is how long the member of a replica may be absent from the view before it counts as gone and the
+	// replica is replaced; 30 s by default, as package membership has it for the members in the view.
+	GoneAfter time.Duration
+	// SnapshotEntries is how many applied log entries lead to the next snapshot; 10000 by default.
+	SnapshotEntries int
+	// SnapshotBytes is how many bytes of log do, where they come first; 16 MiB by default.
+	SnapshotBytes int64
+	// Relay is the host:port of a SOCKS5 server through which other members are dialed, for tests and the
+	// laboratory alone. Empty, the default, dials them directly.
+	Relay string
 
-	Groups          []string // names of the fleet's groups
+	// Groups are the names of the fleet's groups, the same on all members; each at most 255 bytes.
+	Groups []string
+	// NewStateMachine returns the empty state machine of a group. It is called whenever a replica is opened.
 	NewStateMachine func(group string) StateMachine
-	Faults          DiskFaults // nil but in tests and the laboratory
-	Log             *slog.Logger
+	// Faults injects faults of the disk, for tests and the laboratory alone. Nil, the default, injects none.
+	Faults DiskFaults
+	// Log takes the messages of the Host and of raft. It must not be nil.
+	Log *slog.Logger
 }
 
 // Check returns an error that names the setting where an option is wrong.
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -50,8 +50,7 @@
 	var err error
 	l.host, err = raftgroup.Open(raftgroup.Options{
 		Name: p.cfg.Name, Bind: c.Bind, Advertise: c.Advertise, Dir: c.DataDir, Label: p.cfg.Fleet.Label,
-		Hall: p.cfg.Policy.Hall, Replicas: c.Replicas, BootstrapExpect: c.BootstrapExpect,
-		MaxLearnerLag:     c.MaxLearnerLag,
+		Replicas: c.Replicas, BootstrapExpect: c.BootstrapExpect, MaxLearnerLag: c.MaxLearnerLag,
 		HeartbeatInterval: c.HeartbeatInterval, ElectionTimeout: c.ElectionTimeout,
 		GoneAfter:       p.cfg.Fleet.GoneAfter,
 		SnapshotEntries: c.SnapshotEntries, SnapshotBytes: int64(c.SnapshotBytes), Relay: p.cfg.Fleet.Relay,
