--- a/internal/cluster/raftgroup/client.go
+++ b/internal/cluster/raftgroup/client.go
@@ -140,7 +140,7 @@
 	}
 	var resp response
 	if err := h.net.call(ctx, address, req, &resp); err != nil {
-		if errors.Is(err, errNotSent) {
+		if errors.Is(err, errUnreachable) {
 			return resp, ErrNotLeader
 		}
 		return resp, ErrUnknown
--- a/internal/cluster/raftgroup/frames.go
+++ b/internal/cluster/raftgroup/frames.go
@@ -12,7 +12,8 @@
 )
 
 // A connection between members carries frames: 4 bytes of length (of what follows, big endian), a byte for
-// the kind, the body. Its first frame is a hello from the member that opened it.
+// the kind, the body. Its first frame is a hello from the member that opened it. After it come Raft messages,
+// which are not answered, or requests, each answered by a response before the next.
 const (
 	frameHello    = 'h' // hello, JSON
 	frameRaft     = 'r' // a byte of length, the group's name, a raftpb.Message
@@ -21,10 +22,13 @@
 )
 
 const (
-	protocolVersion = 1
-	maxFrameSize    = 64 << 20
-	maxHelloSize    = 4096
-	readChunkSize   = 1 << 20
+	protocolVersion = 1        // members of another one are rejected
+	maxFrameSize    = 64 << 20 // in bytes, of the kind and the body; a snapshot has to fit
+	maxHelloSize    = 4096     // in bytes, the same of a hello
+	frameLengthSize = 4
+	frameHeaderSize = frameLengthSize + 1
+	firstChunkSize  = 64 << 10 // capacity at first of a body that is read
+	readChunkSize   = 1 << 20  // by which it grows
 )
 
 // hello opens a connection: whose it is, and of which fleet.
@@ -35,21 +39,24 @@
 	ID       uint64 `json:"id"` // replica ID
 }
 
+// requestKind is what a request asks for. Its values cross between members.
+type requestKind string
+
 // The kinds of requests.
 const (
-	kindPropose = "propose"
-	kindRead    = "read"
-	kindRoster  = "roster"
-	kindVote    = "vote"
+	kindPropose requestKind = "propose" // commit and apply the command Data; not idempotent
+	kindRead    requestKind = "read"    // answer the query Data linearizably
+	kindRoster  requestKind = "roster"  // list the group's replicas; answered by its leader with a Roster
+	kindVote    requestKind = "vote"    // vote for the asking member to bootstrap the group
 )
 
 // request is what one member asks of another.
 type request struct {
-	Kind  string `json:"kind"`
-	Group string `json:"group"`
-	From  string `json:"from"`           // the member that asks
-	ID    uint64 `json:"id,omitempty"`   // its replica ID, with kindVote
-	Data  []byte `json:"data,omitempty"` // the command or the query
+	Kind  requestKind `json:"kind"`
+	Group string      `json:"group"`
+	From  string      `json:"from"`           // the member that asks
+	ID    uint64      `json:"id,omitempty"`   // its replica ID, with kindVote
+	Data  []byte      `json:"data,omitempty"` // the command or the query
 	// TimeoutMS is how long the caller waits, in milliseconds, so that no work is done that nobody waits for.
 	TimeoutMS int64 `json:"within"`
 }
@@ -61,14 +68,15 @@
 	Result json.RawMessage `json:"result,omitempty"`
 }
 
-// err is the response's error, as one of this package's own where its text is that of one.
+// err is the response's error, nil where it has none: one of this package's own errors where its text is that
+// of one, so that errors.Is finds it, else one with the text alone.
 func (r *response) err() error {
 	if r.Err == "" {
 		return nil
 	}
-	for _, e := range []error{ErrNotLeader, ErrForming, ErrUnknown, ErrBusy, ErrStopped} {
-		if r.Err == e.Error() {
-			return e
+	for _, known := range []error{ErrNotLeader, ErrForming, ErrUnknown, ErrBusy, ErrStopped} {
+		if r.Err == known.Error() {
+			return known
 		}
 	}
 	if cause, ok := strings.CutPrefix(r.Err, ErrDisk.Error()); ok && cause != "" {
@@ -78,38 +86,38 @@
 }
 
 // writeFrame writes a frame whose body is the given parts, in one write.
-func writeFrame(c net.Conn, kind byte, parts ...[]byte) error {
+func writeFrame(conn net.Conn, kind byte, parts ...[]byte) error {
 	size := 1
-	for _, p := range parts {
-		size += len(p)
+	for _, part := range parts {
+		size += len(part)
 	}
-	b := make([]byte, 0, 4+size)
-	b = append(binary.BigEndian.AppendUint32(b, uint32(size)), kind)
-	for _, p := range parts {
-		b = append(b, p...)
+	frame := make([]byte, 0, frameLengthSize+size)
+	frame = append(binary.BigEndian.AppendUint32(frame, uint32(size)), kind)
+	for _, part := range parts {
+		frame = append(frame, part...)
 	}
-	_, err := c.Write(b)
+	_, err := conn.Write(frame)
 	return err
 }
 
-// readFrame reads a frame of at most maxSize bytes. The body's memory grows as bytes arrive, so that a length
-// alone allocates little.
-func readFrame(r *bufio.Reader, maxSize int) (kind byte, body []byte, err error) {
-	var head [5]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// readFrame reads a frame of at most maxSize bytes. The error is io.EOF if the stream ends before the frame
+// begins. The body's memory grows as bytes arrive, so that a length alone allocates little.
+func readFrame(in *bufio.Reader, maxSize int) (kind byte, body []byte, err error) {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return 0, nil, err
 	}
-	size := int(binary.BigEndian.Uint32(head[:]))
+	size := int(binary.BigEndian.Uint32(header[:]))
 	if size < 1 || size > maxSize {
 		return 0, nil, fmt.Errorf("a frame of %d bytes, %d at most", size, maxSize)
 	}
-	body = make([]byte, 0, min(size-1, 64<<10))
+	body = make([]byte, 0, min(size-1, firstChunkSize))
 	for len(body) < size-1 {
 		offset := len(body)
 		body = append(body, make([]byte, min(size-1-offset, readChunkSize))...)
-		if _, err := io.ReadFull(r, body[offset:]); err != nil {
+		if _, err := io.ReadFull(in, body[offset:]); err != nil {
 			return 0, nil, err
 		}
 	}
-	return head[4], body, nil
+	return header[frameLengthSize], body, nil
 }
--- a/internal/cluster/raftgroup/sender.go
+++ b/internal/cluster/raftgroup/sender.go
@@ -10,7 +10,9 @@
 )
 
 const (
-	// unreachableBackoff is how long nothing is sent to a member after a failed dial or write.
+	// sendQueueSize is how many Raft messages may be queued for one replica.
+	sendQueueSize = 1024
+	// unreachableBackoff is how long nothing is sent to a replica after a failed dial or write.
 	unreachableBackoff = 100 * time.Millisecond
 	// senderIdleTimeout ends a sender that had nothing to send. It is below idleTimeout, after which the other
 	// side closes the connection.
@@ -26,21 +28,28 @@
 	msg   *raftpb.Message
 }
 
-// sender sends Raft messages to one replica, in order, over one connection. It runs in a goroutine of its
-// own.
+// sender sends the Raft messages of all groups to one replica ID, in order, over one connection.
+//
+// network.send starts one with the first message to a replica and puts it into network.senders; it ends once
+// it had nothing to send for senderIdleTimeout, or with the network. In between it is connected or not: it
+// dials for the first message, and again for the first one after a failure or after the replica's address
+// changed. Messages are lost where the queue is full, after a failure, and when the connection breaks; raft
+// sends again what was not acknowledged, and is told of lost snapshots, without which it would send a replica
+// nothing more.
 type sender struct {
 	net   *network
-	to    uint64 // replica ID
-	queue chan outboundMsg
+	to    uint64           // replica ID
+	queue chan outboundMsg // written with network.mu held, read by run
 
 	// Owned by run.
 	conn    net.Conn // nil while not connected
 	address string   // that conn was dialed at
 }
 
-// send queues a message for its receiver; false if it can't be sent now, which Raft makes up for.
-func (n *network) send(group string, m *raftpb.Message) bool {
-	to := m.GetTo()
+// send queues a message for its receiver. It returns false if the message can't be sent now: the receiver's
+// address is not known, its queue is full, or the network is closed. It never blocks on the network.
+func (n *network) send(group string, msg *raftpb.Message) bool {
+	to := msg.GetTo()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed || n.addresses[to] == "" {
@@ -48,22 +57,27 @@
 	}
 	s := n.senders[to]
 	if s == nil {
-		s = &sender{net: n, to: to, queue: make(chan outboundMsg, sendQueueSize)}
-		n.senders[to] = s
-		n.done.Add(1)
-		go s.run()
+		s = n.startSenderLocked(to)
 	}
 	select {
-	case s.queue <- outboundMsg{group, m}:
+	case s.queue <- outboundMsg{group, msg}:
 		return true
 	default:
 		return false
 	}
 }
 
-// run sends queued messages until the network closes or nothing was queued for senderIdleTimeout.
+func (n *network) startSenderLocked(to uint64) *sender {
+	s := &sender{net: n, to: to, queue: make(chan outboundMsg, sendQueueSize)}
+	n.senders[to] = s
+	n.goroutines.Add(1)
+	go s.run()
+	return s
+}
+
+// run is the sender's goroutine.
 func (s *sender) run() {
-	defer s.net.done.Done()
+	defer s.net.goroutines.Done()
 	defer s.disconnect()
 	idle := time.NewTimer(senderIdleTimeout)
 	defer idle.Stop()
@@ -76,16 +90,17 @@
 				return
 			}
 			idle.Reset(senderIdleTimeout)
-		case m := <-s.queue:
+		case out := <-s.queue:
 			idle.Reset(senderIdleTimeout)
-			if !s.deliver(m) {
-				s.reportUnreachable(m)
+			if !s.deliver(out) {
+				s.handleFailure(out)
 			}
 		}
 	}
 }
 
-// retire takes the sender out of the network unless something was queued meanwhile.
+// retire takes the sender out of the network, so that the next message starts another one. It returns false,
+// and the sender goes on, if a message was queued meanwhile.
 func (s *sender) retire() bool {
 	s.net.mu.Lock()
 	defer s.net.mu.Unlock()
@@ -96,29 +111,33 @@
 	return true
 }
 
-// deliver writes a message, connecting first where the sender is not connected or its member moved.
-func (s *sender) deliver(m outboundMsg) bool {
-	s.net.mu.Lock()
-	address := s.net.addresses[s.to]
-	s.net.mu.Unlock()
+// deliver writes a message, connecting first where the sender is not connected or its replica moved. It
+// returns false, disconnected, if the message was not written.
+func (s *sender) deliver(out outboundMsg) bool {
+	address := s.net.address(s.to)
 	if address != s.address {
 		s.disconnect()
 	}
-	if s.conn == nil {
-		c, err := s.net.dial(context.Background(), address)
-		if err != nil {
-			return false
-		}
-		s.conn, s.address = c, address
-		go closeOnEOF(c)
+	if s.conn == nil && !s.connect(address) {
+		return false
 	}
-	if !s.write(s.conn, m) {
+	if !s.write(s.conn, out) {
 		s.disconnect()
 		return false
 	}
 	return true
 }
 
+func (s *sender) connect(address string) bool {
+	conn, err := s.net.dial(context.Background(), address)
+	if err != nil {
+		return false
+	}
+	s.conn, s.address = conn, address
+	go closeOnEOF(conn) // ends once the connection is closed, by whichever side
+	return true
+}
+
 func (s *sender) disconnect() {
 	if s.conn != nil {
 		s.net.closeConn(s.conn)
@@ -127,37 +146,39 @@
 }
 
 // closeOnEOF closes a connection, on which nothing is ever received, once the other side does, so that the
-// next write fails.
-func closeOnEOF(c net.Conn) {
-	var b [1]byte
-	_, _ = c.Read(b[:]) // whatever ends the read, the connection is no use any more
-	c.Close()
+// next write fails rather than being lost.
+func closeOnEOF(conn net.Conn) {
+	var buf [1]byte
+	_, _ = conn.Read(buf[:]) // whatever ends the read, the connection is no use any more
+	conn.Close()
 }
 
-// write sends one message; false if the connection failed.
-func (s *sender) write(c net.Conn, m outboundMsg) bool {
-	raw, err := proto.Marshal(m.msg)
+// write writes one message as a frame; false if the connection failed. A message that can't be encoded counts
+// as written, as no attempt would succeed. That a snapshot was written, though not that it was received, is
+// reported to its group.
+func (s *sender) write(conn net.Conn, out outboundMsg) bool {
+	raw, err := proto.Marshal(out.msg)
 	if err != nil {
-		return true // it can't ever be sent
+		return true
 	}
 	timeout := writeTimeout
 	if len(raw) > largeMessage {
 		timeout = snapshotWriteTimeout
 	}
-	c.SetWriteDeadline(time.Now().Add(timeout))
-	if writeFrame(c, frameRaft, []byte{byte(len(m.group))}, []byte(m.group), raw) != nil {
+	conn.SetWriteDeadline(time.Now().Add(timeout))
+	if writeFrame(conn, frameRaft, []byte{byte(len(out.group))}, []byte(out.group), raw) != nil {
 		return false
 	}
-	if m.msg.GetType() == raftpb.MsgSnap {
-		s.net.host.reportSnapshotSent(m.group, s.to)
+	if out.msg.GetType() == raftpb.MsgSnap {
+		s.net.host.reportSnapshotFinish(out.group, s.to)
 	}
 	return true
 }
 
-// reportUnreachable reports a message that was not sent to its group, drops what is queued, which Raft sends
-// again, and backs off.
-func (s *sender) reportUnreachable(m outboundMsg) {
-	s.net.host.reportUndelivered(m.group, m.msg)
+// handleFailure reports a message that was not sent to its group, drops what is queued behind it, and backs
+// off.
+func (s *sender) handleFailure(out outboundMsg) {
+	s.net.host.reportUndelivered(out.group, out.msg)
 	s.dropQueued()
 	select {
 	case <-time.After(unreachableBackoff):
@@ -170,9 +191,9 @@
 func (s *sender) dropQueued() {
 	for {
 		select {
-		case m := <-s.queue:
-			if m.msg.GetType() == raftpb.MsgSnap {
-				s.net.host.reportUndelivered(m.group, m.msg)
+		case out := <-s.queue:
+			if out.msg.GetType() == raftpb.MsgSnap {
+				s.net.host.reportUndelivered(out.group, out.msg)
 			}
 		default:
 			return
