--- a/internal/cluster/raftgroup/apply.go
+++ b/internal/cluster/raftgroup/apply.go
@@ -8,40 +8,46 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// applyEntry applies one committed entry.
-func (g *group) applyEntry(e *raftpb.Entry) {
-	switch e.GetType() {
+// applyEntry applies one committed entry. Entries are applied once each, in the order of their indexes.
+func (g *group) applyEntry(entry *raftpb.Entry) {
+	switch entry.GetType() {
 	case raftpb.EntryConfChange:
-		g.applyConfChange(e)
+		g.applyConfChange(entry)
 	case raftpb.EntryNormal:
-		g.appliedIndex = e.GetIndex()
-		data := e.GetData()
-		if len(data) < proposalHeaderSize {
-			return // a new leader's first entry is empty
-		}
-		result := g.stateMachine.Apply(e.GetIndex(), data[proposalHeaderSize:])
-		if binary.BigEndian.Uint64(data) != g.host.store.id {
-			return
-		}
-		id := binary.BigEndian.Uint64(data[8:])
-		if out, ok := g.proposals[id]; ok {
-			delete(g.proposals, id)
-			out <- outcome{result: result}
-		}
+		g.applyCommand(entry)
+	}
+}
+
+// applyCommand applies an entry with a command and, where this replica proposed it, answers the call that
+// waits for the result.
+func (g *group) applyCommand(entry *raftpb.Entry) {
+	g.appliedIndex = entry.GetIndex()
+	data := entry.GetData()
+	if len(data) < proposalHeaderSize {
+		return // a new leader's first entry is empty
+	}
+	result := g.stateMachine.Apply(entry.GetIndex(), data[proposalHeaderSize:])
+	replicaID, requestID := binary.BigEndian.Uint64(data), binary.BigEndian.Uint64(data[8:])
+	if replicaID != g.host.store.id {
+		return
+	}
+	if out, ok := g.proposals[requestID]; ok {
+		delete(g.proposals, requestID)
+		out <- outcome{result: result}
 	}
 }
 
 // applyConfChange applies a membership change, whose context is the member's name.
-func (g *group) applyConfChange(e *raftpb.Entry) {
+func (g *group) applyConfChange(entry *raftpb.Entry) {
 	change := &raftpb.ConfChange{}
-	if err := proto.Unmarshal(e.GetData(), change); err != nil {
-		panic(err)
+	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
+		panic(err) // stops this replica (run): the others applied the entry
 	}
 	// In ApplyConfChange raft may ask for a snapshot for a replica that is far behind. It gets the state before
 	// this change, at the index before it: a replica restored from a snapshot at this index that did not list
 	// the change would count another majority than the rest, for good.
 	g.confState = g.rawNode.ApplyConfChange(change)
-	g.appliedIndex = e.GetIndex()
+	g.appliedIndex = entry.GetIndex()
 	g.confChangeProposed = time.Time{}
 	g.stats.ConfChanges++
 	if change.GetType() == raftpb.ConfChangeRemoveNode {
@@ -57,9 +63,9 @@
 
 // namesOf are the members of the given replica IDs.
 func (g *group) namesOf(ids []uint64) []string {
-	out := make([]string, 0, len(ids))
+	names := make([]string, 0, len(ids))
 	for _, id := range ids {
-		out = append(out, g.memberNames[id])
+		names = append(names, g.memberNames[id])
 	}
-	return out
+	return names
 }
--- a/internal/cluster/raftgroup/bootstrap.go
+++ b/internal/cluster/raftgroup/bootstrap.go
@@ -3,12 +3,15 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"slices"
 
 	"cresshub/internal/cluster/placement"
 )
 
+// bootstrapVotePrefix begins the key under which the store has the vote for a group, before the group's name.
+// The value is the candidate's replica ID, as formatDiskID writes it.
+const bootstrapVotePrefix = "vote/"
+
 // Why a vote to bootstrap a group is denied. They cross between members as their texts.
 var (
 	errGroupExists    = errors.New("the group is there already")
@@ -19,7 +22,8 @@
 // bootstrap makes a group that no member has. Only the live member that ranks first for the group does, and
 // only with the votes of a majority of all known members (of BootstrapExpect, if those are more). A vote is
 // stored and never given to another candidate, so that a group is bootstrapped only once in a fleet. The
-// group begins with this replica, grows from it, and accepts no proposals until it has minVoters.
+// group begins with this replica, grows from it, and accepts no proposals until it has minVoters. Called by
+// the Host's loop.
 func (h *Host) bootstrap(name string) {
 	h.mu.Lock()
 	peers, exists := slices.Clone(h.peers), h.groups[name] != nil
@@ -46,17 +50,14 @@
 // The error is errGroupExists if one of them has the group.
 func (h *Host) collectBootstrapVotes(name string, live []Peer) (int, error) {
 	votes := 0
-	for _, p := range live {
-		var resp response
-		ctx, cancel := context.WithTimeout(context.Background(), h.opts.ElectionTimeout)
-		req := request{Kind: kindVote, Group: name, From: h.opts.Name, ID: h.store.id}
-		err := h.net.call(ctx, p.Address, req, &resp)
-		cancel()
+	for _, peer := range live {
+		resp, err := h.requestBootstrapVote(name, peer.Address)
 		if err == nil && resp.Err == "" {
 			votes++
 			continue
 		}
-		h.log.Debug("ledger: no bootstrap vote", "group", name, "member", p.Name, "err", err, "says", resp.Err)
+		h.log.Debug("ledger: no bootstrap vote", "group", name, "member", peer.Name, "err", err, "says",
+			resp.Err)
 		if resp.Err == errGroupExists.Error() {
 			return 0, errGroupExists
 		}
@@ -64,7 +65,16 @@
 	return votes, nil
 }
 
-// handleBootstrapVote answers a member that asks for this one's vote.
+func (h *Host) requestBootstrapVote(name, address string) (resp response, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), h.opts.ElectionTimeout)
+	defer cancel()
+	req := request{Kind: kindVote, Group: name, From: h.opts.Name, ID: h.store.id}
+	err = h.net.call(ctx, address, req, &resp)
+	return resp, err
+}
+
+// handleBootstrapVote answers a member that asks for this one's vote: nil for the vote, which is on the
+// synced disk by then, else why it is denied. A candidate that asks again gets the same vote again.
 func (h *Host) handleBootstrapVote(req request) error {
 	h.mu.Lock()
 	live, exists := livePeers(h.peers), h.groups[req.Group] != nil
@@ -75,28 +85,28 @@
 	if !slices.Contains(h.opts.Groups, req.Group) || firstRanked(req.Group, live) != req.From {
 		return errNotFirstRanked
 	}
-	key, id := "vote/"+req.Group, fmt.Sprintf("%016x", req.ID)
+	key, candidate := bootstrapVotePrefix+req.Group, formatDiskID(req.ID)
 	switch h.store.metaValue(key) {
-	case id:
+	case candidate:
 		return nil
 	case "":
-		return h.store.setMetaValue(key, id)
+		return h.store.setMetaValue(key, candidate)
 	}
 	return errAlreadyVoted
 }
 
 // livePeers are the peers that take part now and can have replicas.
 func livePeers(peers []Peer) []Peer {
-	return slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool {
-		return !p.Live || p.ReplicaID == 0 || p.Address == ""
+	return slices.DeleteFunc(slices.Clone(peers), func(peer Peer) bool {
+		return !peer.Live || peer.ReplicaID == 0 || peer.Address == ""
 	})
 }
 
 // firstRanked is the live member that ranks first for a group; "" if none is live.
 func firstRanked(group string, live []Peer) string {
 	ranked := make([]placement.Member, 0, len(live))
-	for _, p := range live {
-		ranked = append(ranked, p.Member)
+	for _, peer := range live {
+		ranked = append(ranked, peer.Member)
 	}
 	placement.Rank(group, ranked)
 	if len(ranked) == 0 {
--- a/internal/cluster/raftgroup/calls.go
+++ b/internal/cluster/raftgroup/calls.go
@@ -9,31 +9,38 @@
 	"go.etcd.io/raft/v3"
 )
 
-// enqueue has f run in the group's goroutine, as soon as it gets to it.
-func (g *group) enqueue(f func()) error {
+// maxPendingCalls bounds the tasks that wait for a group's goroutine, and the reads that wait for their
+// index.
+const maxPendingCalls = 1024
+
+// enqueue has a task run in the group's goroutine, as soon as it gets to it; a group that stops first never
+// runs it. It returns ErrStopped or ErrBusy, at once, if the task will not run. It may be called from any
+// goroutine.
+func (g *group) enqueue(task func()) error {
 	select {
 	case <-g.done:
 		return ErrStopped
 	default:
 	}
 	select {
-	case g.tasks <- f:
+	case g.tasks <- task:
 		return nil
 	default:
 		return ErrBusy
 	}
 }
 
-// call runs start in the group's goroutine and waits for an outcome on the channel that start is given. The
-// error is ErrUnknown if ctx ended first.
+// call runs start in the group's goroutine and waits for an outcome on the channel that start is given, which
+// takes one outcome without blocking; start may pass the channel on to who sends it. The error is ErrUnknown
+// if ctx ended first. Call may be called from any goroutine but the group's.
 func (g *group) call(ctx context.Context, start func(out chan outcome)) (any, error) {
 	out := make(chan outcome, 1)
 	if err := g.enqueue(func() { start(out) }); err != nil {
 		return nil, err
 	}
 	select {
-	case o := <-out:
-		return o.result, o.err
+	case answer := <-out:
+		return answer.result, answer.err
 	case <-g.done:
 		return nil, ErrStopped
 	case <-ctx.Done():
@@ -46,7 +53,8 @@
 // for the result.
 const proposalHeaderSize = 16
 
-// propose has a command committed and applied, and returns the state machine's result.
+// propose has a command committed and applied, and returns the state machine's result. This replica has to be
+// the leader: it returns ErrNotLeader elsewhere, and forwards nothing.
 func (g *group) propose(ctx context.Context, data []byte) (any, error) {
 	return g.call(ctx, func(out chan outcome) {
 		if err := g.startProposal(data, out); err != nil {
@@ -56,23 +64,23 @@
 	})
 }
 
+// startProposal proposes a command to raft. Without an error the outcome follows on out, once the command is
+// applied (applyEntry) or its outcome can't be known any more (failPending).
 func (g *group) startProposal(data []byte, out chan outcome) error {
-	switch st := g.rawNode.BasicStatus(); {
+	switch status := g.rawNode.BasicStatus(); {
 	case g.diskErr != nil:
 		return g.diskErr
-	case st.RaftState != raft.StateLeader:
+	case status.RaftState != raft.StateLeader:
 		return ErrNotLeader
 	case len(g.confState.GetVoters()) < minVoters:
 		return ErrForming
 	}
 	g.lastRequestID++
-	entry := make([]byte, 0, proposalHeaderSize+len(data))
-	entry = binary.BigEndian.AppendUint64(entry, g.host.store.id)
-	entry = binary.BigEndian.AppendUint64(entry, g.lastRequestID)
-	if err := g.rawNode.Propose(append(entry, data...)); err != nil {
-		if errors.Is(err, raft.ErrProposalDropped) {
-			return ErrBusy
-		}
+	err := g.rawNode.Propose(encodeProposal(g.host.store.id, g.lastRequestID, data))
+	if errors.Is(err, raft.ErrProposalDropped) {
+		return ErrBusy
+	}
+	if err != nil {
 		return err
 	}
 	g.stats.Proposed++
@@ -80,8 +88,17 @@
 	return nil
 }
 
+// encodeProposal returns a command behind its header, as it stands in the log.
+func encodeProposal(replicaID, requestID uint64, command []byte) []byte {
+	entry := make([]byte, 0, proposalHeaderSize+len(command))
+	entry = binary.BigEndian.AppendUint64(entry, replicaID)
+	entry = binary.BigEndian.AppendUint64(entry, requestID)
+	return append(entry, command...)
+}
+
 // readIndex answers a query from a state with everything that was committed when it was asked (ReadIndex,
-// section 6.4 of Ongaro's thesis). Any replica may be asked.
+// section 6.4 of Ongaro's thesis). Any replica may be asked: raft forwards a follower's ReadIndex to the
+// leader. Where that is lost, the call ends with ctx.
 func (g *group) readIndex(ctx context.Context, query []byte) (any, error) {
 	return g.call(ctx, func(out chan outcome) {
 		if g.diskErr != nil {
@@ -98,7 +115,7 @@
 	})
 }
 
-// serveReads answers the reads whose index is confirmed and applied.
+// serveReads answers the reads whose index is confirmed and applied, in no order.
 func (g *group) serveReads() {
 	for id, read := range g.pendingReads {
 		if read.index > 0 && g.appliedIndex >= read.index {
@@ -109,7 +126,8 @@
 	}
 }
 
-// failPending ends all calls that wait for an outcome.
+// failPending ends all calls that wait for an outcome with an error. Entries that were proposed may still be
+// committed: their results find nobody then.
 func (g *group) failPending(err error) {
 	for id, out := range g.proposals {
 		out <- outcome{err: err}
@@ -125,7 +143,7 @@
 // doesn't say so of a learner, nor of a replica that was removed while it was unreachable: both go on to
 // name the last leader they knew.
 func (g *group) leaderless() bool {
-	st := g.rawNode.BasicStatus()
+	status := g.rawNode.BasicStatus()
 	overdue := time.Since(g.lastLeaderContact) > 2*g.host.opts.ElectionTimeout
-	return st.Lead == raft.None || st.RaftState != raft.StateLeader && overdue
+	return status.Lead == raft.None || status.RaftState != raft.StateLeader && overdue
 }
--- a/internal/cluster/raftgroup/client.go
+++ b/internal/cluster/raftgroup/client.go
@@ -10,14 +10,15 @@
 )
 
 // Propose has a command committed by a group, wherever its leader is, and returns the state machine's result
-// as JSON. After ErrUnknown the command may have been applied; any other error says that it was not and will
-// not be.
+// as JSON. It does not retry a command whose outcome is unknown. After ErrUnknown the command may have been
+// applied; any other error says that it was not and will not be. It may be called from any goroutine.
 func (h *Host) Propose(ctx context.Context, group string, data []byte) (json.RawMessage, error) {
 	return h.callAnyMember(ctx, request{Kind: kindPropose, Group: group, From: h.opts.Name, Data: data})
 }
 
 // Read answers a query linearizably: from a state with everything that was committed when the call began. A
-// replica on this member is asked first, then the others.
+// replica on this member is asked first, then the others. The result is JSON. It may be called from any
+// goroutine.
 func (h *Host) Read(ctx context.Context, group string, query []byte) (json.RawMessage, error) {
 	if g := h.group(group); g != nil {
 		// A ReadIndex message to the leader may get lost.
@@ -35,12 +36,14 @@
 }
 
 // callAnyMember sends a request to one member after the other until one answers it: to the leader as last
-// hinted, else to the next candidate. A member is asked again only where another one names it as leader.
+// hinted, else to the next candidate. A member is asked again only where another one names it as leader. A
+// proposal goes to no further member once its outcome is unknown, as it might be applied twice.
 func (h *Host) callAnyMember(ctx context.Context, req request) (json.RawMessage, error) {
 	lastErr := ErrNotLeader
 	candidates := h.candidates(req.Group)
 	attempted := map[string]bool{}
-	for attempt := 0; attempt < 2*len(candidates)+2 && ctx.Err() == nil; attempt++ {
+	maxAttempts := 2*len(candidates) + 2 // members may go on naming each other
+	for attempt := 0; attempt < maxAttempts && ctx.Err() == nil; attempt++ {
 		name := nextCandidate(h.leaderHint(req.Group), candidates, attempted)
 		if name == "" {
 			return nil, lastErr
@@ -99,19 +102,19 @@
 	replicaHere := h.groups[group] != nil
 	h.mu.Unlock()
 	members := make([]placement.Member, 0, len(live))
-	for _, p := range live {
-		members = append(members, p.Member)
+	for _, peer := range live {
+		members = append(members, peer.Member)
 	}
-	var out []string
+	var names []string
 	if replicaHere {
-		out = append(out, h.opts.Name)
+		names = append(names, h.opts.Name)
 	}
-	for _, m := range placement.Choose(group, members, nil, len(members)) {
-		if !slices.Contains(out, m.Name) {
-			out = append(out, m.Name)
+	for _, member := range placement.Choose(group, members, nil, len(members)) {
+		if !slices.Contains(names, member.Name) {
+			names = append(names, member.Name)
 		}
 	}
-	return out
+	return names
 }
 
 // leaderHint is the member that last led a group as far as this one knows; "" if it doesn't.
@@ -152,7 +155,7 @@
 func (h *Host) addressOf(name string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if i := slices.IndexFunc(h.peers, func(p Peer) bool { return p.Name == name }); i >= 0 {
+	if i := slices.IndexFunc(h.peers, func(peer Peer) bool { return peer.Name == name }); i >= 0 {
 		return h.peers[i].Address
 	}
 	return ""
--- a/internal/cluster/raftgroup/doc.go
+++ b/internal/cluster/raftgroup/doc.go
@@ -13,7 +13,7 @@
 // (reconfigure.go); a removed replica deletes its data (run), also where it was unreachable while it was
 // removed (roster.go).
 //
-// Life of a command: Propose sends it to the leader (client.go, network.go, inbound.go); the leader's group
+// Life of a command: Propose sends it to the leader (client.go, rpc.go, inbound.go); the leader's group
 // proposes it to raft (calls.go); a Ready of raft's is stored, its messages are sent (ready.go, store.go,
 // sender.go) and its committed entries applied (apply.go); the result goes to the proposer. Read asks any
 // replica for a linearizable read by ReadIndex.
--- a/internal/cluster/raftgroup/group.go
+++ b/internal/cluster/raftgroup/group.go
@@ -43,59 +43,73 @@
 const minVoters = 3
 
 const (
-	maxInboxMessages   = 4096
-	maxPendingCalls    = 1024
-	maxInflightMsgs    = 256
-	maxSizePerMsg      = 1 << 20
+	// maxInboxMessages bounds the inbound Raft messages that wait for the group's goroutine.
+	maxInboxMessages = 4096
+	// maxInflightMsgs bounds the log messages sent to a follower and not acknowledged, maxSizePerMsg the bytes
+	// of entries in one of them.
+	maxInflightMsgs = 256
+	maxSizePerMsg   = 1 << 20
+	// maxUncommittedSize is the bytes of entries proposed and not committed beyond which a leader rejects
+	// proposals, with ErrBusy.
 	maxUncommittedSize = 16 << 20
-	// snapshotCatchUpEntries is how many log entries are kept before a snapshot, for followers that are only
-	// slow.
-	snapshotCatchUpEntries = 1000
-	minDiskBackoff         = 100 * time.Millisecond
-	maxDiskBackoff         = time.Second
-	slowSync               = 100 * time.Millisecond // longer ones are counted
+	// minPlacementInterval is the least time between two looks at the group's placement.
+	minPlacementInterval = 50 * time.Millisecond
 )
 
 // group is one group's replica on this member: a raft.RawNode with the I/O around it, run by one goroutine.
 // Other goroutines reach it through inbox and tasks.
+//
+// Its states: startGroup restores it from the store and starts run. It then runs, as raft's leader,
+// candidate, follower or learner; while the disk takes no writes (diskErr) run retries and rejects calls. It
+// ends, for good, in one of three ways: stopped by Host.Close; removed from its group (removed), with its
+// data deleted; or stopped by a panic, where its disk and the group's log contradict each other. done is
+// closed then, and calls return ErrStopped.
+//
+// Its invariants:
+//
+//   - What a Ready has to have on disk is there before its messages go out and its entries are applied.
+//   - Every entry up to appliedIndex was applied, once and in order, and none above; confState, memberNames
+//     and the state machine are those at appliedIndex.
+//   - A channel in proposals or pendingReads gets one outcome at most, for which it has room, and is deleted
+//     with it: the group's goroutine never waits for a caller.
 type group struct {
 	name         string
 	host         *Host
 	log          *slog.Logger
 	stateMachine StateMachine
 
-	inbox chan *raftpb.Message
-	tasks chan func()
-	stop  chan struct{}
-	done  chan struct{} // closed when run has returned
+	inbox chan *raftpb.Message // from other replicas, and the network's reports on messages to them (step)
+	tasks chan func()          // run by the group's goroutine, see enqueue
+	stop  chan struct{}        // closed by Host.Close
+	done  chan struct{}        // closed when run returns
 
 	// What follows belongs to the group's goroutine.
 	rawNode            *raft.RawNode
 	storage            *raft.MemoryStorage
-	confState          *raftpb.ConfState
-	memberNames        map[uint64]string // by replica ID, as learned from the group's membership changes
-	appliedIndex       uint64
-	snapshotIndex      uint64
+	confState          *raftpb.ConfState       // voters and learners
+	memberNames        map[uint64]string       // by replica ID, as learned from the group's membership changes
+	appliedIndex       uint64                  // of the last entry applied
+	snapshotIndex      uint64                  // of the last snapshot taken or installed
 	logBytes           int64                   // bytes of log since the snapshot
 	proposals          map[uint64]chan outcome // by request ID
 	pendingReads       map[uint64]pendingRead  // by request ID
-	lastRequestID      uint64
-	isLeader           bool
-	lead               uint64    // replica ID of the leader, raft.None where there is none
-	lastLeaderContact  time.Time // a message of a leader was last received
-	diskErr            error     // why the last write failed; nil while the disk works
-	confChangeProposed time.Time // of the membership change not applied yet; zero if there is none
-	removed            bool
+	lastRequestID      uint64                  // rises by one with each proposal and read
+	isLeader           bool                    // as of the last Ready
+	lead               uint64                  // replica ID of the leader, as of the last Ready; or raft.None
+	lastLeaderContact  time.Time               // when a message of a leader was last received
+	diskErr            error                   // why the last write failed; nil while the disk works
+	confChangeProposed time.Time               // of the membership change not applied yet; zero if there is none
+	removed            bool                    // this replica left the group; run ends
 	stats              GroupStats
 }
 
-// outcome is the result of a call on a group, or its error.
+// outcome is the result of a call on a group, or its error: one of the two is set.
 type outcome struct {
 	result any
 	err    error
 }
 
-// pendingRead is a query that waits for its read index to be confirmed and applied.
+// pendingRead is a query that waits for its read index to be confirmed by the leader, then to be applied.
 type pendingRead struct {
 	index uint64 // 0: not confirmed yet
 	query []byte
@@ -115,7 +129,8 @@
 }
 
 // startGroup starts a group's replica from what the store holds. With bootstrap, a group of which the store
-// holds nothing begins with this member as its only voter.
+// holds nothing begins with this member as its only voter. Errors name the store's file and the group. Called
+// with Host.mu held.
 func startGroup(h *Host, name string, bootstrap bool) (_ *group, err error) {
 	defer func() { // raft panics on stored data that contradicts itself
 		if p := recover(); p != nil {
@@ -125,35 +140,58 @@
 	if err := h.store.createGroup(name); err != nil {
 		return nil, err
 	}
-	storage, size, err := h.store.load(name)
+	storage, logBytes, err := h.store.load(name)
 	if err != nil {
 		return nil, err
 	}
-	g := &group{name: name, host: h, log: h.log.With("group", name),
-		stateMachine: h.opts.NewStateMachine(name), storage: storage,
-		inbox: make(chan *raftpb.Message, maxInboxMessages), tasks: make(chan func(), maxPendingCalls),
-		stop: make(chan struct{}), done: make(chan struct{}), memberNames: map[uint64]string{}, logBytes: size,
-		proposals: map[uint64]chan outcome{}, pendingReads: map[uint64]pendingRead{},
+	g := newGroup(h, name, storage, logBytes)
+	if err := g.restoreStored(bootstrap); err != nil {
+		return nil, err
+	}
+	if g.rawNode, err = raft.NewRawNode(g.raftConfig()); err != nil {
+		return nil, err
+	}
+	go g.run()
+	return g, nil
+}
+
+func newGroup(h *Host, name string, storage *raft.MemoryStorage, logBytes int64) *group {
+	return &group{
+		name:         name,
+		host:         h,
+		log:          h.log.With("group", name),
+		stateMachine: h.opts.NewStateMachine(name),
+		inbox:        make(chan *raftpb.Message, maxInboxMessages),
+		tasks:        make(chan func(), maxPendingCalls),
+		stop:         make(chan struct{}),
+		done:         make(chan struct{}),
+		storage:      storage,
+		logBytes:     logBytes,
+		memberNames:  map[uint64]string{},
+		proposals:    map[uint64]chan outcome{},
+		pendingReads: map[uint64]pendingRead{},
 		// Drawn, so that entries proposed before a restart don't match callers after it.
-		lastRequestID: rand.Uint64() >> 1}
-	snap, err := storage.Snapshot()
+		lastRequestID: rand.Uint64() >> 1,
+	}
+}
+
+// restoreStored restores the state from the stored snapshot, or bootstraps the group if there is none and
+// bootstrap is set. The log after the snapshot is applied later, as raft hands it out.
+func (g *group) restoreStored(bootstrap bool) error {
+	snap, err := g.storage.Snapshot()
 	if err != nil {
-		return nil, err
+		return err
 	}
 	if bootstrap && raft.IsEmptySnap(snap) {
 		if snap, err = g.saveInitialState(); err != nil {
-			return nil, err
+			return err
 		}
 	}
 	if err := g.restoreSnapshot(snap); err != nil {
-		return nil, fmt.Errorf("%s: group %s: %w", h.store.path, name, err)
+		return fmt.Errorf("%s: group %s: %w", g.host.store.path, g.name, err)
 	}
 	g.snapshotIndex = g.appliedIndex
-	if g.rawNode, err = raft.NewRawNode(g.raftConfig()); err != nil {
-		return nil, err
-	}
-	go g.run()
-	return g, nil
+	return nil
 }
 
 // saveInitialState stores the state that a group begins with: a snapshot at index 1 whose only voter is this
@@ -164,8 +202,14 @@
 	if err != nil {
 		return nil, err
 	}
-	snap := &raftpb.Snapshot{Data: raw, Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1),
-		Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{id}}}}
+	snap := &raftpb.Snapshot{
+		Data: raw,
+		Metadata: &raftpb.SnapshotMetadata{
+			Index:     proto.Uint64(1),
+			Term:      proto.Uint64(1),
+			ConfState: &raftpb.ConfState{Voters: []uint64{id}},
+		},
+	}
 	hardState := &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
 	if _, err := g.host.store.save(g.name, &raft.Ready{Snapshot: snap, HardState: hardState}); err != nil {
 		return nil, err
@@ -176,13 +220,16 @@
 	return snap, g.storage.SetHardState(hardState)
 }
 
+// raftConfig has raft check for a quorum as leader and ask before an election (PreVote), so that a replica
+// that was cut off does not depose a leader that works. Proposals are not forwarded to the leader, as their
+// outcome would not come back.
 func (g *group) raftConfig() *raft.Config {
-	o := &g.host.opts
+	opts := &g.host.opts
 	return &raft.Config{
 		ID:                        g.host.store.id,
-		ElectionTick:              max(2, int(o.ElectionTimeout/o.HeartbeatInterval)),
+		ElectionTick:              max(2, int(opts.ElectionTimeout/opts.HeartbeatInterval)),
 		HeartbeatTick:             1,
-		Storage:                   onDemandSnapshots{g.storage, g},
+		Storage:                   onDemandSnapshots{MemoryStorage: g.storage, group: g},
 		Applied:                   g.appliedIndex,
 		MaxSizePerMsg:             maxSizePerMsg,
 		MaxInflightMsgs:           maxInflightMsgs,
@@ -207,8 +254,8 @@
 	}()
 	tick := time.NewTicker(g.host.opts.HeartbeatInterval)
 	defer tick.Stop()
-	placement := time.NewTicker(max(2*g.host.opts.HeartbeatInterval, 50*time.Millisecond))
-	defer placement.Stop()
+	placementTick := time.NewTicker(max(2*g.host.opts.HeartbeatInterval, minPlacementInterval))
+	defer placementTick.Stop()
 	for !g.removed {
 		select {
 		case <-g.stop:
@@ -216,18 +263,23 @@
 			return
 		case <-tick.C:
 			g.rawNode.Tick()
-		case <-placement.C:
+		case <-placementTick.C:
 			g.reconcilePlacement()
-		case m := <-g.inbox:
-			g.step(m)
-		case f := <-g.tasks:
-			f()
+		case msg := <-g.inbox:
+			g.step(msg)
+		case task := <-g.tasks:
+			task()
 		}
 		g.processQueued()
 		if !g.handleReady() {
 			return
 		}
 	}
+	g.deleteRemoved()
+}
+
+// deleteRemoved deletes the data of a replica that was removed from its group, and has the Host forget it.
+func (g *group) deleteRemoved() {
 	g.log.Info("ledger: replica removed from its group")
 	if err := g.host.store.clearGroup(g.name); err != nil {
 		g.log.Warn("ledger: data of a removed replica not deleted", "err", err)
@@ -235,47 +287,48 @@
 	g.host.removeReplica(g)
 }
 
-// saveHardState stores the commit index, which is not synced as it rises, when the group stops.
+// saveHardState stores the commit index, which is not stored as it rises, when the group stops.
 func (g *group) saveHardState() {
 	if g.diskErr != nil {
 		return
 	}
-	st := g.rawNode.BasicStatus()
+	status := g.rawNode.BasicStatus()
 	// A restart learns the commit index from the leader where this fails.
-	_, _ = g.host.store.save(g.name, &raft.Ready{HardState: st.HardState})
+	_, _ = g.host.store.save(g.name, &raft.Ready{HardState: status.HardState})
 }
 
 // processQueued takes the messages and tasks that are queued already, so that one sync serves them all.
 func (g *group) processQueued() {
 	for range maxInboxMessages {
 		select {
-		case m := <-g.inbox:
-			g.step(m)
-		case f := <-g.tasks:
-			f()
+		case msg := <-g.inbox:
+			g.step(msg)
+		case task := <-g.tasks:
+			task()
 		default:
 			return
 		}
 	}
 }
 
-// step hands raft a message of another replica, or a report of the network's on one that it sent.
-func (g *group) step(m *raftpb.Message) {
-	switch m.GetType() {
+// step hands raft a message of another replica, or a report of the network's on one to another replica
+// (Host.reportUndelivered, Host.reportSnapshotFinish), which raft takes by other methods.
+func (g *group) step(msg *raftpb.Message) {
+	switch msg.GetType() {
 	case raftpb.MsgSnapStatus:
 		status := raft.SnapshotFinish
-		if m.GetReject() {
+		if msg.GetReject() {
 			status = raft.SnapshotFailure
 		}
-		g.rawNode.ReportSnapshot(m.GetFrom(), status)
+		g.rawNode.ReportSnapshot(msg.GetFrom(), status)
 		return
 	case raftpb.MsgUnreachable:
-		g.rawNode.ReportUnreachable(m.GetFrom())
+		g.rawNode.ReportUnreachable(msg.GetFrom())
 		return
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		g.lastLeaderContact = time.Now()
 	}
-	if err := g.rawNode.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) {
-		g.log.Debug("ledger: raft message ignored", "type", m.GetType().String(), "err", err)
+	if err := g.rawNode.Step(msg); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) {
+		g.log.Debug("ledger: raft message ignored", "type", msg.GetType().String(), "err", err)
 	}
 }
--- a/internal/cluster/raftgroup/handler.go
+++ b/internal/cluster/raftgroup/handler.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// handleRequest answers a request of a member, which may be this one.
+// handleRequest answers a request of a member, which may be this one, before ctx ends. Errors are in the
+// response. It may be called from any goroutine.
 func (h *Host) handleRequest(ctx context.Context, req request) response {
 	if req.Kind == kindVote {
 		if err := h.handleBootstrapVote(req); err != nil {
@@ -39,6 +40,7 @@
 	return response{Result: raw}
 }
 
+// handle answers a request that the group's goroutine has a part in.
 func (g *group) handle(ctx context.Context, req request) (any, error) {
 	switch req.Kind {
 	case kindPropose:
@@ -55,10 +57,13 @@
 func (h *Host) isMember(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return name == h.opts.Name || slices.ContainsFunc(h.peers, func(p Peer) bool { return p.Name == name })
+	return name == h.opts.Name || slices.ContainsFunc(h.peers, func(peer Peer) bool { return peer.Name == name })
 }
 
-// leader is the member that this replica takes for the leader; "" if it knows none.
+// leaderTimeout bounds how long a group's goroutine is waited for to name the leader.
+const leaderTimeout = time.Second
+
+// leader is the member that this replica takes for the leader; "" if it knows none or doesn't answer in time.
 func (g *group) leader() string {
 	out := make(chan string, 1)
 	if g.enqueue(func() { out <- g.memberNames[g.rawNode.BasicStatus().Lead] }) != nil {
@@ -68,7 +73,7 @@
 	case name := <-out:
 		return name
 	case <-g.done:
-	case <-time.After(time.Second):
+	case <-time.After(leaderTimeout):
 	}
 	return ""
 }
--- a/internal/cluster/raftgroup/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -21,26 +21,30 @@
 	Address string // where its Host listens; "" if it has none
 }
 
-// Host runs this member's replicas of all groups, with their common store and connections.
+// Host runs this member's replicas of all groups, with their common store and connections. Open, Run and
+// Close are called once each, in this order; Close may follow Open at once. Between Run and Close its methods
+// may be called from any goroutine, after Close they return errors such as ErrStopped and ErrNotLeader.
 type Host struct {
 	opts  Options
 	log   *slog.Logger
 	store *store
 	net   *network
 
+	// mu is never held while a group, the network or the view is called, but by openReplica, which starts a
+	// group.
 	mu          sync.Mutex
-	groups      map[string]*group
-	view        func() []Peer
+	groups      map[string]*group    // open replicas, by group
+	view        func() []Peer        // nil before Run
 	peers       []Peer               // the view, as last looked at
-	absentSince map[string]time.Time // members of replicas that are not in the view, by name
-	leaderHints map[string]string    // member that last led a group, as far as known
+	absentSince map[string]time.Time // when members of replicas were first missing in the view, by name
+	leaderHints map[string]string    // member that last led a group, as far as known, by group
 
-	stop chan struct{}
-	done sync.WaitGroup
-	once sync.Once // of Close
+	stop       chan struct{}  // closed by Close, with mu held, so that no replica is opened after it
+	goroutines sync.WaitGroup // loop and accept
+	once       sync.Once      // of Close
 }
 
-// Open opens the store and listens; Run must follow. Errors name the setting or the file.
+// Open opens the store and listens; Run follows, or Close. Errors name the setting or the file.
 func Open(o Options) (*Host, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -69,7 +73,8 @@
 }
 
 // Run opens the replicas in the store and takes part in the groups, in goroutines that Close ends. It calls
-// view for the fleet's members, ten times a second.
+// view for the fleet's members, ten times a second and never twice at once; view must not block. An error
+// names the file and says that a replica in it can't be opened; Close has to follow.
 func (h *Host) Run(view func() []Peer) error {
 	h.mu.Lock()
 	h.view = view
@@ -80,9 +85,8 @@
 			return fmt.Errorf("ledger.data: %w", err)
 		}
 	}
-	h.done.Add(2)
-	go h.loop()
-	go func() { defer h.done.Done(); h.net.accept() }()
+	h.goroutines.Go(h.loop)
+	h.goroutines.Go(h.net.accept)
 	h.log.Info("ledger: listening", "ledger", h.Address(), "disk", formatDiskID(h.store.id))
 	return nil
 }
@@ -140,9 +144,10 @@
 	return h.groups[name]
 }
 
-// loop follows the view, bootstraps missing groups and removes strays until Close.
+// loop follows the view, bootstraps missing groups and removes stale replicas until Close. It waits for other
+// members meanwhile, each time up to ElectionTimeout, in which it does not follow the view. When it next
+// looks for missing groups and stale replicas is drawn, so that members don't do so at once.
 func (h *Host) loop() {
-	defer h.done.Done()
 	refresh := time.NewTicker(viewInterval)
 	defer refresh.Stop()
 	bootstrap := time.NewTimer(h.opts.ElectionTimeout)
@@ -157,7 +162,7 @@
 			for _, name := range h.opts.Groups {
 				h.bootstrap(name)
 			}
-			h.removeStrays()
+			h.removeStaleReplicas()
 			bootstrap.Reset(h.opts.ElectionTimeout/2 + rand.N(h.opts.ElectionTimeout))
 		}
 	}
@@ -176,47 +181,53 @@
 func (h *Host) placementMembers(g placement.Group) []placement.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []placement.Member
+	var members []placement.Member
 	inView := map[string]bool{}
-	for _, p := range h.peers {
-		out = append(out, p.Member)
-		inView[p.Name] = true
-		delete(h.absentSince, p.Name)
+	for _, peer := range h.peers {
+		members = append(members, peer.Member)
+		inView[peer.Name] = true
+		delete(h.absentSince, peer.Name)
 	}
-	for _, r := range g.Replicas {
-		if r.Name == "" || inView[r.Name] {
+	for _, replica := range g.Replicas {
+		if replica.Name == "" || inView[replica.Name] {
 			continue
 		}
-		since, ok := h.absentSince[r.Name]
+		since, ok := h.absentSince[replica.Name]
 		if !ok {
 			since = time.Now()
-			h.absentSince[r.Name] = since
+			h.absentSince[replica.Name] = since
 		}
-		out = append(out, placement.Member{Name: r.Name, ReplicaID: r.ID,
+		members = append(members, placement.Member{Name: replica.Name, ReplicaID: replica.ID,
 			Gone: time.Since(since) >= h.opts.GoneAfter})
 	}
-	return out
+	return members
 }
 
-// Close hands leadership over, stops the replicas and connections, and closes the store.
+// Close transfers leadership, stops the replicas and connections, and closes the store. It waits up to four
+// election timeouts for each group that this member leads. Further calls do nothing and return nil.
 func (h *Host) Close() error {
 	var err error
 	h.once.Do(func() {
-		h.mu.Lock()
-		groups := make([]*group, 0, len(h.groups))
-		for _, g := range h.groups {
-			groups = append(groups, g)
-		}
-		close(h.stop)
-		h.mu.Unlock()
-		for _, g := range groups {
-			g.handOverLeadership(2 * h.opts.ElectionTimeout)
+		for _, g := range h.stopOpening() {
+			g.transferLeadership(2 * h.opts.ElectionTimeout)
 			close(g.stop)
 			<-g.done
 		}
 		h.net.close()
-		h.done.Wait()
+		h.goroutines.Wait()
 		err = h.store.close()
 	})
 	return err
 }
+
+// stopOpening ends the loop, has no more replicas opened, and returns those that are open.
+func (h *Host) stopOpening() []*group {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	groups := make([]*group, 0, len(h.groups))
+	for _, g := range h.groups {
+		groups = append(groups, g)
+	}
+	close(h.stop)
+	return groups
+}
--- a/internal/cluster/raftgroup/host_test.go
+++ b/internal/cluster/raftgroup/host_test.go
@@ -46,52 +46,52 @@
 
 func newTestCluster(t *testing.T, names ...string) *testCluster {
 	t.Helper()
-	f := &testCluster{t: t, hosts: map[string]*Host{}, dirs: map[string]string{}, down: map[string]bool{}}
+	cluster := &testCluster{t: t, hosts: map[string]*Host{}, dirs: map[string]string{}, down: map[string]bool{}}
 	t.Cleanup(func() {
-		for _, h := range f.hosts {
+		for _, h := range cluster.hosts {
 			h.Close()
 		}
 	})
 	for _, name := range names {
-		f.dirs[name] = t.TempDir()
-		f.start(name)
+		cluster.dirs[name] = t.TempDir()
+		cluster.start(name)
 	}
-	return f
+	return cluster
 }
 
-func (f *testCluster) start(name string) *Host {
-	f.t.Helper()
-	h, err := Open(Options{Name: name, Bind: "127.0.0.1:0", Dir: f.dirs[name], Label: "test", Replicas: 3,
+func (cluster *testCluster) start(name string) *Host {
+	cluster.t.Helper()
+	h, err := Open(Options{Name: name, Bind: "127.0.0.1:0", Dir: cluster.dirs[name], Label: "test", Replicas: 3,
 		BootstrapExpect: 3, MaxLearnerLag: 20, HeartbeatInterval: 20 * time.Millisecond,
 		ElectionTimeout: 200 * time.Millisecond, GoneAfter: time.Hour, SnapshotEntries: 50,
 		SnapshotBytes: 1 << 20, Groups: []string{"g"},
 		NewStateMachine: func(string) StateMachine { return &adder{} }, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
-		f.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	f.mu.Lock()
-	f.hosts[name] = h
-	delete(f.down, name)
-	f.mu.Unlock()
-	if err := h.Run(f.view); err != nil {
-		f.t.Fatal(err)
+	cluster.mu.Lock()
+	cluster.hosts[name] = h
+	delete(cluster.down, name)
+	cluster.mu.Unlock()
+	if err := h.Run(cluster.view); err != nil {
+		cluster.t.Fatal(err)
 	}
 	return h
 }
 
-func (f *testCluster) stop(name string, gone bool) {
-	f.mu.Lock()
-	h := f.hosts[name]
-	f.down[name] = gone
-	f.mu.Unlock()
+func (cluster *testCluster) stop(name string, gone bool) {
+	cluster.mu.Lock()
+	h := cluster.hosts[name]
+	cluster.down[name] = gone
+	cluster.mu.Unlock()
 	h.Close()
 }
 
-func (f *testCluster) view() []Peer {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (cluster *testCluster) view() []Peer {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
 	var out []Peer
-	for name, h := range f.hosts {
+	for name, h := range cluster.hosts {
 		closed := false
 		select {
 		case <-h.stop:
@@ -99,7 +99,7 @@
 		default:
 		}
 		out = append(out, Peer{Address: h.Address(), Member: placement.Member{Name: name, ReplicaID: h.ID(),
-			Live: !closed, Gone: f.down[name]}})
+			Live: !closed, Gone: cluster.down[name]}})
 	}
 	return out
 }
@@ -113,10 +113,10 @@
 
 // add proposes until it succeeds, and returns how often the outcome was unknown: what is proposed again after
 // that may count twice.
-func (f *testCluster) add(h *Host, x int) (unknown int) {
-	f.t.Helper()
+func (cluster *testCluster) add(h *Host, x int) (unknown int) {
+	cluster.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		_, err := h.Propose(timeoutContext(f.t), "g", []byte(strconv.Itoa(x)))
+		_, err := h.Propose(timeoutContext(cluster.t), "g", []byte(strconv.Itoa(x)))
 		if err == nil {
 			return unknown
 		}
@@ -124,41 +124,41 @@
 			unknown++
 		}
 	}
-	f.t.Fatal("never proposed")
+	cluster.t.Fatal("never proposed")
 	return 0
 }
 
-func (f *testCluster) read(h *Host) int64 {
-	f.t.Helper()
+func (cluster *testCluster) read(h *Host) int64 {
+	cluster.t.Helper()
 	var err error
 	for range 200 {
 		var raw json.RawMessage
-		if raw, err = h.Read(timeoutContext(f.t), "g", nil); err == nil {
+		if raw, err = h.Read(timeoutContext(cluster.t), "g", nil); err == nil {
 			var n int64
 			json.Unmarshal(raw, &n)
 			return n
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Fatalf("never read: %v", err)
+	cluster.t.Fatalf("never read: %v", err)
 	return 0
 }
 
 // What is proposed at any member is read at any member, through snapshots, a restart and a replacement.
 func TestProposalsSurviveRestartAndReplacement(t *testing.T) {
-	f := newTestCluster(t, "a", "b", "c", "d")
+	cluster := newTestCluster(t, "a", "b", "c", "d")
 	want := int64(0)
 	for i := range 120 { // over two snapshots
-		f.add(f.hosts[[]string{"a", "b", "c", "d"}[i%4]], i)
+		cluster.add(cluster.hosts[[]string{"a", "b", "c", "d"}[i%4]], i)
 		want += int64(i)
 	}
-	for name, h := range f.hosts {
-		if got := f.read(h); got != want {
+	for name, h := range cluster.hosts {
+		if got := cluster.read(h); got != want {
 			t.Errorf("%s reads %d, not %d", name, got, want)
 		}
 	}
 	var replicas []string
-	for name, h := range f.hosts {
+	for name, h := range cluster.hosts {
 		if h.Status("g").Role != "none" {
 			replicas = append(replicas, name)
 		}
@@ -166,16 +166,16 @@
 	if len(replicas) != 3 {
 		t.Fatalf("replicas at %v", replicas)
 	}
-	f.stop(replicas[0], false) // restarts with its disk
-	f.add(f.hosts[replicas[1]], 1000)
-	h := f.start(replicas[0])
-	if got := f.read(h); got != want+1000 {
+	cluster.stop(replicas[0], false) // restarts with its disk
+	cluster.add(cluster.hosts[replicas[1]], 1000)
+	h := cluster.start(replicas[0])
+	if got := cluster.read(h); got != want+1000 {
 		t.Errorf("after a restart %s reads %d, not %d", replicas[0], got, want+1000)
 	}
-	f.stop(replicas[1], true) // gone for good
+	cluster.stop(replicas[1], true) // gone for good
 	for range 500 {
 		n := 0
-		for name, h := range f.hosts {
+		for name, h := range cluster.hosts {
 			if name != replicas[1] && h.Status("g").Role != "none" {
 				n++
 			}
@@ -185,8 +185,8 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	for name, h := range f.hosts {
-		if name != replicas[1] && f.read(h) != want+1000 {
+	for name, h := range cluster.hosts {
+		if name != replicas[1] && cluster.read(h) != want+1000 {
 			t.Errorf("%s lost something after the replacement", name)
 		}
 	}
@@ -195,42 +195,42 @@
 // A group accepts no proposals without three voters, and is not bootstrapped again by a member that lost its
 // disk.
 func TestGroupIsBootstrappedOnce(t *testing.T) {
-	f := newTestCluster(t, "a", "b")
+	cluster := newTestCluster(t, "a", "b")
 	time.Sleep(time.Second)
-	if _, err := f.hosts["a"].Propose(timeoutContext(t), "g", []byte("1")); err == nil {
+	if _, err := cluster.hosts["a"].Propose(timeoutContext(t), "g", []byte("1")); err == nil {
 		t.Error("two members accepted a proposal")
 	}
-	f.dirs["c"] = t.TempDir()
-	f.start("c")
-	f.add(f.hosts["a"], 7)
-	bootstrapper := firstRanked("g", livePeers(f.view()))
+	cluster.dirs["c"] = t.TempDir()
+	cluster.start("c")
+	cluster.add(cluster.hosts["a"], 7)
+	bootstrapper := firstRanked("g", livePeers(cluster.view()))
 	others := []string{}
-	for name := range f.hosts {
-		f.stop(name, false)
+	for name := range cluster.hosts {
+		cluster.stop(name, false)
 		if name != bootstrapper {
 			others = append(others, name)
 		}
 	}
-	if err := os.RemoveAll(f.dirs[bootstrapper]); err != nil {
+	if err := os.RemoveAll(cluster.dirs[bootstrapper]); err != nil {
 		t.Fatal(err)
 	}
-	h := f.start(bootstrapper)
+	h := cluster.start(bootstrapper)
 	time.Sleep(time.Second)
 	if st := h.Status("g"); st.Role != "none" {
 		t.Errorf("the bootstrapper bootstrapped again without its disk: %+v", st)
 	}
 	for _, name := range others {
-		f.start(name)
+		cluster.start(name)
 	}
-	if got := f.read(h); got != 7 {
+	if got := cluster.read(h); got != 7 {
 		t.Errorf("read %d after the bootstrapper lost its disk", got)
 	}
 }
 
 func TestMalformedFramesAreRejected(t *testing.T) {
-	f := newTestCluster(t, "a", "b", "c")
-	f.add(f.hosts["a"], 1)
-	h := f.hosts["b"]
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.add(cluster.hosts["a"], 1)
+	h := cluster.hosts["b"]
 	frame := func(kind byte, body string) []byte {
 		out := []byte{0, 0, byte((len(body) + 1) >> 8), byte(len(body) + 1), kind}
 		return append(out, body...)
@@ -271,12 +271,12 @@
 	}
 	h.deliver("none", &raftpb.Message{})
 	h.deliver("g", &raftpb.Message{}) // to no disk
-	if got := f.read(h); got != 1 {
+	if got := cluster.read(h); got != 1 {
 		t.Errorf("reads %d", got)
 	}
 }
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestOptionsCheckNamesTheWrongSetting(t *testing.T) {
 	good := Options{Dir: "x", Replicas: 3, BootstrapExpect: 3, MaxLearnerLag: 1, HeartbeatInterval: 1,
 		ElectionTimeout: 2, SnapshotEntries: 1, SnapshotBytes: 1}
 	if err := good.Check(); err != nil {
--- a/internal/cluster/raftgroup/reconfigure.go
+++ b/internal/cluster/raftgroup/reconfigure.go
@@ -19,24 +19,32 @@
 	placement.Remove:     raftpb.ConfChangeRemoveNode,
 }
 
+// confChangeTimeouts is after how many election timeouts a membership change that was not applied counts as
+// lost.
+const confChangeTimeouts = 10
+
+// handoverPollInterval is how often a leader that transfers its leadership looks whether it still has it.
+const handoverPollInterval = 10 * time.Millisecond
+
 // reconcilePlacement proposes, on the leader, the next membership change that package placement wants. One is
-// under way at a time; a proposal that was lost is made again after ten election timeouts.
+// under way at a time; a proposal that was lost is made again. Called by the group's goroutine.
 func (g *group) reconcilePlacement() {
-	st := g.rawNode.Status()
-	if st.RaftState != raft.StateLeader || g.host.view == nil {
+	status := g.rawNode.Status()
+	if status.RaftState != raft.StateLeader || g.host.view == nil {
 		return
 	}
-	if !g.confChangeProposed.IsZero() && time.Since(g.confChangeProposed) < 10*g.host.opts.ElectionTimeout {
+	retryAfter := confChangeTimeouts * g.host.opts.ElectionTimeout
+	if !g.confChangeProposed.IsZero() && time.Since(g.confChangeProposed) < retryAfter {
 		return
 	}
-	current := g.placementGroup(&st)
+	current := g.placementGroup(&status)
 	change := placement.Next(current, g.host.placementMembers(current), placement.Settings{
 		Replicas: g.host.opts.Replicas, MaxLearnerLag: uint64(g.host.opts.MaxLearnerLag)})
 	if change.Kind == placement.None {
 		return
 	}
 	if change.Kind == placement.Remove && change.ID == g.host.store.id {
-		g.transferLeadership() // the next leader removes this replica
+		g.startLeaderTransfer() // the next leader removes this replica
 		return
 	}
 	g.log.Info("ledger: proposing a membership change", "change", change.Kind.String(), "member", change.Name,
@@ -51,31 +59,32 @@
 }
 
 // placementGroup is the group as package placement reads it.
-func (g *group) placementGroup(st *raft.Status) placement.Group {
+func (g *group) placementGroup(status *raft.Status) placement.Group {
 	last, _ := g.storage.LastIndex() // never fails in memory
-	out := placement.Group{Name: g.name, Leader: g.host.store.id, LastIndex: last}
-	for id, p := range st.Progress {
-		out.Replicas = append(out.Replicas, placement.Replica{ID: id, Name: g.memberNames[id],
-			Learner: p.IsLearner, Match: p.Match})
+	current := placement.Group{Name: g.name, Leader: g.host.store.id, LastIndex: last}
+	for id, progress := range status.Progress {
+		current.Replicas = append(current.Replicas, placement.Replica{ID: id, Name: g.memberNames[id],
+			Learner: progress.IsLearner, Match: progress.Match})
 	}
 	// An order that does not depend on the map's.
-	slices.SortFunc(out.Replicas, func(a, b placement.Replica) int {
+	slices.SortFunc(current.Replicas, func(a, b placement.Replica) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID))
 	})
-	return out
+	return current
 }
 
-// transferLeadership hands leadership to the live voter whose log is the longest; false if this replica
-// does not lead or there is no such voter.
-func (g *group) transferLeadership() bool {
-	st := g.rawNode.Status()
-	if st.RaftState != raft.StateLeader {
+// startLeaderTransfer has raft transfer leadership to the live voter whose log is the longest. It returns
+// false if this replica does not lead or there is no such voter. Called by the group's goroutine.
+func (g *group) startLeaderTransfer() bool {
+	status := g.rawNode.Status()
+	if status.RaftState != raft.StateLeader {
 		return false
 	}
 	best, bestMatch := raft.None, uint64(0)
-	for id, p := range st.Progress {
-		if id != g.host.store.id && !p.IsLearner && p.RecentActive && p.Match >= bestMatch {
-			best, bestMatch = id, p.Match
+	for id, progress := range status.Progress {
+		eligible := id != g.host.store.id && !progress.IsLearner && progress.RecentActive
+		if eligible && progress.Match >= bestMatch {
+			best, bestMatch = id, progress.Match
 		}
 	}
 	if best != raft.None {
@@ -84,11 +93,11 @@
 	return best != raft.None
 }
 
-// handOverLeadership transfers leadership, where this replica has it, and waits until it has not, for no
-// longer than timeout.
-func (g *group) handOverLeadership(timeout time.Duration) {
+// transferLeadership transfers leadership, where this replica has it, and waits until it has not, for about
+// twice timeout at most. It may be called from any goroutine but the group's.
+func (g *group) transferLeadership(timeout time.Duration) {
 	started := make(chan bool, 1)
-	if g.enqueue(func() { started <- g.diskErr == nil && g.transferLeadership() }) != nil {
+	if g.enqueue(func() { started <- g.diskErr == nil && g.startLeaderTransfer() }) != nil {
 		return
 	}
 	select {
@@ -101,19 +110,23 @@
 			return
 		}
 	}
-	const pollInterval = 10 * time.Millisecond
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
-		leads := make(chan bool, 1)
-		if g.enqueue(func() { leads <- g.isLeader }) != nil {
-			return
-		}
-		select {
-		case isLeader := <-leads:
-			if !isLeader {
-				return
-			}
-		case <-g.done:
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(handoverPollInterval) {
+		if !g.leads() {
 			return
 		}
 	}
 }
+
+// leads reports whether this replica leads its group; false once the group has stopped or is too busy to say.
+func (g *group) leads() bool {
+	answer := make(chan bool, 1)
+	if g.enqueue(func() { answer <- g.isLeader }) != nil {
+		return false
+	}
+	select {
+	case isLeader := <-answer:
+		return isLeader
+	case <-g.done:
+		return false
+	}
+}
--- a/internal/cluster/raftgroup/snapshot.go
+++ b/internal/cluster/raftgroup/snapshot.go
@@ -9,6 +9,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
+// snapshotCatchUpEntries is how many log entries are kept before a snapshot, for followers that are only
+// slow.
+const snapshotCatchUpEntries = 1000
+
 // snapshotState is a snapshot's data, in msgpack.
 type snapshotState struct {
 	MemberNames  map[uint64]string `codec:"Names"` // by replica ID
@@ -22,14 +26,14 @@
 // snapshot that does not list it.
 type onDemandSnapshots struct {
 	*raft.MemoryStorage
-	g *group
+	group *group
 }
 
 // Snapshot is called by raft in the group's goroutine.
 func (s onDemandSnapshots) Snapshot() (*raftpb.Snapshot, error) {
-	snap, err := s.g.createSnapshot()
+	snap, err := s.group.createSnapshot()
 	if err != nil {
-		s.g.log.Warn("ledger: snapshot for a follower failed", "err", err)
+		s.group.log.Warn("ledger: snapshot for a follower failed", "err", err)
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
 	return snap, nil
@@ -48,10 +52,11 @@
 	return snap, err
 }
 
+// encodeState encodes the state machine's state, with the members of the replicas, as a snapshot's data.
 func (g *group) encodeState(names map[uint64]string) ([]byte, error) {
-	var b []byte
-	err := codec.NewEncoderBytes(&b, stateCodec).Encode(snapshotState{names, g.stateMachine.Snapshot()})
-	return b, err
+	var raw []byte
+	err := codec.NewEncoderBytes(&raw, stateCodec).Encode(snapshotState{names, g.stateMachine.Snapshot()})
+	return raw, err
 }
 
 // restoreSnapshot replaces the group's state by a snapshot's.
@@ -76,40 +81,40 @@
 }
 
 // maybeCompact takes a snapshot and drops log before it where the log has grown by SnapshotEntries or
-// SnapshotBytes since the last.
+// SnapshotBytes since the last. Called by the group's goroutine between two Readies.
 func (g *group) maybeCompact() {
-	o := &g.host.opts
-	due := g.appliedIndex-g.snapshotIndex >= uint64(o.SnapshotEntries) || g.logBytes >= o.SnapshotBytes
+	opts := &g.host.opts
+	due := g.appliedIndex-g.snapshotIndex >= uint64(opts.SnapshotEntries) || g.logBytes >= opts.SnapshotBytes
 	if !due || g.appliedIndex == g.snapshotIndex {
 		return
 	}
-	firstKept := g.firstKeptIndex()
+	firstIndex := g.firstIndexAfterCompaction()
 	snap, err := g.createSnapshot()
 	if err == nil {
-		err = g.host.store.compact(g.name, snap, firstKept)
+		err = g.host.store.compact(g.name, snap, firstIndex)
 	}
 	if err != nil {
 		g.log.Warn("ledger: snapshot failed", "err", err)
-		g.logBytes = o.SnapshotBytes / 2 // attempted again later, not at once
+		g.logBytes = opts.SnapshotBytes / 2 // attempted again later, not at once
 		return
 	}
-	if first, _ := g.storage.FirstIndex(); firstKept > first {
-		_ = g.storage.Compact(firstKept - 1) // fails where compacted further already
+	if current, _ := g.storage.FirstIndex(); firstIndex > current {
+		_ = g.storage.Compact(firstIndex - 1) // fails where compacted further already
 	}
 	g.stats.Snapshots++
 	g.snapshotIndex, g.logBytes = g.appliedIndex, 0
 	g.log.Info("ledger: snapshot taken", "index", g.appliedIndex, "bytes", len(snap.GetData()))
 }
 
-// firstKeptIndex is the first log entry to keep before a snapshot of the present state. Fewer are kept where
-// entries are large, so that they don't fill the disk.
-func (g *group) firstKeptIndex() uint64 {
-	kept := uint64(snapshotCatchUpEntries)
+// firstIndexAfterCompaction is the first log entry that remains before a snapshot of the present state. Fewer
+// remain where entries are large, so that they don't fill the disk.
+func (g *group) firstIndexAfterCompaction() uint64 {
+	catchUpEntries := uint64(snapshotCatchUpEntries)
 	if g.logBytes >= g.host.opts.SnapshotBytes {
-		kept = snapshotCatchUpEntries / 10
+		catchUpEntries = snapshotCatchUpEntries / 10
 	}
-	if g.appliedIndex > kept {
-		return g.appliedIndex - kept
+	if g.appliedIndex > catchUpEntries {
+		return g.appliedIndex - catchUpEntries
 	}
 	return 1
 }
--- a/internal/cluster/raftgroup/status.go
+++ b/internal/cluster/raftgroup/status.go
@@ -13,7 +13,7 @@
 // Status is the state of this member's replica of a group, as the operators' pages show it.
 type Status struct {
 	Group      string          `json:"group"`
-	Role       string          `json:"role"` // leader, follower, candidate; none without a replica here
+	Role       string          `json:"role"` // one of the roles below
 	Leader     string          `json:"leader,omitempty"`
 	Term       uint64          `json:"term"`
 	Commit     uint64          `json:"commit_index"`
@@ -41,11 +41,12 @@
 // The roles of Status.Role.
 const (
 	roleLeader    = "leader"
-	roleFollower  = "follower"
-	roleCandidate = "candidate"
-	roleNone      = "none"
+	roleFollower  = "follower"  // or learner
+	roleCandidate = "candidate" // or pre-candidate
+	roleNone      = "none"      // no replica here, or one that does not answer
 )
 
+// formatDiskID writes a replica ID as pages and the store have it: 16 hexadecimal digits.
 func formatDiskID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
 // statusTimeout bounds how long a group's goroutine is waited for.
@@ -61,50 +62,63 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	s, err := g.call(ctx, func(out chan outcome) { out <- outcome{result: g.status()} })
+	status, err := g.call(ctx, func(out chan outcome) { out <- outcome{result: g.status()} })
 	if err != nil {
 		none.Stalled = err.Error()
 		return none
 	}
-	return s.(Status)
+	return status.(Status)
 }
 
+// status is called by the group's goroutine.
 func (g *group) status() Status {
-	st := g.rawNode.Status()
-	s := Status{
-		Group: g.name, Role: roleFollower, Leader: g.memberNames[st.Lead], Term: st.HardState.GetTerm(),
-		Commit: st.HardState.GetCommit(), Applied: g.appliedIndex, Snapshot: g.snapshotIndex,
-		LogBytes: g.logBytes, Voters: g.namesOf(g.confState.GetVoters()),
-		Learners: g.namesOf(g.confState.GetLearners()), Disk: formatDiskID(g.host.store.id),
-		Leaderless: g.leaderless(), Stats: g.stats,
+	raftStatus := g.rawNode.Status()
+	status := Status{
+		Group:      g.name,
+		Role:       roleFollower,
+		Leader:     g.memberNames[raftStatus.Lead],
+		Term:       raftStatus.HardState.GetTerm(),
+		Commit:     raftStatus.HardState.GetCommit(),
+		Applied:    g.appliedIndex,
+		Snapshot:   g.snapshotIndex,
+		LogBytes:   g.logBytes,
+		Voters:     g.namesOf(g.confState.GetVoters()),
+		Learners:   g.namesOf(g.confState.GetLearners()),
+		Disk:       formatDiskID(g.host.store.id),
+		Leaderless: g.leaderless(),
+		Stats:      g.stats,
 	}
-	slices.Sort(s.Voters)
-	switch st.RaftState {
+	slices.Sort(status.Voters)
+	switch raftStatus.RaftState {
 	case raft.StateLeader:
-		s.Role = roleLeader
-		s.Replicas = g.replicaStatus(&st)
+		status.Role = roleLeader
+		status.Replicas = g.replicaStatus(&raftStatus)
 	case raft.StateCandidate, raft.StatePreCandidate:
-		s.Role = roleCandidate
+		status.Role = roleCandidate
 	}
 	if g.diskErr != nil {
-		s.Stalled = g.diskErr.Error()
+		status.Stalled = g.diskErr.Error()
 	}
-	return s
+	return status
 }
 
 // replicaStatus returns the state of all replicas as this one, the leader, knows it, sorted by member and ID.
-func (g *group) replicaStatus(st *raft.Status) []ReplicaStatus {
-	var out []ReplicaStatus
+func (g *group) replicaStatus(raftStatus *raft.Status) []ReplicaStatus {
+	var replicas []ReplicaStatus
 	last, _ := g.storage.LastIndex() // never fails in memory
-	for id, p := range st.Progress {
-		out = append(out, ReplicaStatus{Member: g.memberNames[id], Disk: formatDiskID(id),
-			Learner: p.IsLearner, Behind: last - min(p.Match, last),
-			Active: p.RecentActive || id == g.host.store.id})
+	for id, progress := range raftStatus.Progress {
+		replicas = append(replicas, ReplicaStatus{
+			Member:  g.memberNames[id],
+			Disk:    formatDiskID(id),
+			Learner: progress.IsLearner,
+			Behind:  last - min(progress.Match, last),
+			Active:  progress.RecentActive || id == g.host.store.id,
+		})
 	}
-	slices.SortFunc(out, func(a, b ReplicaStatus) int {
+	slices.SortFunc(replicas, func(a, b ReplicaStatus) int {
 		return cmp.Or(cmp.Compare(a.Member, b.Member), cmp.Compare(a.Disk, b.Disk))
 	})
-	return out
+	return replicas
 }
 
 // Leads reports whether this member leads a group.
@@ -120,8 +134,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	result, err := g.call(ctx, func(out chan outcome) {
-		r, err := g.stateMachine.Read(query)
-		out <- outcome{r, err}
+		answer, err := g.stateMachine.Read(query)
+		out <- outcome{answer, err}
 	})
 	return result, err == nil
 }
--- a/internal/cluster/raftgroup/store.go
+++ b/internal/cluster/raftgroup/store.go
@@ -76,14 +76,14 @@
 // checkNotTruncated rejects a file that is shorter than its own meta page says: bbolt maps it into memory,
 // and a read beyond its end would kill the process.
 func checkNotTruncated(path string) error {
-	st, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if st.Size() == 0 {
+	if info.Size() == 0 {
 		return nil // made and not written yet
 	}
 	truncated := func(why string) error {
@@ -105,8 +105,8 @@
 	if err = errors.Join(err, db.Close()); err != nil {
 		return truncated(err.Error())
 	}
-	if st.Size() < size {
-		return truncated(fmt.Sprintf("%d bytes of %d", st.Size(), size))
+	if info.Size() < size {
+		return truncated(fmt.Sprintf("%d bytes of %d", info.Size(), size))
 	}
 	return nil
 }
@@ -114,18 +114,19 @@
 // identify reads whose the file is, or writes it into a new one.
 func (s *store) identify(label string) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(metaBucket)
-		if b == nil {
+		meta := tx.Bucket(metaBucket)
+		if meta == nil {
 			return s.initMeta(tx, label)
 		}
-		format, err := strconv.Atoi(string(b.Get(metaFormat)))
+		format, err := strconv.Atoi(string(meta.Get(metaFormat)))
 		if err != nil || format > storeFormat || format < 1 {
-			return fmt.Errorf("its format is %q; this program reads up to %d", b.Get(metaFormat), storeFormat)
+			return fmt.Errorf("its format is %q; this program reads up to %d", meta.Get(metaFormat),
+				storeFormat)
 		}
-		if got := string(b.Get(metaLabel)); got != label {
+		if got := string(meta.Get(metaLabel)); got != label {
 			return fmt.Errorf("it is of the fleet %q, and fleet.label is %q", got, label)
 		}
-		id := b.Get(metaID)
+		id := meta.Get(metaID)
 		if len(id) != 8 {
 			return errors.New("it has no identity")
 		}
@@ -134,36 +135,39 @@
 	})
 }
 
+// initMeta makes a new file this fleet's and draws its ID.
 func (s *store) initMeta(tx *bolt.Tx, label string) error {
-	b, err := tx.CreateBucket(metaBucket)
+	meta, err := tx.CreateBucket(metaBucket)
 	if err != nil {
 		return err
 	}
 	s.id = rand.Uint64() | 1 // never raft.None
-	return errors.Join(b.Put(metaFormat, []byte(strconv.Itoa(storeFormat))), b.Put(metaLabel, []byte(label)),
-		b.Put(metaID, binary.BigEndian.AppendUint64(nil, s.id)))
+	return errors.Join(
+		meta.Put(metaFormat, []byte(strconv.Itoa(storeFormat))),
+		meta.Put(metaLabel, []byte(label)),
+		meta.Put(metaID, binary.BigEndian.AppendUint64(nil, s.id)))
 }
 
 func (s *store) close() error { return s.db.Close() }
 
-// update runs f in a transaction that is synced when update returns; with an error nothing has changed.
-func (s *store) update(f func(*bolt.Tx) error) error {
+// update runs change in a transaction that is synced when update returns; with an error nothing has changed.
+func (s *store) update(change func(*bolt.Tx) error) error {
 	if s.faults != nil {
 		if err := s.faults.Sync(); err != nil {
 			return err
 		}
 	}
-	return s.db.Update(f)
+	return s.db.Update(change)
 }
 
 // metaValue reads a value of the file's own, "" if there is none.
 func (s *store) metaValue(key string) string {
-	var v string
+	var value string
 	_ = s.db.View(func(tx *bolt.Tx) error { // fails for a closed file alone
-		v = string(tx.Bucket(metaBucket).Get([]byte(key)))
+		value = string(tx.Bucket(metaBucket).Get([]byte(key)))
 		return nil
 	})
-	return v
+	return value
 }
 
 func (s *store) setMetaValue(key, value string) error {
@@ -186,18 +190,22 @@
 
 func groupBucket(group string) []byte { return []byte(groupPrefix + group) }
 
-func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+// indexKey is the key of a log entry: big endian, so that bbolt has the entries in their order.
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 const checksumSize = 8
 
-func addChecksum(b []byte) []byte {
-	sealed := binary.BigEndian.AppendUint64(make([]byte, 0, checksumSize+len(b)), xxhash.Sum64(b))
-	return append(sealed, b...)
+// addChecksum returns a value as it is stored, behind its checksum.
+func addChecksum(value []byte) []byte {
+	stored := binary.BigEndian.AppendUint64(make([]byte, 0, checksumSize+len(value)), xxhash.Sum64(value))
+	return append(stored, value...)
 }
 
-func verifyChecksum(b []byte) ([]byte, error) {
-	if len(b) < checksumSize || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[checksumSize:]) {
+// verifyChecksum returns the value in a stored one, which it aliases, or an error if the checksum does not
+// fit.
+func verifyChecksum(stored []byte) ([]byte, error) {
+	if len(stored) < checksumSize || binary.BigEndian.Uint64(stored) != xxhash.Sum64(stored[checksumSize:]) {
 		return nil, errors.New("its checksum does not fit")
 	}
-	return b[checksumSize:], nil
+	return stored[checksumSize:], nil
 }
--- a/internal/cluster/raftgroup/store_group.go
+++ b/internal/cluster/raftgroup/store_group.go
@@ -17,9 +17,9 @@
 // createGroup adds an empty group unless the file has it.
 func (s *store) createGroup(group string) error {
 	return s.update(func(tx *bolt.Tx) error {
-		b, err := tx.CreateBucketIfNotExists(groupBucket(group))
+		bucket, err := tx.CreateBucketIfNotExists(groupBucket(group))
 		if err == nil {
-			_, err = b.CreateBucketIfNotExists(logBucket)
+			_, err = bucket.CreateBucketIfNotExists(logBucket)
 		}
 		return err
 	})
@@ -27,33 +27,31 @@
 
 // load reads a group into a raft storage and returns that with the size of the log in bytes. The storage is
 // nil if the file does not have the group.
-func (s *store) load(group string) (*raft.MemoryStorage, int64, error) {
-	var storage *raft.MemoryStorage
-	var size int64
-	err := s.db.View(func(tx *bolt.Tx) error {
-		b := tx.Bucket(groupBucket(group))
-		if b == nil {
+func (s *store) load(group string) (storage *raft.MemoryStorage, logBytes int64, err error) {
+	err = s.db.View(func(tx *bolt.Tx) error {
+		bucket := tx.Bucket(groupBucket(group))
+		if bucket == nil {
 			return nil
 		}
 		storage = raft.NewMemoryStorage()
-		if err := loadSnapshot(b, storage); err != nil {
+		if err := loadSnapshot(bucket, storage); err != nil {
 			return err
 		}
-		if err := loadHardState(b, storage); err != nil {
+		if err := loadHardState(bucket, storage); err != nil {
 			return err
 		}
 		var err error
-		size, err = loadEntries(b, storage)
+		logBytes, err = loadEntries(bucket, storage)
 		return err
 	})
 	if err != nil {
 		return nil, 0, fmt.Errorf("%s: group %s: %w", s.path, group, err)
 	}
-	return storage, size, nil
+	return storage, logBytes, nil
 }
 
-func loadSnapshot(b *bolt.Bucket, storage *raft.MemoryStorage) error {
-	raw := b.Get(snapshotKey)
+func loadSnapshot(bucket *bolt.Bucket, storage *raft.MemoryStorage) error {
+	raw := bucket.Get(snapshotKey)
 	if raw == nil {
 		return nil
 	}
@@ -66,8 +64,8 @@
 
 // loadHardState reads the hard state, once the snapshot is loaded. A change of the commit index alone is not
 // synced, so the index of the snapshot may be higher.
-func loadHardState(b *bolt.Bucket, storage *raft.MemoryStorage) error {
-	raw := b.Get(hardStateKey)
+func loadHardState(bucket *bolt.Bucket, storage *raft.MemoryStorage) error {
+	raw := bucket.Get(hardStateKey)
 	if raw == nil {
 		return nil
 	}
@@ -84,33 +82,34 @@
 }
 
 // loadEntries reads the log after the snapshot, which must have no gap, and returns its size in bytes.
-func loadEntries(b *bolt.Bucket, storage *raft.MemoryStorage) (int64, error) {
+func loadEntries(bucket *bolt.Bucket, storage *raft.MemoryStorage) (int64, error) {
 	first, err := storage.FirstIndex()
 	if err != nil {
 		return 0, err
 	}
 	var entries []*raftpb.Entry
 	var size int64
-	c := b.Bucket(logBucket).Cursor()
-	for k, v := c.Seek(indexKey(first)); k != nil; k, v = c.Next() {
-		e := &raftpb.Entry{}
-		if err := decodeValue(fmt.Sprintf("log entry %d", binary.BigEndian.Uint64(k)), v, e); err != nil {
+	cursor := bucket.Bucket(logBucket).Cursor()
+	for key, value := cursor.Seek(indexKey(first)); key != nil; key, value = cursor.Next() {
+		entry := &raftpb.Entry{}
+		what := fmt.Sprintf("log entry %d", binary.BigEndian.Uint64(key))
+		if err := decodeValue(what, value, entry); err != nil {
 			return 0, err
 		}
-		if want := first + uint64(len(entries)); e.GetIndex() != want {
+		if want := first + uint64(len(entries)); entry.GetIndex() != want {
 			return 0, fmt.Errorf("log entry %d is missing", want)
 		}
-		entries = append(entries, e)
-		size += int64(len(v))
+		entries = append(entries, entry)
+		size += int64(len(value))
 	}
 	return size, storage.Append(entries)
 }
 
 // decodeValue reads a group's value; what names it in errors.
-func decodeValue(what string, raw []byte, into proto.Message) error {
-	plain, err := verifyChecksum(raw)
+func decodeValue(what string, stored []byte, into proto.Message) error {
+	value, err := verifyChecksum(stored)
 	if err == nil {
-		err = proto.Unmarshal(plain, into)
+		err = proto.Unmarshal(value, into)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", what, err)
@@ -118,51 +117,50 @@
 	return nil
 }
 
-// putValue writes a group's value and returns its size in bytes.
-func putValue(b *bolt.Bucket, key []byte, value proto.Message) (int64, error) {
-	plain, err := proto.Marshal(value)
+// putValue writes a group's value and returns its size in bytes, with the checksum.
+func putValue(bucket *bolt.Bucket, key []byte, value proto.Message) (int64, error) {
+	raw, err := proto.Marshal(value)
 	if err != nil {
 		return 0, err
 	}
-	return checksumSize + int64(len(plain)), b.Put(key, addChecksum(plain))
+	return checksumSize + int64(len(raw)), bucket.Put(key, addChecksum(raw))
 }
 
 // save stores the durable part of a raft.Ready in one synced transaction, and returns how many bytes of log
 // that added.
-func (s *store) save(group string, rd *raft.Ready) (int64, error) {
-	var size int64
-	err := s.update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(groupBucket(group))
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := saveSnapshot(b, rd.Snapshot); err != nil {
+func (s *store) save(group string, ready *raft.Ready) (logBytes int64, err error) {
+	err = s.update(func(tx *bolt.Tx) error {
+		bucket := tx.Bucket(groupBucket(group))
+		if !raft.IsEmptySnap(ready.Snapshot) {
+			if err := saveSnapshot(bucket, ready.Snapshot); err != nil {
 				return err
 			}
 		}
-		if !raft.IsEmptyHardState(rd.HardState) {
-			if _, err := putValue(b, hardStateKey, rd.HardState); err != nil {
+		if !raft.IsEmptyHardState(ready.HardState) {
+			if _, err := putValue(bucket, hardStateKey, ready.HardState); err != nil {
 				return err
 			}
 		}
 		var err error
-		size, err = saveEntries(b.Bucket(logBucket), rd.Entries)
+		logBytes, err = saveEntries(bucket.Bucket(logBucket), ready.Entries)
 		return err
 	})
-	return size, err
+	return logBytes, err
 }
 
 // saveSnapshot replaces the snapshot by a leader's, and the log by an empty one that follows it.
-func saveSnapshot(b *bolt.Bucket, snap *raftpb.Snapshot) error {
-	if _, err := putValue(b, snapshotKey, snap); err != nil {
+func saveSnapshot(bucket *bolt.Bucket, snap *raftpb.Snapshot) error {
+	if _, err := putValue(bucket, snapshotKey, snap); err != nil {
 		return err
 	}
-	return emptyLog(b)
+	return emptyLog(bucket)
 }
 
-func emptyLog(b *bolt.Bucket) error {
-	if err := b.DeleteBucket(logBucket); err != nil {
+func emptyLog(bucket *bolt.Bucket) error {
+	if err := bucket.DeleteBucket(logBucket); err != nil {
 		return err
 	}
-	_, err := b.CreateBucket(logBucket)
+	_, err := bucket.CreateBucket(logBucket)
 	return err
 }
 
@@ -174,17 +172,17 @@
 	}
 	log.FillPercent = logFillPercent
 	var size int64
-	for _, e := range entries {
-		n, err := putValue(log, indexKey(e.GetIndex()), e)
+	for _, entry := range entries {
+		entrySize, err := putValue(log, indexKey(entry.GetIndex()), entry)
 		if err != nil {
 			return 0, err
 		}
-		size += n
+		size += entrySize
 	}
-	behind := indexKey(entries[len(entries)-1].GetIndex() + 1)
-	c := log.Cursor()
-	for k, _ := c.Seek(behind); k != nil; k, _ = c.Seek(behind) {
-		if err := c.Delete(); err != nil {
+	next := indexKey(entries[len(entries)-1].GetIndex() + 1)
+	cursor := log.Cursor()
+	for key, _ := cursor.Seek(next); key != nil; key, _ = cursor.Seek(next) {
+		if err := cursor.Delete(); err != nil {
 			return 0, err
 		}
 	}
@@ -194,13 +192,14 @@
 // compact stores a snapshot and deletes the log before an index.
 func (s *store) compact(group string, snap *raftpb.Snapshot, firstIndex uint64) error {
 	return s.update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(groupBucket(group))
-		if _, err := putValue(b, snapshotKey, snap); err != nil {
+		bucket := tx.Bucket(groupBucket(group))
+		if _, err := putValue(bucket, snapshotKey, snap); err != nil {
 			return err
 		}
-		c := b.Bucket(logBucket).Cursor()
-		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < firstIndex; k, _ = c.First() {
-			if err := c.Delete(); err != nil {
+		cursor := bucket.Bucket(logBucket).Cursor()
+		isOld := func(key []byte) bool { return key != nil && binary.BigEndian.Uint64(key) < firstIndex }
+		for key, _ := cursor.First(); isOld(key); key, _ = cursor.First() {
+			if err := cursor.Delete(); err != nil {
 				return err
 			}
 		}
@@ -212,20 +211,28 @@
 // vote twice in a term if it is added again.
 func (s *store) clearGroup(group string) error {
 	return s.update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(groupBucket(group))
-		if err := b.Delete(snapshotKey); err != nil {
+		bucket := tx.Bucket(groupBucket(group))
+		if err := bucket.Delete(snapshotKey); err != nil {
 			return err
 		}
-		if raw := b.Get(hardStateKey); raw != nil {
-			hardState := &raftpb.HardState{}
-			if err := decodeValue("its hard state", raw, hardState); err != nil {
-				return err
-			}
-			hardState.Commit = proto.Uint64(0)
-			if _, err := putValue(b, hardStateKey, hardState); err != nil {
-				return err
-			}
+		if err := resetCommit(bucket); err != nil {
+			return err
 		}
-		return emptyLog(b)
+		return emptyLog(bucket)
 	})
 }
+
+// resetCommit sets the commit index in the hard state, if there is one, to that of an empty log.
+func resetCommit(bucket *bolt.Bucket) error {
+	raw := bucket.Get(hardStateKey)
+	if raw == nil {
+		return nil
+	}
+	hardState := &raftpb.HardState{}
+	if err := decodeValue("its hard state", raw, hardState); err != nil {
+		return err
+	}
+	hardState.Commit = proto.Uint64(0)
+	_, err := putValue(bucket, hardStateKey, hardState)
+	return err
+}
--- a/internal/cluster/raftgroup/store_test.go
+++ b/internal/cluster/raftgroup/store_test.go
@@ -78,10 +78,10 @@
 		case err != nil:
 			rejected++
 		default:
-			ms, _, err := s.load("g")
+			storage, _, err := s.load("g")
 			if err != nil {
 				rejected++
-			} else if last, _ := ms.LastIndex(); last != 40 {
+			} else if last, _ := storage.LastIndex(); last != 40 {
 				t.Fatalf("cut at %d of %d: read with %d entries", cut, len(full), last)
 			} else {
 				read++
@@ -159,30 +159,30 @@
 
 func TestStoreOverwritesCompactsAndClears(t *testing.T) {
 	s := mustOpen(t, storeWithEntries(t))
-	last := func() (uint64, uint64) {
+	logRange := func() (first, last uint64) {
 		t.Helper()
-		ms, _, err := s.load("g")
+		storage, _, err := s.load("g")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f, _ := ms.FirstIndex()
-		l, _ := ms.LastIndex()
-		return f, l
+		first, _ = storage.FirstIndex()
+		last, _ = storage.LastIndex()
+		return first, last
 	}
 	// Another leader's entries take the place of what stood from 30 on.
 	if _, err := s.save("g", &raft.Ready{Entries: entries(30, 33)}); err != nil {
 		t.Fatal(err)
 	}
-	if f, l := last(); f != 1 || l != 33 {
-		t.Errorf("after an overwrite the log goes from %d to %d", f, l)
+	if first, last := logRange(); first != 1 || last != 33 {
+		t.Errorf("after an overwrite the log goes from %d to %d", first, last)
 	}
 	snap := &raftpb.Snapshot{Data: []byte("state"), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(25),
 		Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}}
 	if err := s.compact("g", snap, 20); err != nil {
 		t.Fatal(err)
 	}
-	if f, l := last(); f != 26 || l != 33 {
-		t.Errorf("after a snapshot at 25 the log goes from %d to %d", f, l)
+	if first, last := logRange(); first != 26 || last != 33 {
+		t.Errorf("after a snapshot at 25 the log goes from %d to %d", first, last)
 	}
 	hard := &raftpb.HardState{Term: proto.Uint64(9), Vote: proto.Uint64(3), Commit: proto.Uint64(30)}
 	if _, err := s.save("g", &raft.Ready{HardState: hard}); err != nil {
@@ -191,20 +191,21 @@
 	if err := s.clearGroup("g"); err != nil {
 		t.Fatal(err)
 	}
-	ms, _, err := s.load("g")
+	storage, _, err := s.load("g")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, _, _ := ms.InitialState()
-	if l, _ := ms.LastIndex(); l != 0 || got.GetTerm() != 9 || got.GetVote() != 3 || got.GetCommit() != 0 {
-		t.Errorf("after a removal: log to %d, hard state %v", l, got)
+	got, _, _ := storage.InitialState()
+	last, _ := storage.LastIndex()
+	if last != 0 || got.GetTerm() != 9 || got.GetVote() != 3 || got.GetCommit() != 0 {
+		t.Errorf("after a removal: log to %d, hard state %v", last, got)
 	}
 	if got := s.groups(); len(got) != 1 || got[0] != "g" {
 		t.Errorf("groups %v", got)
 	}
 }
 
-func TestFaultsFile(t *testing.T) {
+func TestFileFaultsFailsWritesAsTheFileSays(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "faults")
 	f := FileFaults{path}
 	for text, full := range map[string]bool{`{"full": true}`: true, `{}`: false, `garbage`: false} {
