--- a/internal/cluster/lease/candidate.go
+++ b/internal/cluster/lease/candidate.go
@@ -7,7 +7,17 @@
 
 // Candidate is one member's side of the lease of one role. It proposes commands (NextProposal, Resign), is
 // given their results (HandleResult, HandleNoResult) and what the log says (Observe), and answers whether
-// this member owns the role (Owns). At most one command is in flight.
+// this member owns the role (Owns).
+//
+// Its states: before the first Observe it proposes nothing. From then on the role is free, or held by another
+// member, or by this one. It owns the role from a result that grants the lease to the end of that lease, or
+// to Resign, or until it observes a grant to somebody else; a grant to its name that it only observes may be
+// of an earlier incarnation, and makes it no owner.
+//
+// Its invariants: at most one command of NextProposal is in flight; the latest known grant never gets older;
+// expiresAt is at most TTL after the proposal of the command that granted the lease.
+//
+// The values of now that it is given must not fall. It is not safe for concurrent use.
 type Candidate struct {
 	settings Settings
 	name     string
@@ -59,22 +69,25 @@
 	if !c.observed || c.inFlight != nil {
 		return Command{}, false
 	}
-	cmd := Command{Role: c.role, Member: c.name, Expected: c.grant}
-	switch {
-	case c.Owns(now):
-		if now < c.expiresAt-c.settings.TTL*2/3 {
-			return Command{}, false
-		}
-		cmd.Op = Renew
-	case c.grant.Holder == "" || now-c.grantSince >= c.settings.takeoverDelay():
-		cmd.Op = Acquire
-	default:
+	op, due := c.nextOp(now)
+	if !due {
 		return Command{}, false
 	}
+	cmd := Command{Op: op, Role: c.role, Member: c.name, Expected: c.grant}
 	c.inFlight, c.proposedAt = &cmd, now
 	return cmd, true
 }
 
+// nextOp returns the operation that is due now, false if there is none.
+func (c *Candidate) nextOp(now time.Duration) (Op, bool) {
+	if c.Owns(now) {
+		renewAt := c.expiresAt - c.settings.TTL*2/3
+		return Renew, now >= renewAt
+	}
+	free := c.grant.Holder == "" || now-c.grantSince >= c.settings.takeoverDelay()
+	return Acquire, free
+}
+
 // Resign ends this member's ownership at once and returns the command that releases the lease, false if it
 // holds none. The result of that command isn't needed.
 func (c *Candidate) Resign() (Command, bool) {
@@ -85,8 +98,8 @@
 	return Command{Op: Release, Role: c.role, Member: c.name, Expected: c.grant}, true
 }
 
-// HandleResult takes in the result of the command in flight. A lease that it grants counts from when the
-// command was proposed.
+// HandleResult takes in the result of the command in flight, and is ignored if there is none. A lease that
+// the result grants counts from when the command was proposed.
 func (c *Candidate) HandleResult(now time.Duration, result Result) {
 	if c.inFlight == nil {
 		return
--- a/internal/cluster/lease/fence.go
+++ b/internal/cluster/lease/fence.go
@@ -24,7 +24,8 @@
 	return token, nil
 }
 
-// Fence is the state of a receiver of side effects. Its zero value admits any token.
+// Fence is the state of a receiver of side effects, who calls Admit before each. Its zero value admits any
+// token. It is not safe for concurrent use.
 type Fence struct {
 	Highest uint64 // token admitted so far
 }
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -24,17 +24,28 @@
 	"time"
 )
 
-// Settings of a lease; all members have to use the same.
+// Settings of a lease. All members have to use the same: a member with a shorter TTL or a lower Drift than
+// the holder's takes over before the holder has stopped. The defaults are those of the client proxy's
+// settings.
 type Settings struct {
-	TTL             time.Duration // how long a grant lasts unless it is renewed
-	Drift           float64       // bound on the relative error of any clock; 0.05 is 5% fast or slow
-	ElectionTimeout time.Duration // of the Raft group that commits the commands; TTL has to be longer
+	// TTL is how long a grant lasts unless it is renewed; 2 s by default. A shorter one frees the role of a lost
+	// holder sooner, and has more commands in the log: a holder renews three times within it.
+	TTL time.Duration
+	// Drift bounds the relative error of any member's clock: 0.05, the default, is 5% fast or slow. Others wait
+	// the longer before they take over, the higher it is. At least 0 and below 0.5.
+	Drift float64
+	// ElectionTimeout is that of the Raft group that commits the commands. TTL has to be longer, or a change of
+	// the group's leader would end the lease.
+	ElectionTimeout time.Duration
 }
 
+// maxDrift is above every Drift: with it a clock would stand still beside another.
+const maxDrift = 0.5
+
 // Check returns an error if the settings can't keep two members from owning a role at once.
 func (s Settings) Check() error {
 	switch {
-	case s.Drift < 0 || s.Drift >= 0.5:
+	case s.Drift < 0 || s.Drift >= maxDrift:
 		return fmt.Errorf("drift %g is out of range, 0 to 0.5 is allowed", s.Drift)
 	case s.TTL <= s.ElectionTimeout:
 		return fmt.Errorf("lease %v is not above the election timeout %v: a change of the log's leader would "+
@@ -46,19 +57,21 @@
 }
 
 // takeoverDelay is how long another member waits after it has observed a grant: long enough on the fastest
-// clock for the lease to have ended on the slowest.
+// clock for the lease to have ended on the slowest, and a nanosecond more for the rounding.
 func (s Settings) takeoverDelay() time.Duration {
 	return time.Duration(float64(s.TTL)*(1+s.Drift)/(1-s.Drift)) + 1
 }
 
-// Grant says who owns a role, as committed in the log.
+// Grant says who owns a role, as committed in the log. The zero Grant is that of a role which nobody ever
+// owned.
 type Grant struct {
 	Holder  string `json:"holder"`  // name of the member; "" if nobody owns the role
 	Token   uint64 `json:"token"`   // fencing token: index of the log entry that granted it; only rises
 	Renewed uint64 `json:"renewed"` // number of renewals of this grant
 }
 
-// olderThan reports whether g was replaced by other in the log.
+// olderThan reports whether g was replaced by other in the log. Grants are ordered by token, then by
+// renewals.
 func (g Grant) olderThan(other Grant) bool {
 	return g.Token < other.Token || g.Token == other.Token && g.Renewed < other.Renewed
 }
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -9,15 +9,15 @@
 
 var testSettings = Settings{TTL: 2 * time.Second, Drift: 0.05, ElectionTimeout: time.Second}
 
-func TestSettings(t *testing.T) {
-	for want, s := range map[string]Settings{
+func TestUnsoundSettingsAreRejected(t *testing.T) {
+	for want, settings := range map[string]Settings{
 		"election": {TTL: time.Second, Drift: 0.05, ElectionTimeout: time.Second},
 		"drift":    {TTL: 2 * time.Second, Drift: 0.5},
 		"range":    {TTL: 2 * time.Second, Drift: -1},
 	} {
 		t.Run(want, func(t *testing.T) {
-			if err := s.Check(); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%+v: %v, not %q", s, err, want)
+			if err := settings.Check(); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("%+v: %v, not %q", settings, err, want)
 			}
 		})
 	}
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestTable(t *testing.T) {
+func TestTableAppliesWhatNamesTheCurrentGrant(t *testing.T) {
 	a1 := Grant{Holder: "a", Token: 5}
 	for name, c := range map[string]struct {
 		current Grant
@@ -59,9 +59,9 @@
 			table := NewTable()
 			table.Restore(map[string]Grant{"c": c.current})
 			c.cmd.Role = "c"
-			r := table.Apply(c.index, c.cmd)
-			if r.Applied != c.applied || r.Grant != c.want || table.Get("c") != c.want {
-				t.Errorf("%+v", r)
+			result := table.Apply(c.index, c.cmd)
+			if result.Applied != c.applied || result.Grant != c.want || table.Get("c") != c.want {
+				t.Errorf("%+v", result)
 			}
 		})
 	}
@@ -153,17 +153,17 @@
 	}
 }
 
-func TestFence(t *testing.T) {
-	var f Fence
+func TestFenceRejectsTokensBelowTheHighest(t *testing.T) {
+	var fence Fence
 	for i, c := range []struct {
 		token uint64
 		ok    bool
 	}{{0, false}, {5, true}, {5, true}, {4, false}, {9, true}, {5, false}} {
-		if err := f.Admit(c.token); (err == nil) != c.ok {
+		if err := fence.Admit(c.token); (err == nil) != c.ok {
 			t.Errorf("%d: token %d: %v", i, c.token, err)
 		}
 	}
-	if err := f.Admit(0); !errors.Is(err, ErrNoToken) {
+	if err := fence.Admit(0); !errors.Is(err, ErrNoToken) {
 		t.Errorf("without a token: %v", err)
 	}
 }
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// Op is the operation of a Command.
+// Op is the operation of a Command. The zero Op is none.
 type Op uint8
 
 // Operations of a Command. Their numbers are part of the stored log.
@@ -29,7 +29,8 @@
 // MaxRoles bounds the number of roles of a Table.
 const MaxRoles = 64
 
-// Table holds the grants of all roles; it is the state machine of the log. Use NewTable.
+// Table holds the grants of all roles; it is the state machine of the log. Tokens of a role never fall. Use
+// NewTable. A Table is not safe for concurrent use.
 type Table struct{ grants map[string]Grant }
 
 // NewTable returns a table without grants.
@@ -51,16 +52,18 @@
 	maps.Copy(t.grants, grants)
 }
 
-// Apply applies the command at an index of the log. Indexes have to rise from call to call.
+// Apply applies the command at an index of the log. Indexes have to rise from call to call. A command is
+// rejected, and changes nothing, unless it names the current grant, is by the holder (Acquire by anybody),
+// and finds room for its role.
 func (t *Table) Apply(index uint64, cmd Command) Result {
-	current, ok := t.grants[cmd.Role]
+	current, known := t.grants[cmd.Role]
 	rejected := Result{Grant: current}
 	switch {
 	case cmd.Member == "" || cmd.Role == "":
 		return rejected
 	case cmd.Expected != current || index <= current.Token:
 		return rejected
-	case !ok && len(t.grants) >= MaxRoles:
+	case !known && len(t.grants) >= MaxRoles:
 		return rejected
 	case cmd.Op != Acquire && cmd.Member != current.Holder:
 		return rejected
--- a/internal/cluster/raftgroup/group.go
+++ b/internal/cluster/raftgroup/group.go
@@ -129,8 +129,8 @@
 }
 
 // startGroup starts a group's replica from what the store holds. With bootstrap, a group of which the store
-// holds nothing begins with this member as its only voter. Errors name the store's file and the group. Called
-// with Host.mu held.
+// holds nothing begins with this member as its only voter. Errors of what is stored name its file and the
+// group. Called with Host.mu held.
 func startGroup(h *Host, name string, bootstrap bool) (_ *group, err error) {
 	defer func() { // raft panics on stored data that contradicts itself
 		if p := recover(); p != nil {
