--- /dev/null
+++ b/internal/cluster/leaseholder/calls.go
@@ -0,0 +1,88 @@
+package leaseholder
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"cresshub/internal/cluster/groupstate"
+)
+
+// callFenced makes one call under a token, within a timeout and no longer than the lease lasts. A call that
+// was rejected because of its token ends this member's ownership. The error is ErrNotOwner if no call was
+// made, else that of do.
+func (r *Runner) callFenced(token uint64, timeout time.Duration, do func(ctx context.Context) error) error {
+	remaining, err := r.checkLease(token)
+	if err != nil {
+		return err
+	}
+	if r.opts.Faults != nil {
+		r.opts.Faults.BeforeCall()
+	}
+	ctx, cancel := context.WithTimeout(r.ctx, min(timeout, remaining))
+	defer cancel()
+	err = do(ctx)
+	r.updateStats(func(s *Stats) {
+		s.Calls++
+		switch {
+		case errors.Is(err, errStaleToken):
+			s.Rejected++
+		case err != nil:
+			s.Failed++
+		}
+	})
+	if errors.Is(err, errStaleToken) {
+		r.stepDown(token, err.Error())
+	}
+	return err
+}
+
+// ReportRejection says that discovery rejected a call because of its token.
+func (r *Runner) ReportRejection(token uint64, reason string) {
+	r.updateStats(func(s *Stats) {
+		s.Calls++
+		s.Rejected++
+	})
+	r.stepDown(token, reason)
+}
+
+// commit proposes a command of a role under a token. It returns nil if the command was applied, ErrNotOwner
+// if it was not proposed, errStaleToken if the log rejected its token; after another error it may be applied
+// or not.
+func (r *Runner) commit(token uint64, command []byte) error {
+	remaining, err := r.checkLease(token)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(r.ctx, remaining)
+	defer cancel()
+	raw, err := r.opts.Store.Propose(ctx, command)
+	if err != nil {
+		return err
+	}
+	var result groupstate.Result
+	if err := json.Unmarshal(raw, &result); err != nil {
+		return err
+	}
+	switch result.Status {
+	case groupstate.StatusAccepted:
+		return nil
+	case groupstate.StatusStale:
+		r.updateStats(func(s *Stats) { s.StaleEntries++ })
+		r.stepDown(token, result.Reason)
+		return errStaleToken
+	}
+	return errors.New(result.Reason)
+}
+
+// query reads from the store within a timeout and decodes the answer into what into points to.
+func (r *Runner) query(timeout time.Duration, q groupstate.Query, into any) error {
+	ctx, cancel := context.WithTimeout(r.ctx, timeout)
+	defer cancel()
+	raw, err := r.opts.Store.Read(ctx, q.Encode())
+	if err != nil {
+		return err
+	}
+	return json.Unmarshal(raw, into)
+}
--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -29,13 +29,23 @@
 }
 
 // EndpointSync lets one member watch discovery for all: the lease holder publishes its list in the store, and
-// the others follow that, unless it is too old.
+// the others follow that, unless it is too old. It has two goroutines of its Runner: runPublisher, which acts
+// while this member holds the lease, and runFollower, which acts on every member.
 type EndpointSync struct {
-	Source       EndpointSource
-	MaxAge       time.Duration // a published list that was not confirmed for so long is too old
-	Jitter       time.Duration // added to MaxAge by this member, drawn once
-	PollInterval time.Duration // between reads of the store
-	WatchTimeout time.Duration // a watch on discovery that received nothing for so long is broken
+	// Source is this member's list and its client of discovery.
+	Source EndpointSource
+	// MaxAge is how long a published list that was not confirmed may be used; 4 s by default. The lease holder
+	// confirms it four times within it. Without a lease holder members ask discovery after MaxAge and Jitter.
+	MaxAge time.Duration
+	// Jitter is added to MaxAge by this member, drawn once between 0 and MaxAge, so that members don't ask
+	// discovery all at once.
+	Jitter time.Duration
+	// PollInterval is the time between reads of the store, and so the most by which a list reaches a member
+	// later than its replica; 250 ms by default.
+	PollInterval time.Duration
+	// WatchTimeout is how long a watch on discovery that receives nothing counts as alive. The list of a lease
+	// holder whose watch is broken is neither published nor confirmed.
+	WatchTimeout time.Duration
 
 	runner *Runner
 
@@ -58,8 +68,12 @@
 	startedAt time.Time
 }
 
-// minReadTimeout is the shortest timeout of a follower's read.
-const minReadTimeout = 500 * time.Millisecond
+const (
+	// minReadTimeout is the shortest timeout of a follower's read.
+	minReadTimeout = 500 * time.Millisecond
+	// maxPublishInterval is the longest time between two looks at whether the list is to be published.
+	maxPublishInterval = 100 * time.Millisecond
+)
 
 func (s *EndpointSync) attach(r *Runner) {
 	s.runner = r
@@ -70,10 +84,10 @@
 // updateFeed sets where the list comes from now: for the lease holder from discovery under its token, for
 // others from the store while the list there is fresh, else from discovery without a token.
 func (s *EndpointSync) updateFeed() {
-	token, _, owns := s.runner.activeLease()
+	held, owns := s.runner.activeLease()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	feed := Feed{Token: token}
+	feed := Feed{Token: held.token}
 	if !owns {
 		feed = Feed{FromOwner: s.follower.Fresh(s.runner.now())}
 	}
@@ -90,20 +104,19 @@
 
 // runPublisher publishes the list while this member holds the lease and its watch on discovery is alive.
 func (s *EndpointSync) runPublisher() {
-	defer s.runner.wg.Done()
-	tick := time.NewTicker(min(s.PollInterval, 100*time.Millisecond))
+	tick := time.NewTicker(min(s.PollInterval, maxPublishInterval))
 	defer tick.Stop()
 	for {
 		select {
-		case <-s.runner.stopCh:
+		case <-s.runner.stop:
 			return
 		case <-s.runner.acquired:
 		case <-tick.C:
 		}
 		s.updateFeed()
-		token, _, owns := s.runner.activeLease()
+		held, owns := s.runner.activeLease()
 		if owns && time.Since(s.Source.LastSeen()) <= s.WatchTimeout {
-			s.recordRun(s.publish(token))
+			s.recordRun(s.publish(held.token))
 		}
 	}
 }
@@ -146,12 +159,11 @@
 
 // runFollower applies the published list.
 func (s *EndpointSync) runFollower() {
-	defer s.runner.wg.Done()
 	tick := time.NewTicker(s.PollInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-s.runner.stopCh:
+		case <-s.runner.stop:
 			return
 		case <-tick.C:
 		}
@@ -180,7 +192,7 @@
 	if view.Version == 0 {
 		return
 	}
-	_, _, owns := s.runner.activeLease()
+	_, owns := s.runner.activeLease()
 	localIndex := s.Source.Index()
 	s.mu.Lock()
 	accepted := s.follower.Observe(s.runner.now(), view, localIndex)
--- a/internal/cluster/leaseholder/entries.go
+++ b/internal/cluster/leaseholder/entries.go
@@ -17,7 +17,7 @@
 	Reason string     `json:"reason,omitempty"` // of a correction
 }
 
-// LineItem is the usage of one class and final answer within an Entry.
+// LineItem is the usage of one class and final answer within an Entry, as an item of a bill.
 type LineItem struct {
 	Class  string `json:"class"`
 	Answer string `json:"answer"`
@@ -50,13 +50,13 @@
 // correctionEntries returns the entries of corrections, one for each.
 func correctionEntries(pending []groupstate.PendingCorrection) []Entry {
 	entries := make([]Entry, 0, len(pending))
-	for _, c := range pending {
+	for _, correction := range pending {
 		entries = append(entries, Entry{
-			ID:     fmt.Sprintf("%d/correction/%s", c.Period, c.ID),
-			Period: c.Period,
-			Tenant: c.Tenant,
-			Items:  []LineItem{{c.Class, c.Answer, c.Usage}},
-			Reason: c.Reason,
+			ID:     fmt.Sprintf("%d/correction/%s", correction.Period, correction.ID),
+			Period: correction.Period,
+			Tenant: correction.Tenant,
+			Items:  []LineItem{{correction.Class, correction.Answer, correction.Usage}},
+			Reason: correction.Reason,
 		})
 	}
 	return entries
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -19,11 +19,15 @@
 )
 
 // Exporter sends the ledger's periods to a billing sink while this member holds the lease: POST /entries with
-// a JSON array of Entry and the token in lease.TokenHeader.
+// a JSON array of Entry and the token in lease.TokenHeader. It has one goroutine of its Runner, which takes
+// one step after the other: the intent of a period, its entries, its end, and then pending corrections.
 type Exporter struct {
-	Sink        string        // host:port
-	CallTimeout time.Duration // of one call
-	BatchSize   int           // maximum of entries in one call
+	// Sink is the host:port of the billing sink.
+	Sink string
+	// CallTimeout bounds one call, as the end of the lease does, and one read of the ledger; 1 s by default.
+	CallTimeout time.Duration
+	// BatchSize is the most entries in one call; 100 by default. At least 1.
+	BatchSize int
 
 	runner         *Runner
 	client         http.Client
@@ -52,21 +56,20 @@
 
 // run exports until the runner is closed.
 func (e *Exporter) run() {
-	defer e.runner.wg.Done()
 	defer e.client.CloseIdleConnections()
 	interval := e.runner.checkInterval()
 	for delay := interval; ; {
 		select {
-		case <-e.runner.stopCh:
+		case <-e.runner.stop:
 			return
 		case <-time.After(delay):
 		}
-		token, _, ok := e.runner.activeLease()
-		if !ok {
+		held, owns := e.runner.activeLease()
+		if !owns {
 			delay = interval
 			continue
 		}
-		more, err := e.exportNext(token)
+		more, err := e.exportNext(held.token)
 		e.recordRun(err)
 		switch {
 		case err != nil && !lostLease(err):
@@ -118,25 +121,36 @@
 	}
 	switch {
 	case next.Period > 0:
-		if err := e.sendPeriod(token, &next); err != nil {
-			return false, fmt.Errorf("period %d: %w", next.Period, err)
-		}
-		done := groupstate.ExportDone{Member: self, Token: token, Period: next.Period}
-		return true, e.runner.commit(token, done.Encode())
+		return e.exportPeriod(token, &next)
 	case next.Due > 0:
 		intent := groupstate.ExportIntent{Member: self, Token: token, Period: next.Due}
 		return true, e.runner.commit(token, intent.Encode())
 	case len(next.Corrections) > 0:
-		if err := e.sendAll(token, correctionEntries(next.Corrections)); err != nil {
-			return false, fmt.Errorf("corrections: %w", err)
-		}
-		sent := groupstate.CorrectionsSent{Member: self, Token: token,
-			UpTo: next.Corrections[len(next.Corrections)-1].Seq}
-		return true, e.runner.commit(token, sent.Encode())
+		return e.exportCorrections(token, next.Corrections)
 	}
 	return false, nil
 }
 
+// exportPeriod sends the period of the open intent and records that the sink has it.
+func (e *Exporter) exportPeriod(token uint64, next *groupstate.PendingExport) (more bool, err error) {
+	if err := e.sendPeriod(token, next); err != nil {
+		return false, fmt.Errorf("period %d: %w", next.Period, err)
+	}
+	done := groupstate.ExportDone{Member: e.runner.opts.Name, Token: token, Period: next.Period}
+	return true, e.runner.commit(token, done.Encode())
+}
+
+// exportCorrections sends corrections, at least one, and records that the sink has them.
+func (e *Exporter) exportCorrections(token uint64, corrections []groupstate.PendingCorrection) (more bool,
+	err error) {
+	if err := e.sendAll(token, correctionEntries(corrections)); err != nil {
+		return false, fmt.Errorf("corrections: %w", err)
+	}
+	upTo := corrections[len(corrections)-1].Seq
+	exported := groupstate.CorrectionsSent{Member: e.runner.opts.Name, Token: token, UpTo: upTo}
+	return true, e.runner.commit(token, exported.Encode())
+}
+
 // announce shows a token to the sink unless it has seen it.
 func (e *Exporter) announce(token uint64) error {
 	if e.announcedToken == token {
@@ -178,49 +192,56 @@
 		return err
 	}
 	return e.runner.callFenced(token, e.CallTimeout, func(ctx context.Context) error {
-		status, reply, err := e.post(ctx, token, body)
+		resp, err := e.post(ctx, token, body)
 		if err != nil {
 			return err
 		}
-		return e.checkReply(status, reply, len(entries))
+		return e.checkResponse(resp, len(entries))
 	})
 }
 
-// post returns the status and the body of the sink's reply.
-func (e *Exporter) post(ctx context.Context, token uint64, body []byte) (int, []byte, error) {
+// sinkResponse is the sink's response to a call.
+type sinkResponse struct {
+	status int
+	body   []byte // at most maxReplyBytes of it
+}
+
+// post makes one call and returns the sink's response, whatever its status.
+func (e *Exporter) post(ctx context.Context, token uint64, body []byte) (sinkResponse, error) {
 	url := "http://" + e.Sink + "/entries"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, err
+		return sinkResponse{}, err
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(lease.TokenHeader, strconv.FormatUint(token, 10))
 	resp, err := e.client.Do(req)
 	if err != nil {
-		return 0, nil, err
+		return sinkResponse{}, err
 	}
 	defer resp.Body.Close()
 	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
-	return resp.StatusCode, reply, err
+	return sinkResponse{resp.StatusCode, reply}, err
 }
 
-// checkReply checks the sink's reply to a call with that many entries, and counts them. It returns
+// checkResponse checks the sink's response to a call with that many entries, and counts them. It returns
 // errStaleToken if the sink has seen a newer token.
-func (e *Exporter) checkReply(status int, raw []byte, sent int) error {
-	switch status {
+func (e *Exporter) checkResponse(resp sinkResponse, entries int) error {
+	text := strings.TrimSpace(string(resp.body))
+	switch resp.status {
 	case http.StatusOK:
 	case http.StatusConflict:
-		return fmt.Errorf("%w: the sink says %.200q", errStaleToken, strings.TrimSpace(string(raw)))
+		return fmt.Errorf("%w: the sink says %.200q", errStaleToken, text)
 	default:
-		return fmt.Errorf("the sink answered %d: %.200q", status, strings.TrimSpace(string(raw)))
+		return fmt.Errorf("the sink answered %d: %.200q", resp.status, text)
 	}
 	var reply SinkReply
-	err := json.Unmarshal(raw, &reply)
-	if err != nil || reply.Stored < 0 || reply.Duplicates < 0 || reply.Stored+reply.Duplicates != sent {
-		return fmt.Errorf("the sink's answer to %d entries makes no sense: %.200q", sent, raw)
+	err := json.Unmarshal(resp.body, &reply)
+	if err != nil || reply.Stored < 0 || reply.Duplicates < 0 || reply.Stored+reply.Duplicates != entries {
+		return fmt.Errorf("the sink's answer to %d entries makes no sense: %.200q", entries, resp.body)
 	}
 	e.runner.updateStats(func(s *Stats) {
-		s.Entries += int64(sent)
+		s.Entries += int64(entries)
 		s.Duplicates += int64(reply.Duplicates)
 	})
 	return nil
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -198,7 +198,7 @@
 
 func ownsLease(r *Runner) func() error {
 	return func() error {
-		if _, _, ok := r.activeLease(); !ok {
+		if _, ok := r.activeLease(); !ok {
 			return errors.New("it does not own the lease")
 		}
 		return nil
--- /dev/null
+++ b/internal/cluster/leaseholder/maintain.go
@@ -0,0 +1,184 @@
+package leaseholder
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"time"
+
+	"cresshub/internal/cluster/groupstate"
+	"cresshub/internal/cluster/lease"
+)
+
+// now is the monotonic clock of package lease.
+func (r *Runner) now() time.Duration { return time.Since(r.start) }
+
+// minCheckInterval is the least time between two looks at the lease.
+const minCheckInterval = 5 * time.Millisecond
+
+// checkInterval is the time between two looks at the lease: often enough that the third of a lease in which
+// it is to be renewed is not missed.
+func (r *Runner) checkInterval() time.Duration { return max(r.opts.Lease.TTL/40, minCheckInterval) }
+
+// maintainLease acquires and renews the lease until Close.
+func (r *Runner) maintainLease() {
+	tick := time.NewTicker(r.checkInterval())
+	defer tick.Stop()
+	for {
+		select {
+		case <-r.stop:
+			return
+		case <-tick.C:
+		}
+		r.observeGrant()
+		r.reportTransition()
+		if cmd, due := r.nextProposal(); due {
+			r.goroutines.Go(func() { r.propose(cmd) })
+		}
+	}
+}
+
+// observeGrant passes the grant of this member's replica to the candidate.
+func (r *Runner) observeGrant() {
+	value, ok := r.opts.Store.Peek(groupstate.Query{Kind: groupstate.QueryGrant}.Encode())
+	grant, isGrant := value.(lease.Grant)
+	if !ok || !isGrant {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.candidate.Observe(r.now(), grant)
+}
+
+// nextProposal is the candidate's, false within a backoff after a command that failed.
+func (r *Runner) nextProposal() (lease.Command, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if time.Since(r.retryFrom) <= r.opts.Lease.TTL/10 {
+		return lease.Command{}, false
+	}
+	return r.candidate.NextProposal(r.now())
+}
+
+// propose commits a command of the lease and passes its result to the candidate.
+func (r *Runner) propose(cmd lease.Command) {
+	ctx, cancel := context.WithTimeout(r.ctx, r.opts.Lease.TTL)
+	defer cancel()
+	raw, err := r.opts.Store.Propose(ctx, groupstate.EncodeLease(cmd))
+	var result lease.Result
+	if err == nil {
+		err = json.Unmarshal(raw, &result)
+	}
+	r.mu.Lock()
+	if err != nil {
+		r.candidate.HandleNoResult()
+		r.retryFrom = time.Now().Add(rand.N(r.opts.Lease.TTL / 20))
+	} else {
+		r.candidate.HandleResult(r.now(), result)
+		if result.Applied && cmd.Op == lease.Renew {
+			r.stats.Renewals++
+		}
+	}
+	r.mu.Unlock()
+	r.reportTransition()
+}
+
+// reportTransition counts and logs whether the lease was acquired or lost since the last call, and wakes the
+// publisher once it was acquired.
+func (r *Runner) reportTransition() {
+	t := r.noteTransition()
+	switch {
+	case t.token == t.previous:
+	case t.token == 0:
+		r.opts.Log.Warn("owner: lease lost", "token", t.previous, "holder", t.grant.Holder, "its_token",
+			t.grant.Token)
+	default:
+		r.opts.Log.Info("owner: lease acquired", "token", t.token, "before", t.previous)
+		select {
+		case r.acquired <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// transition is what became of this member's lease between two calls of noteTransition.
+type transition struct {
+	token    uint64 // of the lease that this member holds now, 0 for none
+	previous uint64 // of the one that it held at the last call, 0 for none
+	grant    lease.Grant
+}
+
+// noteTransition sets activeToken to the present, and counts the change if there is one.
+func (r *Runner) noteTransition() transition {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t := transition{previous: r.activeToken, grant: r.candidate.Grant()}
+	if r.candidate.Owns(r.now()) {
+		t.token = r.candidate.Token()
+	}
+	r.activeToken = t.token
+	switch {
+	case t.token == t.previous:
+	case t.token != 0:
+		r.stats.Grants++
+	default:
+		r.stats.Losses++
+	}
+	return t
+}
+
+// resign gives up the lease at once and releases it in the log, so that another member need not wait for it
+// to expire.
+func (r *Runner) resign(reason string) {
+	r.mu.Lock()
+	cmd, ok := r.candidate.Resign()
+	token := r.activeToken
+	r.activeToken = 0
+	if ok {
+		r.stats.Resigned++
+	}
+	r.mu.Unlock()
+	if !ok {
+		return
+	}
+	r.opts.Log.Info("owner: lease released", "token", token, "why", reason)
+	ctx, cancel := context.WithTimeout(context.Background(), r.opts.Lease.TTL/2)
+	defer cancel()
+	if _, err := r.opts.Store.Propose(ctx, groupstate.EncodeLease(cmd)); err != nil {
+		r.opts.Log.Debug("owner: lease not released in the log, it will expire", "err", err)
+	}
+}
+
+// heldLease is the lease as this member holds it at a moment. The zero heldLease is none.
+type heldLease struct {
+	token     uint64        // fencing token, above 0
+	remaining time.Duration // until the lease ends unless it is renewed
+}
+
+// activeLease returns the lease that this member holds now; false if it holds none.
+func (r *Runner) activeLease() (heldLease, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
+	if !r.candidate.Owns(now) {
+		return heldLease{}, false
+	}
+	return heldLease{token: r.candidate.Token(), remaining: r.candidate.Remaining(now)}, true
+}
+
+// checkLease returns how long the lease with that token lasts, ErrNotOwner if this member doesn't hold it.
+func (r *Runner) checkLease(token uint64) (remaining time.Duration, err error) {
+	held, ok := r.activeLease()
+	if !ok || held.token != token {
+		return 0, ErrNotOwner
+	}
+	return held.remaining, nil
+}
+
+// stepDown ends this member's ownership after something under a token was rejected as stale.
+func (r *Runner) stepDown(token uint64, reason string) {
+	r.opts.Log.Warn("owner: call rejected, another member holds the lease", "token", token, "why", reason)
+	if _, err := r.checkLease(token); err == nil {
+		r.resign("refused: " + reason)
+	}
+}
--- a/internal/cluster/leaseholder/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -65,15 +65,15 @@
 		grant = view.Grant
 	}
 	page.Holder, page.Token = grant.Holder, grant.Token
-	if e := r.opts.Export; e != nil {
-		status := e.status()
+	if exporter := r.opts.Export; exporter != nil {
+		status := exporter.roleStatus()
 		status.Backlog = view.Backlog + view.PendingCorrections
 		page.Roles = append(page.Roles, status)
 	}
-	if s := r.opts.Endpoints; s != nil {
-		role, endpoints := s.status()
-		page.Roles = append(page.Roles, role)
-		page.Endpoints = &endpoints
+	if endpoints := r.opts.Endpoints; endpoints != nil {
+		page.Roles = append(page.Roles, endpoints.roleStatus())
+		status := endpoints.endpointStatus()
+		page.Endpoints = &status
 	}
 	if !page.Owns { // a problem from when this member was the owner may be over
 		for i := range page.Roles {
@@ -83,18 +83,23 @@
 	return page
 }
 
-func (e *Exporter) status() RoleStatus {
+func (e *Exporter) roleStatus() RoleStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return RoleStatus{Role: roleExport, LastRun: millisSince(e.lastRun), Problem: e.problem}
 }
 
-func (s *EndpointSync) status() (RoleStatus, EndpointStatus) {
+func (s *EndpointSync) roleStatus() RoleStatus {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return RoleStatus{Role: roleEndpoints, LastRun: millisSince(s.lastRun), Problem: s.problem}
+}
+
+func (s *EndpointSync) endpointStatus() EndpointStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	role := RoleStatus{Role: roleEndpoints, LastRun: millisSince(s.lastRun), Problem: s.problem}
 	age := s.follower.Age(s.runner.now())
-	return role, EndpointStatus{s.feed.FromOwner, age.Milliseconds(), s.follower.Version()}
+	return EndpointStatus{s.feed.FromOwner, age.Milliseconds(), s.follower.Version()}
 }
 
 // millisSince returns how long ago t was in ms, -1 for the zero time.
--- a/internal/cluster/leaseholder/runner.go
+++ b/internal/cluster/leaseholder/runner.go
@@ -7,6 +7,10 @@
 // Only members that hold a replica of the Raft group compete for the lease, three or five of them: what they
 // need to know is in their own replica of the log.
 //
+// The files: runner.go has the Runner and its life, maintain.go how it gets, keeps and gives up the lease,
+// calls.go what it does under the lease's token; exporter.go and endpoints.go are the two roles, page.go is
+// what operators see of them.
+//
 // A Runner has one goroutine that maintains the lease, one of the Exporter, two of the EndpointSync, and one
 // for each command of the lease in flight, at most one at a time. Close ends them all. The methods of Runner
 // may be called from any goroutine.
@@ -18,7 +22,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"sync"
 	"time"
 
@@ -38,13 +41,22 @@
 
 // Options of a Runner.
 type Options struct {
-	Name      string // of this member
-	Lease     lease.Settings
-	Store     Store
-	Export    *Exporter     // nil: the ledger isn't exported
-	Endpoints *EndpointSync // nil: each member asks discovery by itself
-	Faults    Faults        // nil but in tests
-	Log       *slog.Logger
+	// Name is this member's name, under which it holds the lease; unique in the fleet.
+	Name string
+	// Lease are the lease's settings, the same on all members.
+	Lease lease.Settings
+	// Store is this member's way to the replicated state.
+	Store Store
+	// Export is the role that sends the ledger to a billing sink. Nil, the default: this member doesn't, even as
+	// the lease holder.
+	Export *Exporter
+	// Endpoints is the role that publishes the endpoint list. Nil, the default: this member asks discovery by
+	// itself and publishes nothing.
+	Endpoints *EndpointSync
+	// Faults stalls calls, for tests and the laboratory alone. Nil, the default, stalls none.
+	Faults Faults
+	// Log takes the messages of the runner and its roles. It must not be nil.
+	Log *slog.Logger
 }
 
 // Stats count what this member did as the lease holder since its start.
@@ -68,7 +80,9 @@
 // errStaleToken is the error of a call or command that was rejected because of its token.
 var errStaleToken = errors.New("refused for its fencing token")
 
-// Runner competes for the lease and runs the roles while this member holds it.
+// Runner competes for the lease and runs the roles while this member holds it. New, Run and Close are called
+// in this order; Run once. Its mu guards the candidate, which is not safe for concurrent use, and is never
+// held while the store, the sink or discovery is called.
 type Runner struct {
 	opts  Options
 	start time.Time // origin of the candidate's clock
@@ -79,22 +93,28 @@
 	stats       Stats
 	retryFrom   time.Time // when the last command of the lease failed, with jitter
 
-	ctx       context.Context // of all calls; ends with Close
-	cancel    context.CancelFunc
-	acquired  chan struct{} // wakes the publisher of the endpoint list
-	stopCh    chan struct{}
-	wg        sync.WaitGroup
-	closeOnce sync.Once
+	ctx        context.Context // of all calls; ends with Close
+	cancel     context.CancelFunc
+	acquired   chan struct{} // wakes the publisher of the endpoint list
+	stop       chan struct{} // closed by Close
+	goroutines sync.WaitGroup
+	closeOnce  sync.Once
 }
 
-// New returns a Runner that does nothing until Run. It returns an error if the lease's settings are unsound.
+// New returns a Runner that does nothing until Run, and attaches the roles to it: an Exporter or EndpointSync
+// belongs to one Runner. It returns an error if the lease's settings are unsound.
 func New(opts Options) (*Runner, error) {
 	candidate, err := lease.NewCandidate(opts.Lease, opts.Name, groupstate.FleetRole)
 	if err != nil {
 		return nil, fmt.Errorf("owner.%w", err)
 	}
-	r := &Runner{opts: opts, start: time.Now(), candidate: candidate, acquired: make(chan struct{}, 1),
-		stopCh: make(chan struct{})}
+	r := &Runner{
+		opts:      opts,
+		start:     time.Now(),
+		candidate: candidate,
+		acquired:  make(chan struct{}, 1),
+		stop:      make(chan struct{}),
+	}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	if opts.Export != nil {
 		opts.Export.attach(r)
@@ -105,260 +125,29 @@
 	return r, nil
 }
 
-// now is the monotonic clock of package lease.
-func (r *Runner) now() time.Duration { return time.Since(r.start) }
-
-// checkInterval is how often the lease is looked at.
-func (r *Runner) checkInterval() time.Duration { return max(r.opts.Lease.TTL/40, 5*time.Millisecond) }
-
 // Run starts the goroutines and returns at once.
 func (r *Runner) Run() {
-	r.wg.Add(1)
-	go r.maintainLease()
+	r.goroutines.Go(r.maintainLease)
 	if r.opts.Export != nil {
-		r.wg.Add(1)
-		go r.opts.Export.run()
+		r.goroutines.Go(r.opts.Export.run)
 	}
 	if r.opts.Endpoints != nil {
-		r.wg.Add(2)
-		go r.opts.Endpoints.runPublisher()
-		go r.opts.Endpoints.runFollower()
+		r.goroutines.Go(r.opts.Endpoints.runPublisher)
+		r.goroutines.Go(r.opts.Endpoints.runFollower)
 	}
 }
 
 // Close ends all calls and goroutines, waits for them, and releases the lease if this member holds it.
 func (r *Runner) Close() {
 	r.closeOnce.Do(func() {
-		close(r.stopCh)
+		close(r.stop)
 		r.cancel()
-		r.wg.Wait()
+		r.goroutines.Wait()
 		r.resign("the end of the process")
 	})
 }
 
-// maintainLease acquires and renews the lease until Close.
-func (r *Runner) maintainLease() {
-	defer r.wg.Done()
-	tick := time.NewTicker(r.checkInterval())
-	defer tick.Stop()
-	for {
-		select {
-		case <-r.stopCh:
-			return
-		case <-tick.C:
-		}
-		r.observeGrant()
-		r.reportTransition()
-		if cmd, due := r.nextProposal(); due {
-			r.wg.Add(1)
-			go r.propose(cmd)
-		}
-	}
-}
-
-// observeGrant passes the grant of this member's replica to the candidate.
-func (r *Runner) observeGrant() {
-	value, ok := r.opts.Store.Peek(groupstate.Query{Kind: groupstate.QueryGrant}.Encode())
-	grant, isGrant := value.(lease.Grant)
-	if !ok || !isGrant {
-		return
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.candidate.Observe(r.now(), grant)
-}
-
-// nextProposal is the candidate's, with a backoff after a command that failed.
-func (r *Runner) nextProposal() (lease.Command, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if time.Since(r.retryFrom) <= r.opts.Lease.TTL/10 {
-		return lease.Command{}, false
-	}
-	return r.candidate.NextProposal(r.now())
-}
-
-// propose commits a command of the lease and passes its result to the candidate.
-func (r *Runner) propose(cmd lease.Command) {
-	defer r.wg.Done()
-	ctx, cancel := context.WithTimeout(r.ctx, r.opts.Lease.TTL)
-	defer cancel()
-	raw, err := r.opts.Store.Propose(ctx, groupstate.EncodeLease(cmd))
-	var result lease.Result
-	if err == nil {
-		err = json.Unmarshal(raw, &result)
-	}
-	r.mu.Lock()
-	if err != nil {
-		r.candidate.HandleNoResult()
-		r.retryFrom = time.Now().Add(rand.N(r.opts.Lease.TTL / 20))
-	} else {
-		r.candidate.HandleResult(r.now(), result)
-		if result.Applied && cmd.Op == lease.Renew {
-			r.stats.Renewals++
-		}
-	}
-	r.mu.Unlock()
-	r.reportTransition()
-}
-
-// reportTransition counts and logs whether the lease was acquired or lost since the last call.
-func (r *Runner) reportTransition() {
-	r.mu.Lock()
-	token := uint64(0)
-	if r.candidate.Owns(r.now()) {
-		token = r.candidate.Token()
-	}
-	previous := r.activeToken
-	r.activeToken = token
-	switch {
-	case token == previous:
-		r.mu.Unlock()
-		return
-	case token != 0:
-		r.stats.Grants++
-	default:
-		r.stats.Losses++
-	}
-	grant := r.candidate.Grant()
-	r.mu.Unlock()
-	if token == 0 {
-		r.opts.Log.Warn("owner: lease lost", "token", previous, "holder", grant.Holder, "its_token", grant.Token)
-		return
-	}
-	r.opts.Log.Info("owner: lease acquired", "token", token, "before", previous)
-	select {
-	case r.acquired <- struct{}{}:
-	default:
-	}
-}
-
-// resign gives up the lease at once and releases it in the log, so that another member need not wait for it
-// to expire.
-func (r *Runner) resign(reason string) {
-	r.mu.Lock()
-	cmd, ok := r.candidate.Resign()
-	token := r.activeToken
-	r.activeToken = 0
-	if ok {
-		r.stats.Resigned++
-	}
-	r.mu.Unlock()
-	if !ok {
-		return
-	}
-	r.opts.Log.Info("owner: lease released", "token", token, "why", reason)
-	ctx, cancel := context.WithTimeout(context.Background(), r.opts.Lease.TTL/2)
-	defer cancel()
-	if _, err := r.opts.Store.Propose(ctx, groupstate.EncodeLease(cmd)); err != nil {
-		r.opts.Log.Debug("owner: lease not released in the log, it will expire", "err", err)
-	}
-}
-
-// activeLease returns the token of the lease that this member holds and how long the lease lasts; false if it
-// holds none.
-func (r *Runner) activeLease() (token uint64, remaining time.Duration, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.now()
-	if !r.candidate.Owns(now) {
-		return 0, 0, false
-	}
-	return r.candidate.Token(), r.candidate.Remaining(now), true
-}
-
-// checkLease returns how long the lease with that token lasts, ErrNotOwner if this member doesn't hold it.
-func (r *Runner) checkLease(token uint64) (remaining time.Duration, err error) {
-	current, remaining, ok := r.activeLease()
-	if !ok || current != token {
-		return 0, ErrNotOwner
-	}
-	return remaining, nil
-}
-
-// callFenced makes one call under a token, within a timeout and no longer than the lease lasts. A call that
-// was rejected because of its token ends this member's ownership.
-func (r *Runner) callFenced(token uint64, timeout time.Duration, do func(ctx context.Context) error) error {
-	remaining, err := r.checkLease(token)
-	if err != nil {
-		return err
-	}
-	if r.opts.Faults != nil {
-		r.opts.Faults.BeforeCall()
-	}
-	ctx, cancel := context.WithTimeout(r.ctx, min(timeout, remaining))
-	defer cancel()
-	err = do(ctx)
-	r.updateStats(func(s *Stats) {
-		s.Calls++
-		switch {
-		case errors.Is(err, errStaleToken):
-			s.Rejected++
-		case err != nil:
-			s.Failed++
-		}
-	})
-	if errors.Is(err, errStaleToken) {
-		r.stepDown(token, err.Error())
-	}
-	return err
-}
-
-// ReportRejection says that discovery rejected a call because of its token.
-func (r *Runner) ReportRejection(token uint64, reason string) {
-	r.updateStats(func(s *Stats) {
-		s.Calls++
-		s.Rejected++
-	})
-	r.stepDown(token, reason)
-}
-
-// stepDown ends this member's ownership after something under a token was rejected as stale.
-func (r *Runner) stepDown(token uint64, reason string) {
-	r.opts.Log.Warn("owner: call rejected, another member holds the lease", "token", token, "why", reason)
-	if _, err := r.checkLease(token); err == nil {
-		r.resign("refused: " + reason)
-	}
-}
-
-// commit proposes a command of a role under a token. It returns nil if the command was applied.
-func (r *Runner) commit(token uint64, command []byte) error {
-	remaining, err := r.checkLease(token)
-	if err != nil {
-		return err
-	}
-	ctx, cancel := context.WithTimeout(r.ctx, remaining)
-	defer cancel()
-	raw, err := r.opts.Store.Propose(ctx, command)
-	if err != nil {
-		return err
-	}
-	var result groupstate.Result
-	if err := json.Unmarshal(raw, &result); err != nil {
-		return err
-	}
-	switch result.Status {
-	case groupstate.StatusAccepted:
-		return nil
-	case groupstate.StatusStale:
-		r.updateStats(func(s *Stats) { s.StaleEntries++ })
-		r.stepDown(token, result.Reason)
-		return errStaleToken
-	}
-	return errors.New(result.Reason)
-}
-
-// query reads from the store within a timeout and decodes the answer into what into points to.
-func (r *Runner) query(timeout time.Duration, q groupstate.Query, into any) error {
-	ctx, cancel := context.WithTimeout(r.ctx, timeout)
-	defer cancel()
-	raw, err := r.opts.Store.Read(ctx, q.Encode())
-	if err != nil {
-		return err
-	}
-	return json.Unmarshal(raw, into)
-}
-
+// updateStats has update change the stats; update must not call the runner.
 func (r *Runner) updateStats(update func(s *Stats)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -63,25 +63,25 @@
 // and its commands are rejected as stale.
 func TestPartitionedOwnerStopsByItself(t *testing.T) {
 	sink, s, a := startExport(t)
-	old, _, _ := a.activeLease()
+	old, _ := a.activeLease()
 	b := startRunner(t, s, "b", sink.Address(), nil)
 	s.setPartitioned(true, "a")
 	eventually(t, "b owns", ownsLease(b))
-	if _, _, ok := a.activeLease(); ok {
+	if _, ok := a.activeLease(); ok {
 		t.Error("two own the lease")
 	}
 	s.addPeriod(1)
 	eventually(t, "b exports", func() error { return exported(s, 1) })
-	if err := a.opts.Export.send(old, nil); !errors.Is(err, ErrNotOwner) {
+	if err := a.opts.Export.send(old.token, nil); !errors.Is(err, ErrNotOwner) {
 		t.Errorf("a sends: %v", err)
 	}
-	if r := string(s.apply((&groupstate.ExportDone{Member: "a", Token: old, Period: 1}).Encode())); r == "" ||
-		s.view().Stats.Stale != 1 {
-		t.Errorf("a's command: %s", r)
+	stale := &groupstate.ExportDone{Member: "a", Token: old.token, Period: 1}
+	if result := string(s.apply(stale.Encode())); result == "" || s.view().Stats.Stale != 1 {
+		t.Errorf("a's command: %s", result)
 	}
 }
 
-func TestSinkReplies(t *testing.T) {
+func TestSinkResponsesAreCheckedAgainstWhatWasSent(t *testing.T) {
 	_, _, a := startExport(t)
 	for name, c := range map[string]struct {
 		status int
@@ -100,7 +100,7 @@
 		"an error of the sink":    {500, "oh", 0, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := a.opts.Export.checkReply(c.status, []byte(c.body), c.sent)
+			err := a.opts.Export.checkResponse(sinkResponse{c.status, []byte(c.body)}, c.sent)
 			if (err != nil) != c.fails || errors.Is(err, errStaleToken) != c.stale {
 				t.Errorf("%d %s: %v", c.status, c.body, err)
 			}
