--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -1,13 +1,12 @@
 package groupstate
 
 import (
-	"github.com/hashicorp/go-msgpack/v2/codec"
-
 	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/logcodec"
 )
 
-// Kinds of commands in the log, beside those of package ledger: a byte before the msgpack of the command,
-// which is an array in the order of the struct's fields.
+// Kinds of commands in the log, beside those of package ledger. They stand before the command itself
+// (logcodec.EncodeCommand).
 const (
 	kindLease           = 'L'
 	kindExportIntent    = 'I'
@@ -46,30 +45,16 @@
 }
 
 // EncodeLease encodes a command of the lease for the log.
-func EncodeLease(cmd lease.Command) []byte { return encode(kindLease, &cmd) }
+func EncodeLease(cmd lease.Command) []byte { return logcodec.EncodeCommand(kindLease, &cmd) }
 
 // Encode encodes the command for the log.
-func (c *ExportIntent) Encode() []byte { return encode(kindExportIntent, c) }
+func (c *ExportIntent) Encode() []byte { return logcodec.EncodeCommand(kindExportIntent, c) }
 
 // Encode encodes the command for the log.
-func (c *ExportDone) Encode() []byte { return encode(kindExportDone, c) }
+func (c *ExportDone) Encode() []byte { return logcodec.EncodeCommand(kindExportDone, c) }
 
 // Encode encodes the command for the log.
-func (c *CorrectionsSent) Encode() []byte { return encode(kindCorrectionsSent, c) }
+func (c *CorrectionsSent) Encode() []byte { return logcodec.EncodeCommand(kindCorrectionsSent, c) }
 
 // Encode encodes the command for the log.
-func (c *EndpointList) Encode() []byte { return encode(kindEndpointList, c) }
-
-var msgpackHandle = func() *codec.MsgpackHandle {
-	h := &codec.MsgpackHandle{}
-	h.StructToArray = true
-	return h
-}()
-
-func encode(kind byte, v any) []byte {
-	var b []byte
-	if err := codec.NewEncoderBytes(&b, msgpackHandle).Encode(v); err != nil {
-		panic(err) // a struct of this package that the codec can't write: no input leads here
-	}
-	return append([]byte{kind}, b...)
-}
+func (c *EndpointList) Encode() []byte { return logcodec.EncodeCommand(kindEndpointList, c) }
--- a/internal/cluster/groupstate/machine.go
+++ b/internal/cluster/groupstate/machine.go
@@ -18,10 +18,9 @@
 import (
 	"fmt"
 
-	"github.com/hashicorp/go-msgpack/v2/codec"
-
 	"cresshub/internal/cluster/lease"
 	"cresshub/internal/cluster/ledger"
+	"cresshub/internal/cluster/logcodec"
 )
 
 // FleetRole is the one role that is leased: its owner runs all singleton roles of the fleet.
@@ -111,7 +110,7 @@
 
 func decodeAndApply[C any](m *Machine, data []byte, apply func(*C) Result) Result {
 	var cmd C
-	if err := codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&cmd); err != nil {
+	if err := logcodec.DecodeCommand(data, &cmd); err != nil {
 		return m.reject("it does not decode: %v", err)
 	}
 	return apply(&cmd)
@@ -119,7 +118,7 @@
 
 func (m *Machine) applyLease(index uint64, data []byte) lease.Result {
 	var cmd lease.Command
-	if err := codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&cmd); err != nil || cmd.Role != FleetRole {
+	if err := logcodec.DecodeCommand(data, &cmd); err != nil || cmd.Role != FleetRole {
 		m.state.Stats.Rejected++
 		return lease.Result{Grant: m.grant()}
 	}
--- a/internal/cluster/groupstate/snapshot.go
+++ b/internal/cluster/groupstate/snapshot.go
@@ -4,9 +4,8 @@
 	"errors"
 	"fmt"
 
-	"github.com/hashicorp/go-msgpack/v2/codec"
-
 	"cresshub/internal/cluster/lease"
+	"cresshub/internal/cluster/logcodec"
 )
 
 const (
@@ -17,7 +16,7 @@
 	kindSnapshot = 'M'
 )
 
-// snapshot is the stored form: an array in the order of the fields.
+// snapshot is the stored form, see package logcodec.
 type snapshot struct {
 	Format       int
 	AppliedIndex uint64
@@ -26,39 +25,28 @@
 	Ledger       []byte
 }
 
-// canonicalHandle sorts the keys of maps, so that equal states give equal bytes.
-var canonicalHandle = func() *codec.MsgpackHandle {
-	h := &codec.MsgpackHandle{}
-	h.StructToArray, h.Canonical = true, true
-	return h
-}()
-
 // Snapshot encodes the full state. Equal states give equal bytes.
 func (m *Machine) Snapshot() []byte {
-	s := snapshot{Format: snapshotFormat, AppliedIndex: m.appliedIndex, Grants: m.leases.Grants(),
-		State: m.state, Ledger: m.Ledger.Snapshot()}
-	var b []byte
-	if err := codec.NewEncoderBytes(&b, canonicalHandle).Encode(&s); err != nil {
-		panic(err) // as in encode
-	}
-	return append([]byte{kindSnapshot}, b...)
+	encoded := logcodec.EncodeCanonical(&snapshot{
+		Format:       snapshotFormat,
+		AppliedIndex: m.appliedIndex,
+		Grants:       m.leases.Grants(),
+		State:        m.state,
+		Ledger:       m.Ledger.Snapshot(),
+	})
+	return append([]byte{kindSnapshot}, encoded...)
 }
 
 // Restore replaces the state by that of a snapshot. A snapshot that can't be read changes nothing.
-func (m *Machine) Restore(b []byte) error {
-	if len(b) == 0 {
+func (m *Machine) Restore(data []byte) error {
+	if len(data) == 0 {
 		return errors.New("an empty snapshot")
 	}
-	if b[0] != kindSnapshot {
-		if err := m.Ledger.Restore(b); err != nil {
-			return err
-		}
-		m.state, m.appliedIndex = state{}, m.Ledger.AppliedIndex()
-		m.leases.Restore(nil)
-		return nil
+	if data[0] != kindSnapshot {
+		return m.restoreLedgerAlone(data)
 	}
 	var s snapshot
-	if err := codec.NewDecoderBytes(b[1:], msgpackHandle).Decode(&s); err != nil {
+	if err := logcodec.Decode(data[1:], &s); err != nil {
 		return fmt.Errorf("a snapshot that does not decode: %w", err)
 	}
 	if s.Format != snapshotFormat {
@@ -71,3 +59,13 @@
 	m.leases.Restore(s.Grants)
 	return nil
 }
+
+// restoreLedgerAlone restores a snapshot from before there were leases and exports.
+func (m *Machine) restoreLedgerAlone(data []byte) error {
+	if err := m.Ledger.Restore(data); err != nil {
+		return err
+	}
+	m.state, m.appliedIndex = state{}, m.Ledger.AppliedIndex()
+	m.leases.Restore(nil)
+	return nil
+}
--- a/internal/cluster/ledger/apply.go
+++ b/internal/cluster/ledger/apply.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"github.com/hashicorp/go-msgpack/v2/codec"
+	"cresshub/internal/cluster/logcodec"
 )
 
 // Result is the outcome of a command.
@@ -37,17 +37,17 @@
 	}
 	switch data[0] {
 	case kindBatch:
-		if b, err := DecodeBatch(data); err == nil {
-			return l.applyBatch(b)
+		if batch, err := DecodeBatch(data); err == nil {
+			return l.applyBatch(batch)
 		}
 	case kindClose:
-		var c ClosePeriod
-		if codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&c) == nil {
-			return l.applyClose(&c)
+		var cmd ClosePeriod
+		if logcodec.DecodeCommand(data, &cmd) == nil {
+			return l.applyClose(&cmd)
 		}
 	case kindCorrection:
-		if c, ok := DecodeCorrection(data); ok {
-			return l.applyCorrection(&c)
+		if correction, ok := DecodeCorrection(data); ok {
+			return l.applyCorrection(&correction)
 		}
 	}
 	return l.reject()
@@ -63,86 +63,103 @@
 	return Result{Status: status, Index: l.appliedIndex, Period: period}
 }
 
-func (l *Ledger) applyBatch(b *Batch) Result {
+// applyBatch counts a batch in the open period, unless it or a later one of its member was counted before.
+func (l *Ledger) applyBatch(batch *Batch) Result {
 	open := l.OpenPeriod()
-	if b.Member == "" || b.Seq == 0 {
+	if batch.Member == "" || batch.Seq == 0 {
 		l.stats.Rejected++
 		return l.result(StatusRejected, open)
 	}
-	m := l.members[b.Member]
+	sender := l.members[batch.Member]
 	switch {
-	case m == nil:
+	case sender == nil:
 		l.evictMember()
-		m = &member{}
-		l.members[b.Member] = m
-	case b.Incarnation < m.incarnation:
+		sender = &member{}
+		l.members[batch.Member] = sender
+	case batch.Incarnation < sender.incarnation:
 		l.stats.StaleIncarnations++
 		return l.result(StatusStaleIncarnation, open)
-	case b.Incarnation == m.incarnation && b.Seq <= m.seq:
+	case batch.Incarnation == sender.incarnation && batch.Seq <= sender.seq:
 		l.stats.Duplicates++
 		return l.result(StatusDuplicate, open)
 	}
-	last := m.seq
-	if b.Incarnation != m.incarnation {
-		last = 0
-	}
-	l.stats.Gaps += int64(b.Seq - last - 1)
-	m.incarnation, m.seq, m.index = b.Incarnation, b.Seq, l.appliedIndex
-	l.stats.Batches++
-	for i := range b.Usage {
-		l.countUsage(&b.Usage[i])
+	l.recordBatch(sender, batch)
+	for i := range batch.Usage {
+		l.countUsage(&batch.Usage[i])
 	}
 	return l.result(StatusCounted, open)
 }
 
+// recordBatch makes a batch the latest of its member, and counts the sequence numbers left out before it.
+func (l *Ledger) recordBatch(sender *member, batch *Batch) {
+	previousSeq := sender.seq
+	if batch.Incarnation != sender.incarnation {
+		previousSeq = 0
+	}
+	l.stats.Gaps += int64(batch.Seq - previousSeq - 1)
+	l.stats.Batches++
+	sender.incarnation, sender.seq, sender.index = batch.Incarnation, batch.Seq, l.appliedIndex
+}
+
 // countUsage counts the usage of one key: in the open period, or as a correction in the closed period in
 // which a request was answered first.
-func (l *Ledger) countUsage(u *KeyUsage) {
+func (l *Ledger) countUsage(usage *KeyUsage) {
 	open := l.openPeriod()
-	if u.Count > 0 {
-		l.stats.Answers += u.Count
-		open.count(l.boundedKey(open, u.Key), u.Usage)
+	if usage.Count > 0 {
+		l.stats.Answers += usage.Count
+		open.count(l.boundedKey(open, usage.Key), usage.Usage)
 	}
-	for i, id := range u.IDs {
-		single := Usage{Count: 1, BytesIn: u.BytesInByID[i], BytesOut: u.BytesOutByID[i]}
+	for i, id := range usage.IDs {
+		single := Usage{Count: 1, BytesIn: usage.BytesInByID[i], BytesOut: usage.BytesOutByID[i]}
 		l.stats.Answers++
-		if p := l.periodOf(id); p != nil && p != open {
+		if first := l.periodOf(id); first != nil && first != open {
 			l.stats.Late++
-			p.correct(l.boundedKey(p, u.Key), single)
+			first.correct(l.boundedKey(first, usage.Key), single)
 			continue
 		}
-		open.count(l.boundedKey(open, u.Key), single)
+		open.count(l.boundedKey(open, usage.Key), single)
 		l.rememberID(open, id)
 	}
 }
 
-func (l *Ledger) applyClose(c *ClosePeriod) Result {
+// applyClose closes the open period and opens the next one. Periods beyond Settings.MaxPeriods are dropped,
+// and the ids of those beyond Settings.DedupPeriods forgotten.
+func (l *Ledger) applyClose(cmd *ClosePeriod) Result {
 	open := l.openPeriod()
-	if c.Period != open.id {
+	if cmd.Period != open.id {
 		return l.result(StatusDuplicate, open.id)
 	}
-	open.closedMS, open.closedAtIndex = max(c.AtMS, 1), l.appliedIndex
+	open.closedMS, open.closedAtIndex = max(cmd.AtMS, 1), l.appliedIndex
 	l.periods = append(l.periods, newPeriod(open.id+1))
 	if i := len(l.periods) - 1 - l.settings.DedupPeriods; i >= 0 {
 		l.forgetIDs(l.periods[i])
 	}
-	for len(l.periods) > l.settings.MaxPeriods+1 && (l.mayDrop == nil || l.mayDrop(l.periods[0].id)) {
+	for l.mayDropOldest() {
 		l.forgetIDs(l.periods[0])
 		l.periods = l.periods[1:]
 	}
-	return l.result(StatusClosed, c.Period)
+	return l.result(StatusClosed, cmd.Period)
+}
+
+// mayDropOldest reports whether the oldest period is beyond Settings.MaxPeriods and nothing retains it. It
+// calls mayDrop, which counts, only for a period beyond them.
+func (l *Ledger) mayDropOldest() bool {
+	if len(l.periods) <= l.settings.MaxPeriods+1 {
+		return false
+	}
+	return l.mayDrop == nil || l.mayDrop(l.periods[0].id)
 }
 
-func (l *Ledger) applyCorrection(c *Correction) Result {
-	p := l.period(c.Period)
+func (l *Ledger) applyCorrection(correction *Correction) Result {
+	closed := l.period(correction.Period)
 	switch {
-	case p == nil || p.isOpen() || c.ID == "" || c.Tenant == "":
+	case closed == nil || closed.isOpen() || correction.ID == "" || correction.Tenant == "":
 		l.stats.Rejected++
-		return l.result(StatusRejected, c.Period)
-	case p.correctionIDs[c.ID]:
-		return l.result(StatusDuplicate, c.Period)
+		return l.result(StatusRejected, correction.Period)
+	case closed.correctionIDs[correction.ID]:
+		return l.result(StatusDuplicate, correction.Period)
 	}
-	p.correctionIDs[c.ID] = true
-	p.correct(c.Key, c.Usage)
-	return l.result(StatusCorrected, c.Period)
+	closed.correctionIDs[correction.ID] = true
+	closed.correct(correction.Key, correction.Usage)
+	return l.result(StatusCorrected, correction.Period)
 }
--- a/internal/cluster/ledger/commands.go
+++ b/internal/cluster/ledger/commands.go
@@ -4,11 +4,10 @@
 	"errors"
 	"fmt"
 
-	"github.com/hashicorp/go-msgpack/v2/codec"
+	"cresshub/internal/cluster/logcodec"
 )
 
-// Kinds of commands in the log: a byte before the msgpack of the command, which is an array in the order of
-// the struct's fields.
+// Kinds of commands in the log, which stand before the command itself (logcodec.EncodeCommand).
 const (
 	kindBatch      = 'B'
 	kindClose      = 'C'
@@ -23,8 +22,8 @@
 	Usage       []KeyUsage
 }
 
-// KeyUsage is usage of one key: the sum of the answers without a request id, and those with one by
-// themselves.
+// KeyUsage is usage of one key: in Usage the sum of the answers without a request id, and in the slices,
+// which belong together by index, each answer with one.
 type KeyUsage struct {
 	Key
 	Usage
@@ -49,51 +48,43 @@
 }
 
 // Encode encodes the command for the log.
-func (b *Batch) Encode() []byte { return encode(kindBatch, b) }
+func (b *Batch) Encode() []byte { return logcodec.EncodeCommand(kindBatch, b) }
 
 // Encode encodes the command for the log.
-func (c *ClosePeriod) Encode() []byte { return encode(kindClose, c) }
+func (c *ClosePeriod) Encode() []byte { return logcodec.EncodeCommand(kindClose, c) }
 
 // Encode encodes the command for the log.
-func (c *Correction) Encode() []byte { return encode(kindCorrection, c) }
+func (c *Correction) Encode() []byte { return logcodec.EncodeCommand(kindCorrection, c) }
 
 // DecodeBatch decodes what Batch.Encode has written.
 func DecodeBatch(data []byte) (*Batch, error) {
-	var b Batch
 	if len(data) == 0 || data[0] != kindBatch {
 		return nil, errors.New("no batch")
 	}
-	if err := codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&b); err != nil {
+	var batch Batch
+	if err := logcodec.DecodeCommand(data, &batch); err != nil {
 		return nil, fmt.Errorf("a batch that does not decode: %w", err)
 	}
-	for i := range b.Usage {
-		u := &b.Usage[i]
-		if len(u.BytesInByID) != len(u.IDs) || len(u.BytesOutByID) != len(u.IDs) || u.Count < 0 {
+	for i := range batch.Usage {
+		if !batch.Usage[i].isConsistent() {
 			return nil, errors.New("a batch whose answers do not fit together")
 		}
 	}
-	return &b, nil
+	return &batch, nil
+}
+
+// isConsistent reports whether each request id has its bytes, and the sum is of no negative number of
+// answers.
+func (u *KeyUsage) isConsistent() bool {
+	return len(u.BytesInByID) == len(u.IDs) && len(u.BytesOutByID) == len(u.IDs) && u.Count >= 0
 }
 
 // DecodeCorrection decodes what Correction.Encode has written, false if data is another command or doesn't
 // decode.
-func DecodeCorrection(data []byte) (c Correction, ok bool) {
+func DecodeCorrection(data []byte) (correction Correction, ok bool) {
 	if len(data) == 0 || data[0] != kindCorrection {
-		return c, false
-	}
-	return c, codec.NewDecoderBytes(data[1:], msgpackHandle).Decode(&c) == nil
-}
-
-var msgpackHandle = func() *codec.MsgpackHandle {
-	h := &codec.MsgpackHandle{}
-	h.StructToArray = true
-	return h
-}()
-
-func encode(kind byte, v any) []byte {
-	var b []byte
-	if err := codec.NewEncoderBytes(&b, msgpackHandle).Encode(v); err != nil {
-		panic(err) // a struct of this package that the codec can't write: no input leads here
+		return Correction{}, false
 	}
-	return append([]byte{kind}, b...)
+	err := logcodec.DecodeCommand(data, &correction)
+	return correction, err == nil
 }
--- a/internal/cluster/ledger/ledger.go
+++ b/internal/cluster/ledger/ledger.go
@@ -44,13 +44,25 @@
 	Corrections Usage `json:"corrections"`
 }
 
-// Settings bound the state. They have to be the same on all replicas.
+// Settings bound the state. They have to be the same on all replicas, or the same log gives different states.
+// The defaults are those of the client proxy's settings.
 type Settings struct {
-	MaxPeriods   int // closed periods retained
-	DedupPeriods int // periods whose request ids are remembered, the open one included
-	MaxIDs       int // request ids remembered
-	MaxTenants   int // tenants in one period; further ones count together as OtherTenants
-	MaxMembers   int // members remembered; the one whose last batch is oldest is evicted
+	// MaxPeriods is how many closed periods are retained; 1440 by default, a day of minutes. Older ones are
+	// dropped with their usage, unless SetMayDrop retains them. At least 1.
+	MaxPeriods int
+	// DedupPeriods is the number of periods whose request ids are remembered, the open one included; 2 by
+	// default. An answer to a request counts in the period of its first answer if that is among them, else in
+	// the open one. At least 1.
+	DedupPeriods int
+	// MaxIDs bounds the request ids remembered in all periods; 1000000 by default. Beyond it those of the oldest
+	// period are forgotten early; with 0 none are remembered.
+	MaxIDs int
+	// MaxTenants bounds the tenants in one period; 10000 by default. Further ones count together as
+	// OtherTenants. At least 1.
+	MaxTenants int
+	// MaxMembers bounds the members whose last batch is remembered; 4096 by default. Beyond it the one whose
+	// last batch is oldest is evicted, and a batch of it that is sent again counts again. At least 1.
+	MaxMembers int
 }
 
 // OtherTenants is the tenant of usage beyond Settings.MaxTenants.
@@ -77,6 +89,10 @@
 }
 
 // Ledger is the state machine. Use New.
+//
+// Its periods are numbered from 1 without gaps; exactly one, the last, is open. A period is opened by the
+// close of the one before; once closed, its usage changes by corrections alone; it is dropped at last, the
+// oldest first. A batch counts at most once as long as its member is remembered.
 type Ledger struct {
 	settings     Settings
 	periods      []*period // oldest first; the last one is open, the others are closed
--- a/internal/cluster/ledger/ledger_test.go
+++ b/internal/cluster/ledger/ledger_test.go
@@ -22,12 +22,13 @@
 var passedKey = Key{"ramen-kita", "zone-lookup", "passed"}
 
 // batch returns a batch with an answer for each request id.
-func batch(member string, inc, seq uint64, ids ...uint64) *Batch {
-	a := KeyUsage{Key: passedKey, IDs: ids}
+func batch(member string, incarnation, seq uint64, ids ...uint64) *Batch {
+	usage := KeyUsage{Key: passedKey, IDs: ids}
 	for range ids {
-		a.BytesInByID, a.BytesOutByID = append(a.BytesInByID, 10), append(a.BytesOutByID, 20)
+		usage.BytesInByID = append(usage.BytesInByID, 10)
+		usage.BytesOutByID = append(usage.BytesOutByID, 20)
 	}
-	return &Batch{Member: member, Incarnation: inc, Seq: seq, Usage: []KeyUsage{a}}
+	return &Batch{Member: member, Incarnation: incarnation, Seq: seq, Usage: []KeyUsage{usage}}
 }
 
 type command interface{ Encode() []byte }
@@ -50,7 +51,7 @@
 	return v.Periods[0].Total()
 }
 
-func TestCommands(t *testing.T) {
+func TestCommandsApplyOnceAndToTheirPeriod(t *testing.T) {
 	fix := func(id string, period uint64) *Correction {
 		return &Correction{ID: id, Period: period, Key: passedKey, Usage: Usage{Count: -1}, Reason: "asked for"}
 	}
@@ -187,11 +188,11 @@
 
 // The same log gives the same state, through a snapshot anywhere on the way, and every answer of a batch that
 // counted is in some period, once.
-func TestStateIsOfTheLogAlone(t *testing.T) {
+func TestSameLogGivesTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		big := Settings{MaxPeriods: 1000, DedupPeriods: 2, MaxIDs: 50, MaxTenants: 3, MaxMembers: 100}
-		a, _ := New(big)
-		b, _ := New(big)
+		uninterrupted, _ := New(big)
+		restored, _ := New(big)
 		var answers int64
 		for i := range rapid.IntRange(1, 40).Draw(t, "commands") {
 			var data []byte
@@ -206,27 +207,27 @@
 					rapid.SliceOfN(rapid.Uint64Range(1, 30), 0, 5).Draw(t, "ids")...)
 				m.Usage[0].Usage = Usage{Count: 2}
 				data = m.Encode()
-				if r := a.Apply(uint64(i+1), data); r.Status == StatusCounted {
+				if result := uninterrupted.Apply(uint64(i+1), data); result.Status == StatusCounted {
 					answers += 2 + int64(len(m.Usage[0].IDs))
 				}
-				b.Apply(uint64(i+1), data)
+				restored.Apply(uint64(i+1), data)
 				continue
 			}
-			a.Apply(uint64(i+1), data)
-			b.Apply(uint64(i+1), data)
+			uninterrupted.Apply(uint64(i+1), data)
+			restored.Apply(uint64(i+1), data)
 			if rapid.Bool().Draw(t, "snapshot") {
-				c, _ := New(big)
-				if err := c.Restore(b.Snapshot()); err != nil {
+				next, _ := New(big)
+				if err := next.Restore(restored.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
-				b = c
+				restored = next
 			}
 		}
-		if !bytes.Equal(a.Snapshot(), b.Snapshot()) {
+		if !bytes.Equal(uninterrupted.Snapshot(), restored.Snapshot()) {
 			t.Fatal("the states differ")
 		}
 		var sum int64
-		for _, p := range a.Read(Query{}).Periods {
+		for _, p := range uninterrupted.Read(Query{}).Periods {
 			sum += p.Total().Count
 		}
 		if sum != answers {
--- a/internal/cluster/ledger/period.go
+++ b/internal/cluster/ledger/period.go
@@ -26,16 +26,16 @@
 func (p *period) isOpen() bool { return p.closedMS == 0 }
 
 // count adds usage of a key.
-func (p *period) count(k Key, u Usage) { addUsage(p.usage, k, u) }
+func (p *period) count(key Key, usage Usage) { addUsage(p.usage, key, usage) }
 
 // correct adds usage of a key after the period has closed.
-func (p *period) correct(k Key, u Usage) { addUsage(p.corrections, k, u) }
+func (p *period) correct(key Key, usage Usage) { addUsage(p.corrections, key, usage) }
 
-func addUsage(sums map[Key]*Usage, k Key, u Usage) {
-	if sums[k] == nil {
-		sums[k] = &Usage{}
+func addUsage(sums map[Key]*Usage, key Key, usage Usage) {
+	if sums[key] == nil {
+		sums[key] = &Usage{}
 	}
-	sums[k].Add(u)
+	sums[key].Add(usage)
 }
 
 // periodOf returns the period in which the request of that id was answered first, nil if none is remembered.
@@ -64,21 +64,22 @@
 	l.idCount++
 }
 
+// forgetIDs forgets the request ids of a period.
 func (l *Ledger) forgetIDs(p *period) {
 	l.idCount -= len(p.ids)
 	p.ids, p.idOrder = map[uint64]bool{}, nil
 }
 
-// boundedKey returns the key under which usage counts in a period: k itself, or that of OtherTenants if the
-// period has too many tenants.
-func (l *Ledger) boundedKey(p *period, k Key) Key {
-	if !p.tenants[k.Tenant] {
+// boundedKey returns the key under which usage counts in a period, and adds its tenant to those of the
+// period: key itself, or that of OtherTenants if the period has too many tenants.
+func (l *Ledger) boundedKey(p *period, key Key) Key {
+	if !p.tenants[key.Tenant] {
 		if len(p.tenants) >= l.settings.MaxTenants {
-			k.Tenant = OtherTenants
+			key.Tenant = OtherTenants
 		}
-		p.tenants[k.Tenant] = true
+		p.tenants[key.Tenant] = true
 	}
-	return k
+	return key
 }
 
 // evictMember makes room for another member: it drops the one whose last batch is oldest if there are too
--- a/internal/cluster/ledger/query.go
+++ b/internal/cluster/ledger/query.go
@@ -29,30 +29,36 @@
 
 // Read answers a query.
 func (l *Ledger) Read(q Query) View {
-	v := View{Index: l.appliedIndex, OpenPeriod: l.OpenPeriod(), Stats: l.stats, IDs: l.idCount,
-		Periods: []PeriodView{}}
+	view := View{
+		Index:      l.appliedIndex,
+		OpenPeriod: l.OpenPeriod(),
+		Periods:    []PeriodView{}, // encoded as [], not as null
+		Stats:      l.stats,
+		IDs:        l.idCount,
+	}
 	for _, p := range l.periods {
 		if q.Period == 0 || q.Period == p.id {
-			v.Periods = append(v.Periods, PeriodView{ID: p.id, ClosedMS: p.closedMS, Rows: p.rows(q.Tenant)})
+			rows := p.rows(q.Tenant)
+			view.Periods = append(view.Periods, PeriodView{ID: p.id, ClosedMS: p.closedMS, Rows: rows})
 		}
 	}
-	return v
+	return view
 }
 
 // rows returns the rows of a tenant, or of all for "", sorted by key.
 func (p *period) rows(tenant string) []Row {
 	byKey := map[Key]Row{}
-	for k, u := range p.usage {
-		byKey[k] = Row{Key: k, Usage: *u}
+	for key, usage := range p.usage {
+		byKey[key] = Row{Key: key, Usage: *usage}
 	}
-	for k, u := range p.corrections {
-		row := byKey[k]
-		row.Key, row.Corrections = k, *u
-		byKey[k] = row
+	for key, usage := range p.corrections {
+		row := byKey[key]
+		row.Key, row.Corrections = key, *usage
+		byKey[key] = row
 	}
 	rows := []Row{}
-	for k, row := range byKey {
-		if tenant == "" || tenant == k.Tenant {
+	for key, row := range byKey {
+		if tenant == "" || tenant == key.Tenant {
 			rows = append(rows, row)
 		}
 	}
--- a/internal/cluster/ledger/snapshot.go
+++ b/internal/cluster/ledger/snapshot.go
@@ -7,13 +7,13 @@
 	"maps"
 	"slices"
 
-	"github.com/hashicorp/go-msgpack/v2/codec"
+	"cresshub/internal/cluster/logcodec"
 )
 
 // snapshotFormat is the version of the format; a snapshot of another one is not read.
 const snapshotFormat = 1
 
-// snapshot, snapshotMember and snapshotPeriod are the stored form: arrays in the order of the fields.
+// snapshot, snapshotMember and snapshotPeriod are the stored form, see package logcodec.
 type snapshot struct {
 	Format       int
 	AppliedIndex uint64
@@ -40,25 +40,32 @@
 func (l *Ledger) Snapshot() []byte {
 	s := snapshot{Format: snapshotFormat, AppliedIndex: l.appliedIndex, Stats: l.stats}
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
-		m := l.members[name]
-		s.Members = append(s.Members, snapshotMember{name, m.incarnation, m.seq, m.index})
+		known := l.members[name]
+		s.Members = append(s.Members, snapshotMember{name, known.incarnation, known.seq, known.index})
 	}
 	for _, p := range l.periods {
-		s.Periods = append(s.Periods, snapshotPeriod{ID: p.id, ClosedAtIndex: p.closedAtIndex,
-			ClosedMS: p.closedMS, Rows: p.rows(""), CorrectionIDs: slices.Sorted(maps.Keys(p.correctionIDs)),
-			IDs: packIDs(p.idOrder), Tenants: slices.Sorted(maps.Keys(p.tenants))})
+		s.Periods = append(s.Periods, p.snapshot())
 	}
-	var b []byte
-	if err := codec.NewEncoderBytes(&b, msgpackHandle).Encode(&s); err != nil {
-		panic(err) // as in encode
+	return logcodec.Encode(&s)
+}
+
+func (p *period) snapshot() snapshotPeriod {
+	return snapshotPeriod{
+		ID:            p.id,
+		ClosedAtIndex: p.closedAtIndex,
+		ClosedMS:      p.closedMS,
+		Rows:          p.rows(""),
+		CorrectionIDs: slices.Sorted(maps.Keys(p.correctionIDs)),
+		IDs:           packIDs(p.idOrder),
+		Tenants:       slices.Sorted(maps.Keys(p.tenants)),
 	}
-	return b
 }
 
-// Restore replaces the state by that of a snapshot. A snapshot that can't be read changes nothing.
-func (l *Ledger) Restore(b []byte) error {
+// Restore replaces the state by that of a snapshot; the settings and what SetMayDrop has set stay. A snapshot
+// that can't be read changes nothing.
+func (l *Ledger) Restore(data []byte) error {
 	var s snapshot
-	if err := codec.NewDecoderBytes(b, msgpackHandle).Decode(&s); err != nil {
+	if err := logcodec.Decode(data, &s); err != nil {
 		return fmt.Errorf("a snapshot that does not decode: %w", err)
 	}
 	if s.Format != snapshotFormat {
@@ -94,8 +101,8 @@
 	for _, id := range s.CorrectionIDs {
 		p.correctionIDs[id] = true
 	}
-	for b := s.IDs; len(b) >= 8; b = b[8:] {
-		id := binary.BigEndian.Uint64(b)
+	for packed := s.IDs; len(packed) >= packedIDSize; packed = packed[packedIDSize:] {
+		id := binary.BigEndian.Uint64(packed)
 		p.ids[id] = true
 		p.idOrder = append(p.idOrder, id)
 	}
@@ -105,10 +112,13 @@
 	return p
 }
 
+// packedIDSize is the size in bytes of a request id in a snapshot.
+const packedIDSize = 8
+
 func packIDs(ids []uint64) []byte {
-	b := make([]byte, 0, 8*len(ids))
+	packed := make([]byte, 0, packedIDSize*len(ids))
 	for _, id := range ids {
-		b = binary.BigEndian.AppendUint64(b, id)
+		packed = binary.BigEndian.AppendUint64(packed, id)
 	}
-	return b
+	return packed
 }
