--- a/internal/cluster/pending/closer.go
+++ b/internal/cluster/pending/closer.go
@@ -11,17 +11,28 @@
 // lasted long enough. The position of that command in the log decides where the period ends; how long it has
 // lasted counts by this member's clock from when it first observed the period.
 type PeriodCloser struct {
-	Period     time.Duration         // how long a period lasts
-	IsLeader   func() bool           // whether this member leads the group
-	OpenPeriod func() (uint64, bool) // number of the open period, false if it isn't known here
-	Stop       <-chan struct{}       // Run returns once it is closed
-	// Propose commits a command.
+	// Period is how long a period lasts, at least; 1 m by default.
+	Period time.Duration
+	// IsLeader reports whether this member leads the group. It is called once a period has lasted long enough.
+	IsLeader func() bool
+	// OpenPeriod returns the number of the open period, false if it isn't known on this member.
+	OpenPeriod func() (uint64, bool)
+	// Stop ends Run once it is closed.
+	Stop <-chan struct{}
+	// Propose commits a command, and returns its result.
 	Propose func(ctx context.Context, command []byte) (ledger.Result, error)
 }
 
-// Run proposes until Stop is closed.
+// The open period is looked at 20 times within a period, but not more and not less often than this.
+const (
+	periodChecks     = 20
+	minCheckInterval = 20 * time.Millisecond
+	maxCheckInterval = time.Second
+)
+
+// Run proposes until Stop is closed. All functions are called by its goroutine.
 func (c *PeriodCloser) Run() {
-	tick := time.NewTicker(min(max(c.Period/20, 20*time.Millisecond), time.Second))
+	tick := time.NewTicker(min(max(c.Period/periodChecks, minCheckInterval), maxCheckInterval))
 	defer tick.Stop()
 	var openPeriod uint64
 	openSince := time.Now()
--- a/internal/cluster/pending/flusher.go
+++ b/internal/cluster/pending/flusher.go
@@ -8,7 +8,6 @@
 
 // runFlusher flushes at each interval and once more at the end.
 func (r *Recorder) runFlusher() {
-	defer r.wg.Done()
 	tick := time.NewTicker(r.opts.FlushInterval)
 	defer tick.Stop()
 	for {
@@ -24,18 +23,9 @@
 
 // flush cuts a batch from the current usage, adds it to the outbox, deletes committed batches there, and
 // queues the batch. A batch that the disk doesn't take is queued all the same: once committed it is as safe
-// as any.
+// as any. Only the flusher calls it, and Close after the flusher has ended.
 func (r *Recorder) flush() {
-	r.mu.Lock()
-	committed := r.committedKeys
-	var batch queuedBatch
-	switch full := r.queuedBytes >= r.opts.MaxQueuedBytes || len(r.queue) >= maxQueuedBatches; {
-	case full:
-		r.current.dropIDs()
-	case r.current.answers > 0:
-		batch = r.sealBatch()
-	}
-	r.mu.Unlock()
+	batch, committed := r.cutBatch()
 	if batch.raw == nil && len(committed) == 0 {
 		return
 	}
@@ -45,10 +35,7 @@
 	if err == nil {
 		r.committedKeys = r.committedKeys[len(committed):]
 	} else {
-		r.stats.FileErrors++
-		if r.stats.FileErrors == 1 {
-			r.opts.Log.Error("ledger: outbox not written, usage waits in memory", "err", err)
-		}
+		r.recordWriteError(err)
 		batch.key = 0
 	}
 	if batch.raw != nil {
@@ -56,6 +43,30 @@
 	}
 }
 
+// cutBatch makes a batch of the current usage, the zero one if there is none or too many batches are queued.
+// It also returns the keys of the batches that were committed and are still in the outbox.
+func (r *Recorder) cutBatch() (batch queuedBatch, committed []uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	full := r.queuedBytes >= r.opts.MaxQueuedBytes || len(r.queue) >= maxQueuedBatches
+	switch {
+	case full:
+		r.current.dropIDs()
+	case r.current.answers > 0:
+		batch = r.sealBatch()
+	}
+	return batch, r.committedKeys
+}
+
+// recordWriteError counts a failed write of the outbox, and logs the first one. The caller holds r.mu.
+func (r *Recorder) recordWriteError(err error) {
+	r.stats.FileErrors++
+	if r.stats.FileErrors == 1 {
+		r.opts.Log.Error("ledger: outbox not written, usage waits in memory", "err", err)
+	}
+}
+
+// write adds a batch to the outbox and deletes committed ones from it. The caller does not hold r.mu.
 func (r *Recorder) write(batch queuedBatch, committed []uint64) error {
 	if r.opts.Faults != nil {
 		if err := r.opts.Faults.Sync(); err != nil {
@@ -69,11 +80,16 @@
 func (r *Recorder) sealBatch() queuedBatch {
 	r.seq++
 	r.lastKey++
-	b := ledger.Batch{Member: r.opts.Member, Incarnation: r.incarnation, Seq: r.seq}
+	content := ledger.Batch{Member: r.opts.Member, Incarnation: r.incarnation, Seq: r.seq}
 	for _, usage := range r.current.usage {
-		b.Usage = append(b.Usage, *usage)
+		content.Usage = append(content.Usage, *usage)
+	}
+	batch := queuedBatch{
+		key:       r.lastKey,
+		raw:       content.Encode(),
+		answers:   r.current.answers,
+		createdAt: r.current.since,
 	}
-	batch := queuedBatch{key: r.lastKey, raw: b.Encode(), answers: r.current.answers, createdAt: r.current.since}
 	r.current = current{usage: map[ledger.Key]*ledger.KeyUsage{}}
 	return batch
 }
@@ -92,11 +108,11 @@
 // dropIDs sums up the answers that have a request id, so that the size is bounded by the number of keys.
 // Further answers are counted without their id until the next batch.
 func (c *current) dropIDs() {
-	for _, u := range c.usage {
-		for i := range u.IDs {
-			u.Add(ledger.Usage{Count: 1, BytesIn: u.BytesInByID[i], BytesOut: u.BytesOutByID[i]})
+	for _, usage := range c.usage {
+		for i := range usage.IDs {
+			usage.Add(ledger.Usage{Count: 1, BytesIn: usage.BytesInByID[i], BytesOut: usage.BytesOutByID[i]})
 		}
-		u.IDs, u.BytesInByID, u.BytesOutByID = nil, nil, nil
+		usage.IDs, usage.BytesInByID, usage.BytesOutByID = nil, nil, nil
 	}
 	c.ids = maxBatchIDs
 }
--- a/internal/cluster/pending/outbox.go
+++ b/internal/cluster/pending/outbox.go
@@ -1,6 +1,7 @@
 package pending
 
 import (
+	"bytes"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -15,12 +16,15 @@
 )
 
 // outbox is the file of batches that aren't committed: a bbolt database with the batches by their keys, which
-// are 8 bytes in big endian and rise, and the last incarnation.
+// are 8 bytes in big endian and rise, and the last incarnation. What write has returned for is synced.
 type outbox struct{ db *bolt.DB }
 
 // outboxFile is the name of the file in Options.Dir.
 const outboxFile = "outbox.db"
 
+// lockTimeout is how long another process's lock on the file is waited for.
+const lockTimeout = time.Second
+
 var (
 	batchesBucket  = []byte("batches")
 	metaBucket     = []byte("meta")
@@ -34,12 +38,14 @@
 	batches     []queuedBatch
 }
 
+// openOutbox opens the file in a directory, making both where they are missing, and begins a new incarnation.
+// Errors name the file.
 func openOutbox(dir string) (*outbox, storedState, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, storedState{}, err
 	}
 	path := filepath.Join(dir, outboxFile)
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, storedState{}, fmt.Errorf("%s is held by another process", path)
 	}
@@ -70,20 +76,27 @@
 		if err != nil {
 			return err
 		}
-		return batches.ForEach(func(k, raw []byte) error {
-			batch, err := ledger.DecodeBatch(raw)
-			if err != nil {
-				return fmt.Errorf("batch %x: %w", k, err)
-			}
-			stored.lastKey = binary.BigEndian.Uint64(k)
-			stored.batches = append(stored.batches, queuedBatch{key: stored.lastKey,
-				raw: append([]byte(nil), raw...), answers: countAnswers(batch), createdAt: time.Now()})
-			return nil
-		})
+		return batches.ForEach(stored.addBatch)
 	})
 	return stored, err
 }
 
+// addBatch adds a batch as it is in the file. The bytes of both arguments are valid only during the call.
+func (s *storedState) addBatch(key, raw []byte) error {
+	batch, err := ledger.DecodeBatch(raw)
+	if err != nil {
+		return fmt.Errorf("batch %x: %w", key, err)
+	}
+	s.lastKey = binary.BigEndian.Uint64(key)
+	s.batches = append(s.batches, queuedBatch{
+		key:       s.lastKey,
+		raw:       bytes.Clone(raw),
+		answers:   countAnswers(batch),
+		createdAt: time.Now(),
+	})
+	return nil
+}
+
 // nextIncarnation stores and returns the next incarnation: above the last one, and no lower than the wall
 // clock in ms, so that a member that has lost its file doesn't come back under an earlier incarnation.
 func nextIncarnation(meta *bolt.Bucket) (uint64, error) {
@@ -95,11 +108,11 @@
 	return next, meta.Put(incarnationKey, binary.BigEndian.AppendUint64(nil, next))
 }
 
-func countAnswers(b *ledger.Batch) (n int64) {
-	for i := range b.Usage {
-		n += b.Usage[i].Count + int64(len(b.Usage[i].IDs))
+func countAnswers(batch *ledger.Batch) (answers int64) {
+	for i := range batch.Usage {
+		answers += batch.Usage[i].Count + int64(len(batch.Usage[i].IDs))
 	}
-	return n
+	return answers
 }
 
 // write adds a batch, unless it is empty, and deletes those that were committed, in one transaction.
--- a/internal/cluster/pending/recorder.go
+++ b/internal/cluster/pending/recorder.go
@@ -32,6 +32,11 @@
 	// maxQueuedBatches bounds the batches that wait for the group, as Options.MaxQueuedBytes does. While either
 	// is reached no batch is cut, and the current usage is summed up without request ids.
 	maxQueuedBatches = 4096
+	// maxCommitLatency is the longest latency that Stats know of, commitLatencyDigits the precision of all.
+	maxCommitLatency    = time.Minute
+	commitLatencyDigits = 3
+	// commitPollInterval is how often WaitCommitted looks.
+	commitPollInterval = 5 * time.Millisecond
 )
 
 // Faults injects faults into the disk, for tests and the laboratory.
@@ -40,24 +45,33 @@
 	Sync() error
 }
 
-// Options of a Recorder.
+// Options of a Recorder. The defaults are those of the client proxy's settings.
 type Options struct {
-	Member         string
-	Dir            string // the outbox's folder; has to survive restarts
-	FlushInterval  time.Duration
-	MaxQueuedBytes int64  // bound on the batches that wait for the group, see maxQueuedBatches
-	Faults         Faults // nil but in tests
-	Log            *slog.Logger
-	// Propose commits a batch and returns its result. An error says that it may or may not be committed.
+	// Member is this member's name, which its batches carry.
+	Member string
+	// Dir is the directory of the outbox, which has to survive restarts and belongs to one process at a time.
+	Dir string
+	// FlushInterval is the time between batches, and so the most usage, in time, that is lost with this process;
+	// 100 ms by default. Above zero.
+	FlushInterval time.Duration
+	// MaxQueuedBytes bounds the batches that wait for the group, in bytes on disk; 64 MiB by default. Beyond it,
+	// as beyond maxQueuedBatches, usage waits in memory. Above zero.
+	MaxQueuedBytes int64
+	// Faults injects faults of the disk, for tests and the laboratory alone. Nil, the default, injects none.
+	Faults Faults
+	// Log takes the messages of the recorder. It must not be nil.
+	Log *slog.Logger
+	// Propose commits a batch and returns its result. An error says that it may or may not be committed: the
+	// recorder proposes the same batch again. It is called by one goroutine.
 	Propose func(ctx context.Context, batch []byte) (ledger.Result, error)
 }
 
 // queuedBatch is a batch that isn't committed yet.
 type queuedBatch struct {
-	key       uint64 // in the outbox, 0 if the disk didn't take it
-	raw       []byte // ledger.Batch, encoded
-	answers   int64
-	createdAt time.Time
+	key       uint64    // in the outbox, 0 if the disk didn't take it
+	raw       []byte    // ledger.Batch, encoded
+	answers   int64     // counted in it
+	createdAt time.Time // when its first answer was counted, or when it was read from the outbox
 }
 
 // current is the usage that isn't in a batch yet.
@@ -68,7 +82,12 @@
 	since   time.Time // of the first answer
 }
 
-// Recorder counts and sends this member's usage. Use Open.
+// Recorder counts and sends this member's usage. Use Open, then Run and Close, once each; Close may follow
+// Open.
+//
+// Its invariants: batches are queued and sent in the order of their sequence numbers, one at a time; the
+// batch at the head of the queue is the one that the sender proposes; every answer that Count has counted is
+// in current, in one batch that is queued or on its way into the queue, or committed, or lost.
 type Recorder struct {
 	opts        Options
 	outbox      *outbox
@@ -84,11 +103,11 @@
 	stats         Stats
 	commitLatency *hdrhistogram.Histogram // in microseconds
 
-	queued    chan struct{} // wakes the sender
-	ctx       context.Context
-	cancel    context.CancelFunc
-	wg        sync.WaitGroup
-	closeOnce sync.Once
+	queued     chan struct{}   // wakes the sender
+	ctx        context.Context // ends with Close
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	closeOnce  sync.Once
 }
 
 // Open opens the outbox in Options.Dir and queues the batches that an earlier incarnation left in it. It
@@ -101,14 +120,20 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{opts: opts, outbox: box, incarnation: stored.incarnation, lastKey: stored.lastKey,
-		queue: stored.batches, current: current{usage: map[ledger.Key]*ledger.KeyUsage{}},
+	r := &Recorder{
+		opts:          opts,
+		outbox:        box,
+		incarnation:   stored.incarnation,
+		lastKey:       stored.lastKey,
+		queue:         stored.batches,
+		current:       current{usage: map[ledger.Key]*ledger.KeyUsage{}},
 		queued:        make(chan struct{}, 1),
-		commitLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-	for _, b := range stored.batches {
-		r.queuedBytes += int64(len(b.raw))
-		r.stats.Counted += b.answers
-		r.stats.Queued += b.answers
+		commitLatency: hdrhistogram.New(1, maxCommitLatency.Microseconds(), commitLatencyDigits),
+	}
+	for _, batch := range stored.batches {
+		r.queuedBytes += int64(len(batch.raw))
+		r.stats.Counted += batch.answers
+		r.stats.Queued += batch.answers
 	}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	return r, nil
@@ -119,9 +144,8 @@
 
 // Run starts the goroutines and returns at once.
 func (r *Recorder) Run() {
-	r.wg.Add(2)
-	go r.runFlusher()
-	go r.runSender()
+	r.goroutines.Go(r.runFlusher)
+	r.goroutines.Go(r.runSender)
 }
 
 // Close stops the goroutines, writes the current usage to the outbox, and closes it. The next incarnation
@@ -130,33 +154,34 @@
 	var err error
 	r.closeOnce.Do(func() {
 		r.cancel()
-		r.wg.Wait()
+		r.goroutines.Wait()
 		r.flush() // also deletes what was committed since the flusher's last one
 		err = r.outbox.close()
 	})
 	return err
 }
 
-// Count counts one final answer. A request id of 0 stands for none.
-func (r *Recorder) Count(k ledger.Key, id uint64, bytesIn, bytesOut int64) {
+// Count counts one final answer, with the bytes of the bodies from and to the client. A request id of 0
+// stands for none. It only holds a lock, and never waits for the disk or the group.
+func (r *Recorder) Count(key ledger.Key, id uint64, bytesIn, bytesOut int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := &r.current
-	usage := c.usage[k]
+	current := &r.current
+	usage := current.usage[key]
 	if usage == nil {
-		usage = &ledger.KeyUsage{Key: k}
-		c.usage[k] = usage
+		usage = &ledger.KeyUsage{Key: key}
+		current.usage[key] = usage
 	}
-	if c.answers == 0 {
-		c.since = time.Now()
+	if current.answers == 0 {
+		current.since = time.Now()
 	}
-	c.answers++
+	current.answers++
 	r.stats.Counted++
-	if id == 0 || c.ids >= maxBatchIDs {
+	if id == 0 || current.ids >= maxBatchIDs {
 		usage.Add(ledger.Usage{Count: 1, BytesIn: bytesIn, BytesOut: bytesOut})
 		return
 	}
-	c.ids++
+	current.ids++
 	usage.IDs = append(usage.IDs, id)
 	usage.BytesInByID = append(usage.BytesInByID, bytesIn)
 	usage.BytesOutByID = append(usage.BytesOutByID, bytesOut)
@@ -166,7 +191,7 @@
 // see a batch that a flush is writing to the outbox at that moment, which Close keeps for the next
 // incarnation.
 func (r *Recorder) WaitCommitted(timeout time.Duration) bool {
-	for deadline := time.Now().Add(timeout); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(commitPollInterval) {
 		r.mu.Lock()
 		uncommitted := len(r.queue) + int(r.current.answers)
 		r.mu.Unlock()
--- a/internal/cluster/pending/sender.go
+++ b/internal/cluster/pending/sender.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	proposeTimeout = 2 * time.Second // of one attempt
-	minBackoff     = 20 * time.Millisecond
-	maxBackoff     = time.Second
+	// proposeTimeout bounds one attempt.
+	proposeTimeout = 2 * time.Second
+	// The backoff between attempts doubles from minBackoff to maxBackoff.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
 )
 
 // runSender proposes the queued batches in their order, each until the group has committed it.
 func (r *Recorder) runSender() {
-	defer r.wg.Done()
 	for {
 		batch, ok := r.nextBatch()
 		if !ok || !r.send(batch) {
@@ -60,6 +61,7 @@
 	}
 }
 
+// propose makes one attempt to commit a batch, and counts it.
 func (r *Recorder) propose(batch queuedBatch) (ledger.Result, error) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
@@ -70,7 +72,8 @@
 	return result, err
 }
 
-// handleResult takes the batch at the head of the queue off it.
+// handleResult takes the batch at the head of the queue off it and counts what became of it. Latency is that
+// from its first attempt.
 func (r *Recorder) handleResult(batch queuedBatch, result ledger.Result, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/pending/stats.go
+++ b/internal/cluster/pending/stats.go
@@ -31,9 +31,10 @@
 	case r.current.answers > 0:
 		stats.OldestMS = time.Since(r.current.since).Milliseconds()
 	}
-	ms := func(us int64) float64 { return float64(us) / 1000 }
-	stats.CommitP50MS = ms(r.commitLatency.ValueAtQuantile(50))
-	stats.CommitP99MS = ms(r.commitLatency.ValueAtQuantile(99))
-	stats.CommitMaxMS = ms(r.commitLatency.Max())
+	stats.CommitP50MS = millis(r.commitLatency.ValueAtQuantile(50))
+	stats.CommitP99MS = millis(r.commitLatency.ValueAtQuantile(99))
+	stats.CommitMaxMS = millis(r.commitLatency.Max())
 	return stats
 }
+
+func millis(micros int64) float64 { return float64(micros) / 1000 }
