--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -15,6 +15,9 @@
 	kindEndpointList    = 'T'
 )
 
+// The commands of a role carry the name of the owner that proposes them and the token of its grant. They are
+// encoded for the log with their fields in this order, see package logcodec.
+
 // ExportIntent says that the owner is about to send a period.
 type ExportIntent struct {
 	Member string
--- a/internal/cluster/groupstate/endpoints.go
+++ b/internal/cluster/groupstate/endpoints.go
@@ -5,13 +5,15 @@
 // maxEndpointListBytes bounds a published endpoint list.
 const maxEndpointListBytes = 8 << 20
 
-// endpointState is the endpoint list as it was last published.
+// endpointState is the endpoint list as it was last published. It is stored in snapshots, see package
+// logcodec.
 type endpointState struct {
-	Token, Version, Changed uint64 // Version and Changed as in EndpointView
-	Index                   int64
-	Raw                     []byte
+	Token, Version, Changed uint64 // as in EndpointView
+	Index                   int64  // the same
+	Raw                     []byte // JSON in discovery's format
 }
 
+// applyEndpointList publishes a list, or confirms the one that the same owner published under the same index.
 func (m *Machine) applyEndpointList(cmd *EndpointList) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
@@ -35,6 +37,11 @@
 
 // endpointView returns the published list without its bytes.
 func (m *Machine) endpointView() EndpointView {
-	e := &m.state.Endpoints
-	return EndpointView{Version: e.Version, Changed: e.Changed, Token: e.Token, Index: e.Index}
+	published := &m.state.Endpoints
+	return EndpointView{
+		Version: published.Version,
+		Changed: published.Changed,
+		Token:   published.Token,
+		Index:   published.Index,
+	}
 }
--- a/internal/cluster/groupstate/endpoints_test.go
+++ b/internal/cluster/groupstate/endpoints_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestEndpointList(t *testing.T) {
+func TestEndpointListIsPublishedAndConfirmedByTheOwner(t *testing.T) {
 	l := newLog(t)
 	a := l.acquire("a")
 	publish := func(member string, token uint64, index int64, raw string) string {
@@ -30,19 +30,19 @@
 		}
 	}
 	read := func(after uint64) EndpointView {
-		v, err := l.machine.Read(Query{Kind: QueryEndpoints, After: after}.Encode())
+		answer, err := l.machine.Read(Query{Kind: QueryEndpoints, After: after}.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
-		return v.(EndpointView)
+		return answer.(EndpointView)
 	}
-	v := read(0)
-	if string(v.Raw) != `{"three":3}` || v.Index != 3 || len(read(v.Changed).Raw) != 0 {
-		t.Errorf("%+v", v)
+	first := read(0)
+	if string(first.Raw) != `{"three":3}` || first.Index != 3 || len(read(first.Changed).Raw) != 0 {
+		t.Errorf("%+v", first)
 	}
 	publish("a", a, 3, "")
-	if again := read(v.Changed); again.Version <= v.Version || again.Changed != v.Changed {
-		t.Errorf("confirmed: %+v after %+v", again, v)
+	if again := read(first.Changed); again.Version <= first.Version || again.Changed != first.Changed {
+		t.Errorf("confirmed: %+v after %+v", again, first)
 	}
 	if _, err := l.machine.Read([]byte(`{"ask":"what"}`)); err == nil {
 		t.Error("an unknown question was answered")
--- a/internal/cluster/groupstate/export.go
+++ b/internal/cluster/groupstate/export.go
@@ -11,7 +11,8 @@
 	maxPendingCorrections = 10_000
 )
 
-// openExport is an ExportIntent without its ExportDone, with the rows frozen as they are sent.
+// openExport is an ExportIntent without its ExportDone, with the rows frozen as they are sent. It is stored
+// in snapshots, see package logcodec.
 type openExport struct {
 	Period, Token uint64
 	Rows          []ledger.Row
@@ -24,7 +25,8 @@
 }
 
 // mayDrop reports whether the ledger may drop a closed period beyond those it retains: once it is exported,
-// if there was no export at all, or if too many wait. It counts the periods dropped before their export.
+// if there was no export at all, or if too many wait. It counts the periods dropped before their export. The
+// ledger calls it for its oldest period when it applies a close, and drops the period if it may.
 func (m *Machine) mayDrop(period uint64) bool {
 	if !m.state.ExportStarted || period <= m.state.Exported {
 		return true
@@ -57,6 +59,7 @@
 // nextUnexported returns the oldest period that is retained and not exported.
 func (m *Machine) nextUnexported() uint64 { return max(m.state.Exported+1, m.Ledger.FirstPeriod()) }
 
+// applyIntent opens the export of the next due period and freezes its rows.
 func (m *Machine) applyIntent(cmd *ExportIntent) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
@@ -78,6 +81,7 @@
 	return accepted
 }
 
+// applyDone ends the export of the open period.
 func (m *Machine) applyDone(cmd *ExportDone) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
@@ -107,6 +111,7 @@
 	return result
 }
 
+// applyCorrectionsSent drops the pending corrections that the sink has.
 func (m *Machine) applyCorrectionsSent(cmd *CorrectionsSent) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -7,15 +7,15 @@
 )
 
 // What each command of the export does, and that it is rejected under a token that isn't that of the grant.
-func TestExportCommands(t *testing.T) {
+func TestExportGoesStepByStepUnderTheCurrentGrant(t *testing.T) {
 	l := newLog(t)
 	l.addPeriod(5)
 	a := l.acquire("a")
-	intent := func(member string, token, p uint64) []byte {
-		return (&ExportIntent{Member: member, Token: token, Period: p}).Encode()
+	intent := func(member string, token, period uint64) []byte {
+		return (&ExportIntent{Member: member, Token: token, Period: period}).Encode()
 	}
-	done := func(member string, token, p uint64) []byte {
-		return (&ExportDone{Member: member, Token: token, Period: p}).Encode()
+	done := func(member string, token, period uint64) []byte {
+		return (&ExportDone{Member: member, Token: token, Period: period}).Encode()
 	}
 	if s := l.pendingExport(); s.Due != 1 || s.Period != 0 {
 		t.Fatalf("%+v", s)
--- a/internal/cluster/groupstate/follower.go
+++ b/internal/cluster/groupstate/follower.go
@@ -3,8 +3,9 @@
 import "time"
 
 // Follower decides whether a member uses the published endpoint list or asks discovery by itself. It is pure:
-// time is the caller's monotonic clock. The age of a list counts from when this member observed that it was
-// published or confirmed, as clocks of different members are not compared.
+// time is the caller's monotonic clock, which must not go back. The age of a list counts from when this
+// member observed that it was published or confirmed, as clocks of different members are not compared. A
+// Follower is not safe for concurrent use.
 type Follower struct {
 	maxAge     time.Duration
 	jitter     time.Duration
--- a/internal/cluster/groupstate/machine.go
+++ b/internal/cluster/groupstate/machine.go
@@ -53,19 +53,24 @@
 }
 
 // Machine is the state machine of a group. Use New.
+//
+// The ledger's export goes from period to period: none is open and nextDue is the next one; an ExportIntent
+// opens it and freezes its rows; an ExportDone ends it and makes it the last one exported. Exported never
+// falls, and at most one intent is open. Whoever owns the role may take either step, also where an earlier
+// owner took the one before.
 type Machine struct {
-	Ledger       *ledger.Ledger
+	Ledger       *ledger.Ledger // changed by Apply and Restore alone
 	leases       *lease.Table
 	state        state
-	appliedIndex uint64
+	appliedIndex uint64 // of the last command
 }
 
-// state is what a Machine has beside the ledger and the leases. Snapshots hold it as an array in the order of
-// the fields.
+// state is what a Machine has beside the ledger and the leases. It is stored in snapshots, see package
+// logcodec.
 type state struct {
-	ExportStarted bool   // there was an ExportIntent: from then on periods are kept until they are exported
-	Exported      uint64 // the last period exported
-	Open          *openExport
+	ExportStarted bool                // there was an ExportIntent: from then on periods wait for their export
+	Exported      uint64              // the last period exported, 0 for none
+	Open          *openExport         // nil for none
 	Corrections   []PendingCorrection // by Seq
 	CorrectionSeq uint64              // of the last correction added
 	Endpoints     endpointState
@@ -74,17 +79,18 @@
 
 // New returns a machine with an empty state, or an error if the settings are unsound.
 func New(settings ledger.Settings) (*Machine, error) {
-	l, err := ledger.New(settings)
+	usage, err := ledger.New(settings)
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{Ledger: l, leases: lease.NewTable()}
-	l.SetMayDrop(m.mayDrop)
+	m := &Machine{Ledger: usage, leases: lease.NewTable()}
+	usage.SetMayDrop(m.mayDrop)
 	return m, nil
 }
 
-// Apply applies the command at an index of the log. It returns a Result, a lease.Result or a ledger.Result. A
-// command that doesn't decode is counted and changes nothing else.
+// Apply applies the command at an index of the log; indexes have to rise. It returns a lease.Result for a
+// command of the lease, a Result for one of a role, and a ledger.Result for any other. A command that doesn't
+// decode is counted and changes nothing else.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	m.appliedIndex = index
 	if len(data) == 0 {
@@ -102,12 +108,13 @@
 	case kindEndpointList:
 		return decodeAndApply(m, data, m.applyEndpointList)
 	}
-	if c, ok := ledger.DecodeCorrection(data); ok && c.Period <= m.lastSealed() {
-		return m.applyCorrection(index, data, c)
+	if correction, ok := ledger.DecodeCorrection(data); ok && correction.Period <= m.lastSealed() {
+		return m.applyCorrection(index, data, correction)
 	}
 	return m.Ledger.Apply(index, data)
 }
 
+// decodeAndApply decodes a command of a role and applies it; one that doesn't decode is rejected.
 func decodeAndApply[C any](m *Machine, data []byte, apply func(*C) Result) Result {
 	var cmd C
 	if err := logcodec.DecodeCommand(data, &cmd); err != nil {
@@ -116,6 +123,7 @@
 	return apply(&cmd)
 }
 
+// applyLease applies a command of the lease, of which there is one role alone.
 func (m *Machine) applyLease(index uint64, data []byte) lease.Result {
 	var cmd lease.Command
 	if err := logcodec.DecodeCommand(data, &cmd); err != nil || cmd.Role != FleetRole {
@@ -138,6 +146,7 @@
 	return member != "" && grant.Holder == member && grant.Token == token
 }
 
+// rejectStale counts a command whose token isn't that of the current grant, and returns its result.
 func (m *Machine) rejectStale(member string, token uint64) Result {
 	m.state.Stats.Stale++
 	grant := m.grant()
@@ -145,6 +154,7 @@
 	return Result{Status: StatusStale, Reason: reason}
 }
 
+// reject counts a command that is rejected for another reason, and returns its result.
 func (m *Machine) reject(format string, args ...any) Result {
 	m.state.Stats.Rejected++
 	return Result{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}
--- a/internal/cluster/groupstate/machine_test.go
+++ b/internal/cluster/groupstate/machine_test.go
@@ -67,55 +67,55 @@
 
 // The same log gives the same state, through a snapshot anywhere on the way; and whatever comes in whatever
 // order, periods are done in their order, each under the grant that stood.
-func TestStateIsOfTheLogAlone(t *testing.T) {
+func TestSameLogGivesTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, _ := New(testSettings)
-		b, _ := New(testSettings)
-		last := uint64(0)
+		uninterrupted, _ := New(testSettings)
+		restored, _ := New(testSettings)
+		exported := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
 			member := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "member")
-			token := a.leases.Get(FleetRole).Token
+			token := uninterrupted.leases.Get(FleetRole).Token
 			if rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
 				token = rapid.Uint64Range(0, 60).Draw(t, "token")
 			}
-			p := rapid.Uint64Range(0, 6).Draw(t, "period")
+			period := rapid.Uint64Range(0, 6).Draw(t, "period")
 			var data []byte
 			switch rapid.IntRange(0, 8).Draw(t, "kind") {
 			case 0, 1:
-				data = (&ledger.ClosePeriod{Period: a.Ledger.OpenPeriod(), AtMS: 1}).Encode()
+				data = (&ledger.ClosePeriod{Period: uninterrupted.Ledger.OpenPeriod(), AtMS: 1}).Encode()
 			case 2:
 				data = EncodeLease(lease.Command{Op: lease.Op(rapid.IntRange(1, 3).Draw(t, "op")), Role: FleetRole,
-					Member: member, Expected: a.leases.Get(FleetRole)})
+					Member: member, Expected: uninterrupted.leases.Get(FleetRole)})
 			case 3, 4:
-				data = (&ExportIntent{member, token, max(p, a.nextDue())}).Encode()
+				data = (&ExportIntent{member, token, max(period, uninterrupted.nextDue())}).Encode()
 			case 5:
-				data = (&ExportDone{member, token, max(p, a.lastSealed())}).Encode()
+				data = (&ExportDone{member, token, max(period, uninterrupted.lastSealed())}).Encode()
 			case 6:
-				data = (&EndpointList{member, token, int64(p), []byte("{}")}).Encode()
+				data = (&EndpointList{member, token, int64(period), []byte("{}")}).Encode()
 			case 7:
-				data = (&ledger.Correction{ID: string(rune('a' + p)), Period: p, Key: ledger.Key{Tenant: "t"},
+				data = (&ledger.Correction{ID: string(rune('a' + period)), Period: period, Key: ledger.Key{Tenant: "t"},
 					Usage: ledger.Usage{Count: 1}}).Encode()
 			default:
 				data = rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "garbage")
 			}
-			g := a.leases.Get(FleetRole)
-			a.Apply(uint64(i+1), data)
-			b.Apply(uint64(i+1), data)
-			if e := a.state.Exported; e != last {
-				if e < last || g.Holder == "" {
-					t.Fatalf("period %d is done after %d, the grant was %+v", e, last, g)
+			grant := uninterrupted.leases.Get(FleetRole)
+			uninterrupted.Apply(uint64(i+1), data)
+			restored.Apply(uint64(i+1), data)
+			if now := uninterrupted.state.Exported; now != exported {
+				if now < exported || grant.Holder == "" {
+					t.Fatalf("period %d is done after %d, the grant was %+v", now, exported, grant)
 				}
-				last = e
+				exported = now
 			}
 			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
-				c, _ := New(testSettings)
-				if err := c.Restore(b.Snapshot()); err != nil {
+				next, _ := New(testSettings)
+				if err := next.Restore(restored.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
-				b = c
+				restored = next
 			}
 		}
-		if !bytes.Equal(a.Snapshot(), b.Snapshot()) {
+		if !bytes.Equal(uninterrupted.Snapshot(), restored.Snapshot()) {
 			t.Fatal("the states differ")
 		}
 	})
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -68,7 +68,8 @@
 // maxCorrectionsPerExport bounds the corrections in a PendingExport.
 const maxCorrectionsPerExport = 100
 
-// Read answers a Query. It returns an error if the query doesn't decode or its kind is unknown.
+// Read answers a Query and changes nothing. It returns an error if the query doesn't decode or its kind is
+// unknown.
 func (m *Machine) Read(query []byte) (any, error) {
 	var q Query
 	if err := json.Unmarshal(query, &q); err != nil {
@@ -93,20 +94,21 @@
 	return nil, fmt.Errorf("%q is no question", q.Kind)
 }
 
+// pendingExport returns what the owner has to do next. It aliases the state.
 func (m *Machine) pendingExport() PendingExport {
 	corrections := m.state.Corrections[:min(len(m.state.Corrections), maxCorrectionsPerExport)]
-	p := PendingExport{Grant: m.grant(), Corrections: corrections}
+	next := PendingExport{Grant: m.grant(), Corrections: corrections}
 	if open := m.state.Open; open != nil {
-		p.Period, p.IntentToken, p.Rows = open.Period, open.Token, open.Rows
+		next.Period, next.IntentToken, next.Rows = open.Period, open.Token, open.Rows
 	} else {
-		p.Due = m.nextDue()
+		next.Due = m.nextDue()
 	}
-	return p
+	return next
 }
 
 // View returns the state beside the ledger.
 func (m *Machine) View() View {
-	v := View{
+	view := View{
 		Grant:              m.grant(),
 		Exported:           m.state.Exported,
 		Final:              m.Ledger.FinalPeriod(),
@@ -116,10 +118,10 @@
 		Stats:              m.state.Stats,
 	}
 	if open := m.state.Open; open != nil {
-		v.Sending, v.IntentToken = open.Period, open.Token
+		view.Sending, view.IntentToken = open.Period, open.Token
 	}
-	if from := m.nextUnexported(); v.Final >= from {
-		v.Backlog = int(v.Final - from + 1)
+	if first := m.nextUnexported(); view.Final >= first {
+		view.Backlog = int(view.Final - first + 1)
 	}
-	return v
+	return view
 }
