--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -9,11 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a member of the fleet, as the view has it.
+// Member is a member of the fleet, as the view has it. It is live, or gone, or neither: down, but not for
+// long enough to replace its replicas.
 type Member struct {
-	Name      string
+	Name      string // unique in the fleet
 	ReplicaID uint64 // of its disk, drawn when its data folder was made; 0: it has no replicas
-	Hall      string // failure domain
+	Hall      string // failure domain; "" counts as one
 	Live      bool   // it takes part now; a suspect does too
 	Gone      bool   // its replicas are to be replaced
 }
@@ -34,10 +35,14 @@
 	Replicas  []Replica
 }
 
-// Settings bound the decisions.
+// Settings bound the decisions. The defaults are those of the client proxy's settings.
 type Settings struct {
-	Replicas      int    // voters wanted; 3 or 5
-	MaxLearnerLag uint64 // log entries that a learner may be behind when it is promoted
+	// Replicas is how many voters a group is brought to: 3 (the default), which survive the loss of one, or 5,
+	// which survive the loss of two.
+	Replicas int
+	// MaxLearnerLag is how many log entries a learner may be behind the leader when it is promoted; 100 by
+	// default, and above 0. With more, a group waits longer for its new voter to take part in majorities.
+	MaxLearnerLag uint64
 }
 
 // Check returns an error that names the setting where one is wrong.
@@ -64,6 +69,7 @@
 
 var kindNames = [...]string{"none", "add learner", "promote", "remove"}
 
+// String returns the name of the kind as logs have it.
 func (k ChangeKind) String() string { return kindNames[k] }
 
 // Change is one change of a group's membership.
@@ -74,17 +80,17 @@
 	Reason string // for the log
 }
 
-// Score is a member's rank for a group; the highest is the first.
+// Score is a member's rank for a group, by the hash of both names; the highest is the first.
 func Score(group, member string) uint64 {
-	var d xxhash.Digest
-	d.Reset()
-	d.WriteString(group)
-	d.WriteString("\x00")
-	d.WriteString(member)
-	return d.Sum64()
+	var digest xxhash.Digest
+	digest.Reset()
+	digest.WriteString(group)
+	digest.WriteString("\x00")
+	digest.WriteString(member)
+	return digest.Sum64()
 }
 
-// Rank orders members for a group by rendezvous hashing, in place.
+// Rank orders members for a group by rendezvous hashing, in place; members of one score by name.
 func Rank(group string, members []Member) {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(Score(group, b.Name), Score(group, a.Name)), cmp.Compare(a.Name, b.Name))
@@ -103,8 +109,8 @@
 	var chosen []Member
 	for len(chosen) < n && len(remaining) > 0 {
 		best := 0
-		for i, m := range remaining {
-			if perHall[m.Hall] < perHall[remaining[best].Hall] {
+		for i, member := range remaining {
+			if perHall[member.Hall] < perHall[remaining[best].Hall] {
 				best = i
 			}
 		}
@@ -119,9 +125,9 @@
 // more takes over keys of the others and moves none between them.
 func GroupForKey(key string, groups int) int {
 	bestScore, best := uint64(0), 0
-	for g := range groups {
-		if score := Score(fmt.Sprint(g), key); g == 0 || score > bestScore {
-			bestScore, best = score, g
+	for group := range groups {
+		if score := Score(fmt.Sprint(group), key); group == 0 || score > bestScore {
+			bestScore, best = score, group
 		}
 	}
 	return best
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -21,7 +21,7 @@
 	return Replica{ID: id, Name: name, Learner: true, Match: match}
 }
 
-func TestNext(t *testing.T) {
+func TestNextIsTheOneChangeTowardsTheWantedVoters(t *testing.T) {
 	abc := []Replica{voter("a", 1), voter("b", 2), voter("c", 3)}
 	view := []Member{live("a", 1, ""), live("b", 2, ""), live("c", 3, ""), live("d", 4, "")}
 	for name, c := range map[string]struct {
@@ -105,8 +105,8 @@
 	}
 }
 
-func contains(ms []Member, name string) bool {
-	for _, m := range ms {
+func contains(members []Member, name string) bool {
+	for _, m := range members {
 		if m.Name == name {
 			return true
 		}
@@ -195,7 +195,7 @@
 	return n
 }
 
-func TestSettings(t *testing.T) {
+func TestUnsoundSettingsAreRejected(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 4, 7, -3} {
 		if (Settings{Replicas: n, MaxLearnerLag: 1}).Check() == nil {
 			t.Errorf("%d replicas pass", n)
@@ -207,6 +207,9 @@
 	if (Settings{Replicas: 3}).Check() == nil {
 		t.Error("no learner lag passes")
 	}
+}
+
+func TestKeysAreSpreadOverAllGroups(t *testing.T) {
 	seen := map[int]bool{}
 	for i := range 100 {
 		seen[GroupForKey(fmt.Sprint("tenant-", i), 4)] = true
