--- a/internal/cluster/gossip/delegates.go
+++ b/internal/cluster/gossip/delegates.go
@@ -13,34 +13,34 @@
 type eventDelegate Fleet
 
 // NotifyJoin is called when memberlist learns of a member that is alive.
-func (e *eventDelegate) NotifyJoin(n *memberlist.Node) { e.notify(n, membership.Alive) }
+func (e *eventDelegate) NotifyJoin(node *memberlist.Node) { e.notify(node, membership.Alive) }
 
 // NotifyUpdate is called when a member's metadata changes.
-func (e *eventDelegate) NotifyUpdate(n *memberlist.Node) { e.notify(n, membership.Alive) }
+func (e *eventDelegate) NotifyUpdate(node *memberlist.Node) { e.notify(node, membership.Alive) }
 
 // NotifyLeave is called when a member left or died; memberlist's Node does not distinguish the two (its State
 // field is never set). A member that leaves sets its phase to leaving first, and announces the leave to each
 // member in a datagram, which normally arrives before gossip of the leave.
-func (e *eventDelegate) NotifyLeave(n *memberlist.Node) {
+func (e *eventDelegate) NotifyLeave(node *memberlist.Node) {
 	f := (*Fleet)(e)
 	status := membership.Dead
 	var meta membership.Meta
 	f.mu.Lock()
-	incarnation, announced := f.announcedLeaves[n.Name]
-	delete(f.announcedLeaves, n.Name)
+	incarnation, announced := f.announcedLeaves[node.Name]
+	delete(f.announcedLeaves, node.Name)
 	f.mu.Unlock()
-	if decodeMeta(n.Meta, &meta) == nil &&
+	if decodeMeta(node.Meta, &meta) == nil &&
 		(meta.Phase == membership.Leaving || announced && incarnation == meta.Incarnation) {
 		status = membership.Left
 	}
-	e.notify(n, status)
+	e.notify(node, status)
 }
 
-func (e *eventDelegate) notify(n *memberlist.Node, status membership.Status) {
+func (e *eventDelegate) notify(node *memberlist.Node, status membership.Status) {
 	f := (*Fleet)(e)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observeNode(f.now(), n, status)
+	f.observeNode(f.now(), node, status)
 }
 
 // NotifyConflict is called when another process claims this member's name, or two others claim one.
@@ -61,37 +61,38 @@
 
 // NodeMeta is this member's metadata, nil if it is over the limit.
 func (d *delegate) NodeMeta(limit int) []byte {
-	b := encodeMeta(*(*Fleet)(d).meta.Load())
-	if len(b) > limit {
+	meta := encodeMeta(*(*Fleet)(d).meta.Load())
+	if len(meta) > limit {
 		return nil
 	}
-	return b
+	return meta
 }
 
-// leaveMessage announces that its sender leaves. It is the only message of this program's own.
+// leaveMessage announces that its sender leaves. It is the only message of this program's own, sent as JSON
+// in a datagram.
 type leaveMessage struct {
 	Name        string `json:"leaving"`
 	Incarnation uint64 `json:"inc"`
 }
 
 // NotifyMsg takes a leaveMessage. Anything else is counted and dropped.
-func (d *delegate) NotifyMsg(b []byte) {
+func (d *delegate) NotifyMsg(raw []byte) {
 	f := (*Fleet)(d)
-	var m leaveMessage
-	err := json.Unmarshal(b, &m)
+	var leave leaveMessage
+	err := json.Unmarshal(raw, &leave)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err != nil || m.Name == "" {
+	if err != nil || leave.Name == "" {
 		f.counters.MessagesRefused++
 		return
 	}
 	if len(f.announcedLeaves) < f.opts.Membership.MaxMembers {
-		f.announcedLeaves[m.Name] = m.Incarnation
+		f.announcedLeaves[leave.Name] = leave.Incarnation
 	}
 	// The leave takes effect at once. A view that the gossip of it does not reach would else have the member
 	// alive until its probes fail, and then dead.
-	if known, ok := f.view.Get(m.Name); ok && known.Meta.Incarnation == m.Incarnation {
-		f.publish(f.view.Observe(f.now(), membership.Observation{Name: m.Name, Address: known.Address,
+	if known, ok := f.view.Get(leave.Name); ok && known.Meta.Incarnation == leave.Incarnation {
+		f.publish(f.view.Observe(f.now(), membership.Observation{Name: leave.Name, Address: known.Address,
 			Status: membership.Left, Meta: known.Meta}))
 	}
 }
@@ -102,13 +103,13 @@
 // live processes of one name must not go on superseding each other.
 func (d *delegate) NotifyMerge(peers []*memberlist.Node) error {
 	f := (*Fleet)(d)
-	for _, n := range peers {
+	for _, peer := range peers {
 		var meta membership.Meta
-		if n.Name != f.opts.Name || decodeMeta(n.Meta, &meta) != nil {
+		if peer.Name != f.opts.Name || decodeMeta(peer.Meta, &meta) != nil {
 			continue
 		}
 		f.mu.Lock()
-		if f.ownAddress == "" || n.Address() == f.ownAddress {
+		if f.ownAddress == "" || peer.Address() == f.ownAddress {
 			f.previousIncarnation = max(f.previousIncarnation, meta.Incarnation)
 		}
 		f.mu.Unlock()
--- a/internal/cluster/gossip/fleet.go
+++ b/internal/cluster/gossip/fleet.go
@@ -16,16 +16,28 @@
 )
 
 const (
-	changesBuffer      = 256
-	suspectQueueLength = 64
+	changesBuffer      = 256 // changes of the view that wait for a reader of Changes
+	suspectQueueLength = 64  // suspects that wait for an exchange of states
+	// retransmitMult times ceil(log10(members + 1)) is how often each member sends an update. With memberlist's
+	// 4, one in fifty members of a small fleet misses a refutation; with 8, one in three thousand.
+	retransmitMult = 8
+	// minStreamTimeout and streamTimeouts, in probe timeouts, bound how long a stream may take.
+	minStreamTimeout = time.Second
+	streamTimeouts   = 10
+	// minTickInterval is the least time between two ticks of the view.
+	minTickInterval = 20 * time.Millisecond
 )
 
-// Fleet is this process as a member of the fleet, and its view of the others.
+// Fleet is this process as a member of the fleet, and its view of the others. Use Start, and Leave or Close
+// once; in between its methods may be called from any goroutine.
+//
+// Lock order: memberlist's locks come before mu. memberlist calls the delegates, which take mu, with its
+// locks held, so that no method calls memberlist with mu held.
 type Fleet struct {
-	opts  Options
-	ml    *memberlist.Memberlist
-	start time.Time
-	log   *slog.Logger
+	opts       Options
+	memberlist *memberlist.Memberlist
+	start      time.Time
+	log        *slog.Logger
 
 	meta atomic.Pointer[membership.Meta] // of this member; read under memberlist's locks
 
@@ -50,9 +62,9 @@
 
 	traffic traffic // on the gossip port
 
-	stop chan struct{}
-	done sync.WaitGroup
-	once sync.Once // of Leave or Close
+	stop       chan struct{} // closed by Leave or Close
+	goroutines sync.WaitGroup
+	once       sync.Once // of Leave or Close
 }
 
 // Start joins the fleet. It returns once this member listens and has attempted to join its seeds; those that
@@ -66,19 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{
-		opts: o, start: time.Now(), log: o.Log, view: view, stop: make(chan struct{}),
-		announcedLeaves: map[string]uint64{}, swimIncarnations: map[string]uint32{},
-		suspectedIncarnations: map[string]uint32{}, changes: make(chan membership.Change, changesBuffer),
-		suspectQueue:  make(chan string, suspectQueueLength),
-		suspectSyncAt: map[string]time.Duration{}, suspectSyncs: map[string]bool{},
-	}
-	startTime := o.StartTime
-	if startTime.IsZero() {
-		startTime = f.start
-	}
-	f.meta.Store(&membership.Meta{Incarnation: uint64(startTime.UnixMilli()), Version: o.Version, Hall: o.Hall,
-		LedgerAddress: o.LedgerAddress, ReplicaID: o.ReplicaID})
+	f := newFleet(o, view)
 	if err := f.listen(); err != nil {
 		return nil, fmt.Errorf("fleet.bind %s: %w", o.Bind, err)
 	}
@@ -86,81 +86,106 @@
 	if len(o.Seeds) > 0 {
 		f.join(o.Seeds)
 	}
-	if conflict := f.nameConflict(); conflict != "" && f.nameAnswersAt(conflict) {
-		err := fmt.Errorf("fleet: the name %q is held by a live member at %s; names must be unique",
-			o.Name, conflict)
-		return nil, errors.Join(err, f.ml.Shutdown())
+	if err := f.checkNameIsFree(); err != nil {
+		return nil, errors.Join(err, f.memberlist.Shutdown())
 	}
 	address := f.Address() // takes memberlist's lock: not under f.mu
 	f.mu.Lock()
 	f.ownAddress = address
 	f.mu.Unlock()
 	f.supersedePrevious()
-	f.done.Add(2)
-	go f.tickLoop()
-	go f.syncLoop()
+	f.goroutines.Go(f.tickLoop)
+	f.goroutines.Go(f.syncLoop)
 	return f, nil
 }
 
+// newFleet returns a member that does not listen yet.
+func newFleet(o Options, view *membership.View) *Fleet {
+	f := &Fleet{
+		opts:                  o,
+		start:                 time.Now(),
+		log:                   o.Log,
+		view:                  view,
+		changes:               make(chan membership.Change, changesBuffer),
+		announcedLeaves:       map[string]uint64{},
+		swimIncarnations:      map[string]uint32{},
+		suspectedIncarnations: map[string]uint32{},
+		suspectSyncAt:         map[string]time.Duration{},
+		suspectQueue:          make(chan string, suspectQueueLength),
+		suspectSyncs:          map[string]bool{},
+		stop:                  make(chan struct{}),
+	}
+	startTime := o.StartTime
+	if startTime.IsZero() {
+		startTime = f.start
+	}
+	f.meta.Store(&membership.Meta{
+		Incarnation:   uint64(startTime.UnixMilli()),
+		Version:       o.Version,
+		Hall:          o.Hall,
+		LedgerAddress: o.LedgerAddress,
+		ReplicaID:     o.ReplicaID,
+	})
+	return f
+}
+
 // listen starts the transport, and memberlist on it.
 func (f *Fleet) listen() error {
-	c := f.memberlistConfig()
+	config := f.memberlistConfig()
 	ip, port, err := splitHostPort(f.opts.Bind)
 	if err != nil {
 		return err
 	}
-	t, err := newTransport(f, ip.String(), port, c.TCPTimeout, c.Logger)
+	transport, err := newTransport(f, ip.String(), port, config.TCPTimeout, config.Logger)
 	if err != nil {
 		return err
 	}
-	c.Transport, c.BindAddr, c.BindPort = t, ip.String(), t.GetAutoBindPort()
+	config.Transport, config.BindAddr, config.BindPort = transport, ip.String(), transport.GetAutoBindPort()
 	if f.opts.Advertise != "" {
 		ip, port, err := splitHostPort(f.opts.Advertise)
 		if err != nil {
-			return errors.Join(err, t.Shutdown())
+			return errors.Join(err, transport.Shutdown())
 		}
-		c.AdvertiseAddr, c.AdvertisePort = ip.String(), port
+		config.AdvertiseAddr, config.AdvertisePort = ip.String(), port
 	}
-	if f.ml, err = memberlist.Create(c); err != nil {
-		return errors.Join(err, t.Shutdown())
+	if f.memberlist, err = memberlist.Create(config); err != nil {
+		return errors.Join(err, transport.Shutdown())
 	}
 	return nil
 }
 
 // memberlistConfig is memberlist's configuration without what listen adds.
 func (f *Fleet) memberlistConfig() *memberlist.Config {
-	o := &f.opts
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label = o.Name, o.Label
-	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval = o.ProbeInterval, o.ProbeTimeout, o.GossipInterval
-	c.SuspicionMult = o.SuspicionMult
-	c.PushPullInterval = 0         // syncRandomMember does it, at a pace that keeps its cost flat
-	c.SkipInboundLabelCheck = true // the transport checks the label, and counts
-	c.EnableCompression = false    // messages are small, and the transport reads them
-	// Each member sends an update RetransmitMult * ceil(log10(members + 1)) times. With memberlist's 4, one in
-	// fifty members of a small fleet misses a refutation; with 8, one in three thousand.
-	c.RetransmitMult = 8
-	c.GossipToTheDeadTime = o.Membership.GoneAfter
-	c.DeadNodeReclaimTime = o.ProbeTimeout // a restart under its name may come from a new address
+	opts := &f.opts
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.Label = opts.Name, opts.Label
+	config.ProbeInterval, config.ProbeTimeout = opts.ProbeInterval, opts.ProbeTimeout
+	config.GossipInterval = opts.GossipInterval
+	config.SuspicionMult = opts.SuspicionMult
+	config.RetransmitMult = retransmitMult
+	config.PushPullInterval = 0         // syncRandomMember does it, at a pace that keeps its cost flat
+	config.SkipInboundLabelCheck = true // the transport checks the label, and counts
+	config.EnableCompression = false    // messages are small, and the transport reads them
+	config.GossipToTheDeadTime = opts.Membership.GoneAfter
+	config.DeadNodeReclaimTime = opts.ProbeTimeout // a restart under its name may come from a new address
 	// A stream gets across the slowest link with which a member still takes part: a suspicion of it is refuted
 	// over one. Only syncLoop and its goroutines wait for streams.
-	c.TCPTimeout = max(o.ProbeTimeout*10, time.Second)
-	c.Events, c.Conflict = (*eventDelegate)(f), (*eventDelegate)(f)
-	c.Delegate, c.Merge = (*delegate)(f), (*delegate)(f)
-	c.Logger = log.New(&logWriter{f.log}, "", 0)
-	return c
+	config.TCPTimeout = max(opts.ProbeTimeout*streamTimeouts, minStreamTimeout)
+	config.Events, config.Conflict = (*eventDelegate)(f), (*eventDelegate)(f)
+	config.Delegate, config.Merge = (*delegate)(f), (*delegate)(f)
+	config.Logger = log.New(&logWriter{f.log}, "", 0)
+	return config
 }
 
 // Address is the host:port at which this member gossips.
-func (f *Fleet) Address() string { return f.ml.LocalNode().FullAddress().Addr }
+func (f *Fleet) Address() string { return f.memberlist.LocalNode().FullAddress().Addr }
 
 // now is the view's clock: the monotonic time since the start.
 func (f *Fleet) now() time.Duration { return time.Since(f.start) }
 
 // tickLoop passes the time to the view at intervals, until the member stops.
 func (f *Fleet) tickLoop() {
-	defer f.done.Done()
-	tick := time.NewTicker(max(f.opts.ProbeInterval/2, 20*time.Millisecond))
+	tick := time.NewTicker(max(f.opts.ProbeInterval/2, minTickInterval))
 	defer tick.Stop()
 	for {
 		select {
@@ -188,17 +213,19 @@
 
 // SetPhase publishes whether this member serves, drains or leaves. It returns once the update was sent to all
 // members, or with an error after timeout.
-func (f *Fleet) SetPhase(p membership.Phase, timeout time.Duration) error {
+func (f *Fleet) SetPhase(phase membership.Phase, timeout time.Duration) error {
 	f.mu.Lock()
-	m := *f.meta.Load()
-	m.Phase = p
-	f.meta.Store(&m)
+	meta := *f.meta.Load()
+	meta.Phase = phase
+	f.meta.Store(&meta)
 	f.pendingUpdates++
 	f.mu.Unlock()
-	return f.ml.UpdateNode(timeout)
+	return f.memberlist.UpdateNode(timeout)
 }
 
-// Leave announces that this member leaves, waits up to timeout for the update to spread, and stops.
+// Leave announces that this member leaves, waits up to timeout for the update to spread, and stops. The error
+// is memberlist's if the leave did not spread in time; the member has stopped all the same. After Leave or
+// Close it does nothing and returns nil.
 func (f *Fleet) Leave(timeout time.Duration) error {
 	var err error
 	f.once.Do(func() {
@@ -206,9 +233,9 @@
 			f.log.Debug("fleet: phase not sent to all", "err", err)
 		}
 		f.announceLeave()
-		err = f.ml.Leave(timeout / 2)
+		err = f.memberlist.Leave(timeout / 2)
 		close(f.stop)
-		f.done.Wait()
+		f.goroutines.Wait()
 		f.shutdown()
 	})
 	return err
@@ -221,24 +248,26 @@
 	if err != nil {
 		return
 	}
-	for _, n := range f.ml.Members() {
-		if n.Name != f.opts.Name {
-			_ = f.ml.SendBestEffort(n, msg) // a datagram, which may get lost anyway
+	for _, node := range f.memberlist.Members() {
+		if node.Name != f.opts.Name {
+			_ = f.memberlist.SendBestEffort(node, msg) // a datagram, which may get lost anyway
 		}
 	}
 }
 
-// Close stops at once, without a leave.
+// Close stops at once, without a leave: to the others this member fails. After Leave or Close it does
+// nothing.
 func (f *Fleet) Close() {
 	f.once.Do(func() {
 		close(f.stop)
-		f.done.Wait()
+		f.goroutines.Wait()
 		f.shutdown()
 	})
 }
 
+// shutdown stops memberlist and its transport.
 func (f *Fleet) shutdown() {
-	if err := f.ml.Shutdown(); err != nil {
+	if err := f.memberlist.Shutdown(); err != nil {
 		f.log.Debug("fleet: shutdown", "err", err)
 	}
 }
--- a/internal/cluster/gossip/meta.go
+++ b/internal/cluster/gossip/meta.go
@@ -17,28 +17,41 @@
 	Disk        uint64 `json:"disk,omitempty,string"`
 }
 
-func encodeMeta(m membership.Meta) []byte {
-	b, err := json.Marshal(metaJSON{Incarnation: m.Incarnation, Version: m.Version, Hall: m.Hall,
-		Phase: m.Phase.String(), Ledger: m.LedgerAddress, Disk: m.ReplicaID})
+func encodeMeta(meta membership.Meta) []byte {
+	raw, err := json.Marshal(metaJSON{
+		Incarnation: meta.Incarnation,
+		Version:     meta.Version,
+		Hall:        meta.Hall,
+		Phase:       meta.Phase.String(),
+		Ledger:      meta.LedgerAddress,
+		Disk:        meta.ReplicaID,
+	})
 	if err != nil {
 		panic(err) // strings and numbers always encode
 	}
-	return b
+	return raw
 }
 
-func decodeMeta(b []byte, m *membership.Meta) error {
-	if len(b) == 0 {
+// decodeMeta decodes what encodeMeta has encoded into meta, which stays as it is after an error.
+func decodeMeta(raw []byte, meta *membership.Meta) error {
+	if len(raw) == 0 {
 		return errors.New("no metadata")
 	}
 	var decoded metaJSON
-	if err := json.Unmarshal(b, &decoded); err != nil {
+	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return err
 	}
 	phase, err := membership.ParsePhase(decoded.Phase)
 	if err != nil {
 		return err
 	}
-	*m = membership.Meta{Incarnation: decoded.Incarnation, Version: decoded.Version, Hall: decoded.Hall,
-		Phase: phase, LedgerAddress: decoded.Ledger, ReplicaID: decoded.Disk}
+	*meta = membership.Meta{
+		Incarnation:   decoded.Incarnation,
+		Version:       decoded.Version,
+		Hall:          decoded.Hall,
+		Phase:         phase,
+		LedgerAddress: decoded.Ledger,
+		ReplicaID:     decoded.Disk,
+	}
 	return nil
 }
--- a/internal/cluster/gossip/observe.go
+++ b/internal/cluster/gossip/observe.go
@@ -11,9 +11,9 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// observeSent inspects a message that this member sends. memberlist has no event for a suspicion, but
+// observeOutbound inspects a message that this member sends. memberlist has no event for a suspicion, but
 // forwards every update that is new to it, so its messages reveal what it has learnt.
-func (f *Fleet) observeSent(kind byte, msg gossipMessage) {
+func (f *Fleet) observeOutbound(kind byte, msg gossipMessage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, known := f.view.Get(msg.Node); !known && (kind == suspectMsg || kind == aliveMsg) {
@@ -68,31 +68,32 @@
 
 // changeStatus changes a member that has one status in the view to another, and counts that; f.mu is held.
 func (f *Fleet) changeStatus(name string, from, to membership.Status, counter *int) {
-	m, ok := f.view.Get(name)
-	if !ok || m.Status != from {
+	member, known := f.view.Get(name)
+	if !known || member.Status != from {
 		return
 	}
 	*counter++
-	f.publish(f.view.Observe(f.now(), membership.Observation{Name: name, Address: m.Address, Status: to,
-		Meta: m.Meta}))
+	f.publish(f.view.Observe(f.now(), membership.Observation{Name: name, Address: member.Address, Status: to,
+		Meta: member.Meta}))
 }
 
 // observeNode hands an event of memberlist's to the view; f.mu is held.
-func (f *Fleet) observeNode(now time.Duration, n *memberlist.Node, status membership.Status) {
+func (f *Fleet) observeNode(now time.Duration, node *memberlist.Node, status membership.Status) {
 	var meta membership.Meta
-	if err := decodeMeta(n.Meta, &meta); err != nil {
+	if err := decodeMeta(node.Meta, &meta); err != nil {
 		f.counters.MetaRefused++
-		f.log.Warn("fleet: metadata of a member does not decode", "member", n.Name, "err", err)
+		f.log.Warn("fleet: metadata of a member does not decode", "member", node.Name, "err", err)
 		return
 	}
 	if status != membership.Alive {
-		f.forgetIncarnations(n.Name) // memberlist may forget it, and count anew when it is back
+		f.forgetIncarnations(node.Name) // memberlist may forget it, and count anew when it is back
 	}
 	f.publish(f.view.Observe(now, membership.Observation{
-		Name: n.Name, Address: n.Address(), Status: status, Meta: meta,
+		Name: node.Name, Address: node.Address(), Status: status, Meta: meta,
 	}))
 }
 
+// forgetIncarnations forgets SWIM's incarnations of a member; f.mu is held.
 func (f *Fleet) forgetIncarnations(name string) {
 	delete(f.swimIncarnations, name)
 	delete(f.suspectedIncarnations, name)
@@ -100,27 +101,31 @@
 
 // publish counts, logs and streams changes of the view; f.mu is held.
 func (f *Fleet) publish(changes []membership.Change) {
-	for _, c := range changes {
-		f.count(c)
-		level := slog.LevelInfo
-		if c.Kind == membership.Conflict || c.Kind == membership.Rejected {
-			level = slog.LevelWarn
-		}
-		m := c.Member
-		f.log.Log(context.Background(), level, "fleet: member "+c.Kind.String(), "member", m.Name,
-			"address", m.Address, "status", m.Status.String(), "was", c.Previous.String(),
-			"phase", m.Meta.Phase.String(), "incarnation", m.Meta.Incarnation, "gone", m.Gone)
+	for _, change := range changes {
+		f.count(change)
+		f.logChange(change)
 		select {
-		case f.changes <- c:
+		case f.changes <- change:
 		default:
 			f.counters.LostChanges++
 		}
 	}
 }
 
+func (f *Fleet) logChange(change membership.Change) {
+	level := slog.LevelInfo
+	if change.Kind == membership.Conflict || change.Kind == membership.Rejected {
+		level = slog.LevelWarn
+	}
+	member := change.Member
+	f.log.Log(context.Background(), level, "fleet: member "+change.Kind.String(), "member", member.Name,
+		"address", member.Address, "status", member.Status.String(), "was", change.Previous.String(),
+		"phase", member.Meta.Phase.String(), "incarnation", member.Meta.Incarnation, "gone", member.Gone)
+}
+
 // count counts a change; f.mu is held.
-func (f *Fleet) count(c membership.Change) {
-	switch c.Kind {
+func (f *Fleet) count(change membership.Change) {
+	switch change.Kind {
 	case membership.Joined:
 		f.counters.Joins++
 	case membership.Restarted:
@@ -133,7 +138,7 @@
 		f.counters.Returned++
 	case membership.Forgotten:
 		f.counters.Forgotten++
-		f.forgetIncarnations(c.Member.Name)
+		f.forgetIncarnations(change.Member.Name)
 	case membership.Conflict:
 		f.counters.Conflicts++
 	case membership.Rejected:
@@ -144,7 +149,7 @@
 // logWriter logs memberlist's own lines at debug: what operators need is logged by this package.
 type logWriter struct{ log *slog.Logger }
 
-func (w *logWriter) Write(p []byte) (int, error) {
-	w.log.Debug("fleet: memberlist", "says", string(bytes.TrimRight(p, "\r\n")))
-	return len(p), nil
+func (w *logWriter) Write(line []byte) (int, error) {
+	w.log.Debug("fleet: memberlist", "says", string(bytes.TrimRight(line, "\r\n")))
+	return len(line), nil
 }
--- a/internal/cluster/gossip/options.go
+++ b/internal/cluster/gossip/options.go
@@ -11,31 +11,59 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// Options configure a member; Check returns what is wrong with them.
+// Options configure a member; Check returns what is wrong with them. Start copies them: a later change has no
+// effect. The defaults named here are those of the client proxy's settings; a zero field stands for itself.
 type Options struct {
-	Name          string
-	Bind          string   // host:port for gossip, UDP and TCP; port 0 lets the system choose
-	Advertise     string   // host:port others reach this member at; "" is Bind
-	Seeds         []string // host:port of members to join by
-	Label         string   // members of another label are rejected; may be empty
-	Version       string   // of the program
-	Hall          string   // failure domain
-	LedgerAddress string   // host:port of this member's raftgroup.Host; "" if it has none
-	ReplicaID     uint64   // of this member's replicas; 0 if it has none
+	// Name is this member's name, unique in the fleet: Start fails where a live member has it.
+	Name string
+	// Bind is the IP address and port for gossip, by UDP and TCP. With port 0 the system chooses a port.
+	Bind string
+	// Advertise is the IP address and port at which others reach this member. Empty, the default, is Bind.
+	Advertise string
+	// Seeds are the gossip addresses of members to join by; one that answers is enough. Empty, the default, this
+	// member waits until others join it.
+	Seeds []string
+	// Label is the fleet's name; "cresshub" by default, and may be empty. Datagrams and streams with another one
+	// are rejected and counted.
+	Label string
+	// Version is that of the program, for the others' pages.
+	Version string
+	// Hall is this member's failure domain, which package placement spreads replicas over; "" by default.
+	Hall string
+	// LedgerAddress is the host:port of this member's raftgroup.Host; "" if it has none.
+	LedgerAddress string
+	// ReplicaID is the ID of this member's replicas; 0 if it has none.
+	ReplicaID uint64
 
-	ProbeInterval         time.Duration // between probes, each of one member
-	ProbeTimeout          time.Duration // for the answer to one probe
-	GossipInterval        time.Duration // between rounds of gossip
-	SuspicionMult         int           // times log10(members) and ProbeInterval: the least time of a suspicion
-	RejoinInterval        time.Duration // between attempts to join seeds and recently dead members
-	SyncIntervalPerMember time.Duration // between full exchanges of state, times the number of members
-	Relay                 string        // host:port of a SOCKS5 relay for all gossip; tests and laboratory only
-	Membership            membership.Settings
+	// ProbeInterval is the time between probes, each of one member; 1 s by default. The shorter, the sooner a
+	// failure is seen, and the more datagrams are sent.
+	ProbeInterval time.Duration
+	// ProbeTimeout is how long the answer to a probe is waited for before other members are asked to probe; 500
+	// ms by default. Below ProbeInterval.
+	ProbeTimeout time.Duration
+	// GossipInterval is the time between messages of gossip; 200 ms by default.
+	GossipInterval time.Duration
+	// SuspicionMult, times log10 of the number of members (1 at least) and ProbeInterval, is the least time
+	// after which a suspect counts as dead; 4 by default. Without confirmations by other members it takes up to
+	// six times as long.
+	SuspicionMult int
+	// RejoinInterval is the time between attempts to join a seed and a recently dead member, give or take a
+	// quarter; 5 s by default.
+	RejoinInterval time.Duration
+	// SyncIntervalPerMember, times the number of members, is the time between exchanges of full states with a
+	// random member, give or take a quarter; 1 s by default. Above zero.
+	SyncIntervalPerMember time.Duration
+	// Relay is the IPv4 address and port of a SOCKS5 relay for all outbound gossip, for tests and the laboratory
+	// alone. Empty, the default, sends directly.
+	Relay string
+	// Membership are the settings of the view.
+	Membership membership.Settings
 
-	// StartTime is the wall time that the incarnation is taken from; zero is now. Tests set a clock back with
-	// it.
+	// StartTime is the wall time that the incarnation is taken from; zero, the default, is now. Tests set a
+	// clock back with it.
 	StartTime time.Time
 
+	// Log takes the messages of the member, and those of memberlist at debug. It must not be nil.
 	Log *slog.Logger
 }
 
@@ -71,8 +99,9 @@
 	return nil
 }
 
-func splitHostPort(s string) (net.IP, int, error) {
-	host, port, err := net.SplitHostPort(s)
+// splitHostPort splits an IP address and a port.
+func splitHostPort(address string) (net.IP, int, error) {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -80,9 +109,9 @@
 	if ip == nil {
 		return nil, 0, fmt.Errorf("%q is no IP address", host)
 	}
-	n, err := strconv.ParseUint(port, 10, 16)
+	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil {
 		return nil, 0, fmt.Errorf("%q is no port", port)
 	}
-	return ip, int(n), nil
+	return ip, int(number), nil
 }
--- a/internal/cluster/gossip/page.go
+++ b/internal/cluster/gossip/page.go
@@ -1,5 +1,11 @@
 package gossip
 
+import (
+	"time"
+
+	"cresshub/internal/cluster/membership"
+)
+
 // Page is what /_fleet shows.
 type Page struct {
 	Self     string   `json:"self"`
@@ -47,19 +53,30 @@
 
 // Snapshot returns the view as it is now, members by name.
 func (f *Fleet) Snapshot() Page {
-	health := f.ml.GetHealthScore()
+	health := f.memberlist.GetHealthScore()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	p := Page{Self: f.opts.Name, Label: f.opts.Label, Counters: f.counters, Health: health}
-	f.traffic.addTo(&p.Counters)
-	for _, m := range f.view.Snapshot() {
-		p.Members = append(p.Members, Member{
-			Name: m.Name, Address: m.Address, Status: m.Status.String(), Gone: m.Gone,
-			Phase: m.Meta.Phase.String(), Incarnation: m.Meta.Incarnation, Version: m.Meta.Version,
-			Hall: m.Meta.Hall, AgeMS: (now - m.StatusSince).Milliseconds(), Flaps: m.Flaps,
-			Suspected: m.Suspected,
-		})
+	page := Page{Self: f.opts.Name, Label: f.opts.Label, Counters: f.counters, Health: health}
+	f.traffic.addTo(&page.Counters)
+	for _, member := range f.view.Snapshot() {
+		page.Members = append(page.Members, pageRow(now, member))
+	}
+	return page
+}
+
+func pageRow(now time.Duration, member membership.Member) Member {
+	return Member{
+		Name:        member.Name,
+		Address:     member.Address,
+		Status:      member.Status.String(),
+		Gone:        member.Gone,
+		Phase:       member.Meta.Phase.String(),
+		Incarnation: member.Meta.Incarnation,
+		Version:     member.Meta.Version,
+		Hall:        member.Meta.Hall,
+		AgeMS:       (now - member.StatusSince).Milliseconds(),
+		Flaps:       member.Flaps,
+		Suspected:   member.Suspected,
 	}
-	return p
 }
--- a/internal/cluster/gossip/suspicion.go
+++ b/internal/cluster/gossip/suspicion.go
@@ -27,20 +27,21 @@
 	// memberlist ends a suspicion within this time, by a death it reports or a refutation it passes on.
 	maxTimeout := 6*minTimeout*math.Max(1, math.Log10(float64(len(members)))) + float64(time.Second)
 	suspects := map[string]bool{}
-	for _, m := range members {
-		if m.Status != membership.Suspect {
+	for _, member := range members {
+		if member.Status != membership.Suspect {
 			continue
 		}
-		suspects[m.Name] = true
-		at, scheduled := f.suspectSyncAt[m.Name]
+		name := member.Name
+		suspects[name] = true
+		at, scheduled := f.suspectSyncAt[name]
 		switch {
-		case float64(now-m.StatusSince) > maxTimeout:
-			f.changeStatus(m.Name, membership.Suspect, membership.Alive, &f.counters.Refuted)
+		case float64(now-member.StatusSince) > maxTimeout:
+			f.changeStatus(name, membership.Suspect, membership.Alive, &f.counters.Refuted)
 		case !scheduled:
-			f.suspectSyncAt[m.Name] = m.StatusSince + suspectSyncDelay(minTimeout, len(members))
+			f.suspectSyncAt[name] = member.StatusSince + suspectSyncDelay(minTimeout, len(members))
 		case now >= at:
-			f.suspectSyncAt[m.Name] = now + time.Duration(2*minTimeout) // again if this one did not help
-			f.queueSuspectSync(m.Name)
+			f.suspectSyncAt[name] = now + time.Duration(2*minTimeout) // again if this one did not help
+			f.queueSuspectSync(name)
 		}
 	}
 	for name := range f.suspectSyncAt {
@@ -77,31 +78,29 @@
 		return
 	}
 	f.suspectSyncs[name] = true
-	f.done.Add(1)
-	go func() {
-		defer f.done.Done()
+	f.goroutines.Go(func() {
 		f.syncWithSuspect(name)
 		f.mu.Lock()
 		delete(f.suspectSyncs, name)
 		f.mu.Unlock()
-	}()
+	})
 }
 
 // syncWithSuspect exchanges states with a suspect twice: by the first exchange it learns of the suspicion, by
 // the second this member learns of its refutation. Gossip would carry both, but reaches each member only most
 // likely, and it is a member with slow links of its own that suspects many.
 func (f *Fleet) syncWithSuspect(name string) {
-	for attempt := range 2 {
+	for exchange := range 2 {
 		f.mu.Lock()
-		m, ok := f.view.Get(name)
+		suspect, known := f.view.Get(name)
 		f.mu.Unlock()
-		if !ok || m.Status != membership.Suspect {
+		if !known || suspect.Status != membership.Suspect {
 			return
 		}
-		if n, _ := f.ml.Join([]string{m.Address}); n == 0 {
+		if joined, _ := f.memberlist.Join([]string{suspect.Address}); joined == 0 {
 			return
 		}
-		if attempt == 0 {
+		if exchange == 0 {
 			select {
 			case <-time.After(f.opts.ProbeTimeout / 2):
 			case <-f.stop:
--- a/internal/cluster/gossip/sync.go
+++ b/internal/cluster/gossip/sync.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"net"
 	"time"
@@ -11,6 +12,17 @@
 // nameProbes is how many probes find out whether another process has this member's name.
 const nameProbes = 3
 
+// checkNameIsFree returns an error if a live process other than this one has this member's name, as far as
+// the last join tells.
+func (f *Fleet) checkNameIsFree() error {
+	conflict := f.nameConflict()
+	if conflict == "" || !f.nameAnswersAt(conflict) {
+		return nil
+	}
+	return fmt.Errorf("fleet: the name %q is held by a live member at %s; names must be unique", f.opts.Name,
+		conflict)
+}
+
 // nameConflict is the address at which another process had this member's name in the last join; "" for none.
 func (f *Fleet) nameConflict() string {
 	f.mu.Lock()
@@ -26,7 +38,7 @@
 		return false
 	}
 	for range nameProbes {
-		if _, err := f.ml.Ping(f.opts.Name, to); err == nil {
+		if _, err := f.memberlist.Ping(f.opts.Name, to); err == nil {
 			return true
 		}
 	}
@@ -41,31 +53,31 @@
 	f.mu.Lock()
 	f.conflictAddress = ""
 	f.mu.Unlock()
-	n, err := f.ml.Join(addresses)
-	if err != nil && n == 0 {
+	joined, err := f.memberlist.Join(addresses)
+	if err != nil && joined == 0 {
 		f.log.Debug("fleet: join reached nobody", "tried", len(addresses), "err", err)
 	}
-	return n
+	return joined
 }
 
 // supersedePrevious raises this member's incarnation above that of its previous start, if other members still
 // have that one and the wall clock has gone back since: they would ignore updates of a lower incarnation.
 func (f *Fleet) supersedePrevious() {
 	f.mu.Lock()
-	m := *f.meta.Load()
+	meta := *f.meta.Load()
 	previous := f.previousIncarnation
-	if previous > m.Incarnation {
-		m.Incarnation = previous + 1
-		f.meta.Store(&m)
+	if previous > meta.Incarnation {
+		meta.Incarnation = previous + 1
+		f.meta.Store(&meta)
 		f.pendingUpdates++
 	}
 	f.mu.Unlock()
-	if m.Incarnation != previous+1 {
+	if meta.Incarnation != previous+1 {
 		return
 	}
 	f.log.Warn("fleet: a previous incarnation of this member started later; the wall clock went back",
-		"held", previous, "incarnation", m.Incarnation)
-	if err := f.ml.UpdateNode(f.opts.ProbeInterval); err != nil {
+		"held", previous, "incarnation", meta.Incarnation)
+	if err := f.memberlist.UpdateNode(f.opts.ProbeInterval); err != nil {
 		f.log.Debug("fleet: new incarnation not sent to all", "err", err)
 	}
 }
@@ -73,20 +85,20 @@
 // syncLoop runs the tasks that use streams, until the member stops: it exchanges states with random members
 // and joins seeds and recently dead members again, one at a time, and starts the exchanges with suspects.
 func (f *Fleet) syncLoop() {
-	defer f.done.Done()
-	rejoin, sync := time.NewTimer(jitter(f.opts.RejoinInterval)), time.NewTimer(jitter(f.syncInterval()))
-	defer rejoin.Stop()
-	defer sync.Stop()
+	rejoinTimer := time.NewTimer(jitter(f.opts.RejoinInterval))
+	defer rejoinTimer.Stop()
+	syncTimer := time.NewTimer(jitter(f.syncInterval()))
+	defer syncTimer.Stop()
 	for {
 		select {
 		case <-f.stop:
 			return
-		case <-rejoin.C:
+		case <-rejoinTimer.C:
 			f.rejoin()
-			rejoin.Reset(jitter(f.opts.RejoinInterval))
-		case <-sync.C:
+			rejoinTimer.Reset(jitter(f.opts.RejoinInterval))
+		case <-syncTimer.C:
 			f.syncRandomMember()
-			sync.Reset(jitter(f.syncInterval()))
+			syncTimer.Reset(jitter(f.syncInterval()))
 		case name := <-f.suspectQueue:
 			f.startSuspectSync(name)
 		}
@@ -99,7 +111,7 @@
 // syncInterval is the time between exchanges of full states. Each exchange holds all members, so that a fixed
 // interval would cost each member more as the fleet grows; they only make up for what gossip missed.
 func (f *Fleet) syncInterval() time.Duration {
-	return f.opts.SyncIntervalPerMember * time.Duration(f.ml.NumMembers())
+	return f.opts.SyncIntervalPerMember * time.Duration(f.memberlist.NumMembers())
 }
 
 // syncRandomMember exchanges full states with one live member, drawn at random.
@@ -122,7 +134,7 @@
 // rejoin joins one recently dead member, as serf's reconnect does: after a partition that outlasts
 // suspicions, each side considers the other dead and memberlist alone would never probe it again. It also
 // joins one seed that is not a live member: the fleet may never have been joined, or its dead members
-// forgotten.
+// forgotten. The dead member is drawn first, then the seed.
 func (f *Fleet) rejoin() {
 	// Address takes memberlist's lock, under which memberlist's events take f.mu: not under f.mu.
 	live := map[string]bool{f.Address(): true}
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -239,7 +239,7 @@
 	t.fleet.traffic.packetsOut.Add(1)
 	t.fleet.traffic.bytesOut.Add(int64(len(b)))
 	if plain, err := t.removeLabel(b); err == nil {
-		_ = readPacket(plain, t.fleet.observeSent) // all that memberlist sends is well-formed
+		_ = readPacket(plain, t.fleet.observeOutbound) // all that memberlist sends is well-formed
 	}
 	if !t.relay.IsValid() {
 		return t.NetTransport.WriteTo(b, addr)
