--- a/internal/cluster/gossip/page.go
+++ b/internal/cluster/gossip/page.go
@@ -58,7 +58,7 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	page := Page{Self: f.opts.Name, Label: f.opts.Label, Counters: f.counters, Health: health}
-	f.traffic.addTo(&page.Counters)
+	f.traffic.writeTo(&page.Counters)
 	for _, member := range f.view.Snapshot() {
 		page.Members = append(page.Members, pageRow(now, member))
 	}
--- a/internal/cluster/gossip/relay.go
+++ b/internal/cluster/gossip/relay.go
@@ -1,13 +1,13 @@
 package gossip
 
 import (
+	"bytes"
 	"context"
+	"encoding/binary"
 	"errors"
 	"net"
 	"net/netip"
 	"time"
-
-	"golang.org/x/net/proxy"
 )
 
 // The relay, for tests and the laboratory: with Options.Relay set, streams to other members are opened
@@ -15,29 +15,35 @@
 // the same address in that RFC's UDP form (section 7), so that a fault injector stands between every
 // ordered pair of members. Inbound traffic is as without one.
 
-// relayHeaderSize is that of RSV, FRAG, ATYP 1 (IPv4), the address and the port.
+// relayHeaderSize is that of RSV, FRAG, ATYP, the address and the port.
 const relayHeaderSize = 10
 
+// relayPrefix is RSV, FRAG (no fragment) and ATYP (IPv4).
+var relayPrefix = []byte{0, 0, 0, 1}
+
 // RelayDatagram returns a datagram to an IPv4 address as a relay reads it.
-func RelayDatagram(to netip.AddrPort, b []byte) []byte {
-	out := make([]byte, 0, relayHeaderSize+len(b))
-	out = append(out, 0, 0, 0, 1)
+func RelayDatagram(to netip.AddrPort, payload []byte) []byte {
+	datagram := make([]byte, 0, relayHeaderSize+len(payload))
+	datagram = append(datagram, relayPrefix...)
 	ip := to.Addr().Unmap().As4()
-	out = append(out, ip[:]...)
-	return append(append(out, byte(to.Port()>>8), byte(to.Port())), b...)
+	datagram = append(datagram, ip[:]...)
+	datagram = binary.BigEndian.AppendUint16(datagram, to.Port())
+	return append(datagram, payload...)
 }
 
-// ParseRelayDatagram reads what RelayDatagram wrote. The payload aliases b.
-func ParseRelayDatagram(b []byte) (netip.AddrPort, []byte, error) {
-	if len(b) < relayHeaderSize || b[0] != 0 || b[1] != 0 || b[2] != 0 || b[3] != 1 {
+// ParseRelayDatagram reads what RelayDatagram wrote. The payload aliases datagram.
+func ParseRelayDatagram(datagram []byte) (to netip.AddrPort, payload []byte, err error) {
+	if len(datagram) < relayHeaderSize || !bytes.HasPrefix(datagram, relayPrefix) {
 		return netip.AddrPort{}, nil, errors.New("no datagram to an IPv4 address by RFC 1928")
 	}
-	to := netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), uint16(b[8])<<8|uint16(b[9]))
-	return to, b[relayHeaderSize:], nil
+	ip := netip.AddrFrom4([4]byte(datagram[4:8]))
+	port := binary.BigEndian.Uint16(datagram[8:relayHeaderSize])
+	return netip.AddrPortFrom(ip, port), datagram[relayHeaderSize:], nil
 }
 
-func dialContext(d proxy.ContextDialer, addr string, timeout time.Duration) (net.Conn, error) {
+// dialThroughRelay opens a stream to a member through the relay.
+func (t *transport) dialThroughRelay(addr string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return d.DialContext(ctx, "tcp", addr)
+	return t.dialer.DialContext(ctx, "tcp", addr)
 }
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -26,111 +26,146 @@
 // transport is memberlist's own transport behind a filter: inbound traffic is checked for its label and
 // against the bounds, outbound datagrams are read for suspicions and refutations, and both are counted.
 // With a relay (tests and the laboratory alone), all outbound traffic goes through it.
+//
+// memberlist calls its methods from goroutines of its own, and Shutdown last.
 type transport struct {
 	*memberlist.NetTransport
 	fleet       *Fleet
-	timeout     time.Duration
-	relay       netip.AddrPort
-	dialer      proxy.ContextDialer
-	packets     chan *memberlist.Packet
-	streams     chan net.Conn
-	streamSlots chan struct{}
-	stop        chan struct{}
-	once        sync.Once
-	done        sync.WaitGroup
+	timeout     time.Duration           // of the check of an inbound stream
+	relay       netip.AddrPort          // the zero AddrPort for none
+	dialer      proxy.ContextDialer     // through the relay; nil for none
+	packets     chan *memberlist.Packet // that passed the checks
+	streams     chan net.Conn           // that passed the checks
+	streamSlots chan struct{}           // holds a value for each stream that is being checked
+	stop        chan struct{}           // closed by Shutdown
+	once        sync.Once               // of Shutdown
+	goroutines  sync.WaitGroup
 }
 
-func newTransport(f *Fleet, ip string, port int, timeout time.Duration, lg *log.Logger) (*transport, error) {
-	t := &transport{fleet: f, timeout: timeout, packets: make(chan *memberlist.Packet),
-		streams: make(chan net.Conn), streamSlots: make(chan struct{}, maxPendingStreams),
-		stop: make(chan struct{})}
+// newTransport listens at an address, for datagrams and streams, and starts the filters.
+func newTransport(f *Fleet, ip string, port int, timeout time.Duration, logger *log.Logger) (*transport,
+	error) {
+	t := &transport{
+		fleet:       f,
+		timeout:     timeout,
+		packets:     make(chan *memberlist.Packet),
+		streams:     make(chan net.Conn),
+		streamSlots: make(chan struct{}, maxPendingStreams),
+		stop:        make(chan struct{}),
+	}
 	if f.opts.Relay != "" {
-		var err error
-		if t.relay, err = netip.ParseAddrPort(f.opts.Relay); err != nil {
-			return nil, fmt.Errorf("fleet.relay: %w", err)
-		}
-		d, err := proxy.SOCKS5("tcp", f.opts.Relay, nil, &net.Dialer{Timeout: timeout})
-		if err != nil {
+		if err := t.useRelay(f.opts.Relay); err != nil {
 			return nil, fmt.Errorf("fleet.relay: %w", err)
 		}
-		t.dialer = d.(proxy.ContextDialer)
 	}
 	var err error
 	t.NetTransport, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{
-		BindAddrs: []string{ip}, BindPort: port, Logger: lg})
+		BindAddrs: []string{ip}, BindPort: port, Logger: logger})
 	if err != nil {
 		return nil, err
 	}
-	t.done.Add(2)
-	go t.filterPackets()
-	go t.filterStreams()
+	t.goroutines.Go(t.filterPackets)
+	t.goroutines.Go(t.filterStreams)
 	return t, nil
 }
 
+// useRelay has all outbound traffic go through a relay at an address.
+func (t *transport) useRelay(address string) error {
+	var err error
+	if t.relay, err = netip.ParseAddrPort(address); err != nil {
+		return err
+	}
+	dialer, err := proxy.SOCKS5("tcp", address, nil, &net.Dialer{Timeout: t.timeout})
+	if err != nil {
+		return err
+	}
+	t.dialer = dialer.(proxy.ContextDialer)
+	return nil
+}
+
+// PacketCh is part of memberlist.Transport: the datagrams that passed the checks.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
+// StreamCh is part of memberlist.Transport: the streams that passed the checks.
+func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+
+// Shutdown is part of memberlist.Transport. It ends the listeners and all goroutines; further calls do
+// nothing.
 func (t *transport) Shutdown() error {
 	var err error
 	t.once.Do(func() {
 		close(t.stop)
-		// It waits for its listeners, and they wait until what they have read is taken.
-		ended := make(chan struct{})
-		go func() {
-			defer close(ended)
-			err = t.NetTransport.Shutdown()
-		}()
-		for over := false; !over; {
-			select {
-			case <-t.NetTransport.PacketCh():
-			case c := <-t.NetTransport.StreamCh():
-				c.Close()
-			case <-ended:
-				over = true
-			}
-		}
-		t.done.Wait()
+		err = t.shutdownListeners()
+		t.goroutines.Wait()
 	})
 	return err
 }
 
+// shutdownListeners ends memberlist's transport. That waits for its listeners, and they wait until what they
+// have read is taken.
+func (t *transport) shutdownListeners() error {
+	ended := make(chan error, 1)
+	go func() { ended <- t.NetTransport.Shutdown() }()
+	for {
+		select {
+		case <-t.NetTransport.PacketCh():
+		case conn := <-t.NetTransport.StreamCh():
+			conn.Close()
+		case err := <-ended:
+			return err
+		}
+	}
+}
+
 // filterPackets hands on the datagrams that pass the checks.
 func (t *transport) filterPackets() {
-	defer t.done.Done()
 	for {
 		select {
 		case <-t.stop:
 			return
-		case p := <-t.NetTransport.PacketCh():
-			t.fleet.traffic.packetsIn.Add(1)
-			t.fleet.traffic.bytesIn.Add(int64(len(p.Buf)))
-			b, err := t.removeLabel(p.Buf)
-			if err == nil {
-				err = readPacket(b, nil)
-			}
-			if err != nil {
-				t.reject("datagram", p.From, err)
-				continue
-			}
-			p.Buf = b
-			select {
-			case t.packets <- p:
-			case <-t.stop:
-				return
-			}
+		case packet := <-t.NetTransport.PacketCh():
+			t.filterPacket(packet)
 		}
 	}
 }
 
+// filterPacket hands on a datagram, without its label, or rejects it.
+func (t *transport) filterPacket(packet *memberlist.Packet) {
+	t.fleet.traffic.packetsIn.Add(1)
+	t.fleet.traffic.bytesIn.Add(int64(len(packet.Buf)))
+	plain, err := t.removeLabel(packet.Buf)
+	if err == nil {
+		err = readPacket(plain, nil)
+	}
+	if err != nil {
+		t.reject("datagram", packet.From, err)
+		return
+	}
+	packet.Buf = plain
+	select {
+	case t.packets <- packet:
+	case <-t.stop:
+	}
+}
+
 // errOtherLabel is a datagram or stream of another fleet.
 var errOtherLabel = errors.New("another fleet's label")
 
-func (t *transport) removeLabel(b []byte) ([]byte, error) {
-	b, label, err := memberlist.RemoveLabelHeaderFromPacket(b)
-	if err == nil && label != t.fleet.opts.Label {
-		err = fmt.Errorf("%w %q", errOtherLabel, label)
+// removeLabel returns a datagram without its label, and an error if that is not this fleet's.
+func (t *transport) removeLabel(packet []byte) ([]byte, error) {
+	plain, label, err := memberlist.RemoveLabelHeaderFromPacket(packet)
+	if err == nil {
+		err = t.checkLabel(label)
+	}
+	return plain, err
+}
+
+// checkLabel returns errOtherLabel if a label is not this fleet's.
+func (t *transport) checkLabel(label string) error {
+	if label != t.fleet.opts.Label {
+		return fmt.Errorf("%w %q", errOtherLabel, label)
 	}
-	return b, err
+	return nil
 }
 
 // reject counts and logs a datagram or stream that does not pass the checks.
@@ -145,65 +180,70 @@
 
 // filterStreams has each stream checked in a goroutine of its own.
 func (t *transport) filterStreams() {
-	defer t.done.Done()
 	for {
 		select {
 		case <-t.stop:
 			return
-		case c := <-t.NetTransport.StreamCh():
+		case conn := <-t.NetTransport.StreamCh():
 			select {
 			case t.streamSlots <- struct{}{}:
-				t.done.Add(1)
-				go t.filterStream(c)
+				t.goroutines.Go(func() { t.filterStream(conn) })
 			default:
-				t.reject("stream", c.RemoteAddr(), errors.New("too many at once"))
-				c.Close()
+				t.reject("stream", conn.RemoteAddr(), errors.New("too many at once"))
+				conn.Close()
 			}
 		}
 	}
 }
 
 // filterStream checks a stream's label and first bytes and hands on all of it, or closes it.
-func (t *transport) filterStream(c net.Conn) {
-	defer t.done.Done()
+func (t *transport) filterStream(conn net.Conn) {
 	defer func() { <-t.streamSlots }()
 	t.fleet.traffic.streamsIn.Add(1)
-	c.SetDeadline(time.Now().Add(t.timeout))
-	counted := &countedConn{Conn: c, traffic: &t.fleet.traffic}
-	plain, label, err := memberlist.RemoveLabelHeaderFromStream(counted)
-	if err == nil && label != t.fleet.opts.Label {
-		err = fmt.Errorf("%w %q", errOtherLabel, label)
-	}
-	limit := 0
-	var in *bufio.Reader
-	if err == nil {
-		in = bufio.NewReaderSize(plain, maxStreamHead)
-		limit, err = t.checkHead(in)
-	}
+	conn.SetDeadline(time.Now().Add(t.timeout))
+	checked, err := t.checkInbound(conn)
 	if err != nil {
-		c.Close()
-		t.reject("stream", c.RemoteAddr(), err)
+		conn.Close()
+		t.reject("stream", conn.RemoteAddr(), err)
 		return
 	}
-	c.SetDeadline(time.Time{}) // memberlist sets its own
+	conn.SetDeadline(time.Time{}) // memberlist sets its own
 	select {
-	case t.streams <- &limitedConn{Conn: plain, in: io.LimitReader(in, int64(limit))}:
+	case t.streams <- checked:
 	case <-t.stop:
-		c.Close()
+		conn.Close()
 	}
 }
 
+// checkInbound returns a stream without its label, bounded and counted, or what is wrong with its beginning.
+func (t *transport) checkInbound(conn net.Conn) (*limitedConn, error) {
+	counted := &countedConn{Conn: conn, traffic: &t.fleet.traffic}
+	plain, label, err := memberlist.RemoveLabelHeaderFromStream(counted)
+	if err == nil {
+		err = t.checkLabel(label)
+	}
+	if err != nil {
+		return nil, err
+	}
+	in := bufio.NewReaderSize(plain, maxStreamHead)
+	limit, err := t.checkHead(in)
+	if err != nil {
+		return nil, err
+	}
+	return &limitedConn{Conn: plain, in: io.LimitReader(in, int64(limit))}, nil
+}
+
 // checkHead reads as much of a stream as it takes to check its head, in however many segments that arrives,
 // and returns how many bytes the stream may have. It consumes nothing.
 func (t *transport) checkHead(in *bufio.Reader) (int, error) {
-	for n := 1; ; n = in.Buffered() + 1 {
-		if _, err := in.Peek(n); err != nil {
+	for size := 1; ; size = in.Buffered() + 1 {
+		if _, err := in.Peek(size); err != nil {
 			return 0, err
 		}
 		head, _ := in.Peek(in.Buffered())
 		limit, err := checkStream(head, t.fleet.opts.Membership.MaxMembers)
-		if err == nil || !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) ||
-			len(head) >= maxStreamHead {
+		isTruncated := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+		if !isTruncated || len(head) >= maxStreamHead {
 			return limit, err
 		}
 	}
@@ -235,54 +275,57 @@
 	return n, err
 }
 
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
+// WriteTo is part of memberlist.Transport: it sends a datagram, which it reads and counts first.
+func (t *transport) WriteTo(packet []byte, addr string) (time.Time, error) {
 	t.fleet.traffic.packetsOut.Add(1)
-	t.fleet.traffic.bytesOut.Add(int64(len(b)))
-	if plain, err := t.removeLabel(b); err == nil {
+	t.fleet.traffic.bytesOut.Add(int64(len(packet)))
+	if plain, err := t.removeLabel(packet); err == nil {
 		_ = readPacket(plain, t.fleet.observeOutbound) // all that memberlist sends is well-formed
 	}
 	if !t.relay.IsValid() {
-		return t.NetTransport.WriteTo(b, addr)
+		return t.NetTransport.WriteTo(packet, addr)
 	}
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return time.Time{}, err
 	}
-	return t.NetTransport.WriteTo(RelayDatagram(to, b), t.relay.String())
+	return t.NetTransport.WriteTo(RelayDatagram(to, packet), t.relay.String())
 }
 
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return t.WriteTo(b, a.Addr)
+// WriteToAddress is part of memberlist.NodeAwareTransport.
+func (t *transport) WriteToAddress(packet []byte, to memberlist.Address) (time.Time, error) {
+	return t.WriteTo(packet, to.Addr)
 }
 
+// DialTimeout is part of memberlist.Transport: it opens a stream, whose bytes are counted.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	t.fleet.traffic.streamsOut.Add(1)
-	var c net.Conn
-	var err error
+	dial := t.NetTransport.DialTimeout
 	if t.dialer != nil {
-		c, err = dialContext(t.dialer, addr, timeout)
-	} else {
-		c, err = t.NetTransport.DialTimeout(addr, timeout)
+		dial = t.dialThroughRelay
 	}
+	conn, err := dial(addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, traffic: &t.fleet.traffic}, nil
+	return &countedConn{Conn: conn, traffic: &t.fleet.traffic}, nil
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return t.DialTimeout(a.Addr, timeout)
+// DialAddressTimeout is part of memberlist.NodeAwareTransport.
+func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(to.Addr, timeout)
 }
 
-// traffic counts what passes the gossip port, labels included.
+// traffic counts what passes the gossip port, labels included. Its methods may be called from any goroutine.
 type traffic struct {
 	packetsIn, packetsOut, bytesIn, bytesOut, streamsIn, streamsOut atomic.Int64
 	rejected, otherLabel                                            atomic.Int64
 }
 
-func (t *traffic) addTo(c *Counters) {
-	c.PacketsIn, c.PacketsOut = t.packetsIn.Load(), t.packetsOut.Load()
-	c.StreamsIn, c.StreamsOut = t.streamsIn.Load(), t.streamsOut.Load()
-	c.BytesIn, c.BytesOut = t.bytesIn.Load(), t.bytesOut.Load()
-	c.WireRefused, c.OtherLabel = t.rejected.Load(), t.otherLabel.Load()
+// writeTo sets the counters of traffic.
+func (t *traffic) writeTo(counters *Counters) {
+	counters.PacketsIn, counters.PacketsOut = t.packetsIn.Load(), t.packetsOut.Load()
+	counters.StreamsIn, counters.StreamsOut = t.streamsIn.Load(), t.streamsOut.Load()
+	counters.BytesIn, counters.BytesOut = t.bytesIn.Load(), t.bytesOut.Load()
+	counters.WireRefused, counters.OtherLabel = t.rejected.Load(), t.otherLabel.Load()
 }
--- a/internal/cluster/gossip/wire.go
+++ b/internal/cluster/gossip/wire.go
@@ -38,6 +38,13 @@
 	baseStreamBytes = 4096 // of a stream without members
 )
 
+// Sizes of the protocol.
+const (
+	crcHeaderSize      = 5 // bytes of a checksum before a datagram, with its kind
+	compoundLengthSize = 2 // bytes of the length of one message in a compound
+	versionCount       = 6 // protocol versions in a live member's update
+)
+
 // gossipMessage has the fields of all kinds of messages that this package reads or checks, under the
 // protocol's names: the codec takes them from the struct. Every body is decoded into it, whatever its kind,
 // which finds those that don't decode.
@@ -84,7 +91,7 @@
 		return errors.New("metadata that is too long")
 	case kind >= suspectMsg && kind <= deadMsg && msg.Node == "":
 		return errors.New("an update of a member without a name")
-	case kind == aliveMsg && (!isIP(msg.Addr) || len(msg.Vsn) < 6):
+	case kind == aliveMsg && (!isIP(msg.Addr) || len(msg.Vsn) < versionCount):
 		return errors.New("a live member without an address or versions")
 	case kind == indirectPingMsg && !isIP(msg.Target):
 		return errors.New("an indirect probe of no address")
@@ -92,32 +99,37 @@
 	return nil
 }
 
-func isIP(b []byte) bool { return len(b) == net.IPv4len || len(b) == net.IPv6len }
+func isIP(address []byte) bool { return len(address) == net.IPv4len || len(address) == net.IPv6len }
 
 // readPacket reads a datagram without its label and calls visit for every message in it. At the first message
 // that is malformed it returns an error; visit may have been called for those before.
-func readPacket(b []byte, visit func(kind byte, msg gossipMessage)) error {
-	if len(b) >= 5 && b[0] == crcMsg {
-		b = b[5:] // memberlist checks the sum
+func readPacket(packet []byte, visit func(kind byte, msg gossipMessage)) error {
+	if len(packet) >= crcHeaderSize && packet[0] == crcMsg {
+		packet = packet[crcHeaderSize:] // memberlist checks the sum
 	}
-	if len(b) == 0 {
+	if len(packet) == 0 {
 		return errors.New("an empty datagram")
 	}
-	if b[0] != compoundMsg {
-		return readMessage(b, visit)
+	if packet[0] == compoundMsg {
+		return readCompound(packet[1:], visit)
 	}
-	// A compound: count, as many lengths of 16 bits, the messages.
-	if len(b) < 2 {
+	return readMessage(packet, visit)
+}
+
+// readCompound reads the messages of a compound, after its kind: a byte for their count, as many lengths of
+// 16 bits, the messages.
+func readCompound(compound []byte, visit func(kind byte, msg gossipMessage)) error {
+	if len(compound) == 0 {
 		return errors.New("a compound without a count")
 	}
-	count := int(b[1])
-	lengths := b[2:]
-	if len(lengths) < 2*count {
+	count := int(compound[0])
+	lengths := compound[1:]
+	if len(lengths) < count*compoundLengthSize {
 		return errors.New("a compound cut off in its lengths")
 	}
-	remaining := lengths[2*count:]
+	remaining := lengths[count*compoundLengthSize:]
 	for i := range count {
-		size := int(binary.BigEndian.Uint16(lengths[2*i:]))
+		size := int(binary.BigEndian.Uint16(lengths[i*compoundLengthSize:]))
 		if size > len(remaining) {
 			return errors.New("a compound cut off in its messages")
 		}
@@ -129,23 +141,26 @@
 	return nil
 }
 
-func readMessage(b []byte, visit func(kind byte, msg gossipMessage)) error {
-	if len(b) == 0 {
+// readMessage reads one message, its kind and body, and calls visit for it unless visit is nil.
+func readMessage(raw []byte, visit func(kind byte, msg gossipMessage)) error {
+	if len(raw) == 0 {
 		return errors.New("an empty message")
 	}
-	switch b[0] {
+	kind, body := raw[0], raw[1:]
+	switch kind {
 	case pingMsg, indirectPingMsg, ackMsg, suspectMsg, aliveMsg, deadMsg, userMsg, nackMsg:
 	default:
-		return fmt.Errorf("kind %d is none that a datagram of this fleet holds", b[0])
+		return fmt.Errorf("kind %d is none that a datagram of this fleet holds", kind)
 	}
-	msg, err := decodeBody(b[0], b[1:])
+	msg, err := decodeBody(kind, body)
 	if err == nil && visit != nil {
-		visit(b[0], msg)
+		visit(kind, msg)
 	}
 	return err
 }
 
 // checkStream checks the first bytes of a stream, after its label, and returns how many bytes it may have.
+// The error is io.EOF or io.ErrUnexpectedEOF, wrapped, if head ends before what is checked does.
 func checkStream(head []byte, maxMembers int) (int, error) {
 	if len(head) == 0 {
 		return 0, errors.New("an empty stream")
@@ -154,17 +169,23 @@
 	case pingMsg:
 		return baseStreamBytes, nil
 	case pushPullMsg:
-		var header pushPullHeader
-		if err := codec.NewDecoderBytes(head[1:], &codec.MsgpackHandle{}).Decode(&header); err != nil {
-			return 0, fmt.Errorf("the head of a state exchange: %w", err)
-		}
-		if header.Nodes < 0 || header.Nodes > maxMembers {
-			return 0, fmt.Errorf("a state of %d members, max_members is %d", header.Nodes, maxMembers)
-		}
-		if header.UserStateLen != 0 {
-			return 0, fmt.Errorf("a user state of %d bytes, there is none in this fleet", header.UserStateLen)
-		}
-		return baseStreamBytes + header.Nodes*maxStateBytes, nil
+		return checkPushPull(head[1:], maxMembers)
 	}
 	return 0, fmt.Errorf("kind %d is none that a stream of this fleet opens with", head[0])
 }
+
+// checkPushPull checks the head of a full state exchange, after its kind, and returns how many bytes the
+// stream may have.
+func checkPushPull(head []byte, maxMembers int) (int, error) {
+	var header pushPullHeader
+	if err := codec.NewDecoderBytes(head, &codec.MsgpackHandle{}).Decode(&header); err != nil {
+		return 0, fmt.Errorf("the head of a state exchange: %w", err)
+	}
+	if header.Nodes < 0 || header.Nodes > maxMembers {
+		return 0, fmt.Errorf("a state of %d members, max_members is %d", header.Nodes, maxMembers)
+	}
+	if header.UserStateLen != 0 {
+		return 0, fmt.Errorf("a user state of %d bytes, there is none in this fleet", header.UserStateLen)
+	}
+	return baseStreamBytes + header.Nodes*maxStateBytes, nil
+}
--- a/internal/cluster/gossip/wire_test.go
+++ b/internal/cluster/gossip/wire_test.go
@@ -48,7 +48,7 @@
 		"Meta": []byte("{}"), "Vsn": versions})
 }
 
-func TestReadPacket(t *testing.T) {
+func TestDatagramsAreReadOrRejectedByCause(t *testing.T) {
 	ip := []byte{127, 0, 0, 1}
 	full := compound(message(t, pingMsg, body{"SeqNo": 1, "Node": "b"}), suspectOf(t), aliveOf(t, ip))
 	for name, c := range map[string]struct {
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestCheckStream(t *testing.T) {
+func TestStreamHeadsAreBoundedOrRejectedByCause(t *testing.T) {
 	head := func(nodes, user int) []byte {
 		return message(t, pushPullMsg, body{"Nodes": nodes, "UserStateLen": user, "Join": true})
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestRelayDatagram(t *testing.T) {
+func TestRelayDatagramKeepsAddressAndPayload(t *testing.T) {
 	to := netip.MustParseAddrPort("127.0.0.1:7946")
 	got, payload, err := ParseRelayDatagram(RelayDatagram(to, []byte("hello")))
 	if err != nil || got != to || string(payload) != "hello" {
