--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -20,6 +20,7 @@
 
 var statusNames = [...]string{"alive", "suspect", "dead", "left"}
 
+// String returns the name of the status as pages and logs have it.
 func (s Status) String() string { return statusNames[s] }
 
 // Phase is what a member says of itself in its metadata.
@@ -34,14 +35,15 @@
 
 var phaseNames = [...]string{"serving", "draining", "leaving"}
 
+// String returns the name of the phase, under which members gossip it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// ParsePhase returns the phase of a name.
-func ParsePhase(s string) (Phase, error) {
-	if i := slices.Index(phaseNames[:], s); i >= 0 {
+// ParsePhase returns the phase of a name, as String has it.
+func ParsePhase(name string) (Phase, error) {
+	if i := slices.Index(phaseNames[:], name); i >= 0 {
 		return Phase(i), nil
 	}
-	return 0, fmt.Errorf("%q is no phase; there are serving, draining and leaving", s)
+	return 0, fmt.Errorf("%q is no phase; there are serving, draining and leaving", name)
 }
 
 // Meta is a member's metadata.
@@ -66,12 +68,21 @@
 	Meta    Meta
 }
 
-// Settings bound the view. All durations are monotonic.
+// Settings bound the view. All durations are monotonic. The defaults are those of the client proxy's
+// settings.
 type Settings struct {
-	GoneAfter   time.Duration // dead or left without interruption for it: gone; > 0
-	FlapWindow  time.Duration // deaths, leaves and returns within it count as flaps; > 0
-	ForgetAfter time.Duration // left or gone for it: dropped from the table; >= GoneAfter
-	MaxMembers  int           // names in the table, this member included; > 0
+	// GoneAfter is how long a member is dead or left, without interruption, until it counts as gone and others
+	// may replace it; 30 s by default. Each flap within FlapWindow, beyond the first, adds it once more. Above
+	// zero.
+	GoneAfter time.Duration
+	// FlapWindow is how long a death, a leave or a return counts as a flap; 1 m by default. Above zero.
+	FlapWindow time.Duration
+	// ForgetAfter is how long a member is dead or left until it is dropped from the table, once it left or is
+	// gone; 10 m by default. At least GoneAfter.
+	ForgetAfter time.Duration
+	// MaxMembers bounds the names in the table, this member's included; 4096 by default. Further names are
+	// rejected. Above zero.
+	MaxMembers int
 }
 
 // Check returns an error that names the setting where one is wrong.
@@ -123,6 +134,7 @@
 var kindNames = [...]string{"joined", "changed", "restarted", "gone", "returned", "forgotten", "conflict",
 	"refused"}
 
+// String returns the name of the kind as logs have it.
 func (k ChangeKind) String() string { return kindNames[k] }
 
 // Change is one change of the view, or a rejected claim to a name.
@@ -133,12 +145,14 @@
 	Previous Status // before it, with Changed
 }
 
+// entry is a member of the table. Member.Flaps is the length of flaps as of the last change or tick.
 type entry struct {
 	Member
 	flaps []time.Duration // times of flaps within the window, the oldest first
 }
 
-// View is the fleet as this member sees it. Calls must not run at once.
+// View is the fleet as this member sees it. It is not safe for concurrent use. The times that it is given
+// must not fall.
 type View struct {
 	settings Settings
 	self     string
@@ -155,25 +169,25 @@
 
 // Observe applies an observation that the gossip layer made at a time, and returns the changes.
 func (v *View) Observe(now time.Duration, obs Observation) []Change {
-	e, known := v.entries[obs.Name]
-	if !known {
+	known, ok := v.entries[obs.Name]
+	if !ok {
 		return v.observeNew(now, obs)
 	}
-	newer := obs.Meta.Incarnation > e.Meta.Incarnation
-	restarted := newer || v.clockWentBack(now, e, obs)
-	if e.Status == Left && !restarted {
+	newer := obs.Meta.Incarnation > known.Meta.Incarnation
+	restarted := newer || v.clockWentBack(now, known, obs)
+	if known.Status == Left && !restarted {
 		return nil // a leave is final for its incarnation: late gossip of it alive changes nothing
 	}
-	if isUp(e.Status) && isUp(obs.Status) && obs.Address != e.Address && !newer {
+	if isUp(known.Status) && isUp(obs.Status) && obs.Address != known.Address && !newer {
 		// Two processes claim the name and neither is newer: the known one stays.
 		claimant := Member{Name: obs.Name, Address: obs.Address, Meta: obs.Meta}
 		return []Change{{Kind: Conflict, At: now, Member: claimant}}
 	}
-	changes := updateMeta(now, e, obs, restarted)
-	changes = append(changes, v.updateStatus(now, e, obs)...)
-	if e.Gone && isUp(e.Status) {
-		e.Gone = false
-		changes = append(changes, Change{Kind: Returned, At: now, Member: e.Member})
+	changes := updateMeta(now, known, obs, restarted)
+	changes = append(changes, v.updateStatus(now, known, obs)...)
+	if known.Gone && isUp(known.Status) {
+		known.Gone = false
+		changes = append(changes, Change{Kind: Returned, At: now, Member: known.Member})
 	}
 	return changes
 }
@@ -187,48 +201,53 @@
 	if len(v.entries) >= v.settings.MaxMembers {
 		return []Change{{Kind: Rejected, At: now, Member: Member{Name: obs.Name, Address: obs.Address}}}
 	}
-	e := &entry{Member: Member{Name: obs.Name, Address: obs.Address, Meta: obs.Meta,
-		Status: obs.Status, StatusSince: now}}
-	v.entries[obs.Name] = e
-	return []Change{{Kind: Joined, At: now, Member: e.Member}}
+	joined := &entry{Member: Member{
+		Name:        obs.Name,
+		Address:     obs.Address,
+		Meta:        obs.Meta,
+		Status:      obs.Status,
+		StatusSince: now,
+	}}
+	v.entries[obs.Name] = joined
+	return []Change{{Kind: Joined, At: now, Member: joined.Member}}
 }
 
 // clockWentBack reports whether a member that was down for GoneAfter is alive under another incarnation,
 // though its clock may say that it started before: gossip of an ended incarnation does not last that long.
-func (v *View) clockWentBack(now time.Duration, e *entry, obs Observation) bool {
-	return !isUp(e.Status) && obs.Status == Alive && now-e.StatusSince >= v.settings.GoneAfter &&
-		obs.Meta.Incarnation != e.Meta.Incarnation
+func (v *View) clockWentBack(now time.Duration, known *entry, obs Observation) bool {
+	downForLong := !isUp(known.Status) && now-known.StatusSince >= v.settings.GoneAfter
+	return downForLong && obs.Status == Alive && obs.Meta.Incarnation != known.Meta.Incarnation
 }
 
 // updateMeta takes over the metadata of a restarted member, or new metadata of the known incarnation.
-func updateMeta(now time.Duration, e *entry, obs Observation, restarted bool) []Change {
+func updateMeta(now time.Duration, known *entry, obs Observation, restarted bool) []Change {
 	switch {
 	case restarted:
-		e.Meta, e.Address = obs.Meta, obs.Address
-		return []Change{{Kind: Restarted, At: now, Member: e.Member}}
-	case obs.Meta.Incarnation == e.Meta.Incarnation && isUp(obs.Status) && obs.Meta != e.Meta:
-		e.Meta = obs.Meta
-		return []Change{{Kind: Changed, At: now, Member: e.Member, Previous: e.Status}}
+		known.Meta, known.Address = obs.Meta, obs.Address
+		return []Change{{Kind: Restarted, At: now, Member: known.Member}}
+	case obs.Meta.Incarnation == known.Meta.Incarnation && isUp(obs.Status) && obs.Meta != known.Meta:
+		known.Meta = obs.Meta
+		return []Change{{Kind: Changed, At: now, Member: known.Member, Previous: known.Status}}
 	}
 	return nil
 }
 
 // updateStatus takes over a status, unless it is a late one of an earlier incarnation.
-func (v *View) updateStatus(now time.Duration, e *entry, obs Observation) []Change {
-	late := obs.Meta.Incarnation < e.Meta.Incarnation && obs.Status != Alive
-	if obs.Status == e.Status || late {
+func (v *View) updateStatus(now time.Duration, known *entry, obs Observation) []Change {
+	late := obs.Meta.Incarnation < known.Meta.Incarnation && obs.Status != Alive
+	if obs.Status == known.Status || late {
 		return nil
 	}
-	previous := e.Status
-	e.Status, e.StatusSince = obs.Status, now
+	previous := known.Status
+	known.Status, known.StatusSince = obs.Status, now
 	if obs.Status == Suspect {
-		e.Suspected++
+		known.Suspected++
 	}
 	if isUp(previous) != isUp(obs.Status) {
-		e.flaps = append(v.withinFlapWindow(now, e.flaps), now)
-		e.Flaps = len(e.flaps)
+		known.flaps = append(v.withinFlapWindow(now, known.flaps), now)
+		known.Flaps = len(known.flaps)
 	}
-	return []Change{{Kind: Changed, At: now, Member: e.Member, Previous: previous}}
+	return []Change{{Kind: Changed, At: now, Member: known.Member, Previous: previous}}
 }
 
 // isUp reports whether the process is there by a status: alive or suspect.
@@ -245,26 +264,33 @@
 
 // goneAfter is how long a member must be down before it counts as gone: GoneAfter, and once more for each
 // flap beyond the first within the window, so that one that comes and goes is not replaced over and over.
-func (v *View) goneAfter(e *entry) time.Duration {
-	return v.settings.GoneAfter * time.Duration(max(1, len(e.flaps)))
+func (v *View) goneAfter(member *entry) time.Duration {
+	return v.settings.GoneAfter * time.Duration(max(1, len(member.flaps)))
 }
 
 // Tick lets time pass: members that were down for long enough become gone, those left or gone for long enough
-// are forgotten.
+// are forgotten, but for this member itself. It returns the changes, by name.
 func (v *View) Tick(now time.Duration) []Change {
 	var changes []Change
 	for _, name := range v.sortedNames() {
-		e := v.entries[name]
-		e.flaps = v.withinFlapWindow(now, e.flaps)
-		e.Flaps = len(e.flaps)
-		if !isUp(e.Status) && !e.Gone && now-e.StatusSince >= v.goneAfter(e) {
-			e.Gone = true
-			changes = append(changes, Change{Kind: BecameGone, At: now, Member: e.Member})
-		}
-		if (e.Status == Left || e.Gone) && now-e.StatusSince >= v.settings.ForgetAfter && name != v.self {
-			delete(v.entries, name)
-			changes = append(changes, Change{Kind: Forgotten, At: now, Member: e.Member})
-		}
+		changes = append(changes, v.tickMember(now, v.entries[name])...)
+	}
+	return changes
+}
+
+func (v *View) tickMember(now time.Duration, member *entry) []Change {
+	var changes []Change
+	member.flaps = v.withinFlapWindow(now, member.flaps)
+	member.Flaps = len(member.flaps)
+	unchangedFor := now - member.StatusSince
+	if !isUp(member.Status) && !member.Gone && unchangedFor >= v.goneAfter(member) {
+		member.Gone = true
+		changes = append(changes, Change{Kind: BecameGone, At: now, Member: member.Member})
+	}
+	mayForget := (member.Status == Left || member.Gone) && member.Name != v.self
+	if mayForget && unchangedFor >= v.settings.ForgetAfter {
+		delete(v.entries, member.Name)
+		changes = append(changes, Change{Kind: Forgotten, At: now, Member: member.Member})
 	}
 	return changes
 }
@@ -280,30 +306,30 @@
 
 // Snapshot returns all members, by name.
 func (v *View) Snapshot() []Member {
-	out := make([]Member, 0, len(v.entries))
+	members := make([]Member, 0, len(v.entries))
 	for _, name := range v.sortedNames() {
-		out = append(out, v.entries[name].Member)
+		members = append(members, v.entries[name].Member)
 	}
-	return out
+	return members
 }
 
 // Get returns the member of a name; false if it is not in the table.
 func (v *View) Get(name string) (Member, bool) {
-	e, ok := v.entries[name]
+	known, ok := v.entries[name]
 	if !ok {
 		return Member{}, false
 	}
-	return e.Member, true
+	return known.Member, true
 }
 
 // RecentlyDead returns the dead members that are not forgotten: those to attempt to join again, so that the
 // sides of a healed partition find each other (as serf's reconnect does).
 func (v *View) RecentlyDead() []Member {
-	var out []Member
+	var dead []Member
 	for _, name := range v.sortedNames() {
-		if e := v.entries[name]; e.Status == Dead {
-			out = append(out, e.Member)
+		if member := v.entries[name].Member; member.Status == Dead {
+			dead = append(dead, member)
 		}
 	}
-	return out
+	return dead
 }
