--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -84,10 +84,10 @@
 // updateFeed sets where the list comes from now: for the lease holder from discovery under its token, for
 // others from the store while the list there is fresh, else from discovery without a token.
 func (s *EndpointSync) updateFeed() {
-	held, owns := s.runner.activeLease()
+	owned, owns := s.runner.activeLease()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	feed := Feed{Token: held.token}
+	feed := Feed{Token: owned.token}
 	if !owns {
 		feed = Feed{FromOwner: s.follower.Fresh(s.runner.now())}
 	}
@@ -114,9 +114,9 @@
 		case <-tick.C:
 		}
 		s.updateFeed()
-		held, owns := s.runner.activeLease()
+		owned, owns := s.runner.activeLease()
 		if owns && time.Since(s.Source.LastSeen()) <= s.WatchTimeout {
-			s.recordRun(s.publish(held.token))
+			s.recordRun(s.publish(owned.token))
 		}
 	}
 }
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -64,12 +64,12 @@
 			return
 		case <-time.After(delay):
 		}
-		held, owns := e.runner.activeLease()
+		owned, owns := e.runner.activeLease()
 		if !owns {
 			delay = interval
 			continue
 		}
-		more, err := e.exportNext(held.token)
+		more, err := e.exportNext(owned.token)
 		e.recordRun(err)
 		switch {
 		case err != nil && !lostLease(err):
--- a/internal/cluster/leaseholder/maintain.go
+++ b/internal/cluster/leaseholder/maintain.go
@@ -86,7 +86,7 @@
 // reportTransition counts and logs whether the lease was acquired or lost since the last call, and wakes the
 // publisher once it was acquired.
 func (r *Runner) reportTransition() {
-	t := r.noteTransition()
+	t := r.recordTransition()
 	switch {
 	case t.token == t.previous:
 	case t.token == 0:
@@ -101,15 +101,15 @@
 	}
 }
 
-// transition is what became of this member's lease between two calls of noteTransition.
+// transition is what became of this member's lease between two calls of recordTransition.
 type transition struct {
 	token    uint64 // of the lease that this member holds now, 0 for none
 	previous uint64 // of the one that it held at the last call, 0 for none
 	grant    lease.Grant
 }
 
-// noteTransition sets activeToken to the present, and counts the change if there is one.
-func (r *Runner) noteTransition() transition {
+// recordTransition sets activeToken to the present, and counts the change if there is one.
+func (r *Runner) recordTransition() transition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := transition{previous: r.activeToken, grant: r.candidate.Grant()}
@@ -149,30 +149,30 @@
 	}
 }
 
-// heldLease is the lease as this member holds it at a moment. The zero heldLease is none.
-type heldLease struct {
+// ownedLease is the lease as this member holds it at a moment. The zero ownedLease is none.
+type ownedLease struct {
 	token     uint64        // fencing token, above 0
 	remaining time.Duration // until the lease ends unless it is renewed
 }
 
 // activeLease returns the lease that this member holds now; false if it holds none.
-func (r *Runner) activeLease() (heldLease, bool) {
+func (r *Runner) activeLease() (ownedLease, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	if !r.candidate.Owns(now) {
-		return heldLease{}, false
+		return ownedLease{}, false
 	}
-	return heldLease{token: r.candidate.Token(), remaining: r.candidate.Remaining(now)}, true
+	return ownedLease{token: r.candidate.Token(), remaining: r.candidate.Remaining(now)}, true
 }
 
 // checkLease returns how long the lease with that token lasts, ErrNotOwner if this member doesn't hold it.
 func (r *Runner) checkLease(token uint64) (remaining time.Duration, err error) {
-	held, ok := r.activeLease()
-	if !ok || held.token != token {
+	owned, ok := r.activeLease()
+	if !ok || owned.token != token {
 		return 0, ErrNotOwner
 	}
-	return held.remaining, nil
+	return owned.remaining, nil
 }
 
 // stepDown ends this member's ownership after something under a token was rejected as stale.
--- a/internal/cluster/pending/flusher.go
+++ b/internal/cluster/pending/flusher.go
@@ -21,11 +21,11 @@
 	}
 }
 
-// flush cuts a batch from the current usage, adds it to the outbox, deletes committed batches there, and
+// flush makes a batch of the current usage, adds it to the outbox, deletes committed batches there, and
 // queues the batch. A batch that the disk doesn't take is queued all the same: once committed it is as safe
 // as any. Only the flusher calls it, and Close after the flusher has ended.
 func (r *Recorder) flush() {
-	batch, committed := r.cutBatch()
+	batch, committed := r.takeBatch()
 	if batch.raw == nil && len(committed) == 0 {
 		return
 	}
@@ -43,9 +43,9 @@
 	}
 }
 
-// cutBatch makes a batch of the current usage, the zero one if there is none or too many batches are queued.
+// takeBatch makes a batch of the current usage, the zero one if there is none or too many batches are queued.
 // It also returns the keys of the batches that were committed and are still in the outbox.
-func (r *Recorder) cutBatch() (batch queuedBatch, committed []uint64) {
+func (r *Recorder) takeBatch() (batch queuedBatch, committed []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	full := r.queuedBytes >= r.opts.MaxQueuedBytes || len(r.queue) >= maxQueuedBatches
--- a/internal/cluster/placement/next.go
+++ b/internal/cluster/placement/next.go
@@ -121,16 +121,16 @@
 
 // candidates are the live members that may get a new replica of the group.
 func candidates(group Group, current replicas, view []Member) []Member {
-	var found []Member
+	var available []Member
 	for _, member := range view {
 		taken := slices.ContainsFunc(group.Replicas, func(r Replica) bool {
 			return r.ID == member.ReplicaID || r.Name == member.Name && current.lostReasons[r.ID] == ""
 		})
 		if member.Live && !member.Gone && member.ReplicaID != 0 && !taken {
-			found = append(found, member)
+			available = append(available, member)
 		}
 	}
-	return found
+	return available
 }
 
 // removeSurplus removes the lowest ranked voter, but never the leader, who could not see the change through.
