--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -5,7 +5,16 @@
 	"time"
 )
 
-// New returns a Balancer that knows no server yet.
+const (
+	// initialConcurrency is how many requests a server is taken to work on at once before any were observed.
+	initialConcurrency = 2
+	// initialServiceTimeDivisor of a class's latency target is its service time before any were observed: a
+	// target leaves time for some queueing.
+	initialServiceTimeDivisor = 5
+)
+
+// New returns a Balancer that knows no server yet, or an error that says which setting is invalid. now is the
+// reading of the clock that all later calls use; it must not run backwards.
 func New(settings Settings, now time.Duration) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -15,35 +24,42 @@
 		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, goldenRatio)),
 		byID: map[ServerID]*server{}, requests: map[string]*request{}, bySeq: map[uint64]*request{},
 		serviceTimes: make([]estimate, classes), serviceTimesByKind: make([][]estimate, classes),
-		hintedWork: make([]estimate, classes), concurrency: 2,
+		hintedWork: make([]estimate, classes), concurrency: initialConcurrency,
 		retryBudget: retryBudgetBurst, busyFraction: fullProbingBusyFraction,
 	}
 	for i, c := range settings.Classes {
-		// A latency target leaves time for some queueing; two samples replace this guess.
-		b.serviceTimes[i].mean = c.LatencyTarget.Seconds() / 5
+		b.serviceTimes[i].mean = c.LatencyTarget.Seconds() / initialServiceTimeDivisor
 	}
 	return b, nil
 }
 
-// Timer reports that the wait of a SetTimer action is over.
+// Timer reports that the wait of a SetTimer action is over; token is the one of the action.
 func (b *Balancer) Timer(now time.Duration, token uint64, actions []Action) []Action {
-	switch token & 3 {
-	case timerFollow:
+	kind, seq := token&timerKindMask, token>>timerKindBits
+	if kind == timerFollow {
 		return append(actions, Action{Kind: FollowList})
+	}
+	r := b.bySeq[seq]
+	if r == nil {
+		return actions
+	}
+	switch kind {
 	case timerHedge:
-		if r := b.bySeq[token>>2]; r != nil {
-			return b.hedge(now, r, actions)
-		}
+		return b.hedge(now, r, actions)
 	case timerDeferred:
-		r := b.bySeq[token>>2]
-		if r == nil || r.finished || r.outstanding > 0 {
-			return actions
-		}
-		if r.pendingProbes > 0 {
-			r.pendingProbes = 0 // the probes took too long; go by what is known
-			return b.startAttempt(now, r, actions)
-		}
-		return b.nextAttempt(now, r, actions)
+		return b.continueDeferred(now, r, actions)
 	}
 	return actions
 }
+
+// continueDeferred ends a request's wait for probes or for servers.
+func (b *Balancer) continueDeferred(now time.Duration, r *request, actions []Action) []Action {
+	if r.finished || r.outstanding > 0 {
+		return actions
+	}
+	if r.pendingProbes > 0 {
+		r.pendingProbes = 0 // the probes took too long; go by what is known
+		return b.startAttempt(now, r, actions)
+	}
+	return b.nextAttempt(now, r, actions)
+}
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -3,18 +3,20 @@
 import "time"
 
 // eligible lists the servers that may take a next attempt of r. The list is valid until the next call.
+//
+// The strict pass leaves out servers that are unresponsive or were attempted before and, for what must not
+// run twice, half open ones. Where that leaves none, the lax pass takes them, and inside a dedup scope also
+// ejected ones.
 func (b *Balancer) eligible(now time.Duration, r *request) []*server {
 	panicking, reachable := b.panicking(now)
-	first := b.dedupServer(r)
+	dedupServer := b.dedupServer(r)
 	servers := b.eligibleBuf[:0]
-	// The strict pass leaves out servers attempted before and, for what must not run twice, half open ones; the
-	// lax pass takes them rather than none, and inside a dedup scope also ejected ones.
 	for _, strict := range []bool{true, false} {
 		for _, s := range b.servers {
-			if first != nil && !b.sameDedupScope(r, first, s) {
+			if dedupServer != nil && !b.sameDedupScope(r, dedupServer, s) {
 				continue
 			}
-			if s.isEjected(now, panicking, reachable) && (first == nil || strict) {
+			if s.isEjected(now, panicking, reachable) && (dedupServer == nil || strict) {
 				continue
 			}
 			if strict && (b.unresponsive(now, r, s) || r.hasAttempted(s) ||
@@ -31,8 +33,8 @@
 	return servers
 }
 
-// dedupServer is the first server where a deduplicated request may have run, nil if there is none; repeats
-// must stay in its scope.
+// dedupServer is the first server where a deduplicated request may have run; further attempts must stay in
+// its scope. It is nil if there is none.
 func (b *Balancer) dedupServer(r *request) *server {
 	if b.settings.Classes[r.Class].Effect != Deduplicated {
 		return nil
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -2,16 +2,23 @@
 
 import "time"
 
-// ratingSamples is the weight of a server's rating among measured latencies, in samples.
-const ratingSamples = 4
+const (
+	// ratingSamples is the weight of a server's rating among measured latencies, in samples.
+	ratingSamples = 4
+	// concurrencyGain is the weight of one latency in the moving average of 1/concurrency.
+	concurrencyGain = 0.05
+	// minSlowStartFactor bounds a divisor: a server can be listed as starting with no capacity.
+	minSlowStartFactor = 0.01
+)
 
-// unusualLatency is the latency, in seconds, that a response of s seldom exceeds.
+// unusualLatency is the latency, in seconds, that a response of s seldom exceeds with its present load.
 func (b *Balancer) unusualLatency(r *request, s *server) float64 {
-	queue := max((s.inFlight+float64(s.sentSinceReport))/b.concurrency, 1)
-	return unresponsiveAfter * queue * b.serviceTime(r.Class, s.Kind).mean
+	serviceTimesToWait := max((s.inFlight+float64(s.sentSinceReport))/b.concurrency, 1)
+	return unresponsiveAfter * serviceTimesToWait * b.serviceTime(r.Class, s.Kind).mean
 }
 
-// recordLatency records the latency of an attempt of r, if its result makes the latency meaningful.
+// recordLatency records the latency of an attempt of r, if its result makes the latency meaningful. A timeout
+// bounds the latency from below, which is enough for the queue delay but not for the service time.
 func (b *Balancer) recordLatency(now time.Duration, r *request, a *attempt, latency time.Duration,
 	result Result) {
 	if result != Done && result != TimedOut {
@@ -25,7 +32,7 @@
 	}
 	if result == Done {
 		if r.Work > 0 {
-			// Service times are learned as of a request of usual work.
+			// Service times are those of a request with the usual expected work.
 			latency = time.Duration(float64(latency) * b.hintedWork[r.Class].mean / r.Work.Seconds())
 		}
 		b.recordServiceTime(r.Class, a, latency)
@@ -45,15 +52,15 @@
 	// A server with more in flight than it works on at once answers them all in inFlight/concurrency service
 	// times; below that the latency says nothing of how many it works on.
 	if a.requestsAhead+1 > b.concurrency {
-		// The fraction of them that a request waits for is averaged, not its inverse: a few very short responses
-		// would make servers look wider than they are, and the wider the more they are loaded.
-		waitedFraction := min(max(seconds/kindTime.mean/(a.requestsAhead+1), 1/(a.requestsAhead+1)), 1)
-		b.concurrency = 1 / (1/b.concurrency + 0.05*(waitedFraction-1/b.concurrency))
+		// What is averaged is 1/concurrency, not concurrency: a few very short responses would raise the latter
+		// above what servers do, and the more so the more they are loaded.
+		inverse := min(max(seconds/kindTime.mean/(a.requestsAhead+1), 1/(a.requestsAhead+1)), 1)
+		b.concurrency = 1 / (1/b.concurrency + concurrencyGain*(inverse-1/b.concurrency))
 	}
 }
 
-// capacity is what a server past its slow start can do for a class, relative to the others: the rating until
-// its kind's latencies are known.
+// capacity is what a server past its slow start can do for a class, relative to the others, about 1 on
+// average: by its rating at first, and the more latencies of its kind of machine are known the more by those.
 func (b *Balancer) capacity(class int, s *server) float64 {
 	rated := s.Rating / b.meanRating
 	kindTime := b.serviceTime(class, s.Kind)
@@ -61,11 +68,12 @@
 	return (ratingSamples*rated + kindTime.samples*measured) / (ratingSamples + kindTime.samples)
 }
 
-// slowStartFactor is the fraction of its capacity that a server has by its slow start, 1 once that is over.
+// slowStartFactor is the fraction of its capacity that a server has now: it rises linearly from SlowStartMin
+// at the server's start to 1 after SlowStartWindow.
 func (b *Balancer) slowStartFactor(now time.Duration, s *server) float64 {
 	if s.Started <= 0 || now >= s.Started+b.settings.SlowStartWindow {
 		return 1
 	}
 	age := max(0, float64(now-s.Started)/float64(b.settings.SlowStartWindow))
-	return max(b.settings.SlowStartMin+(1-b.settings.SlowStartMin)*age, 0.01)
+	return max(b.settings.SlowStartMin+(1-b.settings.SlowStartMin)*age, minSlowStartFactor)
 }
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -44,5 +44,11 @@
 // deduplicated inside a scope and a window, or at most once. A request whose expected wait takes up too much
 // of its latency target is rejected before its first attempt, with the probability rejectFraction.
 //
+// # Units
+//
+// Times are readings of the caller's clock, of type time.Duration; estimates are kept as float64 seconds.
+// Capacities, weights and ratings are relative to the mean server, loads are numbers of requests, and
+// costs are fractions of a request's value.
+//
 // Every decision is in the files that deploy/balancer.toml lists under policy.
 package balance
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -2,10 +2,21 @@
 
 import "time"
 
-// maxEstimateSamples bounds the weight of the past in an estimate.
-const maxEstimateSamples = 20
+const (
+	// maxEstimateSamples bounds the weight of the past in an estimate.
+	maxEstimateSamples = 20
+	// minEstimateGain is the weight of one latency in an estimate, at least.
+	minEstimateGain = 0.05
+	// queuedGainDivisor reduces the weight of a latency that queueing may have lengthened.
+	queuedGainDivisor = 5
+	// priorSamples of each class are assumed in averages over classes, so that they are defined from the start.
+	priorSamples = 0.1
+	// minValueRate bounds a divisor: classes can be without value.
+	minValueRate = 1e-9
+)
 
-// estimate follows an uncontended latency.
+// estimate is a moving average of a latency without queueing. The zero value knows nothing; a mean without
+// samples is a guess, which the first samples outweigh.
 type estimate struct {
 	mean    float64 // seconds
 	samples float64 // up to maxEstimateSamples
@@ -19,14 +30,15 @@
 		e.mean = latency
 	}
 	e.samples = min(e.samples+1, maxEstimateSamples)
-	gain := max(1/(e.samples+1), 0.05)
+	gain := max(1/(e.samples+1), minEstimateGain)
 	if !uncontended && latency > e.mean {
-		gain /= 5
+		gain /= queuedGainDivisor
 	}
 	e.mean += gain * (latency - e.mean)
 }
 
-// serviceTime is the estimate for a class on a kind of machine; a new one begins with that of the class.
+// serviceTime is the estimate for a class on a kind of machine. The first call for a kind adds it, with the
+// mean of the class as a guess. The pointer is valid until the next call.
 func (b *Balancer) serviceTime(class, kind int) *estimate {
 	for len(b.serviceTimesByKind[class]) <= kind {
 		b.serviceTimesByKind[class] = append(b.serviceTimesByKind[class],
@@ -45,17 +57,20 @@
 	return time.Duration(mean * 1e9)
 }
 
-// meanServiceTime is the service time of a request here, over the classes, in seconds.
+// meanServiceTime is the service time of a request, in seconds: the mean over the classes, weighted by their
+// samples.
 func (b *Balancer) meanServiceTime() float64 {
-	sum, n := 0.0, 0.0
+	sum, totalWeight := 0.0, 0.0
 	for i := range b.serviceTimes {
-		w := b.serviceTimes[i].samples + 0.1
-		sum, n = sum+w*b.serviceTimes[i].mean, n+w
+		weight := b.serviceTimes[i].samples + priorSamples
+		sum += weight * b.serviceTimes[i].mean
+		totalWeight += weight
 	}
-	return sum / n
+	return sum / totalWeight
 }
 
-// valueRate is what a class earns for a second of work.
+// valueRate is what a request of a class earns for a second of work: its value over its service time, unless
+// the settings give the value by work already.
 func (b *Balancer) valueRate(class int) float64 {
 	if b.settings.ValuePerWork {
 		return b.settings.Classes[class].Value
@@ -63,12 +78,13 @@
 	return b.settings.Classes[class].Value / b.serviceTimes[class].mean
 }
 
-// meanValueRate is the same over the mix of classes observed.
+// meanValueRate is the mean of valueRate over the classes, weighted by the work that was observed of each.
 func (b *Balancer) meanValueRate() float64 {
-	sum, n := 0.0, 1e-9
-	for i, s := range b.serviceTimes {
-		w := (s.samples + 0.1) * s.mean
-		sum, n = sum+w*b.valueRate(i), n+w
+	sum, totalWork := 0.0, 1e-9 // above 0, as all service times may be 0
+	for class, s := range b.serviceTimes {
+		work := (s.samples + priorSamples) * s.mean
+		sum += work * b.valueRate(class)
+		totalWork += work
 	}
-	return max(sum/n, 1e-9)
+	return max(sum/totalWork, minValueRate)
 }
--- a/balance/events.go
+++ b/balance/events.go
@@ -54,20 +54,20 @@
 
 // The results of attempts and probes.
 const (
-	Done        Result = iota
-	Error              // an error response; may have run
-	Rejected           // rejected by the server before it began
-	TimedOut           // may have run
-	ConnRefused        // no connection; never ran
-	Reset              // connection broke; may have run
-	Cancelled          // may have run
-	Skipped            // never sent
+	Done        Result = iota // served
+	Error                     // an error response; may have run
+	Rejected                  // rejected by the server before it began
+	TimedOut                  // may have run
+	ConnRefused               // no connection; never ran
+	Reset                     // connection broke; may have run
+	Cancelled                 // may have run
+	Skipped                   // never sent
 )
 
 // neverRan reports whether the result proves that the server did not start the request.
 func (r Result) neverRan() bool { return r == Rejected || r == ConnRefused || r == Skipped }
 
-// Outcome reports the end of one attempt.
+// Outcome reports the end of one attempt. Report is valid during the call only.
 type Outcome struct {
 	ID      string
 	Attempt int // number of the attempt, in the order of the Send actions of ID, from 0
@@ -78,7 +78,7 @@
 	Report  []float64 // load report of the server in the order of Settings.ReportFields; nil if none came
 }
 
-// ProbeResult reports the end of one probe. As in an Outcome, Report is valid during the call only.
+// ProbeResult reports the end of one probe. Report is valid during the call only.
 type ProbeResult struct {
 	Server  ServerID
 	Result  Result
--- a/balance/health.go
+++ b/balance/health.go
@@ -10,16 +10,18 @@
 	baseEjectionTime, maxEjectionDoublings = time.Second, 4
 	// errorEjectionTime is the base after an error where probes are costly.
 	errorEjectionTime = 10 * time.Second
-	// unresponsiveAfter so many service times in a queue without a response a server counts as unresponsive.
+	// unresponsiveAfter times its expected latency without a response, a server counts as unresponsive.
 	unresponsiveAfter = 4
-	// panicThreshold of the reachable servers stay eligible whatever their health: when more look unhealthy the
-	// cause is rarely the servers, and the others could not carry the load.
+	// panicThreshold is the fraction of the reachable servers that must be healthy. Below it ejected ones are
+	// used too: when so many look unhealthy the cause is rarely the servers, and the others could not carry the
+	// load.
 	panicThreshold = 0.5
-	// halfOpenWeight is the weight of a server that had no success since its ejection.
+	// halfOpenWeight multiplies the weight of a server that had no success since its ejection.
 	halfOpenWeight = 0.1
 )
 
-// recordHealth updates the health of s by the result of an attempt or a probe.
+// recordHealth updates the health of s by the result of an attempt or a probe: outlier detection as in Envoy,
+// with an ejection time that grows with each ejection in a row.
 func (b *Balancer) recordHealth(now time.Duration, s *server, result Result) {
 	threshold, ejectionTime := failuresToEject, baseEjectionTime
 	switch result {
@@ -37,7 +39,8 @@
 		threshold = 1
 		s.unreachable = result == ConnRefused
 	}
-	if s.failures++; s.failures >= threshold && now >= s.ejectedUntil {
+	s.failures++
+	if s.failures >= threshold && now >= s.ejectedUntil {
 		s.ejections++
 		s.halfOpen = true
 		s.ejectedUntil = now + b.jitter(ejectionTime<<min(s.ejections-1, maxEjectionDoublings))
@@ -50,7 +53,8 @@
 	case Done:
 		class.unservedSince, class.failures, class.ejections = now, 0, 0
 	case Error, TimedOut:
-		if class.failures++; class.failures >= failuresToEject && now >= class.ejectedUntil {
+		class.failures++
+		if class.failures >= failuresToEject && now >= class.ejectedUntil {
 			class.ejections++
 			class.ejectedUntil = now +
 				b.jitter(baseEjectionTime<<min(class.ejections-1, maxEjectionDoublings))
@@ -59,8 +63,8 @@
 }
 
 // panicking reports whether so few servers are healthy that ejected ones are used, and how many are
-// reachable. What is unreachable is no part of the threshold: a balancer in a partitioned zone can't reach
-// most of the list, and the servers near it must do.
+// reachable. What is unreachable does not count towards the threshold: a balancer in a partitioned zone can't
+// reach most of the list, and has to do with the servers near it.
 func (b *Balancer) panicking(now time.Duration) (panicking bool, reachable int) {
 	healthy := 0
 	for _, s := range b.servers {
@@ -74,7 +78,8 @@
 	return float64(healthy) < panicThreshold*float64(reachable), reachable
 }
 
-// isEjected reports whether s gets no traffic at all.
+// isEjected reports whether s gets no traffic at all. panicking and reachable are what Balancer.panicking
+// returned for now.
 func (s *server) isEjected(now time.Duration, panicking bool, reachable int) bool {
 	return now < s.ejectedUntil && (!panicking || s.unreachable && reachable > 0)
 }
@@ -91,9 +96,9 @@
 	return n
 }
 
-// unresponsive reports whether s leaves the class of r unanswered: some unhealthy servers do, while other
-// classes and probes are served. At first only the missing responses show it; after failures a server gets a
-// single attempt at a time.
+// unresponsive reports whether s leaves the class of r unanswered: some unhealthy servers do, while they
+// serve other classes and probes. At first only the missing responses show it; after failuresToEject failures
+// the server gets a single attempt of the class at a time.
 func (b *Balancer) unresponsive(now time.Duration, r *request, s *server) bool {
 	class := &s.classes[r.Class]
 	if s.probing && now-s.probedAt > b.probeTimeout() && !b.probesAreQueued() {
--- a/balance/hotkeys.go
+++ b/balance/hotkeys.go
@@ -3,12 +3,13 @@
 import "time"
 
 const (
-	// keyDecayFactor is applied every keyDecayInterval: half is forgotten after ten seconds.
+	// keyDecayFactor multiplies all counts every keyDecayInterval: they halve in about ten seconds.
 	keyDecayInterval, keyDecayFactor = time.Second, 0.93
-	// minKeyCount is the count below which a key is forgotten, maxKeys how many are counted at once.
+	// minKeyCount is the count below which a key is no longer counted, maxKeys how many keys are counted at
+	// once.
 	minKeyCount, maxKeys = 0.3, 4096
-	// priorRequests is how many requests of other keys are taken to have come before the first: one early
-	// repeat makes no key hot.
+	// priorRequests of other keys are assumed before the first request, so that one early repeat makes no key
+	// hot.
 	priorRequests = 30
 )
 
--- a/balance/parsereport.go
+++ b/balance/parsereport.go
@@ -3,8 +3,9 @@
 // maxReportedValue is the highest value that a report can have.
 const maxReportedValue = 1e9
 
-// parseReport finds the requests in flight and queued in a load report. A report with an absurd value is
-// dropped altogether; if it has only one of the two, that one is used as the requests in flight.
+// parseReport finds the requests in flight and queued in a load report. ok is false where the report is short
+// of values, has neither, or has any value that is negative, NaN or above maxReportedValue. With only the
+// requests queued these are used as the requests in flight too.
 func parseReport(fields []ReportField, values []float64) (inFlight, queued float64, ok bool) {
 	if len(values) < len(fields) {
 		return 0, 0, false
--- a/balance/probes.go
+++ b/balance/probes.go
@@ -12,32 +12,35 @@
 	// Where probes are costly, all requests probe while fullProbingBusyFraction of the servers probed are
 	// busy; the fewer are busy, the fewer probe, down to minProbedFraction.
 	minProbedFraction, fullProbingBusyFraction = 0.25, 0.2
+	// probeTimeGain and busyFractionGain are the weights of one probe in the moving averages.
+	probeTimeGain, busyFractionGain = 0.1, 0.05
 )
 
-// probesAreCostly reports whether a request is not worth one probe.
+// probesAreCostly reports whether one probe for each request would cost more than maxProbeCost.
 func (b *Balancer) probesAreCostly() bool { return b.settings.Costs.Probe > maxProbeCost }
 
-// probesAreQueued reports whether probes wait in the servers' queues as requests do, and take as long.
+// probesAreQueued reports whether probes take so long that they seem to wait in the servers' queues as
+// requests do.
 func (b *Balancer) probesAreQueued() bool { return b.probeTime > b.meanServiceTime()/4 }
 
 // probeTimeout is how long a probe is waited for; a healthy server responds in much less.
 func (b *Balancer) probeTimeout() time.Duration { return max(4*b.settings.Tick, 8*time.Millisecond) }
 
-// isIdle reports whether s, by its last report, would begin a request at once or soon.
+// isIdle reports whether s, by its last report, would serve one more request within about two service times.
 func (b *Balancer) isIdle(now time.Duration, s *server) bool {
 	return s.inFlight+float64(s.sentSinceReport)+1 <= max(2*b.concurrency*b.slowStartFactor(now, s), 1)
 }
 
-// probeSample samples servers for r and probes those without a fresh report, all at once; r is then pending
-// unless probes take too long to be waited for.
+// probeSample samples servers for r and probes those without a fresh report, all at once: LI-k, which applies
+// Basic LI to k servers chosen at random. r is then pending unless probes take too long to be waited for.
 func (b *Balancer) probeSample(now time.Duration, r *request, servers []*server, actions []Action) []Action {
-	// The first of the k choices gain most, so the cost sets how many probes are worth it.
+	// The first choices gain most, so the cost of a probe sets how many are worth it.
 	count := int(min(maxSample, max(minSample, maxProbeCost/max(b.settings.Costs.Probe, 1e-9))))
 	r.sample = b.affinityServers(now, r, servers, r.sample[:0])
 	if len(r.sample) > 0 {
-		count = 1 // and one other, for when the key is hot
+		count = 1 // besides the servers of the key, for when those are overloaded
 		if b.reportLag() > 0 {
-			count = 0 // reports say little now, where the key is cached says more
+			count = 0 // while reports say little, the server of the key is the better choice
 		}
 	}
 	r.sample = b.sample(now, r, servers, count, r.sample)
@@ -102,11 +105,12 @@
 	if p.Result == Done {
 		// A probe that fails says nothing of a queue: a zone that is lost without a response is no reason to
 		// do without probes.
-		b.probeTime += 0.1 * (p.Latency.Seconds() - b.probeTime)
+		b.probeTime += probeTimeGain * (p.Latency.Seconds() - b.probeTime)
 		s.halfOpen, s.unreachable = false, false
 		b.recordReport(now, s, p.Report)
-		if b.busyFraction *= 0.95; !b.isIdle(now, s) {
-			b.busyFraction += 0.05
+		b.busyFraction *= 1 - busyFractionGain
+		if !b.isIdle(now, s) {
+			b.busyFraction += busyFractionGain
 		}
 	} else {
 		if p.Result == TimedOut {
@@ -120,10 +124,11 @@
 		if r.finished || r.pendingProbes == 0 {
 			continue
 		}
-		if r.pendingProbes--; r.pendingProbes == 0 {
+		r.pendingProbes--
+		if r.pendingProbes == 0 {
 			actions = b.startAttempt(now, r, actions)
 		}
 	}
-	s.waiters = append(waiters[:0], s.waiters...)
+	s.waiters = append(waiters[:0], s.waiters...) // reuses the array; startAttempt may have added some
 	return actions
 }
--- a/balance/reports.go
+++ b/balance/reports.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// unknownReportAge is the age, in service times, that makes any difference between servers vanish.
+	// unknownReportAge is the age, in service times, of a report that never came. With the arrivals of so long
+	// a time the differences between levels vanish.
 	unknownReportAge = 1e9
 	// reportTTL is how long a report is as good as a new one: servers refresh theirs less often, and the
-	// attempts sent since then are known.
+	// attempts that this balancer sent since then are known.
 	reportTTL = 80 * time.Millisecond
 	// missFactor times its forecast is the latency from which an attempt counts as a missed forecast, and
-	// missRateGain its weight in the moving average.
+	// missRateGain the weight of one attempt in the moving average of their rate.
 	missFactor, missRateGain = 2, 0.15
-	// A rate of missed forecasts up to toleratedMissRate is no sign of late reports; each unit beyond it counts
+	// A rate of missed forecasts up to toleratedMissRate is no sign of late reports. Each unit beyond it counts
 	// as lagPerMissRate seconds of lag.
 	toleratedMissRate, lagPerMissRate = 0.3, 4
 )
@@ -34,10 +35,10 @@
 	return s.hasReport && now-s.reportedAt <= max(reportTTL, 2*b.settings.Tick)
 }
 
-// reportLag is by how much reports look older than they came, in seconds. No report has its age with it.
-// Where outcomes keep to the forecast of fresh reports there is no lag; where most are far later, on one
-// server after the other, the reports are late, and following them as fresh makes all balancers herd. One
-// slow server does not raise enough doubt.
+// reportLag estimates, in seconds, how old reports are when they come; they don't say so themselves. Where
+// latencies agree with the forecasts of fresh reports there is no lag. Where most latencies are far
+// longer, on one server after the other, the reports are late, and all balancers would herd if they took
+// them for fresh. One slow server is not enough for a lag.
 func (b *Balancer) reportLag() float64 {
 	return lagPerMissRate * max(0, b.forecastMissRate-toleratedMissRate)
 }
@@ -48,12 +49,13 @@
 		float64(b.expectedServiceTime(r))
 	late := 0.0
 	if float64(latency) > missFactor*forecast {
-		if late = 1; a.server == b.lastForecastMiss {
+		if a.server == b.lastForecastMiss {
 			return // one unhealthy server says nothing of the reports of the others
 		}
+		late = 1
 		b.lastForecastMiss = a.server
 	} else if result == TimedOut {
-		return // ended too early to say
+		return // it ended too early to say whether the latency would have agreed
 	}
 	b.forecastMissRate += missRateGain * (late - b.forecastMissRate)
 }
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -6,16 +6,24 @@
 )
 
 const (
-	// retryBudgetRatio is how many retries and hedged attempts a request may add on average: enough for
-	// scattered failures, too few to feed an overload. retryBudgetBurst is how many may come at once.
+	// retryBudgetRatio is how many retries and hedged attempts a request may add on average, as in Finagle's
+	// retry budget: enough for scattered failures, too few to feed an overload. retryBudgetBurst is how many
+	// may come at once.
 	retryBudgetRatio, retryBudgetBurst = 0.2, 10.0
 	// maxDeferrals is how often a request waits for a server to be listed.
 	maxDeferrals = 8
 	// deferralTime is how long it waits each time, on average.
 	deferralTime = 100 * time.Millisecond
+	// retryAfterDelays is how many recent queue delays a rejected client is advised to wait: an overload takes
+	// several to clear.
+	retryAfterDelays = 4
+	// timeoutMarginDivisor of a class's latency target is how long after a request's own target an attempt is
+	// still waited for.
+	timeoutMarginDivisor = 8
 )
 
-// Request begins a request, which gets exactly one final response.
+// Request begins a request, which gets exactly one final response. A second one with the ID of a request
+// that has not ended is ignored, and one of an unknown class is rejected.
 func (b *Balancer) Request(now time.Duration, q Request, actions []Action) []Action {
 	if b.requests[q.ID] != nil {
 		return actions
@@ -55,9 +63,9 @@
 	if b.settings.MayProbe && !r.probingDecided {
 		r.probingDecided = true
 		if b.probesAreCostly() {
-			// None are sent where the request is given up all the same.
+			// No probe is sent for a request that would be rejected after it.
 			if len(r.attempts) == 0 &&
-				r.isRejectedByDraw(b.rng, 2*b.rejectFraction(r, b.fleetQueueDelay(now))-1) {
+				r.isRejectedByDraw(b.rng, b.steepRejectFraction(r, b.fleetQueueDelay(now))) {
 				return b.giveUp(now, r, actions)
 			}
 			b.preferAffinityCell(r, servers)
@@ -73,12 +81,14 @@
 	return b.startAttempt(now, r, actions)
 }
 
-// startAttempt selects a server and sends an attempt there, or gives r up.
+// startAttempt selects a server and sends an attempt there, or gives r up. Where probes are costly and the
+// server sampled last is not known to be idle, it may first probe one more.
 func (b *Balancer) startAttempt(now time.Duration, r *request, actions []Action) []Action {
 	servers := b.eligible(now, r)
 	if n := len(r.sample); n > 0 && b.probesAreCostly() &&
 		!(b.hasFreshReport(now, r.sample[n-1]) && b.isIdle(now, r.sample[n-1])) {
-		if actions = b.probeOneMore(now, r, servers, actions); r.pendingProbes > 0 {
+		actions = b.probeOneMore(now, r, servers, actions)
+		if r.pendingProbes > 0 {
 			return actions
 		}
 	}
@@ -95,8 +105,9 @@
 	return b.sendAttempt(now, r, s, deadline, actions)
 }
 
-// takeSample ends the sampling of r: it returns the servers sampled that are still eligible, without those
-// that did not answer their probe in time, which are out of reach or unhealthy, unless none answered.
+// takeSample ends the sampling of r and returns the servers sampled that are still eligible. Those without
+// a report younger than reportTTL did not answer their probe in time, so they are unreachable or
+// unhealthy; they are left out unless none has one.
 func (r *request) takeSample(now time.Duration, eligible []*server) []*server {
 	if len(r.sample) == 0 {
 		return nil
@@ -112,7 +123,8 @@
 	return sample
 }
 
-// sendAttempt starts an attempt of r on s.
+// sendAttempt starts an attempt of r on s, which must begin before deadline. For an idempotent request it
+// also sets the timer for a hedged attempt, if that could still be in time.
 func (b *Balancer) sendAttempt(now time.Duration, r *request, s *server, deadline time.Duration,
 	actions []Action) []Action {
 	s.outstanding++
@@ -120,7 +132,7 @@
 	s.classes[r.Class].attemptStarted(now)
 	r.outstanding++
 	freshReport := b.hasFreshReport(now, s)
-	// A server may share its cores between many requests: that none is queued is not yet uncontended.
+	// That none is queued is not enough: a server may share its cores between many requests.
 	uncontended := freshReport && s.queued == 0 && s.inFlight+float64(s.sentSinceReport) <= 2 &&
 		b.reportLag() == 0
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: now, reportSeq: s.reportSeq,
@@ -137,8 +149,8 @@
 	return actions
 }
 
-// hedge sends a second attempt while the first takes unusually long, if running both is harmless. It draws on
-// the retry budget, so that hedges are few in an overload.
+// hedge sends a second attempt while the first takes unusually long (hedged requests as in Dean and Barroso,
+// "The Tail at Scale"). It draws on the retry budget, so that hedges are few in an overload.
 func (b *Balancer) hedge(now time.Duration, r *request, actions []Action) []Action {
 	if r.finished || r.outstanding != 1 || b.retryBudget < 1 || now >= b.attemptDeadline(r) {
 		return actions
@@ -147,7 +159,8 @@
 	return b.startAttempt(now, r, actions)
 }
 
-// Outcome records how an attempt ended.
+// Outcome records how an attempt ended. Without a final response, and with no other attempt outstanding, the
+// request gets another attempt if one is allowed, and is given up otherwise.
 func (b *Balancer) Outcome(now time.Duration, o Outcome, actions []Action) []Action {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
@@ -201,19 +214,19 @@
 		now+b.expectedServiceTime(r) <= r.receivedAt+b.latencyTarget(r)
 }
 
-// giveUp answers r with a rejection or failure, unless an attempt is outstanding that may still succeed. A
-// rejection advises when to retry: an overload takes several times its queue delay to clear.
+// giveUp answers r with a rejection or failure, unless an attempt is outstanding that may still succeed.
 func (b *Balancer) giveUp(now time.Duration, r *request, actions []Action) []Action {
 	if r.outstanding > 0 {
 		return actions
 	}
 	response := Action{Kind: Reject, ID: r.ID}
 	if b.settings.SendsRetryAfter {
-		response.Wait = min(b.jitter(4*time.Duration(b.recentQueueDelay(now)*1e9)), b.settings.MaxRetryAfter)
+		wait := b.jitter(retryAfterDelays * time.Duration(b.recentQueueDelay(now)*1e9))
+		response.Wait = min(wait, b.settings.MaxRetryAfter)
 	}
 	c := &b.settings.Classes[r.Class]
 	for i := range r.attempts {
-		// A rejection says that a retry is harmless: only where nothing ran, or repeats are dropped.
+		// A rejection says that a retry is harmless, which it is only where nothing ran or repeats are dropped.
 		if r.attempts[i].mayHaveRun &&
 			(c.Effect == AtMostOnce || c.Effect == Deduplicated && c.DedupScope != DedupFleet) {
 			response.Kind, response.Wait = Fail, 0
@@ -256,18 +269,18 @@
 	return c.LatencyTarget + time.Duration(c.TargetPerWork*float64(r.Work))
 }
 
-// attemptTimeout is how long an attempt is waited for, 0 without limit: a response that earns nothing is not
-// worth a position in a queue.
+// attemptTimeout is how long an attempt that begins now is waited for, 0 without limit: a response that earns
+// nothing is not worth a position in a queue.
 func (b *Balancer) attemptTimeout(now time.Duration, r *request) time.Duration {
 	c := &b.settings.Classes[r.Class]
 	if c.Stream || c.LateValue > 0 {
 		return 0
 	}
-	return max(b.latencyTarget(r)+c.LatencyTarget/8-(now-r.receivedAt), 2*b.settings.Tick)
+	return max(b.latencyTarget(r)+c.LatencyTarget/timeoutMarginDivisor-(now-r.receivedAt), 2*b.settings.Tick)
 }
 
-// attemptDeadline is the time before which the rules allow one more attempt to begin; 0 if they allow
-// none.
+// attemptDeadline is the time before which one more attempt of r may begin, by the class's effect and the
+// limits on attempts; 0 if none may.
 func (b *Balancer) attemptDeadline(r *request) time.Duration {
 	if r.bodyConsumed || len(r.attempts) >= b.settings.MaxAttempts || r.outstanding > 0 && !b.settings.MayHedge {
 		return 0
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -5,9 +5,15 @@
 	"time"
 )
 
+// Selection is Basic LI of Dahlin, "Interpreting Stale Load Information" (1999), over weighted servers. The
+// load that a request finds at a server is its level: requests in flight divided by the server's weight,
+// which is its capacity relative to the others. The arrivals are the requests by which all levels together
+// may have risen since the reports, and the water fill of these over the levels gives the probabilities.
+
 const (
-	// assumedLoad is the arrival rate a server is taken to have, as a fraction of what it can do. The paper
-	// advises a high value: to underestimate it makes herds, to overestimate it costs little.
+	// assumedLoad is the arrival rate a server is assumed to have, as a fraction of what it can do. The paper
+	// advises a high value: an underestimate makes all balancers herd to the same servers, an overestimate
+	// costs little.
 	assumedLoad = 1.0
 	// slowStartMargin divides the multiple of its capacity at which a server in slow start collapses. All
 	// balancers act alike, so what each sends to such a server adds up to its part of all arrivals. With
@@ -15,13 +21,20 @@
 	// overload, retries and chance. slowStartSampleMargin is the same where servers are probed one by one and
 	// busy ones passed over.
 	slowStartMargin, slowStartSampleMargin = 8, 4
-	// busySampleDivisor makes a server that was busy less than busyMemory ago come up less in samples: one that
-	// got slow stays so for seconds.
+	// busySampleDivisor divides the weight in samples of a server that was busy less than busyMemory ago: one
+	// that got slow stays so for seconds.
 	busySampleDivisor, busyMemory = 4, time.Second
+	// affinityWeight multiplies the weight of the server that likeliest has the key of a request cached.
+	affinityWeight = 2
+	// The arrivals since the last reports stay in this balancer's zone while the queue delay is below
+	// toleratedDelay of the latency target; over the next delayRange of the target ever fewer of them do.
+	toleratedDelay, delayRange = 0.1, 0.4
+	// capTolerance is the rounding error up to which probabilities add up to 1.
+	capTolerance = 1e-6
 )
 
-// selectServer draws one of the sample or, where that is empty, of all eligible servers by Basic LI. It is
-// nil where caps of servers in slow start leave the request to none.
+// selectServer draws one of the sample or, where that is empty or takes no request, of all eligible servers.
+// It is nil where caps of servers in slow start leave the request to none.
 func (b *Balancer) selectServer(now time.Duration, r *request, eligible, sample []*server) *server {
 	var capacity fleetCapacity
 	for _, s := range eligible {
@@ -45,8 +58,8 @@
 	return nil
 }
 
-// weighCandidates sets up the candidates for one request, with weight, level and cap, and returns the
-// arrivals to spread over them, in requests by weight.
+// weighCandidates sets b.candidates to servers, with weight, level and cap for one request, and returns the
+// arrivals to spread over them, in requests. sampled says that servers are a sample of the eligible ones.
 func (b *Balancer) weighCandidates(now time.Duration, r *request, servers []*server, capacity fleetCapacity,
 	sampled bool) float64 {
 	typicalLoad, reportAge := b.summarizeReports(now, servers)
@@ -66,14 +79,14 @@
 			homeWeight += c.weight
 		}
 		if s == r.affinityServer {
-			// A request for a cached key takes less work, here and of the fleet: worth as much as one service time
-			// more to wait, and twice the weight where levels say nothing.
+			// A request for a cached key takes less work, which is worth a wait of one service time more, and more
+			// weight where levels say nothing.
 			c.level -= b.concurrency
-			c.weight *= 2
+			c.weight *= affinityWeight
 		}
-		if slowStart < 1 && !(sampled && b.probesAreCostly()) { // that was capped when it was sampled
+		if slowStart < 1 && !(sampled && b.probesAreCostly()) { // sampleOne has capped it where probes are costly
 			c.maxProbability = b.settings.CollapseMultiple / slowStartMargin * c.weight / capacity.full
-			if sampled { // it comes up by its weight
+			if sampled { // the cap holds for all requests, but only some of them have it in their sample
 				c.maxProbability /= min(1, float64(len(servers))*c.weight/capacity.now)
 			}
 		}
@@ -87,21 +100,21 @@
 	return arrivals
 }
 
-// summarizeReports returns the mean load in the reports of servers, in requests, and their mean age beyond
-// reportTTL in service times.
+// summarizeReports returns the mean load in the reports of servers, in requests in flight, and the mean
+// age of the reports beyond reportTTL, in service times.
 func (b *Balancer) summarizeReports(now time.Duration, servers []*server) (typicalLoad, reportAge float64) {
-	known, age := 0.0, 0.0
+	reports, load, age := 0.0, 0.0, 0.0
 	for _, s := range servers {
 		if s.hasReport {
-			known++
-			typicalLoad += s.inFlight
-			age += max(now-s.reportedAt-reportTTL, 0).Seconds() // as good as new until then
+			reports++
+			load += s.inFlight
+			age += max(now-s.reportedAt-reportTTL, 0).Seconds()
 		}
 	}
-	if known == 0 {
+	if reports == 0 {
 		return 0, unknownReportAge
 	}
-	return typicalLoad / known, (age/known + b.reportLag()) / b.meanServiceTime()
+	return load / reports, (age/reports + b.reportLag()) / b.meanServiceTime()
 }
 
 // penalizeOtherZones raises the levels of candidates that are not in this balancer's zone.
@@ -113,21 +126,23 @@
 	}
 }
 
-// crossZonePenalty is how much higher levels may be at home before another zone is worth its cost: a wait of
-// one latency target loses the whole value, so a cost is as much of a target, counted in service times. Old
-// levels can't show what is worth it, so with age the arrivals of a whole report interval stay at home too,
-// except as far as requests lately had a queue delay that takes up much of their target.
+// crossZonePenalty is by how much levels in this balancer's zone may be higher before another zone is
+// worth its cost. A wait of one latency target loses the whole value, so a cost is worth a wait of the
+// same fraction of the target; b.concurrency over the service time turns that into a level. arrivals is by
+// how much the arrivals may have raised the levels of this zone: as old levels can't show whether another
+// zone is worth it, these arrivals stay too, except as far as the recent queue delay takes up much of the
+// latency target.
 func (b *Balancer) crossZonePenalty(now time.Duration, r *request, arrivals float64) float64 {
 	if b.settings.Costs.CrossZone <= 0 {
 		return 0
 	}
 	target := b.latencyTarget(r).Seconds()
-	allowed := min(max(b.recentQueueDelay(now)/target-0.1, 0)/0.4, 1)
-	return b.settings.Costs.CrossZone*target/b.serviceTimes[r.Class].mean*b.concurrency + arrivals*(1-allowed)
+	leaving := min(max(b.recentQueueDelay(now)/target-toleratedDelay, 0)/delayRange, 1)
+	return b.settings.Costs.CrossZone*target/b.serviceTimes[r.Class].mean*b.concurrency + arrivals*(1-leaving)
 }
 
-// sample appends up to count of the servers to chosen, drawn by weight, so that those in slow start come up
-// less.
+// sample appends up to count of the servers to chosen, drawn by weight, so that those in slow start are drawn
+// less often.
 func (b *Balancer) sample(now time.Duration, r *request, servers []*server, count int,
 	chosen []*server) []*server {
 	for range count {
@@ -139,11 +154,11 @@
 }
 
 // sampleOne draws one of the servers that are not in chosen. Where probes are costly, those in slow start are
-// capped in relation to the others: where there are no others, it is nil.
+// capped in relation to the others. It is nil where no server is left, or only capped ones.
 func (b *Balancer) sampleOne(now time.Duration, r *request, servers, chosen []*server) *server {
 	costly := b.probesAreCostly()
 	b.candidates = b.candidates[:0]
-	warmSum, slowStartSum, capacity := 0.0, 0.0, 0.0
+	uncappedSum, cappedSum, capacity := 0.0, 0.0, 0.0
 	for _, s := range servers {
 		if slices.Contains(chosen, s) {
 			continue
@@ -151,25 +166,25 @@
 		c := b.sampleCandidate(now, r, s)
 		capacity += b.capacity(r.Class, s)
 		if !costly || b.slowStartFactor(now, s) == 1 {
-			warmSum += c.probability
+			uncappedSum += c.probability
 		}
 		b.candidates = append(b.candidates, c)
 	}
 	for i := range b.candidates {
 		if c := &b.candidates[i]; costly && b.slowStartFactor(now, c.server) < 1 {
-			limit := warmSum * b.settings.CollapseMultiple / slowStartSampleMargin * c.weight / capacity
+			limit := uncappedSum * b.settings.CollapseMultiple / slowStartSampleMargin * c.weight / capacity
 			c.probability = min(c.probability, limit)
-			slowStartSum += c.probability
+			cappedSum += c.probability
 		}
 	}
-	if drawn := b.drawUpTo(warmSum + slowStartSum); drawn != nil {
+	if drawn := b.drawUpTo(uncappedSum + cappedSum); drawn != nil {
 		return drawn.server
 	}
 	return nil
 }
 
-// sampleCandidate is s with its weight in a sample, not yet capped; probabilities are in relation to their
-// sum.
+// sampleCandidate is s with its weight in a sample, not yet capped. The probabilities of such candidates
+// don't add up to 1; they count in relation to their sum.
 func (b *Balancer) sampleCandidate(now time.Duration, r *request, s *server) candidate {
 	weight := b.capacity(r.Class, s) * b.slowStartFactor(now, s) * s.halfOpenFactor()
 	if b.probesAreCostly() && s.hasReport && now-s.reportedAt < busyMemory && !b.isIdle(now, s) {
@@ -189,7 +204,7 @@
 	for i := range b.candidates {
 		sum += b.candidates[i].probability
 	}
-	if sum < 1-1e-6 {
+	if sum < 1-capTolerance {
 		sum = 1 // all caps together leave a part that no server may take
 	}
 	return b.drawUpTo(sum)
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -6,19 +6,29 @@
 	"time"
 )
 
+const (
+	// followRetryDivisor of the registry interval is the base of the wait before the registry is asked again
+	// after a failure. It doubles with each failure in a row, up to maxFollowDoublings times.
+	followRetryDivisor, maxFollowDoublings = 20, 2
+	// firstFollowDivisor of the registry interval is the time over which balancers that start with a cached
+	// list spread their first calls, which is emptyListDivisor times shorter where that list is empty.
+	firstFollowDivisor, emptyListDivisor = 5, 20
+)
+
 // List updates the servers from a list of the registry, or records that following the list failed.
 func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server, actions []Action) []Action {
 	if kind == ListFailed {
 		b.listFailures++
-		// Spread and back off: a registry that is short of time must not be asked by all at once.
-		// But not for long: what it has to report binds also while it is out of reach.
-		wait := b.settings.RegistryInterval / 20 * time.Duration(1<<min(b.listFailures, 2))
+		// Jitter and backoff keep balancers from asking an overloaded registry all at once. The backoff is short
+		// because drains and removals count from when the registry reported them, even if nobody could ask it.
+		backoff := time.Duration(1 << min(b.listFailures, maxFollowDoublings))
+		wait := b.settings.RegistryInterval / followRetryDivisor * backoff
 		return append(actions, b.timer(b.jitter(wait), timerFollow, 0))
 	}
 	if kind == ListCached && b.settings.MustFollow {
-		spread := b.settings.RegistryInterval / 5
-		if len(entries) == 0 { // a balancer that knows no server can serve nobody
-			spread /= 20
+		spread := b.settings.RegistryInterval / firstFollowDivisor
+		if len(entries) == 0 { // a balancer that knows no server can't serve any request
+			spread /= emptyListDivisor
 		}
 		actions = append(actions, b.timer(time.Duration(b.rng.Float64()*float64(spread)), timerFollow, 0))
 	} else {
@@ -35,7 +45,8 @@
 	return actions
 }
 
-// updateServers adds, updates and removes the servers of entries, and those missing unless it is a delta.
+// updateServers adds, updates and removes the servers of entries, and removes those not among them unless
+// entries are a delta.
 func (b *Balancer) updateServers(entries []Server, delta bool) {
 	listed := make(map[ServerID]bool, len(entries))
 	for _, s := range entries {
@@ -48,7 +59,7 @@
 			b.byID[s.ID] = b.newServer(s)
 			b.servers = append(b.servers, b.byID[s.ID])
 		case old.Started != s.Started:
-			// A new process under the old id starts slowly, and no observation of the old one holds for it.
+			// A new process under the old id is in slow start, and no observation of the old one holds for it.
 			b.byID[s.ID] = b.newServer(s)
 			b.servers[slices.Index(b.servers, old)] = b.byID[s.ID]
 		default:
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -42,16 +42,16 @@
 
 // Tenant is one of the tenants that share the fleet.
 type Tenant struct {
-	Fraction    float64 // of the service
-	QuotaPerSec float64 // requests a second, through all balancers together, inside its fraction
+	Fraction    float64 // of the service that the tenant is entitled to
+	QuotaPerSec float64 // requests a second, through all balancers together, that are inside its fraction
 }
 
-// Costs are deductions, as fractions of the value offered.
+// Costs are deductions, as fractions of the value of all requests offered.
 type Costs struct {
-	CrossZone float64 // every request crossing zones once
-	Probe     float64 // one probe a request
-	Waste     float64 // as much work wasted as was asked for
-	LateFail  float64 // all failing only after the latency target
+	CrossZone float64 // if each request crosses zones once
+	Probe     float64 // if there is one probe for each request
+	Waste     float64 // if as much work is wasted as was asked for
+	LateFail  float64 // if all requests fail, and only after their latency target
 }
 
 // ReportField is one value of a load report.
@@ -101,7 +101,7 @@
 	ReportsInResponses bool // load reports come with outcomes, not with probes alone
 }
 
-// validate returns an error that describes what is wrong with the settings, nil if nothing is.
+// validate returns an error that describes the first invalid setting, nil if there is none.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("settings: Classes is empty")
