--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -56,14 +56,14 @@
 	case balance.Cancel:
 		c.addStep(Step{Kind: Cancel, Attempt: a.Attempt})
 	case balance.Reject:
-		d.finish(c, Step{Kind: Refuse, RetryAfter: a.Wait})
+		d.finish(c, Step{Kind: Reject, RetryAfter: a.Wait})
 	case balance.Fail:
 		d.finish(c, Step{Kind: Fail})
 	}
 }
 
-// finish gives a call its last step. Nothing wakes its goroutine after that, so that the goroutine may turn
-// to the next request on its connection.
+// finish gives a call its last step; only ClientGone may follow another last step, which was not picked then.
+// Nothing wakes the call's goroutine after that, so that it may turn to the next request on its connection.
 func (d *Decider) finish(c *Call, last Step) {
 	if c.closed && last.Kind != ClientGone {
 		return
--- a/internal/proxy/dispatch/call.go
+++ b/internal/proxy/dispatch/call.go
@@ -35,7 +35,8 @@
 	ClientRetry bool          // the client says that it sent the request before
 }
 
-// Waiter lets the goroutine of a request sleep.
+// Waiter lets the goroutine of a request sleep until a step is decided, and watches its client meanwhile. One
+// goroutine at a time calls Wait and PeerClosed.
 type Waiter interface {
 	// Wait returns nil once Wake was called, also where that came first, or an error when the client is gone.
 	Wait() error
@@ -53,9 +54,9 @@
 	Send       StepKind = iota // start attempt Attempt at Server
 	Cancel                     // abort attempt Attempt
 	Answer                     // pass on the response of attempt Attempt
-	Refuse                     // answer that the request did not run and may be retried after RetryAfter
-	Fail                       // answer that it failed
-	ClientGone                 // answer nothing; drop the response of attempt Attempt, unless that is -1
+	Reject                     // respond that the request did not run and may be retried after RetryAfter
+	Fail                       // respond that it failed
+	ClientGone                 // don't respond; drop the response of attempt Attempt, unless that is -1
 )
 
 // Step is what Pick returns.
@@ -65,7 +66,7 @@
 	Attempt    int           // position among the attempts of the call, from 0
 	StartBy    time.Time     // of a Send: its first byte must be written before
 	GiveUpAt   time.Time     // of a Send: when it has timed out
-	RetryAfter time.Duration // of a Refuse; 0 if there is no advice
+	RetryAfter time.Duration // of a Reject; 0 if there is no advice
 }
 
 // Call is one request from Open to its last step. The Decider's lock guards it.
@@ -73,7 +74,7 @@
 	id       string
 	waiter   Waiter
 	deadline time.Time
-	steps    []Step          // decided and not yet picked
+	steps    []Step          // decided and not yet picked, in their order
 	sentAt   []time.Duration // by attempt, when it was sent or, where its body streams, when that was complete
 	timeouts []time.Duration // by attempt, how long it is waited for; 0 where only the deadline ends it
 	closed   bool            // its last step is decided: no more steps, no more wakes
--- a/internal/proxy/dispatch/clock.go
+++ b/internal/proxy/dispatch/clock.go
@@ -10,8 +10,10 @@
 // now reads the clock of the decisions, which is monotonic.
 func (d *Decider) now() time.Duration { return d.clockBase + time.Since(d.startTime) }
 
+// toClock converts a time to a reading of that clock.
 func (d *Decider) toClock(t time.Time) time.Duration { return d.clockBase + t.Sub(d.startTime) }
 
+// fromClock converts a reading of that clock to a time.
 func (d *Decider) fromClock(t time.Duration) time.Time { return d.startTime.Add(t - d.clockBase) }
 
 // setTimer has Run call back balance with the token of a SetTimer action.
@@ -28,7 +30,8 @@
 // maxTickInterval is how long Run sleeps where no timer is set.
 const maxTickInterval = time.Hour
 
-// Tick fires the timers that are due and returns the time until the next, an hour where there is none.
+// Tick fires the timers that are due and returns the time until the next, maxTickInterval where there is
+// none.
 func (d *Decider) Tick() time.Duration {
 	now := d.lock()
 	defer d.unlock()
@@ -57,6 +60,7 @@
 	}
 }
 
+// timer is the wait of a SetTimer action.
 type timer struct {
 	at    time.Duration // by the clock of the decisions
 	token uint64
--- a/internal/proxy/dispatch/decider.go
+++ b/internal/proxy/dispatch/decider.go
@@ -4,7 +4,7 @@
 // protocol a request came by.
 //
 // A Decider may be used from any goroutine: one lock orders all events. A Call goes through attempts (Send,
-// Cancel) to one last step (Answer, Refuse, Fail or ClientGone); Report may still be called after it, for the
+// Cancel) to one last step (Answer, Reject, Fail or ClientGone); Report may still be called after it, for the
 // attempts that end later. Steps wait in the call until its own goroutine picks them, and what balance asks
 // of the network starts after the lock is released.
 package dispatch
@@ -68,15 +68,15 @@
 }
 
 // Open begins a call for a request, which gets exactly one final step.
-func (d *Decider) Open(q Request, w Waiter) *Call {
+func (d *Decider) Open(request Request, w Waiter) *Call {
 	now := d.lock()
 	defer d.unlock()
 	d.lastID++
-	c := &Call{id: strconv.FormatUint(d.lastID, 36), waiter: w, deadline: q.Deadline}
+	c := &Call{id: strconv.FormatUint(d.lastID, 36), waiter: w, deadline: request.Deadline}
 	d.calls[c.id] = c
 	d.execute(now, d.balancer.Request(now, balance.Request{
-		ID: c.id, Class: q.Class, Tenant: q.Tenant, Key: q.Key, HasKey: q.HasKey, Work: q.Work,
-		Deadline: d.toClock(q.Deadline), ClientRetry: q.ClientRetry,
+		ID: c.id, Class: request.Class, Tenant: request.Tenant, Key: request.Key, HasKey: request.HasKey,
+		Work: request.Work, Deadline: d.toClock(request.Deadline), ClientRetry: request.ClientRetry,
 	}, d.actions[:0]))
 	return c
 }
@@ -88,7 +88,8 @@
 		s, ok := d.next(c, checked)
 		switch {
 		case ok && s.Kind == Send && !checked:
-			if checked = true; c.waiter.PeerClosed() {
+			checked = true
+			if c.waiter.PeerClosed() {
 				d.clientGone(c)
 			}
 		case ok:
@@ -99,33 +100,36 @@
 	}
 }
 
-// next takes the next step of a call. A Send stays until the client was checked.
+// next takes the next step of a call; ok is false if there is none. A Send is returned but not taken before
+// the client was checked.
 func (d *Decider) next(c *Call, checked bool) (s Step, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(c.steps) == 0 {
 		return s, false
 	}
-	if s = c.steps[0]; s.Kind != Send || checked {
+	s = c.steps[0]
+	if s.Kind != Send || checked {
 		c.steps = c.steps[1:]
 	}
 	return s, true
 }
 
-// clientGone ends a call whose client is gone. A response that crossed with that is dropped.
+// clientGone ends a call whose client has disconnected. If a response was decided on meanwhile, the last step
+// has its attempt, so that the caller can drop it.
 func (d *Decider) clientGone(c *Call) {
 	now := d.lock()
 	defer d.unlock()
-	unsent, responseAttempt := c.steps, -1
+	unpicked, responseAttempt := c.steps, -1
 	c.steps = nil
 	if !c.closed {
 		d.execute(now, d.balancer.ClientGone(now, c.id, d.actions[:0]))
 	}
-	for _, s := range unsent {
+	for _, s := range unpicked {
 		if s.Kind == Answer {
 			responseAttempt = s.Attempt
 		}
-		if s.Kind == Send { // balance counts it as in flight until its outcome is reported
+		if s.Kind == Send { // balance counts it as outstanding until its outcome is reported
 			d.execute(now, d.balancer.Outcome(now, balance.Outcome{
 				ID: c.id, Attempt: s.Attempt, Result: Skipped, Final: true,
 			}, d.actions[:0]))
@@ -135,16 +139,16 @@
 	d.finish(c, Step{Kind: ClientGone, Attempt: responseAttempt})
 }
 
-// BodyConsumed says that a call's request can't be sent again: the attempt that is under way is the last one.
-// The request's time does not run until BodySent.
+// BodyConsumed reports that a call's request can't be sent again: the attempt that is under way is the last
+// one. The request's time does not run until BodySent.
 func (d *Decider) BodyConsumed(c *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.balancer.BodyConsumed(c.id)
 }
 
-// BodySent says that an attempt has written the last byte of a request that can't be sent again, and sets the
-// request's deadline anew. It returns until when the response to that attempt is waited for.
+// BodySent reports that an attempt has written the last byte of a request that can't be sent again, and sets
+// the request's deadline anew. It returns until when the response to that attempt is waited for.
 func (d *Decider) BodySent(c *Call, attempt int, deadline time.Time) time.Time {
 	now := d.lock()
 	defer d.unlock()
@@ -155,8 +159,8 @@
 }
 
 // Report records how an attempt ended, or that its response has begun, with its server's load report, nil if
-// there was none. The first attempt that was served becomes the answer, and chosen is true; otherwise the
-// caller drops the response.
+// there was none. It is called once for each Send that was picked, also after the last step. The response of
+// the first attempt that was served answers the call, and chosen is true; any other the caller drops.
 func (d *Decider) Report(c *Call, attempt int, result Result, load []float64) (chosen bool) {
 	now := d.lock()
 	defer d.unlock()
--- a/internal/proxy/dispatch/decider_test.go
+++ b/internal/proxy/dispatch/decider_test.go
@@ -81,7 +81,7 @@
 		{"served", 1, []Result{Served}, []StepKind{Send, Answer}},
 		{"unsafe and broken", 1, []Result{Reset}, []StepKind{Send, Fail}},
 		{"never ran, then served", 1, []Result{Rejected, Served}, []StepKind{Send, Send, Answer}},
-		{"safe and nothing sent", 0, []Result{Skipped}, []StepKind{Send, Refuse}},
+		{"safe and nothing sent", 0, []Result{Skipped}, []StepKind{Send, Reject}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, p := newDecider(t, nil)
--- a/internal/proxy/dispatch/interleaving_test.go
+++ b/internal/proxy/dispatch/interleaving_test.go
@@ -53,7 +53,7 @@
 							if sends++; sends > 1 && class == 1 && ran {
 								t.Errorf("%s: sent again", name)
 							}
-						case s.Kind == Refuse && class == 1 && ran:
+						case s.Kind == Reject && class == 1 && ran:
 							t.Errorf("%s: refused", name)
 						}
 						if s.Kind >= Answer {
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -1,6 +1,7 @@
 package ingress
 
 import (
+	"net/http"
 	"strconv"
 	"strings"
 	"time"
@@ -13,49 +14,56 @@
 
 const readyPath = "/health/ready"
 
-// respond parses a request, runs its attempts and returns its final response. u is the part of the body that
-// is not buffered, nil if there is none.
-func (s *Server) respond(c *client, q *http1.Request, u *upload, arrived time.Time) finalResponse {
-	if path, _, _ := strings.Cut(q.Target, "?"); path == readyPath {
+// respond returns the final response to a request: to a health check or an invalid request at once, to any
+// other after its attempts. u is the part of the body that is not buffered, nil if there is none.
+func (s *Server) respond(c *client, message *http1.Request, u *upload, arrived time.Time) finalResponse {
+	if path, _, _ := strings.Cut(message.Target, "?"); path == readyPath {
 		return finalResponse{response: s.readiness()}
 	}
-	request, status, reason := s.parse(q, arrived)
-	s.startUsage(c, q, request.Class)
-	if status != 0 {
-		s.countRejected(status, reason)
-		response := textResponse(status, reason, false)
-		if status == 405 {
+	request, rejection := s.parse(message, arrived)
+	s.startUsage(c, message, request.Class)
+	failed := &s.Stats.Class(request.Class).Failed
+	if rejection.rejects() {
+		s.countRejected(rejection.status, rejection.reason)
+		response := textResponse(rejection.status, rejection.reason, false)
+		if rejection.status == http.StatusMethodNotAllowed {
 			response.Header = append(response.Header, http1.Field{Name: "Allow", Value: "GET, HEAD, POST"})
 		}
-		return finalResponse{response: response, counter: &s.Stats.Class(request.Class).Failed}
+		return finalResponse{response: response, counter: failed}
 	}
-	id := q.Header.Get(idField)
+	id := message.Header.Get(idField)
 	if !s.openID(id) {
-		s.countRejected(409, "id in use")
-		return finalResponse{response: textResponse(409, "a request with this id is open", false),
-			counter: &s.Stats.Class(request.Class).Failed}
+		s.countRejected(http.StatusConflict, "id in use")
+		response := textResponse(http.StatusConflict, "a request with this id is open", false)
+		return finalResponse{response: response, counter: failed}
 	}
 	defer s.releaseID(id)
 	s.Stats.Received.Add()
 	if u != nil {
-		// Until its last byte is sent the client's time does not run.
+		// The client's time does not run until the last byte of the body is sent.
 		u.timeout, request.Deadline = request.Deadline.Sub(arrived), arrived.Add(maxTimeout)
 	} else {
 		s.Stats.InProgress.Add(1)
 		c.inProgress = true
 	}
 	s.startLogEntry(c, id, request)
-	return s.runAttempts(c, id, request,
-		&http1.Request{Method: q.Method, Target: q.Target, Body: q.Body, Length: q.Length,
-			Header: q.Header.EndToEnd(timeoutField)}, u)
+	return s.runAttempts(c, id, request, forwarded(message), u)
+}
+
+// forwarded is a client's message as attempts send it to servers. Each of them adds the time that is left.
+func forwarded(message *http1.Request) *http1.Request {
+	return &http1.Request{
+		Method: message.Method, Target: message.Target, Body: message.Body, Length: message.Length,
+		Header: message.Header.EndToEnd(timeoutField),
+	}
 }
 
 // readiness is the response to a health check of this proxy.
 func (s *Server) readiness() *http1.Response {
 	if !s.Serving() {
-		return textResponse(503, "sending clients away", true)
+		return textResponse(http.StatusServiceUnavailable, "sending clients away", true)
 	}
-	return textResponse(200, "ready", false)
+	return textResponse(http.StatusOK, "ready", false)
 }
 
 // openID records that a request with this id is open; false if the id is in use. Servers take what is sent
@@ -77,10 +85,12 @@
 	s.openIDs[id]++
 }
 
+// releaseID ends one use of an id.
 func (s *Server) releaseID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.openIDs[id]--; s.openIDs[id] == 0 {
+	s.openIDs[id]--
+	if s.openIDs[id] == 0 {
 		delete(s.openIDs, id)
 	}
 }
@@ -96,7 +106,7 @@
 func (s *Server) runAttempts(c *client, id string, request dispatch.Request, message *http1.Request,
 	u *upload) finalResponse {
 	select {
-	case <-c.wakeup: // left over from the request before
+	case <-c.wakeup: // a token that the request before has left
 	default:
 	}
 	call := s.Decider.Open(request, c)
@@ -121,8 +131,8 @@
 	}
 }
 
-// startAttempt starts the attempt of a Send. Its id stays in use until it ends, which may be after its client
-// is gone.
+// startAttempt starts the attempt of a Send. The request's id stays in use until the attempt ends, which may
+// be after the client has disconnected.
 func (s *Server) startAttempt(call *dispatch.Call, step dispatch.Step, id string, message *http1.Request,
 	u *upload) *attempt {
 	a := &attempt{Attempt: upstream.Attempt{Server: step.Server, Request: message, StartBy: step.StartBy,
@@ -149,14 +159,14 @@
 	switch last.Kind {
 	case dispatch.Answer:
 		s.Stats.Served.Add()
-		s.recordOutcome(c, "served", 200, attempts, last.Attempt)
+		s.recordOutcome(c, outcomeServed, http.StatusOK, attempts, last.Attempt)
 		outcome := &attempts[last.Attempt].outcome
 		outcome.Response.Header = outcome.Response.Header.EndToEnd("X-Server-Load")
 		return finalResponse{outcome.Response, outcome, &class.Passed, &class.Failed}
-	case dispatch.Refuse:
+	case dispatch.Reject:
 		s.Stats.Refused.Add()
-		s.recordOutcome(c, "refused", 503, attempts, len(attempts)-1)
-		response := textResponse(503, "refused", false)
+		s.recordOutcome(c, outcomeRefused, http.StatusServiceUnavailable, attempts, len(attempts)-1)
+		response := textResponse(http.StatusServiceUnavailable, "refused", false)
 		if last.RetryAfter > 0 {
 			wait := strconv.FormatFloat(last.RetryAfter.Seconds(), 'f', 3, 64)
 			response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: wait})
@@ -164,17 +174,17 @@
 		return finalResponse{response: response, counter: &class.Dropped}
 	case dispatch.ClientGone:
 		s.Stats.ClientGone.Add()
-		s.recordOutcome(c, "gone", 0, attempts, len(attempts)-1)
+		s.recordOutcome(c, outcomeClientGone, 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
 			s.Pool.Release(&attempts[last.Attempt].outcome)
 		}
 		return finalResponse{}
 	}
 	s.Stats.Failed.Add()
-	status, reason := 502, "failed"
+	status, reason := http.StatusBadGateway, "failed"
 	if n := len(attempts); n > 0 && attempts[n-1].outcome.Result == dispatch.TimedOut {
-		status, reason = 504, "no answer in time"
+		status, reason = http.StatusGatewayTimeout, "no answer in time"
 	}
-	s.recordOutcome(c, "failed", status, attempts, len(attempts)-1)
+	s.recordOutcome(c, outcomeFailed, status, attempts, len(attempts)-1)
 	return finalResponse{response: textResponse(status, reason, false), counter: &class.Failed}
 }
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -83,7 +83,7 @@
 		switch {
 		case !c.idle:
 		case c.receiving && c.since.Before(p.PartialBefore):
-			c.SetReadDeadline(pastDeadline) // its own goroutine says why
+			c.SetReadDeadline(pastDeadline) // its own goroutine then responds with an error
 		case !c.receiving && c.since.Before(p.IdleBefore) && c.Still():
 			s.closeIdle(c)
 		}
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -87,7 +87,8 @@
 func (s *Server) closeMostExpendable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for now, limits := time.Now(), s.limits.Load(); ; {
+	now, limits := time.Now(), s.limits.Load()
+	for {
 		candidate := s.mostExpendable(now, limits)
 		if candidate == nil {
 			return false
@@ -95,7 +96,7 @@
 		if candidate.receiving || candidate.Still() {
 			return s.closeIdle(candidate)
 		}
-		candidate.since = now // its request has arrived and is only not read yet
+		candidate.since = now // its next request has arrived but was not read yet
 	}
 }
 
--- a/internal/proxy/ingress/parse.go
+++ b/internal/proxy/ingress/parse.go
@@ -3,6 +3,7 @@
 import (
 	"hash/fnv"
 	"math"
+	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
@@ -28,46 +29,71 @@
 // maxTimeout bounds a request's time. A longer X-Timeout is as good as none.
 const maxTimeout = time.Hour
 
-// parse returns what package dispatch needs to know of a request. A status other than 0, with its reason,
-// means that the request is rejected. The class is set in any case, to -1 if no known one is named.
-func (s *Server) parse(message *http1.Request, arrived time.Time) (
-	r dispatch.Request, status int, reason string,
-) {
-	var known bool
-	if r.Class, known = s.classes[message.Header.Get(classField)]; !known {
-		r.Class = -1
+// noClass is the class of a request that names none of the settings.
+const noClass = -1
+
+// rejection is a response that rejects a request; the zero value rejects nothing.
+type rejection struct {
+	status int    // of HTTP
+	reason string // for the client and the log
+}
+
+// rejects reports whether the request is rejected.
+func (r rejection) rejects() bool { return r.status != 0 }
+
+// badRequest rejects a request that the client has to correct.
+func badRequest(reason string) rejection { return rejection{http.StatusBadRequest, reason} }
+
+// parse returns what package dispatch needs to know of a request, or a rejection. The class is set in any
+// case, to noClass if no known one is named.
+func (s *Server) parse(message *http1.Request, arrived time.Time) (request dispatch.Request, _ rejection) {
+	class, classKnown := s.classes[message.Header.Get(classField)]
+	if !classKnown {
+		class = noClass
 	}
-	if message.Method != "GET" && message.Method != "HEAD" && message.Method != "POST" {
-		return r, 405, "method is none of GET, HEAD and POST"
+	request.Class = class
+	if rejection := checkMessage(message); rejection.rejects() {
+		return request, rejection
 	}
-	if message.Header.Get(idField) == "" {
-		return r, 400, "no X-Request-ID"
+	if !classKnown {
+		return request, badRequest("X-Priority-Class names no class")
+	}
+	var tenantKnown bool
+	request.Tenant, tenantKnown = s.tenants[message.Header.Get(tenantField)]
+	if !tenantKnown && len(s.tenants) > 0 {
+		return request, badRequest("X-Tenant-Id names no tenant")
 	}
-	if name := message.Header.Repeated(routingFields...); name != "" { // another reader may go by the other one
-		return r, 400, name + " is repeated"
+	timeout, err := strconv.ParseFloat(message.Header.Get(timeoutField), 64)
+	if err != nil || !(timeout > 0) || math.IsInf(timeout, 0) {
+		return request, badRequest("X-Timeout is no time")
 	}
-	if message.Method != "POST" && (len(message.Body) > 0 || message.Length != 0) {
-		return r, 400, "GET with a body"
+	request.Deadline = arrived.Add(time.Duration(min(timeout, maxTimeout.Seconds()) * float64(time.Second)))
+	request.ClientRetry = message.Header.Get(retriedField) == "1"
+	request.Key, request.HasKey = parseKey(message.Target)
+	return request, rejection{}
+}
+
+// checkMessage rejects a message that is no request of this proxy, whatever the settings.
+func checkMessage(message *http1.Request) rejection {
+	if message.Method != http.MethodGet && message.Method != http.MethodHead &&
+		message.Method != http.MethodPost {
+		return rejection{http.StatusMethodNotAllowed, "method is none of GET, HEAD and POST"}
 	}
-	if !known {
-		return r, 400, "X-Priority-Class names no class"
+	if message.Header.Get(idField) == "" {
+		return badRequest("no X-Request-ID")
 	}
-	var ok bool
-	if r.Tenant, ok = s.tenants[message.Header.Get(tenantField)]; !ok && len(s.tenants) > 0 {
-		return r, 400, "X-Tenant-Id names no tenant"
+	if name := message.Header.Repeated(routingFields...); name != "" { // servers may go by the other one
+		return badRequest(name + " is repeated")
 	}
-	timeout, err := strconv.ParseFloat(message.Header.Get(timeoutField), 64)
-	if err != nil || !(timeout > 0) || math.IsInf(timeout, 0) {
-		return r, 400, "X-Timeout is no time"
+	if message.Method != http.MethodPost && (len(message.Body) > 0 || message.Length != 0) {
+		return badRequest("GET with a body")
 	}
-	r.Deadline = arrived.Add(time.Duration(min(timeout, maxTimeout.Seconds()) * float64(time.Second)))
-	r.ClientRetry = message.Header.Get(retriedField) == "1"
-	r.Key, r.HasKey = parseKey(message.Target)
-	return r, 0, ""
+	return rejection{}
 }
 
-// parseKey returns the key that a request's target names. Keys are 16 hex digits; any other text is hashed.
-func parseKey(target string) (uint64, bool) {
+// parseKey returns the key that a request's target names, if any. Keys are 16 hex digits; any other text is
+// hashed.
+func parseKey(target string) (key uint64, ok bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for pair := range strings.SplitSeq(query, "&") {
 		name, value, _ := strings.Cut(pair, "=")
--- a/internal/proxy/ingress/parse_test.go
+++ b/internal/proxy/ingress/parse_test.go
@@ -43,11 +43,12 @@
 		{"GET", "/", head("1", "lookup", "acme", "NaN"), dispatch.Request{}, 400},
 		{"GET", "/", head("1", "lookup", "acme", "Inf"), dispatch.Request{}, 400},
 	} {
-		got, status, _ := s.parse(&http1.Request{Method: c.method, Target: c.target, Header: c.header}, arrived)
-		if status != c.status {
-			t.Errorf("%s %s %v: status %d", c.method, c.target, c.header, status)
+		message := &http1.Request{Method: c.method, Target: c.target, Header: c.header}
+		got, rejection := s.parse(message, arrived)
+		if rejection.status != c.status {
+			t.Errorf("%s %s %v: status %d", c.method, c.target, c.header, rejection.status)
 		}
-		if diff := cmp.Diff(c.want, got); status == 0 && diff != "" {
+		if diff := cmp.Diff(c.want, got); !rejection.rejects() && diff != "" {
 			t.Error(diff)
 		}
 	}
--- a/internal/proxy/ingress/reject.go
+++ b/internal/proxy/ingress/reject.go
@@ -4,6 +4,7 @@
 	"errors"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"time"
 
@@ -12,28 +13,33 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// rejectConn reads one request and refuses it, on a connection for which there is no descriptor left in the
+// rejectConn reads one request and rejects it, on a connection for which there is no descriptor left in the
 // budget: a client whose connection is just closed could not tell what became of its request.
 func (s *Server) rejectConn(nc net.Conn) {
 	defer func() { <-s.rejecting }()
 	defer nc.Close()
 	c := connbuffer.NewConn(nc)
 	c.SetDeadline(time.Now().Add(s.limits.Load().RejectTimeout))
-	q, body, err := http1.ReadRequestHead(c.In)
+	message, body, err := http1.ReadRequestHead(c.In)
 	if err != nil {
 		return
 	}
-	_ = (&http1.Response{Status: 503, Close: true}).Write(c.Out) // Flush returns its error
+	response := http1.Response{Status: http.StatusServiceUnavailable, Close: true}
+	_ = response.Write(c.Out) // Flush returns its error
 	flushErr := c.Flush()
 	if flushErr == nil && !(body.Complete() && c.Quiet()) {
 		defer s.linger(c, s.limits.Load().Linger)
 	}
-	if class, ok := s.classes[q.Header.Get(classField)]; flushErr == nil && ok {
-		s.Stats.Class(class).Dropped.Add()
-		if t := (&client{}); s.RecordUsage != nil {
-			s.startUsage(t, q, class)
-			s.reportUsage(t, &s.Stats.Class(class).Dropped, 0)
-		}
+	class, known := s.classes[message.Header.Get(classField)]
+	if flushErr != nil || !known {
+		return
+	}
+	dropped := &s.Stats.Class(class).Dropped
+	dropped.Add()
+	if s.RecordUsage != nil {
+		usageOnly := &client{}
+		s.startUsage(usageOnly, message, class)
+		s.reportUsage(usageOnly, dropped, 0)
 	}
 }
 
@@ -45,9 +51,9 @@
 	case errors.As(err, &malformed):
 		status = malformed.Status
 	case errors.Is(err, os.ErrDeadlineExceeded) && s.Serving():
-		status = 408
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		status = 503
+		status = http.StatusRequestTimeout
+	case errors.Is(err, os.ErrDeadlineExceeded): // a drain has ended the wait
+		status = http.StatusServiceUnavailable
 	default:
 		return
 	}
@@ -69,14 +75,17 @@
 	}
 }
 
-// countRejected counts a request that cannot be used.
+// countRejected counts and logs a request that is malformed or invalid.
 func (s *Server) countRejected(status int, reason string) {
 	s.Stats.Invalid.Add()
 	s.Log.Warn("ingress: request rejected", logging.Status, status, logging.Err, reason)
 }
 
-// textResponse returns a response of the proxy's own; ends says that the connection ends with it.
-func textResponse(status int, text string, ends bool) *http1.Response {
-	return &http1.Response{Status: status, Body: []byte(text + "\n"), Close: ends,
-		Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}}
+// textResponse returns a local reply, one that the proxy makes itself. closes says that the connection ends
+// with it.
+func textResponse(status int, text string, closes bool) *http1.Response {
+	return &http1.Response{
+		Status: status, Body: []byte(text + "\n"), Close: closes,
+		Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}},
+	}
 }
--- a/internal/proxy/ingress/requestlog.go
+++ b/internal/proxy/ingress/requestlog.go
@@ -7,6 +7,14 @@
 	"cresshub/internal/proxy/logging"
 )
 
+// Outcomes of requests in the request log.
+const (
+	outcomeServed     = "served"
+	outcomeRefused    = "refused" // rejected by the decisions
+	outcomeFailed     = "failed"
+	outcomeClientGone = "gone"
+)
+
 // startLogEntry starts the log entry of a request, where requests are logged.
 func (s *Server) startLogEntry(c *client, id string, request dispatch.Request) {
 	if !s.requestLog.Load().Allow() {
--- a/internal/proxy/ingress/response.go
+++ b/internal/proxy/ingress/response.go
@@ -14,8 +14,8 @@
 // finalResponse is a request's final response and what belongs to it.
 type finalResponse struct {
 	response      *http1.Response   // nil where nobody waits for one
-	outcome       *upstream.Outcome // where response comes from, to be released; nil if it is our own
-	counter       *stats.Counter    // counts it once it is written; nil where its request is of no class
+	outcome       *upstream.Outcome // where response comes from, to be released; nil for a local reply
+	counter       *stats.Counter    // counts it once it is written; nil where its request has no class
 	failedCounter *stats.Counter    // counts it instead if its server breaks it off; set where outcome is
 }
 
@@ -24,14 +24,14 @@
 const sendBuffer = 64 << 10
 
 // writeResponse writes the final response and returns whether all of it was written.
-func (s *Server) writeResponse(c *client, q *http1.Request, f *finalResponse) bool {
+func (s *Server) writeResponse(c *client, message *http1.Request, f *finalResponse) bool {
 	response := f.response
-	if q.Method == "HEAD" && !response.Bodiless {
+	if message.Method == "HEAD" && !response.Bodiless {
 		response.Bodiless, response.Length, response.Body = true, int64(len(response.Body)), nil
 	}
 	limits := s.limits.Load()
 	c.SetWriteDeadline(time.Now().Add(limits.WriteTimeout))
-	w, err := response.Begin(c.Out, q.HTTP10)
+	w, err := response.Begin(c.Out, message.HTTP10)
 	if err == nil {
 		err = c.Flush()
 	}
@@ -65,7 +65,7 @@
 				return false
 			}
 			if c.Flush() != nil {
-				return false // the client is gone
+				return false // the client has disconnected
 			}
 		}
 		switch {
--- a/internal/proxy/ingress/serve.go
+++ b/internal/proxy/ingress/serve.go
@@ -3,29 +3,33 @@
 import (
 	"bufio"
 	"bytes"
+	"net/http"
 	"time"
 
 	"cresshub/internal/http1"
 	"cresshub/internal/proxy/config"
 )
 
+// serveConn is the goroutine of a connection.
 func (s *Server) serveConn(c *client) {
 	for s.serveRequest(c) {
 		s.markIdle(c)
 	}
 }
 
-// serveRequest serves one request; false means that the connection is closed.
+// serveRequest reads one request and responds to it. reusable is false if the connection was closed.
 func (s *Server) serveRequest(c *client) (reusable bool) {
 	limits := s.limits.Load()
 	arriving := s.awaitRequest(c, limits)
-	var q *http1.Request
-	var body *http1.Body
-	var err error
-	reserved := 0
+	var (
+		message  *http1.Request
+		body     *http1.Body
+		reserved int // bytes taken from the budget for bodies
+		err      error
+	)
 	if arriving {
-		if q, body, err = http1.ReadRequestHead(c.In); err == nil {
-			reserved, err = s.bufferBody(c, q, body)
+		if message, body, err = http1.ReadRequestHead(c.In); err == nil {
+			reserved, err = s.bufferBody(c, message, body)
 		}
 	}
 	arrived := time.Now() // a request's time counts from its last byte
@@ -46,10 +50,10 @@
 		return false
 	case body.Complete() && !mayBeginRequest(c.In):
 		// The stated length is wrong: what was read as a complete request is a part of one.
-		s.reject(c, &http1.MalformedError{Status: 400, Reason: "more than one request"})
+		s.reject(c, &http1.MalformedError{Status: http.StatusBadRequest, Reason: "more than one request"})
 		return false
 	}
-	return s.handle(c, q, body, arrived, limits)
+	return s.handle(c, message, body, arrived, limits)
 }
 
 // awaitRequest waits for the first byte of a request; false if none comes in time.
@@ -72,7 +76,7 @@
 
 // handle responds to a request whose body is buffered, or of whose body an attempt reads the rest. It returns
 // whether the connection can be used again.
-func (s *Server) handle(c *client, q *http1.Request, body *http1.Body, arrived time.Time,
+func (s *Server) handle(c *client, message *http1.Request, body *http1.Body, arrived time.Time,
 	limits *config.Clients) (reusable bool) {
 	var u *upload
 	if !body.Complete() {
@@ -81,13 +85,13 @@
 		defer c.upload.Store(nil)
 		defer u.countOut()
 	}
-	f := s.respond(c, q, u, arrived)
+	f := s.respond(c, message, u, arrived)
 	if u != nil && u.malformed() != nil {
 		s.reject(c, u.malformed())
 		f.response = nil
 	}
 	if f.response != nil {
-		reusable = s.sendFinal(c, q, body, &f, limits)
+		reusable = s.sendFinal(c, message, body, &f, limits)
 	}
 	if f.outcome != nil {
 		s.Pool.Release(f.outcome)
@@ -102,14 +106,14 @@
 
 // sendFinal writes the final response and, if the connection ends with it, lingers so that the response is
 // not lost to a reset. It returns whether the connection can be used again.
-func (s *Server) sendFinal(c *client, q *http1.Request, body *http1.Body, f *finalResponse,
+func (s *Server) sendFinal(c *client, message *http1.Request, body *http1.Body, f *finalResponse,
 	limits *config.Clients) (reusable bool) {
 	// What is left of a body is in the way of the next request.
-	f.response.Close = q.Close || s.closesAfterResponse(c) || !body.Complete()
+	f.response.Close = message.Close || s.closesAfterResponse(c) || !body.Complete()
 	if c.usage != nil {
 		c.usage.In = body.BytesRead()
 	}
-	written := s.writeResponse(c, q, f)
+	written := s.writeResponse(c, message, f)
 	switch {
 	case !written: // a regular end of the connection would say that this was all
 	case !body.Complete():
