--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"os"
 	"slices"
 	"strconv"
@@ -13,14 +14,18 @@
 	"cresshub/internal/proxy/dispatch"
 )
 
-// Attempt is one attempt of a request at one server. Its fields are set before Start and not changed after.
+// probeTarget is what a probe requests of a server; the response has its load report.
+const probeTarget = "/stats"
+
+// Attempt is one attempt of a request at one server, or a probe. Its fields are set before Start and not
+// changed by the caller after.
 type Attempt struct {
 	Server   dispatch.ServerID
 	Request  *http1.Request // without X-Timeout
 	Upload   Upload         // what follows Request's Body; nil if that is all
 	StartBy  time.Time      // its first byte must be written before; zero if there is no such bound
 	GiveUpAt time.Time      // it ends as TimedOut then
-	Done     func(Outcome)  // called once, from another goroutine
+	Done     func(Outcome)  // called once, from another goroutine than Start's
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -28,11 +33,11 @@
 	state  atomic.Int32 // attemptPending, attemptStarted or attemptDropped
 }
 
-// The states of an attempt.
+// The states of an attempt. Of begin and Drop the first one decides.
 const (
-	attemptPending = iota
-	attemptStarted // its first byte may be written
-	attemptDropped
+	attemptPending = iota // none of its bytes was written
+	attemptStarted        // its first byte may be written
+	attemptDropped        // its request has ended, so it must not start
 )
 
 // Upload is the part of a request's body that is not buffered. It can be read once, so one attempt alone has
@@ -42,7 +47,7 @@
 	Claim() bool
 	// Read reads the next bytes. io.EOF ends the body, any other error is the client's.
 	Read(p []byte) (int, error)
-	// Sent is called once the last byte is written, and returns until when the response is waited for.
+	// Sent is called once, when the last byte is written, and returns until when the response is waited for.
 	Sent() time.Time
 }
 
@@ -68,38 +73,43 @@
 	}
 }
 
+// initContext sets the context that ends with Cancel or Drop.
 func (a *Attempt) initContext() { a.ctx, a.cancel = context.WithCancel(context.Background()) }
 
-// message is the attempt's request as it is sent now: with the time left as X-Timeout.
+// message is the attempt's request as it is sent now, with the remaining time, in seconds, as X-Timeout.
 func (a *Attempt) message(host string) *http1.Request {
 	if a.probe {
-		return &http1.Request{Method: "GET", Target: "/stats", Header: http1.Header{{Name: "Host", Value: host}}}
+		return &http1.Request{
+			Method: http.MethodGet, Target: probeTarget, Header: http1.Header{{Name: "Host", Value: host}},
+		}
 	}
-	q := *a.Request
-	left := strconv.FormatFloat(time.Until(a.GiveUpAt).Seconds(), 'f', 3, 64)
-	q.Header = append(slices.Clip(q.Header), http1.Field{Name: "X-Timeout", Value: left})
-	if q.Header.Get("Host") == "" { // HTTP/1.0 may come without one
-		q.Header = append(q.Header, http1.Field{Name: "Host", Value: host})
+	message := *a.Request
+	remaining := strconv.FormatFloat(time.Until(a.GiveUpAt).Seconds(), 'f', 3, 64)
+	message.Header = append(slices.Clip(message.Header), http1.Field{Name: "X-Timeout", Value: remaining})
+	if message.Header.Get("Host") == "" { // HTTP/1.0 may come without one
+		message.Header = append(message.Header, http1.Field{Name: "Host", Value: host})
 	}
-	return &q
+	return &message
 }
 
 // method is the method of the attempt's request.
 func (a *Attempt) method() string {
 	if a.probe {
-		return "GET"
+		return http.MethodGet
 	}
 	return a.Request.Method
 }
 
 // classify returns the result of an attempt that got a response.
-func (a *Attempt) classify(r *http1.Response) dispatch.Result {
+func (a *Attempt) classify(response *http1.Response) dispatch.Result {
+	unavailable := response.Status == http.StatusServiceUnavailable
+	timedOut := response.Status == http.StatusGatewayTimeout
 	switch {
-	case r.Status == 200:
+	case response.Status == http.StatusOK:
 		return dispatch.Served
-	case a.probe && r.Status == 503:
-		return dispatch.Rejected // too many probes at once is no sign of an unhealthy server; an error would be
-	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Not-Processed") == "1":
+	case a.probe && unavailable:
+		return dispatch.Rejected // too many probes at once are no sign of an unhealthy server; an error would be
+	case (unavailable || timedOut) && response.Header.Get("X-Not-Processed") == "1":
 		return dispatch.Rejected
 	}
 	return dispatch.ErrorResponse
@@ -118,8 +128,8 @@
 	return a.resultOr(dispatch.Reset)
 }
 
-// resultOr is the result of an attempt whose connection failed: Cancelled where that was our doing, else
-// otherwise.
+// resultOr is the result of an attempt whose connection failed: Cancelled where the attempt was cancelled,
+// else otherwise.
 func (a *Attempt) resultOr(otherwise dispatch.Result) dispatch.Result {
 	if a.ctx.Err() != nil {
 		return dispatch.Cancelled
--- a/internal/proxy/upstream/buffer.go
+++ b/internal/proxy/upstream/buffer.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net/http"
 	"os"
 	"time"
 
@@ -27,8 +28,8 @@
 	read        int  // bytes of the body read so far
 	waitedAt    int  // bytes that had been read when the server was first waited for; -1 before
 
-	began      time.Time
-	bufferTime time.Duration
+	began      time.Time     // when its head had been read
+	bufferTime time.Duration // Limits.BufferTime
 }
 
 // bufferResponse reads the buffered part of a response's body into response.Body. It returns the bytes taken
@@ -39,7 +40,7 @@
 	b := responseBuffer{
 		conn: c, attempt: a, response: response, body: body, waitedAt: -1,
 		reservation: c.pool.bodies.Reservation(body.Length(), http1.MaxBufferedBody),
-		mayStream:   response.Status == 200 && !a.probe, // other large responses are not worth passing on
+		mayStream:   response.Status == http.StatusOK && !a.probe, // only these are passed on to the client
 	}
 	if body.Complete() || b.reservation.Large() && !b.mayStream {
 		return 0, false, nil
@@ -102,9 +103,10 @@
 	return false
 }
 
-// isSlow reports whether the body goes on after a wait, beyond the time for buffering it.
+// isSlow reports whether more of the body came after a wait, and the time for buffering it has passed.
 func (b *responseBuffer) isSlow() bool {
 	return b.waitedAt >= 0 && b.read > b.waitedAt && b.mayStream && time.Since(b.began) > b.bufferTime
 }
 
+// truncate cuts the space that was not read into off the response's body.
 func (b *responseBuffer) truncate() { b.response.Body = b.response.Body[:b.read] }
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -27,6 +27,7 @@
 	lastWasProbe bool     // the last exchange was a probe
 }
 
+// close closes the connection and returns its descriptor to the budget; only the first call has an effect.
 func (c *conn) close() {
 	c.closeOnce.Do(func() {
 		c.netConn.Close()
@@ -50,8 +51,8 @@
 			return
 		}
 		if !usable {
-			// It closed just as it was handed over. No byte of the attempt was written, so on another
-			// connection it is still the first time that it is sent.
+			// It closed just as the attempt was handed over. None of the attempt was written, so on another
+			// connection it is sent for the first time.
 			c.close()
 			go (&conn{pool: c.pool, server: c.server, address: c.address}).run(a)
 			return
@@ -59,7 +60,9 @@
 	}
 }
 
-// serve runs one attempt to its end and lists the connection as idle again; false if it is closed instead.
+// serve runs one attempt to its end and parks the connection as idle again; false if it is closed instead. A
+// connection whose response was read is parked before Done is called, so that what the caller starts then
+// finds it; one whose response streams is parked once the stream was read to its end.
 func (c *conn) serve(a *Attempt) bool {
 	c.lastWasProbe = a.probe
 	outcome, reusable := c.exchange(a)
@@ -97,16 +100,18 @@
 	defer p.mu.Unlock()
 	a, c.next = c.next, nil
 	p.removeIdle(c)
-	// The deadline that wakes this goroutine also ends Read when bytes wait in the system: a duplicate response,
-	// noise, or the end. The next request must not get them for its response.
-	// And MaxIdle may have passed since it was handed over, where this goroutine had to wait for its turn.
+	// The deadline that wakes this goroutine also ends Read when there are unread bytes in the kernel's
+	// buffer: a duplicate response, garbage, or the end of the connection. The next request must not get
+	// them for its response. And MaxIdle may have passed since reuseIdle, if this goroutine was scheduled
+	// late.
 	return a, errors.Is(err, os.ErrDeadlineExceeded) &&
 		(a == nil || c.netConn.Quiet() && time.Since(c.idleSince) <= p.limits.Load().MaxIdle)
 }
 
 var dialer = net.Dialer{KeepAlive: -1} // every exchange has a deadline of its own
 
-// dial opens the connection. If it returns false the attempt never ran, and ends with the result.
+// dial opens the connection, for which the attempt's own times and Limits.Dial are the bounds. If it returns
+// false the attempt never ran, and ends with the result.
 func (c *conn) dial(a *Attempt) (dispatch.Result, bool) {
 	if !c.pool.budget.Acquire(descriptors.Servers) {
 		return dispatch.Skipped, false
@@ -116,8 +121,8 @@
 	if !a.StartBy.IsZero() && a.StartBy.Before(latest) {
 		latest = a.StartBy
 	}
-	attemptBounds := latest.Before(deadline)
-	if attemptBounds {
+	boundByAttempt := latest.Before(deadline)
+	if boundByAttempt {
 		deadline = latest
 	}
 	ctx, cancel := context.WithDeadline(a.ctx, deadline)
@@ -132,8 +137,8 @@
 	switch {
 	case a.ctx.Err() != nil:
 		return dispatch.Cancelled, false
-	case attemptBounds && ctx.Err() != nil:
-		return dispatch.Skipped, false // the attempt's time was over before the server's
+	case boundByAttempt && ctx.Err() != nil:
+		return dispatch.Skipped, false // the attempt's time was over before the server had its full time
 	}
 	return dispatch.NoConnection, false
 }
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -13,12 +13,12 @@
 // exchange sends one request and reads its response, or the beginning of a large one. reusable reports
 // whether the connection may be used again once all of the response is read.
 func (c *conn) exchange(a *Attempt) (outcome Outcome, reusable bool) {
-	if result, untouched := c.begin(a); result != dispatch.Served {
-		return Outcome{Result: result}, untouched
+	if result, stillUsable := c.begin(a); result != dispatch.Served {
+		return Outcome{Result: result}, stillUsable
 	}
-	stop := context.AfterFunc(a.ctx, func() { c.netConn.Close() })
-	if result := c.send(a); result != dispatch.Served { // the last byte was not written: it never ran
-		stop()
+	stopClosing := context.AfterFunc(a.ctx, func() { c.netConn.Close() })
+	if result := c.send(a); result != dispatch.Served { // the last byte was not written, so it never ran
+		stopClosing()
 		return Outcome{Result: result}, false
 	}
 	if !a.probe {
@@ -29,7 +29,7 @@
 	if err == nil {
 		outcome.reserved, streaming, err = c.bufferResponse(a, response, body)
 	}
-	uninterrupted := stop()
+	uninterrupted := stopClosing()
 	if err != nil {
 		c.pool.Release(&outcome)
 		return Outcome{Result: a.receiveFailure(err)}, false
@@ -50,8 +50,8 @@
 }
 
 // begin marks the attempt as started and returns Served, or the result of an attempt that must not start any
-// more and whether the connection may still be used. The list may have changed while the attempt was dialling
-// or waiting: a drain binds from the first byte on.
+// more, and whether the connection may still be used. The list is looked at again, as it may have changed
+// while the attempt was dialling or waiting: none may begin at a server that drains.
 func (c *conn) begin(a *Attempt) (result dispatch.Result, reusable bool) {
 	address, listed := c.pool.directory.Address(a.Server)
 	switch {
@@ -95,8 +95,8 @@
 		return a.resultOr(dispatch.NoConnection)
 	}
 	if err := c.upload(a, w); err != nil {
-		// The client stopped, or the server would not have the body. Neither counts as a server out of reach:
-		// a bad client could have it ejected.
+		// The client stopped, or the server did not accept the body. Neither may count as an unreachable server,
+		// or a faulty client could have servers ejected.
 		return a.resultOr(dispatch.Skipped)
 	}
 	if c.netConn.Flush() != nil {
--- a/internal/proxy/upstream/idle.go
+++ b/internal/proxy/upstream/idle.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// probedSearchDepth is how many of the connections used last are searched for one whose last exchange was a
-// probe; a server may have hundreds.
+// probedSearchDepth bounds how many of the connections used last are searched for one whose last exchange was
+// a probe: a server may have hundreds.
 const probedSearchDepth = 16
 
 // pastDeadline is a read deadline that wakes a goroutine from Read at once.
@@ -27,7 +27,7 @@
 	}
 	c := list[i]
 	if c.address != address || now.Sub(c.idleSince) > limits.MaxIdle {
-		return false // all before it are older still, and close by themselves
+		return false // all before it were used longer ago still, and close by themselves
 	}
 	p.idle[a.Server] = slices.Delete(list, i, i+1)
 	c.next = a
--- a/internal/proxy/upstream/loadreport.go
+++ b/internal/proxy/upstream/loadreport.go
@@ -8,15 +8,15 @@
 	"cresshub/internal/http1"
 )
 
-// reportFormat says where the values of a load report, "name=value,...", go.
+// reportFormat is the order of the values of a load report, whose text is "name=value,...".
 type reportFormat struct {
 	index map[string]int // position by name, synonyms included
 	size  int            // number of values
 }
 
-// loadSynonyms are other names for those of the settings. Some servers use the settings' names, some these. A
-// report that isn't understood looks like none, and without reports the balancer overloads servers although
-// every request is still answered; so both are read.
+// loadSynonyms are the names that some servers use, by the settings' names, which other servers use. Both are
+// read: a report that isn't understood counts as none, and without reports the balancer overloads servers
+// although every request is still answered.
 var loadSynonyms = map[string]string{
 	"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms", "rps": "qps",
 	"err_rps": "eps",
@@ -43,7 +43,8 @@
 	if text == "" || f.size == 0 {
 		return nil
 	}
-	values, present := make([]float64, f.size), 0 // present has a bit for each value
+	values := make([]float64, f.size)
+	present := 0 // a bit for each value that was found
 	for field := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(field, "=")
 		i, ok := f.index[strings.TrimSpace(name)]
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -86,13 +86,13 @@
 	p.start(a)
 }
 
-// Probe asks a server for its load and returns; done is called once, from another goroutine, with the time
-// from here to the end of the response.
+// Probe asks a server for its load report and returns; done is called once, from another goroutine, with the
+// time that passed since the call of Probe. load is nil if no report came.
 func (p *Pool) Probe(
-	s dispatch.ServerID, done func(res dispatch.Result, took time.Duration, load []float64),
+	server dispatch.ServerID, done func(result dispatch.Result, took time.Duration, load []float64),
 ) {
 	began := time.Now()
-	a := &Attempt{Server: s, probe: true, GiveUpAt: began.Add(p.limits.Load().Probe)}
+	a := &Attempt{Server: server, probe: true, GiveUpAt: began.Add(p.limits.Load().Probe)}
 	a.Done = func(o Outcome) {
 		a.cancel()
 		p.stats.Probes.Add(int(o.Result))
@@ -103,8 +103,8 @@
 	p.start(a)
 }
 
-// countMissingReport counts probes that were answered without a load report that can be read: without reports
-// the decisions are blind.
+// countMissingReport counts probes that were answered without a readable load report. A server that never
+// sends one is loaded without regard to its queue.
 func (p *Pool) countMissingReport(outcome Outcome) {
 	if outcome.Result == dispatch.Served && outcome.Load == nil && p.reportFormat.size > 0 {
 		p.stats.ProbesWithoutReport.Add()
@@ -126,8 +126,8 @@
 	go (&conn{pool: p, server: a.Server, address: address}).run(a)
 }
 
-// Release returns the memory that an outcome reserves and closes its Stream; a stream that was not read to
-// its end is aborted. A second call is a no-op.
+// Release returns the memory that an outcome has taken from the budget for bodies, and closes its Stream; a
+// stream that was not read to its end is aborted. A second call is a no-op.
 func (p *Pool) Release(o *Outcome) {
 	p.bodies.Release(o.reserved)
 	o.reserved = 0
--- a/internal/proxy/upstream/stream.go
+++ b/internal/proxy/upstream/stream.go
@@ -23,5 +23,6 @@
 	return s.body.Read(p)
 }
 
-// finish returns the connection to its goroutine; only the first call has an effect.
+// finish gives the connection back to its goroutine; only the first call has an effect. It does not block, as
+// complete has room for its one value.
 func (s *Stream) finish() { s.once.Do(func() { s.complete <- s.body.Complete() }) }
