--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -8,8 +8,9 @@
 // leave it a request and return at once. All exported methods but Run may be called from any goroutine, and
 // the list (table) has a lock of its own.
 //
-// A drain binds from the moment the registry has it. So a watch that is silent for too long counts as lost,
-// and what it may have missed is asked for soon, with delays that are spread over all client proxies.
+// A drain binds from the moment the registry has it, whether or not a watch has delivered it. So a watch
+// that is silent for too long counts as lost, and what it may have missed is asked for soon, with random
+// delays, so that client proxies don't ask all at once.
 package discovery
 
 import (
@@ -29,7 +30,7 @@
 // Limits bound watches; they may change while one is open.
 type Limits struct {
 	// WatchTimeout is how long a watch may be silent. The registry sends something every 2 s; silence means that
-	// changes may be lost, which bind whether they arrived or not.
+	// changes may have been lost.
 	WatchTimeout time.Duration
 	// MaxListBytes bounds one document.
 	MaxListBytes int
@@ -57,9 +58,9 @@
 // Names are the names of zones and kinds in the settings, in their order.
 type Names struct{ Zones, Kinds []string }
 
-// Feed says where lists come from.
+// Feed says where lists come from. With the zero Feed it is the registry.
 type Feed struct {
-	ReplaceOnly bool   // from Replace alone: nothing is asked of the registry
+	ReplaceOnly bool   // lists come by Replace alone, and the registry is not called
 	Token       uint64 // fencing token that calls to the registry carry, 0 for none
 }
 
@@ -70,14 +71,14 @@
 	connect         func(ctx context.Context, address string) (net.Conn, error)
 	limits          atomic.Pointer[Limits]
 	sink            Sink
-	changed         func() // called after each list
+	changed         func() // called after each list that was applied
 	budget          *descriptors.Budget
 	stats           *stats.Set
 	log             *slog.Logger
 	onTokenRejected func(token uint64, why string)
 	startTime       time.Time    // lastReceived counts from here, by the monotonic clock
-	lastReceived    atomic.Int64 // when a watch last received something, in ns; 0 for never
-	deliverMu       sync.Mutex   // keeps documents in one order in the table and at the sink
+	lastReceived    atomic.Int64 // when a watch last received something, in ns since startTime; 0 for never
+	deliverMu       sync.Mutex   // keeps documents in the same order in the table and at the sink
 
 	// What Run is asked to do. Of several requests of a kind only the last counts.
 	followRequests chan struct{}
@@ -94,8 +95,8 @@
 	previous     *watch // at the address before; it stays open until current is synced
 	unsynced     bool   // no full list from address yet
 	watchCount   int64  // watches opened
-	quickReopens int    // reopened unasked since the last time-out, within TimeoutReopenDelay each
-	retries      int    // since the move, or since a watch last delivered something
+	quickReopens int    // watches reopened without Follow since one timed out, within TimeoutReopenDelay each
+	retries      int    // failed calls since the move, or since a watch last delivered something
 }
 
 // New returns a Client that knows no server. dial bounds the time for a connection.
@@ -119,8 +120,8 @@
 // SetLimits changes the limits, also of an open watch.
 func (c *Client) SetLimits(l Limits) { c.limits.Store(&l) }
 
-// OnTokenRejected sets what is called where the registry rejects a call for its fencing token. It is called
-// before Run.
+// OnTokenRejected sets what is called where the registry rejects a call for its fencing token. It must be
+// called before Run.
 func (c *Client) OnTokenRejected(reject func(token uint64, why string)) { c.onTokenRejected = reject }
 
 // Follow asks for changes from now on; it returns at once. While a watch is open it is a no-op.
@@ -141,7 +142,8 @@
 // where none is wanted, are cancelled.
 func (c *Client) Feed(f Feed) { replaceLast(c.feedChanges, f) }
 
-// replaceLast puts a request into a channel with room for one, in place of what is there.
+// replaceLast puts a request into a channel with room for one, in place of a request that was not received
+// yet.
 func replaceLast[T any](requests chan T, last T) {
 	select {
 	case <-requests:
@@ -158,4 +160,5 @@
 	return time.Time{}
 }
 
+// markReceived records that a watch has received something now.
 func (c *Client) markReceived() { c.lastReceived.Store(max(1, int64(time.Since(c.startTime)))) }
--- a/internal/proxy/discovery/run.go
+++ b/internal/proxy/discovery/run.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxQuickReopens is how many watches are opened unasked, and soon, after one that timed out.
+	// maxQuickReopens is how many watches are reopened soon and without Follow after one that timed out.
 	maxQuickReopens = 2
 	// The delay before retry n, from 1 on, is spread around retryBase<<n; n counts up to maxRetryShift.
 	retryBase     = 200 * time.Millisecond
@@ -21,7 +21,7 @@
 // Run opens watches as it is asked to, until ctx ends; it is called once. changed is called after each list.
 func (c *Client) Run(ctx context.Context, sink Sink, changed func()) {
 	c.sink, c.changed = sink, changed
-	retry := time.NewTimer(time.Hour)
+	retry := time.NewTimer(time.Hour) // handleEnd sets it; when it fires otherwise nothing is due
 	defer retry.Stop()
 	c.begin(ctx)
 	for {
@@ -89,12 +89,13 @@
 		c.previous = c.current
 	}
 	c.address, c.unsynced, c.retries = address, true, 0
-	if c.current = nil; c.mayOpen() {
+	c.current = nil
+	if c.mayOpen() {
 		c.open(ctx, true)
 	}
 }
 
-// applyFeed changes where lists come from.
+// applyFeed changes where lists come from: it stops the open watches, and what they still deliver is ignored.
 func (c *Client) applyFeed(ctx context.Context, f Feed) {
 	if f == c.feed {
 		return
@@ -109,6 +110,7 @@
 	}
 }
 
+// replace applies a list that came by Replace.
 func (c *Client) replace(raw []byte) {
 	if err := c.deliver(nil, raw); err != nil {
 		c.log.Error("discovery: replacement list rejected, the present one stays", logging.Err, err)
@@ -126,8 +128,8 @@
 }
 
 // handleEnd handles the end of a watch and returns the delay before the next one is opened without Follow, 0
-// for never. That is done after a move, after a time-out, and where changes bind at once: nobody would call
-// Follow then, and the changes that the registry has meanwhile bind.
+// if none is. One is opened after a move, after a time-out, and where watches don't wait for Follow: in these
+// cases nobody would call it, and the changes that the registry has meanwhile bind.
 func (c *Client) handleEnd(w *watch) time.Duration {
 	w.cancel()
 	if w == c.previous {
@@ -151,7 +153,7 @@
 	if c.unsynced || c.followsAlways() {
 		return c.retryDelay()
 	}
-	select { // Follow was called while the watch was open
+	select { // a Follow from while the watch was open is a no-op
 	case <-c.followRequests:
 	default:
 	}
@@ -160,9 +162,9 @@
 }
 
 // quickReopenDelay is the delay before a watch is reopened after a time-out, 0 if it is not reopened for
-// that. What a silent watch misses, be it one that never delivered anything, binds at a time of its own,
-// whatever the time until the next Follow: so one call after it that fails is made again, too. Calls that get
-// no connection, as from a partitioned zone, do not count, for they cost the registry nothing.
+// that reason. What a silent watch missed may bind before the next Follow, so a call after it that fails is
+// repeated once. Calls that get no connection, as from a partitioned zone, don't count, for they cost the
+// registry nothing.
 func (c *Client) quickReopenDelay(err error) time.Duration {
 	timedOut := errors.Is(err, errWatchTimeout) || errors.Is(err, os.ErrDeadlineExceeded)
 	if c.quickReopens == 0 && !timedOut {
@@ -175,11 +177,12 @@
 		c.quickReopens = 0
 		return 0
 	}
-	return 1 + time.Duration(rand.Float64()*float64(c.limits.Load().TimeoutReopenDelay()))
+	spread := rand.Float64() * float64(c.limits.Load().TimeoutReopenDelay())
+	return time.Nanosecond + time.Duration(spread) // never 0
 }
 
-// retryDelay is the delay before a failed call is made again. All client proxies learn of a move in the same
-// moment, so it is spread.
+// retryDelay is the delay before a failed call is made again: exponential backoff with jitter, because all
+// client proxies learn of a move at the same moment.
 func (c *Client) retryDelay() time.Duration {
 	c.retries++
 	delay := retryBase << min(c.retries, maxRetryShift)
--- a/internal/proxy/discovery/table.go
+++ b/internal/proxy/discovery/table.go
@@ -17,6 +17,7 @@
 	"cresshub/internal/proxy/serverlist"
 )
 
+// states are the states of servers by their names in lists.
 var states = map[string]balance.ServerState{
 	"in_service": balance.Up, "terminating": balance.Draining, "terminated": balance.Removed,
 }
@@ -174,10 +175,11 @@
 		Started: time.Duration(math.Round(e.SinceMS*1000)) * time.Microsecond,
 	}
 	t.endpoints[e.Name] = *e
-	switch delete(t.addresses, s.ID); s.State {
+	delete(t.addresses, s.ID)
+	switch s.State {
 	case balance.Up:
 		t.addresses[s.ID] = e.Address
-	case balance.Removed: // or names would pile up where no full list ever comes
+	case balance.Removed: // otherwise names would accumulate where no full list ever comes
 		delete(t.idByName, e.Name)
 		delete(t.endpoints, e.Name)
 		delete(t.nameByID, s.ID)
@@ -185,7 +187,7 @@
 	return s
 }
 
-// position returns a name's position; an unknown name is appended.
+// position returns a name's position in names; an unknown one is appended.
 func position(names *[]string, name string) int {
 	i := slices.Index(*names, name)
 	if i < 0 {
@@ -195,8 +197,8 @@
 	return i
 }
 
-// serverID gives a name its id, a hash of it: all client proxies must agree on ids, for the decisions place
-// keys by them. Only where two names collide does an id depend on which came first.
+// serverID returns the id of a name, which is a hash of it: all client proxies must agree on ids, because the
+// decisions hash keys to them. Only where two names collide does an id depend on which name came first.
 func (t *table) serverID(name string) dispatch.ServerID {
 	if s, ok := t.idByName[name]; ok {
 		return s
--- a/internal/proxy/discovery/valuereader.go
+++ b/internal/proxy/discovery/valuereader.go
@@ -19,10 +19,11 @@
 
 	decoder   *json.Decoder
 	inValue   bool      // a value has begun
-	deadline  time.Time // of the value, or of the heartbeat before it
+	deadline  time.Time // for the rest of the value, or for the next byte where none has begun
 	remaining int       // bytes that the value may still have
 }
 
+// newValueReader returns a reader of body, which setDeadline bounds.
 func newValueReader(
 	body io.Reader, limits func() Limits, setDeadline func(time.Time), onReceive func(),
 ) *valueReader {
@@ -50,7 +51,7 @@
 // space is what JSON allows between values.
 const space = " \t\r\n"
 
-// Read reads for the decoder.
+// Read reads for the decoder, within the deadline and up to MaxListBytes of one value.
 func (v *valueReader) Read(p []byte) (int, error) {
 	if v.remaining <= 0 {
 		return 0, fmt.Errorf("an object of more than %d bytes", v.limits().MaxListBytes)
@@ -60,9 +61,13 @@
 	}
 	v.setDeadline(v.deadline)
 	n, err := v.body.Read(p[:min(len(p), v.remaining)])
-	if v.inValue = v.inValue || len(bytes.TrimLeft(p[:n], space)) > 0; v.inValue {
+	if len(bytes.TrimLeft(p[:n], space)) > 0 {
+		v.inValue = true
+	}
+	switch {
+	case v.inValue:
 		v.remaining -= n
-	} else if n > 0 {
+	case n > 0:
 		v.onReceive()
 	}
 	return n, err
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"strconv"
 	"time"
@@ -22,11 +23,14 @@
 	errIndexFell    = errors.New("discovery's index fell, the full list is asked for")
 )
 
+// listTarget is the registry's list of servers.
+const listTarget = "/registry/instances"
+
 // watch is one call to the registry that stays open.
 type watch struct {
-	number   int64 // rises from watch to watch
+	number   int64 // higher than those of all watches before
 	address  string
-	fullList bool   // begins with the full list: the index of the present one is another service's
+	fullList bool   // it begins with the full list, as the index of the present list may mean nothing here
 	token    uint64 // fencing token, 0 for none
 	cancel   context.CancelFunc
 
@@ -47,6 +51,7 @@
 	return w
 }
 
+// stopWatch ends a watch, unless w is nil.
 func (c *Client) stopWatch(w *watch) {
 	if w != nil {
 		w.cancel()
@@ -61,7 +66,7 @@
 	}
 }
 
-// runWatch connects and delivers documents until the watch ends, which is always an error.
+// runWatch connects and delivers documents until the watch ends. It always returns an error, which says why.
 func (c *Client) runWatch(ctx context.Context, w *watch) error {
 	if !c.budget.Acquire(descriptors.Servers) {
 		return errors.New("no socket left")
@@ -113,7 +118,8 @@
 			err = errWatchTimeout
 		}
 		if err == nil {
-			err, w.delivered = c.deliver(w, list), true
+			err = c.deliver(w, list)
+			w.delivered = true
 		}
 		if err != nil {
 			return err
@@ -124,22 +130,25 @@
 // get makes one call and returns the body of its response.
 func (c *Client) get(conn *connbuffer.Conn, w *watch, query string) (io.Reader, error) {
 	conn.SetDeadline(time.Now().Add(c.limits.Load().WatchTimeout))
-	q := http1.Request{Method: "GET", Target: "/registry/instances" + query,
-		Header: http1.Header{{Name: "Host", Value: w.address}}}
+	request := http1.Request{
+		Method: http.MethodGet, Target: listTarget + query,
+		Header: http1.Header{{Name: "Host", Value: w.address}},
+	}
 	if w.token > 0 {
-		q.Header = append(q.Header, http1.Field{Name: lease.TokenHeader, Value: strconv.FormatUint(w.token, 10)})
+		token := http1.Field{Name: lease.TokenHeader, Value: strconv.FormatUint(w.token, 10)}
+		request.Header = append(request.Header, token)
 	}
-	if err := q.Write(conn.Out); err != nil {
+	if err := request.Write(conn.Out); err != nil {
 		return nil, err
 	}
 	if err := conn.Flush(); err != nil {
 		return nil, err
 	}
 	status, body, err := http1.ReadStream(conn.In)
-	if status == 409 && w.token > 0 {
+	if status == http.StatusConflict && w.token > 0 {
 		c.onTokenRejected(w.token, "discovery answered 409")
 	}
-	if err == nil && status != 200 {
+	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("discovery answered %d", status)
 	}
 	return body, err
--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -1,91 +1,94 @@
-// Package drain decides how a proxy sends its clients away: for a while, by an operator's lame duck call, or
-// for good, once it shuts down. Idle connections close first, so that clients find another proxy before
-// requests are refused; a request that has begun always gets its response.
+// Package drain decides how a proxy drains: which connections of clients close when, so that clients find
+// another proxy. A drain is temporary (lame duck, as in the Google SRE book), by an operator's call, or
+// final, once the process shuts down. Idle connections close first, so that clients move on before
+// requests are rejected; a request that has arrived always gets its response.
 //
-// It is a pure state machine: whoever keeps a State (package ingress) passes in the time and does what Plan
-// says. A State is a value, which any goroutine may read.
+// It is a pure state machine: the caller (package ingress) passes in the time and does what Plan says. A
+// State is an immutable value, which any goroutine may read.
 package drain
 
 import "time"
 
-// Times are how long after the beginning of a drain each step follows.
+// Times are how long after the beginning of a drain each of its steps begins.
 type Times struct {
-	CloseIdle    time.Duration // connections close that were idle when it began
-	AcceptFor    time.Duration // new connections are no longer accepted; at a shutdown alone
-	CloseAll     time.Duration // all idle connections close, also those that came since
-	ClosePartial time.Duration // incomplete requests close too; at a shutdown with CloseAll at the latest
+	CloseIdle    time.Duration // connections close that have been idle since the drain began
+	AcceptFor    time.Duration // new connections are no longer accepted; at a shutdown only
+	CloseAll     time.Duration // all idle connections close, also those that became idle since
+	ClosePartial time.Duration // connections with an incomplete request close; at a shutdown by CloseAll
 }
 
-// State tells which drains are on and since when. The zero State serves.
+// State is which drains are on and since when. In the zero State none is.
 type State struct {
-	lameSince time.Time // of the lame duck state; zero where it is off
-	endSince  time.Time // of the shutdown; zero before it
+	lameDuckSince time.Time // zero where there is no temporary drain
+	shutdownSince time.Time // zero before the shutdown
 }
 
-// LameDuck returns the state after an operator's call, which begins or ends the drain for a while. Beginning
-// it again changes nothing, and nothing undoes End.
+// LameDuck returns the state after an operator's call, which begins or ends the temporary drain. To begin it
+// again changes nothing, and nothing undoes End.
 func (s State) LameDuck(on bool, now time.Time) State {
 	switch {
 	case !on:
-		s.lameSince = time.Time{}
-	case s.lameSince.IsZero():
-		s.lameSince = now
+		s.lameDuckSince = time.Time{}
+	case s.lameDuckSince.IsZero():
+		s.lameDuckSince = now
 	}
 	return s
 }
 
 // End returns the state after a signal to shut down; only the first one counts.
 func (s State) End(now time.Time) State {
-	if s.endSince.IsZero() {
-		s.endSince = now
+	if s.shutdownSince.IsZero() {
+		s.shutdownSince = now
 	}
 	return s
 }
 
 // Serving reports whether no drain is on.
-func (s State) Serving() bool { return s.lameSince.IsZero() && s.endSince.IsZero() }
+func (s State) Serving() bool { return s.lameDuckSince.IsZero() && s.shutdownSince.IsZero() }
 
 // Ending reports whether the process shuts down.
-func (s State) Ending() bool { return !s.endSince.IsZero() }
+func (s State) Ending() bool { return !s.shutdownSince.IsZero() }
 
-// Plan is what a state means at one moment.
+// Plan is what the caller has to do in a state at one moment. The zero Plan asks for nothing.
 type Plan struct {
-	// IdleBefore: connections that have been idle since before this time are to close; zero for none.
+	// IdleBefore is the time before which the connections that are to close became idle; zero if none are.
 	IdleBefore time.Time
-	// PartialBefore: so are those with an incomplete request that began before this time; zero for none.
+	// PartialBefore is the same for the beginning of requests that are still incomplete.
 	PartialBefore time.Time
-	// StopAccepting: new connections are no longer accepted.
+	// StopAccepting says that new connections are no longer accepted.
 	StopAccepting bool
-	// LastResponse: the next response on each connection is its last, also where a further request has come.
+	// LastResponse says that the next response on each connection is its last, even if another request has
+	// already arrived there.
 	LastResponse bool
-	// MayExit: the process may exit once no connection is open.
+	// MayExit says that the process may exit once no connection is open.
 	MayExit bool
 }
 
-// Plan returns what is to be done at a moment. Where both drains are on, the one that has got further counts.
-func (s State) Plan(now time.Time, t Times) Plan {
-	var p Plan
-	for _, began := range []time.Time{s.lameSince, s.endSince} {
-		if began.IsZero() {
+// Plan returns what is to be done now. Where both drains are on, the one that has got further counts.
+func (s State) Plan(now time.Time, times Times) Plan {
+	var plan Plan
+	for _, since := range []time.Time{s.lameDuckSince, s.shutdownSince} {
+		if since.IsZero() {
 			continue
 		}
-		age := now.Sub(began)
-		if age >= t.CloseIdle && began.After(p.IdleBefore) {
-			p.IdleBefore = began
+		age := now.Sub(since)
+		if age >= times.CloseIdle && since.After(plan.IdleBefore) {
+			plan.IdleBefore = since
 		}
-		if age >= t.CloseAll {
-			p.IdleBefore, p.LastResponse = now, true
+		if age >= times.CloseAll {
+			plan.IdleBefore, plan.LastResponse = now, true
 		}
-		if age >= t.ClosePartial {
-			p.PartialBefore = now
+		if age >= times.ClosePartial {
+			plan.PartialBefore = now
 		}
 	}
-	if !s.endSince.IsZero() {
-		age := now.Sub(s.endSince)
-		if age >= t.CloseAll { // the process may be killed before a later request has its response
-			p.PartialBefore = now
+	if s.Ending() {
+		age := now.Sub(s.shutdownSince)
+		if age >= times.CloseAll { // the process may be killed before a later request has its response
+			plan.PartialBefore = now
 		}
-		p.StopAccepting, p.MayExit = age >= t.AcceptFor, age >= t.CloseAll && age >= t.AcceptFor
+		plan.StopAccepting = age >= times.AcceptFor
+		plan.MayExit = age >= times.CloseAll && age >= times.AcceptFor
 	}
-	return p
+	return plan
 }
--- a/internal/proxy/handover/handover.go
+++ b/internal/proxy/handover/handover.go
@@ -28,10 +28,11 @@
 )
 
 const (
-	maxTerms     = 64 << 20        // bytes of the Terms, of which the list of servers is the largest part
-	replyTimeout = 2 * time.Second // for one write to the other process
-	readyByte    = 'R'             // the successor accepts clients
-	maxUnixPath  = 100             // bytes; a longer path doesn't fit into a Unix address
+	maxTerms        = 64 << 20        // bytes of the Terms, of which the list of servers is the largest part
+	writeTimeout    = 2 * time.Second // for one message to the other process
+	readyByte       = 'R'             // the successor accepts clients
+	maxUnixPath     = 100             // bytes; a longer path doesn't fit into a Unix address
+	descriptorBytes = 4               // size of one file descriptor in a control message
 )
 
 // Terms are what the incumbent tells its successor.
@@ -49,8 +50,9 @@
 	return filepath.Join(dir, "cresshub-"+strconv.FormatUint(h.Sum64(), 36)+".sock")
 }
 
-// shortPath returns a path to the same file that fits into a Unix address, and what releases it after use.
-func shortPath(path string) (string, func(), error) {
+// shortPath returns a path to the same file that fits into a Unix address. It is valid until release is
+// called.
+func shortPath(path string) (short string, release func(), err error) {
 	if len(path) <= maxUnixPath {
 		return path, func() {}, nil
 	}
@@ -62,7 +64,7 @@
 }
 
 // checkPeerUser returns an error unless the other side is a process of the same user or of root: in a
-// directory that others may write to, a stranger must not get our clients.
+// directory that others may write to, another user's process must not get the clients of this one.
 func checkPeerUser(c *net.UnixConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/proxy/handover/incumbent.go
+++ b/internal/proxy/handover/incumbent.go
@@ -29,10 +29,10 @@
 type Offer struct {
 	listener   *net.UnixListener
 	path       string
-	socketFile os.FileInfo
+	socketFile os.FileInfo // of the socket that this process made at path
 }
 
-// Listen makes this process the one that is found at path, in the place of any other.
+// Listen makes this process the one that successors find at path, in place of any other process.
 func Listen(path string) (*Offer, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -47,8 +47,8 @@
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then the name may be a successor's
-	// The rename replaces the other's file atomically, and only once this socket listens.
+	l.SetUnlinkOnClose(false) // by then a successor's socket may have this name
+	// The rename replaces another process's socket atomically, and only once this one listens.
 	if err := os.Rename(temporary, path); err != nil {
 		return nil, errors.Join(err, l.Close(), os.Remove(temporary))
 	}
@@ -59,43 +59,45 @@
 	return &Offer{l, path, socketFile}, nil
 }
 
-// Close ends the offer and removes its file, unless that is a successor's by now.
+// Close ends Serve and removes the socket's file, unless a successor has replaced it by its own. Errors are
+// ignored: a file that stays refuses connections, which Join takes for no process.
 func (o *Offer) Close() {
-	_ = o.listener.Close() // it only ends Serve
+	_ = o.listener.Close()
 	if file, err := os.Lstat(o.path); err == nil && os.SameFile(file, o.socketFile) {
-		_ = os.Remove(o.path) // Join takes a file that stays for none
+		_ = os.Remove(o.path)
 	}
 }
 
 // Serve accepts successors until Close.
-func (o *Offer) Serve(in Incumbent) {
+func (o *Offer) Serve(incumbent Incumbent) {
 	for {
 		c, err := o.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		go serveSuccessor(c, in)
+		go serveSuccessor(c, incumbent)
 	}
 }
 
-// serveSuccessor sends one successor the terms and follows it until it exits.
-func serveSuccessor(c *net.UnixConn, in Incumbent) {
-	defer func() { _ = c.Close() }() // the successor has what was written, or has gone
+// serveSuccessor sends one successor the terms and watches its connection until it exits. An error ends the
+// handover to this successor only.
+func serveSuccessor(c *net.UnixConn, incumbent Incumbent) {
+	defer func() { _ = c.Close() }() // nothing unsent can be lost: the successor has all, or has exited
 	if checkPeerUser(c) != nil {
 		return
 	}
-	terms, socket, err := in.SuccessorJoined()
+	terms, socket, err := incumbent.SuccessorJoined()
 	if err != nil {
 		return
 	}
-	defer in.SuccessorExited()
+	defer incumbent.SuccessorExited()
 	if sendTerms(c, terms, socket) != nil {
 		return
 	}
 	var message [1]byte
 	if _, err := io.ReadFull(c, message[:]); err == nil && message[0] == readyByte {
-		in.SuccessorReady()
-		_, _ = io.Copy(io.Discard, c) // any end is the successor's exit
+		incumbent.SuccessorReady()
+		_, _ = io.Copy(io.Discard, c) // however the connection ends, the successor has exited
 	}
 }
 
@@ -109,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.SetDeadline(time.Now().Add(replyTimeout)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
 	controlErr := raw.Control(func(fd uintptr) {
--- a/internal/proxy/handover/successor.go
+++ b/internal/proxy/handover/successor.go
@@ -19,12 +19,12 @@
 	Terms
 	Listener net.Listener // the predecessor's own socket, shared
 	conn     *net.UnixConn
-	exited   chan struct{}
+	exited   chan struct{} // closed when conn has ended
 }
 
-// Join takes the listening socket over from the process that serves at path, and waits for it no longer than
-// the timeout. It returns nil and no error where there is no such process; a socket file that a killed
-// process left behind counts as none.
+// Join takes the listening socket over from the process that serves at path, within the timeout. It returns
+// nil and no error where there is no such process; a socket file that a killed process left behind counts as
+// none.
 func Join(path string, timeout time.Duration) (*Predecessor, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, nil
@@ -49,7 +49,7 @@
 	}
 	conn.SetDeadline(time.Time{})
 	go func() {
-		_, _ = io.Copy(io.Discard, conn) // nothing more comes: any end is the predecessor's exit
+		_, _ = io.Copy(io.Discard, conn) // however the connection ends, the predecessor has exited
 		close(p.exited)
 	}()
 	return p, nil
@@ -61,12 +61,12 @@
 		return err
 	}
 	var size [4]byte
-	rights := make([]byte, unix.CmsgSpace(4))
-	n, oob, _, _, err := p.conn.ReadMsgUnix(size[:], rights)
+	rights := make([]byte, unix.CmsgSpace(descriptorBytes))
+	n, rightsBytes, _, _, err := p.conn.ReadMsgUnix(size[:], rights)
 	if err != nil {
 		return err
 	}
-	file, err := socketOf(rights[:oob])
+	file, err := receivedSocket(rights[:rightsBytes])
 	if err != nil {
 		return err
 	}
@@ -89,8 +89,8 @@
 	return err
 }
 
-// socketOf returns the one socket that came as a control message.
-func socketOf(rights []byte) (*os.File, error) {
+// receivedSocket returns the one socket that came as a control message. The caller closes it.
+func receivedSocket(rights []byte) (*os.File, error) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil, fmt.Errorf("no socket came with the terms: %w", err)
@@ -111,7 +111,7 @@
 
 // SendReady tells the predecessor that this process accepts clients.
 func (p *Predecessor) SendReady() error {
-	if err := p.conn.SetWriteDeadline(time.Now().Add(replyTimeout)); err != nil {
+	if err := p.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
 	_, err := p.conn.Write([]byte{readyByte})
