--- a/internal/testbed/routertrial/process_log.go
+++ b/internal/testbed/routertrial/process_log.go
@@ -3,26 +3,23 @@
 import (
 	"bytes"
 	"fmt"
-	"io"
 
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// logOf returns where the log of a machine's process goes, nil for nowhere.
-func (f *Fleet) logOf(name string) io.Writer {
-	if f.options.Log == nil && !f.options.FaultInjection {
-		return nil
-	}
-	return &namedLog{fleet: f, name: name}
-}
-
-// namedLog prefixes each line with the time of the trial and the name of a machine. Each Write is a line. It
-// ignores errors of the log, so that a full disk of the trial does not disturb the processes.
+// namedLog takes the log of a machine's process, a line with each Write. It looks for faults of the program
+// in each line, and copies the line to the log of the trial, where there is one, with the time of the trial
+// and the machine's name before it. It ignores errors of that log, so that a full disk of the trial does not
+// disturb the processes.
 type namedLog struct {
 	fleet *Fleet
 	name  string
 }
 
+// logOf returns where the log of a machine's process goes.
+func (f *Fleet) logOf(name string) *namedLog { return &namedLog{fleet: f, name: name} }
+
+// Write implements io.Writer.
 func (l *namedLog) Write(line []byte) (int, error) {
 	l.fleet.recordFaultIn(l.name, line)
 	if l.fleet.options.Log == nil {
@@ -34,13 +31,25 @@
 	return len(line), nil
 }
 
-// faultPatterns occur in log lines that report a fault of the program itself.
-var faultPatterns = [][]byte{[]byte(`"message":"invariant `), []byte(panicMessage)}
+// The messages with which a process logs a fault of the program itself. They repeat the router's own, which
+// the tests compare with its source.
+const (
+	// clientPanicMessage begins the message of a panic while a client's request is served.
+	clientPanicMessage = "front: panic while serving a client"
+	// handlerPanicMessage is the message of a panic in the handler of a call at the control address.
+	handlerPanicMessage = "agent: handler panicked"
+	// invariantMessage begins the message of a violated invariant.
+	invariantMessage = "invariant "
+)
 
-// panicMessage begins the message with which the data plane logs a panic.
-const panicMessage = "front: panic while serving a client"
+// faultPatterns occur in log lines that report a fault of the program itself.
+var faultPatterns = [][]byte{
+	[]byte(`"message":"` + invariantMessage),
+	[]byte(clientPanicMessage),
+	[]byte(handlerPanicMessage),
+}
 
-// recordFaultIn records a log line that reports a fault of the program itself.
+// recordFaultIn records a violation for a log line that reports a fault of the program itself.
 func (f *Fleet) recordFaultIn(name string, line []byte) {
 	for _, pattern := range faultPatterns {
 		if bytes.Contains(line, pattern) {
