--- a/internal/testbed/proxystandin/fleet.go
+++ b/internal/testbed/proxystandin/fleet.go
@@ -44,6 +44,7 @@
 	closed  bool
 }
 
+// member is a running server and its line in discovery.
 type member struct {
 	zone  *Zone
 	entry Endpoint
@@ -75,19 +76,20 @@
 
 // speed returns the kind and speed of the n-th server: slow ones are spread evenly over the fleet.
 func (f *Fleet) speed(n int) (kind string, speed float64) {
-	if int(float64(n+1)*f.opts.HalfSpeedFraction) > int(float64(n)*f.opts.HalfSpeedFraction) {
+	slowUpTo := func(servers int) int { return int(float64(servers) * f.opts.HalfSpeedFraction) }
+	if slowUpTo(n+1) > slowUpTo(n) {
 		return HalfSpeed, halfSpeedSpeed
 	}
 	return Standard, standardSpeed
 }
 
 // Capacity returns the work per second that the first n servers can do, in seconds of a core of speed 1.
-func (f *Fleet) Capacity(n int) (c float64) {
+func (f *Fleet) Capacity(n int) (capacity float64) {
 	for i := range n {
 		_, speed := f.speed(i)
-		c += speed * coresPerServer
+		capacity += speed * coresPerServer
 	}
-	return c
+	return capacity
 }
 
 // Add starts one more server and lists it. since is the start of its process, zero for long ago. It returns
@@ -98,35 +100,36 @@
 	f.next++
 	f.mu.Unlock()
 	kind, speed := f.speed(n)
-	e := Endpoint{
+	entry := Endpoint{
 		Name: fmt.Sprintf("zone-%02d", n+1), Zone: f.opts.Halls[n%len(f.opts.Halls)], Type: kind, Group: n + 1,
 		Status: statusInService, Weight: speed / standardSpeed,
 	}
-	return e.Name, f.start(n, e, speed, since)
+	return entry.Name, f.start(n, entry, speed, since)
 }
 
-func (f *Fleet) start(n int, e Endpoint, speed float64, since time.Time) error {
-	z, err := StartZone(ZoneOptions{
-		Name: e.Name, Listen: "127.0.0.1:0", Cores: coresPerServer, Speed: speed, MaxQueued: f.opts.MaxQueued,
+// start starts the n-th server and lists it by an entry, of which it completes address and start.
+func (f *Fleet) start(n int, entry Endpoint, speed float64, since time.Time) error {
+	zone, err := StartZone(ZoneOptions{
+		Name: entry.Name, Listen: "127.0.0.1:0", Cores: coresPerServer, Speed: speed, MaxQueued: f.opts.MaxQueued,
 		MaxConnections: 1500, Handshake: 2 * time.Millisecond, Work: f.opts.Work, Spread: 0.3,
 		KeyCacheTTL: 5 * time.Second, CachedKeyCost: 0.5, WarmUp: f.opts.WarmUp, Seed: f.opts.Seed + uint64(n),
 	}, since)
 	if err != nil {
 		return err
 	}
-	e.Address = z.Address()
+	entry.Address = zone.Address()
 	if !since.IsZero() {
-		e.SinceMS = since.UnixMilli()
+		entry.SinceMS = since.UnixMilli()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
-		z.Close()
+		zone.Close()
 		return errors.New("the fleet has ended")
 	}
-	f.running[e.Name] = &member{z, e}
-	f.started = append(f.started, z)
-	f.Discovery.Set(e)
+	f.running[entry.Name] = &member{zone, entry}
+	f.started = append(f.started, zone)
+	f.Discovery.Set(entry)
 	return nil
 }
 
@@ -145,9 +148,9 @@
 
 // publishStatus changes a server's status in discovery.
 func (f *Fleet) publishStatus(m *member, status string) {
-	e := m.entry
-	e.Status = status
-	f.Discovery.Set(e)
+	changed := m.entry
+	changed.Status = status
+	f.Discovery.Set(changed)
 }
 
 // recordDrainNotified records when a proxy first learned that it may send a server nothing new: not before
@@ -218,32 +221,27 @@
 }
 
 // RanTwice returns how many unsafe requests ran more than once, on whichever servers.
-func (f *Fleet) RanTwice() (n int) {
+func (f *Fleet) RanTwice() int {
 	runs := map[string]int{}
-	for _, z := range f.Zones() {
-		for id, k := range z.Runs() {
-			if runs[id] += k; runs[id] == 2 || k > 1 && runs[id] == k {
-				n++
-			}
+	for _, zone := range f.Zones() {
+		for id, count := range zone.Runs() {
+			runs[id] += count
+		}
+	}
+	ranTwice := 0
+	for _, count := range runs {
+		if count > 1 {
+			ranTwice++
 		}
 	}
-	return n
+	return ranTwice
 }
 
 // Counts returns the servers' counts by name, summed over a server's restarts.
 func (f *Fleet) Counts() map[string]ZoneCounts {
 	all := map[string]ZoneCounts{}
 	for _, z := range f.Zones() {
-		c, sum := z.Counts(), all[z.Name()]
-		sum.Requests += c.Requests
-		sum.Served += c.Served
-		sum.Rejected += c.Rejected
-		sum.Probes += c.Probes
-		sum.Opened += c.Opened
-		sum.RanTwice += c.RanTwice
-		sum.AfterDrain += c.AfterDrain
-		sum.Overloaded += c.Overloaded
-		all[z.Name()] = sum
+		all[z.Name()] = all[z.Name()].plus(z.Counts())
 	}
 	return all
 }
--- a/internal/testbed/proxystandin/fleet_test.go
+++ b/internal/testbed/proxystandin/fleet_test.go
@@ -58,3 +58,29 @@
 		t.Errorf("notified at %v, and then at %v", first, notifiedAt())
 	}
 }
+
+// An unsafe request counts once among those that ran twice, wherever its runs were.
+func TestRanTwiceCountsEachRequestOnce(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		runs []map[string]int // by server
+		want int
+	}{
+		{"once each", []map[string]int{{"a": 1}, {"b": 1}}, 0},
+		{"twice at one server", []map[string]int{{"a": 2}, {}}, 1},
+		{"once at each of three servers", []map[string]int{{"a": 1}, {"a": 1}, {"a": 1}}, 1},
+		{"once, and twice at another server", []map[string]int{{"a": 1}, {"a": 2}}, 1},
+		{"twice, and once at another server", []map[string]int{{"a": 2}, {"a": 1}}, 1},
+		{"two requests", []map[string]int{{"a": 2, "b": 1}, {"b": 3}}, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := &Fleet{}
+			for _, runs := range c.runs {
+				f.started = append(f.started, &Zone{zoneState: zoneState{runs: runs}})
+			}
+			if got := f.RanTwice(); got != c.want {
+				t.Errorf("%d ran twice, not %d", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/testbed/proxystandin/zone.go
+++ b/internal/testbed/proxystandin/zone.go
@@ -56,7 +56,7 @@
 	draining            bool
 	ended               bool
 	drainNotifiedAt     time.Time            // when proxies learned of its drain or end
-	keyLastSeen         map[string]time.Time // by request key
+	lastRequested       map[string]time.Time // by request key
 	overloadWindowStart time.Time            // of the window over which arrivals are summed during warm-up
 	arrivedWork         time.Duration        // in that window
 	counts              ZoneCounts
@@ -75,6 +75,16 @@
 	Overloaded int `json:"fell_over"`   // times it was overloaded during warm-up
 }
 
+// plus returns the sums of two counts.
+func (c ZoneCounts) plus(other ZoneCounts) ZoneCounts {
+	return ZoneCounts{
+		Requests: c.Requests + other.Requests, Served: c.Served + other.Served,
+		Rejected: c.Rejected + other.Rejected, Probes: c.Probes + other.Probes, Opened: c.Opened + other.Opened,
+		RanTwice: c.RanTwice + other.RanTwice, AfterDrain: c.AfterDrain + other.AfterDrain,
+		Overloaded: c.Overloaded + other.Overloaded,
+	}
+}
+
 // maxRemembered bounds the request ids and the keys that a server remembers.
 const maxRemembered = 1 << 17
 
@@ -88,7 +98,7 @@
 		o.IdleTimeout = 5 * time.Second
 	}
 	z := &Zone{opts: o, zoneState: zoneState{
-		rng: rand.New(rand.NewPCG(o.Seed, 0x5bd1e995)), started: since, keyLastSeen: map[string]time.Time{},
+		rng: rand.New(rand.NewPCG(o.Seed, 0x5bd1e995)), started: since, lastRequested: map[string]time.Time{},
 		runs: map[string]int{},
 	}}
 	var err error
@@ -114,8 +124,8 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	all := make(map[string]int, len(z.runs))
-	for id, n := range z.runs {
-		all[id] = n
+	for id, count := range z.runs {
+		all[id] = count
 	}
 	return all
 }
@@ -218,15 +228,12 @@
 	if id == "" {
 		return &http1.Response{Status: 404}
 	}
-	work, turn, ok := z.admit(class, req.Target, now)
-	if !ok {
-		return notProcessed
-	}
-	if turn != nil && !<-turn {
+	admitted := z.admit(class, req.Target, now)
+	if admitted == nil || admitted.turn != nil && !<-admitted.turn {
 		return notProcessed
 	}
 	z.recordRun(id, class)
-	if !z.execute(work) {
+	if !z.execute(admitted.work) {
 		return nil
 	}
 	z.mu.Lock()
@@ -236,28 +243,33 @@
 	return &http1.Response{Status: 200, Body: []byte(id + " served by " + z.opts.Name + "\n")}
 }
 
-// admit reserves a core for a request, or a place in the queue, in which case a value on turn tells whether
-// to run it. It returns false where the request is rejected.
-func (z *Zone) admit(class, target string, now time.Time) (work time.Duration, turn chan bool, ok bool) {
+// admission is a request that got a core or a place in the queue.
+type admission struct {
+	work time.Duration
+	turn <-chan bool // nil with a core; else its value tells whether to run the request
+}
+
+// admit reserves a core for a request, or a place in the queue. It returns nil where the request is rejected.
+func (z *Zone) admit(class, target string, now time.Time) *admission {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.counts.Requests++
 	if !z.drainNotifiedAt.IsZero() && now.Sub(z.drainNotifiedAt) > DrainGrace {
 		z.counts.AfterDrain++
 	}
-	work = z.drawWork(class, target, now)
+	work := z.drawWork(class, target, now)
 	z.recordArrival(work, now)
 	if z.draining || z.running >= z.opts.Cores && len(z.queue) >= z.opts.MaxQueued {
 		z.counts.Rejected++
-		return 0, nil, false
+		return nil
 	}
 	if z.running < z.opts.Cores {
 		z.running++
-		return work, nil, true
+		return &admission{work: work}
 	}
-	turn = make(chan bool, 1)
+	turn := make(chan bool, 1)
 	z.queue = append(z.queue, turn)
-	return work, turn, true
+	return &admission{work: work, turn: turn}
 }
 
 // recordRun counts the runs of an unsafe request.
@@ -293,13 +305,13 @@
 	}
 	work := mean.Seconds() * (1 + z.opts.Spread*(2*z.rng.Float64()-1)) / z.opts.Speed
 	if _, key, ok := strings.Cut(target, "key="); ok && z.opts.CachedKeyCost > 0 && z.opts.CachedKeyCost < 1 {
-		if last, seen := z.keyLastSeen[key]; seen && now.Sub(last) < z.opts.KeyCacheTTL {
+		if last, known := z.lastRequested[key]; known && now.Sub(last) < z.opts.KeyCacheTTL {
 			work *= z.opts.CachedKeyCost
 		}
-		if len(z.keyLastSeen) >= maxRemembered {
-			clear(z.keyLastSeen)
+		if len(z.lastRequested) >= maxRemembered {
+			clear(z.lastRequested)
 		}
-		z.keyLastSeen[key] = now
+		z.lastRequested[key] = now
 	}
 	return time.Duration(work / z.capacity(now) * float64(time.Second))
 }
