--- a/internal/testbed/proxystandin/discovery.go
+++ b/internal/testbed/proxystandin/discovery.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -74,6 +75,7 @@
 	EndedWatches int // ended as a higher token arrived
 }
 
+// change is one change of the list; index numbers them.
 type change struct {
 	index int64
 	entry Endpoint
@@ -117,30 +119,42 @@
 	return d.ownerCalls
 }
 
-// admit checks a call's fencing token; a call without one passes. status is 0 if it may proceed, else the
-// HTTP status to answer with problem. A token higher than any before ends the watches of lower ones.
-func (d *Discovery) admit(text string) (token uint64, status int, problem string) {
+// tokenCheck is what became of a call's fencing token.
+type tokenCheck struct {
+	token   uint64 // 0 for a call without one
+	status  int    // HTTP status of the refusal, 0 if the call may proceed
+	problem string // why it was refused
+}
+
+// checkToken checks a call's fencing token; a call without one passes. A token higher than any before ends
+// the watches of lower ones.
+func (d *Discovery) checkToken(text string) tokenCheck {
 	if text == "" {
-		return 0, 0, ""
+		return tokenCheck{}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	token, err := lease.ParseToken(text)
 	if err != nil {
 		d.ownerCalls.Malformed++
-		return 0, 400, err.Error()
+		return tokenCheck{status: 400, problem: err.Error()}
 	}
 	before := d.fence.Highest
 	if err := d.fence.Admit(token); err != nil {
 		d.ownerCalls.Stale++
-		return 0, 409, err.Error()
+		return tokenCheck{status: 409, problem: err.Error()}
 	}
 	d.ownerCalls.Accepted++
 	if before != 0 && token > before {
-		close(d.changed)
-		d.changed = make(chan struct{})
+		d.signalChange()
 	}
-	return token, 0, ""
+	return tokenCheck{token: token}
+}
+
+// signalChange wakes all watches; d.mu is held.
+func (d *Discovery) signalChange() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // superseded reports whether a higher token arrived since a watch began, and counts the end of that watch.
@@ -170,8 +184,7 @@
 	if extra := len(d.changes) - maxChanges; extra > 0 {
 		d.changes = slices.Delete(d.changes, 0, extra)
 	}
-	close(d.changed)
-	d.changed = make(chan struct{})
+	d.signalChange()
 }
 
 // Fail makes all calls be answered with 503 and ends the watches; false ends the fault.
@@ -179,8 +192,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failing = failing
-	close(d.changed)
-	d.changed = make(chan struct{})
+	d.signalChange()
 }
 
 // Close ends all watches and connections and waits for their goroutines.
@@ -189,28 +201,37 @@
 	d.listener.Close(false)
 }
 
+// state is what a call is answered with.
+type state struct {
+	document
+	changed <-chan struct{} // closes with the next change
+	failing bool
+}
+
 // since returns the changes after index from, or a snapshot if full or if those changes are no longer
-// retained. It also returns a channel that closes with the next change, and whether discovery is failing.
-func (d *Discovery) since(from int64, full bool) (document, <-chan struct{}, bool) {
+// retained.
+func (d *Discovery) since(from int64, full bool) state {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	doc := document{Index: d.index, Endpoints: []Endpoint{}}
+	now := state{document: document{Index: d.index, Endpoints: []Endpoint{}}, changed: d.changed,
+		failing: d.failing}
 	if full || from > d.index || len(d.changes) > 0 && from < d.changes[0].index-1 {
-		doc.Snapshot = true
-		for _, e := range d.current {
-			doc.Endpoints = append(doc.Endpoints, e)
-		}
-		slices.SortFunc(doc.Endpoints, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
-		return doc, d.changed, d.failing
+		now.Snapshot = true
+		now.Endpoints = slices.AppendSeq(now.Endpoints, maps.Values(d.current))
+		slices.SortFunc(now.Endpoints, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
+		return now
 	}
 	for _, c := range d.changes {
 		if c.index > from {
-			doc.Endpoints = append(doc.Endpoints, c.entry)
+			now.Endpoints = append(now.Endpoints, c.entry)
 		}
 	}
-	return doc, d.changed, d.failing
+	return now
 }
 
+// watchQuery precedes, in the query of a watch, the index from which on it wants changes.
+const watchQuery = "watch=1&from="
+
 func (d *Discovery) serve(c *connbuffer.Conn) {
 	for {
 		c.SetDeadline(time.Now().Add(time.Minute))
@@ -219,29 +240,26 @@
 			return
 		}
 		path, query, _ := strings.Cut(req.Target, "?")
-		_, from, watch := strings.Cut(query, "watch=1&from=")
-		version, err := strconv.ParseInt(from, 10, 64)
-		d.mu.Lock()
-		d.calls++
-		failing := d.failing
-		d.mu.Unlock()
-		token, status, problem := d.admit(req.Header.Get(lease.TokenHeader))
+		_, fromText, isWatch := strings.Cut(query, watchQuery)
+		from, err := strconv.ParseInt(fromText, 10, 64)
+		failing := d.countCall()
+		caller := d.checkToken(req.Header.Get(lease.TokenHeader))
 		resp := &http1.Response{Status: 200}
 		var listed []Endpoint
 		switch {
 		case failing:
 			resp.Status = 503
-		case status != 0:
-			resp.Status, resp.Body = status, []byte(problem+"\n")
-		case path != "/registry/instances" || watch && err != nil:
+		case caller.status != 0:
+			resp.Status, resp.Body = caller.status, []byte(caller.problem+"\n")
+		case path != "/registry/instances" || isWatch && err != nil:
 			resp.Status = 404
-		case watch:
-			d.watch(c, version, token)
+		case isWatch:
+			d.watch(c, from, caller.token)
 			return
 		default:
-			doc, _, _ := d.since(0, true)
-			resp.Body, _ = json.Marshal(doc)
-			listed = doc.Endpoints
+			snapshot := d.since(0, true).document
+			resp.Body, _ = json.Marshal(snapshot)
+			listed = snapshot.Endpoints
 		}
 		if resp.Write(c.Out) != nil || c.Flush() != nil {
 			return
@@ -250,6 +268,14 @@
 	}
 }
 
+// countCall counts a call, and reports whether discovery is failing.
+func (d *Discovery) countCall() (failing bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.calls++
+	return d.failing
+}
+
 // watch streams changes, a JSON line in a chunk each, until either side ends.
 func (d *Discovery) watch(c *connbuffer.Conn, from int64, token uint64) {
 	c.Out.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -262,14 +288,14 @@
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for first := true; ; first = false {
-		doc, changed, failing := d.since(from, from == 0 && first)
-		if failing || d.superseded(token) {
+		now := d.since(from, from == 0 && first)
+		if now.failing || d.superseded(token) {
 			return
 		}
 		payload := []byte{}
-		if first || len(doc.Endpoints) > 0 {
-			payload, _ = json.Marshal(doc)
-			from = doc.Index
+		if first || len(now.Endpoints) > 0 {
+			payload, _ = json.Marshal(now.document)
+			from = now.Index
 		}
 		c.SetWriteDeadline(time.Now().Add(heartbeatInterval))
 		_, _ = fmt.Fprintf(c.Out, "%x\r\n%s\n\r\n", len(payload)+1, payload) // Flush returns its error
@@ -277,10 +303,10 @@
 			return
 		}
 		if len(payload) > 0 {
-			d.notifyDelivered(doc.Endpoints)
+			d.notifyDelivered(now.Endpoints)
 		}
 		select {
-		case <-changed:
+		case <-now.changed:
 		case <-heartbeat.C:
 		case <-hungUp:
 			return
--- a/internal/testbed/proxystandin/discovery_test.go
+++ b/internal/testbed/proxystandin/discovery_test.go
@@ -43,7 +43,7 @@
 	for i := range maxChanges + 1 { // a watch from before the retained changes gets a snapshot
 		d.Set(Endpoint{Name: "b", Group: i, Status: "in_service"})
 	}
-	if doc, _, _ := d.since(2, false); !doc.Snapshot || len(doc.Endpoints) != 1 {
+	if doc := d.since(2, false); !doc.Snapshot || len(doc.Endpoints) != 1 {
 		t.Errorf("%+v", doc)
 	}
 	d.Fail(true)
