--- a/internal/testbed/routerstandin/application.go
+++ b/internal/testbed/routerstandin/application.go
@@ -8,14 +8,14 @@
 // runApplication does the work of an application server: it waits, and answers with a body that names the
 // run.
 func (x *exchange) runApplication() {
-	if problem := x.acquireSlot(); problem != "" {
-		x.reject(503, problem)
+	if reason := x.acquireSlot(); reason != admitted {
+		x.reject(503, reason)
 		return
 	}
 	defer x.server.slots.release()
 	defer x.trackWork()()
 	if x.misbehaviour == ShedsLoad {
-		x.reject(503, "shed")
+		x.reject(503, reasonShed)
 		return
 	}
 	if x.pastDeadline() {
--- a/internal/testbed/routerstandin/doc.go
+++ b/internal/testbed/routerstandin/doc.go
@@ -13,6 +13,20 @@
 // Each Server runs a goroutine for its heartbeats and one for each connection, which end with Stop, Crash or
 // Shutdown; Load.Run and Entry.Run return when their context ends and leave no goroutine behind.
 //
-// Files: client*.go and rude_client.go send, server*.go, application.go and model*.go answer, judge*.go check
+// # Judging
+//
+// A rule that one observation decides is checked where the observation is recorded: observations.go for
+// requests and runs, client_answer.go and client_stream.go for answers, operator.go for configurations. Rules
+// that need several (judge*.go) are checked with the last of them, or once by Observations.Judge when no
+// stand-in runs any more.
+// Judge returns a Verdict for each Rule with the details of its first violations: the id of the attempt
+// ("try" in texts), the server or machine, and the version of the configuration ("edition").
+//
+// Rules with a time bound do not apply to a machine around a fault of its own or of a replica of the control
+// state (machine_faults.go); whoever injects a fault has to record it.
+//
+// # Files
+//
+// client*.go and rude_client.go send, server*.go, application.go and model*.go answer, judge*.go check
 // the rules that need more than one observation, document.go and patch.go lay out configurations.
 package routerstandin
--- a/internal/testbed/routerstandin/judge.go
+++ b/internal/testbed/routerstandin/judge.go
@@ -44,9 +44,7 @@
 		o.verdicts.record(RuleAttempts, "try %s of kind %s reached %d servers, %d are allowed", attempt.id,
 			kind.Name, len(counted(attempt)), maxAttempts)
 	}
-	if attempt.connLost && attempt.reusedConn && attempt.status == 0 && len(attempt.arrivals) > 0 &&
-		!attempt.aborted && attempt.endedAt.Before(attempt.deadline) &&
-		o.inTouch(attempt.machine, attempt.sentAt, attempt.endedAt) {
+	if o.lostOnReusedConn(attempt) {
 		o.lostOnReusedConns++
 	}
 	if attempt.connLost && o.lostToPlannedStop(attempt) {
@@ -56,6 +54,15 @@
 	}
 }
 
+// lostOnReusedConn reports whether an attempt got no answer on a reused connection though a server had it and
+// nobody gave it up.
+func (o *Observations) lostOnReusedConn(attempt *attempt) bool {
+	answered := !attempt.connLost || attempt.status != 0
+	givenUp := attempt.aborted || !attempt.endedAt.Before(attempt.deadline)
+	return attempt.reusedConn && len(attempt.arrivals) > 0 && !answered && !givenUp &&
+		o.inTouch(attempt.machine, attempt.sentAt, attempt.endedAt)
+}
+
 // guaranteesNotRun reports whether a status guarantees that the request has not run and never will.
 func guaranteesNotRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
@@ -157,7 +164,7 @@
 func (o *Observations) recordDrain(began time.Time, acknowledged bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.coreStable(began, time.Now()) {
+	if !o.replicasStable(began, time.Now()) {
 		return
 	}
 	o.drains++
--- a/internal/testbed/routerstandin/judge_config.go
+++ b/internal/testbed/routerstandin/judge_config.go
@@ -46,7 +46,7 @@
 	}
 	allowed := o.bounds.Ack + time.Duration(v.config.RouteCount())*orderMargin
 	took := v.ackedAt.Sub(v.sentAt)
-	if took > allowed && o.coreStable(v.sentAt, v.sentAt.Add(allowed)) {
+	if took > allowed && o.replicasStable(v.sentAt, v.sentAt.Add(allowed)) {
 		o.verdicts.record(RuleAcks, "edition %d was acknowledged after %v", v.config.Version,
 			took.Round(time.Millisecond))
 	}
--- a/internal/testbed/routerstandin/model.go
+++ b/internal/testbed/routerstandin/model.go
@@ -20,13 +20,14 @@
 	resumeAfter int // tokens that the client already has
 }
 
+// workOf reads what a request asks for; a number that is missing or malformed is 0.
 func workOf(header http1.Header) work {
 	prompt, output, _ := strings.Cut(header.Get(tokensHeader), ",")
-	w := work{}
-	w.prompt, _ = strconv.Atoi(prompt)
-	w.output, _ = strconv.Atoi(output)
-	w.resumeAfter, _ = strconv.Atoi(header.Get(lastEventHeader))
-	return w
+	asked := work{}
+	asked.prompt, _ = strconv.Atoi(prompt)
+	asked.output, _ = strconv.Atoi(output)
+	asked.resumeAfter, _ = strconv.Atoi(header.Get(lastEventHeader))
+	return asked
 }
 
 // runModel answers a request by the server's stage.
@@ -36,9 +37,9 @@
 	handle := x.request.Header.Get(kvFromHeader)
 	switch {
 	case changing:
-		x.reject(503, "the stage changes")
+		x.reject(503, reasonStageChanges)
 	case isPrefill != (stage == StagePrefill):
-		x.reject(421, "the stage is "+stage)
+		x.reject(421, notRunReason("the stage is "+stage))
 	case isPrefill:
 		x.prefill()
 	default:
@@ -48,23 +49,30 @@
 
 // admit takes a slot unless the stage changes meanwhile, and reports whether the work may begin.
 func (x *exchange) admit() bool {
-	problem := x.acquireSlot()
-	if problem == "" {
+	reason := x.acquireSlot()
+	if reason == admitted {
 		_, changing := x.server.engine.stageState()
 		switch {
 		case changing:
-			problem = "the stage changes"
+			reason = reasonStageChanges
 		case x.pastDeadline():
-			problem = reasonDeadline
+			reason = reasonDeadline
 		default:
 			return true
 		}
 		x.server.slots.release()
 	}
-	x.reject(503, problem)
+	x.reject(503, reason)
 	return false
 }
 
+// handleDocument is the answer to a prefill: the handle by which another server fetches the prefix cache.
+type handleDocument struct {
+	Handle  string `json:"claim_ticket"`
+	Version int    `json:"edition"`
+	Tokens  int    `json:"tokens"`
+}
+
 // prefill computes a prompt's prefix cache and keeps it for another server.
 func (x *exchange) prefill() {
 	if !x.admit() {
@@ -73,8 +81,8 @@
 	defer x.server.slots.release()
 	defer x.trackWork()()
 	x.server.options.Observations.recordPrefill(x.arrival)
-	engine, w := x.server.engine, workOf(x.request.Header)
-	if !x.wait(x.slowed(engine.prefillTime(w.prompt, 1))) {
+	engine, asked := x.server.engine, workOf(x.request.Header)
+	if !x.wait(x.slowed(engine.prefillTime(asked.prompt, 1))) {
 		x.abort()
 		return
 	}
@@ -82,9 +90,9 @@
 		return
 	}
 	x.server.tally.count(func(t *ServerTally) { t.Prefills++ })
-	handle := engine.storePrefix(w.prompt)
+	handle := engine.storePrefix(asked.prompt)
 	x.server.options.Observations.recordHandle(handle, x.arrival)
-	document, _ := json.Marshal(map[string]any{"claim_ticket": handle, "tokens": w.prompt, "edition": 1})
+	document, _ := json.Marshal(handleDocument{Handle: handle, Version: 1, Tokens: asked.prompt})
 	x.answerJSON(200, document)
 }
 
@@ -95,20 +103,20 @@
 	}
 	defer x.server.slots.release()
 	defer x.trackWork()()
-	engine, w := x.server.engine, workOf(x.request.Header)
+	engine, asked := x.server.engine, workOf(x.request.Header)
 	if x.misbehaviour == ShedsLoad {
-		x.reject(503, "shed")
+		x.reject(503, reasonShed)
 		return
 	}
 	if kvFrom != "" && !x.fetchPrefix(kvFrom) {
-		x.reject(503, "the memory can't be had")
+		x.reject(503, reasonNoPrefix)
 		return
 	}
-	run := x.server.options.Observations.startRun(x.arrival, w.resumeAfter+1, true)
+	run := x.server.options.Observations.startRun(x.arrival, asked.resumeAfter+1, true)
 	x.server.tally.count(func(t *ServerTally) { t.Runs++ })
 	wait := engine.TransferTime
 	if kvFrom == "" {
-		wait = engine.prefillTime(w.prompt, decodePrefillPace)
+		wait = engine.prefillTime(asked.prompt, decodePrefillPace)
 	}
 	if !x.wait(x.slowed(wait)) {
 		x.abort()
@@ -117,7 +125,7 @@
 	if x.misbehaviour != Hangs && x.injectFault(run.stamp) {
 		return
 	}
-	if !x.stream(run, w) {
+	if !x.stream(run, asked) {
 		x.abort()
 		return
 	}
@@ -127,7 +135,7 @@
 }
 
 // stream sends the events, and reports whether all were sent.
-func (x *exchange) stream(run *run, w work) bool {
+func (x *exchange) stream(run *run, asked work) bool {
 	x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	header := x.header(field(stampHeader, run.stamp), field("Content-Type", "text/event-stream"))
 	response := &http1.Response{Status: 200, Header: header, Streaming: true, Length: -1, Close: x.closesConn}
@@ -135,22 +143,24 @@
 	if err != nil {
 		return false
 	}
-	for last := w.resumeAfter; last < w.output; {
+	for last := asked.resumeAfter; last < asked.output; {
 		if !x.wait(x.server.engine.EventInterval) || x.pastDeadline() {
 			return false
 		}
 		first := last + 1
-		last = min(last+x.server.engine.TokensPerEvent, w.output)
+		last = min(last+x.server.engine.TokensPerEvent, asked.output)
 		x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		event := eventOf(run, first, last, w.output)
-		if x.misbehaviour == TruncatesResponses && last > w.resumeAfter+x.server.engine.TokensPerEvent {
+		event := eventOf(run, first, last, asked.output)
+		firstEvent := last <= asked.resumeAfter+x.server.engine.TokensPerEvent
+		truncated := x.misbehaviour == TruncatesResponses && !firstEvent
+		if truncated {
 			event = event[:len(event)/2]
 		}
 		if _, err := out.Write(event); err != nil || x.conn.Flush() != nil {
 			return false
 		}
 		switch {
-		case x.misbehaviour == TruncatesResponses && last > w.resumeAfter+x.server.engine.TokensPerEvent:
+		case truncated:
 			return false
 		case x.misbehaviour == Hangs:
 			x.wait(hangTime)
--- a/internal/testbed/routerstandin/model_orders.go
+++ b/internal/testbed/routerstandin/model_orders.go
@@ -74,8 +74,8 @@
 	OrdersTaken int           `json:"postmark"`
 	Waiting     int           `json:"waiting"`
 	Running     int           `json:"running"`
-	Used        int           `json:"kv_used"`
-	Total       int           `json:"kv_total"`
+	CacheUsed   int           `json:"kv_used"`  // tokens
+	CacheTotal  int           `json:"kv_total"` // tokens
 	Handles     int           `json:"claim_tickets"`
 }
 
@@ -94,7 +94,7 @@
 	running, waiting := x.server.slots.load()
 	e.mu.Lock()
 	report := modelReport{Stage: e.stage, Models: servedModels, Busy: e.changing, OrdersTaken: e.ordersTaken,
-		Waiting: waiting, Running: running, Used: tokens, Total: e.CacheTokens, Handles: handles}
+		Waiting: waiting, Running: running, CacheUsed: tokens, CacheTotal: e.CacheTokens, Handles: handles}
 	e.mu.Unlock()
 	document, _ := json.Marshal(report)
 	x.answerJSON(200, document)
--- a/internal/testbed/routerstandin/model_test.go
+++ b/internal/testbed/routerstandin/model_test.go
@@ -120,23 +120,23 @@
 // Requests beyond slots and queue are rejected, and those in the queue get slots in their order.
 func TestSlotsAreGrantedInOrder(t *testing.T) {
 	c := qt.New(t)
-	p := newSlotQueue(1, 1)
-	c.Assert(p.acquire(nil, nil, nil), qt.Equals, "")
-	got := make(chan string, 1)
-	go func() { got <- p.acquire(nil, nil, nil) }()
-	for running, waiting := p.load(); running+waiting < 2; running, waiting = p.load() {
+	slots := newSlotQueue(1, 1)
+	c.Assert(slots.acquire(nil, nil, nil), qt.Equals, admitted)
+	got := make(chan notRunReason, 1)
+	go func() { got <- slots.acquire(nil, nil, nil) }()
+	for running, waiting := slots.load(); running+waiting < 2; running, waiting = slots.load() {
 		runtime.Gosched()
 	}
-	c.Assert(p.acquire(nil, nil, nil), qt.Equals, reasonFull)
-	p.release()
-	c.Assert(<-got, qt.Equals, "")
-	idle := p.awaitIdle()
-	p.release()
+	c.Assert(slots.acquire(nil, nil, nil), qt.Equals, reasonFull)
+	slots.release()
+	c.Assert(<-got, qt.Equals, admitted)
+	idle := slots.awaitIdle()
+	slots.release()
 	<-idle
-	gone := make(chan struct{})
-	close(gone)
-	c.Assert(p.acquire(nil, nil, nil), qt.Equals, "")
-	c.Assert(p.acquire(nil, gone, nil), qt.Equals, reasonCallerGone)
-	p.release()
-	c.Assert(p.acquire(nil, nil, nil), qt.Equals, "")
+	closed := make(chan struct{})
+	close(closed)
+	c.Assert(slots.acquire(nil, nil, nil), qt.Equals, admitted)
+	c.Assert(slots.acquire(nil, closed, nil), qt.Equals, reasonCallerClosed)
+	slots.release()
+	c.Assert(slots.acquire(nil, nil, nil), qt.Equals, admitted)
 }
--- a/internal/testbed/routerstandin/observations.go
+++ b/internal/testbed/routerstandin/observations.go
@@ -11,7 +11,8 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// Bounds are the limits that the rules are judged by.
+// Bounds are the limits that the rules are judged by: those that the router reads from its settings file, and
+// two of that file by which only stand-ins judge.
 type Bounds struct {
 	agentsettings.Bounds
 	Rollback time.Duration // how long a machine may follow an older version after a newer one
@@ -32,7 +33,7 @@
 	observedVersions map[string]observedVersion // by machine
 	lastOrders       map[string]lastOrder       // by server
 	faults           []machineFault
-	drains           int // servers that drained while the core was stable
+	drains           int // servers that drained while the replicas were stable
 	unackedDrains    int // those of them whose drain was not acknowledged
 	denials          int
 	// lostOnReusedConns counts attempts on reused connections that got no answer though a healthy server had
@@ -118,7 +119,7 @@
 // recordArrival records that a server got a request, and checks that it is what a client sent. It returns nil
 // where no client sent such a request.
 func (o *Observations) recordArrival(server *Server, request *http1.Request) *arrival {
-	ackedAt, ackedBy := server.drainAckedAt()
+	drain := server.drainAck()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	attempt := o.attempts[request.Header.Get(attemptIDHeader)]
@@ -130,12 +131,12 @@
 	o.checkUnchanged(attempt, request)
 	a := &arrival{attempt: attempt, server: server.ID(), service: server.options.Service, at: time.Now()}
 	attempt.arrivals = append(attempt.arrivals, a)
-	late := !ackedAt.IsZero() && a.at.Sub(ackedAt) > o.bounds.Drain
+	late := drain.acknowledged() && a.at.Sub(drain.at) > o.bounds.Drain
 	// The acknowledgement applies to all machines in touch, also where the one that gave it was not.
 	if late && o.inTouch(attempt.machine, attempt.sentAt, a.at) {
 		o.verdicts.record(RuleDrain,
 			"try %s from %s reached server %s %v after its departure was acknowledged by %s", attempt.id,
-			attempt.machine, server.ID(), a.at.Sub(ackedAt).Round(time.Millisecond), ackedBy)
+			attempt.machine, server.ID(), a.at.Sub(drain.at).Round(time.Millisecond), drain.machine)
 	}
 	return a
 }
--- a/internal/testbed/routerstandin/server.go
+++ b/internal/testbed/routerstandin/server.go
@@ -75,9 +75,8 @@
 
 	mu       sync.Mutex
 	draining bool
-	ackedAt  time.Time // of its drain
-	ackedBy  string    // IP of the machine that did
-	postmark int64     // of the last heartbeat
+	ack      drainAck // of its drain
+	postmark int64    // of the last heartbeat
 
 	misbehaviour       Misbehaviour
 	misbehavedFraction float64 // of the requests
@@ -191,11 +190,19 @@
 	s.heartbeats.Wait()
 }
 
-// drainAckedAt returns when its drain was acknowledged and by which machine; the zero time if it was not.
-func (s *Server) drainAckedAt() (time.Time, string) {
+// drainAck is the acknowledgement of a drain; the zero value is none.
+type drainAck struct {
+	at      time.Time
+	machine string // IP of the one that gave it
+}
+
+func (a drainAck) acknowledged() bool { return !a.at.IsZero() }
+
+// drainAck returns the acknowledgement of its drain, if it has come.
+func (s *Server) drainAck() drainAck {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ackedAt, s.ackedBy
+	return s.ack
 }
 
 func (s *Server) isDraining() bool {
@@ -240,7 +247,7 @@
 	path, _, _ := strings.Cut(request.Target, "?")
 	switch {
 	case x.misdirected():
-		x.reject(421, "this is server "+s.id)
+		x.reject(421, notRunReason("this is server "+s.id))
 	case request.Method == "GET" && path == s.options.HealthPath:
 		x.health()
 	case s.engine != nil && request.Method == "GET" && path == reportPath:
@@ -266,8 +273,8 @@
 		x.answer(503, field(serverIDHeader, x.server.id))
 		return
 	}
-	if problem := x.acquireSlot(); problem != "" {
-		x.reject(503, problem)
+	if reason := x.acquireSlot(); reason != admitted {
+		x.reject(503, reason)
 		return
 	}
 	defer x.server.slots.release()
@@ -278,11 +285,11 @@
 func (x *exchange) run() {
 	x.server.tally.count(func(t *ServerTally) { t.Arrivals++ })
 	if x.request.Header.Get(attemptIDHeader) == "" {
-		x.reject(400, "no id")
+		x.reject(400, reasonNoID)
 		return
 	}
 	if x.arrival = x.server.options.Observations.recordArrival(x.server, x.request); x.arrival == nil {
-		x.reject(400, "unknown id")
+		x.reject(400, reasonUnknownID)
 		return
 	}
 	if x.server.engine != nil {
--- a/internal/testbed/routerstandin/server_exchange.go
+++ b/internal/testbed/routerstandin/server_exchange.go
@@ -9,6 +9,23 @@
 	"cresshub/internal/http1"
 )
 
+// notRunReason is why a request was not run, as Cresshub-Not-Run tells it; admitted stands for none.
+type notRunReason string
+
+// The reasons for which a request is not run.
+const (
+	admitted           notRunReason = ""
+	reasonFull         notRunReason = "full"
+	reasonDeadline     notRunReason = "deadline"
+	reasonCallerClosed notRunReason = "caller left"
+	reasonServerEnded  notRunReason = "server ended"
+	reasonShed         notRunReason = "shed"
+	reasonStageChanges notRunReason = "the stage changes"
+	reasonNoPrefix     notRunReason = "the memory can't be had" // the prefix cache of the handle
+	reasonNoID         notRunReason = "no id"
+	reasonUnknownID    notRunReason = "unknown id"
+)
+
 // exchange is one request at a server, and its answer.
 type exchange struct {
 	server     *Server
@@ -19,7 +36,7 @@
 	closesConn bool // the connection ends with the answer
 	// misbehaviour is how a misbehaving server treats the request.
 	misbehaviour Misbehaviour
-	callerGone   chan struct{} // closed when the caller has closed the connection
+	callerClosed chan struct{} // closed when the caller has closed the connection
 	watchEnded   chan struct{} // closed when the watch of the connection has ended
 }
 
@@ -27,7 +44,7 @@
 var longAgo = time.Unix(1, 0)
 
 func newExchange(s *Server, conn *connbuffer.Conn, request *http1.Request) *exchange {
-	x := &exchange{server: s, conn: conn, request: request, callerGone: make(chan struct{}),
+	x := &exchange{server: s, conn: conn, request: request, callerClosed: make(chan struct{}),
 		watchEnded: make(chan struct{}), closesConn: s.isDraining(), misbehaviour: s.drawMisbehaviour()}
 	if left, err := strconv.Atoi(request.Header.Get(deadlineHeader)); err == nil {
 		x.deadline = time.Now().Add(time.Duration(left) * time.Millisecond)
@@ -35,14 +52,14 @@
 	return x
 }
 
-// watchCaller closes callerGone once the caller closes the connection. Callers send nothing before the
+// watchCaller closes callerClosed once the caller closes the connection. Callers send nothing before the
 // answer.
 func (x *exchange) watchCaller() {
 	x.conn.SetReadDeadline(time.Time{})
 	go func() {
 		defer close(x.watchEnded)
 		if x.conn.AwaitReadable() == nil {
-			close(x.callerGone)
+			close(x.callerClosed)
 		}
 	}()
 }
@@ -59,7 +76,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-x.callerGone:
+	case <-x.callerClosed:
 	case <-x.server.ended:
 	}
 	return false
@@ -68,15 +85,15 @@
 // pastDeadline reports whether the caller's deadline has passed.
 func (x *exchange) pastDeadline() bool { return !x.deadline.IsZero() && time.Now().After(x.deadline) }
 
-// acquireSlot waits for a slot, and returns "" or why there is none.
-func (x *exchange) acquireSlot() string {
+// acquireSlot waits for a slot, and returns admitted or why there is none.
+func (x *exchange) acquireSlot() notRunReason {
 	var deadline <-chan time.Time
 	if !x.deadline.IsZero() {
 		timer := time.NewTimer(time.Until(x.deadline))
 		defer timer.Stop()
 		deadline = timer.C
 	}
-	return x.server.slots.acquire(deadline, x.callerGone, x.server.ended)
+	return x.server.slots.acquire(deadline, x.callerClosed, x.server.ended)
 }
 
 // header returns the fields that every answer has, and more.
@@ -111,11 +128,11 @@
 }
 
 // reject answers that the request was not run.
-func (x *exchange) reject(status int, reason string) {
+func (x *exchange) reject(status int, reason notRunReason) {
 	if status == 503 {
 		x.server.tally.count(func(t *ServerTally) { t.Rejected++ })
 	}
-	x.send(status, nil, field(notRunHeader, reason))
+	x.send(status, nil, field(notRunHeader, string(reason)))
 }
 
 // trackWork records that work on the request begins, and returns the function that records its end.
@@ -133,7 +150,7 @@
 	x.closesConn = true
 	x.server.tally.count(func(t *ServerTally) { t.Aborted++ })
 	select {
-	case <-x.callerGone: // the caller ended it, not the server
+	case <-x.callerClosed: // the caller ended it, not the server
 	default:
 		x.server.options.Observations.recordAbort(x.arrival)
 	}
--- a/internal/testbed/routerstandin/server_heartbeat.go
+++ b/internal/testbed/routerstandin/server_heartbeat.go
@@ -28,7 +28,7 @@
 	Version  string        `json:"edition"`
 	Slots    int           `json:"bays"`
 	State    string        `json:"state"`
-	ColdMs   int           `json:"cold_ms"`
+	WarmUpMs int           `json:"cold_ms"`
 	Stage    string        `json:"stage,omitempty"`
 	Models   []servedModel `json:"models,omitempty"`
 	Postmark int64         `json:"postmark"`
@@ -91,8 +91,8 @@
 func (s *Server) recordDrainAck(machine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ackedAt.IsZero() {
-		s.ackedAt, s.ackedBy = time.Now(), machine
+	if !s.ack.acknowledged() {
+		s.ack = drainAck{time.Now(), machine}
 		close(s.drainAcked)
 	}
 }
--- a/internal/testbed/routerstandin/server_heartbeat_test.go
+++ b/internal/testbed/routerstandin/server_heartbeat_test.go
@@ -65,9 +65,9 @@
 	w.Assert(w.control.got("DELETE /api/servers/"+id), qt.HasLen, 1)
 	beats := heartbeatsOf(w, w.control.got("PUT /api/servers/"+id))
 	w.Assert(beats[len(beats)-1].State, qt.Equals, "draining")
-	acknowledged, machine := w.lookup.drainAckedAt()
-	w.Assert(machine, qt.Equals, "127.0.0.1")
-	w.Assert(time.Since(acknowledged) >= drain+drainMargin, qt.IsTrue)
+	ack := w.lookup.drainAck()
+	w.Assert(ack.machine, qt.Equals, "127.0.0.1")
+	w.Assert(time.Since(ack.at) >= drain+drainMargin, qt.IsTrue)
 	w.Assert(w.broken(), qt.HasLen, 0)
 }
 
--- a/internal/testbed/routerstandin/server_misbehaviour.go
+++ b/internal/testbed/routerstandin/server_misbehaviour.go
@@ -36,7 +36,7 @@
 	hangTime = 8 * time.Second
 )
 
-// Misbehave applies a misbehaviour to a fraction of the requests from now on; Behaves ends it.
+// Misbehave applies a misbehaviour to a fraction of the requests from now on; NoMisbehaviour ends it.
 func (s *Server) Misbehave(misbehaviour Misbehaviour, fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/routerstandin/server_slots.go
+++ b/internal/testbed/routerstandin/server_slots.go
@@ -6,14 +6,6 @@
 	"time"
 )
 
-// Reasons why a request gets no slot; they go into Cresshub-Not-Run.
-const (
-	reasonFull        = "full"
-	reasonDeadline    = "deadline"
-	reasonCallerGone  = "caller left"
-	reasonServerEnded = "server ended"
-)
-
 // slotQueue are a server's slots and the queue for them, first come first served.
 type slotQueue struct {
 	mu         sync.Mutex
@@ -26,82 +18,83 @@
 
 func newSlotQueue(slots, queue int) *slotQueue { return &slotQueue{slots: slots, maxWaiting: queue} }
 
-// acquire waits for a slot and returns "", or why there is none.
-func (p *slotQueue) acquire(deadline <-chan time.Time, callerGone, serverEnded <-chan struct{}) string {
-	p.mu.Lock()
-	if p.running < p.slots {
-		p.running++
-		p.mu.Unlock()
-		return ""
+// acquire waits for a slot and returns admitted, or why there is none.
+func (q *slotQueue) acquire(deadline <-chan time.Time,
+	callerClosed, serverEnded <-chan struct{}) notRunReason {
+	q.mu.Lock()
+	if q.running < q.slots {
+		q.running++
+		q.mu.Unlock()
+		return admitted
 	}
-	if len(p.waiting) >= p.maxWaiting {
-		p.mu.Unlock()
+	if len(q.waiting) >= q.maxWaiting {
+		q.mu.Unlock()
 		return reasonFull
 	}
 	granted := make(chan struct{})
-	p.waiting = append(p.waiting, granted)
-	p.mu.Unlock()
-	reason := ""
+	q.waiting = append(q.waiting, granted)
+	q.mu.Unlock()
+	reason := admitted
 	select {
 	case <-granted:
-		return ""
+		return admitted
 	case <-deadline:
 		reason = reasonDeadline
-	case <-callerGone:
-		reason = reasonCallerGone
+	case <-callerClosed:
+		reason = reasonCallerClosed
 	case <-serverEnded:
 		reason = reasonServerEnded
 	}
-	p.cancelWait(granted)
+	q.cancelWait(granted)
 	return reason
 }
 
 // cancelWait leaves the queue, or releases the slot that was granted meanwhile.
-func (p *slotQueue) cancelWait(granted chan struct{}) {
-	p.mu.Lock()
-	at := slices.Index(p.waiting, granted)
+func (q *slotQueue) cancelWait(granted chan struct{}) {
+	q.mu.Lock()
+	at := slices.Index(q.waiting, granted)
 	if at >= 0 {
-		p.waiting = slices.Delete(p.waiting, at, at+1)
+		q.waiting = slices.Delete(q.waiting, at, at+1)
 	}
-	p.mu.Unlock()
+	q.mu.Unlock()
 	if at < 0 {
-		p.release()
+		q.release()
 	}
 }
 
 // release returns a slot, which goes to the first in the queue.
-func (p *slotQueue) release() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.waiting) > 0 {
-		close(p.waiting[0])
-		p.waiting = slices.Delete(p.waiting, 0, 1)
+func (q *slotQueue) release() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.waiting) > 0 {
+		close(q.waiting[0])
+		q.waiting = slices.Delete(q.waiting, 0, 1)
 		return
 	}
-	p.running--
-	if p.running == 0 && p.idle != nil {
-		close(p.idle)
-		p.idle = nil
+	q.running--
+	if q.running == 0 && q.idle != nil {
+		close(q.idle)
+		q.idle = nil
 	}
 }
 
-func (p *slotQueue) load() (running, waiting int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.running, len(p.waiting)
+func (q *slotQueue) load() (running, waiting int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.running, len(q.waiting)
 }
 
 // awaitIdle returns a channel that closes once nothing runs.
-func (p *slotQueue) awaitIdle() <-chan struct{} {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.idle == nil {
-		p.idle = make(chan struct{})
+func (q *slotQueue) awaitIdle() <-chan struct{} {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.idle == nil {
+		q.idle = make(chan struct{})
 	}
-	idle := p.idle
-	if p.running == 0 {
+	idle := q.idle
+	if q.running == 0 {
 		close(idle)
-		p.idle = nil
+		q.idle = nil
 	}
 	return idle
 }
--- a/internal/testbed/routerstandin/violations_test.go
+++ b/internal/testbed/routerstandin/violations_test.go
@@ -155,8 +155,8 @@
 		w.observations.RecordFault(elsewhere, false)
 		w.lookup.mu.Lock()
 		defer w.lookup.mu.Unlock()
-		troubles := w.observations.faults
-		w.lookup.ackedAt, w.lookup.ackedBy = troubles[len(troubles)-1].at, elsewhere
+		faults := w.observations.faults
+		w.lookup.ack = drainAck{faults[len(faults)-1].at, elsewhere}
 	})
 	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleDrain})
 }
@@ -166,13 +166,11 @@
 	drained := make(chan bool, 1)
 	go func() { drained <- w.lookup.Shutdown(time.Minute) }()
 	w.until("the departure is acknowledged", func() bool {
-		at, _ := w.lookup.drainAckedAt()
-		return !at.IsZero()
+		return w.lookup.drainAck().acknowledged()
 	})
 	onceAcknowledged()
 	w.Assert(w.ask(safeKind).Outcome, qt.Equals, Served) // within the bound
-	at, _ := w.lookup.drainAckedAt()
-	w.past(at.Add(2 * testBounds.Drain))
+	w.past(w.lookup.drainAck().at.Add(2 * testBounds.Drain))
 	w.Assert(w.ask(safeKind).Outcome, qt.Equals, Served)
 	w.lookup.Stop()
 	w.Assert(<-drained, qt.IsTrue)
