--- a/internal/router/dataplane/bench_test.go
+++ b/internal/router/dataplane/bench_test.go
@@ -44,11 +44,11 @@
 	for _, waits := range []bool{false, true} {
 		b.Run(fmt.Sprintf("waits=%t", waits), func(b *testing.B) {
 			goOn := make(chan bool)
-			s := newServer(b, "i-1", "unbound", "", func(q *http1.Request, w io.Writer) bool {
+			s := newServer(b, "i-1", "unbound", "", func(req *http1.Request, w io.Writer) bool {
 				if waits {
 					<-goOn
 				}
-				return ok("x")(q, w)
+				return ok("x")(req, w)
 			})
 			defer close(goOn)
 			r := newRig(b, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 4100 }, s)
--- a/internal/router/dataplane/breakpoints_test.go
+++ b/internal/router/dataplane/breakpoints_test.go
@@ -17,9 +17,9 @@
 // others as next does. It reports whether the complete response was written.
 func brokenAt(point int, h, next handler) (handler, *atomic.Bool) {
 	whole := new(atomic.Bool)
-	first := func(q *http1.Request, w io.Writer) bool {
+	first := func(req *http1.Request, w io.Writer) bool {
 		var all bytes.Buffer
-		h(q, &all)
+		h(req, &all)
 		whole.Store(point >= all.Len())
 		w.Write(all.Bytes()[:min(point, all.Len())])
 		return false
--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -41,32 +41,32 @@
 // run makes the call and forwards its response to the client. It returns nil if the client has the
 // complete response.
 func (c *call) run() *callFailure {
-	if f := c.connect(); f != nil {
-		return c.finish(f)
+	if failure := c.connect(); failure != nil {
+		return c.finish(failure)
 	}
-	head, body, f := c.exchange()
-	if f == nil {
-		f = c.roundTrip.relay.forwardResponse(c, head, body)
+	head, body, failure := c.exchange()
+	if failure == nil {
+		failure = c.roundTrip.relay.forwardResponse(c, head, body)
 	}
-	return c.finish(f)
+	return c.finish(failure)
 }
 
 // finish reports to the scheduler how the call ended, and keeps or closes its connection.
-func (c *call) finish(f *callFailure) *callFailure {
+func (c *call) finish(failure *callFailure) *callFailure {
 	c.roundTrip.inFlight = nil
 	outcome := scheduler.Served
-	if f != nil {
-		outcome = f.outcome
+	if failure != nil {
+		outcome = failure.outcome
 	}
-	if c.roundTrip.stopReason() != notStopped && f != nil {
-		f.outcome, outcome = scheduler.Abandoned, scheduler.Abandoned
+	if c.roundTrip.stopReason() != notStopped && failure != nil {
+		failure.outcome, outcome = scheduler.Abandoned, scheduler.Abandoned
 	}
 	c.roundTrip.proxy.chooser.done(c.choice, outcome)
 	c.roundTrip.proxy.callCounts.count(c.role, outcome)
-	c.roundTrip.trace.endCall(c, f)
+	c.roundTrip.trace.endCall(c, failure)
 	c.logEnd(outcome)
 	c.disconnect()
-	return f
+	return failure
 }
 
 // logEnd logs the call together with what the scheduler expected of it; package latereport reads these lines.
@@ -75,12 +75,12 @@
 	if !event.Enabled() {
 		return
 	}
-	q, took := c.roundTrip.request, c.elapsed()
+	req, took := c.roundTrip.request, c.elapsed()
 	tokens, wait := c.choice.Expected()
-	event.Str("try", q.tryID).Str("route", q.route.Name).Dur("target_ms", q.route.LatencyTarget).
+	event.Str("try", req.tryID).Str("route", req.route.Name).Dur("target_ms", req.route.LatencyTarget).
 		Str("server", c.choice.Server.ID).Str("role", roleNames[c.role]).Str("outcome", outcomeNames[outcome]).
-		Str("shared", strconv.FormatUint(c.choice.SharedPrefix(), 16)).Int("prompt", q.scheduling.PromptTokens).
-		Int("reads", tokens).Dur("expected_ms", wait).Dur("at_ms", time.Since(q.arrived)-took).
+		Str("shared", strconv.FormatUint(c.choice.SharedPrefix(), 16)).Int("prompt", req.scheduling.PromptTokens).
+		Int("reads", tokens).Dur("expected_ms", wait).Dur("at_ms", time.Since(req.arrived)-took).
 		Dur("head_ms", c.timeToHead).Dur("event_ms", c.timeToFirstEvent).Dur("took_ms", took).Msg("front: call")
 }
 
@@ -99,7 +99,7 @@
 	switch {
 	case sendFailure == nil:
 		c.conn.SetReadDeadline(c.firstByteDeadline())
-	case sendFailure.fate == notSent:
+	case sendFailure.execution == notSent:
 		return nil, nil, sendFailure
 	default: // a server that rejects a request need not read all of it
 		c.outOfSync, c.partlySent = true, true
@@ -109,11 +109,11 @@
 	if sendFailure == nil {
 		c.awaitResponse()
 	}
-	head, body, f := c.readHead()
-	if f != nil && sendFailure != nil {
-		f = sendFailure
+	head, body, failure := c.readHead()
+	if failure != nil && sendFailure != nil {
+		failure = sendFailure
 	}
-	return head, body, f
+	return head, body, failure
 }
 
 // awaitResponse waits for the first byte of the response without buffers. An error that ends the wait is
@@ -158,22 +158,22 @@
 	case err == nil:
 		return nil
 	case c.conn.bytesSent == 0:
-		return &callFailure{outcome: scheduler.Abandoned, fate: notSent, staleConnection: c.conn.reused}
+		return &callFailure{outcome: scheduler.Abandoned, execution: notSent, staleConnection: c.conn.reused}
 	}
 	return c.failureFrom(err)
 }
 
 // buildRequest returns the client's request as the server gets it.
 func (c *call) buildRequest() *http1.Request {
-	q := c.roundTrip.request
-	message := &http1.Request{Method: q.Method, Target: q.Target, Body: q.Body}
-	message.Header = append(q.forwardedHeader(),
+	req := c.roundTrip.request
+	message := &http1.Request{Method: req.Method, Target: req.Target, Body: req.Body}
+	message.Header = append(req.forwardedHeader(),
 		http1.Field{Name: deadlineHeader, Value: strconv.FormatInt(max(c.roundTrip.timeLeft().Milliseconds(), 1),
 			10)},
 		http1.Field{Name: expectServerHeader, Value: c.choice.Server.ID})
 	tokens, _ := c.choice.Expected()
-	if q.service.Engine != nil {
-		priority := strconv.Itoa(priorityOf(q.route.Priority, tokens))
+	if req.service.Engine != nil {
+		priority := strconv.Itoa(priorityOf(req.route.Priority, tokens))
 		message.Header = append(message.Header, http1.Field{Name: priorityHeader, Value: priority})
 	}
 	switch c.role {
@@ -257,16 +257,16 @@
 
 // failureFrom returns how a call failed whose request was sent, completely or in part.
 func (c *call) failureFrom(err error) *callFailure {
-	f := c.brokenFailure()
+	failure := c.brokenFailure()
 	c.reportSuspect(err)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		f.outcome = scheduler.TimedOut
-		return f
+		failure.outcome = scheduler.TimedOut
+		return failure
 	}
 	if c.conn.reused && !c.responseStarted && !errors.As(err, new(*http1.MalformedError)) {
-		f.staleConnection, f.outcome = true, scheduler.Abandoned
+		failure.staleConnection, failure.outcome = true, scheduler.Abandoned
 	}
-	return f
+	return failure
 }
 
 // reportSuspect reports the server where an error shows that its machine or process is down.
@@ -279,5 +279,5 @@
 
 // brokenFailure is the failure of a call whose connection ended, or whose response is unusable.
 func (c *call) brokenFailure() *callFailure {
-	return &callFailure{outcome: scheduler.Broken, fate: mayHaveRun}
+	return &callFailure{outcome: scheduler.Broken, execution: mayHaveRun}
 }
--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -21,9 +21,9 @@
 	// Update replaces the table of servers.
 	Update(now time.Duration, table *catalog.Table)
 	// Split reports whether the request's prompt is to be prefilled by one server for another.
-	Split(now time.Duration, r *scheduler.Request) bool
+	Split(now time.Duration, req *scheduler.Request) bool
 	// Choose begins a call, nil if no server may be asked. Done has to end each call once.
-	Choose(now time.Duration, r *scheduler.Request, role scheduler.Role,
+	Choose(now time.Duration, req *scheduler.Request, role scheduler.Role,
 		prefillServer *catalog.Server) *scheduler.Call
 	FirstEvent(now time.Duration, call *scheduler.Call)
 	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
@@ -31,9 +31,9 @@
 	// LastSuccess returns when a server last answered with success, and whether it has.
 	LastSuccess(server string) (time.Duration, bool)
 	// QueueDelay returns how long a request would wait for a slot, and whether one is free now.
-	QueueDelay(now time.Duration, r *scheduler.Request) (wait time.Duration, free bool)
+	QueueDelay(now time.Duration, req *scheduler.Request) (wait time.Duration, free bool)
 	// Alternative reports whether there is another server for the request, and one with a free slot.
-	Alternative(now time.Duration, r *scheduler.Request, server string) (exists, free bool)
+	Alternative(now time.Duration, req *scheduler.Request, server string) (exists, free bool)
 }
 
 // lockedChooser lets many goroutines use one chooser, and keeps it at the newest table of servers.
@@ -67,17 +67,17 @@
 	return now, lc.mu.Unlock
 }
 
-func (lc *lockedChooser) split(r *scheduler.Request) bool {
+func (lc *lockedChooser) split(req *scheduler.Request) bool {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.inner.Split(now, r)
+	return lc.inner.Split(now, req)
 }
 
-func (lc *lockedChooser) choose(r *scheduler.Request, role scheduler.Role,
+func (lc *lockedChooser) choose(req *scheduler.Request, role scheduler.Role,
 	prefillServer *catalog.Server) *scheduler.Call {
 	now, unlock := lc.lock()
 	defer unlock()
-	call := lc.inner.Choose(now, r, role, prefillServer)
+	call := lc.inner.Choose(now, req, role, prefillServer)
 	if call != nil {
 		lc.recordDemand(now, call, 1)
 	}
@@ -118,14 +118,14 @@
 	}
 }
 
-func (lc *lockedChooser) queueDelay(r *scheduler.Request) (wait time.Duration, free bool) {
+func (lc *lockedChooser) queueDelay(req *scheduler.Request) (wait time.Duration, free bool) {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.inner.QueueDelay(now, r)
+	return lc.inner.QueueDelay(now, req)
 }
 
-func (lc *lockedChooser) alternative(r *scheduler.Request, server string) (exists, free bool) {
+func (lc *lockedChooser) alternative(req *scheduler.Request, server string) (exists, free bool) {
 	now, unlock := lc.lock()
 	defer unlock()
-	return lc.inner.Alternative(now, r, server)
+	return lc.inner.Alternative(now, req, server)
 }
--- a/internal/router/dataplane/classify_test.go
+++ b/internal/router/dataplane/classify_test.go
@@ -40,7 +40,7 @@
 	c := qt.New(t)
 	for _, test := range []struct {
 		idempotent bool
-		worst      fate
+		worst      execution
 		repeat     bool
 		status     int // in time
 		late       int
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -144,18 +144,18 @@
 	invariant.Assert(c.responses <= 1, invariant.OneFinalAnswer, "a request got %d responses", c.responses)
 }
 
-// handle answers a request that was read completely. It reports whether the connection goes on.
-func (c *client) answer(q *request) bool {
-	c.socket.SetWriteDeadline(q.writeDeadline())
+// answer answers a request that was read completely. It reports whether the connection goes on.
+func (c *client) answer(req *request) bool {
+	c.socket.SetWriteDeadline(req.writeDeadline())
 	switch {
 	case c.proxy.rejectsInDrain():
-		return c.sendLocalReply(q, errShuttingDown)
-	case q.config == nil:
-		return c.sendLocalReply(q, errNoConfig)
-	case q.route == nil:
-		return c.sendLocalReply(q, errNoRoute)
+		return c.sendLocalReply(req, errShuttingDown)
+	case req.config == nil:
+		return c.sendLocalReply(req, errNoConfig)
+	case req.route == nil:
+		return c.sendLocalReply(req, errNoRoute)
 	}
-	rt := newRoundTrip(c, q)
+	rt := newRoundTrip(c, req)
 	c.setRoundTrip(rt)
 	defer c.setRoundTrip(nil)
 	watcher := watchDisconnect(c.socket, func() { rt.stop(clientDisconnected) })
@@ -170,13 +170,13 @@
 	c.roundTrip = rt
 }
 
-// setWriteDeadline sets how long the client may take to read a response that is written at once; q is nil if
-// no request could be read. The deadline is never in the past, so that a late response can still be sent.
-func (c *client) setWriteDeadline(q *request) {
+// setWriteDeadline sets how long the client may take to read a response that is written at once; req is nil
+// if no request could be read. The deadline is never in the past, so that a late response can still be sent.
+func (c *client) setWriteDeadline(req *request) {
 	now := time.Now()
 	deadline := now.Add(localReplyWriteTime)
-	if q != nil {
-		deadline = q.writeDeadline()
+	if req != nil {
+		deadline = req.writeDeadline()
 	}
 	if earliest := now.Add(minWriteTime); deadline.Before(earliest) {
 		deadline = earliest
@@ -185,7 +185,9 @@
 }
 
 // closesAfter reports whether the connection ends with the response to a request.
-func (c *client) closesAfter(q *request) bool { return c.proxy.draining.Load() || q == nil || q.Close }
+func (c *client) closesAfter(req *request) bool {
+	return c.proxy.draining.Load() || req == nil || req.Close
+}
 
 // addKeepAlive announces to the client how long its connection stays open, one second less than it does.
 func (c *client) addKeepAlive(response *http1.Response) {
--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -34,7 +34,7 @@
 // connect gets a connection to the server.
 func (c *call) connect() *callFailure {
 	rt := c.roundTrip
-	abandoned := &callFailure{outcome: scheduler.Abandoned, fate: notSent}
+	abandoned := &callFailure{outcome: scheduler.Abandoned, execution: notSent}
 	ctx, cancel := context.WithDeadline(context.Background(), c.connectDeadline())
 	defer cancel()
 	if !rt.setAbortable(canceller(cancel)) {
@@ -46,7 +46,7 @@
 		return abandoned
 	case err != nil:
 		c.reportSuspect(err)
-		return &callFailure{outcome: scheduler.Unreachable, fate: notSent}
+		return &callFailure{outcome: scheduler.Unreachable, execution: notSent}
 	}
 	c.conn, c.mustClose = conn, true
 	invariant.Assert(conn.server == c.choice.Server.ID, invariant.ConnectionOfServer,
@@ -60,19 +60,20 @@
 }
 
 func (c *call) connectionSpec() connectionSpec {
-	q := c.roundTrip.request
+	req := c.roundTrip.request
 	spec := connectionSpec{server: c.choice.Server, maxIdle: maxIdleTime,
-		maxPerServer:  c.roundTrip.proxy.serverConnectionQuota(q.service),
+		maxPerServer:  c.roundTrip.proxy.serverConnectionQuota(req.service),
 		requestNumber: c.roundTrip.requestNumber}
-	if !q.route.Idempotent() {
+	if !req.route.Idempotent() {
 		spec.maxIdle = maxIdleTimeUnsafe
 	}
 	return spec
 }
 
 func (c *call) connectDeadline() time.Time {
-	q := c.roundTrip.request
-	return earlier(q.deadline, time.Now().Add(min(max(q.route.LatencyTarget/2, minDialTimeout), maxDialTimeout)))
+	req := c.roundTrip.request
+	timeout := min(max(req.route.LatencyTarget/2, minDialTimeout), maxDialTimeout)
+	return earlier(req.deadline, time.Now().Add(timeout))
 }
 
 // canceller cancels the opening of a connection.
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -13,15 +13,15 @@
 )
 
 // deadlineOf is the time that a call was given, in milliseconds; 0 where none is told.
-func deadlineOf(q *http1.Request) int { return parseCount(q.Header.Get(deadlineHeader)) }
+func deadlineOf(req *http1.Request) int { return parseCount(req.Header.Get(deadlineHeader)) }
 
 // Every call tells its server what is left of the client's time: safe and unsafe requests, streams, prefill
 // and what follows it, and a retry so much less as the previous call took.
 func TestEveryCallCarriesTheTimeLeft(t *testing.T) {
 	ended := make(chan string, 9)
-	begins := func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
-		return neverAnswer(ended)(q, w)
+	begins := func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
+		return neverAnswer(ended)(req, w)
 	}
 	for _, test := range []struct {
 		name, route   string
@@ -62,9 +62,9 @@
 		r.Assert(answer.Status, qt.Equals, 200)
 		before := 1500
 		for _, s := range append(prefillers, decoders...) {
-			for _, q := range s.got() {
-				r.Assert(deadlineOf(q) > 0 && deadlineOf(q) <= before, qt.IsTrue)
-				before = deadlineOf(q)
+			for _, req := range s.got() {
+				r.Assert(deadlineOf(req) > 0 && deadlineOf(req) <= before, qt.IsTrue)
+				before = deadlineOf(req)
 			}
 		}
 	}
@@ -85,18 +85,20 @@
 // wait and whatever its server has sent so far.
 func TestRouteTimeoutEndsEveryKindOfRequest(t *testing.T) {
 	ended := make(chan string, 99)
-	for name, part := range map[string]func(q *http1.Request) string{
+	for name, part := range map[string]func(req *http1.Request) string{
 		"nothing":        func(*http1.Request) string { return "" },
-		"a part of head": func(q *http1.Request) string { return head(q, 200, stamp) },
-		"a part of body": func(q *http1.Request) string { return head(q, 200, stamp) + length("twice") + "half" },
-		"an event":       func(q *http1.Request) string { return streamHead(q, "s") + chunk(event(1)) },
+		"a part of head": func(req *http1.Request) string { return head(req, 200, stamp) },
+		"a part of body": func(req *http1.Request) string {
+			return head(req, 200, stamp) + length("twice") + "half"
+		},
+		"an event": func(req *http1.Request) string { return streamHead(req, "s") + chunk(event(1)) },
 	} {
 		for _, route := range []string{"safe", "unsafe", "stream", "firm", "model", "modelfirm"} {
 			t.Run(route+" "+name, func(t *testing.T) {
 				t.Parallel()
-				answer := func(q *http1.Request, w io.Writer) bool {
-					io.WriteString(w, part(q))
-					return neverAnswer(ended)(q, w)
+				answer := func(req *http1.Request, w io.Writer) bool {
+					io.WriteString(w, part(req))
+					return neverAnswer(ended)(req, w)
 				}
 				s := newServer(t, "i-1", "lookup", "", answer)
 				reader := newServer(t, "i-r", "language", catalog.Prefill, prefillsPrompt("h"))
--- a/internal/router/dataplane/demand.go
+++ b/internal/router/dataplane/demand.go
@@ -40,17 +40,17 @@
 func (m *demandMeter) add(now time.Duration, service string, role scheduler.Role, change int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.services[service]
-	if s == nil {
-		s = &meteredService{integratedUntil: now, windowStart: now, mean: Demand{Service: service}}
-		m.services[service] = s
+	metered := m.services[service]
+	if metered == nil {
+		metered = &meteredService{integratedUntil: now, windowStart: now, mean: Demand{Service: service}}
+		m.services[service] = metered
 	}
-	s.integrate(now)
-	s.mean.Observed = true
+	metered.integrate(now)
+	metered.mean.Observed = true
 	if role == scheduler.Prefill {
-		s.prefilling += change
+		metered.prefilling += change
 	} else {
-		s.decoding += change
+		metered.decoding += change
 	}
 }
 
@@ -66,14 +66,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var all []Demand
-	for _, s := range m.services {
-		s.integrate(now)
-		if window := (now - s.windowStart).Seconds(); window > 0 {
-			s.mean.Prefill += demandGain * (s.prefillIntegral/window - s.mean.Prefill)
-			s.mean.Decode += demandGain * (s.decodeIntegral/window - s.mean.Decode)
+	for _, metered := range m.services {
+		metered.integrate(now)
+		if window := (now - metered.windowStart).Seconds(); window > 0 {
+			metered.mean.Prefill += demandGain * (metered.prefillIntegral/window - metered.mean.Prefill)
+			metered.mean.Decode += demandGain * (metered.decodeIntegral/window - metered.mean.Decode)
 		}
-		s.prefillIntegral, s.decodeIntegral, s.windowStart = 0, 0, now
-		all = append(all, s.mean)
+		metered.prefillIntegral, metered.decodeIntegral, metered.windowStart = 0, 0, now
+		all = append(all, metered.mean)
 	}
 	return all
 }
--- a/internal/router/dataplane/disconnect.go
+++ b/internal/router/dataplane/disconnect.go
@@ -19,16 +19,16 @@
 
 // watchDisconnect calls onDisconnect once when the client ends its sending or the connection breaks. It
 // takes nothing out of the connection.
-func watchDisconnect(s *socket, onDisconnect func()) *disconnectWatcher {
-	w := &disconnectWatcher{socket: s, stopping: make(chan struct{}), done: make(chan struct{})}
-	s.SetReadDeadline(time.Time{})
+func watchDisconnect(socket *socket, onDisconnect func()) *disconnectWatcher {
+	watcher := &disconnectWatcher{socket: socket, stopping: make(chan struct{}), done: make(chan struct{})}
+	socket.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(w.done)
-		if w.awaitDisconnect() {
+		defer close(watcher.done)
+		if watcher.awaitDisconnect() {
 			onDisconnect()
 		}
 	}()
-	return w
+	return watcher
 }
 
 // awaitDisconnect waits until the client disconnects, and returns true, or until the watch is stopped.
--- a/internal/router/dataplane/disconnect_test.go
+++ b/internal/router/dataplane/disconnect_test.go
@@ -28,13 +28,13 @@
 func TestClientDisconnectsAtEachStage(t *testing.T) {
 	ended := make(chan string, 999)
 	held := neverAnswer(ended)
-	begins := func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
-		return held(q, w)
+	begins := func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
+		return held(req, w)
 	}
-	goesOnAndStalls := func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, "s")+chunk(event(2)))
-		return held(q, w)
+	goesOnAndStalls := func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "s")+chunk(event(2)))
+		return held(req, w)
 	}
 	handle := prefillsPrompt("h")
 	for _, test := range []struct {
--- a/internal/router/dataplane/drain.go
+++ b/internal/router/dataplane/drain.go
@@ -53,8 +53,8 @@
 }
 
 func (p *Proxy) closeIdle() {
-	for _, c := range p.connectedClients() {
-		c.closeIfIdle()
+	for _, client := range p.connectedClients() {
+		client.closeIfIdle()
 	}
 }
 
@@ -62,8 +62,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := make([]*client, 0, len(p.clients))
-	for c := range p.clients {
-		all = append(all, c)
+	for client := range p.clients {
+		all = append(all, client)
 	}
 	return all
 }
@@ -85,8 +85,8 @@
 		select {
 		case <-changed:
 		case <-abort.C:
-			for _, c := range p.connectedClients() {
-				c.abortRequest()
+			for _, client := range p.connectedClients() {
+				client.abortRequest()
 			}
 		case <-timeout.C:
 			return
--- a/internal/router/dataplane/drain_test.go
+++ b/internal/router/dataplane/drain_test.go
@@ -19,9 +19,9 @@
 
 func TestDisconnectEndsTheCall(t *testing.T) {
 	ended := make(chan string, 9)
-	beginning := func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
-		return neverAnswer(ended)(q, w)
+	beginning := func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
+		return neverAnswer(ended)(req, w)
 	}
 	for name, test := range map[string]struct {
 		route  string
@@ -88,9 +88,9 @@
 
 func TestDrainAnswersWhatWasRead(t *testing.T) {
 	goOn := make(chan bool)
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
 		<-goOn
-		return ok("done")(q, w)
+		return ok("done")(req, w)
 	})
 	r := newRig(t, nil, s)
 	p, slow, idle := r.dial(), r.dial(), r.dial()
@@ -160,8 +160,8 @@
 // accepts no further request all the same.
 func TestKeepAliveConnectionsEndLateInADrain(t *testing.T) {
 	goOn := make(chan bool)
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
 		<-goOn
 		io.WriteString(w, chunk(event(2))+"0\r\n\r\n")
 		return true
@@ -318,8 +318,8 @@
 		for id := range answered {
 			got[id] = true
 		}
-		for _, q := range s.got() {
-			id := q.Header.Get(tryIDHeader)
+		for _, req := range s.got() {
+			id := req.Header.Get(tryIDHeader)
 			r.Assert(got[id], qt.IsTrue, qt.Commentf("%s came to the server and was not answered", id))
 		}
 	}
@@ -332,11 +332,11 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	late := &client{proxy: r.proxy, socket: &socket{Conn: near}}
-	q := &request{Request: &http1.Request{Method: "GET"}, tryID: "a", deadline: time.Now().Add(-time.Second)}
+	req := &request{Request: &http1.Request{Method: "GET"}, tryID: "a", deadline: time.Now().Add(-time.Second)}
 	go func() {
 		defer near.Close()
-		late.socket.SetWriteDeadline(q.writeDeadline())
-		late.sendLocalReply(q, errNoRoute)
+		late.socket.SetWriteDeadline(req.writeDeadline())
+		late.sendLocalReply(req, errNoRoute)
 	}()
 	answer, err := (&testClient{Conn: far, in: bufio.NewReader(far)}).read()
 	r.Assert(err, qt.IsNil)
--- a/internal/router/dataplane/events.go
+++ b/internal/router/dataplane/events.go
@@ -16,14 +16,14 @@
 }
 
 // feed adds bytes. Events that next returned before are not valid any more.
-func (s *eventSplitter) feed(p []byte) {
+func (s *eventSplitter) feed(data []byte) {
 	if s.eventStart > 0 {
 		remaining := copy(s.buffer, s.buffer[s.eventStart:])
 		s.buffer = s.buffer[:remaining]
 		s.lineStart -= s.eventStart
 		s.eventStart = 0
 	}
-	s.buffer = append(s.buffer, p...)
+	s.buffer = append(s.buffer, data...)
 }
 
 // next returns the next complete event, nil if there is none yet.
--- a/internal/router/dataplane/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -5,22 +5,22 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// fate is what is known of whether a call's request has run.
-type fate int
+// execution is what is known of whether a call's request has run.
+type execution int
 
-// The fates, the worst last.
+// The states of execution, the worst last.
 const (
-	notSent    fate = iota // no byte left this process
-	notRun                 // the server says that it did not run it
-	mayHaveRun             // bytes were sent, and nothing says that it did not run
+	notSent    execution = iota // no byte left this process
+	notRun                      // the server says that it did not run it
+	mayHaveRun                  // bytes were sent, and nothing says that it did not run
 )
 
 // retryIsSafe reports whether the request may be sent again after a call that ended so.
-func retryIsSafe(idempotent bool, worst fate) bool { return idempotent || worst != mayHaveRun }
+func retryIsSafe(idempotent bool, worst execution) bool { return idempotent || worst != mayHaveRun }
 
 // finalStatus is the status of the proxy's own response where nothing more is tried. 503 promises that the
 // request has not run and never will; 502 and 504 promise nothing.
-func finalStatus(worst fate, late bool) int {
+func finalStatus(worst execution, late bool) int {
 	switch {
 	case worst != mayHaveRun:
 		return 503
@@ -32,16 +32,16 @@
 
 // callFailure describes a call that did not bring the complete response.
 type callFailure struct {
-	outcome  scheduler.Outcome
-	fate     fate
-	response *bufferedResponse // the server's own error, forwarded if nothing more is tried
+	outcome   scheduler.Outcome
+	execution execution
+	response  *bufferedResponse // the server's own error, forwarded if nothing more is tried
 	// a reused connection ended before a byte of the response: no fault of the server
 	staleConnection bool
 }
 
 // handleConsumed reports whether the prefix cache that the call named may have been taken.
-func (f *callFailure) handleConsumed() bool {
-	return f.fate == mayHaveRun || f.outcome == scheduler.HandleFailed
+func (failure *callFailure) handleConsumed() bool {
+	return failure.execution == mayHaveRun || failure.outcome == scheduler.HandleFailed
 }
 
 // reportReplaced reports that another incarnation may have the server's address. Model servers are exempt:
--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -31,23 +31,23 @@
 
 func (f *fakeChooser) Update(_ time.Duration, table *catalog.Table) { f.table = table }
 
-func (f *fakeChooser) Split(_ time.Duration, r *scheduler.Request) bool {
-	return !f.noSplit && f.first(r, catalog.Prefill) != nil
+func (f *fakeChooser) Split(_ time.Duration, req *scheduler.Request) bool {
+	return !f.noSplit && f.first(req, catalog.Prefill) != nil
 }
 
-func (f *fakeChooser) Choose(_ time.Duration, r *scheduler.Request, role scheduler.Role,
+func (f *fakeChooser) Choose(_ time.Duration, req *scheduler.Request, role scheduler.Role,
 	prefillServer *catalog.Server) *scheduler.Call {
 	if f.panics.Load() {
 		panic("a mistake")
 	}
 	stage := catalog.NoRole
-	if r.Service.Engine != nil {
+	if req.Service.Engine != nil {
 		stage = catalog.Decode
 	}
 	if role == scheduler.Prefill {
 		stage = catalog.Prefill
 	}
-	server := f.first(r, stage)
+	server := f.first(req, stage)
 	if server == nil {
 		return nil
 	}
@@ -59,9 +59,9 @@
 }
 
 // first returns the first server that may be chosen.
-func (f *fakeChooser) first(r *scheduler.Request, stage catalog.Role) *catalog.Server {
-	for _, s := range f.table.Service(r.Service.Name) {
-		if s.Role == stage && !slices.Contains(r.Excluded, s.ID) {
+func (f *fakeChooser) first(req *scheduler.Request, stage catalog.Role) *catalog.Server {
+	for _, s := range f.table.Service(req.Service.Name) {
+		if s.Role == stage && !slices.Contains(req.Excluded, s.ID) {
 			return s
 		}
 	}
@@ -97,9 +97,10 @@
 	return f.wait, f.wait == 0
 }
 
-func (f *fakeChooser) Alternative(_ time.Duration, r *scheduler.Request, server string) (exists, free bool) {
-	for _, s := range f.table.Service(r.Service.Name) {
-		exists = exists || s.ID != server && s.Role != catalog.Prefill && !slices.Contains(r.Excluded, s.ID)
+func (f *fakeChooser) Alternative(_ time.Duration, req *scheduler.Request,
+	server string) (exists, free bool) {
+	for _, s := range f.table.Service(req.Service.Name) {
+		exists = exists || s.ID != server && s.Role != catalog.Prefill && !slices.Contains(req.Excluded, s.ID)
 	}
 	return exists, exists && f.wait == 0
 }
--- a/internal/router/dataplane/fakeserver_test.go
+++ b/internal/router/dataplane/fakeserver_test.go
@@ -23,7 +23,7 @@
 }
 
 // handler answers one request by what it writes to the connection; false ends the connection.
-type handler func(q *http1.Request, w io.Writer) bool
+type handler func(req *http1.Request, w io.Writer) bool
 
 func newServer(tb testing.TB, id, service string, stage catalog.Role, answer handler) *server {
 	tb.Helper()
@@ -80,17 +80,17 @@
 func (s *server) serve(conn net.Conn, answer handler) {
 	in := bufio.NewReader(conn)
 	for {
-		q, body, err := http1.ReadRequestHead(in)
+		req, body, err := http1.ReadRequestHead(in)
 		if err != nil {
 			return
 		}
-		if q.Body, err = io.ReadAll(body); err != nil {
+		if req.Body, err = io.ReadAll(body); err != nil {
 			return
 		}
 		s.mu.Lock()
-		s.received = append(s.received, q)
+		s.received = append(s.received, req)
 		s.mu.Unlock()
-		if !answer(q, conn) {
+		if !answer(req, conn) {
 			return
 		}
 	}
@@ -105,15 +105,15 @@
 
 // ok answers 200 with a stamp and that body.
 func ok(body string) handler {
-	return func(q *http1.Request, w io.Writer) bool {
-		fmt.Fprint(w, head(q, 200, "Cresshub-Server-Stamp: s1"), length(body), body)
+	return func(req *http1.Request, w io.Writer) bool {
+		fmt.Fprint(w, head(req, 200, "Cresshub-Server-Stamp: s1"), length(body), body)
 		return true
 	}
 }
 
-// head is the status line and the fields of an answer to q, without the blank line.
-func head(q *http1.Request, status int, fields ...string) string {
-	lines := fmt.Sprintf("HTTP/1.1 %d X\r\nCresshub-Try-Id: %s\r\n", status, q.Header.Get(tryIDHeader))
+// head is the status line and the fields of an answer to req, without the blank line.
+func head(req *http1.Request, status int, fields ...string) string {
+	lines := fmt.Sprintf("HTTP/1.1 %d X\r\nCresshub-Try-Id: %s\r\n", status, req.Header.Get(tryIDHeader))
 	for _, f := range fields {
 		lines += f + "\r\n"
 	}
@@ -124,8 +124,8 @@
 
 // status answers with a status, fields and no body.
 func status(code int, fields ...string) handler {
-	return func(q *http1.Request, w io.Writer) bool {
-		fmt.Fprint(w, head(q, code, fields...), length(""))
+	return func(req *http1.Request, w io.Writer) bool {
+		fmt.Fprint(w, head(req, code, fields...), length(""))
 		return true
 	}
 }
@@ -161,9 +161,9 @@
 
 // neverAnswer sends nothing and waits for the other side to end the connection, which it reports on ended.
 func neverAnswer(ended chan<- string) handler {
-	return func(q *http1.Request, w io.Writer) bool {
+	return func(req *http1.Request, w io.Writer) bool {
 		io.Copy(io.Discard, w.(net.Conn))
-		ended <- q.Header.Get(tryIDHeader)
+		ended <- req.Header.Get(tryIDHeader)
 		return false
 	}
 }
@@ -171,21 +171,21 @@
 // inTurn answers each request by the next handler, and all further ones by the last.
 func inTurn(handlers ...handler) handler {
 	var mu sync.Mutex
-	return func(q *http1.Request, w io.Writer) bool {
+	return func(req *http1.Request, w io.Writer) bool {
 		mu.Lock()
 		h := handlers[0]
 		if len(handlers) > 1 {
 			handlers = handlers[1:]
 		}
 		mu.Unlock()
-		return h(q, w)
+		return h(req, w)
 	}
 }
 
 // events answers with a stream of the events from..to, ended or broken off.
 func events(from, to int, whole bool) handler {
-	return func(q *http1.Request, w io.Writer) bool {
-		fmt.Fprint(w, head(q, 200, "Cresshub-Server-Stamp: s"+fmt.Sprint(from), "Content-Type: text/event-stream",
+	return func(req *http1.Request, w io.Writer) bool {
+		fmt.Fprint(w, head(req, 200, "Cresshub-Server-Stamp: s"+fmt.Sprint(from), "Content-Type: text/event-stream",
 			"Transfer-Encoding: chunked"), "\r\n")
 		for id := from; id <= to; id++ {
 			io.WriteString(w, chunk(event(id)))
--- a/internal/router/dataplane/faults_test.go
+++ b/internal/router/dataplane/faults_test.go
@@ -33,8 +33,8 @@
 	byEnd    framing = "by the end of the connection"
 )
 
-// encode returns the response to q with that body, and the length of its head.
-func (f framing) encode(q *http1.Request, kind string, parts ...string) (text string, headLength int) {
+// encode returns the response to req with that body, and the length of its head.
+func (f framing) encode(req *http1.Request, kind string, parts ...string) (text string, headLength int) {
 	fields := []string{stamp, "Content-Type: " + kind}
 	body := strings.Join(parts, "")
 	switch f {
@@ -48,7 +48,7 @@
 		}
 		body += "0\r\n\r\n"
 	}
-	top := head(q, 200, fields...) + "\r\n"
+	top := head(req, 200, fields...) + "\r\n"
 	return top + body, len(top)
 }
 
@@ -65,15 +65,15 @@
 func (f *faultyAttempt) streams() bool { return f.route == "stream" || f.route == "firm" }
 
 // answer encodes the complete response to a request of the attempt.
-func (f *faultyAttempt) answer(q *http1.Request) (text string, headLength int) {
+func (f *faultyAttempt) answer(req *http1.Request) (text string, headLength int) {
 	if !f.streams() {
-		return f.framing.encode(q, "text/plain", "body ", "of "+f.id)
+		return f.framing.encode(req, "text/plain", "body ", "of "+f.id)
 	}
 	var events []string
-	for piece := parseCount(q.Header.Get(lastEventHeader)) + 1; piece <= 3; piece++ {
+	for piece := parseCount(req.Header.Get(lastEventHeader)) + 1; piece <= 3; piece++ {
 		events = append(events, eventOf(f.id, piece))
 	}
-	return f.framing.encode(q, eventStreamType, events...)
+	return f.framing.encode(req, eventStreamType, events...)
 }
 
 // body is what the client has to get.
@@ -90,8 +90,8 @@
 	attempts map[string]*faultyAttempt
 }
 
-func (s *faultyServers) serve(q *http1.Request, w io.Writer) bool {
-	id := q.Header.Get(tryIDHeader)
+func (s *faultyServers) serve(req *http1.Request, w io.Writer) bool {
+	id := req.Header.Get(tryIDHeader)
 	s.mu.Lock()
 	try := s.attempts[id]
 	if try != nil {
@@ -100,9 +100,9 @@
 	first := try != nil && try.arrivals == 1
 	s.mu.Unlock()
 	if try == nil {
-		return ok("body of "+id)(q, w)
+		return ok("body of "+id)(req, w)
 	}
-	text, _ := try.answer(q)
+	text, _ := try.answer(req)
 	if !first {
 		io.WriteString(w, text)
 		return try.framing != byEnd
@@ -267,13 +267,13 @@
 // it ends as if in order. So a response that only the end of its connection ends does not count then.
 func TestEndAfterABrokenSendIsNotTrusted(t *testing.T) {
 	c := qt.New(t)
-	q := requestOf("a")
-	text, _ := byEnd.encode(q, "text/plain", "body")
+	req := requestOf("a")
+	text, _ := byEnd.encode(req, "text/plain", "body")
 	head, body, err := http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
 	c.Assert(classify((&call{}).responseTraits(head, body)), qt.Equals, classForward)
 	c.Assert(classify((&call{partlySent: true}).responseTraits(head, body)), qt.Equals, classUnusable)
-	text, _ = byChunks.encode(q, "text/plain", "body")
+	text, _ = byChunks.encode(req, "text/plain", "body")
 	head, body, err = http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
 	c.Assert(classify((&call{partlySent: true}).responseTraits(head, body)), qt.Equals, classForward)
--- a/internal/router/dataplane/headers.go
+++ b/internal/router/dataplane/headers.go
@@ -44,23 +44,23 @@
 // schedulingRequest reads what the scheduler needs of a request's header. What cannot be parsed is left
 // out.
 func schedulingRequest(header http1.Header, service *fleetconfig.Service) scheduler.Request {
-	r := scheduler.Request{Service: service}
+	req := scheduler.Request{Service: service}
 	in, out, _ := strings.Cut(header.Get(tokensHeader), ",")
-	r.PromptTokens = parseCount(in)
-	r.OutputTokens = parseCount(out)
+	req.PromptTokens = parseCount(in)
+	req.OutputTokens = parseCount(out)
 	prefix := header.Get(prefixHeader)
 	if prefix == "" {
-		return r
+		return req
 	}
 	for part := range strings.SplitSeq(prefix, ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(part), ":")
 		if !ok {
-			r.Segments = nil
-			return r
+			req.Segments = nil
+			return req
 		}
-		r.Segments = append(r.Segments, scheduler.Segment{ID: id, Tokens: parseCount(tokens)})
+		req.Segments = append(req.Segments, scheduler.Segment{ID: id, Tokens: parseCount(tokens)})
 	}
-	return r
+	return req
 }
 
 func parseCount(text string) int {
@@ -99,8 +99,8 @@
 var protectedFields = []string{"Host", tryIDHeader, lastEventHeader, modelHeader, tokensHeader, prefixHeader}
 
 // forwardedHeader returns the fields that every call of the request carries.
-func (q *request) forwardedHeader() http1.Header {
-	header := q.Header
+func (req *request) forwardedHeader() http1.Header {
+	header := req.Header
 	if !plainConnection(header.Get("Connection")) {
 		header = slices.Clone(header)
 		for i := range header {
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -33,26 +33,26 @@
 // newKVHandle returns a handle that is used for the first handleLifetimeUsed of its lifetime; a lifetime of 0
 // never ends.
 func newKVHandle(server *catalog.Server, id, tryID string, lifetime time.Duration) *kvHandle {
-	h := &kvHandle{server: server, id: id, tryID: tryID}
+	handle := &kvHandle{server: server, id: id, tryID: tryID}
 	if lifetime > 0 {
-		h.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeUsed))
+		handle.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeUsed))
 	}
-	return h
+	return handle
 }
 
 // prefillServer is the server that has the prefix cache, nil for no handle.
-func (h *kvHandle) prefillServer() *catalog.Server {
-	if h == nil {
+func (handle *kvHandle) prefillServer() *catalog.Server {
+	if handle == nil {
 		return nil
 	}
-	return h.server
+	return handle.server
 }
 
 // source is the handle as the decode server gets it in Kv-From.
-func (h *kvHandle) source() string { return h.server.Address + "/" + h.id }
+func (handle *kvHandle) source() string { return handle.server.Address + "/" + handle.id }
 
-func (h *kvHandle) expired(now time.Time) bool {
-	return h != nil && !h.expiresAt.IsZero() && now.After(h.expiresAt)
+func (handle *kvHandle) expired(now time.Time) bool {
+	return handle != nil && !handle.expiresAt.IsZero() && now.After(handle.expiresAt)
 }
 
 // parseHandle reads the response of a server that has prefilled a prompt. It returns false for a handle
@@ -64,7 +64,7 @@
 	if json.Unmarshal(body, &answer) != nil || answer.Handle == "" {
 		return "", false
 	}
-	odd := func(c rune) bool { return c <= ' ' || c > '~' || c == '/' }
+	odd := func(char rune) bool { return char <= ' ' || char > '~' || char == '/' }
 	return answer.Handle, !strings.ContainsFunc(answer.Handle, odd)
 }
 
@@ -84,11 +84,11 @@
 	slots chan struct{}
 }
 
-func newHandleReleaser(p *pool) *handleReleaser {
-	return &handleReleaser{pool: p, slots: make(chan struct{}, maxReleases)}
+func newHandleReleaser(pool *pool) *handleReleaser {
+	return &handleReleaser{pool: pool, slots: make(chan struct{}, maxReleases)}
 }
 
-func (r *handleReleaser) release(h *kvHandle) {
+func (r *handleReleaser) release(handle *kvHandle) {
 	select {
 	case r.slots <- struct{}{}:
 	default:
@@ -96,22 +96,22 @@
 	}
 	go func() {
 		defer func() { <-r.slots }()
-		r.delete(h)
+		r.delete(handle)
 	}()
 }
 
 // delete makes the call. Nothing depends on its result.
-func (r *handleReleaser) delete(h *kvHandle) {
+func (r *handleReleaser) delete(handle *kvHandle) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	conn, err := r.pool.get(ctx, connectionSpec{server: h.server, maxIdle: maxIdleTimeUnsafe})
+	conn, err := r.pool.get(ctx, connectionSpec{server: handle.server, maxIdle: maxIdleTimeUnsafe})
 	if err != nil {
 		return
 	}
 	conn.SetDeadline(time.Now().Add(releaseTimeout))
-	host, _, _ := net.SplitHostPort(h.server.Address)
-	message := http1.Request{Method: "DELETE", Target: handlePath + h.id, Header: http1.Header{
-		{Name: "Host", Value: host}, {Name: expectServerHeader, Value: h.server.ID}}}
+	host, _, _ := net.SplitHostPort(handle.server.Address)
+	message := http1.Request{Method: "DELETE", Target: handlePath + handle.id, Header: http1.Header{
+		{Name: "Host", Value: host}, {Name: expectServerHeader, Value: handle.server.ID}}}
 	if out := conn.writer(); message.Write(out) != nil || out.Flush() != nil {
 		r.pool.discard(conn)
 		return
--- a/internal/router/dataplane/localreply.go
+++ b/internal/router/dataplane/localreply.go
@@ -38,9 +38,9 @@
 )
 
 // sendLocalReply sends the proxy's own response. It reports whether the connection goes on.
-func (c *client) sendLocalReply(q *request, reply *localReplyError) bool {
+func (c *client) sendLocalReply(req *request, reply *localReplyError) bool {
 	c.recordResponse()
-	c.proxy.recordLocalReply(q, reply)
+	c.proxy.recordLocalReply(req, reply)
 	text := reply.remedy + "\n"
 	response := &http1.Response{Status: reply.status, Body: []byte(text)}
 	response.Header = http1.Header{{Name: "Content-Type", Value: "text/plain"}}
@@ -48,10 +48,10 @@
 		response.Header = append(response.Header, http1.Field{Name: "Retry-After",
 			Value: formatSeconds(reply.retryAfter)})
 	}
-	if q != nil && q.tryID != "" {
-		response.Header = append(response.Header, http1.Field{Name: tryIDHeader, Value: q.tryID})
+	if req != nil && req.tryID != "" {
+		response.Header = append(response.Header, http1.Field{Name: tryIDHeader, Value: req.tryID})
 	}
-	if q != nil && q.Method == "HEAD" {
+	if req != nil && req.Method == "HEAD" {
 		response.Bodiless, response.Length, response.Body = true, int64(len(text)), nil
 	}
 	switch {
@@ -60,8 +60,8 @@
 	case reply.status == 502 || reply.status == 504:
 		c.proxy.counters.failed.Add(1)
 	}
-	response.Close = reply.closeConnection || c.closesAfter(q)
-	c.setWriteDeadline(q)
+	response.Close = reply.closeConnection || c.closesAfter(req)
+	c.setWriteDeadline(req)
 	c.addKeepAlive(response)
 	if out := c.socket.writer(); response.Write(out) != nil || out.Flush() != nil {
 		return false
--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -30,23 +30,36 @@
 	Reused              int64 // calls on a connection that was used before
 }
 
+// counters are the counts that Stats returns. Any goroutine may add to them.
 type counters struct {
-	clients, clientsRejected, requests, malformed, forwarded, rejected, failed, truncated, clientsDisconnected,
-	calls, retries,
-	resumed, prefills, prefillsFailed, surplus, dialled, reused atomic.Int64
+	clients, clientsRejected, clientsDisconnected              atomic.Int64
+	requests, malformed                                        atomic.Int64
+	forwarded, rejected, failed, truncated                     atomic.Int64
+	calls, retries, resumed, prefills, prefillsFailed, surplus atomic.Int64
+	dialled, reused                                            atomic.Int64
 }
 
 // Stats returns the present counts.
 func (p *Proxy) Stats() Stats {
 	c := &p.counters
 	return Stats{
-		Clients: c.clients.Load(), ClientsRejected: c.clientsRejected.Load(), Requests: c.requests.Load(),
-		Malformed: c.malformed.Load(), Forwarded: c.forwarded.Load(), Rejected: c.rejected.Load(),
-		Failed: c.failed.Load(), Truncated: c.truncated.Load(), ClientsDisconnected: c.clientsDisconnected.Load(),
-		Calls:   c.calls.Load(),
-		Retries: c.retries.Load(), Resumed: c.resumed.Load(), Prefills: c.prefills.Load(),
-		PrefillsFailed: c.prefillsFailed.Load(), Surplus: c.surplus.Load(), Dialled: c.dialled.Load(),
-		Reused: c.reused.Load(),
+		Clients:             c.clients.Load(),
+		ClientsRejected:     c.clientsRejected.Load(),
+		Requests:            c.requests.Load(),
+		Malformed:           c.malformed.Load(),
+		Forwarded:           c.forwarded.Load(),
+		Rejected:            c.rejected.Load(),
+		Failed:              c.failed.Load(),
+		Truncated:           c.truncated.Load(),
+		ClientsDisconnected: c.clientsDisconnected.Load(),
+		Calls:               c.calls.Load(),
+		Retries:             c.retries.Load(),
+		Resumed:             c.resumed.Load(),
+		Prefills:            c.prefills.Load(),
+		PrefillsFailed:      c.prefillsFailed.Load(),
+		Surplus:             c.surplus.Load(),
+		Dialled:             c.dialled.Load(),
+		Reused:              c.reused.Load(),
 	}
 }
 
@@ -105,22 +118,22 @@
 }
 
 func (p *Proxy) counterMetrics() []counterMetric {
-	s := p.Stats()
+	stats := p.Stats()
 	return []counterMetric{
-		{"cresshub_clients_total", "Connections accepted from clients.", s.Clients},
+		{"cresshub_clients_total", "Connections accepted from clients.", stats.Clients},
 		{"cresshub_clients_turned_away_total", "Connections closed at once, as there were too many.",
-			s.ClientsRejected},
-		{"cresshub_requests_total", "Requests read whole.", s.Requests},
-		{"cresshub_requests_malformed_total", "Requests that could not be taken.", s.Malformed},
-		{"cresshub_answers_passed_total", "Answers of servers passed on whole.", s.Forwarded},
-		{"cresshub_answers_cut_total", "Answers that ended inside.", s.Truncated},
-		{"cresshub_repeats_total", "Calls that the retry budget paid for.", s.Retries},
-		{"cresshub_streams_resumed_total", "Streams taken up at another server.", s.Resumed},
-		{"cresshub_prompts_split_total", "Prompts read by one server for another.", s.Prefills},
-		{"cresshub_prompts_split_lost_total", "Prompts whose reading failed.", s.PrefillsFailed},
-		{"cresshub_surplus_answers_total", "Answers of servers to another request.", s.Surplus},
-		{"cresshub_server_connections_opened_total", "Connections opened to servers.", s.Dialled},
-		{"cresshub_server_connections_reused_total", "Calls on a connection used before.", s.Reused},
+			stats.ClientsRejected},
+		{"cresshub_requests_total", "Requests read whole.", stats.Requests},
+		{"cresshub_requests_malformed_total", "Requests that could not be taken.", stats.Malformed},
+		{"cresshub_answers_passed_total", "Answers of servers passed on whole.", stats.Forwarded},
+		{"cresshub_answers_cut_total", "Answers that ended inside.", stats.Truncated},
+		{"cresshub_repeats_total", "Calls that the retry budget paid for.", stats.Retries},
+		{"cresshub_streams_resumed_total", "Streams taken up at another server.", stats.Resumed},
+		{"cresshub_prompts_split_total", "Prompts read by one server for another.", stats.Prefills},
+		{"cresshub_prompts_split_lost_total", "Prompts whose reading failed.", stats.PrefillsFailed},
+		{"cresshub_surplus_answers_total", "Answers of servers to another request.", stats.Surplus},
+		{"cresshub_server_connections_opened_total", "Connections opened to servers.", stats.Dialled},
+		{"cresshub_server_connections_reused_total", "Calls on a connection used before.", stats.Reused},
 	}
 }
 
@@ -130,7 +143,7 @@
 	defer b.mu.Unlock()
 	allowed := b.allowance(now, proxies)
 	for service, budget := range b.services {
-		left := budget.allowed(now, allowed) - float64(budget.retries(now, allowed.window))
+		left := budget.limit(now, allowed) - float64(budget.retries(now, allowed.window))
 		page.Gauge("cresshub_retry_budget_left", "Repeats that a service may get now from this process.", left,
 			metrics.Label{Name: "service", Value: service})
 	}
--- a/internal/router/dataplane/outcome.go
+++ b/internal/router/dataplane/outcome.go
@@ -77,22 +77,22 @@
 	if !event.Enabled() {
 		return
 	}
-	q := rt.request
-	event.Str("try", q.tryID).Str("route", q.route.Name).Str("service", q.service.Name).
-		Int64("version", q.config.Version).Str("ending", string(outcome)).Str("reason", string(reason)).
+	req := rt.request
+	event.Str("try", req.tryID).Str("route", req.route.Name).Str("service", req.service.Name).
+		Int64("version", req.config.Version).Str("ending", string(outcome)).Str("reason", string(reason)).
 		Int("status", status).Dur("held_ms", elapsed).Dur("left_ms", rt.timeLeft()).Int("tries", rt.trace.attempts).
 		Int("repeats_paid", rt.attempts.paidRetries).Array("calls", &rt.trace).Msg("front: request not served")
 }
 
 // recordLocalReply counts a local reply to a request that no round trip was begun for.
-func (p *Proxy) recordLocalReply(q *request, reply *localReplyError) {
+func (p *Proxy) recordLocalReply(req *request, reply *localReplyError) {
 	if reply.reason == "" {
 		return
 	}
 	p.observer.notForwarded.With(metrics.Label{Name: "reason", Value: reply.reason}).Add(1)
 	tryID := ""
-	if q != nil {
-		tryID = q.tryID
+	if req != nil {
+		tryID = req.tryID
 	}
 	p.observer.rejectionLog.Info().Str("try", tryID).Int("status", reply.status).Str("reason", reply.reason).
 		Msg("front: request rejected")
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -80,19 +80,19 @@
 // get returns a quiet connection: the one used last, or else a new one, whose dialling ctx bounds.
 func (p *pool) get(ctx context.Context, spec connectionSpec) (*connection, error) {
 	for {
-		c, err := p.reserve(spec, time.Now())
+		conn, err := p.reserve(spec, time.Now())
 		if err != nil {
 			return nil, err
 		}
-		if c == nil {
+		if conn == nil {
 			return p.dial(ctx, spec)
 		}
-		if c.suitable(spec) && c.quiet() {
-			c.reused, c.lastRequest = true, spec.requestNumber
+		if conn.suitable(spec) && conn.quiet() {
+			conn.reused, conn.lastRequest = true, spec.requestNumber
 			p.counters.reused.Add(1)
-			return c, nil
+			return conn, nil
 		}
-		p.discard(c)
+		p.discard(conn)
 	}
 }
 
@@ -146,10 +146,10 @@
 
 func (s *serverConnections) popLast() *connection {
 	last := len(s.idle) - 1
-	c := s.idle[last]
+	conn := s.idle[last]
 	s.idle[last] = nil
 	s.idle = s.idle[:last]
-	return c
+	return conn
 }
 
 func (p *pool) dial(ctx context.Context, spec connectionSpec) (*connection, error) {
@@ -170,27 +170,27 @@
 }
 
 // put returns a connection to the pool; keepAlive is how long the server keeps it open.
-func (p *pool) put(c *connection, keepAlive time.Duration) {
-	if keepAlive <= 0 || c.hasBufferedInput() {
-		p.discard(c)
+func (p *pool) put(conn *connection, keepAlive time.Duration) {
+	if keepAlive <= 0 || conn.hasBufferedInput() {
+		p.discard(conn)
 		return
 	}
-	c.returnEmptyBuffers()
-	c.SetDeadline(time.Time{})
-	c.idleSince = time.Now()
-	c.expiresAt = c.idleSince.Add(keepAlive)
+	conn.returnEmptyBuffers()
+	conn.SetDeadline(time.Time{})
+	conn.idleSince = time.Now()
+	conn.expiresAt = conn.idleSince.Add(keepAlive)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conns := p.servers[c.server]
-	conns.idle = append(conns.idle, c)
+	conns := p.servers[conn.server]
+	conns.idle = append(conns.idle, conn)
 	p.scheduleSweep()
 }
 
 // discard closes a connection and releases its slot.
-func (p *pool) discard(c *connection) {
-	_ = c.Close() // nothing is left to be done for a connection that is given up
-	c.returnBuffers()
-	p.releaseSlot(c.server)
+func (p *pool) discard(conn *connection) {
+	_ = conn.Close() // nothing is left to be done for a connection that is given up
+	conn.returnBuffers()
+	p.releaseSlot(conn.server)
 }
 
 func (p *pool) releaseSlot(server string) {
@@ -215,8 +215,8 @@
 
 // sweep closes connections that have been idle for too long, or whose server has left the table.
 func (p *pool) sweep() {
-	for _, c := range p.takeExpired(time.Now()) {
-		p.discard(c)
+	for _, conn := range p.takeExpired(time.Now()) {
+		p.discard(conn)
 	}
 }
 
@@ -227,12 +227,12 @@
 	for id, conns := range p.servers {
 		unlisted := !p.isListed(id)
 		retained := conns.idle[:0]
-		for _, c := range conns.idle {
-			if unlisted || !now.Before(c.expiresAt) {
-				expired = append(expired, c)
+		for _, conn := range conns.idle {
+			if unlisted || !now.Before(conn.expiresAt) {
+				expired = append(expired, conn)
 				continue
 			}
-			retained = append(retained, c)
+			retained = append(retained, conn)
 		}
 		clear(conns.idle[len(retained):])
 		conns.idle = retained
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -12,54 +12,54 @@
 // allows.
 func (rt *roundTrip) prefill() {
 	for rt.handle == nil && !rt.finished() && rt.unreachableServers < maxUnreachable {
-		c := rt.newCall(scheduler.Prefill)
-		if c == nil {
+		call := rt.newCall(scheduler.Prefill)
+		if call == nil {
 			return
 		}
-		failure := c.prefill()
+		failure := call.prefill()
 		if failure == nil {
 			rt.proxy.counters.prefills.Add(1)
 			return
 		}
 		rt.proxy.counters.prefillsFailed.Add(1)
-		if !rt.handlePrefillFailure(c, failure) {
+		if !rt.handlePrefillFailure(call, failure) {
 			return
 		}
 	}
 }
 
 // handlePrefillFailure records how prefill failed, and reports whether another server is asked for it.
-func (rt *roundTrip) handlePrefillFailure(c *call, f *callFailure) bool {
-	rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, c.choice.Server.ID)
-	switch f.fate {
+func (rt *roundTrip) handlePrefillFailure(call *call, failure *callFailure) bool {
+	rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, call.choice.Server.ID)
+	switch failure.execution {
 	case notSent:
 		rt.unreachableServers++
 	case notRun:
 		rt.attempts.recordRejected()
 	case mayHaveRun:
 		rt.attempts.recordAccepted(scheduler.Prefill)
-		if !c.responseStarted { // it may have been queued there, which makes the next call a retry
+		if !call.responseStarted { // it may have been queued there, which makes the next call a retry
 			rt.attempts.unpaidPrefills++
 		}
-		return f.outcome != scheduler.TimedOut // a timeout leaves too little time for a second one
+		return failure.outcome != scheduler.TimedOut // a timeout leaves too little time for a second one
 	}
 	return true
 }
 
 // prefill makes the call that has the prompt prefilled.
 func (c *call) prefill() *callFailure {
-	f := c.connect()
-	if f != nil {
-		return c.finish(f)
+	failure := c.connect()
+	if failure != nil {
+		return c.finish(failure)
 	}
-	head, body, f := c.exchange()
-	if f == nil {
-		f = c.receiveHandle(head, body)
+	head, body, failure := c.exchange()
+	if failure == nil {
+		failure = c.receiveHandle(head, body)
 	}
-	if f == nil || f.outcome == scheduler.TimedOut {
+	if failure == nil || failure.outcome == scheduler.TimedOut {
 		c.roundTrip.proxy.prefillTimes.record(c.roundTrip.request.service.Name, time.Since(c.started))
 	}
-	return c.finish(f)
+	return c.finish(failure)
 }
 
 // receiveHandle takes the handle from the response to a prefill call.
@@ -73,13 +73,13 @@
 	switch {
 	case class == classMisdirected:
 		c.reportReplaced()
-		return &callFailure{outcome: scheduler.Misdirected, fate: notRun}
+		return &callFailure{outcome: scheduler.Misdirected, execution: notRun}
 	case class == classRejected:
-		return &callFailure{outcome: scheduler.Rejected, fate: notRun}
+		return &callFailure{outcome: scheduler.Rejected, execution: notRun}
 	case err != nil:
 		return c.failureFrom(err)
 	case head.Status >= 500:
-		return &callFailure{outcome: scheduler.Failed, fate: mayHaveRun}
+		return &callFailure{outcome: scheduler.Failed, execution: mayHaveRun}
 	}
 	handle, ok := parseHandle(buffered.body)
 	if head.Status != 200 || !ok {
--- a/internal/router/dataplane/prefill_test.go
+++ b/internal/router/dataplane/prefill_test.go
@@ -16,13 +16,13 @@
 
 // prefillsPrompt answers as a prefill server does.
 func prefillsPrompt(handle string) handler {
-	return func(q *http1.Request, w io.Writer) bool {
-		if q.Method == "DELETE" {
+	return func(req *http1.Request, w io.Writer) bool {
+		if req.Method == "DELETE" {
 			fmt.Fprint(w, "HTTP/1.1 200 OK\r\n", length(""))
 			return true
 		}
 		body := fmt.Sprintf(`{"claim_ticket":%q,"tokens":1460,"edition":1}`, handle)
-		fmt.Fprint(w, head(q, 200, "Content-Type: application/json"), length(body), body)
+		fmt.Fprint(w, head(req, 200, "Content-Type: application/json"), length(body), body)
 		return true
 	}
 }
@@ -55,10 +55,10 @@
 	r.Assert(write.Header.Get(kvFromHeader), qt.Equals, prefillers[0].Address+"/3fa0")
 	r.Assert(write.Header.Get(stageHeader), qt.Equals, "")
 	r.Assert(write.Header.Get(expectServerHeader), qt.Equals, "i-w1")
-	for _, q := range []*http1.Request{read, write} {
-		r.Assert(q.Target, qt.Equals, "/modelfirm/x")
-		r.Assert(string(q.Body), qt.Equals, "prompt")
-		r.Assert(q.Header.Get(tryIDHeader), qt.Equals, "a0")
+	for _, req := range []*http1.Request{read, write} {
+		r.Assert(req.Target, qt.Equals, "/modelfirm/x")
+		r.Assert(string(req.Body), qt.Equals, "prompt")
+		r.Assert(req.Header.Get(tryIDHeader), qt.Equals, "a0")
 	}
 	r.awaitCallsEnded()
 	r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(0))
@@ -134,8 +134,8 @@
 // releasedHandles is how many calls to release a handle arrived.
 func releasedHandles(prefillers []*server) (count int) {
 	for _, s := range prefillers {
-		for _, q := range s.got() {
-			if q.Method == "DELETE" && q.Target == "/api/kv-handle/h" {
+		for _, req := range s.got() {
+			if req.Method == "DELETE" && req.Target == "/api/kv-handle/h" {
 				count++
 			}
 		}
@@ -146,12 +146,12 @@
 // roles tells the roles of all calls that came.
 func roles(prefillers, decoders []*server) (roles []scheduler.Role) {
 	for _, s := range append(prefillers, decoders...) {
-		for _, q := range s.got() {
+		for _, req := range s.got() {
 			switch {
-			case q.Method == "DELETE":
-			case q.Header.Get(stageHeader) != "":
+			case req.Method == "DELETE":
+			case req.Header.Get(stageHeader) != "":
 				roles = append(roles, scheduler.Prefill)
-			case q.Header.Get(kvFromHeader) != "":
+			case req.Header.Get(kvFromHeader) != "":
 				roles = append(roles, scheduler.Decode)
 			default:
 				roles = append(roles, scheduler.Serve)
@@ -218,9 +218,9 @@
 func twice(h handler) handler {
 	var mu sync.Mutex
 	before := map[io.Writer]string{}
-	return func(q *http1.Request, w io.Writer) bool {
+	return func(req *http1.Request, w io.Writer) bool {
 		var text strings.Builder
-		goesOn := h(q, &text)
+		goesOn := h(req, &text)
 		mu.Lock()
 		surplus := before[w]
 		before[w] = text.String()
--- a/internal/router/dataplane/proxy.go
+++ b/internal/router/dataplane/proxy.go
@@ -10,8 +10,8 @@
 // eventOrder). Retries are paid for from a budget by service (retryBudgets), as in Finagle and Envoy.
 //
 // What may be sent again, and what the client is answered when nothing more is tried, follows from one
-// question: whether the request may have run (fate). docs/design/request-path.md lists the faults that this
-// covers.
+// question: whether the request may have run (execution). docs/design/request-path.md lists the faults
+// that this covers.
 //
 // Proxy's exported methods may be called by any goroutine. A roundTrip, its calls and its relay belong to
 // the client's goroutine; only stop is called by others, when the client disconnects or the process ends.
@@ -143,8 +143,8 @@
 	}
 	// An accepted socket is connected already, so the option is all that is missing.
 	_ = setUserTimeout(socket.raw, clientTimeout)
-	c := &client{proxy: p, socket: socket}
-	if !p.addClient(c) {
+	client := &client{proxy: p, socket: socket}
+	if !p.addClient(client) {
 		conn.Close()
 		p.counters.clientsRejected.Add(1)
 		p.observer.failureLog.Warn().Int("most", p.connectionLimit()).
@@ -152,24 +152,24 @@
 		return
 	}
 	p.counters.clients.Add(1)
-	go c.run()
+	go client.run()
 }
 
 // addClient registers a client unless there are too many.
-func (p *Proxy) addClient(c *client) bool {
+func (p *Proxy) addClient(client *client) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.clients) >= p.connectionLimit() {
 		return false
 	}
-	p.clients[c] = struct{}{}
+	p.clients[client] = struct{}{}
 	return true
 }
 
-func (p *Proxy) removeClient(c *client) {
+func (p *Proxy) removeClient(client *client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.clients, c)
+	delete(p.clients, client)
 	close(p.clientsChanged)
 	p.clientsChanged = make(chan struct{})
 }
--- a/internal/router/dataplane/proxy_test.go
+++ b/internal/router/dataplane/proxy_test.go
@@ -73,21 +73,21 @@
 	r.Assert(string(answer.Body), qt.Equals, eventsText(1, 3))
 	calls := 0
 	for _, s := range append(prefillers, decoders...) {
-		for _, q := range s.got() {
+		for _, req := range s.got() {
 			calls++
 			fields["Last-Event-Id"] = map[bool]string{true: "1"}[calls == 5]
 			for name, want := range fields {
-				r.Assert(q.Header.Get(name), qt.Equals, want, qt.Commentf("call %d: %s", calls, name))
-				r.Assert(q.Header.Repeated(name), qt.Equals, "")
+				r.Assert(req.Header.Get(name), qt.Equals, want, qt.Commentf("call %d: %s", calls, name))
+				r.Assert(req.Header.Repeated(name), qt.Equals, "")
 			}
-			r.Assert(q.Header.Get(tryIDHeader), qt.Equals, "a")
-			r.Assert(q.Header.Get("X-Hop"), qt.Equals, "")
-			r.Assert(q.Header.Repeated(reservedFields...), qt.Equals, "")
-			r.Assert(q.Header.Get(expectServerHeader), qt.Equals, s.ID)
-			r.Assert(q.Header.Get(expectVersionHeader), qt.Equals, "")
-			r.Assert(q.Header.Get(stageHeader) == "reading", qt.Equals, s.Role == catalog.Prefill)
-			r.Assert(strings.HasPrefix(q.Header.Get(kvFromHeader), "10.0.0.1"), qt.IsFalse)
-			r.Assert(q.Method+q.Target+string(q.Body), qt.Equals, "POST/model/x?q=1prompt")
+			r.Assert(req.Header.Get(tryIDHeader), qt.Equals, "a")
+			r.Assert(req.Header.Get("X-Hop"), qt.Equals, "")
+			r.Assert(req.Header.Repeated(reservedFields...), qt.Equals, "")
+			r.Assert(req.Header.Get(expectServerHeader), qt.Equals, s.ID)
+			r.Assert(req.Header.Get(expectVersionHeader), qt.Equals, "")
+			r.Assert(req.Header.Get(stageHeader) == "reading", qt.Equals, s.Role == catalog.Prefill)
+			r.Assert(strings.HasPrefix(req.Header.Get(kvFromHeader), "10.0.0.1"), qt.IsFalse)
+			r.Assert(req.Method+req.Target+string(req.Body), qt.Equals, "POST/model/x?q=1prompt")
 		}
 	}
 	r.Assert(calls, qt.Equals, 5)
@@ -139,8 +139,8 @@
 }
 
 func TestPipelinedRequestsAreAnsweredInTurn(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		return ok("for "+q.Header.Get(tryIDHeader))(q, w)
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		return ok("for "+req.Header.Get(tryIDHeader))(req, w)
 	})
 	r := newRig(t, nil, s)
 	p := r.dial()
@@ -157,8 +157,8 @@
 }
 
 func TestBodies(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		return ok(string(q.Body))(q, w)
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		return ok(string(req.Body))(req, w)
 	})
 	r := newRig(t, nil, s)
 	p := r.dial()
@@ -191,12 +191,12 @@
 }
 
 func TestHeadAndHTTP10Clients(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		if q.Method == "HEAD" {
-			fmt.Fprint(w, head(q, 200, "Cresshub-Server-Stamp: s"), "Content-Length: 7\r\n\r\n")
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		if req.Method == "HEAD" {
+			fmt.Fprint(w, head(req, 200, "Cresshub-Server-Stamp: s"), "Content-Length: 7\r\n\r\n")
 			return true
 		}
-		return ok("old")(q, w)
+		return ok("old")(req, w)
 	})
 	r := newRig(t, nil, s)
 	p := r.dial()
--- a/internal/router/dataplane/randomfaults_test.go
+++ b/internal/router/dataplane/randomfaults_test.go
@@ -55,38 +55,38 @@
 }
 
 // answer handles a request that is to be run.
-func (x *faultyModel) answer(q *http1.Request, w io.Writer) bool {
-	id := q.Header.Get(tryIDHeader)
+func (x *faultyModel) answer(req *http1.Request, w io.Writer) bool {
+	id := req.Header.Get(tryIDHeader)
 	x.count(x.arrivals, id)
-	if !strings.HasSuffix(string(q.Body), id) {
-		x.report("try %s has the body %q", id, q.Body)
+	if !strings.HasSuffix(string(req.Body), id) {
+		x.report("try %s has the body %q", id, req.Body)
 	}
 	switch x.draw(14) {
 	case 0:
-		return full(q, w)
+		return full(req, w)
 	case 1:
-		return replaced(q, w)
+		return replaced(req, w)
 	case 2:
 		return false
 	}
-	if from := q.Header.Get(kvFromHeader); from != "" && !x.takeHandle(from, id) {
-		return full(q, w)
+	if from := req.Header.Get(kvFromHeader); from != "" && !x.takeHandle(from, id) {
+		return full(req, w)
 	}
 	x.count(x.runs, id)
 	switch x.draw(14) {
 	case 0:
 		return false
 	case 1:
-		return nonsense(q, w)
+		return nonsense(req, w)
 	case 2:
-		return failure500(q, w)
+		return failure500(req, w)
 	case 3:
-		return status(503)(q, w)
+		return status(503)(req, w)
 	case 4:
 		x.spoilConnection(w)
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: other\r\n", stamp, "\r\n", length("other"), "other")
 	}
-	return x.decode(q, w)
+	return x.decode(req, w)
 }
 
 // spoilConnection records that a connection carries more than the responses to its requests.
@@ -106,23 +106,23 @@
 }
 
 // decode writes the response, and at times less or more than it.
-func (x *faultyModel) decode(q *http1.Request, w io.Writer) bool {
-	id := q.Header.Get(tryIDHeader)
-	if strings.HasPrefix(q.Target, "/safe/") || strings.HasPrefix(q.Target, "/unsafe/") {
+func (x *faultyModel) decode(req *http1.Request, w io.Writer) bool {
+	id := req.Header.Get(tryIDHeader)
+	if strings.HasPrefix(req.Target, "/safe/") || strings.HasPrefix(req.Target, "/unsafe/") {
 		body := "for " + id
 		told := len(body) + 5*(x.draw(8)/7)
 		if told == len(body) {
 			x.complete(id, w)
 		}
-		fmt.Fprintf(w, "%sContent-Length: %d\r\n\r\n%s", head(q, 200, stamp), told, body)
+		fmt.Fprintf(w, "%sContent-Length: %d\r\n\r\n%s", head(req, 200, stamp), told, body)
 		if told == len(body) && x.draw(8) == 0 {
 			x.spoilConnection(w)
 			io.WriteString(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: late\r\nContent-Length: 0\r\n\r\n")
 		}
 		return told == len(body)
 	}
-	io.WriteString(w, streamHead(q, "s"))
-	for piece := parseCount(q.Header.Get(lastEventHeader)) + 1; piece <= lastEvent; piece++ {
+	io.WriteString(w, streamHead(req, "s"))
+	for piece := parseCount(req.Header.Get(lastEventHeader)) + 1; piece <= lastEvent; piece++ {
 		text := chunk(eventOf(id, piece))
 		if x.draw(30) == 0 {
 			io.WriteString(w, text[:x.draw(len(text))])
@@ -138,9 +138,9 @@
 func eventOf(id string, piece int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", piece, id) }
 
 // prefill handles a prefill call.
-func (x *faultyModel) prefill(q *http1.Request, w io.Writer) bool {
-	if q.Method == "DELETE" {
-		x.takeHandle("x"+strings.TrimPrefix(q.Target, "/api/kv-handle"), "")
+func (x *faultyModel) prefill(req *http1.Request, w io.Writer) bool {
+	if req.Method == "DELETE" {
+		x.takeHandle("x"+strings.TrimPrefix(req.Target, "/api/kv-handle"), "")
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\n", length(""))
 		return true
 	}
@@ -148,17 +148,17 @@
 	case 0:
 		return false
 	case 1:
-		x.count(x.arrivals, q.Header.Get(tryIDHeader))
-		return full(q, w)
+		x.count(x.arrivals, req.Header.Get(tryIDHeader))
+		return full(req, w)
 	case 2:
-		return nonsense(q, w)
+		return nonsense(req, w)
 	}
 	x.mu.Lock()
 	x.handles++
 	handle := fmt.Sprint("h", x.handles)
-	x.owners[handle] = q.Header.Get(tryIDHeader)
+	x.owners[handle] = req.Header.Get(tryIDHeader)
 	x.mu.Unlock()
-	return prefillsPrompt(handle)(q, w)
+	return prefillsPrompt(handle)(req, w)
 }
 
 // takeHandle takes the prefix cache of a handle for an attempt, or releases it.
--- a/internal/router/dataplane/readdeadline_test.go
+++ b/internal/router/dataplane/readdeadline_test.go
@@ -20,21 +20,22 @@
 	for _, test := range []struct {
 		name, route string
 		slack       float64
-		change      func(c *call)
+		change      func(call *call)
 		waits       bool
 	}{
 		{"a retry is left", "safe", 100, func(*call) {}, false},
 		{"no retry is left", "safe", 0, func(*call) {}, true},
-		{"no attempt is left", "safe", 100, func(c *call) { c.roundTrip.attempts.count = 2 }, true},
+		{"no attempt is left", "safe", 100, func(call *call) { call.roundTrip.attempts.count = 2 }, true},
 		{"not idempotent", "unsafe", 100, func(*call) {}, true},
-		{"a resumable stream", "stream", 100, func(c *call) {
-			c.roundTrip.relay.started, c.roundTrip.relay.order.hasLast = true, true
+		{"a resumable stream", "stream", 100, func(call *call) {
+			call.roundTrip.relay.started, call.roundTrip.relay.order.hasLast = true, true
 		}, false},
-		{"a stream that is not resumable", "stream", 100, func(c *call) { c.roundTrip.relay.started = true }, true},
-		{"prefill", "model", 0, func(c *call) { c.role = scheduler.Prefill }, false},
-		{"no time is left", "safe", 0, func(c *call) { c.roundTrip.request.deadline = time.Now() }, false},
+		{"a stream that is not resumable", "stream", 100,
+			func(call *call) { call.roundTrip.relay.started = true }, true},
+		{"prefill", "model", 0, func(call *call) { call.role = scheduler.Prefill }, false},
+		{"no time is left", "safe", 0, func(call *call) { call.roundTrip.request.deadline = time.Now() }, false},
 		{"the client has disconnected", "safe", 0,
-			func(c *call) { c.roundTrip.stopCause = clientDisconnected }, false},
+			func(call *call) { call.roundTrip.stopCause = clientDisconnected }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRig(t, slack(test.slack), newLookupServers(t, breakOff)...)
@@ -54,11 +55,11 @@
 	defer near.Close()
 	route := r.state.config.Match("h", "/"+routeName+"/")
 	end := time.Now().Add(testTimeout)
-	q := &request{Request: &http1.Request{}, deadline: end, hardDeadline: end, route: route,
+	req := &request{Request: &http1.Request{}, deadline: end, hardDeadline: end, route: route,
 		service: r.state.config.Services[route.Targets[0].Service]}
-	q.scheduling.Service = q.service
+	req.scheduling.Service = req.service
 	socket := &socket{Conn: near}
-	call := &call{roundTrip: newRoundTrip(&client{proxy: r.proxy, socket: socket}, q),
+	call := &call{roundTrip: newRoundTrip(&client{proxy: r.proxy, socket: socket}, req),
 		conn: &connection{socket: socket}, choice: &scheduler.Call{Server: &catalog.Server{ID: "i-1"}}}
 	change(call)
 	near.SetReadDeadline(pastDeadline)
@@ -73,14 +74,14 @@
 // A server that has timed out and that no other one could replace is waited for: giving it up would end the
 // response sooner, and for nothing.
 func TestServerIsWaitedForWhereNoOtherCanAnswer(t *testing.T) {
-	begun := func(c *call) { c.roundTrip.relay.started, c.roundTrip.relay.order.hasLast = true, true }
+	begun := func(call *call) { call.roundTrip.relay.started, call.roundTrip.relay.order.hasLast = true, true }
 	untouched := func(*call) {}
 	other := &server{Server: &catalog.Server{ID: "i-2", Service: "lookup", State: catalog.Ready}}
 	for _, test := range []struct {
 		name, route string
 		others      []*server
 		full        bool // as far as the scheduler knows
-		change      func(c *call)
+		change      func(call *call)
 		waits       bool
 	}{
 		{"no other server", "safe", nil, false, untouched, true},
--- a/internal/router/dataplane/readrequest.go
+++ b/internal/router/dataplane/readrequest.go
@@ -65,7 +65,7 @@
 }
 
 // readBody buffers the complete body, so that it can be sent more than once.
-func (c *client) readBody(q *request, body *http1.Body, maxBytes int, stallTimeout time.Duration) error {
+func (c *client) readBody(req *request, body *http1.Body, maxBytes int, stallTimeout time.Duration) error {
 	if body.Length() > int64(maxBytes) {
 		return errTooLarge
 	}
@@ -78,23 +78,23 @@
 	}
 	n := 0
 	for {
-		if n == len(q.Body) {
+		if n == len(req.Body) {
 			if n == maxBytes+1 {
 				return errTooLarge
 			}
-			if err := c.growBody(q, min(max(initialSize, 2*n), maxBytes+1)); err != nil {
+			if err := c.growBody(req, min(max(initialSize, 2*n), maxBytes+1)); err != nil {
 				return err
 			}
 		}
 		deadline := time.Now().Add(stallTimeout)
-		if q.deadline.Before(deadline) {
-			deadline = q.deadline
+		if req.deadline.Before(deadline) {
+			deadline = req.deadline
 		}
 		c.socket.SetReadDeadline(deadline)
-		m, err := body.Read(q.Body[n:])
-		n += m
+		count, err := body.Read(req.Body[n:])
+		n += count
 		if body.Complete() {
-			q.Body = q.Body[:n]
+			req.Body = req.Body[:n]
 			return checkBodySize(n, maxBytes)
 		}
 		if errors.Is(err, io.EOF) {
@@ -114,13 +114,13 @@
 }
 
 // growBody enlarges the buffer of a body to size bytes.
-func (c *client) growBody(q *request, size int) error {
-	if !c.proxy.bodies.Reserve(size - len(q.Body)) {
+func (c *client) growBody(req *request, size int) error {
+	if !c.proxy.bodies.Reserve(size - len(req.Body)) {
 		return errNoMemory
 	}
-	c.reservedBytes += size - len(q.Body)
+	c.reservedBytes += size - len(req.Body)
 	larger := make([]byte, size)
-	copy(larger, q.Body)
-	q.Body = larger
+	copy(larger, req.Body)
+	req.Body = larger
 	return nil
 }
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -25,13 +25,13 @@
 	lastForwarded int64 // id of the last event that the client got, or had before
 }
 
-func newRelay(c *client, q *request) relay {
-	r := relay{client: c, request: q}
-	r.order.consecutive = q.service.Engine == nil || q.service.Engine.MaxTokensPerEvent <= 1
-	if last, err := strconv.ParseInt(q.Header.Get(lastEventHeader), 10, 64); err == nil {
-		r.order.lastID, r.order.hasLast, r.lastForwarded = last, true, last
+func newRelay(client *client, req *request) relay {
+	relay := relay{client: client, request: req}
+	relay.order.consecutive = req.service.Engine == nil || req.service.Engine.MaxTokensPerEvent <= 1
+	if last, err := strconv.ParseInt(req.Header.Get(lastEventHeader), 10, 64); err == nil {
+		relay.order.lastID, relay.order.hasLast, relay.lastForwarded = last, true, last
 	}
-	return r
+	return relay
 }
 
 // canSwitchServer reports whether another server may be asked: for the complete response, or for the rest of
@@ -57,42 +57,42 @@
 }
 
 // forwardResponse forwards a server's response. It returns nil if the client has it completely.
-func (r *relay) forwardResponse(c *call, head *http1.Response, body *http1.Body) *callFailure {
-	class := classify(c.responseTraits(head, body))
+func (r *relay) forwardResponse(call *call, head *http1.Response, body *http1.Body) *callFailure {
+	class := classify(call.responseTraits(head, body))
 	switch {
 	case class == classForward && head.Status/100 == 2 && r.isStream(head):
-		return r.forwardStream(c, head, body)
+		return r.forwardStream(call, head, body)
 	case class == classForward && r.started: // not the rest of the stream
-		return c.brokenFailure()
+		return call.brokenFailure()
 	}
-	buffered, err := bufferResponse(c, head, body)
+	buffered, err := bufferResponse(call, head, body)
 	if err != nil && class != classRejected && class != classMisdirected {
-		return c.failureFrom(err)
+		return call.failureFrom(err)
 	}
 	if body.Complete() {
-		c.recordBodyEnd()
+		call.recordBodyEnd()
 	}
 	switch class {
 	case classForward:
-		return r.forwardBody(c, buffered, body)
+		return r.forwardBody(call, buffered, body)
 	case classServerError:
-		failure := &callFailure{outcome: outcomeOfClass[class], fate: mayHaveRun}
+		failure := &callFailure{outcome: outcomeOfClass[class], execution: mayHaveRun}
 		if body.Complete() {
 			failure.response = buffered
 		}
 		return failure
 	case classRejected:
-		return &callFailure{outcome: c.rejectionOutcome(head), fate: notRun}
+		return &callFailure{outcome: call.rejectionOutcome(head), execution: notRun}
 	case classMisdirected:
-		c.reportReplaced()
-		return &callFailure{outcome: outcomeOfClass[class], fate: notRun}
+		call.reportReplaced()
+		return &callFailure{outcome: outcomeOfClass[class], execution: notRun}
 	}
-	return c.brokenFailure()
+	return call.brokenFailure()
 }
 
 // forwardBody sends the client a response that is buffered completely, or what is buffered of it and then
 // the rest as it comes.
-func (r *relay) forwardBody(c *call, buffered *bufferedResponse, body *http1.Body) *callFailure {
+func (r *relay) forwardBody(call *call, buffered *bufferedResponse, body *http1.Body) *callFailure {
 	if body.Complete() {
 		r.forwardBuffered(buffered)
 		return nil
@@ -101,7 +101,7 @@
 	response.Streaming, response.Length, response.Body = true, body.Length(), buffered.body
 	r.started, r.hasUnnumbered = true, true
 	r.client.recordResponse()
-	c.conn.SetReadDeadline(r.request.hardDeadline)
+	call.conn.SetReadDeadline(r.request.hardDeadline)
 	out, err := response.Begin(r.client.socket.writer(), r.request.HTTP10)
 	buffer := make([]byte, bufferSize)
 	for err == nil {
@@ -111,12 +111,12 @@
 			_, err = out.Write(buffer[:n])
 		}
 		if body.Complete() {
-			c.recordBodyEnd()
+			call.recordBodyEnd()
 			r.recordComplete(r.closeBody(out) && !response.Close)
 			return nil
 		}
 	}
-	return c.brokenFailure()
+	return call.brokenFailure()
 }
 
 // forwardBuffered sends a buffered response. It reports whether the client's connection goes on.
--- a/internal/router/dataplane/request.go
+++ b/internal/router/dataplane/request.go
@@ -36,35 +36,35 @@
 }
 
 // newRequest finds the route of a request and draws its service.
-func newRequest(r *http1.Request, arrived time.Time, config *fleetconfig.Config) *request {
-	q := &request{Request: r, tryID: r.Header.Get(tryIDHeader), arrived: arrived, config: config}
-	announced, hasDeadline := parseDeadline(r.Header.Get(deadlineHeader))
+func newRequest(head *http1.Request, arrived time.Time, config *fleetconfig.Config) *request {
+	req := &request{Request: head, tryID: head.Header.Get(tryIDHeader), arrived: arrived, config: config}
+	announced, hasDeadline := parseDeadline(head.Header.Get(deadlineHeader))
 	if !hasDeadline {
 		announced = defaultDeadline
 	}
-	q.hardDeadline = arrived.Add(announced)
-	q.deadline = q.hardDeadline
+	req.hardDeadline = arrived.Add(announced)
+	req.deadline = req.hardDeadline
 	if config == nil {
-		return q
+		return req
 	}
-	path, _, _ := strings.Cut(r.Target, "?")
-	if q.route = config.Match(r.Header.Get("Host"), path); q.route == nil {
-		return q
+	path, _, _ := strings.Cut(head.Target, "?")
+	if req.route = config.Match(head.Header.Get("Host"), path); req.route == nil {
+		return req
 	}
-	timeout := q.route.Timeout
+	timeout := req.route.Timeout
 	if hasDeadline {
 		timeout = min(timeout, announced)
 	}
-	q.hardDeadline = arrived.Add(timeout)
-	q.deadline = q.hardDeadline.Add(-min(max(timeout/marginDivisor, minMargin), maxMargin))
-	q.service = config.Services[pickTarget(q.route, rand.Float64())]
-	q.scheduling = schedulingRequest(r.Header, q.service)
-	q.scheduling.Idempotent = q.route.Idempotent()
-	return q
+	req.hardDeadline = arrived.Add(timeout)
+	req.deadline = req.hardDeadline.Add(-min(max(timeout/marginDivisor, minMargin), maxMargin))
+	req.service = config.Services[pickTarget(req.route, rand.Float64())]
+	req.scheduling = schedulingRequest(head.Header, req.service)
+	req.scheduling.Idempotent = req.route.Idempotent()
+	return req
 }
 
 // writeDeadline is when the client must have read its response.
-func (q *request) writeDeadline() time.Time { return q.deadline.Add(writeGrace) }
+func (req *request) writeDeadline() time.Time { return req.deadline.Add(writeGrace) }
 
 // pickTarget returns the service at a fraction, from 0 to 1, of the route's total weight.
 func pickTarget(route *fleetconfig.Route, fraction float64) string {
--- a/internal/router/dataplane/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -23,13 +23,13 @@
 func TestSchedulingRequest(t *testing.T) {
 	c := qt.New(t)
 	service := &fleetconfig.Service{Name: "s"}
-	r := schedulingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
+	req := schedulingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
 		{Name: "Cresshub-Prompt-Prefix", Value: "5c1e07a2:800, 91bd3f06:410"}}, service)
-	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service, PromptTokens: 1460, OutputTokens: 80,
+	c.Assert(req, qt.DeepEquals, scheduler.Request{Service: service, PromptTokens: 1460, OutputTokens: 80,
 		Segments: []scheduler.Segment{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}})
-	r = schedulingRequest(http1.Header{{Name: "Cresshub-Tokens", Value: "x"},
+	req = schedulingRequest(http1.Header{{Name: "Cresshub-Tokens", Value: "x"},
 		{Name: "Cresshub-Prompt-Prefix", Value: "5c1e07a2"}}, service)
-	c.Assert(r, qt.DeepEquals, scheduler.Request{Service: service})
+	c.Assert(req, qt.DeepEquals, scheduler.Request{Service: service})
 }
 
 func TestParseDeadline(t *testing.T) {
@@ -99,11 +99,11 @@
 			config.Match("h", "/safe/").Timeout = timeout
 			head := &http1.Request{Target: "/safe/", Header: http1.Header{{Name: "Host", Value: "h"},
 				{Name: deadlineHeader, Value: deadline}}}
-			q := newRequest(head, arrived, config)
-			c.Check(q.deadline.Sub(arrived) <= timeout, qt.IsTrue)
-			c.Check(q.writeDeadline().Sub(arrived) < timeout+250*time.Millisecond, qt.IsTrue)
+			req := newRequest(head, arrived, config)
+			c.Check(req.deadline.Sub(arrived) <= timeout, qt.IsTrue)
+			c.Check(req.writeDeadline().Sub(arrived) < timeout+250*time.Millisecond, qt.IsTrue)
 			if ms := parseCount(deadline); ms > 0 {
-				c.Check(q.deadline.Sub(arrived) <= time.Duration(ms)*time.Millisecond, qt.IsTrue)
+				c.Check(req.deadline.Sub(arrived) <= time.Duration(ms)*time.Millisecond, qt.IsTrue)
 			}
 		}
 	}
@@ -136,8 +136,8 @@
 		{5 * time.Minute, "90000", 90 * time.Second},
 	} {
 		c := qt.New(t)
-		q := requestOfRoute(c, "safe", test.timeout, test.deadline)
-		given := q.deadline.Sub(q.arrived)
+		req := requestOfRoute(c, "safe", test.timeout, test.deadline)
+		given := req.deadline.Sub(req.arrived)
 		c.Check(given >= test.want-100*time.Millisecond, qt.IsTrue, qt.Commentf("%v: %v", test, given))
 		c.Check(given < test.want, qt.IsTrue, qt.Commentf("%v: %v", test, given))
 	}
@@ -147,8 +147,8 @@
 // instead.
 func TestStartedResponsesGoOnToTheHardDeadline(t *testing.T) {
 	c := qt.New(t)
-	q := requestOfRoute(c, "firm", time.Minute, "6000")
-	begun := &call{roundTrip: &roundTrip{request: q, relay: relay{started: true}}}
-	end := (&relay{request: q, started: true}).gapDeadline(begun)
-	c.Check(end.Sub(q.arrived), qt.Equals, 6*time.Second)
+	req := requestOfRoute(c, "firm", time.Minute, "6000")
+	begun := &call{roundTrip: &roundTrip{request: req, relay: relay{started: true}}}
+	end := (&relay{request: req, started: true}).gapDeadline(begun)
+	c.Check(end.Sub(req.arrived), qt.Equals, 6*time.Second)
 }
--- a/internal/router/dataplane/response_test.go
+++ b/internal/router/dataplane/response_test.go
@@ -16,16 +16,16 @@
 
 // sized answers with a body of that size, told or in chunks, and breaks off before the last part of it.
 func sized(size int, chunked, whole bool) handler {
-	return func(q *http1.Request, w io.Writer) bool {
+	return func(req *http1.Request, w io.Writer) bool {
 		body := strings.Repeat("x", size)
 		if !whole {
 			body = body[:size-10]
 		}
 		if !chunked {
-			fmt.Fprint(w, head(q, 200, stamp), fmt.Sprintf("Content-Length: %d\r\n\r\n", size), body)
+			fmt.Fprint(w, head(req, 200, stamp), fmt.Sprintf("Content-Length: %d\r\n\r\n", size), body)
 			return whole
 		}
-		fmt.Fprint(w, head(q, 200, stamp, "Transfer-Encoding: chunked"), "\r\n")
+		fmt.Fprint(w, head(req, 200, stamp, "Transfer-Encoding: chunked"), "\r\n")
 		for at := 0; at < len(body); at += 5000 {
 			io.WriteString(w, chunk(body[at:min(at+5000, len(body))]))
 		}
@@ -83,8 +83,8 @@
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, reset), func(t *testing.T) {
 				read := make(chan bool, 1)
-				s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-					fmt.Fprint(w, head(q, 200, stamp), "\r\n", strings.Repeat("x", size))
+				s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+					fmt.Fprint(w, head(req, 200, stamp), "\r\n", strings.Repeat("x", size))
 					if reset {
 						<-read
 						w.(*net.TCPConn).SetLinger(0)
@@ -131,21 +131,21 @@
 		status int
 		body   string
 	}{
-		"before its own response": {func(q *http1.Request, w io.Writer) bool {
+		"before its own response": {func(req *http1.Request, w io.Writer) bool {
 			io.WriteString(w, other)
-			return ok("own")(q, w)
+			return ok("own")(req, w)
 		}, 200, "own"},
-		"in place of its own response": {func(q *http1.Request, w io.Writer) bool {
+		"in place of its own response": {func(req *http1.Request, w io.Writer) bool {
 			io.WriteString(w, other)
 			return false
 		}, 502, ""},
 		"without end": {raw(strings.Repeat(other, 9)), 502, ""},
-		"after its own response": {func(q *http1.Request, w io.Writer) bool {
-			fmt.Fprint(w, head(q, 200, stamp), length("own"), "own", other)
+		"after its own response": {func(req *http1.Request, w io.Writer) bool {
+			fmt.Fprint(w, head(req, 200, stamp), length("own"), "own", other)
 			return true
 		}, 200, "own"},
-		"noise after its own response": {func(q *http1.Request, w io.Writer) bool {
-			fmt.Fprint(w, head(q, 200, stamp), length("own"), "own", "more")
+		"noise after its own response": {func(req *http1.Request, w io.Writer) bool {
+			fmt.Fprint(w, head(req, 200, stamp), length("own"), "own", "more")
 			return true
 		}, 200, "own"},
 	} {
@@ -169,15 +169,15 @@
 // A surplus response that arrives while the connection is idle, or right after the next request was sent.
 func TestLateSurplusResponse(t *testing.T) {
 	late := make(chan bool, 1)
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		if q.Header.Get(tryIDHeader) == "a2" {
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		if req.Header.Get(tryIDHeader) == "a2" {
 			select {
 			case <-late: // the server answers the first request again, and only then this one
 				fmt.Fprint(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: a1\r\n", stamp, "\r\n", length("late"), "late")
 			default:
 			}
 		}
-		return ok("for "+q.Header.Get(tryIDHeader))(q, w)
+		return ok("for "+req.Header.Get(tryIDHeader))(req, w)
 	})
 	r := newRig(t, nil, s)
 	p := r.dial()
@@ -206,8 +206,8 @@
 }
 
 func TestConnectionThatEndedWhileIdleIsNotUsed(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		ok("x")(q, w)
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		ok("x")(req, w)
 		return false
 	})
 	r := newRig(t, nil, s)
@@ -227,8 +227,8 @@
 	if conns == nil {
 		return false
 	}
-	for _, c := range conns.idle {
-		if c.readState() != readClosed {
+	for _, conn := range conns.idle {
+		if conn.readState() != readClosed {
 			return false
 		}
 	}
--- a/internal/router/dataplane/retry_test.go
+++ b/internal/router/dataplane/retry_test.go
@@ -26,8 +26,8 @@
 
 // breaksOffAfter writes as its handler does and then breaks off.
 func breaksOffAfter(h handler) handler {
-	return func(q *http1.Request, w io.Writer) bool {
-		h(q, w)
+	return func(req *http1.Request, w io.Writer) bool {
+		h(req, w)
 		return false
 	}
 }
@@ -171,8 +171,8 @@
 	early := &server{Server: &catalog.Server{ID: "i-1", Service: "lookup", State: catalog.Ready}}
 	early.listen(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
-		if q, _, err := http1.ReadRequestHead(in); err == nil {
-			full(q, conn)
+		if req, _, err := http1.ReadRequestHead(in); err == nil {
+			full(req, conn)
 			io.Copy(io.Discard, in) // closing at once might swallow the answer
 		}
 	})
--- a/internal/router/dataplane/retrybudget.go
+++ b/internal/router/dataplane/retrybudget.go
@@ -50,7 +50,7 @@
 	if retries <= 0 {
 		return true
 	}
-	if float64(b.retries(now, allowed.window)+retries) > b.allowed(now, allowed) {
+	if float64(b.retries(now, allowed.window)+retries) > b.limit(now, allowed) {
 		return false
 	}
 	b.recordRetries(now, allowed.window, retries)
@@ -59,20 +59,22 @@
 
 // available reports whether one more retry is within the allowance.
 func (b *retryBudget) available(now time.Duration, allowed allowance) bool {
-	return float64(b.retries(now, allowed.window)+1) <= b.allowed(now, allowed)
+	return float64(b.retries(now, allowed.window)+1) <= b.limit(now, allowed)
 }
 
-func (b *retryBudget) allowed(now time.Duration, a allowance) float64 {
-	requests := float64(b.requests(now, a.window))
-	return ratioFraction*a.ratio*requests + slackFraction*a.slack/float64(max(a.proxies, 1))
+// limit is how many retries there may be in the window that ends now.
+func (b *retryBudget) limit(now time.Duration, allowance allowance) float64 {
+	requests := float64(b.requests(now, allowance.window))
+	slack := slackFraction * allowance.slack / float64(max(allowance.proxies, 1))
+	return ratioFraction*allowance.ratio*requests + slack
 }
 
 // requests counts no more than the window holds: the buckets that lie in it entirely, and the present one.
 func (b *retryBudget) requests(now, window time.Duration) (sum int) {
 	oldest := bucketNumber(now, window) - budgetBuckets + 1
-	for _, s := range b.buckets {
-		if s.number >= oldest {
-			sum += s.requests
+	for _, bucket := range b.buckets {
+		if bucket.number >= oldest {
+			sum += bucket.requests
 		}
 	}
 	return sum
@@ -81,9 +83,9 @@
 // retries counts no less than the window holds: also the bucket that lies in it partly.
 func (b *retryBudget) retries(now, window time.Duration) (sum int) {
 	oldest := bucketNumber(now, window) - budgetBuckets
-	for _, s := range b.buckets {
-		if s.number >= oldest {
-			sum += s.retries
+	for _, bucket := range b.buckets {
+		if bucket.number >= oldest {
+			sum += bucket.retries
 		}
 	}
 	return sum
@@ -91,11 +93,11 @@
 
 func (b *retryBudget) bucket(now, window time.Duration) *budgetBucket {
 	number := bucketNumber(now, window)
-	s := &b.buckets[number%int64(len(b.buckets))]
-	if s.number != number {
-		*s = budgetBucket{number: number}
+	bucket := &b.buckets[number%int64(len(b.buckets))]
+	if bucket.number != number {
+		*bucket = budgetBucket{number: number}
 	}
-	return s
+	return bucket
 }
 
 // bucketNumber begins above the numbers that a zero budget's buckets have.
@@ -145,14 +147,14 @@
 }
 
 func (b *retryBudgets) allowance(now time.Duration, proxies int) allowance {
-	a := allowance{
+	allowance := allowance{
 		window: b.bounds.RetryWindow, ratio: b.bounds.RetryRatio, slack: b.bounds.RetrySlack,
 		proxies: b.maxProxies.observe(now, proxies),
 	}
 	if now < b.bounds.RetryWindow+slackMargin {
-		a.slack = 0
+		allowance.slack = 0
 	}
-	return a
+	return allowance
 }
 
 func (b *retryBudgets) forService(service string) *retryBudget {
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -39,7 +39,7 @@
 
 	attempts           attemptCounter
 	handle             *kvHandle         // of the prompt's prefix cache, nil if there is none
-	worstFate          fate              // of all calls so far
+	worstExecution     execution         // of all calls so far
 	serverError        *bufferedResponse // the last one; forwarded if nothing more is tried
 	unreachableServers int
 	keepAlive          bool // the client's connection is good for another request
@@ -51,10 +51,13 @@
 	abortable io.Closer // what stop has to close to wake the call
 }
 
-func newRoundTrip(c *client, q *request) *roundTrip {
-	rt := &roundTrip{proxy: c.proxy, client: c, request: q, requestNumber: c.proxy.requestCount.Add(1)}
-	rt.attempts.maxAttempts = q.route.MaxAttempts
-	rt.relay = newRelay(c, q)
+func newRoundTrip(client *client, req *request) *roundTrip {
+	rt := &roundTrip{
+		proxy: client.proxy, client: client, request: req,
+		requestNumber: client.proxy.requestCount.Add(1),
+	}
+	rt.attempts.maxAttempts = req.route.MaxAttempts
+	rt.relay = newRelay(client, req)
 	return rt
 }
 
@@ -72,16 +75,16 @@
 		rt.prefill()
 	}
 	for !rt.finished() {
-		c := rt.nextCall()
-		if c == nil {
+		call := rt.nextCall()
+		if call == nil {
 			break
 		}
-		failure := c.run()
+		failure := call.run()
 		if failure == nil {
 			rt.handle = nil // the server that answered has taken the prefix cache
 			break
 		}
-		if !rt.handleFailure(c, failure) {
+		if !rt.handleFailure(call, failure) {
 			break
 		}
 	}
@@ -91,9 +94,9 @@
 
 // finishInterruptedCall ends a call that a panic interrupted, and so releases what it had reserved.
 func (rt *roundTrip) finishInterruptedCall() {
-	if c := rt.inFlight; c != nil {
-		c.mustClose = true
-		c.finish(&callFailure{outcome: scheduler.Abandoned, fate: mayHaveRun})
+	if call := rt.inFlight; call != nil {
+		call.mustClose = true
+		call.finish(&callFailure{outcome: scheduler.Abandoned, execution: mayHaveRun})
 	}
 }
 
@@ -157,8 +160,8 @@
 		rt.releaseHandle()
 	}
 	if rt.handle != nil {
-		if c := rt.newCall(scheduler.Decode); c != nil {
-			return c
+		if call := rt.newCall(scheduler.Decode); call != nil {
+			return call
 		}
 		rt.releaseHandle()
 	}
@@ -207,40 +210,41 @@
 }
 
 // handleFailure records how a call failed, and reports whether another one may follow.
-func (rt *roundTrip) handleFailure(c *call, f *callFailure) bool {
-	rt.worstFate = max(rt.worstFate, f.fate)
-	if f.response != nil {
-		rt.serverError = f.response
+func (rt *roundTrip) handleFailure(call *call, failure *callFailure) bool {
+	rt.worstExecution = max(rt.worstExecution, failure.execution)
+	if failure.response != nil {
+		rt.serverError = failure.response
 	}
-	rt.countAttempt(c, f)
-	if !f.staleConnection && f.outcome != scheduler.HandleFailed {
-		rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, c.choice.Server.ID)
+	rt.countAttempt(call, failure)
+	if !failure.staleConnection && failure.outcome != scheduler.HandleFailed {
+		rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, call.choice.Server.ID)
 	}
 	switch {
 	case rt.relay.started:
 		rt.handle = nil // the server that began the stream has taken the prefix cache
-	case c.role == scheduler.Decode && f.handleConsumed():
+	case call.role == scheduler.Decode && failure.handleConsumed():
 		rt.releaseHandle()
 	}
 	return rt.mayCallAgain()
 }
 
 // countAttempt counts a failed call against the route's attempts, or as one to an unreachable server.
-func (rt *roundTrip) countAttempt(c *call, f *callFailure) {
+func (rt *roundTrip) countAttempt(call *call, failure *callFailure) {
+	abandonedUnsent := failure.outcome == scheduler.Abandoned && failure.execution == notSent
 	switch {
-	case f.outcome == scheduler.Unreachable || f.outcome == scheduler.Abandoned && f.fate == notSent:
+	case failure.outcome == scheduler.Unreachable || abandonedUnsent:
 		rt.unreachableServers++
-	case f.fate == notRun:
+	case failure.execution == notRun:
 		rt.attempts.recordRejected()
-	case f.fate == mayHaveRun:
-		rt.attempts.recordAccepted(c.role)
+	case failure.execution == mayHaveRun:
+		rt.attempts.recordAccepted(call.role)
 	}
 }
 
 // mayCallAgain reports whether the calls that have failed permit another one, and records why not.
 func (rt *roundTrip) mayCallAgain() bool {
 	switch {
-	case !retryIsSafe(rt.request.route.Idempotent(), rt.worstFate):
+	case !retryIsSafe(rt.request.route.Idempotent(), rt.worstExecution):
 		rt.trace.setReason(reasonMayHaveRun)
 	case rt.unreachableServers >= maxUnreachable:
 		rt.trace.setReason(reasonUnreachable)
@@ -266,7 +270,7 @@
 		counters.truncated.Add(1) // the connection ends without the last chunk
 		rt.proxy.recordOutcome(rt, outcomeTruncated, 0)
 		rt.truncate()
-	case rt.serverError != nil && rt.worstFate == mayHaveRun:
+	case rt.serverError != nil && rt.worstExecution == mayHaveRun:
 		rt.proxy.recordOutcome(rt, outcomeServerFailure, rt.serverError.head.Status)
 		rt.keepAlive = rt.relay.forwardBuffered(rt.serverError)
 	default:
@@ -289,7 +293,7 @@
 // finalReply is the proxy's own response where nothing more is tried.
 func (rt *roundTrip) finalReply() *localReplyError {
 	late := rt.timeLeft() < minTimeLeft || rt.stopReason() == proxyStopping
-	switch finalStatus(rt.worstFate, late) {
+	switch finalStatus(rt.worstExecution, late) {
 	case 503:
 		return &localReplyError{status: 503, retryAfter: rt.retryAfter(),
 			remedy: "no server can take the request now, and it has not run; send it again after Retry-After"}
--- a/internal/router/dataplane/socket.go
+++ b/internal/router/dataplane/socket.go
@@ -60,18 +60,18 @@
 }
 
 // Write counts what the system takes.
-func (s *socket) Write(p []byte) (int, error) {
-	n, err := s.Conn.Write(p)
+func (s *socket) Write(data []byte) (int, error) {
+	n, err := s.Conn.Write(data)
 	s.bytesSent += int64(n)
 	return n, err
 }
 
 // Read reads, and goes on after its deadline as long as its extender sets a later one.
-func (s *socket) Read(p []byte) (int, error) {
-	n, err := s.Conn.Read(p)
+func (s *socket) Read(data []byte) (int, error) {
+	n, err := s.Conn.Read(data)
 	for err != nil && s.extender != nil && errors.Is(err, os.ErrDeadlineExceeded) &&
 		s.extender.extendReadDeadline() {
-		n, err = s.Conn.Read(p)
+		n, err = s.Conn.Read(data)
 	}
 	return n, err
 }
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -24,11 +24,11 @@
 
 // forwardStream forwards events as they arrive, each one complete. If it ends early the events that the
 // client has are the first ones of the stream, without a gap.
-func (r *relay) forwardStream(c *call, head *http1.Response, body *http1.Body) *callFailure {
+func (r *relay) forwardStream(call *call, head *http1.Response, body *http1.Body) *callFailure {
 	r.events.reset()
 	if r.started {
 		r.order.resumed = true
-		r.replaceable = c.roundTrip.couldRetry()
+		r.replaceable = call.roundTrip.couldRetry()
 		r.client.proxy.counters.resumed.Add(1)
 	}
 	buffer := streamBuffers.Get().(*[bufferSize]byte)
@@ -36,39 +36,39 @@
 	for {
 		n, err := body.Read(buffer[:])
 		r.events.feed(buffer[:n])
-		if f := r.forwardEvents(c, head); f != nil {
-			return f
+		if failure := r.forwardEvents(call, head); failure != nil {
+			return failure
 		}
 		if body.Complete() {
-			return r.endStream(c, head, body)
+			return r.endStream(call, head, body)
 		}
 		if err == nil && body.Buffered() && len(r.events.partial()) <= maxEventBytes {
 			continue
 		}
 		if r.flush() != nil {
-			return r.clientFailure(c)
+			return r.clientFailure(call)
 		}
 		switch {
 		case err != nil:
-			return c.failureFrom(err)
+			return call.failureFrom(err)
 		case len(r.events.partial()) > maxEventBytes:
-			return c.brokenFailure()
+			return call.brokenFailure()
 		}
-		c.conn.SetReadDeadline(r.gapDeadline(c))
+		call.conn.SetReadDeadline(r.gapDeadline(call))
 	}
 }
 
 // forwardEvents writes the events that are complete.
-func (r *relay) forwardEvents(c *call, head *http1.Response) *callFailure {
+func (r *relay) forwardEvents(call *call, head *http1.Response) *callFailure {
 	for event := r.events.next(); event != nil; event = r.events.next() {
-		if f := r.forwardEvent(c, head, event); f != nil {
-			return f
+		if failure := r.forwardEvent(call, head, event); failure != nil {
+			return failure
 		}
 	}
 	return nil
 }
 
-func (r *relay) forwardEvent(c *call, head *http1.Response, event []byte) *callFailure {
+func (r *relay) forwardEvent(call *call, head *http1.Response, event []byte) *callFailure {
 	if id, ok := eventID(event); !ok {
 		r.hasUnnumbered = r.hasUnnumbered || hasData(event)
 	} else {
@@ -76,15 +76,15 @@
 		case actionSkip:
 			return nil
 		case actionGap:
-			return c.brokenFailure()
+			return call.brokenFailure()
 		}
 	}
-	if r.startResponse(c, head) != nil {
-		return r.clientFailure(c)
+	if r.startResponse(call, head) != nil {
+		return r.clientFailure(call)
 	}
 	r.checkIDsRise(event)
 	if _, err := r.out.Write(event); err != nil {
-		return r.clientFailure(c)
+		return r.clientFailure(call)
 	}
 	return nil
 }
@@ -101,13 +101,13 @@
 }
 
 // startResponse sends the head with the first event of the first server.
-func (r *relay) startResponse(c *call, head *http1.Response) error {
+func (r *relay) startResponse(call *call, head *http1.Response) error {
 	if r.started {
 		return nil
 	}
-	c.timeToFirstEvent = time.Since(c.started)
-	c.roundTrip.proxy.chooser.firstEvent(c.choice)
-	r.replaceable = c.roundTrip.couldRetry()
+	call.timeToFirstEvent = time.Since(call.started)
+	call.roundTrip.proxy.chooser.firstEvent(call.choice)
+	r.replaceable = call.roundTrip.couldRetry()
 	response := r.clientHead(head)
 	response.Streaming, response.Length = true, -1
 	var err error
@@ -119,18 +119,18 @@
 }
 
 // endStream ends the response, as its server did.
-func (r *relay) endStream(c *call, head *http1.Response, body *http1.Body) *callFailure {
-	c.recordBodyEnd()
+func (r *relay) endStream(call *call, head *http1.Response, body *http1.Body) *callFailure {
+	call.recordBodyEnd()
 	if partial := r.events.partial(); len(partial) > 0 {
 		if endsWithConnection(head, body) { // an incomplete event shows that its server broke off
-			return c.brokenFailure()
+			return call.brokenFailure()
 		}
-		if f := r.forwardEvent(c, head, partial); f != nil {
-			return f
+		if failure := r.forwardEvent(call, head, partial); failure != nil {
+			return failure
 		}
 	}
-	if r.startResponse(c, head) != nil {
-		return r.clientFailure(c)
+	if r.startResponse(call, head) != nil {
+		return r.clientFailure(call)
 	}
 	r.recordComplete(r.closeBody(r.out) && r.keepAlive)
 	return nil
@@ -144,16 +144,16 @@
 }
 
 // clientFailure says that the client did not read the response.
-func (r *relay) clientFailure(c *call) *callFailure {
-	c.roundTrip.stop(clientDisconnected)
-	return &callFailure{outcome: scheduler.Abandoned, fate: mayHaveRun}
+func (r *relay) clientFailure(call *call) *callFailure {
+	call.roundTrip.stop(clientDisconnected)
+	return &callFailure{outcome: scheduler.Abandoned, execution: mayHaveRun}
 }
 
 // gapDeadline is when a stream counts as broken if its server sends nothing more.
-func (r *relay) gapDeadline(c *call) time.Time {
-	rt := c.roundTrip
+func (r *relay) gapDeadline(call *call) time.Time {
+	rt := call.roundTrip
 	if !r.started {
-		return c.firstByteDeadline()
+		return call.firstByteDeadline()
 	}
 	if !r.replaceable || !r.canSwitchServer() { // a pause alone ends nothing
 		return rt.request.hardDeadline
--- a/internal/router/dataplane/stream_test.go
+++ b/internal/router/dataplane/stream_test.go
@@ -16,15 +16,15 @@
 )
 
 // streamHead begins a stream that names its server in its stamp.
-func streamHead(q *http1.Request, stamp string) string {
-	return head(q, 200, "Cresshub-Server-Stamp: "+stamp, "Content-Type: text/event-stream",
+func streamHead(req *http1.Request, stamp string) string {
+	return head(req, 200, "Cresshub-Server-Stamp: "+stamp, "Content-Type: text/event-stream",
 		"Transfer-Encoding: chunked") + "\r\n"
 }
 
 // streams answers with these chunks and then ends the stream or breaks off.
 func streams(stamp string, whole bool, chunks ...string) handler {
-	return func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, stamp))
+	return func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, stamp))
 		for _, text := range chunks {
 			io.WriteString(w, chunk(text))
 		}
@@ -37,16 +37,16 @@
 
 // resumesUntil answers with the events after Last-Event-Id up to the last one.
 func resumesUntil(last int) handler {
-	return func(q *http1.Request, w io.Writer) bool {
-		from := parseCount(q.Header.Get(lastEventHeader)) + 1
-		return events(from, last, true)(q, w)
+	return func(req *http1.Request, w io.Writer) bool {
+		from := parseCount(req.Header.Get(lastEventHeader)) + 1
+		return events(from, last, true)(req, w)
 	}
 }
 
 func TestEventsAreForwardedAsTheyCome(t *testing.T) {
 	next := make(chan bool)
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, "s"))
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "s"))
 		for id := 1; id <= 3; id++ {
 			io.WriteString(w, chunk(event(id)))
 			<-next
@@ -94,8 +94,8 @@
 			eventsText(1, 4), 2},
 		{"nothing was missing", []handler{streams("first", false, event(1)), streams("second", true)},
 			eventsText(1, 1), 2},
-		{"nonsense", []handler{func(q *http1.Request, w io.Writer) bool {
-			io.WriteString(w, streamHead(q, "first")+chunk(event(1))+"no chunk\r\n")
+		{"nonsense", []handler{func(req *http1.Request, w io.Writer) bool {
+			io.WriteString(w, streamHead(req, "first")+chunk(event(1))+"no chunk\r\n")
 			return false
 		}, resumesUntil(4)}, eventsText(1, 4), 2},
 		{"a line before an id", []handler{streams("first", false, "versions: 1\n"+event(1)),
@@ -113,10 +113,10 @@
 			r.Assert(requestsReceived(servers), qt.Equals, test.calls)
 			r.awaitCallsEnded()
 			for _, s := range servers[1:] {
-				for _, q := range s.got() {
-					r.Assert(q.Header.Get(lastEventHeader), qt.Not(qt.Equals), "")
-					r.Assert(q.Header.Get(tryIDHeader), qt.Equals, "a")
-					r.Assert(string(q.Body), qt.Equals, "same")
+				for _, req := range s.got() {
+					r.Assert(req.Header.Get(lastEventHeader), qt.Not(qt.Equals), "")
+					r.Assert(req.Header.Get(tryIDHeader), qt.Equals, "a")
+					r.Assert(string(req.Body), qt.Equals, "same")
 				}
 			}
 			r.Assert(r.proxy.Stats().Retries, qt.Equals, int64(test.calls-1))
@@ -160,9 +160,9 @@
 
 func TestStreamThatTimesOut(t *testing.T) {
 	ended := make(chan string, 9)
-	silent := func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, "first")+chunk(event(1)))
-		return neverAnswer(ended)(q, w)
+	silent := func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "first")+chunk(event(1)))
+		return neverAnswer(ended)(req, w)
 	}
 	for _, test := range []struct {
 		route string
@@ -189,9 +189,9 @@
 }
 
 func TestClientResumesItself(t *testing.T) {
-	servers := newLookupServers(t, inTurn(func(q *http1.Request, w io.Writer) bool {
-		from := parseCount(q.Header.Get(lastEventHeader)) + 1
-		return events(from, from+1, false)(q, w)
+	servers := newLookupServers(t, inTurn(func(req *http1.Request, w io.Writer) bool {
+		from := parseCount(req.Header.Get(lastEventHeader)) + 1
+		return events(from, from+1, false)(req, w)
 	}, resumesUntil(16)))
 	r := newRig(t, nil, servers...)
 	answer := r.dial().ask("POST", "/stream/", "a", "", "Last-Event-Id: 12")
@@ -203,8 +203,8 @@
 
 func TestStreamWithALengthAndAnHTTP10Client(t *testing.T) {
 	all := eventsText(1, 3) + "id: 4\ndata: without a blank line"
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		fmt.Fprint(w, head(q, 200, stamp, "Content-Type: text/event-stream; charset=utf-8"), length(all), all)
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		fmt.Fprint(w, head(req, 200, stamp, "Content-Type: text/event-stream; charset=utf-8"), length(all), all)
 		return true
 	})
 	r := newRig(t, nil, s)
@@ -217,8 +217,8 @@
 }
 
 func TestManySmallChunks(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(q, "s"))
+	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "s"))
 		text := eventsText(1, 200)
 		for at := 0; at < len(text); at += 7 {
 			io.WriteString(w, chunk(text[at:min(at+7, len(text))]))
@@ -249,8 +249,8 @@
 	const request = "GET /firm/ HTTP/1.0\r\nHost: h\r\nCresshub-Try-Id: b\r\n\r\n"
 	for _, sent := range []string{request, request + request} {
 		next := make(chan bool)
-		s := newServer(t, "i-1", "lookup", "", func(q *http1.Request, w io.Writer) bool {
-			io.WriteString(w, streamHead(q, "s")+chunk(event(1)))
+		s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+			io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
 			<-next
 			return false
 		})
@@ -272,22 +272,22 @@
 func TestTimeoutEndsOnlyResumableStreams(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	q := &request{hardDeadline: now.Add(time.Minute), route: &fleetconfig.Route{Kind: fleetconfig.Stream}}
-	call := &call{roundTrip: &roundTrip{request: q}}
-	r := &relay{request: q, started: true, replaceable: true, order: eventOrder{hasLast: true}}
-	c.Assert(r.gapDeadline(call), qt.Equals, q.hardDeadline)
-	q.route.Resumable = true
-	c.Assert(r.gapDeadline(call).Before(q.hardDeadline), qt.IsTrue)
+	req := &request{hardDeadline: now.Add(time.Minute), route: &fleetconfig.Route{Kind: fleetconfig.Stream}}
+	call := &call{roundTrip: &roundTrip{request: req}}
+	r := &relay{request: req, started: true, replaceable: true, order: eventOrder{hasLast: true}}
+	c.Assert(r.gapDeadline(call), qt.Equals, req.hardDeadline)
+	req.route.Resumable = true
+	c.Assert(r.gapDeadline(call).Before(req.hardDeadline), qt.IsTrue)
 	r.hasUnnumbered = true
-	c.Assert(r.gapDeadline(call), qt.Equals, q.hardDeadline)
+	c.Assert(r.gapDeadline(call), qt.Equals, req.hardDeadline)
 	r.hasUnnumbered, r.order.hasLast = false, false
-	c.Assert(r.gapDeadline(call), qt.Equals, q.hardDeadline)
+	c.Assert(r.gapDeadline(call), qt.Equals, req.hardDeadline)
 }
 
 // The rest of a response that is no stream cannot be had from another server.
 func TestLargeResponseOnAStreamRouteIsNotMixed(t *testing.T) {
-	large := func(q *http1.Request, w io.Writer) bool {
-		fmt.Fprint(w, head(q, 200, stamp, "Content-Type: text/plain"), "Content-Length: 300000\r\n\r\n")
+	large := func(req *http1.Request, w io.Writer) bool {
+		fmt.Fprint(w, head(req, 200, stamp, "Content-Type: text/plain"), "Content-Length: 300000\r\n\r\n")
 		w.Write(make([]byte, 200_000))
 		return false
 	}
--- a/internal/router/dataplane/surplus_test.go
+++ b/internal/router/dataplane/surplus_test.go
@@ -37,9 +37,9 @@
 	surplus := map[io.Writer]string{}
 	ran := map[string]bool{} // by attempt
 	point := 0
-	serve := func(q *http1.Request, w io.Writer) bool {
-		try := &faultyAttempt{id: q.Header.Get(tryIDHeader), route: route, framing: framing}
-		text, _ := try.answer(q)
+	serve := func(req *http1.Request, w io.Writer) bool {
+		try := &faultyAttempt{id: req.Header.Get(tryIDHeader), route: route, framing: framing}
+		text, _ := try.answer(req)
 		mu.Lock()
 		ran[try.id] = true
 		before := surplus[w]
@@ -109,9 +109,9 @@
 	t.Helper()
 	var mu sync.Mutex
 	point, connections := 0, 0
-	whole := func(q *http1.Request, w io.Writer) bool {
-		try := &faultyAttempt{id: q.Header.Get(tryIDHeader), route: route, framing: byLength}
-		text, _ := try.answer(q)
+	whole := func(req *http1.Request, w io.Writer) bool {
+		try := &faultyAttempt{id: req.Header.Get(tryIDHeader), route: route, framing: byLength}
+		text, _ := try.answer(req)
 		io.WriteString(w, text)
 		return true
 	}
@@ -124,9 +124,9 @@
 		first, read := connections == 1, point
 		mu.Unlock()
 		if first && reused {
-			q, _, err := http1.ReadRequestHead(bufio.NewReader(conn))
+			req, _, err := http1.ReadRequestHead(bufio.NewReader(conn))
 			if err == nil {
-				whole(q, conn)
+				whole(req, conn)
 			}
 		} else if !first && !reused {
 			return
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -40,12 +40,12 @@
 
 // failedCall is a call that did not bring the complete response.
 type failedCall struct {
-	server  string
-	role    scheduler.Role
-	outcome scheduler.Outcome
-	fate    fate
-	at      time.Duration // since the request's arrival
-	elapsed time.Duration
+	server    string
+	role      scheduler.Role
+	outcome   scheduler.Outcome
+	execution execution
+	at        time.Duration // since the request's arrival
+	elapsed   time.Duration
 }
 
 // setReason records why no further attempt is made; starting another call resets it to "".
@@ -65,45 +65,48 @@
 }
 
 // beginCall checks a call that is about to be sent.
-func (t *roundTripTrace) beginCall(c *call) {
-	rt := c.roundTrip
-	invariant.Assert(c.role == scheduler.Prefill || !t.unsafeMayHaveRun, invariant.UnsafeSentOnce,
-		"request %s is sent to %s though it may have run", rt.request.tryID, c.choice.Server.ID)
-	if c.role == scheduler.Decode {
+func (t *roundTripTrace) beginCall(call *call) {
+	rt := call.roundTrip
+	invariant.Assert(call.role == scheduler.Prefill || !t.unsafeMayHaveRun, invariant.UnsafeSentOnce,
+		"request %s is sent to %s though it may have run", rt.request.tryID, call.choice.Server.ID)
+	if call.role == scheduler.Decode {
 		invariant.Assert(rt.handle.tryID == rt.request.tryID, invariant.HandleOfOwnRequest,
 			"request %s decodes from the prefix cache of request %s", rt.request.tryID, rt.handle.tryID)
 	}
 }
 
 // endCall records how a call ended; f is nil if the client has the complete response.
-func (t *roundTripTrace) endCall(c *call, f *callFailure) {
-	rt := c.roundTrip
-	sent := c.conn != nil && c.conn.bytesSent > 0
+func (t *roundTripTrace) endCall(call *call, failure *callFailure) {
+	rt := call.roundTrip
+	sent := call.conn != nil && call.conn.bytesSent > 0
 	if sent {
-		t.countAttempt(c, f)
+		t.countAttempt(call, failure)
 	}
-	if f == nil {
+	if failure == nil {
 		return
 	}
-	notRun := f.fate == notRun || f.fate == notSent
-	if sent && !notRun && c.role != scheduler.Prefill && !rt.request.route.Idempotent() {
+	notRun := failure.execution == notRun || failure.execution == notSent
+	if sent && !notRun && call.role != scheduler.Prefill && !rt.request.route.Idempotent() {
 		t.unsafeMayHaveRun = true
 	}
-	took := c.elapsed()
-	t.failedCalls = append(t.failedCalls, failedCall{server: c.choice.Server.ID, role: c.role,
-		outcome: f.outcome, fate: f.fate, at: time.Since(rt.request.arrived) - took, elapsed: took})
+	took := call.elapsed()
+	t.failedCalls = append(t.failedCalls, failedCall{
+		server: call.choice.Server.ID, role: call.role,
+		outcome: failure.outcome, execution: failure.execution,
+		at: time.Since(rt.request.arrived) - took, elapsed: took,
+	})
 }
 
-func (t *roundTripTrace) countAttempt(c *call, f *callFailure) {
-	rejected := f != nil && f.fate == notRun
-	if c.role == scheduler.Prefill && !t.freePrefillUsed && !rejected {
+func (t *roundTripTrace) countAttempt(call *call, failure *callFailure) {
+	rejected := failure != nil && failure.execution == notRun
+	if call.role == scheduler.Prefill && !t.freePrefillUsed && !rejected {
 		t.freePrefillUsed = true
 		return
 	}
 	t.attempts++
-	maxAttempts := c.roundTrip.request.route.MaxAttempts
+	maxAttempts := call.roundTrip.request.route.MaxAttempts
 	invariant.Assert(t.attempts <= maxAttempts, invariant.AttemptsWithinRoute,
-		"request %s made %d attempts, %d are allowed", c.roundTrip.request.tryID, t.attempts, maxAttempts)
+		"request %s made %d attempts, %d are allowed", call.roundTrip.request.tryID, t.attempts, maxAttempts)
 }
 
 // checkLocalReply checks that a request which may have run gets no local reply that promises the opposite.
@@ -121,14 +124,15 @@
 }
 
 // MarshalZerologObject writes one call.
-func (f *failedCall) MarshalZerologObject(event *zerolog.Event) {
-	event.Str("server", f.server).Str("role", roleNames[f.role]).Str("outcome", outcomeNames[f.outcome]).
-		Str("fate", fateNames[f.fate]).Dur("at_ms", f.at).Dur("took_ms", f.elapsed)
+func (call *failedCall) MarshalZerologObject(event *zerolog.Event) {
+	event.Str("server", call.server).Str("role", roleNames[call.role]).
+		Str("outcome", outcomeNames[call.outcome]).Str("fate", executionNames[call.execution]).
+		Dur("at_ms", call.at).Dur("took_ms", call.elapsed)
 }
 
 var roleNames = [...]string{scheduler.Serve: "serve", scheduler.Prefill: "read", scheduler.Decode: "write"}
 
-var fateNames = [...]string{notSent: "not_sent", notRun: "not_run", mayHaveRun: "may_have_run"}
+var executionNames = [...]string{notSent: "not_sent", notRun: "not_run", mayHaveRun: "may_have_run"}
 
 var outcomeNames = [...]string{
 	scheduler.Served: "served", scheduler.Failed: "failed", scheduler.Rejected: "rejected",
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -58,11 +58,11 @@
 				defer release()
 				s := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 					in := bufio.NewReader(conn)
-					q, body, err := http1.ReadRequestHead(in)
+					req, body, err := http1.ReadRequestHead(in)
 					if err != nil {
 						return
 					}
-					answer.answer(q, conn)
+					answer.answer(req, conn)
 					if body.Length() == int64(size) {
 						<-readOn
 						all, _ := io.ReadAll(in)
@@ -88,11 +88,11 @@
 func TestServerThatDoesNotReadTimesOut(t *testing.T) {
 	t.Parallel()
 	s := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
-		q, body, err := http1.ReadRequestHead(bufio.NewReader(conn))
+		req, body, err := http1.ReadRequestHead(bufio.NewReader(conn))
 		if err == nil && body.Length() > 0 {
 			awaitHangUp(qt.New(t), conn, testTimeout)
 		} else if err == nil {
-			ok("x")(q, conn)
+			ok("x")(req, conn)
 		}
 	})
 	r := newRig(t, allowUploads, s)
@@ -138,10 +138,10 @@
 
 func TestSmallRequestsFindDeadMachinesSoon(t *testing.T) {
 	c := qt.New(t)
-	p, w, _ := newTestPool(t, 9)
-	conn, err := p.get(context.Background(), w)
+	pool, w, _ := newTestPool(t, 9)
+	conn, err := pool.get(context.Background(), w)
 	c.Assert(err, qt.IsNil)
-	defer p.discard(conn)
+	defer pool.discard(conn)
 	c.Assert(userTimeout(c, conn), qt.Equals, serverTimeout)
 	conn.setUnackedTimeout(true, 20*serverTimeout)
 	c.Assert(userTimeout(c, conn), qt.Equals, 20*serverTimeout)
