--- /dev/null
+++ b/internal/router/dataplane/accept.go
@@ -0,0 +1,56 @@
+package dataplane
+
+import (
+	"net"
+
+	"cresshub/internal/acceptloop"
+)
+
+// Serve accepts clients until the listener is closed, and then returns nil.
+func (p *Proxy) Serve(listener net.Listener) error {
+	logFailure := func(err error) {
+		p.observer.failureLog.Warn().Err(err).Msg("front: accept failed, retrying")
+	}
+	_ = acceptloop.Run(listener, logFailure, p.accept) // it ends with the listener
+	return nil
+}
+
+// accept starts to serve a client, or closes its connection if there are too many.
+func (p *Proxy) accept(conn net.Conn) {
+	socket, err := newSocket(conn)
+	if err != nil {
+		conn.Close()
+		return
+	}
+	// An accepted socket is connected already, so the option is all that is missing.
+	_ = setUserTimeout(socket.raw, clientTimeout)
+	client := &client{proxy: p, socket: socket}
+	if !p.addClient(client) {
+		conn.Close()
+		p.counters.clientsRejected.Add(1)
+		p.observer.failureLog.Warn().Int("most", p.connectionLimit()).
+			Msg("front: connection limit reached, client closed")
+		return
+	}
+	p.counters.clients.Add(1)
+	go client.run()
+}
+
+// addClient registers a client unless there are too many.
+func (p *Proxy) addClient(client *client) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.clients) >= p.connectionLimit() {
+		return false
+	}
+	p.clients[client] = struct{}{}
+	return true
+}
+
+func (p *Proxy) removeClient(client *client) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.clients, client)
+	close(p.clientsChanged)
+	p.clientsChanged = make(chan struct{})
+}
--- a/internal/router/dataplane/buffered.go
+++ b/internal/router/dataplane/buffered.go
@@ -18,11 +18,12 @@
 
 // bufferResponse reads a response into memory. If it is too large for that, or no memory is left, it
 // returns the beginning; body.Complete reports which.
-func bufferResponse(call *call, head *http1.Response, body *http1.Body) (*bufferedResponse, error) {
-	buffered := &bufferedResponse{head: head}
-	call.conn.SetReadDeadline(call.bufferDeadline())
+func (c *call) bufferResponse(response serverResponse) (*bufferedResponse, error) {
+	body := response.body
+	buffered := &bufferedResponse{head: response.head}
+	c.conn.SetReadDeadline(c.bufferDeadline())
 	for !body.Complete() {
-		if len(buffered.body) == cap(buffered.body) && !call.roundTrip.client.growBuffer(buffered, body.Length()) {
+		if len(buffered.body) == cap(buffered.body) && !c.roundTrip.client.growBuffer(buffered, body.Length()) {
 			return buffered, nil
 		}
 		n, err := body.Read(buffered.body[len(buffered.body):cap(buffered.body)])
--- a/internal/router/dataplane/classify.go
+++ b/internal/router/dataplane/classify.go
@@ -1,7 +1,6 @@
 package dataplane
 
 import (
-	"cresshub/internal/http1"
 	"cresshub/internal/router/scheduler"
 )
 
@@ -53,16 +52,14 @@
 	classUnusable:    scheduler.Broken,
 }
 
-func (c *call) responseTraits(head *http1.Response, body *http1.Body) responseTraits {
+// responseTraits returns the traits of a response to this call.
+func (c *call) responseTraits(response serverResponse) responseTraits {
+	header := response.head.Header
 	return responseTraits{
-		status: head.Status, notRun: head.Header.Get(notRunHeader) != "",
-		stamped: head.Header.Get(stampHeader) != "", encoded: head.Header.Get("Content-Encoding") != "",
-		endUncertain: c.partlySent && endsWithConnection(head, body),
+		status:       response.head.Status,
+		notRun:       header.Get(notRunHeader) != "",
+		stamped:      header.Get(stampHeader) != "",
+		encoded:      header.Get("Content-Encoding") != "",
+		endUncertain: c.partlySent && response.endsWithConnection(),
 	}
 }
-
-// endsWithConnection reports whether only the end of the connection ends the body. An orderly end completes
-// it, a reset does not.
-func endsWithConnection(head *http1.Response, body *http1.Body) bool {
-	return body.Length() < 0 && head.Header.Get("Transfer-Encoding") == ""
-}
--- /dev/null
+++ b/internal/router/dataplane/conclude.go
@@ -0,0 +1,79 @@
+package dataplane
+
+import (
+	"net"
+	"time"
+)
+
+// The bounds of the Retry-After of a local reply.
+const (
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = time.Second
+)
+
+// conclude ends the response to the client: with a response of its own if no server has begun one.
+func (rt *roundTrip) conclude() {
+	counters := &rt.proxy.counters
+	switch {
+	case rt.relay.complete:
+		rt.keepAlive = rt.relay.keepAlive
+		rt.proxy.recordOutcome(rt, outcomeServed, 0)
+	case rt.stopReason() == clientDisconnected:
+		counters.clientsDisconnected.Add(1)
+		rt.proxy.recordOutcome(rt, outcomeClientDisconnected, 0)
+	case rt.relay.started:
+		counters.truncated.Add(1) // the connection ends without the last chunk
+		rt.proxy.recordOutcome(rt, outcomeTruncated, 0)
+		rt.truncate()
+	case rt.serverError != nil && rt.worstExecution == mayHaveRun:
+		rt.proxy.recordOutcome(rt, outcomeServerFailure, rt.serverError.head.Status)
+		rt.keepAlive = rt.relay.forwardBuffered(rt.serverError)
+	default:
+		reply := rt.finalReply()
+		rt.trace.checkLocalReply(rt, reply.status)
+		rt.proxy.recordOutcome(rt, outcomeOfStatus(reply.status), reply.status)
+		rt.keepAlive = rt.client.sendLocalReply(rt.request, reply)
+	}
+}
+
+// truncate makes sure that an incomplete response does not look complete: where only the end of the
+// connection ends it, the connection is reset.
+func (rt *roundTrip) truncate() {
+	rt.client.truncated = true
+	if conn, ok := rt.client.socket.Conn.(*net.TCPConn); ok && rt.request.HTTP10 {
+		conn.SetLinger(0)
+	}
+}
+
+// finalReply is the proxy's own response where nothing more is tried.
+func (rt *roundTrip) finalReply() *localReplyError {
+	late := rt.timeLeft() < minTimeLeft || rt.stopReason() == proxyStopping
+	switch finalStatus(rt.worstExecution, late) {
+	case 503:
+		return &localReplyError{status: 503, retryAfter: rt.retryAfter(),
+			remedy: "no server can take the request now, and it has not run; send it again after Retry-After"}
+	case 504:
+		return &localReplyError{status: 504,
+			remedy: "no answer came in time, and the request may have run; look before sending it again"}
+	}
+	return &localReplyError{status: 502,
+		remedy: "the server broke off, and the request may have run; look before sending it again"}
+}
+
+// finalStatus is the status of the proxy's own response where nothing more is tried. 503 promises that the
+// request has not run and never will; 502 and 504 promise nothing.
+func finalStatus(worst execution, late bool) int {
+	switch {
+	case worst != mayHaveRun:
+		return 503
+	case late:
+		return 504
+	}
+	return 502
+}
+
+// retryAfter is the time after which a server is expected to have a free slot.
+func (rt *roundTrip) retryAfter() time.Duration {
+	wait, _ := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
+}
--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -83,10 +83,3 @@
 	c()
 	return nil
 }
-
-func earlier(a, b time.Time) time.Time {
-	if a.Before(b) {
-		return a
-	}
-	return b
-}
--- a/internal/router/dataplane/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -1,6 +1,11 @@
 package dataplane
 
 import (
+	"context"
+	"errors"
+	"os"
+	"syscall"
+
 	"cresshub/internal/http1"
 	"cresshub/internal/router/scheduler"
 )
@@ -15,21 +20,6 @@
 	mayHaveRun                  // bytes were sent, and nothing says that it did not run
 )
 
-// retryIsSafe reports whether the request may be sent again after a call that ended so.
-func retryIsSafe(idempotent bool, worst execution) bool { return idempotent || worst != mayHaveRun }
-
-// finalStatus is the status of the proxy's own response where nothing more is tried. 503 promises that the
-// request has not run and never will; 502 and 504 promise nothing.
-func finalStatus(worst execution, late bool) int {
-	switch {
-	case worst != mayHaveRun:
-		return 503
-	case late:
-		return 504
-	}
-	return 502
-}
-
 // callFailure describes a call that did not bring the complete response.
 type callFailure struct {
 	outcome   scheduler.Outcome
@@ -44,6 +34,33 @@
 	return failure.execution == mayHaveRun || failure.outcome == scheduler.HandleFailed
 }
 
+// failureFrom returns how a call failed whose request was sent, completely or in part.
+func (c *call) failureFrom(err error) *callFailure {
+	failure := c.brokenFailure()
+	c.reportSuspect(err)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		failure.outcome = scheduler.TimedOut
+		return failure
+	}
+	if c.conn.reused && !c.responseStarted && !errors.As(err, new(*http1.MalformedError)) {
+		failure.staleConnection, failure.outcome = true, scheduler.Abandoned
+	}
+	return failure
+}
+
+// reportSuspect reports the server where an error shows that its machine or process is down.
+func (c *call) reportSuspect(err error) {
+	timedOut := errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, context.DeadlineExceeded)
+	if c.roundTrip.stopReason() == notStopped && (timedOut || errors.Is(err, syscall.ECONNREFUSED)) {
+		c.roundTrip.proxy.state.Suspect(c.choice.Server.ID)
+	}
+}
+
+// brokenFailure is the failure of a call whose connection ended, or whose response is unusable.
+func (c *call) brokenFailure() *callFailure {
+	return &callFailure{outcome: scheduler.Broken, execution: mayHaveRun}
+}
+
 // reportReplaced reports that another incarnation may have the server's address. Model servers are exempt:
 // one that has changed its role answers in the same way.
 func (c *call) reportReplaced() {
--- a/internal/router/dataplane/faults_test.go
+++ b/internal/router/dataplane/faults_test.go
@@ -271,10 +271,12 @@
 	text, _ := byEnd.encode(req, "text/plain", "body")
 	head, body, err := http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
-	c.Assert(classify((&call{}).responseTraits(head, body)), qt.Equals, classForward)
-	c.Assert(classify((&call{partlySent: true}).responseTraits(head, body)), qt.Equals, classUnusable)
+	response := serverResponse{head, body}
+	c.Assert(classify((&call{}).responseTraits(response)), qt.Equals, classForward)
+	c.Assert(classify((&call{partlySent: true}).responseTraits(response)), qt.Equals, classUnusable)
 	text, _ = byChunks.encode(req, "text/plain", "body")
 	head, body, err = http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
-	c.Assert(classify((&call{partlySent: true}).responseTraits(head, body)), qt.Equals, classForward)
+	response = serverResponse{head, body}
+	c.Assert(classify((&call{partlySent: true}).responseTraits(response)), qt.Equals, classForward)
 }
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"cresshub/internal/http1"
 	"cresshub/internal/router/scheduler"
 )
 
@@ -30,7 +29,7 @@
 
 // handlePrefillFailure records how prefill failed, and reports whether another server is asked for it.
 func (rt *roundTrip) handlePrefillFailure(call *call, failure *callFailure) bool {
-	rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, call.choice.Server.ID)
+	rt.excludeServer(call)
 	switch failure.execution {
 	case notSent:
 		rt.unreachableServers++
@@ -52,9 +51,9 @@
 	if failure != nil {
 		return c.finish(failure)
 	}
-	head, body, failure := c.exchange()
+	response, failure := c.exchange()
 	if failure == nil {
-		failure = c.receiveHandle(head, body)
+		failure = c.receiveHandle(response)
 	}
 	if failure == nil || failure.outcome == scheduler.TimedOut {
 		c.roundTrip.proxy.prefillTimes.record(c.roundTrip.request.service.Name, time.Since(c.started))
@@ -63,11 +62,11 @@
 }
 
 // receiveHandle takes the handle from the response to a prefill call.
-func (c *call) receiveHandle(head *http1.Response, body *http1.Body) *callFailure {
+func (c *call) receiveHandle(response serverResponse) *callFailure {
 	rt := c.roundTrip
-	class := classify(c.responseTraits(head, body))
-	buffered, err := bufferResponse(c, head, body)
-	if body.Complete() {
+	class := classify(c.responseTraits(response))
+	buffered, err := c.bufferResponse(response)
+	if response.body.Complete() {
 		c.recordBodyEnd()
 	}
 	switch {
@@ -78,11 +77,11 @@
 		return &callFailure{outcome: scheduler.Rejected, execution: notRun}
 	case err != nil:
 		return c.failureFrom(err)
-	case head.Status >= 500:
+	case response.head.Status >= 500:
 		return &callFailure{outcome: scheduler.Failed, execution: mayHaveRun}
 	}
 	handle, ok := parseHandle(buffered.body)
-	if head.Status != 200 || !ok {
+	if response.head.Status != 200 || !ok {
 		return c.brokenFailure()
 	}
 	rt.attempts.recordAccepted(scheduler.Prefill)
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -57,32 +57,32 @@
 }
 
 // forwardResponse forwards a server's response. It returns nil if the client has it completely.
-func (r *relay) forwardResponse(call *call, head *http1.Response, body *http1.Body) *callFailure {
-	class := classify(call.responseTraits(head, body))
+func (r *relay) forwardResponse(call *call, response serverResponse) *callFailure {
+	class := classify(call.responseTraits(response))
 	switch {
-	case class == classForward && head.Status/100 == 2 && r.isStream(head):
-		return r.forwardStream(call, head, body)
+	case class == classForward && response.head.Status/100 == 2 && r.isStream(response.head):
+		return r.forwardStream(call, response)
 	case class == classForward && r.started: // not the rest of the stream
 		return call.brokenFailure()
 	}
-	buffered, err := bufferResponse(call, head, body)
+	buffered, err := call.bufferResponse(response)
 	if err != nil && class != classRejected && class != classMisdirected {
 		return call.failureFrom(err)
 	}
-	if body.Complete() {
+	if response.body.Complete() {
 		call.recordBodyEnd()
 	}
 	switch class {
 	case classForward:
-		return r.forwardBody(call, buffered, body)
+		return r.forwardBody(call, buffered, response.body)
 	case classServerError:
 		failure := &callFailure{outcome: outcomeOfClass[class], execution: mayHaveRun}
-		if body.Complete() {
+		if response.body.Complete() {
 			failure.response = buffered
 		}
 		return failure
 	case classRejected:
-		return &callFailure{outcome: call.rejectionOutcome(head), execution: notRun}
+		return &callFailure{outcome: call.rejectionOutcome(response.head), execution: notRun}
 	case classMisdirected:
 		call.reportReplaced()
 		return &callFailure{outcome: outcomeOfClass[class], execution: notRun}
--- /dev/null
+++ b/internal/router/dataplane/send.go
@@ -0,0 +1,60 @@
+package dataplane
+
+import (
+	"strconv"
+
+	"cresshub/internal/http1"
+	"cresshub/internal/router/scheduler"
+)
+
+// send writes the complete request.
+func (c *call) send() *callFailure {
+	c.conn.bytesSent = 0
+	c.conn.SetWriteDeadline(c.roundTrip.request.deadline)
+	c.roundTrip.trace.beginCall(c)
+	err := c.writeRequest(c.buildRequest())
+	switch {
+	case err == nil:
+		return nil
+	case c.conn.bytesSent == 0:
+		return &callFailure{outcome: scheduler.Abandoned, execution: notSent, staleConnection: c.conn.reused}
+	}
+	return c.failureFrom(err)
+}
+
+// buildRequest returns the client's request as the server gets it.
+func (c *call) buildRequest() *http1.Request {
+	req := c.roundTrip.request
+	message := &http1.Request{Method: req.Method, Target: req.Target, Body: req.Body}
+	message.Header = append(req.forwardedHeader(),
+		http1.Field{Name: deadlineHeader, Value: strconv.FormatInt(max(c.roundTrip.timeLeft().Milliseconds(), 1),
+			10)},
+		http1.Field{Name: expectServerHeader, Value: c.choice.Server.ID})
+	tokens, _ := c.choice.Expected()
+	if req.service.Engine != nil {
+		priority := strconv.Itoa(priorityOf(req.route.Priority, tokens))
+		message.Header = append(message.Header, http1.Field{Name: priorityHeader, Value: priority})
+	}
+	switch c.role {
+	case scheduler.Prefill:
+		message.Header = append(message.Header, http1.Field{Name: stageHeader, Value: prefillStage})
+	case scheduler.Decode:
+		message.Header = append(message.Header, http1.Field{Name: kvFromHeader, Value: c.roundTrip.handle.source()})
+	}
+	return c.roundTrip.relay.setResumePoint(message)
+}
+
+// writeRequest sends a message. A response may arrive while a large one waits for its server to read: the
+// rest must then be sent within earlyResponseTime, and the connection ends with the response.
+func (c *call) writeRequest(message *http1.Request) error {
+	large := len(message.Body) >= largeBodySize
+	c.conn.setUnackedTimeout(large, c.roundTrip.timeLeft())
+	if large {
+		defer c.watchEarlyResponse()()
+	}
+	out := c.conn.writer()
+	if err := message.Write(out); err != nil {
+		return err
+	}
+	return out.Flush()
+}
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -24,26 +24,23 @@
 
 // forwardStream forwards events as they arrive, each one complete. If it ends early the events that the
 // client has are the first ones of the stream, without a gap.
-func (r *relay) forwardStream(call *call, head *http1.Response, body *http1.Body) *callFailure {
-	r.events.reset()
-	if r.started {
-		r.order.resumed = true
-		r.replaceable = call.roundTrip.couldRetry()
-		r.client.proxy.counters.resumed.Add(1)
-	}
+func (r *relay) forwardStream(call *call, response serverResponse) *callFailure {
+	r.beginStream(call)
+	body := response.body
 	buffer := streamBuffers.Get().(*[bufferSize]byte)
 	defer streamBuffers.Put(buffer)
 	for {
 		n, err := body.Read(buffer[:])
 		r.events.feed(buffer[:n])
-		if failure := r.forwardEvents(call, head); failure != nil {
+		if failure := r.forwardEvents(call, response.head); failure != nil {
 			return failure
 		}
 		if body.Complete() {
-			return r.endStream(call, head, body)
+			return r.endStream(call, response)
 		}
-		if err == nil && body.Buffered() && len(r.events.partial()) <= maxEventBytes {
-			continue
+		eventTooLarge := len(r.events.partial()) > maxEventBytes
+		if err == nil && body.Buffered() && !eventTooLarge {
+			continue // flush once for all that has arrived
 		}
 		if r.flush() != nil {
 			return r.clientFailure(call)
@@ -51,13 +48,23 @@
 		switch {
 		case err != nil:
 			return call.failureFrom(err)
-		case len(r.events.partial()) > maxEventBytes:
+		case eventTooLarge:
 			return call.brokenFailure()
 		}
 		call.conn.SetReadDeadline(r.gapDeadline(call))
 	}
 }
 
+// beginStream prepares for the events of another server.
+func (r *relay) beginStream(call *call) {
+	r.events.reset()
+	if r.started {
+		r.order.resumed = true
+		r.replaceable = call.roundTrip.couldRetry()
+		r.client.proxy.counters.resumed.Add(1)
+	}
+}
+
 // forwardEvents writes the events that are complete.
 func (r *relay) forwardEvents(call *call, head *http1.Response) *callFailure {
 	for event := r.events.next(); event != nil; event = r.events.next() {
@@ -68,16 +75,13 @@
 	return nil
 }
 
+// forwardEvent writes an event, unless the client has it already. It fails if events before it are missing.
 func (r *relay) forwardEvent(call *call, head *http1.Response, event []byte) *callFailure {
-	if id, ok := eventID(event); !ok {
-		r.hasUnnumbered = r.hasUnnumbered || hasData(event)
-	} else {
-		switch r.order.decide(id) {
-		case actionSkip:
-			return nil
-		case actionGap:
-			return call.brokenFailure()
-		}
+	switch r.decide(event) {
+	case actionSkip:
+		return nil
+	case actionGap:
+		return call.brokenFailure()
 	}
 	if r.startResponse(call, head) != nil {
 		return r.clientFailure(call)
@@ -89,6 +93,16 @@
 	return nil
 }
 
+// decide returns what is done with an event; one without an id is forwarded.
+func (r *relay) decide(event []byte) eventAction {
+	id, ok := eventID(event)
+	if !ok {
+		r.hasUnnumbered = r.hasUnnumbered || hasData(event)
+		return actionForward
+	}
+	return r.order.decide(id)
+}
+
 // checkIDsRise checks that the events of a server that resumed the stream follow those that the client has.
 func (r *relay) checkIDsRise(event []byte) {
 	id, ok := eventID(event)
@@ -119,23 +133,24 @@
 }
 
 // endStream ends the response, as its server did.
-func (r *relay) endStream(call *call, head *http1.Response, body *http1.Body) *callFailure {
+func (r *relay) endStream(call *call, response serverResponse) *callFailure {
 	call.recordBodyEnd()
 	if partial := r.events.partial(); len(partial) > 0 {
-		if endsWithConnection(head, body) { // an incomplete event shows that its server broke off
+		if response.endsWithConnection() { // an incomplete event shows that its server broke off
 			return call.brokenFailure()
 		}
-		if failure := r.forwardEvent(call, head, partial); failure != nil {
+		if failure := r.forwardEvent(call, response.head, partial); failure != nil {
 			return failure
 		}
 	}
-	if r.startResponse(call, head) != nil {
+	if r.startResponse(call, response.head) != nil {
 		return r.clientFailure(call)
 	}
 	r.recordComplete(r.closeBody(r.out) && r.keepAlive)
 	return nil
 }
 
+// flush sends the client what has been written.
 func (r *relay) flush() error {
 	if !r.started {
 		return nil
@@ -148,15 +163,3 @@
 	call.roundTrip.stop(clientDisconnected)
 	return &callFailure{outcome: scheduler.Abandoned, execution: mayHaveRun}
 }
-
-// gapDeadline is when a stream counts as broken if its server sends nothing more.
-func (r *relay) gapDeadline(call *call) time.Time {
-	rt := call.roundTrip
-	if !r.started {
-		return call.firstByteDeadline()
-	}
-	if !r.replaceable || !r.canSwitchServer() { // a pause alone ends nothing
-		return rt.request.hardDeadline
-	}
-	return earlier(rt.request.hardDeadline, time.Now().Add(streamTimeout(rt.request.route.GapTarget)))
-}
--- a/internal/router/dataplane/upload.go
+++ b/internal/router/dataplane/upload.go
@@ -13,21 +13,6 @@
 // waits for the server's process to read.
 const largeBodySize = 32 << 10
 
-// writeRequest sends a message. A response may arrive while a large one waits for its server to read: the
-// rest must then be sent within earlyResponseTime, and the connection ends with the response.
-func (c *call) writeRequest(message *http1.Request) error {
-	large := len(message.Body) >= largeBodySize
-	c.conn.setUnackedTimeout(large, c.roundTrip.timeLeft())
-	if large {
-		defer c.watchEarlyResponse()()
-	}
-	out := c.conn.writer()
-	if err := message.Write(out); err != nil {
-		return err
-	}
-	return out.Flush()
-}
-
 // watchEarlyResponse bounds the time of sending once bytes of a response have arrived. The function that it
 // returns ends the watch.
 func (c *call) watchEarlyResponse() (end func()) {
