--- a/internal/router/dataplane/disconnect.go
+++ b/internal/router/dataplane/disconnect.go
@@ -2,8 +2,6 @@
 
 import (
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
 // pollInterval is how often a client is polled whose next request has arrived already: a read would return
@@ -57,15 +55,3 @@
 	<-w.done
 	w.socket.SetReadDeadline(time.Time{})
 }
-
-// hungUp reports whether the other side has ended its sending or the connection is broken, also where bytes
-// wait before the end.
-func (s *socket) hungUp() bool {
-	closed := true
-	err := s.raw.Control(func(fd uintptr) {
-		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		_, err := unix.Poll(polled, 0)
-		closed = err == nil && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-	})
-	return err != nil || closed
-}
--- a/internal/router/dataplane/doc.go
+++ b/internal/router/dataplane/doc.go
@@ -6,7 +6,8 @@
 // In the order in which a request meets the files:
 //
 //   - accept.go: Proxy.Serve accepts a connection; a client's goroutine serves it.
-//   - client.go: client.run waits for a request, reads it and answers it, until the connection ends.
+//   - client.go: client.run waits for a request, reads it and answers it, until the connection ends. Its
+//     socket (socket.go, readstate.go) has buffers only while bytes pass.
 //   - readrequest.go, request.go: the head and the buffered body; the route, the service, the deadlines.
 //   - roundtrip.go: roundTrip.run makes calls until one of them is answered or no further one is permitted.
 //   - prefill.go, kvhandle.go: a call that has a server prefill the prompt; the handle of its prefix cache.
@@ -20,11 +21,12 @@
 //     the service's budget (attempts.go, retrybudget.go).
 //   - stop.go, disconnect.go: what ends a request from outside: its client disconnects, or the process ends.
 //   - conclude.go: the end of the response, or a local reply (localreply.go) if no server has begun one.
+//     What every response to a client has is in clientresponse.go; linger.go ends the connection.
 //   - outcome.go, trace.go: what the metrics and the log say of the request.
 //
 // Beside the way of a request: drain.go ends the process in order, limits.go bounds what is taken,
-// peerload.go and demand.go are what the agent exchanges with other processes, metrics.go is what operators
-// see.
+// peerload.go and demand.go are what the agent exchanges with other processes, metrics.go and stats.go are
+// what operators see.
 //
 // # What may be sent again
 //
--- a/internal/router/dataplane/headers.go
+++ b/internal/router/dataplane/headers.go
@@ -99,8 +99,8 @@
 var protectedFields = []string{"Host", tryIDHeader, lastEventHeader, modelHeader, tokensHeader, prefixHeader}
 
 // forwardedHeader returns the fields that every call of the request carries.
-func (req *request) forwardedHeader() http1.Header {
-	header := req.Header
+func (r *request) forwardedHeader() http1.Header {
+	header := r.Header
 	if !plainConnection(header.Get("Connection")) {
 		header = slices.Clone(header)
 		for i := range header {
@@ -128,19 +128,3 @@
 	}
 	return strings.Join(options, ",")
 }
-
-// keepAliveTime is how long a connection may stay idle after such a response, 0 if it ends.
-func keepAliveTime(head *http1.Response) time.Duration {
-	if head.Close {
-		return 0
-	}
-	for part := range strings.SplitSeq(head.Header.Get("Keep-Alive"), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if !strings.EqualFold(name, "timeout") {
-			continue
-		}
-		announced := time.Duration(parseCount(value)) * time.Second
-		return min(announced-min(keepAliveMargin, announced/2), maxIdleTime)
-	}
-	return defaultIdleTime
-}
--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -9,60 +9,6 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// Stats are counts since the start of the process.
-type Stats struct {
-	Clients             int64 // connections accepted
-	ClientsRejected     int64 // connections closed at once, as there were too many
-	Requests            int64 // requests read completely
-	Malformed           int64 // requests that were no valid HTTP/1.1 or beyond the limits
-	Forwarded           int64 // responses of servers forwarded completely
-	Rejected            int64 // requests answered 503: they have not run
-	Failed              int64 // requests answered 502 or 504
-	Truncated           int64 // responses that ended before they were complete
-	ClientsDisconnected int64 // clients that disconnected while their request was in flight
-	Calls               int64 // calls sent to servers
-	Retries             int64 // calls that the retry budget paid for
-	Resumed             int64 // streams resumed at another server
-	Prefills            int64 // prompts prefilled by one server for another
-	PrefillsFailed      int64 // prompts whose prefill failed
-	Surplus             int64 // responses that belonged to another request
-	Dialled             int64 // connections opened to servers
-	Reused              int64 // calls on a connection that was used before
-}
-
-// counters are the counts that Stats returns. Any goroutine may add to them.
-type counters struct {
-	clients, clientsRejected, clientsDisconnected              atomic.Int64
-	requests, malformed                                        atomic.Int64
-	forwarded, rejected, failed, truncated                     atomic.Int64
-	calls, retries, resumed, prefills, prefillsFailed, surplus atomic.Int64
-	dialled, reused                                            atomic.Int64
-}
-
-// Stats returns the present counts.
-func (p *Proxy) Stats() Stats {
-	c := &p.counters
-	return Stats{
-		Clients:             c.clients.Load(),
-		ClientsRejected:     c.clientsRejected.Load(),
-		Requests:            c.requests.Load(),
-		Malformed:           c.malformed.Load(),
-		Forwarded:           c.forwarded.Load(),
-		Rejected:            c.rejected.Load(),
-		Failed:              c.failed.Load(),
-		Truncated:           c.truncated.Load(),
-		ClientsDisconnected: c.clientsDisconnected.Load(),
-		Calls:               c.calls.Load(),
-		Retries:             c.retries.Load(),
-		Resumed:             c.resumed.Load(),
-		Prefills:            c.prefills.Load(),
-		PrefillsFailed:      c.prefillsFailed.Load(),
-		Surplus:             c.surplus.Load(),
-		Dialled:             c.dialled.Load(),
-		Reused:              c.reused.Load(),
-	}
-}
-
 // callCounts counts calls to servers by role and outcome.
 type callCounts struct {
 	byOutcome [len(roleNames)][len(outcomeNames)]atomic.Int64
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -5,24 +5,12 @@
 	"errors"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"cresshub/internal/invariant"
-	"cresshub/internal/router/catalog"
 )
 
 const (
-	// defaultIdleTime is how long a connection stays idle whose server does not announce a time; it would
-	// announce whole seconds.
-	defaultIdleTime = 900 * time.Millisecond
-	// maxIdleTime bounds how long a connection stays idle, whatever its server announces.
-	maxIdleTime = 30 * time.Second
-	// maxIdleTimeUnsafe bounds it for requests that must not be sent twice: if the server closes the connection
-	// while the request is on its way, nobody knows whether it ran.
-	maxIdleTimeUnsafe = 4 * time.Second
-	// keepAliveMargin is subtracted from the time that a server announces.
-	keepAliveMargin = 500 * time.Millisecond
 	// minPerServer is how many connections to a server a proxy may have however many proxies there are.
 	minPerServer  = 2
 	sweepInterval = time.Second
@@ -33,29 +21,19 @@
 	"all connections that this proxy may have to the server are in use; use another",
 )
 
-// connection is a connection to a server's incarnation. One call at a time uses it.
-type connection struct {
-	*socket
-	server      string
-	reused      bool        // it has carried a request before
-	lastRequest uint64      // number of the last request on it, 0 for one of the proxy's own
-	largeBody   atomic.Bool // its last request has a large body
-	idleSince   time.Time
-	expiresAt   time.Time
-}
-
 // pool keeps the connections to servers, by incarnation. It is safe for concurrent use.
 type pool struct {
 	counters *counters
-	isListed func(server string) bool
-	maxOpen  int // to all servers together
+	isListed func(server string) bool // reports whether the server is in the present table
+	maxOpen  int                      // to all servers together
 
-	mu       sync.Mutex
-	open     int
+	mu       sync.Mutex // guards what follows
+	open     int        // to all servers together
 	servers  map[string]*serverConnections
-	sweeping bool
+	sweeping bool // a sweep is scheduled
 }
 
+// serverConnections are the connections to one incarnation. There is an entry as long as one is open.
 type serverConnections struct {
 	open int           // in use, idle, or being dialled
 	idle []*connection // the one used last at the end
@@ -66,17 +44,6 @@
 		servers: map[string]*serverConnections{}}
 }
 
-// connectionSpec is what a call needs of its connection.
-type connectionSpec struct {
-	server       *catalog.Server
-	maxPerServer int           // connections of this proxy to the server, 0 if there is no bound
-	maxIdle      time.Duration // for how long the connection may have been idle
-	// requestNumber is the number of the client's request, 0 for one of the proxy's own. The connection
-	// must not have carried it before: a server that answers twice would answer the second call with the
-	// first one's response.
-	requestNumber uint64
-}
-
 // get returns a quiet connection: the one used last, or else a new one, whose dialling ctx bounds.
 func (p *pool) get(ctx context.Context, spec connectionSpec) (*connection, error) {
 	for {
@@ -96,17 +63,6 @@
 	}
 }
 
-// suitable reports whether an idle connection may carry the call.
-func (c *connection) suitable(spec connectionSpec) bool {
-	repeated := spec.requestNumber != 0 && c.lastRequest == spec.requestNumber
-	return c.server == spec.server.ID && !repeated && c.fresh(spec, time.Now())
-}
-
-// fresh reports whether an idle connection is young enough for the call.
-func (c *connection) fresh(spec connectionSpec, now time.Time) bool {
-	return now.Before(c.expiresAt) && now.Sub(c.idleSince) <= spec.maxIdle
-}
-
 // reserve returns an idle connection, or nil after it has reserved a slot for a new one. Where all slots
 // are taken the idle connection may be too old, or to another server: to be closed for its slot.
 func (p *pool) reserve(spec connectionSpec, now time.Time) (*connection, error) {
@@ -144,6 +100,7 @@
 	return nil, errNoConnectionFree
 }
 
+// popLast takes the connection that was used last out of the idle ones.
 func (s *serverConnections) popLast() *connection {
 	last := len(s.idle) - 1
 	conn := s.idle[last]
@@ -152,6 +109,7 @@
 	return conn
 }
 
+// dial opens a connection in a slot that reserve has reserved.
 func (p *pool) dial(ctx context.Context, spec connectionSpec) (*connection, error) {
 	dialer := net.Dialer{Control: controlServer, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", spec.server.Address)
@@ -193,6 +151,7 @@
 	p.releaseSlot(conn.server)
 }
 
+// releaseSlot ends the count of a connection that is closed or could not be opened.
 func (p *pool) releaseSlot(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,7 +164,7 @@
 		"%d connections, %d to %s of which %d are idle", p.open, conns.open, server, len(conns.idle))
 }
 
-// scheduleSweep schedules the next sweep, as long as there are idle connections.
+// scheduleSweep schedules the next sweep, as long as there are idle connections. mu is locked.
 func (p *pool) scheduleSweep() {
 	if !p.sweeping {
 		p.sweeping = true
@@ -220,6 +179,7 @@
 	}
 }
 
+// takeExpired takes the connections that sweep closes out of the pool.
 func (p *pool) takeExpired(now time.Time) (expired []*connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/dataplane/readrequest.go
+++ b/internal/router/dataplane/readrequest.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"cresshub/internal/http1"
+	"cresshub/internal/router/fleetconfig"
 )
 
 // initialBodyBuffer is what is reserved at first for a body of unknown length, in bytes.
@@ -28,14 +29,14 @@
 	if head.Header.Repeated(singleFields...) != "" {
 		return nil, errDuplicateField
 	}
-	request := newRequest(head, arrived, c.proxy.state.Config())
+	req := newRequest(head, arrived, c.proxy.state.Config())
 	if err := c.sendContinue(head); err != nil {
 		return nil, err
 	}
-	if err := c.readBody(request, body, limits.MaxBodyBytes, limits.IdleTimeout); err != nil {
+	if err := c.readBody(req, body, limits); err != nil {
 		return nil, c.readError(err)
 	}
-	return request, nil
+	return req, nil
 }
 
 // readError turns an error of reading a request into the local reply to it, if there is one.
@@ -54,6 +55,7 @@
 	return err
 }
 
+// sendContinue sends 100 Continue if the client waits for it.
 func (c *client) sendContinue(head *http1.Request) error {
 	if !head.ExpectsContinue {
 		return nil
@@ -65,62 +67,61 @@
 }
 
 // readBody buffers the complete body, so that it can be sent more than once.
-func (c *client) readBody(req *request, body *http1.Body, maxBytes int, stallTimeout time.Duration) error {
-	if body.Length() > int64(maxBytes) {
+func (c *client) readBody(req *request, body *http1.Body, limits fleetconfig.Limits) error {
+	if body.Length() > int64(limits.MaxBodyBytes) {
 		return errTooLarge
 	}
-	if body.Complete() {
-		return nil
-	}
-	initialSize := initialBodyBuffer
-	if body.Length() > 0 {
-		initialSize = int(body.Length())
-	}
-	n := 0
-	for {
-		if n == len(req.Body) {
-			if n == maxBytes+1 {
-				return errTooLarge
-			}
-			if err := c.growBody(req, min(max(initialSize, 2*n), maxBytes+1)); err != nil {
+	length := 0
+	for !body.Complete() {
+		if length == len(req.Body) {
+			if err := c.growBody(req, body, limits.MaxBodyBytes); err != nil {
 				return err
 			}
 		}
-		deadline := time.Now().Add(stallTimeout)
-		if req.deadline.Before(deadline) {
-			deadline = req.deadline
-		}
-		c.socket.SetReadDeadline(deadline)
-		count, err := body.Read(req.Body[n:])
-		n += count
-		if body.Complete() {
-			req.Body = req.Body[:n]
-			return checkBodySize(n, maxBytes)
-		}
-		if errors.Is(err, io.EOF) {
-			return io.ErrUnexpectedEOF
-		}
-		if err != nil {
-			return err
+		c.socket.SetReadDeadline(earlier(req.deadline, time.Now().Add(limits.IdleTimeout)))
+		n, err := body.Read(req.Body[length:])
+		length += n
+		if err != nil && !body.Complete() {
+			return unexpectedEnd(err)
 		}
 	}
+	req.Body = req.Body[:length]
+	return checkBodySize(length, limits.MaxBodyBytes)
 }
 
-func checkBodySize(n, maxBytes int) error {
-	if n > maxBytes {
-		return errTooLarge
+// unexpectedEnd is the error of reading a body that is incomplete.
+func unexpectedEnd(err error) error {
+	if errors.Is(err, io.EOF) {
+		return io.ErrUnexpectedEOF
 	}
-	return nil
+	return err
 }
 
-// growBody enlarges the buffer of a body to size bytes.
-func (c *client) growBody(req *request, size int) error {
-	if !c.proxy.bodies.Reserve(size - len(req.Body)) {
+// growBody enlarges the full buffer of a body, to one byte more than is allowed at most: a body that takes
+// that byte is too large.
+func (c *client) growBody(req *request, body *http1.Body, maxBytes int) error {
+	buffered := len(req.Body)
+	if buffered == maxBytes+1 {
+		return errTooLarge
+	}
+	size := initialBodyBuffer
+	if body.Length() > 0 {
+		size = int(body.Length())
+	}
+	size = min(max(size, 2*buffered), maxBytes+1)
+	if !c.proxy.bodies.Reserve(size - buffered) {
 		return errNoMemory
 	}
-	c.reservedBytes += size - len(req.Body)
+	c.reservedBytes += size - buffered
 	larger := make([]byte, size)
 	copy(larger, req.Body)
 	req.Body = larger
 	return nil
 }
+
+func checkBodySize(length, maxBytes int) error {
+	if length > maxBytes {
+		return errTooLarge
+	}
+	return nil
+}
--- a/internal/router/dataplane/request.go
+++ b/internal/router/dataplane/request.go
@@ -22,20 +22,24 @@
 	maxDeadline = 24 * time.Hour
 )
 
-// request is a client's request with its route.
+// request is a client's request, read completely, with its route. It does not change but for
+// scheduling.Excluded, to which the servers of failed calls are added.
 type request struct {
 	*http1.Request
-	tryID        string
+	tryID string // the client's id of this attempt; its responses carry it
+
 	arrived      time.Time // when its first byte was read
 	hardDeadline time.Time // the client's deadline or the route's timeout, whichever is earlier
 	deadline     time.Time // when the proxy answers itself at the latest, a little before hardDeadline
-	config       *fleetconfig.Config
-	route        *fleetconfig.Route // nil if there is none
-	service      *fleetconfig.Service
-	scheduling   scheduler.Request
+
+	config     *fleetconfig.Config  // in force when it arrived, nil if none was known
+	route      *fleetconfig.Route   // nil if there is none
+	service    *fleetconfig.Service // drawn from the route's; nil without a route
+	scheduling scheduler.Request    // what the scheduler needs to know of it
 }
 
-// newRequest finds the route of a request and draws its service.
+// newRequest finds the route of a request and draws its service. config is nil until a configuration is
+// known.
 func newRequest(head *http1.Request, arrived time.Time, config *fleetconfig.Config) *request {
 	req := &request{Request: head, tryID: head.Header.Get(tryIDHeader), arrived: arrived, config: config}
 	announced, hasDeadline := parseDeadline(head.Header.Get(deadlineHeader))
@@ -55,16 +59,22 @@
 	if hasDeadline {
 		timeout = min(timeout, announced)
 	}
-	req.hardDeadline = arrived.Add(timeout)
-	req.deadline = req.hardDeadline.Add(-min(max(timeout/marginDivisor, minMargin), maxMargin))
+	req.setTimeout(timeout)
 	req.service = config.Services[pickTarget(req.route, rand.Float64())]
 	req.scheduling = schedulingRequest(head.Header, req.service)
 	req.scheduling.Idempotent = req.route.Idempotent()
 	return req
 }
 
+// setTimeout sets the deadlines of a request that may take so long.
+func (r *request) setTimeout(timeout time.Duration) {
+	margin := min(max(timeout/marginDivisor, minMargin), maxMargin)
+	r.hardDeadline = r.arrived.Add(timeout)
+	r.deadline = r.hardDeadline.Add(-margin)
+}
+
 // writeDeadline is when the client must have read its response.
-func (req *request) writeDeadline() time.Time { return req.deadline.Add(writeGrace) }
+func (r *request) writeDeadline() time.Time { return r.deadline.Add(writeGrace) }
 
 // pickTarget returns the service at a fraction, from 0 to 1, of the route's total weight.
 func pickTarget(route *fleetconfig.Route, fraction float64) string {
--- a/internal/router/dataplane/socket.go
+++ b/internal/router/dataplane/socket.go
@@ -13,6 +13,7 @@
 )
 
 const (
+	// bufferSize is the size of a buffer to read or write through, in bytes.
 	bufferSize = 4 << 10
 	// clientTimeout is how long sent bytes may stay unacknowledged by a client's machine before the system
 	// ends the connection.
@@ -29,7 +30,10 @@
 	pastDeadline = time.Unix(1, 0)
 )
 
-// socket is a TCP connection that borrows buffers while it reads or writes; one that waits has none.
+// socket is a TCP connection that borrows buffers while it reads or writes; one that waits has none. The
+// goroutine that serves it may touch the buffers and the fields. Another one may meanwhile wait in
+// awaitReadable, set deadlines and close it. While a client's request is in flight, in does not change, and
+// the disconnectWatcher reads it.
 type socket struct {
 	net.Conn
 	raw syscall.RawConn
@@ -47,6 +51,7 @@
 	extendReadDeadline() bool
 }
 
+// newSocket returns a socket over a TCP connection; others have no descriptor and are an error.
 func newSocket(conn net.Conn) (*socket, error) {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
@@ -129,58 +134,6 @@
 // hasBufferedInput reports whether bytes were read that nobody has taken yet.
 func (s *socket) hasBufferedInput() bool { return s.in != nil && s.in.Buffered() > 0 }
 
-// quiet reports whether nothing waits to be read, neither here nor in the system: no byte and no end.
-func (s *socket) quiet() bool { return !s.hasBufferedInput() && s.readState() == notReadable }
-
-// readState is what the system's side of a connection has for a reader.
-type readState int
-
-const (
-	notReadable readState = iota // neither bytes nor an end
-	readable
-	readClosed // the other side has ended its sending, or the connection is broken
-)
-
-// readState returns what waits in the system, and leaves it there.
-func (s *socket) readState() readState {
-	state := readClosed
-	err := s.raw.Control(func(fd uintptr) { state = peek(fd) })
-	if err != nil {
-		return readClosed
-	}
-	return state
-}
-
-func peek(fd uintptr) readState {
-	var one [1]byte
-	for {
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		switch {
-		case err == syscall.EINTR:
-		case err == syscall.EAGAIN:
-			return notReadable
-		case err != nil || n == 0:
-			return readClosed
-		default:
-			return readable
-		}
-	}
-}
-
-// awaitReadable waits until bytes or an end can be read, and leaves them in the system. It returns
-// notReadable where the read deadline passed.
-func (s *socket) awaitReadable() readState {
-	state := notReadable
-	err := s.raw.Read(func(fd uintptr) bool {
-		state = peek(fd)
-		return state != notReadable
-	})
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		return readClosed
-	}
-	return state
-}
-
 // controlServer sets the options of a socket to a server before it connects.
 func controlServer(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, serverTimeout) }
 
