--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -41,6 +41,7 @@
 	load         *loadTable
 	knownProxies *knownProxies
 	lastSeen     *lastSeen
+	persister    *persister // runs on a machine with a disk only
 	seedList     atomic.Pointer[[]string]
 
 	replicated     *broadcast // a hub has received records of this process
@@ -65,8 +66,6 @@
 	probes      probeSet
 	failures    failureDetector
 	lossReports lossReports // of the data plane; guarded by the lock of state
-
-	savedPrefixCount int // how many cached prefixes were last saved; of the goroutine of persistState
 }
 
 // New returns a process that does nothing yet. Run starts it.
@@ -91,6 +90,7 @@
 	a.configStore = newConfigStore(a)
 	a.demand = newDemandTable(a)
 	a.load = newLoadTable(a)
+	a.persister = &persister{agent: a}
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
 		if settings.FirstStart {
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -24,7 +24,7 @@
 		return
 	}
 	loaded := make(chan struct{})
-	go a.persistState(loaded, done)
+	go a.persister.run(loaded, done)
 	timeout := time.NewTimer(diskOpenTimeout)
 	defer timeout.Stop()
 	for _, opened := range []<-chan struct{}{loaded, a.configStore.opened()} {
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -72,12 +72,12 @@
 	a.state.merge(a.now(), goldenDiskRecords())
 	var live []directory.Record
 	a.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
-	c.Assert(a.saved().writeRecords(serversFile, live), qt.IsNil)
+	c.Assert(a.persister.saved().writeRecords(serversFile, live), qt.IsNil)
 	checkWritten(c, a, "servers", filepath.Join(goldenData, "servers"))
-	a.saveProxies()
+	a.persister.saveProxies()
 	checkWritten(c, a, "proxies", filepath.Join(goldenData, "proxies"))
 	a.proxy.SyncPrefixes(promptsAt(7, 1<<64-3)) // saved the newest first
-	a.savePrefixIndex()
+	a.persister.savePrefixIndex()
 	checkWritten(c, a, "prompts", filepath.Join(goldenData, "prompts"))
 }
 
@@ -140,23 +140,23 @@
 	c := qt.New(t)
 	a := diskAgent(t, c, true)
 	records := goldenDiskRecords()
-	servers, err := a.saved().readRecords(serversFile)
+	servers, err := a.persister.saved().readRecords(serversFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(servers, qt.DeepEquals, []directory.Record{records[0], records[3]})
-	c.Assert(a.loadServers(), qt.IsTrue)
+	c.Assert(a.persister.loadServers(), qt.IsTrue)
 	var live []directory.Record
 	a.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
 	c.Assert(live, qt.DeepEquals, servers)
 	c.Assert(a.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
 	// the last one taken in is the newest
 	c.Assert(a.proxy.KnownPrefixes(), qt.DeepEquals, promptsAt(7, 1<<64-3))
-	proxies, err := a.saved().readRecords(proxiesFile)
+	proxies, err := a.persister.saved().readRecords(proxiesFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
 		{Kind: directory.KindProxy, Address: "10.0.0.3"}})
-	a.loadProxies()
+	a.persister.loadProxies()
 	c.Assert(a.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
-	prompts, err := a.saved().read(promptsFile)
+	prompts, err := a.persister.saved().read(promptsFile)
 	c.Assert(err, qt.IsNil)
 	var work peerproto.LoadReport
 	c.Assert(peerproto.Decode(prompts, &work), qt.IsNil)
@@ -166,10 +166,10 @@
 	for _, name := range []string{"servers", "prompts", "proxies"} {
 		c.Assert(os.Remove(filepath.Join(a.settings.DataDir, name)), qt.IsNil)
 	}
-	a.saveProxies()
-	c.Assert(a.saved().write(promptsFile, peerproto.Encode(&work)), qt.IsNil)
+	a.persister.saveProxies()
+	c.Assert(a.persister.saved().write(promptsFile, peerproto.Encode(&work)), qt.IsNil)
 	checkWritten(c, a, "proxies", filepath.Join(goldenData, "proxies"))
 	checkWritten(c, a, "prompts", filepath.Join(goldenData, "prompts"))
-	c.Assert(a.saved().writeRecords(serversFile, servers), qt.IsNil)
+	c.Assert(a.persister.saved().writeRecords(serversFile, servers), qt.IsNil)
 	checkWritten(c, a, "servers", filepath.Join(goldenData, "servers"))
 }
--- a/internal/router/agent/persistence.go
+++ b/internal/router/agent/persister.go
@@ -22,20 +22,31 @@
 	saveInterval = time.Second
 )
 
-// persistState loads the saved state, closes loaded, and then saves changes until done closes. It runs on a
-// goroutine of its own, because the disk may hang.
-func (a *Agent) persistState(loaded chan<- struct{}, done <-chan struct{}) {
-	if a.loadServers() {
-		a.state.setSynced()
+// persister loads the saved state at the start and saves its changes. Its methods belong to the goroutine of
+// run, which is a goroutine of its own because the disk may hang; run is started only on a machine with a
+// disk. What it reads and writes in memory (the state, the known proxies, the prefix index) is safe for
+// concurrent use, so it has no lock.
+type persister struct {
+	agent            *Agent
+	savedPrefixCount int // how many cached prefixes were last saved
+}
+
+func (p *persister) saved() savedFiles { return savedFiles{p.agent.files, p.agent.settings.DataDir} }
+
+// run loads the saved state, closes loaded, and then saves changes until done closes.
+func (p *persister) run(loaded chan<- struct{}, done <-chan struct{}) {
+	if p.loadServers() {
+		p.agent.state.setSynced()
 	}
-	a.loadProxies()
+	p.loadProxies()
 	close(loaded)
-	a.saveChanges(done)
+	p.saveChanges(done)
 }
 
 // loadServers loads the servers that were live, with the prefix index, and reports whether there were any.
-func (a *Agent) loadServers() bool {
-	records, err := a.saved().readRecords(serversFile)
+func (p *persister) loadServers() bool {
+	a := p.agent
+	records, err := p.saved().readRecords(serversFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			a.log.Warn().Err(err).Msg("servers: loading failed")
@@ -43,14 +54,15 @@
 		return false
 	}
 	a.state.merge(a.now(), records)
-	a.loadPrefixIndex()
+	p.loadPrefixIndex()
 	a.log.Info().Int("servers", len(records)).Msg("servers: loaded")
 	return len(records) > 0
 }
 
 // loadProxies loads the addresses of the proxies that were known to the previous process of this machine.
-func (a *Agent) loadProxies() {
-	records, err := a.saved().readRecords(proxiesFile)
+func (p *persister) loadProxies() {
+	a := p.agent
+	records, err := p.saved().readRecords(proxiesFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			a.log.Warn().Err(err).Msg("proxies: loading failed")
@@ -67,8 +79,9 @@
 }
 
 // saveProxies saves the addresses of known proxies, where they have changed.
-func (a *Agent) saveProxies() {
-	a.recordLiveProxies()
+func (p *persister) saveProxies() {
+	a := p.agent
+	p.recordLiveProxies()
 	if !a.knownProxies.resetChanged() {
 		return
 	}
@@ -76,14 +89,15 @@
 	for _, address := range a.knownProxies.addresses() {
 		records = append(records, directory.Record{Kind: directory.KindProxy, Address: address})
 	}
-	if err := a.saved().writeRecords(proxiesFile, records); err != nil {
+	if err := p.saved().writeRecords(proxiesFile, records); err != nil {
 		a.knownProxies.setChanged()
 		a.log.Debug().Err(err).Msg("proxies: saving failed; retrying")
 	}
 }
 
 // recordLiveProxies adds the proxies that are live now to the known ones.
-func (a *Agent) recordLiveProxies() {
+func (p *persister) recordLiveProxies() {
+	a := p.agent
 	var live []string
 	a.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
@@ -94,59 +108,59 @@
 }
 
 // saveChanges saves the state once in each saveInterval, where it has changed, until done closes.
-func (a *Agent) saveChanges(done <-chan struct{}) {
-	saved := a.state.Servers()
+func (p *persister) saveChanges(done <-chan struct{}) {
+	saved := p.agent.state.Servers()
 	for {
 		select {
 		case <-done:
 			return
 		case <-time.After(saveInterval):
 		}
-		a.savePrefixIndex()
-		a.saveProxies()
-		if servers := a.state.Servers(); servers != saved && a.saveServers() {
+		p.savePrefixIndex()
+		p.saveProxies()
+		if servers := p.agent.state.Servers(); servers != saved && p.saveServers() {
 			saved = servers
 		}
 	}
 }
 
 // saveServers saves the records of the live servers and reports whether that succeeded.
-func (a *Agent) saveServers() bool {
+func (p *persister) saveServers() bool {
 	var records []directory.Record
-	a.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
-	if err := a.saved().writeRecords(serversFile, records); err != nil {
-		a.log.Debug().Err(err).Msg("servers: saving failed; retrying")
+	p.agent.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
+	if err := p.saved().writeRecords(serversFile, records); err != nil {
+		p.agent.log.Debug().Err(err).Msg("servers: saving failed; retrying")
 		return false
 	}
 	return true
 }
 
 // loadPrefixIndex loads which prefixes were cached at which servers.
-func (a *Agent) loadPrefixIndex() {
-	body, err := a.saved().read(promptsFile)
+func (p *persister) loadPrefixIndex() {
+	body, err := p.saved().read(promptsFile)
 	var index peerproto.LoadReport
-	if err != nil || a.proxy == nil || peerproto.Decode(body, &index) != nil {
+	if err != nil || p.agent.proxy == nil || peerproto.Decode(body, &index) != nil {
 		return
 	}
-	a.proxy.SyncPrefixes(decodePrefixes(index.Prefixes))
+	p.agent.proxy.SyncPrefixes(decodePrefixes(index.Prefixes))
 }
 
 // savePrefixIndex saves which prefixes are known to be cached at which servers, where their number has
 // changed.
-func (a *Agent) savePrefixIndex() {
-	if a.proxy == nil {
+func (p *persister) savePrefixIndex() {
+	if p.agent.proxy == nil {
 		return
 	}
-	known := a.proxy.KnownPrefixes()
+	known := p.agent.proxy.KnownPrefixes()
 	count := 0
 	for _, at := range known {
 		count += len(at.Hashes)
 	}
-	if count == a.savedPrefixCount {
+	if count == p.savedPrefixCount {
 		return
 	}
 	body := peerproto.Encode(&peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(known)})
-	if a.saved().write(promptsFile, body) == nil {
-		a.savedPrefixCount = count
+	if p.saved().write(promptsFile, body) == nil {
+		p.savedPrefixCount = count
 	}
 }
--- a/internal/router/agent/saved_files.go
+++ b/internal/router/agent/saved_files.go
@@ -24,8 +24,6 @@
 	dir   string
 }
 
-func (a *Agent) saved() savedFiles { return savedFiles{a.files, a.settings.DataDir} }
-
 func (s savedFiles) path(name string) string { return s.dir + "/" + name }
 
 func (s savedFiles) readRecords(name string) ([]directory.Record, error) {
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -101,10 +101,10 @@
 	a := newTestAgent(t)
 	a.settings.DataDir = t.TempDir()
 	a.knownProxies.record(a.now(), []string{"10.0.0.5", "10.0.0.6"})
-	a.saveProxies()
+	a.persister.saveProxies()
 	next := newTestAgent(t)
 	next.settings.DataDir = a.settings.DataDir
-	next.loadProxies()
+	next.persister.loadProxies()
 	c.Assert(next.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.5", "10.0.0.6"})
 	c.Assert(next.state.Proxies(), qt.Equals, 2, qt.Commentf("they share the retry budget"))
 }
