--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -42,13 +42,14 @@
 	knownProxies *knownProxies
 	lastSeen     *lastSeen
 	persister    *persister // runs on a machine with a disk only
-	seedList     atomic.Pointer[[]string]
+
+	configEndpoint *configEndpoint
+	seedList       atomic.Pointer[[]string]
 
 	replicated     *broadcast // a hub has received records of this process
 	shuttingDown   atomic.Bool
 	fetchingConfig atomic.Bool // a configuration is being fetched from a hub
 	packed         packedConfig
-	shown          shownVersion
 	metrics        agentMetrics
 
 	selfMu sync.Mutex
@@ -91,6 +92,7 @@
 	a.demand = newDemandTable(a)
 	a.load = newLoadTable(a)
 	a.persister = &persister{agent: a}
+	a.configEndpoint = &configEndpoint{agent: a}
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
 		if settings.FirstStart {
--- a/internal/router/agent/config_endpoint.go
+++ b/internal/router/agent/config_endpoint.go
@@ -4,6 +4,7 @@
 	"errors"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"time"
 
 	"cresshub/internal/http1"
@@ -21,49 +22,72 @@
 	errVersionOrder = errors.New("edition: is not above If-Match; count on from the current version")
 )
 
-// handleConfigCall handles a call on the configuration.
-func (a *Agent) handleConfigCall(call *controlserver.Call) *http1.Response {
+// configEndpoint serves the calls of operators on the configuration. It has the members of the chain run each
+// call (callMembers), and is itself no part of the replication. Its methods run on the goroutine of the call
+// and are safe for concurrent use; shown is atomic, so there is no lock.
+type configEndpoint struct {
+	agent *Agent
+	shown shownVersion
+}
+
+// shownVersion is the highest version of the configuration that this process has acknowledged or shown to an
+// operator. A later read must not return an older one.
+type shownVersion struct{ version atomic.Int64 }
+
+func (s *shownVersion) highest() int64 { return s.version.Load() }
+
+func (s *shownVersion) raise(version int64) {
+	for highest := s.version.Load(); version > highest; highest = s.version.Load() {
+		if s.version.CompareAndSwap(highest, version) {
+			return
+		}
+	}
+}
+
+// handle handles a call on the configuration.
+func (e *configEndpoint) handle(call *controlserver.Call) *http1.Response {
 	switch call.Method {
 	case "PUT":
-		return a.putConfig(call)
+		return e.put(call)
 	case "PATCH":
-		return a.patchConfig(call)
+		return e.patch(call)
 	case "GET":
-		return a.getConfig()
+		return e.get()
 	}
 	return controlserver.Text(405, "use PUT or PATCH to change the configuration and GET to read it")
 }
 
-func (a *Agent) putConfig(call *controlserver.Call) *http1.Response {
+func (e *configEndpoint) put(call *controlserver.Call) *http1.Response {
 	config, err := fleetconfig.Parse(call.Body)
 	if err != nil {
 		return controlserver.Text(400, err.Error())
 	}
-	return a.changeConfig(call, peerproto.KindPropose, config.Version)
+	return e.change(call, peerproto.KindPropose, config.Version)
 }
 
-func (a *Agent) patchConfig(call *controlserver.Call) *http1.Response {
+func (e *configEndpoint) patch(call *controlserver.Call) *http1.Response {
 	patch, err := fleetconfig.ParsePatch(0, call.Body) // its base is read with If-Match
 	if err != nil {
 		return controlserver.Text(400, err.Error())
 	}
-	return a.changeConfig(call, peerproto.KindPatch, patch.Version)
+	return e.change(call, peerproto.KindPatch, patch.Version)
 }
 
-// changeConfig has a member propose the change that a call asks for, and waits until it is committed. The
-// kind is KindPropose or KindPatch, version the one that the change makes.
-func (a *Agent) changeConfig(call *controlserver.Call, kind peerproto.Kind, version int64) *http1.Response {
+// change has a member propose the change that a call asks for, and waits until it is committed. The kind is
+// KindPropose or KindPatch, version the one that the change makes.
+func (e *configEndpoint) change(call *controlserver.Call, kind peerproto.Kind,
+	version int64) *http1.Response {
 	expected, err := expectedVersion(call, version)
 	if err != nil {
 		return controlserver.Text(400, err.Error())
 	}
-	start := a.now()
-	result := a.callConfigStore(kind, &peerproto.Proposal{Expected: expected, Version: version, Body: call.Body})
-	a.observeConfigCall(strings.ToLower(call.Method), result)
-	a.logConfigChange(call.Method, expected, version, result, a.now()-start)
+	start := e.agent.now()
+	result := e.callMembers(kind, &peerproto.Proposal{Expected: expected, Version: version, Body: call.Body})
+	e.agent.metrics.countConfigCall(strings.ToLower(call.Method), result)
+	e.logChange(call.Method, expected, version, result, e.agent.now()-start)
 	switch result.Outcome {
 	case peerproto.OutcomeAccepted:
-		a.shown.raise(version)
+		e.shown.raise(version)
 		return controlserver.JSON(200, []byte("{}"))
 	case peerproto.OutcomeConflict:
 		return controlserver.Text(412, "edition "+strconv.FormatInt(result.Version, 10)+
@@ -86,9 +110,10 @@
 	return expected, nil
 }
 
-func (a *Agent) logConfigChange(method string, expected, version int64, result *peerproto.Result,
+func (e *configEndpoint) logChange(method string, expected, version int64, result *peerproto.Result,
 	took time.Duration) {
-	event := a.log.Info().Int64("version", version).Int64("on", expected).Str("by", method).Dur("took_ms", took)
+	event := e.agent.log.Info().Int64("version", version).Int64("on", expected).Str("by", method).
+		Dur("took_ms", took)
 	switch result.Outcome {
 	case peerproto.OutcomeAccepted:
 		event.Msg("config: acknowledged")
@@ -101,16 +126,16 @@
 	}
 }
 
-func (a *Agent) getConfig() *http1.Response {
-	shownBefore := a.shown.highest()
-	result := a.callConfigStore(peerproto.KindRead, nil)
-	a.observeConfigCall("get", result)
+func (e *configEndpoint) get() *http1.Response {
+	shownBefore := e.shown.highest()
+	result := e.callMembers(peerproto.KindRead, nil)
+	e.agent.metrics.countConfigCall("get", result)
 	if result.Outcome != peerproto.OutcomeAccepted {
 		return callAnotherProxy()
 	}
 	invariant.Assert(result.Version >= shownBefore, invariant.ReadsNotOlder,
 		"a read shows version %d, %d was shown before", result.Version, shownBefore)
-	a.shown.raise(result.Version)
+	e.shown.raise(result.Version)
 	if len(result.Body) == 0 {
 		return controlserver.Text(404, "no configuration was sent yet; send one with If-Match: 0")
 	}
--- a/internal/router/agent/config_hedging.go
+++ b/internal/router/agent/config_hedging.go
@@ -17,22 +17,23 @@
 // configAttempt has one member run a call.
 type configAttempt func() *peerproto.Result
 
-// callConfigStore has the members run a call, this process first where it is one. The kind is KindPropose,
+// callMembers has the members run a call, this process first where it is one. The kind is KindPropose,
 // KindPatch or KindRead, which has no proposal. A member that hangs, as one does whose disk hangs, delays the
 // call by hedgeDelay only.
-func (a *Agent) callConfigStore(kind peerproto.Kind, proposal *peerproto.Proposal) *peerproto.Result {
-	attempts := a.configAttempts(kind, proposal)
+func (e *configEndpoint) callMembers(kind peerproto.Kind, proposal *peerproto.Proposal) *peerproto.Result {
+	attempts := e.attempts(kind, proposal)
 	if len(attempts) == 0 {
 		return unavailableResult("no machine that keeps the configuration is reached")
 	}
 	return firstDefiniteAnswer(attempts)
 }
 
-// configAttempts returns an attempt for each member that is reached, in the order in which they are started.
-func (a *Agent) configAttempts(kind peerproto.Kind, proposal *peerproto.Proposal) []configAttempt {
+// attempts returns an attempt for each member that is reached, in the order in which they are started.
+func (e *configEndpoint) attempts(kind peerproto.Kind, proposal *peerproto.Proposal) []configAttempt {
+	a := e.agent
 	var attempts []configAttempt
 	if a.configStore.isMember() {
-		attempts = append(attempts, func() *peerproto.Result { return a.runConfigCall(kind, proposal) })
+		attempts = append(attempts, func() *peerproto.Result { return runLocally(a.configStore, kind, proposal) })
 	}
 	var body []byte
 	if proposal != nil {
@@ -47,15 +48,15 @@
 	return attempts
 }
 
-// runConfigCall runs a call in this member.
-func (a *Agent) runConfigCall(kind peerproto.Kind, proposal *peerproto.Proposal) *peerproto.Result {
+// runLocally runs a call in the member of this process.
+func runLocally(store configStore, kind peerproto.Kind, proposal *peerproto.Proposal) *peerproto.Result {
 	switch kind {
 	case peerproto.KindRead:
-		return a.configStore.read(configCallTimeout)
+		return store.read(configCallTimeout)
 	case peerproto.KindPatch:
-		return a.configStore.patch(proposal, configCallTimeout)
+		return store.patch(proposal, configCallTimeout)
 	default:
-		return a.configStore.propose(proposal, configCallTimeout)
+		return store.propose(proposal, configCallTimeout)
 	}
 }
 
--- a/internal/router/agent/control_endpoint.go
+++ b/internal/router/agent/control_endpoint.go
@@ -19,7 +19,7 @@
 	case call.Path == serverListPath:
 		return a.listServers(call)
 	case call.Path == configPath:
-		return a.handleConfigCall(call)
+		return a.configEndpoint.handle(call)
 	}
 	return controlserver.Text(404, "no such call; see api/control.openapi.yaml")
 }
--- a/internal/router/agent/metrics.go
+++ b/internal/router/agent/metrics.go
@@ -58,25 +58,11 @@
 	peerproto.OutcomeInvalid:     "invalid",
 }
 
-func (a *Agent) observeConfigCall(call string, result *peerproto.Result) {
-	a.metrics.configCalls.With(metrics.Label{Name: "call", Value: call},
+func (m *agentMetrics) countConfigCall(call string, result *peerproto.Result) {
+	m.configCalls.With(metrics.Label{Name: "call", Value: call},
 		metrics.Label{Name: "outcome", Value: outcomeLabels[result.Outcome]}).Add(1)
 }
 
-// shownVersion is the highest version of the configuration that this process has acknowledged or shown to an
-// operator. A later read must not return an older one.
-type shownVersion struct{ version atomic.Int64 }
-
-func (s *shownVersion) highest() int64 { return s.version.Load() }
-
-func (s *shownVersion) raise(version int64) {
-	for highest := s.version.Load(); version > highest; highest = s.version.Load() {
-		if s.version.CompareAndSwap(highest, version) {
-			return
-		}
-	}
-}
-
 // acceptFailed records that a connection of another process, a server or an operator could not be accepted.
 // The listener retries.
 func (a *Agent) acceptFailed(err error) {
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -129,7 +129,7 @@
 	case !a.configStore.isMember():
 	case frame.Kind != peerproto.KindRead && peerproto.Decode(frame.Body, &proposal) != nil:
 	default:
-		result = a.runConfigCall(frame.Kind, &proposal)
+		result = runLocally(a.configStore, frame.Kind, &proposal)
 	}
 	c.Answer(frame, peerproto.KindResult, peerproto.Encode(result))
 }
