--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -44,6 +44,7 @@
 	persister    *persister // runs on a machine with a disk only
 
 	configEndpoint *configEndpoint
+	failures       *failureDetector
 	seedList       atomic.Pointer[[]string]
 
 	replicated     *broadcast // a hub has received records of this process
@@ -64,8 +65,6 @@
 	subscription   subscription
 
 	feeds       feedSet
-	probes      probeSet
-	failures    failureDetector
 	lossReports lossReports // of the data plane; guarded by the lock of state
 }
 
@@ -76,7 +75,7 @@
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
 		hubs: map[string]*hub{}, replicated: newBroadcast(), lastSeen: newLastSeen(),
-		knownProxies: newKnownProxies(), feeds: newFeedSet(), probes: newProbeSet(),
+		knownProxies: newKnownProxies(), feeds: newFeedSet(),
 	}
 	for _, option := range options {
 		option(a)
@@ -93,6 +92,7 @@
 	a.load = newLoadTable(a)
 	a.persister = &persister{agent: a}
 	a.configEndpoint = &configEndpoint{agent: a}
+	a.failures = newFailureDetector(a)
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
 		if settings.FirstStart {
@@ -145,7 +145,7 @@
 func (a *Agent) startTasks(done <-chan struct{}) {
 	go a.runSubscription(done)
 	go newViewAnnouncer(a).run(done)
-	go a.detectFailures(done)
+	go a.failures.run(done)
 	go a.runAntiEntropy(done)
 	go a.demand.run(done)
 	go a.load.report(done)
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"maps"
 	"time"
 
 	"cresshub/internal/router/directory"
@@ -24,25 +25,37 @@
 	maxMissedHeartbeats = 1.9
 )
 
-// failureDetector is the state of the goroutine that checks the monitored processes.
+// failureDetector marks processes lost that do not call any more (this file), and probes servers whose
+// watcher is gone (unwatched.go). Its methods belong to the goroutine of run, but for those of a probe, which
+// has a goroutine of its own: probeServer and markUnwatchedLost. Methods that have the directory as a
+// parameter are called with the lock of the state held.
 type failureDetector struct {
+	agent  *Agent
+	probes probeSet
+
+	// State of the goroutine of run.
 	lastCheck     time.Duration
 	reachesFleet  bool
 	lastSeenPrune time.Duration
+
 	// observingSince is since when this process could receive calls: silence before it proves nothing.
 	observingSince time.Duration
 }
 
-// detectFailures marks processes lost until done closes.
-func (a *Agent) detectFailures(done <-chan struct{}) {
-	a.failures.lastCheck, a.failures.reachesFleet = a.now(), true
-	runEvery(failureCheckInterval, done, a.checkFailures)
+func newFailureDetector(a *Agent) *failureDetector {
+	return &failureDetector{agent: a, probes: newProbeSet()}
+}
+
+// run marks processes lost until done closes.
+func (f *failureDetector) run(done <-chan struct{}) {
+	f.lastCheck, f.reachesFleet = f.agent.now(), true
+	runEvery(failureCheckInterval, done, f.check)
 }
 
-// checkFailures marks the processes lost whose timeout is over. Timeouts begin anew after a stall of this
-// process, and while it sends servers elsewhere because it does not reach the fleet.
-func (a *Agent) checkFailures() {
-	f := &a.failures
+// check marks the processes lost whose timeout is over. Timeouts begin anew after a stall of this process,
+// and while it sends servers elsewhere because it does not reach the fleet.
+func (f *failureDetector) check() {
+	a := f.agent
 	now := a.now()
 	gap := now - f.lastCheck
 	stalled := gap > stallThreshold
@@ -59,81 +72,96 @@
 		a.log.Warn().Dur("gap_ms", gap).Msg("agent: process stalled")
 	}
 	f.lastCheck = now
-	a.markTimedOut(now)
+	f.markTimedOut(now)
 }
 
 // markTimedOut marks the monitored processes lost whose timeout is over.
-func (a *Agent) markTimedOut(now time.Duration) {
+func (f *failureDetector) markTimedOut(now time.Duration) {
+	a := f.agent
 	isHub := a.isHub()
 	a.state.update(now, func(d *directory.Directory) {
 		for _, record := range d.WatchedBy(a.id) {
-			if record.ID != a.id && a.isTimedOut(now, d, record, a.timeoutOf(record)) {
+			if record.ID != a.id && f.isTimedOut(now, d, record, f.timeoutOf(record)) {
 				a.markLost(now, d, record, "silent")
 			}
 		}
 		if isHub {
-			a.expireOrders(now, d)
-			a.markTimedOutHubs(now, d)
+			f.expireOrders(now, d)
+			f.markTimedOutHubs(now, d)
 		}
 		d.Expire(now)
 	})
 	if isHub && a.reachesMajority() {
-		a.checkUnwatched(now)
+		f.checkUnwatched(now)
 	}
-	if now-a.failures.lastSeenPrune > lastSeenRetention {
-		a.failures.lastSeenPrune = now
-		a.pruneLastSeen()
+	if now-f.lastSeenPrune > lastSeenRetention {
+		f.lastSeenPrune = now
+		f.pruneLastSeen()
 	}
 }
 
+// pruneLastSeen forgets the contacts with processes whose records the directory does not have any more.
+func (f *failureDetector) pruneLastSeen() {
+	a := f.agent
+	stale := a.lastSeen.snapshot()
+	now := a.now()
+	a.state.read(func(d *directory.Directory) {
+		maps.DeleteFunc(stale, func(id string, at time.Duration) bool {
+			return d.Get(id) != nil || now-at <= lastSeenRetention
+		})
+	})
+	a.lastSeen.remove(stale)
+}
+
 // isTimedOut reports whether a process has neither called this one nor answered its requests for a timeout.
-func (a *Agent) isTimedOut(now time.Duration, d *directory.Directory, record *directory.Record,
+func (f *failureDetector) isTimedOut(now time.Duration, d *directory.Directory, record *directory.Record,
 	timeout time.Duration) bool {
-	lastSign := max(a.failures.observingSince, d.ModifiedAt(record.ID))
-	if lastSeen, ok := a.lastSeen.of(record.ID); ok {
+	lastSign := max(f.observingSince, d.ModifiedAt(record.ID))
+	if lastSeen, ok := f.agent.lastSeen.of(record.ID); ok {
 		lastSign = max(lastSign, lastSeen)
 	}
 	if now-lastSign <= timeout {
 		return false
 	}
-	return record.Kind != directory.KindServer || now-a.lastAnswerAt(record.ID) > timeout
+	return record.Kind != directory.KindServer || now-f.lastAnswerAt(record.ID) > timeout
 }
 
 // lastAnswerAt returns when a server last answered a request of this process, 0 for never.
-func (a *Agent) lastAnswerAt(server string) time.Duration {
-	age, answered := a.workload.SinceLastSuccess(server)
+func (f *failureDetector) lastAnswerAt(server string) time.Duration {
+	age, answered := f.agent.workload.SinceLastSuccess(server)
 	if !answered {
 		return 0
 	}
-	return max(a.now()-age, 0)
+	return max(f.agent.now()-age, 0)
 }
 
 // timeoutOf returns how long after its last call a process counts as lost at its watcher.
-func (a *Agent) timeoutOf(record *directory.Record) time.Duration {
+func (f *failureDetector) timeoutOf(record *directory.Record) time.Duration {
 	if record.Kind == directory.KindProxy {
 		return proxyTimeout
 	}
-	return time.Duration(maxMissedHeartbeats * float64(a.settings.HeartbeatInterval))
+	return time.Duration(maxMissedHeartbeats * float64(f.agent.settings.HeartbeatInterval))
 }
 
 // expireOrders ends orders that should have been carried out or rejected long ago, so that their servers get
 // requests again.
-func (a *Agent) expireOrders(now time.Duration, d *directory.Directory) {
+func (f *failureDetector) expireOrders(now time.Duration, d *directory.Directory) {
 	for _, order := range d.Orders() {
 		if now-d.ModifiedAt(order.ID) > orderExpiry {
-			a.markLost(now, d, order, "an order took too long")
+			f.agent.markLost(now, d, order, "an order took too long")
 		}
 	}
 }
 
 // markTimedOutHubs marks the other hubs lost that have not called for hubTimeout.
-func (a *Agent) markTimedOutHubs(now time.Duration, d *directory.Directory) {
+func (f *failureDetector) markTimedOutHubs(now time.Duration, d *directory.Directory) {
+	a := f.agent
 	for _, record := range d.Proxies() {
 		if record.ID == a.id || record.Watcher != "" {
 			continue
 		}
 		lastSeen, ok := a.lastSeen.of(record.ID)
-		if ok && now-max(lastSeen, a.failures.observingSince) > hubTimeout {
+		if ok && now-max(lastSeen, f.observingSince) > hubTimeout {
 			a.markLost(now, d, record, "silent hub")
 		}
 	}
--- a/internal/router/agent/last_seen.go
+++ b/internal/router/agent/last_seen.go
@@ -4,8 +4,6 @@
 	"maps"
 	"sync"
 	"time"
-
-	"cresshub/internal/router/directory"
 )
 
 // lastSeenRetention is how long the last contact with a process is remembered whose record is not known.
@@ -49,15 +47,3 @@
 
 // recordContact records that a process or server has just called.
 func (a *Agent) recordContact(id string) { a.lastSeen.record(id, a.now()) }
-
-// pruneLastSeen forgets the contacts with processes whose records the directory does not have any more.
-func (a *Agent) pruneLastSeen() {
-	stale := a.lastSeen.snapshot()
-	now := a.now()
-	a.state.read(func(d *directory.Directory) {
-		maps.DeleteFunc(stale, func(id string, at time.Duration) bool {
-			return d.Get(id) != nil || now-at <= lastSeenRetention
-		})
-	})
-	a.lastSeen.remove(stale)
-}
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -32,11 +32,11 @@
 
 // checkUnwatched marks unwatched proxies lost, and probes the unwatched servers for which this hub ranks
 // first.
-func (a *Agent) checkUnwatched(now time.Duration) {
+func (f *failureDetector) checkUnwatched(now time.Duration) {
 	var unwatched []*directory.Record
-	a.state.read(func(d *directory.Directory) {
+	f.agent.state.read(func(d *directory.Directory) {
 		for _, record := range slices.Concat(d.LiveServers(), d.Proxies()) {
-			if a.isUnwatched(now, d, record) {
+			if f.isUnwatched(now, d, record) {
 				unwatched = append(unwatched, record)
 			}
 		}
@@ -44,34 +44,36 @@
 	for _, record := range unwatched {
 		switch {
 		case record.Kind == directory.KindProxy:
-			a.markUnwatchedLost(record, "its watcher is gone")
-		case a.ranksFirst(record.ID):
-			a.startProbe(record)
+			f.markUnwatchedLost(record, "its watcher is gone")
+		case f.ranksFirst(record.ID):
+			f.startProbe(record)
 		}
 	}
 }
 
 // isUnwatched reports whether a process has no live watcher, and has not called here either, for so long that
 // it should have found another one.
-func (a *Agent) isUnwatched(now time.Duration, d *directory.Directory, record *directory.Record) bool {
+func (f *failureDetector) isUnwatched(now time.Duration, d *directory.Directory,
+	record *directory.Record) bool {
 	isHub := record.Kind == directory.KindProxy && record.Watcher == ""
-	if record.ID == a.id || isHub {
+	if record.ID == f.agent.id || isHub {
 		return false
 	}
 	watcher := d.Get(record.Watcher)
 	if watcher != nil && watcher.Live() {
 		return false
 	}
-	timeout := unwatchedHeartbeats * a.settings.HeartbeatInterval
+	timeout := unwatchedHeartbeats * f.agent.settings.HeartbeatInterval
 	if watcher != nil && now-d.ModifiedAt(watcher.ID) <= timeout {
 		return false
 	}
-	return a.isTimedOut(now, d, record, timeout)
+	return f.isTimedOut(now, d, record, timeout)
 }
 
 // ranksFirst reports whether this hub ranks first for an id, by rendezvous hashing over the members that
 // respond.
-func (a *Agent) ranksFirst(id string) bool {
+func (f *failureDetector) ranksFirst(id string) bool {
+	a := f.agent
 	now := a.now()
 	own := probeRank(id, a.settings.IP)
 	return !a.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
@@ -108,24 +110,24 @@
 
 // startProbe probes a server in the background, unless that is under way or too many probes are. A server
 // that does not answer is marked lost.
-func (a *Agent) startProbe(record *directory.Record) {
-	if !a.probes.begin(record.ID) {
+func (f *failureDetector) startProbe(record *directory.Record) {
+	if !f.probes.begin(record.ID) {
 		return
 	}
 	go func() {
-		defer a.probes.end(record.ID)
-		if a.probeServer(record) {
-			a.recordContact(record.ID)
+		defer f.probes.end(record.ID)
+		if f.probeServer(record) {
+			f.agent.recordContact(record.ID)
 		} else {
-			a.markUnwatchedLost(record, "its watcher is gone and it does not answer")
+			f.markUnwatchedLost(record, "its watcher is gone and it does not answer")
 		}
 	}()
 }
 
 // probeServer reports whether the incarnation that a record names answers at its address.
-func (a *Agent) probeServer(record *directory.Record) bool {
+func (f *failureDetector) probeServer(record *directory.Record) bool {
 	for range probeAttempts {
-		id, err := a.probeServerID(record)
+		id, err := f.probeServerID(record)
 		if err == nil {
 			return id == record.ID
 		}
@@ -134,12 +136,13 @@
 }
 
 // probeServerID returns the id of the server that answers a health check at a record's address.
-func (a *Agent) probeServerID(record *directory.Record) (string, error) {
+func (f *failureDetector) probeServerID(record *directory.Record) (string, error) {
 	path := "/"
-	if config := a.state.Config(); config != nil && config.Services[record.Service] != nil {
+	if config := f.agent.state.Config(); config != nil && config.Services[record.Service] != nil {
 		path = config.Services[record.Service].HealthPath
 	}
-	answer, err := a.callServer(record.Address, &http1.Request{Method: "GET", Target: path}, probeTimeout)
+	request := &http1.Request{Method: "GET", Target: path}
+	answer, err := f.agent.callServer(record.Address, request, probeTimeout)
 	if err != nil {
 		return "", err
 	}
@@ -147,10 +150,11 @@
 }
 
 // markUnwatchedLost marks a process lost, unless its record has changed since, or it is watched again.
-func (a *Agent) markUnwatchedLost(record *directory.Record, reason string) {
+func (f *failureDetector) markUnwatchedLost(record *directory.Record, reason string) {
+	a := f.agent
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
-		if d.Get(record.ID) == record && a.isUnwatched(now, d, record) {
+		if d.Get(record.ID) == record && f.isUnwatched(now, d, record) {
 			a.markLost(now, d, record, reason)
 		}
 	})
