--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -116,10 +116,10 @@
 	a.handleCall(heartbeat("ready", "1"))
 	later := a.now() + time.Duration(2*maxMissedHeartbeats*float64(a.settings.HeartbeatInterval))
 	a.failures.observingSince = later
-	a.failures.markTimedOut(later)
+	a.failures.markTimedOut(later, false)
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
 	a.failures.observingSince = 0
-	a.failures.markTimedOut(later)
+	a.failures.markTimedOut(later, false)
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
 	a.handleCall(heartbeat("ready", "2"))
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -38,7 +38,8 @@
 	reachesFleet  bool
 	lastSeenPrune time.Duration
 
-	// observingSince is since when this process could receive calls: silence before it proves nothing.
+	// observingSince is since when this process could receive calls: silence before it proves nothing. It is
+	// guarded by the lock of the state, because probes read it too.
 	observingSince time.Duration
 }
 
@@ -60,9 +61,6 @@
 	gap := now - f.lastCheck
 	stalled := gap > stallThreshold
 	reaches := a.reachesFleet()
-	if stalled || !reaches {
-		f.observingSince = now
-	}
 	if reaches != f.reachesFleet {
 		f.reachesFleet = reaches
 		a.log.Info().Bool("reached", reaches).Msg("agent: majority of the members reached or lost")
@@ -72,14 +70,18 @@
 		a.log.Warn().Dur("gap_ms", gap).Msg("agent: process stalled")
 	}
 	f.lastCheck = now
-	f.markTimedOut(now)
+	f.markTimedOut(now, stalled || !reaches)
 }
 
-// markTimedOut marks the monitored processes lost whose timeout is over.
-func (f *failureDetector) markTimedOut(now time.Duration) {
+// markTimedOut marks the monitored processes lost whose timeout is over. With restartTimeouts, all timeouts
+// begin anew.
+func (f *failureDetector) markTimedOut(now time.Duration, restartTimeouts bool) {
 	a := f.agent
 	isHub := a.isHub()
 	a.state.update(now, func(d *directory.Directory) {
+		if restartTimeouts {
+			f.observingSince = now
+		}
 		for _, record := range d.WatchedBy(a.id) {
 			if record.ID != a.id && f.isTimedOut(now, d, record, f.timeoutOf(record)) {
 				a.markLost(now, d, record, "silent")
--- /dev/null
+++ b/internal/router/agent/failure_detector_test.go
@@ -0,0 +1,49 @@
+package agent
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cresshub/internal/router/directory"
+)
+
+// slowLog is a log whose writes take so long that other goroutines run meanwhile.
+type slowLog struct{}
+
+func (slowLog) Write(line []byte) (int, error) {
+	time.Sleep(time.Millisecond)
+	return len(line), nil
+}
+
+// TestProbesEndWhileTheDetectorFindsAStall has probes end, each on a goroutine of its own, while the detector
+// finds and logs stalls. The race detector is the check: both use the time since when this process could
+// receive calls.
+func TestProbesEndWhileTheDetectorFindsAStall(t *testing.T) {
+	a := newTestAgent(t)
+	a.log = zerolog.New(slowLog{})
+	a.state.merge(a.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
+		State: directory.Ready, Service: "s", Watcher: "gone"}})
+	var record *directory.Record
+	a.state.read(func(d *directory.Directory) { record = d.Get("a") })
+	done := make(chan struct{})
+	var probes sync.WaitGroup
+	probes.Go(func() {
+		for {
+			select {
+			case <-done:
+				return
+			default:
+				a.failures.markUnwatchedLost(record, "test")
+			}
+		}
+	})
+	for range 20 {
+		a.failures.lastCheck = a.now() - 2*stallThreshold
+		a.failures.check()
+	}
+	close(done)
+	probes.Wait()
+}
--- a/internal/router/agent/unwatched_test.go
+++ b/internal/router/agent/unwatched_test.go
@@ -59,13 +59,13 @@
 			a.state.merge(a.now(), []directory.Record{{Kind: directory.KindServer, ID: id, Sequence: 1,
 				State: directory.Ready, Service: "s", Address: address, Watcher: "vanished"}})
 		}
-		a.failures.markTimedOut(a.now())
+		a.failures.markTimedOut(a.now(), false)
 		synctest.Wait()
 		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 4, qt.Commentf("they may find another watcher"))
 
 		for range 3 {
 			time.Sleep((unwatchedHeartbeats + 1) * a.settings.HeartbeatInterval)
-			a.failures.markTimedOut(a.now())
+			a.failures.markTimedOut(a.now(), false)
 		}
 		time.Sleep(probeAttempts * probeTimeout)
 		synctest.Wait()
@@ -86,7 +86,7 @@
 		a.state.merge(a.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
 			State: directory.Ready, Service: "s", Address: "10.0.0.1:80", Watcher: "vanished"}})
 		time.Sleep((unwatchedHeartbeats + 1) * a.settings.HeartbeatInterval)
-		a.failures.markTimedOut(a.now())
+		a.failures.markTimedOut(a.now(), false)
 		synctest.Wait()
 		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
 	})
@@ -105,10 +105,10 @@
 		a.handleCall(heartbeat("ready", "1"))
 		a.workload = answeringWorkload{}
 		time.Sleep(4 * a.settings.HeartbeatInterval)
-		a.failures.markTimedOut(a.now())
+		a.failures.markTimedOut(a.now(), false)
 		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
 		a.workload = noWorkload{}
-		a.failures.markTimedOut(a.now())
+		a.failures.markTimedOut(a.now(), false)
 		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
 	})
 }
