--- a/internal/router/agent/accessors.go
+++ b/internal/router/agent/accessors.go
@@ -29,7 +29,7 @@
 
 // FollowedHub returns the IP of the hub whose feed this process follows, "" for none.
 func (a *Agent) FollowedHub() string {
-	if source := a.source(); source != nil {
+	if source := a.subscription.followedHub(); source != nil {
 		return source.ip
 	}
 	return ""
--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -45,6 +45,7 @@
 
 	configEndpoint *configEndpoint
 	failures       *failureDetector
+	subscription   *subscription
 	seedList       atomic.Pointer[[]string]
 
 	replicated     *broadcast // a hub has received records of this process
@@ -61,9 +62,6 @@
 	linksClosed    bool            // for good
 	lastHubContact time.Duration   // when a hub last answered a ping
 
-	subscriptionMu sync.Mutex
-	subscription   subscription
-
 	feeds       feedSet
 	lossReports lossReports // of the data plane; guarded by the lock of state
 }
@@ -93,6 +91,7 @@
 	a.persister = &persister{agent: a}
 	a.configEndpoint = &configEndpoint{agent: a}
 	a.failures = newFailureDetector(a)
+	a.subscription = &subscription{agent: a}
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
 		if settings.FirstStart {
@@ -143,7 +142,7 @@
 
 // startTasks starts the periodic tasks, which run until done closes.
 func (a *Agent) startTasks(done <-chan struct{}) {
-	go a.runSubscription(done)
+	go a.subscription.run(done)
 	go newViewAnnouncer(a).run(done)
 	go a.failures.run(done)
 	go a.runAntiEntropy(done)
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -16,47 +17,60 @@
 	sourceCheckInterval = 100 * time.Millisecond
 )
 
-// subscription is the hub whose feed this process follows, and how far it has received it. It is guarded by
-// Agent.subscriptionMu.
+// subscription is the hub whose feed this process follows, and how far it has received it; a process that is
+// a hub itself follows none. Its methods are safe for concurrent use, but for those whose comment says that
+// the lock is held. The lock may be taken before that of the hubs, that of this process's own record and that
+// of the state, never after one of them.
 type subscription struct {
+	agent *Agent
+
+	mu           sync.Mutex
 	source       *hub          // nil for none
 	feed         string        // id of the process that numbers the changes
 	offset       uint64        // in that numbering
 	lastReceived time.Duration // when the last message of the feed came, or the source was chosen
 }
 
-// runSubscription follows the feed of one hub, unless this process is a hub itself: every process sends its
-// changes to each hub, and hubs repair their directories by anti-entropy.
-func (a *Agent) runSubscription(done <-chan struct{}) {
+// run follows the feed of one hub until done closes, unless this process is a hub itself: every process sends
+// its changes to each hub, and hubs repair their directories by anti-entropy. It also opens and closes the
+// links to the hubs.
+func (s *subscription) run(done <-chan struct{}) {
 	runEvery(sourceCheckInterval, done, func() {
-		a.updateHubs()
-		a.updateSource()
+		s.agent.updateHubs()
+		s.updateSource()
 	})
 }
 
-// source returns the hub whose feed this process follows, nil for none.
-func (a *Agent) source() *hub {
-	a.subscriptionMu.Lock()
-	defer a.subscriptionMu.Unlock()
-	return a.subscription.source
+// followedHub returns the hub whose feed this process follows, nil for none.
+func (s *subscription) followedHub() *hub {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.source
 }
 
-func (a *Agent) isSubscribed() bool { return a.source() != nil }
+func (s *subscription) isActive() bool { return s.followedHub() != nil }
+
+// sendToSource sends a frame to the hub that this process follows, where there is one.
+func (s *subscription) sendToSource(kind peerproto.Kind, body []byte) {
+	if source := s.followedHub(); source != nil {
+		source.link.Send(kind, body)
+	}
+}
 
 // updateSource chooses a source where there is none, or the present one is not usable any more.
-func (a *Agent) updateSource() {
-	a.subscriptionMu.Lock()
-	defer a.subscriptionMu.Unlock()
+func (s *subscription) updateSource() {
+	a := s.agent
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := a.now()
-	s := &a.subscription
 	if a.isHub() {
-		a.unsubscribe()
+		s.unsubscribe()
 		return
 	}
-	if s.source != nil && now-s.lastReceived < feedTimeout && a.isUsableSource(s.source) {
+	if s.source != nil && now-s.lastReceived < feedTimeout && s.isUsable(s.source) {
 		return
 	}
-	next := a.chooseSource(s.source)
+	next := s.chooseSource(s.source)
 	if next == nil {
 		return
 	}
@@ -65,40 +79,40 @@
 		a.log.Info().Str("hub", next.ip).Msg("feed: subscribed")
 	}
 	s.source, s.lastReceived = next, now
-	a.sendFollow()
+	s.sendFollow()
 	watcher := next.current().id
 	a.announceSelf(func(self *directory.Record) { self.Watcher = watcher })
 }
 
-// isUsableSource reports whether a hub may still be followed. One that does not reach a majority may miss
-// what the others acknowledge.
-func (a *Agent) isUsableSource(source *hub) bool {
+// isUsable reports whether a hub may still be followed. One that does not reach a majority may miss what the
+// others acknowledge.
+func (s *subscription) isUsable(source *hub) bool {
 	state := source.current()
-	return state.hasSnapshot && state.reachesMajority && source.link.Connected() && a.hubAt(source.ip) == source
+	return state.hasSnapshot && state.reachesMajority && source.link.Connected() &&
+		s.agent.hubAt(source.ip) == source
 }
 
-// unsubscribe ends the subscription, where there is one; subscriptionMu is held.
-func (a *Agent) unsubscribe() {
-	if a.subscription.source == nil {
+// unsubscribe ends the subscription, where there is one; the lock is held.
+func (s *subscription) unsubscribe() {
+	if s.source == nil {
 		return
 	}
-	a.subscription.source = nil
-	a.announceSelf(func(self *directory.Record) { self.Watcher = "" })
+	s.source = nil
+	s.agent.announceSelf(func(self *directory.Record) { self.Watcher = "" })
 }
 
-// sendFollow asks the source for its feed from the present offset on; subscriptionMu is held.
-func (a *Agent) sendFollow() {
-	s := &a.subscription
-	request := peerproto.Follow{Feed: s.feed, Offset: int64(s.offset), Version: a.state.version()}
+// sendFollow asks the source for its feed from the present offset on; the lock is held.
+func (s *subscription) sendFollow() {
+	request := peerproto.Follow{Feed: s.feed, Offset: int64(s.offset), Version: s.agent.state.version()}
 	s.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
 }
 
 // chooseSource returns the hub to follow, by rendezvous hashing over those that respond and reach a majority;
 // the one to avoid comes last. If none reaches a majority, a process without a connected source takes one
 // that does not.
-func (a *Agent) chooseSource(avoid *hub) *hub {
+func (s *subscription) chooseSource(avoid *hub) *hub {
 	var inMajority, others []*hub
-	for _, h := range a.currentHubs() {
+	for _, h := range s.agent.currentHubs() {
 		state := h.current()
 		switch {
 		case state.lastSeen == 0 || !state.hasSnapshot || !h.link.Connected():
@@ -110,17 +124,17 @@
 	}
 	hasNoSource := avoid == nil || !avoid.link.Connected()
 	if hasNoSource && len(inMajority) == 0 {
-		return a.firstByRank(others, nil)
+		return s.firstByRank(others, nil)
 	}
-	return a.firstByRank(inMajority, avoid)
+	return s.firstByRank(inMajority, avoid)
 }
 
 // firstByRank returns the hub that ranks first for this process, nil for none; the one to avoid ranks last.
-func (a *Agent) firstByRank(hubs []*hub, avoid *hub) *hub {
+func (s *subscription) firstByRank(hubs []*hub, avoid *hub) *hub {
 	var best *hub
 	var bestRank uint64
 	for _, h := range hubs {
-		rank := xxhash.Sum64String(a.settings.Name + "/" + h.ip)
+		rank := xxhash.Sum64String(s.agent.settings.Name + "/" + h.ip)
 		if h == avoid {
 			rank = 0
 		}
@@ -131,25 +145,12 @@
 	return best
 }
 
-// handleHubFrame handles a frame of a hub that answers no call: a message of the feed, or a load report.
-func (a *Agent) handleHubFrame(h *hub, frame peerproto.Frame) {
-	switch frame.Kind {
-	case peerproto.KindLoadReport:
-		a.handleLoad(h, frame)
-	case peerproto.KindFeed:
-		var feed peerproto.Feed
-		if decodeOrReset(h, frame.Body, &feed) {
-			a.handleFeed(h, &feed)
-		}
-	}
-}
-
 // handleFeed applies a message of the feed. Where messages are missing before it, the feed is requested again
 // from the last offset on.
-func (a *Agent) handleFeed(h *hub, feed *peerproto.Feed) {
-	a.subscriptionMu.Lock()
-	defer a.subscriptionMu.Unlock()
-	s := &a.subscription
+func (s *subscription) handleFeed(h *hub, feed *peerproto.Feed) {
+	a := s.agent
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if s.source != h {
 		return
 	}
@@ -161,7 +162,7 @@
 	isSnapshot := feed.From == 0
 	continues := feed.Feed == s.feed && uint64(feed.From) == s.offset
 	if !isSnapshot && !continues {
-		a.sendFollow()
+		s.sendFollow()
 		return
 	}
 	a.mergeRemote(feed.Records)
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -103,7 +103,7 @@
 
 // untilPing returns the interval until the next ping.
 func (a *Agent) untilPing() time.Duration {
-	established := a.isSubscribed()
+	established := a.subscription.isActive()
 	if a.isHub() {
 		established = a.reachesFleet()
 	}
@@ -122,6 +122,19 @@
 	return true
 }
 
+// handleHubFrame handles a frame of a hub that answers no call: a message of the feed, or a load report.
+func (a *Agent) handleHubFrame(h *hub, frame peerproto.Frame) {
+	switch frame.Kind {
+	case peerproto.KindLoadReport:
+		a.handleLoad(h, frame)
+	case peerproto.KindFeed:
+		var feed peerproto.Feed
+		if decodeOrReset(h, frame.Body, &feed) {
+			a.subscription.handleFeed(h, &feed)
+		}
+	}
+}
+
 // handleStatus records the state of a hub that has answered a ping.
 func (a *Agent) handleStatus(h *hub, frame peerproto.Frame) {
 	var status peerproto.Status
@@ -134,8 +147,8 @@
 	a.lastHubContact = now
 	a.hubsMu.Unlock()
 	a.learnStatusView(&status)
-	if !a.isSubscribed() {
-		a.updateSource() // at once, instead of with the next check
+	if !a.subscription.isActive() {
+		a.subscription.updateSource() // at once, instead of with the next check
 	}
 	if status.Version > a.state.version() {
 		go a.fetchConfig(h)
--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -45,23 +45,16 @@
 			t.applyOwn(report)
 			t.distribute(full)
 		} else if full || len(changes) > 0 {
-			a.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
+			a.subscription.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
 		}
 		time.Sleep(loadReportMinInterval)
 	}
 }
 
-// sendToSource sends a frame to the hub that this process follows, where there is one.
-func (a *Agent) sendToSource(kind peerproto.Kind, body []byte) {
-	if source := a.source(); source != nil {
-		source.link.Send(kind, body)
-	}
-}
-
 // handleLoad hands a report of the source to the data plane.
 func (a *Agent) handleLoad(h *hub, frame peerproto.Frame) {
 	var report peerproto.LoadReport
-	if a.source() != h || peerproto.Decode(frame.Body, &report) != nil {
+	if a.subscription.followedHub() != h || peerproto.Decode(frame.Body, &report) != nil {
 		return
 	}
 	if report.FullIndex {
