--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -3,6 +3,9 @@
 import (
 	"crypto/rand"
 	"encoding/hex"
+	"net"
+	"slices"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -45,6 +48,7 @@
 
 	configEndpoint *configEndpoint
 	failures       *failureDetector
+	hubs           *hubSet
 	subscription   *subscription
 	seedList       atomic.Pointer[[]string]
 
@@ -57,11 +61,6 @@
 	selfMu sync.Mutex
 	self   directory.Record // of this process
 
-	hubsMu         sync.Mutex
-	hubs           map[string]*hub // by IP
-	linksClosed    bool            // for good
-	lastHubContact time.Duration   // when a hub last answered a ping
-
 	feeds       feedSet
 	lossReports lossReports // of the data plane; guarded by the lock of state
 }
@@ -72,7 +71,7 @@
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
-		hubs: map[string]*hub{}, replicated: newBroadcast(), lastSeen: newLastSeen(),
+		replicated: newBroadcast(), lastSeen: newLastSeen(),
 		knownProxies: newKnownProxies(), feeds: newFeedSet(),
 	}
 	for _, option := range options {
@@ -91,6 +90,7 @@
 	a.persister = &persister{agent: a}
 	a.configEndpoint = &configEndpoint{agent: a}
 	a.failures = newFailureDetector(a)
+	a.hubs = newHubSet(a)
 	a.subscription = &subscription{agent: a}
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
@@ -114,6 +114,22 @@
 // seeds returns the control addresses of some proxies, as last read from the settings file.
 func (a *Agent) seeds() []string { return *a.seedList.Load() }
 
+// isHub reports whether this process is a hub itself.
+func (a *Agent) isHub() bool {
+	view := a.state.currentView()
+	if view.epoch == 0 {
+		return slices.ContainsFunc(a.seeds(), func(seed string) bool {
+			return hostOf(seed) == a.settings.IP
+		})
+	}
+	return view.hasMember(a.settings.IP)
+}
+
+// peerAddress returns the address at which the process of a machine listens for other processes.
+func (a *Agent) peerAddress(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(a.settings.InnerPorts[0]))
+}
+
 func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
 
 // Run serves until stop closes, then shuts down and returns. The error is that of a listener that could not
@@ -135,7 +151,7 @@
 	<-stop
 	a.shutdown(listeners)
 	close(done)
-	a.closeLinks()
+	a.hubs.close()
 	a.configStore.close()
 	return nil
 }
--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -85,9 +85,9 @@
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
-	a.hubs["127.0.0.9"] = &hub{ip: "127.0.0.9"}
+	a.hubs.links["127.0.0.9"] = &hub{ip: "127.0.0.9"}
 	c.Assert(a.awaitMajority(1, 0), qt.IsFalse)
-	a.hubs["127.0.0.9"].state.replicatedTo = 1
+	a.hubs.links["127.0.0.9"].state.replicatedTo = 1
 	c.Assert(a.awaitMajority(1, 0), qt.IsTrue)
 }
 
--- a/internal/router/agent/anti_entropy.go
+++ b/internal/router/agent/anti_entropy.go
@@ -29,7 +29,7 @@
 			return
 		case <-time.After(a.untilAntiEntropy()):
 		}
-		if hubs := a.currentHubs(); len(hubs) > 0 {
+		if hubs := a.hubs.all(); len(hubs) > 0 {
 			a.reconcileWith(hubs[turn%len(hubs)])
 		}
 		if a.isHub() && (a.settings.FirstStart || a.now() > hubSyncHeartbeats*a.settings.HeartbeatInterval) {
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -247,7 +247,7 @@
 // contacts returns the machines that may know the view: the hubs.
 func (m *chainMember) contacts() []chain.Member {
 	var contacts []chain.Member
-	for _, ip := range m.agent.hubAddresses() {
+	for _, ip := range m.agent.hubs.addresses() {
 		contacts = append(contacts, chain.Member{Address: ip})
 	}
 	return contacts
--- a/internal/router/agent/config_hedging.go
+++ b/internal/router/agent/config_hedging.go
@@ -40,7 +40,7 @@
 		body = peerproto.Encode(proposal)
 	}
 	now := a.now()
-	for _, h := range a.currentHubs() {
+	for _, h := range a.hubs.all() {
 		if h.isResponsive(now) {
 			attempts = append(attempts, func() *peerproto.Result { return callMember(h, kind, body) })
 		}
--- a/internal/router/agent/dataplane_state.go
+++ b/internal/router/agent/dataplane_state.go
@@ -41,7 +41,7 @@
 // partitioned.
 func (s *dataplaneState) Suspect(server string) {
 	a := (*Agent)(s)
-	if !a.isIsolated() {
+	if !a.hubs.isIsolated() {
 		a.reportLost(server, "its machine does not answer")
 	}
 }
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -36,7 +36,7 @@
 // links to the hubs.
 func (s *subscription) run(done <-chan struct{}) {
 	runEvery(sourceCheckInterval, done, func() {
-		s.agent.updateHubs()
+		s.agent.hubs.update()
 		s.updateSource()
 	})
 }
@@ -89,7 +89,7 @@
 func (s *subscription) isUsable(source *hub) bool {
 	state := source.current()
 	return state.hasSnapshot && state.reachesMajority && source.link.Connected() &&
-		s.agent.hubAt(source.ip) == source
+		s.agent.hubs.at(source.ip) == source
 }
 
 // unsubscribe ends the subscription, where there is one; the lock is held.
@@ -112,7 +112,7 @@
 // that does not.
 func (s *subscription) chooseSource(avoid *hub) *hub {
 	var inMajority, others []*hub
-	for _, h := range s.agent.currentHubs() {
+	for _, h := range s.agent.hubs.all() {
 		state := h.current()
 		switch {
 		case state.lastSeen == 0 || !state.hasSnapshot || !h.link.Connected():
@@ -157,7 +157,7 @@
 	s.lastReceived = a.now()
 	a.applyPacked(feed.Config)
 	if a.state.learnView(feed.Epoch, feed.Members) {
-		go a.updateHubs()
+		go a.hubs.update()
 	}
 	isSnapshot := feed.From == 0
 	continues := feed.Feed == s.feed && uint64(feed.From) == s.offset
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -62,10 +62,11 @@
 	return lastSeen > 0 && now-lastSeen <= contactTimeout
 }
 
-// newHub opens the link to a hub and starts its goroutines.
-func (a *Agent) newHub(ip string) *hub {
+// open opens the link to a hub and starts its goroutines; the lock is held.
+func (s *hubSet) open(ip string) *hub {
+	a := s.agent
 	h := &hub{ip: ip, stop: make(chan struct{})}
-	handle := func(frame peerproto.Frame) { a.handleHubFrame(h, frame) }
+	handle := func(frame peerproto.Frame) { s.handleFrame(h, frame) }
 	up := make(chan struct{}, 1)
 	h.link = a.endpoint.NewLink(a.peerAddress(ip), a.hello, handle, func(bool) {
 		h.mu.Lock()
@@ -76,19 +77,19 @@
 		default:
 		}
 	})
-	go a.pingHub(h, up)
-	go a.pushToHub(h)
+	go s.runPings(h, up)
+	go s.runPushes(h)
 	return h
 }
 
-// pingHub pings a hub until its link is closed. A ping carries the demand of this process, its answer the
+// runPings pings a hub until its link is closed. A ping carries the demand of this process, its answer the
 // state of the hub.
-func (a *Agent) pingHub(h *hub, up <-chan struct{}) {
+func (s *hubSet) runPings(h *hub, up <-chan struct{}) {
 	for {
-		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(a.demand.own()), pingTimeout)
+		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(s.agent.demand.own()), pingTimeout)
 		switch {
 		case err == nil:
-			a.handleStatus(h, frame)
+			s.handleStatus(h, frame)
 		case errors.Is(err, transport.ErrTimeout):
 			h.link.Reset()
 		}
@@ -96,13 +97,14 @@
 		case <-h.stop:
 			return
 		case <-up:
-		case <-time.After(a.untilPing()):
+		case <-time.After(s.untilPing()):
 		}
 	}
 }
 
 // untilPing returns the interval until the next ping.
-func (a *Agent) untilPing() time.Duration {
+func (s *hubSet) untilPing() time.Duration {
+	a := s.agent
 	established := a.subscription.isActive()
 	if a.isHub() {
 		established = a.reachesFleet()
@@ -122,31 +124,32 @@
 	return true
 }
 
-// handleHubFrame handles a frame of a hub that answers no call: a message of the feed, or a load report.
-func (a *Agent) handleHubFrame(h *hub, frame peerproto.Frame) {
+// handleFrame handles a frame of a hub that answers no call: a message of the feed, or a load report.
+func (s *hubSet) handleFrame(h *hub, frame peerproto.Frame) {
 	switch frame.Kind {
 	case peerproto.KindLoadReport:
-		a.handleLoad(h, frame)
+		s.agent.handleLoad(h, frame)
 	case peerproto.KindFeed:
 		var feed peerproto.Feed
 		if decodeOrReset(h, frame.Body, &feed) {
-			a.subscription.handleFeed(h, &feed)
+			s.agent.subscription.handleFeed(h, &feed)
 		}
 	}
 }
 
 // handleStatus records the state of a hub that has answered a ping.
-func (a *Agent) handleStatus(h *hub, frame peerproto.Frame) {
+func (s *hubSet) handleStatus(h *hub, frame peerproto.Frame) {
+	a := s.agent
 	var status peerproto.Status
 	if !decodeOrReset(h, frame.Body, &status) {
 		return
 	}
 	now := a.now()
 	h.record(&status, now)
-	a.hubsMu.Lock()
-	a.lastHubContact = now
-	a.hubsMu.Unlock()
-	a.learnStatusView(&status)
+	s.mu.Lock()
+	s.lastContact = now
+	s.mu.Unlock()
+	s.learnView(&status)
 	if !a.subscription.isActive() {
 		a.subscription.updateSource() // at once, instead of with the next check
 	}
--- a/internal/router/agent/hub_replication.go
+++ b/internal/router/agent/hub_replication.go
@@ -14,12 +14,12 @@
 	pushRetryInterval = pingInterval / 8
 )
 
-// pushToHub replicates the records that this process answers for to a hub whenever they change, until the
+// runPushes replicates the records that this process answers for to a hub whenever they change, until the
 // link is closed.
-func (a *Agent) pushToHub(h *hub) {
+func (s *hubSet) runPushes(h *hub) {
 	for {
-		changed := a.state.changed.next()
-		if a.pushOnce(h) {
+		changed := s.agent.state.changed.next()
+		if s.pushOnce(h) {
 			select {
 			case <-h.stop:
 				return
@@ -37,7 +37,8 @@
 }
 
 // pushOnce sends the records of this process that the hub lacks, and reports whether it then has all.
-func (a *Agent) pushOnce(h *hub) bool {
+func (s *hubSet) pushOnce(h *hub) bool {
+	a := s.agent
 	replicatedTo := h.current().replicatedTo
 	var records []directory.Record
 	var offset uint64
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -4,15 +4,13 @@
 	"cmp"
 	"net"
 	"slices"
-	"strconv"
+	"sync"
 	"time"
 
 	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 )
 
-// The hubs are the processes that all others send their records to and follow: the members of the view, and
-// the seeds as long as no view is known or no member of it can be reached.
-
 const (
 	// isolatedAfter is how long after the last answer of a hub this process counts as isolated, so that it calls
 	// its seeds and some known proxies as well.
@@ -21,13 +19,26 @@
 	maxIsolatedContacts = 3
 )
 
-// peerAddress returns the address at which the process of a machine listens for other processes.
-func (a *Agent) peerAddress(ip string) string {
-	return net.JoinHostPort(ip, strconv.Itoa(a.settings.InnerPorts[0]))
+// hubSet holds the links to the hubs: the processes that all others send their records to and follow. They
+// are the members of the view, and the seeds as long as no view is known or no member of it can be reached.
+// Each link has two goroutines, which ping the hub (hub_link.go) and send it records (hub_replication.go).
+//
+// Its methods are safe for concurrent use, but for open. The lock guards the set, not the links in it. It may
+// be taken after the locks of the subscription and the load table, and never while that of the state is held.
+type hubSet struct {
+	agent *Agent
+
+	mu          sync.Mutex
+	links       map[string]*hub // by IP
+	closed      bool            // for good
+	lastContact time.Duration   // when a hub last answered a ping
 }
 
-// hubAddresses returns the IPs of the hubs, without this machine's own.
-func (a *Agent) hubAddresses() []string {
+func newHubSet(a *Agent) *hubSet { return &hubSet{agent: a, links: map[string]*hub{}} }
+
+// addresses returns the IPs of the hubs, without this machine's own.
+func (s *hubSet) addresses() []string {
+	a := s.agent
 	var ips []string
 	add := func(ip string) {
 		if ip != a.settings.IP && !slices.Contains(ips, ip) {
@@ -37,7 +48,7 @@
 	for _, member := range a.state.currentView().members {
 		add(member.Address)
 	}
-	if len(ips) > 0 && !a.isIsolated() {
+	if len(ips) > 0 && !s.isIsolated() {
 		return ips
 	}
 	for _, seed := range a.seeds() {
@@ -45,7 +56,7 @@
 			add(ip)
 		}
 	}
-	if a.isIsolated() {
+	if s.isIsolated() {
 		a.state.read(func(d *directory.Directory) {
 			proxies := d.Proxies()
 			for _, proxy := range proxies[:min(len(proxies), maxIsolatedContacts)] {
@@ -56,71 +67,74 @@
 	return ips
 }
 
-// isHub reports whether this process is a hub itself.
-func (a *Agent) isHub() bool {
-	view := a.state.currentView()
-	if view.epoch == 0 {
-		return slices.ContainsFunc(a.seeds(), func(seed string) bool {
-			return hostOf(seed) == a.settings.IP
-		})
-	}
-	return view.hasMember(a.settings.IP)
-}
-
 // isIsolated reports whether no hub has answered for isolatedAfter.
-func (a *Agent) isIsolated() bool {
-	a.hubsMu.Lock()
-	defer a.hubsMu.Unlock()
-	return a.now()-a.lastHubContact > isolatedAfter
+func (s *hubSet) isIsolated() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.agent.now()-s.lastContact > isolatedAfter
 }
 
-// currentHubs returns the links to all hubs, sorted by address.
-func (a *Agent) currentHubs() []*hub {
-	a.hubsMu.Lock()
-	defer a.hubsMu.Unlock()
-	hubs := make([]*hub, 0, len(a.hubs))
-	for _, h := range a.hubs {
+// all returns the links to all hubs, sorted by address.
+func (s *hubSet) all() []*hub {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	hubs := make([]*hub, 0, len(s.links))
+	for _, h := range s.links {
 		hubs = append(hubs, h)
 	}
 	slices.SortFunc(hubs, func(x, y *hub) int { return cmp.Compare(x.ip, y.ip) })
 	return hubs
 }
 
-// hubAt returns the link to a hub, nil if there is none.
-func (a *Agent) hubAt(ip string) *hub {
-	a.hubsMu.Lock()
-	defer a.hubsMu.Unlock()
-	return a.hubs[ip]
+// at returns the link to a hub, nil if there is none.
+func (s *hubSet) at(ip string) *hub {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.links[ip]
 }
 
-// updateHubs opens links to new hubs and closes those to processes that are not hubs any more.
-func (a *Agent) updateHubs() {
-	wanted := a.hubAddresses()
-	a.hubsMu.Lock()
-	defer a.hubsMu.Unlock()
-	if a.linksClosed {
+// update opens links to new hubs and closes those to processes that are not hubs any more.
+func (s *hubSet) update() {
+	wanted := s.addresses()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		return
 	}
-	for ip, h := range a.hubs {
+	for ip, h := range s.links {
 		if !slices.Contains(wanted, ip) {
 			h.close()
-			delete(a.hubs, ip)
+			delete(s.links, ip)
 		}
 	}
 	for _, ip := range wanted {
-		if a.hubs[ip] == nil {
-			a.hubs[ip] = a.newHub(ip)
+		if s.links[ip] == nil {
+			s.links[ip] = s.open(ip)
 		}
 	}
 }
 
-// closeLinks closes the links to all hubs for good.
-func (a *Agent) closeLinks() {
-	a.hubsMu.Lock()
-	defer a.hubsMu.Unlock()
-	a.linksClosed = true
-	for ip, h := range a.hubs {
+// responds reports whether a machine is a hub that has answered this process within contactTimeout.
+func (s *hubSet) responds(ip string) bool {
+	h := s.at(ip)
+	return h != nil && h.isResponsive(s.agent.now())
+}
+
+// learnView learns the view that another process knows. If it is a newer one, links to its members are
+// opened.
+func (s *hubSet) learnView(status *peerproto.Status) {
+	if s.agent.state.learnView(status.Epoch, status.Members) {
+		s.update()
+	}
+}
+
+// close closes the links to all hubs for good.
+func (s *hubSet) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	for ip, h := range s.links {
 		h.close()
-		delete(a.hubs, ip)
+		delete(s.links, ip)
 	}
 }
--- a/internal/router/agent/load_table.go
+++ b/internal/router/agent/load_table.go
@@ -141,7 +141,7 @@
 
 	toHubs := peerproto.Encode(&peerproto.LoadReport{Full: full, Servers: t.loadExcept(local, nil, full),
 		Prefixes: t.localPrefixes})
-	for _, h := range t.agent.currentHubs() {
+	for _, h := range t.agent.hubs.all() {
 		h.link.Send(peerproto.KindHubLoadReport, toHubs)
 	}
 	for c, own := range t.followers {
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -68,7 +68,7 @@
 	if !decodeOrClose(c, frame.Body, &status) {
 		return
 	}
-	a.learnStatusView(&status)
+	a.hubs.learnView(&status)
 	c.Answer(frame, peerproto.KindPong, peerproto.Encode(a.status()))
 }
 
--- a/internal/router/agent/quorum.go
+++ b/internal/router/agent/quorum.go
@@ -12,7 +12,7 @@
 // anyMember reports whether another member of the view, to which there is a link, meets a condition.
 func (a *Agent) anyMember(condition func(peerproto.MemberInfo, *hub) bool) bool {
 	for _, member := range a.state.currentView().members {
-		if h := a.hubAt(member.Address); h != nil && condition(member, h) {
+		if h := a.hubs.at(member.Address); h != nil && condition(member, h) {
 			return true
 		}
 	}
@@ -29,7 +29,7 @@
 			count++
 			continue
 		}
-		if h := a.hubAt(member.Address); h != nil && condition(h) {
+		if h := a.hubs.at(member.Address); h != nil && condition(h) {
 			count++
 		}
 	}
--- a/internal/router/agent/view_announcer.go
+++ b/internal/router/agent/view_announcer.go
@@ -105,7 +105,7 @@
 	var status peerproto.Status
 	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
 		result.knowsView = status.Epoch > 0
-		a.learnStatusView(&status)
+		a.hubs.learnView(&status)
 	}
 	v.results <- result
 }
@@ -138,7 +138,7 @@
 		ip, _, err := net.SplitHostPort(seed)
 		target := v.targets[ip]
 		mayLackView := isHub || target == nil || !target.knowsView
-		if err == nil && mayLackView && !a.hubAnswers(ip) {
+		if err == nil && mayLackView && !a.hubs.responds(ip) {
 			add(ip)
 		}
 	}
@@ -151,12 +151,6 @@
 	return ips
 }
 
-// hubAnswers reports whether a machine is a hub that has answered this process within contactTimeout.
-func (a *Agent) hubAnswers(ip string) bool {
-	h := a.hubAt(ip)
-	return h != nil && h.isResponsive(a.now())
-}
-
 // callingAddresses returns the IPs of the proxies that have called this process within contactTimeout.
 func (a *Agent) callingAddresses() map[string]bool {
 	now := a.now()
@@ -170,11 +164,3 @@
 	})
 	return calling
 }
-
-// learnStatusView learns the view that another process knows. If it is a newer one, links to its members
-// are opened.
-func (a *Agent) learnStatusView(status *peerproto.Status) {
-	if a.state.learnView(status.Epoch, status.Members) {
-		a.updateHubs()
-	}
-}
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -48,7 +48,7 @@
 	a.state.learnView(2, membersAt(a.settings.IP, "10.9.0.1", "10.9.0.2"))
 	c.Check(a.status().ReachesMajority, qt.IsFalse)
 	answering := &hub{ip: "10.9.0.2", state: hubState{lastSeen: 1}}
-	a.hubs["10.9.0.2"] = answering
+	a.hubs.links["10.9.0.2"] = answering
 	c.Check(a.status().ReachesMajority, qt.IsTrue)
 	answering.state.lastSeen = a.now() - contactTimeout - 1
 	c.Check(a.status().ReachesMajority, qt.IsFalse)
@@ -74,7 +74,7 @@
 	a.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
 	c.Check(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
 	c.Check(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it is known here all the same"))
-	a.hubs["10.9.0.1"], a.hubs["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
+	a.hubs.links["10.9.0.1"], a.hubs.links["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
 		&hub{state: hubState{lastSeen: 1}}
 	c.Check(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
 }
