--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -49,10 +49,10 @@
 	configEndpoint *configEndpoint
 	failures       *failureDetector
 	hubs           *hubSet
+	quorum         *quorum
 	subscription   *subscription
 	seedList       atomic.Pointer[[]string]
 
-	replicated     *broadcast // a hub has received records of this process
 	shuttingDown   atomic.Bool
 	fetchingConfig atomic.Bool // a configuration is being fetched from a hub
 	packed         packedConfig
@@ -71,7 +71,7 @@
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
-		replicated: newBroadcast(), lastSeen: newLastSeen(),
+		lastSeen:     newLastSeen(),
 		knownProxies: newKnownProxies(), feeds: newFeedSet(),
 	}
 	for _, option := range options {
@@ -91,6 +91,7 @@
 	a.configEndpoint = &configEndpoint{agent: a}
 	a.failures = newFailureDetector(a)
 	a.hubs = newHubSet(a)
+	a.quorum = newQuorum(a)
 	a.subscription = &subscription{agent: a}
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -86,9 +86,9 @@
 	a := newTestAgent(t)
 	a.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
 	a.hubs.links["127.0.0.9"] = &hub{ip: "127.0.0.9"}
-	c.Assert(a.awaitMajority(1, 0), qt.IsFalse)
+	c.Assert(a.quorum.awaitMajority(1, 0), qt.IsFalse)
 	a.hubs.links["127.0.0.9"].state.replicatedTo = 1
-	c.Assert(a.awaitMajority(1, 0), qt.IsTrue)
+	c.Assert(a.quorum.awaitMajority(1, 0), qt.IsTrue)
 }
 
 // TestFeedContinuesFromAnOffset gives a follower what it has not received, and a snapshot where its offset is
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -60,7 +60,7 @@
 	now := a.now()
 	gap := now - f.lastCheck
 	stalled := gap > stallThreshold
-	reaches := a.reachesFleet()
+	reaches := a.quorum.reachesFleet()
 	if reaches != f.reachesFleet {
 		f.reachesFleet = reaches
 		a.log.Info().Bool("reached", reaches).Msg("agent: majority of the members reached or lost")
@@ -93,7 +93,7 @@
 		}
 		d.Expire(now)
 	})
-	if isHub && a.reachesMajority() {
+	if isHub && a.quorum.reachesMajority() {
 		f.checkUnwatched(now)
 	}
 	if now-f.lastSeenPrune > lastSeenRetention {
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -107,7 +107,7 @@
 	a := s.agent
 	established := a.subscription.isActive()
 	if a.isHub() {
-		established = a.reachesFleet()
+		established = a.quorum.reachesFleet()
 	}
 	if established {
 		return pingInterval
--- a/internal/router/agent/hub_replication.go
+++ b/internal/router/agent/hub_replication.go
@@ -65,6 +65,6 @@
 	}
 	complete := h.state.replicatedTo >= offset
 	h.mu.Unlock()
-	a.replicated.notify()
+	a.quorum.replicated.notify()
 	return complete
 }
--- a/internal/router/agent/metrics.go
+++ b/internal/router/agent/metrics.go
@@ -133,7 +133,8 @@
 	page.Gauge("cresshub_view_members", "Members of that view.", float64(len(view.members)))
 	page.Flag("cresshub_replica", "Whether this process is a replica of the control state.",
 		a.configStore.isMember())
-	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.", a.reachesMajority())
+	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.",
+		a.quorum.reachesMajority())
 	servers := map[directory.State]int{}
 	proxies := 0
 	a.state.read(func(d *directory.Directory) {
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -59,7 +59,7 @@
 func (a *Agent) status() *peerproto.Status {
 	v := a.state.currentView()
 	return &peerproto.Status{ID: a.id, Version: a.state.version(), Epoch: v.epoch, Members: v.members,
-		HasSnapshot: a.state.isSynced(), ReachesMajority: a.reachesFleet()}
+		HasSnapshot: a.state.isSynced(), ReachesMajority: a.quorum.reachesFleet()}
 }
 
 // handleAnnounce learns the view from a process that announces it.
--- a/internal/router/agent/quorum.go
+++ b/internal/router/agent/quorum.go
@@ -9,10 +9,25 @@
 // contactTimeout is how long after its last answer a member counts as reached.
 const contactTimeout = 1500 * time.Millisecond
 
+// quorum answers whether a majority of the members of the view is reached, and waits until it has records of
+// this process. It joins the view, which is in the state, with the links to the hubs; it has no lock of its
+// own. Its methods are safe for concurrent use, but must not be called with the lock of the state held.
+type quorum struct {
+	ownIP      string
+	now        func() time.Duration
+	state      *state
+	hubs       *hubSet
+	replicated *broadcast // a hub has received records of this process
+}
+
+func newQuorum(a *Agent) *quorum {
+	return &quorum{ownIP: a.settings.IP, now: a.now, state: a.state, hubs: a.hubs, replicated: newBroadcast()}
+}
+
 // anyMember reports whether another member of the view, to which there is a link, meets a condition.
-func (a *Agent) anyMember(condition func(peerproto.MemberInfo, *hub) bool) bool {
-	for _, member := range a.state.currentView().members {
-		if h := a.hubs.at(member.Address); h != nil && condition(member, h) {
+func (q *quorum) anyMember(condition func(peerproto.MemberInfo, *hub) bool) bool {
+	for _, member := range q.state.currentView().members {
+		if h := q.hubs.at(member.Address); h != nil && condition(member, h) {
 			return true
 		}
 	}
@@ -21,15 +36,15 @@
 
 // majorityMeets reports whether more than half of the members of the view meet a condition. This process
 // meets it where it is a member itself. Without a view there is no majority.
-func (a *Agent) majorityMeets(condition func(*hub) bool) bool {
-	members := a.state.currentView().members
+func (q *quorum) majorityMeets(condition func(*hub) bool) bool {
+	members := q.state.currentView().members
 	count := 0
 	for _, member := range members {
-		if member.Address == a.settings.IP {
+		if member.Address == q.ownIP {
 			count++
 			continue
 		}
-		if h := a.hubs.at(member.Address); h != nil && condition(h) {
+		if h := q.hubs.at(member.Address); h != nil && condition(h) {
 			count++
 		}
 	}
@@ -38,30 +53,26 @@
 
 // reachesMajority reports whether more than half of the members of the view have answered within
 // contactTimeout. A member that does not reach them may have stale records, and must not serve them.
-func (a *Agent) reachesMajority() bool {
-	now := a.now()
-	return a.majorityMeets(func(h *hub) bool { return h.isResponsive(now) })
+func (q *quorum) reachesMajority() bool {
+	now := q.now()
+	return q.majorityMeets(func(h *hub) bool { return h.isResponsive(now) })
 }
 
-// knowsFleet reports whether this process knows its hubs. Until the first view is decided, the seeds take its
-// place; a process that starts later has to learn the view.
-func (a *Agent) knowsFleet() bool { return a.settings.FirstStart || a.state.currentView().epoch > 0 }
-
 // reachesFleet reports whether the changes of this process's directory reach the rest of the fleet: where a
 // view is known, a majority of its members has to respond.
-func (a *Agent) reachesFleet() bool {
-	return a.state.currentView().epoch == 0 || a.reachesMajority()
+func (q *quorum) reachesFleet() bool {
+	return q.state.currentView().epoch == 0 || q.reachesMajority()
 }
 
 // awaitMajority waits until more than half of the members of the view have the changes of this process's
 // directory up to an offset. It returns false after the timeout, which is always the case without a view.
-func (a *Agent) awaitMajority(offset uint64, timeout time.Duration) bool {
+func (q *quorum) awaitMajority(offset uint64, timeout time.Duration) bool {
 	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 	hasOffset := func(h *hub) bool { return h.current().replicatedTo >= offset }
 	for {
-		replicated := a.replicated.next()
-		if a.majorityMeets(hasOffset) {
+		replicated := q.replicated.next()
+		if q.majorityMeets(hasOffset) {
 			return true
 		}
 		select {
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -160,7 +160,7 @@
 		}
 		offset = d.Offset()
 	})
-	a.awaitMajority(offset, confirmTimeout)
+	a.quorum.awaitMajority(offset, confirmTimeout)
 }
 
 // orderBody is the body of a call that orders a server to take a role.
--- a/internal/router/agent/server_endpoint.go
+++ b/internal/router/agent/server_endpoint.go
@@ -76,13 +76,13 @@
 	}
 	now := a.now()
 	a.recordContact(record.ID)
-	if !a.reachesFleet() {
+	if !a.quorum.reachesFleet() {
 		a.mergeHeartbeat(now, record) // known on this side of the partition; its watcher is on the other one
 		return a.rejectHeartbeat(record.ID, "no_majority")
 	}
 	record.Watcher = a.id
 	offset, late := a.mergeHeartbeat(now, record)
-	if record.State == directory.Draining && !a.awaitMajority(offset, drainAckTimeout) {
+	if record.State == directory.Draining && !a.quorum.awaitMajority(offset, drainAckTimeout) {
 		return a.rejectHeartbeat(record.ID, "drain_not_told")
 	}
 	a.metrics.countHeartbeat("acknowledged")
@@ -96,6 +96,10 @@
 	return controlserver.JSON(200, answer)
 }
 
+// knowsFleet reports whether this process knows its hubs. Until the first view is decided, the seeds take its
+// place; a process that starts later has to learn the view.
+func (a *Agent) knowsFleet() bool { return a.settings.FirstStart || a.state.currentView().epoch > 0 }
+
 // mergeHeartbeat merges a heartbeat. It returns the offset of the directory that hubs must have to know it,
 // and whether it is late: a later one of the same server has been received before.
 func (a *Agent) mergeHeartbeat(now time.Duration, record *directory.Record) (offset uint64, late bool) {
@@ -126,7 +130,7 @@
 		d.Merge(now, ended)
 		offset = d.Offset()
 	})
-	if !a.awaitMajority(offset, drainAckTimeout) {
+	if !a.quorum.awaitMajority(offset, drainAckTimeout) {
 		return a.rejectHeartbeat(id, "end_not_told")
 	}
 	a.metrics.countHeartbeat("end_acknowledged")
--- a/internal/router/agent/shutdown.go
+++ b/internal/router/agent/shutdown.go
@@ -50,5 +50,5 @@
 	a.announceSelf(func(self *directory.Record) { self.State = directory.Ended })
 	var offset uint64
 	a.state.read(func(d *directory.Directory) { offset = d.Offset() })
-	a.awaitMajority(offset, timeout)
+	a.quorum.awaitMajority(offset, timeout)
 }
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -76,7 +76,7 @@
 	a := f.agent
 	now := a.now()
 	own := probeRank(id, a.settings.IP)
-	return !a.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
+	return !a.quorum.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
 		return h.isResponsive(now) && probeRank(id, member.Address) > own
 	})
 }
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -63,7 +63,7 @@
 	c.Check(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
 	a.settings.FirstStart = true
 	c.Check(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
-	c.Check(a.awaitMajority(0, 0), qt.IsFalse, qt.Commentf("no view, no majority of it"))
+	c.Check(a.quorum.awaitMajority(0, 0), qt.IsFalse, qt.Commentf("no view, no majority of it"))
 }
 
 // TestHeartbeatsAreRejectedWithoutAMajority: they are merged here, but a server that was acknowledged would
