--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -47,16 +47,15 @@
 	persister    *persister // runs on a machine with a disk only
 
 	configEndpoint *configEndpoint
+	configSync     *configSync
 	failures       *failureDetector
 	hubs           *hubSet
 	quorum         *quorum
 	subscription   *subscription
 	seedList       atomic.Pointer[[]string]
 
-	shuttingDown   atomic.Bool
-	fetchingConfig atomic.Bool // a configuration is being fetched from a hub
-	packed         packedConfig
-	metrics        agentMetrics
+	shuttingDown atomic.Bool
+	metrics      agentMetrics
 
 	selfMu sync.Mutex
 	self   directory.Record // of this process
@@ -89,6 +88,7 @@
 	a.load = newLoadTable(a)
 	a.persister = &persister{agent: a}
 	a.configEndpoint = &configEndpoint{agent: a}
+	a.configSync = &configSync{state: a.state, log: log}
 	a.failures = newFailureDetector(a)
 	a.hubs = newHubSet(a)
 	a.quorum = newQuorum(a)
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -219,7 +219,7 @@
 		case <-done:
 			return
 		case stored := <-m.committed:
-			m.agent.applyStored(stored)
+			m.agent.configSync.applyStored(stored)
 		}
 	}
 }
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -64,7 +64,7 @@
 		changed := a.state.changed.next()
 		feed := a.nextFeed(at.offset, at.epoch)
 		if config := a.state.Config(); config != nil && config.Version > at.version {
-			feed.Config, feed.Version = a.configUpdate(config, at.version), config.Version
+			feed.Config, feed.Version = a.configSync.updateSince(config, at.version), config.Version
 		}
 		if !c.Send(peerproto.Frame{Kind: peerproto.KindFeed, Body: peerproto.Encode(feed)}) {
 			return
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -155,7 +155,7 @@
 		return
 	}
 	s.lastReceived = a.now()
-	a.applyPacked(feed.Config)
+	a.configSync.applyPacked(feed.Config)
 	if a.state.learnView(feed.Epoch, feed.Members) {
 		go a.hubs.update()
 	}
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -116,7 +116,7 @@
 	c.Assert(known, qt.IsTrue)
 	c.Assert(entry, qt.DeepEquals, chain.Entry{Epoch: 299, Sequence: 200, Version: 40,
 		Body: []byte(goldenDocument)})
-	a.applyStored(<-member.committed)
+	a.configSync.applyStored(<-member.committed)
 	checkConfig(c, a, 40, goldenDocument)
 
 	c.Assert(member.log.Compact(member.machine.SnapshotRecords()), qt.IsNil)
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -154,6 +154,6 @@
 		a.subscription.updateSource() // at once, instead of with the next check
 	}
 	if status.Version > a.state.version() {
-		go a.fetchConfig(h)
+		go a.configSync.fetch(h)
 	}
 }
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -28,7 +28,7 @@
 	case peerproto.KindCompare:
 		a.handleCompare(c, frame)
 	case peerproto.KindConfigFetch:
-		c.Answer(frame, peerproto.KindResult, peerproto.Encode(a.configInForce()))
+		c.Answer(frame, peerproto.KindResult, peerproto.Encode(a.configSync.inForce()))
 	case peerproto.KindPropose, peerproto.KindPatch, peerproto.KindRead:
 		go a.serveConfigCall(c, frame)
 	case peerproto.KindLoadReport:
@@ -111,16 +111,6 @@
 	a.sendPrefixIndex(c)
 }
 
-// configInForce returns the configuration in force, packed.
-func (a *Agent) configInForce() *peerproto.Result {
-	config := a.state.Config()
-	if config == nil {
-		return unavailableResult("no configuration is known here")
-	}
-	return &peerproto.Result{Outcome: peerproto.OutcomeAccepted, Version: config.Version,
-		Body: a.packed.of(config)}
-}
-
 // serveConfigCall runs another process's call on the configuration in this member.
 func (a *Agent) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
 	result := unavailableResult("this machine does not keep the configuration")
--- a/internal/router/agent/recent_patches_test.go
+++ b/internal/router/agent/recent_patches_test.go
@@ -25,7 +25,7 @@
 func adoptPatch(c *qt.C, a *Agent, body string) {
 	next, err := a.state.Config().ParseAndApply([]byte(body))
 	c.Assert(err, qt.IsNil)
-	a.applyConfig(next)
+	a.configSync.apply(next)
 }
 
 // TestSmallChangesAreSentAsPatches: what followers are sent for a small change does not grow with the
@@ -34,8 +34,8 @@
 	c := qt.New(t)
 	hub, follower := newTestAgent(t), newTestAgent(t)
 	document := firstDocument(10_000)
-	hub.applyDocument(document)
-	follower.applyPacked(hub.configUpdate(hub.state.Config(), 0))
+	hub.configSync.applyDocument(document)
+	follower.configSync.applyPacked(hub.configSync.updateSince(hub.state.Config(), 0))
 	c.Assert(follower.state.version(), qt.Equals, int64(1))
 	for version := int64(2); version < 12; version++ {
 		known := follower.state.version()
@@ -44,14 +44,14 @@
 		if version%3 == 0 {
 			continue // the follower receives two changes at once
 		}
-		news := hub.configUpdate(hub.state.Config(), known)
+		news := hub.configSync.updateSince(hub.state.Config(), known)
 		c.Assert(len(news) < 600, qt.IsTrue, qt.Commentf("%d bytes", len(news)))
-		follower.applyPacked(news)
+		follower.configSync.applyPacked(news)
 		c.Assert(follower.state.version(), qt.Equals, version)
 	}
 	c.Assert(string(follower.state.Config().Raw()), qt.Equals, string(hub.state.Config().Raw()))
 	c.Assert(follower.state.Config().Match("new11.example", "/").Name, qt.Equals, "r11")
-	follower.applyPacked(hub.configUpdate(hub.state.Config(), 5)) // again what it has
+	follower.configSync.applyPacked(hub.configSync.updateSince(hub.state.Config(), 5)) // again what it has
 	c.Assert(follower.state.version(), qt.Equals, int64(11))
 }
 
@@ -60,7 +60,7 @@
 func TestFollowersThatAreFarBehindGetTheDocument(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
-	a.applyDocument(firstDocument(3))
+	a.configSync.applyDocument(firstDocument(3))
 	for version := 2; version < 3*recentPatchCount; version++ {
 		adoptPatch(c, a, fmt.Sprintf(`{"edition":%d}`, version))
 	}
@@ -68,32 +68,32 @@
 	oldest := config.Version - recentPatchCount
 	for version, patched := range map[int64]bool{
 		0: false, 1: false, oldest - 1: false, oldest: true, config.Version - 1: true, config.Version: false} {
-		got := peerproto.ArePatches(a.configUpdate(config, version))
+		got := peerproto.ArePatches(a.configSync.updateSince(config, version))
 		c.Check(got, qt.Equals, patched, qt.Commentf("%d", version))
 	}
 	adoptPatch(c, a, fmt.Sprintf(`{"edition":500,"deliver":{"depots_list":[{"name":"t","note":%q}]}}`,
 		strings.Repeat("x", recentPatchBytes)))
-	c.Assert(peerproto.ArePatches(a.configUpdate(a.state.Config(), config.Version)), qt.IsFalse)
+	c.Assert(peerproto.ArePatches(a.configSync.updateSince(a.state.Config(), config.Version)), qt.IsFalse)
 	full, err := fleetconfig.Parse([]byte(`{"edition":501,"depots_list":[]}`))
 	c.Assert(err, qt.IsNil)
-	a.applyConfig(full)
-	c.Assert(peerproto.ArePatches(a.configUpdate(full, 500)), qt.IsFalse)
+	a.configSync.apply(full)
+	c.Assert(peerproto.ArePatches(a.configSync.updateSince(full, 500)), qt.IsFalse)
 }
 
 // TestCorruptPatchesAreIgnored applies neither truncated patches nor those that build on another version.
 func TestCorruptPatchesAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(t)
-	a.applyDocument(firstDocument(3))
+	a.configSync.applyDocument(firstDocument(3))
 	packed := peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 1, Version: 2, Body: []byte(`{"edition":2}`)}, {Base: 2, Version: 3, Body: []byte(`{`)}}})
 	for length := 1; length < len(packed); length++ {
-		a.applyPacked(packed[:length])
+		a.configSync.applyPacked(packed[:length])
 		c.Assert(a.state.version(), qt.Equals, int64(1))
 	}
-	a.applyPacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
+	a.configSync.applyPacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 4, Version: 5, Body: []byte(`{"edition":5}`)}}}))
 	c.Assert(a.state.version(), qt.Equals, int64(1))
-	a.applyPacked(packed)
+	a.configSync.applyPacked(packed)
 	c.Assert(a.state.version(), qt.Equals, int64(2))
 }
