--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -51,6 +51,7 @@
 	failures       *failureDetector
 	hubs           *hubSet
 	quorum         *quorum
+	feeds          *feedServer
 	subscription   *subscription
 	seedList       atomic.Pointer[[]string]
 
@@ -60,7 +61,6 @@
 	selfMu sync.Mutex
 	self   directory.Record // of this process
 
-	feeds       feedSet
 	lossReports lossReports // of the data plane; guarded by the lock of state
 }
 
@@ -71,7 +71,7 @@
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
 		lastSeen:     newLastSeen(),
-		knownProxies: newKnownProxies(), feeds: newFeedSet(),
+		knownProxies: newKnownProxies(),
 	}
 	for _, option := range options {
 		option(a)
@@ -92,6 +92,7 @@
 	a.failures = newFailureDetector(a)
 	a.hubs = newHubSet(a)
 	a.quorum = newQuorum(a)
+	a.feeds = newFeedServer(a)
 	a.subscription = &subscription{agent: a}
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -97,15 +97,15 @@
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.handleCall(heartbeat("ready", "1"))
-	first := a.nextFeed(0, -1)
+	first := a.feeds.next(0, -1)
 	c.Assert(first.Records, qt.HasLen, 1)
 	a.handleCall(heartbeat("draining", "2"))
-	c.Assert(a.hasUpdate(feedPosition{uint64(first.To), 0, first.Epoch}), qt.IsTrue)
-	next := a.nextFeed(uint64(first.To), first.Epoch)
+	c.Assert(a.feeds.hasUpdate(feedPosition{uint64(first.To), 0, first.Epoch}), qt.IsTrue)
+	next := a.feeds.next(uint64(first.To), first.Epoch)
 	c.Assert(next.From, qt.Equals, first.To)
 	c.Assert(next.Records, qt.HasLen, 1)
 	c.Assert(next.Records[0].State, qt.Equals, directory.Draining)
-	c.Assert(a.nextFeed(99, 0).From, qt.Equals, int64(0))
+	c.Assert(a.feeds.next(99, 0).From, qt.Equals, int64(0))
 }
 
 // TestTimedOutServersAreLostUntilTheirNextHeartbeat marks a server lost that does not call any more, unless
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -19,17 +19,32 @@
 	epoch   int64  // of the view, -1 for none received yet
 }
 
-// feedSet holds the feeds that this process serves, one for a connection. It is safe for concurrent use.
-type feedSet struct {
+// feedServer serves feeds to followers, at most one for a connection, each on a goroutine of its own. Its
+// methods are safe for concurrent use. No other lock is taken while its lock is held.
+type feedServer struct {
+	agent *Agent
+
 	mu     sync.Mutex
 	cancel map[*transport.Conn]chan struct{} // closing one ends the feed
 }
 
-func newFeedSet() feedSet { return feedSet{cancel: map[*transport.Conn]chan struct{}{}} }
+func newFeedServer(a *Agent) *feedServer {
+	return &feedServer{agent: a, cancel: map[*transport.Conn]chan struct{}{}}
+}
+
+// handleFollow starts a feed on a connection, in place of an earlier one.
+func (s *feedServer) handleFollow(c *transport.Conn, frame peerproto.Frame) {
+	var request peerproto.Follow
+	if !decodeOrClose(c, frame.Body, &request) {
+		return
+	}
+	go s.serve(c, &request, s.begin(c))
+	s.agent.load.sendPrefixIndex(c)
+}
 
 // begin adds a feed, in place of an earlier one on the connection, and returns the channel that closes when
 // it is to end.
-func (s *feedSet) begin(c *transport.Conn) (cancel <-chan struct{}) {
+func (s *feedServer) begin(c *transport.Conn) (cancel <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLocked(c)
@@ -38,22 +53,23 @@
 }
 
 // end ends the feed of a connection, where there is one.
-func (s *feedSet) end(c *transport.Conn) {
+func (s *feedServer) end(c *transport.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLocked(c)
 }
 
-func (s *feedSet) endLocked(c *transport.Conn) {
+func (s *feedServer) endLocked(c *transport.Conn) {
 	if cancel := s.cancel[c]; cancel != nil {
 		close(cancel)
 		delete(s.cancel, c)
 	}
 }
 
-// serveFeed sends the changes of the directory, the configuration and the view to a follower, until its
+// serve sends the changes of the directory, the configuration and the view to a follower, until its
 // connection ends or cancel closes. A follower of another feed begins with a snapshot.
-func (a *Agent) serveFeed(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
+func (s *feedServer) serve(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
+	a := s.agent
 	at := feedPosition{offset: uint64(request.Offset), version: request.Version, epoch: -1}
 	if request.Feed != a.id {
 		at.offset = 0
@@ -62,7 +78,7 @@
 	defer keepalive.Stop()
 	for {
 		changed := a.state.changed.next()
-		feed := a.nextFeed(at.offset, at.epoch)
+		feed := s.next(at.offset, at.epoch)
 		if config := a.state.Config(); config != nil && config.Version > at.version {
 			feed.Config, feed.Version = a.configSync.updateSince(config, at.version), config.Version
 		}
@@ -70,7 +86,7 @@
 			return
 		}
 		at = feedPosition{offset: uint64(feed.To), version: feed.Version, epoch: feed.Epoch}
-		if !a.awaitUpdate(c, cancel, changed, keepalive.C, at) {
+		if !s.awaitUpdate(c, cancel, changed, keepalive.C, at) {
 			return
 		}
 	}
@@ -78,8 +94,8 @@
 
 // awaitUpdate returns true once there is something that a follower has not received, or the next keepalive is
 // due, and false once the feed is to end.
-func (a *Agent) awaitUpdate(c *transport.Conn, cancel, changed <-chan struct{}, keepalive <-chan time.Time,
-	at feedPosition) bool {
+func (s *feedServer) awaitUpdate(c *transport.Conn, cancel, changed <-chan struct{},
+	keepalive <-chan time.Time, at feedPosition) bool {
 	for {
 		select {
 		case <-c.Closed():
@@ -89,8 +105,8 @@
 		case <-keepalive:
 			return true
 		case <-changed:
-			changed = a.state.changed.next()
-			if a.hasUpdate(at) {
+			changed = s.agent.state.changed.next()
+			if s.hasUpdate(at) {
 				return true
 			}
 		}
@@ -98,29 +114,11 @@
 }
 
 // hasUpdate reports whether there is something that a follower has not received.
-func (a *Agent) hasUpdate(at feedPosition) bool {
-	s := a.state
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return at != feedPosition{offset: s.directory.Offset(), version: s.version(), epoch: s.view.epoch}
-}
+func (s *feedServer) hasUpdate(at feedPosition) bool { return at != s.agent.state.feedPosition() }
 
-// nextFeed returns the records and the view that a follower has not received.
-func (a *Agent) nextFeed(offset uint64, epoch int64) *peerproto.Feed {
-	s := a.state
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if offset > s.directory.Offset() {
-		offset = 0
-	}
-	feed := &peerproto.Feed{
-		Feed: a.id, From: int64(offset), To: int64(s.directory.Offset()), Epoch: s.view.epoch,
-		Records: copyRecords(s.directory.Since(offset)), Version: s.version(),
-	}
-	if epoch != s.view.epoch {
-		feed.Members = s.view.members
-	}
-	return feed
+// next returns the records and the view that a follower has not received.
+func (s *feedServer) next(offset uint64, epoch int64) *peerproto.Feed {
+	return s.agent.state.feedSince(s.agent.id, offset, epoch)
 }
 
 // copyRecords returns the records themselves, which don't change under the reader.
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -126,12 +126,12 @@
 	c.Assert(peerproto.Decode(readGolden(c, "status.bin"), &status), qt.IsNil)
 	c.Assert(status, qt.DeepEquals, peerproto.Status{ID: "proxy-1", Epoch: 7, Members: goldenMembers()})
 
-	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(a.nextFeed(0, -1)))
+	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(a.feeds.next(0, -1)))
 	var snapshot, feed peerproto.Feed
 	c.Assert(peerproto.Decode(readGolden(c, "feed_snapshot.bin"), &snapshot), qt.IsNil)
 	c.Assert(snapshot, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", To: 3, Records: goldenRecords(),
 		Config: []byte{}, Epoch: 7, Members: goldenMembers()})
-	checkGolden(c, "feed_piece.bin", peerproto.Encode(a.nextFeed(2, 7)))
+	checkGolden(c, "feed_piece.bin", peerproto.Encode(a.feeds.next(2, 7)))
 	c.Assert(peerproto.Decode(readGolden(c, "feed_piece.bin"), &feed), qt.IsNil)
 	c.Assert(feed, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", From: 2, To: 3,
 		Records: goldenRecords()[2:], Config: []byte{}, Epoch: 7,
--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -65,11 +65,12 @@
 }
 
 // sendPrefixIndex sends a new follower which prefixes are known to be cached where.
-func (a *Agent) sendPrefixIndex(c *transport.Conn) {
-	if !a.state.isSynced() {
+func (t *loadTable) sendPrefixIndex(c *transport.Conn) {
+	if !t.agent.state.isSynced() {
 		return
 	}
-	report := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(a.workload.KnownPrefixes())}
+	report := &peerproto.LoadReport{FullIndex: true,
+		Prefixes: encodePrefixes(t.agent.workload.KnownPrefixes())}
 	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(report)})
 }
 
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -24,7 +24,7 @@
 	case peerproto.KindUpsert:
 		a.handleUpsert(c, frame)
 	case peerproto.KindFollow:
-		a.handleFollow(c, frame)
+		a.feeds.handleFollow(c, frame)
 	case peerproto.KindCompare:
 		a.handleCompare(c, frame)
 	case peerproto.KindConfigFetch:
@@ -101,16 +101,6 @@
 	})
 }
 
-// handleFollow starts a feed on a connection, in place of an earlier one.
-func (a *Agent) handleFollow(c *transport.Conn, frame peerproto.Frame) {
-	var request peerproto.Follow
-	if !decodeOrClose(c, frame.Body, &request) {
-		return
-	}
-	go a.serveFeed(c, &request, a.feeds.begin(c))
-	a.sendPrefixIndex(c)
-}
-
 // serveConfigCall runs another process's call on the configuration in this member.
 func (a *Agent) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
 	result := unavailableResult("this machine does not keep the configuration")
--- a/internal/router/agent/state.go
+++ b/internal/router/agent/state.go
@@ -161,6 +161,31 @@
 	return s.view
 }
 
+// feedPosition returns the position of a follower that has received everything.
+func (s *state) feedPosition() feedPosition {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return feedPosition{offset: s.directory.Offset(), version: s.version(), epoch: s.view.epoch}
+}
+
+// feedSince returns the message of the feed of a process with the records that came after an offset, and with
+// the view if its epoch is another one. An offset that the directory has not reached counts as none.
+func (s *state) feedSince(feedID string, offset uint64, epoch int64) *peerproto.Feed {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if offset > s.directory.Offset() {
+		offset = 0
+	}
+	feed := &peerproto.Feed{
+		Feed: feedID, From: int64(offset), To: int64(s.directory.Offset()), Epoch: s.view.epoch,
+		Records: copyRecords(s.directory.Since(offset)), Version: s.version(),
+	}
+	if epoch != s.view.epoch {
+		feed.Members = s.view.members
+	}
+	return feed
+}
+
 // setSynced records that this process knows the fleet well enough to take clients: it has received a snapshot
 // of a feed, or is a hub that has reconciled with another one or has been up long enough.
 func (s *state) setSynced() {
