--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -53,6 +53,7 @@
 	quorum         *quorum
 	feeds          *feedServer
 	subscription   *subscription
+	antiEntropy    *antiEntropy
 	seedList       atomic.Pointer[[]string]
 
 	shuttingDown atomic.Bool
@@ -94,6 +95,7 @@
 	a.quorum = newQuorum(a)
 	a.feeds = newFeedServer(a)
 	a.subscription = &subscription{agent: a}
+	a.antiEntropy = &antiEntropy{agent: a}
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
 		if settings.FirstStart {
@@ -163,7 +165,7 @@
 	go a.subscription.run(done)
 	go newViewAnnouncer(a).run(done)
 	go a.failures.run(done)
-	go a.runAntiEntropy(done)
+	go a.antiEntropy.run(done)
 	go a.demand.run(done)
 	go a.load.report(done)
 }
--- a/internal/router/agent/anti_entropy.go
+++ b/internal/router/agent/anti_entropy.go
@@ -21,16 +21,22 @@
 	hubSyncHeartbeats = 2
 )
 
-// runAntiEntropy compares the directory with those of the hubs, one after the other, until done closes.
-func (a *Agent) runAntiEntropy(done <-chan struct{}) {
+// antiEntropy repairs the differences between the directory and those of the hubs: it compares range digests
+// and exchanges the records of the ranges that differ. It has no state but the directory, which is in the
+// state. One goroutine compares, in run; handleCompare is safe for concurrent use.
+type antiEntropy struct{ agent *Agent }
+
+// run compares the directory with those of the hubs, one after the other, until done closes.
+func (e *antiEntropy) run(done <-chan struct{}) {
+	a := e.agent
 	for turn := 0; ; turn++ {
 		select {
 		case <-done:
 			return
-		case <-time.After(a.untilAntiEntropy()):
+		case <-time.After(e.interval()):
 		}
 		if hubs := a.hubs.all(); len(hubs) > 0 {
-			a.reconcileWith(hubs[turn%len(hubs)])
+			e.reconcileWith(hubs[turn%len(hubs)])
 		}
 		if a.isHub() && (a.settings.FirstStart || a.now() > hubSyncHeartbeats*a.settings.HeartbeatInterval) {
 			a.state.setSynced()
@@ -38,12 +44,12 @@
 	}
 }
 
-// untilAntiEntropy returns the interval until the next comparison.
-func (a *Agent) untilAntiEntropy() time.Duration {
+// interval returns the interval until the next comparison.
+func (e *antiEntropy) interval() time.Duration {
 	switch {
-	case !a.isHub():
+	case !e.agent.isHub():
 		return followerAntiEntropyInterval
-	case !a.state.isSynced():
+	case !e.agent.state.isSynced():
 		return initialAntiEntropyInterval
 	}
 	return antiEntropyInterval
@@ -51,8 +57,9 @@
 
 // reconcileWith exchanges the records of the ranges in which the directory and a hub's differ, so that each
 // has the newer ones. A hub is synced once it has done so with a hub that is.
-func (a *Agent) reconcileWith(h *hub) {
-	request := &peerproto.Comparison{Digest: a.digest()}
+func (e *antiEntropy) reconcileWith(h *hub) {
+	a := e.agent
+	request := &peerproto.Comparison{Digest: e.digest()}
 	frame, err := h.link.Call(peerproto.KindCompare, peerproto.Encode(request), antiEntropyTimeout)
 	if err != nil {
 		return
@@ -76,7 +83,7 @@
 }
 
 // handleCompare answers with the ranges in which the directory differs from the caller's, and their records.
-func (a *Agent) handleCompare(c *transport.Conn, frame peerproto.Frame) {
+func (e *antiEntropy) handleCompare(c *transport.Conn, frame peerproto.Frame) {
 	var request peerproto.Comparison
 	if !decodeOrClose(c, frame.Body, &request) {
 		return
@@ -90,7 +97,7 @@
 		theirs[i] = uint64(sum)
 	}
 	answer := &peerproto.Comparison{}
-	a.state.read(func(d *directory.Directory) {
+	e.agent.state.read(func(d *directory.Directory) {
 		if answer.Ranges = d.Digest().Diff(theirs); len(answer.Ranges) > 0 {
 			answer.Records = copyRecords(d.InRanges(answer.Ranges))
 		}
@@ -99,9 +106,9 @@
 }
 
 // digest returns the range digest of the directory, in the form in which it is sent.
-func (a *Agent) digest() []int64 {
+func (e *antiEntropy) digest() []int64 {
 	var digest directory.Digest
-	a.state.read(func(d *directory.Directory) { digest = d.Digest() })
+	e.agent.state.read(func(d *directory.Directory) { digest = d.Digest() })
 	sums := make([]int64, len(digest))
 	for i, sum := range digest {
 		sums[i] = int64(sum)
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -137,13 +137,13 @@
 		Records: goldenRecords()[2:], Config: []byte{}, Epoch: 7,
 		Members: []peerproto.MemberInfo{}})
 
-	checkGolden(c, "compare.bin", peerproto.Encode(&peerproto.Comparison{Digest: a.digest()}))
+	checkGolden(c, "compare.bin", peerproto.Encode(&peerproto.Comparison{Digest: a.antiEntropy.digest()}))
 	var request peerproto.Comparison
 	c.Assert(peerproto.Decode(readGolden(c, "compare.bin"), &request), qt.IsNil)
 	follower := newTestAgent(t)
-	c.Assert(follower.digest(), qt.Not(qt.DeepEquals), request.Digest)
+	c.Assert(follower.antiEntropy.digest(), qt.Not(qt.DeepEquals), request.Digest)
 	follower.state.merge(follower.now(), snapshot.Records)
-	c.Assert(follower.digest(), qt.DeepEquals, request.Digest)
+	c.Assert(follower.antiEntropy.digest(), qt.DeepEquals, request.Digest)
 }
 
 // recordingWorkload records the load of the others that a process was sent.
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -128,7 +128,7 @@
 func (s *hubSet) handleFrame(h *hub, frame peerproto.Frame) {
 	switch frame.Kind {
 	case peerproto.KindLoadReport:
-		s.agent.handleLoad(h, frame)
+		s.agent.load.handleReport(h, frame)
 	case peerproto.KindFeed:
 		var feed peerproto.Feed
 		if decodeOrReset(h, frame.Body, &feed) {
--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// handleLoad hands a report of the source to the data plane.
-func (a *Agent) handleLoad(h *hub, frame peerproto.Frame) {
+// handleReport hands a report of the source to the data plane.
+func (t *loadTable) handleReport(h *hub, frame peerproto.Frame) {
+	a := t.agent
 	var report peerproto.LoadReport
 	if a.subscription.followedHub() != h || peerproto.Decode(frame.Body, &report) != nil {
 		return
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -26,7 +26,7 @@
 	case peerproto.KindFollow:
 		a.feeds.handleFollow(c, frame)
 	case peerproto.KindCompare:
-		a.handleCompare(c, frame)
+		a.antiEntropy.handleCompare(c, frame)
 	case peerproto.KindConfigFetch:
 		c.Answer(frame, peerproto.KindResult, peerproto.Encode(a.configSync.inForce()))
 	case peerproto.KindPropose, peerproto.KindPatch, peerproto.KindRead:
