--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -47,6 +47,7 @@
 	persister    *persister // runs on a machine with a disk only
 
 	configEndpoint *configEndpoint
+	serverEndpoint *serverEndpoint
 	configSync     *configSync
 	failures       *failureDetector
 	hubs           *hubSet
@@ -89,6 +90,7 @@
 	a.load = newLoadTable(a)
 	a.persister = &persister{agent: a}
 	a.configEndpoint = &configEndpoint{agent: a}
+	a.serverEndpoint = &serverEndpoint{agent: a}
 	a.configSync = &configSync{state: a.state, log: log}
 	a.failures = newFailureDetector(a)
 	a.hubs = newHubSet(a)
--- a/internal/router/agent/control_endpoint.go
+++ b/internal/router/agent/control_endpoint.go
@@ -11,7 +11,7 @@
 func (a *Agent) handleCall(call *controlserver.Call) *http1.Response {
 	switch {
 	case strings.HasPrefix(call.Path, serversPath) && call.Path != serversPath:
-		return a.handleServerCall(call)
+		return a.serverEndpoint.handle(call)
 	case call.Path == metricsPath:
 		return a.showMetrics(call)
 	case call.Path == membersPath:
--- a/internal/router/agent/load_table.go
+++ b/internal/router/agent/load_table.go
@@ -46,8 +46,8 @@
 }
 
 // loadTable holds the in-flight load of this process and, on a hub, of those that report to it. Its methods
-// are safe for concurrent use, but for those whose comment says that the lock is held. While the lock is held,
-// that of the hubs and those of the data plane may be taken.
+// are safe for concurrent use, but for those whose comment says that the lock is held. While it is held, the
+// lock of the hubs and those of the data plane may be taken.
 type loadTable struct {
 	agent *Agent
 
@@ -160,8 +160,8 @@
 // localLoad returns the load of this process and its followers; the lock is held.
 func (t *loadTable) localLoad() loadByServer { return t.followers.addedTo(t.own) }
 
-// loadExcept returns a total less the part of one process, at all servers or only at those that have changed;
-// the lock is held.
+// loadExcept returns a total less the part of one process, at all servers or only at those that have changed.
+// The lock is held.
 func (t *loadTable) loadExcept(total, part loadByServer, full bool) []peerproto.ServerLoad {
 	servers := []peerproto.ServerLoad{}
 	add := func(server string) {
--- a/internal/router/agent/server_endpoint.go
+++ b/internal/router/agent/server_endpoint.go
@@ -21,8 +21,14 @@
 	drainAckTimeout = 800 * time.Millisecond
 )
 
-// handleServerCall handles the heartbeat or the deregistration of a server.
-func (a *Agent) handleServerCall(call *controlserver.Call) *http1.Response {
+// serverEndpoint serves the heartbeats and the deregistrations of model servers: it merges them into the
+// directory and acknowledges them once the rest of the fleet learns them. It has no state of its own. Its
+// methods run on the goroutine of the call, are safe for concurrent use, and may wait for a majority of the
+// hubs for drainAckTimeout.
+type serverEndpoint struct{ agent *Agent }
+
+// handle handles the heartbeat or the deregistration of a server.
+func (e *serverEndpoint) handle(call *controlserver.Call) *http1.Response {
 	id := strings.TrimPrefix(call.Path, serversPath)
 	if id == "" || strings.Contains(id, "/") {
 		return controlserver.Text(404, "no server id in the path; call "+serversPath+"ID")
@@ -33,9 +39,9 @@
 		if err != nil {
 			return controlserver.Text(400, err.Error())
 		}
-		return a.handleHeartbeat(record)
+		return e.handleHeartbeat(record)
 	case "DELETE":
-		return a.deregister(id)
+		return e.deregister(id)
 	}
 	return controlserver.Text(405, "use PUT for a heartbeat and DELETE for the end")
 }
@@ -67,23 +73,24 @@
 // handleHeartbeat merges the record of a server, and acknowledges it if the rest of the fleet will learn it;
 // otherwise the server is to call another proxy. A drain is acknowledged only once a majority of the hubs has
 // it, because from then on proxies have a bounded time to send the server nothing more.
-func (a *Agent) handleHeartbeat(record *directory.Record) *http1.Response {
+func (e *serverEndpoint) handleHeartbeat(record *directory.Record) *http1.Response {
+	a := e.agent
 	switch {
 	case a.isShuttingDown():
-		return a.rejectHeartbeat(record.ID, "ending")
-	case !a.knowsFleet():
-		return a.rejectHeartbeat(record.ID, "no_view")
+		return e.reject(record.ID, "ending")
+	case !e.knowsFleet():
+		return e.reject(record.ID, "no_view")
 	}
 	now := a.now()
 	a.recordContact(record.ID)
 	if !a.quorum.reachesFleet() {
-		a.mergeHeartbeat(now, record) // known on this side of the partition; its watcher is on the other one
-		return a.rejectHeartbeat(record.ID, "no_majority")
+		e.mergeHeartbeat(now, record) // known on this side of the partition; its watcher is on the other one
+		return e.reject(record.ID, "no_majority")
 	}
 	record.Watcher = a.id
-	offset, late := a.mergeHeartbeat(now, record)
+	offset, late := e.mergeHeartbeat(now, record)
 	if record.State == directory.Draining && !a.quorum.awaitMajority(offset, drainAckTimeout) {
-		return a.rejectHeartbeat(record.ID, "drain_not_told")
+		return e.reject(record.ID, "drain_not_told")
 	}
 	a.metrics.countHeartbeat("acknowledged")
 	if late {
@@ -98,12 +105,15 @@
 
 // knowsFleet reports whether this process knows its hubs. Until the first view is decided, the seeds take its
 // place; a process that starts later has to learn the view.
-func (a *Agent) knowsFleet() bool { return a.settings.FirstStart || a.state.currentView().epoch > 0 }
+func (e *serverEndpoint) knowsFleet() bool {
+	return e.agent.settings.FirstStart || e.agent.state.currentView().epoch > 0
+}
 
 // mergeHeartbeat merges a heartbeat. It returns the offset of the directory that hubs must have to know it,
 // and whether it is late: a later one of the same server has been received before.
-func (a *Agent) mergeHeartbeat(now time.Duration, record *directory.Record) (offset uint64, late bool) {
-	a.state.update(now, func(d *directory.Directory) {
+func (e *serverEndpoint) mergeHeartbeat(now time.Duration,
+	record *directory.Record) (offset uint64, late bool) {
+	e.agent.state.update(now, func(d *directory.Directory) {
 		known := d.Get(record.ID)
 		late = known != nil && known.Sequence > record.Sequence
 		if known != nil && record.Watcher == "" {
@@ -118,7 +128,8 @@
 }
 
 // deregister ends the incarnation of a server, and acknowledges that once a majority of the hubs knows it.
-func (a *Agent) deregister(id string) *http1.Response {
+func (e *serverEndpoint) deregister(id string) *http1.Response {
+	a := e.agent
 	now := a.now()
 	var offset uint64
 	a.state.update(now, func(d *directory.Directory) {
@@ -131,17 +142,17 @@
 		offset = d.Offset()
 	})
 	if !a.quorum.awaitMajority(offset, drainAckTimeout) {
-		return a.rejectHeartbeat(id, "end_not_told")
+		return e.reject(id, "end_not_told")
 	}
 	a.metrics.countHeartbeat("end_acknowledged")
 	a.log.Info().Str("server", id).Msg("servers: deregistered")
 	return controlserver.JSON(200, []byte("{}"))
 }
 
-// rejectHeartbeat sends a server to another proxy. The reason goes to the metrics and the log.
-func (a *Agent) rejectHeartbeat(server, reason string) *http1.Response {
-	a.metrics.countHeartbeat(reason)
-	a.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: heartbeat rejected")
+// reject sends a server to another proxy. The reason goes to the metrics and the log.
+func (e *serverEndpoint) reject(server, reason string) *http1.Response {
+	e.agent.metrics.countHeartbeat(reason)
+	e.agent.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: heartbeat rejected")
 	return callAnotherProxy()
 }
 
