--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -3,6 +3,9 @@
 import (
 	"crypto/rand"
 	"encoding/hex"
+	"net"
+	"slices"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -41,32 +44,26 @@
 	load         *loadTable
 	knownProxies *knownProxies
 	lastSeen     *lastSeen
-	seedList     atomic.Pointer[[]string]
-
-	replicated     *broadcast // a hub has received records of this process
-	shuttingDown   atomic.Bool
-	fetchingConfig atomic.Bool // a configuration is being fetched from a hub
-	packed         packedConfig
-	shown          shownVersion
-	metrics        agentMetrics
+	persister    *persister // runs on a machine with a disk only
+
+	configEndpoint *configEndpoint
+	serverEndpoint *serverEndpoint
+	configSync     *configSync
+	failures       *failureDetector
+	hubs           *hubSet
+	quorum         *quorum
+	feeds          *feedServer
+	subscription   *subscription
+	antiEntropy    *antiEntropy
+	seedList       atomic.Pointer[[]string]
+
+	shuttingDown atomic.Bool
+	metrics      agentMetrics
 
 	selfMu sync.Mutex
 	self   directory.Record // of this process
 
-	hubsMu         sync.Mutex
-	hubs           map[string]*hub // by IP
-	linksClosed    bool            // for good
-	lastHubContact time.Duration   // when a hub last answered a ping
-
-	subscriptionMu sync.Mutex
-	subscription   subscription
-
-	feeds       feedSet
-	probes      probeSet
-	failures    failureDetector
 	lossReports lossReports // of the data plane; guarded by the lock of state
-
-	savedPrefixCount int // how many cached prefixes were last saved; of the goroutine of persistState
 }
 
 // New returns a process that does nothing yet. Run starts it.
@@ -75,8 +72,8 @@
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
 		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
-		hubs: map[string]*hub{}, replicated: newBroadcast(), lastSeen: newLastSeen(),
-		knownProxies: newKnownProxies(), feeds: newFeedSet(), probes: newProbeSet(),
+		lastSeen:     newLastSeen(),
+		knownProxies: newKnownProxies(),
 	}
 	for _, option := range options {
 		option(a)
@@ -91,6 +88,16 @@
 	a.configStore = newConfigStore(a)
 	a.demand = newDemandTable(a)
 	a.load = newLoadTable(a)
+	a.persister = &persister{agent: a}
+	a.configEndpoint = &configEndpoint{agent: a}
+	a.serverEndpoint = &serverEndpoint{agent: a}
+	a.configSync = &configSync{state: a.state, log: log}
+	a.failures = newFailureDetector(a)
+	a.hubs = newHubSet(a)
+	a.quorum = newQuorum(a)
+	a.feeds = newFeedServer(a)
+	a.subscription = &subscription{agent: a}
+	a.antiEntropy = &antiEntropy{agent: a}
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
 		if settings.FirstStart {
@@ -113,6 +120,22 @@
 // seeds returns the control addresses of some proxies, as last read from the settings file.
 func (a *Agent) seeds() []string { return *a.seedList.Load() }
 
+// isHub reports whether this process is a hub itself.
+func (a *Agent) isHub() bool {
+	view := a.state.currentView()
+	if view.epoch == 0 {
+		return slices.ContainsFunc(a.seeds(), func(seed string) bool {
+			return hostOf(seed) == a.settings.IP
+		})
+	}
+	return view.hasMember(a.settings.IP)
+}
+
+// peerAddress returns the address at which the process of a machine listens for other processes.
+func (a *Agent) peerAddress(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(a.settings.InnerPorts[0]))
+}
+
 func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
 
 // Run serves until stop closes, then shuts down and returns. The error is that of a listener that could not
@@ -134,17 +157,17 @@
 	<-stop
 	a.shutdown(listeners)
 	close(done)
-	a.closeLinks()
+	a.hubs.close()
 	a.configStore.close()
 	return nil
 }
 
 // startTasks starts the periodic tasks, which run until done closes.
 func (a *Agent) startTasks(done <-chan struct{}) {
-	go a.runSubscription(done)
+	go a.subscription.run(done)
 	go newViewAnnouncer(a).run(done)
-	go a.detectFailures(done)
-	go a.runAntiEntropy(done)
+	go a.failures.run(done)
+	go a.antiEntropy.run(done)
 	go a.demand.run(done)
 	go a.load.report(done)
 }
--- a/internal/router/agent/metrics.go
+++ b/internal/router/agent/metrics.go
@@ -58,25 +58,11 @@
 	peerproto.OutcomeInvalid:     "invalid",
 }
 
-func (a *Agent) observeConfigCall(call string, result *peerproto.Result) {
-	a.metrics.configCalls.With(metrics.Label{Name: "call", Value: call},
+func (m *agentMetrics) countConfigCall(call string, result *peerproto.Result) {
+	m.configCalls.With(metrics.Label{Name: "call", Value: call},
 		metrics.Label{Name: "outcome", Value: outcomeLabels[result.Outcome]}).Add(1)
 }
 
-// shownVersion is the highest version of the configuration that this process has acknowledged or shown to an
-// operator. A later read must not return an older one.
-type shownVersion struct{ version atomic.Int64 }
-
-func (s *shownVersion) highest() int64 { return s.version.Load() }
-
-func (s *shownVersion) raise(version int64) {
-	for highest := s.version.Load(); version > highest; highest = s.version.Load() {
-		if s.version.CompareAndSwap(highest, version) {
-			return
-		}
-	}
-}
-
 // acceptFailed records that a connection of another process, a server or an operator could not be accepted.
 // The listener retries.
 func (a *Agent) acceptFailed(err error) {
@@ -147,7 +133,8 @@
 	page.Gauge("cresshub_view_members", "Members of that view.", float64(len(view.members)))
 	page.Flag("cresshub_replica", "Whether this process is a replica of the control state.",
 		a.configStore.isMember())
-	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.", a.reachesMajority())
+	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.",
+		a.quorum.reachesMajority())
 	servers := map[directory.State]int{}
 	proxies := 0
 	a.state.read(func(d *directory.Directory) {
