--- a/internal/cluster/gossip/page.go
+++ b/internal/cluster/gossip/page.go
@@ -30,12 +30,24 @@
 	Suspected   int    `json:"suspected"` // times that this view had it suspect
 }
 
-// Counters count what this member observed since its start. Their names are those on the page.
+// Counters count what this member observed since its start. Their names and their order are those on the page.
 type Counters struct {
-	Joins, Restarts, Changes, Gone, Returned, Forgotten int
-	Conflicts, Refused, Rejoins, Syncs, LostChanges     int
-	MetaRefused                                         int // metadata of others that did not decode
-	MessagesRefused                                     int // messages of others that did not decode
+	// Changes of the view, by kind, see membership.ChangeKind.
+
+	Joins     int
+	Restarts  int
+	Changes   int // of a status or of metadata
+	Gone      int
+	Returned  int
+	Forgotten int
+	Conflicts int // claims to a name that another process has, as the view or memberlist saw them
+	Refused   int // names that found the table full
+
+	Rejoins         int // successful joins of seeds and recently dead members
+	Syncs           int // exchanges of full states with random members
+	LostChanges     int // changes that the reader of Fleet.Changes was too slow for
+	MetaRefused     int // metadata of others that did not decode
+	MessagesRefused int // messages of others that did not decode
 
 	Probes         int // probes sent
 	IndirectProbes int // requests to other members to probe one that did not answer
@@ -45,10 +57,14 @@
 	Refuted        int // suspicions in this view that their member refuted
 	Asked          int // suspects that states were exchanged with
 
-	PacketsIn, PacketsOut, StreamsIn, StreamsOut int64
-	BytesIn, BytesOut                            int64 // of datagrams and streams, labels included
-	WireRefused                                  int64 // malformed datagrams and streams
-	OtherLabel                                   int64 // datagrams and streams of another fleet
+	PacketsIn   int64 // datagrams received, rejected ones included
+	PacketsOut  int64 // datagrams sent
+	StreamsIn   int64 // streams that were checked, rejected ones included
+	StreamsOut  int64 // streams opened, or attempted to open
+	BytesIn     int64 // of datagrams and streams, labels included
+	BytesOut    int64 // the same
+	WireRefused int64 // malformed datagrams and streams
+	OtherLabel  int64 // datagrams and streams of another fleet
 }
 
 // Snapshot returns the view as it is now, members by name.
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -205,16 +205,22 @@
 	}
 }
 
-// startExport returns a sink, a store, and a lease holder "a" that exports the store's ledger to the sink.
-func startExport(t *testing.T) (*proxystandin.Sink, *memoryStore, *Runner) {
+// exportSetup is a lease holder "a" that exports a store's ledger to a sink.
+type exportSetup struct {
+	sink   *proxystandin.Sink
+	store  *memoryStore
+	holder *Runner
+}
+
+func startExport(t *testing.T) exportSetup {
 	t.Helper()
 	sink, err := proxystandin.StartSink("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(sink.Close)
-	s := newMemoryStore(t)
-	a := startRunner(t, s, "a", sink.Address(), nil)
-	eventually(t, "a owns", ownsLease(a))
-	return sink, s, a
+	store := newMemoryStore(t)
+	holder := startRunner(t, store, "a", sink.Address(), nil)
+	eventually(t, "a owns", ownsLease(holder))
+	return exportSetup{sink, store, holder}
 }
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -14,7 +14,8 @@
 // The next owner resumes an export with the same bytes; corrections of a period that was sent are sent on
 // their own; and a process releases the lease at its end.
 func TestNextOwnerResumesTheExport(t *testing.T) {
-	sink, s, a := startExport(t)
+	setup := startExport(t)
+	sink, s, a := setup.sink, setup.store, setup.holder
 	s.addPeriod(5)
 	eventually(t, "period 1", func() error { return exported(s, 1) })
 	sink.SetFault(proxystandin.SinkFault{Reset: true}) // the sink stores and a does not hear of it
@@ -62,7 +63,8 @@
 // A lease holder that is partitioned from the store stops before its lease has ended: it makes no more calls,
 // and its commands are rejected as stale.
 func TestPartitionedOwnerStopsByItself(t *testing.T) {
-	sink, s, a := startExport(t)
+	setup := startExport(t)
+	sink, s, a := setup.sink, setup.store, setup.holder
 	old, _ := a.activeLease()
 	b := startRunner(t, s, "b", sink.Address(), nil)
 	s.setPartitioned(true, "a")
@@ -82,7 +84,7 @@
 }
 
 func TestSinkResponsesAreCheckedAgainstWhatWasSent(t *testing.T) {
-	_, _, a := startExport(t)
+	exporter := startExport(t).holder.opts.Export
 	for name, c := range map[string]struct {
 		status int
 		body   string
@@ -100,7 +102,7 @@
 		"an error of the sink":    {500, "oh", 0, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := a.opts.Export.checkResponse(sinkResponse{c.status, []byte(c.body)}, c.sent)
+			err := exporter.checkResponse(sinkResponse{c.status, []byte(c.body)}, c.sent)
 			if (err != nil) != c.fails || errors.Is(err, errStaleToken) != c.stale {
 				t.Errorf("%d %s: %v", c.status, c.body, err)
 			}
--- a/internal/cluster/raftgroup/host_test.go
+++ b/internal/cluster/raftgroup/host_test.go
@@ -59,39 +59,39 @@
 	return cluster
 }
 
-func (cluster *testCluster) start(name string) *Host {
-	cluster.t.Helper()
-	h, err := Open(Options{Name: name, Bind: "127.0.0.1:0", Dir: cluster.dirs[name], Label: "test", Replicas: 3,
+func (c *testCluster) start(name string) *Host {
+	c.t.Helper()
+	h, err := Open(Options{Name: name, Bind: "127.0.0.1:0", Dir: c.dirs[name], Label: "test", Replicas: 3,
 		BootstrapExpect: 3, MaxLearnerLag: 20, HeartbeatInterval: 20 * time.Millisecond,
 		ElectionTimeout: 200 * time.Millisecond, GoneAfter: time.Hour, SnapshotEntries: 50,
 		SnapshotBytes: 1 << 20, Groups: []string{"g"},
 		NewStateMachine: func(string) StateMachine { return &adder{} }, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
-		cluster.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	cluster.mu.Lock()
-	cluster.hosts[name] = h
-	delete(cluster.down, name)
-	cluster.mu.Unlock()
-	if err := h.Run(cluster.view); err != nil {
-		cluster.t.Fatal(err)
+	c.mu.Lock()
+	c.hosts[name] = h
+	delete(c.down, name)
+	c.mu.Unlock()
+	if err := h.Run(c.view); err != nil {
+		c.t.Fatal(err)
 	}
 	return h
 }
 
-func (cluster *testCluster) stop(name string, gone bool) {
-	cluster.mu.Lock()
-	h := cluster.hosts[name]
-	cluster.down[name] = gone
-	cluster.mu.Unlock()
+func (c *testCluster) stop(name string, gone bool) {
+	c.mu.Lock()
+	h := c.hosts[name]
+	c.down[name] = gone
+	c.mu.Unlock()
 	h.Close()
 }
 
-func (cluster *testCluster) view() []Peer {
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
+func (c *testCluster) view() []Peer {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []Peer
-	for name, h := range cluster.hosts {
+	for name, h := range c.hosts {
 		closed := false
 		select {
 		case <-h.stop:
@@ -99,24 +99,24 @@
 		default:
 		}
 		out = append(out, Peer{Address: h.Address(), Member: placement.Member{Name: name, ReplicaID: h.ID(),
-			Live: !closed, Gone: cluster.down[name]}})
+			Live: !closed, Gone: c.down[name]}})
 	}
 	return out
 }
 
 func timeoutContext(t *testing.T) context.Context {
 	t.Helper()
-	c, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
-	return c
+	return ctx
 }
 
 // add proposes until it succeeds, and returns how often the outcome was unknown: what is proposed again after
 // that may count twice.
-func (cluster *testCluster) add(h *Host, x int) (unknown int) {
-	cluster.t.Helper()
+func (c *testCluster) add(h *Host, x int) (unknown int) {
+	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		_, err := h.Propose(timeoutContext(cluster.t), "g", []byte(strconv.Itoa(x)))
+		_, err := h.Propose(timeoutContext(c.t), "g", []byte(strconv.Itoa(x)))
 		if err == nil {
 			return unknown
 		}
@@ -124,23 +124,23 @@
 			unknown++
 		}
 	}
-	cluster.t.Fatal("never proposed")
+	c.t.Fatal("never proposed")
 	return 0
 }
 
-func (cluster *testCluster) read(h *Host) int64 {
-	cluster.t.Helper()
+func (c *testCluster) read(h *Host) int64 {
+	c.t.Helper()
 	var err error
 	for range 200 {
 		var raw json.RawMessage
-		if raw, err = h.Read(timeoutContext(cluster.t), "g", nil); err == nil {
+		if raw, err = h.Read(timeoutContext(c.t), "g", nil); err == nil {
 			var n int64
 			json.Unmarshal(raw, &n)
 			return n
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	cluster.t.Fatalf("never read: %v", err)
+	c.t.Fatalf("never read: %v", err)
 	return 0
 }
 
