--- a/internal/cluster/gossip/fleet.go
+++ b/internal/cluster/gossip/fleet.go
@@ -70,21 +70,21 @@
 // Start joins the fleet. It returns once this member listens and has attempted to join its seeds; those that
 // do not answer are joined again every RejoinInterval, and their failure is logged, not returned. Errors: a
 // wrong option, an address that can't be bound, a live member of the same name.
-func Start(o Options) (*Fleet, error) {
-	if err := o.Check(); err != nil {
+func Start(opts Options) (*Fleet, error) {
+	if err := opts.Check(); err != nil {
 		return nil, err
 	}
-	view, err := membership.NewView(o.Membership, o.Name)
+	view, err := membership.NewView(opts.Membership, opts.Name)
 	if err != nil {
 		return nil, err
 	}
-	f := newFleet(o, view)
+	f := newFleet(opts, view)
 	if err := f.listen(); err != nil {
-		return nil, fmt.Errorf("fleet.bind %s: %w", o.Bind, err)
+		return nil, fmt.Errorf("fleet.bind %s: %w", opts.Bind, err)
 	}
-	f.log.Info("fleet: listening", "gossip", f.Address(), "label", o.Label)
-	if len(o.Seeds) > 0 {
-		f.join(o.Seeds)
+	f.log.Info("fleet: listening", "gossip", f.Address(), "label", opts.Label)
+	if len(opts.Seeds) > 0 {
+		f.join(opts.Seeds)
 	}
 	if err := f.checkNameIsFree(); err != nil {
 		return nil, errors.Join(err, f.memberlist.Shutdown())
@@ -100,11 +100,11 @@
 }
 
 // newFleet returns a member that does not listen yet.
-func newFleet(o Options, view *membership.View) *Fleet {
+func newFleet(opts Options, view *membership.View) *Fleet {
 	f := &Fleet{
-		opts:                  o,
+		opts:                  opts,
 		start:                 time.Now(),
-		log:                   o.Log,
+		log:                   opts.Log,
 		view:                  view,
 		changes:               make(chan membership.Change, changesBuffer),
 		announcedLeaves:       map[string]uint64{},
@@ -115,16 +115,16 @@
 		suspectSyncs:          map[string]bool{},
 		stop:                  make(chan struct{}),
 	}
-	startTime := o.StartTime
+	startTime := opts.StartTime
 	if startTime.IsZero() {
 		startTime = f.start
 	}
 	f.meta.Store(&membership.Meta{
 		Incarnation:   uint64(startTime.UnixMilli()),
-		Version:       o.Version,
-		Hall:          o.Hall,
-		LedgerAddress: o.LedgerAddress,
-		ReplicaID:     o.ReplicaID,
+		Version:       opts.Version,
+		Hall:          opts.Hall,
+		LedgerAddress: opts.LedgerAddress,
+		ReplicaID:     opts.ReplicaID,
 	})
 	return f
 }
--- a/internal/cluster/gossip/page.go
+++ b/internal/cluster/gossip/page.go
@@ -30,7 +30,7 @@
 	Suspected   int    `json:"suspected"` // times that this view had it suspect
 }
 
-// Counters count what this member observed since its start. Their names and their order are those on the page.
+// Counters count what this member observed since its start. Their names and order are those on the page.
 type Counters struct {
 	// Changes of the view, by kind, see membership.ChangeKind.
 
@@ -40,7 +40,7 @@
 	Gone      int
 	Returned  int
 	Forgotten int
-	Conflicts int // claims to a name that another process has, as the view or memberlist saw them
+	Conflicts int // claims to a name that another process has, seen by the view or memberlist
 	Refused   int // names that found the table full
 
 	Rejoins         int // successful joins of seeds and recently dead members
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -70,14 +70,14 @@
 
 // Read answers a Query and changes nothing. It returns an error if the query doesn't decode or its kind is
 // unknown.
-func (m *Machine) Read(query []byte) (any, error) {
-	var q Query
-	if err := json.Unmarshal(query, &q); err != nil {
+func (m *Machine) Read(raw []byte) (any, error) {
+	var query Query
+	if err := json.Unmarshal(raw, &query); err != nil {
 		return nil, fmt.Errorf("a query that does not decode: %w", err)
 	}
-	switch q.Kind {
+	switch query.Kind {
 	case "":
-		return m.Ledger.Read(q.Query), nil
+		return m.Ledger.Read(query.Query), nil
 	case QueryGrant:
 		return m.grant(), nil
 	case QueryView:
@@ -86,12 +86,12 @@
 		return m.pendingExport(), nil
 	case QueryEndpoints:
 		view := m.endpointView()
-		if view.Changed > q.After {
+		if view.Changed > query.After {
 			view.Raw = m.state.Endpoints.Raw
 		}
 		return view, nil
 	}
-	return nil, fmt.Errorf("%q is no question", q.Kind)
+	return nil, fmt.Errorf("%q is no question", query.Kind)
 }
 
 // pendingExport returns what the owner has to do next. It aliases the state.
--- a/internal/cluster/groupstate/snapshot.go
+++ b/internal/cluster/groupstate/snapshot.go
@@ -45,18 +45,19 @@
 	if data[0] != kindSnapshot {
 		return m.restoreLedgerAlone(data)
 	}
-	var s snapshot
-	if err := logcodec.Decode(data[1:], &s); err != nil {
+	var stored snapshot
+	if err := logcodec.Decode(data[1:], &stored); err != nil {
 		return fmt.Errorf("a snapshot that does not decode: %w", err)
 	}
-	if s.Format != snapshotFormat {
-		return fmt.Errorf("a snapshot of the group of format %d; this program reads %d", s.Format, snapshotFormat)
+	if stored.Format != snapshotFormat {
+		return fmt.Errorf("a snapshot of the group of format %d; this program reads %d", stored.Format,
+			snapshotFormat)
 	}
-	if err := m.Ledger.Restore(s.Ledger); err != nil {
+	if err := m.Ledger.Restore(stored.Ledger); err != nil {
 		return err
 	}
-	m.state, m.appliedIndex = s.State, s.AppliedIndex
-	m.leases.Restore(s.Grants)
+	m.state, m.appliedIndex = stored.State, stored.AppliedIndex
+	m.leases.Restore(stored.Grants)
 	return nil
 }
 
--- a/internal/cluster/leaseholder/maintain.go
+++ b/internal/cluster/leaseholder/maintain.go
@@ -86,14 +86,14 @@
 // reportTransition counts and logs whether the lease was acquired or lost since the last call, and wakes the
 // publisher once it was acquired.
 func (r *Runner) reportTransition() {
-	t := r.recordTransition()
+	change := r.recordTransition()
 	switch {
-	case t.token == t.previous:
-	case t.token == 0:
-		r.opts.Log.Warn("owner: lease lost", "token", t.previous, "holder", t.grant.Holder, "its_token",
-			t.grant.Token)
+	case change.token == change.previous:
+	case change.token == 0:
+		r.opts.Log.Warn("owner: lease lost", "token", change.previous, "holder", change.grant.Holder, "its_token",
+			change.grant.Token)
 	default:
-		r.opts.Log.Info("owner: lease acquired", "token", t.token, "before", t.previous)
+		r.opts.Log.Info("owner: lease acquired", "token", change.token, "before", change.previous)
 		select {
 		case r.acquired <- struct{}{}:
 		default:
@@ -112,19 +112,19 @@
 func (r *Runner) recordTransition() transition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := transition{previous: r.activeToken, grant: r.candidate.Grant()}
+	change := transition{previous: r.activeToken, grant: r.candidate.Grant()}
 	if r.candidate.Owns(r.now()) {
-		t.token = r.candidate.Token()
+		change.token = r.candidate.Token()
 	}
-	r.activeToken = t.token
+	r.activeToken = change.token
 	switch {
-	case t.token == t.previous:
-	case t.token != 0:
+	case change.token == change.previous:
+	case change.token != 0:
 		r.stats.Grants++
 	default:
 		r.stats.Losses++
 	}
-	return t
+	return change
 }
 
 // resign gives up the lease at once and releases it in the log, so that another member need not wait for it
--- a/internal/cluster/leaseholder/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -65,6 +65,12 @@
 		grant = view.Grant
 	}
 	page.Holder, page.Token = grant.Holder, grant.Token
+	r.addRoles(&page, &view)
+	return page
+}
+
+// addRoles adds the state of this member's roles to a page that says whether this member owns them.
+func (r *Runner) addRoles(page *Page, view *groupstate.View) {
 	if exporter := r.opts.Export; exporter != nil {
 		status := exporter.roleStatus()
 		status.Backlog = view.Backlog + view.PendingCorrections
@@ -80,7 +86,6 @@
 			page.Roles[i].Problem = ""
 		}
 	}
-	return page
 }
 
 func (e *Exporter) roleStatus() RoleStatus {
--- a/internal/cluster/ledger/query.go
+++ b/internal/cluster/ledger/query.go
@@ -28,7 +28,7 @@
 }
 
 // Read answers a query.
-func (l *Ledger) Read(q Query) View {
+func (l *Ledger) Read(query Query) View {
 	view := View{
 		Index:      l.appliedIndex,
 		OpenPeriod: l.OpenPeriod(),
@@ -37,8 +37,8 @@
 		IDs:        l.idCount,
 	}
 	for _, p := range l.periods {
-		if q.Period == 0 || q.Period == p.id {
-			rows := p.rows(q.Tenant)
+		if query.Period == 0 || query.Period == p.id {
+			rows := p.rows(query.Tenant)
 			view.Periods = append(view.Periods, PeriodView{ID: p.id, ClosedMS: p.closedMS, Rows: rows})
 		}
 	}
--- a/internal/cluster/ledger/snapshot.go
+++ b/internal/cluster/ledger/snapshot.go
@@ -38,15 +38,15 @@
 
 // Snapshot encodes the full state. Equal states give equal bytes.
 func (l *Ledger) Snapshot() []byte {
-	s := snapshot{Format: snapshotFormat, AppliedIndex: l.appliedIndex, Stats: l.stats}
+	state := snapshot{Format: snapshotFormat, AppliedIndex: l.appliedIndex, Stats: l.stats}
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
 		known := l.members[name]
-		s.Members = append(s.Members, snapshotMember{name, known.incarnation, known.seq, known.index})
+		state.Members = append(state.Members, snapshotMember{name, known.incarnation, known.seq, known.index})
 	}
 	for _, p := range l.periods {
-		s.Periods = append(s.Periods, p.snapshot())
+		state.Periods = append(state.Periods, p.snapshot())
 	}
-	return logcodec.Encode(&s)
+	return logcodec.Encode(&state)
 }
 
 func (p *period) snapshot() snapshotPeriod {
@@ -64,23 +64,23 @@
 // Restore replaces the state by that of a snapshot; the settings and what SetMayDrop has set stay. A snapshot
 // that can't be read changes nothing.
 func (l *Ledger) Restore(data []byte) error {
-	var s snapshot
-	if err := logcodec.Decode(data, &s); err != nil {
+	var state snapshot
+	if err := logcodec.Decode(data, &state); err != nil {
 		return fmt.Errorf("a snapshot that does not decode: %w", err)
 	}
-	if s.Format != snapshotFormat {
-		return fmt.Errorf("a snapshot of format %d; this program reads %d", s.Format, snapshotFormat)
+	if state.Format != snapshotFormat {
+		return fmt.Errorf("a snapshot of format %d; this program reads %d", state.Format, snapshotFormat)
 	}
-	if len(s.Periods) == 0 {
+	if len(state.Periods) == 0 {
 		return errors.New("a snapshot without a period")
 	}
-	l.appliedIndex, l.stats, l.idCount = s.AppliedIndex, s.Stats, 0
+	l.appliedIndex, l.stats, l.idCount = state.AppliedIndex, state.Stats, 0
 	l.members, l.periods = map[string]*member{}, nil
-	for _, m := range s.Members {
+	for _, m := range state.Members {
 		l.members[m.Name] = &member{m.Incarnation, m.Seq, m.Index}
 	}
-	for i := range s.Periods {
-		p := s.Periods[i].restore()
+	for i := range state.Periods {
+		p := state.Periods[i].restore()
 		l.idCount += len(p.ids)
 		l.periods = append(l.periods, p)
 	}
@@ -88,28 +88,28 @@
 }
 
 func (s *snapshotPeriod) restore() *period {
-	p := newPeriod(s.ID)
-	p.closedMS, p.closedAtIndex = s.ClosedMS, s.ClosedAtIndex
+	restored := newPeriod(s.ID)
+	restored.closedMS, restored.closedAtIndex = s.ClosedMS, s.ClosedAtIndex
 	for _, row := range s.Rows {
 		if row.Usage != (Usage{}) {
-			p.usage[row.Key] = &row.Usage
+			restored.usage[row.Key] = &row.Usage
 		}
 		if row.Corrections != (Usage{}) {
-			p.corrections[row.Key] = &row.Corrections
+			restored.corrections[row.Key] = &row.Corrections
 		}
 	}
 	for _, id := range s.CorrectionIDs {
-		p.correctionIDs[id] = true
+		restored.correctionIDs[id] = true
 	}
 	for packed := s.IDs; len(packed) >= packedIDSize; packed = packed[packedIDSize:] {
 		id := binary.BigEndian.Uint64(packed)
-		p.ids[id] = true
-		p.idOrder = append(p.idOrder, id)
+		restored.ids[id] = true
+		restored.idOrder = append(restored.idOrder, id)
 	}
 	for _, tenant := range s.Tenants {
-		p.tenants[tenant] = true
+		restored.tenants[tenant] = true
 	}
-	return p
+	return restored
 }
 
 // packedIDSize is the size in bytes of a request id in a snapshot.
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -97,9 +97,9 @@
 	})
 }
 
-// Choose returns up to n of the candidates for a group that has replicas in the given halls: first those from
-// halls with the fewest replicas, so that the loss of a hall takes as few as possible, then by rank.
-func Choose(group string, candidates []Member, halls []string, n int) []Member {
+// Choose returns up to count of the candidates for a group that has replicas in the given halls: first those
+// from halls with the fewest replicas, so that the loss of a hall takes as few as possible, then by rank.
+func Choose(group string, candidates []Member, halls []string, count int) []Member {
 	remaining := slices.Clone(candidates)
 	Rank(group, remaining)
 	perHall := map[string]int{}
@@ -107,7 +107,7 @@
 		perHall[hall]++
 	}
 	var chosen []Member
-	for len(chosen) < n && len(remaining) > 0 {
+	for len(chosen) < count && len(remaining) > 0 {
 		best := 0
 		for i, member := range remaining {
 			if perHall[member.Hall] < perHall[remaining[best].Hall] {
--- a/internal/cluster/raftgroup/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -45,14 +45,14 @@
 }
 
 // Open opens the store and listens; Run follows, or Close. Errors name the setting or the file.
-func Open(o Options) (*Host, error) {
-	if err := o.Check(); err != nil {
+func Open(opts Options) (*Host, error) {
+	if err := opts.Check(); err != nil {
 		return nil, err
 	}
-	h := &Host{opts: o, log: o.Log, groups: map[string]*group{},
+	h := &Host{opts: opts, log: opts.Log, groups: map[string]*group{},
 		absentSince: map[string]time.Time{}, leaderHints: map[string]string{}, stop: make(chan struct{})}
 	var err error
-	if h.store, err = openStore(o.Dir, o.Label, o.Faults); err != nil {
+	if h.store, err = openStore(opts.Dir, opts.Label, opts.Faults); err != nil {
 		return nil, fmt.Errorf("ledger.data: %w", err)
 	}
 	if h.net, err = newNetwork(h); err != nil {
--- a/internal/cluster/raftgroup/store.go
+++ b/internal/cluster/raftgroup/store.go
@@ -86,29 +86,34 @@
 	if info.Size() == 0 {
 		return nil // made and not written yet
 	}
-	truncated := func(why string) error {
-		return fmt.Errorf("%s is cut off (%s); move it away and start again: the group brings this replica up "+
-			"anew from the others", path, why)
-	}
-	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: lockTimeout})
-	if errors.Is(err, bolterrors.ErrTimeout) {
+	size, err := sizeByMetaPage(path)
+	switch {
+	case errors.Is(err, bolterrors.ErrTimeout):
 		return fmt.Errorf("%s is held by another process", path)
+	case err != nil:
+		return truncatedError(path, err.Error())
+	case info.Size() < size:
+		return truncatedError(path, fmt.Sprintf("%d bytes of %d", info.Size(), size))
 	}
+	return nil
+}
+
+func truncatedError(path, why string) error {
+	return fmt.Errorf("%s is cut off (%s); move it away and start again: the group brings this replica up "+
+		"anew from the others", path, why)
+}
+
+// sizeByMetaPage is the size in bytes that a file's own meta page says it has.
+func sizeByMetaPage(path string) (size int64, err error) {
+	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: lockTimeout})
 	if err != nil {
-		return truncated(err.Error())
+		return 0, err
 	}
-	var size int64
 	err = db.View(func(tx *bolt.Tx) error {
 		size = tx.Size()
 		return nil
 	})
-	if err = errors.Join(err, db.Close()); err != nil {
-		return truncated(err.Error())
-	}
-	if info.Size() < size {
-		return truncated(fmt.Sprintf("%d bytes of %d", info.Size(), size))
-	}
-	return nil
+	return size, errors.Join(err, db.Close())
 }
 
 // identify reads whose the file is, or writes it into a new one.
