--- a/internal/router/agentsettings/settings.go
+++ b/internal/router/agentsettings/settings.go
@@ -1,7 +1,7 @@
 // Package agentsettings reads the settings file of a process of the router fleet: a JSON document in the
 // words of the operators' pages (an office is a machine's name, a district a zone). The file is given to a
 // process by CRESSHUB_NODE_FILE. Settings are read once; package agent applies only changed seeds while it
-// runs.
+// runs. docs/fleet-settings.md has every key; a test compares it with the parser.
 package agentsettings
 
 import (
@@ -27,6 +27,7 @@
 	// Zone is the failure domain of the machine (district, ""). Servers of the same zone are preferred.
 	Zone string
 	// Region is the region of the machine (region, ""), and Regions the region of each zone (districts, none).
+	// They have no effect.
 	Region  string
 	Regions map[string]string
 	// Front is the address for clients (counters.front, ""). Without it, the process has no data plane.
