--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"cresshub/internal/http1"
 	"cresshub/internal/router/scheduler"
 )
 
@@ -12,77 +11,77 @@
 // allows.
 func (rt *roundTrip) prefill() {
 	for rt.handle == nil && !rt.finished() && rt.unreachableServers < maxUnreachable {
-		c := rt.newCall(scheduler.Prefill)
-		if c == nil {
+		call := rt.newCall(scheduler.Prefill)
+		if call == nil {
 			return
 		}
-		failure := c.prefill()
+		failure := call.prefill()
 		if failure == nil {
 			rt.proxy.counters.prefills.Add(1)
 			return
 		}
 		rt.proxy.counters.prefillsFailed.Add(1)
-		if !rt.handlePrefillFailure(c, failure) {
+		if !rt.handlePrefillFailure(call, failure) {
 			return
 		}
 	}
 }
 
 // handlePrefillFailure records how prefill failed, and reports whether another server is asked for it.
-func (rt *roundTrip) handlePrefillFailure(c *call, f *callFailure) bool {
-	rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, c.choice.Server.ID)
-	switch f.fate {
+func (rt *roundTrip) handlePrefillFailure(call *call, failure *callFailure) bool {
+	rt.excludeServer(call)
+	switch failure.execution {
 	case notSent:
 		rt.unreachableServers++
 	case notRun:
 		rt.attempts.recordRejected()
 	case mayHaveRun:
 		rt.attempts.recordAccepted(scheduler.Prefill)
-		if !c.responseStarted { // it may have been queued there, which makes the next call a retry
+		if !call.responseStarted { // it may have been queued there, which makes the next call a retry
 			rt.attempts.unpaidPrefills++
 		}
-		return f.outcome != scheduler.TimedOut // a timeout leaves too little time for a second one
+		return failure.outcome != scheduler.TimedOut // a timeout leaves too little time for a second one
 	}
 	return true
 }
 
 // prefill makes the call that has the prompt prefilled.
 func (c *call) prefill() *callFailure {
-	f := c.connect()
-	if f != nil {
-		return c.finish(f)
+	failure := c.connect()
+	if failure != nil {
+		return c.finish(failure)
 	}
-	head, body, f := c.exchange()
-	if f == nil {
-		f = c.receiveHandle(head, body)
+	response, failure := c.exchange()
+	if failure == nil {
+		failure = c.receiveHandle(response)
 	}
-	if f == nil || f.outcome == scheduler.TimedOut {
+	if failure == nil || failure.outcome == scheduler.TimedOut {
 		c.roundTrip.proxy.prefillTimes.record(c.roundTrip.request.service.Name, time.Since(c.started))
 	}
-	return c.finish(f)
+	return c.finish(failure)
 }
 
 // receiveHandle takes the handle from the response to a prefill call.
-func (c *call) receiveHandle(head *http1.Response, body *http1.Body) *callFailure {
+func (c *call) receiveHandle(response serverResponse) *callFailure {
 	rt := c.roundTrip
-	class := classify(c.responseTraits(head, body))
-	buffered, err := bufferResponse(c, head, body)
-	if body.Complete() {
+	class := classify(c.responseTraits(response))
+	buffered, err := c.bufferResponse(response)
+	if response.body.Complete() {
 		c.recordBodyEnd()
 	}
 	switch {
 	case class == classMisdirected:
 		c.reportReplaced()
-		return &callFailure{outcome: scheduler.Misdirected, fate: notRun}
+		return &callFailure{outcome: scheduler.Misdirected, execution: notRun}
 	case class == classRejected:
-		return &callFailure{outcome: scheduler.Rejected, fate: notRun}
+		return &callFailure{outcome: scheduler.Rejected, execution: notRun}
 	case err != nil:
 		return c.failureFrom(err)
-	case head.Status >= 500:
-		return &callFailure{outcome: scheduler.Failed, fate: mayHaveRun}
+	case response.head.Status >= 500:
+		return &callFailure{outcome: scheduler.Failed, execution: mayHaveRun}
 	}
 	handle, ok := parseHandle(buffered.body)
-	if head.Status != 200 || !ok {
+	if response.head.Status != 200 || !ok {
 		return c.brokenFailure()
 	}
 	rt.attempts.recordAccepted(scheduler.Prefill)
