--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -48,6 +48,7 @@
 
 	configEndpoint *configEndpoint
 	serverEndpoint *serverEndpoint
+	dataplaneState *dataplaneState
 	configSync     *configSync
 	failures       *failureDetector
 	hubs           *hubSet
@@ -62,8 +63,6 @@
 
 	selfMu sync.Mutex
 	self   directory.Record // of this process
-
-	lossReports lossReports // of the data plane; guarded by the lock of state
 }
 
 // New returns a process that does nothing yet. Run starts it.
@@ -90,6 +89,7 @@
 	a.load = newLoadTable(a)
 	a.persister = &persister{agent: a}
 	a.configEndpoint = &configEndpoint{agent: a}
+	a.dataplaneState = &dataplaneState{agent: a, state: a.state}
 	a.serverEndpoint = &serverEndpoint{agent: a}
 	a.configSync = &configSync{state: a.state, log: log}
 	a.failures = newFailureDetector(a)
@@ -99,7 +99,7 @@
 	a.subscription = &subscription{agent: a}
 	a.antiEntropy = &antiEntropy{agent: a}
 	if settings.Front != "" {
-		a.proxy = dataplane.New(settings, (*dataplaneState)(a), log)
+		a.proxy = dataplane.New(settings, a.dataplaneState, log)
 		if settings.FirstStart {
 			a.proxy.MarkFleetStart()
 		}
--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -138,7 +138,7 @@
 		}
 	})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		a.reportLost(id, "test")
+		a.dataplaneState.reportLost(id, "test")
 	}
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
 }
@@ -157,7 +157,7 @@
 			d.Merge(now, proxy)
 		}
 	})
-	a.markPredecessorsLost("new")
+	a.failures.markPredecessorsLost("new")
 	a.state.read(func(d *directory.Directory) {
 		c.Check(d.Get("old").State, qt.Equals, directory.Lost)
 		c.Check(d.Get("new").State, qt.Equals, directory.Ready)
--- a/internal/router/agent/chain_bootstrap.go
+++ b/internal/router/agent/chain_bootstrap.go
@@ -31,7 +31,7 @@
 		m.bootstrap = nil
 		return
 	}
-	members := m.agent.machinesWithDisk()
+	members := m.machinesWithDisk()
 	now := m.agent.now()
 	if len(members) != m.bootstrap.candidates {
 		m.bootstrap.candidates, m.bootstrap.stableSince = len(members), now
@@ -46,9 +46,9 @@
 }
 
 // machinesWithDisk returns the machines whose processes have announced the identity of their disk.
-func (a *Agent) machinesWithDisk() []chain.Member {
+func (m *chainMember) machinesWithDisk() []chain.Member {
 	var members []chain.Member
-	a.state.read(func(d *directory.Directory) {
+	m.agent.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
 			if proxy.Member != "" {
 				members = append(members, chain.Member{ID: chain.MemberID(proxy.Member), Address: proxy.Address})
--- a/internal/router/agent/dataplane_state.go
+++ b/internal/router/agent/dataplane_state.go
@@ -16,8 +16,13 @@
 	maxLossReports   = 4
 )
 
-// dataplaneState is the Agent as the data plane sees it.
-type dataplaneState Agent
+// dataplaneState is what the data plane reads of this process, and where it reports lost servers. Its methods
+// are safe for concurrent use. Config, Servers and Proxies are called for each request; they take no lock.
+type dataplaneState struct {
+	agent       *Agent
+	state       *state
+	lossReports lossReports // guarded by the lock of the state
+}
 
 var _ dataplane.State = (*dataplaneState)(nil)
 
@@ -33,30 +38,30 @@
 // ReportReplaced reports that another incarnation answers at a server's address, so that the server has
 // ended.
 func (s *dataplaneState) ReportReplaced(server string) {
-	(*Agent)(s).reportLost(server, "its address has another server")
+	s.reportLost(server, "its address has another server")
 }
 
 // Suspect reports that a server's machine does not answer. The next heartbeat of the server refutes
 // it. It does nothing while no hub answers either, because then this machine is likely to be the one that is
 // partitioned.
 func (s *dataplaneState) Suspect(server string) {
-	a := (*Agent)(s)
-	if !a.hubs.isIsolated() {
-		a.reportLost(server, "its machine does not answer")
+	if !s.agent.hubs.isIsolated() {
+		s.reportLost(server, "its machine does not answer")
 	}
 }
 
 // reportLost marks a server lost, within the bound of reports.
-func (a *Agent) reportLost(server, reason string) {
+func (s *dataplaneState) reportLost(server, reason string) {
+	a := s.agent
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
 		known := d.Get(server)
-		if known == nil || !known.Live() || !a.lossReports.allow(now) {
+		if known == nil || !known.Live() || !s.lossReports.allow(now) {
 			return
 		}
 		lost := *known
 		lost.Watcher = a.id // this process then sends the record to the hubs
-		a.markLost(now, d, &lost, reason)
+		a.failures.markLost(now, d, &lost, reason)
 	})
 }
 
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -26,8 +26,9 @@
 )
 
 // failureDetector marks processes lost that do not call any more (this file), and probes servers whose
-// watcher is gone (unwatched.go). Its methods belong to the goroutine of run, but for those of a probe, which
-// has a goroutine of its own: probeServer and markUnwatchedLost. Methods that have the directory as a
+// watcher is gone (unwatched.go). Its methods belong to the goroutine of run, with three exceptions: a probe
+// has a goroutine of its own, which calls probeServer and markUnwatchedLost; the goroutines of connections
+// call markPredecessorsLost; and any goroutine may call markLost. Methods that have the directory as a
 // parameter are called with the lock of the state held.
 type failureDetector struct {
 	agent  *Agent
@@ -84,7 +85,7 @@
 		}
 		for _, record := range d.WatchedBy(a.id) {
 			if record.ID != a.id && f.isTimedOut(now, d, record, f.timeoutOf(record)) {
-				a.markLost(now, d, record, "silent")
+				f.markLost(now, d, record, "silent")
 			}
 		}
 		if isHub {
@@ -150,7 +151,7 @@
 func (f *failureDetector) expireOrders(now time.Duration, d *directory.Directory) {
 	for _, order := range d.Orders() {
 		if now-d.ModifiedAt(order.ID) > orderExpiry {
-			f.agent.markLost(now, d, order, "an order took too long")
+			f.markLost(now, d, order, "an order took too long")
 		}
 	}
 }
@@ -164,16 +165,36 @@
 		}
 		lastSeen, ok := a.lastSeen.of(record.ID)
 		if ok && now-max(lastSeen, f.observingSince) > hubTimeout {
-			a.markLost(now, d, record, "silent hub")
+			f.markLost(now, d, record, "silent hub")
 		}
 	}
 }
 
-// markLost marks a process lost. The directory's lock is held.
-func (a *Agent) markLost(now time.Duration, d *directory.Directory, record *directory.Record, reason string) {
+// markPredecessorsLost marks earlier processes of the same machine as lost, now that this one has called.
+// That is a guess: a message of an earlier process may arrive after its successor is known, as when a
+// partition delayed it. So they are marked lost, which they can refute, and not ended.
+func (f *failureDetector) markPredecessorsLost(peer string) {
+	now := f.agent.now()
+	f.agent.state.update(now, func(d *directory.Directory) {
+		caller := d.Get(peer)
+		if caller == nil || !caller.Live() {
+			return
+		}
+		for _, other := range d.Proxies() {
+			if other.Address == caller.Address && other.ID != caller.ID {
+				f.markLost(now, d, other, "another process of its machine calls")
+			}
+		}
+	})
+}
+
+// markLost marks a process lost. The lock of the state is held, by any goroutine. The reason goes to the
+// metrics and the log.
+func (f *failureDetector) markLost(now time.Duration, d *directory.Directory, record *directory.Record,
+	reason string) {
 	d.Merge(now, asLost(record))
-	a.metrics.countLost(record, reason)
-	a.log.Info().Str("id", record.ID).Str("address", record.Address).Str("reason", reason).
+	f.agent.metrics.countLost(record, reason)
+	f.agent.log.Info().Str("id", record.ID).Str("address", record.Address).Str("reason", reason).
 		Msg("directory: marked lost")
 }
 
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -28,7 +28,7 @@
 	a := newTestAgent(t)
 	a.id = "proxy-1"
 	a.settings.DataDir = t.TempDir()
-	a.proxy = dataplane.New(a.settings, (*dataplaneState)(a), zerolog.Nop())
+	a.proxy = dataplane.New(a.settings, a.dataplaneState, zerolog.Nop())
 	if golden {
 		c.Assert(os.CopyFS(a.settings.DataDir, os.DirFS(goldenPath(goldenData))), qt.IsNil)
 	}
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"cresshub/internal/router/directory"
 	"cresshub/internal/router/peerproto"
 	"cresshub/internal/router/transport"
 )
@@ -79,28 +78,10 @@
 		return
 	}
 	a.mergeRemote(upsert.Records)
-	a.markPredecessorsLost(c.Peer())
+	a.failures.markPredecessorsLost(c.Peer())
 	c.Answer(frame, peerproto.KindAck, nil)
 }
 
-// markPredecessorsLost marks earlier processes of the same machine as lost, now that this one has called.
-// That is a guess: a message of an earlier process may arrive after its successor is known, as when a
-// partition delayed it. So they are marked lost, which they can refute, and not ended.
-func (a *Agent) markPredecessorsLost(peer string) {
-	now := a.now()
-	a.state.update(now, func(d *directory.Directory) {
-		caller := d.Get(peer)
-		if caller == nil || !caller.Live() {
-			return
-		}
-		for _, other := range d.Proxies() {
-			if other.Address == caller.Address && other.ID != caller.ID {
-				a.markLost(now, d, other, "another process of its machine calls")
-			}
-		}
-	})
-}
-
 // serveConfigCall runs another process's call on the configuration in this member.
 func (a *Agent) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
 	result := unavailableResult("this machine does not keep the configuration")
--- a/internal/router/agent/peer_handler_test.go
+++ b/internal/router/agent/peer_handler_test.go
@@ -18,10 +18,10 @@
 	successor := earlier
 	successor.ID, successor.Sequence = "p2", 1
 	a.state.merge(a.now(), []directory.Record{earlier, successor})
-	a.markPredecessorsLost("p1") // it called before it ended, and the call arrives only now
-	successor.Sequence++         // the successor learns that it is marked lost, and refutes it
+	a.failures.markPredecessorsLost("p1") // it called before it ended, and the call arrives only now
+	successor.Sequence++                  // the successor learns that it is marked lost, and refutes it
 	a.state.merge(a.now(), []directory.Record{successor})
-	a.markPredecessorsLost("p2")
+	a.failures.markPredecessorsLost("p2")
 	a.state.read(func(d *directory.Directory) {
 		c.Check(d.Get("p2").Live(), qt.IsTrue)
 		c.Check(d.Get("p1").Live(), qt.IsFalse)
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -98,7 +98,7 @@
 // rebalance plans the roles of the servers of a service and sends the orders that this takes.
 func (r *roleAssigner) rebalance(service *fleetconfig.Service) {
 	a := r.agent
-	servers, addresses := a.assignableServers(service.Name)
+	servers, addresses := r.assignableServers(service.Name)
 	orders := roleplan.Plan(servers, a.demand.total(service.Name, a.now()))
 	if len(orders) == 0 {
 		return
@@ -117,9 +117,10 @@
 
 // assignableServers returns the ready servers of a service that have a role, and their addresses by id. A
 // server under an order counts with the role that it is to take.
-func (a *Agent) assignableServers(service string) (servers []roleplan.Server, addresses map[string]string) {
+func (r *roleAssigner) assignableServers(service string) (servers []roleplan.Server,
+	addresses map[string]string) {
 	addresses = map[string]string{}
-	a.state.read(func(d *directory.Directory) {
+	r.agent.state.read(func(d *directory.Directory) {
 		for _, record := range d.LiveServers() {
 			if record.Service != service || record.State != directory.Ready || record.Role == "" {
 				continue
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -155,7 +155,7 @@
 	now := a.now()
 	a.state.update(now, func(d *directory.Directory) {
 		if d.Get(record.ID) == record && f.isUnwatched(now, d, record) {
-			a.markLost(now, d, record, reason)
+			f.markLost(now, d, record, reason)
 		}
 	})
 }
--- a/internal/router/agent/view_announcer.go
+++ b/internal/router/agent/view_announcer.go
@@ -127,7 +127,7 @@
 func (v *viewAnnouncer) targetIPs() []string {
 	a := v.agent
 	isHub := a.isHub()
-	calling := a.callingAddresses()
+	calling := v.callingAddresses()
 	var ips []string
 	add := func(ip string) {
 		if ip != a.settings.IP && !calling[ip] && !slices.Contains(ips, ip) {
@@ -152,7 +152,8 @@
 }
 
 // callingAddresses returns the IPs of the proxies that have called this process within contactTimeout.
-func (a *Agent) callingAddresses() map[string]bool {
+func (v *viewAnnouncer) callingAddresses() map[string]bool {
+	a := v.agent
 	now := a.now()
 	calling := map[string]bool{}
 	a.state.read(func(d *directory.Directory) {
