--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -6,7 +6,6 @@
 	"net"
 	"slices"
 	"strconv"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -15,6 +14,7 @@
 	"cresshub/internal/router/agentsettings"
 	"cresshub/internal/router/dataplane"
 	"cresshub/internal/router/directory"
+	"cresshub/internal/router/peerproto"
 	"cresshub/internal/router/transport"
 	"cresshub/internal/segmentlog"
 )
@@ -49,6 +49,8 @@
 	configEndpoint *configEndpoint
 	serverEndpoint *serverEndpoint
 	dataplaneState *dataplaneState
+	peers          *peerHandler
+	self           *selfRecord
 	configSync     *configSync
 	failures       *failureDetector
 	hubs           *hubSet
@@ -60,9 +62,6 @@
 
 	shuttingDown atomic.Bool
 	metrics      agentMetrics
-
-	selfMu sync.Mutex
-	self   directory.Record // of this process
 }
 
 // New returns a process that does nothing yet. Run starts it.
@@ -80,16 +79,14 @@
 	a.endpoint = transport.NewEndpoint(a.network)
 	a.endpoint.OnAcceptError = a.acceptFailed
 	a.seedList.Store(&settings.Seeds)
-	a.self = directory.Record{
-		Kind: directory.KindProxy, ID: a.id, State: directory.Ready, Address: settings.IP, Zone: settings.Zone,
-		Name: settings.Name, Control: settings.Control,
-	}
+	a.self = newSelfRecord(a)
 	a.configStore = newConfigStore(a)
 	a.demand = newDemandTable(a)
 	a.load = newLoadTable(a)
 	a.persister = &persister{agent: a}
 	a.configEndpoint = &configEndpoint{agent: a}
 	a.dataplaneState = &dataplaneState{agent: a, state: a.state}
+	a.peers = &peerHandler{agent: a}
 	a.serverEndpoint = &serverEndpoint{agent: a}
 	a.configSync = &configSync{state: a.state, log: log}
 	a.failures = newFailureDetector(a)
@@ -138,6 +135,16 @@
 
 func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
 
+// hello returns the first message of a connection to another process.
+func (a *Agent) hello() []byte { return peerproto.Encode(&peerproto.Hello{ID: a.id}) }
+
+// status returns what this process answers to pings and announcements.
+func (a *Agent) status() *peerproto.Status {
+	v := a.state.currentView()
+	return &peerproto.Status{ID: a.id, Version: a.state.version(), Epoch: v.epoch, Members: v.members,
+		HasSnapshot: a.state.isSynced(), ReachesMajority: a.quorum.reachesFleet()}
+}
+
 // Run serves until stop closes, then shuts down and returns. The error is that of a listener that could not
 // be opened; nothing was started then.
 func (a *Agent) Run(stop <-chan struct{}) error {
@@ -147,7 +154,7 @@
 	}
 	done := make(chan struct{})
 	a.startDisk(done)
-	a.announceSelf(func(*directory.Record) {})
+	a.self.announce(func(*directory.Record) {})
 	a.startTasks(done)
 	a.serveAll(listeners)
 	closeMetrics := a.serveMetrics()
--- a/internal/router/agent/anti_entropy.go
+++ b/internal/router/agent/anti_entropy.go
@@ -74,7 +74,7 @@
 	if len(answer.Ranges) == 0 {
 		return
 	}
-	a.mergeRemote(answer.Records)
+	a.self.mergeRemote(answer.Records)
 	var own []directory.Record
 	a.state.read(func(d *directory.Directory) { own = copyRecords(d.InRanges(answer.Ranges)) })
 	upsert := peerproto.Encode(&peerproto.Records{Records: own})
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -59,7 +59,7 @@
 	if member == nil {
 		return
 	}
-	d.agent.announceSelf(func(self *directory.Record) { self.Member = member.identity })
+	d.agent.self.announce(func(self *directory.Record) { self.Member = member.identity })
 	d.member.Store(member)
 	if d.draining.Load() { // since before there was a member that could record it
 		member.drain()
--- a/internal/router/agent/deferred_store_test.go
+++ b/internal/router/agent/deferred_store_test.go
@@ -39,7 +39,7 @@
 
 // ownMember returns the identity of its disk that a process tells the others.
 func ownMember(a *Agent) string {
-	a.selfMu.Lock()
-	defer a.selfMu.Unlock()
-	return a.self.Member
+	a.self.mu.Lock()
+	defer a.self.mu.Unlock()
+	return a.self.record.Member
 }
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -81,7 +81,7 @@
 	s.source, s.lastReceived = next, now
 	s.sendFollow()
 	watcher := next.current().id
-	a.announceSelf(func(self *directory.Record) { self.Watcher = watcher })
+	a.self.announce(func(self *directory.Record) { self.Watcher = watcher })
 }
 
 // isUsable reports whether a hub may still be followed. One that does not reach a majority may miss what the
@@ -98,7 +98,7 @@
 		return
 	}
 	s.source = nil
-	s.agent.announceSelf(func(self *directory.Record) { self.Watcher = "" })
+	s.agent.self.announce(func(self *directory.Record) { self.Watcher = "" })
 }
 
 // sendFollow asks the source for its feed from the present offset on; the lock is held.
@@ -165,7 +165,7 @@
 		s.sendFollow()
 		return
 	}
-	a.mergeRemote(feed.Records)
+	a.self.mergeRemote(feed.Records)
 	s.feed, s.offset = feed.Feed, uint64(feed.To)
 	a.state.setSynced()
 }
--- a/internal/router/agent/listeners.go
+++ b/internal/router/agent/listeners.go
@@ -42,7 +42,7 @@
 
 // serveAll starts serving at all listeners. Each returns net.ErrClosed once the shutdown closes its listener.
 func (a *Agent) serveAll(l *listeners) {
-	go func() { _ = a.endpoint.Serve(l.peers, a) }()
+	go func() { _ = a.endpoint.Serve(l.peers, a.peers) }()
 	if l.control != nil {
 		go a.serveCalls(l.control, a.handleCall, maxCallBody)
 	}
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -5,23 +5,26 @@
 	"cresshub/internal/router/transport"
 )
 
-var _ transport.Handler = (*Agent)(nil)
+// peerHandler handles the frames that other processes send on connections that they have opened, and hands
+// each to the part of the agent that it concerns. It has no state of its own. The frames of one connection are
+// handled one after the other, on its goroutine; those of different connections at the same time.
+type peerHandler struct{ agent *Agent }
 
-// hello returns the first message of a connection to another process.
-func (a *Agent) hello() []byte { return peerproto.Encode(&peerproto.Hello{ID: a.id}) }
+var _ transport.Handler = (*peerHandler)(nil)
 
 // Handle handles a frame of another process. It implements transport.Handler and runs on the goroutine of the
 // connection, so that only calls that may take long are given a goroutine of their own.
-func (a *Agent) Handle(c *transport.Conn, frame peerproto.Frame) {
+func (p *peerHandler) Handle(c *transport.Conn, frame peerproto.Frame) {
+	a := p.agent
 	a.recordContact(c.Peer())
 	switch frame.Kind {
 	case peerproto.KindPing:
 		a.demand.record(c.Peer(), a.now(), frame.Body)
 		c.Answer(frame, peerproto.KindPong, peerproto.Encode(a.status()))
 	case peerproto.KindAnnounce:
-		a.handleAnnounce(c, frame)
+		p.handleAnnounce(c, frame)
 	case peerproto.KindUpsert:
-		a.handleUpsert(c, frame)
+		p.handleUpsert(c, frame)
 	case peerproto.KindFollow:
 		a.feeds.handleFollow(c, frame)
 	case peerproto.KindCompare:
@@ -29,7 +32,7 @@
 	case peerproto.KindConfigFetch:
 		c.Answer(frame, peerproto.KindResult, peerproto.Encode(a.configSync.inForce()))
 	case peerproto.KindPropose, peerproto.KindPatch, peerproto.KindRead:
-		go a.serveConfigCall(c, frame)
+		go p.serveConfigCall(c, frame)
 	case peerproto.KindLoadReport:
 		a.load.applyFollower(c, frame.Body)
 	case peerproto.KindHubLoadReport:
@@ -40,9 +43,9 @@
 }
 
 // Closed ends what depends on the connection of another process. It implements transport.Handler.
-func (a *Agent) Closed(c *transport.Conn) {
-	a.load.removePeer(c)
-	a.feeds.end(c)
+func (p *peerHandler) Closed(c *transport.Conn) {
+	p.agent.load.removePeer(c)
+	p.agent.feeds.end(c)
 }
 
 // decodeOrClose decodes a message of another process. A connection that carries a malformed one is closed.
@@ -54,43 +57,36 @@
 	return true
 }
 
-// status returns what this process answers to pings and announcements.
-func (a *Agent) status() *peerproto.Status {
-	v := a.state.currentView()
-	return &peerproto.Status{ID: a.id, Version: a.state.version(), Epoch: v.epoch, Members: v.members,
-		HasSnapshot: a.state.isSynced(), ReachesMajority: a.quorum.reachesFleet()}
-}
-
 // handleAnnounce learns the view from a process that announces it.
-func (a *Agent) handleAnnounce(c *transport.Conn, frame peerproto.Frame) {
+func (p *peerHandler) handleAnnounce(c *transport.Conn, frame peerproto.Frame) {
 	var status peerproto.Status
 	if !decodeOrClose(c, frame.Body, &status) {
 		return
 	}
-	a.hubs.learnView(&status)
-	c.Answer(frame, peerproto.KindPong, peerproto.Encode(a.status()))
+	p.agent.hubs.learnView(&status)
+	c.Answer(frame, peerproto.KindPong, peerproto.Encode(p.agent.status()))
 }
 
 // handleUpsert merges the records that a process answers for, or that anti-entropy found to be newer there.
-func (a *Agent) handleUpsert(c *transport.Conn, frame peerproto.Frame) {
+func (p *peerHandler) handleUpsert(c *transport.Conn, frame peerproto.Frame) {
 	var upsert peerproto.Records
 	if !decodeOrClose(c, frame.Body, &upsert) {
 		return
 	}
-	a.mergeRemote(upsert.Records)
-	a.failures.markPredecessorsLost(c.Peer())
+	p.agent.self.mergeRemote(upsert.Records)
+	p.agent.failures.markPredecessorsLost(c.Peer())
 	c.Answer(frame, peerproto.KindAck, nil)
 }
 
 // serveConfigCall runs another process's call on the configuration in this member.
-func (a *Agent) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
+func (p *peerHandler) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
 	result := unavailableResult("this machine does not keep the configuration")
 	var proposal peerproto.Proposal
 	switch {
-	case !a.configStore.isMember():
+	case !p.agent.configStore.isMember():
 	case frame.Kind != peerproto.KindRead && peerproto.Decode(frame.Body, &proposal) != nil:
 	default:
-		result = runLocally(a.configStore, frame.Kind, &proposal)
+		result = runLocally(p.agent.configStore, frame.Kind, &proposal)
 	}
 	c.Answer(frame, peerproto.KindResult, peerproto.Encode(result))
 }
--- a/internal/router/agent/self_record.go
+++ b/internal/router/agent/self_record.go
@@ -1,39 +1,62 @@
 package agent
 
-import "cresshub/internal/router/directory"
+import (
+	"sync"
+
+	"cresshub/internal/router/directory"
+)
+
+// selfRecord is this process's own record, which only this process may change: it announces changes under
+// higher sequence numbers, and refutes that it is lost. Its methods are safe for concurrent use. The lock may
+// be taken after that of the subscription and before that of the state. It orders the announcements, so it is
+// held until the record is in the directory.
+type selfRecord struct {
+	agent *Agent
+
+	mu     sync.Mutex
+	record directory.Record
+}
+
+func newSelfRecord(a *Agent) *selfRecord {
+	return &selfRecord{agent: a, record: directory.Record{
+		Kind: directory.KindProxy, ID: a.id, State: directory.Ready, Address: a.settings.IP,
+		Zone: a.settings.Zone, Name: a.settings.Name, Control: a.settings.Control,
+	}}
+}
 
 // mergeRemote merges records of another process, and refutes them if they say that this one is lost.
-func (a *Agent) mergeRemote(records []directory.Record) {
+func (r *selfRecord) mergeRemote(records []directory.Record) {
 	if len(records) == 0 {
 		return
 	}
-	a.state.merge(a.now(), records)
-	a.refute()
+	r.agent.state.merge(r.agent.now(), records)
+	r.refute()
 }
 
 // refute announces this process again if its record says that it is lost, as in SWIM.
-func (a *Agent) refute() {
+func (r *selfRecord) refute() {
 	var isLost bool
-	a.state.read(func(d *directory.Directory) {
-		known := d.Get(a.id)
+	r.agent.state.read(func(d *directory.Directory) {
+		known := d.Get(r.agent.id)
 		isLost = known != nil && known.State == directory.Lost
 	})
 	if isLost {
-		a.announceSelf(func(*directory.Record) {})
+		r.announce(func(*directory.Record) {})
 	}
 }
 
-// announceSelf changes this process's own record, gives it the next sequence number and merges it into the
+// announce changes this process's own record, gives it the next sequence number and merges it into the
 // directory, from where it is replicated to the hubs.
-func (a *Agent) announceSelf(change func(*directory.Record)) {
-	a.selfMu.Lock()
-	defer a.selfMu.Unlock()
+func (r *selfRecord) announce(change func(*directory.Record)) {
+	a := r.agent
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	a.state.read(func(d *directory.Directory) {
 		if known := d.Get(a.id); known != nil {
-			a.self.Sequence = max(a.self.Sequence, known.Sequence)
+			r.record.Sequence = max(r.record.Sequence, known.Sequence)
 		}
 	})
-	a.self.Sequence++
-	change(&a.self)
-	a.state.merge(a.now(), []directory.Record{a.self})
+	r.record.Sequence++
+	change(&r.record)
+	a.state.merge(a.now(), []directory.Record{r.record})
 }
--- a/internal/router/agent/shutdown.go
+++ b/internal/router/agent/shutdown.go
@@ -47,7 +47,7 @@
 // announceShutdown announces that this process has ended, and waits until a majority of the hubs knows it, or
 // for a timeout.
 func (a *Agent) announceShutdown(timeout time.Duration) {
-	a.announceSelf(func(self *directory.Record) { self.State = directory.Ended })
+	a.self.announce(func(self *directory.Record) { self.State = directory.Ended })
 	var offset uint64
 	a.state.read(func(d *directory.Directory) { offset = d.Offset() })
 	a.quorum.awaitMajority(offset, timeout)
