--- a/internal/router/agent/accessors.go
+++ b/internal/router/agent/accessors.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"cresshub/internal/metrics"
 	"cresshub/internal/router/catalog"
 	"cresshub/internal/router/directory"
 	"cresshub/internal/router/transport"
@@ -9,6 +10,9 @@
 // The accessors serve a program that runs many agents and observes them, such as a simulation. They are safe
 // for concurrent use.
 
+// WriteMetrics writes the metrics of the control side and, where there is one, of the data plane.
+func (a *Agent) WriteMetrics(page *metrics.Page) { a.metricsEndpoint.write(page) }
+
 // ID returns the id of this process's record in the directory.
 func (a *Agent) ID() string { return a.id }
 
--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -46,19 +46,21 @@
 	lastSeen     *lastSeen
 	persister    *persister // runs on a machine with a disk only
 
-	configEndpoint *configEndpoint
-	serverEndpoint *serverEndpoint
-	dataplaneState *dataplaneState
-	peers          *peerHandler
-	self           *selfRecord
-	configSync     *configSync
-	failures       *failureDetector
-	hubs           *hubSet
-	quorum         *quorum
-	feeds          *feedServer
-	subscription   *subscription
-	antiEntropy    *antiEntropy
-	seedList       atomic.Pointer[[]string]
+	configEndpoint  *configEndpoint
+	serverEndpoint  *serverEndpoint
+	listEndpoint    *listEndpoint
+	metricsEndpoint *metricsEndpoint
+	dataplaneState  *dataplaneState
+	peers           *peerHandler
+	self            *selfRecord
+	configSync      *configSync
+	failures        *failureDetector
+	hubs            *hubSet
+	quorum          *quorum
+	feeds           *feedServer
+	subscription    *subscription
+	antiEntropy     *antiEntropy
+	seedList        atomic.Pointer[[]string]
 
 	shuttingDown atomic.Bool
 	metrics      agentMetrics
@@ -88,6 +90,8 @@
 	a.dataplaneState = &dataplaneState{agent: a, state: a.state}
 	a.peers = &peerHandler{agent: a}
 	a.serverEndpoint = &serverEndpoint{agent: a}
+	a.listEndpoint = &listEndpoint{agent: a}
+	a.metricsEndpoint = &metricsEndpoint{agent: a}
 	a.configSync = &configSync{state: a.state, log: log}
 	a.failures = newFailureDetector(a)
 	a.hubs = newHubSet(a)
@@ -157,7 +161,7 @@
 	a.self.announce(func(*directory.Record) {})
 	a.startTasks(done)
 	a.serveAll(listeners)
-	closeMetrics := a.serveMetrics()
+	closeMetrics := a.metricsEndpoint.serve()
 	defer closeMetrics()
 	a.log.Info().Str("id", a.id).Str("zone", a.settings.Zone).Strs("seeds", a.seeds()).
 		Bool("first_start", a.settings.FirstStart).Str("data_dir", a.settings.DataDir).Msg("agent: started")
--- a/internal/router/agent/control_endpoint.go
+++ b/internal/router/agent/control_endpoint.go
@@ -13,11 +13,11 @@
 	case strings.HasPrefix(call.Path, serversPath) && call.Path != serversPath:
 		return a.serverEndpoint.handle(call)
 	case call.Path == metricsPath:
-		return a.showMetrics(call)
+		return a.metricsEndpoint.show(call)
 	case call.Path == membersPath:
-		return a.listMembers(call)
+		return a.listEndpoint.members(call)
 	case call.Path == serverListPath:
-		return a.listServers(call)
+		return a.listEndpoint.servers(call)
 	case call.Path == configPath:
 		return a.configEndpoint.handle(call)
 	}
--- a/internal/router/agent/list_endpoint.go
+++ b/internal/router/agent/list_endpoint.go
@@ -11,7 +11,6 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// The endpoints that list what this process knows. They change nothing and call no other process.
 const (
 	membersPath    = "/api/members"
 	serverListPath = "/api/servers"
@@ -61,7 +60,12 @@
 	directory.Ready: "ready", directory.Draining: "draining", directory.Lost: "lost", directory.Ended: "ended",
 }
 
-func (a *Agent) listMembers(call *controlserver.Call) *http1.Response {
+// listEndpoint lists what this process knows. It changes nothing, calls no other process, has no state of its
+// own and is safe for concurrent use.
+type listEndpoint struct{ agent *Agent }
+
+func (e *listEndpoint) members(call *controlserver.Call) *http1.Response {
+	a := e.agent
 	if call.Method != "GET" {
 		return onlyGet()
 	}
@@ -86,12 +90,12 @@
 	}
 }
 
-func (a *Agent) listServers(call *controlserver.Call) *http1.Response {
+func (e *listEndpoint) servers(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
 		return onlyGet()
 	}
-	list := serverList{Asked: a.id, Servers: []listedServer{}}
-	a.state.read(func(d *directory.Directory) {
+	list := serverList{Asked: e.agent.id, Servers: []listedServer{}}
+	e.agent.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindServer) {
 			list.Servers = append(list.Servers, listServer(d, record))
 		}
--- a/internal/router/agent/listeners.go
+++ b/internal/router/agent/listeners.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net"
 
+	"cresshub/internal/invariant"
 	"cresshub/internal/router/controlserver"
 	"cresshub/internal/router/fleetconfig"
 )
@@ -60,3 +61,20 @@
 		OnPanic: a.handlerPanicked}
 	_ = server.Serve(listener) // net.ErrClosed
 }
+
+// acceptFailed records that a connection of another process, a server or an operator could not be accepted.
+// The listener retries.
+func (a *Agent) acceptFailed(err error) {
+	a.metrics.acceptErrors.Add(1)
+	a.acceptLog.Warn().Err(err).Msg("agent: accepting a connection failed; retrying")
+}
+
+// handlerPanicked records that the handler of a call panicked. A violated invariant panics in tests only, and
+// ends them.
+func (a *Agent) handlerPanicked(err *controlserver.PanicError) {
+	if violation, ok := err.Value.(*invariant.ViolationError); ok {
+		panic(violation)
+	}
+	a.metrics.handlerPanics.Add(1)
+	a.log.Error().Err(err).Bytes("stack", err.Stack).Msg("agent: handler panicked")
+}
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -6,8 +6,8 @@
 )
 
 // peerHandler handles the frames that other processes send on connections that they have opened, and hands
-// each to the part of the agent that it concerns. It has no state of its own. The frames of one connection are
-// handled one after the other, on its goroutine; those of different connections at the same time.
+// each to the part of the agent that it concerns. It has no state of its own. The frames of one connection
+// are handled one after the other, on its goroutine; those of different connections at the same time.
 type peerHandler struct{ agent *Agent }
 
 var _ transport.Handler = (*peerHandler)(nil)
