--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -19,10 +19,16 @@
 	"cresshub/internal/segmentlog"
 )
 
-// maxAcceptLogLines is how many lines a second are logged of connections that could not be accepted.
-const maxAcceptLogLines = 2
+const (
+	// maxAcceptLogLines is how many lines a second are logged of connections that could not be accepted.
+	maxAcceptLogLines = 2
+	// diskOpenTimeout bounds how long the start waits for the disk, so that the first status that is sent to
+	// others normally reflects what is on it.
+	diskOpenTimeout = 300 * time.Millisecond
+)
 
-// Agent is one process of the router fleet.
+// Agent is one process of the router fleet. It starts its parts, which do the work, and shuts them down. Each
+// part is a type of its own that holds its state and its lock; doc.go tells how they run at the same time.
 type Agent struct {
 	// Set by New and not changed later.
 	settings     *agentsettings.Settings
@@ -38,30 +44,37 @@
 	assignsRoles bool             // to model servers, while this process is the head of the chain
 	metricsPort  int              // 0 for none
 
-	state        *state
-	configStore  configStore
-	demand       *demandTable
-	load         *loadTable
-	knownProxies *knownProxies
-	lastSeen     *lastSeen
-	persister    *persister // runs on a machine with a disk only
-
+	// What the process knows.
+	state        *state        // the directory, the configuration in force and the view
+	self         *selfRecord   // its own record in the directory
+	lastSeen     *lastSeen     // when others last called it
+	knownProxies *knownProxies // addresses that outlive the process
+	persister    *persister    // what is saved on disk; runs on a machine with a disk only
+
+	// Its exchange with the other processes.
+	peers        *peerHandler     // frames on connections that others have opened
+	hubs         *hubSet          // links to the hubs
+	quorum       *quorum          // whether a majority of the members is reached
+	subscription *subscription    // the feed that it follows
+	feeds        *feedServer      // the feeds that it serves
+	antiEntropy  *antiEntropy     // repairs differences between directories
+	failures     *failureDetector // marks other processes lost
+	demand       *demandTable     // the demand at each service
+	load         *loadTable       // the in-flight load at each server
+
+	// The configuration.
+	configStore configStore // its replica, where the machine has a disk
+	configSync  *configSync // the configuration in force, from and to other processes
+
+	// The calls of operators and servers, and of the data plane.
 	configEndpoint  *configEndpoint
 	serverEndpoint  *serverEndpoint
 	listEndpoint    *listEndpoint
 	metricsEndpoint *metricsEndpoint
 	dataplaneState  *dataplaneState
-	peers           *peerHandler
-	self            *selfRecord
-	configSync      *configSync
-	failures        *failureDetector
-	hubs            *hubSet
-	quorum          *quorum
-	feeds           *feedServer
-	subscription    *subscription
-	antiEntropy     *antiEntropy
-	seedList        atomic.Pointer[[]string]
 
+	// Safe for concurrent use without a lock.
+	seedList     atomic.Pointer[[]string]
 	shuttingDown atomic.Bool
 	metrics      agentMetrics
 }
@@ -71,9 +84,7 @@
 	a := &Agent{
 		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
-		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(), state: newState(),
-		lastSeen:     newLastSeen(),
-		knownProxies: newKnownProxies(),
+		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(),
 	}
 	for _, option := range options {
 		option(a)
@@ -81,24 +92,7 @@
 	a.endpoint = transport.NewEndpoint(a.network)
 	a.endpoint.OnAcceptError = a.acceptFailed
 	a.seedList.Store(&settings.Seeds)
-	a.self = newSelfRecord(a)
-	a.configStore = newConfigStore(a)
-	a.demand = newDemandTable(a)
-	a.load = newLoadTable(a)
-	a.persister = &persister{agent: a}
-	a.configEndpoint = &configEndpoint{agent: a}
-	a.dataplaneState = &dataplaneState{agent: a, state: a.state}
-	a.peers = &peerHandler{agent: a}
-	a.serverEndpoint = &serverEndpoint{agent: a}
-	a.listEndpoint = &listEndpoint{agent: a}
-	a.metricsEndpoint = &metricsEndpoint{agent: a}
-	a.configSync = &configSync{state: a.state, log: log}
-	a.failures = newFailureDetector(a)
-	a.hubs = newHubSet(a)
-	a.quorum = newQuorum(a)
-	a.feeds = newFeedServer(a)
-	a.subscription = &subscription{agent: a}
-	a.antiEntropy = &antiEntropy{agent: a}
+	a.createParts()
 	if settings.Front != "" {
 		a.proxy = dataplane.New(settings, a.dataplaneState, log)
 		if settings.FirstStart {
@@ -109,44 +103,32 @@
 	return a, nil
 }
 
-func randomID() string {
-	var random [6]byte
-	_, _ = rand.Read(random[:]) // it never fails
-	return hex.EncodeToString(random[:])
-}
-
-// now returns the time on the monotonic clock since the process started.
-func (a *Agent) now() time.Duration { return time.Since(a.started) }
-
-// seeds returns the control addresses of some proxies, as last read from the settings file.
-func (a *Agent) seeds() []string { return *a.seedList.Load() }
-
-// isHub reports whether this process is a hub itself.
-func (a *Agent) isHub() bool {
-	view := a.state.currentView()
-	if view.epoch == 0 {
-		return slices.ContainsFunc(a.seeds(), func(seed string) bool {
-			return hostOf(seed) == a.settings.IP
-		})
-	}
-	return view.hasMember(a.settings.IP)
-}
-
-// peerAddress returns the address at which the process of a machine listens for other processes.
-func (a *Agent) peerAddress(ip string) string {
-	return net.JoinHostPort(ip, strconv.Itoa(a.settings.InnerPorts[0]))
-}
+// createParts creates the parts of the agent. None of them runs yet.
+func (a *Agent) createParts() {
+	a.state = newState()
+	a.self = newSelfRecord(a)
+	a.lastSeen = newLastSeen()
+	a.knownProxies = newKnownProxies()
+	a.persister = &persister{agent: a}
 
-func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
+	a.peers = &peerHandler{agent: a}
+	a.hubs = newHubSet(a)
+	a.quorum = newQuorum(a)
+	a.subscription = &subscription{agent: a}
+	a.feeds = newFeedServer(a)
+	a.antiEntropy = &antiEntropy{agent: a}
+	a.failures = newFailureDetector(a)
+	a.demand = newDemandTable(a)
+	a.load = newLoadTable(a)
 
-// hello returns the first message of a connection to another process.
-func (a *Agent) hello() []byte { return peerproto.Encode(&peerproto.Hello{ID: a.id}) }
+	a.configStore = newConfigStore(a)
+	a.configSync = &configSync{state: a.state, log: a.log}
 
-// status returns what this process answers to pings and announcements.
-func (a *Agent) status() *peerproto.Status {
-	v := a.state.currentView()
-	return &peerproto.Status{ID: a.id, Version: a.state.version(), Epoch: v.epoch, Members: v.members,
-		HasSnapshot: a.state.isSynced(), ReachesMajority: a.quorum.reachesFleet()}
+	a.configEndpoint = &configEndpoint{agent: a}
+	a.serverEndpoint = &serverEndpoint{agent: a}
+	a.listEndpoint = &listEndpoint{agent: a}
+	a.metricsEndpoint = &metricsEndpoint{agent: a}
+	a.dataplaneState = &dataplaneState{agent: a, state: a.state}
 }
 
 // Run serves until stop closes, then shuts down and returns. The error is that of a listener that could not
@@ -173,6 +155,27 @@
 	return nil
 }
 
+// startDisk starts the configuration store and the persistence of the state, and waits until both have read
+// the disk, or for diskOpenTimeout.
+func (a *Agent) startDisk(done <-chan struct{}) {
+	a.configStore.start(done)
+	if a.settings.DataDir == "" {
+		return
+	}
+	loaded := make(chan struct{})
+	go a.persister.run(loaded, done)
+	timeout := time.NewTimer(diskOpenTimeout)
+	defer timeout.Stop()
+	for _, opened := range []<-chan struct{}{loaded, a.configStore.opened()} {
+		select {
+		case <-opened:
+		case <-timeout.C:
+			a.log.Warn().Msg("agent: starting before the disk is open")
+			return
+		}
+	}
+}
+
 // startTasks starts the periodic tasks, which run until done closes.
 func (a *Agent) startTasks(done <-chan struct{}) {
 	go a.subscription.run(done)
@@ -182,3 +185,46 @@
 	go a.demand.run(done)
 	go a.load.report(done)
 }
+
+// now returns the time on the monotonic clock since the process started.
+func (a *Agent) now() time.Duration { return time.Since(a.started) }
+
+// seeds returns the control addresses of some proxies, as last read from the settings file.
+func (a *Agent) seeds() []string { return *a.seedList.Load() }
+
+// isHub reports whether this process is a hub itself.
+func (a *Agent) isHub() bool {
+	view := a.state.currentView()
+	if view.epoch == 0 {
+		return slices.ContainsFunc(a.seeds(), func(seed string) bool {
+			return hostOf(seed) == a.settings.IP
+		})
+	}
+	return view.hasMember(a.settings.IP)
+}
+
+// peerAddress returns the address at which the process of a machine listens for other processes.
+func (a *Agent) peerAddress(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(a.settings.InnerPorts[0]))
+}
+
+func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
+
+// recordContact records that a process or server has just called.
+func (a *Agent) recordContact(id string) { a.lastSeen.record(id, a.now()) }
+
+// hello returns the first message of a connection to another process.
+func (a *Agent) hello() []byte { return peerproto.Encode(&peerproto.Hello{ID: a.id}) }
+
+// status returns what this process answers to pings and announcements.
+func (a *Agent) status() *peerproto.Status {
+	v := a.state.currentView()
+	return &peerproto.Status{ID: a.id, Version: a.state.version(), Epoch: v.epoch, Members: v.members,
+		HasSnapshot: a.state.isSynced(), ReachesMajority: a.quorum.reachesFleet()}
+}
+
+func randomID() string {
+	var random [6]byte
+	_, _ = rand.Read(random[:]) // it never fails
+	return hex.EncodeToString(random[:])
+}
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -8,34 +8,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-const (
-	// diskRetryInterval is the interval between two attempts to open the disk.
-	diskRetryInterval = 500 * time.Millisecond
-	// diskOpenTimeout bounds how long the start waits for the disk, so that the first status that is sent to
-	// others normally reflects what is on it.
-	diskOpenTimeout = 300 * time.Millisecond
-)
-
-// startDisk starts the configuration store and the persistence of the state, and waits until both have read
-// the disk, or for diskOpenTimeout.
-func (a *Agent) startDisk(done <-chan struct{}) {
-	a.configStore.start(done)
-	if a.settings.DataDir == "" {
-		return
-	}
-	loaded := make(chan struct{})
-	go a.persister.run(loaded, done)
-	timeout := time.NewTimer(diskOpenTimeout)
-	defer timeout.Stop()
-	for _, opened := range []<-chan struct{}{loaded, a.configStore.opened()} {
-		select {
-		case <-opened:
-		case <-timeout.C:
-			a.log.Warn().Msg("agent: starting before the disk is open")
-			return
-		}
-	}
-}
+// diskRetryInterval is the interval between two attempts to open the disk.
+const diskRetryInterval = 500 * time.Millisecond
 
 // deferredStore is the configStore of a machine with a disk. It opens the disk in the background, because
 // that may hang or fail: until the disk is open, the process serves like one without a disk.
--- a/internal/router/agent/last_seen.go
+++ b/internal/router/agent/last_seen.go
@@ -44,6 +44,3 @@
 		delete(l.at, id)
 	}
 }
-
-// recordContact records that a process or server has just called.
-func (a *Agent) recordContact(id string) { a.lastSeen.record(id, a.now()) }
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -186,7 +186,7 @@
 		return
 	}
 	status := 0
-	answer, err := a.callServer(address, &http1.Request{Method: "POST", Target: orderPath, Body: body,
+	answer, err := callServer(a.network, address, &http1.Request{Method: "POST", Target: orderPath, Body: body,
 		Header: http1.Header{{Name: "Content-Type", Value: "application/json"},
 			{Name: expectServerHeader, Value: order.Server}}}, orderTimeout)
 	if err == nil {
--- a/internal/router/agent/server_call.go
+++ b/internal/router/agent/server_call.go
@@ -6,15 +6,16 @@
 	"time"
 
 	"cresshub/internal/http1"
+	"cresshub/internal/router/transport"
 )
 
 // callServer makes one call to a server on a connection of its own. A failed call resets the connection, so
 // that the kernel does not deliver unsent bytes when a partition heals: an order that was given up must not
 // arrive later.
-func (a *Agent) callServer(address string, request *http1.Request,
+func callServer(network transport.Network, address string, request *http1.Request,
 	timeout time.Duration) (*http1.Response, error) {
 	deadline := time.Now().Add(timeout)
-	conn, err := a.network.Dial(address, timeout)
+	conn, err := network.Dial(address, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -142,7 +142,7 @@
 		path = config.Services[record.Service].HealthPath
 	}
 	request := &http1.Request{Method: "GET", Target: path}
-	answer, err := f.agent.callServer(record.Address, request, probeTimeout)
+	answer, err := callServer(f.agent.network, record.Address, request, probeTimeout)
 	if err != nil {
 		return "", err
 	}
