--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -5,24 +5,12 @@
 	"errors"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"cresshub/internal/invariant"
-	"cresshub/internal/router/catalog"
 )
 
 const (
-	// defaultIdleTime is how long a connection stays idle whose server does not announce a time; it would
-	// announce whole seconds.
-	defaultIdleTime = 900 * time.Millisecond
-	// maxIdleTime bounds how long a connection stays idle, whatever its server announces.
-	maxIdleTime = 30 * time.Second
-	// maxIdleTimeUnsafe bounds it for requests that must not be sent twice: if the server closes the connection
-	// while the request is on its way, nobody knows whether it ran.
-	maxIdleTimeUnsafe = 4 * time.Second
-	// keepAliveMargin is subtracted from the time that a server announces.
-	keepAliveMargin = 500 * time.Millisecond
 	// minPerServer is how many connections to a server a proxy may have however many proxies there are.
 	minPerServer  = 2
 	sweepInterval = time.Second
@@ -33,29 +21,19 @@
 	"all connections that this proxy may have to the server are in use; use another",
 )
 
-// connection is a connection to a server's incarnation. One call at a time uses it.
-type connection struct {
-	*socket
-	server      string
-	reused      bool        // it has carried a request before
-	lastRequest uint64      // number of the last request on it, 0 for one of the proxy's own
-	largeBody   atomic.Bool // its last request has a large body
-	idleSince   time.Time
-	expiresAt   time.Time
-}
-
 // pool keeps the connections to servers, by incarnation. It is safe for concurrent use.
 type pool struct {
 	counters *counters
-	isListed func(server string) bool
-	maxOpen  int // to all servers together
+	isListed func(server string) bool // reports whether the server is in the present table
+	maxOpen  int                      // to all servers together
 
-	mu       sync.Mutex
-	open     int
+	mu       sync.Mutex // guards what follows
+	open     int        // to all servers together
 	servers  map[string]*serverConnections
-	sweeping bool
+	sweeping bool // a sweep is scheduled
 }
 
+// serverConnections are the connections to one incarnation. There is an entry as long as one is open.
 type serverConnections struct {
 	open int           // in use, idle, or being dialled
 	idle []*connection // the one used last at the end
@@ -66,47 +44,25 @@
 		servers: map[string]*serverConnections{}}
 }
 
-// connectionSpec is what a call needs of its connection.
-type connectionSpec struct {
-	server       *catalog.Server
-	maxPerServer int           // connections of this proxy to the server, 0 if there is no bound
-	maxIdle      time.Duration // for how long the connection may have been idle
-	// requestNumber is the number of the client's request, 0 for one of the proxy's own. The connection
-	// must not have carried it before: a server that answers twice would answer the second call with the
-	// first one's response.
-	requestNumber uint64
-}
-
 // get returns a quiet connection: the one used last, or else a new one, whose dialling ctx bounds.
 func (p *pool) get(ctx context.Context, spec connectionSpec) (*connection, error) {
 	for {
-		c, err := p.reserve(spec, time.Now())
+		conn, err := p.reserve(spec, time.Now())
 		if err != nil {
 			return nil, err
 		}
-		if c == nil {
+		if conn == nil {
 			return p.dial(ctx, spec)
 		}
-		if c.suitable(spec) && c.quiet() {
-			c.reused, c.lastRequest = true, spec.requestNumber
+		if conn.suitable(spec) && conn.quiet() {
+			conn.reused, conn.lastRequest = true, spec.requestNumber
 			p.counters.reused.Add(1)
-			return c, nil
+			return conn, nil
 		}
-		p.discard(c)
+		p.discard(conn)
 	}
 }
 
-// suitable reports whether an idle connection may carry the call.
-func (c *connection) suitable(spec connectionSpec) bool {
-	repeated := spec.requestNumber != 0 && c.lastRequest == spec.requestNumber
-	return c.server == spec.server.ID && !repeated && c.fresh(spec, time.Now())
-}
-
-// fresh reports whether an idle connection is young enough for the call.
-func (c *connection) fresh(spec connectionSpec, now time.Time) bool {
-	return now.Before(c.expiresAt) && now.Sub(c.idleSince) <= spec.maxIdle
-}
-
 // reserve returns an idle connection, or nil after it has reserved a slot for a new one. Where all slots
 // are taken the idle connection may be too old, or to another server: to be closed for its slot.
 func (p *pool) reserve(spec connectionSpec, now time.Time) (*connection, error) {
@@ -144,14 +100,16 @@
 	return nil, errNoConnectionFree
 }
 
+// popLast takes the connection that was used last out of the idle ones.
 func (s *serverConnections) popLast() *connection {
 	last := len(s.idle) - 1
-	c := s.idle[last]
+	conn := s.idle[last]
 	s.idle[last] = nil
 	s.idle = s.idle[:last]
-	return c
+	return conn
 }
 
+// dial opens a connection in a slot that reserve has reserved.
 func (p *pool) dial(ctx context.Context, spec connectionSpec) (*connection, error) {
 	dialer := net.Dialer{Control: controlServer, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", spec.server.Address)
@@ -170,29 +128,30 @@
 }
 
 // put returns a connection to the pool; keepAlive is how long the server keeps it open.
-func (p *pool) put(c *connection, keepAlive time.Duration) {
-	if keepAlive <= 0 || c.hasBufferedInput() {
-		p.discard(c)
+func (p *pool) put(conn *connection, keepAlive time.Duration) {
+	if keepAlive <= 0 || conn.hasBufferedInput() {
+		p.discard(conn)
 		return
 	}
-	c.returnEmptyBuffers()
-	c.SetDeadline(time.Time{})
-	c.idleSince = time.Now()
-	c.expiresAt = c.idleSince.Add(keepAlive)
+	conn.returnEmptyBuffers()
+	conn.SetDeadline(time.Time{})
+	conn.idleSince = time.Now()
+	conn.expiresAt = conn.idleSince.Add(keepAlive)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conns := p.servers[c.server]
-	conns.idle = append(conns.idle, c)
+	conns := p.servers[conn.server]
+	conns.idle = append(conns.idle, conn)
 	p.scheduleSweep()
 }
 
 // discard closes a connection and releases its slot.
-func (p *pool) discard(c *connection) {
-	_ = c.Close() // nothing is left to be done for a connection that is given up
-	c.returnBuffers()
-	p.releaseSlot(c.server)
+func (p *pool) discard(conn *connection) {
+	_ = conn.Close() // nothing is left to be done for a connection that is given up
+	conn.returnBuffers()
+	p.releaseSlot(conn.server)
 }
 
+// releaseSlot ends the count of a connection that is closed or could not be opened.
 func (p *pool) releaseSlot(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,7 +164,7 @@
 		"%d connections, %d to %s of which %d are idle", p.open, conns.open, server, len(conns.idle))
 }
 
-// scheduleSweep schedules the next sweep, as long as there are idle connections.
+// scheduleSweep schedules the next sweep, as long as there are idle connections. mu is locked.
 func (p *pool) scheduleSweep() {
 	if !p.sweeping {
 		p.sweeping = true
@@ -215,11 +174,12 @@
 
 // sweep closes connections that have been idle for too long, or whose server has left the table.
 func (p *pool) sweep() {
-	for _, c := range p.takeExpired(time.Now()) {
-		p.discard(c)
+	for _, conn := range p.takeExpired(time.Now()) {
+		p.discard(conn)
 	}
 }
 
+// takeExpired takes the connections that sweep closes out of the pool.
 func (p *pool) takeExpired(now time.Time) (expired []*connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,12 +187,12 @@
 	for id, conns := range p.servers {
 		unlisted := !p.isListed(id)
 		retained := conns.idle[:0]
-		for _, c := range conns.idle {
-			if unlisted || !now.Before(c.expiresAt) {
-				expired = append(expired, c)
+		for _, conn := range conns.idle {
+			if unlisted || !now.Before(conn.expiresAt) {
+				expired = append(expired, conn)
 				continue
 			}
-			retained = append(retained, c)
+			retained = append(retained, conn)
 		}
 		clear(conns.idle[len(retained):])
 		conns.idle = retained
