--- a/internal/router/agentsettings/settings.go
+++ b/internal/router/agentsettings/settings.go
@@ -16,17 +16,20 @@
 const PathVariable = "CRESSHUB_NODE_FILE"
 
 // Settings are the settings of a process. The parentheses give the field of the file and its default; a field
-// without a default is required.
+// without a default is required. Some fields are accepted and have no effect: files may give them, and
+// nothing reads them. Parse checks their values all the same, but for those of Regions.
 type Settings struct {
 	// Name is the machine's name (office). Rendezvous hashing over it chooses the hub that the process follows.
 	Name string
-	// Role is the name of the process's role (role, ""). It has no effect: the listeners decide what is served.
+	// Role is the name of the process's role (role, ""). It is accepted and has no effect: the listeners decide
+	// what is served.
 	Role string
 	// IP is the machine's address (ip). Other processes call it there, at the first of InnerPorts.
 	IP string
 	// Zone is the failure domain of the machine (district, ""). Servers of the same zone are preferred.
 	Zone string
 	// Region is the region of the machine (region, ""), and Regions the region of each zone (districts, none).
+	// They are accepted and have no effect.
 	Region  string
 	Regions map[string]string
 	// Front is the address for clients (counters.front, ""). Without it, the process has no data plane.
@@ -44,8 +47,8 @@
 	// FirstStart is set when the whole fleet starts for the first time (first_start, false), so that there is no
 	// configuration or view to be learned from others.
 	FirstStart bool
-	// Counted says that the loss of this machine counts towards TolerateMachines (counted, false). It has no
-	// effect.
+	// Counted says that the loss of this machine counts towards TolerateMachines (counted, false). It is
+	// accepted and has no effect.
 	Counted bool
 	// DataDir is the folder for durable state (data_dir, "" for a machine without a disk). Only machines with a
 	// disk replicate the configuration.
@@ -54,7 +57,8 @@
 	// of them counts as lost.
 	HeartbeatInterval time.Duration
 
-	// CPUShare is the part of a core that the process may use (size_limits.cpu_share, 1). It has no effect.
+	// CPUShare is the part of a core that the process may use (size_limits.cpu_share, 1). It is accepted and has
+	// no effect.
 	CPUShare float64
 	// MemoryBytes is the memory that the process may use (size_limits.memory_mb, 256 MiB). It bounds the heap
 	// and the buffered bodies of requests.
@@ -70,7 +74,7 @@
 	// state (tolerate.machines, 0). It sets the size of a view and of the chain.
 	TolerateMachines int
 	// TolerateZones and TolerateRegions are the same for zones and regions (tolerate.districts and
-	// tolerate.regions, 0). They have no effect.
+	// tolerate.regions, 0). They are accepted and have no effect.
 	TolerateZones   int
 	TolerateRegions int
 	// Bounds are the figures of the rules that the operators hold the fleet to (bounds).
@@ -78,11 +82,15 @@
 }
 
 // Bounds are the figures of the operators' rules, under the names that the pages give them. The process acts
-// by Grace, Lease and the retry budget; stand-ins in trials judge by most of the others.
+// by Grace, Lease and the retry budget (RetryRatio, RetryWindow and RetrySlack). By Touch, Ack, CatchUp,
+// Drain, Lost, Config and Fenced it is only judged, in trials and simulations. The others are accepted and
+// have no effect.
 type Bounds struct {
-	// SeedLag is how far the operators' list of seeds lags behind the machines (seed_lag_s, 3 s).
+	// SeedLag is how far the operators' list of seeds lags behind the machines (seed_lag_s, 3 s). It is accepted
+	// and has no effect.
 	SeedLag time.Duration
 	// ReuseAfter is how long after its end a server's address may be given to another one (reuse_after_s, 2 s).
+	// It is accepted and has no effect.
 	ReuseAfter time.Duration
 	// Touch is how long after a fault a machine is not yet held to the bounds of time (touch_ms, 3000 ms).
 	Touch time.Duration
@@ -99,7 +107,7 @@
 	Lost time.Duration
 	// Config is the time from the acknowledgement of a version until all processes use it (config_ms, 2000 ms).
 	Config time.Duration
-	// Outer is outer_ms, 5000 ms by default. It has no effect.
+	// Outer is outer_ms, 5000 ms by default. It is accepted and has no effect.
 	Outer time.Duration
 	// RetryRatio is the number of retries allowed for each request (retry_ratio, 0.2), RetryWindow the window
 	// over which both are counted (retry_window_s, 10 s), and RetrySlack the retries allowed besides, for all
@@ -107,14 +115,15 @@
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// Transit is the longest time that an event takes from a server to its client (transit_ms, 120 ms).
+	// Transit is the longest time that an event takes from a server to its client (transit_ms, 120 ms). It is
+	// accepted and has no effect.
 	Transit time.Duration
 	// Fenced says that servers check the fencing tokens of orders (fenced, false).
 	Fenced bool
 	// Lease is the least time between orders of two successive heads of the chain (lease_ms, 3000 ms). A new
 	// head waits for it.
 	Lease time.Duration
-	// Thaw is thaw_ms, 300 ms by default. It has no effect.
+	// Thaw is thaw_ms, 300 ms by default. It is accepted and has no effect.
 	Thaw time.Duration
 }
 
