--- /dev/null
+++ b/internal/router/agent/chain_links.go
@@ -0,0 +1,50 @@
+package agent
+
+import (
+	"sync"
+
+	"cresshub/internal/router/chain"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
+)
+
+// chainLinks holds the links to the other members of the chain, which carry its messages only. A link is
+// opened for the first message. The methods are safe for concurrent use.
+type chainLinks struct {
+	agent *Agent
+
+	mu   sync.Mutex
+	byIP map[string]*transport.Link // of another member
+}
+
+func newChainLinks(a *Agent) *chainLinks {
+	return &chainLinks{agent: a, byIP: map[string]*transport.Link{}}
+}
+
+// send sends a message to the member on a machine. It is lost where there is no connection; the state machine
+// repeats what has to arrive.
+func (l *chainLinks) send(ip string, message *chain.Message) {
+	l.to(ip).Send(peerproto.KindChain, encodeChain(message))
+}
+
+// to returns the link to the member on a machine, and opens it where there is none.
+func (l *chainLinks) to(ip string) *transport.Link {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	link := l.byIP[ip]
+	if link == nil {
+		ignoreFrame, ignoreState := func(peerproto.Frame) {}, func(bool) {}
+		link = l.agent.endpoint.NewLink(l.agent.peerAddress(ip), l.agent.hello, ignoreFrame, ignoreState)
+		l.byIP[ip] = link
+	}
+	return link
+}
+
+// close closes the links. Nothing may be sent any more.
+func (l *chainLinks) close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, link := range l.byIP {
+		link.Stop()
+	}
+}
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -1,14 +1,10 @@
 package agent
 
 import (
-	"sync"
 	"sync/atomic"
 	"time"
 
-	"cresshub/internal/invariant"
 	"cresshub/internal/router/chain"
-	"cresshub/internal/router/peerproto"
-	"cresshub/internal/router/transport"
 	"cresshub/internal/segmentlog"
 )
 
@@ -30,6 +26,10 @@
 // chainMember is the configStore of a machine with an open disk. One goroutine, the chain goroutine, steps
 // the state machine of package chain, persists the records that a step returns, and only then sends its
 // messages and completes its requests. Other goroutines hand it events with post.
+//
+// Its methods are in several files: opening and the log in chain_open.go, what others may read in
+// chain_publish.go, calls on the configuration in chain_requests.go and chain_patch.go, the first view of a new
+// fleet in chain_bootstrap.go, the wire form of messages in chain_encoding.go.
 type chainMember struct {
 	agent    *Agent
 	machine  *chain.Node     // of the chain goroutine
@@ -38,6 +38,8 @@
 	events   chan chainEvent
 	ended    chan struct{} // closed when the chain goroutine has ended
 	draining atomic.Bool   // this process is shutting down
+	links    *chainLinks
+	pending  *pendingRequests
 
 	// What the chain goroutine publishes after each step.
 	inChain   atomic.Bool
@@ -45,13 +47,6 @@
 	handedOff chan struct{} // closed once this member has left and the others have all that it has accepted
 	committed chan []byte   // the newest committed configuration that is not yet applied, as it is stored
 
-	linksMu sync.Mutex
-	links   map[string]*transport.Link // by IP of another member
-
-	waitersMu   sync.Mutex
-	waiters     map[uint64]chan chain.Reply // by number of the request
-	lastRequest uint64
-
 	// State of the chain goroutine alone.
 	drainSent         bool // the state machine knows that this process is shutting down
 	isHandedOff       bool // handedOff is closed
@@ -98,11 +93,7 @@
 	case <-time.After(closeTimeout):
 		return
 	}
-	m.linksMu.Lock()
-	defer m.linksMu.Unlock()
-	for _, link := range m.links {
-		link.Stop()
-	}
+	m.links.close()
 	m.closeLog()
 }
 
@@ -155,87 +146,15 @@
 	for i := range effects.Messages {
 		envelope := &effects.Messages[i]
 		if envelope.To.Address != "" && envelope.To.Address != m.agent.settings.IP {
-			m.linkTo(envelope.To.Address).Send(peerproto.KindChain, encodeChain(&envelope.Message))
+			m.links.send(envelope.To.Address, &envelope.Message)
 		}
 	}
 	for _, reply := range effects.Replies {
-		m.complete(reply)
+		m.pending.complete(reply)
 	}
 	m.publish()
 }
 
-// publish shows the other goroutines the state of the state machine after a step.
-func (m *chainMember) publish() {
-	m.inChain.Store(m.machine.InChain())
-	fence := uint64(0)
-	if m.machine.IsOpenHead() {
-		fence = m.machine.View().Epoch
-	}
-	m.fence.Store(fence)
-	if !m.isHandedOff && m.machine.Drained() {
-		m.isHandedOff = true
-		close(m.handedOff)
-	}
-	m.publishView()
-	m.publishCommitted()
-}
-
-func (m *chainMember) publishView() {
-	view := m.machine.View()
-	if view.Epoch == m.publishedEpoch {
-		return
-	}
-	m.publishedEpoch = view.Epoch
-	m.agent.state.learnView(int64(view.Epoch), memberInfos(view.Members))
-	m.agent.log.Info().Uint64("epoch", view.Epoch).Int("members", len(view.Members)).
-		Int("replicas", len(view.Chain)).Msg("chain: new view")
-}
-
-// publishCommitted hands the committed configuration to applyCommitted, in place of one still waiting there.
-func (m *chainMember) publishCommitted() {
-	entry, ok := m.machine.Committed()
-	if !ok {
-		return
-	}
-	invariant.Assert(entry.Sequence >= m.committedSequence, invariant.CommittedSequenceRises,
-		"entry %d is committed after entry %d", entry.Sequence, m.committedSequence)
-	m.committedSequence = entry.Sequence
-	if entry.Version <= m.publishedVersion {
-		return
-	}
-	m.publishedVersion = entry.Version
-	select {
-	case <-m.committed: // superseded by the entry that is sent next
-	default:
-	}
-	m.committed <- entry.Body
-}
-
-// applyCommitted applies committed configurations until done closes. It is a goroutine of its own, because
-// parsing a large configuration takes longer than the other members wait for the chain goroutine.
-func (m *chainMember) applyCommitted(done <-chan struct{}) {
-	for {
-		select {
-		case <-done:
-			return
-		case stored := <-m.committed:
-			m.agent.configSync.applyStored(stored)
-		}
-	}
-}
-
-func (m *chainMember) linkTo(ip string) *transport.Link {
-	m.linksMu.Lock()
-	defer m.linksMu.Unlock()
-	link := m.links[ip]
-	if link == nil {
-		ignoreFrame, ignoreState := func(peerproto.Frame) {}, func(bool) {}
-		link = m.agent.endpoint.NewLink(m.agent.peerAddress(ip), m.agent.hello, ignoreFrame, ignoreState)
-		m.links[ip] = link
-	}
-	return link
-}
-
 func (m *chainMember) receive(body []byte) {
 	message, err := decodeChain(body)
 	if err != nil {
--- a/internal/router/agent/chain_open.go
+++ b/internal/router/agent/chain_open.go
@@ -6,7 +6,6 @@
 	"path/filepath"
 
 	"cresshub/internal/router/chain"
-	"cresshub/internal/router/transport"
 	"cresshub/internal/segmentlog"
 )
 
@@ -41,10 +40,9 @@
 
 func newChainMember(a *Agent) *chainMember {
 	m := &chainMember{
-		agent: a, links: map[string]*transport.Link{}, events: make(chan chainEvent, chainQueue),
+		agent: a, links: newChainLinks(a), pending: newPendingRequests(),
+		events: make(chan chainEvent, chainQueue), committed: make(chan []byte, 1),
 		ended: make(chan struct{}), handedOff: make(chan struct{}),
-		waiters: map[uint64]chan chain.Reply{}, committed: make(chan []byte, 1),
-		lastRequest: uint64(rand.Int63()), // replies to an earlier process must not be taken for this one's
 	}
 	if a.isBootstrapper() {
 		m.bootstrap = &bootstrap{}
--- a/internal/router/agent/chain_requests.go
+++ b/internal/router/agent/chain_requests.go
@@ -1,6 +1,8 @@
 package agent
 
 import (
+	"math/rand"
+	"sync"
 	"time"
 
 	"cresshub/internal/router/chain"
@@ -22,8 +24,8 @@
 // request runs a call on the state machine and waits for its reply, or for timeout.
 func (m *chainMember) request(timeout time.Duration,
 	call func(now time.Duration, number uint64) chain.Effects) *peerproto.Result {
-	number, answer := m.addWaiter()
-	defer m.removeWaiter(number)
+	number, answer := m.pending.add()
+	defer m.pending.remove(number)
 	if !m.post(func(now time.Duration) chain.Effects { return call(now, number) }) {
 		return unavailableResult("too many calls wait for the disk")
 	}
@@ -37,29 +39,44 @@
 	}
 }
 
-// addWaiter returns the number of a new request and the channel on which its reply arrives.
-func (m *chainMember) addWaiter() (number uint64, answer <-chan chain.Reply) {
+// pendingRequests holds the requests whose callers wait for the reply of the state machine. Its methods are
+// safe for concurrent use.
+type pendingRequests struct {
+	mu      sync.Mutex
+	replies map[uint64]chan chain.Reply // by number of the request
+	last    uint64                      // number of the last request
+}
+
+// newPendingRequests draws the number from which requests are counted at random: replies to an earlier
+// process must not be taken for this one's.
+func newPendingRequests() *pendingRequests {
+	return &pendingRequests{replies: map[uint64]chan chain.Reply{}, last: uint64(rand.Int63())}
+}
+
+// add returns the number of a new request and the channel on which its reply arrives.
+func (p *pendingRequests) add() (number uint64, answer <-chan chain.Reply) {
 	reply := make(chan chain.Reply, 1)
-	m.waitersMu.Lock()
-	defer m.waitersMu.Unlock()
-	m.lastRequest++
-	m.waiters[m.lastRequest] = reply
-	return m.lastRequest, reply
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.last++
+	p.replies[p.last] = reply
+	return p.last, reply
 }
 
-func (m *chainMember) removeWaiter(number uint64) {
-	m.waitersMu.Lock()
-	delete(m.waiters, number)
-	m.waitersMu.Unlock()
+// remove removes a request whose caller does not wait any more.
+func (p *pendingRequests) remove(number uint64) {
+	p.mu.Lock()
+	delete(p.replies, number)
+	p.mu.Unlock()
 }
 
 // complete gives a request its reply, where the caller still waits for it.
-func (m *chainMember) complete(reply chain.Reply) {
-	m.waitersMu.Lock()
-	defer m.waitersMu.Unlock()
-	if answer := m.waiters[reply.Request]; answer != nil {
+func (p *pendingRequests) complete(reply chain.Reply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if answer := p.replies[reply.Request]; answer != nil {
 		answer <- reply
-		delete(m.waiters, reply.Request)
+		delete(p.replies, reply.Request)
 	}
 }
 
--- a/internal/router/agent/doc.go
+++ b/internal/router/agent/doc.go
@@ -71,16 +71,16 @@
 //
 // # Locks
 //
-// A lock guards the fields below it in its struct, up to an empty line. It is named mu, but for the two of
-// chainMember. A lock may be taken while others are held only if all of those are in earlier lines here:
+// A lock guards the fields below it in its struct, up to an empty line. It may be taken while others are held
+// only if all of those are in earlier lines here:
 //
 //  1. subscription: what is followed, and how far it was received; loadTable: the load and the new prefixes
 //  2. hubSet: the set of links, not the links themselves
 //  3. selfRecord: this process's own record
 //  4. state: the directory, the view and the cached patches; it also orders the writes of the atomic fields
 //     and guards, outside of its struct, failureDetector.observingSince and dataplaneState.lossReports
-//  5. hub (one link), lastSeen, knownProxies, demandTable, feedServer, probeSet, packedConfig, broadcast, and
-//     linksMu and waitersMu of chainMember
+//  5. hub (one link), lastSeen, knownProxies, demandTable, feedServer, probeSet, packedConfig, broadcast,
+//     chainLinks and pendingRequests
 //  6. those of the data plane and of packages transport, metrics and segmentlog
 //
 // The functions given to update and read of the state run with its lock held. They must not take it again,
