--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -28,8 +28,8 @@
 // messages and completes its requests. Other goroutines hand it events with post.
 //
 // Its methods are in several files: opening and the log in chain_open.go, what others may read in
-// chain_publish.go, calls on the configuration in chain_requests.go and chain_patch.go, the first view of a new
-// fleet in chain_bootstrap.go, the wire form of messages in chain_encoding.go.
+// chain_publish.go, calls on the configuration in chain_requests.go and chain_patch.go, the first view of a
+// new fleet in chain_bootstrap.go, the wire form of messages in chain_encoding.go.
 type chainMember struct {
 	agent    *Agent
 	machine  *chain.Node     // of the chain goroutine
