--- a/internal/router/agent/listeners.go
+++ b/internal/router/agent/listeners.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net"
 
+	"cresshub/internal/invariant"
 	"cresshub/internal/router/controlserver"
 	"cresshub/internal/router/fleetconfig"
 )
@@ -42,7 +43,7 @@
 
 // serveAll starts serving at all listeners. Each returns net.ErrClosed once the shutdown closes its listener.
 func (a *Agent) serveAll(l *listeners) {
-	go func() { _ = a.endpoint.Serve(l.peers, a) }()
+	go func() { _ = a.endpoint.Serve(l.peers, a.peers) }()
 	if l.control != nil {
 		go a.serveCalls(l.control, a.handleCall, maxCallBody)
 	}
@@ -60,3 +61,20 @@
 		OnPanic: a.handlerPanicked}
 	_ = server.Serve(listener) // net.ErrClosed
 }
+
+// acceptFailed records that a connection of another process, a server or an operator could not be accepted.
+// The listener retries.
+func (a *Agent) acceptFailed(err error) {
+	a.metrics.acceptErrors.Add(1)
+	a.acceptLog.Warn().Err(err).Msg("agent: accepting a connection failed; retrying")
+}
+
+// handlerPanicked records that the handler of a call panicked. A violated invariant panics in tests only, and
+// ends them.
+func (a *Agent) handlerPanicked(err *controlserver.PanicError) {
+	if violation, ok := err.Value.(*invariant.ViolationError); ok {
+		panic(violation)
+	}
+	a.metrics.handlerPanics.Add(1)
+	a.log.Error().Err(err).Bytes("stack", err.Stack).Msg("agent: handler panicked")
+}
