--- a/internal/router/dataplane/failure.go
+++ b/internal/router/dataplane/failure.go
@@ -10,7 +10,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// execution is what is known of whether a call's request has run.
+// execution is what is known of whether a call's request has run. The log has it as "fate".
 type execution int
 
 // The states of execution, the worst last.
@@ -30,8 +30,8 @@
 }
 
 // handleConsumed reports whether the prefix cache that the call named may have been taken.
-func (failure *callFailure) handleConsumed() bool {
-	return failure.execution == mayHaveRun || failure.outcome == scheduler.HandleFailed
+func (f *callFailure) handleConsumed() bool {
+	return f.execution == mayHaveRun || f.outcome == scheduler.HandleFailed
 }
 
 // failureFrom returns how a call failed whose request was sent, completely or in part.
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -41,18 +41,18 @@
 }
 
 // prefillServer is the server that has the prefix cache, nil for no handle.
-func (handle *kvHandle) prefillServer() *catalog.Server {
-	if handle == nil {
+func (h *kvHandle) prefillServer() *catalog.Server {
+	if h == nil {
 		return nil
 	}
-	return handle.server
+	return h.server
 }
 
 // source is the handle as the decode server gets it in Kv-From.
-func (handle *kvHandle) source() string { return handle.server.Address + "/" + handle.id }
+func (h *kvHandle) source() string { return h.server.Address + "/" + h.id }
 
-func (handle *kvHandle) expired(now time.Time) bool {
-	return handle != nil && !handle.expiresAt.IsZero() && now.After(handle.expiresAt)
+func (h *kvHandle) expired(now time.Time) bool {
+	return h != nil && !h.expiresAt.IsZero() && now.After(h.expiresAt)
 }
 
 // parseHandle reads the response of a server that has prefilled a prompt. It returns false for a handle
@@ -109,20 +109,36 @@
 		return
 	}
 	conn.SetDeadline(time.Now().Add(releaseTimeout))
+	keepAlive, err := exchangeRelease(conn, handle)
+	if err != nil {
+		r.pool.discard(conn)
+		return
+	}
+	r.pool.put(conn, keepAlive)
+}
+
+// errReleaseNotRead means that the response to the release of a handle was not read to its end.
+var errReleaseNotRead = errors.New("the response is too large, or was broken off")
+
+// exchangeRelease sends the call and reads its response. It returns how long the connection may stay idle; an
+// error means that it must not be used again.
+func exchangeRelease(conn *connection, handle *kvHandle) (keepAlive time.Duration, err error) {
 	host, _, _ := net.SplitHostPort(handle.server.Address)
 	message := http1.Request{Method: "DELETE", Target: handlePath + handle.id, Header: http1.Header{
 		{Name: "Host", Value: host}, {Name: expectServerHeader, Value: handle.server.ID}}}
-	if out := conn.writer(); message.Write(out) != nil || out.Flush() != nil {
-		r.pool.discard(conn)
-		return
+	out := conn.writer()
+	if err := message.Write(out); err != nil {
+		return 0, err
+	}
+	if err := out.Flush(); err != nil {
+		return 0, err
 	}
 	head, body, err := http1.ReadResponseHead(conn.reader(), message.Method)
-	if err == nil {
-		_, err = io.CopyN(io.Discard, body, maxBufferedResponse)
+	if err != nil {
+		return 0, err
 	}
-	if !errors.Is(err, io.EOF) || !body.Complete() {
-		r.pool.discard(conn)
-		return
+	if _, err := io.CopyN(io.Discard, body, maxBufferedResponse); !errors.Is(err, io.EOF) {
+		return 0, errReleaseNotRead
 	}
-	r.pool.put(conn, keepAliveTime(head))
+	return keepAliveTime(head), nil
 }
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -13,15 +13,17 @@
 	client  *client
 	request *request
 
+	// The response to the client.
 	started   bool // the head has been sent
 	complete  bool // the response has been sent completely
 	keepAlive bool // the client's connection goes on after it
-	out       http1.BodyWriter
 
-	events        eventSplitter
+	// Of a stream.
+	out           http1.BodyWriter // set when the stream has started
+	events        eventSplitter    // of the server that sends now
 	order         eventOrder
 	replaceable   bool  // another server may resume the stream
-	hasUnnumbered bool  // data without an id was forwarded, so nobody can tell where another server should go on
+	hasUnnumbered bool  // data without an id was forwarded, so nobody can tell where to resume
 	lastForwarded int64 // id of the last event that the client got, or had before
 }
 
@@ -103,20 +105,29 @@
 	r.client.recordResponse()
 	call.conn.SetReadDeadline(r.request.hardDeadline)
 	out, err := response.Begin(r.client.socket.writer(), r.request.HTTP10)
+	if err != nil || !copyBody(&out, body) {
+		return call.brokenFailure()
+	}
+	call.recordBodyEnd()
+	r.recordComplete(r.closeBody(out) && !response.Close)
+	return nil
+}
+
+// copyBody forwards the rest of a body as it arrives, and reports whether all of it has arrived.
+func copyBody(out *http1.BodyWriter, body *http1.Body) bool {
 	buffer := make([]byte, bufferSize)
-	for err == nil {
-		var n int
-		n, err = body.Read(buffer)
+	for {
+		n, err := body.Read(buffer)
 		if n > 0 {
 			_, err = out.Write(buffer[:n])
 		}
 		if body.Complete() {
-			call.recordBodyEnd()
-			r.recordComplete(r.closeBody(out) && !response.Close)
-			return nil
+			return true
+		}
+		if err != nil {
+			return false
 		}
 	}
-	return call.brokenFailure()
 }
 
 // forwardBuffered sends a buffered response. It reports whether the client's connection goes on.
@@ -125,6 +136,7 @@
 	return r.keepAlive
 }
 
+// writeBuffered writes a buffered response. It reports whether the client's connection may go on.
 func (r *relay) writeBuffered(buffered *bufferedResponse) bool {
 	r.client.recordResponse()
 	response := r.clientHead(buffered.head)
@@ -143,6 +155,7 @@
 	return response
 }
 
+// closeBody ends the body of a response, and reports whether it could be sent.
 func (r *relay) closeBody(out http1.BodyWriter) bool {
 	return out.Close() == nil && r.client.socket.writer().Flush() == nil
 }
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -29,13 +29,13 @@
 )
 
 // roundTripTrace records a request's calls, to explain its outcome and to check invariants by counts of its
-// own.
+// own: it must not rely on those that the attemptCounter decides by. It belongs to the client's goroutine.
 type roundTripTrace struct {
-	reason           finalReason
-	failedCalls      []failedCall
-	attempts         int  // that count against the route's maximum
-	freePrefillUsed  bool // the first prefill call, which does not count, has been accepted
-	unsafeMayHaveRun bool // a request that must not run twice may have run
+	reason           finalReason  // why no further attempt is made, "" while one may be
+	failedCalls      []failedCall // in the order in which they ended
+	attempts         int          // that count against the route's maximum
+	freePrefillUsed  bool         // the first prefill call, which does not count, has been accepted
+	unsafeMayHaveRun bool         // a request that must not run twice may have run
 }
 
 // failedCall is a call that did not bring the complete response.
@@ -75,7 +75,8 @@
 	}
 }
 
-// endCall records how a call ended; f is nil if the client has the complete response.
+// endCall records how a call ended; failure is nil if the client has the complete
+// response.
 func (t *roundTripTrace) endCall(call *call, failure *callFailure) {
 	rt := call.roundTrip
 	sent := call.conn != nil && call.conn.bytesSent > 0
@@ -97,6 +98,7 @@
 	})
 }
 
+// countAttempt counts a call of which something was sent.
 func (t *roundTripTrace) countAttempt(call *call, failure *callFailure) {
 	rejected := failure != nil && failure.execution == notRun
 	if call.role == scheduler.Prefill && !t.freePrefillUsed && !rejected {
@@ -124,10 +126,10 @@
 }
 
 // MarshalZerologObject writes one call.
-func (call *failedCall) MarshalZerologObject(event *zerolog.Event) {
-	event.Str("server", call.server).Str("role", roleNames[call.role]).
-		Str("outcome", outcomeNames[call.outcome]).Str("fate", executionNames[call.execution]).
-		Dur("at_ms", call.at).Dur("took_ms", call.elapsed)
+func (f *failedCall) MarshalZerologObject(event *zerolog.Event) {
+	event.Str("server", f.server).Str("role", roleNames[f.role]).
+		Str("outcome", outcomeNames[f.outcome]).Str("fate", executionNames[f.execution]).
+		Dur("at_ms", f.at).Dur("took_ms", f.elapsed)
 }
 
 var roleNames = [...]string{scheduler.Serve: "serve", scheduler.Prefill: "read", scheduler.Decode: "write"}
