--- a/internal/router/cli/cli.go
+++ b/internal/router/cli/cli.go
@@ -13,6 +13,7 @@
 package cli
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -63,42 +64,63 @@
 // isRouter reports whether a command runs a process of the fleet.
 func isRouter(command string) bool { return command == routerName || command == faultyRouterName }
 
-// output is where a command prints, and the exit code that it sets.
+// output is where a command prints.
 type output struct {
 	stdout, stderr io.Writer
-	code           int              // of a command that fails, 0 for exitFailed
 	signals        <-chan os.Signal // to a process of the fleet, nil for other commands
 }
 
+// exitError is an error of a command with the exit code that it causes. Other errors cause exitFailed.
+type exitError struct {
+	code int
+	err  error
+}
+
+func (e *exitError) Error() string { return e.err.Error() }
+
+func (e *exitError) Unwrap() error { return e.err }
+
 // Main runs the command that the arguments name, without the program's own name, and returns the exit code.
 func Main(arguments []string, stdout, stderr io.Writer) int {
-	result := &output{stdout: stdout, stderr: stderr}
+	out := &output{stdout: stdout, stderr: stderr}
 	if len(arguments) > 0 && isRouter(arguments[0]) {
-		result.signals = listenForSignals()
+		out.signals = listenForSignals()
 	}
 	exitedWith := -1 // by kong itself, after --help
-	parser, err := kong.New(commandsFor(arguments), kong.Name("cresshub-fleet"), kong.Writers(stdout, stderr),
-		trialVars(),
-		kong.Description("A router fleet for split prefill and decode."),
-		kong.Exit(func(code int) { exitedWith = code }), kong.UsageOnError())
+	parser, err := newParser(arguments, out, func(code int) { exitedWith = code })
 	if err != nil {
-		return exitWith(exitUsage, err, stderr)
+		return fail(stderr, &exitError{exitUsage, err})
 	}
 	parsed, err := parser.Parse(arguments)
 	if exitedWith >= 0 {
 		return exitedWith
 	}
 	if err != nil {
-		return exitWith(exitUsage, err, stderr)
+		return fail(stderr, &exitError{exitUsage, err})
 	}
-	if err := parsed.Run(result); err != nil {
-		return exitWith(max(result.code, exitFailed), err, stderr)
+	if err := parsed.Run(out); err != nil {
+		return fail(stderr, err)
 	}
-	return result.code
+	return 0
 }
 
-// exitWith prints an error and returns the exit code.
-func exitWith(code int, err error, stderr io.Writer) int {
+// newParser returns the parser of the arguments. It calls exit where kong would end the program.
+func newParser(arguments []string, out *output, exit func(code int)) (*kong.Kong, error) {
+	return kong.New(commandsFor(arguments),
+		kong.Name("cresshub-fleet"),
+		kong.Description("A router fleet for split prefill and decode."),
+		kong.Writers(out.stdout, out.stderr),
+		trialVars(),
+		kong.Exit(exit),
+		kong.UsageOnError())
+}
+
+// fail prints an error and returns its exit code.
+func fail(stderr io.Writer, err error) int {
 	_, _ = fmt.Fprintln(stderr, err) // if nobody reads it, the exit code still says that the command failed
-	return code
+	var exit *exitError
+	if errors.As(err, &exit) {
+		return exit.code
+	}
+	return exitFailed
 }
--- a/internal/router/cli/config.go
+++ b/internal/router/cli/config.go
@@ -21,18 +21,17 @@
 }
 
 // Run parses the files as the fleet itself does, and prints a summary or every fault.
-func (c *configCheckCommand) Run(o *output) error {
+func (c *configCheckCommand) Run(out *output) error {
 	config, err := c.read()
 	if err != nil {
-		o.code = exitFailed
 		return err
 	}
 	if c.JSON {
-		_, err := fmt.Fprintf(o.stdout, "%s\n", config.Raw())
+		_, err := fmt.Fprintf(out.stdout, "%s\n", config.Raw())
 		return err
 	}
 	// If nobody reads it, the exit code still says that the configuration is valid.
-	_, _ = fmt.Fprintf(o.stdout, "edition %d: %d routes, %d services, no mistakes\n", config.Version,
+	_, _ = fmt.Fprintf(out.stdout, "edition %d: %d routes, %d services, no mistakes\n", config.Version,
 		config.RouteCount(), len(config.Services))
 	return nil
 }
@@ -61,41 +60,42 @@
 type configShowCommand struct{ controlFlags }
 
 // Run prints a row for each route, or the document as the operator sent it.
-func (c *configShowCommand) Run(o *output) error {
+func (c *configShowCommand) Run(out *output) error {
 	document, err := c.fetch("/api/config")
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		_, err := fmt.Fprintf(o.stdout, "%s\n", document)
+		_, err := fmt.Fprintf(out.stdout, "%s\n", document)
 		return err
 	}
 	config, err := fleetconfig.Parse(document)
 	if err != nil {
 		return fmt.Errorf("the configuration in force can't be read: %w", err)
 	}
-	t := newTable("ROUTE", "HOST", "PREFIX", "KIND", "TIMEOUT", "TRIES", "SERVICES")
-	for _, r := range config.Routes() {
-		t.add(r.Name, r.Host, r.Prefix, kindOf(r), r.Timeout, r.MaxAttempts, targetsOf(r))
+	table := newTable("ROUTE", "HOST", "PREFIX", "KIND", "TIMEOUT", "TRIES", "SERVICES")
+	for _, route := range config.Routes() {
+		table.add(route.Name, route.Host, route.Prefix, kindOf(route), route.Timeout, route.MaxAttempts,
+			targetsOf(route))
 	}
-	return t.printUnder(o.stdout, fmt.Sprintf("edition %d: %d routes, %d services", config.Version,
+	return table.printUnder(out.stdout, fmt.Sprintf("edition %d: %d routes, %d services", config.Version,
 		config.RouteCount(), len(config.Services)))
 }
 
-func kindOf(r *fleetconfig.Route) string {
-	if r.Kind == fleetconfig.Stream && r.Resumable {
+func kindOf(route *fleetconfig.Route) string {
+	if route.Kind == fleetconfig.Stream && route.Resumable {
 		return "stream, resumable"
 	}
-	return string(r.Kind)
+	return string(route.Kind)
 }
 
 // targetsOf names the services of a route, with their weights in percent if there are several.
-func targetsOf(r *fleetconfig.Route) string {
+func targetsOf(route *fleetconfig.Route) string {
 	var names []string
-	for _, target := range r.Targets {
+	for _, target := range route.Targets {
 		name := target.Service
-		if len(r.Targets) > 1 {
-			name += fmt.Sprintf(" %.0f%%", 100*target.Weight/r.TotalWeight)
+		if len(route.Targets) > 1 {
+			name += fmt.Sprintf(" %.0f%%", 100*target.Weight/route.TotalWeight)
 		}
 		names = append(names, name)
 	}
--- a/internal/router/cli/control.go
+++ b/internal/router/cli/control.go
@@ -50,13 +50,13 @@
 
 // show prints the document at a path of the control address as it is, or as the table that render makes of
 // it.
-func show[T any](o *output, flags *controlFlags, path string, render func(*T) *table) error {
+func show[T any](out *output, flags *controlFlags, path string, render func(*T) *table) error {
 	document, err := flags.fetch(path)
 	if err != nil {
 		return err
 	}
 	if flags.JSON {
-		_, err := fmt.Fprintf(o.stdout, "%s\n", document)
+		_, err := fmt.Fprintf(out.stdout, "%s\n", document)
 		return err
 	}
 	var content T
@@ -64,5 +64,5 @@
 		return fmt.Errorf("the answer of %s can't be read: %w; use the program of the same release",
 			flags.Control, err)
 	}
-	return render(&content).print(o.stdout)
+	return render(&content).print(out.stdout)
 }
--- a/internal/router/cli/faultyrouter.go
+++ b/internal/router/cli/faultyrouter.go
@@ -17,16 +17,15 @@
 }
 
 // Run serves until SIGTERM or SIGINT.
-func (c *faultyRouterCommand) Run(o *output) error {
+func (c *faultyRouterCommand) Run(out *output) error {
 	injector := faultinject.New()
 	for _, command := range c.Fault {
 		if err := injector.Do(command); err != nil {
-			o.code = exitUsage
-			return err
+			return &exitError{exitUsage, err}
 		}
 	}
 	go func() { _ = injector.Obey(os.Stdin) }() // a wrong command ends it, as does the parent
-	return c.serve(o, func(settings *agentsettings.Settings) []agent.Option {
+	return c.serve(out, func(settings *agentsettings.Settings) []agent.Option {
 		return []agent.Option{
 			agent.WithNetwork(injector.Network(settings.IP, settings.Front)), agent.WithFiles(injector.Files()),
 		}
--- a/internal/router/cli/late.go
+++ b/internal/router/cli/late.go
@@ -16,7 +16,7 @@
 }
 
 // Run prints the late responses of each route by cause.
-func (c *lateCommand) Run(o *output) error {
+func (c *lateCommand) Run(out *output) error {
 	var calls []latereport.Call
 	for _, path := range c.Files {
 		fileCalls, err := parseLogFile(path)
@@ -27,11 +27,11 @@
 	}
 	summary := latereport.Summarize(calls)
 	if c.JSON {
-		return json.NewEncoder(o.stdout).Encode(summary)
+		return json.NewEncoder(out.stdout).Encode(summary)
 	}
 	title := fmt.Sprintf("%d calls; the quickest readings take %.4f ms a token", len(calls),
 		summary.PrefillMsPerToken)
-	return lateTable(summary).printUnder(o.stdout, title)
+	return lateTable(summary).printUnder(out.stdout, title)
 }
 
 func parseLogFile(path string) ([]latereport.Call, error) {
@@ -49,13 +49,13 @@
 	for _, cause := range latereport.Causes {
 		header = append(header, strings.ToUpper(string(cause)))
 	}
-	t := newTable(header...)
+	table := newTable(header...)
 	for _, route := range summary.Routes {
 		row := []any{route.Name, fmt.Sprintf("%.0f ms", route.TargetMs), route.Answered, route.Late}
 		for _, cause := range latereport.Causes {
 			row = append(row, route.Causes[cause])
 		}
-		t.add(row...)
+		table.add(row...)
 	}
-	return t
+	return table
 }
--- a/internal/router/cli/members.go
+++ b/internal/router/cli/members.go
@@ -32,16 +32,17 @@
 }
 
 // Run prints a row for each process that the queried one knows.
-func (c *membersCommand) Run(o *output) error {
-	return show(o, &c.controlFlags, "/api/members", func(list *memberList) *table {
+func (c *membersCommand) Run(out *output) error {
+	return show(out, &c.controlFlags, "/api/members", func(list *memberList) *table {
 		names := map[string]string{}
 		for _, member := range list.Members {
 			names[member.ID] = member.Name
 		}
-		t := newTable("NAME", "ZONE", "CONTROL", "STATE", "PART", "FOLLOWS", "ID")
-		for _, m := range list.Members {
-			t.add(m.Name, m.Zone, m.Control, m.State, m.configRole(), names[m.Follows], m.ID)
+		table := newTable("NAME", "ZONE", "CONTROL", "STATE", "PART", "FOLLOWS", "ID")
+		for _, member := range list.Members {
+			table.add(member.Name, member.Zone, member.Control, member.State, member.configRole(),
+				names[member.Follows], member.ID)
 		}
-		return t
+		return table
 	})
 }
--- a/internal/router/cli/reload_test.go
+++ b/internal/router/cli/reload_test.go
@@ -29,7 +29,7 @@
 			}
 			return &agentsettings.Settings{Name: f.name}, nil
 		},
-		apply:   func(s *agentsettings.Settings) { f.applied = append(f.applied, s.Name) },
+		apply:   func(settings *agentsettings.Settings) { f.applied = append(f.applied, settings.Name) },
 		onError: func(err error) { f.reported = append(f.reported, err.Error()) },
 	}
 }
@@ -45,14 +45,14 @@
 func TestHalfWrittenSettingsAreReadAgain(t *testing.T) {
 	c := qt.New(t)
 	file := &settingsFile{modTime: time.Unix(5, 0)}
-	r := file.reloader()
+	reloader := file.reloader()
 	for range 5 {
-		r.poll()
+		reloader.poll()
 	}
 	c.Assert(file.applied, qt.HasLen, 0)
 	c.Assert(file.reported, qt.DeepEquals, []string{"half written"})
 	file.name = "whole"
-	r.poll()
+	reloader.poll()
 	c.Assert(file.last(), qt.Equals, "whole")
 }
 
@@ -60,10 +60,10 @@
 func TestSecondChangeWithTheSameModTimeIsRead(t *testing.T) {
 	c := qt.New(t)
 	file := &settingsFile{modTime: time.Unix(5, 0), name: "first"}
-	r := file.reloader()
-	r.poll()
+	reloader := file.reloader()
+	reloader.poll()
 	file.name = "second"
-	r.poll()
+	reloader.poll()
 	c.Assert(file.last(), qt.Equals, "second")
 }
 
@@ -71,9 +71,9 @@
 func TestUnchangedSettingsAreNotRead(t *testing.T) {
 	c := qt.New(t)
 	file := &settingsFile{modTime: time.Unix(5, 0), name: "same"}
-	r := file.reloader()
+	reloader := file.reloader()
 	for range 20 {
-		r.poll()
+		reloader.poll()
 	}
 	c.Assert(file.reads, qt.Equals, 1+readsAfterChange)
 }
--- a/internal/router/cli/router.go
+++ b/internal/router/cli/router.go
@@ -42,16 +42,15 @@
 }
 
 // Run serves until SIGTERM or SIGINT.
-func (c *routerCommand) Run(o *output) error { return c.serve(o, noOptions) }
+func (c *routerCommand) Run(out *output) error { return c.serve(out, noOptions) }
 
 func noOptions(*agentsettings.Settings) []agent.Option { return nil }
 
 // serve runs a process until a signal ends it, with options that may depend on its settings.
-func (c *routerCommand) serve(o *output, agentOptions func(*agentsettings.Settings) []agent.Option) error {
+func (c *routerCommand) serve(out *output, agentOptions func(*agentsettings.Settings) []agent.Option) error {
 	settings, err := agentsettings.Load()
 	if err != nil {
-		o.code = exitSettings
-		return err
+		return &exitError{exitSettings, err}
 	}
 	debug.SetGCPercent(garbagePercent)
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryBytes)))
@@ -59,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	logOutput := logwriter.New(o.stderr, logBufferBytes, lostLinesRecord)
+	logOutput := logwriter.New(out.stderr, logBufferBytes, lostLinesRecord)
 	defer logOutput.Close(logFlushTimeout)
 	log := zerolog.New(logOutput).Level(level)
 	logViolations(log)
@@ -69,7 +68,7 @@
 		return err
 	}
 	stop := make(chan struct{})
-	go handleSignals(process, o.signals, stop)
+	go handleSignals(process, out.signals, stop)
 	return process.Run(stop)
 }
 
--- a/internal/router/cli/servers.go
+++ b/internal/router/cli/servers.go
@@ -30,12 +30,13 @@
 }
 
 // Run prints a row for each server that the queried process knows.
-func (c *serversCommand) Run(o *output) error {
-	return show(o, &c.controlFlags, "/api/servers", func(list *serverList) *table {
-		t := newTable("ID", "SERVICE", "ADDRESS", "ZONE", "VERSION", "SLOTS", "STATE", "STAGE")
-		for _, s := range list.Servers {
-			t.add(s.ID, s.Service, s.Address, s.Zone, s.Version, s.Slots, s.State, s.role())
+func (c *serversCommand) Run(out *output) error {
+	return show(out, &c.controlFlags, "/api/servers", func(list *serverList) *table {
+		table := newTable("ID", "SERVICE", "ADDRESS", "ZONE", "VERSION", "SLOTS", "STATE", "STAGE")
+		for _, server := range list.Servers {
+			table.add(server.ID, server.Service, server.Address, server.Zone, server.Version, server.Slots,
+				server.State, server.role())
 		}
-		return t
+		return table
 	})
 }
--- a/internal/router/cli/soak.go
+++ b/internal/router/cli/soak.go
@@ -42,7 +42,7 @@
 
 // Run runs the soaks and prints the report of each. It fails if any could not be run to its end or broke
 // rules.
-func (c *soakCommand) Run(o *output) error {
+func (c *soakCommand) Run(out *output) error {
 	ctx, stop := signalContext()
 	defer stop()
 	if c.Program == "" {
@@ -61,7 +61,7 @@
 		if err != nil || report.Violations() > 0 {
 			broken++
 		}
-		if printErr := c.print(o.stdout, seed, report, err); printErr != nil {
+		if printErr := c.print(out.stdout, seed, report, err); printErr != nil {
 			return printErr
 		}
 	}
@@ -96,21 +96,34 @@
 		_, err := fmt.Fprintf(out, "seed %d: not played: %v\n", seed, runErr)
 		return err
 	case c.JSON:
-		document, err := json.Marshal(report)
-		if err != nil {
-			return err
-		}
-		_, err = fmt.Fprintf(out, "%s\n", document)
-		return errors.Join(err, runErr)
+		return errors.Join(printSoakJSON(out, report), runErr)
+	case runErr == nil && report.Violations() == 0:
+		_, _ = io.WriteString(out, soakSummary(seed, report)) // if nobody reads it, the exit code still says so
+		return nil
+	}
+	return printFailedSoak(out, seed, report, runErr)
+}
+
+func printSoakJSON(out io.Writer, report *routertrial.SoakReport) error {
+	document, err := json.Marshal(report)
+	if err != nil {
+		return err
 	}
+	_, err = fmt.Fprintf(out, "%s\n", document)
+	return err
+}
+
+// soakSummary is one line on the soak of a seed.
+func soakSummary(seed uint64, report *routertrial.SoakReport) string {
 	total := &report.Total
-	summary := fmt.Sprintf("seed %d: %.0f s, asked %d, served %d, refused %d, failed %d; %s\n", seed,
+	return fmt.Sprintf("seed %d: %.0f s, asked %d, served %d, refused %d, failed %d; %s\n", seed,
 		report.Seconds, total.Asked, total.Served(), total.Rejected, total.Failed, playedFaults(report))
-	if runErr == nil && report.Violations() == 0 {
-		_, _ = io.WriteString(out, summary) // if nobody reads it, the exit code still says so
-		return nil
-	}
-	text := bytes.NewBufferString(summary)
+}
+
+// printFailedSoak prints the summary, the events and the rules of a soak that broke rules, or whose run ended
+// with an error.
+func printFailedSoak(out io.Writer, seed uint64, report *routertrial.SoakReport, runErr error) error {
+	text := bytes.NewBufferString(soakSummary(seed, report))
 	if runErr != nil {
 		fmt.Fprintf(text, "  not played to its end: %v\n", runErr)
 	}
--- a/internal/router/cli/trialreport.go
+++ b/internal/router/cli/trialreport.go
@@ -21,9 +21,9 @@
 	for _, event := range report.Events {
 		fmt.Fprintln(&text, event)
 	}
-	for _, t := range []*table{kindsTable(report.Kinds), serversTable(report.Servers)} {
+	for _, table := range []*table{kindsTable(report.Kinds), serversTable(report.Servers)} {
 		text.WriteByte('\n')
-		if err := t.print(&text); err != nil {
+		if err := table.print(&text); err != nil {
 			return err
 		}
 	}
@@ -40,36 +40,38 @@
 
 // kindsTable has a row for each kind of request.
 func kindsTable(kinds []routerstandin.KindTally) *table {
-	t := newTable("KIND", "ASKED", "IN TIME", "LATE", "REFUSED", "FAILED", "P50", "P99")
-	for _, k := range kinds {
-		t.add(k.Kind, k.Asked, k.InTime, k.Late, k.Rejected, k.Failed, milliseconds(k.P50), milliseconds(k.P99))
+	table := newTable("KIND", "ASKED", "IN TIME", "LATE", "REFUSED", "FAILED", "P50", "P99")
+	for _, kind := range kinds {
+		table.add(kind.Kind, kind.Asked, kind.InTime, kind.Late, kind.Rejected, kind.Failed,
+			milliseconds(kind.P50), milliseconds(kind.P99))
 	}
-	return t
+	return table
 }
 
 func milliseconds(value float64) string { return fmt.Sprintf("%.0f ms", value) }
 
 // serversTable has a row for each server.
 func serversTable(servers []routerstandin.ServerTally) *table {
-	t := newTable("SERVER", "SERVICE", "ZONE", "STAGE", "CALLS", "READ", "RUN", "TURNED AWAY", "BROKEN OFF")
-	for _, s := range servers {
-		t.add(s.ID, s.Service, s.Zone, s.Stage, s.Arrivals, s.Prefills, s.Runs, s.Rejected, s.Aborted)
+	table := newTable("SERVER", "SERVICE", "ZONE", "STAGE", "CALLS", "READ", "RUN", "TURNED AWAY", "BROKEN OFF")
+	for _, server := range servers {
+		table.add(server.ID, server.Service, server.Zone, server.Stage, server.Arrivals, server.Prefills,
+			server.Runs, server.Rejected, server.Aborted)
 	}
-	return t
+	return table
 }
 
 // rulesTable has a row for each rule, with rows below for the details of each break.
 func rulesTable(rules []routerstandin.Verdict) *table {
-	t := newTable("RULE", "STATE")
+	table := newTable("RULE", "STATE")
 	for _, rule := range rules {
 		if rule.Violations == 0 {
-			t.add(rule.Rule, "kept")
+			table.add(rule.Rule, "kept")
 			continue
 		}
-		t.add(rule.Rule, fmt.Sprintf("BROKEN %d times", rule.Violations))
+		table.add(rule.Rule, fmt.Sprintf("BROKEN %d times", rule.Violations))
 		for _, detail := range rule.Details {
-			t.add("", detail)
+			table.add("", detail)
 		}
 	}
-	return t
+	return table
 }
--- a/internal/router/cli/try.go
+++ b/internal/router/cli/try.go
@@ -32,11 +32,10 @@
 }
 
 // Run runs the trial and prints its report. It fails if the trial could not be run to its end or broke rules.
-func (c *tryCommand) Run(o *output) error {
+func (c *tryCommand) Run(out *output) error {
 	options, err := c.options()
 	if err != nil {
-		o.code = exitUsage
-		return err
+		return &exitError{exitUsage, err}
 	}
 	if c.Log != "" {
 		file, err := os.Create(c.Log)
@@ -48,12 +47,12 @@
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	progress := newProgressLine(o.stderr, options.Duration)
+	progress := newProgressLine(out.stderr, options.Duration)
 	options.OnProgress = progress.show
 	report, err := routertrial.Run(ctx, options)
 	progress.clear()
 	if report != nil {
-		if printErr := c.print(o.stdout, report); printErr != nil {
+		if printErr := c.print(out.stdout, report); printErr != nil {
 			return printErr
 		}
 	}
--- a/internal/router/cli/try_test.go
+++ b/internal/router/cli/try_test.go
@@ -46,13 +46,13 @@
 
 func startTrial(c *qt.C, arguments ...string) *trial {
 	c.Helper()
-	t := &trial{C: c, folder: c.TempDir(), exited: make(chan error, 1)}
-	t.command = exec.Command(os.Args[0], append([]string{"try"}, arguments...)...)
-	t.command.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+t.folder)
-	t.command.Stdout, t.command.Stderr = &t.out, &t.problem
-	c.Assert(t.command.Start(), qt.IsNil)
-	go func() { t.exited <- t.command.Wait() }()
-	return t
+	trial := &trial{C: c, folder: c.TempDir(), exited: make(chan error, 1)}
+	trial.command = exec.Command(os.Args[0], append([]string{"try"}, arguments...)...)
+	trial.command.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+trial.folder)
+	trial.command.Stdout, trial.command.Stderr = &trial.out, &trial.problem
+	c.Assert(trial.command.Start(), qt.IsNil)
+	go func() { trial.exited <- trial.command.Wait() }()
+	return trial
 }
 
 // wait waits until the trial exits and returns its exit code.
--- a/internal/router/latereport/log.go
+++ b/internal/router/latereport/log.go
@@ -22,6 +22,9 @@
 	outcomeServed = "served"
 )
 
+// noSharedPrefix is the SharedPrefix of a prompt that shares none.
+const noSharedPrefix = "0"
+
 // callMessage is the message of the log lines of calls.
 const callMessage = "front: call"
 
@@ -36,7 +39,7 @@
 	Server        string  `json:"server"`
 	Role          string  `json:"role"`
 	Outcome       string  `json:"outcome"`
-	SharedPrefix  string  `json:"shared"` // identifies the prefix that prompts share, "0" for none
+	SharedPrefix  string  `json:"shared"` // identifies the prefix that prompts share, or noSharedPrefix
 	PromptTokens  int     `json:"prompt"`
 	PrefillTokens int     `json:"reads"` // that the proxy expected the server not to have cached
 	ExpectedMs    float64 `json:"expected_ms"`
--- a/internal/router/latereport/summary.go
+++ b/internal/router/latereport/summary.go
@@ -50,40 +50,57 @@
 
 // Summarize attributes each late response to its cause, given the calls of one or several proxies.
 func Summarize(calls []Call) *Summary {
+	s := &summarizer{
+		prefillMsPerToken: fastestPrefillPace(calls),
+		firstPrefills:     firstPrefills(calls),
+		routes:            map[string]*Route{},
+	}
+	requests := groupByRequest(calls)
+	for _, id := range slices.Sorted(maps.Keys(requests)) {
+		s.addRequest(requests[id])
+	}
+	summary := &Summary{PrefillMsPerToken: s.prefillMsPerToken}
+	for _, name := range slices.Sorted(maps.Keys(s.routes)) {
+		summary.Routes = append(summary.Routes, *s.routes[name])
+	}
+	return summary
+}
+
+// groupByRequest returns the calls of each request by its id, in the order in which they started.
+func groupByRequest(calls []Call) map[string][]Call {
 	requests := map[string][]Call{}
 	for _, call := range calls {
 		requests[call.AttemptID] = append(requests[call.AttemptID], call)
 	}
-	s := &Summary{PrefillMsPerToken: fastestPrefillPace(calls)}
-	prefills := firstPrefills(calls)
-	routes := map[string]*Route{}
-	for _, id := range slices.Sorted(maps.Keys(requests)) {
-		request := requests[id]
+	for _, request := range requests {
 		slices.SortStableFunc(request, func(a, b Call) int { return cmp.Compare(a.StartMs, b.StartMs) })
-		s.addRequest(routes, request, prefills)
-	}
-	for _, name := range slices.Sorted(maps.Keys(routes)) {
-		s.Routes = append(s.Routes, *routes[name])
 	}
-	return s
+	return requests
+}
+
+// summarizer attributes the late responses of one summary.
+type summarizer struct {
+	prefillMsPerToken float64
+	firstPrefills     map[string]Call // the first call that prefilled each shared prefix
+	routes            map[string]*Route
 }
 
 // addRequest counts a request, given its calls in their order, if it got a response.
-func (s *Summary) addRequest(routes map[string]*Route, calls []Call, prefills map[string]Call) {
+func (s *summarizer) addRequest(calls []Call) {
 	last := calls[len(calls)-1]
 	if last.Role == rolePrefill || last.Outcome != outcomeServed {
 		return
 	}
-	route := routes[last.Route]
+	route := s.routes[last.Route]
 	if route == nil {
 		route = &Route{Name: last.Route, TargetMs: last.TargetMs, Causes: map[Cause]int{}}
-		routes[last.Route] = route
+		s.routes[last.Route] = route
 	}
 	route.Answered++
 	firstOutputMs := last.StartMs + last.firstOutputMs()
 	if last.TargetMs > 0 && firstOutputMs > last.TargetMs {
 		route.Late++
-		route.Causes[s.mainCause(calls, prefills)]++
+		route.Causes[s.mainCause(calls)]++
 	}
 }
 
@@ -95,19 +112,19 @@
 	return c.DurationMs
 }
 
-// mainCause returns the cause that took most of the time of a request.
-func (s *Summary) mainCause(calls []Call, prefills map[string]Call) Cause {
-	last, msByCause := calls[len(calls)-1], map[Cause]float64{}
-	msByCause[CauseDecode] = last.firstOutputMs()
+// mainCause returns the cause that took most of the time of a request, given its calls in their order.
+func (s *summarizer) mainCause(calls []Call) Cause {
+	last := calls[len(calls)-1]
+	msByCause := map[Cause]float64{CauseDecode: last.firstOutputMs()}
 	for _, call := range calls[:len(calls)-1] {
 		if !call.isServedPrefill() {
 			msByCause[CauseRetries] += call.DurationMs
 			continue
 		}
-		prefillMs := min(float64(call.PrefillTokens)*s.PrefillMsPerToken, call.DurationMs)
+		prefillMs := min(float64(call.PrefillTokens)*s.prefillMsPerToken, call.DurationMs)
 		msByCause[CausePrefillQueue] += call.DurationMs - prefillMs
-		switch first, ok := prefills[call.SharedPrefix]; {
-		case ok && first.AttemptID != call.AttemptID && call.PrefillTokens == call.PromptTokens:
+		switch {
+		case s.repeatsPrefill(call):
 			msByCause[CauseRepeatedPrefill] += prefillMs
 		case prefillMs > last.TargetMs:
 			return CauseOwnPrefill
@@ -115,6 +132,19 @@
 			msByCause[CausePrefill] += prefillMs
 		}
 	}
+	return largestCause(msByCause)
+}
+
+// repeatsPrefill reports whether a call prefilled a whole prompt although a server had prefilled its shared
+// prefix for another request.
+func (s *summarizer) repeatsPrefill(call Call) bool {
+	first, ok := s.firstPrefills[call.SharedPrefix]
+	return ok && first.AttemptID != call.AttemptID && call.PrefillTokens == call.PromptTokens
+}
+
+// largestCause returns the cause that took most time, of several the first in the order of Causes, but
+// CausePrefill before all.
+func largestCause(msByCause map[Cause]float64) Cause {
 	largest := CausePrefill
 	for _, cause := range Causes {
 		if msByCause[cause] > msByCause[largest] {
@@ -135,7 +165,7 @@
 			first[call.SharedPrefix] = call
 		}
 	}
-	delete(first, "0")
+	delete(first, noSharedPrefix)
 	return first
 }
 
