--- a/internal/router/controlclient/client.go
+++ b/internal/router/controlclient/client.go
@@ -18,7 +18,9 @@
 const (
 	// maxResponseBytes bounds the body of a response; a configuration may be that large.
 	maxResponseBytes = 8 << 20
-	// maxRedirects is how many redirections with status 307 a call follows.
+	// statusTemporaryRedirect is the status of a redirection that a call follows, with its method and body.
+	statusTemporaryRedirect = 307
+	// maxRedirects is how many of them a call follows.
 	maxRedirects = 2
 )
 
@@ -28,8 +30,8 @@
 // Call is a call to be made.
 type Call struct {
 	Method string
-	Target string // path and query
-	Header http1.Header
+	Target string       // path and query
+	Header http1.Header // besides Host
 	Body   []byte
 }
 
@@ -66,19 +68,28 @@
 	for redirects := 0; ; redirects++ {
 		response, err := doOnce(ctx, dial, address, call)
 		if err != nil {
-			return nil, &CallError{address, err}
+			return nil, &CallError{Address: address, Err: err}
 		}
-		if response.Status != 307 || redirects == maxRedirects {
-			return response, nil
-		}
-		location, err := url.Parse(response.Header.Get("Location"))
-		if err != nil || location.Host == "" {
+		location := redirectLocation(response)
+		if location == nil || redirects == maxRedirects {
 			return response, nil
 		}
 		address, call.Target = location.Host, location.RequestURI()
 	}
 }
 
+// redirectLocation returns where a response redirects its call to, nil if it doesn't.
+func redirectLocation(response *http1.Response) *url.URL {
+	if response.Status != statusTemporaryRedirect {
+		return nil
+	}
+	location, err := url.Parse(response.Header.Get("Location"))
+	if err != nil || location.Host == "" {
+		return nil
+	}
+	return location
+}
+
 // doOnce makes a call without following redirections.
 func doOnce(ctx context.Context, dial DialFunc, address string, call Call) (*http1.Response, error) {
 	conn, err := dial(ctx, address)
--- a/internal/router/controlserver/server.go
+++ b/internal/router/controlserver/server.go
@@ -71,42 +71,68 @@
 func (s *Server) serveConn(netConn net.Conn) {
 	defer netConn.Close()
 	conn := connbuffer.NewConn(netConn)
-	for {
-		netConn.SetReadDeadline(time.Now().Add(idleTimeout))
-		if conn.AwaitReadable() != nil {
-			return
-		}
-		netConn.SetReadDeadline(time.Now().Add(readTimeout))
-		response, err := s.readAndHandle(conn)
-		if err != nil {
-			return
-		}
-		netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if response.Write(conn.Out) != nil || conn.Flush() != nil || response.Close {
-			return
-		}
+	mayGoOn := true
+	for mayGoOn {
+		mayGoOn = s.serveCall(conn)
 	}
 }
 
-// readAndHandle reads a call and has it handled. An error means that the connection is of no further use.
+// serveCall waits for the next call of a connection and serves it. It reports whether another one may follow.
+func (s *Server) serveCall(conn *connbuffer.Conn) bool {
+	conn.SetReadDeadline(time.Now().Add(idleTimeout))
+	if conn.AwaitReadable() != nil {
+		return false
+	}
+	conn.SetReadDeadline(time.Now().Add(readTimeout))
+	response, err := s.readAndHandle(conn)
+	if err != nil {
+		return false
+	}
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	return response.Write(conn.Out) == nil && conn.Flush() == nil && !response.Close
+}
+
+// readAndHandle reads a call and has it handled, or rejects it. An error means that the connection is of no
+// further use.
 func (s *Server) readAndHandle(conn *connbuffer.Conn) (*http1.Response, error) {
-	head, body, err := http1.ReadRequestHead(conn.In)
+	request, err := s.readRequest(conn)
+	var malformed *http1.MalformedError
+	switch {
+	case errors.As(err, &malformed):
+		return closingText(malformed.Status, malformed.Reason), nil
+	case errors.Is(err, errBodyTooLarge):
+		return closingText(413, errBodyTooLarge.Error()), nil
+	case err != nil:
+		return nil, err
+	}
+	response := s.handle(&Call{
+		Method: request.Method, Path: request.Target, Header: request.Header, Body: request.Body,
+	})
+	response.Close = response.Close || request.Close
+	return response, nil
+}
+
+// errBodyTooLarge means that a call's body exceeds MaxBodyBytes. The text goes to the caller.
+var errBodyTooLarge = errors.New("the body is too large")
+
+// readRequest reads a call completely. Its error is an *http1.MalformedError, errBodyTooLarge, or that of the
+// connection.
+func (s *Server) readRequest(conn *connbuffer.Conn) (*http1.Request, error) {
+	request, body, err := http1.ReadRequestHead(conn.In)
 	if err != nil {
-		return responseToMalformed(err)
+		return nil, err
 	}
 	if body.Length() > s.MaxBodyBytes {
-		return closingText(413, "the body is too large"), nil
+		return nil, errBodyTooLarge
 	}
-	content, err := io.ReadAll(io.LimitReader(body, s.MaxBodyBytes+1))
+	request.Body, err = io.ReadAll(io.LimitReader(body, s.MaxBodyBytes+1))
 	if err != nil {
-		return responseToMalformed(err)
+		return nil, err
 	}
-	if int64(len(content)) > s.MaxBodyBytes {
-		return closingText(413, "the body is too large"), nil
+	if int64(len(request.Body)) > s.MaxBodyBytes {
+		return nil, errBodyTooLarge
 	}
-	response := s.handle(&Call{Method: head.Method, Path: head.Target, Header: head.Header, Body: content})
-	response.Close = response.Close || head.Close
-	return response, nil
+	return request, nil
 }
 
 // handle calls the handler and recovers its panic. If the panic ended the process instead, the caller would
@@ -124,13 +150,3 @@
 	}()
 	return s.Handler(call)
 }
-
-// responseToMalformed returns the response to a call that is not valid HTTP, or the error that prevented it
-// from being read.
-func responseToMalformed(err error) (*http1.Response, error) {
-	var malformed *http1.MalformedError
-	if errors.As(err, &malformed) {
-		return closingText(malformed.Status, malformed.Reason), nil
-	}
-	return nil, err
-}
