--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -85,10 +85,10 @@
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
-	a.hubs["127.0.0.9"] = &hub{ip: "127.0.0.9"}
-	c.Assert(a.awaitMajority(1, 0), qt.IsFalse)
-	a.hubs["127.0.0.9"].state.replicatedTo = 1
-	c.Assert(a.awaitMajority(1, 0), qt.IsTrue)
+	a.hubs.links["127.0.0.9"] = &hub{ip: "127.0.0.9"}
+	c.Assert(a.quorum.awaitMajority(1, 0), qt.IsFalse)
+	a.hubs.links["127.0.0.9"].state.replicatedTo = 1
+	c.Assert(a.quorum.awaitMajority(1, 0), qt.IsTrue)
 }
 
 // TestFeedContinuesFromAnOffset gives a follower what it has not received, and a snapshot where its offset is
@@ -97,15 +97,15 @@
 	c := qt.New(t)
 	a := newTestAgent(t)
 	a.handleCall(heartbeat("ready", "1"))
-	first := a.nextFeed(0, -1)
+	first := a.feeds.next(0, -1)
 	c.Assert(first.Records, qt.HasLen, 1)
 	a.handleCall(heartbeat("draining", "2"))
-	c.Assert(a.hasUpdate(feedPosition{uint64(first.To), 0, first.Epoch}), qt.IsTrue)
-	next := a.nextFeed(uint64(first.To), first.Epoch)
+	c.Assert(a.feeds.hasUpdate(feedPosition{uint64(first.To), 0, first.Epoch}), qt.IsTrue)
+	next := a.feeds.next(uint64(first.To), first.Epoch)
 	c.Assert(next.From, qt.Equals, first.To)
 	c.Assert(next.Records, qt.HasLen, 1)
 	c.Assert(next.Records[0].State, qt.Equals, directory.Draining)
-	c.Assert(a.nextFeed(99, 0).From, qt.Equals, int64(0))
+	c.Assert(a.feeds.next(99, 0).From, qt.Equals, int64(0))
 }
 
 // TestTimedOutServersAreLostUntilTheirNextHeartbeat marks a server lost that does not call any more, unless
@@ -116,10 +116,10 @@
 	a.handleCall(heartbeat("ready", "1"))
 	later := a.now() + time.Duration(2*maxMissedHeartbeats*float64(a.settings.HeartbeatInterval))
 	a.failures.observingSince = later
-	a.markTimedOut(later)
+	a.failures.markTimedOut(later, false)
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
 	a.failures.observingSince = 0
-	a.markTimedOut(later)
+	a.failures.markTimedOut(later, false)
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
 	a.handleCall(heartbeat("ready", "2"))
 	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
--- a/internal/router/agent/control_endpoint.go
+++ b/internal/router/agent/control_endpoint.go
@@ -11,7 +11,7 @@
 func (a *Agent) handleCall(call *controlserver.Call) *http1.Response {
 	switch {
 	case strings.HasPrefix(call.Path, serversPath) && call.Path != serversPath:
-		return a.handleServerCall(call)
+		return a.serverEndpoint.handle(call)
 	case call.Path == metricsPath:
 		return a.showMetrics(call)
 	case call.Path == membersPath:
@@ -19,7 +19,7 @@
 	case call.Path == serverListPath:
 		return a.listServers(call)
 	case call.Path == configPath:
-		return a.handleConfigCall(call)
+		return a.configEndpoint.handle(call)
 	}
 	return controlserver.Text(404, "no such call; see api/control.openapi.yaml")
 }
