--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -41,13 +41,12 @@
 	state State
 	// inFlightChanged holds a token when calls began or ended since the last one was taken.
 	inFlightChanged chan struct{}
-	now             func() time.Duration
+	now             func() time.Duration // the steady clock
+	demandMeter     *demandMeter         // of model servers
 
-	demandMeter *demandMeter
-
-	mu    sync.Mutex
+	mu    sync.Mutex // guards what follows
 	inner chooser
-	table *catalog.Table
+	table *catalog.Table // that inner has
 }
 
 func newLockedChooser(zone string, state State, now func() time.Duration) *lockedChooser {
@@ -56,27 +55,28 @@
 		inner:           scheduler.New(zone, rand.Uint64())}
 }
 
-// lock takes the lock and updates the chooser if there is a newer table of servers.
-func (lc *lockedChooser) lock() (now time.Duration, unlock func()) {
+// lock locks mu, which the caller unlocks, and updates the chooser if there is a newer table of servers. It
+// returns the time.
+func (lc *lockedChooser) lock() time.Duration {
 	lc.mu.Lock()
-	now = lc.now()
+	now := lc.now()
 	if table := servers(lc.state); table != lc.table {
 		lc.table = table
 		lc.inner.Update(now, table)
 	}
-	return now, lc.mu.Unlock
+	return now
 }
 
 func (lc *lockedChooser) split(req *scheduler.Request) bool {
-	now, unlock := lc.lock()
-	defer unlock()
+	now := lc.lock()
+	defer lc.mu.Unlock()
 	return lc.inner.Split(now, req)
 }
 
 func (lc *lockedChooser) choose(req *scheduler.Request, role scheduler.Role,
 	prefillServer *catalog.Server) *scheduler.Call {
-	now, unlock := lc.lock()
-	defer unlock()
+	now := lc.lock()
+	defer lc.mu.Unlock()
 	call := lc.inner.Choose(now, req, role, prefillServer)
 	if call != nil {
 		lc.recordDemand(now, call, 1)
@@ -85,20 +85,20 @@
 }
 
 func (lc *lockedChooser) observeLoad(server string, load scheduler.Load) {
-	now, unlock := lc.lock()
-	defer unlock()
+	now := lc.lock()
+	defer lc.mu.Unlock()
 	lc.inner.ObserveLoad(now, server, load)
 }
 
 func (lc *lockedChooser) firstEvent(call *scheduler.Call) {
-	now, unlock := lc.lock()
-	defer unlock()
+	now := lc.lock()
+	defer lc.mu.Unlock()
 	lc.inner.FirstEvent(now, call)
 }
 
 func (lc *lockedChooser) done(call *scheduler.Call, outcome scheduler.Outcome) {
-	now, unlock := lc.lock()
-	defer unlock()
+	now := lc.lock()
+	defer lc.mu.Unlock()
 	lc.inner.Done(now, call, outcome)
 	lc.recordDemand(now, call, -1)
 }
@@ -118,14 +118,28 @@
 	}
 }
 
-func (lc *lockedChooser) queueDelay(req *scheduler.Request) (wait time.Duration, free bool) {
-	now, unlock := lc.lock()
-	defer unlock()
-	return lc.inner.QueueDelay(now, req)
+// queueEstimate is what a request that is sent now meets.
+type queueEstimate struct {
+	wait     time.Duration // until a server begins
+	slotFree bool          // a server can begin at once
+}
+
+func (lc *lockedChooser) queueDelay(req *scheduler.Request) queueEstimate {
+	now := lc.lock()
+	defer lc.mu.Unlock()
+	wait, free := lc.inner.QueueDelay(now, req)
+	return queueEstimate{wait: wait, slotFree: free}
+}
+
+// otherServers says what there is for a request besides one server.
+type otherServers struct {
+	exist    bool // there is one that may be asked
+	slotFree bool // one of them can begin at once
 }
 
-func (lc *lockedChooser) alternative(req *scheduler.Request, server string) (exists, free bool) {
-	now, unlock := lc.lock()
-	defer unlock()
-	return lc.inner.Alternative(now, req, server)
+func (lc *lockedChooser) alternative(req *scheduler.Request, server string) otherServers {
+	now := lc.lock()
+	defer lc.mu.Unlock()
+	exists, free := lc.inner.Alternative(now, req, server)
+	return otherServers{exist: exists, slotFree: free}
 }
--- a/internal/router/dataplane/conclude.go
+++ b/internal/router/dataplane/conclude.go
@@ -74,6 +74,6 @@
 
 // retryAfter is the time after which a server is expected to have a free slot.
 func (rt *roundTrip) retryAfter() time.Duration {
-	wait, _ := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
-	return min(max(wait, minRetryAfter), maxRetryAfter)
+	queue := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
+	return min(max(queue.wait, minRetryAfter), maxRetryAfter)
 }
--- a/internal/router/dataplane/peerload.go
+++ b/internal/router/dataplane/peerload.go
@@ -45,24 +45,24 @@
 // full, they have none elsewhere. It also adds the prefixes that they have sent to servers for the first
 // time.
 func (p *Proxy) SetPeerLoad(peers []scheduler.InFlightLoad, full bool, prefixes []scheduler.CachedPrefixes) {
-	now, unlock := p.chooser.lock()
-	defer unlock()
+	now := p.chooser.lock()
+	defer p.chooser.mu.Unlock()
 	p.chooser.inner.SetPeerLoad(now, peers, full)
 	p.chooser.inner.AddCachedPrefixes(prefixes)
 }
 
 // MarkFleetStart records that no proxy has sent anything to a server before this one started.
 func (p *Proxy) MarkFleetStart() {
-	now, unlock := p.chooser.lock()
-	defer unlock()
+	now := p.chooser.lock()
+	defer p.chooser.mu.Unlock()
 	p.chooser.inner.MarkFleetStart(now)
 }
 
 // SinceLastSuccess returns how long ago a server last answered a request of this proxy with success, and
 // whether it has.
 func (p *Proxy) SinceLastSuccess(server string) (time.Duration, bool) {
-	now, unlock := p.chooser.lock()
-	defer unlock()
+	now := p.chooser.lock()
+	defer p.chooser.mu.Unlock()
 	at, answered := p.chooser.inner.LastSuccess(server)
 	return now - at, answered
 }
@@ -78,8 +78,8 @@
 // SyncPrefixes adds what another proxy, or this one before it was restarted, knew of the prefixes cached at
 // servers.
 func (p *Proxy) SyncPrefixes(known []scheduler.CachedPrefixes) {
-	now, unlock := p.chooser.lock()
-	defer unlock()
+	now := p.chooser.lock()
+	defer p.chooser.mu.Unlock()
 	p.chooser.inner.AddCachedPrefixes(known)
 	p.chooser.inner.MarkPrefixesSynced(now)
 }
--- a/internal/router/dataplane/readdeadline.go
+++ b/internal/router/dataplane/readdeadline.go
@@ -44,8 +44,8 @@
 // the response has begun, the existence of another server is enough.
 func (c *call) hasAlternative() bool {
 	rt := c.roundTrip
-	exists, free := rt.proxy.chooser.alternative(&rt.request.scheduling, c.choice.Server.ID)
-	return free || exists && !rt.relay.started
+	others := rt.proxy.chooser.alternative(&rt.request.scheduling, c.choice.Server.ID)
+	return others.slotFree || others.exist && !rt.relay.started
 }
 
 // bufferDeadline is when a response counts as broken that has begun and is not buffered completely.
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -101,8 +101,8 @@
 	if rt.finished() {
 		return true
 	}
-	wait, free := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
-	return !free && wait >= rt.timeLeft()
+	queue := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
+	return !queue.slotFree && queue.wait >= rt.timeLeft()
 }
 
 // timeLeft is the time until the request's deadline, negative after it.
