--- a/internal/proxy/config/check.go
+++ b/internal/proxy/config/check.go
@@ -10,41 +10,29 @@
 	"cresshub/internal/settingsfile"
 )
 
+// maxFractionSum is what the fractions of all tenants may add up to, with room for rounding errors.
+const maxFractionSum = 1.0001
+
 // validate reports mistakes between keys. Each key by itself has been checked, and one that failed is left
-// out here, so that no mistake is reported twice. What the platform sets is only held to what the balancer
-// needs: there, the platform has to be right.
+// out here, so that no mistake is reported twice. Of the values that the platform sets only what the balancer
+// needs is checked: the operators answer for the others.
 func (c *Config) validate(problems *settingsfile.SettingErrors) {
-	k := &checker{Config: c, SettingErrors: problems, invalid: map[string]bool{}}
-	for _, p := range *problems {
-		k.invalid[p.Key] = true
-		if section, _, ok := strings.Cut(p.Key, "."); ok {
-			k.invalid[section] = true
-		}
-		k.unreadable = k.unreadable || p.HidesKeys
-	}
-	if c.origins["class.0.name"].Source != "platform" {
+	k := newChecker(c, problems)
+	if c.origins["class.0.name"].Source != sourcePlatform {
 		k.checkClasses()
 		k.checkUnique("class", len(c.Classes), func(i int) string { return c.Classes[i].Name }, "name")
 		k.checkUnique("tenant", len(c.Tenants), func(i int) string { return c.Tenants[i].Name }, "name")
 		k.checkUnique("server", len(c.Servers), func(i int) string { return c.Servers[i].Name }, "name")
 		k.checkUnique("server", len(c.Servers), func(i int) string { return c.Servers[i].Address }, "address")
-		k.checkShares()
+		k.checkFractions()
 		k.checkHall()
 	}
 	k.checkServerSource()
-	if c.Operator != "" && c.Operator == c.Listen.Address && !strings.HasSuffix(c.Operator, ":0") &&
-		k.valid("operator", "listen.address") {
-		problems.Add(c.originOf("operator"), "operator",
-			"%q is where clients connect; operators need an address of their own", c.Operator)
-	}
+	k.checkAdminAddress()
 	k.checkFleet()
 	k.checkLedger()
 	k.checkOwner()
-	if s := &c.Shutdown; s.CloseAll < s.AcceptFor && k.valid("shutdown.close_all_after", "shutdown.accept_for") {
-		problems.Add(c.originOf("shutdown.close_all_after", "shutdown.accept_for"), "shutdown.close_all_after",
-			"%s is before accept_for %s, so that connections taken last would be cut",
-			settingsfile.FormatDuration(s.CloseAll), settingsfile.FormatDuration(s.AcceptFor))
-	}
+	k.checkShutdown()
 	if len(*problems) > 0 {
 		return
 	}
@@ -61,6 +49,20 @@
 	unreadable bool            // parts of the file could not be read, so that keys may be missing by mistake
 }
 
+// newChecker returns a checker that adds to the mistakes found so far.
+func newChecker(c *Config, problems *settingsfile.SettingErrors) *checker {
+	k := &checker{Config: c, SettingErrors: problems, invalid: map[string]bool{}}
+	for _, p := range *problems {
+		k.invalid[p.Key] = true
+		if section, _, ok := strings.Cut(p.Key, "."); ok {
+			k.invalid[section] = true
+		}
+		k.unreadable = k.unreadable || p.HidesKeys
+	}
+	return k
+}
+
+// report adds a mistake in the value of a path.
 func (k *checker) report(o settingsfile.Origin, path, format string, args ...any) {
 	k.Add(o, schema().Display(path), format, args...)
 }
@@ -70,6 +72,7 @@
 	return !slices.ContainsFunc(paths, func(p string) bool { return k.invalid[schema().Display(p)] })
 }
 
+// checkClasses checks the keys of each class against each other.
 func (k *checker) checkClasses() {
 	if len(k.Classes) == 0 && !k.unreadable && !k.invalid["class"] {
 		k.report(k.fileOrigin(), "class",
@@ -82,68 +85,92 @@
 				"%s is beyond the deadline %s; the aim is the shorter one",
 				settingsfile.FormatDuration(class.LatencyTarget), settingsfile.FormatDuration(class.Deadline))
 		}
-		if class.Effect == "deduplicated" && class.DedupWindow == 0 && k.valid(path("effect"), path("window")) {
+		if class.Effect == effectDeduplicated && class.DedupWindow == 0 && k.valid(path("effect"), path("window")) {
 			k.report(k.originOf(path("effect")), path("window"),
 				"is missing; a deduplicated class says how long repeats are dropped")
 		}
 	}
 }
 
-// checkUnique reports a value that a second table of a list has, of a key whose values must differ.
-func (k *checker) checkUnique(list string, n int, word func(int) string, key string) {
-	first := map[string]int{}
+// checkUnique reports each table of a list whose value of a key, valueOf(i), a table before it has too. n is
+// the number of tables.
+func (k *checker) checkUnique(list string, n int, valueOf func(i int) string, key string) {
+	firstWith := map[string]int{} // position of the first table by value
 	for i := range n {
 		path := fmt.Sprintf("%s.%d.%s", list, i, key)
 		if !k.valid(path) {
 			continue
 		}
-		if j, ok := first[word(i)]; ok {
-			k.report(k.originOf(path), path, "%q is the %s of %s[%d] already", word(i), key, list, j+1)
+		value := valueOf(i)
+		if j, ok := firstWith[value]; ok {
+			k.report(k.originOf(path), path, "%q is the %s of %s[%d] already", value, key, list, j+1)
 			continue
 		}
-		first[word(i)] = i
+		firstWith[value] = i
 	}
 }
 
-func (k *checker) checkShares() {
+// checkFractions checks what the tenants' fractions of the service add up to.
+func (k *checker) checkFractions() {
 	total := 0.0
 	for _, t := range k.Tenants {
-		total += t.Share
+		total += t.Fraction
 	}
-	if total > 1.0001 {
+	if total > maxFractionSum {
 		path := fmt.Sprintf("tenant.%d.share", len(k.Tenants)-1)
 		k.report(k.originOf(path), path, "all shares add up to %.4g, 1 is the most", total)
 	}
 }
 
+// checkHall checks that this instance's hall is one of those named.
 func (k *checker) checkHall() {
 	if k.Policy.Hall == "" || k.hallIndex() >= 0 || !k.valid("policy.hall", "halls") {
 		return
 	}
 	hint := ""
-	if w := settingsfile.Closest(k.Policy.Hall, k.Halls); w != "" {
-		hint = "; did you mean " + w + "?"
+	if closest := settingsfile.Closest(k.Policy.Hall, k.Halls); closest != "" {
+		hint = "; did you mean " + closest + "?"
 	}
 	k.report(k.originOf("policy.hall"), "policy.hall", "%q is none of halls = [%s]%s", k.Policy.Hall,
 		strings.Join(k.Halls, ", "), hint)
 }
 
+// checkServerSource checks that the list of servers has exactly one source.
 func (k *checker) checkServerSource() {
-	at := k.Discovery.Address
+	address := k.Discovery.Address
 	switch {
-	case at != "" && len(k.Servers) > 0:
+	case address != "" && len(k.Servers) > 0:
 		k.report(k.originOf("discovery.address"), "discovery.address",
 			"is set and [[server]] tables are there too; servers come from one of the two")
-	case at == "" && len(k.Servers) == 0 && k.KnownServers == nil && !k.unreadable &&
+	case address == "" && len(k.Servers) == 0 && k.KnownServers == nil && !k.unreadable &&
 		k.valid("discovery", "server"):
 		k.report(k.fileOrigin(), "discovery.address", "is missing; set it or name servers with [[server]]")
 	}
 }
 
-// originOf returns where the first of the paths stands that a source has set.
+// checkAdminAddress checks that the admin API has an address of its own.
+func (k *checker) checkAdminAddress() {
+	if k.Operator != "" && k.Operator == k.Listen.Address && !strings.HasSuffix(k.Operator, ":0") &&
+		k.valid("operator", "listen.address") {
+		k.Add(k.originOf("operator"), "operator",
+			"%q is where clients connect; operators need an address of their own", k.Operator)
+	}
+}
+
+// checkShutdown checks the order of the steps of a shutdown.
+func (k *checker) checkShutdown() {
+	const acceptKey, closeKey = "shutdown.accept_for", "shutdown.close_all_after"
+	if s := &k.Shutdown; s.CloseAll < s.AcceptFor && k.valid(closeKey, acceptKey) {
+		k.Add(k.originOf(closeKey, acceptKey), closeKey,
+			"%s is before accept_for %s, so that connections taken last would be cut",
+			settingsfile.FormatDuration(s.CloseAll), settingsfile.FormatDuration(s.AcceptFor))
+	}
+}
+
+// originOf returns the origin of the first of the paths that a source has set, else fileOrigin.
 func (c *Config) originOf(paths ...string) settingsfile.Origin {
 	for _, p := range paths {
-		if o, ok := c.origins[p]; ok && o.Source != "default" {
+		if o, ok := c.origins[p]; ok && o.Source != sourceDefault {
 			return o
 		}
 	}
@@ -152,17 +179,20 @@
 
 // fileOrigin returns the beginning of the file that was read, if any: where a missing key is reported.
 func (c *Config) fileOrigin() settingsfile.Origin {
-	best := settingsfile.Origin{Source: "none", Name: "configuration"}
+	first := settingsfile.Origin{Source: sourceNone, Name: "configuration"}
 	for _, o := range c.origins {
-		if o.Source == "file" && (best.Source != "file" || o.Name < best.Name) {
-			best = settingsfile.Origin{Source: "file", Name: o.Name, Line: 1}
+		if o.Source == sourceFile && (first.Source != sourceFile || o.Name < first.Name) {
+			first = settingsfile.Origin{Source: sourceFile, Name: o.Name, Line: 1}
 		}
 	}
-	return best
+	return first
 }
 
-// hallIndex returns the index of this instance's hall in Halls, or the number after "#" where the platform's
-// list of names is shorter than its numbers; -1 where there is none.
+// hallNumberPrefix begins the name that readPlatform makes for a hall that has only a number.
+const hallNumberPrefix = "#"
+
+// hallIndex returns the index of this instance's hall in Halls, or its number where the platform names fewer
+// halls than it numbers; -1 where there is neither.
 func (c *Config) hallIndex() int {
 	if i := slices.Index(c.Halls, c.Policy.Hall); i >= 0 {
 		return i
@@ -170,7 +200,7 @@
 	if c.Policy.Hall == "" && len(c.Halls) == 0 { // all servers are in one
 		return 0
 	}
-	if number, ok := strings.CutPrefix(c.Policy.Hall, "#"); ok {
+	if number, ok := strings.CutPrefix(c.Policy.Hall, hallNumberPrefix); ok {
 		if n, err := strconv.Atoi(number); err == nil {
 			return n
 		}
--- a/internal/proxy/config/check_cluster.go
+++ b/internal/proxy/config/check_cluster.go
@@ -135,6 +135,7 @@
 	}
 }
 
+// reportOwner reports a mistake in a key of the section owner, at owner.chores if the key itself is not set.
 func (k *checker) reportOwner(key, format string, args ...any) {
 	path := "owner." + key
 	k.Add(k.originOf(path, "owner.chores"), path, format, args...)
--- a/internal/proxy/config/config.go
+++ b/internal/proxy/config/config.go
@@ -3,6 +3,17 @@
 // (see package settingsfile). The command line's help, the reference page (Reference), a first file
 // (InitialFile) and the checks are made from the same tags.
 //
+// A setting is declared in this form, where the fields named _ are its documentation, a line each:
+//
+//	_     about         `doc:"longest wait for the response, after which the request"`
+//	_     about         `doc:"is given up"`
+//	Limit time.Duration `key:"limit" default:"2s" min:"10ms" max:"10m" reload:"live"`
+//
+// A setting without default must be set; enum and form restrict texts; without reload a change needs a
+// restart. Sections are structs with a key, lists of tables are slices of structs. The files section_*.go
+// have one struct for each section, and validate has what no tag can say: how settings must agree with
+// each other.
+//
 // Load merges the sources in order of precedence: the defaults, the own file (TOML), the platform's file
 // (JSON, named by EDGE_CONFIG), environment variables and flags. It collects all mistakes, each with the file
 // and line, variable or flag that it is in.
@@ -29,6 +40,16 @@
 // about is the type of the blank fields whose tags document the key that follows.
 type about = struct{}
 
+// The sources of values, as an Origin names them.
+const (
+	sourceDefault     = "default"
+	sourceFile        = "file"
+	sourcePlatform    = "platform"
+	sourceEnvironment = "environment"
+	sourceFlag        = "flag"
+	sourceNone        = "none" // of a mistake that is in no source
+)
+
 // Config is the settings of one client proxy. Load makes one, and its values are checked against their bounds
 // and against each other. A Config is not changed once it is made, so any goroutine may read it.
 type Config struct {
--- a/internal/proxy/config/config_test.go
+++ b/internal/proxy/config/config_test.go
@@ -3,8 +3,11 @@
 import (
 	"fmt"
 	"io/fs"
+	"slices"
 	"strings"
 	"testing"
+
+	"cresshub/internal/settingsfile"
 )
 
 const settings = `{"azs":["kita","chuo"],"kinds":["m2"],"balancers":4,"rank":2,"locality":1,"tick-ms":5,
@@ -88,3 +91,24 @@
 		t.Error(err)
 	}
 }
+
+// The code compares with constants what the tags list as texts.
+func TestConstantsAreAllowedValues(t *testing.T) {
+	for path, values := range map[string][]string{
+		"discovery.mode":     {ModeAsk, ModeTold},
+		"policy.report_from": {reportFromProbes, reportFromResponses, reportFromNone},
+		"policy.worth_by":    {valuedByRequest, valuedByWork},
+		"class[].effect":     {effectDeduplicated},
+	} {
+		i := slices.IndexFunc(schema().Fields, func(f *settingsfile.Field) bool { return f.Path == path })
+		if i < 0 {
+			t.Errorf("%s: no such key", path)
+			continue
+		}
+		for _, value := range values {
+			if _, err := schema().Fields[i].Decode(settingsfile.Text(value)); err != nil {
+				t.Errorf("%s: %v", path, err)
+			}
+		}
+	}
+}
--- a/internal/proxy/config/effective.go
+++ b/internal/proxy/config/effective.go
@@ -27,7 +27,7 @@
 	add := func(f *settingsfile.Field, path string, v reflect.Value) {
 		o := c.origins[path]
 		at := ""
-		if o.Source != "default" {
+		if o.Source != sourceDefault {
 			at = o.String()
 		}
 		all = append(all, Value{schema().Display(path), displayed(f, v), o.Source, at, f.Reload})
@@ -113,7 +113,7 @@
 // FromPlatform reports whether any value came from the platform's file.
 func (c *Config) FromPlatform() bool {
 	for _, o := range c.origins {
-		if o.Source == "platform" {
+		if o.Source == sourcePlatform {
 			return true
 		}
 	}
--- a/internal/proxy/config/load.go
+++ b/internal/proxy/config/load.go
@@ -18,8 +18,8 @@
 	Flags   map[string]string // values by key
 	Environ func() []string
 	Read    func(path string) ([]byte, error)
-	// Reload is set where a running program reads again: the platform may have replaced its file since, so that
-	// its discovery address has precedence over EDGE_DISCOVERY, which is as of the start.
+	// Reload is set where a running program reads again: the platform may have replaced its file since the
+	// start, so the file's discovery address has precedence over EDGE_DISCOVERY, which can't have changed.
 	Reload bool
 }
 
@@ -57,7 +57,7 @@
 	if path := env[platformVariable]; path != "" {
 		layer, err := readPlatform(path, in.Read, c)
 		if err != nil {
-			b.Problems.Add(settingsfile.NewOrigin("platform", path), "", "%v", err)
+			b.Problems.Add(settingsfile.NewOrigin(sourcePlatform, path), "", "%v", err)
 		} else {
 			b.Add(layer)
 			if _, ok := layer.Values["discovery.address"]; ok && in.Reload {
@@ -79,7 +79,7 @@
 func addFile(b *settingsfile.Builder, path string, read func(string) ([]byte, error)) {
 	raw, err := read(path)
 	if err != nil {
-		b.Problems.Add(settingsfile.NewOrigin("file", path), "", "cannot be read: %v", err)
+		b.Problems.Add(settingsfile.NewOrigin(sourceFile, path), "", "cannot be read: %v", err)
 		return
 	}
 	layer, problems := schema().ReadTOML(path, raw)
@@ -90,46 +90,47 @@
 // environment reads the variables that set keys. One with the program's own prefix that sets no key is a
 // mistake.
 func environment(env map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
-	l := settingsfile.NewLayer()
-	known := map[string]string{}
+	layer := settingsfile.NewLayer()
+	ownKeys := map[string]string{} // keys by the program's own variables
 	for _, f := range schema().Fields {
-		if v := schema().EnvVar(f); v != "" {
-			known[v] = f.Path
+		if variable := schema().EnvVar(f); variable != "" {
+			ownKeys[variable] = f.Path
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(env)) {
-		o := settingsfile.NewOrigin("environment", name)
-		path, edge := platformKeys[name]
-		switch own, ok := known[name]; {
-		case edge && env[name] != "":
-			if _, set := l.Values[path]; !set { // the own name of a key goes before the platform's
-				l.Set(path, settingsfile.Text(env[name]), o)
+	for _, name := range slices.Sorted(maps.Keys(env)) { // CRESSHUB_ sorts before EDGE_
+		origin := settingsfile.NewOrigin(sourceEnvironment, name)
+		ownKey, isOwn := ownKeys[name]
+		platformKey, isPlatform := platformKeys[name]
+		switch {
+		case isPlatform && env[name] != "":
+			if _, set := layer.Values[platformKey]; !set { // the program's own variable has precedence
+				layer.Set(platformKey, settingsfile.Text(env[name]), origin)
 			}
-		case ok:
-			l.Set(own, settingsfile.Text(env[name]), o)
+		case isOwn:
+			layer.Set(ownKey, settingsfile.Text(env[name]), origin)
 		case strings.HasPrefix(name, variablePrefix) && name != fileVariable:
 			hint := ""
-			if v := settingsfile.Closest(name, slices.Sorted(maps.Keys(known))); v != "" {
-				hint = "; did you mean " + v + "?"
+			if closest := settingsfile.Closest(name, slices.Sorted(maps.Keys(ownKeys))); closest != "" {
+				hint = "; did you mean " + closest + "?"
 			}
-			problems.Add(o, "", "sets no key%s", hint)
+			problems.Add(origin, "", "sets no key%s", hint)
 		}
 	}
-	return l
+	return layer
 }
 
 // flags reads the values that flags set by key.
 func flags(set map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
-	l := settingsfile.NewLayer()
+	layer := settingsfile.NewLayer()
 	for _, path := range slices.Sorted(maps.Keys(set)) {
-		o := settingsfile.NewOrigin("flag", "--set "+path)
+		origin := settingsfile.NewOrigin(sourceFlag, "--set "+path)
 		if _, ok := schema().Resolve(path); !ok || strings.Contains(path, "[]") {
-			problems.Add(o, path, "is no key that a flag sets%s", schema().Suggest(path))
+			problems.Add(origin, path, "is no key that a flag sets%s", schema().Suggest(path))
 			continue
 		}
-		l.Set(path, settingsfile.Text(set[path]), o)
+		layer.Set(path, settingsfile.Text(set[path]), origin)
 	}
-	return l
+	return layer
 }
 
 // RandomSeed returns the seed of random choices: as set, or one drawn when the configuration was loaded.
--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -13,51 +13,57 @@
 	"cresshub/internal/settingsfile"
 )
 
-// readPlatform reads the platform's file, whose settings have the simulator's form, as values of the keys of
-// the own file. Its list of servers goes to c.KnownServers.
+// maxMemoryMB bounds limits.memory_mb, in MiB: 1 TiB.
+const maxMemoryMB = 1 << 20
+
+// platformFile is the platform's file, as the operators' page describes it.
+type platformFile struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Operator  string `json:"operator"`
+	Seed      string `json:"seed"` // hex digits
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int64   `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	Known    json.RawMessage `json:"known"`    // list of servers, in the form of package serverlist
+	Settings json.RawMessage `json:"settings"` // of the balancer, in the simulator's form; see package simwire
+}
+
+// readPlatform reads the platform's file as values of the keys of the own file. Its list of servers goes to
+// c.KnownServers.
 func readPlatform(path string, read func(string) ([]byte, error), c *Config) (*settingsfile.Layer, error) {
 	raw, err := read(path)
 	if err != nil {
 		return nil, err
 	}
-	var file struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Discovery string `json:"discovery"`
-		Operator  string `json:"operator"`
-		Seed      string `json:"seed"`
-		Limits    struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB int64   `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
+	var file platformFile
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, err
 	}
 	if _, err := strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("field %q: %w", "seed", err)
 	}
-	if m := file.Limits.MemoryMB; m < 0 || m > 1<<20 {
-		return nil, fmt.Errorf("field %q: %d is no size", "limits.memory_mb", m)
+	if size := file.Limits.MemoryMB; size < 0 || size > maxMemoryMB {
+		return nil, fmt.Errorf("field %q: %d is no size", "limits.memory_mb", size)
 	}
 	if len(file.Settings) == 0 {
 		return nil, fmt.Errorf("field %q is missing", "settings")
 	}
-	set, err := simwire.ReadSettings(file.Settings)
+	settings, err := simwire.ReadSettings(file.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("field %q: %w", "settings", err)
 	}
-	if file.Listen == "" && file.Discovery == "" && len(set.Classes) == 0 {
+	if file.Listen == "" && file.Discovery == "" && len(settings.Classes) == 0 {
 		return nil, errors.New("says nothing")
 	}
 	if string(file.Known) != "null" {
 		c.KnownServers = file.Known
 	}
-	l := settingsfile.NewLayer()
-	put := func(key string, v any) { l.Set(key, v, settingsfile.NewOrigin("platform", path)) }
+	layer := settingsfile.NewLayer()
+	put := func(key string, v any) { layer.Set(key, v, settingsfile.NewOrigin(sourcePlatform, path)) }
 	for key, text := range map[string]string{
 		"name": file.Name, "listen.address": file.Listen, "discovery.address": file.Discovery,
 		"operator": file.Operator,
@@ -70,25 +76,25 @@
 	put("limits.cores", file.Limits.Cores)
 	put("limits.memory", Size(file.Limits.MemoryMB)<<20)
 	put("limits.sockets", file.Limits.Sockets)
-	putSettings(&set, put)
-	return l, nil
+	putSettings(&settings, put)
+	return layer, nil
 }
 
 // putSettings puts the simulator's settings under the keys of the own file; Config.Settings is the inverse.
 func putSettings(s *simwire.Settings, put func(key string, v any)) {
-	hall := "#" + strconv.Itoa(s.Zone)
+	hall := hallNumberPrefix + strconv.Itoa(s.Zone)
 	if s.Zone >= 0 && s.Zone < len(s.ZoneNames) {
 		hall = s.ZoneNames[s.Zone]
 	}
-	from, mode, by := "probe", "told", "request"
+	reportFrom, mode, valuedBy := reportFromProbes, ModeTold, valuedByRequest
 	if s.ReportsInResponses {
-		from = "answers"
+		reportFrom = reportFromResponses
 	}
 	if s.MustFollow {
-		mode = "ask"
+		mode = ModeAsk
 	}
 	if s.ValuePerWork {
-		by = "work"
+		valuedBy = valuedByWork
 	}
 	for key, v := range map[string]any{
 		"halls": s.ZoneNames, "kinds": s.KindNames, "policy.report": s.ReportNames,
@@ -97,7 +103,7 @@
 		"policy.rank": s.Rank, "policy.instances": s.Peers, "policy.hall": hall, "policy.tick": s.Tick,
 		"policy.attempts": s.MaxAttempts, "policy.probes": s.MayProbe, "policy.cancel": s.MayCancel,
 		"policy.duplicate": s.MayHedge, "policy.tell_wait": s.SendsRetryAfter, "policy.max_wait": s.MaxRetryAfter,
-		"policy.warm_keys": s.KeyAffinity, "policy.report_from": from, "policy.worth_by": by,
+		"policy.warm_keys": s.KeyAffinity, "policy.report_from": reportFrom, "policy.worth_by": valuedBy,
 		"policy.over_share_worth": s.OverQuotaValue, "policy.answer_slack": s.ResponseGrace,
 		"drain.grace": s.DrainGrace, "cold.start": s.SlowStartMin, "cold.warm_after": s.SlowStartWindow,
 		"cold.fall_multiple": s.CollapseMultiple, "cold.fall_after": s.CollapseAfter,
@@ -106,77 +112,83 @@
 	} {
 		put(key, v)
 	}
-	for i, k := range s.Classes {
+	putTables(s, put)
+}
+
+// putTables puts the classes and tenants of the simulator's settings under the keys of their tables.
+func putTables(s *simwire.Settings, put func(key string, v any)) {
+	for i, class := range s.Classes {
 		for key, v := range map[string]any{
-			"name": s.ClassNames[i], "aim": k.LatencyTarget, "aim_stretch": k.TargetPerWork, "deadline": k.Deadline,
-			"effect": keyOf(simwire.Effects, k.Effect), "group": keyOf(simwire.Groups, k.DedupScope),
-			"window": k.DedupWindow,
-			"worth":  k.Value, "late_worth": k.LateValue, "stream": k.Stream,
+			"name": s.ClassNames[i], "aim": class.LatencyTarget, "aim_stretch": class.TargetPerWork,
+			"deadline": class.Deadline, "effect": keyOf(simwire.Effects, class.Effect),
+			"group": keyOf(simwire.Groups, class.DedupScope), "window": class.DedupWindow,
+			"worth": class.Value, "late_worth": class.LateValue, "stream": class.Stream,
 		} {
 			put(fmt.Sprintf("class.%d.%s", i, key), v)
 		}
 	}
-	for i, t := range s.Tenants {
+	for i, tenant := range s.Tenants {
 		put(fmt.Sprintf("tenant.%d.name", i), s.TenantNames[i])
-		put(fmt.Sprintf("tenant.%d.share", i), t.Fraction)
-		put(fmt.Sprintf("tenant.%d.quota", i), t.QuotaPerSec)
+		put(fmt.Sprintf("tenant.%d.share", i), tenant.Fraction)
+		put(fmt.Sprintf("tenant.%d.quota", i), tenant.QuotaPerSec)
 	}
 }
 
-// keyOf returns the word for a value; "" where there is none.
-func keyOf[T comparable](words map[string]T, v T) string {
-	for _, w := range slices.Sorted(maps.Keys(words)) {
-		if words[w] == v {
-			return w
+// keyOf returns the first key, in their order, that has a value; "" where none has.
+func keyOf[T comparable](values map[string]T, value T) string {
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		if values[key] == value {
+			return key
 		}
 	}
 	return ""
 }
 
-// Settings returns the balancer's settings, with the names and figures that the sockets need beside.
+// Settings returns the balancer's settings, with the names and times that the other parts need.
 func (c *Config) Settings() simwire.Settings {
 	s := simwire.Settings{
 		Settings: c.balanceSettings(), ZoneNames: c.Halls, KindNames: c.Kinds, IdleClose: c.Upstream.IdleClose,
 	}
-	for _, k := range c.Classes {
-		s.ClassNames = append(s.ClassNames, k.Name)
+	for _, class := range c.Classes {
+		s.ClassNames = append(s.ClassNames, class.Name)
 		s.Classes = append(s.Classes, balance.Class{
-			LatencyTarget: k.LatencyTarget, TargetPerWork: k.TargetPerWork, Deadline: k.Deadline,
-			Effect: simwire.Effects[k.Effect], DedupScope: simwire.Groups[k.DedupScope], DedupWindow: k.DedupWindow,
-			Value: k.Value, LateValue: k.LateValue, Stream: k.Stream,
+			LatencyTarget: class.LatencyTarget, TargetPerWork: class.TargetPerWork, Deadline: class.Deadline,
+			Effect: simwire.Effects[class.Effect], DedupScope: simwire.Groups[class.DedupScope],
+			DedupWindow: class.DedupWindow,
+			Value:       class.Value, LateValue: class.LateValue, Stream: class.Stream,
 		})
 	}
-	for _, t := range c.Tenants {
-		s.TenantNames = append(s.TenantNames, t.Name)
-		s.Tenants = append(s.Tenants, balance.Tenant{Fraction: t.Share, QuotaPerSec: t.Quota})
+	for _, tenant := range c.Tenants {
+		s.TenantNames = append(s.TenantNames, tenant.Name)
+		s.Tenants = append(s.Tenants, balance.Tenant{Fraction: tenant.Fraction, QuotaPerSec: tenant.Quota})
 	}
-	if c.Policy.ReportFrom == "none" {
+	if c.Policy.ReportFrom == reportFromNone {
 		return s
 	}
-	for _, w := range c.Policy.Report {
-		s.ReportFields = append(s.ReportFields, simwire.Fields[w])
-		s.ReportNames = append(s.ReportNames, w)
+	for _, name := range c.Policy.Report {
+		s.ReportFields = append(s.ReportFields, simwire.Fields[name])
+		s.ReportNames = append(s.ReportNames, name)
 	}
 	return s
 }
 
-// balanceSettings returns the single values of the balancer's settings; classes, tenants and the fields of a
-// load report come beside their names.
+// balanceSettings returns the single values of the balancer's settings. Settings adds classes, tenants and
+// the fields of load reports.
 func (c *Config) balanceSettings() balance.Settings {
-	p, w := &c.Policy, &c.SlowStart
+	p, slowStart := &c.Policy, &c.SlowStart
 	return balance.Settings{
 		Seed: c.RandomSeed(), Rank: p.Rank, Peers: p.Instances, Zone: c.hallIndex(), Tick: p.Tick,
 		Costs: balance.Costs{CrossZone: c.Prices.CrossHall, Probe: c.Prices.Probe, Waste: c.Prices.Waste,
 			LateFail: c.Prices.LateFail},
-		OverQuotaValue: p.OverQuotaValue, ValuePerWork: p.ValuedBy == "work",
-		MustFollow:       c.Discovery.Mode == "ask" && c.Discovery.Address != "",
+		OverQuotaValue: p.OverQuotaValue, ValuePerWork: p.ValuedBy == valuedByWork,
+		MustFollow:       c.Discovery.Mode == ModeAsk && c.Discovery.Address != "",
 		RegistryInterval: c.Discovery.AskWithin,
 		DrainGrace:       c.Drain.Grace, ResponseGrace: p.ResponseGrace,
-		SlowStartMin: w.MinFraction, SlowStartWindow: w.Window,
-		CollapseMultiple: w.CollapseMultiple, CollapseAfter: w.CollapseAfter,
+		SlowStartMin: slowStart.MinFraction, SlowStartWindow: slowStart.Window,
+		CollapseMultiple: slowStart.CollapseMultiple, CollapseAfter: slowStart.CollapseAfter,
 		MaxAttempts: p.MaxAttempts, MayProbe: p.MayProbe, MayCancel: p.MayCancel, MayHedge: p.MayHedge,
 		SendsRetryAfter: p.SendRetryAfter, MaxRetryAfter: p.MaxRetryAfter,
-		DialTimeout: c.Upstream.DialTimeout, KeyAffinity: p.WarmKeys,
-		ReportsInResponses: p.ReportFrom == "answers",
+		DialTimeout: c.Upstream.DialTimeout, KeyAffinity: p.KeyAffinity,
+		ReportsInResponses: p.ReportFrom == reportFromResponses,
 	}
 }
--- a/internal/proxy/config/reference.go
+++ b/internal/proxy/config/reference.go
@@ -23,6 +23,7 @@
 	return names, by
 }
 
+// heading is how TOML begins a section, or a table of a list.
 func heading(section string) string {
 	if list, ok := strings.CutSuffix(section, "[]"); ok {
 		return "[[" + list + "]]"
@@ -30,6 +31,7 @@
 	return "[" + section + "]"
 }
 
+// lastKey is a key's name within its section.
 func lastKey(f *settingsfile.Field) string { return f.Path[strings.LastIndexByte(f.Path, '.')+1:] }
 
 const preface = `# Configuration
@@ -80,6 +82,7 @@
 	return b.String()
 }
 
+// pageWidth is the longest line of the texts made here, in bytes.
 const pageWidth = 105
 
 // wrap breaks text into lines of pageWidth and indents all but the first.
--- a/internal/proxy/config/section_clients.go
+++ b/internal/proxy/config/section_clients.go
@@ -86,7 +86,7 @@
 	MaxRejecting int   `key:"turned_away_at_once" default:"8" min:"1" max:"1024"`
 
 	_             about         `doc:"a connection without any byte may be closed for another one at this age"`
-	ReclaimSilent time.Duration `key:"silent_for" default:"50ms" min:"0s" max:"10m" reload:"live"`
+	ReclaimUnused time.Duration `key:"silent_for" default:"50ms" min:"0s" max:"10m" reload:"live"`
 
 	_              about         `doc:"a connection with an incomplete request on which nothing has come for"`
 	_              about         `doc:"this long may be closed for another one"`
--- a/internal/proxy/config/section_policy.go
+++ b/internal/proxy/config/section_policy.go
@@ -2,6 +2,22 @@
 
 import "time"
 
+// The values of Policy.ReportFrom.
+const (
+	reportFromProbes    = "probe"
+	reportFromResponses = "answers"
+	reportFromNone      = "none"
+)
+
+// The values of Policy.ValuedBy.
+const (
+	valuedByRequest = "request"
+	valuedByWork    = "work"
+)
+
+// effectDeduplicated is the value of Class.Effect for balance.Deduplicated; simwire.Effects has all of them.
+const effectDeduplicated = "deduplicated"
+
 // Policy is what the balancer knows of the deployment and may do; see package balance.
 type Policy struct {
 	_    about `doc:"number of this instance among all"`
@@ -38,9 +54,9 @@
 	_             about         `doc:"longest Retry-After"`
 	MaxRetryAfter time.Duration `key:"max_wait" default:"1s" min:"0s" max:"1h"`
 
-	_        about `doc:"a server does less work for a key that it has met lately, so that requests of one"`
-	_        about `doc:"key go to the same servers"`
-	WarmKeys bool  `key:"warm_keys" default:"false"`
+	_           about `doc:"a server does less work for a key that it has met lately, so that requests of one"`
+	_           about `doc:"key go to the same servers"`
+	KeyAffinity bool  `key:"warm_keys" default:"false"`
 
 	_      about    `doc:"the values in a load report, in their order"`
 	Report []string `key:"report" default:"active,waiting,cpu"`
@@ -137,8 +153,8 @@
 	_    about  `doc:"name of the tenant, as clients give it"`
 	Name string `key:"name" form:"name"`
 
-	_     about   `doc:"fraction of the service; all shares add up to 1 at most"`
-	Share float64 `key:"share" default:"0" min:"0" max:"1"`
+	_        about   `doc:"fraction of the service; all shares add up to 1 at most"`
+	Fraction float64 `key:"share" default:"0" min:"0" max:"1"`
 
 	_     about   `doc:"requests a second inside its share, through all instances"`
 	Quota float64 `key:"quota" default:"0" min:"0"`
--- a/internal/proxy/config/section_servers.go
+++ b/internal/proxy/config/section_servers.go
@@ -13,6 +13,12 @@
 	defaultMaxIdle   = time.Second            // where upstream.idle_close is 0s
 )
 
+// The values of Discovery.Mode.
+const (
+	ModeAsk  = "ask"  // changes come only while a watch is open
+	ModeTold = "told" // a change counts as known from the moment discovery has it
+)
+
 // Discovery is the service that the list of servers comes from, and how it is watched.
 type Discovery struct {
 	_       about  `doc:"host and port of the discovery service; empty where [[server]] tables name the"`
--- a/internal/proxy/daemon/limits.go
+++ b/internal/proxy/daemon/limits.go
@@ -76,7 +76,7 @@
 // listLimits are discovery's limits by the configuration.
 func listLimits(cfg *config.Config) discovery.Limits {
 	l := discovery.Limits{WatchTimeout: cfg.Discovery.WatchTimeout, MaxListBytes: int(cfg.Discovery.MaxList)}
-	if cfg.Discovery.Mode == "told" && cfg.Discovery.Address != "" {
+	if cfg.Discovery.Mode == config.ModeTold && cfg.Discovery.Address != "" {
 		// A drain binds from the moment discovery has it, so it has to arrive well within its grace.
 		l.MaxReopenDelay = max(cfg.Drain.Grace/4, 20*time.Millisecond)
 	}
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -73,7 +73,7 @@
 	case c.receiving && age > l.ReclaimPartial &&
 		now.Sub(c.LastReceived()) > l.ReclaimPartial: // a slow one still makes progress
 		return expendableStalled
-	case !c.receiving && c.unused && age > l.ReclaimSilent:
+	case !c.receiving && c.unused && age > l.ReclaimUnused:
 		return expendableUnused
 	case !c.receiving && !c.unused && age > l.ReclaimIdle:
 		return expendableIdle
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -87,7 +87,7 @@
 		Classes: []string{"lookup", "assign"}, Tenants: []string{"acme"},
 		Limits: config.Clients{FirstRequestTimeout: wait, HeadTimeout: wait, StallTimeout: wait, IdleTimeout: wait,
 			WriteTimeout:   wait,
-			ReclaimPartial: wait, ReclaimSilent: wait, ReclaimIdle: wait, RejectTimeout: wait, MaxRejecting: 8,
+			ReclaimPartial: wait, ReclaimUnused: wait, ReclaimIdle: wait, RejectTimeout: wait, MaxRejecting: 8,
 			Linger: time.Second, DiscardTimeout: time.Second},
 		Drain: func() drain.Times {
 			return drain.Times{CloseIdle: 50 * time.Millisecond, AcceptFor: 80 * time.Millisecond,
