--- a/internal/proxy/adminapi/calls.go
+++ b/internal/proxy/adminapi/calls.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"maps"
+	"net/http"
 	"net/url"
 	"slices"
 	"strings"
@@ -10,41 +11,40 @@
 	"cresshub/internal/http1"
 )
 
-// endpoint is one call: its method, and what answers it by the query's text.
+// endpoint is what responds to calls of one path.
 type endpoint struct {
 	method  string
-	respond func(query string) *http1.Response
+	respond func(query string) *http1.Response // query is the target's part after "?"
 }
 
 // HandleGet adds the call GET path, whose response is what read returns for the query's parameters, as JSON.
-// It must be called before Serve.
+// It must be called before Serve. read is called from any goroutine, also from several at once.
 func (s *Server) HandleGet(path string, read func(url.Values) any) {
-	s.added[path] = endpoint{"GET", jsonEndpoint(read)}
+	s.added[path] = endpoint{http.MethodGet, jsonEndpoint(read)}
 }
 
-// HandlePost adds the call POST path, which does something by the query's parameters and answers in JSON. It
-// must be called before Serve.
+// HandlePost is HandleGet for POST path, a call with an effect: act does what the query's parameters say.
 func (s *Server) HandlePost(path string, act func(url.Values) any) {
-	s.added[path] = endpoint{"POST", jsonEndpoint(act)}
+	s.added[path] = endpoint{http.MethodPost, jsonEndpoint(act)}
 }
 
-// respond answers a call by its path and method.
-func (s *Server) respond(q *http1.Request) *http1.Response {
-	path, query, _ := strings.Cut(q.Target, "?")
-	called, ok := s.added[path]
+// respond returns the response to a call, by its path and method.
+func (s *Server) respond(request *http1.Request) *http1.Response {
+	path, query, _ := strings.Cut(request.Target, "?")
+	endpoint, ok := s.added[path]
 	if !ok {
-		called, ok = s.builtin[path]
+		endpoint, ok = s.builtin[path]
 	}
 	if !ok {
-		return textResponse(404, "no such call; there are GET /_ready, GET /_vars"+s.addedList()+
+		return textResponse(http.StatusNotFound, "no such call; there are GET /_ready, GET /_vars"+s.addedList()+
 			" and POST /_lameduck/on and off")
 	}
-	if q.Method != called.method {
-		response := textResponse(405, "the method is "+called.method)
-		response.Header = append(response.Header, http1.Field{Name: "Allow", Value: called.method})
+	if request.Method != endpoint.method {
+		response := textResponse(http.StatusMethodNotAllowed, "the method is "+endpoint.method)
+		response.Header = append(response.Header, http1.Field{Name: "Allow", Value: endpoint.method})
 		return response
 	}
-	return called.respond(query)
+	return endpoint.respond(query)
 }
 
 // addedList names the added calls, each after a comma.
@@ -56,44 +56,52 @@
 	return out.String()
 }
 
+// ready responds to the readiness check.
 func (s *Server) ready(string) *http1.Response {
 	if ok, why := s.proxy.Ready(); !ok {
-		return textResponse(503, why)
+		return textResponse(http.StatusServiceUnavailable, why)
 	}
-	return textResponse(200, "ready")
+	return textResponse(http.StatusOK, "ready")
 }
 
+// vars responds with the metrics.
 func (s *Server) vars(string) *http1.Response {
 	var text strings.Builder
-	_ = s.stats.WriteVars(&text, s.proxy.Gauges()) // a builder takes everything
-	return textResponse(200, strings.TrimSuffix(text.String(), "\n"))
+	_ = s.stats.WriteVars(&text, s.proxy.Gauges()) // writing to a Builder can't fail
+	return textResponse(http.StatusOK, strings.TrimSuffix(text.String(), "\n"))
 }
 
+// lameDuck returns what responds to the call that begins or ends a drain.
 func (s *Server) lameDuck(on bool) func(string) *http1.Response {
 	return func(string) *http1.Response {
 		s.log.Info("lame duck", "on", on)
 		s.proxy.LameDuck(on)
-		return textResponse(200, "done")
+		return textResponse(http.StatusOK, "done")
 	}
 }
 
-// jsonEndpoint answers with the JSON of what call returns for the query's parameters.
+// jsonEndpoint returns what responds with the JSON of what call returns for the query's parameters.
 func jsonEndpoint(call func(url.Values) any) func(string) *http1.Response {
 	return func(query string) *http1.Response {
 		params, err := url.ParseQuery(query)
 		if err != nil {
-			return textResponse(400, "the query cannot be read")
+			return textResponse(http.StatusBadRequest, "the query cannot be read")
 		}
 		body, err := json.Marshal(call(params))
 		if err != nil {
-			return textResponse(500, err.Error())
+			return textResponse(http.StatusInternalServerError, err.Error())
+		}
+		return &http1.Response{
+			Status: http.StatusOK, Body: append(body, '\n'),
+			Header: http1.Header{{Name: "Content-Type", Value: "application/json"}},
 		}
-		return &http1.Response{Status: 200, Body: append(body, '\n'),
-			Header: http1.Header{{Name: "Content-Type", Value: "application/json"}}}
 	}
 }
 
+// textResponse returns a response of one line of text.
 func textResponse(status int, text string) *http1.Response {
-	return &http1.Response{Status: status, Body: []byte(text + "\n"),
-		Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}}
+	return &http1.Response{
+		Status: status, Body: []byte(text + "\n"),
+		Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}},
+	}
 }
--- a/internal/proxy/adminapi/server.go
+++ b/internal/proxy/adminapi/server.go
@@ -1,9 +1,9 @@
-// Package adminapi serves the operators' HTTP calls at an address of their own, so that they are answered
-// however many clients the proxy has: its connections aren't counted with the clients' and servers' ones.
+// Package adminapi is the admin API of the client proxy: HTTP calls of operators at an address of their own.
+// They get responses however many clients the proxy has, because its connections have descriptors set aside.
 //
-// GET /_ready, GET /_vars, POST /_lameduck/on and POST /_lameduck/off are always there. The owners of further
-// state (the fleet's view, the ledger, the singleton roles) add calls that answer in JSON with HandleGet and
-// HandlePost before Serve. One connection takes one call.
+// GET /_ready, GET /_vars, POST /_lameduck/on and POST /_lameduck/off are always there. Other parts (the
+// fleet's view, the ledger, the singleton roles) add calls with HandleGet and HandlePost before Serve, whose
+// responses are JSON. Each connection is for one call.
 package adminapi
 
 import (
@@ -11,6 +11,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"net/http"
 	"os"
 	"slices"
 	"sync"
@@ -22,27 +23,27 @@
 	"cresshub/internal/proxy/stats"
 )
 
-// MaxConns is how many connections are open at a time, and so how many descriptors the daemon sets aside
-// besides that of the listener. For one more the oldest that has sent no call yet is closed.
+// MaxConns is how many connections may be open at once, and so how many descriptors the daemon sets aside for
+// them. For one more, the oldest that has sent no call yet is closed.
 const MaxConns = 16
 
 const (
-	callTimeout   = 5 * time.Second        // for a call's head to come, and then for the response to be taken
-	lingerTimeout = 200 * time.Millisecond // for bytes after the head, which are read and dropped
-	acceptBackoff = 5 * time.Millisecond   // after an accept that failed
+	callTimeout   = 5 * time.Second        // to receive a call's head, and then to send the response
+	lingerTimeout = 200 * time.Millisecond // to read and drop bytes after the head
+	acceptBackoff = 5 * time.Millisecond   // wait after a failed accept
 )
 
-// Proxy is what the calls read and do. Its methods are called from any goroutine.
+// Proxy is what the calls read and change. Its methods are called from any goroutine.
 type Proxy interface {
-	// Ready reports whether the process is ready to serve, and why not.
-	Ready() (bool, string)
-	// LameDuck begins or ends a drain that sends clients away.
+	// Ready reports whether the process is ready to serve clients, and why not.
+	Ready() (ready bool, why string)
+	// LameDuck begins or ends a temporary drain.
 	LameDuck(on bool)
-	// Gauges returns the figures that are true now, by name.
+	// Gauges returns the present values of gauges, by name.
 	Gauges() map[string]int
 }
 
-// Server accepts the operators' connections and answers their calls.
+// Server accepts operators' connections and responds to their calls.
 type Server struct {
 	proxy    Proxy
 	stats    *stats.Set
@@ -59,17 +60,17 @@
 // conn is one open connection.
 type conn struct {
 	*connbuffer.Conn
-	headRead bool // its call has come: it is answered and not closed for a newer one; guarded by Server.mu
+	headRead bool // its call was read, so it is not closed for a newer one; guarded by Server.mu
 }
 
 // New returns a server of the admin API at a listener; Serve begins to accept.
 func New(listener net.Listener, proxy Proxy, counters *stats.Set, log *slog.Logger) *Server {
 	s := &Server{proxy: proxy, stats: counters, log: log, listener: listener, added: map[string]endpoint{}}
 	s.builtin = map[string]endpoint{
-		"/_ready":        {"GET", s.ready},
-		"/_vars":         {"GET", s.vars},
-		"/_lameduck/on":  {"POST", s.lameDuck(true)},
-		"/_lameduck/off": {"POST", s.lameDuck(false)},
+		"/_ready":        {http.MethodGet, s.ready},
+		"/_vars":         {http.MethodGet, s.vars},
+		"/_lameduck/on":  {http.MethodPost, s.lameDuck(true)},
+		"/_lameduck/off": {http.MethodPost, s.lameDuck(false)},
 	}
 	return s
 }
@@ -98,8 +99,8 @@
 // Close closes the listener. Calls that have come still get their responses.
 func (s *Server) Close() { s.listener.Close() }
 
-// addConn lists a connection. At MaxConns it closes the oldest one that has sent no call, so that callers who
-// connect and send nothing keep nobody out.
+// addConn adds a connection to the list. At MaxConns it closes the oldest one that has sent no call, so that
+// callers who connect and send nothing don't block the others; if all have sent one, it closes the oldest.
 func (s *Server) addConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,6 +112,7 @@
 	s.conns = append(s.conns, c)
 }
 
+// removeConn removes a connection from the list, if it is still there.
 func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +121,7 @@
 	}
 }
 
-// serveConn answers the one call of a connection.
+// serveConn responds to the one call of a connection.
 func (s *Server) serveConn(c *conn) {
 	defer s.removeConn(c)
 	defer c.Close()
@@ -134,7 +136,7 @@
 	case errors.As(err, &malformed):
 		response = textResponse(malformed.Status, malformed.Reason)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		response = textResponse(408, "no call came")
+		response = textResponse(http.StatusRequestTimeout, "no call came")
 	case err != nil:
 		return
 	default:
@@ -148,6 +150,6 @@
 	// Closing with unread bytes sends a reset, which could overtake the response.
 	if tcp, ok := c.Conn.Conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(lingerTimeout))
-		_, _ = io.CopyN(io.Discard, c.In, http1.MaxBufferedBody) // the response is out; any end will do
+		_, _ = io.CopyN(io.Discard, c.In, http1.MaxBufferedBody) // until the client closes, or either limit
 	}
 }
--- a/internal/proxy/stats/stats.go
+++ b/internal/proxy/stats/stats.go
@@ -1,9 +1,9 @@
-// Package stats holds the proxy's counters: requests by how they ended, connections, attempts, probes and
-// lists of servers. They are logged on SIGUSR1 and at the exit (Log), and part of them is served to operators
-// (WriteVars); the names in both are read by scripts.
+// Package stats holds the proxy's counters: requests by outcome, connections, attempts, probes and lists of
+// servers. They are logged on SIGUSR1 and at the exit (Log), and part of them is served to operators
+// (WriteVars). Scripts read the names in both.
 //
-// All counters may be used from any goroutine. Two read one after the other may differ by what happened
-// between.
+// All counters may be used from any goroutine. They are read one by one, so a set of them is no snapshot of
+// one moment.
 package stats
 
 import (
@@ -13,12 +13,13 @@
 	"log/slog"
 	"maps"
 	"slices"
+	"strconv"
 	"sync/atomic"
 
 	"cresshub/internal/proxy/logging"
 )
 
-// Counter is a figure that only rises.
+// Counter is a number of events since the start.
 type Counter struct{ n atomic.Int64 }
 
 // Add counts one more. On a nil Counter it does nothing.
@@ -28,44 +29,45 @@
 	}
 }
 
-// Load returns the figure.
+// Load returns the number of events so far.
 func (c *Counter) Load() int64 { return c.n.Load() }
 
-// Gauge is a figure that rises and falls.
+// Gauge is a present number of something.
 type Gauge struct{ n atomic.Int64 }
 
-// Add changes the figure by n.
+// Add changes the number by n, which may be negative.
 func (g *Gauge) Add(n int64) { g.n.Add(n) }
 
-// Load returns the figure.
+// Load returns the present number.
 func (g *Gauge) Load() int64 { return g.n.Load() }
 
 // Handled counts the requests of one class by the final response that was written: one of a server, a
 // rejection by the proxy, or an error after failed attempts.
 type Handled struct{ Passed, Dropped, Failed Counter }
 
-// Set holds all counters of the process. The zero Set counts by no class.
+// Set holds all counters of the process. The zero Set has no classes.
 type Set struct {
-	// Requests of clients: all that were received, and by their end. Invalid ones can't be parsed.
+	// Valid requests of clients, and those of them with each outcome; and beside them the malformed or
+	// otherwise invalid ones.
 	Received, Served, Refused, Failed, ClientGone, Invalid Counter
 	// Connections of clients: all that were accepted, and those of them that were rejected because the budget
 	// of descriptors is exhausted.
 	AcceptedConns, RejectedConns Counter
-	// Attempts and probes at zone servers, by their end.
+	// Attempts and probes at zone servers, by result.
 	Attempts, Probes Results
 	// Probes answered without a readable load report.
 	ProbesWithoutReport Counter
-	// Connections to zone servers that were opened, and requests that went out on an open one.
+	// Connections to zone servers that were opened, and requests and probes sent over an idle one.
 	Opened, Reused Counter
-	// Answers of discovery with a list that could be read, and calls that failed.
+	// Lists and changes received from discovery, and watches that ended.
 	ListsRead, ListsFailed Counter
 	// Attempts whose request was written completely to a server.
 	RequestsSent Counter
-	// Requests received that have not ended yet.
+	// Requests received that have no final response yet.
 	InProgress Gauge
 
-	classes []string
-	handled []Handled
+	classes []string  // names
+	handled []Handled // by class, in the order of classes
 }
 
 // New returns a Set that counts by these classes too.
@@ -73,7 +75,7 @@
 	return &Set{classes: classes, handled: make([]Handled, len(classes))}
 }
 
-// Class returns the counters of a class by its index; for an unknown one, counters that nobody reads.
+// Class returns the counters of a class by its index; for an unknown one, new counters that nobody reads.
 func (s *Set) Class(class int) *Handled {
 	if class < 0 || class >= len(s.handled) {
 		return &Handled{}
@@ -81,59 +83,69 @@
 	return &s.handled[class]
 }
 
-// Results counts by the kind of a result, from 0 to 7.
-type Results struct{ counts [8]Counter }
+// resultKinds is the number of results that an attempt or a probe may have; see package dispatch.
+const resultKinds = 8
 
-// Add counts one result of a kind.
-func (r *Results) Add(kind int) { r.counts[kind].Add() }
+// Results counts attempts or probes by their result.
+type Results struct{ counts [resultKinds]Counter }
 
-// attr is a group of the kinds that occurred, under their names.
+// Add counts one result, by its value from 0 to resultKinds-1.
+func (r *Results) Add(result int) { r.counts[result].Add() }
+
+// attr is a group of the results that occurred, under their names; one without a name has its value.
 func (r *Results) attr(key string, names []string) slog.Attr {
 	var attrs []any
-	for i := range r.counts {
-		if n := r.counts[i].n.Load(); n > 0 {
-			name := fmt.Sprint(i)
-			if i < len(names) {
-				name = names[i]
-			}
-			attrs = append(attrs, slog.Int64(name, n))
+	for result := range r.counts {
+		n := r.counts[result].Load()
+		if n == 0 {
+			continue
+		}
+		name := strconv.Itoa(result)
+		if result < len(names) {
+			name = names[result]
 		}
+		attrs = append(attrs, slog.Int64(name, n))
 	}
 	return slog.Group(key, attrs...)
 }
 
-// WriteVars writes the operators' figures in the form of StatsD, one a line as proxy.NAME:VALUE|KIND, with
-// the kind c for a count since the start and g for a gauge. The gauges that other packages know are passed
-// in.
+// The types of metrics in StatsD.
+const (
+	statsdCounter = "c"
+	statsdGauge   = "g"
+)
+
+// WriteVars writes the operators' metrics in the form of StatsD, one a line as proxy.NAME:VALUE|TYPE.
+// Counters count from the start. gauges are those that other packages know, by name.
 func (s *Set) WriteVars(w io.Writer, gauges map[string]int) error {
 	b := bufio.NewWriter(w)
-	line := func(name string, n int64, kind string) {
-		_, _ = fmt.Fprintf(b, "proxy.%s:%d|%s\n", name, n, kind) // Flush returns the first error
+	write := func(name string, value int64, metricType string) {
+		_, _ = fmt.Fprintf(b, "proxy.%s:%d|%s\n", name, value, metricType) // Flush returns the first error
 	}
 	for i, class := range s.classes {
-		h := &s.handled[i]
-		line("handled."+class+".passed", h.Passed.n.Load(), "c")
-		line("handled."+class+".dropped", h.Dropped.n.Load(), "c")
-		line("handled."+class+".bad_gateway", h.Failed.n.Load(), "c")
+		handled := &s.handled[i]
+		write("handled."+class+".passed", handled.Passed.Load(), statsdCounter)
+		write("handled."+class+".dropped", handled.Dropped.Load(), statsdCounter)
+		write("handled."+class+".bad_gateway", handled.Failed.Load(), statsdCounter)
 	}
-	line("upstream_tries", s.RequestsSent.n.Load(), "c")
-	line("in_progress", s.InProgress.Load(), "g")
+	write("upstream_tries", s.RequestsSent.Load(), statsdCounter)
+	write("in_progress", s.InProgress.Load(), statsdGauge)
 	for _, name := range slices.Sorted(maps.Keys(gauges)) {
-		line(name, int64(gauges[name]), "g")
+		write(name, int64(gauges[name]), statsdGauge)
 	}
 	return b.Flush()
 }
 
-// Log writes one record with all counters. names are the words for the kinds of results, and why tells what
-// the record was written for.
-func (s *Set) Log(log *slog.Logger, why string, names []string) {
-	counter := func(name string, c *Counter) slog.Attr { return slog.Int64(name, c.n.Load()) }
+// Log writes one record with all counters. why says what the record is written for; resultNames are the names
+// of results, by value.
+func (s *Set) Log(log *slog.Logger, why string, resultNames []string) {
+	counter := func(name string, c *Counter) slog.Attr { return slog.Int64(name, c.Load()) }
 	log.Info(logging.CountersMessage, "why", why,
 		slog.Group("requests", counter("taken", &s.Received), counter("served", &s.Served),
 			counter("refused", &s.Refused), counter("failed", &s.Failed),
 			counter("gone", &s.ClientGone), counter("invalid", &s.Invalid)),
 		slog.Group("clients", counter("accepted", &s.AcceptedConns), counter("turned_away", &s.RejectedConns)),
-		s.Attempts.attr("sent", names), s.Probes.attr("probed", names),
+		s.Attempts.attr("sent", resultNames), s.Probes.attr("probed", resultNames),
 		counter("probed_without_report", &s.ProbesWithoutReport),
 		slog.Group("connections", counter("opened", &s.Opened), counter("reused", &s.Reused)),
 		slog.Group("lists", counter("read", &s.ListsRead), counter("failed", &s.ListsFailed)))
