--- a/internal/proxy/daemon/admin.go
+++ b/internal/proxy/daemon/admin.go
@@ -19,8 +19,8 @@
 	return nil
 }
 
-// Ready reports whether the proxy serves clients by a list of servers, and why not.
-func (p *Proxy) Ready() (bool, string) {
+// Ready reports whether the proxy serves clients and has a list of servers, and why not.
+func (p *Proxy) Ready() (ready bool, why string) {
 	switch {
 	case !p.server.Serving():
 		return false, "sending clients away"
@@ -38,8 +38,8 @@
 	p.setFleetPhase(on)
 }
 
-// Gauges are the figures that are true now, by name. A draining server is listed and gets nothing, so it
-// counts as skipped.
+// Gauges returns the present values of gauges, by name. A draining server is listed and gets no requests, so
+// it counts as skipped.
 func (p *Proxy) Gauges() map[string]int {
 	known := p.discovery.Listed()
 	return map[string]int{
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -1,11 +1,11 @@
 // Package daemon runs one client proxy. New wires the parts from a checked configuration and opens the
-// listeners; Run serves until a signal, takes over what a reread configuration may change, and returns once
-// every request that was accepted has been answered.
+// listeners; Run serves until a signal to shut down, applies the keys of a reread configuration that may
+// change, and returns once every request that was accepted has its response.
 //
 // A Proxy goes through these states: waiting (it listens or has inherited a listener, and waits for its first
-// list of servers where it takes over from another process), serving, draining (lame duck, by an operator's
-// call, until the next one) and shutting down (after SIGTERM or SIGINT, for good). Ready is true only while
-// it serves by a list of servers.
+// list of servers where it takes over from another process), serving, draining (lame duck, from one call of
+// an operator to another) and shutting down (after SIGTERM or SIGINT, for good). Ready is true only while it
+// serves and has a list of servers.
 //
 // New and Run belong to one goroutine, which alone reads and replaces the present configuration. The admin
 // API calls Ready, LameDuck and Gauges, the handover's goroutines call the methods of handover.Incumbent, and
@@ -14,6 +14,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -61,11 +62,11 @@
 	bodies        *bodybudget.Budget
 	shutdownTimes atomic.Pointer[config.Shutdown]
 	handover      handoverState
-	firstNamed    map[string]time.Time // when each [[server]] was first named; see config.ServerList
+	firstNamed    map[string]time.Time // when each [[server]] was first named; see Config.ServerList
 }
 
-// New wires a proxy and opens its listeners; it serves once Run is called. The log goes to w. The error says
-// which key of the configuration can't be put into effect, most often an address that is taken.
+// New wires a proxy and opens its listeners; it serves once Run is called. The log goes to w. The error names
+// the key of the configuration that can't be applied, most often an address in use.
 func New(cfg *config.Config, w io.Writer) (*Proxy, error) {
 	settings := cfg.Settings()
 	p := &Proxy{cfg: cfg, startConfig: cfg, log: newLogger(cfg, w), stats: stats.New(settings.ClassNames),
@@ -85,6 +86,7 @@
 	return p, nil
 }
 
+// newLogger returns a logger whose records have the instance's name.
 func newLogger(cfg *config.Config, w io.Writer) *logging.Logger {
 	log := logging.New(w, logging.Options{
 		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), RepeatRate: cfg.Log.RepeatRate,
@@ -94,7 +96,7 @@
 	return log
 }
 
-// wire makes the parts in the order in which they need each other.
+// wire makes the parts, each after those that it needs.
 func (p *Proxy) wire() error {
 	p.newUpstream()
 	if err := p.openLedger(); err != nil {
@@ -126,6 +128,7 @@
 	p.pool = upstream.New(p.discovery, poolLimits(cfg), settings.ReportNames, p.budget, p.bodies, p.stats)
 }
 
+// newIngress makes what serves clients.
 func (p *Proxy) newIngress() {
 	settings := p.cfg.Settings()
 	p.server = ingress.New(ingress.Options{
@@ -136,29 +139,36 @@
 	p.server.LogRequests(p.requestLog())
 }
 
-// restoreList gives the decider the list of servers to begin with: the configuration's own [[server]] tables,
-// else the predecessor's list, which is newer than the platform's, else the platform's.
+// restoreList gives the decider its first list of servers.
 func (p *Proxy) restoreList() error {
+	known := p.firstList()
+	if known == nil {
+		p.decider.RestoreList(nil)
+		return nil
+	}
+	servers, err := p.discovery.Restore(known)
+	if err != nil {
+		return fmt.Errorf("the list of known servers: %w", err)
+	}
+	p.decider.RestoreList(servers)
+	return nil
+}
+
+// firstList returns the list of servers to begin with: the configuration's own [[server]] tables, else the
+// predecessor's list, which is newer than the platform's, else the platform's; nil if there is none.
+func (p *Proxy) firstList() json.RawMessage {
 	known := p.cfg.KnownServers
 	if old := p.handover.predecessor; old != nil && len(old.Known) > 0 {
 		if old.Discovery == p.cfg.Discovery.Address {
 			known = old.Known
-		} else { // another deployment's servers, whose list counts its changes from another start
+		} else { // other servers, and indexes that can't be compared with this discovery's
 			p.log.Warn("list of the old process left aside", "discovery", old.Discovery)
 		}
 	}
 	if list := p.cfg.ServerList(time.Time{}, p.firstNamed); list != nil {
 		known = list
 	}
-	var servers []dispatch.Server
-	if known != nil {
-		var err error
-		if servers, err = p.discovery.Restore(known); err != nil {
-			return fmt.Errorf("the list of known servers: %w", err)
-		}
-	}
-	p.decider.RestoreList(servers)
-	return nil
+	return known
 }
 
 // closeAfterFailedStart closes what New has opened.
@@ -173,6 +183,7 @@
 	}
 }
 
+// listen opens a TCP listener; control, if not nil, sets options of its socket.
 func listen(address string, control func(string, string, syscall.RawConn) error) (net.Listener, error) {
 	return (&net.ListenConfig{KeepAlive: -1, Control: control}).Listen(context.Background(), "tcp", address)
 }
@@ -190,8 +201,8 @@
 // Address is where clients connect.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Run serves until SIGTERM or SIGINT and returns once every accepted request has been answered. On SIGHUP it
-// takes over the configuration that reread returns, on SIGUSR1 it logs the counters.
+// Run serves until SIGTERM or SIGINT and returns once every accepted request has its response. On SIGHUP it
+// applies the configuration that reread returns, on SIGUSR1 it logs the counters. It is called once.
 func (p *Proxy) Run(signals <-chan os.Signal, reread func() (*config.Config, error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -233,14 +244,14 @@
 	}
 }
 
-// shutdown begins to drain; the channel closes once every accepted request has been answered.
+// shutdown begins the final drain; the channel closes once every accepted request has its response.
 func (p *Proxy) shutdown() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		fleetLeft := make(chan struct{})
 		go func() { p.leaveFleet(); close(fleetLeft) }()
 		p.server.Shutdown(p.listener)
-		p.closeLedger() // once all responses are out and counted
+		p.closeLedger() // after all responses were written and counted
 		<-fleetLeft
 		close(done)
 	}()
@@ -249,17 +260,22 @@
 
 // drainTimes are the times of a drain that begins or goes on now.
 func (p *Proxy) drainTimes() drain.Times {
-	t := *p.shutdownTimes.Load()
+	configured := p.shutdownTimes.Load()
+	times := drain.Times{
+		CloseIdle: configured.CloseIdle, AcceptFor: configured.AcceptFor,
+		CloseAll: configured.CloseAll, ClosePartial: configured.ClosePartial,
+	}
 	if p.handover.successorServing.Load() {
-		// The successor takes new connections from now on. An unused one closes as soon as a request that
-		// crosses with the signal must have arrived, or that request would have less than its time before
-		// the process is killed.
-		t.AcceptFor, t.CloseAll = 0, min(t.CloseAll, t.CloseIdle+t.CloseIdle/4)
+		// The successor accepts new connections from now on. An idle connection closes as soon as a request that
+		// was sent before its client noticed the drain must have arrived: a later request might not have its
+		// full time before the process is killed.
+		times.AcceptFor = 0
+		times.CloseAll = min(times.CloseAll, times.CloseIdle+times.CloseIdle/4)
 	}
-	return drain.Times{CloseIdle: t.CloseIdle, AcceptFor: t.AcceptFor,
-		CloseAll: t.CloseAll, ClosePartial: t.ClosePartial}
+	return times
 }
 
+// requestLog returns the log of requests by the configuration, nil if requests are not logged.
 func (p *Proxy) requestLog() *logging.RequestLog {
 	if !p.cfg.Log.Requests {
 		return nil
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -10,8 +10,8 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// leaveTimeout bounds how long a change of this proxy's phase waits until gossip has spread it.
-const leaveTimeout = time.Second
+// gossipTimeout bounds how long a change of this proxy's phase is waited for until gossip has spread it.
+const gossipTimeout = time.Second
 
 // joinFleet starts this proxy's membership of the fleet where fleet.bind names an address.
 func (p *Proxy) joinFleet() error {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// setFleetPhase has the fleet see this proxy as draining or serving.
+// setFleetPhase announces to the fleet that this proxy drains or serves.
 func (p *Proxy) setFleetPhase(draining bool) {
 	if p.fleet == nil {
 		return
@@ -57,17 +57,17 @@
 	if draining {
 		phase = membership.Draining
 	}
-	if err := p.fleet.SetPhase(phase, leaveTimeout); err != nil {
+	if err := p.fleet.SetPhase(phase, gossipTimeout); err != nil {
 		p.log.Warn("fleet: the new phase did not spread", "phase", phase.String(), logging.Err, err)
 	}
 }
 
-// leaveFleet has the fleet see that this proxy shuts down, before it stops accepting clients.
+// leaveFleet announces to the fleet that this proxy shuts down, while it still accepts clients.
 func (p *Proxy) leaveFleet() {
 	if p.fleet == nil {
 		return
 	}
-	if err := p.fleet.Leave(leaveTimeout); err != nil {
+	if err := p.fleet.Leave(gossipTimeout); err != nil {
 		p.log.Warn("fleet: the leave did not spread", logging.Err, err)
 	}
 }
--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -18,7 +18,7 @@
 type handoverState struct {
 	socketPath        string                // of the Unix socket; "" without handover
 	predecessor       *handover.Predecessor // nil where no process served the address
-	predecessorExited chan struct{}         // closed when there is no predecessor, or none any more
+	predecessorExited chan struct{}         // closed once there is no predecessor, or none any more
 	offer             atomic.Pointer[handover.Offer]
 	serving           atomic.Bool // this process accepts clients
 	successorServing  atomic.Bool // a successor accepts them too
@@ -31,78 +31,86 @@
 // inheritOrListen takes the listening socket over from the process that serves the address so far, or opens
 // one.
 func (p *Proxy) inheritOrListen() error {
-	u := &p.handover
-	u.predecessorExited = make(chan struct{})
+	state := &p.handover
+	state.predecessorExited = make(chan struct{})
 	dir := p.startConfig.Handover.Dir
 	if dir == "" {
 		dir = os.Getenv("TMPDIR")
 	}
-	// Without handover the address isn't shared, so that a second process at it by mistake gets an error.
+	// Without handover the address isn't shared, so that a second process started there by mistake gets an
+	// error.
 	var control func(string, string, syscall.RawConn) error
 	if dir != "" {
 		control = handover.ReusePort
 		var err error
-		u.predecessor, err = handover.Join(handover.Path(dir, p.startConfig.Listen.Address),
+		state.predecessor, err = handover.Join(handover.Path(dir, p.startConfig.Listen.Address),
 			p.startConfig.Handover.JoinTimeout)
 		if err != nil {
 			p.log.Warn("no handover, listening beside the old process", logging.Err, err)
 		}
 	}
-	if u.predecessor != nil {
-		p.log.Info("taking over from an old process", "listen", u.predecessor.Listener.Addr().String())
-		p.listener = u.predecessor.Listener
-		u.socketPath = handover.Path(dir, p.Address())
+	if state.predecessor != nil {
+		p.log.Info("taking over from an old process", "listen", state.predecessor.Listener.Addr().String())
+		p.listener = state.predecessor.Listener
+		state.socketPath = handover.Path(dir, p.Address())
 		p.applyLimits()
 		return nil
 	}
-	u.alone = true
-	close(u.predecessorExited)
+	state.alone = true
+	close(state.predecessorExited)
 	var err error
 	if p.listener, err = listen(p.startConfig.Listen.Address, control); err != nil {
 		return fmt.Errorf("listen.address: %w", err)
 	}
 	if dir != "" {
-		u.socketPath = handover.Path(dir, p.Address()) // the port is the system's choice where it is set to 0
+		state.socketPath = handover.Path(dir, p.Address()) // with the port that the system has chosen for port 0
 	}
 	return nil
 }
 
-// limitFraction is the process's fraction of its limits: half while a predecessor or a successor lives.
-func (u *handoverState) limitFraction() float64 {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.alone && u.successors == 0 {
+// sharedLimitFraction is each process's fraction of the limits while two share them.
+const sharedLimitFraction = 0.5
+
+// limitFraction is this process's fraction of its limits: all of them unless a predecessor or a successor
+// runs.
+func (s *handoverState) limitFraction() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.alone && s.successors == 0 {
 		return 1
 	}
-	return 0.5
+	return sharedLimitFraction
+}
+
+// predecessorGone reports whether there is no predecessor, or none any more.
+func (s *handoverState) predecessorGone() bool {
+	select {
+	case <-s.predecessorExited:
+		return true
+	default:
+		return false
+	}
 }
 
 // acceptClients begins to accept clients: at once where no predecessor serves them, else when discovery has
 // sent a list or handover.settle has passed. Then successors can find this process.
 func (p *Proxy) acceptClients() {
-	u := &p.handover
-	alone := func() bool { // no predecessor accepts clients
-		select {
-		case <-u.predecessorExited:
-			return true
-		default:
-			return false
-		}
-	}
+	state := &p.handover
 	switch {
-	case u.predecessor != nil:
+	case state.predecessor != nil:
 		go p.waitForPredecessorExit()
-		if p.waitForList(func() bool { return alone() || p.server.Ending() }); p.server.Ending() && !alone() {
-			return // the predecessor goes on, as it has not been notified
+		p.waitForList(func() bool { return state.predecessorGone() || p.server.Ending() })
+		if p.server.Ending() && !state.predecessorGone() {
+			return // the predecessor goes on serving, as it was not notified
 		}
 	case listLimits(p.startConfig).MaxReopenDelay > 0:
-		// What discovery has binds from the first request on. If it can't be reached, the known list must do.
-		// A shutdown ends the wait too: clients that have connected meanwhile still get their responses.
+		// Drains that discovery knows of count from the first request on. If it can't be reached, the known list
+		// is used. A shutdown ends the wait too: clients that have connected meanwhile still get their responses.
 		p.waitForList(func() bool { return p.stats.ListsFailed.Load() > 0 || p.server.Ending() })
 	}
 	go func() { _ = p.server.Serve(p.listener) }() // its error is nil once the listener is closed
 	p.offerHandover()
-	u.serving.Store(true) // last: whoever ends the old process does so once this one is ready
+	state.serving.Store(true) // last, because operators end the old process once this one is ready
 	attrs := []any{"listen", p.Address()}
 	if p.admin != nil {
 		attrs = append(attrs, "operator", p.admin.Address())
@@ -110,29 +118,32 @@
 	p.log.Info("ready", attrs...)
 }
 
+// listPollInterval is how often waitForList looks for a list.
+const listPollInterval = 5 * time.Millisecond
+
 // waitForList waits until discovery has sent a list, stop returns true, or handover.settle has passed.
 func (p *Proxy) waitForList(stop func() bool) {
 	deadline := time.Now().Add(p.startConfig.Handover.ListTimeout)
 	for time.Now().Before(deadline) && !p.listReceived() && !stop() {
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(listPollInterval)
 	}
 }
 
 // offerHandover makes this process the one that successors find, and notifies the predecessor.
 func (p *Proxy) offerHandover() {
-	u := &p.handover
-	if u.socketPath == "" {
+	state := &p.handover
+	if state.socketPath == "" {
 		return
 	}
-	offer, err := handover.Listen(u.socketPath)
+	offer, err := handover.Listen(state.socketPath)
 	if err != nil {
 		p.log.Warn("a new process cannot take over from this one, it has to listen beside it", logging.Err, err)
 	} else {
-		u.offer.Store(offer)
+		state.offer.Store(offer)
 		go offer.Serve(p)
 	}
-	if u.predecessor != nil {
-		if err := u.predecessor.SendReady(); err != nil {
+	if state.predecessor != nil {
+		if err := state.predecessor.SendReady(); err != nil {
 			p.log.Warn("the old process could not be notified", logging.Err, err)
 		}
 	}
@@ -152,9 +163,9 @@
 	p.applyLimits()
 }
 
-// SuccessorJoined returns the listening socket and the list of servers for a process that takes over. One
-// that comes while this process's own predecessor still lives has to wait, since the limits are measured for
-// two processes; it waits for less than the successor's own patience, handover.wait.
+// SuccessorJoined returns the listening socket and the list of servers for a process that takes over.
+// While this process's own predecessor still runs a successor has to wait, since the limits are for two
+// processes at a time. It waits for less than handover.wait, after which it would give up.
 func (p *Proxy) SuccessorJoined() (handover.Terms, syscall.Conn, error) {
 	select {
 	case <-p.handover.predecessorExited:
@@ -173,7 +184,7 @@
 	return handover.Terms{Known: known, Discovery: p.discovery.Origin()}, socket, nil
 }
 
-// SuccessorReady records that a successor accepts clients, so that a shutdown need not wait for late ones.
+// SuccessorReady records that a successor accepts clients, so that a shutdown doesn't accept any more.
 func (p *Proxy) SuccessorReady() { p.handover.successorServing.Store(true) }
 
 // SuccessorExited records that a successor's connection has closed.
@@ -182,13 +193,14 @@
 	p.countSuccessors(-1)
 }
 
+// countSuccessors adds n to the number of connected successors and sets the limits for it.
 func (p *Proxy) countSuccessors(n int) {
-	u := &p.handover
-	u.mu.Lock()
-	u.successors += n
-	if u.successors == 0 {
-		u.successorServing.Store(false)
+	state := &p.handover
+	state.mu.Lock()
+	state.successors += n
+	if state.successors == 0 {
+		state.successorServing.Store(false)
 	}
-	u.mu.Unlock()
+	state.mu.Unlock()
 	p.applyLimits()
 }
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -24,7 +24,7 @@
 	commitWaitTimeout = time.Second
 )
 
-// ledgerNode is this proxy's part in the replicated ledger of use by tenant.
+// ledgerNode is this proxy's part in the replicated ledger of usage by tenant.
 type ledgerNode struct {
 	host     *raftgroup.Host   // its replica of the group, if it has one, and its way to the leader
 	recorder *pending.Recorder // counts that aren't committed yet
@@ -74,11 +74,12 @@
 	return nil
 }
 
+// propose has the group commit a command and returns its result.
 func (l *ledgerNode) propose(ctx context.Context, command []byte) (ledger.Result, error) {
 	return pending.DecodeResult(l.host.Propose(ctx, ledgerGroup, command))
 }
 
-// usageRecorder returns what counts the use of each final response, nil without a ledger.
+// usageRecorder returns what records the usage of each final response, nil without a ledger.
 func (p *Proxy) usageRecorder() func(ingress.Usage) {
 	if p.ledger == nil {
 		return nil
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// periodQuery reads nothing of the ledger: every answer carries the open period's number.
+// periodQuery asks for no entries: every answer has the number of the open period.
 var periodQuery, _ = json.Marshal(ledger.Query{Tenant: "-", Period: 1})
 
 // peers returns the fleet's members as the placement of replicas needs them.
@@ -133,7 +134,7 @@
 }
 
 // closeLedger ends this proxy's part in the ledger: what was counted is committed, or stays in the outbox for
-// the next start. Further calls do nothing.
+// the next start. Further calls are no-ops; it must not be called from several goroutines at once.
 func (p *Proxy) closeLedger() {
 	l := p.ledger
 	if l == nil {
--- a/internal/proxy/daemon/ledgerpage.go
+++ b/internal/proxy/daemon/ledgerpage.go
@@ -14,10 +14,10 @@
 	"cresshub/internal/cluster/raftgroup"
 )
 
-// pageReadTimeout bounds a read or a proposal for the admin API, which answers within a second.
-const pageReadTimeout = 700 * time.Millisecond
+// groupCallTimeout bounds a read or a proposal for the admin API, which is to respond within a second.
+const groupCallTimeout = 700 * time.Millisecond
 
-// LedgerPage is the answer to GET /_ledger.
+// LedgerPage is the response to GET /_ledger.
 type LedgerPage struct {
 	Group   raftgroup.Status `json:"group"`
 	Here    pending.Stats    `json:"here"`
@@ -37,7 +37,7 @@
 		}
 	}
 	encoded, _ := json.Marshal(query)
-	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), groupCallTimeout)
 	defer cancel()
 	raw, err := l.host.Read(ctx, ledgerGroup, encoded)
 	if err == nil {
@@ -52,7 +52,7 @@
 	return page
 }
 
-// CorrectionReply is the answer to POST /_ledger/correct.
+// CorrectionReply is the response to POST /_ledger/correct.
 type CorrectionReply struct {
 	ledger.Result
 	Problem string `json:"problem,omitempty"`
@@ -65,7 +65,7 @@
 	if err != nil {
 		return CorrectionReply{Problem: err.Error()}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), pageReadTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), groupCallTimeout)
 	defer cancel()
 	result, err := l.propose(ctx, correction.Encode())
 	switch {
@@ -79,7 +79,7 @@
 	return CorrectionReply{Result: result}
 }
 
-// parseCorrection reads a correction from a call's query; the error has all that is wrong, a line each.
+// parseCorrection reads a correction from a call's query; the error has every mistake, a line each.
 func parseCorrection(params url.Values) (ledger.Correction, error) {
 	correction := ledger.Correction{ID: params.Get("id"), Reason: params.Get("reason"),
 		Key: ledger.Key{Tenant: params.Get("tenant"), Class: params.Get("class"), Answer: params.Get("answer")}}
--- a/internal/proxy/daemon/limits.go
+++ b/internal/proxy/daemon/limits.go
@@ -13,11 +13,19 @@
 	"cresshub/internal/proxy/upstream"
 )
 
-// memoryWithoutLimit is what bodies are a fraction of where limits.memory is 0.
-const memoryWithoutLimit = 64 << 20
-
-// defaultDescriptors is the limit where neither the configuration nor the system sets one.
-const defaultDescriptors = 1024
+const (
+	// memoryWithoutLimit, in bytes, is what buffered bodies are a fraction of where limits.memory is 0.
+	memoryWithoutLimit = 64 << 20
+	// defaultDescriptors is the limit where neither the configuration nor the system sets one.
+	defaultDescriptors = 1024
+	// runtimeMemoryFraction of the process's memory is the limit of the Go runtime, which doesn't count the
+	// program's text and the kernel's buffers.
+	runtimeMemoryFraction = 0.75
+	// gcPercent makes collections rare, to save processor time; the limit of memory has precedence.
+	gcPercent = 300
+	// minReopenDelay is the shortest bound on the delay before an ended watch of discovery is opened again.
+	minReopenDelay = 20 * time.Millisecond
+)
 
 // SetRuntimeLimits sets the Go runtime's limits on cores and memory to a fraction of the process's limits.
 func SetRuntimeLimits(l config.Limits, fraction float64) {
@@ -25,9 +33,8 @@
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
 	if l.Memory > 0 {
-		// The runtime doesn't count the program's text and the kernel's buffers, which get the other quarter.
-		debug.SetMemoryLimit(int64(float64(l.Memory) * fraction * 0.75))
-		debug.SetGCPercent(300) // rare collections save processor time; the limit above binds first
+		debug.SetMemoryLimit(int64(float64(l.Memory) * fraction * runtimeMemoryFraction))
+		debug.SetGCPercent(gcPercent)
 	}
 }
 
@@ -35,7 +42,7 @@
 func (p *Proxy) descriptorLimit() int {
 	n := int(float64(systemDescriptorLimit(p.startConfig.Limits.Descriptors)) * p.handover.limitFraction())
 	if p.startConfig.Operator != "" {
-		n -= adminapi.MaxConns + 1 // and its listener
+		n -= adminapi.MaxConns + 1 // the one is for the listener
 	}
 	return n
 }
@@ -49,7 +56,7 @@
 	return int64(memory * p.startConfig.Limits.BodyFraction * p.handover.limitFraction())
 }
 
-// applyLimits sets the limits anew after a predecessor or successor came or went.
+// applyLimits sets the limits again after a predecessor or successor has come or exited.
 func (p *Proxy) applyLimits() {
 	SetRuntimeLimits(p.startConfig.Limits, p.handover.limitFraction())
 	if p.budget != nil {
@@ -58,7 +65,7 @@
 	}
 }
 
-// systemDescriptorLimit is the configured limit or the system's, whichever is lower. A configured 0 is no
+// systemDescriptorLimit is the configured limit or the system's, whichever is lower. 0 is no configured
 // limit.
 func systemDescriptorLimit(configured int) int {
 	var rlimit syscall.Rlimit
@@ -77,8 +84,8 @@
 func listLimits(cfg *config.Config) discovery.Limits {
 	l := discovery.Limits{WatchTimeout: cfg.Discovery.WatchTimeout, MaxListBytes: int(cfg.Discovery.MaxList)}
 	if cfg.Discovery.Mode == config.ModeTold && cfg.Discovery.Address != "" {
-		// A drain binds from the moment discovery has it, so it has to arrive well within its grace.
-		l.MaxReopenDelay = max(cfg.Drain.Grace/4, 20*time.Millisecond)
+		// A drain counts from the moment discovery has it, so it has to arrive well within drain.grace.
+		l.MaxReopenDelay = max(cfg.Drain.Grace/4, minReopenDelay)
 	}
 	return l
 }
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -11,10 +11,10 @@
 	"cresshub/internal/settingsfile"
 )
 
-// reload takes over the keys that changed. A configuration that can't be used changes nothing, and neither
-// does one of our own file with a changed key that needs a restart: taking over the other keys would make a
-// third configuration that nobody wrote. With the platform's file it is agreed that only live keys are taken
-// over, and the others wait for the restart.
+// reload applies the keys that changed. A configuration that can't be used changes nothing, and neither does
+// one of the own file with a changed key that needs a restart: to apply the other keys would make a third
+// configuration that nobody wrote. Of the platform's file, by agreement with the operators, live keys are
+// applied and the others wait for the restart.
 func (p *Proxy) reload(next *config.Config, err error) {
 	if err != nil {
 		var problems settingsfile.SettingErrors
--- a/internal/proxy/daemon/roles.go
+++ b/internal/proxy/daemon/roles.go
@@ -25,11 +25,12 @@
 
 func (s groupStore) Peek(query []byte) (any, bool) { return s.host.ReadStale(ledgerGroup, query) }
 
-// endpointSource lets the role that reads discovery for all members feed the list of servers.
+// endpointSource lets the role that reads discovery for all members provide the list of servers.
 type endpointSource struct{ *discovery.Client }
 
-func (l endpointSource) Feed(f leaseholder.Feed) {
-	l.Client.Feed(discovery.Feed{ReplaceOnly: f.FromOwner, Token: f.Token})
+// Feed changes where the list comes from.
+func (s endpointSource) Feed(f leaseholder.Feed) {
+	s.Client.Feed(discovery.Feed{ReplaceOnly: f.FromOwner, Token: f.Token})
 }
 
 // runRoles has this proxy compete for the fleet's singleton roles that owner.chores names.
@@ -38,8 +39,9 @@
 	if len(c.Roles) == 0 || p.ledger == nil {
 		return nil
 	}
-	opts := leaseholder.Options{Name: p.cfg.Name, Lease: p.cfg.LeaseSettings(), Store: groupStore{p.ledger.host},
-		Log: p.log.Logger}
+	opts := leaseholder.Options{
+		Name: p.cfg.Name, Lease: p.cfg.LeaseSettings(), Store: groupStore{p.ledger.host}, Log: p.log.Logger,
+	}
 	if c.FaultFile != "" {
 		opts.Faults = leaseholder.FileFaults{Path: c.FaultFile}
 	}
