--- a/internal/proxy/cli/admin.go
+++ b/internal/proxy/cli/admin.go
@@ -9,21 +9,21 @@
 	"github.com/spf13/cobra"
 )
 
-// adminTimeout bounds one call on the admin API, which answers within a second.
+// adminTimeout bounds one call to the admin API, which responds within a second.
 const adminTimeout = 2 * time.Second
 
-// addDoorFlag adds the flag with the address of a proxy's admin API.
-func addDoorFlag(c *cobra.Command, address *string) {
+// addAdminFlag adds the flag --door, which has the address of a proxy's admin API.
+func addAdminFlag(c *cobra.Command, address *string) {
 	c.Flags().StringVar(address, "door", "127.0.0.1:9901", "host and port of the proxy's operators' door")
 }
 
-// getPage reads a page of a proxy's admin API into the value that into points to. missing says what a proxy
-// without that page lacks.
+// getPage reads a page of a proxy's admin API into the value that into points to. missing completes the error
+// "the proxy at ADDRESS ..." about a proxy without that page.
 func getPage(address, path, missing string, into any) error {
 	return callAdmin(http.MethodGet, address, path, missing, into)
 }
 
-// callAdmin makes a call on a proxy's admin API and decodes its answer, within adminTimeout.
+// callAdmin makes a call to a proxy's admin API and decodes its JSON response, within adminTimeout.
 func callAdmin(method, address, path, missing string, into any) error {
 	client := http.Client{Timeout: adminTimeout}
 	request, err := http.NewRequest(method, "http://"+address+path, nil)
--- a/internal/proxy/cli/fleet.go
+++ b/internal/proxy/cli/fleet.go
@@ -39,7 +39,7 @@
 			return err
 		},
 	}
-	addDoorFlag(members, &adminAddress)
+	addAdminFlag(members, &adminAddress)
 	members.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.AddCommand(members)
 	return c
--- a/internal/proxy/cli/ledger.go
+++ b/internal/proxy/cli/ledger.go
@@ -12,6 +12,9 @@
 	"cresshub/internal/proxy/daemon"
 )
 
+// ledgerMissing completes an error about a proxy without a ledger; see getPage.
+const ledgerMissing = "holds no ledger (ledger.bind is empty there)"
+
 func newLedger() *cobra.Command {
 	c := &cobra.Command{Use: "ledger", Short: "Ask a running proxy for the ledger of use by tenant",
 		Example: "  cresshub ledger show --door 127.0.0.1:9901 --tenant ramen-kita"}
@@ -22,16 +25,15 @@
 		Use: "show", Short: "Print counts and bytes by period, tenant, class and answer, and what is unpromised",
 		Example: "  cresshub ledger show --door 127.0.0.1:9901 --period 12", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			q := url.Values{}
+			query := url.Values{}
 			if tenant != "" {
-				q.Set("tenant", tenant)
+				query.Set("tenant", tenant)
 			}
 			if period != 0 {
-				q.Set("period", fmt.Sprint(period))
+				query.Set("period", fmt.Sprint(period))
 			}
 			var page daemon.LedgerPage
-			if err := getPage(adminAddress, "/_ledger?"+q.Encode(), "holds no ledger (ledger.bind is empty there)",
-				&page); err != nil {
+			if err := getPage(adminAddress, "/_ledger?"+query.Encode(), ledgerMissing, &page); err != nil {
 				return err
 			}
 			if asJSON {
@@ -40,7 +42,7 @@
 			return printLedger(c, &page)
 		},
 	}
-	addDoorFlag(show, &adminAddress)
+	addAdminFlag(show, &adminAddress)
 	f := show.Flags()
 	f.StringVar(&tenant, "tenant", "", "this tenant alone")
 	f.Uint64Var(&period, "period", 0, "this period alone")
@@ -59,24 +61,25 @@
 			"--answer passed --n -3 --reason refund",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			q := url.Values{"id": {id}, "tenant": {tenant}, "class": {class}, "answer": {answer}, "reason": {reason}}
+			query := url.Values{
+				"id": {id}, "tenant": {tenant}, "class": {class}, "answer": {answer}, "reason": {reason},
+			}
 			for key, v := range map[string]int64{"period": int64(period), "n": n, "bytes_in": in, "bytes_out": out} {
-				q.Set(key, fmt.Sprint(v))
+				query.Set(key, fmt.Sprint(v))
 			}
+			path := "/_ledger/correct?" + query.Encode()
 			var reply daemon.CorrectionReply
-			err := callAdmin(http.MethodPost, adminAddress, "/_ledger/correct?"+q.Encode(),
-				"holds no ledger (ledger.bind is empty there)", &reply)
-			if err != nil {
+			if err := callAdmin(http.MethodPost, adminAddress, path, ledgerMissing, &reply); err != nil {
 				return err
 			}
 			if reply.Problem != "" {
 				return fmt.Errorf("not corrected: %s", strings.ReplaceAll(reply.Problem, "\n", ", "))
 			}
-			_, err = fmt.Fprintln(c.OutOrStdout(), reply.String())
+			_, err := fmt.Fprintln(c.OutOrStdout(), reply.String())
 			return err
 		},
 	}
-	addDoorFlag(c, &adminAddress)
+	addAdminFlag(c, &adminAddress)
 	f := c.Flags()
 	f.StringVar(&id, "id", "", "name of the correction; one that is there already is not entered again")
 	f.StringVar(&tenant, "tenant", "", "tenant")
@@ -90,6 +93,7 @@
 	return c
 }
 
+// printLedger prints the page as tables, and returns an error if it has no ledger.
 func printLedger(c *cobra.Command, page *daemon.LedgerPage) error {
 	w := newTable(c.OutOrStdout(), 0)
 	if v := page.Ledger; v != nil {
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -29,12 +29,13 @@
 			return printOwner(c, &p)
 		},
 	}
-	addDoorFlag(status, &adminAddress)
+	addAdminFlag(status, &adminAddress)
 	status.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.AddCommand(status)
 	return c
 }
 
+// printOwner prints the page as tables, and returns an error if the store could not be read.
 func printOwner(c *cobra.Command, p *leaseholder.Page) error {
 	w := newTable(c.OutOrStdout(), 0)
 	holder, left := p.Holder, "known there alone"
--- a/internal/proxy/descriptors/budget.go
+++ b/internal/proxy/descriptors/budget.go
@@ -1,13 +1,19 @@
-// Package descriptors keeps the process under its limit on file descriptors, which clients and servers share.
-// A Budget counts open connections; where it is exhausted it closes an idle one of the side that may spare
-// it, so that neither a flood of clients nor idle connections to servers keep requests from being served.
+// Package descriptors keeps the process under its limit on file descriptors, which connections of clients and
+// connections to servers share. A Budget counts open connections. Where it is exhausted it has an idle one
+// closed, so that neither a flood of clients nor idle connections to servers keep requests from being served.
 package descriptors
 
 import "sync"
 
-// reserved are the descriptors outside the budget: standard streams, the poller, the listener, files opened
-// in passing, and those on which a client is rejected with a response.
-const reserved = 24
+const (
+	// reserved is the number of descriptors outside the budget: standard streams, the poller, the listener,
+	// files that are open for a moment, and connections on which a client is rejected with a response.
+	reserved = 24
+	// minConnections is the smallest budget, whatever the limit of the process.
+	minConnections = 8
+	// roundingError makes up for that of a product of a fraction and a number.
+	roundingError = 1e-9
+)
 
 // Side is who a connection is for.
 type Side int
@@ -19,7 +25,8 @@
 )
 
 // Budget counts the open connections of both sides together. Its methods may be called from any goroutine,
-// except for SetReclaim, which is called before the first Acquire.
+// except for SetReclaim, which must be called before the first Acquire. It holds no lock while it has a
+// connection closed.
 type Budget struct {
 	clientFraction  float64
 	crowdedFraction float64
@@ -33,23 +40,27 @@
 }
 
 // NewBudget returns the budget of a process that may hold so many descriptors. Clients get the fraction
-// clientFraction of the connections at most, since a client whose request can't be sent on to a server only
-// waits; Crowded is true beyond crowdedFraction.
+// clientFraction of the connections at most, because their requests need connections to servers too; Crowded
+// is true beyond crowdedFraction.
 func NewBudget(descriptors int, clientFraction, crowdedFraction float64) *Budget {
 	b := &Budget{clientFraction: clientFraction, crowdedFraction: crowdedFraction}
 	b.setLimits(descriptors)
 	return b
 }
 
+// setLimits sets the limits of a process that may hold so many descriptors. The lock is held, except in
+// NewBudget.
 func (b *Budget) setLimits(descriptors int) {
-	b.limit = max(descriptors-reserved, 8)
-	fraction := func(f float64) int { return int(f*float64(b.limit) + 1e-9) } // 0.3 of 10 is 3
-	b.sideLimits = [2]int{Clients: fraction(b.clientFraction), Servers: b.limit}
-	b.crowdedAt = fraction(b.crowdedFraction)
+	b.limit = max(descriptors-reserved, minConnections)
+	connections := func(fraction float64) int { // 0.3 of 10 is 3
+		return int(fraction*float64(b.limit) + roundingError)
+	}
+	b.sideLimits = [2]int{Clients: connections(b.clientFraction), Servers: b.limit}
+	b.crowdedAt = connections(b.crowdedFraction)
 }
 
-// Resize changes how many descriptors the process may hold. Where more are in use, idle connections close at
-// once and the others as they end.
+// Resize changes how many descriptors the process may hold. Where more are in use, idle connections are
+// closed at once; the others are not, but no new one is acquired until enough have ended.
 func (b *Budget) Resize(descriptors int) {
 	b.mu.Lock()
 	b.setLimits(descriptors)
@@ -81,7 +92,7 @@
 			return true
 		}
 		b.mu.Unlock()
-		// Clients at their own limit cost only idle clients, so that a flood of them doesn't close the
+		// For clients at their own limit only idle clients are closed, so that a flood of clients doesn't close
 		// connections to servers.
 		reclaimed := !sideFull && b.reclaimOne(Servers) || b.reclaimOne(Clients)
 		if !reclaimed {
@@ -90,15 +101,16 @@
 	}
 }
 
-// Crowded reports whether clients hold more than the fraction that counts as many. Clients have a limit on
-// their connections, too, and some keep each open after its one request: idle ones then keep their next ones
-// out.
+// Crowded reports whether clients hold more than crowdedFraction of the connections, so that idle ones should
+// be closed early. Some clients leave a connection open after each request and have a limit of their own on
+// open connections: their idle connections would keep them from opening the next one.
 func (b *Budget) Crowded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used[Clients] > b.crowdedAt
 }
 
+// reclaimOne closes one idle connection of a side; false where none is idle.
 func (b *Budget) reclaimOne(side Side) bool { return b.reclaim[side] != nil && b.reclaim[side]() }
 
 // Release counts one connection of a side less.
--- a/internal/proxy/logging/limiter.go
+++ b/internal/proxy/logging/limiter.go
@@ -43,6 +43,7 @@
 	buckets map[string]*bucket
 }
 
+// maxMessages bounds the messages that are counted; beyond it all counts begin again.
 const maxMessages = 512
 
 // bucket is the token bucket of one message: it gains rate tokens a second and holds as many.
@@ -54,6 +55,7 @@
 
 func newRepeatLimiter() *repeatLimiter { return &repeatLimiter{buckets: map[string]*bucket{}} }
 
+// setRate changes the records a second of each message.
 func (r *repeatLimiter) setRate(rate float64) {
 	r.mu.Lock()
 	r.rate = rate
--- a/internal/proxy/logging/logging.go
+++ b/internal/proxy/logging/logging.go
@@ -1,6 +1,6 @@
 // Package logging makes the proxy's logger: log/slog in text or JSON, with one vocabulary of attributes, a
-// rate limit on records with the same message, and a writer that never makes the proxy wait for whoever reads
-// its log: beyond a backlog, records are dropped and counted.
+// rate limit on records with the same message, and a writer that never blocks on the reader of the log:
+// beyond a backlog, records are dropped and counted.
 //
 // Loggers and request logs may be used from any goroutine.
 package logging
@@ -31,6 +31,9 @@
 	Lost    = "lost"    // records lost because nobody read the log
 )
 
+// formatJSON is the Format of records in JSON; any other is text.
+const formatJSON = "json"
+
 // Options are how a logger writes. SetLimits changes Level and RepeatRate while it is in use.
 type Options struct {
 	Format     string     // "text" or "json"
@@ -49,26 +52,28 @@
 
 // New returns a logger that writes to w from a goroutine of its own. Close ends it.
 func New(w io.Writer, o Options) *Logger {
-	l := &Logger{repeats: newRepeatLimiter(),
-		writer: logwriter.New(w, o.Backlog, lostRecord(o.Format == "json"))}
+	asJSON := o.Format == formatJSON
+	l := &Logger{repeats: newRepeatLimiter(), writer: logwriter.New(w, o.Backlog, lostRecord(asJSON))}
 	options := &slog.HandlerOptions{Level: &l.level}
-	var h slog.Handler = slog.NewTextHandler(l.writer, options)
-	if o.Format == "json" {
+	var handler slog.Handler = slog.NewTextHandler(l.writer, options)
+	if asJSON {
 		options.ReplaceAttr = durationsAsText
-		h = slog.NewJSONHandler(l.writer, options)
+		handler = slog.NewJSONHandler(l.writer, options)
 	}
-	l.Logger = slog.New(&limitedHandler{h, l.repeats})
+	l.Logger = slog.New(&limitedHandler{handler, l.repeats})
 	l.SetLimits(o.Level, o.RepeatRate)
 	return l
 }
 
 // lostRecord returns what formats the record with the number of lost ones.
-func lostRecord(json bool) func(lost int64) string {
-	form := "level=WARN msg=%q %s=%d\n"
-	if json {
-		form = "{\"level\":\"WARN\",\"msg\":%q,%q:%d}\n"
+func lostRecord(asJSON bool) func(lost int64) string {
+	format := "level=WARN msg=%q %s=%d\n"
+	if asJSON {
+		format = "{\"level\":\"WARN\",\"msg\":%q,%q:%d}\n"
+	}
+	return func(lost int64) string {
+		return fmt.Sprintf(format, "log lines lost, nobody read them", Lost, lost)
 	}
-	return func(lost int64) string { return fmt.Sprintf(form, "log lines lost, nobody read them", Lost, lost) }
 }
 
 // durationsAsText replaces durations, which JSON would have as numbers of nanoseconds, by text with a unit.
@@ -94,10 +99,10 @@
 }
 
 // ParseLevel returns the level of a name; an unknown name is info.
-func ParseLevel(word string) slog.Level {
-	var l slog.Level
-	if l.UnmarshalText([]byte(word)) != nil {
+func ParseLevel(name string) slog.Level {
+	var level slog.Level
+	if level.UnmarshalText([]byte(name)) != nil {
 		return slog.LevelInfo
 	}
-	return l
+	return level
 }
--- a/internal/proxy/logging/requestlog.go
+++ b/internal/proxy/logging/requestlog.go
@@ -9,8 +9,8 @@
 	"golang.org/x/time/rate"
 )
 
-// The messages of records that the limit on repeats passes over: those of requests, which have a limit of
-// their own, and the counters, each of which is asked for.
+// The messages of records without a limit on repeats: those of requests have a limit of their own, and
+// counters are logged only where they are asked for.
 const (
 	RequestMessage  = "request"
 	CountersMessage = "counters"
@@ -33,13 +33,13 @@
 	return r
 }
 
-// RequestEntry is what became of one request.
+// RequestEntry is the record of one request. Its fields are written under the attributes of the same names.
 type RequestEntry struct {
 	Request, Class, Tenant, Server string
 	Attempts                       int
 	Outcome                        string
-	Status                         int
-	Took                           time.Duration
+	Status                         int           // of the final response; 0 if there was none
+	Took                           time.Duration // from the request's last byte to the end of its response
 }
 
 // Allow decides by chance and by the rate whether the next request is logged.
--- a/internal/proxy/serverlist/serverlist.go
+++ b/internal/proxy/serverlist/serverlist.go
@@ -1,12 +1,12 @@
-// Package serverlist is the JSON form of a list of servers: discovery sends it, the configuration's
-// [[server]] tables are turned into it, and a process passes its list to its successor in it.
+// Package serverlist is the JSON format of lists of servers. Discovery sends it, the configuration's
+// [[server]] tables are converted to it, and a process passes its list to its successor in it.
 package serverlist
 
-// Document is one message with servers.
+// Document is one message: a list of servers, or changes of a list.
 type Document struct {
-	// Index counts discovery's changes; a later document has a higher one.
+	// Index is the number of changes that discovery has made so far; a later document has a higher one.
 	Index int64 `json:"index"`
-	// Snapshot tells that Endpoints are all servers, not only those that changed.
+	// Snapshot says that Endpoints are all servers, not only those that changed.
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
@@ -17,7 +17,7 @@
 	Address string `json:"address"` // host:port
 	Zone    string `json:"zone"`    // hall that it stands in
 	Type    string `json:"type"`    // kind of machine
-	Group   int    `json:"group"`   // cell, whose servers share what keys they have met
+	Group   int    `json:"group"`   // cell, whose servers share what they have cached of keys
 	// Status is in_service, terminating (draining) or terminated.
 	Status string `json:"status"`
 	// Weight is its capacity relative to other servers.
--- a/internal/proxy/simwire/decode.go
+++ b/internal/proxy/simwire/decode.go
@@ -1,7 +1,7 @@
 // Package simwire translates between the simulator's JSON lines and the balancer: a line with a batch of
 // events comes in, each event goes to the balancer of its instance, and the actions go out as one line of
-// reply. It is the only package that knows the words of that protocol, whose settings object the platform's
-// configuration file shares (ReadSettings); it takes no decisions.
+// reply. It is the only package with the names of that protocol, which are those of the operators' page. The
+// platform's configuration file has the same settings object (ReadSettings). It makes no decisions.
 //
 // A Host holds the balancers by number. It, its Decoder and its Encoder reuse their buffers and are used from
 // one goroutine at a time.
@@ -39,13 +39,14 @@
 	page
 )
 
+// kinds are the kinds of events by their names. Other events are skipped.
 var kinds = map[string]Kind{
 	"Boot": Boot, "Registry": Registry, "NewRequest": NewRequest, "Ended": Ended, "Echo": Echo,
 	"Elapsed": Elapsed, "Established": Established, "TimedOutClient": TimedOutClient,
 	"Datagram": Datagram, "Detach": Detach, "Directory": page,
 }
 
-// required lists the fields an event cannot do without; what may be absent is not in it.
+// required are the fields that an event of each kind must have. It may have others.
 var required = [...]fieldSet{
 	Boot:           fSidecar | fSalt | fFacts,
 	Registry:       fSidecar | fScope,
@@ -60,6 +61,7 @@
 	page:           fPage | fEntries,
 }
 
+// fieldSet is a set of fields that some kind of event requires, a bit each.
 type fieldSet uint32
 
 const (
@@ -80,18 +82,21 @@
 	fEntries
 )
 
+// fieldNames are the bits of those fields by their names.
 var fieldNames = map[string]fieldSet{
 	"sidecar": fSidecar, "salt": fSalt, "facts": fFacts, "scope": fScope, "tid": fTid,
 	"client-deadline-ms": fDeadline, "lane": fLane, "server": fServer, "how": fHow, "attempt": fAttempt,
 	"name": fName, "neighbour": fNeighbour, "body": fBody, "page": fPage, "entries": fEntries,
 }
 
+// results are the results of attempts and probes by their names.
 var results = map[string]balance.Result{
 	"done": balance.Done, "err": balance.Error, "busy": balance.Rejected, "etimedout": balance.TimedOut,
 	"econnrefused": balance.ConnRefused, "econnreset": balance.Reset, "ecanceled": balance.Cancelled,
 	"skipped": balance.Skipped,
 }
 
+// scopes are the kinds of server lists by their names.
 var scopes = map[string]balance.ListKind{
 	"cached": balance.ListCached, "full": balance.ListFull, "delta": balance.ListDelta,
 	"failed": balance.ListFailed,
@@ -111,8 +116,8 @@
 	From     int
 	Body     []byte
 
-	// What has been read and has its place once the whole event is known.
-	present fieldSet // the required fields that came
+	// Fields that several kinds of events have; event puts them into the fields above once all are read.
+	present fieldSet // the fields of fieldNames that came
 	page    int      // number of a server list
 	entries []balance.Server
 	tid     string
@@ -131,13 +136,14 @@
 	row     []float64
 }
 
-// The fields of a batch, by the bits that tell which of them came.
+// The fields of a batch, a bit each.
 const (
 	hasTime = 1 << iota
 	hasNumber
 	hasEvents
 )
 
+// batchFields are the names of these fields, in the order of their bits.
 var batchFields = [...]string{"sim-time-ms", "n", "happened"}
 
 // Batch reads one line and returns the batch's number. The handler is called for each event, in order, with
@@ -183,13 +189,15 @@
 	return n, nil
 }
 
+// events reads the events of a batch and passes them to the handler.
 func (d *Decoder) events(j *jx.Decoder, now time.Duration, handle func(time.Duration, *Event) error) error {
 	index := -1
 	return j.Arr(func(j *jx.Decoder) error {
 		index++
 		names := 0
 		err := j.ObjBytes(func(j *jx.Decoder, key []byte) error {
-			if names++; names > 1 {
+			names++
+			if names > 1 {
 				return errors.New("more than one name")
 			}
 			kind, known := kinds[string(key)]
@@ -214,6 +222,7 @@
 	})
 }
 
+// withField adds the name of a field to an error, if there is one.
 func withField(err error, field string) error {
 	if err != nil {
 		return fmt.Errorf("field %q: %w", field, err)
@@ -321,7 +330,7 @@
 		s.Seed = cmp.Or(ev.Settings.Seed, s.Seed)
 		ev.Settings = s.Settings
 	case "scope":
-		ev.List, err = decodeWord(j, scopes)
+		ev.List, err = decodeEnum(j, scopes)
 	case "page":
 		ev.page, err = j.Int()
 	case "entries":
@@ -344,7 +353,7 @@
 		id, err = j.UInt32()
 		ev.server = balance.ServerID(id)
 	case "how":
-		ev.result, err = decodeWord(j, results)
+		ev.result, err = decodeEnum(j, results)
 	case "rtt-ms":
 		ev.rtt, err = decodeMillis(j)
 	case "attempt":
@@ -360,6 +369,9 @@
 	return true, err
 }
 
+// flagClientRetry is the bit of a request's "bitmap" that marks a client's own retry.
+const flagClientRetry = 2
+
 // requestField reads a field that describes a new request.
 func (d *Decoder) requestField(j *jx.Decoder, key []byte) (known bool, err error) {
 	ev := &d.ev
@@ -380,7 +392,7 @@
 	case "bitmap":
 		var flags int
 		flags, err = decodeCount(j)
-		ev.Request.ClientRetry = flags&2 != 0
+		ev.Request.ClientRetry = flags&flagClientRetry != 0
 	case "lane":
 		ev.Request.Class, err = decodeCount(j)
 	case "size-hint-ms":
--- a/internal/proxy/simwire/encode.go
+++ b/internal/proxy/simwire/encode.go
@@ -68,22 +68,25 @@
 	e.writer.RawStr("}}")
 }
 
+// openAction writes the beginning of an action, up to the number of its instance.
 func (e *Encoder) openAction(head string, sidecar int) {
 	e.writer.RawStr(head)
 	e.writer.Int(sidecar)
 }
 
+// writeID writes the id of a request.
 func (e *Encoder) writeID(id string) {
 	e.writer.RawStr(`,"tid":`)
 	e.writer.Str(id)
 }
 
+// writeUint writes a number; name is the text before it.
 func (e *Encoder) writeUint(name string, v uint64) {
 	e.writer.RawStr(name)
 	e.writer.UInt64(v)
 }
 
-// writeWait writes an action's time in milliseconds.
+// writeWait writes an action's time in milliseconds; name is the text before it.
 func (e *Encoder) writeWait(name string, a *balance.Action) {
 	e.writer.RawStr(name)
 	e.writer.Float64(float64(a.Wait) / 1e6)
--- a/internal/proxy/simwire/host.go
+++ b/internal/proxy/simwire/host.go
@@ -30,6 +30,7 @@
 	return h.encoder.Finish(n), nil
 }
 
+// handle passes one event to its instance and encodes the actions.
 func (h *Host) handle(now time.Duration, ev *Event) error {
 	b := h.instances[ev.Sidecar]
 	if b == nil && ev.Kind != Boot {
@@ -41,11 +42,11 @@
 	actions := h.actions[:0]
 	switch ev.Kind {
 	case Boot:
-		nb, err := balance.New(ev.Settings, now)
+		booted, err := balance.New(ev.Settings, now)
 		if err != nil {
 			return fmt.Errorf(`field "facts": %w`, err)
 		}
-		h.instances[ev.Sidecar] = nb
+		h.instances[ev.Sidecar] = booted
 		return nil
 	case Detach:
 		delete(h.instances, ev.Sidecar)
--- a/internal/proxy/simwire/settings.go
+++ b/internal/proxy/simwire/settings.go
@@ -29,6 +29,7 @@
 // fieldDecoder reads one value into the variable that it was made for.
 type fieldDecoder func(*jx.Decoder) error
 
+// decodeInto stores in *to what read returns.
 func decodeInto[T any](to *T, read func(*jx.Decoder) (T, error)) fieldDecoder {
 	return func(j *jx.Decoder) (err error) {
 		*to, err = read(j)
@@ -42,24 +43,24 @@
 func millisInto(to *time.Duration) fieldDecoder { return decodeInto(to, decodeMillis) }
 func textInto(to *string) fieldDecoder          { return decodeInto(to, (*jx.Decoder).Str) }
 
-// wordInto reads one of a fixed set of words.
-func wordInto[T any](to *T, words map[string]T) fieldDecoder {
-	return decodeInto(to, func(j *jx.Decoder) (T, error) { return decodeWord(j, words) })
+// enumInto reads the name of one of a fixed set of values.
+func enumInto[T any](to *T, values map[string]T) fieldDecoder {
+	return decodeInto(to, func(j *jx.Decoder) (T, error) { return decodeEnum(j, values) })
 }
 
-// equalsInto reads whether a text is a given word.
-func equalsInto(to *bool, word string) fieldDecoder {
+// equalsInto reads whether a text is a given one.
+func equalsInto(to *bool, text string) fieldDecoder {
 	return decodeInto(to, func(j *jx.Decoder) (bool, error) {
 		b, err := j.StrBytes()
-		return string(b) == word, err
+		return string(b) == text, err
 	})
 }
 
 // appendTo appends one text to a list.
 func appendTo(to *[]string) fieldDecoder {
 	return func(j *jx.Decoder) error {
-		w, err := j.Str()
-		*to = append(*to, w)
+		text, err := j.Str()
+		*to = append(*to, text)
 		return err
 	}
 }
@@ -85,8 +86,8 @@
 	})
 }
 
-// Settings are the settings of one instance: what the balancer reads of them, and the names and figures that
-// a program on real sockets needs beside. Each list of names has the order that numbers its items.
+// Settings are the settings of one instance: those of the balancer, and the names and times that a program on
+// real sockets also needs. The position of a name in its list is the number by which the balancer knows it.
 type Settings struct {
 	balance.Settings
 	ClassNames  []string
@@ -97,7 +98,7 @@
 	IdleClose   time.Duration // servers close a connection that has been idle for so long
 }
 
-// ReadSettings reads the object of the settings.
+// ReadSettings reads the settings object of the platform's file.
 func ReadSettings(raw []byte) (Settings, error) {
 	s, err := decodeSettings(jx.DecodeBytes(raw))
 	if err != nil {
@@ -106,6 +107,8 @@
 	return s, nil
 }
 
+// decodeSettings reads a settings object. Fields that are missing keep their zero values, except for
+// MaxAttempts, which is 1 then.
 func decodeSettings(j *jx.Decoder) (Settings, error) {
 	s := Settings{Settings: balance.Settings{MaxAttempts: 1}}
 	err := decodeObject(j, map[string]fieldDecoder{
@@ -179,8 +182,8 @@
 		"deadline-ms": millisInto(&c.Deadline),
 		"value":       floatInto(&c.Value),
 		"late-worth":  floatInto(&c.LateValue),
-		"effect":      wordInto(&c.Effect, Effects),
-		"group":       wordInto(&c.DedupScope, Groups),
+		"effect":      enumInto(&c.Effect, Effects),
+		"group":       enumInto(&c.DedupScope, Groups),
 		"window-ms":   millisInto(&c.DedupWindow),
 		"stream":      boolInto(&c.Stream),
 	})
--- a/internal/proxy/simwire/values.go
+++ b/internal/proxy/simwire/values.go
@@ -34,19 +34,22 @@
 	return n, err
 }
 
-// decodeMillis reads milliseconds with fractions; the simulator counts in microseconds.
+// maxMillis bounds times, in ms, so that they don't overflow a time.Duration.
+const maxMillis = 1e12
+
+// decodeMillis reads milliseconds with fractions and rounds them to microseconds, the simulator's unit.
 func decodeMillis(j *jx.Decoder) (time.Duration, error) {
 	f, err := j.Float64()
 	if err != nil {
 		return 0, err
 	}
-	if math.Abs(f) > 1e12 {
+	if math.Abs(f) > maxMillis {
 		return 0, errors.New("out of range")
 	}
 	return time.Duration(math.Round(f*1000)) * time.Microsecond, nil
 }
 
-// decodeNumbers appends an array of numbers.
+// decodeNumbers appends the numbers of an array to into.
 func decodeNumbers(j *jx.Decoder, into []float64) ([]float64, error) {
 	err := j.Arr(func(j *jx.Decoder) error {
 		f, err := j.Float64()
@@ -56,16 +59,17 @@
 	return into, err
 }
 
-// decodeWord reads one of a fixed set of words.
-func decodeWord[T any](j *jx.Decoder, words map[string]T) (T, error) {
+// decodeEnum reads the name of one of a fixed set of values.
+func decodeEnum[T any](j *jx.Decoder, values map[string]T) (T, error) {
 	b, err := j.StrBytes()
-	v, ok := words[string(b)]
+	v, ok := values[string(b)]
 	if err == nil && !ok {
 		err = fmt.Errorf("unknown word %q", b)
 	}
 	return v, err
 }
 
+// states are the states of servers by their names.
 var states = map[string]balance.ServerState{
 	"IN": balance.Up, "LAME": balance.Draining, "OUT": balance.Removed,
 }
@@ -90,7 +94,7 @@
 			case "pod":
 				s.Cell, err = decodeCount(j)
 			case "stage-state":
-				s.State, err = decodeWord(j, states)
+				s.State, err = decodeEnum(j, states)
 				hasState = true
 			case "rating":
 				s.Rating, err = j.Float64()
