--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -24,11 +24,11 @@
 	case peerproto.KindUpsert:
 		a.handleUpsert(c, frame)
 	case peerproto.KindFollow:
-		a.handleFollow(c, frame)
+		a.feeds.handleFollow(c, frame)
 	case peerproto.KindCompare:
-		a.handleCompare(c, frame)
+		a.antiEntropy.handleCompare(c, frame)
 	case peerproto.KindConfigFetch:
-		c.Answer(frame, peerproto.KindResult, peerproto.Encode(a.configInForce()))
+		c.Answer(frame, peerproto.KindResult, peerproto.Encode(a.configSync.inForce()))
 	case peerproto.KindPropose, peerproto.KindPatch, peerproto.KindRead:
 		go a.serveConfigCall(c, frame)
 	case peerproto.KindLoadReport:
@@ -59,7 +59,7 @@
 func (a *Agent) status() *peerproto.Status {
 	v := a.state.currentView()
 	return &peerproto.Status{ID: a.id, Version: a.state.version(), Epoch: v.epoch, Members: v.members,
-		HasSnapshot: a.state.isSynced(), ReachesMajority: a.reachesFleet()}
+		HasSnapshot: a.state.isSynced(), ReachesMajority: a.quorum.reachesFleet()}
 }
 
 // handleAnnounce learns the view from a process that announces it.
@@ -68,7 +68,7 @@
 	if !decodeOrClose(c, frame.Body, &status) {
 		return
 	}
-	a.learnStatusView(&status)
+	a.hubs.learnView(&status)
 	c.Answer(frame, peerproto.KindPong, peerproto.Encode(a.status()))
 }
 
@@ -101,26 +101,6 @@
 	})
 }
 
-// handleFollow starts a feed on a connection, in place of an earlier one.
-func (a *Agent) handleFollow(c *transport.Conn, frame peerproto.Frame) {
-	var request peerproto.Follow
-	if !decodeOrClose(c, frame.Body, &request) {
-		return
-	}
-	go a.serveFeed(c, &request, a.feeds.begin(c))
-	a.sendPrefixIndex(c)
-}
-
-// configInForce returns the configuration in force, packed.
-func (a *Agent) configInForce() *peerproto.Result {
-	config := a.state.Config()
-	if config == nil {
-		return unavailableResult("no configuration is known here")
-	}
-	return &peerproto.Result{Outcome: peerproto.OutcomeAccepted, Version: config.Version,
-		Body: a.packed.of(config)}
-}
-
 // serveConfigCall runs another process's call on the configuration in this member.
 func (a *Agent) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
 	result := unavailableResult("this machine does not keep the configuration")
@@ -129,7 +109,7 @@
 	case !a.configStore.isMember():
 	case frame.Kind != peerproto.KindRead && peerproto.Decode(frame.Body, &proposal) != nil:
 	default:
-		result = a.runConfigCall(frame.Kind, &proposal)
+		result = runLocally(a.configStore, frame.Kind, &proposal)
 	}
 	c.Answer(frame, peerproto.KindResult, peerproto.Encode(result))
 }
--- a/internal/router/dataplane/disconnect.go
+++ b/internal/router/dataplane/disconnect.go
@@ -2,8 +2,6 @@
 
 import (
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
 // pollInterval is how often a client is polled whose next request has arrived already: a read would return
@@ -19,16 +17,16 @@
 
 // watchDisconnect calls onDisconnect once when the client ends its sending or the connection breaks. It
 // takes nothing out of the connection.
-func watchDisconnect(s *socket, onDisconnect func()) *disconnectWatcher {
-	w := &disconnectWatcher{socket: s, stopping: make(chan struct{}), done: make(chan struct{})}
-	s.SetReadDeadline(time.Time{})
+func watchDisconnect(socket *socket, onDisconnect func()) *disconnectWatcher {
+	watcher := &disconnectWatcher{socket: socket, stopping: make(chan struct{}), done: make(chan struct{})}
+	socket.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(w.done)
-		if w.awaitDisconnect() {
+		defer close(watcher.done)
+		if watcher.awaitDisconnect() {
 			onDisconnect()
 		}
 	}()
-	return w
+	return watcher
 }
 
 // awaitDisconnect waits until the client disconnects, and returns true, or until the watch is stopped.
@@ -57,15 +55,3 @@
 	<-w.done
 	w.socket.SetReadDeadline(time.Time{})
 }
-
-// hungUp reports whether the other side has ended its sending or the connection is broken, also where bytes
-// wait before the end.
-func (s *socket) hungUp() bool {
-	closed := true
-	err := s.raw.Control(func(fd uintptr) {
-		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		_, err := unix.Poll(polled, 0)
-		closed = err == nil && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-	})
-	return err != nil || closed
-}
