--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -92,13 +92,13 @@
 	}
 	// The ledger on, with all three of its replicas in this process: what the other two cost is in it too.
 	b.Run("cresshub-ledger", func(b *testing.B) {
-		gossip, door := free(b), free(b)
+		gossip, adminAddress := free(b), free(b)
 		var first *daemon.Proxy
 		for i, seeds := range []string{"", gossip, gossip} {
 			text := fmt.Sprintf("name = \"m-%d\"\n", i)
 			bind := "127.0.0.1:0"
 			if i == 0 {
-				text, bind = text+fmt.Sprintf("operator = %q\n", door), gossip
+				text, bind = text+fmt.Sprintf("operator = %q\n", adminAddress), gossip
 			}
 			text += own(zone) + fmt.Sprintf("[fleet]\nbind = %q\n", bind)
 			if seeds != "" {
@@ -113,7 +113,7 @@
 		}
 		for begun := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 			var page daemon.LedgerPage
-			a, err := http.Get("http://" + door + "/_ledger")
+			a, err := http.Get("http://" + adminAddress + "/_ledger")
 			if err == nil {
 				err = json.NewDecoder(a.Body).Decode(&page)
 				a.Body.Close()
--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -21,7 +21,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// pattern is a body of any length, each of whose bytes tells its place.
+// pattern is a body of any length. Its bytes depend on their positions, so that lost ones change its
+// checksum.
 type pattern struct{ at, size int64 }
 
 func (p *pattern) Read(to []byte) (int, error) {
@@ -36,14 +37,16 @@
 	return n, nil
 }
 
-func sum(r io.Reader) (uint32, int64, error) {
-	h := crc32.NewIEEE()
-	n, err := io.Copy(h, r)
-	return h.Sum32(), n, err
+// sum reads all of r and returns its checksum and its length.
+func sum(r io.Reader) (checksum uint32, length int64, err error) {
+	hash := crc32.NewIEEE()
+	length, err = io.Copy(hash, r)
+	return hash.Sum32(), length, err
 }
 
-// largeZone is a zone server: it answers with a body as long as the query's size asks, chunked where it says
-// so, and tells in a header the sum of the body it got. Raw answers replace that by id.
+// largeZone starts a zone server and returns its address. Its responses have a body as long as the query's
+// size, chunked where the query says so, and a header with length and checksum of the request's body. raw, if
+// not nil, may write the response instead: where it returns true the connection ends.
 func largeZone(t *testing.T, raw func(q *http1.Request, body *http1.Body, c *connbuffer.Conn) bool) string {
 	t.Helper()
 	return nettest.Listen(t, func(c *connbuffer.Conn) {
@@ -83,6 +86,7 @@
 	})
 }
 
+// send writes a pattern as a body.
 func send(w *http1.BodyWriter, length int64) error {
 	if _, err := io.CopyBuffer(struct{ io.Writer }{w}, &pattern{size: length}, make([]byte, 8000)); err != nil {
 		return err
@@ -105,10 +109,12 @@
 	return errors.Join(err, c.Flush())
 }
 
+// listOf is a full list with one server.
 func listOf(address string) string {
 	return nettest.List(true, "in_service", map[string]string{"s-0": address})
 }
 
+// large is the head of a request to a largeZone, with a query.
 func large(method, class, id, query string, wait time.Duration) string {
 	return strings.Replace(nettest.Request(method, class, id, wait), "/api?", "/api?"+query+"&", 1)
 }
@@ -119,8 +125,8 @@
 	return slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }
 
-// Many bodies of 32 MB at once go both ways unchanged, in far less memory than one of them, and small
-// requests beside them are answered.
+// Many bodies of 32 MB are passed on in both directions at once, unchanged and within the memory that the
+// program may use, while small requests are still served.
 func TestLargeBodiesInBoundedMemory(t *testing.T) {
 	const size, transfers = 32 << 20, 12
 	raced := raceDetectorOn()
@@ -197,7 +203,7 @@
 	}
 }
 
-// A request's time runs from its last byte, however long its head and its body take.
+// X-Timeout counts from the last byte of a request, however long its head and body take to arrive.
 func TestSlowRequestHasAllItsTime(t *testing.T) {
 	p := start(t, nettest.NewDiscovery(t).Address, listOf(largeZone(t, nil)), 200)
 	for _, size := range []int{100, 100_000} {
@@ -216,8 +222,8 @@
 	}
 }
 
-// A large request that its server breaks off before the last byte never ran: it is refused, and not sent
-// again, for nobody has its beginning any more.
+// A large request whose server closes the connection before the last byte never ran. It is rejected, and not
+// sent again, because its beginning was not buffered.
 func TestBrokenUpload(t *testing.T) {
 	attempts := make(chan bool, 9)
 	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
@@ -234,8 +240,9 @@
 	}
 }
 
-// A client that stops in the midst of a large body costs its server nothing that could pass for a request. It
-// leaves once its server has met it: for one that left before nothing is sent.
+// When a client stops in the middle of a large body, its server can tell that the request is not complete.
+// The client disconnects only after the attempt has reached the server, as there would be no attempt
+// otherwise.
 func TestBodyThatStops(t *testing.T) {
 	began, ended := make(chan bool, 1), make(chan error, 1)
 	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
@@ -254,7 +261,7 @@
 		}
 		io.WriteString(c, text+strings.Repeat("x", 100_000))
 		if framing[0] == 'T' {
-			io.WriteString(c, "\r\nnonsense\r\n") // and here the answer says what is wrong
+			io.WriteString(c, "\r\nnonsense\r\n") // malformed, so the client gets an error response
 			if a, err := http1.ReadResponse(c.In); err != nil || a.Status != 400 {
 				t.Errorf("%+v, %v", a, err)
 			}
@@ -262,22 +269,22 @@
 		select {
 		case <-began:
 		case <-time.After(nettest.Patience):
-			t.Fatalf("%s: the server was never met", framing)
+			t.Fatalf("%s: the attempt did not reach the server", framing)
 		}
 		c.Close()
 		select {
 		case err := <-ended:
 			if err == nil {
-				t.Errorf("%s: the server took it for whole", framing)
+				t.Errorf("%s: the server took the body for complete", framing)
 			}
 		case <-time.After(nettest.Patience):
-			t.Errorf("%s: the attempt stayed", framing)
+			t.Errorf("%s: the attempt did not end", framing)
 		}
 	}
 }
 
-// An answer that breaks off after its head went out ends so that the client can tell, whatever its framing,
-// and counts as failed.
+// When a server breaks off its response after the head was passed on, the client can tell that it is not
+// complete, whatever its framing, and the request counts as failed.
 func TestBrokenAnswer(t *testing.T) {
 	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		framing, text := "Content-Length: 300000", strings.Repeat("x", 100_000)
@@ -287,7 +294,7 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n"+text)
 		return true
 	})
-	p, door := withDoor(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, listOf(zone))
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, listOf(zone))
 	for _, query := range []string{"whole", "chunked", "chunked&old"} {
 		c := nettest.Dial(t, p.address)
 		text := large("POST", "assign", query, query, 15*time.Second)
@@ -300,15 +307,15 @@
 			t.Fatalf("%+v, %v", a, err)
 		}
 		if _, n, err := sum(b); err == nil {
-			t.Errorf("%s: %d bytes pass for all", query, n)
+			t.Errorf("%s: a body of %d bytes seems complete", query, n)
 		}
 	}
 	nettest.Until(t, "all count as failed", func() bool {
-		return strings.Contains(string(operate(t, door, "GET /_vars").Body), "assign.bad_gateway:3|c")
+		return strings.Contains(string(callAdmin(t, adminAddress, "GET /_vars").Body), "assign.bad_gateway:3|c")
 	})
 }
 
-// What a server gives is passed on at once, also where its length is not known and it takes long over it.
+// A response of unknown length that takes long is passed on as it comes.
 func TestAnswerIsNotHeldBack(t *testing.T) {
 	next := make(chan bool)
 	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
@@ -339,7 +346,7 @@
 	}
 }
 
-// The forms of HTTP/1.1 that clients use, one after the other on one connection where that goes on.
+// Clients' forms of HTTP/1.1, one after the other on one connection where it stays open.
 func TestFormsOfHTTP(t *testing.T) {
 	p := start(t, nettest.NewDiscovery(t).Address, listOf(largeZone(t, nil)), 200)
 	get := func(id string) string { return large("GET", "lookup", id, "size=3", 15*time.Second) }
--- a/cmd/cresshub/fleet_test.go
+++ b/cmd/cresshub/fleet_test.go
@@ -27,7 +27,7 @@
 
 type member struct {
 	*process
-	name, gossip, door string
+	name, gossip, adminAddress string
 }
 
 // fleetOf starts n members, each joining by the first, and waits until every view holds all n alive.
@@ -53,7 +53,7 @@
 	_, m.gossip, _ = strings.Cut(m.expect(t, "fleet: listening"), "gossip=")
 	m.gossip, _, _ = strings.Cut(m.gossip, " ")
 	_, line, _ := strings.Cut(m.expect(t, "msg=ready"), "listen=")
-	m.address, m.door, _ = strings.Cut(line, " operator=")
+	m.address, m.adminAddress, _ = strings.Cut(line, " operator=")
 	return m
 }
 
@@ -70,11 +70,11 @@
 	return file
 }
 
-// view asks a member's door for its view; ok is false where the door does not answer.
+// view asks a member's admin API for its view; ok is false where it does not respond.
 func (m *member) view() (gossip.Page, bool) {
 	var p gossip.Page
 	c := http.Client{Timeout: time.Second}
-	a, err := c.Get("http://" + m.door + "/_fleet")
+	a, err := c.Get("http://" + m.adminAddress + "/_fleet")
 	if err != nil {
 		return p, false
 	}
--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -55,7 +55,7 @@
 	return startWith(t, configuration(discovery, known, sockets))
 }
 
-// startWith is start with the text of a configuration.
+// startWith is start with the text of a configuration file of the platform.
 func startWith(t *testing.T, config string) *process {
 	t.Helper()
 	p := launch(t, config)
@@ -64,12 +64,14 @@
 	return p
 }
 
+// configuration is a file of the platform with the settings of these tests; known is the list of servers.
 func configuration(discovery, known string, sockets int) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",`+
 		`"limits":{"cores":1,"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`,
 		discovery, sockets, known, settings)
 }
 
+// launch is startWith that does not wait.
 func launch(t *testing.T, config string) *process {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -85,6 +87,7 @@
 	return spawn(tb, exec.Command(os.Args[0], args...), file, env...)
 }
 
+// spawn starts a command that is the program. file is the path of its configuration.
 func spawn(tb testing.TB, cmd *exec.Cmd, file string, env ...string) *process {
 	tb.Helper()
 	p := &process{cmd: cmd, config: file}
@@ -104,22 +107,23 @@
 	return p
 }
 
-// expect reads the log up to a line that holds word.
-func (p *process) expect(tb testing.TB, word string) string {
+// expect reads the log up to a line that contains text, and returns the line.
+func (p *process) expect(tb testing.TB, text string) string {
 	tb.Helper()
 	for p.log.Scan() {
-		if strings.Contains(p.log.Text(), word) {
+		if strings.Contains(p.log.Text(), text) {
 			return p.log.Text()
 		}
 	}
-	tb.Fatalf("the log ended without %q", word)
+	tb.Fatalf("the log ended without %q", text)
 	return ""
 }
 
-func known(status string, parties ...*nettest.ScriptedServer) string {
+// known is a full list of servers, named s-0, s-1 and so on, which all have the same status.
+func known(status string, servers ...*nettest.ScriptedServer) string {
 	list := map[string]string{}
-	for i, p := range parties {
-		list[fmt.Sprintf("s-%d", i)] = p.Address
+	for i, server := range servers {
+		list[fmt.Sprintf("s-%d", i)] = server.Address
 	}
 	return nettest.List(true, status, list)
 }
@@ -150,8 +154,8 @@
 	}
 }
 
-// Rules 1 and 2: one answer before the client gives up, and nothing unsafe sent twice where it may have
-// run.
+// Rules 1 and 2: each request gets one response before its client gives up, and one that must not run
+// twice is not sent again where it may have run.
 func TestAnswersAndRepeats(t *testing.T) {
 	notRun := &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
 	for _, c := range []struct {
@@ -191,7 +195,7 @@
 	}
 }
 
-// Rule 3: nothing new goes to a server once its drain was read.
+// Rule 3: no new request goes to a server once the proxy has received that it drains.
 func TestDrainIsObeyed(t *testing.T) {
 	work := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
 	x, y := nettest.Serve(t, work), nettest.Serve(t, work)
@@ -219,8 +223,8 @@
 	}
 }
 
-// Where lists come unasked, what discovery has binds a new process from its first request on, whatever the
-// list says that it was started with. Without discovery that list has to do.
+// Where discovery pushes its list, a new process goes by that from its first request on, whatever the list
+// that it was started with. Without discovery it goes by the latter.
 func TestUnaskedListsBindFromTheStart(t *testing.T) {
 	work := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
 	x, y := nettest.Serve(t, work), nettest.Serve(t, work)
@@ -253,8 +257,8 @@
 	ask("third")
 }
 
-// The signal to end may come while a new process still waits for its first list: who has connected by then is
-// answered.
+// SIGTERM may come while a new process still waits for its first list: clients that have connected by then
+// get their responses.
 func TestTermBeforeTheFirstList(t *testing.T) {
 	asked := make(chan bool, 9)
 	silent := nettest.Serve(t, func(*http1.Request) *http1.Response { asked <- true; return nettest.NoResponse })
@@ -317,8 +321,8 @@
 	}
 }
 
-// SIGHUP reads the file again: one that cannot be used changes nothing, a new discovery is followed. It
-// may come while the program ends.
+// On SIGHUP the file is read again: one that can't be used changes nothing, and a new address of discovery is
+// used at once. SIGHUP may also come during the shutdown.
 func TestHupFollowsTheNewDiscovery(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	old, fresh := nettest.NewDiscovery(t), nettest.NewDiscovery(t)
@@ -347,7 +351,7 @@
 	}
 }
 
-// The end of whoever reads the log ends nothing else: a write to a pipe without a reader raises a signal.
+// The process outlives the reader of its log, though a write to a pipe without a reader raises SIGPIPE.
 func TestOutlivesTheReaderOfItsLog(t *testing.T) {
 	p := start(t, "", known("ready"), 100)
 	if err := p.pipe.Close(); err != nil {
@@ -376,19 +380,20 @@
 	}
 }
 
-// More clients than the budget has places for are told so; those within it are served on.
+// Clients beyond the budget of descriptors are rejected with a response, and those within it are still
+// served.
 func TestSocketBudget(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.NoResponse }))
-	// 16 places, for both sides together.
+	// The budget is 16 connections, of clients and to servers together.
 	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 40)
-	for range 30 { // say nothing, and cost those who ask nothing
+	for range 30 { // these send nothing, and must not keep others from being served
 		nettest.Dial(t, p.address)
 	}
 	nettest.Until(t, "all are accepted", func() bool {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
 		return strings.Contains(p.expect(t, "msg=counters"), "accepted=30")
 	})
-	time.Sleep(100 * time.Millisecond) // longer than a connection may be silent when places are short
+	time.Sleep(100 * time.Millisecond) // longer than clients.silent_for
 	var all []*connbuffer.Conn
 	for i := range 5 {
 		c := nettest.Dial(t, p.address)
@@ -409,11 +414,11 @@
 	}
 }
 
-// Clients that keep a connection for good after one request do not fill all places with them: beyond a
-// quarter the longest rested are closed, well before they are old.
+// Clients that leave each connection open after one request do not exhaust the budget: beyond a quarter of it
+// the connections that have been idle longest are closed, well before clients.idle.
 func TestRestingClientsMakeRoom(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
-	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 40) // 16 places, a quarter is 4
+	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 40) // a budget of 16, a quarter is 4
 	first := nettest.Dial(t, p.address)
 	nettest.Ask(t, first, nettest.Request("GET", "lookup", "first", 15*time.Second))
 	ended := make(chan error, 1)
@@ -435,8 +440,8 @@
 	}
 }
 
-// A request under an id that is open is a second copy to the server: it is turned down, and the open one
-// goes on. So it is while only an attempt of the first is left.
+// To a server a request with the id of an open one would be its duplicate: it is rejected, and the open one
+// goes on. The id stays in use while an attempt of the first request is under way.
 func TestIDInUse(t *testing.T) {
 	release := make(chan bool)
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response {
@@ -461,7 +466,7 @@
 	}
 }
 
-// Who connects and does not ask, or does not end, is told so or closed, and does not keep a place.
+// A client that sends no request, or only a part of one, gets an error response or is closed.
 func TestSlowClientsAreEnded(t *testing.T) {
 	p := start(t, nettest.NewDiscovery(t).Address, "null", 200)
 	for in, status := range map[string]int{
--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -20,22 +20,25 @@
 
 const ready = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// withDoor starts the program with an operators' door at a clients' address, and returns the door's.
-func withDoor(t *testing.T, listen, discovery, known string) (*process, string) {
+// startWithAdmin starts the program with an admin API and with its clients' address at listen, waits until it
+// is ready, and returns the address of the admin API with it.
+func startWithAdmin(t *testing.T, listen, discovery, known string) (p *process, adminAddress string) {
 	t.Helper()
-	p := launch(t, strings.Replace(configuration(discovery, known, 200), `"listen":"127.0.0.1:0"`,
+	p = launch(t, strings.Replace(configuration(discovery, known, 200), `"listen":"127.0.0.1:0"`,
 		`"operator":"127.0.0.1:0","listen":"`+listen+`"`, 1))
-	_, line, _ := strings.Cut(p.expect(t, "msg=ready"), "listen=")
-	p.address, line, _ = strings.Cut(line, " operator=")
-	return p, line
+	_, addresses, _ := strings.Cut(p.expect(t, "msg=ready"), "listen=")
+	p.address, adminAddress, _ = strings.Cut(addresses, " operator=")
+	return p, adminAddress
 }
 
-func operate(t *testing.T, door, call string) *http1.Response {
+// callAdmin makes a call ("METHOD PATH") to the admin API.
+func callAdmin(t *testing.T, adminAddress, call string) *http1.Response {
 	t.Helper()
-	return nettest.Ask(t, nettest.Dial(t, door), call+" HTTP/1.1\r\nHost: h\r\n\r\n")
+	return nettest.Ask(t, nettest.Dial(t, adminAddress), call+" HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
-func read(t *testing.T, r *bufio.Reader) *http1.Response {
+// readResponse reads one response, which must come.
+func readResponse(t *testing.T, r *bufio.Reader) *http1.Response {
 	t.Helper()
 	a, err := http1.ReadResponse(r)
 	if err != nil {
@@ -44,12 +47,13 @@
 	return a
 }
 
-// What the figures say is what the two sides saw: served, refused, failed, repeated, abandoned.
+// The metrics agree with what client and server saw of requests that were served, rejected, failed, retried
+// and abandoned.
 func TestFiguresAreTrue(t *testing.T) {
 	answers := make(chan *http1.Response, 16)
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return <-answers }))
-	p, door := withDoor(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, known("in_service", x))
-	vars := func() string { return string(operate(t, door, "GET /_vars").Body) }
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, known("in_service", x))
+	vars := func() string { return string(callAdmin(t, adminAddress, "GET /_vars").Body) }
 	for _, line := range []string{"proxy.handled.lookup.passed:0|c", "proxy.handled.assign.bad_gateway:0|c",
 		"proxy.upstream_tries:0|c", "proxy.in_progress:0|g", "proxy.known_zone_servers:1|g",
 		"proxy.skipped_zone_servers:0|g"} {
@@ -87,16 +91,17 @@
 	}
 }
 
-// A drain sends clients away without losing what is owed, ends, and does not end the process.
+// A lame duck call closes idle connections, while every request that arrives still gets its response. It can
+// be undone, and does not end the process.
 func TestLameDuck(t *testing.T) {
 	answers := make(chan *http1.Response)
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return <-answers }))
-	p, door := withDoor(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, known("in_service", x))
-	rests, busy := nettest.Dial(t, p.address), nettest.Dial(t, p.address)
-	nettest.Ask(t, rests, ready)
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, known("in_service", x))
+	idle, busy := nettest.Dial(t, p.address), nettest.Dial(t, p.address)
+	nettest.Ask(t, idle, ready)
 	io.WriteString(busy, nettest.Request("POST", "assign", "1", 15*time.Second))
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
-	if a := operate(t, door, "POST /_lameduck/on"); a.Status != 200 {
+	if a := callAdmin(t, adminAddress, "POST /_lameduck/on"); a.Status != 200 {
 		t.Fatalf("status %d", a.Status)
 	}
 	if a := nettest.Ask(t, nettest.Dial(t, p.address), ready); a.Status != 503 {
@@ -105,49 +110,49 @@
 	late := nettest.Dial(t, p.address)
 	io.WriteString(late, nettest.Request("POST", "assign", "2", 15*time.Second))
 	nettest.Until(t, "a late one is served", func() bool { return len(x.Received("/api")) == 2 })
-	if _, err := rests.In.Peek(1); err != io.EOF {
-		t.Errorf("what rests ends with %v", err)
+	if _, err := idle.In.Peek(1); err != io.EOF {
+		t.Errorf("an idle connection ends with %v", err)
 	}
 	answers <- nettest.OK("")
 	answers <- nettest.OK("")
-	for _, c := range []*http1.Response{read(t, busy.In), read(t, late.In)} {
+	for _, c := range []*http1.Response{readResponse(t, busy.In), readResponse(t, late.In)} {
 		if c.Status != 200 || !c.Close {
 			t.Errorf("status %d, closes %v", c.Status, c.Close)
 		}
 	}
 	half := nettest.Dial(t, p.address)
 	io.WriteString(half, "GET /api HTTP/1.1\r\nHost: h\r\n")
-	if a := read(t, half.In); a.Status != 503 || !a.Close {
+	if a := readResponse(t, half.In); a.Status != 503 || !a.Close {
 		t.Errorf("a head that never ends: status %d, closes %v", a.Status, a.Close)
 	}
 	fresh := nettest.Dial(t, p.address)
 	if _, err := fresh.In.Peek(1); err != io.EOF {
-		t.Errorf("one that came since and rests ends with %v", err)
+		t.Errorf("an idle connection from after the call ends with %v", err)
 	}
-	operate(t, door, "POST /_lameduck/off")
+	callAdmin(t, adminAddress, "POST /_lameduck/off")
 	c := nettest.Dial(t, p.address)
 	if a := nettest.Ask(t, c, ready); a.Status != 200 || a.Close {
 		t.Errorf("after the drain ready says %d, closes %v", a.Status, a.Close)
 	}
-	operate(t, door, "POST /_lameduck/on")
+	callAdmin(t, adminAddress, "POST /_lameduck/on")
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.expect(t, "msg=ending")
-	operate(t, door, "POST /_lameduck/off") // does not undo the end
+	callAdmin(t, adminAddress, "POST /_lameduck/off") // does not undo the shutdown
 	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Over many upgrades under load no connection is refused, reset or left unread, and every request gets its
-// answer: clients that open a connection for each request, and clients that keep theirs. On a busy machine
-// the decisions refuse one in some thousands by chance, as far as requests meet delays: each of these is one
-// that its process counts, and there are few.
+// Over many handovers under load no connection is refused, reset or left unread, and every request gets
+// its response, both of clients that open a connection for each request and of clients that keep theirs.
+// On a busy machine some requests meet a delay, and the decisions may reject one in some thousands of
+// requests by chance: the process counts each of these, and there are few.
 func TestUpgradesLoseNoConnection(t *testing.T) {
 	zone := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	list := nettest.NewDiscovery(t).Address
 	t.Setenv("TMPDIR", t.TempDir())
-	p, _ := withDoor(t, "127.0.0.1:0", list, known("in_service", zone))
-	at, stop := p.address, make(chan struct{})
+	p, _ := startWithAdmin(t, "127.0.0.1:0", list, known("in_service", zone))
+	address, stop := p.address, make(chan struct{})
 	var served, refused atomic.Int64
 	var clients sync.WaitGroup
 	for n := range 4 {
@@ -160,7 +165,7 @@
 				default:
 				}
 				if c == nil {
-					nc, err := net.Dial("tcp", at)
+					nc, err := net.Dial("tcp", address)
 					if err != nil {
 						t.Error(err)
 						return
@@ -177,7 +182,7 @@
 				case err == nil && a.Status == 503 && a.Header.Get("Retry-After") != "":
 					refused.Add(1)
 				default:
-					t.Errorf("lost: %+v, %v", a, err) // turned away, reset, or a close that crossed
+					t.Errorf("lost: %+v, %v", a, err) // rejected, reset, or closed as the request was sent
 					return
 				}
 				if a.Close || n%2 == 0 {
@@ -197,17 +202,17 @@
 			t.Error(err)
 		}
 		var n int64
-		_, figures, _ := strings.Cut(line, "requests.refused=")
-		if _, err := fmt.Sscan(strings.Fields(figures)[0], &n); err != nil ||
+		_, counters, _ := strings.Cut(line, "requests.refused=")
+		if _, err := fmt.Sscan(strings.Fields(counters)[0], &n); err != nil ||
 			!strings.Contains(line, "requests.failed=0 ") || !strings.Contains(line, "clients.turned_away=0 ") {
 			t.Error(line, err)
 		}
 		counted += n
 	}
 	for range 4 {
-		next, door := withDoor(t, at, list, known("in_service", zone))
+		next, adminAddress := startWithAdmin(t, address, list, known("in_service", zone))
 		p.expect(t, "a new process takes over")
-		if a := operate(t, door, "GET /_ready"); a.Status != 200 {
+		if a := callAdmin(t, adminAddress, "GET /_ready"); a.Status != 200 {
 			t.Errorf("the new one says %d", a.Status)
 		}
 		end()
@@ -221,13 +226,14 @@
 	}
 }
 
-// A new process that hangs, one that is killed before it is ready, and one that finds what a killed one
-// left, each leave one that serves; so does the end of the old one before the new one is ready.
+// Requests are still served when the new process of a handover hangs, when it is killed before it is
+// ready, when the old one ends before the new one is ready, and when a new one finds the socket file of a
+// killed one.
 func TestUpgradesThatFail(t *testing.T) {
 	zone := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	list := nettest.NewDiscovery(t).Address
 	t.Setenv("TMPDIR", t.TempDir())
-	first, door := withDoor(t, "127.0.0.1:0", list, known("in_service", zone))
+	first, adminAddress := startWithAdmin(t, "127.0.0.1:0", list, known("in_service", zone))
 	served := func(id string) {
 		t.Helper()
 		a := nettest.Ask(t, nettest.Dial(t, first.address), nettest.Request("GET", "lookup", id, 15*time.Second))
@@ -245,7 +251,7 @@
 	first.expect(t, "a new process has gone")
 	served("after a killed new one")
 
-	operate(t, door, "POST /_lameduck/on") // a drain in the midst is the old one's alone
+	callAdmin(t, adminAddress, "POST /_lameduck/on") // a drain during the handover is that of the old one only
 	second := launch(t, config)
 	first.expect(t, "a new process takes over")
 	first.cmd.Process.Signal(syscall.SIGTERM)
@@ -259,5 +265,5 @@
 	second.cmd.Wait()
 	third := launch(t, strings.Replace(config, `"known":null`, `"known":`+known("in_service", zone), 1))
 	third.expect(t, "msg=ready")
-	served("after leavings")
+	served("after a socket file that a killed process left")
 }
