--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -82,8 +82,8 @@
 	return sharedLimitFraction
 }
 
-// predecessorGone reports whether there is no predecessor, or none any more.
-func (s *handoverState) predecessorGone() bool {
+// predecessorHasExited reports whether there is no predecessor, or none any more.
+func (s *handoverState) predecessorHasExited() bool {
 	select {
 	case <-s.predecessorExited:
 		return true
@@ -99,8 +99,8 @@
 	switch {
 	case state.predecessor != nil:
 		go p.waitForPredecessorExit()
-		p.waitForList(func() bool { return state.predecessorGone() || p.server.Ending() })
-		if p.server.Ending() && !state.predecessorGone() {
+		p.waitForList(func() bool { return state.predecessorHasExited() || p.server.Ending() })
+		if p.server.Ending() && !state.predecessorHasExited() {
 			return // the predecessor goes on serving, as it was not notified
 		}
 	case listLimits(p.startConfig).MaxReopenDelay > 0:
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -22,20 +22,20 @@
 	}
 	request, rejection := s.parse(message, arrived)
 	s.startUsage(c, message, request.Class)
-	failed := &s.Stats.Class(request.Class).Failed
+	class := s.Stats.Class(request.Class)
 	if rejection.rejects() {
 		s.countRejected(rejection.status, rejection.reason)
 		response := textResponse(rejection.status, rejection.reason, false)
 		if rejection.status == http.StatusMethodNotAllowed {
 			response.Header = append(response.Header, http1.Field{Name: "Allow", Value: "GET, HEAD, POST"})
 		}
-		return finalResponse{response: response, counter: failed}
+		return finalResponse{response: response, class: class, answer: answerBadGateway}
 	}
 	id := message.Header.Get(idField)
 	if !s.openID(id) {
 		s.countRejected(http.StatusConflict, "id in use")
 		response := textResponse(http.StatusConflict, "a request with this id is open", false)
-		return finalResponse{response: response, counter: failed}
+		return finalResponse{response: response, class: class, answer: answerBadGateway}
 	}
 	defer s.releaseID(id)
 	s.Stats.Received.Add()
@@ -162,7 +162,7 @@
 		s.recordOutcome(c, outcomeServed, http.StatusOK, attempts, last.Attempt)
 		outcome := &attempts[last.Attempt].outcome
 		outcome.Response.Header = outcome.Response.Header.EndToEnd("X-Server-Load")
-		return finalResponse{outcome.Response, outcome, &class.Passed, &class.Failed}
+		return finalResponse{outcome.Response, outcome, class, answerPassed}
 	case dispatch.Reject:
 		s.Stats.Refused.Add()
 		s.recordOutcome(c, outcomeRefused, http.StatusServiceUnavailable, attempts, len(attempts)-1)
@@ -171,7 +171,7 @@
 			wait := strconv.FormatFloat(last.RetryAfter.Seconds(), 'f', 3, 64)
 			response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: wait})
 		}
-		return finalResponse{response: response, counter: &class.Dropped}
+		return finalResponse{response: response, class: class, answer: answerDropped}
 	case dispatch.ClientGone:
 		s.Stats.ClientGone.Add()
 		s.recordOutcome(c, outcomeClientGone, 0, attempts, len(attempts)-1)
@@ -186,5 +186,5 @@
 		status, reason = http.StatusGatewayTimeout, "no answer in time"
 	}
 	s.recordOutcome(c, outcomeFailed, status, attempts, len(attempts)-1)
-	return finalResponse{response: textResponse(status, reason, false), counter: &class.Failed}
+	return finalResponse{response: textResponse(status, reason, false), class: class, answer: answerBadGateway}
 }
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -27,7 +27,6 @@
 	inProgress bool                  // the request counts as in progress
 	logEntry   *logging.RequestEntry // of the request being served; nil if it is not logged
 	usage      *Usage                // of the request being served; nil where usage is not counted
-	usageClass int
 }
 
 // closedPollInterval is how often a connection that can't be read is checked for whether its peer closed it.
--- a/internal/proxy/ingress/reject.go
+++ b/internal/proxy/ingress/reject.go
@@ -34,13 +34,9 @@
 	if flushErr != nil || !known {
 		return
 	}
-	dropped := &s.Stats.Class(class).Dropped
-	dropped.Add()
-	if s.RecordUsage != nil {
-		usageOnly := &client{}
-		s.startUsage(usageOnly, message, class)
-		s.reportUsage(usageOnly, dropped, 0)
-	}
+	usageOnly := &client{} // without a connection: just for the usage of this request
+	s.startUsage(usageOnly, message, class)
+	s.countAnswer(usageOnly, s.Stats.Class(class), answerDropped, 0)
 }
 
 // reject responds to a malformed or incomplete request, unless its client has disconnected.
--- a/internal/proxy/ingress/response.go
+++ b/internal/proxy/ingress/response.go
@@ -13,10 +13,10 @@
 
 // finalResponse is a request's final response and what belongs to it.
 type finalResponse struct {
-	response      *http1.Response   // nil where nobody waits for one
-	outcome       *upstream.Outcome // where response comes from, to be released; nil for a local reply
-	counter       *stats.Counter    // counts it once it is written; nil where its request has no class
-	failedCounter *stats.Counter    // counts it instead if its server breaks it off; set where outcome is
+	response *http1.Response   // nil where nobody waits for one
+	outcome  *upstream.Outcome // where response comes from, to be released; nil for a local reply
+	class    *stats.Handled    // counters of the request's class; nil for a health check
+	answer   answer            // what it counts as once it is written
 }
 
 // sendBuffer bounds the kernel's send buffer, in bytes, while a response streams. With more, writes to a slow
@@ -42,8 +42,7 @@
 	if f.outcome != nil && f.outcome.Stream != nil {
 		return s.streamResponse(c, w, f, written, limits.StallTimeout)
 	}
-	f.counter.Add()
-	s.reportUsage(c, f.counter, written)
+	s.countAnswer(c, f.class, f.answer, written)
 	return true
 }
 
@@ -77,8 +76,7 @@
 		case c.Flush() != nil:
 			return false
 		}
-		f.counter.Add()
-		s.reportUsage(c, f.counter, written)
+		s.countAnswer(c, f.class, f.answer, written)
 		return true
 	}
 }
@@ -86,8 +84,7 @@
 // failStream counts a response that its server broke off and has the connection end with a reset: the client
 // must be able to tell that the response is not complete, also where the end of the connection delimits it.
 func (s *Server) failStream(c *client, f *finalResponse, written int64) {
-	f.failedCounter.Add()
-	s.reportUsage(c, f.failedCounter, written)
+	s.countAnswer(c, f.class, answerBadGateway, written)
 	if t, ok := c.Conn.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
--- a/internal/proxy/ingress/usage.go
+++ b/internal/proxy/ingress/usage.go
@@ -7,13 +7,29 @@
 	"cresshub/internal/proxy/stats"
 )
 
-// The values of Usage.Answer, which are stored, and are part of the names of metrics.
+// answer is what a final response counts as. The texts are stored, and are part of the names of metrics.
+type answer string
+
+// The kinds of answers. The zero value counts as nothing.
 const (
-	answerPassed     = "passed"      // the response of a server
-	answerDropped    = "dropped"     // rejected
-	answerBadGateway = "bad_gateway" // an error: invalid, or its attempts failed
+	answerPassed     answer = "passed"      // the response of a server
+	answerDropped    answer = "dropped"     // rejected
+	answerBadGateway answer = "bad_gateway" // an error: the request is invalid, or its attempts failed
 )
 
+// counter is the counter of such answers among those of a class; nil if there is none.
+func (a answer) counter(class *stats.Handled) *stats.Counter {
+	switch a {
+	case answerPassed:
+		return &class.Passed
+	case answerDropped:
+		return &class.Dropped
+	case answerBadGateway:
+		return &class.Failed
+	}
+	return nil
+}
+
 // Usage is one final response that was written, as the usage ledger counts it.
 type Usage struct {
 	Tenant, Class string
@@ -36,27 +52,18 @@
 	if id != "" {
 		u.ID = xxhash.Sum64String(id)
 	}
-	c.usage, c.usageClass = u, class
+	c.usage = u
 }
 
-// reportUsage reports a request's usage once its final response has been written; counter is what counted it.
-func (s *Server) reportUsage(c *client, counter *stats.Counter, out int64) {
-	u := c.usage
-	if u == nil || counter == nil {
+// countAnswer counts a final response that was written, in the counters of its class and as usage. out is the
+// number of bytes of its body.
+func (s *Server) countAnswer(c *client, class *stats.Handled, a answer, out int64) {
+	a.counter(class).Add()
+	usage := c.usage
+	if usage == nil || a == "" {
 		return
 	}
 	c.usage = nil
-	class := s.Stats.Class(c.usageClass)
-	switch counter {
-	case &class.Passed:
-		u.Answer = answerPassed
-	case &class.Dropped:
-		u.Answer = answerDropped
-	case &class.Failed:
-		u.Answer = answerBadGateway
-	default:
-		return
-	}
-	u.Out = out
-	s.RecordUsage(*u)
+	usage.Answer, usage.Out = string(a), out
+	s.RecordUsage(*usage)
 }
