--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -13,7 +13,7 @@
 
 // unusualLatency is the latency, in seconds, that a response of s seldom exceeds with its present load.
 func (b *Balancer) unusualLatency(r *request, s *server) float64 {
-	serviceTimesToWait := max((s.inFlight+float64(s.sentSinceReport))/b.concurrency, 1)
+	serviceTimesToWait := max(s.reportedLoad()/b.concurrency, 1)
 	return unresponsiveAfter * serviceTimesToWait * b.serviceTime(r.Class, s.Kind).mean
 }
 
--- a/balance/probes.go
+++ b/balance/probes.go
@@ -28,7 +28,7 @@
 
 // isIdle reports whether s, by its last report, would serve one more request within about two service times.
 func (b *Balancer) isIdle(now time.Duration, s *server) bool {
-	return s.inFlight+float64(s.sentSinceReport)+1 <= max(2*b.concurrency*b.slowStartFactor(now, s), 1)
+	return s.reportedLoad()+1 <= max(2*b.concurrency*b.slowStartFactor(now, s), 1)
 }
 
 // probeSample samples servers for r and probes those without a fresh report, all at once: LI-k, which applies
--- a/balance/queuedelay.go
+++ b/balance/queuedelay.go
@@ -36,7 +36,7 @@
 	sum, reports := 0.0, 0.0
 	for _, s := range b.servers {
 		if s.hasReport && now-s.reportedAt < reportedDelayAge {
-			sum += max(b.queueDelayBehind(s.inFlight+float64(s.sentSinceReport)), 0)
+			sum += max(b.queueDelayBehind(s.reportedLoad()), 0)
 			reports++
 		}
 	}
--- a/balance/rejection.go
+++ b/balance/rejection.go
@@ -28,7 +28,7 @@
 	wait := b.fleetQueueDelay(now) // in seconds, as all waits here
 	if b.hasFreshReport(now, s) && b.reportLag() == 0 {
 		capacity := b.capacity(r.Class, s) * max(b.slowStartFactor(now, s), 1/b.concurrency)
-		expected := max((s.inFlight+float64(s.sentSinceReport)+1)/b.concurrency/capacity-1, 0) * b.meanServiceTime()
+		expected := max((s.reportedLoad()+1)/b.concurrency/capacity-1, 0) * b.meanServiceTime()
 		if b.probesAreCostly() {
 			// The report of a server that was just probed says more than delays that one unhealthy server caused.
 			b.recordQueueDelay(now, expected, reportedDelayGain)
--- a/balance/reports.go
+++ b/balance/reports.go
@@ -30,6 +30,10 @@
 	}
 }
 
+// reportedLoad is the number of requests in flight at s: those of its last report and the attempts of this
+// balancer since; 0 and these attempts if there was no report.
+func (s *server) reportedLoad() float64 { return s.inFlight + float64(s.sentSinceReport) }
+
 // hasFreshReport reports whether the last report of s is as good as one of this moment.
 func (b *Balancer) hasFreshReport(now time.Duration, s *server) bool {
 	return s.hasReport && now-s.reportedAt <= max(reportTTL, 2*b.settings.Tick)
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -133,7 +133,7 @@
 	r.outstanding++
 	freshReport := b.hasFreshReport(now, s)
 	// That none is queued is not enough: a server may share its cores between many requests.
-	uncontended := freshReport && s.queued == 0 && s.inFlight+float64(s.sentSinceReport) <= 2 &&
+	uncontended := freshReport && s.queued == 0 && s.reportedLoad() <= 2 &&
 		b.reportLag() == 0
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: now, reportSeq: s.reportSeq,
 		requestsAhead: s.inFlight + float64(s.sentSinceReport-1),
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -68,13 +68,7 @@
 	for _, s := range servers {
 		slowStart := b.slowStartFactor(now, s)
 		weight := b.capacity(r.Class, s) * slowStart * s.halfOpenFactor()
-		c := candidate{server: s, weight: weight, maxProbability: 1}
-		if s.hasReport {
-			c.level = s.inFlight + float64(s.sentSinceReport)
-		} else {
-			c.level = typicalLoad + float64(s.outstanding)
-		}
-		c.level /= c.weight
+		c := candidate{server: s, weight: weight, level: s.load(typicalLoad) / weight, maxProbability: 1}
 		if s.Zone == b.settings.Zone {
 			homeWeight += c.weight
 		}
@@ -85,7 +79,7 @@
 			c.weight *= affinityWeight
 		}
 		if slowStart < 1 && !(sampled && b.probesAreCostly()) { // sampleOne has capped it where probes are costly
-			c.maxProbability = b.settings.CollapseMultiple / slowStartMargin * c.weight / capacity.full
+			c.maxProbability = b.slowStartCap(c.weight, capacity)
 			if sampled { // the cap holds for all requests, but only some of them have it in their sample
 				c.maxProbability /= min(1, float64(len(servers))*c.weight/capacity.now)
 			}
@@ -100,6 +94,20 @@
 	return arrivals
 }
 
+// load is the number of requests in flight at s, as far as known. typicalLoad is assumed of a server
+// without a report, beside the attempts of this balancer.
+func (s *server) load(typicalLoad float64) float64 {
+	if s.hasReport {
+		return s.reportedLoad()
+	}
+	return typicalLoad + float64(s.outstanding)
+}
+
+// slowStartCap is the probability with which a server in slow start may be selected at most, by its weight.
+func (b *Balancer) slowStartCap(weight float64, capacity fleetCapacity) float64 {
+	return b.settings.CollapseMultiple / slowStartMargin * weight / capacity.full
+}
+
 // summarizeReports returns the mean load in the reports of servers, in requests in flight, and the mean
 // age of the reports beyond reportTTL, in service times.
 func (b *Balancer) summarizeReports(now time.Duration, servers []*server) (typicalLoad, reportAge float64) {
