--- a/internal/testbed/routertrial/change.go
+++ b/internal/testbed/routertrial/change.go
@@ -27,10 +27,10 @@
 	if !routerstandin.Sleep(ctx, bounds.Config+probeMargin) {
 		return ctx.Err()
 	}
-	served := f.Probe(ctx, addedKind)
-	gone := f.Probe(ctx, removedKind)
-	f.logEvent("answers by status: on the added route %s, on the dropped one %s", byStatus(served),
-		byStatus(gone))
+	onAdded := f.Probe(ctx, addedKind)
+	onRemoved := f.Probe(ctx, removedKind)
+	f.logEvent("answers by status: on the added route %s, on the dropped one %s", byStatus(onAdded),
+		byStatus(onRemoved))
 	return nil
 }
 
--- a/internal/testbed/routertrial/ready.go
+++ b/internal/testbed/routertrial/ready.go
@@ -16,13 +16,13 @@
 
 // NotReadyError reports a condition that was not met in time.
 type NotReadyError struct {
-	What     string
-	Wait     time.Duration
-	LastSeen string // what was observed last
+	What    string
+	Wait    time.Duration
+	Missing string // why the condition did not hold when it was last checked
 }
 
 func (e *NotReadyError) Error() string {
-	return fmt.Sprintf("%s: not within %v (%s); look into the logs with --log FILE", e.What, e.Wait, e.LastSeen)
+	return fmt.Sprintf("%s: not within %v (%s); look into the logs with --log FILE", e.What, e.Wait, e.Missing)
 }
 
 // await calls check until it returns "", or a *NotReadyError with what check said was missing.
@@ -111,7 +111,8 @@
 	return ""
 }
 
-// knownServers returns the ids of the servers that a machine's process lists as ready, sorted.
+// knownServers returns the ids of the servers that a machine's process lists as ready, sorted. The fields are
+// those of the operators' pages, named anew so that a mistake of the router's own encoding is noticed.
 func (m *Machine) knownServers(ctx context.Context) ([]string, error) {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/testbed/routertrial/soak.go
+++ b/internal/testbed/routertrial/soak.go
@@ -56,17 +56,17 @@
 // soak is a running soak.
 type soak struct {
 	*Fleet
-	options    SoakOptions
-	random     *rand.Rand // used by one goroutine only
-	faults     []soakFault
-	partitions partitions
-
-	mu           sync.Mutex
-	reserved     map[*Machine]bool // by a fault that ends or stops the process
-	reservedCore int               // reserved machines with a disk
-	wipedAt      time.Time         // when a machine last came back with an empty disk
-	wiping       bool
-	injected     map[string]int
+	soakOptions SoakOptions
+	random      *rand.Rand // used by one goroutine only
+	faults      []soakFault
+	active      activeFaults
+
+	mu               sync.Mutex
+	reserved         map[*Machine]bool // by a fault that ends or stops the process
+	reservedWithDisk int               // how many of them have a disk
+	wipedAt          time.Time         // when a machine last came back with an empty disk
+	wiping           bool
+	injected         map[string]int
 
 	configMu sync.Mutex // held while a configuration change is in progress
 }
@@ -80,8 +80,8 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	s := &soak{Fleet: fleet, options: options, random: rand.New(rand.NewPCG(options.Seed, 77)),
-		reserved: map[*Machine]bool{}, injected: map[string]int{}, partitions: newPartitions(fleet)}
+	s := &soak{Fleet: fleet, soakOptions: options, random: rand.New(rand.NewPCG(options.Seed, 77)),
+		reserved: map[*Machine]bool{}, injected: map[string]int{}, active: newActiveFaults()}
 	s.faults = selectFaults(options.OnlyFaults)
 	if len(s.faults) == 0 {
 		return nil, fmt.Errorf("no trouble is called %v; name some of %v", options.OnlyFaults, SoakFaultNames())
@@ -100,7 +100,7 @@
 	background.Go(func() { load.Run(ctx, stopLoad) })
 	background.Go(func() { s.readConfigurations(backgroundCtx) })
 	background.Go(func() { s.watchMetrics(backgroundCtx) })
-	rude := routerstandin.NewRudeClient(s.Entry, s.Observations, kinds, s.options.Seed, s.nextNumber)
+	rude := routerstandin.NewRudeClient(s.Entry, s.Observations, kinds, s.soakOptions.Seed, s.nextNumber)
 	background.Go(func() { rude.Run(backgroundCtx, rudeInterval) })
 	err := s.injectRounds(ctx)
 	if err == nil {
@@ -115,7 +115,7 @@
 	if err == nil {
 		err = s.checkLeaks(ctx)
 	}
-	report := &SoakReport{Seed: s.options.Seed, Seconds: s.elapsed().Seconds(), Injected: s.injected,
+	report := &SoakReport{Seed: s.soakOptions.Seed, Seconds: s.elapsed().Seconds(), Injected: s.injected,
 		Total: load.Tally().Total(), Reasons: load.Tally().Reasons(), Rules: s.Observations.Judge(),
 		Events: s.Events()}
 	return report, errors.Join(ctx.Err(), err)
@@ -124,7 +124,7 @@
 func (s *soak) nextNumber() int { return int(s.requests.Add(1)) }
 
 func (s *soak) injectRounds(ctx context.Context) error {
-	for round := range s.options.Rounds {
+	for round := range s.soakOptions.Rounds {
 		s.logEvent("round %d", round+1)
 		if err := s.injectRound(ctx); err != nil {
 			return err
--- a/internal/testbed/routertrial/soak_faults.go
+++ b/internal/testbed/routertrial/soak_faults.go
@@ -11,7 +11,7 @@
 // draws from rng alone, so that a seed gives the same faults each time.
 type soakFault struct {
 	name   string
-	inject func(ctx context.Context, s *soak, lot *rand.Rand) error
+	inject func(ctx context.Context, s *soak, rng *rand.Rand) error
 }
 
 var soakFaults = []soakFault{
--- a/internal/testbed/routertrial/soak_machine_faults.go
+++ b/internal/testbed/routertrial/soak_machine_faults.go
@@ -153,7 +153,7 @@
 	defer end()
 	go s.recordFaultUntil(faultCtx, m)
 	s.logEvent("%s: disk %s", m.Name, mode)
-	s.partitions.setDisk(m, mode)
+	s.active.setDisk(m, mode)
 	routerstandin.Sleep(ctx, between(rng, 300*time.Millisecond, 4*time.Second))
 	var err error
 	switch rng.IntN(4) {
@@ -167,7 +167,7 @@
 		err = s.restart(ctx, m)
 	}
 	routerstandin.Sleep(ctx, between(rng, 100*time.Millisecond, 2*time.Second))
-	s.partitions.setDisk(m, faultinject.DiskOK)
+	s.active.setDisk(m, faultinject.DiskOK)
 	s.logEvent("%s: disk ok", m.Name)
 	return err
 }
--- a/internal/testbed/routertrial/soak_partition_faults.go
+++ b/internal/testbed/routertrial/soak_partition_faults.go
@@ -9,20 +9,20 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// injectPartition cuts links for a while. Rules with a time bound do not apply to the machines meanwhile.
+// injectPartition blocks links for a while. Rules with a time bound do not apply to the machines meanwhile.
 func (s *soak) injectPartition(ctx context.Context, rng *rand.Rand, what string, links []link,
 	machines ...*Machine) {
 	faultCtx, end := context.WithCancel(ctx)
 	defer end()
 	go s.recordFaultUntil(faultCtx, machines...)
 	s.logEvent("cut: %s", what)
-	heal := s.partitions.cut(links)
+	heal := s.active.block(links)
 	routerstandin.Sleep(ctx, between(rng, 300*time.Millisecond, 6*time.Second))
 	heal()
 	s.logEvent("healed: %s", what)
 }
 
-// isolateMember cuts a machine with a disk off from the others that have one, or from all.
+// isolateMember partitions a machine with a disk from the others that have one, or from all.
 func isolateMember(ctx context.Context, s *soak, rng *rand.Rand) error {
 	m := drawMachine(rng, s.WithDisk(true))
 	others, what := s.WithDisk(true), "the other members"
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// partitionOneWay cuts the links from a machine to some others, but not those back.
+// partitionOneWay blocks the links from a machine to some others, but not those back.
 func partitionOneWay(ctx context.Context, s *soak, rng *rand.Rand) error {
 	from := s.Machines[rng.IntN(len(s.Machines))]
 	var links []link
@@ -62,6 +62,7 @@
 	return nil
 }
 
+// isolateFollower partitions a machine without a disk from some of those that have one.
 func isolateFollower(ctx context.Context, s *soak, rng *rand.Rand) error {
 	m := drawMachine(rng, s.WithDisk(false))
 	members := s.WithDisk(true)
--- a/internal/testbed/routertrial/soak_reservations.go
+++ b/internal/testbed/routertrial/soak_reservations.go
@@ -12,7 +12,7 @@
 	defer s.mu.Unlock()
 	var free []*Machine
 	for _, m := range s.Machines {
-		if !s.reserved[m] && eligible(m) && (!m.HasDisk || s.reservedCore < s.Fleet.options.shape().tolerated) {
+		if !s.reserved[m] && eligible(m) && (!m.HasDisk || s.reservedWithDisk < s.options.shape().tolerated) {
 			free = append(free, m)
 		}
 	}
@@ -41,7 +41,7 @@
 func (s *soak) reserve(m *Machine) {
 	s.reserved[m] = true
 	if m.HasDisk {
-		s.reservedCore++
+		s.reservedWithDisk++
 	}
 }
 
@@ -51,7 +51,7 @@
 	for _, m := range machines {
 		delete(s.reserved, m)
 		if m.HasDisk {
-			s.reservedCore--
+			s.reservedWithDisk--
 		}
 	}
 }
--- a/internal/testbed/routertrial/trial.go
+++ b/internal/testbed/routertrial/trial.go
@@ -1,16 +1,3 @@
-// Package routertrial runs the router fleet on loopback: real processes of the program, each with a loopback
-// IP of its own, between stand-ins (package routerstandin) for servers, operator, platform and clients. It
-// counts what becomes of the requests, and violations of the rules.
-//
-// Run is a trial with one fault in the middle if wanted (cresshub-fleet try); Soak injects rounds of
-// overlapping faults drawn from a seed (cresshub-fleet soak). Both start a Fleet, which reserves a range of
-// loopback addresses, starts the machines and servers, has the operator put a first configuration and waits
-// until all are ready; Fleet.Close ends every process, stand-in and goroutine and removes all files. A soak
-// injects network and disk faults through commands on the standard input of its processes (package
-// faultinject).
-//
-// A trial runs the clients' load, the change of the configuration and the fault each in a goroutine of its
-// own; what they share lies behind the locks of Fleet and Machine.
 package routertrial
 
 import (
