--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -35,8 +35,8 @@
 	retransmitDelay    = 200 * time.Millisecond // delay of a stream whose segment is lost
 )
 
-// pair is an ordered pair of members.
-type pair struct{ from, to string }
+// linkKey names a link by its ends.
+type linkKey struct{ from, to string }
 
 // link is guarded by Net.mu.
 type link struct {
@@ -48,7 +48,7 @@
 // Net is the faulty network. Its methods may be called from any goroutine.
 type Net struct {
 	mu       sync.Mutex
-	links    map[pair]*link
+	links    map[linkKey]*link
 	memberAt map[netip.AddrPort]string
 	relays   map[string]*relay
 	changed  chan struct{} // closes with the next change of a fault
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Net{links: map[pair]*link{}, memberAt: map[netip.AddrPort]string{}, relays: map[string]*relay{},
+	return &Net{links: map[linkKey]*link{}, memberAt: map[netip.AddrPort]string{}, relays: map[string]*relay{},
 		changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 1)), udp: out,
 		closed: make(chan struct{})}, nil
 }
@@ -87,24 +87,23 @@
 // AddAddress says that what is sent to address is meant for the member of that name. A member may have
 // several.
 func (n *Net) AddAddress(name, address string) error {
-	a, err := netip.ParseAddrPort(address)
+	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return fmt.Errorf("address of %s: %w", name, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.memberAt[a] = name
+	n.memberAt[parsed] = name
 	return nil
 }
 
 // link returns the link between two members, creating it on the first use; n.mu is held.
 func (n *Net) link(from, to string) *link {
-	l := n.links[pair{from, to}]
-	if l == nil {
-		l = &link{}
-		n.links[pair{from, to}] = l
+	key := linkKey{from, to}
+	if n.links[key] == nil {
+		n.links[key] = &link{}
 	}
-	return l
+	return n.links[key]
 }
 
 // Set sets the fault of the link from one member to another, in that direction only.
@@ -178,6 +177,9 @@
 	n.done.Wait()
 }
 
+// drawLoss draws whether a datagram or a segment is lost under a fault; n.mu is held.
+func (n *Net) drawLoss(f Fault) bool { return f.Drop > 0 && n.rng.Float64() < f.Drop }
+
 // delay draws the delay of a datagram or chunk under a fault; n.mu is held.
 func (n *Net) delay(f Fault) time.Duration {
 	d := f.Delay
@@ -192,7 +194,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.link(from, n.memberAt[to])
-	if l.fault.Blocked || l.fault.Drop > 0 && n.rng.Float64() < l.fault.Drop || l.queued >= maxQueued {
+	if l.fault.Blocked || n.drawLoss(l.fault) || l.queued >= maxQueued {
 		l.counts.Lost++
 		return
 	}
--- a/internal/testbed/faultnet/relay.go
+++ b/internal/testbed/faultnet/relay.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"encoding/binary"
 	"errors"
 	"io"
 	"net"
@@ -29,6 +30,10 @@
 	relayPortAttempts = 20
 	// readBuffer is the size of a datagram socket's buffer, in bytes.
 	readBuffer = 1 << 20
+	// maxDatagram is the size of the largest datagram, in bytes.
+	maxDatagram = 65536
+	// acceptRetryInterval is how long a relay waits after it failed to accept a stream.
+	acceptRetryInterval = 5 * time.Millisecond
 )
 
 // openRelay opens a relay with one port for streams and datagrams: the system chooses the port for streams;
@@ -91,16 +96,16 @@
 
 func (r *relay) servePackets() {
 	defer r.net.done.Done()
-	b := make([]byte, 65536)
+	buffer := make([]byte, maxDatagram)
 	for {
-		size, _, err := r.packets.ReadFromUDPAddrPort(b)
+		size, _, err := r.packets.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		if to, payload, err := gossip.ParseRelayDatagram(b[:size]); err == nil {
+		if to, payload, err := gossip.ParseRelayDatagram(buffer[:size]); err == nil {
 			r.net.forward(r.name, to, payload)
 		}
 	}
@@ -114,7 +119,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		if r.track(c) {
@@ -130,13 +135,13 @@
 	defer r.closeConn(c)
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	in := bufio.NewReader(c)
-	to, err := connect(in, c)
+	to, err := readConnect(in, c)
 	if err != nil {
 		return
 	}
 	c.SetDeadline(time.Time{})
-	out, back, ok := r.net.crossToDial(r.name, to)
-	if !ok {
+	path := r.net.awaitHandshake(r.name, to)
+	if path == nil {
 		return
 	}
 	upstream, err := net.DialTimeout("tcp4", to.String(), handshakeTimeout)
@@ -152,29 +157,50 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { r.net.pipe(in, c, upstream, out) })
-	both.Go(func() { r.net.pipe(upstream, upstream, c, back) })
+	both.Go(func() { r.net.pipe(in, c, upstream, path.out) })
+	both.Go(func() { r.net.pipe(upstream, upstream, c, path.back) })
 	both.Wait()
 }
 
-// Replies to CONNECT (RFC 1928, section 6).
+// The numbers of SOCKS5 (RFC 1928, sections 3 to 6).
+const (
+	socksVersion       = 5
+	noAuthentication   = 0
+	commandConnect     = 1
+	addressIPv4        = 1
+	statusSucceeded    = 0
+	statusRefused      = 5
+	greetingHeadSize   = 2  // version, number of methods
+	connectRequestSize = 10 // version, command, reserved, address type, IPv4 address, port
+	offsetAddressType  = 3
+	offsetAddress      = 4
+	offsetPort         = 8
+)
+
+// Replies to CONNECT. The address in them, which callers don't use, is 0.0.0.0:0.
 var (
-	replySucceeded = []byte{5, 0, 0, 1, 0, 0, 0, 0, 0, 0}
-	replyRefused   = []byte{5, 5, 0, 1, 0, 0, 0, 0, 0, 0}
+	replySucceeded = []byte{socksVersion, statusSucceeded, 0, addressIPv4, 0, 0, 0, 0, 0, 0}
+	replyRefused   = []byte{socksVersion, statusRefused, 0, addressIPv4, 0, 0, 0, 0, 0, 0}
 )
 
-// crossToDial counts a new stream from a member to an address and waits as long as its handshake takes over
-// the links out and back, which it returns. It returns false if a link is blocked or the network closes.
-func (n *Net) crossToDial(from string, address netip.AddrPort) (out, back *link, ok bool) {
+// streamPath is the links that a stream crosses.
+type streamPath struct {
+	out  *link // from the member that opened it
+	back *link
+}
+
+// awaitHandshake counts a new stream from a member to an address and waits as long as its handshake takes
+// over the links out and back, which it returns. It returns nil if a link is blocked or the network closes.
+func (n *Net) awaitHandshake(from string, address netip.AddrPort) *streamPath {
 	n.mu.Lock()
 	to := n.memberAt[address]
-	out, back = n.link(from, to), n.link(to, from)
-	out.counts.Streams++
-	changed, blocked := n.changed, out.fault.Blocked || back.fault.Blocked
+	path := &streamPath{out: n.link(from, to), back: n.link(to, from)}
+	path.out.counts.Streams++
+	changed, blocked := n.changed, path.out.fault.Blocked || path.back.fault.Blocked
 	if blocked {
-		out.counts.Refused++
+		path.out.counts.Refused++
 	}
-	delay := n.delay(out.fault) + n.delay(back.fault)
+	delay := n.delay(path.out.fault) + n.delay(path.back.fault)
 	n.mu.Unlock()
 	if blocked {
 		// A dial over a blocked link gets no answer: it waits until the caller gives up or a fault changes; the
@@ -184,38 +210,47 @@
 		case <-changed:
 		case <-n.closed:
 		}
-		return nil, nil, false
+		return nil
 	}
 	select {
 	case <-time.After(delay):
-		return out, back, true
+		return path
 	case <-n.closed:
-		return nil, nil, false
+		return nil
 	}
 }
 
-// connect reads the greeting and the request of RFC 1928, answers the greeting and returns the address asked
-// for.
-func connect(in *bufio.Reader, out io.Writer) (netip.AddrPort, error) {
-	var to netip.AddrPort
-	head := make([]byte, 2)
-	if _, err := io.ReadFull(in, head); err != nil {
-		return to, err
+// readConnect reads the greeting and the request of a caller, answers the greeting and returns the address
+// that the caller wants to connect to.
+func readConnect(in *bufio.Reader, out io.Writer) (netip.AddrPort, error) {
+	if err := readGreeting(in); err != nil {
+		return netip.AddrPort{}, err
+	}
+	if _, err := out.Write([]byte{socksVersion, noAuthentication}); err != nil {
+		return netip.AddrPort{}, err
 	}
-	if _, err := in.Discard(int(head[1])); err != nil || head[0] != 5 {
-		return to, errors.New("no SOCKS5")
+	request := make([]byte, connectRequestSize)
+	if _, err := io.ReadFull(in, request); err != nil {
+		return netip.AddrPort{}, err
 	}
-	if _, err := out.Write([]byte{5, 0}); err != nil {
-		return to, err
+	if request[0] != socksVersion || request[1] != commandConnect || request[offsetAddressType] != addressIPv4 {
+		return netip.AddrPort{}, errors.New("no CONNECT to an IPv4 address")
 	}
-	q := make([]byte, 10)
-	if _, err := io.ReadFull(in, q); err != nil {
-		return to, err
+	ip := netip.AddrFrom4([4]byte(request[offsetAddress:offsetPort]))
+	return netip.AddrPortFrom(ip, binary.BigEndian.Uint16(request[offsetPort:])), nil
+}
+
+// readGreeting reads a caller's greeting, whatever methods of authentication it offers.
+func readGreeting(in *bufio.Reader) error {
+	head := make([]byte, greetingHeadSize)
+	if _, err := io.ReadFull(in, head); err != nil {
+		return err
 	}
-	if q[0] != 5 || q[1] != 1 || q[3] != 1 {
-		return to, errors.New("no CONNECT to an IPv4 address")
+	methods := int(head[1])
+	if _, err := in.Discard(methods); err != nil || head[0] != socksVersion {
+		return errors.New("no SOCKS5")
 	}
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(q[4:8])), uint16(q[8])<<8|uint16(q[9])), nil
+	return nil
 }
 
 // chunk is a part of a stream in transit.
@@ -234,11 +269,11 @@
 		n.readChunks(in, l, inFlight, stopped)
 	}()
 	defer close(stopped)
-	for p := range inFlight {
-		if !n.waitOpen(p.due, l) {
+	for part := range inFlight {
+		if !n.waitOpen(part.due, l) {
 			break
 		}
-		if _, err := to.Write(p.data); err != nil {
+		if _, err := to.Write(part.data); err != nil {
 			from.Close()
 			return
 		}
@@ -252,12 +287,12 @@
 // until the stream ends or stopped closes.
 func (n *Net) readChunks(in io.Reader, l *link, inFlight chan<- chunk, stopped <-chan struct{}) {
 	for {
-		b := make([]byte, chunkSize)
-		size, err := in.Read(b)
+		data := make([]byte, chunkSize)
+		size, err := in.Read(data)
 		if size > 0 {
 			delay := n.chunkDelay(l, size)
 			select {
-			case inFlight <- chunk{b[:size], time.Now().Add(delay)}:
+			case inFlight <- chunk{data[:size], time.Now().Add(delay)}:
 			case <-stopped:
 				return
 			}
@@ -273,7 +308,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delay := n.delay(l.fault)
-	if l.fault.Drop > 0 && n.rng.Float64() < l.fault.Drop {
+	if n.drawLoss(l.fault) {
 		delay += retransmitDelay
 	}
 	l.counts.Bytes += int64(size)
