--- a/internal/testbed/faultinject/faults.go
+++ b/internal/testbed/faultinject/faults.go
@@ -1,7 +1,8 @@
 // Package faultinject injects faults into one running process: partitions between it and other machines, a
 // disk that is full, hangs or is slow, connections that can't be accepted, and a SIGKILL at a numbered point.
-// Commands change the faults while the process runs. It is for soaks (package routertrial); a process in
-// service does not use it.
+// Commands change the faults while the process runs, one a line on its standard input or as --fault on its
+// command line (cresshub-fleet faulty-router). It is for soaks (package routertrial), which judge; a process
+// in service does not use it.
 //
 // Faults has the state, behind one lock. The process works through Faults.Network and Faults.Files, which
 // consult it at each operation: what a partition or a hanging disk holds up polls until it may go on. A
--- a/internal/testbed/faultinject/files.go
+++ b/internal/testbed/faultinject/files.go
@@ -20,17 +20,22 @@
 // Files returns the file system of the process.
 func (f *Faults) Files() segmentlog.FS { return &files{faults: f} }
 
-// begin passes a numbered point, waits while the disk hangs or is slow, and fails with ENOSPC where the disk
-// is full and the operation needs space.
-func (f *files) begin(op, name string, writes bool) error {
+// begin passes a numbered point, waits while the disk hangs or is slow, and returns how the disk behaves then.
+func (f *files) begin() DiskMode {
 	f.faults.passPoint()
 	for f.faults.diskMode() == DiskHang {
 		time.Sleep(pollInterval)
 	}
-	switch mode := f.faults.diskMode(); {
-	case mode == DiskSlow:
+	mode := f.faults.diskMode()
+	if mode == DiskSlow {
 		time.Sleep(slowDiskDelay)
-	case mode == DiskFull && writes:
+	}
+	return mode
+}
+
+// beginWrite begins an operation that needs space: it fails with ENOSPC where the disk is full.
+func (f *files) beginWrite(op, name string) error {
+	if f.begin() == DiskFull {
 		return &os.PathError{Op: op, Path: name, Err: syscall.ENOSPC}
 	}
 	return nil
@@ -38,47 +43,47 @@
 
 // MakeDir implements segmentlog.FS.
 func (f *files) MakeDir(dir string) error {
-	if err := f.begin("mkdir", dir, false); err != nil {
-		return err
-	}
+	f.begin()
 	return f.osFS.MakeDir(dir)
 }
 
 // List implements segmentlog.FS.
 func (f *files) List(dir string) ([]string, error) {
-	if err := f.begin("list", dir, false); err != nil {
-		return nil, err
-	}
+	f.begin()
 	return f.osFS.List(dir)
 }
 
 // ReadFile implements segmentlog.FS.
 func (f *files) ReadFile(name string) ([]byte, error) {
-	if err := f.begin("read", name, false); err != nil {
-		return nil, err
-	}
+	f.begin()
 	return f.osFS.ReadFile(name)
 }
 
 // Create implements segmentlog.FS.
 func (f *files) Create(name string) (segmentlog.File, error) {
-	if err := f.begin("create", name, true); err != nil {
+	if err := f.beginWrite("create", name); err != nil {
+		return nil, err
+	}
+	opened, err := f.osFS.Create(name)
+	if err != nil {
 		return nil, err
 	}
-	return f.wrap(name)(f.osFS.Create(name))
+	return &file{File: opened, files: f, name: name}, nil
 }
 
 // Open implements segmentlog.FS.
 func (f *files) Open(name string) (segmentlog.File, error) {
-	if err := f.begin("open", name, false); err != nil {
+	f.begin()
+	opened, err := f.osFS.Open(name)
+	if err != nil {
 		return nil, err
 	}
-	return f.wrap(name)(f.osFS.Open(name))
+	return &file{File: opened, files: f, name: name}, nil
 }
 
 // Rename implements segmentlog.FS.
 func (f *files) Rename(from, to string) error {
-	if err := f.begin("rename", from, true); err != nil {
+	if err := f.beginWrite("rename", from); err != nil {
 		return err
 	}
 	defer f.faults.passPoint()
@@ -87,31 +92,18 @@
 
 // Remove implements segmentlog.FS.
 func (f *files) Remove(name string) error {
-	if err := f.begin("remove", name, false); err != nil {
-		return err
-	}
+	f.begin()
 	defer f.faults.passPoint()
 	return f.osFS.Remove(name)
 }
 
 // SyncDir implements segmentlog.FS.
 func (f *files) SyncDir(dir string) error {
-	if err := f.begin("sync", dir, false); err != nil {
-		return err
-	}
+	f.begin()
 	defer f.faults.passPoint()
 	return f.osFS.SyncDir(dir)
 }
 
-func (f *files) wrap(name string) func(segmentlog.File, error) (segmentlog.File, error) {
-	return func(under segmentlog.File, err error) (segmentlog.File, error) {
-		if err != nil {
-			return nil, err
-		}
-		return &file{File: under, files: f, name: name}, nil
-	}
-}
-
 // file is an open file.
 type file struct {
 	segmentlog.File
@@ -121,9 +113,9 @@
 
 // WriteAt implements segmentlog.File. A full disk takes half of what is written.
 func (f *file) WriteAt(data []byte, offset int64) (int, error) {
-	if err := f.files.begin("write", f.name, true); err != nil {
-		n, _ := f.File.WriteAt(data[:len(data)/2], offset)
-		return n, err
+	if err := f.files.beginWrite("write", f.name); err != nil {
+		written, _ := f.File.WriteAt(data[:len(data)/2], offset)
+		return written, err
 	}
 	defer f.files.faults.passPoint()
 	return f.File.WriteAt(data, offset)
@@ -131,16 +123,14 @@
 
 // Truncate implements segmentlog.File.
 func (f *file) Truncate(size int64) error {
-	if err := f.files.begin("truncate", f.name, false); err != nil {
-		return err
-	}
+	f.files.begin()
 	defer f.files.faults.passPoint()
 	return f.File.Truncate(size)
 }
 
 // Sync implements segmentlog.File.
 func (f *file) Sync() error {
-	if err := f.files.begin("sync", f.name, true); err != nil {
+	if err := f.files.beginWrite("sync", f.name); err != nil {
 		return err
 	}
 	defer f.files.faults.passPoint()
--- a/internal/testbed/faultinject/network.go
+++ b/internal/testbed/faultinject/network.go
@@ -51,10 +51,11 @@
 	return &listener{Listener: l, faults: n.faults, exempt: address == n.exempt}, nil
 }
 
+// listener accepts connections with the faults of the process.
 type listener struct {
 	net.Listener
 	faults *Faults
-	exempt bool
+	exempt bool // its connections have no faults, though accepting them may fail
 }
 
 // Accept accepts a connection, or fails with EMFILE and closes it.
@@ -89,6 +90,7 @@
 	closed   bool
 }
 
+// wrap returns a connection with the faults of the process, which heal and Close know.
 func (f *Faults) wrap(c *net.TCPConn, peer string) *conn {
 	wrapped := &conn{TCPConn: c, faults: f, peer: peer}
 	f.mu.Lock()
@@ -98,7 +100,7 @@
 }
 
 // Read reads, and withholds what it has received until no partition separates the machines.
-func (c *conn) Read(p []byte) (int, error) {
+func (c *conn) Read(buffer []byte) (int, error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	for {
@@ -106,17 +108,17 @@
 			return 0, err
 		}
 		if len(c.withheld) == 0 && c.withheldErr == nil {
-			n, err := c.TCPConn.Read(p)
-			if err != nil && n == 0 && os.IsTimeout(err) {
+			received, err := c.TCPConn.Read(buffer)
+			if err != nil && received == 0 && os.IsTimeout(err) {
 				return 0, err
 			}
-			c.withheld, c.withheldErr = append(c.withheld, p[:n]...), err
+			c.withheld, c.withheldErr = append(c.withheld, buffer[:received]...), err
 			continue
 		}
-		n := copy(p, c.withheld)
-		c.withheld = c.withheld[n:]
-		if n > 0 {
-			return n, nil
+		returned := copy(buffer, c.withheld)
+		c.withheld = c.withheld[returned:]
+		if returned > 0 {
+			return returned, nil
 		}
 		return 0, c.withheldErr
 	}
@@ -141,9 +143,9 @@
 }
 
 // Write passes a numbered point and writes; a partition takes effect on the receiving side.
-func (c *conn) Write(p []byte) (int, error) {
+func (c *conn) Write(data []byte) (int, error) {
 	c.faults.passPoint()
-	return c.TCPConn.Write(p)
+	return c.TCPConn.Write(data)
 }
 
 // ReadFrom hides the method of the embedded connection, which would not call Write.
