--- a/internal/testbed/clusterrig/clients.go
+++ b/internal/testbed/clusterrig/clients.go
@@ -34,7 +34,7 @@
 
 // Send sends one request to a member. id "" draws a new one; first is the id of the first attempt, "" for
 // none.
-func (l *Clients) Send(m *Member, tenant, class, id, first string) error {
+func (c *Clients) Send(m *Member, tenant, class, id, first string) error {
 	if id == "" {
 		id = fmt.Sprintf("%016x", rand.Uint64())
 	}
@@ -50,15 +50,15 @@
 	if first != "" {
 		req.Header.Set("X-First-Request-ID", first)
 	}
-	resp, err := l.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		l.lost++
+		c.lost++
 		return err
 	}
 	answer := "bad_gateway"
@@ -68,8 +68,8 @@
 	case 429, 503:
 		answer = "dropped"
 	}
-	l.answers[ledger.Key{Tenant: tenant, Class: class, Answer: answer}]++
-	l.byMember[m.Name]++
+	c.answers[ledger.Key{Tenant: tenant, Class: class, Answer: answer}]++
+	c.byMember[m.Name]++
 	return nil
 }
 
@@ -78,12 +78,12 @@
 
 // Start sends requests to members in turn with so many concurrent clients, until stop, which waits for them,
 // or the end of ctx.
-func (l *Clients) Start(ctx context.Context, ms []*Member, clients int) (stop func()) {
+func (c *Clients) Start(ctx context.Context, ms []*Member, clients int) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.Run(ctx, ms, clients)
+		c.Run(ctx, ms, clients)
 	}()
 	return func() {
 		cancel()
@@ -92,20 +92,20 @@
 }
 
 // Run sends requests to members in turn with so many concurrent clients until ctx ends.
-func (l *Clients) Run(ctx context.Context, ms []*Member, clients int) {
+func (c *Clients) Run(ctx context.Context, ms []*Member, clients int) {
 	var all sync.WaitGroup
 	for range clients {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				l.mu.Lock()
-				l.next++
-				n := l.next
-				l.mu.Unlock()
+				c.mu.Lock()
+				c.next++
+				n := c.next
+				c.mu.Unlock()
 				class := "zone-lookup"
 				if n%3 == 0 {
 					class = "rider-assign"
 				}
-				_ = l.Send(ms[n%len(ms)], Tenants[n%len(Tenants)], class, "", "") // counted as lost
+				_ = c.Send(ms[n%len(ms)], Tenants[n%len(Tenants)], class, "", "") // counted as lost
 				time.Sleep(clientInterval)
 			}
 		})
@@ -114,12 +114,12 @@
 }
 
 // Answers returns the final answers by key, and their sum.
-func (l *Clients) Answers() (map[ledger.Key]int64, int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *Clients) Answers() (map[ledger.Key]int64, int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	out := map[ledger.Key]int64{}
 	var sum int64
-	for k, n := range l.answers {
+	for k, n := range c.answers {
 		out[k] = n
 		sum += n
 	}
@@ -127,19 +127,19 @@
 }
 
 // Merge adds the counts of other clients.
-func (l *Clients) Merge(o *Clients) {
-	answers, _ := o.Answers()
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *Clients) Merge(other *Clients) {
+	answers, _ := other.Answers()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for k, n := range answers {
-		l.answers[k] += n
+		c.answers[k] += n
 	}
-	l.lost += o.Lost()
+	c.lost += other.Lost()
 }
 
 // Lost returns how many requests got no complete answer.
-func (l *Clients) Lost() int64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.lost
+func (c *Clients) Lost() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lost
 }
--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -43,7 +43,26 @@
 	DiskBytes        int64   `json:"disk_bytes"`  // of one replica's file at the end
 }
 
-const measureGroup = "ledger"
+const (
+	measureGroup = "ledger"
+	// measuredReplicas is how many members there are; each holds a replica.
+	measuredReplicas = 3
+	// countInterval is how often the answers that are due are counted.
+	countInterval = 10 * time.Millisecond
+	// fillingWriters is how many writers fill the log at the same time.
+	fillingWriters = 1024
+	// maxLearnerLag is how many entries a replica may lack and count as caught up.
+	maxLearnerLag = 100
+	// leaderPollInterval is how often the group is asked for its leader and its replicas.
+	leaderPollInterval = 5 * time.Millisecond
+	// replicationTimeout bounds how long the group may take until it is fully replicated.
+	replicationTimeout = time.Minute
+	// commitTimeout bounds the wait until what a member counted is committed.
+	commitTimeout = 10 * time.Second
+)
+
+// measuredNames are the members.
+var measuredNames = [measuredReplicas]string{"a", "b", "c"}
 
 // measuredMember is one member: its replica host and its recorder of usage.
 type measuredMember struct {
@@ -62,24 +81,25 @@
 func (m *measurement) peers() []raftgroup.Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []raftgroup.Peer
-	for name, x := range m.members {
-		out = append(out, raftgroup.Peer{Address: x.host.Address(), Member: placement.Member{Name: name,
-			ReplicaID: x.host.ID(), Live: true}})
+	var peers []raftgroup.Peer
+	for name, member := range m.members {
+		peers = append(peers, raftgroup.Peer{Address: member.host.Address(), Member: placement.Member{Name: name,
+			ReplicaID: member.host.ID(), Live: true}})
 	}
-	return out
+	return peers
 }
 
 // start starts or restarts a member.
 func (m *measurement) start(name string) error {
 	dir := filepath.Join(m.opts.Dir, name)
 	log := slog.New(slog.DiscardHandler)
-	x := &measuredMember{}
+	member := &measuredMember{}
 	var err error
-	x.host, err = raftgroup.Open(raftgroup.Options{Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure",
-		Replicas: 3, BootstrapExpect: 3, MaxLearnerLag: 100, HeartbeatInterval: 100 * time.Millisecond,
-		ElectionTimeout: time.Second,
-		GoneAfter:       time.Hour, SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Groups: []string{measureGroup},
+	member.host, err = raftgroup.Open(raftgroup.Options{Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure",
+		Replicas: measuredReplicas, BootstrapExpect: measuredReplicas, MaxLearnerLag: maxLearnerLag,
+		HeartbeatInterval: 100 * time.Millisecond,
+		ElectionTimeout:   time.Second,
+		GoneAfter:         time.Hour, SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Groups: []string{measureGroup},
 		Log: log, NewStateMachine: func(string) raftgroup.StateMachine {
 			l, _ := groupstate.New(ledger.Settings{MaxPeriods: 1440, DedupPeriods: 2, MaxIDs: 1_000_000,
 				MaxTenants: 10_000,
@@ -89,20 +109,20 @@
 	if err != nil {
 		return err
 	}
-	x.recorder, err = pending.Open(pending.Options{Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond,
+	member.recorder, err = pending.Open(pending.Options{Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond,
 		MaxQueuedBytes: 64 << 20, Log: log, Propose: func(ctx context.Context, b []byte) (ledger.Result, error) {
-			return pending.DecodeResult(x.host.Propose(ctx, measureGroup, b))
+			return pending.DecodeResult(member.host.Propose(ctx, measureGroup, b))
 		}})
 	if err != nil {
-		return errors.Join(err, x.host.Close())
+		return errors.Join(err, member.host.Close())
 	}
 	m.mu.Lock()
-	m.members[name] = x
+	m.members[name] = member
 	m.mu.Unlock()
-	if err := x.host.Run(m.peers); err != nil {
+	if err := member.host.Run(m.peers); err != nil {
 		return err
 	}
-	x.recorder.Run()
+	member.recorder.Run()
 	return nil
 }
 
@@ -110,86 +130,80 @@
 func Measure(ctx context.Context, o MeasureOptions) (r Measured, err error) {
 	m := &measurement{opts: o, members: map[string]*measuredMember{}}
 	defer func() {
-		for _, x := range m.members {
-			err = errors.Join(err, x.recorder.Close(), x.host.Close())
+		for _, member := range m.members {
+			err = errors.Join(err, member.recorder.Close(), member.host.Close())
 		}
 	}()
-	for _, name := range []string{"a", "b", "c"} {
+	for _, name := range measuredNames {
 		if err := m.start(name); err != nil {
 			return r, err
 		}
 	}
-	if err := m.waitFullyReplicated(ctx, time.Minute); err != nil {
+	if err := m.waitFullyReplicated(ctx, replicationTimeout); err != nil {
 		return r, err
 	}
 	started := time.Now()
 	m.count(ctx, o.Rate, o.For)
 	took := time.Since(started)
-	for _, x := range m.members {
-		x.recorder.WaitCommitted(10 * time.Second)
-		f := x.recorder.Stats()
-		r.Answers += f.Counted
-		r.Committed += f.Committed
-		r.P50, r.P99, r.Max = max(r.P50, f.CommitP50MS), max(r.P99, f.CommitP99MS), max(r.Max, f.CommitMaxMS)
+	for _, member := range m.members {
+		member.recorder.WaitCommitted(commitTimeout)
+		r.add(member.recorder.Stats())
 	}
 	r.PerSecond = float64(r.Committed) / took.Seconds()
 	if err := m.catchUp(ctx, &r); err != nil {
 		return r, err
 	}
-	if st, err := os.Stat(filepath.Join(o.Dir, "a", "replica.db")); err == nil {
-		r.DiskBytes = st.Size()
+	if file, err := os.Stat(filepath.Join(o.Dir, measuredNames[0], "replica.db")); err == nil {
+		r.DiskBytes = file.Size()
 	}
 	return r, ctx.Err()
 }
 
-// count lets the members count answers at the rate for a while; every 10 ms those that are due.
+// count lets the members count answers at the rate for a while, in turn.
 func (m *measurement) count(ctx context.Context, rate int, lasting time.Duration) {
 	start := time.Now()
 	done := 0
-	var all []*pending.Recorder
-	for _, x := range m.members {
-		all = append(all, x.recorder)
+	var recorders []*pending.Recorder
+	for _, member := range m.members {
+		recorders = append(recorders, member.recorder)
 	}
 	for ctx.Err() == nil && time.Since(start) < lasting {
 		for due := int(time.Since(start).Seconds() * float64(rate)); done < due; done++ {
-			all[done%3].Count(ledger.Key{Tenant: Tenants[done%len(Tenants)], Class: "zone-lookup", Answer: "passed"},
-				uint64(done)*0x9e3779b97f4a7c15+1, 500, 2000)
+			recorders[done%measuredReplicas].Count(measuredKey(done), uint64(done)*0x9e3779b97f4a7c15+1, 500, 2000)
 		}
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(countInterval)
 	}
 }
 
+// measuredKey is the key of the answer of that number: each tenant's in turn.
+func measuredKey(number int) ledger.Key {
+	return ledger.Key{Tenant: Tenants[number%len(Tenants)], Class: "zone-lookup", Answer: "passed"}
+}
+
+// add adds what one member counted.
+func (r *Measured) add(counted pending.Stats) {
+	r.Answers += counted.Counted
+	r.Committed += counted.Committed
+	r.P50, r.P99 = max(r.P50, counted.CommitP50MS), max(r.P99, counted.CommitP99MS)
+	r.Max = max(r.Max, counted.CommitMaxMS)
+}
+
 // catchUp fills the log, wipes a follower, and waits until it is a replica again.
 func (m *measurement) catchUp(ctx context.Context, r *Measured) error {
 	leader := m.leader(ctx)
 	if leader == "" || m.opts.Entries == 0 {
 		return ctx.Err()
 	}
-	var next, failed atomic.Int64
-	var all sync.WaitGroup
 	started := time.Now()
-	for w := range 1024 {
-		all.Go(func() {
-			member := fmt.Sprint("writer-", w)
-			for seq := uint64(1); ctx.Err() == nil && next.Add(1) <= int64(m.opts.Entries); seq++ {
-				b := ledger.Batch{Member: member, Incarnation: 1, Seq: seq, Usage: []ledger.KeyUsage{{
-					Key:   ledger.Key{Tenant: Tenants[w%3], Class: "zone-lookup", Answer: "passed"},
-					Usage: ledger.Usage{Count: 1}}}}
-				if _, err := m.members[leader].host.Propose(ctx, measureGroup, b.Encode()); err != nil {
-					failed.Add(1)
-				}
-			}
-		})
-	}
-	all.Wait()
-	r.Entries = int64(m.opts.Entries) - failed.Load()
+	r.Entries = int64(m.opts.Entries) - m.fillLog(ctx, leader)
 	r.EntriesPerSecond = float64(r.Entries) / time.Since(started).Seconds()
-	wiped := "a"
+	wiped := measuredNames[0]
 	if leader == wiped {
-		wiped = "b"
+		wiped = measuredNames[1]
 	}
-	x := m.members[wiped]
-	err := errors.Join(x.recorder.Close(), x.host.Close(), os.RemoveAll(filepath.Join(m.opts.Dir, wiped)))
+	member := m.members[wiped]
+	err := errors.Join(member.recorder.Close(), member.host.Close(),
+		os.RemoveAll(filepath.Join(m.opts.Dir, wiped)))
 	if err != nil {
 		return err
 	}
@@ -197,20 +211,40 @@
 	if err := m.start(wiped); err != nil {
 		return err
 	}
-	err = m.waitFullyReplicated(ctx, time.Minute)
-	r.CatchUpMS = ms(time.Since(started))
+	err = m.waitFullyReplicated(ctx, replicationTimeout)
+	r.CatchUpMS = milliseconds(time.Since(started))
 	return err
 }
 
+// fillLog proposes the entries at the leader, and returns how many failed.
+func (m *measurement) fillLog(ctx context.Context, leader string) int64 {
+	var next, failed atomic.Int64
+	var writers sync.WaitGroup
+	for number := range fillingWriters {
+		writers.Go(func() {
+			name := fmt.Sprint("writer-", number)
+			for seq := uint64(1); ctx.Err() == nil && next.Add(1) <= int64(m.opts.Entries); seq++ {
+				batch := ledger.Batch{Member: name, Incarnation: 1, Seq: seq, Usage: []ledger.KeyUsage{{
+					Key: measuredKey(number), Usage: ledger.Usage{Count: 1}}}}
+				if _, err := m.members[leader].host.Propose(ctx, measureGroup, batch.Encode()); err != nil {
+					failed.Add(1)
+				}
+			}
+		})
+	}
+	writers.Wait()
+	return failed.Load()
+}
+
 // leader waits for the group's leader; "" if ctx ends first.
 func (m *measurement) leader(ctx context.Context) string {
 	for ctx.Err() == nil {
-		for name, x := range m.members {
-			if x.host.Leads(measureGroup) {
+		for name, member := range m.members {
+			if member.host.Leads(measureGroup) {
 				return name
 			}
 		}
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(leaderPollInterval)
 	}
 	return ""
 }
@@ -218,22 +252,32 @@
 // waitFullyReplicated waits until the group consists of the current disks of the three members, caught up.
 func (m *measurement) waitFullyReplicated(ctx context.Context, limit time.Duration) error {
 	end := time.Now().Add(limit)
-	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
-		st := m.members[m.leader(ctx)].host.Status(measureGroup)
+	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(leaderPollInterval) {
+		leader := m.leader(ctx)
+		if leader == "" {
+			break
+		}
+		replicas := m.members[leader].host.Status(measureGroup).Replicas
 		caughtUp := 0
-		for _, rep := range st.Replicas {
-			x := m.members[rep.Member]
-			if x != nil && x.host.Status(measureGroup).Disk == rep.Disk && !rep.Learner && rep.Behind <= 100 {
+		for i := range replicas {
+			if m.isCaughtUp(&replicas[i]) {
 				caughtUp++
 			}
 		}
-		if caughtUp == 3 && len(st.Replicas) == 3 {
+		if caughtUp == measuredReplicas && len(replicas) == measuredReplicas {
 			return nil
 		}
 	}
 	return errors.New("the group was not fully replicated in time")
 }
 
+// isCaughtUp reports whether a replica votes, is on its member's current disk and lacks few entries.
+func (m *measurement) isCaughtUp(replica *raftgroup.ReplicaStatus) bool {
+	member := m.members[replica.Member]
+	return member != nil && member.host.Status(measureGroup).Disk == replica.Disk && !replica.Learner &&
+		replica.Behind <= maxLearnerLag
+}
+
 // Print writes the result as a table.
 func (r *Measured) Print(w io.Writer) error {
 	const header = "ANSWERS\tPROMISED\tPER SECOND\tCOMMIT P50\tP99\tMAX\tENTRIES\tPER SECOND\tCATCH UP\tDISK\n"
--- a/internal/testbed/clusterrig/owner.go
+++ b/internal/testbed/clusterrig/owner.go
@@ -35,36 +35,41 @@
 `
 
 // OwnerPage returns a member's page of the singleton roles; the page's problem is returned as an error.
-func OwnerPage(m *Member) (p leaseholder.Page, err error) {
-	err = m.GetJSON("/_owner", &p)
-	if err == nil && p.Problem != "" {
-		err = errors.New(p.Problem)
+func OwnerPage(m *Member) (page leaseholder.Page, err error) {
+	err = m.GetJSON("/_owner", &page)
+	if err == nil && page.Problem != "" {
+		err = errors.New(page.Problem)
 	}
-	return p, err
+	return page, err
 }
 
-// WaitOwner waits until a member other than the excluded ones owns the singleton roles, and returns it with
-// its fencing token.
-func (r *Rig) WaitOwner(ctx context.Context, limit time.Duration, exclude ...*Member) (owner *Member,
-	token uint64, err error) {
+// Ownership is a member that owns the singleton roles, with its fencing token.
+type Ownership struct {
+	*Member
+	Token uint64
+}
+
+// WaitOwner waits until a member other than the excluded ones owns the singleton roles.
+func (r *Rig) WaitOwner(ctx context.Context, limit time.Duration, exclude ...*Member) (Ownership, error) {
+	var owner Ownership
 	var last error
-	err = poll(ctx, limit, ownerPollInterval, func() error {
+	err := poll(ctx, limit, ownerPollInterval, func() error {
 		for _, m := range r.Running() {
 			if slices.Contains(exclude, m) {
 				continue
 			}
-			var p leaseholder.Page
-			if last = m.GetJSON("/_owner", &p); last == nil && p.Owns {
-				owner, token = m, p.Token
+			var page leaseholder.Page
+			if last = m.GetJSON("/_owner", &page); last == nil && page.Owns {
+				owner = Ownership{m, page.Token}
 				return nil
 			}
 		}
 		return errNoOwner
 	})
 	if err == nil {
-		return owner, token, nil
+		return owner, nil
 	}
-	return nil, 0, errors.Join(fmt.Errorf("%w after %v", err, limit), last)
+	return Ownership{}, errors.Join(fmt.Errorf("%w after %v", err, limit), last)
 }
 
 // ownerPollInterval is how often members are asked who owns the singleton roles.
--- a/internal/testbed/clusterrig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -25,9 +25,9 @@
 	}
 	r := start(t, o)
 	waitGroupFormed(t, r)
-	m, token, err := r.WaitOwner(testContext(t), 15*time.Second)
+	owner, err := r.WaitOwner(testContext(t), 15*time.Second)
 	must(t, err)
-	t.Logf("%s owns the roles with token %d", m.Name, token)
+	t.Logf("%s owns the roles with token %d", owner.Name, owner.Token)
 	return r
 }
 
@@ -53,9 +53,9 @@
 
 func waitOwner(t *testing.T, r *Rig, limit time.Duration, not ...*Member) (*Member, uint64) {
 	t.Helper()
-	m, token, err := r.WaitOwner(testContext(t), limit, not...)
+	owner, err := r.WaitOwner(testContext(t), limit, not...)
 	must(t, err)
-	return m, token
+	return owner.Member, owner.Token
 }
 
 // The owner exports the ledger while clients come, and asks discovery for all. The sink's sums are the
--- a/internal/testbed/clusterrig/ownerfaults.go
+++ b/internal/testbed/clusterrig/ownerfaults.go
@@ -64,7 +64,7 @@
 // roles.
 func (r *Rig) faultOwner(ctx context.Context, lease time.Duration, pause bool) (took time.Duration,
 	err error) {
-	old, token, err := r.WaitOwner(ctx, ownerTimeout)
+	old, err := r.WaitOwner(ctx, ownerTimeout)
 	if err != nil {
 		return 0, err
 	}
@@ -72,37 +72,37 @@
 	if !pause { // nothing else delays the call
 		delay = 3 * lease
 	}
-	failedBefore, err := failedCalls(old)
+	failedBefore, err := failedCalls(old.Member)
 	if err != nil {
 		return 0, err
 	}
-	if err := delayCalls(ctx, old, delay); err != nil {
+	if err := delayCalls(ctx, old.Member, delay); err != nil {
 		return 0, err
 	}
 	started := time.Now()
-	if err := r.isolate(old, pause); err != nil {
+	if err := r.isolate(old.Member, pause); err != nil {
 		return 0, err
 	}
-	next, higher, err := r.WaitOwner(ctx, ownerTimeout, old)
+	next, err := r.WaitOwner(ctx, ownerTimeout, old.Member)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", old.Name, err)
 	}
 	took = time.Since(started)
-	if higher <= token {
-		return took, fmt.Errorf("%s has token %d after %d", next.Name, higher, token)
+	if next.Token <= old.Token {
+		return took, fmt.Errorf("%s has token %d after %d", next.Name, next.Token, old.Token)
 	}
-	err = r.waitSinkCall(ctx, fmt.Sprintf("of token %d", higher), func(c proxystandin.SinkCall) bool {
-		return c.Token >= higher
+	err = r.waitSinkCall(ctx, fmt.Sprintf("of token %d", next.Token), func(c proxystandin.SinkCall) bool {
+		return c.Token >= next.Token
 	})
 	if err != nil {
 		return took, err
 	}
 	time.Sleep(3*lease - time.Since(started)) // the length of the fault; nothing is judged by it
-	if err := r.rejoin(old, pause); err != nil {
+	if err := r.rejoin(old.Member, pause); err != nil {
 		return took, err
 	}
-	lateErr := r.waitLateCall(ctx, old, token, failedBefore)
-	if err := errors.Join(r.waitStepDown(ctx, old, token), os.Remove(callFaults(old))); err != nil {
+	lateErr := r.waitLateCall(ctx, old, failedBefore)
+	if err := errors.Join(r.waitStepDown(ctx, old), os.Remove(callFaults(old.Member))); err != nil {
 		return took, err
 	}
 	return took, lateErr
@@ -114,20 +114,20 @@
 
 // waitLateCall waits until the sink has refused the delayed call of a former owner, of whose calls so many
 // had failed before.
-func (r *Rig) waitLateCall(ctx context.Context, old *Member, token uint64, failedBefore int64) error {
+func (r *Rig) waitLateCall(ctx context.Context, old Ownership, failedBefore int64) error {
 	refused := func(c proxystandin.SinkCall) bool {
-		return c.Token == token && c.Status == http.StatusConflict
+		return c.Token == old.Token && c.Status == http.StatusConflict
 	}
 	timedOut := false
 	err := poll(ctx, ownerTimeout, pollInterval, func() error {
-		failed, err := failedCalls(old) // before the look at the sink, which a call reaches first
+		failed, err := failedCalls(old.Member) // before the look at the sink, which a call reaches first
 		if slices.ContainsFunc(r.Sink.Calls(), refused) {
 			return nil
 		}
 		if timedOut = err == nil && failed > failedBefore; timedOut {
 			return nil
 		}
-		return errors.Join(fmt.Errorf("the sink saw no call of token %d, late", token), err)
+		return errors.Join(fmt.Errorf("the sink saw no call of token %d, late", old.Token), err)
 	})
 	if timedOut {
 		return errLateCallTimedOut
@@ -189,16 +189,16 @@
 	})
 }
 
-// waitStepDown waits until a member reports that it no longer owns the roles under a token.
-func (r *Rig) waitStepDown(ctx context.Context, m *Member, token uint64) error {
+// waitStepDown waits until a former owner reports that it no longer owns the roles under its token.
+func (r *Rig) waitStepDown(ctx context.Context, former Ownership) error {
 	const limit = 5 * time.Second
 	return poll(ctx, limit, ownerPollInterval, func() error {
 		var p leaseholder.Page
-		err := m.GetJSON("/_owner", &p)
-		if err == nil && (!p.Owns || p.Token > token) {
+		err := former.GetJSON("/_owner", &p)
+		if err == nil && (!p.Owns || p.Token > former.Token) {
 			return nil
 		}
-		return errors.Join(fmt.Errorf("%s reports after %v that it owns the roles with token %d: %+v", m.Name,
-			limit, token, p), err)
+		return errors.Join(fmt.Errorf("%s reports after %v that it owns the roles with token %d: %+v", former.Name,
+			limit, former.Token, p), err)
 	})
 }
--- a/internal/testbed/clusterrig/ownertrial.go
+++ b/internal/testbed/clusterrig/ownertrial.go
@@ -35,9 +35,9 @@
 	RefusedEntries int     `json:"entries_refused"`
 	StaleAccepted  int     `json:"stale_taken"` // calls of former owners that the sink accepted
 	Answers        int64   `json:"answers"`     // final answers that clients got
-	Sent           int64   `json:"sent"`        // of them in the sink
-	Exported       int     `json:"entries"`     // in the sink
-	Periods        int     `json:"periods"`     // of them, different ones
+	Exported       int64   `json:"sent"`        // of them in the sink
+	SinkEntries    int     `json:"entries"`
+	Periods        int     `json:"periods"` // that the entries are of
 	Lists          int     `json:"list_calls"`
 }
 
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	defer r.discard()
-	if _, _, err := r.WaitOwner(ctx, 30*time.Second+4*t.Lease); err != nil {
+	if _, err := r.WaitOwner(ctx, 30*time.Second+4*t.Lease); err != nil {
 		return nil, err
 	}
 	targets, err := r.nonReplicas(ctx)
@@ -66,7 +66,7 @@
 	}
 	clients := NewClients()
 	stop := clients.Start(ctx, targets, 4)
-	rep := &OwnerTrial{LeaseMS: ms(t.Lease), ElectionMS: ms(t.Election), Pauses: t.Pauses,
+	rep := &OwnerTrial{LeaseMS: milliseconds(t.Lease), ElectionMS: milliseconds(t.Election), Pauses: t.Pauses,
 		Partitions: t.Partitions, Kills: t.Kills}
 	err = r.injectOwnerFaults(ctx, t, rep)
 	stop()
@@ -92,13 +92,13 @@
 // summarizeOwnerTrial fills in what sink and discovery counted.
 func (r *Rig) summarizeOwnerTrial(rep *OwnerTrial) (err error) {
 	for _, n := range r.SinkTotals() {
-		rep.Sent += n
+		rep.Exported += n
 	}
 	periods := map[uint64]bool{}
 	for _, e := range r.Sink.Entries() {
 		periods[e.Period] = true
 	}
-	rep.Exported, rep.Periods, rep.Lists = len(r.Sink.Entries()), len(periods), r.Discovery.Calls()
+	rep.SinkEntries, rep.Periods, rep.Lists = len(r.Sink.Entries()), len(periods), r.Discovery.Calls()
 	rep.StaleAccepted, rep.Refused, err = r.Sink.Audit()
 	calls := r.Discovery.OwnerCalls()
 	rep.Refused, rep.EndedWatches = rep.Refused+calls.Stale, calls.EndedWatches
@@ -112,31 +112,32 @@
 		if err != nil {
 			return err
 		}
-		rep.LateMedian, rep.LateWorst, rep.RefusedEntries = ms(late.Median), ms(late.Worst), late.RefusedEntries
+		rep.LateMedian, rep.LateWorst = milliseconds(late.Median), milliseconds(late.Worst)
+		rep.RefusedEntries = late.RefusedEntries
 	}
 	var took []time.Duration
 	for range t.Kills {
-		m, token, err := r.WaitOwner(ctx, 10*time.Second+t.Lease)
+		killed, err := r.WaitOwner(ctx, 10*time.Second+t.Lease)
 		if err != nil {
 			return err
 		}
-		r.Kill(m)
+		r.Kill(killed.Member)
 		started := time.Now()
-		next, higher, err := r.WaitOwner(ctx, 10*time.Second+t.Lease)
+		next, err := r.WaitOwner(ctx, 10*time.Second+t.Lease)
 		if err != nil {
 			return err
 		}
 		took = append(took, time.Since(started))
-		if higher <= token {
-			return fmt.Errorf("%s has token %d after %d", next.Name, higher, token)
+		if next.Token <= killed.Token {
+			return fmt.Errorf("%s has token %d after %d", next.Name, next.Token, killed.Token)
 		}
-		if err := r.Spawn(ctx, m, Unchanged); err != nil {
+		if err := r.Spawn(ctx, killed.Member, Unchanged); err != nil {
 			return err
 		}
 	}
 	if len(took) > 0 {
 		slices.Sort(took)
-		rep.KillMedian, rep.KillWorst = ms(took[len(took)/2]), ms(took[len(took)-1])
+		rep.KillMedian, rep.KillWorst = milliseconds(took[len(took)/2]), milliseconds(took[len(took)-1])
 	}
 	return ctx.Err()
 }
@@ -175,7 +176,7 @@
 	fmt.Fprintf(&b, "%d\t%d\t%d\t%d\t%d\n", t.Refused, t.EndedWatches, t.RefusedEntries, t.StaleAccepted,
 		t.Lists)
 	b.WriteString("\nANSWERS\tSENT\tENTRIES\tPERIODS\n")
-	fmt.Fprintf(&b, "%d\t%d\t%d\t%d\n", t.Answers, t.Sent, t.Exported, t.Periods)
+	fmt.Fprintf(&b, "%d\t%d\t%d\t%d\n", t.Answers, t.Exported, t.SinkEntries, t.Periods)
 	return writeTable(w, b.String(), 0)
 }
 
--- a/internal/testbed/clusterrig/player.go
+++ b/internal/testbed/clusterrig/player.go
@@ -63,16 +63,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("at the start: %w", err)
 	}
-	p.report.JoinedMS = ms(joined)
+	p.report.JoinedMS = milliseconds(joined)
 	if err := sleep(ctx, sc.Warmup); err != nil {
 		return nil, err
 	}
+	return p.report, p.playAll(ctx)
+}
+
+// playAll plays all rounds while it samples the views, and completes the report.
+func (p *player) playAll(ctx context.Context) (err error) {
 	p.start = time.Now()
-	before := FetchViews(r.Members)
+	before := FetchViews(p.Members)
 	sampling, stop := context.WithCancel(ctx)
 	var sampler sync.WaitGroup
 	sampler.Go(func() { p.sampleAll(sampling) })
-	for range sc.Repeat {
+	for range p.scenario.Repeat {
 		if err = p.playRound(ctx); err != nil {
 			break
 		}
@@ -80,9 +85,9 @@
 	stop()
 	sampler.Wait()
 	p.report.Seconds = time.Since(p.start).Seconds()
-	p.summarizeTraffic(before, FetchViews(r.Running()))
+	p.summarizeTraffic(before, FetchViews(p.Running()))
 	p.summarizeSteps()
-	return p.report, err
+	return err
 }
 
 // playRound plays all steps once.
@@ -90,11 +95,11 @@
 	started := time.Now()
 	wait := func(d time.Duration) error { return sleep(ctx, d-time.Since(started)) }
 	for i := range p.scenario.Steps {
-		s := &p.scenario.Steps[i]
-		if err := wait(s.At); err != nil {
+		step := &p.scenario.Steps[i]
+		if err := wait(step.At); err != nil {
 			return err
 		}
-		if err := p.playStep(ctx, s, &p.report.Steps[i]); err != nil {
+		if err := p.playStep(ctx, step, &p.report.Steps[i]); err != nil {
 			return err
 		}
 	}
@@ -102,64 +107,63 @@
 }
 
 // playStep does one step and waits until its expectation holds, or fails.
-func (p *player) playStep(ctx context.Context, s *Step, rep *StepReport) error {
-	p.record(event{MS: time.Since(p.start).Milliseconds(), Step: s.String()})
-	var ms []*Member
-	for _, name := range p.scenario.expand(s.Who) {
-		ms = append(ms, p.Member(name))
+func (p *player) playStep(ctx context.Context, step *Step, result *StepReport) error {
+	p.record(event{MS: time.Since(p.start).Milliseconds(), Step: step.String()})
+	var members []*Member
+	for _, name := range p.scenario.expand(step.Who) {
+		members = append(members, p.Member(name))
 	}
 	var took time.Duration
 	var missed error
-	await := func() { took, missed = p.expect(ctx, s) }
-	if err := p.act(ctx, s, ms, await); err != nil {
-		return fmt.Errorf("%s: %w", s.String(), err)
+	await := func() { took, missed = p.expect(ctx, step) }
+	if err := p.act(ctx, step, members, await); err != nil {
+		return fmt.Errorf("%s: %w", step.String(), err)
 	}
-	if s.Do != actionTerm {
+	if step.Do != actionTerm {
 		await()
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	rep.Times++
-	done := event{MS: time.Since(p.start).Milliseconds(), Step: s.String() + ": done"}
-	if s.Expect != expectNone {
-		_ = rep.latencies.RecordValue(took.Microseconds()) // an hour, the longest Within, is in its range
-		t := took.Milliseconds()
-		done.Took = &t
+	result.Times++
+	done := event{MS: time.Since(p.start).Milliseconds(), Step: step.String() + ": done"}
+	if step.Expect != expectNone {
+		_ = result.latencies.RecordValue(took.Microseconds()) // an hour, the longest Within, is in its range
+		tookMS := took.Milliseconds()
+		done.Took = &tookMS
 	}
 	if missed != nil {
-		rep.Failed++
-		rep.LastFailure = missed.Error()
+		result.Failed++
+		result.LastFailure = missed.Error()
 		done.Error = missed.Error()
 	}
 	p.record(done)
 	return nil
 }
 
-// act does what a step says. A SIGTERM calls onSignalled while the process
-// ends.
-func (p *player) act(ctx context.Context, s *Step, ms []*Member, onSignalled func()) error {
-	switch s.Do {
+// act does what a step says. A SIGTERM calls onSignalled while the process ends.
+func (p *player) act(ctx context.Context, step *Step, members []*Member, onSignalled func()) error {
+	switch step.Do {
 	case actionKill:
-		p.Kill(ms...)
+		p.Kill(members...)
 	case actionRestart:
-		return p.forEach(ms, func(m *Member) error { return p.Spawn(ctx, m, Unchanged) })
+		return p.forEach(members, func(m *Member) error { return p.Spawn(ctx, m, Unchanged) })
 	case actionMove:
-		return p.forEach(ms, func(m *Member) error { return p.Spawn(ctx, m, NewAddress) })
+		return p.forEach(members, func(m *Member) error { return p.Spawn(ctx, m, NewAddress) })
 	case actionWipe:
-		return p.forEach(ms, func(m *Member) error { return p.Spawn(ctx, m, EmptyDisk) })
+		return p.forEach(members, func(m *Member) error { return p.Spawn(ctx, m, EmptyDisk) })
 	case actionPartition:
-		side := p.scenario.expand(s.Who)
+		side := p.scenario.expand(step.Who)
 		others := slices.DeleteFunc(p.scenario.memberNames(),
 			func(n string) bool { return slices.Contains(side, n) })
 		p.Net.Partition(side, others)
 	case actionLink:
-		f := faultnet.Fault{Blocked: s.Blocked, Drop: s.Drop, Delay: s.Delay, Jitter: s.Jitter}
-		for _, from := range p.scenario.expand(s.Who) {
-			for _, to := range p.scenario.expand(s.To) {
-				p.Net.Set(from, to, f)
-				if s.Both {
-					p.Net.Set(to, from, f)
+		fault := faultnet.Fault{Blocked: step.Blocked, Drop: step.Drop, Delay: step.Delay, Jitter: step.Jitter}
+		for _, from := range p.scenario.expand(step.Who) {
+			for _, to := range p.scenario.expand(step.To) {
+				p.Net.Set(from, to, fault)
+				if step.Both {
+					p.Net.Set(to, from, fault)
 				}
 			}
 		}
@@ -168,20 +172,20 @@
 			p.Net.Heal()
 		}
 	case actionTerm:
-		return p.forEach(ms, func(m *Member) error { return p.Term(m, onSignalled) })
+		return p.forEach(members, func(m *Member) error { return p.Term(m, onSignalled) })
 	case actionPause:
-		return p.forEach(ms, p.Pause)
+		return p.forEach(members, p.Pause)
 	case actionResume:
-		return p.forEach(ms, p.Resume)
+		return p.forEach(members, p.Resume)
 	case actionDrain, actionServe:
-		return p.forEach(ms, func(m *Member) error { return m.Drain(s.Do == actionDrain) })
+		return p.forEach(members, func(m *Member) error { return m.Drain(step.Do == actionDrain) })
 	}
 	return nil
 }
 
 // forEach calls do for members in turn, up to the first error.
-func (p *player) forEach(ms []*Member, do func(*Member) error) error {
-	for _, m := range ms {
+func (p *player) forEach(members []*Member, do func(*Member) error) error {
+	for _, m := range members {
 		if err := do(m); err != nil {
 			return err
 		}
@@ -190,14 +194,14 @@
 }
 
 // expect waits for what a step expects, and returns how long that took.
-func (p *player) expect(ctx context.Context, s *Step) (time.Duration, error) {
+func (p *player) expect(ctx context.Context, step *Step) (time.Duration, error) {
 	up := p.Running()
-	who := p.scenario.expand(s.Who)
-	switch s.Expect {
+	who := p.scenario.expand(step.Who)
+	switch step.Expect {
 	case expectNone:
 		return 0, nil
 	case expectOne:
-		return WaitViews(ctx, up, s.Within, OnlyAlive(MemberNames(up)...))
+		return WaitViews(ctx, up, step.Within, OnlyAlive(MemberNames(up)...))
 	case expectSides:
 		var side, other []*Member
 		for _, m := range up {
@@ -207,14 +211,14 @@
 				other = append(other, m)
 			}
 		}
-		first, err := WaitViews(ctx, side, s.Within, OnlyAlive(MemberNames(side)...))
+		first, err := WaitViews(ctx, side, step.Within, OnlyAlive(MemberNames(side)...))
 		if err != nil {
 			return first, err
 		}
-		second, err := WaitViews(ctx, other, s.Within, OnlyAlive(MemberNames(other)...))
+		second, err := WaitViews(ctx, other, step.Within, OnlyAlive(MemberNames(other)...))
 		return first + second, err
 	}
-	return WaitViews(ctx, up, s.Within, StatusIs(s.Expect, who...))
+	return WaitViews(ctx, up, step.Within, StatusIs(step.Expect, who...))
 }
 
 // sampleAll samples all views at intervals until ctx ends.
@@ -302,5 +306,5 @@
 	}
 }
 
-// ms returns a duration in milliseconds.
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+// milliseconds returns a duration in milliseconds.
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/testbed/clusterrig/soak.go
+++ b/internal/testbed/clusterrig/soak.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	defer r.discard()
-	if _, _, err := r.WaitOwner(ctx, time.Minute); err != nil {
+	if _, err := r.WaitOwner(ctx, time.Minute); err != nil {
 		return nil, err
 	}
 	load := NewClients()
--- a/internal/testbed/clusterrig/storm.go
+++ b/internal/testbed/clusterrig/storm.go
@@ -59,7 +59,7 @@
 	if err := r.restartInOutage(ctx, r.Members[:members*7/10]); err != nil {
 		return nil, err
 	}
-	storm.ReadyMS = ms(time.Since(started))
+	storm.ReadyMS = milliseconds(time.Since(started))
 	_ = sleep(ctx, stormPhase-time.Since(started))
 	storm.Killed = r.stormTotals(clients).minus(before)
 	return storm, ctx.Err() // also of an interrupted sleep
