--- a/cmd/cresshub-fleet/main.go
+++ b/cmd/cresshub-fleet/main.go
@@ -1,4 +1,5 @@
-// Command cresshub-fleet runs and inspects the processes of a router fleet.
+// Command cresshub-fleet runs and inspects the processes of a router fleet, and tries a small fleet on this
+// machine (try, soak). See package router/cli for the commands and package routertrial for trials.
 package main
 
 import (
--- a/cmd/cresshub-lab/main.go
+++ b/cmd/cresshub-lab/main.go
@@ -1,4 +1,5 @@
-// Command cresshub-lab tries designs on an emulated fleet; see package labcli.
+// Command cresshub-lab tries designs on an emulated fleet, and plays faults between real processes of the
+// client proxy (rig). See package labcli for the commands and package clusterrig for the rig.
 package main
 
 import (
--- a/cmd/cresshub-simhost/main_test.go
+++ b/cmd/cresshub-simhost/main_test.go
@@ -1,7 +1,11 @@
 package main
 
 import (
+	"bufio"
 	"bytes"
+	"errors"
+	"io"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -25,3 +29,25 @@
 		}
 	}
 }
+
+// Lines shorter and longer than the buffer come whole and in order, and the rest without an end comes with
+// io.EOF.
+func TestLinesOfAnyLength(t *testing.T) {
+	want := []string{"short\n", strings.Repeat("long", 20) + "\n", "\n", strings.Repeat("longer", 40) + "\n",
+		"rest"}
+	lines := &lineReader{in: bufio.NewReaderSize(strings.NewReader(strings.Join(want, "")), 16)}
+	var got []string
+	for {
+		line, err := lines.next()
+		got = append(got, string(line))
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("%q, not %q", got, want)
+	}
+}
