--- a/internal/testbed/connserver/connserver.go
+++ b/internal/testbed/connserver/connserver.go
@@ -1,5 +1,6 @@
-// Package connserver is the accept loop of the stand-ins: it gives each connection a goroutine, bounds their
-// number, and can close all of them at once, with a reset where a crash is simulated.
+// Package connserver is the accept loop of the stand-ins (packages proxystandin and routerstandin): it gives
+// each connection a goroutine, bounds their number, and can close all of them at once, with a reset where a
+// crash is simulated. It judges nothing.
 package connserver
 
 import (
@@ -44,34 +45,36 @@
 	_ = acceptloop.Run(l.listener, nil, l.start) // it ends with the listener
 }
 
-func (l *Listener) start(c net.Conn) {
-	if !l.add(c) {
-		c.Close()
+// start serves a connection, or closes it where there are too many.
+func (l *Listener) start(conn net.Conn) {
+	if !l.add(conn) {
+		conn.Close()
 		return
 	}
 	go func() {
 		defer l.all.Done()
-		defer l.remove(c)
-		l.serve(connbuffer.NewConn(c))
+		defer l.remove(conn)
+		l.serve(connbuffer.NewConn(conn))
 	}()
 }
 
-func (l *Listener) add(c net.Conn) bool {
+// add registers a connection, unless the listener is closed or has as many as it may.
+func (l *Listener) add(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || l.maxConns > 0 && len(l.conns) >= l.maxConns {
 		return false
 	}
-	l.conns[c] = struct{}{}
+	l.conns[conn] = struct{}{}
 	l.all.Add(1)
 	return true
 }
 
-func (l *Listener) remove(c net.Conn) {
+func (l *Listener) remove(conn net.Conn) {
 	l.mu.Lock()
-	delete(l.conns, c)
+	delete(l.conns, conn)
 	l.mu.Unlock()
-	c.Close()
+	conn.Close()
 }
 
 // Close closes the listener and all connections, and waits for their goroutines. With reset the other sides
@@ -88,11 +91,11 @@
 	l.listener.Close()
 	l.mu.Lock()
 	l.closed = true
-	for c := range l.conns {
-		if t, ok := c.(*net.TCPConn); ok && reset {
-			_ = t.SetLinger(0) // fails only on a closed connection
+	for conn := range l.conns {
+		if tcp, ok := conn.(*net.TCPConn); ok && reset {
+			_ = tcp.SetLinger(0) // fails only on a closed connection
 		}
-		c.Close()
+		conn.Close()
 	}
 	l.mu.Unlock()
 }
