--- a/internal/testbed/proxytrial/mixed.go
+++ b/internal/testbed/proxytrial/mixed.go
@@ -1,6 +1,7 @@
 package proxytrial
 
 import (
+	"cmp"
 	"context"
 	"math/rand/v2"
 	"os"
@@ -18,6 +19,10 @@
 	// Each batch starts that many faults within batchSpread.
 	concurrentFaults = 3
 	batchSpread      = 400 * time.Millisecond
+	// minHealthy is how many servers without a fault there are at least when another one gets a fault.
+	minHealthy = 3
+	// maxServers is how many servers there are at most when another one joins in warm-up.
+	maxServers = 2*concurrentFaults + 10
 	// maxLogStall bounds how long the proxy's log is left unread.
 	maxLogStall = 1500 * time.Millisecond
 )
@@ -60,8 +65,8 @@
 			})
 		}
 		batch.Wait()
-		if at := slices.IndexFunc(errs, func(err error) bool { return err != nil }); at >= 0 {
-			return errs[at]
+		if err := cmp.Or(errs...); err != nil {
+			return err
 		}
 	}
 	return nil
@@ -77,7 +82,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	names := slices.DeleteFunc(m.fleet.Names(), func(name string) bool { return m.faulty[name] })
-	if len(names) < 3 {
+	if len(names) < minHealthy {
 		return ""
 	}
 	name := names[rng.IntN(len(names))]
@@ -134,7 +139,7 @@
 }
 
 func (m *mixedFaults) addWarmingUp(context.Context, *rand.Rand) error {
-	if len(m.fleet.Names()) > 2*concurrentFaults+10 {
+	if len(m.fleet.Names()) > maxServers {
 		return nil
 	}
 	_, err := m.fleet.Add(time.Now())
--- a/internal/testbed/proxytrial/report.go
+++ b/internal/testbed/proxytrial/report.go
@@ -44,20 +44,22 @@
 )
 
 // Violations returns the number of violations of all rules.
-func (r *Report) Violations() (n int) {
-	for _, k := range r.Rules {
-		n += k
+func (r *Report) Violations() int {
+	sum := 0
+	for _, violations := range r.Rules {
+		sum += violations
 	}
-	return n
+	return sum
 }
 
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+
 func newReport(f *proxystandin.Fleet, t proxystandin.Totals, o Options, seconds float64) *Report {
-	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	r := &Report{
 		Offered: t.Offered, Served: t.ByKind[proxystandin.Served], InTime: t.InTime,
 		Refused: t.ByKind[proxystandin.Refused],
-		P50:     ms(t.P50), P99: ms(t.P99), Max: ms(t.Max), Seconds: seconds, Rate: o.Rate, Fault: o.Fault,
-		Lag: ms(t.Lag), NotSent: t.ByKind[proxystandin.NotSent], ListCalls: f.Discovery.Calls(),
+		P50:     milliseconds(t.P50), P99: milliseconds(t.P99), Max: milliseconds(t.Max), Seconds: seconds, Rate: o.Rate, Fault: o.Fault,
+		Lag: milliseconds(t.Lag), NotSent: t.ByKind[proxystandin.NotSent], ListCalls: f.Discovery.Calls(),
 		Servers: []ServerReport{},
 		Rules: map[string]int{
 			OneAnswer:  t.ByKind[proxystandin.NoAnswer] + t.Mismatched + t.ExtraAnswers,
@@ -68,10 +70,10 @@
 	if t.OfferedValue > 0 {
 		r.Service = t.ServedValue / t.OfferedValue
 	}
-	for name, c := range f.Counts() {
-		r.Servers = append(r.Servers, ServerReport{name, c})
-		r.Rules[DrainObeyed] += c.AfterDrain
-		r.Rules[WarmUpObeyed] += c.Overloaded
+	for name, counts := range f.Counts() {
+		r.Servers = append(r.Servers, ServerReport{name, counts})
+		r.Rules[DrainObeyed] += counts.AfterDrain
+		r.Rules[WarmUpObeyed] += counts.Overloaded
 	}
 	slices.SortFunc(r.Servers, func(a, b ServerReport) int { return strings.Compare(a.Name, b.Name) })
 	return r
--- a/internal/testbed/proxytrial/trial.go
+++ b/internal/testbed/proxytrial/trial.go
@@ -1,7 +1,18 @@
 // Package proxytrial tries the proxy end to end on loopback (`cresshub try`): the program itself as a child
-// process between stand-ins for discovery and zone servers, under an open-loop load, with a fault injected in
-// the middle if wanted. Client and servers count outcomes independently, and violations of the rules with
-// them.
+// process between stand-ins for discovery and zone servers (package proxystandin), under an open-loop load,
+// with a fault injected in the middle if wanted (`cresshub try --trouble crash`). Run is one trial; the same
+// seed gives the same requests and draws the same faults.
+//
+// Client and servers count outcomes independently, and violations of the rules with them:
+//
+//   - OneAnswer: the client got no answer in time, another request's, or one more;
+//   - NeverTwice: the servers together ran an unsafe request more than once;
+//   - DrainObeyed: a server got a request too long after a proxy had learned of its drain;
+//   - WarmUpObeyed: a server in warm-up got so much load that it stopped taking requests.
+//
+// Report.Rules has the number of violations of each, Report.Servers what each server counted; the log of the
+// proxy, with Options.Log (--log), shows what it did. An error of Run says that the trial itself failed or
+// that the proxy ended badly.
 package proxytrial
 
 import (
@@ -114,7 +125,7 @@
 	defer cancel()
 	proxy, faultDone := t.proxy, make(chan error, 1)
 	go func() {
-		if t.Fault == mixed {
+		if t.Fault == faultMixed {
 			faultDone <- injectMixed(loadCtx, t.fleet, proxy, t.file, t.Seed)
 			return
 		}
@@ -127,20 +138,23 @@
 	return newReport(t.fleet, load.Tally().Totals(), t.Options, seconds), err
 }
 
+// progressInterval is how often progress is reported.
+const progressInterval = 200 * time.Millisecond
+
 // reportProgress calls show until ctx ends; show may be nil.
-func reportProgress(ctx context.Context, started time.Time, t *proxystandin.Tally, show func(time.Duration,
-	proxystandin.Totals)) {
+func reportProgress(ctx context.Context, started time.Time, tally *proxystandin.Tally,
+	show func(time.Duration, proxystandin.Totals)) {
 	if show == nil {
 		return
 	}
-	tick := time.NewTicker(200 * time.Millisecond)
+	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			show(time.Since(started), t.Totals())
+			show(time.Since(started), tally.Totals())
 		}
 	}
 }
