--- a/internal/cluster/raftgroup/host_test.go
+++ b/internal/cluster/raftgroup/host_test.go
@@ -159,7 +159,7 @@
 	}
 	var replicas []string
 	for name, h := range cluster.hosts {
-		if h.Status("g").Role != "none" {
+		if h.Status("g").Role != RoleNone {
 			replicas = append(replicas, name)
 		}
 	}
@@ -176,7 +176,7 @@
 	for range 500 {
 		n := 0
 		for name, h := range cluster.hosts {
-			if name != replicas[1] && h.Status("g").Role != "none" {
+			if name != replicas[1] && h.Status("g").Role != RoleNone {
 				n++
 			}
 		}
@@ -216,7 +216,7 @@
 	}
 	h := cluster.start(bootstrapper)
 	time.Sleep(time.Second)
-	if st := h.Status("g"); st.Role != "none" {
+	if st := h.Status("g"); st.Role != RoleNone {
 		t.Errorf("the bootstrapper bootstrapped again without its disk: %+v", st)
 	}
 	for _, name := range others {
--- a/internal/cluster/raftgroup/roster.go
+++ b/internal/cluster/raftgroup/roster.go
@@ -45,7 +45,7 @@
 // applied as much or less may not know yet that this replica was added.
 func (h *Host) isStale(name string) bool {
 	status := h.Status(name)
-	if status.Role == roleNone || !status.Leaderless {
+	if status.Role == RoleNone || !status.Leaderless {
 		return false
 	}
 	roster, err := h.requestRoster(name)
--- a/internal/cluster/raftgroup/status.go
+++ b/internal/cluster/raftgroup/status.go
@@ -13,7 +13,7 @@
 // Status is the state of this member's replica of a group, as the operators' pages show it.
 type Status struct {
 	Group      string          `json:"group"`
-	Role       string          `json:"role"` // one of the roles below
+	Role       Role            `json:"role"`
 	Leader     string          `json:"leader,omitempty"`
 	Term       uint64          `json:"term"`
 	Commit     uint64          `json:"commit_index"`
@@ -38,12 +38,15 @@
 	Active  bool   `json:"active"` // it answered lately
 }
 
-// The roles of Status.Role.
+// Role is what this member's replica is in its group, as pages and JSON name it.
+type Role string
+
+// The roles.
 const (
-	roleLeader    = "leader"
-	roleFollower  = "follower"  // or learner
-	roleCandidate = "candidate" // or pre-candidate
-	roleNone      = "none"      // no replica here, or one that does not answer
+	RoleLeader    Role = "leader"
+	RoleFollower  Role = "follower"  // or learner
+	RoleCandidate Role = "candidate" // or pre-candidate
+	RoleNone      Role = "none"      // no replica here, or one that does not answer
 )
 
 // formatDiskID writes a replica ID as pages and the store have it: 16 hexadecimal digits.
@@ -55,7 +58,7 @@
 // Status is the state of this member's replica of a group. A replica that doesn't answer in time, or has
 // stopped, has role none and says so in Stalled.
 func (h *Host) Status(group string) Status {
-	none := Status{Group: group, Role: roleNone, Leader: h.leaderHint(group), Disk: formatDiskID(h.store.id)}
+	none := Status{Group: group, Role: RoleNone, Leader: h.leaderHint(group), Disk: formatDiskID(h.store.id)}
 	g := h.group(group)
 	if g == nil {
 		return none
@@ -75,7 +78,7 @@
 	raftStatus := g.rawNode.Status()
 	status := Status{
 		Group:      g.name,
-		Role:       roleFollower,
+		Role:       RoleFollower,
 		Leader:     g.memberNames[raftStatus.Lead],
 		Term:       raftStatus.HardState.GetTerm(),
 		Commit:     raftStatus.HardState.GetCommit(),
@@ -91,10 +94,10 @@
 	slices.Sort(status.Voters)
 	switch raftStatus.RaftState {
 	case raft.StateLeader:
-		status.Role = roleLeader
+		status.Role = RoleLeader
 		status.Replicas = g.replicaStatus(&raftStatus)
 	case raft.StateCandidate, raft.StatePreCandidate:
-		status.Role = roleCandidate
+		status.Role = RoleCandidate
 	}
 	if g.diskErr != nil {
 		status.Stalled = g.diskErr.Error()
@@ -122,7 +125,7 @@
 }
 
 // Leads reports whether this member leads a group.
-func (h *Host) Leads(group string) bool { return h.Status(group).Role == roleLeader }
+func (h *Host) Leads(group string) bool { return h.Status(group).Role == RoleLeader }
 
 // ReadStale answers a query from this member's own replica, which may lag. It returns false if this member
 // has no replica, or the query fails.
