--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -15,23 +15,7 @@
 	maxDialTimeout = time.Second
 )
 
-// disconnect returns the connection to the pool, or closes it where it must not be used again.
-func (c *call) disconnect() {
-	if c.conn == nil {
-		return
-	}
-	c.roundTrip.setAbortable(nil)
-	c.conn.extender = nil
-	pool := c.roundTrip.proxy.pool
-	if c.mustClose || c.roundTrip.stopReason() != notStopped {
-		pool.discard(c.conn)
-	} else {
-		pool.put(c.conn, c.keepAliveTime)
-	}
-	c.conn = nil
-}
-
-// connect gets a connection to the server.
+// connect gets a connection to the server, from the pool or by dialling. Until disconnect, stop closes it.
 func (c *call) connect() *callFailure {
 	rt := c.roundTrip
 	abandoned := &callFailure{outcome: scheduler.Abandoned, execution: notSent}
@@ -59,24 +43,45 @@
 	return nil
 }
 
+// connectionSpec returns what this call needs of its connection.
 func (c *call) connectionSpec() connectionSpec {
 	req := c.roundTrip.request
-	spec := connectionSpec{server: c.choice.Server, maxIdle: maxIdleTime,
+	spec := connectionSpec{
+		server:        c.choice.Server,
 		maxPerServer:  c.roundTrip.proxy.serverConnectionQuota(req.service),
-		requestNumber: c.roundTrip.requestNumber}
+		maxIdle:       maxIdleTime,
+		requestNumber: c.roundTrip.requestNumber,
+	}
 	if !req.route.Idempotent() {
 		spec.maxIdle = maxIdleTimeUnsafe
 	}
 	return spec
 }
 
+// connectDeadline is when the connection counts as failed that is not open yet.
 func (c *call) connectDeadline() time.Time {
 	req := c.roundTrip.request
 	timeout := min(max(req.route.LatencyTarget/2, minDialTimeout), maxDialTimeout)
 	return earlier(req.deadline, time.Now().Add(timeout))
 }
 
-// canceller cancels the opening of a connection.
+// disconnect returns the connection to the pool, or closes it where it must not be used again.
+func (c *call) disconnect() {
+	if c.conn == nil {
+		return
+	}
+	c.roundTrip.setAbortable(nil)
+	c.conn.extender = nil
+	pool := c.roundTrip.proxy.pool
+	if c.mustClose || c.roundTrip.stopReason() != notStopped {
+		pool.discard(c.conn)
+	} else {
+		pool.put(c.conn, c.keepAliveTime)
+	}
+	c.conn = nil
+}
+
+// canceller is an io.Closer that cancels the opening of a connection.
 type canceller context.CancelFunc
 
 func (c canceller) Close() error {
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -21,14 +21,14 @@
 			return
 		}
 		rt.proxy.counters.prefillsFailed.Add(1)
-		if !rt.handlePrefillFailure(call, failure) {
+		if !rt.recordPrefillFailure(call, failure) {
 			return
 		}
 	}
 }
 
-// handlePrefillFailure records how prefill failed, and reports whether another server is asked for it.
-func (rt *roundTrip) handlePrefillFailure(call *call, failure *callFailure) bool {
+// recordPrefillFailure records how prefill failed, and reports whether another server may be asked for it.
+func (rt *roundTrip) recordPrefillFailure(call *call, failure *callFailure) bool {
 	rt.excludeServer(call)
 	switch failure.execution {
 	case notSent:
@@ -61,7 +61,7 @@
 	return c.finish(failure)
 }
 
-// receiveHandle takes the handle from the response to a prefill call.
+// receiveHandle takes the handle from the response to a prefill call. The call fails if it has none.
 func (c *call) receiveHandle(response serverResponse) *callFailure {
 	rt := c.roundTrip
 	class := classify(c.responseTraits(response))
