--- a/internal/proxy/daemon/times_test.go
+++ b/internal/proxy/daemon/times_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// What a silent watch misses binds 6 s after it fell silent. That is time enough, at the platform's settings
-// and with the longest pause everywhere, to miss it, to have one call refused, and to make another; and so it
-// is where one call takes as long as a call may.
+// What a silent watch misses takes effect 6 s after it fell silent. That is time enough, at the platform's
+// settings and with the longest pause everywhere, to miss it, to have one call refused, and to make
+// another; and so it is where one call takes as long as a call may.
 func TestSilentWatchIsReplacedBeforeMissedChangesBind(t *testing.T) {
 	const binds, answer = 6 * time.Second, 400 * time.Millisecond // of each of two calls
 	cfg := platformConfig(t)
--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -8,9 +8,9 @@
 // leave it a request and return at once. All exported methods but Run may be called from any goroutine, and
 // the list (table) has a lock of its own.
 //
-// A drain binds from the moment the registry has it, whether or not a watch has delivered it. So a watch
-// that is silent for too long counts as lost, and what it may have missed is asked for soon, with random
-// delays, so that client proxies don't ask all at once.
+// A drain takes effect from the moment the registry has it, whether or not a watch has delivered it. So a
+// watch that is silent for too long counts as lost, and what it may have missed is asked for soon, with
+// random delays, so that client proxies don't ask all at once.
 package discovery
 
 import (
@@ -40,7 +40,7 @@
 }
 
 // TimeoutReopenDelay is the longest delay before a watch that timed out is opened again: all watches may time
-// out at once, and what they miss binds soon.
+// out at once, and what they miss takes effect soon.
 func (l *Limits) TimeoutReopenDelay() time.Duration {
 	if l.MaxReopenDelay > 0 {
 		return min(l.WatchTimeout/4, l.MaxReopenDelay*2/3)
--- a/internal/proxy/discovery/run.go
+++ b/internal/proxy/discovery/run.go
@@ -60,7 +60,7 @@
 	default:
 	}
 	if c.followsAlways() && c.mayOpen() {
-		c.unsynced = true // the list from before the start may be old, and what the registry has binds
+		c.unsynced = true // the list from before the start may be old, and the registry's has taken effect
 		c.open(ctx, true)
 	}
 }
--- a/internal/proxy/discovery/watch_test.go
+++ b/internal/proxy/discovery/watch_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// What a silent watch misses binds soon, however long it may be until the next Follow: a first call after it
-// that is refused, reset or not answered either is made again without ListFailed.
+// What a silent watch misses takes effect soon, however long it may be until the next Follow: a first call
+// after it that is refused, reset or not answered either is made again without ListFailed.
 func TestReopenAfterTimeoutIsRetriedOnce(t *testing.T) {
 	for name, refuse := range map[string]func(conn *connbuffer.Conn){
 		"refused": func(conn *connbuffer.Conn) {
@@ -178,7 +178,7 @@
 	}
 }
 
-// Where changes bind at once, a watch is reopened after a time-out no later than after any other end.
+// Where changes take effect at once, a watch is reopened after a time-out no later than after any other end.
 func TestReopenDelayWhereListsBind(t *testing.T) {
 	for _, c := range []struct{ silence, again, want time.Duration }{
 		{2400 * time.Millisecond, 0, 600 * time.Millisecond},
@@ -191,9 +191,9 @@
 	}
 }
 
-// While no connection to the registry comes up, as where a watch timed out because of a partition, calls are
-// made for as long as that takes: they cost the registry nothing, and what was missed binds soon after the
-// partition heals.
+// While no connection to the registry comes up, as where a watch timed out because of a partition, calls
+// are made for as long as that takes: they cost the registry nothing, and what was missed takes effect
+// soon after the partition heals.
 func TestReopenDuringPartition(t *testing.T) {
 	const cut = 9 // calls whose connections never open
 	tries := make(chan bool, 99)
@@ -236,8 +236,8 @@
 	}
 }
 
-// A registry that is back with a lower index sends changes to a list that is not ours: the full list is asked
-// for. The change is applied at once, for a drain binds.
+// A registry that comes back with a lower index sends changes of another list than the present one, so the
+// full list is asked for. The change is applied all the same, because a drain takes effect at once.
 func TestIndexFallsBack(t *testing.T) {
 	for _, first := range []string{"terminating", "in_service"} {
 		c, s := follow(t, scriptedRegistry(t, func(n int, target string, conn *connbuffer.Conn) {
@@ -269,8 +269,8 @@
 	}
 }
 
-// Where changes bind at once the full list is asked for at the start, and a watch is opened after every end,
-// without Follow.
+// Where changes take effect at once the full list is asked for at the start, and a watch is opened after
+// every end, without Follow.
 func TestFollowsAlways(t *testing.T) {
 	c, s := follow(t, scriptedRegistry(t, func(n int, target string, conn *connbuffer.Conn) {
 		want := "/registry/instances"
