--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -8,7 +8,7 @@
 // run twice, half open ones. Where that leaves none, the lax pass takes them, and inside a dedup scope also
 // ejected ones.
 func (b *Balancer) eligible(now time.Duration, r *request) []*server {
-	panicking, reachable := b.panicking(now)
+	fleet := b.fleetHealth(now)
 	dedupServer := b.dedupServer(r)
 	servers := b.eligibleBuf[:0]
 	for _, strict := range []bool{true, false} {
@@ -16,7 +16,7 @@
 			if dedupServer != nil && !b.sameDedupScope(r, dedupServer, s) {
 				continue
 			}
-			if s.isEjected(now, panicking, reachable) && (dedupServer == nil || strict) {
+			if s.isEjected(now, fleet) && (dedupServer == nil || strict) {
 				continue
 			}
 			if strict && (b.unresponsive(now, r, s) || r.hasAttempted(s) ||
--- a/balance/events.go
+++ b/balance/events.go
@@ -37,7 +37,8 @@
 	ListFailed                 // following or asking failed; no entries
 )
 
-// Request is one request of a client; a client's own retry is a request of its own.
+// Request is one request of a client; a client's own retry is a request of its own. No decision reads Tenant
+// and ClientRetry.
 type Request struct {
 	ID          string
 	Class       int
--- a/balance/health.go
+++ b/balance/health.go
@@ -62,11 +62,17 @@
 	}
 }
 
-// panicking reports whether so few servers are healthy that ejected ones are used, and how many are
-// reachable. What is unreachable does not count towards the threshold: a balancer in a partitioned zone can't
-// reach most of the list, and has to do with the servers near it.
-func (b *Balancer) panicking(now time.Duration) (panicking bool, reachable int) {
-	healthy := 0
+// fleetHealth is the health of all listed servers at one moment.
+type fleetHealth struct {
+	panicking bool // so few servers are healthy that ejected ones are used
+	reachable int  // servers that are reachable, or are to be tried again
+}
+
+// fleetHealth counts the healthy and the reachable servers. What is unreachable does not count towards
+// panicThreshold: a balancer in a partitioned zone can't reach most of the list, and has to do with the
+// servers near it.
+func (b *Balancer) fleetHealth(now time.Duration) fleetHealth {
+	healthy, reachable := 0, 0
 	for _, s := range b.servers {
 		if now >= s.ejectedUntil {
 			healthy++
@@ -75,21 +81,20 @@
 			reachable++
 		}
 	}
-	return float64(healthy) < panicThreshold*float64(reachable), reachable
+	return fleetHealth{panicking: float64(healthy) < panicThreshold*float64(reachable), reachable: reachable}
 }
 
-// isEjected reports whether s gets no traffic at all. panicking and reachable are what Balancer.panicking
-// returned for now.
-func (s *server) isEjected(now time.Duration, panicking bool, reachable int) bool {
-	return now < s.ejectedUntil && (!panicking || s.unreachable && reachable > 0)
+// isEjected reports whether s gets no traffic at all, by the health of the fleet at the same moment.
+func (s *server) isEjected(now time.Duration, fleet fleetHealth) bool {
+	return now < s.ejectedUntil && (!fleet.panicking || s.unreachable && fleet.reachable > 0)
 }
 
 // Ejected is how many of the listed servers that are up get no traffic now.
 func (b *Balancer) Ejected(now time.Duration) int {
-	panicking, reachable := b.panicking(now)
+	fleet := b.fleetHealth(now)
 	n := 0
 	for _, s := range b.servers {
-		if s.isEjected(now, panicking, reachable) {
+		if s.isEjected(now, fleet) {
 			n++
 		}
 	}
--- a/balance/reports.go
+++ b/balance/reports.go
@@ -19,14 +19,16 @@
 
 // recordReport records a load report of s.
 func (b *Balancer) recordReport(now time.Duration, s *server, values []float64) {
-	inFlight, queued, ok := parseReport(b.settings.ReportFields, values)
+	report, ok := parseReport(b.settings.ReportFields, values)
 	if !ok {
 		return
 	}
-	s.inFlight, s.queued, s.reportedAt, s.hasReport = inFlight, queued, now, true
-	s.reportSeq, s.sentSinceReport = s.reportSeq+1, 0
+	s.inFlight, s.queued = report.inFlight, report.queued
+	s.reportedAt, s.hasReport = now, true
+	s.reportSeq++
+	s.sentSinceReport = 0
 	if b.reportLag() == 0 && !b.probesAreCostly() {
-		b.recordQueueDelay(now, b.queueDelayBehind(inFlight), reportedDelayGain)
+		b.recordQueueDelay(now, b.queueDelayBehind(report.inFlight), reportedDelayGain)
 	}
 }
 
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -66,6 +66,10 @@
 )
 
 // Settings describe the deployment to a Balancer; they don't change.
+//
+// Some describe it without being read by any decision: Rank, Peers, Tenants, OverQuotaValue, DrainGrace,
+// ResponseGrace, CollapseAfter, DialTimeout, ReportsInResponses, Class.Deadline (Request.Deadline counts),
+// Costs.Waste and Costs.LateFail.
 type Settings struct {
 	Seed         uint64
 	Rank         int // number of this balancer among its peers
