--- a/internal/router/agent/metrics_endpoint.go
+++ b/internal/router/agent/metrics_endpoint.go
@@ -52,7 +52,7 @@
 // write writes the metrics of the control side and, where there is one, of the data plane.
 func (e *metricsEndpoint) write(page *metrics.Page) {
 	for _, count := range invariant.Counts() {
-		page.Counter("cresshub_invariant_violations_total", "Promises that the process saw broken.",
+		page.Counter("cresshub_invariant_violations_total", "Invariant violations seen by this process.",
 			count.Violations, metrics.Label{Name: "check", Value: count.Check.String()})
 	}
 	e.writeState(page)
@@ -66,14 +66,14 @@
 func (e *metricsEndpoint) writeState(page *metrics.Page) {
 	a := e.agent
 	view := a.state.currentView()
-	page.Flag("cresshub_ready", "Whether the platform should send clients here.", a.unready() == "")
+	page.Flag("cresshub_ready", "Whether the readiness check succeeds.", a.unready() == "")
 	page.Gauge("cresshub_config_version", "Version of the configuration in force, 0 for none.",
 		float64(a.state.version()))
-	page.Gauge("cresshub_view_epoch", "Epoch of the view of the control state, 0 for none.", float64(view.epoch))
-	page.Gauge("cresshub_view_members", "Members of that view.", float64(len(view.members)))
-	page.Flag("cresshub_replica", "Whether this process is a replica of the control state.",
+	page.Gauge("cresshub_view_epoch", "Epoch of the chain's view, 0 for none.", float64(view.epoch))
+	page.Gauge("cresshub_view_members", "Members of the chain's view.", float64(len(view.members)))
+	page.Flag("cresshub_replica", "Whether this process is a replica of the chain.",
 		a.configStore.isMember())
-	page.Flag("cresshub_majority_reached", "Whether a majority of the members is reached.",
+	page.Flag("cresshub_majority_reached", "Whether this process reaches a majority of the view's members.",
 		a.quorum.reachesMajority())
 	servers := map[directory.State]int{}
 	proxies := 0
@@ -84,38 +84,42 @@
 		proxies = len(d.Proxies())
 	})
 	for state := directory.Ready; state <= directory.Ended; state++ {
-		page.Gauge("cresshub_servers", "Servers that this process knows.", float64(servers[state]),
+		page.Gauge("cresshub_servers", "Servers in this process's directory, by state.", float64(servers[state]),
 			metrics.Label{Name: "state", Value: stateNames[state]})
 	}
-	page.Gauge("cresshub_proxies", "Proxies that this process takes to be live.", float64(proxies))
+	page.Gauge("cresshub_proxies", "Router processes that this process considers live.", float64(proxies))
 }
 
 func (e *metricsEndpoint) writeCounts(page *metrics.Page) {
 	m := &e.agent.metrics
-	page.Family("cresshub_heartbeats_total", "Calls of servers, by answer.", &m.heartbeats)
-	page.Family("cresshub_config_calls_total", "Calls on the configuration, by outcome.", &m.configCalls)
-	page.Family("cresshub_marked_lost_total", "Processes that this one marked lost.", &m.lostProcesses)
-	page.Family("cresshub_stage_orders_total", "Orders sent to model servers, by status; 0 for none.", &m.orders)
-	page.Counter("cresshub_feeds_followed_total", "Hubs that were chosen to be followed.",
+	page.Family("cresshub_heartbeats_total", "Heartbeats received from servers, by answer.", &m.heartbeats)
+	page.Family("cresshub_config_calls_total", "Configuration calls, by call and outcome.", &m.configCalls)
+	page.Family("cresshub_marked_lost_total", "Records that this process marked lost, by kind and reason.",
+		&m.lostProcesses)
+	page.Family("cresshub_stage_orders_total",
+		"Role orders sent to servers, by response status; 0 for no response.", &m.orders)
+	page.Counter("cresshub_feeds_followed_total", "Subscriptions to the feed of a hub.",
 		m.sourceChanges.Value())
-	page.Counter("cresshub_stood_still_total", "Pauses in which this process did not run.", m.stalls.Value())
-	page.Counter("cresshub_disk_errors_total", "Steps of the control state that the disk refused.",
+	page.Counter("cresshub_stood_still_total", "Stalls of this process: intervals in which it did not run.",
+		m.stalls.Value())
+	page.Counter("cresshub_disk_errors_total", "Steps of the chain that could not be persisted.",
 		m.diskErrors.Value())
-	page.Counter("cresshub_disk_openings_failed_total", "Tries to open the disk that failed.",
+	page.Counter("cresshub_disk_openings_failed_total", "Failed attempts to open the chain's store.",
 		m.failedDiskOpens.Value())
-	page.Counter("cresshub_chain_events_dropped_total", "Events that found the queue of the chain full.",
+	page.Counter("cresshub_chain_events_dropped_total", "Events dropped because the chain's queue was full.",
 		m.droppedEvents.Value())
-	page.Counter("cresshub_reload_errors_total", "Changed settings that could not be read.",
+	page.Counter("cresshub_reload_errors_total", "Failed reloads of the settings file.",
 		m.reloadErrors.Value())
-	page.Counter("cresshub_accept_errors_total", "Connections that could not be accepted, but for clients'.",
+	page.Counter("cresshub_accept_errors_total", "Failed accepts at the addresses other than the one for clients.",
 		m.acceptErrors.Value())
-	page.Counter("cresshub_call_mistakes_total", "Mistakes of the program that calls brought out.",
+	page.Counter("cresshub_call_mistakes_total", "Panics of handlers, each recovered.",
 		m.handlerPanics.Value())
-	page.Histogram("cresshub_disk_write_duration_seconds", "Writes of the control state, synced.", &m.diskWrites)
+	page.Histogram("cresshub_disk_write_duration_seconds", "Time to write and sync a step of the chain.",
+		&m.diskWrites)
 	traffic := e.agent.endpoint.Traffic()
 	for kind, volume := range traffic.Sent {
 		if volume.Frames > 0 {
-			page.Counter("cresshub_peer_sent_bytes_total", "Bytes sent to other processes.", volume.Bytes,
+			page.Counter("cresshub_peer_sent_bytes_total", "Bytes sent to other router processes.", volume.Bytes,
 				metrics.Label{Name: "kind", Value: strconv.Itoa(kind)})
 		}
 	}
@@ -124,8 +128,9 @@
 func (e *metricsEndpoint) writeProcess(page *metrics.Page) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	page.Gauge("cresshub_uptime_seconds", "Time since the start.", e.agent.now().Seconds())
+	page.Gauge("cresshub_uptime_seconds", "Time since the process started.", e.agent.now().Seconds())
 	page.Gauge("cresshub_goroutines", "Goroutines.", float64(runtime.NumGoroutine()))
-	page.Gauge("cresshub_heap_bytes", "Memory of live and unswept objects.", float64(memory.HeapAlloc))
-	page.Gauge("cresshub_runtime_bytes", "Memory that the runtime has from the system.", float64(memory.Sys))
+	page.Gauge("cresshub_heap_bytes", "Heap memory of live and unswept objects.", float64(memory.HeapAlloc))
+	page.Gauge("cresshub_runtime_bytes", "Memory that the Go runtime obtained from the system.",
+		float64(memory.Sys))
 }
