--- a/internal/proxy/adminapi/calls.go
+++ b/internal/proxy/adminapi/calls.go
@@ -74,7 +74,7 @@
 // lameDuck returns what responds to the call that begins or ends a drain.
 func (s *Server) lameDuck(on bool) func(string) *http1.Response {
 	return func(string) *http1.Response {
-		s.log.Info("lame duck", "on", on)
+		s.log.Info("admin: lame duck", "on", on)
 		s.proxy.LameDuck(on)
 		return textResponse(http.StatusOK, "done")
 	}
--- a/internal/proxy/adminapi/server.go
+++ b/internal/proxy/adminapi/server.go
@@ -86,7 +86,7 @@
 			return
 		}
 		if err != nil {
-			s.log.Warn("operators: accept failed", logging.Err, err)
+			s.log.Warn("admin: accept failed", logging.Err, err)
 			time.Sleep(acceptBackoff)
 			continue
 		}
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -162,7 +162,7 @@
 		if old.Discovery == p.cfg.Discovery.Address {
 			known = old.Known
 		} else { // other servers, and indexes that can't be compared with this discovery's
-			p.log.Warn("list of the old process left aside", "discovery", old.Discovery)
+			p.log.Warn("handover: list of the old process ignored", "discovery", old.Discovery)
 		}
 	}
 	if list := p.cfg.ServerList(time.Time{}, p.firstNamed); list != nil {
@@ -237,7 +237,7 @@
 			case sig == syscall.SIGHUP: // also during a shutdown: requests under way still need the list
 				p.reload(reread())
 			case done == nil:
-				p.log.Info("ending", "signal", sig.String())
+				p.log.Info("proxy: shutting down", "signal", sig.String())
 				done = p.shutdown()
 			}
 		}
--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -46,11 +46,12 @@
 		state.predecessor, err = handover.Join(handover.Path(dir, p.startConfig.Listen.Address),
 			p.startConfig.Handover.JoinTimeout)
 		if err != nil {
-			p.log.Warn("no handover, listening beside the old process", logging.Err, err)
+			p.log.Warn("handover: failed, listening beside the old process", logging.Err, err)
 		}
 	}
 	if state.predecessor != nil {
-		p.log.Info("taking over from an old process", "listen", state.predecessor.Listener.Addr().String())
+		p.log.Info("handover: taking over from an old process",
+			"listen", state.predecessor.Listener.Addr().String())
 		p.listener = state.predecessor.Listener
 		state.socketPath = handover.Path(dir, p.Address())
 		p.applyLimits()
@@ -137,14 +138,14 @@
 	}
 	offer, err := handover.Listen(state.socketPath)
 	if err != nil {
-		p.log.Warn("a new process cannot take over from this one, it has to listen beside it", logging.Err, err)
+		p.log.Warn("handover: not offered, a new process has to listen beside this one", logging.Err, err)
 	} else {
 		state.offer.Store(offer)
 		go offer.Serve(p)
 	}
 	if state.predecessor != nil {
 		if err := state.predecessor.SendReady(); err != nil {
-			p.log.Warn("the old process could not be notified", logging.Err, err)
+			p.log.Warn("handover: notifying the old process failed", logging.Err, err)
 		}
 	}
 }
@@ -159,7 +160,7 @@
 	p.handover.alone = true
 	p.handover.mu.Unlock()
 	close(p.handover.predecessorExited)
-	p.log.Info("the old process is gone")
+	p.log.Info("handover: old process ended")
 	p.applyLimits()
 }
 
@@ -179,7 +180,7 @@
 	if err != nil {
 		return handover.Terms{}, nil, err
 	}
-	p.log.Info("a new process takes over")
+	p.log.Info("handover: new process takes over")
 	p.countSuccessors(+1)
 	return handover.Terms{Known: known, Discovery: p.discovery.Origin()}, socket, nil
 }
@@ -189,7 +190,7 @@
 
 // SuccessorExited records that a successor's connection has closed.
 func (p *Proxy) SuccessorExited() {
-	p.log.Warn("a new process has gone")
+	p.log.Warn("handover: new process ended")
 	p.countSuccessors(-1)
 }
 
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -19,22 +19,22 @@
 	if err != nil {
 		var problems settingsfile.SettingErrors
 		if !errors.As(err, &problems) {
-			p.log.Error("configuration kept, the new one cannot be used", logging.Err, err)
+			p.log.Error("config: reload rejected, a source is invalid", logging.Err, err)
 		}
 		for _, problem := range problems {
-			p.log.Error("configuration kept, the new one cannot be used", logging.Err, problem.String())
+			p.log.Error("config: reload rejected, a source is invalid", logging.Err, problem.String())
 		}
 		return
 	}
 	live, restart := p.cfg.Changed(next)
 	if len(restart) > 0 {
 		if !next.FromPlatform() {
-			p.log.Error("configuration kept, a change needs a restart", "keys", strings.Join(restart, " "))
+			p.log.Error("config: reload rejected, a change needs a restart", "keys", strings.Join(restart, " "))
 			return
 		}
-		p.log.Warn("changes wait for a restart", "keys", strings.Join(restart, " "))
+		p.log.Warn("config: some changes take effect at the next start", "keys", strings.Join(restart, " "))
 	}
-	p.log.Info("configuration read again", "discovery", next.Discovery.Address,
+	p.log.Info("config: reloaded", "discovery", next.Discovery.Address,
 		"changed", strings.Join(live, " "))
 	p.cfg = p.cfg.WithLive(next)
 	p.apply(live)
--- a/internal/proxy/logging/logging.go
+++ b/internal/proxy/logging/logging.go
@@ -93,7 +93,7 @@
 // Close writes what is left and ends the writer, within the timeout.
 func (l *Logger) Close(timeout time.Duration) {
 	if n := l.repeats.pending(); n > 0 {
-		l.Info("lines left out at the end", Dropped, n)
+		l.Info("log: lines dropped at the end", Dropped, n)
 	}
 	l.writer.Close(timeout)
 }
--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -72,7 +72,7 @@
 		{"cresshub_clients_turned_away_total", "Client connections closed at once because of the limit.",
 			stats.ClientsRejected},
 		{"cresshub_requests_total", "Requests read completely.", stats.Requests},
-		{"cresshub_requests_malformed_total", "Requests rejected as malformed.", stats.Malformed},
+		{"cresshub_requests_malformed_total", "Requests rejected while they were read.", stats.Malformed},
 		{"cresshub_answers_passed_total", "Responses of servers forwarded completely.", stats.Forwarded},
 		{"cresshub_answers_cut_total", "Responses truncated after their head was sent.", stats.Truncated},
 		{"cresshub_repeats_total", "Retries, each paid from the retry budget.", stats.Retries},
