--- a/internal/testbed/proxystandin/load.go
+++ b/internal/testbed/proxystandin/load.go
@@ -99,29 +99,33 @@
 }
 
 func (l *Load) drawClass() *LoadClass {
-	x := l.rng.Float64()
+	position := l.rng.Float64() // among the cumulated fractions
 	for i := range l.opts.Classes {
-		if x -= l.opts.Classes[i].Fraction; x < 0 {
-			return &l.opts.Classes[i]
+		class := &l.opts.Classes[i]
+		if position -= class.Fraction; position < 0 {
+			return class
 		}
 	}
 	return &l.opts.Classes[len(l.opts.Classes)-1]
 }
 
-func (l *Load) newRequest(c *LoadClass, n int) *http1.Request {
+// newRequest draws a request of a class; number makes its id.
+func (l *Load) newRequest(class *LoadClass, number int) *http1.Request {
 	method := "GET"
-	if c.Unsafe {
+	if class.Unsafe {
 		method = "POST"
 	}
-	h := http1.Header{
+	header := http1.Header{
 		{Name: "Host", Value: "backend.local"},
-		{Name: "X-Request-ID", Value: l.opts.IDPrefix + "-" + strconv.Itoa(n)},
-		{Name: "X-Priority-Class", Value: c.Name},
+		{Name: "X-Request-ID", Value: l.opts.IDPrefix + "-" + strconv.Itoa(number)},
+		{Name: "X-Priority-Class", Value: class.Name},
 	}
 	if len(l.opts.Tenants) > 0 {
-		h = append(h, http1.Field{Name: "X-Tenant-Id", Value: l.opts.Tenants[l.rng.IntN(len(l.opts.Tenants))]})
+		tenant := l.opts.Tenants[l.rng.IntN(len(l.opts.Tenants))]
+		header = append(header, http1.Field{Name: "X-Tenant-Id", Value: tenant})
 	}
-	return &http1.Request{Method: method, Target: fmt.Sprintf("/api?key=%016x", l.zipf.Uint64()+1), Header: h}
+	target := fmt.Sprintf("/api?key=%016x", l.zipf.Uint64()+1)
+	return &http1.Request{Method: method, Target: target, Header: header}
 }
 
 // send sends one request and tallies its outcome.
@@ -129,16 +133,16 @@
 	deadline := due.Add(class.Deadline)
 	timeout := strconv.FormatFloat(time.Until(deadline).Seconds(), 'f', 3, 64)
 	req.Header = append(req.Header, http1.Field{Name: "X-Timeout", Value: timeout})
-	resp, c, err := l.exchange(req, deadline.Add(answerSlack))
+	resp, conn, err := l.exchange(req, deadline.Add(answerSlack))
 	outcome := Outcome{Class: class, Latency: time.Since(due), Kind: classify(resp, err)}
 	if outcome.Kind == Served {
 		body := string(resp.Body)
 		outcome.Mismatched = !strings.HasPrefix(body, req.Header.Get("X-Request-ID")+" ")
 		_, outcome.Server, _ = strings.Cut(strings.TrimSpace(body), " served by ")
 	}
-	if c != nil {
-		outcome.ExtraAnswer = c.In.Buffered() > 0
-		l.release(c, err == nil && !resp.Close && !outcome.ExtraAnswer)
+	if conn != nil {
+		outcome.ExtraAnswer = conn.In.Buffered() > 0
+		l.release(conn, err == nil && !resp.Close && !outcome.ExtraAnswer)
 	}
 	l.tally.add(outcome)
 }
@@ -168,79 +172,104 @@
 )
 
 // exchange sends one request and reads its answer. If the peer closed a reused connection while the request
-// was in transit, it is sent again on another (RFC 9112, section 9.3.1).
+// was in transit, it is sent again on another (RFC 9112, section 9.3.1). The connection is nil if there was
+// none.
 func (l *Load) exchange(req *http1.Request, deadline time.Time) (*http1.Response, *connbuffer.Conn, error) {
 	for {
-		c, reused, err := l.acquire(deadline)
+		conn, reused, err := l.acquire(deadline)
 		if err != nil {
 			return nil, nil, err
 		}
-		c.SetDeadline(deadline)
-		err = req.Write(c.Out)
-		if err == nil {
-			err = c.Flush()
+		conn.SetDeadline(deadline)
+		if err := sendAndAwait(conn, req); err == nil {
+			resp, err := http1.ReadResponse(conn.In)
+			return resp, conn, err
+		} else if !reused || errors.Is(err, os.ErrDeadlineExceeded) {
+			return nil, conn, err
 		}
-		var resp *http1.Response
-		if err == nil {
-			if _, err = c.In.Peek(1); err == nil {
-				resp, err = http1.ReadResponse(c.In)
-				return resp, c, err
-			}
-		}
-		if reused && !errors.Is(err, os.ErrDeadlineExceeded) {
-			l.release(c, false)
-			continue
-		}
-		return resp, c, err
+		l.release(conn, false)
 	}
 }
 
+// sendAndAwait sends a request and waits for the first byte of its answer.
+func sendAndAwait(conn *connbuffer.Conn, req *http1.Request) error {
+	if err := req.Write(conn.Out); err != nil {
+		return err
+	}
+	if err := conn.Flush(); err != nil {
+		return err
+	}
+	_, err := conn.In.Peek(1)
+	return err
+}
+
 // acquire returns an idle connection or dials a new one.
-func (l *Load) acquire(deadline time.Time) (c *connbuffer.Conn, reused bool, err error) {
+func (l *Load) acquire(deadline time.Time) (conn *connbuffer.Conn, reused bool, err error) {
 	for {
-		l.mu.Lock()
-		if n := len(l.idle); n > 0 {
-			c, l.idle = l.idle[n-1], l.idle[:n-1]
-		}
-		exhausted := c == nil && l.open >= l.opts.MaxConnections
-		if c == nil && !exhausted {
-			l.open++
+		conn, err := l.takeIdle()
+		if err != nil {
+			return nil, false, err
 		}
-		l.mu.Unlock()
-		switch {
-		case exhausted:
-			return nil, false, errNoConnection
-		case c == nil:
-			nc, err := (&net.Dialer{Deadline: deadline, KeepAlive: -1}).Dial("tcp", l.opts.Address)
-			if err != nil {
-				l.mu.Lock()
-				l.open--
-				l.mu.Unlock()
-				return nil, false, errors.Join(errNotSent, err)
-			}
-			return connbuffer.NewConn(nc), false, nil
-		case c.Quiet():
-			return c, true, nil
+		if conn == nil {
+			conn, err = l.dial(deadline)
+			return conn, false, err
 		}
-		// The peer closed it while it was idle, or sent an answer to no request.
-		c.SetReadDeadline(time.Now().Add(time.Second))
-		if _, err := c.In.Peek(1); err == nil {
-			l.tally.addExtraAnswer()
+		if conn.Quiet() {
+			return conn, true, nil
 		}
-		l.release(c, false)
-		c = nil
+		l.checkUnsolicited(conn)
+		l.release(conn, false)
+	}
+}
+
+// takeIdle returns the connection that became idle last. Without one it returns nil, and has reserved a place
+// for a new connection, or errNoConnection if there is no place left.
+func (l *Load) takeIdle() (*connbuffer.Conn, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if last := len(l.idle) - 1; last >= 0 {
+		conn := l.idle[last]
+		l.idle = l.idle[:last]
+		return conn, nil
+	}
+	if l.open >= l.opts.MaxConnections {
+		return nil, errNoConnection
+	}
+	l.open++
+	return nil, nil
+}
+
+// dial opens a connection, whose place takeIdle reserved.
+func (l *Load) dial(deadline time.Time) (*connbuffer.Conn, error) {
+	conn, err := (&net.Dialer{Deadline: deadline, KeepAlive: -1}).Dial("tcp", l.opts.Address)
+	if err != nil {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.open--
+		return nil, errors.Join(errNotSent, err)
+	}
+	return connbuffer.NewConn(conn), nil
+}
+
+// checkUnsolicited counts an answer to no request on an idle connection that has become readable; it may also
+// just have been closed by the peer.
+func (l *Load) checkUnsolicited(conn *connbuffer.Conn) {
+	conn.SetReadDeadline(time.Now().Add(time.Second))
+	if _, err := conn.In.Peek(1); err == nil {
+		l.tally.addExtraAnswer()
 	}
 }
 
-func (l *Load) release(c *connbuffer.Conn, reusable bool) {
+// release keeps a connection for another request, or closes it.
+func (l *Load) release(conn *connbuffer.Conn, reusable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if reusable {
-		l.idle = append(l.idle, c)
+		l.idle = append(l.idle, conn)
 		return
 	}
 	l.open--
-	c.Close()
+	conn.Close()
 }
 
 func (l *Load) closeIdle() {
@@ -253,24 +282,30 @@
 	l.idle = nil
 }
 
+// readyPollInterval is how often AwaitReady asks.
+const readyPollInterval = 20 * time.Millisecond
+
 // AwaitReady polls /health/ready at address until it answers 200 or ctx ends.
 func AwaitReady(ctx context.Context, address string) error {
-	for {
-		nc, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", address)
-		if err == nil {
-			nc.SetDeadline(time.Now().Add(time.Second))
-			// A failed write shows in the read.
-			_, _ = io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-			a, err := http1.ReadResponse(connbuffer.NewConn(nc).In)
-			nc.Close()
-			if err == nil && a.Status == 200 {
-				return nil
-			}
-		}
+	for !isReady(ctx, address) {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s is not ready: %w", address, ctx.Err())
-		case <-time.After(20 * time.Millisecond):
+		case <-time.After(readyPollInterval):
 		}
 	}
+	return nil
+}
+
+func isReady(ctx context.Context, address string) bool {
+	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", address)
+	if err != nil {
+		return false
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(time.Second))
+	// A failed write shows in the read.
+	_, _ = io.WriteString(conn, "GET /health/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	response, err := http1.ReadResponse(connbuffer.NewConn(conn).In)
+	return err == nil && response.Status == 200
 }
