--- a/internal/testbed/clusterrig/clients.go
+++ b/internal/testbed/clusterrig/clients.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"net/http"
 	"sync"
@@ -61,18 +62,23 @@
 		c.lost++
 		return err
 	}
-	answer := "bad_gateway"
-	switch resp.StatusCode {
-	case 200:
-		answer = "passed"
-	case 429, 503:
-		answer = "dropped"
-	}
-	c.answers[ledger.Key{Tenant: tenant, Class: class, Answer: answer}]++
+	c.answers[ledger.Key{Tenant: tenant, Class: class, Answer: answerOf(resp.StatusCode)}]++
 	c.byMember[m.Name]++
 	return nil
 }
 
+// answerOf returns what the ledger calls an answer with a status. It repeats the proxy's own reading on
+// purpose, so that clients count independently of what the ledger counts.
+func answerOf(status int) string {
+	switch status {
+	case http.StatusOK:
+		return "passed"
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return "dropped"
+	}
+	return "bad_gateway"
+}
+
 // clientInterval is the pause between two requests of one client: the members' capacity isn't under test.
 const clientInterval = 15 * time.Millisecond
 
@@ -113,28 +119,31 @@
 	all.Wait()
 }
 
-// Answers returns the final answers by key, and their sum.
-func (c *Clients) Answers() (map[ledger.Key]int64, int64) {
+// Answers returns the final answers by key.
+func (c *Clients) Answers() map[ledger.Key]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := map[ledger.Key]int64{}
-	var sum int64
-	for k, n := range c.answers {
-		out[k] = n
-		sum += n
+	return maps.Clone(c.answers)
+}
+
+// TotalAnswers returns the number of final answers.
+func (c *Clients) TotalAnswers() int64 {
+	var total int64
+	for _, count := range c.Answers() {
+		total += count
 	}
-	return out, sum
+	return total
 }
 
 // Merge adds the counts of other clients.
 func (c *Clients) Merge(other *Clients) {
-	answers, _ := other.Answers()
+	answers, lost := other.Answers(), other.Lost()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for k, n := range answers {
-		c.answers[k] += n
+	for key, count := range answers {
+		c.answers[key] += count
 	}
-	c.lost += other.Lost()
+	c.lost += lost
 }
 
 // Lost returns how many requests got no complete answer.
--- a/internal/testbed/clusterrig/doc.go
+++ b/internal/testbed/clusterrig/doc.go
@@ -13,13 +13,16 @@
 //
 // # What is judged, and where a violation is found
 //
-// Play counts in Report.Failures the steps whose expectation did not hold in time, and with healthy_never_dead
-// each view that has a member dead that no step acted on; StepReport.LastFailure says what was missing, and
-// the record of the views shows when. The trials with a ledger compare three parties that count on their own:
-// clients (Clients.Answers), the ledger as any member shows it, and the stand-in for the billing sink;
-// WaitExported returns an error that names the first key or period in which they differ. The sink itself
-// refuses and counts calls of former owners (proxystandin.Sink.Audit). Rig.Close returns an error that names
-// each member that ended by itself, with the end of its log.
+// Play counts in Report.Failures the steps whose expectation did not hold in time, and with
+// healthy_never_dead each view that has a member dead that no step acted on; StepReport.LastFailure says what
+// was missing, and the record of the views shows when.
+//
+// The trials with a ledger compare three parties that count on their own: clients (Clients.Answers), the
+// ledger as any member shows it, and the stand-in for the billing sink. WaitExported returns an error that
+// names the first key or period in which they differ. The sink itself refuses and counts calls of former
+// owners (proxystandin.Sink.Audit).
+//
+// Rig.Close returns an error that names each member that ended by itself, with the end of its log.
 //
 // # Concurrency
 //
--- a/internal/testbed/clusterrig/export.go
+++ b/internal/testbed/clusterrig/export.go
@@ -15,22 +15,30 @@
 
 // SinkTotals returns the answers in the sink by key, summed over periods and corrections.
 func (r *Rig) SinkTotals() map[ledger.Key]int64 {
-	out := map[ledger.Key]int64{}
-	for _, e := range r.Sink.Entries() {
-		for _, l := range e.Lines {
-			out[ledger.Key{Tenant: e.Tenant, Class: l.Class, Answer: l.Answer}] += l.Count
+	totals := map[ledger.Key]int64{}
+	for _, entry := range r.Sink.Entries() {
+		for _, line := range entry.Lines {
+			totals[ledger.Key{Tenant: entry.Tenant, Class: line.Class, Answer: line.Answer}] += line.Count
 		}
 	}
-	return out
+	return totals
 }
 
+const (
+	// exportPollInterval is how often the sink is asked whether it has all answers.
+	exportPollInterval = 50 * time.Millisecond
+	// ledgerReadAttempts and ledgerReadInterval bound the search for a member that can read the ledger.
+	ledgerReadAttempts = 102
+	ledgerReadInterval = 20 * time.Millisecond
+)
+
 // WaitExported waits until the sink has all answers that clients got, and then checks that it has each period
 // and tenant of the ledger once and equal.
-func (r *Rig) WaitExported(ctx context.Context, l *Clients, limit time.Duration) error {
-	want, sum := l.Answers()
-	err := poll(ctx, limit, 50*time.Millisecond, func() error { return r.checkSinkTotals(want) })
+func (r *Rig) WaitExported(ctx context.Context, clients *Clients, limit time.Duration) error {
+	want := clients.Answers()
+	err := poll(ctx, limit, exportPollInterval, func() error { return r.checkSinkTotals(want) })
 	if err != nil {
-		return fmt.Errorf("of %d answers the ledger counts %d: %w", sum, r.ledgerAnswers(), err)
+		return fmt.Errorf("of %d answers the ledger counts %d: %w", clients.TotalAnswers(), r.ledgerAnswers(), err)
 	}
 	if _, _, err := r.Sink.Audit(); err != nil {
 		return err
@@ -41,9 +49,9 @@
 // ledgerAnswers returns how many answers the ledger counts, read at any member; -1 if none can read it.
 func (r *Rig) ledgerAnswers() int64 {
 	for _, m := range r.Running() {
-		var p daemon.LedgerPage
-		if m.GetJSON("/_ledger", &p) == nil && p.Ledger != nil {
-			return p.Ledger.Stats.Answers
+		var page daemon.LedgerPage
+		if m.GetJSON("/_ledger", &page) == nil && page.Ledger != nil {
+			return page.Ledger.Stats.Answers
 		}
 	}
 	return -1
@@ -52,14 +60,14 @@
 // checkSinkTotals checks that the sink's totals equal the answers.
 func (r *Rig) checkSinkTotals(want map[ledger.Key]int64) error {
 	got := r.SinkTotals()
-	for k, n := range want {
-		if got[k] != n {
-			return fmt.Errorf("%v: the sink has %d, clients got %d", k, got[k], n)
+	for key, count := range want {
+		if got[key] != count {
+			return fmt.Errorf("%v: the sink has %d, clients got %d", key, got[key], count)
 		}
 	}
-	for k, n := range got {
-		if _, ok := want[k]; !ok {
-			return fmt.Errorf("%v: the sink has %d, clients got none", k, n)
+	for key, count := range got {
+		if _, ok := want[key]; !ok {
+			return fmt.Errorf("%v: the sink has %d, clients got none", key, count)
 		}
 	}
 	return nil
@@ -67,18 +75,18 @@
 
 // checkSinkAgainstLedger checks that the sink's entries equal the ledger's rows, period by period.
 func (r *Rig) checkSinkAgainstLedger() error {
-	exported, usage, err := r.readLedger()
+	reading, err := r.readLedger()
 	if err != nil {
 		return err
 	}
 	entries := r.Sink.Entries()
-	for _, p := range usage.Periods {
-		if p.ID > exported {
+	for _, period := range reading.usage.Periods {
+		if period.ID > reading.exported {
 			continue
 		}
-		for _, want := range leaseholder.PeriodEntries(p.ID, p.Rows) {
+		for _, want := range leaseholder.PeriodEntries(period.ID, period.Rows) {
 			if got, ok := entries[want.ID]; !ok || !equalItems(got, want) {
-				return fmt.Errorf("period %d, %s: the sink has %+v, the ledger %+v", p.ID, want.Tenant, got, want)
+				return fmt.Errorf("period %d, %s: the sink has %+v, the ledger %+v", period.ID, want.Tenant, got, want)
 			}
 		}
 	}
@@ -94,11 +102,17 @@
 	return slices.EqualFunc(got.Lines, want.Items, equal)
 }
 
+// ledgerReading is the ledger as one member shows it.
+type ledgerReading struct {
+	exported uint64       // the last exported period, read before usage
+	usage    *ledger.View // of all periods
+}
+
 // readLedger reads the last exported period and then the ledger, at one member after the other until one can.
-func (r *Rig) readLedger() (exported uint64, usage *ledger.View, err error) {
-	const attempts = 102
+func (r *Rig) readLedger() (*ledgerReading, error) {
 	var page daemon.LedgerPage
-	for attempt := range attempts {
+	var err error
+	for attempt := range ledgerReadAttempts {
 		running := r.Running()
 		m := running[attempt%len(running)]
 		var owner leaseholder.Page
@@ -106,12 +120,12 @@
 			err = m.GetJSON("/_ledger", &page)
 		}
 		if err == nil && page.Ledger != nil {
-			return owner.Store.Exported, page.Ledger, nil
+			return &ledgerReading{exported: owner.Store.Exported, usage: page.Ledger}, nil
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(ledgerReadInterval)
 	}
 	if err == nil {
 		err = errors.New(page.Problem)
 	}
-	return 0, nil, fmt.Errorf("the ledger can't be read: %w", err)
+	return nil, fmt.Errorf("the ledger can't be read: %w", err)
 }
--- a/internal/testbed/clusterrig/ledger_test.go
+++ b/internal/testbed/clusterrig/ledger_test.go
@@ -94,7 +94,7 @@
 // before the member counts it.
 func waitCommitted(t *testing.T, r *Rig, l *Clients, limit time.Duration) {
 	t.Helper()
-	_, sum := l.Answers()
+	sum := l.TotalAnswers()
 	waitLedger(t, r.Running(), limit, "all is committed", func(_ *Member, p *daemon.LedgerPage) error {
 		if p.Here.Queued+p.Here.InMemory > 0 {
 			return fmt.Errorf("%d wait, %d in memory", p.Here.Queued, p.Here.InMemory)
@@ -140,7 +140,7 @@
 // got.
 func checkLedgerAnswers(t *testing.T, r *Rig, l *Clients) {
 	t.Helper()
-	want, sum := l.Answers()
+	want, sum := l.Answers(), l.TotalAnswers()
 	for _, m := range r.Running() {
 		got := ledgerTotals(t, m)
 		for k, n := range want {
--- a/internal/testbed/clusterrig/listcalls.go
+++ b/internal/testbed/clusterrig/listcalls.go
@@ -25,6 +25,13 @@
 	OutageFor = 8 * time.Second
 )
 
+const (
+	// afterOutage is how long calls are counted on after an outage.
+	afterOutage = 5 * time.Second
+	// phaseReadyTimeout bounds how long after a phase all members may take to be ready.
+	phaseReadyTimeout = time.Minute
+)
+
 // CountListCalls counts the members' calls on discovery, with an owner that fetches for all or without one.
 func CountListCalls(ctx context.Context, o Options, members int, owned bool) (*ListCalls, error) {
 	o.Members, o.Zones, o.Sink = members, 3, true
@@ -38,40 +45,49 @@
 		return nil, err
 	}
 	defer r.discard()
-	c := &ListCalls{Members: members, Owner: owned}
-	asked := 0
+	calls := &ListCalls{Members: members, Owner: owned}
+	before := 0
 	for _, phase := range []struct {
 		into *int
-		act  func() error
+		act  func(context.Context) error
 	}{
-		{&c.Start, func() error { return nil }},
-		{&c.Quiet, func() error { return sleep(ctx, QuietFor) }},
-		{&c.Rolling, func() error {
-			for _, m := range r.Members {
-				if err := errors.Join(r.Term(m, nil), r.Spawn(ctx, m, Unchanged)); err != nil {
-					return err
-				}
-			}
-			return nil
-		}},
-		{&c.Outage, func() error {
-			r.Discovery.Fail(true)
-			err := sleep(ctx, OutageFor)
-			r.Discovery.Fail(false)
-			return errors.Join(err, sleep(ctx, 5*time.Second))
-		}},
-		{&c.AtOnce, func() error {
-			r.Kill(r.Members...)
-			return r.SpawnAll(ctx, r.Members)
-		}},
+		{&calls.Start, func(context.Context) error { return nil }},
+		{&calls.Quiet, func(ctx context.Context) error { return sleep(ctx, QuietFor) }},
+		{&calls.Rolling, r.restartInTurn},
+		{&calls.Outage, r.failDiscovery},
+		{&calls.AtOnce, r.restartAtOnce},
 	} {
-		if err := errors.Join(phase.act(), r.waitReady(ctx, 60*time.Second)); err != nil {
+		if err := errors.Join(phase.act(ctx), r.waitReady(ctx, phaseReadyTimeout)); err != nil {
 			return nil, err
 		}
 		now := r.Discovery.Calls()
-		*phase.into, asked = now-asked, now
+		*phase.into, before = now-before, now
 	}
-	c.Seconds = time.Since(started).Seconds()
-	c.Minute = float64(asked) / c.Seconds * 60
-	return c, nil
+	calls.Seconds = time.Since(started).Seconds()
+	calls.Minute = float64(before) / calls.Seconds * 60
+	return calls, nil
+}
+
+// restartInTurn restarts every member, one after the other.
+func (r *Rig) restartInTurn(ctx context.Context) error {
+	for _, m := range r.Members {
+		if err := errors.Join(r.Term(m, nil), r.Spawn(ctx, m, Unchanged)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// failDiscovery lets discovery fail for OutageFor, and waits while members come back to it.
+func (r *Rig) failDiscovery(ctx context.Context) error {
+	r.Discovery.Fail(true)
+	err := sleep(ctx, OutageFor)
+	r.Discovery.Fail(false)
+	return errors.Join(err, sleep(ctx, afterOutage))
+}
+
+// restartAtOnce kills all members at once and starts them again.
+func (r *Rig) restartAtOnce(ctx context.Context) error {
+	r.Kill(r.Members...)
+	return r.SpawnAll(ctx, r.Members)
 }
--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -93,39 +93,45 @@
 func (m *measurement) start(name string) error {
 	dir := filepath.Join(m.opts.Dir, name)
 	log := slog.New(slog.DiscardHandler)
-	member := &measuredMember{}
-	var err error
-	member.host, err = raftgroup.Open(raftgroup.Options{Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure",
-		Replicas: measuredReplicas, BootstrapExpect: measuredReplicas, MaxLearnerLag: maxLearnerLag,
-		HeartbeatInterval: 100 * time.Millisecond,
-		ElectionTimeout:   time.Second,
-		GoneAfter:         time.Hour, SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Groups: []string{measureGroup},
-		Log: log, NewStateMachine: func(string) raftgroup.StateMachine {
-			l, _ := groupstate.New(ledger.Settings{MaxPeriods: 1440, DedupPeriods: 2, MaxIDs: 1_000_000,
-				MaxTenants: 10_000,
-				MaxMembers: 4096})
-			return l
-		}})
+	host, err := openHost(name, dir, log)
 	if err != nil {
 		return err
 	}
-	member.recorder, err = pending.Open(pending.Options{Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond,
-		MaxQueuedBytes: 64 << 20, Log: log, Propose: func(ctx context.Context, b []byte) (ledger.Result, error) {
-			return pending.DecodeResult(member.host.Propose(ctx, measureGroup, b))
-		}})
+	recorder, err := pending.Open(pending.Options{
+		Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond, MaxQueuedBytes: 64 << 20, Log: log,
+		Propose: func(ctx context.Context, batch []byte) (ledger.Result, error) {
+			return pending.DecodeResult(host.Propose(ctx, measureGroup, batch))
+		},
+	})
 	if err != nil {
-		return errors.Join(err, member.host.Close())
+		return errors.Join(err, host.Close())
 	}
 	m.mu.Lock()
-	m.members[name] = member
+	m.members[name] = &measuredMember{host: host, recorder: recorder}
 	m.mu.Unlock()
-	if err := member.host.Run(m.peers); err != nil {
+	if err := host.Run(m.peers); err != nil {
 		return err
 	}
-	member.recorder.Run()
+	recorder.Run()
 	return nil
 }
 
+// openHost opens a member's replica host, on its disk.
+func openHost(name, dir string, log *slog.Logger) (*raftgroup.Host, error) {
+	limits := ledger.Settings{MaxPeriods: 1440, DedupPeriods: 2, MaxIDs: 1_000_000, MaxTenants: 10_000,
+		MaxMembers: 4096}
+	return raftgroup.Open(raftgroup.Options{
+		Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure", Groups: []string{measureGroup},
+		Replicas: measuredReplicas, BootstrapExpect: measuredReplicas, MaxLearnerLag: maxLearnerLag,
+		HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: time.Second, GoneAfter: time.Hour,
+		SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Log: log,
+		NewStateMachine: func(string) raftgroup.StateMachine {
+			machine, _ := groupstate.New(limits) // it fails only for limits that make no sense
+			return machine
+		},
+	})
+}
+
 // Measure lets three members count answers at the rate, then fills the log and lets a wiped replica catch up.
 func Measure(ctx context.Context, o MeasureOptions) (r Measured, err error) {
 	m := &measurement{opts: o, members: map[string]*measuredMember{}}
--- a/internal/testbed/clusterrig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -35,7 +35,7 @@
 func checkExported(t *testing.T, r *Rig, l *Clients) {
 	t.Helper()
 	must(t, r.WaitExported(testContext(t), l, 20*time.Second))
-	_, sum := l.Answers()
+	sum := l.TotalAnswers()
 	_, refused, _ := r.Sink.Audit()
 	t.Logf("%d answers, all in the sink, in %d entries of %d calls, %d of them refused; discovery refused %d",
 		sum, len(r.Sink.Entries()), len(r.Sink.Calls()), refused, r.Discovery.OwnerCalls().Stale)
--- a/internal/testbed/clusterrig/ownerfaults.go
+++ b/internal/testbed/clusterrig/ownerfaults.go
@@ -35,19 +35,20 @@
 func (r *Rig) FaultOwners(ctx context.Context, lease time.Duration, pauses, partitions int) (FaultedOwners,
 	error) {
 	rep := FaultedOwners{Pauses: pauses, Partitions: partitions}
-	var took []time.Duration
-	repeats := pauses + partitions
-	for i := 0; i < pauses+partitions; i++ {
-		t, err := r.faultOwner(ctx, lease, i < pauses)
-		if errors.Is(err, errLateCallTimedOut) && repeats > 0 {
+	rounds := pauses + partitions
+	repeats := rounds
+	var took []time.Duration // of the rounds that showed something
+	for len(took) < rounds {
+		round := len(took)
+		last, err := r.faultOwner(ctx, lease, round < pauses)
+		switch {
+		case err == nil:
+			took = append(took, last)
+		case errors.Is(err, errLateCallTimedOut) && repeats > 0:
 			repeats--
-			i--
-			continue
+		default:
+			return rep, fmt.Errorf("round %d: %w", round, err)
 		}
-		if err != nil {
-			return rep, fmt.Errorf("round %d: %w", i, err)
-		}
-		took = append(took, t)
 	}
 	slices.Sort(took)
 	rep.Median, rep.Worst = took[len(took)/2], took[len(took)-1]
@@ -68,36 +69,21 @@
 	if err != nil {
 		return 0, err
 	}
-	delay := lease
-	if !pause { // nothing else delays the call
-		delay = 3 * lease
-	}
 	failedBefore, err := failedCalls(old.Member)
 	if err != nil {
 		return 0, err
 	}
-	if err := delayCalls(ctx, old.Member, delay); err != nil {
+	if err := delayCalls(ctx, old.Member, callDelay(lease, pause)); err != nil {
 		return 0, err
 	}
 	started := time.Now()
 	if err := r.isolate(old.Member, pause); err != nil {
 		return 0, err
 	}
-	next, err := r.WaitOwner(ctx, ownerTimeout, old.Member)
-	if err != nil {
-		return 0, fmt.Errorf("%s: %w", old.Name, err)
-	}
-	took = time.Since(started)
-	if next.Token <= old.Token {
-		return took, fmt.Errorf("%s has token %d after %d", next.Name, next.Token, old.Token)
-	}
-	err = r.waitSinkCall(ctx, fmt.Sprintf("of token %d", next.Token), func(c proxystandin.SinkCall) bool {
-		return c.Token >= next.Token
-	})
-	if err != nil {
+	if took, err = r.awaitSuccessor(ctx, old, started); err != nil {
 		return took, err
 	}
-	time.Sleep(3*lease - time.Since(started)) // the length of the fault; nothing is judged by it
+	time.Sleep(faultLeases*lease - time.Since(started)) // nothing is judged by the length of the fault
 	if err := r.rejoin(old.Member, pause); err != nil {
 		return took, err
 	}
@@ -108,6 +94,33 @@
 	return took, lateErr
 }
 
+// faultLeases is how many leases a fault of an owner lasts.
+const faultLeases = 3
+
+// callDelay is how long a former owner's call is delayed, so that it goes out after the fault: the pause
+// itself delays it, and in a partition nothing else does.
+func callDelay(lease time.Duration, pause bool) time.Duration {
+	if pause {
+		return lease
+	}
+	return faultLeases * lease
+}
+
+// awaitSuccessor waits until another member owns the roles under a higher token, and the sink has seen a call
+// of that one. It returns how long after the begin of the fault the member owned the roles.
+func (r *Rig) awaitSuccessor(ctx context.Context, old Ownership, began time.Time) (time.Duration, error) {
+	next, err := r.WaitOwner(ctx, ownerTimeout, old.Member)
+	if err != nil {
+		return 0, fmt.Errorf("%s: %w", old.Name, err)
+	}
+	took := time.Since(began)
+	if next.Token <= old.Token {
+		return took, fmt.Errorf("%s has token %d after %d", next.Name, next.Token, old.Token)
+	}
+	what := fmt.Sprintf("of token %d", next.Token)
+	return took, r.waitSinkCall(ctx, what, func(c proxystandin.SinkCall) bool { return c.Token >= next.Token })
+}
+
 // errLateCallTimedOut is returned if a former owner's call ended by its own timeout before it reached the
 // sink.
 var errLateCallTimedOut = errors.New("the late call timed out before it reached the sink")
--- a/internal/testbed/clusterrig/ownertrial.go
+++ b/internal/testbed/clusterrig/ownertrial.go
@@ -76,7 +76,7 @@
 	if err := r.WaitExported(ctx, clients, time.Minute); err != nil {
 		return nil, err
 	}
-	_, rep.Answers = clients.Answers()
+	rep.Answers = clients.TotalAnswers()
 	return rep, r.summarizeOwnerTrial(rep)
 }
 
--- a/internal/testbed/clusterrig/player.go
+++ b/internal/testbed/clusterrig/player.go
@@ -231,19 +231,19 @@
 			return
 		case <-tick.C:
 			at := time.Since(p.start)
-			for by, v := range FetchViews(p.Running()) {
-				p.sample(at, by, v)
+			for observer, view := range FetchViews(p.Running()) {
+				p.sample(at, observer, view)
 			}
 		}
 	}
 }
 
 // sample adds a view to the report, and to the record if it has changed.
-func (p *player) sample(at time.Duration, by string, v gossip.Page) {
-	sees := map[string]string{}
+func (p *player) sample(at time.Duration, observer string, view gossip.Page) {
+	statuses := map[string]string{}
 	alive := 0
-	for _, m := range v.Members {
-		sees[m.Name] = m.Status
+	for _, m := range view.Members {
+		statuses[m.Name] = m.Status
 		if m.Status == "alive" || m.Status == "suspect" {
 			alive++
 		}
@@ -252,10 +252,10 @@
 		}
 	}
 	p.report.Views++
-	p.report.samples = append(p.report.samples, sample{at, by, alive})
-	if !maps.Equal(sees, p.lastViews[by]) {
-		p.lastViews[by] = sees
-		p.record(event{MS: at.Milliseconds(), By: by, Sees: sees})
+	p.report.samples = append(p.report.samples, sample{at, observer, alive})
+	if !maps.Equal(statuses, p.lastViews[observer]) {
+		p.lastViews[observer] = statuses
+		p.record(event{MS: at.Milliseconds(), Observer: observer, View: statuses})
 	}
 }
 
@@ -275,17 +275,18 @@
 // moments.
 func (p *player) summarizeTraffic(before, after Views) {
 	r := p.report
-	for name, v := range after {
-		r.Suspicions += v.Counters.Suspicions
-		r.Refutations += v.Counters.Refutations
-		b, ok := before[name]
+	for name, later := range after {
+		r.Suspicions += later.Counters.Suspicions
+		r.Refutations += later.Counters.Refutations
+		earlier, ok := before[name]
 		if !ok || slices.Contains(p.touched, name) {
 			continue
 		}
 		r.MeasuredMembers++
-		r.BytesPerSecond += float64(v.Counters.BytesOut - b.Counters.BytesOut)
-		r.PacketsPerSecond += float64(v.Counters.PacketsOut - b.Counters.PacketsOut + v.Counters.StreamsOut -
-			b.Counters.StreamsOut)
+		r.BytesPerSecond += float64(later.Counters.BytesOut - earlier.Counters.BytesOut)
+		packets := later.Counters.PacketsOut - earlier.Counters.PacketsOut
+		streams := later.Counters.StreamsOut - earlier.Counters.StreamsOut
+		r.PacketsPerSecond += float64(packets + streams)
 	}
 	if r.MeasuredMembers > 0 {
 		r.BytesPerSecond /= float64(r.MeasuredMembers) * r.Seconds
--- a/internal/testbed/clusterrig/player_test.go
+++ b/internal/testbed/clusterrig/player_test.go
@@ -37,7 +37,7 @@
 	for _, raw := range bytes.Split(bytes.TrimSpace(rec.Bytes()), []byte("\n")) {
 		var l event
 		must(t, json.Unmarshal(raw, &l))
-		seen = seen || l.By == "m-1" && l.Sees["m-0"] == "dead"
+		seen = seen || l.Observer == "m-1" && l.View["m-0"] == "dead"
 	}
 	if !seen {
 		t.Error("the record never has m-1 see m-0 dead")
--- a/internal/testbed/clusterrig/report.go
+++ b/internal/testbed/clusterrig/report.go
@@ -51,9 +51,9 @@
 
 // sample is the number of members alive in a view at a time since the start.
 type sample struct {
-	at    time.Duration
-	by    string
-	alive int
+	at       time.Duration
+	observer string
+	alive    int
 }
 
 // stepStart is when a step began.
@@ -64,12 +64,12 @@
 
 // event is one line of the record: a changed view, or the start or end of a step.
 type event struct {
-	MS    int64             `json:"ms"`
-	By    string            `json:"by,omitempty"`
-	Sees  map[string]string `json:"sees,omitempty"`
-	Step  string            `json:"step,omitempty"`
-	Took  *int64            `json:"took_ms,omitempty"`
-	Error string            `json:"error,omitempty"`
+	MS       int64             `json:"ms"`
+	Observer string            `json:"by,omitempty"`
+	View     map[string]string `json:"sees,omitempty"` // the status of each member
+	Step     string            `json:"step,omitempty"`
+	Took     *int64            `json:"took_ms,omitempty"`
+	Error    string            `json:"error,omitempty"`
 }
 
 // Print writes the report as tables.
@@ -121,7 +121,7 @@
 	p.Add(plotter.NewGrid())
 	lines := map[string]plotter.XYs{}
 	for _, s := range r.samples {
-		lines[s.by] = append(lines[s.by], plotter.XY{X: s.at.Seconds(), Y: float64(s.alive)})
+		lines[s.observer] = append(lines[s.observer], plotter.XY{X: s.at.Seconds(), Y: float64(s.alive)})
 	}
 	for i, by := range slices.Sorted(maps.Keys(lines)) {
 		l, err := plotter.NewLine(lines[by])
--- a/internal/testbed/clusterrig/rig.go
+++ b/internal/testbed/clusterrig/rig.go
@@ -75,13 +75,8 @@
 	if o.Log != nil {
 		r.log = &lockedWriter{w: o.Log}
 	}
-	for i := range o.Members {
-		m := &Member{Name: fmt.Sprintf("m-%d", i), state: Ended}
-		m.Data = filepath.Join(o.Dir, m.Name)
-		if len(o.Halls) > 0 {
-			m.Hall = o.Halls[i%len(o.Halls)]
-		}
-		r.Members = append(r.Members, m)
+	for number := range o.Members {
+		r.addMember(number)
 	}
 	err := r.startStandIns()
 	if err == nil {
@@ -94,6 +89,16 @@
 	return r, nil
 }
 
+// addMember adds the member of that number, which has no process yet.
+func (r *Rig) addMember(number int) {
+	m := &Member{Name: fmt.Sprintf("m-%d", number), state: Ended}
+	m.Data = filepath.Join(r.opts.Dir, m.Name)
+	if halls := r.opts.Halls; len(halls) > 0 {
+		m.Hall = halls[number%len(halls)]
+	}
+	r.Members = append(r.Members, m)
+}
+
 // startStandIns starts the stand-ins and the faulty network that the options ask for.
 func (r *Rig) startStandIns() (err error) {
 	if r.opts.Zones > 0 {
@@ -157,7 +162,7 @@
 // Spawn starts a member's process and waits until it is ready. If another process has taken the gossip port
 // of its earlier incarnation meanwhile, which happens on a busy machine, it gossips at a new address.
 func (r *Rig) Spawn(ctx context.Context, m *Member, change Change) error {
-	if s := m.State(); s == Up || s == Paused {
+	if state := m.State(); state == Up || state == Paused {
 		return fmt.Errorf("%s runs", m.Name)
 	}
 	if change == EmptyDisk {
@@ -165,22 +170,30 @@
 			return err
 		}
 	}
-	moved := change == NewAddress
-	err := r.start(ctx, m, moved)
+	if change == NewAddress {
+		return r.start(ctx, m, true)
+	}
+	err := r.start(ctx, m, false)
 	for range rebindAttempts {
-		if err == nil || moved || !strings.Contains(err.Error(), "address already in use") {
+		if !isAddressInUse(err) {
 			return err
 		}
 		time.Sleep(rebindInterval)
 		err = r.start(ctx, m, false)
 	}
 	if err != nil {
-		err = r.start(ctx, m, true)
+		return r.start(ctx, m, true)
 	}
-	return err
+	return nil
+}
+
+// isAddressInUse reports whether a process ended at its start as its address was taken, which only its log
+// tells.
+func isAddressInUse(err error) bool {
+	return err != nil && strings.Contains(err.Error(), syscall.EADDRINUSE.Error())
 }
 
-// start starts a member's process once.
+// start starts a member's process once; moved lets it gossip at another address.
 func (r *Rig) start(ctx context.Context, m *Member, moved bool) error {
 	if err := os.MkdirAll(m.Data, 0o700); err != nil {
 		return err
@@ -199,17 +212,17 @@
 	if r.log != nil {
 		log = r.log
 	}
-	p, err := childprocess.Start(ctx, r.opts.Program, file, nil, log)
+	process, err := childprocess.Start(ctx, r.opts.Program, file, nil, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.Name, err)
 	}
-	m.process = p
-	m.Gossip, m.Admin, m.Listen = p.Field("gossip"), p.Field("operator"), p.Field("listen")
+	m.process = process
+	m.Gossip, m.Admin, m.Listen = process.Field("gossip"), process.Field("operator"), process.Field("listen")
 	m.setState(Up)
 	if r.Net == nil {
 		return nil
 	}
-	if m.Ledger = p.Field("ledger"); m.Ledger != "" {
+	if m.Ledger = process.Field("ledger"); m.Ledger != "" {
 		if err := r.Net.AddAddress(m.Name, m.Ledger); err != nil {
 			return err
 		}
--- a/internal/testbed/clusterrig/soak.go
+++ b/internal/testbed/clusterrig/soak.go
@@ -80,7 +80,7 @@
 
 // soakSample samples the members now.
 func (r *Rig) soakSample(l *Clients) (s SoakSample, err error) {
-	_, s.Answers = l.Answers()
+	s.Answers = l.TotalAnswers()
 	s.Entries = len(r.Sink.Entries())
 	for _, m := range r.Members {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", m.process.ID()))
--- a/internal/testbed/clusterrig/storm.go
+++ b/internal/testbed/clusterrig/storm.go
@@ -81,7 +81,7 @@
 
 // stormTotals returns the totals so far.
 func (r *Rig) stormTotals(c *Clients) (s StormTotals) {
-	_, s.Requests = c.Answers()
+	s.Requests = c.TotalAnswers()
 	s.Lost = c.Lost()
 	for _, z := range r.Zones.Counts() {
 		s.Probes += z.Probes
