--- a/internal/testbed/clusterrig/configuration.go
+++ b/internal/testbed/clusterrig/configuration.go
@@ -56,7 +56,7 @@
 	if bind == "" || moved {
 		bind = "127.0.0.1:0"
 	}
-	section := fmt.Sprintf("[fleet]\nbind = %q\n%s\n", bind, r.opts.FleetTOML)
+	section := fmt.Sprintf("[fleet]\nbind = %q\nlabel = %q\n%s\n", bind, r.label, r.opts.FleetTOML)
 	if seeds := r.seedAddresses(m); len(seeds) > 0 {
 		section += "seeds = " + tomlList(seeds) + "\n"
 	}
--- a/internal/testbed/clusterrig/rig.go
+++ b/internal/testbed/clusterrig/rig.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"slices"
@@ -54,9 +55,15 @@
 	Sink      *proxystandin.Sink  // nil without Options.Sink
 
 	opts Options
-	log  *lockedWriter
+	// label keeps the members apart from those of other rigs, which have the same names: a member may get a
+	// gossip port at which members of another rig still look for one of theirs that was killed.
+	label string
+	log   *lockedWriter
 }
 
+// newLabel draws a label. It is as long as the default one, so that traffic is measured as in a deployment.
+func newLabel() string { return fmt.Sprintf("%08x", rand.Uint32()) }
+
 // lockedWriter lets several processes log to one writer.
 type lockedWriter struct {
 	mu sync.Mutex
@@ -71,7 +78,7 @@
 
 // Start starts the stand-ins and the members: the seeds one after the other, then the others concurrently.
 func Start(ctx context.Context, o Options) (*Rig, error) {
-	r := &Rig{opts: o}
+	r := &Rig{opts: o, label: newLabel()}
 	if o.Log != nil {
 		r.log = &lockedWriter{w: o.Log}
 	}
--- a/internal/testbed/clusterrig/rig_test.go
+++ b/internal/testbed/clusterrig/rig_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -293,7 +294,7 @@
 		t.Errorf("the twin ended with %v and said\n%s", err, out)
 	}
 	// Its label is another in the file now, which takes a restart.
-	changed := strings.Replace(string(text), "[fleet]\n", "[fleet]\nlabel = \"other\"\n", 1)
+	changed := strings.Replace(string(text), fmt.Sprintf("label = %q", r.label), `label = "other"`, 1)
 	must(t, os.WriteFile(filepath.Join(r.opts.Dir, m.Name+".toml"), []byte(changed), 0o600))
 	must(t, m.process.Signal(1))
 	for range 200 {
@@ -306,7 +307,7 @@
 		t.Errorf("the refusal of the reload was not logged:\n%s", m.Log())
 	}
 	for by, p := range FetchViews(r.Members) {
-		if err := OnlyAlive(MemberNames(r.Members)...)(p); err != nil || p.Label != "cresshub" {
+		if err := OnlyAlive(MemberNames(r.Members)...)(p); err != nil || p.Label != r.label {
 			t.Errorf("%s, label %q: %v", by, p.Label, err)
 		}
 		if s, _ := FindMember(p, m.Name); s.Flaps != 0 {
@@ -314,3 +315,30 @@
 		}
 	}
 }
+
+// A rig whose members come upon those of another one, by an address that was theirs before, stays apart from
+// it, though names and settings are the same.
+func TestRigsStayApart(t *testing.T) {
+	t.Parallel()
+	first := start(t, Options{Members: 2})
+	seeds := fmt.Sprintf("seeds = [%q]\n", first.Members[0].Gossip)
+	second := start(t, Options{Members: 1, FleetTOML: DefaultFleetTOML() + seeds})
+	rejected := func() error {
+		var page gossip.Page
+		if err := first.Members[0].GetJSON("/_fleet", &page); err != nil {
+			return err
+		}
+		if page.Counters.OtherLabel == 0 {
+			return errors.New("the first rig got nothing of the second")
+		}
+		return nil
+	}
+	must(t, poll(testContext(t), 15*time.Second, pollInterval, rejected))
+	for _, r := range []*Rig{first, second} {
+		for by, page := range FetchViews(r.Members) {
+			if err := OnlyAlive(MemberNames(r.Members)...)(page); err != nil {
+				t.Errorf("%s: %v", by, err)
+			}
+		}
+	}
+}
