--- a/internal/testbed/faultinject/files.go
+++ b/internal/testbed/faultinject/files.go
@@ -20,7 +20,8 @@
 // Files returns the file system of the process.
 func (f *Faults) Files() segmentlog.FS { return &files{faults: f} }
 
-// begin passes a numbered point, waits while the disk hangs or is slow, and returns how the disk behaves then.
+// begin passes a numbered point, waits while the disk hangs or is slow, and returns how the disk behaves
+// then.
 func (f *files) begin() DiskMode {
 	f.faults.passPoint()
 	for f.faults.diskMode() == DiskHang {
--- a/internal/testbed/proxytrial/report.go
+++ b/internal/testbed/proxytrial/report.go
@@ -58,7 +58,8 @@
 	r := &Report{
 		Offered: t.Offered, Served: t.ByKind[proxystandin.Served], InTime: t.InTime,
 		Refused: t.ByKind[proxystandin.Refused],
-		P50:     milliseconds(t.P50), P99: milliseconds(t.P99), Max: milliseconds(t.Max), Seconds: seconds, Rate: o.Rate, Fault: o.Fault,
+		P50:     milliseconds(t.P50), P99: milliseconds(t.P99), Max: milliseconds(t.Max),
+		Seconds: seconds, Rate: o.Rate, Fault: o.Fault,
 		Lag: milliseconds(t.Lag), NotSent: t.ByKind[proxystandin.NotSent], ListCalls: f.Discovery.Calls(),
 		Servers: []ServerReport{},
 		Rules: map[string]int{
