--- a/internal/testbed/routertrial/doc.go
+++ b/internal/testbed/routertrial/doc.go
@@ -5,9 +5,10 @@
 // # Starting a trial
 //
 // Run is a trial with one fault in the middle if wanted (cresshub-fleet try --trouble kill). Soak injects
-// rounds of overlapping faults drawn from a seed (cresshub-fleet soak --first 7); the same seed draws the same
-// faults, but the processes' timing differs from run to run. The tests run both, four fleets at a time; a
-// longer soak, and the hunt, which draws faults without fault injection inside the processes, run on demand:
+// rounds of overlapping faults drawn from a seed (cresshub-fleet soak --first 7); the same seed draws the
+// same faults, but the processes' timing differs from run to run. The tests run both, four fleets at a time;
+// a longer soak, and the hunt, which draws faults without fault injection inside the processes, run on
+// demand:
 //
 //	go test ./internal/testbed/routertrial -run TestSoak -soak 50 -timeout 2h
 //	go test ./internal/testbed/routertrial -run TestHunt -hunt 20 -logs /tmp -timeout 1h
@@ -23,7 +24,8 @@
 // (routerstandin.Rule). This package adds what only the trial can observe, each as a violation of a rule:
 //
 //   - FAULT: a process ends by itself or badly after SIGTERM, or does not release what requests took;
-//   - INVARIANT: a process logs a violated invariant or a panic (process_log.go), or its metrics count one;
+//   - INVARIANT: a process logs a violated invariant or a panic (process_log.go), or its metrics count a
+//     violated invariant or lack the counts (soak_checks.go);
 //   - RECOVER: the fleet is not ready again soon after the faults of a round;
 //   - CONFIG: a machine shows no configuration at the end, or a change is refused that raced with no other.
 //
@@ -39,7 +41,7 @@
 //
 // # Files
 //
-// trial.go and soak.go are the courses of a trial and of a soak, fleet.go, machine.go and servers.go what they
-// run on. faults.go has the faults of a trial, soak_faults.go the list of those of a soak. settings.go and
-// configuration.go are what platform and operator give the fleet.
+// trial.go and soak.go are the courses of a trial and of a soak, fleet.go, machine.go and servers.go what
+// they run on. faults.go has the faults of a trial, soak_faults.go the list of those of a soak. settings.go
+// and configuration.go are what platform and operator give the fleet.
 package routertrial
--- a/internal/testbed/routertrial/soak_checks.go
+++ b/internal/testbed/routertrial/soak_checks.go
@@ -72,15 +72,30 @@
 	}
 }
 
-// violationsMetric is the metric that counts broken invariants.
+// violationsMetric begins the lines of the metric that counts broken invariants, one for each check.
 const violationsMetric = "cresshub_invariant_violations_total{"
 
-func (s *soak) checkInvariantMetrics(m *Machine, page []byte) {
+// checkInvariantMetrics records a violation for each broken invariant that a page of metrics counts, and for
+// a page without the counts: if the metric got another name, nobody would notice a violation. A machine that
+// did not answer has no page, which breaks no rule here.
+func (f *Fleet) checkInvariantMetrics(m *Machine, page []byte) {
+	if page == nil {
+		return
+	}
+	checks := 0
 	for line := range bytes.Lines(page) {
 		line = bytes.TrimSpace(line)
-		if bytes.HasPrefix(line, []byte(violationsMetric)) && !bytes.HasSuffix(line, []byte(" 0")) {
-			s.Observations.RecordViolation(routerstandin.RuleInvariant, "%s tells %s", m.Name, line)
+		if !bytes.HasPrefix(line, []byte(violationsMetric)) {
+			continue
 		}
+		checks++
+		if !bytes.HasSuffix(line, []byte(" 0")) {
+			f.Observations.RecordViolation(routerstandin.RuleInvariant, "%s tells %s", m.Name, line)
+		}
+	}
+	if checks == 0 {
+		f.Observations.RecordViolation(routerstandin.RuleInvariant, "%s tells nothing of %s...}", m.Name,
+			violationsMetric)
 	}
 }
 
