--- a/internal/proxy/ingress/usage.go
+++ b/internal/proxy/ingress/usage.go
@@ -7,49 +7,63 @@
 	"cresshub/internal/proxy/stats"
 )
 
+// answer is what a final response counts as. The texts are stored, and are part of the names of metrics.
+type answer string
+
+// The kinds of answers. The zero value counts as nothing.
+const (
+	answerPassed     answer = "passed"      // the response of a server
+	answerDropped    answer = "dropped"     // rejected
+	answerBadGateway answer = "bad_gateway" // an error: the request is invalid, or its attempts failed
+)
+
+// counter is the counter of such answers among those of a class; nil if there is none.
+func (a answer) counter(class *stats.Handled) *stats.Counter {
+	switch a {
+	case answerPassed:
+		return &class.Passed
+	case answerDropped:
+		return &class.Dropped
+	case answerBadGateway:
+		return &class.Failed
+	}
+	return nil
+}
+
 // Usage is one final response that was written, as the usage ledger counts it.
 type Usage struct {
 	Tenant, Class string
-	Answer        string // passed, dropped or bad_gateway, as in the metrics
+	Answer        string // passed, dropped or bad_gateway
 	ID            uint64 // hash (xxhash) of the id of the request's first attempt; 0 if it has none
 	In, Out       int64  // bytes of the bodies of request and response
 }
 
 // startUsage begins the usage of a request, where usage is counted.
-func (s *Server) startUsage(c *client, q *http1.Request, class int) {
+func (s *Server) startUsage(c *client, message *http1.Request, class int) {
 	c.usage = nil
 	if s.RecordUsage == nil || class < 0 {
 		return
 	}
-	u := &Usage{Tenant: q.Header.Get(tenantField), Class: s.Classes[class]}
-	id := q.Header.Get(firstAttemptIDField)
+	u := &Usage{Tenant: message.Header.Get(tenantField), Class: s.Classes[class]}
+	id := message.Header.Get(firstAttemptIDField)
 	if id == "" {
-		id = q.Header.Get(idField)
+		id = message.Header.Get(idField)
 	}
 	if id != "" {
 		u.ID = xxhash.Sum64String(id)
 	}
-	c.usage, c.usageClass = u, class
+	c.usage = u
 }
 
-// reportUsage reports a request's usage once its final response has been written; counter is what counted it.
-func (s *Server) reportUsage(c *client, counter *stats.Counter, out int64) {
-	u := c.usage
-	if u == nil || counter == nil {
+// countAnswer counts a final response that was written, in the counters of its class and as usage. out is the
+// number of bytes of its body.
+func (s *Server) countAnswer(c *client, class *stats.Handled, a answer, out int64) {
+	a.counter(class).Add()
+	usage := c.usage
+	if usage == nil || a == "" {
 		return
 	}
 	c.usage = nil
-	class := s.Stats.Class(c.usageClass)
-	switch counter {
-	case &class.Passed:
-		u.Answer = "passed"
-	case &class.Dropped:
-		u.Answer = "dropped"
-	case &class.Failed:
-		u.Answer = "bad_gateway"
-	default:
-		return
-	}
-	u.Out = out
-	s.RecordUsage(*u)
+	usage.Answer, usage.Out = string(a), out
+	s.RecordUsage(*usage)
 }
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -126,24 +126,24 @@
 	c.Assert(peerproto.Decode(readGolden(c, "status.bin"), &status), qt.IsNil)
 	c.Assert(status, qt.DeepEquals, peerproto.Status{ID: "proxy-1", Epoch: 7, Members: goldenMembers()})
 
-	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(a.nextFeed(0, -1)))
+	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(a.feeds.next(0, -1)))
 	var snapshot, feed peerproto.Feed
 	c.Assert(peerproto.Decode(readGolden(c, "feed_snapshot.bin"), &snapshot), qt.IsNil)
 	c.Assert(snapshot, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", To: 3, Records: goldenRecords(),
 		Config: []byte{}, Epoch: 7, Members: goldenMembers()})
-	checkGolden(c, "feed_piece.bin", peerproto.Encode(a.nextFeed(2, 7)))
+	checkGolden(c, "feed_piece.bin", peerproto.Encode(a.feeds.next(2, 7)))
 	c.Assert(peerproto.Decode(readGolden(c, "feed_piece.bin"), &feed), qt.IsNil)
 	c.Assert(feed, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", From: 2, To: 3,
 		Records: goldenRecords()[2:], Config: []byte{}, Epoch: 7,
 		Members: []peerproto.MemberInfo{}})
 
-	checkGolden(c, "compare.bin", peerproto.Encode(&peerproto.Comparison{Digest: a.digest()}))
+	checkGolden(c, "compare.bin", peerproto.Encode(&peerproto.Comparison{Digest: a.antiEntropy.digest()}))
 	var request peerproto.Comparison
 	c.Assert(peerproto.Decode(readGolden(c, "compare.bin"), &request), qt.IsNil)
 	follower := newTestAgent(t)
-	c.Assert(follower.digest(), qt.Not(qt.DeepEquals), request.Digest)
+	c.Assert(follower.antiEntropy.digest(), qt.Not(qt.DeepEquals), request.Digest)
 	follower.state.merge(follower.now(), snapshot.Records)
-	c.Assert(follower.digest(), qt.DeepEquals, request.Digest)
+	c.Assert(follower.antiEntropy.digest(), qt.DeepEquals, request.Digest)
 }
 
 // recordingWorkload records the load of the others that a process was sent.
@@ -217,12 +217,12 @@
 func TestGoldenConfigurationsAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	a := goldenAgent(t)
-	a.applyDocument([]byte(goldenDocument))
-	checkGolden(c, "config_result.bin", peerproto.Encode(a.configInForce()))
+	a.configSync.applyDocument([]byte(goldenDocument))
+	checkGolden(c, "config_result.bin", peerproto.Encode(a.configSync.inForce()))
 	adoptPatch(c, a, goldenPatch)
 	config := a.state.Config()
-	checkGolden(c, "config_patches.bin", a.configUpdate(config, 40))
-	checkGolden(c, "config_packed.bin", a.configUpdate(config, 0))
+	checkGolden(c, "config_patches.bin", a.configSync.updateSince(config, 40))
+	checkGolden(c, "config_packed.bin", a.configSync.updateSince(config, 0))
 	patch, err := fleetconfig.ParsePatch(40, []byte(goldenPatch))
 	c.Assert(err, qt.IsNil)
 	checkGolden(c, "config_stored.bin", fleetconfig.EncodeStored(patch, config.Raw()))
@@ -232,18 +232,18 @@
 	c.Assert(peerproto.Decode(readGolden(c, "config_result.bin"), &result), qt.IsNil)
 	c.Assert(result.Outcome, qt.Equals, peerproto.OutcomeAccepted)
 	c.Assert(result.Version, qt.Equals, int64(40))
-	follower.applyPacked(result.Body)
+	follower.configSync.applyPacked(result.Body)
 	checkConfig(c, follower, 40, goldenDocument)
-	follower.applyPacked(readGolden(c, "config_patches.bin"))
+	follower.configSync.applyPacked(readGolden(c, "config_patches.bin"))
 	checkConfig(c, follower, 41, goldenPatched)
 
 	for _, before := range []string{"", goldenDocument} {
 		packed, stored := goldenAgent(t), goldenAgent(t)
-		packed.applyDocument([]byte(before))
-		packed.applyPacked(readGolden(c, "config_packed.bin"))
+		packed.configSync.applyDocument([]byte(before))
+		packed.configSync.applyPacked(readGolden(c, "config_packed.bin"))
 		checkConfig(c, packed, 41, goldenPatched)
-		stored.applyDocument([]byte(before))
-		stored.applyStored(readGolden(c, "config_stored.bin"))
+		stored.configSync.applyDocument([]byte(before))
+		stored.configSync.applyStored(readGolden(c, "config_stored.bin"))
 		checkConfig(c, stored, 41, goldenPatched)
 	}
 	c.Assert(fmt.Sprintf("%x", storedDigest(readGolden(c, "config_stored.bin"))), qt.Equals,
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -13,25 +13,27 @@
 	client  *client
 	request *request
 
+	// The response to the client.
 	started   bool // the head has been sent
 	complete  bool // the response has been sent completely
 	keepAlive bool // the client's connection goes on after it
-	out       http1.BodyWriter
 
-	events        eventSplitter
+	// Of a stream.
+	out           http1.BodyWriter // set when the stream has started
+	events        eventSplitter    // of the server that sends now
 	order         eventOrder
 	replaceable   bool  // another server may resume the stream
-	hasUnnumbered bool  // data without an id was forwarded, so nobody can tell where another server should go on
+	hasUnnumbered bool  // data without an id was forwarded, so nobody can tell where to resume
 	lastForwarded int64 // id of the last event that the client got, or had before
 }
 
-func newRelay(c *client, q *request) relay {
-	r := relay{client: c, request: q}
-	r.order.consecutive = q.service.Engine == nil || q.service.Engine.MaxTokensPerEvent <= 1
-	if last, err := strconv.ParseInt(q.Header.Get(lastEventHeader), 10, 64); err == nil {
-		r.order.lastID, r.order.hasLast, r.lastForwarded = last, true, last
+func newRelay(client *client, req *request) relay {
+	relay := relay{client: client, request: req}
+	relay.order.consecutive = req.service.Engine == nil || req.service.Engine.MaxTokensPerEvent <= 1
+	if last, err := strconv.ParseInt(req.Header.Get(lastEventHeader), 10, 64); err == nil {
+		relay.order.lastID, relay.order.hasLast, relay.lastForwarded = last, true, last
 	}
-	return r
+	return relay
 }
 
 // canSwitchServer reports whether another server may be asked: for the complete response, or for the rest of
@@ -57,42 +59,42 @@
 }
 
 // forwardResponse forwards a server's response. It returns nil if the client has it completely.
-func (r *relay) forwardResponse(c *call, head *http1.Response, body *http1.Body) *callFailure {
-	class := classify(c.responseTraits(head, body))
+func (r *relay) forwardResponse(call *call, response serverResponse) *callFailure {
+	class := classify(call.responseTraits(response))
 	switch {
-	case class == classForward && head.Status/100 == 2 && r.isStream(head):
-		return r.forwardStream(c, head, body)
+	case class == classForward && isSuccess(response.head.Status) && r.isStream(response.head):
+		return r.forwardStream(call, response)
 	case class == classForward && r.started: // not the rest of the stream
-		return c.brokenFailure()
+		return call.brokenFailure()
 	}
-	buffered, err := bufferResponse(c, head, body)
+	buffered, err := call.bufferResponse(response)
 	if err != nil && class != classRejected && class != classMisdirected {
-		return c.failureFrom(err)
+		return call.failureFrom(err)
 	}
-	if body.Complete() {
-		c.recordBodyEnd()
+	if response.body.Complete() {
+		call.recordBodyEnd()
 	}
 	switch class {
 	case classForward:
-		return r.forwardBody(c, buffered, body)
+		return r.forwardBody(call, buffered, response.body)
 	case classServerError:
-		failure := &callFailure{outcome: outcomeOfClass[class], fate: mayHaveRun}
-		if body.Complete() {
+		failure := &callFailure{outcome: outcomeOfClass[class], execution: mayHaveRun}
+		if response.body.Complete() {
 			failure.response = buffered
 		}
 		return failure
 	case classRejected:
-		return &callFailure{outcome: c.rejectionOutcome(head), fate: notRun}
+		return &callFailure{outcome: call.rejectionOutcome(response.head), execution: notRun}
 	case classMisdirected:
-		c.reportReplaced()
-		return &callFailure{outcome: outcomeOfClass[class], fate: notRun}
+		call.reportReplaced()
+		return &callFailure{outcome: outcomeOfClass[class], execution: notRun}
 	}
-	return c.brokenFailure()
+	return call.brokenFailure()
 }
 
 // forwardBody sends the client a response that is buffered completely, or what is buffered of it and then
 // the rest as it comes.
-func (r *relay) forwardBody(c *call, buffered *bufferedResponse, body *http1.Body) *callFailure {
+func (r *relay) forwardBody(call *call, buffered *bufferedResponse, body *http1.Body) *callFailure {
 	if body.Complete() {
 		r.forwardBuffered(buffered)
 		return nil
@@ -101,22 +103,31 @@
 	response.Streaming, response.Length, response.Body = true, body.Length(), buffered.body
 	r.started, r.hasUnnumbered = true, true
 	r.client.recordResponse()
-	c.conn.SetReadDeadline(r.request.hardDeadline)
+	call.conn.SetReadDeadline(r.request.hardDeadline)
 	out, err := response.Begin(r.client.socket.writer(), r.request.HTTP10)
+	if err != nil || !copyBody(&out, body) {
+		return call.brokenFailure()
+	}
+	call.recordBodyEnd()
+	r.recordComplete(r.closeBody(out) && !response.Close)
+	return nil
+}
+
+// copyBody forwards the rest of a body as it arrives, and reports whether all of it has arrived.
+func copyBody(out *http1.BodyWriter, body *http1.Body) bool {
 	buffer := make([]byte, bufferSize)
-	for err == nil {
-		var n int
-		n, err = body.Read(buffer)
+	for {
+		n, err := body.Read(buffer)
 		if n > 0 {
 			_, err = out.Write(buffer[:n])
 		}
 		if body.Complete() {
-			c.recordBodyEnd()
-			r.recordComplete(r.closeBody(out) && !response.Close)
-			return nil
+			return true
+		}
+		if err != nil {
+			return false
 		}
 	}
-	return c.brokenFailure()
 }
 
 // forwardBuffered sends a buffered response. It reports whether the client's connection goes on.
@@ -125,6 +136,7 @@
 	return r.keepAlive
 }
 
+// writeBuffered writes a buffered response. It reports whether the client's connection may go on.
 func (r *relay) writeBuffered(buffered *bufferedResponse) bool {
 	r.client.recordResponse()
 	response := r.clientHead(buffered.head)
@@ -143,6 +155,7 @@
 	return response
 }
 
+// closeBody ends the body of a response, and reports whether it could be sent.
 func (r *relay) closeBody(out http1.BodyWriter) bool {
 	return out.Close() == nil && r.client.socket.writer().Flush() == nil
 }
