--- a/internal/testbed/clusterrig/export.go
+++ b/internal/testbed/clusterrig/export.go
@@ -75,13 +75,13 @@
 
 // checkSinkAgainstLedger checks that the sink's entries equal the ledger's rows, period by period.
 func (r *Rig) checkSinkAgainstLedger() error {
-	reading, err := r.readLedger()
+	snapshot, err := r.readLedger()
 	if err != nil {
 		return err
 	}
 	entries := r.Sink.Entries()
-	for _, period := range reading.usage.Periods {
-		if period.ID > reading.exported {
+	for _, period := range snapshot.usage.Periods {
+		if period.ID > snapshot.exported {
 			continue
 		}
 		for _, want := range leaseholder.PeriodEntries(period.ID, period.Rows) {
@@ -102,14 +102,14 @@
 	return slices.EqualFunc(got.Lines, want.Items, equal)
 }
 
-// ledgerReading is the ledger as one member shows it.
-type ledgerReading struct {
+// ledgerSnapshot is the ledger as one member shows it.
+type ledgerSnapshot struct {
 	exported uint64       // the last exported period, read before usage
 	usage    *ledger.View // of all periods
 }
 
 // readLedger reads the last exported period and then the ledger, at one member after the other until one can.
-func (r *Rig) readLedger() (*ledgerReading, error) {
+func (r *Rig) readLedger() (*ledgerSnapshot, error) {
 	var page daemon.LedgerPage
 	var err error
 	for attempt := range ledgerReadAttempts {
@@ -120,7 +120,7 @@
 			err = m.GetJSON("/_ledger", &page)
 		}
 		if err == nil && page.Ledger != nil {
-			return &ledgerReading{exported: owner.Store.Exported, usage: page.Ledger}, nil
+			return &ledgerSnapshot{exported: owner.Store.Exported, usage: page.Ledger}, nil
 		}
 		time.Sleep(ledgerReadInterval)
 	}
--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -49,8 +49,8 @@
 	measuredReplicas = 3
 	// countInterval is how often the answers that are due are counted.
 	countInterval = 10 * time.Millisecond
-	// fillingWriters is how many writers fill the log at the same time.
-	fillingWriters = 1024
+	// proposers is how many goroutines fill the log at the same time.
+	proposers = 1024
 	// maxLearnerLag is how many entries a replica may lack and count as caught up.
 	maxLearnerLag = 100
 	// leaderPollInterval is how often the group is asked for its leader and its replicas.
@@ -225,9 +225,9 @@
 // fillLog proposes the entries at the leader, and returns how many failed.
 func (m *measurement) fillLog(ctx context.Context, leader string) int64 {
 	var next, failed atomic.Int64
-	var writers sync.WaitGroup
-	for number := range fillingWriters {
-		writers.Go(func() {
+	var proposing sync.WaitGroup
+	for number := range proposers {
+		proposing.Go(func() {
 			name := fmt.Sprint("writer-", number)
 			for seq := uint64(1); ctx.Err() == nil && next.Add(1) <= int64(m.opts.Entries); seq++ {
 				batch := ledger.Batch{Member: name, Incarnation: 1, Seq: seq, Usage: []ledger.KeyUsage{{
@@ -238,7 +238,7 @@
 			}
 		})
 	}
-	writers.Wait()
+	proposing.Wait()
 	return failed.Load()
 }
 
--- a/internal/testbed/clusterrig/ownerfaults.go
+++ b/internal/testbed/clusterrig/ownerfaults.go
@@ -39,15 +39,14 @@
 	repeats := rounds
 	var took []time.Duration // of the rounds that showed something
 	for len(took) < rounds {
-		round := len(took)
-		last, err := r.faultOwner(ctx, lease, round < pauses)
+		last, err := r.faultOwner(ctx, lease, len(took) < pauses)
 		switch {
 		case err == nil:
 			took = append(took, last)
 		case errors.Is(err, errLateCallTimedOut) && repeats > 0:
 			repeats--
 		default:
-			return rep, fmt.Errorf("round %d: %w", round, err)
+			return rep, fmt.Errorf("round %d: %w", len(took), err)
 		}
 	}
 	slices.Sort(took)
--- a/internal/testbed/clusterrig/player.go
+++ b/internal/testbed/clusterrig/player.go
@@ -70,7 +70,7 @@
 	return p.report, p.playAll(ctx)
 }
 
-// playAll plays all rounds while it samples the views, and completes the report.
+// playAll plays all repetitions while it samples the views, and completes the report.
 func (p *player) playAll(ctx context.Context) (err error) {
 	p.start = time.Now()
 	before := FetchViews(p.Members)
@@ -78,7 +78,7 @@
 	var sampler sync.WaitGroup
 	sampler.Go(func() { p.sampleAll(sampling) })
 	for range p.scenario.Repeat {
-		if err = p.playRound(ctx); err != nil {
+		if err = p.playRepetition(ctx); err != nil {
 			break
 		}
 	}
@@ -90,8 +90,8 @@
 	return err
 }
 
-// playRound plays all steps once.
-func (p *player) playRound(ctx context.Context) error {
+// playRepetition plays all steps once.
+func (p *player) playRepetition(ctx context.Context) error {
 	started := time.Now()
 	wait := func(d time.Duration) error { return sleep(ctx, d-time.Since(started)) }
 	for i := range p.scenario.Steps {
@@ -103,7 +103,7 @@
 			return err
 		}
 	}
-	return wait(p.scenario.MinRound)
+	return wait(p.scenario.MinRepetition)
 }
 
 // playStep does one step and waits until its expectation holds, or fails.
--- a/internal/testbed/clusterrig/report.go
+++ b/internal/testbed/clusterrig/report.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// StepReport is the result of one step over all rounds. Times are in milliseconds.
+// StepReport is the result of one step over all repetitions. Times are in milliseconds.
 type StepReport struct {
 	Step        string  `json:"step"`
 	Expect      string  `json:"expect,omitempty"`
--- a/internal/testbed/clusterrig/scenario.go
+++ b/internal/testbed/clusterrig/scenario.go
@@ -19,11 +19,11 @@
 	Halls []string `key:"halls" default:""`
 	// Seeds is how many members, counted from the first, the others join by.
 	Seeds int `key:"seeds" default:"1" min:"1" max:"200"`
-	// Repeat is how many rounds are played: in each all steps, on the same processes.
+	// Repeat is how often all steps are played, on the same processes.
 	Repeat int `key:"repeat" default:"1" min:"1" max:"1000"`
-	// MinRound is how long a round lasts at least, whatever its steps take.
-	MinRound time.Duration `key:"lasts" default:"0s" min:"0s" max:"24h"`
-	// Warmup comes before the first round; news of the start is still on its way.
+	// MinRepetition is how long each repetition lasts at least, whatever its steps take.
+	MinRepetition time.Duration `key:"lasts" default:"0s" min:"0s" max:"24h"`
+	// Warmup comes before the first step; updates about the start are still on their way.
 	Warmup time.Duration `key:"settle" default:"0s" min:"0s" max:"1h"`
 	// SampleInterval is how often all views are sampled for the record.
 	SampleInterval time.Duration `key:"sample" default:"100ms" min:"10ms" max:"1m"`
@@ -47,7 +47,7 @@
 
 // Step is one action, and what is expected of all views after it.
 type Step struct {
-	// At is when the step begins, after the start of the round; it also waits for what the step before it
+	// At is when the step begins, after the start of the repetition; it also waits for what the step before it
 	// expects.
 	At time.Duration `key:"at" default:"0s" min:"0s" max:"24h"`
 	// Do is one of the actions.
--- a/internal/testbed/routerstandin/application.go
+++ b/internal/testbed/routerstandin/application.go
@@ -15,7 +15,7 @@
 	defer x.server.slots.release()
 	defer x.trackWork()()
 	if x.misbehaviour == ShedsLoad {
-		x.reject(503, reasonShed)
+		x.reject(503, reasonLoadShed)
 		return
 	}
 	if x.pastDeadline() {
--- a/internal/testbed/routerstandin/client_test.go
+++ b/internal/testbed/routerstandin/client_test.go
@@ -114,11 +114,11 @@
 	c := qt.New(t)
 	tally := NewTally(testKinds)
 	for i := range 100 {
-		tally.recordSent(safeKind)
+		tally.recordAsked(safeKind)
 		tally.add(Result{Kind: safeKind, Outcome: Served, InTime: i < 90, Attempts: 1,
 			Latency: time.Duration(i+1) * time.Millisecond})
 	}
-	tally.recordSent(onceOnlyStreamKind)
+	tally.recordAsked(onceOnlyStreamKind)
 	tally.add(Result{Kind: onceOnlyStreamKind, Outcome: Rejected, Attempts: 2})
 	kinds := tally.Kinds()
 	safe, firm := kinds[0], kinds[2]
--- a/internal/testbed/routerstandin/load.go
+++ b/internal/testbed/routerstandin/load.go
@@ -49,7 +49,7 @@
 		}
 		request := NewRequest(l.kindAt(random.Float64()), int(l.number.Add(1)))
 		client := l.options.Clients[random.IntN(len(l.options.Clients))]
-		l.tally.recordSent(request.Kind)
+		l.tally.recordAsked(request.Kind)
 		inFlight.Go(func() { l.tally.add(client.Do(ctx, request)) })
 	}
 }
--- a/internal/testbed/routerstandin/model.go
+++ b/internal/testbed/routerstandin/model.go
@@ -105,7 +105,7 @@
 	defer x.trackWork()()
 	engine, asked := x.server.engine, workOf(x.request.Header)
 	if x.misbehaviour == ShedsLoad {
-		x.reject(503, reasonShed)
+		x.reject(503, reasonLoadShed)
 		return
 	}
 	if kvFrom != "" && !x.fetchPrefix(kvFrom) {
--- a/internal/testbed/routerstandin/server_exchange.go
+++ b/internal/testbed/routerstandin/server_exchange.go
@@ -19,7 +19,7 @@
 	reasonDeadline     notRunReason = "deadline"
 	reasonCallerClosed notRunReason = "caller left"
 	reasonServerEnded  notRunReason = "server ended"
-	reasonShed         notRunReason = "shed"
+	reasonLoadShed     notRunReason = "shed"
 	reasonStageChanges notRunReason = "the stage changes"
 	reasonNoPrefix     notRunReason = "the memory can't be had" // the prefix cache of the handle
 	reasonNoID         notRunReason = "no id"
--- a/internal/testbed/routerstandin/tally.go
+++ b/internal/testbed/routerstandin/tally.go
@@ -46,7 +46,7 @@
 	return t
 }
 
-func (t *Tally) recordSent(kind *Kind) {
+func (t *Tally) recordAsked(kind *Kind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.byKind[kind.Name].Asked++
