--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -49,8 +49,8 @@
 	measuredReplicas = 3
 	// countInterval is how often the answers that are due are counted.
 	countInterval = 10 * time.Millisecond
-	// fillingWriters is how many writers fill the log at the same time.
-	fillingWriters = 1024
+	// proposers is how many goroutines fill the log at the same time.
+	proposers = 1024
 	// maxLearnerLag is how many entries a replica may lack and count as caught up.
 	maxLearnerLag = 100
 	// leaderPollInterval is how often the group is asked for its leader and its replicas.
@@ -93,39 +93,45 @@
 func (m *measurement) start(name string) error {
 	dir := filepath.Join(m.opts.Dir, name)
 	log := slog.New(slog.DiscardHandler)
-	member := &measuredMember{}
-	var err error
-	member.host, err = raftgroup.Open(raftgroup.Options{Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure",
-		Replicas: measuredReplicas, BootstrapExpect: measuredReplicas, MaxLearnerLag: maxLearnerLag,
-		HeartbeatInterval: 100 * time.Millisecond,
-		ElectionTimeout:   time.Second,
-		GoneAfter:         time.Hour, SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Groups: []string{measureGroup},
-		Log: log, NewStateMachine: func(string) raftgroup.StateMachine {
-			l, _ := groupstate.New(ledger.Settings{MaxPeriods: 1440, DedupPeriods: 2, MaxIDs: 1_000_000,
-				MaxTenants: 10_000,
-				MaxMembers: 4096})
-			return l
-		}})
+	host, err := openHost(name, dir, log)
 	if err != nil {
 		return err
 	}
-	member.recorder, err = pending.Open(pending.Options{Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond,
-		MaxQueuedBytes: 64 << 20, Log: log, Propose: func(ctx context.Context, b []byte) (ledger.Result, error) {
-			return pending.DecodeResult(member.host.Propose(ctx, measureGroup, b))
-		}})
+	recorder, err := pending.Open(pending.Options{
+		Member: name, Dir: dir, FlushInterval: 100 * time.Millisecond, MaxQueuedBytes: 64 << 20, Log: log,
+		Propose: func(ctx context.Context, batch []byte) (ledger.Result, error) {
+			return pending.DecodeResult(host.Propose(ctx, measureGroup, batch))
+		},
+	})
 	if err != nil {
-		return errors.Join(err, member.host.Close())
+		return errors.Join(err, host.Close())
 	}
 	m.mu.Lock()
-	m.members[name] = member
+	m.members[name] = &measuredMember{host: host, recorder: recorder}
 	m.mu.Unlock()
-	if err := member.host.Run(m.peers); err != nil {
+	if err := host.Run(m.peers); err != nil {
 		return err
 	}
-	member.recorder.Run()
+	recorder.Run()
 	return nil
 }
 
+// openHost opens a member's replica host, on its disk.
+func openHost(name, dir string, log *slog.Logger) (*raftgroup.Host, error) {
+	limits := ledger.Settings{MaxPeriods: 1440, DedupPeriods: 2, MaxIDs: 1_000_000, MaxTenants: 10_000,
+		MaxMembers: 4096}
+	return raftgroup.Open(raftgroup.Options{
+		Name: name, Bind: "127.0.0.1:0", Dir: dir, Label: "measure", Groups: []string{measureGroup},
+		Replicas: measuredReplicas, BootstrapExpect: measuredReplicas, MaxLearnerLag: maxLearnerLag,
+		HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: time.Second, GoneAfter: time.Hour,
+		SnapshotEntries: 10000, SnapshotBytes: 16 << 20, Log: log,
+		NewStateMachine: func(string) raftgroup.StateMachine {
+			machine, _ := groupstate.New(limits) // it fails only for limits that make no sense
+			return machine
+		},
+	})
+}
+
 // Measure lets three members count answers at the rate, then fills the log and lets a wiped replica catch up.
 func Measure(ctx context.Context, o MeasureOptions) (r Measured, err error) {
 	m := &measurement{opts: o, members: map[string]*measuredMember{}}
@@ -219,9 +225,9 @@
 // fillLog proposes the entries at the leader, and returns how many failed.
 func (m *measurement) fillLog(ctx context.Context, leader string) int64 {
 	var next, failed atomic.Int64
-	var writers sync.WaitGroup
-	for number := range fillingWriters {
-		writers.Go(func() {
+	var proposing sync.WaitGroup
+	for number := range proposers {
+		proposing.Go(func() {
 			name := fmt.Sprint("writer-", number)
 			for seq := uint64(1); ctx.Err() == nil && next.Add(1) <= int64(m.opts.Entries); seq++ {
 				batch := ledger.Batch{Member: name, Incarnation: 1, Seq: seq, Usage: []ledger.KeyUsage{{
@@ -232,7 +238,7 @@
 			}
 		})
 	}
-	writers.Wait()
+	proposing.Wait()
 	return failed.Load()
 }
 
