--- a/internal/router/agent/metrics_endpoint.go
+++ b/internal/router/agent/metrics_endpoint.go
@@ -110,8 +110,8 @@
 		m.droppedEvents.Value())
 	page.Counter("cresshub_reload_errors_total", "Failed reloads of the settings file.",
 		m.reloadErrors.Value())
-	page.Counter("cresshub_accept_errors_total", "Failed accepts at the addresses other than the one for clients.",
-		m.acceptErrors.Value())
+	page.Counter("cresshub_accept_errors_total",
+		"Failed accepts at the addresses other than the one for clients.", m.acceptErrors.Value())
 	page.Counter("cresshub_call_mistakes_total", "Panics of handlers, each recovered.",
 		m.handlerPanics.Value())
 	page.Histogram("cresshub_disk_write_duration_seconds", "Time to write and sync a step of the chain.",
