--- a/internal/router/dataplane/retry_test.go
+++ b/internal/router/dataplane/retry_test.go
@@ -186,8 +186,8 @@
 // TestServersThatRefuseConnectionsAreSuspected reports a server whose process has ended, and no other.
 func TestServersThatRefuseConnectionsAreSuspected(t *testing.T) {
 	away := newServer(t, "away", "lookup", "", ok("x"))
-	away.listener.Close()
 	r := newRig(t, nil, away)
+	away.listener.Close() // after the rig has its ports, or the proxy could be given this one and call itself
 	r.Assert(r.dial().ask("GET", "/safe/", "a", "").Status, qt.Equals, 503)
 	r.Assert(r.state.suspected, qt.DeepEquals, []string{"away"})
 	r = newRig(t, nil, newServer(t, "broken", "lookup", "", breakOff))
