--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"log/slog"
 	"net/netip"
-	"reflect"
 	"testing"
 	"time"
 
@@ -12,6 +11,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"cresshub/internal/cluster/membership"
+	"cresshub/internal/testbed/goldenfile"
 )
 
 func goldenMeta() membership.Meta {
@@ -22,36 +22,36 @@
 // What memberlist carries as a member's metadata, in its gossip and its state exchange alike.
 func TestGoldenMetadataIsReadAndWrittenByteForByte(t *testing.T) {
 	want := goldenMeta()
-	goldenSet(t, "meta", reflect.ValueOf(want))
+	goldenfile.CheckFieldsSet(t, "meta", want)
 	f := &Fleet{}
 	f.meta.Store(&want)
-	held := goldenFile(t, "meta.json", (*delegate)(f).NodeMeta(memberlist.MetaMaxSize))
+	held := goldenfile.CheckBytes(t, "meta.json", (*delegate)(f).NodeMeta(memberlist.MetaMaxSize))
 	var got membership.Meta
 	if err := decodeMeta(held, &got); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "meta.json", got, want)
+	goldenfile.CheckDecoded(t, "meta.json", got, want)
 
 	for name, phase := range map[string]membership.Phase{"meta-serving.json": membership.Serving,
 		"meta-leaving.json": membership.Leaving} {
 		want.Phase = phase
-		if err := decodeMeta(goldenFile(t, name, encodeMeta(want)), &got); err != nil {
+		if err := decodeMeta(goldenfile.CheckBytes(t, name, encodeMeta(want)), &got); err != nil {
 			t.Fatal(err)
 		}
-		goldenSame(t, name, got, want)
+		goldenfile.CheckDecoded(t, name, got, want)
 	}
 	// A member without a ledger.
 	least := membership.Meta{Incarnation: 1}
-	if err := decodeMeta(goldenFile(t, "meta-least.json", encodeMeta(least)), &got); err != nil {
+	if err := decodeMeta(goldenfile.CheckBytes(t, "meta-least.json", encodeMeta(least)), &got); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "meta-least.json", got, least)
+	goldenfile.CheckDecoded(t, "meta-least.json", got, least)
 }
 
 // The one message of the fleet's own.
 func TestGoldenLeaveIsReadAndWrittenByteForByte(t *testing.T) {
 	want := leaveMessage{Name: "odori-1", Incarnation: 1_790_000_000_123}
-	goldenJSON(t, "leaving.json", want)
+	goldenfile.CheckJSON(t, "leaving.json", want)
 	set := membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, ForgetAfter: time.Minute,
 		MaxMembers: 10}
 	view, err := membership.NewView(set, "susukino-2")
@@ -64,8 +64,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	(*delegate)(f).NotifyMsg(goldenFile(t, "leaving.json", raw))
-	goldenSame(t, "leaving.json", f.announcedLeaves, map[string]uint64{want.Name: want.Incarnation})
+	(*delegate)(f).NotifyMsg(goldenfile.CheckBytes(t, "leaving.json", raw))
+	goldenfile.CheckDecoded(t, "leaving.json", f.announcedLeaves, map[string]uint64{want.Name: want.Incarnation})
 }
 
 // memberlist's own messages, of which this program reads what it counts and bounds by their fields' names.
@@ -75,29 +75,29 @@
 		Addr: []byte{127, 0, 0, 1}, Meta: encodeMeta(goldenMeta()), Vsn: []uint8{1, 5, 2, 6, 7, 8},
 		SourceAddr: []byte{127, 0, 0, 2},
 		Target:     []byte{127, 0, 0, 3}}
-	goldenSet(t, "gossip", reflect.ValueOf(want))
+	goldenfile.CheckFieldsSet(t, "gossip", want)
 	kinds := []byte{pingMsg, indirectPingMsg, ackMsg, suspectMsg, aliveMsg, deadMsg, nackMsg}
 	var parts [][]byte
 	for _, kind := range kinds {
 		parts = append(parts, message(t, kind, want))
 	}
-	held := goldenFile(t, "gossip.bin", compound(parts...))
+	held := goldenfile.CheckBytes(t, "gossip.bin", compound(parts...))
 	var got []byte
 	if err := readPacket(held, func(kind byte, g gossipMessage) {
 		got = append(got, kind)
-		goldenSame(t, "gossip.bin", g, want)
+		goldenfile.CheckDecoded(t, "gossip.bin", g, want)
 	}); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "gossip.bin", got, []byte{0, 1, 2, 3, 4, 5, 11})
+	goldenfile.CheckDecoded(t, "gossip.bin", got, []byte{0, 1, 2, 3, 4, 5, 11})
 
 	head := pushPullHeader{Nodes: 3, UserStateLen: 4, Join: true}
-	stream := goldenFile(t, "push-pull.bin", message(t, pushPullMsg, head))
+	stream := goldenfile.CheckBytes(t, "push-pull.bin", message(t, pushPullMsg, head))
 	var read pushPullHeader
 	if err := codec.NewDecoderBytes(stream[1:], &codec.MsgpackHandle{}).Decode(&read); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "push-pull.bin", read, head)
+	goldenfile.CheckDecoded(t, "push-pull.bin", read, head)
 	if _, err := checkStream(stream, 10); err == nil || err.Error() !=
 		"a user state of 4 bytes, there is none in this fleet" {
 		t.Errorf("push-pull.bin: %v", err)
@@ -109,17 +109,17 @@
 
 func TestGoldenRelayedDatagramIsReadAndWrittenByteForByte(t *testing.T) {
 	to := netip.MustParseAddrPort("10.1.2.3:4567")
-	at, b, err := ParseRelayDatagram(goldenFile(t, "relayed.bin", RelayDatagram(to, []byte("news"))))
+	at, b, err := ParseRelayDatagram(goldenfile.CheckBytes(t, "relayed.bin", RelayDatagram(to, []byte("news"))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "relayed.bin", at, to)
-	goldenSame(t, "relayed.bin", string(b), "news")
+	goldenfile.CheckDecoded(t, "relayed.bin", at, to)
+	goldenfile.CheckDecoded(t, "relayed.bin", string(b), "news")
 }
 
 // The counters have no names but their fields' own.
 func TestGoldenPageIsReadAndWrittenByteForByte(t *testing.T) {
-	goldenJSON(t, "page.json", Page{Self: "odori-1", Label: "sapporo", Health: 1,
+	goldenfile.CheckJSON(t, "page.json", Page{Self: "odori-1", Label: "sapporo", Health: 1,
 		Members: []Member{{Name: "susukino-2", Address: "127.0.0.1:7946", Status: "suspect", Gone: true,
 			Phase: "draining", Incarnation: 2, Version: "1.2.3", Hall: "odori", AgeMS: 3, Flaps: 4,
 			Suspected: 5}},
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -3,11 +3,11 @@
 import (
 	"os"
 	"path/filepath"
-	"reflect"
 	"testing"
 
 	"cresshub/internal/cluster/lease"
 	"cresshub/internal/cluster/ledger"
+	"cresshub/internal/testbed/goldenfile"
 )
 
 var (
@@ -24,15 +24,16 @@
 // goldenEntry holds an entry of the log to its file, both ways.
 func goldenEntry[C any](t *testing.T, name string, want C, raw []byte) {
 	t.Helper()
-	goldenSet(t, name, reflect.ValueOf(want))
+	goldenfile.CheckFieldsSet(t, name, want)
 	var got C
 	read := func(c *C) Result {
 		got = *c
 		return Result{Status: StatusAccepted}
 	}
-	goldenSame(t, name, decodeAndApply(newLog(t).machine, goldenFile(t, name, raw), read),
-		Result{Status: StatusAccepted})
-	goldenSame(t, name, got, want)
+	held := goldenfile.CheckBytes(t, name, raw)
+	result := decodeAndApply(newLog(t).machine, held, read)
+	goldenfile.CheckDecoded(t, name, result, Result{Status: StatusAccepted})
+	goldenfile.CheckDecoded(t, name, got, want)
 }
 
 // Structs stand in the log as arrays, in the order of their fields: each field's value is its own, so that
@@ -72,30 +73,30 @@
 	m := newLog(t).machine
 	grants := map[string]lease.Grant{FleetRole: goldenGrant}
 	m.leases.Restore(grants)
-	goldenSame(t, "renew.bin", m.Apply(50, held("renew.bin")),
+	goldenfile.CheckDecoded(t, "renew.bin", m.Apply(50, held("renew.bin")),
 		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 12, Renewed: 14}}))
 	m.leases.Restore(grants)
-	goldenSame(t, "take.bin", m.Apply(51, held("take.bin")),
+	goldenfile.CheckDecoded(t, "take.bin", m.Apply(51, held("take.bin")),
 		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 51}}))
 	m.leases.Restore(grants)
-	goldenSame(t, "release.bin", m.Apply(52, held("release.bin")),
+	goldenfile.CheckDecoded(t, "release.bin", m.Apply(52, held("release.bin")),
 		any(lease.Result{Applied: true, Grant: lease.Grant{Token: 12, Renewed: 14}}))
 
 	own := func(token uint64) {
 		m.leases.Restore(map[string]lease.Grant{FleetRole: {Holder: "odori-1", Token: token}})
 	}
 	own(300)
-	goldenSame(t, "intent.bin", m.Apply(53, held("intent.bin")), any(Result{Status: StatusRejected,
+	goldenfile.CheckDecoded(t, "intent.bin", m.Apply(53, held("intent.bin")), any(Result{Status: StatusRejected,
 		Reason: "period 70000 is not the next to be sent; that is 0"}))
 	own(301)
-	goldenSame(t, "done.bin", m.Apply(54, held("done.bin")), any(Result{Status: StatusRejected,
+	goldenfile.CheckDecoded(t, "done.bin", m.Apply(54, held("done.bin")), any(Result{Status: StatusRejected,
 		Reason: "period 70001 is not being sent"}))
 	own(302)
-	goldenSame(t, "settled.bin", m.Apply(55, held("settled.bin")), any(Result{Status: StatusRejected,
-		Reason: "there is no correction 70002"}))
+	goldenfile.CheckDecoded(t, "settled.bin", m.Apply(55, held("settled.bin")), any(Result{
+		Status: StatusRejected, Reason: "there is no correction 70002"}))
 	own(303)
-	goldenSame(t, "list.bin", m.Apply(56, held("list.bin")), any(Result{Status: StatusAccepted}))
-	goldenSame(t, "list.bin", m.state.Endpoints, goldenList(56))
+	goldenfile.CheckDecoded(t, "list.bin", m.Apply(56, held("list.bin")), any(Result{Status: StatusAccepted}))
+	goldenfile.CheckDecoded(t, "list.bin", m.state.Endpoints, goldenList(56))
 }
 
 func TestGoldenSnapshotIsReadAndWrittenByteForByte(t *testing.T) {
@@ -110,39 +111,40 @@
 		Corrections: []PendingCorrection{goldenFix}, CorrectionSeq: 54, Endpoints: goldenList(55),
 		Stats: goldenFigures}
 	want.state.Endpoints.Changed = 57
-	goldenSet(t, "state", reflect.ValueOf(want.state))
-	held := goldenFile(t, "snapshot.bin", want.Snapshot())
+	goldenfile.CheckFieldsSet(t, "state", want.state)
+	held := goldenfile.CheckBytes(t, "snapshot.bin", want.Snapshot())
 	got := newLog(t).machine
 	if err := got.Restore(held); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "snapshot.bin", got.state, want.state)
-	goldenSame(t, "snapshot.bin", got.appliedIndex, want.appliedIndex)
-	goldenSame(t, "snapshot.bin", got.leases, want.leases)
-	goldenSame(t, "snapshot.bin", got.Ledger.Snapshot(), want.Ledger.Snapshot())
-	goldenFile(t, "snapshot.bin", got.Snapshot())
+	goldenfile.CheckDecoded(t, "snapshot.bin", got.state, want.state)
+	goldenfile.CheckDecoded(t, "snapshot.bin", got.appliedIndex, want.appliedIndex)
+	goldenfile.CheckDecoded(t, "snapshot.bin", got.leases, want.leases)
+	goldenfile.CheckDecoded(t, "snapshot.bin", got.Ledger.Snapshot(), want.Ledger.Snapshot())
+	goldenfile.CheckBytes(t, "snapshot.bin", got.Snapshot())
 
 	// A snapshot from before there were chores is the ledger's alone.
 	old := newLog(t).machine
-	if err := old.Restore(goldenFile(t, "snapshot-of-the-ledger.bin", want.Ledger.Snapshot())); err != nil {
+	ledgerSnapshot := goldenfile.CheckBytes(t, "snapshot-of-the-ledger.bin", want.Ledger.Snapshot())
+	if err := old.Restore(ledgerSnapshot); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "snapshot-of-the-ledger.bin", old.Ledger.Snapshot(), want.Ledger.Snapshot())
-	goldenSame(t, "snapshot-of-the-ledger.bin", old.appliedIndex, uint64(60))
+	goldenfile.CheckDecoded(t, "snapshot-of-the-ledger.bin", old.Ledger.Snapshot(), want.Ledger.Snapshot())
+	goldenfile.CheckDecoded(t, "snapshot-of-the-ledger.bin", old.appliedIndex, uint64(60))
 }
 
 func TestGoldenAnswersAndQueriesAreReadAndWrittenByteForByte(t *testing.T) {
 	q := Query{Kind: QueryEndpoints, After: 61, Query: ledger.Query{Tenant: "ramen-kita", Period: 62}}
-	goldenJSON(t, "query.json", q)
-	goldenFile(t, "query.json", q.Encode())
-	goldenJSON(t, "questions.json", []string{QueryGrant, QueryView, QueryPendingExport, QueryEndpoints,
+	goldenfile.CheckJSON(t, "query.json", q)
+	goldenfile.CheckBytes(t, "query.json", q.Encode())
+	goldenfile.CheckJSON(t, "questions.json", []string{QueryGrant, QueryView, QueryPendingExport, QueryEndpoints,
 		FleetRole, StatusAccepted, StatusStale,
 		StatusRejected})
-	goldenJSON(t, "result.json", Result{Status: StatusStale, Reason: "another's"})
+	goldenfile.CheckJSON(t, "result.json", Result{Status: StatusStale, Reason: "another's"})
 	list := EndpointView{Version: 71, Changed: 72, Token: 73, Index: 74, Raw: []byte(`{"index":74}`)}
-	goldenJSON(t, "list.json", list)
-	goldenJSON(t, "view.json", View{Grant: goldenGrant, Exported: 81, Sending: 82, IntentToken: 83, Final: 84,
-		Open: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenFigures})
-	goldenJSON(t, "statement.json", PendingExport{Grant: goldenGrant, Due: 91, Period: 92, IntentToken: 93,
-		Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenFix}})
+	goldenfile.CheckJSON(t, "list.json", list)
+	goldenfile.CheckJSON(t, "view.json", View{Grant: goldenGrant, Exported: 81, Sending: 82, IntentToken: 83,
+		Final: 84, Open: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenFigures})
+	goldenfile.CheckJSON(t, "statement.json", PendingExport{Grant: goldenGrant, Due: 91, Period: 92,
+		IntentToken: 93, Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenFix}})
 }
--- a/internal/cluster/leaseholder/golden_test.go
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -7,10 +7,11 @@
 	"cresshub/internal/cluster/groupstate"
 	"cresshub/internal/cluster/lease"
 	"cresshub/internal/cluster/ledger"
+	"cresshub/internal/testbed/goldenfile"
 )
 
 func TestGoldenPageIsReadAndWrittenByteForByte(t *testing.T) {
-	goldenJSON(t, "page.json", Page{Self: "odori-1", Holder: "susukino-2", Token: 1, Owns: true,
+	goldenfile.CheckJSON(t, "page.json", Page{Self: "odori-1", Holder: "susukino-2", Token: 1, Owns: true,
 		LeaseRemaining: 2,
 		Roles:          []RoleStatus{{Role: "export", LastRun: 3, Backlog: 4, Problem: "the sink answered 500"}},
 		Stats: Stats{Grants: 11, Renewals: 12, Losses: 13, Resigned: 14, Calls: 15, Rejected: 16, StaleEntries: 17,
@@ -34,21 +35,21 @@
 	sent = append(sent, correctionEntries([]groupstate.PendingCorrection{{Seq: 8,
 		Correction: ledger.Correction{ID: "fix-1", Period: 6,
 			Key: key, Usage: ledger.Usage{Count: -4, BytesIn: -5, BytesOut: -6}, Reason: "counted twice"}}})...)
-	goldenSame(t, "entries.json", sent, []Entry{
+	goldenfile.CheckDecoded(t, "entries.json", sent, []Entry{
 		{ID: "7/ramen-kita", Period: 7, Tenant: "ramen-kita",
 			Items: []LineItem{{"zone-lookup", "passed", ledger.Usage{Count: 101, BytesIn: 202, BytesOut: 303}}}},
 		{ID: "6/correction/fix-1", Period: 6, Tenant: "ramen-kita",
 			Items:  []LineItem{{"zone-lookup", "passed", ledger.Usage{Count: -4, BytesIn: -5, BytesOut: -6}}},
 			Reason: "counted twice"}})
-	goldenJSON(t, "entry.json", sent[1])
+	goldenfile.CheckJSON(t, "entry.json", sent[1])
 	raw, err := json.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []Entry
-	if err := json.Unmarshal(goldenFile(t, "entries.json", raw), &got); err != nil {
+	if err := json.Unmarshal(goldenfile.CheckBytes(t, "entries.json", raw), &got); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "entries.json", got, sent)
-	goldenJSON(t, "taken.json", SinkReply{Stored: 9, Duplicates: 10})
+	goldenfile.CheckDecoded(t, "entries.json", got, sent)
+	goldenfile.CheckJSON(t, "taken.json", SinkReply{Stored: 9, Duplicates: 10})
 }
--- a/internal/cluster/ledger/golden_test.go
+++ b/internal/cluster/ledger/golden_test.go
@@ -1,8 +1,9 @@
 package ledger
 
 import (
-	"reflect"
 	"testing"
+
+	"cresshub/internal/testbed/goldenfile"
 )
 
 var (
@@ -31,27 +32,27 @@
 		{Key: goldenOther, Usage: Usage{Count: 21, BytesIn: 22, BytesOut: 23}, IDs: []uint64{24},
 			BytesInByID:  []int64{25},
 			BytesOutByID: []int64{26}}}}
-	goldenSet(t, "batch", reflect.ValueOf(batch))
-	got, err := DecodeBatch(goldenFile(t, "batch.bin", batch.Encode()))
+	goldenfile.CheckFieldsSet(t, "batch", batch)
+	got, err := DecodeBatch(goldenfile.CheckBytes(t, "batch.bin", batch.Encode()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "batch.bin", got, batch)
+	goldenfile.CheckDecoded(t, "batch.bin", got, batch)
 
 	fix := goldenCorrection()
-	goldenSet(t, "correction", reflect.ValueOf(fix))
-	c, ok := DecodeCorrection(goldenFile(t, "correction.bin", fix.Encode()))
+	goldenfile.CheckFieldsSet(t, "correction", fix)
+	c, ok := DecodeCorrection(goldenfile.CheckBytes(t, "correction.bin", fix.Encode()))
 	if !ok {
 		t.Error("the correction does not decode")
 	}
-	goldenSame(t, "correction.bin", &c, fix)
+	goldenfile.CheckDecoded(t, "correction.bin", &c, fix)
 
 	end := &ClosePeriod{Period: 7, AtMS: 1_790_000_000_456}
-	held := goldenFile(t, "close.bin", end.Encode())
+	held := goldenfile.CheckBytes(t, "close.bin", end.Encode())
 	l := newLedger(t)
 	l.periods = []*period{newPeriod(7)}
-	goldenSame(t, "close.bin", l.Apply(9, held), Result{Status: StatusClosed, Index: 9, Period: 7})
-	goldenSame(t, "close.bin", l.periods[0].closedMS, end.AtMS)
+	goldenfile.CheckDecoded(t, "close.bin", l.Apply(9, held), Result{Status: StatusClosed, Index: 9, Period: 7})
+	goldenfile.CheckDecoded(t, "close.bin", l.periods[0].closedMS, end.AtMS)
 }
 
 func TestGoldenSnapshotIsReadAndWrittenByteForByte(t *testing.T) {
@@ -70,19 +71,19 @@
 		tenants: map[string]bool{OtherTenants: true}}
 	want.periods = []*period{closed, opened}
 	got := newLedger(t)
-	if err := got.Restore(goldenFile(t, "snapshot.bin", want.Snapshot())); err != nil {
+	if err := got.Restore(goldenfile.CheckBytes(t, "snapshot.bin", want.Snapshot())); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "snapshot.bin", got, want)
-	goldenFile(t, "snapshot.bin", got.Snapshot())
+	goldenfile.CheckDecoded(t, "snapshot.bin", got, want)
+	goldenfile.CheckBytes(t, "snapshot.bin", got.Snapshot())
 }
 
 func TestGoldenAnswersAndQueriesAreReadAndWrittenByteForByte(t *testing.T) {
-	goldenJSON(t, "view.json", View{Index: 1, OpenPeriod: 2, Periods: []PeriodView{{ID: 3, ClosedMS: 4,
+	goldenfile.CheckJSON(t, "view.json", View{Index: 1, OpenPeriod: 2, Periods: []PeriodView{{ID: 3, ClosedMS: 4,
 		Rows: []Row{goldenRow}}}, Stats: goldenFigures, IDs: 5})
-	goldenJSON(t, "query.json", Query{Tenant: "ramen-kita", Period: 7})
-	goldenJSON(t, "result.json", Result{Status: StatusCounted, Index: 8, Period: 9})
-	goldenJSON(t, "correction.json", *goldenCorrection())
-	goldenJSON(t, "statuses.json", []string{StatusCounted, StatusDuplicate, StatusStaleIncarnation,
+	goldenfile.CheckJSON(t, "query.json", Query{Tenant: "ramen-kita", Period: 7})
+	goldenfile.CheckJSON(t, "result.json", Result{Status: StatusCounted, Index: 8, Period: 9})
+	goldenfile.CheckJSON(t, "correction.json", *goldenCorrection())
+	goldenfile.CheckJSON(t, "statuses.json", []string{StatusCounted, StatusDuplicate, StatusStaleIncarnation,
 		StatusClosed, StatusCorrected, StatusRejected, OtherTenants})
 }
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -1,6 +1,10 @@
 package membership
 
-import "testing"
+import (
+	"testing"
+
+	"cresshub/internal/testbed/goldenfile"
+)
 
 // Members gossip phases by their names, and operators' pages show them, statuses and changes so. Package
 // gossip has the golden files of what is gossiped.
@@ -15,11 +19,11 @@
 		if err != nil {
 			t.Error(err)
 		}
-		goldenSame(t, "names.json", got, p)
+		goldenfile.CheckDecoded(t, "names.json", got, p)
 	}
 	for k := Joined; k <= Rejected; k++ {
 		names.Changes = append(names.Changes, k.String())
 	}
-	goldenJSON(t, "names.json", names)
-	goldenSame(t, "names.json", []Phase{Serving, Draining, Leaving}, []Phase{0, 1, 2})
+	goldenfile.CheckJSON(t, "names.json", names)
+	goldenfile.CheckDecoded(t, "names.json", []Phase{Serving, Draining, Leaving}, []Phase{0, 1, 2})
 }
--- a/internal/cluster/pending/golden_test.go
+++ b/internal/cluster/pending/golden_test.go
@@ -14,6 +14,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"cresshub/internal/cluster/ledger"
+	"cresshub/internal/testbed/goldenfile"
 )
 
 // goldenLast is the incarnation of an earlier life, far enough ahead that the clock does not say the next.
@@ -99,26 +100,26 @@
 	if err := r.Close(); err != nil {
 		t.Fatal(err)
 	}
-	held := goldenFile(t, "outbox.txt", []byte(goldenRecords(t, path)))
+	held := goldenfile.CheckBytes(t, "outbox.txt", []byte(goldenRecords(t, path)))
 
 	r, _ = goldenOpen(t, string(held))
-	goldenSame(t, "outbox.txt", r.Incarnation(), uint64(goldenLast+2))
+	goldenfile.CheckDecoded(t, "outbox.txt", r.Incarnation(), uint64(goldenLast+2))
 	if len(r.queue) != 1 {
 		t.Fatalf("%d batches wait, not 1", len(r.queue))
 	}
 	w := r.queue[0]
-	goldenSame(t, "outbox.txt", []int64{int64(w.key), w.answers, r.stats.Counted, r.stats.Queued}, []int64{1,
-		3, 3, 3})
+	counts := []int64{int64(w.key), w.answers, r.stats.Counted, r.stats.Queued}
+	goldenfile.CheckDecoded(t, "outbox.txt", counts, []int64{1, 3, 3, 3})
 	got, err := ledger.DecodeBatch(w.raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "outbox.txt", got, goldenBatch())
-	goldenSame(t, "outbox.txt", w.raw, goldenBatch().Encode())
+	goldenfile.CheckDecoded(t, "outbox.txt", got, goldenBatch())
+	goldenfile.CheckDecoded(t, "outbox.txt", w.raw, goldenBatch().Encode())
 }
 
 func TestGoldenFiguresAreReadAndWrittenByteForByte(t *testing.T) {
-	goldenJSON(t, "figures.json", Stats{Counted: 1, Committed: 2, Queued: 3, InMemory: 4, OldestMS: 5,
+	goldenfile.CheckJSON(t, "figures.json", Stats{Counted: 1, Committed: 2, Queued: 3, InMemory: 4, OldestMS: 5,
 		Batches: 6, Attempts: 7, Duplicates: 8, Lost: 9, FileErrors: 10, CommitP50MS: 11.5, CommitP99MS: 12.25,
 		CommitMaxMS: 13.125})
 }
@@ -134,5 +135,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "result.json", got, want)
+	goldenfile.CheckDecoded(t, "result.json", got, want)
 }
--- a/internal/cluster/raftgroup/golden_test.go
+++ b/internal/cluster/raftgroup/golden_test.go
@@ -12,7 +12,6 @@
 	"log/slog"
 	"net"
 	"path/filepath"
-	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -21,6 +20,8 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"cresshub/internal/testbed/goldenfile"
 )
 
 const goldenID = 0x8123456789abcdef // of a disk; one is drawn when its file is made
@@ -78,7 +79,7 @@
 // goldenFrame writes a value as a frame of that kind, and reads it back from the file.
 func goldenFrame[T any](t *testing.T, name string, kind byte, want T) []byte {
 	t.Helper()
-	goldenSet(t, name, reflect.ValueOf(want))
+	goldenfile.CheckFieldsSet(t, name, want)
 	raw, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +88,7 @@
 	if err := writeFrame(w, kind, raw); err != nil {
 		t.Fatal(err)
 	}
-	held := goldenFile(t, name, w.out.Bytes())
+	held := goldenfile.CheckBytes(t, name, w.out.Bytes())
 	is, body, err := readFrame(bufio.NewReader(bytes.NewReader(held)), maxFrameSize)
 	if err != nil {
 		t.Fatal(err)
@@ -96,8 +97,8 @@
 	if err := json.Unmarshal(body, &got); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, name, is, kind)
-	goldenSame(t, name, got, want)
+	goldenfile.CheckDecoded(t, name, is, kind)
+	goldenfile.CheckDecoded(t, name, got, want)
 	return held
 }
 
@@ -118,12 +119,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenFile(t, "hello.bin", w.out.Bytes())
+	goldenfile.CheckBytes(t, "hello.bin", w.out.Bytes())
 	w.out.Reset()
 	if !(&sender{net: h.net, to: goldenID}).write(c, outboundMsg{"g", goldenMessage()}) {
 		t.Error("the message was not written")
 	}
-	m := goldenFile(t, "raft.bin", w.out.Bytes())
+	m := goldenfile.CheckBytes(t, "raft.bin", w.out.Bytes())
 
 	// What another member says: hello, the message, a call on a group that is not here.
 	nobody := goldenFrame(t, "call-elsewhere.bin", frameRequest, request{Kind: "read", Group: "elsewhere",
@@ -138,7 +139,7 @@
 	default:
 		t.Error("raft.bin: no message came")
 	}
-	reply := goldenFile(t, "answer-elsewhere.bin", in.out.Bytes())
+	reply := goldenfile.CheckBytes(t, "answer-elsewhere.bin", in.out.Bytes())
 
 	// The same from the caller's side. How long it waits is in the request, and depends on the clock: see above.
 	h.net.dialer = &goldenWire{in: bytes.NewReader(reply)}
@@ -146,7 +147,7 @@
 	if err := h.net.call(t.Context(), "susukino-2:1", ask, &a); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "answer-elsewhere.bin", a, response{Err: ErrNotLeader.Error()})
+	goldenfile.CheckDecoded(t, "answer-elsewhere.bin", a, response{Err: ErrNotLeader.Error()})
 }
 
 // Errors cross as their text and are known by it.
@@ -156,13 +157,13 @@
 		errNotFirstRanked, errAlreadyVoted} {
 		texts = append(texts, e.Error())
 	}
-	goldenJSON(t, "errors.json", texts)
+	goldenfile.CheckJSON(t, "errors.json", texts)
 }
 
 func TestGoldenAnswersAreReadAndWrittenByteForByte(t *testing.T) {
-	goldenJSON(t, "roster.json", Roster{Disks: []uint64{1, goldenID}, Applied: 2})
-	goldenJSON(t, "status.json", Status{Group: "ledger", Role: "leader", Leader: "odori-1", Term: 1, Commit: 2,
-		Applied: 3, Snapshot: 4, LogBytes: 5, Voters: []string{"odori-1", "susukino-2"},
+	goldenfile.CheckJSON(t, "roster.json", Roster{Disks: []uint64{1, goldenID}, Applied: 2})
+	goldenfile.CheckJSON(t, "status.json", Status{Group: "ledger", Role: "leader", Leader: "odori-1", Term: 1,
+		Commit: 2, Applied: 3, Snapshot: 4, LogBytes: 5, Voters: []string{"odori-1", "susukino-2"},
 		Learners: []string{"maruyama-3"}, Replicas: []ReplicaStatus{{Member: "susukino-2",
 			Disk: formatDiskID(goldenID), Learner: true, Behind: 6, Active: true}},
 		Disk: formatDiskID(2), Leaderless: true, Stalled: "no space",
@@ -178,14 +179,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := goldenFile(t, "snapshot.bin", raw)
+	held := goldenfile.CheckBytes(t, "snapshot.bin", raw)
 	into := goldenGroup(goldenHost())
 	if err := into.restoreSnapshot(&raftpb.Snapshot{Data: held, Metadata: &raftpb.SnapshotMetadata{
 		Index: proto.Uint64(7), Term: proto.Uint64(2)}}); err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "snapshot.bin", into.memberNames, map[uint64]string{goldenID: "odori-1"})
-	goldenSame(t, "snapshot.bin", into.stateMachine, StateMachine(&adder{sum: 41, n: 42}))
+	goldenfile.CheckDecoded(t, "snapshot.bin", into.memberNames, map[uint64]string{goldenID: "odori-1"})
+	goldenfile.CheckDecoded(t, "snapshot.bin", into.stateMachine, StateMachine(&adder{sum: 41, n: 42}))
 }
 
 // goldenLeader has raft lead a group of one in memory, so that it takes what is proposed.
@@ -229,16 +230,16 @@
 	if len(rd.Entries) != 1 {
 		t.Fatalf("%d entries, not 1", len(rd.Entries))
 	}
-	held := goldenFile(t, "proposal.bin", rd.Entries[0].GetData())
+	held := goldenfile.CheckBytes(t, "proposal.bin", rd.Entries[0].GetData())
 
 	out := make(chan outcome, 1)
 	other := goldenGroup(goldenHost())
 	other.proposals[0x0102030405060708] = out
 	other.applyEntry(&raftpb.Entry{Index: proto.Uint64(9), Term: proto.Uint64(1), Data: held})
-	goldenSame(t, "proposal.bin", other.stateMachine, StateMachine(&adder{sum: 17, n: 1}))
+	goldenfile.CheckDecoded(t, "proposal.bin", other.stateMachine, StateMachine(&adder{sum: 17, n: 1}))
 	select {
 	case o := <-out:
-		goldenSame(t, "proposal.bin", o.result, any(int64(17)))
+		goldenfile.CheckDecoded(t, "proposal.bin", o.result, any(int64(17)))
 	default:
 		t.Error("proposal.bin: the proposer got no outcome")
 	}
@@ -252,13 +253,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := goldenFile(t, "change.bin", raw)
+	held := goldenfile.CheckBytes(t, "change.bin", raw)
 	g := goldenGroup(goldenHost())
 	goldenLeader(t, g)
 	change := raftpb.EntryConfChange
 	g.applyEntry(&raftpb.Entry{Type: &change, Index: proto.Uint64(3), Term: proto.Uint64(2), Data: held})
-	goldenSame(t, "change.bin", g.memberNames, map[uint64]string{2: "susukino-2"})
-	goldenSame(t, "change.bin", g.confState.GetLearners(), []uint64{2})
+	goldenfile.CheckDecoded(t, "change.bin", g.memberNames, map[uint64]string{2: "susukino-2"})
+	goldenfile.CheckDecoded(t, "change.bin", g.confState.GetLearners(), []uint64{2})
 }
 
 // goldenRecords is what a file holds, a line a record: its buckets, its key, its value.
@@ -358,17 +359,17 @@
 	if err := h.handleBootstrapVote(req); err != nil {
 		t.Fatal(err)
 	}
-	held := goldenFile(t, "store.txt", []byte(goldenRecords(t, s)))
+	held := goldenfile.CheckBytes(t, "store.txt", []byte(goldenRecords(t, s)))
 
 	s = goldenStore(t, string(held))
-	goldenSame(t, "store.txt", s.id, uint64(goldenID))
-	goldenSame(t, "store.txt", s.groups(), []string{"ledger"})
-	goldenSame(t, "store.txt", s.metaValue("vote/ledger"), "0000000000000002")
+	goldenfile.CheckDecoded(t, "store.txt", s.id, uint64(goldenID))
+	goldenfile.CheckDecoded(t, "store.txt", s.groups(), []string{"ledger"})
+	goldenfile.CheckDecoded(t, "store.txt", s.metaValue("vote/ledger"), "0000000000000002")
 	ms, got, err := s.load("ledger")
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenSame(t, "store.txt", got, size)
+	goldenfile.CheckDecoded(t, "store.txt", got, size)
 	gotHard, _, err := ms.InitialState()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -9,6 +9,8 @@
 	"testing"
 
 	"golang.org/x/sys/unix"
+
+	"cresshub/internal/testbed/goldenfile"
 )
 
 // goldenPair is both ends of a connection within this process.
@@ -62,7 +64,7 @@
 // whose number is the kernel's.
 func TestGoldenMessagesOfBothSidesAreReadAndWrittenByteForByte(t *testing.T) {
 	s := newGoldenIncumbent(t)
-	goldenJSON(t, "terms.json", s.terms)
+	goldenfile.CheckJSON(t, "terms.json", s.terms)
 
 	// The incumbent, as this program writes, and a successor that sends the byte of the file.
 	ends := goldenPair(t)
@@ -86,7 +88,7 @@
 	if _, err := io.ReadFull(ends[1], said[4:4+length]); err != nil {
 		t.Fatal(err)
 	}
-	old := goldenFile(t, "old.bin", said[:4+length])
+	old := goldenfile.CheckBytes(t, "old.bin", said[:4+length])
 
 	// The successor, as this program reads and writes, and an incumbent that sends the file.
 	pair := goldenPair(t)
@@ -107,7 +109,7 @@
 		t.Fatal(err)
 	}
 	defer o.Listener.Close()
-	goldenSame(t, "old.bin", o.Terms, s.terms)
+	goldenfile.CheckDecoded(t, "old.bin", o.Terms, s.terms)
 	if err := o.SendReady(); err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ends[1].Write(goldenFile(t, "new.bin", word)); err != nil {
+	if _, err := ends[1].Write(goldenfile.CheckBytes(t, "new.bin", word)); err != nil {
 		t.Fatal(err)
 	}
 	ends[1].Close()
@@ -130,5 +132,5 @@
 
 // Where both processes meet: a file's name by the address.
 func TestGoldenPathIsTheSameForAnAddress(t *testing.T) {
-	goldenFile(t, "path.txt", []byte(Path("run", "127.0.0.1:8080")))
+	goldenfile.CheckBytes(t, "path.txt", []byte(Path("run", "127.0.0.1:8080")))
 }
