--- a/internal/simulation/agentsim/history.go
+++ b/internal/simulation/agentsim/history.go
@@ -82,7 +82,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	committed, violations := h.committed()
-	violations = append(violations, h.checkReads(committed)...)
+	violations = append(violations, h.checkReads()...)
 	return append(violations, h.checkRejections(committed)...)
 }
 
@@ -90,7 +90,7 @@
 func (h *History) committed() (map[int64]Change, []string) {
 	var violations []string
 	committed := map[int64]Change{}
-	sent := map[[2]int64]Change{}
+	putChanges := map[[2]int64]Change{} // by version and variant
 	commit := func(c Change, how string) {
 		if known, ok := committed[c.Version]; ok && known != c {
 			violations = append(violations, fmt.Sprintf("%+v was %s, and %+v had been taken", c, how, known))
@@ -98,7 +98,7 @@
 		committed[c.Version] = c
 	}
 	for _, call := range h.puts {
-		sent[[2]int64{call.change.Version, call.change.Variant}] = call.change
+		putChanges[[2]int64{call.change.Version, call.change.Variant}] = call.change
 		if call.status == 200 {
 			commit(call.change, "acknowledged")
 		}
@@ -107,7 +107,7 @@
 		if call.status != 200 {
 			continue
 		}
-		c, ok := sent[[2]int64{call.version, call.variant}]
+		c, ok := putChanges[[2]int64{call.version, call.variant}]
 		if !ok {
 			violations = append(violations,
 				fmt.Sprintf("%s read version %d, which nobody sent", call.machine, call.version))
@@ -136,7 +136,7 @@
 }
 
 // checkReads checks that no read gave an older version than one acknowledged or read before it began.
-func (h *History) checkReads(map[int64]Change) []string {
+func (h *History) checkReads() []string {
 	var violations []string
 	for _, call := range h.gets {
 		if call.status != 200 {
--- a/internal/simulation/agentsim/server_orders.go
+++ b/internal/simulation/agentsim/server_orders.go
@@ -14,9 +14,9 @@
 type Order struct {
 	At     time.Duration
 	From   string // IP of the machine
-	Holder string
-	Fence  uint64
-	Status int
+	Holder string // of the lease, as the order names it
+	Fence  uint64 // fencing token of the lease
+	Status int    // of the server's response
 	Expect string // the server that the order names
 }
 
--- a/internal/simulation/experiment/plot.go
+++ b/internal/simulation/experiment/plot.go
@@ -63,23 +63,28 @@
 	p.X.Label.Text, p.Y.Label.Text = "s", "service"
 	p.Y.Min, p.Y.Max = 0, 1.02
 	for i, c := range s.Cells() {
-		var line plotter.XYs
-		for t := range c.Days[0].Result.ServiceBySecond {
-			sum, n := 0.0, 0.0
-			for _, d := range c.Days {
-				if t < len(d.Result.ServiceBySecond) {
-					sum, n = sum+d.Result.ServiceBySecond[t], n+1
-				}
-			}
-			line = append(line, plotter.XY{X: float64(t), Y: sum / n})
-		}
-		if err := addLine(p, i, c.Policy, line, nil); err != nil {
+		if err := addLine(p, i, c.Policy, meanServiceBySecond(c.Days), nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// meanServiceBySecond averages each second of the first day over the days that last so long.
+func meanServiceBySecond(days []*RunResult) (points plotter.XYs) {
+	for second := range days[0].Result.ServiceBySecond {
+		sum, count := 0.0, 0.0
+		for _, day := range days {
+			if second < len(day.Result.ServiceBySecond) {
+				sum += day.Result.ServiceBySecond[second]
+				count++
+			}
+		}
+		points = append(points, plotter.XY{X: float64(second), Y: sum / count})
+	}
+	return points
+}
+
 // series is a line with its error bars.
 type series struct {
 	plotter.XYs
--- a/internal/simulation/experiment/store.go
+++ b/internal/simulation/experiment/store.go
@@ -208,15 +208,16 @@
 
 // PairStores compares the days of two results that have the same keys, policy and seed: b less a.
 func PairStores(a, b *Store, metric string) Difference {
-	at := map[string]float64{}
-	for _, d := range a.Days {
-		at[d.id()] = d.figure(metric)
-	}
-	var x, y []float64
-	for _, d := range b.Days {
-		if was, ok := at[d.id()]; ok {
-			x, y = append(x, was), append(y, d.figure(metric))
+	figuresOfA := map[string]float64{} // by day
+	for _, day := range a.Days {
+		figuresOfA[day.id()] = day.figure(metric)
+	}
+	var pairedA, pairedB []float64
+	for _, day := range b.Days {
+		if figureOfA, ok := figuresOfA[day.id()]; ok {
+			pairedA = append(pairedA, figureOfA)
+			pairedB = append(pairedB, day.figure(metric))
 		}
 	}
-	return Paired(x, y)
+	return Paired(pairedA, pairedB)
 }
--- a/internal/simulation/labcli/rig.go
+++ b/internal/simulation/labcli/rig.go
@@ -27,7 +27,7 @@
 			strings.Join(clusterrig.Shipped(), ", "),
 		Example: "  cresshub rig run partition --plot partition.svg",
 	}
-	c.AddCommand(newRigRun(), newRigShow(), newRigLedger(), newRigOwner(), newRigLists(), newRigHerd(),
+	c.AddCommand(newRigRun(), newRigShow(), newRigLedger(), newRigOwner(), newRigLists(), newRigRestartStorm(),
 		newRigSoak())
 	return c
 }
--- a/internal/simulation/labcli/rigtrials.go
+++ b/internal/simulation/labcli/rigtrials.go
@@ -123,8 +123,8 @@
 	return c
 }
 
-// newRigHerd is the command of the restart storm, under the word that operators know.
-func newRigHerd() *cobra.Command {
+// newRigRestartStorm is the command of the restart storm, under the word that operators know.
+func newRigRestartStorm() *cobra.Command {
 	var rig rigFlags
 	var members []int
 	c := &cobra.Command{
--- a/internal/simulation/labcli/run.go
+++ b/internal/simulation/labcli/run.go
@@ -107,8 +107,8 @@
 				notes[fmt.Sprintf("%s: %s broken %d times with seed %d", d.Policy, rule, n, d.Seed)] = true
 			}
 		}
-		if d.Result.Note != "" {
-			notes[d.Policy+": "+d.Result.Note] = true
+		if d.Result.Warning != "" {
+			notes[d.Policy+": "+d.Result.Warning] = true
 		}
 	}
 	sorted := slices.Sorted(maps.Keys(notes))
@@ -160,8 +160,8 @@
 			for rule, n := range r.Rules {
 				p.Rules[rule] += n
 			}
-			if r.Note != "" && !slices.Contains(p.Notes, r.Note) {
-				p.Notes = append(p.Notes, r.Note)
+			if r.Warning != "" && !slices.Contains(p.Notes, r.Warning) {
+				p.Notes = append(p.Notes, r.Warning)
 			}
 		}
 		for _, m := range experiment.MetricNames() {
--- a/internal/simulation/proxysim/attempts.go
+++ b/internal/simulation/proxysim/attempts.go
@@ -10,7 +10,7 @@
 type attempt struct {
 	server  int32
 	job     int32 // at the server, -1 where there is none
-	sent    int64
+	sentAt  int64
 	until   int64 // its deadline
 	open    bool  // has no outcome yet
 	hasConn bool
@@ -29,7 +29,7 @@
 	if timeout > 0 {
 		until = min(until, s.now+timeout)
 	}
-	q.attempts = append(q.attempts, attempt{server: to, job: -1, sent: s.now, until: until, open: true})
+	q.attempts = append(q.attempts, attempt{server: to, job: -1, sentAt: s.now, until: until, open: true})
 	q.open++
 	c := q.attemptToken(n)
 	p, sv := &s.proxies[q.proxy], &s.servers[to]
@@ -102,7 +102,7 @@
 	if res == balance.Done && !wins {
 		s.tally.wasted += s.demands[q.demand].work
 	}
-	id, server, sent := s.requestID(r), a.server, a.sent
+	id, server, sent := s.requestID(r), a.server, a.sentAt
 	s.monitor.record(s, resultNames[res], s.demands[q.demand].number, server)
 	if wins {
 		s.answerRequest(r, served, 0)
--- a/internal/simulation/proxysim/baseline.go
+++ b/internal/simulation/proxysim/baseline.go
@@ -49,13 +49,13 @@
 	if v.lambda <= 0 {
 		work := 0.0
 		for i, c := range s.scenario.Classes {
-			fraction := s.shareCum.class[i]
+			fraction := s.cumulativeFractions.class[i]
 			if i > 0 {
-				fraction -= s.shareCum.class[i-1]
+				fraction -= s.cumulativeFractions.class[i-1]
 			}
 			work += fraction * c.Work.Seconds()
 		}
-		v.lambda = s.rate * work / s.shareCum.class[len(s.shareCum.class)-1] / s.capacity()
+		v.lambda = s.rate * work / s.cumulativeFractions.class[len(s.cumulativeFractions.class)-1] / s.capacity()
 	}
 	return v
 }
--- a/internal/simulation/proxysim/faults.go
+++ b/internal/simulation/proxysim/faults.go
@@ -29,9 +29,9 @@
 		}
 	case "pauses":
 		for _, i := range s.drawServers(part()) {
-			s.servers[i].pausedUntil = s.now + int64(t.PauseFor)
+			s.servers[i].pausedUntil = s.now + int64(t.PauseDuration)
 			for _, j := range s.servers[i].running {
-				s.jobs[j].doneAt += int64(t.PauseFor)
+				s.jobs[j].doneAt += int64(t.PauseDuration)
 			}
 		}
 		if s.now+int64(t.Interval) < int64(t.At+t.Duration) {
--- a/internal/simulation/proxysim/listtrial.go
+++ b/internal/simulation/proxysim/listtrial.go
@@ -72,18 +72,18 @@
 // listTrial is a trial under way.
 type listTrial struct {
 	Kernel
-	name       string // "" until the measured minute
-	opts       ListTrialOptions
-	rng        *rand.Rand
-	proxies    []listProxy
-	owner      int    // -1 while there is none
-	term       uint64 // of the owner; events of earlier terms have no effect
-	version    uint64 // of the published list
-	down       bool   // discovery answers nothing
-	leaderless bool   // the group has no leader
-	lastSeen   int64  // when the owner last had a watch
-	calls      []int64
-	actions    []balance.Action
+	name        string // "" until the measured minute
+	opts        ListTrialOptions
+	rng         *rand.Rand
+	proxies     []listProxy
+	owner       int    // -1 while there is none
+	term        uint64 // of the owner; events of earlier terms have no effect
+	version     uint64 // of the published list
+	down        bool   // discovery answers nothing
+	leaderless  bool   // the group has no leader
+	lastWatchAt int64  // when the owner last had a watch
+	calls       []int64
+	actions     []balance.Action
 }
 
 // withDefaults sets the durations that are 0.
@@ -303,9 +303,9 @@
 	}
 	p := &s.proxies[s.owner]
 	if p.watching {
-		s.lastSeen = s.now
+		s.lastWatchAt = s.now
 	}
-	if p.listed && s.now-s.lastSeen <= int64(s.opts.DiscoveryTimeout) {
+	if p.listed && s.now-s.lastWatchAt <= int64(s.opts.DiscoveryTimeout) {
 		s.version++
 	}
 	s.add(s.now+int64(s.opts.MaxAge/4), listPublish, 0, 0, s.term)
--- a/internal/simulation/proxysim/probes.go
+++ b/internal/simulation/proxysim/probes.go
@@ -10,7 +10,7 @@
 // probeAnswer is the answer to a probe, on its way back.
 type probeAnswer struct {
 	server, incarnation int32
-	sent                int64
+	sentAt              int64
 	res                 balance.Result
 	report              [3]float64
 }
@@ -20,7 +20,7 @@
 	v := &s.servers[to]
 	p := &s.proxies[i]
 	way := s.latency(v.hall, p.hall)
-	a := probeAnswer{server: to, incarnation: incarnation, sent: s.now - way}
+	a := probeAnswer{server: to, incarnation: incarnation, sentAt: s.now - way}
 	after := way
 	switch {
 	case v.unresponsive:
@@ -74,6 +74,7 @@
 		row = a.report[:]
 	}
 	s.apply(i, p.agent.Probed(time.Duration(s.now), balance.ProbeResult{
-		Server: balance.ServerID(a.server + 1), Result: a.res, Latency: time.Duration(s.now - a.sent), Report: row,
+		Server: balance.ServerID(a.server + 1), Result: a.res,
+		Latency: time.Duration(s.now - a.sentAt), Report: row,
 	}, s.actions[:0]))
 }
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -110,10 +110,10 @@
 	sc, shape := s.scenario, s.streams.shape
 	s.arrived++
 	s.lastArrival = s.now
-	d := demand{proxy: proxyIndex, class: pickCumulative(s.shareCum.class, shape.Float64()),
+	d := demand{proxy: proxyIndex, class: pickCumulative(s.cumulativeFractions.class, shape.Float64()),
 		number: int32(s.arrived), arrivedAt: s.now}
-	if len(s.shareCum.tenant) > 0 {
-		d.tenant = pickCumulative(s.shareCum.tenant, shape.Float64())
+	if len(s.cumulativeFractions.tenant) > 0 {
+		d.tenant = pickCumulative(s.cumulativeFractions.tenant, shape.Float64())
 	}
 	d.honorsRetryAfter = shape.Float64() < sc.Clients.HonorRetryAfter
 	if s.zipf != nil {
--- a/internal/simulation/proxysim/result.go
+++ b/internal/simulation/proxysim/result.go
@@ -37,7 +37,7 @@
 	Utilisation     float64   `json:"utilisation"`    // work asked for, as a fraction of capacity
 	MeanInSystem    float64   `json:"held_mean"`      // requests in the system, by time
 	Throughput      float64   `json:"rate_per_s"`     // requests over the time counted
-	Note            string    `json:"note,omitempty"` // why the run is not as planned
+	Warning         string    `json:"note,omitempty"` // why the run is not as planned
 	Violations      []string  `json:"breaks,omitempty"`
 	Trace           []string  `json:"trace,omitempty"`
 	ServiceBySecond []float64 `json:"service_by_second"` // by second of arrival
@@ -91,7 +91,7 @@
 	for i := range t.bySecond[:min(len(t.bySecond), int(s.lastArrival/1e9)+1, 3600)] {
 		r.ServiceBySecond = append(r.ServiceBySecond, ratio(t.bySecond[i], t.bySecondAsked[i]))
 	}
-	r.Note = s.note(r)
+	r.Warning = s.warning(r)
 	return r
 }
 
@@ -117,8 +117,8 @@
 		0.1*r.ServiceWorstTenant - r.Prices
 }
 
-// note says why a run is not what its scenario planned, or "".
-func (s *Sim) note(r *Result) string {
+// warning says why a run is not what its scenario planned, or "".
+func (s *Sim) warning(r *Result) string {
 	load := &s.scenario.Load
 	switch {
 	case s.overflow:
@@ -133,20 +133,23 @@
 
 // worstWindow is the lowest service of any 10 s, by arrival; of the run where it is shorter.
 func (s *Sim) worstWindow() float64 {
-	t := &s.tally
-	x := 1.0
-	a, b := 0.0, 0.0
-	for i := range t.bySecond {
-		a, b = a+t.bySecond[i], b+t.bySecondAsked[i]
-		if i >= 10 {
-			a, b = a-t.bySecond[i-10], b-t.bySecondAsked[i-10]
+	const windowSeconds = 10
+	tally := &s.tally
+	if len(tally.bySecond) < windowSeconds {
+		return ratio(tally.value, tally.valueAsked)
+	}
+	worst := 1.0
+	served, asked := 0.0, 0.0 // value of the window that ends with second i
+	for i := range tally.bySecond {
+		served += tally.bySecond[i]
+		asked += tally.bySecondAsked[i]
+		if i >= windowSeconds {
+			served -= tally.bySecond[i-windowSeconds]
+			asked -= tally.bySecondAsked[i-windowSeconds]
 		}
-		if i >= 9 && b > 1e-9 {
-			x = min(x, a/b)
+		if i >= windowSeconds-1 && asked > 1e-9 {
+			worst = min(worst, served/asked)
 		}
 	}
-	if len(t.bySecond) < 10 {
-		return ratio(t.value, t.valueAsked)
-	}
-	return x
+	return worst
 }
--- a/internal/simulation/proxysim/scenario.go
+++ b/internal/simulation/proxysim/scenario.go
@@ -242,24 +242,24 @@
 
 // Fault is an injected fault.
 type Fault struct {
-	_            about         `doc:"what"`
-	Type         string        `key:"what" enum:"burst|pauses|hall_loss|shrink|discovery_stale|rolling|crash"`
-	_            about         `doc:"from then on"`
-	At           time.Duration `key:"at" min:"0s" max:"10000h"`
-	_            about         `doc:"for so long"`
-	Duration     time.Duration `key:"for" default:"0s" min:"0s" max:"10000h"`
-	_            about         `doc:"burst: times the usual load; pauses, shrink, rolling: part of the servers"`
-	Size         float64       `key:"size" default:"0.3" min:"0" max:"1000"`
-	_            about         `doc:"pauses: how long each is"`
-	PauseFor     time.Duration `key:"pause" default:"200ms" min:"0s" max:"1h"`
-	_            about         `doc:"pauses: a round each so often; shrink, rolling: time to drain"`
-	Interval     time.Duration `key:"every" default:"2s" min:"1ms" max:"1h"`
-	_            about         `doc:"hall_loss: which hall"`
-	Hall         string        `key:"hall" default:""`
-	_            about         `doc:"hall_loss: nothing is answered, rather than processes dying"`
-	Unresponsive bool          `key:"silent" default:"false"`
-	_            about         `doc:"hall_loss: its proxies are lost too"`
-	Proxies      bool          `key:"proxies" default:"false"`
-	_            about         `doc:"discovery_stale: further behind by"`
-	Lag          time.Duration `key:"behind" default:"5s" min:"0s" max:"1h"`
+	_             about         `doc:"what"`
+	Type          string        `key:"what" enum:"burst|pauses|hall_loss|shrink|discovery_stale|rolling|crash"`
+	_             about         `doc:"from then on"`
+	At            time.Duration `key:"at" min:"0s" max:"10000h"`
+	_             about         `doc:"for so long"`
+	Duration      time.Duration `key:"for" default:"0s" min:"0s" max:"10000h"`
+	_             about         `doc:"burst: times the usual load; pauses, shrink, rolling: part of the servers"`
+	Size          float64       `key:"size" default:"0.3" min:"0" max:"1000"`
+	_             about         `doc:"pauses: how long each is"`
+	PauseDuration time.Duration `key:"pause" default:"200ms" min:"0s" max:"1h"`
+	_             about         `doc:"pauses: a round each so often; shrink, rolling: time to drain"`
+	Interval      time.Duration `key:"every" default:"2s" min:"1ms" max:"1h"`
+	_             about         `doc:"hall_loss: which hall"`
+	Hall          string        `key:"hall" default:""`
+	_             about         `doc:"hall_loss: nothing is answered, rather than processes dying"`
+	Unresponsive  bool          `key:"silent" default:"false"`
+	_             about         `doc:"hall_loss: its proxies are lost too"`
+	Proxies       bool          `key:"proxies" default:"false"`
+	_             about         `doc:"discovery_stale: further behind by"`
+	Lag           time.Duration `key:"behind" default:"5s" min:"0s" max:"1h"`
 }
--- a/internal/simulation/proxysim/setup.go
+++ b/internal/simulation/proxysim/setup.go
@@ -52,14 +52,14 @@
 	work, classes := 0.0, 0.0
 	for _, c := range s.scenario.Classes {
 		classes += c.Fraction
-		s.shareCum.class = append(s.shareCum.class, classes)
+		s.cumulativeFractions.class = append(s.cumulativeFractions.class, classes)
 		work += c.Fraction * c.Work.Seconds()
 	}
 	work /= classes
 	tenants := 0.0
 	for _, t := range s.scenario.Tenants {
 		tenants += t.Fraction
-		s.shareCum.tenant = append(s.shareCum.tenant, tenants)
+		s.cumulativeFractions.tenant = append(s.cumulativeFractions.tenant, tenants)
 	}
 	cores := 0
 	for i := range s.servers {
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -48,16 +48,16 @@
 	free     struct{ requests, demands, jobs, answers []int32 }
 	inFlight int // requests, and attempts of clients that are still to come
 
-	streams     streams
-	rate        float64 // requests a second outside bursts
-	burst       float64 // factor on that, now
-	proxyCum    []float64
-	meanService float64 // mean service time, in ns
-	arrivalsEnd int64   // ns
-	arrived     int     // demands so far, -1 once the stream has ended
-	lastArrival int64   // ns
-	shareCum    struct{ class, tenant []float64 }
-	zipf        *rand.Zipf
+	streams             streams
+	rate                float64 // requests a second outside bursts
+	burst               float64 // factor on that, now
+	proxyCum            []float64
+	meanService         float64 // mean service time, in ns
+	arrivalsEnd         int64   // ns
+	arrived             int     // demands so far, -1 once the stream has ended
+	lastArrival         int64   // ns
+	cumulativeFractions struct{ class, tenant []float64 }
+	zipf                *rand.Zipf
 
 	registry registry
 	board    board
--- a/internal/simulation/proxysim/sim_test.go
+++ b/internal/simulation/proxysim/sim_test.go
@@ -62,7 +62,7 @@
 			{Type: "hall_loss", At: 14 * time.Second, Duration: 3 * time.Second, Hall: "c", Unresponsive: true},
 			{Type: "burst", At: 12 * time.Second, Duration: 4 * time.Second, Size: 1.5},
 			{Type: "pauses", At: 18 * time.Second, Duration: 4 * time.Second, Size: 0.3,
-				PauseFor: 200 * time.Millisecond, Interval: time.Second},
+				PauseDuration: 200 * time.Millisecond, Interval: time.Second},
 			{Type: "discovery_stale", At: 3 * time.Second, Duration: 9 * time.Second, Lag: 3 * time.Second},
 			{Type: "rolling", At: 20 * time.Second, Duration: 6 * time.Second, Size: 0.3, Interval: 2 * time.Second},
 			{Type: "crash", At: 27 * time.Second, Duration: 2 * time.Second}}}
@@ -220,7 +220,7 @@
 			Module: func(balance.Settings, time.Duration) (Agent, error) { return &reckless{how: rule}, nil }}
 		r := play(t, sc, o)
 		if r.Rules[rule] == 0 || len(r.Violations) == 0 || !strings.Contains(r.Violations[0], "request") ||
-			r.Note == "" {
+			r.Warning == "" {
 			t.Errorf("%s: %v, %q", rule, r.Rules, r.Violations)
 		}
 	}
@@ -230,12 +230,12 @@
 func TestOverloadEnds(t *testing.T) {
 	sc := queues(2, 1, 1.5, "fresh", 0, 20000)
 	r := play(t, sc, Options{Policy: "random", Seed: 1})
-	if !strings.Contains(r.Note, "beyond") || r.Served != 20000 {
-		t.Errorf("%q, %d served", r.Note, r.Served)
+	if !strings.Contains(r.Warning, "beyond") || r.Served != 20000 {
+		t.Errorf("%q, %d served", r.Warning, r.Served)
 	}
 	sc.MaxInFlight = 1000
-	if r := play(t, sc, Options{Policy: "random", Seed: 1}); !strings.Contains(r.Note, "most_held") {
-		t.Errorf("%q", r.Note)
+	if r := play(t, sc, Options{Policy: "random", Seed: 1}); !strings.Contains(r.Warning, "most_held") {
+		t.Errorf("%q", r.Warning)
 	}
 }
 
--- a/internal/simulation/proxysim/swim.go
+++ b/internal/simulation/proxysim/swim.go
@@ -99,7 +99,7 @@
 	subject, from int32
 	inc           uint32
 	status        SWIMStatus
-	sent          int16
+	transmits     int16
 }
 
 // packet is a datagram.
--- a/internal/simulation/proxysim/swimnet.go
+++ b/internal/simulation/proxysim/swimnet.go
@@ -9,7 +9,7 @@
 // enqueue queues an update for gossip, in place of an earlier one of the same subject.
 func (s *SWIM) enqueue(i int32, n update) {
 	m := &s.nodes[i]
-	n.sent = 0
+	n.transmits = 0
 	for at := range m.broadcasts {
 		if m.broadcasts[at].subject == n.subject {
 			m.broadcasts = append(m.broadcasts[:at], m.broadcasts[at+1:]...)
@@ -58,17 +58,17 @@
 		for at := len(m.broadcasts) - 1; at >= 0; at-- {
 			u := &m.broadcasts[at]
 			size := s.updateBytes(u) + 2
-			if u.sent != sent || size > capacity || containsSubject(out, u.subject) {
+			if u.transmits != sent || size > capacity || containsSubject(out, u.subject) {
 				continue
 			}
 			capacity -= size
-			if u.sent++; u.sent == 1 {
+			if u.transmits++; u.transmits == 1 {
 				s.firstTransmission(i, u)
 			}
 			out = append(out, *u)
 		}
 	}
-	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(u update) bool { return u.sent >= limit })
+	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(u update) bool { return u.transmits >= limit })
 	return out
 }
 
