--- a/internal/connbuffer/connbuffer.go
+++ b/internal/connbuffer/connbuffer.go
@@ -209,11 +209,11 @@
 	if c.HasBuffered() {
 		return nil
 	}
-	l, err := c.socketPeeker()
-	if l == nil {
+	p, err := c.socketPeeker()
+	if p == nil {
 		return err // without a descriptor only Read can wait
 	}
-	if err = l.raw.Read(l.isReadable); errors.Is(err, os.ErrDeadlineExceeded) && !c.Still() {
+	if err = p.raw.Read(p.isReadable); errors.Is(err, os.ErrDeadlineExceeded) && !c.Still() {
 		return nil
 	}
 	return err
@@ -244,12 +244,12 @@
 // PeerClosed reports whether the peer has closed or reset its sending side, even while earlier bytes are
 // still unread. It consumes nothing. Only the goroutine that reads may call it.
 func (c *Conn) PeerClosed() bool {
-	l, err := c.socketPeeker()
-	if l == nil {
+	p, err := c.socketPeeker()
+	if p == nil {
 		return err != nil
 	}
-	err = l.raw.Control(l.checkClosed)
-	return err != nil || l.peerClosed
+	err = p.raw.Control(p.checkClosed)
+	return err != nil || p.peerClosed
 }
 
 // socketPeeker returns the peeker of the connection, nil where it has no descriptor.
@@ -281,24 +281,24 @@
 	peerClosed  bool
 }
 
-func (l *peeker) findClosed(fd uintptr) {
-	n, _, err := syscall.Recvfrom(int(fd), l.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	l.in.recordPeek(err)
-	l.peerClosed = n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) &&
+func (p *peeker) findClosed(fd uintptr) {
+	n, _, err := syscall.Recvfrom(int(fd), p.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	p.in.recordPeek(err)
+	p.peerClosed = n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) &&
 		!errors.Is(err, syscall.EINTR)
 	if n > 0 { // the end may follow unread bytes
-		l.pollFDs[0] = unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
-		n, err := unix.Poll(l.pollFDs[:], 0)
-		l.peerClosed = err == nil && n > 0 && l.pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		p.pollFDs[0] = unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
+		n, err := unix.Poll(p.pollFDs[:], 0)
+		p.peerClosed = err == nil && n > 0 && p.pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	}
 }
 
-func (l *peeker) findReadable(fd uintptr) bool {
-	_, _, err := syscall.Recvfrom(int(fd), l.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+func (p *peeker) findReadable(fd uintptr) bool {
+	_, _, err := syscall.Recvfrom(int(fd), p.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	for errors.Is(err, syscall.EINTR) {
-		_, _, err = syscall.Recvfrom(int(fd), l.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		_, _, err = syscall.Recvfrom(int(fd), p.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	}
-	l.in.recordPeek(err)
+	p.in.recordPeek(err)
 	return !errors.Is(err, syscall.EAGAIN)
 }
 
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -18,7 +18,7 @@
 	chunked    bool
 	untilClose bool
 	sawChunk   bool  // a chunk has begun before
-	unbounded  bool  // it may go on beyond Largest
+	unbounded  bool  // it may be longer than MaxBodyLength
 	total      int64 // read so far, of one whose length is not known
 	err        error // for good
 }
@@ -104,18 +104,18 @@
 func (b *Body) nextChunk() error {
 	budget := maxHead
 	if b.sawChunk {
-		if l, err := readLine(b.r, &budget); err != nil {
+		if line, err := readLine(b.r, &budget); err != nil {
 			return unexpectedEOF(err)
-		} else if l != "" {
+		} else if line != "" {
 			return malformed("a chunk is longer than its size")
 		}
 	}
 	b.sawChunk = true
-	l, err := readLine(b.r, &budget)
+	line, err := readLine(b.r, &budget)
 	if err != nil {
 		return unexpectedEOF(err)
 	}
-	size, _, _ := strings.Cut(l, ";")
+	size, _, _ := strings.Cut(line, ";")
 	size = strings.TrimRight(size, " \t")
 	n, err := strconv.ParseUint(size, 16, 63)
 	if err != nil || size[0] == '+' {
@@ -127,8 +127,8 @@
 	if b.remaining = int64(n); n > 0 {
 		return nil
 	}
-	for l = "-"; l != ""; { // trailers say nothing here
-		if l, err = readLine(b.r, &budget); err != nil {
+	for line = "-"; line != ""; { // trailer fields are ignored
+		if line, err = readLine(b.r, &budget); err != nil {
 			return unexpectedEOF(err)
 		}
 	}
@@ -160,29 +160,29 @@
 // ReadRequest reads one request with a body of at most MaxBufferedBody bytes. io.EOF means that the
 // connection ended before its first byte.
 func ReadRequest(r *bufio.Reader) (*Request, error) {
-	q, b, err := ReadRequestHead(r)
+	request, body, err := ReadRequestHead(r)
 	if err == nil {
-		q.Body, err = b.readAll()
+		request.Body, err = body.readAll()
 	}
-	return q, err
+	return request, err
 }
 
 // ReadResponse reads one response to GET or POST with a body of at most MaxBufferedBody bytes.
 func ReadResponse(r *bufio.Reader) (*Response, error) {
-	a, b, err := ReadResponseHead(r, "GET")
+	response, body, err := ReadResponseHead(r, "GET")
 	if err == nil {
-		a.Body, err = b.readAll()
+		response.Body, err = body.readAll()
 	}
-	return a, err
+	return response, err
 }
 
 // ReadStream reads the head of a response and returns its status and a reader of its body, which may be
 // longer than MaxBodyLength.
 func ReadStream(r *bufio.Reader) (int, io.Reader, error) {
-	a, b, err := ReadResponseHead(r, "GET")
+	response, body, err := ReadResponseHead(r, "GET")
 	if err != nil {
 		return 0, nil, err
 	}
-	b.unbounded = true
-	return a.Status, b, nil
+	body.unbounded = true
+	return response.Status, body, nil
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -17,38 +17,38 @@
 	chunked bool
 }
 
-// readLine reads one line without its CRLF; room counts down the bytes the head may still have. A line may be
-// longer than the reader's buffer.
+// readLine reads one line without its CRLF; budget counts down the bytes that the head may still have. A line
+// may be longer than the reader's buffer.
 func readLine(r *bufio.Reader, budget *int) (string, error) {
-	b, err := r.ReadSlice('\n')
+	raw, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		long := slices.Clone(b)
+		long := slices.Clone(raw)
 		for errors.Is(err, bufio.ErrBufferFull) && len(long) <= *budget {
-			b, err = r.ReadSlice('\n')
-			long = append(long, b...)
+			raw, err = r.ReadSlice('\n')
+			long = append(long, raw...)
 		}
-		b = long
+		raw = long
 	}
-	if len(b) > *budget {
+	if len(raw) > *budget {
 		return "", &MalformedError{Status: 431, Reason: "head too large"}
 	}
 	if err != nil {
-		if errors.Is(err, io.EOF) && len(b) > 0 {
+		if errors.Is(err, io.EOF) && len(raw) > 0 {
 			err = io.ErrUnexpectedEOF
 		}
 		return "", err
 	}
-	*budget -= len(b)
-	if len(b) < 2 || b[len(b)-2] != '\r' {
+	*budget -= len(raw)
+	if len(raw) < 2 || raw[len(raw)-2] != '\r' {
 		return "", malformed("a line does not end with CRLF")
 	}
-	b = b[:len(b)-2]
-	for _, c := range b {
+	raw = raw[:len(raw)-2]
+	for _, c := range raw {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return "", malformed("a control character in the head")
 		}
 	}
-	return string(b), nil
+	return string(raw), nil
 }
 
 func isToken(s string) bool {
@@ -68,17 +68,17 @@
 func readHeader(r *bufio.Reader, budget *int) (head, error) {
 	h := head{length: -1}
 	for {
-		l, err := readLine(r, budget)
+		line, err := readLine(r, budget)
 		if err != nil {
 			return h, unexpectedEOF(err)
 		}
-		if l == "" {
+		if line == "" {
 			break
 		}
 		if len(h.header) == maxFields {
 			return h, &MalformedError{Status: 431, Reason: "too many header fields"}
 		}
-		if err := h.addField(l); err != nil {
+		if err := h.addField(line); err != nil {
 			return h, err
 		}
 	}
@@ -90,10 +90,10 @@
 }
 
 // addField parses one header line, adds it, and updates the framing of the body.
-func (h *head) addField(l string) error {
-	name, value, ok := strings.Cut(l, ":")
+func (h *head) addField(line string) error {
+	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) { // a space before the colon and a folded line end here too
-		return malformed("not a header field: %.40q", l)
+		return malformed("not a header field: %.40q", line)
 	}
 	value = strings.Trim(value, " \t")
 	h.header = append(h.header, Field{name, value})
@@ -142,20 +142,20 @@
 	return ReadRequestHeadWithin(r, maxHead)
 }
 
-// ReadRequestHeadWithin is ReadRequestHead for a head of at most room bytes.
+// ReadRequestHeadWithin is ReadRequestHead for a head of at most budget bytes.
 func ReadRequestHeadWithin(r *bufio.Reader, budget int) (*Request, *Body, error) {
-	l, err := readLine(r, &budget)
+	line, err := readLine(r, &budget)
 	// some clients send an extra CRLF after a body (RFC 9112, 2.2)
-	for n := 0; err == nil && l == "" && n < maxEmptyLines; n++ {
-		l, err = readLine(r, &budget)
+	for n := 0; err == nil && line == "" && n < maxEmptyLines; n++ {
+		line, err = readLine(r, &budget)
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	method, rest, _ := strings.Cut(l, " ")
+	method, rest, _ := strings.Cut(line, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	if !ok || !isToken(method) || strings.Contains(version, " ") {
-		return nil, nil, malformed("not a request line: %.40q", l)
+		return nil, nil, malformed("not a request line: %.40q", line)
 	}
 	old := version == "HTTP/1.0"
 	if !old && version != "HTTP/1.1" {
@@ -179,15 +179,15 @@
 	if old && h.chunked {
 		return nil, nil, malformed("chunks in HTTP/1.0")
 	}
-	q := &Request{Method: method, Target: target, Header: h.header, Close: old || !h.keepsAlive(old),
+	request := &Request{Method: method, Target: target, Header: h.header, Close: old || !h.keepsAlive(old),
 		HTTP10: old}
 	if e := h.header.Get("Expect"); e != "" && !old {
 		if !strings.EqualFold(e, "100-continue") {
 			return nil, nil, &MalformedError{Status: 417, Reason: fmt.Sprintf("expectation %.20q", e)}
 		}
-		q.ExpectsContinue = h.chunked || h.length > 0
+		request.ExpectsContinue = h.chunked || h.length > 0
 	}
-	return q, newBody(r, &h, false), nil
+	return request, newBody(r, &h, false), nil
 }
 
 // origin splits a request target into path with query, and the host of an absolute target.
@@ -249,16 +249,16 @@
 
 // readStatusLine reads the first line of a response; old reports HTTP/1.0.
 func readStatusLine(r *bufio.Reader, budget *int) (status int, old bool, err error) {
-	l, err := readLine(r, budget)
+	line, err := readLine(r, budget)
 	if err != nil {
 		return 0, false, unexpectedEOF(err)
 	}
-	version, rest, _ := strings.Cut(l, " ")
+	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err = strconv.Atoi(code)
 	old = version == "HTTP/1.0"
 	if !old && version != "HTTP/1.1" || err != nil || len(code) != 3 || status < 100 {
-		return 0, false, malformed("not a status line: %.40q", l)
+		return 0, false, malformed("not a status line: %.40q", line)
 	}
 	if status == 101 { // no request asks for an upgrade
 		return 0, false, malformed("switching protocols")
--- a/internal/simulation/proxysim/swimnet.go
+++ b/internal/simulation/proxysim/swimnet.go
@@ -196,15 +196,15 @@
 
 // merge merges the full state of j into that of member i. A member that is dead there is only suspected here.
 func (s *SWIM) merge(i, j int32) {
-	m, o := &s.nodes[i], &s.nodes[j]
-	for _, k := range append([]int32(nil), o.order...) {
-		c := o.views[k]
+	local, remote := &s.nodes[i], &s.nodes[j]
+	for _, subject := range slices.Clone(remote.order) {
+		view := remote.views[subject]
 		switch {
-		case c.status == SWIMAlive:
-			s.alive(i, update{subject: k, from: j, inc: c.inc, status: SWIMAlive})
-		case m.views[k].status == SWIMUnknown:
+		case view.status == SWIMAlive:
+			s.alive(i, update{subject: subject, from: j, inc: view.inc, status: SWIMAlive})
+		case local.views[subject].status == SWIMUnknown:
 		default:
-			s.suspect(i, update{subject: k, from: i, inc: c.inc, status: SWIMSuspect})
+			s.suspect(i, update{subject: subject, from: i, inc: view.inc, status: SWIMSuspect})
 		}
 	}
 }
