--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -61,10 +61,11 @@
 	return s.now + int64(s.streams.arrivals.ExpFloat64()/rate*1e9)
 }
 
-// pickCumulative is the position in cumulated shares of x, which is drawn from 0 to 1.
-func pickCumulative(cum []float64, x float64) int32 {
-	i, _ := slices.BinarySearch(cum, x*cum[len(cum)-1])
-	return int32(min(i, len(cum)-1))
+// pickCumulative returns the index of the cumulative weight that x falls under; x is drawn from 0 to 1,
+// whatever the sum of the weights is.
+func pickCumulative(cumulative []float64, x float64) int32 {
+	i, _ := slices.BinarySearch(cumulative, x*cumulative[len(cumulative)-1])
+	return int32(min(i, len(cumulative)-1))
 }
 
 // arrival handles the next arrival of the stream, or the next burst of one proxy, and schedules the one after
@@ -77,7 +78,7 @@
 	}
 	// All random properties of the request are drawn here, so that policies meet the same requests.
 	shape := s.streams.shape
-	proxyIndex := pickCumulative(s.proxyCum, shape.Float64())
+	proxyIndex := pickCumulative(s.cumulativeLoad, shape.Float64())
 	n := 1
 	if sc.Load.Arrivals == "bursty" {
 		n = max(1, int(sc.Load.Burst+0.5))
@@ -157,8 +158,8 @@
 }
 
 // startClientAttempt sends a demand to its proxy, again after the first time.
-func (s *Sim) startClientAttempt(di int32) {
-	d := &s.demands[di]
+func (s *Sim) startClientAttempt(demandIndex int32) {
+	d := &s.demands[demandIndex]
 	if d.attempts == 0 {
 		d.arrivedAt = s.now
 		if c := &s.scenario.Classes[d.class]; c.Deadline > 0 {
@@ -166,16 +167,16 @@
 		}
 	}
 	if d.attempts++; d.attempts == 1 && d.counted {
-		s.tally.countArrival(s, di)
+		s.tally.countArrival(s, demandIndex)
 	}
 	p := &s.proxies[d.proxy]
 	if !p.alive {
-		s.attemptAnswered(di, failed, 0, true)
+		s.attemptAnswered(demandIndex, failed, 0, true)
 		return
 	}
 	r := s.allocRequest()
 	q := &s.requests[r]
-	*q = request{demand: di, proxy: d.proxy, incarnation: p.incarnation, generation: q.generation + 1,
+	*q = request{demand: demandIndex, proxy: d.proxy, incarnation: p.incarnation, generation: q.generation + 1,
 		used: true, at: s.now, attempts: q.attempts[:0]}
 	d.refs++
 	q.deadline = d.deadline
@@ -206,9 +207,9 @@
 }
 
 // clientTimeout is when a request should have been answered at the latest.
-func (s *Sim) clientTimeout(r int32, gen uint64) {
+func (s *Sim) clientTimeout(r int32, generation uint64) {
 	q := &s.requests[r]
-	if !q.used || uint64(q.generation) != gen || q.answered {
+	if !q.used || uint64(q.generation) != generation || q.answered {
 		return
 	}
 	s.monitor.recordViolation(s, OneAnswer, s.demands[q.demand].number, -1)
@@ -239,8 +240,8 @@
 
 // attemptAnswered is the client's side of an answer: a retry, or the end of its demand. An unreachable proxy
 // has begun nothing.
-func (s *Sim) attemptAnswered(di int32, how answer, retryAfter time.Duration, unreachable bool) {
-	d := &s.demands[di]
+func (s *Sim) attemptAnswered(demandIndex int32, how answer, retryAfter time.Duration, unreachable bool) {
+	d := &s.demands[demandIndex]
 	c := &s.scenario.Classes[d.class]
 	retries := how != served && int(d.attempts) < s.scenario.Clients.MaxAttempts &&
 		(how == refused || unreachable || !c.AtMostOnce)
@@ -250,7 +251,7 @@
 	}
 	if at := s.now + int64(backoff); retries && at < d.deadline {
 		s.inFlight++
-		s.add(max(at, s.now+1), evClientAttempt, di, 0, 0)
+		s.add(max(at, s.now+1), evClientAttempt, demandIndex, 0, 0)
 		return
 	}
 	if d.counted {
@@ -258,7 +259,7 @@
 	}
 	d.done = true
 	if d.refs == 0 {
-		s.free.demands = append(s.free.demands, di)
+		s.free.demands = append(s.free.demands, demandIndex)
 	}
 }
 
--- a/internal/simulation/proxysim/result.go
+++ b/internal/simulation/proxysim/result.go
@@ -83,9 +83,9 @@
 		conns += int(s.servers[i].conns)
 	}
 	r.Conns = float64(conns) / float64(len(s.servers))
-	if counted := float64(s.lastArrival-t.from) / 1e9; counted > 0 {
+	if counted := float64(s.lastArrival-t.firstArrivalAt) / 1e9; counted > 0 {
 		r.Utilisation = t.work / 1e9 / (s.capacity() * counted)
-		observed := float64(t.inSystemAt-t.from) / 1e9
+		observed := float64(t.inSystemAt-t.firstArrivalAt) / 1e9
 		r.MeanInSystem, r.Throughput = t.inSystemArea/1e9/observed, float64(t.requests)/observed
 	}
 	for i := range t.bySecond[:min(len(t.bySecond), int(s.lastArrival/1e9)+1, 3600)] {
--- a/internal/simulation/proxysim/server.go
+++ b/internal/simulation/proxysim/server.go
@@ -62,21 +62,21 @@
 }
 
 // finishJob ends a job, of whose result its proxy learns after a delay.
-func (s *Sim) finishJob(ji int32, res balance.Result, delay int64) {
-	j := &s.jobs[ji]
+func (s *Sim) finishJob(jobIndex int32, res balance.Result, delay int64) {
+	j := &s.jobs[jobIndex]
 	token := s.requests[j.req].attemptToken(int(j.attempt))
 	s.add(s.now+delay, evAttemptEnd, j.req, int32(res), token)
-	s.dropJob(ji)
+	s.dropJob(jobIndex)
 }
 
 // dropJob ends a job without an answer and frees its slot.
-func (s *Sim) dropJob(ji int32) {
-	j := &s.jobs[ji]
+func (s *Sim) dropJob(jobIndex int32) {
+	j := &s.jobs[jobIndex]
 	q := &s.requests[j.req]
 	q.attempts[j.attempt].job = -1
 	q.jobs--
 	j.used = false
-	s.free.jobs = append(s.free.jobs, ji)
+	s.free.jobs = append(s.free.jobs, jobIndex)
 	s.releaseRequest(j.req)
 }
 
@@ -86,30 +86,30 @@
 }
 
 // arriveAtServer runs, queues or rejects a job that has reached its server.
-func (s *Sim) arriveAtServer(ji int32) {
-	j := &s.jobs[ji]
+func (s *Sim) arriveAtServer(jobIndex int32) {
+	j := &s.jobs[jobIndex]
 	v := &s.servers[j.server]
 	back := s.returnLatency(j)
 	d := &s.demands[s.requests[j.req].demand]
 	switch {
 	case v.unresponsive:
-		s.dropJob(ji)
+		s.dropJob(jobIndex)
 		return
 	case !v.up || v.incarnation != j.incarnation:
-		s.finishJob(ji, balance.Reset, back)
+		s.finishJob(jobIndex, balance.Reset, back)
 		return
 	}
 	s.trackSlowStart(j.server, j.work+j.handshake, d.number)
 	limit := s.scenario.Servers.QueueLimit
 	if v.draining || v.collapsed || len(v.running) >= int(v.cores) && limit > 0 && v.queued() >= limit {
 		s.tally.rejected++
-		s.finishJob(ji, balance.Rejected, back)
+		s.finishJob(jobIndex, balance.Rejected, back)
 		return
 	}
 	if len(v.running) < int(v.cores) {
-		s.startJob(ji)
+		s.startJob(jobIndex)
 	} else {
-		v.queue = append(v.queue, ji)
+		v.queue = append(v.queue, jobIndex)
 	}
 	s.board.recordLoad(s, j.server)
 	s.board.readOnAccess(s, s.requests[j.req].proxy)
@@ -149,8 +149,8 @@
 }
 
 // startJob runs a job on a free core.
-func (s *Sim) startJob(ji int32) {
-	j := &s.jobs[ji]
+func (s *Sim) startJob(jobIndex int32) {
+	j := &s.jobs[jobIndex]
 	v := &s.servers[j.server]
 	q := &s.requests[j.req]
 	d := &s.demands[q.demand]
@@ -169,8 +169,8 @@
 		took *= s.scenario.Servers.ChokeFactor
 	}
 	j.doneAt = max(s.now, v.pausedUntil) + int64(took)
-	v.running = append(v.running, ji)
-	s.add(j.doneAt, evJobDone, ji, v.incarnation, uint64(j.generation))
+	v.running = append(v.running, jobIndex)
+	s.add(j.doneAt, evJobDone, jobIndex, v.incarnation, uint64(j.generation))
 }
 
 // touchKey reports whether a key is warm and records its use; the oldest key is evicted.
@@ -195,9 +195,9 @@
 }
 
 // jobDone ends a job on its core, on which the next one starts.
-func (s *Sim) jobDone(ji, incarnation int32, stamp uint64) {
-	j := &s.jobs[ji]
-	if !j.used || uint64(j.generation) != stamp {
+func (s *Sim) jobDone(jobIndex, incarnation int32, generation uint64) {
+	j := &s.jobs[jobIndex]
+	if !j.used || uint64(j.generation) != generation {
 		return
 	}
 	i := j.server
@@ -209,11 +209,11 @@
 		j.doneAt = max(j.doneAt, v.pausedUntil)
 	}
 	if j.doneAt > s.now {
-		s.add(j.doneAt, evJobDone, ji, incarnation, stamp)
+		s.add(j.doneAt, evJobDone, jobIndex, incarnation, generation)
 		return
 	}
 	for n, r := range v.running {
-		if r == ji {
+		if r == jobIndex {
 			v.running[n] = v.running[len(v.running)-1]
 			v.running = v.running[:len(v.running)-1]
 			break
@@ -223,9 +223,9 @@
 		s.tally.wasted += j.work
 	}
 	if back := s.returnLatency(j); v.unresponsive {
-		s.dropJob(ji)
+		s.dropJob(jobIndex)
 	} else {
-		s.finishJob(ji, balance.Done, back)
+		s.finishJob(jobIndex, balance.Done, back)
 	}
 	for v.queued() > 0 && len(v.running) < int(v.cores) {
 		next := v.queue[v.head]
--- a/internal/simulation/proxysim/setup.go
+++ b/internal/simulation/proxysim/setup.go
@@ -79,7 +79,7 @@
 	total := 0.0
 	for i := range s.scenario.Proxies.Count {
 		total += math.Pow(float64(i+1), -s.scenario.Proxies.Skew)
-		s.proxyCum = append(s.proxyCum, total)
+		s.cumulativeLoad = append(s.cumulativeLoad, total)
 	}
 	if s.scenario.Load.Keys > 0 {
 		s.zipf = rand.NewZipf(s.streams.keys, s.scenario.Load.KeySkew, 4, uint64(s.scenario.Load.Keys-1))
@@ -90,15 +90,15 @@
 	s.registry.init(s)
 	s.idleConns = make([]idleConns, s.scenario.Proxies.Count*s.registry.maxServers)
 	s.proxies = make([]proxy, s.scenario.Proxies.Count)
-	total := s.proxyCum[len(s.proxyCum)-1]
+	total := s.cumulativeLoad[len(s.cumulativeLoad)-1]
 	for i := range s.proxies {
 		p := &s.proxies[i]
 		p.hall, p.module = int32(i%len(s.halls)), o.Policy == "module"
 		before := 0.0
 		if i > 0 {
-			before = s.proxyCum[i-1]
+			before = s.cumulativeLoad[i-1]
 		}
-		p.meanGap = 1e9 / (s.rate * (s.proxyCum[i] - before) / total)
+		p.meanGap = 1e9 / (s.rate * (s.cumulativeLoad[i] - before) / total)
 		if err := s.startProxy(int32(i), o); err != nil {
 			return err
 		}
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -49,13 +49,13 @@
 	inFlight int // requests, and attempts of clients that are still to come
 
 	streams             streams
-	rate                float64 // requests a second outside bursts
-	burst               float64 // factor on that, now
-	proxyCum            []float64
-	meanService         float64 // mean service time, in ns
-	arrivalsEnd         int64   // ns
-	arrived             int     // demands so far, -1 once the stream has ended
-	lastArrival         int64   // ns
+	rate                float64   // requests a second outside bursts
+	burst               float64   // factor on that, now
+	cumulativeLoad      []float64 // of proxies, by their weights
+	meanService         float64   // mean service time, in ns
+	arrivalsEnd         int64     // ns
+	arrived             int       // demands so far, -1 once the stream has ended
+	lastArrival         int64     // ns
 	cumulativeFractions struct{ class, tenant []float64 }
 	zipf                *rand.Zipf
 
--- a/internal/simulation/proxysim/swim.go
+++ b/internal/simulation/proxysim/swim.go
@@ -88,7 +88,7 @@
 
 // memberView is what one member knows of another.
 type memberView struct {
-	inc          uint32
+	incarnation  uint32
 	changedAt    int32 // ms, when status last changed
 	status       SWIMStatus
 	shownSuspect bool // package gossip shows it as suspect: since the suspicion was first gossiped
@@ -97,7 +97,7 @@
 // update is a gossiped message: suspect, alive or dead.
 type update struct {
 	subject, from int32
-	inc           uint32
+	incarnation   uint32
 	status        SWIMStatus
 	transmits     int16
 }
@@ -129,18 +129,18 @@
 
 // swimNode is the state of one member.
 type swimNode struct {
-	views      []memberView // by member
-	order      []int32      // the known members, in the order in which they are probed
-	next       int          // position in order
-	broadcasts []update
-	suspects   map[int32]*suspicion
-	byStatus   [4]int // number of members by status
-	inc        uint32 // its incarnation number
-	health     int    // Lifeguard's local health multiplier
-	process    uint64 // identifies its run in events; tickers of earlier ones end
-	up         bool
-	paused     bool
-	waiting    []event // that came while it was paused
+	views       []memberView // by member
+	order       []int32      // the known members, in the order in which they are probed
+	next        int          // position in order
+	broadcasts  []update
+	suspects    map[int32]*suspicion
+	byStatus    [4]int // number of members by status
+	incarnation uint32 // its incarnation number
+	health      int    // Lifeguard's local health multiplier
+	process     uint64 // identifies its run in events; tickers of earlier ones end
+	up          bool
+	paused      bool
+	waiting     []event // that came while it was paused
 
 	seq           uint64
 	probing       int32 // -1: none
@@ -205,14 +205,15 @@
 func (s *SWIM) boot(i int32, empty bool) {
 	m := &s.nodes[i]
 	n := s.opts.Members
-	*m = swimNode{views: make([]memberView, n), suspects: map[int32]*suspicion{}, inc: 1, up: true, probing: -1,
+	*m = swimNode{views: make([]memberView, n), suspects: map[int32]*suspicion{},
+		incarnation: 1, up: true, probing: -1,
 		relayed: map[uint64]relayedProbe{}, seq: m.seq + 1, process: m.seq + 1}
 	m.order = append(m.order, i)
-	m.views[i] = memberView{inc: 1, status: SWIMAlive}
+	m.views[i] = memberView{incarnation: 1, status: SWIMAlive}
 	m.byStatus[SWIMAlive] = 1
 	if !empty {
 		for j := range m.views {
-			m.views[j] = memberView{inc: 1, status: SWIMAlive}
+			m.views[j] = memberView{incarnation: 1, status: SWIMAlive}
 		}
 		m.byStatus[SWIMAlive] = n
 		m.order = m.order[:0]
--- a/internal/simulation/proxysim/swimnet.go
+++ b/internal/simulation/proxysim/swimnet.go
@@ -201,10 +201,10 @@
 		view := remote.views[subject]
 		switch {
 		case view.status == SWIMAlive:
-			s.alive(i, update{subject: subject, from: j, inc: view.inc, status: SWIMAlive})
+			s.alive(i, update{subject: subject, from: j, incarnation: view.incarnation, status: SWIMAlive})
 		case local.views[subject].status == SWIMUnknown:
 		default:
-			s.suspect(i, update{subject: subject, from: i, inc: view.inc, status: SWIMSuspect})
+			s.suspect(i, update{subject: subject, from: i, incarnation: view.incarnation, status: SWIMSuspect})
 		}
 	}
 }
--- a/internal/simulation/proxysim/swimprobe.go
+++ b/internal/simulation/proxysim/swimprobe.go
@@ -22,7 +22,7 @@
 		s.Count.Probes++
 		p := packet{kind: msgPing, from: i, to: j, seq: m.seq}
 		if c := m.views[j]; c.status == SWIMSuspect {
-			p.gossip = []update{{subject: j, from: i, inc: c.inc, status: SWIMSuspect}}
+			p.gossip = []update{{subject: j, from: i, incarnation: c.incarnation, status: SWIMSuspect}}
 			s.transmit(p)
 		} else {
 			s.send(p)
@@ -68,7 +68,7 @@
 		if m.views[j].status == SWIMAlive {
 			s.Count.Suspicions++
 		}
-		s.suspect(i, update{subject: j, from: i, inc: m.views[j].inc, status: SWIMSuspect})
+		s.suspect(i, update{subject: j, from: i, incarnation: m.views[j].incarnation, status: SWIMSuspect})
 	}
 	if m.missedTick {
 		m.missedTick = false
--- a/internal/simulation/proxysim/swimrun.go
+++ b/internal/simulation/proxysim/swimrun.go
@@ -63,7 +63,7 @@
 		s.relayTimeout(m, e)
 	case swimSuspicion:
 		if t := m.suspects[e.b]; t != nil && t.generation == e.c {
-			s.dead(e.a, update{subject: e.b, from: e.a, inc: m.views[e.b].inc, status: SWIMDead})
+			s.dead(e.a, update{subject: e.b, from: e.a, incarnation: m.views[e.b].incarnation, status: SWIMDead})
 		}
 	case swimRejoin:
 		s.rejoinTick(m, e)
--- a/internal/simulation/proxysim/swimview.go
+++ b/internal/simulation/proxysim/swimview.go
@@ -18,7 +18,7 @@
 }
 
 // setStatus sets the status of j in the view of member i.
-func (s *SWIM) setStatus(i, j int32, status SWIMStatus, inc uint32) {
+func (s *SWIM) setStatus(i, j int32, status SWIMStatus, incarnation uint32) {
 	if m := &s.nodes[i]; m.views[j].status == SWIMUnknown {
 		m.order = append(m.order, j)
 		at := s.rng.IntN(len(m.order))
@@ -31,7 +31,7 @@
 			c.status, c.changedAt = status, int32(s.now/1e6)
 			c.shownSuspect = c.shownSuspect && status != SWIMDead
 		}
-		c.inc = inc
+		c.incarnation = incarnation
 	})
 }
 
@@ -73,28 +73,28 @@
 // refute has a member answer its own suspicion or death of an incarnation by a higher incarnation.
 func (s *SWIM) refute(i int32, accused uint32) {
 	m := &s.nodes[i]
-	m.inc = max(m.inc, accused) + 1
-	m.views[i].inc = m.inc
+	m.incarnation = max(m.incarnation, accused) + 1
+	m.views[i].incarnation = m.incarnation
 	m.health = min(m.health+1, swimMaxHealth-1)
 	s.Count.Refutations++
-	s.enqueue(i, update{subject: i, from: i, inc: m.inc, status: SWIMAlive})
+	s.enqueue(i, update{subject: i, from: i, incarnation: m.incarnation, status: SWIMAlive})
 }
 
 // alive applies an update that says that a member is alive.
 func (s *SWIM) alive(i int32, n update) {
 	m := &s.nodes[i]
 	if n.subject == i {
-		if n.inc > m.inc {
-			s.refute(i, n.inc)
+		if n.incarnation > m.incarnation {
+			s.refute(i, n.incarnation)
 		}
 		return
 	}
 	c := m.views[n.subject]
-	if c.status != SWIMUnknown && n.inc <= c.inc {
+	if c.status != SWIMUnknown && n.incarnation <= c.incarnation {
 		return
 	}
 	delete(m.suspects, n.subject)
-	s.setStatus(i, n.subject, SWIMAlive, n.inc)
+	s.setStatus(i, n.subject, SWIMAlive, n.incarnation)
 	s.enqueue(i, n)
 }
 
@@ -102,7 +102,7 @@
 func (s *SWIM) suspect(i int32, n update) {
 	m := &s.nodes[i]
 	c := m.views[n.subject]
-	if c.status == SWIMUnknown || n.inc < c.inc {
+	if c.status == SWIMUnknown || n.incarnation < c.incarnation {
 		return
 	}
 	if t := m.suspects[n.subject]; t != nil {
@@ -113,11 +113,11 @@
 		return
 	}
 	if n.subject == i {
-		s.refute(i, n.inc)
+		s.refute(i, n.incarnation)
 		return
 	}
 	s.enqueue(i, n)
-	s.setStatus(i, n.subject, SWIMSuspect, n.inc)
+	s.setStatus(i, n.subject, SWIMSuspect, n.incarnation)
 	known := len(m.order)
 	k := s.opts.SuspicionMult - 2
 	if known-2 < k {
@@ -165,7 +165,7 @@
 func (s *SWIM) dead(i int32, n update) {
 	m := &s.nodes[i]
 	c := m.views[n.subject]
-	if c.status == SWIMUnknown || n.inc < c.inc {
+	if c.status == SWIMUnknown || n.incarnation < c.incarnation {
 		return
 	}
 	delete(m.suspects, n.subject)
@@ -173,7 +173,7 @@
 		return
 	}
 	if n.subject == i {
-		s.refute(i, n.inc)
+		s.refute(i, n.incarnation)
 		return
 	}
 	s.enqueue(i, n)
@@ -181,5 +181,5 @@
 	if !s.down[n.subject] && !s.nodes[n.subject].paused {
 		s.Count.FalseDeaths++
 	}
-	s.setStatus(i, n.subject, SWIMDead, n.inc)
+	s.setStatus(i, n.subject, SWIMDead, n.incarnation)
 }
--- a/internal/simulation/proxysim/tally.go
+++ b/internal/simulation/proxysim/tally.go
@@ -23,7 +23,7 @@
 	quotaTokens                                       []float64 // of tenants' quotas
 	quotaTokensAt                                     int64
 	inSystemArea                                      float64 // integral of inSystem over time
-	from, inSystemAt                                  int64
+	firstArrivalAt, inSystemAt                        int64
 	inSystem                                          int
 }
 
@@ -46,8 +46,8 @@
 }
 
 // countArrival counts a demand that arrives. Beyond its tenant's quota its value is lower.
-func (t *tally) countArrival(s *Sim, di int32) {
-	d := &s.demands[di]
+func (t *tally) countArrival(s *Sim, demandIndex int32) {
+	d := &s.demands[demandIndex]
 	if len(t.quotaTokens) > 0 {
 		passed := float64(s.now-t.quotaTokensAt) / 1e9
 		t.quotaTokensAt = s.now
@@ -64,7 +64,7 @@
 		t.tenantAsked[d.tenant] += d.value
 	}
 	if t.requests == 0 {
-		t.from, t.inSystemAt = s.now, s.now
+		t.firstArrivalAt, t.inSystemAt = s.now, s.now
 	}
 	t.requests++
 	t.work += d.work
