--- a/internal/childprocess/childprocess.go
+++ b/internal/childprocess/childprocess.go
@@ -21,12 +21,12 @@
 // Process is the program as a child.
 type Process struct {
 	cmd   *exec.Cmd
-	ended chan struct{}
-	err   error
+	ended chan struct{}  // closed once the child has ended and its log has been read
+	err   error          // of its end, set before ended is closed
 	input io.WriteCloser // of its standard input, nil where it has none
 	out   io.Closer      // where its log is read
 
-	logMu sync.Mutex // locked while the log is not read
+	logMu sync.Mutex // held by PauseLog until ResumeLog
 
 	mu     sync.Mutex
 	tail   []string          // last lines of its log
@@ -49,8 +49,8 @@
 	LogBuffer int
 }
 
-// Start starts the proxy at path with a configuration file and keys set beside it (KEY=VALUE), and waits
-// until it says that it is ready. Its log also goes to log, if there is one.
+// Start runs the client proxy at path with a configuration file and keys that override it (KEY=VALUE), and
+// waits until it logs that it is ready. Its log is also copied to log, if that is not nil.
 func Start(ctx context.Context, path, file string, set []string, log io.Writer) (*Process, error) {
 	args := []string{"serve", "--config", file}
 	for _, pair := range set {
@@ -59,8 +59,9 @@
 	return Run(ctx, Command{Path: path, Args: args, Ready: "msg=ready", Log: log})
 }
 
-// Run starts a command and waits until it says that it is ready. What this shell has set for the project's
-// programs is not inherited, for it must not change what is tried.
+// Run starts a command and waits until it logs that it is ready; if ctx ends first, the child is killed. The
+// child does not inherit the environment variables of the project's programs, EDGE_* and CRESSHUB_*, so that
+// the environment of a trial does not change its result.
 func Run(ctx context.Context, command Command) (*Process, error) {
 	cmd := exec.Command(command.Path, command.Args...)
 	for _, v := range os.Environ() {
@@ -139,14 +140,14 @@
 	}
 }
 
-// Field is a value that it said when it began to listen: listen, operator, gossip; "" where it did not.
+// Field returns a value that it said when it began to listen: listen, operator, gossip; "" where it did not.
 func (p *Process) Field(key string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fields[key]
 }
 
-// Tail is the end of its log.
+// Tail returns the last lines of its log.
 func (p *Process) Tail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,10 +178,10 @@
 // CloseLog closes the reading end of its log, like a log collector that has died.
 func (p *Process) CloseLog() error { return p.out.Close() }
 
-// ID is its process id.
+// ID returns its process ID.
 func (p *Process) ID() int { return p.cmd.Process.Pid }
 
-// Ended closes once it has ended.
+// Ended returns a channel that is closed once it has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
 // Kill ends it with SIGKILL and waits.
@@ -189,8 +190,8 @@
 	<-p.ended
 }
 
-// Stop asks it to end, waits, and kills it where that takes too long. An end other than by itself and with
-// status 0 is an error.
+// Stop sends SIGTERM, and SIGKILL if the process has not ended within wait. An end by a signal or with a
+// status other than 0 is an error.
 func (p *Process) Stop(wait time.Duration) error {
 	_ = p.Signal(syscall.SIGTERM) // an error means that it has ended already
 	select {
--- a/internal/settingsfile/toml.go
+++ b/internal/settingsfile/toml.go
@@ -64,8 +64,8 @@
 			r.lineEnds = append(r.lineEnds, i)
 		}
 	}
-	for rest := 0; rest < len(raw); {
-		rest = r.parseFrom(rest)
+	for offset := 0; offset < len(raw); {
+		offset = r.parseFrom(offset)
 	}
 	return r.layer, r.problems
 }
@@ -93,18 +93,18 @@
 
 // skipBroken reports the line that the parser could not read and returns the offset where to go on.
 func (r *tomlReader) skipBroken(from int, err error) int {
-	at := len(r.raw) - 1
+	offset := len(r.raw) - 1
 	var parseErr *unstable.ParserError
 	if errors.As(err, &parseErr) {
 		// Highlight is a slice of raw, so its capacity tells where it begins.
-		at = min(max(cap(r.raw)-cap(parseErr.Highlight), from), len(r.raw)-1)
+		offset = min(max(cap(r.raw)-cap(parseErr.Highlight), from), len(r.raw)-1)
 	}
-	origin := Origin{"file", r.file, r.lineOf(at)}
+	origin := Origin{"file", r.file, r.lineOf(offset)}
 	if r.brokenLines++; r.brokenLines >= maxBrokenLines {
 		r.problems.Add(origin, "", "%v; the rest was not looked at after %d such lines", err, maxBrokenLines)
 		return len(r.raw)
 	}
-	text := r.lineText(at)
+	text := r.lineText(offset)
 	key, _, _ := strings.Cut(text, "=")
 	if key = strings.TrimSpace(key); key != "" && strings.Trim(key, bareKeyChars) == "" {
 		key = r.prefix + key
@@ -112,7 +112,7 @@
 		key = ""
 	}
 	r.problems.Add(origin, r.schema.Display(key), "%s", withHint(err.Error(), text))
-	return r.nextStart(at)
+	return r.nextStart(offset)
 }
 
 // lineOf returns the number, from 1, of the line that an offset is in.
@@ -122,13 +122,13 @@
 }
 
 // lineText returns the line that an offset is in.
-func (r *tomlReader) lineText(at int) string {
-	start := bytes.LastIndexByte(r.raw[:at], '\n') + 1
-	end := bytes.IndexByte(r.raw[at:], '\n')
+func (r *tomlReader) lineText(offset int) string {
+	start := bytes.LastIndexByte(r.raw[:offset], '\n') + 1
+	end := bytes.IndexByte(r.raw[offset:], '\n')
 	if end < 0 {
 		return string(r.raw[start:])
 	}
-	return string(r.raw[start : at+end])
+	return string(r.raw[start : offset+end])
 }
 
 // bareKeyChars are what a key without quotes consists of, and the dots between its parts.
@@ -149,14 +149,14 @@
 
 // nextStart returns the offset of the next line after a malformed one that looks like a table's header or a
 // key.
-func (r *tomlReader) nextStart(at int) int {
+func (r *tomlReader) nextStart(offset int) int {
 	for {
-		end := bytes.IndexByte(r.raw[at:], '\n')
+		end := bytes.IndexByte(r.raw[offset:], '\n')
 		if end < 0 {
 			return len(r.raw)
 		}
-		at += end + 1
-		line := bytes.TrimSpace(r.raw[at:])
+		offset += end + 1
+		line := bytes.TrimSpace(r.raw[offset:])
 		if len(line) == 0 {
 			return len(r.raw)
 		}
@@ -166,7 +166,7 @@
 		key, _, set := bytes.Cut(line, []byte("="))
 		bare := strings.Trim(string(bytes.TrimSpace(key)), bareKeyChars) == ""
 		if line[0] == '[' && bytes.Contains(line, []byte("]")) || set && bare {
-			return at
+			return offset
 		}
 	}
 }
--- a/internal/simulation/routersim/model_server.go
+++ b/internal/simulation/routersim/model_server.go
@@ -16,7 +16,7 @@
 	outputLeft int // tokens still to decode
 	urgency    int // prefills that have not started run in this order, 0 first
 	started    bool
-	pinned     int  // tokens of the prefix cache
+	pinned     int  // tokens of the cache that are reserved for it while it runs
 	abandoned  bool // its client has left
 
 	onFirstToken func() // for a prefill, when it is done; nil once it has run
