--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -45,23 +45,17 @@
 			t.applyOwn(report)
 			t.distribute(full)
 		} else if full || len(changes) > 0 {
-			a.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
+			a.subscription.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
 		}
 		time.Sleep(loadReportMinInterval)
 	}
 }
 
-// sendToSource sends a frame to the hub that this process follows, where there is one.
-func (a *Agent) sendToSource(kind peerproto.Kind, body []byte) {
-	if source := a.source(); source != nil {
-		source.link.Send(kind, body)
-	}
-}
-
-// handleLoad hands a report of the source to the data plane.
-func (a *Agent) handleLoad(h *hub, frame peerproto.Frame) {
+// handleReport hands a report of the source to the data plane.
+func (t *loadTable) handleReport(h *hub, frame peerproto.Frame) {
+	a := t.agent
 	var report peerproto.LoadReport
-	if a.source() != h || peerproto.Decode(frame.Body, &report) != nil {
+	if a.subscription.followedHub() != h || peerproto.Decode(frame.Body, &report) != nil {
 		return
 	}
 	if report.FullIndex {
@@ -72,11 +66,12 @@
 }
 
 // sendPrefixIndex sends a new follower which prefixes are known to be cached where.
-func (a *Agent) sendPrefixIndex(c *transport.Conn) {
-	if !a.state.isSynced() {
+func (t *loadTable) sendPrefixIndex(c *transport.Conn) {
+	if !t.agent.state.isSynced() {
 		return
 	}
-	report := &peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(a.workload.KnownPrefixes())}
+	report := &peerproto.LoadReport{FullIndex: true,
+		Prefixes: encodePrefixes(t.agent.workload.KnownPrefixes())}
 	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(report)})
 }
 
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -48,7 +48,7 @@
 	a.state.learnView(2, membersAt(a.settings.IP, "10.9.0.1", "10.9.0.2"))
 	c.Check(a.status().ReachesMajority, qt.IsFalse)
 	answering := &hub{ip: "10.9.0.2", state: hubState{lastSeen: 1}}
-	a.hubs["10.9.0.2"] = answering
+	a.hubs.links["10.9.0.2"] = answering
 	c.Check(a.status().ReachesMajority, qt.IsTrue)
 	answering.state.lastSeen = a.now() - contactTimeout - 1
 	c.Check(a.status().ReachesMajority, qt.IsFalse)
@@ -63,7 +63,7 @@
 	c.Check(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
 	a.settings.FirstStart = true
 	c.Check(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
-	c.Check(a.awaitMajority(0, 0), qt.IsFalse, qt.Commentf("no view, no majority of it"))
+	c.Check(a.quorum.awaitMajority(0, 0), qt.IsFalse, qt.Commentf("no view, no majority of it"))
 }
 
 // TestHeartbeatsAreRejectedWithoutAMajority: they are merged here, but a server that was acknowledged would
@@ -74,7 +74,7 @@
 	a.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
 	c.Check(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
 	c.Check(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it is known here all the same"))
-	a.hubs["10.9.0.1"], a.hubs["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
+	a.hubs.links["10.9.0.1"], a.hubs.links["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
 		&hub{state: hubState{lastSeen: 1}}
 	c.Check(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
 }
@@ -101,10 +101,10 @@
 	a := newTestAgent(t)
 	a.settings.DataDir = t.TempDir()
 	a.knownProxies.record(a.now(), []string{"10.0.0.5", "10.0.0.6"})
-	a.saveProxies()
+	a.persister.saveProxies()
 	next := newTestAgent(t)
 	next.settings.DataDir = a.settings.DataDir
-	next.loadProxies()
+	next.persister.loadProxies()
 	c.Assert(next.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.5", "10.0.0.6"})
 	c.Assert(next.state.Proxies(), qt.Equals, 2, qt.Commentf("they share the retry budget"))
 }
--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -9,47 +9,6 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// Stats are counts since the start of the process.
-type Stats struct {
-	Clients             int64 // connections accepted
-	ClientsRejected     int64 // connections closed at once, as there were too many
-	Requests            int64 // requests read completely
-	Malformed           int64 // requests that were no valid HTTP/1.1 or beyond the limits
-	Forwarded           int64 // responses of servers forwarded completely
-	Rejected            int64 // requests answered 503: they have not run
-	Failed              int64 // requests answered 502 or 504
-	Truncated           int64 // responses that ended before they were complete
-	ClientsDisconnected int64 // clients that disconnected while their request was in flight
-	Calls               int64 // calls sent to servers
-	Retries             int64 // calls that the retry budget paid for
-	Resumed             int64 // streams resumed at another server
-	Prefills            int64 // prompts prefilled by one server for another
-	PrefillsFailed      int64 // prompts whose prefill failed
-	Surplus             int64 // responses that belonged to another request
-	Dialled             int64 // connections opened to servers
-	Reused              int64 // calls on a connection that was used before
-}
-
-type counters struct {
-	clients, clientsRejected, requests, malformed, forwarded, rejected, failed, truncated, clientsDisconnected,
-	calls, retries,
-	resumed, prefills, prefillsFailed, surplus, dialled, reused atomic.Int64
-}
-
-// Stats returns the present counts.
-func (p *Proxy) Stats() Stats {
-	c := &p.counters
-	return Stats{
-		Clients: c.clients.Load(), ClientsRejected: c.clientsRejected.Load(), Requests: c.requests.Load(),
-		Malformed: c.malformed.Load(), Forwarded: c.forwarded.Load(), Rejected: c.rejected.Load(),
-		Failed: c.failed.Load(), Truncated: c.truncated.Load(), ClientsDisconnected: c.clientsDisconnected.Load(),
-		Calls:   c.calls.Load(),
-		Retries: c.retries.Load(), Resumed: c.resumed.Load(), Prefills: c.prefills.Load(),
-		PrefillsFailed: c.prefillsFailed.Load(), Surplus: c.surplus.Load(), Dialled: c.dialled.Load(),
-		Reused: c.reused.Load(),
-	}
-}
-
 // callCounts counts calls to servers by role and outcome.
 type callCounts struct {
 	byOutcome [len(roleNames)][len(outcomeNames)]atomic.Int64
@@ -66,7 +25,7 @@
 			if n == 0 {
 				continue
 			}
-			page.Counter("cresshub_server_calls_total", "Calls to servers that have ended.", n,
+			page.Counter("cresshub_server_calls_total", "Calls to servers that have ended, by role and outcome.", n,
 				metrics.Label{Name: "role", Value: roleNames[role]},
 				metrics.Label{Name: "outcome", Value: outcomeNames[outcome]})
 		}
@@ -78,23 +37,25 @@
 	for _, figure := range p.counterMetrics() {
 		page.Counter(figure.name, figure.help, figure.value)
 	}
-	page.Family("cresshub_requests_unserved_total", "Requests without the whole answer of a server.",
+	page.Family("cresshub_requests_unserved_total",
+		"Requests that got no complete response of a server, by outcome and reason.",
 		&p.observer.unserved)
-	page.Family("cresshub_requests_not_taken_total", "Requests answered without asking a server.",
+	page.Family("cresshub_requests_not_taken_total", "Requests answered without a call to a server, by reason.",
 		&p.observer.notForwarded)
 	p.callCounts.write(page)
-	page.Histogram("cresshub_request_duration_seconds", "From a request's arrival to the end of its answer.",
+	page.Histogram("cresshub_request_duration_seconds",
+		"Time from a request's arrival to the end of its response.",
 		&p.observer.durations)
 	p.mu.Lock()
 	clients := len(p.clients)
 	p.mu.Unlock()
-	page.Gauge("cresshub_clients", "Connections of clients.", float64(clients))
-	page.Gauge("cresshub_clients_most", "Connections of clients that are taken at most.",
+	page.Gauge("cresshub_clients", "Open client connections.", float64(clients))
+	page.Gauge("cresshub_clients_most", "Limit of open client connections.",
 		float64(p.connectionLimit()))
-	page.Gauge("cresshub_server_connections", "Connections to servers, idle ones included.",
+	page.Gauge("cresshub_server_connections", "Open connections to servers, idle ones included.",
 		float64(p.pool.openCount()))
-	page.Gauge("cresshub_body_bytes", "Memory that bodies take.", float64(p.bodies.Used()))
-	page.Flag("cresshub_draining", "Whether clients are sent away.", p.draining.Load())
+	page.Gauge("cresshub_body_bytes", "Memory that buffered bodies take.", float64(p.bodies.Used()))
+	page.Flag("cresshub_draining", "Whether this process is draining its clients.", p.draining.Load())
 	p.budgets.write(page, p.now(), p.state.Proxies())
 }
 
@@ -105,22 +66,23 @@
 }
 
 func (p *Proxy) counterMetrics() []counterMetric {
-	s := p.Stats()
+	stats := p.Stats()
 	return []counterMetric{
-		{"cresshub_clients_total", "Connections accepted from clients.", s.Clients},
-		{"cresshub_clients_turned_away_total", "Connections closed at once, as there were too many.",
-			s.ClientsRejected},
-		{"cresshub_requests_total", "Requests read whole.", s.Requests},
-		{"cresshub_requests_malformed_total", "Requests that could not be taken.", s.Malformed},
-		{"cresshub_answers_passed_total", "Answers of servers passed on whole.", s.Forwarded},
-		{"cresshub_answers_cut_total", "Answers that ended inside.", s.Truncated},
-		{"cresshub_repeats_total", "Calls that the retry budget paid for.", s.Retries},
-		{"cresshub_streams_resumed_total", "Streams taken up at another server.", s.Resumed},
-		{"cresshub_prompts_split_total", "Prompts read by one server for another.", s.Prefills},
-		{"cresshub_prompts_split_lost_total", "Prompts whose reading failed.", s.PrefillsFailed},
-		{"cresshub_surplus_answers_total", "Answers of servers to another request.", s.Surplus},
-		{"cresshub_server_connections_opened_total", "Connections opened to servers.", s.Dialled},
-		{"cresshub_server_connections_reused_total", "Calls on a connection used before.", s.Reused},
+		{"cresshub_clients_total", "Connections accepted from clients.", stats.Clients},
+		{"cresshub_clients_turned_away_total", "Client connections closed at once because of the limit.",
+			stats.ClientsRejected},
+		{"cresshub_requests_total", "Requests read completely.", stats.Requests},
+		{"cresshub_requests_malformed_total", "Requests rejected as malformed.", stats.Malformed},
+		{"cresshub_answers_passed_total", "Responses of servers forwarded completely.", stats.Forwarded},
+		{"cresshub_answers_cut_total", "Responses truncated after their head was sent.", stats.Truncated},
+		{"cresshub_repeats_total", "Retries, each paid from the retry budget.", stats.Retries},
+		{"cresshub_streams_resumed_total", "Streams resumed at another server.", stats.Resumed},
+		{"cresshub_prompts_split_total", "Prompts prefilled by one server for another.", stats.Prefills},
+		{"cresshub_prompts_split_lost_total", "Prompts whose prefill failed.", stats.PrefillsFailed},
+		{"cresshub_surplus_answers_total", "Responses of servers that carried another request's id.",
+			stats.Surplus},
+		{"cresshub_server_connections_opened_total", "Connections opened to servers.", stats.Dialled},
+		{"cresshub_server_connections_reused_total", "Calls to servers on a reused connection.", stats.Reused},
 	}
 }
 
@@ -130,11 +92,12 @@
 	defer b.mu.Unlock()
 	allowed := b.allowance(now, proxies)
 	for service, budget := range b.services {
-		left := budget.allowed(now, allowed) - float64(budget.retries(now, allowed.window))
-		page.Gauge("cresshub_retry_budget_left", "Repeats that a service may get now from this process.", left,
+		left := budget.limit(now, allowed) - float64(budget.retries(now, allowed.window))
+		page.Gauge("cresshub_retry_budget_left", "Retries that this process may make now, by service.", left,
 			metrics.Label{Name: "service", Value: service})
 	}
-	page.Gauge("cresshub_retry_budget_proxies", "Processes that the shared slack is divided by.",
+	page.Gauge("cresshub_retry_budget_proxies",
+		"Processes among which the shared part of the retry budget is divided.",
 		float64(allowed.proxies), metrics.Label{Name: "window_seconds",
 			Value: strconv.Itoa(int(allowed.window.Seconds()))})
 }
