--- a/internal/simulation/proxysim/swimnet.go
+++ b/internal/simulation/proxysim/swimnet.go
@@ -9,7 +9,7 @@
 // enqueue queues an update for gossip, in place of an earlier one of the same subject.
 func (s *SWIM) enqueue(i int32, n update) {
 	m := &s.nodes[i]
-	n.sent = 0
+	n.transmits = 0
 	for at := range m.broadcasts {
 		if m.broadcasts[at].subject == n.subject {
 			m.broadcasts = append(m.broadcasts[:at], m.broadcasts[at+1:]...)
@@ -58,17 +58,17 @@
 		for at := len(m.broadcasts) - 1; at >= 0; at-- {
 			u := &m.broadcasts[at]
 			size := s.updateBytes(u) + 2
-			if u.sent != sent || size > capacity || containsSubject(out, u.subject) {
+			if u.transmits != sent || size > capacity || containsSubject(out, u.subject) {
 				continue
 			}
 			capacity -= size
-			if u.sent++; u.sent == 1 {
+			if u.transmits++; u.transmits == 1 {
 				s.firstTransmission(i, u)
 			}
 			out = append(out, *u)
 		}
 	}
-	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(u update) bool { return u.sent >= limit })
+	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(u update) bool { return u.transmits >= limit })
 	return out
 }
 
@@ -196,15 +196,15 @@
 
 // merge merges the full state of j into that of member i. A member that is dead there is only suspected here.
 func (s *SWIM) merge(i, j int32) {
-	m, o := &s.nodes[i], &s.nodes[j]
-	for _, k := range append([]int32(nil), o.order...) {
-		c := o.views[k]
+	local, remote := &s.nodes[i], &s.nodes[j]
+	for _, subject := range slices.Clone(remote.order) {
+		view := remote.views[subject]
 		switch {
-		case c.status == SWIMAlive:
-			s.alive(i, update{subject: k, from: j, inc: c.inc, status: SWIMAlive})
-		case m.views[k].status == SWIMUnknown:
+		case view.status == SWIMAlive:
+			s.alive(i, update{subject: subject, from: j, incarnation: view.incarnation, status: SWIMAlive})
+		case local.views[subject].status == SWIMUnknown:
 		default:
-			s.suspect(i, update{subject: k, from: i, inc: c.inc, status: SWIMSuspect})
+			s.suspect(i, update{subject: subject, from: i, incarnation: view.incarnation, status: SWIMSuspect})
 		}
 	}
 }
