--- a/internal/router/agent/control_endpoint.go
+++ b/internal/router/agent/control_endpoint.go
@@ -11,15 +11,15 @@
 func (a *Agent) handleCall(call *controlserver.Call) *http1.Response {
 	switch {
 	case strings.HasPrefix(call.Path, serversPath) && call.Path != serversPath:
-		return a.handleServerCall(call)
+		return a.serverEndpoint.handle(call)
 	case call.Path == metricsPath:
-		return a.showMetrics(call)
+		return a.metricsEndpoint.show(call)
 	case call.Path == membersPath:
-		return a.listMembers(call)
+		return a.listEndpoint.members(call)
 	case call.Path == serverListPath:
-		return a.listServers(call)
+		return a.listEndpoint.servers(call)
 	case call.Path == configPath:
-		return a.handleConfigCall(call)
+		return a.configEndpoint.handle(call)
 	}
 	return controlserver.Text(404, "no such call; see api/control.openapi.yaml")
 }
--- a/internal/router/dataplane/classify.go
+++ b/internal/router/dataplane/classify.go
@@ -1,7 +1,6 @@
 package dataplane
 
 import (
-	"cresshub/internal/http1"
 	"cresshub/internal/router/scheduler"
 )
 
@@ -28,19 +27,20 @@
 // classify returns the class of a response.
 func classify(traits responseTraits) responseClass {
 	switch {
-	case traits.status == 421:
+	case traits.status == statusMisdirectedRequest:
 		return classMisdirected
-	case traits.status == 400 && traits.notRun:
+	case traits.status == statusBadRequest && traits.notRun:
 		return classForward // another server would say the same of this request
 	case traits.notRun:
 		return classRejected
 	case traits.encoded, traits.endUncertain:
 		return classUnusable
-	case traits.status/100 == 2 && !traits.stamped:
+	case isSuccess(traits.status) && !traits.stamped:
 		return classUnusable
-	case traits.status == 408 || traits.status == 429 || traits.status == 503:
+	case traits.status == statusRequestTimeout, traits.status == statusTooManyRequests,
+		traits.status == statusServiceUnavailable:
 		return classUnusable // a promise that the server has not made
-	case traits.status >= 500:
+	case traits.status >= statusInternalServerError:
 		return classServerError
 	}
 	return classForward
@@ -53,16 +53,14 @@
 	classUnusable:    scheduler.Broken,
 }
 
-func (c *call) responseTraits(head *http1.Response, body *http1.Body) responseTraits {
+// responseTraits returns the traits of a response to this call.
+func (c *call) responseTraits(response serverResponse) responseTraits {
+	header := response.head.Header
 	return responseTraits{
-		status: head.Status, notRun: head.Header.Get(notRunHeader) != "",
-		stamped: head.Header.Get(stampHeader) != "", encoded: head.Header.Get("Content-Encoding") != "",
-		endUncertain: c.partlySent && endsWithConnection(head, body),
+		status:       response.head.Status,
+		notRun:       header.Get(notRunHeader) != "",
+		stamped:      header.Get(stampHeader) != "",
+		encoded:      header.Get("Content-Encoding") != "",
+		endUncertain: c.partlySent && response.endsWithConnection(),
 	}
 }
-
-// endsWithConnection reports whether only the end of the connection ends the body. An orderly end completes
-// it, a reset does not.
-func endsWithConnection(head *http1.Response, body *http1.Body) bool {
-	return body.Length() < 0 && head.Header.Get("Transfer-Encoding") == ""
-}
--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -15,26 +15,10 @@
 	maxDialTimeout = time.Second
 )
 
-// disconnect returns the connection to the pool, or closes it where it must not be used again.
-func (c *call) disconnect() {
-	if c.conn == nil {
-		return
-	}
-	c.roundTrip.setAbortable(nil)
-	c.conn.extender = nil
-	pool := c.roundTrip.proxy.pool
-	if c.mustClose || c.roundTrip.stopReason() != notStopped {
-		pool.discard(c.conn)
-	} else {
-		pool.put(c.conn, c.keepAliveTime)
-	}
-	c.conn = nil
-}
-
-// connect gets a connection to the server.
+// connect gets a connection to the server, from the pool or by dialling. Until disconnect, stop closes it.
 func (c *call) connect() *callFailure {
 	rt := c.roundTrip
-	abandoned := &callFailure{outcome: scheduler.Abandoned, fate: notSent}
+	abandoned := &callFailure{outcome: scheduler.Abandoned, execution: notSent}
 	ctx, cancel := context.WithDeadline(context.Background(), c.connectDeadline())
 	defer cancel()
 	if !rt.setAbortable(canceller(cancel)) {
@@ -46,7 +30,7 @@
 		return abandoned
 	case err != nil:
 		c.reportSuspect(err)
-		return &callFailure{outcome: scheduler.Unreachable, fate: notSent}
+		return &callFailure{outcome: scheduler.Unreachable, execution: notSent}
 	}
 	c.conn, c.mustClose = conn, true
 	invariant.Assert(conn.server == c.choice.Server.ID, invariant.ConnectionOfServer,
@@ -59,33 +43,48 @@
 	return nil
 }
 
+// connectionSpec returns what this call needs of its connection.
 func (c *call) connectionSpec() connectionSpec {
-	q := c.roundTrip.request
-	spec := connectionSpec{server: c.choice.Server, maxIdle: maxIdleTime,
-		maxPerServer:  c.roundTrip.proxy.serverConnectionQuota(q.service),
-		requestNumber: c.roundTrip.requestNumber}
-	if !q.route.Idempotent() {
+	req := c.roundTrip.request
+	spec := connectionSpec{
+		server:        c.choice.Server,
+		maxPerServer:  c.roundTrip.proxy.serverConnectionQuota(req.service),
+		maxIdle:       maxIdleTime,
+		requestNumber: c.roundTrip.requestNumber,
+	}
+	if !req.route.Idempotent() {
 		spec.maxIdle = maxIdleTimeUnsafe
 	}
 	return spec
 }
 
+// connectDeadline is when the connection counts as failed that is not open yet.
 func (c *call) connectDeadline() time.Time {
-	q := c.roundTrip.request
-	return earlier(q.deadline, time.Now().Add(min(max(q.route.LatencyTarget/2, minDialTimeout), maxDialTimeout)))
+	req := c.roundTrip.request
+	timeout := min(max(req.route.LatencyTarget/2, minDialTimeout), maxDialTimeout)
+	return earlier(req.deadline, time.Now().Add(timeout))
+}
+
+// disconnect returns the connection to the pool, or closes it where it must not be used again.
+func (c *call) disconnect() {
+	if c.conn == nil {
+		return
+	}
+	c.roundTrip.setAbortable(nil)
+	c.conn.extender = nil
+	pool := c.roundTrip.proxy.pool
+	if c.mustClose || c.roundTrip.stopReason() != notStopped {
+		pool.discard(c.conn)
+	} else {
+		pool.put(c.conn, c.keepAliveTime)
+	}
+	c.conn = nil
 }
 
-// canceller cancels the opening of a connection.
+// canceller is an io.Closer that cancels the opening of a connection.
 type canceller context.CancelFunc
 
 func (c canceller) Close() error {
 	c()
 	return nil
 }
-
-func earlier(a, b time.Time) time.Time {
-	if a.Before(b) {
-		return a
-	}
-	return b
-}
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -14,6 +14,8 @@
 )
 
 const (
+	// handlePath and the handle are the target of the call that releases it.
+	handlePath = "/api/kv-handle/"
 	// handleLifetimeUsed is the fraction of a handle's lifetime after which it is not used any more.
 	handleLifetimeUsed = 0.8
 	// The bounds of the calls that release handles.
@@ -33,11 +35,11 @@
 // newKVHandle returns a handle that is used for the first handleLifetimeUsed of its lifetime; a lifetime of 0
 // never ends.
 func newKVHandle(server *catalog.Server, id, tryID string, lifetime time.Duration) *kvHandle {
-	h := &kvHandle{server: server, id: id, tryID: tryID}
+	handle := &kvHandle{server: server, id: id, tryID: tryID}
 	if lifetime > 0 {
-		h.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeUsed))
+		handle.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeUsed))
 	}
-	return h
+	return handle
 }
 
 // prefillServer is the server that has the prefix cache, nil for no handle.
@@ -64,7 +66,7 @@
 	if json.Unmarshal(body, &answer) != nil || answer.Handle == "" {
 		return "", false
 	}
-	odd := func(c rune) bool { return c <= ' ' || c > '~' || c == '/' }
+	odd := func(char rune) bool { return char <= ' ' || char > '~' || char == '/' }
 	return answer.Handle, !strings.ContainsFunc(answer.Handle, odd)
 }
 
@@ -84,11 +86,11 @@
 	slots chan struct{}
 }
 
-func newHandleReleaser(p *pool) *handleReleaser {
-	return &handleReleaser{pool: p, slots: make(chan struct{}, maxReleases)}
+func newHandleReleaser(pool *pool) *handleReleaser {
+	return &handleReleaser{pool: pool, slots: make(chan struct{}, maxReleases)}
 }
 
-func (r *handleReleaser) release(h *kvHandle) {
+func (r *handleReleaser) release(handle *kvHandle) {
 	select {
 	case r.slots <- struct{}{}:
 	default:
@@ -96,33 +98,49 @@
 	}
 	go func() {
 		defer func() { <-r.slots }()
-		r.delete(h)
+		r.delete(handle)
 	}()
 }
 
 // delete makes the call. Nothing depends on its result.
-func (r *handleReleaser) delete(h *kvHandle) {
+func (r *handleReleaser) delete(handle *kvHandle) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	conn, err := r.pool.get(ctx, connectionSpec{server: h.server, maxIdle: maxIdleTimeUnsafe})
+	conn, err := r.pool.get(ctx, connectionSpec{server: handle.server, maxIdle: maxIdleTimeUnsafe})
 	if err != nil {
 		return
 	}
 	conn.SetDeadline(time.Now().Add(releaseTimeout))
-	host, _, _ := net.SplitHostPort(h.server.Address)
-	message := http1.Request{Method: "DELETE", Target: handlePath + h.id, Header: http1.Header{
-		{Name: "Host", Value: host}, {Name: expectServerHeader, Value: h.server.ID}}}
-	if out := conn.writer(); message.Write(out) != nil || out.Flush() != nil {
+	keepAlive, err := exchangeRelease(conn, handle)
+	if err != nil {
 		r.pool.discard(conn)
 		return
 	}
+	r.pool.put(conn, keepAlive)
+}
+
+// errReleaseNotRead means that the response to the release of a handle was not read to its end.
+var errReleaseNotRead = errors.New("the response is too large, or was broken off")
+
+// exchangeRelease sends the call and reads its response. It returns how long the connection may stay idle; an
+// error means that it must not be used again.
+func exchangeRelease(conn *connection, handle *kvHandle) (keepAlive time.Duration, err error) {
+	host, _, _ := net.SplitHostPort(handle.server.Address)
+	message := http1.Request{Method: "DELETE", Target: handlePath + handle.id, Header: http1.Header{
+		{Name: "Host", Value: host}, {Name: expectServerHeader, Value: handle.server.ID}}}
+	out := conn.writer()
+	if err := message.Write(out); err != nil {
+		return 0, err
+	}
+	if err := out.Flush(); err != nil {
+		return 0, err
+	}
 	head, body, err := http1.ReadResponseHead(conn.reader(), message.Method)
-	if err == nil {
-		_, err = io.CopyN(io.Discard, body, maxBufferedResponse)
+	if err != nil {
+		return 0, err
 	}
-	if !errors.Is(err, io.EOF) || !body.Complete() {
-		r.pool.discard(conn)
-		return
+	if _, err := io.CopyN(io.Discard, body, maxBufferedResponse); !errors.Is(err, io.EOF) {
+		return 0, errReleaseNotRead
 	}
-	r.pool.put(conn, keepAliveTime(head))
+	return keepAliveTime(head), nil
 }
--- a/internal/router/dataplane/retry_test.go
+++ b/internal/router/dataplane/retry_test.go
@@ -26,8 +26,8 @@
 
 // breaksOffAfter writes as its handler does and then breaks off.
 func breaksOffAfter(h handler) handler {
-	return func(q *http1.Request, w io.Writer) bool {
-		h(q, w)
+	return func(req *http1.Request, w io.Writer) bool {
+		h(req, w)
 		return false
 	}
 }
@@ -171,8 +171,8 @@
 	early := &server{Server: &catalog.Server{ID: "i-1", Service: "lookup", State: catalog.Ready}}
 	early.listen(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
-		if q, _, err := http1.ReadRequestHead(in); err == nil {
-			full(q, conn)
+		if req, _, err := http1.ReadRequestHead(in); err == nil {
+			full(req, conn)
 			io.Copy(io.Discard, in) // closing at once might swallow the answer
 		}
 	})
@@ -186,8 +186,8 @@
 // TestServersThatRefuseConnectionsAreSuspected reports a server whose process has ended, and no other.
 func TestServersThatRefuseConnectionsAreSuspected(t *testing.T) {
 	away := newServer(t, "away", "lookup", "", ok("x"))
-	away.listener.Close()
 	r := newRig(t, nil, away)
+	away.listener.Close() // after the rig has its ports, or the proxy could be given this one and call itself
 	r.Assert(r.dial().ask("GET", "/safe/", "a", "").Status, qt.Equals, 503)
 	r.Assert(r.state.suspected, qt.DeepEquals, []string{"away"})
 	r = newRig(t, nil, newServer(t, "broken", "lookup", "", breakOff))
--- a/internal/testbed/clusterrig/soak.go
+++ b/internal/testbed/clusterrig/soak.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	defer r.discard()
-	if _, _, err := r.WaitOwner(ctx, time.Minute); err != nil {
+	if _, err := r.WaitOwner(ctx, time.Minute); err != nil {
 		return nil, err
 	}
 	load := NewClients()
@@ -80,7 +80,7 @@
 
 // soakSample samples the members now.
 func (r *Rig) soakSample(l *Clients) (s SoakSample, err error) {
-	_, s.Answers = l.Answers()
+	s.Answers = l.TotalAnswers()
 	s.Entries = len(r.Sink.Entries())
 	for _, m := range r.Members {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", m.process.ID()))
--- a/internal/testbed/clusterrig/storm.go
+++ b/internal/testbed/clusterrig/storm.go
@@ -59,7 +59,7 @@
 	if err := r.restartInOutage(ctx, r.Members[:members*7/10]); err != nil {
 		return nil, err
 	}
-	storm.ReadyMS = ms(time.Since(started))
+	storm.ReadyMS = milliseconds(time.Since(started))
 	_ = sleep(ctx, stormPhase-time.Since(started))
 	storm.Killed = r.stormTotals(clients).minus(before)
 	return storm, ctx.Err() // also of an interrupted sleep
@@ -81,7 +81,7 @@
 
 // stormTotals returns the totals so far.
 func (r *Rig) stormTotals(c *Clients) (s StormTotals) {
-	_, s.Requests = c.Answers()
+	s.Requests = c.TotalAnswers()
 	s.Lost = c.Lost()
 	for _, z := range r.Zones.Counts() {
 		s.Probes += z.Probes
