--- a/internal/router/fleetconfig/parse.go
+++ b/internal/router/fleetconfig/parse.go
@@ -19,6 +19,7 @@
 // The parsers below record faults at the nodes they read and return a value all the same. The order in which
 // they read is the order in which an operator sees the faults.
 
+// parseVersion reads the version, a whole number of at least 1.
 func parseVersion(node jsondoc.Node) int64 {
 	version := node.Number(1)
 	if version != float64(int64(version)) {
@@ -27,6 +28,7 @@
 	return int64(version)
 }
 
+// parseLimits reads the limits, with a default for each that is absent.
 func parseLimits(node jsondoc.Node) Limits {
 	return Limits{
 		MaxHeaderBytes: int(node.Get("envelope_bytes").NumberOr(defaultMaxHeaderBytes, 1)),
@@ -36,12 +38,15 @@
 	}
 }
 
+// milliseconds returns the duration of a setting in milliseconds.
 func milliseconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Millisecond))
 }
 
+// seconds returns the duration of a setting in seconds.
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
+// parseService reads a service, with its engine if it has model servers.
 func parseService(node jsondoc.Node) *Service {
 	service := &Service{
 		Name:           node.Get("name").Text(),
@@ -54,6 +59,7 @@
 	return service
 }
 
+// parseEngine reads the description of model servers.
 func parseEngine(node jsondoc.Node) *Engine {
 	engine := &Engine{
 		Slots:             int(node.Get("bays").NumberOr(1, 1)),
@@ -70,6 +76,7 @@
 	return engine
 }
 
+// parseRoute reads a route, whose targets have to be among the services.
 func parseRoute(node jsondoc.Node, services map[string]*Service) *Route {
 	route := &Route{
 		Name:          node.Get("name").TextOr(""),
@@ -97,6 +104,7 @@
 	return route
 }
 
+// parseKind reads the kind of a route.
 func parseKind(node jsondoc.Node) Kind {
 	kind := Kind(node.TextOr(string(Unsafe)))
 	if kind != Safe && kind != Unsafe && kind != Stream {
@@ -120,6 +128,7 @@
 	}
 }
 
+// addTarget adds a target and its weight; the node is that of the service's name.
 func (r *Route) addTarget(service jsondoc.Node, weight float64, services map[string]*Service) {
 	name := service.Text()
 	if services[name] == nil && name != "" {
--- a/internal/router/fleetconfig/routeindex.go
+++ b/internal/router/fleetconfig/routeindex.go
@@ -55,6 +55,8 @@
 	return nil
 }
 
+// longestPrefix returns the route of a normalized host with the longest prefix of a path, nil if there is
+// none.
 func (x routeIndex) longestPrefix(host, path string) *Route {
 	_, route, _ := x.tree.Root().LongestPrefix(routeKey(host, path))
 	return route
