--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -114,7 +114,7 @@
 func (v *validator) checkHalls() {
 	halls := v.scenario.Halls
 	for i, fault := range v.scenario.Faults {
-		if fault.Type != "hall_loss" || slices.Contains(halls, fault.Hall) {
+		if fault.Type != proxysim.FaultHallLoss || slices.Contains(halls, fault.Hall) {
 			continue
 		}
 		hint := ""
@@ -151,33 +151,6 @@
 	return names
 }
 
-// Reference is docs/SCENARIO.md, the page of all keys of a scenario.
-func Reference() string {
-	var b strings.Builder
-	b.WriteString("# Keys of a scenario\n\nWritten by \"cresshub lab docs\"; a test fails where it is stale.\n")
-	section := "-"
-	for _, f := range schema().Fields {
-		name, _, nested := strings.Cut(f.Path, ".")
-		if !nested {
-			name = "At the top"
-		}
-		if name != section {
-			section = name
-			fmt.Fprintf(&b, "\n## %s\n\n", name)
-		}
-		def := "default `" + f.Default + "`"
-		if f.Required {
-			def = "must be set"
-		}
-		allowed := f.Allowed()
-		if allowed != "" {
-			allowed = ", " + allowed
-		}
-		fmt.Fprintf(&b, "- `%s`: %s.\n  %s%s; %s.\n", f.Path, f.Doc, f.Kind(), allowed, def)
-	}
-	return b.String()
-}
-
 // Text returns the file of a shipped scenario.
 func Text(name string) ([]byte, error) {
 	text, err := scenarios.Files.ReadFile(strings.TrimSuffix(name, ".toml") + ".toml")
--- a/internal/simulation/proxysim/faults.go
+++ b/internal/simulation/proxysim/faults.go
@@ -15,19 +15,19 @@
 	}
 	part := func() int { return int(t.Size*float64(s.scenario.Servers.Count) + 0.5) }
 	switch t.Type {
-	case "burst":
+	case FaultBurst:
 		if s.burst = t.Size; stage == 0 {
 			later(t.Duration, 1, 0)
 		} else {
 			s.burst = 1
 		}
-	case "discovery_stale":
+	case FaultDiscoveryStale:
 		if s.registry.lag = int64(t.Lag); stage == 0 {
 			later(t.Duration, 1, 0)
 		} else {
 			s.registry.lag = 0
 		}
-	case "pauses":
+	case FaultPauses:
 		for _, i := range s.drawServers(part()) {
 			s.servers[i].pausedUntil = s.now + int64(t.PauseDuration)
 			for _, j := range s.servers[i].running {
@@ -37,13 +37,13 @@
 		if s.now+int64(t.Interval) < int64(t.At+t.Duration) {
 			later(t.Interval, 0, 0)
 		}
-	case "crash", "hall_loss":
+	case FaultCrash, FaultHallLoss:
 		if stage == 0 {
 			later(t.Duration, 1, 0)
 		}
 		s.loseServers(t, stage == 0)
 		s.loseProxies(t, stage == 0, o)
-	case "shrink", "rolling":
+	case FaultShrink, FaultRolling:
 		s.replaceServers(t, stage, c, part(), later)
 	}
 }
@@ -74,7 +74,7 @@
 	hall := s.hallIndex(t)
 	for i := range s.servers {
 		v := &s.servers[i]
-		if t.Type == "crash" && i != 0 || t.Type == "hall_loss" && v.hall != hall || v.draining {
+		if t.Type == FaultCrash && i != 0 || t.Type == FaultHallLoss && v.hall != hall || v.draining {
 			continue
 		}
 		switch {
@@ -95,7 +95,7 @@
 
 // loseProxies takes the proxies of a lost hall down, or restarts them.
 func (s *Sim) loseProxies(t *Fault, begins bool, o Options) {
-	if t.Type != "hall_loss" || !t.Proxies {
+	if t.Type != FaultHallLoss || !t.Proxies {
 		return
 	}
 	hall := s.hallIndex(t)
@@ -167,7 +167,7 @@
 		s.servers[drained[0]].draining = true
 		s.publishState(drained[0], balance.Draining)
 		later(t.Interval, 1, uint64(drained[0]))
-		if t.Type == "rolling" && len(s.servers) < s.registry.maxServers {
+		if t.Type == FaultRolling && len(s.servers) < s.registry.maxServers {
 			old := s.servers[drained[0]]
 			s.servers = append(s.servers, server{kind: old.kind, hall: old.hall, cores: old.cores,
 				speed: old.speed, started: max(s.now, 1), up: true})
--- a/internal/simulation/proxysim/registry.go
+++ b/internal/simulation/proxysim/registry.go
@@ -28,7 +28,7 @@
 	g.push = o.Delay == 0 && o.ServiceTime == 0
 	g.maxServers = len(s.servers)
 	for _, t := range s.scenario.Faults {
-		if t.Type == "rolling" {
+		if t.Type == FaultRolling {
 			g.maxServers += int(t.Size*float64(len(s.servers))) + 1
 		}
 	}
