--- a/internal/simulation/proxysim/attempts.go
+++ b/internal/simulation/proxysim/attempts.go
@@ -17,101 +17,106 @@
 }
 
 // attemptToken identifies an attempt of a request in events.
-func (q *request) attemptToken(n int) uint64 { return uint64(q.generation)<<8 | uint64(n) }
+func (req *request) attemptToken(number int) uint64 {
+	return uint64(req.generation)<<8 | uint64(number)
+}
 
 // startAttempt sends a request to a server. The attempt ends after timeout, if that is above 0, or at the
 // request's deadline.
-func (s *Sim) startAttempt(r, to int32, timeout int64) {
-	q := &s.requests[r]
-	d := &s.demands[q.demand]
-	n := len(q.attempts)
-	until := q.deadline
+func (s *Sim) startAttempt(requestIndex, serverIndex int32, timeout int64) {
+	req := &s.requests[requestIndex]
+	demand := &s.demands[req.demand]
+	number := len(req.attempts)
+	until := req.deadline
 	if timeout > 0 {
 		until = min(until, s.now+timeout)
 	}
-	q.attempts = append(q.attempts, attempt{server: to, job: -1, sentAt: s.now, until: until, open: true})
-	q.open++
-	c := q.attemptToken(n)
-	p, sv := &s.proxies[q.proxy], &s.servers[to]
-	if q.answered || n >= s.scenario.Rules.MaxAttempts || until < s.now {
-		s.add(s.now, evAttemptEnd, r, int32(balance.Skipped), c)
+	req.attempts = append(req.attempts,
+		attempt{server: serverIndex, job: -1, sentAt: s.now, until: until, open: true})
+	req.open++
+	token := req.attemptToken(number)
+	proxy, srv := &s.proxies[req.proxy], &s.servers[serverIndex]
+	if req.answered || number >= s.scenario.Rules.MaxAttempts || until < s.now {
+		s.add(s.now, evAttemptEnd, requestIndex, int32(balance.Skipped), token)
 		return
 	}
-	s.monitor.checkSend(s, q, to, d)
-	s.tally.countAttempt(p.hall != sv.hall)
-	way := s.latency(p.hall, sv.hall)
+	s.monitor.checkSend(s, req, serverIndex, demand)
+	s.tally.countAttempt(proxy.hall != srv.hall)
+	way := s.latency(proxy.hall, srv.hall)
 	handshake := 0.0
-	if !s.reuseConn(q.proxy, to) {
+	if !s.reuseConn(req.proxy, serverIndex) {
 		switch {
-		case sv.unresponsive:
-			s.add(min(s.now+int64(s.scenario.Network.DialTimeout), until), evAttemptEnd, r,
-				int32(balance.ConnRefused), c)
+		case srv.unresponsive:
+			s.add(min(s.now+int64(s.scenario.Network.DialTimeout), until), evAttemptEnd, requestIndex,
+				int32(balance.ConnRefused), token)
 			return
-		case !sv.up || s.scenario.Servers.MaxConns > 0 && int(sv.conns) >= s.scenario.Servers.MaxConns:
-			s.add(s.now+2*way, evAttemptEnd, r, int32(balance.ConnRefused), c)
+		case !srv.up || s.scenario.Servers.MaxConns > 0 && int(srv.conns) >= s.scenario.Servers.MaxConns:
+			s.add(s.now+2*way, evAttemptEnd, requestIndex, int32(balance.ConnRefused), token)
 			return
 		}
 		s.tally.handshakes++
-		sv.conns++
+		srv.conns++
 		handshake = float64(s.scenario.Servers.HandshakeWork)
-		way += 2 * s.latency(p.hall, sv.hall)
+		way += 2 * s.latency(proxy.hall, srv.hall)
 	}
-	q.attempts[n].hasConn = true
-	j := s.allocJob(job{req: r, attempt: int32(n), server: to, incarnation: sv.incarnation, work: d.work,
-		handshake: handshake,
-		key:       d.key})
-	q.attempts[n].job = j
-	q.jobs++
-	s.add(s.now+way, evServerArrival, j, 0, 0)
-	if s.scenario.Classes[d.class].Deadline > 0 || timeout > 0 {
-		s.add(until, evAttemptEnd, r, int32(balance.TimedOut), c)
+	req.attempts[number].hasConn = true
+	jobIndex := s.allocJob(job{
+		req: requestIndex, attempt: int32(number), server: serverIndex, incarnation: srv.incarnation,
+		work: demand.work, handshake: handshake, key: demand.key,
+	})
+	req.attempts[number].job = jobIndex
+	req.jobs++
+	s.add(s.now+way, evServerArrival, jobIndex, 0, 0)
+	if s.scenario.Classes[demand.class].Deadline > 0 || timeout > 0 {
+		s.add(until, evAttemptEnd, requestIndex, int32(balance.TimedOut), token)
 	}
 }
 
 // cancelAttempt ends an open attempt at its proxy.
-func (s *Sim) cancelAttempt(r int32, n int) {
-	q := &s.requests[r]
-	if n < len(q.attempts) && q.attempts[n].open {
-		s.add(s.now, evAttemptEnd, r, int32(balance.Cancelled), q.attemptToken(n))
+func (s *Sim) cancelAttempt(requestIndex int32, number int) {
+	req := &s.requests[requestIndex]
+	if number < len(req.attempts) && req.attempts[number].open {
+		s.add(s.now, evAttemptEnd, requestIndex, int32(balance.Cancelled), req.attemptToken(number))
 	}
 }
 
 // attemptEnded handles an outcome of an attempt at its proxy. The first one counts.
-func (s *Sim) attemptEnded(r int32, res balance.Result, c uint64) {
-	q := &s.requests[r]
-	n := int(c & 255)
-	if !q.used || uint64(q.generation) != c>>8 || !q.attempts[n].open {
+func (s *Sim) attemptEnded(requestIndex int32, result balance.Result, token uint64) {
+	req := &s.requests[requestIndex]
+	number := int(token & 255)
+	if !req.used || uint64(req.generation) != token>>8 || !req.attempts[number].open {
 		return
 	}
-	a := &q.attempts[n]
-	a.open = false
-	q.open--
-	i := q.proxy
-	p := &s.proxies[i]
-	if a.hasConn {
-		s.parkConn(i, a.server, res == balance.Done || res == balance.Rejected || res == balance.Error)
+	attempt := &req.attempts[number]
+	attempt.open = false
+	req.open--
+	proxyIndex := req.proxy
+	proxy := &s.proxies[proxyIndex]
+	if attempt.hasConn {
+		complete := result == balance.Done || result == balance.Rejected || result == balance.Error
+		s.parkConn(proxyIndex, attempt.server, complete)
 	}
-	if a.job >= 0 && (res == balance.TimedOut || res == balance.Cancelled) {
-		s.jobs[a.job].abandoned = true
+	if attempt.job >= 0 && (result == balance.TimedOut || result == balance.Cancelled) {
+		s.jobs[attempt.job].abandoned = true
 	}
-	if !p.alive || p.incarnation != q.incarnation {
-		s.releaseRequest(r)
+	if !proxy.alive || proxy.incarnation != req.incarnation {
+		s.releaseRequest(requestIndex)
 		return
 	}
-	wins := res == balance.Done && !q.answered
-	if res == balance.Done && !wins {
-		s.tally.wasted += s.demands[q.demand].work
+	wins := result == balance.Done && !req.answered
+	if result == balance.Done && !wins {
+		s.tally.wasted += s.demands[req.demand].work
 	}
-	id, server, sent := s.requestID(r), a.server, a.sentAt
-	s.monitor.record(s, resultNames[res], s.demands[q.demand].number, server)
+	id, server, sent := s.requestID(requestIndex), attempt.server, attempt.sentAt
+	s.monitor.record(s, resultNames[result], s.demands[req.demand].number, server)
 	if wins {
-		s.answerRequest(r, served, 0)
+		s.answerRequest(requestIndex, served, 0)
 	} else {
-		s.releaseRequest(r)
+		s.releaseRequest(requestIndex)
 	}
-	over := wins || !s.requests[r].used || s.requests[r].answered
-	s.apply(i, p.agent.Outcome(time.Duration(s.now), balance.Outcome{
-		ID: id, Attempt: n, Server: balance.ServerID(server + 1), Result: res, Final: over,
+	over := wins || !s.requests[requestIndex].used || s.requests[requestIndex].answered
+	s.apply(proxyIndex, proxy.agent.Outcome(time.Duration(s.now), balance.Outcome{
+		ID: id, Attempt: number, Server: balance.ServerID(server + 1), Result: result, Final: over,
 		Latency: time.Duration(s.now - sent),
 	}, s.actions[:0]))
 }
--- a/internal/simulation/proxysim/baseline.go
+++ b/internal/simulation/proxysim/baseline.go
@@ -40,178 +40,184 @@
 	attempted []int32 // servers
 }
 
-func newBaseline(s *Sim, self int32, o Options, rng *rand.Rand) *baselinePolicy {
-	v := &baselinePolicy{sim: s, self: self, policy: o.Policy, k: o.K, lambda: o.Lambda, rng: rng,
-		pending: map[string]*baselineRequest{}, outstanding: make([]int32, s.registry.maxServers)}
-	if v.k <= 0 {
-		v.k = 2
+func newBaseline(s *Sim, self int32, options Options, rng *rand.Rand) *baselinePolicy {
+	b := &baselinePolicy{
+		sim: s, self: self, policy: options.Policy, k: options.K, lambda: options.Lambda, rng: rng,
+		pending: map[string]*baselineRequest{}, outstanding: make([]int32, s.registry.maxServers),
 	}
-	if v.lambda <= 0 {
+	if b.k <= 0 {
+		b.k = 2
+	}
+	if b.lambda <= 0 {
 		work := 0.0
-		for i, c := range s.scenario.Classes {
+		for i, class := range s.scenario.Classes {
 			fraction := s.cumulativeFractions.class[i]
 			if i > 0 {
 				fraction -= s.cumulativeFractions.class[i-1]
 			}
-			work += fraction * c.Work.Seconds()
+			work += fraction * class.Work.Seconds()
 		}
-		v.lambda = s.rate * work / s.cumulativeFractions.class[len(s.cumulativeFractions.class)-1] / s.capacity()
+		b.lambda = s.rate * work / s.cumulativeFractions.class[len(s.cumulativeFractions.class)-1] / s.capacity()
 	}
-	return v
+	return b
 }
 
-func (v *baselinePolicy) List(_ time.Duration, kind balance.ListKind, list []balance.Server,
+func (b *baselinePolicy) List(_ time.Duration, kind balance.ListKind, list []balance.Server,
 	acts []balance.Action) []balance.Action {
 	if kind == balance.ListFailed {
 		return append(acts, balance.Action{Kind: balance.SetTimer, Wait: time.Second})
 	}
-	if kind == balance.ListCached && !v.following {
-		v.following = true
+	if kind == balance.ListCached && !b.following {
+		b.following = true
 		acts = append(acts, balance.Action{Kind: balance.SetTimer,
-			Wait: time.Duration(v.rng.Float64() * float64(v.sim.scenario.Discovery.RegistryInterval) / 5)})
+			Wait: time.Duration(b.rng.Float64() * float64(b.sim.scenario.Discovery.RegistryInterval) / 5)})
 	}
 	if kind != balance.ListDelta {
-		v.up, v.rating = v.up[:0], v.rating[:0]
-	}
-	for _, e := range list {
-		i := int32(e.ID) - 1
-		for n, u := range v.up {
-			if u == i {
-				v.up = append(v.up[:n], v.up[n+1:]...)
-				v.rating = append(v.rating[:n], v.rating[n+1:]...)
+		b.up, b.rating = b.up[:0], b.rating[:0]
+	}
+	for _, entry := range list {
+		serverIndex := int32(entry.ID) - 1
+		for position, listed := range b.up {
+			if listed == serverIndex {
+				b.up = append(b.up[:position], b.up[position+1:]...)
+				b.rating = append(b.rating[:position], b.rating[position+1:]...)
 				break
 			}
 		}
-		if e.State == balance.Up {
-			v.up, v.rating = append(v.up, i), append(v.rating, e.Rating)
+		if entry.State == balance.Up {
+			b.up, b.rating = append(b.up, serverIndex), append(b.rating, entry.Rating)
 		}
 	}
-	v.liVersion, v.credit = 0, make([]float64, len(v.up))
+	b.liVersion, b.credit = 0, make([]float64, len(b.up))
 	return acts
 }
 
-func (v *baselinePolicy) Timer(_ time.Duration, _ uint64, acts []balance.Action) []balance.Action {
+func (b *baselinePolicy) Timer(_ time.Duration, _ uint64, acts []balance.Action) []balance.Action {
 	return append(acts, balance.Action{Kind: balance.FollowList})
 }
 
-func (v *baselinePolicy) Probed(_ time.Duration, _ balance.ProbeResult,
+func (b *baselinePolicy) Probed(_ time.Duration, _ balance.ProbeResult,
 	acts []balance.Action) []balance.Action {
 	return acts
 }
 
-func (v *baselinePolicy) Request(_ time.Duration, r balance.Request, acts []balance.Action) []balance.Action {
-	q := &baselineRequest{request: r}
-	v.pending[r.ID] = q
-	return v.sendNext(q, acts)
+func (b *baselinePolicy) Request(_ time.Duration, r balance.Request, acts []balance.Action) []balance.Action {
+	pending := &baselineRequest{request: r}
+	b.pending[r.ID] = pending
+	return b.sendNext(pending, acts)
 }
 
 // sendNext sends a request to a server that it has not been sent to before, if a few draws find one.
-func (v *baselinePolicy) sendNext(q *baselineRequest, acts []balance.Action) []balance.Action {
+func (b *baselinePolicy) sendNext(pending *baselineRequest, acts []balance.Action) []balance.Action {
 	to := int32(-1)
 	for range maxDraws {
-		if to = v.choose(); to < 0 || !slices.Contains(q.attempted, to) {
+		if to = b.choose(); to < 0 || !slices.Contains(pending.attempted, to) {
 			break
 		}
 	}
 	if to < 0 {
-		delete(v.pending, q.request.ID)
-		return append(acts, balance.Action{Kind: balance.Reject, ID: q.request.ID})
+		delete(b.pending, pending.request.ID)
+		return append(acts, balance.Action{Kind: balance.Reject, ID: pending.request.ID})
 	}
-	q.attempted = append(q.attempted, to)
-	v.outstanding[to]++
-	return append(acts, balance.Action{Kind: balance.Send, ID: q.request.ID, Server: balance.ServerID(to + 1)})
+	pending.attempted = append(pending.attempted, to)
+	b.outstanding[to]++
+	return append(acts,
+		balance.Action{Kind: balance.Send, ID: pending.request.ID, Server: balance.ServerID(to + 1)})
 }
 
-func (v *baselinePolicy) Outcome(now time.Duration, o balance.Outcome,
+func (b *baselinePolicy) Outcome(now time.Duration, o balance.Outcome,
 	acts []balance.Action) []balance.Action {
-	v.outstanding[int32(o.Server)-1]--
-	q := v.pending[o.ID]
-	if q == nil {
+	b.outstanding[int32(o.Server)-1]--
+	pending := b.pending[o.ID]
+	if pending == nil {
 		return acts
 	}
 	if o.Final {
-		delete(v.pending, o.ID)
+		delete(b.pending, o.ID)
 		return acts
 	}
 	neverRan := o.Result == balance.Rejected || o.Result == balance.ConnRefused || o.Result == balance.Skipped
-	unsafe := v.sim.scenario.Classes[q.request.Class].AtMostOnce
-	if len(q.attempted) < v.sim.scenario.Rules.MaxAttempts && now < q.request.Deadline && (neverRan || !unsafe) {
-		return v.sendNext(q, acts)
+	unsafe := b.sim.scenario.Classes[pending.request.Class].AtMostOnce
+	mayRetry := len(pending.attempted) < b.sim.scenario.Rules.MaxAttempts && now < pending.request.Deadline
+	if mayRetry && (neverRan || !unsafe) {
+		return b.sendNext(pending, acts)
 	}
-	delete(v.pending, o.ID)
-	if neverRan && (!unsafe || len(q.attempted) == 1) {
+	delete(b.pending, o.ID)
+	if neverRan && (!unsafe || len(pending.attempted) == 1) {
 		return append(acts, balance.Action{Kind: balance.Reject, ID: o.ID})
 	}
 	return append(acts, balance.Action{Kind: balance.Fail, ID: o.ID})
 }
 
-func (v *baselinePolicy) ClientGone(_ time.Duration, id string, acts []balance.Action) []balance.Action {
-	delete(v.pending, id)
+func (b *baselinePolicy) ClientGone(_ time.Duration, id string, acts []balance.Action) []balance.Action {
+	delete(b.pending, id)
 	return acts
 }
 
 // choose picks a server by the policy's rule; -1 where none is listed as up.
-func (v *baselinePolicy) choose() int32 {
-	n := len(v.up)
+func (b *baselinePolicy) choose() int32 {
+	n := len(b.up)
 	if n == 0 {
 		return -1
 	}
-	switch v.policy {
+	switch b.policy {
 	case "round-robin":
-		v.turn++
-		return v.up[v.turn%n]
+		b.turn++
+		return b.up[b.turn%n]
 	case "two-choices":
-		return v.leastLoaded(2, v.boardLoad)
+		return b.leastLoaded(2, b.boardLoad)
 	case "k-choices":
-		return v.leastLoaded(v.k, v.boardLoad)
+		return b.leastLoaded(b.k, b.boardLoad)
 	case "stale-shortest":
-		return v.leastLoaded(n, v.boardLoad)
+		return b.leastLoaded(n, b.boardLoad)
 	case "least-outstanding":
-		return v.leastLoaded(n, func(i int32) float64 { return float64(v.outstanding[i]) })
+		return b.leastLoaded(n, func(serverIndex int32) float64 { return float64(b.outstanding[serverIndex]) })
 	case "oracle":
-		return v.leastLoaded(n, v.trueWait)
+		return b.leastLoaded(n, b.trueWait)
 	case "weighted-round-robin":
-		return v.weightedRoundRobin()
+		return b.weightedRoundRobin()
 	case "basic-li":
-		return v.basicLI()
+		return b.basicLI()
 	case "li-k":
-		return v.liK()
+		return b.liK()
 	}
-	return v.up[v.rng.IntN(n)]
+	return b.up[b.rng.IntN(n)]
 }
 
-func (v *baselinePolicy) boardLoad(i int32) float64 { return v.sim.board.load(v.sim, v.self, i) }
+func (b *baselinePolicy) boardLoad(serverIndex int32) float64 {
+	return b.sim.board.load(b.sim, b.self, serverIndex)
+}
 
 // trueWait is how long a request sent now would take at a server, relative to others. Only a simulation can
 // know it.
-func (v *baselinePolicy) trueWait(i int32) float64 {
-	x := &v.sim.servers[i]
-	if !x.up || x.unresponsive || x.draining || x.collapsed {
+func (b *baselinePolicy) trueWait(serverIndex int32) float64 {
+	srv := &b.sim.servers[serverIndex]
+	if !srv.up || srv.unresponsive || srv.draining || srv.collapsed {
 		return 1e18
 	}
-	speed := x.speed * v.sim.slowStartFraction(x)
-	if x.choked {
-		speed /= v.sim.scenario.Servers.ChokeFactor
+	speed := srv.speed * b.sim.slowStartFraction(srv)
+	if srv.choked {
+		speed /= b.sim.scenario.Servers.ChokeFactor
 	}
-	wait := float64(max(x.pausedUntil-v.sim.now, 0)) / v.sim.meanService
-	return wait + float64(max(x.inSystem()+1, int(x.cores)))/(speed*float64(x.cores))
+	wait := float64(max(srv.pausedUntil-b.sim.now, 0)) / b.sim.meanService
+	return wait + float64(max(srv.inSystem()+1, int(srv.cores)))/(speed*float64(srv.cores))
 }
 
 // leastLoaded is the server of the lowest load among k drawn without repetition, ties broken at random.
-func (v *baselinePolicy) leastLoaded(k int, load func(int32) float64) int32 {
-	n := len(v.up)
+func (b *baselinePolicy) leastLoaded(k int, load func(int32) float64) int32 {
+	n := len(b.up)
 	k = min(k, n)
 	best, lowest, ties := int32(-1), 0.0, 0
 	for i := range k {
 		if k < n {
-			v.shuffleStep(i)
+			b.shuffleStep(i)
 		}
-		switch x := load(v.up[i]); {
-		case best < 0 || x < lowest:
-			best, lowest, ties = v.up[i], x, 1
-		case x == lowest:
-			if ties++; v.rng.IntN(ties) == 0 {
-				best = v.up[i]
+		switch known := load(b.up[i]); {
+		case best < 0 || known < lowest:
+			best, lowest, ties = b.up[i], known, 1
+		case known == lowest:
+			if ties++; b.rng.IntN(ties) == 0 {
+				best = b.up[i]
 			}
 		}
 	}
@@ -220,23 +226,23 @@
 
 // shuffleStep makes a random choice among the positions from i on the one at i, a step of a Fisher-Yates
 // shuffle.
-func (v *baselinePolicy) shuffleStep(i int) {
-	j := i + v.rng.IntN(len(v.up)-i)
-	v.up[i], v.up[j] = v.up[j], v.up[i]
-	v.rating[i], v.rating[j] = v.rating[j], v.rating[i]
+func (b *baselinePolicy) shuffleStep(i int) {
+	j := i + b.rng.IntN(len(b.up)-i)
+	b.up[i], b.up[j] = b.up[j], b.up[i]
+	b.rating[i], b.rating[j] = b.rating[j], b.rating[i]
 }
 
 // weightedRoundRobin is smooth weighted round robin: the weights are ratings over the reported loads.
-func (v *baselinePolicy) weightedRoundRobin() int32 {
+func (b *baselinePolicy) weightedRoundRobin() int32 {
 	total, best := 0.0, 0
-	for n, i := range v.up {
-		w := v.rating[n] / (1 + v.boardLoad(i))
-		v.credit[n] += w
-		total += w
-		if v.credit[n] > v.credit[best] {
-			best = n
+	for position, serverIndex := range b.up {
+		weight := b.rating[position] / (1 + b.boardLoad(serverIndex))
+		b.credit[position] += weight
+		total += weight
+		if b.credit[position] > b.credit[best] {
+			best = position
 		}
 	}
-	v.credit[best] -= total
-	return v.up[best]
+	b.credit[best] -= total
+	return b.up[best]
 }
--- a/internal/simulation/proxysim/basicli.go
+++ b/internal/simulation/proxysim/basicli.go
@@ -12,29 +12,29 @@
 }
 
 // basicLI is Basic LI of Dahlin's paper, equations 3 and 4. The shares are valid for a version of the board.
-func (v *baselinePolicy) basicLI() int32 {
-	age := v.sim.board.staleness(v.sim, v.self)
-	if version := v.sim.board.version(); version == 0 || version != v.liVersion || len(v.liCum) != len(v.up) {
-		v.scratch = v.scratch[:0]
-		for _, i := range v.up {
-			v.scratch = append(v.scratch, serverLoad{i, v.boardLoad(i)})
+func (b *baselinePolicy) basicLI() int32 {
+	age := b.sim.board.staleness(b.sim, b.self)
+	if version := b.sim.board.version(); version == 0 || version != b.liVersion || len(b.liCum) != len(b.up) {
+		b.scratch = b.scratch[:0]
+		for _, serverIndex := range b.up {
+			b.scratch = append(b.scratch, serverLoad{serverIndex, b.boardLoad(serverIndex)})
 		}
-		v.liCum = liShares(v.scratch, age*v.lambda*float64(len(v.up)), v.liCum[:0])
-		v.liVersion = version
+		b.liCum = liShares(b.scratch, age*b.lambda*float64(len(b.up)), b.liCum[:0])
+		b.liVersion = version
 	}
-	return v.scratch[pickCumulative(v.liCum, v.rng.Float64())].server
+	return b.scratch[pickCumulative(b.liCum, b.rng.Float64())].server
 }
 
 // liK is LI-k: Basic LI among k servers drawn at random, k in place of n.
-func (v *baselinePolicy) liK() int32 {
-	k := min(v.k, len(v.up))
-	v.scratch = v.scratch[:0]
+func (b *baselinePolicy) liK() int32 {
+	k := min(b.k, len(b.up))
+	b.scratch = b.scratch[:0]
 	for i := range k {
-		v.shuffleStep(i)
-		v.scratch = append(v.scratch, serverLoad{v.up[i], v.boardLoad(v.up[i])})
+		b.shuffleStep(i)
+		b.scratch = append(b.scratch, serverLoad{b.up[i], b.boardLoad(b.up[i])})
 	}
-	v.liCum = liShares(v.scratch, v.sim.board.staleness(v.sim, v.self)*v.lambda*float64(k), v.liCum[:0])
-	return v.scratch[pickCumulative(v.liCum, v.rng.Float64())].server
+	b.liCum = liShares(b.scratch, b.sim.board.staleness(b.sim, b.self)*b.lambda*float64(k), b.liCum[:0])
+	return b.scratch[pickCumulative(b.liCum, b.rng.Float64())].server
 }
 
 // liShares sorts servers by load and appends to cum the cumulated shares of the next arrivals that each gets,
@@ -53,8 +53,8 @@
 	top := servers[lifted-1].load
 	remainder := (arrivals - (float64(lifted)*top - sum)) / float64(lifted)
 	for i := range lifted {
-		if p := top - servers[i].load + remainder; p > 0 {
-			total += p
+		if share := top - servers[i].load + remainder; share > 0 {
+			total += share
 		}
 		cum = append(cum, total)
 	}
--- a/internal/simulation/proxysim/board.go
+++ b/internal/simulation/proxysim/board.go
@@ -74,80 +74,80 @@
 
 // readOnAccess has a proxy observe all loads as its request reaches a server; it decides by them the next
 // time.
-func (b *board) readOnAccess(s *Sim, i int32) {
+func (b *board) readOnAccess(s *Sim, proxyIndex int32) {
 	if b.model != "on-access" {
 		return
 	}
-	for j := range s.servers {
-		s.proxies[i].loads[j] = float64(s.servers[j].inSystem())
+	for serverIndex := range s.servers {
+		s.proxies[proxyIndex].loads[serverIndex] = float64(s.servers[serverIndex].inSystem())
 	}
 }
 
 // recordLoad adds a server's load to its history where decisions look at the past.
-func (b *board) recordLoad(s *Sim, i int32) {
+func (b *board) recordLoad(s *Sim, serverIndex int32) {
 	if b.history == nil {
 		return
 	}
-	t := &b.history[i]
-	load := float64(s.servers[i].inSystem())
-	if n := len(t.at); n > 0 && t.at[n-1] == s.now {
-		t.load[n-1] = load
+	history := &b.history[serverIndex]
+	load := float64(s.servers[serverIndex].inSystem())
+	if n := len(history.at); n > 0 && history.at[n-1] == s.now {
+		history.load[n-1] = load
 		return
 	}
-	if n := len(t.at); n > 256 && t.at[n/2] < s.now-b.horizon {
-		t.at = t.at[:copy(t.at, t.at[n/2:])]
-		t.load = t.load[:copy(t.load, t.load[n/2:])]
+	if n := len(history.at); n > 256 && history.at[n/2] < s.now-b.horizon {
+		history.at = history.at[:copy(history.at, history.at[n/2:])]
+		history.load = history.load[:copy(history.load, history.load[n/2:])]
 	}
-	t.at, t.load = append(t.at, s.now), append(t.load, load)
+	history.at, history.load = append(history.at, s.now), append(history.load, load)
 }
 
-// load is what proxy i knows of the load of server j.
-func (b *board) load(s *Sim, i, j int32) float64 {
+// load is what a proxy knows of the load of a server.
+func (b *board) load(s *Sim, proxyIndex, serverIndex int32) float64 {
 	switch b.model {
 	case "fresh":
-		return float64(s.servers[j].inSystem())
+		return float64(s.servers[serverIndex].inSystem())
 	case "on-access":
-		return s.proxies[i].loads[j]
+		return s.proxies[proxyIndex].loads[serverIndex]
 	case "continuous":
-		return b.pastLoad(s, j)
+		return b.pastLoad(s, serverIndex)
 	}
 	if b.delay <= 0 {
-		return float64(s.servers[j].inSystem())
+		return float64(s.servers[serverIndex].inSystem())
 	}
-	return b.loads[j]
+	return b.loads[serverIndex]
 }
 
 // pastLoad is a server's load as it was a delay ago. The delay is drawn once for all decisions of one time,
 // so that each sees loads of one age.
-func (b *board) pastLoad(s *Sim, j int32) float64 {
+func (b *board) pastLoad(s *Sim, serverIndex int32) float64 {
 	if b.at != s.now || b.updates == 0 {
 		b.at = s.now
 		b.updates++
-		d := b.delay
+		delay := b.delay
 		switch s.scenario.Reports.DelaySpread {
 		case "uniform":
-			d *= 2 * b.rng.Float64()
+			delay *= 2 * b.rng.Float64()
 		case "exponential":
-			d *= b.rng.ExpFloat64()
+			delay *= b.rng.ExpFloat64()
 		}
-		b.sampledDelay = d
+		b.sampledDelay = delay
 	}
-	t := &b.history[j]
+	history := &b.history[serverIndex]
 	then := s.now - int64(b.sampledDelay)
-	n := sort.Search(len(t.at), func(k int) bool { return t.at[k] > then })
+	n := sort.Search(len(history.at), func(k int) bool { return history.at[k] > then })
 	if n == 0 {
 		return 0
 	}
-	return t.load[n-1]
+	return history.load[n-1]
 }
 
 // staleness is how old the loads are that a proxy decides by, in mean service times.
-func (b *board) staleness(s *Sim, i int32) float64 {
+func (b *board) staleness(s *Sim, proxyIndex int32) float64 {
 	switch {
 	case b.model == "fresh" || b.delay <= 0 && b.model != "on-access":
 		return 0
 	case b.model == "on-access": // a proxy knows how often it asks
-		return s.proxies[i].meanGap / s.meanService
+		return s.proxies[proxyIndex].meanGap / s.meanService
 	}
 	return b.delay / s.meanService
 }
--- a/internal/simulation/proxysim/choke.go
+++ b/internal/simulation/proxysim/choke.go
@@ -2,26 +2,26 @@
 
 // trackOverload records since when a server is overloaded or idle, and schedules the begin or end of choking
 // for when that has lasted long enough.
-func (s *Sim) trackOverload(i int32) {
-	o := &s.scenario.Servers
-	v := &s.servers[i]
-	if o.ChokeQueue <= 0 {
+func (s *Sim) trackOverload(serverIndex int32) {
+	servers := &s.scenario.Servers
+	srv := &s.servers[serverIndex]
+	if servers.ChokeQueue <= 0 {
 		return
 	}
-	if float64(v.queued()) > o.ChokeQueue*float64(v.cores) {
-		if v.overloadedSince == 0 && !v.choked {
-			v.overloadedSince = s.now
-			v.chokeSeq++
-			s.add(s.now+int64(o.ChokeAfter), evChoke, i, 0, v.chokeSeq)
+	if float64(srv.queued()) > servers.ChokeQueue*float64(srv.cores) {
+		if srv.overloadedSince == 0 && !srv.choked {
+			srv.overloadedSince = s.now
+			srv.chokeSeq++
+			s.add(s.now+int64(servers.ChokeAfter), evChoke, serverIndex, 0, srv.chokeSeq)
 		}
 	} else {
-		v.overloadedSince = 0
+		srv.overloadedSince = 0
 	}
-	if idle := v.inSystem()*2 <= int(v.cores); !idle {
-		v.idleSince = 0
-	} else if v.choked && v.idleSince == 0 {
-		v.idleSince = s.now
-		s.add(s.now+int64(o.ChokeIdle), evChoke, i, 1, uint64(s.now))
+	if idle := srv.inSystem()*2 <= int(srv.cores); !idle {
+		srv.idleSince = 0
+	} else if srv.choked && srv.idleSince == 0 {
+		srv.idleSince = s.now
+		s.add(s.now+int64(servers.ChokeIdle), evChoke, serverIndex, 1, uint64(s.now))
 	}
 }
 
@@ -30,15 +30,15 @@
 
 // updateChoke begins choking where the overload has lasted, and ends it where the idleness has, or after its
 // longest time.
-func (s *Sim) updateChoke(i int32, ends bool, stamp uint64) {
-	v := &s.servers[i]
-	idleLasted := v.idleSince != 0 && uint64(v.idleSince) == stamp
+func (s *Sim) updateChoke(serverIndex int32, ends bool, stamp uint64) {
+	srv := &s.servers[serverIndex]
+	idleLasted := srv.idleSince != 0 && uint64(srv.idleSince) == stamp
 	switch {
-	case ends && v.choked && (idleLasted || stamp == v.chokeSeq<<1|chokeTimeout):
-		v.choked, v.overloadedSince, v.idleSince = false, 0, 0
-		s.trackOverload(i)
-	case !ends && !v.choked && v.overloadedSince != 0 && v.chokeSeq == stamp:
-		v.choked, v.everChoked = true, true
-		s.add(s.now+int64(s.scenario.Servers.MaxChoke), evChoke, i, 1, v.chokeSeq<<1|chokeTimeout)
+	case ends && srv.choked && (idleLasted || stamp == srv.chokeSeq<<1|chokeTimeout):
+		srv.choked, srv.overloadedSince, srv.idleSince = false, 0, 0
+		s.trackOverload(serverIndex)
+	case !ends && !srv.choked && srv.overloadedSince != 0 && srv.chokeSeq == stamp:
+		srv.choked, srv.everChoked = true, true
+		s.add(s.now+int64(s.scenario.Servers.MaxChoke), evChoke, serverIndex, 1, srv.chokeSeq<<1|chokeTimeout)
 	}
 }
--- a/internal/simulation/proxysim/faults.go
+++ b/internal/simulation/proxysim/faults.go
@@ -7,51 +7,51 @@
 )
 
 // playFault handles an event of one of the scenario's faults. Stage 0 begins it; the meaning of later stages
-// and of c depends on its type.
-func (s *Sim) playFault(n int, stage int32, c uint64, o Options) {
-	t := &s.scenario.Faults[n]
-	later := func(d time.Duration, stage int32, c uint64) {
-		s.add(s.now+int64(d), evFault, int32(n), stage, c)
+// and of detail depends on its type.
+func (s *Sim) playFault(faultIndex int, stage int32, detail uint64, options Options) {
+	fault := &s.scenario.Faults[faultIndex]
+	later := func(d time.Duration, stage int32, detail uint64) {
+		s.add(s.now+int64(d), evFault, int32(faultIndex), stage, detail)
 	}
-	part := func() int { return int(t.Size*float64(s.scenario.Servers.Count) + 0.5) }
-	switch t.Type {
+	affected := func() int { return int(fault.Size*float64(s.scenario.Servers.Count) + 0.5) }
+	switch fault.Type {
 	case FaultBurst:
-		if s.burst = t.Size; stage == 0 {
-			later(t.Duration, 1, 0)
+		if s.burst = fault.Size; stage == 0 {
+			later(fault.Duration, 1, 0)
 		} else {
 			s.burst = 1
 		}
 	case FaultDiscoveryStale:
-		if s.registry.lag = int64(t.Lag); stage == 0 {
-			later(t.Duration, 1, 0)
+		if s.registry.lag = int64(fault.Lag); stage == 0 {
+			later(fault.Duration, 1, 0)
 		} else {
 			s.registry.lag = 0
 		}
 	case FaultPauses:
-		for _, i := range s.drawServers(part()) {
-			s.servers[i].pausedUntil = s.now + int64(t.PauseDuration)
-			for _, j := range s.servers[i].running {
-				s.jobs[j].doneAt += int64(t.PauseDuration)
+		for _, serverIndex := range s.drawServers(affected()) {
+			s.servers[serverIndex].pausedUntil = s.now + int64(fault.PauseDuration)
+			for _, jobIndex := range s.servers[serverIndex].running {
+				s.jobs[jobIndex].doneAt += int64(fault.PauseDuration)
 			}
 		}
-		if s.now+int64(t.Interval) < int64(t.At+t.Duration) {
-			later(t.Interval, 0, 0)
+		if s.now+int64(fault.Interval) < int64(fault.At+fault.Duration) {
+			later(fault.Interval, 0, 0)
 		}
 	case FaultCrash, FaultHallLoss:
 		if stage == 0 {
-			later(t.Duration, 1, 0)
+			later(fault.Duration, 1, 0)
 		}
-		s.loseServers(t, stage == 0)
-		s.loseProxies(t, stage == 0, o)
+		s.loseServers(fault, stage == 0)
+		s.loseProxies(fault, stage == 0, options)
 	case FaultShrink, FaultRolling:
-		s.replaceServers(t, stage, c, part(), later)
+		s.replaceServers(fault, stage, detail, affected(), later)
 	}
 }
 
 // drawServers draws up to n servers that are up.
 func (s *Sim) drawServers(n int) (all []int32) {
 	for _, i := range s.streams.faults.Perm(len(s.servers)) {
-		if v := &s.servers[i]; v.up && !v.draining && len(all) < n {
+		if srv := &s.servers[i]; srv.up && !srv.draining && len(all) < n {
 			all = append(all, int32(i))
 		}
 	}
@@ -59,32 +59,32 @@
 }
 
 // hallIndex is the index of a fault's hall, -1 where it has none.
-func (s *Sim) hallIndex(t *Fault) int32 {
+func (s *Sim) hallIndex(fault *Fault) int32 {
 	hall := int32(-1)
-	for h, name := range s.halls {
-		if name == t.Hall {
-			hall = int32(h)
+	for index, name := range s.halls {
+		if name == fault.Hall {
+			hall = int32(index)
 		}
 	}
 	return hall
 }
 
 // loseServers takes the servers of a hall, or one server, down, or restarts them.
-func (s *Sim) loseServers(t *Fault, begins bool) {
-	hall := s.hallIndex(t)
+func (s *Sim) loseServers(fault *Fault, begins bool) {
+	hall := s.hallIndex(fault)
 	for i := range s.servers {
-		v := &s.servers[i]
-		if t.Type == FaultCrash && i != 0 || t.Type == FaultHallLoss && v.hall != hall || v.draining {
+		srv := &s.servers[i]
+		if fault.Type == FaultCrash && i != 0 || fault.Type == FaultHallLoss && srv.hall != hall || srv.draining {
 			continue
 		}
 		switch {
-		case begins && t.Unresponsive:
-			v.unresponsive = true
+		case begins && fault.Unresponsive:
+			srv.unresponsive = true
 		case begins:
 			s.killServer(int32(i))
 			s.publishState(int32(i), balance.Removed)
-		case t.Unresponsive: // it went on in isolation; its requests are answered to nobody
-			v.unresponsive = false
+		case fault.Unresponsive: // it went on in isolation; its requests are answered to nobody
+			srv.unresponsive = false
 			s.killServer(int32(i))
 			s.restartServer(int32(i))
 		default:
@@ -94,70 +94,70 @@
 }
 
 // loseProxies takes the proxies of a lost hall down, or restarts them.
-func (s *Sim) loseProxies(t *Fault, begins bool, o Options) {
-	if t.Type != FaultHallLoss || !t.Proxies {
+func (s *Sim) loseProxies(fault *Fault, begins bool, options Options) {
+	if fault.Type != FaultHallLoss || !fault.Proxies {
 		return
 	}
-	hall := s.hallIndex(t)
+	hall := s.hallIndex(fault)
 	for i := range s.proxies {
 		if s.proxies[i].hall != hall {
 			continue
 		}
 		if begins {
 			s.killProxy(int32(i))
-		} else if err := s.startProxy(int32(i), o); err != nil {
+		} else if err := s.startProxy(int32(i), options); err != nil {
 			s.monitor.stop = true // the same settings were accepted before
 		}
 	}
 }
 
 // killServer ends a server's process and resets its jobs.
-func (s *Sim) killServer(i int32) {
-	v := &s.servers[i]
-	all := append(append([]int32(nil), v.running...), v.queue[v.head:]...)
-	for _, j := range all {
-		s.finishJob(j, balance.Reset, s.returnLatency(&s.jobs[j]))
+func (s *Sim) killServer(serverIndex int32) {
+	srv := &s.servers[serverIndex]
+	all := append(append([]int32(nil), srv.running...), srv.queue[srv.head:]...)
+	for _, jobIndex := range all {
+		s.finishJob(jobIndex, balance.Reset, s.returnLatency(&s.jobs[jobIndex]))
 	}
-	v.running, v.queue, v.head = v.running[:0], v.queue[:0], 0
-	v.up = false
-	v.incarnation++
-	v.choked, v.overloadedSince, v.idleSince = false, 0, 0
-	for p := range s.proxies { // its idle connections end
-		pr := s.idleConnsOf(int32(p), i)
-		v.conns -= int32(len(pr.parkedAt))
-		pr.parkedAt = pr.parkedAt[:0]
+	srv.running, srv.queue, srv.head = srv.running[:0], srv.queue[:0], 0
+	srv.up = false
+	srv.incarnation++
+	srv.choked, srv.overloadedSince, srv.idleSince = false, 0, 0
+	for proxyIndex := range s.proxies { // its idle connections end
+		idle := s.idleConnsOf(int32(proxyIndex), serverIndex)
+		srv.conns -= int32(len(idle.parkedAt))
+		idle.parkedAt = idle.parkedAt[:0]
 	}
-	s.board.recordLoad(s, i)
+	s.board.recordLoad(s, serverIndex)
 }
 
 // restartServer starts a server's process again, in slow start.
-func (s *Sim) restartServer(i int32) {
-	v := &s.servers[i]
-	v.up, v.collapsed, v.warmKeys, v.started = true, false, nil, max(s.now, 1)
-	s.publishState(i, balance.Up)
+func (s *Sim) restartServer(serverIndex int32) {
+	srv := &s.servers[serverIndex]
+	srv.up, srv.collapsed, srv.warmKeys, srv.started = true, false, nil, max(s.now, 1)
+	s.publishState(serverIndex, balance.Up)
 }
 
 // killProxy ends a proxy's process: its requests fail.
-func (s *Sim) killProxy(i int32) {
-	p := &s.proxies[i]
-	p.incarnation++
-	p.alive, p.watching = false, false
-	for r := range s.requests {
-		if q := &s.requests[r]; q.used && !q.answered && q.proxy == i {
-			q.answered = true
+func (s *Sim) killProxy(proxyIndex int32) {
+	proxy := &s.proxies[proxyIndex]
+	proxy.incarnation++
+	proxy.alive, proxy.watching = false, false
+	for requestIndex := range s.requests {
+		if req := &s.requests[requestIndex]; req.used && !req.answered && req.proxy == proxyIndex {
+			req.answered = true
 			s.inFlight--
-			s.attemptAnswered(q.demand, failed, 0, !q.started)
-			s.releaseRequest(int32(r))
+			s.attemptAnswered(req.demand, failed, 0, !req.started)
+			s.releaseRequest(int32(requestIndex))
 		}
 	}
 }
 
 // replaceServers drains servers one after the other; a rolling replacement starts another for each.
-func (s *Sim) replaceServers(t *Fault, stage int32, c uint64, n int,
+func (s *Sim) replaceServers(fault *Fault, stage int32, detail uint64, n int,
 	later func(time.Duration, int32, uint64)) {
 	switch stage {
-	case 0: // c servers were drained before
-		if c >= uint64(n) {
+	case 0: // detail is how many servers were drained before
+		if detail >= uint64(n) {
 			return
 		}
 		drained := s.drawServers(1)
@@ -166,18 +166,18 @@
 		}
 		s.servers[drained[0]].draining = true
 		s.publishState(drained[0], balance.Draining)
-		later(t.Interval, 1, uint64(drained[0]))
-		if t.Type == FaultRolling && len(s.servers) < s.registry.maxServers {
+		later(fault.Interval, 1, uint64(drained[0]))
+		if fault.Type == FaultRolling && len(s.servers) < s.registry.maxServers {
 			old := s.servers[drained[0]]
 			s.servers = append(s.servers, server{kind: old.kind, hall: old.hall, cores: old.cores,
 				speed: old.speed, started: max(s.now, 1), up: true})
 			s.board.addServer(s)
 			s.publishState(int32(len(s.servers)-1), balance.Up)
 		}
-		later(t.Duration/time.Duration(n), 0, c+1)
-	case 1: // server c ends
-		i := int32(c)
-		s.killServer(i)
-		s.publishState(i, balance.Removed)
+		later(fault.Duration/time.Duration(n), 0, detail+1)
+	case 1: // detail is the server that ends
+		serverIndex := int32(detail)
+		s.killServer(serverIndex)
+		s.publishState(serverIndex, balance.Removed)
 	}
 }
--- a/internal/simulation/proxysim/listtrial.go
+++ b/internal/simulation/proxysim/listtrial.go
@@ -161,14 +161,14 @@
 		r.Peak = max(r.Peak, i-j+1)
 	}
 	for i := range s.proxies {
-		p := &s.proxies[i]
-		if p.watching {
+		proxy := &s.proxies[i]
+		if proxy.watching {
 			r.Watches++
 		}
-		if p.everSelfFetched && i != s.owner {
+		if proxy.everSelfFetched && i != s.owner {
 			r.SelfFetching++
 		}
-		if !p.listed {
+		if !proxy.listed {
 			r.WithoutList++
 		}
 	}
@@ -181,14 +181,14 @@
 
 // start starts a proxy's process, without a list.
 func (s *listTrial) start(i int) {
-	p := &s.proxies[i]
+	proxy := &s.proxies[i]
 	agent, err := balance.New(balance.Settings{Seed: s.rng.Uint64(), Rank: i, Peers: s.opts.Proxies,
 		MustFollow: true, RegistryInterval: s.opts.RegistryInterval, Tick: time.Millisecond, MaxAttempts: 1,
 		Classes: []balance.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}}, s.clock())
 	if err != nil {
 		panic(err) // the settings are constant but for the seed
 	}
-	*p = listProxy{agent: agent, incarnation: p.incarnation + 1, selfFetching: !s.opts.Owner,
+	*proxy = listProxy{agent: agent, incarnation: proxy.incarnation + 1, selfFetching: !s.opts.Owner,
 		follower: groupstate.NewFollower(s.clock(), s.opts.MaxAge, time.Duration(s.randomWithin(s.opts.MaxAge)))}
 	s.apply(i, agent.List(s.clock(), balance.ListCached, nil, s.actions[:0]))
 }
@@ -207,29 +207,29 @@
 
 // watchDiscovery is a proxy's call on discovery for a watch.
 func (s *listTrial) watchDiscovery(i int) {
-	p := &s.proxies[i]
-	if !p.selfFetching || p.watching {
+	proxy := &s.proxies[i]
+	if !proxy.selfFetching || proxy.watching {
 		return
 	}
 	s.calls = append(s.calls, s.now)
-	p.everSelfFetched = true
+	proxy.everSelfFetched = true
 	if s.down {
-		s.apply(i, p.agent.List(s.clock(), balance.ListFailed, nil, s.actions[:0]))
+		s.apply(i, proxy.agent.List(s.clock(), balance.ListFailed, nil, s.actions[:0]))
 		return
 	}
-	p.watching, p.listed = true, true
-	p.agent.List(s.clock(), balance.ListDelta, nil, s.actions[:0])
+	proxy.watching, proxy.listed = true, true
+	proxy.agent.List(s.clock(), balance.ListDelta, nil, s.actions[:0])
 }
 
 // chooseSource switches a proxy between discovery and the published list, by whether that is fresh.
 func (s *listTrial) chooseSource(i int) {
-	p := &s.proxies[i]
-	selfFetching := !s.opts.Owner || i == s.owner || !p.follower.Fresh(s.clock())
-	if selfFetching == p.selfFetching {
+	proxy := &s.proxies[i]
+	selfFetching := !s.opts.Owner || i == s.owner || !proxy.follower.Fresh(s.clock())
+	if selfFetching == proxy.selfFetching {
 		return
 	}
-	if p.selfFetching = selfFetching; !selfFetching {
-		p.watching = false
+	if proxy.selfFetching = selfFetching; !selfFetching {
+		proxy.watching = false
 		return
 	}
 	s.watchDiscovery(i)
@@ -260,8 +260,8 @@
 			s.add(s.now+int64(s.opts.Poll), listPoll, e.a, 0, 0)
 		}
 	case listWatch:
-		if p := &s.proxies[e.a]; p.incarnation == e.b {
-			s.apply(int(e.a), p.agent.Timer(s.clock(), e.c, s.actions[:0]))
+		if proxy := &s.proxies[e.a]; proxy.incarnation == e.b {
+			s.apply(int(e.a), proxy.agent.Timer(s.clock(), e.c, s.actions[:0]))
 		}
 	case listPublish:
 		if e.c == s.term {
@@ -278,10 +278,10 @@
 
 // poll has a proxy read the store.
 func (s *listTrial) poll(i int) {
-	p := &s.proxies[i]
+	proxy := &s.proxies[i]
 	published := groupstate.EndpointView{Version: s.version}
-	if !s.leaderless && p.follower.Observe(s.clock(), published, 0) {
-		p.listed = true
+	if !s.leaderless && proxy.follower.Observe(s.clock(), published, 0) {
+		proxy.listed = true
 	}
 	s.chooseSource(i)
 }
@@ -301,11 +301,11 @@
 	if s.owner < 0 || s.leaderless {
 		return
 	}
-	p := &s.proxies[s.owner]
-	if p.watching {
+	proxy := &s.proxies[s.owner]
+	if proxy.watching {
 		s.lastWatchAt = s.now
 	}
-	if p.listed && s.now-s.lastWatchAt <= int64(s.opts.DiscoveryTimeout) {
+	if proxy.listed && s.now-s.lastWatchAt <= int64(s.opts.DiscoveryTimeout) {
 		s.version++
 	}
 	s.add(s.now+int64(s.opts.MaxAge/4), listPublish, 0, 0, s.term)
@@ -325,9 +325,9 @@
 	case "outage":
 		s.down = stage == 0
 		for i := range s.proxies {
-			if p := &s.proxies[i]; s.down && p.watching {
-				p.watching = false
-				s.apply(i, p.agent.List(s.clock(), balance.ListFailed, nil, s.actions[:0]))
+			if proxy := &s.proxies[i]; s.down && proxy.watching {
+				proxy.watching = false
+				s.apply(i, proxy.agent.List(s.clock(), balance.ListFailed, nil, s.actions[:0]))
 			}
 		}
 	case "owner":
--- a/internal/simulation/proxysim/monitor.go
+++ b/internal/simulation/proxysim/monitor.go
@@ -46,21 +46,21 @@
 	m.strict, m.trace = o.Strict, int32(o.Trace)
 }
 
-func (f observation) String() string {
-	at := time.Duration(f.at).Round(time.Microsecond)
-	if f.server < 0 {
-		return fmt.Sprintf("%12s  request %d %s", at, f.number, f.what)
+func (o observation) String() string {
+	at := time.Duration(o.at).Round(time.Microsecond)
+	if o.server < 0 {
+		return fmt.Sprintf("%12s  request %d %s", at, o.number, o.what)
 	}
-	return fmt.Sprintf("%12s  request %d %s, server %d", at, f.number, f.what, f.server+1)
+	return fmt.Sprintf("%12s  request %d %s, server %d", at, o.number, o.what, o.server+1)
 }
 
 // record adds an observation. Its text is a constant, so that it costs no allocation.
 func (m *monitor) record(s *Sim, what string, number, server int32) {
-	f := observation{s.now, what, number, server}
-	m.ring[m.recorded%len(m.ring)] = f
+	o := observation{s.now, what, number, server}
+	m.ring[m.recorded%len(m.ring)] = o
 	m.recorded++
 	if m.trace != 0 && number == m.trace && len(m.traceLines) < maxTraceLines {
-		m.traceLines = append(m.traceLines, f.String())
+		m.traceLines = append(m.traceLines, o.String())
 	}
 }
 
@@ -75,9 +75,9 @@
 	}
 	text := fmt.Sprintf("%s broken at %s by request %d", rule, time.Duration(s.now), number)
 	for i := max(0, m.recorded-len(m.ring)); i < m.recorded; i++ {
-		f := m.ring[i%len(m.ring)]
-		if f.number == number || server >= 0 && f.server == server && i > m.recorded-serverContext {
-			text += "\n" + f.String()
+		o := m.ring[i%len(m.ring)]
+		if o.number == number || server >= 0 && o.server == server && i > m.recorded-serverContext {
+			text += "\n" + o.String()
 		}
 	}
 	m.texts = append(m.texts, text)
@@ -85,10 +85,10 @@
 
 // checkSend checks an attempt: nothing new goes to a server whose drain or removal the proxy has known for
 // longer than the drain grace.
-func (m *monitor) checkSend(s *Sim, q *request, to int32, d *demand) {
-	m.record(s, "is sent", d.number, to)
-	withdrawn, ok := s.proxies[q.proxy].withdrawnAt[to]
+func (m *monitor) checkSend(s *Sim, req *request, serverIndex int32, d *demand) {
+	m.record(s, "is sent", d.number, serverIndex)
+	withdrawn, ok := s.proxies[req.proxy].withdrawnAt[serverIndex]
 	if ok && s.now-withdrawn > int64(s.scenario.Rules.DrainGrace) {
-		m.recordViolation(s, DrainObeyed, d.number, to)
+		m.recordViolation(s, DrainObeyed, d.number, serverIndex)
 	}
 }
--- a/internal/simulation/proxysim/probes.go
+++ b/internal/simulation/proxysim/probes.go
@@ -16,65 +16,65 @@
 }
 
 // probeServer handles a probe at its server. Under a model of the literature the answer is that of the board.
-func (s *Sim) probeServer(to, i, incarnation int32) {
-	v := &s.servers[to]
-	p := &s.proxies[i]
-	way := s.latency(v.hall, p.hall)
-	a := probeAnswer{server: to, incarnation: incarnation, sentAt: s.now - way}
+func (s *Sim) probeServer(serverIndex, proxyIndex, incarnation int32) {
+	srv := &s.servers[serverIndex]
+	proxy := &s.proxies[proxyIndex]
+	way := s.latency(srv.hall, proxy.hall)
+	answer := probeAnswer{server: serverIndex, incarnation: incarnation, sentAt: s.now - way}
 	after := way
 	switch {
-	case v.unresponsive:
-		a.res, after = balance.TimedOut, int64(s.scenario.Network.DialTimeout)
-	case !v.up:
-		a.res = balance.ConnRefused
+	case srv.unresponsive:
+		answer.res, after = balance.TimedOut, int64(s.scenario.Network.DialTimeout)
+	case !srv.up:
+		answer.res = balance.ConnRefused
 	default:
-		v.probeWork += float64(s.scenario.Reports.ProbeWork)
-		if a.report = s.loadReport(v); s.scenario.Reports.Model != "probe" {
-			a.report[0] = s.board.load(s, i, to)
-			a.report[1] = max(a.report[0]-float64(v.cores), 0)
+		srv.probeWork += float64(s.scenario.Reports.ProbeWork)
+		if answer.report = s.loadReport(srv); s.scenario.Reports.Model != "probe" {
+			answer.report[0] = s.board.load(s, proxyIndex, serverIndex)
+			answer.report[1] = max(answer.report[0]-float64(srv.cores), 0)
 		}
 	}
-	n := int32(len(s.answers))
-	if k := len(s.free.answers); k > 0 {
-		n = s.free.answers[k-1]
-		s.free.answers = s.free.answers[:k-1]
-		s.answers[n] = a
+	answerIndex := int32(len(s.answers))
+	if free := len(s.free.answers); free > 0 {
+		answerIndex = s.free.answers[free-1]
+		s.free.answers = s.free.answers[:free-1]
+		s.answers[answerIndex] = answer
 	} else {
-		s.answers = append(s.answers, a)
+		s.answers = append(s.answers, answer)
 	}
-	s.add(s.now+after, evProbeAnswer, n, i, 0)
+	s.add(s.now+after, evProbeAnswer, answerIndex, proxyIndex, 0)
 }
 
 // loadReport is a server's report of its load, which it refreshes at an interval and with noise.
-func (s *Sim) loadReport(v *server) [3]float64 {
-	if refresh := int64(s.scenario.Reports.Refresh); v.reportedAt == 0 || s.now-v.reportedAt >= refresh {
-		v.reportedAt = max(s.now, 1)
+func (s *Sim) loadReport(srv *server) [3]float64 {
+	if refresh := int64(s.scenario.Reports.Refresh); srv.reportedAt == 0 || s.now-srv.reportedAt >= refresh {
+		srv.reportedAt = max(s.now, 1)
 		noise := func(x float64) float64 {
 			if s.scenario.Reports.Noise > 0 {
 				x *= 1 + s.scenario.Reports.Noise*(2*s.streams.reports.Float64()-1)
 			}
 			return math.Round(x)
 		}
-		v.reported = [3]float64{noise(float64(v.inSystem())), noise(float64(v.queued())),
-			float64(len(v.running)) / float64(v.cores)}
+		srv.reported = [3]float64{noise(float64(srv.inSystem())), noise(float64(srv.queued())),
+			float64(len(srv.running)) / float64(srv.cores)}
 	}
-	return v.reported
+	return srv.reported
 }
 
 // probeAnswered handles the answer to a probe at its proxy.
-func (s *Sim) probeAnswered(n, i int32) {
-	a := s.answers[n]
-	s.free.answers = append(s.free.answers, n)
-	p := &s.proxies[i]
-	if !p.alive || p.incarnation != a.incarnation {
+func (s *Sim) probeAnswered(answerIndex, proxyIndex int32) {
+	answer := s.answers[answerIndex]
+	s.free.answers = append(s.free.answers, answerIndex)
+	proxy := &s.proxies[proxyIndex]
+	if !proxy.alive || proxy.incarnation != answer.incarnation {
 		return
 	}
 	var row []float64
-	if a.res == balance.Done {
-		row = a.report[:]
+	if answer.res == balance.Done {
+		row = answer.report[:]
 	}
-	s.apply(i, p.agent.Probed(time.Duration(s.now), balance.ProbeResult{
-		Server: balance.ServerID(a.server + 1), Result: a.res,
-		Latency: time.Duration(s.now - a.sentAt), Report: row,
+	s.apply(proxyIndex, proxy.agent.Probed(time.Duration(s.now), balance.ProbeResult{
+		Server: balance.ServerID(answer.server + 1), Result: answer.res,
+		Latency: time.Duration(s.now - answer.sentAt), Report: row,
 	}, s.actions[:0]))
 }
--- a/internal/simulation/proxysim/registry.go
+++ b/internal/simulation/proxysim/registry.go
@@ -23,118 +23,121 @@
 	entry balance.Server
 }
 
-func (g *registry) init(s *Sim) {
-	o := &s.scenario.Discovery
-	g.push = o.Delay == 0 && o.ServiceTime == 0
-	g.maxServers = len(s.servers)
-	for _, t := range s.scenario.Faults {
-		if t.Type == FaultRolling {
-			g.maxServers += int(t.Size*float64(len(s.servers))) + 1
+func (r *registry) init(s *Sim) {
+	discovery := &s.scenario.Discovery
+	r.push = discovery.Delay == 0 && discovery.ServiceTime == 0
+	r.maxServers = len(s.servers)
+	for _, fault := range s.scenario.Faults {
+		if fault.Type == FaultRolling {
+			r.maxServers += int(fault.Size*float64(len(s.servers))) + 1
 		}
 	}
 	mean := s.capacity() / float64(len(s.servers))
 	for i := range s.servers {
-		g.entries = append(g.entries, entry(s, int32(i), mean))
+		r.entries = append(r.entries, entry(s, int32(i), mean))
 	}
 }
 
 // entry is a server's list entry, rated by its capacity relative to the mean.
-func entry(s *Sim, i int32, mean float64) balance.Server {
-	v := &s.servers[i]
-	return balance.Server{ID: balance.ServerID(i + 1), Zone: int(v.hall), Kind: int(v.kind), Cell: int(i),
-		Rating: float64(v.cores) * v.speed / mean, Started: time.Duration(v.started)}
+func entry(s *Sim, serverIndex int32, mean float64) balance.Server {
+	srv := &s.servers[serverIndex]
+	return balance.Server{
+		ID: balance.ServerID(serverIndex + 1), Zone: int(srv.hall), Kind: int(srv.kind), Cell: int(serverIndex),
+		Rating: float64(srv.cores) * srv.speed / mean, Started: time.Duration(srv.started),
+	}
 }
 
-func (g *registry) version() uint64 { return uint64(len(g.changes)) }
+func (r *registry) version() uint64 { return uint64(len(r.changes)) }
 
 // fullList is the current list: the servers that are up or draining.
-func (g *registry) fullList() []balance.Server {
+func (r *registry) fullList() []balance.Server {
 	var all []balance.Server
-	for _, e := range g.entries {
-		if e.State != balance.Removed {
-			all = append(all, e)
+	for _, entry := range r.entries {
+		if entry.State != balance.Removed {
+			all = append(all, entry)
 		}
 	}
 	return all
 }
 
 // publishState records a server's new state and schedules its delivery to every proxy.
-func (s *Sim) publishState(i int32, state balance.ServerState) {
-	g := &s.registry
-	if int(i) == len(g.entries) {
-		g.entries = append(g.entries, entry(s, i, s.capacity()/float64(len(s.servers))))
+func (s *Sim) publishState(serverIndex int32, state balance.ServerState) {
+	registry := &s.registry
+	if int(serverIndex) == len(registry.entries) {
+		registry.entries = append(registry.entries, entry(s, serverIndex, s.capacity()/float64(len(s.servers))))
 	}
-	e := &g.entries[i]
-	e.State, e.Started = state, time.Duration(s.servers[i].started)
-	g.changes = append(g.changes, change{s.now, *e})
-	at := s.now + int64(s.scenario.Discovery.Delay) + g.lag
-	for p := range s.proxies {
-		s.add(at, evListChange, int32(p), 0, g.version())
+	published := &registry.entries[serverIndex]
+	published.State, published.Started = state, time.Duration(s.servers[serverIndex].started)
+	registry.changes = append(registry.changes, change{s.now, *published})
+	at := s.now + int64(s.scenario.Discovery.Delay) + registry.lag
+	for proxyIndex := range s.proxies {
+		s.add(at, evListChange, int32(proxyIndex), 0, registry.version())
 	}
 }
 
 // watchList is a proxy's call for a watch of the changes from now on.
-func (s *Sim) watchList(i int32) {
-	g := &s.registry
-	o := &s.scenario.Discovery
-	g.calls++
-	way := s.latency(0, s.proxies[i].hall)
-	begin := max(g.busyUntil, s.now)
-	incarnation := uint64(s.proxies[i].incarnation)
-	if o.MaxWait > 0 && begin-s.now > int64(o.MaxWait) {
-		s.add(s.now+int64(o.MaxWait)+2*way, evListAnswer, i, 1, incarnation)
+func (s *Sim) watchList(proxyIndex int32) {
+	registry := &s.registry
+	discovery := &s.scenario.Discovery
+	registry.calls++
+	way := s.latency(0, s.proxies[proxyIndex].hall)
+	begin := max(registry.busyUntil, s.now)
+	incarnation := uint64(s.proxies[proxyIndex].incarnation)
+	if discovery.MaxWait > 0 && begin-s.now > int64(discovery.MaxWait) {
+		s.add(s.now+int64(discovery.MaxWait)+2*way, evListAnswer, proxyIndex, 1, incarnation)
 		return
 	}
-	g.busyUntil = begin + int64(o.ServiceTime)
-	s.add(g.busyUntil+2*way, evListAnswer, i, 0, incarnation)
+	registry.busyUntil = begin + int64(discovery.ServiceTime)
+	s.add(registry.busyUntil+2*way, evListAnswer, proxyIndex, 0, incarnation)
 }
 
 // listAnswered handles the answer to a call.
-func (s *Sim) listAnswered(i int32, fails bool, incarnation int32) {
-	p := &s.proxies[i]
-	if !p.alive || p.incarnation != incarnation {
+func (s *Sim) listAnswered(proxyIndex int32, fails bool, incarnation int32) {
+	proxy := &s.proxies[proxyIndex]
+	if !proxy.alive || proxy.incarnation != incarnation {
 		return
 	}
 	if fails {
-		p.watching = false
-		s.apply(i, p.agent.List(time.Duration(s.now), balance.ListFailed, nil, s.actions[:0]))
+		proxy.watching = false
+		s.apply(proxyIndex, proxy.agent.List(time.Duration(s.now), balance.ListFailed, nil, s.actions[:0]))
 		return
 	}
-	p.watching = true
-	g := &s.registry
-	visible := g.version() // the newest change that is old enough to be delivered
-	for visible > p.version && g.changes[visible-1].at > s.now-int64(s.scenario.Discovery.Delay)-g.lag {
+	proxy.watching = true
+	registry := &s.registry
+	visible := registry.version() // the newest change that is old enough to be delivered
+	deliverable := s.now - int64(s.scenario.Discovery.Delay) - registry.lag
+	for visible > proxy.version && registry.changes[visible-1].at > deliverable {
 		visible--
 	}
-	s.sendDeltas(i, visible, true)
+	s.sendDeltas(proxyIndex, visible, true)
 }
 
 // deliverChanges delivers the changes up to a version to a proxy that watches.
-func (s *Sim) deliverChanges(i int32, version uint64) {
-	if p := &s.proxies[i]; p.alive && (p.watching || s.registry.push) {
-		s.sendDeltas(i, version, false)
+func (s *Sim) deliverChanges(proxyIndex int32, version uint64) {
+	if proxy := &s.proxies[proxyIndex]; proxy.alive && (proxy.watching || s.registry.push) {
+		s.sendDeltas(proxyIndex, version, false)
 	}
 }
 
 // sendDeltas delivers the changes after the proxy's version up to another; no changes only if empty is set.
-func (s *Sim) sendDeltas(i int32, version uint64, empty bool) {
-	p := &s.proxies[i]
-	if version <= p.version && !empty {
+func (s *Sim) sendDeltas(proxyIndex int32, version uint64, empty bool) {
+	proxy := &s.proxies[proxyIndex]
+	if version <= proxy.version && !empty {
 		return
 	}
 	var list []balance.Server
-	for ; p.version < version; p.version++ {
-		e := s.registry.changes[p.version].entry
-		list = append(list, e)
-		if p.withdrawnAt == nil {
-			p.withdrawnAt = map[int32]int64{}
+	for ; proxy.version < version; proxy.version++ {
+		entry := s.registry.changes[proxy.version].entry
+		list = append(list, entry)
+		if proxy.withdrawnAt == nil {
+			proxy.withdrawnAt = map[int32]int64{}
 		}
-		server := int32(e.ID) - 1
-		if e.State == balance.Up {
-			delete(p.withdrawnAt, server)
-		} else if _, known := p.withdrawnAt[server]; !known {
-			p.withdrawnAt[server] = s.now
+		server := int32(entry.ID) - 1
+		if entry.State == balance.Up {
+			delete(proxy.withdrawnAt, server)
+		} else if _, known := proxy.withdrawnAt[server]; !known {
+			proxy.withdrawnAt[server] = s.now
 		}
 	}
-	s.apply(i, p.agent.List(time.Duration(s.now), balance.ListDelta, list, s.actions[:0]))
+	s.apply(proxyIndex, proxy.agent.List(time.Duration(s.now), balance.ListDelta, list, s.actions[:0]))
 }
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -120,13 +120,13 @@
 	if s.zipf != nil {
 		d.key = s.zipf.Uint64()*0x9e3779b97f4a7c15 + 1
 	}
-	c := &sc.Classes[d.class]
-	d.work = float64(c.Work) * s.workFactor()
+	class := &sc.Classes[d.class]
+	d.work = float64(class.Work) * s.workFactor()
 	d.deadline = s.now + int64(forever)
-	if c.Deadline > 0 {
-		d.deadline = s.now + int64(c.Deadline)
+	if class.Deadline > 0 {
+		d.deadline = s.now + int64(class.Deadline)
 	}
-	d.value = c.Value
+	d.value = class.Value
 	// An application stops and starts with its proxy: what it would have sent meanwhile is not counted.
 	d.counted = s.now >= int64(sc.WarmUp) && s.arrived > sc.WarmUpRequests && s.proxies[proxyIndex].alive
 	return s.allocDemand(d)
@@ -159,39 +159,42 @@
 
 // startClientAttempt sends a demand to its proxy, again after the first time.
 func (s *Sim) startClientAttempt(demandIndex int32) {
-	d := &s.demands[demandIndex]
-	if d.attempts == 0 {
-		d.arrivedAt = s.now
-		if c := &s.scenario.Classes[d.class]; c.Deadline > 0 {
-			d.deadline = s.now + int64(c.Deadline)
+	demand := &s.demands[demandIndex]
+	if demand.attempts == 0 {
+		demand.arrivedAt = s.now
+		if class := &s.scenario.Classes[demand.class]; class.Deadline > 0 {
+			demand.deadline = s.now + int64(class.Deadline)
 		}
 	}
-	if d.attempts++; d.attempts == 1 && d.counted {
+	if demand.attempts++; demand.attempts == 1 && demand.counted {
 		s.tally.countArrival(s, demandIndex)
 	}
-	p := &s.proxies[d.proxy]
-	if !p.alive {
+	proxy := &s.proxies[demand.proxy]
+	if !proxy.alive {
 		s.attemptAnswered(demandIndex, failed, 0, true)
 		return
 	}
-	r := s.allocRequest()
-	q := &s.requests[r]
-	*q = request{demand: demandIndex, proxy: d.proxy, incarnation: p.incarnation, generation: q.generation + 1,
-		used: true, at: s.now, attempts: q.attempts[:0]}
-	d.refs++
-	q.deadline = d.deadline
-	if c := &s.scenario.Classes[d.class]; c.Deadline > 0 {
-		q.deadline = min(d.deadline, s.now+int64(float64(c.Deadline)*s.scenario.Clients.TimeoutFraction))
-		s.add(q.deadline+int64(s.scenario.Rules.AnswerGrace)+1, evClientTimeout, r, 0, uint64(q.generation))
+	requestIndex := s.allocRequest()
+	req := &s.requests[requestIndex]
+	*req = request{
+		demand: demandIndex, proxy: demand.proxy, incarnation: proxy.incarnation,
+		generation: req.generation + 1, used: true, at: s.now, attempts: req.attempts[:0],
+	}
+	demand.refs++
+	req.deadline = demand.deadline
+	if class := &s.scenario.Classes[demand.class]; class.Deadline > 0 {
+		req.deadline = min(demand.deadline, s.now+int64(float64(class.Deadline)*s.scenario.Clients.TimeoutFraction))
+		tooLate := req.deadline + int64(s.scenario.Rules.AnswerGrace) + 1
+		s.add(tooLate, evClientTimeout, requestIndex, 0, uint64(req.generation))
 	}
 	if s.inFlight++; s.inFlight > s.scenario.MaxInFlight {
 		s.overflow = true
 		return
 	}
-	s.monitor.record(s, "arrives", d.number, -1)
-	s.apply(d.proxy, p.agent.Request(time.Duration(s.now), balance.Request{
-		ID: s.requestID(r), Class: int(d.class), Tenant: int(d.tenant), Key: d.key, HasKey: d.key != 0,
-		Deadline: time.Duration(q.deadline),
+	s.monitor.record(s, "arrives", demand.number, -1)
+	s.apply(demand.proxy, proxy.agent.Request(time.Duration(s.now), balance.Request{
+		ID: s.requestID(requestIndex), Class: int(demand.class), Tenant: int(demand.tenant),
+		Key: demand.key, HasKey: demand.key != 0, Deadline: time.Duration(req.deadline),
 	}, s.actions[:0]))
 }
 
@@ -207,71 +210,71 @@
 }
 
 // clientTimeout is when a request should have been answered at the latest.
-func (s *Sim) clientTimeout(r int32, generation uint64) {
-	q := &s.requests[r]
-	if !q.used || uint64(q.generation) != generation || q.answered {
+func (s *Sim) clientTimeout(requestIndex int32, generation uint64) {
+	req := &s.requests[requestIndex]
+	if !req.used || uint64(req.generation) != generation || req.answered {
 		return
 	}
-	s.monitor.recordViolation(s, OneAnswer, s.demands[q.demand].number, -1)
-	p := &s.proxies[q.proxy]
-	id := s.requestID(r)
-	s.answerRequest(r, failed, 0)
-	if p.alive && p.incarnation == q.incarnation {
-		s.apply(q.proxy, p.agent.ClientGone(time.Duration(s.now), id, s.actions[:0]))
+	s.monitor.recordViolation(s, OneAnswer, s.demands[req.demand].number, -1)
+	proxy := &s.proxies[req.proxy]
+	id := s.requestID(requestIndex)
+	s.answerRequest(requestIndex, failed, 0)
+	if proxy.alive && proxy.incarnation == req.incarnation {
+		s.apply(req.proxy, proxy.agent.ClientGone(time.Duration(s.now), id, s.actions[:0]))
 	}
 }
 
 // answerRequest gives a request its final answer; retryAfter is what a refusal asks the client to wait.
-func (s *Sim) answerRequest(r int32, how answer, retryAfter time.Duration) {
-	q := &s.requests[r]
-	if q.answered {
+func (s *Sim) answerRequest(requestIndex int32, how answer, retryAfter time.Duration) {
+	req := &s.requests[requestIndex]
+	if req.answered {
 		return
 	}
-	q.answered = true
+	req.answered = true
 	s.inFlight--
-	d := &s.demands[q.demand]
-	if how == refused && s.scenario.Classes[d.class].AtMostOnce && q.started {
-		s.monitor.recordViolation(s, AtMostOnce, d.number, -1) // a refusal says that a retry is safe
+	demand := &s.demands[req.demand]
+	if how == refused && s.scenario.Classes[demand.class].AtMostOnce && req.started {
+		s.monitor.recordViolation(s, AtMostOnce, demand.number, -1) // a refusal says that a retry is safe
 	}
-	s.monitor.record(s, how.String(), d.number, -1)
-	s.attemptAnswered(q.demand, how, retryAfter, false)
-	s.releaseRequest(r)
+	s.monitor.record(s, how.String(), demand.number, -1)
+	s.attemptAnswered(req.demand, how, retryAfter, false)
+	s.releaseRequest(requestIndex)
 }
 
 // attemptAnswered is the client's side of an answer: a retry, or the end of its demand. An unreachable proxy
 // has begun nothing.
 func (s *Sim) attemptAnswered(demandIndex int32, how answer, retryAfter time.Duration, unreachable bool) {
-	d := &s.demands[demandIndex]
-	c := &s.scenario.Classes[d.class]
-	retries := how != served && int(d.attempts) < s.scenario.Clients.MaxAttempts &&
-		(how == refused || unreachable || !c.AtMostOnce)
+	demand := &s.demands[demandIndex]
+	class := &s.scenario.Classes[demand.class]
+	retries := how != served && int(demand.attempts) < s.scenario.Clients.MaxAttempts &&
+		(how == refused || unreachable || !class.AtMostOnce)
 	backoff := s.scenario.Clients.Backoff
-	if how == refused && d.honorsRetryAfter {
+	if how == refused && demand.honorsRetryAfter {
 		backoff = max(backoff, retryAfter)
 	}
-	if at := s.now + int64(backoff); retries && at < d.deadline {
+	if at := s.now + int64(backoff); retries && at < demand.deadline {
 		s.inFlight++
 		s.add(max(at, s.now+1), evClientAttempt, demandIndex, 0, 0)
 		return
 	}
-	if d.counted {
-		s.tally.countAnswer(s, d, how)
+	if demand.counted {
+		s.tally.countAnswer(s, demand, how)
 	}
-	d.done = true
-	if d.refs == 0 {
+	demand.done = true
+	if demand.refs == 0 {
 		s.free.demands = append(s.free.demands, demandIndex)
 	}
 }
 
 // releaseRequest frees a request's slot once nothing refers to it.
-func (s *Sim) releaseRequest(r int32) {
-	q := &s.requests[r]
-	if q.used && q.answered && q.open == 0 && q.jobs == 0 {
-		q.used = false
-		s.free.requests = append(s.free.requests, r)
-		d := &s.demands[q.demand]
-		if d.refs--; d.refs == 0 && d.done {
-			s.free.demands = append(s.free.demands, q.demand)
+func (s *Sim) releaseRequest(requestIndex int32) {
+	req := &s.requests[requestIndex]
+	if req.used && req.answered && req.open == 0 && req.jobs == 0 {
+		req.used = false
+		s.free.requests = append(s.free.requests, requestIndex)
+		demand := &s.demands[req.demand]
+		if demand.refs--; demand.refs == 0 && demand.done {
+			s.free.demands = append(s.free.demands, req.demand)
 		}
 	}
 }
--- a/internal/simulation/proxysim/result.go
+++ b/internal/simulation/proxysim/result.go
@@ -64,18 +64,18 @@
 
 // result returns the figures of the run.
 func (s *Sim) result() *Result {
-	t := &s.tally
-	r := &Result{Policy: s.policy, Events: s.Events(), Requests: t.requests, Served: t.served,
-		Refused: t.refused, Failed: t.failed, InTime: t.inTime, Rules: s.monitor.violations,
-		Attempts: t.attempts, Handshakes: t.handshakes, Probes: t.probes, Rejected: t.rejected,
+	tally := &s.tally
+	r := &Result{Policy: s.policy, Events: s.Events(), Requests: tally.requests, Served: tally.served,
+		Refused: tally.refused, Failed: tally.failed, InTime: tally.inTime, Rules: s.monitor.violations,
+		Attempts: tally.attempts, Handshakes: tally.handshakes, Probes: tally.probes, Rejected: tally.rejected,
 		ListCalls: s.registry.calls, Violations: s.monitor.texts, Trace: s.monitor.traceLines,
-		P50: float64(t.hist.ValueAtQuantile(50)) / 1000, P99: float64(t.hist.ValueAtQuantile(99)) / 1000}
-	if t.served > 0 {
-		mean := t.responseSum / float64(t.served)
+		P50: float64(tally.hist.ValueAtQuantile(50)) / 1000, P99: float64(tally.hist.ValueAtQuantile(99)) / 1000}
+	if tally.served > 0 {
+		mean := tally.responseSum / float64(tally.served)
 		r.MeanMS, r.MeanServiceTimes = mean/1e6, mean/s.meanService
 	}
-	if t.work > 0 {
-		r.Wasted = t.wasted / t.work
+	if tally.work > 0 {
+		r.Wasted = tally.wasted / tally.work
 	}
 	s.score(r)
 	conns := 0
@@ -83,13 +83,13 @@
 		conns += int(s.servers[i].conns)
 	}
 	r.Conns = float64(conns) / float64(len(s.servers))
-	if counted := float64(s.lastArrival-t.firstArrivalAt) / 1e9; counted > 0 {
-		r.Utilisation = t.work / 1e9 / (s.capacity() * counted)
-		observed := float64(t.inSystemAt-t.firstArrivalAt) / 1e9
-		r.MeanInSystem, r.Throughput = t.inSystemArea/1e9/observed, float64(t.requests)/observed
+	if counted := float64(s.lastArrival-tally.firstArrivalAt) / 1e9; counted > 0 {
+		r.Utilisation = tally.work / 1e9 / (s.capacity() * counted)
+		observed := float64(tally.inSystemAt-tally.firstArrivalAt) / 1e9
+		r.MeanInSystem, r.Throughput = tally.inSystemArea/1e9/observed, float64(tally.requests)/observed
 	}
-	for i := range t.bySecond[:min(len(t.bySecond), int(s.lastArrival/1e9)+1, 3600)] {
-		r.ServiceBySecond = append(r.ServiceBySecond, ratio(t.bySecond[i], t.bySecondAsked[i]))
+	for i := range tally.bySecond[:min(len(tally.bySecond), int(s.lastArrival/1e9)+1, 3600)] {
+		r.ServiceBySecond = append(r.ServiceBySecond, ratio(tally.bySecond[i], tally.bySecondAsked[i]))
 	}
 	r.Warning = s.warning(r)
 	return r
@@ -97,21 +97,21 @@
 
 // score sets the service of a run and what is deducted from it, as the task weighs them.
 func (s *Sim) score(r *Result) {
-	t, prices := &s.tally, &s.scenario.Prices
-	r.ServiceOverall = ratio(t.value, t.valueAsked)
+	tally, prices := &s.tally, &s.scenario.Prices
+	r.ServiceOverall = ratio(tally.value, tally.valueAsked)
 	r.ServiceWorst10s = s.worstWindow()
-	r.ServiceWorstClass = minRatio(t.class, t.classAsked)
-	r.ServiceWorstTenant = minRatio(t.tenant, t.tenantAsked)
-	perRequest := func(n int) float64 { return float64(n) / float64(max(t.requests, 1)) }
+	r.ServiceWorstClass = minRatio(tally.class, tally.classAsked)
+	r.ServiceWorstTenant = minRatio(tally.tenant, tally.tenantAsked)
+	perRequest := func(n int) float64 { return float64(n) / float64(max(tally.requests, 1)) }
 	choked := 0
 	for i := range s.servers {
 		if s.servers[i].everChoked {
 			choked++
 		}
 	}
-	r.Prices = prices.CrossHall*perRequest(t.crossHall) + prices.Handshake*perRequest(t.handshakes) +
-		prices.Probe*perRequest(t.probes) + prices.Waste*r.Wasted +
-		prices.LateFail*(t.lateValue/math.Max(t.valueAsked, 1e-9)) +
+	r.Prices = prices.CrossHall*perRequest(tally.crossHall) + prices.Handshake*perRequest(tally.handshakes) +
+		prices.Probe*perRequest(tally.probes) + prices.Waste*r.Wasted +
+		prices.LateFail*(tally.lateValue/math.Max(tally.valueAsked, 1e-9)) +
 		prices.Choke*float64(choked)/float64(len(s.servers))
 	r.Service = 0.35*r.ServiceOverall + 0.35*r.ServiceWorst10s + 0.2*r.ServiceWorstClass +
 		0.1*r.ServiceWorstTenant - r.Prices
--- a/internal/simulation/proxysim/server.go
+++ b/internal/simulation/proxysim/server.go
@@ -32,10 +32,10 @@
 }
 
 // queued is the number of waiting jobs.
-func (v *server) queued() int { return len(v.queue) - v.head }
+func (srv *server) queued() int { return len(srv.queue) - srv.head }
 
 // inSystem is the number of running and waiting jobs, the server's load.
-func (v *server) inSystem() int { return len(v.running) + v.queued() }
+func (srv *server) inSystem() int { return len(srv.running) + srv.queued() }
 
 // job is an attempt at a server.
 type job struct {
@@ -62,22 +62,22 @@
 }
 
 // finishJob ends a job, of whose result its proxy learns after a delay.
-func (s *Sim) finishJob(jobIndex int32, res balance.Result, delay int64) {
-	j := &s.jobs[jobIndex]
-	token := s.requests[j.req].attemptToken(int(j.attempt))
-	s.add(s.now+delay, evAttemptEnd, j.req, int32(res), token)
+func (s *Sim) finishJob(jobIndex int32, result balance.Result, delay int64) {
+	job := &s.jobs[jobIndex]
+	token := s.requests[job.req].attemptToken(int(job.attempt))
+	s.add(s.now+delay, evAttemptEnd, job.req, int32(result), token)
 	s.dropJob(jobIndex)
 }
 
 // dropJob ends a job without an answer and frees its slot.
 func (s *Sim) dropJob(jobIndex int32) {
-	j := &s.jobs[jobIndex]
-	q := &s.requests[j.req]
-	q.attempts[j.attempt].job = -1
-	q.jobs--
-	j.used = false
+	job := &s.jobs[jobIndex]
+	req := &s.requests[job.req]
+	req.attempts[job.attempt].job = -1
+	req.jobs--
+	job.used = false
 	s.free.jobs = append(s.free.jobs, jobIndex)
-	s.releaseRequest(j.req)
+	s.releaseRequest(job.req)
 }
 
 // returnLatency draws the latency from a job's server to its proxy.
@@ -87,151 +87,154 @@
 
 // arriveAtServer runs, queues or rejects a job that has reached its server.
 func (s *Sim) arriveAtServer(jobIndex int32) {
-	j := &s.jobs[jobIndex]
-	v := &s.servers[j.server]
-	back := s.returnLatency(j)
-	d := &s.demands[s.requests[j.req].demand]
+	job := &s.jobs[jobIndex]
+	srv := &s.servers[job.server]
+	back := s.returnLatency(job)
+	demand := &s.demands[s.requests[job.req].demand]
 	switch {
-	case v.unresponsive:
+	case srv.unresponsive:
 		s.dropJob(jobIndex)
 		return
-	case !v.up || v.incarnation != j.incarnation:
+	case !srv.up || srv.incarnation != job.incarnation:
 		s.finishJob(jobIndex, balance.Reset, back)
 		return
 	}
-	s.trackSlowStart(j.server, j.work+j.handshake, d.number)
+	s.trackSlowStart(job.server, job.work+job.handshake, demand.number)
 	limit := s.scenario.Servers.QueueLimit
-	if v.draining || v.collapsed || len(v.running) >= int(v.cores) && limit > 0 && v.queued() >= limit {
+	full := len(srv.running) >= int(srv.cores) && limit > 0 && srv.queued() >= limit
+	if srv.draining || srv.collapsed || full {
 		s.tally.rejected++
 		s.finishJob(jobIndex, balance.Rejected, back)
 		return
 	}
-	if len(v.running) < int(v.cores) {
+	if len(srv.running) < int(srv.cores) {
 		s.startJob(jobIndex)
 	} else {
-		v.queue = append(v.queue, jobIndex)
+		srv.queue = append(srv.queue, jobIndex)
 	}
-	s.board.recordLoad(s, j.server)
-	s.board.readOnAccess(s, s.requests[j.req].proxy)
-	s.trackOverload(j.server)
+	s.board.recordLoad(s, job.server)
+	s.board.readOnAccess(s, s.requests[job.req].proxy)
+	s.trackOverload(job.server)
 }
 
 // collapseSlack is how many jobs a core a server in slow start is sent by chance, beyond the rule.
 const collapseSlack = 4
 
 // trackSlowStart sums the work that reaches a server in slow start, which collapses under too much of it.
-func (s *Sim) trackSlowStart(i int32, work float64, number int32) {
-	v := &s.servers[i]
-	c := s.slowStartFraction(v)
-	if s.scenario.Rules.CollapseFactor <= 0 || c >= 1 || v.collapsed {
+func (s *Sim) trackSlowStart(serverIndex int32, work float64, number int32) {
+	srv := &s.servers[serverIndex]
+	fraction := s.slowStartFraction(srv)
+	if s.scenario.Rules.CollapseFactor <= 0 || fraction >= 1 || srv.collapsed {
 		return
 	}
 	after := int64(s.scenario.Rules.CollapseAfter)
-	if s.now-v.slowStartFrom > after {
-		v.slowStartFrom, v.slowStartWork = s.now, 0
+	if s.now-srv.slowStartFrom > after {
+		srv.slowStartFrom, srv.slowStartWork = s.now, 0
 	}
-	v.slowStartWork += work
-	can := c * float64(v.cores) * v.speed * float64(after)
-	slack := collapseSlack * float64(v.cores) * work
-	if v.slowStartWork > s.scenario.Rules.CollapseFactor*can+slack {
-		v.collapsed = true
-		s.monitor.recordViolation(s, SlowStartObeyed, number, i)
+	srv.slowStartWork += work
+	capacity := fraction * float64(srv.cores) * srv.speed * float64(after)
+	slack := collapseSlack * float64(srv.cores) * work
+	if srv.slowStartWork > s.scenario.Rules.CollapseFactor*capacity+slack {
+		srv.collapsed = true
+		s.monitor.recordViolation(s, SlowStartObeyed, number, serverIndex)
 	}
 }
 
 // slowStartFraction is the fraction of its capacity that a server has now.
-func (s *Sim) slowStartFraction(v *server) float64 {
-	o := &s.scenario.Servers
-	if o.SlowStartMin >= 1 || v.started == 0 || o.SlowStartWindow <= 0 {
+func (s *Sim) slowStartFraction(srv *server) float64 {
+	servers := &s.scenario.Servers
+	if servers.SlowStartMin >= 1 || srv.started == 0 || servers.SlowStartWindow <= 0 {
 		return 1
 	}
-	return min(1, o.SlowStartMin+(1-o.SlowStartMin)*float64(s.now-v.started)/float64(o.SlowStartWindow))
+	rise := (1 - servers.SlowStartMin) * float64(s.now-srv.started) / float64(servers.SlowStartWindow)
+	return min(1, servers.SlowStartMin+rise)
 }
 
 // startJob runs a job on a free core.
 func (s *Sim) startJob(jobIndex int32) {
-	j := &s.jobs[jobIndex]
-	v := &s.servers[j.server]
-	q := &s.requests[j.req]
-	d := &s.demands[q.demand]
-	s.monitor.record(s, "runs", d.number, j.server)
-	if d.starts++; d.starts > 1 && s.scenario.Classes[d.class].AtMostOnce {
-		s.monitor.recordViolation(s, AtMostOnce, d.number, j.server)
-	}
-	q.started = true
-	work := j.work
-	if s.touchKey(v, j.key) {
+	job := &s.jobs[jobIndex]
+	srv := &s.servers[job.server]
+	req := &s.requests[job.req]
+	demand := &s.demands[req.demand]
+	s.monitor.record(s, "runs", demand.number, job.server)
+	if demand.starts++; demand.starts > 1 && s.scenario.Classes[demand.class].AtMostOnce {
+		s.monitor.recordViolation(s, AtMostOnce, demand.number, job.server)
+	}
+	req.started = true
+	work := job.work
+	if s.touchKey(srv, job.key) {
 		work *= s.scenario.Servers.WarmKeyWork
 	}
-	took := (work + j.handshake + v.probeWork) / (v.speed * s.slowStartFraction(v))
-	v.probeWork = 0
-	if v.choked {
+	took := (work + job.handshake + srv.probeWork) / (srv.speed * s.slowStartFraction(srv))
+	srv.probeWork = 0
+	if srv.choked {
 		took *= s.scenario.Servers.ChokeFactor
 	}
-	j.doneAt = max(s.now, v.pausedUntil) + int64(took)
-	v.running = append(v.running, jobIndex)
-	s.add(j.doneAt, evJobDone, jobIndex, v.incarnation, uint64(j.generation))
+	job.doneAt = max(s.now, srv.pausedUntil) + int64(took)
+	srv.running = append(srv.running, jobIndex)
+	s.add(job.doneAt, evJobDone, jobIndex, srv.incarnation, uint64(job.generation))
 }
 
 // touchKey reports whether a key is warm and records its use; the oldest key is evicted.
-func (s *Sim) touchKey(v *server, key uint64) bool {
-	o := &s.scenario.Servers
-	if o.WarmKeyTTL <= 0 || key == 0 {
+func (s *Sim) touchKey(srv *server, key uint64) bool {
+	servers := &s.scenario.Servers
+	if servers.WarmKeyTTL <= 0 || key == 0 {
 		return false
 	}
-	if v.warmKeys == nil {
-		v.warmKeys, v.warmOrder = make(map[uint64]int64, o.MaxWarmKeys), make([]uint64, o.MaxWarmKeys)
+	if srv.warmKeys == nil {
+		srv.warmKeys = make(map[uint64]int64, servers.MaxWarmKeys)
+		srv.warmOrder = make([]uint64, servers.MaxWarmKeys)
 	}
-	at, met := v.warmKeys[key]
+	at, met := srv.warmKeys[key]
 	if !met {
-		if old := v.warmOrder[v.warmNext]; old != 0 {
-			delete(v.warmKeys, old)
+		if old := srv.warmOrder[srv.warmNext]; old != 0 {
+			delete(srv.warmKeys, old)
 		}
-		v.warmOrder[v.warmNext] = key
-		v.warmNext = (v.warmNext + 1) % len(v.warmOrder)
+		srv.warmOrder[srv.warmNext] = key
+		srv.warmNext = (srv.warmNext + 1) % len(srv.warmOrder)
 	}
-	v.warmKeys[key] = s.now
-	return met && s.now-at <= int64(o.WarmKeyTTL)
+	srv.warmKeys[key] = s.now
+	return met && s.now-at <= int64(servers.WarmKeyTTL)
 }
 
 // jobDone ends a job on its core, on which the next one starts.
 func (s *Sim) jobDone(jobIndex, incarnation int32, generation uint64) {
-	j := &s.jobs[jobIndex]
-	if !j.used || uint64(j.generation) != generation {
+	job := &s.jobs[jobIndex]
+	if !job.used || uint64(job.generation) != generation {
 		return
 	}
-	i := j.server
-	v := &s.servers[i]
-	if v.incarnation != incarnation {
+	serverIndex := job.server
+	srv := &s.servers[serverIndex]
+	if srv.incarnation != incarnation {
 		return
 	}
-	if v.pausedUntil > s.now { // the rest is done after the pause
-		j.doneAt = max(j.doneAt, v.pausedUntil)
+	if srv.pausedUntil > s.now { // the rest is done after the pause
+		job.doneAt = max(job.doneAt, srv.pausedUntil)
 	}
-	if j.doneAt > s.now {
-		s.add(j.doneAt, evJobDone, jobIndex, incarnation, generation)
+	if job.doneAt > s.now {
+		s.add(job.doneAt, evJobDone, jobIndex, incarnation, generation)
 		return
 	}
-	for n, r := range v.running {
-		if r == jobIndex {
-			v.running[n] = v.running[len(v.running)-1]
-			v.running = v.running[:len(v.running)-1]
+	for core, running := range srv.running {
+		if running == jobIndex {
+			srv.running[core] = srv.running[len(srv.running)-1]
+			srv.running = srv.running[:len(srv.running)-1]
 			break
 		}
 	}
-	if j.abandoned {
-		s.tally.wasted += j.work
+	if job.abandoned {
+		s.tally.wasted += job.work
 	}
-	if back := s.returnLatency(j); v.unresponsive {
+	if back := s.returnLatency(job); srv.unresponsive {
 		s.dropJob(jobIndex)
 	} else {
 		s.finishJob(jobIndex, balance.Done, back)
 	}
-	for v.queued() > 0 && len(v.running) < int(v.cores) {
-		next := v.queue[v.head]
-		if v.head++; v.head > 64 && 2*v.head > len(v.queue) {
-			v.queue = v.queue[:copy(v.queue, v.queue[v.head:])]
-			v.head = 0
+	for srv.queued() > 0 && len(srv.running) < int(srv.cores) {
+		next := srv.queue[srv.head]
+		if srv.head++; srv.head > 64 && 2*srv.head > len(srv.queue) {
+			srv.queue = srv.queue[:copy(srv.queue, srv.queue[srv.head:])]
+			srv.head = 0
 		}
 		if s.jobs[next].abandoned && s.scenario.Servers.DropsAbandoned {
 			s.dropJob(next)
@@ -239,6 +242,6 @@
 		}
 		s.startJob(next)
 	}
-	s.board.recordLoad(s, i)
-	s.trackOverload(i)
+	s.board.recordLoad(s, serverIndex)
+	s.trackOverload(serverIndex)
 }
--- a/internal/simulation/proxysim/setup.go
+++ b/internal/simulation/proxysim/setup.go
@@ -50,15 +50,15 @@
 
 func (s *Sim) makeLoad() {
 	work, classes := 0.0, 0.0
-	for _, c := range s.scenario.Classes {
-		classes += c.Fraction
+	for _, class := range s.scenario.Classes {
+		classes += class.Fraction
 		s.cumulativeFractions.class = append(s.cumulativeFractions.class, classes)
-		work += c.Fraction * c.Work.Seconds()
+		work += class.Fraction * class.Work.Seconds()
 	}
 	work /= classes
 	tenants := 0.0
-	for _, t := range s.scenario.Tenants {
-		tenants += t.Fraction
+	for _, tenant := range s.scenario.Tenants {
+		tenants += tenant.Fraction
 		s.cumulativeFractions.tenant = append(s.cumulativeFractions.tenant, tenants)
 	}
 	cores := 0
@@ -86,20 +86,20 @@
 	}
 }
 
-func (s *Sim) makeProxies(o Options) error {
+func (s *Sim) makeProxies(options Options) error {
 	s.registry.init(s)
 	s.idleConns = make([]idleConns, s.scenario.Proxies.Count*s.registry.maxServers)
 	s.proxies = make([]proxy, s.scenario.Proxies.Count)
 	total := s.cumulativeLoad[len(s.cumulativeLoad)-1]
 	for i := range s.proxies {
 		p := &s.proxies[i]
-		p.hall, p.module = int32(i%len(s.halls)), o.Policy == "module"
+		p.hall, p.module = int32(i%len(s.halls)), options.Policy == "module"
 		before := 0.0
 		if i > 0 {
 			before = s.cumulativeLoad[i-1]
 		}
 		p.meanGap = 1e9 / (s.rate * (s.cumulativeLoad[i] - before) / total)
-		if err := s.startProxy(int32(i), o); err != nil {
+		if err := s.startProxy(int32(i), options); err != nil {
 			return err
 		}
 	}
@@ -107,35 +107,35 @@
 }
 
 // startProxy starts a proxy with the current list.
-func (s *Sim) startProxy(i int32, o Options) error {
-	p := &s.proxies[i]
-	p.alive, p.watching, p.withdrawnAt = true, s.registry.push, nil
-	p.version = s.registry.version()
-	rng := stream(o.Seed+uint64(i)*0x9e3779b97f4a7c15+uint64(p.incarnation), "policy")
-	if p.module {
-		make := o.Module
-		if make == nil {
-			make = func(set balance.Settings, now time.Duration) (Agent, error) { return balance.New(set, now) }
+func (s *Sim) startProxy(proxyIndex int32, options Options) error {
+	proxy := &s.proxies[proxyIndex]
+	proxy.alive, proxy.watching, proxy.withdrawnAt = true, s.registry.push, nil
+	proxy.version = s.registry.version()
+	rng := stream(options.Seed+uint64(proxyIndex)*0x9e3779b97f4a7c15+uint64(proxy.incarnation), "policy")
+	if proxy.module {
+		newAgent := options.Module
+		if newAgent == nil {
+			newAgent = func(set balance.Settings, now time.Duration) (Agent, error) { return balance.New(set, now) }
 		}
 		var err error
-		if p.agent, err = make(s.settings(i, rng.Uint64()), time.Duration(s.now)); err != nil {
+		if proxy.agent, err = newAgent(s.settings(proxyIndex, rng.Uint64()), time.Duration(s.now)); err != nil {
 			return err
 		}
 	} else {
-		p.agent = newBaseline(s, i, o, rng)
+		proxy.agent = newBaseline(s, proxyIndex, options, rng)
 	}
 	kind := balance.ListCached
 	if s.registry.push {
 		kind = balance.ListFull
 	}
-	s.apply(i, p.agent.List(time.Duration(s.now), kind, s.registry.fullList(), s.actions[:0]))
+	s.apply(proxyIndex, proxy.agent.List(time.Duration(s.now), kind, s.registry.fullList(), s.actions[:0]))
 	return nil
 }
 
 // settings are those of the module at one proxy.
 func (s *Sim) settings(rank int32, seed uint64) balance.Settings {
 	sc := s.scenario
-	set := balance.Settings{
+	settings := balance.Settings{
 		Seed: seed, Rank: int(rank), Peers: sc.Proxies.Count, Zone: int(s.proxies[rank].hall),
 		Tick:         time.Millisecond,
 		ReportFields: []balance.ReportField{balance.FieldInFlight, balance.FieldQueued, balance.FieldUtilization},
@@ -152,21 +152,23 @@
 		DialTimeout: sc.Network.DialTimeout,
 		KeyAffinity: sc.Servers.WarmKeyTTL > 0,
 	}
-	for _, c := range sc.Classes {
-		b := balance.Class{LatencyTarget: c.LatencyTarget, Deadline: c.Deadline, Value: c.Value}
-		if c.AtMostOnce {
-			b.Effect = balance.AtMostOnce
+	for _, class := range sc.Classes {
+		balanced := balance.Class{LatencyTarget: class.LatencyTarget, Deadline: class.Deadline, Value: class.Value}
+		if class.AtMostOnce {
+			balanced.Effect = balance.AtMostOnce
 		}
-		if b.LatencyTarget == 0 { // far off, but not so far that the first guess of a service time, a fifth, lasts
-			b.LatencyTarget = 100 * c.Work
+		if balanced.LatencyTarget == 0 {
+			// Far off, but not so far that the first guess of a service time, a fifth of it, lasts.
+			balanced.LatencyTarget = 100 * class.Work
 		}
-		if b.Deadline == 0 {
-			b.Deadline = forever
+		if balanced.Deadline == 0 {
+			balanced.Deadline = forever
 		}
-		set.Classes = append(set.Classes, b)
+		settings.Classes = append(settings.Classes, balanced)
 	}
-	for _, t := range sc.Tenants {
-		set.Tenants = append(set.Tenants, balance.Tenant{Fraction: t.Fraction, QuotaPerSec: t.Quota})
+	for _, tenant := range sc.Tenants {
+		settings.Tenants = append(settings.Tenants,
+			balance.Tenant{Fraction: tenant.Fraction, QuotaPerSec: tenant.Quota})
 	}
-	return set
+	return settings
 }
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -172,8 +172,8 @@
 		case evAttemptEnd:
 			s.attemptEnded(e.a, balance.Result(e.b), e.c)
 		case evTimer:
-			if p := &s.proxies[e.a]; p.alive && p.incarnation == e.b {
-				s.apply(e.a, p.agent.Timer(time.Duration(s.now), e.c, s.actions[:0]))
+			if proxy := &s.proxies[e.a]; proxy.alive && proxy.incarnation == e.b {
+				s.apply(e.a, proxy.agent.Timer(time.Duration(s.now), e.c, s.actions[:0]))
 			}
 		case evProbe:
 			s.probeServer(e.a, e.b, int32(e.c))
@@ -210,34 +210,35 @@
 func (s *Sim) ended() bool { return s.arrived < 0 && s.inFlight == 0 }
 
 // apply carries out the actions of a proxy's agent.
-func (s *Sim) apply(i int32, acts []balance.Action) {
+func (s *Sim) apply(proxyIndex int32, acts []balance.Action) {
 	s.actions = acts
-	p := &s.proxies[i]
-	for n := range acts {
-		a := &acts[n]
-		switch a.Kind {
+	proxy := &s.proxies[proxyIndex]
+	for position := range acts {
+		action := &acts[position]
+		switch action.Kind {
 		case balance.SetTimer:
-			s.add(s.now+int64(a.Wait), evTimer, i, p.incarnation, a.Token)
+			s.add(s.now+int64(action.Wait), evTimer, proxyIndex, proxy.incarnation, action.Token)
 		case balance.Probe:
 			s.tally.probes++
-			j := int32(a.Server) - 1
-			s.add(s.now+s.latency(p.hall, s.servers[j].hall), evProbe, j, i, uint64(p.incarnation))
+			serverIndex := int32(action.Server) - 1
+			arrivesAt := s.now + s.latency(proxy.hall, s.servers[serverIndex].hall)
+			s.add(arrivesAt, evProbe, serverIndex, proxyIndex, uint64(proxy.incarnation))
 		case balance.FollowList:
-			s.watchList(i)
+			s.watchList(proxyIndex)
 		default:
-			r, ok := s.requestByID(a.ID)
+			requestIndex, ok := s.requestByID(action.ID)
 			if !ok {
 				continue
 			}
-			switch a.Kind {
+			switch action.Kind {
 			case balance.Send:
-				s.startAttempt(r, int32(a.Server)-1, int64(a.Wait))
+				s.startAttempt(requestIndex, int32(action.Server)-1, int64(action.Wait))
 			case balance.Cancel:
-				s.cancelAttempt(r, a.Attempt)
+				s.cancelAttempt(requestIndex, action.Attempt)
 			case balance.Reject:
-				s.answerRequest(r, refused, a.Wait)
+				s.answerRequest(requestIndex, refused, action.Wait)
 			case balance.Fail:
-				s.answerRequest(r, failed, 0)
+				s.answerRequest(requestIndex, failed, 0)
 			}
 		}
 	}
@@ -245,31 +246,31 @@
 
 // latency draws the one-way latency between two halls.
 func (s *Sim) latency(from, to int32) int64 {
-	d := s.scenario.Network.WithinHall
+	mean := s.scenario.Network.WithinHall
 	if from != to {
-		d = s.scenario.Network.AcrossHalls
+		mean = s.scenario.Network.AcrossHalls
 	}
-	if d == 0 {
+	if mean == 0 {
 		return 0
 	}
-	if j := s.scenario.Network.Jitter; j > 0 {
-		return int64(float64(d) * (1 + j*(2*s.streams.network.Float64()-1)))
+	if jitter := s.scenario.Network.Jitter; jitter > 0 {
+		return int64(float64(mean) * (1 + jitter*(2*s.streams.network.Float64()-1)))
 	}
-	return int64(d)
+	return int64(mean)
 }
 
 // requestID is the id of a request for agents: its slot in the table and the slot's generation, in base 36.
-func (s *Sim) requestID(r int32) string {
-	return strconv.FormatUint(uint64(r)|uint64(s.requests[r].generation)<<31, 36)
+func (s *Sim) requestID(requestIndex int32) string {
+	return strconv.FormatUint(uint64(requestIndex)|uint64(s.requests[requestIndex].generation)<<31, 36)
 }
 
 // requestByID is the slot of an unanswered or open request; ok is false for one that has ended.
 func (s *Sim) requestByID(id string) (int32, bool) {
-	n, err := strconv.ParseUint(id, 36, 64)
-	r := int32(n & (1<<31 - 1))
-	if err != nil || int(r) >= len(s.requests) || uint64(s.requests[r].generation) != n>>31 ||
-		!s.requests[r].used {
+	number, err := strconv.ParseUint(id, 36, 64)
+	requestIndex := int32(number & (1<<31 - 1))
+	if err != nil || int(requestIndex) >= len(s.requests) {
 		return 0, false
 	}
-	return r, true
+	req := &s.requests[requestIndex]
+	return requestIndex, req.used && uint64(req.generation) == number>>31
 }
--- a/internal/simulation/proxysim/tally.go
+++ b/internal/simulation/proxysim/tally.go
@@ -33,8 +33,8 @@
 	t.bySecond, t.bySecondAsked = make([]float64, seconds), make([]float64, seconds)
 	t.class, t.classAsked = make([]float64, len(s.scenario.Classes)), make([]float64, len(s.scenario.Classes))
 	t.tenant, t.tenantAsked = make([]float64, len(s.scenario.Tenants)), make([]float64, len(s.scenario.Tenants))
-	for _, x := range s.scenario.Tenants {
-		t.quotaTokens = append(t.quotaTokens, x.Quota)
+	for _, tenant := range s.scenario.Tenants {
+		t.quotaTokens = append(t.quotaTokens, tenant.Quota)
 	}
 }
 
@@ -47,31 +47,31 @@
 
 // countArrival counts a demand that arrives. Beyond its tenant's quota its value is lower.
 func (t *tally) countArrival(s *Sim, demandIndex int32) {
-	d := &s.demands[demandIndex]
+	demand := &s.demands[demandIndex]
 	if len(t.quotaTokens) > 0 {
 		passed := float64(s.now-t.quotaTokensAt) / 1e9
 		t.quotaTokensAt = s.now
-		for i, x := range s.scenario.Tenants {
-			t.quotaTokens[i] = min(t.quotaTokens[i]+passed*x.Quota, x.Quota)
+		for i, tenant := range s.scenario.Tenants {
+			t.quotaTokens[i] = min(t.quotaTokens[i]+passed*tenant.Quota, tenant.Quota)
 		}
-		if s.scenario.Tenants[d.tenant].Quota > 0 {
-			if t.quotaTokens[d.tenant] >= 1 {
-				t.quotaTokens[d.tenant]--
+		if s.scenario.Tenants[demand.tenant].Quota > 0 {
+			if t.quotaTokens[demand.tenant] >= 1 {
+				t.quotaTokens[demand.tenant]--
 			} else {
-				d.value *= s.scenario.Prices.OverQuotaValue
+				demand.value *= s.scenario.Prices.OverQuotaValue
 			}
 		}
-		t.tenantAsked[d.tenant] += d.value
+		t.tenantAsked[demand.tenant] += demand.value
 	}
 	if t.requests == 0 {
 		t.firstArrivalAt, t.inSystemAt = s.now, s.now
 	}
 	t.requests++
-	t.work += d.work
+	t.work += demand.work
 	t.trackInSystem(s, 1)
-	t.valueAsked += d.value
-	t.classAsked[d.class] += d.value
-	t.bySecondAsked[min(int(d.arrivedAt/1e9), len(t.bySecond)-1)] += d.value
+	t.valueAsked += demand.value
+	t.classAsked[demand.class] += demand.value
+	t.bySecondAsked[min(int(demand.arrivedAt/1e9), len(t.bySecond)-1)] += demand.value
 }
 
 // countAttempt counts an attempt, which may cross halls.
@@ -83,10 +83,10 @@
 }
 
 // countAnswer counts the end of a demand.
-func (t *tally) countAnswer(s *Sim, d *demand, how answer) {
+func (t *tally) countAnswer(s *Sim, ended *demand, how answer) {
 	t.trackInSystem(s, -1)
-	took := s.now - d.arrivedAt
-	target := int64(s.scenario.Classes[d.class].LatencyTarget)
+	took := s.now - ended.arrivedAt
+	target := int64(s.scenario.Classes[ended.class].LatencyTarget)
 	switch how {
 	case served:
 		t.served++
@@ -94,14 +94,14 @@
 		_ = t.hist.RecordValue(max(took/1000, 1)) // a time beyond the histogram's hour is left out
 		if target == 0 || took <= target {
 			t.inTime++
-			t.value += d.value
-			t.class[d.class] += d.value
+			t.value += ended.value
+			t.class[ended.class] += ended.value
 			if len(t.tenant) > 0 {
-				t.tenant[d.tenant] += d.value
+				t.tenant[ended.tenant] += ended.value
 			}
-			t.bySecond[min(int(d.arrivedAt/1e9), len(t.bySecond)-1)] += d.value
+			t.bySecond[min(int(ended.arrivedAt/1e9), len(t.bySecond)-1)] += ended.value
 		} else {
-			t.lateValue += d.value
+			t.lateValue += ended.value
 		}
 	case refused:
 		t.refused++
@@ -109,6 +109,6 @@
 		t.failed++
 	}
 	if how != served && target > 0 && took > target {
-		t.lateValue += d.value
+		t.lateValue += ended.value
 	}
 }
