--- a/internal/simulation/proxysim/swim.go
+++ b/internal/simulation/proxysim/swim.go
@@ -188,12 +188,12 @@
 	s := &SWIM{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 23)), nodes: make([]swimNode, n),
 		side:    make([]int8, n),
 		blocked: map[[2]int32]bool{}, delay: map[int32]int64{}, down: make([]bool, n)}
-	for i := range s.nodes {
-		s.boot(int32(i), o.StartEmpty)
+	for member := range s.nodes {
+		s.boot(int32(member), o.StartEmpty)
 	}
 	if o.StartEmpty {
-		for i := 1; i < n; i++ {
-			s.exchangeStates(int32(i), 0)
+		for member := 1; member < n; member++ {
+			s.exchangeStates(int32(member), 0)
 		}
 	}
 	s.recount()
@@ -202,52 +202,58 @@
 
 // boot gives a member its first state and starts its tickers, each at a time of its own. An empty member
 // knows itself alone.
-func (s *SWIM) boot(i int32, empty bool) {
-	m := &s.nodes[i]
+func (s *SWIM) boot(member int32, empty bool) {
+	node := &s.nodes[member]
 	n := s.opts.Members
-	*m = swimNode{views: make([]memberView, n), suspects: map[int32]*suspicion{},
+	*node = swimNode{views: make([]memberView, n), suspects: map[int32]*suspicion{},
 		incarnation: 1, up: true, probing: -1,
-		relayed: map[uint64]relayedProbe{}, seq: m.seq + 1, process: m.seq + 1}
-	m.order = append(m.order, i)
-	m.views[i] = memberView{incarnation: 1, status: SWIMAlive}
-	m.byStatus[SWIMAlive] = 1
+		relayed: map[uint64]relayedProbe{}, seq: node.seq + 1, process: node.seq + 1}
+	node.order = append(node.order, member)
+	node.views[member] = memberView{incarnation: 1, status: SWIMAlive}
+	node.byStatus[SWIMAlive] = 1
 	if !empty {
-		for j := range m.views {
-			m.views[j] = memberView{incarnation: 1, status: SWIMAlive}
+		for other := range node.views {
+			node.views[other] = memberView{incarnation: 1, status: SWIMAlive}
 		}
-		m.byStatus[SWIMAlive] = n
-		m.order = m.order[:0]
-		for j := range n {
-			m.order = append(m.order, int32(j))
+		node.byStatus[SWIMAlive] = n
+		node.order = node.order[:0]
+		for other := range n {
+			node.order = append(node.order, int32(other))
 		}
-		s.rng.Shuffle(n, func(a, b int) { m.order[a], m.order[b] = m.order[b], m.order[a] })
+		s.shuffleOrder(node)
 	}
 	stagger := func(d time.Duration) int64 { return s.now + s.rng.Int64N(int64(d)) }
-	s.add(stagger(s.opts.Probe), swimProbe, i, 0, m.seq)
-	s.add(stagger(s.opts.Gossip), swimGossip, i, 0, m.seq)
-	s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, i, m.rejoinSeq, m.seq)
+	s.add(stagger(s.opts.Probe), swimProbe, member, 0, node.seq)
+	s.add(stagger(s.opts.Gossip), swimGossip, member, 0, node.seq)
+	s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, member, node.rejoinSeq, node.seq)
 	if empty {
-		s.add(s.now+s.jittered(s.syncInterval(m)), swimSync, i, 0, m.seq)
+		s.add(s.now+s.jittered(s.syncInterval(node)), swimSync, member, 0, node.seq)
 	} else { // its last exchange may be any time ago
-		s.add(stagger(s.syncInterval(m)), swimSync, i, 0, m.seq)
+		s.add(stagger(s.syncInterval(node)), swimSync, member, 0, node.seq)
 	}
 }
 
+// shuffleOrder draws a new order of probes.
+func (s *SWIM) shuffleOrder(node *swimNode) {
+	order := node.order
+	s.rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
+}
+
 // jittered draws an interval that is up to a quarter longer or shorter, in ns.
 func (s *SWIM) jittered(d time.Duration) int64 { return int64(d)*3/4 + s.rng.Int64N(int64(d)/2+1) }
 
 // syncInterval is the mean time between full state exchanges of a member.
-func (s *SWIM) syncInterval(m *swimNode) time.Duration {
-	return s.opts.SyncPerMember * time.Duration(max(1, len(m.order)))
+func (s *SWIM) syncInterval(node *swimNode) time.Duration {
+	return s.opts.SyncPerMember * time.Duration(max(1, len(node.order)))
 }
 
 // randomMember draws a member other than i whose view fits, -1 where a bounded number of draws finds none.
-func (s *SWIM) randomMember(i int32, fits func(memberView) bool) int32 {
-	m := &s.nodes[i]
-	n := len(m.order)
-	for range 3 * n {
-		if j := m.order[s.rng.IntN(n)]; j != i && fits(m.views[j]) {
-			return j
+func (s *SWIM) randomMember(member int32, fits func(memberView) bool) int32 {
+	node := &s.nodes[member]
+	known := len(node.order)
+	for range 3 * known {
+		if candidate := node.order[s.rng.IntN(known)]; candidate != member && fits(node.views[candidate]) {
+			return candidate
 		}
 	}
 	return -1
@@ -255,14 +261,14 @@
 
 // randomMembers draws up to k different members, as memberlist's kRandomNodes. The result is valid until the
 // next call.
-func (s *SWIM) randomMembers(i int32, k int, fits func(memberView) bool) []int32 {
-	m := &s.nodes[i]
-	n := len(m.order)
+func (s *SWIM) randomMembers(member int32, count int, fits func(memberView) bool) []int32 {
+	node := &s.nodes[member]
+	known := len(node.order)
 	s.drawn = s.drawn[:0]
-	for draws := 0; draws < 3*n && len(s.drawn) < k; draws++ {
-		j := m.order[s.rng.IntN(n)]
-		if j != i && fits(m.views[j]) && !slices.Contains(s.drawn, j) {
-			s.drawn = append(s.drawn, j)
+	for draws := 0; draws < 3*known && len(s.drawn) < count; draws++ {
+		candidate := node.order[s.rng.IntN(known)]
+		if candidate != member && fits(node.views[candidate]) && !slices.Contains(s.drawn, candidate) {
+			s.drawn = append(s.drawn, candidate)
 		}
 	}
 	return s.drawn
--- a/internal/simulation/proxysim/swimfaults.go
+++ b/internal/simulation/proxysim/swimfaults.go
@@ -4,20 +4,20 @@
 
 // Kill ends members' processes at once.
 func (s *SWIM) Kill(members ...int) {
-	for _, i := range members {
-		s.nodes[i].up = false
-		s.down[i] = true
+	for _, member := range members {
+		s.nodes[member].up = false
+		s.down[member] = true
 	}
 	s.recount()
 }
 
 // Restart starts a killed member again; it joins by a member that runs.
-func (s *SWIM) Restart(i int) {
-	s.down[i] = false
-	s.boot(int32(i), true)
-	for j := range s.nodes {
-		if j != i && s.nodes[j].up {
-			s.exchangeStates(int32(i), int32(j))
+func (s *SWIM) Restart(member int) {
+	s.down[member] = false
+	s.boot(int32(member), true)
+	for other := range s.nodes {
+		if other != member && s.nodes[other].up {
+			s.exchangeStates(int32(member), int32(other))
 			break
 		}
 	}
@@ -25,28 +25,28 @@
 }
 
 // Pause stops a member's process; its events are queued. Resume has it handle them.
-func (s *SWIM) Pause(i int) {
-	s.nodes[i].paused = true
+func (s *SWIM) Pause(member int) {
+	s.nodes[member].paused = true
 	s.recount()
 }
 
 // Resume ends a pause.
-func (s *SWIM) Resume(i int) {
-	m := &s.nodes[i]
-	m.paused = false
-	for _, e := range m.waiting {
+func (s *SWIM) Resume(member int) {
+	node := &s.nodes[member]
+	node.paused = false
+	for _, e := range node.waiting {
 		s.add(s.now, e.kind, e.a, e.b, e.c)
 	}
-	m.waiting = nil
+	node.waiting = nil
 	s.recount()
 }
 
 // Partition separates the first members from the others, both ways; Heal undoes it.
 func (s *SWIM) Partition(first int) {
-	for i := range s.side {
-		s.side[i] = 0
-		if i < first {
-			s.side[i] = 1
+	for member := range s.side {
+		s.side[member] = 0
+		if member < first {
+			s.side[member] = 1
 		}
 	}
 }
@@ -55,16 +55,16 @@
 // goes on to its next attempt.
 func (s *SWIM) Heal() {
 	clear(s.side)
-	for i := range s.nodes {
-		m := &s.nodes[i]
-		if m.up && m.nextSeed >= 0 && m.seedFrom > s.now {
-			s.exchangeStates(int32(i), m.nextSeed)
+	for member := range s.nodes {
+		node := &s.nodes[member]
+		if node.up && node.nextSeed >= 0 && node.seedFrom > s.now {
+			s.exchangeStates(int32(member), node.nextSeed)
 		}
-		m.nextSeed = -1
-		if m.up && m.stalledUntil > s.now { // its interval begins now, not when the stream would have ended
-			m.stalledUntil = s.now
-			m.rejoinSeq++
-			s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, int32(i), m.rejoinSeq, m.process)
+		node.nextSeed = -1
+		if node.up && node.stalledUntil > s.now { // its interval begins now, not when the stream would have ended
+			node.stalledUntil = s.now
+			node.rejoinSeq++
+			s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, int32(member), node.rejoinSeq, node.process)
 		}
 	}
 	clear(s.blocked)
@@ -75,14 +75,14 @@
 func (s *SWIM) BlockLink(from, to int) { s.blocked[[2]int32{int32(from), int32(to)}] = true }
 
 // Slow delays all that a member sends and receives.
-func (s *SWIM) Slow(i int, by time.Duration) { s.delay[int32(i)] = int64(by) }
+func (s *SWIM) Slow(member int, by time.Duration) { s.delay[int32(member)] = int64(by) }
 
 // Partitioned reports whether each side of a partition sees itself alive and the other side dead.
 func (s *SWIM) Partitioned() bool {
-	for i := range s.nodes {
-		for j := range s.nodes {
-			st := s.nodes[i].views[j].status
-			if same := s.side[i] == s.side[j]; same && st != SWIMAlive || !same && st != SWIMDead {
+	for observer := range s.nodes {
+		for subject := range s.nodes {
+			st := s.nodes[observer].views[subject].status
+			if same := s.side[observer] == s.side[subject]; same && st != SWIMAlive || !same && st != SWIMDead {
 				return false
 			}
 		}
--- a/internal/simulation/proxysim/swimnet.go
+++ b/internal/simulation/proxysim/swimnet.go
@@ -7,21 +7,21 @@
 )
 
 // enqueue queues an update for gossip, in place of an earlier one of the same subject.
-func (s *SWIM) enqueue(i int32, n update) {
-	m := &s.nodes[i]
-	n.transmits = 0
-	for at := range m.broadcasts {
-		if m.broadcasts[at].subject == n.subject {
-			m.broadcasts = append(m.broadcasts[:at], m.broadcasts[at+1:]...)
+func (s *SWIM) enqueue(member int32, u update) {
+	node := &s.nodes[member]
+	u.transmits = 0
+	for at := range node.broadcasts {
+		if node.broadcasts[at].subject == u.subject {
+			node.broadcasts = append(node.broadcasts[:at], node.broadcasts[at+1:]...)
 			break
 		}
 	}
-	m.broadcasts = append(m.broadcasts, n)
+	node.broadcasts = append(node.broadcasts, u)
 }
 
 // updateBytes is the size of one gossiped message in memberlist's codec.
-func (s *SWIM) updateBytes(n *update) int {
-	if n.status == SWIMAlive {
+func (s *SWIM) updateBytes(u *update) int {
+	if u.status == SWIMAlive {
 		return 62 + s.opts.NameBytes + s.opts.MetaBytes
 	}
 	return 27 + 2*s.opts.NameBytes
@@ -47,37 +47,37 @@
 
 // takeBroadcasts takes the queued updates that fit into a number of bytes, the least transmitted ones first,
 // and drops those that have been transmitted often enough.
-func (s *SWIM) takeBroadcasts(i int32, capacity int) []update {
-	m := &s.nodes[i]
-	if len(m.broadcasts) == 0 {
+func (s *SWIM) takeBroadcasts(member int32, capacity int) []update {
+	node := &s.nodes[member]
+	if len(node.broadcasts) == 0 {
 		return nil
 	}
-	limit := int16(swimRetransmit * math.Ceil(log10(len(m.order)+1)))
-	var out []update
+	limit := int16(swimRetransmit * math.Ceil(log10(len(node.order)+1)))
+	var taken []update
 	for sent := int16(0); sent < limit && capacity > 2+27; sent++ {
-		for at := len(m.broadcasts) - 1; at >= 0; at-- {
-			u := &m.broadcasts[at]
+		for at := len(node.broadcasts) - 1; at >= 0; at-- {
+			u := &node.broadcasts[at]
 			size := s.updateBytes(u) + 2
-			if u.transmits != sent || size > capacity || containsSubject(out, u.subject) {
+			if u.transmits != sent || size > capacity || containsSubject(taken, u.subject) {
 				continue
 			}
 			capacity -= size
 			if u.transmits++; u.transmits == 1 {
-				s.firstTransmission(i, u)
+				s.firstTransmission(member, u)
 			}
-			out = append(out, *u)
+			taken = append(taken, *u)
 		}
 	}
-	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(u update) bool { return u.transmits >= limit })
-	return out
+	node.broadcasts = slices.DeleteFunc(node.broadcasts, func(u update) bool { return u.transmits >= limit })
+	return taken
 }
 
 // firstTransmission is when package gossip observes an update that memberlist has queued, and asks the
 // subject of a suspicion that this member raised.
-func (s *SWIM) firstTransmission(i int32, u *update) {
-	s.setShown(i, u.subject, u.status == SWIMSuspect)
-	if u.status == SWIMSuspect && u.from == i {
-		s.add(s.now, swimAskSuspect, i, u.subject, 0)
+func (s *SWIM) firstTransmission(member int32, u *update) {
+	s.setShown(member, u.subject, u.status == SWIMSuspect)
+	if u.status == SWIMSuspect && u.from == member {
+		s.add(s.now, swimAskSuspect, member, u.subject, 0)
 	}
 }
 
@@ -86,23 +86,23 @@
 }
 
 // gossip sends queued updates to members that are not dead, or have not been for long.
-func (s *SWIM) gossip(i int32) {
-	m := &s.nodes[i]
-	if len(m.broadcasts) == 0 {
+func (s *SWIM) gossip(member int32) {
+	node := &s.nodes[member]
+	if len(node.broadcasts) == 0 {
 		return
 	}
 	nowMS := int32(s.now / 1e6)
 	lately := int32(s.opts.GossipToDead.Milliseconds())
-	to := slices.Clone(s.randomMembers(i, swimGossipNodes, func(c memberView) bool {
-		return c.status == SWIMAlive || c.status == SWIMSuspect || c.status == SWIMDead &&
-			nowMS-c.changedAt <= lately
+	receivers := slices.Clone(s.randomMembers(member, swimGossipNodes, func(view memberView) bool {
+		return view.status == SWIMAlive || view.status == SWIMSuspect || view.status == SWIMDead &&
+			nowMS-view.changedAt <= lately
 	}))
-	for _, j := range to {
-		g := s.takeBroadcasts(i, swimPacketBytes-2-2-s.opts.LabelBytes)
-		if len(g) == 0 {
+	for _, receiver := range receivers {
+		updates := s.takeBroadcasts(member, swimPacketBytes-2-2-s.opts.LabelBytes)
+		if len(updates) == 0 {
 			return
 		}
-		s.transmit(packet{kind: msgGossip, from: i, to: j, gossip: g})
+		s.transmit(packet{kind: msgGossip, from: member, to: receiver, gossip: updates})
 	}
 }
 
@@ -150,11 +150,11 @@
 
 // latency draws the one-way latency of a datagram.
 func (s *SWIM) latency(from, to int32) int64 {
-	d := int64(s.opts.Latency) + s.delay[from] + s.delay[to]
+	latency := int64(s.opts.Latency) + s.delay[from] + s.delay[to]
 	if s.opts.Jitter > 0 {
-		d += s.rng.Int64N(int64(s.opts.Jitter) + 1)
+		latency += s.rng.Int64N(int64(s.opts.Jitter) + 1)
 	}
-	return d
+	return latency
 }
 
 // reaches reports whether what one member sends arrives at another that is not down.
@@ -163,76 +163,77 @@
 }
 
 // exchangeStates exchanges full states with another member, over a stream (push/pull).
-func (s *SWIM) exchangeStates(i, j int32) {
+func (s *SWIM) exchangeStates(from, to int32) {
 	s.Count.Streams++
-	if !s.reaches(i, j) || !s.reaches(j, i) {
+	if !s.reaches(from, to) || !s.reaches(to, from) {
 		return
 	}
-	s.Count.Bytes += int64(2 + s.opts.LabelBytes + 40 + s.stateBytes()*len(s.nodes[i].order))
-	s.add(s.now+3*s.latency(i, j), swimPush, j, i, 0) // a handshake, then the state
+	s.Count.Bytes += int64(2 + s.opts.LabelBytes + 40 + s.stateBytes()*len(s.nodes[from].order))
+	s.add(s.now+3*s.latency(from, to), swimPush, to, from, 0) // a handshake, then the state
 }
 
 // askSuspect exchanges states with a suspect, twice, as package gossip does: the first exchange informs it of
 // the suspicion, the second returns its refutation.
-func (s *SWIM) askSuspect(i, j int32, attempt uint64) {
-	if s.nodes[i].views[j].status != SWIMSuspect {
+func (s *SWIM) askSuspect(member, suspect int32, attempt uint64) {
+	if s.nodes[member].views[suspect].status != SWIMSuspect {
 		return
 	}
-	s.exchangeStates(i, j)
-	if attempt == 0 && s.reaches(i, j) && s.reaches(j, i) {
-		s.add(s.now+4*s.latency(i, j)+int64(s.opts.ProbeTimeout/2), swimAskSuspect, i, j, 1)
+	s.exchangeStates(member, suspect)
+	if attempt == 0 && s.reaches(member, suspect) && s.reaches(suspect, member) {
+		s.add(s.now+4*s.latency(member, suspect)+int64(s.opts.ProbeTimeout/2), swimAskSuspect, member, suspect, 1)
 	}
 }
 
 // push is the other member's part of an exchange: it merges the caller's state and answers with its own.
-func (s *SWIM) push(j, i int32) {
-	if !s.nodes[i].up {
+func (s *SWIM) push(member, caller int32) {
+	if !s.nodes[caller].up {
 		return
 	}
-	s.Count.Bytes += int64(40 + s.stateBytes()*len(s.nodes[j].order))
-	s.merge(j, i)
-	s.add(s.now+s.latency(j, i), swimPull, i, j, 0)
+	s.Count.Bytes += int64(40 + s.stateBytes()*len(s.nodes[member].order))
+	s.merge(member, caller)
+	s.add(s.now+s.latency(member, caller), swimPull, caller, member, 0)
 }
 
-// merge merges the full state of j into that of member i. A member that is dead there is only suspected here.
-func (s *SWIM) merge(i, j int32) {
-	local, remote := &s.nodes[i], &s.nodes[j]
+// merge merges the full state of source into that of a member. What is dead there is only suspected here.
+func (s *SWIM) merge(member, source int32) {
+	local, remote := &s.nodes[member], &s.nodes[source]
 	for _, subject := range slices.Clone(remote.order) {
 		view := remote.views[subject]
 		switch {
 		case view.status == SWIMAlive:
-			s.alive(i, update{subject: subject, from: j, incarnation: view.incarnation, status: SWIMAlive})
+			s.alive(member, update{subject: subject, from: source, incarnation: view.incarnation, status: SWIMAlive})
 		case local.views[subject].status == SWIMUnknown:
 		default:
-			s.suspect(i, update{subject: subject, from: i, incarnation: view.incarnation, status: SWIMSuspect})
+			s.suspect(member,
+				update{subject: subject, from: member, incarnation: view.incarnation, status: SWIMSuspect})
 		}
 	}
 }
 
 // rejoin attempts to join a dead member, and then a dead seed, as package gossip does. It returns for how
 // long streams over a partition stall it, in ns.
-func (s *SWIM) rejoin(i int32) int64 {
-	m := &s.nodes[i]
-	if m.byStatus[SWIMDead] == 0 {
+func (s *SWIM) rejoin(member int32) int64 {
+	node := &s.nodes[member]
+	if node.byStatus[SWIMDead] == 0 {
 		return 0
 	}
 	timeout := int64(max(10*s.opts.ProbeTimeout, time.Second))
 	stalled := int64(0)
-	attempt := func(j int32) {
+	attempt := func(dead int32) {
 		s.Count.Rejoins++
-		if s.side[i] != s.side[j] {
+		if s.side[member] != s.side[dead] {
 			stalled += timeout
 		}
-		s.exchangeStates(i, j)
+		s.exchangeStates(member, dead)
 	}
 	seed := int32(-1)
-	if all := s.deadSeeds(i); len(all) > 0 {
+	if all := s.deadSeeds(member); len(all) > 0 {
 		seed = all[s.rng.IntN(len(all))]
 	}
-	if j := s.randomMember(i, func(c memberView) bool { return c.status == SWIMDead }); j >= 0 {
-		attempt(j)
+	if dead := s.randomMember(member, func(view memberView) bool { return view.status == SWIMDead }); dead >= 0 {
+		attempt(dead)
 	}
-	m.seedFrom, m.nextSeed = s.now+stalled, seed
+	node.seedFrom, node.nextSeed = s.now+stalled, seed
 	if seed >= 0 {
 		attempt(seed)
 	}
@@ -240,10 +241,10 @@
 }
 
 // deadSeeds are the seeds that are dead in the view of a member.
-func (s *SWIM) deadSeeds(i int32) (all []int32) {
-	for j := range int32(max(1, s.opts.Seeds)) {
-		if j != i && s.nodes[i].views[j].status == SWIMDead {
-			all = append(all, j)
+func (s *SWIM) deadSeeds(member int32) (all []int32) {
+	for seed := range int32(max(1, s.opts.Seeds)) {
+		if seed != member && s.nodes[member].views[seed].status == SWIMDead {
+			all = append(all, seed)
 		}
 	}
 	return all
--- a/internal/simulation/proxysim/swimprobe.go
+++ b/internal/simulation/proxysim/swimprobe.go
@@ -5,114 +5,117 @@
 )
 
 // beginProbe probes the next other member in the order of probes that is not dead.
-func (s *SWIM) beginProbe(i int32) {
-	m := &s.nodes[i]
-	for range len(m.order) + 1 {
-		if m.next >= len(m.order) {
-			m.next = 0
-			s.rng.Shuffle(len(m.order), func(a, b int) { m.order[a], m.order[b] = m.order[b], m.order[a] })
+func (s *SWIM) beginProbe(member int32) {
+	node := &s.nodes[member]
+	for range len(node.order) + 1 {
+		if node.next >= len(node.order) {
+			node.next = 0
+			s.shuffleOrder(node)
 		}
-		j := m.order[m.next]
-		m.next++
-		if st := m.views[j].status; j == i || st != SWIMAlive && st != SWIMSuspect {
+		target := node.order[node.next]
+		node.next++
+		if st := node.views[target].status; target == member || st != SWIMAlive && st != SWIMSuspect {
 			continue
 		}
-		m.seq++
-		m.probing, m.probeSeq, m.acked, m.streamOK, m.expectedNacks, m.nacks = j, m.seq, false, false, 0, 0
+		node.seq++
+		node.probing, node.probeSeq = target, node.seq
+		node.acked, node.streamOK = false, false
+		node.expectedNacks, node.nacks = 0, 0
 		s.Count.Probes++
-		p := packet{kind: msgPing, from: i, to: j, seq: m.seq}
-		if c := m.views[j]; c.status == SWIMSuspect {
-			p.gossip = []update{{subject: j, from: i, incarnation: c.incarnation, status: SWIMSuspect}}
-			s.transmit(p)
+		ping := packet{kind: msgPing, from: member, to: target, seq: node.seq}
+		if view := node.views[target]; view.status == SWIMSuspect {
+			ping.gossip = []update{{subject: target, from: member, incarnation: view.incarnation, status: SWIMSuspect}}
+			s.transmit(ping)
 		} else {
-			s.send(p)
+			s.send(ping)
 		}
-		s.add(s.now+int64(s.opts.ProbeTimeout), swimProbeTimeout, i, 0, m.seq)
-		s.add(s.now+int64(s.opts.Probe)*int64(m.health+1), swimProbeEnd, i, 0, m.seq)
+		s.add(s.now+int64(s.opts.ProbeTimeout), swimProbeTimeout, member, 0, node.seq)
+		s.add(s.now+int64(s.opts.Probe)*int64(node.health+1), swimProbeEnd, member, 0, node.seq)
 		return
 	}
 }
 
 // probeIndirectly has other members probe the one that did not answer, and attempts a stream.
-func (s *SWIM) probeIndirectly(i int32) {
-	m := &s.nodes[i]
-	j := m.probing
-	for _, k := range slices.Clone(s.randomMembers(i, swimIndirect, func(c memberView) bool {
-		return c.status == SWIMAlive
+func (s *SWIM) probeIndirectly(member int32) {
+	node := &s.nodes[member]
+	target := node.probing
+	for _, relay := range slices.Clone(s.randomMembers(member, swimIndirect, func(view memberView) bool {
+		return view.status == SWIMAlive
 	})) {
-		if k == j {
+		if relay == target {
 			continue
 		}
-		m.expectedNacks++
+		node.expectedNacks++
 		s.Count.Indirect++
-		s.send(packet{kind: msgIndirect, from: i, to: k, seq: m.probeSeq, target: j})
+		s.send(packet{kind: msgIndirect, from: member, to: relay, seq: node.probeSeq, target: target})
 	}
 	s.Count.Streams++
-	m.streamOK = s.reaches(i, j) && s.reaches(j, i) && !s.nodes[j].paused
+	node.streamOK = s.reaches(member, target) && s.reaches(target, member) && !s.nodes[target].paused
 }
 
 // endProbe ends a probe that was answered or whose time is over.
-func (s *SWIM) endProbe(i int32) {
-	m := &s.nodes[i]
-	j := m.probing
-	m.probing = -1
-	if m.acked || m.streamOK {
-		m.health = max(0, m.health-1)
+func (s *SWIM) endProbe(member int32) {
+	node := &s.nodes[member]
+	target := node.probing
+	node.probing = -1
+	if node.acked || node.streamOK {
+		node.health = max(0, node.health-1)
 	} else {
-		if m.expectedNacks > 0 {
-			m.health += m.expectedNacks - m.nacks
+		if node.expectedNacks > 0 {
+			node.health += node.expectedNacks - node.nacks
 		} else {
-			m.health++
+			node.health++
 		}
-		m.health = min(m.health, swimMaxHealth-1)
-		if m.views[j].status == SWIMAlive {
+		node.health = min(node.health, swimMaxHealth-1)
+		if node.views[target].status == SWIMAlive {
 			s.Count.Suspicions++
 		}
-		s.suspect(i, update{subject: j, from: i, incarnation: m.views[j].incarnation, status: SWIMSuspect})
+		incarnation := node.views[target].incarnation
+		s.suspect(member, update{subject: target, from: member, incarnation: incarnation, status: SWIMSuspect})
 	}
-	if m.missedTick {
-		m.missedTick = false
-		s.beginProbe(i)
+	if node.missedTick {
+		node.missedTick = false
+		s.beginProbe(member)
 	}
 }
 
 // arrive handles a datagram.
-func (s *SWIM) arrive(i int32, p *packet) {
-	m := &s.nodes[i]
+func (s *SWIM) arrive(member int32, p *packet) {
+	node := &s.nodes[member]
 	switch p.kind {
 	case msgPing:
-		s.send(packet{kind: msgAck, from: i, to: p.from, seq: p.seq})
+		s.send(packet{kind: msgAck, from: member, to: p.from, seq: p.seq})
 	case msgIndirect:
-		m.seq++
-		m.relayed[m.seq] = relayedProbe{p.from, p.seq}
-		s.send(packet{kind: msgPing, from: i, to: p.target, seq: m.seq})
-		s.add(s.now+int64(s.opts.ProbeTimeout), swimNack, i, 0, m.seq)
+		node.seq++
+		node.relayed[node.seq] = relayedProbe{p.from, p.seq}
+		s.send(packet{kind: msgPing, from: member, to: p.target, seq: node.seq})
+		s.add(s.now+int64(s.opts.ProbeTimeout), swimNack, member, 0, node.seq)
 	case msgAck:
-		if r, ok := m.relayed[p.seq]; ok {
-			delete(m.relayed, p.seq)
-			s.send(packet{kind: msgAck, from: i, to: r.asker, seq: r.seq})
-		} else if m.awaits(p.seq) {
-			m.acked = true
-			s.endProbe(i)
+		if relayed, ok := node.relayed[p.seq]; ok {
+			delete(node.relayed, p.seq)
+			s.send(packet{kind: msgAck, from: member, to: relayed.asker, seq: relayed.seq})
+		} else if node.awaits(p.seq) {
+			node.acked = true
+			s.endProbe(member)
 		}
 	case msgNack:
-		if m.awaits(p.seq) {
-			m.nacks++
+		if node.awaits(p.seq) {
+			node.nacks++
 		}
 	}
-	for _, n := range p.gossip {
-		s.applyUpdate(i, n)
+	for _, u := range p.gossip {
+		s.applyUpdate(member, u)
 	}
 }
 
 // applyUpdate applies a gossiped update to a member's view.
-func (s *SWIM) applyUpdate(i int32, n update) {
-	switch n.status {
+func (s *SWIM) applyUpdate(member int32, u update) {
+	switch u.status {
 	case SWIMAlive:
-		s.alive(i, n)
+		s.alive(member, u)
 	case SWIMSuspect:
-		s.suspect(i, n)
+		s.suspect(member, u)
 	case SWIMDead:
-		s.dead(i, n)
+		s.dead(member, u)
 	}
 }
--- a/internal/simulation/proxysim/swimrun.go
+++ b/internal/simulation/proxysim/swimrun.go
@@ -25,25 +25,25 @@
 
 // handle handles an event unless its member is down, has restarted since, or is paused, which delays it.
 func (s *SWIM) handle(e event) {
-	m := &s.nodes[e.a]
+	node := &s.nodes[e.a]
 	switch {
-	case !m.up:
+	case !node.up:
 		if e.kind == swimArrive {
 			s.release(e.b)
 		}
-	case isTicker(e.kind) && e.c != m.process:
-	case m.paused:
-		m.waiting = append(m.waiting, e)
+	case isTicker(e.kind) && e.c != node.process:
+	case node.paused:
+		node.waiting = append(node.waiting, e)
 	default:
-		s.dispatch(m, e)
+		s.dispatch(node, e)
 	}
 }
 
 // dispatch handles an event of a running member.
-func (s *SWIM) dispatch(m *swimNode, e event) {
+func (s *SWIM) dispatch(node *swimNode, e event) {
 	switch e.kind {
 	case swimProbe:
-		s.probeTick(m, e)
+		s.probeTick(node, e)
 	case swimGossip:
 		s.add(s.now+int64(s.opts.Gossip), swimGossip, e.a, 0, e.c)
 		s.gossip(e.a)
@@ -52,29 +52,29 @@
 		s.arrive(e.a, &p)
 		s.release(e.b)
 	case swimProbeTimeout:
-		if m.awaits(e.c) && !m.acked {
+		if node.awaits(e.c) && !node.acked {
 			s.probeIndirectly(e.a)
 		}
 	case swimProbeEnd:
-		if m.awaits(e.c) {
+		if node.awaits(e.c) {
 			s.endProbe(e.a)
 		}
 	case swimNack:
-		s.relayTimeout(m, e)
+		s.relayTimeout(node, e)
 	case swimSuspicion:
-		if t := m.suspects[e.b]; t != nil && t.generation == e.c {
-			s.dead(e.a, update{subject: e.b, from: e.a, incarnation: m.views[e.b].incarnation, status: SWIMDead})
+		if pending := node.suspects[e.b]; pending != nil && pending.generation == e.c {
+			s.dead(e.a, update{subject: e.b, from: e.a, incarnation: node.views[e.b].incarnation, status: SWIMDead})
 		}
 	case swimRejoin:
-		s.rejoinTick(m, e)
+		s.rejoinTick(node, e)
 	case swimSync:
-		s.syncTick(m, e)
+		s.syncTick(node, e)
 	case swimAskSuspect:
 		s.askSuspect(e.a, e.b, e.c)
 	case swimSuspicionLasts:
-		if t := m.suspects[e.b]; t != nil && uint64(t.start) == e.c {
+		if pending := node.suspects[e.b]; pending != nil && uint64(pending.start) == e.c {
 			s.askSuspect(e.a, e.b, 0)
-			s.add(s.now+2*t.min, swimSuspicionLasts, e.a, e.b, e.c)
+			s.add(s.now+2*pending.min, swimSuspicionLasts, e.a, e.b, e.c)
 		}
 	case swimPush:
 		s.push(e.a, e.b)
@@ -84,39 +84,40 @@
 }
 
 // awaits reports whether a probe of that sequence number is under way.
-func (m *swimNode) awaits(seq uint64) bool { return m.probing >= 0 && m.probeSeq == seq }
+func (n *swimNode) awaits(seq uint64) bool { return n.probing >= 0 && n.probeSeq == seq }
 
 // probeTick begins a probe, or remembers that one is due.
-func (s *SWIM) probeTick(m *swimNode, e event) {
+func (s *SWIM) probeTick(node *swimNode, e event) {
 	s.add(s.now+int64(s.opts.Probe), swimProbe, e.a, 0, e.c)
-	if m.probing >= 0 {
-		m.missedTick = true
+	if node.probing >= 0 {
+		node.missedTick = true
 	} else {
 		s.beginProbe(e.a)
 	}
 }
 
 // relayTimeout tells the member that asked for an indirect probe that it is unanswered.
-func (s *SWIM) relayTimeout(m *swimNode, e event) {
-	if r, ok := m.relayed[e.c]; ok {
-		delete(m.relayed, e.c)
-		s.send(packet{kind: msgNack, from: e.a, to: r.asker, seq: r.seq})
+func (s *SWIM) relayTimeout(node *swimNode, e event) {
+	if relayed, ok := node.relayed[e.c]; ok {
+		delete(node.relayed, e.c)
+		s.send(packet{kind: msgNack, from: e.a, to: relayed.asker, seq: relayed.seq})
 	}
 }
 
 // rejoinTick rejoins the dead, unless a heal has replaced the ticker.
-func (s *SWIM) rejoinTick(m *swimNode, e event) {
-	if e.b == m.rejoinSeq {
-		m.stalledUntil = s.now + s.rejoin(e.a)
-		s.add(m.stalledUntil+s.jittered(s.opts.RejoinInterval), swimRejoin, e.a, e.b, e.c)
+func (s *SWIM) rejoinTick(node *swimNode, e event) {
+	if e.b == node.rejoinSeq {
+		node.stalledUntil = s.now + s.rejoin(e.a)
+		s.add(node.stalledUntil+s.jittered(s.opts.RejoinInterval), swimRejoin, e.a, e.b, e.c)
 	}
 }
 
 // syncTick exchanges states with a member that is alive.
-func (s *SWIM) syncTick(m *swimNode, e event) {
-	s.add(s.now+s.jittered(s.syncInterval(m)), swimSync, e.a, 0, e.c)
-	if j := s.randomMember(e.a, func(c memberView) bool { return c.status == SWIMAlive }); j >= 0 {
+func (s *SWIM) syncTick(node *swimNode, e event) {
+	s.add(s.now+s.jittered(s.syncInterval(node)), swimSync, e.a, 0, e.c)
+	isAlive := func(view memberView) bool { return view.status == SWIMAlive }
+	if partner := s.randomMember(e.a, isAlive); partner >= 0 {
 		s.Count.Syncs++
-		s.exchangeStates(e.a, j)
+		s.exchangeStates(e.a, partner)
 	}
 }
--- a/internal/simulation/proxysim/swimtrial.go
+++ b/internal/simulation/proxysim/swimtrial.go
@@ -81,8 +81,8 @@
 		t.times = append(t.times, t.converge(s))
 	case "many":
 		var killed []int
-		for j := o.Members / 3; j < o.Members; j++ {
-			killed = append(killed, j)
+		for member := o.Members / 3; member < o.Members; member++ {
+			killed = append(killed, member)
 		}
 		s.Kill(killed...)
 		t.times = append(t.times, t.converge(s))
--- a/internal/simulation/proxysim/swimview.go
+++ b/internal/simulation/proxysim/swimview.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// changeView changes the view that member i has of j, and maintains the number of wrong views.
-func (s *SWIM) changeView(i, j int32, change func(*memberView)) {
-	before := s.isWrong(i, j)
-	change(&s.nodes[i].views[j])
-	switch after := s.isWrong(i, j); {
+// changeView changes the view that an observer has of a subject, and maintains the number of wrong views.
+func (s *SWIM) changeView(observer, subject int32, change func(*memberView)) {
+	before := s.isWrong(observer, subject)
+	change(&s.nodes[observer].views[subject])
+	switch after := s.isWrong(observer, subject); {
 	case after && !before:
 		s.wrongViews++
 	case before && !after:
@@ -17,47 +17,49 @@
 	}
 }
 
-// setStatus sets the status of j in the view of member i.
-func (s *SWIM) setStatus(i, j int32, status SWIMStatus, incarnation uint32) {
-	if m := &s.nodes[i]; m.views[j].status == SWIMUnknown {
-		m.order = append(m.order, j)
-		at := s.rng.IntN(len(m.order))
-		m.order[at], m.order[len(m.order)-1] = m.order[len(m.order)-1], m.order[at]
-	}
-	s.changeView(i, j, func(c *memberView) {
-		if c.status != status {
-			s.nodes[i].byStatus[c.status]--
-			s.nodes[i].byStatus[status]++
-			c.status, c.changedAt = status, int32(s.now/1e6)
-			c.shownSuspect = c.shownSuspect && status != SWIMDead
+// setStatus sets the status of a subject in the view of an observer.
+func (s *SWIM) setStatus(observer, subject int32, status SWIMStatus, incarnation uint32) {
+	if node := &s.nodes[observer]; node.views[subject].status == SWIMUnknown {
+		node.order = append(node.order, subject)
+		at := s.rng.IntN(len(node.order))
+		node.order[at], node.order[len(node.order)-1] = node.order[len(node.order)-1], node.order[at]
+	}
+	s.changeView(observer, subject, func(view *memberView) {
+		if view.status != status {
+			s.nodes[observer].byStatus[view.status]--
+			s.nodes[observer].byStatus[status]++
+			view.status, view.changedAt = status, int32(s.now/1e6)
+			view.shownSuspect = view.shownSuspect && status != SWIMDead
 		}
-		c.incarnation = incarnation
+		view.incarnation = incarnation
 	})
 }
 
-// isWrong reports whether member i runs and sees j otherwise than it is.
-func (s *SWIM) isWrong(i, j int32) bool {
-	if s.down[i] || s.nodes[i].paused {
+// isWrong reports whether an observer runs and sees a subject otherwise than it is.
+func (s *SWIM) isWrong(observer, subject int32) bool {
+	if s.down[observer] || s.nodes[observer].paused {
 		return false
 	}
-	c := &s.nodes[i].views[j]
-	if s.down[j] {
-		return c.status == SWIMAlive || c.status == SWIMSuspect
+	view := &s.nodes[observer].views[subject]
+	if s.down[subject] {
+		return view.status == SWIMAlive || view.status == SWIMSuspect
 	}
-	return c.status != SWIMAlive && c.status != SWIMSuspect || c.shownSuspect
+	return view.status != SWIMAlive && view.status != SWIMSuspect || view.shownSuspect
 }
 
-// setShown sets whether member i shows j as suspect.
-func (s *SWIM) setShown(i, j int32, suspect bool) {
-	s.changeView(i, j, func(c *memberView) { c.shownSuspect = suspect && c.status == SWIMSuspect })
+// setShown sets whether an observer shows a subject as suspect.
+func (s *SWIM) setShown(observer, subject int32, suspect bool) {
+	s.changeView(observer, subject, func(view *memberView) {
+		view.shownSuspect = suspect && view.status == SWIMSuspect
+	})
 }
 
 // recount counts the wrong views again, after members were killed, paused and the like.
 func (s *SWIM) recount() {
 	s.wrongViews = 0
-	for i := range s.nodes {
-		for j := range s.nodes {
-			if s.isWrong(int32(i), int32(j)) {
+	for observer := range s.nodes {
+		for subject := range s.nodes {
+			if s.isWrong(int32(observer), int32(subject)) {
 				s.wrongViews++
 			}
 		}
@@ -67,119 +69,128 @@
 // Converged reports whether every running member sees exactly the running members as alive.
 func (s *SWIM) Converged() bool { return s.wrongViews == 0 }
 
-// Status is the status of j in the view of member i.
-func (s *SWIM) Status(i, j int) SWIMStatus { return s.nodes[i].views[j].status }
+// Status is the status of a subject in the view of an observer.
+func (s *SWIM) Status(observer, subject int) SWIMStatus {
+	return s.nodes[observer].views[subject].status
+}
 
 // refute has a member answer its own suspicion or death of an incarnation by a higher incarnation.
-func (s *SWIM) refute(i int32, accused uint32) {
-	m := &s.nodes[i]
-	m.incarnation = max(m.incarnation, accused) + 1
-	m.views[i].incarnation = m.incarnation
-	m.health = min(m.health+1, swimMaxHealth-1)
+func (s *SWIM) refute(member int32, accused uint32) {
+	node := &s.nodes[member]
+	node.incarnation = max(node.incarnation, accused) + 1
+	node.views[member].incarnation = node.incarnation
+	node.health = min(node.health+1, swimMaxHealth-1)
 	s.Count.Refutations++
-	s.enqueue(i, update{subject: i, from: i, incarnation: m.incarnation, status: SWIMAlive})
+	s.enqueue(member, update{subject: member, from: member, incarnation: node.incarnation, status: SWIMAlive})
 }
 
 // alive applies an update that says that a member is alive.
-func (s *SWIM) alive(i int32, n update) {
-	m := &s.nodes[i]
-	if n.subject == i {
-		if n.incarnation > m.incarnation {
-			s.refute(i, n.incarnation)
+func (s *SWIM) alive(member int32, u update) {
+	node := &s.nodes[member]
+	if u.subject == member {
+		if u.incarnation > node.incarnation {
+			s.refute(member, u.incarnation)
 		}
 		return
 	}
-	c := m.views[n.subject]
-	if c.status != SWIMUnknown && n.incarnation <= c.incarnation {
+	view := node.views[u.subject]
+	if view.status != SWIMUnknown && u.incarnation <= view.incarnation {
 		return
 	}
-	delete(m.suspects, n.subject)
-	s.setStatus(i, n.subject, SWIMAlive, n.incarnation)
-	s.enqueue(i, n)
+	delete(node.suspects, u.subject)
+	s.setStatus(member, u.subject, SWIMAlive, u.incarnation)
+	s.enqueue(member, u)
 }
 
 // suspect applies an update that a member is suspect: it begins a suspicion or confirms one.
-func (s *SWIM) suspect(i int32, n update) {
-	m := &s.nodes[i]
-	c := m.views[n.subject]
-	if c.status == SWIMUnknown || n.incarnation < c.incarnation {
+func (s *SWIM) suspect(member int32, u update) {
+	node := &s.nodes[member]
+	view := node.views[u.subject]
+	if view.status == SWIMUnknown || u.incarnation < view.incarnation {
 		return
 	}
-	if t := m.suspects[n.subject]; t != nil {
-		s.confirm(i, n, t)
+	if pending := node.suspects[u.subject]; pending != nil {
+		s.confirm(member, u, pending)
 		return
 	}
-	if c.status != SWIMAlive {
+	if view.status != SWIMAlive {
 		return
 	}
-	if n.subject == i {
-		s.refute(i, n.incarnation)
+	if u.subject == member {
+		s.refute(member, u.incarnation)
 		return
 	}
-	s.enqueue(i, n)
-	s.setStatus(i, n.subject, SWIMSuspect, n.incarnation)
-	known := len(m.order)
-	k := s.opts.SuspicionMult - 2
-	if known-2 < k {
-		k = 0
+	s.enqueue(member, u)
+	s.setStatus(member, u.subject, SWIMSuspect, u.incarnation)
+	s.beginSuspicion(member, u)
+}
+
+// beginSuspicion schedules the end of a member's new suspicion, and the first time that its subject is asked
+// because the suspicion lasts.
+func (s *SWIM) beginSuspicion(member int32, u update) {
+	node := &s.nodes[member]
+	known := len(node.order)
+	confirmations := s.opts.SuspicionMult - 2
+	if known-2 < confirmations {
+		confirmations = 0
 	}
 	minWait := int64(float64(s.opts.SuspicionMult) * max(1, log10(max(1, known))) * float64(s.opts.Probe))
 	s.generation++
-	t := &suspicion{generation: s.generation, confirmationsWanted: k, min: minWait,
+	pending := &suspicion{generation: s.generation, confirmationsWanted: confirmations, min: minWait,
 		max: minWait * swimMaxSuspicionMult, start: s.now,
-		confirmedBy: []int32{n.from}}
-	m.suspects[n.subject] = t
-	wait := t.max
-	if k < 1 {
-		wait = t.min
+		confirmedBy: []int32{u.from}}
+	node.suspects[u.subject] = pending
+	wait := pending.max
+	if confirmations < 1 {
+		wait = pending.min
 	}
-	s.add(s.now+wait, swimSuspicion, i, n.subject, t.generation)
+	s.add(s.now+wait, swimSuspicion, member, u.subject, pending.generation)
 	fraction := 1 + 2*s.rng.Float64()
 	if known <= swimSmallFleet {
 		fraction = 0.3 + 0.4*s.rng.Float64()
 	}
-	s.add(s.now+int64(fraction*float64(minWait)), swimSuspicionLasts, i, n.subject, uint64(t.start))
+	s.add(s.now+int64(fraction*float64(minWait)), swimSuspicionLasts, member, u.subject, uint64(pending.start))
 }
 
 // confirm adds a further member's suspicion, which shortens the suspicion (Lifeguard).
-func (s *SWIM) confirm(i int32, n update, t *suspicion) {
-	got := len(t.confirmedBy) - 1
-	if got >= t.confirmationsWanted {
+func (s *SWIM) confirm(member int32, u update, pending *suspicion) {
+	got := len(pending.confirmedBy) - 1
+	if got >= pending.confirmationsWanted {
 		return
 	}
-	if slices.Contains(t.confirmedBy, n.from) {
+	if slices.Contains(pending.confirmedBy, u.from) {
 		return
 	}
-	t.confirmedBy = append(t.confirmedBy, n.from)
+	pending.confirmedBy = append(pending.confirmedBy, u.from)
 	got++
 	s.Count.Confirmed++
-	fraction := math.Log(float64(got)+1) / math.Log(float64(t.confirmationsWanted)+1)
-	wait := max(t.max-int64(fraction*float64(t.max-t.min)), t.min)
+	fraction := math.Log(float64(got)+1) / math.Log(float64(pending.confirmationsWanted)+1)
+	wait := max(pending.max-int64(fraction*float64(pending.max-pending.min)), pending.min)
 	s.generation++
-	t.generation = s.generation
-	s.add(t.start+wait, swimSuspicion, i, n.subject, t.generation)
-	s.enqueue(i, n)
+	pending.generation = s.generation
+	s.add(pending.start+wait, swimSuspicion, member, u.subject, pending.generation)
+	s.enqueue(member, u)
 }
 
 // dead applies an update that a member is dead.
-func (s *SWIM) dead(i int32, n update) {
-	m := &s.nodes[i]
-	c := m.views[n.subject]
-	if c.status == SWIMUnknown || n.incarnation < c.incarnation {
+func (s *SWIM) dead(member int32, u update) {
+	node := &s.nodes[member]
+	view := node.views[u.subject]
+	if view.status == SWIMUnknown || u.incarnation < view.incarnation {
 		return
 	}
-	delete(m.suspects, n.subject)
-	if c.status == SWIMDead {
+	delete(node.suspects, u.subject)
+	if view.status == SWIMDead {
 		return
 	}
-	if n.subject == i {
-		s.refute(i, n.incarnation)
+	if u.subject == member {
+		s.refute(member, u.incarnation)
 		return
 	}
-	s.enqueue(i, n)
+	s.enqueue(member, u)
 	s.Count.Deaths++
-	if !s.down[n.subject] && !s.nodes[n.subject].paused {
+	if !s.down[u.subject] && !s.nodes[u.subject].paused {
 		s.Count.FalseDeaths++
 	}
-	s.setStatus(i, n.subject, SWIMDead, n.incarnation)
+	s.setStatus(member, u.subject, SWIMDead, u.incarnation)
 }
