--- a/internal/simulation/proxysim/attempts.go
+++ b/internal/simulation/proxysim/attempts.go
@@ -11,14 +11,24 @@
 	server  int32
 	job     int32 // at the server, -1 where there is none
 	sentAt  int64
-	until   int64 // its deadline
-	open    bool  // has no outcome yet
+	open    bool // has no outcome yet
 	hasConn bool
 }
 
+// attemptNumberBits are the low bits of an attempt's token, which hold its number (Rules.MaxAttempts is at
+// most 100). Those above are the generation of the request's slot.
+const attemptNumberBits = 8
+
 // attemptToken identifies an attempt of a request in events.
 func (req *request) attemptToken(number int) uint64 {
-	return uint64(req.generation)<<8 | uint64(number)
+	return uint64(req.generation)<<attemptNumberBits | uint64(number)
+}
+
+// openAttempt returns the number of the attempt that a token identifies; ok is false where it has ended.
+func (req *request) openAttempt(token uint64) (number int, ok bool) {
+	number = int(token & (1<<attemptNumberBits - 1))
+	isCurrent := req.used && uint64(req.generation) == token>>attemptNumberBits
+	return number, isCurrent && req.attempts[number].open
 }
 
 // startAttempt sends a request to a server. The attempt ends after timeout, if that is above 0, or at the
@@ -27,49 +37,64 @@
 	req := &s.requests[requestIndex]
 	demand := &s.demands[req.demand]
 	number := len(req.attempts)
-	until := req.deadline
+	deadline := req.deadline
 	if timeout > 0 {
-		until = min(until, s.now+timeout)
+		deadline = min(deadline, s.now+timeout)
 	}
-	req.attempts = append(req.attempts,
-		attempt{server: serverIndex, job: -1, sentAt: s.now, until: until, open: true})
+	req.attempts = append(req.attempts, attempt{server: serverIndex, job: -1, sentAt: s.now, open: true})
 	req.open++
 	token := req.attemptToken(number)
-	proxy, srv := &s.proxies[req.proxy], &s.servers[serverIndex]
-	if req.answered || number >= s.scenario.Rules.MaxAttempts || until < s.now {
+	if req.answered || number >= s.scenario.Rules.MaxAttempts || deadline < s.now {
 		s.add(s.now, evAttemptEnd, requestIndex, int32(balance.Skipped), token)
 		return
 	}
 	s.monitor.checkSend(s, req, serverIndex, demand)
-	s.tally.countAttempt(proxy.hall != srv.hall)
-	way := s.latency(proxy.hall, srv.hall)
-	handshake := 0.0
-	if !s.reuseConn(req.proxy, serverIndex) {
-		switch {
-		case srv.unresponsive:
-			s.add(min(s.now+int64(s.scenario.Network.DialTimeout), until), evAttemptEnd, requestIndex,
-				int32(balance.ConnRefused), token)
-			return
-		case !srv.up || s.scenario.Servers.MaxConns > 0 && int(srv.conns) >= s.scenario.Servers.MaxConns:
-			s.add(s.now+2*way, evAttemptEnd, requestIndex, int32(balance.ConnRefused), token)
-			return
-		}
-		s.tally.handshakes++
-		srv.conns++
-		handshake = float64(s.scenario.Servers.HandshakeWork)
-		way += 2 * s.latency(proxy.hall, srv.hall)
+	s.tally.countAttempt(s.proxies[req.proxy].hall != s.servers[serverIndex].hall)
+	conn := s.connect(req.proxy, serverIndex, deadline)
+	if conn.refused {
+		s.add(conn.at, evAttemptEnd, requestIndex, int32(balance.ConnRefused), token)
+		return
 	}
 	req.attempts[number].hasConn = true
 	jobIndex := s.allocJob(job{
-		req: requestIndex, attempt: int32(number), server: serverIndex, incarnation: srv.incarnation,
-		work: demand.work, handshake: handshake, key: demand.key,
+		req: requestIndex, attempt: int32(number), server: serverIndex,
+		incarnation: s.servers[serverIndex].incarnation,
+		work:        demand.work, handshake: conn.handshake, key: demand.key,
 	})
 	req.attempts[number].job = jobIndex
 	req.jobs++
-	s.add(s.now+way, evServerArrival, jobIndex, 0, 0)
+	s.add(conn.at, evServerArrival, jobIndex, 0, 0)
 	if s.scenario.Classes[demand.class].Deadline > 0 || timeout > 0 {
-		s.add(until, evAttemptEnd, requestIndex, int32(balance.TimedOut), token)
+		s.add(deadline, evAttemptEnd, requestIndex, int32(balance.TimedOut), token)
+	}
+}
+
+// connection is how an attempt got a connection to its server, or that it got none.
+type connection struct {
+	refused   bool
+	at        int64   // when the request is at the server; of a refused one, when the proxy learns of it
+	handshake float64 // work of a new connection, ns on a core of speed 1
+}
+
+// connect takes an idle connection to a server, or opens one until the deadline.
+func (s *Sim) connect(proxyIndex, serverIndex int32, deadline int64) connection {
+	proxy, srv := &s.proxies[proxyIndex], &s.servers[serverIndex]
+	way := s.latency(proxy.hall, srv.hall)
+	if s.reuseConn(proxyIndex, serverIndex) {
+		return connection{at: s.now + way}
+	}
+	maxConns := s.scenario.Servers.MaxConns
+	switch {
+	case srv.unresponsive:
+		timeout := s.now + int64(s.scenario.Network.DialTimeout)
+		return connection{refused: true, at: min(timeout, deadline)}
+	case !srv.up || maxConns > 0 && int(srv.conns) >= maxConns:
+		return connection{refused: true, at: s.now + 2*way}
 	}
+	s.tally.handshakes++
+	srv.conns++
+	way += 2 * s.latency(proxy.hall, srv.hall)
+	return connection{at: s.now + way, handshake: float64(s.scenario.Servers.HandshakeWork)}
 }
 
 // cancelAttempt ends an open attempt at its proxy.
@@ -83,8 +108,8 @@
 // attemptEnded handles an outcome of an attempt at its proxy. The first one counts.
 func (s *Sim) attemptEnded(requestIndex int32, result balance.Result, token uint64) {
 	req := &s.requests[requestIndex]
-	number := int(token & 255)
-	if !req.used || uint64(req.generation) != token>>8 || !req.attempts[number].open {
+	number, ok := req.openAttempt(token)
+	if !ok {
 		return
 	}
 	attempt := &req.attempts[number]
--- a/internal/simulation/proxysim/baseline.go
+++ b/internal/simulation/proxysim/baseline.go
@@ -161,24 +161,24 @@
 		return -1
 	}
 	switch b.policy {
-	case "round-robin":
+	case policyRoundRobin:
 		b.turn++
 		return b.up[b.turn%n]
-	case "two-choices":
+	case policyTwoChoices:
 		return b.leastLoaded(2, b.boardLoad)
-	case "k-choices":
+	case policyKChoices:
 		return b.leastLoaded(b.k, b.boardLoad)
-	case "stale-shortest":
+	case policyStaleShortest:
 		return b.leastLoaded(n, b.boardLoad)
-	case "least-outstanding":
+	case policyLeastOutstanding:
 		return b.leastLoaded(n, func(serverIndex int32) float64 { return float64(b.outstanding[serverIndex]) })
-	case "oracle":
+	case policyOracle:
 		return b.leastLoaded(n, b.trueWait)
-	case "weighted-round-robin":
+	case policyWeightedRoundRobin:
 		return b.weightedRoundRobin()
-	case "basic-li":
+	case policyBasicLI:
 		return b.basicLI()
-	case "li-k":
+	case policyLIK:
 		return b.liK()
 	}
 	return b.up[b.rng.IntN(n)]
--- a/internal/simulation/proxysim/board.go
+++ b/internal/simulation/proxysim/board.go
@@ -28,21 +28,21 @@
 func (b *board) init(s *Sim) {
 	b.model, b.rng = s.scenario.Reports.Model, s.streams.reports
 	b.delay = s.scenario.Reports.Delay * s.meanService
-	if b.model == "probe" {
+	if b.model == reportsProbe {
 		b.delay = float64(s.scenario.Reports.Refresh)
 	}
 	b.loads = make([]float64, len(s.servers))
 	switch {
-	case b.model == "continuous":
+	case b.model == reportsContinuous:
 		b.history = make([]loadHistory, len(s.servers))
 		b.horizon = int64(b.delay) + 1
-		if s.scenario.Reports.DelaySpread != "fixed" {
+		if s.scenario.Reports.DelaySpread != distributionFixed {
 			b.horizon = int64(20 * b.delay)
 		}
-	case (b.model == "periodic" || b.model == "probe" && s.policy != "module") && b.delay > 0:
+	case (b.model == reportsPeriodic || b.model == reportsProbe && s.policy != policyModule) && b.delay > 0:
 		b.refresh(s)
 	}
-	if b.model == "on-access" {
+	if b.model == reportsOnAccess {
 		for i := range s.proxies {
 			s.proxies[i].loads = make([]float64, len(s.servers))
 		}
@@ -75,7 +75,7 @@
 // readOnAccess has a proxy observe all loads as its request reaches a server; it decides by them the next
 // time.
 func (b *board) readOnAccess(s *Sim, proxyIndex int32) {
-	if b.model != "on-access" {
+	if b.model != reportsOnAccess {
 		return
 	}
 	for serverIndex := range s.servers {
@@ -104,11 +104,11 @@
 // load is what a proxy knows of the load of a server.
 func (b *board) load(s *Sim, proxyIndex, serverIndex int32) float64 {
 	switch b.model {
-	case "fresh":
+	case reportsFresh:
 		return float64(s.servers[serverIndex].inSystem())
-	case "on-access":
+	case reportsOnAccess:
 		return s.proxies[proxyIndex].loads[serverIndex]
-	case "continuous":
+	case reportsContinuous:
 		return b.pastLoad(s, serverIndex)
 	}
 	if b.delay <= 0 {
@@ -125,9 +125,9 @@
 		b.updates++
 		delay := b.delay
 		switch s.scenario.Reports.DelaySpread {
-		case "uniform":
+		case distributionUniform:
 			delay *= 2 * b.rng.Float64()
-		case "exponential":
+		case distributionExponential:
 			delay *= b.rng.ExpFloat64()
 		}
 		b.sampledDelay = delay
@@ -144,9 +144,9 @@
 // staleness is how old the loads are that a proxy decides by, in mean service times.
 func (b *board) staleness(s *Sim, proxyIndex int32) float64 {
 	switch {
-	case b.model == "fresh" || b.delay <= 0 && b.model != "on-access":
+	case b.model == reportsFresh || b.delay <= 0 && b.model != reportsOnAccess:
 		return 0
-	case b.model == "on-access": // a proxy knows how often it asks
+	case b.model == reportsOnAccess: // a proxy knows how often it asks
 		return s.proxies[proxyIndex].meanGap / s.meanService
 	}
 	return b.delay / s.meanService
@@ -154,7 +154,7 @@
 
 // version rises with each refresh; 0 where every decision sees other loads.
 func (b *board) version() uint64 {
-	if b.model == "periodic" || b.model == "probe" {
+	if b.model == reportsPeriodic || b.model == reportsProbe {
 		return b.updates
 	}
 	return 0
--- a/internal/simulation/proxysim/probes.go
+++ b/internal/simulation/proxysim/probes.go
@@ -29,7 +29,7 @@
 		answer.res = balance.ConnRefused
 	default:
 		srv.probeWork += float64(s.scenario.Reports.ProbeWork)
-		if answer.report = s.loadReport(srv); s.scenario.Reports.Model != "probe" {
+		if answer.report = s.loadReport(srv); s.scenario.Reports.Model != reportsProbe {
 			answer.report[0] = s.board.load(s, proxyIndex, serverIndex)
 			answer.report[1] = max(answer.report[0]-float64(srv.cores), 0)
 		}
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -10,18 +10,18 @@
 
 // demand is a client's request with all its attempts at a proxy.
 type demand struct {
-	class, tenant, proxy int32
-	number               int32 // from 1, in order of arrival
-	attempts             int32 // begun so far
-	starts               int32 // times that it began to run at a server
-	refs                 int32 // requests that refer to it
-	done                 bool  // answered for good
-	key                  uint64
+	class, tenant, proxy int32   // positions in their lists
+	number               int32   // from 1, in order of arrival
+	attempts             int32   // begun so far
+	starts               int32   // times that it began to run at a server
+	refs                 int32   // requests that refer to it
+	done                 bool    // answered for good
+	key                  uint64  // 0 for none
 	work                 float64 // ns on a core of speed 1
-	arrivedAt, deadline  int64
-	value                float64
-	honorsRetryAfter     bool
-	counted              bool // arrived after the warm-up
+	arrivedAt, deadline  int64   // virtual time in ns
+	value                float64 // of an answer within the latency target
+	honorsRetryAfter     bool    // waits for as long as a refusal says
+	counted              bool    // arrived after the warm-up
 }
 
 // request is one attempt of a client at a proxy.
@@ -33,9 +33,9 @@
 	used        bool   // the slot is
 	answered    bool
 	started     bool  // some attempt has begun to run
-	open        int32 // attempts
+	open        int32 // attempts without an outcome
 	jobs        int32 // at servers
-	at          int64
+	at          int64 // virtual time in ns, when it began
 	deadline    int64
 	attempts    []attempt
 }
@@ -80,7 +80,7 @@
 	shape := s.streams.shape
 	proxyIndex := pickCumulative(s.cumulativeLoad, shape.Float64())
 	n := 1
-	if sc.Load.Arrivals == "bursty" {
+	if sc.Load.Arrivals == arrivalsBursty {
 		n = max(1, int(sc.Load.Burst+0.5))
 	}
 	gap := 0.0
@@ -118,7 +118,7 @@
 	}
 	d.honorsRetryAfter = shape.Float64() < sc.Clients.HonorRetryAfter
 	if s.zipf != nil {
-		d.key = s.zipf.Uint64()*0x9e3779b97f4a7c15 + 1
+		d.key = s.zipf.Uint64()*goldenRatio64 + 1
 	}
 	class := &sc.Classes[d.class]
 	d.work = float64(class.Work) * s.workFactor()
@@ -136,11 +136,11 @@
 func (s *Sim) workFactor() float64 {
 	w := s.streams.work
 	switch s.scenario.Load.WorkDistribution {
-	case "fixed":
+	case distributionFixed:
 		return 1
-	case "uniform":
+	case distributionUniform:
 		return 1 + s.scenario.Load.WorkSpread*(2*w.Float64()-1)
-	case "pareto": // bounded from 0.5 on with exponent 2: mean 1
+	case distributionPareto: // bounded from 0.5 on with exponent 2: mean 1
 		return min(0.5/math.Sqrt(1-w.Float64()), 1000)
 	}
 	return w.ExpFloat64()
--- a/internal/simulation/proxysim/scenario.go
+++ b/internal/simulation/proxysim/scenario.go
@@ -151,6 +151,27 @@
 	IdleTimeout time.Duration `key:"idle_close" default:"5s" min:"1ms" max:"1h"`
 }
 
+// The models of how loads become known (Reports.Model). All but the first are models of stale load of
+// Dahlin's paper.
+const (
+	reportsProbe      = "probe"      // proxies probe servers, which measure their loads now and then
+	reportsFresh      = "fresh"      // the load is known as it is
+	reportsPeriodic   = "periodic"   // a board has all loads, and is refreshed every Delay
+	reportsContinuous = "continuous" // the load is known as it was a Delay ago
+	reportsOnAccess   = "on-access"  // a proxy knows the loads as they were at its request before
+)
+
+// The distributions of Reports.DelaySpread and Load.WorkDistribution.
+const (
+	distributionFixed       = "fixed"
+	distributionUniform     = "uniform"
+	distributionExponential = "exponential"
+	distributionPareto      = "pareto"
+)
+
+// arrivalsBursty is the value of Load.Arrivals for bursts.
+const arrivalsBursty = "bursty"
+
 // Reports are how the servers' loads become known to the proxies.
 type Reports struct {
 	// Model is how: by probes, or as one of the models of stale load of Dahlin's paper.
--- a/internal/simulation/proxysim/server.go
+++ b/internal/simulation/proxysim/server.go
@@ -1,19 +1,27 @@
 package proxysim
 
-import "cresshub/balance"
+import (
+	"slices"
 
-// server is one zone server.
+	"cresshub/balance"
+)
+
+// server is one zone server. Times are virtual, in ns; work is in ns on a core of speed 1.
 type server struct {
-	kind, hall, cores, incarnation int32
-	speed                          float64
-	up, unresponsive, draining     bool
-	started                        int64 // 0 is long ago
-	running                        []int32
-	queue                          []int32 // waiting jobs, from head on
-	head                           int
-	conns                          int32 // open connections
-	pausedUntil                    int64
-	probeWork                      float64 // work of probes that is not done yet, ns on a core of speed 1
+	kind, hall   int32 // positions in the scenario's lists
+	cores        int32
+	speed        float64 // of a core
+	incarnation  int32   // of the process; rises as it ends
+	up           bool    // the process runs
+	unresponsive bool    // nothing is answered, though the process runs
+	draining     bool    // new jobs are rejected
+	started      int64   // 0 is long ago
+	running      []int32 // jobs
+	queue        []int32 // waiting jobs, from head on
+	head         int
+	conns        int32 // open connections
+	pausedUntil  int64
+	probeWork    float64 // work of probes that is not done yet
 
 	overloadedSince, idleSince int64 // 0 where it isn't
 	choked, everChoked         bool
@@ -23,11 +31,11 @@
 	warmOrder []uint64         // ring of the keys in order of their first request
 	warmNext  int              // position of the oldest
 
-	reportedAt int64
-	reported   [3]float64
+	reportedAt int64      // 0 before the first report
+	reported   [3]float64 // the report of then: in flight, queued, utilization
 
 	slowStartFrom int64   // begin of the current window of slow start
-	slowStartWork float64 // that arrived in it, ns on a core of speed 1
+	slowStartWork float64 // that arrived in it
 	collapsed     bool    // by overload in slow start
 }
 
@@ -37,14 +45,42 @@
 // inSystem is the number of running and waiting jobs, the server's load.
 func (srv *server) inSystem() int { return len(srv.running) + srv.queued() }
 
+// removeRunning removes a job from those that run.
+func (srv *server) removeRunning(jobIndex int32) {
+	last := len(srv.running) - 1
+	if core := slices.Index(srv.running, jobIndex); core >= 0 {
+		srv.running[core] = srv.running[last]
+		srv.running = srv.running[:last]
+	}
+}
+
+// minCompacted is how many jobs must have left a queue before it is moved to the front of its memory.
+const minCompacted = 64
+
+// dequeue removes the job that has waited longest; there must be one.
+func (srv *server) dequeue() int32 {
+	next := srv.queue[srv.head]
+	srv.head++
+	if srv.head > minCompacted && 2*srv.head > len(srv.queue) {
+		srv.queue = srv.queue[:copy(srv.queue, srv.queue[srv.head:])]
+		srv.head = 0
+	}
+	return next
+}
+
 // job is an attempt at a server.
 type job struct {
-	req, attempt, server, incarnation int32
-	work, handshake                   float64 // ns on a core of speed 1
-	key                               uint64
-	doneAt                            int64
-	generation                        uint32
-	used, abandoned                   bool
+	req         int32 // the request's slot
+	attempt     int32 // its number
+	server      int32
+	incarnation int32   // of the server, as the attempt was sent
+	work        float64 // ns on a core of speed 1
+	handshake   float64 // work of a new connection, in the same unit
+	key         uint64  // 0 for none
+	doneAt      int64   // once it runs; a pause of the server moves it
+	generation  uint32  // of the slot in the table
+	used        bool    // the slot is
+	abandoned   bool    // its proxy has given the attempt up
 }
 
 // allocJob puts a job into a free slot of the table.
@@ -215,13 +251,7 @@
 		s.add(job.doneAt, evJobDone, jobIndex, incarnation, generation)
 		return
 	}
-	for core, running := range srv.running {
-		if running == jobIndex {
-			srv.running[core] = srv.running[len(srv.running)-1]
-			srv.running = srv.running[:len(srv.running)-1]
-			break
-		}
-	}
+	srv.removeRunning(jobIndex)
 	if job.abandoned {
 		s.tally.wasted += job.work
 	}
@@ -230,18 +260,19 @@
 	} else {
 		s.finishJob(jobIndex, balance.Done, back)
 	}
+	s.startQueued(srv)
+	s.board.recordLoad(s, serverIndex)
+	s.trackOverload(serverIndex)
+}
+
+// startQueued runs waiting jobs on the free cores of a server.
+func (s *Sim) startQueued(srv *server) {
 	for srv.queued() > 0 && len(srv.running) < int(srv.cores) {
-		next := srv.queue[srv.head]
-		if srv.head++; srv.head > 64 && 2*srv.head > len(srv.queue) {
-			srv.queue = srv.queue[:copy(srv.queue, srv.queue[srv.head:])]
-			srv.head = 0
-		}
+		next := srv.dequeue()
 		if s.jobs[next].abandoned && s.scenario.Servers.DropsAbandoned {
 			s.dropJob(next)
 			continue
 		}
 		s.startJob(next)
 	}
-	s.board.recordLoad(s, serverIndex)
-	s.trackOverload(serverIndex)
 }
--- a/internal/simulation/proxysim/setup.go
+++ b/internal/simulation/proxysim/setup.go
@@ -70,7 +70,7 @@
 	if s.rate <= 0 {
 		s.rate = s.scenario.Load.Utilisation * s.capacity() / work
 	}
-	if r := &s.scenario.Reports; r.Model == "on-access" && r.Delay > 0 {
+	if r := &s.scenario.Reports; r.Model == reportsOnAccess && r.Delay > 0 {
 		// As many proxies as each send one request in that time.
 		copied := *s.scenario
 		copied.Proxies.Count = max(1, int(s.rate*s.meanService/1e9/r.Delay+0.5))
@@ -93,7 +93,7 @@
 	total := s.cumulativeLoad[len(s.cumulativeLoad)-1]
 	for i := range s.proxies {
 		p := &s.proxies[i]
-		p.hall, p.module = int32(i%len(s.halls)), options.Policy == "module"
+		p.hall, p.module = int32(i%len(s.halls)), options.Policy == policyModule
 		before := 0.0
 		if i > 0 {
 			before = s.cumulativeLoad[i-1]
@@ -111,7 +111,7 @@
 	proxy := &s.proxies[proxyIndex]
 	proxy.alive, proxy.watching, proxy.withdrawnAt = true, s.registry.push, nil
 	proxy.version = s.registry.version()
-	rng := stream(options.Seed+uint64(proxyIndex)*0x9e3779b97f4a7c15+uint64(proxy.incarnation), "policy")
+	rng := stream(options.Seed+uint64(proxyIndex)*goldenRatio64+uint64(proxy.incarnation), "policy")
 	if proxy.module {
 		newAgent := options.Module
 		if newAgent == nil {
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -73,6 +73,10 @@
 	arrivals, shape, work, keys, speeds, network, faults, clients, reports *rand.Rand
 }
 
+// goldenRatio64 is 2^64 over the golden ratio, by which small numbers spread over all 64 bits.
+const goldenRatio64 = 0x9e3779b97f4a7c15
+
+// stream returns the random stream of a purpose.
 func stream(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
@@ -93,10 +97,25 @@
 	meanGap     float64         // mean time between its requests, ns
 }
 
+// The policies. All but the first are textbook policies (type baselinePolicy).
+const (
+	policyModule             = "module"            // the decisions of package balance
+	policyRandom             = "random"            // any server
+	policyRoundRobin         = "round-robin"       // the servers in turn
+	policyTwoChoices         = "two-choices"       // the less loaded of two servers drawn at random
+	policyKChoices           = "k-choices"         // the least loaded of Options.K servers drawn at random
+	policyLeastOutstanding   = "least-outstanding" // the server with the fewest open attempts of this proxy
+	policyStaleShortest      = "stale-shortest"    // the server with the lowest load as known
+	policyWeightedRoundRobin = "weighted-round-robin"
+	policyBasicLI            = "basic-li" // see basicLI
+	policyLIK                = "li-k"     // see liK
+	policyOracle             = "oracle"   // the server that answers first, by its true state
+)
+
 // Policies are the names of the policies that New accepts.
 var Policies = []string{
-	"module", "random", "round-robin", "two-choices", "k-choices", "least-outstanding", "stale-shortest",
-	"weighted-round-robin", "basic-li", "li-k", "oracle",
+	policyModule, policyRandom, policyRoundRobin, policyTwoChoices, policyKChoices, policyLeastOutstanding,
+	policyStaleShortest, policyWeightedRoundRobin, policyBasicLI, policyLIK, policyOracle,
 }
 
 // Options are the parameters of a run beside the scenario.
@@ -226,24 +245,29 @@
 		case balance.FollowList:
 			s.watchList(proxyIndex)
 		default:
-			requestIndex, ok := s.requestByID(action.ID)
-			if !ok {
-				continue
-			}
-			switch action.Kind {
-			case balance.Send:
-				s.startAttempt(requestIndex, int32(action.Server)-1, int64(action.Wait))
-			case balance.Cancel:
-				s.cancelAttempt(requestIndex, action.Attempt)
-			case balance.Reject:
-				s.answerRequest(requestIndex, refused, action.Wait)
-			case balance.Fail:
-				s.answerRequest(requestIndex, failed, 0)
-			}
+			s.applyToRequest(action)
 		}
 	}
 }
 
+// applyToRequest carries out an action on a request, unless that has ended.
+func (s *Sim) applyToRequest(action *balance.Action) {
+	requestIndex, ok := s.requestByID(action.ID)
+	if !ok {
+		return
+	}
+	switch action.Kind {
+	case balance.Send:
+		s.startAttempt(requestIndex, int32(action.Server)-1, int64(action.Wait))
+	case balance.Cancel:
+		s.cancelAttempt(requestIndex, action.Attempt)
+	case balance.Reject:
+		s.answerRequest(requestIndex, refused, action.Wait)
+	case balance.Fail:
+		s.answerRequest(requestIndex, failed, 0)
+	}
+}
+
 // latency draws the one-way latency between two halls.
 func (s *Sim) latency(from, to int32) int64 {
 	mean := s.scenario.Network.WithinHall
@@ -259,18 +283,24 @@
 	return int64(mean)
 }
 
+const (
+	requestIndexBits = 31 // the low bits of a request's id, which hold its slot
+	requestIDBase    = 36
+)
+
 // requestID is the id of a request for agents: its slot in the table and the slot's generation, in base 36.
 func (s *Sim) requestID(requestIndex int32) string {
-	return strconv.FormatUint(uint64(requestIndex)|uint64(s.requests[requestIndex].generation)<<31, 36)
+	generation := uint64(s.requests[requestIndex].generation)
+	return strconv.FormatUint(generation<<requestIndexBits|uint64(requestIndex), requestIDBase)
 }
 
 // requestByID is the slot of an unanswered or open request; ok is false for one that has ended.
 func (s *Sim) requestByID(id string) (int32, bool) {
-	number, err := strconv.ParseUint(id, 36, 64)
-	requestIndex := int32(number & (1<<31 - 1))
+	number, err := strconv.ParseUint(id, requestIDBase, 64)
+	requestIndex := int32(number & (1<<requestIndexBits - 1))
 	if err != nil || int(requestIndex) >= len(s.requests) {
 		return 0, false
 	}
 	req := &s.requests[requestIndex]
-	return requestIndex, req.used && uint64(req.generation) == number>>31
+	return requestIndex, req.used && uint64(req.generation) == number>>requestIndexBits
 }
