--- a/internal/segmentlog/faultfs/faultfs.go
+++ b/internal/segmentlog/faultfs/faultfs.go
@@ -6,6 +6,7 @@
 package faultfs
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -50,14 +51,15 @@
 	KeepAll Loss = iota
 	// LoseAll loses every write and change of a name since the last sync.
 	LoseAll
-	// LoseSome keeps or loses each sector of a write and each change of a name by a draw.
+	// LoseSome keeps or loses each sector of a write by a draw, and loses the changes of names after one that is
+	// drawn.
 	LoseSome
 )
 
 // sectorSize is the unit that a torn write keeps or loses, in bytes.
 const sectorSize = 512
 
-// FS is the file system.
+// FS is the file system. Its machine runs or is down; New returns one that runs.
 type FS struct {
 	// current and durable are the files by name, as they are and as they would be after a power loss.
 	current, durable map[string]*inode
@@ -71,9 +73,11 @@
 	// Capacity bounds the bytes of all files if it is not 0.
 	Capacity int64
 
+	// fault is injected at the operation whose number is faultAt.
 	faultAt int
 	fault   Fault
-	down    bool
+	// down is whether the machine has crashed and was not restarted.
+	down bool
 	// generation rises with each restart, which closes all open files.
 	generation int
 }
@@ -120,7 +124,7 @@
 	if file == nil {
 		return errNotExist(name)
 	}
-	file.data = append([]byte(nil), file.data...)
+	file.data = bytes.Clone(file.data)
 	file.data[offset] ^= 1
 	if offset < len(file.durable) {
 		file.durable[offset] ^= 1
--- a/internal/segmentlog/faultfs/inode.go
+++ b/internal/segmentlog/faultfs/inode.go
@@ -1,39 +1,42 @@
 package faultfs
 
-import "math/rand"
+import (
+	"bytes"
+	"math/rand"
+)
 
 // inode is a file's content, as it is and as it is on the medium, with the writes between the two.
 type inode struct {
-	data     []byte
-	durable  []byte
-	unsynced []write
+	data     []byte  // as it is
+	durable  []byte  // as it would be after a power loss that loses all
+	unsynced []write // since the last sync, in order
 }
 
-// write is a change of a content that was not synced: data at an offset, or if data is nil a new size, which
-// is the offset.
+// write is a change of a content that was not synced: data at an offset, or a new size.
 type write struct {
-	offset int64
-	data   []byte
+	offset  int64 // or the new size in bytes
+	data    []byte
+	resizes bool
 }
 
 // write writes data at an offset, and records that until the next sync.
 func (i *inode) write(data []byte, offset int64) {
 	i.data = writeAt(i.data, data, offset)
-	i.unsynced = append(i.unsynced, write{offset, append([]byte{}, data...)})
+	i.unsynced = append(i.unsynced, write{offset: offset, data: bytes.Clone(data)})
 }
 
 // truncate sets the content's size, and records that until the next sync.
 func (i *inode) truncate(size int64) {
 	i.data = resize(i.data, size)
-	i.unsynced = append(i.unsynced, write{offset: size})
+	i.unsynced = append(i.unsynced, write{offset: size, resizes: true})
 }
 
 // lose reverts the content to the durable one and applies those sectors of its writes that the loss keeps.
 func (i *inode) lose(loss Loss, random *rand.Rand) {
-	content := append([]byte(nil), i.durable...)
+	content := bytes.Clone(i.durable)
 	if loss == LoseSome {
 		for _, w := range i.unsynced {
-			if w.data == nil {
+			if w.resizes {
 				if random.Intn(2) == 0 {
 					content = resize(content, w.offset)
 				}
@@ -42,35 +45,40 @@
 			content = w.applySome(content, random)
 		}
 	}
-	i.data, i.durable, i.unsynced = content, append([]byte(nil), content...), nil
+	i.data, i.durable, i.unsynced = content, bytes.Clone(content), nil
 }
 
-// applySome writes the sectors that are drawn; often all of them, or none.
-func (w write) applySome(data []byte, random *rand.Rand) []byte {
-	chance := []int{0, 50, 90, 100}[random.Intn(4)]
+// keptPercents are the parts of a write's sectors that survive a power loss; one is drawn for each write.
+var keptPercents = []int{0, 50, 90, 100}
+
+// applySome applies those sectors of the write to a content that are drawn.
+func (w write) applySome(content []byte, random *rand.Rand) []byte {
+	keptPercent := keptPercents[random.Intn(len(keptPercents))]
 	for start := 0; start < len(w.data); {
-		end := min(start+sectorSize-int(w.offset+int64(start))%sectorSize, len(w.data))
-		if random.Intn(100) < chance {
-			data = writeAt(data, w.data[start:end], w.offset+int64(start))
+		offset := w.offset + int64(start)
+		sectorEnd := start + sectorSize - int(offset%sectorSize)
+		end := min(sectorEnd, len(w.data))
+		if random.Intn(100) < keptPercent {
+			content = writeAt(content, w.data[start:end], offset)
 		}
 		start = end
 	}
-	return data
+	return content
 }
 
-// resize returns data truncated, or extended by zeros, to a size.
-func resize(data []byte, size int64) []byte {
-	if size <= int64(len(data)) {
-		return data[:size]
+// resize returns a content truncated, or extended by zeros, to a size in bytes.
+func resize(content []byte, size int64) []byte {
+	if size <= int64(len(content)) {
+		return content[:size]
 	}
-	return append(data, make([]byte, size-int64(len(data)))...)
+	return append(content, make([]byte, size-int64(len(content)))...)
 }
 
-// writeAt writes bytes at an offset of data, and returns the result.
-func writeAt(data, bytes []byte, offset int64) []byte {
-	if end := offset + int64(len(bytes)); end > int64(len(data)) {
-		data = resize(data, end)
+// writeAt writes data at an offset of a content, and returns the result. It may change the content in place.
+func writeAt(content, data []byte, offset int64) []byte {
+	if end := offset + int64(len(data)); end > int64(len(content)) {
+		content = resize(content, end)
 	}
-	copy(data[offset:], bytes)
-	return data
+	copy(content[offset:], data)
+	return content
 }
--- a/internal/segmentlog/faultfs/operations.go
+++ b/internal/segmentlog/faultfs/operations.go
@@ -1,6 +1,7 @@
 package faultfs
 
 import (
+	"bytes"
 	"math"
 	"strings"
 
@@ -38,7 +39,7 @@
 	if file == nil {
 		return nil, errNotExist(name)
 	}
-	return append([]byte(nil), file.data...), nil
+	return bytes.Clone(file.data), nil
 }
 
 // Create implements segmentlog.FS.
@@ -181,7 +182,7 @@
 		return err
 	}
 	h.fs.Syncs++
-	h.file.durable = append([]byte(nil), h.file.data...)
+	h.file.durable = bytes.Clone(h.file.data)
 	h.file.unsynced = nil
 	remaining := h.fs.pending[:0]
 	for _, change := range h.fs.pending {
--- a/internal/simulation/simnet/conn.go
+++ b/internal/simulation/simnet/conn.go
@@ -1,6 +1,7 @@
 package simnet
 
 import (
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -14,29 +15,35 @@
 	errTimedOut = &net.OpError{Op: "write", Net: "tcp", Err: syscall.ETIMEDOUT}
 )
 
-// chunk is the data of one write; without bytes it is the end of the stream.
+// errWouldBlock says that an operation must wait for a change of its end of the connection, or for a time. It
+// doesn't leave the package.
+var errWouldBlock = errors.New("simnet: the operation would block")
+
+// chunk is the data of one write, or of what remains of it to read; nil data is the end of the stream.
 type chunk struct {
-	bytes []byte
-	due   time.Time // when it arrives, unless a fault delays it
+	data []byte
+	due  time.Time // when it arrives, unless a fault delays it
 }
 
-// conn is one end of a connection. Its fields from incoming on are guarded by the network's lock.
+// conn is one end of a connection: open, closed or failed. Its fields from incoming on are guarded by the
+// network's lock.
 type conn struct {
 	network  *Network
-	process  *Process
-	peer     *conn
+	process  *Process // that holds this end
+	peer     *conn    // the other end
 	local    *net.TCPAddr
-	from, to string // IPs of this end's host and the other's
+	localIP  string // of this end's host
+	remoteIP string // of the other end's host
 
-	incoming      []chunk
-	incomingBytes int
+	incoming      []chunk // in transit, or arrived and not read
+	incomingBytes int     // in incoming
 	closed        bool
 	failure       error         // why the connection ended without Close
 	changed       chan struct{} // closed and replaced at each change of the fields
-	readDeadline  time.Time
-	writeDeadline time.Time
-	resetOnClose  bool        // Close resets the connection
-	ackTimer      *time.Timer // ends the connection unless sent data is acknowledged before
+	readDeadline  time.Time     // zero for none
+	writeDeadline time.Time     // zero for none
+	resetOnClose  bool          // Close resets the connection
+	ackTimer      *time.Timer   // ends the connection unless sent data is acknowledged before
 }
 
 // wake wakes all goroutines that wait on this end. The lock is held.
@@ -50,7 +57,7 @@
 
 // reaches reports whether what is sent here is acknowledged. The lock is held.
 func (c *conn) reaches() bool {
-	return c.network.passes(c.from, c.to) && c.network.passes(c.to, c.from)
+	return c.network.passes(c.localIP, c.remoteIP) && c.network.passes(c.remoteIP, c.localIP)
 }
 
 // fail ends this end with an error. The lock is held.
@@ -69,7 +76,7 @@
 	}
 	c.closed = true
 	c.release()
-	if c.network.passes(c.from, c.to) {
+	if c.network.passes(c.localIP, c.remoteIP) {
 		c.peer.fail(errReset)
 	}
 }
@@ -92,95 +99,105 @@
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		c.network.mu.Lock()
-		count, wait, done, err := c.receive(p)
-		changed := c.changed
+		count, err := c.receive(p)
+		wait, changed := c.untilReadable(), c.changed
 		c.network.mu.Unlock()
-		if done {
+		if !errors.Is(err, errWouldBlock) {
 			return count, err
 		}
 		waitFor(changed, wait)
 	}
 }
 
-// receive reads what has arrived, or returns how long to wait for more, 0 without limit. The lock is held.
-func (c *conn) receive(p []byte) (count int, wait time.Duration, done bool, err error) {
+// receive reads what has arrived, or returns errWouldBlock. The lock is held.
+func (c *conn) receive(p []byte) (int, error) {
 	now := time.Now()
 	switch {
 	case c.closed:
-		return 0, 0, true, net.ErrClosed
+		return 0, net.ErrClosed
 	case c.failure != nil:
-		return 0, 0, true, c.failure
+		return 0, c.failure
 	case expired(c.readDeadline, now):
-		return 0, 0, true, os.ErrDeadlineExceeded
-	}
-	wait = until(c.readDeadline, now)
-	if len(c.incoming) == 0 || !c.network.passes(c.to, c.from) {
-		return 0, wait, false, nil
+		return 0, os.ErrDeadlineExceeded
+	case !c.hasIncoming() || c.incoming[0].due.After(now):
+		return 0, errWouldBlock
+	case c.incoming[0].data == nil:
+		return 0, io.EOF
 	}
 	first := &c.incoming[0]
-	if first.due.After(now) {
-		return 0, sooner(wait, first.due.Sub(now)), false, nil
-	}
-	if first.bytes == nil {
-		return 0, 0, true, io.EOF
-	}
-	count = copy(p, first.bytes)
-	if first.bytes = first.bytes[count:]; len(first.bytes) == 0 {
+	count := copy(p, first.data)
+	if first.data = first.data[count:]; len(first.data) == 0 {
 		c.incoming = c.incoming[1:]
 	}
 	c.incomingBytes -= count
 	c.peer.wake()
-	return count, 0, true, nil
+	return count, nil
+}
+
+// hasIncoming reports whether something has arrived or will without a further change. The lock is held.
+func (c *conn) hasIncoming() bool {
+	return len(c.incoming) > 0 && c.network.passes(c.remoteIP, c.localIP)
+}
+
+// untilReadable returns how long a read that would block waits without a change, 0 without limit. The lock is
+// held.
+func (c *conn) untilReadable() time.Duration {
+	now := time.Now()
+	wait := until(c.readDeadline, now)
+	if c.hasIncoming() {
+		return sooner(wait, c.incoming[0].due.Sub(now))
+	}
+	return wait
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	for {
 		c.network.mu.Lock()
-		wait, done, err := c.send(p)
-		changed := c.changed
+		err := c.send(p)
+		wait, changed := until(c.writeDeadline, time.Now()), c.changed
 		c.network.mu.Unlock()
-		if err != nil {
-			return 0, err
-		}
-		if done {
+		switch {
+		case err == nil:
 			return len(p), nil
+		case !errors.Is(err, errWouldBlock):
+			return 0, err
 		}
 		waitFor(changed, wait)
 	}
 }
 
-// send sends all of p, or returns how long to wait for space in the window, 0 without limit. The lock is
-// held.
-func (c *conn) send(p []byte) (wait time.Duration, done bool, err error) {
+// send sends all of p, or returns errWouldBlock where the window has no space for it. The lock is held.
+func (c *conn) send(p []byte) error {
 	now := time.Now()
 	switch {
 	case c.closed:
-		return 0, false, net.ErrClosed
+		return net.ErrClosed
 	case c.failure != nil:
-		return 0, false, c.failure
+		return c.failure
 	case expired(c.writeDeadline, now):
-		return 0, false, os.ErrDeadlineExceeded
-	case c.network.faulty(c.from, c.to, Refuse) || c.network.faulty(c.from, c.to, Reset):
+		return os.ErrDeadlineExceeded
+	case c.network.faulty(c.localIP, c.remoteIP, Refuse) || c.network.faulty(c.localIP, c.remoteIP, Reset):
 		c.peer.fail(errReset)
 		c.fail(errReset)
-		return 0, false, errReset
+		return errReset
 	case c.peer.ended() && c.reaches():
 		c.fail(errReset)
-		return 0, false, errReset
+		return errReset
 	}
 	c.startAckTimer()
 	if c.peer.incomingBytes > 0 && c.peer.incomingBytes+len(p) > window {
-		return until(c.writeDeadline, now), false, nil
+		return errWouldBlock
 	}
-	c.peer.arrive(append([]byte{}, p...), now.Add(c.network.delay(c.from, c.to)))
-	return 0, true, nil
+	sent := append([]byte{}, p...) // never nil, which would be the end of the stream
+	c.peer.arrive(sent, now.Add(c.network.delay(c.localIP, c.remoteIP)))
+	return nil
 }
 
-// arrive queues bytes, nil for the end of the stream, behind those that were sent before. The lock is held.
-func (c *conn) arrive(bytes []byte, due time.Time) {
-	c.incoming = append(c.incoming, chunk{bytes, due})
-	c.incomingBytes += len(bytes)
+// arrive queues data, nil for the end of the stream, behind what was sent before. The lock is held.
+func (c *conn) arrive(data []byte, due time.Time) {
+	c.incoming = append(c.incoming, chunk{data, due})
+	c.incomingBytes += len(data)
 	c.wake()
 }
 
@@ -213,7 +230,7 @@
 		return nil
 	}
 	if c.failure == nil {
-		c.peer.arrive(nil, time.Now().Add(c.network.delay(c.from, c.to)))
+		c.peer.arrive(nil, time.Now().Add(c.network.delay(c.localIP, c.remoteIP)))
 	}
 	c.closed = true
 	c.release()
@@ -230,7 +247,7 @@
 
 // dropInTransit drops what a fault delays in transit to the other end. The lock is held.
 func (c *conn) dropInTransit() {
-	if !c.network.passes(c.from, c.to) {
+	if !c.network.passes(c.localIP, c.remoteIP) {
 		c.peer.incoming, c.peer.incomingBytes = nil, 0
 	}
 }
@@ -269,6 +286,7 @@
 	c.wake()
 }
 
+// expired reports whether there is a deadline and it has passed.
 func expired(deadline, now time.Time) bool { return !deadline.IsZero() && !deadline.After(now) }
 
 // until returns the time to a deadline, 0 without one.
--- a/internal/simulation/simnet/network.go
+++ b/internal/simulation/simnet/network.go
@@ -35,7 +35,8 @@
 	// window bounds the bytes in transit in one direction of a connection.
 	window = 256 << 10
 	// maxBacklog bounds the connections of a listener that are not accepted yet.
-	maxBacklog    = 128
+	maxBacklog = 128
+	// firstFreePort is the port before those that connections get at their own end.
 	firstFreePort = 32768
 )
 
@@ -49,7 +50,7 @@
 	faults   map[direction]Fault
 	delays   map[direction]time.Duration
 	conns    map[*conn]struct{} // ends of connections of which at least one end is open
-	lastPort int
+	lastPort int                // the newest local port of a connection
 }
 
 // New returns a network without hosts.
@@ -62,7 +63,7 @@
 type Host struct {
 	network   *Network
 	ip        string
-	down      bool
+	down      bool              // without power
 	listeners map[int]*listener // by port
 }
 
--- a/internal/simulation/simnet/process.go
+++ b/internal/simulation/simnet/process.go
@@ -38,11 +38,7 @@
 
 // Dial opens a connection to an address, within a timeout.
 func (p *Process) Dial(target string, timeout time.Duration) (net.Conn, error) {
-	ip, text, err := net.SplitHostPort(target)
-	if err != nil {
-		return nil, err
-	}
-	port, err := strconv.Atoi(text)
+	ip, port, err := splitAddress(target)
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +53,17 @@
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(ip, port), Err: os.ErrDeadlineExceeded}
 }
 
-// roundTrip returns the delay both ways.
+// splitAddress returns the IP and the port of an address.
+func splitAddress(target string) (ip string, port int, err error) {
+	ip, portText, err := net.SplitHostPort(target)
+	if err != nil {
+		return "", 0, err
+	}
+	port, err = strconv.Atoi(portText)
+	return ip, port, err
+}
+
+// roundTrip returns the sum of the delays of both directions between two hosts.
 func (n *Network) roundTrip(a, b string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,22 +89,26 @@
 		return nil, true, refused
 	}
 	n.lastPort++
-	near := &conn{network: n, process: p, local: address(p.host.ip, n.lastPort), from: p.host.ip, to: ip}
-	far := &conn{network: n, process: l.process, local: address(ip, port), from: ip, to: p.host.ip}
-	near.peer, far.peer = far, near
-	near.changed, far.changed = make(chan struct{}), make(chan struct{})
-	n.conns[near], n.conns[far] = struct{}{}, struct{}{}
-	l.backlog <- far
-	return near, true, nil
+	client := n.addConn(p, address(p.host.ip, n.lastPort), ip)
+	accepted := n.addConn(l.process, address(ip, port), p.host.ip)
+	client.peer, accepted.peer = accepted, client
+	l.backlog <- accepted
+	return client, true, nil
+}
+
+// addConn adds an end of a connection, without its peer. The lock is held.
+func (n *Network) addConn(process *Process, local *net.TCPAddr, remoteIP string) *conn {
+	c := &conn{
+		network: n, process: process, local: local, localIP: process.host.ip, remoteIP: remoteIP,
+		changed: make(chan struct{}),
+	}
+	n.conns[c] = struct{}{}
+	return c
 }
 
 // Listen accepts connections at the port of an address, on the process's host.
 func (p *Process) Listen(at string) (net.Listener, error) {
-	_, text, err := net.SplitHostPort(at)
-	if err != nil {
-		return nil, err
-	}
-	port, err := strconv.Atoi(text)
+	_, port, err := splitAddress(at)
 	if err != nil {
 		return nil, err
 	}
@@ -120,9 +130,9 @@
 type listener struct {
 	process *Process
 	port    int
-	backlog chan *conn
-	closed  chan struct{}
-	stopped bool // guarded by the network's lock
+	backlog chan *conn    // connections that are not accepted yet
+	closed  chan struct{} // closed once the listener has stopped
+	stopped bool          // guarded by the network's lock
 }
 
 // Accept implements net.Listener.
