--- a/internal/simulation/experiment/checks.go
+++ b/internal/simulation/experiment/checks.go
@@ -16,25 +16,37 @@
 // play is one policy on the scenario "queues" with some keys replaced, as a check needs it.
 type play struct {
 	policy string
-	k      int
-	lambda float64
-	set    map[string]string
+	k      int               // proxysim.Options.K
+	lambda float64           // proxysim.Options.Lambda
+	set    map[string]string // values of the scenario, by key
 }
 
-// newPlay returns a play with pairs of keys and values.
-func newPlay(policy string, kv ...string) play {
+// newPlay returns a play with values of keys, in pairs of a key and a value.
+func newPlay(policy string, pairs ...string) play {
 	p := play{policy: policy, set: map[string]string{}}
-	for i := 0; i+1 < len(kv); i += 2 {
-		p.set[kv[i]] = kv[i+1]
+	for i := 0; i+1 < len(pairs); i += 2 {
+		p.set[pairs[i]] = pairs[i+1]
 	}
 	return p
 }
 
-func (p play) withK(k int) play { p.k = k; return p }
+// withK returns the play with another number of servers compared.
+func (p play) withK(k int) play {
+	p.k = k
+	return p
+}
 
-func (p play) withLambda(lambda float64) play { p.lambda = lambda; return p }
+// withLambda returns the play with another assumed arrival rate.
+func (p play) withLambda(lambda float64) play {
+	p.lambda = lambda
+	return p
+}
 
-func (p play) and(key, value string) play { p.set[key] = value; return p }
+// and returns the play with one more key replaced; it changes the play's map.
+func (p play) and(key, value string) play {
+	p.set[key] = value
+	return p
+}
 
 // The plays of the models of stale load, by their delay in mean service times.
 
@@ -52,15 +64,15 @@
 	return newPlay(policy, keyModel, "continuous", keyDelay, "10").and("reports.spread", spread)
 }
 
-// Erlang is the mean response time of M/M/c over its service time.
-func Erlang(c int, load float64) float64 {
+// Erlang is the mean response time of M/M/c over its service time (Erlang C), for a number of cores.
+func Erlang(cores int, load float64) float64 {
 	term, sum := 1.0, 0.0
-	for k := range c {
+	for k := range cores {
 		sum += term
-		term *= load * float64(c) / float64(k+1)
+		term *= load * float64(cores) / float64(k+1)
 	}
 	wait := term / (1 - load)
-	return 1 + wait/(sum+wait)/(float64(c)*(1-load))
+	return 1 + wait/(sum+wait)/(float64(cores)*(1-load))
 }
 
 // TwoChoices is the mean response time over the service time when each of infinitely many queues is chosen
@@ -133,9 +145,9 @@
 		l.equal(fmt.Sprintf("M/M/1 at %.1f", load), "queueing theory", 1/(1-load), 0.05, first,
 			newPlay("random", keyServers, "1", keyLoad, fmt.Sprint(load)))
 	}
-	for _, c := range []int{2, 4, 16} {
-		l.equal(fmt.Sprintf("M/M/%d at 0.9", c), "Erlang C", Erlang(c, 0.9), 0.05, first,
-			newPlay("random", keyServers, "1", "servers.cores", fmt.Sprint(c), keyLoad, "0.9"))
+	for _, cores := range []int{2, 4, 16} {
+		l.equal(fmt.Sprintf("M/M/%d at 0.9", cores), "Erlang C", Erlang(cores, 0.9), 0.05, first,
+			newPlay("random", keyServers, "1", "servers.cores", fmt.Sprint(cores), keyLoad, "0.9"))
 	}
 	for _, load := range []float64{0.5, 0.9} {
 		l.equal(fmt.Sprintf("random, n = 100 at %.1f", load), "M/M/1", 1/(1-load), 0.03, first,
--- a/internal/simulation/experiment/plot.go
+++ b/internal/simulation/experiment/plot.go
@@ -62,8 +62,8 @@
 	p.Title.Text = s.Header.Scenario + ": worth served in time over worth asked, by second of arrival"
 	p.X.Label.Text, p.Y.Label.Text = "s", "service"
 	p.Y.Min, p.Y.Max = 0, 1.02
-	for i, c := range s.Cells() {
-		if err := addLine(p, i, c.Policy, meanServiceBySecond(c.Days), nil); err != nil {
+	for i, cell := range s.Cells() {
+		if err := addLine(p, i, cell.Policy, meanServiceBySecond(cell.Days), nil); err != nil {
 			return err
 		}
 	}
@@ -116,8 +116,8 @@
 	if k.nominal {
 		p.NominalX(k.axis.Values...)
 	}
-	for _, c := range s.Cells() {
-		if err := k.add(c); err != nil {
+	for _, cell := range s.Cells() {
+		if err := k.add(cell); err != nil {
 			return err
 		}
 	}
@@ -131,40 +131,40 @@
 
 // add adds a cell to the line of its policy and its values of other keys. A cell without a finite mean has no
 // point.
-func (k *keyPlot) add(c *Cell) error {
-	line := k.line(c)
-	value := c.Set[k.axis.Key]
-	x, _ := number(value)
+func (k *keyPlot) add(cell *Cell) error {
+	line := k.line(cell)
+	value := cell.Set[k.axis.Key]
+	position, _ := number(value)
 	if k.nominal {
-		x = float64(slices.Index(k.axis.Values, value))
+		position = float64(slices.Index(k.axis.Values, value))
 	}
-	e := EstimateOf(c.Figures(k.metric))
-	if math.IsNaN(e.Mean) || math.IsInf(e.Mean, 0) {
+	estimate := EstimateOf(cell.Figures(k.metric))
+	if math.IsNaN(estimate.Mean) || math.IsInf(estimate.Mean, 0) {
 		return nil
 	}
-	if k.logX && x <= 0 || k.logY && e.Mean <= 0 {
+	if k.logX && position <= 0 || k.logY && estimate.Mean <= 0 {
 		return fmt.Errorf("%s = %s, %s = %.4g: a logarithmic scale takes only what is above 0", k.axis.Key, value,
-			k.metric, e.Mean)
+			k.metric, estimate.Mean)
 	}
-	high := e.Half
+	high := estimate.Half
 	if math.IsNaN(high) {
 		high = 0
 	}
 	low := high
 	if k.logY { // the lower end must be above 0 there
-		low = min(low, 0.9*e.Mean)
+		low = min(low, 0.9*estimate.Mean)
 	}
-	line.XYs = append(line.XYs, plotter.XY{X: x, Y: e.Mean})
+	line.XYs = append(line.XYs, plotter.XY{X: position, Y: estimate.Mean})
 	line.YErrors = append(line.YErrors, struct{ Low, High float64 }{low, high})
 	return nil
 }
 
 // line returns the line of a cell, a new one for the first cell of a line.
-func (k *keyPlot) line(c *Cell) *series {
-	name := c.Policy
-	for _, key := range slices.Sorted(maps.Keys(c.Set)) {
+func (k *keyPlot) line(cell *Cell) *series {
+	name := cell.Policy
+	for _, key := range slices.Sorted(maps.Keys(cell.Set)) {
 		if key != k.axis.Key {
-			name += " " + key + "=" + c.Set[key]
+			name += " " + key + "=" + cell.Set[key]
 		}
 	}
 	for _, line := range k.lines {
--- a/internal/simulation/experiment/report.go
+++ b/internal/simulation/experiment/report.go
@@ -45,18 +45,18 @@
 
 // Table returns the estimates of all cells as text: a head, and a row for each cell.
 func (s *Store) Table(metrics []string) (head []string, rows [][]string) {
-	for _, a := range s.Header.Over {
-		head = append(head, a.Key)
+	for _, axis := range s.Header.Over {
+		head = append(head, axis.Key)
 	}
 	head = append(append(head, "policy", "days"), metrics...)
-	for _, c := range s.Cells() {
+	for _, cell := range s.Cells() {
 		var row []string
-		for _, a := range s.Header.Over {
-			row = append(row, c.Set[a.Key])
+		for _, axis := range s.Header.Over {
+			row = append(row, cell.Set[axis.Key])
 		}
-		row = append(row, c.Policy, fmt.Sprint(len(c.Days)))
-		for _, m := range metrics {
-			row = append(row, EstimateOf(c.Figures(m)).String())
+		row = append(row, cell.Policy, fmt.Sprint(len(cell.Days)))
+		for _, metric := range metrics {
+			row = append(row, EstimateOf(cell.Figures(metric)).String())
 		}
 		rows = append(rows, row)
 	}
@@ -86,8 +86,8 @@
 		Breaks      []violation
 	}{Title: "Laboratory: " + h.Scenario}
 	var set []string
-	for _, k := range slices.Sorted(maps.Keys(h.Set)) {
-		set = append(set, k+" = "+h.Set[k])
+	for _, key := range slices.Sorted(maps.Keys(h.Set)) {
+		set = append(set, key+" = "+h.Set[key])
 	}
 	data.What = fmt.Sprintf("Seeds %d to %d, the same days for every policy. Intervals are 95%%. %s", h.Seed,
 		h.Seed+uint64(h.Repeat)-1, strings.Join(set, ", "))
@@ -96,17 +96,17 @@
 	if len(h.Over) == 0 {
 		plots = plots[:1]
 	}
-	for _, m := range plots {
-		svg, err := s.Plot(m, false, false)
+	for _, metric := range plots {
+		svg, err := s.Plot(metric, false, false)
 		if err != nil {
 			return err
 		}
 		_, inner, _ := strings.Cut(string(svg), "<svg")
-		data.Plots = append(data.Plots, drawing{m, template.HTML("<svg" + inner)})
+		data.Plots = append(data.Plots, drawing{metric, template.HTML("<svg" + inner)})
 	}
-	for _, d := range s.Days {
-		for _, text := range d.Result.Violations {
-			data.Breaks = append(data.Breaks, violation{d.id(), text})
+	for _, day := range s.Days {
+		for _, text := range day.Result.Violations {
+			data.Breaks = append(data.Breaks, violation{day.id(), text})
 		}
 	}
 	data.Breaks = data.Breaks[:min(len(data.Breaks), 20)]
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"maps"
 	"math"
 	"runtime"
 	"slices"
@@ -31,33 +32,29 @@
 }
 
 // Play runs one day of a scenario, with the values of some keys replaced.
-func Play(scenario string, base map[string]string, j Job, o proxysim.Options) (*RunResult, error) {
+func Play(scenario string, base map[string]string, job Job, options proxysim.Options) (*RunResult, error) {
 	set := map[string]string{}
-	for k, v := range base {
-		set[k] = v
-	}
-	for k, v := range j.Set {
-		set[k] = v
-	}
+	maps.Copy(set, base)
+	maps.Copy(set, job.Set)
 	sc, err := Load(scenario, set)
 	if err != nil {
 		return nil, err
 	}
-	o.Policy, o.Seed, o.K, o.Lambda = j.Policy, j.Seed, j.K, j.Lambda
+	options.Policy, options.Seed, options.K, options.Lambda = job.Policy, job.Seed, job.K, job.Lambda
 	began := time.Now()
-	sim, err := proxysim.New(sc, o)
+	sim, err := proxysim.New(sc, options)
 	if err != nil {
 		return nil, err
 	}
-	r := sim.Run(o)
-	r.Seed = j.Seed
-	return &RunResult{j, r, time.Since(began).Seconds()}, nil
+	result := sim.Run(options)
+	result.Seed = job.Seed
+	return &RunResult{job, result, time.Since(began).Seconds()}, nil
 }
 
 // PlayAll runs days in parallel, jobs at a time or, if that is 0, one a processor. It passes each day that
 // ends to record, from one goroutine at a time. It stops at the first error or when ctx is done; days under
 // way end before it returns.
-func PlayAll(ctx context.Context, scenario string, base map[string]string, all []Job, jobs int, strict bool,
+func PlayAll(ctx context.Context, scenario string, base map[string]string, days []Job, jobs int, strict bool,
 	record func(*RunResult) error) error {
 	if jobs <= 0 {
 		jobs = runtime.GOMAXPROCS(0)
@@ -65,7 +62,7 @@
 	g, groupCtx := errgroup.WithContext(ctx)
 	g.SetLimit(jobs)
 	recording := make(chan struct{}, 1)
-	for _, j := range all {
+	for _, job := range days {
 		if groupCtx.Err() != nil {
 			break
 		}
@@ -73,13 +70,13 @@
 			if groupCtx.Err() != nil {
 				return groupCtx.Err()
 			}
-			d, err := Play(scenario, base, j, proxysim.Options{Strict: strict})
+			day, err := Play(scenario, base, job, proxysim.Options{Strict: strict})
 			if err != nil {
 				return err
 			}
 			recording <- struct{}{}
 			defer func() { <-recording }()
-			return record(d)
+			return record(day)
 		})
 	}
 	if err := g.Wait(); err != nil {
@@ -118,11 +115,11 @@
 const WallMetric = "wall_us_a_request"
 
 // figure returns a metric of a day.
-func (d *RunResult) figure(metric string) float64 {
+func (r *RunResult) figure(metric string) float64 {
 	if metric == WallMetric {
-		return d.Wall * 1e6 / float64(max(d.Result.Requests, 1))
+		return r.Wall * 1e6 / float64(max(r.Result.Requests, 1))
 	}
-	return Metrics[metric](d.Result)
+	return Metrics[metric](r.Result)
 }
 
 // KnownMetric reports whether there is a metric of that name.
@@ -144,14 +141,17 @@
 }
 
 // EstimateOf estimates the mean of figures.
-func EstimateOf(x []float64) Estimate {
-	mean, sd := stat.MeanStdDev(x, nil)
-	if len(x) < 2 {
-		return Estimate{mean, math.NaN(), len(x)}
+func EstimateOf(figures []float64) Estimate {
+	mean, sd := stat.MeanStdDev(figures, nil)
+	if len(figures) < 2 {
+		return Estimate{mean, math.NaN(), len(figures)}
 	}
-	return Estimate{mean, student(len(x)) * sd / math.Sqrt(float64(len(x))), len(x)}
+	return Estimate{mean, student(len(figures)) * sd / math.Sqrt(float64(len(figures))), len(figures)}
 }
 
+// normal95 is the quantile of the normal distribution for a 95% interval.
+const normal95 = 1.96
+
 // student is Student's t for a 95% interval from n figures.
 func student(n int) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(0.975)
@@ -166,16 +166,16 @@
 
 // Paired estimates the difference of figures of the same days, b less a.
 func Paired(a, b []float64) Difference {
-	d := make([]float64, min(len(a), len(b)))
-	for i := range d {
-		d[i] = b[i] - a[i]
+	differences := make([]float64, min(len(a), len(b)))
+	for i := range differences {
+		differences[i] = b[i] - a[i]
 	}
-	e := EstimateOf(d)
-	out := Difference{Estimate: e, Noise: !(math.Abs(e.Mean) > e.Half)}
-	if out.Noise && e.N > 1 && e.Mean != 0 {
-		sd := e.Half / student(e.N) * math.Sqrt(float64(e.N))
-		need := math.Ceil(math.Pow(1.96*sd/e.Mean, 2)) + 2
-		out.Repeats = int(min(need, 1e9))
+	estimate := EstimateOf(differences)
+	result := Difference{Estimate: estimate, Noise: !(math.Abs(estimate.Mean) > estimate.Half)}
+	if result.Noise && estimate.N > 1 && estimate.Mean != 0 {
+		deviation := estimate.Half / student(estimate.N) * math.Sqrt(float64(estimate.N))
+		days := math.Ceil(math.Pow(normal95*deviation/estimate.Mean, 2)) + 2
+		result.Repeats = int(min(days, 1e9))
 	}
-	return out
+	return result
 }
--- a/internal/simulation/experiment/store.go
+++ b/internal/simulation/experiment/store.go
@@ -34,12 +34,12 @@
 // Jobs returns all days of the experiment, the repeats of one cell together.
 func (h *Header) Jobs() (all []Job) {
 	cells := []map[string]string{{}}
-	for _, a := range h.Over {
+	for _, axis := range h.Over {
 		var next []map[string]string
 		for _, c := range cells {
-			for _, v := range a.Values {
+			for _, value := range axis.Values {
 				m := maps.Clone(c)
-				m[a.Key] = v
+				m[axis.Key] = value
 				next = append(next, m)
 			}
 		}
@@ -69,7 +69,7 @@
 type Store struct {
 	Header Header
 	Days   []*RunResult
-	f      *os.File // nil where there is none to write to
+	file   *os.File // nil where there is none to write to
 }
 
 // Open opens the result file of an experiment, which it creates or continues. It is an error if the file is
@@ -89,8 +89,8 @@
 	}
 	s.Header = h
 	lines := append(mustJSON(h), '\n')
-	for _, d := range s.Days {
-		lines = append(append(lines, mustJSON(d)...), '\n')
+	for _, day := range s.Days {
+		lines = append(append(lines, mustJSON(day)...), '\n')
 	}
 	// Written to another file and renamed, so that a truncated last line is dropped and no other is at risk.
 	fresh := path + ".new"
@@ -100,7 +100,7 @@
 	if err := os.Rename(fresh, path); err != nil {
 		return nil, err
 	}
-	s.f, err = os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0o644)
+	s.file, err = os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0o644)
 	return s, err
 }
 
@@ -129,9 +129,9 @@
 			}
 			continue
 		}
-		d := &RunResult{}
-		if json.Unmarshal(lines.Bytes(), d) == nil && d.Result != nil {
-			s.Days = append(s.Days, d)
+		day := &RunResult{}
+		if json.Unmarshal(lines.Bytes(), day) == nil && day.Result != nil {
+			s.Days = append(s.Days, day)
 		}
 	}
 	return s, lines.Err()
@@ -140,33 +140,33 @@
 // Missing returns the days that have no result yet.
 func (s *Store) Missing() (all []Job) {
 	have := map[string]bool{}
-	for _, d := range s.Days {
-		have[d.id()] = true
+	for _, day := range s.Days {
+		have[day.id()] = true
 	}
-	for _, j := range s.Header.Jobs() {
-		if !have[j.id()] {
-			all = append(all, j)
+	for _, job := range s.Header.Jobs() {
+		if !have[job.id()] {
+			all = append(all, job)
 		}
 	}
 	return all
 }
 
 // Add adds a day, and writes it where there is a file.
-func (s *Store) Add(d *RunResult) error {
-	s.Days = append(s.Days, d)
-	if s.f == nil {
+func (s *Store) Add(day *RunResult) error {
+	s.Days = append(s.Days, day)
+	if s.file == nil {
 		return nil
 	}
-	_, err := s.f.Write(append(mustJSON(d), '\n'))
+	_, err := s.file.Write(append(mustJSON(day), '\n'))
 	return err
 }
 
 // Close closes the file.
 func (s *Store) Close() error {
-	if s.f == nil {
+	if s.file == nil {
 		return nil
 	}
-	return s.f.Close()
+	return s.file.Close()
 }
 
 // Cell is all days of one policy at one point of the sweep.
@@ -180,30 +180,33 @@
 // without days is left out.
 func (s *Store) Cells() (all []*Cell) {
 	at := map[string]*Cell{}
-	key := func(j Job) string { j.Seed = 0; return j.id() }
-	for _, j := range s.Header.Jobs() {
-		if at[key(j)] == nil {
-			at[key(j)] = &Cell{Set: j.Set, Policy: j.Policy}
-			all = append(all, at[key(j)])
+	key := func(job Job) string { // the same for all seeds
+		job.Seed = 0
+		return job.id()
+	}
+	for _, job := range s.Header.Jobs() {
+		if at[key(job)] == nil {
+			at[key(job)] = &Cell{Set: job.Set, Policy: job.Policy}
+			all = append(all, at[key(job)])
 		}
 	}
-	for _, d := range s.Days {
-		if c := at[key(d.Job)]; c != nil {
-			c.Days = append(c.Days, d)
+	for _, day := range s.Days {
+		if cell := at[key(day.Job)]; cell != nil {
+			cell.Days = append(cell.Days, day)
 		}
 	}
-	for _, c := range all {
-		slices.SortFunc(c.Days, func(a, b *RunResult) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	for _, cell := range all {
+		slices.SortFunc(cell.Days, func(a, b *RunResult) int { return int(int64(a.Seed) - int64(b.Seed)) })
 	}
-	return slices.DeleteFunc(all, func(c *Cell) bool { return len(c.Days) == 0 })
+	return slices.DeleteFunc(all, func(cell *Cell) bool { return len(cell.Days) == 0 })
 }
 
 // Figures returns a metric's values over the days of a cell.
-func (c *Cell) Figures(metric string) (x []float64) {
-	for _, d := range c.Days {
-		x = append(x, d.figure(metric))
+func (c *Cell) Figures(metric string) (figures []float64) {
+	for _, day := range c.Days {
+		figures = append(figures, day.figure(metric))
 	}
-	return x
+	return figures
 }
 
 // PairStores compares the days of two results that have the same keys, policy and seed: b less a.
--- a/internal/simulation/experiment/validate.go
+++ b/internal/simulation/experiment/validate.go
@@ -35,36 +35,36 @@
 // Validate compares the model with published results; quick with a fifth of the requests and bounds twice as
 // wide.
 func Validate(quick bool) ([]*Check, error) {
-	all := checks()
+	checked := checks()
 	requests := checkRequests
 	if quick {
 		requests /= 5
 	}
-	var g errgroup.Group
-	g.SetLimit(4)
-	for _, c := range all {
+	var group errgroup.Group
+	group.SetLimit(4)
+	for _, check := range checked {
 		if quick {
-			c.Within *= 2
+			check.Within *= 2
 		}
-		g.Go(func() error { return c.run(requests) })
+		group.Go(func() error { return check.run(requests) })
 	}
-	return all, g.Wait()
+	return checked, group.Wait()
 }
 
 // run measures the check's figure and sets whether it holds.
-func (c *Check) run(requests int) error {
+func (check *Check) run(requests int) error {
 	var estimates []Estimate
-	for _, p := range c.plays {
-		e, err := p.estimate(requests)
+	for _, p := range check.plays {
+		estimate, err := p.estimate(requests)
 		if err != nil {
-			return fmt.Errorf("%s, %w", c.Name, err)
+			return fmt.Errorf("%s, %w", check.Name, err)
 		}
-		estimates = append(estimates, e)
+		estimates = append(estimates, estimate)
 	}
-	e := c.combine(estimates)
-	c.Measured, c.Half = e.Mean, e.Half
-	off := c.Measured/c.Expected - 1
-	c.Holds = off >= -c.Within && (c.AtLeast || off <= c.Within)
+	estimate := check.combine(estimates)
+	check.Measured, check.Half = estimate.Mean, estimate.Half
+	off := check.Measured/check.Expected - 1
+	check.Holds = off >= -check.Within && (check.AtLeast || off <= check.Within)
 	return nil
 }
 
@@ -74,16 +74,16 @@
 	var figures []float64
 	for seed := range uint64(checkDays) {
 		job := Job{Policy: p.policy, Seed: seed + 1, K: p.k, Lambda: p.lambda}
-		d, err := Play("queues", p.set, job, proxysim.Options{})
+		day, err := Play("queues", p.set, job, proxysim.Options{})
 		if err != nil {
 			return Estimate{}, err
 		}
-		little := d.Result.Throughput * d.Result.MeanMS / 1000
-		if math.Abs(d.Result.MeanInSystem/little-1) > littleBound {
+		little := day.Result.Throughput * day.Result.MeanMS / 1000
+		if math.Abs(day.Result.MeanInSystem/little-1) > littleBound {
 			return Estimate{}, fmt.Errorf("%s: %.4g held where Little's law wants %.4g", p.policy,
-				d.Result.MeanInSystem, little)
+				day.Result.MeanInSystem, little)
 		}
-		figures = append(figures, Metrics[checkMetric](d.Result))
+		figures = append(figures, Metrics[checkMetric](day.Result))
 	}
 	return EstimateOf(figures), nil
 }
@@ -93,17 +93,17 @@
 	var b strings.Builder
 	b.WriteString("| result | source | expected | found | 95% | held to | |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, c := range all {
+	for _, check := range all {
 		holds := "holds"
-		if !c.Holds {
+		if !check.Holds {
 			holds = "**differs**"
 		}
-		bound := fmt.Sprintf("%.0f%%", c.Within*100)
-		if c.AtLeast {
+		bound := fmt.Sprintf("%.0f%%", check.Within*100)
+		if check.AtLeast {
 			bound = "at least, " + bound
 		}
-		fmt.Fprintf(&b, "| %s | %s | %.3f | %.3f | ±%.3f | %s | %s |\n", c.Name, c.Source, c.Expected, c.Measured,
-			c.Half, bound, holds)
+		fmt.Fprintf(&b, "| %s | %s | %.3f | %.3f | ±%.3f | %s | %s |\n", check.Name, check.Source,
+			check.Expected, check.Measured, check.Half, bound, holds)
 	}
 	return b.String()
 }
