--- a/internal/simulation/proxysim/attempts.go
+++ b/internal/simulation/proxysim/attempts.go
@@ -10,9 +10,9 @@
 type attempt struct {
 	server  int32
 	job     int32 // at the server, -1 where there is none
-	sentAt  int64
-	open    bool // has no outcome yet
-	hasConn bool
+	sentAt  int64 // virtual time in ns
+	open    bool  // has no outcome yet
+	hasConn bool  // uses a connection, which is parked or closed at the end
 }
 
 // attemptNumberBits are the low bits of an attempt's token, which hold its number (Rules.MaxAttempts is at
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -35,8 +35,7 @@
 	started     bool  // some attempt has begun to run
 	open        int32 // attempts without an outcome
 	jobs        int32 // at servers
-	at          int64 // virtual time in ns, when it began
-	deadline    int64
+	deadline    int64 // virtual time in ns
 	attempts    []attempt
 }
 
@@ -178,7 +177,7 @@
 	req := &s.requests[requestIndex]
 	*req = request{
 		demand: demandIndex, proxy: demand.proxy, incarnation: proxy.incarnation,
-		generation: req.generation + 1, used: true, at: s.now, attempts: req.attempts[:0],
+		generation: req.generation + 1, used: true, attempts: req.attempts[:0],
 	}
 	demand.refs++
 	req.deadline = demand.deadline
--- a/internal/simulation/routersim/baselines.go
+++ b/internal/simulation/routersim/baselines.go
@@ -25,20 +25,21 @@
 // pickFunc picks one of several servers, which are never none.
 type pickFunc func(b *baseline, servers []*catalog.Server, request *scheduler.Request) *catalog.Server
 
-// baseline is a policy that splits all requests. It knows of a server the calls by its newest report, and its
+// baseline is a policy that splits all requests. Of a server it knows the calls by the newest report, and its
 // own since then.
 type baseline struct {
 	random   *rand.Rand
 	next     int // of round robin
 	table    *catalog.Table
-	reported map[string]int // calls of others
-	ownCalls map[string]int
+	reported map[string]int // calls of others by the newest report, by server
+	ownCalls map[string]int // calls of this proxy that have not ended, by server
 	pick     pickFunc
 }
 
+// newBaseline returns a factory of baselines that pick by one rule.
 func newBaseline(name string, pick pickFunc) PolicyFactory {
 	return PolicyFactory{name, func(_ string, seed uint64) Policy {
-		random := rand.New(rand.NewPCG(seed, 3))
+		random := rand.New(rand.NewPCG(seed, baselineStream))
 		return &baseline{
 			random: random, next: random.IntN(1000), reported: map[string]int{}, ownCalls: map[string]int{},
 			pick: pick,
@@ -54,6 +55,7 @@
 	return len(b.servers(request, scheduler.Prefill)) > 0
 }
 
+// servers returns the servers of a role that the request has not been sent to.
 func (b *baseline) servers(request *scheduler.Request, role scheduler.Role) []*catalog.Server {
 	wanted := catalog.Decode
 	if role == scheduler.Prefill {
@@ -81,6 +83,7 @@
 	return &scheduler.Call{Server: picked, Role: role}
 }
 
+// knownCalls returns the load of a server as this proxy knows it.
 func (b *baseline) knownCalls(server *catalog.Server) int {
 	return b.reported[server.ID] + b.ownCalls[server.ID]
 }
--- a/internal/simulation/routersim/clairvoyant.go
+++ b/internal/simulation/routersim/clairvoyant.go
@@ -12,9 +12,9 @@
 
 // serverQueue is what was sent to one server.
 type serverQueue struct {
-	freeAt       time.Duration   // when it has done all of it
-	cached       map[string]bool // paths of segments
-	promptTokens int
+	freeAt       time.Duration   // when the server has done all of it
+	cached       map[string]bool // paths of segments; the bound has none evicted
+	promptTokens int             // of all requests
 }
 
 // of returns the queue of a server.
@@ -70,7 +70,7 @@
 	queue := c.queues.of(best.ID)
 	queue.freeAt = bestDone
 	queue.promptTokens += request.PromptTokens
-	for _, path := range segmentPaths(request) {
+	for _, path := range segmentPaths(request.Segments) {
 		queue.cached[path] = true
 	}
 	return &scheduler.Call{Server: best, Role: role}
@@ -90,8 +90,8 @@
 		}
 		return start + milliseconds(ms)
 	}
-	tokens, cached := 0, 0
-	for i, path := range segmentPaths(request) {
+	tokens, cached := 0, 0 // of the prompt, and of its prefix up to the last cached segment
+	for i, path := range segmentPaths(request.Segments) {
 		if tokens += request.Segments[i].Tokens; queue.cached[path] {
 			cached = tokens
 		}
@@ -104,16 +104,6 @@
 	return start + milliseconds(factor*c.engine.prefillMs(uncached, pairs))
 }
 
-// segmentPaths returns the path of each segment of a prompt: its id after those of all before it.
-func segmentPaths(request *scheduler.Request) []string {
-	paths, path := make([]string, len(request.Segments)), ""
-	for i, segment := range request.Segments {
-		path += "/" + segment.ID
-		paths[i] = path
-	}
-	return paths
-}
-
 // ObserveLoad implements Policy; it does nothing.
 func (c *clairvoyant) ObserveLoad(time.Duration, string, scheduler.Load) {}
 
--- a/internal/simulation/routersim/clock.go
+++ b/internal/simulation/routersim/clock.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// event runs at a time; events of the same time run in the order in which they were scheduled.
+// event is a function that runs at a virtual time. Events of the same time run in the order in which they
+// were scheduled.
 type event struct {
-	at     time.Duration
-	number int
+	at     time.Duration // since the start
+	number int           // of the scheduling
 	run    func()
 }
 
-// events is a heap.Interface.
+// events is the queue of a clock, as a heap.Interface with the earliest event first.
 type events []event
 
 func (e events) Len() int      { return len(e) }
@@ -32,8 +33,8 @@
 
 // clock is virtual time, with the events scheduled in it.
 type clock struct {
-	now    time.Duration
-	number int
+	now    time.Duration // since the start
+	number int           // of the event scheduled last
 	queue  events
 }
 
@@ -52,4 +53,5 @@
 	}
 }
 
+// milliseconds returns a number of milliseconds as a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/simulation/routersim/engine.go
+++ b/internal/simulation/routersim/engine.go
@@ -5,15 +5,15 @@
 // Engine describes how a model server works.
 type Engine struct {
 	Slots              int     // requests that run at once
-	StepMs             float64 // of a step of the batch, which decodes a token of each running request
-	StepSlotMs         float64 // that each decoding request adds to a step
+	StepMs             float64 // time of a step of the batch, which decodes a token of each running request
+	StepSlotMs         float64 // time that each decoding request adds to a step
 	PrefillTokensPerMs float64
-	MsPerMillionPairs  float64 // that a prefill takes to compare a million pairs of tokens (attention)
-	SetupMs            float64 // of each request
+	MsPerMillionPairs  float64 // time of a prefill to compare a million pairs of tokens (attention)
+	SetupMs            float64 // time from a request's arrival until it waits for a slot
 	PrefillChunk       int     // prompt tokens that a prefill server computes in a step
-	CacheTokens        int     // of the prefix cache
-	TokenBytes         float64 // of the prefix cache for a token
-	LinkMegabits       float64 // per second, of transfers between servers
+	CacheTokens        int     // capacity of the prefix cache
+	TokenBytes         float64 // size of a token in the prefix cache
+	LinkMegabits       float64 // per second, of the link that a server fetches prefixes over
 }
 
 const (
--- a/internal/simulation/routersim/faults.go
+++ b/internal/simulation/routersim/faults.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	slowLinkFactor   = 10.0
-	slowEngineFactor = 4.0
+	slowLinkFactor   = 10.0 // on the time of a transfer
+	slowEngineFactor = 4.0  // on the time of a step
 )
 
 // Fault happens to a fraction of the live servers, drawn at random.
 type Fault struct {
-	At, Until time.Duration
-	Fraction  float64
+	At, Until time.Duration // since the start
+	Fraction  float64       // of the servers that are live at that time
 	Kind      FaultKind
 }
 
--- a/internal/simulation/routersim/fleet.go
+++ b/internal/simulation/routersim/fleet.go
@@ -17,16 +17,24 @@
 	drainTime        = 10 * time.Second // after the last arrival, for answers to end
 )
 
+// The streams of random draws of a run, as the second word of a generator's seed. The policy of each proxy
+// draws by a seed of its own (proxySeed).
+const (
+	fleetStream    = 7
+	baselineStream = 3
+	arrivalsStream = 100 // and on, one for each kind of request
+)
+
 // fleet is the state of a run.
 type fleet struct {
 	clock           clock
 	scenario        *Scenario
-	service         *fleetconfig.Service
-	random          *rand.Rand         // of servers and faults; arrivals have generators of their own
-	servers         map[string]*server // by id, dead ones included
+	service         *fleetconfig.Service // that all requests are for
+	random          *rand.Rand           // of servers and faults; arrivals have generators of their own
+	servers         map[string]*server   // by id, dead ones included
 	proxies         []*proxy
 	counts          Counts
-	publishedTables uint64       // counted, which tells the runs of a restarted server apart
+	publishedTables uint64       // their number is the incarnation of a server that starts
 	queues          serverQueues // shared by clairvoyant policies
 }
 
@@ -34,8 +42,8 @@
 func Run(scenario Scenario, policy PolicyFactory) Result {
 	engine := &scenario.Engine
 	f := &fleet{
-		scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, 7)), servers: map[string]*server{},
-		queues: serverQueues{},
+		scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, fleetStream)),
+		servers: map[string]*server{}, queues: serverQueues{},
 		service: &fleetconfig.Service{Name: "model", Engine: &fleetconfig.Engine{
 			Slots: engine.Slots, KVCacheTokens: engine.CacheTokens, KVBytesPerToken: engine.TokenBytes,
 			LinkMbps: engine.LinkMegabits, MaxTokensPerEvent: 1,
@@ -57,7 +65,7 @@
 	}
 	for i := range f.scenario.Proxies {
 		zone := zoneName(i % f.scenario.Zones)
-		p := &proxy{fleet: f, zone: zone, policy: policy.New(zone, f.scenario.Seed*1000+uint64(i))}
+		p := &proxy{fleet: f, zone: zone, policy: policy.New(zone, proxySeed(f.scenario.Seed, i))}
 		if bound, ok := p.policy.(*clairvoyant); ok {
 			bound.queues = f.queues
 		}
@@ -69,8 +77,13 @@
 	}
 }
 
+// proxySeed returns the seed of a proxy's policy; no two proxies share one in runs of up to 1000 proxies.
+func proxySeed(seed uint64, proxy int) uint64 { return seed*1000 + uint64(proxy) }
+
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
+// addServer starts a server. Number and incarnation make up its id with its role; the number determines its
+// zone.
 func (f *fleet) addServer(role catalog.Role, number, incarnation int) {
 	s := &server{
 		Server: &catalog.Server{
@@ -112,13 +125,14 @@
 // schedule schedules the arrivals and faults of the scenario.
 func (f *fleet) schedule() {
 	for i := range f.scenario.Kinds {
-		f.scheduleArrivals(i, rand.New(rand.NewPCG(f.scenario.Seed, uint64(100+i))))
+		f.scheduleArrivals(i, rand.New(rand.NewPCG(f.scenario.Seed, uint64(arrivalsStream+i))))
 	}
 	for _, fault := range f.scenario.Faults {
 		f.clock.after(fault.At, func() { f.inject(fault) })
 	}
 }
 
+// networkDelay returns the one-way delay between a zone and a server.
 func (f *fleet) networkDelay(zone string, s *server) time.Duration {
 	if s.Zone == zone {
 		return sameZoneLatency
--- a/internal/simulation/routersim/model_server.go
+++ b/internal/simulation/routersim/model_server.go
@@ -12,10 +12,10 @@
 type job struct {
 	role       scheduler.Role
 	request    *scheduler.Request
-	uncached   int // prompt tokens still to prefill
-	outputLeft int // tokens still to decode
-	urgency    int // prefills that have not started run in this order, 0 first
-	started    bool
+	uncached   int  // prompt tokens still to prefill
+	outputLeft int  // tokens still to decode
+	urgency    int  // prefills that have not started run in this order, 0 first
+	started    bool // a part of the prompt has been prefilled
 	pinned     int  // tokens of the cache that are reserved for it while it runs
 	abandoned  bool // its client has left
 
@@ -31,13 +31,13 @@
 	cache  *prefixCache
 	counts *Counts
 
-	speed          float64 // of the engine, 1 for the usual one
-	transferFactor float64 // transfers take so many times as long
-	linkFreeAt     time.Duration
+	speed          float64       // of the engine, 1 for the usual one
+	transferFactor float64       // transfers take so many times as long
+	linkFreeAt     time.Duration // when the transfers so far have ended
 
-	waiting, running []*job
-	stepping         bool
-	dead             bool
+	waiting, running []*job   // in order of arrival; running ones have a slot each
+	stepping         bool     // a step is under way
+	dead             bool     // has crashed
 	onCrash          []func() // each fails a call, unless it has ended
 }
 
--- a/internal/simulation/routersim/prefix_cache.go
+++ b/internal/simulation/routersim/prefix_cache.go
@@ -10,12 +10,13 @@
 // least recently used ones are evicted; tokens pinned by running requests are not.
 type prefixCache struct {
 	capacity, used, pinned int                      // tokens
-	segments               map[string]*list.Element // by the path of segment ids
+	segments               map[string]*list.Element // by their paths
 	byRecency              *list.List               // of cachedSegment, newest first
 }
 
+// cachedSegment is an element of prefixCache.byRecency.
 type cachedSegment struct {
-	path   string
+	path   string // see segmentPaths
 	tokens int
 }
 
@@ -25,28 +26,25 @@
 
 // cachedTokens returns how many tokens of a prompt need no prefill.
 func (c *prefixCache) cachedTokens(segments []scheduler.Segment) int {
-	tokens, path := 0, ""
-	for _, segment := range segments {
-		path += "/" + segment.ID
+	tokens := 0
+	for i, path := range segmentPaths(segments) {
 		if c.segments[path] == nil {
 			break
 		}
-		tokens += segment.Tokens
+		tokens += segments[i].Tokens
 	}
 	return tokens
 }
 
 // insert makes the segments of a prompt the most recently used ones.
 func (c *prefixCache) insert(segments []scheduler.Segment) {
-	path := ""
-	for _, segment := range segments {
-		path += "/" + segment.ID
+	for i, path := range segmentPaths(segments) {
 		if element := c.segments[path]; element != nil {
 			c.byRecency.MoveToFront(element)
 			continue
 		}
-		c.segments[path] = c.byRecency.PushFront(cachedSegment{path, segment.Tokens})
-		c.used += segment.Tokens
+		c.segments[path] = c.byRecency.PushFront(cachedSegment{path, segments[i].Tokens})
+		c.used += segments[i].Tokens
 	}
 	c.evict()
 }
@@ -57,6 +55,8 @@
 	c.evict()
 }
 
+// evict removes the least recently used segments until the cache and the pinned tokens fit into its capacity,
+// or nothing is left.
 func (c *prefixCache) evict() {
 	for c.used+c.pinned > c.capacity && c.byRecency.Len() > 0 {
 		oldest := c.byRecency.Remove(c.byRecency.Back()).(cachedSegment)
@@ -64,3 +64,13 @@
 		delete(c.segments, oldest.path)
 	}
 }
+
+// segmentPaths returns the path of each segment of a prompt: its id after those of all before it.
+func segmentPaths(segments []scheduler.Segment) []string {
+	paths, path := make([]string, len(segments)), ""
+	for i, segment := range segments {
+		path += "/" + segment.ID
+		paths[i] = path
+	}
+	return paths
+}
--- a/internal/simulation/routersim/proxy.go
+++ b/internal/simulation/routersim/proxy.go
@@ -152,6 +152,7 @@
 	}
 }
 
+// lastToken takes the end of an answer.
 func (x *exchange) lastToken(call *scheduler.Call) {
 	if x.finished || x.call != call {
 		return
@@ -175,6 +176,7 @@
 	x.route()
 }
 
+// fail ends the request, as failed where nothing of an answer has come.
 func (x *exchange) fail() {
 	x.finished = true
 	if !x.answered {
--- a/internal/simulation/routersim/result.go
+++ b/internal/simulation/routersim/result.go
@@ -39,7 +39,8 @@
 	return float64(r.SharedPrefilled) / max(float64(r.SharedTokens), 1)
 }
 
-// FirstTokenTime returns a quantile of the times to the first token.
+// FirstTokenTime returns a quantile of the times to the first token, 0 where no request got one. It sorts the
+// times in place.
 func (r *Result) FirstTokenTime(quantile float64) time.Duration {
 	if len(r.firstTokenTimes) == 0 {
 		return 0
--- a/internal/simulation/routersim/scenarios.go
+++ b/internal/simulation/routersim/scenarios.go
@@ -12,20 +12,21 @@
 
 // Drafts returns three kinds of requests: with long, middling and short prompts.
 func Drafts() []Kind {
-	const prompts, answers = 0.9, 0.8
 	return []Kind{
 		{
-			Name: "long", PerSecond: 9, Shared: []SharedSegment{{Things: 70, Tokens: 13000, Spread: 0.6}}, Own: 3700,
-			Spread: prompts, Output: 15,
+			Name: "long", PerSecond: 9, Shared: []SharedSegment{{Things: 70, Tokens: 13000, Spread: 0.6}},
+			Own: 3700, Spread: 0.9, Output: 15,
 			LatencyTarget: 800 * time.Millisecond, Deadline: 6 * time.Second, Value: 2,
 		}, {
 			Name: "middling", PerSecond: 6.5, Shared: []SharedSegment{
-				{Things: 4, Tokens: 2500, Spread: 0.4}, {Things: 100, Tokens: 3800, Spread: 0.6}}, Own: 2900,
-			Spread: prompts, Output: 7, LatencyTarget: 600 * time.Millisecond, Deadline: 4 * time.Second, Value: 3,
+				{Things: 4, Tokens: 2500, Spread: 0.4}, {Things: 100, Tokens: 3800, Spread: 0.6}},
+			Own: 2900, Spread: 0.9, Output: 7,
+			LatencyTarget: 600 * time.Millisecond, Deadline: 4 * time.Second, Value: 3,
 		}, {
 			Name: "short", PerSecond: 10, Shared: []SharedSegment{
-				{Things: 8, Tokens: 200, Spread: 0.4}, {Things: 80, Tokens: 150, Spread: 0.6}}, Own: 1100,
-			Spread: answers, Output: 20, LatencyTarget: 500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1,
+				{Things: 8, Tokens: 200, Spread: 0.4}, {Things: 80, Tokens: 150, Spread: 0.6}},
+			Own: 1100, Spread: 0.8, Output: 20,
+			LatencyTarget: 500 * time.Millisecond, Deadline: 6 * time.Second, Value: 1,
 		},
 	}
 }
@@ -57,19 +58,19 @@
 		},
 	}
 	return Scenario{
-		Name: "galleries", Seed: seed, Length: 34 * time.Second, Zones: 3, Proxies: 23, PrefillServers: 20,
-		DecodeServers: 9,
-		Engine:        engine, Kinds: kinds, RateFactor: 1, ListingDelay: 1500 * time.Millisecond,
-		PeerLoadDelay: 60 * time.Millisecond,
+		Name: "galleries", Seed: seed, Length: 34 * time.Second,
+		Zones: 3, Proxies: 23, PrefillServers: 20, DecodeServers: 9,
+		Engine: engine, Kinds: kinds, RateFactor: 1,
+		ListingDelay: 1500 * time.Millisecond, PeerLoadDelay: 60 * time.Millisecond,
 	}
 }
 
 // Calm is a small fleet on a usual day.
 func Calm(seed uint64) Scenario {
 	return Scenario{
-		Name: "calm", Seed: seed, Length: 40 * time.Second, Zones: 3, Proxies: 10, PrefillServers: 7,
-		DecodeServers: 11,
-		Engine:        ModelEngine(), SpeedSpread: 0.1, Kinds: Drafts(), RateFactor: 1,
+		Name: "calm", Seed: seed, Length: 40 * time.Second,
+		Zones: 3, Proxies: 10, PrefillServers: 7, DecodeServers: 11,
+		Engine: ModelEngine(), SpeedSpread: 0.1, Kinds: Drafts(), RateFactor: 1,
 		ListingDelay: 1500 * time.Millisecond,
 	}
 }
@@ -99,8 +100,8 @@
 			return s
 		}
 	}
-	during := func(kind FaultKind, share float64) []Fault {
-		return []Fault{{At: 10 * time.Second, Until: 25 * time.Second, Fraction: share, Kind: kind}}
+	during := func(kind FaultKind, fraction float64) []Fault {
+		return []Fault{{At: 10 * time.Second, Until: 25 * time.Second, Fraction: fraction, Kind: kind}}
 	}
 	return []func(seed uint64) Scenario{
 		vary("few things, asked often", func(s *Scenario) { s.Kinds[0].Shared[0].Things, s.RateFactor = 4, 1.5 }),
@@ -109,12 +110,12 @@
 		vary("a fifth crash", func(s *Scenario) { s.Faults = during(Crash, 0.2) }),
 		vary("quick prefill servers", func(s *Scenario) { s.Engine.PrefillTokensPerMs, s.RateFactor = 120, 3 }),
 		vary("slow engines", func(s *Scenario) {
-			s.Engine.PrefillTokensPerMs, s.Engine.StepMs, s.RateFactor = 12,
-				20, 0.3
+			s.Engine.PrefillTokensPerMs, s.Engine.StepMs = 12, 20
+			s.RateFactor = 0.3
 		}),
 		vary("140 servers", func(s *Scenario) {
-			s.PrefillServers, s.DecodeServers, s.Proxies, s.RateFactor = 56,
-				84, 40, 8
+			s.PrefillServers, s.DecodeServers, s.Proxies = 56, 84, 40
+			s.RateFactor = 8
 		}),
 	}
 }
