--- a/internal/simulation/labcli/run.go
+++ b/internal/simulation/labcli/run.go
@@ -15,6 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"cresshub/internal/simulation/experiment"
+	"cresshub/internal/simulation/proxysim"
 )
 
 // newRun is the command run.
@@ -150,30 +151,43 @@
 		Policies []policyResult `json:"policies"`
 	}{Scenario: s.Header.Scenario, Seed: s.Header.Seed, Wall: wall.Seconds()}
 	for _, cell := range s.Cells() {
-		p := policyResult{Name: cell.Policy, Days: len(cell.Days), Rules: map[string]int{},
-			CI: map[string]float64{}, Metrics: map[string]float64{}}
-		for _, d := range cell.Days {
-			r := d.Result
-			out.Events += r.Events
-			p.Requests, p.Served = p.Requests+r.Requests, p.Served+r.Served
-			p.Refused, p.Failed = p.Refused+r.Refused, p.Failed+r.Failed
-			for rule, n := range r.Rules {
-				p.Rules[rule] += n
-			}
-			if r.Warning != "" && !slices.Contains(p.Notes, r.Warning) {
-				p.Notes = append(p.Notes, r.Warning)
-			}
-		}
-		for _, m := range experiment.MetricNames() {
-			e := experiment.EstimateOf(cell.Figures(m))
-			p.Metrics[m] = e.Mean
-			if !math.IsNaN(e.Half) {
-				p.CI[m] = e.Half
-			}
+		for _, day := range cell.Days {
+			out.Events += day.Result.Events
 		}
-		p.Mean, p.Times, p.P50 = p.Metrics["mean_ms"], p.Metrics["mean_service_times"], p.Metrics["p50_ms"]
-		p.P99, p.Service = p.Metrics["p99_ms"], p.Metrics["service"]
-		out.Policies = append(out.Policies, p)
+		out.Policies = append(out.Policies, newPolicyResult(cell))
 	}
 	return json.NewEncoder(w).Encode(out)
 }
+
+// newPolicyResult returns the sums and estimates of a policy's days.
+func newPolicyResult(cell *experiment.Cell) policyResult {
+	p := policyResult{Name: cell.Policy, Days: len(cell.Days), Rules: map[string]int{},
+		CI: map[string]float64{}, Metrics: map[string]float64{}}
+	for _, day := range cell.Days {
+		p.addDay(day.Result)
+	}
+	for _, metric := range experiment.MetricNames() {
+		estimate := experiment.EstimateOf(cell.Figures(metric))
+		p.Metrics[metric] = estimate.Mean
+		if !math.IsNaN(estimate.Half) {
+			p.CI[metric] = estimate.Half
+		}
+	}
+	p.Mean, p.Times, p.P50 = p.Metrics["mean_ms"], p.Metrics["mean_service_times"], p.Metrics["p50_ms"]
+	p.P99, p.Service = p.Metrics["p99_ms"], p.Metrics["service"]
+	return p
+}
+
+// addDay adds the counts of a day.
+func (p *policyResult) addDay(result *proxysim.Result) {
+	p.Requests += result.Requests
+	p.Served += result.Served
+	p.Refused += result.Refused
+	p.Failed += result.Failed
+	for rule, violations := range result.Rules {
+		p.Rules[rule] += violations
+	}
+	if result.Warning != "" && !slices.Contains(p.Notes, result.Warning) {
+		p.Notes = append(p.Notes, result.Warning)
+	}
+}
