--- a/internal/simulation/agentsim/absences.go
+++ b/internal/simulation/agentsim/absences.go
@@ -19,9 +19,9 @@
 
 	fleet    *Fleet
 	relevant func(*Machine, *Server) bool
-	stop     chan struct{}
-	ended    chan struct{}
-	open     map[absence]time.Duration // since when
+	stop     chan struct{}             // closed to end the watch
+	ended    chan struct{}             // closed when it has ended
+	open     map[absence]time.Duration // absences that last, since when
 	lines    []string
 	total    time.Duration // over all pairs of a machine and a server
 }
@@ -33,8 +33,8 @@
 func Everywhere(*Machine, *Server) bool { return true }
 
 // WatchAbsences begins to poll the server tables of the machines that run, for the relevant pairs.
-func (f *Fleet) WatchAbsences(about func(*Machine, *Server) bool) *Absences {
-	a := &Absences{fleet: f, relevant: about, stop: make(chan struct{}), ended: make(chan struct{}),
+func (f *Fleet) WatchAbsences(relevant func(*Machine, *Server) bool) *Absences {
+	a := &Absences{fleet: f, relevant: relevant, stop: make(chan struct{}), ended: make(chan struct{}),
 		open: map[absence]time.Duration{}}
 	go a.run()
 	return a
@@ -51,6 +51,7 @@
 	return strings.Join(a.lines, "\n"), a.total
 }
 
+// run polls until the watch is stopped.
 func (a *Absences) run() {
 	defer close(a.ended)
 	for {
@@ -63,6 +64,7 @@
 	}
 }
 
+// check records the absences of now.
 func (a *Absences) check() {
 	for _, m := range a.fleet.Running() {
 		for _, s := range a.fleet.allServers() {
@@ -71,12 +73,14 @@
 	}
 }
 
+// missing reports whether a machine does not know a server that it should know.
 func (a *Absences) missing(m *Machine, s *Server) bool {
 	p := m.process.Load()
 	return p != nil && a.relevant(m, s) && s.Serving() && s.acknowledgedFor(newServerTime) &&
 		p.node.Servers().ByID(s.ID) == nil && a.fleet.Network.Reaches(m.IP, s.IP)
 }
 
+// record begins an absence, or ends one.
 func (a *Absences) record(each absence, missing bool) {
 	_, open := a.open[each]
 	switch {
@@ -87,6 +91,7 @@
 	}
 }
 
+// end reports an absence that lasted beyond what is tolerated.
 func (a *Absences) end(each absence) {
 	since, now := a.open[each], a.fleet.Now()
 	delete(a.open, each)
--- a/internal/simulation/agentsim/eventlog.go
+++ b/internal/simulation/agentsim/eventlog.go
@@ -27,6 +27,7 @@
 	machine, server, reason string
 }
 
+// add adds a line with the present time.
 func (l *eventLog) add(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulation/agentsim/fleet.go
+++ b/internal/simulation/agentsim/fleet.go
@@ -54,11 +54,11 @@
 
 	mu sync.Mutex // guards Machines and Servers where other goroutines than the test's read them
 
-	began   time.Time
-	folder  string // of all disks
-	log     *eventLog
-	done    chan struct{}  // closed when servers and operators are to end
-	parties sync.WaitGroup // servers
+	began      time.Time
+	folder     string // of all disks
+	log        *eventLog
+	done       chan struct{}  // closed when servers and operators are to end
+	background sync.WaitGroup // goroutines that end with done: of servers, and of tests
 	// processes are those of machines, until all of their goroutines have ended.
 	processes sync.WaitGroup
 }
@@ -85,7 +85,7 @@
 // Close ends all processes and servers, and logs the events where the test has failed.
 func (f *Fleet) Close() {
 	close(f.done)
-	f.parties.Wait()
+	f.background.Wait()
 	f.kill(f.Machines...)
 	f.processes.Wait()
 	time.Sleep(goroutineGrace) // goroutines of the processes end at their next timer
--- a/internal/simulation/agentsim/history.go
+++ b/internal/simulation/agentsim/history.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"sync"
 	"time"
@@ -16,13 +17,17 @@
 	gets      []*getCall
 }
 
-// callRecord is what all calls have in common. ended is 0 while a call is under way.
+// callRecord is what all calls have in common.
 type callRecord struct {
-	machine      string
-	began, ended time.Duration
-	status       int // 0 where no answer came
+	machine string        // name of the machine that was called
+	began   time.Duration // since the fleet began
+	ended   time.Duration // 0 while the call is under way
+	status  int           // of HTTP; 0 where no answer came
 }
 
+// changeID identifies a change by what a read returns of it.
+type changeID struct{ version, variant int64 }
+
 // putCall is a call that sends a change.
 type putCall struct {
 	callRecord
@@ -32,7 +37,7 @@
 // getCall is a call that reads the configuration.
 type getCall struct {
 	callRecord
-	version, variant int64
+	version, variant int64 // that were read; 0 without an answer
 }
 
 func (h *History) beginPut(now time.Duration, machine string, c Change) *putCall {
@@ -69,7 +74,7 @@
 	defer h.mu.Unlock()
 	newest := int64(0)
 	for _, call := range h.puts {
-		if call.status == 200 {
+		if call.status == http.StatusOK {
 			newest = max(newest, call.change.Version)
 		}
 	}
@@ -90,7 +95,7 @@
 func (h *History) committed() (map[int64]Change, []string) {
 	var violations []string
 	committed := map[int64]Change{}
-	putChanges := map[[2]int64]Change{} // by version and variant
+	putChanges := map[changeID]Change{}
 	commit := func(c Change, how string) {
 		if known, ok := committed[c.Version]; ok && known != c {
 			violations = append(violations, fmt.Sprintf("%+v was %s, and %+v had been taken", c, how, known))
@@ -98,16 +103,16 @@
 		committed[c.Version] = c
 	}
 	for _, call := range h.puts {
-		putChanges[[2]int64{call.change.Version, call.change.Variant}] = call.change
-		if call.status == 200 {
+		putChanges[changeID{call.change.Version, call.change.Variant}] = call.change
+		if call.status == http.StatusOK {
 			commit(call.change, "acknowledged")
 		}
 	}
 	for _, call := range h.gets {
-		if call.status != 200 {
+		if call.status != http.StatusOK {
 			continue
 		}
-		c, ok := putChanges[[2]int64{call.version, call.variant}]
+		c, ok := putChanges[changeID{call.version, call.variant}]
 		if !ok {
 			violations = append(violations,
 				fmt.Sprintf("%s read version %d, which nobody sent", call.machine, call.version))
@@ -139,17 +144,17 @@
 func (h *History) checkReads() []string {
 	var violations []string
 	for _, call := range h.gets {
-		if call.status != 200 {
+		if call.status != http.StatusOK {
 			continue
 		}
 		floor := int64(0)
 		for _, put := range h.puts {
-			if put.status == 200 && put.ended <= call.began {
+			if put.status == http.StatusOK && put.ended <= call.began {
 				floor = max(floor, put.change.Version)
 			}
 		}
 		for _, earlier := range h.gets {
-			if earlier.status == 200 && earlier.ended <= call.began {
+			if earlier.status == http.StatusOK && earlier.ended <= call.began {
 				floor = max(floor, earlier.version)
 			}
 		}
@@ -166,7 +171,7 @@
 func (h *History) checkRejections(committed map[int64]Change) []string {
 	var violations []string
 	for _, call := range h.puts {
-		if call.status != 412 {
+		if call.status != http.StatusPreconditionFailed {
 			continue
 		}
 		if committed[call.change.Version] == call.change {
--- a/internal/simulation/agentsim/machine.go
+++ b/internal/simulation/agentsim/machine.go
@@ -37,12 +37,13 @@
 	node     *agent.Agent
 	network  *simnet.Process
 	settings *agentsettings.Settings
-	stop     chan struct{}
-	stopped  atomic.Bool
-	ended    chan struct{}
-	dead     atomic.Bool
+	stop     chan struct{} // closed to end the process
+	stopped  atomic.Bool   // stop is closed
+	ended    chan struct{} // closed when the process has ended
+	dead     atomic.Bool   // it was killed; what it still does has no effect
 }
 
+// addMachine adds a machine, which has no process yet.
 func (f *Fleet) addMachine(number int, disk bool) *Machine {
 	ip := fmt.Sprintf("10.0.0.%d", number+1)
 	m := &Machine{Name: fmt.Sprintf("m%02d", number), IP: ip, Zone: fmt.Sprintf("zone-%d", number%zoneCount),
--- a/internal/simulation/agentsim/operator.go
+++ b/internal/simulation/agentsim/operator.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math/rand"
+	"net/http"
 	"slices"
 	"strconv"
 	"sync"
@@ -19,12 +20,16 @@
 	serviceName = "model"
 	// baseTimeout is the timeout of the one route in ms, to which a change's variant is added.
 	baseTimeout = 5000
+	// An operator waits between two attempts to send a change, at first for minBackoff.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
 )
 
 // Change is a change of the configuration. Two changes to one version differ by their variants.
 type Change struct {
-	Base, Version int64
-	Variant       int64
+	Base    int64 // the version that it builds on
+	Version int64 // that it makes
+	Variant int64
 }
 
 // document returns the configuration after a change.
@@ -81,7 +86,7 @@
 }
 
 // variantOf returns the version and the variant of the change that a document results from.
-func variantOf(body []byte) (version, mark int64, err error) {
+func variantOf(body []byte) (version, variant int64, err error) {
 	var d routerstandin.Document
 	if err := json.Unmarshal(body, &d); err != nil {
 		return 0, 0, err
@@ -97,7 +102,7 @@
 	history *History
 
 	mu     sync.Mutex
-	random *rand.Rand
+	random *rand.Rand // guarded by mu
 }
 
 // AddOperator adds an operator that records its calls in a history.
@@ -125,17 +130,17 @@
 // duration has passed, in which case it returns 0. Each answer is lost with a probability; the change is then
 // sent again.
 func (o *Operator) PutUntil(machines []*Machine, c Change, within time.Duration, loss float64) int {
-	until := o.fleet.Now() + within
-	backoff := 50 * time.Millisecond
-	for o.fleet.Now() < until {
+	deadline := o.fleet.Now() + within
+	backoff := minBackoff
+	for o.fleet.Now() < deadline {
 		for _, m := range o.shuffled(machines) {
 			status := o.Put(m, c)
-			if (status == 200 || status == 412) && !o.chance(loss) {
+			if (status == http.StatusOK || status == http.StatusPreconditionFailed) && !o.chance(loss) {
 				return status
 			}
 			time.Sleep(backoff)
-			backoff = min(backoff*2, 400*time.Millisecond)
-			if o.fleet.Now() >= until {
+			backoff = min(backoff*2, maxBackoff)
+			if o.fleet.Now() >= deadline {
 				return 0
 			}
 		}
@@ -147,7 +152,7 @@
 func (o *Operator) Get(m *Machine) (version int64, status int) {
 	call := o.history.beginGet(o.fleet.Now(), m.Name)
 	answer, err := callFrom(o.network, m.Control(), controlclient.Call{Method: "GET", Target: "/api/config"})
-	if err != nil || answer.Status != 200 {
+	if err != nil || answer.Status != http.StatusOK {
 		if err == nil {
 			status = answer.Status
 		}
@@ -158,10 +163,11 @@
 	if err != nil {
 		o.fleet.TB.Error(err)
 	}
-	o.history.endGet(call, o.fleet.Now(), 200, version, variant)
-	return version, 200
+	o.history.endGet(call, o.fleet.Now(), http.StatusOK, version, variant)
+	return version, http.StatusOK
 }
 
+// shuffled returns machines in a random order.
 func (o *Operator) shuffled(machines []*Machine) []*Machine {
 	shuffled := slices.Clone(machines)
 	o.mu.Lock()
@@ -170,6 +176,7 @@
 	return shuffled
 }
 
+// chance draws whether something of a probability happens.
 func (o *Operator) chance(p float64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/simulation/agentsim/orders_test.go
+++ b/internal/simulation/agentsim/orders_test.go
@@ -89,7 +89,7 @@
 // that orders are needed all the time.
 func (f *Fleet) disturbStages() chan struct{} {
 	stop := make(chan struct{})
-	f.parties.Go(func() {
+	f.background.Go(func() {
 		for turn := 0; ; turn++ {
 			if s := f.Servers[turn%len(f.Servers)]; !s.Ordered(orderedTime) {
 				s.SetStage(prefillStage)
--- a/internal/simulation/agentsim/server.go
+++ b/internal/simulation/agentsim/server.go
@@ -45,19 +45,19 @@
 	stop     chan struct{}
 	stopOnce sync.Once
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards what follows
 	random     *rand.Rand
 	state      serverState
-	sequence   int64
-	forward    string
-	ackedBy    string    // control address that acknowledged last
-	lastAcked  time.Time // when that was
-	firstAcked time.Time // when a heartbeat was acknowledged for the first time
-	longestGap time.Duration
-	stage      string
-	switching  bool
-	fence      uint64 // the highest observed
-	orders     []Order
+	sequence   int64         // of the newest heartbeat
+	forward    string        // control address that an answer named for the next call, or ""
+	ackedBy    string        // control address that acknowledged last
+	lastAcked  time.Time     // when that was
+	firstAcked time.Time     // when a heartbeat was acknowledged for the first time
+	longestGap time.Duration // between two acknowledgements
+	stage      string        // "" in a fleet without stages
+	switching  bool          // an accepted order is being carried out
+	fence      uint64        // the highest observed
+	orders     []Order       // all that have come
 }
 
 // AddServer starts a server, whose first heartbeat goes to the control address named, if any.
@@ -77,7 +77,7 @@
 	f.mu.Lock()
 	f.Servers = append(f.Servers, s)
 	f.mu.Unlock()
-	f.parties.Go(s.run)
+	f.background.Go(s.run)
 	return s
 }
 
--- a/internal/simulation/agentsim/server_orders.go
+++ b/internal/simulation/agentsim/server_orders.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"net"
+	"net/http"
 	"slices"
 	"time"
 
@@ -30,7 +31,9 @@
 // Ordered reports whether the server accepted an order within a duration until now.
 func (s *Server) Ordered(within time.Duration) bool {
 	now := s.fleet.Now()
-	return slices.ContainsFunc(s.Orders(), func(o Order) bool { return o.Status == 202 && now-o.At < within })
+	return slices.ContainsFunc(s.Orders(), func(o Order) bool {
+		return o.Status == http.StatusAccepted && now-o.At < within
+	})
 }
 
 // listen serves stage orders and health checks until the fleet ends or the server crashes.
@@ -39,7 +42,7 @@
 	if err != nil {
 		s.fleet.TB.Fatal(err)
 	}
-	s.fleet.parties.Go(func() {
+	s.fleet.background.Go(func() {
 		<-s.fleet.done
 		s.network.Kill()
 	})
@@ -78,7 +81,7 @@
 	if call.Method == "POST" && call.Path == "/api/order" {
 		return s.takeOrder(from, call)
 	}
-	answer := controlserver.Text(200, "well")
+	answer := controlserver.Text(http.StatusOK, "well")
 	answer.Header = append(answer.Header, http1.Field{Name: "Cresshub-Server-Id", Value: s.ID})
 	return answer
 }
@@ -90,18 +93,18 @@
 		Fence                uint64
 	}
 	if json.Unmarshal(call.Body, &body) != nil || body.Holder == "" || body.Fence == 0 {
-		return controlserver.Text(400, "no holder or no fence")
+		return controlserver.Text(http.StatusBadRequest, "no holder or no fence")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	expect := call.Header.Get("Cresshub-Expect-Server")
 	status := s.orderStatus(body.Stage, body.Fence)
 	if expect != "" && expect != s.ID {
-		status = 421
+		status = http.StatusMisdirectedRequest
 	}
 	s.orders = append(s.orders, Order{s.fleet.Now(), from, body.Holder, body.Fence, status, expect})
 	s.fleet.Logf("%s got an order of %s, fence %d: %d", s.ID, from, body.Fence, status)
-	if status == 202 {
+	if status == http.StatusAccepted {
 		s.switching = true
 		time.AfterFunc(stageSwitch, func() {
 			s.mu.Lock()
@@ -116,15 +119,15 @@
 func (s *Server) orderStatus(stage string, fence uint64) int {
 	switch {
 	case s.fleet.Options.Fenced && fence < s.fence:
-		return 412
+		return http.StatusPreconditionFailed
 	case s.switching:
-		return 409
+		return http.StatusConflict
 	}
 	s.fence = max(s.fence, fence)
 	if stage == s.stage {
-		return 200
+		return http.StatusOK
 	}
-	return 202
+	return http.StatusAccepted
 }
 
 // SetStage sets the stage, as a restart of the server with it does.
