--- a/internal/simulation/labcli/compare.go
+++ b/internal/simulation/labcli/compare.go
@@ -16,33 +16,33 @@
 
 // newCompare is the command compare.
 func newCompare() *cobra.Command {
-	var o playFlags
+	var flags playFlags
 	var metrics []string
 	c := &cobra.Command{
 		Use: "compare FILE", Short: "Tell whether two policies differ on the same days",
 		Example: "  cresshub-lab compare snowy-evening --policy module,two-choices --repeat 12",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			h, err := o.header(args[0])
+			header, err := flags.header(args[0])
 			if err != nil {
 				return err
 			}
-			if len(h.Policies) < 2 {
-				return cli.UsageErrorf("--policy names %d, two or more are wanted", len(h.Policies))
+			if len(header.Policies) < 2 {
+				return cli.UsageErrorf("--policy names %d, two or more are wanted", len(header.Policies))
 			}
-			for _, m := range metrics {
-				if !experiment.KnownMetric(m) {
-					return cli.UsageErrorf("--metric %q is none of %s", m, strings.Join(experiment.MetricNames(), ", "))
+			for _, metric := range metrics {
+				if !experiment.KnownMetric(metric) {
+					return cli.UsageErrorf("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
 				}
 			}
-			s, err := o.play(c, h)
+			store, err := flags.play(c, header)
 			if err != nil {
 				return err
 			}
-			return printCompare(c.OutOrStdout(), s, metrics, o.json)
+			return printCompare(c.OutOrStdout(), store, metrics, flags.json)
 		},
 	}
-	o.add(c)
+	flags.add(c)
 	c.Flags().StringSliceVar(&metrics, "metric", []string{"service", "mean_ms", "p99_ms", "refused"},
 		"what is compared")
 	return c
@@ -60,20 +60,21 @@
 			if !experiment.KnownMetric(metric) {
 				return cli.UsageErrorf("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
 			}
-			a, err := experiment.Read(args[0])
+			before, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
-			b, err := experiment.Read(args[1])
+			after, err := experiment.Read(args[1])
 			if err != nil {
 				return err
 			}
-			d := experiment.PairStores(a, b, metric)
+			difference := experiment.PairStores(before, after, metric)
 			verdict := "a difference"
-			if d.Noise {
+			if difference.Noise {
 				verdict = "noise"
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "%+.4f ±%.4f over %d days: %s\n", d.Mean, d.Half, d.N, verdict)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "%+.4f ±%.4f over %d days: %s\n", difference.Mean,
+				difference.Half, difference.N, verdict)
 			return err
 		},
 	}
@@ -82,7 +83,7 @@
 }
 
 // printCompare prints the paired differences of all policies from the first one.
-func printCompare(w io.Writer, s *experiment.Store, metrics []string, asJSON bool) error {
+func printCompare(w io.Writer, store *experiment.Store, metrics []string, asJSON bool) error {
 	type row struct {
 		A       string   `json:"a"`
 		B       string   `json:"b"`
@@ -93,13 +94,13 @@
 		Repeats int      `json:"repeats_to_settle"`
 	}
 	rows := []row{}
-	cells := s.Cells()
-	for _, b := range cells[1:] {
-		for _, m := range metrics {
-			d := experiment.Paired(cells[0].Figures(m), b.Figures(m))
-			r := row{cells[0].Policy, b.Policy, m, d.Mean, nil, d.Noise, d.Repeats}
-			if !math.IsNaN(d.Half) {
-				r.Half = &d.Half
+	cells := store.Cells()
+	for _, other := range cells[1:] {
+		for _, metric := range metrics {
+			difference := experiment.Paired(cells[0].Figures(metric), other.Figures(metric))
+			r := row{cells[0].Policy, other.Policy, metric, difference.Mean, nil, difference.Noise, difference.Repeats}
+			if !math.IsNaN(difference.Half) {
+				r.Half = &difference.Half
 			}
 			rows = append(rows, r)
 		}
--- a/internal/simulation/labcli/labcli.go
+++ b/internal/simulation/labcli/labcli.go
@@ -64,26 +64,26 @@
 
 // header returns the experiment that the flags describe, or what is wrong with them or the scenario.
 func (o *playFlags) header(scenario string) (experiment.Header, error) {
-	h := experiment.Header{Scenario: scenario, Seed: o.seed, Repeat: o.repeat, K: o.k, Lambda: o.lambda,
+	header := experiment.Header{Scenario: scenario, Seed: o.seed, Repeat: o.repeat, K: o.k, Lambda: o.lambda,
 		Policies: o.policies}
 	if len(o.policies) == 1 && o.policies[0] == "all" {
-		h.Policies = proxysim.Policies
+		header.Policies = proxysim.Policies
 	}
-	for _, p := range h.Policies {
-		if !slices.Contains(proxysim.Policies, p) {
-			return h, cli.UsageErrorf("--policy %q is none of %s", p, strings.Join(proxysim.Policies, ", "))
+	for _, policy := range header.Policies {
+		if !slices.Contains(proxysim.Policies, policy) {
+			return header, cli.UsageErrorf("--policy %q is none of %s", policy, strings.Join(proxysim.Policies, ", "))
 		}
 	}
 	if o.repeat < 1 || o.repeat > 10000 {
-		return h, cli.UsageErrorf("--repeat %d is out of range, 1 to 10000 is allowed", o.repeat)
+		return header, cli.UsageErrorf("--repeat %d is out of range, 1 to 10000 is allowed", o.repeat)
 	}
 	var err error
-	if h.Set, err = parseSet(o.set); err != nil {
-		return h, err
+	if header.Set, err = parseSet(o.set); err != nil {
+		return header, err
 	}
 	// Errors of the scenario are reported before anything is run.
-	_, err = experiment.Load(scenario, h.Set)
-	return h, err
+	_, err = experiment.Load(scenario, header.Set)
+	return header, err
 }
 
 // parseSet parses the values of the flag --set.
@@ -100,31 +100,32 @@
 }
 
 // play runs the days of an experiment that are missing. An interrupt retains those that have ended.
-func (o *playFlags) play(c *cobra.Command, h experiment.Header) (*experiment.Store, error) {
+func (o *playFlags) play(c *cobra.Command, header experiment.Header) (*experiment.Store, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	s := &experiment.Store{Header: h}
+	store := &experiment.Store{Header: header}
 	if o.out != "" {
 		var err error
-		if s, err = experiment.Open(o.out, h); err != nil {
+		if store, err = experiment.Open(o.out, header); err != nil {
 			return nil, err
 		}
-		defer func() { _ = s.Close() }() // a failed write of a day is returned by Add
+		defer func() { _ = store.Close() }() // a failed write of a day is returned by Add
 	}
-	missing := s.Missing()
+	missing := store.Missing()
 	show, end := progress(c.ErrOrStderr(), len(missing))
 	defer end()
-	err := experiment.PlayAll(ctx, h.Scenario, h.Set, missing, o.jobs, o.strict,
-		func(d *experiment.RunResult) error {
+	err := experiment.PlayAll(ctx, header.Scenario, header.Set, missing, o.jobs, o.strict,
+		func(day *experiment.RunResult) error {
 			show()
-			return s.Add(d)
+			return store.Add(day)
 		})
 	if ctx.Err() != nil {
 		where := "; with --out they would have been kept"
 		if o.out != "" {
 			where = "; the same call goes on from there"
 		}
-		return s, fmt.Errorf("interrupted with %d of %d days played%s", len(s.Days), len(h.Jobs()), where)
+		return store, fmt.Errorf("interrupted with %d of %d days played%s", len(store.Days),
+			len(header.Jobs()), where)
 	}
-	return s, err
+	return store, err
 }
--- a/internal/simulation/labcli/plot.go
+++ b/internal/simulation/labcli/plot.go
@@ -18,11 +18,11 @@
 		Example: "  cresshub-lab plot age.jsonl --metric mean_service_times --log-x -o age.svg",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := experiment.Read(args[0])
+			store, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
-			svg, err := s.Plot(metric, logX, logY)
+			svg, err := store.Plot(metric, logX, logY)
 			if err != nil {
 				return err
 			}
@@ -45,12 +45,12 @@
 		Example: "  cresshub-lab report hall.jsonl -o hall.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := experiment.Read(args[0])
+			store, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
 			var b bytes.Buffer
-			if err := s.Report(&b); err != nil {
+			if err := store.Report(&b); err != nil {
 				return err
 			}
 			return writeFile(c.OutOrStdout(), out, b.Bytes())
--- a/internal/simulation/labcli/rig.go
+++ b/internal/simulation/labcli/rig.go
@@ -95,26 +95,26 @@
 	if err != nil {
 		return nil, err
 	}
-	err = r.rig.run(func(ctx context.Context, o clusterrig.Options) error {
-		o.Seed = r.seed
+	err = r.rig.run(func(ctx context.Context, options clusterrig.Options) error {
+		options.Seed = r.seed
 		if r.log != "" {
-			f, err := os.Create(r.log)
+			file, err := os.Create(r.log)
 			if err != nil {
 				return err
 			}
-			defer f.Close()
-			o.Log = f
+			defer file.Close()
+			options.Log = file
 		}
 		var record io.Writer
 		if r.out != "" {
-			f, err := os.Create(r.out)
+			file, err := os.Create(r.out)
 			if err != nil {
 				return err
 			}
-			defer f.Close()
-			record = f
+			defer file.Close()
+			record = file
 		}
-		report, err = clusterrig.Play(ctx, sc, o, record)
+		report, err = clusterrig.Play(ctx, sc, options, record)
 		return err
 	})
 	return report, err
@@ -122,28 +122,28 @@
 
 // printRig writes the plot of a report, if a path is given, and prints the report. It is an error if
 // something expected did not occur.
-func printRig(w io.Writer, rep *clusterrig.Report, plot string, asJSON bool) error {
+func printRig(w io.Writer, report *clusterrig.Report, plot string, asJSON bool) error {
 	if plot != "" {
-		f, err := os.Create(plot)
+		file, err := os.Create(plot)
 		if err != nil {
 			return err
 		}
-		if err := rep.Plot(f); err != nil {
-			f.Close()
+		if err := report.Plot(file); err != nil {
+			file.Close()
 			return err
 		}
-		if err := f.Close(); err != nil {
+		if err := file.Close(); err != nil {
 			return err
 		}
 	}
 	var err error
 	if asJSON {
-		err = json.NewEncoder(w).Encode(rep)
+		err = json.NewEncoder(w).Encode(report)
 	} else {
-		err = rep.Print(w)
+		err = report.Print(w)
 	}
-	if err == nil && rep.Failures > 0 {
-		err = fmt.Errorf("%d things expected did not come, or members were dead that were not", rep.Failures)
+	if err == nil && report.Failures > 0 {
+		err = fmt.Errorf("%d things expected did not come, or members were dead that were not", report.Failures)
 	}
 	return err
 }
--- a/internal/simulation/labcli/rigtrials.go
+++ b/internal/simulation/labcli/rigtrials.go
@@ -95,14 +95,14 @@
 		Example: "  cresshub rig lists --members 5,10,30", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var rows []*clusterrig.ListCalls
-			for _, n := range members {
-				if n < 3 || n > 30 {
+			for _, count := range members {
+				if count < 3 || count > 30 {
 					return cli.UsageErrorf("--members 3 to 30 are allowed")
 				}
 				for _, owned := range []bool{false, true} {
 					err := rig.run(func(ctx context.Context, o clusterrig.Options) error {
-						r, err := clusterrig.CountListCalls(ctx, o, n, owned)
-						rows = append(rows, r)
+						calls, err := clusterrig.CountListCalls(ctx, o, count, owned)
+						rows = append(rows, calls)
 						return err
 					})
 					if err != nil {
@@ -112,9 +112,9 @@
 			}
 			return printRows(c, rig.json, rows,
 				"members\towner\tstart\tquiet\trolling\toutage\tat once\tseconds\tcalls a minute\t",
-				func(t *table, r *clusterrig.ListCalls) {
-					t.row("%d\t%v\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t", r.Members, r.Owner, r.Start, r.Quiet,
-						r.Rolling, r.Outage, r.AtOnce, r.Seconds, r.Minute)
+				func(t *table, calls *clusterrig.ListCalls) {
+					t.row("%d\t%v\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t", calls.Members, calls.Owner, calls.Start, calls.Quiet,
+						calls.Rolling, calls.Outage, calls.AtOnce, calls.Seconds, calls.Minute)
 				})
 		},
 	}
@@ -132,12 +132,12 @@
 		Example: "  cresshub rig herd --members 8,24,48", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var rows []*clusterrig.RestartStorm
-			for _, n := range members {
-				if n < 3 || n > 48 {
+			for _, count := range members {
+				if count < 3 || count > 48 {
 					return cli.UsageErrorf("--members 3 to 48 are allowed")
 				}
 				err := rig.run(func(ctx context.Context, o clusterrig.Options) error {
-					storm, err := clusterrig.RunRestartStorm(ctx, o, n)
+					storm, err := clusterrig.RunRestartStorm(ctx, o, count)
 					rows = append(rows, storm)
 					return err
 				})
--- a/internal/simulation/labcli/run.go
+++ b/internal/simulation/labcli/run.go
@@ -20,7 +20,7 @@
 
 // newRun is the command run.
 func newRun() *cobra.Command {
-	var o playFlags
+	var flags playFlags
 	var profile string
 	c := &cobra.Command{
 		Use: "run FILE", Short: "Play a scenario with one or more policies",
@@ -28,7 +28,7 @@
 			"  cresshub-lab run hall-loss --policy module --repeat 8 -o hall.jsonl",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			h, err := o.header(args[0])
+			header, err := flags.header(args[0])
 			if err != nil {
 				return err
 			}
@@ -40,22 +40,22 @@
 				defer stop()
 			}
 			began := time.Now()
-			s, err := o.play(c, h)
+			store, err := flags.play(c, header)
 			if err != nil {
 				return err
 			}
-			if o.json {
-				err = printRun(c.OutOrStdout(), s, time.Since(began))
+			if flags.json {
+				err = printRun(c.OutOrStdout(), store, time.Since(began))
 			} else {
-				err = printTable(c.OutOrStdout(), s)
+				err = printTable(c.OutOrStdout(), store)
 			}
-			if err == nil && o.strict && len(violations(s)) > 0 {
-				return fmt.Errorf("rules were broken:\n%s", strings.Join(violations(s), "\n"))
+			if err == nil && flags.strict && len(violations(store)) > 0 {
+				return fmt.Errorf("rules were broken:\n%s", strings.Join(violations(store), "\n"))
 			}
 			return err
 		},
 	}
-	o.add(c)
+	flags.add(c)
 	c.Flags().StringVar(&profile, "profile", "", "file for a profile of the processor's time")
 	return c
 }
@@ -77,9 +77,9 @@
 }
 
 // violations returns the reports of all violated rules.
-func violations(s *experiment.Store) (texts []string) {
-	for _, d := range s.Days {
-		texts = append(texts, d.Result.Violations...)
+func violations(store *experiment.Store) (texts []string) {
+	for _, day := range store.Days {
+		texts = append(texts, day.Result.Violations...)
 	}
 	return texts
 }
@@ -92,8 +92,8 @@
 const maxNotes = 20
 
 // printTable prints the estimates of all cells, and notes of violated rules and runs that ended early.
-func printTable(w io.Writer, s *experiment.Store) error {
-	head, rows := s.Table(columns)
+func printTable(w io.Writer, store *experiment.Store) error {
+	head, rows := store.Table(columns)
 	t := newTable(w)
 	for _, row := range append([][]string{head}, rows...) {
 		t.row("%s\t", strings.Join(row, "\t"))
@@ -102,19 +102,19 @@
 		return err
 	}
 	notes := map[string]bool{}
-	for _, d := range s.Days {
-		for rule, n := range d.Result.Rules {
-			if n > 0 {
-				notes[fmt.Sprintf("%s: %s broken %d times with seed %d", d.Policy, rule, n, d.Seed)] = true
+	for _, day := range store.Days {
+		for rule, count := range day.Result.Rules {
+			if count > 0 {
+				notes[fmt.Sprintf("%s: %s broken %d times with seed %d", day.Policy, rule, count, day.Seed)] = true
 			}
 		}
-		if d.Result.Warning != "" {
-			notes[d.Policy+": "+d.Result.Warning] = true
+		if day.Result.Warning != "" {
+			notes[day.Policy+": "+day.Result.Warning] = true
 		}
 	}
 	sorted := slices.Sorted(maps.Keys(notes))
-	for _, n := range sorted[:min(len(sorted), maxNotes)] {
-		if _, err := fmt.Fprintln(w, n); err != nil {
+	for _, note := range sorted[:min(len(sorted), maxNotes)] {
+		if _, err := fmt.Fprintln(w, note); err != nil {
 			return err
 		}
 	}
@@ -142,15 +142,15 @@
 }
 
 // printRun prints the results of all policies as a JSON object.
-func printRun(w io.Writer, s *experiment.Store, wall time.Duration) error {
+func printRun(w io.Writer, store *experiment.Store, wall time.Duration) error {
 	out := struct {
 		Scenario string         `json:"scenario"`
 		Seed     uint64         `json:"seed"`
 		Events   uint64         `json:"events"`
 		Wall     float64        `json:"wall_s"`
 		Policies []policyResult `json:"policies"`
-	}{Scenario: s.Header.Scenario, Seed: s.Header.Seed, Wall: wall.Seconds()}
-	for _, cell := range s.Cells() {
+	}{Scenario: store.Header.Scenario, Seed: store.Header.Seed, Wall: wall.Seconds()}
+	for _, cell := range store.Cells() {
 		for _, day := range cell.Days {
 			out.Events += day.Result.Events
 		}
--- a/internal/simulation/labcli/sweep.go
+++ b/internal/simulation/labcli/sweep.go
@@ -13,7 +13,7 @@
 
 // newSweep is the command sweep.
 func newSweep() *cobra.Command {
-	var o playFlags
+	var flags playFlags
 	var over []string
 	c := &cobra.Command{
 		Use: "sweep FILE", Short: "Play a scenario over one or two keys",
@@ -23,29 +23,29 @@
 			"    --policy random,two-choices,basic-li -o age.jsonl",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			h, err := o.header(args[0])
+			header, err := flags.header(args[0])
 			if err != nil {
 				return err
 			}
-			if h.Over, err = parseAxes(over); err != nil {
+			if header.Over, err = parseAxes(over); err != nil {
 				return err
 			}
-			if err := checkJobs(h); err != nil {
+			if err := checkJobs(header); err != nil {
 				return err
 			}
-			s, err := o.play(c, h)
+			store, err := flags.play(c, header)
 			if err != nil {
 				return err
 			}
-			if o.json {
-				head, rows := s.Table(experiment.MetricNames())
-				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"header": s.Header, "head": head,
+			if flags.json {
+				head, rows := store.Table(experiment.MetricNames())
+				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"header": store.Header, "head": head,
 					"rows": rows})
 			}
-			return printTable(c.OutOrStdout(), s)
+			return printTable(c.OutOrStdout(), store)
 		},
 	}
-	o.add(c)
+	flags.add(c)
 	c.Flags().StringArrayVar(&over, "over", nil, "KEY=VALUE,VALUE,...; may be given twice")
 	return c
 }
--- a/internal/simulation/labcli/validate.go
+++ b/internal/simulation/labcli/validate.go
@@ -18,21 +18,21 @@
 		Example: "  cresshub-lab validate",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			rows, err := experiment.Validate(quick)
+			checks, err := experiment.Validate(quick)
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				err = json.NewEncoder(c.OutOrStdout()).Encode(rows)
+				err = json.NewEncoder(c.OutOrStdout()).Encode(checks)
 			} else {
-				_, err = io.WriteString(c.OutOrStdout(), experiment.ValidationTable(rows))
+				_, err = io.WriteString(c.OutOrStdout(), experiment.ValidationTable(checks))
 			}
 			if err != nil {
 				return err
 			}
-			for _, r := range rows {
-				if !r.Holds {
-					return fmt.Errorf("%s: found %.4g, expected %.4g", r.Name, r.Measured, r.Expected)
+			for _, check := range checks {
+				if !check.Holds {
+					return fmt.Errorf("%s: found %.4g, expected %.4g", check.Name, check.Measured, check.Expected)
 				}
 			}
 			return nil
--- a/internal/simulation/labcli/virtual.go
+++ b/internal/simulation/labcli/virtual.go
@@ -70,17 +70,17 @@
 	}
 	var rows []proxysim.SWIMTrialResult
 	for _, trial := range s.trials {
-		for i, n := range s.members {
+		for i, members := range s.members {
 			times := s.repeat[min(i, len(s.repeat)-1)]
-			if n < 3 || n > 10000 || times < 1 || times > 1000 {
+			if members < 3 || members > 10000 || times < 1 || times > 1000 {
 				return nil, cli.UsageErrorf("--members 3 to 10000 and --repeat 1 to 1000 are allowed")
 			}
-			s.options.Members = n
-			r, err := proxysim.RunSWIMTrial(trial, s.options, times)
+			s.options.Members = members
+			result, err := proxysim.RunSWIMTrial(trial, s.options, times)
 			if err != nil {
 				return nil, cli.UsageErrorf("--trial %v", err)
 			}
-			rows = append(rows, r)
+			rows = append(rows, result)
 		}
 	}
 	return rows, nil
@@ -128,17 +128,17 @@
 func (l *listFlags) run() ([]proxysim.ListTrialResult, error) {
 	var rows []proxysim.ListTrialResult
 	for _, trial := range l.trials {
-		for _, n := range l.members {
-			if n < 3 || n > 10000 {
+		for _, members := range l.members {
+			if members < 3 || members > 10000 {
 				return nil, cli.UsageErrorf("--members 3 to 10000 are allowed")
 			}
 			for _, owned := range []bool{false, true} {
-				l.options.Proxies, l.options.Owner = n, owned
-				r, err := proxysim.RunListTrial(trial, l.options)
+				l.options.Proxies, l.options.Owner = members, owned
+				result, err := proxysim.RunListTrial(trial, l.options)
 				if err != nil {
 					return nil, cli.UsageErrorf("--trial %v", err)
 				}
-				rows = append(rows, r)
+				rows = append(rows, result)
 			}
 		}
 	}
--- a/internal/simulation/proxysim/faults.go
+++ b/internal/simulation/proxysim/faults.go
@@ -10,8 +10,8 @@
 // and of detail depends on its type.
 func (s *Sim) playFault(faultIndex int, stage int32, detail uint64, options Options) {
 	fault := &s.scenario.Faults[faultIndex]
-	later := func(d time.Duration, stage int32, detail uint64) {
-		s.add(s.now+int64(d), evFault, int32(faultIndex), stage, detail)
+	later := func(delay time.Duration, stage int32, detail uint64) {
+		s.add(s.now+int64(delay), evFault, int32(faultIndex), stage, detail)
 	}
 	affected := func() int { return int(fault.Size*float64(s.scenario.Servers.Count) + 0.5) }
 	switch fault.Type {
@@ -153,11 +153,11 @@
 }
 
 // replaceServers drains servers one after the other; a rolling replacement starts another for each.
-func (s *Sim) replaceServers(fault *Fault, stage int32, detail uint64, n int,
+func (s *Sim) replaceServers(fault *Fault, stage int32, detail uint64, count int,
 	later func(time.Duration, int32, uint64)) {
 	switch stage {
 	case 0: // detail is how many servers were drained before
-		if detail >= uint64(n) {
+		if detail >= uint64(count) {
 			return
 		}
 		drained := s.drawServers(1)
@@ -174,7 +174,7 @@
 			s.board.addServer(s)
 			s.publishState(int32(len(s.servers)-1), balance.Up)
 		}
-		later(fault.Duration/time.Duration(n), 0, detail+1)
+		later(fault.Duration/time.Duration(count), 0, detail+1)
 	case 1: // detail is the server that ends
 		serverIndex := int32(detail)
 		s.killServer(serverIndex)
--- a/internal/simulation/proxysim/kernel.go
+++ b/internal/simulation/proxysim/kernel.go
@@ -12,13 +12,17 @@
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
+// heapArity is the number of children of a node: four make fewer levels than two, and they share a cache line
+// or two.
+const heapArity = 4
+
 // Kernel is a priority queue of events in order of time, and of creation where times are equal. It allocates
 // only while the queue grows beyond its largest size so far.
 type Kernel struct {
-	now  int64
-	seq  uint64
-	heap []event // 4-ary
-	done uint64
+	now  int64   // virtual time in ns
+	seq  uint64  // of the event queued last
+	heap []event // the earliest first; see heapArity
+	done uint64  // events that have happened
 }
 
 // Now is the virtual time in ns.
@@ -35,17 +39,21 @@
 	k.seq++
 	e := event{at: max(at, k.now), seq: k.seq, c: c, a: a, b: b, kind: kind}
 	k.heap = append(k.heap, e)
-	h := k.heap
-	i := len(h) - 1
-	for i > 0 { // four children a node: fewer levels than two, and they share a cache line or two
-		up := (i - 1) / 4
-		if !e.before(&h[up]) {
+	siftUp(k.heap, e)
+}
+
+// siftUp puts an event, for which the last place of the heap is free, into its place.
+func siftUp(heap []event, e event) {
+	at := len(heap) - 1
+	for at > 0 {
+		parent := (at - 1) / heapArity
+		if !e.before(&heap[parent]) {
 			break
 		}
-		h[i] = h[up]
-		i = up
+		heap[at] = heap[parent]
+		at = parent
 	}
-	h[i] = e
+	heap[at] = e
 }
 
 // next removes the earliest event and advances the time to it; ok is false where the queue is empty.
@@ -55,30 +63,34 @@
 		return event{}, false
 	}
 	first, last := h[0], h[len(h)-1]
-	h = h[:len(h)-1]
-	k.heap = h
-	if n := len(h); n > 0 {
-		i := 0
-		for {
-			child := 4*i + 1
-			if child >= n {
-				break
-			}
-			earliest := child
-			for j := child + 1; j < min(child+4, n); j++ {
-				if h[j].before(&h[earliest]) {
-					earliest = j
-				}
-			}
-			if !h[earliest].before(&last) {
-				break
-			}
-			h[i] = h[earliest]
-			i = earliest
-		}
-		h[i] = last
+	k.heap = h[:len(h)-1]
+	if len(k.heap) > 0 {
+		siftDown(k.heap, last)
 	}
 	k.now = first.at
 	k.done++
 	return first, true
 }
+
+// siftDown puts an event into the heap in place of the one at its top.
+func siftDown(heap []event, e event) {
+	at := 0
+	for {
+		child := heapArity*at + 1
+		if child >= len(heap) {
+			break
+		}
+		earliest := child
+		for sibling := child + 1; sibling < min(child+heapArity, len(heap)); sibling++ {
+			if heap[sibling].before(&heap[earliest]) {
+				earliest = sibling
+			}
+		}
+		if !heap[earliest].before(&e) {
+			break
+		}
+		heap[at] = heap[earliest]
+		at = earliest
+	}
+	heap[at] = e
+}
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -78,28 +78,28 @@
 	// All random properties of the request are drawn here, so that policies meet the same requests.
 	shape := s.streams.shape
 	proxyIndex := pickCumulative(s.cumulativeLoad, shape.Float64())
-	n := 1
+	burst := 1
 	if sc.Load.Arrivals == arrivalsBursty {
-		n = max(1, int(sc.Load.Burst+0.5))
+		burst = max(1, int(sc.Load.Burst+0.5))
 	}
 	gap := 0.0
-	for i := range n {
-		d := s.newDemand(proxyIndex)
+	for i := range burst {
+		demandIndex := s.newDemand(proxyIndex)
 		if i == 0 {
-			s.startClientAttempt(d)
+			s.startClientAttempt(demandIndex)
 		} else {
 			mean := sc.Load.BurstGap * s.meanService
 			if mean == 0 {
-				mean = s.proxies[proxyIndex].meanGap / float64(n)
+				mean = s.proxies[proxyIndex].meanGap / float64(burst)
 			}
 			gap += shape.ExpFloat64() * mean
 			s.inFlight++ // it is still to come, so the run is not over
-			s.add(s.now+int64(gap), evClientAttempt, d, 1, 0)
+			s.add(s.now+int64(gap), evClientAttempt, demandIndex, 1, 0)
 		}
 	}
 	next := s.nextArrival()
-	if n > 1 { // as many requests in all
-		next = s.now + int64(float64(next-s.now)*float64(n))
+	if burst > 1 { // as many requests in all
+		next = s.now + int64(float64(next-s.now)*float64(burst))
 	}
 	if s.arrived >= 0 {
 		s.add(next, evArrival, 0, 0, 0)
--- a/internal/simulation/proxysim/setup.go
+++ b/internal/simulation/proxysim/setup.go
@@ -8,6 +8,7 @@
 	"cresshub/balance"
 )
 
+// makeServers adds the servers of the start, of all kinds by their fractions.
 func (s *Sim) makeServers() {
 	kinds := s.scenario.Kinds
 	if len(kinds) == 0 {
@@ -31,6 +32,7 @@
 	}
 }
 
+// addServer adds a server of a kind, in the hall that is next in turn.
 func (s *Sim) addServer(kind int, k Kind) int32 {
 	i := len(s.servers)
 	speed := k.MinSpeed + (k.MaxSpeed-k.MinSpeed)*s.streams.speeds.Float64()
@@ -48,19 +50,9 @@
 	return c
 }
 
+// makeLoad sets the rate of arrivals and how requests divide among classes, tenants, proxies and keys.
 func (s *Sim) makeLoad() {
-	work, classes := 0.0, 0.0
-	for _, class := range s.scenario.Classes {
-		classes += class.Fraction
-		s.cumulativeFractions.class = append(s.cumulativeFractions.class, classes)
-		work += class.Fraction * class.Work.Seconds()
-	}
-	work /= classes
-	tenants := 0.0
-	for _, tenant := range s.scenario.Tenants {
-		tenants += tenant.Fraction
-		s.cumulativeFractions.tenant = append(s.cumulativeFractions.tenant, tenants)
-	}
+	work := s.makeFractions()
 	cores := 0
 	for i := range s.servers {
 		cores += int(s.servers[i].cores)
@@ -70,10 +62,10 @@
 	if s.rate <= 0 {
 		s.rate = s.scenario.Load.Utilisation * s.capacity() / work
 	}
-	if r := &s.scenario.Reports; r.Model == reportsOnAccess && r.Delay > 0 {
+	if reports := &s.scenario.Reports; reports.Model == reportsOnAccess && reports.Delay > 0 {
 		// As many proxies as each send one request in that time.
 		copied := *s.scenario
-		copied.Proxies.Count = max(1, int(s.rate*s.meanService/1e9/r.Delay+0.5))
+		copied.Proxies.Count = max(1, int(s.rate*s.meanService/1e9/reports.Delay+0.5))
 		s.scenario = &copied
 	}
 	total := 0.0
@@ -86,6 +78,24 @@
 	}
 }
 
+// makeFractions cumulates the fractions of classes and tenants, and returns the mean work of a request in
+// seconds.
+func (s *Sim) makeFractions() float64 {
+	work, classes := 0.0, 0.0
+	for _, class := range s.scenario.Classes {
+		classes += class.Fraction
+		s.cumulativeFractions.class = append(s.cumulativeFractions.class, classes)
+		work += class.Fraction * class.Work.Seconds()
+	}
+	tenants := 0.0
+	for _, tenant := range s.scenario.Tenants {
+		tenants += tenant.Fraction
+		s.cumulativeFractions.tenant = append(s.cumulativeFractions.tenant, tenants)
+	}
+	return work / classes
+}
+
+// makeProxies starts the discovery service and all proxies.
 func (s *Sim) makeProxies(options Options) error {
 	s.registry.init(s)
 	s.idleConns = make([]idleConns, s.scenario.Proxies.Count*s.registry.maxServers)
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -132,28 +132,33 @@
 
 // New prepares a run. The error says that the policy is unknown, the scenario has no class, or the module
 // rejects the settings.
-func New(sc *Scenario, o Options) (*Sim, error) {
-	if !slices.Contains(Policies, o.Policy) {
-		return nil, fmt.Errorf("policy %q is none of %v", o.Policy, Policies)
+func New(sc *Scenario, options Options) (*Sim, error) {
+	if !slices.Contains(Policies, options.Policy) {
+		return nil, fmt.Errorf("policy %q is none of %v", options.Policy, Policies)
 	}
 	if len(sc.Classes) == 0 {
 		return nil, fmt.Errorf("the scenario has no class")
 	}
-	s := &Sim{scenario: sc, policy: o.Policy, burst: 1, halls: sc.Halls}
+	s := &Sim{scenario: sc, policy: options.Policy, burst: 1, halls: sc.Halls}
 	if len(s.halls) == 0 {
 		s.halls = []string{"hall"}
 	}
 	s.streams = streams{
-		arrivals: stream(o.Seed, "arrivals"), shape: stream(o.Seed, "shape"), work: stream(o.Seed, "work"),
-		keys: stream(o.Seed, "keys"), speeds: stream(o.Seed, "speeds"), network: stream(o.Seed, "network"),
-		faults: stream(o.Seed, "troubles"), clients: stream(o.Seed, "clients"),
-		reports: stream(o.Seed, "reports"),
+		arrivals: stream(options.Seed, "arrivals"),
+		shape:    stream(options.Seed, "shape"),
+		work:     stream(options.Seed, "work"),
+		keys:     stream(options.Seed, "keys"),
+		speeds:   stream(options.Seed, "speeds"),
+		network:  stream(options.Seed, "network"),
+		faults:   stream(options.Seed, "troubles"),
+		clients:  stream(options.Seed, "clients"),
+		reports:  stream(options.Seed, "reports"),
 	}
 	s.makeServers()
 	s.makeLoad()
 	s.tally.init(s)
-	s.monitor.init(s, o)
-	if err := s.makeProxies(o); err != nil {
+	s.monitor.init(s, options)
+	if err := s.makeProxies(options); err != nil {
 		return nil, err
 	}
 	s.board.init(s)
@@ -170,7 +175,7 @@
 
 // Run plays the scenario to its end: all arrivals, and then until all requests are answered. It is called
 // once.
-func (s *Sim) Run(o Options) *Result {
+func (s *Sim) Run(options Options) *Result {
 	for {
 		e, ok := s.next()
 		if !ok || s.overflow || s.monitor.stop {
@@ -205,7 +210,7 @@
 		case evBoardRefresh:
 			s.board.refresh(s)
 		case evFault:
-			s.playFault(int(e.a), e.b, e.c, o)
+			s.playFault(int(e.a), e.b, e.c, options)
 		case evIdleTimeout:
 			s.closeIdleConns(e.a, e.b)
 		case evChoke:
--- a/internal/simulation/proxysim/tally.go
+++ b/internal/simulation/proxysim/tally.go
@@ -51,8 +51,8 @@
 	if len(t.quotaTokens) > 0 {
 		passed := float64(s.now-t.quotaTokensAt) / 1e9
 		t.quotaTokensAt = s.now
-		for i, tenant := range s.scenario.Tenants {
-			t.quotaTokens[i] = min(t.quotaTokens[i]+passed*tenant.Quota, tenant.Quota)
+		for tenantIndex, tenant := range s.scenario.Tenants {
+			t.quotaTokens[tenantIndex] = min(t.quotaTokens[tenantIndex]+passed*tenant.Quota, tenant.Quota)
 		}
 		if s.scenario.Tenants[demand.tenant].Quota > 0 {
 			if t.quotaTokens[demand.tenant] >= 1 {
