--- a/internal/simulation/proxysim/attempts.go
+++ b/internal/simulation/proxysim/attempts.go
@@ -139,9 +139,9 @@
 	} else {
 		s.releaseRequest(requestIndex)
 	}
-	over := wins || !s.requests[requestIndex].used || s.requests[requestIndex].answered
+	final := wins || !s.requests[requestIndex].used || s.requests[requestIndex].answered
 	s.apply(proxyIndex, proxy.agent.Outcome(time.Duration(s.now), balance.Outcome{
-		ID: id, Attempt: number, Server: balance.ServerID(server + 1), Result: result, Final: over,
+		ID: id, Attempt: number, Server: balance.ServerID(server + 1), Result: result, Final: final,
 		Latency: time.Duration(s.now - sent),
 	}, s.actions[:0]))
 }
--- a/internal/simulation/proxysim/probes.go
+++ b/internal/simulation/proxysim/probes.go
@@ -9,10 +9,11 @@
 
 // probeAnswer is the answer to a probe, on its way back.
 type probeAnswer struct {
-	server, incarnation int32
-	sentAt              int64
-	res                 balance.Result
-	report              [3]float64
+	server      int32
+	incarnation int32          // of the proxy
+	sentAt      int64          // virtual time in ns
+	result      balance.Result // Done where the server answered
+	report      [3]float64     // of its load, see server.reported
 }
 
 // probeServer handles a probe at its server. Under a model of the literature the answer is that of the board.
@@ -24,9 +25,9 @@
 	after := way
 	switch {
 	case srv.unresponsive:
-		answer.res, after = balance.TimedOut, int64(s.scenario.Network.DialTimeout)
+		answer.result, after = balance.TimedOut, int64(s.scenario.Network.DialTimeout)
 	case !srv.up:
-		answer.res = balance.ConnRefused
+		answer.result = balance.ConnRefused
 	default:
 		srv.probeWork += float64(s.scenario.Reports.ProbeWork)
 		if answer.report = s.loadReport(srv); s.scenario.Reports.Model != reportsProbe {
@@ -70,11 +71,11 @@
 		return
 	}
 	var row []float64
-	if answer.res == balance.Done {
+	if answer.result == balance.Done {
 		row = answer.report[:]
 	}
 	s.apply(proxyIndex, proxy.agent.Probed(time.Duration(s.now), balance.ProbeResult{
-		Server: balance.ServerID(answer.server + 1), Result: answer.res,
+		Server: balance.ServerID(answer.server + 1), Result: answer.result,
 		Latency: time.Duration(s.now - answer.sentAt), Report: row,
 	}, s.actions[:0]))
 }
--- a/internal/simulation/proxysim/registry.go
+++ b/internal/simulation/proxysim/registry.go
@@ -6,20 +6,21 @@
 	"cresshub/balance"
 )
 
-// registry is the service that lists servers: with a delay, of fixed capacity, knowing processes only.
+// registry is the service that lists servers: it tells changes with a delay, answers one call after the
+// other, and knows whether processes run, not whether they answer.
 type registry struct {
-	push       bool // changes reach the proxies at once, without a watch
-	maxServers int  // upper bound over the run
-	entries    []balance.Server
-	changes    []change
-	busyUntil  int64 // ns, with calls queued so far
-	lag        int64 // further delay of changes now, ns
-	calls      int
+	push       bool             // changes reach the proxies at once, without a watch
+	maxServers int              // upper bound of the number of servers over the run
+	entries    []balance.Server // by server
+	changes    []change         // all so far; a version of the list is their number
+	busyUntil  int64            // virtual time in ns, with the calls queued so far
+	lag        int64            // further delay of changes now, ns
+	calls      int              // of proxies for a watch
 }
 
 // change is a change of one entry, with the time of its publication.
 type change struct {
-	at    int64
+	at    int64 // virtual time in ns
 	entry balance.Server
 }
 
@@ -47,6 +48,7 @@
 	}
 }
 
+// version is the version of the list, the number of its changes.
 func (r *registry) version() uint64 { return uint64(len(r.changes)) }
 
 // fullList is the current list: the servers that are up or draining.
--- a/internal/simulation/proxysim/result.go
+++ b/internal/simulation/proxysim/result.go
@@ -43,23 +43,23 @@
 	ServiceBySecond []float64 `json:"service_by_second"` // by second of arrival
 }
 
-// ratio is a/b, 1 where b is 0: what nobody asked for is served.
-func ratio(a, b float64) float64 {
-	if b == 0 {
+// ratio is the served part of what was asked for, 1 where that is nothing.
+func ratio(served, asked float64) float64 {
+	if asked == 0 {
 		return 1
 	}
-	return a / b
+	return served / asked
 }
 
-// minRatio is the lowest ratio of two series, over the positions where b is above 0.
-func minRatio(a, b []float64) float64 {
-	x := 1.0
-	for i := range a {
-		if b[i] > 0 {
-			x = min(x, a[i]/b[i])
+// minRatio is the lowest ratio of two series, over the positions where something was asked for.
+func minRatio(served, asked []float64) float64 {
+	lowest := 1.0
+	for i := range served {
+		if asked[i] > 0 {
+			lowest = min(lowest, served[i]/asked[i])
 		}
 	}
-	return x
+	return lowest
 }
 
 // result returns the figures of the run.
@@ -95,7 +95,15 @@
 	return r
 }
 
-// score sets the service of a run and what is deducted from it, as the task weighs them.
+// The weights of the parts of the service, as the task states them.
+const (
+	weightOverall     = 0.35
+	weightWorst10s    = 0.35
+	weightWorstClass  = 0.2
+	weightWorstTenant = 0.1
+)
+
+// score sets the service of a run and what is deducted from it.
 func (s *Sim) score(r *Result) {
 	tally, prices := &s.tally, &s.scenario.Prices
 	r.ServiceOverall = ratio(tally.value, tally.valueAsked)
@@ -113,8 +121,8 @@
 		prices.Probe*perRequest(tally.probes) + prices.Waste*r.Wasted +
 		prices.LateFail*(tally.lateValue/math.Max(tally.valueAsked, 1e-9)) +
 		prices.Choke*float64(choked)/float64(len(s.servers))
-	r.Service = 0.35*r.ServiceOverall + 0.35*r.ServiceWorst10s + 0.2*r.ServiceWorstClass +
-		0.1*r.ServiceWorstTenant - r.Prices
+	r.Service = weightOverall*r.ServiceOverall + weightWorst10s*r.ServiceWorst10s +
+		weightWorstClass*r.ServiceWorstClass + weightWorstTenant*r.ServiceWorstTenant - r.Prices
 }
 
 // warning says why a run is not what its scenario planned, or "".
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -25,7 +25,7 @@
 	evListChange                 // changes of the list are at a proxy; a: proxy, c: version
 	evListAnswer                 // an answer of discovery; a: proxy, b: 1 where it failed, c: its incarnation
 	evBoardRefresh               // the bulletin board is refreshed
-	evFault                      // a: index of the fault, b: stage, c: depends on its type
+	evFault                      // a: index of the fault, b: stage, c: detail, which depends on its type
 	evIdleTimeout                // of idle connections; a: proxy, b: server
 	evChoke                      // a: server, b: 1 for the end of it, c: stamp
 )
@@ -41,6 +41,7 @@
 	proxies   []proxy
 	idleConns []idleConns // idle connections, by proxy and server
 
+	// Tables, whose slots are used again; free has the unused ones.
 	requests []request
 	demands  []demand
 	jobs     []job
@@ -49,7 +50,7 @@
 	inFlight int // requests, and attempts of clients that are still to come
 
 	streams             streams
-	rate                float64   // requests a second outside bursts
+	rate                float64   // requests per second outside bursts
 	burst               float64   // factor on that, now
 	cumulativeLoad      []float64 // of proxies, by their weights
 	meanService         float64   // mean service time, in ns
@@ -63,8 +64,8 @@
 	board    board
 	monitor  monitor
 	tally    tally
-	actions  []balance.Action
-	overflow bool
+	actions  []balance.Action // memory that agents append to, used again
+	overflow bool             // more requests were in flight than the scenario allows
 }
 
 // streams are random streams split by purpose, so that two policies meet the same arrivals, keys and work
@@ -86,11 +87,11 @@
 // proxy is one instance of the client proxy.
 type proxy struct {
 	agent       Agent
-	module      bool
+	module      bool // the agent decides as package balance does
 	hall        int32
-	incarnation int32
-	alive       bool
-	watching    bool
+	incarnation int32           // of the process; rises as it ends
+	alive       bool            // the process runs
+	watching    bool            // has a watch of the list
 	version     uint64          // of the list, as delivered
 	withdrawnAt map[int32]int64 // when a server's drain or removal was delivered
 	loads       []float64       // as last observed, for on-access
@@ -132,14 +133,14 @@
 
 // New prepares a run. The error says that the policy is unknown, the scenario has no class, or the module
 // rejects the settings.
-func New(sc *Scenario, options Options) (*Sim, error) {
+func New(scenario *Scenario, options Options) (*Sim, error) {
 	if !slices.Contains(Policies, options.Policy) {
 		return nil, fmt.Errorf("policy %q is none of %v", options.Policy, Policies)
 	}
-	if len(sc.Classes) == 0 {
+	if len(scenario.Classes) == 0 {
 		return nil, fmt.Errorf("the scenario has no class")
 	}
-	s := &Sim{scenario: sc, policy: options.Policy, burst: 1, halls: sc.Halls}
+	s := &Sim{scenario: scenario, policy: options.Policy, burst: 1, halls: scenario.Halls}
 	if len(s.halls) == 0 {
 		s.halls = []string{"hall"}
 	}
@@ -162,10 +163,10 @@
 		return nil, err
 	}
 	s.board.init(s)
-	for i := range sc.Faults {
-		s.add(int64(sc.Faults[i].At), evFault, int32(i), 0, 0)
+	for i := range scenario.Faults {
+		s.add(int64(scenario.Faults[i].At), evFault, int32(i), 0, 0)
 	}
-	s.arrivalsEnd = int64(sc.Duration)
+	s.arrivalsEnd = int64(scenario.Duration)
 	s.add(s.nextArrival(), evArrival, 0, 0, 0)
 	return s, nil
 }
--- a/internal/simulation/proxysim/tally.go
+++ b/internal/simulation/proxysim/tally.go
@@ -11,22 +11,36 @@
 
 // tally sums the figures of a run, over the requests that arrive after the warm-up.
 type tally struct {
-	hist                                              *hdrhistogram.Histogram
-	requests, served, refused, failed, inTime         int
-	responseSum                                       float64 // of response times, ns
-	attempts, crossHall, handshakes, probes, rejected int
-	work, wasted                                      float64
-	value, valueAsked, lateValue                      float64
-	class, tenant                                     []float64 // value served in time
-	classAsked, tenantAsked                           []float64
-	bySecond, bySecondAsked                           []float64
-	quotaTokens                                       []float64 // of tenants' quotas
-	quotaTokensAt                                     int64
-	inSystemArea                                      float64 // integral of inSystem over time
-	firstArrivalAt, inSystemAt                        int64
-	inSystem                                          int
+	hist        *hdrhistogram.Histogram // response times of served requests, us
+	responseSum float64                 // of those, ns
+
+	requests, served, refused, failed int
+	inTime                            int // of those served, within the latency target
+	attempts                          int
+	crossHall                         int // of those, at a server of another hall
+	handshakes, probes                int
+	rejected                          int // jobs that a server rejected
+
+	work   float64 // asked for, ns on a core of speed 1
+	wasted float64 // done for an attempt that had been given up or answered elsewhere
+
+	// The value served in time, and that asked for: of all, by class, by tenant and by second of arrival.
+	value, valueAsked       float64
+	class, classAsked       []float64
+	tenant, tenantAsked     []float64
+	bySecond, bySecondAsked []float64
+	lateValue               float64 // of what ended after its latency target
+
+	quotaTokens   []float64 // token buckets of the tenants' quotas
+	quotaTokensAt int64     // when they were refilled
+
+	inSystem       int     // requests
+	inSystemAt     int64   // when that changed
+	inSystemArea   float64 // integral of inSystem over time
+	firstArrivalAt int64
 }
 
+// init makes the tables for the scenario.
 func (t *tally) init(s *Sim) {
 	t.hist = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	seconds := min(int(s.scenario.Duration/time.Second)+1, maxSeconds)
