--- a/internal/simulation/proxysim/swim.go
+++ b/internal/simulation/proxysim/swim.go
@@ -96,10 +96,11 @@
 
 // update is a gossiped message: suspect, alive or dead.
 type update struct {
-	subject, from int32
-	incarnation   uint32
-	status        SWIMStatus
-	transmits     int16
+	subject     int32 // whom it is about
+	from        int32 // who raised it
+	incarnation uint32
+	status      SWIMStatus
+	transmits   int16 // so far, by the member that queues it
 }
 
 // packet is a datagram.
@@ -132,7 +133,7 @@
 	views       []memberView // by member
 	order       []int32      // the known members, in the order in which they are probed
 	next        int          // position in order
-	broadcasts  []update
+	broadcasts  []update     // queued for gossip, the newest last
 	suspects    map[int32]*suspicion
 	byStatus    [4]int // number of members by status
 	incarnation uint32 // its incarnation number
@@ -142,19 +143,23 @@
 	paused      bool
 	waiting     []event // that came while it was paused
 
-	seq           uint64
-	probing       int32 // -1: none
+	seq uint64 // newest sequence number of probes, its own and relayed ones
+
+	// The probe under way, from beginProbe to endProbe.
+	probing       int32 // the member probed, -1 for none
 	probeSeq      uint64
 	acked         bool
-	streamOK      bool
-	expectedNacks int
-	nacks         int
-	missedTick    bool  // a probe was due while another was under way
-	seedFrom      int64 // a stream over a blocked link stalls the rejoin until then
-	nextSeed      int32 // which is joined then; -1 for none
-	stalledUntil  int64 // the stream of that attempt stalls the rejoin until then
-	rejoinSeq     int32 // identifies the ticker of rejoins, which a heal replaces
-	relayed       map[uint64]relayedProbe
+	streamOK      bool // the attempt over a stream reaches the member
+	expectedNacks int  // members that were asked for an indirect probe
+	nacks         int  // of those, how many said that it is unanswered
+	missedTick    bool // a probe was due while this one was under way
+
+	seedFrom     int64 // a stream over a blocked link stalls the rejoin until then
+	nextSeed     int32 // which is joined then; -1 for none
+	stalledUntil int64 // the stream of that attempt stalls the rejoin until then
+	rejoinSeq    int32 // identifies the ticker of rejoins, which a heal replaces
+
+	relayed map[uint64]relayedProbe // unanswered indirect probes for others, by own sequence number
 }
 
 // SWIM is the gossip of one fleet in virtual time.
@@ -163,16 +168,16 @@
 	opts       SWIMOptions
 	rng        *rand.Rand
 	nodes      []swimNode
-	pool       []packet
-	free       []int32
-	generation uint64
-	drawn      []int32 // the members that randomMembers returned last
+	pool       []packet // datagrams in transit
+	free       []int32  // unused positions of pool
+	generation uint64   // of the newest suspicion, or shortening of one
+	drawn      []int32  // the members that randomMembers returned last
 
 	side       []int8            // of a partition
 	blocked    map[[2]int32]bool // one-way links
 	delay      map[int32]int64   // further one-way delay of all links of a member
 	wrongViews int               // pairs of a running member and a member that it sees otherwise than it is
-	down       []bool            // members that do not run
+	down       []bool            // by member: it does not run
 	Count      SWIMCounts
 }
 
