--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -1,19 +1,26 @@
 package handover
 
 import (
+	"encoding/binary"
 	"io"
 	"net"
 	"os"
 	"path/filepath"
 	"syscall"
 	"testing"
+	"time"
 
 	"golang.org/x/sys/unix"
 
 	"cresshub/internal/testbed/goldenfile"
 )
 
-// goldenPair is both ends of a connection within this process.
+// goldenTimeout bounds what the golden test waits for on a connection; no result depends on how much of it is
+// used.
+const goldenTimeout = 10 * time.Second
+
+// goldenPair is both ends of a connection within this process, on which no read or write outlasts
+// goldenTimeout.
 func goldenPair(t *testing.T) (ends [2]*net.UnixConn) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -28,6 +35,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
+		if err := c.SetDeadline(time.Now().Add(goldenTimeout)); err != nil {
+			t.Fatal(err)
+		}
 		ends[i] = c.(*net.UnixConn)
 	}
 	return ends
@@ -84,7 +94,10 @@
 		t.Fatalf("%d sockets, %v", len(fds), err)
 	}
 	unix.Close(fds[0])
-	length := int(said[2])<<8 | int(said[3])
+	length := int(binary.BigEndian.Uint32(said))
+	if length > len(said)-4 {
+		t.Fatalf("the incumbent announces terms of %d bytes", length)
+	}
 	if _, err := io.ReadFull(ends[1], said[4:4+length]); err != nil {
 		t.Fatal(err)
 	}
@@ -104,6 +117,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	// The file is all that comes: a length in it that is too large fails the read at once.
+	if err := pair[0].CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
 	o := &Predecessor{conn: pair[1], exited: make(chan struct{})}
 	if err := o.receiveTerms(); err != nil {
 		t.Fatal(err)
@@ -122,7 +139,11 @@
 		t.Fatal(err)
 	}
 	ends[1].Close()
-	<-s.exited
+	select {
+	case <-s.exited:
+	case <-time.After(goldenTimeout):
+		t.Fatal("the incumbent does not notice that the successor has exited")
+	}
 	select {
 	case <-s.ready:
 	default:
