--- a/internal/cluster/raftgroup/host_test.go
+++ b/internal/cluster/raftgroup/host_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"maps"
 	"net"
 	"os"
 	"strconv"
@@ -35,6 +36,33 @@
 	return err
 }
 
+// commandCounter is a state machine that counts how often each command was applied, by the command's ID.
+type commandCounter struct{ applied map[int]int }
+
+func (m *commandCounter) Apply(_ uint64, data []byte) any {
+	id, err := strconv.Atoi(string(data))
+	if err != nil {
+		panic(err) // no test proposes anything else
+	}
+	m.applied[id]++
+	return m.applied[id]
+}
+
+func (m *commandCounter) Read([]byte) (any, error) { return maps.Clone(m.applied), nil }
+
+func (m *commandCounter) Snapshot() []byte {
+	encoded, err := json.Marshal(m.applied)
+	if err != nil {
+		panic(err) // a map of numbers can be encoded
+	}
+	return encoded
+}
+
+func (m *commandCounter) Restore(encoded []byte) error {
+	m.applied = map[int]int{}
+	return json.Unmarshal(encoded, &m.applied)
+}
+
 // testCluster is the hosts of a fleet in this process, with a view that the test changes.
 type testCluster struct {
 	t     *testing.T
@@ -42,11 +70,21 @@
 	hosts map[string]*Host
 	dirs  map[string]string
 	down  map[string]bool // counted as gone in the view
+	// newStateMachine makes the state machine of each replica.
+	newStateMachine func(group string) StateMachine
 }
 
+// newTestCluster starts hosts whose group sums numbers.
 func newTestCluster(t *testing.T, names ...string) *testCluster {
 	t.Helper()
-	cluster := &testCluster{t: t, hosts: map[string]*Host{}, dirs: map[string]string{}, down: map[string]bool{}}
+	return newClusterOf(t, func(string) StateMachine { return &adder{} }, names...)
+}
+
+// newClusterOf starts hosts whose group has the given state machines.
+func newClusterOf(t *testing.T, newStateMachine func(string) StateMachine, names ...string) *testCluster {
+	t.Helper()
+	cluster := &testCluster{t: t, hosts: map[string]*Host{}, dirs: map[string]string{}, down: map[string]bool{},
+		newStateMachine: newStateMachine}
 	t.Cleanup(func() {
 		for _, h := range cluster.hosts {
 			h.Close()
@@ -65,7 +103,7 @@
 		BootstrapExpect: 3, MaxLearnerLag: 20, HeartbeatInterval: 20 * time.Millisecond,
 		ElectionTimeout: 200 * time.Millisecond, GoneAfter: time.Hour, SnapshotEntries: 50,
 		SnapshotBytes: 1 << 20, Groups: []string{"g"},
-		NewStateMachine: func(string) StateMachine { return &adder{} }, Log: slog.New(slog.DiscardHandler)})
+		NewStateMachine: c.newStateMachine, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -111,83 +149,160 @@
 	return ctx
 }
 
-// add proposes until it succeeds, and returns how often the outcome was unknown: what is proposed again after
-// that may count twice.
-func (c *testCluster) add(h *Host, x int) (unknown int) {
+// add proposes a number until one proposal of it succeeds. Where an earlier one had an unknown outcome, the
+// number may count more than once: a test of exact counts uses a commandLog.
+func (c *testCluster) add(h *Host, number int) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		_, err := h.Propose(timeoutContext(c.t), "g", []byte(strconv.Itoa(x)))
-		if err == nil {
-			return unknown
-		}
-		if errors.Is(err, ErrUnknown) {
-			unknown++
+		if _, err := h.Propose(timeoutContext(c.t), "g", []byte(strconv.Itoa(number))); err == nil {
+			return
 		}
 	}
 	c.t.Fatal("never proposed")
-	return 0
 }
 
-func (c *testCluster) read(h *Host) int64 {
+// read returns the sum of a cluster of adders as a host reads it.
+func (c *testCluster) read(h *Host) (sum int64) {
+	c.t.Helper()
+	c.readInto(h, &sum)
+	return sum
+}
+
+// readInto decodes the state that a host reads, which it may take a while to do.
+func (c *testCluster) readInto(h *Host, state any) {
 	c.t.Helper()
 	var err error
 	for range 200 {
 		var raw json.RawMessage
 		if raw, err = h.Read(timeoutContext(c.t), "g", nil); err == nil {
-			var n int64
-			json.Unmarshal(raw, &n)
-			return n
+			if err := json.Unmarshal(raw, state); err != nil {
+				c.t.Fatal(err)
+			}
+			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	c.t.Fatalf("never read: %v", err)
-	return 0
 }
 
-// What is proposed at any member is read at any member, through snapshots, a restart and a replacement.
-func TestProposalsSurviveRestartAndReplacement(t *testing.T) {
-	cluster := newTestCluster(t, "a", "b", "c", "d")
-	want := int64(0)
-	for i := range 120 { // over two snapshots
-		cluster.add(cluster.hosts[[]string{"a", "b", "c", "d"}[i%4]], i)
-		want += int64(i)
+// commandFate is what a proposer was told of its command.
+type commandFate string
+
+const (
+	fateApplied  commandFate = "applied"  // counts once
+	fateRejected commandFate = "rejected" // never counts
+	fateUnknown  commandFate = "unknown"  // counts once or not at all
+)
+
+// commandLog follows the commands that a test proposes to a cluster of commandCounters. Every proposal is a
+// command of its own, with an ID of its own, also where it follows one that failed.
+type commandLog struct {
+	cluster *testCluster
+	fates   map[int]commandFate // by command ID
+	seen    map[int]bool        // commands that a read has shown as applied
+}
+
+func newCommandLog(cluster *testCluster) *commandLog {
+	return &commandLog{cluster: cluster, fates: map[int]commandFate{}, seen: map[int]bool{}}
+}
+
+// proposeUntilApplied proposes commands at a host until one of them is applied.
+func (l *commandLog) proposeUntilApplied(h *Host) {
+	t := l.cluster.t
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		id := len(l.fates)
+		result, err := h.Propose(timeoutContext(t), "g", []byte(strconv.Itoa(id)))
+		switch {
+		case err == nil:
+			l.fates[id] = fateApplied
+			if string(result) != "1" {
+				t.Errorf("command %d was applied %s times as its proposer was told", id, result)
+			}
+			return
+		case errors.Is(err, ErrUnknown):
+			l.fates[id] = fateUnknown
+		default:
+			l.fates[id] = fateRejected
+		}
+	}
+	t.Fatal("never proposed")
+}
+
+// checkAt reads the state at a host and checks that each command was applied as often as its fate allows, and
+// that none is missing which was read before.
+func (l *commandLog) checkAt(name string) {
+	t := l.cluster.t
+	t.Helper()
+	applied := map[int]int{}
+	l.cluster.readInto(l.cluster.hosts[name], &applied)
+	for id, fate := range l.fates {
+		count := applied[id]
+		least, most := 0, 1
+		switch {
+		case fate == fateApplied || l.seen[id]:
+			least = 1
+		case fate == fateRejected:
+			most = 0
+		}
+		if count < least || count > most {
+			t.Errorf("%s reads command %d, whose outcome was %s, as applied %d times, not %d to %d",
+				name, id, fate, count, least, most)
+		}
+		l.seen[id] = l.seen[id] || count > 0
 	}
-	for name, h := range cluster.hosts {
-		if got := cluster.read(h); got != want {
-			t.Errorf("%s reads %d, not %d", name, got, want)
+	for id := range applied {
+		if _, proposed := l.fates[id]; !proposed {
+			t.Errorf("%s reads command %d, which nobody proposed", name, id)
 		}
 	}
-	var replicas []string
-	for name, h := range cluster.hosts {
-		if h.Status("g").Role != RoleNone {
-			replicas = append(replicas, name)
+}
+
+// replicasWithout returns the hosts with a replica of the group, but for one.
+func (c *testCluster) replicasWithout(except string) (names []string) {
+	for name, h := range c.hosts {
+		if name != except && h.Status("g").Role != RoleNone {
+			names = append(names, name)
 		}
 	}
+	return names
+}
+
+// What is proposed at any member is read at any member, through snapshots, a restart and a replacement: each
+// command that was confirmed counts once, each that was rejected never, and each of unknown outcome once or
+// not at all.
+func TestProposalsSurviveRestartAndReplacement(t *testing.T) {
+	names := []string{"a", "b", "c", "d"}
+	cluster := newClusterOf(t, func(string) StateMachine { return &commandCounter{applied: map[int]int{}} },
+		names...)
+	commands := newCommandLog(cluster)
+	for i := range 120 { // over two snapshots
+		commands.proposeUntilApplied(cluster.hosts[names[i%len(names)]])
+	}
+	for _, name := range names {
+		commands.checkAt(name)
+	}
+	replicas := cluster.replicasWithout("")
 	if len(replicas) != 3 {
 		t.Fatalf("replicas at %v", replicas)
 	}
-	cluster.stop(replicas[0], false) // restarts with its disk
-	cluster.add(cluster.hosts[replicas[1]], 1000)
-	h := cluster.start(replicas[0])
-	if got := cluster.read(h); got != want+1000 {
-		t.Errorf("after a restart %s reads %d, not %d", replicas[0], got, want+1000)
-	}
-	cluster.stop(replicas[1], true) // gone for good
-	for range 500 {
-		n := 0
-		for name, h := range cluster.hosts {
-			if name != replicas[1] && h.Status("g").Role != RoleNone {
-				n++
-			}
-		}
-		if n == 3 {
-			break
+
+	restarted, replaced := replicas[0], replicas[1]
+	cluster.stop(restarted, false) // restarts with its disk
+	commands.proposeUntilApplied(cluster.hosts[replaced])
+	cluster.start(restarted)
+	commands.checkAt(restarted)
+
+	cluster.stop(replaced, true) // gone for good
+	for end := time.Now().Add(30 * time.Second); len(cluster.replicasWithout(replaced)) < 3; {
+		if time.Now().After(end) {
+			t.Fatalf("replicas at %v after %s is gone", cluster.replicasWithout(replaced), replaced)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	for name, h := range cluster.hosts {
-		if name != replicas[1] && cluster.read(h) != want+1000 {
-			t.Errorf("%s lost something after the replacement", name)
+	for _, name := range names {
+		if name != replaced {
+			commands.checkAt(name)
 		}
 	}
 }
