--- a/internal/router/dataplane/attempts_test.go
+++ b/internal/router/dataplane/attempts_test.go
@@ -14,7 +14,7 @@
 	rejected bool
 }
 
-func TestAttemptsAndRetryCost(t *testing.T) {
+func TestOnlyFurtherAttemptsCostRetries(t *testing.T) {
 	read, readNot := callResult{scheduler.Prefill, false}, callResult{scheduler.Prefill, true}
 	write, writeNot := callResult{scheduler.Decode, false}, callResult{scheduler.Decode, true}
 	serve := callResult{scheduler.Serve, false}
@@ -38,8 +38,8 @@
 		{"prefill after a rejected one", 2, []callResult{readNot, read}, []int{0, 1}, scheduler.Decode, true, 0},
 		{"a second prefill is counted", 2, []callResult{read, read}, []int{0, 1}, scheduler.Decode, true, 0},
 		{"a rejected decode", 2, []callResult{read, writeNot}, []int{0, 0}, scheduler.Serve, true, 1},
-		{"prefill after a rejected decode", 3, []callResult{read, writeNot}, []int{0, 0}, scheduler.Prefill, true,
-			2},
+		{"prefill after a rejected decode", 3, []callResult{read, writeNot}, []int{0, 0},
+			scheduler.Prefill, true, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/router/dataplane/bench_test.go
+++ b/internal/router/dataplane/bench_test.go
@@ -16,24 +16,24 @@
 
 // BenchmarkPlain is one request and its response, with client and server in this process.
 func BenchmarkPlain(b *testing.B) {
-	s := newServer(b, "i-1", "lookup", "", ok("the body"))
-	r := newRig(b, nil, s)
-	p := r.dial()
+	server := newFakeServer(b, "i-1", "lookup", "", respondOK("the body"))
+	rig := newRig(b, nil, server)
+	client := rig.dial()
 	b.ReportAllocs()
 	for b.Loop() {
-		p.ask("GET", "/safe/", "a", "")
+		client.do("GET", "/safe/", "a", "")
 	}
 }
 
 // BenchmarkSplit is a prompt prefilled by one server and a stream of 20 events decoded by another.
 func BenchmarkSplit(b *testing.B) {
-	reader := newServer(b, "i-r", "language", catalog.Prefill, prefillsPrompt("h"))
-	writer := newServer(b, "i-w", "language", catalog.Decode, events(1, 20, true))
-	r := newRig(b, nil, reader, writer)
-	p := r.dial()
+	reader := newFakeServer(b, "i-r", "language", catalog.Prefill, respondHandle("h"))
+	writer := newFakeServer(b, "i-w", "language", catalog.Decode, streamEvents(1, 20, true))
+	rig := newRig(b, nil, reader, writer)
+	client := rig.dial()
 	b.ReportAllocs()
 	for b.Loop() {
-		p.ask("POST", "/model/", "a", "prompt", "Cresshub-Prompt-Prefix: a:800,b:410,c:250")
+		client.do("POST", "/model/", "a", "prompt", "Cresshub-Prompt-Prefix: a:800,b:410,c:250")
 	}
 }
 
@@ -43,32 +43,32 @@
 	const clients = 500
 	for _, waits := range []bool{false, true} {
 		b.Run(fmt.Sprintf("waits=%t", waits), func(b *testing.B) {
-			goOn := make(chan bool)
-			s := newServer(b, "i-1", "unbound", "", func(req *http1.Request, w io.Writer) bool {
+			proceed := make(chan bool)
+			server := newFakeServer(b, "i-1", "unbound", "", func(req *http1.Request, w io.Writer) bool {
 				if waits {
-					<-goOn
+					<-proceed
 				}
-				return ok("x")(req, w)
+				return respondOK("x")(req, w)
 			})
-			defer close(goOn)
-			r := newRig(b, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 4100 }, s)
-			before := inUse()
+			defer close(proceed)
+			rig := newRig(b, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 4100 }, server)
+			before := memoryInUse()
 			for range clients {
-				p, err := net.Dial("tcp", r.address)
-				r.Assert(err, qt.IsNil)
-				b.Cleanup(func() { p.Close() })
-				io.WriteString(p, "GET /unbound/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n\r\n")
+				conn, err := net.Dial("tcp", rig.address)
+				rig.Assert(err, qt.IsNil)
+				b.Cleanup(func() { conn.Close() })
+				io.WriteString(conn, "GET /unbound/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n\r\n")
 			}
-			r.eventually("all came", func() bool { return len(s.got()) == clients })
+			rig.eventually("all came", func() bool { return len(server.got()) == clients })
 			for b.Loop() {
 			}
-			b.ReportMetric(float64(inUse()-before)/clients, "B/client")
+			b.ReportMetric(float64(memoryInUse()-before)/clients, "B/client")
 		})
 	}
 }
 
 // inUse is what the heap and the stacks take.
-func inUse() int64 {
+func memoryInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/router/dataplane/classify_test.go
+++ b/internal/router/dataplane/classify_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestClassify(t *testing.T) {
+func TestClassifyTellsWhatAResponseAllows(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		responseTraits
@@ -37,23 +37,26 @@
 }
 
 func TestWhatMayFollow(t *testing.T) {
-	c := qt.New(t)
 	for _, test := range []struct {
-		idempotent bool
-		worst      execution
-		repeat     bool
-		status     int // in time
-		late       int
+		name           string
+		idempotent     bool
+		worst          execution
+		retryIsSafe    bool
+		status         int
+		statusPastTime int
 	}{
-		{true, notSent, true, 503, 503},
-		{true, notRun, true, 503, 503},
-		{true, mayHaveRun, true, 502, 504},
-		{false, notSent, true, 503, 503},
-		{false, notRun, true, 503, 503},
-		{false, mayHaveRun, false, 502, 504},
+		{"idempotent, not sent", true, notSent, true, 503, 503},
+		{"idempotent, not run", true, notRun, true, 503, 503},
+		{"idempotent, may have run", true, mayHaveRun, true, 502, 504},
+		{"not idempotent, not sent", false, notSent, true, 503, 503},
+		{"not idempotent, not run", false, notRun, true, 503, 503},
+		{"not idempotent, may have run", false, mayHaveRun, false, 502, 504},
 	} {
-		c.Assert(retryIsSafe(test.idempotent, test.worst), qt.Equals, test.repeat)
-		c.Assert(finalStatus(test.worst, false), qt.Equals, test.status)
-		c.Assert(finalStatus(test.worst, true), qt.Equals, test.late)
+		t.Run(test.name, func(t *testing.T) {
+			c := qt.New(t)
+			c.Assert(retryIsSafe(test.idempotent, test.worst), qt.Equals, test.retryIsSafe)
+			c.Assert(finalStatus(test.worst, false), qt.Equals, test.status)
+			c.Assert(finalStatus(test.worst, true), qt.Equals, test.statusPastTime)
+		})
 	}
 }
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -20,7 +20,7 @@
 func TestEveryCallCarriesTheTimeLeft(t *testing.T) {
 	ended := make(chan string, 9)
 	begins := func(req *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
+		io.WriteString(w, streamHead(req, "s")+chunk(eventText(1)))
 		return neverAnswer(ended)(req, w)
 	}
 	for _, test := range []struct {
@@ -28,26 +28,26 @@
 		first, second handler
 		shorter       int // milliseconds that the first call takes at least, from its start on
 	}{
-		{"stalled", "safe", neverAnswer(ended), ok("x"), 1500},
-		{"stalled before the stream", "stream", neverAnswer(ended), events(1, 3, true), 1500},
+		{"stalled", "safe", neverAnswer(ended), respondOK("x"), 1500},
+		{"stalled before the stream", "stream", neverAnswer(ended), streamEvents(1, 3, true), 1500},
 		{"stalled within the stream", "stream", begins, resumesUntil(3), 1000},
-		{"full", "unsafe", full, ok("x"), 0},
-		{"full", "firm", full, events(1, 3, true), 0},
-		{"server replaced", "unsafe", replaced, ok("x"), 0},
+		{"full", "unsafe", rejectFull, respondOK("x"), 0},
+		{"full", "firm", rejectFull, streamEvents(1, 3, true), 0},
+		{"server replaced", "unsafe", rejectReplaced, respondOK("x"), 0},
 	} {
 		t.Run(test.route+" "+test.name, func(t *testing.T) {
 			t.Parallel()
 			servers := newLookupServers(t, inTurn(test.first, test.second))
-			r := newRig(t, nil, servers...)
-			answer := r.dial().ask("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: 4500")
-			r.Assert(answer.Status, qt.Equals, 200)
+			rig := newRig(t, nil, servers...)
+			response := rig.dial().do("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: 4500")
+			rig.Assert(response.Status, qt.Equals, 200)
 			first, second := deadlineOf(servers[0].got()[0]), deadlineOf(servers[1].got()[0])
-			r.Assert(first > 0 && first <= 4500, qt.IsTrue, qt.Commentf("%d", first))
+			rig.Assert(first > 0 && first <= 4500, qt.IsTrue, qt.Commentf("%d", first))
 			// The first call's time runs from its start, which is after the request's arrival and before its
 			// deadline is written.
-			r.Assert(second > 0 && second <= 4500-test.shorter, qt.IsTrue, qt.Commentf("%d after %d", second, first))
-			r.Assert(second <= first, qt.IsTrue, qt.Commentf("%d after %d", second, first))
-			r.Assert(requestsReceived(servers), qt.Equals, 2)
+			rig.Assert(second > 0 && second <= 4500-test.shorter, qt.IsTrue, qt.Commentf("%d after %d", second, first))
+			rig.Assert(second <= first, qt.IsTrue, qt.Commentf("%d after %d", second, first))
+			rig.Assert(requestsReceived(servers), qt.Equals, 2)
 		})
 	}
 }
@@ -55,15 +55,15 @@
 func TestPrefillCallsCarryTheTimeLeft(t *testing.T) {
 	t.Parallel()
 	ended := make(chan string, 9)
-	for _, read := range []handler{prefillsPrompt("h"), neverAnswer(ended), full} {
-		prefillers, decoders := newModelServers(t, inTurn(read, prefillsPrompt("h")), events(1, 3, true))
-		r := newRig(t, nil, append(prefillers, decoders...)...)
-		answer := r.dial().ask("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 1500")
-		r.Assert(answer.Status, qt.Equals, 200)
+	for _, read := range []handler{respondHandle("h"), neverAnswer(ended), rejectFull} {
+		prefillers, decoders := newModelServers(t, inTurn(read, respondHandle("h")), streamEvents(1, 3, true))
+		rig := newRig(t, nil, append(prefillers, decoders...)...)
+		response := rig.dial().do("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 1500")
+		rig.Assert(response.Status, qt.Equals, 200)
 		before := 1500
-		for _, s := range append(prefillers, decoders...) {
-			for _, req := range s.got() {
-				r.Assert(deadlineOf(req) > 0 && deadlineOf(req) <= before, qt.IsTrue)
+		for _, server := range append(prefillers, decoders...) {
+			for _, req := range server.got() {
+				rig.Assert(deadlineOf(req) > 0 && deadlineOf(req) <= before, qt.IsTrue)
 				before = deadlineOf(req)
 			}
 		}
@@ -72,12 +72,12 @@
 
 // A client that names no deadline, or none that can be parsed, has the route's timeout.
 func TestCallsWithoutADeadlineCarryTheTimeout(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", ok("x"))
-	r := newRig(t, nil, s)
+	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+	rig := newRig(t, nil, server)
 	for i, fields := range [][]string{nil, {"Cresshub-Deadline-Ms: soon"}, {"Cresshub-Deadline-Ms: 90000"}} {
-		r.dial().ask("POST", "/unsafe/", fmt.Sprint(i), "", fields...)
-		told := deadlineOf(s.got()[i])
-		r.Assert(told > 0 && told <= 5000, qt.IsTrue, qt.Commentf("%d", told))
+		rig.dial().do("POST", "/unsafe/", fmt.Sprint(i), "", fields...)
+		told := deadlineOf(server.got()[i])
+		rig.Assert(told > 0 && told <= 5000, qt.IsTrue, qt.Commentf("%d", told))
 	}
 }
 
@@ -87,11 +87,11 @@
 	ended := make(chan string, 99)
 	for name, part := range map[string]func(req *http1.Request) string{
 		"nothing":        func(*http1.Request) string { return "" },
-		"a part of head": func(req *http1.Request) string { return head(req, 200, stamp) },
+		"a part of head": func(req *http1.Request) string { return responseHead(req, 200, stamp) },
 		"a part of body": func(req *http1.Request) string {
-			return head(req, 200, stamp) + length("twice") + "half"
+			return responseHead(req, 200, stamp) + contentLength("twice") + "half"
 		},
-		"an event": func(req *http1.Request) string { return streamHead(req, "s") + chunk(event(1)) },
+		"an event": func(req *http1.Request) string { return streamHead(req, "s") + chunk(eventText(1)) },
 	} {
 		for _, route := range []string{"safe", "unsafe", "stream", "firm", "model", "modelfirm"} {
 			t.Run(route+" "+name, func(t *testing.T) {
@@ -100,21 +100,21 @@
 					io.WriteString(w, part(req))
 					return neverAnswer(ended)(req, w)
 				}
-				s := newServer(t, "i-1", "lookup", "", answer)
-				reader := newServer(t, "i-r", "language", catalog.Prefill, prefillsPrompt("h"))
-				writer := newServer(t, "i-w", "language", catalog.Decode, answer)
-				r := newRig(t, nil, s, reader, writer)
-				r.state.config.Match("h", "/"+route+"/").Timeout = 200 * time.Millisecond
-				p := r.dial()
-				p.send("POST", "/"+route+"/", "a", "", "Cresshub-Deadline-Ms: 60000")
-				got := p.result() // far within the client's deadline, or the test fails
+				server := newFakeServer(t, "i-1", "lookup", "", answer)
+				reader := newFakeServer(t, "i-r", "language", catalog.Prefill, respondHandle("h"))
+				writer := newFakeServer(t, "i-w", "language", catalog.Decode, answer)
+				rig := newRig(t, nil, server, reader, writer)
+				rig.state.config.Match("h", "/"+route+"/").Timeout = 200 * time.Millisecond
+				client := rig.dial()
+				client.send("POST", "/"+route+"/", "a", "", "Cresshub-Deadline-Ms: 60000")
+				got := client.awaitResult() // far within the client's deadline, or the test fails
 				if name == "an event" && got.status == 200 {
-					r.Assert(got.cut, qt.IsTrue)
+					rig.Assert(got.cut, qt.IsTrue)
 				} else {
-					r.Assert(got.status, qt.Equals, 504)
+					rig.Assert(got.status, qt.Equals, 504)
 				}
-				r.Assert(<-ended, qt.Equals, "a")
-				r.awaitCallsEnded()
+				rig.Assert(<-ended, qt.Equals, "a")
+				rig.awaitCallsEnded()
 			})
 		}
 	}
--- a/internal/router/dataplane/descriptors_test.go
+++ b/internal/router/dataplane/descriptors_test.go
@@ -12,8 +12,8 @@
 // heartbeats and operators get through.
 func TestClientsAndServersLeaveDescriptors(t *testing.T) {
 	for _, descriptors := range []int{600, 1024, 4100, 65536} {
-		p := &Proxy{settings: &agentsettings.Settings{Descriptors: descriptors}}
-		left := descriptors - reservedDescriptors - 2*p.connectionLimit()
+		proxy := &Proxy{settings: &agentsettings.Settings{Descriptors: descriptors}}
+		left := descriptors - reservedDescriptors - 2*proxy.connectionLimit()
 		qt.Check(t, left >= (descriptors-reservedDescriptors)/controlDivisor, qt.IsTrue,
 			qt.Commentf("%d of %d are left", left, descriptors))
 	}
--- a/internal/router/dataplane/disconnect_test.go
+++ b/internal/router/dataplane/disconnect_test.go
@@ -29,73 +29,75 @@
 	ended := make(chan string, 999)
 	held := neverAnswer(ended)
 	begins := func(req *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
+		io.WriteString(w, streamHead(req, "s")+chunk(eventText(1)))
 		return held(req, w)
 	}
 	goesOnAndStalls := func(req *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(req, "s")+chunk(event(2)))
+		io.WriteString(w, streamHead(req, "s")+chunk(eventText(2)))
 		return held(req, w)
 	}
-	handle := prefillsPrompt("h")
+	handle := respondHandle("h")
 	for _, test := range []struct {
 		name, route string
 		read, serve []handler
 		calls       int
 		freed       int
 	}{
-		{"at its server", "safe", nil, []handler{held, ok("x")}, 1, 0},
-		{"at its server", "unsafe", nil, []handler{held, ok("x")}, 1, 0},
-		{"after a rejection", "unsafe", nil, []handler{full, held, ok("x")}, 2, 0},
-		{"after a call broken off", "safe", nil, []handler{breakOff, held, ok("x")}, 2, 0},
-		{"within its stream", "firm", nil, []handler{begins, ok("x")}, 1, 0},
+		{"at its server", "safe", nil, []handler{held, respondOK("x")}, 1, 0},
+		{"at its server", "unsafe", nil, []handler{held, respondOK("x")}, 1, 0},
+		{"after a rejection", "unsafe", nil, []handler{rejectFull, held, respondOK("x")}, 2, 0},
+		{"after a call broken off", "safe", nil, []handler{closeUnanswered, held, respondOK("x")}, 2, 0},
+		{"within its stream", "firm", nil, []handler{begins, respondOK("x")}, 1, 0},
 		{"within a resumed stream", "stream", nil,
-			[]handler{streams("s", false, event(1)), goesOnAndStalls, resumesUntil(9)}, 2, 0},
+			[]handler{streamChunks("s", false, eventText(1)), goesOnAndStalls, resumesUntil(9)}, 2, 0},
 		{"during prefill", "model", []handler{held, handle}, []handler{begins}, 1, 0},
-		{"during prefill after a rejection", "modelfirm", []handler{full, held, handle}, []handler{begins}, 2, 0},
+		{"during prefill after a rejection", "modelfirm",
+			[]handler{rejectFull, held, handle}, []handler{begins}, 2, 0},
 		{"while the prefix cache is fetched", "model", []handler{handle}, []handler{held, resumesUntil(9)}, 2, 1},
-		{"during decode after a rejection", "modelfirm", []handler{handle}, []handler{full, held}, 3, 1},
+		{"during decode after a rejection", "modelfirm", []handler{handle}, []handler{rejectFull, held}, 3, 1},
 		{"within its decoded stream", "modelfirm", []handler{handle}, []handler{begins, resumesUntil(9)}, 2, 0},
 	} {
 		for way, leave := range disconnects {
 			t.Run(fmt.Sprintf("%s %s, %s", test.route, test.name, way), func(t *testing.T) {
 				t.Parallel()
-				var prefillers, decoders []*server
+				var prefillers, decoders []*fakeServer
 				if test.read == nil {
 					decoders = newLookupServers(t, inTurn(test.serve...))
 				} else {
 					prefillers, decoders = newModelServers(t, inTurn(test.read...), inTurn(test.serve...))
 				}
-				r := newRig(t, nil, append(prefillers, decoders...)...)
-				setLongTimeouts(r, test.route)
+				rig := newRig(t, nil, append(prefillers, decoders...)...)
+				setLongTimeouts(rig, test.route)
 				calls := func() int {
 					return requestsReceived(prefillers) + requestsReceived(decoders) - releasedHandles(prefillers)
 				}
-				p := r.dial()
-				p.send("POST", "/"+test.route+"/", "a", "prompt")
-				r.eventually("its last call came", func() bool { return calls() == test.calls })
-				leave(p.Conn.(*net.TCPConn))
+				client := rig.dial()
+				client.send("POST", "/"+test.route+"/", "a", "prompt")
+				rig.eventually("its last call came", func() bool { return calls() == test.calls })
+				leave(client.Conn.(*net.TCPConn))
 				select {
 				case id := <-ended:
-					r.Assert(id, qt.Equals, "a")
+					rig.Assert(id, qt.Equals, "a")
 				case <-time.After(testTimeout):
-					r.Fatal("its server did not see the end of the connection")
+					rig.Fatal("its server did not see the end of the connection")
 				}
-				r.awaitCallsEnded()
-				r.eventually("the client is removed", func() bool { return len(r.proxy.connectedClients()) == 0 })
-				r.eventually("its handle is released", func() bool { return releasedHandles(prefillers) >= test.freed })
-				r.eventually("no call to release it is in flight", func() bool { return len(r.proxy.handles.slots) == 0 })
-				r.Assert(releasedHandles(prefillers) <= 1, qt.IsTrue)
-				r.Assert(calls(), qt.Equals, test.calls)
-				outcomes := r.chooser.outcomes()
-				r.Assert(outcomes[len(outcomes)-1], qt.Equals, scheduler.Abandoned)
+				rig.awaitCallsEnded()
+				rig.eventually("the client is removed", func() bool { return len(rig.proxy.connectedClients()) == 0 })
+				rig.eventually("its handle is released", func() bool { return releasedHandles(prefillers) >= test.freed })
+				rig.eventually("no call to release it is in flight",
+					func() bool { return len(rig.proxy.handles.slots) == 0 })
+				rig.Assert(releasedHandles(prefillers) <= 1, qt.IsTrue)
+				rig.Assert(calls(), qt.Equals, test.calls)
+				outcomes := rig.chooser.outcomes()
+				rig.Assert(outcomes[len(outcomes)-1], qt.Equals, scheduler.Abandoned)
 			})
 		}
 	}
 }
 
 // setLongTimeouts makes a route's own times so long that none of them ends a request within a test.
-func setLongTimeouts(r *rig, route string) {
-	configured := r.state.config.Match("h", "/"+route+"/")
+func setLongTimeouts(rig *testRig, route string) {
+	configured := rig.state.config.Match("h", "/"+route+"/")
 	configured.Timeout, configured.LatencyTarget, configured.GapTarget = time.Minute, time.Minute, time.Minute
 }
 
@@ -124,20 +126,20 @@
 
 // A client that disconnects while a connection is being opened for it.
 func TestClientDisconnectsWhileAServerIsDialled(t *testing.T) {
-	stuck := &server{Server: &catalog.Server{ID: "i-1", Service: "lookup", State: catalog.Ready}}
+	stuck := &fakeServer{Server: &catalog.Server{ID: "i-1", Service: "lookup", State: catalog.Ready}}
 	stuck.Address = fullListener(t)
-	other := newServer(t, "i-2", "lookup", "", ok("x"))
-	r := newRig(t, nil, stuck, other)
-	p := r.dial()
-	p.send("POST", "/safe/", "a", "")
-	r.eventually("it is dialled", func() bool {
-		r.chooser.mu.Lock()
-		defer r.chooser.mu.Unlock()
-		return len(r.chooser.open) == 1
+	other := newFakeServer(t, "i-2", "lookup", "", respondOK("x"))
+	rig := newRig(t, nil, stuck, other)
+	client := rig.dial()
+	client.send("POST", "/safe/", "a", "")
+	rig.eventually("it is dialled", func() bool {
+		rig.chooser.mu.Lock()
+		defer rig.chooser.mu.Unlock()
+		return len(rig.chooser.open) == 1
 	})
-	p.Close()
-	r.eventually("the client is removed", func() bool { return len(r.proxy.connectedClients()) == 0 })
-	r.awaitCallsEnded()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
-	r.Assert(other.got(), qt.HasLen, 0)
+	client.Close()
+	rig.eventually("the client is removed", func() bool { return len(rig.proxy.connectedClients()) == 0 })
+	rig.awaitCallsEnded()
+	rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
+	rig.Assert(other.got(), qt.HasLen, 0)
 }
--- a/internal/router/dataplane/drain_test.go
+++ b/internal/router/dataplane/drain_test.go
@@ -20,7 +20,7 @@
 func TestDisconnectEndsTheCall(t *testing.T) {
 	ended := make(chan string, 9)
 	beginning := func(req *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
+		io.WriteString(w, streamHead(req, "s")+chunk(eventText(1)))
 		return neverAnswer(ended)(req, w)
 	}
 	for name, test := range map[string]struct {
@@ -34,17 +34,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			servers := newLookupServers(t, test.answer)
-			r := newRig(t, nil, servers...)
-			p := r.dial()
-			p.send("POST", "/"+test.route+"/", "a", "")
-			r.eventually("it came", func() bool { return requestsReceived(servers) == 1 })
-			p.Close()
-			r.Assert(<-ended, qt.Equals, "a")
-			r.awaitCallsEnded()
-			r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
-			r.Assert(requestsReceived(servers), qt.Equals, 1)
-			r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
-			r.Assert(r.proxy.Stats().ClientsDisconnected, qt.Equals, int64(1))
+			rig := newRig(t, nil, servers...)
+			client := rig.dial()
+			client.send("POST", "/"+test.route+"/", "a", "")
+			rig.eventually("it came", func() bool { return requestsReceived(servers) == 1 })
+			client.Close()
+			rig.Assert(<-ended, qt.Equals, "a")
+			rig.awaitCallsEnded()
+			rig.eventually("the client is gone", func() bool { return len(rig.proxy.connectedClients()) == 0 })
+			rig.Assert(requestsReceived(servers), qt.Equals, 1)
+			rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
+			rig.Assert(rig.proxy.Stats().ClientsDisconnected, qt.Equals, int64(1))
 		})
 	}
 }
@@ -59,27 +59,28 @@
 				t.Run(fmt.Sprintf("%s, reset %t, later %t", route, reset, later), func(t *testing.T) {
 					t.Parallel()
 					gone := make(chan string, 9)
-					s := newServer(t, "i-1", "lookup", "", neverAnswer(gone))
-					r := newRig(t, nil, s)
-					p := r.dial()
-					first := fmt.Sprintf("POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n%s", route, length(""))
+					server := newFakeServer(t, "i-1", "lookup", "", neverAnswer(gone))
+					rig := newRig(t, nil, server)
+					client := rig.dial()
+					first := fmt.Sprintf("POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n%s", route,
+						contentLength(""))
 					if later {
-						io.WriteString(p, first)
-						r.eventually("it came", func() bool { return len(s.got()) == 1 })
-						io.WriteString(p, next)
+						io.WriteString(client, first)
+						rig.eventually("it came", func() bool { return len(server.got()) == 1 })
+						io.WriteString(client, next)
 					} else {
-						io.WriteString(p, first+next)
-						r.eventually("it came", func() bool { return len(s.got()) == 1 })
+						io.WriteString(client, first+next)
+						rig.eventually("it came", func() bool { return len(server.got()) == 1 })
 					}
 					if reset {
-						p.Conn.(*net.TCPConn).SetLinger(0)
+						client.Conn.(*net.TCPConn).SetLinger(0)
 					}
-					p.Close()
-					r.Assert(<-gone, qt.Equals, "a")
-					r.awaitCallsEnded()
-					r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
-					r.eventually("the client is gone", func() bool { return len(r.proxy.connectedClients()) == 0 })
-					r.Assert(s.got(), qt.HasLen, 1)
+					client.Close()
+					rig.Assert(<-gone, qt.Equals, "a")
+					rig.awaitCallsEnded()
+					rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
+					rig.eventually("the client is gone", func() bool { return len(rig.proxy.connectedClients()) == 0 })
+					rig.Assert(server.got(), qt.HasLen, 1)
 				})
 			}
 		}
@@ -87,42 +88,42 @@
 }
 
 func TestDrainAnswersWhatWasRead(t *testing.T) {
-	goOn := make(chan bool)
-	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
-		<-goOn
-		return ok("done")(req, w)
+	proceed := make(chan bool)
+	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		<-proceed
+		return respondOK("done")(req, w)
 	})
-	r := newRig(t, nil, s)
-	p, slow, idle := r.dial(), r.dial(), r.dial()
-	r.Assert(idle.ask("GET", "/nowhere/", "i", "").Close, qt.IsFalse)
-	p.send("POST", "/unsafe/", "a", "")
+	rig := newRig(t, nil, server)
+	client, slow, idle := rig.dial(), rig.dial(), rig.dial()
+	rig.Assert(idle.do("GET", "/nowhere/", "i", "").Close, qt.IsFalse)
+	client.send("POST", "/unsafe/", "a", "")
 	io.WriteString(slow, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: b\r\nContent-Le")
-	r.eventually("it came", func() bool { return len(s.got()) == 1 })
-	r.eventually("all are there", func() bool { return len(r.proxy.connectedClients()) == 3 })
+	rig.eventually("it came", func() bool { return len(server.got()) == 1 })
+	rig.eventually("all are there", func() bool { return len(rig.proxy.connectedClients()) == 3 })
 
-	r.proxy.Drain()
-	r.proxy.Drain()
+	rig.proxy.Drain()
+	rig.proxy.Drain()
 	_, err := idle.in.ReadByte() // it is closed after a little while, without a request
-	r.Assert(err, qt.Equals, io.EOF)
+	rig.Assert(err, qt.Equals, io.EOF)
 
-	late := r.dial() // the listener is still there
+	late := rig.dial() // the listener is still there
 	late.send("POST", "/unsafe/", "c", "")
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
-	r.eventually("they came", func() bool { return len(s.got()) == 3 })
-	r.listener.Close()
-	close(goOn)
-	for _, p := range []*testClient{p, slow, late} {
-		answer, err := p.read()
-		r.Assert(err, qt.IsNil)
-		r.Assert(string(answer.Body), qt.Equals, "done")
-		r.Assert(answer.Close, qt.IsTrue)
+	rig.eventually("they came", func() bool { return len(server.got()) == 3 })
+	rig.listener.Close()
+	close(proceed)
+	for _, client := range []*testClient{client, slow, late} {
+		response, err := client.read()
+		rig.Assert(err, qt.IsNil)
+		rig.Assert(string(response.Body), qt.Equals, "done")
+		rig.Assert(response.Close, qt.IsTrue)
 	}
-	r.awaitEmpty()
-	r.Assert(r.proxy.connectedClients(), qt.HasLen, 0)
+	rig.awaitEmpty()
+	rig.Assert(rig.proxy.connectedClients(), qt.HasLen, 0)
 }
 
 // awaitEmpty waits until every client has disconnected.
-func (r *rig) awaitEmpty() {
+func (r *testRig) awaitEmpty() {
 	r.Helper()
 	end := time.Now().Add(testTimeout)
 	r.proxy.Wait(end, end)
@@ -130,7 +131,7 @@
 }
 
 // drainLate begins a drain and lets it look as if it had begun that long ago.
-func (r *rig) drainLate(ago time.Duration) {
+func (r *testRig) drainLate(ago time.Duration) {
 	r.proxy.Drain()
 	r.proxy.mu.Lock()
 	defer r.proxy.mu.Unlock()
@@ -140,187 +141,188 @@
 // A request that is read late in a drain may last longer than the process: its client is told to send it
 // elsewhere, and no server gets it.
 func TestLateRequestsOfADrainAreRejected(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", ok("done"))
-	r := newRig(t, nil, s)
-	slow := r.dial()
+	server := newFakeServer(t, "i-1", "lookup", "", respondOK("done"))
+	rig := newRig(t, nil, server)
+	slow := rig.dial()
 	io.WriteString(slow, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\nContent-Le")
-	r.eventually("it is there", func() bool { return len(r.proxy.connectedClients()) == 1 })
-	r.drainLate(drainAcceptTime + time.Millisecond)
+	rig.eventually("it is there", func() bool { return len(rig.proxy.connectedClients()) == 1 })
+	rig.drainLate(drainAcceptTime + time.Millisecond)
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
-	answer, err := slow.read()
-	r.Assert(err, qt.IsNil)
-	r.Assert(answer.Status, qt.Equals, 503)
-	r.Assert(answer.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
-	r.Assert(answer.Close, qt.IsTrue)
-	r.awaitEmpty()
-	r.Assert(s.got(), qt.HasLen, 0)
+	response, err := slow.read()
+	rig.Assert(err, qt.IsNil)
+	rig.Assert(response.Status, qt.Equals, 503)
+	rig.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
+	rig.Assert(response.Close, qt.IsTrue)
+	rig.awaitEmpty()
+	rig.Assert(server.got(), qt.HasLen, 0)
 }
 
 // A stream that began before a drain did not say that its connection ends. Late in the drain the connection
 // accepts no further request all the same.
 func TestKeepAliveConnectionsEndLateInADrain(t *testing.T) {
-	goOn := make(chan bool)
-	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
-		io.WriteString(w, streamHead(req, "s")+chunk(event(1)))
-		<-goOn
-		io.WriteString(w, chunk(event(2))+"0\r\n\r\n")
+	proceed := make(chan bool)
+	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		io.WriteString(w, streamHead(req, "s")+chunk(eventText(1)))
+		<-proceed
+		io.WriteString(w, chunk(eventText(2))+"0\r\n\r\n")
 		return true
 	})
-	r := newRig(t, nil, s)
-	p := r.dial()
-	p.send("POST", "/stream/", "a", "")
-	r.eventually("its first event has passed", func() bool { _, err := p.in.Peek(1); return err == nil })
-	r.drainLate(drainAcceptTime + time.Millisecond)
-	close(goOn)
-	answer, err := p.read()
-	r.Assert(err, qt.IsNil)
-	r.Assert(answer.Close, qt.IsFalse)
-	p.send("POST", "/stream/", "b", "")
-	if answer, err := p.read(); err == nil {
-		r.Assert(answer.Status, qt.Equals, 503)
+	rig := newRig(t, nil, server)
+	client := rig.dial()
+	client.send("POST", "/stream/", "a", "")
+	rig.eventually("its first event has passed", func() bool { _, err := client.in.Peek(1); return err == nil })
+	rig.drainLate(drainAcceptTime + time.Millisecond)
+	close(proceed)
+	response, err := client.read()
+	rig.Assert(err, qt.IsNil)
+	rig.Assert(response.Close, qt.IsFalse)
+	client.send("POST", "/stream/", "b", "")
+	if response, err := client.read(); err == nil {
+		rig.Assert(response.Status, qt.Equals, 503)
 	}
-	r.awaitEmpty()
-	r.Assert(s.got(), qt.HasLen, 1)
+	rig.awaitEmpty()
+	rig.Assert(server.got(), qt.HasLen, 1)
 }
 
 func TestWaitAbortsRequestsInFlight(t *testing.T) {
 	ended := make(chan string, 9)
-	s := newServer(t, "i-1", "lookup", "", neverAnswer(ended))
-	r := newRig(t, nil, s)
-	p := r.dial()
-	p.send("POST", "/unsafe/", "a", "")
-	r.eventually("it came", func() bool { return len(s.got()) == 1 })
-	r.proxy.Drain()
-	r.proxy.Wait(time.Now().Add(100*time.Millisecond), time.Now().Add(testTimeout))
-	answer, err := p.read()
-	r.Assert(err, qt.IsNil)
-	r.Assert(answer.Status, qt.Equals, 504)
+	server := newFakeServer(t, "i-1", "lookup", "", neverAnswer(ended))
+	rig := newRig(t, nil, server)
+	client := rig.dial()
+	client.send("POST", "/unsafe/", "a", "")
+	rig.eventually("it came", func() bool { return len(server.got()) == 1 })
+	rig.proxy.Drain()
+	rig.proxy.Wait(time.Now().Add(100*time.Millisecond), time.Now().Add(testTimeout))
+	response, err := client.read()
+	rig.Assert(err, qt.IsNil)
+	rig.Assert(response.Status, qt.Equals, 504)
 	<-ended
 }
 
 func TestRequestsReadInADrainOfAnIdleConnection(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", ok("x"))
-	r := newRig(t, nil, s)
-	p := r.dial()
-	r.Assert(p.ask("GET", "/safe/", "a", "").Close, qt.IsFalse)
-	r.proxy.Drain()
-	answer := p.ask("GET", "/safe/", "b", "")
-	r.Assert(answer.Status, qt.Equals, 200)
-	r.Assert(answer.Close, qt.IsTrue)
-	_, err := p.in.ReadByte()
-	r.Assert(err, qt.Equals, io.EOF)
-	r.awaitEmpty()
+	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+	rig := newRig(t, nil, server)
+	client := rig.dial()
+	rig.Assert(client.do("GET", "/safe/", "a", "").Close, qt.IsFalse)
+	rig.proxy.Drain()
+	response := client.do("GET", "/safe/", "b", "")
+	rig.Assert(response.Status, qt.Equals, 200)
+	rig.Assert(response.Close, qt.IsTrue)
+	_, err := client.in.ReadByte()
+	rig.Assert(err, qt.Equals, io.EOF)
+	rig.awaitEmpty()
 }
 
 func TestServerConnectionsAreDividedAmongProxies(t *testing.T) {
 	ended := make(chan string, 9)
-	s := newServer(t, "i-1", "lookup", "", neverAnswer(ended))
-	r := newRig(t, func(_ *agentsettings.Settings, state *fakeState) { state.proxies = 50 }, s) // 100 / 50 each
+	server := newFakeServer(t, "i-1", "lookup", "", neverAnswer(ended))
+	rig := newRig(t, func(_ *agentsettings.Settings, state *fakeState) { state.proxies = 50 },
+		server) // 100 / 50 each
 	var waiting []*testClient
 	for range 2 {
-		p := r.dial()
-		p.send("POST", "/unsafe/", "a", "")
-		waiting = append(waiting, p)
+		client := rig.dial()
+		client.send("POST", "/unsafe/", "a", "")
+		waiting = append(waiting, client)
 	}
-	r.eventually("they came", func() bool { return len(s.got()) == 2 })
-	r.Assert(r.dial().ask("POST", "/unsafe/", "b", "").Status, qt.Equals, 503)
-	r.Assert(s.got(), qt.HasLen, 2)
-	for _, p := range waiting {
-		p.Close()
+	rig.eventually("they came", func() bool { return len(server.got()) == 2 })
+	rig.Assert(rig.dial().do("POST", "/unsafe/", "b", "").Status, qt.Equals, 503)
+	rig.Assert(server.got(), qt.HasLen, 2)
+	for _, client := range waiting {
+		client.Close()
 		<-ended
 	}
 }
 
 func TestConnectionsToUnlistedServersAreClosed(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", ok("x"))
-	r := newRig(t, nil, s)
-	r.Assert(r.dial().ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
-	r.state.mu.Lock()
-	r.state.table = tableOf(nil)
-	r.state.mu.Unlock()
-	r.eventually("its connections are closed", func() bool {
-		r.proxy.pool.sweep()
-		r.proxy.pool.mu.Lock()
-		defer r.proxy.pool.mu.Unlock()
-		return len(r.proxy.pool.servers) == 0
+	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+	rig := newRig(t, nil, server)
+	rig.Assert(rig.dial().do("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
+	rig.state.mu.Lock()
+	rig.state.table = tableOf(nil)
+	rig.state.mu.Unlock()
+	rig.eventually("its connections are closed", func() bool {
+		rig.proxy.pool.sweep()
+		rig.proxy.pool.mu.Lock()
+		defer rig.proxy.pool.mu.Unlock()
+		return len(rig.proxy.pool.servers) == 0
 	})
 }
 
 // The bytes behind the last request that is answered must not take the response with them.
 func TestResponseSurvivesWhatFollowsIt(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", ok("x"))
-	r := newRig(t, nil, s)
-	p := r.dial()
-	p.send("POST", "/unsafe/", "a", "", "Connection: close")
-	p.send("POST", "/unsafe/", "b", strings.Repeat("x", 50_000))
-	answer, err := p.read()
-	r.Assert(err, qt.IsNil)
-	r.Assert(answer.Status, qt.Equals, 200)
-	_, err = p.in.ReadByte()
-	r.Assert(err, qt.Equals, io.EOF)
-	r.Assert(s.got(), qt.HasLen, 1)
+	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+	rig := newRig(t, nil, server)
+	client := rig.dial()
+	client.send("POST", "/unsafe/", "a", "", "Connection: close")
+	client.send("POST", "/unsafe/", "b", strings.Repeat("x", 50_000))
+	response, err := client.read()
+	rig.Assert(err, qt.IsNil)
+	rig.Assert(response.Status, qt.Equals, 200)
+	_, err = client.in.ReadByte()
+	rig.Assert(err, qt.Equals, io.EOF)
+	rig.Assert(server.got(), qt.HasLen, 1)
 }
 
 func TestPanicEndsOneConnectionOnly(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", ok("x"))
-	r := newRig(t, nil, s)
-	r.chooser.panics.Store(true)
-	p := r.dial()
-	p.send("POST", "/unsafe/", "a", "")
-	_, err := p.read()
-	r.Assert(err, qt.Not(qt.IsNil))
-	r.chooser.panics.Store(false)
-	r.Assert(r.dial().ask("POST", "/unsafe/", "b", "").Status, qt.Equals, 200)
-	r.eventually("the connection is removed", func() bool { return len(r.proxy.connectedClients()) == 1 })
+	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+	rig := newRig(t, nil, server)
+	rig.chooser.panics.Store(true)
+	client := rig.dial()
+	client.send("POST", "/unsafe/", "a", "")
+	_, err := client.read()
+	rig.Assert(err, qt.Not(qt.IsNil))
+	rig.chooser.panics.Store(false)
+	rig.Assert(rig.dial().do("POST", "/unsafe/", "b", "").Status, qt.Equals, 200)
+	rig.eventually("the connection is removed", func() bool { return len(rig.proxy.connectedClients()) == 1 })
 }
 
 // Whatever was forwarded to a server is answered completely, though idle connections are closed meanwhile.
 func TestDrainUnderLoad(t *testing.T) {
 	for range 5 {
-		s := newServer(t, "i-1", "lookup", "", ok("done"))
-		r := newRig(t, nil, s)
-		var under sync.WaitGroup
+		server := newFakeServer(t, "i-1", "lookup", "", respondOK("done"))
+		rig := newRig(t, nil, server)
+		var wg sync.WaitGroup
 		answered := make(chan string, 1<<16)
 		halfWay := make(chan bool, 1<<16)
 		for n := range 16 {
-			under.Go(func() {
-				p := &testClient{C: r.C}
+			wg.Go(func() {
+				client := &testClient{C: rig.C}
 				for i := range 200 {
 					id := fmt.Sprintf("c%d-%d", n, i)
 					if i == 100 {
 						halfWay <- true
 					}
-					if p.Conn == nil && !p.connect(r.address) {
+					if client.Conn == nil && !client.connect(rig.address) {
 						return // the listener is closed
 					}
-					p.post("unsafe", id, "x")
-					answer, err := p.read()
-					if err == nil && string(answer.Body) == "done" {
+					client.post("unsafe", id, "x")
+					response, err := client.read()
+					if err == nil && string(response.Body) == "done" {
 						answered <- id
 					}
-					if err != nil || answer.Close {
-						p.Close()
-						p.Conn = nil
+					if err != nil || response.Close {
+						client.Close()
+						client.Conn = nil
 					}
 				}
 			})
 		}
 		<-halfWay
-		r.proxy.Drain()
+		rig.proxy.Drain()
 		for range 8 {
 			<-halfWay
 		}
-		r.listener.Close()
-		r.awaitEmpty()
-		under.Wait()
+		rig.listener.Close()
+		rig.awaitEmpty()
+		wg.Wait()
 		close(answered)
 		got := map[string]bool{}
 		for id := range answered {
 			got[id] = true
 		}
-		for _, req := range s.got() {
+		for _, req := range server.got() {
 			id := req.Header.Get(tryIDHeader)
-			r.Assert(got[id], qt.IsTrue, qt.Commentf("%s came to the server and was not answered", id))
+			rig.Assert(got[id], qt.IsTrue, qt.Commentf("%s came to the server and was not answered", id))
 		}
 	}
 }
@@ -328,17 +330,17 @@
 // A process that was not scheduled for a while, or was frozen, is late with the responses that were due
 // meanwhile. It sends them all the same: to end the connection would tell the client nothing.
 func TestLateResponsesAreSent(t *testing.T) {
-	r := newRig(t, nil)
+	rig := newRig(t, nil)
 	near, far := net.Pipe()
 	defer far.Close()
-	late := &client{proxy: r.proxy, socket: &socket{Conn: near}}
+	late := &client{proxy: rig.proxy, socket: &socket{Conn: near}}
 	req := &request{Request: &http1.Request{Method: "GET"}, tryID: "a", deadline: time.Now().Add(-time.Second)}
 	go func() {
 		defer near.Close()
 		late.socket.SetWriteDeadline(req.writeDeadline())
 		late.sendLocalReply(req, errNoRoute)
 	}()
-	answer, err := (&testClient{Conn: far, in: bufio.NewReader(far)}).read()
-	r.Assert(err, qt.IsNil)
-	r.Assert(answer.Status, qt.Equals, 404)
+	response, err := (&testClient{Conn: far, in: bufio.NewReader(far)}).read()
+	rig.Assert(err, qt.IsNil)
+	rig.Assert(response.Status, qt.Equals, 404)
 }
--- a/internal/router/dataplane/events_test.go
+++ b/internal/router/dataplane/events_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestEventOrder(t *testing.T) {
+func TestResumedStreamSkipsWhatWasForwarded(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		dense   bool
--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -17,7 +17,7 @@
 	table         *catalog.Table
 	noSplit       bool
 	wait          time.Duration
-	open          map[*scheduler.Call]bool
+	open          map[*scheduler.Call]bool // calls in flight
 	outcomesEnded []scheduler.Outcome
 	unpaired      int // calls ended twice, or never begun
 	firstEvents   int
@@ -59,9 +59,9 @@
 }
 
 // first returns the first server that may be chosen.
-func (f *fakeChooser) first(req *scheduler.Request, stage catalog.Role) *catalog.Server {
+func (f *fakeChooser) first(req *scheduler.Request, role catalog.Role) *catalog.Server {
 	for _, s := range f.table.Service(req.Service.Name) {
-		if s.Role == stage && !slices.Contains(req.Excluded, s.ID) {
+		if s.Role == role && !slices.Contains(req.Excluded, s.ID) {
 			return s
 		}
 	}
--- a/internal/router/dataplane/fakeserver_test.go
+++ b/internal/router/dataplane/fakeserver_test.go
@@ -14,39 +14,44 @@
 	"cresshub/internal/router/catalog"
 )
 
-// server is a server with scripted responses.
-type server struct {
+// fakeServer is a server on loopback with scripted responses. Its methods may be called from any goroutine.
+type fakeServer struct {
 	*catalog.Server
 	listener net.Listener
 	mu       sync.Mutex
-	received []*http1.Request
+	received []*http1.Request // in the order of their arrival
 }
 
-// handler answers one request by what it writes to the connection; false ends the connection.
+// handler responds to one request by what it writes to the connection, which is w. The connection is closed
+// where it returns false. It runs on the goroutine of its connection.
 type handler func(req *http1.Request, w io.Writer) bool
 
-func newServer(tb testing.TB, id, service string, stage catalog.Role, answer handler) *server {
+// newFakeServer starts a server of a service, ready and with eight slots, until the test ends.
+func newFakeServer(tb testing.TB, id, service string, role catalog.Role, handle handler) *fakeServer {
 	tb.Helper()
-	s := &server{Server: &catalog.Server{ID: id, Service: service, Slots: 8, State: catalog.Ready, Role: stage}}
-	s.listen(tb, func(conn net.Conn) { s.serve(conn, answer) })
-	return s
+	server := &fakeServer{Server: &catalog.Server{ID: id, Service: service, Slots: 8, State: catalog.Ready,
+		Role: role}}
+	server.listen(tb, func(conn net.Conn) { server.serve(conn, handle) })
+	return server
 }
 
-// listen gives each connection a goroutine until the test ends.
-func (s *server) listen(tb testing.TB, serve func(net.Conn)) {
+// listen opens a listener for the server and runs serve for each connection, on a goroutine of its own, until
+// the test ends. The connection is closed when serve returns.
+func (s *fakeServer) listen(tb testing.TB, serve func(net.Conn)) {
 	tb.Helper()
 	s.listenWith(tb, net.ListenConfig{}, serve)
 }
 
-func (s *server) listenWith(tb testing.TB, how net.ListenConfig, serve func(net.Conn)) {
+// listenWith is listen with socket options.
+func (s *fakeServer) listenWith(tb testing.TB, config net.ListenConfig, serve func(net.Conn)) {
 	tb.Helper()
-	listener, err := how.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	s.listener = listener
 	s.Address = listener.Addr().String()
-	var under sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
 	tb.Cleanup(func() {
@@ -56,7 +61,7 @@
 			conn.Close()
 		}
 		mu.Unlock()
-		under.Wait()
+		wg.Wait()
 	})
 	go func() {
 		for {
@@ -66,10 +71,10 @@
 			}
 			mu.Lock()
 			open[conn] = true
-			under.Add(1)
+			wg.Add(1)
 			mu.Unlock()
 			go func() {
-				defer under.Done()
+				defer wg.Done()
 				defer conn.Close()
 				serve(conn)
 			}()
@@ -77,7 +82,8 @@
 	}()
 }
 
-func (s *server) serve(conn net.Conn, answer handler) {
+// serve records and handles the requests of one connection until the handler or the other side ends it.
+func (s *fakeServer) serve(conn net.Conn, handle handler) {
 	in := bufio.NewReader(conn)
 	for {
 		req, body, err := http1.ReadRequestHead(in)
@@ -90,29 +96,29 @@
 		s.mu.Lock()
 		s.received = append(s.received, req)
 		s.mu.Unlock()
-		if !answer(req, conn) {
+		if !handle(req, conn) {
 			return
 		}
 	}
 }
 
-// got returns the requests that have arrived.
-func (s *server) got() []*http1.Request {
+// got returns the requests that have arrived completely so far.
+func (s *fakeServer) got() []*http1.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*http1.Request(nil), s.received...)
 }
 
-// ok answers 200 with a stamp and that body.
-func ok(body string) handler {
+// respondOK responds with status 200, a server stamp and that body.
+func respondOK(body string) handler {
 	return func(req *http1.Request, w io.Writer) bool {
-		fmt.Fprint(w, head(req, 200, "Cresshub-Server-Stamp: s1"), length(body), body)
+		fmt.Fprint(w, responseHead(req, 200, "Cresshub-Server-Stamp: s1"), contentLength(body), body)
 		return true
 	}
 }
 
-// head is the status line and the fields of an answer to req, without the blank line.
-func head(req *http1.Request, status int, fields ...string) string {
+// responseHead returns the status line and the fields of a response to req, without the blank line.
+func responseHead(req *http1.Request, status int, fields ...string) string {
 	lines := fmt.Sprintf("HTTP/1.1 %d X\r\nCresshub-Try-Id: %s\r\n", status, req.Header.Get(tryIDHeader))
 	for _, f := range fields {
 		lines += f + "\r\n"
@@ -120,46 +126,48 @@
 	return lines
 }
 
-func length(body string) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) }
+// contentLength returns the field that frames a body, and the blank line that ends the head.
+func contentLength(body string) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) }
 
-// status answers with a status, fields and no body.
-func status(code int, fields ...string) handler {
+// respondStatus responds with a status, fields and an empty body.
+func respondStatus(code int, fields ...string) handler {
 	return func(req *http1.Request, w io.Writer) bool {
-		fmt.Fprint(w, head(req, code, fields...), length(""))
+		fmt.Fprint(w, responseHead(req, code, fields...), contentLength(""))
 		return true
 	}
 }
 
 // newLookupServers returns servers of the service lookup that share a handler.
-func newLookupServers(tb testing.TB, answer handler) []*server {
+func newLookupServers(tb testing.TB, handle handler) []*fakeServer {
 	tb.Helper()
-	var servers []*server
+	var servers []*fakeServer
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
-		servers = append(servers, newServer(tb, id, "lookup", catalog.NoRole, answer))
+		servers = append(servers, newFakeServer(tb, id, "lookup", catalog.NoRole, handle))
 	}
 	return servers
 }
 
 // requestsReceived is how many requests arrived at all of them.
-func requestsReceived(servers []*server) (sum int) {
-	for _, s := range servers {
-		sum += len(s.got())
+func requestsReceived(servers []*fakeServer) (sum int) {
+	for _, server := range servers {
+		sum += len(server.got())
 	}
 	return sum
 }
 
-// breakOff closes without an answer.
-func breakOff(*http1.Request, io.Writer) bool { return false }
+// closeUnanswered closes the connection without a response.
+func closeUnanswered(*http1.Request, io.Writer) bool { return false }
 
-// raw writes text as it is.
-func raw(text string) handler {
+// writeRaw writes text as it is, whatever the request was.
+func writeRaw(text string) handler {
 	return func(_ *http1.Request, w io.Writer) bool {
 		io.WriteString(w, text)
 		return true
 	}
 }
 
-// neverAnswer sends nothing and waits for the other side to end the connection, which it reports on ended.
+// neverAnswer sends nothing and waits until the other side ends the connection. It then sends the ID of the
+// request's attempt on ended.
 func neverAnswer(ended chan<- string) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		io.Copy(io.Discard, w.(net.Conn))
@@ -168,27 +176,28 @@
 	}
 }
 
-// inTurn answers each request by the next handler, and all further ones by the last.
+// inTurn handles each request by the next handler, and all further ones by the last.
 func inTurn(handlers ...handler) handler {
 	var mu sync.Mutex
 	return func(req *http1.Request, w io.Writer) bool {
 		mu.Lock()
-		h := handlers[0]
+		handle := handlers[0]
 		if len(handlers) > 1 {
 			handlers = handlers[1:]
 		}
 		mu.Unlock()
-		return h(req, w)
+		return handle(req, w)
 	}
 }
 
-// events answers with a stream of the events from..to, ended or broken off.
-func events(from, to int, whole bool) handler {
+// streamEvents responds with a stream of the events from..to. It ends the stream where whole is true, and
+// breaks it off otherwise.
+func streamEvents(from, to int, whole bool) handler {
 	return func(req *http1.Request, w io.Writer) bool {
-		fmt.Fprint(w, head(req, 200, "Cresshub-Server-Stamp: s"+fmt.Sprint(from), "Content-Type: text/event-stream",
-			"Transfer-Encoding: chunked"), "\r\n")
+		fmt.Fprint(w, responseHead(req, 200, "Cresshub-Server-Stamp: s"+fmt.Sprint(from),
+			"Content-Type: text/event-stream", "Transfer-Encoding: chunked"), "\r\n")
 		for id := from; id <= to; id++ {
-			io.WriteString(w, chunk(event(id)))
+			io.WriteString(w, chunk(eventText(id)))
 		}
 		if whole {
 			io.WriteString(w, "0\r\n\r\n")
@@ -197,14 +206,17 @@
 	}
 }
 
-func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
+// eventText returns the event with an ID as it stands in a stream.
+func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
+// eventsText returns the events from..to as they stand in a stream.
 func eventsText(from, to int) string {
 	var all strings.Builder
 	for id := from; id <= to; id++ {
-		all.WriteString(event(id))
+		all.WriteString(eventText(id))
 	}
 	return all.String()
 }
 
+// chunk returns text as one chunk of the chunked transfer coding.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
--- a/internal/router/dataplane/faults_test.go
+++ b/internal/router/dataplane/faults_test.go
@@ -48,7 +48,7 @@
 		}
 		body += "0\r\n\r\n"
 	}
-	top := head(req, 200, fields...) + "\r\n"
+	top := responseHead(req, 200, fields...) + "\r\n"
 	return top + body, len(top)
 }
 
@@ -62,26 +62,26 @@
 	arrivals int
 }
 
-func (f *faultyAttempt) streams() bool { return f.route == "stream" || f.route == "firm" }
+func (a *faultyAttempt) streams() bool { return a.route == "stream" || a.route == "firm" }
 
 // answer encodes the complete response to a request of the attempt.
-func (f *faultyAttempt) answer(req *http1.Request) (text string, headLength int) {
-	if !f.streams() {
-		return f.framing.encode(req, "text/plain", "body ", "of "+f.id)
+func (a *faultyAttempt) answer(req *http1.Request) (text string, headLength int) {
+	if !a.streams() {
+		return a.framing.encode(req, "text/plain", "body ", "of "+a.id)
 	}
 	var events []string
 	for piece := parseCount(req.Header.Get(lastEventHeader)) + 1; piece <= 3; piece++ {
-		events = append(events, eventOf(f.id, piece))
+		events = append(events, eventWith(a.id, piece))
 	}
-	return f.framing.encode(req, eventStreamType, events...)
+	return a.framing.encode(req, eventStreamType, events...)
 }
 
 // body is what the client has to get.
-func (f *faultyAttempt) body() string {
-	if !f.streams() {
-		return "body of " + f.id
+func (a *faultyAttempt) body() string {
+	if !a.streams() {
+		return "body of " + a.id
 	}
-	return eventOf(f.id, 1) + eventOf(f.id, 2) + eventOf(f.id, 3)
+	return eventWith(a.id, 1) + eventWith(a.id, 2) + eventWith(a.id, 3)
 }
 
 // faultyServers break off the first response of each attempt that is registered, and complete all others.
@@ -93,66 +93,66 @@
 func (s *faultyServers) serve(req *http1.Request, w io.Writer) bool {
 	id := req.Header.Get(tryIDHeader)
 	s.mu.Lock()
-	try := s.attempts[id]
-	if try != nil {
-		try.arrivals++
+	attempt := s.attempts[id]
+	if attempt != nil {
+		attempt.arrivals++
 	}
-	first := try != nil && try.arrivals == 1
+	first := attempt != nil && attempt.arrivals == 1
 	s.mu.Unlock()
-	if try == nil {
-		return ok("body of "+id)(req, w)
+	if attempt == nil {
+		return respondOK("body of "+id)(req, w)
 	}
-	text, _ := try.answer(req)
+	text, _ := attempt.answer(req)
 	if !first {
 		io.WriteString(w, text)
-		return try.framing != byEnd
+		return attempt.framing != byEnd
 	}
-	io.WriteString(w, text[:try.point])
-	switch try.fault {
+	io.WriteString(w, text[:attempt.point])
+	switch attempt.fault {
 	case resets:
 		w.(*net.TCPConn).SetLinger(0)
 	case stalls:
 		io.Copy(io.Discard, w.(net.Conn)) // until the proxy has given up
-		io.WriteString(w, text[try.point:])
+		io.WriteString(w, text[attempt.point:])
 	}
 	return false
 }
 
 // isComplete reports whether the response, as it was broken off, cannot be distinguished from a complete
 // one.
-func (f *faultyAttempt) isComplete(text string, headLength int) bool {
-	if f.framing != byEnd {
-		return f.point == len(text)
+func (a *faultyAttempt) isComplete(text string, headLength int) bool {
+	if a.framing != byEnd {
+		return a.point == len(text)
 	}
-	betweenEvents := f.point == headLength || strings.HasSuffix(text[:f.point], "\n\n")
-	return f.fault == closes && f.point >= headLength && (!f.streams() || betweenEvents)
+	betweenEvents := a.point == headLength || strings.HasSuffix(text[:a.point], "\n\n")
+	return a.fault == closes && a.point >= headLength && (!a.streams() || betweenEvents)
 }
 
 // judge returns what is wrong with what the client of the attempt got, "" where all is well.
-func (f *faultyAttempt) judge(got result, text string, headLength int) string {
-	once := f.route == "unsafe" || f.route == "firm"
+func (a *faultyAttempt) judge(got clientResult, text string, headLength int) string {
+	once := a.route == "unsafe" || a.route == "firm"
 	switch {
-	case once && f.arrivals > 1:
+	case once && a.arrivals > 1:
 		return "it ran twice"
-	case f.arrivals == 0 && got.status == 503:
+	case a.arrivals == 0 && got.status == 503:
 		return "" // no time was left to send it
-	case f.arrivals > 0 && got.status == 503:
+	case a.arrivals > 0 && got.status == 503:
 		return "it was rejected though it may have run"
-	case f.isComplete(text, headLength):
-		if got.cut || got.status != 200 || !strings.HasPrefix(f.body(), got.body) || f.arrivals != 1 {
+	case a.isComplete(text, headLength):
+		if got.cut || got.status != 200 || !strings.HasPrefix(a.body(), got.body) || a.arrivals != 1 {
 			return "the complete response did not arrive"
 		}
-		if f.point == len(text) && got.body != f.body() {
-			return "a part of the answer came"
+		if a.point == len(text) && got.body != a.body() {
+			return "a part of the response came"
 		}
-	case !once && f.fault != stalls:
-		if got != (result{200, f.body(), false}) || f.arrivals != 2 {
-			return "another server did not make the answer"
+	case !once && a.fault != stalls:
+		if got != (clientResult{200, a.body(), false}) || a.arrivals != 2 {
+			return "another server did not respond in its place"
 		}
-	case got.status == 200 && !(f.streams() && got.cut && strings.HasPrefix(f.body(), got.body)):
+	case got.status == 200 && !(a.streams() && got.cut && strings.HasPrefix(a.body(), got.body)):
 		return "a part of the response looks complete"
 	case got.status != 200 && (got.cut || got.status != 502 && got.status != 504):
-		return "the answer is none of the possible ones"
+		return "the response is none of the possible ones"
 	}
 	return ""
 }
@@ -176,17 +176,18 @@
 // faultClients is how many clients send requests at a time.
 const faultClients = 8
 
+// faultAtEveryByte makes an attempt of a kind for each number of bytes of its response.
 func faultAtEveryByte(t *testing.T, kind faultyAttempt) {
 	t.Helper()
 	servers := &faultyServers{attempts: map[string]*faultyAttempt{}}
-	r := newRig(t, slack(1e6), newLookupServers(t, servers.serve)...)
+	rig := newRig(t, withRetrySlack(1e6), newLookupServers(t, servers.serve)...)
 	points := make(chan int)
-	var under sync.WaitGroup
+	var wg sync.WaitGroup
 	for range faultClients {
-		under.Go(func() {
-			p := &testClient{C: r.C}
+		wg.Go(func() {
+			client := &testClient{C: rig.C}
 			for point := range points {
-				p.tryFault(r, servers, kind, point)
+				client.attemptWithFault(rig, servers, kind, point)
 			}
 		})
 	}
@@ -196,69 +197,71 @@
 		points <- point
 	}
 	close(points)
-	under.Wait()
-	r.awaitCallsEnded()
+	wg.Wait()
+	rig.awaitCallsEnded()
 }
 
+// requestOf returns a request of an attempt.
 func requestOf(id string) *http1.Request {
 	return &http1.Request{Header: http1.Header{{Name: tryIDHeader, Value: id}}}
 }
 
-// tryFault makes one attempt that breaks off at a point, and a request behind it.
-func (p *testClient) tryFault(r *rig, servers *faultyServers, kind faultyAttempt, point int) {
-	try := kind
-	try.id, try.point = fmt.Sprintf("%03d", point), point
+// attemptWithFault makes one attempt that breaks off at a point, and a request behind it.
+func (c *testClient) attemptWithFault(rig *testRig, servers *faultyServers, kind faultyAttempt, point int) {
+	attempt := kind
+	attempt.id, attempt.point = fmt.Sprintf("%03d", point), point
 	servers.mu.Lock()
-	servers.attempts[try.id] = &try
+	servers.attempts[attempt.id] = &attempt
 	servers.mu.Unlock()
-	p.again(r)
-	text, headLength := try.answer(requestOf(try.id))
+	c.reconnect(rig)
+	text, headLength := attempt.answer(requestOf(attempt.id))
 	deadline := ""
-	if complete := point == len(text) && try.framing != byEnd; try.fault == stalls && !complete {
+	if complete := point == len(text) && attempt.framing != byEnd; attempt.fault == stalls && !complete {
 		deadline = "60" // ends the stall; a complete response has none, and may take its time on a busy machine
 	}
-	got := p.post1(try.route, try.id, deadline)
+	got := c.postAndRead(attempt.route, attempt.id, deadline)
 	servers.mu.Lock()
-	wrong := try.judge(got, text, headLength)
+	wrong := attempt.judge(got, text, headLength)
 	servers.mu.Unlock()
 	if wrong != "" {
-		r.Errorf("broken off after %d of %d bytes: %s: %+v with %d calls", point, len(text), wrong, got,
-			try.arrivals)
+		rig.Errorf("broken off after %d of %d bytes: %s: %+v with %d calls", point, len(text), wrong, got,
+			attempt.arrivals)
 	}
-	p.again(r)
-	next := "n" + try.id
-	if got := p.post1("safe", next, ""); got != (result{200, "body of " + next, false}) {
-		r.Errorf("behind a break after %d bytes: %+v", point, got)
+	c.reconnect(rig)
+	next := "n" + attempt.id
+	if got := c.postAndRead("safe", next, ""); got != (clientResult{200, "body of " + next, false}) {
+		rig.Errorf("behind a break after %d bytes: %+v", point, got)
 	}
 }
 
-// again connects where the client has no connection that is still good.
-func (p *testClient) again(r *rig) {
-	if p.Conn == nil && !p.connect(r.address) {
-		r.Error("nobody listens")
+// reconnect connects where the client has no connection that is still good.
+func (c *testClient) reconnect(rig *testRig) {
+	if c.Conn == nil && !c.connect(rig.address) {
+		rig.Error("nobody listens")
 		return
 	}
-	p.SetDeadline(time.Now().Add(testTimeout))
+	c.SetDeadline(time.Now().Add(testTimeout))
 }
 
-// post1 posts a request and reads its response; a connection that ends with it is closed.
-func (p *testClient) post1(route, id, deadline string) result {
+// postAndRead posts a request and reads its response; a connection that ends with it is closed.
+func (c *testClient) postAndRead(route, id, deadline string) clientResult {
 	var fields string
 	if deadline != "" {
 		fields = deadlineHeader + ": " + deadline + "\r\n"
 	}
-	fmt.Fprintf(p, "POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n%s%s", route, id, fields, length(""))
-	answer, err := p.read()
-	got := result{cut: err != nil}
-	if answer != nil {
-		got.status, got.body = answer.Status, string(answer.Body)
+	fmt.Fprintf(c, "POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n%s%s", route, id, fields,
+		contentLength(""))
+	response, err := c.read()
+	got := clientResult{cut: err != nil}
+	if response != nil {
+		got.status, got.body = response.Status, string(response.Body)
 		if got.status != 200 {
 			got.body = ""
 		}
 	}
-	if err != nil || answer.Close {
-		p.Close()
-		p.Conn = nil
+	if err != nil || response.Close {
+		c.Close()
+		c.Conn = nil
 	}
 	return got
 }
--- a/internal/router/dataplane/malformedrequests_test.go
+++ b/internal/router/dataplane/malformedrequests_test.go
@@ -13,7 +13,7 @@
 )
 
 // shortLimits let a slow client be noticed soon.
-func shortLimits(t *testing.T) func(*agentsettings.Settings, *fakeState) {
+func withShortLimits(t *testing.T) func(*agentsettings.Settings, *fakeState) {
 	t.Helper()
 	return func(_ *agentsettings.Settings, state *fakeState) {
 		config, err := fleetconfig.Parse([]byte(testConfig(
@@ -53,54 +53,54 @@
 		"smuggled second body": {begin + "Transfer-Encoding: chunked\r\n" + chunks[len(begin):], 501},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(t, "i-1", "lookup", "", ok("x"))
-			r := newRig(t, shortLimits(t), s)
-			p := r.dial()
-			io.WriteString(p, test.text)
-			answer, err := p.read()
-			r.Assert(err, qt.IsNil)
-			r.Assert(answer.Status, qt.Equals, test.want)
-			r.Assert(answer.Close, qt.IsTrue)
-			_, err = p.in.ReadByte()
-			r.Assert(err, qt.Equals, io.EOF)
-			r.Assert(s.got(), qt.HasLen, 0)
+			server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+			rig := newRig(t, withShortLimits(t), server)
+			client := rig.dial()
+			io.WriteString(client, test.text)
+			response, err := client.read()
+			rig.Assert(err, qt.IsNil)
+			rig.Assert(response.Status, qt.Equals, test.want)
+			rig.Assert(response.Close, qt.IsTrue)
+			_, err = client.in.ReadByte()
+			rig.Assert(err, qt.Equals, io.EOF)
+			rig.Assert(server.got(), qt.HasLen, 0)
 		})
 	}
 }
 
-func TestClientClosesWithinARequest(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", ok("x"))
-	r := newRig(t, nil, s)
+func TestRequestCutOffByItsClientIsNotForwarded(t *testing.T) {
+	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+	rig := newRig(t, nil, server)
 	const half = "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nab"
 	for _, text := range []string{"", "GET /sa", half} {
-		p := r.dial()
-		io.WriteString(p, text)
-		p.Close()
+		client := rig.dial()
+		io.WriteString(client, text)
+		client.Close()
 	}
-	r.eventually("they are gone", func() bool {
-		return len(r.proxy.connectedClients()) == 0 &&
-			r.proxy.Stats().Clients == 3
+	rig.eventually("they are gone", func() bool {
+		return len(rig.proxy.connectedClients()) == 0 &&
+			rig.proxy.Stats().Clients == 3
 	})
-	r.Assert(s.got(), qt.HasLen, 0)
+	rig.Assert(server.got(), qt.HasLen, 0)
 }
 
 func TestIdleClientIsClosed(t *testing.T) {
-	r := newRig(t, shortLimits(t))
-	_, err := r.dial().in.ReadByte()
-	r.Assert(err, qt.Equals, io.EOF)
+	rig := newRig(t, withShortLimits(t))
+	_, err := rig.dial().in.ReadByte()
+	rig.Assert(err, qt.Equals, io.EOF)
 }
 
 func TestClientsBeyondTheLimitAreClosed(t *testing.T) {
-	r := newRig(t, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 0 })
+	rig := newRig(t, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 0 })
 	var some []*testClient
 	for range 16 {
-		p := r.dial()
-		r.Assert(p.ask("GET", "/nowhere/", "a", "").Status, qt.Equals, 404)
-		some = append(some, p)
+		client := rig.dial()
+		rig.Assert(client.do("GET", "/nowhere/", "a", "").Status, qt.Equals, 404)
+		some = append(some, client)
 	}
-	_, err := http1.ReadResponse(r.dial().in)
-	r.Assert(err, qt.Not(qt.IsNil))
+	_, err := http1.ReadResponse(rig.dial().in)
+	rig.Assert(err, qt.Not(qt.IsNil))
 	some[0].Close()
-	r.eventually("a connection is free", func() bool { return len(r.proxy.connectedClients()) == 15 })
-	r.Assert(r.dial().ask("GET", "/nowhere/", "a", "").Status, qt.Equals, 404)
+	rig.eventually("a connection is free", func() bool { return len(rig.proxy.connectedClients()) == 15 })
+	rig.Assert(rig.dial().do("GET", "/nowhere/", "a", "").Status, qt.Equals, 404)
 }
--- a/internal/router/dataplane/outcome_test.go
+++ b/internal/router/dataplane/outcome_test.go
@@ -45,30 +45,30 @@
 // sent, how each call ended, and why nothing more was tried.
 func TestFailedRequestIsLoggedWithItsCalls(t *testing.T) {
 	log := &logLines{}
-	broken := newServer(t, "a", "lookup", "", breakOff)
-	r := newRig(t, nil, broken)
-	r.proxy.log = zerolog.New(log)
-	r.proxy.observer.setLogger(r.proxy.log)
-	answer := r.dial().ask("POST", "/unsafe/x", "try-1", "")
-	r.Assert(answer.Status, qt.Equals, 502)
-	line := log.first(r.C, "front: request not served")
-	r.Check(line["try"], qt.Equals, "try-1")
-	r.Check(line["route"], qt.Equals, "unsafe")
-	r.Check(line["reason"], qt.Equals, "may_have_run")
+	broken := newFakeServer(t, "a", "lookup", "", closeUnanswered)
+	rig := newRig(t, nil, broken)
+	rig.proxy.log = zerolog.New(log)
+	rig.proxy.observer.setLogger(rig.proxy.log)
+	response := rig.dial().do("POST", "/unsafe/x", "try-1", "")
+	rig.Assert(response.Status, qt.Equals, 502)
+	line := log.first(rig.C, "front: request not served")
+	rig.Check(line["try"], qt.Equals, "try-1")
+	rig.Check(line["route"], qt.Equals, "unsafe")
+	rig.Check(line["reason"], qt.Equals, "may_have_run")
 	calls := line["calls"].([]any)
-	r.Assert(calls, qt.HasLen, 1)
+	rig.Assert(calls, qt.HasLen, 1)
 	call := calls[0].(map[string]any)
-	r.Check(call["server"], qt.Equals, "a")
-	r.Check(call["outcome"], qt.Equals, "broken")
-	r.Check(call["fate"], qt.Equals, "may_have_run")
+	rig.Check(call["server"], qt.Equals, "a")
+	rig.Check(call["outcome"], qt.Equals, "broken")
+	rig.Check(call["fate"], qt.Equals, "may_have_run")
 	page := &metrics.Page{}
-	r.proxy.WriteMetrics(page)
+	rig.proxy.WriteMetrics(page)
 	for _, figure := range []string{
 		`cresshub_requests_unserved_total{ending="failed",reason="may_have_run"} 1`,
 		`cresshub_server_calls_total{role="serve",outcome="broken"} 1`,
 		`cresshub_request_duration_seconds_count 1`,
 	} {
-		r.Check(string(page.Text()), qt.Contains, figure+"\n")
+		rig.Check(string(page.Text()), qt.Contains, figure+"\n")
 	}
 }
 
@@ -76,13 +76,13 @@
 // it went on without.
 func TestLoggedReasonIsTheFinalOne(t *testing.T) {
 	log := &logLines{}
-	reader := newServer(t, "r", "language", catalog.Prefill, status(503, notRunHeader+": full"))
-	writer := newServer(t, "w", "language", catalog.Decode, breakOff)
-	r := newRig(t, nil, reader, writer)
-	r.proxy.log = zerolog.New(log)
-	r.proxy.observer.setLogger(r.proxy.log)
-	r.Assert(r.dial().ask("POST", "/modelfirm/x", "try-1", "").Status, qt.Equals, 502)
-	line := log.first(r.C, "front: request not served")
-	r.Check(line["reason"], qt.Equals, "may_have_run")
-	r.Check(line["calls"], qt.HasLen, 2)
+	reader := newFakeServer(t, "r", "language", catalog.Prefill, respondStatus(503, notRunHeader+": full"))
+	writer := newFakeServer(t, "w", "language", catalog.Decode, closeUnanswered)
+	rig := newRig(t, nil, reader, writer)
+	rig.proxy.log = zerolog.New(log)
+	rig.proxy.observer.setLogger(rig.proxy.log)
+	rig.Assert(rig.dial().do("POST", "/modelfirm/x", "try-1", "").Status, qt.Equals, 502)
+	line := log.first(rig.C, "front: request not served")
+	rig.Check(line["reason"], qt.Equals, "may_have_run")
+	rig.Check(line["calls"], qt.HasLen, 2)
 }
--- a/internal/router/dataplane/pool_test.go
+++ b/internal/router/dataplane/pool_test.go
@@ -12,8 +12,8 @@
 func newTestPool(t *testing.T, most int) (*pool, connectionSpec, connectionSpec) {
 	t.Helper()
 	pool := newPool(&counters{}, most, func(string) bool { return true })
-	a := connectionSpec{server: newServer(t, "a", "s", "", ok("")).Server, maxIdle: time.Minute}
-	b := connectionSpec{server: newServer(t, "b", "s", "", ok("")).Server, maxIdle: time.Minute}
+	a := connectionSpec{server: newFakeServer(t, "a", "s", "", respondOK("")).Server, maxIdle: time.Minute}
+	b := connectionSpec{server: newFakeServer(t, "b", "s", "", respondOK("")).Server, maxIdle: time.Minute}
 	return pool, a, b
 }
 
--- a/internal/router/dataplane/readdeadline_test.go
+++ b/internal/router/dataplane/readdeadline_test.go
@@ -38,19 +38,19 @@
 			func(call *call) { call.roundTrip.stopCause = clientDisconnected }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t, slack(test.slack), newLookupServers(t, breakOff)...)
-			_, err := r.readSilent(test.route, test.change)
+			rig := newRig(t, withRetrySlack(test.slack), newLookupServers(t, closeUnanswered)...)
+			_, err := rig.readFromTimedOutServer(test.route, test.change)
 			if test.waits {
-				r.Assert(err, qt.IsNil)
+				rig.Assert(err, qt.IsNil)
 			} else {
-				r.Assert(err, qt.ErrorIs, os.ErrDeadlineExceeded)
+				rig.Assert(err, qt.ErrorIs, os.ErrDeadlineExceeded)
 			}
 		})
 	}
 }
 
-// readSilent reads a byte from a server that has timed out, and which then sends one.
-func (r *rig) readSilent(routeName string, change func(*call)) (int, error) {
+// readFromTimedOutServer reads a byte from a server that has timed out, and which then sends one.
+func (r *testRig) readFromTimedOutServer(routeName string, change func(*call)) (int, error) {
 	near, far := net.Pipe()
 	defer near.Close()
 	route := r.state.config.Match("h", "/"+routeName+"/")
@@ -76,31 +76,31 @@
 func TestServerIsWaitedForWhereNoOtherCanAnswer(t *testing.T) {
 	begun := func(call *call) { call.roundTrip.relay.started, call.roundTrip.relay.order.hasLast = true, true }
 	untouched := func(*call) {}
-	other := &server{Server: &catalog.Server{ID: "i-2", Service: "lookup", State: catalog.Ready}}
+	other := &fakeServer{Server: &catalog.Server{ID: "i-2", Service: "lookup", State: catalog.Ready}}
 	for _, test := range []struct {
 		name, route string
-		others      []*server
+		others      []*fakeServer
 		full        bool // as far as the scheduler knows
 		change      func(call *call)
 		waits       bool
 	}{
 		{"no other server", "safe", nil, false, untouched, true},
 		{"no other server for the stream", "stream", nil, false, begun, true},
-		{"another one has a free slot", "safe", []*server{other}, false, untouched, false},
-		{"another one may resume the stream", "stream", []*server{other}, false, begun, false},
-		{"all others would reject the stream", "stream", []*server{other}, true, begun, true},
-		{"all others are full before a response", "safe", []*server{other}, true, untouched, false},
+		{"another one has a free slot", "safe", []*fakeServer{other}, false, untouched, false},
+		{"another one may resume the stream", "stream", []*fakeServer{other}, false, begun, false},
+		{"all others would reject the stream", "stream", []*fakeServer{other}, true, begun, true},
+		{"all others are full before a response", "safe", []*fakeServer{other}, true, untouched, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t, slack(100), test.others...)
+			rig := newRig(t, withRetrySlack(100), test.others...)
 			if test.full {
-				r.chooser.wait = time.Second
+				rig.chooser.wait = time.Second
 			}
-			_, err := r.readSilent(test.route, test.change)
+			_, err := rig.readFromTimedOutServer(test.route, test.change)
 			if test.waits {
-				r.Assert(err, qt.IsNil)
+				rig.Assert(err, qt.IsNil)
 			} else {
-				r.Assert(err, qt.ErrorIs, os.ErrDeadlineExceeded)
+				rig.Assert(err, qt.ErrorIs, os.ErrDeadlineExceeded)
 			}
 		})
 	}
--- a/internal/router/dataplane/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestSchedulingRequest(t *testing.T) {
+func TestSchedulingRequestIsReadFromTheHeader(t *testing.T) {
 	c := qt.New(t)
 	service := &fleetconfig.Service{Name: "s"}
 	req := schedulingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
@@ -32,7 +32,7 @@
 	c.Assert(req, qt.DeepEquals, scheduler.Request{Service: service})
 }
 
-func TestParseDeadline(t *testing.T) {
+func TestDeadlineIsACountOfMilliseconds(t *testing.T) {
 	c := qt.New(t)
 	for text, want := range map[string]time.Duration{
 		"5000": 5 * time.Second, " 0 ": 0, "": -1, "x": -1, "-1": -1, "99999999999": -1,
@@ -68,21 +68,26 @@
 	}
 }
 
-func TestKeepAliveTime(t *testing.T) {
-	c := qt.New(t)
+func TestIdleTimeFollowsTheKeepAliveField(t *testing.T) {
 	for _, test := range []struct {
+		name   string
 		header http1.Header
 		close  bool
 		want   time.Duration
 	}{
-		{nil, false, defaultIdleTime},
-		{nil, true, 0},
-		{http1.Header{{Name: "Keep-Alive", Value: "timeout=5, max=3"}}, false, 4500 * time.Millisecond},
-		{http1.Header{{Name: "Keep-Alive", Value: "max=3, Timeout=1"}}, false, 500 * time.Millisecond},
-		{http1.Header{{Name: "Keep-Alive", Value: "timeout=0"}}, false, 0},
-		{http1.Header{{Name: "Keep-Alive", Value: "timeout=3600"}}, false, maxIdleTime},
+		{"no field", nil, false, defaultIdleTime},
+		{"the connection closes", nil, true, 0},
+		{"a timeout first", http1.Header{{Name: "Keep-Alive", Value: "timeout=5, max=3"}}, false,
+			4500 * time.Millisecond},
+		{"a timeout second", http1.Header{{Name: "Keep-Alive", Value: "max=3, Timeout=1"}}, false,
+			500 * time.Millisecond},
+		{"no timeout", http1.Header{{Name: "Keep-Alive", Value: "timeout=0"}}, false, 0},
+		{"a timeout beyond ours", http1.Header{{Name: "Keep-Alive", Value: "timeout=3600"}}, false, maxIdleTime},
 	} {
-		c.Assert(keepAliveTime(&http1.Response{Header: test.header, Close: test.close}), qt.Equals, test.want)
+		t.Run(test.name, func(t *testing.T) {
+			response := &http1.Response{Header: test.header, Close: test.close}
+			qt.New(t).Assert(keepAliveTime(response), qt.Equals, test.want)
+		})
 	}
 }
 
--- a/internal/router/dataplane/response_test.go
+++ b/internal/router/dataplane/response_test.go
@@ -14,18 +14,19 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// sized answers with a body of that size, told or in chunks, and breaks off before the last part of it.
-func sized(size int, chunked, whole bool) handler {
+// respondSized responds with a body of that size, by its length or in chunks. Where whole is false the last
+// ten bytes are missing and the connection is closed.
+func respondSized(size int, chunked, whole bool) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		body := strings.Repeat("x", size)
 		if !whole {
 			body = body[:size-10]
 		}
 		if !chunked {
-			fmt.Fprint(w, head(req, 200, stamp), fmt.Sprintf("Content-Length: %d\r\n\r\n", size), body)
+			fmt.Fprint(w, responseHead(req, 200, stamp), fmt.Sprintf("Content-Length: %d\r\n\r\n", size), body)
 			return whole
 		}
-		fmt.Fprint(w, head(req, 200, stamp, "Transfer-Encoding: chunked"), "\r\n")
+		fmt.Fprint(w, responseHead(req, 200, stamp, "Transfer-Encoding: chunked"), "\r\n")
 		for at := 0; at < len(body); at += 5000 {
 			io.WriteString(w, chunk(body[at:min(at+5000, len(body))]))
 		}
@@ -36,19 +37,19 @@
 	}
 }
 
-func TestResponsesOfAllSizes(t *testing.T) {
+func TestResponsesOfAllSizesArriveComplete(t *testing.T) {
 	for _, size := range []int{20, 4096, maxBufferedResponse, maxBufferedResponse + 1, 300_000} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, chunked), func(t *testing.T) {
-				s := newServer(t, "i-1", "lookup", "", sized(size, chunked, true))
-				r := newRig(t, nil, s)
-				p := r.dial()
+				server := newFakeServer(t, "i-1", "lookup", "", respondSized(size, chunked, true))
+				rig := newRig(t, nil, server)
+				client := rig.dial()
 				for range 2 {
-					answer := p.ask("POST", "/unsafe/", "a", "")
-					r.Assert(len(answer.Body), qt.Equals, size)
+					response := client.do("POST", "/unsafe/", "a", "")
+					rig.Assert(len(response.Body), qt.Equals, size)
 				}
-				r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(1))
-				r.eventually("the memory is given back", func() bool { return r.proxy.bodies.Used() == 0 })
+				rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, int64(1))
+				rig.eventually("the memory is given back", func() bool { return rig.proxy.bodies.Used() == 0 })
 			})
 		}
 	}
@@ -58,20 +59,20 @@
 	for _, chunked := range []bool{false, true} {
 		for _, size := range []int{1000, 300_000} {
 			t.Run(fmt.Sprint(size, chunked), func(t *testing.T) {
-				s := newServer(t, "i-1", "lookup", "", sized(size, chunked, false))
-				r := newRig(t, nil, s)
-				p := r.dial()
-				p.send("POST", "/unsafe/", "a", "")
-				answer, err := p.read()
+				server := newFakeServer(t, "i-1", "lookup", "", respondSized(size, chunked, false))
+				rig := newRig(t, nil, server)
+				client := rig.dial()
+				client.send("POST", "/unsafe/", "a", "")
+				response, err := client.read()
 				if size <= maxBufferedResponse {
-					r.Assert(err, qt.IsNil)
-					r.Assert(answer.Status, qt.Equals, 502)
+					rig.Assert(err, qt.IsNil)
+					rig.Assert(response.Status, qt.Equals, 502)
 					return
 				}
-				r.Assert(answer.Status, qt.Equals, 200)
-				r.Assert(err, qt.Not(qt.IsNil))
-				_, err = p.in.ReadByte()
-				r.Assert(err, qt.Not(qt.IsNil))
+				rig.Assert(response.Status, qt.Equals, 200)
+				rig.Assert(err, qt.Not(qt.IsNil))
+				_, err = client.in.ReadByte()
+				rig.Assert(err, qt.Not(qt.IsNil))
 			})
 		}
 	}
@@ -83,45 +84,46 @@
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, reset), func(t *testing.T) {
 				read := make(chan bool, 1)
-				s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
-					fmt.Fprint(w, head(req, 200, stamp), "\r\n", strings.Repeat("x", size))
+				server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+					fmt.Fprint(w, responseHead(req, 200, stamp), "\r\n", strings.Repeat("x", size))
 					if reset {
 						<-read
 						w.(*net.TCPConn).SetLinger(0)
 					}
 					return false
 				})
-				r := newRig(t, nil, s)
-				p := r.dial()
-				p.send("POST", "/unsafe/", "a", "")
+				rig := newRig(t, nil, server)
+				client := rig.dial()
+				client.send("POST", "/unsafe/", "a", "")
 				if size > maxBufferedResponse { // a reset would take away what the client is to see
-					_, err := p.in.Peek(1)
-					r.Assert(err, qt.IsNil)
+					_, err := client.in.Peek(1)
+					rig.Assert(err, qt.IsNil)
 				}
 				read <- true
-				answer, err := p.read()
+				response, err := client.read()
 				switch {
 				case !reset:
-					r.Assert(err, qt.IsNil)
-					r.Assert(answer.Status, qt.Equals, 200)
-					r.Assert(answer.Body, qt.HasLen, size)
+					rig.Assert(err, qt.IsNil)
+					rig.Assert(response.Status, qt.Equals, 200)
+					rig.Assert(response.Body, qt.HasLen, size)
 				case size <= maxBufferedResponse:
-					r.Assert(err, qt.IsNil)
-					r.Assert(answer.Status, qt.Equals, 502)
+					rig.Assert(err, qt.IsNil)
+					rig.Assert(response.Status, qt.Equals, 502)
 				default:
-					r.Assert(answer.Status, qt.Equals, 200)
-					r.Assert(err, qt.Equals, io.ErrUnexpectedEOF)
+					rig.Assert(response.Status, qt.Equals, 200)
+					rig.Assert(err, qt.Equals, io.ErrUnexpectedEOF)
 				}
-				r.Assert(s.got(), qt.HasLen, 1)
+				rig.Assert(server.got(), qt.HasLen, 1)
 			})
 		}
 	}
 }
 
 func TestLargeResponseWithoutMemoryIsForwardedAsItComes(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", sized(50_000, true, true))
-	r := newRig(t, func(settings *agentsettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 10_000 }, s)
-	r.Assert(len(r.dial().ask("GET", "/safe/", "a", "").Body), qt.Equals, 50_000)
+	server := newFakeServer(t, "i-1", "lookup", "", respondSized(50_000, true, true))
+	rig := newRig(t, func(settings *agentsettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 10_000 },
+		server)
+	rig.Assert(len(rig.dial().do("GET", "/safe/", "a", "").Body), qt.Equals, 50_000)
 }
 
 func TestSurplusResponses(t *testing.T) {
@@ -133,35 +135,35 @@
 	}{
 		"before its own response": {func(req *http1.Request, w io.Writer) bool {
 			io.WriteString(w, other)
-			return ok("own")(req, w)
+			return respondOK("own")(req, w)
 		}, 200, "own"},
 		"in place of its own response": {func(req *http1.Request, w io.Writer) bool {
 			io.WriteString(w, other)
 			return false
 		}, 502, ""},
-		"without end": {raw(strings.Repeat(other, 9)), 502, ""},
+		"without end": {writeRaw(strings.Repeat(other, 9)), 502, ""},
 		"after its own response": {func(req *http1.Request, w io.Writer) bool {
-			fmt.Fprint(w, head(req, 200, stamp), length("own"), "own", other)
+			fmt.Fprint(w, responseHead(req, 200, stamp), contentLength("own"), "own", other)
 			return true
 		}, 200, "own"},
 		"noise after its own response": {func(req *http1.Request, w io.Writer) bool {
-			fmt.Fprint(w, head(req, 200, stamp), length("own"), "own", "more")
+			fmt.Fprint(w, responseHead(req, 200, stamp), contentLength("own"), "own", "more")
 			return true
 		}, 200, "own"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(t, "i-1", "lookup", "", test.answer)
-			r := newRig(t, nil, s)
-			p := r.dial()
+			server := newFakeServer(t, "i-1", "lookup", "", test.answer)
+			rig := newRig(t, nil, server)
+			client := rig.dial()
 			for i := range 3 {
-				answer := p.ask("POST", "/unsafe/", fmt.Sprint("a", i), "")
-				r.Assert(answer.Status, qt.Equals, test.status)
+				response := client.do("POST", "/unsafe/", fmt.Sprint("a", i), "")
+				rig.Assert(response.Status, qt.Equals, test.status)
 				if test.body != "" {
-					r.Assert(string(answer.Body), qt.Equals, test.body)
+					rig.Assert(string(response.Body), qt.Equals, test.body)
 				}
 			}
-			r.Assert(r.proxy.Stats().Reused, qt.Equals, int64(0))
-			r.Assert(s.got(), qt.HasLen, 3)
+			rig.Assert(rig.proxy.Stats().Reused, qt.Equals, int64(0))
+			rig.Assert(server.got(), qt.HasLen, 3)
 		})
 	}
 }
@@ -169,24 +171,24 @@
 // A surplus response that arrives while the connection is idle, or right after the next request was sent.
 func TestLateSurplusResponse(t *testing.T) {
 	late := make(chan bool, 1)
-	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
 		if req.Header.Get(tryIDHeader) == "a2" {
 			select {
 			case <-late: // the server answers the first request again, and only then this one
-				fmt.Fprint(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: a1\r\n", stamp, "\r\n", length("late"), "late")
+				fmt.Fprint(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: a1\r\n", stamp, "\r\n", contentLength("late"), "late")
 			default:
 			}
 		}
-		return ok("for "+req.Header.Get(tryIDHeader))(req, w)
+		return respondOK("for "+req.Header.Get(tryIDHeader))(req, w)
 	})
-	r := newRig(t, nil, s)
-	p := r.dial()
-	r.Assert(string(p.ask("POST", "/unsafe/", "a1", "").Body), qt.Equals, "for a1")
+	rig := newRig(t, nil, server)
+	client := rig.dial()
+	rig.Assert(string(client.do("POST", "/unsafe/", "a1", "").Body), qt.Equals, "for a1")
 	late <- true
-	r.Assert(string(p.ask("POST", "/unsafe/", "a2", "").Body), qt.Equals, "for a2")
-	r.Assert(string(p.ask("POST", "/unsafe/", "a3", "").Body), qt.Equals, "for a3")
-	r.Assert(r.proxy.Stats().Surplus, qt.Equals, int64(1))
-	r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(2))
+	rig.Assert(string(client.do("POST", "/unsafe/", "a2", "").Body), qt.Equals, "for a2")
+	rig.Assert(string(client.do("POST", "/unsafe/", "a3", "").Body), qt.Equals, "for a3")
+	rig.Assert(rig.proxy.Stats().Surplus, qt.Equals, int64(1))
+	rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, int64(2))
 }
 
 func TestConnectionsAreReusedAsTheirServerAnnounces(t *testing.T) {
@@ -194,33 +196,33 @@
 		"X: y": 1, "Keep-Alive: timeout=5": 1, "Keep-Alive: timeout=0": 3, "Connection: close": 3,
 	} {
 		t.Run(field, func(t *testing.T) {
-			s := newServer(t, "i-1", "lookup", "", status(200, stamp, field))
-			r := newRig(t, nil, s)
-			p := r.dial()
+			server := newFakeServer(t, "i-1", "lookup", "", respondStatus(200, stamp, field))
+			rig := newRig(t, nil, server)
+			client := rig.dial()
 			for range 3 {
-				p.ask("POST", "/unsafe/", "a", "")
+				client.do("POST", "/unsafe/", "a", "")
 			}
-			r.Assert(r.proxy.Stats().Dialled, qt.Equals, dialled)
+			rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, dialled)
 		})
 	}
 }
 
 func TestConnectionThatEndedWhileIdleIsNotUsed(t *testing.T) {
-	s := newServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
-		ok("x")(req, w)
+	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		respondOK("x")(req, w)
 		return false
 	})
-	r := newRig(t, nil, s)
-	p := r.dial()
+	rig := newRig(t, nil, server)
+	client := rig.dial()
 	for range 3 {
-		r.Assert(p.ask("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
-		r.eventually("the server has ended it", func() bool { return r.idleEnded("i-1") })
+		rig.Assert(client.do("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
+		rig.eventually("the server has ended it", func() bool { return rig.idleEnded("i-1") })
 	}
-	r.Assert(r.proxy.Stats().Dialled, qt.Equals, int64(3))
+	rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, int64(3))
 }
 
 // idleEnded reports whether all idle connections to a server have ended.
-func (r *rig) idleEnded(server string) bool {
+func (r *testRig) idleEnded(server string) bool {
 	r.proxy.pool.mu.Lock()
 	defer r.proxy.pool.mu.Unlock()
 	conns := r.proxy.pool.servers[server]
@@ -239,14 +241,15 @@
 func TestConnectionThatEndsWithTheNextRequest(t *testing.T) {
 	for route, test := range map[string]struct{ status, arrivals int }{"safe": {200, 3}, "unsafe": {502, 2}} {
 		t.Run(route, func(t *testing.T) {
-			s := newServer(t, "i-1", "lookup", "", inTurn(ok("first"), breakOff, ok("again")))
-			r := newRig(t, nil, s)
-			p := r.dial()
-			r.Assert(p.ask("POST", "/"+route+"/", "a", "").Status, qt.Equals, 200)
-			r.Assert(p.ask("POST", "/"+route+"/", "b", "").Status, qt.Equals, test.status)
-			r.Assert(s.got(), qt.HasLen, test.arrivals)
-			r.awaitCallsEnded()
-			r.Assert(r.chooser.outcomes()[1], qt.Equals, scheduler.Abandoned) // no fault of the server
+			server := newFakeServer(t, "i-1", "lookup", "",
+				inTurn(respondOK("first"), closeUnanswered, respondOK("again")))
+			rig := newRig(t, nil, server)
+			client := rig.dial()
+			rig.Assert(client.do("POST", "/"+route+"/", "a", "").Status, qt.Equals, 200)
+			rig.Assert(client.do("POST", "/"+route+"/", "b", "").Status, qt.Equals, test.status)
+			rig.Assert(server.got(), qt.HasLen, test.arrivals)
+			rig.awaitCallsEnded()
+			rig.Assert(rig.chooser.outcomes()[1], qt.Equals, scheduler.Abandoned) // no fault of the server
 		})
 	}
 }
--- a/internal/router/dataplane/retrybudget_test.go
+++ b/internal/router/dataplane/retrybudget_test.go
@@ -92,7 +92,7 @@
 				}
 			}
 			last := repeats[i+count-1]
-			most := slackFraction*5 + ratioFraction*0.2*float64(within(requests, last-window, last))
+			most := slackFraction*5 + ratioFraction*0.2*float64(countWithin(requests, last-window, last))
 			if float64(count) > most {
 				t.Fatalf("seed %d: %d repeats within the window of %v, %.1f allowed", seed, count, first, most)
 			}
@@ -100,7 +100,7 @@
 	}
 }
 
-func within(times []time.Duration, after, until time.Duration) (count int) {
+func countWithin(times []time.Duration, after, until time.Duration) (count int) {
 	for _, at := range times {
 		if at > after && at <= until {
 			count++
@@ -148,10 +148,10 @@
 
 func TestSlidingMaxForgetsOldValues(t *testing.T) {
 	c := qt.New(t)
-	var p slidingMax
-	c.Assert(p.observe(0, 5), qt.Equals, 5)
-	c.Assert(p.observe(10*time.Second, 2), qt.Equals, 5)
-	c.Assert(p.observe(slidingMaxWindow, 3), qt.Equals, 5)
-	c.Assert(p.observe(slidingMaxWindow+15*time.Second, 1), qt.Equals, 3)
-	c.Assert(p.observe(10*slidingMaxWindow, 1), qt.Equals, 1)
+	var largest slidingMax
+	c.Assert(largest.observe(0, 5), qt.Equals, 5)
+	c.Assert(largest.observe(10*time.Second, 2), qt.Equals, 5)
+	c.Assert(largest.observe(slidingMaxWindow, 3), qt.Equals, 5)
+	c.Assert(largest.observe(slidingMaxWindow+15*time.Second, 1), qt.Equals, 3)
+	c.Assert(largest.observe(10*slidingMaxWindow, 1), qt.Equals, 1)
 }
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -23,10 +23,10 @@
 // testTimeout bounds every wait of a test; no result depends on how much of it is used.
 const testTimeout = 20 * time.Second
 
-// testRoute is a route of a test; its name is the first part of its path.
+// testRoute is a route of the test configuration. Its name is also the first part of its path.
 type testRoute struct {
 	name, kind, service string
-	tries               int
+	maxAttempts         int
 	resumable           bool
 }
 
@@ -41,13 +41,13 @@
 	{"unbound", "safe", "unbound", 3, false},
 }
 
-// testConfig is the configuration of all tests, with limits to be filled in.
+// testConfig returns the configuration of all tests with the given limits, a JSON object.
 func testConfig(limits string) string {
 	var routes []string
-	for _, p := range testRoutes {
+	for _, route := range testRoutes {
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"town":"h","street_prefix":"/%s/","mail_class":%q,
 			"timeout_ms":5000,"target_ms":300,"depot":%q,"delivery_tries":%d,"redeliver":%t,"gap_aim_ms":300}`,
-			p.name, p.name, p.kind, p.service, p.tries, p.resumable))
+			route.name, route.name, route.kind, route.service, route.maxAttempts, route.resumable))
 	}
 	return fmt.Sprintf(`{"edition":1,"routes":[%s],"depots_list":[{"name":"lookup","line_cap":100},
 		{"name":"language","line_cap":100,"engine":{"bays":8,"claim_s":5}},{"name":"unbound"}],"size_limits":%s}`,
@@ -60,7 +60,8 @@
 "counters":{},"inner_ports":[1,2],
 "bounds":{"retry_ratio":0.2,"retry_window_s":10,"retry_slack":100,"grace_s":8}}`
 
-// fakeState is what the agent knows.
+// fakeState stands in for the agent: it holds what a Proxy asks of it and records what a Proxy reports. Its
+// methods may be called from any goroutine.
 type fakeState struct {
 	mu        sync.Mutex
 	config    *fleetconfig.Config
@@ -102,8 +103,9 @@
 	return append([]string(nil), s.replaced...)
 }
 
-// rig is a Proxy on loopback with the servers of a test.
-type rig struct {
+// testRig is a Proxy on loopback with a fakeChooser in place of its scheduler, and the servers of a test in
+// its table. Its assertions end the test.
+type testRig struct {
 	*qt.C
 	proxy    *Proxy
 	chooser  *fakeChooser
@@ -112,8 +114,10 @@
 	listener net.Listener
 }
 
-// newRig starts a Proxy; change may alter its settings and state before.
-func newRig(tb testing.TB, change func(*agentsettings.Settings, *fakeState), servers ...*server) *rig {
+// newRig starts a Proxy with servers, for the time of the test. Where change is not nil it alters the
+// settings and the state before.
+func newRig(tb testing.TB, change func(*agentsettings.Settings, *fakeState),
+	servers ...*fakeServer) *testRig {
 	tb.Helper()
 	c := qt.New(tb)
 	config, err := fleetconfig.Parse([]byte(testConfig(testLimits)))
@@ -124,42 +128,45 @@
 	if change != nil {
 		change(settings, state)
 	}
-	r := &rig{C: c, state: state, proxy: New(settings, state, zerolog.Nop()), chooser: newFakeChooser()}
-	r.proxy.chooser.inner = r.chooser
-	r.proxy.started = r.proxy.started.Add(-time.Minute) // past the delay of the shared slack
-	r.listener, err = net.Listen("tcp", "127.0.0.1:0")
+	rig := &testRig{C: c, state: state, proxy: New(settings, state, zerolog.Nop()), chooser: newFakeChooser()}
+	rig.proxy.chooser.inner = rig.chooser
+	rig.proxy.started = rig.proxy.started.Add(-time.Minute) // past the delay of the shared slack
+	rig.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	r.address = r.listener.Addr().String()
+	rig.address = rig.listener.Addr().String()
 	served := make(chan error, 1)
-	go func() { served <- r.proxy.Serve(r.listener) }()
+	go func() { served <- rig.proxy.Serve(rig.listener) }()
 	c.Cleanup(func() {
-		r.listener.Close()
+		rig.listener.Close()
 		c.Check(<-served, qt.IsNil)
 	})
-	return r
+	return rig
 }
 
-// slack gives the tests' proxies together so many retries besides.
-func slack(repeats float64) func(*agentsettings.Settings, *fakeState) {
+// withRetrySlack is a change for newRig: the retries of a window that all proxies together may make besides
+// their share of the requests.
+func withRetrySlack(repeats float64) func(*agentsettings.Settings, *fakeState) {
 	return func(settings *agentsettings.Settings, _ *fakeState) { settings.Bounds.RetrySlack = repeats }
 }
 
-func tableOf(servers []*server) *catalog.Table {
+// tableOf returns a table of these servers.
+func tableOf(servers []*fakeServer) *catalog.Table {
 	var all []*catalog.Server
-	for _, s := range servers {
-		all = append(all, s.Server)
+	for _, server := range servers {
+		all = append(all, server.Server)
 	}
 	return catalog.NewTable(all)
 }
 
 // awaitCallsEnded waits until every call has ended and checks that each ended once.
-func (r *rig) awaitCallsEnded() {
+func (r *testRig) awaitCallsEnded() {
 	r.Helper()
 	r.eventually("each call ends once", r.chooser.paired)
 }
 
-// eventually waits for what happens on other goroutines.
-func (r *rig) eventually(what string, holds func() bool) {
+// eventually waits until holds returns true, for what happens on other goroutines; after testTimeout it fails
+// the test with the description what.
+func (r *testRig) eventually(what string, holds func() bool) {
 	r.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); runtime.Gosched() {
 		if time.Now().After(end) {
@@ -168,14 +175,16 @@
 	}
 }
 
-// testClient is a client.
+// testClient is a client of the Proxy with one connection, on which it sends requests and reads responses. It
+// is used by one goroutine at a time.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
 	*qt.C
 }
 
-func (r *rig) dial() *testClient {
+// dial connects a client for the time of the test; its reads and writes end after testTimeout.
+func (r *testRig) dial() *testClient {
 	conn, err := net.Dial("tcp", r.address)
 	r.Assert(err, qt.IsNil)
 	conn.SetDeadline(time.Now().Add(testTimeout))
@@ -184,18 +193,18 @@
 }
 
 // connect opens a new connection; it returns false where nobody listens.
-func (p *testClient) connect(address string) bool {
+func (c *testClient) connect(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	p.Conn, p.in = conn, bufio.NewReader(conn)
+	c.Conn, c.in = conn, bufio.NewReader(conn)
 	return true
 }
 
-// send writes a request with an id.
-func (p *testClient) send(method, target, id, body string, fields ...string) {
+// send writes a request of the attempt id, with further fields; a body has a Content-Length.
+func (c *testClient) send(method, target, id, body string, fields ...string) {
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n", method, target, id)
 	for _, f := range fields {
 		text += f + "\r\n"
@@ -203,13 +212,14 @@
 	if body != "" || method == "POST" {
 		text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
-	_, err := io.WriteString(p, text+"\r\n"+body)
-	p.Assert(err, qt.IsNil)
+	_, err := io.WriteString(c, text+"\r\n"+body)
+	c.Assert(err, qt.IsNil)
 }
 
-// read reads one response; err says that a body was truncated.
-func (p *testClient) read() (*http1.Response, error) {
-	head, body, err := http1.ReadResponseHead(p.in, "GET")
+// read reads one response. It returns nil and an error where no head arrived, and what arrived of the body
+// with an error where it was truncated.
+func (c *testClient) read() (*http1.Response, error) {
+	head, body, err := http1.ReadResponseHead(c.in, "GET")
 	if err != nil {
 		return nil, err
 	}
@@ -220,15 +230,17 @@
 	return head, err
 }
 
-func (p *testClient) ask(method, target, id, body string, fields ...string) *http1.Response {
-	p.Helper()
-	p.send(method, target, id, body, fields...)
-	answer, err := p.read()
-	p.Assert(err, qt.IsNil)
-	return answer
+// do sends a request and returns its response, which has to be complete.
+func (c *testClient) do(method, target, id, body string, fields ...string) *http1.Response {
+	c.Helper()
+	c.send(method, target, id, body, fields...)
+	response, err := c.read()
+	c.Assert(err, qt.IsNil)
+	return response
 }
 
-// post writes a request with a body, on a route.
-func (p *testClient) post(route, id, body string) {
-	fmt.Fprintf(p, "POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n%s%s", route, id, length(body), body)
+// post writes a POST request with a body, on a route.
+func (c *testClient) post(route, id, body string) {
+	fmt.Fprintf(c, "POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n%s%s", route, id,
+		contentLength(body), body)
 }
--- a/internal/router/dataplane/surplus_test.go
+++ b/internal/router/dataplane/surplus_test.go
@@ -38,22 +38,22 @@
 	ran := map[string]bool{} // by attempt
 	point := 0
 	serve := func(req *http1.Request, w io.Writer) bool {
-		try := &faultyAttempt{id: req.Header.Get(tryIDHeader), route: route, framing: framing}
-		text, _ := try.answer(req)
+		attempt := &faultyAttempt{id: req.Header.Get(tryIDHeader), route: route, framing: framing}
+		text, _ := attempt.answer(req)
 		mu.Lock()
-		ran[try.id] = true
+		ran[attempt.id] = true
 		before := surplus[w]
 		surplus[w] = text
 		if !own {
-			surplus[w] = strings.ReplaceAll(text, try.id, "zzz")
+			surplus[w] = strings.ReplaceAll(text, attempt.id, "zzz")
 		}
 		before = before[:min(point, len(before))]
 		mu.Unlock()
 		io.WriteString(w, before+text)
 		return true
 	}
-	r := newRig(t, slack(1e6), newLookupServers(t, serve)...)
-	p := r.dial()
+	rig := newRig(t, withRetrySlack(1e6), newLookupServers(t, serve)...)
+	client := rig.dial()
 	length := len((&faultyAttempt{id: "000", route: route, framing: framing}).text())
 	served := 0
 	for at := range length + 1 {
@@ -62,31 +62,31 @@
 		clear(surplus)
 		mu.Unlock()
 		for _, half := range []struct{ name, deadline string }{{"a", "5000"}, {"b", "80"}} {
-			p.again(r)
-			try := &faultyAttempt{id: fmt.Sprintf("%s%02x", half.name, at), route: route, framing: framing}
-			got := p.post1(route, try.id, half.deadline)
+			client.reconnect(rig)
+			attempt := &faultyAttempt{id: fmt.Sprintf("%s%02x", half.name, at), route: route, framing: framing}
+			got := client.postAndRead(route, attempt.id, half.deadline)
 			mu.Lock()
-			hasRun := ran[try.id]
+			hasRun := ran[attempt.id]
 			mu.Unlock()
 			switch {
-			case got == result{200, try.body(), false}:
+			case got == clientResult{200, attempt.body(), false}:
 				served++
 			case half.name == "a":
-				t.Errorf("%s, with nothing before it: %+v", try.id, got)
+				t.Errorf("%s, with nothing before it: %+v", attempt.id, got)
 			case got.status == 503 && !hasRun: // its 80 ms were over before it was sent
 			case got.status == 504 && !got.cut: // the piece told of a longer body than ever came
 			case route == "safe" || route == "stream", got.status != 502:
-				t.Errorf("%s behind %d bytes: %+v", try.id, at, got)
+				t.Errorf("%s behind %d bytes: %+v", attempt.id, at, got)
 			}
 		}
 	}
-	r.awaitCallsEnded()
-	r.Assert(served > length, qt.IsTrue)
+	rig.awaitCallsEnded()
+	rig.Assert(served > length, qt.IsTrue)
 }
 
 // text is the response to the attempt.
-func (f *faultyAttempt) text() string {
-	text, _ := f.answer(requestOf(f.id))
+func (a *faultyAttempt) text() string {
+	text, _ := a.answer(requestOf(a.id))
 	return text
 }
 
@@ -110,13 +110,13 @@
 	var mu sync.Mutex
 	point, connections := 0, 0
 	whole := func(req *http1.Request, w io.Writer) bool {
-		try := &faultyAttempt{id: req.Header.Get(tryIDHeader), route: route, framing: byLength}
-		text, _ := try.answer(req)
+		attempt := &faultyAttempt{id: req.Header.Get(tryIDHeader), route: route, framing: byLength}
+		text, _ := attempt.answer(req)
 		io.WriteString(w, text)
 		return true
 	}
 	const most = 120 // fewer bytes than a request has
-	bad := newServer(t, "i-1", "lookup", "", whole)
+	bad := newFakeServer(t, "i-1", "lookup", "", whole)
 	bad.listener.Close()
 	bad.listen(t, func(conn net.Conn) {
 		mu.Lock()
@@ -136,29 +136,29 @@
 			conn.(*net.TCPConn).SetLinger(0)
 		}
 	})
-	good := newServer(t, "i-2", "lookup", "", whole)
-	r := newRig(t, slack(1e6), bad, good)
-	p := r.dial()
+	good := newFakeServer(t, "i-2", "lookup", "", whole)
+	rig := newRig(t, withRetrySlack(1e6), bad, good)
+	client := rig.dial()
 	once := route == "unsafe" || route == "firm"
 	for at := 0; at <= most; at += 3 {
 		mu.Lock()
 		point, connections = at, 0
 		mu.Unlock()
 		if reused {
-			p.again(r)
-			p.post1(route, fmt.Sprintf("r%02x", at), "")
+			client.reconnect(rig)
+			client.postAndRead(route, fmt.Sprintf("r%02x", at), "")
 		}
-		p.again(r)
+		client.reconnect(rig)
 		before := len(good.got())
-		try := &faultyAttempt{id: fmt.Sprintf("b%02x", at), route: route, framing: byLength}
-		got := p.post1(route, try.id, "")
+		attempt := &faultyAttempt{id: fmt.Sprintf("b%02x", at), route: route, framing: byLength}
+		got := client.postAndRead(route, attempt.id, "")
 		elsewhere := len(good.got()) - before
 		switch {
-		case got == result{200, try.body(), false} && elsewhere == 1 && (!once || at == 0):
+		case got == clientResult{200, attempt.body(), false} && elsewhere == 1 && (!once || at == 0):
 		case once && got.status == 502 && elsewhere == 0:
 		default:
 			t.Errorf("after %d bytes: %+v, %d calls elsewhere", at, got, elsewhere)
 		}
 	}
-	r.awaitCallsEnded()
+	rig.awaitCallsEnded()
 }
--- a/internal/router/dataplane/timeouts_test.go
+++ b/internal/router/dataplane/timeouts_test.go
@@ -7,27 +7,32 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestPrefillTimeout(t *testing.T) {
+func TestPrefillTimeoutFollowsTheExpectedTime(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(prefillTimeout(0, 10*time.Second), qt.Equals, minPrefillTimeout)
 	c.Assert(prefillTimeout(time.Second, 10*time.Second), qt.Equals, prefillTimeoutFactor*time.Second)
 	c.Assert(prefillTimeout(time.Second, 4*time.Second), qt.Equals, 2*time.Second)
 }
 
-func TestResponseTimeout(t *testing.T) {
+func TestResponseTimeoutFollowsTargetAndExpectedTime(t *testing.T) {
 	const short, long = 300 * time.Millisecond, time.Second
-	for _, test := range []struct{ target, expected, left, want time.Duration }{
-		{short, 0, 5 * time.Second, minResponseTimeout},
-		{long, 0, 5 * time.Second, responseTimeoutTargets * long},
-		{short, long, 5 * time.Second, responseTimeoutFactor * long},
-		{long, 0, 2 * time.Second, 2 * time.Second}, // no other server could make it
-		{short, long, 4 * time.Second, 4 * time.Second},
+	for _, test := range []struct {
+		name                         string
+		target, expected, left, want time.Duration
+	}{
+		{"the minimum", short, 0, 5 * time.Second, minResponseTimeout},
+		{"a multiple of the target", long, 0, 5 * time.Second, responseTimeoutTargets * long},
+		{"a multiple of the expected time", short, long, 5 * time.Second, responseTimeoutFactor * long},
+		{"no time for another server", long, 0, 2 * time.Second, 2 * time.Second},
+		{"no time for one after the expected time", short, long, 4 * time.Second, 4 * time.Second},
 	} {
-		qt.New(t).Assert(responseTimeout(test.target, test.expected, test.left), qt.Equals, test.want)
+		t.Run(test.name, func(t *testing.T) {
+			qt.New(t).Assert(responseTimeout(test.target, test.expected, test.left), qt.Equals, test.want)
+		})
 	}
 }
 
-func TestStreamTimeout(t *testing.T) {
+func TestStreamTimeoutFollowsTheGapTarget(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(streamTimeout(100*time.Millisecond), qt.Equals, time.Second)
 	c.Assert(streamTimeout(400*time.Millisecond), qt.Equals, 1200*time.Millisecond)
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -24,22 +24,22 @@
 // upload is larger than the socket buffers of both sides.
 const upload = 7 << 20
 
-func allowUploads(settings *agentsettings.Settings, state *fakeState) {
+func withUploads(settings *agentsettings.Settings, state *fakeState) {
 	settings.MemoryBytes = 64 << 20 * bodyMemoryDivisor
 	state.config.Limits.MaxBodyBytes = upload
 }
 
 // newServerWithSmallBuffers starts a server whose system buffers little of what its process does not read.
-func newServerWithSmallBuffers(t *testing.T, id string, serve func(net.Conn)) *server {
+func newServerWithSmallBuffers(t *testing.T, id string, serve func(net.Conn)) *fakeServer {
 	t.Helper()
-	s := &server{Server: &catalog.Server{ID: id, Service: "lookup", State: catalog.Ready}}
+	server := &fakeServer{Server: &catalog.Server{ID: id, Service: "lookup", State: catalog.Ready}}
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 8<<10)
 		})
 	}}
-	s.listenWith(t, small, serve)
-	return s
+	server.listenWith(t, small, serve)
+	return server
 }
 
 // A server that answers before it has read a long body, and reads on later: the client has its response,
@@ -49,14 +49,14 @@
 	for _, answer := range []struct {
 		status int
 		answer handler
-	}{{200, ok("done")}, {500, failure500}, {400, status(400, "Cresshub-Not-Run: 1")}} {
+	}{{200, respondOK("done")}, {500, respond500}, {400, respondStatus(400, "Cresshub-Not-Run: 1")}} {
 		for _, size := range []int{100_000, upload} {
 			t.Run(fmt.Sprint(answer.status, " ", size), func(t *testing.T) {
 				t.Parallel()
 				readOn, rest := make(chan bool), make(chan []byte, 1)
 				release := sync.OnceFunc(func() { close(readOn) })
 				defer release()
-				s := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
+				server := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 					in := bufio.NewReader(conn)
 					req, body, err := http1.ReadRequestHead(in)
 					if err != nil {
@@ -69,16 +69,16 @@
 						rest <- all
 					}
 				})
-				r := newRig(t, allowUploads, s)
-				p := r.dial()
-				status := p.ask("POST", "/unsafe/", "a", strings.Repeat("x", size)).Status
-				r.Assert(status, qt.Equals, answer.status)
-				r.Assert(p.ask("POST", "/unsafe/", "b", "").Status, qt.Equals, status)
+				rig := newRig(t, withUploads, server)
+				client := rig.dial()
+				status := client.do("POST", "/unsafe/", "a", strings.Repeat("x", size)).Status
+				rig.Assert(status, qt.Equals, answer.status)
+				rig.Assert(client.do("POST", "/unsafe/", "b", "").Status, qt.Equals, status)
 				release()
 				got := <-rest
-				r.Assert(strings.Trim(string(got), "x"), qt.Equals, "")
-				r.Assert(len(got) <= size, qt.IsTrue)
-				r.awaitCallsEnded()
+				rig.Assert(strings.Trim(string(got), "x"), qt.Equals, "")
+				rig.Assert(len(got) <= size, qt.IsTrue)
+				rig.awaitCallsEnded()
 			})
 		}
 	}
@@ -87,42 +87,42 @@
 // A process that does not read has stalled, and is not a dead machine: its request has all its time.
 func TestServerThatDoesNotReadTimesOut(t *testing.T) {
 	t.Parallel()
-	s := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
+	server := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 		req, body, err := http1.ReadRequestHead(bufio.NewReader(conn))
 		if err == nil && body.Length() > 0 {
 			awaitHangUp(qt.New(t), conn, testTimeout)
 		} else if err == nil {
-			ok("x")(req, conn)
+			respondOK("x")(req, conn)
 		}
 	})
-	r := newRig(t, allowUploads, s)
-	p := r.dial()
-	answer := p.ask("POST", "/unsafe/", "a", strings.Repeat("x", 200_000), "Cresshub-Deadline-Ms: 2000")
-	r.Assert(answer.Status, qt.Equals, 504)
-	r.awaitCallsEnded()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.TimedOut})
-	r.Assert(r.state.suspected, qt.HasLen, 0)
+	rig := newRig(t, withUploads, server)
+	client := rig.dial()
+	response := client.do("POST", "/unsafe/", "a", strings.Repeat("x", 200_000), "Cresshub-Deadline-Ms: 2000")
+	rig.Assert(response.Status, qt.Equals, 504)
+	rig.awaitCallsEnded()
+	rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.TimedOut})
+	rig.Assert(rig.state.suspected, qt.HasLen, 0)
 }
 
 // A server that does not read notices at once that its client has disconnected.
 func TestClientDisconnectsFromAServerThatDoesNotRead(t *testing.T) {
 	t.Parallel()
 	came, gone := make(chan bool), make(chan bool)
-	s := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
+	server := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 		if _, _, err := http1.ReadRequestHead(bufio.NewReader(conn)); err == nil {
 			close(came)
 			awaitHangUp(qt.New(t), conn, testTimeout/5) // without a reset it takes 15 s
 			close(gone)
 		}
 	})
-	r := newRig(t, allowUploads, s)
-	p := r.dial()
-	p.send("POST", "/safe/", "a", strings.Repeat("x", 200_000))
+	rig := newRig(t, withUploads, server)
+	client := rig.dial()
+	client.send("POST", "/safe/", "a", strings.Repeat("x", 200_000))
 	<-came
-	p.Close()
+	client.Close()
 	<-gone
-	r.awaitCallsEnded()
-	r.Assert(r.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
+	rig.awaitCallsEnded()
+	rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 }
 
 // awaitHangUp waits until the other side has ended the connection, of which nothing is read.
--- a/internal/router/dataplane/validrequests_test.go
+++ b/internal/router/dataplane/validrequests_test.go
@@ -37,7 +37,7 @@
 	if body == "" {
 		return text + "\r\n"
 	}
-	return text + length(body) + body
+	return text + contentLength(body) + body
 }
 
 // requestWithHead is a request whose head has that many bytes.
@@ -49,7 +49,7 @@
 // No 3xx or 4xx of the proxy's own answers a valid request: not with a configuration, nor without one or
 // without servers, when 503 tells the client when to come again.
 func TestValidRequestsAreAccepted(t *testing.T) {
-	serve := ok("served")
+	serve := respondOK("served")
 	for name, text := range validRequests {
 		for state, change := range map[string]func(*agentsettings.Settings, *fakeState){
 			"serves":           nil,
@@ -57,20 +57,20 @@
 			"no servers":       func(_ *agentsettings.Settings, s *fakeState) { s.table = nil },
 		} {
 			t.Run(name+", "+state, func(t *testing.T) {
-				servers := append(newLookupServers(t, serve), newServer(t, "i-w", "language", "writing", serve))
-				r := newRig(t, change, servers...)
-				p := r.dial()
-				io.WriteString(p, text)
-				answer, err := p.read()
-				r.Assert(err, qt.IsNil)
+				servers := append(newLookupServers(t, serve), newFakeServer(t, "i-w", "language", "writing", serve))
+				rig := newRig(t, change, servers...)
+				client := rig.dial()
+				io.WriteString(client, text)
+				response, err := client.read()
+				rig.Assert(err, qt.IsNil)
 				if state == "serves" {
-					r.Assert(answer.Status, qt.Equals, 200)
+					rig.Assert(response.Status, qt.Equals, 200)
 					return
 				}
-				r.Assert(answer.Status, qt.Equals, 503)
-				r.Assert(answer.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
-				r.Assert(answer.Header.Get(stampHeader), qt.Equals, "")
-				r.Assert(requestsReceived(servers), qt.Equals, 0)
+				rig.Assert(response.Status, qt.Equals, 503)
+				rig.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
+				rig.Assert(response.Header.Get(stampHeader), qt.Equals, "")
+				rig.Assert(requestsReceived(servers), qt.Equals, 0)
 			})
 		}
 	}
@@ -80,12 +80,12 @@
 func TestLargeRequestsBeforeAConfiguration(t *testing.T) {
 	large := requestText("POST", "/unsafe/", strings.Repeat("x", 6<<20))
 	for _, text := range []string{requestWithHead(60 << 10), large} {
-		r := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.config = nil })
-		p := r.dial()
-		go io.WriteString(p, text)
-		answer, _, err := http1.ReadResponseHead(p.in, "GET")
-		r.Assert(err, qt.IsNil)
-		r.Assert(answer.Status, qt.Equals, 503)
-		r.Assert(answer.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
+		rig := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.config = nil })
+		client := rig.dial()
+		go io.WriteString(client, text)
+		response, _, err := http1.ReadResponseHead(client.in, "GET")
+		rig.Assert(err, qt.IsNil)
+		rig.Assert(response.Status, qt.Equals, 503)
+		rig.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 	}
 }
