--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// newTestAgent returns a process that was not run: it listens to nobody and calls nobody. It is the only
-// member of the view that it knows.
+// newTestAgent returns the agent of a process that was not run: it listens to nobody and calls nobody. It is
+// the only member of the view that it knows.
 func newTestAgent(t *testing.T) *Agent {
 	t.Helper()
 	settings := &agentsettings.Settings{
@@ -22,12 +22,13 @@
 		HeartbeatInterval: time.Second,
 		Seeds:             []string{"127.0.0.1:1"},
 	}
-	a, err := New(settings, zerolog.Nop())
+	agent, err := New(settings, zerolog.Nop())
 	qt.Assert(t, err, qt.IsNil)
-	a.state.learnView(1, []peerproto.MemberInfo{{ID: "m0", Address: settings.IP}})
-	return a
+	agent.state.learnView(1, []peerproto.MemberInfo{{ID: "m0", Address: settings.IP}})
+	return agent
 }
 
+// heartbeat returns a heartbeat of server a in a state; postmark is its sequence number.
 func heartbeat(state string, postmark string) *controlserver.Call {
 	return &controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte(
 		`{"depot":"s","address":"10.0.0.1:80","bays":4,"state":"` + state + `","postmark":` + postmark + `}`)}
@@ -36,20 +37,21 @@
 // TestLateHeartbeatsChangeNothing follows a server by its calls, of which one is late.
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	c.Assert(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 200)
-	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
-	c.Assert(a.handleCall(heartbeat("draining", "3")).Status, qt.Equals, 200)
-	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
-	c.Assert(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
-	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("a late call"))
-	c.Assert(a.handleCall(&controlserver.Call{Method: "DELETE", Path: serversPath + "a"}).Status, qt.Equals, 200)
-	c.Assert(a.handleCall(heartbeat("ready", "9")).Status, qt.Equals, 200)
-	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("it has ended"))
+	agent := newTestAgent(t)
+	c.Assert(agent.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 200)
+	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 1)
+	c.Assert(agent.handleCall(heartbeat("draining", "3")).Status, qt.Equals, 200)
+	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0)
+	c.Assert(agent.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
+	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("a late call"))
+	c.Assert(agent.handleCall(&controlserver.Call{Method: "DELETE", Path: serversPath + "a"}).Status, qt.Equals,
+		200)
+	c.Assert(agent.handleCall(heartbeat("ready", "9")).Status, qt.Equals, 200)
+	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("it has ended"))
 }
 
 func TestMalformedCallsAreRejected(t *testing.T) {
-	a := newTestAgent(t)
+	agent := newTestAgent(t)
 	for _, test := range []struct {
 		name   string
 		call   controlserver.Call
@@ -72,9 +74,9 @@
 		{"an unknown path", controlserver.Call{Method: "GET", Path: "/api/nothing"}, 404, "(?s).*"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			answer := a.handleCall(&test.call)
-			qt.Check(t, answer.Status, qt.Equals, test.status)
-			qt.Check(t, string(answer.Body), qt.Matches, test.body)
+			response := agent.handleCall(&test.call)
+			qt.Check(t, response.Status, qt.Equals, test.status)
+			qt.Check(t, string(response.Body), qt.Matches, test.body)
 		})
 	}
 }
@@ -83,82 +85,82 @@
 // server.
 func TestDrainWithoutHubsIsNotAcknowledged(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
-	a.hubs.links["127.0.0.9"] = &hub{ip: "127.0.0.9"}
-	c.Assert(a.quorum.awaitMajority(1, 0), qt.IsFalse)
-	a.hubs.links["127.0.0.9"].state.replicatedTo = 1
-	c.Assert(a.quorum.awaitMajority(1, 0), qt.IsTrue)
+	agent := newTestAgent(t)
+	agent.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
+	agent.hubs.links["127.0.0.9"] = &hub{ip: "127.0.0.9"}
+	c.Assert(agent.quorum.awaitMajority(1, 0), qt.IsFalse)
+	agent.hubs.links["127.0.0.9"].state.replicatedTo = 1
+	c.Assert(agent.quorum.awaitMajority(1, 0), qt.IsTrue)
 }
 
 // TestFeedContinuesFromAnOffset gives a follower what it has not received, and a snapshot where its offset is
 // unknown.
 func TestFeedContinuesFromAnOffset(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.handleCall(heartbeat("ready", "1"))
-	first := a.feeds.next(0, -1)
+	agent := newTestAgent(t)
+	agent.handleCall(heartbeat("ready", "1"))
+	first := agent.feeds.next(0, -1)
 	c.Assert(first.Records, qt.HasLen, 1)
-	a.handleCall(heartbeat("draining", "2"))
-	c.Assert(a.feeds.hasUpdate(feedPosition{uint64(first.To), 0, first.Epoch}), qt.IsTrue)
-	next := a.feeds.next(uint64(first.To), first.Epoch)
+	agent.handleCall(heartbeat("draining", "2"))
+	c.Assert(agent.feeds.hasUpdate(feedPosition{uint64(first.To), 0, first.Epoch}), qt.IsTrue)
+	next := agent.feeds.next(uint64(first.To), first.Epoch)
 	c.Assert(next.From, qt.Equals, first.To)
 	c.Assert(next.Records, qt.HasLen, 1)
 	c.Assert(next.Records[0].State, qt.Equals, directory.Draining)
-	c.Assert(a.feeds.next(99, 0).From, qt.Equals, int64(0))
+	c.Assert(agent.feeds.next(99, 0).From, qt.Equals, int64(0))
 }
 
 // TestTimedOutServersAreLostUntilTheirNextHeartbeat marks a server lost that does not call any more, unless
 // this process was stalled meanwhile.
 func TestTimedOutServersAreLostUntilTheirNextHeartbeat(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.handleCall(heartbeat("ready", "1"))
-	later := a.now() + time.Duration(2*maxMissedHeartbeats*float64(a.settings.HeartbeatInterval))
-	a.failures.observingSince = later
-	a.failures.markTimedOut(later, false)
-	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
-	a.failures.observingSince = 0
-	a.failures.markTimedOut(later, false)
-	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
-	a.handleCall(heartbeat("ready", "2"))
-	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
+	agent := newTestAgent(t)
+	agent.handleCall(heartbeat("ready", "1"))
+	later := agent.now() + time.Duration(2*maxMissedHeartbeats*float64(agent.settings.HeartbeatInterval))
+	agent.failures.observingSince = later
+	agent.failures.markTimedOut(later, false)
+	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("this process has just woken up"))
+	agent.failures.observingSince = 0
+	agent.failures.markTimedOut(later, false)
+	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0)
+	agent.handleCall(heartbeat("ready", "2"))
+	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 1)
 }
 
 // TestReportsOfLostServersAreBounded: a proxy that loses many servers at once is likely to be the one at
 // fault.
 func TestReportsOfLostServersAreBounded(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	now := a.now()
-	a.state.update(now, func(d *directory.Directory) {
+	agent := newTestAgent(t)
+	now := agent.now()
+	agent.state.update(now, func(d *directory.Directory) {
 		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 			d.Merge(now, directory.Record{Kind: directory.KindServer, ID: id, Sequence: 1, State: directory.Ready,
 				Service: "s"})
 		}
 	})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		a.dataplaneState.reportLost(id, "test")
+		agent.dataplaneState.reportLost(id, "test")
 	}
-	c.Assert(a.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
+	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
 }
 
 // TestEarlierProcessOfAMachineIsLost marks processes lost that another one at their address has
 // replaced. They might be the later ones, and could refute it.
 func TestEarlierProcessOfAMachineIsLost(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	now := a.now()
+	agent := newTestAgent(t)
+	now := agent.now()
 	proxy := directory.Record{Kind: directory.KindProxy, Sequence: 1, State: directory.Ready,
 		Address: "10.0.0.7"}
-	a.state.update(now, func(d *directory.Directory) {
+	agent.state.update(now, func(d *directory.Directory) {
 		for _, id := range []string{"old", "new"} {
 			proxy.ID = id
 			d.Merge(now, proxy)
 		}
 	})
-	a.failures.markPredecessorsLost("new")
-	a.state.read(func(d *directory.Directory) {
+	agent.failures.markPredecessorsLost("new")
+	agent.state.read(func(d *directory.Directory) {
 		c.Check(d.Get("old").State, qt.Equals, directory.Lost)
 		c.Check(d.Get("new").State, qt.Equals, directory.Ready)
 	})
@@ -167,16 +169,16 @@
 // TestOrdersWaitForThePreviousHead: a new head waits until orders of the previous one have arrived.
 func TestOrdersWaitForThePreviousHead(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.settings.Bounds.Lease = time.Hour
-	coordinator := &roleAssigner{agent: a, member: &chainMember{}}
-	c.Check(coordinator.maySendOrders(), qt.IsFalse)
-	coordinator.member.fence.Store(1)
-	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no previous head"))
-	coordinator.member.fence.Store(2)
-	c.Check(coordinator.maySendOrders(), qt.IsTrue, qt.Commentf("the same head under a higher fence"))
-	coordinator.member.fence.Store(0)
-	c.Check(coordinator.maySendOrders(), qt.IsFalse)
-	coordinator.member.fence.Store(3)
-	c.Check(coordinator.maySendOrders(), qt.IsFalse, qt.Commentf("another one may have been the head meanwhile"))
+	agent := newTestAgent(t)
+	agent.settings.Bounds.Lease = time.Hour
+	assigner := &roleAssigner{agent: agent, member: &chainMember{}}
+	c.Check(assigner.maySendOrders(), qt.IsFalse)
+	assigner.member.fence.Store(1)
+	c.Check(assigner.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no previous head"))
+	assigner.member.fence.Store(2)
+	c.Check(assigner.maySendOrders(), qt.IsTrue, qt.Commentf("the same head under a higher fence"))
+	assigner.member.fence.Store(0)
+	c.Check(assigner.maySendOrders(), qt.IsFalse)
+	assigner.member.fence.Store(3)
+	c.Check(assigner.maySendOrders(), qt.IsFalse, qt.Commentf("another one may have been the head meanwhile"))
 }
--- a/internal/router/agent/chain_encoding_test.go
+++ b/internal/router/agent/chain_encoding_test.go
@@ -14,28 +14,28 @@
 func TestChainMessagesKeepEveryField(t *testing.T) {
 	var message chain.Message
 	next := 1
-	fill(reflect.ValueOf(&message).Elem(), &next)
+	fillWithNonZero(reflect.ValueOf(&message).Elem(), &next)
 	decoded, err := decodeChain(encodeChain(&message))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, decoded, qt.DeepEquals, message)
 }
 
-// fill sets a value to something other than its zero value.
-func fill(v reflect.Value, next *int) {
+// fillWithNonZero sets a value to something other than its zero value.
+func fillWithNonZero(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), next)
+			fillWithNonZero(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(v.Index(i), next)
+			fillWithNonZero(v.Index(i), next)
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), next)
+			fillWithNonZero(v.Index(i), next)
 		}
 	case reflect.String:
 		v.SetString(string(rune('a' + *next%26)))
--- a/internal/router/agent/chain_leave_test.go
+++ b/internal/router/agent/chain_leave_test.go
@@ -33,10 +33,10 @@
 func leaveWhileTheDiskOpens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newTestAgent(t)
+		agent := newTestAgent(t)
 		disk := &hangingFiles{gate: make(chan struct{})}
-		a.settings.DataDir, a.files = t.TempDir(), disk
-		control := newDeferredStore(a)
+		agent.settings.DataDir, agent.files = t.TempDir(), disk
+		control := newDeferredStore(agent)
 		done := make(chan struct{})
 		control.start(done)
 		synctest.Wait()
@@ -56,9 +56,9 @@
 func leaveInAFullQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newTestAgent(t)
-		a.settings.DataDir = t.TempDir()
-		member, err := openChainMember(a)
+		agent := newTestAgent(t)
+		agent.settings.DataDir = t.TempDir()
+		member, err := openChainMember(agent)
 		c.Assert(err, qt.IsNil)
 		nothing := func(time.Duration) chain.Effects { return chain.Effects{} }
 		for member.post(nothing) {
--- a/internal/router/agent/config_hedging_test.go
+++ b/internal/router/agent/config_hedging_test.go
@@ -43,8 +43,8 @@
 					})
 				}
 				began := time.Now()
-				answer := firstDefiniteAnswer(attempts)
-				qt.Check(t, answer.Outcome, qt.Equals, test.outcome)
+				result := firstDefiniteAnswer(attempts)
+				qt.Check(t, result.Outcome, qt.Equals, test.outcome)
 				qt.Check(t, time.Since(began), qt.Equals, test.took)
 			})
 		})
--- a/internal/router/agent/deferred_store_test.go
+++ b/internal/router/agent/deferred_store_test.go
@@ -15,22 +15,22 @@
 func TestAProcessServesWhileItsDiskCanNotBeOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newTestAgent(t)
-		a.settings.DataDir = t.TempDir()
-		blocking := filepath.Join(a.settings.DataDir, "chain")
+		agent := newTestAgent(t)
+		agent.settings.DataDir = t.TempDir()
+		blocking := filepath.Join(agent.settings.DataDir, "chain")
 		c.Assert(os.WriteFile(blocking, nil, 0o600), qt.IsNil)
-		control := newConfigStore(a)
+		control := newConfigStore(agent)
 		done := make(chan struct{})
 		control.start(done)
 		time.Sleep(10 * diskRetryInterval)
 		c.Check(control.isMember(), qt.IsFalse)
-		c.Check(ownMember(a), qt.Equals, "")
+		c.Check(ownMember(agent), qt.Equals, "")
 		c.Check(control.read(0).Reason, qt.Matches, ".*no disk.*")
 
 		c.Assert(os.Remove(blocking), qt.IsNil)
 		time.Sleep(2 * diskRetryInterval)
 		synctest.Wait()
-		c.Check(ownMember(a), qt.Not(qt.Equals), "")
+		c.Check(ownMember(agent), qt.Not(qt.Equals), "")
 		close(done)
 		synctest.Wait()
 		control.close()
@@ -38,8 +38,8 @@
 }
 
 // ownMember returns the identity of its disk that a process tells the others.
-func ownMember(a *Agent) string {
-	a.self.mu.Lock()
-	defer a.self.mu.Unlock()
-	return a.self.record.Member
+func ownMember(agent *Agent) string {
+	agent.self.mu.Lock()
+	defer agent.self.mu.Unlock()
+	return agent.self.record.Member
 }
--- a/internal/router/agent/failure_detector_test.go
+++ b/internal/router/agent/failure_detector_test.go
@@ -22,12 +22,12 @@
 // finds and logs stalls. The race detector is the check: both use the time since when this process could
 // receive calls.
 func TestProbesEndWhileTheDetectorFindsAStall(t *testing.T) {
-	a := newTestAgent(t)
-	a.log = zerolog.New(slowLog{})
-	a.state.merge(a.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
+	agent := newTestAgent(t)
+	agent.log = zerolog.New(slowLog{})
+	agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
 		State: directory.Ready, Service: "s", Watcher: "gone"}})
 	var record *directory.Record
-	a.state.read(func(d *directory.Directory) { record = d.Get("a") })
+	agent.state.read(func(d *directory.Directory) { record = d.Get("a") })
 	done := make(chan struct{})
 	var probes sync.WaitGroup
 	probes.Go(func() {
@@ -36,13 +36,13 @@
 			case <-done:
 				return
 			default:
-				a.failures.markUnwatchedLost(record, "test")
+				agent.failures.markUnwatchedLost(record, "test")
 			}
 		}
 	})
 	for range 20 {
-		a.failures.lastCheck = a.now() - 2*stallThreshold
-		a.failures.check()
+		agent.failures.lastCheck = agent.now() - 2*stallThreshold
+		agent.failures.check()
 	}
 	close(done)
 	probes.Wait()
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -25,20 +25,20 @@
 // diskAgent is a process with a front and with a data directory, which is a copy of the golden one or empty.
 func diskAgent(t *testing.T, c *qt.C, golden bool) *Agent {
 	t.Helper()
-	a := newTestAgent(t)
-	a.id = "proxy-1"
-	a.settings.DataDir = t.TempDir()
-	a.proxy = dataplane.New(a.settings, a.dataplaneState, zerolog.Nop())
+	agent := newTestAgent(t)
+	agent.id = "proxy-1"
+	agent.settings.DataDir = t.TempDir()
+	agent.proxy = dataplane.New(agent.settings, agent.dataplaneState, zerolog.Nop())
 	if golden {
-		c.Assert(os.CopyFS(a.settings.DataDir, os.DirFS(goldenPath(goldenData))), qt.IsNil)
+		c.Assert(os.CopyFS(agent.settings.DataDir, os.DirFS(goldenPath(goldenData))), qt.IsNil)
 	}
-	return a
+	return agent
 }
 
 // checkWritten compares a file of a process's data directory with a golden one.
-func checkWritten(c *qt.C, a *Agent, name, golden string) {
+func checkWritten(c *qt.C, agent *Agent, name, golden string) {
 	c.Helper()
-	written, err := os.ReadFile(filepath.Join(a.settings.DataDir, name))
+	written, err := os.ReadFile(filepath.Join(agent.settings.DataDir, name))
 	c.Assert(err, qt.IsNil)
 	checkGolden(c, golden, written)
 }
@@ -55,8 +55,8 @@
 // process writes it with.
 func TestGoldenDataDirectoryIsWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	a := diskAgent(t, c, false)
-	log, _, err := openLog(a)
+	agent := diskAgent(t, c, false)
+	log, _, err := openLog(agent)
 	c.Assert(err, qt.IsNil)
 	c.Assert(log.Append(chainRecord(c, "identity")), qt.IsNil)
 	var records [][]byte
@@ -67,18 +67,18 @@
 	c.Assert(log.Append(chainRecord(c, "successor")), qt.IsNil)
 	c.Assert(log.Close(), qt.IsNil)
 	segment := filepath.Join(chainFolder, goldenSegment)
-	checkWritten(c, a, segment, filepath.Join(goldenData, segment))
+	checkWritten(c, agent, segment, filepath.Join(goldenData, segment))
 
-	a.state.merge(a.now(), goldenDiskRecords())
+	agent.state.merge(agent.now(), goldenDiskRecords())
 	var live []directory.Record
-	a.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
-	c.Assert(a.persister.saved().writeRecords(serversFile, live), qt.IsNil)
-	checkWritten(c, a, "servers", filepath.Join(goldenData, "servers"))
-	a.persister.saveProxies()
-	checkWritten(c, a, "proxies", filepath.Join(goldenData, "proxies"))
-	a.proxy.SyncPrefixes(promptsAt(7, 1<<64-3)) // saved the newest first
-	a.persister.savePrefixIndex()
-	checkWritten(c, a, "prompts", filepath.Join(goldenData, "prompts"))
+	agent.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
+	c.Assert(agent.persister.saved().writeRecords(serversFile, live), qt.IsNil)
+	checkWritten(c, agent, "servers", filepath.Join(goldenData, "servers"))
+	agent.persister.saveProxies()
+	checkWritten(c, agent, "proxies", filepath.Join(goldenData, "proxies"))
+	agent.proxy.SyncPrefixes(promptsAt(7, 1<<64-3)) // saved the newest first
+	agent.persister.savePrefixIndex()
+	checkWritten(c, agent, "prompts", filepath.Join(goldenData, "prompts"))
 }
 
 // goldenDiskRecords are two servers that run, one that is lost, which is not saved, and two proxies.
@@ -100,8 +100,8 @@
 // begins the log anew with a snapshot.
 func TestGoldenChainFolderIsRead(t *testing.T) {
 	c := qt.New(t)
-	a := diskAgent(t, c, true)
-	member, err := openChainMember(a)
+	agent := diskAgent(t, c, true)
+	member, err := openChainMember(agent)
 	c.Assert(err, qt.IsNil)
 	defer member.closeLog()
 	c.Assert(member.identity, qt.Equals, "m0")
@@ -116,12 +116,12 @@
 	c.Assert(known, qt.IsTrue)
 	c.Assert(entry, qt.DeepEquals, chain.Entry{Epoch: 299, Sequence: 200, Version: 40,
 		Body: []byte(goldenDocument)})
-	a.configSync.applyStored(<-member.committed)
-	checkConfig(c, a, 40, goldenDocument)
+	agent.configSync.applyStored(<-member.committed)
+	checkConfig(c, agent, 40, goldenDocument)
 
 	c.Assert(member.log.Compact(member.machine.SnapshotRecords()), qt.IsNil)
-	checkWritten(c, a, filepath.Join(chainFolder, goldenCompacted), goldenCompacted)
-	c.Assert(os.Remove(filepath.Join(a.settings.DataDir, chainFolder, goldenCompacted)), qt.IsNil)
+	checkWritten(c, agent, filepath.Join(chainFolder, goldenCompacted), goldenCompacted)
+	c.Assert(os.Remove(filepath.Join(agent.settings.DataDir, chainFolder, goldenCompacted)), qt.IsNil)
 
 	compacted := diskAgent(t, c, false)
 	folder := filepath.Join(compacted.settings.DataDir, chainFolder)
@@ -138,25 +138,25 @@
 // TestGoldenSavedFilesAreRead loads the files as the process does at its start, and writes them again.
 func TestGoldenSavedFilesAreRead(t *testing.T) {
 	c := qt.New(t)
-	a := diskAgent(t, c, true)
+	agent := diskAgent(t, c, true)
 	records := goldenDiskRecords()
-	servers, err := a.persister.saved().readRecords(serversFile)
+	servers, err := agent.persister.saved().readRecords(serversFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(servers, qt.DeepEquals, []directory.Record{records[0], records[3]})
-	c.Assert(a.persister.loadServers(), qt.IsTrue)
+	c.Assert(agent.persister.loadServers(), qt.IsTrue)
 	var live []directory.Record
-	a.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
+	agent.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
 	c.Assert(live, qt.DeepEquals, servers)
-	c.Assert(a.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
+	c.Assert(agent.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
 	// the last one taken in is the newest
-	c.Assert(a.proxy.KnownPrefixes(), qt.DeepEquals, promptsAt(7, 1<<64-3))
-	proxies, err := a.persister.saved().readRecords(proxiesFile)
+	c.Assert(agent.proxy.KnownPrefixes(), qt.DeepEquals, promptsAt(7, 1<<64-3))
+	proxies, err := agent.persister.saved().readRecords(proxiesFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
 		{Kind: directory.KindProxy, Address: "10.0.0.3"}})
-	a.persister.loadProxies()
-	c.Assert(a.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
-	prompts, err := a.persister.saved().read(promptsFile)
+	agent.persister.loadProxies()
+	c.Assert(agent.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
+	prompts, err := agent.persister.saved().read(promptsFile)
 	c.Assert(err, qt.IsNil)
 	var work peerproto.LoadReport
 	c.Assert(peerproto.Decode(prompts, &work), qt.IsNil)
@@ -164,12 +164,12 @@
 	c.Assert(decodePrefixes(work.Prefixes), qt.DeepEquals, promptsAt(1<<64-3, 7))
 
 	for _, name := range []string{"servers", "prompts", "proxies"} {
-		c.Assert(os.Remove(filepath.Join(a.settings.DataDir, name)), qt.IsNil)
+		c.Assert(os.Remove(filepath.Join(agent.settings.DataDir, name)), qt.IsNil)
 	}
-	a.persister.saveProxies()
-	c.Assert(a.persister.saved().write(promptsFile, peerproto.Encode(&work)), qt.IsNil)
-	checkWritten(c, a, "proxies", filepath.Join(goldenData, "proxies"))
-	checkWritten(c, a, "prompts", filepath.Join(goldenData, "prompts"))
-	c.Assert(a.persister.saved().writeRecords(serversFile, servers), qt.IsNil)
-	checkWritten(c, a, "servers", filepath.Join(goldenData, "servers"))
+	agent.persister.saveProxies()
+	c.Assert(agent.persister.saved().write(promptsFile, peerproto.Encode(&work)), qt.IsNil)
+	checkWritten(c, agent, "proxies", filepath.Join(goldenData, "proxies"))
+	checkWritten(c, agent, "prompts", filepath.Join(goldenData, "prompts"))
+	c.Assert(agent.persister.saved().writeRecords(serversFile, servers), qt.IsNil)
+	checkWritten(c, agent, "servers", filepath.Join(goldenData, "servers"))
 }
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -20,8 +20,10 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
+// goldenPath returns where a golden file is.
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
+// readGolden returns the content of a golden file.
 func readGolden(c *qt.C, name string) []byte {
 	c.Helper()
 	golden, err := os.ReadFile(goldenPath(name))
@@ -39,16 +41,17 @@
 	c.Assert(written, qt.DeepEquals, readGolden(c, name), qt.Commentf("%s", name))
 }
 
-// goldenAgent is a process whose id, view and directory are always the same.
+// goldenAgent is the agent of a process whose id, view and directory are always the same.
 func goldenAgent(t *testing.T) *Agent {
 	t.Helper()
-	a := newTestAgent(t)
-	a.id = "proxy-1"
-	a.state.learnView(7, goldenMembers())
-	a.state.merge(a.now(), goldenRecords())
-	return a
+	agent := newTestAgent(t)
+	agent.id = "proxy-1"
+	agent.state.learnView(7, goldenMembers())
+	agent.state.merge(agent.now(), goldenRecords())
+	return agent
 }
 
+// goldenMembers are the members of the golden view.
 func goldenMembers() []peerproto.MemberInfo {
 	return []peerproto.MemberInfo{{ID: "m0", Address: "127.0.0.1"}, {ID: "m1", Address: "10.0.0.2"}}
 }
@@ -62,6 +65,7 @@
 			Watcher: "proxy-2", Role: "writing"}}
 }
 
+// goldenServer is the record of a server with all fields set.
 func goldenServer() directory.Record {
 	return directory.Record{Kind: directory.KindServer, ID: "server-1", Sequence: 3, State: directory.Draining,
 		Watcher: "proxy-2", Service: "chat", Address: "10.0.0.9:80", Zone: "zone-b", Version: "v3", Slots: 6,
@@ -120,24 +124,24 @@
 // and another one's copy of it.
 func TestGoldenDirectoryFramesAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	a := goldenAgent(t)
-	checkGolden(c, "status.bin", peerproto.Encode(a.status()))
+	agent := goldenAgent(t)
+	checkGolden(c, "status.bin", peerproto.Encode(agent.status()))
 	var status peerproto.Status
 	c.Assert(peerproto.Decode(readGolden(c, "status.bin"), &status), qt.IsNil)
 	c.Assert(status, qt.DeepEquals, peerproto.Status{ID: "proxy-1", Epoch: 7, Members: goldenMembers()})
 
-	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(a.feeds.next(0, -1)))
+	checkGolden(c, "feed_snapshot.bin", peerproto.Encode(agent.feeds.next(0, -1)))
 	var snapshot, feed peerproto.Feed
 	c.Assert(peerproto.Decode(readGolden(c, "feed_snapshot.bin"), &snapshot), qt.IsNil)
 	c.Assert(snapshot, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", To: 3, Records: goldenRecords(),
 		Config: []byte{}, Epoch: 7, Members: goldenMembers()})
-	checkGolden(c, "feed_piece.bin", peerproto.Encode(a.feeds.next(2, 7)))
+	checkGolden(c, "feed_piece.bin", peerproto.Encode(agent.feeds.next(2, 7)))
 	c.Assert(peerproto.Decode(readGolden(c, "feed_piece.bin"), &feed), qt.IsNil)
 	c.Assert(feed, qt.DeepEquals, peerproto.Feed{Feed: "proxy-1", From: 2, To: 3,
 		Records: goldenRecords()[2:], Config: []byte{}, Epoch: 7,
 		Members: []peerproto.MemberInfo{}})
 
-	checkGolden(c, "compare.bin", peerproto.Encode(&peerproto.Comparison{Digest: a.antiEntropy.digest()}))
+	checkGolden(c, "compare.bin", peerproto.Encode(&peerproto.Comparison{Digest: agent.antiEntropy.digest()}))
 	var request peerproto.Comparison
 	c.Assert(peerproto.Decode(readGolden(c, "compare.bin"), &request), qt.IsNil)
 	follower := newTestAgent(t)
@@ -154,9 +158,9 @@
 	prefixes []scheduler.CachedPrefixes
 }
 
-func (s *recordingWorkload) SetPeerLoad(others []scheduler.InFlightLoad, full bool,
+func (w *recordingWorkload) SetPeerLoad(others []scheduler.InFlightLoad, full bool,
 	prompts []scheduler.CachedPrefixes) {
-	s.others, s.full, s.prefixes = others, full, prompts
+	w.others, w.full, w.prefixes = others, full, prompts
 }
 
 // TestGoldenWorkIsReadAndWrittenByteForByte: what is under way, in the forms for the hub, for other hubs and
@@ -175,14 +179,14 @@
 	c.Assert(decodeLoad(work.Servers), qt.DeepEquals, changes)
 	c.Assert(decodePrefixes(work.Prefixes), qt.DeepEquals, prompts)
 
-	a := goldenAgent(t)
+	agent := goldenAgent(t)
 	recorded := &recordingWorkload{}
-	a.workload = recorded
-	a.load.applyOwn(&peerproto.LoadReport{Servers: encodeLoad(changes[:1]),
+	agent.workload = recorded
+	agent.load.applyOwn(&peerproto.LoadReport{Servers: encodeLoad(changes[:1]),
 		Prefixes: encodePrefixes(prompts[:1])})
-	local := a.load.localLoad()
+	local := agent.load.localLoad()
 	checkGolden(c, "hub_work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true,
-		Servers: a.load.loadExcept(local, nil, true), Prefixes: a.load.localPrefixes}))
+		Servers: agent.load.loadExcept(local, nil, true), Prefixes: agent.load.localPrefixes}))
 
 	other := goldenAgent(t)
 	other.workload = recorded
@@ -196,11 +200,11 @@
 // TestGoldenDemandsAreRead records the demand that another proxy reports with a ping.
 func TestGoldenDemandsAreRead(t *testing.T) {
 	c := qt.New(t)
-	a := goldenAgent(t)
+	agent := goldenAgent(t)
 	checkGolden(c, "demands.bin", peerproto.Encode(&peerproto.Demands{Services: []peerproto.Demand{
 		{Service: "chat", Prefill: 1.5, Decode: 2.25}, {Service: "other", Prefill: 3, Decode: 4}}}))
-	a.demand.record("proxy-2", a.now(), readGolden(c, "demands.bin"))
-	c.Assert(a.demand.total("chat", a.now()), qt.Equals,
+	agent.demand.record("proxy-2", agent.now(), readGolden(c, "demands.bin"))
+	c.Assert(agent.demand.total("chat", agent.now()), qt.Equals,
 		roleplan.Demand{HasTraffic: true, PrefillCalls: 1.5, DecodeCalls: 2.25})
 }
 
@@ -216,13 +220,13 @@
 // deflates in another way, only their writing fails, and the files may be written anew.
 func TestGoldenConfigurationsAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	a := goldenAgent(t)
-	a.configSync.applyDocument([]byte(goldenDocument))
-	checkGolden(c, "config_result.bin", peerproto.Encode(a.configSync.inForce()))
-	adoptPatch(c, a, goldenPatch)
-	config := a.state.Config()
-	checkGolden(c, "config_patches.bin", a.configSync.updateSince(config, 40))
-	checkGolden(c, "config_packed.bin", a.configSync.updateSince(config, 0))
+	agent := goldenAgent(t)
+	agent.configSync.applyDocument([]byte(goldenDocument))
+	checkGolden(c, "config_result.bin", peerproto.Encode(agent.configSync.inForce()))
+	adoptPatch(c, agent, goldenPatch)
+	config := agent.state.Config()
+	checkGolden(c, "config_patches.bin", agent.configSync.updateSince(config, 40))
+	checkGolden(c, "config_packed.bin", agent.configSync.updateSince(config, 0))
 	patch, err := fleetconfig.ParsePatch(40, []byte(goldenPatch))
 	c.Assert(err, qt.IsNil)
 	checkGolden(c, "config_stored.bin", fleetconfig.EncodeStored(patch, config.Raw()))
@@ -250,8 +254,9 @@
 		"285c92064f1e7ce03f0925b3225a077f7ca1a85eca4fcea4bc983d980fa301a0")
 }
 
-func checkConfig(c *qt.C, a *Agent, version int64, document string) {
+// checkConfig checks the configuration that is in force at an agent.
+func checkConfig(c *qt.C, agent *Agent, version int64, document string) {
 	c.Helper()
-	c.Assert(a.state.version(), qt.Equals, version)
-	c.Assert(string(a.state.Config().Raw()), qt.Equals, document)
+	c.Assert(agent.state.version(), qt.Equals, version)
+	c.Assert(string(agent.state.Config().Raw()), qt.Equals, document)
 }
--- a/internal/router/agent/list_endpoint_test.go
+++ b/internal/router/agent/list_endpoint_test.go
@@ -13,37 +13,37 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// agentWithRecords returns a process that knows some records and does nothing.
+// agentWithRecords returns the agent of a process that knows some records and does nothing.
 func agentWithRecords(c *qt.C, records ...directory.Record) *Agent {
 	settings, err := agentsettings.Parse([]byte(`{"office":"front-a","ip":"127.0.0.1","inner_ports":[1,2],
 		"counters":{"control":"127.0.0.1:3"}}`))
 	c.Assert(err, qt.IsNil)
-	a, err := New(settings, zerolog.Nop())
+	agent, err := New(settings, zerolog.Nop())
 	c.Assert(err, qt.IsNil)
-	a.state.merge(0, records)
-	return a
+	agent.state.merge(0, records)
+	return agent
 }
 
-// get reads a list into an answer.
-func get(c *qt.C, a *Agent, path string, into any) {
-	answer := a.handleCall(&controlserver.Call{Method: "GET", Path: path})
-	c.Assert(answer.Status, qt.Equals, 200)
-	c.Assert(answer.Header.Get("Content-Type"), qt.Equals, "application/json")
-	c.Assert(json.Unmarshal(answer.Body, into), qt.IsNil)
+// getList requests a list and decodes it into a value.
+func getList(c *qt.C, agent *Agent, path string, into any) {
+	response := agent.handleCall(&controlserver.Call{Method: "GET", Path: path})
+	c.Assert(response.Status, qt.Equals, 200)
+	c.Assert(response.Header.Get("Content-Type"), qt.Equals, "application/json")
+	c.Assert(json.Unmarshal(response.Body, into), qt.IsNil)
 }
 
 func TestMembersAreListedWithTheirRoles(t *testing.T) {
 	c := qt.New(t)
-	a := agentWithRecords(c,
+	agent := agentWithRecords(c,
 		directory.Record{Kind: directory.KindProxy, ID: "p2", Sequence: 1, State: directory.Lost,
 			Address: "127.0.0.3", Name: "front-c", Control: "127.0.0.3:3", Zone: "kopli", Watcher: "p1"},
 		directory.Record{Kind: directory.KindProxy, ID: "p1", Sequence: 1, State: directory.Ready,
 			Address: "127.0.0.2", Name: "front-b", Control: "127.0.0.2:3", Member: "disk-1"},
 		directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 1, State: directory.Ready})
-	a.state.learnView(4, []peerproto.MemberInfo{{ID: "disk-1", Address: "127.0.0.2"}})
+	agent.state.learnView(4, []peerproto.MemberInfo{{ID: "disk-1", Address: "127.0.0.2"}})
 	var list memberList
-	get(c, a, "/api/members", &list)
-	c.Assert(list, qt.DeepEquals, memberList{Asked: a.id, Epoch: 4, Members: []listedMember{
+	getList(c, agent, "/api/members", &list)
+	c.Assert(list, qt.DeepEquals, memberList{Asked: agent.id, Epoch: 4, Members: []listedMember{
 		{ID: "p1", Name: "front-b", IP: "127.0.0.2", Control: "127.0.0.2:3", State: "ready", HasDisk: true,
 			IsMember: true},
 		{ID: "p2", Name: "front-c", IP: "127.0.0.3", Control: "127.0.0.3:3", Zone: "kopli", State: "lost",
@@ -53,7 +53,7 @@
 
 func TestServersAreListedWithTheirOrders(t *testing.T) {
 	c := qt.New(t)
-	a := agentWithRecords(c,
+	agent := agentWithRecords(c,
 		directory.Record{Kind: directory.KindServer, ID: "i-2", Sequence: 9, State: directory.Draining,
 			Service: "lookup", Address: "127.0.0.9:80", Slots: 6, Watcher: "p1"},
 		directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 7, State: directory.Ready,
@@ -61,8 +61,8 @@
 		directory.Record{Kind: directory.KindOrder, ID: directory.OrderID("i-1"), Sequence: 1,
 			State: directory.Ready, Role: "reading"})
 	var list serverList
-	get(c, a, "/api/servers", &list)
-	c.Assert(list, qt.DeepEquals, serverList{Asked: a.id, Servers: []listedServer{
+	getList(c, agent, "/api/servers", &list)
+	c.Assert(list, qt.DeepEquals, serverList{Asked: agent.id, Servers: []listedServer{
 		{ID: "i-1", Service: "model", Address: "127.0.0.8:80", Zone: "kopli", Version: "v1", Slots: 8,
 			State: "ready", Stage: "writing", ChangingTo: "reading", Sequence: 7},
 		{ID: "i-2", Service: "lookup", Address: "127.0.0.9:80", Slots: 6, State: "draining", Sequence: 9,
@@ -72,11 +72,11 @@
 
 func TestListsRejectOtherMethodsThanGet(t *testing.T) {
 	c := qt.New(t)
-	a := agentWithRecords(c)
+	agent := agentWithRecords(c)
 	for _, path := range []string{"/api/members", "/api/servers"} {
-		answer := a.handleCall(&controlserver.Call{Method: "PUT", Path: path})
-		c.Check(answer.Status, qt.Equals, 405)
+		response := agent.handleCall(&controlserver.Call{Method: "PUT", Path: path})
+		c.Check(response.Status, qt.Equals, 405)
 		var list map[string]any
-		get(c, a, path, &list)
+		getList(c, agent, path, &list)
 	}
 }
--- a/internal/router/agent/metrics_test.go
+++ b/internal/router/agent/metrics_test.go
@@ -12,13 +12,13 @@
 // afterwards.
 func TestMetricsCountRejectedHeartbeats(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.handleCall(heartbeat("ready", "1"))
-	a.shuttingDown.Store(true)
-	a.handleCall(heartbeat("ready", "2"))
-	answer := a.handleCall(&controlserver.Call{Method: "GET", Path: metricsPath})
-	c.Assert(answer.Status, qt.Equals, 200)
-	page := string(answer.Body)
+	agent := newTestAgent(t)
+	agent.handleCall(heartbeat("ready", "1"))
+	agent.shuttingDown.Store(true)
+	agent.handleCall(heartbeat("ready", "2"))
+	response := agent.handleCall(&controlserver.Call{Method: "GET", Path: metricsPath})
+	c.Assert(response.Status, qt.Equals, 200)
+	page := string(response.Body)
 	for _, line := range []string{
 		`cresshub_heartbeats_total{answer="acknowledged"} 1`,
 		`cresshub_heartbeats_total{answer="ending"} 1`,
@@ -29,5 +29,5 @@
 	} {
 		c.Check(page, qt.Contains, line+"\n")
 	}
-	c.Check(a.handleCall(&controlserver.Call{Method: "PUT", Path: metricsPath}).Status, qt.Equals, 405)
+	c.Check(agent.handleCall(&controlserver.Call{Method: "PUT", Path: metricsPath}).Status, qt.Equals, 405)
 }
--- a/internal/router/agent/peer_handler_test.go
+++ b/internal/router/agent/peer_handler_test.go
@@ -12,17 +12,17 @@
 // successor is known, as when a partition delayed it. The successor must be able to refute that it is lost.
 func TestLateMessagesOfAPredecessorEndNobody(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
+	agent := newTestAgent(t)
 	earlier := directory.Record{Kind: directory.KindProxy, ID: "p1", Sequence: 3, State: directory.Ready,
 		Address: "10.0.0.9"}
 	successor := earlier
 	successor.ID, successor.Sequence = "p2", 1
-	a.state.merge(a.now(), []directory.Record{earlier, successor})
-	a.failures.markPredecessorsLost("p1") // it called before it ended, and the call arrives only now
-	successor.Sequence++                  // the successor learns that it is marked lost, and refutes it
-	a.state.merge(a.now(), []directory.Record{successor})
-	a.failures.markPredecessorsLost("p2")
-	a.state.read(func(d *directory.Directory) {
+	agent.state.merge(agent.now(), []directory.Record{earlier, successor})
+	agent.failures.markPredecessorsLost("p1") // it called before it ended, and the call arrives only now
+	successor.Sequence++                      // the successor learns that it is marked lost, and refutes it
+	agent.state.merge(agent.now(), []directory.Record{successor})
+	agent.failures.markPredecessorsLost("p2")
+	agent.state.read(func(d *directory.Directory) {
 		c.Check(d.Get("p2").Live(), qt.IsTrue)
 		c.Check(d.Get("p1").Live(), qt.IsFalse)
 	})
--- a/internal/router/agent/recent_patches_test.go
+++ b/internal/router/agent/recent_patches_test.go
@@ -22,10 +22,10 @@
 }
 
 // adoptPatch has a process adopt a patch of what is in force there.
-func adoptPatch(c *qt.C, a *Agent, body string) {
-	next, err := a.state.Config().ParseAndApply([]byte(body))
+func adoptPatch(c *qt.C, agent *Agent, body string) {
+	next, err := agent.state.Config().ParseAndApply([]byte(body))
 	c.Assert(err, qt.IsNil)
-	a.configSync.apply(next)
+	agent.configSync.apply(next)
 }
 
 // TestSmallChangesAreSentAsPatches: what followers are sent for a small change does not grow with the
@@ -59,41 +59,42 @@
 // another version than they build on, is sent the full document.
 func TestFollowersThatAreFarBehindGetTheDocument(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.configSync.applyDocument(firstDocument(3))
+	agent := newTestAgent(t)
+	agent.configSync.applyDocument(firstDocument(3))
 	for version := 2; version < 3*recentPatchCount; version++ {
-		adoptPatch(c, a, fmt.Sprintf(`{"edition":%d}`, version))
+		adoptPatch(c, agent, fmt.Sprintf(`{"edition":%d}`, version))
 	}
-	config := a.state.Config()
+	config := agent.state.Config()
 	oldest := config.Version - recentPatchCount
 	for version, patched := range map[int64]bool{
 		0: false, 1: false, oldest - 1: false, oldest: true, config.Version - 1: true, config.Version: false} {
-		got := peerproto.ArePatches(a.configSync.updateSince(config, version))
+		got := peerproto.ArePatches(agent.configSync.updateSince(config, version))
 		c.Check(got, qt.Equals, patched, qt.Commentf("%d", version))
 	}
-	adoptPatch(c, a, fmt.Sprintf(`{"edition":500,"deliver":{"depots_list":[{"name":"t","note":%q}]}}`,
+	adoptPatch(c, agent, fmt.Sprintf(`{"edition":500,"deliver":{"depots_list":[{"name":"t","note":%q}]}}`,
 		strings.Repeat("x", recentPatchBytes)))
-	c.Assert(peerproto.ArePatches(a.configSync.updateSince(a.state.Config(), config.Version)), qt.IsFalse)
+	c.Assert(peerproto.ArePatches(agent.configSync.updateSince(agent.state.Config(), config.Version)),
+		qt.IsFalse)
 	full, err := fleetconfig.Parse([]byte(`{"edition":501,"depots_list":[]}`))
 	c.Assert(err, qt.IsNil)
-	a.configSync.apply(full)
-	c.Assert(peerproto.ArePatches(a.configSync.updateSince(full, 500)), qt.IsFalse)
+	agent.configSync.apply(full)
+	c.Assert(peerproto.ArePatches(agent.configSync.updateSince(full, 500)), qt.IsFalse)
 }
 
 // TestCorruptPatchesAreIgnored applies neither truncated patches nor those that build on another version.
 func TestCorruptPatchesAreIgnored(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.configSync.applyDocument(firstDocument(3))
+	agent := newTestAgent(t)
+	agent.configSync.applyDocument(firstDocument(3))
 	packed := peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 1, Version: 2, Body: []byte(`{"edition":2}`)}, {Base: 2, Version: 3, Body: []byte(`{`)}}})
 	for length := 1; length < len(packed); length++ {
-		a.configSync.applyPacked(packed[:length])
-		c.Assert(a.state.version(), qt.Equals, int64(1))
+		agent.configSync.applyPacked(packed[:length])
+		c.Assert(agent.state.version(), qt.Equals, int64(1))
 	}
-	a.configSync.applyPacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
+	agent.configSync.applyPacked(peerproto.PackPatches(&peerproto.Patches{Patches: []peerproto.Patch{
 		{Base: 4, Version: 5, Body: []byte(`{"edition":5}`)}}}))
-	c.Assert(a.state.version(), qt.Equals, int64(1))
-	a.configSync.applyPacked(packed)
-	c.Assert(a.state.version(), qt.Equals, int64(2))
+	c.Assert(agent.state.version(), qt.Equals, int64(1))
+	agent.configSync.applyPacked(packed)
+	c.Assert(agent.state.version(), qt.Equals, int64(2))
 }
--- a/internal/router/agent/shutdown_test.go
+++ b/internal/router/agent/shutdown_test.go
@@ -31,15 +31,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newTestAgent(t)
+				agent := newTestAgent(t)
 				member := neededMember{needed: make(chan struct{})}
-				a.configStore = member
+				agent.configStore = member
 				go func() {
 					time.Sleep(test.release)
 					close(member.needed)
 				}()
 				began := time.Now()
-				a.awaitHandoff(began.Add(test.grace))
+				agent.awaitHandoff(began.Add(test.grace))
 				qt.Check(t, time.Since(began), qt.Equals, test.waits)
 				<-member.needed
 			})
@@ -51,17 +51,17 @@
 // four seconds after SIGTERM, so the next check has to fail, while clients are still served.
 func TestShutdownMakesTheProcessUnreadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newTestAgent(t)
+		agent := newTestAgent(t)
 		ready := &controlserver.Call{Method: "GET", Path: "/api/ready"}
 		ended := make(chan struct{})
 		go func() {
-			a.shutdown(&listeners{})
+			agent.shutdown(&listeners{})
 			close(ended)
 		}()
 		synctest.Wait()
-		answer := a.handleReady(ready)
-		qt.Check(t, answer.Status, qt.Equals, 503)
-		qt.Check(t, string(answer.Body), qt.Equals, "ending\n")
+		response := agent.handleReady(ready)
+		qt.Check(t, response.Status, qt.Equals, 503)
+		qt.Check(t, string(response.Body), qt.Equals, "ending\n")
 		<-ended
 	})
 }
--- a/internal/router/agent/unwatched_test.go
+++ b/internal/router/agent/unwatched_test.go
@@ -32,6 +32,7 @@
 	return here, nil
 }
 
+// answerHealth answers one health check with an id; without one it waits for the caller to give up.
 func answerHealth(conn net.Conn, id string) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
@@ -42,8 +43,8 @@
 	for line := "-"; line != "\r\n"; line, _ = in.ReadString('\n') {
 	}
 	out := bufio.NewWriter(conn)
-	answer := http1.Response{Status: 200, Header: http1.Header{{Name: serverIDHeader, Value: id}}}
-	answer.Write(out)
+	response := http1.Response{Status: 200, Header: http1.Header{{Name: serverIDHeader, Value: id}}}
+	response.Write(out)
 	out.Flush()
 }
 
@@ -52,24 +53,24 @@
 func TestUnwatchedServersAreProbedBeforeTheyAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newTestAgent(t)
-		a.network = healthNetwork{"10.0.0.1:80": "alive", "10.0.0.2:80": "another", "10.0.0.3:80": ""}
+		agent := newTestAgent(t)
+		agent.network = healthNetwork{"10.0.0.1:80": "alive", "10.0.0.2:80": "another", "10.0.0.3:80": ""}
 		for id, address := range map[string]string{"alive": "10.0.0.1:80", "replaced": "10.0.0.2:80",
 			"silent": "10.0.0.3:80", "gone": "10.0.0.4:80"} {
-			a.state.merge(a.now(), []directory.Record{{Kind: directory.KindServer, ID: id, Sequence: 1,
+			agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindServer, ID: id, Sequence: 1,
 				State: directory.Ready, Service: "s", Address: address, Watcher: "vanished"}})
 		}
-		a.failures.markTimedOut(a.now(), false)
+		agent.failures.markTimedOut(agent.now(), false)
 		synctest.Wait()
-		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 4, qt.Commentf("they may find another watcher"))
+		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 4, qt.Commentf("they may find another watcher"))
 
 		for range 3 {
-			time.Sleep((unwatchedHeartbeats + 1) * a.settings.HeartbeatInterval)
-			a.failures.markTimedOut(a.now(), false)
+			time.Sleep((unwatchedHeartbeats + 1) * agent.settings.HeartbeatInterval)
+			agent.failures.markTimedOut(agent.now(), false)
 		}
 		time.Sleep(probeAttempts * probeTimeout)
 		synctest.Wait()
-		servers := a.state.Servers().Service("s")
+		servers := agent.state.Servers().Service("s")
 		c.Assert(servers, qt.HasLen, 1)
 		c.Assert(servers[0].ID, qt.Equals, "alive")
 	})
@@ -80,15 +81,15 @@
 func TestUnwatchedServersAreNotLostWithoutAMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newTestAgent(t)
-		a.state.learnView(2, membersAt(a.settings.IP, "10.9.0.1", "10.9.0.2"))
-		a.network = healthNetwork{}
-		a.state.merge(a.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
+		agent := newTestAgent(t)
+		agent.state.learnView(2, membersAt(agent.settings.IP, "10.9.0.1", "10.9.0.2"))
+		agent.network = healthNetwork{}
+		agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
 			State: directory.Ready, Service: "s", Address: "10.0.0.1:80", Watcher: "vanished"}})
-		time.Sleep((unwatchedHeartbeats + 1) * a.settings.HeartbeatInterval)
-		a.failures.markTimedOut(a.now(), false)
+		time.Sleep((unwatchedHeartbeats + 1) * agent.settings.HeartbeatInterval)
+		agent.failures.markTimedOut(agent.now(), false)
 		synctest.Wait()
-		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
+		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 1)
 	})
 }
 
@@ -101,14 +102,14 @@
 func TestServersThatAnswerRequestsAreNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newTestAgent(t)
-		a.handleCall(heartbeat("ready", "1"))
-		a.workload = answeringWorkload{}
-		time.Sleep(4 * a.settings.HeartbeatInterval)
-		a.failures.markTimedOut(a.now(), false)
-		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 1)
-		a.workload = noWorkload{}
-		a.failures.markTimedOut(a.now(), false)
-		c.Assert(a.state.Servers().Service("s"), qt.HasLen, 0)
+		agent := newTestAgent(t)
+		agent.handleCall(heartbeat("ready", "1"))
+		agent.workload = answeringWorkload{}
+		time.Sleep(4 * agent.settings.HeartbeatInterval)
+		agent.failures.markTimedOut(agent.now(), false)
+		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 1)
+		agent.workload = noWorkload{}
+		agent.failures.markTimedOut(agent.now(), false)
+		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0)
 	})
 }
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -11,6 +11,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
+// membersAt returns members m0, m1 and so on at these addresses.
 func membersAt(ips ...string) []peerproto.MemberInfo {
 	var members []peerproto.MemberInfo
 	for i, ip := range ips {
@@ -23,17 +24,17 @@
 // known proxies that do not call, another process to its seeds until these know a view.
 func TestViewIsAnnouncedToSeedsAndProxiesThatDoNotCall(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
+	agent := newTestAgent(t)
 	seeds := []string{"127.0.0.1:1", "10.0.0.1:1", "10.0.0.2:1"}
-	a.seedList.Store(&seeds)
-	a.knownProxies.record(a.now(), []string{"10.0.0.5", "10.0.0.6", "127.0.0.1"})
-	a.state.merge(a.now(), []directory.Record{{Kind: directory.KindProxy, ID: "caller", Sequence: 1,
+	agent.seedList.Store(&seeds)
+	agent.knownProxies.record(agent.now(), []string{"10.0.0.5", "10.0.0.6", "127.0.0.1"})
+	agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindProxy, ID: "caller", Sequence: 1,
 		State: directory.Ready, Address: "10.0.0.5"}})
-	a.recordContact("caller")
-	announcer := newViewAnnouncer(a)
+	agent.recordContact("caller")
+	announcer := newViewAnnouncer(agent)
 	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2", "10.0.0.6"})
 
-	a.state.learnView(2, membersAt("10.9.0.1"))
+	agent.state.learnView(2, membersAt("10.9.0.1"))
 	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2"})
 	announcer.targets["10.0.0.1"] = &announcementTarget{knowsView: true}
 	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.2"})
@@ -42,68 +43,68 @@
 // TestAMemberWithoutAMajorityIsNotFollowed: it may miss what the others acknowledged meanwhile.
 func TestAMemberWithoutAMajorityIsNotFollowed(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.state.setSynced()
-	c.Check(a.status().ReachesMajority, qt.IsTrue, qt.Commentf("it is the only member"))
-	a.state.learnView(2, membersAt(a.settings.IP, "10.9.0.1", "10.9.0.2"))
-	c.Check(a.status().ReachesMajority, qt.IsFalse)
+	agent := newTestAgent(t)
+	agent.state.setSynced()
+	c.Check(agent.status().ReachesMajority, qt.IsTrue, qt.Commentf("it is the only member"))
+	agent.state.learnView(2, membersAt(agent.settings.IP, "10.9.0.1", "10.9.0.2"))
+	c.Check(agent.status().ReachesMajority, qt.IsFalse)
 	answering := &hub{ip: "10.9.0.2", state: hubState{lastSeen: 1}}
-	a.hubs.links["10.9.0.2"] = answering
-	c.Check(a.status().ReachesMajority, qt.IsTrue)
-	answering.state.lastSeen = a.now() - contactTimeout - 1
-	c.Check(a.status().ReachesMajority, qt.IsFalse)
+	agent.hubs.links["10.9.0.2"] = answering
+	c.Check(agent.status().ReachesMajority, qt.IsTrue)
+	answering.state.lastSeen = agent.now() - contactTimeout - 1
+	c.Check(agent.status().ReachesMajority, qt.IsFalse)
 }
 
 // TestHeartbeatsAreRejectedWithoutAView: a process that started later and knows no view sends servers to
 // others.
 func TestHeartbeatsAreRejectedWithoutAView(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.state.view = view{}
-	c.Check(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
-	a.settings.FirstStart = true
-	c.Check(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
-	c.Check(a.quorum.awaitMajority(0, 0), qt.IsFalse, qt.Commentf("no view, no majority of it"))
+	agent := newTestAgent(t)
+	agent.state.view = view{}
+	c.Check(agent.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
+	agent.settings.FirstStart = true
+	c.Check(agent.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
+	c.Check(agent.quorum.awaitMajority(0, 0), qt.IsFalse, qt.Commentf("no view, no majority of it"))
 }
 
 // TestHeartbeatsAreRejectedWithoutAMajority: they are merged here, but a server that was acknowledged would
 // stay with a proxy from which the others receive nothing.
 func TestHeartbeatsAreRejectedWithoutAMajority(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
-	c.Check(a.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
-	c.Check(a.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it is known here all the same"))
-	a.hubs.links["10.9.0.1"], a.hubs.links["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
+	agent := newTestAgent(t)
+	agent.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
+	c.Check(agent.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
+	c.Check(agent.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it is known here all the same"))
+	agent.hubs.links["10.9.0.1"], agent.hubs.links["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
 		&hub{state: hubState{lastSeen: 1}}
-	c.Check(a.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
+	c.Check(agent.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
 }
 
 func TestKnownProxiesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	k := newKnownProxies()
+	proxies := newKnownProxies()
 	for i := range maxKnownProxies + 10 {
-		k.record(time.Duration(i), []string{fmt.Sprint("10.0.", i/256, ".", i%256)})
+		proxies.record(time.Duration(i), []string{fmt.Sprint("10.0.", i/256, ".", i%256)})
 	}
-	c.Assert(k.addresses(), qt.HasLen, maxKnownProxies)
-	c.Assert(k.addresses()[0], qt.Equals, "10.0.0.10", qt.Commentf("those live last stay"))
-	c.Assert(k.resetChanged(), qt.IsTrue)
-	k.record(proxyRetention/2, []string{"10.0.0.99"})
-	c.Assert(k.resetChanged(), qt.IsFalse)
-	k.record(proxyRetention+time.Minute, nil)
-	c.Assert(k.addresses(), qt.DeepEquals, []string{"10.0.0.99"})
-	c.Assert(k.resetChanged(), qt.IsTrue)
+	c.Assert(proxies.addresses(), qt.HasLen, maxKnownProxies)
+	c.Assert(proxies.addresses()[0], qt.Equals, "10.0.0.10", qt.Commentf("those live last stay"))
+	c.Assert(proxies.resetChanged(), qt.IsTrue)
+	proxies.record(proxyRetention/2, []string{"10.0.0.99"})
+	c.Assert(proxies.resetChanged(), qt.IsFalse)
+	proxies.record(proxyRetention+time.Minute, nil)
+	c.Assert(proxies.addresses(), qt.DeepEquals, []string{"10.0.0.99"})
+	c.Assert(proxies.resetChanged(), qt.IsTrue)
 }
 
 // TestKnownProxiesOutliveTheProcess saves addresses and reads them as another process of the machine does.
 func TestKnownProxiesOutliveTheProcess(t *testing.T) {
 	c := qt.New(t)
-	a := newTestAgent(t)
-	a.settings.DataDir = t.TempDir()
-	a.knownProxies.record(a.now(), []string{"10.0.0.5", "10.0.0.6"})
-	a.persister.saveProxies()
+	agent := newTestAgent(t)
+	agent.settings.DataDir = t.TempDir()
+	agent.knownProxies.record(agent.now(), []string{"10.0.0.5", "10.0.0.6"})
+	agent.persister.saveProxies()
 	next := newTestAgent(t)
-	next.settings.DataDir = a.settings.DataDir
+	next.settings.DataDir = agent.settings.DataDir
 	next.persister.loadProxies()
 	c.Assert(next.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.5", "10.0.0.6"})
 	c.Assert(next.state.Proxies(), qt.Equals, 2, qt.Commentf("they share the retry budget"))
