--- a/internal/testbed/routerstandin/client_test.go
+++ b/internal/testbed/routerstandin/client_test.go
@@ -15,28 +15,28 @@
 	return &clone
 }
 
-// closedConn stands for a connection that ends without an answer.
+// closedConn stands for a connection that ends without a response.
 const closedConn = ""
 
 // onFirstRequest answers the first request with a text, and leaves all others to the correct server.
-func onFirstRequest(text string) func(p *fakeProxy, x *proxiedRequest) bool {
-	return func(p *fakeProxy, x *proxiedRequest) bool {
-		if p.previous != "" {
+func onFirstRequest(text string) func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+	return func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		if proxy.previous != "" {
 			return false
 		}
-		p.previous = "asked"
+		proxy.previous = "asked"
 		if text == closedConn {
-			x.conn.Close()
+			exchange.conn.Close()
 			return true
 		}
-		x.reply(text)
+		exchange.reply(text)
 		return true
 	}
 }
 
 func TestClientsRetryAsTheProtocolAllows(t *testing.T) {
-	rejected := textOf(503, nil, "")
-	for _, each := range []struct {
+	rejected := responseText(503, nil, "")
+	for _, test := range []struct {
 		name   string
 		kind   *Kind
 		first  string
@@ -44,70 +44,71 @@
 		result Outcome
 	}{
 		{"safe after a rejection", safeKind, rejected, 2, Served},
-		{"safe after a failure", safeKind, textOf(502, nil, ""), 2, Served},
+		{"safe after a failure", safeKind, responseText(502, nil, ""), 2, Served},
 		{"safe after a closed connection", safeKind, closedConn, 2, Served},
 		{"unsafe after a rejection", unsafeKind, rejected, 2, Served},
-		{"unsafe after a failure", unsafeKind, textOf(502, nil, ""), 1, Failed},
+		{"unsafe after a failure", unsafeKind, responseText(502, nil, ""), 1, Failed},
 		{"unsafe after a closed connection before any server", unsafeKind, closedConn, 2, Served},
-		{"safe after 404", safeKind, textOf(404, nil, ""), 1, Failed},
-		{"stream after a failure", onceOnlyStreamKind, textOf(504, nil, ""), 1, Failed},
-		{"resumable stream after a failure", resumableStreamKind, textOf(504, nil, ""), 2, Served},
+		{"safe after 404", safeKind, responseText(404, nil, ""), 1, Failed},
+		{"stream after a failure", onceOnlyStreamKind, responseText(504, nil, ""), 1, Failed},
+		{"resumable stream after a failure", resumableStreamKind, responseText(504, nil, ""), 2, Served},
 	} {
-		t.Run(each.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.proxy.setMisbehaviour(onFirstRequest(each.first))
-			result := w.ask(withRetries(each.kind, 1))
-			w.Check(result.Outcome, qt.Equals, each.result)
-			w.Check(result.Attempts, qt.Equals, each.tries)
-			w.Check(w.broken(), qt.HasLen, 0)
+		t.Run(test.name, func(t *testing.T) {
+			world := newTestWorld(t)
+			world.proxy.setMisbehaviour(onFirstRequest(test.first))
+			result := world.do(withRetries(test.kind, 1))
+			world.Check(result.Outcome, qt.Equals, test.result)
+			world.Check(result.Attempts, qt.Equals, test.tries)
+			world.Check(world.brokenRules(), qt.HasLen, 0)
 		})
 	}
 }
 
 func TestClientsHonourRetryAfter(t *testing.T) {
-	w := newWorld(t)
-	a := &pendingRequest{client: w.client, request: NewRequest(safeKind, 1),
+	world := newTestWorld(t)
+	pending := &pendingRequest{client: world.client, request: NewRequest(safeKind, 1),
 		deadline: time.Now().Add(3 * time.Second)}
-	w.Assert(a.backoff(attemptResult{status: 503, retryAfter: 200 * time.Millisecond}), qt.Equals,
+	world.Assert(pending.backoff(attemptResult{status: 503, retryAfter: 200 * time.Millisecond}), qt.Equals,
 		200*time.Millisecond)
-	w.Assert(a.backoff(attemptResult{status: 503, retryAfter: time.Minute}) <= time.Second, qt.IsTrue)
-	w.Assert(retryAfterOf("0.25"), qt.Equals, 250*time.Millisecond)
-	w.client.Impatient = true
-	w.Assert(a.backoff(attemptResult{status: 503, retryAfter: time.Minute}), qt.Equals, time.Duration(0))
+	world.Assert(pending.backoff(attemptResult{status: 503, retryAfter: time.Minute}) <= time.Second, qt.IsTrue)
+	world.Assert(retryAfterOf("0.25"), qt.Equals, 250*time.Millisecond)
+	world.client.Impatient = true
+	world.Assert(pending.backoff(attemptResult{status: 503, retryAfter: time.Minute}), qt.Equals,
+		time.Duration(0))
 }
 
 // A client resumes a broken stream after its last event, with a new attempt.
 func TestClientsResumeABrokenStream(t *testing.T) {
-	w := newWorld(t)
-	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
-		if p.previous != "" {
+	world := newTestWorld(t)
+	world.proxy.setMisbehaviour(func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		if proxy.previous != "" {
 			return false
 		}
-		p.previous = p.answerOf(x.request)
-		x.reply(p.previous[:strings.LastIndex(p.previous, "id: ")])
-		x.conn.Close()
+		proxy.previous = proxy.correctResponse(exchange.request)
+		exchange.reply(proxy.previous[:strings.LastIndex(proxy.previous, "id: ")])
+		exchange.conn.Close()
 		return true
 	})
-	result := w.ask(resumableStreamKind)
-	w.Assert(result.Outcome, qt.Equals, Served)
-	w.Assert(result.Attempts, qt.Equals, 2)
-	w.Assert(w.broken(), qt.HasLen, 0)
+	result := world.do(resumableStreamKind)
+	world.Assert(result.Outcome, qt.Equals, Served)
+	world.Assert(result.Attempts, qt.Equals, 2)
+	world.Assert(world.brokenRules(), qt.HasLen, 0)
 }
 
 // An idle connection is reused until it expires, and one that was closed is not.
 func TestClientsReuseConnections(t *testing.T) {
-	w := newWorld(t)
-	w.ask(safeKind)
-	first := w.client.popIdle()
-	w.Assert(first, qt.IsNotNil)
-	w.client.idle = append(w.client.idle, first)
-	w.ask(safeKind)
-	w.Assert(w.client.idle, qt.HasLen, 1)
-	w.Assert(w.client.idle[0] == first, qt.IsTrue)
+	world := newTestWorld(t)
+	world.do(safeKind)
+	first := world.client.popIdle()
+	world.Assert(first, qt.IsNotNil)
+	world.client.idle = append(world.client.idle, first)
+	world.do(safeKind)
+	world.Assert(world.client.idle, qt.HasLen, 1)
+	world.Assert(world.client.idle[0] == first, qt.IsTrue)
 	first.expires = time.Now().Add(-time.Second)
-	w.ask(safeKind)
-	w.Assert(w.client.idle[0] == first, qt.IsFalse)
-	w.Assert(w.broken(), qt.HasLen, 0)
+	world.do(safeKind)
+	world.Assert(world.client.idle[0] == first, qt.IsFalse)
+	world.Assert(world.brokenRules(), qt.HasLen, 0)
 }
 
 func TestTallyCountsByKind(t *testing.T) {
--- a/internal/testbed/routerstandin/operator_test.go
+++ b/internal/testbed/routerstandin/operator_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestOperatorRetriesUntilAFinalAnswer(t *testing.T) {
-	w := newWorld(t)
+	world := newTestWorld(t)
 	calls := 0
-	w.control.set(func(call *controlserver.Call) *http1.Response {
+	world.control.set(func(call *controlserver.Call) *http1.Response {
 		if call.Path != configPath {
 			return controlserver.JSON(200, []byte("{}"))
 		}
@@ -21,22 +21,22 @@
 		}
 		return controlserver.JSON(200, []byte("{}"))
 	})
-	w.Assert(w.operator.Put(w.bounded(), testDocument(4)), qt.IsNil)
-	w.Assert(calls, qt.Equals, 3)
-	puts := w.control.got("PUT /api/config")
-	w.Assert(puts[len(puts)-1].Header.Get("If-Match"), qt.Equals, "1")
-	w.Assert(w.operator.Current().Version, qt.Equals, int64(4))
+	world.Assert(world.operator.Put(world.timeoutContext(), testDocument(4)), qt.IsNil)
+	world.Assert(calls, qt.Equals, 3)
+	puts := world.control.got("PUT /api/config")
+	world.Assert(puts[len(puts)-1].Header.Get("If-Match"), qt.Equals, "1")
+	world.Assert(world.operator.Current().Version, qt.Equals, int64(4))
 }
 
 func TestOperatorTakesARejectionAsFinal(t *testing.T) {
-	w := newWorld(t)
-	w.control.set(func(call *controlserver.Call) *http1.Response {
+	world := newTestWorld(t)
+	world.control.set(func(call *controlserver.Call) *http1.Response {
 		if call.Path != configPath {
 			return controlserver.JSON(200, []byte("{}"))
 		}
 		return controlserver.Text(412, "edition 9 is current")
 	})
-	err := w.operator.Put(w.bounded(), testDocument(4))
-	w.Assert(err, qt.ErrorMatches, `edition 4 was refused with 412 \(edition 9 is current\); .*`)
-	w.Assert(w.operator.Current().Version, qt.Equals, int64(1))
+	err := world.operator.Put(world.timeoutContext(), testDocument(4))
+	world.Assert(err, qt.ErrorMatches, `edition 4 was refused with 412 \(edition 9 is current\); .*`)
+	world.Assert(world.operator.Current().Version, qt.Equals, int64(1))
 }
--- a/internal/testbed/routerstandin/violations_test.go
+++ b/internal/testbed/routerstandin/violations_test.go
@@ -14,19 +14,19 @@
 
 // What a correct router does violates nothing, and is counted.
 func TestCorrectRouterViolatesNoRule(t *testing.T) {
-	w := newWorld(t)
+	world := newTestWorld(t)
 	for _, kind := range testKinds {
 		for range 3 {
-			result := w.ask(kind)
-			w.Check(result.Outcome, qt.Equals, Served, qt.Commentf("%s: %+v", kind.Name, result))
-			w.Check(result.InTime, qt.IsTrue)
+			result := world.do(kind)
+			world.Check(result.Outcome, qt.Equals, Served, qt.Commentf("%s: %+v", kind.Name, result))
+			world.Check(result.InTime, qt.IsTrue)
 		}
 	}
-	w.Assert(w.operator.ReadBack(w.bounded()), qt.IsNil)
-	w.Assert(w.broken(), qt.HasLen, 0)
-	w.Assert(w.prefillServer.Tally().Prefills, qt.Equals, 6)
-	w.Assert(w.decodeServer.Tally().Runs, qt.Equals, 6)
-	w.Assert(w.lookup.Tally().Runs, qt.Equals, 6)
+	world.Assert(world.operator.ReadBack(world.timeoutContext()), qt.IsNil)
+	world.Assert(world.brokenRules(), qt.HasLen, 0)
+	world.Assert(world.prefillServer.Tally().Prefills, qt.Equals, 6)
+	world.Assert(world.decodeServer.Tally().Runs, qt.Equals, 6)
+	world.Assert(world.lookup.Tally().Runs, qt.Equals, 6)
 }
 
 // violations are routers that do one thing wrong, and the rule that each breaks.
@@ -34,223 +34,228 @@
 	name  string
 	rule  Rule
 	kind  *Kind
-	wrong func(p *fakeProxy, x *proxiedRequest) bool
+	wrong func(proxy *fakeProxy, exchange *proxiedRequest) bool
 }{
-	{"sends an unsafe request twice", RuleTwice, unsafeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		p.call(p.world.lookup, x.request)
-		return false
-	}},
-	{"rejects what has run", RuleRefused, unsafeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		p.call(p.world.lookup, x.request)
-		x.reply(textOf(503, nil, ""))
+	{"sends an unsafe request twice", RuleTwice, unsafeKind,
+		func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+			proxy.call(proxy.world.lookup, exchange.request)
+			return false
+		}},
+	{"rejects what has run", RuleRefused, unsafeKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		proxy.call(proxy.world.lookup, exchange.request)
+		exchange.reply(responseText(503, nil, ""))
 		return true
 	}},
-	{"invents a request", RuleUnasked, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		invented := *x.request
+	{"invents a request", RuleUnasked, safeKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		invented := *exchange.request
 		invented.Header = http1.Header{field("Host", testHost), field(attemptIDHeader, "invented")}
-		p.call(p.world.lookup, &invented)
+		proxy.call(proxy.world.lookup, &invented)
 		return false
 	}},
-	{"changes a body", RuleUnasked, unsafeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		x.request.Body = []byte("another body")
+	{"changes a body", RuleUnasked, unsafeKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		exchange.request.Body = []byte("another body")
 		return false
 	}},
-	{"gives an answer to the wrong request", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		text := p.previous
-		if p.previous = p.answerOf(x.request); text == "" {
-			text = p.previous
-		}
-		x.reply(text)
-		return true
-	}},
-	{"shortens a body", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		text := p.answerOf(x.request)
-		x.reply(strings.Replace(text[:len(text)-1], "Content-Length: 100", "Content-Length: 99", 1))
+	{"gives an answer to the wrong request", RuleMixed, safeKind,
+		func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+			text := proxy.previous
+			if proxy.previous = proxy.correctResponse(exchange.request); text == "" {
+				text = proxy.previous
+			}
+			exchange.reply(text)
+			return true
+		}},
+	{"shortens a body", RuleMixed, safeKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		text := proxy.correctResponse(exchange.request)
+		exchange.reply(strings.Replace(text[:len(text)-1], "Content-Length: 100", "Content-Length: 99", 1))
 		return true
 	}},
-	{"gives a success of its own", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		x.reply(textOf(200, nil, "cached"))
+	{"gives a success of its own", RuleMixed, safeKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		exchange.reply(responseText(200, nil, "cached"))
 		return true
 	}},
-	{"sends what is no answer", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		x.reply("nonsense\r\n\r\n")
+	{"sends what is no answer", RuleMixed, safeKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		exchange.reply("nonsense\r\n\r\n")
 		return true
 	}},
-	{"answers once too often", RuleMixed, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		text := p.answerOf(x.request)
-		x.reply(text + text)
+	{"answers once too often", RuleMixed, safeKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		text := proxy.correctResponse(exchange.request)
+		exchange.reply(text + text)
 		return true
 	}},
-	{"uses the prefix cache of another request", RuleMixed, onceOnlyStreamKind, func(p *fakeProxy,
-		x *proxiedRequest) bool {
-		from := p.previous
-		if p.previous = p.readPrompt(x.request); from == "" {
+	{"uses the prefix cache of another request", RuleMixed, onceOnlyStreamKind, func(proxy *fakeProxy,
+		exchange *proxiedRequest) bool {
+		from := proxy.previous
+		if proxy.previous = proxy.readPrompt(exchange.request); from == "" {
 			return false
 		}
-		x.reply(p.call(p.world.decodeServer, x.request, field(kvFromHeader, from)))
-		return true
-	}},
-	{"drops an event", RuleOrder, onceOnlyStreamKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		head, all := events(p.answerOf(x.request))
-		x.reply(withEvents(head, append(all[:1:1], all[2:]...)))
-		return true
-	}},
-	{"repeats an event", RuleOrder, onceOnlyStreamKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		head, all := events(p.answerOf(x.request))
-		x.reply(withEvents(head, append(all[:2:2], all[1:]...)))
+		exchange.reply(proxy.call(proxy.world.decodeServer, exchange.request, field(kvFromHeader, from)))
 		return true
 	}},
-	{"ends a stream early", RuleOrder, resumableStreamKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		head, all := events(p.answerOf(x.request))
-		x.reply(withEvents(head, all[:2]))
+	{"drops an event", RuleOrder, onceOnlyStreamKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		head, all := events(proxy.correctResponse(exchange.request))
+		exchange.reply(withEvents(head, append(all[:1:1], all[2:]...)))
 		return true
 	}},
-	{"uses a service that no route names", RuleRoute, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		x.reply(p.call(p.world.other, x.request))
+	{"repeats an event", RuleOrder, onceOnlyStreamKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		head, all := events(proxy.correctResponse(exchange.request))
+		exchange.reply(withEvents(head, append(all[:2:2], all[1:]...)))
 		return true
 	}},
-	{"makes too many attempts", RuleAttempts, safeKind, func(p *fakeProxy, x *proxiedRequest) bool {
-		p.call(p.world.lookup, x.request)
-		p.call(p.world.lookup, x.request)
+	{"ends a stream early", RuleOrder, resumableStreamKind,
+		func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+			head, all := events(proxy.correctResponse(exchange.request))
+			exchange.reply(withEvents(head, all[:2]))
+			return true
+		}},
+	{"uses a service that no route names", RuleRoute, safeKind,
+		func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+			exchange.reply(proxy.call(proxy.world.other, exchange.request))
+			return true
+		}},
+	{"makes too many attempts", RuleAttempts, safeKind, func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		proxy.call(proxy.world.lookup, exchange.request)
+		proxy.call(proxy.world.lookup, exchange.request)
 		return false
 	}},
 }
 
 func TestEachViolationIsDetected(t *testing.T) {
-	for _, each := range violations {
-		t.Run(each.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.proxy.setMisbehaviour(each.wrong)
-			w.ask(each.kind)
-			w.ask(each.kind)
-			w.client.Close()
-			w.Assert(w.broken(), qt.DeepEquals, []Rule{each.rule})
+	for _, test := range violations {
+		t.Run(test.name, func(t *testing.T) {
+			world := newTestWorld(t)
+			world.proxy.setMisbehaviour(test.wrong)
+			world.do(test.kind)
+			world.do(test.kind)
+			world.client.Close()
+			world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{test.rule})
 		})
 	}
 }
 
 func TestTooManyRetriesAreDetected(t *testing.T) {
-	w := newWorld(t)
-	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
-		p.call(p.world.lookup, x.request)
+	world := newTestWorld(t)
+	world.proxy.setMisbehaviour(func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		proxy.call(proxy.world.lookup, exchange.request)
 		return false
 	})
 	for range 5 { // 5 repeats, of which 4 and a tenth of 5 requests are allowed
-		w.ask(safeKind)
+		world.do(safeKind)
 	}
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleBudget})
+	world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{RuleBudget})
 }
 
 func TestRequestToADrainingServerIsDetected(t *testing.T) {
-	w := newWorld(t)
-	sendToADrainingServer(w, func() {})
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleDrain})
+	world := newTestWorld(t)
+	sendToADrainingServer(world, func() {})
+	world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{RuleDrain})
 }
 
 // The acknowledgement of a faulty machine applies to the others.
 func TestRequestAfterTheAcknowledgementOfAFaultyMachineIsDetected(t *testing.T) {
-	w := newWorld(t)
+	world := newTestWorld(t)
 	const elsewhere = "10.9.9.9"
-	sendToADrainingServer(w, func() {
-		w.observations.RecordFault(elsewhere, false)
-		w.lookup.mu.Lock()
-		defer w.lookup.mu.Unlock()
-		faults := w.observations.faults
-		w.lookup.ack = drainAck{faults[len(faults)-1].at, elsewhere}
+	sendToADrainingServer(world, func() {
+		world.observations.RecordFault(elsewhere, false)
+		world.lookup.mu.Lock()
+		defer world.lookup.mu.Unlock()
+		faults := world.observations.faults
+		world.lookup.ack = drainAck{faults[len(faults)-1].at, elsewhere}
 	})
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleDrain})
+	world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{RuleDrain})
 }
 
 // sendToADrainingServer has the proxy send to a server too long after its departure was acknowledged.
-func sendToADrainingServer(w *world, onceAcknowledged func()) {
+func sendToADrainingServer(world *testWorld, onceAcknowledged func()) {
 	drained := make(chan bool, 1)
-	go func() { drained <- w.lookup.Shutdown(time.Minute) }()
-	w.until("the departure is acknowledged", func() bool {
-		return w.lookup.drainAck().acknowledged()
+	go func() { drained <- world.lookup.Shutdown(time.Minute) }()
+	world.eventually("the departure is acknowledged", func() bool {
+		return world.lookup.drainAck().acknowledged()
 	})
 	onceAcknowledged()
-	w.Assert(w.ask(safeKind).Outcome, qt.Equals, Served) // within the bound
-	w.past(w.lookup.drainAck().at.Add(2 * testBounds.Drain))
-	w.Assert(w.ask(safeKind).Outcome, qt.Equals, Served)
-	w.lookup.Stop()
-	w.Assert(<-drained, qt.IsTrue)
+	world.Assert(world.do(safeKind).Outcome, qt.Equals, Served) // within the bound
+	world.waitUntil(world.lookup.drainAck().at.Add(2 * testBounds.Drain))
+	world.Assert(world.do(safeKind).Outcome, qt.Equals, Served)
+	world.lookup.Stop()
+	world.Assert(<-drained, qt.IsTrue)
 }
 
 func TestOldConfigurationIsDetected(t *testing.T) {
-	w := newWorld(t)
+	world := newTestWorld(t)
 	added := &Kind{Name: "added", Host: testHost, Prefix: "/added/", Class: fleetconfig.Safe,
 		LatencyTarget: time.Second, Deadline: 5 * time.Second}
-	w.Assert(w.operator.Put(w.bounded(), testDocument(3, RouteOf(added, "lookup", 1))), qt.IsNil)
-	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
-		x.reply(textOf(404, nil, ""))
+	world.Assert(world.operator.Put(world.timeoutContext(), testDocument(3, RouteOf(added, "lookup", 1))),
+		qt.IsNil)
+	world.proxy.setMisbehaviour(func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		exchange.reply(responseText(404, nil, ""))
 		return true
 	})
-	w.ask(added) // within the bound, the older configuration may still be in force
-	w.past(time.Now().Add(2 * testBounds.Config))
-	w.ask(added)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
+	world.do(added) // within the bound, the older configuration may still be in force
+	world.waitUntil(time.Now().Add(2 * testBounds.Config))
+	world.do(added)
+	world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
 func TestRollbackToAnOldConfigurationIsDetected(t *testing.T) {
-	w := newWorld(t)
+	world := newTestWorld(t)
 	moved := testDocument(3)
 	moved.Routes[0].Service = "other"
-	w.Assert(w.operator.Put(w.bounded(), moved), qt.IsNil)
-	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
-		server := p.world.other
-		if p.previous != "" {
-			server = p.world.lookup
+	world.Assert(world.operator.Put(world.timeoutContext(), moved), qt.IsNil)
+	world.proxy.setMisbehaviour(func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		server := proxy.world.other
+		if proxy.previous != "" {
+			server = proxy.world.lookup
 		}
-		p.previous = "asked"
-		x.reply(p.call(server, x.request))
+		proxy.previous = "asked"
+		exchange.reply(proxy.call(server, exchange.request))
 		return true
 	})
-	w.ask(safeKind)
-	w.ask(safeKind)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
+	world.do(safeKind)
+	world.do(safeKind)
+	world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
 func TestWrongConfigurationReadBackIsDetected(t *testing.T) {
-	w := newWorld(t)
-	w.control.set(func(*controlserver.Call) *http1.Response {
+	world := newTestWorld(t)
+	world.control.set(func(*controlserver.Call) *http1.Response {
 		return controlserver.JSON(200, []byte(`{"edition":1,"routes":[],
 		"depots_list":[]}`))
 	})
-	w.Assert(w.operator.ReadBack(w.bounded()), qt.IsNil)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleConfig})
+	world.Assert(world.operator.ReadBack(world.timeoutContext()), qt.IsNil)
+	world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{RuleConfig})
 }
 
-// runAndClose has a request run and closes the connection in place of an answer.
-func runAndClose(p *fakeProxy, x *proxiedRequest) bool {
-	p.call(p.world.lookup, x.request)
-	x.conn.Close()
+// runAndClose has a request run and closes the connection in place of a response.
+func runAndClose(proxy *fakeProxy, exchange *proxiedRequest) bool {
+	proxy.call(proxy.world.lookup, exchange.request)
+	exchange.conn.Close()
 	return true
 }
 
 // A process that gets SIGTERM must answer what it has read.
 func TestLossAtAPlannedStopIsDetected(t *testing.T) {
-	w := newWorld(t)
-	machine := hostOf(w.proxy.listener.Address())
-	w.proxy.setMisbehaviour(runAndClose)
-	w.ask(safeKind) // lost without a stop: no violation
-	w.observations.RecordTermination(machine, false)
-	w.ask(safeKind)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleLost})
+	world := newTestWorld(t)
+	machine := hostOf(world.proxy.listener.Address())
+	world.proxy.setMisbehaviour(runAndClose)
+	world.do(safeKind) // lost without a stop: no violation
+	world.observations.RecordTermination(machine, false)
+	world.do(safeKind)
+	world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{RuleLost})
 }
 
 func TestLossAfterAKillIsNoViolation(t *testing.T) {
-	w := newWorld(t)
-	machine := hostOf(w.proxy.listener.Address())
-	w.proxy.setMisbehaviour(runAndClose)
-	w.observations.RecordTermination(machine, false)
-	w.observations.bounds.Touch = time.Minute
-	w.observations.RecordFault(machine, false)
-	w.ask(safeKind)
-	w.Assert(w.broken(), qt.HasLen, 0)
+	world := newTestWorld(t)
+	machine := hostOf(world.proxy.listener.Address())
+	world.proxy.setMisbehaviour(runAndClose)
+	world.observations.RecordTermination(machine, false)
+	world.observations.bounds.Touch = time.Minute
+	world.observations.RecordFault(machine, false)
+	world.do(safeKind)
+	world.Assert(world.brokenRules(), qt.HasLen, 0)
 }
 
 func TestOrdersOfTwoHoldersAreDetected(t *testing.T) {
-	for _, each := range []struct {
+	for _, test := range []struct {
 		name   string
 		orders []lastOrder
 		rules  []Rule
@@ -260,25 +265,25 @@
 		{"soon after", []lastOrder{{holder: "a", fence: 1}, {holder: "b", fence: 2}}, []Rule{RuleOne}},
 		{"a fence that servers check", []lastOrder{{holder: "a", fence: 3}, {holder: "a", fence: 2}}, nil},
 	} {
-		t.Run(each.name, func(t *testing.T) {
-			w := newWorld(t)
-			for _, order := range each.orders {
-				w.observations.recordOrder("i-1", order.holder, order.fence)
+		t.Run(test.name, func(t *testing.T) {
+			world := newTestWorld(t)
+			for _, order := range test.orders {
+				world.observations.recordOrder("i-1", order.holder, order.fence)
 			}
-			w.Assert(w.broken(), qt.DeepEquals, each.rules)
+			world.Assert(world.brokenRules(), qt.DeepEquals, test.rules)
 		})
 	}
 }
 
 func TestNothingServedAfterARecoveryIsDetected(t *testing.T) {
-	w := newWorld(t)
-	w.ask(safeKind)
-	w.proxy.setMisbehaviour(func(p *fakeProxy, x *proxiedRequest) bool {
-		x.reply(textOf(502, nil, ""))
+	world := newTestWorld(t)
+	world.do(safeKind)
+	world.proxy.setMisbehaviour(func(proxy *fakeProxy, exchange *proxiedRequest) bool {
+		exchange.reply(responseText(502, nil, ""))
 		return true
 	})
-	w.observations.RecordAllRestarted()
-	w.past(time.Now().Add(2 * testBounds.Recovery))
-	w.ask(safeKind)
-	w.Assert(w.broken(), qt.DeepEquals, []Rule{RuleRecover})
+	world.observations.RecordAllRestarted()
+	world.waitUntil(time.Now().Add(2 * testBounds.Recovery))
+	world.do(safeKind)
+	world.Assert(world.brokenRules(), qt.DeepEquals, []Rule{RuleRecover})
 }
--- a/internal/testbed/routerstandin/world_test.go
+++ b/internal/testbed/routerstandin/world_test.go
@@ -45,8 +45,9 @@
 	Recovery: time.Millisecond,
 }
 
-// world is a small deployment with one proxy.
-type world struct {
+// testWorld is a small deployment of servers, a client and an operator around one proxy, in this process. Its
+// assertions end the test.
+type testWorld struct {
 	*qt.C
 	observations  *Observations
 	operator      *Operator
@@ -57,44 +58,46 @@
 	decodeServer  *Server
 	lookup        *Server
 	other         *Server // of a service that no route names
-	number        int
+	number        int     // of the last request
 }
 
-func newWorld(t *testing.T) *world {
+// newTestWorld starts a deployment, with testDocument in force, for the time of the test.
+func newTestWorld(t *testing.T) *testWorld {
 	t.Helper()
-	w := &world{C: qt.New(t), observations: NewObservations(testBounds)}
-	w.control = newFakeControl(w.C)
-	w.operator = NewOperator(w.control.addresses, w.observations)
-	w.prefillServer = w.server("model", StagePrefill)
-	w.decodeServer = w.server("model", StageDecode)
-	w.lookup = w.server("lookup", "")
-	w.other = w.server("other", "")
-	w.proxy = newFakeProxy(w)
-	entry := NewEntry([]Proxy{w.proxy.asProxy()})
-	w.client = NewClient(1, "", entry, w.observations)
-	w.Cleanup(w.client.Close)
-	w.Assert(w.operator.Put(w.bounded(), testDocument(1)), qt.IsNil)
-	return w
+	world := &testWorld{C: qt.New(t), observations: NewObservations(testBounds)}
+	world.control = newFakeControl(world.C)
+	world.operator = NewOperator(world.control.addresses, world.observations)
+	world.prefillServer = world.server("model", StagePrefill)
+	world.decodeServer = world.server("model", StageDecode)
+	world.lookup = world.server("lookup", "")
+	world.other = world.server("other", "")
+	world.proxy = newFakeProxy(world)
+	entry := NewEntry([]Proxy{world.proxy.asProxy()})
+	world.client = NewClient(1, "", entry, world.observations)
+	world.Cleanup(world.client.Close)
+	world.Assert(world.operator.Put(world.timeoutContext(), testDocument(1)), qt.IsNil)
+	return world
 }
 
 // testDocument is a configuration with a route for each kind.
 func testDocument(version int64, more ...RouteDoc) *Document {
-	d := &Document{Version: version}
+	document := &Document{Version: version}
 	for _, kind := range testKinds {
 		service := "lookup"
 		if kind.isStream() {
 			service = "model"
 		}
-		d.Routes = append(d.Routes, RouteOf(kind, service, 2))
+		document.Routes = append(document.Routes, RouteOf(kind, service, 2))
 	}
-	d.Routes = append(d.Routes, more...)
+	document.Routes = append(document.Routes, more...)
 	for _, name := range []string{"lookup", "model", "other"} {
-		d.Services = append(d.Services, ServiceDoc{Name: name})
+		document.Services = append(document.Services, ServiceDoc{Name: name})
 	}
-	return d
+	return document
 }
 
-func (w *world) server(service, stage string) *Server {
+// server starts a server of a service; with a stage it has an engine in that stage.
+func (w *testWorld) server(service, stage string) *Server {
 	options := ServerOptions{Service: service, Address: "127.0.0.1:0", Slots: 4, Queue: 2, HealthPath: "/health",
 		ReportsLoad: true, WorkTime: time.Millisecond, HeartbeatInterval: 20 * time.Millisecond,
 		ControlAddresses: w.control.addresses,
@@ -109,20 +112,22 @@
 	return server
 }
 
-func (w *world) bounded() context.Context {
+// timeoutContext returns a context that ends after patience.
+func (w *testWorld) timeoutContext() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	w.Cleanup(cancel)
 	return ctx
 }
 
-// ask sends a request of a kind through the proxy.
-func (w *world) ask(kind *Kind) Result {
+// do sends a request of a kind through the proxy.
+func (w *testWorld) do(kind *Kind) Result {
 	w.number++
-	return w.client.Do(w.bounded(), NewRequest(kind, w.number))
+	return w.client.Do(w.timeoutContext(), NewRequest(kind, w.number))
 }
 
-// until waits for what happens on other goroutines.
-func (w *world) until(what string, holds func() bool) {
+// eventually waits until holds returns true, for what happens on other goroutines; after patience it fails
+// the test with the description what.
+func (w *testWorld) eventually(what string, holds func() bool) {
 	w.Helper()
 	for end := time.Now().Add(patience); !holds(); runtime.Gosched() {
 		if time.Now().After(end) {
@@ -131,13 +136,13 @@
 	}
 }
 
-// past waits until a moment has passed.
-func (w *world) past(moment time.Time) {
-	w.until("the time passes", func() bool { return time.Now().After(moment) })
+// waitUntil waits until a moment has passed.
+func (w *testWorld) waitUntil(moment time.Time) {
+	w.eventually("the time passes", func() bool { return time.Now().After(moment) })
 }
 
-// broken returns the rules that were broken.
-func (w *world) broken() []Rule {
+// brokenRules returns the rules that were broken.
+func (w *testWorld) brokenRules() []Rule {
 	var rules []Rule
 	for _, verdict := range w.observations.Judge() {
 		if verdict.Violations > 0 {
@@ -157,6 +162,7 @@
 	answer  controlserver.Handler
 }
 
+// newFakeControl starts a control service for the time of the test.
 func newFakeControl(c *qt.C) *fakeControl {
 	control := &fakeControl{}
 	control.address = listenFor(c, control.handle)
@@ -196,6 +202,7 @@
 	return controlserver.JSON(200, []byte("{}"))
 }
 
+// set has a handler answer all further calls.
 func (f *fakeControl) set(answer controlserver.Handler) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
