--- a/internal/router/chain/bootstrap_test.go
+++ b/internal/router/chain/bootstrap_test.go
@@ -11,67 +11,67 @@
 )
 
 func TestBootstrapperWithoutADiskIsNoMember(t *testing.T) {
-	tc := newCluster(t, 0, 0)
+	cluster := newCluster(t, 0, 0)
 	var members []Member
 	for i, id := range []MemberID{"a", "b", "c"} {
 		address := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}[i]
-		tc.start(id, address, true, 3)
+		cluster.start(id, address, true, 3)
 		members = append(members, Member{id, address})
 	}
-	tc.machines["f"] = &machine{config: tc.machines["a"].config, replies: map[uint64]Reply{}}
-	tc.machines["f"].config.Self, tc.machines["f"].config.HasDisk = Member{"f", "10.0.0.9"}, false
-	tc.order = append(tc.order, "f")
-	tc.boot("f")
-	tc.machines["f"].node.SetContacts(members)
-	tc.do("f", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
-	tc.run(200 * time.Millisecond)
-	tc.mustChain("f", "a", "b", "c")
-	tc.c.Assert(tc.machines["f"].records, qt.HasLen, 0)
-	tc.mustWrite("f", 0, 1, "one")
+	cluster.machines["f"] = &machine{config: cluster.machines["a"].config, replies: map[uint64]Reply{}}
+	cluster.machines["f"].config.Self, cluster.machines["f"].config.HasDisk = Member{"f", "10.0.0.9"}, false
+	cluster.order = append(cluster.order, "f")
+	cluster.boot("f")
+	cluster.machines["f"].node.SetContacts(members)
+	cluster.do("f", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
+	cluster.run(200 * time.Millisecond)
+	cluster.mustChain("f", "a", "b", "c")
+	cluster.c.Assert(cluster.machines["f"].records, qt.HasLen, 0)
+	cluster.mustWrite("f", 0, 1, "one")
 }
 
 func TestFirstViewNeedsAllMembers(t *testing.T) {
-	tc := newCluster(t, 0, 0)
+	cluster := newCluster(t, 0, 0)
 	members := []Member{{"a", "1"}, {"b", "2"}, {"c", "3"}}
 	for _, member := range members {
-		tc.start(member.ID, member.Address, true, 3)
+		cluster.start(member.ID, member.Address, true, 3)
 	}
-	tc.machines["c"].down = true
-	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
-	tc.run(time.Second)
-	tc.c.Assert(tc.view("a").Epoch, qt.Equals, uint64(0))
-	tc.boot("c")
-	tc.run(time.Second)
-	tc.c.Assert(tc.view("b").Epoch, qt.Equals, uint64(1))
+	cluster.machines["c"].down = true
+	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
+	cluster.run(time.Second)
+	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
+	cluster.boot("c")
+	cluster.run(time.Second)
+	cluster.c.Assert(cluster.view("b").Epoch, qt.Equals, uint64(1))
 }
 
 func TestBootstrapperAdoptsTheFirstViewThatAMemberHasAccepted(t *testing.T) {
-	tc := newCluster(t, 0, 0)
+	cluster := newCluster(t, 0, 0)
 	members := []Member{{"a", "1"}, {"b", "2"}, {"c", "3"}}
 	for _, member := range members {
-		tc.start(member.ID, member.Address, true, 3)
+		cluster.start(member.ID, member.Address, true, 3)
 	}
-	tc.run(3 * time.Second) // the bootstrapper waits for a third
-	tc.drop = dropKind(GenesisReply, "a")
-	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members[:2]) })
-	tc.run(100 * time.Millisecond)
-	tc.drop = nil
-	tc.restart("a")
-	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
-	tc.run(500 * time.Millisecond)
-	tc.c.Assert(tc.view("b").Epoch > 0, qt.IsTrue)
-	tc.c.Assert(tc.machines["b"].node.state.genesis.Members, qt.DeepEquals, members[:2])
+	cluster.run(3 * time.Second) // the bootstrapper waits for a third
+	cluster.drop = dropKind(GenesisReply, "a")
+	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members[:2]) })
+	cluster.run(100 * time.Millisecond)
+	cluster.drop = nil
+	cluster.restart("a")
+	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
+	cluster.run(500 * time.Millisecond)
+	cluster.c.Assert(cluster.view("b").Epoch > 0, qt.IsTrue)
+	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Members, qt.DeepEquals, members[:2])
 }
 
 func TestEmptyDiskAfterTheFirstStartAcceptsNoFirstView(t *testing.T) {
-	tc := newCluster(t, 0, 0)
+	cluster := newCluster(t, 0, 0)
 	members := []Member{{"a", "1"}, {"b", "2"}}
-	tc.start("a", "1", true, 2)
-	tc.start("b", "2", false, 2)
-	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
-	tc.run(time.Second)
-	tc.c.Assert(tc.view("a").Epoch, qt.Equals, uint64(0))
-	tc.c.Assert(tc.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(0))
+	cluster.start("a", "1", true, 2)
+	cluster.start("b", "2", false, 2)
+	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
+	cluster.run(time.Second)
+	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
+	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(0))
 }
 
 // TestGenesisReplyGoesToTheBootstrappersAddress: a machine that knows the sender only by its Genesis replies
@@ -92,17 +92,17 @@
 // newBootstrapCluster starts machines without a first view.
 func newBootstrapCluster(t *testing.T, ids ...MemberID) (*testCluster, []Member) {
 	t.Helper()
-	tc := newCluster(t, 0, 0)
+	cluster := newCluster(t, 0, 0)
 	var members []Member
 	for i, id := range ids {
 		address := fmt.Sprint("10.0.0.", i+1)
-		tc.start(id, address, true, len(ids))
+		cluster.start(id, address, true, len(ids))
 		members = append(members, Member{id, address})
 	}
 	for _, id := range ids {
-		tc.machines[id].node.SetContacts(members)
+		cluster.machines[id].node.SetContacts(members)
 	}
-	return tc, members
+	return cluster, members
 }
 
 // keepBootstrapping calls Bootstrap twice a second, as a bootstrapper does.
@@ -115,89 +115,93 @@
 
 func TestBootstrapCompletesWhenADiskIsLostAfterItsConsent(t *testing.T) {
 	for _, lost := range []MemberID{"b", "c"} {
-		tc, members := newBootstrapCluster(t, "a", "b", "c")
-		tc.drop = dropKind(GenesisReply, "a")
-		tc.keepBootstrapping("a", members, time.Second)
-		for _, id := range tc.order {
-			tc.c.Assert(tc.machines[id].node.state.genesis.Epoch, qt.Equals, uint64(1))
+		cluster, members := newBootstrapCluster(t, "a", "b", "c")
+		cluster.drop = dropKind(GenesisReply, "a")
+		cluster.keepBootstrapping("a", members, time.Second)
+		for _, id := range cluster.order {
+			cluster.c.Assert(cluster.machines[id].node.state.genesis.Epoch, qt.Equals, uint64(1))
 		}
-		tc.machines[lost].down = true
-		tc.start("x", tc.machines[lost].config.Self.Address, false, 3)
-		tc.machines["x"].node.SetContacts(members)
-		tc.drop = nil
-		with := append(slices.Clone(members), Member{"x", tc.machines[lost].config.Self.Address})
-		tc.keepBootstrapping("a", with, 8*time.Second)
-		tc.c.Assert(tc.view("a").isMember(lost), qt.IsFalse)
-		tc.c.Assert(tc.view("a").Members, qt.HasLen, 3)
-		tc.mustWrite("a", 0, 1, "one")
-		tc.mustRead("x", 1, "one")
+		cluster.machines[lost].down = true
+		cluster.start("x", cluster.machines[lost].config.Self.Address, false, 3)
+		cluster.machines["x"].node.SetContacts(members)
+		cluster.drop = nil
+		with := append(slices.Clone(members), Member{"x", cluster.machines[lost].config.Self.Address})
+		cluster.keepBootstrapping("a", with, 8*time.Second)
+		cluster.c.Assert(cluster.view("a").isMember(lost), qt.IsFalse)
+		cluster.c.Assert(cluster.view("a").Members, qt.HasLen, 3)
+		cluster.mustWrite("a", 0, 1, "one")
+		cluster.mustRead("x", 1, "one")
 	}
 }
 
 func TestConsentingMembersContinueWithoutTheirBootstrapper(t *testing.T) {
-	tc, members := newBootstrapCluster(t, "a", "b", "c", "f")
-	tc.drop = func(_, to MemberID, m *Message) bool {
+	cluster, members := newBootstrapCluster(t, "a", "b", "c", "f")
+	cluster.drop = func(_, to MemberID, m *Message) bool {
 		return to == "f" || m.Kind == Genesis && to == "c"
 	}
-	tc.keepBootstrapping("f", members[:3], time.Second)
-	tc.machines["f"].down = true
-	tc.drop = nil
-	for _, id := range tc.order[:3] { // AllowBootstrap is set at the first start only
-		tc.machines[id].config.AllowBootstrap = false
-		tc.restart(id)
+	cluster.keepBootstrapping("f", members[:3], time.Second)
+	cluster.machines["f"].down = true
+	cluster.drop = nil
+	for _, id := range cluster.order[:3] { // AllowBootstrap is set at the first start only
+		cluster.machines[id].config.AllowBootstrap = false
+		cluster.restart(id)
 	}
-	tc.run(8 * time.Second)
-	tc.mustChain("c", "a", "b", "c")
-	tc.mustWrite("c", 0, 1, "one")
+	cluster.run(8 * time.Second)
+	cluster.mustChain("c", "a", "b", "c")
+	cluster.mustWrite("c", 0, 1, "one")
 }
 
 // TestRevokedFirstViewIsNeverAdopted: a decided first view that only one member has learnt of is overtaken
 // by a later attempt of the others.
 func TestRevokedFirstViewIsNeverAdopted(t *testing.T) {
-	tc, members := newBootstrapCluster(t, "a", "b", "c", "f")
+	cluster, members := newBootstrapCluster(t, "a", "b", "c", "f")
 	first := firstView(1, members[:3], nil)
-	tc.drop = func(_, to MemberID, m *Message) bool { return m.Kind == ViewNotice && to != "c" }
-	tc.keepBootstrapping("f", members[:3], 500*time.Millisecond)
-	tc.c.Assert(tc.view("c").equal(first), qt.IsTrue)
-	tc.machines["f"].down, tc.machines["c"].down = true, true
-	tc.drop = nil
-	tc.run(25 * time.Second)
-	tc.c.Assert(tc.view("a").Epoch > 1, qt.IsTrue)
-	epoch := tc.view("a").Epoch
-	tc.c.Assert(sortedIDs(memberIDs(tc.view("a").Members)), qt.DeepEquals, []MemberID{"a", "b"})
-	tc.do("a", func(n *Node) Effects { return n.Receive(tc.now, Message{Kind: ViewNotice, View: first}) })
-	tc.c.Assert(tc.view("a").Epoch, qt.Equals, epoch)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.machines["c"].down = false
-	tc.run(3 * time.Second)
-	tc.mustRead("c", 1, "one")
-	tc.c.Assert(tc.view("c").isMember("c"), qt.IsTrue)
+	cluster.drop = func(_, to MemberID, m *Message) bool { return m.Kind == ViewNotice && to != "c" }
+	cluster.keepBootstrapping("f", members[:3], 500*time.Millisecond)
+	cluster.c.Assert(cluster.view("c").equal(first), qt.IsTrue)
+	cluster.machines["f"].down, cluster.machines["c"].down = true, true
+	cluster.drop = nil
+	cluster.run(25 * time.Second)
+	cluster.c.Assert(cluster.view("a").Epoch > 1, qt.IsTrue)
+	epoch := cluster.view("a").Epoch
+	cluster.c.Assert(sortedIDs(memberIDs(cluster.view("a").Members)), qt.DeepEquals, []MemberID{"a", "b"})
+	cluster.do("a", func(n *Node) Effects {
+		return n.Receive(cluster.now,
+			Message{Kind: ViewNotice, View: first})
+	})
+	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, epoch)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.machines["c"].down = false
+	cluster.run(3 * time.Second)
+	cluster.mustRead("c", 1, "one")
+	cluster.c.Assert(cluster.view("c").isMember("c"), qt.IsTrue)
 }
 
 // TestMinorityThatHasRevokedTheFirstViewRejoins: the others adopt a view that the member must not adopt, and
 // add it to the chain by the next one.
 func TestMinorityThatHasRevokedTheFirstViewRejoins(t *testing.T) {
-	tc, members := newBootstrapCluster(t, "a", "b", "c")
+	cluster, members := newBootstrapCluster(t, "a", "b", "c")
 	first := firstView(1, members, nil)
 	second := firstView(2, members[:2], []PastChain{{1, first.Chain}})
 	tell := func(id MemberID, m Message) {
 		m.From, m.Address = "f", "10.0.0.9"
-		tc.do(id, func(n *Node) Effects { return n.Receive(tc.now, m) })
+		cluster.do(id, func(n *Node) Effects { return n.Receive(cluster.now, m) })
 	}
-	for _, id := range tc.order {
+	for _, id := range cluster.order {
 		tell(id, Message{Kind: Genesis, View: first})
 	}
 	tell("a", Message{Kind: Genesis, View: second})
-	tc.c.Assert(tc.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(2))
-	for _, id := range tc.order {
+	cluster.c.Assert(cluster.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(2))
+	for _, id := range cluster.order {
 		tell(id, Message{Kind: ViewNotice, View: first})
 	}
-	tc.c.Assert(tc.view("a").Epoch, qt.Equals, uint64(0))
+	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
 	tell("b", Message{Kind: Genesis, View: second})
-	tc.c.Assert(tc.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(1)) // it is in the first one
-	tc.run(5 * time.Second)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.c.Assert(tc.view("a").Chain, qt.HasLen, 3)
+	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Epoch, qt.Equals,
+		uint64(1)) // it is in the first one
+	cluster.run(5 * time.Second)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.c.Assert(cluster.view("a").Chain, qt.HasLen, 3)
 }
 
 func TestWhichFirstViewsAMachineAccepts(t *testing.T) {
@@ -206,7 +210,7 @@
 	first := firstView(1, []Member{a, b, {"c", "3"}}, nil)
 	past := PastChain{1, first.Chain}
 	second := firstView(2, []Member{a, b}, []PastChain{past})
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name           string
 		allowBootstrap bool
 		accepted, view View
@@ -227,49 +231,49 @@
 		{"third attempt", true, second, firstView(3, []Member{a, b}, []PastChain{past, {2, second.Chain}}), true},
 		{"earlier attempt", true, second, first, false},
 	} {
-		c.Run(tt.name, func(c *qt.C) {
-			config := Config{Self: a, HasDisk: true, AllowBootstrap: tt.allowBootstrap,
+		c.Run(test.name, func(c *qt.C) {
+			config := Config{Self: a, HasDisk: true, AllowBootstrap: test.allowBootstrap,
 				Random: rand.New(rand.NewSource(1))}
 			node, _, err := Open(config, 0, nil)
 			c.Assert(err, qt.IsNil)
-			node.state.genesis = tt.accepted
-			c.Check(node.mayAcceptGenesis(&tt.view), qt.Equals, tt.want)
+			node.state.genesis = test.accepted
+			c.Check(node.mayAcceptGenesis(&test.view), qt.Equals, test.want)
 		})
 	}
 }
 
 func TestBootstrapperWaitsForEnoughMembers(t *testing.T) {
-	tc, members := newBootstrapCluster(t, "a", "b", "c")
-	tc.keepBootstrapping("a", members[:2], 2*time.Second)
-	tc.c.Assert(tc.view("a").Epoch, qt.Equals, uint64(0))
-	tc.keepBootstrapping("a", members, time.Second)
-	tc.mustChain("a", "a", "b", "c")
+	cluster, members := newBootstrapCluster(t, "a", "b", "c")
+	cluster.keepBootstrapping("a", members[:2], 2*time.Second)
+	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
+	cluster.keepBootstrapping("a", members, time.Second)
+	cluster.mustChain("a", "a", "b", "c")
 }
 
 // TestUnresponsiveMemberIsNotDroppedEarly: an attempt of two could not survive the loss of one of them.
 func TestUnresponsiveMemberIsNotDroppedEarly(t *testing.T) {
-	tc, members := newBootstrapCluster(t, "a", "b", "c")
-	tc.drop = func(from, _ MemberID, m *Message) bool { return m.Kind == GenesisReply && from == "c" }
-	tc.keepBootstrapping("a", members, 5*time.Second)
-	tc.c.Assert(tc.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(1))
-	tc.machines["b"].down = true
-	tc.start("x", "10.0.0.2", false, 3)
-	tc.machines["x"].node.SetContacts(members)
-	tc.drop = nil
-	tc.keepBootstrapping("a", append(slices.Clone(members), Member{"x", "10.0.0.2"}), 8*time.Second)
-	tc.c.Assert(sortedIDs(memberIDs(tc.view("a").Members)), qt.DeepEquals, []MemberID{"a", "c", "x"})
-	tc.mustWrite("a", 0, 1, "one")
+	cluster, members := newBootstrapCluster(t, "a", "b", "c")
+	cluster.drop = func(from, _ MemberID, m *Message) bool { return m.Kind == GenesisReply && from == "c" }
+	cluster.keepBootstrapping("a", members, 5*time.Second)
+	cluster.c.Assert(cluster.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(1))
+	cluster.machines["b"].down = true
+	cluster.start("x", "10.0.0.2", false, 3)
+	cluster.machines["x"].node.SetContacts(members)
+	cluster.drop = nil
+	cluster.keepBootstrapping("a", append(slices.Clone(members), Member{"x", "10.0.0.2"}), 8*time.Second)
+	cluster.c.Assert(sortedIDs(memberIDs(cluster.view("a").Members)), qt.DeepEquals, []MemberID{"a", "c", "x"})
+	cluster.mustWrite("a", 0, 1, "one")
 }
 
 // TestConsentThatIsNotDurableDoesNotCount: the bootstrapper's disk fails to persist its own consent.
 func TestConsentThatIsNotDurableDoesNotCount(t *testing.T) {
-	tc, members := newBootstrapCluster(t, "a", "b", "c")
-	tc.machines["a"].failing = true
-	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
-	tc.machines["a"].failing = false
-	tc.run(2 * time.Second)
-	tc.mustWrite("a", 0, 1, "one")
-	restored, _, err := Open(tc.machines["a"].config, tc.now, tc.machines["a"].records)
-	tc.c.Assert(err, qt.IsNil)
-	tc.c.Assert(restored.state.genesis.Epoch, qt.Equals, uint64(1))
+	cluster, members := newBootstrapCluster(t, "a", "b", "c")
+	cluster.machines["a"].failing = true
+	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
+	cluster.machines["a"].failing = false
+	cluster.run(2 * time.Second)
+	cluster.mustWrite("a", 0, 1, "one")
+	restored, _, err := Open(cluster.machines["a"].config, cluster.now, cluster.machines["a"].records)
+	cluster.c.Assert(err, qt.IsNil)
+	cluster.c.Assert(restored.state.genesis.Epoch, qt.Equals, uint64(1))
 }
--- a/internal/router/chain/cluster_test.go
+++ b/internal/router/chain/cluster_test.go
@@ -23,56 +23,61 @@
 	down    bool
 	// failing makes the disk fail to persist records.
 	failing bool
-	syncs   int
+	// syncs counts the steps whose records were persisted.
+	syncs int
+	// replies are those to the node's requests, by number.
 	replies map[uint64]Reply
 }
 
-// transit is a message on its way.
+// transit is a message on its way, which arrives at a virtual time.
 type transit struct {
-	at time.Duration
-	to MemberID
-	m  Message
+	at      time.Duration
+	to      MemberID
+	message Message
 }
 
 // testCluster is a set of machines with a network that loses nothing unless a test says so.
 type testCluster struct {
-	c         *qt.C
-	now       time.Duration
-	machines  map[MemberID]*machine
-	order     []MemberID
+	c        *qt.C
+	now      time.Duration // virtual
+	machines map[MemberID]*machine
+	// order are the machines in the order in which they were started.
+	order []MemberID
+	// inTransit are the messages on their way, by their times of arrival.
 	inTransit []transit
 	// drop reports whether a message is lost.
 	drop func(from, to MemberID, m *Message) bool
 	// sent counts messages by kind.
-	sent    map[Kind]int
+	sent map[Kind]int
+	// request is the number of the last request.
 	request uint64
 }
 
 // newCluster starts machines a, b, c and so on and bootstraps the chain with the first of them as members.
 func newCluster(t *testing.T, machines, members int) *testCluster {
 	t.Helper()
-	tc := &testCluster{c: qt.New(t), machines: map[MemberID]*machine{}, sent: map[Kind]int{}}
+	cluster := &testCluster{c: qt.New(t), machines: map[MemberID]*machine{}, sent: map[Kind]int{}}
 	var list []Member
 	for i := range machines {
 		id := MemberID(rune('a' + i))
-		tc.start(id, fmt.Sprint("10.0.0.", i+1), true, members)
+		cluster.start(id, fmt.Sprint("10.0.0.", i+1), true, members)
 		list = append(list, Member{id, fmt.Sprint("10.0.0.", i+1)})
 	}
-	for _, id := range tc.order {
-		tc.machines[id].node.SetContacts(list)
+	for _, id := range cluster.order {
+		cluster.machines[id].node.SetContacts(list)
 	}
 	if members == 0 {
-		return tc
+		return cluster
 	}
 	if members < 3 {
-		tc.run(3 * time.Second) // the bootstrapper waits for more
+		cluster.run(3 * time.Second) // the bootstrapper waits for more
 	}
-	tc.do("a", func(n *Node) Effects { return n.Bootstrap(tc.now, list[:members]) })
-	tc.run(600 * time.Millisecond)
-	return tc
+	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, list[:members]) })
+	cluster.run(600 * time.Millisecond)
+	return cluster
 }
 
-// start adds a machine with an empty disk.
+// start adds a machine with an empty disk; first is its AllowBootstrap, members the target.
 func (tc *testCluster) start(id MemberID, address string, first bool, members int) {
 	config := Config{
 		Self: Member{id, address}, HasDisk: true, AllowBootstrap: first, TargetMembers: members,
@@ -85,10 +90,10 @@
 
 // boot starts a machine's node from its records.
 func (tc *testCluster) boot(id MemberID) {
-	m := tc.machines[id]
-	node, effects, err := Open(m.config, tc.now, m.records)
+	machine := tc.machines[id]
+	node, effects, err := Open(machine.config, tc.now, machine.records)
 	tc.c.Assert(err, qt.IsNil)
-	m.node, m.down = node, false
+	machine.node, machine.down = node, false
 	tc.perform(id, effects)
 }
 
@@ -106,14 +111,14 @@
 
 // perform carries effects out.
 func (tc *testCluster) perform(id MemberID, effects Effects) {
-	m := tc.machines[id]
+	machine := tc.machines[id]
 	if len(effects.Persist) > 0 {
-		if m.failing {
-			tc.perform(id, m.node.PersistFailed(tc.now))
+		if machine.failing {
+			tc.perform(id, machine.node.PersistFailed(tc.now))
 			return
 		}
-		m.records = append(m.records, effects.Persist...)
-		m.syncs++
+		machine.records = append(machine.records, effects.Persist...)
+		machine.syncs++
 	}
 	for _, envelope := range effects.Messages {
 		tc.sent[envelope.Message.Kind]++
@@ -123,9 +128,9 @@
 		}
 	}
 	for _, reply := range effects.Replies {
-		_, twice := m.replies[reply.Request]
+		_, twice := machine.replies[reply.Request]
 		tc.c.Assert(twice, qt.IsFalse, qt.Commentf("request %d is answered twice", reply.Request))
-		m.replies[reply.Request] = reply
+		machine.replies[reply.Request] = reply
 	}
 }
 
@@ -137,7 +142,7 @@
 			next := tc.inTransit[0]
 			tc.inTransit = tc.inTransit[1:]
 			if to := tc.machines[next.to]; to != nil && !to.down {
-				tc.do(next.to, func(n *Node) Effects { return n.Receive(tc.now, next.m) })
+				tc.do(next.to, func(n *Node) Effects { return n.Receive(tc.now, next.message) })
 			}
 		}
 		if tc.now%testTick != 0 {
--- a/internal/router/chain/fence_test.go
+++ b/internal/router/chain/fence_test.go
@@ -26,118 +26,134 @@
 }
 
 func TestEntriesComeOnlyFromThePredecessorInTheSameEpoch(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.mustWrite("a", 0, 1, "one")
+	cluster := newCluster(t, 3, 3)
+	cluster.mustWrite("a", 0, 1, "one")
 	next := Entry{Sequence: 2, Version: 2, Body: []byte("two")}
-	for _, tt := range []struct {
-		to   MemberID
-		m    Message
-		want []Kind
+	for _, test := range []struct {
+		name    string
+		to      MemberID
+		message Message
+		want    []Kind
 	}{
-		{"c", appendOf("a", 1, next), nil},
-		{"b", appendOf("c", 1, next), nil},
-		{"b", appendOf("a", 0, next), []Kind{ViewNotice}},
-		{"b", appendOf("a", 2, next), []Kind{Heartbeat}},
-		{"b", appendOf("a", 1, Entry{Sequence: 0}), nil},                                             // older
-		{"b", appendOf("a", 1, Entry{Sequence: 1, Version: 1, Body: []byte("other")}), nil},          // another
-		{"b", appendOf("a", 1, Entry{Sequence: 1, Version: 1, Body: []byte("one")}), []Kind{Append}}, // again
-		{"a", Message{Kind: Ack, From: "b", Epoch: 1, Sequence: 2}, nil},
-		{"a", Message{Kind: Ack, From: "c", Epoch: 0, Sequence: 1}, []Kind{ViewNotice}},
-		{"c", Message{Kind: Marker, From: "a", Epoch: 1, Marker: 7}, nil},
-		{"c", Message{Kind: Marker, From: "b", Epoch: 0, Marker: 7}, []Kind{ViewNotice}},
-		{"c", Message{Kind: Marker, From: "b", Epoch: 1, Marker: 7}, []Kind{MarkerReply}},
-		{"a", Message{Kind: FetchBody, From: "c", Epoch: 1, Sequence: 1}, nil},
-		{"a", Message{Kind: FetchBody, From: "b", Epoch: 1, Sequence: 1}, []Kind{Append}},
+		{"entry from another than the predecessor", "c", appendOf("a", 1, next), nil},
+		{"entry from the successor", "b", appendOf("c", 1, next), nil},
+		{"entry of an earlier epoch", "b", appendOf("a", 0, next), []Kind{ViewNotice}},
+		{"entry of a later epoch", "b", appendOf("a", 2, next), []Kind{Heartbeat}},
+		{"older entry", "b", appendOf("a", 1, Entry{Sequence: 0}), nil},
+		{"another entry of the same sequence", "b",
+			appendOf("a", 1, Entry{Sequence: 1, Version: 1, Body: []byte("other")}), nil},
+		{"the same entry again", "b",
+			appendOf("a", 1, Entry{Sequence: 1, Version: 1, Body: []byte("one")}), []Kind{Append}},
+		{"acknowledgement by another than the tail", "a",
+			Message{Kind: Ack, From: "b", Epoch: 1, Sequence: 2}, nil},
+		{"acknowledgement of an earlier epoch", "a",
+			Message{Kind: Ack, From: "c", Epoch: 0, Sequence: 1}, []Kind{ViewNotice}},
+		{"marker from another than the predecessor", "c",
+			Message{Kind: Marker, From: "a", Epoch: 1, Marker: 7}, nil},
+		{"marker of an earlier epoch", "c",
+			Message{Kind: Marker, From: "b", Epoch: 0, Marker: 7}, []Kind{ViewNotice}},
+		{"marker from the predecessor", "c",
+			Message{Kind: Marker, From: "b", Epoch: 1, Marker: 7}, []Kind{MarkerReply}},
+		{"request for a body by another than the successor", "a",
+			Message{Kind: FetchBody, From: "c", Epoch: 1, Sequence: 1}, nil},
+		{"request for a body by the successor", "a",
+			Message{Kind: FetchBody, From: "b", Epoch: 1, Sequence: 1}, []Kind{Append}},
 	} {
-		effects := tc.machines[tt.to].node.Receive(tc.now, tt.m)
-		c := qt.Commentf("%+v", tt.m)
-		tc.c.Assert(kinds(effects), qt.DeepEquals, tt.want, c)
-		tc.c.Assert(effects.Persist, qt.HasLen, 0, c)
+		effects := cluster.machines[test.to].node.Receive(cluster.now, test.message)
+		comment := qt.Commentf("%s: %+v", test.name, test.message)
+		cluster.c.Assert(kinds(effects), qt.DeepEquals, test.want, comment)
+		cluster.c.Assert(effects.Persist, qt.HasLen, 0, comment)
 	}
 }
 
 func TestSealedReplicaOpensNothingAlsoAfterARestart(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.mustWrite("a", 0, 1, "one")
-	view := View{Epoch: 2, Members: tc.view("a").Members, Chain: []MemberID{"a", "b"}}
-	tc.inTransit = nil
-	tc.do("b", func(n *Node) Effects { return n.Receive(tc.now, Message{Kind: ViewNotice, View: view}) })
-	tc.do("b", func(n *Node) Effects { return n.Receive(tc.now, Message{Kind: Seal, From: "c", Epoch: 2}) })
-	tc.restart("b")
-	tc.inTransit = nil
+	cluster := newCluster(t, 3, 3)
+	cluster.mustWrite("a", 0, 1, "one")
+	view := View{Epoch: 2, Members: cluster.view("a").Members, Chain: []MemberID{"a", "b"}}
+	cluster.inTransit = nil
+	cluster.do("b", func(n *Node) Effects {
+		return n.Receive(cluster.now,
+			Message{Kind: ViewNotice, View: view})
+	})
+	cluster.do("b", func(n *Node) Effects {
+		return n.Receive(cluster.now,
+			Message{Kind: Seal, From: "c", Epoch: 2})
+	})
+	cluster.restart("b")
+	cluster.inTransit = nil
 	opening := appendOf("a", 2, Entry{Sequence: 1, Version: 1, Body: []byte("one")})
-	effects := tc.machines["b"].node.Receive(tc.now, opening)
-	tc.c.Assert(kinds(effects), qt.HasLen, 0)
-	tc.c.Assert(effects.Persist, qt.HasLen, 0)
-	tc.c.Assert(tc.machines["b"].node.heartbeat().Sealed, qt.IsTrue)
+	effects := cluster.machines["b"].node.Receive(cluster.now, opening)
+	cluster.c.Assert(kinds(effects), qt.HasLen, 0)
+	cluster.c.Assert(effects.Persist, qt.HasLen, 0)
+	cluster.c.Assert(cluster.machines["b"].node.heartbeat().Sealed, qt.IsTrue)
 }
 
 func TestOpenReplicaSealsNothing(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	effects := tc.machines["b"].node.Receive(tc.now, Message{Kind: Seal, From: "c", Epoch: 1})
-	tc.c.Assert(effects.Persist, qt.HasLen, 0)
+	cluster := newCluster(t, 3, 3)
+	effects := cluster.machines["b"].node.Receive(cluster.now, Message{Kind: Seal, From: "c", Epoch: 1})
+	cluster.c.Assert(effects.Persist, qt.HasLen, 0)
 }
 
 func TestReportedEpochOfAnEntrySurvivesARestart(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.machines["c"].down = true
-	tc.run(2 * time.Second)
+	cluster := newCluster(t, 3, 3)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.machines["c"].down = true
+	cluster.run(2 * time.Second)
 	for _, id := range []MemberID{"a", "b"} {
-		node := tc.machines[id].node
+		node := cluster.machines[id].node
 		reported := node.heartbeat().EntryEpoch
-		tc.c.Assert(reported, qt.Equals, node.View().Epoch)
-		restored, _, err := Open(tc.machines[id].config, tc.now, tc.machines[id].records)
-		tc.c.Assert(err, qt.IsNil)
-		tc.c.Assert(restored.state.accepted.Epoch, qt.Equals, reported)
+		cluster.c.Assert(reported, qt.Equals, node.View().Epoch)
+		restored, _, err := Open(cluster.machines[id].config, cluster.now, cluster.machines[id].records)
+		cluster.c.Assert(err, qt.IsNil)
+		cluster.c.Assert(restored.state.accepted.Epoch, qt.Equals, reported)
 	}
 }
 
 func TestMarkerOfAnEarlierIncarnationAnswersNothing(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.read("a")
-	earlier := tc.machines["a"].node.head.marker
-	tc.machines["a"].config.Random.Int63()
-	tc.restart("a")
-	tc.run(50 * time.Millisecond)
-	tc.drop = dropKind(Marker, "b")
-	read := tc.read("a")
-	tc.do("a", func(n *Node) Effects {
-		return n.Receive(tc.now, Message{Kind: MarkerReply, From: "c", Epoch: 1, Marker: earlier, Sequence: 1})
+	cluster := newCluster(t, 3, 3)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.read("a")
+	earlier := cluster.machines["a"].node.head.marker
+	cluster.machines["a"].config.Random.Int63()
+	cluster.restart("a")
+	cluster.run(50 * time.Millisecond)
+	cluster.drop = dropKind(Marker, "b")
+	read := cluster.read("a")
+	cluster.do("a", func(n *Node) Effects {
+		return n.Receive(cluster.now, Message{Kind: MarkerReply, From: "c", Epoch: 1, Marker: earlier, Sequence: 1})
 	})
-	tc.c.Assert(tc.outcome("a", read), qt.Equals, Outcome(0))
+	cluster.c.Assert(cluster.outcome("a", read), qt.Equals, Outcome(0))
 }
 
 func TestAnswersAreNeverBeforeTheirRecords(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.machines["c"].failing = true
-	write := tc.propose("a", 1, 2, "two")
-	tc.run(20 * time.Millisecond)
-	tc.c.Assert(tc.outcome("a", write), qt.Equals, Outcome(0))
-	entry, ok := tc.machines["c"].node.Committed()
-	tc.c.Assert(ok, qt.IsTrue)
-	tc.c.Assert(string(entry.Body), qt.Equals, "one")
-	tc.c.Assert(tc.machines["c"].node.heartbeat().Stalled, qt.IsTrue)
+	cluster := newCluster(t, 3, 3)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.machines["c"].failing = true
+	write := cluster.propose("a", 1, 2, "two")
+	cluster.run(20 * time.Millisecond)
+	cluster.c.Assert(cluster.outcome("a", write), qt.Equals, Outcome(0))
+	entry, ok := cluster.machines["c"].node.Committed()
+	cluster.c.Assert(ok, qt.IsTrue)
+	cluster.c.Assert(string(entry.Body), qt.Equals, "one")
+	cluster.c.Assert(cluster.machines["c"].node.heartbeat().Stalled, qt.IsTrue)
 }
 
 func TestSnapshotStandsForAllRecords(t *testing.T) {
-	tc := newCluster(t, 4, 3)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.machines["c"].down = true
-	tc.run(3 * time.Second)
-	tc.mustWrite("a", 1, 2, "two")
+	cluster := newCluster(t, 4, 3)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.machines["c"].down = true
+	cluster.run(3 * time.Second)
+	cluster.mustWrite("a", 1, 2, "two")
 	for _, id := range []MemberID{"a", "b", "d"} {
-		snapshot := tc.machines[id].node.SnapshotRecords()
-		replayed, _, err := Open(tc.machines[id].config, tc.now, tc.machines[id].records)
-		tc.c.Assert(err, qt.IsNil)
-		restored, _, err := Open(tc.machines[id].config, tc.now, snapshot)
-		tc.c.Assert(err, qt.IsNil)
-		tc.c.Assert(replayed.View(), qt.DeepEquals, restored.View())
-		tc.c.Assert(replayed.state.accepted.Entry, qt.DeepEquals, restored.state.accepted.Entry)
-		tc.c.Assert(replayed.state.acceptor.promised, qt.Equals, restored.state.acceptor.promised)
-		tc.c.Assert(replayed.state.genesis, qt.DeepEquals, restored.state.genesis)
+		snapshot := cluster.machines[id].node.SnapshotRecords()
+		replayed, _, err := Open(cluster.machines[id].config, cluster.now, cluster.machines[id].records)
+		cluster.c.Assert(err, qt.IsNil)
+		restored, _, err := Open(cluster.machines[id].config, cluster.now, snapshot)
+		cluster.c.Assert(err, qt.IsNil)
+		cluster.c.Assert(replayed.View(), qt.DeepEquals, restored.View())
+		cluster.c.Assert(replayed.state.accepted.Entry, qt.DeepEquals, restored.state.accepted.Entry)
+		cluster.c.Assert(replayed.state.acceptor.promised, qt.Equals, restored.state.acceptor.promised)
+		cluster.c.Assert(replayed.state.genesis, qt.DeepEquals, restored.state.genesis)
 	}
 }
 
@@ -151,18 +167,18 @@
 
 // TestRecordsEndInNoZeros: the log could take zeros for a sector that was never written.
 func TestRecordsEndInNoZeros(t *testing.T) {
-	tc := newCluster(t, 4, 3)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.machines["c"].down = true
-	tc.run(3 * time.Second)
+	cluster := newCluster(t, 4, 3)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.machines["c"].down = true
+	cluster.run(3 * time.Second)
 	kinds := map[byte]bool{}
-	for _, id := range tc.order {
-		for _, record := range tc.machines[id].records {
+	for _, id := range cluster.order {
+		for _, record := range cluster.machines[id].records {
 			kinds[record[0]] = true
-			tc.c.Assert(record[len(record)-1], qt.Not(qt.Equals), byte(0), qt.Commentf("kind %d", record[0]))
+			cluster.c.Assert(record[len(record)-1], qt.Not(qt.Equals), byte(0), qt.Commentf("kind %d", record[0]))
 		}
 	}
 	for _, kind := range []byte{recordGenesis, recordView, recordAcceptor, recordSuccessor, recordPosition} {
-		tc.c.Assert(kinds[kind], qt.IsTrue)
+		cluster.c.Assert(kinds[kind], qt.IsTrue)
 	}
 }
--- a/internal/router/chain/history_test.go
+++ b/internal/router/chain/history_test.go
@@ -26,108 +26,110 @@
 }
 
 func TestReplacedWriteIsAcknowledgedAgain(t *testing.T) {
-	tc := newCluster(t, 4, 3)
-	tc.writeVersions(1, 3)
-	for _, at := range tc.order {
-		tc.mustPropose(at, 0, 1, "body 1", Applied)
-		tc.mustPropose(at, 1, 2, "body 2", Applied)
-		tc.mustPropose(at, 1, 2, "other body", Conflict)
-		tc.mustPropose(at, 0, 2, "body 1", Conflict)
-		tc.mustRead(at, 3, "body 3")
+	cluster := newCluster(t, 4, 3)
+	cluster.writeVersions(1, 3)
+	for _, at := range cluster.order {
+		cluster.mustPropose(at, 0, 1, "body 1", Applied)
+		cluster.mustPropose(at, 1, 2, "body 2", Applied)
+		cluster.mustPropose(at, 1, 2, "other body", Conflict)
+		cluster.mustPropose(at, 0, 2, "body 1", Conflict)
+		cluster.mustRead(at, 3, "body 3")
 	}
 }
 
-// TestConfirm asks for changes by their identity: those that were committed are acknowledged, those that
-// never were are rejected, and one that could still be proposed is neither. Nothing is written.
-func TestConfirm(t *testing.T) {
-	tc := newCluster(t, 4, 3)
-	tc.writeVersions(1, 3)
-	for _, at := range tc.order {
-		for _, tt := range []struct {
+// TestChangesAreConfirmedByTheirIdentity asks for changes by their identity: those that were committed are
+// acknowledged, those that never were are rejected, and one that could still be proposed is neither. Nothing
+// is written.
+func TestChangesAreConfirmedByTheirIdentity(t *testing.T) {
+	cluster := newCluster(t, 4, 3)
+	cluster.writeVersions(1, 3)
+	for _, at := range cluster.order {
+		for _, test := range []struct {
+			name              string
 			expected, version int64
 			body              string
 			want              Outcome
 		}{
-			{2, 3, "body 3", Applied},
-			{0, 1, "body 1", Applied},
-			{1, 2, "other body", Conflict},
-			{0, 2, "body 1", Conflict},
-			{7, 8, "body 8", Conflict},
-			{3, 4, "body 4", Unavailable},
+			{"the current version", 2, 3, "body 3", Applied},
+			{"an earlier version", 0, 1, "body 1", Applied},
+			{"another body of an earlier version", 1, 2, "other body", Conflict},
+			{"another expected version", 0, 2, "body 1", Conflict},
+			{"a version that nothing leads to", 7, 8, "body 8", Conflict},
+			{"a change that may still be proposed", 3, 4, "body 4", Unavailable},
 		} {
-			request := tc.confirm(at, tt.expected, tt.version, tt.body)
-			tc.run(100 * time.Millisecond)
-			tc.c.Assert(tc.outcome(at, request), qt.Equals, tt.want, qt.Commentf("%s: %v", at, tt))
+			request := cluster.confirm(at, test.expected, test.version, test.body)
+			cluster.run(100 * time.Millisecond)
+			cluster.c.Assert(cluster.outcome(at, request), qt.Equals, test.want, qt.Commentf("%s: %s", at, test.name))
 		}
-		tc.mustRead(at, 3, "body 3")
+		cluster.mustRead(at, 3, "body 3")
 	}
-	tc.mustPropose("b", 3, 4, "body 4", Applied)
+	cluster.mustPropose("b", 3, 4, "body 4", Applied)
 }
 
 // TestConfirmWaitsForThePendingWrite asks for the pending change and for another one that builds on it.
 func TestConfirmWaitsForThePendingWrite(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.writeVersions(1, 1)
-	tc.propose("a", 1, 2, "body 2")
-	pending, next := tc.confirm("a", 1, 2, "body 2"), tc.confirm("a", 2, 3, "body 3")
-	tc.run(200 * time.Millisecond)
-	tc.c.Assert(tc.outcome("a", pending), qt.Equals, Applied)
-	tc.c.Assert(tc.outcome("a", next), qt.Equals, Unavailable)
-	tc.mustRead("c", 2, "body 2")
+	cluster := newCluster(t, 3, 3)
+	cluster.writeVersions(1, 1)
+	cluster.propose("a", 1, 2, "body 2")
+	pending, next := cluster.confirm("a", 1, 2, "body 2"), cluster.confirm("a", 2, 3, "body 3")
+	cluster.run(200 * time.Millisecond)
+	cluster.c.Assert(cluster.outcome("a", pending), qt.Equals, Applied)
+	cluster.c.Assert(cluster.outcome("a", next), qt.Equals, Unavailable)
+	cluster.mustRead("c", 2, "body 2")
 }
 
 // TestDigestsNameChanges identifies changes by the part of the body before a stroke, also after a restart.
 func TestDigestsNameChanges(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	for _, id := range tc.order {
-		tc.machines[id].config.DigestOf = func(body []byte) Digest {
+	cluster := newCluster(t, 3, 3)
+	for _, id := range cluster.order {
+		cluster.machines[id].config.DigestOf = func(body []byte) Digest {
 			change, _, _ := strings.Cut(string(body), "|")
 			return digestOfBody([]byte(change))
 		}
-		tc.restart(id)
+		cluster.restart(id)
 	}
-	tc.run(100 * time.Millisecond)
-	tc.mustWrite("a", 0, 1, "first|document 1")
-	tc.mustWrite("a", 1, 2, "second|document 2")
-	tc.restart("c")
-	tc.run(2 * time.Second)
-	tc.mustRead("c", 2, "second|document 2")
+	cluster.run(100 * time.Millisecond)
+	cluster.mustWrite("a", 0, 1, "first|document 1")
+	cluster.mustWrite("a", 1, 2, "second|document 2")
+	cluster.restart("c")
+	cluster.run(2 * time.Second)
+	cluster.mustRead("c", 2, "second|document 2")
 	for _, change := range []string{"first", "second"} {
-		request := tc.confirm("c", 0, int64(len(change)-4), change) // 1 and 2
-		tc.run(100 * time.Millisecond)
-		tc.c.Assert(tc.outcome("c", request), qt.Equals, Applied, qt.Commentf(change))
+		request := cluster.confirm("c", 0, int64(len(change)-4), change) // 1 and 2
+		cluster.run(100 * time.Millisecond)
+		cluster.c.Assert(cluster.outcome("c", request), qt.Equals, Applied, qt.Commentf(change))
 	}
 }
 
 // TestForgottenWriteIsNotRejected: what may have been committed before the oldest entry of the history is
 // left open; what the history rules out is rejected.
 func TestForgottenWriteIsNotRejected(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	for _, id := range tc.order {
-		tc.machines[id].config.HistoryLength = 4
-		tc.restart(id)
+	cluster := newCluster(t, 3, 3)
+	for _, id := range cluster.order {
+		cluster.machines[id].config.HistoryLength = 4
+		cluster.restart(id)
 	}
-	tc.run(100 * time.Millisecond)
-	tc.mustWrite("a", 0, 2, "body 2")
+	cluster.run(100 * time.Millisecond)
+	cluster.mustWrite("a", 0, 2, "body 2")
 	for version := int64(4); version <= 14; version += 2 {
-		tc.mustWrite("a", version-2, version, fmt.Sprint("body ", version))
+		cluster.mustWrite("a", version-2, version, fmt.Sprint("body ", version))
 	}
-	tc.c.Assert(tc.machines["c"].node.state.accepted.history, qt.HasLen, 4) // 6, 8, 10 and 12
-	tc.mustPropose("b", 4, 6, "body 6", Applied)
-	tc.mustPropose("b", 2, 4, "body 4", Unavailable)
-	tc.mustPropose("b", 4, 5, "never in force, or forgotten", Unavailable)
-	tc.mustPropose("b", 4, 6, "another body", Conflict)
-	tc.mustPropose("b", 6, 7, "between two that are named", Conflict)
-	tc.mustPropose("b", 15, 16, "above the current one", Conflict)
+	cluster.c.Assert(cluster.machines["c"].node.state.accepted.history, qt.HasLen, 4) // 6, 8, 10 and 12
+	cluster.mustPropose("b", 4, 6, "body 6", Applied)
+	cluster.mustPropose("b", 2, 4, "body 4", Unavailable)
+	cluster.mustPropose("b", 4, 5, "never in force, or forgotten", Unavailable)
+	cluster.mustPropose("b", 4, 6, "another body", Conflict)
+	cluster.mustPropose("b", 6, 7, "between two that are named", Conflict)
+	cluster.mustPropose("b", 15, 16, "above the current one", Conflict)
 }
 
 // TestWriteCostsTheSameAfterHundredsOfChanges counts what a write adds to messages and records, and retries
 // earlier ones.
 func TestWriteCostsTheSameAfterHundredsOfChanges(t *testing.T) {
 	const changes = 600
-	tc := newCluster(t, 3, 3)
+	cluster := newCluster(t, 3, 3)
 	sent, repeated := 0, 0
-	tc.drop = func(_, _ MemberID, m *Message) bool {
+	cluster.drop = func(_, _ MemberID, m *Message) bool {
 		if m.Kind == Append {
 			sent += len(m.Body) + len(m.Digest) + len(m.History)*len(Digest{})
 			repeated += len(m.History) / 2
@@ -135,111 +137,113 @@
 		return false
 	}
 	for version := int64(1); version <= changes; version++ {
-		records, before := len(tc.machines["c"].records), sent
-		tc.mustWrite("a", version-1, version, fmt.Sprint("body ", version))
+		records, before := len(cluster.machines["c"].records), sent
+		cluster.mustWrite("a", version-1, version, fmt.Sprint("body ", version))
 		size := 0
-		for _, record := range tc.machines["c"].records[records:] {
+		for _, record := range cluster.machines["c"].records[records:] {
 			size += len(record)
 		}
 		body := len(fmt.Sprint("body ", version))
-		tc.c.Assert(size <= body+30, qt.IsTrue, qt.Commentf("%d bytes of records", size))
-		tc.c.Assert(sent-before <= 2*(body+2*len(Digest{})), qt.IsTrue, qt.Commentf("%d bytes", sent-before))
+		cluster.c.Assert(size <= body+30, qt.IsTrue, qt.Commentf("%d bytes of records", size))
+		cluster.c.Assert(sent-before <= 2*(body+2*len(Digest{})), qt.IsTrue, qt.Commentf("%d bytes", sent-before))
 	}
-	tc.c.Assert(repeated, qt.Equals, 0)
+	cluster.c.Assert(repeated, qt.Equals, 0)
 	for version := int64(1); version <= changes; version += 37 {
-		tc.mustPropose("b", version-1, version, fmt.Sprint("body ", version), Applied)
+		cluster.mustPropose("b", version-1, version, fmt.Sprint("body ", version), Applied)
 	}
-	restored, _, err := Open(tc.machines["c"].config, tc.now, tc.machines["c"].records)
-	tc.c.Assert(err, qt.IsNil)
-	tc.c.Assert(restored.state.accepted.history, qt.DeepEquals, tc.machines["a"].node.state.accepted.history)
-	tc.c.Assert(restored.state.accepted.history, qt.HasLen, changes-1)
+	restored, _, err := Open(cluster.machines["c"].config, cluster.now, cluster.machines["c"].records)
+	cluster.c.Assert(err, qt.IsNil)
+	cluster.c.Assert(restored.state.accepted.history, qt.DeepEquals,
+		cluster.machines["a"].node.state.accepted.history)
+	cluster.c.Assert(restored.state.accepted.history, qt.HasLen, changes-1)
 }
 
 // TestWriteAfterAMissedOneFetchesTheFullHistory: a replica that lacks the entry before a new one sends
 // FetchBody.
 func TestWriteAfterAMissedOneFetchesTheFullHistory(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.writeVersions(1, 5)
-	c := tc.machines["c"].node
+	cluster := newCluster(t, 3, 3)
+	cluster.writeVersions(1, 5)
+	tail := cluster.machines["c"].node
 	for _, behind := range []int{0, 2} {
-		m := appendOf("b", 1, Entry{Sequence: 9, Version: 9, Body: []byte("nine")})
-		m.Sequence += uint64(behind)
-		m.History = []PastEntry{{Version: 8}}
-		effects := c.Receive(tc.now, m)
-		tc.c.Assert(kinds(effects), qt.DeepEquals, []Kind{FetchBody})
-		tc.c.Assert(effects.Persist, qt.HasLen, 0)
+		message := appendOf("b", 1, Entry{Sequence: 9, Version: 9, Body: []byte("nine")})
+		message.Sequence += uint64(behind)
+		message.History = []PastEntry{{Version: 8}}
+		effects := tail.Receive(cluster.now, message)
+		cluster.c.Assert(kinds(effects), qt.DeepEquals, []Kind{FetchBody})
+		cluster.c.Assert(effects.Persist, qt.HasLen, 0)
 	}
 }
 
 // TestTwoWritesOfOneStepArePersistedTogether: a chain of one commits all queued writes in one step.
 func TestTwoWritesOfOneStepArePersistedTogether(t *testing.T) {
-	tc := newCluster(t, 1, 1)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.do("a", func(n *Node) Effects {
-		n.begin(tc.now)
+	cluster := newCluster(t, 1, 1)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.do("a", func(n *Node) Effects {
+		n.begin(cluster.now)
 		for version := int64(2); version <= 4; version++ {
 			n.acceptSuccessor(Entry{1, uint64(version), version, []byte("body")}, Digest{byte(version)})
 		}
 		return n.finish()
 	})
-	restored, _, err := Open(tc.machines["a"].config, tc.now, tc.machines["a"].records)
-	tc.c.Assert(err, qt.IsNil)
-	tc.c.Assert(restored.state.accepted.history, qt.DeepEquals, tc.machines["a"].node.state.accepted.history)
-	tc.c.Assert(restored.state.accepted.history, qt.HasLen, 3)
+	restored, _, err := Open(cluster.machines["a"].config, cluster.now, cluster.machines["a"].records)
+	cluster.c.Assert(err, qt.IsNil)
+	cluster.c.Assert(restored.state.accepted.history, qt.DeepEquals,
+		cluster.machines["a"].node.state.accepted.history)
+	cluster.c.Assert(restored.state.accepted.history, qt.HasLen, 3)
 }
 
 func TestHistorySurvivesARestartOfAll(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.writeVersions(1, 4)
-	tc.inTransit = nil
-	for _, id := range tc.order {
-		tc.restart(id)
+	cluster := newCluster(t, 3, 3)
+	cluster.writeVersions(1, 4)
+	cluster.inTransit = nil
+	for _, id := range cluster.order {
+		cluster.restart(id)
 	}
-	tc.run(200 * time.Millisecond)
-	tc.mustPropose("c", 1, 2, "body 2", Applied)
-	tc.mustPropose("c", 1, 2, "other body", Conflict)
+	cluster.run(200 * time.Millisecond)
+	cluster.mustPropose("c", 1, 2, "body 2", Applied)
+	cluster.mustPropose("c", 1, 2, "other body", Conflict)
 }
 
 func TestHistoryReachesAMemberThatMissedTheWrites(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.writeVersions(1, 1)
-	tc.machines["c"].down = true
-	tc.run(2 * time.Second)
-	tc.writeVersions(2, 4)
-	tc.boot("c")
-	tc.run(2 * time.Second)
-	tc.mustChain("a", "a", "b", "c")
-	tc.machines["a"].down, tc.machines["b"].down = true, false
-	tc.run(2 * time.Second)
-	tc.machines["b"].down = true
-	tc.boot("a")
-	tc.run(2 * time.Second)
-	tc.mustChain("c", "c", "a")
-	tc.mustPropose("c", 1, 2, "body 2", Applied)
+	cluster := newCluster(t, 3, 3)
+	cluster.writeVersions(1, 1)
+	cluster.machines["c"].down = true
+	cluster.run(2 * time.Second)
+	cluster.writeVersions(2, 4)
+	cluster.boot("c")
+	cluster.run(2 * time.Second)
+	cluster.mustChain("a", "a", "b", "c")
+	cluster.machines["a"].down, cluster.machines["b"].down = true, false
+	cluster.run(2 * time.Second)
+	cluster.machines["b"].down = true
+	cluster.boot("a")
+	cluster.run(2 * time.Second)
+	cluster.mustChain("c", "c", "a")
+	cluster.mustPropose("c", 1, 2, "body 2", Applied)
 }
 
 func TestWriteThatWasNeverCommittedIsRejected(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.mustWrite("a", 0, 1, "one")
-	tc.drop = partition([]MemberID{"a"}, []MemberID{"b", "c"})
-	tc.propose("a", 1, 2, "lost")
-	tc.run(2 * time.Second)
-	tc.mustWrite("b", 1, 2, "won")
-	tc.mustWrite("b", 2, 3, "next")
-	tc.drop = nil
-	tc.run(2 * time.Second)
-	tc.mustPropose("a", 1, 2, "lost", Conflict)
-	tc.mustPropose("a", 1, 2, "won", Applied)
+	cluster := newCluster(t, 3, 3)
+	cluster.mustWrite("a", 0, 1, "one")
+	cluster.drop = partition([]MemberID{"a"}, []MemberID{"b", "c"})
+	cluster.propose("a", 1, 2, "lost")
+	cluster.run(2 * time.Second)
+	cluster.mustWrite("b", 1, 2, "won")
+	cluster.mustWrite("b", 2, 3, "next")
+	cluster.drop = nil
+	cluster.run(2 * time.Second)
+	cluster.mustPropose("a", 1, 2, "lost", Conflict)
+	cluster.mustPropose("a", 1, 2, "won", Applied)
 }
 
 // TestLogWithoutAHistoryIsRead reads the log of a release that persisted no history.
 func TestLogWithoutAHistoryIsRead(t *testing.T) {
-	tc := newCluster(t, 3, 3)
-	tc.writeVersions(1, 2)
-	for _, id := range tc.order {
-		m := tc.machines[id]
+	cluster := newCluster(t, 3, 3)
+	cluster.writeVersions(1, 2)
+	for _, id := range cluster.order {
+		machine := cluster.machines[id]
 		var retained [][]byte
-		for _, record := range m.records {
+		for _, record := range machine.records {
 			if record[0] == recordHistory {
 				continue
 			}
@@ -248,11 +252,11 @@
 			}
 			retained = append(retained, record)
 		}
-		m.records = retained
-		tc.restart(id)
+		machine.records = retained
+		cluster.restart(id)
 	}
-	tc.run(500 * time.Millisecond)
-	tc.mustPropose("b", 0, 1, "body 1", Unavailable) // it may have been committed
-	tc.mustWrite("b", 2, 3, "body 3")
-	tc.mustPropose("b", 1, 2, "body 2", Applied)
+	cluster.run(500 * time.Millisecond)
+	cluster.mustPropose("b", 0, 1, "body 1", Unavailable) // it may have been committed
+	cluster.mustWrite("b", 2, 3, "body 3")
+	cluster.mustPropose("b", 1, 2, "body 2", Applied)
 }
--- a/internal/router/chain/plan_test.go
+++ b/internal/router/chain/plan_test.go
@@ -99,7 +99,7 @@
 	}
 	a, b, d := MemberID("a"), MemberID("b"), MemberID("d")
 	third := MemberID("c")
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name     string
 		view     View
 		observed map[MemberID][]peerOption
@@ -184,14 +184,14 @@
 		{"timed out here, seen by another", testView("a", "c"),
 			nodes(b, timedOut(time.Second), third, receivesFrom("a", "b")), ""},
 	} {
-		c.Run(tt.name, func(c *qt.C) {
-			next, changed := Plan(tt.view, observation(tt.observed), testRules)
+		c.Run(test.name, func(c *qt.C) {
+			next, changed := Plan(test.view, observation(test.observed), testRules)
 			got := ""
 			if changed {
 				got = fmt.Sprint(memberIDs(next.Members), next.Chain, next.Fresh)
-				c.Check(next.Epoch, qt.Equals, tt.view.Epoch+1)
+				c.Check(next.Epoch, qt.Equals, test.view.Epoch+1)
 			}
-			c.Check(got, qt.Equals, tt.want)
+			c.Check(got, qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/router/chain/sim_bootstrap_test.go
+++ b/internal/router/chain/sim_bootstrap_test.go
@@ -24,13 +24,13 @@
 func TestSimulatedBootstrap(t *testing.T) {
 	forEachSeed(t, fromEnvironment(bootstrapSeedsVariable, bootstrapSeeds), func(t *testing.T, seed int) {
 		t.Helper()
-		w := newWorld(int64(seed))
-		w.members = 3 + 2*(seed%2)
-		w.requiredReplicas = w.members/2 + 1
-		(&bootstrapWorld{simWorld: w}).play()
-		if w.failure != "" {
-			w.describe()
-			t.Fatalf("%s\n%s", w.failure, w.endOfTrace())
+		world := newWorld(int64(seed))
+		world.members = 3 + 2*(seed%2)
+		world.requiredReplicas = world.members/2 + 1
+		(&bootstrapWorld{simWorld: world}).play()
+		if world.failure != "" {
+			world.describe()
+			t.Fatalf("%s\n%s", world.failure, world.endOfTrace())
 		}
 	})
 }
@@ -79,8 +79,8 @@
 	if w.bootstrapper.up() {
 		var members []Member
 		for _, address := range w.addresses {
-			if m := w.machines[address]; m.up() && m.hasDisk && w.random.Intn(10) > 0 {
-				members = append(members, m.node.Self())
+			if machine := w.machines[address]; machine.up() && machine.hasDisk && w.random.Intn(10) > 0 {
+				members = append(members, machine.node.Self())
 			}
 		}
 		w.bootstrapper.step(func(n *Node) Effects { return n.Bootstrap(w.now, members) })
@@ -90,54 +90,54 @@
 
 // fault injects faults at random times.
 func (w *bootstrapWorld) fault() {
-	s := &nemesis{world: w.simWorld}
+	faults := &nemesis{world: w.simWorld}
 	w.after(time.Duration(w.random.Int63n(int64(500*time.Millisecond))), func() {
 		if w.now >= bootstrapFaults {
 			return
 		}
-		m := s.machine()
+		machine := faults.machine()
 		switch w.random.Intn(8) {
 		case 0:
-			w.restart(m, faultfs.KeepAll)
+			w.restart(machine, faultfs.KeepAll)
 		case 1:
-			w.restart(m, faultfs.LoseAll)
+			w.restart(machine, faultfs.LoseAll)
 		case 2:
 			for _, address := range w.addresses {
 				w.restart(w.machines[address], faultfs.LoseSome)
 			}
 		case 3:
-			w.loseDisk(m)
+			w.loseDisk(machine)
 		case 4:
 			w.loseBootstrapper()
 		case 5:
-			s.degradeLinks(m)
+			faults.degradeLinks(machine)
 		case 6:
-			s.partition(m)
+			faults.partition(machine)
 		default:
-			s.partitionOneWay(m)
+			faults.partitionOneWay(machine)
 		}
 		w.fault()
 	})
 }
 
 // restart stops a machine and starts it again later, without AllowBootstrap.
-func (w *bootstrapWorld) restart(m *simMachine, loss faultfs.Loss) {
-	if m.removed {
+func (w *bootstrapWorld) restart(machine *simMachine, loss faultfs.Loss) {
+	if machine.removed {
 		return
 	}
-	w.tracef("%s is started again", m.address)
-	m.firstStart = m == w.bootstrapper // a bootstrapper that is configured so continues
-	w.downAt(m, loss)
+	w.tracef("%s is started again", machine.address)
+	machine.firstStart = machine == w.bootstrapper // a bootstrapper that is configured so continues
+	w.downAt(machine, loss)
 }
 
 // loseDisk wipes one disk of the world.
-func (w *bootstrapWorld) loseDisk(m *simMachine) {
-	if w.diskLost || !m.hasDisk || w.anyView() && !(&nemesis{world: w.simWorld}).mayLoseDisk() {
+func (w *bootstrapWorld) loseDisk(machine *simMachine) {
+	if w.diskLost || !machine.hasDisk || w.anyView() && !(&nemesis{world: w.simWorld}).mayLoseDisk() {
 		return
 	}
-	w.tracef("%s loses its disk", m.address)
+	w.tracef("%s loses its disk", machine.address)
 	w.diskLost = true
-	w.wipeAt(m)
+	w.wipeAt(machine)
 }
 
 // loseBootstrapper removes a bootstrapper without a disk once some machine has accepted a first view.
@@ -162,7 +162,7 @@
 
 func (w *bootstrapWorld) anyMachine(is func(*Node) bool) bool {
 	for _, address := range w.addresses {
-		if m := w.machines[address]; m.up() && is(m.node) {
+		if machine := w.machines[address]; machine.up() && is(machine.node) {
 			return true
 		}
 	}
--- a/internal/router/chain/sim_check_test.go
+++ b/internal/router/chain/sim_check_test.go
@@ -46,17 +46,17 @@
 
 // observe checks a node's state after a step.
 func (m *simMachine) observe() {
-	w, n, h := m.world, m.node, &m.world.history
+	world, n, h := m.world, m.node, &m.world.history
 	view := n.View()
 	if known, ok := h.views[view.Epoch]; !ok {
 		h.views[view.Epoch] = view
-		w.tracef("%s knows view %+v", m.address, view)
+		world.tracef("%s knows view %+v", m.address, view)
 	} else if !known.equal(view) {
-		w.failf("epoch %d has two views: %+v and %+v", view.Epoch, known, view)
+		world.failf("epoch %d has two views: %+v and %+v", view.Epoch, known, view)
 	}
 	if n.IsOpenHead() {
 		if known, ok := h.heads[view.Epoch]; ok && known != n.Self().ID {
-			w.failf("epoch %d has two heads", view.Epoch)
+			world.failf("epoch %d has two heads", view.Epoch)
 		}
 		h.heads[view.Epoch] = n.Self().ID
 	}
@@ -67,48 +67,48 @@
 
 // observeCommitted checks an entry that a node knows to be committed.
 func (m *simMachine) observeCommitted(entry *acceptedEntry) {
-	w, h, id := m.world, &m.world.history, m.node.Self().ID
+	world, h, id := m.world, &m.world.history, m.node.Self().ID
 	known, ok := h.entries[entry.Sequence]
 	if !ok {
 		h.entries[entry.Sequence] = *entry
-		w.tracef("%s has committed %d: version %d %q", m.address, entry.Sequence, entry.Version, entry.Body)
+		world.tracef("%s has committed %d: version %d %q", m.address, entry.Sequence, entry.Version, entry.Body)
 		if before, twice := h.committed[string(entry.Body)]; twice {
-			w.failf("%q is committed as %d and as %d", entry.Body, before, entry.Sequence)
+			world.failf("%q is committed as %d and as %d", entry.Body, before, entry.Sequence)
 		}
 		h.committed[string(entry.Body)] = entry.Sequence
 		if before, ok := h.entries[entry.Sequence-1]; ok && before.Version >= entry.Version {
-			w.failf("version %d follows %d", entry.Version, before.Version)
+			world.failf("version %d follows %d", entry.Version, before.Version)
 		}
 	} else if known.digest != entry.digest || known.Version != entry.Version {
-		w.failf("sequence %d is committed as %q and as %q", entry.Sequence, known.Body, entry.Body)
+		world.failf("sequence %d is committed as %q and as %q", entry.Sequence, known.Body, entry.Body)
 	}
 	if entry.Sequence < m.maxCommitted || entry.Sequence+1 < h.maxCommitted[id] {
-		w.failf("%s falls from sequence %d, and %d in this incarnation, to %d",
+		world.failf("%s falls from sequence %d, and %d in this incarnation, to %d",
 			m.address, h.maxCommitted[id], m.maxCommitted, entry.Sequence)
 	}
 	if accepted := m.node.state.accepted.Sequence; accepted < h.maxCommitted[id] {
-		w.failf("%s has accepted sequence %d, and has known %d to be committed",
+		world.failf("%s has accepted sequence %d, and has known %d to be committed",
 			m.address, accepted, h.maxCommitted[id])
 	}
 	m.maxCommitted, h.maxCommitted[id] = entry.Sequence, max(h.maxCommitted[id], entry.Sequence)
 	if h.rejected[string(entry.Body)] {
-		w.failf("the rejected %q is committed", entry.Body)
+		world.failf("the rejected %q is committed", entry.Body)
 	}
 	m.observeHistory(entry)
 }
 
 // observeHistory checks that an entry names all committed entries before it, up to the history's length.
 func (m *simMachine) observeHistory(entry *acceptedEntry) {
-	w, length := m.world, uint64(len(entry.history))
-	if entry.Sequence > 0 && length != min(entry.Sequence-1, uint64(w.historyLength)) {
-		w.failf("sequence %d names %d entries before it", entry.Sequence, length)
+	world, length := m.world, uint64(len(entry.history))
+	if entry.Sequence > 0 && length != min(entry.Sequence-1, uint64(world.historyLength)) {
+		world.failf("sequence %d names %d entries before it", entry.Sequence, length)
 		return
 	}
 	for i, past := range entry.history {
 		sequence := entry.Sequence - length + uint64(i)
-		known, ok := w.history.entries[sequence]
+		known, ok := world.history.entries[sequence]
 		if ok && (known.Version != past.Version || known.digest != past.Digest) {
-			w.failf("sequence %d names version %d in place of %d", entry.Sequence, past.Version, known.Version)
+			world.failf("sequence %d names version %d in place of %d", entry.Sequence, past.Version, known.Version)
 		}
 	}
 }
--- a/internal/router/chain/sim_client_test.go
+++ b/internal/router/chain/sim_client_test.go
@@ -27,86 +27,86 @@
 }
 
 // scheduleNext schedules the client's next operation.
-func (s *simClient) scheduleNext() {
-	w := s.world
-	w.after(time.Duration(w.random.Int63n(int64(300*time.Millisecond))), func() {
+func (c *simClient) scheduleNext() {
+	world := c.world
+	world.after(time.Duration(world.random.Int63n(int64(300*time.Millisecond))), func() {
 		switch {
-		case w.now >= s.until:
-		case w.random.Intn(2) == 0:
-			s.read()
-		case len(s.retryable) > 0 && w.random.Intn(4) == 0:
-			s.retry()
+		case world.now >= c.until:
+		case world.random.Intn(2) == 0:
+			c.read()
+		case len(c.retryable) > 0 && world.random.Intn(4) == 0:
+			c.retry()
 		default:
-			s.write()
+			c.write()
 		}
 	})
 }
 
 // machine draws a machine.
-func (s *simClient) machine() *simMachine {
-	w := s.world
-	if s.onlyAddress != "" {
-		return w.machines[s.onlyAddress]
+func (c *simClient) machine() *simMachine {
+	world := c.world
+	if c.onlyAddress != "" {
+		return world.machines[c.onlyAddress]
 	}
-	return w.machines[w.addresses[w.random.Intn(len(w.addresses))]]
+	return world.machines[world.addresses[world.random.Intn(len(world.addresses))]]
 }
 
 // report passes an outcome to onOutcome.
-func (s *simClient) report(outcome Outcome) {
-	if s.onOutcome != nil {
-		s.onOutcome(outcome)
+func (c *simClient) report(outcome Outcome) {
+	if c.onOutcome != nil {
+		c.onOutcome(outcome)
 	}
 }
 
 // read reads at a machine that it draws.
-func (s *simClient) read() { s.readAt(s.machine()) }
+func (c *simClient) read() { c.readAt(c.machine()) }
 
 // readAt reads at a machine.
-func (s *simClient) readAt(m *simMachine) {
-	w, called := s.world, s.world.now
-	m.request(nil, func(reply Reply) {
-		s.report(reply.Outcome)
+func (c *simClient) readAt(machine *simMachine) {
+	world, called := c.world, c.world.now
+	machine.request(nil, func(reply Reply) {
+		c.report(reply.Outcome)
 		if reply.Outcome == Applied {
-			s.version = reply.Entry.Version
+			c.version = reply.Entry.Version
 		}
-		s.last = reply.Outcome
+		c.last = reply.Outcome
 		output := simOutput{reply.Outcome, reply.Entry.Version, string(reply.Entry.Body)}
-		w.recordReturn(s.id, simInput{}, called, output)
-		s.scheduleNext()
+		world.recordReturn(c.id, simInput{}, called, output)
+		c.scheduleNext()
 	})
 }
 
 // write writes at a machine; now and then with an expected version that can't be right.
-func (s *simClient) write() {
-	w := s.world
-	s.writes++
-	input := simInput{write: true, expected: s.version, body: fmt.Sprintf("client %d write %d", s.id, s.writes)}
-	if w.random.Intn(10) == 0 {
-		input.expected += w.random.Int63n(5)
+func (c *simClient) write() {
+	world := c.world
+	c.writes++
+	input := simInput{write: true, expected: c.version, body: fmt.Sprintf("client %d write %d", c.id, c.writes)}
+	if world.random.Intn(10) == 0 {
+		input.expected += world.random.Int63n(5)
 	}
-	input.version = input.expected + 1 + w.random.Int63n(3)
-	w.recordCall(s.id, input)
-	s.attempt(input, w.now, 1, false)
+	input.version = input.expected + 1 + world.random.Int63n(3)
+	world.recordCall(c.id, input)
+	c.attempt(input, world.now, 1, false)
 }
 
 // attempt sends a write to a machine that it draws.
-func (s *simClient) attempt(input simInput, called time.Duration, number int, unknown bool) {
-	s.attemptAt(s.machine(), input, called, number, unknown)
+func (c *simClient) attempt(input simInput, called time.Duration, number int, unknown bool) {
+	c.attemptAt(c.machine(), input, called, number, unknown)
 }
 
 // attemptAt sends a write, and retries it while the outcome is unknown. A conflict ends it, unless an
 // earlier attempt can still be committed.
-func (s *simClient) attemptAt(
-	m *simMachine, input simInput, called time.Duration, number int, unknown bool,
+func (c *simClient) attemptAt(
+	machine *simMachine, input simInput, called time.Duration, number int, unknown bool,
 ) {
-	w := s.world
+	world := c.world
 	proposal := Proposal{input.expected, input.version, []byte(input.body)}
-	m.request(&proposal, func(reply Reply) {
-		s.report(reply.Outcome)
+	machine.request(&proposal, func(reply Reply) {
+		c.report(reply.Outcome)
 		outcome := reply.Outcome
-		if outcome == Unavailable && number < simAttempts && w.now < s.until {
-			delay := time.Duration(w.random.Int63n(int64(400 * time.Millisecond)))
-			w.after(delay, func() { s.attempt(input, called, number+1, true) })
+		if outcome == Unavailable && number < simAttempts && world.now < c.until {
+			delay := time.Duration(world.random.Int63n(int64(400 * time.Millisecond)))
+			world.after(delay, func() { c.attempt(input, called, number+1, true) })
 			return
 		}
 		passed := reply.Entry.Version > input.expected
@@ -114,16 +114,16 @@
 			outcome = Unavailable
 		}
 		if outcome != Conflict || passed {
-			s.retryable = append(s.retryable, input)
+			c.retryable = append(c.retryable, input)
 		}
 		if outcome == Applied {
-			s.version = input.version
+			c.version = input.version
 		}
-		s.last = outcome
+		c.last = outcome
 		if reply.Outcome == Conflict {
-			s.version = reply.Entry.Version
+			c.version = reply.Entry.Version
 		}
-		w.recordReturn(s.id, input, called, simOutput{outcome: outcome})
-		s.scheduleNext()
+		world.recordReturn(c.id, input, called, simOutput{outcome: outcome})
+		c.scheduleNext()
 	})
 }
--- a/internal/router/chain/sim_loss_test.go
+++ b/internal/router/chain/sim_loss_test.go
@@ -27,14 +27,16 @@
 	name string
 	// planned says that the machine isn't counted as lost: its replacement is there already.
 	planned bool
-	do      func(w *lossWorld, m *simMachine)
+	do      func(world *lossWorld, machine *simMachine)
 }
 
 // firstLosses are the ways in which a member is lost.
 var firstLosses = []firstLoss{
-	{"disk lost", false, func(w *lossWorld, m *simMachine) { w.wipeAt(m) }},
-	{"machine lost, another replaces it", false, func(w *lossWorld, m *simMachine) { w.remove(m) }},
-	{"machine drains, its replacement is there", true, func(w *lossWorld, m *simMachine) { w.drain(m) }},
+	{"disk lost", false, func(world *lossWorld, machine *simMachine) { world.wipeAt(machine) }},
+	{"machine lost, another replaces it", false,
+		func(world *lossWorld, machine *simMachine) { world.remove(machine) }},
+	{"machine drains, its replacement is there", true,
+		func(world *lossWorld, machine *simMachine) { world.drain(machine) }},
 }
 
 // lossWorld is a world of 2 tolerate + 1 members and one candidate.
@@ -72,56 +74,56 @@
 
 // loseAtPoint plays one replacement with a loss at a numbered point; false means that it has fewer points.
 func loseAtPoint(c *qt.C, tolerate int, first firstLoss, more int, power bool, number int) bool {
-	w := newLossWorld(c, tolerate)
-	victim := w.machines[fmt.Sprintf("10.0.0.%d", 1+number%w.members)]
+	world := newLossWorld(c, tolerate)
+	victim := world.machines[fmt.Sprintf("10.0.0.%d", 1+number%world.members)]
 	reached := 0
 	label := ""
-	w.point = func(m *simMachine, name string) {
+	world.point = func(machine *simMachine, name string) {
 		reached++
 		if reached == number {
-			w.point = nil
-			label = fmt.Sprintf("%s of %s, point %d: %s %s", first.name, victim.address, number, m.address, name)
-			w.lose(m, victim, more, power)
+			world.point = nil
+			label = fmt.Sprintf("%s of %s, point %d: %s %s", first.name, victim.address, number, machine.address, name)
+			world.lose(machine, victim, more, power)
 		}
 	}
-	first.do(w, victim)
-	w.writeAt("10.0.0.9", 1, 2, "two")
-	w.run(lossRepair)
-	if w.point != nil {
+	first.do(world, victim)
+	world.writeAt("10.0.0.9", 1, 2, "two")
+	world.run(lossRepair)
+	if world.point != nil {
 		return false
 	}
-	w.run(lossRecovery)
-	w.mustServeAcknowledged(c, label)
+	world.run(lossRecovery)
+	world.mustServeAcknowledged(c, label)
 	return true
 }
 
 // newLossWorld bootstraps a world in which version 1 is committed, and lets it stabilize.
 func newLossWorld(c *qt.C, tolerate int) *lossWorld {
-	w := &lossWorld{newWorld(int64(tolerate)), tolerate}
-	w.members, w.requiredReplicas = 2*tolerate+1, tolerate+1
-	bootstrapMembers(w.simWorld)
-	outcome := w.writeAt("10.0.0.1", 0, 1, "one")
-	w.run(time.Second)
+	world := &lossWorld{newWorld(int64(tolerate)), tolerate}
+	world.members, world.requiredReplicas = 2*tolerate+1, tolerate+1
+	bootstrapMembers(world.simWorld)
+	outcome := world.writeAt("10.0.0.1", 0, 1, "one")
+	world.run(time.Second)
 	c.Assert(*outcome, qt.Equals, Applied)
-	return w
+	return world
 }
 
 // lose takes disks at a point: first that of the machine that has reached it, then of others with a disk that
 // still have theirs; a member that is lost anyway isn't counted twice. All others may lose power as well.
 func (w *lossWorld) lose(at, victim *simMachine, more int, power bool) {
 	lost := map[string]bool{}
-	for _, m := range append([]*simMachine{at}, w.disks()...) {
-		if len(lost) < more && m.hasDisk && m != victim && !m.removed && !lost[m.address] {
-			lost[m.address] = true
-			w.wipeAt(m)
+	for _, machine := range append([]*simMachine{at}, w.disks()...) {
+		if len(lost) < more && machine.hasDisk && machine != victim && !machine.removed && !lost[machine.address] {
+			lost[machine.address] = true
+			w.wipeAt(machine)
 		}
 	}
 	if !power {
 		return
 	}
 	for _, address := range w.addresses {
-		if m := w.machines[address]; !lost[address] && !m.removed && m.up() {
-			w.downAt(m, faultfs.LoseAll)
+		if machine := w.machines[address]; !lost[address] && !machine.removed && machine.up() {
+			w.downAt(machine, faultfs.LoseAll)
 		}
 	}
 }
@@ -130,30 +132,30 @@
 func (w *lossWorld) disks() []*simMachine {
 	var disks []*simMachine
 	for _, address := range w.addresses {
-		if m := w.machines[address]; m.hasDisk {
-			disks = append(disks, m)
+		if machine := w.machines[address]; machine.hasDisk {
+			disks = append(disks, machine)
 		}
 	}
 	return disks
 }
 
 // remove removes a machine for good.
-func (w *lossWorld) remove(m *simMachine) {
-	m.crash(faultfs.KeepAll)
-	m.removed = true
+func (w *lossWorld) remove(machine *simMachine) {
+	machine.crash(faultfs.KeepAll)
+	machine.removed = true
 }
 
 // drain drains a machine, and removes it when it is drained or its time is up.
-func (w *lossWorld) drain(m *simMachine) {
+func (w *lossWorld) drain(machine *simMachine) {
 	began := w.now
-	m.step(func(n *Node) Effects { return n.Drain(w.now) })
+	machine.step(func(n *Node) Effects { return n.Drain(w.now) })
 	var check func()
 	check = func() {
-		if m.up() && !m.node.Drained() && w.now-began < lossGrace {
+		if machine.up() && !machine.node.Drained() && w.now-began < lossGrace {
 			w.after(simTick, check)
 			return
 		}
-		w.remove(m)
+		w.remove(machine)
 	}
 	w.after(simTick, check)
 }
@@ -166,8 +168,8 @@
 	w.run(time.Second)
 	c.Assert(*two, qt.Equals, Applied, comment)
 	for _, address := range w.addresses {
-		if m := w.machines[address]; !m.removed {
-			m.request(nil, func(reply Reply) {
+		if machine := w.machines[address]; !machine.removed {
+			machine.request(nil, func(reply Reply) {
 				c.Assert(reply.Outcome, qt.Equals, Applied, comment)
 				c.Assert(string(reply.Entry.Body), qt.Equals, "two", comment)
 			})
@@ -189,25 +191,26 @@
 	for _, first := range firstLosses {
 		longest := time.Duration(0)
 		for choice := range 3 * 3 * 2 {
-			w := newLossWorld(c, 1)
-			victim, second := w.disks()[choice/2%3], w.disks()[choice/6]
-			began := w.now
-			first.do(w, victim)
+			world := newLossWorld(c, 1)
+			victim, second := world.disks()[choice/2%3], world.disks()[choice/6]
+			began := world.now
+			first.do(world, victim)
 			repaired := func() bool {
-				view := w.machines["10.0.0.9"].node.View()
-				return view.Epoch > 1 && len(view.Chain) == 3 && (&nemesis{world: w.simWorld}).mayLoseDisk()
+				view := world.machines["10.0.0.9"].node.View()
+				return view.Epoch > 1 && len(view.Chain) == 3 && (&nemesis{world: world.simWorld}).mayLoseDisk()
 			}
-			for w.run(simTick); !repaired(); w.run(simTick) {
-				c.Assert(w.now-began < lossRepair, qt.IsTrue, qt.Commentf("%s of %s", first.name, victim.address))
+			for world.run(simTick); !repaired(); world.run(simTick) {
+				c.Assert(world.now-began < lossRepair, qt.IsTrue, qt.Commentf("%s of %s", first.name, victim.address))
 			}
-			longest = max(longest, w.now-began)
+			longest = max(longest, world.now-began)
 			if second.removed {
 				continue
 			}
-			w.lose(second, nil, 1, choice%2 == 1)
-			w.writeAt("10.0.0.9", 1, 2, "two")
-			w.run(lossRecovery)
-			w.mustServeAcknowledged(c, fmt.Sprintf("%s of %s, then %s", first.name, victim.address, second.address))
+			world.lose(second, nil, 1, choice%2 == 1)
+			world.writeAt("10.0.0.9", 1, 2, "two")
+			world.run(lossRecovery)
+			world.mustServeAcknowledged(c, fmt.Sprintf("%s of %s, then %s", first.name, victim.address,
+				second.address))
 		}
 		c.Logf("%s: repaired after %v at most", first.name, longest)
 	}
--- a/internal/router/chain/sim_machine_test.go
+++ b/internal/router/chain/sim_machine_test.go
@@ -40,13 +40,13 @@
 
 // addMachine makes a machine with an empty disk and starts it.
 func (w *simWorld) addMachine(address string, hasDisk, first bool) *simMachine {
-	m := &simMachine{
+	machine := &simMachine{
 		world: w, address: address, hasDisk: hasDisk, firstStart: first, disk: faultfs.New(), syncDelay: simSync,
 	}
-	w.machines[address] = m
+	w.machines[address] = machine
 	w.addresses = append(w.addresses, address)
-	m.boot()
-	return m
+	machine.boot()
+	return machine
 }
 
 // config returns the node's configuration.
@@ -64,35 +64,35 @@
 
 // boot starts the machine's process from its disk.
 func (m *simMachine) boot() {
-	w := m.world
+	world := m.world
 	m.incarnation++
-	m.busyUntil = w.now
+	m.busyUntil = world.now
 	m.waiting = map[uint64]func(Reply){}
 	var records [][]byte
 	if m.hasDisk {
 		var err error
 		options := segmentlog.Options{
 			Snapshot:  func() [][]byte { return m.node.SnapshotRecords() },
-			MaxGrowth: w.segmentGrowth,
+			MaxGrowth: world.segmentGrowth,
 		}
 		var damage *segmentlog.CorruptionError
 		m.log, records, damage, err = segmentlog.OpenOrReset(m.disk, simFolder, options)
 		if damage != nil {
-			w.tracef("%s discards its log: %v", m.address, damage)
-			w.history.damagedLogs++
+			world.tracef("%s discards its log: %v", m.address, damage)
+			world.history.damagedLogs++
 		}
 		if err != nil {
 			m.bootFailed(err)
 			return
 		}
 	}
-	node, effects, err := Open(m.config(), w.now, records)
+	node, effects, err := Open(m.config(), world.now, records)
 	if err != nil {
-		w.failf("%s: %v", m.address, err)
+		world.failf("%s: %v", m.address, err)
 		return
 	}
 	m.node, m.maxCommitted = node, 0
-	node.SetContacts(w.contacts())
+	node.SetContacts(world.contacts())
 	if len(effects.Persist) > 0 && m.hasDisk {
 		if err := m.log.Append(effects.Persist...); err != nil {
 			m.node = nil
@@ -100,7 +100,7 @@
 			return
 		}
 	}
-	w.tracef("%s starts as %s", m.address, node.Self().ID)
+	world.tracef("%s starts as %s", m.address, node.Self().ID)
 	m.release(effects)
 	m.ticks(m.incarnation)
 }
@@ -128,13 +128,13 @@
 
 // step runs one step of the node, later if the machine is busy.
 func (m *simMachine) step(do func(*Node) Effects) {
-	w := m.world
+	world := m.world
 	if !m.up() {
 		return
 	}
-	if w.now < m.busyUntil {
+	if world.now < m.busyUntil {
 		incarnation := m.incarnation
-		w.after(m.busyUntil-w.now, func() {
+		world.after(m.busyUntil-world.now, func() {
 			if m.incarnation == incarnation {
 				m.step(do)
 			}
--- a/internal/router/chain/sim_many_changes_test.go
+++ b/internal/router/chain/sim_many_changes_test.go
@@ -58,81 +58,82 @@
 }
 
 // catchUp starts a machine and checks how long and how many bytes it takes to have the state.
-func (w *manyChangesWorld) catchUp(m *simMachine, name string, atMost time.Duration) {
-	began, before := w.now, w.catchUpBytes[m.address]
-	if !m.up() {
-		m.boot()
+func (w *manyChangesWorld) catchUp(machine *simMachine, name string, atMost time.Duration) {
+	began, before := w.now, w.catchUpBytes[machine.address]
+	if !machine.up() {
+		machine.boot()
 	}
-	for !w.hasNewest(m) {
+	for !w.hasNewest(machine) {
 		w.run(simTick)
 		w.c.Assert(w.now-began < atMost, qt.IsTrue, qt.Commentf("%s after %d changes", name, w.version))
 	}
-	sent := w.catchUpBytes[m.address] - before
-	accepted := &m.node.state.accepted
+	sent := w.catchUpBytes[machine.address] - before
+	accepted := &machine.node.state.accepted
 	full := messageSize(&Message{Body: accepted.Body, History: accepted.history})
 	w.c.Logf("%s after %d changes: %v, %d bytes", name, w.version, w.now-began, sent)
 	w.c.Assert(sent <= full, qt.IsTrue, qt.Commentf("%s: %d bytes for %d", name, sent, full))
 	// a snapshot, what follows it, and a record that ends the segment
 	records := w.segmentGrowth + 2*int64(full)
-	w.c.Assert(m.log.Size() <= records, qt.IsTrue, qt.Commentf("%s: the log has %d bytes", name, m.log.Size()))
+	w.c.Assert(machine.log.Size() <= records, qt.IsTrue,
+		qt.Commentf("%s: the log has %d bytes", name, machine.log.Size()))
 }
 
 // hasNewest reports whether a machine is a replica that has the newest entry.
-func (w *manyChangesWorld) hasNewest(m *simMachine) bool {
+func (w *manyChangesWorld) hasNewest(machine *simMachine) bool {
 	latest := w.machines["10.0.0.9"].node.View().Epoch
-	state := &m.node.state
-	return m.node.InChain() && state.view.Epoch == latest && state.accepted.Epoch == latest &&
+	state := &machine.node.state
+	return machine.node.InChain() && state.view.Epoch == latest && state.accepted.Epoch == latest &&
 		state.accepted.Version == w.version
 }
 
 // TestThousandChanges makes changes while members are down, wiped, replaced and slow. A member that rejoins
 // catches up with one body and one history at most, and earlier changes are still acknowledged.
 func TestThousandChanges(t *testing.T) {
-	w := &manyChangesWorld{simWorld: newWorld(1), c: qt.New(t)}
-	w.segmentGrowth = 16 * manyChangesBody
-	bootstrapWithCandidates(w.simWorld, 0)
-	first, second, third := w.machines["10.0.0.1"], w.machines["10.0.0.2"], w.machines["10.0.0.3"]
+	world := &manyChangesWorld{simWorld: newWorld(1), c: qt.New(t)}
+	world.segmentGrowth = 16 * manyChangesBody
+	bootstrapWithCandidates(world.simWorld, 0)
+	first, second, third := world.machines["10.0.0.1"], world.machines["10.0.0.2"], world.machines["10.0.0.3"]
 
-	w.changes(150)
+	world.changes(150)
 	second.crash(faultfs.LoseAll)
-	w.changes(200)
-	w.catchUp(second, "down for 200 changes", 2*time.Second)
+	world.changes(200)
+	world.catchUp(second, "down for 200 changes", 2*time.Second)
 
 	first.crash(faultfs.LoseAll) // the head
 	first.disk.Wipe()
 	first.firstStart = false
-	w.changes(100)
-	w.catchUp(first, "wiped", 2*time.Second)
+	world.changes(100)
+	world.catchUp(first, "wiped", 2*time.Second)
 
 	third.syncDelay = slowSync
-	w.changes(100)
+	world.changes(100)
 	third.syncDelay = simSync
-	w.c.Assert(w.hasNewest(third), qt.IsTrue)
+	world.c.Assert(world.hasNewest(third), qt.IsTrue)
 
 	third.crash(faultfs.LoseAll)
 	third.removed = true
-	w.changes(50)
-	w.catchUp(w.addMachine("10.0.0.5", true, false), "replaces another", 4*time.Second)
-
-	w.changes(int(manyChanges - w.version))
-	w.othersDown(nil)
-	w.run(time.Second)
-	for _, m := range []*simMachine{first, second, w.machines["10.0.0.5"]} {
-		w.catchUp(m, "power lost by all", 2*time.Second)
+	world.changes(50)
+	world.catchUp(world.addMachine("10.0.0.5", true, false), "replaces another", 4*time.Second)
+
+	world.changes(int(manyChanges - world.version))
+	world.othersDown(nil)
+	world.run(time.Second)
+	for _, machine := range []*simMachine{first, second, world.machines["10.0.0.5"]} {
+		world.catchUp(machine, "power lost by all", 2*time.Second)
 	}
-	w.catchUpWithTheLargest(second)
+	world.catchUpWithTheLargest(second)
 	for version := int64(1); version <= manyChanges; version += 111 {
-		again := w.writeAt("10.0.0.9", version-1, version, w.body(version))
-		other := w.writeAt("10.0.0.1", version-1, version, "another")
-		w.run(2 * time.Second)
-		w.c.Assert([]Outcome{*again, *other}, qt.DeepEquals, []Outcome{Applied, Conflict})
+		again := world.writeAt("10.0.0.9", version-1, version, world.body(version))
+		other := world.writeAt("10.0.0.1", version-1, version, "another")
+		world.run(2 * time.Second)
+		world.c.Assert([]Outcome{*again, *other}, qt.DeepEquals, []Outcome{Applied, Conflict})
 	}
-	w.c.Assert(w.failure, qt.Equals, "")
+	world.c.Assert(world.failure, qt.Equals, "")
 }
 
 // catchUpWithTheLargest lets the links be as slow as they may be and the body as large: a write and an
 // emptied disk cost no views that are not theirs.
-func (w *manyChangesWorld) catchUpWithTheLargest(m *simMachine) {
+func (w *manyChangesWorld) catchUpWithTheLargest(machine *simMachine) {
 	w.rate = memberRate
 	epoch := func() uint64 { return w.machines["10.0.0.9"].node.View().Epoch }
 	before, began := epoch(), w.now
@@ -140,9 +141,9 @@
 	w.c.Logf("the largest body is written after %v", w.now-began)
 	w.run(2 * time.Second)
 	w.c.Assert(epoch(), qt.Equals, before)
-	m.crash(faultfs.LoseAll)
-	m.disk.Wipe()
-	w.catchUp(m, "wiped, the largest body at 100 Mbit/s", 3*time.Second)
+	machine.crash(faultfs.LoseAll)
+	machine.disk.Wipe()
+	w.catchUp(machine, "wiped, the largest body at 100 Mbit/s", 3*time.Second)
 	w.run(2 * time.Second)
 	w.c.Assert(epoch() <= before+2, qt.IsTrue, qt.Commentf("%d views", epoch()-before))
 }
--- a/internal/router/chain/sim_nemesis_test.go
+++ b/internal/router/chain/sim_nemesis_test.go
@@ -17,132 +17,133 @@
 }
 
 // scheduleNext schedules the next fault.
-func (s *nemesis) scheduleNext() {
-	w := s.world
-	w.after(time.Duration(w.random.Int63n(int64(900*time.Millisecond))), func() {
-		if w.now >= s.until {
+func (ne *nemesis) scheduleNext() {
+	world := ne.world
+	world.after(time.Duration(world.random.Int63n(int64(900*time.Millisecond))), func() {
+		if world.now >= ne.until {
 			return
 		}
-		s.fault()
-		s.scheduleNext()
+		ne.fault()
+		ne.scheduleNext()
 	})
 }
 
 // machine draws a machine that is not removed.
-func (s *nemesis) machine() *simMachine {
-	w := s.world
+func (ne *nemesis) machine() *simMachine {
+	world := ne.world
 	for {
-		if m := w.machines[w.addresses[w.random.Intn(len(w.addresses))]]; !m.removed {
-			return m
+		if machine := world.machines[world.addresses[world.random.Intn(len(world.addresses))]]; !machine.removed {
+			return machine
 		}
 	}
 }
 
 // fault injects one fault.
-func (s *nemesis) fault() {
+func (ne *nemesis) fault() {
 	faults := []struct {
 		name string
 		do   func(*simMachine)
 	}{
-		{"process killed", s.kill}, {"power lost", s.losePower}, {"power lost by all", s.losePowerOfAll},
-		{"crash in the disk", s.crashInDisk}, {"disk fails once", s.failDiskOnce}, {"disk full", s.fillDisk},
-		{"process stall", s.stall}, {"disk lost", s.wipeDisk}, {"disk lost while the others lose power",
-			s.wipeDiskAndLosePower},
-		{"machine replaced", s.replace}, {"partition", s.partition}, {"one-way partition", s.partitionOneWay},
-		{"lossy links", s.degradeLinks}, {"drain", s.drain}, {"all links healed", s.healLinks},
-		{"corruption at the end of the log", s.corruptLog},
+		{"process killed", ne.kill}, {"power lost", ne.losePower}, {"power lost by all", ne.losePowerOfAll},
+		{"crash in the disk", ne.crashInDisk}, {"disk fails once", ne.failDiskOnce}, {"disk full", ne.fillDisk},
+		{"process stall", ne.stall}, {"disk lost", ne.wipeDisk}, {"disk lost while the others lose power",
+			ne.wipeDiskAndLosePower},
+		{"machine replaced", ne.replace}, {"partition", ne.partition}, {"one-way partition", ne.partitionOneWay},
+		{"lossy links", ne.degradeLinks}, {"drain", ne.drain}, {"all links healed", ne.healLinks},
+		{"corruption at the end of the log", ne.corruptLog},
 	}
-	m := s.machine()
-	one := faults[s.world.random.Intn(len(faults))]
-	s.world.tracef("fault: %s at %s", one.name, m.address)
-	one.do(m)
+	machine := ne.machine()
+	one := faults[ne.world.random.Intn(len(faults))]
+	ne.world.tracef("fault: %s at %s", one.name, machine.address)
+	one.do(machine)
 }
 
 // restartLater starts a machine again after a random time.
-func (s *nemesis) restartLater(m *simMachine) {
-	w := s.world
-	if w.now >= s.until {
-		m.boot()
+func (ne *nemesis) restartLater(machine *simMachine) {
+	world := ne.world
+	if world.now >= ne.until {
+		machine.boot()
 		return
 	}
 	longest := 500 * time.Millisecond
-	if w.random.Intn(3) == 0 {
+	if world.random.Intn(3) == 0 {
 		longest = 4 * time.Second
 	}
-	incarnation := m.incarnation
-	w.after(time.Duration(w.random.Int63n(int64(longest))), func() {
-		if m.incarnation == incarnation && !m.up() && !m.removed {
-			m.boot()
+	incarnation := machine.incarnation
+	world.after(time.Duration(world.random.Int63n(int64(longest))), func() {
+		if machine.incarnation == incarnation && !machine.up() && !machine.removed {
+			machine.boot()
 		}
 	})
 }
 
 // drawLoss draws what a power loss leaves on the disk.
-func (s *nemesis) drawLoss() faultfs.Loss {
-	return []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome}[s.world.random.Intn(3)]
+func (ne *nemesis) drawLoss() faultfs.Loss {
+	return []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome}[ne.world.random.Intn(3)]
 }
 
-func (s *nemesis) kill(m *simMachine) {
-	m.crash(faultfs.KeepAll)
-	s.restartLater(m)
+func (ne *nemesis) kill(machine *simMachine) {
+	machine.crash(faultfs.KeepAll)
+	ne.restartLater(machine)
 }
 
-func (s *nemesis) losePower(m *simMachine) {
-	m.crash(s.drawLoss())
-	s.restartLater(m)
+func (ne *nemesis) losePower(machine *simMachine) {
+	machine.crash(ne.drawLoss())
+	ne.restartLater(machine)
 }
 
-func (s *nemesis) losePowerOfAll(*simMachine) {
-	for _, address := range s.world.addresses {
-		if m := s.world.machines[address]; !m.removed {
-			s.losePower(m)
+func (ne *nemesis) losePowerOfAll(*simMachine) {
+	for _, address := range ne.world.addresses {
+		if machine := ne.world.machines[address]; !machine.removed {
+			ne.losePower(machine)
 		}
 	}
 }
 
 // crashInDisk crashes the machine at one of its next operations on the disk.
-func (s *nemesis) crashInDisk(m *simMachine) {
-	if !m.hasDisk || !m.up() {
+func (ne *nemesis) crashInDisk(machine *simMachine) {
+	if !machine.hasDisk || !machine.up() {
 		return
 	}
-	w := s.world
-	fault := []faultfs.Fault{faultfs.CrashBefore, faultfs.CrashAfter}[w.random.Intn(2)]
-	m.disk.FaultAt(1+w.random.Intn(8), fault)
-	w.after(2*time.Second, func() {
-		if m.disk.Down() && !m.removed {
-			m.crash(s.drawLoss())
-			s.restartLater(m)
+	world := ne.world
+	fault := []faultfs.Fault{faultfs.CrashBefore, faultfs.CrashAfter}[world.random.Intn(2)]
+	machine.disk.FaultAt(1+world.random.Intn(8), fault)
+	world.after(2*time.Second, func() {
+		if machine.disk.Down() && !machine.removed {
+			machine.crash(ne.drawLoss())
+			ne.restartLater(machine)
 		}
 	})
 }
 
-func (s *nemesis) failDiskOnce(m *simMachine) {
-	m.disk.FaultAt(1+s.world.random.Intn(4), faultfs.FailIO)
+func (ne *nemesis) failDiskOnce(machine *simMachine) {
+	machine.disk.FaultAt(1+ne.world.random.Intn(4), faultfs.FailIO)
 }
 
-func (s *nemesis) fillDisk(m *simMachine) {
-	m.disk.Capacity = 1
-	s.world.after(time.Duration(s.world.random.Int63n(int64(3*time.Second))), func() { m.disk.Capacity = 0 })
+func (ne *nemesis) fillDisk(machine *simMachine) {
+	machine.disk.Capacity = 1
+	ne.world.after(time.Duration(ne.world.random.Int63n(int64(3*time.Second))),
+		func() { machine.disk.Capacity = 0 })
 }
 
-func (s *nemesis) stall(m *simMachine) {
-	m.busyUntil = s.world.now + time.Duration(s.world.random.Int63n(int64(3*time.Second)))
+func (ne *nemesis) stall(machine *simMachine) {
+	machine.busyUntil = ne.world.now + time.Duration(ne.world.random.Int63n(int64(3*time.Second)))
 }
 
 // mayLoseDisk reports whether one more disk can be lost: the last one that was lost has been replaced in the
 // latest view and in each one that may still be decided, and each replica of the latest view has the state.
-func (s *nemesis) mayLoseDisk() bool {
+func (ne *nemesis) mayLoseDisk() bool {
 	disks := map[MemberID]durableState{}
 	var latest View
 	var named []MemberID
-	for _, address := range s.world.addresses {
-		m := s.world.machines[address]
-		if m.removed || !m.hasDisk || !m.up() {
+	for _, address := range ne.world.addresses {
+		machine := ne.world.machines[address]
+		if machine.removed || !machine.hasDisk || !machine.up() {
 			continue
 		}
-		disks[m.node.state.id] = m.node.stable.durableState
-		named = append(named, memberIDs(m.node.stable.acceptor.acceptedView.Members)...)
-		if view := m.node.state.view; view.Epoch > latest.Epoch {
+		disks[machine.node.state.id] = machine.node.stable.durableState
+		named = append(named, memberIDs(machine.node.stable.acceptor.acceptedView.Members)...)
+		if view := machine.node.state.view; view.Epoch > latest.Epoch {
 			latest = view
 		}
 	}
@@ -158,144 +159,144 @@
 	return true
 }
 
-func (s *nemesis) wipeDisk(m *simMachine) {
-	if !m.hasDisk || !s.mayLoseDisk() {
+func (ne *nemesis) wipeDisk(machine *simMachine) {
+	if !machine.hasDisk || !ne.mayLoseDisk() {
 		return
 	}
-	m.crash(faultfs.KeepAll)
-	m.disk.Wipe()
-	m.firstStart = false
-	s.world.history.disksLost++
-	s.restartLater(m)
+	machine.crash(faultfs.KeepAll)
+	machine.disk.Wipe()
+	machine.firstStart = false
+	ne.world.history.disksLost++
+	ne.restartLater(machine)
 }
 
 // corruptLog flips a bit of a log's last records while the machine is down, which then counts as having lost
 // its disk.
-func (s *nemesis) corruptLog(m *simMachine) {
-	if !m.hasDisk || !s.mayLoseDisk() {
+func (ne *nemesis) corruptLog(machine *simMachine) {
+	if !machine.hasDisk || !ne.mayLoseDisk() {
 		return
 	}
-	m.crash(s.drawLoss())
-	names, err := m.disk.List(simFolder)
+	machine.crash(ne.drawLoss())
+	names, err := machine.disk.List(simFolder)
 	if err != nil || len(names) == 0 {
-		s.restartLater(m)
+		ne.restartLater(machine)
 		return
 	}
 	name := simFolder + "/" + slices.Max(names)
-	data, err := m.disk.ReadFile(name)
+	data, err := machine.disk.ReadFile(name)
 	if err == nil && strings.HasSuffix(name, ".segment") && len(data) > 0 {
-		err = m.disk.Corrupt(name, len(data)-1-s.world.random.Intn(min(len(data), 200)))
+		err = machine.disk.Corrupt(name, len(data)-1-ne.world.random.Intn(min(len(data), 200)))
 	}
 	if err != nil {
-		s.world.failf("%s: %v", m.address, err)
+		ne.world.failf("%s: %v", machine.address, err)
 	}
-	m.firstStart = false
-	s.world.history.disksLost++
-	s.restartLater(m)
+	machine.firstStart = false
+	ne.world.history.disksLost++
+	ne.restartLater(machine)
 }
 
-func (s *nemesis) wipeDiskAndLosePower(m *simMachine) {
-	if !m.hasDisk || !s.mayLoseDisk() {
+func (ne *nemesis) wipeDiskAndLosePower(machine *simMachine) {
+	if !machine.hasDisk || !ne.mayLoseDisk() {
 		return
 	}
-	s.wipeDisk(m)
-	for _, address := range s.world.addresses {
-		if other := s.world.machines[address]; !other.removed && other != m {
-			s.losePower(other)
+	ne.wipeDisk(machine)
+	for _, address := range ne.world.addresses {
+		if other := ne.world.machines[address]; !other.removed && other != machine {
+			ne.losePower(other)
 		}
 	}
 }
 
 // replace removes a machine and starts another at a new address.
-func (s *nemesis) replace(m *simMachine) {
-	if !m.hasDisk || !s.mayLoseDisk() {
+func (ne *nemesis) replace(machine *simMachine) {
+	if !machine.hasDisk || !ne.mayLoseDisk() {
 		return
 	}
-	m.crash(faultfs.KeepAll)
-	m.removed = true
-	s.world.history.disksLost++
-	s.added++
-	s.world.addMachine(fmt.Sprintf("10.0.1.%d", s.added), true, false)
-	for _, address := range s.world.addresses {
-		if other := s.world.machines[address]; other.up() {
-			other.node.SetContacts(s.world.contacts())
+	machine.crash(faultfs.KeepAll)
+	machine.removed = true
+	ne.world.history.disksLost++
+	ne.added++
+	ne.world.addMachine(fmt.Sprintf("10.0.1.%d", ne.added), true, false)
+	for _, address := range ne.world.addresses {
+		if other := ne.world.machines[address]; other.up() {
+			other.node.SetContacts(ne.world.contacts())
 		}
 	}
 }
 
 // partition separates the machines into two groups.
-func (s *nemesis) partition(*simMachine) {
-	w := s.world
+func (ne *nemesis) partition(*simMachine) {
+	world := ne.world
 	side := map[string]bool{}
-	for _, address := range w.addresses {
-		side[address] = w.random.Intn(2) == 0
+	for _, address := range world.addresses {
+		side[address] = world.random.Intn(2) == 0
 	}
-	for _, from := range w.addresses {
-		for _, to := range w.addresses {
-			w.link(from, to).blocked = side[from] != side[to]
+	for _, from := range world.addresses {
+		for _, to := range world.addresses {
+			world.link(from, to).blocked = side[from] != side[to]
 		}
 	}
-	w.after(time.Duration(w.random.Int63n(int64(4*time.Second))), func() { s.healLinks(nil) })
+	world.after(time.Duration(world.random.Int63n(int64(4*time.Second))), func() { ne.healLinks(nil) })
 }
 
-func (s *nemesis) partitionOneWay(m *simMachine) {
-	other := s.machine()
-	if other == m {
+func (ne *nemesis) partitionOneWay(machine *simMachine) {
+	other := ne.machine()
+	if other == machine {
 		return
 	}
-	link := s.world.link(m.address, other.address)
+	link := ne.world.link(machine.address, other.address)
 	link.blocked = true
-	s.world.after(time.Duration(s.world.random.Int63n(int64(4*time.Second))), func() { link.blocked = false })
+	ne.world.after(time.Duration(ne.world.random.Int63n(int64(4*time.Second))), func() { link.blocked = false })
 }
 
-func (s *nemesis) degradeLinks(*simMachine) {
-	w := s.world
-	loss, delay := w.random.Float64()*0.3, time.Duration(w.random.Int63n(int64(60*time.Millisecond)))
-	for _, from := range w.addresses {
-		for _, to := range w.addresses {
-			link := w.link(from, to)
+func (ne *nemesis) degradeLinks(*simMachine) {
+	world := ne.world
+	loss, delay := world.random.Float64()*0.3, time.Duration(world.random.Int63n(int64(60*time.Millisecond)))
+	for _, from := range world.addresses {
+		for _, to := range world.addresses {
+			link := world.link(from, to)
 			link.loss, link.delay = loss, delay
 		}
 	}
 }
 
-func (s *nemesis) drain(m *simMachine) {
-	if !m.up() {
+func (ne *nemesis) drain(machine *simMachine) {
+	if !machine.up() {
 		return
 	}
-	m.step(func(n *Node) Effects { return n.Drain(s.world.now) })
-	incarnation := m.incarnation
-	s.world.after(800*time.Millisecond, func() {
-		if m.incarnation == incarnation && m.up() {
-			m.crash(faultfs.KeepAll)
-			s.restartLater(m)
+	machine.step(func(n *Node) Effects { return n.Drain(ne.world.now) })
+	incarnation := machine.incarnation
+	ne.world.after(800*time.Millisecond, func() {
+		if machine.incarnation == incarnation && machine.up() {
+			machine.crash(faultfs.KeepAll)
+			ne.restartLater(machine)
 		}
 	})
 }
 
-func (s *nemesis) healLinks(*simMachine) {
-	for _, link := range s.world.links {
+func (ne *nemesis) healLinks(*simMachine) {
+	for _, link := range ne.world.links {
 		*link = simLink{}
 	}
 }
 
 // healAll ends all faults and starts what is down.
-func (s *nemesis) healAll() {
-	s.healLinks(nil)
-	s.world.duplicates = 0
-	for _, address := range s.world.addresses {
-		m := s.world.machines[address]
-		m.disk.Capacity = 0
-		m.disk.FaultAt(0, faultfs.NoFault)
-		m.busyUntil = min(m.busyUntil, s.world.now)
-		if m.removed {
+func (ne *nemesis) healAll() {
+	ne.healLinks(nil)
+	ne.world.duplicates = 0
+	for _, address := range ne.world.addresses {
+		machine := ne.world.machines[address]
+		machine.disk.Capacity = 0
+		machine.disk.FaultAt(0, faultfs.NoFault)
+		machine.busyUntil = min(machine.busyUntil, ne.world.now)
+		if machine.removed {
 			continue
 		}
-		if m.disk.Down() {
-			m.crash(faultfs.LoseSome)
+		if machine.disk.Down() {
+			machine.crash(faultfs.LoseSome)
 		}
-		if !m.up() {
-			m.boot()
+		if !machine.up() {
+			machine.boot()
 		}
 	}
 }
--- a/internal/router/chain/sim_partition_test.go
+++ b/internal/router/chain/sim_partition_test.go
@@ -53,9 +53,9 @@
 					name := fmt.Sprint(kind.name, ", replica ", replica, ", ", candidates, " candidates, seed ", seed)
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
-						w := newPartitionWorld(int64(seed), candidates)
-						w.play(kind, replica)
-						w.mustBeLinearizable(t)
+						world := newPartitionWorld(int64(seed), candidates)
+						world.play(kind, replica)
+						world.mustBeLinearizable(t)
 					})
 				}
 			}
@@ -75,14 +75,14 @@
 
 // newPartitionWorld bootstraps three members, candidates and a machine without a disk, with a client at each.
 func newPartitionWorld(seed int64, candidates int) *partitionWorld {
-	w := &partitionWorld{simWorld: newWorld(seed), mustAnswer: map[string]bool{}, answers: map[Outcome]int{}}
-	bootstrapWithCandidates(w.simWorld, candidates)
-	for id, address := range w.addresses {
-		client := &simClient{world: w.simWorld, id: id, onlyAddress: address, until: time.Hour}
-		client.onOutcome = func(outcome Outcome) { w.answer(address, outcome) }
+	world := &partitionWorld{simWorld: newWorld(seed), mustAnswer: map[string]bool{}, answers: map[Outcome]int{}}
+	bootstrapWithCandidates(world.simWorld, candidates)
+	for id, address := range world.addresses {
+		client := &simClient{world: world.simWorld, id: id, onlyAddress: address, until: time.Hour}
+		client.onOutcome = func(outcome Outcome) { world.answer(address, outcome) }
 		client.scheduleNext()
 	}
-	return w
+	return world
 }
 
 // answer checks an outcome that a client got.
--- a/internal/router/chain/sim_points_test.go
+++ b/internal/router/chain/sim_points_test.go
@@ -13,66 +13,69 @@
 // pointFault is what happens at a numbered point, to the machine that has reached it.
 type pointFault struct {
 	name string
-	do   func(w *simWorld, m *simMachine)
+	do   func(world *simWorld, machine *simMachine)
 }
 
 // pointFaults are the faults that each numbered point gets in turn.
 var pointFaults = []pointFault{
-	{"process killed", func(w *simWorld, m *simMachine) { w.downAt(m, faultfs.KeepAll) }},
-	{"power lost", func(w *simWorld, m *simMachine) { w.downAt(m, faultfs.LoseAll) }},
-	{"power lost, some writes persisted", func(w *simWorld, m *simMachine) { w.downAt(m, faultfs.LoseSome) }},
-	{"power lost by all", func(w *simWorld, _ *simMachine) { w.othersDown(nil) }},
-	{"disk lost", func(w *simWorld, m *simMachine) { w.wipeAt(m) }},
-	{"disk lost while the others lose power", func(w *simWorld, m *simMachine) {
-		w.wipeAt(m)
-		w.othersDown(m)
+	{"process killed", func(world *simWorld, machine *simMachine) { world.downAt(machine, faultfs.KeepAll) }},
+	{"power lost", func(world *simWorld, machine *simMachine) { world.downAt(machine, faultfs.LoseAll) }},
+	{"power lost, some writes persisted", func(world *simWorld,
+		machine *simMachine) {
+		world.downAt(machine, faultfs.LoseSome)
+	}},
+	{"power lost by all", func(world *simWorld, _ *simMachine) { world.othersDown(nil) }},
+	{"disk lost", func(world *simWorld, machine *simMachine) { world.wipeAt(machine) }},
+	{"disk lost while the others lose power", func(world *simWorld, machine *simMachine) {
+		world.wipeAt(machine)
+		world.othersDown(machine)
 	}},
 }
 
 // downAt stops a machine and starts it again a while later.
-func (w *simWorld) downAt(m *simMachine, loss faultfs.Loss) {
-	m.crash(loss)
-	incarnation := m.incarnation
+func (w *simWorld) downAt(machine *simMachine, loss faultfs.Loss) {
+	machine.crash(loss)
+	incarnation := machine.incarnation
 	w.after(200*time.Millisecond, func() {
-		if m.incarnation == incarnation {
-			m.boot()
+		if machine.incarnation == incarnation {
+			machine.boot()
 		}
 	})
 }
 
 // wipeAt stops a machine and starts it again a while later with an empty disk.
-func (w *simWorld) wipeAt(m *simMachine) {
-	w.downAt(m, faultfs.KeepAll)
-	m.disk.Wipe()
-	m.firstStart = false
+func (w *simWorld) wipeAt(machine *simMachine) {
+	w.downAt(machine, faultfs.KeepAll)
+	machine.disk.Wipe()
+	machine.firstStart = false
 }
 
 // othersDown lets all machines but one lose power.
 func (w *simWorld) othersDown(spared *simMachine) {
 	for _, address := range w.addresses {
-		if m := w.machines[address]; m != spared {
-			w.downAt(m, faultfs.LoseAll)
+		if machine := w.machines[address]; machine != spared {
+			w.downAt(machine, faultfs.LoseAll)
 		}
 	}
 }
 
 // threeMachines bootstraps a chain of three in which version 1 is committed, and lets it stabilize.
 func threeMachines(c *qt.C, growth int64) *simWorld {
-	w := newWorld(1)
-	w.segmentGrowth = growth
+	world := newWorld(1)
+	world.segmentGrowth = growth
 	var members []Member
 	for i := range 3 {
-		members = append(members, w.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true).node.Self())
+		members = append(members, world.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true).node.Self())
 	}
-	for _, address := range w.addresses {
-		w.machines[address].node.SetContacts(w.contacts())
+	for _, address := range world.addresses {
+		world.machines[address].node.SetContacts(world.contacts())
 	}
-	w.machines["10.0.0.1"].step(func(n *Node) Effects { return n.Bootstrap(w.now, members) })
-	w.run(time.Second)
-	outcome := w.writeAt("10.0.0.1", 0, 1, "one")
-	w.run(2 * time.Second)
+	world.machines["10.0.0.1"].step(func(n *Node) Effects { return n.Bootstrap(world.now, members) })
+	world.run(time.Second)
+	outcome := world.writeAt("10.0.0.1", 0, 1, "one")
+	world.run(2 * time.Second)
 	c.Assert(*outcome, qt.Equals, Applied)
-	return w
+	return world
 }
 
 // writeAt starts a write at a machine; the outcome is filled in later.
@@ -140,25 +143,25 @@
 
 // writeWithPoint writes with a fault at a numbered point; false means that the write has fewer points.
 func writeWithPoint(c *qt.C, origin string, fault pointFault, number int, seen map[string]bool) bool {
-	w := threeMachines(c, simSegmentGrowth)
+	world := threeMachines(c, simSegmentGrowth)
 	reached := 0
 	label := ""
-	w.point = func(m *simMachine, name string) {
+	world.point = func(machine *simMachine, name string) {
 		reached++
 		if reached == number {
-			w.point = nil
-			label = fmt.Sprintf("%s at point %d: %s %s", fault.name, number, m.address, name)
-			seen[m.address+" "+name] = true
-			fault.do(w, m)
+			world.point = nil
+			label = fmt.Sprintf("%s at point %d: %s %s", fault.name, number, machine.address, name)
+			seen[machine.address+" "+name] = true
+			fault.do(world, machine)
 		}
 	}
-	outcome := w.writeAt(origin, 1, 2, "two")
-	w.run(100 * time.Millisecond)
-	if w.point != nil {
+	outcome := world.writeAt(origin, 1, 2, "two")
+	world.run(100 * time.Millisecond)
+	if world.point != nil {
 		return false
 	}
-	w.run(5 * time.Second)
-	w.mustHold(c, *outcome, label)
+	world.run(5 * time.Second)
+	world.mustHold(c, *outcome, label)
 	return true
 }
 
@@ -187,19 +190,19 @@
 func writeWithDiskFault(
 	c *qt.C, growth int64, replica string, fault faultfs.Fault, loss faultfs.Loss, number int,
 ) bool {
-	w := threeMachines(c, growth)
-	m := w.machines[replica]
-	before := m.disk.Operations
-	m.disk.FaultAt(number, fault)
-	outcome := w.writeAt("10.0.0.1", 1, 2, "two")
-	w.run(100 * time.Millisecond)
-	if m.disk.Operations < before+number {
+	world := threeMachines(c, growth)
+	machine := world.machines[replica]
+	before := machine.disk.Operations
+	machine.disk.FaultAt(number, fault)
+	outcome := world.writeAt("10.0.0.1", 1, 2, "two")
+	world.run(100 * time.Millisecond)
+	if machine.disk.Operations < before+number {
 		return false
 	}
-	if m.disk.Down() {
-		w.downAt(m, loss)
+	if machine.disk.Down() {
+		world.downAt(machine, loss)
 	}
-	w.run(5 * time.Second)
-	w.mustHold(c, *outcome, fmt.Sprintf("%s, fault %d, loss %d, operation %d", replica, fault, loss, number))
+	world.run(5 * time.Second)
+	world.mustHold(c, *outcome, fmt.Sprintf("%s, fault %d, loss %d, operation %d", replica, fault, loss, number))
 	return true
 }
--- a/internal/router/chain/sim_race_test.go
+++ b/internal/router/chain/sim_race_test.go
@@ -27,14 +27,14 @@
 func TestOperatorsRaceForAVersion(t *testing.T) {
 	forEachSeed(t, fromEnvironment(raceSeedsVariable, raceSeeds), func(t *testing.T, seed int) {
 		t.Helper()
-		w := newWorld(int64(seed))
+		world := newWorld(int64(seed))
 		if seed%2 == 0 {
-			w.historyLength = simShortHistory
+			world.historyLength = simShortHistory
 		}
-		bootstrapMembers(w)
-		r := &raceWorld{simWorld: w, faults: &nemesis{world: w, until: w.now + raceFaults}}
-		r.play()
-		w.mustBeLinearizable(t)
+		bootstrapMembers(world)
+		race := &raceWorld{simWorld: world, faults: &nemesis{world: world, until: world.now + raceFaults}}
+		race.play()
+		world.mustBeLinearizable(t)
 	})
 }
 
@@ -88,56 +88,57 @@
 
 // send sends the write to some machines, and again as long as there is no definite outcome.
 func (r *racer) send() {
-	w := r.world
-	if r.outcome != 0 || w.failure != "" {
+	world := r.world
+	if r.outcome != 0 || world.failure != "" {
 		return
 	}
 	for range raceMachines {
-		m := w.machines[w.addresses[w.random.Intn(len(w.addresses))]]
+		machine := world.machines[world.addresses[world.random.Intn(len(world.addresses))]]
 		proposal := Proposal{r.input.expected, r.input.version, []byte(r.input.body)}
-		m.request(&proposal, r.onReply)
+		machine.request(&proposal, r.onReply)
 	}
-	w.after(raceRetry+time.Duration(w.random.Int63n(int64(raceRetry))), r.send)
+	world.after(raceRetry+time.Duration(world.random.Int63n(int64(raceRetry))), r.send)
 }
 
 // onReply handles a reply; half of them count as lost, but also those must be right.
 func (r *racer) onReply(reply Reply) {
-	w, h := r.world, &r.world.history
+	world, h := r.world, &r.world.history
 	_, committed := h.committed[r.input.body]
 	switch reply.Outcome {
 	case Applied:
 		if !committed || h.rejected[r.input.body] {
-			w.failf("%q is acknowledged, committed %v, rejected %v", r.input.body, committed, h.rejected[r.input.body])
+			world.failf("%q is acknowledged, committed %v, rejected %v", r.input.body, committed,
+				h.rejected[r.input.body])
 		}
 	case Conflict:
 		if reply.Entry.Version <= r.input.expected {
-			w.failf("%q is rejected by version %d", r.input.body, reply.Entry.Version)
+			world.failf("%q is rejected by version %d", r.input.body, reply.Entry.Version)
 		}
-		w.recordRejection(r.input.body)
+		world.recordRejection(r.input.body)
 	default:
 		return
 	}
-	if r.outcome != 0 || w.random.Intn(2) == 0 {
+	if r.outcome != 0 || world.random.Intn(2) == 0 {
 		return
 	}
 	r.outcome = reply.Outcome
-	for i, one := range w.racers {
+	for i, one := range world.racers {
 		if one == r {
-			w.recordReturn(i, r.input, r.called, simOutput{outcome: r.outcome})
+			world.recordReturn(i, r.input, r.called, simOutput{outcome: r.outcome})
 		}
 	}
-	w.endRound()
+	world.endRound()
 }
 
 // endRound begins the next round when each write of this one has a definite outcome.
 func (w *raceWorld) endRound() {
 	var winners []*racer
-	for _, r := range w.racers {
-		if r.outcome == 0 {
+	for _, racer := range w.racers {
+		if racer.outcome == 0 {
 			return
 		}
-		if r.outcome == Applied {
-			winners = append(winners, r)
+		if racer.outcome == Applied {
+			winners = append(winners, racer)
 		}
 	}
 	if len(winners) != 1 {
--- a/internal/router/chain/sim_retry_test.go
+++ b/internal/router/chain/sim_retry_test.go
@@ -4,20 +4,20 @@
 
 // retry sends one of the client's earlier writes unchanged, or confirms it by its digest, at a machine it
 // draws.
-func (s *simClient) retry() {
-	w := s.world
-	input := s.retryable[w.random.Intn(len(s.retryable))]
+func (c *simClient) retry() {
+	world := c.world
+	input := c.retryable[world.random.Intn(len(c.retryable))]
 	judge := func(reply Reply) {
-		w.checkRetry(input, reply)
-		s.scheduleNext()
+		world.checkRetry(input, reply)
+		c.scheduleNext()
 	}
-	if w.random.Intn(2) == 0 {
+	if world.random.Intn(2) == 0 {
 		name := ChangeID{input.expected, input.version, digestOfBody([]byte(input.body))}
-		s.machine().confirm(name, judge)
+		c.machine().confirm(name, judge)
 		return
 	}
 	proposal := Proposal{input.expected, input.version, []byte(input.body)}
-	s.machine().request(&proposal, judge)
+	c.machine().request(&proposal, judge)
 }
 
 // checkRetry checks the reply to a write that was retried: it is acknowledged if it was ever committed, and
--- a/internal/router/chain/sim_test.go
+++ b/internal/router/chain/sim_test.go
@@ -71,11 +71,11 @@
 	var disks, damages, replaced atomic.Int64
 	forEachSeed(t, seeds, func(t *testing.T, seed int) {
 		t.Helper()
-		w := simulate(t, int64(seed))
-		disks.Add(int64(w.history.disksLost))
-		damages.Add(int64(w.history.damagedLogs))
-		replaced.Add(int64(w.history.replacedRetries))
-		for outcome, count := range w.history.outcomes {
+		world := simulate(t, int64(seed))
+		disks.Add(int64(world.history.disksLost))
+		damages.Add(int64(world.history.damagedLogs))
+		replaced.Add(int64(world.history.replacedRetries))
+		for outcome, count := range world.history.outcomes {
 			total[outcome].Add(int64(count))
 		}
 	})
@@ -94,94 +94,94 @@
 // simulate runs one seed.
 func simulate(t *testing.T, seed int64) *simWorld {
 	t.Helper()
-	w := newWorld(seed)
+	world := newWorld(seed)
 	if seed%3 == 0 {
-		w.members, w.requiredReplicas = 5, 3
+		world.members, world.requiredReplicas = 5, 3
 	}
 	if seed%4 == 0 {
-		w.historyLength = simShortHistory
+		world.historyLength = simShortHistory
 	}
-	bootstrapMembers(w)
-	s := &nemesis{world: w, until: w.now + simFaults}
-	w.duplicates = 0.05 * float64(w.random.Intn(2))
+	bootstrapMembers(world)
+	faults := &nemesis{world: world, until: world.now + simFaults}
+	world.duplicates = 0.05 * float64(world.random.Intn(2))
 	for client := range 4 {
-		(&simClient{world: w, id: client, until: s.until + simRecovery}).scheduleNext()
+		(&simClient{world: world, id: client, until: faults.until + simRecovery}).scheduleNext()
 	}
-	s.scheduleNext()
-	w.run(simFaults)
-	w.tracef("all faults end")
-	s.healAll()
-	w.run(simRecovery)
-	s.world.tracef("clients end")
-	mustServe(w)
-	w.describe()
-	w.mustBeLinearizable(t)
-	return w
+	faults.scheduleNext()
+	world.run(simFaults)
+	world.tracef("all faults end")
+	faults.healAll()
+	world.run(simRecovery)
+	faults.world.tracef("clients end")
+	mustServe(world)
+	world.describe()
+	world.mustBeLinearizable(t)
+	return world
 }
 
 // describe adds the state of each machine to the trace.
 func (w *simWorld) describe() {
 	for _, address := range w.addresses {
-		m := w.machines[address]
-		if !m.up() {
-			w.tracef("%s is down, removed %v, disk down %v", address, m.removed, m.disk.Down())
+		machine := w.machines[address]
+		if !machine.up() {
+			w.tracef("%s is down, removed %v, disk down %v", address, machine.removed, machine.disk.Down())
 			continue
 		}
-		state := &m.node.state
+		state := &machine.node.state
 		w.tracef("%s is %s in epoch %d, accepted %d of epoch %d, sealed %d, stalled %v, draining %v, busy until %v",
 			address, state.id, state.view.Epoch, state.accepted.Sequence, state.accepted.Epoch, state.sealed,
-			m.node.diskFailing,
-			m.node.draining, m.busyUntil)
+			machine.node.diskFailing,
+			machine.node.draining, machine.busyUntil)
 	}
 }
 
 // bootstrapMembers starts the machines that become members, one more with a disk, and one without that
 // bootstraps.
-func bootstrapMembers(w *simWorld) { bootstrapWithCandidates(w, 1) }
+func bootstrapMembers(world *simWorld) { bootstrapWithCandidates(world, 1) }
 
 // bootstrapWithCandidates does so with another number of machines that don't become members.
-func bootstrapWithCandidates(w *simWorld, candidates int) {
+func bootstrapWithCandidates(world *simWorld, candidates int) {
 	var members []Member
-	for i := range w.members + candidates {
-		m := w.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true)
-		if i < w.members {
-			members = append(members, m.node.Self())
+	for i := range world.members + candidates {
+		machine := world.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true)
+		if i < world.members {
+			members = append(members, machine.node.Self())
 		}
 	}
-	bootstrapper := w.addMachine("10.0.0.9", false, true)
-	for _, address := range w.addresses {
-		w.machines[address].node.SetContacts(w.contacts())
+	bootstrapper := world.addMachine("10.0.0.9", false, true)
+	for _, address := range world.addresses {
+		world.machines[address].node.SetContacts(world.contacts())
 	}
-	bootstrapper.step(func(n *Node) Effects { return n.Bootstrap(w.now, members) })
-	w.run(time.Second)
+	bootstrapper.step(func(n *Node) Effects { return n.Bootstrap(world.now, members) })
+	world.run(time.Second)
 	if bootstrapper.node.View().Epoch == 0 {
-		w.failf("not bootstrapped")
+		world.failf("not bootstrapped")
 	}
 }
 
 // mustServe checks that each machine serves a read and a write.
-func mustServe(w *simWorld) {
-	last := &simClient{world: w, id: 4}
-	for _, address := range w.addresses {
-		m := w.machines[address]
-		if m.removed || w.failure != "" {
+func mustServe(world *simWorld) {
+	last := &simClient{world: world, id: 4}
+	for _, address := range world.addresses {
+		machine := world.machines[address]
+		if machine.removed || world.failure != "" {
 			continue
 		}
 		last.last = 0
-		last.readAt(m)
-		w.run(300 * time.Millisecond)
+		last.readAt(machine)
+		world.run(300 * time.Millisecond)
 		readOutcome := last.last
 		last.writes++
 		input := simInput{
 			write: true, expected: last.version, version: last.version + 1, body: "last write at " + address,
 		}
 		last.last = 0
-		w.recordCall(last.id, input)
-		last.attemptAt(m, input, w.now, 1, false)
-		w.run(300 * time.Millisecond)
+		world.recordCall(last.id, input)
+		last.attemptAt(machine, input, world.now, 1, false)
+		world.run(300 * time.Millisecond)
 		// A write that another client had started before may come between.
 		if readOutcome != Applied || last.last != Applied && last.last != Conflict {
-			w.failf("%s: read is %v and write is %v after all faults have ended", address, readOutcome, last.last)
+			world.failf("%s: read is %v and write is %v after all faults have ended", address, readOutcome, last.last)
 		}
 	}
 }
--- a/internal/router/chain/sim_world_test.go
+++ b/internal/router/chain/sim_world_test.go
@@ -79,7 +79,7 @@
 	// failure is the first broken invariant.
 	failure string
 	// point is called at each numbered point of a machine's step, if it is set.
-	point func(m *simMachine, name string)
+	point func(machine *simMachine, name string)
 	// trace collects what happened, for a failing seed.
 	trace []string
 }
