--- a/internal/proxy/ingress/clientgone_test.go
+++ b/internal/proxy/ingress/clientgone_test.go
@@ -23,10 +23,12 @@
 	"sends on first": func(c *net.TCPConn) { io.WriteString(c, "GET /api"); c.Close() },
 }
 
-func get(id string) string { return nettest.Request("GET", "lookup", id, 30*time.Second) }
+// getRequest returns an idempotent request without a body.
+func getRequest(id string) string { return nettest.Request("GET", "lookup", id, 30*time.Second) }
 
-// post is a request that states the length of its body.
-func post(id string, length int, body string) string {
+// postRequest returns a request that must not run twice and that states the length of its body, of which body
+// may be a part.
+func postRequest(id string, length int, body string) string {
 	head := nettest.Request("POST", "assign", id, 30*time.Second)
 	return strings.Replace(head, "\r\n\r\n", fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n%s", length, body), 1)
 }
@@ -35,33 +37,33 @@
 // else the client had sent.
 func TestClientGoneWhileRequestWaits(t *testing.T) {
 	for name, text := range map[string]string{
-		"alone":           get("id"),
-		"pipelined":       get("id") + get("next"),
-		"half a request":  get("id") + "GET /a",
-		"more than fits":  get("id") + strings.Repeat(get("next"), 200),
-		"upload":          post("id", 100_000, strings.Repeat("x", 10_000)),
-		"a whole upload":  post("id", 100_000, strings.Repeat("x", 100_000)),
-		"upload and more": post("id", 70_000, strings.Repeat("x", 70_000)) + get("next"),
+		"alone":           getRequest("id"),
+		"pipelined":       getRequest("id") + getRequest("next"),
+		"half a request":  getRequest("id") + "GET /a",
+		"more than fits":  getRequest("id") + strings.Repeat(getRequest("next"), 200),
+		"upload":          postRequest("id", 100_000, strings.Repeat("x", 10_000)),
+		"a whole upload":  postRequest("id", 100_000, strings.Repeat("x", 100_000)),
+		"upload and more": postRequest("id", 70_000, strings.Repeat("x", 70_000)) + getRequest("next"),
 	} {
 		for way, leave := range clientDepartures {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
-				r := newRig(t, nil)
+				rig := newRig(t, nil)
 				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-				c := nettest.Dial(t, r.address)
-				go io.WriteString(c, text) // not all of it is read
-				nettest.Until(t, "the request is received", func() bool { return r.Stats.Received.Load() == 1 })
+				conn := nettest.Dial(t, rig.address)
+				go io.WriteString(conn, text) // not all of it is read
+				nettest.Until(t, "the request is received", func() bool { return rig.Stats.Received.Load() == 1 })
 				began := time.Now()
-				leave(c.Conn.(*net.TCPConn))
+				leave(conn.Conn.(*net.TCPConn))
 				nettest.Until(t, "the client counts as gone", func() bool {
-					return r.Stats.ClientGone.Load() == 1 || r.Stats.Refused.Load() > 0
+					return rig.Stats.ClientGone.Load() == 1 || rig.Stats.Refused.Load() > 0
 				})
-				if r.Stats.ClientGone.Load() != 1 {
+				if rig.Stats.ClientGone.Load() != 1 {
 					t.Fatalf("it was waited for until its request was refused after %v", time.Since(began))
 				}
-				r.list(zone.Address)
-				if a := nettest.Ask(t, nettest.Dial(t, r.address), get("other")); a.Status != 200 {
-					t.Errorf("another client gets %d", a.Status)
+				rig.list(zone.Address)
+				if response := nettest.Ask(t, nettest.Dial(t, rig.address), getRequest("other")); response.Status != 200 {
+					t.Errorf("another client gets %d", response.Status)
 				}
 				if got := zone.Received(""); len(got) != 1 || got[0].Header.Get(idField) != "other" {
 					t.Errorf("%d requests were sent", len(got))
@@ -78,33 +80,33 @@
 		for _, rested := range []bool{true, false} {
 			t.Run(fmt.Sprintf("cancel %v, rested %v", may, rested), func(t *testing.T) {
 				t.Parallel()
-				r := newRig(t, func(s *balance.Settings) { s.MayCancel = may })
+				rig := newRig(t, func(settings *balance.Settings) { settings.MayCancel = may })
 				var first *connbuffer.Conn
 				accepted := make(chan *connbuffer.Conn, 2)
 				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-				relay := nettest.Listen(t, func(c *connbuffer.Conn) { // answers once, and closes on a signal
-					accepted <- c
-					q, err := http1.ReadRequest(c.In)
-					if err == nil && q.Header.Get(idField) == "before" {
-						nettest.OK("").Write(c.Out)
-						c.Flush()
-						io.Copy(io.Discard, c.In)
+				relay := nettest.Listen(t, func(conn *connbuffer.Conn) { // answers once, and closes on a signal
+					accepted <- conn
+					request, err := http1.ReadRequest(conn.In)
+					if err == nil && request.Header.Get(idField) == "before" {
+						nettest.OK("").Write(conn.Out)
+						conn.Flush()
+						io.Copy(io.Discard, conn.In)
 						return
 					}
 					if err == nil {
-						t.Errorf("%s was sent", q.Header.Get(idField))
+						t.Errorf("%s was sent", request.Header.Get(idField))
 					}
 				})
-				r.list(relay)
+				rig.list(relay)
 				from := 1 // the first look-up of the request whose client goes away
 				if rested {
-					nettest.Ask(t, nettest.Dial(t, r.address), get("before"))
+					nettest.Ask(t, nettest.Dial(t, rig.address), getRequest("before"))
 					first = <-accepted
 					from = 3
 				}
 				at, on := make(chan bool), make(chan bool)
-				r.mu.Lock()
-				r.onLookup = func(n int) {
+				rig.mu.Lock()
+				rig.onLookup = func(n int) {
 					if n == from && rested { // just as the idle connection is handed over
 						first.Close()
 					}
@@ -113,23 +115,23 @@
 						<-on
 					}
 				}
-				r.mu.Unlock()
-				c := nettest.Dial(t, r.address)
-				io.WriteString(c, get("left"))
+				rig.mu.Unlock()
+				conn := nettest.Dial(t, rig.address)
+				io.WriteString(conn, getRequest("left"))
 				<-at
-				c.Close()
-				nettest.Until(t, "the client counts as gone", func() bool { return r.Stats.ClientGone.Load() == 1 })
+				conn.Close()
+				nettest.Until(t, "the client counts as gone", func() bool { return rig.Stats.ClientGone.Load() == 1 })
 				close(on)
-				r.list(zone.Address)
-				if a := nettest.Ask(t, nettest.Dial(t, r.address), get("after")); a.Status != 200 {
-					t.Errorf("another client gets %d", a.Status)
+				rig.list(zone.Address)
+				if response := nettest.Ask(t, nettest.Dial(t, rig.address), getRequest("after")); response.Status != 200 {
+					t.Errorf("another client gets %d", response.Status)
 				}
 				nettest.Until(t, "the attempt ends", func() bool {
-					r.Server.mu.Lock()
-					defer r.Server.mu.Unlock()
-					return r.openIDs["left"] == 0
+					rig.Server.mu.Lock()
+					defer rig.Server.mu.Unlock()
+					return rig.openIDs["left"] == 0
 				})
-				if got := r.Stats.RequestsSent.Load(); got != int64(from/2)+1 { // one for each client that stayed
+				if got := rig.Stats.RequestsSent.Load(); got != int64(from/2)+1 { // one for each client that stayed
 					t.Errorf("%d attempts were written", got)
 				}
 			})
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -21,14 +21,14 @@
 func holdingZone(t *testing.T) (zone *nettest.ScriptedServer, release chan bool) {
 	t.Helper()
 	release = make(chan bool)
-	return nettest.Serve(t, func(q *http1.Request) *http1.Response {
+	return nettest.Serve(t, func(request *http1.Request) *http1.Response {
 		<-release
-		return nettest.OK(q.Header.Get(idField))
+		return nettest.OK(request.Header.Get(idField))
 	}), release
 }
 
 // startShutdown begins the shutdown of a rig and returns once its state says so.
-func (r *rig) startShutdown(t *testing.T) {
+func (r *testRig) startShutdown(t *testing.T) {
 	t.Helper()
 	go func() {
 		r.Shutdown(r.listener)
@@ -37,13 +37,14 @@
 	nettest.Until(t, "it ends", func() bool { return !r.Serving() })
 }
 
-// outcome is what a client reads next: the status and body of a response, or how the connection ended.
-func outcome(c *connbuffer.Conn) string {
-	a, err := http1.ReadResponse(c.In)
+// nextOutcome returns what a client reads next: the status and body of a response, or how the connection
+// ended.
+func nextOutcome(conn *connbuffer.Conn) string {
+	response, err := http1.ReadResponse(conn.In)
 	var timeout net.Error
 	switch {
 	case err == nil:
-		return fmt.Sprint(a.Status, " ", strings.TrimSpace(string(a.Body)))
+		return fmt.Sprint(response.Status, " ", strings.TrimSpace(string(response.Body)))
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return "nothing"
 	}
@@ -54,51 +55,52 @@
 // for the response before; then Shutdown returns.
 func TestShutdownServesPipelinedRequests(t *testing.T) {
 	for _, lame := range []bool{false, true} {
-		r := newRig(t, nil)
+		rig := newRig(t, nil)
 		zone, release := holdingZone(t)
-		r.list(zone.Address)
-		c := nettest.Dial(t, r.address)
-		io.WriteString(c, get("one")+get("two"))
+		rig.list(zone.Address)
+		conn := nettest.Dial(t, rig.address)
+		io.WriteString(conn, getRequest("one")+getRequest("two"))
 		nettest.Until(t, "the first is sent", func() bool { return len(zone.Received("")) == 1 })
 		if lame {
-			r.LameDuck(true)
+			rig.LameDuck(true)
 		} else {
-			r.startShutdown(t)
+			rig.startShutdown(t)
 		}
 		close(release)
-		if got := outcome(c) + ", " + outcome(c) + ", " + outcome(c); got != "200 one, 200 two, end" {
+		got := nextOutcome(conn) + ", " + nextOutcome(conn) + ", " + nextOutcome(conn)
+		if got != "200 one, 200 two, end" {
 			t.Errorf("lame %v: %s", lame, got)
 		}
 		if lame {
-			r.startShutdown(t)
+			rig.startShutdown(t)
 		}
-		<-r.ended
+		<-rig.ended
 	}
 }
 
 // A connection whose next request was buffered together with the one before does not count as idle.
 func TestBufferedRequestIsNotIdle(t *testing.T) {
-	s := newServer()
+	server := newIdleServer()
 	far, near := tcpPair(t)
 	c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}
-	s.clients[c] = struct{}{}
+	server.clients[c] = struct{}{}
 	io.WriteString(far, "GET /one\r\nGET /two\r\n")
 	nettest.Until(t, "all has come", func() bool { c.In.Peek(1); return c.In.Buffered() == 20 })
 	c.In.Discard(10)
-	s.markIdle(c)
-	s.mu.Lock()
-	s.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
-	_, open := s.clients[c]
-	s.mu.Unlock()
+	server.markIdle(c)
+	server.mu.Lock()
+	server.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
+	_, open := server.clients[c]
+	server.mu.Unlock()
 	if !open {
 		t.Error("it was closed")
 	}
 	c.In.Discard(10)
-	s.markIdle(c)
-	s.mu.Lock()
-	s.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
-	_, open = s.clients[c]
-	s.mu.Unlock()
+	server.markIdle(c)
+	server.mu.Lock()
+	server.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
+	_, open = server.clients[c]
+	server.mu.Unlock()
 	if open {
 		t.Error("one that rests stayed")
 	}
@@ -107,54 +109,55 @@
 // Nor does one whose first byte has just been consumed from the socket. The test holds the lock as a drain
 // does, from before the request until it has seen the connection in every state.
 func TestFirstByteEndsIdle(t *testing.T) {
-	r := newRig(t, nil)
+	rig := newRig(t, nil)
 	zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	r.list(zone.Address)
+	rig.list(zone.Address)
 	for i := range 10 {
-		c := nettest.Dial(t, r.address)
+		conn := nettest.Dial(t, rig.address)
 		if i%2 > 0 { // one idle after a request, and one that never had any
-			nettest.Ask(t, c, get(fmt.Sprint("before-", i)))
+			nettest.Ask(t, conn, getRequest(fmt.Sprint("before-", i)))
 		}
 		var rests *client
 		nettest.Until(t, "it is idle", func() bool {
-			r.Server.mu.Lock()
-			defer r.Server.mu.Unlock()
-			for rests = range r.clients {
+			rig.Server.mu.Lock()
+			defer rig.Server.mu.Unlock()
+			for rests = range rig.clients {
 			}
 			return rests != nil && rests.idle
 		})
-		r.Server.mu.Lock()
+		rig.Server.mu.Lock()
 		before := rests.LastReceived()
-		io.WriteString(c, get(fmt.Sprint(i)))
+		io.WriteString(conn, getRequest(fmt.Sprint(i)))
 		for range 50 { // or until its bytes are consumed, which is all there is to observe
 			if rests.LastReceived() != before {
 				break
 			}
 			time.Sleep(100 * time.Microsecond)
 		}
-		r.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
-		r.Server.mu.Unlock()
-		if got := outcome(c); got != "200 " {
+		rig.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
+		rig.Server.mu.Unlock()
+		if got := nextOutcome(conn); got != "200 " {
 			t.Errorf("%d: %s", i, got)
 		}
-		c.Close()
+		conn.Close()
 		nettest.Until(t, "it is gone", func() bool {
-			r.Server.mu.Lock()
-			defer r.Server.mu.Unlock()
-			return len(r.clients) == 0
+			rig.Server.mu.Lock()
+			defer rig.Server.mu.Unlock()
+			return len(rig.clients) == 0
 		})
 	}
 }
 
+// tcpPair returns both ends of a connection over loopback.
 func tcpPair(t *testing.T) (far, near net.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if far, err = net.Dial("tcp", l.Addr().String()); err == nil {
-		near, err = l.Accept()
+	defer listener.Close()
+	if far, err = net.Dial("tcp", listener.Addr().String()); err == nil {
+		near, err = listener.Accept()
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -166,69 +169,72 @@
 // On shutdown half a head is answered at the limit, servers that hang are waited for until the deadline and
 // no longer, and new connections are accepted for as long as configured.
 func TestShutdownWithAllKindsOfClients(t *testing.T) {
-	r := newRig(t, nil)
+	rig := newRig(t, nil)
 	zone, release := holdingZone(t)
 	defer close(release)
-	r.list(zone.Address)
-	half, hangs, rests := nettest.Dial(t, r.address), nettest.Dial(t, r.address), nettest.Dial(t, r.address)
+	rig.list(zone.Address)
+	half, hangs, rests := nettest.Dial(t, rig.address), nettest.Dial(t, rig.address),
+		nettest.Dial(t, rig.address)
 	io.WriteString(half, "GET /api HT")
 	io.WriteString(hangs, nettest.Request("POST", "assign", "hangs", 600*time.Millisecond))
 	nettest.Until(t, "the request is sent", func() bool { return len(zone.Received("")) == 1 })
-	r.startShutdown(t)
+	rig.startShutdown(t)
 	var fresh []string
 	for began := time.Now(); time.Since(began) < 40*time.Millisecond; { // the rig accepts for 80 ms
-		c := nettest.Dial(t, r.address)
-		io.WriteString(c, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\n\r\n")
-		fresh = append(fresh, outcome(c))
+		conn := nettest.Dial(t, rig.address)
+		io.WriteString(conn, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\n\r\n")
+		fresh = append(fresh, nextOutcome(conn))
 	}
 	for _, got := range fresh {
 		if got != "503 sending clients away" {
 			t.Errorf("a new connection: %s", got)
 		}
 	}
-	if got := outcome(half); !strings.HasPrefix(got, "503 ") {
+	if got := nextOutcome(half); !strings.HasPrefix(got, "503 ") {
 		t.Errorf("half a head: %s", got)
 	}
-	if got := outcome(rests); got != "end" {
+	if got := nextOutcome(rests); got != "end" {
 		t.Errorf("one that rests: %s", got)
 	}
-	if got := outcome(hangs); got != "504 no answer in time" {
+	if got := nextOutcome(hangs); got != "504 no answer in time" {
 		t.Errorf("one that waits: %s", got)
 	}
-	<-r.ended
+	<-rig.ended
 }
 
 // The last byte of a request may cross with the close of its connection: it is answered, or it was not sent.
 func TestRequestCrossesWithClose(t *testing.T) {
-	r := newRig(t, nil)
-	zone := nettest.Serve(t, func(q *http1.Request) *http1.Response { return nettest.OK(q.Header.Get(idField)) })
-	r.list(zone.Address)
+	rig := newRig(t, nil)
+	zone := nettest.Serve(t, func(request *http1.Request) *http1.Response {
+		return nettest.OK(request.Header.Get(idField))
+	})
+	rig.list(zone.Address)
 	const n = 50
 	answered := make([]string, n)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	conns := make([]*connbuffer.Conn, n)
 	for i := range conns {
-		conns[i] = nettest.Dial(t, r.address)
-		outcome := nettest.Ask(t, conns[i], get(fmt.Sprint("before-", i)))
-		if outcome.Status != 200 {
-			t.Fatalf("%+v", outcome)
+		conns[i] = nettest.Dial(t, rig.address)
+		response := nettest.Ask(t, conns[i], getRequest(fmt.Sprint("before-", i)))
+		if response.Status != 200 {
+			t.Fatalf("%+v", response)
 		}
 	}
-	r.startShutdown(t)
-	for i, c := range conns {
-		all.Add(1)
+	rig.startShutdown(t)
+	for i, conn := range conns {
+		wg.Add(1)
 		go func() { // throughout the time in which idle connections are closed
-			defer all.Done()
+			defer wg.Done()
 			time.Sleep(time.Duration(i) * 3 * time.Millisecond)
-			io.WriteString(c, get(fmt.Sprint(i)))
-			answered[i] = outcome(c)
+			io.WriteString(conn, getRequest(fmt.Sprint(i)))
+			answered[i] = nextOutcome(conn)
 		}()
 	}
-	all.Wait()
-	<-r.ended
+	wg.Wait()
+	<-rig.ended
 	sent := map[string]bool{}
-	for _, q := range zone.Received("") {
-		sent[q.Header.Get(idField)] = true
+	for _, request := range zone.Received("") {
+		sent[request.Header.Get(idField)] = true
 	}
 	for i, got := range answered {
 		if id := fmt.Sprint(i); (got == "200 "+id) != sent[id] || got == "nothing" {
@@ -239,24 +245,24 @@
 
 // On and off in any order leave one closeIdleLoop at most, and the last call counts.
 func TestLameDuckTogglesKeepOneLoop(t *testing.T) {
-	r := newRig(t, nil)
+	rig := newRig(t, nil)
 	for range 20 {
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for _, on := range []bool{true, false, true} {
-			all.Add(1)
-			go func() { defer all.Done(); r.LameDuck(on) }()
+			wg.Add(1)
+			go func() { defer wg.Done(); rig.LameDuck(on) }()
 		}
-		all.Wait()
-		r.LameDuck(true)
-		c := nettest.Dial(t, r.address)
-		if got := outcome(c); got != "end" {
+		wg.Wait()
+		rig.LameDuck(true)
+		conn := nettest.Dial(t, rig.address)
+		if got := nextOutcome(conn); got != "end" {
 			t.Errorf("while it is on: %s", got)
 		}
-		r.LameDuck(false)
+		rig.LameDuck(false)
 		nettest.Until(t, "the sweep ends", func() bool {
-			r.Server.mu.Lock()
-			defer r.Server.mu.Unlock()
-			return !r.closingIdle
+			rig.Server.mu.Lock()
+			defer rig.Server.mu.Unlock()
+			return !rig.closingIdle
 		})
 	}
 }
@@ -266,24 +272,24 @@
 func TestLastResponseBeforeClose(t *testing.T) {
 	for name, full := range map[string]bool{"ends": false, "turned away": true} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, nil)
+			rig := newRig(t, nil)
 			zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-			r.list(zone.Address)
-			text := strings.Replace(get("id"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1) +
-				strings.Repeat(get("next"), 100)
+			rig.list(zone.Address)
+			text := strings.Replace(getRequest("id"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1) +
+				strings.Repeat(getRequest("next"), 100)
 			if full {
-				for n := int64(1); r.Stats.RejectedConns.Load() == 0; n++ {
-					io.WriteString(nettest.Dial(t, r.address), "GET /")
-					nettest.Until(t, "it is accepted", func() bool { return r.Stats.AcceptedConns.Load() == n })
+				for n := int64(1); rig.Stats.RejectedConns.Load() == 0; n++ {
+					io.WriteString(nettest.Dial(t, rig.address), "GET /")
+					nettest.Until(t, "it is accepted", func() bool { return rig.Stats.AcceptedConns.Load() == n })
 				}
-				text = post("id", 8000, strings.Repeat("x", 8000))
+				text = postRequest("id", 8000, strings.Repeat("x", 8000))
 			}
-			c := nettest.Dial(t, r.address)
-			io.WriteString(c, text)
-			if got := outcome(c); got != map[bool]string{false: "200 ", true: "503 "}[full] {
+			conn := nettest.Dial(t, rig.address)
+			io.WriteString(conn, text)
+			if got := nextOutcome(conn); got != map[bool]string{false: "200 ", true: "503 "}[full] {
 				t.Fatalf("answer %q", got)
 			}
-			if _, err := c.In.Peek(1); err != io.EOF {
+			if _, err := conn.In.Peek(1); err != io.EOF {
 				t.Errorf("then %v", err)
 			}
 		})
@@ -293,21 +299,21 @@
 // A request that has arrived when the idle time-out passes is served all the same: the goroutine may be
 // scheduled after both.
 func TestRequestArrivesAsIdleTimeoutEnds(t *testing.T) {
-	r := newRig(t, nil)
-	limits := *r.limits.Load()
+	rig := newRig(t, nil)
+	limits := *rig.limits.Load()
 	limits.FirstRequestTimeout = time.Nanosecond
-	r.SetLimits(limits)
+	rig.SetLimits(limits)
 	for range 20 {
 		far, near := tcpPair(t)
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1), idle: true, unused: true}
 		nettest.Until(t, "it is there", func() bool { return !c.Still() })
-		if !r.Budget.Acquire(descriptors.Clients) {
+		if !rig.Budget.Acquire(descriptors.Clients) {
 			t.Fatal("no place")
 		}
-		r.serveConn(c)
+		rig.serveConn(c)
 		far.SetDeadline(time.Now().Add(nettest.Patience))
-		if got := outcome(connbuffer.NewConn(far)); got != "200 ready" {
+		if got := nextOutcome(connbuffer.NewConn(far)); got != "200 ready" {
 			t.Fatal(got)
 		}
 	}
--- a/internal/proxy/ingress/interleaving_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -15,7 +15,7 @@
 )
 
 // awaitReleased waits until nothing is retained for any client.
-func (r *rig) awaitReleased(t *testing.T) {
+func (r *testRig) awaitReleased(t *testing.T) {
 	t.Helper()
 	nettest.Until(t, "nothing is held", func() bool {
 		r.Server.mu.Lock()
@@ -30,46 +30,47 @@
 func TestBadClientsLeaveNoState(t *testing.T) {
 	much := ""
 	for i := range 300 {
-		much += get(fmt.Sprint("much-", i))
+		much += getRequest(fmt.Sprint("much-", i))
 	}
 	for name, text := range map[string]string{
 		"a connect and nothing": "",
 		"half a line":           "GET /api",
-		"half a body":           post("half", 90, "x"),
-		"half a large body":     post("half", 100_000, strings.Repeat("x", 50_000)),
-		"one and gone":          get("one"),
-		"pipelined and gone":    get("one") + get("two") + get("three"),
+		"half a body":           postRequest("half", 90, "x"),
+		"half a large body":     postRequest("half", 100_000, strings.Repeat("x", 50_000)),
+		"one and gone":          getRequest("one"),
+		"pipelined and gone":    getRequest("one") + getRequest("two") + getRequest("three"),
 		"much and gone":         much,
 		"noise":                 strings.Repeat("\x00\xff", 5000),
 		"a line without end":    strings.Repeat("x", 200_000),
 		"a head without end":    "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 50_000),
-		"a length that is none": strings.Replace(post("bad", 1, "x"), "Length: 1", "Length: -1", 1),
-		"two lengths": strings.Replace(post("two", 1, "x"), "\r\n\r\n",
+		"a length that is none": strings.Replace(postRequest("bad", 1, "x"), "Length: 1", "Length: -1", 1),
+		"two lengths": strings.Replace(postRequest("two", 1, "x"), "\r\n\r\n",
 			"\r\nContent-Length: 2\r\n\r\n", 1),
-		"a chunk without end": strings.Replace(post("chunk", 1, ""), "Content-Length: 1",
+		"a chunk without end": strings.Replace(postRequest("chunk", 1, ""), "Content-Length: 1",
 			"Transfer-Encoding: chunked", 1) + "fffffffffff\r\nx",
 	} {
 		for way, leave := range clientDepartures {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
-				r := newRig(t, nil)
+				rig := newRig(t, nil)
 				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-				r.list(zone.Address)
-				c := nettest.Dial(t, r.address)
-				io.WriteString(c, text) // as much as is read before it is answered and closed
-				leave(c.Conn.(*net.TCPConn))
+				rig.list(zone.Address)
+				conn := nettest.Dial(t, rig.address)
+				io.WriteString(conn, text) // as much as is read before it is answered and closed
+				leave(conn.Conn.(*net.TCPConn))
 				if way == "ends sending" {
-					io.Copy(io.Discard, c)
-					c.Close()
+					io.Copy(io.Discard, conn)
+					conn.Close()
 				}
-				if a := nettest.Ask(t, nettest.Dial(t, r.address), strings.Replace(get("other"), "\r\n\r\n",
-					"\r\nConnection: close\r\n\r\n", 1)); a.Status != 200 {
-					t.Errorf("another client gets %d", a.Status)
+				other := strings.Replace(getRequest("other"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
+				response := nettest.Ask(t, nettest.Dial(t, rig.address), other)
+				if response.Status != 200 {
+					t.Errorf("another client gets %d", response.Status)
 				}
-				r.awaitReleased(t)
+				rig.awaitReleased(t)
 				came := map[string]int{}
-				for _, q := range zone.Received("") {
-					came[q.Header.Get(idField)]++
+				for _, request := range zone.Received("") {
+					came[request.Header.Get(idField)]++
 				}
 				for id, n := range came {
 					if n > 1 || id == "half" || id == "bad" || id == "chunk" {
@@ -85,14 +86,14 @@
 func TestHedgedRequestAnswersFirst(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", may), func(t *testing.T) {
-			r := newRig(t, func(s *balance.Settings) {
+			rig := newRig(t, func(settings *balance.Settings) {
 				// What counts as unusually long, and is hedged, is a fraction of the latency target.
-				s.MayCancel, s.Classes[0].LatencyTarget = may, time.Second
+				settings.MayCancel, settings.Classes[0].LatencyTarget = may, time.Second
 			})
 			slow, answer := make(chan bool, 1), make(chan bool)
 			zone := func(name string) *nettest.ScriptedServer {
-				return nettest.Serve(t, func(q *http1.Request) *http1.Response {
-					if q.Header.Get(idField) == "twice" {
+				return nettest.Serve(t, func(request *http1.Request) *http1.Response {
+					if request.Header.Get(idField) == "twice" {
 						select {
 						case slow <- true: // the first attempt
 							<-answer
@@ -104,25 +105,27 @@
 				})
 			}
 			a, b := zone("a"), zone("b")
-			r.list(a.Address, b.Address)
-			c := nettest.Dial(t, r.address)
+			rig.list(a.Address, b.Address)
+			conn := nettest.Dial(t, rig.address)
 			for i := range 9 { // then the usual time of a response is known
-				nettest.Ask(t, c, get(fmt.Sprint("before-", i)))
+				nettest.Ask(t, conn, getRequest(fmt.Sprint("before-", i)))
 			}
-			if got := nettest.Ask(t, c, get("twice")); got.Status != 200 || string(got.Body) != "first" {
-				t.Errorf("%d %s", got.Status, got.Body)
+			if response := nettest.Ask(t, conn, getRequest("twice")); response.Status != 200 ||
+				string(response.Body) != "first" {
+				t.Errorf("%d %s", response.Status, response.Body)
 			}
 			if n := len(a.Received("")) + len(b.Received("")); n != 11 {
 				t.Errorf("%d came, want nine and two attempts", n)
 			}
 			close(answer)
 			for i := range 9 { // the late response is not passed on to any of these
-				if got := nettest.Ask(t, c, get(fmt.Sprint("after-", i))); string(got.Body) != "first" {
-					t.Errorf("after it: %d %s", got.Status, got.Body)
+				response := nettest.Ask(t, conn, getRequest(fmt.Sprint("after-", i)))
+				if string(response.Body) != "first" {
+					t.Errorf("after it: %d %s", response.Status, response.Body)
 				}
 			}
-			c.Close()
-			r.awaitReleased(t)
+			conn.Close()
+			rig.awaitReleased(t)
 		})
 	}
 }
@@ -131,9 +134,9 @@
 // broke off, what must not run twice has failed.
 func TestNoServerLeftToAttempt(t *testing.T) {
 	away := &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
-	for name, c := range map[string]struct {
-		answers []*http1.Response
-		want    string
+	for name, test := range map[string]struct {
+		responses []*http1.Response
+		want      string
 	}{
 		"turned away":           {[]*http1.Response{away, away, away}, "503 refused"},
 		"broken off":            {[]*http1.Response{nettest.CloseConn}, "502 failed"},
@@ -141,27 +144,27 @@
 		"away, then an error":   {[]*http1.Response{away, away, {Status: 500}}, "502 failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, nil)
+			rig := newRig(t, nil)
 			next := make(chan *http1.Response, 9)
-			for _, a := range c.answers {
-				next <- a
+			for _, response := range test.responses {
+				next <- response
 			}
 			zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return <-next })
-			r.list(zone.Address, zone.Address)
-			far := nettest.Dial(t, r.address)
+			rig.list(zone.Address, zone.Address)
+			far := nettest.Dial(t, rig.address)
 			began := time.Now()
-			io.WriteString(far, post("id", 1, "x"))
-			if got := outcome(far); got != c.want {
+			io.WriteString(far, postRequest("id", 1, "x"))
+			if got := nextOutcome(far); got != test.want {
 				t.Error(got)
 			}
 			if took := time.Since(began); took > 5*time.Second { // of a deadline of 30 s
 				t.Errorf("after %v", took)
 			}
-			if n := len(zone.Received("")); n != len(c.answers) || len(next) > 0 {
-				t.Errorf("%d attempts came, want %d", n, len(c.answers))
+			if n := len(zone.Received("")); n != len(test.responses) || len(next) > 0 {
+				t.Errorf("%d attempts came, want %d", n, len(test.responses))
 			}
 			far.Close()
-			r.awaitReleased(t)
+			rig.awaitReleased(t)
 		})
 	}
 }
@@ -170,25 +173,25 @@
 // fails: the request is not sent again, and nothing is retained.
 func TestResponseBeforeRequestIsComplete(t *testing.T) {
 	for _, status := range []int{200, 500} {
-		r := newRig(t, nil)
+		rig := newRig(t, nil)
 		heads := make(chan bool, 9)
-		zone := nettest.Listen(t, func(c *connbuffer.Conn) {
-			if _, _, err := http1.ReadRequestHead(c.In); err == nil {
+		zone := nettest.Listen(t, func(conn *connbuffer.Conn) {
+			if _, _, err := http1.ReadRequestHead(conn.In); err == nil {
 				heads <- true
-				fmt.Fprintf(c, "HTTP/1.1 %d x\r\nContent-Length: 5\r\n\r\nearly", status)
+				fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: 5\r\n\r\nearly", status)
 			}
 		})
-		r.list(zone, zone)
-		c := nettest.Dial(t, r.address)
-		go io.WriteString(c, post("id", 1<<20, strings.Repeat("x", 1<<20)))
-		if got := outcome(c); got == "nothing" || got == "200 early" && status == 500 {
+		rig.list(zone, zone)
+		conn := nettest.Dial(t, rig.address)
+		go io.WriteString(conn, postRequest("id", 1<<20, strings.Repeat("x", 1<<20)))
+		if got := nextOutcome(conn); got == "nothing" || got == "200 early" && status == 500 {
 			t.Errorf("%d: %s", status, got)
 		}
 		if len(heads) != 1 {
 			t.Errorf("%d: %d attempts", status, len(heads))
 		}
-		c.Close()
-		r.awaitReleased(t)
+		conn.Close()
+		rig.awaitReleased(t)
 	}
 }
 
@@ -196,32 +199,32 @@
 // already; the time-out of the head does not apply to it.
 func TestStallTimeoutRestartsWithEachChunk(t *testing.T) {
 	for _, size := range []int{1000, 100_000} { // buffered, and streamed
-		r := newRig(t, nil)
-		limits := *r.limits.Load()
+		rig := newRig(t, nil)
+		limits := *rig.limits.Load()
 		limits.HeadTimeout = 200 * time.Millisecond
-		r.SetLimits(limits)
-		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
-			return nettest.OK(fmt.Sprint(len(q.Body)))
+		rig.SetLimits(limits)
+		zone := nettest.Serve(t, func(request *http1.Request) *http1.Response {
+			return nettest.OK(fmt.Sprint(len(request.Body)))
 		})
 		if size > http1.MaxBufferedBody {
-			zone.Address = nettest.Listen(t, func(c *connbuffer.Conn) {
-				_, body, err := http1.ReadRequestHead(c.In)
+			zone.Address = nettest.Listen(t, func(conn *connbuffer.Conn) {
+				_, body, err := http1.ReadRequestHead(conn.In)
 				if err == nil {
 					n, _ := io.Copy(io.Discard, body)
-					nettest.OK(fmt.Sprint(n)).Write(c.Out)
-					c.Flush()
+					nettest.OK(fmt.Sprint(n)).Write(conn.Out)
+					conn.Flush()
 				}
 			})
 		}
-		r.list(zone.Address)
-		c := nettest.Dial(t, r.address)
-		text := strings.Replace(post("id", 1, ""), "Content-Length: 1", "Transfer-Encoding: chunked", 1)
-		io.WriteString(c, text+fmt.Sprintf("%x\r\n%s\r\n", size, strings.Repeat("x", size)))
+		rig.list(zone.Address)
+		conn := nettest.Dial(t, rig.address)
+		text := strings.Replace(postRequest("id", 1, ""), "Content-Length: 1", "Transfer-Encoding: chunked", 1)
+		io.WriteString(conn, text+fmt.Sprintf("%x\r\n%s\r\n", size, strings.Repeat("x", size)))
 		time.Sleep(300 * time.Millisecond) // longer than the time-out of a head
-		io.WriteString(c, "1\r\nx\r\n")
+		io.WriteString(conn, "1\r\nx\r\n")
 		time.Sleep(300 * time.Millisecond)
-		io.WriteString(c, "0\r\n\r\n")
-		if got, want := outcome(c), fmt.Sprint("200 ", size+1); got != want {
+		io.WriteString(conn, "0\r\n\r\n")
+		if got, want := nextOutcome(conn), fmt.Sprint("200 ", size+1); got != want {
 			t.Errorf("%d bytes: %s", size, got)
 		}
 	}
@@ -235,35 +238,36 @@
 	}
 }
 
+// checkHedgedUpload hedges a request with a large body of that framing.
 func checkHedgedUpload(t *testing.T, framing string) {
 	t.Helper()
-	r := newRig(t, func(s *balance.Settings) { s.Classes[0].LatencyTarget = time.Second })
+	rig := newRig(t, func(settings *balance.Settings) { settings.Classes[0].LatencyTarget = time.Second })
 	bodies := make(chan string, 9)
-	zone := nettest.Listen(t, func(c *connbuffer.Conn) {
+	zone := nettest.Listen(t, func(conn *connbuffer.Conn) {
 		for {
-			q, body, err := http1.ReadRequestHead(c.In)
+			request, body, err := http1.ReadRequestHead(conn.In)
 			if err != nil {
 				return
 			}
 			text, err := io.ReadAll(body)
-			if q.Header.Get(idField) == "twice" {
+			if request.Header.Get(idField) == "twice" {
 				bodies <- fmt.Sprint(len(text), strings.Count(string(text), "x"), err)
 			}
 			if err != nil {
 				return
 			}
-			nettest.OK("own").Write(c.Out)
-			c.Flush()
+			nettest.OK("own").Write(conn.Out)
+			conn.Flush()
 		}
 	})
-	r.list(zone, zone)
-	c := nettest.Dial(t, r.address)
+	rig.list(zone, zone)
+	conn := nettest.Dial(t, rig.address)
 	for i := range 9 {
-		nettest.Ask(t, c, get(fmt.Sprint("before-", i)))
+		nettest.Ask(t, conn, getRequest(fmt.Sprint("before-", i)))
 	}
-	r.mu.Lock()
-	from, both := r.lookups, make(chan bool)
-	r.onLookup = func(n int) {
+	rig.mu.Lock()
+	from, both := rig.lookups, make(chan bool)
+	rig.onLookup = func(n int) {
 		switch n - from { // 1 and 3 as the attempts are decided, 2 and 4 right before their first bytes
 		case 2:
 			<-both
@@ -271,20 +275,20 @@
 			close(both)
 		}
 	}
-	r.mu.Unlock()
-	text := strings.Replace(post("twice", 1, ""), "assign", "lookup", 1)
+	rig.mu.Unlock()
+	text := strings.Replace(postRequest("twice", 1, ""), "assign", "lookup", 1)
 	text = strings.Replace(text, "Content-Length: 1", framing, 1)
 	if body := strings.Repeat("x", 100_000); framing[0] == 'C' {
 		text += body
 	} else {
 		text += fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	}
-	go io.WriteString(c, text)
-	if got := outcome(c); got != "200 own" {
+	go io.WriteString(conn, text)
+	if got := nextOutcome(conn); got != "200 own" {
 		t.Error(got)
 	}
-	c.Close()
-	r.awaitReleased(t)
+	conn.Close()
+	rig.awaitReleased(t)
 	whole := 0
 	for len(bodies) > 0 {
 		switch got := <-bodies; {
@@ -303,22 +307,22 @@
 // end of the connection delimits it and more of the client's bytes wait behind the request.
 func TestBrokenStreamResetsClient(t *testing.T) {
 	for _, behind := range []string{"", "GET /api HTTP/1.0\r\n"} {
-		r := newRig(t, nil)
+		rig := newRig(t, nil)
 		passed := make(chan bool)
-		zone := nettest.Listen(t, func(c *connbuffer.Conn) {
-			if _, err := http1.ReadRequest(c.In); err != nil {
+		zone := nettest.Listen(t, func(conn *connbuffer.Conn) {
+			if _, err := http1.ReadRequest(conn.In); err != nil {
 				return
 			}
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 100_000))
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 100_000))
 			<-passed
-			c.Conn.(*net.TCPConn).SetLinger(0)
+			conn.Conn.(*net.TCPConn).SetLinger(0)
 		})
-		r.list(zone)
-		c := nettest.Dial(t, r.address)
-		io.WriteString(c, strings.Replace(get("id"), "HTTP/1.1", "HTTP/1.0", 1)+behind)
-		a, body, err := http1.ReadResponseHead(c.In, "GET")
-		if err != nil || a.Status != 200 {
-			t.Fatalf("%+v, %v", a, err)
+		rig.list(zone)
+		conn := nettest.Dial(t, rig.address)
+		io.WriteString(conn, strings.Replace(getRequest("id"), "HTTP/1.1", "HTTP/1.0", 1)+behind)
+		response, body, err := http1.ReadResponseHead(conn.In, "GET")
+		if err != nil || response.Status != 200 {
+			t.Fatalf("%+v, %v", response, err)
 		}
 		if _, err := io.ReadFull(body, make([]byte, 70_000)); err != nil {
 			t.Fatal(err)
@@ -334,39 +338,39 @@
 // the two is noticed first.
 func TestClientGoneAsUploadCompletes(t *testing.T) {
 	for _, leavesFirst := range []bool{true, false} {
-		r := newRig(t, nil)
+		rig := newRig(t, nil)
 		sent, left := make(chan bool, 1), make(chan bool)
-		r.onBodySent = func() {
+		rig.onBodySent = func() {
 			if leavesFirst {
 				sent <- true
 				<-left
 			}
 		}
 		got := make(chan bool, 1)
-		zone := nettest.Listen(t, func(c *connbuffer.Conn) {
-			if _, body, err := http1.ReadRequestHead(c.In); err == nil {
+		zone := nettest.Listen(t, func(conn *connbuffer.Conn) {
+			if _, body, err := http1.ReadRequestHead(conn.In); err == nil {
 				io.Copy(io.Discard, body)
 				got <- true
-				io.Copy(io.Discard, c) // and no response
+				io.Copy(io.Discard, conn) // and no response
 			}
 		})
-		r.list(zone)
-		c := nettest.Dial(t, r.address)
-		io.WriteString(c, post("id", 100_000, strings.Repeat("x", 100_000)))
+		rig.list(zone)
+		conn := nettest.Dial(t, rig.address)
+		io.WriteString(conn, postRequest("id", 100_000, strings.Repeat("x", 100_000)))
 		<-got
 		if leavesFirst {
 			<-sent
 		} else {
-			nettest.Until(t, "it counts", func() bool { return r.Stats.InProgress.Load() == 1 })
+			nettest.Until(t, "it counts", func() bool { return rig.Stats.InProgress.Load() == 1 })
 		}
-		c.Close()
-		nettest.Until(t, "it counts as gone", func() bool { return r.Stats.ClientGone.Load() == 1 })
+		conn.Close()
+		nettest.Until(t, "it counts as gone", func() bool { return rig.Stats.ClientGone.Load() == 1 })
 		nettest.Until(t, "its connection is closed", func() bool {
-			r.Server.mu.Lock()
-			defer r.Server.mu.Unlock()
-			return len(r.clients) == 0
+			rig.Server.mu.Lock()
+			defer rig.Server.mu.Unlock()
+			return len(rig.clients) == 0
 		})
 		close(left)
-		r.awaitReleased(t)
+		rig.awaitReleased(t)
 	}
 }
--- a/internal/proxy/ingress/parse_test.go
+++ b/internal/proxy/ingress/parse_test.go
@@ -12,44 +12,48 @@
 )
 
 func TestParse(t *testing.T) {
-	s := &Server{classes: positions([]string{"lookup", "assign"}), tenants: positions([]string{"x", "acme"})}
+	server := &Server{classes: positions([]string{"lookup", "assign"}),
+		tenants: positions([]string{"x", "acme"})}
 	arrived := time.Unix(1000, 0)
 	head := func(id, class, tenant, timeout string) http1.Header {
 		return http1.Header{{Name: "x-request-id", Value: id}, {Name: "X-Priority-Class", Value: class},
 			{Name: "X-Tenant-Id", Value: tenant}, {Name: "X-Timeout", Value: timeout}}
 	}
 	in := func(after time.Duration) time.Time { return arrived.Add(after) }
-	for _, c := range []struct {
+	for _, test := range []struct {
+		name           string
 		method, target string
 		header         http1.Header
 		want           dispatch.Request
 		status         int
 	}{
-		{"GET", "/api?key=1f", head("1", "lookup", "acme", "0.480"),
+		{"all fields", "GET", "/api?key=1f", head("1", "lookup", "acme", "0.480"),
 			dispatch.Request{Tenant: 1, Key: 0x1f, HasKey: true, Deadline: in(480 * time.Millisecond)}, 0},
-		{"POST", "/api?other=2",
+		{"a retry by the client, and the longest deadline", "POST", "/api?other=2",
 			append(head("1", "assign", "x", "1e9"), http1.Field{Name: "X-Retried", Value: "1"}),
 			dispatch.Request{Class: 1, Deadline: in(maxTimeout), ClientRetry: true}, 0},
-		{"GET", "/", append(head("1", "lookup", "x", "1"), http1.Field{Name: "X-Timeout", Value: "2"}),
+		{"two timeouts", "GET", "/", append(head("1", "lookup", "x", "1"),
+			http1.Field{Name: "X-Timeout", Value: "2"}),
 			dispatch.Request{}, 400},
-		{"GET", "/", append(head("1", "lookup", "x", "1"), http1.Field{Name: "X-Request-Id", Value: "2"}),
+		{"two ids", "GET", "/", append(head("1", "lookup", "x", "1"),
+			http1.Field{Name: "X-Request-Id", Value: "2"}),
 			dispatch.Request{}, 400},
-		{"DELETE", "/", head("1", "lookup", "acme", "1"), dispatch.Request{}, 405},
-		{"GET", "/", head("", "lookup", "acme", "1"), dispatch.Request{}, 400},
-		{"GET", "/", head("1", "", "acme", "1"), dispatch.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "", "1"), dispatch.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "acme", ""), dispatch.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "acme", "-1"), dispatch.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "acme", "NaN"), dispatch.Request{}, 400},
-		{"GET", "/", head("1", "lookup", "acme", "Inf"), dispatch.Request{}, 400},
+		{"another method", "DELETE", "/", head("1", "lookup", "acme", "1"), dispatch.Request{}, 405},
+		{"no id", "GET", "/", head("", "lookup", "acme", "1"), dispatch.Request{}, 400},
+		{"no class", "GET", "/", head("1", "", "acme", "1"), dispatch.Request{}, 400},
+		{"no tenant", "GET", "/", head("1", "lookup", "", "1"), dispatch.Request{}, 400},
+		{"no timeout", "GET", "/", head("1", "lookup", "acme", ""), dispatch.Request{}, 400},
+		{"a negative timeout", "GET", "/", head("1", "lookup", "acme", "-1"), dispatch.Request{}, 400},
+		{"a timeout that is no number", "GET", "/", head("1", "lookup", "acme", "NaN"), dispatch.Request{}, 400},
+		{"an infinite timeout", "GET", "/", head("1", "lookup", "acme", "Inf"), dispatch.Request{}, 400},
 	} {
-		message := &http1.Request{Method: c.method, Target: c.target, Header: c.header}
-		got, rejection := s.parse(message, arrived)
-		if rejection.status != c.status {
-			t.Errorf("%s %s %v: status %d", c.method, c.target, c.header, rejection.status)
+		message := &http1.Request{Method: test.method, Target: test.target, Header: test.header}
+		got, rejection := server.parse(message, arrived)
+		if rejection.status != test.status {
+			t.Errorf("%s: %s %s %v: status %d", test.name, test.method, test.target, test.header, rejection.status)
 		}
-		if diff := cmp.Diff(c.want, got); !rejection.rejects() && diff != "" {
-			t.Error(diff)
+		if diff := cmp.Diff(test.want, got); !rejection.rejects() && diff != "" {
+			t.Errorf("%s: %s", test.name, diff)
 		}
 	}
 }
--- a/internal/proxy/ingress/retrywindow_test.go
+++ b/internal/proxy/ingress/retrywindow_test.go
@@ -15,31 +15,31 @@
 func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	for _, late := range []bool{false, true} {
-		r := newRig(t, func(s *balance.Settings) {
-			c := &s.Classes[1]
-			c.Effect, c.DedupWindow, c.DedupScope = balance.Deduplicated, window, balance.DedupFleet
+		rig := newRig(t, func(settings *balance.Settings) {
+			class := &settings.Classes[1]
+			class.Effect, class.DedupWindow, class.DedupScope = balance.Deduplicated, window, balance.DedupFleet
 		})
 		first := make(chan time.Time, 1) // when the request arrived at its first server, which breaks off
-		zone := nettest.Serve(t, func(q *http1.Request) *http1.Response {
+		zone := nettest.Serve(t, func(request *http1.Request) *http1.Response {
 			if len(first) == 0 {
 				first <- time.Now()
 				return nettest.CloseConn
 			}
 			return nettest.OK("")
 		})
-		r.list(zone.Address, zone.Address)
-		r.mu.Lock()
-		r.onLookup = func(n int) {
+		rig.list(zone.Address, zone.Address)
+		rig.mu.Lock()
+		rig.onLookup = func(n int) {
 			if n == 4 && late { // right before the first byte of the retry
 				at := <-first
 				time.Sleep(time.Until(at.Add(window))) // the window is over for sure
 				first <- at
 			}
 		}
-		r.mu.Unlock()
-		c := nettest.Dial(t, r.address)
-		io.WriteString(c, post("id", 1, "x"))
-		got, want := outcome(c), "200 "
+		rig.mu.Unlock()
+		conn := nettest.Dial(t, rig.address)
+		io.WriteString(conn, postRequest("id", 1, "x"))
+		got, want := nextOutcome(conn), "200 "
 		if late {
 			want = "503 refused" // allowed: all servers drop duplicates, so a client's retry is harmless
 		}
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -18,20 +18,21 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// rig is a proxy without discovery: the test sets the list and decides when a look-up returns.
-type rig struct {
+// testRig is a proxy on loopback without discovery: the test sets the list and decides when a look-up
+// returns.
+type testRig struct {
 	*Server
 	address  string
 	listener net.Listener
 	ended    chan struct{} // closed when Shutdown has returned
 
 	mu       sync.Mutex
-	listed   map[dispatch.ServerID]string
-	onLookup func(n int) // called on each look-up of an address with its number from 1 on
+	listed   map[dispatch.ServerID]string // addresses
+	onLookup func(n int)                  // called on each look-up of an address with its number from 1 on
 	lookups  int
 }
 
-func (r *rig) Address(s dispatch.ServerID) (string, bool) {
+func (r *testRig) Address(s dispatch.ServerID) (string, bool) {
 	r.mu.Lock()
 	r.lookups++
 	n, looked, a := r.lookups, r.onLookup, r.listed[s]
@@ -42,11 +43,11 @@
 	return a, a != ""
 }
 
-func (r *rig) Probe(dispatch.ServerID) {}
-func (r *rig) Follow()                 {}
+func (r *testRig) Probe(dispatch.ServerID) {}
+func (r *testRig) Follow()                 {}
 
 // list gives the proxy its list of servers, with ids from 1 on.
-func (r *rig) list(addresses ...string) {
+func (r *testRig) list(addresses ...string) {
 	var list []dispatch.Server
 	r.mu.Lock()
 	for i, a := range addresses {
@@ -60,9 +61,9 @@
 
 // newRig starts a proxy with an empty list. Its class "lookup" is idempotent, "assign" must not run twice;
 // change may alter the settings.
-func newRig(tb testing.TB, change func(*balance.Settings)) *rig {
+func newRig(tb testing.TB, change func(*balance.Settings)) *testRig {
 	tb.Helper()
-	set := balance.Settings{
+	settings := balance.Settings{
 		Tick: time.Millisecond, MaxAttempts: 3, MayCancel: true, MayHedge: true,
 		Classes: []balance.Class{
 			{LatencyTarget: time.Minute, Deadline: time.Minute, Effect: balance.Idempotent, Value: 1},
@@ -70,10 +71,10 @@
 		},
 	}
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	r := &rig{listed: map[dispatch.ServerID]string{}, ended: make(chan struct{})}
-	decider, err := dispatch.New(set, 20*time.Millisecond, r)
+	rig := &testRig{listed: map[dispatch.ServerID]string{}, ended: make(chan struct{})}
+	decider, err := dispatch.New(settings, 20*time.Millisecond, rig)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -81,28 +82,28 @@
 		[]string{"lookup", "assign"})
 	wait := nettest.Patience
 	limits := upstream.Limits{Dial: wait, MaxIdle: wait, Probe: wait, BufferTime: time.Second, Stall: wait}
-	pool := upstream.New(r, limits, nil, budget, room, count)
-	r.Server = New(Options{
+	pool := upstream.New(rig, limits, nil, budget, room, count)
+	rig.Server = New(Options{
 		Decider: decider, Pool: pool, Name: func(dispatch.ServerID) string { return "s" },
 		Classes: []string{"lookup", "assign"}, Tenants: []string{"acme"},
 		Limits: config.Clients{FirstRequestTimeout: wait, HeadTimeout: wait, StallTimeout: wait, IdleTimeout: wait,
-			WriteTimeout:   wait,
-			ReclaimPartial: wait, ReclaimUnused: wait, ReclaimIdle: wait, RejectTimeout: wait, MaxRejecting: 8,
-			Linger: time.Second, DiscardTimeout: time.Second},
+			WriteTimeout: wait, ReclaimPartial: wait, ReclaimUnused: wait, ReclaimIdle: wait, RejectTimeout: wait,
+			MaxRejecting: 8,
+			Linger:       time.Second, DiscardTimeout: time.Second},
 		Drain: func() drain.Times {
 			return drain.Times{CloseIdle: 50 * time.Millisecond, AcceptFor: 80 * time.Millisecond,
 				CloseAll: 120 * time.Millisecond, ClosePartial: 300 * time.Millisecond}
 		},
 		Budget: budget, Bodies: room, Stats: count, Log: slog.New(slog.DiscardHandler),
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r.address, r.listener = l.Addr().String(), l
+	rig.address, rig.listener = listener.Addr().String(), listener
 	stop := make(chan struct{})
 	go decider.Run(stop)
-	go r.Serve(l)
-	tb.Cleanup(func() { l.Close(); close(stop) })
-	return r
+	go rig.Serve(listener)
+	tb.Cleanup(func() { listener.Close(); close(stop) })
+	return rig
 }
--- a/internal/proxy/ingress/usage_test.go
+++ b/internal/proxy/ingress/usage_test.go
@@ -14,14 +14,14 @@
 	message := &http1.Request{Header: http1.Header{{Name: "X-Tenant-Id", Value: "acme"}}}
 	for _, answer := range []answer{answerPassed, answerDropped, answerBadGateway} {
 		var recorded []Usage
-		s := &Server{Options: Options{
+		server := &Server{Options: Options{
 			Classes: []string{"lookup"}, Stats: stats.New([]string{"lookup"}),
 			RecordUsage: func(u Usage) { recorded = append(recorded, u) },
 		}}
-		c, class := &client{}, s.Stats.Class(0)
-		s.startUsage(c, message, 0)
-		s.countAnswer(c, class, answer, 7)
-		s.countAnswer(c, class, "", 7) // nothing of a request that has no answer
+		c, class := &client{}, server.Stats.Class(0)
+		server.startUsage(c, message, 0)
+		server.countAnswer(c, class, answer, 7)
+		server.countAnswer(c, class, "", 7) // nothing of a request that has no answer
 		want := Usage{Tenant: "acme", Class: "lookup", Answer: string(answer), Out: 7}
 		if diff := cmp.Diff([]Usage{want}, recorded); diff != "" {
 			t.Error(diff)
@@ -39,14 +39,14 @@
 
 // A request of an unknown class has no usage, and its answer is in no class's counters.
 func TestCountAnswerOfUnknownClass(t *testing.T) {
-	s := &Server{Options: Options{
+	server := &Server{Options: Options{
 		Classes: []string{"lookup"}, Stats: stats.New([]string{"lookup"}),
 		RecordUsage: func(u Usage) { t.Errorf("recorded %+v", u) },
 	}}
 	c := &client{}
-	s.startUsage(c, &http1.Request{}, noClass)
-	s.countAnswer(c, s.Stats.Class(noClass), answerBadGateway, 7)
-	if n := s.Stats.Class(0).Failed.Load(); n != 0 {
+	server.startUsage(c, &http1.Request{}, noClass)
+	server.countAnswer(c, server.Stats.Class(noClass), answerBadGateway, 7)
+	if n := server.Stats.Class(0).Failed.Load(); n != 0 {
 		t.Errorf("%d in the first class", n)
 	}
 }
