--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -44,8 +44,8 @@
 	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0)
 	c.Assert(agent.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
 	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("a late call"))
-	c.Assert(agent.handleCall(&controlserver.Call{Method: "DELETE", Path: serversPath + "a"}).Status, qt.Equals,
-		200)
+	deregister := &controlserver.Call{Method: "DELETE", Path: serversPath + "a"}
+	c.Assert(agent.handleCall(deregister).Status, qt.Equals, 200)
 	c.Assert(agent.handleCall(heartbeat("ready", "9")).Status, qt.Equals, 200)
 	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0, qt.Commentf("it has ended"))
 }
--- a/internal/router/dataplane/prefill_test.go
+++ b/internal/router/dataplane/prefill_test.go
@@ -72,53 +72,97 @@
 	for _, test := range []struct {
 		name    string
 		route   string
-		read    []handler
-		write   []handler
-		slack   float64
+		prefill []handler // of the prefill servers, in turn
+		decode  []handler // of the decode servers, in turn
+		slack   float64   // retries that are allowed
 		status  int
 		roles   []scheduler.Role // of the calls that came, prefill first
 		retries int64
-		freed   int
+		freed   int // handles released
 	}{
-		{"prefill rejected", "modelfirm", []handler{rejectFull, handle}, []handler{written}, 100, 200,
-			[]scheduler.Role{read, read, write}, 1, 0},
-		{"prefill rejected and no retry left", "modelfirm", []handler{rejectFull}, []handler{written}, 0, 503,
-			[]scheduler.Role{read}, 0, 0},
-		{"prefill rejected and one attempt allowed", "single", []handler{rejectFull}, []handler{written}, 100, 503,
-			[]scheduler.Role{read}, 0, 0},
-		{"prefill broken off and no retry left", "modelfirm", []handler{closeUnanswered}, []handler{written}, 0,
-			503,
-			[]scheduler.Role{read}, 0, 0},
-		{"prefill broken off and a retry left", "modelfirm", []handler{closeUnanswered, handle}, []handler{written},
-			100, 200, []scheduler.Role{read, read, write}, 2, 0},
-		{"prefill broken off and one attempt allowed", "single", []handler{closeUnanswered}, []handler{written},
-			100, 200, []scheduler.Role{read, serve}, 1, 0},
-		{"prefill answered without a handle", "modelfirm", []handler{respondOK("{}")}, []handler{written}, 0, 200,
-			[]scheduler.Role{read, serve}, 0, 0},
-		{"prefill answered 500", "modelfirm", []handler{respond500}, []handler{written}, 0, 200,
-			[]scheduler.Role{read, serve}, 0, 0},
-		{"prefill at a replaced server", "modelfirm", []handler{rejectReplaced, handle}, []handler{written}, 100,
-			200,
-			[]scheduler.Role{read, read, write}, 1, 0},
-		{"handle expired", "modelfirm", []handler{handle}, []handler{expired, written}, 100, 200,
-			[]scheduler.Role{read, write, serve}, 1, 1},
-		{"handle expired and no retry left", "modelfirm", []handler{handle}, []handler{expired}, 0, 503,
-			[]scheduler.Role{read, write}, 0, 1},
-		{"decode rejected", "modelfirm", []handler{handle}, []handler{rejectFull, written}, 100, 200,
-			[]scheduler.Role{read, write, write}, 1, 0},
-		{"decode rejected by all", "modelfirm", []handler{handle}, []handler{rejectFull}, 100, 503,
-			[]scheduler.Role{read, write, write, write}, 2, 1},
-		{"decode broken off", "modelfirm", []handler{handle}, []handler{closeUnanswered, written}, 100, 502,
-			[]scheduler.Role{read, write}, 0, 1},
-		{"decode of an idempotent request broken off", "model", []handler{handle},
-			[]handler{closeUnanswered, written},
-			100, 200, []scheduler.Role{read, write, serve}, 1, 1},
-		{"stream broken off and resumed", "model", []handler{handle},
-			[]handler{streamChunks("s1", false, eventText(1)), resumesUntil(2)}, 100, 200,
-			[]scheduler.Role{read, write, serve}, 1, 0},
+		{
+			name: "prefill rejected", route: "modelfirm",
+			prefill: []handler{rejectFull, handle}, decode: []handler{written},
+			slack: 100, status: 200, roles: []scheduler.Role{read, read, write}, retries: 1,
+		},
+		{
+			name: "prefill rejected and no retry left", route: "modelfirm",
+			prefill: []handler{rejectFull}, decode: []handler{written},
+			status: 503, roles: []scheduler.Role{read},
+		},
+		{
+			name: "prefill rejected and one attempt allowed", route: "single",
+			prefill: []handler{rejectFull}, decode: []handler{written},
+			slack: 100, status: 503, roles: []scheduler.Role{read},
+		},
+		{
+			name: "prefill broken off and no retry left", route: "modelfirm",
+			prefill: []handler{closeUnanswered}, decode: []handler{written},
+			status: 503, roles: []scheduler.Role{read},
+		},
+		{
+			name: "prefill broken off and a retry left", route: "modelfirm",
+			prefill: []handler{closeUnanswered, handle}, decode: []handler{written},
+			slack: 100, status: 200, roles: []scheduler.Role{read, read, write}, retries: 2,
+		},
+		{
+			name: "prefill broken off and one attempt allowed", route: "single",
+			prefill: []handler{closeUnanswered}, decode: []handler{written},
+			slack: 100, status: 200, roles: []scheduler.Role{read, serve}, retries: 1,
+		},
+		{
+			name: "prefill answered without a handle", route: "modelfirm",
+			prefill: []handler{respondOK("{}")}, decode: []handler{written},
+			status: 200, roles: []scheduler.Role{read, serve},
+		},
+		{
+			name: "prefill answered 500", route: "modelfirm",
+			prefill: []handler{respond500}, decode: []handler{written},
+			status: 200, roles: []scheduler.Role{read, serve},
+		},
+		{
+			name: "prefill at a replaced server", route: "modelfirm",
+			prefill: []handler{rejectReplaced, handle}, decode: []handler{written},
+			slack: 100, status: 200, roles: []scheduler.Role{read, read, write}, retries: 1,
+		},
+		{
+			name: "handle expired", route: "modelfirm",
+			prefill: []handler{handle}, decode: []handler{expired, written},
+			slack: 100, status: 200, roles: []scheduler.Role{read, write, serve}, retries: 1, freed: 1,
+		},
+		{
+			name: "handle expired and no retry left", route: "modelfirm",
+			prefill: []handler{handle}, decode: []handler{expired},
+			status: 503, roles: []scheduler.Role{read, write}, freed: 1,
+		},
+		{
+			name: "decode rejected", route: "modelfirm",
+			prefill: []handler{handle}, decode: []handler{rejectFull, written},
+			slack: 100, status: 200, roles: []scheduler.Role{read, write, write}, retries: 1,
+		},
+		{
+			name: "decode rejected by all", route: "modelfirm",
+			prefill: []handler{handle}, decode: []handler{rejectFull},
+			slack: 100, status: 503, roles: []scheduler.Role{read, write, write, write}, retries: 2, freed: 1,
+		},
+		{
+			name: "decode broken off", route: "modelfirm",
+			prefill: []handler{handle}, decode: []handler{closeUnanswered, written},
+			slack: 100, status: 502, roles: []scheduler.Role{read, write}, freed: 1,
+		},
+		{
+			name: "decode of an idempotent request broken off", route: "model",
+			prefill: []handler{handle}, decode: []handler{closeUnanswered, written},
+			slack: 100, status: 200, roles: []scheduler.Role{read, write, serve}, retries: 1, freed: 1,
+		},
+		{
+			name: "stream broken off and resumed", route: "model",
+			prefill: []handler{handle}, decode: []handler{streamChunks("s1", false, eventText(1)), resumesUntil(2)},
+			slack: 100, status: 200, roles: []scheduler.Role{read, write, serve}, retries: 1,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			prefillers, decoders := newModelServers(t, inTurn(test.read...), inTurn(test.write...))
+			prefillers, decoders := newModelServers(t, inTurn(test.prefill...), inTurn(test.decode...))
 			rig := newRig(t, withRetrySlack(test.slack), append(prefillers, decoders...)...)
 			response := rig.dial().do("POST", "/"+test.route+"/", "a", "prompt")
 			rig.Assert(response.Status, qt.Equals, test.status)
