--- a/internal/testbed/clusterrig/history_test.go
+++ b/internal/testbed/clusterrig/history_test.go
@@ -16,6 +16,7 @@
 	n    int64 // what a read returned
 }
 
+// ledgerModel is a counter that only rises.
 var ledgerModel = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -38,9 +39,9 @@
 // its call to its answer.
 func TestLedgerHistoryIsLinearizable(t *testing.T) {
 	t.Parallel()
-	r := startLedger(t, 5, Options{Relay: true})
-	replicated := replicas(t, r)
-	writers := without(r.Members, replicated...)
+	rig := startLedger(t, 5, Options{Relay: true})
+	replicated := replicas(t, rig)
+	writers := without(rig.Members, replicated...)
 	started := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -50,27 +51,27 @@
 		history = append(history, porcupine.Operation{ClientId: client, Input: ledgerOp{read: op.read}, Output: op,
 			Call: from.Sub(started).Nanoseconds(), Return: time.Since(started).Nanoseconds()})
 	}
-	c, stop := context.WithTimeout(testContext(t), 8*time.Second)
+	ctx, stop := context.WithTimeout(testContext(t), 8*time.Second)
 	defer stop()
 	clients := NewClients()
-	var all sync.WaitGroup
-	for i, m := range writers {
-		all.Go(func() {
-			for asked := int64(1); c.Err() == nil; asked++ {
+	var wg sync.WaitGroup
+	for i, member := range writers {
+		wg.Go(func() {
+			for asked := int64(1); ctx.Err() == nil; asked++ {
 				from := time.Now()
-				if err := clients.Send(m, Tenants[0], "zone-lookup", "", ""); err != nil {
+				if err := clients.Send(member, Tenants[0], "zone-lookup", "", ""); err != nil {
 					t.Errorf("a request got no answer: %v", err)
 					return
 				}
 				// Until the member has committed as many as were asked of it, one write at a time. That nothing
 				// waits there says less: a client may have its answer just before the member counts it.
 				for {
-					p, _ := ledgerPage(m, "?period=1&tenant=-")
-					if p.Here.Committed >= asked {
+					page, _ := ledgerPage(member, "?period=1&tenant=-")
+					if page.Here.Committed >= asked {
 						break
 					}
 					if time.Since(from) > 30*time.Second {
-						t.Errorf("a count was not committed: %+v", p.Here)
+						t.Errorf("a count was not committed: %+v", page.Here)
 						return
 					}
 					time.Sleep(5 * time.Millisecond)
@@ -79,13 +80,13 @@
 			}
 		})
 	}
-	for i, m := range []*Member{writers[0], replicated[1], replicated[2]} {
-		all.Go(func() {
-			for c.Err() == nil {
+	for i, member := range []*Member{writers[0], replicated[1], replicated[2]} {
+		wg.Go(func() {
+			for ctx.Err() == nil {
 				from := time.Now()
-				if p, err := ledgerPage(m, ""); err == nil && p.Ledger != nil {
+				if page, err := ledgerPage(member, ""); err == nil && page.Ledger != nil {
 					var n int64
-					for _, period := range p.Ledger.Periods {
+					for _, period := range page.Ledger.Periods {
 						n += period.Total().Count
 					}
 					record(10+i, ledgerOp{read: true, n: n}, from)
@@ -94,17 +95,17 @@
 			}
 		})
 	}
-	lead := leader(t, r)
-	r.Net.Partition([]string{lead.Name}, MemberNames(without(r.Members, lead)))
+	leading := leader(t, rig)
+	rig.Net.Partition([]string{leading.Name}, MemberNames(without(rig.Members, leading)))
 	time.Sleep(1500 * time.Millisecond)
-	r.Net.Heal()
+	rig.Net.Heal()
 	time.Sleep(time.Second)
-	if victim := leader(t, r); victim != writers[0] && victim != writers[1] {
-		r.Kill(victim)
+	if victim := leader(t, rig); victim != writers[0] && victim != writers[1] {
+		rig.Kill(victim)
 		time.Sleep(time.Second)
-		must(t, r.Spawn(testContext(t), victim, Unchanged))
+		must(t, rig.Spawn(testContext(t), victim, Unchanged))
 	}
-	all.Wait()
+	wg.Wait()
 	writes, reads := 0, 0
 	for _, op := range history {
 		if op.Input.(ledgerOp).read {
--- a/internal/testbed/clusterrig/ledger_faults_test.go
+++ b/internal/testbed/clusterrig/ledger_faults_test.go
@@ -16,55 +16,58 @@
 // after the other; each comes back with its disk.
 func TestLedgerSurvivesKills(t *testing.T) {
 	t.Parallel()
-	r := startLedger(t, 5, Options{})
-	l := withClients(t, nonReplicas(r, replicas(t, r)), 6, func() {
+	rig := startLedger(t, 5, Options{})
+	clients := withClients(t, nonReplicas(rig, replicas(t, rig)), 6, func() {
 		for i := range 3 {
-			replicated := replicas(t, r)
+			replicated := replicas(t, rig)
 			victim := replicated[min(i, 1)]
 			before := appliedIndex(t, replicated)
-			r.Kill(victim)
+			rig.Kill(victim)
 			started := time.Now()
-			next := leader(t, r)
+			next := leader(t, rig)
 			waitLedger(t, []*Member{next}, 5*time.Second, fmt.Sprintf("%s killed, batches go on", victim.Name),
-				func(_ *Member, p *daemon.LedgerPage) error { return appliedBeyond(p, before+10) })
+				func(_ *Member, page *daemon.LedgerPage) error { return appliedBeyond(page, before+10) })
 			if took := time.Since(started); i == 0 && took > 5*time.Second {
 				t.Errorf("a new leader took %v", took)
 			}
 			if i == 2 { // the second follower while the first is away stops the group; nothing is committed
-				other := replicas(t, r)[1:]
-				for _, m := range other {
-					if m.State() == Up && m != leader(t, r) {
-						r.Kill(m)
-						must(t, r.Spawn(testContext(t), m, Unchanged))
+				other := replicas(t, rig)[1:]
+				for _, member := range other {
+					if member.State() == Up && member != leader(t, rig) {
+						rig.Kill(member)
+						must(t, rig.Spawn(testContext(t), member, Unchanged))
 						break
 					}
 				}
 			}
-			must(t, r.Spawn(testContext(t), victim, Unchanged))
-			waitLedger(t, r.Running(), 10*time.Second, "all read again", checkReadable)
+			must(t, rig.Spawn(testContext(t), victim, Unchanged))
+			waitLedger(t, rig.Running(), 10*time.Second, "all read again", checkReadable)
 		}
 	})
-	waitCommitted(t, r, l, 15*time.Second)
-	checkLedgerAnswers(t, r, l)
+	waitCommitted(t, rig, clients, 15*time.Second)
+	checkLedgerAnswers(t, rig, clients)
 }
 
-func checkReadable(_ *Member, p *daemon.LedgerPage) error {
-	if p.Ledger == nil {
+// checkReadable checks that a member read the ledger.
+func checkReadable(_ *Member, page *daemon.LedgerPage) error {
+	if page.Ledger == nil {
 		return fmt.Errorf("not read")
 	}
 	return nil
 }
 
-func appliedIndex(t *testing.T, ms []*Member) uint64 {
+// appliedIndex returns how far the first of some members has applied the group's log.
+func appliedIndex(t *testing.T, members []*Member) uint64 {
 	t.Helper()
-	p, err := ledgerPage(ms[0], "?period=1&tenant=-")
+	page, err := ledgerPage(members[0], "?period=1&tenant=-")
 	must(t, err)
-	return p.Group.Applied
+	return page.Group.Applied
 }
 
-func appliedBeyond(p *daemon.LedgerPage, index uint64) error {
-	if p.Group.Applied < index {
-		return fmt.Errorf("applied %d, not %d", p.Group.Applied, index)
+// appliedBeyond checks that a member has applied the group's log up to an index.
+func appliedBeyond(page *daemon.LedgerPage, index uint64) error {
+	if page.Group.Applied < index {
+		return fmt.Errorf("applied %d, not %d", page.Group.Applied, index)
 	}
 	return nil
 }
@@ -73,43 +76,43 @@
 // identity; another is killed for good and replaced by a further member. Nothing committed is lost.
 func TestLedgerReplacesWipedAndDeadReplicas(t *testing.T) {
 	t.Parallel()
-	r := startLedger(t, 5, Options{})
-	replicated := replicas(t, r)
+	rig := startLedger(t, 5, Options{})
+	replicated := replicas(t, rig)
 	// Clients talk to members that stay, or the counts in memory of a killed process would be missing.
-	targets := nonReplicas(r, replicated)
-	l := withClients(t, targets, 6, func() {
+	targets := nonReplicas(rig, replicated)
+	clients := withClients(t, targets, 6, func() {
 		wiped := replicated[1]
-		r.Kill(wiped)
-		must(t, r.Spawn(testContext(t), wiped, EmptyDisk))
-		waitLedger(t, []*Member{leader(t, r)}, 20*time.Second, "three voters, the wiped one anew",
-			func(_ *Member, p *daemon.LedgerPage) error { return checkFullyReplicated(r, p) })
-		dead := without(replicas(t, r), targets...)[0]
-		r.Kill(dead)
-		waitLedger(t, []*Member{leader(t, r)}, 30*time.Second, "three voters without the dead one",
-			func(_ *Member, p *daemon.LedgerPage) error {
-				for _, v := range p.Group.Voters {
+		rig.Kill(wiped)
+		must(t, rig.Spawn(testContext(t), wiped, EmptyDisk))
+		waitLedger(t, []*Member{leader(t, rig)}, 20*time.Second, "three voters, the wiped one anew",
+			func(_ *Member, page *daemon.LedgerPage) error { return checkFullyReplicated(rig, page) })
+		dead := without(replicas(t, rig), targets...)[0]
+		rig.Kill(dead)
+		waitLedger(t, []*Member{leader(t, rig)}, 30*time.Second, "three voters without the dead one",
+			func(_ *Member, page *daemon.LedgerPage) error {
+				for _, v := range page.Group.Voters {
 					if v == dead.Name {
-						return fmt.Errorf("voters %v", p.Group.Voters)
+						return fmt.Errorf("voters %v", page.Group.Voters)
 					}
 				}
-				return checkFullyReplicated(r, p)
+				return checkFullyReplicated(rig, page)
 			})
-		must(t, r.Spawn(testContext(t), dead, Unchanged)) // with its old disk, which the group does not list
+		must(t, rig.Spawn(testContext(t), dead, Unchanged)) // with its old disk, which the group does not list
 	})
-	waitCommitted(t, r, l, 15*time.Second)
-	checkLedgerAnswers(t, r, l)
+	waitCommitted(t, rig, clients, 15*time.Second)
+	checkLedgerAnswers(t, rig, clients)
 }
 
 // checkFullyReplicated checks whether a group has three voters on the disks that their members have now, all
 // caught up, and no learner. p is the leader's page.
-func checkFullyReplicated(r *Rig, p *daemon.LedgerPage) error {
-	if len(p.Group.Replicas) != 3 {
-		return fmt.Errorf("replicas %+v", p.Group.Replicas)
+func checkFullyReplicated(rig *Rig, page *daemon.LedgerPage) error {
+	if len(page.Group.Replicas) != 3 {
+		return fmt.Errorf("replicas %+v", page.Group.Replicas)
 	}
-	for _, v := range p.Group.Replicas {
+	for _, v := range page.Group.Replicas {
 		var own daemon.LedgerPage
-		m := r.Member(v.Member)
-		if m == nil || m.State() != Up || m.GetJSON("/_ledger?period=1&tenant=-", &own) != nil ||
+		member := rig.Member(v.Member)
+		if member == nil || member.State() != Up || member.GetJSON("/_ledger?period=1&tenant=-", &own) != nil ||
 			own.Group.Disk != v.Disk || v.Learner || v.Behind > 50 {
 			return fmt.Errorf("%+v, its member has disk %s", v, own.Group.Disk)
 		}
@@ -121,14 +124,14 @@
 // another and goes on, and after the heal nothing that the old one accepted is counted twice.
 func TestLedgerPartitionedLeaderCommitsNothing(t *testing.T) {
 	t.Parallel()
-	r := startLedger(t, 5, Options{Relay: true})
-	old := leader(t, r)
-	others := without(r.Members, old)
-	l := withClients(t, r.Members, 6, func() {
-		r.Net.Partition([]string{old.Name}, MemberNames(others))
+	rig := startLedger(t, 5, Options{Relay: true})
+	old := leader(t, rig)
+	others := without(rig.Members, old)
+	clients := withClients(t, rig.Members, 6, func() {
+		rig.Net.Partition([]string{old.Name}, MemberNames(others))
 		partitionedAt := time.Now()
 		for {
-			if p, err := ledgerPage(old, "?period=1&tenant=-"); err != nil || p.Group.Role != "leader" {
+			if page, err := ledgerPage(old, "?period=1&tenant=-"); err != nil || page.Group.Role != "leader" {
 				break // it has stepped down, and reads no more
 			}
 			if time.Since(partitionedAt) > 5*time.Second {
@@ -136,115 +139,116 @@
 			}
 			time.Sleep(pollInterval)
 		}
-		var p daemon.LedgerPage
-		must(t, old.GetJSON("/_ledger", &p))
-		committed := p.Here.Committed
+		var page daemon.LedgerPage
+		must(t, old.GetJSON("/_ledger", &page))
+		committed := page.Here.Committed
 		waitLedger(t, others, 10*time.Second, "the majority reads and goes on", checkReadable)
 		time.Sleep(time.Second) // long enough for what it must not commit
-		must(t, old.GetJSON("/_ledger", &p))
-		if p.Here.Committed != committed || p.Ledger != nil {
-			t.Errorf("partitioned, it committed %d more and read %v", p.Here.Committed-committed, p.Ledger != nil)
+		must(t, old.GetJSON("/_ledger", &page))
+		if page.Here.Committed != committed || page.Ledger != nil {
+			t.Errorf("partitioned, it committed %d more and read %v", page.Here.Committed-committed,
+				page.Ledger != nil)
 		}
-		if p.Here.Queued == 0 {
+		if page.Here.Queued == 0 {
 			t.Error("partitioned, nothing is queued at it")
 		}
-		r.Net.Heal()
+		rig.Net.Heal()
 	})
-	waitCommitted(t, r, l, 15*time.Second)
-	checkLedgerAnswers(t, r, l)
+	waitCommitted(t, rig, clients, 15*time.Second)
+	checkLedgerAnswers(t, rig, clients)
 }
 
 // Case 4: a slow disk and a full one, at the leader and at a follower. The group slows or stands, plainly;
 // clients are served all the while, and nothing committed is lost.
 func TestLedgerOnSlowAndFullDisks(t *testing.T) {
 	t.Parallel()
-	r := startLedger(t, 5, Options{})
-	faults := func(m *Member, text string) {
-		must(t, os.WriteFile(m.Data+".faults", []byte(text), 0o600))
+	rig := startLedger(t, 5, Options{})
+	faults := func(member *Member, text string) {
+		must(t, os.WriteFile(member.Data+".faults", []byte(text), 0o600))
 	}
-	l := withClients(t, r.Members, 6, func() {
+	clients := withClients(t, rig.Members, 6, func() {
 		for i := range 2 {
-			m := replicas(t, r)[i]
-			faults(m, `{"sync_delay_ms": 200}`)
+			member := replicas(t, rig)[i]
+			faults(member, `{"sync_delay_ms": 200}`)
 			// What is applied shows that batches go on; a read at a leader whose syncs are slow may be too late
 			// for the admin address.
-			var p daemon.LedgerPage
-			must(t, leader(t, r).GetJSON("/_ledger?period=1&tenant=-", &p))
-			before, started := p.Group.Applied, time.Now()
-			for p.Group.Applied < before+5 {
+			var page daemon.LedgerPage
+			must(t, leader(t, rig).GetJSON("/_ledger?period=1&tenant=-", &page))
+			before, started := page.Group.Applied, time.Now()
+			for page.Group.Applied < before+5 {
 				if time.Since(started) > 20*time.Second {
-					t.Fatalf("%s is slow, and batches stand: %+v", m.Name, p.Group)
+					t.Fatalf("%s is slow, and batches stand: %+v", member.Name, page.Group)
 				}
 				time.Sleep(50 * time.Millisecond)
-				leader(t, r).GetJSON("/_ledger?period=1&tenant=-", &p)
+				leader(t, rig).GetJSON("/_ledger?period=1&tenant=-", &page)
 			}
-			t.Logf("%s is slow, batches go on after %v", m.Name, time.Since(started))
-			faults(m, `{"full": true}`)
+			t.Logf("%s is slow, batches go on after %v", member.Name, time.Since(started))
+			faults(member, `{"full": true}`)
 			stalls := func(_ *Member) error {
-				var p daemon.LedgerPage
-				if err := m.GetJSON("/_ledger?period=1&tenant=-", &p); err != nil || p.Group.Stalled == "" {
-					return fmt.Errorf("it does not say that it stands: %+v (%v)", p.Group, err)
+				var page daemon.LedgerPage
+				if err := member.GetJSON("/_ledger?period=1&tenant=-", &page); err != nil || page.Group.Stalled == "" {
+					return fmt.Errorf("it does not say that it stands: %+v (%v)", page.Group, err)
 				}
 				return nil
 			}
-			for started = time.Now(); stalls(m) != nil; time.Sleep(pollInterval) {
+			for started = time.Now(); stalls(member) != nil; time.Sleep(pollInterval) {
 				if time.Since(started) > 10*time.Second {
-					t.Fatal(stalls(m))
+					t.Fatal(stalls(member))
 				}
 			}
-			others := without(r.Members, m)
-			waitLedger(t, others, 15*time.Second, m.Name+" is full, the others read", checkReadable)
-			faults(m, `{}`)
-			waitLedger(t, r.Members, 15*time.Second, m.Name+" has room again", checkReadable)
+			others := without(rig.Members, member)
+			waitLedger(t, others, 15*time.Second, member.Name+" is full, the others read", checkReadable)
+			faults(member, `{}`)
+			waitLedger(t, rig.Members, 15*time.Second, member.Name+" has room again", checkReadable)
 		}
 	})
-	if l.Lost() > 0 {
-		t.Errorf("%d requests got no answer while disks failed", l.Lost())
+	if clients.Lost() > 0 {
+		t.Errorf("%d requests got no answer while disks failed", clients.Lost())
 	}
-	waitCommitted(t, r, l, 15*time.Second)
-	checkLedgerAnswers(t, r, l)
+	waitCommitted(t, rig, clients, 15*time.Second)
+	checkLedgerAnswers(t, rig, clients)
 }
 
 // Case 6: a client's retry of one request through another proxy after a restart counts in the period of its
 // first answer.
 func TestLedgerCountsRetryInPeriodOfFirstAnswer(t *testing.T) {
 	t.Parallel()
-	r := startLedger(t, 3, Options{})
-	l := NewClients()
-	a, b := r.Members[0], r.Members[1]
-	must(t, l.Send(a, Tenants[0], "zone-lookup", "the-first-try", ""))
-	waitCommitted(t, r, l, 10*time.Second)
+	rig := startLedger(t, 3, Options{})
+	clients := NewClients()
+	a, b := rig.Members[0], rig.Members[1]
+	must(t, clients.Send(a, Tenants[0], "zone-lookup", "the-first-try", ""))
+	waitCommitted(t, rig, clients, 10*time.Second)
 	in := func(period uint64) int64 {
-		p, err := ledgerPage(b, fmt.Sprintf("?period=%d", period))
+		page, err := ledgerPage(b, fmt.Sprintf("?period=%d", period))
 		must(t, err)
-		if len(p.Ledger.Periods) == 0 {
+		if len(page.Ledger.Periods) == 0 {
 			return 0
 		}
-		return p.Ledger.Periods[0].Total().Count
+		return page.Ledger.Periods[0].Total().Count
 	}
-	p, err := ledgerPage(b, "")
+	page, err := ledgerPage(b, "")
 	must(t, err)
 	first := uint64(0)
-	for _, q := range p.Ledger.Periods {
+	for _, q := range page.Ledger.Periods {
 		if q.Total().Count > 0 {
 			first = q.ID
 		}
 	}
-	must(t, r.Term(a, nil))
-	must(t, r.Spawn(testContext(t), a, Unchanged))
-	waitLedger(t, r.Running(), 10*time.Second, "the first answer's period has closed",
-		func(_ *Member, p *daemon.LedgerPage) error {
-			if p.Ledger.OpenPeriod == first {
+	must(t, rig.Term(a, nil))
+	must(t, rig.Spawn(testContext(t), a, Unchanged))
+	waitLedger(t, rig.Running(), 10*time.Second, "the first answer's period has closed",
+		func(_ *Member, page *daemon.LedgerPage) error {
+			if page.Ledger.OpenPeriod == first {
 				return fmt.Errorf("period %d is open", first)
 			}
 			return nil
 		})
-	must(t, l.Send(b, Tenants[0], "zone-lookup", "the-second-try", "the-first-try"))
-	waitCommitted(t, r, l, 10*time.Second)
+	must(t, clients.Send(b, Tenants[0], "zone-lookup", "the-second-try", "the-first-try"))
+	waitCommitted(t, rig, clients, 10*time.Second)
 	if in(first) != 2 {
 		t.Errorf("period %d counts %d answers, and both belong there", first, in(first))
 	}
-	checkLedgerAnswers(t, r, l)
+	checkLedgerAnswers(t, rig, clients)
 	correct := func(args ...string) string {
 		all := append([]string{"ledger", "correct", "--door", a.Admin, "--tenant", Tenants[0], "--class",
 			"zone-lookup", "--answer", "passed", "--n", "-1", "--reason", "test"}, args...)
@@ -270,13 +274,13 @@
 // naming the key, and a batch of an unknown member is refused.
 func TestLedgerRefusesForeignDataFolders(t *testing.T) {
 	t.Parallel()
-	r := startLedger(t, 3, Options{})
-	m := r.Members[2]
-	must(t, r.Term(m, nil))
-	path := filepath.Join(m.Data, "replica.db")
+	rig := startLedger(t, 3, Options{})
+	member := rig.Members[2]
+	must(t, rig.Term(member, nil))
+	path := filepath.Join(member.Data, "replica.db")
 	good, err := os.ReadFile(path)
 	must(t, err)
-	for what, c := range map[string]struct {
+	for what, test := range map[string]struct {
 		spoil func()
 		says  string
 	}{
@@ -284,17 +288,17 @@
 		"not a file of ours":  {func() { must(t, os.WriteFile(path, []byte("hello"), 0o600)) }, "replica.db"},
 		"a folder in its way": {func() { must(t, os.Remove(path)); must(t, os.Mkdir(path, 0o700)) }, "replica.db"},
 	} {
-		c.spoil()
-		err := r.Spawn(testContext(t), m, Unchanged)
+		test.spoil()
+		err := rig.Spawn(testContext(t), member, Unchanged)
 		if err == nil {
 			t.Fatalf("%s: it started", what)
 		}
-		if !strings.Contains(err.Error(), "ledger.data") || !strings.Contains(err.Error(), c.says) {
+		if !strings.Contains(err.Error(), "ledger.data") || !strings.Contains(err.Error(), test.says) {
 			t.Errorf("%s: %v", what, err)
 		}
 		must(t, os.RemoveAll(path))
 		must(t, os.WriteFile(path, good, 0o600))
 	}
-	must(t, r.Spawn(testContext(t), m, Unchanged))
-	waitLedger(t, r.Members, 10*time.Second, "the good folder is taken again", checkReadable)
+	must(t, rig.Spawn(testContext(t), member, Unchanged))
+	waitLedger(t, rig.Members, 10*time.Second, "the good folder is taken again", checkReadable)
 }
--- a/internal/testbed/clusterrig/ledger_test.go
+++ b/internal/testbed/clusterrig/ledger_test.go
@@ -23,38 +23,39 @@
 `
 
 // startLedger starts members with a ledger and waits until its group has formed.
-func startLedger(t *testing.T, members int, o Options) *Rig {
+func startLedger(t *testing.T, members int, options Options) *Rig {
 	t.Helper()
-	o.Members, o.Zones = members, 3
-	o.ExtraTOML += ledgerKeys + fmt.Sprintf("expect = %d\n", max(3, members/2+1))
-	r := start(t, o)
-	waitGroupFormed(t, r)
-	return r
+	options.Members, options.Zones = members, 3
+	options.ExtraTOML += ledgerKeys + fmt.Sprintf("expect = %d\n", max(3, members/2+1))
+	rig := start(t, options)
+	waitGroupFormed(t, rig)
+	return rig
 }
 
-func ledgerPage(m *Member, query string) (daemon.LedgerPage, error) {
-	var p daemon.LedgerPage
-	err := m.GetJSON("/_ledger"+query, &p)
-	if err == nil && p.Problem != "" {
-		err = fmt.Errorf("%s", p.Problem)
+// ledgerPage reads a member's page of the ledger; a problem that the page tells is an error.
+func ledgerPage(member *Member, query string) (daemon.LedgerPage, error) {
+	var page daemon.LedgerPage
+	err := member.GetJSON("/_ledger"+query, &page)
+	if err == nil && page.Problem != "" {
+		err = fmt.Errorf("%s", page.Problem)
 	}
-	return p, err
+	return page, err
 }
 
 // waitLedger waits until holds accepts the page of every member.
-func waitLedger(t *testing.T, ms []*Member, limit time.Duration, what string,
+func waitLedger(t *testing.T, members []*Member, limit time.Duration, what string,
 	holds func(*Member, *daemon.LedgerPage) error) time.Duration {
 	t.Helper()
 	started := time.Now()
 	for {
 		var last error
-		for _, m := range ms {
-			p, err := ledgerPage(m, "")
+		for _, member := range members {
+			page, err := ledgerPage(member, "")
 			if err == nil {
-				err = holds(m, &p)
+				err = holds(member, &page)
 			}
 			if err != nil {
-				last = fmt.Errorf("%s: %w", m.Name, err)
+				last = fmt.Errorf("%s: %w", member.Name, err)
 				break
 			}
 		}
@@ -64,9 +65,9 @@
 			return took
 		}
 		if took > limit {
-			for _, m := range ms {
-				p, err := ledgerPage(m, "")
-				t.Logf("%s: %+v here %+v (%v)", m.Name, p.Group, p.Here, err)
+			for _, member := range members {
+				page, err := ledgerPage(member, "")
+				t.Logf("%s: %+v here %+v (%v)", member.Name, page.Group, page.Here, err)
 			}
 			t.Fatalf("%s: not within %v: %v", what, limit, last)
 		}
@@ -75,35 +76,35 @@
 }
 
 // waitGroupFormed waits until every running member reads the ledger of a group with three voters.
-func waitGroupFormed(t *testing.T, r *Rig) {
+func waitGroupFormed(t *testing.T, rig *Rig) {
 	t.Helper()
-	has := func(_ *Member, p *daemon.LedgerPage) error {
-		if p.Group.Role != "none" && len(p.Group.Voters) < 3 {
-			return fmt.Errorf("voters %v", p.Group.Voters)
+	has := func(_ *Member, page *daemon.LedgerPage) error {
+		if page.Group.Role != "none" && len(page.Group.Voters) < 3 {
+			return fmt.Errorf("voters %v", page.Group.Voters)
 		}
-		if p.Ledger == nil || p.Group.Leader == "" && p.Group.Role != "none" {
+		if page.Ledger == nil || page.Group.Leader == "" && page.Group.Role != "none" {
 			return fmt.Errorf("not read")
 		}
 		return nil
 	}
-	waitLedger(t, r.Running(), 30*time.Second, "the group has formed", has)
+	waitLedger(t, rig.Running(), 30*time.Second, "the group has formed", has)
 }
 
 // waitCommitted waits until nothing that the running members counted is uncommitted and the ledger has no
 // fewer answers than clients got. The first doesn't imply the second: a client may have its answer just
 // before the member counts it.
-func waitCommitted(t *testing.T, r *Rig, l *Clients, limit time.Duration) {
+func waitCommitted(t *testing.T, rig *Rig, clients *Clients, limit time.Duration) {
 	t.Helper()
-	sum := l.TotalAnswers()
-	waitLedger(t, r.Running(), limit, "all is committed", func(_ *Member, p *daemon.LedgerPage) error {
-		if p.Here.Queued+p.Here.InMemory > 0 {
-			return fmt.Errorf("%d wait, %d in memory", p.Here.Queued, p.Here.InMemory)
+	sum := clients.TotalAnswers()
+	waitLedger(t, rig.Running(), limit, "all is committed", func(_ *Member, page *daemon.LedgerPage) error {
+		if page.Here.Queued+page.Here.InMemory > 0 {
+			return fmt.Errorf("%d wait, %d in memory", page.Here.Queued, page.Here.InMemory)
 		}
-		if p.Here.Lost > 0 {
-			return fmt.Errorf("%d lost", p.Here.Lost)
+		if page.Here.Lost > 0 {
+			return fmt.Errorf("%d lost", page.Here.Lost)
 		}
 		var n int64
-		for _, period := range p.Ledger.Periods {
+		for _, period := range page.Ledger.Periods {
 			n += period.Total().Count
 		}
 		if n < sum {
@@ -114,12 +115,12 @@
 }
 
 // ledgerTotals returns the ledger's answers by key, over all periods and corrections, read at one member.
-func ledgerTotals(t *testing.T, m *Member) map[ledger.Key]int64 {
+func ledgerTotals(t *testing.T, member *Member) map[ledger.Key]int64 {
 	t.Helper()
-	var p daemon.LedgerPage
+	var page daemon.LedgerPage
 	var err error
 	for range 100 {
-		if p, err = ledgerPage(m, ""); err == nil {
+		if page, err = ledgerPage(member, ""); err == nil {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -128,7 +129,7 @@
 		t.Fatal(err)
 	}
 	out := map[ledger.Key]int64{}
-	for _, period := range p.Ledger.Periods {
+	for _, period := range page.Ledger.Periods {
 		for _, r := range period.Rows {
 			out[r.Key] += r.Count + r.Corrections.Count
 		}
@@ -138,33 +139,33 @@
 
 // checkLedgerAnswers checks that the ledger, read at every running member, counts the answers that clients
 // got.
-func checkLedgerAnswers(t *testing.T, r *Rig, l *Clients) {
+func checkLedgerAnswers(t *testing.T, rig *Rig, clients *Clients) {
 	t.Helper()
-	want, sum := l.Answers(), l.TotalAnswers()
-	for _, m := range r.Running() {
-		got := ledgerTotals(t, m)
+	want, sum := clients.Answers(), clients.TotalAnswers()
+	for _, member := range rig.Running() {
+		got := ledgerTotals(t, member)
 		for k, n := range want {
 			if got[k] != n {
-				t.Errorf("%s: %v counts %d, clients got %d", m.Name, k, got[k], n)
+				t.Errorf("%s: %v counts %d, clients got %d", member.Name, k, got[k], n)
 			}
 		}
 		for k, n := range got {
 			if want[k] == 0 {
-				t.Errorf("%s: %v counts %d, clients got none", m.Name, k, n)
+				t.Errorf("%s: %v counts %d, clients got none", member.Name, k, n)
 			}
 		}
 	}
-	t.Logf("%d answers, %d requests without one; the ledger counts each once", sum, l.Lost())
+	t.Logf("%d answers, %d requests without one; the ledger counts each once", sum, clients.Lost())
 }
 
 // leader waits for the leader of the ledger's group.
-func leader(t *testing.T, r *Rig) *Member {
+func leader(t *testing.T, rig *Rig) *Member {
 	t.Helper()
 	for range 400 {
-		for _, m := range r.Running() {
-			var p daemon.LedgerPage
-			if m.GetJSON("/_ledger?period=1&tenant=-", &p) == nil && p.Group.Role == "leader" {
-				return m
+		for _, member := range rig.Running() {
+			var page daemon.LedgerPage
+			if member.GetJSON("/_ledger?period=1&tenant=-", &page) == nil && page.Group.Role == "leader" {
+				return member
 			}
 		}
 		time.Sleep(25 * time.Millisecond)
@@ -174,36 +175,38 @@
 }
 
 // replicas returns the members with a replica, the leader first.
-func replicas(t *testing.T, r *Rig) []*Member {
+func replicas(t *testing.T, rig *Rig) []*Member {
 	t.Helper()
-	lead := leader(t, r)
-	p, err := ledgerPage(lead, "?period=1&tenant=-")
+	leading := leader(t, rig)
+	page, err := ledgerPage(leading, "?period=1&tenant=-")
 	must(t, err)
-	out := []*Member{lead}
-	for _, name := range p.Group.Voters {
-		if name != lead.Name {
-			out = append(out, r.Member(name))
+	out := []*Member{leading}
+	for _, name := range page.Group.Voters {
+		if name != leading.Name {
+			out = append(out, rig.Member(name))
 		}
 	}
 	return out
 }
 
 // withClients runs clients against members during act, and returns them once they have stopped.
-func withClients(t *testing.T, ms []*Member, clients int, act func()) *Clients {
+func withClients(t *testing.T, members []*Member, clients int, act func()) *Clients {
 	t.Helper()
-	l := NewClients()
-	defer l.Start(testContext(t), ms, clients)()
+	running := NewClients()
+	defer running.Start(testContext(t), members, clients)()
 	act()
-	return l
+	return running
 }
 
 // nonReplicas returns the members without a replica.
-func nonReplicas(r *Rig, replicated []*Member) []*Member { return without(r.Members, replicated...) }
+func nonReplicas(rig *Rig, replicated []*Member) []*Member {
+	return without(rig.Members, replicated...)
+}
 
 func TestLedgerCountsWhatClientsGot(t *testing.T) {
 	t.Parallel()
-	r := startLedger(t, 5, Options{})
-	l := withClients(t, r.Members, 8, func() { time.Sleep(3 * time.Second) })
-	waitCommitted(t, r, l, 10*time.Second)
-	checkLedgerAnswers(t, r, l)
+	rig := startLedger(t, 5, Options{})
+	clients := withClients(t, rig.Members, 8, func() { time.Sleep(3 * time.Second) })
+	waitCommitted(t, rig, clients, 10*time.Second)
+	checkLedgerAnswers(t, rig, clients)
 }
--- a/internal/testbed/clusterrig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -16,29 +16,29 @@
 const takeoverLimit = ShortLease + 3*time.Second
 
 // startOwners starts members with the singleton roles and waits until one owns them.
-func startOwners(t *testing.T, o Options, ledger string, other ...*strings.Replacer) *Rig {
+func startOwners(t *testing.T, options Options, ledger string, other ...*strings.Replacer) *Rig {
 	t.Helper()
-	o.Zones, o.Sink = 3, true
-	o.ExtraTOML += strings.Replace(ShortLeaseTOML, "[ledger]\n", "[ledger]\n"+ledger, 1)
+	options.Zones, options.Sink = 3, true
+	options.ExtraTOML += strings.Replace(ShortLeaseTOML, "[ledger]\n", "[ledger]\n"+ledger, 1)
 	for _, r := range other {
-		o.ExtraTOML = r.Replace(o.ExtraTOML)
+		options.ExtraTOML = r.Replace(options.ExtraTOML)
 	}
-	r := start(t, o)
-	waitGroupFormed(t, r)
-	owner, err := r.WaitOwner(testContext(t), 15*time.Second)
+	rig := start(t, options)
+	waitGroupFormed(t, rig)
+	owner, err := rig.WaitOwner(testContext(t), 15*time.Second)
 	must(t, err)
 	t.Logf("%s owns the roles with token %d", owner.Name, owner.Token)
-	return r
+	return rig
 }
 
 // checkExported checks the sink against the answers that clients got and against the ledger.
-func checkExported(t *testing.T, r *Rig, l *Clients) {
+func checkExported(t *testing.T, rig *Rig, clients *Clients) {
 	t.Helper()
-	must(t, r.WaitExported(testContext(t), l, 20*time.Second))
-	sum := l.TotalAnswers()
-	_, refused, _ := r.Sink.Audit()
+	must(t, rig.WaitExported(testContext(t), clients, 20*time.Second))
+	sum := clients.TotalAnswers()
+	_, refused, _ := rig.Sink.Audit()
 	t.Logf("%d answers, all in the sink, in %d entries of %d calls, %d of them refused; discovery refused %d",
-		sum, len(r.Sink.Entries()), len(r.Sink.Calls()), refused, r.Discovery.OwnerCalls().Stale)
+		sum, len(rig.Sink.Entries()), len(rig.Sink.Calls()), refused, rig.Discovery.OwnerCalls().Stale)
 }
 
 // command runs the program and returns what it prints.
@@ -51,9 +51,10 @@
 	return string(out)
 }
 
-func waitOwner(t *testing.T, r *Rig, limit time.Duration, not ...*Member) (*Member, uint64) {
+// waitOwner waits until a member other than some owns the roles, and returns it with its token.
+func waitOwner(t *testing.T, rig *Rig, limit time.Duration, not ...*Member) (*Member, uint64) {
 	t.Helper()
-	owner, err := r.WaitOwner(testContext(t), limit, not...)
+	owner, err := rig.WaitOwner(testContext(t), limit, not...)
 	must(t, err)
 	return owner.Member, owner.Token
 }
@@ -62,27 +63,27 @@
 // answers that clients got.
 func TestOwnerExportsAllAnswers(t *testing.T) {
 	t.Parallel()
-	r := startOwners(t, Options{Members: 5}, "")
-	before := r.Discovery.Calls()
-	l := withClients(t, r.Members, 6, func() {
+	rig := startOwners(t, Options{Members: 5}, "")
+	before := rig.Discovery.Calls()
+	clients := withClients(t, rig.Members, 6, func() {
 		time.Sleep(time.Second)
-		name, err := r.Zones.Add(time.Now())
+		name, err := rig.Zones.Add(time.Now())
 		must(t, err)
-		for started := time.Now(); r.Zones.Counts()[name].Requests == 0; time.Sleep(pollInterval) {
+		for started := time.Now(); rig.Zones.Counts()[name].Requests == 0; time.Sleep(pollInterval) {
 			if time.Since(started) > 10*time.Second {
 				t.Fatal("a new zone server is in discovery's list and got nothing")
 			}
 		}
 	})
-	checkExported(t, r, l)
-	if asked := r.Discovery.Calls(); asked > before || before > 3 {
+	checkExported(t, rig, clients)
+	if asked := rig.Discovery.Calls(); asked > before || before > 3 {
 		t.Errorf("five members asked discovery %d times until there was an owner, and %d times after", before,
 			asked-before)
 	}
-	if d := r.Discovery.OwnerCalls(); d.Accepted == 0 {
+	if d := rig.Discovery.OwnerCalls(); d.Accepted == 0 {
 		t.Errorf("no call on discovery carried a token: %+v", d)
 	}
-	text := command(t, "owner", "status", "--door", r.Members[0].Admin)
+	text := command(t, "owner", "status", "--door", rig.Members[0].Admin)
 	for _, want := range []string{"OWNER", "export", "list", "the list here comes from"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("the status says nothing of %q:\n%s", want, text)
@@ -95,23 +96,23 @@
 // notices, and it acts no more.
 func TestResumedOwnerIsFenced(t *testing.T) {
 	t.Parallel()
-	r := startOwners(t, Options{Members: 5, Relay: true}, "")
-	l := withClients(t, nonReplicas(r, replicas(t, r)), 4, func() {
+	rig := startOwners(t, Options{Members: 5, Relay: true}, "")
+	clients := withClients(t, nonReplicas(rig, replicas(t, rig)), 4, func() {
 		rounds := 6
 		if underRace {
 			rounds = 2
 		}
-		rep, err := r.FaultOwners(testContext(t), ShortLease, rounds, rounds/2)
+		report, err := rig.FaultOwners(testContext(t), ShortLease, rounds, rounds/2)
 		must(t, err)
-		t.Logf("%+v", rep)
-		if rep.Refused < rep.Pauses+rep.Partitions {
-			t.Errorf("%d calls of late owners were refused", rep.Refused)
+		t.Logf("%+v", report)
+		if report.Refused < report.Pauses+report.Partitions {
+			t.Errorf("%d calls of late owners were refused", report.Refused)
 		}
-		if rep.Worst > takeoverLimit {
-			t.Errorf("a new owner took %v, %v at most is wanted", rep.Worst, takeoverLimit)
+		if report.Worst > takeoverLimit {
+			t.Errorf("a new owner took %v, %v at most is wanted", report.Worst, takeoverLimit)
 		}
 	})
-	checkExported(t, r, l)
+	checkExported(t, rig, clients)
 }
 
 // Fifty owners that wake late, in two fleets of shorter leases: nothing of theirs is taken.
@@ -125,16 +126,16 @@
 			t.Parallel()
 			keys := strings.NewReplacer(`lease = "600ms"`, `lease = "300ms"`, `election = "300ms"`,
 				`election = "150ms"`, `heartbeat = "40ms"`, `heartbeat = "20ms"`)
-			r := startOwners(t, Options{Members: 5, Relay: true}, "", keys)
-			l := withClients(t, nonReplicas(r, replicas(t, r)), 4, func() {
-				rep, err := r.FaultOwners(testContext(t), 300*time.Millisecond, 25, 0)
+			rig := startOwners(t, Options{Members: 5, Relay: true}, "", keys)
+			clients := withClients(t, nonReplicas(rig, replicas(t, rig)), 4, func() {
+				report, err := rig.FaultOwners(testContext(t), 300*time.Millisecond, 25, 0)
 				must(t, err)
-				t.Logf("%+v", rep)
-				if rep.Refused < rep.Pauses {
-					t.Errorf("%d calls of late owners were refused", rep.Refused)
+				t.Logf("%+v", report)
+				if report.Refused < report.Pauses {
+					t.Errorf("%d calls of late owners were refused", report.Refused)
 				}
 			})
-			checkExported(t, r, l)
+			checkExported(t, rig, clients)
 		})
 	}
 }
@@ -144,59 +145,60 @@
 func TestOwnerKilledDuringExport(t *testing.T) {
 	t.Parallel()
 	// Halls a, b, a, c in turn: half of the members stand in a, and each hall has one replica.
-	r := startOwners(t, Options{Members: 8, Halls: []string{"a", "b", "a", "c"}}, "")
+	rig := startOwners(t, Options{Members: 8, Halls: []string{"a", "b", "a", "c"}}, "")
 	var targets []*Member
-	replicated := replicas(t, r)
-	for _, m := range without(r.Members, replicated...) {
-		if m.Hall != "a" {
-			targets = append(targets, m)
+	replicated := replicas(t, rig)
+	for _, member := range without(rig.Members, replicated...) {
+		if member.Hall != "a" {
+			targets = append(targets, member)
 		}
 	}
-	l := withClients(t, targets, 4, func() {
+	clients := withClients(t, targets, 4, func() {
 		for _, hall := range []bool{false, true} {
-			m, token := waitOwner(t, r, 10*time.Second)
+			member, token := waitOwner(t, rig, 10*time.Second)
 			// Until the owner stands in the hall that is to fall, and is none that clients talk to: on a slow
 			// machine one of those may have come to hold a replica.
-			for attempts := 0; hall && m.Hall != "a" || slices.Contains(targets, m); attempts++ {
+			for attempts := 0; hall && member.Hall != "a" || slices.Contains(targets, member); attempts++ {
 				if attempts == 20 {
 					t.Fatal("no member that may be killed ever owned the roles")
 				}
-				must(t, r.Term(m, nil))
-				must(t, r.Spawn(testContext(t), m, Unchanged))
-				m, token = waitOwner(t, r, 10*time.Second)
+				must(t, rig.Term(member, nil))
+				must(t, rig.Spawn(testContext(t), member, Unchanged))
+				member, token = waitOwner(t, rig, 10*time.Second)
 			}
-			waitExporting(t, r, m)
-			victims := []*Member{m}
+			waitExporting(t, rig, member)
+			victims := []*Member{member}
 			if hall {
-				victims = inHall(r, "a")
+				victims = inHall(rig, "a")
 			}
-			r.Kill(victims...)
+			rig.Kill(victims...)
 			started := time.Now()
-			next, higher := waitOwner(t, r, 10*time.Second)
+			next, higher := waitOwner(t, rig, 10*time.Second)
 			took := time.Since(started)
-			t.Logf("%s and %d more killed; %s owns the roles after %v", m.Name, len(victims)-1, next.Name, took)
+			t.Logf("%s and %d more killed; %s owns the roles after %v", member.Name, len(victims)-1, next.Name, took)
 			if higher <= token {
 				t.Errorf("token %d follows %d", higher, token)
 			}
 			if took > takeoverLimit {
 				t.Errorf("a new owner took %v, %v at most is wanted", took, takeoverLimit)
 			}
-			r.Sink.SetFault(proxystandin.SinkFault{})
-			for _, v := range r.Members {
+			rig.Sink.SetFault(proxystandin.SinkFault{})
+			for _, v := range rig.Members {
 				if v.State() == Killed {
-					must(t, r.Spawn(testContext(t), v, Unchanged))
+					must(t, rig.Spawn(testContext(t), v, Unchanged))
 				}
 			}
 		}
 	})
-	checkExported(t, r, l)
+	checkExported(t, rig, clients)
 }
 
-func inHall(r *Rig, hall string) []*Member {
+// inHall returns the running members of a hall.
+func inHall(rig *Rig, hall string) []*Member {
 	var out []*Member
-	for _, m := range r.Members {
-		if m.Hall == hall && m.State() == Up {
-			out = append(out, m)
+	for _, member := range rig.Members {
+		if member.Hall == hall && member.State() == Up {
+			out = append(out, member)
 		}
 	}
 	return out
@@ -204,14 +206,14 @@
 
 // waitExporting delays the sink's answers and waits until it has stored an entry whose owner has no answer
 // yet.
-func waitExporting(t *testing.T, r *Rig, m *Member) {
+func waitExporting(t *testing.T, rig *Rig, member *Member) {
 	t.Helper()
-	r.Sink.SetFault(proxystandin.SinkFault{Delay: 300 * time.Millisecond})
-	stored := len(r.Sink.Entries())
-	for started := time.Now(); len(r.Sink.Entries()) == stored; time.Sleep(time.Millisecond) {
+	rig.Sink.SetFault(proxystandin.SinkFault{Delay: 300 * time.Millisecond})
+	stored := len(rig.Sink.Entries())
+	for started := time.Now(); len(rig.Sink.Entries()) == stored; time.Sleep(time.Millisecond) {
 		if time.Since(started) > 10*time.Second {
-			p, err := OwnerPage(m)
-			t.Fatalf("%s sends nothing: %+v (%v)", m.Name, p, err)
+			p, err := OwnerPage(member)
+			t.Fatalf("%s sends nothing: %+v (%v)", member.Name, p, err)
 		}
 	}
 }
@@ -219,67 +221,67 @@
 // Case 4: the group's leader changes in the middle of a lease, twice, and the owner is killed twice in a row.
 func TestOwnerSurvivesLeaderChanges(t *testing.T) {
 	t.Parallel()
-	r := startOwners(t, Options{Members: 5}, "replicas = 5\nexpect = 5\n")
-	l := withClients(t, r.Members[:1], 4, func() {
+	rig := startOwners(t, Options{Members: 5}, "replicas = 5\nexpect = 5\n")
+	clients := withClients(t, rig.Members[:1], 4, func() {
 		for range 2 {
-			lead := leader(t, r)
-			if lead == r.Members[0] {
+			leading := leader(t, rig)
+			if leading == rig.Members[0] {
 				continue // clients talk to it
 			}
-			r.Kill(lead)
-			_, token := waitOwner(t, r, 10*time.Second)
-			must(t, r.Spawn(testContext(t), lead, Unchanged))
-			t.Logf("the leader %s was killed, the token is %d", lead.Name, token)
+			rig.Kill(leading)
+			_, token := waitOwner(t, rig, 10*time.Second)
+			must(t, rig.Spawn(testContext(t), leading, Unchanged))
+			t.Logf("the leader %s was killed, the token is %d", leading.Name, token)
 		}
 		last := uint64(0)
 		for range 2 {
-			m, token := waitOwner(t, r, 10*time.Second)
+			member, token := waitOwner(t, rig, 10*time.Second)
 			if token < last {
 				t.Errorf("token %d after %d", token, last)
 			}
 			last = token
-			if m == r.Members[0] {
-				must(t, r.Pause(m)) // clients talk to it: what it has in memory must not go
-				waitOwner(t, r, 10*time.Second, m)
-				must(t, r.Resume(m))
+			if member == rig.Members[0] {
+				must(t, rig.Pause(member)) // clients talk to it: what it has in memory must not go
+				waitOwner(t, rig, 10*time.Second, member)
+				must(t, rig.Resume(member))
 				continue
 			}
-			r.Kill(m)
-			waitOwner(t, r, 10*time.Second, m)
-			must(t, r.Spawn(testContext(t), m, Unchanged))
+			rig.Kill(member)
+			waitOwner(t, rig, 10*time.Second, member)
+			must(t, rig.Spawn(testContext(t), member, Unchanged))
 		}
 	})
-	checkExported(t, r, l)
+	checkExported(t, rig, clients)
 }
 
 // Case 5: every member is restarted in turn, then all are killed at once and started again. No period is
 // exported twice or missed, and discovery sees no burst of calls.
 func TestExportIsExactThroughRestarts(t *testing.T) {
 	t.Parallel()
-	r := startOwners(t, Options{Members: 5}, "")
-	asked := r.Discovery.Calls()
-	l := NewClients()
-	stop := l.Start(testContext(t), r.Members, 4)
+	rig := startOwners(t, Options{Members: 5}, "")
+	asked := rig.Discovery.Calls()
+	clients := NewClients()
+	stop := clients.Start(testContext(t), rig.Members, 4)
 	defer stop()
-	for _, m := range r.Members {
-		must(t, r.Term(m, nil))
-		must(t, r.Spawn(testContext(t), m, Unchanged))
-		waitOwner(t, r, 10*time.Second)
+	for _, member := range rig.Members {
+		must(t, rig.Term(member, nil))
+		must(t, rig.Spawn(testContext(t), member, Unchanged))
+		waitOwner(t, rig, 10*time.Second)
 	}
 	stop()
-	t.Logf("restarted in turn, discovery was asked %d times more", r.Discovery.Calls()-asked)
-	waitCommitted(t, r, l, 15*time.Second)
-	checkExported(t, r, l)
-	asked = r.Discovery.Calls()
-	r.Kill(r.Members...)
-	must(t, r.SpawnAll(testContext(t), r.Members))
-	m, _ := waitOwner(t, r, 15*time.Second)
-	more := withClients(t, r.Members, 4, func() { time.Sleep(time.Second) })
-	l.Merge(more)
-	checkExported(t, r, l)
-	t.Logf("killed at once and started, %s owns the roles; discovery was asked %d times more", m.Name,
-		r.Discovery.Calls()-asked)
-	if waves := r.Discovery.Calls() - asked; waves > 2 {
+	t.Logf("restarted in turn, discovery was asked %d times more", rig.Discovery.Calls()-asked)
+	waitCommitted(t, rig, clients, 15*time.Second)
+	checkExported(t, rig, clients)
+	asked = rig.Discovery.Calls()
+	rig.Kill(rig.Members...)
+	must(t, rig.SpawnAll(testContext(t), rig.Members))
+	member, _ := waitOwner(t, rig, 15*time.Second)
+	more := withClients(t, rig.Members, 4, func() { time.Sleep(time.Second) })
+	clients.Merge(more)
+	checkExported(t, rig, clients)
+	t.Logf("killed at once and started, %s owns the roles; discovery was asked %d times more", member.Name,
+		rig.Discovery.Calls()-asked)
+	if waves := rig.Discovery.Calls() - asked; waves > 2 {
 		t.Errorf("five members that start at once asked discovery %d times", waves)
 	}
 }
@@ -288,8 +290,8 @@
 // goes on once the sink is healthy; nothing is stored twice.
 func TestExportRecoversFromSinkFaults(t *testing.T) {
 	t.Parallel()
-	r := startOwners(t, Options{Members: 3}, "")
-	l := withClients(t, r.Members, 4, func() {
+	rig := startOwners(t, Options{Members: 3}, "")
+	clients := withClients(t, rig.Members, 4, func() {
 		for what, fault := range map[string]proxystandin.SinkFault{
 			"503":          {Status: 503},
 			"400":          {Status: 400},
@@ -299,35 +301,35 @@
 			"another 200":  {Status: 204},
 			"a lie of 409": {Status: 409},
 		} {
-			refused, _ := exportState(r)
-			r.Sink.SetFault(fault)
-			waitExportState(t, r, what, func(now int64, problem string) bool {
+			refused, _ := exportState(rig)
+			rig.Sink.SetFault(fault)
+			waitExportState(t, rig, what, func(now int64, problem string) bool {
 				return problem != "" || now > refused && fault.Status == 409
 			})
-			r.Sink.SetFault(proxystandin.SinkFault{})
-			waitExportState(t, r, "well again", func(_ int64, problem string) bool { return problem == "" })
+			rig.Sink.SetFault(proxystandin.SinkFault{})
+			waitExportState(t, rig, "well again", func(_ int64, problem string) bool { return problem == "" })
 		}
 	})
-	checkExported(t, r, l)
-	for what, c := range map[string]struct {
+	checkExported(t, rig, clients)
+	for what, test := range map[string]struct {
 		token string
 		want  int
 	}{"no token": {"", 400}, "negative": {"-4", 400}, "no number": {"x", 400}, "zero": {"0", 400},
 		"old": {"1", 409}} {
 		for _, call := range []struct{ method, url string }{
-			{"POST", "http://" + r.Sink.Address() + "/entries"},
-			{"GET", "http://" + r.Discovery.Address() + "/registry/instances"},
+			{"POST", "http://" + rig.Sink.Address() + "/entries"},
+			{"GET", "http://" + rig.Discovery.Address() + "/registry/instances"},
 		} {
-			q, _ := http.NewRequest(call.method, call.url, strings.NewReader("[]"))
-			q.Header.Set("X-Fencing-Token", c.token)
-			a, err := http.DefaultClient.Do(q)
+			request, _ := http.NewRequest(call.method, call.url, strings.NewReader("[]"))
+			request.Header.Set("X-Fencing-Token", test.token)
+			response, err := http.DefaultClient.Do(request)
 			must(t, err)
-			a.Body.Close()
-			if call.method == "GET" && c.token == "" {
-				c.want = 200 // anybody may ask discovery without one
+			response.Body.Close()
+			if call.method == "GET" && test.token == "" {
+				test.want = 200 // anybody may ask discovery without one
 			}
-			if a.StatusCode != c.want {
-				t.Errorf("%s: %s answered %d, not %d", what, call.url, a.StatusCode, c.want)
+			if response.StatusCode != test.want {
+				t.Errorf("%s: %s answered %d, not %d", what, call.url, response.StatusCode, test.want)
 			}
 		}
 	}
@@ -335,10 +337,10 @@
 
 // exportState returns how many calls were refused for their token, over all members, and the problem that
 // stalls the owner's export, if any.
-func exportState(r *Rig) (refused int64, problem string) {
+func exportState(rig *Rig) (refused int64, problem string) {
 	problem = "nobody owns the roles"
-	for _, m := range r.Running() {
-		p, err := OwnerPage(m)
+	for _, member := range rig.Running() {
+		p, err := OwnerPage(member)
 		if err != nil || len(p.Roles) == 0 {
 			continue
 		}
@@ -350,11 +352,12 @@
 	return refused, problem
 }
 
-func waitExportState(t *testing.T, r *Rig, what string, holds func(refused int64, problem string) bool) {
+// waitExportState waits until holds accepts what exportState returns.
+func waitExportState(t *testing.T, rig *Rig, what string, holds func(refused int64, problem string) bool) {
 	t.Helper()
 	started := time.Now()
 	for {
-		refused, problem := exportState(r)
+		refused, problem := exportState(rig)
 		if holds(refused, problem) {
 			t.Logf("%s after %v: %s", what, time.Since(started), problem)
 			return
--- a/internal/testbed/clusterrig/rig_test.go
+++ b/internal/testbed/clusterrig/rig_test.go
@@ -53,58 +53,64 @@
 // testContext bounds one wait of a test.
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	c, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	t.Cleanup(cancel)
-	return c
+	return ctx
 }
 
 // start starts members, with the default keys of scenarios unless others are given, and waits until their
 // views converge.
-func start(t *testing.T, o Options) *Rig {
+func start(t *testing.T, options Options) *Rig {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts several processes")
 	}
-	o.Program, o.Dir, o.Seed = binary, dataFolder(t), 1
+	options.Program, options.Dir, options.Seed = binary, dataFolder(t), 1
 	if path := os.Getenv("RIG_LOG"); path != "" { // for whoever looks into a failure
 		f, err := os.Create(path + "-" + t.Name())
 		must(t, err)
 		t.Cleanup(func() { f.Close() })
-		o.Log = f
+		options.Log = f
 	}
-	if o.FleetTOML == "" {
-		o.FleetTOML = DefaultFleetTOML()
+	if options.FleetTOML == "" {
+		options.FleetTOML = DefaultFleetTOML()
 	}
-	r, err := Start(testContext(t), o)
+	rig, err := Start(testContext(t), options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := r.Close(); err != nil {
+		if err := rig.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	took, err := r.WaitConverged(testContext(t), 30*time.Second)
+	took, err := rig.WaitConverged(testContext(t), 30*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d members see each other after %v", o.Members, took)
-	return r
+	t.Logf("%d members see each other after %v", options.Members, took)
+	return rig
 }
 
-func waitViews(t *testing.T, ms []*Member, limit time.Duration, what string, holds func(gossip.Page) error) {
+// waitViews waits until holds accepts the view of every one of some members.
+func waitViews(t *testing.T, members []*Member, limit time.Duration, what string,
+	holds func(gossip.Page) error) {
 	t.Helper()
-	took, err := WaitViews(testContext(t), ms, limit, holds)
+	took, err := WaitViews(testContext(t), members, limit, holds)
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 	t.Logf("%s after %v", what, took)
 }
 
+// without returns members but for those excluded.
 func without(all []*Member, excluded ...*Member) []*Member {
-	return slices.DeleteFunc(slices.Clone(all), func(m *Member) bool { return slices.Contains(excluded, m) })
+	return slices.DeleteFunc(slices.Clone(all), func(member *Member) bool {
+		return slices.Contains(excluded, member)
+	})
 }
 
+// must ends the test on an error.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -115,30 +121,30 @@
 // Case 1: kill -9 of one of seven members; every live view marks it dead within the worst time wanted.
 func TestKilledMemberIsDeadEverywhere(t *testing.T) {
 	t.Parallel()
-	r := start(t, Options{Members: 7})
+	rig := start(t, Options{Members: 7})
 	for range 3 {
-		m := r.Members[3]
-		r.Kill(m)
-		waitViews(t, r.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", m.Name))
-		must(t, r.Spawn(testContext(t), m, Unchanged))
-		waitViews(t, r.Running(), 5*time.Second, "back everywhere", OnlyAlive(MemberNames(r.Running())...))
+		member := rig.Members[3]
+		rig.Kill(member)
+		waitViews(t, rig.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", member.Name))
+		must(t, rig.Spawn(testContext(t), member, Unchanged))
+		waitViews(t, rig.Running(), 5*time.Second, "back everywhere", OnlyAlive(MemberNames(rig.Running())...))
 	}
 }
 
 // Case 2: a partition that outlasts the dead timeout, then healed: one view everywhere again.
 func TestViewsConvergeAfterPartition(t *testing.T) {
 	t.Parallel()
-	r := start(t, Options{Members: 7, Relay: true})
-	a, b := r.Members[:3], r.Members[3:]
+	rig := start(t, Options{Members: 7, Relay: true})
+	left, right := rig.Members[:3], rig.Members[3:]
 	partitionedAt := time.Now()
-	r.Net.Partition(MemberNames(a), MemberNames(b))
-	waitViews(t, a, 15*time.Second, "the three see the four dead", OnlyAlive(MemberNames(a)...))
-	waitViews(t, b, 15*time.Second, "the four see the three dead", OnlyAlive(MemberNames(b)...))
+	rig.Net.Partition(MemberNames(left), MemberNames(right))
+	waitViews(t, left, 15*time.Second, "the three see the four dead", OnlyAlive(MemberNames(left)...))
+	waitViews(t, right, 15*time.Second, "the four see the three dead", OnlyAlive(MemberNames(right)...))
 	if remaining := 20*time.Second - time.Since(partitionedAt); remaining > 0 && !underRace {
 		time.Sleep(remaining) // the issue's length; nothing is judged by it
 	}
-	r.Net.Heal()
-	waitViews(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
+	rig.Net.Heal()
+	waitViews(t, rig.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(rig.Members)...))
 }
 
 // Case 3: a member that is paused again and again, then one whose links are slow: no healthy member is ever
@@ -148,15 +154,15 @@
 	if underRace {
 		t.Skip("takes a minute and adds nothing for the race detector")
 	}
-	r := start(t, Options{Members: 7, Relay: true})
-	slow, healthy := r.Members[6], r.Members[:6]
+	rig := start(t, Options{Members: 7, Relay: true})
+	slow, healthy := rig.Members[6], rig.Members[:6]
 	looks := 0
 	calm := func(lasting time.Duration) {
 		for end := time.Now().Add(lasting); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			for by, p := range FetchViews(r.Running()) {
-				for _, m := range healthy {
-					if seen, ok := FindMember(p, m.Name); !ok || seen.Status == "dead" || seen.Status == "left" {
-						t.Fatalf("%s sees %s %q", by, m.Name, seen.Status)
+			for by, page := range FetchViews(rig.Running()) {
+				for _, member := range healthy {
+					if seen, ok := FindMember(page, member.Name); !ok || seen.Status == "dead" || seen.Status == "left" {
+						t.Fatalf("%s sees %s %q", by, member.Name, seen.Status)
 					}
 				}
 				looks++
@@ -164,56 +170,56 @@
 		}
 	}
 	for range 4 {
-		must(t, r.Pause(slow))
+		must(t, rig.Pause(slow))
 		calm(2 * time.Second)
-		must(t, r.Resume(slow))
+		must(t, rig.Resume(slow))
 		calm(6 * time.Second)
 	}
-	waitViews(t, r.Members, 5*time.Second, "one view after the pauses", OnlyAlive(MemberNames(r.Members)...))
-	for _, m := range healthy {
-		r.Net.Set(m.Name, slow.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
-		r.Net.Set(slow.Name, m.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
+	waitViews(t, rig.Members, 5*time.Second, "one view after the pauses", OnlyAlive(MemberNames(rig.Members)...))
+	for _, member := range healthy {
+		rig.Net.Set(member.Name, slow.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
+		rig.Net.Set(slow.Name, member.Name, faultnet.Fault{Delay: 300 * time.Millisecond})
 	}
 	calm(28 * time.Second)
 	t.Logf("%d views looked at; a healthy member was dead in none", looks)
-	r.Net.Heal()
-	waitViews(t, r.Members, 10*time.Second, "one view in the end", OnlyAlive(MemberNames(r.Members)...))
+	rig.Net.Heal()
+	waitViews(t, rig.Members, 10*time.Second, "one view in the end", OnlyAlive(MemberNames(rig.Members)...))
 }
 
 // Case 4: A reaches B, B does not reach A: the others' probes keep both alive in the others' views.
 func TestOneWayLinkKeepsBothAlive(t *testing.T) {
 	t.Parallel()
-	r := start(t, Options{Members: 7, Relay: true})
-	a, b := r.Members[1], r.Members[2]
-	r.Net.Set(b.Name, a.Name, faultnet.Fault{Blocked: true})
-	others := without(r.Members, a, b)
+	rig := start(t, Options{Members: 7, Relay: true})
+	a, b := rig.Members[1], rig.Members[2]
+	rig.Net.Set(b.Name, a.Name, faultnet.Fault{Blocked: true})
+	others := without(rig.Members, a, b)
 	end := time.Now().Add(6 * time.Second)
 	for time.Now().Before(end) {
-		for by, p := range FetchViews(others) {
-			for _, m := range []*Member{a, b} {
-				if seen, ok := FindMember(p, m.Name); !ok || seen.Status == "dead" {
-					t.Fatalf("%s sees %s %q", by, m.Name, seen.Status)
+		for by, page := range FetchViews(others) {
+			for _, member := range []*Member{a, b} {
+				if seen, ok := FindMember(page, member.Name); !ok || seen.Status == "dead" {
+					t.Fatalf("%s sees %s %q", by, member.Name, seen.Status)
 				}
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	p := FetchViews([]*Member{a})[a.Name]
-	if p.Counters.IndirectProbes == 0 {
+	page := FetchViews([]*Member{a})[a.Name]
+	if page.Counters.IndirectProbes == 0 {
 		t.Error("no probe went round the blocked link")
 	}
-	if c := r.Net.Counts(b.Name, a.Name); c.Lost == 0 {
+	if counts := rig.Net.Counts(b.Name, a.Name); counts.Lost == 0 {
 		t.Error("the blocked link lost nothing")
 	}
-	r.Net.Heal()
-	waitViews(t, r.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(r.Members)...))
+	rig.Net.Heal()
+	waitViews(t, rig.Members, 5*time.Second, "one view after the heal", OnlyAlive(MemberNames(rig.Members)...))
 }
 
 // Case 5: restarts under the same name: before the suspicion ends, at a new address, with a wiped folder.
 func TestMemberRestartsUnderItsName(t *testing.T) {
 	t.Parallel()
-	r := start(t, Options{Members: 5})
-	for _, c := range []struct {
+	rig := start(t, Options{Members: 5})
+	for _, test := range []struct {
 		name   string
 		change Change
 		dead   bool // wait until the others hold it dead first
@@ -223,19 +229,19 @@
 		{"at once, with a wiped folder", EmptyDisk, false},
 		{"after its death, at a new address", NewAddress, true},
 	} {
-		m := r.Members[2]
-		before, _ := FindMember(FetchViews(r.Members[:1])[r.Members[0].Name], m.Name)
-		r.Kill(m)
-		if c.dead {
-			waitViews(t, r.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", m.Name))
+		member := rig.Members[2]
+		before, _ := FindMember(FetchViews(rig.Members[:1])[rig.Members[0].Name], member.Name)
+		rig.Kill(member)
+		if test.dead {
+			waitViews(t, rig.Running(), 3*time.Second, "dead everywhere", StatusIs("dead", member.Name))
 		}
-		must(t, r.Spawn(testContext(t), m, c.change))
-		waitViews(t, r.Members, 10*time.Second, c.name, func(p gossip.Page) error {
-			now, _ := FindMember(p, m.Name)
-			if now.Incarnation <= before.Incarnation || now.Address != m.Gossip {
-				return fmt.Errorf("%s is %+v, was %+v", m.Name, now, before)
+		must(t, rig.Spawn(testContext(t), member, test.change))
+		waitViews(t, rig.Members, 10*time.Second, test.name, func(page gossip.Page) error {
+			now, _ := FindMember(page, member.Name)
+			if now.Incarnation <= before.Incarnation || now.Address != member.Gossip {
+				return fmt.Errorf("%s is %+v, was %+v", member.Name, now, before)
 			}
-			return OnlyAlive(MemberNames(r.Members)...)(p)
+			return OnlyAlive(MemberNames(rig.Members)...)(page)
 		})
 	}
 }
@@ -243,34 +249,36 @@
 // Case 6: thirty processes started at once, then twenty of them killed at once.
 func TestManyMembersDieAtOnce(t *testing.T) {
 	t.Parallel()
-	r := start(t, Options{Members: 30, Seeds: 3})
-	r.Kill(r.Members[10:]...)
-	waitViews(t, r.Members[:10], 20*time.Second, "twenty dead at once",
-		OnlyAlive(MemberNames(r.Members[:10])...))
+	rig := start(t, Options{Members: 30, Seeds: 3})
+	rig.Kill(rig.Members[10:]...)
+	waitViews(t, rig.Members[:10], 20*time.Second, "twenty dead at once",
+		OnlyAlive(MemberNames(rig.Members[:10])...))
 }
 
 // Case 7: a drain and then a SIGTERM are in every view within a second, with no suspicion on the way.
 func TestDrainAndTermSpreadWithoutSuspicion(t *testing.T) {
 	t.Parallel()
-	r := start(t, Options{Members: 7})
-	m := r.Members[4]
-	must(t, m.Drain(true))
+	rig := start(t, Options{Members: 7})
+	member := rig.Members[4]
+	must(t, member.Drain(true))
 	phase := func(want string) func(gossip.Page) error {
-		return func(p gossip.Page) error {
-			if s, _ := FindMember(p, m.Name); s.Phase != want || s.Status != "alive" {
-				return fmt.Errorf("%s is %s and %s", m.Name, s.Status, s.Phase)
+		return func(page gossip.Page) error {
+			if s, _ := FindMember(page, member.Name); s.Phase != want || s.Status != "alive" {
+				return fmt.Errorf("%s is %s and %s", member.Name, s.Status, s.Phase)
 			}
 			return nil
 		}
 	}
-	waitViews(t, r.Members, time.Second, "draining everywhere", phase("draining"))
-	must(t, m.Drain(false))
-	waitViews(t, r.Members, time.Second, "serving everywhere", phase("serving"))
-	others := without(r.Members, m)
-	must(t, r.Term(m, func() { waitViews(t, others, time.Second, "left everywhere", StatusIs("left", m.Name)) }))
-	for by, p := range FetchViews(others) {
-		if s, _ := FindMember(p, m.Name); s.Suspected != 0 || s.Flaps != 1 {
-			t.Errorf("%s saw %s on its way out as %+v", by, m.Name, s)
+	waitViews(t, rig.Members, time.Second, "draining everywhere", phase("draining"))
+	must(t, member.Drain(false))
+	waitViews(t, rig.Members, time.Second, "serving everywhere", phase("serving"))
+	others := without(rig.Members, member)
+	must(t, rig.Term(member, func() {
+		waitViews(t, others, time.Second, "left everywhere", StatusIs("left", member.Name))
+	}))
+	for by, page := range FetchViews(others) {
+		if s, _ := FindMember(page, member.Name); s.Suspected != 0 || s.Flaps != 1 {
+			t.Errorf("%s saw %s on its way out as %+v", by, member.Name, s)
 		}
 	}
 }
@@ -279,39 +287,39 @@
 // that changes the fleet's keys is refused and logged.
 func TestTakenNameAndChangedLabelAreRefused(t *testing.T) {
 	t.Parallel()
-	r := start(t, Options{Members: 3})
-	m := r.Members[1]
-	text, err := os.ReadFile(filepath.Join(r.opts.Dir, m.Name+".toml"))
+	rig := start(t, Options{Members: 3})
+	member := rig.Members[1]
+	text, err := os.ReadFile(filepath.Join(rig.opts.Dir, member.Name+".toml"))
 	must(t, err)
 	twin := strings.Replace(string(text), `[fleet]
-bind = "`, fmt.Sprintf("[fleet]\nseeds = [%q]\nbind = \"127.0.0.1:0\" # ", r.Members[0].Gossip), 1)
+bind = "`, fmt.Sprintf("[fleet]\nseeds = [%q]\nbind = \"127.0.0.1:0\" # ", rig.Members[0].Gossip), 1)
 	i := strings.LastIndex(twin, "seeds = ")
 	twin = twin[:i] + "# " + twin[i:]
-	file := filepath.Join(r.opts.Dir, "twin.toml")
+	file := filepath.Join(rig.opts.Dir, "twin.toml")
 	must(t, os.WriteFile(file, []byte(twin), 0o600))
 	if out, err := exec.Command(binary, "serve", "--config", file).CombinedOutput(); err == nil ||
 		!strings.Contains(string(out), "is held by a live member") {
 		t.Errorf("the twin ended with %v and said\n%s", err, out)
 	}
 	// Its label is another in the file now, which takes a restart.
-	changed := strings.Replace(string(text), fmt.Sprintf("label = %q", r.label), `label = "other"`, 1)
-	must(t, os.WriteFile(filepath.Join(r.opts.Dir, m.Name+".toml"), []byte(changed), 0o600))
-	must(t, m.process.Signal(1))
+	changed := strings.Replace(string(text), fmt.Sprintf("label = %q", rig.label), `label = "other"`, 1)
+	must(t, os.WriteFile(filepath.Join(rig.opts.Dir, member.Name+".toml"), []byte(changed), 0o600))
+	must(t, member.process.Signal(1))
 	for range 200 {
-		if strings.Contains(m.Log(), "fleet.label") {
+		if strings.Contains(member.Log(), "fleet.label") {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if !strings.Contains(m.Log(), "fleet.label") {
-		t.Errorf("the refusal of the reload was not logged:\n%s", m.Log())
+	if !strings.Contains(member.Log(), "fleet.label") {
+		t.Errorf("the refusal of the reload was not logged:\n%s", member.Log())
 	}
-	for by, p := range FetchViews(r.Members) {
-		if err := OnlyAlive(MemberNames(r.Members)...)(p); err != nil || p.Label != r.label {
-			t.Errorf("%s, label %q: %v", by, p.Label, err)
+	for by, page := range FetchViews(rig.Members) {
+		if err := OnlyAlive(MemberNames(rig.Members)...)(page); err != nil || page.Label != rig.label {
+			t.Errorf("%s, label %q: %v", by, page.Label, err)
 		}
-		if s, _ := FindMember(p, m.Name); s.Flaps != 0 {
-			t.Errorf("%s saw %s flap: %+v", by, m.Name, s)
+		if s, _ := FindMember(page, member.Name); s.Flaps != 0 {
+			t.Errorf("%s saw %s flap: %+v", by, member.Name, s)
 		}
 	}
 }
@@ -334,9 +342,9 @@
 		return nil
 	}
 	must(t, poll(testContext(t), 15*time.Second, pollInterval, rejected))
-	for _, r := range []*Rig{first, second} {
-		for by, page := range FetchViews(r.Members) {
-			if err := OnlyAlive(MemberNames(r.Members)...)(page); err != nil {
+	for _, rig := range []*Rig{first, second} {
+		for by, page := range FetchViews(rig.Members) {
+			if err := OnlyAlive(MemberNames(rig.Members)...)(page); err != nil {
 				t.Errorf("%s: %v", by, err)
 			}
 		}
--- a/internal/testbed/clusterrig/scenario_test.go
+++ b/internal/testbed/clusterrig/scenario_test.go
@@ -20,7 +20,7 @@
 
 func TestScenarioProblemsAreReported(t *testing.T) {
 	const link = "[[step]]\ndo = \"link\"\nwho = [\"m-0\"]\n"
-	for _, c := range []struct{ name, text, want string }{
+	for _, test := range []struct{ name, text, want string }{
 		{"too few members", "members = 1", "members"},
 		{"misspelt key", "memebrs = 3", "did you mean"},
 		{"duration without unit", "lasts = 10", "unit"},
@@ -36,11 +36,11 @@
 		{"fraction above one", link + "to = [\"m-1\"]\ndrop = 2", "drop"},
 		{"unknown expectation", link + "to = [\"m-1\"]\nexpect = \"maybe\"", "expect"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "s.toml")
-			must(t, os.WriteFile(file, []byte(c.text), 0o600))
-			if _, err := Load(file, nil); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%q: %v, not %q", c.text, err, c.want)
+			must(t, os.WriteFile(file, []byte(test.text), 0o600))
+			if _, err := Load(file, nil); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%q: %v, not %q", test.text, err, test.want)
 			}
 		})
 	}
