--- a/internal/router/chain/bootstrap_test.go
+++ b/internal/router/chain/bootstrap_test.go
@@ -166,8 +166,7 @@
 	epoch := cluster.view("a").Epoch
 	cluster.c.Assert(sortedIDs(memberIDs(cluster.view("a").Members)), qt.DeepEquals, []MemberID{"a", "b"})
 	cluster.do("a", func(n *Node) Effects {
-		return n.Receive(cluster.now,
-			Message{Kind: ViewNotice, View: first})
+		return n.Receive(cluster.now, Message{Kind: ViewNotice, View: first})
 	})
 	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, epoch)
 	cluster.mustWrite("a", 0, 1, "one")
--- a/internal/router/chain/fence_test.go
+++ b/internal/router/chain/fence_test.go
@@ -72,12 +72,10 @@
 	view := View{Epoch: 2, Members: cluster.view("a").Members, Chain: []MemberID{"a", "b"}}
 	cluster.inTransit = nil
 	cluster.do("b", func(n *Node) Effects {
-		return n.Receive(cluster.now,
-			Message{Kind: ViewNotice, View: view})
+		return n.Receive(cluster.now, Message{Kind: ViewNotice, View: view})
 	})
 	cluster.do("b", func(n *Node) Effects {
-		return n.Receive(cluster.now,
-			Message{Kind: Seal, From: "c", Epoch: 2})
+		return n.Receive(cluster.now, Message{Kind: Seal, From: "c", Epoch: 2})
 	})
 	cluster.restart("b")
 	cluster.inTransit = nil
--- a/internal/router/chain/sim_points_test.go
+++ b/internal/router/chain/sim_points_test.go
@@ -20,8 +20,7 @@
 var pointFaults = []pointFault{
 	{"process killed", func(world *simWorld, machine *simMachine) { world.downAt(machine, faultfs.KeepAll) }},
 	{"power lost", func(world *simWorld, machine *simMachine) { world.downAt(machine, faultfs.LoseAll) }},
-	{"power lost, some writes persisted", func(world *simWorld,
-		machine *simMachine) {
+	{"power lost, some writes persisted", func(world *simWorld, machine *simMachine) {
 		world.downAt(machine, faultfs.LoseSome)
 	}},
 	{"power lost by all", func(world *simWorld, _ *simMachine) { world.othersDown(nil) }},
