--- a/internal/router/dataplane/events_test.go
+++ b/internal/router/dataplane/events_test.go
@@ -26,19 +26,21 @@
 
 func TestEventID(t *testing.T) {
 	for _, test := range []struct {
+		name  string
 		event string
 		id    int64
 		ok    bool
 	}{
-		{"id: 12\ndata: x\n\n", 12, true},
-		{"versions: 2\nid:7\r\ndata: x\r\n\r\n", 7, true},
-		{"data: id: 3\n\n", 0, false},
-		{"id: x\n\n", 0, false},
-		{": comment\n\n", 0, false},
-		{"", 0, false},
+		{"an id first", "id: 12\ndata: x\n\n", 12, true},
+		{"an id second, without a space", "versions: 2\nid:7\r\ndata: x\r\n\r\n", 7, true},
+		{"an id within the data", "data: id: 3\n\n", 0, false},
+		{"an id that is no number", "id: x\n\n", 0, false},
+		{"a comment", ": comment\n\n", 0, false},
+		{"nothing", "", 0, false},
 	} {
 		id, ok := eventID([]byte(test.event))
-		qt.New(t).Assert([]any{id, ok}, qt.DeepEquals, []any{test.id, test.ok}, qt.Commentf("%q", test.event))
+		comment := qt.Commentf("%s: %q", test.name, test.event)
+		qt.New(t).Assert([]any{id, ok}, qt.DeepEquals, []any{test.id, test.ok}, comment)
 	}
 }
 
@@ -52,8 +54,8 @@
 	}{
 		{"resumed at the next event", true, []int64{1, 2}, []int64{3, 4},
 			[]eventAction{actionForward, actionForward}},
-		{"begun again", true, []int64{1, 2}, []int64{1, 2, 3}, []eventAction{actionSkip, actionSkip,
-			actionForward}},
+		{"begun again", true, []int64{1, 2}, []int64{1, 2, 3},
+			[]eventAction{actionSkip, actionSkip, actionForward}},
 		{"an event is missing", true, []int64{1, 2}, []int64{4}, []eventAction{actionGap}},
 		{"ids may skip", false, []int64{1, 2}, []int64{4}, []eventAction{actionForward}},
 		{"ids have skipped", true, []int64{1, 4}, []int64{9}, []eventAction{actionForward}},
--- a/internal/router/dataplane/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -130,21 +130,22 @@
 // second in which its response reaches the client.
 func TestLongRequestsKeepTheirTime(t *testing.T) {
 	for _, test := range []struct {
+		name     string
 		timeout  time.Duration
-		deadline string
+		deadline string // of the client, in milliseconds
 		want     time.Duration
 	}{
-		{6 * time.Second, "", 6 * time.Second},
-		{18 * time.Second, "", 18 * time.Second},
-		{18 * time.Second, "12000", 12 * time.Second},
-		{5 * time.Minute, "", 5 * time.Minute},
-		{5 * time.Minute, "90000", 90 * time.Second},
+		{"a short timeout", 6 * time.Second, "", 6 * time.Second},
+		{"a timeout", 18 * time.Second, "", 18 * time.Second},
+		{"a deadline before the timeout", 18 * time.Second, "12000", 12 * time.Second},
+		{"a long timeout", 5 * time.Minute, "", 5 * time.Minute},
+		{"a deadline before a long timeout", 5 * time.Minute, "90000", 90 * time.Second},
 	} {
 		c := qt.New(t)
 		req := requestOfRoute(c, "safe", test.timeout, test.deadline)
 		given := req.deadline.Sub(req.arrived)
-		c.Check(given >= test.want-100*time.Millisecond, qt.IsTrue, qt.Commentf("%v: %v", test, given))
-		c.Check(given < test.want, qt.IsTrue, qt.Commentf("%v: %v", test, given))
+		c.Check(given >= test.want-100*time.Millisecond, qt.IsTrue, qt.Commentf("%s: %v", test.name, given))
+		c.Check(given < test.want, qt.IsTrue, qt.Commentf("%s: %v", test.name, given))
 	}
 }
 
