--- a/internal/router/dataplane/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestSchedulingRequest(t *testing.T) {
+func TestSchedulingRequestIsReadFromTheHeader(t *testing.T) {
 	c := qt.New(t)
 	service := &fleetconfig.Service{Name: "s"}
 	req := schedulingRequest(http1.Header{{Name: "cresshub-tokens", Value: "1460,80"},
@@ -32,7 +32,7 @@
 	c.Assert(req, qt.DeepEquals, scheduler.Request{Service: service})
 }
 
-func TestParseDeadline(t *testing.T) {
+func TestDeadlineIsACountOfMilliseconds(t *testing.T) {
 	c := qt.New(t)
 	for text, want := range map[string]time.Duration{
 		"5000": 5 * time.Second, " 0 ": 0, "": -1, "x": -1, "-1": -1, "99999999999": -1,
@@ -68,21 +68,26 @@
 	}
 }
 
-func TestKeepAliveTime(t *testing.T) {
-	c := qt.New(t)
+func TestIdleTimeFollowsTheKeepAliveField(t *testing.T) {
 	for _, test := range []struct {
+		name   string
 		header http1.Header
 		close  bool
 		want   time.Duration
 	}{
-		{nil, false, defaultIdleTime},
-		{nil, true, 0},
-		{http1.Header{{Name: "Keep-Alive", Value: "timeout=5, max=3"}}, false, 4500 * time.Millisecond},
-		{http1.Header{{Name: "Keep-Alive", Value: "max=3, Timeout=1"}}, false, 500 * time.Millisecond},
-		{http1.Header{{Name: "Keep-Alive", Value: "timeout=0"}}, false, 0},
-		{http1.Header{{Name: "Keep-Alive", Value: "timeout=3600"}}, false, maxIdleTime},
+		{"no field", nil, false, defaultIdleTime},
+		{"the connection closes", nil, true, 0},
+		{"a timeout first", http1.Header{{Name: "Keep-Alive", Value: "timeout=5, max=3"}}, false,
+			4500 * time.Millisecond},
+		{"a timeout second", http1.Header{{Name: "Keep-Alive", Value: "max=3, Timeout=1"}}, false,
+			500 * time.Millisecond},
+		{"no timeout", http1.Header{{Name: "Keep-Alive", Value: "timeout=0"}}, false, 0},
+		{"a timeout beyond ours", http1.Header{{Name: "Keep-Alive", Value: "timeout=3600"}}, false, maxIdleTime},
 	} {
-		c.Assert(keepAliveTime(&http1.Response{Header: test.header, Close: test.close}), qt.Equals, test.want)
+		t.Run(test.name, func(t *testing.T) {
+			response := &http1.Response{Header: test.header, Close: test.close}
+			qt.New(t).Assert(keepAliveTime(response), qt.Equals, test.want)
+		})
 	}
 }
 
@@ -125,21 +130,22 @@
 // second in which its response reaches the client.
 func TestLongRequestsKeepTheirTime(t *testing.T) {
 	for _, test := range []struct {
+		name     string
 		timeout  time.Duration
-		deadline string
+		deadline string // of the client, in milliseconds
 		want     time.Duration
 	}{
-		{6 * time.Second, "", 6 * time.Second},
-		{18 * time.Second, "", 18 * time.Second},
-		{18 * time.Second, "12000", 12 * time.Second},
-		{5 * time.Minute, "", 5 * time.Minute},
-		{5 * time.Minute, "90000", 90 * time.Second},
+		{"a short timeout", 6 * time.Second, "", 6 * time.Second},
+		{"a timeout", 18 * time.Second, "", 18 * time.Second},
+		{"a deadline before the timeout", 18 * time.Second, "12000", 12 * time.Second},
+		{"a long timeout", 5 * time.Minute, "", 5 * time.Minute},
+		{"a deadline before a long timeout", 5 * time.Minute, "90000", 90 * time.Second},
 	} {
 		c := qt.New(t)
 		req := requestOfRoute(c, "safe", test.timeout, test.deadline)
 		given := req.deadline.Sub(req.arrived)
-		c.Check(given >= test.want-100*time.Millisecond, qt.IsTrue, qt.Commentf("%v: %v", test, given))
-		c.Check(given < test.want, qt.IsTrue, qt.Commentf("%v: %v", test, given))
+		c.Check(given >= test.want-100*time.Millisecond, qt.IsTrue, qt.Commentf("%s: %v", test.name, given))
+		c.Check(given < test.want, qt.IsTrue, qt.Commentf("%s: %v", test.name, given))
 	}
 }
 
