--- a/internal/testbed/clusterrig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -1,7 +1,9 @@
 package clusterrig
 
 import (
+	"errors"
 	"net/http"
+	"os"
 	"os/exec"
 	"slices"
 	"strings"
@@ -140,6 +142,25 @@
 	}
 }
 
+// An owner whose lease ends before a call of it is delayed takes no fault, and the round says so.
+func TestOwnerThatLostItsLeaseTakesNoFault(t *testing.T) {
+	t.Parallel()
+	rig := startOwners(t, Options{Members: 5}, "")
+	former, err := rig.WaitOwner(testContext(t), ownerTimeout)
+	must(t, err)
+	must(t, rig.Pause(former.Member))
+	_, err = rig.WaitOwner(testContext(t), ownerTimeout, former.Member)
+	must(t, err)
+	must(t, rig.Resume(former.Member))
+	must(t, rig.waitStepDown(testContext(t), former))
+	if err := delayCalls(testContext(t), former, time.Second); !errors.Is(err, errOwnerBeforeFault) {
+		t.Errorf("the fault of %s, which owns nothing: %v", former.Name, err)
+	}
+	if _, err := os.Stat(callFaults(former.Member)); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("the file of the fault: %v", err)
+	}
+}
+
 // Case 3: kill -9 of the owner in the middle of an export, then of its entire hall, half of the processes, at
 // once. The next owner finishes the period.
 func TestOwnerKilledDuringExport(t *testing.T) {
--- a/internal/testbed/clusterrig/ownerfaults.go
+++ b/internal/testbed/clusterrig/ownerfaults.go
@@ -29,9 +29,10 @@
 // FaultOwners pauses owners for three leases and resumes them, and partitions owners from the other members
 // but not from sink and discovery, as often as asked. Each fault hits the owner between its check of the
 // lease and a call, which goes out once another member owns the roles and the sink has seen a call of that
-// one. A round ends when the sink has refused the call and the former owner reports that it owns nothing. A
-// call may take no longer than the lease lasted when it was checked; on a busy machine that can be too short
-// to reach the sink. Such a round shows nothing and is repeated, at most as often as there are rounds.
+// one. A round ends when the sink has refused the call and the former owner reports that it owns nothing. On
+// a busy machine an owner can lose its lease before a call of it is delayed, and a call, which may take no
+// longer than the lease lasted when it was checked, can be too short to reach the sink. Such a round shows
+// nothing and is repeated; all repeats together are at most as many as the rounds.
 func (r *Rig) FaultOwners(ctx context.Context, lease time.Duration, pauses, partitions int) (FaultedOwners,
 	error) {
 	rep := FaultedOwners{Pauses: pauses, Partitions: partitions}
@@ -43,7 +44,7 @@
 		switch {
 		case err == nil:
 			took = append(took, last)
-		case errors.Is(err, errLateCallTimedOut) && repeats > 0:
+		case (errors.Is(err, errLateCallTimedOut) || errors.Is(err, errOwnerBeforeFault)) && repeats > 0:
 			repeats--
 		default:
 			return rep, fmt.Errorf("round %d: %w", len(took), err)
@@ -72,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := delayCalls(ctx, old.Member, callDelay(lease, pause)); err != nil {
+	if err := delayCalls(ctx, old, callDelay(lease, pause)); err != nil {
 		return 0, err
 	}
 	started := time.Now()
@@ -176,19 +177,47 @@
 // callFaults is the file that ShortLeaseTOML names for faults of a member's calls.
 func callFaults(m *Member) string { return m.Data + ".calls" }
 
-// delayCalls delays each of a member's calls by d after its check of the lease, and waits until a call is
-// delayed.
-func delayCalls(ctx context.Context, m *Member, d time.Duration) error {
+// ownerCheckInterval is how often an owner that makes no call is asked whether it still is the owner: seldom,
+// as a call that is delayed has to be seen at once.
+const ownerCheckInterval = 100 * time.Millisecond
+
+// hasLostLease reports whether the member answers that it doesn't own the roles under that token any more.
+func (o Ownership) hasLostLease() bool {
+	var page leaseholder.Page
+	err := o.GetJSON("/_owner", &page)
+	return err == nil && (!page.Owns || page.Token != o.Token)
+}
+
+// errOwnerBeforeFault is returned if an owner lost its lease before a call of it was delayed.
+var errOwnerBeforeFault = errors.New("the owner lost its lease before the fault")
+
+// delayCalls delays each of an owner's calls by d after its check of the lease, and waits until a call is
+// delayed. It returns errOwnerBeforeFault, and leaves no fault, if the owner has lost its lease meanwhile.
+func delayCalls(ctx context.Context, owner Ownership, d time.Duration) error {
 	text := fmt.Appendf(nil, `{"call_delay_ms": %d}`, d.Milliseconds())
-	if err := os.WriteFile(callFaults(m), text, 0o600); err != nil {
+	if err := os.WriteFile(callFaults(owner.Member), text, 0o600); err != nil {
 		return err
 	}
-	return poll(ctx, ownerTimeout, time.Millisecond, func() error {
-		if os.Remove(callFaults(m)+leaseholder.StalledSuffix) != nil {
-			return fmt.Errorf("%s makes no call", m.Name)
+	stalled := callFaults(owner.Member) + leaseholder.StalledSuffix
+	lost := false
+	nextOwnerCheck := time.Now().Add(ownerCheckInterval)
+	err := poll(ctx, ownerTimeout, time.Millisecond, func() error {
+		if os.Remove(stalled) == nil {
+			return nil
 		}
-		return nil
+		if time.Now().After(nextOwnerCheck) {
+			nextOwnerCheck = time.Now().Add(ownerCheckInterval)
+			if lost = owner.hasLostLease(); lost {
+				return nil
+			}
+		}
+		return fmt.Errorf("%s makes no call", owner.Name)
 	})
+	if !lost {
+		return err
+	}
+	_ = os.Remove(stalled) // a call may have begun since; most often there is none
+	return errors.Join(errOwnerBeforeFault, os.Remove(callFaults(owner.Member)))
 }
 
 // waitSinkCall waits until the sink has seen a call that matches.
