--- a/internal/router/dataplane/fakeserver_test.go
+++ b/internal/router/dataplane/fakeserver_test.go
@@ -10,8 +10,10 @@
 	"sync"
 	"testing"
 
+	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
 	"cresshub/internal/router/catalog"
+	"cresshub/internal/testbed/connserver"
 )
 
 // fakeServer is a server on loopback with scripted responses. Its methods may be called from any goroutine.
@@ -51,35 +53,8 @@
 	}
 	s.listener = listener
 	s.Address = listener.Addr().String()
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	open := map[net.Conn]bool{}
-	tb.Cleanup(func() {
-		listener.Close()
-		mu.Lock()
-		for conn := range open {
-			conn.Close()
-		}
-		mu.Unlock()
-		wg.Wait()
-	})
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			open[conn] = true
-			wg.Add(1)
-			mu.Unlock()
-			go func() {
-				defer wg.Done()
-				defer conn.Close()
-				serve(conn)
-			}()
-		}
-	}()
+	conns := connserver.Serve(listener, 0, func(conn *connbuffer.Conn) { serve(conn.Conn) })
+	tb.Cleanup(func() { conns.Close(false) })
 }
 
 // serve records and handles the requests of one connection until the handler or the other side ends it.
--- a/internal/testbed/connserver/connserver.go
+++ b/internal/testbed/connserver/connserver.go
@@ -1,6 +1,6 @@
-// Package connserver is the accept loop of the stand-ins (packages proxystandin and routerstandin): it gives
-// each connection a goroutine, bounds their number, and can close all of them at once, with a reset where a
-// crash is simulated. It judges nothing.
+// Package connserver is the accept loop of the stand-ins (packages proxystandin and routerstandin) and of
+// servers that tests script: it gives each connection a goroutine, bounds their number, and can close all of
+// them at once, with a reset where a crash is simulated. It judges nothing.
 package connserver
 
 import (
@@ -31,10 +31,15 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Listener{listener: tcp, serve: serve, maxConns: maxConns, conns: map[net.Conn]struct{}{}}
+	return Serve(tcp, maxConns, serve), nil
+}
+
+// Serve is Listen for a listener that the caller opened, such as one with socket options. Close closes it.
+func Serve(listener net.Listener, maxConns int, serve func(*connbuffer.Conn)) *Listener {
+	l := &Listener{listener: listener, serve: serve, maxConns: maxConns, conns: map[net.Conn]struct{}{}}
 	l.all.Add(1)
 	go l.accept()
-	return l, nil
+	return l
 }
 
 // Address returns the address with the port on which it listens.
