--- a/internal/cluster/pending/outbox.go
+++ b/internal/cluster/pending/outbox.go
@@ -10,8 +10,8 @@
 	"time"
 
 	bolt "go.etcd.io/bbolt"
-	bolterrors "go.etcd.io/bbolt/errors"
 
+	"cresshub/internal/cluster/boltfile"
 	"cresshub/internal/cluster/ledger"
 )
 
@@ -22,9 +22,6 @@
 // outboxFile is the name of the file in Options.Dir.
 const outboxFile = "outbox.db"
 
-// lockTimeout is how long another process's lock on the file is waited for.
-const lockTimeout = time.Second
-
 var (
 	batchesBucket  = []byte("batches")
 	metaBucket     = []byte("meta")
@@ -45,9 +42,9 @@
 		return nil, storedState{}, err
 	}
 	path := filepath.Join(dir, outboxFile)
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
-	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil, storedState{}, fmt.Errorf("%s is held by another process", path)
+	db, err := boltfile.Open(path, bolt.Options{})
+	if errors.Is(err, boltfile.ErrLocked) {
+		return nil, storedState{}, err // names the file
 	}
 	if err != nil {
 		return nil, storedState{}, fmt.Errorf("%s: %w; moved away, the counts in it that were not promised "+
--- a/internal/cluster/raftgroup/store.go
+++ b/internal/cluster/raftgroup/store.go
@@ -9,19 +9,16 @@
 	"path/filepath"
 	"strconv"
 	"strings"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 	bolt "go.etcd.io/bbolt"
-	bolterrors "go.etcd.io/bbolt/errors"
+
+	"cresshub/internal/cluster/boltfile"
 )
 
 // storeFormat is the newest format of the file that this program reads, and the one it writes.
 const storeFormat = 1
 
-// lockTimeout is how long another process's lock on the file is waited for.
-const lockTimeout = time.Second
-
 // The file has one bucket for itself (identity and bootstrap votes) and one a group, with the hard state, the
 // last snapshot and a bucket of log entries by index. Each value of a group has a checksum before it (xxhash,
 // 8 bytes).
@@ -58,10 +55,9 @@
 	if err := checkNotTruncated(path); err != nil {
 		return nil, err
 	}
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, NoFreelistSync: true,
-		FreelistType: bolt.FreelistMapType})
-	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil, fmt.Errorf("%s is held by another process", path)
+	db, err := boltfile.Open(path, bolt.Options{NoFreelistSync: true, FreelistType: bolt.FreelistMapType})
+	if errors.Is(err, boltfile.ErrLocked) {
+		return nil, err // names the file
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -88,8 +84,8 @@
 	}
 	size, err := sizeByMetaPage(path)
 	switch {
-	case errors.Is(err, bolterrors.ErrTimeout):
-		return fmt.Errorf("%s is held by another process", path)
+	case errors.Is(err, boltfile.ErrLocked):
+		return err // names the file
 	case err != nil:
 		return truncatedError(path, err.Error())
 	case info.Size() < size:
@@ -105,7 +101,7 @@
 
 // sizeByMetaPage is the size in bytes that a file's own meta page says it has.
 func sizeByMetaPage(path string) (size int64, err error) {
-	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: lockTimeout})
+	db, err := boltfile.Open(path, bolt.Options{ReadOnly: true})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/cluster/raftgroup/store_test.go
+++ b/internal/cluster/raftgroup/store_test.go
@@ -7,6 +7,7 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"testing/synctest"
 
 	bolt "go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3"
@@ -132,9 +133,11 @@
 		}
 	}
 	s := mustOpen(t, dir)
-	if _, err := openStore(dir, "fleet", nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("held by another: %v", err)
-	}
+	synctest.Test(t, func(t *testing.T) { // in virtual time, as it waits for the lock
+		if _, err := openStore(dir, "fleet", nil); err == nil || !strings.Contains(err.Error(), "another process") {
+			t.Errorf("held by another: %v", err)
+		}
+	})
 	err := s.update(func(tx *bolt.Tx) error { // a byte of an entry flips
 		b := tx.Bucket(groupBucket("g")).Bucket(logBucket)
 		v := append([]byte(nil), b.Get(indexKey(7))...)
