--- a/internal/proxy/simwire/settings.go
+++ b/internal/proxy/simwire/settings.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"strings"
 	"time"
 
 	"github.com/go-faster/jx"
@@ -102,7 +101,7 @@
 func ReadSettings(raw []byte) (Settings, error) {
 	s, err := decodeSettings(jx.DecodeBytes(raw))
 	if err != nil {
-		return s, errors.New(strings.ReplaceAll(err.Error(), "callback: ", ""))
+		return s, errors.New(withoutCallbacks(err))
 	}
 	return s, nil
 }
--- a/internal/proxy/simwire/values.go
+++ b/internal/proxy/simwire/values.go
@@ -34,6 +34,12 @@
 	return n, err
 }
 
+// decodeServerID reads the number of a server.
+func decodeServerID(j *jx.Decoder) (balance.ServerID, error) {
+	id, err := j.UInt32()
+	return balance.ServerID(id), err
+}
+
 // maxMillis bounds times, in ms, so that they don't overflow a time.Duration.
 const maxMillis = 1e12
 
@@ -68,48 +74,3 @@
 	}
 	return v, err
 }
-
-// states are the states of servers by their names.
-var states = map[string]balance.ServerState{
-	"IN": balance.Up, "LAME": balance.Draining, "OUT": balance.Removed,
-}
-
-// decodeServers reads the entries of a server list.
-func decodeServers(j *jx.Decoder) ([]balance.Server, error) {
-	list := []balance.Server{}
-	err := j.Arr(func(j *jx.Decoder) error {
-		s := balance.Server{Rating: 1}
-		hasID, hasState := false, false
-		err := j.ObjBytes(func(j *jx.Decoder, key []byte) (err error) {
-			switch string(key) {
-			case "server":
-				var id uint32
-				id, err = j.UInt32()
-				s.ID = balance.ServerID(id)
-				hasID = true
-			case "zone":
-				s.Zone, err = decodeCount(j)
-			case "family-type":
-				s.Kind, err = decodeCount(j)
-			case "pod":
-				s.Cell, err = decodeCount(j)
-			case "stage-state":
-				s.State, err = decodeEnum(j, states)
-				hasState = true
-			case "rating":
-				s.Rating, err = j.Float64()
-			case "boot-time-ms":
-				s.Started, err = decodeMillis(j)
-			default:
-				return j.Skip()
-			}
-			return withField(err, string(key))
-		})
-		if err == nil && !(hasID && hasState) {
-			err = errors.New("a line lacks its server or its state")
-		}
-		list = append(list, s)
-		return err
-	})
-	return list, err
-}
