--- a/internal/simulation/experiment/scenario.go
+++ b/internal/simulation/experiment/scenario.go
@@ -1,15 +1,13 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
-	"io/fs"
 	"math"
-	"os"
 	"slices"
 	"strings"
 	"sync"
 
+	"cresshub/internal/scenariofile"
 	"cresshub/internal/settingsfile"
 	"cresshub/internal/simulation/proxysim"
 	scenarios "cresshub/lab"
@@ -19,41 +17,34 @@
 	return settingsfile.NewSchema[proxysim.Scenario]("", "`cresshub lab docs` lists all keys")
 })
 
+// scenarioFiles returns the scenarios of the model.
+func scenarioFiles() *scenariofile.Collection[proxysim.Scenario] {
+	return &scenariofile.Collection[proxysim.Scenario]{
+		Schema: schema(), Shipped: scenarios.Files, OverridesAsTyped: true,
+		Check: func(scenario *proxysim.Scenario, builder *settingsfile.Builder) {
+			(&validator{scenario, builder}).validate()
+		},
+	}
+}
+
 // Load reads a scenario by the path of its file or by the name of a shipped one, with the values of some keys
 // replaced, and validates it as strictly as the program's own configuration. The error is of type
 // settingsfile.SettingErrors and lists all of them.
 func Load(name string, set map[string]string) (*proxysim.Scenario, error) {
-	raw, err := os.ReadFile(name)
-	if errors.Is(err, fs.ErrNotExist) {
-		if shipped, serr := scenarios.Files.ReadFile(strings.TrimSuffix(name, ".toml") + ".toml"); serr == nil {
-			raw, err = shipped, nil
-		}
-	}
-	b := schema().NewBuilder()
+	return scenarioFiles().Load(name, set)
+}
+
+// Shipped returns the names of the scenarios that come with the program.
+func Shipped() []string { return scenarioFiles().Names() }
+
+// Text returns the file of a shipped scenario.
+func Text(name string) ([]byte, error) {
+	text, err := scenarioFiles().ShippedText(name)
 	if err != nil {
-		b.Problems.Add(settingsfile.NewOrigin("file", name), "",
-			"cannot be read, and no shipped scenario has that name: %v", err)
-		return nil, b.Problems.Err()
-	}
-	l, problems := schema().ReadTOML(name, raw)
-	b.Problems = problems
-	b.Add(l)
-	over := settingsfile.NewLayer()
-	for key, value := range set {
-		o := settingsfile.NewOrigin("flag", "--set "+key)
-		if _, ok := schema().Resolve(key); !ok {
-			b.Problems.Add(o, key, "is no key%s", schema().Suggest(key))
-			continue
-		}
-		over.Set(key, settingsfile.Text(value), o)
-	}
-	b.Add(over)
-	sc := &proxysim.Scenario{}
-	b.Decode(sc)
-	if len(b.Problems) == 0 {
-		(&validator{sc, b}).validate()
+		return nil, fmt.Errorf("no shipped scenario is called %q; there are %s", name,
+			strings.Join(Shipped(), ", "))
 	}
-	return sc, b.Problems.Err()
+	return text, nil
 }
 
 // validator reports what is wrong between the keys of a scenario.
@@ -138,25 +129,3 @@
 		v.report("load.utilisation", "is 0 and so is load.rate: nothing arrives")
 	}
 }
-
-// Shipped returns the names of the scenarios that come with the program.
-func Shipped() (names []string) {
-	entries, err := fs.Glob(scenarios.Files, "*.toml")
-	if err != nil {
-		return nil // the pattern is constant
-	}
-	for _, e := range entries {
-		names = append(names, strings.TrimSuffix(e, ".toml"))
-	}
-	return names
-}
-
-// Text returns the file of a shipped scenario.
-func Text(name string) ([]byte, error) {
-	text, err := scenarios.Files.ReadFile(strings.TrimSuffix(name, ".toml") + ".toml")
-	if err != nil {
-		return nil, fmt.Errorf("no shipped scenario is called %q; there are %s", name,
-			strings.Join(Shipped(), ", "))
-	}
-	return text, nil
-}
--- a/internal/testbed/clusterrig/scenario_load.go
+++ b/internal/testbed/clusterrig/scenario_load.go
@@ -1,16 +1,15 @@
 package clusterrig
 
 import (
-	"errors"
 	"fmt"
 	"io/fs"
-	"os"
 	"reflect"
 	"slices"
 	"strings"
 	"sync"
 	"time"
 
+	"cresshub/internal/scenariofile"
 	"cresshub/internal/settingsfile"
 	scenarios "cresshub/lab"
 )
@@ -19,57 +18,22 @@
 	return settingsfile.NewSchema[Scenario]("", "`cresshub rig show NAME` prints a shipped scenario")
 })
 
-// Shipped returns the names of the scenarios that come with the program.
-func Shipped() []string {
-	entries, _ := scenarios.Rig.ReadDir("rig") // embedded in the program
-	var names []string
-	for _, entry := range entries {
-		names = append(names, strings.TrimSuffix(entry.Name(), ".toml"))
-	}
-	return names
+// scenarioFiles returns the scenarios of the rig.
+func scenarioFiles() *scenariofile.Collection[Scenario] {
+	shipped, _ := fs.Sub(scenarios.Rig, "rig") // the path is constant
+	return &scenariofile.Collection[Scenario]{Schema: schema(), Shipped: shipped, Check: (*Scenario).check}
 }
 
+// Shipped returns the names of the scenarios that come with the program.
+func Shipped() []string { return scenarioFiles().Names() }
+
 // Text returns the text of a scenario by the path of its file or the name of a shipped one.
-func Text(name string) ([]byte, error) {
-	raw, err := os.ReadFile(name)
-	if errors.Is(err, fs.ErrNotExist) {
-		path := "rig/" + strings.TrimSuffix(name, ".toml") + ".toml"
-		if shipped, shippedErr := scenarios.Rig.ReadFile(path); shippedErr == nil {
-			return shipped, nil
-		}
-	}
-	return raw, err
-}
+func Text(name string) ([]byte, error) { return scenarioFiles().Text(name) }
 
 // Load reads a scenario, overrides keys with set, and validates it. The error is
 // settingsfile.SettingErrors: all that were found.
 func Load(name string, set map[string]string) (*Scenario, error) {
-	builder := schema().NewBuilder()
-	raw, err := Text(name)
-	if err != nil {
-		builder.Problems.Add(settingsfile.NewOrigin("file", name), "",
-			"cannot be read, and no shipped scenario has that name: %v", err)
-		return nil, builder.Problems.Err()
-	}
-	file, problems := schema().ReadTOML(name, raw)
-	builder.Problems = problems
-	builder.Add(file)
-	builder.Add(overrides(set))
-	sc := &Scenario{}
-	builder.Decode(sc)
-	if len(builder.Problems) == 0 {
-		sc.check(builder)
-	}
-	return sc, builder.Problems.Err()
-}
-
-// overrides returns the layer of keys that flags set.
-func overrides(set map[string]string) *settingsfile.Layer {
-	layer := settingsfile.NewLayer()
-	for key, value := range set {
-		layer.Set(key, settingsfile.Text(value), settingsfile.NewOrigin("flag", "--set "+key))
-	}
-	return layer
+	return scenarioFiles().Load(name, set)
 }
 
 // check adds the problems between keys to the builder.
