--- a/internal/proxy/config/config.go
+++ b/internal/proxy/config/config.go
@@ -1,14 +1,17 @@
 // Package config is the configuration of a client proxy: every setting is a field of Config or of one of its
-// sections, whose tags carry its key, default, bounds, documentation and how it changes in a running program
-// (see package settingsfile). The command line's help, the reference page (Reference), a first file
-// (InitialFile) and the checks are made from the same tags.
+// sections. The comment on a field describes the key to operators, and its tags carry the key, its default,
+// its bounds and how it changes in a running program (see package settingsfile). The reference page
+// (Reference), a first file (InitialFile) and the checks are made from these fields.
 //
-// A setting is declared in this form, where the fields named _ are its documentation, a line each:
+// A setting is declared in this form:
 //
-//	_     about         `doc:"longest wait for the response, after which the request"`
-//	_     about         `doc:"is given up"`
+//	// limit: longest wait for the response, after which the request is given up.
 //	Limit time.Duration `key:"limit" default:"2s" min:"10ms" max:"10m" reload:"live"`
 //
+// The comment begins with the key and ends in a period. The program has the comments from descriptions.go,
+// which "go test ./internal/proxy/config -run Descriptions -update" writes after a change of comments or
+// keys; then "cresshub config docs" writes docs/CONFIGURATION.md. Tests fail where either is stale.
+//
 // A setting without default must be set; enum and form restrict texts; without reload a change needs a
 // restart. Sections are structs with a key, lists of tables are slices of structs. The files section_*.go
 // have one struct for each section, and validate has what no tag can say: how settings must agree with
@@ -37,9 +40,6 @@
 	return settingsfile.NewSchema[Config](variablePrefix, "`cresshub config docs` lists all")
 })
 
-// about is the type of the blank fields whose tags document the key that follows.
-type about = struct{}
-
 // The sources of values, as an Origin names them.
 const (
 	sourceDefault     = "default"
@@ -53,20 +53,20 @@
 // Config is the settings of one client proxy. Load makes one, and its values are checked against their bounds
 // and against each other. A Config is not changed once it is made, so any goroutine may read it.
 type Config struct {
-	_    about  `doc:"name of this instance, in its log and among the members of the fleet"`
+	// name: name of this instance, in its log and among the members of the fleet.
 	Name string `key:"name" default:"cresshub"`
 
-	_    about  `doc:"seed of random choices, 16 hex digits; empty draws another one at each start. A given"`
-	_    about  `doc:"one makes decisions repeatable"`
+	// seed: seed of random choices, 16 hex digits; empty draws another one at each start. A given one makes
+	// decisions repeatable.
 	Seed string `key:"seed" default:"" form:"hex" reload:"start"`
 
-	_     about    `doc:"names of the halls that servers stand in; their order numbers them"`
+	// halls: names of the halls that servers stand in; their order numbers them.
 	Halls []string `key:"halls" default:""`
 
-	_     about    `doc:"names of the kinds of server; their order numbers them"`
+	// kinds: names of the kinds of server; their order numbers them.
 	Kinds []string `key:"kinds" default:""`
 
-	_        about  `doc:"host and port of the admin API; empty for none"`
+	// operator: host and port of the admin API; empty for none.
 	Operator string `key:"operator" default:"" form:"listen?"`
 
 	// The sections and lists of tables.
--- a/internal/proxy/config/reference.go
+++ b/internal/proxy/config/reference.go
@@ -37,7 +37,7 @@
 const preface = `# Configuration
 
 Every key of cresshub.toml. This page is written by "cresshub config docs" from the program itself and a
-test fails where it is stale; change the tags in internal/proxy/config, not this page.
+test fails where it is stale; change the fields in internal/proxy/config, not this page.
 
 - **Form.** TOML. Times and sizes carry a unit ("250ms", "64KiB"); a bare number where a unit belongs is an
   error. An unknown key is an error and gets the likely one. All mistakes of a file are reported at once.
@@ -76,7 +76,7 @@
 		}
 		b.WriteString("\n")
 		for _, f := range by[name] {
-			b.WriteString(wrap(fmt.Sprintf("- `%s`: %s.", lastKey(f), f.Doc), "  "))
+			b.WriteString(wrap(fmt.Sprintf("- `%s`: %s.", lastKey(f), descriptions[f.Path]), "  "))
 		}
 	}
 	return b.String()
@@ -130,7 +130,7 @@
 			fmt.Fprintf(&b, "\n%s\n", heading(name))
 		}
 		for _, f := range by[name] {
-			b.WriteString(wrap("# "+f.Doc, "# "))
+			b.WriteString(wrap("# "+descriptions[f.Path], "# "))
 			if set, ok := examples[f.Path]; ok {
 				fmt.Fprintf(&b, "%s = %s\n", lastKey(f), set)
 			} else {
--- a/internal/proxy/config/reference_test.go
+++ b/internal/proxy/config/reference_test.go
@@ -10,7 +10,7 @@
 	"cresshub/internal/settingsfile"
 )
 
-// The page and the first file come from the same tags as the checks.
+// The page and the first file come from the same fields as the checks.
 func TestReferenceAndInitialFileMatchTheTags(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
 	if err != nil {
@@ -34,9 +34,9 @@
 		t.Error(err)
 	}
 	for _, f := range schema().Fields { // bounds that can be read, and defaults within them
-		if f.Doc == "" || f.Reload != settingsfile.Live && f.Reload != settingsfile.Restart &&
+		if descriptions[f.Path] == "" || f.Reload != settingsfile.Live && f.Reload != settingsfile.Restart &&
 			f.Reload != settingsfile.AtStart {
-			t.Errorf("%s: doc %q, reload %q", f.Path, f.Doc, f.Reload)
+			t.Errorf("%s: doc %q, reload %q", f.Path, descriptions[f.Path], f.Reload)
 		}
 		if !f.Required {
 			if _, err := f.Decode(settingsfile.Text(f.Default)); err != nil {
--- a/internal/proxy/config/section_cluster.go
+++ b/internal/proxy/config/section_cluster.go
@@ -16,154 +16,152 @@
 // Fleet is this proxy's membership of the fleet of proxies, by SWIM gossip; see package gossip. It is off
 // where Bind is empty, and refused on the platform, which bars traffic between proxies.
 type Fleet struct {
-	_    about  `doc:"host and port for gossip, by UDP and TCP; empty for no membership; with port 0 the"`
-	_    about  `doc:"system chooses one"`
+	// bind: host and port for gossip, by UDP and TCP; empty for no membership; with port 0 the system chooses
+	// one.
 	Bind string `key:"bind" default:"" form:"listen?"`
 
-	_         about  `doc:"host and port at which other members reach this one; empty is bind"`
+	// advertise: host and port at which other members reach this one; empty is bind.
 	Advertise string `key:"advertise" default:"" form:"address?"`
 
-	_     about    `doc:"gossip addresses of members to join by; one that can be reached is enough"`
+	// seeds: gossip addresses of members to join by; one that can be reached is enough.
 	Seeds []string `key:"seeds" default:""`
 
-	_     about  `doc:"name of the fleet; members with another label are refused"`
+	// label: name of the fleet; members with another label are refused.
 	Label string `key:"label" default:"cresshub"`
 
-	_             about         `doc:"interval between probes of one member"`
+	// probe: interval between probes of one member.
 	ProbeInterval time.Duration `key:"probe" default:"1s" min:"10ms" max:"1m"`
 
-	_            about         `doc:"longest wait for the response to a probe, after which other members are"`
-	_            about         `doc:"asked to probe; must be below probe"`
+	// probe_timeout: longest wait for the response to a probe, after which other members are asked to probe;
+	// must be below probe.
 	ProbeTimeout time.Duration `key:"probe_timeout" default:"500ms" min:"5ms" max:"30s"`
 
-	_              about         `doc:"interval between messages of gossip"`
+	// gossip: interval between messages of gossip.
 	GossipInterval time.Duration `key:"gossip" default:"200ms" min:"5ms" max:"1m"`
 
-	_             about `doc:"a suspected member is taken for dead after this many probe intervals times"`
-	_             about `doc:"log(members + 1)"`
-	SuspicionMult int   `key:"suspicion_mult" default:"4" min:"1" max:"100"`
+	// suspicion_mult: a suspected member is taken for dead after this many probe intervals times log(members
+	// + 1).
+	SuspicionMult int `key:"suspicion_mult" default:"4" min:"1" max:"100"`
 
-	_              about         `doc:"interval between attempts to join seeds and members that died lately"`
+	// rejoin: interval between attempts to join seeds and members that died lately.
 	RejoinInterval time.Duration `key:"rejoin" default:"5s" min:"100ms" max:"1h"`
 
-	_                     about         `doc:"interval between full exchanges of state with another member,"`
-	_                     about         `doc:"for each known member: a larger fleet exchanges less often"`
+	// sync_each: interval between full exchanges of state with another member, for each known member: a
+	// larger fleet exchanges less often.
 	SyncIntervalPerMember time.Duration `key:"sync_each" default:"1s" min:"10ms" max:"1h"`
 
-	_     about  `doc:"SOCKS5 relay for all gossip; only for tests and the laboratory"`
+	// relay: SOCKS5 relay for all gossip; only for tests and the laboratory.
 	Relay string `key:"relay" default:"" form:"address?"`
 
-	_         about         `doc:"a member that has been dead for this long without a break is gone: others"`
-	_         about         `doc:"may take over its place"`
+	// gone_after: a member that has been dead for this long without a break is gone: others may take over its
+	// place.
 	GoneAfter time.Duration `key:"gone_after" default:"30s" min:"100ms" max:"24h"`
 
-	_          about         `doc:"changes of state within this time count as flaps, each of which delays"`
-	_          about         `doc:"that a member is gone"`
+	// flap_window: changes of state within this time count as flaps, each of which delays that a member is
+	// gone.
 	FlapWindow time.Duration `key:"flap_window" default:"1m" min:"1s" max:"24h"`
 
-	_           about         `doc:"a member that left or is gone is dropped from the view after this long;"`
-	_           about         `doc:"at least gone_after"`
+	// forget: a member that left or is gone is dropped from the view after this long; at least gone_after.
 	ForgetAfter time.Duration `key:"forget" default:"10m" min:"1s" max:"24h"`
 
-	_          about `doc:"largest number of members in the view"`
-	MaxMembers int   `key:"max_members" default:"4096" min:"1" max:"100000"`
+	// max_members: largest number of members in the view.
+	MaxMembers int `key:"max_members" default:"4096" min:"1" max:"100000"`
 }
 
 // Ledger is the ledger of use by tenant, which members of the fleet replicate by Raft; see packages raftgroup
 // and ledger. It is off where Bind is empty, and refused on the platform, which bars traffic between proxies
 // and has no disk that survives a restart.
 type Ledger struct {
-	_    about  `doc:"host and port for the other members; empty for no ledger. It needs fleet.bind"`
+	// bind: host and port for the other members; empty for no ledger. It needs fleet.bind.
 	Bind string `key:"bind" default:"" form:"listen?"`
 
-	_         about  `doc:"host and port at which other members reach this one; empty is bind"`
+	// advertise: host and port at which other members reach this one; empty is bind.
 	Advertise string `key:"advertise" default:"" form:"address?"`
 
-	_       about  `doc:"directory of this member's own, on a disk that survives restarts"`
+	// data: directory of this member's own, on a disk that survives restarts.
 	DataDir string `key:"data" default:""`
 
-	_        about `doc:"members that hold a replica: 3 survive the loss of one, 5 the loss of two"`
-	Replicas int   `key:"replicas" default:"3" min:"3" max:"5"`
+	// replicas: members that hold a replica: 3 survive the loss of one, 5 the loss of two.
+	Replicas int `key:"replicas" default:"3" min:"3" max:"5"`
 
-	_               about `doc:"members that must be seen before the ledger is bootstrapped; it must be more"`
-	_               about `doc:"than half of all members"`
-	BootstrapExpect int   `key:"expect" default:"3" min:"3" max:"100000"`
+	// expect: members that must be seen before the ledger is bootstrapped; it must be more than half of all
+	// members.
+	BootstrapExpect int `key:"expect" default:"3" min:"3" max:"100000"`
 
-	_             about         `doc:"interval between batches of counts"`
+	// flush: interval between batches of counts.
 	FlushInterval time.Duration `key:"flush" default:"100ms" min:"10ms" max:"10s"`
 
-	_      about         `doc:"how long a period of the ledger stays open"`
+	// period: how long a period of the ledger stays open.
 	Period time.Duration `key:"period" default:"1m" min:"100ms" max:"24h"`
 
-	_                 about         `doc:"interval between heartbeats of the ledger's leader"`
+	// heartbeat: interval between heartbeats of the ledger's leader.
 	HeartbeatInterval time.Duration `key:"heartbeat" default:"100ms" min:"10ms" max:"10s"`
 
-	_               about         `doc:"a replica that hears no leader for this long, up to twice, stands for"`
-	_               about         `doc:"election; at least twice heartbeat"`
+	// election: a replica that hears no leader for this long, up to twice, stands for election; at least
+	// twice heartbeat.
 	ElectionTimeout time.Duration `key:"election" default:"1s" min:"50ms" max:"1m"`
 
-	_             about `doc:"log entries that a new replica may lack when it becomes a voter"`
-	MaxLearnerLag int   `key:"catch_up" default:"100" min:"1" max:"1000000"`
+	// catch_up: log entries that a new replica may lack when it becomes a voter.
+	MaxLearnerLag int `key:"catch_up" default:"100" min:"1" max:"1000000"`
 
-	_               about `doc:"log entries between snapshots"`
-	SnapshotEntries int   `key:"snapshot_entries" default:"10000" min:"10" max:"10000000"`
+	// snapshot_entries: log entries between snapshots.
+	SnapshotEntries int `key:"snapshot_entries" default:"10000" min:"10" max:"10000000"`
 
-	_             about `doc:"bytes of log between snapshots"`
-	SnapshotBytes Size  `key:"snapshot_bytes" default:"16MiB" min:"64KiB" max:"1GiB"`
+	// snapshot_bytes: bytes of log between snapshots.
+	SnapshotBytes Size `key:"snapshot_bytes" default:"16MiB" min:"64KiB" max:"1GiB"`
 
-	_          about `doc:"closed periods that are retained"`
-	MaxPeriods int   `key:"keep" default:"1440" min:"1" max:"1000000"`
+	// keep: closed periods that are retained.
+	MaxPeriods int `key:"keep" default:"1440" min:"1" max:"1000000"`
 
-	_            about `doc:"periods for which ids of requests are remembered, so that a retry counts once,"`
-	_            about `doc:"where it was answered first"`
-	DedupPeriods int   `key:"remember" default:"2" min:"1" max:"1000"`
+	// remember: periods for which ids of requests are remembered, so that a retry counts once, where it was
+	// answered first.
+	DedupPeriods int `key:"remember" default:"2" min:"1" max:"1000"`
 
-	_      about `doc:"largest number of ids remembered for that"`
-	MaxIDs int   `key:"ids" default:"1000000" min:"0" max:"100000000"`
+	// ids: largest number of ids remembered for that.
+	MaxIDs int `key:"ids" default:"1000000" min:"0" max:"100000000"`
 
-	_          about `doc:"largest number of tenants in one period; further ones are counted together"`
-	MaxTenants int   `key:"tenants" default:"10000" min:"1" max:"1000000"`
+	// tenants: largest number of tenants in one period; further ones are counted together.
+	MaxTenants int `key:"tenants" default:"10000" min:"1" max:"1000000"`
 
-	_              about `doc:"bytes of batches that may wait on disk while the ledger has no leader; beyond,"`
-	_              about `doc:"new counts are summed up in memory"`
-	MaxQueuedBytes Size  `key:"outbox" default:"64MiB" min:"64KiB" max:"16GiB"`
+	// outbox: bytes of batches that may wait on disk while the ledger has no leader; beyond, new counts are
+	// summed up in memory.
+	MaxQueuedBytes Size `key:"outbox" default:"64MiB" min:"64KiB" max:"16GiB"`
 
-	_         about  `doc:"file that says how the disk fails; only for tests and the laboratory"`
+	// faults: file that says how the disk fails; only for tests and the laboratory.
 	FaultFile string `key:"faults" default:""`
 }
 
 // Owner is the singleton roles, which one member at a time has under a lease; see package leaseholder. It is
 // off where Roles is empty, and refused on the platform, which bars traffic between proxies.
 type Owner struct {
-	_     about    `doc:"singleton roles that this member competes for: export sends the ledger to a billing"`
-	_     about    `doc:"sink, list asks discovery for all members; empty for none. They need ledger.bind"`
+	// chores: singleton roles that this member competes for: export sends the ledger to a billing sink, list
+	// asks discovery for all members; empty for none. They need ledger.bind.
 	Roles []string `key:"chores" default:""`
 
-	_    about  `doc:"host and port of the billing sink"`
+	// sink: host and port of the billing sink.
 	Sink string `key:"sink" default:"" form:"address?"`
 
-	_        about         `doc:"an owner that has not renewed its lease for this long owns the roles no more"`
+	// lease: an owner that has not renewed its lease for this long owns the roles no more.
 	LeaseTTL time.Duration `key:"lease" default:"2s" min:"50ms" max:"1h"`
 
-	_          about   `doc:"fraction by which a member's clock may run fast or slow; leases are shortened by"`
-	_          about   `doc:"it"`
+	// drift: fraction by which a member's clock may run fast or slow; leases are shortened by it.
 	ClockDrift float64 `key:"drift" default:"0.05" min:"0" max:"0.45"`
 
-	_           about         `doc:"longest wait for the sink's response to one call"`
+	// call: longest wait for the sink's response to one call.
 	CallTimeout time.Duration `key:"call" default:"1s" min:"10ms" max:"1m"`
 
-	_         about `doc:"largest number of ledger entries in one call"`
-	BatchSize int   `key:"entries" default:"100" min:"1" max:"1000"`
+	// entries: largest number of ledger entries in one call.
+	BatchSize int `key:"entries" default:"100" min:"1" max:"1000"`
 
-	_          about         `doc:"an owner's list older than this is not used: members ask discovery"`
-	_          about         `doc:"themselves; at most discovery.ask_within"`
+	// list_max_age: an owner's list older than this is not used: members ask discovery themselves; at most
+	// discovery.ask_within.
 	ListMaxAge time.Duration `key:"list_max_age" default:"4s" min:"200ms" max:"1h"`
 
-	_                about         `doc:"interval at which a member looks for a new list of the owner; at"`
-	_                about         `doc:"most a quarter of list_max_age"`
+	// list_poll: interval at which a member looks for a new list of the owner; at most a quarter of
+	// list_max_age.
 	ListPollInterval time.Duration `key:"list_poll" default:"250ms" min:"10ms" max:"1m"`
 
-	_         about  `doc:"file that says how calls fail; only for tests and the laboratory"`
+	// faults: file that says how calls fail; only for tests and the laboratory.
 	FaultFile string `key:"faults" default:""`
 }
 
--- a/internal/proxy/config/section_policy.go
+++ b/internal/proxy/config/section_policy.go
@@ -20,142 +20,140 @@
 
 // Policy is what the balancer knows of the deployment and may do; see package balance.
 type Policy struct {
-	_    about `doc:"number of this instance among all"`
-	Rank int   `key:"rank" default:"0" min:"0" max:"1000000"`
+	// rank: number of this instance among all.
+	Rank int `key:"rank" default:"0" min:"0" max:"1000000"`
 
-	_         about `doc:"instances that send to these servers, this one included"`
-	Instances int   `key:"instances" default:"1" min:"0" max:"1000000"`
+	// instances: instances that send to these servers, this one included.
+	Instances int `key:"instances" default:"1" min:"0" max:"1000000"`
 
-	_    about  `doc:"hall of this instance, one of halls"`
+	// hall: hall of this instance, one of halls.
 	Hall string `key:"hall" default:"" form:"hall"`
 
-	_    about         `doc:"granularity of decisions"`
+	// tick: granularity of decisions.
 	Tick time.Duration `key:"tick" default:"5ms" min:"0s" max:"10s"`
 
-	_              about         `doc:"a request is answered this long before its deadline, so that the"`
-	_              about         `doc:"response arrives in time"`
+	// travel: a request is answered this long before its deadline, so that the response arrives in time.
 	ResponseMargin time.Duration `key:"travel" default:"20ms" min:"0s" max:"10s"`
 
-	_           about `doc:"largest number of attempts for one request"`
-	MaxAttempts int   `key:"attempts" default:"3" min:"0" max:"100"`
+	// attempts: largest number of attempts for one request.
+	MaxAttempts int `key:"attempts" default:"3" min:"0" max:"100"`
 
-	_        about `doc:"servers may be probed for their load"`
-	MayProbe bool  `key:"probes" default:"true"`
+	// probes: servers may be probed for their load.
+	MayProbe bool `key:"probes" default:"true"`
 
-	_         about `doc:"attempts may be cancelled by closing their connection"`
-	MayCancel bool  `key:"cancel" default:"true"`
+	// cancel: attempts may be cancelled by closing their connection.
+	MayCancel bool `key:"cancel" default:"true"`
 
-	_        about `doc:"an idempotent request may have two attempts under way at once (hedging)"`
-	MayHedge bool  `key:"duplicate" default:"true"`
+	// duplicate: an idempotent request may have two attempts under way at once (hedging).
+	MayHedge bool `key:"duplicate" default:"true"`
 
-	_              about `doc:"rejections carry Retry-After"`
-	SendRetryAfter bool  `key:"tell_wait" default:"true"`
+	// tell_wait: rejections carry Retry-After.
+	SendRetryAfter bool `key:"tell_wait" default:"true"`
 
-	_             about         `doc:"longest Retry-After"`
+	// max_wait: longest Retry-After.
 	MaxRetryAfter time.Duration `key:"max_wait" default:"1s" min:"0s" max:"1h"`
 
-	_           about `doc:"a server does less work for a key that it has met lately, so that requests of one"`
-	_           about `doc:"key go to the same servers"`
-	KeyAffinity bool  `key:"warm_keys" default:"false"`
+	// warm_keys: a server does less work for a key that it has met lately, so that requests of one key go to
+	// the same servers.
+	KeyAffinity bool `key:"warm_keys" default:"false"`
 
-	_      about    `doc:"the values in a load report, in their order"`
+	// report: the values in a load report, in their order.
 	Report []string `key:"report" default:"active,waiting,cpu"`
 
-	_          about  `doc:"what carries load reports: probe for the responses to probes, answers for those"`
-	_          about  `doc:"to requests, none"`
+	// report_from: what carries load reports: probe for the responses to probes, answers for those to
+	// requests, none.
 	ReportFrom string `key:"report_from" default:"probe" enum:"probe|answers|none"`
 
-	_              about   `doc:"value of a request beyond its tenant's share, as a fraction of its class's"`
+	// over_share_worth: value of a request beyond its tenant's share, as a fraction of its class's.
 	OverQuotaValue float64 `key:"over_share_worth" default:"0.1" min:"0"`
 
-	_        about  `doc:"what the value of a class is for: one request, or one unit of a request's work"`
+	// worth_by: what the value of a class is for: one request, or one unit of a request's work.
 	ValuedBy string `key:"worth_by" default:"request" enum:"request|work"`
 
-	_             about         `doc:"how long after its deadline a response still counts"`
+	// answer_slack: how long after its deadline a response still counts.
 	ResponseGrace time.Duration `key:"answer_slack" default:"50ms" min:"0s" max:"1m"`
 }
 
 // Drain is the rule on servers that drain.
 type Drain struct {
-	_     about         `doc:"no new request goes to a server later than this after discovery listed it as"`
-	_     about         `doc:"draining"`
+	// grace: no new request goes to a server later than this after discovery listed it as draining.
 	Grace time.Duration `key:"grace" default:"1500ms" min:"0s" max:"10m"`
 }
 
 // SlowStart is how a server warms up after its start, and what it bears meanwhile.
 type SlowStart struct {
-	_           about   `doc:"fraction of its capacity that a server has at least when it starts"`
+	// start: fraction of its capacity that a server has at least when it starts.
 	MinFraction float64 `key:"start" default:"0.12" min:"0" max:"1"`
 
-	_      about         `doc:"a server has its full capacity this long after its start"`
+	// warm_after: a server has its full capacity this long after its start.
 	Window time.Duration `key:"warm_after" default:"23s" min:"0s" max:"1h"`
 
-	_                about   `doc:"a server that has just started collapses when it gets more than this"`
-	_                about   `doc:"multiple of its present capacity"`
+	// fall_multiple: a server that has just started collapses when it gets more than this multiple of its
+	// present capacity.
 	CollapseMultiple float64 `key:"fall_multiple" default:"4" min:"0"`
 
-	_             about         `doc:"how long it bears that before it collapses"`
+	// fall_after: how long it bears that before it collapses.
 	CollapseAfter time.Duration `key:"fall_after" default:"1500ms" min:"0s" max:"1h"`
 }
 
 // Prices are what the balancer weighs against value, each as a fraction of the value offered.
 type Prices struct {
-	_         about   `doc:"fraction of the value offered that it costs when each request crosses halls once"`
+	// cross_hall: fraction of the value offered that it costs when each request crosses halls once.
 	CrossHall float64 `key:"cross_hall" default:"0.03" min:"0"`
 
-	_     about   `doc:"the same for one probe a request"`
+	// probe: the same for one probe a request.
 	Probe float64 `key:"probe" default:"0.01" min:"0"`
 
-	_     about   `doc:"the same for as much work wasted as was asked for"`
+	// waste: the same for as much work wasted as was asked for.
 	Waste float64 `key:"waste" default:"0.04" min:"0"`
 
-	_        about   `doc:"the same for all requests failing only after their latency target"`
+	// late_fail: the same for all requests failing only after their latency target.
 	LateFail float64 `key:"late_fail" default:"0.033" min:"0"`
 }
 
 // Class is one class of requests.
 type Class struct {
-	_    about  `doc:"name of the class, as clients give it"`
+	// name: name of the class, as clients give it.
 	Name string `key:"name" form:"name"`
 
-	_             about         `doc:"latency target: a response this soon earns the full worth"`
+	// aim: latency target: a response this soon earns the full worth.
 	LatencyTarget time.Duration `key:"aim" min:"1us" max:"24h"`
 
-	_             about   `doc:"the latency target grows by this many times the request's expected work"`
+	// aim_stretch: the latency target grows by this many times the request's expected work.
 	TargetPerWork float64 `key:"aim_stretch" default:"0" min:"0"`
 
-	_        about         `doc:"how long a client waits over all its retries; it is beyond aim"`
+	// deadline: how long a client waits over all its retries; it is beyond aim.
 	Deadline time.Duration `key:"deadline" min:"1us" max:"24h"`
 
-	_      about  `doc:"what a second run of a request does: nothing (idempotent), nothing within the window"`
-	_      about  `doc:"(deduplicated), or harm (at_most_once)"`
+	// effect: what a second run of a request does: nothing (idempotent), nothing within the window
+	// (deduplicated), or harm (at_most_once).
 	Effect string `key:"effect" enum:"idempotent|deduplicated|at_most_once"`
 
-	_          about  `doc:"which servers drop the second run of a deduplicated request: all, those of one"`
-	_          about  `doc:"zone or those of one cell"`
+	// group: which servers drop the second run of a deduplicated request: all, those of one zone or those of
+	// one cell.
 	DedupScope string `key:"group" default:"all" enum:"all|zone|cell"`
 
-	_           about         `doc:"how long they drop it"`
+	// window: how long they drop it.
 	DedupWindow time.Duration `key:"window" default:"0s" min:"0s" max:"24h"`
 
-	_     about   `doc:"value of one response within its latency target, in relation to other classes"`
+	// worth: value of one response within its latency target, in relation to other classes.
 	Value float64 `key:"worth" default:"1" min:"0"`
 
-	_         about   `doc:"fraction of the worth that a response between latency target and deadline earns"`
+	// late_worth: fraction of the worth that a response between latency target and deadline earns.
 	LateValue float64 `key:"late_worth" default:"0" min:"0" max:"1"`
 
-	_      about `doc:"the response is a stream"`
-	Stream bool  `key:"stream" default:"false"`
+	// stream: the response is a stream.
+	Stream bool `key:"stream" default:"false"`
 }
 
 // Tenant is one of those who share the servers.
 type Tenant struct {
-	_    about  `doc:"name of the tenant, as clients give it"`
+	// name: name of the tenant, as clients give it.
 	Name string `key:"name" form:"name"`
 
-	_        about   `doc:"fraction of the service; all shares add up to 1 at most"`
+	// share: fraction of the service; all shares add up to 1 at most.
 	Fraction float64 `key:"share" default:"0" min:"0" max:"1"`
 
-	_     about   `doc:"requests a second inside its share, through all instances"`
+	// quota: requests a second inside its share, through all instances.
 	Quota float64 `key:"quota" default:"0" min:"0"`
 }
--- a/internal/proxy/config/section_servers.go
+++ b/internal/proxy/config/section_servers.go
@@ -21,76 +21,71 @@
 
 // Discovery is the service that the list of servers comes from, and how it is watched.
 type Discovery struct {
-	_       about  `doc:"host and port of the discovery service; empty where [[server]] tables name the"`
-	_       about  `doc:"servers"`
+	// address: host and port of the discovery service; empty where [[server]] tables name the servers.
 	Address string `key:"address" default:"" form:"address?" reload:"live"`
 
-	_    about  `doc:"how changes of the list reach the proxy: ask sends them only while a watch is open,"`
-	_    about  `doc:"told at any time, so that a change counts as known from the moment discovery has it"`
+	// mode: how changes of the list reach the proxy: ask sends them only while a watch is open, told at any
+	// time, so that a change counts as known from the moment discovery has it.
 	Mode string `key:"mode" default:"ask" enum:"ask|told"`
 
-	_         about         `doc:"longest time that the proxy goes without an open watch or a request to"`
-	_         about         `doc:"discovery"`
+	// ask_within: longest time that the proxy goes without an open watch or a request to discovery.
 	AskWithin time.Duration `key:"ask_within" default:"10s" min:"0s" max:"1h"`
 
-	_            about         `doc:"a watch on which nothing has come for this long is closed and opened"`
-	_            about         `doc:"again"`
+	// silence: a watch on which nothing has come for this long is closed and opened again.
 	WatchTimeout time.Duration `key:"silence" default:"2500ms" min:"10ms" max:"10m" reload:"live"`
 
-	_       about `doc:"largest message that discovery may send"`
-	MaxList Size  `key:"max_list" default:"1MiB" min:"1KiB" max:"64MiB" reload:"live"`
+	// max_list: largest message that discovery may send.
+	MaxList Size `key:"max_list" default:"1MiB" min:"1KiB" max:"64MiB" reload:"live"`
 }
 
 // Upstream are the connections to servers.
 type Upstream struct {
-	_           about         `doc:"a connection that is not established after this long counts as refused;"`
-	_           about         `doc:"0s is 250 ms"`
+	// dial: a connection that is not established after this long counts as refused; 0s is 250 ms.
 	DialTimeout time.Duration `key:"dial" default:"250ms" min:"0s" max:"1m"`
 
-	_         about         `doc:"servers close a connection that has been idle for this long; 0s is not"`
-	_         about         `doc:"known, and connections are reused for 1 s"`
+	// idle_close: servers close a connection that has been idle for this long; 0s is not known, and
+	// connections are reused for 1 s.
 	IdleClose time.Duration `key:"idle_close" default:"5s" min:"0s" max:"1h" reload:"live"`
 
-	_             about   `doc:"fraction of idle_close up to which an idle connection is reused"`
+	// reuse: fraction of idle_close up to which an idle connection is reused.
 	ReuseFraction float64 `key:"reuse" default:"0.75" min:"0" max:"0.95" reload:"live"`
 
-	_              about         `doc:"a connection is not reused for this long after a response, in which a"`
-	_              about         `doc:"second response to the same request may follow"`
+	// rest: a connection is not reused for this long after a response, in which a second response to the same
+	// request may follow.
 	DuplicateGuard time.Duration `key:"rest" default:"20ms" min:"0s" max:"10s" reload:"live"`
 
-	_            about         `doc:"longest wait for the response to a probe, beyond that for the connection"`
+	// probe: longest wait for the response to a probe, beyond that for the connection.
 	ProbeTimeout time.Duration `key:"probe" default:"50ms" min:"1ms" max:"1m" reload:"live"`
 
-	_          about         `doc:"a response of unknown length is buffered for this long, and passed on as"`
-	_          about         `doc:"it comes after it"`
+	// hold: a response of unknown length is buffered for this long, and passed on as it comes after it.
 	BufferTime time.Duration `key:"hold" default:"100ms" min:"0s" max:"10m" reload:"live"`
 
-	_            about         `doc:"an attempt whose body makes no progress for this long is given up"`
+	// stall: an attempt whose body makes no progress for this long is given up.
 	StallTimeout time.Duration `key:"stall" default:"30s" min:"10ms" max:"1h" reload:"live"`
 }
 
 // Server is a server that is named here instead of by discovery.
 type Server struct {
-	_    about  `doc:"unique name"`
+	// name: unique name.
 	Name string `key:"name" form:"name" reload:"live"`
 
-	_       about  `doc:"host and port"`
+	// address: host and port.
 	Address string `key:"address" form:"address" reload:"live"`
 
-	_    about  `doc:"hall that it stands in, one of halls"`
+	// hall: hall that it stands in, one of halls.
 	Hall string `key:"hall" default:"" reload:"live"`
 
-	_    about  `doc:"kind of machine, one of kinds"`
+	// kind: kind of machine, one of kinds.
 	Kind string `key:"kind" default:"" reload:"live"`
 
-	_    about `doc:"number of its cell; the servers of a cell share what keys they have met"`
-	Cell int   `key:"cell" default:"0" min:"0" max:"1000000" reload:"live"`
+	// cell: number of its cell; the servers of a cell share what keys they have met.
+	Cell int `key:"cell" default:"0" min:"0" max:"1000000" reload:"live"`
 
-	_      about   `doc:"capacity in relation to other servers"`
+	// weight: capacity in relation to other servers.
 	Weight float64 `key:"weight" default:"1" min:"0.000001" max:"1000000" reload:"live"`
 
-	_        about `doc:"it finishes what it has and gets no new requests"`
-	Draining bool  `key:"drains" default:"false" reload:"live"`
+	// drains: it finishes what it has and gets no new requests.
+	Draining bool `key:"drains" default:"false" reload:"live"`
 }
 
 // DialLimit is the longest time for a connection to be established.
--- a/internal/settingsfile/schema.go
+++ b/internal/settingsfile/schema.go
@@ -1,5 +1,5 @@
-// Package settingsfile reads settings into structs whose tags carry each key's default, bounds, allowed words
-// and documentation. The proxy's configuration and the laboratory's scenarios are such structs.
+// Package settingsfile reads settings into structs whose tags carry each key's default, bounds and allowed
+// words. The proxy's configuration and the laboratory's scenarios are such structs.
 //
 // A Schema is made of a struct type. Each source of settings becomes a Layer: a TOML file by ReadTOML,
 // environment variables and flags by the caller. A Builder merges layers in order of precedence and decodes
@@ -8,11 +8,10 @@
 //
 // A field of the struct with the tag key is one setting:
 //
-//	_       about         `doc:"what the key does, in which unit"`
 //	Timeout time.Duration `key:"timeout" default:"2s" min:"10ms" max:"1m" reload:"live"`
 //
-// The text of doc belongs to the next field with a key; several such lines are joined. A key without default
-// must be set. A field that is a struct is a section, one that is a slice of structs a list of tables.
+// A key without default must be set. A field that is a struct is a section, one that is a slice of structs a
+// list of tables.
 //
 // A Schema may be used from any goroutine; the other types belong to one.
 package settingsfile
@@ -54,8 +53,7 @@
 	Enum     []string
 	Form     string
 	Reload   string // Live, Restart or AtStart; Restart without a tag
-	Doc      string
-	Index    []int // of the struct's field, as for reflect.Value.FieldByIndex; in a list, of its table's field
+	Index    []int  // of the struct's field, as for reflect.Value.FieldByIndex; in a list, of its table's field
 }
 
 // Size is a number of bytes.
@@ -88,13 +86,8 @@
 
 // addFields adds the fields of a struct, whose keys begin with prefix.
 func (s *Schema) addFields(t reflect.Type, prefix string, index []int) {
-	doc := ""
 	for i := range t.NumField() {
 		sf := t.Field(i)
-		if text, ok := sf.Tag.Lookup("doc"); ok {
-			doc = strings.TrimSpace(doc + " " + text)
-			continue
-		}
 		key, ok := sf.Tag.Lookup("key")
 		if !ok {
 			continue
@@ -107,15 +100,14 @@
 			s.lists[key] = i
 			s.addFields(sf.Type.Elem(), key+"[].", nil)
 		default:
-			s.Fields = append(s.Fields, newField(prefix+key, doc, sf, at))
-			doc = ""
+			s.Fields = append(s.Fields, newField(prefix+key, sf, at))
 		}
 	}
 }
 
-func newField(path, doc string, sf reflect.StructField, index []int) *Field {
+func newField(path string, sf reflect.StructField, index []int) *Field {
 	f := &Field{Path: path, Type: sf.Type, Min: sf.Tag.Get("min"), Max: sf.Tag.Get("max"),
-		Form: sf.Tag.Get("form"), Reload: cmp.Or(sf.Tag.Get("reload"), Restart), Doc: doc, Index: index}
+		Form: sf.Tag.Get("form"), Reload: cmp.Or(sf.Tag.Get("reload"), Restart), Index: index}
 	value, ok := sf.Tag.Lookup("default")
 	f.Default, f.Required = value, !ok
 	if words := sf.Tag.Get("enum"); words != "" {
