--- a/internal/childprocess/childprocess.go
+++ b/internal/childprocess/childprocess.go
@@ -1,5 +1,10 @@
 // Package childprocess runs this program as a child process, as an operator would start it, and follows its
-// log. The methods of Process may be called from any goroutine.
+// log, which it writes to its standard error. The methods of Process may be called from any goroutine.
+//
+// The log is read line by line. A line of 64 KiB (bufio.MaxScanTokenSize) or more ends that: it and all that
+// the child logs after it are read and discarded, so that the child goes on, but neither Command.Log nor
+// Process.Tail nor Process.Field get them, a ready line among them is not seen, and PauseLog has no effect.
+// What looks for faults in the log therefore finds none after such a line.
 package childprocess
 
 import (
@@ -20,11 +25,11 @@
 
 // Process is the program as a child.
 type Process struct {
-	cmd   *exec.Cmd
-	ended chan struct{}  // closed once the child has ended and its log has been read
-	err   error          // of its end, set before ended is closed
-	input io.WriteCloser // of its standard input, nil where it has none
-	out   io.Closer      // where its log is read
+	cmd    *exec.Cmd
+	ended  chan struct{}  // closed once the child has ended and its log has been read
+	err    error          // of its end, set before ended is closed
+	input  io.WriteCloser // its standard input, nil where it has none
+	stderr io.ReadCloser  // where its log is read
 
 	logMu sync.Mutex // held by PauseLog until ResumeLog
 
@@ -42,7 +47,7 @@
 	Args  []string
 	Env   []string  // KEY=VALUE beside what is inherited
 	Ready string    // text of the log line that says that it is ready
-	Log   io.Writer // gets its log too, if set
+	Log   io.Writer // gets the lines of its log too, if set
 	// Input lets lines be sent to its standard input.
 	Input bool
 	// LogBuffer is how much of its log the system holds while nobody reads it, in bytes; 0 for the usual.
@@ -63,52 +68,78 @@
 // child does not inherit the environment variables of the project's programs, EDGE_* and CRESSHUB_*, so that
 // the environment of a trial does not change its result.
 func Run(ctx context.Context, command Command) (*Process, error) {
-	cmd := exec.Command(command.Path, command.Args...)
-	for _, v := range os.Environ() {
-		if !strings.HasPrefix(v, "EDGE_") && !strings.HasPrefix(v, "CRESSHUB_") {
-			cmd.Env = append(cmd.Env, v)
-		}
+	p, err := newProcess(command)
+	if err != nil {
+		return nil, err
+	}
+	if err := p.cmd.Start(); err != nil {
+		return nil, err
 	}
-	cmd.Env = append(cmd.Env, command.Env...)
+	ready := make(chan struct{})
+	go p.follow(command, ready)
+	select {
+	case <-ready:
+		return p, nil
+	case <-p.ended:
+		return nil, fmt.Errorf("the proxy ended at its start: %w\n%s", p.err, p.Tail())
+	case <-ctx.Done():
+		return nil, errors.Join(ctx.Err(), p.Stop(0))
+	}
+}
+
+// newProcess returns a process that has not been started, with pipes to its standard error and, if the
+// command has Input, its standard input.
+func newProcess(command Command) (*Process, error) {
+	cmd := exec.Command(command.Path, command.Args...)
+	cmd.Env = append(inheritedEnvironment(), command.Env...)
 	// A group of its own, so that an interrupt at the terminal reaches it through us alone; and it ends
 	// with this process, whatever ends that.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	out, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{cmd: cmd, out: out, ended: make(chan struct{}), fields: map[string]string{}}
+	p := &Process{cmd: cmd, stderr: stderr, ended: make(chan struct{}), fields: map[string]string{}}
 	if command.Input {
 		if p.input, err = cmd.StdinPipe(); err != nil {
 			return nil, err
 		}
 	}
-	if file, ok := out.(*os.File); ok && command.LogBuffer > 0 {
-		if _, err := unix.FcntlInt(file.Fd(), unix.F_SETPIPE_SZ, command.LogBuffer); err != nil {
+	if pipe, ok := stderr.(*os.File); ok && command.LogBuffer > 0 {
+		if _, err := unix.FcntlInt(pipe.Fd(), unix.F_SETPIPE_SZ, command.LogBuffer); err != nil {
 			return nil, err
 		}
 	}
-	if err := cmd.Start(); err != nil {
-		return nil, err
-	}
-	ready := make(chan struct{})
-	go p.follow(out, command, ready)
-	select {
-	case <-ready:
-		return p, nil
-	case <-p.ended:
-		return nil, fmt.Errorf("the proxy ended at its start: %w\n%s", p.err, p.Tail())
-	case <-ctx.Done():
-		return nil, errors.Join(ctx.Err(), p.Stop(0))
+	return p, nil
+}
+
+// inheritedEnvironment returns the environment of this process without the variables of the project's
+// programs.
+func inheritedEnvironment() []string {
+	var inherited []string
+	for _, variable := range os.Environ() {
+		if !strings.HasPrefix(variable, "EDGE_") && !strings.HasPrefix(variable, "CRESSHUB_") {
+			inherited = append(inherited, variable)
+		}
 	}
+	return inherited
 }
 
-// follow reads the log until the process ends.
-func (p *Process) follow(out io.Reader, command Command, ready chan<- struct{}) {
-	lines := bufio.NewScanner(out)
+// follow reads the log to its end, closes ready at the line that says so, and then waits for the process, in
+// this order: Wait closes the pipe of the log.
+func (p *Process) follow(command Command, ready chan<- struct{}) {
+	p.readLog(command, ready)
+	p.err = p.cmd.Wait()
+	close(p.ended)
+}
+
+// readLog reads the log to its end or until CloseLog, line by line up to a line that is too long (see the
+// package comment). What follows that is discarded, as the child would block once the pipe is full.
+func (p *Process) readLog(command Command, ready chan<- struct{}) {
+	lines := bufio.NewScanner(p.stderr)
 	for lines.Scan() {
 		line := lines.Text()
-		p.awaitLogReader()
+		p.waitWhilePaused()
 		if command.Log != nil {
 			_, _ = fmt.Fprintln(command.Log, line) // the copy is a convenience; Tail has the line as well
 		}
@@ -116,12 +147,10 @@
 		p.record(line, isReady)
 		if isReady && ready != nil {
 			close(ready)
-			ready = nil
+			ready = nil // further lines may have the text as well
 		}
 	}
-	_, _ = io.Copy(io.Discard, out) // what follows a line too long for the scanner
-	p.err = p.cmd.Wait()
-	close(p.ended)
+	_, _ = io.Copy(io.Discard, p.stderr)
 }
 
 // record keeps a line for Tail, and the fields of one that says where the process listens.
@@ -147,7 +176,7 @@
 	return p.fields[key]
 }
 
-// Tail returns the last lines of its log.
+// Tail returns the last lines of its log, up to one that is too long (see the package comment).
 func (p *Process) Tail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,8 +192,8 @@
 	return err
 }
 
-// awaitLogReader waits while reading the log is paused.
-func (p *Process) awaitLogReader() {
+// waitWhilePaused waits while reading the log is paused.
+func (p *Process) waitWhilePaused() {
 	p.logMu.Lock()
 	defer p.logMu.Unlock()
 }
@@ -176,7 +205,7 @@
 func (p *Process) ResumeLog() { p.logMu.Unlock() }
 
 // CloseLog closes the reading end of its log, like a log collector that has died.
-func (p *Process) CloseLog() error { return p.out.Close() }
+func (p *Process) CloseLog() error { return p.stderr.Close() }
 
 // ID returns its process ID.
 func (p *Process) ID() int { return p.cmd.Process.Pid }
