--- a/internal/childprocess/childprocess.go
+++ b/internal/childprocess/childprocess.go
@@ -83,7 +83,8 @@
 	case <-p.ended:
 		return nil, fmt.Errorf("the proxy ended at its start: %w\n%s", p.err, p.Tail())
 	case <-ctx.Done():
-		return nil, errors.Join(ctx.Err(), p.Stop(0))
+		stopErr := p.Stop(0) // first, so that the log has been read to its end
+		return nil, errors.Join(fmt.Errorf("the proxy was not ready: %w\n%s", ctx.Err(), p.Tail()), stopErr)
 	}
 }
 
--- a/internal/childprocess/childprocess_test.go
+++ b/internal/childprocess/childprocess_test.go
@@ -215,7 +215,8 @@
 	defer cancel()
 	log := &lineLog{seen: func(string) { cancel() }}
 	process, err := Run(ctx, childCommand(t, "never ready", log))
-	if process != nil || !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "was killed") {
+	if process != nil || !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "was killed") ||
+		!strings.Contains(err.Error(), "\nstarted\n") {
 		t.Errorf("process %v, error %v", process, err)
 	}
 }
--- a/internal/testbed/routertrial/soak_test.go
+++ b/internal/testbed/routertrial/soak_test.go
@@ -53,8 +53,10 @@
 		if report != nil {
 			checkRules(t, report.Rules)
 		}
-		if t.Failed() {
+		if t.Failed() && report != nil {
 			t.Log(strings.Join(report.Events, "\n"))
+		}
+		if t.Failed() {
 			log.print(t)
 		}
 	})
