--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -171,14 +171,15 @@
 	c := qt.New(t)
 	agent := newTestAgent(t)
 	agent.settings.Bounds.Lease = time.Hour
-	assigner := &roleAssigner{agent: agent, member: &chainMember{}}
+	var published chainPublisher
+	assigner := &roleAssigner{agent: agent, fence: published.fence}
 	c.Check(assigner.maySendOrders(), qt.IsFalse)
-	assigner.member.fence.Store(1)
+	published.headFence.Store(1)
 	c.Check(assigner.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no previous head"))
-	assigner.member.fence.Store(2)
+	published.headFence.Store(2)
 	c.Check(assigner.maySendOrders(), qt.IsTrue, qt.Commentf("the same head under a higher fence"))
-	assigner.member.fence.Store(0)
+	published.headFence.Store(0)
 	c.Check(assigner.maySendOrders(), qt.IsFalse)
-	assigner.member.fence.Store(3)
+	published.headFence.Store(3)
 	c.Check(assigner.maySendOrders(), qt.IsFalse, qt.Commentf("another one may have been the head meanwhile"))
 }
--- a/internal/router/agent/chain_leave_test.go
+++ b/internal/router/agent/chain_leave_test.go
@@ -60,7 +60,7 @@
 		agent.settings.DataDir = t.TempDir()
 		member, err := openChainMember(agent)
 		c.Assert(err, qt.IsNil)
-		nothing := func(time.Duration) chain.Effects { return chain.Effects{} }
+		nothing := func(*chain.Node, time.Duration) chain.Effects { return chain.Effects{} }
 		for member.post(nothing) {
 		}
 		member.drain()
--- a/internal/router/agent/chain_links.go
+++ b/internal/router/agent/chain_links.go
@@ -21,10 +21,15 @@
 	return &chainLinks{agent: a, byIP: map[string]*transport.Link{}}
 }
 
-// send sends a message to the member on a machine. It is lost where there is no connection; the state machine
-// repeats what has to arrive.
-func (l *chainLinks) send(ip string, message *chain.Message) {
-	l.to(ip).Send(peerproto.KindChain, encodeChain(message))
+// send sends messages to the members on other machines. A message is lost where there is no connection; the
+// state machine repeats what has to arrive.
+func (l *chainLinks) send(messages []chain.Envelope) {
+	for i := range messages {
+		envelope := &messages[i]
+		if envelope.To.Address != "" && envelope.To.Address != l.agent.settings.IP {
+			l.to(envelope.To.Address).Send(peerproto.KindChain, encodeChain(&envelope.Message))
+		}
+	}
 }
 
 // to returns the link to the member on a machine, and opens it where there is none.
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -4,8 +4,10 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"cresshub/internal/router/chain"
-	"cresshub/internal/segmentlog"
+	"cresshub/internal/router/peerproto"
 )
 
 const (
@@ -20,71 +22,73 @@
 	closeTimeout = 200 * time.Millisecond
 )
 
-// chainEvent is a step of the state machine, which runs on the chain goroutine.
-type chainEvent func(now time.Duration) chain.Effects
+// chainEvent is a step of the state machine. It runs on the chain goroutine, which gives it the machine: no
+// other goroutine has access to that.
+type chainEvent func(machine *chain.Node, now time.Duration) chain.Effects
 
 // chainMember is the configStore of a machine with an open disk. One goroutine, the chain goroutine, steps
 // the state machine of package chain, persists the records that a step returns, and only then sends its
-// messages and completes its requests. Other goroutines hand it events with post.
+// messages, completes its requests and publishes its state. Other goroutines hand it events with post.
 //
-// Its methods are in several files: opening and the log in chain_open.go, what others may read in
-// chain_publish.go, calls on the configuration in chain_requests.go and chain_patch.go, the first view of a
-// new fleet in chain_bootstrap.go, the wire form of messages in chain_encoding.go.
+// Each of these jobs is a type of its own: chainLog persists, chainLinks sends, chainRequests has the callers
+// who wait for a reply, chainPublisher shows the state to other goroutines, and bootstrapper proposes the
+// first view of a new fleet.
 type chainMember struct {
-	agent    *Agent
-	machine  *chain.Node     // of the chain goroutine
-	log      *segmentlog.Log // nil without a disk
-	identity string          // of this machine's disk; role orders name their issuer by it
-	events   chan chainEvent
-	ended    chan struct{} // closed when the chain goroutine has ended
-	draining atomic.Bool   // this process is shutting down
-	links    *chainLinks
-	pending  *pendingRequests
-
-	// What the chain goroutine publishes after each step.
-	inChain   atomic.Bool
-	fence     atomic.Uint64 // epoch in which this member is the head and the chain is open, 0 if it is not
-	handedOff chan struct{} // closed once this member has left and the others have all that it has accepted
-	committed chan []byte   // the newest committed configuration that is not yet applied, as it is stored
-
-	// State of the chain goroutine alone.
-	drainSent         bool // the state machine knows that this process is shutting down
-	isHandedOff       bool // handedOff is closed
-	committedSequence uint64
-	publishedVersion  int64
-	publishedEpoch    uint64
-	bootstrap         *bootstrap // nil if this process does not bootstrap the fleet, or once it has a view
+	identity string // of this machine's disk; role orders name their issuer by it
+	now      func() time.Duration
+	log      zerolog.Logger
+	metrics  *agentMetrics
+	hubs     *hubSet
+
+	// Safe for concurrent use.
+	events    chan chainEvent
+	ended     chan struct{} // closed when the chain goroutine has ended
+	draining  atomic.Bool   // this process is shutting down
+	links     *chainLinks
+	requests  *chainRequests
+	published *chainPublisher
+
+	// State of the chain goroutine alone. Before that starts, it belongs to the one that opens the member.
+	machine   *chain.Node
+	disk      *chainLog
+	bootstrap *bootstrapper // nil if this process does not bootstrap the fleet, or once it has a view
+	drainSent bool          // the state machine knows that this process is shutting down
+}
+
+var _ configStore = (*chainMember)(nil)
+
+func (m *chainMember) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
+	return m.requests.propose(proposal, timeout)
 }
 
-func (m *chainMember) isMember() bool { return m.inChain.Load() }
+func (m *chainMember) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
+	return m.requests.patch(change, timeout)
+}
+
+func (m *chainMember) read(timeout time.Duration) *peerproto.Result { return m.requests.read(timeout) }
+
+func (m *chainMember) receive(body []byte) {
+	message, err := decodeChain(body)
+	if err != nil {
+		return
+	}
+	m.post(func(machine *chain.Node, now time.Duration) chain.Effects { return machine.Receive(now, message) })
+}
 
 func (m *chainMember) start(done <-chan struct{}) {
 	go m.run(done)
-	go m.applyCommitted(done)
-	if m.agent.assignsRoles {
-		go (&roleAssigner{agent: m.agent, member: m}).run(done)
-	}
+	go m.published.applyCommitted(done)
 }
 
 func (m *chainMember) opened() <-chan struct{} { return closedChannel }
 
-func (m *chainMember) drained() <-chan struct{} { return m.handedOff }
+func (m *chainMember) isMember() bool { return m.published.isMember() }
 
 // drain bypasses the queue of events, which may be full: a dropped message is sent again, but drain is called
 // only once.
 func (m *chainMember) drain() { m.draining.Store(true) }
 
-// post queues an event for the chain goroutine and reports whether there was capacity. An event may be
-// dropped, so it has to be one that is repeated, or whose loss the caller reports.
-func (m *chainMember) post(event chainEvent) bool {
-	select {
-	case m.events <- event:
-		return true
-	default:
-		m.agent.metrics.droppedEvents.Add(1)
-		return false
-	}
-}
+func (m *chainMember) drained() <-chan struct{} { return m.published.drained() }
 
 // close waits for the chain goroutine, unless the disk hangs, and closes the links and the log.
 func (m *chainMember) close() {
@@ -94,10 +98,22 @@
 		return
 	}
 	m.links.close()
-	m.closeLog()
+	m.disk.close()
 }
 
-// run is the chain goroutine.
+// post queues an event for the chain goroutine and reports whether there was capacity. An event may be
+// dropped, so it has to be one that is repeated, or whose loss the caller reports.
+func (m *chainMember) post(event chainEvent) bool {
+	select {
+	case m.events <- event:
+		return true
+	default:
+		m.metrics.droppedEvents.Add(1)
+		return false
+	}
+}
+
+// run is the chain goroutine. All methods below run on it.
 func (m *chainMember) run(done <-chan struct{}) {
 	defer close(m.ended)
 	ticker := time.NewTicker(chainTick)
@@ -111,63 +127,67 @@
 		case <-ticker.C:
 			m.startDrain()
 			m.machine.SetContacts(m.contacts())
-			m.step(m.machine.Tick)
+			m.step((*chain.Node).Tick)
 			m.tryBootstrap()
 		}
 	}
 }
 
-// startDrain announces to the other members, once, that this process is shutting down.
-func (m *chainMember) startDrain() {
-	if m.draining.Load() && !m.drainSent {
-		m.drainSent = true
-		m.step(m.machine.Drain)
-	}
-}
-
 // step runs one event, persists its records, and only then executes the other effects. If the disk fails,
 // the state machine decides what may still be sent.
 func (m *chainMember) step(event chainEvent) {
-	effects := event(m.agent.now())
+	effects := event(m.machine, m.now())
 	for len(effects.Persist) > 0 {
-		err := m.persist(effects.Persist)
+		err := m.disk.persist(effects.Persist, m.machine.SnapshotRecords)
 		if err == nil {
 			break
 		}
-		m.agent.metrics.diskErrors.Add(1)
-		m.agent.log.Warn().Err(err).Msg("chain: persisting failed")
-		effects = m.machine.PersistFailed(m.agent.now())
+		m.metrics.diskErrors.Add(1)
+		m.log.Warn().Err(err).Msg("chain: persisting failed")
+		effects = m.machine.PersistFailed(m.now())
 	}
-	m.execute(effects)
+	m.execute(&effects)
 }
 
-// execute sends the messages and completes the requests of a step whose records are durable.
-func (m *chainMember) execute(effects chain.Effects) {
-	for i := range effects.Messages {
-		envelope := &effects.Messages[i]
-		if envelope.To.Address != "" && envelope.To.Address != m.agent.settings.IP {
-			m.links.send(envelope.To.Address, &envelope.Message)
-		}
-	}
-	for _, reply := range effects.Replies {
-		m.pending.complete(reply)
-	}
-	m.publish()
+// execute sends the messages and completes the requests of a step whose records are durable, and publishes
+// the state after it.
+func (m *chainMember) execute(effects *chain.Effects) {
+	m.links.send(effects.Messages)
+	m.requests.complete(effects.Replies)
+	m.published.publish(m.machine)
 }
 
-func (m *chainMember) receive(body []byte) {
-	message, err := decodeChain(body)
-	if err != nil {
-		return
+// startDrain announces to the other members, once, that this process is shutting down.
+func (m *chainMember) startDrain() {
+	if m.draining.Load() && !m.drainSent {
+		m.drainSent = true
+		m.step((*chain.Node).Drain)
 	}
-	m.post(func(now time.Duration) chain.Effects { return m.machine.Receive(now, message) })
 }
 
 // contacts returns the machines that may know the view: the hubs.
 func (m *chainMember) contacts() []chain.Member {
 	var contacts []chain.Member
-	for _, ip := range m.agent.hubs.addresses() {
+	for _, ip := range m.hubs.addresses() {
 		contacts = append(contacts, chain.Member{Address: ip})
 	}
 	return contacts
 }
+
+// tryBootstrap proposes the first view once it is due. It does nothing where this process is not the
+// bootstrapper.
+func (m *chainMember) tryBootstrap() {
+	if m.bootstrap == nil {
+		return
+	}
+	if m.machine.View().Epoch > 0 {
+		m.bootstrap = nil
+		return
+	}
+	members := m.bootstrap.dueMembers()
+	if len(members) == 0 {
+		return
+	}
+	m.log.Info().Int("members", len(members)).Msg("chain: bootstrapping")
+	m.step(func(machine *chain.Node, now time.Duration) chain.Effects { return machine.Bootstrap(now, members) })
+}
--- a/internal/router/agent/chain_patch.go
+++ b/internal/router/agent/chain_patch.go
@@ -18,17 +18,17 @@
 
 // patch applies a patch to the version that it builds on, and proposes the full configuration that results.
 // If that version is not current any more, the patch was either committed before or is rejected.
-func (m *chainMember) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
+func (r *chainRequests) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	patch, err := fleetconfig.ParsePatch(change.Expected, change.Body)
 	if err != nil {
 		return invalidChange(err)
 	}
-	deadline := m.agent.now() + timeout
-	base, err := m.configAtVersion(patch.Base, timeout)
-	left := deadline - m.agent.now()
+	deadline := r.now() + timeout
+	base, err := r.configAtVersion(patch.Base, timeout)
+	left := deadline - r.now()
 	switch {
 	case errors.Is(err, errNotCurrent):
-		return m.confirm(patch, left)
+		return r.confirm(patch, left)
 	case err != nil:
 		return unavailableResult(err.Error())
 	}
@@ -39,17 +39,17 @@
 	if err != nil {
 		return invalidChange(err)
 	}
-	return m.propose(&peerproto.Proposal{Expected: patch.Base, Version: patch.Version,
+	return r.propose(&peerproto.Proposal{Expected: patch.Base, Version: patch.Version,
 		Body: fleetconfig.EncodeStored(patch, config.Raw())}, left)
 }
 
 // configAtVersion returns the configuration of a version if it is in force here or current. The error is
 // errNotCurrent where it is neither.
-func (m *chainMember) configAtVersion(version int64, timeout time.Duration) (*fleetconfig.Config, error) {
-	if config := m.agent.state.Config(); config != nil && config.Version == version {
+func (r *chainRequests) configAtVersion(version int64, timeout time.Duration) (*fleetconfig.Config, error) {
+	if config := r.state.Config(); config != nil && config.Version == version {
 		return config, nil
 	}
-	current := m.read(timeout)
+	current := r.read(timeout)
 	switch {
 	case current.Outcome != peerproto.OutcomeAccepted:
 		return nil, errors.New("the current configuration can't be read: " + current.Reason)
@@ -62,11 +62,11 @@
 }
 
 // confirm asks the chain whether a patch was committed before.
-func (m *chainMember) confirm(patch *fleetconfig.Patch, timeout time.Duration) *peerproto.Result {
+func (r *chainRequests) confirm(patch *fleetconfig.Patch, timeout time.Duration) *peerproto.Result {
 	name := chain.ChangeID{Expected: patch.Base, Version: patch.Version,
 		Digest: storedDigest(fleetconfig.EncodeStoredPatch(patch))}
-	return m.request(timeout, func(now time.Duration, number uint64) chain.Effects {
-		return m.machine.Confirm(now, number, name)
+	return r.request(timeout, func(machine *chain.Node, now time.Duration, number uint64) chain.Effects {
+		return machine.Confirm(now, number, name)
 	})
 }
 
--- a/internal/router/agent/chain_requests.go
+++ b/internal/router/agent/chain_requests.go
@@ -10,23 +10,38 @@
 	"cresshub/internal/router/peerproto"
 )
 
-func (m *chainMember) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
+// chainRequests runs the calls on the configuration (propose, patch and read): it posts each as an event, which
+// the chain goroutine runs on the state machine, and waits for the reply. The calls are safe for concurrent
+// use, but the chain goroutine must not make them: it would wait for itself. It calls complete.
+type chainRequests struct {
+	now     func() time.Duration
+	state   *state
+	post    func(chainEvent) bool // chainMember.post
+	pending *pendingRequests
+}
+
+func newChainRequests(a *Agent, post func(chainEvent) bool) *chainRequests {
+	return &chainRequests{now: a.now, state: a.state, post: post, pending: newPendingRequests()}
+}
+
+func (r *chainRequests) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	change := chain.Proposal{Expected: proposal.Expected, Version: proposal.Version, Body: proposal.Body}
-	return m.request(timeout, func(now time.Duration, number uint64) chain.Effects {
-		return m.machine.Propose(now, number, change)
+	return r.request(timeout, func(machine *chain.Node, now time.Duration, number uint64) chain.Effects {
+		return machine.Propose(now, number, change)
 	})
 }
 
-func (m *chainMember) read(timeout time.Duration) *peerproto.Result {
-	return m.request(timeout, m.machine.Read)
+func (r *chainRequests) read(timeout time.Duration) *peerproto.Result {
+	return r.request(timeout, (*chain.Node).Read)
 }
 
 // request runs a call on the state machine and waits for its reply, or for timeout.
-func (m *chainMember) request(timeout time.Duration,
-	call func(now time.Duration, number uint64) chain.Effects) *peerproto.Result {
-	number, answer := m.pending.add()
-	defer m.pending.remove(number)
-	if !m.post(func(now time.Duration) chain.Effects { return call(now, number) }) {
+func (r *chainRequests) request(timeout time.Duration,
+	call func(machine *chain.Node, now time.Duration, number uint64) chain.Effects) *peerproto.Result {
+	number, answer := r.pending.add()
+	defer r.pending.remove(number)
+	event := func(machine *chain.Node, now time.Duration) chain.Effects { return call(machine, now, number) }
+	if !r.post(event) {
 		return unavailableResult("too many calls wait for the disk")
 	}
 	timer := time.NewTimer(timeout)
@@ -39,6 +54,13 @@
 	}
 }
 
+// complete gives replies of the state machine to the callers that wait for them.
+func (r *chainRequests) complete(replies []chain.Reply) {
+	for _, reply := range replies {
+		r.pending.complete(reply)
+	}
+}
+
 // pendingRequests holds the requests whose callers wait for the reply of the state machine. Its methods are
 // safe for concurrent use.
 type pendingRequests struct {
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -39,6 +39,10 @@
 		member.drain()
 	}
 	member.start(done)
+	if d.agent.assignsRoles {
+		assigner := &roleAssigner{agent: d.agent, fence: member.published.fence, holder: member.identity}
+		go assigner.run(done)
+	}
 	close(d.ready)
 }
 
--- a/internal/router/agent/doc.go
+++ b/internal/router/agent/doc.go
@@ -31,7 +31,8 @@
 //   - feeds: subscription on the follower's side, feedServer on the hub's; antiEntropy
 //   - frames that others send on connections of theirs: peerHandler
 //   - failure detection, refutation: failureDetector (also in unwatched.go), selfRecord
-//   - the view and its members: viewAnnouncer; chainMember, behind the interface configStore
+//   - the view and its members: viewAnnouncer; chainMember, behind the interface configStore, with chainLog,
+//     chainLinks, chainRequests, chainPublisher and bootstrapper
 //   - the configuration in force, from and to others: configSync
 //   - in-flight load, demand and roles: loadTable, demandTable, roleAssigner
 //   - calls at the control address: configEndpoint, serverEndpoint, listEndpoint, metricsEndpoint
@@ -50,7 +51,7 @@
 //   - failureDetector.run, which has at most maxConcurrentProbes probes in flight
 //   - antiEntropy.run, demandTable.run and loadTable.report
 //   - on a machine with a disk, persister.run, and deferredStore.run until the disk is open
-//   - with an open disk, chainMember.run (the chain goroutine) and chainMember.applyCommitted, and
+//   - with an open disk, chainMember.run (the chain goroutine) and chainPublisher.applyCommitted, and
 //     roleAssigner.run where the process assigns roles, with one more for each order that it sends
 //   - one for each listener
 //
@@ -66,8 +67,9 @@
 //     call is tried at), a fetch of it (configSync.fetch), the links to a view learned from a feed, and
 //     draining the replica at the shutdown
 //
-// The state machine of the chain belongs to the chain goroutine alone. Others hand it events with
-// chainMember.post, and read what it publishes in atomic fields and channels.
+// The state machine of the chain and its log (chainLog) belong to the chain goroutine alone. Others hand it
+// events with chainMember.post, which get the state machine once they run there, and read what chainPublisher
+// publishes in atomic fields and channels.
 //
 // # Locks
 //
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -56,16 +56,17 @@
 func TestGoldenDataDirectoryIsWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	agent := diskAgent(t, c, false)
-	log, _, err := openLog(agent)
+	log := newChainLog(agent)
+	_, err := log.open()
 	c.Assert(err, qt.IsNil)
-	c.Assert(log.Append(chainRecord(c, "identity")), qt.IsNil)
+	c.Assert(log.persist([][]byte{chainRecord(c, "identity")}, nil), qt.IsNil)
 	var records [][]byte
 	for _, kind := range []string{"genesis", "view", "acceptor", "entry", "position", "history"} {
 		records = append(records, chainRecord(c, kind))
 	}
-	c.Assert(log.Append(records...), qt.IsNil)
-	c.Assert(log.Append(chainRecord(c, "successor")), qt.IsNil)
-	c.Assert(log.Close(), qt.IsNil)
+	c.Assert(log.persist(records, nil), qt.IsNil)
+	c.Assert(log.persist([][]byte{chainRecord(c, "successor")}, nil), qt.IsNil)
+	c.Assert(log.segments.Close(), qt.IsNil)
 	segment := filepath.Join(chainFolder, goldenSegment)
 	checkWritten(c, agent, segment, filepath.Join(goldenData, segment))
 
@@ -103,7 +104,7 @@
 	agent := diskAgent(t, c, true)
 	member, err := openChainMember(agent)
 	c.Assert(err, qt.IsNil)
-	defer member.closeLog()
+	defer member.disk.close()
 	c.Assert(member.identity, qt.Equals, "m0")
 	c.Assert(member.machine.View(), qt.DeepEquals, chain.View{Epoch: 300,
 		Members: []chain.Member{{ID: "m0", Address: "127.0.0.1"}, {ID: "m1", Address: "10.0.0.2"},
@@ -116,10 +117,10 @@
 	c.Assert(known, qt.IsTrue)
 	c.Assert(entry, qt.DeepEquals, chain.Entry{Epoch: 299, Sequence: 200, Version: 40,
 		Body: []byte(goldenDocument)})
-	agent.configSync.applyStored(<-member.committed)
+	agent.configSync.applyStored(<-member.published.committed)
 	checkConfig(c, agent, 40, goldenDocument)
 
-	c.Assert(member.log.Compact(member.machine.SnapshotRecords()), qt.IsNil)
+	c.Assert(member.disk.segments.Compact(member.machine.SnapshotRecords()), qt.IsNil)
 	checkWritten(c, agent, filepath.Join(chainFolder, goldenCompacted), goldenCompacted)
 	c.Assert(os.Remove(filepath.Join(agent.settings.DataDir, chainFolder, goldenCompacted)), qt.IsNil)
 
@@ -130,7 +131,7 @@
 	c.Assert(os.WriteFile(filepath.Join(folder, goldenCompacted), snapshot, 0o600), qt.IsNil)
 	again, err := openChainMember(compacted)
 	c.Assert(err, qt.IsNil)
-	defer again.closeLog()
+	defer again.disk.close()
 	c.Assert(again.machine.View(), qt.DeepEquals, member.machine.View())
 	c.Assert(again.machine.SnapshotRecords(), qt.DeepEquals, member.machine.SnapshotRecords())
 }
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -40,10 +40,11 @@
 // more, and each order follows a read through the chain, which confirms that this process is still the head.
 type roleAssigner struct {
 	agent  *Agent
-	member *chainMember
+	fence  func() uint64 // the fencing token of this process, 0 while it is not the head
+	holder string        // identity of this machine's disk, by which orders name their issuer
 
 	// State of the goroutine of run.
-	currentFence    uint64        // the fencing token, 0 while this process is not the head
+	currentFence    uint64        // the fencing token as last read
 	ordersAllowedAt time.Duration // when the orders of the previous head can't arrive any more
 
 	// rejectedFence is a token that a server rejected, because it had received a higher one. No more orders are
@@ -69,7 +70,7 @@
 
 // maySendOrders updates the fencing token and reports whether orders may be sent with it now.
 func (r *roleAssigner) maySendOrders() bool {
-	fence, now := r.member.fence.Load(), r.agent.now()
+	fence, now := r.fence(), r.agent.now()
 	switch {
 	case fence == 0:
 		r.currentFence = 0
@@ -141,7 +142,7 @@
 // fencing token.
 func (r *roleAssigner) confirmHead() bool {
 	return r.agent.configStore.read(confirmTimeout).Outcome == peerproto.OutcomeAccepted &&
-		r.member.fence.Load() == r.currentFence
+		r.fence() == r.currentFence
 }
 
 // announceOrders puts orders into the directory, so that proxies send their servers nothing new, and waits
@@ -180,7 +181,7 @@
 	invariant.Assert(r.currentFence > 0 && r.currentFence >= lastFence, invariant.FenceRises,
 		"an order under fence %d follows one under %d", r.currentFence, lastFence)
 	a.metrics.lastOrderFence.Store(r.currentFence)
-	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.member.identity, r.currentFence})
+	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.holder, r.currentFence})
 	if err != nil || a.now()-confirmedAt > confirmValidity {
 		r.withdrawOrder(order)
 		return
