--- a/internal/router/agent/accessors.go
+++ b/internal/router/agent/accessors.go
@@ -29,7 +29,7 @@
 func (a *Agent) Synced() bool { return a.state.isSynced() }
 
 // IsHub reports whether this process is a hub: others send it their records.
-func (a *Agent) IsHub() bool { return a.isHub() }
+func (a *Agent) IsHub() bool { return a.hubs.includesSelf() }
 
 // FollowedHub returns the IP of the hub whose feed this process follows, "" for none.
 func (a *Agent) FollowedHub() string {
--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -1,12 +1,6 @@
 package agent
 
 import (
-	"crypto/rand"
-	"encoding/hex"
-	"net"
-	"slices"
-	"strconv"
-	"sync/atomic"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -16,7 +10,6 @@
 	"cresshub/internal/router/directory"
 	"cresshub/internal/router/peerproto"
 	"cresshub/internal/router/transport"
-	"cresshub/internal/segmentlog"
 )
 
 const (
@@ -28,17 +21,14 @@
 )
 
 // Agent is one process of the router fleet. It starts its parts, which do the work, and shuts them down. Each
-// part is a type of its own that holds its state and its lock; doc.go tells how they run at the same time.
+// part is a type of its own that holds its state and its lock, and has as fields what it needs: the process
+// and the parts that it calls. doc.go tells how they run at the same time.
 type Agent struct {
+	*process
+
 	// Set by New and not changed later.
-	settings     *agentsettings.Settings
-	log          zerolog.Logger
 	acceptLog    zerolog.Logger // bounded by maxAcceptLogLines
-	network      transport.Network
-	files        segmentlog.FS
 	endpoint     *transport.Endpoint
-	id           string // of this process's record in the directory
-	started      time.Time
 	proxy        *dataplane.Proxy // nil if the role does not serve clients
 	workload     Workload         // the proxy, where there is one
 	assignsRoles bool             // to model servers, while this process is the head of the chain
@@ -72,63 +62,73 @@
 	listEndpoint    *listEndpoint
 	metricsEndpoint *metricsEndpoint
 	dataplaneState  *dataplaneState
-
-	// Safe for concurrent use without a lock.
-	seedList     atomic.Pointer[[]string]
-	shuttingDown atomic.Bool
-	metrics      agentMetrics
 }
 
 // New returns a process that does nothing yet. Run starts it.
 func New(settings *agentsettings.Settings, log zerolog.Logger, options ...Option) (*Agent, error) {
 	a := &Agent{
-		settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
+		process:   newProcess(settings, log),
 		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
-		workload:  noWorkload{}, id: settings.IP + "-" + randomID(), started: time.Now(),
+		workload:  noWorkload{},
 	}
 	for _, option := range options {
 		option(a)
 	}
 	a.endpoint = transport.NewEndpoint(a.network)
 	a.endpoint.OnAcceptError = a.acceptFailed
-	a.seedList.Store(&settings.Seeds)
 	a.createParts()
-	if settings.Front != "" {
-		a.proxy = dataplane.New(settings, a.dataplaneState, log)
-		if settings.FirstStart {
-			a.proxy.MarkFleetStart()
-		}
-		a.workload, a.assignsRoles = a.proxy, true
-	}
 	return a, nil
 }
 
-// createParts creates the parts of the agent. None of them runs yet.
+// createParts creates the parts of the agent, each after those that it calls. None of them runs yet.
 func (a *Agent) createParts() {
+	p := a.process
 	a.state = newState()
-	a.self = newSelfRecord(a)
+	a.self = newSelfRecord(p, a.state)
 	a.lastSeen = newLastSeen()
 	a.knownProxies = newKnownProxies()
-	a.persister = &persister{agent: a}
-
+	a.configSync = &configSync{state: a.state, log: a.log}
+	a.hubs = newHubSet(p, a.state, a.endpoint)
+	a.quorum = newQuorum(p, a.state, a.hubs)
+	a.dataplaneState = &dataplaneState{process: p, state: a.state, hubs: a.hubs}
+	a.createProxy()
+
+	a.persister = &persister{process: p, state: a.state, knownProxies: a.knownProxies, workload: a.workload}
+	a.subscription = &subscription{process: p, state: a.state, hubs: a.hubs, self: a.self,
+		configSync: a.configSync}
+	a.antiEntropy = &antiEntropy{process: p, state: a.state, hubs: a.hubs, self: a.self}
+	a.failures = &failureDetector{process: p, state: a.state, hubs: a.hubs, quorum: a.quorum,
+		lastSeen: a.lastSeen, workload: a.workload, probes: newProbeSet()}
+	a.demand = newDemandTable(p, a.workload)
+	a.load = newLoadTable(p, a.state, a.hubs, a.subscription, a.workload)
+	a.feeds = newFeedServer(p, a.state, a.configSync, a.load)
+	a.hubs.exchange = &hubExchange{process: p, state: a.state, hubs: a.hubs, quorum: a.quorum,
+		subscription: a.subscription, configSync: a.configSync, demand: a.demand, load: a.load}
+	a.configStore = newConfigStore(a)
 	a.peers = &peerHandler{agent: a}
-	a.hubs = newHubSet(a)
-	a.quorum = newQuorum(a)
-	a.subscription = &subscription{agent: a}
-	a.feeds = newFeedServer(a)
-	a.antiEntropy = &antiEntropy{agent: a}
-	a.failures = newFailureDetector(a)
-	a.demand = newDemandTable(a)
-	a.load = newLoadTable(a)
+	a.createEndpoints()
+}
 
-	a.configStore = newConfigStore(a)
-	a.configSync = &configSync{state: a.state, log: a.log}
+// createProxy creates the data plane, where the role of the process has one.
+func (a *Agent) createProxy() {
+	if a.settings.Front == "" {
+		return
+	}
+	a.proxy = dataplane.New(a.settings, a.dataplaneState, a.log)
+	if a.settings.FirstStart {
+		a.proxy.MarkFleetStart()
+	}
+	a.workload, a.assignsRoles = a.proxy, true
+}
 
-	a.configEndpoint = &configEndpoint{agent: a}
-	a.serverEndpoint = &serverEndpoint{agent: a}
-	a.listEndpoint = &listEndpoint{agent: a}
-	a.metricsEndpoint = &metricsEndpoint{agent: a}
-	a.dataplaneState = &dataplaneState{agent: a, state: a.state}
+// createEndpoints creates the handlers of the calls of operators and servers.
+func (a *Agent) createEndpoints() {
+	p := a.process
+	a.configEndpoint = &configEndpoint{process: p, store: a.configStore, hubs: a.hubs}
+	a.serverEndpoint = &serverEndpoint{process: p, state: a.state, quorum: a.quorum, lastSeen: a.lastSeen}
+	a.listEndpoint = &listEndpoint{process: p, state: a.state}
+	a.metricsEndpoint = &metricsEndpoint{process: p, state: a.state, quorum: a.quorum,
+		configStore: a.configStore, endpoint: a.endpoint, proxy: a.proxy}
 }
 
 // Run serves until stop closes, then shuts down and returns. The error is that of a listener that could not
@@ -143,7 +143,7 @@
 	a.self.announce(func(*directory.Record) {})
 	a.startTasks(done)
 	a.serveAll(listeners)
-	closeMetrics := a.metricsEndpoint.serve()
+	closeMetrics := a.serveMetrics()
 	defer closeMetrics()
 	a.log.Info().Str("id", a.id).Str("zone", a.settings.Zone).Strs("seeds", a.seeds()).
 		Bool("first_start", a.settings.FirstStart).Str("data_dir", a.settings.DataDir).Msg("agent: started")
@@ -186,45 +186,9 @@
 	go a.load.report(done)
 }
 
-// now returns the time on the monotonic clock since the process started.
-func (a *Agent) now() time.Duration { return time.Since(a.started) }
-
-// seeds returns the control addresses of some proxies, as last read from the settings file.
-func (a *Agent) seeds() []string { return *a.seedList.Load() }
-
-// isHub reports whether this process is a hub itself.
-func (a *Agent) isHub() bool {
-	view := a.state.currentView()
-	if view.epoch == 0 {
-		return slices.ContainsFunc(a.seeds(), func(seed string) bool {
-			return hostOf(seed) == a.settings.IP
-		})
-	}
-	return view.hasMember(a.settings.IP)
-}
-
-// peerAddress returns the address at which the process of a machine listens for other processes.
-func (a *Agent) peerAddress(ip string) string {
-	return net.JoinHostPort(ip, strconv.Itoa(a.settings.InnerPorts[0]))
-}
-
-func (a *Agent) isShuttingDown() bool { return a.shuttingDown.Load() }
-
-// recordContact records that a process or server has just called.
-func (a *Agent) recordContact(id string) { a.lastSeen.record(id, a.now()) }
-
-// hello returns the first message of a connection to another process.
-func (a *Agent) hello() []byte { return peerproto.Encode(&peerproto.Hello{ID: a.id}) }
-
 // status returns what this process answers to pings and announcements.
 func (a *Agent) status() *peerproto.Status {
 	v := a.state.currentView()
 	return &peerproto.Status{ID: a.id, Version: a.state.version(), Epoch: v.epoch, Members: v.members,
 		HasSnapshot: a.state.isSynced(), ReachesMajority: a.quorum.reachesFleet()}
 }
-
-func randomID() string {
-	var random [6]byte
-	_, _ = rand.Read(random[:]) // it never fails
-	return hex.EncodeToString(random[:])
-}
--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -172,7 +172,7 @@
 	agent := newTestAgent(t)
 	agent.settings.Bounds.Lease = time.Hour
 	var published chainPublisher
-	assigner := &roleAssigner{agent: agent, fence: published.fence}
+	assigner := &roleAssigner{process: agent.process, fence: published.fence}
 	c.Check(assigner.maySendOrders(), qt.IsFalse)
 	published.headFence.Store(1)
 	c.Check(assigner.maySendOrders(), qt.IsTrue, qt.Commentf("the first epoch has no previous head"))
--- a/internal/router/agent/anti_entropy.go
+++ b/internal/router/agent/anti_entropy.go
@@ -24,22 +24,27 @@
 // antiEntropy repairs the differences between the directory and those of the hubs: it compares range digests
 // and exchanges the records of the ranges that differ. It has no state but the directory, which is in the
 // state. One goroutine compares, in run; handleCompare is safe for concurrent use.
-type antiEntropy struct{ agent *Agent }
+type antiEntropy struct {
+	*process
+	state *state
+	hubs  *hubSet
+	self  *selfRecord
+}
 
 // run compares the directory with those of the hubs, one after the other, until done closes.
 func (e *antiEntropy) run(done <-chan struct{}) {
-	a := e.agent
 	for turn := 0; ; turn++ {
 		select {
 		case <-done:
 			return
 		case <-time.After(e.interval()):
 		}
-		if hubs := a.hubs.all(); len(hubs) > 0 {
+		if hubs := e.hubs.all(); len(hubs) > 0 {
 			e.reconcileWith(hubs[turn%len(hubs)])
 		}
-		if a.isHub() && (a.settings.FirstStart || a.now() > hubSyncHeartbeats*a.settings.HeartbeatInterval) {
-			a.state.setSynced()
+		hasHeardServers := e.now() > hubSyncHeartbeats*e.settings.HeartbeatInterval
+		if e.hubs.includesSelf() && (e.settings.FirstStart || hasHeardServers) {
+			e.state.setSynced()
 		}
 	}
 }
@@ -47,9 +52,9 @@
 // interval returns the interval until the next comparison.
 func (e *antiEntropy) interval() time.Duration {
 	switch {
-	case !e.agent.isHub():
+	case !e.hubs.includesSelf():
 		return followerAntiEntropyInterval
-	case !e.agent.state.isSynced():
+	case !e.state.isSynced():
 		return initialAntiEntropyInterval
 	}
 	return antiEntropyInterval
@@ -58,7 +63,6 @@
 // reconcileWith exchanges the records of the ranges in which the directory and a hub's differ, so that each
 // has the newer ones. A hub is synced once it has done so with a hub that is.
 func (e *antiEntropy) reconcileWith(h *hub) {
-	a := e.agent
 	request := &peerproto.Comparison{Digest: e.digest()}
 	frame, err := h.link.Call(peerproto.KindCompare, peerproto.Encode(request), antiEntropyTimeout)
 	if err != nil {
@@ -68,15 +72,15 @@
 	if peerproto.Decode(frame.Body, &answer) != nil {
 		return
 	}
-	if h.current().hasSnapshot && a.isHub() {
-		defer a.state.setSynced()
+	if h.current().hasSnapshot && e.hubs.includesSelf() {
+		defer e.state.setSynced()
 	}
 	if len(answer.Ranges) == 0 {
 		return
 	}
-	a.self.mergeRemote(answer.Records)
+	e.self.mergeRemote(answer.Records)
 	var own []directory.Record
-	a.state.read(func(d *directory.Directory) { own = copyRecords(d.InRanges(answer.Ranges)) })
+	e.state.read(func(d *directory.Directory) { own = copyRecords(d.InRanges(answer.Ranges)) })
 	upsert := peerproto.Encode(&peerproto.Records{Records: own})
 	// What does not arrive is sent again after the next comparison.
 	_, _ = h.link.Call(peerproto.KindUpsert, upsert, antiEntropyTimeout)
@@ -97,7 +101,7 @@
 		theirs[i] = uint64(sum)
 	}
 	answer := &peerproto.Comparison{}
-	e.agent.state.read(func(d *directory.Directory) {
+	e.state.read(func(d *directory.Directory) {
 		if answer.Ranges = d.Digest().Diff(theirs); len(answer.Ranges) > 0 {
 			answer.Records = copyRecords(d.InRanges(answer.Ranges))
 		}
@@ -108,7 +112,7 @@
 // digest returns the range digest of the directory, in the form in which it is sent.
 func (e *antiEntropy) digest() []int64 {
 	var digest directory.Digest
-	e.agent.state.read(func(d *directory.Directory) { digest = d.Digest() })
+	e.state.read(func(d *directory.Directory) { digest = d.Digest() })
 	sums := make([]int64, len(digest))
 	for i, sum := range digest {
 		sums[i] = int64(sum)
--- a/internal/router/agent/chain_links.go
+++ b/internal/router/agent/chain_links.go
@@ -11,14 +11,15 @@
 // chainLinks holds the links to the other members of the chain, which carry its messages only. A link is
 // opened for the first message. The methods are safe for concurrent use.
 type chainLinks struct {
-	agent *Agent
+	*process
+	endpoint *transport.Endpoint
 
 	mu   sync.Mutex
 	byIP map[string]*transport.Link // of another member
 }
 
-func newChainLinks(a *Agent) *chainLinks {
-	return &chainLinks{agent: a, byIP: map[string]*transport.Link{}}
+func newChainLinks(p *process, endpoint *transport.Endpoint) *chainLinks {
+	return &chainLinks{process: p, endpoint: endpoint, byIP: map[string]*transport.Link{}}
 }
 
 // send sends messages to the members on other machines. A message is lost where there is no connection; the
@@ -26,7 +27,7 @@
 func (l *chainLinks) send(messages []chain.Envelope) {
 	for i := range messages {
 		envelope := &messages[i]
-		if envelope.To.Address != "" && envelope.To.Address != l.agent.settings.IP {
+		if envelope.To.Address != "" && envelope.To.Address != l.settings.IP {
 			l.to(envelope.To.Address).Send(peerproto.KindChain, encodeChain(&envelope.Message))
 		}
 	}
@@ -39,7 +40,7 @@
 	link := l.byIP[ip]
 	if link == nil {
 		ignoreFrame, ignoreState := func(peerproto.Frame) {}, func(bool) {}
-		link = l.agent.endpoint.NewLink(l.agent.peerAddress(ip), l.agent.hello, ignoreFrame, ignoreState)
+		link = l.endpoint.NewLink(l.peerAddress(ip), l.hello, ignoreFrame, ignoreState)
 		l.byIP[ip] = link
 	}
 	return link
--- a/internal/router/agent/chain_log.go
+++ b/internal/router/agent/chain_log.go
@@ -33,10 +33,10 @@
 	segments *segmentlog.Log // nil without a disk, and until open succeeds
 }
 
-func newChainLog(a *Agent) *chainLog {
-	limit := int64(compactFraction * float64(a.settings.DiskBytes))
-	return &chainLog{files: a.files, dataDir: a.settings.DataDir, compactBytes: max(limit, minCompactBytes),
-		now: a.now, log: a.log, writes: &a.metrics.diskWrites}
+func newChainLog(p *process) *chainLog {
+	limit := int64(compactFraction * float64(p.settings.DiskBytes))
+	return &chainLog{files: p.files, dataDir: p.settings.DataDir, compactBytes: max(limit, minCompactBytes),
+		now: p.now, log: p.log, writes: &p.metrics.diskWrites}
 }
 
 // open opens the log and returns its records. A corrupt log is replaced by an empty one: the machine then has
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -4,8 +4,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"cresshub/internal/router/chain"
 	"cresshub/internal/router/peerproto"
 )
@@ -34,10 +32,8 @@
 // who wait for a reply, chainPublisher shows the state to other goroutines, and bootstrapper proposes the
 // first view of a new fleet.
 type chainMember struct {
+	*process
 	identity string // of this machine's disk; role orders name their issuer by it
-	now      func() time.Duration
-	log      zerolog.Logger
-	metrics  *agentMetrics
 	hubs     *hubSet
 
 	// Safe for concurrent use.
--- a/internal/router/agent/chain_open.go
+++ b/internal/router/agent/chain_open.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"math/rand"
 
-	"cresshub/internal/router/agentsettings"
 	"cresshub/internal/router/chain"
 )
 
@@ -17,7 +16,7 @@
 	m := newChainMember(a)
 	records, err := m.disk.open()
 	if err == nil {
-		err = m.openMachine(a.settings, records)
+		err = m.openMachine(records)
 	}
 	if err != nil {
 		m.disk.close()
@@ -28,11 +27,13 @@
 
 func newChainMember(a *Agent) *chainMember {
 	m := &chainMember{
-		now: a.now, log: a.log, metrics: &a.metrics, hubs: a.hubs,
+		process: a.process, hubs: a.hubs,
 		events: make(chan chainEvent, chainQueue), ended: make(chan struct{}),
-		links: newChainLinks(a), published: newChainPublisher(a), disk: newChainLog(a),
+		links:     newChainLinks(a.process, a.endpoint),
+		published: newChainPublisher(a.process, a.state, a.configSync),
+		disk:      newChainLog(a.process),
 	}
-	m.requests = newChainRequests(a, m.post)
+	m.requests = newChainRequests(a.process, a.state, m.post)
 	if a.isBootstrapper() {
 		m.bootstrap = &bootstrapper{state: a.state, now: a.now}
 	}
@@ -40,7 +41,8 @@
 }
 
 // openMachine starts the state machine from the records on the disk.
-func (m *chainMember) openMachine(settings *agentsettings.Settings, records [][]byte) error {
+func (m *chainMember) openMachine(records [][]byte) error {
+	settings := m.settings
 	config := chain.Config{
 		Self:             chain.Member{ID: chain.MemberID(randomID()), Address: settings.IP},
 		DigestOf:         storedDigest,
--- a/internal/router/agent/chain_publish.go
+++ b/internal/router/agent/chain_publish.go
@@ -30,8 +30,8 @@
 	epoch       uint64
 }
 
-func newChainPublisher(a *Agent) *chainPublisher {
-	return &chainPublisher{state: a.state, configSync: a.configSync, log: a.log,
+func newChainPublisher(p *process, state *state, configSync *configSync) *chainPublisher {
+	return &chainPublisher{state: state, configSync: configSync, log: p.log,
 		handedOff: make(chan struct{}), committed: make(chan []byte, 1)}
 }
 
--- a/internal/router/agent/chain_requests.go
+++ b/internal/router/agent/chain_requests.go
@@ -10,9 +10,9 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// chainRequests runs the calls on the configuration (propose, patch and read): it posts each as an event, which
-// the chain goroutine runs on the state machine, and waits for the reply. The calls are safe for concurrent
-// use, but the chain goroutine must not make them: it would wait for itself. It calls complete.
+// chainRequests runs the calls on the configuration (propose, patch and read): it posts each as an event,
+// which the chain goroutine runs on the state machine, and waits for the reply. The calls are safe for
+// concurrent use, but the chain goroutine must not make them: it would wait for itself. It calls complete.
 type chainRequests struct {
 	now     func() time.Duration
 	state   *state
@@ -20,8 +20,8 @@
 	pending *pendingRequests
 }
 
-func newChainRequests(a *Agent, post func(chainEvent) bool) *chainRequests {
-	return &chainRequests{now: a.now, state: a.state, post: post, pending: newPendingRequests()}
+func newChainRequests(p *process, state *state, post func(chainEvent) bool) *chainRequests {
+	return &chainRequests{now: p.now, state: state, post: post, pending: newPendingRequests()}
 }
 
 func (r *chainRequests) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
--- a/internal/router/agent/config_endpoint.go
+++ b/internal/router/agent/config_endpoint.go
@@ -26,7 +26,9 @@
 // call (callMembers), and is itself no part of the replication. Its methods run on the goroutine of the call
 // and are safe for concurrent use; shown is atomic, so there is no lock.
 type configEndpoint struct {
-	agent *Agent
+	*process
+	store configStore
+	hubs  *hubSet
 	shown shownVersion
 }
 
@@ -81,10 +83,10 @@
 	if err != nil {
 		return controlserver.Text(400, err.Error())
 	}
-	start := e.agent.now()
+	start := e.now()
 	result := e.callMembers(kind, &peerproto.Proposal{Expected: expected, Version: version, Body: call.Body})
-	e.agent.metrics.countConfigCall(strings.ToLower(call.Method), result)
-	e.logChange(call.Method, expected, version, result, e.agent.now()-start)
+	e.metrics.countConfigCall(strings.ToLower(call.Method), result)
+	e.logChange(call.Method, expected, version, result, e.now()-start)
 	switch result.Outcome {
 	case peerproto.OutcomeAccepted:
 		e.shown.raise(version)
@@ -112,7 +114,7 @@
 
 func (e *configEndpoint) logChange(method string, expected, version int64, result *peerproto.Result,
 	took time.Duration) {
-	event := e.agent.log.Info().Int64("version", version).Int64("on", expected).Str("by", method).
+	event := e.log.Info().Int64("version", version).Int64("on", expected).Str("by", method).
 		Dur("took_ms", took)
 	switch result.Outcome {
 	case peerproto.OutcomeAccepted:
@@ -129,7 +131,7 @@
 func (e *configEndpoint) get() *http1.Response {
 	shownBefore := e.shown.highest()
 	result := e.callMembers(peerproto.KindRead, nil)
-	e.agent.metrics.countConfigCall("get", result)
+	e.metrics.countConfigCall("get", result)
 	if result.Outcome != peerproto.OutcomeAccepted {
 		return callAnotherProxy()
 	}
--- a/internal/router/agent/config_hedging.go
+++ b/internal/router/agent/config_hedging.go
@@ -30,17 +30,16 @@
 
 // attempts returns an attempt for each member that is reached, in the order in which they are started.
 func (e *configEndpoint) attempts(kind peerproto.Kind, proposal *peerproto.Proposal) []configAttempt {
-	a := e.agent
 	var attempts []configAttempt
-	if a.configStore.isMember() {
-		attempts = append(attempts, func() *peerproto.Result { return runLocally(a.configStore, kind, proposal) })
+	if e.store.isMember() {
+		attempts = append(attempts, func() *peerproto.Result { return runLocally(e.store, kind, proposal) })
 	}
 	var body []byte
 	if proposal != nil {
 		body = peerproto.Encode(proposal)
 	}
-	now := a.now()
-	for _, h := range a.hubs.all() {
+	now := e.now()
+	for _, h := range e.hubs.all() {
 		if h.isResponsive(now) {
 			attempts = append(attempts, func() *peerproto.Result { return callMember(h, kind, body) })
 		}
--- a/internal/router/agent/config_store.go
+++ b/internal/router/agent/config_store.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"net"
 	"time"
 
 	"cresshub/internal/router/peerproto"
@@ -44,16 +43,6 @@
 	return newDeferredStore(a)
 }
 
-// isBootstrapper reports whether this process proposes the first view of a new fleet: the first seed does.
-func (a *Agent) isBootstrapper() bool {
-	return a.settings.FirstStart && len(a.settings.Seeds) > 0 && hostOf(a.settings.Seeds[0]) == a.settings.IP
-}
-
-func hostOf(address string) string {
-	host, _, _ := net.SplitHostPort(address)
-	return host
-}
-
 func unavailableResult(reason string) *peerproto.Result {
 	return &peerproto.Result{Outcome: peerproto.OutcomeUnavailable, Reason: reason}
 }
--- a/internal/router/agent/dataplane_state.go
+++ b/internal/router/agent/dataplane_state.go
@@ -19,8 +19,9 @@
 // dataplaneState is what the data plane reads of this process, and where it reports lost servers. Its methods
 // are safe for concurrent use. Config, Servers and Proxies are called for each request; they take no lock.
 type dataplaneState struct {
-	agent       *Agent
+	*process
 	state       *state
+	hubs        *hubSet
 	lossReports lossReports // guarded by the lock of the state
 }
 
@@ -45,23 +46,22 @@
 // it. It does nothing while no hub answers either, because then this machine is likely to be the one that is
 // partitioned.
 func (s *dataplaneState) Suspect(server string) {
-	if !s.agent.hubs.isIsolated() {
+	if !s.hubs.isIsolated() {
 		s.reportLost(server, "its machine does not answer")
 	}
 }
 
 // reportLost marks a server lost, within the bound of reports.
 func (s *dataplaneState) reportLost(server, reason string) {
-	a := s.agent
-	now := a.now()
-	a.state.update(now, func(d *directory.Directory) {
+	now := s.now()
+	s.state.update(now, func(d *directory.Directory) {
 		known := d.Get(server)
 		if known == nil || !known.Live() || !s.lossReports.allow(now) {
 			return
 		}
 		lost := *known
-		lost.Watcher = a.id // this process then sends the record to the hubs
-		a.failures.markLost(now, d, &lost, reason)
+		lost.Watcher = s.id // this process then sends the record to the hubs
+		markLost(s.process, now, d, &lost, reason)
 	})
 }
 
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -14,14 +14,23 @@
 // deferredStore is the configStore of a machine with a disk. It opens the disk in the background, because
 // that may hang or fail: until the disk is open, the process serves like one without a disk.
 type deferredStore struct {
-	agent    *Agent
+	*process
+	self        *selfRecord
+	openMember  func() (*chainMember, error)     // may hang
+	newAssigner func(*chainMember) *roleAssigner // nil where this process assigns no roles
+
 	member   atomic.Pointer[chainMember] // nil until the disk is open
 	ready    chan struct{}               // closed once it is
 	draining atomic.Bool                 // this process is shutting down
 }
 
 func newDeferredStore(a *Agent) *deferredStore {
-	return &deferredStore{agent: a, ready: make(chan struct{})}
+	d := &deferredStore{process: a.process, self: a.self, ready: make(chan struct{}),
+		openMember: func() (*chainMember, error) { return openChainMember(a) }}
+	if a.assignsRoles {
+		d.newAssigner = func(member *chainMember) *roleAssigner { return newRoleAssigner(a, member) }
+	}
+	return d
 }
 
 var _ configStore = (*deferredStore)(nil)
@@ -33,15 +42,14 @@
 	if member == nil {
 		return
 	}
-	d.agent.self.announce(func(self *directory.Record) { self.Member = member.identity })
+	d.self.announce(func(self *directory.Record) { self.Member = member.identity })
 	d.member.Store(member)
 	if d.draining.Load() { // since before there was a member that could record it
 		member.drain()
 	}
 	member.start(done)
-	if d.agent.assignsRoles {
-		assigner := &roleAssigner{agent: d.agent, fence: member.published.fence, holder: member.identity}
-		go assigner.run(done)
+	if d.newAssigner != nil {
+		go d.newAssigner(member).run(done)
 	}
 	close(d.ready)
 }
@@ -49,12 +57,12 @@
 // open retries until the disk is open. It returns nil if done closes before.
 func (d *deferredStore) open(done <-chan struct{}) *chainMember {
 	for {
-		member, err := openChainMember(d.agent)
+		member, err := d.openMember()
 		if err == nil {
 			return member
 		}
-		d.agent.metrics.failedDiskOpens.Add(1)
-		d.agent.log.Error().Err(err).Msg("chain: opening the disk failed; retrying")
+		d.metrics.failedDiskOpens.Add(1)
+		d.log.Error().Err(err).Msg("chain: opening the disk failed; retrying")
 		select {
 		case <-done:
 			return nil
--- a/internal/router/agent/demand.go
+++ b/internal/router/agent/demand.go
@@ -18,7 +18,8 @@
 // demandTable holds the demand of each proxy at the services with model servers. Its methods are safe for
 // concurrent use.
 type demandTable struct {
-	agent *Agent
+	*process
+	workload Workload
 
 	mu        sync.Mutex
 	ownDemand *peerproto.Demands
@@ -30,8 +31,9 @@
 	demands    *peerproto.Demands
 }
 
-func newDemandTable(a *Agent) *demandTable {
-	return &demandTable{agent: a, ownDemand: &peerproto.Demands{}, proxies: map[string]reportedDemand{}}
+func newDemandTable(p *process, workload Workload) *demandTable {
+	return &demandTable{process: p, workload: workload, ownDemand: &peerproto.Demands{},
+		proxies: map[string]reportedDemand{}}
 }
 
 // run measures the demand of this process until done closes.
@@ -39,14 +41,14 @@
 
 func (t *demandTable) measure() {
 	demands := &peerproto.Demands{}
-	for _, d := range t.agent.workload.Demands() {
+	for _, d := range t.workload.Demands() {
 		demands.Services = append(demands.Services,
 			peerproto.Demand{Service: d.Service, Prefill: d.Prefill, Decode: d.Decode})
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ownDemand = demands
-	t.proxies[t.agent.id] = reportedDemand{t.agent.now(), demands}
+	t.proxies[t.id] = reportedDemand{t.now(), demands}
 }
 
 // own returns the last measured demand of this process.
--- a/internal/router/agent/doc.go
+++ b/internal/router/agent/doc.go
@@ -24,10 +24,13 @@
 //
 // # Parts
 //
-// Agent starts the parts and shuts them down; each part is a type of its own. To find the code of a topic:
+// Agent starts the parts and shuts them down; each part is a type of its own. It has as fields the parts that
+// it calls, and the process, which is what any of them may need and knows no part. Only peerHandler has the
+// Agent, as the frames that it hands on concern almost all parts. To find the code of a topic:
 //
+//   - who this process is, its clock, machine, log and metrics: process
 //   - what the process knows: state, selfRecord, lastSeen, knownProxies, persister
-//   - links to the hubs, heartbeats, replication of records, majorities: hubSet, quorum
+//   - links to the hubs, heartbeats, replication of records, majorities: hubSet, hubExchange, quorum
 //   - feeds: subscription on the follower's side, feedServer on the hub's; antiEntropy
 //   - frames that others send on connections of theirs: peerHandler
 //   - failure detection, refutation: failureDetector (also in unwatched.go), selfRecord
@@ -57,8 +60,8 @@
 //
 // Others live as long as what they serve:
 //
-//   - for each link to a hub: hubSet.runPings, hubSet.runPushes and the one of the link, which handles what
-//     the hub sends unasked (hubSet.handleFrame)
+//   - for each link to a hub: hubExchange.runPings, hubExchange.runPushes and the one of the link, which
+//     handles what the hub sends unasked (hubExchange.handleFrame)
 //   - for each connection of another process: the one that reads it (peerHandler.Handle), and
 //     feedServer.serve for a follower
 //   - for each connection at the control address and the address for readiness checks: the one of package
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -26,13 +26,18 @@
 )
 
 // failureDetector marks processes lost that do not call any more (this file), and probes servers whose
-// watcher is gone (unwatched.go). Its methods belong to the goroutine of run, with three exceptions: a probe
+// watcher is gone (unwatched.go). Its methods belong to the goroutine of run, with two exceptions: a probe
 // has a goroutine of its own, which calls probeServer and markUnwatchedLost; the goroutines of connections
-// call markPredecessorsLost; and any goroutine may call markLost. Methods that have the directory as a
-// parameter are called with the lock of the state held.
+// call markPredecessorsLost. Methods that have the directory as a parameter are called with the lock of the
+// state held.
 type failureDetector struct {
-	agent  *Agent
-	probes probeSet
+	*process
+	state    *state
+	hubs     *hubSet
+	quorum   *quorum
+	lastSeen *lastSeen
+	workload Workload
+	probes   probeSet
 
 	// State of the goroutine of run.
 	lastCheck     time.Duration
@@ -44,31 +49,26 @@
 	observingSince time.Duration
 }
 
-func newFailureDetector(a *Agent) *failureDetector {
-	return &failureDetector{agent: a, probes: newProbeSet()}
-}
-
 // run marks processes lost until done closes.
 func (f *failureDetector) run(done <-chan struct{}) {
-	f.lastCheck, f.reachesFleet = f.agent.now(), true
+	f.lastCheck, f.reachesFleet = f.now(), true
 	runEvery(failureCheckInterval, done, f.check)
 }
 
 // check marks the processes lost whose timeout is over. Timeouts begin anew after a stall of this process,
 // and while it sends servers elsewhere because it does not reach the fleet.
 func (f *failureDetector) check() {
-	a := f.agent
-	now := a.now()
+	now := f.now()
 	gap := now - f.lastCheck
 	stalled := gap > stallThreshold
-	reaches := a.quorum.reachesFleet()
+	reaches := f.quorum.reachesFleet()
 	if reaches != f.reachesFleet {
 		f.reachesFleet = reaches
-		a.log.Info().Bool("reached", reaches).Msg("agent: majority of the members reached or lost")
+		f.log.Info().Bool("reached", reaches).Msg("agent: majority of the members reached or lost")
 	}
 	if stalled {
-		a.metrics.stalls.Add(1)
-		a.log.Warn().Dur("gap_ms", gap).Msg("agent: process stalled")
+		f.metrics.stalls.Add(1)
+		f.log.Warn().Dur("gap_ms", gap).Msg("agent: process stalled")
 	}
 	f.lastCheck = now
 	f.markTimedOut(now, stalled || !reaches)
@@ -77,15 +77,14 @@
 // markTimedOut marks the monitored processes lost whose timeout is over. With restartTimeouts, all timeouts
 // begin anew.
 func (f *failureDetector) markTimedOut(now time.Duration, restartTimeouts bool) {
-	a := f.agent
-	isHub := a.isHub()
-	a.state.update(now, func(d *directory.Directory) {
+	isHub := f.hubs.includesSelf()
+	f.state.update(now, func(d *directory.Directory) {
 		if restartTimeouts {
 			f.observingSince = now
 		}
-		for _, record := range d.WatchedBy(a.id) {
-			if record.ID != a.id && f.isTimedOut(now, d, record, f.timeoutOf(record)) {
-				f.markLost(now, d, record, "silent")
+		for _, record := range d.WatchedBy(f.id) {
+			if record.ID != f.id && f.isTimedOut(now, d, record, f.timeoutOf(record)) {
+				markLost(f.process, now, d, record, "silent")
 			}
 		}
 		if isHub {
@@ -94,7 +93,7 @@
 		}
 		d.Expire(now)
 	})
-	if isHub && a.quorum.reachesMajority() {
+	if isHub && f.quorum.reachesMajority() {
 		f.checkUnwatched(now)
 	}
 	if now-f.lastSeenPrune > lastSeenRetention {
@@ -105,22 +104,21 @@
 
 // pruneLastSeen forgets the contacts with processes whose records the directory does not have any more.
 func (f *failureDetector) pruneLastSeen() {
-	a := f.agent
-	stale := a.lastSeen.snapshot()
-	now := a.now()
-	a.state.read(func(d *directory.Directory) {
+	stale := f.lastSeen.snapshot()
+	now := f.now()
+	f.state.read(func(d *directory.Directory) {
 		maps.DeleteFunc(stale, func(id string, at time.Duration) bool {
 			return d.Get(id) != nil || now-at <= lastSeenRetention
 		})
 	})
-	a.lastSeen.remove(stale)
+	f.lastSeen.remove(stale)
 }
 
 // isTimedOut reports whether a process has neither called this one nor answered its requests for a timeout.
 func (f *failureDetector) isTimedOut(now time.Duration, d *directory.Directory, record *directory.Record,
 	timeout time.Duration) bool {
 	lastSign := max(f.observingSince, d.ModifiedAt(record.ID))
-	if lastSeen, ok := f.agent.lastSeen.of(record.ID); ok {
+	if lastSeen, ok := f.lastSeen.of(record.ID); ok {
 		lastSign = max(lastSign, lastSeen)
 	}
 	if now-lastSign <= timeout {
@@ -131,11 +129,11 @@
 
 // lastAnswerAt returns when a server last answered a request of this process, 0 for never.
 func (f *failureDetector) lastAnswerAt(server string) time.Duration {
-	age, answered := f.agent.workload.SinceLastSuccess(server)
+	age, answered := f.workload.SinceLastSuccess(server)
 	if !answered {
 		return 0
 	}
-	return max(f.agent.now()-age, 0)
+	return max(f.now()-age, 0)
 }
 
 // timeoutOf returns how long after its last call a process counts as lost at its watcher.
@@ -143,7 +141,7 @@
 	if record.Kind == directory.KindProxy {
 		return proxyTimeout
 	}
-	return time.Duration(maxMissedHeartbeats * float64(f.agent.settings.HeartbeatInterval))
+	return time.Duration(maxMissedHeartbeats * float64(f.settings.HeartbeatInterval))
 }
 
 // expireOrders ends orders that should have been carried out or rejected long ago, so that their servers get
@@ -151,21 +149,20 @@
 func (f *failureDetector) expireOrders(now time.Duration, d *directory.Directory) {
 	for _, order := range d.Orders() {
 		if now-d.ModifiedAt(order.ID) > orderExpiry {
-			f.markLost(now, d, order, "an order took too long")
+			markLost(f.process, now, d, order, "an order took too long")
 		}
 	}
 }
 
 // markTimedOutHubs marks the other hubs lost that have not called for hubTimeout.
 func (f *failureDetector) markTimedOutHubs(now time.Duration, d *directory.Directory) {
-	a := f.agent
 	for _, record := range d.Proxies() {
-		if record.ID == a.id || record.Watcher != "" {
+		if record.ID == f.id || record.Watcher != "" {
 			continue
 		}
-		lastSeen, ok := a.lastSeen.of(record.ID)
+		lastSeen, ok := f.lastSeen.of(record.ID)
 		if ok && now-max(lastSeen, f.observingSince) > hubTimeout {
-			f.markLost(now, d, record, "silent hub")
+			markLost(f.process, now, d, record, "silent hub")
 		}
 	}
 }
@@ -174,27 +171,27 @@
 // That is a guess: a message of an earlier process may arrive after its successor is known, as when a
 // partition delayed it. So they are marked lost, which they can refute, and not ended.
 func (f *failureDetector) markPredecessorsLost(peer string) {
-	now := f.agent.now()
-	f.agent.state.update(now, func(d *directory.Directory) {
+	now := f.now()
+	f.state.update(now, func(d *directory.Directory) {
 		caller := d.Get(peer)
 		if caller == nil || !caller.Live() {
 			return
 		}
 		for _, other := range d.Proxies() {
 			if other.Address == caller.Address && other.ID != caller.ID {
-				f.markLost(now, d, other, "another process of its machine calls")
+				markLost(f.process, now, d, other, "another process of its machine calls")
 			}
 		}
 	})
 }
 
 // markLost marks a process lost. The lock of the state is held, by any goroutine. The reason goes to the
-// metrics and the log.
-func (f *failureDetector) markLost(now time.Duration, d *directory.Directory, record *directory.Record,
+// metrics and the log of this process.
+func markLost(p *process, now time.Duration, d *directory.Directory, record *directory.Record,
 	reason string) {
 	d.Merge(now, asLost(record))
-	f.agent.metrics.countLost(record, reason)
-	f.agent.log.Info().Str("id", record.ID).Str("address", record.Address).Str("reason", reason).
+	p.metrics.countLost(record, reason)
+	p.log.Info().Str("id", record.ID).Str("address", record.Address).Str("reason", reason).
 		Msg("directory: marked lost")
 }
 
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -22,14 +22,18 @@
 // feedServer serves feeds to followers, at most one for a connection, each on a goroutine of its own. Its
 // methods are safe for concurrent use. No other lock is taken while its lock is held.
 type feedServer struct {
-	agent *Agent
+	*process
+	state      *state
+	configSync *configSync
+	load       *loadTable
 
 	mu     sync.Mutex
 	cancel map[*transport.Conn]chan struct{} // closing one ends the feed
 }
 
-func newFeedServer(a *Agent) *feedServer {
-	return &feedServer{agent: a, cancel: map[*transport.Conn]chan struct{}{}}
+func newFeedServer(p *process, state *state, configSync *configSync, load *loadTable) *feedServer {
+	return &feedServer{process: p, state: state, configSync: configSync, load: load,
+		cancel: map[*transport.Conn]chan struct{}{}}
 }
 
 // handleFollow starts a feed on a connection, in place of an earlier one.
@@ -39,7 +43,7 @@
 		return
 	}
 	go s.serve(c, &request, s.begin(c))
-	s.agent.load.sendPrefixIndex(c)
+	s.load.sendPrefixIndex(c)
 }
 
 // begin adds a feed, in place of an earlier one on the connection, and returns the channel that closes when
@@ -69,18 +73,17 @@
 // serve sends the changes of the directory, the configuration and the view to a follower, until its
 // connection ends or cancel closes. A follower of another feed begins with a snapshot.
 func (s *feedServer) serve(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
-	a := s.agent
 	at := feedPosition{offset: uint64(request.Offset), version: request.Version, epoch: -1}
-	if request.Feed != a.id {
+	if request.Feed != s.id {
 		at.offset = 0
 	}
 	keepalive := time.NewTicker(feedKeepaliveInterval)
 	defer keepalive.Stop()
 	for {
-		changed := a.state.changed.next()
+		changed := s.state.changed.next()
 		feed := s.next(at.offset, at.epoch)
-		if config := a.state.Config(); config != nil && config.Version > at.version {
-			feed.Config, feed.Version = a.configSync.updateSince(config, at.version), config.Version
+		if config := s.state.Config(); config != nil && config.Version > at.version {
+			feed.Config, feed.Version = s.configSync.updateSince(config, at.version), config.Version
 		}
 		if !c.Send(peerproto.Frame{Kind: peerproto.KindFeed, Body: peerproto.Encode(feed)}) {
 			return
@@ -105,7 +108,7 @@
 		case <-keepalive:
 			return true
 		case <-changed:
-			changed = s.agent.state.changed.next()
+			changed = s.state.changed.next()
 			if s.hasUpdate(at) {
 				return true
 			}
@@ -114,11 +117,11 @@
 }
 
 // hasUpdate reports whether there is something that a follower has not received.
-func (s *feedServer) hasUpdate(at feedPosition) bool { return at != s.agent.state.feedPosition() }
+func (s *feedServer) hasUpdate(at feedPosition) bool { return at != s.state.feedPosition() }
 
 // next returns the records and the view that a follower has not received.
 func (s *feedServer) next(offset uint64, epoch int64) *peerproto.Feed {
-	return s.agent.state.feedSince(s.agent.id, offset, epoch)
+	return s.state.feedSince(s.id, offset, epoch)
 }
 
 // copyRecords returns the records themselves, which don't change under the reader.
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -22,7 +22,11 @@
 // the lock is held. The lock may be taken before that of the hubs, that of this process's own record and that
 // of the state, never after one of them.
 type subscription struct {
-	agent *Agent
+	*process
+	state      *state
+	hubs       *hubSet
+	self       *selfRecord
+	configSync *configSync
 
 	mu           sync.Mutex
 	source       *hub          // nil for none
@@ -36,7 +40,7 @@
 // links to the hubs.
 func (s *subscription) run(done <-chan struct{}) {
 	runEvery(sourceCheckInterval, done, func() {
-		s.agent.hubs.update()
+		s.hubs.update()
 		s.updateSource()
 	})
 }
@@ -59,11 +63,10 @@
 
 // updateSource chooses a source where there is none, or the present one is not usable any more.
 func (s *subscription) updateSource() {
-	a := s.agent
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := a.now()
-	if a.isHub() {
+	now := s.now()
+	if s.hubs.includesSelf() {
 		s.unsubscribe()
 		return
 	}
@@ -75,13 +78,13 @@
 		return
 	}
 	if s.source != next {
-		a.metrics.sourceChanges.Add(1)
-		a.log.Info().Str("hub", next.ip).Msg("feed: subscribed")
+		s.metrics.sourceChanges.Add(1)
+		s.log.Info().Str("hub", next.ip).Msg("feed: subscribed")
 	}
 	s.source, s.lastReceived = next, now
 	s.sendFollow()
 	watcher := next.current().id
-	a.self.announce(func(self *directory.Record) { self.Watcher = watcher })
+	s.self.announce(func(self *directory.Record) { self.Watcher = watcher })
 }
 
 // isUsable reports whether a hub may still be followed. One that does not reach a majority may miss what the
@@ -89,7 +92,7 @@
 func (s *subscription) isUsable(source *hub) bool {
 	state := source.current()
 	return state.hasSnapshot && state.reachesMajority && source.link.Connected() &&
-		s.agent.hubs.at(source.ip) == source
+		s.hubs.at(source.ip) == source
 }
 
 // unsubscribe ends the subscription, where there is one; the lock is held.
@@ -98,12 +101,12 @@
 		return
 	}
 	s.source = nil
-	s.agent.self.announce(func(self *directory.Record) { self.Watcher = "" })
+	s.self.announce(func(self *directory.Record) { self.Watcher = "" })
 }
 
 // sendFollow asks the source for its feed from the present offset on; the lock is held.
 func (s *subscription) sendFollow() {
-	request := peerproto.Follow{Feed: s.feed, Offset: int64(s.offset), Version: s.agent.state.version()}
+	request := peerproto.Follow{Feed: s.feed, Offset: int64(s.offset), Version: s.state.version()}
 	s.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
 }
 
@@ -112,7 +115,7 @@
 // that does not.
 func (s *subscription) chooseSource(avoid *hub) *hub {
 	var inMajority, others []*hub
-	for _, h := range s.agent.hubs.all() {
+	for _, h := range s.hubs.all() {
 		state := h.current()
 		switch {
 		case state.lastSeen == 0 || !state.hasSnapshot || !h.link.Connected():
@@ -134,7 +137,7 @@
 	var best *hub
 	var bestRank uint64
 	for _, h := range hubs {
-		rank := xxhash.Sum64String(s.agent.settings.Name + "/" + h.ip)
+		rank := xxhash.Sum64String(s.settings.Name + "/" + h.ip)
 		if h == avoid {
 			rank = 0
 		}
@@ -148,16 +151,15 @@
 // handleFeed applies a message of the feed. Where messages are missing before it, the feed is requested again
 // from the last offset on.
 func (s *subscription) handleFeed(h *hub, feed *peerproto.Feed) {
-	a := s.agent
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.source != h {
 		return
 	}
-	s.lastReceived = a.now()
-	a.configSync.applyPacked(feed.Config)
-	if a.state.learnView(feed.Epoch, feed.Members) {
-		go a.hubs.update()
+	s.lastReceived = s.now()
+	s.configSync.applyPacked(feed.Config)
+	if s.state.learnView(feed.Epoch, feed.Members) {
+		go s.hubs.update()
 	}
 	isSnapshot := feed.From == 0
 	continues := feed.Feed == s.feed && uint64(feed.From) == s.offset
@@ -165,7 +167,7 @@
 		s.sendFollow()
 		return
 	}
-	a.self.mergeRemote(feed.Records)
+	s.self.mergeRemote(feed.Records)
 	s.feed, s.offset = feed.Feed, uint64(feed.To)
-	a.state.setSynced()
+	s.state.setSynced()
 }
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -29,6 +29,7 @@
 	agent.id = "proxy-1"
 	agent.settings.DataDir = t.TempDir()
 	agent.proxy = dataplane.New(agent.settings, agent.dataplaneState, zerolog.Nop())
+	agent.persister.workload = agent.proxy
 	if golden {
 		c.Assert(os.CopyFS(agent.settings.DataDir, os.DirFS(goldenPath(goldenData))), qt.IsNil)
 	}
@@ -56,7 +57,7 @@
 func TestGoldenDataDirectoryIsWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	agent := diskAgent(t, c, false)
-	log := newChainLog(agent)
+	log := newChainLog(agent.process)
 	_, err := log.open()
 	c.Assert(err, qt.IsNil)
 	c.Assert(log.persist([][]byte{chainRecord(c, "identity")}, nil), qt.IsNil)
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -181,7 +181,7 @@
 
 	agent := goldenAgent(t)
 	recorded := &recordingWorkload{}
-	agent.workload = recorded
+	agent.load.workload = recorded
 	agent.load.applyOwn(&peerproto.LoadReport{Servers: encodeLoad(changes[:1]),
 		Prefixes: encodePrefixes(prompts[:1])})
 	local := agent.load.localLoad()
@@ -189,7 +189,7 @@
 		Servers: agent.load.loadExcept(local, nil, true), Prefixes: agent.load.localPrefixes}))
 
 	other := goldenAgent(t)
-	other.workload = recorded
+	other.load.workload = recorded
 	other.load.applyHub(nil, readGolden(c, "hub_work.bin"))
 	other.load.distribute(true)
 	c.Assert(recorded.others, qt.DeepEquals, changes[:1])
--- a/internal/router/agent/hub_replication.go
+++ b/internal/router/agent/hub_replication.go
@@ -16,10 +16,10 @@
 
 // runPushes replicates the records that this process answers for to a hub whenever they change, until the
 // link is closed.
-func (s *hubSet) runPushes(h *hub) {
+func (e *hubExchange) runPushes(h *hub) {
 	for {
-		changed := s.agent.state.changed.next()
-		if s.pushOnce(h) {
+		changed := e.state.changed.next()
+		if e.pushOnce(h) {
 			select {
 			case <-h.stop:
 				return
@@ -37,15 +37,14 @@
 }
 
 // pushOnce sends the records of this process that the hub lacks, and reports whether it then has all.
-func (s *hubSet) pushOnce(h *hub) bool {
-	a := s.agent
+func (e *hubExchange) pushOnce(h *hub) bool {
 	replicatedTo := h.current().replicatedTo
 	var records []directory.Record
 	var offset uint64
-	a.state.read(func(d *directory.Directory) {
+	e.state.read(func(d *directory.Directory) {
 		offset = d.Offset()
 		for _, r := range d.Since(replicatedTo) {
-			if r.ID == a.id || r.Watcher == a.id {
+			if r.ID == e.id || r.Watcher == e.id {
 				records = append(records, *r)
 			}
 		}
@@ -65,6 +64,6 @@
 	}
 	complete := h.state.replicatedTo >= offset
 	h.mu.Unlock()
-	a.quorum.replicated.notify()
+	e.quorum.replicated.notify()
 	return complete
 }
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -9,6 +9,7 @@
 
 	"cresshub/internal/router/directory"
 	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
 )
 
 const (
@@ -21,12 +22,15 @@
 
 // hubSet holds the links to the hubs: the processes that all others send their records to and follow. They
 // are the members of the view, and the seeds as long as no view is known or no member of it can be reached.
-// Each link has two goroutines, which ping the hub (hub_link.go) and send it records (hub_replication.go).
+// Each link has goroutines of its own, which run the methods of hubExchange.
 //
 // Its methods are safe for concurrent use, but for open. The lock guards the set, not the links in it. It may
 // be taken after the locks of the subscription and the load table, and never while that of the state is held.
 type hubSet struct {
-	agent *Agent
+	*process
+	state    *state
+	endpoint *transport.Endpoint
+	exchange *hubExchange // set before the first link is opened, not changed later
 
 	mu          sync.Mutex
 	links       map[string]*hub // by IP
@@ -34,30 +38,40 @@
 	lastContact time.Duration   // when a hub last answered a ping
 }
 
-func newHubSet(a *Agent) *hubSet { return &hubSet{agent: a, links: map[string]*hub{}} }
+func newHubSet(p *process, state *state, endpoint *transport.Endpoint) *hubSet {
+	return &hubSet{process: p, state: state, endpoint: endpoint, links: map[string]*hub{}}
+}
+
+// includesSelf reports whether this process is a hub itself.
+func (s *hubSet) includesSelf() bool {
+	view := s.state.currentView()
+	if view.epoch == 0 {
+		return slices.ContainsFunc(s.seeds(), func(seed string) bool { return hostOf(seed) == s.settings.IP })
+	}
+	return view.hasMember(s.settings.IP)
+}
 
 // addresses returns the IPs of the hubs, without this machine's own.
 func (s *hubSet) addresses() []string {
-	a := s.agent
 	var ips []string
 	add := func(ip string) {
-		if ip != a.settings.IP && !slices.Contains(ips, ip) {
+		if ip != s.settings.IP && !slices.Contains(ips, ip) {
 			ips = append(ips, ip)
 		}
 	}
-	for _, member := range a.state.currentView().members {
+	for _, member := range s.state.currentView().members {
 		add(member.Address)
 	}
 	if len(ips) > 0 && !s.isIsolated() {
 		return ips
 	}
-	for _, seed := range a.seeds() {
+	for _, seed := range s.seeds() {
 		if ip, _, err := net.SplitHostPort(seed); err == nil {
 			add(ip)
 		}
 	}
 	if s.isIsolated() {
-		a.state.read(func(d *directory.Directory) {
+		s.state.read(func(d *directory.Directory) {
 			proxies := d.Proxies()
 			for _, proxy := range proxies[:min(len(proxies), maxIsolatedContacts)] {
 				add(proxy.Address)
@@ -71,7 +85,7 @@
 func (s *hubSet) isIsolated() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.agent.now()-s.lastContact > isolatedAfter
+	return s.now()-s.lastContact > isolatedAfter
 }
 
 // all returns the links to all hubs, sorted by address.
@@ -114,16 +128,42 @@
 	}
 }
 
+// open opens the link to a hub and starts its goroutines; the lock is held.
+func (s *hubSet) open(ip string) *hub {
+	h := &hub{ip: ip, stop: make(chan struct{})}
+	handle := func(frame peerproto.Frame) { s.exchange.handleFrame(h, frame) }
+	up := make(chan struct{}, 1)
+	h.link = s.endpoint.NewLink(s.peerAddress(ip), s.hello, handle, func(bool) {
+		h.mu.Lock()
+		h.state.replicatedTo, h.state.lastSeen = 0, 0
+		h.mu.Unlock()
+		select {
+		case up <- struct{}{}:
+		default:
+		}
+	})
+	go s.exchange.runPings(h, up)
+	go s.exchange.runPushes(h)
+	return h
+}
+
 // responds reports whether a machine is a hub that has answered this process within contactTimeout.
 func (s *hubSet) responds(ip string) bool {
 	h := s.at(ip)
-	return h != nil && h.isResponsive(s.agent.now())
+	return h != nil && h.isResponsive(s.now())
+}
+
+// recordAnswer records that a hub has just answered a ping.
+func (s *hubSet) recordAnswer(now time.Duration) {
+	s.mu.Lock()
+	s.lastContact = now
+	s.mu.Unlock()
 }
 
 // learnView learns the view that another process knows. If it is a newer one, links to its members are
 // opened.
 func (s *hubSet) learnView(status *peerproto.Status) {
-	if s.agent.state.learnView(status.Epoch, status.Members) {
+	if s.state.learnView(status.Epoch, status.Members) {
 		s.update()
 	}
 }
--- a/internal/router/agent/list_endpoint.go
+++ b/internal/router/agent/list_endpoint.go
@@ -62,16 +62,18 @@
 
 // listEndpoint lists what this process knows. It changes nothing, calls no other process, has no state of its
 // own and is safe for concurrent use.
-type listEndpoint struct{ agent *Agent }
+type listEndpoint struct {
+	*process
+	state *state
+}
 
 func (e *listEndpoint) members(call *controlserver.Call) *http1.Response {
-	a := e.agent
 	if call.Method != "GET" {
 		return onlyGet()
 	}
-	view := a.state.currentView()
-	list := memberList{Asked: a.id, Version: a.state.version(), Epoch: view.epoch, Members: []listedMember{}}
-	a.state.read(func(d *directory.Directory) {
+	view := e.state.currentView()
+	list := memberList{Asked: e.id, Version: e.state.version(), Epoch: view.epoch, Members: []listedMember{}}
+	e.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindProxy) {
 			list.Members = append(list.Members, listMember(record, &view))
 		}
@@ -94,8 +96,8 @@
 	if call.Method != "GET" {
 		return onlyGet()
 	}
-	list := serverList{Asked: e.agent.id, Servers: []listedServer{}}
-	e.agent.state.read(func(d *directory.Directory) {
+	list := serverList{Asked: e.id, Servers: []listedServer{}}
+	e.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindServer) {
 			list.Servers = append(list.Servers, listServer(d, record))
 		}
--- a/internal/router/agent/listeners.go
+++ b/internal/router/agent/listeners.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net"
+	"strconv"
 
 	"cresshub/internal/invariant"
 	"cresshub/internal/router/controlserver"
@@ -55,6 +56,21 @@
 	}
 }
 
+// serveMetrics serves the metrics at the port for metrics, where one is configured, and returns a function
+// that ends that. Without the port, the metrics are still served at the control address.
+func (a *Agent) serveMetrics() (end func()) {
+	if a.metricsPort == 0 {
+		return func() {}
+	}
+	listener, err := a.network.Listen(net.JoinHostPort(a.settings.IP, strconv.Itoa(a.metricsPort)))
+	if err != nil {
+		a.log.Warn().Err(err).Msg("metrics: listening failed; call /metrics at the control address")
+		return func() {}
+	}
+	go a.serveCalls(listener, a.metricsEndpoint.show, 0)
+	return func() { listener.Close() }
+}
+
 // serveCalls serves calls with bodies of maxBody bytes at most, until the listener closes.
 func (a *Agent) serveCalls(listener net.Listener, handle controlserver.Handler, maxBody int64) {
 	server := &controlserver.Server{MaxBodyBytes: maxBody, Handler: handle, OnAcceptError: a.acceptFailed,
--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -25,27 +25,26 @@
 // report reports the load of this process whenever it changes, and all of it in each fullSyncInterval, until
 // done closes.
 func (t *loadTable) report(done <-chan struct{}) {
-	a := t.agent
 	var lastFullSync time.Duration
 	for {
 		select {
 		case <-done:
 			return
-		case <-a.workload.InFlightChanged():
+		case <-t.workload.InFlightChanged():
 		case <-time.After(loadReportMinInterval):
 		}
-		full := a.now()-lastFullSync > fullSyncInterval
-		changes := a.workload.InFlightChanges(full)
+		full := t.now()-lastFullSync > fullSyncInterval
+		changes := t.workload.InFlightChanges(full)
 		if full {
-			lastFullSync = a.now()
+			lastFullSync = t.now()
 		}
-		prefixes := encodePrefixes(a.workload.TakeNewPrefixes())
+		prefixes := encodePrefixes(t.workload.TakeNewPrefixes())
 		report := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prefixes}
-		if a.isHub() {
+		if t.hubs.includesSelf() {
 			t.applyOwn(report)
 			t.distribute(full)
 		} else if full || len(changes) > 0 {
-			a.subscription.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
+			t.subscription.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
 		}
 		time.Sleep(loadReportMinInterval)
 	}
@@ -53,25 +52,24 @@
 
 // handleReport hands a report of the source to the data plane.
 func (t *loadTable) handleReport(h *hub, frame peerproto.Frame) {
-	a := t.agent
 	var report peerproto.LoadReport
-	if a.subscription.followedHub() != h || peerproto.Decode(frame.Body, &report) != nil {
+	if t.subscription.followedHub() != h || peerproto.Decode(frame.Body, &report) != nil {
 		return
 	}
 	if report.FullIndex {
-		a.workload.SyncPrefixes(decodePrefixes(report.Prefixes))
+		t.workload.SyncPrefixes(decodePrefixes(report.Prefixes))
 		return
 	}
-	a.workload.SetPeerLoad(decodeLoad(report.Servers), report.Full, decodePrefixes(report.Prefixes))
+	t.workload.SetPeerLoad(decodeLoad(report.Servers), report.Full, decodePrefixes(report.Prefixes))
 }
 
 // sendPrefixIndex sends a new follower which prefixes are known to be cached where.
 func (t *loadTable) sendPrefixIndex(c *transport.Conn) {
-	if !t.agent.state.isSynced() {
+	if !t.state.isSynced() {
 		return
 	}
 	report := &peerproto.LoadReport{FullIndex: true,
-		Prefixes: encodePrefixes(t.agent.workload.KnownPrefixes())}
+		Prefixes: encodePrefixes(t.workload.KnownPrefixes())}
 	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(report)})
 }
 
--- a/internal/router/agent/load_table.go
+++ b/internal/router/agent/load_table.go
@@ -49,21 +49,26 @@
 // are safe for concurrent use, but for those whose comment says that the lock is held. While it is held, the
 // lock of the hubs and those of the data plane may be taken.
 type loadTable struct {
-	agent *Agent
-
-	mu        sync.Mutex
-	own       loadByServer
-	followers peerLoads
-	hubs      peerLoads
-	changed   map[string]bool // servers whose load has changed since the last distribution
+	*process
+	state        *state
+	hubs         *hubSet
+	subscription *subscription
+	workload     Workload
+
+	mu            sync.Mutex
+	own           loadByServer
+	followerLoads peerLoads
+	hubLoads      peerLoads
+	changed       map[string]bool // servers whose load has changed since the last distribution
 	// Prefixes that have become known since the last distribution: those of this process and its followers,
 	// which go to hubs and followers, and those of other hubs, which go to followers only.
 	localPrefixes, hubPrefixes []peerproto.ServerPrefixes
 }
 
-func newLoadTable(a *Agent) *loadTable {
-	return &loadTable{agent: a, own: loadByServer{}, followers: peerLoads{}, hubs: peerLoads{},
-		changed: map[string]bool{}}
+func newLoadTable(p *process, state *state, hubs *hubSet, subscription *subscription,
+	workload Workload) *loadTable {
+	return &loadTable{process: p, state: state, hubs: hubs, subscription: subscription, workload: workload,
+		own: loadByServer{}, followerLoads: peerLoads{}, hubLoads: peerLoads{}, changed: map[string]bool{}}
 }
 
 // applyOwn applies a report of this process.
@@ -76,12 +81,12 @@
 
 // applyFollower applies the report of a follower.
 func (t *loadTable) applyFollower(c *transport.Conn, body []byte) {
-	t.applyPeer(t.followers, &t.localPrefixes, c, body)
+	t.applyPeer(t.followerLoads, &t.localPrefixes, c, body)
 }
 
 // applyHub applies the report of another hub.
 func (t *loadTable) applyHub(c *transport.Conn, body []byte) {
-	t.applyPeer(t.hubs, &t.hubPrefixes, c, body)
+	t.applyPeer(t.hubLoads, &t.hubPrefixes, c, body)
 }
 
 func (t *loadTable) applyPeer(peers peerLoads, prefixes *[]peerproto.ServerPrefixes, c *transport.Conn,
@@ -121,7 +126,7 @@
 func (t *loadTable) removePeer(c *transport.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, peers := range []peerLoads{t.followers, t.hubs} {
+	for _, peers := range []peerLoads{t.followerLoads, t.hubLoads} {
 		t.markChanged(peers[c])
 		delete(peers, c)
 	}
@@ -137,28 +142,28 @@
 		return
 	}
 	local := t.localLoad()
-	total := t.hubs.addedTo(local)
+	total := t.hubLoads.addedTo(local)
 	full = full && len(total) <= maxFullSyncServers
 	prefixes := append(t.localPrefixes, t.hubPrefixes...)
 
 	toHubs := peerproto.Encode(&peerproto.LoadReport{Full: full, Servers: t.loadExcept(local, nil, full),
 		Prefixes: t.localPrefixes})
-	for _, h := range t.agent.hubs.all() {
+	for _, h := range t.hubs.all() {
 		h.link.Send(peerproto.KindHubLoadReport, toHubs)
 	}
-	for c, own := range t.followers {
+	for c, own := range t.followerLoads {
 		report := peerproto.LoadReport{Full: full, Servers: t.loadExcept(total, own, full), Prefixes: prefixes}
 		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&report)})
 	}
 	others := decodeLoad(t.loadExcept(total, t.own, full))
-	t.agent.workload.SetPeerLoad(others, full, decodePrefixes(prefixes))
+	t.workload.SetPeerLoad(others, full, decodePrefixes(prefixes))
 
 	clear(t.changed)
 	t.localPrefixes, t.hubPrefixes = nil, nil
 }
 
 // localLoad returns the load of this process and its followers; the lock is held.
-func (t *loadTable) localLoad() loadByServer { return t.followers.addedTo(t.own) }
+func (t *loadTable) localLoad() loadByServer { return t.followerLoads.addedTo(t.own) }
 
 // loadExcept returns a total less the part of one process, at all servers or only at those that have changed.
 // The lock is held.
--- a/internal/router/agent/metrics_endpoint.go
+++ b/internal/router/agent/metrics_endpoint.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"net"
 	"runtime"
 	"strconv"
 
@@ -9,7 +8,9 @@
 	"cresshub/internal/invariant"
 	"cresshub/internal/metrics"
 	"cresshub/internal/router/controlserver"
+	"cresshub/internal/router/dataplane"
 	"cresshub/internal/router/directory"
+	"cresshub/internal/router/transport"
 )
 
 // metricsPath is the endpoint of the metrics, at the control address and at the port for metrics.
@@ -17,22 +18,13 @@
 
 // metricsEndpoint shows the metrics of the process. It has no state of its own and is safe for concurrent
 // use.
-type metricsEndpoint struct{ agent *Agent }
-
-// serve serves the metrics at the port for metrics, where one is configured, and returns a function that ends
-// that. Without the port, the metrics are still served at the control address.
-func (e *metricsEndpoint) serve() (end func()) {
-	a := e.agent
-	if a.metricsPort == 0 {
-		return func() {}
-	}
-	listener, err := a.network.Listen(net.JoinHostPort(a.settings.IP, strconv.Itoa(a.metricsPort)))
-	if err != nil {
-		a.log.Warn().Err(err).Msg("metrics: listening failed; call /metrics at the control address")
-		return func() {}
-	}
-	go a.serveCalls(listener, e.show, 0)
-	return func() { listener.Close() }
+type metricsEndpoint struct {
+	*process
+	state       *state
+	quorum      *quorum
+	configStore configStore
+	endpoint    *transport.Endpoint
+	proxy       *dataplane.Proxy // nil if the role does not serve clients
 }
 
 // show handles a call for the metrics.
@@ -58,26 +50,25 @@
 	e.writeState(page)
 	e.writeCounts(page)
 	e.writeProcess(page)
-	if proxy := e.agent.proxy; proxy != nil {
-		proxy.WriteMetrics(page)
+	if e.proxy != nil {
+		e.proxy.WriteMetrics(page)
 	}
 }
 
 func (e *metricsEndpoint) writeState(page *metrics.Page) {
-	a := e.agent
-	view := a.state.currentView()
-	page.Flag("cresshub_ready", "Whether the readiness check succeeds.", a.unready() == "")
+	view := e.state.currentView()
+	page.Flag("cresshub_ready", "Whether the readiness check succeeds.", unready(e.process, e.state) == "")
 	page.Gauge("cresshub_config_version", "Version of the configuration in force, 0 for none.",
-		float64(a.state.version()))
+		float64(e.state.version()))
 	page.Gauge("cresshub_view_epoch", "Epoch of the chain's view, 0 for none.", float64(view.epoch))
 	page.Gauge("cresshub_view_members", "Members of the chain's view.", float64(len(view.members)))
 	page.Flag("cresshub_replica", "Whether this process is a replica of the chain.",
-		a.configStore.isMember())
+		e.configStore.isMember())
 	page.Flag("cresshub_majority_reached", "Whether this process reaches a majority of the view's members.",
-		a.quorum.reachesMajority())
+		e.quorum.reachesMajority())
 	servers := map[directory.State]int{}
 	proxies := 0
-	a.state.read(func(d *directory.Directory) {
+	e.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindServer) {
 			servers[record.State]++
 		}
@@ -91,7 +82,7 @@
 }
 
 func (e *metricsEndpoint) writeCounts(page *metrics.Page) {
-	m := &e.agent.metrics
+	m := &e.metrics
 	page.Family("cresshub_heartbeats_total", "Heartbeats received from servers, by answer.", &m.heartbeats)
 	page.Family("cresshub_config_calls_total", "Configuration calls, by call and outcome.", &m.configCalls)
 	page.Family("cresshub_marked_lost_total", "Records that this process marked lost, by kind and reason.",
@@ -116,7 +107,7 @@
 		m.handlerPanics.Value())
 	page.Histogram("cresshub_disk_write_duration_seconds", "Time to write and sync a step of the chain.",
 		&m.diskWrites)
-	traffic := e.agent.endpoint.Traffic()
+	traffic := e.endpoint.Traffic()
 	for kind, volume := range traffic.Sent {
 		if volume.Frames > 0 {
 			page.Counter("cresshub_peer_sent_bytes_total", "Bytes sent to other router processes.", volume.Bytes,
@@ -128,7 +119,7 @@
 func (e *metricsEndpoint) writeProcess(page *metrics.Page) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	page.Gauge("cresshub_uptime_seconds", "Time since the process started.", e.agent.now().Seconds())
+	page.Gauge("cresshub_uptime_seconds", "Time since the process started.", e.now().Seconds())
 	page.Gauge("cresshub_goroutines", "Goroutines.", float64(runtime.NumGoroutine()))
 	page.Gauge("cresshub_heap_bytes", "Heap memory of live and unswept objects.", float64(memory.HeapAlloc))
 	page.Gauge("cresshub_runtime_bytes", "Memory that the Go runtime obtained from the system.",
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -6,8 +6,9 @@
 )
 
 // peerHandler handles the frames that other processes send on connections that they have opened, and hands
-// each to the part of the agent that it concerns. It has no state of its own. The frames of one connection
-// are handled one after the other, on its goroutine; those of different connections at the same time.
+// each to the part of the agent that it concerns, which may be almost any. It has no state of its own. The
+// frames of one connection are handled one after the other, on its goroutine; those of different connections
+// at the same time.
 type peerHandler struct{ agent *Agent }
 
 var _ transport.Handler = (*peerHandler)(nil)
@@ -16,7 +17,7 @@
 // connection, so that only calls that may take long are given a goroutine of their own.
 func (p *peerHandler) Handle(c *transport.Conn, frame peerproto.Frame) {
 	a := p.agent
-	a.recordContact(c.Peer())
+	a.lastSeen.record(c.Peer(), a.now())
 	switch frame.Kind {
 	case peerproto.KindPing:
 		a.demand.record(c.Peer(), a.now(), frame.Body)
--- a/internal/router/agent/persister.go
+++ b/internal/router/agent/persister.go
@@ -27,16 +27,19 @@
 // disk. What it reads and writes in memory (the state, the known proxies, the prefix index) is safe for
 // concurrent use, so it has no lock.
 type persister struct {
-	agent            *Agent
-	savedPrefixCount int // how many cached prefixes were last saved
+	*process
+	state            *state
+	knownProxies     *knownProxies
+	workload         Workload // has the prefix index
+	savedPrefixCount int      // how many cached prefixes were last saved
 }
 
-func (p *persister) saved() savedFiles { return savedFiles{p.agent.files, p.agent.settings.DataDir} }
+func (p *persister) saved() savedFiles { return savedFiles{p.files, p.settings.DataDir} }
 
 // run loads the saved state, closes loaded, and then saves changes until done closes.
 func (p *persister) run(loaded chan<- struct{}, done <-chan struct{}) {
 	if p.loadServers() {
-		p.agent.state.setSynced()
+		p.state.setSynced()
 	}
 	p.loadProxies()
 	close(loaded)
@@ -45,27 +48,25 @@
 
 // loadServers loads the servers that were live, with the prefix index, and reports whether there were any.
 func (p *persister) loadServers() bool {
-	a := p.agent
 	records, err := p.saved().readRecords(serversFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
-			a.log.Warn().Err(err).Msg("servers: loading failed")
+			p.log.Warn().Err(err).Msg("servers: loading failed")
 		}
 		return false
 	}
-	a.state.merge(a.now(), records)
+	p.state.merge(p.now(), records)
 	p.loadPrefixIndex()
-	a.log.Info().Int("servers", len(records)).Msg("servers: loaded")
+	p.log.Info().Int("servers", len(records)).Msg("servers: loaded")
 	return len(records) > 0
 }
 
 // loadProxies loads the addresses of the proxies that were known to the previous process of this machine.
 func (p *persister) loadProxies() {
-	a := p.agent
 	records, err := p.saved().readRecords(proxiesFile)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
-			a.log.Warn().Err(err).Msg("proxies: loading failed")
+			p.log.Warn().Err(err).Msg("proxies: loading failed")
 		}
 		return
 	}
@@ -73,43 +74,41 @@
 	for _, record := range records {
 		addresses = append(addresses, record.Address)
 	}
-	a.knownProxies.record(a.now(), addresses)
-	a.state.raiseProxyCount(a.now(), len(addresses))
-	a.log.Info().Int("proxies", len(addresses)).Msg("proxies: loaded")
+	p.knownProxies.record(p.now(), addresses)
+	p.state.raiseProxyCount(p.now(), len(addresses))
+	p.log.Info().Int("proxies", len(addresses)).Msg("proxies: loaded")
 }
 
 // saveProxies saves the addresses of known proxies, where they have changed.
 func (p *persister) saveProxies() {
-	a := p.agent
 	p.recordLiveProxies()
-	if !a.knownProxies.resetChanged() {
+	if !p.knownProxies.resetChanged() {
 		return
 	}
 	var records []directory.Record
-	for _, address := range a.knownProxies.addresses() {
+	for _, address := range p.knownProxies.addresses() {
 		records = append(records, directory.Record{Kind: directory.KindProxy, Address: address})
 	}
 	if err := p.saved().writeRecords(proxiesFile, records); err != nil {
-		a.knownProxies.setChanged()
-		a.log.Debug().Err(err).Msg("proxies: saving failed; retrying")
+		p.knownProxies.setChanged()
+		p.log.Debug().Err(err).Msg("proxies: saving failed; retrying")
 	}
 }
 
 // recordLiveProxies adds the proxies that are live now to the known ones.
 func (p *persister) recordLiveProxies() {
-	a := p.agent
 	var live []string
-	a.state.read(func(d *directory.Directory) {
+	p.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
 			live = append(live, proxy.Address)
 		}
 	})
-	a.knownProxies.record(a.now(), live)
+	p.knownProxies.record(p.now(), live)
 }
 
 // saveChanges saves the state once in each saveInterval, where it has changed, until done closes.
 func (p *persister) saveChanges(done <-chan struct{}) {
-	saved := p.agent.state.Servers()
+	saved := p.state.Servers()
 	for {
 		select {
 		case <-done:
@@ -118,7 +117,7 @@
 		}
 		p.savePrefixIndex()
 		p.saveProxies()
-		if servers := p.agent.state.Servers(); servers != saved && p.saveServers() {
+		if servers := p.state.Servers(); servers != saved && p.saveServers() {
 			saved = servers
 		}
 	}
@@ -127,9 +126,9 @@
 // saveServers saves the records of the live servers and reports whether that succeeded.
 func (p *persister) saveServers() bool {
 	var records []directory.Record
-	p.agent.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
+	p.state.read(func(d *directory.Directory) { records = copyRecords(d.LiveServers()) })
 	if err := p.saved().writeRecords(serversFile, records); err != nil {
-		p.agent.log.Debug().Err(err).Msg("servers: saving failed; retrying")
+		p.log.Debug().Err(err).Msg("servers: saving failed; retrying")
 		return false
 	}
 	return true
@@ -139,19 +138,16 @@
 func (p *persister) loadPrefixIndex() {
 	body, err := p.saved().read(promptsFile)
 	var index peerproto.LoadReport
-	if err != nil || p.agent.proxy == nil || peerproto.Decode(body, &index) != nil {
+	if err != nil || peerproto.Decode(body, &index) != nil {
 		return
 	}
-	p.agent.proxy.SyncPrefixes(decodePrefixes(index.Prefixes))
+	p.workload.SyncPrefixes(decodePrefixes(index.Prefixes))
 }
 
 // savePrefixIndex saves which prefixes are known to be cached at which servers, where their number has
 // changed.
 func (p *persister) savePrefixIndex() {
-	if p.agent.proxy == nil {
-		return
-	}
-	known := p.agent.proxy.KnownPrefixes()
+	known := p.workload.KnownPrefixes()
 	count := 0
 	for _, at := range known {
 		count += len(at.Hashes)
--- /dev/null
+++ b/internal/router/agent/process.go
@@ -0,0 +1,75 @@
+package agent
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"net"
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cresshub/internal/router/agentsettings"
+	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
+	"cresshub/internal/segmentlog"
+)
+
+// process is what a part of the agent may need to know of the process itself, whatever its job: who this is,
+// its settings and clock, the machine that it runs on, and where it logs and counts. It knows no part. Its
+// methods and its metrics are safe for concurrent use and take no lock.
+type process struct {
+	// Set by New and not changed later.
+	settings *agentsettings.Settings
+	id       string // of this process's record in the directory
+	started  time.Time
+	network  transport.Network
+	files    segmentlog.FS
+	log      zerolog.Logger
+
+	// Safe for concurrent use without a lock.
+	seedList     atomic.Pointer[[]string]
+	shuttingDown atomic.Bool
+	metrics      agentMetrics
+}
+
+// newProcess draws the id of a new process.
+func newProcess(settings *agentsettings.Settings, log zerolog.Logger) *process {
+	p := &process{settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
+		id: settings.IP + "-" + randomID(), started: time.Now()}
+	p.seedList.Store(&settings.Seeds)
+	return p
+}
+
+// now returns the time on the monotonic clock since the process started.
+func (p *process) now() time.Duration { return time.Since(p.started) }
+
+// seeds returns the control addresses of some proxies, as last read from the settings file.
+func (p *process) seeds() []string { return *p.seedList.Load() }
+
+func (p *process) isShuttingDown() bool { return p.shuttingDown.Load() }
+
+// isBootstrapper reports whether this process proposes the first view of a new fleet: the first seed does.
+func (p *process) isBootstrapper() bool {
+	return p.settings.FirstStart && len(p.settings.Seeds) > 0 && hostOf(p.settings.Seeds[0]) == p.settings.IP
+}
+
+// peerAddress returns the address at which the process of a machine listens for other processes.
+func (p *process) peerAddress(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(p.settings.InnerPorts[0]))
+}
+
+// hello returns the first message of a connection to another process.
+func (p *process) hello() []byte { return peerproto.Encode(&peerproto.Hello{ID: p.id}) }
+
+func hostOf(address string) string {
+	host, _, _ := net.SplitHostPort(address)
+	return host
+}
+
+func randomID() string {
+	var random [6]byte
+	_, _ = rand.Read(random[:]) // it never fails
+	return hex.EncodeToString(random[:])
+}
--- a/internal/router/agent/quorum.go
+++ b/internal/router/agent/quorum.go
@@ -13,15 +13,14 @@
 // this process. It joins the view, which is in the state, with the links to the hubs; it has no lock of its
 // own. Its methods are safe for concurrent use, but must not be called with the lock of the state held.
 type quorum struct {
-	ownIP      string
-	now        func() time.Duration
+	*process
 	state      *state
 	hubs       *hubSet
 	replicated *broadcast // a hub has received records of this process
 }
 
-func newQuorum(a *Agent) *quorum {
-	return &quorum{ownIP: a.settings.IP, now: a.now, state: a.state, hubs: a.hubs, replicated: newBroadcast()}
+func newQuorum(p *process, state *state, hubs *hubSet) *quorum {
+	return &quorum{process: p, state: state, hubs: hubs, replicated: newBroadcast()}
 }
 
 // anyMember reports whether another member of the view, to which there is a link, meets a condition.
@@ -40,7 +39,7 @@
 	members := q.state.currentView().members
 	count := 0
 	for _, member := range members {
-		if member.Address == q.ownIP {
+		if member.Address == q.settings.IP {
 			count++
 			continue
 		}
--- a/internal/router/agent/ready_endpoint.go
+++ b/internal/router/agent/ready_endpoint.go
@@ -13,20 +13,20 @@
 	if call.Path != readyPath {
 		return controlserver.Text(404, "call "+readyPath)
 	}
-	if reason := a.unready(); reason != "" {
+	if reason := unready(a.process, a.state); reason != "" {
 		return controlserver.Text(503, reason)
 	}
 	return controlserver.Text(200, "ready")
 }
 
 // unready returns why no clients are to be sent here, "" if they are.
-func (a *Agent) unready() string {
+func unready(p *process, s *state) string {
 	switch {
-	case a.isShuttingDown():
+	case p.isShuttingDown():
 		return "ending"
-	case a.state.Config() == nil:
+	case s.Config() == nil:
 		return "no configuration is known yet"
-	case !a.state.isSynced():
+	case !s.isSynced():
 		return "the other processes are not known yet"
 	}
 	return ""
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -39,9 +39,13 @@
 // epochs rise, and each has one head. A new head waits until orders of the previous one can't arrive any
 // more, and each order follows a read through the chain, which confirms that this process is still the head.
 type roleAssigner struct {
-	agent  *Agent
-	fence  func() uint64 // the fencing token of this process, 0 while it is not the head
-	holder string        // identity of this machine's disk, by which orders name their issuer
+	*process
+	state  *state
+	quorum *quorum
+	demand *demandTable
+	read   func(timeout time.Duration) *peerproto.Result // through the chain
+	fence  func() uint64                                 // the fencing token, 0 while this is not the head
+	holder string                                        // identity of the disk, names the issuer of orders
 
 	// State of the goroutine of run.
 	currentFence    uint64        // the fencing token as last read
@@ -52,12 +56,17 @@
 	rejectedFence atomic.Uint64
 }
 
+func newRoleAssigner(a *Agent, member *chainMember) *roleAssigner {
+	return &roleAssigner{process: a.process, state: a.state, quorum: a.quorum, demand: a.demand,
+		read: member.read, fence: member.published.fence, holder: member.identity}
+}
+
 // run assigns roles until done closes.
 func (r *roleAssigner) run(done <-chan struct{}) { runEvery(roleAssignInterval, done, r.assignRoles) }
 
 func (r *roleAssigner) assignRoles() {
-	config := r.agent.state.Config()
-	if !r.maySendOrders() || config == nil || r.agent.isShuttingDown() {
+	config := r.state.Config()
+	if !r.maySendOrders() || config == nil || r.isShuttingDown() {
 		return
 	}
 	r.closeCompletedOrders()
@@ -70,13 +79,13 @@
 
 // maySendOrders updates the fencing token and reports whether orders may be sent with it now.
 func (r *roleAssigner) maySendOrders() bool {
-	fence, now := r.fence(), r.agent.now()
+	fence, now := r.fence(), r.now()
 	switch {
 	case fence == 0:
 		r.currentFence = 0
 		return false
 	case r.currentFence == 0 && fence > 1: // the head of the first epoch has no predecessor
-		r.ordersAllowedAt = now + r.agent.settings.Bounds.Lease + leaseMargin
+		r.ordersAllowedAt = now + r.settings.Bounds.Lease + leaseMargin
 	}
 	r.currentFence = fence
 	return now >= r.ordersAllowedAt && fence != r.rejectedFence.Load()
@@ -85,8 +94,8 @@
 // closeCompletedOrders ends the records of orders that were carried out or whose servers are not live any
 // more.
 func (r *roleAssigner) closeCompletedOrders() {
-	now := r.agent.now()
-	r.agent.state.update(now, func(d *directory.Directory) {
+	now := r.now()
+	r.state.update(now, func(d *directory.Directory) {
 		for _, order := range d.Orders() {
 			server := d.Get(strings.TrimPrefix(order.ID, directory.OrderID("")))
 			if server == nil || !server.Live() || server.Role == order.Role {
@@ -98,13 +107,12 @@
 
 // rebalance plans the roles of the servers of a service and sends the orders that this takes.
 func (r *roleAssigner) rebalance(service *fleetconfig.Service) {
-	a := r.agent
 	servers, addresses := r.assignableServers(service.Name)
-	orders := roleplan.Plan(servers, a.demand.total(service.Name, a.now()))
+	orders := roleplan.Plan(servers, r.demand.total(service.Name, r.now()))
 	if len(orders) == 0 {
 		return
 	}
-	confirmedAt := a.now()
+	confirmedAt := r.now()
 	if !r.confirmHead() {
 		return
 	}
@@ -121,7 +129,7 @@
 func (r *roleAssigner) assignableServers(service string) (servers []roleplan.Server,
 	addresses map[string]string) {
 	addresses = map[string]string{}
-	r.agent.state.read(func(d *directory.Directory) {
+	r.state.read(func(d *directory.Directory) {
 		for _, record := range d.LiveServers() {
 			if record.Service != service || record.State != directory.Ready || record.Role == "" {
 				continue
@@ -141,20 +149,19 @@
 // confirmHead confirms, by a read through the chain, that this process is still the head in the epoch of the
 // fencing token.
 func (r *roleAssigner) confirmHead() bool {
-	return r.agent.configStore.read(confirmTimeout).Outcome == peerproto.OutcomeAccepted &&
+	return r.read(confirmTimeout).Outcome == peerproto.OutcomeAccepted &&
 		r.fence() == r.currentFence
 }
 
 // announceOrders puts orders into the directory, so that proxies send their servers nothing new, and waits
 // for a majority to know, for confirmTimeout at most.
 func (r *roleAssigner) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
-	a := r.agent
-	now := a.now()
+	now := r.now()
 	var offset uint64
-	a.state.update(now, func(d *directory.Directory) {
+	r.state.update(now, func(d *directory.Directory) {
 		for _, order := range orders {
 			record := directory.Record{Kind: directory.KindOrder, ID: directory.OrderID(order.Server), Sequence: 1,
-				State: directory.Ready, Watcher: a.id, Service: service.Name, Role: string(order.Role)}
+				State: directory.Ready, Watcher: r.id, Service: service.Name, Role: string(order.Role)}
 			if earlier := d.Get(record.ID); earlier != nil {
 				record.Sequence = earlier.Sequence + 1
 			}
@@ -162,7 +169,7 @@
 		}
 		offset = d.Offset()
 	})
-	a.quorum.awaitMajority(offset, confirmTimeout)
+	r.quorum.awaitMajority(offset, confirmTimeout)
 }
 
 // orderBody is the body of a call that orders a server to take a role.
@@ -176,25 +183,24 @@
 // sendOrder sends an order to its server, unless the confirmation that this process is the head is too old by
 // now.
 func (r *roleAssigner) sendOrder(order roleplan.Order, address string, confirmedAt time.Duration) {
-	a := r.agent
-	lastFence := a.metrics.lastOrderFence.Load()
+	lastFence := r.metrics.lastOrderFence.Load()
 	invariant.Assert(r.currentFence > 0 && r.currentFence >= lastFence, invariant.FenceRises,
 		"an order under fence %d follows one under %d", r.currentFence, lastFence)
-	a.metrics.lastOrderFence.Store(r.currentFence)
+	r.metrics.lastOrderFence.Store(r.currentFence)
 	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.holder, r.currentFence})
-	if err != nil || a.now()-confirmedAt > confirmValidity {
+	if err != nil || r.now()-confirmedAt > confirmValidity {
 		r.withdrawOrder(order)
 		return
 	}
 	status := 0
-	answer, err := callServer(a.network, address, &http1.Request{Method: "POST", Target: orderPath, Body: body,
+	answer, err := callServer(r.network, address, &http1.Request{Method: "POST", Target: orderPath, Body: body,
 		Header: http1.Header{{Name: "Content-Type", Value: "application/json"},
 			{Name: expectServerHeader, Value: order.Server}}}, orderTimeout)
 	if err == nil {
 		status = answer.Status
 	}
-	a.metrics.countOrder(status)
-	a.log.Info().Err(err).Str("server", order.Server).Str("stage", string(order.Role)).Int("status", status).
+	r.metrics.countOrder(status)
+	r.log.Info().Err(err).Str("server", order.Server).Str("stage", string(order.Role)).Int("status", status).
 		Uint64("fence", r.currentFence).Msg("roles: order sent")
 	switch status {
 	case 412: // the server has received a higher fencing token
@@ -207,11 +213,10 @@
 
 // withdrawOrder ends the record of an order that is not carried out, so that its server gets requests again.
 func (r *roleAssigner) withdrawOrder(order roleplan.Order) {
-	a := r.agent
-	now := a.now()
-	a.state.update(now, func(d *directory.Directory) {
+	now := r.now()
+	r.state.update(now, func(d *directory.Directory) {
 		announced := d.Get(directory.OrderID(order.Server))
-		if announced != nil && announced.Watcher == a.id {
+		if announced != nil && announced.Watcher == r.id {
 			d.Merge(now, asLost(announced))
 		}
 	})
--- a/internal/router/agent/self_record.go
+++ b/internal/router/agent/self_record.go
@@ -11,16 +11,17 @@
 // be taken after that of the subscription and before that of the state. It orders the announcements, so it is
 // held until the record is in the directory.
 type selfRecord struct {
-	agent *Agent
+	*process
+	state *state
 
 	mu     sync.Mutex
 	record directory.Record
 }
 
-func newSelfRecord(a *Agent) *selfRecord {
-	return &selfRecord{agent: a, record: directory.Record{
-		Kind: directory.KindProxy, ID: a.id, State: directory.Ready, Address: a.settings.IP,
-		Zone: a.settings.Zone, Name: a.settings.Name, Control: a.settings.Control,
+func newSelfRecord(p *process, state *state) *selfRecord {
+	return &selfRecord{process: p, state: state, record: directory.Record{
+		Kind: directory.KindProxy, ID: p.id, State: directory.Ready, Address: p.settings.IP,
+		Zone: p.settings.Zone, Name: p.settings.Name, Control: p.settings.Control,
 	}}
 }
 
@@ -29,15 +30,15 @@
 	if len(records) == 0 {
 		return
 	}
-	r.agent.state.merge(r.agent.now(), records)
+	r.state.merge(r.now(), records)
 	r.refute()
 }
 
 // refute announces this process again if its record says that it is lost, as in SWIM.
 func (r *selfRecord) refute() {
 	var isLost bool
-	r.agent.state.read(func(d *directory.Directory) {
-		known := d.Get(r.agent.id)
+	r.state.read(func(d *directory.Directory) {
+		known := d.Get(r.id)
 		isLost = known != nil && known.State == directory.Lost
 	})
 	if isLost {
@@ -48,15 +49,14 @@
 // announce changes this process's own record, gives it the next sequence number and merges it into the
 // directory, from where it is replicated to the hubs.
 func (r *selfRecord) announce(change func(*directory.Record)) {
-	a := r.agent
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.state.read(func(d *directory.Directory) {
-		if known := d.Get(a.id); known != nil {
+	r.state.read(func(d *directory.Directory) {
+		if known := d.Get(r.id); known != nil {
 			r.record.Sequence = max(r.record.Sequence, known.Sequence)
 		}
 	})
 	r.record.Sequence++
 	change(&r.record)
-	a.state.merge(a.now(), []directory.Record{r.record})
+	r.state.merge(r.now(), []directory.Record{r.record})
 }
--- a/internal/router/agent/server_endpoint.go
+++ b/internal/router/agent/server_endpoint.go
@@ -25,7 +25,12 @@
 // directory and acknowledges them once the rest of the fleet learns them. It has no state of its own. Its
 // methods run on the goroutine of the call, are safe for concurrent use, and may wait for a majority of the
 // hubs for drainAckTimeout.
-type serverEndpoint struct{ agent *Agent }
+type serverEndpoint struct {
+	*process
+	state    *state
+	quorum   *quorum
+	lastSeen *lastSeen
+}
 
 // handle handles the heartbeat or the deregistration of a server.
 func (e *serverEndpoint) handle(call *controlserver.Call) *http1.Response {
@@ -74,29 +79,28 @@
 // otherwise the server is to call another proxy. A drain is acknowledged only once a majority of the hubs has
 // it, because from then on proxies have a bounded time to send the server nothing more.
 func (e *serverEndpoint) handleHeartbeat(record *directory.Record) *http1.Response {
-	a := e.agent
 	switch {
-	case a.isShuttingDown():
+	case e.isShuttingDown():
 		return e.reject(record.ID, "ending")
 	case !e.knowsFleet():
 		return e.reject(record.ID, "no_view")
 	}
-	now := a.now()
-	a.recordContact(record.ID)
-	if !a.quorum.reachesFleet() {
+	now := e.now()
+	e.lastSeen.record(record.ID, e.now())
+	if !e.quorum.reachesFleet() {
 		e.mergeHeartbeat(now, record) // known on this side of the partition; its watcher is on the other one
 		return e.reject(record.ID, "no_majority")
 	}
-	record.Watcher = a.id
+	record.Watcher = e.id
 	offset, late := e.mergeHeartbeat(now, record)
-	if record.State == directory.Draining && !a.quorum.awaitMajority(offset, drainAckTimeout) {
+	if record.State == directory.Draining && !e.quorum.awaitMajority(offset, drainAckTimeout) {
 		return e.reject(record.ID, "drain_not_told")
 	}
-	a.metrics.countHeartbeat("acknowledged")
+	e.metrics.countHeartbeat("acknowledged")
 	if late {
 		return controlserver.JSON(200, []byte("{}"))
 	}
-	answer, err := json.Marshal(map[string]string{"forward_to": a.settings.Control})
+	answer, err := json.Marshal(map[string]string{"forward_to": e.settings.Control})
 	if err != nil {
 		return controlserver.Text(500, err.Error())
 	}
@@ -106,14 +110,14 @@
 // knowsFleet reports whether this process knows its hubs. Until the first view is decided, the seeds take its
 // place; a process that starts later has to learn the view.
 func (e *serverEndpoint) knowsFleet() bool {
-	return e.agent.settings.FirstStart || e.agent.state.currentView().epoch > 0
+	return e.settings.FirstStart || e.state.currentView().epoch > 0
 }
 
 // mergeHeartbeat merges a heartbeat. It returns the offset of the directory that hubs must have to know it,
 // and whether it is late: a later one of the same server has been received before.
 func (e *serverEndpoint) mergeHeartbeat(now time.Duration,
 	record *directory.Record) (offset uint64, late bool) {
-	e.agent.state.update(now, func(d *directory.Directory) {
+	e.state.update(now, func(d *directory.Directory) {
 		known := d.Get(record.ID)
 		late = known != nil && known.Sequence > record.Sequence
 		if known != nil && record.Watcher == "" {
@@ -129,30 +133,29 @@
 
 // deregister ends the incarnation of a server, and acknowledges that once a majority of the hubs knows it.
 func (e *serverEndpoint) deregister(id string) *http1.Response {
-	a := e.agent
-	now := a.now()
+	now := e.now()
 	var offset uint64
-	a.state.update(now, func(d *directory.Directory) {
+	e.state.update(now, func(d *directory.Directory) {
 		ended := directory.Record{Kind: directory.KindServer, ID: id}
 		if known := d.Get(id); known != nil {
 			ended = *known
 		}
-		ended.State, ended.Watcher = directory.Ended, a.id
+		ended.State, ended.Watcher = directory.Ended, e.id
 		d.Merge(now, ended)
 		offset = d.Offset()
 	})
-	if !a.quorum.awaitMajority(offset, drainAckTimeout) {
+	if !e.quorum.awaitMajority(offset, drainAckTimeout) {
 		return e.reject(id, "end_not_told")
 	}
-	a.metrics.countHeartbeat("end_acknowledged")
-	a.log.Info().Str("server", id).Msg("servers: deregistered")
+	e.metrics.countHeartbeat("end_acknowledged")
+	e.log.Info().Str("server", id).Msg("servers: deregistered")
 	return controlserver.JSON(200, []byte("{}"))
 }
 
 // reject sends a server to another proxy. The reason goes to the metrics and the log.
 func (e *serverEndpoint) reject(server, reason string) *http1.Response {
-	e.agent.metrics.countHeartbeat(reason)
-	e.agent.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: heartbeat rejected")
+	e.metrics.countHeartbeat(reason)
+	e.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: heartbeat rejected")
 	return callAnotherProxy()
 }
 
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -34,7 +34,7 @@
 // first.
 func (f *failureDetector) checkUnwatched(now time.Duration) {
 	var unwatched []*directory.Record
-	f.agent.state.read(func(d *directory.Directory) {
+	f.state.read(func(d *directory.Directory) {
 		for _, record := range slices.Concat(d.LiveServers(), d.Proxies()) {
 			if f.isUnwatched(now, d, record) {
 				unwatched = append(unwatched, record)
@@ -56,14 +56,14 @@
 func (f *failureDetector) isUnwatched(now time.Duration, d *directory.Directory,
 	record *directory.Record) bool {
 	isHub := record.Kind == directory.KindProxy && record.Watcher == ""
-	if record.ID == f.agent.id || isHub {
+	if record.ID == f.id || isHub {
 		return false
 	}
 	watcher := d.Get(record.Watcher)
 	if watcher != nil && watcher.Live() {
 		return false
 	}
-	timeout := unwatchedHeartbeats * f.agent.settings.HeartbeatInterval
+	timeout := unwatchedHeartbeats * f.settings.HeartbeatInterval
 	if watcher != nil && now-d.ModifiedAt(watcher.ID) <= timeout {
 		return false
 	}
@@ -73,10 +73,9 @@
 // ranksFirst reports whether this hub ranks first for an id, by rendezvous hashing over the members that
 // respond.
 func (f *failureDetector) ranksFirst(id string) bool {
-	a := f.agent
-	now := a.now()
-	own := probeRank(id, a.settings.IP)
-	return !a.quorum.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
+	now := f.now()
+	own := probeRank(id, f.settings.IP)
+	return !f.quorum.anyMember(func(member peerproto.MemberInfo, h *hub) bool {
 		return h.isResponsive(now) && probeRank(id, member.Address) > own
 	})
 }
@@ -117,7 +116,7 @@
 	go func() {
 		defer f.probes.end(record.ID)
 		if f.probeServer(record) {
-			f.agent.recordContact(record.ID)
+			f.lastSeen.record(record.ID, f.now())
 		} else {
 			f.markUnwatchedLost(record, "its watcher is gone and it does not answer")
 		}
@@ -138,11 +137,11 @@
 // probeServerID returns the id of the server that answers a health check at a record's address.
 func (f *failureDetector) probeServerID(record *directory.Record) (string, error) {
 	path := "/"
-	if config := f.agent.state.Config(); config != nil && config.Services[record.Service] != nil {
+	if config := f.state.Config(); config != nil && config.Services[record.Service] != nil {
 		path = config.Services[record.Service].HealthPath
 	}
 	request := &http1.Request{Method: "GET", Target: path}
-	answer, err := callServer(f.agent.network, record.Address, request, probeTimeout)
+	answer, err := callServer(f.network, record.Address, request, probeTimeout)
 	if err != nil {
 		return "", err
 	}
@@ -151,11 +150,10 @@
 
 // markUnwatchedLost marks a process lost, unless its record has changed since, or it is watched again.
 func (f *failureDetector) markUnwatchedLost(record *directory.Record, reason string) {
-	a := f.agent
-	now := a.now()
-	a.state.update(now, func(d *directory.Directory) {
+	now := f.now()
+	f.state.update(now, func(d *directory.Directory) {
 		if d.Get(record.ID) == record && f.isUnwatched(now, d, record) {
-			f.markLost(now, d, record, reason)
+			markLost(f.process, now, d, record, reason)
 		}
 	})
 }
--- a/internal/router/agent/unwatched_test.go
+++ b/internal/router/agent/unwatched_test.go
@@ -104,11 +104,11 @@
 		c := qt.New(t)
 		agent := newTestAgent(t)
 		agent.handleCall(heartbeat("ready", "1"))
-		agent.workload = answeringWorkload{}
+		agent.failures.workload = answeringWorkload{}
 		time.Sleep(4 * agent.settings.HeartbeatInterval)
 		agent.failures.markTimedOut(agent.now(), false)
 		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 1)
-		agent.workload = noWorkload{}
+		agent.failures.workload = noWorkload{}
 		agent.failures.markTimedOut(agent.now(), false)
 		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0)
 	})
--- a/internal/router/agent/view_announcer.go
+++ b/internal/router/agent/view_announcer.go
@@ -7,6 +7,7 @@
 
 	"cresshub/internal/router/directory"
 	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/transport"
 )
 
 // A process that starts knows only its seeds, and these may know no more than itself: they may have no disk
@@ -38,7 +39,14 @@
 // viewAnnouncer announces the view to processes that may not know it. Its fields belong to the goroutine of
 // run; announcements under way report through results.
 type viewAnnouncer struct {
-	agent    *Agent
+	*process
+	state        *state
+	hubs         *hubSet
+	endpoint     *transport.Endpoint
+	knownProxies *knownProxies
+	lastSeen     *lastSeen
+	status       func() *peerproto.Status // what this process announces
+
 	targets  map[string]*announcementTarget // by IP
 	results  chan announcementResult
 	inFlight int
@@ -50,7 +58,9 @@
 }
 
 func newViewAnnouncer(a *Agent) *viewAnnouncer {
-	return &viewAnnouncer{agent: a, targets: map[string]*announcementTarget{},
+	return &viewAnnouncer{process: a.process, state: a.state, hubs: a.hubs, endpoint: a.endpoint,
+		knownProxies: a.knownProxies, lastSeen: a.lastSeen, status: a.status,
+		targets: map[string]*announcementTarget{},
 		results: make(chan announcementResult, maxConcurrentAnnouncements)}
 }
 
@@ -65,7 +75,7 @@
 		case result := <-v.results:
 			v.recordResult(result)
 		case <-ticker.C:
-			if v.agent.state.currentView().epoch > 0 {
+			if v.state.currentView().epoch > 0 {
 				v.startDue(v.targetIPs())
 			}
 		}
@@ -74,7 +84,7 @@
 
 // startDue starts the announcements that are due.
 func (v *viewAnnouncer) startDue(targetIPs []string) {
-	now := v.agent.now()
+	now := v.now()
 	for ip, target := range v.targets {
 		if !target.inFlight && !slices.Contains(targetIPs, ip) {
 			delete(v.targets, ip)
@@ -97,15 +107,14 @@
 
 // announce announces the view to one process.
 func (v *viewAnnouncer) announce(ip string) {
-	a := v.agent
-	body := peerproto.Encode(a.status())
-	frame, err := a.endpoint.CallOnce(a.peerAddress(ip), a.hello(), peerproto.KindAnnounce, body,
+	body := peerproto.Encode(v.status())
+	frame, err := v.endpoint.CallOnce(v.peerAddress(ip), v.hello(), peerproto.KindAnnounce, body,
 		announceTimeout)
 	result := announcementResult{ip: ip}
 	var status peerproto.Status
 	if err == nil && peerproto.Decode(frame.Body, &status) == nil {
 		result.knowsView = status.Epoch > 0
-		a.hubs.learnView(&status)
+		v.hubs.learnView(&status)
 	}
 	v.results <- result
 }
@@ -119,33 +128,32 @@
 	if result.knowsView {
 		target.backoff = maxAnnounceBackoff
 	}
-	target.nextAt = v.agent.now() + target.backoff
+	target.nextAt = v.now() + target.backoff
 	target.backoff = min(2*target.backoff, maxAnnounceBackoff)
 }
 
 // targetIPs returns the IPs of the machines to which the view is to be announced.
 func (v *viewAnnouncer) targetIPs() []string {
-	a := v.agent
-	isHub := a.isHub()
+	isHub := v.hubs.includesSelf()
 	calling := v.callingAddresses()
 	var ips []string
 	add := func(ip string) {
-		if ip != a.settings.IP && !calling[ip] && !slices.Contains(ips, ip) {
+		if ip != v.settings.IP && !calling[ip] && !slices.Contains(ips, ip) {
 			ips = append(ips, ip)
 		}
 	}
-	for _, seed := range a.seeds() {
+	for _, seed := range v.seeds() {
 		ip, _, err := net.SplitHostPort(seed)
 		target := v.targets[ip]
 		mayLackView := isHub || target == nil || !target.knowsView
-		if err == nil && mayLackView && !a.hubs.responds(ip) {
+		if err == nil && mayLackView && !v.hubs.responds(ip) {
 			add(ip)
 		}
 	}
 	if !isHub {
 		return ips
 	}
-	for _, ip := range a.knownProxies.addresses() {
+	for _, ip := range v.knownProxies.addresses() {
 		add(ip)
 	}
 	return ips
@@ -153,12 +161,11 @@
 
 // callingAddresses returns the IPs of the proxies that have called this process within contactTimeout.
 func (v *viewAnnouncer) callingAddresses() map[string]bool {
-	a := v.agent
-	now := a.now()
+	now := v.now()
 	calling := map[string]bool{}
-	a.state.read(func(d *directory.Directory) {
+	v.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
-			if lastSeen, ok := a.lastSeen.of(proxy.ID); ok && now-lastSeen <= contactTimeout {
+			if lastSeen, ok := v.lastSeen.of(proxy.ID); ok && now-lastSeen <= contactTimeout {
 				calling[proxy.Address] = true
 			}
 		}
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -30,7 +30,7 @@
 	agent.knownProxies.record(agent.now(), []string{"10.0.0.5", "10.0.0.6", "127.0.0.1"})
 	agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindProxy, ID: "caller", Sequence: 1,
 		State: directory.Ready, Address: "10.0.0.5"}})
-	agent.recordContact("caller")
+	agent.lastSeen.record("caller", agent.now())
 	announcer := newViewAnnouncer(agent)
 	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2", "10.0.0.6"})
 
