--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -155,7 +155,7 @@
 	return body, err
 }
 
-var errBodyTooLarge = &MalformedError{Status: 413, Reason: "body too large"}
+var errBodyTooLarge = &MalformedError{Status: StatusRequestEntityTooLarge, Reason: "body too large"}
 
 // ReadRequest reads one request with a body of at most MaxBufferedBody bytes. io.EOF means that the
 // connection ended before its first byte.
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -30,7 +30,7 @@
 		raw = long
 	}
 	if len(raw) > *budget {
-		return "", &MalformedError{Status: 431, Reason: "head too large"}
+		return "", &MalformedError{Status: StatusRequestHeaderFieldsTooLarge, Reason: "head too large"}
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) && len(raw) > 0 {
@@ -76,7 +76,7 @@
 			break
 		}
 		if len(h.header) == maxFields {
-			return h, &MalformedError{Status: 431, Reason: "too many header fields"}
+			return h, &MalformedError{Status: StatusRequestHeaderFieldsTooLarge, Reason: "too many header fields"}
 		}
 		if err := h.addField(line); err != nil {
 			return h, err
@@ -109,7 +109,7 @@
 		h.length = n
 	case strings.EqualFold(name, "Transfer-Encoding"):
 		if h.chunked || !strings.EqualFold(value, "chunked") {
-			return &MalformedError{Status: 501, Reason: "unknown Transfer-Encoding"}
+			return &MalformedError{Status: StatusNotImplemented, Reason: "unknown Transfer-Encoding"}
 		}
 		h.chunked = true
 	}
@@ -159,7 +159,8 @@
 	}
 	old := version == "HTTP/1.0"
 	if !old && version != "HTTP/1.1" {
-		return nil, nil, &MalformedError{Status: 505, Reason: fmt.Sprintf("version %.20q", version)}
+		return nil, nil, &MalformedError{Status: StatusHTTPVersionNotSupported,
+			Reason: fmt.Sprintf("version %.20q", version)}
 	}
 	target, host, ok := origin(target)
 	if !ok {
@@ -183,7 +184,8 @@
 		HTTP10: old}
 	if e := h.header.Get("Expect"); e != "" && !old {
 		if !strings.EqualFold(e, "100-continue") {
-			return nil, nil, &MalformedError{Status: 417, Reason: fmt.Sprintf("expectation %.20q", e)}
+			return nil, nil, &MalformedError{Status: StatusExpectationFailed,
+				Reason: fmt.Sprintf("expectation %.20q", e)}
 		}
 		request.ExpectsContinue = h.chunked || h.length > 0
 	}
@@ -260,7 +262,7 @@
 	if !old && version != "HTTP/1.1" || err != nil || len(code) != 3 || status < 100 {
 		return 0, false, malformed("not a status line: %.40q", line)
 	}
-	if status == 101 { // no request asks for an upgrade
+	if status == StatusSwitchingProtocols { // no request asks for an upgrade
 		return 0, false, malformed("switching protocols")
 	}
 	return status, old, nil
@@ -272,7 +274,7 @@
 	if method == "HEAD" {
 		response.Bodiless, response.Length = true, h.length
 	}
-	if method == "HEAD" || status == 204 || status == 304 {
+	if method == "HEAD" || status == StatusNoContent || status == StatusNotModified {
 		h.length, h.chunked = 0, false
 	}
 	untilClose := !h.chunked && h.length < 0
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -34,7 +34,7 @@
 func (m *MalformedError) Error() string { return m.Reason }
 
 func malformed(format string, args ...any) error {
-	return &MalformedError{Status: 400, Reason: fmt.Sprintf(format, args...)}
+	return &MalformedError{Status: StatusBadRequest, Reason: fmt.Sprintf(format, args...)}
 }
 
 // unexpectedEOF turns io.EOF inside a message into io.ErrUnexpectedEOF; io.EOF itself means an end between
@@ -120,15 +120,6 @@
 	Bodiless  bool  // a response to HEAD: it has a length and no body
 }
 
-var reasonPhrases = map[int]string{
-	100: "Continue", 200: "OK", 204: "No Content", 304: "Not Modified", 400: "Bad Request", 404: "Not Found",
-	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-	417: "Expectation Failed", 421: "Misdirected Request", 429: "Too Many Requests",
-	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
-	505: "HTTP Version Not Supported",
-}
-
 var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
--- /dev/null
+++ b/internal/http1/status.go
@@ -0,0 +1,56 @@
+package http1
+
+// The status codes that this package and the routers answer with or tell apart (RFC 9110, section 15; RFC
+// 6585), with the names that net/http gives them: a program that speaks HTTP by this package does not link
+// net/http.
+const (
+	StatusContinue           = 100
+	StatusSwitchingProtocols = 101
+
+	StatusOK          = 200
+	StatusNoContent   = 204
+	StatusNotModified = 304
+
+	StatusBadRequest                  = 400
+	StatusNotFound                    = 404
+	StatusMethodNotAllowed            = 405
+	StatusRequestTimeout              = 408
+	StatusConflict                    = 409
+	StatusPreconditionFailed          = 412
+	StatusRequestEntityTooLarge       = 413
+	StatusExpectationFailed           = 417
+	StatusMisdirectedRequest          = 421
+	StatusTooManyRequests             = 429
+	StatusRequestHeaderFieldsTooLarge = 431
+
+	StatusInternalServerError     = 500
+	StatusNotImplemented          = 501
+	StatusBadGateway              = 502
+	StatusServiceUnavailable      = 503
+	StatusGatewayTimeout          = 504
+	StatusHTTPVersionNotSupported = 505
+)
+
+// reasonPhrases are the reason phrases of status lines. A code that is not in it is written without one.
+var reasonPhrases = map[int]string{
+	StatusContinue:                    "Continue",
+	StatusOK:                          "OK",
+	StatusNoContent:                   "No Content",
+	StatusNotModified:                 "Not Modified",
+	StatusBadRequest:                  "Bad Request",
+	StatusNotFound:                    "Not Found",
+	StatusMethodNotAllowed:            "Method Not Allowed",
+	StatusRequestTimeout:              "Request Timeout",
+	StatusConflict:                    "Conflict",
+	StatusRequestEntityTooLarge:       "Content Too Large",
+	StatusExpectationFailed:           "Expectation Failed",
+	StatusMisdirectedRequest:          "Misdirected Request",
+	StatusTooManyRequests:             "Too Many Requests",
+	StatusRequestHeaderFieldsTooLarge: "Request Header Fields Too Large",
+	StatusInternalServerError:         "Internal Server Error",
+	StatusNotImplemented:              "Not Implemented",
+	StatusBadGateway:                  "Bad Gateway",
+	StatusServiceUnavailable:          "Service Unavailable",
+	StatusGatewayTimeout:              "Gateway Timeout",
+	StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
+}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -53,7 +53,7 @@
 	w.WriteString("\r\n")
 	length := a.Length
 	switch {
-	case a.Status == 204 || a.Status == 304:
+	case a.Status == StatusNoContent || a.Status == StatusNotModified:
 		length = lengthNone
 	case a.Bodiless && length < 0:
 		length = lengthNone
--- a/internal/router/agent/config_endpoint.go
+++ b/internal/router/agent/config_endpoint.go
@@ -56,13 +56,14 @@
 	case "GET":
 		return e.get()
 	}
-	return controlserver.Text(405, "use PUT or PATCH to change the configuration and GET to read it")
+	return controlserver.Text(http1.StatusMethodNotAllowed,
+		"use PUT or PATCH to change the configuration and GET to read it")
 }
 
 func (e *configEndpoint) put(call *controlserver.Call) *http1.Response {
 	config, err := fleetconfig.Parse(call.Body)
 	if err != nil {
-		return controlserver.Text(400, err.Error())
+		return controlserver.Text(http1.StatusBadRequest, err.Error())
 	}
 	return e.change(call, peerproto.KindPropose, config.Version)
 }
@@ -70,7 +71,7 @@
 func (e *configEndpoint) patch(call *controlserver.Call) *http1.Response {
 	patch, err := fleetconfig.ParsePatch(0, call.Body) // its base is read with If-Match
 	if err != nil {
-		return controlserver.Text(400, err.Error())
+		return controlserver.Text(http1.StatusBadRequest, err.Error())
 	}
 	return e.change(call, peerproto.KindPatch, patch.Version)
 }
@@ -81,7 +82,7 @@
 	version int64) *http1.Response {
 	expected, err := expectedVersion(call, version)
 	if err != nil {
-		return controlserver.Text(400, err.Error())
+		return controlserver.Text(http1.StatusBadRequest, err.Error())
 	}
 	start := e.now()
 	result := e.callMembers(kind, &peerproto.Proposal{Expected: expected, Version: version, Body: call.Body})
@@ -90,12 +91,12 @@
 	switch result.Outcome {
 	case peerproto.OutcomeAccepted:
 		e.shown.raise(version)
-		return controlserver.JSON(200, []byte("{}"))
+		return controlserver.JSON(http1.StatusOK, []byte("{}"))
 	case peerproto.OutcomeConflict:
-		return controlserver.Text(412, "edition "+strconv.FormatInt(result.Version, 10)+
-			" is current; read it and build on it")
+		return controlserver.Text(http1.StatusPreconditionFailed,
+			"edition "+strconv.FormatInt(result.Version, 10)+" is current; read it and build on it")
 	case peerproto.OutcomeInvalid:
-		return controlserver.Text(400, result.Reason)
+		return controlserver.Text(http1.StatusBadRequest, result.Reason)
 	}
 	return callAnotherProxy()
 }
@@ -139,7 +140,7 @@
 		"a read shows version %d, %d was shown before", result.Version, shownBefore)
 	e.shown.raise(result.Version)
 	if len(result.Body) == 0 {
-		return controlserver.Text(404, "no configuration was sent yet; send one with If-Match: 0")
+		return controlserver.Text(http1.StatusNotFound, "no configuration was sent yet; send one with If-Match: 0")
 	}
-	return controlserver.JSON(200, result.Body)
+	return controlserver.JSON(http1.StatusOK, result.Body)
 }
--- a/internal/router/agent/control_endpoint.go
+++ b/internal/router/agent/control_endpoint.go
@@ -21,5 +21,5 @@
 	case call.Path == configPath:
 		return a.configEndpoint.handle(call)
 	}
-	return controlserver.Text(404, "no such call; see api/control.openapi.yaml")
+	return controlserver.Text(http1.StatusNotFound, "no such call; see api/control.openapi.yaml")
 }
--- a/internal/router/agent/list_endpoint.go
+++ b/internal/router/agent/list_endpoint.go
@@ -127,9 +127,11 @@
 func jsonResponse(list any) *http1.Response {
 	document, err := json.Marshal(list)
 	if err != nil {
-		return controlserver.Text(500, err.Error())
+		return controlserver.Text(http1.StatusInternalServerError, err.Error())
 	}
-	return controlserver.JSON(200, document)
+	return controlserver.JSON(http1.StatusOK, document)
 }
 
-func onlyGet() *http1.Response { return controlserver.Text(405, "use GET to read the list") }
+func onlyGet() *http1.Response {
+	return controlserver.Text(http1.StatusMethodNotAllowed, "use GET to read the list")
+}
--- a/internal/router/agent/metrics_endpoint.go
+++ b/internal/router/agent/metrics_endpoint.go
@@ -30,15 +30,15 @@
 // show handles a call for the metrics.
 func (e *metricsEndpoint) show(call *controlserver.Call) *http1.Response {
 	if call.Path != metricsPath {
-		return controlserver.Text(404, "call "+metricsPath)
+		return controlserver.Text(http1.StatusNotFound, "call "+metricsPath)
 	}
 	if call.Method != "GET" {
-		return controlserver.Text(405, "use GET to read the figures")
+		return controlserver.Text(http1.StatusMethodNotAllowed, "use GET to read the figures")
 	}
 	page := &metrics.Page{}
 	e.write(page)
 	header := http1.Header{{Name: "Content-Type", Value: metrics.ContentType}}
-	return &http1.Response{Status: 200, Header: header, Body: page.Text()}
+	return &http1.Response{Status: http1.StatusOK, Header: header, Body: page.Text()}
 }
 
 // write writes the metrics of the control side and, where there is one, of the data plane.
--- a/internal/router/agent/ready_endpoint.go
+++ b/internal/router/agent/ready_endpoint.go
@@ -11,12 +11,12 @@
 // handleReady answers the platform's readiness check: whether clients may be sent here.
 func (a *Agent) handleReady(call *controlserver.Call) *http1.Response {
 	if call.Path != readyPath {
-		return controlserver.Text(404, "call "+readyPath)
+		return controlserver.Text(http1.StatusNotFound, "call "+readyPath)
 	}
 	if reason := unready(a.process, a.state); reason != "" {
-		return controlserver.Text(503, reason)
+		return controlserver.Text(http1.StatusServiceUnavailable, reason)
 	}
-	return controlserver.Text(200, "ready")
+	return controlserver.Text(http1.StatusOK, "ready")
 }
 
 // unready returns why no clients are to be sent here, "" if they are.
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -203,10 +203,10 @@
 	r.log.Info().Err(err).Str("server", order.Server).Str("stage", string(order.Role)).Int("status", status).
 		Uint64("fence", r.currentFence).Msg("roles: order sent")
 	switch status {
-	case 412: // the server has received a higher fencing token
+	case http1.StatusPreconditionFailed: // the server has received a higher fencing token
 		r.rejectedFence.Store(r.currentFence)
 		r.withdrawOrder(order)
-	case 400, 421:
+	case http1.StatusBadRequest, http1.StatusMisdirectedRequest:
 		r.withdrawOrder(order)
 	}
 }
--- a/internal/router/agent/server_endpoint.go
+++ b/internal/router/agent/server_endpoint.go
@@ -36,19 +36,19 @@
 func (e *serverEndpoint) handle(call *controlserver.Call) *http1.Response {
 	id := strings.TrimPrefix(call.Path, serversPath)
 	if id == "" || strings.Contains(id, "/") {
-		return controlserver.Text(404, "no server id in the path; call "+serversPath+"ID")
+		return controlserver.Text(http1.StatusNotFound, "no server id in the path; call "+serversPath+"ID")
 	}
 	switch call.Method {
 	case "PUT":
 		record, err := readHeartbeat(id, call.Body)
 		if err != nil {
-			return controlserver.Text(400, err.Error())
+			return controlserver.Text(http1.StatusBadRequest, err.Error())
 		}
 		return e.handleHeartbeat(record)
 	case "DELETE":
 		return e.deregister(id)
 	}
-	return controlserver.Text(405, "use PUT for a heartbeat and DELETE for the end")
+	return controlserver.Text(http1.StatusMethodNotAllowed, "use PUT for a heartbeat and DELETE for the end")
 }
 
 // readHeartbeat reads the body of a heartbeat. The error names every mistake in it.
@@ -98,13 +98,13 @@
 	}
 	e.metrics.countHeartbeat("acknowledged")
 	if late {
-		return controlserver.JSON(200, []byte("{}"))
+		return controlserver.JSON(http1.StatusOK, []byte("{}"))
 	}
 	answer, err := json.Marshal(map[string]string{"forward_to": e.settings.Control})
 	if err != nil {
-		return controlserver.Text(500, err.Error())
+		return controlserver.Text(http1.StatusInternalServerError, err.Error())
 	}
-	return controlserver.JSON(200, answer)
+	return controlserver.JSON(http1.StatusOK, answer)
 }
 
 // knowsFleet reports whether this process knows its hubs. Until the first view is decided, the seeds take its
@@ -149,7 +149,7 @@
 	}
 	e.metrics.countHeartbeat("end_acknowledged")
 	e.log.Info().Str("server", id).Msg("servers: deregistered")
-	return controlserver.JSON(200, []byte("{}"))
+	return controlserver.JSON(http1.StatusOK, []byte("{}"))
 }
 
 // reject sends a server to another proxy. The reason goes to the metrics and the log.
@@ -161,7 +161,7 @@
 
 // callAnotherProxy answers that the caller is to call another proxy.
 func callAnotherProxy() *http1.Response {
-	answer := controlserver.Text(503, "not now; call another proxy")
+	answer := controlserver.Text(http1.StatusServiceUnavailable, "not now; call another proxy")
 	answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
 	answer.Close = true
 	return answer
--- a/internal/router/cli/control.go
+++ b/internal/router/cli/control.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"cresshub/internal/http1"
 	"cresshub/internal/router/controlclient"
 )
 
@@ -28,7 +29,7 @@
 
 func (e *statusError) Error() string {
 	remedy := "check that --control names the control address of a process of this release"
-	if e.Status == 503 {
+	if e.Status == http1.StatusServiceUnavailable {
 		remedy = "ask another process with --control"
 	}
 	return fmt.Sprintf("%s answered %d: %s; %s", e.Address, e.Status, e.Reason, remedy)
@@ -42,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if response.Status != 200 {
+	if response.Status != http1.StatusOK {
 		return nil, &statusError{f.Control, response.Status, strings.TrimSpace(string(response.Body))}
 	}
 	return response.Body, nil
--- a/internal/router/controlserver/server.go
+++ b/internal/router/controlserver/server.go
@@ -101,7 +101,7 @@
 	case errors.As(err, &malformed):
 		return closingText(malformed.Status, malformed.Reason), nil
 	case errors.Is(err, errBodyTooLarge):
-		return closingText(413, errBodyTooLarge.Error()), nil
+		return closingText(http1.StatusRequestEntityTooLarge, errBodyTooLarge.Error()), nil
 	case err != nil:
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 		if s.OnPanic != nil {
 			s.OnPanic(&PanicError{Path: call.Path, Value: value, Stack: debug.Stack()})
 		}
-		response = closingText(500, "a mistake of the program; its log has it")
+		response = closingText(http1.StatusInternalServerError, "a mistake of the program; its log has it")
 	}()
 	return s.Handler(call)
 }
