--- a/internal/router/agent/doc.go
+++ b/internal/router/agent/doc.go
@@ -24,14 +24,18 @@
 //
 // # Parts
 //
-// Agent starts the parts and shuts them down; each part is a type of its own. To find the code of a topic:
+// Agent starts the parts and shuts them down; each part is a type of its own. It has as fields the parts that
+// it calls, and the process, which is what any of them may need and knows no part. Only peerHandler has the
+// Agent, as the frames that it hands on concern almost all parts. To find the code of a topic:
 //
+//   - who this process is, its clock, machine, log and metrics: process
 //   - what the process knows: state, selfRecord, lastSeen, knownProxies, persister
-//   - links to the hubs, heartbeats, replication of records, majorities: hubSet, quorum
+//   - links to the hubs, heartbeats, replication of records, majorities: hubSet, hubExchange, quorum
 //   - feeds: subscription on the follower's side, feedServer on the hub's; antiEntropy
 //   - frames that others send on connections of theirs: peerHandler
 //   - failure detection, refutation: failureDetector (also in unwatched.go), selfRecord
-//   - the view and its members: viewAnnouncer; chainMember, behind the interface configStore
+//   - the view and its members: viewAnnouncer; chainMember, behind the interface configStore, with chainLog,
+//     chainLinks, chainRequests, chainPublisher and bootstrapper
 //   - the configuration in force, from and to others: configSync
 //   - in-flight load, demand and roles: loadTable, demandTable, roleAssigner
 //   - calls at the control address: configEndpoint, serverEndpoint, listEndpoint, metricsEndpoint
@@ -50,14 +54,14 @@
 //   - failureDetector.run, which has at most maxConcurrentProbes probes in flight
 //   - antiEntropy.run, demandTable.run and loadTable.report
 //   - on a machine with a disk, persister.run, and deferredStore.run until the disk is open
-//   - with an open disk, chainMember.run (the chain goroutine) and chainMember.applyCommitted, and
+//   - with an open disk, chainMember.run (the chain goroutine) and chainPublisher.applyCommitted, and
 //     roleAssigner.run where the process assigns roles, with one more for each order that it sends
 //   - one for each listener
 //
 // Others live as long as what they serve:
 //
-//   - for each link to a hub: hubSet.runPings, hubSet.runPushes and the one of the link, which handles what
-//     the hub sends unasked (hubSet.handleFrame)
+//   - for each link to a hub: hubExchange.runPings, hubExchange.runPushes and the one of the link, which
+//     handles what the hub sends unasked (hubExchange.handleFrame)
 //   - for each connection of another process: the one that reads it (peerHandler.Handle), and
 //     feedServer.serve for a follower
 //   - for each connection at the control address and the address for readiness checks: the one of package
@@ -66,8 +70,9 @@
 //     call is tried at), a fetch of it (configSync.fetch), the links to a view learned from a feed, and
 //     draining the replica at the shutdown
 //
-// The state machine of the chain belongs to the chain goroutine alone. Others hand it events with
-// chainMember.post, and read what it publishes in atomic fields and channels.
+// The state machine of the chain and its log (chainLog) belong to the chain goroutine alone. Others hand it
+// events with chainMember.post, which get the state machine once they run there, and read what chainPublisher
+// publishes in atomic fields and channels.
 //
 // # Locks
 //
