--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -90,12 +90,13 @@
 		return
 	}
 	req, took := c.roundTrip.request, c.elapsed()
-	tokens, wait := c.choice.Expected()
+	expected := c.choice.Expected()
 	event.Str("try", req.tryID).Str("route", req.route.Name).Dur("target_ms", req.route.LatencyTarget).
 		Str("server", c.choice.Server.ID).Str("role", roleNames[c.role]).Str("outcome", outcomeNames[outcome]).
 		Str("shared", strconv.FormatUint(c.choice.SharedPrefix(), 16)).Int("prompt", req.scheduling.PromptTokens).
-		Int("reads", tokens).Dur("expected_ms", wait).Dur("at_ms", time.Since(req.arrived)-took).
-		Dur("head_ms", c.timeToHead).Dur("event_ms", c.timeToFirstEvent).Dur("took_ms", took).Msg("front: call")
+		Int("reads", expected.UncachedTokens).Dur("expected_ms", expected.TimeToFirstByte).
+		Dur("at_ms", time.Since(req.arrived)-took).Dur("head_ms", c.timeToHead).
+		Dur("event_ms", c.timeToFirstEvent).Dur("took_ms", took).Msg("front: call")
 }
 
 // elapsed is the time since the request was sent, 0 if it was not.
--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -28,8 +28,8 @@
 	FirstEvent(now time.Duration, call *scheduler.Call)
 	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
 	ObserveLoad(now time.Duration, server string, load scheduler.Load)
-	// LastSuccess returns when a server last answered with success, and whether it has.
-	LastSuccess(server string) (time.Duration, bool)
+	// LastSuccess returns the newest call that a server answered with success.
+	LastSuccess(server string) scheduler.LastSuccess
 	// QueueDelay estimates how long a request would wait for a slot.
 	QueueDelay(now time.Duration, req *scheduler.Request) scheduler.SlotDelay
 	// Alternative looks for a server for the request other than the one of an id.
--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -131,7 +131,7 @@
 
 func (f *fakeChooser) AddCachedPrefixes([]scheduler.CachedPrefixes) {}
 
-func (f *fakeChooser) LastSuccess(string) (time.Duration, bool) { return 0, false }
+func (f *fakeChooser) LastSuccess(string) scheduler.LastSuccess { return scheduler.LastSuccess{} }
 
 func (f *fakeChooser) KnownPrefixes(int) []scheduler.CachedPrefixes { return nil }
 
--- a/internal/router/dataplane/peerload.go
+++ b/internal/router/dataplane/peerload.go
@@ -63,8 +63,8 @@
 func (p *Proxy) SinceLastSuccess(server string) (time.Duration, bool) {
 	now := p.chooser.lock()
 	defer p.chooser.mu.Unlock()
-	at, answered := p.chooser.inner.LastSuccess(server)
-	return now - at, answered
+	last := p.chooser.inner.LastSuccess(server)
+	return now - last.At, last.Exists
 }
 
 // KnownPrefixes returns which prefixes are known to be cached at which servers, at most maxKnownPrefixes.
--- a/internal/router/dataplane/readdeadline.go
+++ b/internal/router/dataplane/readdeadline.go
@@ -9,7 +9,6 @@
 // firstByteDeadline is when the call counts as timed out if no byte of its response has arrived.
 func (c *call) firstByteDeadline() time.Time {
 	rt := c.roundTrip
-	_, expected := c.choice.Expected()
 	if c.role == scheduler.Prefill {
 		usual := rt.proxy.prefillTimes.expected(rt.request.service.Name)
 		return c.started.Add(prefillTimeout(max(usual, c.choice.UncachedPrefill()), rt.timeLeft()))
@@ -17,8 +16,8 @@
 	if !rt.couldRetry() {
 		return rt.request.deadline
 	}
-	return c.started.Add(responseTimeout(rt.request.route.LatencyTarget, expected,
-		rt.request.deadline.Sub(c.started)))
+	return c.started.Add(responseTimeout(rt.request.route.LatencyTarget,
+		c.choice.Expected().TimeToFirstByte, rt.request.deadline.Sub(c.started)))
 }
 
 // extendReadDeadline reports whether to go on waiting for a server that has timed out, because no retry could
--- a/internal/router/dataplane/send.go
+++ b/internal/router/dataplane/send.go
@@ -30,9 +30,9 @@
 		http1.Field{Name: deadlineHeader, Value: strconv.FormatInt(max(c.roundTrip.timeLeft().Milliseconds(), 1),
 			10)},
 		http1.Field{Name: expectServerHeader, Value: c.choice.Server.ID})
-	tokens, _ := c.choice.Expected()
 	if req.service.Engine != nil {
-		priority := strconv.Itoa(priorityOf(req.route.Priority, tokens))
+		uncachedTokens := c.choice.Expected().UncachedTokens
+		priority := strconv.Itoa(priorityOf(req.route.Priority, uncachedTokens))
 		message.Header = append(message.Header, http1.Field{Name: priorityHeader, Value: priority})
 	}
 	switch c.role {
--- a/internal/router/scheduler/call.go
+++ b/internal/router/scheduler/call.go
@@ -77,10 +77,15 @@
 	ended        bool
 }
 
-// Expected returns what the decision expected: the prompt tokens that the server has to prefill, and the time
-// until the first byte of its answer.
-func (c *Call) Expected() (tokens int, wait time.Duration) {
-	return c.uncachedTokens, duration(c.expectedMs)
+// Expectation is what a decision expects of the call that it begins.
+type Expectation struct {
+	UncachedTokens  int           // prompt tokens that the server has to prefill
+	TimeToFirstByte time.Duration // from the decision to the first byte of the answer
+}
+
+// Expected returns what the decision expected of the call.
+func (c *Call) Expected() Expectation {
+	return Expectation{UncachedTokens: c.uncachedTokens, TimeToFirstByte: duration(c.expectedMs)}
 }
 
 // SharedPrefix returns the hash of the part of the prompt that other requests share, 0 if there is none.
--- a/internal/router/scheduler/scheduler.go
+++ b/internal/router/scheduler/scheduler.go
@@ -136,13 +136,19 @@
 	}
 }
 
-// LastSuccess returns when a server last served a call of this proxy, and whether it has.
-func (s *Scheduler) LastSuccess(id string) (time.Duration, bool) {
+// LastSuccess is the newest call of this proxy that a server served.
+type LastSuccess struct {
+	Exists bool          // the server has served one
+	At     time.Duration // when it ended
+}
+
+// LastSuccess returns the newest call that a server, named by its id, served.
+func (s *Scheduler) LastSuccess(id string) LastSuccess {
 	server := s.servers[id]
 	if server == nil || server.outliers.lastSuccess == 0 {
-		return 0, false
+		return LastSuccess{}
 	}
-	return server.outliers.lastSuccess, true
+	return LastSuccess{Exists: true, At: server.outliers.lastSuccess}
 }
 
 // FirstEvent records that the server of a call has begun to answer.
--- a/internal/router/scheduler/scheduler_test.go
+++ b/internal/router/scheduler/scheduler_test.go
@@ -21,6 +21,32 @@
 	c.Assert(write.Server.Role, qt.Equals, catalog.Decode)
 }
 
+// TestExpectationCountsUncachedTokens: a second prompt with the same shared prefix is expected to prefill its
+// own tokens alone, and to be answered sooner.
+func TestExpectationCountsUncachedTokens(t *testing.T) {
+	c := qt.New(t)
+	scheduler := warmUp(modelScheduler(1, 1, 1), 10*second)
+	prefill := func(own int) Expectation {
+		call := scheduler.Choose(10*second, promptRequest("a", own), Prefill, nil)
+		scheduler.Done(10*second+time.Millisecond, call, Served)
+		return call.Expected()
+	}
+	uncached, cached := prefill(1), prefill(2)
+	c.Assert(uncached.UncachedTokens, qt.Equals, 14000)
+	c.Assert(cached.UncachedTokens, qt.Equals, 2000)
+	c.Assert(cached.TimeToFirstByte < uncached.TimeToFirstByte, qt.IsTrue)
+}
+
+func TestLastSuccessIsTheNewestServedCall(t *testing.T) {
+	c := qt.New(t)
+	scheduler := plainScheduler(2)
+	c.Assert(scheduler.LastSuccess("unknown"), qt.Equals, LastSuccess{})
+	scheduler.Done(2*second, callAt(scheduler, second, "a"), Broken)
+	c.Assert(scheduler.LastSuccess("a"), qt.Equals, LastSuccess{})
+	scheduler.Done(4*second, callAt(scheduler, 3*second, "b"), Served)
+	c.Assert(scheduler.LastSuccess("b"), qt.Equals, LastSuccess{Exists: true, At: 4 * second})
+}
+
 // prefillDuration is what a prefill server of these tests takes.
 func prefillDuration(tokens int) time.Duration {
 	return 15*time.Millisecond + time.Duration(tokens)*time.Millisecond/40
--- a/internal/simulation/routersim/proxy.go
+++ b/internal/simulation/routersim/proxy.go
@@ -116,8 +116,7 @@
 // to prefill.
 func (x *exchange) urgency(call *scheduler.Call) int {
 	const tokensPerStep, leastUrgent = 1000, 9
-	tokens, _ := call.Expected()
-	return min(x.kind.Urgency+tokens/tokensPerStep, leastUrgent)
+	return min(x.kind.Urgency+call.Expected().UncachedTokens/tokensPerStep, leastUrgent)
 }
 
 // respond runs a function when an answer of a server has reached the proxy.
