--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -87,7 +86,7 @@
 	now := r.agent.now()
 	r.agent.state.update(now, func(d *directory.Directory) {
 		for _, order := range d.Orders() {
-			server := d.Get(strings.TrimPrefix(order.ID, directory.OrderID("")))
+			server := d.Get(directory.OrderTarget(order.ID))
 			if server == nil || !server.Live() || server.Role == order.Role {
 				d.Merge(now, asLost(order))
 			}
--- a/internal/router/directory/digest.go
+++ b/internal/router/directory/digest.go
@@ -9,14 +9,16 @@
 // NumRanges is the number of ranges that ids are hashed into.
 const NumRanges = 32
 
+const uint64Size = 8 // bytes
+
 // Digest holds the XOR of the hashes of the records of each range, so that it is updated with each change and
 // does not depend on the order of changes. Replicas with equal digests have, but for hash collisions, the
 // same records of processes that have not ended. Ended ones are left out, because each replica expires them
 // at a time of its own.
 type Digest [NumRanges]uint64
 
-// RangeOf returns the range of an id.
-func RangeOf(id string) int { return int(xxhash.Sum64String(id) % NumRanges) }
+// rangeOf returns the range of an id.
+func rangeOf(id string) int { return int(xxhash.Sum64String(id) % NumRanges) }
 
 // toggle adds a record to the digest, or removes one that was added before. The hash is over the id, the
 // sequence and the state. The watcher of a server, which may be set under the same sequence, is no part of
@@ -25,13 +27,13 @@
 	if r.State == Ended {
 		return
 	}
-	var fields [16]byte
-	binary.LittleEndian.PutUint64(fields[:], uint64(r.Sequence))
-	binary.LittleEndian.PutUint64(fields[8:], uint64(r.State))
+	var buffer [2 * uint64Size]byte
+	fields := binary.LittleEndian.AppendUint64(buffer[:0], uint64(r.Sequence))
+	fields = binary.LittleEndian.AppendUint64(fields, uint64(r.State))
 	hash := xxhash.New()
 	hash.WriteString(r.ID)
-	hash.Write(fields[:])
-	d[RangeOf(r.ID)] ^= hash.Sum64()
+	hash.Write(fields)
+	d[rangeOf(r.ID)] ^= hash.Sum64()
 }
 
 // Digest returns the digest of this replica.
@@ -52,10 +54,10 @@
 // them has no older record in these ranges. Ranges out of bounds are ignored.
 func (d *Directory) InRanges(ranges []int) []*Record {
 	var wanted [NumRanges]bool
-	for _, i := range ranges {
-		if i >= 0 && i < NumRanges {
-			wanted[i] = true
+	for _, index := range ranges {
+		if index >= 0 && index < NumRanges {
+			wanted[index] = true
 		}
 	}
-	return d.filter(func(r *Record) bool { return wanted[RangeOf(r.ID)] })
+	return d.filter(func(r *Record) bool { return wanted[rangeOf(r.ID)] })
 }
--- a/internal/router/directory/queries.go
+++ b/internal/router/directory/queries.go
@@ -3,10 +3,22 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"cresshub/internal/router/catalog"
 )
 
+// Get returns the record of an id, nil if there is none.
+func (d *Directory) Get(id string) *Record {
+	if existing := d.entries[id]; existing != nil {
+		return existing.record
+	}
+	return nil
+}
+
+// ModifiedAt returns when the record of an id was last changed in this replica. It panics if there is none.
+func (d *Directory) ModifiedAt(id string) time.Duration { return d.entries[id].modifiedAt }
+
 // Since returns the records that changed after an offset of this replica's feed, in the order of their last
 // changes. Since(0) is a snapshot.
 func (d *Directory) Since(offset uint64) []*Record {
--- a/internal/router/directory/record.go
+++ b/internal/router/directory/record.go
@@ -68,11 +68,14 @@
 	}
 }
 
+// orderIDPrefix begins the id of an order's record; the id of its server follows.
+const orderIDPrefix = "order/"
+
 // OrderID returns the id of the record of the order to a server.
-func OrderID(server string) string { return "order/" + server }
+func OrderID(server string) string { return orderIDPrefix + server }
 
-// orderTarget is the inverse of OrderID.
-func orderTarget(order string) string { return strings.TrimPrefix(order, OrderID("")) }
+// OrderTarget returns the id of the server that an order's record is for; it is the inverse of OrderID.
+func OrderTarget(order string) string { return strings.TrimPrefix(order, orderIDPrefix) }
 
 // Live reports whether the process is believed to run, or the order is in force.
 func (r *Record) Live() bool { return r.State == Ready || r.State == Draining }
