--- a/internal/router/agent/chain_requests.go
+++ b/internal/router/agent/chain_requests.go
@@ -85,7 +85,7 @@
 	result := &peerproto.Result{Version: reply.Entry.Version}
 	switch reply.Outcome {
 	case chain.Applied:
-		document, _, err := fleetconfig.DecodeStored(reply.Entry.Body)
+		document, err := fleetconfig.StoredDocument(reply.Entry.Body)
 		if err != nil {
 			return unavailableResult(err.Error())
 		}
--- a/internal/router/fleetconfig/apply.go
+++ b/internal/router/fleetconfig/apply.go
@@ -1,7 +1,6 @@
 package fleetconfig
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 
@@ -49,19 +48,6 @@
 	return a.result(patch), nil
 }
 
-// CheckSize returns a *jsondoc.ValidationError if the document is larger than MaxDocumentBytes.
-func (c *Config) CheckSize() error {
-	size := len(c.Raw())
-	if size <= MaxDocumentBytes {
-		return nil
-	}
-	return &jsondoc.ValidationError{Problems: []jsondoc.Problem{{
-		Field:  deliverField,
-		Reason: fmt.Sprintf("the configuration would have %d bytes", size),
-		Remedy: fmt.Sprintf("withdraw items that are not needed; %d bytes are taken", MaxDocumentBytes),
-	}}}
-}
-
 // patchApplication is the state of a patch while it is applied. It starts as the base version.
 type patchApplication struct {
 	base              *Config
@@ -89,15 +75,8 @@
 // deliveredItems returns the items that a patch delivers, by list.
 func deliveredItems(body []byte) map[string][]item {
 	delivered := map[string][]item{}
-	for _, section := range objectFields(body) {
-		if section.name != deliverField {
-			continue
-		}
-		for _, list := range objectFields(section.text) {
-			for _, text := range listItems(list.text) {
-				delivered[list.name] = append(delivered[list.name], item{text: text, name: nameOf(text)})
-			}
-		}
+	for _, list := range objectFields(fieldText(body, deliverField)) {
+		delivered[list.name] = parseItems(list.text)
 	}
 	return delivered
 }
@@ -111,17 +90,19 @@
 	a.services = maps.Clone(a.services)
 	txn := a.layout.services.txn()
 	for _, node := range withdrawn {
-		a.discount(txn, node, node.Text())
-		txn.remove(node.Text())
-		delete(a.services, node.Text())
+		name := node.Text()
+		rejectAmbiguous(txn, node, name)
+		txn.remove(name)
+		delete(a.services, name)
 	}
 	for i, node := range delivered {
 		entry := a.delivered[servicesField][i]
-		a.discount(txn, node, entry.name)
-		a.put(txn, entry)
+		rejectAmbiguous(txn, node, entry.name)
+		txn.put(entry)
 		a.services[entry.name] = parseService(node)
 	}
 	a.layout.services = txn.commit()
+	a.valueCount += txn.addedValues
 }
 
 // changeRoutes applies the patch to the list of routes and to the index. The index entries of all routes that
@@ -132,62 +113,39 @@
 		return
 	}
 	txn, indexTxn := a.layout.routes.txn(), a.routeIndex.tree.Txn()
-	deleteFromIndex := func(node jsondoc.Node, name string) {
-		if replaced := a.discount(txn, node, name); replaced.route != nil {
-			indexTxn.Delete(routeKey(replaced.route.Host, replaced.route.Prefix))
-		}
-	}
 	for _, node := range withdrawn {
-		deleteFromIndex(node, node.Text())
-		txn.remove(node.Text())
+		name := node.Text()
+		rejectAmbiguous(txn, node, name)
+		deleteRoute(indexTxn, txn.find(name).route)
+		txn.remove(name)
 	}
 	for i, node := range delivered {
-		deleteFromIndex(node, a.delivered[routesField][i].name)
+		name := a.delivered[routesField][i].name
+		rejectAmbiguous(txn, node, name)
+		deleteRoute(indexTxn, txn.find(name).route)
 	}
 	for i, node := range delivered {
 		entry := a.delivered[routesField][i]
 		entry.route = parseRoute(node, a.services)
-		a.put(txn, entry)
+		txn.put(entry)
 		insertRoute(indexTxn, entry.route, node)
 	}
 	a.layout.routes, a.routeIndex = txn.commit(), routeIndex{indexTxn.Commit()}
+	a.valueCount += txn.addedValues
 }
 
-// discount returns the item of a name, the zero item if there is none, and subtracts its values from the
-// count. It rejects a name of several items.
-func (a *patchApplication) discount(txn *itemListTxn, node jsondoc.Node, name string) item {
-	entry, err := txn.find(name)
-	switch {
-	case errors.Is(err, errAmbiguousName):
+// rejectAmbiguous rejects a name that several items have, at the node of the patch that gives it.
+func rejectAmbiguous(txn *itemListTxn, node jsondoc.Node, name string) {
+	if txn.isAmbiguous(name) {
 		node.Reject(fmt.Sprintf("several items have the name %q", name), "send the whole configuration with PUT")
-		return item{}
-	case err != nil:
-		return item{}
 	}
-	a.valueCount -= countValues(entry)
-	return entry
-}
-
-// put puts a delivered item into a list and adds its values to the count.
-func (a *patchApplication) put(txn *itemListTxn, entry item) {
-	a.valueCount += countValues(entry)
-	txn.put(entry)
-}
-
-// countValues returns how many JSON values an item holds, as package jsondoc counts them.
-func countValues(entry item) int {
-	document, err := jsondoc.Parse(entry.text)
-	if err != nil {
-		return 0
-	}
-	return document.ValueCount()
 }
 
 // checkWithdrawnServices rejects withdrawn services that a route outside of the patch still names. The routes
 // that the patch delivers were parsed without those services.
 func (a *patchApplication) checkWithdrawnServices() {
-	nodes := a.withdraw.Get(servicesField).Items()
-	if len(nodes) == 0 {
+	withdrawn := a.withdraw.Get(servicesField).Items()
+	if len(withdrawn) == 0 {
 		return
 	}
 	delivered := map[string]bool{}
@@ -195,8 +153,11 @@
 		delivered[entry.name] = true
 	}
 	for _, route := range a.layout.routes.routesInOrder() {
-		for _, node := range nodes {
-			if name := node.Text(); route.hasTarget(name) && !delivered[route.Name] {
+		if delivered[route.Name] {
+			continue
+		}
+		for _, node := range withdrawn {
+			if name := node.Text(); route.hasTarget(name) {
 				node.Reject(fmt.Sprintf("%q is named by route %q", name, route.Name),
 					"withdraw or replace that route in the same patch")
 			}
--- a/internal/router/fleetconfig/config.go
+++ b/internal/router/fleetconfig/config.go
@@ -1,6 +1,7 @@
 package fleetconfig
 
 import (
+	"fmt"
 	"sync"
 
 	"cresshub/internal/jsondoc"
@@ -59,21 +60,16 @@
 	}
 	root := document.Root()
 	config := &Config{
-		Version: parseVersion(root.Get(versionField)), Services: map[string]*Service{}, raw: raw,
-		Limits: parseLimits(root.Get(limitsField)), valueCount: document.ValueCount(),
+		Version:  parseVersion(root.Get(versionField)),
+		Limits:   parseLimits(root.Get(limitsField)),
+		Services: parseServices(root.Get(servicesField)),
+		raw:      raw, valueCount: document.ValueCount(),
 	}
-	for _, node := range root.Get(servicesField).Items() {
-		service := parseService(node)
-		if config.Services[service.Name] != nil {
-			node.Reject("two services have this name", "give each service a name of its own")
-		}
-		config.Services[service.Name] = service
-	}
-	nodes := root.Get(routesField).Items()
-	for _, node := range nodes {
+	routeNodes := root.Get(routesField).Items()
+	for _, node := range routeNodes {
 		config.parsedRoutes = append(config.parsedRoutes, parseRoute(node, config.Services))
 	}
-	config.routeIndex = newRouteIndex(config.parsedRoutes, nodes)
+	config.routeIndex = newRouteIndex(config.parsedRoutes, routeNodes)
 	return config, document.Err()
 }
 
@@ -93,7 +89,7 @@
 	if c.patch == nil {
 		return len(c.parsedRoutes)
 	}
-	return c.layout.routes.byPosition.Len()
+	return c.layout.routes.len()
 }
 
 // Raw returns the document: as the operator sent it, or rendered with the patches applied since.
@@ -109,6 +105,19 @@
 // Patch returns the patch that made this version from the one before, nil if a complete document was sent.
 func (c *Config) Patch() *Patch { return c.patch }
 
+// CheckSize returns a *jsondoc.ValidationError if the document is larger than MaxDocumentBytes.
+func (c *Config) CheckSize() error {
+	size := len(c.Raw())
+	if size <= MaxDocumentBytes {
+		return nil
+	}
+	return &jsondoc.ValidationError{Problems: []jsondoc.Problem{{
+		Field:  deliverField,
+		Reason: fmt.Sprintf("the configuration would have %d bytes", size),
+		Remedy: fmt.Sprintf("withdraw items that are not needed; %d bytes are taken", MaxDocumentBytes),
+	}}}
+}
+
 // splitLayout returns the layout of the document, computed on first use.
 func (c *Config) splitLayout() *layout {
 	c.layoutOnce.Do(func() {
--- a/internal/router/fleetconfig/doc.go
+++ b/internal/router/fleetconfig/doc.go
@@ -10,8 +10,11 @@
 //     not on the configuration. The document of the new version is rendered when it is first asked for; the
 //     same patches on the same base render the same bytes in every process.
 //
-// ParseStored and EncodeStoredPatch convert between a Config and the form in which the replicated control
-// state stores it.
+// ParseStored and EncodeStored convert between a Config and the form in which the replicated control state
+// stores it (stored.go).
+//
+// The parsers of package jsondoc's nodes, in parse.go and patch.go, say what a document means; layout.go and
+// itemlist.go keep its text as the operator wrote it, for the documents that patches make.
 //
 // A Config never changes after it is returned, and any goroutine may read it. Every rejection of a document
 // or patch is a *jsondoc.ValidationError that lists all faults found, not only the first.
--- a/internal/router/fleetconfig/itemlist.go
+++ b/internal/router/fleetconfig/itemlist.go
@@ -3,19 +3,11 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"encoding/json"
-	"errors"
+	"iter"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// item is a route or a service of a document.
-type item struct {
-	text  json.RawMessage
-	name  string // empty if it has none
-	route *Route // of a route
-}
-
 // itemList is an immutable list of items in their order, of which those with a name can be found by it.
 type itemList struct {
 	byPosition   *iradix.Tree[item]   // by positionKey
@@ -41,34 +33,43 @@
 			positions.Insert([]byte(entry.name), ambiguousPosition)
 		}
 	}
-	return itemList{byPosition.Commit(), positions.Commit(), uint64(len(items))}
+	return itemList{
+		byPosition: byPosition.Commit(), positions: positions.Commit(), nextPosition: uint64(len(items)),
+	}
+}
+
+// len returns the number of items.
+func (l *itemList) len() int { return l.byPosition.Len() }
+
+// all yields the items in their order.
+func (l *itemList) all() iter.Seq[item] {
+	return func(yield func(item) bool) {
+		iterator := l.byPosition.Root().Iterator()
+		for _, entry, more := iterator.Next(); more; _, entry, more = iterator.Next() {
+			if !yield(entry) {
+				return
+			}
+		}
+	}
 }
 
 // routesInOrder returns the routes of a list of routes.
 func (l *itemList) routesInOrder() []*Route {
-	routes := make([]*Route, 0, l.byPosition.Len())
-	for iterator := l.byPosition.Root().Iterator(); ; {
-		_, entry, more := iterator.Next()
-		if !more {
-			return routes
-		}
+	routes := make([]*Route, 0, l.len())
+	for entry := range l.all() {
 		routes = append(routes, entry.route)
 	}
+	return routes
 }
 
 // render writes the list as JSON.
 func (l *itemList) render(out *bytes.Buffer) {
 	out.WriteByte('[')
-	iterator := l.byPosition.Root().Iterator()
-	for i := 0; ; i++ {
-		_, entry, more := iterator.Next()
-		if !more {
-			break
-		}
-		if i > 0 {
-			out.WriteByte(',')
-		}
+	separator := ""
+	for entry := range l.all() {
+		out.WriteString(separator)
 		out.Write(entry.text)
+		separator = ","
 	}
 	out.WriteByte(']')
 }
@@ -78,38 +79,37 @@
 	byPosition   *iradix.Txn[item]
 	positions    *iradix.Txn[uint64]
 	nextPosition uint64
+	addedValues  int // JSON values in the items that were put, less those in the ones that went
 }
 
 // txn begins a change of the list.
 func (l *itemList) txn() *itemListTxn {
-	return &itemListTxn{l.byPosition.Txn(), l.positions.Txn(), l.nextPosition}
+	return &itemListTxn{
+		byPosition: l.byPosition.Txn(), positions: l.positions.Txn(), nextPosition: l.nextPosition,
+	}
 }
 
 // commit returns the changed list.
 func (t *itemListTxn) commit() itemList {
-	return itemList{t.byPosition.Commit(), t.positions.Commit(), t.nextPosition}
+	return itemList{
+		byPosition: t.byPosition.Commit(), positions: t.positions.Commit(), nextPosition: t.nextPosition,
+	}
 }
 
-// Why find returns no item.
-var (
-	errNoItem        = errors.New("no item has this name")
-	errAmbiguousName = errors.New("several items have this name")
-)
+// isAmbiguous reports whether several items have a name.
+func (t *itemListTxn) isAmbiguous(name string) bool {
+	position, exists := t.positions.Get([]byte(name))
+	return exists && position == ambiguousPosition
+}
 
-// find returns the item of a name. Its error is errNoItem or errAmbiguousName.
-func (t *itemListTxn) find(name string) (item, error) {
+// find returns the item of a name, the zero item if no item or several have it.
+func (t *itemListTxn) find(name string) item {
 	position, exists := t.positions.Get([]byte(name))
-	switch {
-	case !exists:
-		return item{}, errNoItem
-	case position == ambiguousPosition:
-		return item{}, errAmbiguousName
-	}
-	entry, exists := t.byPosition.Get(positionKey(position))
 	if !exists {
-		return item{}, errNoItem
+		return item{}
 	}
-	return entry, nil
+	entry, _ := t.byPosition.Get(positionKey(position)) // none at ambiguousPosition
+	return entry
 }
 
 // put replaces the item of the entry's name at its position, or appends the entry.
@@ -120,12 +120,14 @@
 		t.nextPosition++
 		t.positions.Insert([]byte(entry.name), position)
 	}
-	t.byPosition.Insert(positionKey(position), entry)
+	replaced, _ := t.byPosition.Insert(positionKey(position), entry)
+	t.addedValues += entry.valueCount() - replaced.valueCount()
 }
 
 // remove removes the item of a name, if there is one.
 func (t *itemListTxn) remove(name string) {
 	if position, exists := t.positions.Delete([]byte(name)); exists {
-		t.byPosition.Delete(positionKey(position))
+		removed, _ := t.byPosition.Delete(positionKey(position))
+		t.addedValues -= removed.valueCount()
 	}
 }
--- a/internal/router/fleetconfig/parse.go
+++ b/internal/router/fleetconfig/parse.go
@@ -16,6 +16,8 @@
 	limitsField   = "size_limits"
 )
 
+const nameField = "name" // of a route and of a service
+
 // The parsers below record faults at the nodes they read and return a value all the same. The order in which
 // they read is the order in which an operator sees the faults.
 
@@ -46,10 +48,23 @@
 // seconds returns the duration of a setting in seconds.
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
+// parseServices reads the list of services, by their names.
+func parseServices(list jsondoc.Node) map[string]*Service {
+	services := map[string]*Service{}
+	for _, node := range list.Items() {
+		service := parseService(node)
+		if services[service.Name] != nil {
+			node.Reject("two services have this name", "give each service a name of its own")
+		}
+		services[service.Name] = service
+	}
+	return services
+}
+
 // parseService reads a service, with its engine if it has model servers.
 func parseService(node jsondoc.Node) *Service {
 	service := &Service{
-		Name:           node.Get("name").Text(),
+		Name:           node.Get(nameField).Text(),
 		HealthPath:     node.Get("health_path").TextOr(""),
 		MaxConnections: int(node.Get("line_cap").NumberOr(0, 0)),
 	}
@@ -79,7 +94,7 @@
 // parseRoute reads a route, whose targets have to be among the services.
 func parseRoute(node jsondoc.Node, services map[string]*Service) *Route {
 	route := &Route{
-		Name:          node.Get("name").TextOr(""),
+		Name:          node.Get(nameField).TextOr(""),
 		Host:          strings.ToLower(node.Get("town").Text()),
 		Prefix:        node.Get("street_prefix").Text(),
 		Kind:          parseKind(node.Get("mail_class")),
--- a/internal/router/fleetconfig/patch.go
+++ b/internal/router/fleetconfig/patch.go
@@ -56,7 +56,7 @@
 	for _, list := range []string{routesField, servicesField} {
 		seen := map[string]bool{}
 		for _, node := range deliver.Get(list).Items() {
-			rejectDuplicate(seen, node, node.Get("name").Text())
+			rejectDuplicate(seen, node, node.Get(nameField).Text())
 		}
 		for _, node := range withdraw.Get(list).Items() {
 			rejectDuplicate(seen, node, node.Text())
--- a/internal/router/fleetconfig/routeindex.go
+++ b/internal/router/fleetconfig/routeindex.go
@@ -12,12 +12,15 @@
 // that the patch leaves.
 type routeIndex struct{ tree *iradix.Tree[*Route] }
 
-// routeKey returns the key of a host and prefix. No host contains the separator, so that one key is a prefix
-// of another only within a host.
+// keySeparator stands between host and prefix in a key of the index. No host contains it, so that one key is
+// a prefix of another only within a host.
+const keySeparator = 0
+
+// routeKey returns the key of a host and prefix.
 func routeKey(host, prefix string) []byte {
 	key := make([]byte, 0, len(host)+1+len(prefix))
 	key = append(key, host...)
-	key = append(key, 0)
+	key = append(key, keySeparator)
 	return append(key, prefix...)
 }
 
@@ -40,6 +43,13 @@
 	txn.Insert(key, route)
 }
 
+// deleteRoute deletes a route, which may be nil.
+func deleteRoute(txn *iradix.Txn[*Route], route *Route) {
+	if route != nil {
+		txn.Delete(routeKey(route.Host, route.Prefix))
+	}
+}
+
 // match returns the route of a host with the longest prefix of a path, nil if there is none. The host is
 // normalized only if it doesn't match as it is, so that the usual case allocates no second host.
 func (x routeIndex) match(host, path string) *Route {
--- a/internal/router/fleetconfig/stored.go
+++ b/internal/router/fleetconfig/stored.go
@@ -36,60 +36,59 @@
 	return append(EncodeStoredPatch(patch), document...)
 }
 
-// DecodeStored returns the document of a stored configuration, and the patch that made it, nil for a complete
-// document. The patch has no Version: the document has it.
-func DecodeStored(stored []byte) (document []byte, patch *Patch, err error) {
-	if !hasPatch(stored) {
-		return stored, nil, nil
-	}
-	patch, documentStart, err := splitStored(stored)
-	if err != nil {
-		return nil, nil, err
-	}
-	return stored[documentStart:], patch, nil
+// StoredDocument returns the document of a stored configuration.
+func StoredDocument(stored []byte) ([]byte, error) {
+	decoded, err := decodeStored(stored)
+	return decoded.document, err
 }
 
 // StoredDigest identifies the change that made a stored configuration: the complete document, or the patch
 // and its base version.
 func StoredDigest(stored []byte) [sha256.Size]byte {
-	if hasPatch(stored) {
-		if _, documentStart, err := splitStored(stored); err == nil {
-			return sha256.Sum256(stored[:documentStart])
-		}
+	change := stored
+	if decoded, err := decodeStored(stored); err == nil && decoded.patch != nil {
+		change = stored[:len(stored)-len(decoded.document)]
 	}
-	return sha256.Sum256(stored)
+	return sha256.Sum256(change)
 }
 
 // ParseStored reads a stored configuration. If a patch made it from the previous version, which may be nil,
 // only the patch is parsed.
 func ParseStored(stored []byte, previous *Config) (*Config, error) {
-	document, patch, err := DecodeStored(stored)
+	decoded, err := decodeStored(stored)
 	if err != nil {
 		return nil, err
 	}
-	if patch != nil && previous != nil && previous.Version == patch.Base {
+	if patch := decoded.patch; patch != nil && previous != nil && previous.Version == patch.Base {
 		if config, err := previous.ParseAndApply(patch.Body); err == nil {
-			config.raw = document
+			config.raw = decoded.document
 			return config, nil
 		}
 	}
-	return Parse(document)
+	return Parse(decoded.document)
 }
 
-// hasPatch reports whether a stored configuration was made by a patch.
-func hasPatch(stored []byte) bool { return len(stored) > 0 && stored[0] == patchFormatTag }
+// storedConfig is a stored configuration in its parts.
+type storedConfig struct {
+	patch    *Patch // nil if a complete document was sent; without its Version, which the document has
+	document []byte
+}
 
-// splitStored returns the patch of a stored configuration that has one, and the offset of the document.
-func splitStored(stored []byte) (patch *Patch, documentStart int, err error) {
-	base, baseSize := binary.Varint(stored[1:])
-	if baseSize <= 0 {
-		return nil, 0, errStoredConfig
+// decodeStored takes a stored configuration apart, without copying it.
+func decodeStored(stored []byte) (storedConfig, error) {
+	if len(stored) == 0 || stored[0] != patchFormatTag {
+		return storedConfig{document: stored}, nil
+	}
+	rest := stored[1:]
+	base, size := binary.Varint(rest)
+	if size <= 0 {
+		return storedConfig{}, errStoredConfig
 	}
-	bodySize, lengthSize := binary.Uvarint(stored[1+baseSize:])
-	bodyStart := 1 + baseSize + lengthSize
-	if lengthSize <= 0 || bodySize > uint64(len(stored)-bodyStart) {
-		return nil, 0, errStoredConfig
+	rest = rest[size:]
+	length, size := binary.Uvarint(rest)
+	if size <= 0 || length > uint64(len(rest)-size) {
+		return storedConfig{}, errStoredConfig
 	}
-	documentStart = bodyStart + int(bodySize)
-	return &Patch{Base: base, Body: stored[bodyStart:documentStart]}, documentStart, nil
+	rest = rest[size:]
+	return storedConfig{patch: &Patch{Base: base, Body: rest[:length]}, document: rest[length:]}, nil
 }
