--- a/internal/router/peerproto/frame.go
+++ b/internal/router/peerproto/frame.go
@@ -11,13 +11,18 @@
 // MaxBody is the longest body of a frame, in bytes.
 const MaxBody = 16 << 20
 
+// A frame is its header and its body. The header is, all big-endian:
+//
+//	length of the body, 4 bytes | kind, 1 byte | call number, 8 bytes
 const (
-	// headerSize is the size of the length of the body, the kind and the call number, all big-endian.
-	headerSize = 4 + 1 + 8
-	// maxPreallocated is the longest body in bytes for which memory is allocated before its bytes have come.
-	maxPreallocated = 64 << 10
+	kindOffset   = 4
+	callIDOffset = kindOffset + 1
+	headerSize   = callIDOffset + 8
 )
 
+// maxPreallocated is the longest body in bytes for which memory is allocated before its bytes have come.
+const maxPreallocated = 64 << 10
+
 // Frame is one message on a connection.
 type Frame struct {
 	Kind   Kind
@@ -39,50 +44,51 @@
 
 // WriteFrame writes a frame to w and flushes it. The caller ensures that the body isn't longer than MaxBody;
 // the other side would close the connection.
-func WriteFrame(w *bufio.Writer, f Frame) error {
+func WriteFrame(w *bufio.Writer, frame Frame) error {
 	var header [headerSize]byte
-	binary.BigEndian.PutUint32(header[:], uint32(len(f.Body)))
-	header[4] = byte(f.Kind)
-	binary.BigEndian.PutUint64(header[5:], f.CallID)
+	binary.BigEndian.PutUint32(header[:kindOffset], uint32(len(frame.Body)))
+	header[kindOffset] = byte(frame.Kind)
+	binary.BigEndian.PutUint64(header[callIDOffset:], frame.CallID)
 	if _, err := w.Write(header[:]); err != nil {
 		return err
 	}
-	if _, err := w.Write(f.Body); err != nil {
+	if _, err := w.Write(frame.Body); err != nil {
 		return err
 	}
 	return w.Flush()
 }
 
-// ReadFrame reads the next frame. Beyond maxPreallocated its memory grows with the bytes that come, not with
-// the length announced. The error is io.EOF where the connection ended between two frames, and else a
-// *FrameTooLongError, io.ErrUnexpectedEOF or the reader's.
+// ReadFrame reads the next frame. The error is io.EOF where the connection ended between two frames, and else
+// a *FrameTooLongError, io.ErrUnexpectedEOF or the reader's.
 func ReadFrame(r *bufio.Reader) (Frame, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return Frame{}, err
 	}
-	length := binary.BigEndian.Uint32(header[:])
+	length := binary.BigEndian.Uint32(header[:kindOffset])
 	if length > MaxBody {
 		return Frame{}, &FrameTooLongError{length}
 	}
-	f := Frame{Kind: Kind(header[4]), CallID: binary.BigEndian.Uint64(header[5:])}
+	body, err := readBody(r, int(length))
+	return Frame{
+		Kind: Kind(header[kindOffset]), CallID: binary.BigEndian.Uint64(header[callIDOffset:]), Body: body,
+	}, err
+}
+
+// readBody reads a body of a length. Beyond maxPreallocated its memory grows with the bytes that come, not
+// with the length announced. An end of the connection is one inside a frame: io.ErrUnexpectedEOF.
+func readBody(r io.Reader, length int) ([]byte, error) {
 	if length <= maxPreallocated {
-		f.Body = make([]byte, length)
-		_, err := io.ReadFull(r, f.Body)
-		return f, unexpectedEnd(err)
+		body := make([]byte, length)
+		_, err := io.ReadFull(r, body)
+		if errors.Is(err, io.EOF) {
+			err = io.ErrUnexpectedEOF
+		}
+		return body, err
 	}
 	body, err := io.ReadAll(io.LimitReader(r, int64(length)))
-	if err == nil && len(body) < int(length) {
+	if err == nil && len(body) < length {
 		err = io.ErrUnexpectedEOF
 	}
-	f.Body = body
-	return f, err
-}
-
-// unexpectedEnd turns an end before the first byte of a body into one inside a frame.
-func unexpectedEnd(err error) error {
-	if errors.Is(err, io.EOF) {
-		return io.ErrUnexpectedEOF
-	}
-	return err
+	return body, err
 }
--- a/internal/router/peerproto/packed.go
+++ b/internal/router/peerproto/packed.go
@@ -17,19 +17,48 @@
 func Pack(document []byte) []byte {
 	var packed bytes.Buffer
 	packed.Write(binary.AppendUvarint(nil, uint64(len(document))))
-	w, err := flate.NewWriter(&packed, flate.BestSpeed)
-	if err == nil {
-		_, err = w.Write(document)
-	}
-	if err == nil {
-		err = w.Close()
-	}
-	if err != nil {
+	if err := deflate(&packed, document); err != nil {
 		panic("peerproto: " + err.Error()) // the level is valid, and a buffer takes all
 	}
 	return packed.Bytes()
 }
 
+// deflate writes the compressed document.
+func deflate(out io.Writer, document []byte) error {
+	w, err := flate.NewWriter(out, flate.BestSpeed)
+	if err != nil {
+		return err
+	}
+	if _, err := w.Write(document); err != nil {
+		return err
+	}
+	return w.Close()
+}
+
+// Unpack is the inverse of Pack. It fails where packed is corrupt or announces more than MaxBody bytes.
+func Unpack(packed []byte) ([]byte, error) {
+	length, size := binary.Uvarint(packed)
+	if size <= 0 || length > MaxBody {
+		return nil, errCorruptPacked
+	}
+	r := flate.NewReader(bytes.NewReader(packed[size:]))
+	document := make([]byte, length)
+	if _, err := io.ReadFull(r, document); err != nil {
+		return nil, fmt.Errorf("%w (%w)", errCorruptPacked, err)
+	}
+	if !atEnd(r) {
+		return nil, errCorruptPacked
+	}
+	return document, nil
+}
+
+// atEnd reports whether a reader has no more bytes and no error but its end.
+func atEnd(r io.Reader) bool {
+	var next [1]byte
+	read, err := io.ReadFull(r, next[:])
+	return read == 0 && errors.Is(err, io.EOF)
+}
+
 // patchesPrefix stands before packed patches. A packed document begins with its length, which is never 0.
 const patchesPrefix = 0
 
@@ -56,20 +85,3 @@
 	}
 	return patches, nil
 }
-
-// Unpack is the inverse of Pack. It fails where packed is corrupt or announces more than MaxBody bytes.
-func Unpack(packed []byte) ([]byte, error) {
-	length, size := binary.Uvarint(packed)
-	if size <= 0 || length > MaxBody {
-		return nil, errCorruptPacked
-	}
-	r := flate.NewReader(bytes.NewReader(packed[size:]))
-	document := make([]byte, length)
-	if _, err := io.ReadFull(r, document); err != nil {
-		return nil, fmt.Errorf("%w (%w)", errCorruptPacked, err)
-	}
-	if n, err := io.ReadFull(r, make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-		return nil, errCorruptPacked
-	}
-	return document, nil
-}
--- a/internal/router/peerproto/schemas.go
+++ b/internal/router/peerproto/schemas.go
@@ -21,9 +21,6 @@
 	return byName
 }
 
-// Message is a message of this package, a pointer to one of its structs.
-type Message interface{ schema() avro.Schema }
-
 var (
 	helloSchema      = schemas["Hello"]
 	recordsSchema    = schemas["Records"]
