--- a/internal/router/transport/call_once.go
+++ b/internal/router/transport/call_once.go
@@ -26,17 +26,19 @@
 		return peerproto.Frame{}, err
 	}
 	out := bufio.NewWriterSize(conn, bufferSize)
-	for _, frame := range []peerproto.Frame{
-		{Kind: peerproto.KindHello, Body: hello}, {Kind: kind, CallID: singleCallID, Body: body},
-	} {
-		count(&e.traffic.sent, &frame)
+	frames := []peerproto.Frame{
+		{Kind: peerproto.KindHello, Body: hello},
+		{Kind: kind, CallID: singleCallID, Body: body},
+	}
+	for _, frame := range frames {
+		e.traffic.sent.count(&frame)
 		if err := peerproto.WriteFrame(out, frame); err != nil {
 			return peerproto.Frame{}, err
 		}
 	}
 	answer, err := peerproto.ReadFrame(bufio.NewReaderSize(conn, bufferSize))
 	if err == nil {
-		count(&e.traffic.received, &answer)
+		e.traffic.received.count(&answer)
 	}
 	return answer, err
 }
--- a/internal/router/transport/conn.go
+++ b/internal/router/transport/conn.go
@@ -83,7 +83,7 @@
 		case <-c.closed:
 			return
 		case frame := <-c.queue:
-			count(&c.traffic.sent, &frame)
+			c.traffic.sent.count(&frame)
 			c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if err := peerproto.WriteFrame(w, frame); err != nil {
 				c.Close()
@@ -102,7 +102,7 @@
 		if err != nil {
 			return
 		}
-		count(&c.traffic.received, &frame)
+		c.traffic.received.count(&frame)
 		handle(frame)
 	}
 }
--- a/internal/router/transport/endpoint.go
+++ b/internal/router/transport/endpoint.go
@@ -34,7 +34,6 @@
 		hello:       hello,
 		unsolicited: unsolicited,
 		onState:     onState,
-		pending:     map[uint64]chan peerproto.Frame{},
 		stop:        make(chan struct{}),
 	}
 	go l.run()
--- a/internal/router/transport/handler.go
+++ b/internal/router/transport/handler.go
@@ -16,15 +16,20 @@
 func serveConn(c *Conn, handler Handler) {
 	c.readLoop(func(frame peerproto.Frame) {
 		if frame.Kind == peerproto.KindHello {
-			var hello peerproto.Hello
-			if peerproto.Decode(frame.Body, &hello) != nil {
-				c.Close()
-				return
-			}
-			c.peer = hello.ID
+			c.handleHello(frame.Body)
 			return
 		}
 		handler.Handle(c, frame)
 	})
 	handler.Closed(c)
 }
+
+// handleHello records who the caller is, and closes the connection where its Hello can't be read.
+func (c *Conn) handleHello(body []byte) {
+	var hello peerproto.Hello
+	if peerproto.Decode(body, &hello) != nil {
+		c.Close()
+		return
+	}
+	c.peer = hello.ID
+}
--- a/internal/router/transport/link.go
+++ b/internal/router/transport/link.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// The backoff before the next attempt to connect doubles within these bounds; a connection resets it.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 150 * time.Millisecond
 	// minDialTimeout is the timeout of the first attempt to connect; it doubles up to maxDialTimeout. The system
@@ -25,7 +26,7 @@
 )
 
 // Link keeps one connection to an address, and opens it again whenever it ends. It is connecting, connected,
-// or stopped, which is final. Its methods may be called by any goroutine.
+// or stopped, which is final. Endpoint.NewLink makes one. Its methods may be called by any goroutine.
 type Link struct {
 	Address string // IP:port
 
@@ -34,19 +35,22 @@
 	unsolicited func(peerproto.Frame) // takes the frames that answer no pending call
 	onState     func(connected bool)  // called whenever the connection opens or ends
 
-	mu         sync.Mutex
-	conn       *Conn                           // nil while there is none
-	pending    map[uint64]chan peerproto.Frame // by call id, where to send the answer
-	lastCallID uint64
-	stopped    bool
-	stop       chan struct{} // closed by Stop
+	pending pendingCalls
+	stop    chan struct{} // closed by Stop
+
+	mu      sync.Mutex
+	conn    *Conn // nil while there is none
+	stopped bool
 }
 
 // Connected reports whether there is a connection.
-func (l *Link) Connected() bool {
+func (l *Link) Connected() bool { return l.currentConn() != nil }
+
+// currentConn returns the connection, nil while there is none.
+func (l *Link) currentConn() *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.conn != nil
+	return l.conn
 }
 
 // Stop ends the link and its connection.
@@ -65,36 +69,26 @@
 
 // Reset closes the present connection, if any, so that the link opens a new one.
 func (l *Link) Reset() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.conn != nil {
-		l.conn.Close()
+	if conn := l.currentConn(); conn != nil {
+		conn.Close()
 	}
 }
 
 // Send queues a frame that is not answered, and reports whether it could; it never blocks.
 func (l *Link) Send(kind peerproto.Kind, body []byte) bool {
-	l.mu.Lock()
-	conn := l.conn
-	l.mu.Unlock()
+	conn := l.currentConn()
 	return conn != nil && conn.Send(peerproto.Frame{Kind: kind, Body: body})
 }
 
 // Call sends a frame and waits for the answer. The error is ErrNotConnected where there is no connection or
 // it ends first, so that the call may or may not have been taken, and ErrTimeout after the timeout.
 func (l *Link) Call(kind peerproto.Kind, body []byte, timeout time.Duration) (peerproto.Frame, error) {
-	l.mu.Lock()
-	conn := l.conn
+	conn := l.currentConn()
 	if conn == nil {
-		l.mu.Unlock()
 		return peerproto.Frame{}, ErrNotConnected
 	}
-	l.lastCallID++
-	id := l.lastCallID
-	answer := make(chan peerproto.Frame, 1)
-	l.pending[id] = answer
-	l.mu.Unlock()
-	defer l.forget(id)
+	id, answer := l.pending.add()
+	defer l.pending.remove(id)
 	if !conn.Send(peerproto.Frame{Kind: kind, CallID: id, Body: body}) {
 		return peerproto.Frame{}, ErrNotConnected
 	}
@@ -110,22 +104,17 @@
 	}
 }
 
-// forget drops a call that has ended; an answer that comes later is unsolicited.
-func (l *Link) forget(id uint64) {
-	l.mu.Lock()
-	delete(l.pending, id)
-	l.mu.Unlock()
-}
-
-// run connects again and again until the link is stopped.
+// run connects again and again until the link is stopped. A connection that was opened resets the backoff and
+// the timeout of attempts to connect.
 func (l *Link) run() {
 	backoff, dialTimeout := minBackoff, minDialTimeout
 	for {
-		c, err := l.endpoint.network.Dial(l.Address, dialTimeout)
-		dialTimeout = min(2*dialTimeout, maxDialTimeout)
-		if err == nil {
+		netConn, err := l.endpoint.network.Dial(l.Address, dialTimeout)
+		if err != nil {
+			dialTimeout = min(2*dialTimeout, maxDialTimeout)
+		} else {
 			backoff, dialTimeout = minBackoff, minDialTimeout
-			l.runConn(newConn(c, &l.endpoint.traffic))
+			l.runConn(newConn(netConn, &l.endpoint.traffic))
 		}
 		select {
 		case <-l.stop:
@@ -139,32 +128,28 @@
 // runConn uses a connection until it ends.
 func (l *Link) runConn(conn *Conn) {
 	conn.Send(peerproto.Frame{Kind: peerproto.KindHello, Body: l.hello()})
+	l.setConn(conn)
+	l.onState(true)
+	conn.readLoop(l.dispatch)
+	l.setConn(nil)
+	l.onState(false)
+}
+
+// setConn replaces the connection, by nil where it has ended. One that was opened while the link was stopped
+// is closed at once.
+func (l *Link) setConn(conn *Conn) {
 	l.mu.Lock()
-	if l.stopped {
+	defer l.mu.Unlock()
+	if l.stopped && conn != nil {
 		conn.Close()
 	}
 	l.conn = conn
-	l.mu.Unlock()
-	l.onState(true)
-	conn.readLoop(l.dispatch)
-	l.mu.Lock()
-	l.conn = nil
-	l.mu.Unlock()
-	l.onState(false)
 }
 
-// dispatch passes an answer to its pending call, and any other frame to unsolicited. A frame of a feed is
-// never an answer.
+// dispatch passes an answer to its pending call, and any other frame to unsolicited: also an answer that
+// comes after its call has ended. A frame of a feed is never an answer.
 func (l *Link) dispatch(frame peerproto.Frame) {
-	l.mu.Lock()
-	answer := l.pending[frame.CallID]
-	l.mu.Unlock()
-	if frame.CallID == 0 || answer == nil || frame.Kind == peerproto.KindFeed {
+	if frame.Kind == peerproto.KindFeed || !l.pending.complete(frame) {
 		l.unsolicited(frame)
-		return
-	}
-	select {
-	case answer <- frame:
-	default: // answered already
 	}
 }
--- a/internal/router/transport/network.go
+++ b/internal/router/transport/network.go
@@ -17,9 +17,12 @@
 // HostNetwork is the network of the machine, over TCP and IPv4.
 type HostNetwork struct{}
 
+// noKeepAlive turns off the system's keep-alive probes: the processes send pings and keep-alives themselves.
+const noKeepAlive = -1
+
 // Dial implements Network.
 func (HostNetwork) Dial(address string, timeout time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: noKeepAlive}
 	return dialer.Dial("tcp4", address)
 }
 
--- a/internal/router/transport/traffic.go
+++ b/internal/router/transport/traffic.go
@@ -32,21 +32,22 @@
 // volumeCounter is a Volume that several goroutines may add to.
 type volumeCounter struct{ frames, bytes atomic.Int64 }
 
-// trafficCounters are the counters behind Traffic.
-type trafficCounters struct {
-	sent, received [peerproto.NumKinds]volumeCounter
-}
+// kindCounters count the frames of one direction by their kinds.
+type kindCounters [peerproto.NumKinds]volumeCounter
 
 // count counts a frame; frames of unknown kinds are counted under 0.
-func count(counts *[peerproto.NumKinds]volumeCounter, frame *peerproto.Frame) {
+func (c *kindCounters) count(frame *peerproto.Frame) {
 	kind := frame.Kind
 	if kind >= peerproto.NumKinds {
 		kind = 0
 	}
-	counts[kind].frames.Add(1)
-	counts[kind].bytes.Add(int64(frame.Size()))
+	c[kind].frames.Add(1)
+	c[kind].bytes.Add(int64(frame.Size()))
 }
 
+// trafficCounters are the counters behind Traffic.
+type trafficCounters struct{ sent, received kindCounters }
+
 // snapshot returns the counters' values, each read by itself.
 func (c *trafficCounters) snapshot() Traffic {
 	var traffic Traffic
--- a/internal/router/transport/traffic_test.go
+++ b/internal/router/transport/traffic_test.go
@@ -27,6 +27,6 @@
 
 func TestUnknownFrameKindsAreCounted(t *testing.T) {
 	var c trafficCounters
-	count(&c.received, &peerproto.Frame{Kind: peerproto.NumKinds + 1})
+	c.received.count(&peerproto.Frame{Kind: peerproto.NumKinds + 1})
 	qt.Assert(t, c.snapshot().Received[0].Frames, qt.Equals, int64(1))
 }
