--- a/internal/router/fleetconfig/doc.go
+++ b/internal/router/fleetconfig/doc.go
@@ -14,7 +14,7 @@
 // stores it (stored.go).
 //
 // The parsers of package jsondoc's nodes, in parse.go and patch.go, say what a document means; layout.go and
-// itemlist.go keep its text as the operator wrote it, for the documents that patches make.
+// item_list.go keep its text as the operator wrote it, for the documents that patches make.
 //
 // A Config never changes after it is returned, and any goroutine may read it. Every rejection of a document
 // or patch is a *jsondoc.ValidationError that lists all faults found, not only the first.
