--- a/internal/testbed/clusterrig/configuration.go
+++ b/internal/testbed/clusterrig/configuration.go
@@ -74,8 +74,8 @@
 func (r *Rig) seedAddresses(m *Member) []string {
 	var addresses []string
 	for _, s := range r.seeds() {
-		if s != m && s.Gossip != "" {
-			addresses = append(addresses, s.Gossip)
+		if address := s.gossipAddress(); s != m && address != "" {
+			addresses = append(addresses, address)
 		}
 	}
 	if len(addresses) > 0 || m.Gossip == "" {
@@ -83,7 +83,7 @@
 	}
 	for _, s := range r.Members { // the only seed restarts: any other member will do
 		if s != m && s.State() == Up {
-			return []string{s.Gossip}
+			return []string{s.gossipAddress()}
 		}
 	}
 	return nil
--- a/internal/testbed/clusterrig/member.go
+++ b/internal/testbed/clusterrig/member.go
@@ -38,6 +38,7 @@
 	state  State
 	admin  string
 	listen string
+	gossip string
 }
 
 // State returns the state of its process.
@@ -51,7 +52,14 @@
 func (m *Member) setState(s State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state, m.admin, m.listen = s, m.Admin, m.Listen
+	m.state, m.admin, m.listen, m.gossip = s, m.Admin, m.Listen, m.Gossip
+}
+
+// gossipAddress returns Gossip, for goroutines that don't act on the member.
+func (m *Member) gossipAddress() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.gossip
 }
 
 // Log returns the last lines of its process's log.
