--- a/internal/cluster/pending/recorder_test.go
+++ b/internal/cluster/pending/recorder_test.go
@@ -11,6 +11,9 @@
 	"cresshub/internal/cluster/ledger"
 )
 
+// patience bounds every wait of a test; no verdict depends on how much of it is used.
+const patience = 20 * time.Second
+
 var (
 	testKey         = ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
 	errNoLeader     = errors.New("no leader")
@@ -58,9 +61,9 @@
 // eventually waits until the stats are as they should be.
 func eventually(t *testing.T, r *Recorder, reached func(Stats) bool) {
 	t.Helper()
-	for deadline := time.Now().Add(10 * time.Second); !reached(r.Stats()); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(patience); !reached(r.Stats()); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("after 10 s: %+v", r.Stats())
+			t.Fatalf("after %v: %+v", patience, r.Stats())
 		}
 	}
 }
@@ -75,8 +78,8 @@
 		t.Errorf("committed without a leader: %+v", r.Stats())
 	}
 	group.err.Store(nil)
-	if !r.WaitCommitted(10 * time.Second) {
-		t.Error("not committed in 10 s")
+	if !r.WaitCommitted(patience) {
+		t.Errorf("not committed in %v", patience)
 	}
 	if s := r.Stats(); s.Committed != 1 || s.Batches != 1 || s.Queued != 0 || s.Attempts < 2 {
 		t.Errorf("%+v", s)
@@ -118,12 +121,15 @@
 
 func TestPeriodIsClosedByTheLeaderAlone(t *testing.T) {
 	var leads atomic.Bool
-	proposed := make(chan []byte, 100)
+	proposed := make(chan []byte, 1)
 	stop := make(chan struct{})
 	c := PeriodCloser{Period: 50 * time.Millisecond, IsLeader: leads.Load, Stop: stop,
 		OpenPeriod: func() (uint64, bool) { return 3, true },
 		Propose: func(_ context.Context, cmd []byte) (ledger.Result, error) {
-			proposed <- cmd
+			select {
+			case proposed <- cmd:
+			default: // the test has one already, and may be slow to read it
+			}
 			return ledger.Result{}, nil
 		}}
 	done := make(chan struct{})
--- a/internal/testbed/faultinject/faults_test.go
+++ b/internal/testbed/faultinject/faults_test.go
@@ -12,6 +12,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// patience bounds every wait of a test; no verdict depends on how much of it is used.
+const patience = 20 * time.Second
+
 const (
 	here  = "127.0.0.1"
 	there = "127.0.0.2"
@@ -22,7 +25,7 @@
 	l, err := listener.Network(there, "").Listen(there + ":0")
 	c.Assert(err, qt.IsNil)
 	defer l.Close()
-	dialled, err = dialler.Network(here, "").Dial(l.Addr().String(), time.Second)
+	dialled, err = dialler.Network(here, "").Dial(l.Addr().String(), patience)
 	c.Assert(err, qt.IsNil)
 	accepted, err = l.Accept()
 	c.Assert(err, qt.IsNil)
@@ -44,6 +47,9 @@
 	_, err = accepted.Read(one)
 	c.Assert(err, qt.ErrorIs, os.ErrDeadlineExceeded)
 	accepted.SetReadDeadline(time.Time{})
+	theirs.mu.Lock()
+	theirs.deaf[here] = time.Now().Add(patience) // it is short, also where this process is stalled
+	theirs.mu.Unlock()
 	c.Assert(theirs.Do(CommandHeal), qt.IsNil)
 	_, err = io.ReadFull(accepted, one)
 	c.Assert(err, qt.IsNil)
