--- a/internal/cluster/gossip/delegates.go
+++ b/internal/cluster/gossip/delegates.go
@@ -98,25 +98,38 @@
 }
 
 // NotifyMerge is called with all members that another one knows, before a join merges them. They may include
-// this member's previous incarnation. While this member starts, any record of its name is treated as that; if
-// a live process has the name, the start fails. Later, only a record with this member's own address is: two
-// live processes of one name must not go on superseding each other.
+// this member's previous incarnation.
 func (d *delegate) NotifyMerge(peers []*memberlist.Node) error {
-	f := (*Fleet)(d)
 	for _, peer := range peers {
-		var meta membership.Meta
-		if peer.Name != f.opts.Name || decodeMeta(peer.Meta, &meta) != nil {
-			continue
-		}
-		f.mu.Lock()
-		if f.ownAddress == "" || peer.Address() == f.ownAddress {
-			f.previousIncarnation = max(f.previousIncarnation, meta.Incarnation)
-		}
-		f.mu.Unlock()
+		(*Fleet)(d).recordPrevious(peer)
 	}
 	return nil
 }
 
+// NotifyAlive is called with each message that a member is alive, before memberlist handles it. Gossip of this
+// member's previous incarnation may arrive before its first join: memberlist refutes it, and a join would not
+// show it any more.
+func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
+	(*Fleet)(d).recordPrevious(peer)
+	return nil
+}
+
+// recordPrevious records the previous incarnation of this member, if that is what another one has. While this
+// member starts, any record of its name is treated as that; if a live process has the name, the start fails.
+// Later, only a record with this member's own address is: two live processes of one name must not go on
+// superseding each other.
+func (f *Fleet) recordPrevious(peer *memberlist.Node) {
+	var meta membership.Meta
+	if peer.Name != f.opts.Name || decodeMeta(peer.Meta, &meta) != nil {
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.ownAddress == "" || peer.Address() == f.ownAddress {
+		f.previousIncarnation = max(f.previousIncarnation, meta.Incarnation)
+	}
+}
+
 // GetBroadcasts has nothing to add to memberlist's gossip.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte { return nil }
 
--- a/internal/cluster/gossip/fleet.go
+++ b/internal/cluster/gossip/fleet.go
@@ -48,7 +48,7 @@
 
 	conflictAddress     string            // where another process has this name, by the last join; "" for none
 	announcedLeaves     map[string]uint64 // incarnations of members that announced to leave, by name
-	previousIncarnation uint64            // the highest that others have of this name from before this start
+	previousIncarnation uint64            // the highest that others had of this name, from before this start
 	ownAddress          string            // where this member gossips; "" until its name is known to be free
 	pendingUpdates      int               // own updates, not sent yet, that raise this member's SWIM incarnation
 
@@ -172,7 +172,7 @@
 	// over one. Only syncLoop and its goroutines wait for streams.
 	config.TCPTimeout = max(opts.ProbeTimeout*streamTimeouts, minStreamTimeout)
 	config.Events, config.Conflict = (*eventDelegate)(f), (*eventDelegate)(f)
-	config.Delegate, config.Merge = (*delegate)(f), (*delegate)(f)
+	config.Delegate, config.Merge, config.Alive = (*delegate)(f), (*delegate)(f), (*delegate)(f)
 	config.Logger = log.New(&logWriter{f.log}, "", 0)
 	return config
 }
--- a/internal/cluster/gossip/locks_test.go
+++ b/internal/cluster/gossip/locks_test.go
@@ -149,3 +149,25 @@
 		t.Errorf("after a previous incarnation here the incarnation is %d, was %d", got, before)
 	}
 }
+
+// Gossip of a previous incarnation that arrives between the start of the transport and the first join is
+// superseded as well: memberlist refutes it, so that the join shows only the incarnation that a clock which went
+// back gave.
+func TestPreviousIncarnationInGossipIsSuperseded(t *testing.T) {
+	a := startMember(t, "a")
+	defer a.Close()
+	before := a.meta.Load().Incarnation
+	ip, port, err := splitHostPort(a.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	previous := &memberlist.Node{Name: "a", Addr: ip, Port: uint16(port),
+		Meta: encodeMeta(membership.Meta{Incarnation: before + 1000})}
+	if err := a.memberlistConfig().Alive.NotifyAlive(previous); err != nil {
+		t.Fatal(err)
+	}
+	a.supersedePrevious()
+	if got := a.meta.Load().Incarnation; got != before+1001 {
+		t.Errorf("after gossip of a previous incarnation the incarnation is %d, was %d", got, before)
+	}
+}
