--- a/internal/router/agent/chain_links.go
+++ b/internal/router/agent/chain_links.go
@@ -39,8 +39,7 @@
 	defer l.mu.Unlock()
 	link := l.byIP[ip]
 	if link == nil {
-		ignoreFrame, ignoreState := func(peerproto.Frame) {}, func(bool) {}
-		link = l.endpoint.NewLink(l.peerAddress(ip), l.hello, ignoreFrame, ignoreState)
+		link = l.endpoint.NewLink(l.peerAddress(ip), transport.LinkCallbacks{Hello: l.hello})
 		l.byIP[ip] = link
 	}
 	return link
--- a/internal/router/agent/hub_exchange.go
+++ b/internal/router/agent/hub_exchange.go
@@ -30,8 +30,8 @@
 }
 
 // runPings pings a hub until its link is closed. A ping carries the demand of this process, its answer the
-// state of the hub.
-func (e *hubExchange) runPings(h *hub, up <-chan struct{}) {
+// state of the hub. It is sent at once whenever the connection has opened or ended.
+func (e *hubExchange) runPings(h *hub, stateChanged <-chan struct{}) {
 	for {
 		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(e.demand.own()), pingTimeout)
 		switch {
@@ -43,7 +43,7 @@
 		select {
 		case <-h.stop:
 			return
-		case <-up:
+		case <-stateChanged:
 		case <-time.After(e.untilPing()):
 		}
 	}
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -48,6 +48,13 @@
 	h.state.hasSnapshot, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
 }
 
+// forgetConnection forgets what was known of the hub over the last connection.
+func (h *hub) forgetConnection() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.state.replicatedTo, h.state.lastSeen = 0, 0
+}
+
 // isResponsive reports whether the hub has answered a ping within contactTimeout.
 func (h *hub) isResponsive(now time.Duration) bool {
 	lastSeen := h.current().lastSeen
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -131,18 +131,19 @@
 // open opens the link to a hub and starts its goroutines; the lock is held.
 func (s *hubSet) open(ip string) *hub {
 	h := &hub{ip: ip, stop: make(chan struct{})}
-	handle := func(frame peerproto.Frame) { s.exchange.handleFrame(h, frame) }
-	up := make(chan struct{}, 1)
-	h.link = s.endpoint.NewLink(s.peerAddress(ip), s.hello, handle, func(bool) {
-		h.mu.Lock()
-		h.state.replicatedTo, h.state.lastSeen = 0, 0
-		h.mu.Unlock()
-		select {
-		case up <- struct{}{}:
-		default:
-		}
+	stateChanged := make(chan struct{}, 1)
+	h.link = s.endpoint.NewLink(s.peerAddress(ip), transport.LinkCallbacks{
+		Hello:              s.hello,
+		OnUnsolicitedFrame: func(frame peerproto.Frame) { s.exchange.handleFrame(h, frame) },
+		OnStateChange: func(bool) {
+			h.forgetConnection()
+			select {
+			case stateChanged <- struct{}{}:
+			default:
+			}
+		},
 	})
-	go s.exchange.runPings(h, up)
+	go s.exchange.runPings(h, stateChanged)
 	go s.exchange.runPushes(h)
 	return h
 }
--- a/internal/router/transport/dial_test.go
+++ b/internal/router/transport/dial_test.go
@@ -8,8 +8,6 @@
 	"time"
 
 	qt "github.com/frankban/quicktest"
-
-	"cresshub/internal/router/peerproto"
 )
 
 var errUnresponsive = errors.New("nothing answers")
@@ -30,8 +28,8 @@
 func TestFirstDialTimeoutsAreShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := unresponsiveNetwork{make(chan time.Duration, 8)}
-		link := NewEndpoint(network).NewLink("10.0.0.1:1", func() []byte { return nil },
-			func(peerproto.Frame) {}, func(bool) {})
+		link := NewEndpoint(network).NewLink("10.0.0.1:1",
+			LinkCallbacks{Hello: func() []byte { return nil }})
 		for _, timeout := range []time.Duration{minDialTimeout, 2 * minDialTimeout, maxDialTimeout,
 			maxDialTimeout} {
 			qt.Check(t, <-network.dialTimeouts, qt.Equals, timeout)
--- a/internal/router/transport/endpoint.go
+++ b/internal/router/transport/endpoint.go
@@ -4,7 +4,6 @@
 	"net"
 
 	"cresshub/internal/acceptloop"
-	"cresshub/internal/router/peerproto"
 )
 
 // Endpoint is a process's side of its connections to others, and counts what they carry. Its methods may be
@@ -23,19 +22,9 @@
 // Traffic returns what all connections of the endpoint have carried since it was made.
 func (e *Endpoint) Traffic() Traffic { return e.traffic.snapshot() }
 
-// NewLink starts a link to an address. hello returns the body of the first frame of each connection,
-// unsolicited takes the frames that answer no call, and onState is called whenever the connection opens or
-// ends. They are called by the link's goroutine, one at a time, and must not block.
-func (e *Endpoint) NewLink(address string, hello func() []byte, unsolicited func(peerproto.Frame),
-	onState func(connected bool)) *Link {
-	l := &Link{
-		Address:     address,
-		endpoint:    e,
-		hello:       hello,
-		unsolicited: unsolicited,
-		onState:     onState,
-		stop:        make(chan struct{}),
-	}
+// NewLink starts a link to an address.
+func (e *Endpoint) NewLink(address string, callbacks LinkCallbacks) *Link {
+	l := &Link{Address: address, endpoint: e, callbacks: callbacks, stop: make(chan struct{})}
 	go l.run()
 	return l
 }
--- a/internal/router/transport/endpoint_test.go
+++ b/internal/router/transport/endpoint_test.go
@@ -25,8 +25,10 @@
 	go func() { served <- endpoint.Serve(flaky, handler) }()
 	states := make(chan bool, 100)
 	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: "caller"}) }
-	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerproto.Frame) {},
-		func(connected bool) { states <- connected })
+	link := endpoint.NewLink(listener.Addr().String(), LinkCallbacks{
+		Hello:         hello,
+		OnStateChange: func(connected bool) { states <- connected },
+	})
 	defer link.Stop()
 	c.Assert(<-states, qt.IsTrue)
 	select {
--- a/internal/router/transport/link.go
+++ b/internal/router/transport/link.go
@@ -25,18 +25,26 @@
 	maxDialTimeout = 700 * time.Millisecond
 )
 
+// LinkCallbacks are the functions that a Link calls. They run on the goroutine of the link, one at a time,
+// and must not block.
+type LinkCallbacks struct {
+	// Hello returns the body of the Hello that is the first frame of each connection. It is required.
+	Hello func() []byte
+	// OnUnsolicitedFrame is called for each frame that answers no pending call; if it is nil, these are ignored.
+	OnUnsolicitedFrame func(peerproto.Frame)
+	// OnStateChange is called whenever the connection has opened or ended; it may be nil.
+	OnStateChange func(connected bool)
+}
+
 // Link keeps one connection to an address, and opens it again whenever it ends. It is connecting, connected,
 // or stopped, which is final. Endpoint.NewLink makes one. Its methods may be called by any goroutine.
 type Link struct {
 	Address string // IP:port
 
-	endpoint    *Endpoint
-	hello       func() []byte         // body of the first frame
-	unsolicited func(peerproto.Frame) // takes the frames that answer no pending call
-	onState     func(connected bool)  // called whenever the connection opens or ends
-
-	pending pendingCalls
-	stop    chan struct{} // closed by Stop
+	endpoint  *Endpoint
+	callbacks LinkCallbacks
+	pending   pendingCalls
+	stop      chan struct{} // closed by Stop
 
 	mu      sync.Mutex
 	conn    *Conn // nil while there is none
@@ -127,12 +135,19 @@
 
 // runConn uses a connection until it ends.
 func (l *Link) runConn(conn *Conn) {
-	conn.Send(peerproto.Frame{Kind: peerproto.KindHello, Body: l.hello()})
+	conn.Send(peerproto.Frame{Kind: peerproto.KindHello, Body: l.callbacks.Hello()})
 	l.setConn(conn)
-	l.onState(true)
+	l.reportState(true)
 	conn.readLoop(l.dispatch)
 	l.setConn(nil)
-	l.onState(false)
+	l.reportState(false)
+}
+
+// reportState reports that the connection has opened or ended.
+func (l *Link) reportState(connected bool) {
+	if l.callbacks.OnStateChange != nil {
+		l.callbacks.OnStateChange(connected)
+	}
 }
 
 // setConn replaces the connection, by nil where it has ended. One that was opened while the link was stopped
@@ -146,10 +161,13 @@
 	l.conn = conn
 }
 
-// dispatch passes an answer to its pending call, and any other frame to unsolicited: also an answer that
-// comes after its call has ended. A frame of a feed is never an answer.
+// dispatch passes an answer to its pending call, and any other frame to OnUnsolicitedFrame: also an answer
+// that comes after its call has ended. A frame of a feed is never an answer.
 func (l *Link) dispatch(frame peerproto.Frame) {
-	if frame.Kind == peerproto.KindFeed || !l.pending.complete(frame) {
-		l.unsolicited(frame)
+	if frame.Kind != peerproto.KindFeed && l.pending.complete(frame) {
+		return
+	}
+	if l.callbacks.OnUnsolicitedFrame != nil {
+		l.callbacks.OnUnsolicitedFrame(frame)
 	}
 }
--- a/internal/router/transport/link_test.go
+++ b/internal/router/transport/link_test.go
@@ -36,8 +36,10 @@
 	go endpoint.Serve(listener, handler)
 	states := make(chan bool, 100)
 	hello := func() []byte { return peerproto.Encode(&peerproto.Hello{ID: "caller"}) }
-	link := endpoint.NewLink(listener.Addr().String(), hello, func(peerproto.Frame) {},
-		func(connected bool) { states <- connected })
+	link := endpoint.NewLink(listener.Addr().String(), LinkCallbacks{
+		Hello:         hello,
+		OnStateChange: func(connected bool) { states <- connected },
+	})
 	t.Cleanup(func() {
 		link.Stop()
 		listener.Close()
@@ -88,3 +90,28 @@
 	qt.Assert(t, conn.Send(peerproto.Frame{Kind: peerproto.KindPing}), qt.IsFalse)
 	<-conn.Closed()
 }
+
+// TestFramesThatAnswerNoCallAreUnsolicited: also one of a feed that has the id of a pending call.
+func TestFramesThatAnswerNoCallAreUnsolicited(t *testing.T) {
+	c := qt.New(t)
+	var unsolicited []peerproto.Frame
+	link := &Link{callbacks: LinkCallbacks{
+		OnUnsolicitedFrame: func(frame peerproto.Frame) { unsolicited = append(unsolicited, frame) },
+	}}
+	id, answer := link.pending.add()
+	feed := peerproto.Frame{Kind: peerproto.KindFeed, CallID: id}
+	late := peerproto.Frame{Kind: peerproto.KindAck, CallID: id + 1}
+	for _, frame := range []peerproto.Frame{feed, late, {Kind: peerproto.KindAck, CallID: id}} {
+		link.dispatch(frame)
+	}
+	c.Assert(unsolicited, qt.DeepEquals, []peerproto.Frame{feed, late})
+	c.Assert((<-answer).Kind, qt.Equals, peerproto.KindAck)
+}
+
+// TestLinkCallbacksMayBeNil: a link that only sends has no use for what comes.
+func TestLinkCallbacksMayBeNil(*testing.T) {
+	link := &Link{}
+	link.reportState(true)
+	link.dispatch(peerproto.Frame{Kind: peerproto.KindFeed})
+	link.reportState(false)
+}
