--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -129,11 +129,11 @@
 
 // lastAnswerAt returns when a server last answered a request of this process, 0 for never.
 func (f *failureDetector) lastAnswerAt(server string) time.Duration {
-	age, answered := f.workload.SinceLastSuccess(server)
-	if !answered {
+	success := f.workload.LastSuccess(server)
+	if !success.Exists {
 		return 0
 	}
-	return max(f.now()-age, 0)
+	return max(f.now()-success.Age, 0)
 }
 
 // timeoutOf returns how long after its last call a process counts as lost at its watcher.
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -154,13 +154,13 @@
 type recordingWorkload struct {
 	noWorkload
 	others   []scheduler.InFlightLoad
-	full     bool
+	scope    scheduler.LoadScope
 	prefixes []scheduler.CachedPrefixes
 }
 
-func (w *recordingWorkload) SetPeerLoad(others []scheduler.InFlightLoad, full bool,
+func (w *recordingWorkload) SetPeerLoad(others []scheduler.InFlightLoad, scope scheduler.LoadScope,
 	prompts []scheduler.CachedPrefixes) {
-	w.others, w.full, w.prefixes = others, full, prompts
+	w.others, w.scope, w.prefixes = others, scope, prompts
 }
 
 // TestGoldenWorkIsReadAndWrittenByteForByte: what is under way, in the forms for the hub, for other hubs and
@@ -186,14 +186,14 @@
 		Prefixes: encodePrefixes(prompts[:1])})
 	local := agent.load.localLoad()
 	checkGolden(c, "hub_work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true,
-		Servers: agent.load.loadExcept(local, nil, true), Prefixes: agent.load.localPrefixes}))
+		Servers: agent.load.loadExcept(local, nil, scheduler.AllServers), Prefixes: agent.load.localPrefixes}))
 
 	other := goldenAgent(t)
 	other.load.workload = recorded
 	other.load.applyHub(nil, readGolden(c, "hub_work.bin"))
-	other.load.distribute(true)
+	other.load.distribute(scheduler.AllServers)
 	c.Assert(recorded.others, qt.DeepEquals, changes[:1])
-	c.Assert(recorded.full, qt.IsTrue)
+	c.Assert(recorded.scope, qt.Equals, scheduler.AllServers)
 	c.Assert(recorded.prefixes, qt.DeepEquals, prompts[:1])
 }
 
--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -33,17 +33,21 @@
 		case <-t.workload.InFlightChanged():
 		case <-time.After(loadReportMinInterval):
 		}
-		full := t.now()-lastFullSync > fullSyncInterval
-		changes := t.workload.InFlightChanges(full)
-		if full {
+		scope := scheduler.ChangedServers
+		if t.now()-lastFullSync > fullSyncInterval {
+			scope = scheduler.AllServers
+		}
+		loads := t.workload.TakeInFlightLoads(scope)
+		if scope == scheduler.AllServers {
 			lastFullSync = t.now()
 		}
 		prefixes := encodePrefixes(t.workload.TakeNewPrefixes())
-		report := &peerproto.LoadReport{Full: full, Servers: encodeLoad(changes), Prefixes: prefixes}
+		report := &peerproto.LoadReport{Full: scope == scheduler.AllServers, Servers: encodeLoad(loads),
+			Prefixes: prefixes}
 		if t.hubs.includesSelf() {
 			t.applyOwn(report)
-			t.distribute(full)
-		} else if full || len(changes) > 0 {
+			t.distribute(scope)
+		} else if report.Full || len(loads) > 0 {
 			t.subscription.sendToSource(peerproto.KindLoadReport, peerproto.Encode(report))
 		}
 		time.Sleep(loadReportMinInterval)
@@ -60,7 +64,15 @@
 		t.workload.SyncPrefixes(decodePrefixes(report.Prefixes))
 		return
 	}
-	t.workload.SetPeerLoad(decodeLoad(report.Servers), report.Full, decodePrefixes(report.Prefixes))
+	t.workload.SetPeerLoad(decodeLoad(report.Servers), scopeOf(&report), decodePrefixes(report.Prefixes))
+}
+
+// scopeOf returns which servers a report names.
+func scopeOf(report *peerproto.LoadReport) scheduler.LoadScope {
+	if report.Full {
+		return scheduler.AllServers
+	}
+	return scheduler.ChangedServers
 }
 
 // sendPrefixIndex sends a new follower which prefixes are known to be cached where.
@@ -73,22 +85,22 @@
 	c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(report)})
 }
 
-func encodeLoad(changes []scheduler.InFlightLoad) []peerproto.ServerLoad {
-	servers := make([]peerproto.ServerLoad, len(changes))
-	for i, c := range changes {
-		servers[i] = peerproto.ServerLoad{Server: c.Server, PrefillMs: int(c.Prefill.Milliseconds()),
-			Calls: c.Calls}
+func encodeLoad(loads []scheduler.InFlightLoad) []peerproto.ServerLoad {
+	servers := make([]peerproto.ServerLoad, len(loads))
+	for i, load := range loads {
+		servers[i] = peerproto.ServerLoad{Server: load.Server, PrefillMs: int(load.Prefill.Milliseconds()),
+			Calls: load.Calls}
 	}
 	return servers
 }
 
 func decodeLoad(servers []peerproto.ServerLoad) []scheduler.InFlightLoad {
-	changes := make([]scheduler.InFlightLoad, len(servers))
-	for i, s := range servers {
-		changes[i] = scheduler.InFlightLoad{Server: s.Server, Calls: s.Calls,
-			Prefill: time.Duration(s.PrefillMs) * time.Millisecond}
+	loads := make([]scheduler.InFlightLoad, len(servers))
+	for i, server := range servers {
+		loads[i] = scheduler.InFlightLoad{Server: server.Server, Calls: server.Calls,
+			Prefill: time.Duration(server.PrefillMs) * time.Millisecond}
 	}
-	return changes
+	return loads
 }
 
 func encodePrefixes(index []scheduler.CachedPrefixes) []peerproto.ServerPrefixes {
--- a/internal/router/agent/load_table.go
+++ b/internal/router/agent/load_table.go
@@ -5,6 +5,7 @@
 	"sync"
 
 	"cresshub/internal/router/peerproto"
+	"cresshub/internal/router/scheduler"
 	"cresshub/internal/router/transport"
 )
 
@@ -133,30 +134,33 @@
 }
 
 // distribute reports to the other hubs the load of this process and its followers, and to each follower and
-// to the data plane of this process the load of all others. A full report names all servers, another one
-// those whose load has changed.
-func (t *loadTable) distribute(full bool) {
+// to the data plane of this process the load of all others, at the servers in the scope. Changes are those
+// since the last distribution; at more than maxFullSyncServers, only they are reported.
+func (t *loadTable) distribute(scope scheduler.LoadScope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.changed)+len(t.localPrefixes)+len(t.hubPrefixes) == 0 && !full {
+	if len(t.changed)+len(t.localPrefixes)+len(t.hubPrefixes) == 0 && scope == scheduler.ChangedServers {
 		return
 	}
 	local := t.localLoad()
 	total := t.hubLoads.addedTo(local)
-	full = full && len(total) <= maxFullSyncServers
+	if len(total) > maxFullSyncServers {
+		scope = scheduler.ChangedServers
+	}
+	full := scope == scheduler.AllServers
 	prefixes := append(t.localPrefixes, t.hubPrefixes...)
 
-	toHubs := peerproto.Encode(&peerproto.LoadReport{Full: full, Servers: t.loadExcept(local, nil, full),
+	toHubs := peerproto.Encode(&peerproto.LoadReport{Full: full, Servers: t.loadExcept(local, nil, scope),
 		Prefixes: t.localPrefixes})
 	for _, h := range t.hubs.all() {
 		h.link.Send(peerproto.KindHubLoadReport, toHubs)
 	}
 	for c, own := range t.followerLoads {
-		report := peerproto.LoadReport{Full: full, Servers: t.loadExcept(total, own, full), Prefixes: prefixes}
+		report := peerproto.LoadReport{Full: full, Servers: t.loadExcept(total, own, scope), Prefixes: prefixes}
 		c.Send(peerproto.Frame{Kind: peerproto.KindLoadReport, Body: peerproto.Encode(&report)})
 	}
-	others := decodeLoad(t.loadExcept(total, t.own, full))
-	t.workload.SetPeerLoad(others, full, decodePrefixes(prefixes))
+	others := decodeLoad(t.loadExcept(total, t.own, scope))
+	t.workload.SetPeerLoad(others, scope, decodePrefixes(prefixes))
 
 	clear(t.changed)
 	t.localPrefixes, t.hubPrefixes = nil, nil
@@ -165,16 +169,15 @@
 // localLoad returns the load of this process and its followers; the lock is held.
 func (t *loadTable) localLoad() loadByServer { return t.followerLoads.addedTo(t.own) }
 
-// loadExcept returns a total less the part of one process, at all servers or only at those that have changed.
-// The lock is held.
-func (t *loadTable) loadExcept(total, part loadByServer, full bool) []peerproto.ServerLoad {
+// loadExcept returns a total less the part of one process, at the servers in the scope. The lock is held.
+func (t *loadTable) loadExcept(total, part loadByServer, scope scheduler.LoadScope) []peerproto.ServerLoad {
 	servers := []peerproto.ServerLoad{}
 	add := func(server string) {
 		sum, less := total[server], part[server]
 		servers = append(servers, peerproto.ServerLoad{Server: server,
 			PrefillMs: max(sum.PrefillMs-less.PrefillMs, 0), Calls: max(sum.Calls-less.Calls, 0)})
 	}
-	if full {
+	if scope == scheduler.AllServers {
 		for server := range total {
 			add(server)
 		}
--- a/internal/router/agent/unwatched_test.go
+++ b/internal/router/agent/unwatched_test.go
@@ -11,6 +11,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"cresshub/internal/http1"
+	"cresshub/internal/router/dataplane"
 	"cresshub/internal/router/directory"
 )
 
@@ -96,7 +97,9 @@
 // answeringWorkload is the workload of a process whose requests servers have just answered.
 type answeringWorkload struct{ noWorkload }
 
-func (answeringWorkload) SinceLastSuccess(string) (time.Duration, bool) { return 0, true }
+func (answeringWorkload) LastSuccess(string) dataplane.LastSuccess {
+	return dataplane.LastSuccess{Exists: true}
+}
 
 // TestServersThatAnswerRequestsAreNotLost: a server without heartbeats is not lost while it answers requests.
 func TestServersThatAnswerRequestsAreNotLost(t *testing.T) {
--- a/internal/router/agent/workload.go
+++ b/internal/router/agent/workload.go
@@ -1,8 +1,6 @@
 package agent
 
 import (
-	"time"
-
 	"cresshub/internal/router/dataplane"
 	"cresshub/internal/router/scheduler"
 )
@@ -12,20 +10,19 @@
 type Workload interface {
 	// InFlightChanged returns a channel that holds a token when calls to model servers have begun or ended.
 	InFlightChanged() <-chan struct{}
-	// InFlightChanges returns the load at the servers where it has changed since the last call or, with all, at
-	// all servers with any.
-	InFlightChanges(all bool) []scheduler.InFlightLoad
-	// SetPeerLoad sets the load of all other processes together at some servers or, with full, at all, and adds
-	// the prefixes that they have sent to servers for the first time.
-	SetPeerLoad(others []scheduler.InFlightLoad, full bool, prefixes []scheduler.CachedPrefixes)
+	// TakeInFlightLoads returns the load at the servers in the scope; changes are those since the last call.
+	TakeInFlightLoads(scope scheduler.LoadScope) []scheduler.InFlightLoad
+	// SetPeerLoad sets the load of all other processes together at the servers in the scope, and adds the
+	// prefixes that they have sent to servers for the first time.
+	SetPeerLoad(others []scheduler.InFlightLoad, scope scheduler.LoadScope, prefixes []scheduler.CachedPrefixes)
 	// TakeNewPrefixes returns the prefixes that were sent to servers for the first time since the last call.
 	TakeNewPrefixes() []scheduler.CachedPrefixes
 	// KnownPrefixes returns the prefix index: which prefixes are known to be cached at which servers.
 	KnownPrefixes() []scheduler.CachedPrefixes
 	// SyncPrefixes adds the prefix index of another process, or of the previous one of this machine.
 	SyncPrefixes(known []scheduler.CachedPrefixes)
-	// SinceLastSuccess returns how long ago a server last answered a request with success, and whether it has.
-	SinceLastSuccess(server string) (time.Duration, bool)
+	// LastSuccess returns the newest request that a server answered with success.
+	LastSuccess(server string) dataplane.LastSuccess
 	// Demands returns the calls under way at each service with model servers, as means over the last seconds.
 	Demands() []dataplane.Demand
 }
@@ -35,13 +32,14 @@
 // noWorkload is the workload of a process that does not serve clients.
 type noWorkload struct{}
 
-func (noWorkload) InFlightChanged() <-chan struct{}              { return nil }
-func (noWorkload) InFlightChanges(bool) []scheduler.InFlightLoad { return nil }
-func (noWorkload) TakeNewPrefixes() []scheduler.CachedPrefixes   { return nil }
-func (noWorkload) KnownPrefixes() []scheduler.CachedPrefixes     { return nil }
-func (noWorkload) SyncPrefixes([]scheduler.CachedPrefixes)       {}
-func (noWorkload) Demands() []dataplane.Demand                   { return nil }
+func (noWorkload) InFlightChanged() <-chan struct{}            { return nil }
+func (noWorkload) TakeNewPrefixes() []scheduler.CachedPrefixes { return nil }
+func (noWorkload) KnownPrefixes() []scheduler.CachedPrefixes   { return nil }
+func (noWorkload) SyncPrefixes([]scheduler.CachedPrefixes)     {}
+func (noWorkload) Demands() []dataplane.Demand                 { return nil }
+func (noWorkload) LastSuccess(string) dataplane.LastSuccess    { return dataplane.LastSuccess{} }
 
-func (noWorkload) SinceLastSuccess(string) (time.Duration, bool) { return 0, false }
+func (noWorkload) TakeInFlightLoads(scheduler.LoadScope) []scheduler.InFlightLoad { return nil }
 
-func (noWorkload) SetPeerLoad([]scheduler.InFlightLoad, bool, []scheduler.CachedPrefixes) {}
+func (noWorkload) SetPeerLoad([]scheduler.InFlightLoad, scheduler.LoadScope, []scheduler.CachedPrefixes) {
+}
--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -121,9 +121,9 @@
 	return len(f.open) == 0 && f.unpaired == 0
 }
 
-func (f *fakeChooser) InFlightChanges(bool) []scheduler.InFlightLoad { return nil }
+func (f *fakeChooser) TakeInFlightLoads(scheduler.LoadScope) []scheduler.InFlightLoad { return nil }
 
-func (f *fakeChooser) SetPeerLoad(time.Duration, []scheduler.InFlightLoad, bool) {}
+func (f *fakeChooser) SetPeerLoad(time.Duration, []scheduler.InFlightLoad, scheduler.LoadScope) {}
 
 func (f *fakeChooser) MarkFleetStart(time.Duration) {}
 
--- a/internal/router/dataplane/peerload.go
+++ b/internal/router/dataplane/peerload.go
@@ -11,8 +11,8 @@
 
 // peerExchange exchanges load and cached prefixes with the other proxies.
 type peerExchange interface {
-	InFlightChanges(all bool) []scheduler.InFlightLoad
-	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, full bool)
+	TakeInFlightLoads(scope scheduler.LoadScope) []scheduler.InFlightLoad
+	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, scope scheduler.LoadScope)
 	MarkFleetStart(now time.Duration)
 	TakeNewPrefixes() []scheduler.CachedPrefixes
 	AddCachedPrefixes(all []scheduler.CachedPrefixes)
@@ -23,13 +23,13 @@
 // InFlightChanged returns a channel that holds a token when calls to model servers have begun or ended.
 func (p *Proxy) InFlightChanged() <-chan struct{} { return p.chooser.inFlightChanged }
 
-// InFlightChanges returns this proxy's calls in flight at the servers where that has changed since the last
-// call, or with all wherever it has any.
-func (p *Proxy) InFlightChanges(all bool) []scheduler.InFlightLoad {
+// TakeInFlightLoads returns what this proxy has in flight at the servers in the scope; changes are those
+// since the last call.
+func (p *Proxy) TakeInFlightLoads(scope scheduler.LoadScope) []scheduler.InFlightLoad {
 	lc := p.chooser
 	lc.mu.Lock()
 	defer lc.mu.Unlock()
-	return lc.inner.InFlightChanges(all)
+	return lc.inner.TakeInFlightLoads(scope)
 }
 
 // TakeNewPrefixes returns the prefixes that this proxy has sent to servers for the first time since the
@@ -41,13 +41,13 @@
 	return lc.inner.TakeNewPrefixes()
 }
 
-// SetPeerLoad sets the calls that all other proxies together have in flight at some servers; with
-// full, they have none elsewhere. It also adds the prefixes that they have sent to servers for the first
-// time.
-func (p *Proxy) SetPeerLoad(peers []scheduler.InFlightLoad, full bool, prefixes []scheduler.CachedPrefixes) {
+// SetPeerLoad sets what all other proxies together have in flight at the servers in the scope. It also adds
+// the prefixes that they have sent to servers for the first time.
+func (p *Proxy) SetPeerLoad(peers []scheduler.InFlightLoad, scope scheduler.LoadScope,
+	prefixes []scheduler.CachedPrefixes) {
 	now := p.chooser.lock()
 	defer p.chooser.mu.Unlock()
-	p.chooser.inner.SetPeerLoad(now, peers, full)
+	p.chooser.inner.SetPeerLoad(now, peers, scope)
 	p.chooser.inner.AddCachedPrefixes(prefixes)
 }
 
@@ -58,13 +58,21 @@
 	p.chooser.inner.MarkFleetStart(now)
 }
 
-// SinceLastSuccess returns how long ago a server last answered a request of this proxy with success, and
-// whether it has.
-func (p *Proxy) SinceLastSuccess(server string) (time.Duration, bool) {
+// LastSuccess is the newest request of this proxy that a server answered with success.
+type LastSuccess struct {
+	Exists bool          // the server has answered one
+	Age    time.Duration // how long ago
+}
+
+// LastSuccess returns the newest request that a server, named by its id, answered with success.
+func (p *Proxy) LastSuccess(server string) LastSuccess {
 	now := p.chooser.lock()
 	defer p.chooser.mu.Unlock()
 	last := p.chooser.inner.LastSuccess(server)
-	return now - last.At, last.Exists
+	if !last.Exists {
+		return LastSuccess{}
+	}
+	return LastSuccess{Exists: true, Age: now - last.At}
 }
 
 // KnownPrefixes returns which prefixes are known to be cached at which servers, at most maxKnownPrefixes.
--- a/internal/router/scheduler/peer_load.go
+++ b/internal/router/scheduler/peer_load.go
@@ -16,29 +16,38 @@
 	Calls   int
 }
 
-// InFlightChanges returns what this proxy has in flight at the servers where that has changed since the last
-// call, and with all at each server where it has anything. The order is random.
-func (s *Scheduler) InFlightChanges(all bool) []InFlightLoad {
-	var changes []InFlightLoad
+// LoadScope is the servers that a report of in-flight load names.
+type LoadScope int
+
+const (
+	// ChangedServers are those where the load has changed since the last report; elsewhere it is as it was.
+	ChangedServers LoadScope = iota
+	// AllServers are those with any load, and those where it has changed; elsewhere there is none.
+	AllServers
+)
+
+// TakeInFlightLoads returns what this proxy has in flight at the servers in the scope, of which those changed
+// that have changed since the last call. The order is random.
+func (s *Scheduler) TakeInFlightLoads(scope LoadScope) []InFlightLoad {
+	var loads []InFlightLoad
 	for id, server := range s.servers {
-		if server.changed || all && len(server.calls) > 0 {
-			changes = append(changes, InFlightLoad{id, duration(server.ownPrefillMs), len(server.calls)})
+		if server.changed || scope == AllServers && len(server.calls) > 0 {
+			loads = append(loads, InFlightLoad{id, duration(server.ownPrefillMs), len(server.calls)})
 			server.changed = false
 		}
 	}
-	return changes
+	return loads
 }
 
-// SetPeerLoad records what all other proxies together have in flight at some servers. At the other servers
-// nothing has changed, or with full, they have nothing in flight. It must be called at least every
-// peerLoadTTL: after a longer gap, and until prefixCatchUpTime has passed, this proxy may have missed
-// prefixes.
-func (s *Scheduler) SetPeerLoad(now time.Duration, peers []InFlightLoad, full bool) {
+// SetPeerLoad records what all other proxies together have in flight at the servers in the scope. It must be
+// called at least every peerLoadTTL: after a longer gap, and until prefixCatchUpTime has passed, this proxy
+// may have missed prefixes.
+func (s *Scheduler) SetPeerLoad(now time.Duration, peers []InFlightLoad, scope LoadScope) {
 	if now-s.peerLoadAt > peerLoadTTL {
 		s.assumeCachedUntil = now + prefixCatchUpTime
 	}
 	s.peerLoadAt = now
-	if full {
+	if scope == AllServers {
 		for _, server := range s.servers {
 			server.peerBacklog.set(now, 0)
 			server.peerCalls = 0
--- a/internal/router/scheduler/peer_load_test.go
+++ b/internal/router/scheduler/peer_load_test.go
@@ -37,7 +37,7 @@
 				others = append(others, InFlightLoad{Server: s.ID, Prefill: 2 * second, Calls: 2})
 			}
 		}
-		scheduler.SetPeerLoad(10*second, others, true)
+		scheduler.SetPeerLoad(10*second, others, AllServers)
 	})
 	qt.Check(t, seen, qt.DeepEquals, map[string]int{"r3": 200})
 }
@@ -45,28 +45,28 @@
 // TestPeerLoadExpires falls back to the servers' own reports when the other proxies time out.
 func TestPeerLoadExpires(t *testing.T) {
 	scheduler := warmScheduler(1, 7, 11)
-	scheduler.SetPeerLoad(10*second, nil, true)
+	scheduler.SetPeerLoad(10*second, nil, AllServers)
 	_, ok := scheduler.peerLoadAge(10*second + peerLoadTTL)
 	qt.Check(t, ok, qt.IsTrue)
 	_, ok = scheduler.peerLoadAge(10*second + peerLoadTTL + 1)
 	qt.Check(t, ok, qt.IsFalse)
 }
 
-// TestInFlightChangesAreReportedOnce: a server is reported where a call began or ended since the last time.
-func TestInFlightChangesAreReportedOnce(t *testing.T) {
+// TestInFlightChangesAreTakenOnce: a server is reported where a call began or ended since the last time.
+func TestInFlightChangesAreTakenOnce(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
-	scheduler.InFlightChanges(false)
+	scheduler.TakeInFlightLoads(ChangedServers)
 	call := scheduler.Choose(10*second, promptRequest("a", 1), Prefill, nil)
-	changes := scheduler.InFlightChanges(false)
+	changes := scheduler.TakeInFlightLoads(ChangedServers)
 	c.Assert(changes, qt.HasLen, 1)
 	c.Check(changes[0].Server, qt.Equals, call.Server.ID)
 	c.Check(changes[0].Calls, qt.Equals, 1)
 	c.Check(changes[0].Prefill > 0, qt.IsTrue)
-	c.Check(scheduler.InFlightChanges(false), qt.HasLen, 0)
-	c.Check(scheduler.InFlightChanges(true), qt.HasLen, 1)
+	c.Check(scheduler.TakeInFlightLoads(ChangedServers), qt.HasLen, 0)
+	c.Check(scheduler.TakeInFlightLoads(AllServers), qt.HasLen, 1)
 	scheduler.Done(11*second, call, Served)
-	c.Check(scheduler.InFlightChanges(false), qt.DeepEquals, []InFlightLoad{{call.Server.ID, 0, 0}})
+	c.Check(scheduler.TakeInFlightLoads(ChangedServers), qt.DeepEquals, []InFlightLoad{{call.Server.ID, 0, 0}})
 }
 
 // TestUncachedPromptsGoToTheShorterQueue: where no server caches the shared prefix, the first rank has no
@@ -78,7 +78,7 @@
 	busy := []InFlightLoad{{Server: order[0], Prefill: second, Calls: 1}}
 	know := func(scheduler *Scheduler) {
 		scheduler.MarkFleetStart(10 * second)
-		scheduler.SetPeerLoad(10*second, busy, true)
+		scheduler.SetPeerLoad(10*second, busy, AllServers)
 	}
 	seen := destinations(10*second, r, Prefill, know)
 	c.Check(seen, qt.DeepEquals, map[string]int{order[1]: 200})
--- a/internal/router/scheduler/prefix_affinity_test.go
+++ b/internal/router/scheduler/prefix_affinity_test.go
@@ -159,7 +159,7 @@
 func syncedScheduler(prefillServers, decodeServers int) *Scheduler {
 	scheduler := warmScheduler(1, prefillServers, decodeServers)
 	scheduler.MarkFleetStart(10 * second)
-	scheduler.SetPeerLoad(10*second, nil, true)
+	scheduler.SetPeerLoad(10*second, nil, AllServers)
 	return scheduler
 }
 
--- a/internal/router/scheduler/prefix_exchange_test.go
+++ b/internal/router/scheduler/prefix_exchange_test.go
@@ -27,13 +27,13 @@
 	scheduler := warmScheduler(1, 7, 11)
 	c.Check(scheduler.prefixesKnown(10*second), qt.IsFalse, qt.Commentf("started after others"))
 	scheduler.MarkFleetStart(10 * second)
-	scheduler.SetPeerLoad(11*second, nil, true)
+	scheduler.SetPeerLoad(11*second, nil, AllServers)
 	c.Check(scheduler.prefixesKnown(11*second), qt.IsTrue)
-	scheduler.SetPeerLoad(11*second+2*peerLoadTTL, nil, true)
+	scheduler.SetPeerLoad(11*second+2*peerLoadTTL, nil, AllServers)
 	c.Check(scheduler.prefixesKnown(11*second+2*peerLoadTTL), qt.IsFalse)
 	late := 11*second + 2*peerLoadTTL + prefixCatchUpTime
 	for now := 11*second + 2*peerLoadTTL; now <= late; now += peerLoadTTL {
-		scheduler.SetPeerLoad(now, nil, false)
+		scheduler.SetPeerLoad(now, nil, ChangedServers)
 	}
 	c.Check(scheduler.prefixesKnown(late), qt.IsTrue)
 }
--- a/internal/simulation/routersim/peer_exchange.go
+++ b/internal/simulation/routersim/peer_exchange.go
@@ -11,13 +11,15 @@
 
 // inFlightPeer is a policy that takes what the other proxies have in flight.
 type inFlightPeer interface {
-	InFlightChanges(all bool) []scheduler.InFlightLoad
-	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, full bool)
+	TakeInFlightLoads(scope scheduler.LoadScope) []scheduler.InFlightLoad
+	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, scope scheduler.LoadScope)
 	TakeNewPrefixes() []scheduler.CachedPrefixes
 	AddCachedPrefixes(added []scheduler.CachedPrefixes)
 	MarkFleetStart(now time.Duration)
 }
 
+var _ inFlightPeer = (*scheduler.Scheduler)(nil)
+
 // loadObserver is a policy that takes the loads that servers reported to other proxies.
 type loadObserver interface {
 	ObserveLoadAt(at time.Duration, server string, load scheduler.Load)
@@ -64,7 +66,7 @@
 			return
 		}
 		ownLoads[i], newPrefixes[i] = map[string]scheduler.InFlightLoad{}, peer.TakeNewPrefixes()
-		for _, load := range peer.InFlightChanges(true) {
+		for _, load := range peer.TakeInFlightLoads(scheduler.AllServers) {
 			ownLoads[i][load.Server] = load
 			sums[load.Server] = addScaled(sums[load.Server], load, 1)
 		}
@@ -72,7 +74,7 @@
 	f.clock.after(f.scenario.PeerLoadDelay, func() {
 		for i, p := range f.proxies {
 			peer := p.policy.(inFlightPeer)
-			peer.SetPeerLoad(f.clock.now, loadsOfOthers(sums, ownLoads[i]), true)
+			peer.SetPeerLoad(f.clock.now, loadsOfOthers(sums, ownLoads[i]), scheduler.AllServers)
 			for j, prefixes := range newPrefixes {
 				if j != i {
 					peer.AddCachedPrefixes(prefixes)
