--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"maps"
 	"math"
 	"os"
 	"path/filepath"
@@ -105,20 +104,6 @@
 	}
 }
 
-// Every key of a scenario has a description, and every description a key.
-func TestKeysAreDescribed(t *testing.T) {
-	described := maps.Clone(keyDescriptions)
-	for _, field := range schema().Fields {
-		if described[field.Path] == "" {
-			t.Errorf("%s has no description", field.Path)
-		}
-		delete(described, field.Path)
-	}
-	for path := range described {
-		t.Errorf("%s is described and no key", path)
-	}
-}
-
 // A result file that is truncated at any byte retains the days that had ended, and the same experiment
 // continues to the same result; another experiment doesn't touch it.
 func TestTruncatedSweepIsContinued(t *testing.T) {
--- a/internal/simulation/proxysim/scenario.go
+++ b/internal/simulation/proxysim/scenario.go
@@ -5,24 +5,28 @@
 // Scenario is the input of a simulation. Its tags are the schema of scenario files (package settingsfile):
 // key is what a file calls a field, default what the field is without the key (one without a default must be
 // set), and min, max, enum and form bound what the key may be. Keys stay as existing files have them, where
-// fields have clearer names; package experiment reads the files and describes the keys to their authors.
+// fields have clearer names.
+//
+// The first paragraph of the comment on a field describes the key to the authors of scenario files; further
+// ones are for readers of the code. It begins with the key and ends in a period. Package experiment reads the
+// files and has the descriptions in its descriptions.go, which a test there writes and checks.
 //
 // A scenario that is built in code is taken as it is, without defaults or bounds. Work is the time that a
 // request takes on a core of speed 1.
 type Scenario struct {
-	// Name is what the scenario is called in results.
+	// name: what it is called in results.
 	Name string `key:"name" default:"scenario"`
-	// Duration is how long requests arrive.
+	// duration: arrivals last for so long.
 	Duration time.Duration `key:"duration" default:"60s" min:"1ms" max:"10000h"`
-	// WarmUp is how long arrivals are not counted at first.
+	// warm_up: what arrives before this is not counted.
 	WarmUp time.Duration `key:"warm_up" default:"1s" min:"0s" max:"10000h"`
-	// WarmUpRequests is how many of the first requests are not counted either.
+	// warm_up_requests: the first so many are not counted either.
 	WarmUpRequests int `key:"warm_up_requests" default:"0" min:"0" max:"1000000000"`
-	// Requests is the number of requests after which arrivals end before Duration; 0 for no limit.
+	// requests: arrivals end after so many; 0 is no such end.
 	Requests int `key:"requests" default:"0" min:"0" max:"1000000000"`
-	// MaxInFlight is the number of requests in flight beyond which the run ends with a warning.
+	// most_held: most requests held at once; beyond it the day ends and says so.
 	MaxInFlight int `key:"most_held" default:"2000000" min:"10" max:"100000000"`
-	// Halls are the failure domains, in which servers and proxies stand in turn.
+	// halls: halls, in the order that numbers them.
 	Halls []string `key:"halls" default:"hall"`
 
 	Servers   Servers   `key:"servers"`
@@ -42,112 +46,125 @@
 
 // Servers are what all zone servers have in common.
 type Servers struct {
-	// Count is the number of servers at the start.
+	// count: how many there are.
 	Count int `key:"count" default:"10" min:"1" max:"100000"`
-	// Cores is the number of cores of a server in a scenario without Kinds.
+	// cores: cores of each, where no [[kind]] says otherwise.
 	Cores int `key:"cores" default:"1" min:"1" max:"1024"`
-	// QueueLimit is the number of waiting jobs at which a server rejects further ones; 0 for no limit.
+	// waiting: places to wait in; what finds them full is turned away unseen; 0 is no bound.
 	QueueLimit int `key:"waiting" default:"0" min:"0" max:"100000000"`
-	// MaxConns is the number of open connections at which a server refuses further ones; 0 for no limit.
+	// connections: connections open at once; 0 is no bound.
 	MaxConns int `key:"connections" default:"0" min:"0" max:"100000000"`
-	// HandshakeWork is the work of a new connection, added to that of its first request.
+	// handshake: work that a new connection costs.
 	HandshakeWork time.Duration `key:"handshake" default:"0s" min:"0s" max:"1m"`
-	// DropsAbandoned has a server drop waiting jobs whose attempt has been given up.
+	// drops_waiting: waiting work of a request that was given up is dropped.
 	DropsAbandoned bool `key:"drops_waiting" default:"false"`
 
-	// ChokeQueue is the number of waiting jobs per core above which a server is overloaded; 0 for never.
+	// crowded: more than this many waiting a core, for choke_after, and it chokes; 0 never.
 	ChokeQueue float64 `key:"crowded" default:"0" min:"0" max:"1000000"`
-	// ChokeAfter is how long a server is overloaded before it chokes.
+	// choke_after: crowded for so long.
 	ChokeAfter time.Duration `key:"choke_after" default:"2s" min:"0s" max:"1h"`
-	// ChokeFactor is how many times as long a job takes that starts on a choked server.
+	// choke_slower: a choked server is so many times slower.
 	ChokeFactor float64 `key:"choke_slower" default:"2.8" min:"1" max:"1000"`
-	// ChokeIdle is how long at least half of a choked server's cores are idle before it recovers.
+	// choke_idle: until it was mostly idle for so long.
+	//
+	// It recovers once at least half of its cores have been idle for this long.
 	ChokeIdle time.Duration `key:"choke_idle" default:"3.7s" min:"0s" max:"1h"`
-	// MaxChoke is how long a server chokes at most.
+	// choke_for: or for so long in all.
 	MaxChoke time.Duration `key:"choke_for" default:"25s" min:"0s" max:"1h"`
 
-	// SlowStartMin is the fraction of its capacity that a server starts with; 1 for no slow start.
+	// cold_start: part of its capacity that a server starts with; 1 is warm at once.
 	SlowStartMin float64 `key:"cold_start" default:"1" min:"0.001" max:"1"`
-	// SlowStartWindow is the time from a server's start to its full capacity, to which it rises linearly.
+	// cold_for: warm after this.
+	//
+	// The capacity rises linearly until then.
 	SlowStartWindow time.Duration `key:"cold_for" default:"23s" min:"0s" max:"1h"`
 
-	// WarmKeyTTL is how long a key stays warm at a server after its last request; 0 for never warm.
+	// warm_keys_for: a key met within this time is warm; 0 is no memory.
 	WarmKeyTTL time.Duration `key:"warm_keys_for" default:"0s" min:"0s" max:"1h"`
-	// WarmKeyWork is the fraction of its work that a request for a warm key takes.
+	// warm_part: part of the work that a warm key needs.
 	WarmKeyWork float64 `key:"warm_part" default:"0.5" min:"0.001" max:"1"`
-	// MaxWarmKeys is the number of keys that a server remembers.
+	// warm_most: keys that a server remembers.
 	MaxWarmKeys int `key:"warm_most" default:"64" min:"1" max:"100000000"`
 }
 
 // Kind is a hardware kind of servers. The speed of each server is drawn uniformly from MinSpeed to MaxSpeed,
 // the same for every policy.
 type Kind struct {
+	// name: its name.
 	Name string `key:"name" form:"name"`
-	// Fraction is the fraction of the servers that are of this kind.
+	// share: part of the servers.
 	Fraction float64 `key:"share" min:"0" max:"1"`
-	// Cores is the number of cores of a server.
+	// cores: cores.
 	Cores int `key:"cores" default:"2" min:"1" max:"1024"`
-	// MinSpeed is the lowest speed of a core; 1 is the reference.
+	// slowest: least speed of a core; 1 is the yardstick.
 	MinSpeed float64 `key:"slowest" default:"1" min:"0.0001" max:"10000"`
-	// MaxSpeed is the highest speed of a core.
+	// fastest: highest speed of a core.
 	MaxSpeed float64 `key:"fastest" default:"1" min:"0.0001" max:"10000"`
 }
 
 // Load is the arrival process.
 type Load struct {
-	// Utilisation is the work that arrives as a fraction of the servers' capacity without warm keys, where Rate
-	// is 0.
+	// utilisation: part of what all servers can do, keys cold; used where rate is 0.
 	Utilisation float64 `key:"utilisation" default:"0.7" min:"0" max:"100"`
-	// Rate is the number of requests per second; 0 has Utilisation determine it.
+	// rate: requests a second.
+	//
+	// 0 has Utilisation determine it.
 	Rate float64 `key:"rate" default:"0" min:"0" max:"100000000"`
-	// Arrivals is the process: of single requests (poisson), or of bursts, each at one proxy (bursty).
+	// arrivals: how arrivals come: each by itself, or in bursts of a proxy.
+	//
+	// The requests of a burst all arrive at one proxy.
 	Arrivals string `key:"arrivals" default:"poisson" enum:"poisson|bursty"`
-	// Burst is the number of requests in a burst.
+	// burst: requests in a burst.
 	Burst float64 `key:"burst" default:"10" min:"1" max:"1000000"`
-	// BurstGap is the mean time between the requests of a burst, in mean service times; 0 for the proxy's mean
-	// time between requests over Burst.
+	// burst_gap: mean gap in a burst, in mean service times; 0: a proxy's own over the burst.
+	//
+	// With 0 it is the proxy's mean time between requests over Burst.
 	BurstGap float64 `key:"burst_gap" default:"0" min:"0" max:"1000000"`
-	// WorkDistribution is the distribution of the work of a class about its mean.
+	// work: how the work of a class varies about its mean.
 	WorkDistribution string `key:"work" default:"exponential" enum:"exponential|fixed|uniform|pareto"`
-	// WorkSpread is the half width of the uniform distribution, as a fraction of the mean.
+	// spread: for uniform: from 1-spread to 1+spread times the mean.
 	WorkSpread float64 `key:"spread" default:"0.3" min:"0" max:"1"`
-	// Keys is the number of distinct keys; 0 for requests without keys.
+	// keys: distinct keys; 0 is none.
 	Keys int `key:"keys" default:"0" min:"0" max:"100000000"`
-	// KeySkew is the exponent of the Zipf distribution of the keys.
+	// key_skew: exponent of their popularity.
+	//
+	// The distribution is Zipf's.
 	KeySkew float64 `key:"key_skew" default:"1.1" min:"1.01" max:"10"`
 }
 
 // Proxies are the instances of the client proxy.
 type Proxies struct {
-	// Count is the number of proxies.
+	// count: how many there are.
 	Count int `key:"count" default:"1" min:"1" max:"100000"`
-	// Skew is the exponent of the proxies' loads: the n-th proxy, from 1, has the weight n^-Skew.
+	// skew: 0: all carry alike; 1: the n-th carries 1/n of the first.
+	//
+	// The n-th proxy, from 1, has the weight n^-Skew.
 	Skew float64 `key:"skew" default:"0" min:"0" max:"10"`
 }
 
 // Clients is the behavior of callers.
 type Clients struct {
-	// MaxAttempts is the number of attempts that a client makes at its proxy, the first one included.
+	// tries: tries of a request in all.
 	MaxAttempts int `key:"tries" default:"1" min:"1" max:"100"`
-	// TimeoutFraction is the timeout of an attempt, as a fraction of its class's deadline.
+	// give_up: a try is given up after this part of the class's deadline.
 	TimeoutFraction float64 `key:"give_up" default:"1" min:"0.01" max:"1"`
-	// Backoff is the time before another attempt.
+	// wait: wait before another try.
 	Backoff time.Duration `key:"wait" default:"0s" min:"0s" max:"1h"`
-	// HonorRetryAfter is the fraction of the clients that wait for as long as Retry-After says.
+	// honour: part of the clients that wait as Retry-After says.
 	HonorRetryAfter float64 `key:"honour" default:"0" min:"0" max:"1"`
 }
 
 // Network is the latency between halls, and the timeouts of connections.
 type Network struct {
-	// WithinHall is the one-way latency within a hall.
+	// within: one way within a hall.
 	WithinHall time.Duration `key:"within" default:"0s" min:"0s" max:"1m"`
-	// AcrossHalls is the one-way latency between two halls.
+	// across: one way across halls.
 	AcrossHalls time.Duration `key:"across" default:"0s" min:"0s" max:"1m"`
-	// Jitter is the largest deviation of a latency, as a fraction of it, either way.
+	// jitter: varies by up to this part.
 	Jitter float64 `key:"jitter" default:"0" min:"0" max:"1"`
-	// DialTimeout is how long a proxy attempts to connect.
+	// dial: a connection that does not stand by then is given up.
 	DialTimeout time.Duration `key:"dial" default:"250ms" min:"0s" max:"1m"`
-	// IdleTimeout is how long an idle connection stays open.
+	// idle_close: an idle connection closes after this.
 	IdleTimeout time.Duration `key:"idle_close" default:"5s" min:"1ms" max:"1h"`
 }
 
@@ -174,90 +191,95 @@
 
 // Reports are how the servers' loads become known to the proxies.
 type Reports struct {
-	// Model is how: by probes, or as one of the models of stale load of Dahlin's paper.
+	// model: probe: as asked for; the others are those of the literature.
+	//
+	// The others are the models of stale load of Dahlin's paper.
 	Model string `key:"model" default:"probe" enum:"probe|fresh|periodic|continuous|on-access"`
-	// Delay is the age of the loads in the models of the paper, in mean service times. For on-access it is the
-	// mean time between requests of a proxy, which determines the number of proxies.
+	// delay: age in mean service times; on-access: of a proxy's view, sets their count.
+	//
+	// The model on-access has this as the mean time between requests of a proxy, which determines the number
+	// of proxies.
 	Delay float64 `key:"delay" default:"1" min:"0" max:"1000000"`
-	// DelaySpread is the distribution of the delay for continuous.
+	// spread: for continuous: how the delay varies.
 	DelaySpread string `key:"spread" default:"fixed" enum:"fixed|uniform|exponential"`
-	// Refresh is how often a server measures the load that it reports to probes.
+	// refresh: for probe: a server's figures are made anew so often.
 	Refresh time.Duration `key:"refresh" default:"100ms" min:"0s" max:"1h"`
-	// Noise is the largest error of a load reported to a probe, as a fraction of it, either way.
+	// noise: for probe: they are wrong by up to this part.
 	Noise float64 `key:"noise" default:"0" min:"0" max:"1"`
-	// ProbeWork is the work of answering a probe.
+	// cost: for probe: work that one costs the server.
 	ProbeWork time.Duration `key:"cost" default:"0s" min:"0s" max:"1m"`
 }
 
 // Discovery is the service that lists servers.
 type Discovery struct {
-	// Delay is the time from a change to its delivery.
+	// delay: a change is told after this.
 	Delay time.Duration `key:"delay" default:"0s" min:"0s" max:"1h"`
-	// ServiceTime is the time of a call; calls are handled one after the other.
+	// service: time that a call takes, one after the other.
 	ServiceTime time.Duration `key:"service" default:"0s" min:"0s" max:"1m"`
-	// MaxWait is the wait beyond which a call fails; 0 for no limit.
+	// longest_wait: a call that would wait longer fails; 0 never.
 	MaxWait time.Duration `key:"longest_wait" default:"0s" min:"0s" max:"1h"`
-	// RegistryInterval is the longest time that a proxy may go without a call or a watch.
+	// ask_within: proxies must ask or watch at least so often.
 	RegistryInterval time.Duration `key:"ask_within" default:"10s" min:"0s" max:"1h"`
 }
 
 // Rules are the parameters of the checked rules.
 type Rules struct {
-	// AnswerGrace is how long after its deadline a request may still be answered.
+	// slack: how long after its client's deadline an answer counts.
 	AnswerGrace time.Duration `key:"slack" default:"20ms" min:"0s" max:"1m"`
-	// DrainGrace is how long a proxy may go on sending to a server after the news that it drains or is gone.
+	// grace: nothing goes to a draining or gone server later than this after it was told.
 	DrainGrace time.Duration `key:"grace" default:"1500ms" min:"0s" max:"1h"`
-	// CollapseFactor is the multiple of its capacity in work that a server in slow start collapses beyond; 0
-	// for never.
+	// fall_multiple: a cold server sent more than this multiple of its capacity falls over; 0 never.
 	CollapseFactor float64 `key:"fall_multiple" default:"0" min:"0" max:"1000000"`
-	// CollapseAfter is the window over which that work is summed.
+	// fall_after: sent so for this long.
 	CollapseAfter time.Duration `key:"fall_after" default:"1500ms" min:"1ms" max:"1h"`
-	// MaxAttempts is the number of attempts that a proxy may make for a request.
+	// attempts: attempts for a request.
 	MaxAttempts int `key:"attempts" default:"3" min:"1" max:"100"`
 }
 
 // Prices are the deductions from the service, as the task states them. Each is that of the case named here,
 // and in proportion for less or more.
 type Prices struct {
-	// CrossHall is for one attempt per request in another hall.
+	// cross_hall: each request crossing halls once.
 	CrossHall float64 `key:"cross_hall" default:"0" min:"0" max:"1"`
-	// Handshake is for one new connection per request.
+	// handshake: a new connection for each request.
 	Handshake float64 `key:"handshake" default:"0" min:"0" max:"1"`
-	// Probe is for one probe per request.
+	// probe: one probe a request.
 	Probe float64 `key:"probe" default:"0" min:"0" max:"1"`
-	// Waste is for as much wasted work as was asked for.
+	// waste: as much work wasted as was asked for.
 	Waste float64 `key:"waste" default:"0" min:"0" max:"1"`
-	// LateFail is for all requests ending after their latency targets.
+	// late_fail: all failing only after the wanted time.
 	LateFail float64 `key:"late_fail" default:"0" min:"0" max:"1"`
-	// Choke is for all servers having choked.
+	// choke: all servers choking.
 	Choke float64 `key:"choke" default:"0" min:"0" max:"1"`
-	// OverQuotaValue is the fraction of its value that a request beyond its tenant's quota has.
+	// over_share: worth of a request beyond its tenant's share.
 	OverQuotaValue float64 `key:"over_share" default:"0.1" min:"0" max:"1"`
 }
 
 // Class is a request class.
 type Class struct {
+	// name: its name.
 	Name string `key:"name" form:"name"`
-	// Fraction is the fraction of the requests that are of this class.
+	// share: part of the requests.
 	Fraction float64 `key:"share" default:"1" min:"0" max:"1"`
-	// Work is the mean work of a request.
+	// work: mean work, on a core of speed 1.
 	Work time.Duration `key:"work" min:"1us" max:"1h"`
-	// LatencyTarget is the time within which an answer has its full value; 0 for none.
+	// aim: wanted within; 0 is no aim.
 	LatencyTarget time.Duration `key:"aim" default:"0s" min:"0s" max:"10000h"`
-	// Deadline is the time after which the client gives up; 0 for never.
+	// deadline: given up after; 0 never.
 	Deadline time.Duration `key:"deadline" default:"0s" min:"0s" max:"10000h"`
-	// Value is the value of an answer within the latency target.
+	// worth: worth of one served within its aim.
 	Value float64 `key:"worth" default:"1" min:"0" max:"1000000"`
-	// AtMostOnce requires that a request never begins to run twice.
+	// never_twice: must not run twice.
 	AtMostOnce bool `key:"never_twice" default:"false"`
 }
 
 // Tenant is a tenant with its quota.
 type Tenant struct {
+	// name: its name.
 	Name string `key:"name" form:"name"`
-	// Fraction is the fraction of the requests that are this tenant's.
+	// share: part of the requests.
 	Fraction float64 `key:"share" min:"0" max:"1"`
-	// Quota is the number of requests per second that have their full value; 0 for no limit.
+	// quota: requests a second within its share; 0 is no bound.
 	Quota float64 `key:"quota" default:"0" min:"0" max:"100000000"`
 }
 
@@ -274,26 +296,26 @@
 
 // Fault is an injected fault.
 type Fault struct {
-	// Type is one of the types of faults.
+	// what: what.
+	//
+	// It is one of the types of faults.
 	Type string `key:"what" enum:"burst|pauses|hall_loss|shrink|discovery_stale|rolling|crash"`
-	// At is when the fault begins.
+	// at: from then on.
 	At time.Duration `key:"at" min:"0s" max:"10000h"`
-	// Duration is how long it lasts.
+	// for: for so long.
 	Duration time.Duration `key:"for" default:"0s" min:"0s" max:"10000h"`
-	// Size is the factor on the arrival rate for burst, and the fraction of the servers that are affected for
-	// pauses, shrink and rolling.
+	// size: burst: times the usual load; pauses, shrink, rolling: part of the servers.
 	Size float64 `key:"size" default:"0.3" min:"0" max:"1000"`
-	// PauseDuration is the length of each of the pauses.
+	// pause: pauses: how long each is.
 	PauseDuration time.Duration `key:"pause" default:"200ms" min:"0s" max:"1h"`
-	// Interval is the time between two rounds of pauses, and the time that a server drains for shrink and
-	// rolling.
+	// every: pauses: a round each so often; shrink, rolling: time to drain.
 	Interval time.Duration `key:"every" default:"2s" min:"1ms" max:"1h"`
-	// Hall is the hall of hall_loss.
+	// hall: hall_loss: which hall.
 	Hall string `key:"hall" default:""`
-	// Unresponsive has the servers of hall_loss answer nothing; otherwise their processes end.
+	// silent: hall_loss: nothing is answered, rather than processes dying.
 	Unresponsive bool `key:"silent" default:"false"`
-	// Proxies has hall_loss end the hall's proxies, too.
+	// proxies: hall_loss: its proxies are lost too.
 	Proxies bool `key:"proxies" default:"false"`
-	// Lag is the further delay of discovery for discovery_stale.
+	// behind: discovery_stale: further behind by.
 	Lag time.Duration `key:"behind" default:"5s" min:"0s" max:"1h"`
 }
