--- a/internal/simulation/labcli/compare.go
+++ b/internal/simulation/labcli/compare.go
@@ -31,8 +31,8 @@
 				return cli.UsageErrorf("--policy names %d, two or more are wanted", len(header.Policies))
 			}
 			for _, metric := range metrics {
-				if !experiment.KnownMetric(metric) {
-					return cli.UsageErrorf("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
+				if err := checkMetric(metric); err != nil {
+					return err
 				}
 			}
 			store, err := flags.play(c, header)
@@ -48,6 +48,14 @@
 	return c
 }
 
+// checkMetric returns what is wrong with a value of --metric.
+func checkMetric(metric string) error {
+	if !experiment.KnownMetric(metric) {
+		return cli.UsageErrorf("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
+	}
+	return nil
+}
+
 // newDifference is the command difference.
 func newDifference() *cobra.Command {
 	var metric string
@@ -57,8 +65,8 @@
 		Example: "  cresshub-lab difference before.jsonl after.jsonl --metric service",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			if !experiment.KnownMetric(metric) {
-				return cli.UsageErrorf("--metric %q is none of %s", metric, strings.Join(experiment.MetricNames(), ", "))
+			if err := checkMetric(metric); err != nil {
+				return err
 			}
 			before, err := experiment.Read(args[0])
 			if err != nil {
@@ -82,48 +90,62 @@
 	return c
 }
 
-// printCompare prints the paired differences of all policies from the first one.
-func printCompare(w io.Writer, store *experiment.Store, metrics []string, asJSON bool) error {
-	type row struct {
-		A       string   `json:"a"`
-		B       string   `json:"b"`
-		Metric  string   `json:"metric"`
-		Diff    float64  `json:"b_less_a"`
-		Half    *float64 `json:"ci95"` // null for a single day
-		Noise   bool     `json:"noise"`
-		Repeats int      `json:"repeats_to_settle"`
-	}
-	rows := []row{}
+// comparison is the paired difference of a policy from the first one, in one metric.
+type comparison struct {
+	First   string   `json:"a"`
+	Other   string   `json:"b"`
+	Metric  string   `json:"metric"`
+	Mean    float64  `json:"b_less_a"`
+	Half    *float64 `json:"ci95"` // half width of the interval; null for a single day
+	Noise   bool     `json:"noise"`
+	Repeats int      `json:"repeats_to_settle"`
+}
+
+// comparisons returns the paired differences of all policies from the first one.
+func comparisons(store *experiment.Store, metrics []string) []comparison {
+	compared := []comparison{}
 	cells := store.Cells()
+	first := cells[0]
 	for _, other := range cells[1:] {
 		for _, metric := range metrics {
-			difference := experiment.Paired(cells[0].Figures(metric), other.Figures(metric))
-			r := row{cells[0].Policy, other.Policy, metric, difference.Mean, nil, difference.Noise, difference.Repeats}
+			difference := experiment.Paired(first.Figures(metric), other.Figures(metric))
+			c := comparison{First: first.Policy, Other: other.Policy, Metric: metric, Mean: difference.Mean,
+				Noise: difference.Noise, Repeats: difference.Repeats}
 			if !math.IsNaN(difference.Half) {
-				r.Half = &difference.Half
+				c.Half = &difference.Half
 			}
-			rows = append(rows, r)
+			compared = append(compared, c)
 		}
 	}
+	return compared
+}
+
+// verdict says what the difference means.
+func (c *comparison) verdict() string {
+	switch {
+	case c.Half == nil:
+		return "one day tells nothing; repeat"
+	case c.Noise && c.Repeats > 0:
+		return fmt.Sprintf("noise; about %d days would settle a difference of this size", c.Repeats)
+	case c.Noise:
+		return "no difference"
+	}
+	return "a difference"
+}
+
+// printCompare prints the paired differences of all policies from the first one.
+func printCompare(w io.Writer, store *experiment.Store, metrics []string, asJSON bool) error {
+	compared := comparisons(store, metrics)
 	if asJSON {
-		return json.NewEncoder(w).Encode(rows)
+		return json.NewEncoder(w).Encode(compared)
 	}
 	t := &table{w: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
-	for _, r := range rows {
-		verdict := "a difference"
-		switch {
-		case r.Half == nil:
-			verdict = "one day tells nothing; repeat"
-		case r.Noise && r.Repeats > 0:
-			verdict = fmt.Sprintf("noise; about %d days would settle a difference of this size", r.Repeats)
-		case r.Noise:
-			verdict = "no difference"
-		}
+	for _, c := range compared {
 		half := math.NaN()
-		if r.Half != nil {
-			half = *r.Half
+		if c.Half != nil {
+			half = *c.Half
 		}
-		t.row("%s less %s\t%s\t%.4g\t±%.2g\t%s", r.B, r.A, r.Metric, r.Diff, half, verdict)
+		t.row("%s less %s\t%s\t%.4g\t±%.2g\t%s", c.Other, c.First, c.Metric, c.Mean, half, c.verdict())
 	}
 	return t.flush()
 }
--- a/internal/simulation/labcli/labcli.go
+++ b/internal/simulation/labcli/labcli.go
@@ -31,6 +31,9 @@
 	return cli.Execute(root, args, stdout, stderr)
 }
 
+// maxRepeat is the most days for each policy.
+const maxRepeat = 10000
+
 // playFlags are the flags of the commands that run days.
 type playFlags struct {
 	policies []string
@@ -74,8 +77,8 @@
 			return header, cli.UsageErrorf("--policy %q is none of %s", policy, strings.Join(proxysim.Policies, ", "))
 		}
 	}
-	if o.repeat < 1 || o.repeat > 10000 {
-		return header, cli.UsageErrorf("--repeat %d is out of range, 1 to 10000 is allowed", o.repeat)
+	if o.repeat < 1 || o.repeat > maxRepeat {
+		return header, cli.UsageErrorf("--repeat %d is out of range, 1 to %d is allowed", o.repeat, maxRepeat)
 	}
 	var err error
 	if header.Set, err = parseSet(o.set); err != nil {
--- a/internal/simulation/labcli/load.go
+++ b/internal/simulation/labcli/load.go
@@ -16,6 +16,12 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
+// Bounds of the flags of load.
+const (
+	maxLoadRate = 20000 // requests per second
+	maxLoadTime = time.Hour
+)
+
 // loadFlags are the flags of the command load.
 type loadFlags struct {
 	options  proxystandin.LoadOptions
@@ -66,9 +72,10 @@
 		return cli.UsageErrorf("%s is not on this machine; --anywhere allows it", host)
 	}
 	rate := l.options.Rate
-	if !(rate > 0 && rate <= 20000) || l.duration <= 0 || l.duration > time.Hour || l.unsafe < 0 ||
+	if !(rate > 0 && rate <= maxLoadRate) || l.duration <= 0 || l.duration > maxLoadTime || l.unsafe < 0 ||
 		l.unsafe > 1 {
-		return cli.UsageErrorf("--rate above 0 to 20000, --for above 0 to 1h and --unsafe 0 to 1 are allowed")
+		return cli.UsageErrorf("--rate above 0 to %d, --for above 0 to 1h and --unsafe 0 to 1 are allowed",
+			maxLoadRate)
 	}
 	return nil
 }
@@ -84,13 +91,7 @@
 	load.Run(ctx)
 	t := load.Tally().Totals()
 	if l.json {
-		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-		return json.NewEncoder(w).Encode(map[string]any{"offered": t.Offered,
-			"served": t.ByKind[proxystandin.Served], "served_in_time": t.InTime,
-			"refused": t.ByKind[proxystandin.Refused], "failed": t.ByKind[proxystandin.Failed],
-			"no_answer": t.ByKind[proxystandin.NoAnswer], "unreachable": t.ByKind[proxystandin.Unreachable],
-			"not_sent": t.ByKind[proxystandin.NotSent], "p50_ms": ms(t.P50), "p99_ms": ms(t.P99),
-			"max_ms": ms(t.Max), "load_lag_ms": ms(t.Lag)})
+		return json.NewEncoder(w).Encode(newLoadReport(&t))
 	}
 	_, err := fmt.Fprintf(w,
 		"offered %d, served %d (%d in time), refused %d, failed %d, no answer %d, p50 %s, p99 %s\n", t.Offered,
@@ -99,6 +100,38 @@
 	return err
 }
 
+// loadReport is what load prints as JSON. Times are in milliseconds.
+type loadReport struct {
+	Failed       int     `json:"failed"`
+	Lag          float64 `json:"load_lag_ms"` // by which requests were sent late
+	Max          float64 `json:"max_ms"`
+	NoAnswer     int     `json:"no_answer"`
+	NotSent      int     `json:"not_sent"`
+	Offered      int     `json:"offered"`
+	P50          float64 `json:"p50_ms"`
+	P99          float64 `json:"p99_ms"`
+	Refused      int     `json:"refused"`
+	Served       int     `json:"served"`
+	ServedInTime int     `json:"served_in_time"`
+	Unreachable  int     `json:"unreachable"`
+}
+
+func newLoadReport(totals *proxystandin.Totals) loadReport {
+	return loadReport{
+		Failed: totals.ByKind[proxystandin.Failed], Lag: milliseconds(totals.Lag), Max: milliseconds(totals.Max),
+		NoAnswer: totals.ByKind[proxystandin.NoAnswer], NotSent: totals.ByKind[proxystandin.NotSent],
+		Offered: totals.Offered, P50: milliseconds(totals.P50), P99: milliseconds(totals.P99),
+		Refused: totals.ByKind[proxystandin.Refused], Served: totals.ByKind[proxystandin.Served],
+		ServedInTime: totals.InTime, Unreachable: totals.ByKind[proxystandin.Unreachable],
+	}
+}
+
+// milliseconds returns a time in ms, to the microsecond.
+func milliseconds(d time.Duration) float64 {
+	const usPerMillisecond = 1000
+	return float64(d.Microseconds()) / usPerMillisecond
+}
+
 // loadClasses are the classes of the load, of which a fraction must not run twice.
 func loadClasses(unsafe float64) []proxystandin.LoadClass {
 	return []proxystandin.LoadClass{
--- a/internal/simulation/labcli/rig.go
+++ b/internal/simulation/labcli/rig.go
@@ -164,6 +164,13 @@
 	return path, nil
 }
 
+// Bounds of the flags of rig ledger.
+const (
+	maxLedgerRate    = 1_000_000 // answers per second
+	maxLedgerTime    = time.Hour
+	maxLedgerEntries = 10_000_000
+)
+
 // newRigLedger is the command rig ledger.
 func newRigLedger() *cobra.Command {
 	var o clusterrig.MeasureOptions
@@ -172,9 +179,10 @@
 		Use: "ledger", Short: "Measure the ledger's replicas on this machine's disk: commits, entries, catching up",
 		Example: "  cresshub rig ledger --rate 20000 --for 20s --entries 1000000", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if o.Rate < 1 || o.Rate > 1_000_000 || o.For <= 0 || o.For > time.Hour || o.Entries < 0 ||
-				o.Entries > 10_000_000 {
-				return cli.UsageErrorf("--rate 1 to 1000000, --for up to 1h and --entries 0 to 10000000 are allowed")
+			if o.Rate < 1 || o.Rate > maxLedgerRate || o.For <= 0 || o.For > maxLedgerTime || o.Entries < 0 ||
+				o.Entries > maxLedgerEntries {
+				return cli.UsageErrorf("--rate 1 to %d, --for up to 1h and --entries 0 to %d are allowed",
+					maxLedgerRate, maxLedgerEntries)
 			}
 			dir, err := os.MkdirTemp(o.Dir, "cresshub-ledger-")
 			if err != nil {
--- a/internal/simulation/labcli/rigtrials.go
+++ b/internal/simulation/labcli/rigtrials.go
@@ -15,6 +15,18 @@
 	"cresshub/internal/testbed/clusterrig"
 )
 
+// Bounds of the flags of the trials with processes.
+const (
+	minRigMembers   = 3
+	maxRigMembers   = 30
+	minOwnerMembers = 4
+	maxOwnerFaults  = 10_000
+	maxStormMembers = 48
+	maxSoakClients  = 256
+	minSoakInterval = time.Second
+	maxSoakTime     = 24 * time.Hour
+)
+
 // rigFlags are the flags of every trial with processes.
 type rigFlags struct {
 	program string
@@ -59,9 +71,10 @@
 		Use: "owner", Short: "Pause, cut off and kill owners of the fleet's chores; count what old ones still did",
 		Example: "  cresshub rig owner --pauses 50 --cuts 10 --kills 20", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if o.Members < 4 || o.Members > 30 || min(o.Pauses, o.Partitions, o.Kills) < 0 ||
-				o.Pauses+o.Partitions+o.Kills > 10_000 {
-				return cli.UsageErrorf("--members 4 to 30 and 10000 faults at most are allowed")
+			if o.Members < minOwnerMembers || o.Members > maxRigMembers ||
+				min(o.Pauses, o.Partitions, o.Kills) < 0 || o.Pauses+o.Partitions+o.Kills > maxOwnerFaults {
+				return cli.UsageErrorf("--members %d to %d and %d faults at most are allowed", minOwnerMembers,
+					maxRigMembers, maxOwnerFaults)
 			}
 			return rig.run(func(ctx context.Context, rigOptions clusterrig.Options) error {
 				t, err := clusterrig.RunOwnerTrial(ctx, rigOptions, o)
@@ -96,8 +109,8 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			var rows []*clusterrig.ListCalls
 			for _, count := range members {
-				if count < 3 || count > 30 {
-					return cli.UsageErrorf("--members 3 to 30 are allowed")
+				if count < minRigMembers || count > maxRigMembers {
+					return cli.UsageErrorf("--members %d to %d are allowed", minRigMembers, maxRigMembers)
 				}
 				for _, owned := range []bool{false, true} {
 					err := rig.run(func(ctx context.Context, o clusterrig.Options) error {
@@ -133,8 +146,8 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			var rows []*clusterrig.RestartStorm
 			for _, count := range members {
-				if count < 3 || count > 48 {
-					return cli.UsageErrorf("--members 3 to 48 are allowed")
+				if count < minRigMembers || count > maxStormMembers {
+					return cli.UsageErrorf("--members %d to %d are allowed", minRigMembers, maxStormMembers)
 				}
 				err := rig.run(func(ctx context.Context, o clusterrig.Options) error {
 					storm, err := clusterrig.RunRestartStorm(ctx, o, count)
@@ -173,9 +186,10 @@
 		Use: "soak", Short: "Run the ledger and the chores under a load; look at memory and disk as time passes",
 		Example: "  cresshub rig soak --for 30m --every 3m", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if members < 3 || members > 30 || clients < 1 || clients > 256 || interval < time.Second ||
-				duration < interval || duration > 24*time.Hour {
-				return cli.UsageErrorf("--members 3 to 30, --clients 1 to 256 and --every from 1s to --for are allowed")
+			if members < minRigMembers || members > maxRigMembers || clients < 1 || clients > maxSoakClients ||
+				interval < minSoakInterval || duration < interval || duration > maxSoakTime {
+				return cli.UsageErrorf("--members %d to %d, --clients 1 to %d and --every from 1s to --for are allowed",
+					minRigMembers, maxRigMembers, maxSoakClients)
 			}
 			return rig.run(func(ctx context.Context, o clusterrig.Options) error {
 				samples, err := clusterrig.Soak(ctx, o, members, clients, duration, interval)
--- a/internal/simulation/labcli/sweep.go
+++ b/internal/simulation/labcli/sweep.go
@@ -38,9 +38,9 @@
 				return err
 			}
 			if flags.json {
-				head, rows := store.Table(experiment.MetricNames())
-				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"header": store.Header, "head": head,
-					"rows": rows})
+				report := sweepReport{Header: store.Header}
+				report.Head, report.Rows = store.Table(experiment.MetricNames())
+				return json.NewEncoder(c.OutOrStdout()).Encode(report)
 			}
 			return printTable(c.OutOrStdout(), store)
 		},
@@ -50,6 +50,13 @@
 	return c
 }
 
+// sweepReport is what sweep prints as JSON: the experiment, and a table of all metrics.
+type sweepReport struct {
+	Head   []string          `json:"head"`
+	Header experiment.Header `json:"header"`
+	Rows   [][]string        `json:"rows"`
+}
+
 // parseAxes parses the values of the flag --over.
 func parseAxes(over []string) (axes []experiment.Axis, err error) {
 	if len(over) < 1 || len(over) > 2 {
--- a/internal/simulation/labcli/virtual.go
+++ b/internal/simulation/labcli/virtual.go
@@ -10,6 +10,13 @@
 	"cresshub/internal/simulation/proxysim"
 )
 
+// Bounds of the flags of swim and lists.
+const (
+	minMembers     = 3
+	maxMembers     = 10000
+	maxTrialRepeat = 1000
+)
+
 // swimFlags are the flags of the command swim.
 type swimFlags struct {
 	options proxysim.SWIMOptions
@@ -72,8 +79,9 @@
 	for _, trial := range s.trials {
 		for i, members := range s.members {
 			times := s.repeat[min(i, len(s.repeat)-1)]
-			if members < 3 || members > 10000 || times < 1 || times > 1000 {
-				return nil, cli.UsageErrorf("--members 3 to 10000 and --repeat 1 to 1000 are allowed")
+			if members < minMembers || members > maxMembers || times < 1 || times > maxTrialRepeat {
+				return nil, cli.UsageErrorf("--members %d to %d and --repeat 1 to %d are allowed", minMembers,
+					maxMembers, maxTrialRepeat)
 			}
 			s.options.Members = members
 			result, err := proxysim.RunSWIMTrial(trial, s.options, times)
@@ -129,8 +137,8 @@
 	var rows []proxysim.ListTrialResult
 	for _, trial := range l.trials {
 		for _, members := range l.members {
-			if members < 3 || members > 10000 {
-				return nil, cli.UsageErrorf("--members 3 to 10000 are allowed")
+			if members < minMembers || members > maxMembers {
+				return nil, cli.UsageErrorf("--members %d to %d are allowed", minMembers, maxMembers)
 			}
 			for _, owned := range []bool{false, true} {
 				l.options.Proxies, l.options.Owner = members, owned
--- a/internal/simulation/proxysim/attempts.go
+++ b/internal/simulation/proxysim/attempts.go
@@ -45,14 +45,16 @@
 	req.open++
 	token := req.attemptToken(number)
 	if req.answered || number >= s.scenario.Rules.MaxAttempts || deadline < s.now {
-		s.add(s.now, evAttemptEnd, requestIndex, int32(balance.Skipped), token)
+		s.add(s.now,
+			event{kind: evAttemptEnd, target: requestIndex, detail: int32(balance.Skipped), stamp: token})
 		return
 	}
 	s.monitor.checkSend(s, req, serverIndex, demand)
 	s.tally.countAttempt(s.proxies[req.proxy].hall != s.servers[serverIndex].hall)
 	conn := s.connect(req.proxy, serverIndex, deadline)
 	if conn.refused {
-		s.add(conn.at, evAttemptEnd, requestIndex, int32(balance.ConnRefused), token)
+		s.add(conn.at,
+			event{kind: evAttemptEnd, target: requestIndex, detail: int32(balance.ConnRefused), stamp: token})
 		return
 	}
 	req.attempts[number].hasConn = true
@@ -63,9 +65,10 @@
 	})
 	req.attempts[number].job = jobIndex
 	req.jobs++
-	s.add(conn.at, evServerArrival, jobIndex, 0, 0)
+	s.add(conn.at, event{kind: evServerArrival, target: jobIndex})
 	if s.scenario.Classes[demand.class].Deadline > 0 || timeout > 0 {
-		s.add(deadline, evAttemptEnd, requestIndex, int32(balance.TimedOut), token)
+		s.add(deadline,
+			event{kind: evAttemptEnd, target: requestIndex, detail: int32(balance.TimedOut), stamp: token})
 	}
 }
 
@@ -101,7 +104,9 @@
 func (s *Sim) cancelAttempt(requestIndex int32, number int) {
 	req := &s.requests[requestIndex]
 	if number < len(req.attempts) && req.attempts[number].open {
-		s.add(s.now, evAttemptEnd, requestIndex, int32(balance.Cancelled), req.attemptToken(number))
+		token := req.attemptToken(number)
+		s.add(s.now,
+			event{kind: evAttemptEnd, target: requestIndex, detail: int32(balance.Cancelled), stamp: token})
 	}
 }
 
--- a/internal/simulation/proxysim/baseline.go
+++ b/internal/simulation/proxysim/baseline.go
@@ -8,6 +8,12 @@
 	"cresshub/balance"
 )
 
+// unreachableWait is the wait at a server that serves nothing, longer than any other.
+const unreachableWait = 1e18
+
+// watchSpreadDivisor is the registry interval over the time in which the proxies make their first calls.
+const watchSpreadDivisor = 5
+
 // maxDraws is how often a policy draws a server for one attempt until it finds one that was not attempted.
 const maxDraws = 4
 
@@ -69,8 +75,9 @@
 	}
 	if kind == balance.ListCached && !b.following {
 		b.following = true
-		acts = append(acts, balance.Action{Kind: balance.SetTimer,
-			Wait: time.Duration(b.rng.Float64() * float64(b.sim.scenario.Discovery.RegistryInterval) / 5)})
+		interval := float64(b.sim.scenario.Discovery.RegistryInterval)
+		wait := time.Duration(b.rng.Float64() * interval / watchSpreadDivisor)
+		acts = append(acts, balance.Action{Kind: balance.SetTimer, Wait: wait})
 	}
 	if kind != balance.ListDelta {
 		b.up, b.rating = b.up[:0], b.rating[:0]
@@ -193,7 +200,7 @@
 func (b *baselinePolicy) trueWait(serverIndex int32) float64 {
 	srv := &b.sim.servers[serverIndex]
 	if !srv.up || srv.unresponsive || srv.draining || srv.collapsed {
-		return 1e18
+		return unreachableWait
 	}
 	speed := srv.speed * b.sim.slowStartFraction(srv)
 	if srv.choked {
--- a/internal/simulation/proxysim/board.go
+++ b/internal/simulation/proxysim/board.go
@@ -19,6 +19,13 @@
 	horizon      int64 // how far back the history must go
 }
 
+const (
+	// longestDelay is the delay of the exponential distribution that the history goes back to, in mean delays.
+	longestDelay = 20
+	// minHistory is how many entries a history has before its older half may be dropped.
+	minHistory = 256
+)
+
 // loadHistory is a server's load over time.
 type loadHistory struct {
 	at   []int64
@@ -37,7 +44,7 @@
 		b.history = make([]loadHistory, len(s.servers))
 		b.horizon = int64(b.delay) + 1
 		if s.scenario.Reports.DelaySpread != distributionFixed {
-			b.horizon = int64(20 * b.delay)
+			b.horizon = int64(longestDelay * b.delay)
 		}
 	case (b.model == reportsPeriodic || b.model == reportsProbe && s.policy != policyModule) && b.delay > 0:
 		b.refresh(s)
@@ -69,7 +76,7 @@
 	}
 	b.updates++
 	b.at = s.now
-	s.add(s.now+int64(b.delay), evBoardRefresh, 0, 0, 0)
+	s.add(s.now+int64(b.delay), event{kind: evBoardRefresh})
 }
 
 // readOnAccess has a proxy observe all loads as its request reaches a server; it decides by them the next
@@ -94,7 +101,7 @@
 		history.load[n-1] = load
 		return
 	}
-	if n := len(history.at); n > 256 && history.at[n/2] < s.now-b.horizon {
+	if n := len(history.at); n > minHistory && history.at[n/2] < s.now-b.horizon {
 		history.at = history.at[:copy(history.at, history.at[n/2:])]
 		history.load = history.load[:copy(history.load, history.load[n/2:])]
 	}
--- a/internal/simulation/proxysim/faults.go
+++ b/internal/simulation/proxysim/faults.go
@@ -6,45 +6,70 @@
 	"cresshub/balance"
 )
 
-// playFault handles an event of one of the scenario's faults. Stage 0 begins it; the meaning of later stages
-// and of detail depends on its type.
-func (s *Sim) playFault(faultIndex int, stage int32, detail uint64, options Options) {
+// The stages of a fault, as the details of its events.
+const (
+	faultBegins int32 = 0 // of pauses each round, of shrink and rolling each server
+	faultEnds   int32 = 1 // of shrink and rolling the end of a server
+)
+
+// playFault handles an event of one of the scenario's faults. For shrink and rolling, number is how many
+// servers were drained before (at faultBegins), or the server (at faultEnds).
+func (s *Sim) playFault(faultIndex, stage int32, number uint64, options Options) {
 	fault := &s.scenario.Faults[faultIndex]
-	later := func(delay time.Duration, stage int32, detail uint64) {
-		s.add(s.now+int64(delay), evFault, int32(faultIndex), stage, detail)
-	}
-	affected := func() int { return int(fault.Size*float64(s.scenario.Servers.Count) + 0.5) }
+	begins := stage == faultBegins
 	switch fault.Type {
-	case FaultBurst:
-		if s.burst = fault.Size; stage == 0 {
-			later(fault.Duration, 1, 0)
-		} else {
-			s.burst = 1
-		}
-	case FaultDiscoveryStale:
-		if s.registry.lag = int64(fault.Lag); stage == 0 {
-			later(fault.Duration, 1, 0)
+	case FaultPauses:
+		s.pauseServers(faultIndex)
+		return
+	case FaultShrink, FaultRolling:
+		if begins {
+			s.replaceNextServer(faultIndex, int(number))
 		} else {
-			s.registry.lag = 0
+			s.killServer(int32(number))
+			s.publishState(int32(number), balance.Removed)
 		}
-	case FaultPauses:
-		for _, serverIndex := range s.drawServers(affected()) {
-			s.servers[serverIndex].pausedUntil = s.now + int64(fault.PauseDuration)
-			for _, jobIndex := range s.servers[serverIndex].running {
-				s.jobs[jobIndex].doneAt += int64(fault.PauseDuration)
-			}
+		return
+	case FaultBurst:
+		s.burst = 1
+		if begins {
+			s.burst = fault.Size
 		}
-		if s.now+int64(fault.Interval) < int64(fault.At+fault.Duration) {
-			later(fault.Interval, 0, 0)
+	case FaultDiscoveryStale:
+		s.registry.lag = 0
+		if begins {
+			s.registry.lag = int64(fault.Lag)
 		}
-	case FaultCrash, FaultHallLoss:
-		if stage == 0 {
-			later(fault.Duration, 1, 0)
+	}
+	if begins {
+		s.scheduleFault(faultIndex, fault.Duration, faultEnds, 0)
+	}
+	if fault.Type == FaultCrash || fault.Type == FaultHallLoss {
+		s.loseServers(fault, begins)
+		s.loseProxies(fault, begins, options)
+	}
+}
+
+// scheduleFault queues the next event of a fault.
+func (s *Sim) scheduleFault(faultIndex int32, delay time.Duration, stage int32, number uint64) {
+	s.add(s.now+int64(delay), event{kind: evFault, target: faultIndex, detail: stage, stamp: number})
+}
+
+// affectedServers is the number of servers that a fault affects by its size.
+func (s *Sim) affectedServers(fault *Fault) int {
+	return int(fault.Size*float64(s.scenario.Servers.Count) + 0.5)
+}
+
+// pauseServers plays one round of pauses and schedules the next one.
+func (s *Sim) pauseServers(faultIndex int32) {
+	fault := &s.scenario.Faults[faultIndex]
+	for _, serverIndex := range s.drawServers(s.affectedServers(fault)) {
+		s.servers[serverIndex].pausedUntil = s.now + int64(fault.PauseDuration)
+		for _, jobIndex := range s.servers[serverIndex].running {
+			s.jobs[jobIndex].doneAt += int64(fault.PauseDuration)
 		}
-		s.loseServers(fault, stage == 0)
-		s.loseProxies(fault, stage == 0, options)
-	case FaultShrink, FaultRolling:
-		s.replaceServers(fault, stage, detail, affected(), later)
+	}
+	if s.now+int64(fault.Interval) < int64(fault.At+fault.Duration) {
+		s.scheduleFault(faultIndex, fault.Interval, faultBegins, 0)
 	}
 }
 
@@ -152,32 +177,32 @@
 	}
 }
 
-// replaceServers drains servers one after the other; a rolling replacement starts another for each.
-func (s *Sim) replaceServers(fault *Fault, stage int32, detail uint64, count int,
-	later func(time.Duration, int32, uint64)) {
-	switch stage {
-	case 0: // detail is how many servers were drained before
-		if detail >= uint64(count) {
-			return
-		}
-		drained := s.drawServers(1)
-		if len(drained) == 0 {
-			return
-		}
-		s.servers[drained[0]].draining = true
-		s.publishState(drained[0], balance.Draining)
-		later(fault.Interval, 1, uint64(drained[0]))
-		if fault.Type == FaultRolling && len(s.servers) < s.registry.maxServers {
-			old := s.servers[drained[0]]
-			s.servers = append(s.servers, server{kind: old.kind, hall: old.hall, cores: old.cores,
-				speed: old.speed, started: max(s.now, 1), up: true})
-			s.board.addServer(s)
-			s.publishState(int32(len(s.servers)-1), balance.Up)
-		}
-		later(fault.Duration/time.Duration(count), 0, detail+1)
-	case 1: // detail is the server that ends
-		serverIndex := int32(detail)
-		s.killServer(serverIndex)
-		s.publishState(serverIndex, balance.Removed)
+// replaceNextServer drains a server, after which another one of the fault is next; a rolling replacement
+// starts a new server for it.
+func (s *Sim) replaceNextServer(faultIndex int32, drainedBefore int) {
+	fault := &s.scenario.Faults[faultIndex]
+	count := s.affectedServers(fault)
+	if drainedBefore >= count {
+		return
 	}
+	drained := s.drawServers(1)
+	if len(drained) == 0 {
+		return
+	}
+	s.servers[drained[0]].draining = true
+	s.publishState(drained[0], balance.Draining)
+	s.scheduleFault(faultIndex, fault.Interval, faultEnds, uint64(drained[0]))
+	if fault.Type == FaultRolling && len(s.servers) < s.registry.maxServers {
+		s.startReplacement(drained[0])
+	}
+	s.scheduleFault(faultIndex, fault.Duration/time.Duration(count), faultBegins, uint64(drainedBefore+1))
+}
+
+// startReplacement starts a server of the same make as another one.
+func (s *Sim) startReplacement(serverIndex int32) {
+	old := &s.servers[serverIndex]
+	s.servers = append(s.servers, server{kind: old.kind, hall: old.hall, cores: old.cores,
+		speed: old.speed, started: max(s.now, 1), up: true})
+	s.board.addServer(s)
+	s.publishState(int32(len(s.servers)-1), balance.Up)
 }
--- a/internal/simulation/proxysim/idleconns.go
+++ b/internal/simulation/proxysim/idleconns.go
@@ -26,7 +26,8 @@
 	}
 	idle := s.idleConnsOf(proxyIndex, serverIndex)
 	idle.parkedAt = append(idle.parkedAt, s.now)
-	s.add(s.now+int64(s.scenario.Network.IdleTimeout), evIdleTimeout, proxyIndex, serverIndex, 0)
+	s.add(s.now+int64(s.scenario.Network.IdleTimeout),
+		event{kind: evIdleTimeout, target: proxyIndex, detail: serverIndex})
 }
 
 // closeIdleConns closes the connections whose idle timeout has passed.
--- a/internal/simulation/proxysim/kernel.go
+++ b/internal/simulation/proxysim/kernel.go
@@ -1,16 +1,26 @@
 package proxysim
 
-// event is an entry of the queue. What a, b and c mean is said at each kind. It holds no pointer, so that the
-// garbage collector doesn't scan the queue.
+// event is an entry of the queue. Each kind says what target, detail and stamp are; those that it does not
+// name are 0. An event holds no pointer, so that the garbage collector doesn't scan the queue.
 type event struct {
-	at   int64  // virtual time in ns
-	seq  uint64 // breaks ties by order of creation
-	c    uint64
-	a, b int32
-	kind uint8
+	at     int64  // virtual time in ns
+	seq    uint64 // breaks ties by order of creation
+	stamp  uint64 // mostly a number by which an event that came too late is told from a current one
+	target int32  // position of what the event happens to, in its table
+	detail int32
+	kind   uint8
 }
 
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e *event) before(other *event) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
+}
+
+// Units of virtual time and of work, in ns.
+const (
+	nsPerMicrosecond = 1_000
+	nsPerMillisecond = 1_000_000
+	nsPerSecond      = 1_000_000_000
+)
 
 // heapArity is the number of children of a node: four make fewer levels than two, and they share a cache line
 // or two.
@@ -34,10 +44,10 @@
 // Len is the number of queued events.
 func (k *Kernel) Len() int { return len(k.heap) }
 
-// add queues an event; one in the past happens now.
-func (k *Kernel) add(at int64, kind uint8, a, b int32, c uint64) {
+// add queues an event for a time; one in the past happens now.
+func (k *Kernel) add(at int64, e event) {
 	k.seq++
-	e := event{at: max(at, k.now), seq: k.seq, c: c, a: a, b: b, kind: kind}
+	e.at, e.seq = max(at, k.now), k.seq
 	k.heap = append(k.heap, e)
 	siftUp(k.heap, e)
 }
@@ -58,12 +68,11 @@
 
 // next removes the earliest event and advances the time to it; ok is false where the queue is empty.
 func (k *Kernel) next() (e event, ok bool) {
-	h := k.heap
-	if len(h) == 0 {
+	if len(k.heap) == 0 {
 		return event{}, false
 	}
-	first, last := h[0], h[len(h)-1]
-	k.heap = h[:len(h)-1]
+	first, last := k.heap[0], k.heap[len(k.heap)-1]
+	k.heap = k.heap[:len(k.heap)-1]
 	if len(k.heap) > 0 {
 		siftDown(k.heap, last)
 	}
--- a/internal/simulation/proxysim/listtrial.go
+++ b/internal/simulation/proxysim/listtrial.go
@@ -38,16 +38,28 @@
 	WithoutList  int    `json:"old"`     // proxies without a list in the end
 }
 
+// The trials of the list.
+const (
+	listTrialQuiet   = "quiet"   // nothing happens
+	listTrialStart   = "start"   // all proxies start
+	listTrialRolling = "rolling" // all proxies restart, one after the other
+	listTrialOutage  = "outage"  // discovery answers nothing for a time
+	listTrialOwner   = "owner"   // the owner ends
+	listTrialGroup   = "group"   // the group has no leader for a time
+)
+
 // ListTrialNames are the trials that RunListTrial plays.
-var ListTrialNames = []string{"quiet", "start", "rolling", "outage", "owner", "group"}
+var ListTrialNames = []string{
+	listTrialQuiet, listTrialStart, listTrialRolling, listTrialOutage, listTrialOwner, listTrialGroup,
+}
 
-// The kinds of events.
+// The kinds of events of a listTrial.
 const (
-	listPoll     uint8 = iota // a proxy reads the store; a: proxy
-	listWatch                 // a timer of a proxy's decisions; a: proxy, b: its incarnation, c: token
-	listPublish               // the owner publishes the list; c: term
+	listPoll     uint8 = iota // a proxy reads the store; target: proxy
+	listWatch                 // a timer of decisions; target: proxy, detail: its incarnation, stamp: token
+	listPublish               // the owner publishes the list; stamp: term
 	listElection              // a member becomes the owner
-	listFault                 // a: stage
+	listFault                 // target: stage
 )
 
 const (
@@ -58,6 +70,21 @@
 	rollingTime = 50 * time.Second // for a restart of all proxies
 )
 
+// minListProxies is the smallest fleet of a trial.
+const minListProxies = 3
+
+// listReplicas is the number of proxies that have a replica of the store, of which one may become the owner.
+const listReplicas = 3
+
+// listTrialStream is the stream of random draws of a trial, as the second word of its generator's seed.
+const listTrialStream = 1
+
+// The stages of outage, owner and group.
+const (
+	listFaultBegins int32 = 0
+	listFaultEnds   int32 = 1
+)
+
 // listProxy is a proxy with the decisions that make its calls.
 type listProxy struct {
 	agent           *balance.Balancer
@@ -97,18 +124,31 @@
 	return o
 }
 
+// electionTime is how long the group takes to elect a leader.
+func (o *ListTrialOptions) electionTime() time.Duration { return o.Election + o.Election/2 }
+
+// takeoverTime is how long others wait for the lease of an owner that has ended: the lease, and the drift of
+// both clocks.
+func (o *ListTrialOptions) takeoverTime() time.Duration { return o.Lease + o.Lease/8 }
+
+// releaseTime is how long others take to notice that an owner has released its lease.
+func (o *ListTrialOptions) releaseTime() time.Duration { return o.Lease / 40 }
+
+// publishInterval is how often the owner publishes the list.
+func (o *ListTrialOptions) publishInterval() time.Duration { return o.MaxAge / 4 }
+
 // RunListTrial plays a trial, one of ListTrialNames, for a minute of virtual time.
 func RunListTrial(trial string, o ListTrialOptions) (ListTrialResult, error) {
 	r := ListTrialResult{Trial: trial, Proxies: o.Proxies, Owner: o.Owner}
 	if !slices.Contains(ListTrialNames, trial) {
 		return r, fmt.Errorf("%q is none of %v", trial, ListTrialNames)
 	}
-	if o.Proxies < 3 {
-		return r, fmt.Errorf("%d proxies; at least 3 are wanted", o.Proxies)
+	if o.Proxies < minListProxies {
+		return r, fmt.Errorf("%d proxies; at least %d are wanted", o.Proxies, minListProxies)
 	}
 	s := newListTrial(o.withDefaults())
 	from := int64(0)
-	if trial != "start" { // from a stable fleet
+	if trial != listTrialStart { // from a stable fleet
 		from = int64(settleTime)
 		s.run(from)
 		s.calls = nil
@@ -125,40 +165,41 @@
 
 // newListTrial starts all proxies.
 func newListTrial(o ListTrialOptions) *listTrial {
-	s := &listTrial{opts: o, owner: -1, rng: rand.New(rand.NewPCG(o.Seed, 1)),
+	s := &listTrial{opts: o, owner: -1, rng: rand.New(rand.NewPCG(o.Seed, listTrialStream)),
 		proxies: make([]listProxy, o.Proxies)}
 	for i := range s.proxies {
 		s.start(i)
-		s.add(s.randomWithin(o.Poll), listPoll, int32(i), 0, 0)
+		s.add(s.randomWithin(o.Poll), event{kind: listPoll, target: int32(i)})
 	}
-	s.elect(o.Election + o.Election/2)
+	s.elect(o.electionTime())
 	return s
 }
 
 // scheduleFaults queues the faults of the trial, which is measured from a time on.
 func (s *listTrial) scheduleFaults(from int64) {
-	at := func(d time.Duration, stage int32) { s.add(from+int64(d), listFault, stage, 0, 0) }
+	at := func(d time.Duration, stage int32) { s.add(from+int64(d), event{kind: listFault, target: stage}) }
 	switch s.name {
-	case "rolling":
+	case listTrialRolling:
 		for i := range s.proxies {
 			at(time.Duration(i)*rollingTime/time.Duration(s.opts.Proxies), int32(i))
 		}
-	case "outage", "group":
-		at(faultFrom, 0)
-		at(faultTo, 1)
-	case "owner":
-		at(faultFrom, 0)
+	case listTrialOutage, listTrialGroup:
+		at(faultFrom, listFaultBegins)
+		at(faultTo, listFaultEnds)
+	case listTrialOwner:
+		at(faultFrom, listFaultBegins)
 	}
 }
 
 // measure fills in the result of the measured minute.
 func (s *listTrial) measure(r *ListTrialResult) {
 	r.Calls = len(s.calls)
-	for i, j := 0, 0; i < len(s.calls); i++ {
-		for s.calls[i]-s.calls[j] > int64(time.Second) {
-			j++
+	first := 0 // of the calls in the second that ends with the last one
+	for last, at := range s.calls {
+		for at-s.calls[first] > int64(time.Second) {
+			first++
 		}
-		r.Peak = max(r.Peak, i-j+1)
+		r.Peak = max(r.Peak, last-first+1)
 	}
 	for i := range s.proxies {
 		proxy := &s.proxies[i]
@@ -195,10 +236,11 @@
 
 // apply carries out the actions of a proxy's decisions: calls, now or later.
 func (s *listTrial) apply(i int, acts []balance.Action) {
-	for _, a := range acts {
-		switch a.Kind {
+	for _, action := range acts {
+		switch action.Kind {
 		case balance.SetTimer:
-			s.add(s.now+int64(a.Wait), listWatch, int32(i), s.proxies[i].incarnation, a.Token)
+			s.add(s.now+int64(action.Wait),
+				event{kind: listWatch, target: int32(i), detail: s.proxies[i].incarnation, stamp: action.Token})
 		case balance.FollowList:
 			s.watchDiscovery(i)
 		}
@@ -238,7 +280,7 @@
 // elect has a member become the owner after a time, if there is none by then.
 func (s *listTrial) elect(after time.Duration) {
 	if s.opts.Owner {
-		s.add(s.now+int64(after), listElection, 0, 0, 0)
+		s.add(s.now+int64(after), event{kind: listElection})
 	}
 }
 
@@ -256,23 +298,23 @@
 	switch e.kind {
 	case listPoll:
 		if s.opts.Owner {
-			s.poll(int(e.a))
-			s.add(s.now+int64(s.opts.Poll), listPoll, e.a, 0, 0)
+			s.poll(int(e.target))
+			s.add(s.now+int64(s.opts.Poll), event{kind: listPoll, target: e.target})
 		}
 	case listWatch:
-		if proxy := &s.proxies[e.a]; proxy.incarnation == e.b {
-			s.apply(int(e.a), proxy.agent.Timer(s.clock(), e.c, s.actions[:0]))
+		if proxy := &s.proxies[e.target]; proxy.incarnation == e.detail {
+			s.apply(int(e.target), proxy.agent.Timer(s.clock(), e.stamp, s.actions[:0]))
 		}
 	case listPublish:
-		if e.c == s.term {
+		if e.stamp == s.term {
 			s.publish()
 		}
 	case listElection:
 		if s.owner < 0 && !s.leaderless {
-			s.becomeOwner(s.rng.IntN(min(3, s.opts.Proxies))) // one of those with a replica
+			s.becomeOwner(s.rng.IntN(min(listReplicas, s.opts.Proxies)))
 		}
 	case listFault:
-		s.playFault(int(e.a))
+		s.playFault(e.target)
 	}
 }
 
@@ -296,7 +338,7 @@
 	s.publish()
 }
 
-// publish has the owner publish the list, at a quarter of its maximum age, while it has a watch.
+// publish has the owner publish the list while it has a watch, and schedules the next time.
 func (s *listTrial) publish() {
 	if s.owner < 0 || s.leaderless {
 		return
@@ -308,40 +350,49 @@
 	if proxy.listed && s.now-s.lastWatchAt <= int64(s.opts.DiscoveryTimeout) {
 		s.version++
 	}
-	s.add(s.now+int64(s.opts.MaxAge/4), listPublish, 0, 0, s.term)
+	s.add(s.now+int64(s.opts.publishInterval()), event{kind: listPublish, stamp: s.term})
 }
 
-// playFault handles a fault of the trial.
-func (s *listTrial) playFault(stage int) {
-	takeover := s.opts.Lease + s.opts.Lease/8 // others wait for the lease and the drift of both clocks
+// playFault handles a fault of the trial. The stage is the proxy for rolling.
+func (s *listTrial) playFault(stage int32) {
 	switch s.name {
-	case "rolling":
-		owned := stage == s.owner
-		s.start(stage)
-		if owned { // it released the lease
-			s.owner = -1
-			s.elect(s.opts.Lease / 40)
-		}
-	case "outage":
-		s.down = stage == 0
-		for i := range s.proxies {
-			if proxy := &s.proxies[i]; s.down && proxy.watching {
-				proxy.watching = false
-				s.apply(i, proxy.agent.List(s.clock(), balance.ListFailed, nil, s.actions[:0]))
-			}
-		}
-	case "owner":
+	case listTrialRolling:
+		s.restart(int(stage))
+	case listTrialOutage:
+		s.setOutage(stage == listFaultBegins)
+	case listTrialOwner:
 		if s.owner >= 0 {
 			old := s.owner
 			s.owner = -1
 			s.start(old)
 		}
-		s.elect(takeover)
-	case "group":
-		if s.leaderless = stage == 0; s.leaderless {
+		s.elect(s.opts.takeoverTime())
+	case listTrialGroup:
+		if s.leaderless = stage == listFaultBegins; s.leaderless {
 			s.owner = -1
 		} else {
-			s.elect(s.opts.Election + s.opts.Election/2)
+			s.elect(s.opts.electionTime())
+		}
+	}
+}
+
+// restart restarts a proxy; the owner releases its lease before it ends.
+func (s *listTrial) restart(i int) {
+	owned := i == s.owner
+	s.start(i)
+	if owned {
+		s.owner = -1
+		s.elect(s.opts.releaseTime())
+	}
+}
+
+// setOutage begins or ends an outage of discovery, which ends all watches.
+func (s *listTrial) setOutage(begins bool) {
+	s.down = begins
+	for i := range s.proxies {
+		if proxy := &s.proxies[i]; begins && proxy.watching {
+			proxy.watching = false
+			s.apply(i, proxy.agent.List(s.clock(), balance.ListFailed, nil, s.actions[:0]))
 		}
 	}
 }
--- a/internal/simulation/proxysim/registry.go
+++ b/internal/simulation/proxysim/registry.go
@@ -73,7 +73,7 @@
 	registry.changes = append(registry.changes, change{s.now, *published})
 	at := s.now + int64(s.scenario.Discovery.Delay) + registry.lag
 	for proxyIndex := range s.proxies {
-		s.add(at, evListChange, int32(proxyIndex), 0, registry.version())
+		s.add(at, event{kind: evListChange, target: int32(proxyIndex), stamp: registry.version()})
 	}
 }
 
@@ -86,11 +86,12 @@
 	begin := max(registry.busyUntil, s.now)
 	incarnation := uint64(s.proxies[proxyIndex].incarnation)
 	if discovery.MaxWait > 0 && begin-s.now > int64(discovery.MaxWait) {
-		s.add(s.now+int64(discovery.MaxWait)+2*way, evListAnswer, proxyIndex, 1, incarnation)
+		s.add(s.now+int64(discovery.MaxWait)+2*way,
+			event{kind: evListAnswer, target: proxyIndex, detail: listCallFailed, stamp: incarnation})
 		return
 	}
 	registry.busyUntil = begin + int64(discovery.ServiceTime)
-	s.add(registry.busyUntil+2*way, evListAnswer, proxyIndex, 0, incarnation)
+	s.add(registry.busyUntil+2*way, event{kind: evListAnswer, target: proxyIndex, stamp: incarnation})
 }
 
 // listAnswered handles the answer to a call.
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -57,7 +57,7 @@
 	if rate <= 0 {
 		return s.now + int64(time.Second)
 	}
-	return s.now + int64(s.streams.arrivals.ExpFloat64()/rate*1e9)
+	return s.now + int64(s.streams.arrivals.ExpFloat64()/rate*nsPerSecond)
 }
 
 // pickCumulative returns the index of the cumulative weight that x falls under; x is drawn from 0 to 1,
@@ -70,8 +70,8 @@
 // arrival handles the next arrival of the stream, or the next burst of one proxy, and schedules the one after
 // it.
 func (s *Sim) arrival() {
-	sc := s.scenario
-	if s.now > s.arrivalsEnd || sc.Requests > 0 && s.arrived >= sc.Requests {
+	scenario := s.scenario
+	if s.now > s.arrivalsEnd || scenario.Requests > 0 && s.arrived >= scenario.Requests {
 		s.arrived = -1 // the stream is over
 		return
 	}
@@ -79,8 +79,8 @@
 	shape := s.streams.shape
 	proxyIndex := pickCumulative(s.cumulativeLoad, shape.Float64())
 	burst := 1
-	if sc.Load.Arrivals == arrivalsBursty {
-		burst = max(1, int(sc.Load.Burst+0.5))
+	if scenario.Load.Arrivals == arrivalsBursty {
+		burst = max(1, int(scenario.Load.Burst+0.5))
 	}
 	gap := 0.0
 	for i := range burst {
@@ -88,13 +88,13 @@
 		if i == 0 {
 			s.startClientAttempt(demandIndex)
 		} else {
-			mean := sc.Load.BurstGap * s.meanService
+			mean := scenario.Load.BurstGap * s.meanService
 			if mean == 0 {
 				mean = s.proxies[proxyIndex].meanGap / float64(burst)
 			}
 			gap += shape.ExpFloat64() * mean
 			s.inFlight++ // it is still to come, so the run is not over
-			s.add(s.now+int64(gap), evClientAttempt, demandIndex, 1, 0)
+			s.add(s.now+int64(gap), event{kind: evClientAttempt, target: demandIndex})
 		}
 	}
 	next := s.nextArrival()
@@ -102,57 +102,67 @@
 		next = s.now + int64(float64(next-s.now)*float64(burst))
 	}
 	if s.arrived >= 0 {
-		s.add(next, evArrival, 0, 0, 0)
+		s.add(next, event{kind: evArrival})
 	}
 }
 
+// newDemand draws a request of a proxy that arrives now, and returns its position in the table.
 func (s *Sim) newDemand(proxyIndex int32) int32 {
-	sc, shape := s.scenario, s.streams.shape
+	scenario, shape := s.scenario, s.streams.shape
 	s.arrived++
 	s.lastArrival = s.now
-	d := demand{proxy: proxyIndex, class: pickCumulative(s.cumulativeFractions.class, shape.Float64()),
+	drawn := demand{proxy: proxyIndex, class: pickCumulative(s.cumulativeFractions.class, shape.Float64()),
 		number: int32(s.arrived), arrivedAt: s.now}
 	if len(s.cumulativeFractions.tenant) > 0 {
-		d.tenant = pickCumulative(s.cumulativeFractions.tenant, shape.Float64())
+		drawn.tenant = pickCumulative(s.cumulativeFractions.tenant, shape.Float64())
 	}
-	d.honorsRetryAfter = shape.Float64() < sc.Clients.HonorRetryAfter
+	drawn.honorsRetryAfter = shape.Float64() < scenario.Clients.HonorRetryAfter
 	if s.zipf != nil {
-		d.key = s.zipf.Uint64()*goldenRatio64 + 1
+		drawn.key = s.zipf.Uint64()*goldenRatio64 + 1
 	}
-	class := &sc.Classes[d.class]
-	d.work = float64(class.Work) * s.workFactor()
-	d.deadline = s.now + int64(forever)
+	class := &scenario.Classes[drawn.class]
+	drawn.work = float64(class.Work) * s.workFactor()
+	drawn.deadline = s.now + int64(forever)
 	if class.Deadline > 0 {
-		d.deadline = s.now + int64(class.Deadline)
+		drawn.deadline = s.now + int64(class.Deadline)
 	}
-	d.value = class.Value
+	drawn.value = class.Value
 	// An application stops and starts with its proxy: what it would have sent meanwhile is not counted.
-	d.counted = s.now >= int64(sc.WarmUp) && s.arrived > sc.WarmUpRequests && s.proxies[proxyIndex].alive
-	return s.allocDemand(d)
+	isWarm := s.now >= int64(scenario.WarmUp) && s.arrived > scenario.WarmUpRequests
+	drawn.counted = isWarm && s.proxies[proxyIndex].alive
+	return s.allocDemand(drawn)
 }
 
+// The bounded Pareto distribution of work: exponent 2 from paretoMin on, so that its mean is 1, up to
+// paretoMax.
+const (
+	paretoMin = 0.5
+	paretoMax = 1000
+)
+
 // workFactor is a factor of mean 1 on the work of a class.
 func (s *Sim) workFactor() float64 {
-	w := s.streams.work
+	random := s.streams.work
 	switch s.scenario.Load.WorkDistribution {
 	case distributionFixed:
 		return 1
 	case distributionUniform:
-		return 1 + s.scenario.Load.WorkSpread*(2*w.Float64()-1)
-	case distributionPareto: // bounded from 0.5 on with exponent 2: mean 1
-		return min(0.5/math.Sqrt(1-w.Float64()), 1000)
+		return 1 + s.scenario.Load.WorkSpread*(2*random.Float64()-1)
+	case distributionPareto:
+		return min(paretoMin/math.Sqrt(1-random.Float64()), paretoMax)
 	}
-	return w.ExpFloat64()
+	return random.ExpFloat64()
 }
 
-func (s *Sim) allocDemand(d demand) int32 {
+// allocDemand puts a demand into a free slot of the table.
+func (s *Sim) allocDemand(added demand) int32 {
 	if n := len(s.free.demands); n > 0 {
 		i := s.free.demands[n-1]
 		s.free.demands = s.free.demands[:n-1]
-		s.demands[i] = d
+		s.demands[i] = added
 		return i
 	}
-	s.demands = append(s.demands, d)
+	s.demands = append(s.demands, added)
 	return int32(len(s.demands) - 1)
 }
 
@@ -184,7 +194,7 @@
 	if class := &s.scenario.Classes[demand.class]; class.Deadline > 0 {
 		req.deadline = min(demand.deadline, s.now+int64(float64(class.Deadline)*s.scenario.Clients.TimeoutFraction))
 		tooLate := req.deadline + int64(s.scenario.Rules.AnswerGrace) + 1
-		s.add(tooLate, evClientTimeout, requestIndex, 0, uint64(req.generation))
+		s.add(tooLate, event{kind: evClientTimeout, target: requestIndex, stamp: uint64(req.generation)})
 	}
 	if s.inFlight++; s.inFlight > s.scenario.MaxInFlight {
 		s.overflow = true
@@ -200,9 +210,9 @@
 // allocRequest returns a free slot of the table.
 func (s *Sim) allocRequest() int32 {
 	if n := len(s.free.requests); n > 0 {
-		r := s.free.requests[n-1]
+		requestIndex := s.free.requests[n-1]
 		s.free.requests = s.free.requests[:n-1]
-		return r
+		return requestIndex
 	}
 	s.requests = append(s.requests, request{})
 	return int32(len(s.requests) - 1)
@@ -253,7 +263,7 @@
 	}
 	if at := s.now + int64(backoff); retries && at < demand.deadline {
 		s.inFlight++
-		s.add(max(at, s.now+1), evClientAttempt, demandIndex, 0, 0)
+		s.add(max(at, s.now+1), event{kind: evClientAttempt, target: demandIndex})
 		return
 	}
 	if demand.counted {
--- a/internal/simulation/proxysim/result.go
+++ b/internal/simulation/proxysim/result.go
@@ -1,9 +1,5 @@
 package proxysim
 
-import (
-	"math"
-)
-
 // Result is the figures of a run, over the requests that arrive after the warm-up. Services are the value
 // served in time over the value asked for. Times are in milliseconds.
 type Result struct {
@@ -69,10 +65,10 @@
 		Refused: tally.refused, Failed: tally.failed, InTime: tally.inTime, Rules: s.monitor.violations,
 		Attempts: tally.attempts, Handshakes: tally.handshakes, Probes: tally.probes, Rejected: tally.rejected,
 		ListCalls: s.registry.calls, Violations: s.monitor.texts, Trace: s.monitor.traceLines,
-		P50: float64(tally.hist.ValueAtQuantile(50)) / 1000, P99: float64(tally.hist.ValueAtQuantile(99)) / 1000}
+		P50: tally.quantileMS(50), P99: tally.quantileMS(99)}
 	if tally.served > 0 {
 		mean := tally.responseSum / float64(tally.served)
-		r.MeanMS, r.MeanServiceTimes = mean/1e6, mean/s.meanService
+		r.MeanMS, r.MeanServiceTimes = mean/nsPerMillisecond, mean/s.meanService
 	}
 	if tally.work > 0 {
 		r.Wasted = tally.wasted / tally.work
@@ -83,18 +79,25 @@
 		conns += int(s.servers[i].conns)
 	}
 	r.Conns = float64(conns) / float64(len(s.servers))
-	if counted := float64(s.lastArrival-tally.firstArrivalAt) / 1e9; counted > 0 {
-		r.Utilisation = tally.work / 1e9 / (s.capacity() * counted)
-		observed := float64(tally.inSystemAt-tally.firstArrivalAt) / 1e9
-		r.MeanInSystem, r.Throughput = tally.inSystemArea/1e9/observed, float64(tally.requests)/observed
+	if counted := float64(s.lastArrival-tally.firstArrivalAt) / nsPerSecond; counted > 0 {
+		r.Utilisation = tally.work / nsPerSecond / (s.capacity() * counted)
+		observed := float64(tally.inSystemAt-tally.firstArrivalAt) / nsPerSecond
+		r.MeanInSystem, r.Throughput = tally.inSystemArea/nsPerSecond/observed, float64(tally.requests)/observed
 	}
-	for i := range tally.bySecond[:min(len(tally.bySecond), int(s.lastArrival/1e9)+1, 3600)] {
+	seconds := min(len(tally.bySecond), int(s.lastArrival/nsPerSecond)+1, maxReportedSeconds)
+	for i := range tally.bySecond[:seconds] {
 		r.ServiceBySecond = append(r.ServiceBySecond, ratio(tally.bySecond[i], tally.bySecondAsked[i]))
 	}
 	r.Warning = s.warning(r)
 	return r
 }
 
+// maxReportedSeconds bounds Result.ServiceBySecond.
+const maxReportedSeconds = 3600
+
+// minAskedValue is the value asked for below which there is nothing to divide by.
+const minAskedValue = 1e-9
+
 // The weights of the parts of the service, as the task states them.
 const (
 	weightOverall     = 0.35
@@ -119,7 +122,7 @@
 	}
 	r.Prices = prices.CrossHall*perRequest(tally.crossHall) + prices.Handshake*perRequest(tally.handshakes) +
 		prices.Probe*perRequest(tally.probes) + prices.Waste*r.Wasted +
-		prices.LateFail*(tally.lateValue/math.Max(tally.valueAsked, 1e-9)) +
+		prices.LateFail*(tally.lateValue/max(tally.valueAsked, minAskedValue)) +
 		prices.Choke*float64(choked)/float64(len(s.servers))
 	r.Service = weightOverall*r.ServiceOverall + weightWorst10s*r.ServiceWorst10s +
 		weightWorstClass*r.ServiceWorstClass + weightWorstTenant*r.ServiceWorstTenant - r.Prices
@@ -155,7 +158,7 @@
 			served -= tally.bySecond[i-windowSeconds]
 			asked -= tally.bySecondAsked[i-windowSeconds]
 		}
-		if i >= windowSeconds-1 && asked > 1e-9 {
+		if i >= windowSeconds-1 && asked > minAskedValue {
 			worst = min(worst, served/asked)
 		}
 	}
--- a/internal/simulation/proxysim/server.go
+++ b/internal/simulation/proxysim/server.go
@@ -32,7 +32,7 @@
 	warmNext  int              // position of the oldest
 
 	reportedAt int64      // 0 before the first report
-	reported   [3]float64 // the report of then: in flight, queued, utilization
+	reported   loadReport // the report of then
 
 	slowStartFrom int64   // begin of the current window of slow start
 	slowStartWork float64 // that arrived in it
@@ -101,7 +101,7 @@
 func (s *Sim) finishJob(jobIndex int32, result balance.Result, delay int64) {
 	job := &s.jobs[jobIndex]
 	token := s.requests[job.req].attemptToken(int(job.attempt))
-	s.add(s.now+delay, evAttemptEnd, job.req, int32(result), token)
+	s.add(s.now+delay, event{kind: evAttemptEnd, target: job.req, detail: int32(result), stamp: token})
 	s.dropJob(jobIndex)
 }
 
@@ -208,7 +208,8 @@
 	}
 	job.doneAt = max(s.now, srv.pausedUntil) + int64(took)
 	srv.running = append(srv.running, jobIndex)
-	s.add(job.doneAt, evJobDone, jobIndex, srv.incarnation, uint64(job.generation))
+	s.add(job.doneAt,
+		event{kind: evJobDone, target: jobIndex, detail: srv.incarnation, stamp: uint64(job.generation)})
 }
 
 // touchKey reports whether a key is warm and records its use; the oldest key is evicted.
@@ -248,7 +249,7 @@
 		job.doneAt = max(job.doneAt, srv.pausedUntil)
 	}
 	if job.doneAt > s.now {
-		s.add(job.doneAt, evJobDone, jobIndex, incarnation, generation)
+		s.add(job.doneAt, event{kind: evJobDone, target: jobIndex, detail: incarnation, stamp: generation})
 		return
 	}
 	srv.removeRunning(jobIndex)
--- a/internal/simulation/proxysim/setup.go
+++ b/internal/simulation/proxysim/setup.go
@@ -16,40 +16,47 @@
 	}
 	given := make([]float64, len(kinds))
 	total := 0.0
-	for _, k := range kinds {
-		total += k.Fraction
+	for _, kind := range kinds {
+		total += kind.Fraction
 	}
 	for i := range s.scenario.Servers.Count {
 		// The kind that is furthest behind its fraction comes next, so that fractions hold at any count.
-		kind, furthest := 0, math.Inf(-1)
-		for j, k := range kinds {
-			if behind := k.Fraction/total*float64(i+1) - given[j]; behind > furthest {
-				kind, furthest = j, behind
+		next, furthest := 0, math.Inf(-1)
+		for candidate, kind := range kinds {
+			if behind := kind.Fraction/total*float64(i+1) - given[candidate]; behind > furthest {
+				next, furthest = candidate, behind
 			}
 		}
-		given[kind]++
-		s.addServer(kind, kinds[kind])
+		given[next]++
+		s.addServer(next, kinds[next])
 	}
 }
 
 // addServer adds a server of a kind, in the hall that is next in turn.
-func (s *Sim) addServer(kind int, k Kind) int32 {
-	i := len(s.servers)
-	speed := k.MinSpeed + (k.MaxSpeed-k.MinSpeed)*s.streams.speeds.Float64()
+func (s *Sim) addServer(kindIndex int, kind Kind) {
+	speed := kind.MinSpeed + (kind.MaxSpeed-kind.MinSpeed)*s.streams.speeds.Float64()
 	s.servers = append(s.servers, server{
-		kind: int32(kind), hall: int32(i % len(s.halls)), cores: int32(k.Cores), speed: speed, up: true,
+		kind: int32(kindIndex), hall: int32(len(s.servers) % len(s.halls)), cores: int32(kind.Cores),
+		speed: speed, up: true,
 	})
-	return int32(i)
 }
 
 // capacity is the work a second that all servers can do, in seconds of a core of speed 1.
-func (s *Sim) capacity() (c float64) {
+func (s *Sim) capacity() (sum float64) {
 	for i := range s.servers {
-		c += float64(s.servers[i].cores) * s.servers[i].speed
+		sum += float64(s.servers[i].cores) * s.servers[i].speed
 	}
-	return c
+	return sum
 }
 
+// zipfOffset is the offset of the rank in the Zipf distribution of the keys: key k has a weight of
+// (zipfOffset+k)^-KeySkew.
+const zipfOffset = 4
+
+// distantTarget is the latency target of a class without one, in mean works of its requests: far off, but not
+// so far that the module's first guess of a service time, a fifth of the target, lasts.
+const distantTarget = 100
+
 // makeLoad sets the rate of arrivals and how requests divide among classes, tenants, proxies and keys.
 func (s *Sim) makeLoad() {
 	work := s.makeFractions()
@@ -57,7 +64,7 @@
 	for i := range s.servers {
 		cores += int(s.servers[i].cores)
 	}
-	s.meanService = work / (s.capacity() / float64(cores)) * 1e9
+	s.meanService = work / (s.capacity() / float64(cores)) * nsPerSecond
 	s.rate = s.scenario.Load.Rate
 	if s.rate <= 0 {
 		s.rate = s.scenario.Load.Utilisation * s.capacity() / work
@@ -65,7 +72,7 @@
 	if reports := &s.scenario.Reports; reports.Model == reportsOnAccess && reports.Delay > 0 {
 		// As many proxies as each send one request in that time.
 		copied := *s.scenario
-		copied.Proxies.Count = max(1, int(s.rate*s.meanService/1e9/reports.Delay+0.5))
+		copied.Proxies.Count = max(1, int(s.rate*s.meanService/nsPerSecond/reports.Delay+0.5))
 		s.scenario = &copied
 	}
 	total := 0.0
@@ -74,7 +81,7 @@
 		s.cumulativeLoad = append(s.cumulativeLoad, total)
 	}
 	if s.scenario.Load.Keys > 0 {
-		s.zipf = rand.NewZipf(s.streams.keys, s.scenario.Load.KeySkew, 4, uint64(s.scenario.Load.Keys-1))
+		s.zipf = rand.NewZipf(s.streams.keys, s.scenario.Load.KeySkew, zipfOffset, uint64(s.scenario.Load.Keys-1))
 	}
 }
 
@@ -102,13 +109,13 @@
 	s.proxies = make([]proxy, s.scenario.Proxies.Count)
 	total := s.cumulativeLoad[len(s.cumulativeLoad)-1]
 	for i := range s.proxies {
-		p := &s.proxies[i]
-		p.hall, p.module = int32(i%len(s.halls)), options.Policy == policyModule
+		proxy := &s.proxies[i]
+		proxy.hall, proxy.module = int32(i%len(s.halls)), options.Policy == policyModule
 		before := 0.0
 		if i > 0 {
 			before = s.cumulativeLoad[i-1]
 		}
-		p.meanGap = 1e9 / (s.rate * (s.cumulativeLoad[i] - before) / total)
+		proxy.meanGap = nsPerSecond / (s.rate * (s.cumulativeLoad[i] - before) / total)
 		if err := s.startProxy(int32(i), options); err != nil {
 			return err
 		}
@@ -144,39 +151,38 @@
 
 // settings are those of the module at one proxy.
 func (s *Sim) settings(rank int32, seed uint64) balance.Settings {
-	sc := s.scenario
+	scenario := s.scenario
 	settings := balance.Settings{
-		Seed: seed, Rank: int(rank), Peers: sc.Proxies.Count, Zone: int(s.proxies[rank].hall),
+		Seed: seed, Rank: int(rank), Peers: scenario.Proxies.Count, Zone: int(s.proxies[rank].hall),
 		Tick:         time.Millisecond,
 		ReportFields: []balance.ReportField{balance.FieldInFlight, balance.FieldQueued, balance.FieldUtilization},
-		Costs: balance.Costs{CrossZone: sc.Prices.CrossHall, Probe: sc.Prices.Probe, Waste: sc.Prices.Waste,
-			LateFail: sc.Prices.LateFail},
-		OverQuotaValue: sc.Prices.OverQuotaValue, MustFollow: !s.registry.push,
-		RegistryInterval: sc.Discovery.RegistryInterval,
-		DrainGrace:       sc.Rules.DrainGrace, ResponseGrace: sc.Rules.AnswerGrace,
-		SlowStartMin:    sc.Servers.SlowStartMin,
-		SlowStartWindow: sc.Servers.SlowStartWindow, CollapseMultiple: sc.Rules.CollapseFactor,
-		CollapseAfter: sc.Rules.CollapseAfter,
-		MaxAttempts:   sc.Rules.MaxAttempts, MayProbe: true, MayCancel: true, MayHedge: true,
-		SendsRetryAfter: sc.Clients.HonorRetryAfter > 0, MaxRetryAfter: time.Second,
-		DialTimeout: sc.Network.DialTimeout,
-		KeyAffinity: sc.Servers.WarmKeyTTL > 0,
-	}
-	for _, class := range sc.Classes {
+		Costs: balance.Costs{CrossZone: scenario.Prices.CrossHall, Probe: scenario.Prices.Probe,
+			Waste: scenario.Prices.Waste, LateFail: scenario.Prices.LateFail},
+		OverQuotaValue: scenario.Prices.OverQuotaValue, MustFollow: !s.registry.push,
+		RegistryInterval: scenario.Discovery.RegistryInterval,
+		DrainGrace:       scenario.Rules.DrainGrace, ResponseGrace: scenario.Rules.AnswerGrace,
+		SlowStartMin:    scenario.Servers.SlowStartMin,
+		SlowStartWindow: scenario.Servers.SlowStartWindow, CollapseMultiple: scenario.Rules.CollapseFactor,
+		CollapseAfter: scenario.Rules.CollapseAfter,
+		MaxAttempts:   scenario.Rules.MaxAttempts, MayProbe: true, MayCancel: true, MayHedge: true,
+		SendsRetryAfter: scenario.Clients.HonorRetryAfter > 0, MaxRetryAfter: time.Second,
+		DialTimeout: scenario.Network.DialTimeout,
+		KeyAffinity: scenario.Servers.WarmKeyTTL > 0,
+	}
+	for _, class := range scenario.Classes {
 		balanced := balance.Class{LatencyTarget: class.LatencyTarget, Deadline: class.Deadline, Value: class.Value}
 		if class.AtMostOnce {
 			balanced.Effect = balance.AtMostOnce
 		}
 		if balanced.LatencyTarget == 0 {
-			// Far off, but not so far that the first guess of a service time, a fifth of it, lasts.
-			balanced.LatencyTarget = 100 * class.Work
+			balanced.LatencyTarget = distantTarget * class.Work
 		}
 		if balanced.Deadline == 0 {
 			balanced.Deadline = forever
 		}
 		settings.Classes = append(settings.Classes, balanced)
 	}
-	for _, tenant := range sc.Tenants {
+	for _, tenant := range scenario.Tenants {
 		settings.Tenants = append(settings.Tenants,
 			balance.Tenant{Fraction: tenant.Fraction, QuotaPerSec: tenant.Quota})
 	}
--- a/internal/simulation/proxysim/sim.go
+++ b/internal/simulation/proxysim/sim.go
@@ -11,23 +11,29 @@
 	"cresshub/balance"
 )
 
-// The kinds of events.
+// The kinds of events of Sim.
 const (
 	evArrival       uint8 = iota // the next arrival of the stream
-	evClientAttempt              // a client's next attempt; a: demand
-	evClientTimeout              // a request's deadline and grace are over; a: request, c: generation
-	evServerArrival              // an attempt's last byte is at its server; a: job
-	evJobDone                    // a job ends on its core; a: job, b: server's incarnation, c: generation
-	evAttemptEnd                 // an attempt ends at its proxy; a: request, b: result, c: attemptToken
-	evTimer                      // of an agent; a: proxy, b: its incarnation, c: token
-	evProbe                      // a probe is at its server; a: server, b: proxy, c: its incarnation
-	evProbeAnswer                // the answer is at the proxy; a: index of the answer, b: proxy
-	evListChange                 // changes of the list are at a proxy; a: proxy, c: version
-	evListAnswer                 // an answer of discovery; a: proxy, b: 1 where it failed, c: its incarnation
+	evClientAttempt              // a client's next attempt; target: demand
+	evClientTimeout              // a deadline and its grace are over; target: request, stamp: generation
+	evServerArrival              // an attempt's last byte is at its server; target: job
+	evJobDone                    // target: job, detail: incarnation of the server, stamp: generation
+	evAttemptEnd                 // target: request, detail: balance.Result, stamp: attemptToken
+	evTimer                      // of an agent; target: proxy, detail: its incarnation, stamp: token
+	evProbe                      // at its server; target: server, detail: proxy, stamp: its incarnation
+	evProbeAnswer                // at the proxy; target: position of the answer, detail: proxy
+	evListChange                 // changes of the list reach a proxy; target: proxy, stamp: version
+	evListAnswer                 // target: proxy, detail: listCallFailed or 0, stamp: proxy's incarnation
 	evBoardRefresh               // the bulletin board is refreshed
-	evFault                      // a: index of the fault, b: stage, c: detail, which depends on its type
-	evIdleTimeout                // of idle connections; a: proxy, b: server
-	evChoke                      // a: server, b: 1 for the end of it, c: stamp
+	evFault                      // target: fault, detail: stage, stamp: see playFault
+	evIdleTimeout                // of idle connections; target: proxy, detail: server
+	evChoke                      // target: server, detail: chokeEnds or 0, stamp: see chokeTimeout
+)
+
+// Details of events.
+const (
+	listCallFailed = 1 // of evListAnswer
+	chokeEnds      = 1 // of evChoke; 0 is its begin
 )
 
 // Sim is one run of a scenario with one policy.
@@ -164,10 +170,10 @@
 	}
 	s.board.init(s)
 	for i := range scenario.Faults {
-		s.add(int64(scenario.Faults[i].At), evFault, int32(i), 0, 0)
+		s.add(int64(scenario.Faults[i].At), event{kind: evFault, target: int32(i)})
 	}
 	s.arrivalsEnd = int64(scenario.Duration)
-	s.add(s.nextArrival(), evArrival, 0, 0, 0)
+	s.add(s.nextArrival(), event{kind: evArrival})
 	return s, nil
 }
 
@@ -182,41 +188,7 @@
 		if !ok || s.overflow || s.monitor.stop {
 			break
 		}
-		switch e.kind {
-		case evArrival:
-			s.arrival()
-		case evClientAttempt:
-			s.inFlight-- // it counted while it was still to come
-			s.startClientAttempt(e.a)
-		case evClientTimeout:
-			s.clientTimeout(e.a, e.c)
-		case evServerArrival:
-			s.arriveAtServer(e.a)
-		case evJobDone:
-			s.jobDone(e.a, e.b, e.c)
-		case evAttemptEnd:
-			s.attemptEnded(e.a, balance.Result(e.b), e.c)
-		case evTimer:
-			if proxy := &s.proxies[e.a]; proxy.alive && proxy.incarnation == e.b {
-				s.apply(e.a, proxy.agent.Timer(time.Duration(s.now), e.c, s.actions[:0]))
-			}
-		case evProbe:
-			s.probeServer(e.a, e.b, int32(e.c))
-		case evProbeAnswer:
-			s.probeAnswered(e.a, e.b)
-		case evListChange:
-			s.deliverChanges(e.a, e.c)
-		case evListAnswer:
-			s.listAnswered(e.a, e.b == 1, int32(e.c))
-		case evBoardRefresh:
-			s.board.refresh(s)
-		case evFault:
-			s.playFault(int(e.a), e.b, e.c, options)
-		case evIdleTimeout:
-			s.closeIdleConns(e.a, e.b)
-		case evChoke:
-			s.updateChoke(e.a, e.b == 1, e.c)
-		}
+		s.handle(e, options)
 		// What is queued otherwise, timers and the board, never ends.
 		if s.ended() {
 			break
@@ -225,6 +197,45 @@
 	return s.result()
 }
 
+// handle handles one event.
+func (s *Sim) handle(e event, options Options) {
+	switch e.kind {
+	case evArrival:
+		s.arrival()
+	case evClientAttempt:
+		s.inFlight-- // it counted while it was still to come
+		s.startClientAttempt(e.target)
+	case evClientTimeout:
+		s.clientTimeout(e.target, e.stamp)
+	case evServerArrival:
+		s.arriveAtServer(e.target)
+	case evJobDone:
+		s.jobDone(e.target, e.detail, e.stamp)
+	case evAttemptEnd:
+		s.attemptEnded(e.target, balance.Result(e.detail), e.stamp)
+	case evTimer:
+		if proxy := &s.proxies[e.target]; proxy.alive && proxy.incarnation == e.detail {
+			s.apply(e.target, proxy.agent.Timer(time.Duration(s.now), e.stamp, s.actions[:0]))
+		}
+	case evProbe:
+		s.probeServer(e.target, e.detail, int32(e.stamp))
+	case evProbeAnswer:
+		s.probeAnswered(e.target, e.detail)
+	case evListChange:
+		s.deliverChanges(e.target, e.stamp)
+	case evListAnswer:
+		s.listAnswered(e.target, e.detail == listCallFailed, int32(e.stamp))
+	case evBoardRefresh:
+		s.board.refresh(s)
+	case evFault:
+		s.playFault(e.target, e.detail, e.stamp, options)
+	case evIdleTimeout:
+		s.closeIdleConns(e.target, e.detail)
+	case evChoke:
+		s.updateChoke(e.target, e.detail == chokeEnds, e.stamp)
+	}
+}
+
 // TableSlots is the number of slots that the tables have grown to, the queue of events included: a measure of
 // the memory that a run takes.
 func (s *Sim) TableSlots() int {
@@ -242,12 +253,14 @@
 		action := &acts[position]
 		switch action.Kind {
 		case balance.SetTimer:
-			s.add(s.now+int64(action.Wait), evTimer, proxyIndex, proxy.incarnation, action.Token)
+			s.add(s.now+int64(action.Wait),
+				event{kind: evTimer, target: proxyIndex, detail: proxy.incarnation, stamp: action.Token})
 		case balance.Probe:
 			s.tally.probes++
 			serverIndex := int32(action.Server) - 1
 			arrivesAt := s.now + s.latency(proxy.hall, s.servers[serverIndex].hall)
-			s.add(arrivesAt, evProbe, serverIndex, proxyIndex, uint64(proxy.incarnation))
+			s.add(arrivesAt,
+				event{kind: evProbe, target: serverIndex, detail: proxyIndex, stamp: uint64(proxy.incarnation)})
 		case balance.FollowList:
 			s.watchList(proxyIndex)
 		default:
--- a/internal/simulation/proxysim/sim_test.go
+++ b/internal/simulation/proxysim/sim_test.go
@@ -246,7 +246,7 @@
 		last := event{at: -1}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "add") {
-				k.add(k.now+int64(rapid.IntRange(-2, 20).Draw(t, "wait")), 0, 0, 0, 0)
+				k.add(k.now+int64(rapid.IntRange(-2, 20).Draw(t, "wait")), event{})
 			} else if e, ok := k.next(); ok {
 				if e.before(&last) {
 					t.Fatalf("%v after %v", e, last)
@@ -264,7 +264,7 @@
 func warmKernel(n int) *Kernel {
 	k := &Kernel{}
 	for i := range n + 1 {
-		k.add(int64(i), 0, 0, 0, 0)
+		k.add(int64(i), event{})
 	}
 	k.next()
 	return k
@@ -272,7 +272,7 @@
 
 func step(k *Kernel) {
 	e, _ := k.next()
-	k.add(e.at+int64(e.seq*2654435761%1000), e.kind, e.a, e.b, e.c)
+	k.add(e.at+int64(e.seq*2654435761%1000), e)
 }
 
 func BenchmarkKernel(b *testing.B) {
--- a/internal/simulation/proxysim/swim.go
+++ b/internal/simulation/proxysim/swim.go
@@ -39,6 +39,12 @@
 	swimPacketBytes      = 1400
 )
 
+// swimStream is the stream of random draws of a fleet, as the second word of its generator's seed.
+const swimStream = 23
+
+// drawsPerMember bounds the draws of a random member, times the known members.
+const drawsPerMember = 3
+
 // SWIMStatus is a member's state in the view of another.
 type SWIMStatus uint8
 
@@ -58,21 +64,21 @@
 	Rejoins, Syncs, Confirmed        int64
 }
 
-// The kinds of events; a is the member.
+// The kinds of events of SWIM; target is the member.
 const (
-	swimProbe          uint8 = iota // a ticker of probes; c: process
-	swimGossip                      // a ticker of gossip; c: process
-	swimArrive                      // a datagram arrives; b: position in the pool
-	swimProbeTimeout                // for the direct answer to a probe; c: sequence number
-	swimProbeEnd                    // a probe's time is over; c: sequence number
-	swimNack                        // a relayed probe is unanswered; c: sequence number
-	swimSuspicion                   // a suspicion ends with a death; b: subject, c: generation
-	swimRejoin                      // a ticker of rejoins; b: rejoinSeq, c: process
-	swimSync                        // a ticker of state exchanges; c: process
-	swimPush                        // a state arrives over a stream; b: its sender
-	swimPull                        // the answer to that arrives; b: its sender
-	swimAskSuspect                  // a suspect is asked over a stream; b: subject, c: attempts before
-	swimSuspicionLasts              // a lasting suspicion has its subject asked; b: subject, c: its start
+	swimProbe          uint8 = iota // a ticker of probes; stamp: process
+	swimGossip                      // a ticker of gossip; stamp: process
+	swimArrive                      // a datagram arrives; detail: position in the pool
+	swimProbeTimeout                // for the direct answer to a probe; stamp: sequence number
+	swimProbeEnd                    // a probe's time is over; stamp: sequence number
+	swimNack                        // a relayed probe is unanswered; stamp: sequence number
+	swimSuspicion                   // a suspicion ends with a death; detail: subject, stamp: generation
+	swimRejoin                      // a ticker of rejoins; detail: rejoinSeq, stamp: process
+	swimSync                        // a ticker of state exchanges; stamp: process
+	swimPush                        // a state arrives over a stream; detail: its sender
+	swimPull                        // the answer to that arrives; detail: its sender
+	swimAskSuspect                  // a suspect is asked; detail: subject, stamp: attempts before
+	swimSuspicionLasts              // a lasting suspicion has its subject asked; detail: subject, stamp: start
 )
 
 // messageKind is the kind of a datagram's first message.
@@ -189,15 +195,14 @@
 	if o.LabelBytes == 0 {
 		o.LabelBytes = 8
 	}
-	n := o.Members
-	s := &SWIM{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 23)), nodes: make([]swimNode, n),
-		side:    make([]int8, n),
-		blocked: map[[2]int32]bool{}, delay: map[int32]int64{}, down: make([]bool, n)}
+	s := &SWIM{opts: o, rng: rand.New(rand.NewPCG(o.Seed, swimStream)), nodes: make([]swimNode, o.Members),
+		side:    make([]int8, o.Members),
+		blocked: map[[2]int32]bool{}, delay: map[int32]int64{}, down: make([]bool, o.Members)}
 	for member := range s.nodes {
 		s.boot(int32(member), o.StartEmpty)
 	}
 	if o.StartEmpty {
-		for member := 1; member < n; member++ {
+		for member := 1; member < o.Members; member++ {
 			s.exchangeStates(int32(member), 0)
 		}
 	}
@@ -209,8 +214,8 @@
 // knows itself alone.
 func (s *SWIM) boot(member int32, empty bool) {
 	node := &s.nodes[member]
-	n := s.opts.Members
-	*node = swimNode{views: make([]memberView, n), suspects: map[int32]*suspicion{},
+	members := s.opts.Members
+	*node = swimNode{views: make([]memberView, members), suspects: map[int32]*suspicion{},
 		incarnation: 1, up: true, probing: -1,
 		relayed: map[uint64]relayedProbe{}, seq: node.seq + 1, process: node.seq + 1}
 	node.order = append(node.order, member)
@@ -220,21 +225,22 @@
 		for other := range node.views {
 			node.views[other] = memberView{incarnation: 1, status: SWIMAlive}
 		}
-		node.byStatus[SWIMAlive] = n
+		node.byStatus[SWIMAlive] = members
 		node.order = node.order[:0]
-		for other := range n {
+		for other := range members {
 			node.order = append(node.order, int32(other))
 		}
 		s.shuffleOrder(node)
 	}
 	stagger := func(d time.Duration) int64 { return s.now + s.rng.Int64N(int64(d)) }
-	s.add(stagger(s.opts.Probe), swimProbe, member, 0, node.seq)
-	s.add(stagger(s.opts.Gossip), swimGossip, member, 0, node.seq)
-	s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, member, node.rejoinSeq, node.seq)
+	s.add(stagger(s.opts.Probe), event{kind: swimProbe, target: member, stamp: node.seq})
+	s.add(stagger(s.opts.Gossip), event{kind: swimGossip, target: member, stamp: node.seq})
+	s.add(s.now+s.jittered(s.opts.RejoinInterval),
+		event{kind: swimRejoin, target: member, detail: node.rejoinSeq, stamp: node.seq})
 	if empty {
-		s.add(s.now+s.jittered(s.syncInterval(node)), swimSync, member, 0, node.seq)
+		s.add(s.now+s.jittered(s.syncInterval(node)), event{kind: swimSync, target: member, stamp: node.seq})
 	} else { // its last exchange may be any time ago
-		s.add(stagger(s.syncInterval(node)), swimSync, member, 0, node.seq)
+		s.add(stagger(s.syncInterval(node)), event{kind: swimSync, target: member, stamp: node.seq})
 	}
 }
 
@@ -252,11 +258,11 @@
 	return s.opts.SyncPerMember * time.Duration(max(1, len(node.order)))
 }
 
-// randomMember draws a member other than i whose view fits, -1 where a bounded number of draws finds none.
+// randomMember draws another member whose view fits, -1 where a bounded number of draws finds none.
 func (s *SWIM) randomMember(member int32, fits func(memberView) bool) int32 {
 	node := &s.nodes[member]
 	known := len(node.order)
-	for range 3 * known {
+	for range drawsPerMember * known {
 		if candidate := node.order[s.rng.IntN(known)]; candidate != member && fits(node.views[candidate]) {
 			return candidate
 		}
@@ -264,13 +270,13 @@
 	return -1
 }
 
-// randomMembers draws up to k different members, as memberlist's kRandomNodes. The result is valid until the
-// next call.
+// randomMembers draws up to count different other members whose views fit, as memberlist's kRandomNodes. The
+// result is valid until the next call.
 func (s *SWIM) randomMembers(member int32, count int, fits func(memberView) bool) []int32 {
 	node := &s.nodes[member]
 	known := len(node.order)
 	s.drawn = s.drawn[:0]
-	for draws := 0; draws < 3*known && len(s.drawn) < count; draws++ {
+	for draws := 0; draws < drawsPerMember*known && len(s.drawn) < count; draws++ {
 		candidate := node.order[s.rng.IntN(known)]
 		if candidate != member && fits(node.views[candidate]) && !slices.Contains(s.drawn, candidate) {
 			s.drawn = append(s.drawn, candidate)
--- a/internal/simulation/proxysim/swimfaults.go
+++ b/internal/simulation/proxysim/swimfaults.go
@@ -35,7 +35,7 @@
 	node := &s.nodes[member]
 	node.paused = false
 	for _, e := range node.waiting {
-		s.add(s.now, e.kind, e.a, e.b, e.c)
+		s.add(s.now, e)
 	}
 	node.waiting = nil
 	s.recount()
@@ -64,7 +64,8 @@
 		if node.up && node.stalledUntil > s.now { // its interval begins now, not when the stream would have ended
 			node.stalledUntil = s.now
 			node.rejoinSeq++
-			s.add(s.now+s.jittered(s.opts.RejoinInterval), swimRejoin, int32(member), node.rejoinSeq, node.process)
+			s.add(s.now+s.jittered(s.opts.RejoinInterval),
+				event{kind: swimRejoin, target: int32(member), detail: node.rejoinSeq, stamp: node.process})
 		}
 	}
 	clear(s.blocked)
--- a/internal/simulation/proxysim/swimnet.go
+++ b/internal/simulation/proxysim/swimnet.go
@@ -19,32 +19,53 @@
 	node.broadcasts = append(node.broadcasts, u)
 }
 
+// Sizes of messages in memberlist's codec, in bytes, without names and metadata.
+const (
+	aliveBytes         = 62
+	suspectOrDeadBytes = 27
+	memberStateBytes   = 68
+	pingBytes          = 59
+	indirectPingBytes  = 88
+	ackBytes           = 20
+	nackBytes          = 11
+	streamHeaderBytes  = 40 // of a full exchange of states
+	labelHeaderBytes   = 2
+	checksumBytes      = 5
+	compoundBytes      = 2 // of a datagram of several messages
+	compoundPartBytes  = 2 // of each message of it
+)
+
 // updateBytes is the size of one gossiped message in memberlist's codec.
 func (s *SWIM) updateBytes(u *update) int {
 	if u.status == SWIMAlive {
-		return 62 + s.opts.NameBytes + s.opts.MetaBytes
+		return aliveBytes + s.opts.NameBytes + s.opts.MetaBytes
 	}
-	return 27 + 2*s.opts.NameBytes
+	return suspectOrDeadBytes + 2*s.opts.NameBytes
 }
 
 // stateBytes is the size of one member in a full exchange.
-func (s *SWIM) stateBytes() int { return 68 + s.opts.NameBytes + s.opts.MetaBytes }
+func (s *SWIM) stateBytes() int { return memberStateBytes + s.opts.NameBytes + s.opts.MetaBytes }
 
 // messageBytes is the size of a message in memberlist's codec.
 func (s *SWIM) messageBytes(kind messageKind) int {
 	switch kind {
 	case msgPing:
-		return 59 + 2*s.opts.NameBytes
+		return pingBytes + 2*s.opts.NameBytes
 	case msgIndirect:
-		return 88 + 2*s.opts.NameBytes
+		return indirectPingBytes + 2*s.opts.NameBytes
 	case msgAck:
-		return 20
+		return ackBytes
 	case msgNack:
-		return 11
+		return nackBytes
 	}
 	return 0
 }
 
+// packetCapacity is how many bytes of messages a datagram takes.
+func (s *SWIM) packetCapacity() int {
+	return swimPacketBytes - labelHeaderBytes - s.opts.LabelBytes - compoundBytes
+}
+
 // takeBroadcasts takes the queued updates that fit into a number of bytes, the least transmitted ones first,
 // and drops those that have been transmitted often enough.
 func (s *SWIM) takeBroadcasts(member int32, capacity int) []update {
@@ -54,10 +75,10 @@
 	}
 	limit := int16(swimRetransmit * math.Ceil(log10(len(node.order)+1)))
 	var taken []update
-	for sent := int16(0); sent < limit && capacity > 2+27; sent++ {
+	for sent := int16(0); sent < limit && capacity > compoundPartBytes+suspectOrDeadBytes; sent++ {
 		for at := len(node.broadcasts) - 1; at >= 0; at-- {
 			u := &node.broadcasts[at]
-			size := s.updateBytes(u) + 2
+			size := s.updateBytes(u) + compoundPartBytes
 			if u.transmits != sent || size > capacity || containsSubject(taken, u.subject) {
 				continue
 			}
@@ -77,7 +98,7 @@
 func (s *SWIM) firstTransmission(member int32, u *update) {
 	s.setShown(member, u.subject, u.status == SWIMSuspect)
 	if u.status == SWIMSuspect && u.from == member {
-		s.add(s.now, swimAskSuspect, member, u.subject, 0)
+		s.add(s.now, event{kind: swimAskSuspect, target: member, detail: u.subject})
 	}
 }
 
@@ -91,14 +112,14 @@
 	if len(node.broadcasts) == 0 {
 		return
 	}
-	nowMS := int32(s.now / 1e6)
+	nowMS := int32(s.now / nsPerMillisecond)
 	lately := int32(s.opts.GossipToDead.Milliseconds())
 	receivers := slices.Clone(s.randomMembers(member, swimGossipNodes, func(view memberView) bool {
 		return view.status == SWIMAlive || view.status == SWIMSuspect || view.status == SWIMDead &&
 			nowMS-view.changedAt <= lately
 	}))
 	for _, receiver := range receivers {
-		updates := s.takeBroadcasts(member, swimPacketBytes-2-2-s.opts.LabelBytes)
+		updates := s.takeBroadcasts(member, s.packetCapacity())
 		if len(updates) == 0 {
 			return
 		}
@@ -108,19 +129,19 @@
 
 // send sends a message with queued updates piggybacked.
 func (s *SWIM) send(p packet) {
-	p.gossip = s.takeBroadcasts(p.from, swimPacketBytes-2-2-s.opts.LabelBytes-s.messageBytes(p.kind))
+	p.gossip = s.takeBroadcasts(p.from, s.packetCapacity()-s.messageBytes(p.kind))
 	s.transmit(p)
 }
 
 // transmit sends a datagram, which a fault may lose.
 func (s *SWIM) transmit(p packet) {
-	size := 2 + s.opts.LabelBytes + 5 + s.messageBytes(p.kind)
+	size := labelHeaderBytes + s.opts.LabelBytes + checksumBytes + s.messageBytes(p.kind)
 	parts := len(p.gossip)
 	if p.kind != msgGossip {
 		parts++
 	}
 	if parts > 1 {
-		size += 2 + 2*parts
+		size += compoundBytes + compoundPartBytes*parts
 	}
 	for at := range p.gossip {
 		size += s.updateBytes(&p.gossip[at])
@@ -139,7 +160,7 @@
 		at = int32(len(s.pool))
 		s.pool = append(s.pool, p)
 	}
-	s.add(s.now+s.latency(p.from, p.to), swimArrive, p.to, at, 0)
+	s.add(s.now+s.latency(p.from, p.to), event{kind: swimArrive, target: p.to, detail: at})
 }
 
 // release frees a datagram's position in the pool.
@@ -168,8 +189,10 @@
 	if !s.reaches(from, to) || !s.reaches(to, from) {
 		return
 	}
-	s.Count.Bytes += int64(2 + s.opts.LabelBytes + 40 + s.stateBytes()*len(s.nodes[from].order))
-	s.add(s.now+3*s.latency(from, to), swimPush, to, from, 0) // a handshake, then the state
+	s.Count.Bytes += int64(labelHeaderBytes + s.opts.LabelBytes + streamHeaderBytes +
+		s.stateBytes()*len(s.nodes[from].order))
+	const handshakeAndState = 3 // times that something crosses the network until the state is there
+	s.add(s.now+handshakeAndState*s.latency(from, to), event{kind: swimPush, target: to, detail: from})
 }
 
 // askSuspect exchanges states with a suspect, twice, as package gossip does: the first exchange informs it of
@@ -180,7 +203,9 @@
 	}
 	s.exchangeStates(member, suspect)
 	if attempt == 0 && s.reaches(member, suspect) && s.reaches(suspect, member) {
-		s.add(s.now+4*s.latency(member, suspect)+int64(s.opts.ProbeTimeout/2), swimAskSuspect, member, suspect, 1)
+		const wholeExchange = 4 // times that something crosses the network until the answer is there
+		s.add(s.now+wholeExchange*s.latency(member, suspect)+int64(s.opts.ProbeTimeout/2),
+			event{kind: swimAskSuspect, target: member, detail: suspect, stamp: 1})
 	}
 }
 
@@ -189,9 +214,9 @@
 	if !s.nodes[caller].up {
 		return
 	}
-	s.Count.Bytes += int64(40 + s.stateBytes()*len(s.nodes[member].order))
+	s.Count.Bytes += int64(streamHeaderBytes + s.stateBytes()*len(s.nodes[member].order))
 	s.merge(member, caller)
-	s.add(s.now+s.latency(member, caller), swimPull, caller, member, 0)
+	s.add(s.now+s.latency(member, caller), event{kind: swimPull, target: caller, detail: member})
 }
 
 // merge merges the full state of source into that of a member. What is dead there is only suspected here.
@@ -210,6 +235,13 @@
 	}
 }
 
+// A stream to a member that cannot be reached stalls for streamTimeoutProbes probe timeouts, at least for
+// minStreamTimeout.
+const (
+	streamTimeoutProbes = 10
+	minStreamTimeout    = time.Second
+)
+
 // rejoin attempts to join a dead member, and then a dead seed, as package gossip does. It returns for how
 // long streams over a partition stall it, in ns.
 func (s *SWIM) rejoin(member int32) int64 {
@@ -217,7 +249,7 @@
 	if node.byStatus[SWIMDead] == 0 {
 		return 0
 	}
-	timeout := int64(max(10*s.opts.ProbeTimeout, time.Second))
+	timeout := int64(max(streamTimeoutProbes*s.opts.ProbeTimeout, minStreamTimeout))
 	stalled := int64(0)
 	attempt := func(dead int32) {
 		s.Count.Rejoins++
--- a/internal/simulation/proxysim/swimprobe.go
+++ b/internal/simulation/proxysim/swimprobe.go
@@ -29,8 +29,9 @@
 		} else {
 			s.send(ping)
 		}
-		s.add(s.now+int64(s.opts.ProbeTimeout), swimProbeTimeout, member, 0, node.seq)
-		s.add(s.now+int64(s.opts.Probe)*int64(node.health+1), swimProbeEnd, member, 0, node.seq)
+		s.add(s.now+int64(s.opts.ProbeTimeout), event{kind: swimProbeTimeout, target: member, stamp: node.seq})
+		s.add(s.now+int64(s.opts.Probe)*int64(node.health+1),
+			event{kind: swimProbeEnd, target: member, stamp: node.seq})
 		return
 	}
 }
@@ -89,7 +90,7 @@
 		node.seq++
 		node.relayed[node.seq] = relayedProbe{p.from, p.seq}
 		s.send(packet{kind: msgPing, from: member, to: p.target, seq: node.seq})
-		s.add(s.now+int64(s.opts.ProbeTimeout), swimNack, member, 0, node.seq)
+		s.add(s.now+int64(s.opts.ProbeTimeout), event{kind: swimNack, target: member, stamp: node.seq})
 	case msgAck:
 		if relayed, ok := node.relayed[p.seq]; ok {
 			delete(node.relayed, p.seq)
--- a/internal/simulation/proxysim/swimrun.go
+++ b/internal/simulation/proxysim/swimrun.go
@@ -25,13 +25,13 @@
 
 // handle handles an event unless its member is down, has restarted since, or is paused, which delays it.
 func (s *SWIM) handle(e event) {
-	node := &s.nodes[e.a]
+	node := &s.nodes[e.target]
 	switch {
 	case !node.up:
 		if e.kind == swimArrive {
-			s.release(e.b)
+			s.release(e.detail)
 		}
-	case isTicker(e.kind) && e.c != node.process:
+	case isTicker(e.kind) && e.stamp != node.process:
 	case node.paused:
 		node.waiting = append(node.waiting, e)
 	default:
@@ -41,45 +41,44 @@
 
 // dispatch handles an event of a running member.
 func (s *SWIM) dispatch(node *swimNode, e event) {
+	member := e.target
 	switch e.kind {
 	case swimProbe:
 		s.probeTick(node, e)
 	case swimGossip:
-		s.add(s.now+int64(s.opts.Gossip), swimGossip, e.a, 0, e.c)
-		s.gossip(e.a)
+		s.add(s.now+int64(s.opts.Gossip), e)
+		s.gossip(member)
 	case swimArrive:
-		p := s.pool[e.b]
-		s.arrive(e.a, &p)
-		s.release(e.b)
+		datagram := s.pool[e.detail]
+		s.arrive(member, &datagram)
+		s.release(e.detail)
 	case swimProbeTimeout:
-		if node.awaits(e.c) && !node.acked {
-			s.probeIndirectly(e.a)
+		if node.awaits(e.stamp) && !node.acked {
+			s.probeIndirectly(member)
 		}
 	case swimProbeEnd:
-		if node.awaits(e.c) {
-			s.endProbe(e.a)
+		if node.awaits(e.stamp) {
+			s.endProbe(member)
 		}
 	case swimNack:
 		s.relayTimeout(node, e)
 	case swimSuspicion:
-		if pending := node.suspects[e.b]; pending != nil && pending.generation == e.c {
-			s.dead(e.a, update{subject: e.b, from: e.a, incarnation: node.views[e.b].incarnation, status: SWIMDead})
-		}
+		s.endSuspicion(node, e)
 	case swimRejoin:
 		s.rejoinTick(node, e)
 	case swimSync:
 		s.syncTick(node, e)
 	case swimAskSuspect:
-		s.askSuspect(e.a, e.b, e.c)
+		s.askSuspect(member, e.detail, e.stamp)
 	case swimSuspicionLasts:
-		if pending := node.suspects[e.b]; pending != nil && uint64(pending.start) == e.c {
-			s.askSuspect(e.a, e.b, 0)
-			s.add(s.now+2*pending.min, swimSuspicionLasts, e.a, e.b, e.c)
+		if pending := node.suspects[e.detail]; pending != nil && uint64(pending.start) == e.stamp {
+			s.askSuspect(member, e.detail, 0)
+			s.add(s.now+2*pending.min, e)
 		}
 	case swimPush:
-		s.push(e.a, e.b)
+		s.push(member, e.detail)
 	case swimPull:
-		s.merge(e.a, e.b)
+		s.merge(member, e.detail)
 	}
 }
 
@@ -88,36 +87,45 @@
 
 // probeTick begins a probe, or remembers that one is due.
 func (s *SWIM) probeTick(node *swimNode, e event) {
-	s.add(s.now+int64(s.opts.Probe), swimProbe, e.a, 0, e.c)
+	s.add(s.now+int64(s.opts.Probe), e)
 	if node.probing >= 0 {
 		node.missedTick = true
 	} else {
-		s.beginProbe(e.a)
+		s.beginProbe(e.target)
+	}
+}
+
+// endSuspicion declares a suspect dead, unless its suspicion has ended or was shortened since.
+func (s *SWIM) endSuspicion(node *swimNode, e event) {
+	member, subject := e.target, e.detail
+	if pending := node.suspects[subject]; pending != nil && pending.generation == e.stamp {
+		incarnation := node.views[subject].incarnation
+		s.dead(member, update{subject: subject, from: member, incarnation: incarnation, status: SWIMDead})
 	}
 }
 
 // relayTimeout tells the member that asked for an indirect probe that it is unanswered.
 func (s *SWIM) relayTimeout(node *swimNode, e event) {
-	if relayed, ok := node.relayed[e.c]; ok {
-		delete(node.relayed, e.c)
-		s.send(packet{kind: msgNack, from: e.a, to: relayed.asker, seq: relayed.seq})
+	if relayed, ok := node.relayed[e.stamp]; ok {
+		delete(node.relayed, e.stamp)
+		s.send(packet{kind: msgNack, from: e.target, to: relayed.asker, seq: relayed.seq})
 	}
 }
 
 // rejoinTick rejoins the dead, unless a heal has replaced the ticker.
 func (s *SWIM) rejoinTick(node *swimNode, e event) {
-	if e.b == node.rejoinSeq {
-		node.stalledUntil = s.now + s.rejoin(e.a)
-		s.add(node.stalledUntil+s.jittered(s.opts.RejoinInterval), swimRejoin, e.a, e.b, e.c)
+	if e.detail == node.rejoinSeq {
+		node.stalledUntil = s.now + s.rejoin(e.target)
+		s.add(node.stalledUntil+s.jittered(s.opts.RejoinInterval), e)
 	}
 }
 
 // syncTick exchanges states with a member that is alive.
 func (s *SWIM) syncTick(node *swimNode, e event) {
-	s.add(s.now+s.jittered(s.syncInterval(node)), swimSync, e.a, 0, e.c)
+	s.add(s.now+s.jittered(s.syncInterval(node)), e)
 	isAlive := func(view memberView) bool { return view.status == SWIMAlive }
-	if partner := s.randomMember(e.a, isAlive); partner >= 0 {
+	if partner := s.randomMember(e.target, isAlive); partner >= 0 {
 		s.Count.Syncs++
-		s.exchangeStates(e.a, partner)
+		s.exchangeStates(e.target, partner)
 	}
 }
--- a/internal/simulation/proxysim/swimtrial.go
+++ b/internal/simulation/proxysim/swimtrial.go
@@ -6,14 +6,31 @@
 	"time"
 )
 
+// The trials of the gossip.
+const (
+	swimTrialQuiet     = "quiet"     // nothing happens
+	swimTrialKill      = "kill"      // one member ends
+	swimTrialPartition = "partition" // three members in seven are cut off for a time
+	swimTrialMany      = "many"      // two members in three end at once
+	swimTrialJoin      = "join"      // all members join at once
+)
+
 // SWIMTrialNames are the trials that RunSWIMTrial plays.
-var SWIMTrialNames = []string{"quiet", "kill", "partition", "many", "join"}
+var SWIMTrialNames = []string{
+	swimTrialQuiet, swimTrialKill, swimTrialPartition, swimTrialMany, swimTrialJoin,
+}
+
+// minSWIMMembers is the smallest fleet of a trial.
+const minSWIMMembers = 3
+
+// swimSeedStep is between the seeds of a trial's repeats.
+const swimSeedStep = 7919
 
 const (
-	swimTrialMax  = time.Minute      // bound of each phase of a trial
-	swimSettle    = 3 * time.Second  // before a trial
-	swimPartition = 20 * time.Second // how long a partition lasts at least
-	swimLook      = 10 * time.Millisecond
+	swimTrialMax  = time.Minute           // bound of each phase of a trial
+	swimSettle    = 3 * time.Second       // before a trial
+	swimPartition = 20 * time.Second      // how long a partition lasts at least
+	swimLook      = 10 * time.Millisecond // between looks at whether a partition has shown
 )
 
 // SWIMTrialResult is the result of one trial over several seeds. Times are in milliseconds; 0 is none.
@@ -47,13 +64,13 @@
 	if !slices.Contains(SWIMTrialNames, trial) {
 		return r, fmt.Errorf("%q is none of %v", trial, SWIMTrialNames)
 	}
-	if o.Members < 3 {
-		return r, fmt.Errorf("%d members; at least 3 are wanted", o.Members)
+	if o.Members < minSWIMMembers {
+		return r, fmt.Errorf("%d members; at least %d are wanted", o.Members, minSWIMMembers)
 	}
 	t := swimTrial{name: trial}
-	o.StartEmpty = trial == "join"
+	o.StartEmpty = trial == swimTrialJoin
 	for i := range repeat {
-		o.Seed += uint64(i) * 7919
+		o.Seed += uint64(i) * swimSeedStep
 		// A fraction of the interval of probes, so that repeats strike at different times of the tickers.
 		t.play(o, swimSettle+o.Probe*time.Duration(i)/time.Duration(repeat))
 	}
@@ -69,26 +86,26 @@
 // play plays the trial once, after a time in which the fleet settles.
 func (t *swimTrial) play(o SWIMOptions, settle time.Duration) {
 	s := NewSWIM(o)
-	if t.name != "join" {
+	if t.name != swimTrialJoin {
 		s.Run(settle, nil)
 	}
 	before, from := s.Count, s.now
 	switch t.name {
-	case "quiet":
+	case swimTrialQuiet:
 		s.Run(swimTrialMax, nil)
-	case "kill":
+	case swimTrialKill:
 		s.Kill(o.Members / 2)
 		t.times = append(t.times, t.converge(s))
-	case "many":
+	case swimTrialMany:
 		var killed []int
 		for member := o.Members / 3; member < o.Members; member++ {
 			killed = append(killed, member)
 		}
 		s.Kill(killed...)
 		t.times = append(t.times, t.converge(s))
-	case "join":
+	case swimTrialJoin:
 		t.times = append(t.times, t.converge(s))
-	case "partition":
+	case swimTrialPartition:
 		t.partition(s)
 	}
 	t.lasted += time.Duration(s.now - from)
@@ -130,6 +147,11 @@
 		return 0, 0
 	}
 	slices.Sort(times)
-	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	return ms(times[len(times)/2]), ms(times[len(times)-1])
+	return milliseconds(times[len(times)/2]), milliseconds(times[len(times)-1])
+}
+
+// milliseconds is a time in ms, to the microsecond.
+func milliseconds(d time.Duration) float64 {
+	const usPerMillisecond = 1000
+	return float64(d.Microseconds()) / usPerMillisecond
 }
--- a/internal/simulation/proxysim/swimview.go
+++ b/internal/simulation/proxysim/swimview.go
@@ -28,7 +28,7 @@
 		if view.status != status {
 			s.nodes[observer].byStatus[view.status]--
 			s.nodes[observer].byStatus[status]++
-			view.status, view.changedAt = status, int32(s.now/1e6)
+			view.status, view.changedAt = status, int32(s.now/nsPerMillisecond)
 			view.shownSuspect = view.shownSuspect && status != SWIMDead
 		}
 		view.incarnation = incarnation
@@ -144,12 +144,21 @@
 	if confirmations < 1 {
 		wait = pending.min
 	}
-	s.add(s.now+wait, swimSuspicion, member, u.subject, pending.generation)
+	s.add(s.now+wait, event{kind: swimSuspicion, target: member, detail: u.subject, stamp: pending.generation})
+	fraction := s.drawAskFraction(known)
+	s.add(s.now+int64(fraction*float64(minWait)),
+		event{kind: swimSuspicionLasts, target: member, detail: u.subject, stamp: uint64(pending.start)})
+}
+
+// drawAskFraction draws when the subject of a lasting suspicion is asked for the first time, as a fraction of
+// the shortest suspicion: from 1 to 3, or in a small fleet from 0.3 to 0.7, as package gossip does. It draws
+// twice for a small fleet; results by seed depend on that.
+func (s *SWIM) drawAskFraction(known int) float64 {
 	fraction := 1 + 2*s.rng.Float64()
 	if known <= swimSmallFleet {
 		fraction = 0.3 + 0.4*s.rng.Float64()
 	}
-	s.add(s.now+int64(fraction*float64(minWait)), swimSuspicionLasts, member, u.subject, uint64(pending.start))
+	return fraction
 }
 
 // confirm adds a further member's suspicion, which shortens the suspicion (Lifeguard).
@@ -168,7 +177,8 @@
 	wait := max(pending.max-int64(fraction*float64(pending.max-pending.min)), pending.min)
 	s.generation++
 	pending.generation = s.generation
-	s.add(pending.start+wait, swimSuspicion, member, u.subject, pending.generation)
+	s.add(pending.start+wait,
+		event{kind: swimSuspicion, target: member, detail: u.subject, stamp: pending.generation})
 	s.enqueue(member, u)
 }
 
--- a/internal/simulation/proxysim/tally.go
+++ b/internal/simulation/proxysim/tally.go
@@ -6,8 +6,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxSeconds bounds the figures by second of arrival; later seconds count as the last.
-const maxSeconds = 100_000
+const (
+	// maxSeconds bounds the figures by second of arrival; later seconds count as the last.
+	maxSeconds = 100_000
+	// The histogram of response times.
+	longestResponse     = time.Hour // longer ones are left out
+	responseSignificant = 3         // decimal digits
+)
 
 // tally sums the figures of a run, over the requests that arrive after the warm-up.
 type tally struct {
@@ -42,7 +47,7 @@
 
 // init makes the tables for the scenario.
 func (t *tally) init(s *Sim) {
-	t.hist = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
+	t.hist = hdrhistogram.New(1, longestResponse.Microseconds(), responseSignificant)
 	seconds := min(int(s.scenario.Duration/time.Second)+1, maxSeconds)
 	t.bySecond, t.bySecondAsked = make([]float64, seconds), make([]float64, seconds)
 	t.class, t.classAsked = make([]float64, len(s.scenario.Classes)), make([]float64, len(s.scenario.Classes))
@@ -63,7 +68,7 @@
 func (t *tally) countArrival(s *Sim, demandIndex int32) {
 	demand := &s.demands[demandIndex]
 	if len(t.quotaTokens) > 0 {
-		passed := float64(s.now-t.quotaTokensAt) / 1e9
+		passed := float64(s.now-t.quotaTokensAt) / nsPerSecond
 		t.quotaTokensAt = s.now
 		for tenantIndex, tenant := range s.scenario.Tenants {
 			t.quotaTokens[tenantIndex] = min(t.quotaTokens[tenantIndex]+passed*tenant.Quota, tenant.Quota)
@@ -85,9 +90,18 @@
 	t.trackInSystem(s, 1)
 	t.valueAsked += demand.value
 	t.classAsked[demand.class] += demand.value
-	t.bySecondAsked[min(int(demand.arrivedAt/1e9), len(t.bySecond)-1)] += demand.value
+	t.bySecondAsked[t.second(demand)] += demand.value
+}
+
+// quantileMS is a percentile of the response times of served requests, in ms.
+func (t *tally) quantileMS(percent float64) float64 {
+	const usPerMillisecond = 1000
+	return float64(t.hist.ValueAtQuantile(percent)) / usPerMillisecond
 }
 
+// second is the position in bySecond of the second in which a demand arrived.
+func (t *tally) second(d *demand) int { return min(int(d.arrivedAt/nsPerSecond), len(t.bySecond)-1) }
+
 // countAttempt counts an attempt, which may cross halls.
 func (t *tally) countAttempt(crossesHalls bool) {
 	t.attempts++
@@ -105,7 +119,7 @@
 	case served:
 		t.served++
 		t.responseSum += float64(took)
-		_ = t.hist.RecordValue(max(took/1000, 1)) // a time beyond the histogram's hour is left out
+		_ = t.hist.RecordValue(max(took/nsPerMicrosecond, 1)) // an error is that of a time beyond longestResponse
 		if target == 0 || took <= target {
 			t.inTime++
 			t.value += ended.value
@@ -113,7 +127,7 @@
 			if len(t.tenant) > 0 {
 				t.tenant[ended.tenant] += ended.value
 			}
-			t.bySecond[min(int(ended.arrivedAt/1e9), len(t.bySecond)-1)] += ended.value
+			t.bySecond[t.second(ended)] += ended.value
 		} else {
 			t.lateValue += ended.value
 		}
--- a/internal/simulation/routersim/baselines.go
+++ b/internal/simulation/routersim/baselines.go
@@ -36,13 +36,16 @@
 	pick     pickFunc
 }
 
+// roundRobinStarts is the number of servers that a round robin may begin with, so that proxies differ.
+const roundRobinStarts = 1000
+
 // newBaseline returns a factory of baselines that pick by one rule.
 func newBaseline(name string, pick pickFunc) PolicyFactory {
 	return PolicyFactory{name, func(_ string, seed uint64) Policy {
 		random := rand.New(rand.NewPCG(seed, baselineStream))
 		return &baseline{
-			random: random, next: random.IntN(1000), reported: map[string]int{}, ownCalls: map[string]int{},
-			pick: pick,
+			random: random, next: random.IntN(roundRobinStarts), pick: pick,
+			reported: map[string]int{}, ownCalls: map[string]int{},
 		}
 	}}
 }
--- a/internal/simulation/routersim/clairvoyant.go
+++ b/internal/simulation/routersim/clairvoyant.go
@@ -42,9 +42,11 @@
 // Update implements Policy.
 func (c *clairvoyant) Update(_ time.Duration, table *catalog.Table) { c.table = table }
 
+// maxDirectTokens is the longest prompt that the bound does not split.
+const maxDirectTokens = 2000
+
 // Split implements Policy; it splits all but short prompts, as the scheduler does.
 func (c *clairvoyant) Split(_ time.Duration, request *scheduler.Request) bool {
-	const maxDirectTokens = 2000
 	return request.PromptTokens > maxDirectTokens
 }
 
@@ -100,7 +102,7 @@
 	if role == scheduler.Serve {
 		factor = decodePrefillFactor
 	}
-	pairs := uncached*float64(cached) + uncached*uncached/2
+	pairs := comparedPairs(uncached, float64(cached))
 	return start + milliseconds(factor*c.engine.prefillMs(uncached, pairs))
 }
 
--- a/internal/simulation/routersim/clock.go
+++ b/internal/simulation/routersim/clock.go
@@ -25,10 +25,10 @@
 
 func (e *events) Pop() any {
 	last := len(*e) - 1
-	x := (*e)[last]
+	removed := (*e)[last]
 	(*e)[last] = event{}
 	*e = (*e)[:last]
-	return x
+	return removed
 }
 
 // clock is virtual time, with the events scheduled in it.
--- a/internal/simulation/routersim/engine.go
+++ b/internal/simulation/routersim/engine.go
@@ -30,6 +30,10 @@
 	return tokens/e.PrefillTokensPerMs + pairs/million*e.MsPerMillionPairs
 }
 
+// comparedPairs returns the number of pairs of tokens that a prefill of so many tokens compares: each with
+// those before it, of which so many were there already.
+func comparedPairs(tokens, before float64) float64 { return tokens*before + tokens*tokens/2 }
+
 // transferMs returns the time of a transfer of the prefix cache of so many tokens within a zone.
 func (e *Engine) transferMs(tokens int) float64 {
 	const bitsPerByte, bitsPerMsAtOneMbps = 8, 1000
--- a/internal/simulation/routersim/fleet.go
+++ b/internal/simulation/routersim/fleet.go
@@ -77,10 +77,14 @@
 	}
 }
 
-// proxySeed returns the seed of a proxy's policy; no two proxies share one in runs of up to 1000 proxies.
-func proxySeed(seed uint64, proxy int) uint64 { return seed*1000 + uint64(proxy) }
+// seedsPerRun is the number of seeds for the proxies of a run.
+const seedsPerRun = 1000
 
-func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
+// proxySeed returns the seed of a proxy's policy; no two proxies share one in runs of up to seedsPerRun
+// proxies.
+func proxySeed(seed uint64, proxy int) uint64 { return seed*seedsPerRun + uint64(proxy) }
+
+func zoneName(number int) string { return fmt.Sprintf("zone-%d", number) }
 
 // addServer starts a server. Number and incarnation make up its id with its role; the number determines its
 // zone.
--- a/internal/simulation/routersim/model_server.go
+++ b/internal/simulation/routersim/model_server.go
@@ -139,7 +139,7 @@
 	for _, j := range s.byUrgency() {
 		tokens := min(j.uncached, chunk-prefilled)
 		before := j.request.PromptTokens - j.uncached
-		pairs += float64(tokens)*float64(before) + float64(tokens)*float64(tokens)/2
+		pairs += comparedPairs(float64(tokens), float64(before))
 		j.started = j.started || tokens > 0
 		j.uncached -= tokens
 		prefilled += tokens
--- a/internal/simulation/routersim/proxy.go
+++ b/internal/simulation/routersim/proxy.go
@@ -7,10 +7,8 @@
 	"cresshub/internal/router/scheduler"
 )
 
-const (
-	maxAttempts       = 2   // servers that a request may be sent to, for each of its roles
-	lateValueFraction = 0.3 // of a request's value that an answer earns after the latency target
-)
+// maxAttempts is how many servers a request may be sent to, for each of its roles.
+const maxAttempts = 2
 
 // proxy takes requests and decides with a policy of its own.
 type proxy struct {
@@ -140,15 +138,7 @@
 		return
 	}
 	x.answered = true
-	took := f.clock.now - x.arrivedAt
-	f.counts.firstTokenTimes = append(f.counts.firstTokenTimes, took)
-	f.counts.Served++
-	if took <= x.kind.LatencyTarget {
-		f.counts.InTime++
-		f.counts.EarnedValue += x.kind.Value
-	} else {
-		f.counts.EarnedValue += lateValueFraction * x.kind.Value
-	}
+	f.counts.addAnswer(x.kind, f.clock.now-x.arrivedAt)
 }
 
 // lastToken takes the end of an answer.
--- a/internal/simulation/routersim/result.go
+++ b/internal/simulation/routersim/result.go
@@ -25,6 +25,21 @@
 	firstTokenTimes []time.Duration // since the request arrived
 }
 
+// lateValueFraction is the fraction of a request's value that an answer earns after the latency target.
+const lateValueFraction = 0.3
+
+// addAnswer counts an answer whose first token came after a time.
+func (c *Counts) addAnswer(kind *Kind, took time.Duration) {
+	c.firstTokenTimes = append(c.firstTokenTimes, took)
+	c.Served++
+	if took <= kind.LatencyTarget {
+		c.InTime++
+		c.EarnedValue += kind.Value
+	} else {
+		c.EarnedValue += lateValueFraction * kind.Value
+	}
+}
+
 // Result is the counts of a policy in a scenario.
 type Result struct {
 	Policy string
--- a/internal/simulation/simnet/network.go
+++ b/internal/simulation/simnet/network.go
@@ -4,8 +4,14 @@
 //
 // It models TCP as far as processes notice it: connections are opened by retransmitted attempts, bytes arrive
 // in order after a delay, lost bytes arrive late or time out, and an end that no longer exists answers with a
-// reset. A host is up or down, a process alive or killed, an end of a connection open, closed or failed. One
-// lock guards the state of a network; all methods are safe for concurrent use.
+// reset. A host is up or down, a process alive or killed, an end of a connection open, closed or failed. It
+// leaves out bandwidth, segments, congestion and half-closed connections: a write arrives as a whole.
+//
+// The clock is that of the bubble, by package time; a network has no goroutines but the timers of its
+// connections. One lock guards its state; all methods are safe for concurrent use.
+//
+// Sources: TCP (RFC 9293), and its user timeout (RFC 5482), which ends connections here as it does in package
+// transport.
 package simnet
 
 import (
@@ -91,10 +97,10 @@
 func (n *Network) SetFault(from, to []string, fault Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, a := range from {
-		for _, b := range to {
-			if a != b {
-				n.faults[direction{a, b}] = fault
+	for _, source := range from {
+		for _, target := range to {
+			if source != target {
+				n.faults[direction{source, target}] = fault
 			}
 		}
 	}
@@ -105,9 +111,9 @@
 func (n *Network) SetDelay(from, to []string, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, a := range from {
-		for _, b := range to {
-			n.delays[direction{a, b}] = delay
+	for _, source := range from {
+		for _, target := range to {
+			n.delays[direction{source, target}] = delay
 		}
 	}
 }
