--- a/internal/proxy/discovery/client_test.go
+++ b/internal/proxy/discovery/client_test.go
@@ -19,7 +19,7 @@
 )
 
 func newClient(address string) *Client {
-	return New(address, time.Second, Limits{WatchTimeout: 3 * time.Second, MaxListBytes: 1 << 20},
+	return New(address, nettest.Patience, Limits{WatchTimeout: nettest.Patience, MaxListBytes: 1 << 20},
 		Names{Zones: []string{"kita", "chuo"}, Kinds: []string{"m1", "m2"}},
 		descriptors.NewBudget(100, 0.6, 0.25), &stats.Set{}, slog.New(slog.DiscardHandler))
 }
--- a/internal/proxy/discovery/watch_test.go
+++ b/internal/proxy/discovery/watch_test.go
@@ -8,12 +8,15 @@
 	"os"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
 
 	"cresshub/internal/connbuffer"
 	"cresshub/internal/http1"
+	"cresshub/internal/simulation/simnet"
+	"cresshub/internal/testbed/connserver"
 	"cresshub/internal/testbed/nettest"
 )
 
@@ -27,12 +30,39 @@
 		`"zone":"kita","type":"m2","group":1,"status":%q,"weight":1,"since_ms":0}]}`, index, whole, name, status)
 }
 
-// scriptedRegistry is a registry whose n-th call, from 0 on, is answered by serve, which gets its target.
-func scriptedRegistry(t *testing.T, serve func(n int, target string, c *connbuffer.Conn)) string {
+// registryCall answers the n-th call, from 0 on, of a registry. It gets the call's target.
+type registryCall func(n int, target string, c *connbuffer.Conn)
+
+// scriptedRegistry is a registry whose calls are answered by serve.
+func scriptedRegistry(t *testing.T, serve registryCall) string {
 	t.Helper()
+	return nettest.Listen(t, serveCalls(serve))
+}
+
+// connector opens the connections of a client.
+type connector func(ctx context.Context, address string) (net.Conn, error)
+
+// simulatedRegistry is scriptedRegistry on a simulated network, for tests whose result depends on time: in a
+// bubble of package synctest no stall of the machine is seen. It returns what connects to it.
+func simulatedRegistry(t *testing.T, serve registryCall) connector {
+	t.Helper()
+	const address = "10.0.0.1:80"
+	network := simnet.New()
+	listener, err := network.Host("10.0.0.1").NewProcess().Listen(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	registry := connserver.Serve(listener, 0, serveCalls(serve))
+	t.Cleanup(func() { registry.Close(false) })
+	proxy := network.Host("10.0.0.2").NewProcess()
+	return func(context.Context, string) (net.Conn, error) { return proxy.Dial(address, time.Second) }
+}
+
+// serveCalls returns what serves one connection after the other, and counts the calls on all of them.
+func serveCalls(serve registryCall) func(c *connbuffer.Conn) {
 	calls := make(chan int, 1)
 	calls <- 0
-	return nettest.Listen(t, func(c *connbuffer.Conn) {
+	return func(c *connbuffer.Conn) {
 		for {
 			q, err := http1.ReadRequest(c.In)
 			if err != nil {
@@ -42,14 +72,27 @@
 			calls <- n + 1
 			serve(n, q.Target, c)
 		}
-	})
+	}
 }
 
 // follow runs a client until the test ends.
 func follow(t *testing.T, address string, l Limits) (*Client, *sink) {
+	t.Helper()
+	return run(t, newClient(address), l)
+}
+
+// followSimulated is follow on a simulated network.
+func followSimulated(t *testing.T, connect connector, l Limits) (*Client, *sink) {
+	t.Helper()
+	c := newClient("registry")
+	c.connect = connect
+	return run(t, c, l)
+}
+
+// run runs a client with limits until the test ends.
+func run(t *testing.T, c *Client, l Limits) (*Client, *sink) {
 	t.Helper()
 	s := &sink{make(chan string, 9), make(chan bool, 9)}
-	c := newClient(address)
 	l.MaxListBytes = 1 << 16
 	c.SetLimits(l)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -105,27 +148,33 @@
 	for name, last := range map[string]string{"between lists": "\n", "in a list": `{"index":9,"endpo`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, s := follow(t, scriptedRegistry(t, func(n int, target string, conn *connbuffer.Conn) {
-				switch {
-				case n == 0:
-					io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service"))+chunk(last))
-					for last != "\n" {
-						if _, err := io.WriteString(conn, chunk(" ")); err != nil {
-							return
-						}
-						time.Sleep(5 * time.Millisecond)
-					}
-				case target == "/registry/instances?watch=1&from=8":
-					io.WriteString(conn, chunked+chunk(document(9, false, "b", "in_service")))
-				default:
-					t.Errorf("call %d: %s", n, target)
+			synctest.Test(t, func(t *testing.T) { checkReopened(t, last) })
+		})
+	}
+}
+
+// checkReopened has a watch time out after a list and the bytes that follow it.
+func checkReopened(t *testing.T, last string) {
+	t.Helper()
+	c, s := followSimulated(t, simulatedRegistry(t, func(n int, target string, conn *connbuffer.Conn) {
+		switch {
+		case n == 0:
+			io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service"))+chunk(last))
+			for last != "\n" {
+				if _, err := io.WriteString(conn, chunk(" ")); err != nil {
+					return
 				}
-			}), Limits{WatchTimeout: 100 * time.Millisecond})
-			c.Follow()
-			if got := <-s.listed + ", " + <-s.listed; got != "true 1, false 1" || len(s.failed) > 0 {
-				t.Errorf("listed %s, told as failed %d times", got, len(s.failed))
+				time.Sleep(5 * time.Millisecond)
 			}
-		})
+		case target == "/registry/instances?watch=1&from=8":
+			io.WriteString(conn, chunked+chunk(document(9, false, "b", "in_service")))
+		default:
+			t.Errorf("call %d: %s", n, target)
+		}
+	}), Limits{WatchTimeout: 100 * time.Millisecond})
+	c.Follow()
+	if got := <-s.listed + ", " + <-s.listed; got != "true 1, false 1" || len(s.failed) > 0 {
+		t.Errorf("listed %s, told as failed %d times", got, len(s.failed))
 	}
 }
 
@@ -136,48 +185,57 @@
 		"refused": func(conn *connbuffer.Conn) {
 			io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
 		},
-		"reset":        func(conn *connbuffer.Conn) { conn.Conn.(*net.TCPConn).SetLinger(0); conn.Close() },
+		"reset": func(conn *connbuffer.Conn) {
+			conn.Conn.(interface{ SetLinger(seconds int) error }).SetLinger(0)
+			conn.Close()
+		},
 		"not answered": func(*connbuffer.Conn) {},
 	} {
 		for _, opened := range []bool{true, false} { // whether the watch that timed out had delivered anything
 			t.Run(fmt.Sprint(name, ", opened ", opened), func(t *testing.T) {
 				t.Parallel()
-				calls, over := make(chan int, 99), make(chan bool)
-				defer close(over)
-				c, s := follow(t, scriptedRegistry(t, func(n int, _ string, conn *connbuffer.Conn) {
-					calls <- n
-					switch {
-					case n == 0 && opened:
-						io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service")))
-					case n == 1:
-						refuse(conn)
-					case n >= 2:
-						io.WriteString(conn, chunked+chunk(document(9, true, "b", "in_service")))
-						<-over
-					}
-				}), Limits{WatchTimeout: 300 * time.Millisecond})
-				c.Follow()
-				lists := 1
-				if opened {
-					lists = 2
-				}
-				for range lists {
-					select {
-					case <-s.listed:
-					case <-s.failed:
-						t.Fatalf("told as failed after %d calls", len(calls))
-					case <-time.After(nettest.Patience):
-						t.Fatalf("nothing more after %d calls", len(calls))
-					}
-				}
-				if len(calls) < 3 {
-					t.Errorf("%d calls", len(calls))
-				}
+				synctest.Test(t, func(t *testing.T) { checkRetriedOnce(t, refuse, opened) })
 			})
 		}
 	}
 }
 
+// checkRetriedOnce refuses the call after a watch that timed out.
+func checkRetriedOnce(t *testing.T, refuse func(conn *connbuffer.Conn), opened bool) {
+	t.Helper()
+	calls, over := make(chan int, 99), make(chan bool)
+	defer close(over)
+	c, s := followSimulated(t, simulatedRegistry(t, func(n int, _ string, conn *connbuffer.Conn) {
+		calls <- n
+		switch {
+		case n == 0 && opened:
+			io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service")))
+		case n == 1:
+			refuse(conn)
+		case n >= 2:
+			io.WriteString(conn, chunked+chunk(document(9, true, "b", "in_service")))
+			<-over
+		}
+	}), Limits{WatchTimeout: 300 * time.Millisecond})
+	c.Follow()
+	lists := 1
+	if opened {
+		lists = 2
+	}
+	for range lists {
+		select {
+		case <-s.listed:
+		case <-s.failed:
+			t.Fatalf("told as failed after %d calls", len(calls))
+		case <-time.After(nettest.Patience):
+			t.Fatalf("nothing more after %d calls", len(calls))
+		}
+	}
+	if len(calls) != 3 {
+		t.Errorf("%d calls", len(calls))
+	}
+}
+
 // Where changes take effect at once, a watch is reopened after a time-out no later than after any other end.
 func TestReopenDelayWhereListsBind(t *testing.T) {
 	for _, c := range []struct{ silence, again, want time.Duration }{
@@ -194,30 +252,25 @@
 // While no connection to the registry comes up, as where a watch timed out because of a partition, calls
 // are made for as long as that takes: they cost the registry nothing, and what was missed takes effect
 // soon after the partition heals.
-func TestReopenDuringPartition(t *testing.T) {
+func TestReopenDuringPartition(t *testing.T) { synctest.Test(t, checkReopenedAfterPartition) }
+
+func checkReopenedAfterPartition(t *testing.T) {
 	const cut = 9 // calls whose connections never open
 	tries := make(chan bool, 99)
-	address := scriptedRegistry(t, func(n int, _ string, conn *connbuffer.Conn) {
+	dial := simulatedRegistry(t, func(n int, _ string, conn *connbuffer.Conn) {
 		if n == 0 {
 			io.WriteString(conn, chunked+chunk(document(8, true, "a", "in_service")))
 			return
 		}
 		io.WriteString(conn, chunked+chunk(document(9, false, "a", "terminating")))
 	})
-	s := &sink{make(chan string, 9), make(chan bool, 9)}
-	c := newClient(address)
-	c.SetLimits(Limits{MaxListBytes: 1 << 16, WatchTimeout: 200 * time.Millisecond})
-	dial := c.connect
-	c.connect = func(ctx context.Context, address string) (net.Conn, error) {
+	connect := func(ctx context.Context, address string) (net.Conn, error) {
 		if tries <- true; len(tries) > 1 && len(tries) <= 1+cut {
 			return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 		}
 		return dial(ctx, address)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan bool)
-	go func() { c.Run(ctx, s, func() {}); close(over) }()
-	defer func() { cancel(); <-over }()
+	c, s := followSimulated(t, connect, Limits{WatchTimeout: 200 * time.Millisecond})
 	c.Follow()
 	for _, want := range []string{"true 1", "false 1"} {
 		select {
