--- a/internal/proxy/daemon/reload_test.go
+++ b/internal/proxy/daemon/reload_test.go
@@ -6,6 +6,7 @@
 	"sync"
 	"syscall"
 	"testing"
+	"time"
 
 	"cresshub/internal/proxy/config"
 )
@@ -14,14 +15,22 @@
 // touch.
 func TestReloadWhileASuccessorJoins(t *testing.T) {
 	t.Setenv("TMPDIR", "")
-	p, err := New(platformConfig(t), io.Discard)
+	// The shutdown lasts for long enough to get one more signal.
+	const shutdown = 3 * time.Second
+	cfg := platformConfig(t)
+	cfg.Shutdown.AcceptFor, cfg.Shutdown.CloseAll = shutdown, shutdown
+	p, err := New(cfg, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	signals, ended, read := make(chan os.Signal), make(chan bool), 0
 	go func() {
 		p.Run(signals, func() (*config.Config, error) {
-			next := platformConfig(t)
+			next, err := loadPlatformConfig()
+			if err != nil {
+				return nil, err
+			}
+			next.Shutdown = cfg.Shutdown
 			next.Log.Level = []string{"error", "warn"}[read%2]
 			read++
 			return next, nil
@@ -46,7 +55,10 @@
 	joins.Wait()
 	signals <- syscall.SIGTERM
 	signals <- syscall.SIGHUP // also while it ends
-	signals <- syscall.SIGTERM
+	select {
+	case signals <- syscall.SIGTERM:
+	case <-ended:
+	}
 	<-ended
 	if read != 21 || p.handover.limitFraction() != 1 {
 		t.Errorf("read %d times; its part of the limits is %v", read, p.handover.limitFraction())
--- a/internal/proxy/daemon/times_test.go
+++ b/internal/proxy/daemon/times_test.go
@@ -11,7 +11,16 @@
 // platformConfig is the configuration that the platform's file gives, with all else by default.
 func platformConfig(t *testing.T) *config.Config {
 	t.Helper()
-	cfg, err := config.Load(config.Input{
+	cfg, err := loadPlatformConfig()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// loadPlatformConfig is platformConfig for other goroutines than the test's.
+func loadPlatformConfig() (*config.Config, error) {
+	return config.Load(config.Input{
 		Environ: func() []string { return []string{"EDGE_CONFIG=x"} },
 		Read: func(string) ([]byte, error) {
 			return []byte(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":{
@@ -19,10 +28,6 @@
 				"grades":[{"name":"a","aim-ms":500,"deadline-ms":1000,"effect":"at_most_once"}]}}`), nil
 		},
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return cfg
 }
 
 // The platform may kill a process once its longest deadline and 0.7 s have passed since SIGTERM, and clients
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -221,7 +221,11 @@
 			defer c.Close()
 		}
 		old.Close()
-		next.(*net.TCPListener).SetDeadline(time.Now().Add(500 * time.Millisecond))
+		limit := testTimeout
+		if !passed { // some never come
+			limit = 500 * time.Millisecond
+		}
+		next.(*net.TCPListener).SetDeadline(time.Now().Add(limit))
 		kept := 0
 		for kept < waiting {
 			c, err := next.Accept()
