--- a/internal/testbed/proxystandin/fleet.go
+++ b/internal/testbed/proxystandin/fleet.go
@@ -39,7 +39,8 @@
 
 	mu      sync.Mutex
 	running map[string]*member
-	started []*Zone // all that were ever started
+	started []*Zone         // all that were ever started
+	ports   []*reservedPort // theirs
 	next    int
 	closed  bool
 }
@@ -109,12 +110,17 @@
 
 // start starts the n-th server and lists it by an entry, of which it completes address and start.
 func (f *Fleet) start(n int, entry Endpoint, speed float64, since time.Time) error {
+	port, err := reservePort()
+	if err != nil {
+		return err
+	}
 	zone, err := StartZone(ZoneOptions{
-		Name: entry.Name, Listen: "127.0.0.1:0", Cores: coresPerServer, Speed: speed, MaxQueued: f.opts.MaxQueued,
+		Name: entry.Name, Listen: port.address, Cores: coresPerServer, Speed: speed, MaxQueued: f.opts.MaxQueued,
 		MaxConnections: 1500, Handshake: 2 * time.Millisecond, Work: f.opts.Work, Spread: 0.3,
 		KeyCacheTTL: 5 * time.Second, CachedKeyCost: 0.5, WarmUp: f.opts.WarmUp, Seed: f.opts.Seed + uint64(n),
 	}, since)
 	if err != nil {
+		port.release()
 		return err
 	}
 	entry.Address = zone.Address()
@@ -125,10 +131,11 @@
 	defer f.mu.Unlock()
 	if f.closed {
 		zone.Close()
+		port.release()
 		return errors.New("the fleet has ended")
 	}
 	f.running[entry.Name] = &member{zone, entry}
-	f.started = append(f.started, zone)
+	f.started, f.ports = append(f.started, zone), append(f.ports, port)
 	f.Discovery.Set(entry)
 	return nil
 }
@@ -250,9 +257,14 @@
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	f.closed = true
+	ports := f.ports
+	f.ports = nil
 	f.mu.Unlock()
 	for _, z := range f.Zones() {
 		z.Close()
 	}
 	f.Discovery.Close()
+	for _, port := range ports {
+		port.release()
+	}
 }
--- a/internal/testbed/proxystandin/fleet_test.go
+++ b/internal/testbed/proxystandin/fleet_test.go
@@ -1,8 +1,11 @@
 package proxystandin
 
 import (
+	"context"
+	"errors"
 	"io"
 	"net"
+	"syscall"
 	"testing"
 	"time"
 
@@ -59,6 +62,37 @@
 	}
 }
 
+// Nobody listens at the address of a server that crashed, and no socket that may not share it gets it, until
+// the fleet has ended.
+func TestAddressOfCrashedServerStaysReserved(t *testing.T) {
+	f, err := StartFleet(FleetOptions{Servers: 1, Halls: []string{"a"}, Work: map[string]time.Duration{}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := f.Zones()[0].Address()
+	f.Crash(f.Names()[0])
+	if _, err := net.Dial("tcp", address); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("dialled it: %v", err)
+	}
+	unshared := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) {
+			if err := syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 0); err != nil {
+				t.Error(err)
+			}
+		})
+	}}
+	if l, err := unshared.Listen(context.Background(), "tcp", address); err == nil {
+		l.Close()
+		t.Error("another socket got it")
+	} else if !errors.Is(err, syscall.EADDRINUSE) {
+		t.Error(err)
+	}
+	f.Close()
+	if len(f.ports) > 0 {
+		t.Errorf("%d ports stay reserved", len(f.ports))
+	}
+}
+
 // An unsafe request counts once among those that ran twice, wherever its runs were.
 func TestRanTwiceCountsEachRequestOnce(t *testing.T) {
 	for _, c := range []struct {
