--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"testing/synctest"
 	"time"
 
 	qt "github.com/frankban/quicktest"
@@ -130,19 +131,21 @@
 // TestReportsOfLostServersAreBounded: a proxy that loses many servers at once is likely to be the one at
 // fault.
 func TestReportsOfLostServersAreBounded(t *testing.T) {
-	c := qt.New(t)
-	agent := newTestAgent(t)
-	now := agent.now()
-	agent.state.update(now, func(d *directory.Directory) {
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		agent := newTestAgent(t)
+		now := agent.now()
+		agent.state.update(now, func(d *directory.Directory) {
+			for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
+				d.Merge(now, directory.Record{Kind: directory.KindServer, ID: id, Sequence: 1, State: directory.Ready,
+					Service: "s"})
+			}
+		})
 		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-			d.Merge(now, directory.Record{Kind: directory.KindServer, ID: id, Sequence: 1, State: directory.Ready,
-				Service: "s"})
+			agent.dataplaneState.reportLost(id, "test")
 		}
+		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
 	})
-	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		agent.dataplaneState.reportLost(id, "test")
-	}
-	c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 6-maxLossReports)
 }
 
 // TestEarlierProcessOfAMachineIsLost marks processes lost that another one at their address has
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	qt "github.com/frankban/quicktest"
@@ -23,36 +24,42 @@
 // TestViewIsAnnouncedToSeedsAndProxiesThatDoNotCall: a member announces the view to its seeds and to the
 // known proxies that do not call, another process to its seeds until these know a view.
 func TestViewIsAnnouncedToSeedsAndProxiesThatDoNotCall(t *testing.T) {
-	c := qt.New(t)
-	agent := newTestAgent(t)
-	seeds := []string{"127.0.0.1:1", "10.0.0.1:1", "10.0.0.2:1"}
-	agent.seedList.Store(&seeds)
-	agent.knownProxies.record(agent.now(), []string{"10.0.0.5", "10.0.0.6", "127.0.0.1"})
-	agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindProxy, ID: "caller", Sequence: 1,
-		State: directory.Ready, Address: "10.0.0.5"}})
-	agent.recordContact("caller")
-	announcer := newViewAnnouncer(agent)
-	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2", "10.0.0.6"})
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		agent := newTestAgent(t)
+		seeds := []string{"127.0.0.1:1", "10.0.0.1:1", "10.0.0.2:1"}
+		agent.seedList.Store(&seeds)
+		agent.knownProxies.record(agent.now(), []string{"10.0.0.5", "10.0.0.6", "127.0.0.1"})
+		agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindProxy, ID: "caller", Sequence: 1,
+			State: directory.Ready, Address: "10.0.0.5"}})
+		agent.recordContact("caller")
+		announcer := newViewAnnouncer(agent)
+		c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2", "10.0.0.6"})
 
-	agent.state.learnView(2, membersAt("10.9.0.1"))
-	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2"})
-	announcer.targets["10.0.0.1"] = &announcementTarget{knowsView: true}
-	c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.2"})
+		agent.state.learnView(2, membersAt("10.9.0.1"))
+		c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2"})
+		announcer.targets["10.0.0.1"] = &announcementTarget{knowsView: true}
+		c.Check(announcer.targetIPs(), qt.DeepEquals, []string{"10.0.0.2"})
+	})
 }
 
 // TestAMemberWithoutAMajorityIsNotFollowed: it may miss what the others acknowledged meanwhile.
 func TestAMemberWithoutAMajorityIsNotFollowed(t *testing.T) {
-	c := qt.New(t)
-	agent := newTestAgent(t)
-	agent.state.setSynced()
-	c.Check(agent.status().ReachesMajority, qt.IsTrue, qt.Commentf("it is the only member"))
-	agent.state.learnView(2, membersAt(agent.settings.IP, "10.9.0.1", "10.9.0.2"))
-	c.Check(agent.status().ReachesMajority, qt.IsFalse)
-	answering := &hub{ip: "10.9.0.2", state: hubState{lastSeen: 1}}
-	agent.hubs.links["10.9.0.2"] = answering
-	c.Check(agent.status().ReachesMajority, qt.IsTrue)
-	answering.state.lastSeen = agent.now() - contactTimeout - 1
-	c.Check(agent.status().ReachesMajority, qt.IsFalse)
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		agent := newTestAgent(t)
+		agent.state.setSynced()
+		c.Check(agent.status().ReachesMajority, qt.IsTrue, qt.Commentf("it is the only member"))
+		agent.state.learnView(2, membersAt(agent.settings.IP, "10.9.0.1", "10.9.0.2"))
+		c.Check(agent.status().ReachesMajority, qt.IsFalse)
+		answering := &hub{ip: "10.9.0.2", state: hubState{lastSeen: 1}}
+		agent.hubs.links["10.9.0.2"] = answering
+		c.Check(agent.status().ReachesMajority, qt.IsTrue)
+		time.Sleep(contactTimeout)
+		c.Check(agent.status().ReachesMajority, qt.IsTrue)
+		time.Sleep(time.Second)
+		c.Check(agent.status().ReachesMajority, qt.IsFalse)
+	})
 }
 
 // TestHeartbeatsAreRejectedWithoutAView: a process that started later and knows no view sends servers to
@@ -70,14 +77,16 @@
 // TestHeartbeatsAreRejectedWithoutAMajority: they are merged here, but a server that was acknowledged would
 // stay with a proxy from which the others receive nothing.
 func TestHeartbeatsAreRejectedWithoutAMajority(t *testing.T) {
-	c := qt.New(t)
-	agent := newTestAgent(t)
-	agent.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
-	c.Check(agent.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
-	c.Check(agent.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it is known here all the same"))
-	agent.hubs.links["10.9.0.1"], agent.hubs.links["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
-		&hub{state: hubState{lastSeen: 1}}
-	c.Check(agent.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		agent := newTestAgent(t)
+		agent.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
+		c.Check(agent.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
+		c.Check(agent.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it is known here all the same"))
+		agent.hubs.links["10.9.0.1"], agent.hubs.links["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
+			&hub{state: hubState{lastSeen: 1}}
+		c.Check(agent.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
+	})
 }
 
 func TestKnownProxiesAreBounded(t *testing.T) {
