--- a/internal/router/transport/link_test.go
+++ b/internal/router/transport/link_test.go
@@ -3,6 +3,7 @@
 import (
 	"net"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	qt "github.com/frankban/quicktest"
@@ -77,14 +78,20 @@
 	qt.Assert(t, err, qt.Equals, ErrNotConnected)
 }
 
-// TestFullQueueClosesTheConnection sends to a side that never reads: the sender is not blocked.
+// TestFullQueueClosesTheConnection sends to a side that never reads: the sender is not blocked. One frame is
+// being written while the others fill the queue.
 func TestFullQueueClosesTheConnection(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	conn := newConn(near, &trafficCounters{})
-	for range queueLength + 2 {
-		conn.Send(peerproto.Frame{Kind: peerproto.KindPing})
-	}
-	qt.Assert(t, conn.Send(peerproto.Frame{Kind: peerproto.KindPing}), qt.IsFalse)
-	<-conn.Closed()
+	synctest.Test(t, func(t *testing.T) {
+		near, far := net.Pipe()
+		defer far.Close()
+		conn := newConn(near, &trafficCounters{})
+		ping := peerproto.Frame{Kind: peerproto.KindPing}
+		qt.Assert(t, conn.Send(ping), qt.IsTrue)
+		synctest.Wait()
+		for range queueLength {
+			qt.Assert(t, conn.Send(ping), qt.IsTrue)
+		}
+		qt.Assert(t, conn.Send(ping), qt.IsFalse)
+		<-conn.Closed()
+	})
 }
