--- a/internal/router/cli/inspection_test.go
+++ b/internal/router/cli/inspection_test.go
@@ -13,6 +13,7 @@
 
 	"cresshub/internal/http1"
 	"cresshub/internal/router/controlserver"
+	"cresshub/internal/testbed/nettest"
 )
 
 // serveDocuments serves a document at each path until the test ends, as a process does, and returns the
@@ -165,10 +166,7 @@
 	c.Assert(code, qt.Equals, 1)
 	c.Assert(problem, qt.Matches, `.* answered 503: not now; ask another process with --control\n`)
 
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	c.Assert(err, qt.IsNil)
-	listener.Close()
-	code, _, problem = run("servers", "--control", listener.Addr().String())
+	code, _, problem = run("servers", "--control", nettest.RefusingAddress(t))
 	c.Assert(code, qt.Equals, 1)
 	c.Assert(problem, qt.Matches, `.*connection refused; check the address, or call another process\n`)
 
