--- a/internal/router/dataplane/pool_test.go
+++ b/internal/router/dataplane/pool_test.go
@@ -63,7 +63,9 @@
 	first, second := getConnection(c, pool, a), getConnection(c, pool, a)
 	pool.put(first, time.Minute)
 	pool.put(second, time.Minute)
+	pool.mu.Lock() // a sweep may read them
 	first.expiresAt, second.expiresAt = time.Now(), time.Now()
+	pool.mu.Unlock()
 	c.Assert(getConnection(c, pool, a).reused, qt.IsFalse) // a place is made for it
 }
 
