--- a/internal/router/dataplane/drain_test.go
+++ b/internal/router/dataplane/drain_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"sync"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	qt "github.com/frankban/quicktest"
@@ -106,7 +107,8 @@
 	_, err := idle.in.ReadByte() // it is closed after a little while, without a request
 	rig.Assert(err, qt.Equals, io.EOF)
 
-	late := rig.dial() // the listener is still there
+	rig.drainLate(-testTimeout) // neither of them is late, however busy the machine is
+	late := rig.dial()          // the listener is still there
 	late.send("POST", "/unsafe/", "c", "")
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
 	rig.eventually("they came", func() bool { return len(server.got()) == 3 })
@@ -130,7 +132,8 @@
 	r.Assert(r.proxy.connectedClients(), qt.HasLen, 0)
 }
 
-// drainLate begins a drain and lets it look as if it had begun that long ago.
+// drainLate begins a drain, unless it has begun, and lets it look as if it had begun that long ago; less than
+// 0 is a moment to come.
 func (r *testRig) drainLate(ago time.Duration) {
 	r.proxy.Drain()
 	r.proxy.mu.Lock()
@@ -199,18 +202,30 @@
 	<-ended
 }
 
+// A request that arrives within the grace of a drain is answered. One that this process, not scheduled for a
+// while, sent later proves nothing: its connection may have been closed.
 func TestRequestsReadInADrainOfAnIdleConnection(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
-	rig := newRig(t, nil, server)
-	client := rig.dial()
-	rig.Assert(client.do("GET", "/safe/", "a", "").Close, qt.IsFalse)
-	rig.proxy.Drain()
-	response := client.do("GET", "/safe/", "b", "")
-	rig.Assert(response.Status, qt.Equals, 200)
-	rig.Assert(response.Close, qt.IsTrue)
-	_, err := client.in.ReadByte()
-	rig.Assert(err, qt.Equals, io.EOF)
-	rig.awaitEmpty()
+	for end, inTime := time.Now().Add(testTimeout), false; !inTime; {
+		rig := newRig(t, nil, server)
+		rig.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("no request is sent in time"))
+		client := rig.dial()
+		rig.Assert(client.do("GET", "/safe/", "a", "").Close, qt.IsFalse)
+		began := time.Now()
+		rig.proxy.Drain()
+		client.post("safe", "b", "")
+		inTime = time.Since(began) < drainIdleGrace
+		response, err := client.read()
+		if inTime {
+			rig.Assert(err, qt.IsNil)
+			rig.Assert(response.Status, qt.Equals, 200)
+			rig.Assert(response.Close, qt.IsTrue)
+			_, err = client.in.ReadByte()
+			rig.Assert(err, qt.Equals, io.EOF)
+		}
+		client.Close()
+		rig.awaitEmpty()
+	}
 }
 
 func TestServerConnectionsAreDividedAmongProxies(t *testing.T) {
@@ -248,13 +263,19 @@
 	})
 }
 
-// The bytes behind the last request that is answered must not take the response with them.
+// The bytes behind the last request that is answered must not take the response with them. They are there
+// when it is answered: a client that sends them later finds that the connection has ended.
 func TestResponseSurvivesWhatFollowsIt(t *testing.T) {
-	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+	sent := make(chan bool)
+	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
+		<-sent
+		return respondOK("x")(req, w)
+	})
 	rig := newRig(t, nil, server)
 	client := rig.dial()
 	client.send("POST", "/unsafe/", "a", "", "Connection: close")
 	client.send("POST", "/unsafe/", "b", strings.Repeat("x", 50_000))
+	close(sent)
 	response, err := client.read()
 	rig.Assert(err, qt.IsNil)
 	rig.Assert(response.Status, qt.Equals, 200)
@@ -331,16 +352,20 @@
 // meanwhile. It sends them all the same: to end the connection would tell the client nothing.
 func TestLateResponsesAreSent(t *testing.T) {
 	rig := newRig(t, nil)
-	near, far := net.Pipe()
-	defer far.Close()
-	late := &client{proxy: rig.proxy, socket: &socket{Conn: near}}
-	req := &request{Request: &http1.Request{Method: "GET"}, tryID: "a", deadline: time.Now().Add(-time.Second)}
-	go func() {
-		defer near.Close()
-		late.socket.SetWriteDeadline(req.writeDeadline())
-		late.sendLocalReply(req, errNoRoute)
-	}()
-	response, err := (&testClient{Conn: far, in: bufio.NewReader(far)}).read()
-	rig.Assert(err, qt.IsNil)
-	rig.Assert(response.Status, qt.Equals, 404)
+	synctest.Test(t, func(t *testing.T) { // the client has little time to read it, minWriteTime
+		c := qt.New(t)
+		near, far := net.Pipe()
+		defer far.Close()
+		late := &client{proxy: rig.proxy, socket: &socket{Conn: near}}
+		req := &request{Request: &http1.Request{Method: "GET"}, tryID: "a",
+			deadline: time.Now().Add(-time.Second)}
+		go func() {
+			defer near.Close()
+			late.socket.SetWriteDeadline(req.writeDeadline())
+			late.sendLocalReply(req, errNoRoute)
+		}()
+		response, err := (&testClient{Conn: far, in: bufio.NewReader(far)}).read()
+		c.Assert(err, qt.IsNil)
+		c.Assert(response.Status, qt.Equals, 404)
+	})
 }
--- a/internal/router/dataplane/malformedrequests_test.go
+++ b/internal/router/dataplane/malformedrequests_test.go
@@ -4,6 +4,7 @@
 	"io"
 	"strings"
 	"testing"
+	"time"
 
 	qt "github.com/frankban/quicktest"
 
@@ -12,15 +13,27 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// shortLimits let a slow client be noticed soon.
-func withShortLimits(t *testing.T) func(*agentsettings.Settings, *fakeState) {
-	t.Helper()
-	return func(_ *agentsettings.Settings, state *fakeState) {
-		config, err := fleetconfig.Parse([]byte(testConfig(
-			`{"envelope_bytes":1000,"contents_bytes":100,"envelope_ms":50,"idle_ms":50}`)))
-		qt.New(t).Assert(err, qt.IsNil)
-		state.config = config
-	}
+// shortTime is so short that a test waits until it is over.
+const shortTime = 50 * time.Millisecond
+
+// limits are the limits of testLimits with other times and sizes.
+func limits(headerTimeout, idleTimeout time.Duration) fleetconfig.Limits {
+	return fleetconfig.Limits{MaxHeaderBytes: 1000, MaxBodyBytes: 100, HeaderTimeout: headerTimeout,
+		IdleTimeout: idleTimeout}
+}
+
+// withLimits is a change for newRig.
+func withLimits(limits fleetconfig.Limits) func(*agentsettings.Settings, *fakeState) {
+	return func(_ *agentsettings.Settings, state *fakeState) { state.config.Limits = limits }
+}
+
+// setLimits changes the limits for what the proxy reads from now on.
+func (r *testRig) setLimits(limits fleetconfig.Limits) {
+	config := *r.state.Config()
+	config.Limits = limits
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
+	r.state.config = &config
 }
 
 func TestMalformedRequestsAreNotForwarded(t *testing.T) {
@@ -45,8 +58,6 @@
 		"length too large":     {begin + "Content-Length: 101\r\n\r\n" + strings.Repeat("x", 101), 413},
 		"chunks too large":     {chunks + chunk(strings.Repeat("x", 101)), 413},
 		"head too large":       {begin + "X: " + strings.Repeat("x", 1000) + "\r\n\r\n", 431},
-		"head too slow":        {begin, 408},
-		"body too slow":        {begin + "Content-Length: 5\r\n\r\nab", 408},
 		"unknown expectation":  {begin + "Expect: wonders\r\n\r\n", 417},
 		"another version":      {"GET /safe/ HTTP/3.0\r\nHost: h\r\n\r\n", 505},
 		"a control character":  {begin + "X: a\x01b\r\n\r\n", 400},
@@ -54,20 +65,62 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
-			rig := newRig(t, withShortLimits(t), server)
+			rig := newRig(t, withLimits(limits(testTimeout, testTimeout)), server)
+			rig.checkRejected(rig.dial(), test.text, test.want)
+			rig.Assert(server.got(), qt.HasLen, 0)
+		})
+	}
+}
+
+// checkRejected checks that a request that can't be read gets that status, and its connection ends.
+func (r *testRig) checkRejected(client *testClient, text string, status int) {
+	r.Helper()
+	io.WriteString(client, text)
+	response, err := client.read()
+	r.Assert(err, qt.IsNil)
+	r.Assert(response.Status, qt.Equals, status)
+	r.Assert(response.Close, qt.IsTrue)
+	_, err = client.in.ReadByte()
+	r.Assert(err, qt.Equals, io.EOF)
+}
+
+// Only the time in which the rest of the request has to come is short: a client that is not scheduled for a
+// while would otherwise be closed as idle before it has sent a byte.
+func TestSlowRequestsAreNotForwarded(t *testing.T) {
+	const begin = "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n"
+	for name, test := range map[string]struct {
+		text   string
+		limits fleetconfig.Limits
+	}{
+		"head too slow": {begin, limits(shortTime, testTimeout)},
+		"body too slow": {begin + "Content-Length: 5\r\n\r\nab", limits(testTimeout, shortTime)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+			rig := newRig(t, nil, server)
 			client := rig.dial()
-			io.WriteString(client, test.text)
-			response, err := client.read()
-			rig.Assert(err, qt.IsNil)
-			rig.Assert(response.Status, qt.Equals, test.want)
-			rig.Assert(response.Close, qt.IsTrue)
-			_, err = client.in.ReadByte()
-			rig.Assert(err, qt.Equals, io.EOF)
+			rig.awaitIdleClient()
+			rig.setLimits(test.limits)
+			rig.checkRejected(client, test.text, 408)
 			rig.Assert(server.got(), qt.HasLen, 0)
 		})
 	}
 }
 
+// awaitIdleClient waits until the only client's request is waited for.
+func (r *testRig) awaitIdleClient() {
+	r.Helper()
+	r.eventually("its request is waited for", func() bool {
+		clients := r.proxy.connectedClients()
+		if len(clients) != 1 {
+			return false
+		}
+		clients[0].mu.Lock()
+		defer clients[0].mu.Unlock()
+		return clients[0].idle
+	})
+}
+
 func TestRequestCutOffByItsClientIsNotForwarded(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, nil, server)
@@ -85,7 +138,7 @@
 }
 
 func TestIdleClientIsClosed(t *testing.T) {
-	rig := newRig(t, withShortLimits(t))
+	rig := newRig(t, withLimits(limits(testTimeout, shortTime)))
 	_, err := rig.dial().in.ReadByte()
 	rig.Assert(err, qt.Equals, io.EOF)
 }
