--- a/internal/cluster/gossip/locks_test.go
+++ b/internal/cluster/gossip/locks_test.go
@@ -151,8 +151,8 @@
 }
 
 // Gossip of a previous incarnation that arrives between the start of the transport and the first join is
-// superseded as well: memberlist refutes it, so that the join shows only the incarnation that a clock which went
-// back gave.
+// superseded as well: memberlist refutes it, so that the join shows only the incarnation that a clock which
+// went back gave.
 func TestPreviousIncarnationInGossipIsSuperseded(t *testing.T) {
 	a := startMember(t, "a")
 	defer a.Close()
