--- a/internal/cluster/gossip/delegates.go
+++ b/internal/cluster/gossip/delegates.go
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// NotifyAlive is called with each message that a member is alive, before memberlist handles it. Gossip of this
-// member's previous incarnation may arrive before its first join: memberlist refutes it, and a join would not
-// show it any more.
+// NotifyAlive is called with each message that a member is alive, before memberlist handles it. Gossip of
+// this member's previous incarnation may arrive before its first join: memberlist refutes it, and a join
+// would not show it any more.
 func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
 	(*Fleet)(d).recordPrevious(peer)
 	return nil
