--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -134,7 +134,6 @@
 	p := startWith(t, neverQueued(config))
 	want, _, _ := sum(&pattern{size: size})
 	var all sync.WaitGroup
-	begun := time.Now()
 	for i := range transfers {
 		all.Go(func() {
 			c := nettest.Dial(t, p.address)
@@ -183,7 +182,6 @@
 		took = append(took, time.Since(asked))
 	}
 	all.Wait()
-	allTook := time.Since(begun)
 	slices.Sort(took)
 	t.Logf("small requests beside them: %v in the median, %v at most", took[25], took[49])
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -193,9 +191,8 @@
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
 	kb, err := strconv.Atoi(strings.Fields(peak)[0])
 	t.Logf("peak of resident memory: %d kB for %d bodies of %d bytes", kb, 2*transfers, size)
-	// The transfers go on side by side, so that one that waited for any of them would take nearly as long.
-	if took[25] > allTook/4 && !raced {
-		t.Errorf("small requests take %v in the median, the transfers %v", took[25], allTook)
+	if took[25] > 500*time.Millisecond && !raced { // a transfer takes longer, so that none waits for one
+		t.Errorf("small requests take %v in the median", took[25])
 	}
 	if err != nil || kb > 64<<10 && !raced { // what the program is told it may have
 		t.Errorf("peak of resident memory: %d kB (%v)", kb, err)
--- a/cmd/cresshub/cli_test.go
+++ b/cmd/cresshub/cli_test.go
@@ -239,15 +239,36 @@
 	Servers                          []struct{ Requests int }
 }
 
-// heldUp reports whether this machine stalled a trial that took so long: its load, which waits for nothing,
-// was late, or the stall lasted until the load's end, or it came after that.
-func (r *trialReport) heldUp(took time.Duration) bool {
+// heldUp reports whether this machine stalled a trial: its load, which waits for nothing, was late, or the
+// stall lasted until the load's end, or this process was stalled too. How long the proxy took is no excuse.
+func (r *trialReport) heldUp(stall time.Duration) bool {
 	const (
-		maxLag     = 250                     // milliseconds
-		minOffered = 0.8                     // of what its rate comes to
-		maxTook    = 4300 * time.Millisecond // with its start and end; 3.8 s is usual
+		maxStall   = 250 * time.Millisecond
+		minOffered = 0.8 // of what its rate comes to
 	)
-	return r.LoadLag > maxLag || float64(r.Offered) < minOffered*r.Rate*r.Seconds || took > maxTook
+	return r.LoadLag > float64(maxStall.Milliseconds()) ||
+		float64(r.Offered) < minOffered*r.Rate*r.Seconds || stall > maxStall
+}
+
+// watchStalls returns what ends the watch and tells the longest time in which this process was not run.
+func watchStalls() (end func() time.Duration) {
+	const interval = 10 * time.Millisecond
+	stop, longest := make(chan struct{}), make(chan time.Duration)
+	go func() {
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
+		worst, last := time.Duration(0), time.Now()
+		for {
+			select {
+			case <-ticker.C:
+				worst, last = max(worst, time.Since(last)-interval), time.Now()
+			case <-stop:
+				longest <- worst
+				return
+			}
+		}
+	}()
+	return func() time.Duration { close(stop); return <-longest }
 }
 
 // tryOnce runs a trial of three seconds.
@@ -269,9 +290,9 @@
 		t.Run(trouble, func(t *testing.T) {
 			t.Parallel()
 			for trial := 1; ; trial++ {
-				began := time.Now()
+				end := watchStalls()
 				r, code, output := tryOnce(t, trouble)
-				took := time.Since(began)
+				stall := end()
 				attempts := 0
 				for _, s := range r.Servers {
 					attempts += s.Requests
@@ -284,10 +305,11 @@
 				if code == 0 && r.Offered >= 10 && r.Served >= r.Offered/2 {
 					return
 				}
-				if !r.heldUp(took) || trial == maxTrials {
-					t.Fatalf("status %d after %v, the load was late by %.0f ms\n%s", code, took, r.LoadLag, output)
+				if !r.heldUp(stall) || trial == maxTrials {
+					t.Fatalf("status %d, stalled for %v, the load was late by %.0f ms\n%s", code, stall, r.LoadLag,
+						output)
 				}
-				t.Logf("repeated: it took %v, the load was late by %.0f ms", took, r.LoadLag)
+				t.Logf("repeated: stalled for %v, the load was late by %.0f ms", stall, r.LoadLag)
 			}
 		})
 	}
--- a/internal/cluster/gossip/locks_test.go
+++ b/internal/cluster/gossip/locks_test.go
@@ -1,8 +1,10 @@
 package gossip
 
 import (
+	"bytes"
 	"log/slog"
 	"net"
+	"strings"
 	"testing"
 	"time"
 
@@ -123,51 +125,63 @@
 	})
 }
 
+// previousNode is what another member has of a member's earlier incarnation, which started by a clock that
+// was ahead.
+func previousNode(t *testing.T, f *Fleet) *memberlist.Node {
+	t.Helper()
+	ip, port, err := splitHostPort(f.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &memberlist.Node{Name: f.opts.Name, Addr: ip, Port: uint16(port),
+		Meta: encodeMeta(membership.Meta{Incarnation: f.meta.Load().Incarnation + 1000})}
+}
+
 // Another process under this member's name, met once a partition heals, is not superseded, whenever it
 // started; a previous incarnation at this member's own address is.
 func TestIncarnationOfDuplicateNameIsNotSuperseded(t *testing.T) {
 	a := startMember(t, "a")
 	defer a.Close()
 	before := a.meta.Load().Incarnation
-	ip, port, err := splitHostPort(a.Address())
-	if err != nil {
-		t.Fatal(err)
-	}
-	mergeWith := func(port int) uint64 {
-		n := &memberlist.Node{Name: "a", Addr: ip, Port: uint16(port),
-			Meta: encodeMeta(membership.Meta{Incarnation: before + 1000})}
+	previous := previousNode(t, a)
+	mergeWith := func(n *memberlist.Node) uint64 {
 		if err := (*delegate)(a).NotifyMerge([]*memberlist.Node{n}); err != nil {
 			t.Fatal(err)
 		}
 		a.supersedePrevious()
 		return a.meta.Load().Incarnation
 	}
-	if got := mergeWith(port ^ 1); got != before {
+	duplicate := *previous
+	duplicate.Port ^= 1
+	if got := mergeWith(&duplicate); got != before {
 		t.Errorf("beside another process of its name the incarnation is %d, was %d", got, before)
 	}
-	if got := mergeWith(port); got != before+1001 {
+	if got := mergeWith(previous); got != before+1001 {
 		t.Errorf("after a previous incarnation here the incarnation is %d, was %d", got, before)
 	}
 }
 
 // Gossip of a previous incarnation that arrives between the start of the transport and the first join is
-// superseded as well: memberlist refutes it, so that the join shows only the incarnation that a clock which
-// went back gave.
-func TestPreviousIncarnationInGossipIsSuperseded(t *testing.T) {
-	a := startMember(t, "a")
-	defer a.Close()
-	before := a.meta.Load().Incarnation
-	ip, port, err := splitHostPort(a.Address())
+// superseded as well, and once: memberlist refutes it, so that the join shows only the incarnation that a
+// clock which went back gave.
+func TestPreviousIncarnationInGossipIsSupersededOnce(t *testing.T) {
+	var log bytes.Buffer
+	a, err := startOne(t, "a", func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	previous := &memberlist.Node{Name: "a", Addr: ip, Port: uint16(port),
-		Meta: encodeMeta(membership.Meta{Incarnation: before + 1000})}
-	if err := a.memberlistConfig().Alive.NotifyAlive(previous); err != nil {
+	before := a.meta.Load().Incarnation
+	if err := a.memberlistConfig().Alive.NotifyAlive(previousNode(t, a)); err != nil {
 		t.Fatal(err)
 	}
-	a.supersedePrevious()
+	for range 3 { // as after later rejoins
+		a.supersedePrevious()
+	}
 	if got := a.meta.Load().Incarnation; got != before+1001 {
 		t.Errorf("after gossip of a previous incarnation the incarnation is %d, was %d", got, before)
 	}
+	a.Close()
+	if n := strings.Count(log.String(), "the wall clock went back"); n != 1 {
+		t.Errorf("the new incarnation was announced %d times", n)
+	}
 }
--- a/internal/cluster/gossip/wire_test.go
+++ b/internal/cluster/gossip/wire_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"bytes"
+	"errors"
 	"log/slog"
 	"net"
 	"net/netip"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -203,8 +205,8 @@
 	label, _ := memberlist.AddLabelHeaderToPacket(nil, "test")
 	bad := [][]byte{[]byte("garbage"), append(bytes.Clone(label), compoundMsg), {244},
 		append(bytes.Clone(label), suspectOf(t)[:9]...)}
-	// As a stream it begins as a probe does, and is handed on up to the bound of one.
 	tooLong := append(bytes.Clone(label), make([]byte, 40_000)...)
+	checkStreamIsCut(t, a.Address(), tooLong)
 	for network, bad := range map[string][][]byte{"udp": append(bad[:len(bad):len(bad)], tooLong), "tcp": bad} {
 		before := a.Snapshot().Counters
 		for _, raw := range bad {
@@ -230,6 +232,22 @@
 	}
 }
 
+// checkStreamIsCut sends a stream that begins as a probe does, which is handed on up to the bound of one: it
+// is closed without a response.
+func checkStreamIsCut(t *testing.T, address string, raw []byte) {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(patience))
+	conn.Write(raw) // fails where the other side has closed
+	if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("a stream that is too long: %d bytes, %v", n, err)
+	}
+}
+
 func TestStartNamesTheBadOption(t *testing.T) {
 	a, err := startOne(t, "a", nil)
 	if err != nil {
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -37,6 +37,19 @@
 func (s *memoryStore) apply(b []byte) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	return s.applyLocked(b)
+}
+
+// applyCountingStale is apply, and returns by how much the count of stale commands rose with this one.
+func (s *memoryStore) applyCountingStale(b []byte) (raw json.RawMessage, counted int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	before := s.machine.View().Stats.Stale
+	raw = s.applyLocked(b)
+	return raw, s.machine.View().Stats.Stale - before
+}
+
+func (s *memoryStore) applyLocked(b []byte) json.RawMessage {
 	s.index++
 	raw, _ := json.Marshal(s.machine.Apply(s.index, b))
 	return raw
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -79,13 +79,13 @@
 		t.Errorf("a sends: %v", err)
 	}
 	stale := &groupstate.ExportDone{Member: "a", Token: old.token, Period: 1}
-	raw := s.apply(stale.Encode())
+	raw, counted := s.applyCountingStale(stale.Encode())
 	var result groupstate.Result
 	if err := json.Unmarshal(raw, &result); err != nil || result.Status != groupstate.StatusStale {
 		t.Errorf("a's command: %s, %v", raw, err)
 	}
-	if s.view().Stats.Stale == 0 {
-		t.Error("a's command was not counted as stale")
+	if counted != 1 {
+		t.Errorf("a's command was counted as stale %d times", counted)
 	}
 }
 
--- a/internal/proxy/ingress/interleaving_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -88,14 +88,13 @@
 
 // askUntilAccepted is nettest.Ask for a request that may be refused: what a stall of this machine delays
 // counts as a queue. A refused request was not sent to any server.
-func askUntilAccepted(t *testing.T, conn *connbuffer.Conn, text string) *http1.Response {
+func askUntilAccepted(t *testing.T, conn *connbuffer.Conn, text string) (response *http1.Response) {
 	t.Helper()
-	for {
-		response := nettest.Ask(t, conn, text)
-		if response.Status != 503 || string(response.Body) != "refused\n" {
-			return response
-		}
-	}
+	nettest.Until(t, "it is accepted", func() bool {
+		response = nettest.Ask(t, conn, text)
+		return response.Status != 503 || string(response.Body) != "refused\n"
+	})
+	return response
 }
 
 // Of two hedged attempts the first response is passed on, once; the other, cancelled or not, is dropped.
@@ -179,7 +178,7 @@
 			if got := nextOutcome(far); got != test.want {
 				t.Error(got)
 			}
-			if took := time.Since(began); took > 15*time.Second { // of a deadline of 30 s
+			if took := time.Since(began); took > 5*time.Second { // of a deadline of 30 s
 				t.Errorf("after %v", took)
 			}
 			if n := len(zone.Received("")); n != len(test.responses) || len(next) > 0 {
--- a/internal/router/dataplane/disconnect_test.go
+++ b/internal/router/dataplane/disconnect_test.go
@@ -117,9 +117,8 @@
 	}
 }
 
-// A client that disconnects while a connection is being opened for it. A disconnect that is noticed after
-// maxDialTimeout, as this process was not scheduled meanwhile, proves nothing: the server is unreachable by
-// then.
+// A client that disconnects while a connection is being opened for it. A disconnect at about maxDialTimeout,
+// as this process was not scheduled meanwhile, proves nothing: the server is unreachable by then.
 func TestClientDisconnectsWhileAServerIsDialled(t *testing.T) {
 	stuck := &fakeServer{Server: &catalog.Server{ID: "i-1", Service: "lookup", State: catalog.Ready}}
 	stuck.Address = fullListener(t)
@@ -130,18 +129,21 @@
 }
 
 // disconnectsWhileDialled has a client disconnect while a connection to a server that accepts none is opened.
-// It checks the outcome, and returns false, where the time to open it was over before.
+// It checks the outcome, and returns false, where the client came to it so late that the time to open the
+// connection was over before.
 func disconnectsWhileDialled(t *testing.T, stuck *fakeServer) bool {
 	t.Helper()
 	other := newFakeServer(t, "i-2", "lookup", "", respondOK("x"))
 	rig := newRig(t, nil, stuck, other)
 	client := rig.dial()
+	began := time.Now()
 	client.send("POST", "/safe/", "a", "")
 	rig.eventually("it is dialled", func() bool { return rig.chooser.begun() > 0 })
 	client.Close()
+	closedAfter := time.Since(began)
 	rig.eventually("the client is removed", func() bool { return len(rig.proxy.connectedClients()) == 0 })
 	rig.awaitCallsEnded()
-	if rig.chooser.outcomes()[0] == scheduler.Unreachable {
+	if rig.chooser.outcomes()[0] == scheduler.Unreachable && closedAfter > maxDialTimeout/2 {
 		return false
 	}
 	rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -201,15 +201,17 @@
 }
 
 // untilReceived sends a request with a short deadline until one has reached a server: on a busy machine its
-// time may be over before, which is answered 503, and it is sent again with twice the time. send returns the
-// status of the response.
+// time may be over before, which is answered 503, and it is sent again with twice the time. A 503 that comes
+// long before the deadline is no excuse, and left to the caller. send returns the status of the response.
 func (r *testRig) untilReceived(deadline time.Duration, servers []*fakeServer,
 	send func(deadline time.Duration) int) {
 	r.Helper()
 	r.eventually("a request reaches a server in its time", func() bool {
+		began := time.Now()
 		status := send(deadline)
+		early := time.Since(began) < deadline/4
 		deadline *= 2
-		return status != 503 || requestsReceived(servers) > 0
+		return status != 503 || early || requestsReceived(servers) > 0
 	})
 }
 
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -113,7 +113,8 @@
 	began := time.Now()
 	response := client.do("POST", "/unsafe/", "a", strings.Repeat("x", 200_000),
 		fmt.Sprintf("%s: %d", deadlineHeader, deadline.Milliseconds()))
-	if time.Since(began) > deadline+late || response.Status == 503 {
+	took := time.Since(began)
+	if took > deadline+late || response.Status == 503 && took > deadline/4 {
 		return false
 	}
 	rig.Assert(response.Status, qt.Equals, 504)
--- a/internal/testbed/clusterrig/ledger_faults_test.go
+++ b/internal/testbed/clusterrig/ledger_faults_test.go
@@ -129,7 +129,7 @@
 		rig.Net.Partition([]string{old.Name}, MemberNames(others))
 		partitionedAt := time.Now()
 		for awaitPage(t, old, "?period=1&tenant=-").Group.Role == "leader" { // until it has stepped down
-			if time.Since(partitionedAt) > patience {
+			if time.Since(partitionedAt) > 5*time.Second {
 				t.Fatal("the partitioned leader still leads")
 			}
 			time.Sleep(pollInterval)
--- a/internal/testbed/routertrial/machine.go
+++ b/internal/testbed/routertrial/machine.go
@@ -14,9 +14,8 @@
 	"cresshub/internal/testbed/routerstandin"
 )
 
-// startTimeout bounds how long a process may take until it listens; no verdict depends on how much of it is
-// used.
-const startTimeout = time.Minute
+// startTimeout bounds how long a process may take until it listens.
+const startTimeout = 15 * time.Second
 
 // Machine is a machine of the fleet: a loopback IP, a folder, and a process of the router.
 type Machine struct {
