--- a/internal/router/agent/server_endpoint.go
+++ b/internal/router/agent/server_endpoint.go
@@ -123,7 +123,7 @@
 		if known != nil && record.Watcher == "" {
 			record.Watcher = known.Watcher
 		}
-		if known == nil || !known.RoutesLike(record) {
+		if known == nil || !known.SameForRouting(record) {
 			d.Merge(now, *record)
 		}
 		offset = d.Offset()
--- a/internal/router/directory/record.go
+++ b/internal/router/directory/record.go
@@ -98,9 +98,9 @@
 // Live reports whether the process is believed to run, or the order is in force.
 func (r *Record) Live() bool { return r.State == Ready || r.State == Draining }
 
-// RoutesLike reports whether two records of a server are the same to the choice of a server: a heartbeat that
+// SameForRouting reports whether two records of a server are the same to the choice of a server: a heartbeat that
 // brings such a record changes nothing and is not merged.
-func (r *Record) RoutesLike(other *Record) bool {
+func (r *Record) SameForRouting(other *Record) bool {
 	return r.State == other.State && r.Service == other.Service && r.Address == other.Address &&
 		r.Zone == other.Zone && r.Role == other.Role && r.Slots == other.Slots && r.Watcher == other.Watcher
 }
