--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -67,7 +67,7 @@
 // this process has stalled. It returns the time.
 func (lc *lockedChooser) lock() time.Duration {
 	lc.mu.Lock()
-	lc.clock.Notice()
+	lc.clock.Sample()
 	if stalls := lc.clock.Stats(); stalls != lc.known {
 		lc.inner.RecordStall(stalls.Total - lc.known.Total)
 		lc.known = stalls
--- a/internal/stallclock/clock.go
+++ b/internal/stallclock/clock.go
@@ -64,24 +64,24 @@
 		case <-done:
 			return
 		case <-tick.C:
-			c.Notice()
+			c.Sample()
 		}
 	}
 }
 
-// Notice notices that the process runs now, and records a stall if it has not for long.
-func (c *Clock) Notice() {
+// Sample notices that the process runs now, and records a stall if it has not for long.
+func (c *Clock) Sample() {
 	if c == nil {
 		return
 	}
-	if length := c.notice(); length > 0 && c.onStall != nil {
+	if length := c.sample(); length > 0 && c.onStall != nil {
 		c.onStall(length)
 	}
 }
 
-// notice is Notice without the call of onStall. It returns the length of the stall that has just ended, 0 for
+// sample is Notice without the call of onStall. It returns the length of the stall that has just ended, 0 for
 // none.
-func (c *Clock) notice() time.Duration {
+func (c *Clock) sample() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -98,7 +98,7 @@
 // Inject records a stall that ends at a moment, for tests alone. All of the time before one that is to come
 // counts as time in which the process did not run, as far as the length goes.
 func (c *Clock) Inject(end time.Time, length time.Duration) {
-	c.Notice()
+	c.Sample()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.record(stall{end: end, length: length})
@@ -119,7 +119,7 @@
 	if c == nil {
 		return 0
 	}
-	c.Notice()
+	c.Sample()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := len(c.stalls) - 1; i >= 0; i-- {
--- a/internal/stallclock/clock_test.go
+++ b/internal/stallclock/clock_test.go
@@ -68,7 +68,7 @@
 		c := New(nil)
 		for range 100 {
 			time.Sleep(95 * time.Millisecond) // nothing runs
-			c.Notice()
+			c.Sample()
 		}
 		if s := c.Stats(); s.Count != 0 {
 			t.Errorf("%+v", s)
@@ -83,7 +83,7 @@
 		started := time.Now()
 		for range 2 * maxStalls {
 			stallFor(time.Second)
-			c.Notice()
+			c.Sample()
 		}
 		if len(c.stalls) != maxStalls || c.Stats().Count != 2*maxStalls {
 			t.Errorf("%d stalls are remembered of %d", len(c.stalls), c.Stats().Count)
@@ -97,7 +97,7 @@
 func TestNilClockNeverStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c *Clock
-		c.Notice()
+		c.Sample()
 		started := time.Now()
 		time.Sleep(time.Minute)
 		if c.RanSince(started) != time.Minute || c.Left(started, time.Minute) != 0 || c.Stats() != (Stats{}) {
@@ -128,7 +128,7 @@
 			stop := running(c)
 			time.Sleep(test.ran)
 			stop()
-			c.Notice()
+			c.Sample()
 			stallFor(test.stall)
 			if got := c.Left(started, timeout); got != test.left {
 				t.Errorf("%s: %v are left, not %v", name, got, test.left)
@@ -155,7 +155,7 @@
 			t.Error("it has a deadline, for which others could set a timer")
 		}
 		stallFor(600 * time.Millisecond)
-		c.Notice()
+		c.Sample()
 		stop := running(c)
 		<-ctx.Done()
 		got := time.Since(started)
