--- a/internal/router/agent/process.go
+++ b/internal/router/agent/process.go
@@ -60,7 +60,7 @@
 // left returns what is left of a timeout that began at from: until this process has run for that long, and
 // for a moment after a stall, in which it takes in what has come.
 func (p *process) left(from, timeout time.Duration) time.Duration {
-	return p.clock.Left(p.started.Add(from), timeout)
+	return p.clock.Remaining(p.started.Add(from), timeout)
 }
 
 // now returns the time on the monotonic clock since the process started.
--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -67,7 +67,7 @@
 func (c *call) dialEndedByStall(err error, started time.Time) bool {
 	clock := c.roundTrip.proxy.clock
 	timedOut := errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded)
-	return timedOut && clock.StalledSince(started) > 0 && clock.Left(started, c.dialTimeout()) > 0
+	return timedOut && clock.StalledSince(started) > 0 && clock.Remaining(started, c.dialTimeout()) > 0
 }
 
 // connectContext ends when the connection counts as failed that is not open yet.
--- a/internal/stallclock/clock.go
+++ b/internal/stallclock/clock.go
@@ -137,10 +137,10 @@
 	return time.Since(from) - c.StalledSince(from)
 }
 
-// Left returns what is left of a timeout that began at from: until this process has run for that long, and
+// Remaining returns what is left of a timeout that began at from: until this process has run for that long, and
 // for intakeTime after a stall. It is not positive once the timeout is over, nor for one that is not
 // positive itself: a deadline in the past is to end a wait.
-func (c *Clock) Left(from time.Time, timeout time.Duration) time.Duration {
+func (c *Clock) Remaining(from time.Time, timeout time.Duration) time.Duration {
 	if timeout <= 0 {
 		return timeout
 	}
--- a/internal/stallclock/clock_test.go
+++ b/internal/stallclock/clock_test.go
@@ -100,7 +100,7 @@
 		c.Sample()
 		started := time.Now()
 		time.Sleep(time.Minute)
-		if c.RanSince(started) != time.Minute || c.Left(started, time.Minute) != 0 || c.Stats() != (Stats{}) {
+		if c.RanSince(started) != time.Minute || c.Remaining(started, time.Minute) != 0 || c.Stats() != (Stats{}) {
 			t.Errorf("ran for %v", c.RanSince(started))
 		}
 		ctx, cancel := c.WithTimeout(t.Context(), time.Second)
@@ -130,13 +130,13 @@
 			stop()
 			c.Sample()
 			stallFor(test.stall)
-			if got := c.Left(started, timeout); got != test.left {
+			if got := c.Remaining(started, timeout); got != test.left {
 				t.Errorf("%s: %v are left, not %v", name, got, test.left)
 			}
 			ended := time.Now()
 			stop = running(c)
 			time.Sleep(intakeTime)
-			if got, want := c.Left(started, timeout), test.left-time.Since(ended); got != want {
+			if got, want := c.Remaining(started, timeout), test.left-time.Since(ended); got != want {
 				t.Errorf("%s: %v are left later, not %v", name, got, want)
 			}
 			stop()
--- a/internal/stallclock/conn.go
+++ b/internal/stallclock/conn.go
@@ -126,7 +126,7 @@
 	if c.woken || c.read.At.IsZero() {
 		return false
 	}
-	left := c.clock.Left(c.read.From, c.read.At.Sub(c.read.From))
+	left := c.clock.Remaining(c.read.From, c.read.At.Sub(c.read.From))
 	// A stall below the threshold is not known: what has come within that time counts, as it may have come
 	// before the deadline. More does not, or a slow sender could go on forever.
 	if left > -threshold && c.hasArrived() {
@@ -142,7 +142,7 @@
 func (c *Conn) extendWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	left := c.write.bound(c.clock.Left(c.write.From, c.write.At.Sub(c.write.From)))
+	left := c.write.bound(c.clock.Remaining(c.write.From, c.write.At.Sub(c.write.From)))
 	c.writeEnded = left <= 0
 	return left > 0 && c.Conn.SetWriteDeadline(time.Now().Add(left)) == nil
 }
@@ -157,7 +157,7 @@
 	if c.writeEnded {
 		d, woken = c.write, false
 	}
-	return !woken && c.clock.Left(d.From, d.At.Sub(d.From)) <= 0
+	return !woken && c.clock.Remaining(d.From, d.At.Sub(d.From)) <= 0
 }
 
 // bound bounds the time that is left by the limit.
--- a/internal/stallclock/timer.go
+++ b/internal/stallclock/timer.go
@@ -46,7 +46,7 @@
 
 // again starts the timer again if time is left, and reports whether the function must not be called now.
 func (t *Timer) again() bool {
-	left := t.clock.Left(t.started, t.timeout)
+	left := t.clock.Remaining(t.started, t.timeout)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if left > 0 && !t.stopped {
