--- a/internal/proxy/ingress/stalls_test.go
+++ b/internal/proxy/ingress/stalls_test.go
@@ -17,7 +17,7 @@
 	for _, stalled := range []bool{false, true} {
 		rig := newRig(t, nil)
 		if stalled {
-			rig.Clock.Inject(time.Now().Add(time.Hour), time.Hour) // from now on
+			rig.Clock.InjectStall(time.Now().Add(time.Hour), time.Hour) // from now on
 		}
 		limits := *rig.limits.Load()
 		limits.HeadTimeout = time.Millisecond
--- a/internal/proxy/upstream/stalls_test.go
+++ b/internal/proxy/upstream/stalls_test.go
@@ -26,7 +26,7 @@
 		go p.clock.Run(done)
 		want := dispatch.TimedOut
 		if stalled {
-			p.clock.Inject(time.Now().Add(time.Hour), time.Hour) // from now on
+			p.clock.InjectStall(time.Now().Add(time.Hour), time.Hour) // from now on
 			want = dispatch.Cancelled
 		}
 		_, ended := startAttempt(p, time.Now().Add(200*time.Millisecond))
@@ -51,7 +51,7 @@
 	})
 	p := newPool(&fakeDirectory{address: address}, time.Hour)
 	p.clock = stallclock.New(nil)
-	p.clock.Inject(time.Now().Add(time.Hour), time.Hour)
+	p.clock.InjectStall(time.Now().Add(time.Hour), time.Hour)
 	limits := *p.limits.Load()
 	limits.Probe = time.Millisecond // less than any server needs to answer here
 	p.SetLimits(limits)
--- a/internal/router/agent/failure_detector_test.go
+++ b/internal/router/agent/failure_detector_test.go
@@ -44,7 +44,7 @@
 		}
 	})
 	for range 20 {
-		agent.clock.Inject(time.Now(), 2*minLoggedStall)
+		agent.clock.InjectStall(time.Now(), 2*minLoggedStall)
 		agent.recordStall(2 * minLoggedStall)
 		agent.failures.markTimedOut(agent.now(), true)
 		agent.failures.check()
@@ -116,7 +116,7 @@
 				return lost
 			}
 			time.Sleep(test.stall)
-			agent.clock.Inject(time.Now(), test.stall)
+			agent.clock.InjectStall(time.Now(), test.stall)
 			time.Sleep(test.lostAt - test.stall - time.Millisecond)
 			c.Check(isLost(), qt.IsFalse, qt.Commentf("%s", test.name))
 			time.Sleep(time.Millisecond)
--- a/internal/router/dataplane/stalls_test.go
+++ b/internal/router/dataplane/stalls_test.go
@@ -17,7 +17,7 @@
 )
 
 // stall has the proxy count all the time from now on as time in which its process did not run.
-func (r *testRig) stall() { r.proxy.clock.Inject(time.Now().Add(time.Hour), time.Hour) }
+func (r *testRig) stall() { r.proxy.clock.InjectStall(time.Now().Add(time.Hour), time.Hour) }
 
 // newUnansweringServer returns a server whose machine does not answer those who connect: the backlog of its
 // listener is full.
@@ -101,7 +101,7 @@
 		call := &call{roundTrip: newRoundTrip(&client{proxy: rig.proxy, socket: socket}, req),
 			conn: &connection{socket: socket}, choice: &scheduler.Call{Server: &catalog.Server{ID: "i-1"}},
 			started: now.Add(-2 * time.Second)}
-		rig.proxy.clock.Inject(now, 1900*time.Millisecond)
+		rig.proxy.clock.InjectStall(now, 1900*time.Millisecond)
 		call.setReadDeadline(call.started, now.Add(-time.Second), req.deadline)
 		if arrived {
 			io.WriteString(far, response)
--- a/internal/simulation/agentsim/machine.go
+++ b/internal/simulation/agentsim/machine.go
@@ -212,7 +212,7 @@
 	}
 	m.fleet.Logf("%s stalls for %v", m.Name, d)
 	thaw := p.network.Freeze()
-	p.node.Clock().Inject(time.Now().Add(d), d)
+	p.node.Clock().InjectStall(time.Now().Add(d), d)
 	time.Sleep(d)
 	thaw()
 }
--- a/internal/stallclock/clock.go
+++ b/internal/stallclock/clock.go
@@ -95,9 +95,9 @@
 	return length
 }
 
-// Inject records a stall that ends at a moment, for tests alone. All of the time before one that is to come
+// InjectStall records a stall that ends at a moment, for tests alone. All of the time before one that is to come
 // counts as time in which the process did not run, as far as the length goes.
-func (c *Clock) Inject(end time.Time, length time.Duration) {
+func (c *Clock) InjectStall(end time.Time, length time.Duration) {
 	c.Sample()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/stallclock/conn_test.go
+++ b/internal/stallclock/conn_test.go
@@ -127,7 +127,7 @@
 		t.Error("the other side counts as timed out")
 	}
 	near.SetReadDeadline(time.Unix(1, 0)) // the same, for those who know the connection as a net.Conn
-	near.clock.Inject(time.Now().Add(time.Minute), time.Minute)
+	near.clock.InjectStall(time.Now().Add(time.Minute), time.Minute)
 	if got, err := readString(near); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
