--- a/internal/router/directory/digest.go
+++ b/internal/router/directory/digest.go
@@ -6,21 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NumRanges is the number of ranges that ids are hashed into.
+// NumRanges is the number of hash ranges that record ids are divided into.
 const NumRanges = 32
 
 const uint64Size = 8 // bytes
 
-// Digest holds the XOR of the hashes of the records of each range, so that it is updated with each change and
-// does not depend on the order of changes. Replicas with equal digests have, but for hash collisions, the
-// same records of processes that have not ended. Ended ones are left out, because each replica expires them
-// at a time of its own.
+// Digest holds, for each range, the XOR of the hashes of its records, so that it can be updated incrementally
+// and does not depend on the order of changes. Barring hash collisions, replicas with equal digests have the
+// same records of processes that have not ended. Ended records are left out, because each replica expires
+// them at a different time.
 type Digest [NumRanges]uint64
 
-// rangeOf returns the range of an id.
+// rangeOf returns the index of the range that an id is hashed into.
 func rangeOf(id string) int { return int(xxhash.Sum64String(id) % NumRanges) }
 
-// toggle adds a record to the digest, or removes one that was added before. The hash is over all fields.
+// toggle adds a record to the digest, or removes one that was added before. Ended records are ignored.
 func (d *Digest) toggle(r *Record) {
 	if r.State == Ended {
 		return
@@ -33,14 +33,14 @@
 	var hash xxhash.Digest
 	hash.Reset()
 	var buffer [uint64Size]byte
-	for _, number := range r.numbers() {
+	for _, number := range r.integerFields() {
 		binary.LittleEndian.PutUint64(buffer[:], uint64(number))
 		hash.Write(buffer[:])
 	}
-	for _, text := range r.texts() {
-		binary.LittleEndian.PutUint64(buffer[:], uint64(len(text)))
-		hash.Write(buffer[:]) // the lengths tell where one text ends and the next begins
-		hash.WriteString(text)
+	for _, value := range r.stringFields() {
+		binary.LittleEndian.PutUint64(buffer[:], uint64(len(value)))
+		hash.Write(buffer[:]) // the length marks where one string ends and the next begins
+		hash.WriteString(value)
 	}
 	return hash.Sum64()
 }
@@ -59,8 +59,8 @@
 	return differing
 }
 
-// InRanges returns the records of some ranges, ended ones included, sorted by id: another replica that merges
-// them has no older record in these ranges. Ranges out of bounds are ignored.
+// InRanges returns the records of the given ranges, ended ones included, sorted by id. A replica that merges
+// them has no older record in these ranges than this one. Indices out of bounds are ignored.
 func (d *Directory) InRanges(ranges []int) []*Record {
 	var wanted [NumRanges]bool
 	for _, index := range ranges {
--- a/internal/router/directory/digest_test.go
+++ b/internal/router/directory/digest_test.go
@@ -8,18 +8,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Each field of a record is in the digest: replicas that differ in any are found to differ, and end with the
-// same record once they have exchanged it, whichever of them begins.
-func TestEachFieldIsInTheDigestAndRepaired(t *testing.T) {
-	plain := Record{Kind: KindServer, ID: "a", Sequence: 1, State: Ready, Watcher: "w"}
+// TestDigestCoversEachFieldAndRepairConverges checks that the digests of two replicas differ if their records
+// differ in any single field, and that both have the same record once they have exchanged it. A field missing
+// from the hash or from the comparison would leave replicas different for good.
+func TestDigestCoversEachFieldAndRepairConverges(t *testing.T) {
+	original := Record{Kind: KindServer, ID: "a", Sequence: 1, State: Ready, Watcher: "w"}
 	fields := reflect.TypeFor[Record]()
 	for i := range fields.NumField() {
 		name := fields.Field(i).Name
 		if name == "ID" {
-			continue // another process
+			continue // a different id is the record of another process
 		}
 		t.Run(name, func(t *testing.T) {
-			changed := plain
+			changed := original
 			switch field := reflect.ValueOf(&changed).Elem().Field(i); field.Kind() {
 			case reflect.String:
 				field.SetString(field.String() + "x")
@@ -27,7 +28,7 @@
 				field.SetInt(field.Int() + 1)
 			}
 			one, other := New(), New()
-			one.Merge(0, plain)
+			one.Merge(0, original)
 			other.Merge(0, changed)
 			qt.Assert(t, one.Digest(), qt.Not(qt.Equals), other.Digest())
 			one.Merge(0, *other.Get("a"))
@@ -38,8 +39,8 @@
 	}
 }
 
-// Of the heartbeats of one sequence that several proxies received, acknowledged or not, all replicas end
-// with the same, in whichever order they learn of them.
+// TestReplicasAgreeOnTheWatcher merges, in many orders, the records that several proxies made of the same
+// heartbeat, one of them unacknowledged: every replica ends with the same watcher.
 func TestReplicasAgreeOnTheWatcher(t *testing.T) {
 	var received []Record
 	for _, watcher := range []string{"", "p1", "p2", "p3"} {
--- a/internal/router/directory/directory.go
+++ b/internal/router/directory/directory.go
@@ -11,17 +11,17 @@
 type entry struct {
 	record     *Record
 	offset     uint64        // of the record's last change in this replica's feed
-	modifiedAt time.Duration // when that change was merged
+	modifiedAt time.Duration // time at which that change was merged
 }
 
-// Directory is one replica. Its offsets, and the times at which records expire, are its own; only the records
-// and the digest are alike in all replicas.
+// Directory is one replica. Only the records and the digest converge with those of other replicas; offsets
+// and the times at which records expire are local to each replica.
 type Directory struct {
 	entries    map[string]*entry        // by id
-	tombstones map[string]time.Duration // by id, when the record expired
+	tombstones map[string]time.Duration // by id, the time at which the record expired
 	offset     uint64                   // of the last change
 	digest     Digest
-	servers    *catalog.Table // the cached result of Servers, nil after a change of a server or an order
+	servers    *catalog.Table // cached result of Servers; nil after a change of a server or an order
 }
 
 // New returns an empty replica.
@@ -29,11 +29,11 @@
 	return &Directory{entries: map[string]*entry{}, tombstones: map[string]time.Duration{}}
 }
 
-// Offset returns the offset of the last change in this replica's feed, 0 if there was none.
+// Offset returns the offset of the last change in this replica's feed, or 0 if nothing has changed yet.
 func (d *Directory) Offset() uint64 { return d.offset }
 
-// Merge merges a record and reports whether it changed this replica. A record that is no newer than the one
-// that is there changes nothing.
+// Merge merges a record and reports whether it changed this replica. A record that does not supersede the
+// existing one of its id changes nothing.
 func (d *Directory) Merge(now time.Duration, record Record) bool {
 	if !d.accepts(&record) {
 		return false
@@ -41,7 +41,7 @@
 	delete(d.tombstones, record.ID)
 	if existing := d.Get(record.ID); existing != nil {
 		invariant.Assert(existing.State != Ended, invariant.EndedStaysEnded,
-			"%s has ended and comes back as %d", record.ID, record.State)
+			"ended record %s is replaced by one in state %d", record.ID, record.State)
 		d.digest.toggle(existing)
 	}
 	d.digest.toggle(&record)
@@ -53,12 +53,12 @@
 	return true
 }
 
-// accepts reports whether a record is news to this replica: it supersedes the one that is there, or there is
-// none. Where one of its id has expired, only a live record is news.
+// accepts reports whether a record would change this replica: it supersedes the existing record of its id, or
+// there is none. If there is a tombstone for the id, only a live record is accepted.
 func (d *Directory) accepts(record *Record) bool {
 	if existing := d.Get(record.ID); existing != nil {
 		return record.supersedes(existing)
 	}
-	_, buried := d.tombstones[record.ID]
-	return !buried || record.Live()
+	_, expired := d.tombstones[record.ID]
+	return !expired || record.Live()
 }
--- a/internal/router/directory/directory_test.go
+++ b/internal/router/directory/directory_test.go
@@ -13,7 +13,7 @@
 		Address: "10.0.0.1:80", Zone: "z"}
 }
 
-// TestMergePrecedence lists which of two records of one incarnation wins.
+// TestMergePrecedence checks which of two records with the same id wins.
 func TestMergePrecedence(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -23,8 +23,8 @@
 		{"a later update wins", server("a", 1, Ready), server("a", 2, Draining), true},
 		{"a late update changes nothing", server("a", 2, Draining), server("a", 1, Ready), false},
 		{"the same update again changes nothing", server("a", 2, Ready), server("a", 2, Ready), false},
-		{"a time-out after an update wins over it", server("a", 2, Ready), server("a", 2, Lost), true},
-		{"an update after a time-out revives", server("a", 2, Lost), server("a", 3, Ready), true},
+		{"a timeout after an update wins over it", server("a", 2, Ready), server("a", 2, Lost), true},
+		{"an update after a timeout revives", server("a", 2, Lost), server("a", 3, Ready), true},
 		{"an end wins over a later update", server("a", 9, Ready), server("a", 0, Ended), true},
 		{"nothing revives what has ended", server("a", 2, Ended), server("a", 9, Ready), false},
 	} {
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestReplicasConverge merges the same records in many orders: all replicas end with equal digests.
+// TestReplicasConverge merges the same records in many orders and expects equal digests each time.
 func TestReplicasConverge(t *testing.T) {
 	var records []Record
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -62,7 +62,7 @@
 	qt.Assert(t, reference.Servers().Service("s"), qt.HasLen, 0)
 }
 
-// TestRepairByRanges brings a replica up to date with no more than the ranges in which the digests differ.
+// TestRepairByRanges brings a replica up to date by merging only the ranges in which the digests differ.
 func TestRepairByRanges(t *testing.T) {
 	newer, older := New(), New()
 	for i := range 200 {
@@ -81,7 +81,7 @@
 	qt.Assert(t, older.Servers().Service("s"), qt.HasLen, 198)
 }
 
-// TestSinceReturnsChangesAfterAnOffset follows a replica from several offsets on.
+// TestSinceReturnsChangesAfterAnOffset reads the changes of a replica from several offsets.
 func TestSinceReturnsChangesAfterAnOffset(t *testing.T) {
 	d := New()
 	d.Merge(0, server("a", 1, Ready))
@@ -96,7 +96,8 @@
 	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1)
 }
 
-// TestEndedRecordsExpire retains ended records for EndedTTL, in case of late updates, and no longer.
+// TestEndedRecordsExpire checks that ended records are retained for EndedTTL, so that late updates are
+// rejected, and are removed afterwards.
 func TestEndedRecordsExpire(t *testing.T) {
 	d := New()
 	d.Merge(0, server("a", 1, Ended))
@@ -106,7 +107,8 @@
 	qt.Assert(t, d.Get("a"), qt.IsNil)
 }
 
-// TestServersChangingRoleAreNotListed leaves a server out from the order on until it has the role.
+// TestServersChangingRoleAreNotListed checks that a server is left out of Servers from the moment it is
+// ordered to change its role until it has the new role, and that an order that is over has no effect.
 func TestServersChangingRoleAreNotListed(t *testing.T) {
 	d := New()
 	decoding := server("a", 1, Ready)
@@ -124,11 +126,11 @@
 	qt.Assert(t, d.Orders(), qt.HasLen, 0)
 	decoding.Role, decoding.Sequence = "writing", 3
 	d.Merge(0, decoding)
-	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("an order that is over changes nothing"))
+	qt.Assert(t, d.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("an order that is over has no effect"))
 }
 
-// TestExpiredRecordsAreNotMergedBack: a replica in which a record expires a little earlier than in another
-// one does not merge it back, unless the process is heard from again.
+// TestExpiredRecordsAreNotMergedBack: replicas expire the same record at slightly different times. The one
+// that expired it first must not merge it back from another, unless the process has sent a new update.
 func TestExpiredRecordsAreNotMergedBack(t *testing.T) {
 	c := qt.New(t)
 	early, late := New(), New()
@@ -143,11 +145,11 @@
 	c.Assert(early.Merge(LostTTL+3*time.Second, server("a", 2, Ready)), qt.IsTrue)
 	early.Expire(2 * LostTTL)
 	late.Expire(2 * LostTTL)
-	c.Assert(late.tombstones, qt.HasLen, 0, qt.Commentf("tombstones expire, too"))
+	c.Assert(late.tombstones, qt.HasLen, 0, qt.Commentf("tombstones expire as well"))
 }
 
-// TestWatchedRecordSupersedesUnwatched: of two proxies that received the same heartbeat, the record of the
-// one that acknowledged it wins.
+// TestWatchedRecordSupersedesUnwatched: if two proxies received the same heartbeat, the record from the one
+// that acknowledged it wins.
 func TestWatchedRecordSupersedesUnwatched(t *testing.T) {
 	c := qt.New(t)
 	unwatched, watched := server("a", 1, Ready), server("a", 1, Ready)
--- a/internal/router/directory/expiry.go
+++ b/internal/router/directory/expiry.go
@@ -7,28 +7,28 @@
 	EndedTTL = 2 * time.Minute
 	// LostTTL is how long the record of a process that has timed out is retained.
 	LostTTL = 10 * time.Minute
-	// tombstoneTTL is how long the id of an expired record is retained. It must exceed the time between the
-	// expiries of one record at two replicas.
+	// tombstoneTTL is how long the tombstone of an expired record is retained. It must exceed the difference
+	// between the times at which two replicas expire the same record.
 	tombstoneTTL = 2 * time.Minute
 )
 
-// Expire removes the records of processes that ended or were lost long ago, and old tombstones. It bounds a
-// replica by the processes that run and those that went within LostTTL.
+// Expire removes the records of processes that ended or were lost long ago, and old tombstones. It bounds the
+// size of a replica by the number of processes that run or went away within LostTTL.
 func (d *Directory) Expire(now time.Duration) {
 	for id, existing := range d.entries {
 		if d.expired(now, existing) {
-			d.bury(now, id, existing)
+			d.replaceWithTombstone(now, id, existing)
 		}
 	}
-	for id, buriedAt := range d.tombstones {
-		if now-buriedAt > tombstoneTTL {
+	for id, expiredAt := range d.tombstones {
+		if now-expiredAt > tombstoneTTL {
 			delete(d.tombstones, id)
 		}
 	}
 }
 
-// expired reports whether a record is to be removed. That of an order is retained as long as the server's,
-// because the next order to it takes the next sequence number.
+// expired reports whether a record is to be removed. The record of an order is retained as long as that of
+// its server, because the next order to the server takes the next sequence number.
 func (d *Directory) expired(now time.Duration, existing *entry) bool {
 	record, age := existing.record, now-existing.modifiedAt
 	switch {
@@ -42,8 +42,8 @@
 	return true
 }
 
-// bury replaces an expired record by a tombstone.
-func (d *Directory) bury(now time.Duration, id string, expired *entry) {
+// replaceWithTombstone replaces an expired record with a tombstone.
+func (d *Directory) replaceWithTombstone(now time.Duration, id string, expired *entry) {
 	d.digest.toggle(expired.record)
 	delete(d.entries, id)
 	d.tombstones[id] = now
--- a/internal/router/directory/main_test.go
+++ b/internal/router/directory/main_test.go
@@ -7,7 +7,7 @@
 	"cresshub/internal/invariant"
 )
 
-// TestMain makes a violated invariant fail the tests.
+// TestMain makes a violated invariant panic, so that it fails the test.
 func TestMain(m *testing.M) {
 	invariant.PanicOnViolation()
 	os.Exit(m.Run())
--- a/internal/router/directory/queries.go
+++ b/internal/router/directory/queries.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// Get returns the record of an id, nil if there is none.
+// Get returns the record with an id, or nil if there is none.
 func (d *Directory) Get(id string) *Record {
 	if existing := d.entries[id]; existing != nil {
 		return existing.record
@@ -16,7 +16,8 @@
 	return nil
 }
 
-// ModifiedAt returns when the record of an id was last changed in this replica, false if there is none.
+// ModifiedAt returns when the record with an id was last changed in this replica; ok is false if there is
+// none.
 func (d *Directory) ModifiedAt(id string) (at time.Duration, ok bool) {
 	existing := d.entries[id]
 	if existing == nil {
@@ -25,8 +26,8 @@
 	return existing.modifiedAt, true
 }
 
-// Since returns the records that changed after an offset of this replica's feed, in the order of their last
-// changes. Since(0) is a snapshot.
+// Since returns the records that changed after an offset of this replica's feed, ordered by their last
+// change. Since(0) returns a snapshot.
 func (d *Directory) Since(offset uint64) []*Record {
 	if offset >= d.offset {
 		return nil
@@ -45,8 +46,8 @@
 	return records
 }
 
-// Servers returns the servers that may get new requests: those that are ready and under no order to take
-// another role. The table is cached until a server or an order changes.
+// Servers returns the servers that may receive new requests: those that are ready and have no pending order
+// to change their role. The table is cached until a server or an order changes.
 func (d *Directory) Servers() *catalog.Table {
 	if d.servers != nil {
 		return d.servers
@@ -62,7 +63,7 @@
 	return d.servers
 }
 
-// ChangingRole reports whether an order is in force that gives a server another role than it has.
+// ChangingRole reports whether an order in force gives a server a different role than its current one.
 func (d *Directory) ChangingRole(server *Record) bool {
 	order := d.Get(OrderID(server.ID))
 	return order != nil && order.State == Ready && order.Role != server.Role
@@ -88,7 +89,7 @@
 	return d.filter(func(r *Record) bool { return r.Kind == KindServer && r.Live() })
 }
 
-// filter returns the records that keep accepts, sorted by id.
+// filter returns the records for which keep returns true, sorted by id.
 func (d *Directory) filter(keep func(*Record) bool) []*Record {
 	var records []*Record
 	for _, e := range d.entries {
