--- a/internal/router/peerproto/doc.go
+++ b/internal/router/peerproto/doc.go
@@ -1,21 +1,24 @@
-// Package peerproto is the protocol between the processes of the fleet: frames of a length, a kind, a call
-// number and a body (frame.go), which is a message in Avro's binary encoding (codec.go). schemas.avsc has the
-// schemas; the messages' Avro tags hold the encoded names, some of which are older than the Go names.
+// Package peerproto defines the protocol between the processes of the fleet. A frame consists of a length, a
+// kind, a call id and a body (frame.go); the body is a message in Avro's binary encoding (codec.go).
+// schemas.avsc has the schemas. The Avro tags of the messages hold the encoded names, some of which are older
+// than the Go names.
 //
-// Frames carry neither a schema nor a version: processes of two releases understand each other as far as
-// their schemas are the same. The golden files under testdata hold a frame of each kind.
+// Frames carry neither a schema nor a version: two releases are compatible only for the messages whose
+// schemas are the same in both. The golden files under testdata hold a frame of each kind.
 //
-// A connection begins with a Hello. Then either side sends frames of these groups, whose messages stand in
-// files of their own:
+// A connection begins with a Hello. After that, either side sends frames of the following groups. Each group
+// has its messages in a file of its own:
 //
-//   - status_messages.go, state of the sender: Ping with Demands and Pong with Status, Announce with Status;
-//   - directory_messages.go, the directory (package directory): Upsert and Follow, which a hub answers with
-//     Feed, and Compare;
+//   - status_messages.go, state of the sender: Ping with Demands, Pong with Status, and Announce with Status;
+//   - directory_messages.go, replication of the directory (package directory): Upsert; Follow, which a hub
+//     answers with Feed; and Compare;
 //   - load_messages.go, load of servers: LoadReport to and from a hub, HubLoadReport between hubs;
 //   - config_messages.go, the configuration: Propose, Patch, Read and ConfigFetch, answered by Result;
-//   - chain_message.go, messages of package chain, which are answered by messages of their own.
+//   - chain_message.go, messages of package chain. They are not answered by a frame of the same call, but by
+//     chain messages of their own.
 //
-// A configuration that is sent to many processes is packed, or the patches that lead to it are (packed.go).
+// A configuration that is sent to many processes is packed (packed.go), and so are patches that are sent in
+// its place.
 //
-// The package has no state, and its functions may be called by any goroutine.
+// The package has no state, and its functions may be called from any goroutine.
 package peerproto
--- a/internal/router/peerproto/frame_test.go
+++ b/internal/router/peerproto/frame_test.go
@@ -10,7 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestTruncatedFramesAreRejected reads a complete frame, and never takes a truncated one for a complete one.
+// TestTruncatedFramesAreRejected reads a complete frame, and checks that no truncation of it passes as a
+// complete frame.
 func TestTruncatedFramesAreRejected(t *testing.T) {
 	for _, size := range []int{0, 1, 100, 64<<10 + 1} {
 		frame := Frame{KindUpsert, 42, bytes.Repeat([]byte("x"), size)}
@@ -26,11 +27,12 @@
 		}
 	}
 	_, err := ReadFrame(bufio.NewReader(bytes.NewReader(bytes.Repeat([]byte{0xff}, 64))))
-	qt.Assert(t, err, qt.ErrorMatches, "a frame of .* is beyond .*")
+	qt.Assert(t, err, qt.ErrorMatches, "frame body of .* exceeds the limit of .*")
 }
 
-// TestFrameThatIsTooLongIsNotWritten writes nothing of a frame for which the other side would close.
-func TestFrameThatIsTooLongIsNotWritten(t *testing.T) {
+// TestOversizedFrameIsNotWritten checks that nothing is written of a frame that is too long, because the peer
+// would close the connection.
+func TestOversizedFrameIsNotWritten(t *testing.T) {
 	var buffer bytes.Buffer
 	err := WriteFrame(bufio.NewWriter(&buffer), Frame{Kind: KindUpsert, Body: make([]byte, MaxBody+1)})
 	var tooLong *FrameTooLongError
--- a/internal/router/peerproto/golden_test.go
+++ b/internal/router/peerproto/golden_test.go
@@ -14,9 +14,9 @@
 	"cresshub/internal/router/directory"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// checkGolden compares what was written with a golden file byte for byte.
+// checkGolden compares the written bytes with a golden file, or rewrites the file under -update.
 func checkGolden(t *testing.T, name string, written []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -29,7 +29,7 @@
 	qt.Assert(t, written, qt.DeepEquals, golden, qt.Commentf("%s", name))
 }
 
-// readGolden returns what a golden file holds.
+// readGolden returns the contents of a golden file.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	golden, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -37,7 +37,7 @@
 	return golden
 }
 
-// goldenRecords are one record of each kind, and all states.
+// goldenRecords returns records that cover each kind and each state.
 func goldenRecords() []directory.Record {
 	return []directory.Record{
 		{Kind: directory.KindServer, ID: "server-1", Sequence: 7, State: directory.Ready, Watcher: "proxy-1",
@@ -64,7 +64,7 @@
 		ReachesMajority: true}
 }
 
-func goldenWork(server string) *LoadReport {
+func goldenLoadReport(server string) *LoadReport {
 	return &LoadReport{Full: true, Servers: []ServerLoad{{Server: server, PrefillMs: 250, Calls: 3},
 		{Server: "server-2", PrefillMs: 1, Calls: 70}}, FullIndex: true,
 		Prefixes: []ServerPrefixes{{Server: server, Hashes: []int64{-1 << 63, -3, 1<<63 - 1}},
@@ -84,7 +84,7 @@
 		History: []PastEntry{{Version: 13, Digest: []byte("past-1")}, {Version: 14, Digest: []byte("past-2")}}}
 }
 
-// goldenFrame is one kind of frame in its file; message is nil where the body is empty.
+// goldenFrame is the expected content of one golden file; message is nil if the body is empty.
 type goldenFrame struct {
 	file    string
 	kind    Kind
@@ -120,15 +120,15 @@
 		{"chain.bin", KindChain, 0, goldenChainMessage()},
 		{"done.bin", KindAck, 2, nil},
 		{"config_fetch.bin", KindConfigFetch, 1<<64 - 1, nil},
-		{"work.bin", KindLoadReport, 0, goldenWork("server-1")},
-		{"hub_work.bin", KindHubLoadReport, 0, goldenWork("server-3")},
+		{"work.bin", KindLoadReport, 0, goldenLoadReport("server-1")},
+		{"hub_work.bin", KindHubLoadReport, 0, goldenLoadReport("server-3")},
 		{"introduce.bin", KindAnnounce, 8, goldenStatus("proxy-3")},
 		{"patch.bin", KindPatch, 9, &Proposal{Expected: 13, Version: 14, Body: []byte(`{"edition":14}`)}},
 	}
 }
 
-// TestGoldenFramesAreReadAndWrittenByteForByte holds the files of an earlier release to be read as the values
-// below, and these to be written as the files.
+// TestGoldenFramesAreReadAndWrittenByteForByte guards compatibility with earlier releases: each golden file
+// must decode to the value in goldenFrames, and that value must encode to the bytes of the file.
 func TestGoldenFramesAreReadAndWrittenByteForByte(t *testing.T) {
 	covered := map[Kind]bool{}
 	for _, golden := range goldenFrames() {
@@ -165,7 +165,8 @@
 	}
 }
 
-// unsetField returns a field that has its zero value, "" for none, so that a new field gets its golden value.
+// unsetField returns the path of a field that has its zero value, "" if there is none, so that the test fails
+// until a new field is given a value in the golden files.
 func unsetField(v reflect.Value, name string) string {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -192,8 +193,9 @@
 	return ""
 }
 
-// TestGoldenPackedConfigurationsAreReadAndWrittenByteForByte: the bytes also depend on compress/flate. Where
-// a new release of Go deflates in another way, only the writing fails, and the files may be written anew.
+// TestGoldenPackedConfigurationsAreReadAndWrittenByteForByte does the same for packed documents and patches.
+// Their bytes also depend on compress/flate: if a new release of Go compresses differently, only the
+// comparison of the written bytes fails, and the files may be rewritten.
 func TestGoldenPackedConfigurationsAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	document := bytes.Repeat([]byte(`{"edition":1,"routes":[{"name":"r","town":"a.example"}]}`), 40)
@@ -208,9 +210,9 @@
 	c.Assert(unsetField(reflect.ValueOf(patches).Elem(), "patches"), qt.Equals, "")
 	checkGolden(t, "patches.bin", Encode(patches))
 	checkGolden(t, "packed_patches.bin", PackPatches(patches))
-	plain := &Patches{}
-	c.Assert(Decode(readGolden(t, "patches.bin"), plain), qt.IsNil)
-	c.Assert(plain, qt.DeepEquals, patches)
+	decoded := &Patches{}
+	c.Assert(Decode(readGolden(t, "patches.bin"), decoded), qt.IsNil)
+	c.Assert(decoded, qt.DeepEquals, patches)
 	c.Assert(ArePatches(readGolden(t, "packed_patches.bin")), qt.IsTrue)
 	unpacked, err := UnpackPatches(readGolden(t, "packed_patches.bin"))
 	c.Assert(err, qt.IsNil)
--- a/internal/router/peerproto/messages_test.go
+++ b/internal/router/peerproto/messages_test.go
@@ -56,14 +56,14 @@
 	}
 }
 
-// messages returns one of each kind of message.
+// messages returns an empty message of each type.
 func messages() []Message {
 	return []Message{&Hello{}, &Records{}, &Status{}, &Demands{}, &LoadReport{}, &Follow{}, &Feed{},
 		&Comparison{}, &Proposal{}, &ChainMessage{}, &Result{}, &Patches{}}
 }
 
-// TestHugeCountsAreRejected decodes few bytes that announce lists of any length, as those of a process with
-// another schema may look. Making room for what is announced would end the process.
+// TestHugeCountsAreRejected decodes short bodies that announce very long or negative list lengths, as bytes
+// from a process with another schema can do. Allocating the announced length would crash the process.
 func TestHugeCountsAreRejected(t *testing.T) {
 	for _, count := range []int64{1 << 20, 1 << 40, -1 << 40, math.MinInt64, math.MaxInt64} {
 		announced := binary.AppendVarint(nil, count)
@@ -78,11 +78,11 @@
 	}
 }
 
-// exceedsMaxBody reports whether a message takes more memory than the longest body does.
+// exceedsMaxBody reports whether the encoding of a message is longer than MaxBody.
 func exceedsMaxBody(message Message) bool { return len(Encode(message)) > MaxBody }
 
-// FuzzDecode decodes any bytes as a message of each kind: they are a message or rejected, and never end the
-// process.
+// FuzzDecode decodes arbitrary bytes as a message of each type: they must decode or be rejected, and never
+// cause a panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(&Records{[]directory.Record{record}}))
 	members := []MemberInfo{{"m", "10.0.0.1"}}
--- a/internal/router/peerproto/packed.go
+++ b/internal/router/peerproto/packed.go
@@ -10,15 +10,16 @@
 )
 
 // errCorruptPacked means that a packed document can't be unpacked.
-var errCorruptPacked = errors.New("a packed document is damaged; the connection has to begin anew")
+var errCorruptPacked = errors.New("packed document is corrupt; the connection must be reopened")
 
-// Pack compresses a document that is sent to many processes: the result is its length as a uvarint, and its
-// bytes by DEFLATE (RFC 1951) at the fastest level, which needs the least memory.
+// Pack compresses a document that is sent to many processes. The result is the document's length as a
+// uvarint, followed by its bytes compressed with DEFLATE (RFC 1951) at the fastest level, which needs the
+// least memory.
 func Pack(document []byte) []byte {
 	var packed bytes.Buffer
 	packed.Write(binary.AppendUvarint(nil, uint64(len(document))))
 	if err := deflate(&packed, document); err != nil {
-		panic("peerproto: " + err.Error()) // the level is valid, and a buffer takes all
+		panic("peerproto: " + err.Error()) // can't happen: the level is valid, and a buffer accepts all writes
 	}
 	return packed.Bytes()
 }
@@ -35,7 +36,7 @@
 	return w.Close()
 }
 
-// Unpack is the inverse of Pack. It fails where packed is corrupt or announces more than MaxBody bytes.
+// Unpack is the inverse of Pack. It fails if packed is corrupt or announces more than MaxBody bytes.
 func Unpack(packed []byte) ([]byte, error) {
 	length, size := binary.Uvarint(packed)
 	if size <= 0 || length > MaxBody {
@@ -52,17 +53,18 @@
 	return document, nil
 }
 
-// atEnd reports whether a reader has no more bytes and no error but its end.
+// atEnd reports whether a reader is at io.EOF, without further bytes or another error.
 func atEnd(r io.Reader) bool {
 	var next [1]byte
 	read, err := io.ReadFull(r, next[:])
 	return read == 0 && errors.Is(err, io.EOF)
 }
 
-// patchesPrefix stands before packed patches. A packed document begins with its length, which is never 0.
+// patchesPrefix precedes packed patches. It marks them, because a packed document begins with its length,
+// which is never 0.
 const patchesPrefix = 0
 
-// PackPatches packs patches, which are sent in place of a packed document.
+// PackPatches packs patches that are sent in place of a packed document.
 func PackPatches(patches *Patches) []byte {
 	return append([]byte{patchesPrefix}, Pack(Encode(patches))...)
 }
@@ -70,7 +72,7 @@
 // ArePatches reports whether packed is the result of PackPatches.
 func ArePatches(packed []byte) bool { return len(packed) > 0 && packed[0] == patchesPrefix }
 
-// UnpackPatches is the inverse of PackPatches. It fails where packed is corrupt or holds no patches.
+// UnpackPatches is the inverse of PackPatches. It fails if packed is corrupt or does not hold patches.
 func UnpackPatches(packed []byte) (*Patches, error) {
 	if !ArePatches(packed) {
 		return nil, errCorruptPacked
--- a/internal/router/peerproto/schemas.go
+++ b/internal/router/peerproto/schemas.go
@@ -9,10 +9,10 @@
 //go:embed schemas.avsc
 var schemasSource string
 
-// schemas are the record schemas of schemas.avsc by name.
+// schemas holds the record schemas of schemas.avsc by name.
 var schemas = parseSchemas()
 
-// parseSchemas reads the embedded schemas; it panics if they are invalid, which the tests would show.
+// parseSchemas parses the embedded schemas. It panics if they are invalid, which the tests would reveal.
 func parseSchemas() map[string]avro.Schema {
 	byName := map[string]avro.Schema{}
 	for _, schema := range avro.MustParse(schemasSource).(*avro.UnionSchema).Types() {
