--- a/internal/router/transport/call_once.go
+++ b/internal/router/transport/call_once.go
@@ -7,12 +7,12 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// singleCallID is the id of the only call of its connection.
+// singleCallID is the id of the only call on a connection that CallOnce opens.
 const singleCallID = 1
 
-// CallOnce makes one call over a connection of its own, and returns the answer. It is for processes that are
-// called too seldom to keep a link to them. The timeout is for all of it; the errors are those of the
-// network.
+// CallOnce makes one call over a dedicated connection and returns the answer. It is meant for processes that
+// are called too rarely to keep a Link to them. The timeout covers connecting and the call. Errors are those
+// of the network or of peerproto.WriteFrame and peerproto.ReadFrame.
 func (e *Endpoint) CallOnce(address string, hello []byte, kind peerproto.Kind, body []byte,
 	timeout time.Duration) (peerproto.Frame, error) {
 	deadline := time.Now().Add(timeout)
--- a/internal/router/transport/conn.go
+++ b/internal/router/transport/conn.go
@@ -11,20 +11,20 @@
 
 const (
 	queueLength  = 128             // frames that may wait to be sent on a connection
-	writeTimeout = 2 * time.Second // of one frame
-	bufferSize   = 2048            // bytes, of each direction of a connection
+	writeTimeout = 2 * time.Second // for writing one frame
+	bufferSize   = 2048            // bytes, for each direction of a connection
 )
 
-// Conn is one connection, open until Close, a failed read or write, or a full queue. Its methods may be
-// called by any goroutine, except Peer.
+// Conn is a connection that stays open until Close is called, a read or write fails, or its queue is full.
+// Its methods may be called from any goroutine, except Peer.
 type Conn struct {
 	netConn   net.Conn
 	traffic   *trafficCounters
-	queue     chan peerproto.Frame // to writeLoop
+	queue     chan peerproto.Frame // read by writeLoop
 	closed    chan struct{}
 	closeOnce sync.Once
 
-	peer string // the id in the caller's Hello; only for the goroutine of readLoop
+	peer string // the id in the caller's Hello; used only by the goroutine of readLoop
 }
 
 // newConn returns a connection and starts its writeLoop. The caller runs readLoop.
@@ -40,16 +40,16 @@
 	return conn
 }
 
-// Peer returns the id that the caller gave in its Hello, "" before it did. It may be called by the methods of
-// a Handler.
+// Peer returns the id that the caller gave in its Hello, "" before the Hello. Only the methods of a Handler
+// may call it.
 func (c *Conn) Peer() string { return c.peer }
 
 // Closed returns a channel that is closed when the connection has ended.
 func (c *Conn) Closed() <-chan struct{} { return c.closed }
 
-// Send queues a frame and reports whether it could; it never blocks. A connection whose queue is full is
-// closed, because its other side does not read: the peers then start again from their state, and not from a
-// backlog.
+// Send queues a frame and reports whether it was queued; it never blocks. If the queue is full, the
+// connection is closed, because the peer does not read: on a new connection, both sides start from their
+// current state instead of a backlog.
 func (c *Conn) Send(frame peerproto.Frame) bool {
 	select {
 	case <-c.closed:
@@ -62,12 +62,12 @@
 	}
 }
 
-// Answer queues the answer to a call, as Send does.
+// Answer queues the answer to a call; like Send, it never blocks.
 func (c *Conn) Answer(call peerproto.Frame, kind peerproto.Kind, body []byte) {
 	c.Send(peerproto.Frame{Kind: kind, CallID: call.CallID, Body: body})
 }
 
-// Close ends the connection and its goroutines.
+// Close closes the connection and stops its goroutines.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
 		close(c.closed)
@@ -84,10 +84,10 @@
 			return
 		case frame := <-c.queue:
 			if frame.CheckLength() != nil {
-				c.traffic.tooLong.Add(1) // nothing of it is written: the connection serves other frames
+				c.traffic.tooLong.Add(1) // nothing is written, so that the connection stays usable
 				continue
 			}
-			c.traffic.sent.count(&frame) // before the write, so that who has the answer finds it counted
+			c.traffic.sent.count(&frame) // before the write, so that it is counted once the answer is there
 			c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if err := peerproto.WriteFrame(w, frame); err != nil {
 				c.Close()
@@ -97,7 +97,7 @@
 	}
 }
 
-// readLoop passes the frames that come to handle until the connection ends, and closes it.
+// readLoop passes each received frame to handle until the connection ends, and then closes it.
 func (c *Conn) readLoop(handle func(peerproto.Frame)) {
 	defer c.Close()
 	r := bufio.NewReaderSize(c.netConn, bufferSize)
--- a/internal/router/transport/dial_test.go
+++ b/internal/router/transport/dial_test.go
@@ -10,9 +10,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var errUnresponsive = errors.New("nothing answers")
+var errUnresponsive = errors.New("no answer")
 
-// unresponsiveNetwork is one in which nothing answers; it records the timeout of each attempt.
+// unresponsiveNetwork is a network in which every dial times out; it records the timeout of each attempt.
 type unresponsiveNetwork struct{ dialTimeouts chan time.Duration }
 
 func (n unresponsiveNetwork) Dial(_ string, timeout time.Duration) (net.Conn, error) {
@@ -23,8 +23,8 @@
 
 func (unresponsiveNetwork) Listen(string) (net.Listener, error) { return nil, errUnresponsive }
 
-// TestFirstDialTimeoutsAreShort: a machine that had no power when the first packet was sent is reached soon
-// after its start, and one that stays unavailable costs few packets.
+// TestFirstDialTimeoutsAreShort: a machine that was off when the first SYN was sent must be reached soon
+// after it starts, while one that stays unavailable must cost few packets.
 func TestFirstDialTimeoutsAreShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := unresponsiveNetwork{make(chan time.Duration, 8)}
--- a/internal/router/transport/endpoint.go
+++ b/internal/router/transport/endpoint.go
@@ -6,8 +6,8 @@
 	"cresshub/internal/acceptloop"
 )
 
-// Endpoint is a process's side of its connections to others, and counts what they carry. Its methods may be
-// called by any goroutine.
+// Endpoint represents a process on its connections to other processes and counts their traffic. Its methods
+// may be called from any goroutine.
 type Endpoint struct {
 	// OnAcceptError is called for each connection that could not be accepted; it may be nil.
 	OnAcceptError func(error)
@@ -19,7 +19,7 @@
 // NewEndpoint returns an endpoint without connections.
 func NewEndpoint(network Network) *Endpoint { return &Endpoint{network: network} }
 
-// Traffic returns what all connections of the endpoint have carried since it was made.
+// Traffic returns the total traffic of all connections of the endpoint since it was created.
 func (e *Endpoint) Traffic() Traffic { return e.traffic.snapshot() }
 
 // NewLink starts a link to an address.
@@ -29,8 +29,8 @@
 	return l
 }
 
-// Serve accepts connections until the listener closes, and then returns net.ErrClosed. It goes on after other
-// errors of the listener.
+// Serve accepts connections until the listener is closed, and then returns net.ErrClosed. It continues after
+// any other error of the listener.
 func (e *Endpoint) Serve(listener net.Listener, handler Handler) error {
 	serve := func(c net.Conn) { go serveConn(newConn(c, &e.traffic), handler) }
 	return acceptloop.Run(listener, e.OnAcceptError, serve)
--- a/internal/router/transport/endpoint_test.go
+++ b/internal/router/transport/endpoint_test.go
@@ -12,8 +12,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// TestServeContinuesAfterFailedAccepts: a process that is short of descriptors for a moment is reached by the
-// others afterwards, and one whose listener is closed ends.
+// TestServeContinuesAfterFailedAccepts: a temporary lack of file descriptors makes Accept fail. The process
+// must accept connections again afterwards, and Serve must return once its listener is closed.
 func TestServeContinuesAfterFailedAccepts(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -35,13 +35,13 @@
 	case peer := <-peerOfNextCall(link, handler):
 		c.Assert(peer, qt.Equals, "caller")
 	case err := <-served:
-		c.Fatalf("no connection is accepted any more: %v", err)
+		c.Fatalf("Serve ended after failed accepts: %v", err)
 	}
 	listener.Close()
 	c.Assert(errors.Is(<-served, net.ErrClosed), qt.IsTrue)
 }
 
-// peerOfNextCall makes a call and returns the channel of the callers that the handler saw.
+// peerOfNextCall makes a call and returns the channel on which the handler reports the id of each caller.
 func peerOfNextCall(link *Link, handler *echo) <-chan string {
 	go link.Call(peerproto.KindUpsert, nil, time.Minute)
 	return handler.peers
--- a/internal/router/transport/handler.go
+++ b/internal/router/transport/handler.go
@@ -3,12 +3,12 @@
 import "cresshub/internal/router/peerproto"
 
 // Handler handles the frames that callers send. Its methods run on the goroutine that reads the connection,
-// so they may run at the same time for different connections, and a call that takes long has to be answered
-// by another goroutine.
+// so they may run concurrently for different connections, and a slow call must be answered from another
+// goroutine.
 type Handler interface {
 	// Handle handles a frame other than a Hello.
 	Handle(c *Conn, frame peerproto.Frame)
-	// Closed is called last, when the connection has ended.
+	// Closed is called after the connection has ended and its last frame was handled.
 	Closed(c *Conn)
 }
 
@@ -24,7 +24,7 @@
 	handler.Closed(c)
 }
 
-// handleHello records who the caller is, and closes the connection where its Hello can't be read.
+// handleHello records the caller's id, and closes the connection if the Hello can't be decoded.
 func (c *Conn) handleHello(body []byte) {
 	var hello peerproto.Hello
 	if peerproto.Decode(body, &hello) != nil {
--- a/internal/router/transport/link.go
+++ b/internal/router/transport/link.go
@@ -10,34 +10,35 @@
 
 // Errors of Link.Call.
 var (
-	ErrNotConnected = errors.New("no connection to the process; it is tried again by itself")
-	ErrTimeout      = errors.New("no answer in time; ask another process")
+	ErrNotConnected = errors.New("not connected to the peer; the link reconnects automatically")
+	ErrTimeout      = errors.New("timed out waiting for the peer's answer; ask another process")
 )
 
 const (
-	// The backoff before the next attempt to connect doubles within these bounds; a connection resets it.
+	// The backoff between attempts to connect doubles within these bounds; a successful attempt resets it.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 150 * time.Millisecond
-	// minDialTimeout is the timeout of the first attempt to connect; it doubles up to maxDialTimeout. The system
-	// repeats a lost SYN only after a second, so that a new attempt sooner reaches a machine that has just
-	// started.
+	// minDialTimeout is the timeout of the first attempt to connect; it doubles up to maxDialTimeout. The kernel
+	// retransmits a lost SYN only after a second, so that a new attempt before then reaches a machine that has
+	// just started sooner.
 	minDialTimeout = 175 * time.Millisecond
 	maxDialTimeout = 700 * time.Millisecond
 )
 
-// LinkCallbacks are the functions that a Link calls. They run on the goroutine of the link, one at a time,
+// LinkCallbacks holds the functions that a Link calls. They run on the goroutine of the link, one at a time,
 // and must not block.
 type LinkCallbacks struct {
 	// Hello returns the body of the Hello that is the first frame of each connection. It is required.
 	Hello func() []byte
-	// OnUnsolicitedFrame is called for each frame that answers no pending call; if it is nil, these are ignored.
+	// OnUnsolicitedFrame is called for each frame that answers no pending call; if nil, such frames are ignored.
 	OnUnsolicitedFrame func(peerproto.Frame)
-	// OnStateChange is called whenever the connection has opened or ended; it may be nil.
+	// OnStateChange is called whenever the connection has been opened or has ended; it may be nil.
 	OnStateChange func(connected bool)
 }
 
-// Link keeps one connection to an address, and opens it again whenever it ends. It is connecting, connected,
-// or stopped, which is final. Endpoint.NewLink makes one. Its methods may be called by any goroutine.
+// Link maintains one connection to an address and reopens it whenever it ends. A link is connecting,
+// connected, or stopped, which is final. Use Endpoint.NewLink to create one. Its methods may be called from
+// any goroutine.
 type Link struct {
 	Address string // IP:port
 
@@ -47,21 +48,21 @@
 	stop      chan struct{} // closed by Stop
 
 	mu      sync.Mutex
-	conn    *Conn // nil while there is none
+	conn    *Conn // nil while not connected
 	stopped bool
 }
 
-// Connected reports whether there is a connection.
+// Connected reports whether the link has an open connection.
 func (l *Link) Connected() bool { return l.currentConn() != nil }
 
-// currentConn returns the connection, nil while there is none.
+// currentConn returns the current connection, or nil while there is none.
 func (l *Link) currentConn() *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn
 }
 
-// Stop ends the link and its connection.
+// Stop stops the link and closes its connection.
 func (l *Link) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,21 +76,22 @@
 	}
 }
 
-// Reset closes the present connection, if any, so that the link opens a new one.
+// Reset closes the current connection, if any, so that the link opens a new one.
 func (l *Link) Reset() {
 	if conn := l.currentConn(); conn != nil {
 		conn.Close()
 	}
 }
 
-// Send queues a frame that is not answered, and reports whether it could; it never blocks.
+// Send queues a frame that expects no answer, and reports whether it was queued; it never blocks.
 func (l *Link) Send(kind peerproto.Kind, body []byte) bool {
 	conn := l.currentConn()
 	return conn != nil && conn.Send(peerproto.Frame{Kind: kind, Body: body})
 }
 
-// Call sends a frame and waits for the answer. The error is ErrNotConnected where there is no connection or
-// it ends first, so that the call may or may not have been taken, and ErrTimeout after the timeout.
+// Call sends a frame and waits for the answer. The error is ErrNotConnected if there is no connection or it
+// ends before the answer, so that the call may or may not have been handled, and ErrTimeout after the
+// timeout.
 func (l *Link) Call(kind peerproto.Kind, body []byte, timeout time.Duration) (peerproto.Frame, error) {
 	conn := l.currentConn()
 	if conn == nil {
@@ -112,8 +114,8 @@
 	}
 }
 
-// run connects again and again until the link is stopped. A connection that was opened resets the backoff and
-// the timeout of attempts to connect.
+// run connects repeatedly until the link is stopped. A successful attempt resets the backoff and the dial
+// timeout.
 func (l *Link) run() {
 	backoff, dialTimeout := minBackoff, minDialTimeout
 	for {
@@ -133,7 +135,7 @@
 	}
 }
 
-// runConn uses a connection until it ends.
+// runConn sends the Hello on a new connection and dispatches its frames until it ends.
 func (l *Link) runConn(conn *Conn) {
 	conn.Send(peerproto.Frame{Kind: peerproto.KindHello, Body: l.callbacks.Hello()})
 	l.setConn(conn)
@@ -143,15 +145,15 @@
 	l.reportState(false)
 }
 
-// reportState reports that the connection has opened or ended.
+// reportState calls OnStateChange, if it is set.
 func (l *Link) reportState(connected bool) {
 	if l.callbacks.OnStateChange != nil {
 		l.callbacks.OnStateChange(connected)
 	}
 }
 
-// setConn replaces the connection, by nil where it has ended. One that was opened while the link was stopped
-// is closed at once.
+// setConn sets the current connection, nil once it has ended. If the link was stopped in the meantime, a new
+// connection is closed at once.
 func (l *Link) setConn(conn *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,8 +163,8 @@
 	l.conn = conn
 }
 
-// dispatch passes an answer to its pending call, and any other frame to OnUnsolicitedFrame: also an answer
-// that comes after its call has ended. A frame of a feed is never an answer.
+// dispatch passes an answer to its pending call, and any other frame to OnUnsolicitedFrame, including an
+// answer that arrives after its call has ended. A feed frame is never treated as an answer.
 func (l *Link) dispatch(frame peerproto.Frame) {
 	if frame.Kind != peerproto.KindFeed && l.pending.complete(frame) {
 		return
--- a/internal/router/transport/link_test.go
+++ b/internal/router/transport/link_test.go
@@ -11,7 +11,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// echo answers calls with their own body, except those of one kind.
+// echo answers each call with its own body, except calls of the kind unanswered.
 type echo struct {
 	unanswered peerproto.Kind
 	peers      chan string
@@ -27,7 +27,8 @@
 
 func (e *echo) Closed(c *Conn) { e.closed <- c.Peer() }
 
-// startEcho returns a link to an echo, the echo's listener, and the states of the link.
+// startEcho starts an echo server and a link to it. It returns the echo, its listener, the link, and the
+// states that the link reports.
 func startEcho(t *testing.T) (*echo, net.Listener, *Link, chan bool) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -80,13 +81,13 @@
 	qt.Assert(t, err, qt.Equals, ErrNotConnected)
 }
 
-// TestFullQueueClosesTheConnection sends to a side that never reads: the sender is not blocked. One frame is
-// being written while the others fill the queue.
+// TestFullQueueClosesTheConnection sends to a peer that never reads, which must not block the sender. One
+// frame is being written while the others fill the queue.
 func TestFullQueueClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
-		defer far.Close()
-		conn := newConn(near, &trafficCounters{})
+		local, remote := net.Pipe()
+		defer remote.Close()
+		conn := newConn(local, &trafficCounters{})
 		ping := peerproto.Frame{Kind: peerproto.KindPing}
 		qt.Assert(t, conn.Send(ping), qt.IsTrue)
 		synctest.Wait()
@@ -98,7 +99,8 @@
 	})
 }
 
-// TestFramesThatAnswerNoCallAreUnsolicited: also one of a feed that has the id of a pending call.
+// TestFramesThatAnswerNoCallAreUnsolicited: OnUnsolicitedFrame gets every frame that answers no call,
+// including a feed frame with the id of a pending call.
 func TestFramesThatAnswerNoCallAreUnsolicited(t *testing.T) {
 	c := qt.New(t)
 	var unsolicited []peerproto.Frame
@@ -115,7 +117,8 @@
 	c.Assert((<-answer).Kind, qt.Equals, peerproto.KindAck)
 }
 
-// TestLinkCallbacksMayBeNil: a link that only sends has no use for what comes.
+// TestLinkCallbacksMayBeNil: a link that is only used to send needs no callbacks for received frames and
+// states.
 func TestLinkCallbacksMayBeNil(*testing.T) {
 	link := &Link{}
 	link.reportState(true)
--- a/internal/router/transport/network.go
+++ b/internal/router/transport/network.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Network opens and accepts the connections of a process. Addresses are IP:port. It may be used by any
+// Network opens and accepts connections. Addresses have the form IP:port. A Network may be used from any
 // goroutine.
 type Network interface {
-	// Dial connects to an address; it fails after the timeout at the latest.
+	// Dial connects to an address, or fails once the timeout has passed.
 	Dial(address string, timeout time.Duration) (net.Conn, error)
-	// Listen accepts connections at an address.
+	// Listen returns a listener for connections to an address.
 	Listen(address string) (net.Listener, error)
 }
 
-// HostNetwork is the network of the machine, over TCP and IPv4.
+// HostNetwork is the network of the host, with TCP over IPv4.
 type HostNetwork struct{}
 
-// noKeepAlive turns off the system's keep-alive probes: the processes send pings and keep-alives themselves.
+// noKeepAlive disables TCP keep-alive probes: the processes send pings and keep-alives of their own.
 const noKeepAlive = -1
 
 // Dial implements Network.
--- a/internal/router/transport/pending_calls.go
+++ b/internal/router/transport/pending_calls.go
@@ -6,12 +6,12 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// pendingCalls are the calls of a link that wait for their answers. The methods may be called by any
+// pendingCalls holds the calls of a link that wait for their answers. Its methods may be called from any
 // goroutine.
 type pendingCalls struct {
 	mu      sync.Mutex
-	answers map[uint64]chan peerproto.Frame // by call id, where to send the answer
-	lastID  uint64                          // 0 if there was no call: no call has the id 0
+	answers map[uint64]chan peerproto.Frame // by call id, the channel that receives the answer
+	lastID  uint64                          // of the latest call; 0, which is no call's id, before the first
 }
 
 // add adds a call. It returns the call's id, and the channel on which its answer arrives.
@@ -34,7 +34,8 @@
 	delete(p.answers, id)
 }
 
-// complete gives a call its answer, of which the first counts. It reports whether the call is pending.
+// complete delivers an answer to its call and reports whether the call is pending. Answers after the first
+// are dropped.
 func (p *pendingCalls) complete(answer peerproto.Frame) bool {
 	p.mu.Lock()
 	channel := p.answers[answer.CallID]
--- a/internal/router/transport/pending_calls_test.go
+++ b/internal/router/transport/pending_calls_test.go
@@ -8,8 +8,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// TestAnswersCompleteTheirPendingCall: an answer reaches its own call, of several the first, and none that
-// has ended.
+// TestAnswersCompleteTheirPendingCall: an answer must reach only its own call, and only the first answer to
+// it. An answer to a call that has ended must be rejected.
 func TestAnswersCompleteTheirPendingCall(t *testing.T) {
 	c := qt.New(t)
 	var calls pendingCalls
--- a/internal/router/transport/traffic.go
+++ b/internal/router/transport/traffic.go
@@ -9,7 +9,7 @@
 // Volume counts frames and their bytes.
 type Volume struct {
 	Frames int64
-	Bytes  int64 // of frames with their headers, without those of TCP and IP
+	Bytes  int64 // including frame headers, excluding those of TCP and IP
 }
 
 // Add returns the sum of two volumes.
@@ -17,26 +17,26 @@
 	return Volume{v.Frames + other.Frames, v.Bytes + other.Bytes}
 }
 
-// Sub returns the difference to an earlier volume.
+// Sub returns the increase since an earlier volume.
 func (v Volume) Sub(earlier Volume) Volume {
 	return Volume{v.Frames - earlier.Frames, v.Bytes - earlier.Bytes}
 }
 
-// Traffic is what the connections of a process have carried, by kind of frame. Index 0 is that of unknown
-// kinds.
+// Traffic is the traffic on the connections of a process, by kind of frame. Frames of unknown kinds are
+// counted at index 0.
 type Traffic struct {
 	Sent     [peerproto.NumKinds]Volume
 	Received [peerproto.NumKinds]Volume
-	TooLong  int64 // frames that were not sent, as they are longer than peerproto.MaxBody
+	TooLong  int64 // frames that were not sent because their body is longer than peerproto.MaxBody
 }
 
-// volumeCounter is a Volume that several goroutines may add to.
+// volumeCounter is a Volume that several goroutines may increase concurrently.
 type volumeCounter struct{ frames, bytes atomic.Int64 }
 
-// kindCounters count the frames of one direction by their kinds.
+// kindCounters counts the frames of one direction by kind.
 type kindCounters [peerproto.NumKinds]volumeCounter
 
-// count counts a frame; frames of unknown kinds are counted under 0.
+// count counts a frame; frames of unknown kinds are counted at index 0.
 func (c *kindCounters) count(frame *peerproto.Frame) {
 	kind := frame.Kind
 	if kind >= peerproto.NumKinds {
@@ -46,13 +46,14 @@
 	c[kind].bytes.Add(int64(frame.Size()))
 }
 
-// trafficCounters are the counters behind Traffic.
+// trafficCounters holds the counters that Traffic is a snapshot of.
 type trafficCounters struct {
 	sent, received kindCounters
 	tooLong        atomic.Int64
 }
 
-// snapshot returns the counters' values, each read by itself.
+// snapshot returns the values of the counters. Each is read atomically, but not all of them at the same
+// moment.
 func (c *trafficCounters) snapshot() Traffic {
 	traffic := Traffic{TooLong: c.tooLong.Load()}
 	for kind := range traffic.Sent {
--- a/internal/router/transport/traffic_test.go
+++ b/internal/router/transport/traffic_test.go
@@ -10,7 +10,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// TestTrafficIsCountedByKind counts a call and its answer at an endpoint that has both ends.
+// TestTrafficIsCountedByKind counts a call and its answer at an endpoint that is both caller and callee.
 func TestTrafficIsCountedByKind(t *testing.T) {
 	_, _, link, states := startEcho(t)
 	qt.Assert(t, <-states, qt.IsTrue)
@@ -32,8 +32,9 @@
 	qt.Assert(t, c.snapshot().Received[0].Frames, qt.Equals, int64(1))
 }
 
-// TestFrameThatIsTooLongEndsNoConnection: nothing of it is sent, its call fails, and others go on.
-func TestFrameThatIsTooLongEndsNoConnection(t *testing.T) {
+// TestOversizedFrameKeepsTheConnectionOpen: a frame that is too long must not be sent, and must not affect
+// the other frames on the connection.
+func TestOversizedFrameKeepsTheConnectionOpen(t *testing.T) {
 	_, _, link, states := startEcho(t)
 	qt.Assert(t, <-states, qt.IsTrue)
 	qt.Assert(t, link.Send(peerproto.KindUpsert, make([]byte, peerproto.MaxBody+1)), qt.IsTrue)
@@ -56,13 +57,14 @@
 	return o.Conn.Write(b)
 }
 
-// TestFramesAreCountedBeforeTheyAreWritten: whoever has the answer to a frame finds the frame counted.
+// TestFramesAreCountedBeforeTheyAreWritten: once a caller has the answer to a frame, the frame must be
+// counted.
 func TestFramesAreCountedBeforeTheyAreWritten(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
+	local, remote := net.Pipe()
+	defer remote.Close()
 	var counters trafficCounters
 	counted := make(chan int64, 1)
-	conn := newConn(&writeObserver{near, func() {
+	conn := newConn(&writeObserver{local, func() {
 		counted <- counters.snapshot().Sent[peerproto.KindUpsert].Frames
 	}}, &counters)
 	defer conn.Close()
--- a/internal/router/transport/user_timeout.go
+++ b/internal/router/transport/user_timeout.go
@@ -8,11 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout ends a connection when the other machine has acknowledged nothing that was sent for that long.
+// userTimeout is how long transmitted data may stay unacknowledged by the peer's machine before the kernel
+// closes the connection.
 const userTimeout = 2 * time.Second
 
-// setUserTimeout sets TCP_USER_TIMEOUT (RFC 5482) where the connection is one of the system. Without it such
-// a connection ends later, by its callers' timeouts.
+// setUserTimeout sets TCP_USER_TIMEOUT (RFC 5482) if the connection has a socket. Without it, such a
+// connection would end later, through the timeouts of its callers.
 func setUserTimeout(c net.Conn) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -23,7 +24,7 @@
 		return
 	}
 	milliseconds := int(userTimeout / time.Millisecond)
-	_ = raw.Control(func(fd uintptr) { // fails only where the connection has ended
+	_ = raw.Control(func(fd uintptr) { // fails only if the connection has ended
 		_ = unix.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
 	})
 }
