--- a/internal/stallclock/clock.go
+++ b/internal/stallclock/clock.go
@@ -1,17 +1,18 @@
-// Package stallclock measures for how long this process did not run: it was frozen or stopped, its machine
-// was, the quota of its processor was spent, or too many others wanted the processor. Time in which a process
-// did not run says nothing about others: their messages may have come meanwhile, or wait in the system.
+// Package stallclock measures the stalls of this process: the periods in which it did not run, because it or
+// its machine was frozen or stopped, its CPU quota was used up, or too many other processes competed for the
+// CPU. A process cannot conclude anything about its peers from a period in which it did not run itself: their
+// messages may have arrived in the meantime and be waiting in the kernel.
 //
-// So whoever judges another by a timeout counts only the time in which this process ran (Clock.RanSince,
-// Clock.Left), takes in first what has come meanwhile (Conn does both for reads and writes), and after a
-// stall leaves some time for that (Clock.Left again). A timeout is never shorter for it, and for a process
-// that runs it is the same as before.
+// Code that judges a peer by a timeout therefore counts only the time in which this process ran
+// (Clock.RanSince, Clock.Remaining) and first reads the input that arrived in the meantime (Conn does both,
+// for reads and writes). After a stall, Clock.Remaining also leaves some time for reading that input. None of
+// this ever shortens a timeout, and in a process that does not stall the timeout is unchanged.
 //
-// A goroutine that Run starts from notices that the process runs, every few dozen milliseconds; a longer gap
-// between two notices is a stall. Who asks for the time of a stall notices too, so that it is known to the
-// goroutine that wakes first.
+// The goroutine that calls Run samples the clock at regular intervals; a longer gap between two samples is a
+// stall. Clock.StalledSince, and with it RanSince and Remaining, takes a sample as well, so that the first
+// goroutine that wakes up after a stall already accounts for it.
 //
-// A nil *Clock is of a process that never stalls. The methods may be called from any goroutine.
+// A nil *Clock represents a process that never stalls. The methods may be called from any goroutine.
 package stallclock
 
 import (
@@ -20,16 +21,16 @@
 )
 
 const (
-	// interval is the time between two notices of Run.
-	interval = 100 * time.Millisecond
-	// threshold is the gap between two notices from which on it is a stall. It is longer than the pauses of a
-	// process whose quota of the processor is refilled each tenth of a second.
-	threshold = 150 * time.Millisecond
-	// intakeTime is how long a process has to have run after a stall until it judges others: what has come
-	// meanwhile is read by other goroutines.
-	intakeTime = 100 * time.Millisecond
-	// maxStalls is how many stalls are remembered. With as many the history is at least maxStalls * threshold
-	// long, longer than any timeout.
+	// sampleInterval is the time between two samples that Run takes.
+	sampleInterval = 100 * time.Millisecond
+	// stallThreshold is the gap between two samples above which it counts as a stall. It is longer than the
+	// pauses of a process that waits for its CPU quota, which is refilled every 100 ms.
+	stallThreshold = 150 * time.Millisecond
+	// catchUpTime is how long the process must have run after a stall before it judges its peers. In that time,
+	// other goroutines read the input that arrived during the stall.
+	catchUpTime = 100 * time.Millisecond
+	// maxStalls is how many stalls are remembered. A full history covers at least maxStalls * stallThreshold,
+	// which is longer than any timeout.
 	maxStalls = 512
 )
 
@@ -44,20 +45,20 @@
 	onStall func(length time.Duration) // may be nil
 
 	mu      sync.Mutex
-	lastRan time.Time // when the process last ran, as far as was noticed
-	stalls  []stall   // the latest ones, oldest first
+	lastRan time.Time // time of the latest sample
+	stalls  []stall   // the latest stalls, oldest first
 	stats   Stats
 }
 
-// New returns a clock. onStall, which may be nil, is called after each stall by a goroutine that has noticed
-// it; it must not call the clock.
+// New returns a clock. onStall, which may be nil, is called after each stall, on the goroutine whose sample
+// detected it; it must not call the clock.
 func New(onStall func(length time.Duration)) *Clock {
 	return &Clock{lastRan: time.Now(), onStall: onStall}
 }
 
-// Run notices that the process runs until done closes.
+// Run takes samples until done is closed.
 func (c *Clock) Run(done <-chan struct{}) {
-	tick := time.NewTicker(interval)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Sample notices that the process runs now, and records a stall if it has not for long.
+// Sample records that the process runs at this moment, and a stall if the latest sample is too long ago.
 func (c *Clock) Sample() {
 	if c == nil {
 		return
@@ -79,33 +80,34 @@
 	}
 }
 
-// sample is Notice without the call of onStall. It returns the length of the stall that has just ended, 0 for
-// none.
+// sample is Sample without the call of onStall. It returns the length of the stall that has just ended, or 0
+// if there was none.
 func (c *Clock) sample() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	gap := now.Sub(c.lastRan)
 	c.lastRan = now
-	if gap <= threshold {
+	if gap <= stallThreshold {
 		return 0
 	}
-	length := gap - interval // it may have run up to the time at which a notice was due
-	c.record(stall{end: now, length: length})
+	length := gap - sampleInterval // the process may have run until the next sample was due
+	c.recordStall(stall{end: now, length: length})
 	return length
 }
 
-// InjectStall records a stall that ends at a moment, for tests alone. All of the time before one that is to come
-// counts as time in which the process did not run, as far as the length goes.
+// InjectStall records a stall with the given end and length. It is only meant for tests. The end may be in
+// the future; until then, all time within the length of the stall counts as time in which the process did not
+// run.
 func (c *Clock) InjectStall(end time.Time, length time.Duration) {
 	c.Sample()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record(stall{end: end, length: length})
+	c.recordStall(stall{end: end, length: length})
 }
 
-// record adds a stall. The lock is held.
-func (c *Clock) record(s stall) {
+// recordStall adds a stall, and drops the oldest one if there are maxStalls. The caller holds the lock.
+func (c *Clock) recordStall(s stall) {
 	if len(c.stalls) == maxStalls {
 		c.stalls = append(c.stalls[:0], c.stalls[1:]...)
 	}
@@ -114,7 +116,7 @@
 	c.stats.Count++
 }
 
-// StalledSince returns for how long the process has not run since a moment.
+// StalledSince returns for how long the process has not run since a point in time.
 func (c *Clock) StalledSince(from time.Time) (stalled time.Duration) {
 	if c == nil {
 		return 0
@@ -132,26 +134,26 @@
 	return stalled
 }
 
-// RanSince returns for how long the process has run since a moment.
+// RanSince returns for how long the process has run since a point in time.
 func (c *Clock) RanSince(from time.Time) time.Duration {
 	return time.Since(from) - c.StalledSince(from)
 }
 
-// Remaining returns what is left of a timeout that began at from: until this process has run for that long, and
-// for intakeTime after a stall. It is not positive once the timeout is over, nor for one that is not
-// positive itself: a deadline in the past is to end a wait.
+// Remaining returns the remaining time of a timeout that began at from. The timeout is over once this process
+// has run for that long, and for at least catchUpTime after the last stall. The result is not positive if the
+// timeout is over, or if timeout is not positive: a deadline in the past always ends a wait.
 func (c *Clock) Remaining(from time.Time, timeout time.Duration) time.Duration {
 	if timeout <= 0 {
 		return timeout
 	}
 	left := timeout - c.RanSince(from)
 	if ended, ok := c.lastStallSince(from); ok {
-		left = max(left, intakeTime-time.Since(ended))
+		left = max(left, catchUpTime-time.Since(ended))
 	}
 	return left
 }
 
-// lastStallSince returns the end of the last stall that ended after a moment, false if there is none.
+// lastStallSince returns the end of the last stall if it ended after a point in time; otherwise ok is false.
 func (c *Clock) lastStallSince(from time.Time) (ended time.Time, ok bool) {
 	if c == nil {
 		return time.Time{}, false
@@ -165,13 +167,13 @@
 	return last, last.After(from)
 }
 
-// Stats are the stalls so far.
+// Stats summarizes the stalls since the clock was created.
 type Stats struct {
 	Count int64
 	Total time.Duration
 }
 
-// Stats returns the stalls so far.
+// Stats returns the number and the total length of the stalls so far.
 func (c *Clock) Stats() Stats {
 	if c == nil {
 		return Stats{}
--- a/internal/stallclock/clock_test.go
+++ b/internal/stallclock/clock_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// running has a clock notice that the process runs, until the function that it returns is called.
-func running(c *Clock) (stop func()) {
+// startSampling runs the sampling of a clock until the returned function is called.
+func startSampling(c *Clock) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		c.Run(done)
@@ -21,14 +21,14 @@
 	}
 }
 
-// stallFor lets time pass in which the process does not run: nothing is noticed.
+// stallFor simulates a stall: it lets time pass in which no sample is taken.
 func stallFor(d time.Duration) { time.Sleep(d) }
 
 func TestStallsAreMeasured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []time.Duration
-		c := New(func(length time.Duration) { told = append(told, length) })
-		stop := running(c)
+		var reported []time.Duration
+		c := New(func(length time.Duration) { reported = append(reported, length) })
+		stop := startSampling(c)
 		time.Sleep(10 * time.Second)
 		if got := c.StalledSince(time.Now().Add(-10 * time.Second)); got != 0 {
 			t.Errorf("a process that runs stalled for %v", got)
@@ -37,8 +37,8 @@
 
 		beforeStall := time.Now()
 		stallFor(2 * time.Second)
-		stop = running(c)
-		// Who asks first knows, before anything was noticed.
+		stop = startSampling(c)
+		// A query accounts for the stall even before Run has taken its next sample.
 		if got := c.StalledSince(beforeStall); got != 1900*time.Millisecond {
 			t.Errorf("stalled for %v", got)
 		}
@@ -50,24 +50,25 @@
 		if got := c.RanSince(afterStall); got != 3*time.Second {
 			t.Errorf("ran for %v since after the stall", got)
 		}
-		// Of a stall that began before the moment the part after it counts.
+		// If the stall began before the given time, only the part after that time counts.
 		if got := c.StalledSince(afterStall.Add(-time.Second)); got != time.Second {
 			t.Errorf("stalled for %v of the last second of the stall", got)
 		}
 		s := c.Stats()
-		if s.Count != 1 || s.Total != 1900*time.Millisecond || len(told) != 1 || told[0] != s.Total {
-			t.Errorf("%+v, told %v", s, told)
+		if s.Count != 1 || s.Total != 1900*time.Millisecond || len(reported) != 1 || reported[0] != s.Total {
+			t.Errorf("%+v, reported %v", s, reported)
 		}
 		stop()
 	})
 }
 
-// A process whose quota is refilled each tenth of a second does not stall.
-func TestPausesOfAQuotaAreNoStalls(t *testing.T) {
+// TestQuotaPausesAreNotStalls: a process that pauses until its CPU quota is refilled every 100 ms does not
+// stall.
+func TestQuotaPausesAreNotStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(nil)
 		for range 100 {
-			time.Sleep(95 * time.Millisecond) // nothing runs
+			time.Sleep(95 * time.Millisecond) // the process does not run
 			c.Sample()
 		}
 		if s := c.Stats(); s.Count != 0 {
@@ -76,7 +77,7 @@
 	})
 }
 
-// The history is bounded, and reaches back longer than any timeout.
+// TestHistoryIsBounded checks that only the latest maxStalls stalls are remembered, and that all are counted.
 func TestHistoryIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(nil)
@@ -86,10 +87,10 @@
 			c.Sample()
 		}
 		if len(c.stalls) != maxStalls || c.Stats().Count != 2*maxStalls {
-			t.Errorf("%d stalls are remembered of %d", len(c.stalls), c.Stats().Count)
+			t.Errorf("%d stalls are remembered of %d counted", len(c.stalls), c.Stats().Count)
 		}
 		if got, want := c.StalledSince(started), maxStalls*900*time.Millisecond; got != want {
-			t.Errorf("stalled for %v, of which %v are known", want, got)
+			t.Errorf("remembered stalls of %v, StalledSince returns %v", want, got)
 		}
 	})
 }
@@ -112,20 +113,20 @@
 	})
 }
 
-// A timeout counts the time in which the process runs, and is not over before the process has run for
-// intakeTime after a stall.
-func TestTimeoutCountsTimeInWhichTheProcessRuns(t *testing.T) {
+// TestTimeoutExcludesStalls: a timeout counts only the time in which the process runs, and does not end
+// before the process has run for catchUpTime after a stall.
+func TestTimeoutExcludesStalls(t *testing.T) {
 	const timeout = time.Second
 	for name, test := range map[string]struct{ ran, stall, left time.Duration }{
 		"no stall":                {time.Second, 0, 0},
 		"in the middle":           {400 * time.Millisecond, 5 * time.Second, 500 * time.Millisecond},
-		"just before its end":     {990 * time.Millisecond, 5 * time.Second, intakeTime},
+		"just before its end":     {990 * time.Millisecond, 5 * time.Second, catchUpTime},
 		"longer than the timeout": {0, 30 * time.Second, 900 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := New(nil)
 			started := time.Now()
-			stop := running(c)
+			stop := startSampling(c)
 			time.Sleep(test.ran)
 			stop()
 			c.Sample()
@@ -134,8 +135,8 @@
 				t.Errorf("%s: %v are left, not %v", name, got, test.left)
 			}
 			ended := time.Now()
-			stop = running(c)
-			time.Sleep(intakeTime)
+			stop = startSampling(c)
+			time.Sleep(catchUpTime)
 			if got, want := c.Remaining(started, timeout), test.left-time.Since(ended); got != want {
 				t.Errorf("%s: %v are left later, not %v", name, got, want)
 			}
@@ -144,19 +145,19 @@
 	}
 }
 
-// The context of a timeout lasts as long.
-func TestContextCountsTimeInWhichTheProcessRuns(t *testing.T) {
+// TestContextTimeoutExcludesStalls: the context of WithTimeout lasts as long as Remaining says.
+func TestContextTimeoutExcludesStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(nil)
 		started := time.Now()
 		ctx, cancel := c.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, ok := ctx.Deadline(); ok {
-			t.Error("it has a deadline, for which others could set a timer")
+			t.Error("the context has a deadline, which callees could set a timer or socket deadline from")
 		}
 		stallFor(600 * time.Millisecond)
 		c.Sample()
-		stop := running(c)
+		stop := startSampling(c)
 		<-ctx.Done()
 		got := time.Since(started)
 		if got != 1500*time.Millisecond || !errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -173,13 +174,13 @@
 		cancel()
 		time.Sleep(time.Minute)
 		if !errors.Is(ctx.Err(), context.Canceled) {
-			t.Errorf("it ended with %v", ctx.Err())
+			t.Errorf("the context ended with %v", ctx.Err())
 		}
 		called := false
 		c.AfterFunc(time.Second, func() { called = true }).Stop()
 		time.Sleep(time.Minute)
 		if called {
-			t.Error("a timer that was stopped has called")
+			t.Error("a stopped timer called its function")
 		}
 	})
 }
--- a/internal/stallclock/conn.go
+++ b/internal/stallclock/conn.go
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// Conn is a TCP connection whose deadlines count only the time in which this process runs. A read whose
-// deadline has passed first takes what the system has of the other side, bytes or an end; and reads and
-// writes go on for as long as the process did not run since their deadline began. Wake ends a read at once.
+// Conn is a TCP connection whose deadlines count only the time in which this process runs. Reads and writes
+// continue after their deadline for as long as the process did not run since the deadline began. A read whose
+// deadline has passed still returns input that the kernel has already received: bytes or the end of the
+// connection. Wake ends a read at once.
 type Conn struct {
 	net.Conn
 	clock *Clock
-	raw   syscall.RawConn // nil where the connection has no descriptor
+	raw   syscall.RawConn // nil if the connection has no file descriptor
 
-	mu    sync.Mutex // also held while a deadline of the connection is changed
+	mu    sync.Mutex // also held while a deadline of the wrapped connection is changed
 	read  Deadline
 	write Deadline
-	woken bool // no read goes on until the next deadline of reads is set
-	// writeEnded says that the last one that ended by its deadline was a write.
-	writeEnded bool
+	woken bool // Wake was called; no read continues until the next read deadline is set
+	// writeExpired says that a write was the last operation that its deadline ended.
+	writeExpired bool
 }
 
-// Deadline is when a read or write ends.
+// Deadline says when a read or write ends.
 type Deadline struct {
-	From  time.Time // since when the other side is waited for
-	At    time.Time // when it ends if this process runs all the time; zero for never
-	Limit time.Time // when it ends in any case, but for what has come until then; zero for no such limit
+	From  time.Time // when waiting for the peer began
+	At    time.Time // when the operation ends if this process runs all the time; zero for never
+	Limit time.Time // when it ends even after a stall, except to read input that has arrived; zero for no limit
 }
 
-// Wrap returns a connection over conn, which nobody else sets deadlines of from then on.
+// Wrap returns a Conn over conn. From then on, no other code may set deadlines of conn.
 func (c *Clock) Wrap(conn net.Conn) *Conn {
 	wrapped := &Conn{Conn: conn, clock: c}
 	if system, ok := conn.(syscall.Conn); ok {
@@ -41,18 +42,18 @@
 	return wrapped
 }
 
-// NetConn returns the connection that was wrapped.
+// NetConn returns the wrapped connection.
 func (c *Conn) NetConn() net.Conn { return c.Conn }
 
-// SyscallConn returns the descriptor of the connection.
+// SyscallConn returns the file descriptor of the connection, and an error if it has none.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	if c.raw == nil {
-		return nil, errors.New("the connection has no descriptor")
+		return nil, errors.New("the connection has no file descriptor")
 	}
 	return c.raw, nil
 }
 
-// SetDeadline sets both deadlines, which begin now.
+// SetDeadline sets the deadlines of reads and writes; both begin now.
 func (c *Conn) SetDeadline(at time.Time) error {
 	if err := c.SetReadDeadline(at); err != nil {
 		return err
@@ -74,7 +75,7 @@
 func (c *Conn) SetRead(d Deadline) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.read, c.woken, c.writeEnded = d, false, false
+	c.read, c.woken, c.writeExpired = d, false, false
 	return c.Conn.SetReadDeadline(d.At)
 }
 
@@ -89,7 +90,7 @@
 // pastDeadline ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Wake ends the present read, and each further one until a deadline of reads is set, with
+// Wake ends the current read, and each further one until the next read deadline is set, with
 // os.ErrDeadlineExceeded.
 func (c *Conn) Wake() error {
 	c.mu.Lock()
@@ -98,7 +99,7 @@
 	return c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// Read reads what has come until the deadline, and goes on after it for as long as the process did not run.
+// Read reads until the deadline, and continues after it for as long as the process did not run.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.ExtendRead() {
@@ -107,7 +108,7 @@
 	return n, err
 }
 
-// Write writes, and goes on after the deadline for as long as the process did not run.
+// Write writes until the deadline, and continues after it for as long as the process did not run.
 func (c *Conn) Write(p []byte) (written int, err error) {
 	for {
 		n, err := c.Conn.Write(p[written:])
@@ -118,8 +119,8 @@
 	}
 }
 
-// ExtendRead reports whether to read again after the deadline of reads has passed: something has come, or
-// this process did not run for some of the time. It then has set a later deadline.
+// ExtendRead reports whether to read again after the read deadline has passed, because input has arrived or
+// because this process did not run for part of the time. In that case it has set a later deadline.
 func (c *Conn) ExtendRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,10 +128,11 @@
 		return false
 	}
 	left := c.clock.Remaining(c.read.From, c.read.At.Sub(c.read.From))
-	// A stall below the threshold is not known: what has come within that time counts, as it may have come
-	// before the deadline. More does not, or a slow sender could go on forever.
-	if left > -threshold && c.hasArrived() {
-		return c.Conn.SetReadDeadline(time.Now().Add(threshold)) == nil
+	// Stalls up to stallThreshold are not detected. Input that is pending within that time after the deadline is
+	// therefore accepted, because it may have arrived before the deadline. Later input is not, because otherwise
+	// a slow sender could keep the read going forever.
+	if left > -stallThreshold && c.hasPendingInput() {
+		return c.Conn.SetReadDeadline(time.Now().Add(stallThreshold)) == nil
 	}
 	if left = c.read.bound(left); left <= 0 {
 		return false
@@ -143,24 +145,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left := c.write.bound(c.clock.Remaining(c.write.From, c.write.At.Sub(c.write.From)))
-	c.writeEnded = left <= 0
+	c.writeExpired = left <= 0
 	return left > 0 && c.Conn.SetWriteDeadline(time.Now().Add(left)) == nil
 }
 
-// TimedOut reports, after a read or write has ended with os.ErrDeadlineExceeded, whether the other side had
-// all of the time until the deadline, with this process running. Else it ended by the limit or by Wake,
-// which proves nothing.
+// TimedOut reports, after a read or write has ended with os.ErrDeadlineExceeded, whether the peer had all of
+// the time until the deadline while this process was running. Otherwise the operation was ended by the limit
+// or by Wake, which proves nothing about the peer.
 func (c *Conn) TimedOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d, woken := c.read, c.woken
-	if c.writeEnded {
+	if c.writeExpired {
 		d, woken = c.write, false
 	}
 	return !woken && c.clock.Remaining(d.From, d.At.Sub(d.From)) <= 0
 }
 
-// bound bounds the time that is left by the limit.
+// bound reduces the remaining time to that until the limit, if there is one.
 func (d Deadline) bound(left time.Duration) time.Duration {
 	if d.Limit.IsZero() {
 		return left
@@ -168,8 +170,9 @@
 	return min(left, time.Until(d.Limit))
 }
 
-// hasArrived reports whether bytes or an end of the other side wait in the system.
-func (c *Conn) hasArrived() (arrived bool) {
+// hasPendingInput reports whether the kernel has received bytes, or the end of the connection, that were not
+// read yet.
+func (c *Conn) hasPendingInput() (arrived bool) {
 	if c.raw == nil {
 		return false
 	}
--- a/internal/stallclock/conn_test.go
+++ b/internal/stallclock/conn_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// tcpPair returns both ends of a TCP connection, the near one wrapped.
-func tcpPair(t *testing.T, c *Clock) (near *Conn, far net.Conn) {
+// tcpPair returns both ends of a TCP connection; the local end is wrapped.
+func tcpPair(t *testing.T, c *Clock) (local *Conn, remote net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,35 +21,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if far, err = listener.Accept(); err != nil {
+	if remote, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		conn.Close()
-		far.Close()
+		remote.Close()
 	})
-	return c.Wrap(conn), far
+	return c.Wrap(conn), remote
 }
 
-// stalledClock is that of a process that has just run again after a stall.
+// stalledClock returns the clock of a process that has just resumed after a stall.
 func stalledClock(length time.Duration) *Clock {
 	c := New(nil)
-	c.lastRan = time.Now().Add(-length - interval)
+	c.lastRan = time.Now().Add(-length - sampleInterval)
 	return c
 }
 
-// ago is a deadline that a call had before the stall.
-func ago(from, at time.Duration) Deadline {
+// deadlineAgo returns a deadline that began and ended in the past, the given durations ago.
+func deadlineAgo(from, at time.Duration) Deadline {
 	now := time.Now()
 	return Deadline{From: now.Add(-from), At: now.Add(-at)}
 }
 
-// await waits until bytes or an end have arrived.
-func await(t *testing.T, conn *Conn) {
+// awaitInput waits until bytes or the end of the connection have arrived.
+func awaitInput(t *testing.T, conn *Conn) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !conn.hasArrived(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !conn.hasPendingInput(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nothing arrives")
+			t.Fatal("no input has arrived")
 		}
 	}
 }
@@ -60,96 +60,99 @@
 	return string(buffer[:n]), err
 }
 
-// What has come while the process did not run is read, also where the limit has passed.
-func TestReadTakesWhatHasCome(t *testing.T) {
-	near, far := tcpPair(t, stalledClock(2*time.Second))
-	if _, err := far.Write([]byte("response")); err != nil {
+// TestReadReturnsInputThatArrivedDuringStall: input that arrived while the process did not run is read even
+// if the limit has passed.
+func TestReadReturnsInputThatArrivedDuringStall(t *testing.T) {
+	local, remote := tcpPair(t, stalledClock(2*time.Second))
+	if _, err := remote.Write([]byte("response")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, near)
-	d := ago(1900*time.Millisecond, time.Second)
+	awaitInput(t, local)
+	d := deadlineAgo(1900*time.Millisecond, time.Second)
 	d.Limit = time.Now().Add(-500 * time.Millisecond)
-	near.SetRead(d)
-	if got, err := readString(near); got != "response" || err != nil {
+	local.SetRead(d)
+	if got, err := readString(local); got != "response" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	if got, err := readString(near); !errors.Is(err, os.ErrDeadlineExceeded) || near.TimedOut() {
-		t.Errorf("%q, %v; timed out: %v", got, err, near.TimedOut())
+	if got, err := readString(local); !errors.Is(err, os.ErrDeadlineExceeded) || local.TimedOut() {
+		t.Errorf("%q, %v; timed out: %v", got, err, local.TimedOut())
 	}
-	far.Close()
-	await(t, near)
-	if _, err := readString(near); !errors.Is(err, io.EOF) {
+	remote.Close()
+	awaitInput(t, local)
+	if _, err := readString(local); !errors.Is(err, io.EOF) {
 		t.Errorf("after the end: %v", err)
 	}
 }
 
-// What comes after a stall is waited for as long as the process did not run.
-func TestReadWaitsForTheTimeOfTheStall(t *testing.T) {
-	near, far := tcpPair(t, stalledClock(time.Minute))
-	near.SetRead(ago(50*time.Second, 40*time.Second))
-	go far.Write([]byte("late"))
-	if got, err := readString(near); got != "late" || err != nil {
+// TestReadDeadlineIsExtendedByStall: after a stall, a read waits for input for as long as the process did not
+// run, although its deadline has passed.
+func TestReadDeadlineIsExtendedByStall(t *testing.T) {
+	local, remote := tcpPair(t, stalledClock(time.Minute))
+	local.SetRead(deadlineAgo(50*time.Second, 40*time.Second))
+	go remote.Write([]byte("late"))
+	if got, err := readString(local); got != "late" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// A process that ran has no more time, and what came long after the deadline does not count: a sender that is
-// slow on purpose could go on for ever.
+// TestReadEndsAtItsDeadline: without a stall, a deadline is not extended, and pending input is not returned
+// long after it. Otherwise a sender that is slow on purpose could keep a read going forever.
 func TestReadEndsAtItsDeadline(t *testing.T) {
-	near, far := tcpPair(t, New(nil))
-	if _, err := far.Write([]byte("too late")); err != nil {
+	local, remote := tcpPair(t, New(nil))
+	if _, err := remote.Write([]byte("too late")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, near)
-	near.SetRead(ago(2*time.Second, time.Second))
-	if got, err := readString(near); !errors.Is(err, os.ErrDeadlineExceeded) || !near.TimedOut() {
-		t.Errorf("%q, %v; timed out: %v", got, err, near.TimedOut())
+	awaitInput(t, local)
+	local.SetRead(deadlineAgo(2*time.Second, time.Second))
+	if got, err := readString(local); !errors.Is(err, os.ErrDeadlineExceeded) || !local.TimedOut() {
+		t.Errorf("%q, %v; timed out: %v", got, err, local.TimedOut())
 	}
-	near.SetReadDeadline(time.Now())
-	if got, err := readString(near); got != "too late" || err != nil {
-		t.Errorf("just before the deadline: %q, %v", got, err)
+	local.SetReadDeadline(time.Now())
+	if got, err := readString(local); got != "too late" || err != nil {
+		t.Errorf("input that arrived just before the deadline: %q, %v", got, err)
 	}
 }
 
-// Wake ends a read whatever has come, and however long the process did not run.
+// TestWakeEndsReads: Wake ends a read even if input has arrived, and however long the process did not run.
 func TestWakeEndsReads(t *testing.T) {
-	near, far := tcpPair(t, stalledClock(time.Minute))
-	if _, err := far.Write([]byte("response")); err != nil {
+	local, remote := tcpPair(t, stalledClock(time.Minute))
+	if _, err := remote.Write([]byte("response")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, near)
-	near.SetRead(ago(time.Second, 0))
-	near.Wake()
-	if got, err := readString(near); !errors.Is(err, os.ErrDeadlineExceeded) {
+	awaitInput(t, local)
+	local.SetRead(deadlineAgo(time.Second, 0))
+	local.Wake()
+	if got, err := readString(local); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
-	if near.TimedOut() {
+	if local.TimedOut() {
 		t.Error("the other side counts as timed out")
 	}
-	near.SetReadDeadline(time.Unix(1, 0)) // the same, for those who know the connection as a net.Conn
-	near.clock.InjectStall(time.Now().Add(time.Minute), time.Minute)
-	if got, err := readString(near); !errors.Is(err, os.ErrDeadlineExceeded) {
+	local.SetReadDeadline(time.Unix(1, 0)) // has the same effect, for callers that only have a net.Conn
+	local.clock.InjectStall(time.Now().Add(time.Minute), time.Minute)
+	if got, err := readString(local); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
-	near.SetReadDeadline(time.Time{})
-	if got, err := readString(near); got != "response" || err != nil {
+	local.SetReadDeadline(time.Time{})
+	if got, err := readString(local); got != "response" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// A write whose deadline has passed during a stall is done.
-func TestWriteGoesOnAfterAStall(t *testing.T) {
-	near, far := tcpPair(t, stalledClock(time.Minute))
-	near.SetWrite(ago(50*time.Second, 49*time.Second))
-	if n, err := near.Write([]byte("response")); n != 8 || err != nil {
+// TestWriteDeadlineIsExtendedByStall: a write whose deadline passed during a stall is still carried out, and
+// one whose deadline passed without a stall is not.
+func TestWriteDeadlineIsExtendedByStall(t *testing.T) {
+	local, remote := tcpPair(t, stalledClock(time.Minute))
+	local.SetWrite(deadlineAgo(50*time.Second, 49*time.Second))
+	if n, err := local.Write([]byte("response")); n != 8 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	if got, err := readString(far); got != "response" || err != nil {
+	if got, err := readString(remote); got != "response" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	near, _ = tcpPair(t, New(nil))
-	near.SetWrite(ago(50*time.Second, 49*time.Second))
-	if n, err := near.Write([]byte("response")); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+	local, _ = tcpPair(t, New(nil))
+	local.SetWrite(deadlineAgo(50*time.Second, 49*time.Second))
+	if n, err := local.Write([]byte("response")); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 }
--- a/internal/stallclock/timer.go
+++ b/internal/stallclock/timer.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Timer calls a function once this process has run for some time. Use AfterFunc.
+// Timer calls a function once this process has run for a given time. Use Clock.AfterFunc to create one.
 type Timer struct {
-	clock   *Clock
-	started time.Time
-	timeout time.Duration
-	call    func()
+	clock    *Clock
+	started  time.Time
+	timeout  time.Duration
+	callback func()
 
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
 }
 
-// AfterFunc calls f in a goroutine of its own once this process has run for that long, and for intakeTime
-// after a stall.
+// AfterFunc calls f in its own goroutine once this process has run for the timeout, and for at least
+// catchUpTime after the last stall.
 func (c *Clock) AfterFunc(timeout time.Duration, f func()) *Timer {
-	t := &Timer{clock: c, started: time.Now(), timeout: timeout, call: f}
+	t := &Timer{clock: c, started: time.Now(), timeout: timeout, callback: f}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.timer = time.AfterFunc(timeout, t.fire)
 	return t
 }
 
-// Stop prevents the call, unless it has begun.
+// Stop prevents the call of the function unless it has already begun.
 func (t *Timer) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,16 +36,17 @@
 	t.timer.Stop()
 }
 
-// fire calls the function, or waits for the time in which the process did not run.
+// fire calls the function, or extends the timer by the time in which the process did not run.
 func (t *Timer) fire() {
-	if t.again() {
+	if t.rearm() {
 		return
 	}
-	t.call()
+	t.callback()
 }
 
-// again starts the timer again if time is left, and reports whether the function must not be called now.
-func (t *Timer) again() bool {
+// rearm restarts the timer if time is left. It reports whether the function must not be called now, because
+// time is left or the timer was stopped.
+func (t *Timer) rearm() bool {
 	left := t.clock.Remaining(t.started, t.timeout)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,8 +56,8 @@
 	return left > 0 || t.stopped
 }
 
-// timeoutContext ends with context.DeadlineExceeded where its timeout ended it. It has no deadline that
-// others could set a timer for.
+// timeoutContext is a context whose Err is context.DeadlineExceeded if its timeout ended it. It has no
+// deadline, from which callees could set a timer or a socket deadline that ignores stalls.
 type timeoutContext struct{ context.Context }
 
 func (c timeoutContext) Err() error {
@@ -66,7 +67,7 @@
 	return context.Cause(c.Context)
 }
 
-// WithTimeout returns a context that ends once this process has run for that long, like context.WithTimeout.
+// WithTimeout is like context.WithTimeout, but the context ends once this process has run for the timeout.
 func (c *Clock) WithTimeout(parent context.Context, timeout time.Duration) (context.Context,
 	context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
