--- a/internal/router/cli/inspection_test.go
+++ b/internal/router/cli/inspection_test.go
@@ -135,7 +135,7 @@
 	bad := writeFile(c, `{"edition":8,"withdraw":{"depots_list":["one"],"models":[]}}`)
 	code, _, problem := run("config", "check", base, "--patch", bad)
 	c.Assert(code, qt.Equals, 1)
-	c.Assert(problem, qt.Matches, `(?s).*withdraw.models: is not known here; .*`)
+	c.Assert(problem, qt.Matches, `(?s).*withdraw.models: is not a known field; .*`)
 	bad = writeFile(c, `{"edition":8,"withdraw":{"depots_list":["one"]}}`)
 	_, _, problem = run("config", "check", base, "--patch", bad)
 	c.Assert(problem, qt.Matches, `(?s).*"one" is named by route "r1"; withdraw or replace .*`)
--- a/internal/router/fleetconfig/apply.go
+++ b/internal/router/fleetconfig/apply.go
@@ -7,8 +7,8 @@
 	"cresshub/internal/jsondoc"
 )
 
-// ParseAndApply reads a patch that builds on this version and applies it, with the errors of ParsePatch and
-// Apply.
+// ParseAndApply parses a patch that builds on this version and applies it. Its errors are those of ParsePatch
+// and Apply.
 func (c *Config) ParseAndApply(body []byte) (*Config, error) {
 	patch, err := ParsePatch(c.Version, body)
 	if err != nil {
@@ -17,9 +17,9 @@
 	return c.Apply(patch)
 }
 
-// Apply returns the version that a patch makes from this one, which stays as it is. Its error is a
-// *BaseVersionError, or a *jsondoc.ValidationError that lists every fault of the patch and of its result. Its
-// cost depends on the size of the patch alone, except for the first patch of a complete document and for
+// Apply returns the version that a patch creates from this one; this one is not modified. Its error is a
+// *BaseVersionError, or a *jsondoc.ValidationError that lists every problem of the patch and of its result.
+// Its cost depends only on the size of the patch, except for the first patch of a complete document and for
 // patches that withdraw services.
 func (c *Config) Apply(patch *Patch) (*Config, error) {
 	if patch.Base != c.Version {
@@ -40,7 +40,7 @@
 	a.checkValueCount()
 	if patch.Version <= c.Version {
 		document.Root().Get(versionField).Reject("is not above the version it builds on",
-			"count on from the current version")
+			"give a whole number above the current version")
 	}
 	if err := document.Err(); err != nil {
 		return nil, err
@@ -48,18 +48,19 @@
 	return a.result(patch), nil
 }
 
-// patchApplication is the state of a patch while it is applied. It starts as the base version.
+// patchApplication is the working state while a patch is applied. It starts as the base version.
 type patchApplication struct {
 	base              *Config
 	deliver, withdraw jsondoc.Node
-	delivered         map[string][]item // by list
+	delivered         map[string][]item // by the name of the list
 	services          map[string]*Service
 	layout            layout
 	routeIndex        routeIndex
-	valueCount        int // of the resulting document
+	valueCount        int // JSON values in the resulting document
 }
 
-// newPatchApplication returns the state in which nothing of a patch is applied yet; body is the patch's text.
+// newPatchApplication returns the state before any part of the patch is applied; body is the patch's JSON
+// text.
 func newPatchApplication(base *Config, root jsondoc.Node, body []byte) *patchApplication {
 	a := &patchApplication{
 		base: base, deliver: root.Get(deliverField), withdraw: root.Get(withdrawField),
@@ -72,7 +73,7 @@
 	return a
 }
 
-// deliveredItems returns the items that a patch delivers, by list.
+// deliveredItems returns the items that a patch delivers, by the name of their list.
 func deliveredItems(body []byte) map[string][]item {
 	delivered := map[string][]item{}
 	for _, list := range objectFields(fieldText(body, deliverField)) {
@@ -105,8 +106,8 @@
 	a.valueCount += txn.addedValues
 }
 
-// changeRoutes applies the patch to the list of routes and to the index. The index entries of all routes that
-// change are deleted before any is inserted, so that two routes can exchange their hosts and prefixes.
+// changeRoutes applies the patch to the list of routes and to the index. The index entries of all changed
+// routes are deleted before any is inserted, so that two routes can exchange their hosts and prefixes.
 func (a *patchApplication) changeRoutes() {
 	withdrawn, delivered := a.withdraw.Get(routesField).Items(), a.deliver.Get(routesField).Items()
 	if len(withdrawn)+len(delivered) == 0 {
@@ -134,15 +135,15 @@
 	a.valueCount += txn.addedValues
 }
 
-// rejectAmbiguous rejects a name that several items have, at the node of the patch that gives it.
+// rejectAmbiguous rejects a name that several items have, at the node of the patch that contains the name.
 func rejectAmbiguous(txn *itemListTxn, node jsondoc.Node, name string) {
 	if txn.isAmbiguous(name) {
 		node.Reject(fmt.Sprintf("several items have the name %q", name), "send the whole configuration with PUT")
 	}
 }
 
-// checkWithdrawnServices rejects withdrawn services that a route outside of the patch still names. The routes
-// that the patch delivers were parsed without those services.
+// checkWithdrawnServices rejects withdrawn services that are still the target of a route outside of the
+// patch. Routes that the patch delivers need no check here: they were parsed without those services.
 func (a *patchApplication) checkWithdrawnServices() {
 	withdrawn := a.withdraw.Get(servicesField).Items()
 	if len(withdrawn) == 0 {
@@ -169,11 +170,11 @@
 func (a *patchApplication) checkValueCount() {
 	if a.valueCount > jsondoc.MaxValues {
 		a.deliver.Reject(fmt.Sprintf("the configuration would hold %d values", a.valueCount),
-			fmt.Sprintf("withdraw items that are not needed; %d values are taken", jsondoc.MaxValues))
+			fmt.Sprintf("withdraw items that are not needed; at most %d values are accepted", jsondoc.MaxValues))
 	}
 }
 
-// result returns the version that the patch makes.
+// result returns the version that the patch creates.
 func (a *patchApplication) result(patch *Patch) *Config {
 	return &Config{
 		Version: patch.Version, Services: a.services, Limits: a.base.Limits, routeIndex: a.routeIndex,
--- a/internal/router/fleetconfig/config.go
+++ b/internal/router/fleetconfig/config.go
@@ -7,35 +7,35 @@
 	"cresshub/internal/jsondoc"
 )
 
-// MaxDocumentBytes bounds a configuration document, whether it was sent complete or is the result of a patch.
+// MaxDocumentBytes bounds a configuration document, whether it was sent as a whole or results from a patch.
 const MaxDocumentBytes = 8 << 20
 
 // Config is one version of the configuration. It is immutable.
 type Config struct {
-	// Version ("edition") rises with each change.
+	// Version ("edition") increases with each change.
 	Version int64
-	// Services by their names.
+	// Services holds the services by name.
 	Services map[string]*Service
-	// Limits on what clients may send.
+	// Limits bounds what clients may send.
 	Limits Limits
 
 	routeIndex routeIndex
-	// parsedRoutes are the routes of a complete document in its order; a patched configuration has them in its
-	// layout.
+	// parsedRoutes holds the routes of a complete document in document order; a patched configuration has them
+	// in its layout instead.
 	parsedRoutes []*Route
-	// valueCount is how many JSON values the document holds.
+	// valueCount is the number of JSON values in the document.
 	valueCount int
-	// patch is what made this version from the one before, nil for a complete document.
+	// patch is the patch that created this version from the previous one, nil for a complete document.
 	patch *Patch
 
 	rawOnce sync.Once
-	raw     []byte // the document; of a patched configuration nil until it is first asked for
+	raw     []byte // the document; in a patched configuration nil until Raw is first called
 
 	layoutOnce sync.Once
 	layout     *layout // the document split into items; nil until the first patch needs it
 }
 
-// emptyDocument is what a first patch builds on.
+// emptyDocument is the document of version 0.
 const emptyDocument = `{"edition":0}`
 
 // Empty returns version 0, on which a first patch builds. It is never committed.
@@ -51,8 +51,8 @@
 	}
 }
 
-// Parse reads and validates a complete document. Its error is a *jsondoc.ValidationError that lists every
-// fault.
+// Parse parses and validates a complete document. Its error is a *jsondoc.ValidationError that lists every
+// problem.
 func Parse(raw []byte) (*Config, error) {
 	document, err := jsondoc.Parse(raw)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return config, nil
 }
 
-// Match returns the route of a request, nil if none matches. The host may carry a port.
+// Match returns the route of a request, or nil if none matches. The host may include a port.
 func (c *Config) Match(host, path string) *Route { return c.routeIndex.match(host, path) }
 
 // Routes returns the routes in the order of the document.
@@ -95,7 +95,8 @@
 	return c.layout.routes.len()
 }
 
-// Raw returns the document: as the operator sent it, or rendered with the patches applied since.
+// Raw returns the document: the bytes that the operator sent or, for a patched configuration, the rendered
+// document with all patches applied.
 func (c *Config) Raw() []byte {
 	c.rawOnce.Do(func() {
 		if c.raw == nil {
@@ -105,7 +106,8 @@
 	return c.raw
 }
 
-// Patch returns the patch that made this version from the one before, nil if a complete document was sent.
+// Patch returns the patch that created this version from the previous one, nil if a complete document was
+// sent.
 func (c *Config) Patch() *Patch { return c.patch }
 
 // CheckSize returns a *jsondoc.ValidationError if the document is larger than MaxDocumentBytes.
@@ -117,7 +119,7 @@
 	return &jsondoc.ValidationError{Problems: []jsondoc.Problem{{
 		Field:  deliverField,
 		Reason: fmt.Sprintf("the configuration would have %d bytes", size),
-		Remedy: fmt.Sprintf("withdraw items that are not needed; %d bytes are taken", MaxDocumentBytes),
+		Remedy: fmt.Sprintf("withdraw items that are not needed; at most %d bytes are accepted", MaxDocumentBytes),
 	}}}
 }
 
--- a/internal/router/fleetconfig/doc.go
+++ b/internal/router/fleetconfig/doc.go
@@ -4,18 +4,19 @@
 // A configuration is one JSON document with a version ("edition"), a list of routes, a list of services
 // ("depots_list") and limits on what clients may send. A Config is made in one of two ways:
 //
-//   - Parse reads a complete document. Its document is the bytes the operator sent.
-//   - Config.Apply makes a new version from a Patch. Routes and items are kept in immutable radix trees (as
-//     in Consul's state store) that both versions share, so that the cost of a patch depends on the patch and
-//     not on the configuration. The document of the new version is rendered when it is first asked for; the
-//     same patches on the same base render the same bytes in every process.
+//   - Parse parses a complete document and keeps it as the bytes that the operator sent.
+//   - Config.Apply creates a new version from a Patch. Routes and items are kept in immutable radix trees (as
+//     in Consul's state store) whose unchanged parts both versions share, so that the cost of a patch depends
+//     on the size of the patch and not on that of the configuration. The document of the new version is
+//     rendered on first use; the same patches on the same base render the same bytes in every process.
 //
-// ParseStored and EncodeStored convert between a Config and the form in which the replicated control state
+// ParseStored and EncodeStored convert between a Config and the format in which the replicated control state
 // stores it (stored.go).
 //
-// The parsers of package jsondoc's nodes, in parse.go and patch.go, say what a document means; layout.go and
-// item_list.go keep its text as the operator wrote it, for the documents that patches make.
+// parse.go and patch.go interpret a document or a patch, as nodes of package jsondoc. layout.go and
+// item_list.go keep the text of the items as the operator wrote it, from which the documents of patched
+// versions are rendered.
 //
-// A Config never changes after it is returned, and any goroutine may read it. Every rejection of a document
-// or patch is a *jsondoc.ValidationError that lists all faults found, not only the first.
+// A Config never changes after it is returned, and any goroutine may read it. A document or patch is rejected
+// with a *jsondoc.ValidationError that lists all problems found, not only the first.
 package fleetconfig
--- a/internal/router/fleetconfig/item_list.go
+++ b/internal/router/fleetconfig/item_list.go
@@ -8,17 +8,17 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// itemList is an immutable list of items in their order, of which those with a name can be found by it.
+// itemList is an immutable, ordered list of items. Items that have a name can be looked up by it.
 type itemList struct {
 	byPosition   *iradix.Tree[item]   // by positionKey
 	positions    *iradix.Tree[uint64] // by name; ambiguousPosition for a name of several items
-	nextPosition uint64               // of the next item that is appended
+	nextPosition uint64               // position of the next item to be appended
 }
 
-// ambiguousPosition marks a name that several items have.
+// ambiguousPosition is the position of a name that several items have.
 const ambiguousPosition = ^uint64(0)
 
-// positionKey sorts like the positions themselves.
+// positionKey returns the radix tree key of a position. Keys sort in the order of their positions.
 func positionKey(position uint64) []byte { return binary.BigEndian.AppendUint64(nil, position) }
 
 // newItemList returns a list of items in the given order.
@@ -62,7 +62,7 @@
 	return routes
 }
 
-// render writes the list as JSON.
+// render writes the list as a JSON array.
 func (l *itemList) render(out *bytes.Buffer) {
 	out.WriteByte('[')
 	separator := ""
@@ -74,15 +74,16 @@
 	out.WriteByte(']')
 }
 
-// itemListTxn collects changes of a list, which stays as it is. It is used by one goroutine.
+// itemListTxn collects changes of a list, which itself stays unchanged. It must be used by one goroutine
+// only.
 type itemListTxn struct {
 	byPosition   *iradix.Txn[item]
 	positions    *iradix.Txn[uint64]
 	nextPosition uint64
-	addedValues  int // JSON values in the items that were put, less those in the ones that went
+	addedValues  int // JSON values in the items that were put, minus those in replaced and removed items
 }
 
-// txn begins a change of the list.
+// txn starts a transaction on the list.
 func (l *itemList) txn() *itemListTxn {
 	return &itemListTxn{
 		byPosition: l.byPosition.Txn(), positions: l.positions.Txn(), nextPosition: l.nextPosition,
@@ -102,17 +103,18 @@
 	return exists && position == ambiguousPosition
 }
 
-// find returns the item of a name, the zero item if no item or several have it.
+// find returns the item with a name, or the zero item if none or several have it.
 func (t *itemListTxn) find(name string) item {
 	position, exists := t.positions.Get([]byte(name))
 	if !exists {
 		return item{}
 	}
-	entry, _ := t.byPosition.Get(positionKey(position)) // none at ambiguousPosition
+	entry, _ := t.byPosition.Get(positionKey(position)) // no item is at ambiguousPosition
 	return entry
 }
 
-// put replaces the item of the entry's name at its position, or appends the entry.
+// put replaces the item that has the entry's name, keeping its position, or appends the entry if there is
+// none.
 func (t *itemListTxn) put(entry item) {
 	position, exists := t.positions.Get([]byte(entry.name))
 	if !exists {
@@ -124,7 +126,7 @@
 	t.addedValues += entry.valueCount() - replaced.valueCount()
 }
 
-// remove removes the item of a name, if there is one.
+// remove removes the item with a name, if there is one.
 func (t *itemListTxn) remove(name string) {
 	if position, exists := t.positions.Delete([]byte(name)); exists {
 		removed, _ := t.byPosition.Delete(positionKey(position))
--- a/internal/router/fleetconfig/layout.go
+++ b/internal/router/fleetconfig/layout.go
@@ -7,18 +7,19 @@
 	"strconv"
 )
 
-// layout is a document split into the items that patches name, so that a patched document keeps what the
-// operator wrote. It is immutable; the layout of a patched version shares what the patch leaves.
+// layout is a document split into the items that patches can name, so that a patched document keeps the rest
+// as the operator wrote it. It is immutable; the layout of a patched version shares the parts that the patch
+// does not change.
 type layout struct {
-	// fields are the top-level fields in their order. Those of the version and of the two lists have no text:
-	// render writes the version that it is given and the lists below.
+	// fields holds the top-level fields in document order. The fields of the version and of the two lists have
+	// no text: render writes the version that it is given, and the lists from routes and services.
 	fields           []field
 	routes, services itemList
-	// addedFields is how many list fields the document lacked.
+	// addedFields is the number of list fields that were added because the document lacked them.
 	addedFields int
 }
 
-// splitDocument splits a document that Parse has accepted, given its routes in their order.
+// splitDocument splits a document that Parse has accepted. routes are its parsed routes in document order.
 func splitDocument(raw []byte, routes []*Route) *layout {
 	l := &layout{fields: objectFields(raw)}
 	var routeItems, serviceItems []item
@@ -54,7 +55,7 @@
 	}
 }
 
-// render returns the document of a version. Equal layouts render the same bytes in every process.
+// render returns the document with the given version. Equal layouts render the same bytes in every process.
 func (l *layout) render(version int64) []byte {
 	var out bytes.Buffer
 	out.WriteByte('{')
@@ -62,7 +63,7 @@
 		if i > 0 {
 			out.WriteByte(',')
 		}
-		name, _ := json.Marshal(part.name) // a string always encodes
+		name, _ := json.Marshal(part.name) // encoding a string cannot fail
 		out.Write(name)
 		out.WriteByte(':')
 		switch part.name {
--- a/internal/router/fleetconfig/limits.go
+++ b/internal/router/fleetconfig/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The defaults of Limits.
+// The defaults of the fields of Limits, in bytes and milliseconds.
 const (
 	defaultMaxHeaderBytes = 16 << 10
 	defaultMaxBodyBytes   = 4 << 20
@@ -22,7 +22,7 @@
 	// Defaults to 5 s.
 	HeaderTimeout time.Duration
 
-	// IdleTimeout ("idle_ms") bounds the time that a connection waits for its next request, and a request for
-	// more of its body. Defaults to 30 s.
+	// IdleTimeout ("idle_ms") bounds the time between two requests on a connection, and the time that a request
+	// waits for more of its body. Defaults to 30 s.
 	IdleTimeout time.Duration
 }
--- a/internal/router/fleetconfig/parse.go
+++ b/internal/router/fleetconfig/parse.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/jsondoc"
 )
 
-// The fields of a document's top level.
+// The top-level fields of a document.
 const (
 	versionField  = "edition"
 	routesField   = "routes"
@@ -18,10 +18,10 @@
 
 const nameField = "name" // of a route and of a service
 
-// The parsers below record faults at the nodes they read and return a value all the same. The order in which
-// they read is the order in which an operator sees the faults.
+// The parsers below record problems at the nodes that they read, and return a value nevertheless. They report
+// problems to the operator in the order in which they read the nodes.
 
-// parseVersion reads the version, a whole number of at least 1.
+// parseVersion parses the version, a whole number of at least 1.
 func parseVersion(node jsondoc.Node) int64 {
 	version := node.Number(1)
 	if version != float64(int64(version)) {
@@ -30,7 +30,7 @@
 	return int64(version)
 }
 
-// parseLimits reads the limits, with a default for each that is absent.
+// parseLimits parses the limits and applies the default of each absent one.
 func parseLimits(node jsondoc.Node) Limits {
 	return Limits{
 		MaxHeaderBytes: int(node.Get("envelope_bytes").NumberOr(defaultMaxHeaderBytes, 1)),
@@ -40,28 +40,28 @@
 	}
 }
 
-// milliseconds returns the duration of a setting in milliseconds.
+// milliseconds converts a setting in milliseconds to a duration.
 func milliseconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// seconds returns the duration of a setting in seconds.
+// seconds converts a setting in seconds to a duration.
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// parseServices reads the list of services, by their names.
+// parseServices parses the list of services and returns them by name.
 func parseServices(list jsondoc.Node) map[string]*Service {
 	services := map[string]*Service{}
 	for _, node := range list.Items() {
 		service := parseService(node)
 		if services[service.Name] != nil {
-			node.Reject("two services have this name", "give each service a name of its own")
+			node.Reject("two services have this name", "give each service a unique name")
 		}
 		services[service.Name] = service
 	}
 	return services
 }
 
-// parseService reads a service, with its engine if it has model servers.
+// parseService parses a service, including its engine if it has model servers.
 func parseService(node jsondoc.Node) *Service {
 	service := &Service{
 		Name:           node.Get(nameField).Text(),
@@ -74,7 +74,7 @@
 	return service
 }
 
-// parseEngine reads the description of model servers.
+// parseEngine parses the description of the model servers of a service.
 func parseEngine(node jsondoc.Node) *Engine {
 	engine := &Engine{
 		Slots:             int(node.Get("bays").NumberOr(1, 1)),
@@ -91,7 +91,7 @@
 	return engine
 }
 
-// parseRoute reads a route, whose targets have to be among the services.
+// parseRoute parses a route and rejects targets that are not among the services.
 func parseRoute(node jsondoc.Node, services map[string]*Service) *Route {
 	route := &Route{
 		Name:          node.Get(nameField).TextOr(""),
@@ -119,31 +119,31 @@
 	return route
 }
 
-// parseKind reads the kind of a route.
+// parseKind parses the kind of a route.
 func parseKind(node jsondoc.Node) Kind {
 	kind := Kind(node.TextOr(string(Unsafe)))
 	if kind != Safe && kind != Unsafe && kind != Stream {
-		node.Reject(fmt.Sprintf("%q is no class of mail", kind), "give safe, unsafe or stream")
+		node.Reject(fmt.Sprintf("%q is not a known mail_class", kind), "give safe, unsafe or stream")
 	}
 	return kind
 }
 
-// parseTargets reads the single target of a route's node, or several with their weights.
+// parseTargets parses the targets of a route: a single one, or several with weights.
 func (r *Route) parseTargets(node jsondoc.Node, services map[string]*Service) {
-	split := node.Get("apportion")
-	if !split.Present() {
+	weightedTargets := node.Get("apportion")
+	if !weightedTargets.Present() {
 		r.addTarget(node.Get("depot"), 1, services)
 		return
 	}
-	for _, weighted := range split.Items() {
-		r.addTarget(weighted.Get("depot"), weighted.Get("share").Number(0), services)
+	for _, target := range weightedTargets.Items() {
+		r.addTarget(target.Get("depot"), target.Get("share").Number(0), services)
 	}
 	if r.TotalWeight <= 0 {
-		split.Reject("the shares sum to 0", "give at least one share above 0")
+		weightedTargets.Reject("the shares sum to 0", "give at least one share above 0")
 	}
 }
 
-// addTarget adds a target and its weight; the node is that of the service's name.
+// addTarget adds a target and its weight; service is the node that holds the service's name.
 func (r *Route) addTarget(service jsondoc.Node, weight float64, services map[string]*Service) {
 	name := service.Text()
 	if services[name] == nil && name != "" {
--- a/internal/router/fleetconfig/patch_test.go
+++ b/internal/router/fleetconfig/patch_test.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/jsondoc"
 )
 
-// baseDocument has two services and three routes, one of which has no name.
+// baseDocument is a configuration with two services and three routes, one of which has no name.
 const baseDocument = `{"edition":7,"extra":{"kept":[1,2]},"routes":[
  {"name":"a","town":"a.example","street_prefix":"/","mail_class":"safe","timeout_ms":900,"depot":"one"},
  {"name":"b","town":"b.example","street_prefix":"/x/","timeout_ms":800,"depot":"two","unknown":true},
@@ -26,13 +26,13 @@
 	return config
 }
 
-// route returns a route as an operator writes it.
+// route returns the JSON text of a route.
 func route(name, host, service string) string {
-	const form = `{"name":%q,"town":%q,"street_prefix":"/","timeout_ms":500,"depot":%q}`
-	return fmt.Sprintf(form, name, host, service)
+	const template = `{"name":%q,"town":%q,"street_prefix":"/","timeout_ms":500,"depot":%q}`
+	return fmt.Sprintf(template, name, host, service)
 }
 
-// assertSameDocument checks that two documents have the same values.
+// assertSameDocument checks that two JSON documents have the same value.
 func assertSameDocument(t *testing.T, got, want []byte) {
 	t.Helper()
 	var gotValue, wantValue any
@@ -55,7 +55,7 @@
 		route("d", "b.example", "one")+`],
 		"depots_list":[{"name":"one","line_cap":6},{"name":"three"}],"size_limits":{"contents_bytes":99}}`))
 	c.Assert(next.Match("a.example", "/"), qt.IsNil)
-	c.Assert(next.Match("b.example", "/x/y").Name, qt.Equals, "d") // the host and prefix of the old b are free
+	c.Assert(next.Match("b.example", "/x/y").Name, qt.Equals, "d") // the previous route b no longer matches
 	c.Assert(next.Match("A2.example:80", "/").Name, qt.Equals, "b")
 	c.Assert(next.Services["one"].MaxConnections, qt.Equals, 6)
 	c.Assert(next.Services["two"], qt.IsNil)
@@ -65,17 +65,17 @@
 	assertSameDocument(t, base.Raw(), []byte(baseDocument))
 }
 
-// TestPatchedConfigurationEqualsItsParsedDocument compares a patched configuration with the one that
-// its document parses to.
+// TestPatchedConfigurationEqualsItsParsedDocument compares each patched configuration with the one that its
+// rendered document parses to, so that processes agree whether they received the patch or the document.
 func TestPatchedConfigurationEqualsItsParsedDocument(t *testing.T) {
 	c := qt.New(t)
 	config := Empty()
 	for version := int64(1); version <= 40; version++ {
-		name, old := fmt.Sprintf("r%d", version%13), fmt.Sprintf("r%d", (version*7)%13)
+		name, withdrawn := fmt.Sprintf("r%d", version%13), fmt.Sprintf("r%d", (version*7)%13)
 		body := fmt.Sprintf(`{"edition":%d,"deliver":{"routes":[%s],"depots_list":[{"name":"s%d"}]}`, version,
 			route(name, name+".example", fmt.Sprintf("s%d", version)), version)
-		if old != name {
-			body += fmt.Sprintf(`,"withdraw":{"routes":[%q]}`, old)
+		if withdrawn != name {
+			body += fmt.Sprintf(`,"withdraw":{"routes":[%q]}`, withdrawn)
 		}
 		next, err := config.ParseAndApply([]byte(body + "}"))
 		c.Assert(err, qt.IsNil)
@@ -95,22 +95,22 @@
 	for _, test := range []struct{ name, patch, problem string }{
 		{"document is no object", `[1]`, "document: .*not an object.*"},
 		{"truncated", `{"edition":9,"deliver":{"routes":[`, "document: .*"},
-		{"unknown field", `{"edition":9,"routes":[]}`, "routes: is not known here; name no other field"},
+		{"unknown field", `{"edition":9,"routes":[]}`, "routes: is not a known field; remove the field"},
 		{"unknown list delivered", `{"edition":9,"deliver":{"size_limits":[]}}`,
-			"deliver.size_limits: is not known here; .*PUT"},
+			"deliver.size_limits: is not a known field; .*PUT"},
 		{"unknown list withdrawn", `{"edition":9,"withdraw":{"models":["m"]}}`,
-			"withdraw.models: is not known here; .*"},
+			"withdraw.models: is not a known field; .*"},
 		{"no list", `{"edition":9,"deliver":{"routes":{}}}`, "deliver.routes: is not a list; give a list"},
 		{"section is no object", `{"edition":9,"withdraw":["a"]}`, "withdraw: is not an object; give an object"},
 		{"no name", `{"edition":9,"deliver":{"routes":[{"town":"x.example"}]}}`,
 			`deliver.routes\[0\].name: is missing.*`},
-		{"name is no text", `{"edition":9,"withdraw":{"routes":[3]}}`, `withdraw.routes\[0\]: is not a text.*`},
+		{"name is no string", `{"edition":9,"withdraw":{"routes":[3]}}`, `withdraw.routes\[0\]: is not a text.*`},
 		{"a name twice", `{"edition":9,"withdraw":{"routes":["a","a"]}}`,
-			`withdraw.routes\[1\]: "a" is twice.*`},
+			`withdraw.routes\[1\]: "a" appears twice.*`},
 		{"a name delivered twice", `{"edition":9,"deliver":{"depots_list":[{"name":"n"},{"name":"n"}]}}`,
-			`deliver.depots_list\[1\]: "n" is twice.*`},
+			`deliver.depots_list\[1\]: "n" appears twice.*`},
 		{"delivered and withdrawn", `{"edition":9,"deliver":{"depots_list":[{"name":"two"}]},
-			"withdraw":{"depots_list":["two"]}}`, `withdraw.depots_list\[0\]: "two" is twice.*`},
+			"withdraw":{"depots_list":["two"]}}`, `withdraw.depots_list\[0\]: "two" appears twice.*`},
 		{"a service that a route names", `{"edition":9,"withdraw":{"depots_list":["two"]}}`,
 			`withdraw.depots_list\[0\]: "two" is named by route "b"; withdraw or replace that route.*`},
 		{"a service that is withdrawn", `{"edition":9,"deliver":{"routes":[` + route("d", "d.example", "two") + `]},
@@ -160,13 +160,13 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(swapped.Match("a.example", "/").Name, qt.Equals, "b")
 	_, err = base.Apply(&Patch{Base: 6, Version: 9, Body: []byte(`{"edition":9}`)})
-	c.Assert(err, qt.ErrorMatches, "the patch builds on version 6, and this is version 7; .*")
-	twins := mustParse(t, strings.Replace(baseDocument, `"name":"b"`, `"name":"a"`, 1))
-	_, err = twins.ParseAndApply([]byte(`{"edition":9,"withdraw":{"routes":["a"]}}`))
+	c.Assert(err, qt.ErrorMatches, "the patch builds on version 6 but was applied to version 7; .*")
+	ambiguous := mustParse(t, strings.Replace(baseDocument, `"name":"b"`, `"name":"a"`, 1))
+	_, err = ambiguous.ParseAndApply([]byte(`{"edition":9,"withdraw":{"routes":["a"]}}`))
 	c.Assert(err, qt.ErrorMatches, `withdraw.routes\[0\]: several items have the name "a"; .*`)
 }
 
-// TestPatchResultsStayWithinTheDocumentBounds applies the bounds of a complete document to the
+// TestPatchResultsStayWithinTheDocumentBounds checks that the bounds of a complete document also apply to the
 // result of a patch.
 func TestPatchResultsStayWithinTheDocumentBounds(t *testing.T) {
 	c := qt.New(t)
@@ -198,8 +198,8 @@
 	return `{"edition":1,"routes":[` + strings.Join(all, ",") + `],"depots_list":[{"name":"s"}]}`
 }
 
-// patchAllocations returns the allocations of one small patch on a configuration with the given number of
-// routes that was patched before.
+// patchAllocations returns the number of allocations of one small patch, applied to a configuration that has
+// the given number of routes and was patched before.
 func patchAllocations(t *testing.T, routes int) float64 {
 	t.Helper()
 	config, err := mustParse(t, largeDocument(routes)).ParseAndApply([]byte(`{"edition":2}`))
@@ -212,15 +212,15 @@
 	})
 }
 
-// TestPatchCostIsIndependentOfTheConfigurationSize compares a patch on 100 routes with the same on 10,000:
-// the depth of the trees may differ by a few steps.
+// TestPatchCostIsIndependentOfTheConfigurationSize compares the allocations of the same patch on 100 and on
+// 10,000 routes. The bound leaves room for radix trees that are a few levels deeper.
 func TestPatchCostIsIndependentOfTheConfigurationSize(t *testing.T) {
 	small, large := patchAllocations(t, 100), patchAllocations(t, 10_000)
 	qt.Assert(t, large < 1.5*small, qt.IsTrue, qt.Commentf("%v and %v", small, large))
 }
 
-// FuzzPatch expects any bytes to be rejected as a patch, or to result in a document that parses to what was
-// applied.
+// FuzzPatch expects arbitrary bytes to be rejected as a patch, or to result in a document that parses to the
+// same configuration as the patched one.
 func FuzzPatch(f *testing.F) {
 	for _, seed := range []string{`{"edition":9}`,
 		`{"edition":9,"withdraw":{"routes":["a"],"depots_list":["two"]}}`,
--- a/internal/router/fleetconfig/raw_json.go
+++ b/internal/router/fleetconfig/raw_json.go
@@ -5,13 +5,13 @@
 	"encoding/json"
 )
 
-// field is a field of an object as it was sent.
+// field is a field of a JSON object with its value as written.
 type field struct {
 	name string
 	text json.RawMessage
 }
 
-// objectFields returns the fields of an object that package jsondoc has accepted, in their order; nil for a
+// objectFields returns the fields, in their order, of an object that package jsondoc has accepted; nil for a
 // null.
 func objectFields(object []byte) []field {
 	var fields []field
@@ -24,7 +24,7 @@
 		if err != nil {
 			return fields
 		}
-		name, _ := token.(string) // as all names of fields are
+		name, _ := token.(string) // field names are always strings
 		var text json.RawMessage
 		if decoder.Decode(&text) != nil {
 			return fields
@@ -34,7 +34,7 @@
 	return fields
 }
 
-// fieldText returns the value of an object's field, nil if it has none of that name.
+// fieldText returns the value of the field with a name, or nil if the object has no such field.
 func fieldText(object []byte, name string) json.RawMessage {
 	for _, candidate := range objectFields(object) {
 		if candidate.name == name {
--- a/internal/router/fleetconfig/route.go
+++ b/internal/router/fleetconfig/route.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Kind says how often a request of a route may run, and whether its response is a stream.
+// Kind determines how often a request of a route may be executed, and whether its response is a stream.
 type Kind string
 
 // The kinds of routes, as "mail_class" names them.
 const (
-	// Safe requests are idempotent: they may run more than once, at once or one after the other.
+	// Safe requests are idempotent: they may be executed more than once, concurrently or one after the other.
 	Safe Kind = "safe"
-	// Unsafe requests run at most once for each attempt of the client.
+	// Unsafe requests are executed at most once for each attempt of the client.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered by a series of events. They run at most once unless the route is Resumable.
+	// Stream requests are answered with a stream of events. They are executed at most once unless the route is
+	// Resumable.
 	Stream Kind = "stream"
 )
 
@@ -30,7 +31,7 @@
 	// can't be named by a patch.
 	Name string
 
-	// Host ("town") is matched without regard to case and port. Required.
+	// Host ("town") is matched ignoring case and port. Required.
 	Host string
 
 	// Prefix ("street_prefix") begins and ends with a slash. Required.
@@ -42,27 +43,28 @@
 	// Timeout ("timeout_ms") is the longest time that the fleet holds a request. Required, above 0.
 	Timeout time.Duration
 
-	// LatencyTarget ("target_ms") is the time from a request's arrival to its response, or to the first event
-	// of a stream, within which it has its full value. Defaults to 0, which sets no target.
+	// LatencyTarget ("target_ms") is the time from a request's arrival within which its response, or the first
+	// event of a stream, has its full value to the client. Defaults to 0, which sets no target.
 	LatencyTarget time.Duration
 
-	// Priority ("priority") ranks requests of this route; 0, the default, is the highest.
+	// Priority ("priority") is the priority of the route's requests; 0, the default, is the highest.
 	Priority int
 
-	// MaxAttempts ("delivery_tries") is the most servers that one request is sent to, the first included.
-	// Defaults to 1, which disables retries.
+	// MaxAttempts ("delivery_tries") is the maximum number of servers that one request is sent to, including the
+	// first. Defaults to 1, which disables retries.
 	MaxAttempts int
 
-	// Resumable ("redeliver") allows a stream to be continued at another server with Last-Event-Id. Defaults to
+	// Resumable ("redeliver") allows a stream to be resumed at another server with Last-Event-Id. Defaults to
 	// false.
 	Resumable bool
 
 	// Sticky ("same_courier") announces that clients send the parts of their prompts with their requests. It is
-	// validated only: the scheduler derives prefix affinity from the requests themselves.
+	// validated but has no effect: the scheduler derives prefix affinity from the requests themselves.
 	Sticky bool
 
-	// GapTarget ("gap_aim_ms") is the longest pause between two events of a stream that is in time. A stream
-	// that pauses for several times as long is considered stalled. Defaults to 0, which leaves a fixed bound.
+	// GapTarget ("gap_aim_ms") is the longest pause between two events of a stream that counts as on time. A
+	// stream that pauses for several times as long is considered stalled. Defaults to 0, which leaves a fixed
+	// bound for stalls.
 	GapTarget time.Duration
 
 	// Targets ("depot", or "apportion" for several with weights) receive the requests. At least one is required.
@@ -72,7 +74,7 @@
 	TotalWeight float64
 }
 
-// Idempotent reports whether a request of the route may run more than once.
+// Idempotent reports whether a request of the route may be executed more than once.
 func (r *Route) Idempotent() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
 // hasTarget reports whether a service is one of the route's targets.
--- a/internal/router/fleetconfig/route_index.go
+++ b/internal/router/fleetconfig/route_index.go
@@ -8,12 +8,12 @@
 	"cresshub/internal/jsondoc"
 )
 
-// routeIndex finds the route of a host and path. It is immutable: the index of a patched version shares all
-// that the patch leaves.
+// routeIndex looks up the route of a host and path. It is immutable; the index of a patched version shares
+// the parts that the patch does not change.
 type routeIndex struct{ tree *iradix.Tree[*Route] }
 
-// keySeparator stands between host and prefix in a key of the index. No host contains it, so that one key is
-// a prefix of another only within a host.
+// keySeparator separates host and prefix in a key of the index. No host contains it, so that a key can be a
+// prefix of another key only if both have the same host.
 const keySeparator = 0
 
 // routeKey returns the key of a host and prefix.
@@ -24,7 +24,8 @@
 	return append(key, prefix...)
 }
 
-// newRouteIndex indexes routes. A route with the host and prefix of an earlier one is rejected at its node.
+// newRouteIndex returns an index of routes. A route with the host and prefix of an earlier one is rejected at
+// its node.
 func newRouteIndex(routes []*Route, nodes []jsondoc.Node) routeIndex {
 	txn := iradix.New[*Route]().Txn()
 	for i, route := range routes {
@@ -33,25 +34,26 @@
 	return routeIndex{txn.Commit()}
 }
 
-// insertRoute inserts a route, or rejects it at its node if another one has its host and prefix.
+// insertRoute inserts a route, or rejects it at its node if another route has the same host and prefix.
 func insertRoute(txn *iradix.Txn[*Route], route *Route, node jsondoc.Node) {
 	key := routeKey(route.Host, route.Prefix)
 	if other, exists := txn.Get(key); exists {
-		node.Reject("has the host and prefix of route "+other.Name, "give each route a place of its own")
+		node.Reject("has the host and prefix of route "+other.Name, "give each route its own host and prefix")
 		return
 	}
 	txn.Insert(key, route)
 }
 
-// deleteRoute deletes a route, which may be nil.
+// deleteRoute deletes a route from the index; a nil route is ignored.
 func deleteRoute(txn *iradix.Txn[*Route], route *Route) {
 	if route != nil {
 		txn.Delete(routeKey(route.Host, route.Prefix))
 	}
 }
 
-// match returns the route of a host with the longest prefix of a path, nil if there is none. The host is
-// normalized only if it doesn't match as it is, so that the usual case allocates no second host.
+// match returns the route of a host with the longest matching prefix of a path, or nil if there is none. The
+// host is normalized only if it does not match as given, to avoid allocating a second string in the usual
+// case.
 func (x routeIndex) match(host, path string) *Route {
 	if x.tree == nil {
 		return nil
@@ -65,8 +67,8 @@
 	return nil
 }
 
-// longestPrefix returns the route of a normalized host with the longest prefix of a path, nil if there is
-// none.
+// longestPrefix returns the route of a normalized host with the longest matching prefix of a path, or nil if
+// there is none.
 func (x routeIndex) longestPrefix(host, path string) *Route {
 	_, route, _ := x.tree.Root().LongestPrefix(routeKey(host, path))
 	return route
--- a/internal/router/fleetconfig/stored_test.go
+++ b/internal/router/fleetconfig/stored_test.go
@@ -30,7 +30,7 @@
 	c.Assert(StoredDigest(next.Raw()) == digest, qt.IsFalse)
 	for length := range EncodeStoredPatch(next.Patch()) {
 		if _, err := ParseStored(stored[:length], base); err == nil {
-			c.Errorf("a stored configuration truncated to %d bytes is read", length)
+			c.Errorf("a stored configuration truncated to %d bytes is accepted", length)
 		}
 	}
 }
