--- a/internal/router/controlclient/client.go
+++ b/internal/router/controlclient/client.go
@@ -1,6 +1,6 @@
-// Package controlclient makes HTTP/1.1 calls with small bodies: to the control addresses of the fleet's
-// processes, and to its servers. Each call opens a connection of its own, so that calls are independent and
-// any goroutine may make them. Package controlserver is the other side.
+// Package controlclient makes HTTP/1.1 calls with small bodies to the control addresses of the fleet's
+// processes, which package controlserver serves, and to its servers. Each call opens a connection of its own,
+// so that calls are independent of each other and may be made from any goroutine.
 package controlclient
 
 import (
@@ -16,31 +16,31 @@
 )
 
 const (
-	// maxResponseBytes bounds the body of a response; a configuration may be that large.
+	// maxResponseBytes bounds the body of a response. It is the maximum size of a configuration.
 	maxResponseBytes = 8 << 20
-	// maxRedirects is how many redirections a call follows, each with its method and body.
+	// maxRedirects is the number of redirects that a call follows, repeating its method and body each time.
 	maxRedirects = 2
 )
 
-// expiredDeadline is a deadline in the past, which ends reads and writes at once.
+// expiredDeadline is a deadline in the past, which makes reads and writes fail at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// Call is a call to be made.
+// Call describes a call to be made.
 type Call struct {
 	Method string
 	Target string       // path and query
-	Header http1.Header // besides Host
+	Header http1.Header // in addition to Host
 	Body   []byte
 }
 
-// CallError reports that a call got no complete response. The call may have been handled all the same.
+// CallError reports that a call received no complete response. The call may have been handled nevertheless.
 type CallError struct {
-	Address string // that was called last
+	Address string // the address that was called last
 	Err     error
 }
 
 func (e *CallError) Error() string {
-	return fmt.Sprintf("no answer from %s: %v; check the address, or call another process", e.Address, e.Err)
+	return fmt.Sprintf("call to %s failed: %v; check the address, or call another process", e.Address, e.Err)
 }
 
 func (e *CallError) Unwrap() error { return e.Err }
@@ -48,20 +48,20 @@
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// dialTCP is the DialFunc of the machine's network.
+// dialTCP is a DialFunc that uses the host's network.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// Do makes a call to an address and returns its response with the complete body, of whatever status. It
-// follows up to two redirections with status 307. Its error is a *CallError, which wraps that of a context
-// that ended.
+// Do makes a call to an address and returns the response with its complete body, whatever its status is. It
+// follows up to maxRedirects redirects with status 307. Its error is a *CallError, which wraps ctx.Err() if
+// the context has ended.
 func Do(ctx context.Context, address string, call Call) (*http1.Response, error) {
 	return DoWithDialer(ctx, dialTCP, address, call)
 }
 
-// DoWithDialer is Do over connections that another dialer opens.
+// DoWithDialer is like Do, but opens connections with the given DialFunc.
 func DoWithDialer(ctx context.Context, dial DialFunc, address string, call Call) (*http1.Response, error) {
 	for redirects := 0; ; redirects++ {
 		response, err := doOnce(ctx, dial, address, call)
@@ -76,7 +76,8 @@
 	}
 }
 
-// redirectLocation returns where a response redirects its call to, nil if it doesn't.
+// redirectLocation returns the URL that a response redirects its call to, or nil if it is not a redirect with
+// a host.
 func redirectLocation(response *http1.Response) *url.URL {
 	if response.Status != http1.StatusTemporaryRedirect {
 		return nil
@@ -88,7 +89,7 @@
 	return location
 }
 
-// doOnce makes a call without following redirections.
+// doOnce makes a call without following redirects.
 func doOnce(ctx context.Context, dial DialFunc, address string, call Call) (*http1.Response, error) {
 	conn, err := dial(ctx, address)
 	if err != nil {
@@ -121,7 +122,7 @@
 	}
 	response.Body, err = io.ReadAll(io.LimitReader(body, maxResponseBytes))
 	if err == nil && !body.Complete() {
-		err = fmt.Errorf("the answer has more than %d bytes", maxResponseBytes)
+		err = fmt.Errorf("the response body exceeds %d bytes", maxResponseBytes)
 	}
 	return response, err
 }
--- a/internal/router/controlclient/client_test.go
+++ b/internal/router/controlclient/client_test.go
@@ -15,10 +15,10 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// testTimeout bounds every call of a test; no result depends on how much of it is used.
+// testTimeout bounds each call of a test; no result depends on how much of it is used.
 const testTimeout = 10 * time.Second
 
-// serve handles calls on loopback until the test ends, and returns the address.
+// serve serves calls on a loopback address until the test ends, and returns that address.
 func serve(c *qt.C, handler controlserver.Handler) string {
 	c.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,7 +76,7 @@
 }
 
 // TestUnresponsiveServerEndsWithTheContext: a process that accepts a connection and never responds must not
-// delay its caller beyond the caller's own context.
+// delay the caller after the caller's context has ended.
 func TestUnresponsiveServerEndsWithTheContext(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/router/controlserver/response.go
+++ b/internal/router/controlserver/response.go
@@ -2,7 +2,7 @@
 
 import "cresshub/internal/http1"
 
-// Text returns a response with one line of text.
+// Text returns a plain text response with one line.
 func Text(status int, line string) *http1.Response {
 	return &http1.Response{
 		Status: status, Header: http1.Header{{Name: "Content-Type", Value: "text/plain"}},
@@ -10,7 +10,7 @@
 	}
 }
 
-// JSON returns a response with a JSON document.
+// JSON returns a response with a JSON document as its body.
 func JSON(status int, document []byte) *http1.Response {
 	return &http1.Response{
 		Status: status, Header: http1.Header{{Name: "Content-Type", Value: "application/json"}},
--- a/internal/router/controlserver/server.go
+++ b/internal/router/controlserver/server.go
@@ -1,10 +1,11 @@
-// Package controlserver serves HTTP/1.1 calls whose bodies are small enough to be read completely before they
-// are handled: the calls of servers, of the operator and of the platform.
+// Package controlserver serves HTTP/1.1 calls whose bodies are small enough to be read completely before the
+// call is handled: the calls of servers, of operators and of the platform.
 //
-// Each connection is served by a goroutine of its own, which reads a call, has it handled and writes the
-// response, until the connection is idle for too long, fails, or one side closes it. Handlers of different
-// connections run concurrently. A panic of a handler ends its call with status 500 and nothing else.
-// Connections that are open when the listener closes are served to their end.
+// Each connection has a goroutine of its own, which reads a call, passes it to the handler and writes the
+// response, until the connection is idle for too long, fails, or is closed by either side. Handlers of
+// different connections run concurrently. If a handler panics, its call is answered with status 500 and its
+// connection is closed; the process and all other connections continue. Connections that are open when the
+// listener is closed continue to be served until they end.
 package controlserver
 
 import (
@@ -21,25 +22,25 @@
 )
 
 const (
-	idleTimeout  = 30 * time.Second // between two calls of a connection
+	idleTimeout  = 30 * time.Second // for waiting for the next call on a connection
 	readTimeout  = 5 * time.Second  // from the first byte of a call to its last
-	writeTimeout = 5 * time.Second  // of a response
+	writeTimeout = 5 * time.Second  // for writing a response
 )
 
-// Call is a call that was read completely.
+// Call is a call whose body has been read completely.
 type Call struct {
 	Method string
-	Path   string // the target as it was sent, with its query
+	Path   string // the request target as sent, including the query
 	Header http1.Header
 	Body   []byte
 }
 
-// Handler returns the response to a call. It is called by several goroutines at once.
+// Handler returns the response to a call. It may be called from several goroutines concurrently.
 type Handler func(*Call) *http1.Response
 
-// Server serves the calls that arrive at a listener. Its fields must not change once Serve is called.
+// Server serves the calls that arrive at a listener. Its fields must not be changed once Serve is called.
 type Server struct {
-	// MaxBodyBytes bounds the body of a call; a larger one is answered with status 413.
+	// MaxBodyBytes bounds the body of a call; a call with a larger body is answered with status 413.
 	MaxBodyBytes int64
 	// Handler handles the calls.
 	Handler Handler
@@ -52,17 +53,17 @@
 // PanicError reports a panic of a handler.
 type PanicError struct {
 	Path  string // of the call
-	Value any    // that recover returned
+	Value any    // the value that recover returned
 	Stack []byte
 }
 
 // Error implements error.
 func (e *PanicError) Error() string {
-	return fmt.Sprintf("a call of %.80q brought out a mistake of the program: %v; report it with the stack",
+	return fmt.Sprintf("handler panicked on a call to %.80q: %v; report this together with the stack trace",
 		e.Path, e.Value)
 }
 
-// Serve accepts connections until the listener closes, and then returns net.ErrClosed.
+// Serve accepts connections until the listener is closed, and then returns net.ErrClosed.
 func (s *Server) Serve(listener net.Listener) error {
 	return acceptloop.Run(listener, s.OnAcceptError, func(netConn net.Conn) { go s.serveConn(netConn) })
 }
@@ -71,13 +72,14 @@
 func (s *Server) serveConn(netConn net.Conn) {
 	defer netConn.Close()
 	conn := connbuffer.NewConn(netConn)
-	mayGoOn := true
-	for mayGoOn {
-		mayGoOn = s.serveCall(conn)
+	keepAlive := true
+	for keepAlive {
+		keepAlive = s.serveCall(conn)
 	}
 }
 
-// serveCall waits for the next call of a connection and serves it. It reports whether another one may follow.
+// serveCall waits for the next call on a connection and serves it. It reports whether another call may
+// follow.
 func (s *Server) serveCall(conn *connbuffer.Conn) bool {
 	conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	if conn.AwaitReadable() != nil {
@@ -92,8 +94,8 @@
 	return response.Write(conn.Out) == nil && conn.Flush() == nil && !response.Close
 }
 
-// readAndHandle reads a call and has it handled, or rejects it. An error means that the connection is of no
-// further use.
+// readAndHandle reads a call and returns the handler's response, or a rejection if the call is malformed or
+// too large. An error means that the connection failed and no response can be sent.
 func (s *Server) readAndHandle(conn *connbuffer.Conn) (*http1.Response, error) {
 	request, err := s.readRequest(conn)
 	var malformed *http1.MalformedError
@@ -112,11 +114,11 @@
 	return response, nil
 }
 
-// errBodyTooLarge means that a call's body exceeds MaxBodyBytes. The text goes to the caller.
+// errBodyTooLarge means that the body of a call exceeds MaxBodyBytes. Its text is sent to the caller.
 var errBodyTooLarge = errors.New("the body is too large")
 
-// readRequest reads a call completely. Its error is an *http1.MalformedError, errBodyTooLarge, or that of the
-// connection.
+// readRequest reads a complete call. Its error is an *http1.MalformedError, errBodyTooLarge, or an error of
+// the connection.
 func (s *Server) readRequest(conn *connbuffer.Conn) (*http1.Request, error) {
 	request, body, err := http1.ReadRequestHead(conn.In)
 	if err != nil {
@@ -135,8 +137,8 @@
 	return request, nil
 }
 
-// handle calls the handler and recovers its panic. If the panic ended the process instead, the caller would
-// get no response and bring down the next process with the same call.
+// handle calls the handler and recovers from its panics. If a panic ended the process instead, the caller
+// would get no response and retry the call at the next process, which would panic as well.
 func (s *Server) handle(call *Call) (response *http1.Response) {
 	defer func() {
 		value := recover()
@@ -146,7 +148,7 @@
 		if s.OnPanic != nil {
 			s.OnPanic(&PanicError{Path: call.Path, Value: value, Stack: debug.Stack()})
 		}
-		response = closingText(http1.StatusInternalServerError, "a mistake of the program; its log has it")
+		response = closingText(http1.StatusInternalServerError, "internal error; see the log of the process")
 	}()
 	return s.Handler(call)
 }
--- a/internal/router/controlserver/server_test.go
+++ b/internal/router/controlserver/server_test.go
@@ -12,16 +12,16 @@
 	"cresshub/internal/http1"
 )
 
-// TestServeContinuesAfterFailedAccepts: a process that was short of descriptors for a moment serves again,
-// and Serve returns once its listener is closed.
+// TestServeContinuesAfterFailedAccepts: a temporary lack of file descriptors makes Accept fail. The server
+// must serve calls again afterwards, and Serve must return once its listener is closed.
 func TestServeContinuesAfterFailedAccepts(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	short := faultylistener.New(listener, 3)
+	flaky := faultylistener.New(listener, 3)
 	server := &Server{Handler: func(call *Call) *http1.Response { return Text(200, call.Path) }}
 	served := make(chan error, 1)
-	go func() { served <- server.Serve(short) }()
+	go func() { served <- server.Serve(flaky) }()
 	answered := make(chan int, 1)
 	go func() { answered <- get(c, listener.Addr().String(), "/here") }()
 	select {
@@ -29,13 +29,13 @@
 		c.Assert(status, qt.Equals, 200)
 	case err := <-served:
 		listener.Close()
-		c.Fatalf("no connection is accepted any more: %v", err)
+		c.Fatalf("Serve ended after failed accepts: %v", err)
 	}
 	listener.Close()
 	c.Assert(errors.Is(<-served, net.ErrClosed), qt.IsTrue)
 }
 
-// get returns the status of the response to a GET, 0 if there is none.
+// get returns the status of the response to a GET request, or 0 if there is no response.
 func get(c *qt.C, address, path string) int {
 	c.Helper()
 	netConn, err := net.Dial("tcp4", address)
@@ -57,15 +57,15 @@
 	return head.Status
 }
 
-// TestPanicEndsOnlyItsCall: a caller whose call makes a process panic sends it to the next process too, so
-// that it must not end any.
+// TestPanicEndsOnlyItsCall: a caller retries a failed call at the next process. A call that makes the handler
+// panic would therefore crash one process after another if the panic were not recovered.
 func TestPanicEndsOnlyItsCall(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	server := &Server{Handler: func(call *Call) *http1.Response {
 		if call.Path == "/mistake" {
-			panic("a mistake")
+			panic("test panic")
 		}
 		return Text(200, call.Path)
 	}}
--- a/internal/router/fleetconfig/config.go
+++ b/internal/router/fleetconfig/config.go
@@ -35,7 +35,7 @@
 	layout     *layout // the document split into items; nil until the first patch needs it
 }
 
-// emptyDocument is the document of version 0.
+// emptyDocument is the document of version 0, on which a first patch builds.
 const emptyDocument = `{"edition":0}`
 
 // Empty returns version 0, on which a first patch builds. It is never committed.
--- a/internal/router/fleetconfig/service.go
+++ b/internal/router/fleetconfig/service.go
@@ -47,8 +47,8 @@
 	HandleTTL time.Duration
 
 	// RoleSwitchTime ("switch_s") is how long a server needs to change between prefill and decode. Defaults to
-	// 0. An order to change roles expires if it is still pending that long after the requests that the server was
-	// running have had time to end. Apart from that, the role planner relies on what servers report.
+	// 0. An order to change roles expires if it is still pending that long after the requests that the server
+	// was running have had time to end. Apart from that, the role planner relies on what servers report.
 	RoleSwitchTime time.Duration
 
 	// Models ("models", by "name") lists the models that the servers offer. They are validated but have no
