--- a/internal/router/agentsettings/page_test.go
+++ b/internal/router/agentsettings/page_test.go
@@ -19,15 +19,16 @@
 
 const settingsPage = "../../../docs/fleet-settings.md"
 
-// pageRow is a row of the page's tables of keys.
+// pageRow is a row of the key tables of the settings page.
 type pageRow struct {
 	path         string // of the key, for example size_limits.fds
 	defaultValue string // in JSON, "" for a required key
 }
 
-// TestPageListsExactlyTheKeysThatAreRead holds docs/fleet-settings.md to the parser. Which keys are read is
-// found by trying: a value that fits no key, at each path that the words of the source and of the page can
-// make, either is rejected, changes the settings, or is not read.
+// TestPageListsExactlyTheKeysThatAreRead compares the keys in docs/fleet-settings.md with those that Parse
+// reads. It finds the latter by trying every path that can be composed of the words in the source and on the
+// page: with a value that is valid for no key, Parse either fails or returns different settings, or it does
+// not read the key.
 func TestPageListsExactlyTheKeysThatAreRead(t *testing.T) {
 	words := sourceStrings(t)
 	var listed []string
@@ -54,7 +55,8 @@
 	qt.Assert(t, listed, qt.DeepEquals, read)
 }
 
-// TestPageGivesTheDefaults compares settings with a default that is given with settings without it.
+// TestPageGivesTheDefaults checks that a document that sets a key to the default on the page yields the same
+// settings as one without the key, and that a key without a default is required.
 func TestPageGivesTheDefaults(t *testing.T) {
 	const required = `"office":"a","ip":"b","inner_ports":[1,2]`
 	without, err := agentsettings.Parse([]byte("{" + required + "}"))
@@ -73,8 +75,9 @@
 	}
 }
 
-// isRead reports whether Parse reads the key at a path of one or two names. Keys of strings, numbers, truth
-// values and lists reject the object that is given; a map of strings takes it over.
+// isRead reports whether Parse reads the key at a path of one or two names. Strings, numbers, booleans and
+// lists reject the object that is given as the value; a map of strings accepts it, which changes the
+// settings.
 func isRead(path string) bool {
 	const misfit = `{"misfit":"text"}`
 	absent := `{}`
@@ -84,7 +87,7 @@
 	return outcome("{"+member(path, misfit)+"}") != outcome(absent)
 }
 
-// member returns the member of the top-level object that gives the value at a path.
+// member returns the member of the top-level JSON object that sets the value at a path.
 func member(path, value string) string {
 	if section, name, nested := strings.Cut(path, "."); nested {
 		return fmt.Sprintf("%q:{%q:%s}", section, name, value)
@@ -92,13 +95,13 @@
 	return fmt.Sprintf("%q:%s", path, value)
 }
 
-// outcome returns the settings and the error of a document, as text.
+// outcome returns the settings and the error that Parse returns for a document, as text.
 func outcome(document string) string {
 	settings, err := agentsettings.Parse([]byte(document))
 	return fmt.Sprintf("%+v %v", settings, err)
 }
 
-// sourceStrings returns the string literals of the parser's source that can be keys.
+// sourceStrings returns the string literals in the parser's source that can be keys.
 func sourceStrings(t *testing.T) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "settings.go", nil, 0)
@@ -119,7 +122,7 @@
 	return words
 }
 
-// pageRows returns the rows of the page's tables whose first column is headed "key".
+// pageRows returns the rows of all tables on the page whose first column has the heading "key".
 func pageRows(t *testing.T) []pageRow {
 	t.Helper()
 	page, err := os.ReadFile(settingsPage)
--- a/internal/router/agentsettings/settings.go
+++ b/internal/router/agentsettings/settings.go
@@ -1,7 +1,8 @@
-// Package agentsettings reads the settings file of a process of the router fleet: a JSON document in the
-// words of the operators' pages (an office is a machine's name, a district a zone). The file is given to a
-// process by CRESSHUB_NODE_FILE. Settings are read once; package agent applies only changed seeds while it
-// runs. docs/fleet-settings.md has every key; a test compares it with the parser.
+// Package agentsettings reads the settings file of a process of the router fleet. The file is a JSON document
+// whose keys use the vocabulary of the operators' documentation (an office is a machine's name, a district is
+// a zone). The environment variable CRESSHUB_NODE_FILE holds its path. Settings are read at the start; while
+// a process runs, package agent applies only changed seeds. docs/fleet-settings.md lists every key; a test
+// compares it with the parser.
 package agentsettings
 
 import (
@@ -15,9 +16,9 @@
 // PathVariable names the environment variable that holds the path of the settings file.
 const PathVariable = "CRESSHUB_NODE_FILE"
 
-// Settings are the settings of a process. The parentheses give the field of the file and its default; a field
-// without a default is required. Some fields are accepted and have no effect: files may give them, and
-// nothing reads them. Parse checks their values all the same, but for those of Regions.
+// Settings holds the settings of a process. Parentheses give each field's key in the file and its default; a
+// key without a default is required. Some fields are accepted and have no effect: files may contain their
+// keys, but no code uses the values. Parse validates these values nevertheless, except those of Regions.
 type Settings struct {
 	// Name is the machine's name (office). Rendezvous hashing over it chooses the hub that the process follows.
 	Name string
@@ -38,8 +39,8 @@
 	Ready string
 	// Control is the address for servers and operators (counters.control, "" for none).
 	Control string
-	// InnerPorts are the first and the last port that processes may use among themselves (inner_ports). The
-	// first one is used.
+	// InnerPorts are the first and the last port that processes may use between each other (inner_ports). Only
+	// the first one is used.
 	InnerPorts [2]int
 	// Seeds are the control addresses of some processes (seeds, none). A process calls them until it knows the
 	// view. At the first start, the first seed bootstraps the fleet.
@@ -57,8 +58,8 @@
 	// of them counts as lost.
 	HeartbeatInterval time.Duration
 
-	// CPUShare is the part of a core that the process may use (size_limits.cpu_share, 1). It is accepted and has
-	// no effect.
+	// CPUShare is the fraction of a CPU core that the process may use (size_limits.cpu_share, 1). It is accepted
+	// and has no effect.
 	CPUShare float64
 	// MemoryBytes is the memory that the process may use (size_limits.memory_mb, 256 MiB). It bounds the heap
 	// and the buffered bodies of requests.
@@ -77,14 +78,14 @@
 	// tolerate.regions, 0). They are accepted and have no effect.
 	TolerateZones   int
 	TolerateRegions int
-	// Bounds are the figures of the rules that the operators hold the fleet to (bounds).
+	// Bounds holds the limits that the operators' rules set for the fleet (bounds).
 	Bounds Bounds
 }
 
-// Bounds are the figures of the operators' rules, under the names that the pages give them. The process acts
-// by Grace, Lease and the retry budget (RetryRatio, RetryWindow and RetrySlack). By Touch, Ack, CatchUp,
-// Drain, Lost, Config and Fenced it is only judged, in trials and simulations. The others are accepted and
-// have no effect.
+// Bounds holds the limits that the operators' rules set for the fleet, under the names that the operators'
+// documentation uses. The process itself uses only Grace, Lease and the retry budget (RetryRatio, RetryWindow
+// and RetrySlack). Touch, Ack, CatchUp, Drain, Lost, Config and Fenced are used only by trials and
+// simulations, to judge the process. The others are accepted and have no effect.
 type Bounds struct {
 	// SeedLag is how far the operators' list of seeds lags behind the machines (seed_lag_s, 3 s). It is accepted
 	// and has no effect.
@@ -92,7 +93,8 @@
 	// ReuseAfter is how long after its end a server's address may be given to another one (reuse_after_s, 2 s).
 	// It is accepted and has no effect.
 	ReuseAfter time.Duration
-	// Touch is how long after a fault a machine is not yet held to the bounds of time (touch_ms, 3000 ms).
+	// Touch is the time after a fault in which the time bounds do not yet apply to a machine
+	// (touch_ms, 3000 ms).
 	Touch time.Duration
 	// Ack bounds the time until a change of the configuration is acknowledged (ack_ms, 4000 ms).
 	Ack time.Duration
@@ -109,9 +111,9 @@
 	Config time.Duration
 	// Outer is outer_ms, 5000 ms by default. It is accepted and has no effect.
 	Outer time.Duration
-	// RetryRatio is the number of retries allowed for each request (retry_ratio, 0.2), RetryWindow the window
-	// over which both are counted (retry_window_s, 10 s), and RetrySlack the retries allowed besides, for all
-	// proxies together (retry_slack, 10).
+	// RetryRatio is the number of retries allowed per request (retry_ratio, 0.2), RetryWindow the window over
+	// which retries and requests are counted (retry_window_s, 10 s), and RetrySlack the number of additional
+	// retries allowed to all proxies together (retry_slack, 10).
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
@@ -127,8 +129,8 @@
 	Thaw time.Duration
 }
 
-// Load reads the file that PathVariable names. Its errors are those of LoadFile, or that the variable is not
-// set.
+// Load reads the settings file whose path is in the environment variable PathVariable. It fails if the
+// variable is not set, or with the errors of LoadFile.
 func Load() (*Settings, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
@@ -137,7 +139,7 @@
 	return LoadFile(path)
 }
 
-// LoadFile reads a settings file. The error wraps that of the file system, or is the one of Parse.
+// LoadFile reads a settings file. The error wraps that of the file system, or is that of Parse.
 func LoadFile(path string) (*Settings, error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
@@ -146,8 +148,8 @@
 	return Parse(document)
 }
 
-// Parse reads settings. The error is *jsondoc.ValidationError and names every mistake. Unknown fields are
-// ignored.
+// Parse parses and validates settings. Its error is a *jsondoc.ValidationError that lists every problem.
+// Unknown keys are ignored.
 func Parse(document []byte) (*Settings, error) {
 	parsed, err := jsondoc.Parse(document)
 	if err != nil {
--- a/internal/router/agentsettings/settings_test.go
+++ b/internal/router/agentsettings/settings_test.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// TestDefaults reads a file of the required fields alone.
+// TestDefaults parses a document that contains only the required keys.
 func TestDefaults(t *testing.T) {
 	settings, err := agentsettings.Parse([]byte(`{"office":"a","ip":"127.0.0.1","inner_ports":[1,2]}`))
 	qt.Assert(t, err, qt.IsNil)
@@ -26,15 +26,15 @@
 	})
 }
 
-func TestEveryMistakeIsNamed(t *testing.T) {
-	for _, test := range []struct{ name, document, mistakes string }{
+func TestEveryProblemIsReported(t *testing.T) {
+	for _, test := range []struct{ name, document, problems string }{
 		{"required fields are missing", `{}`, "(?s).*office: .*ip: .*inner_ports: .*"},
 		{"one port", `{"office":"a","ip":"b","inner_ports":[1]}`, "(?s).*inner_ports: does not hold two ports.*"},
 		{"an interval of 0", `{"office":"a","ip":"b","inner_ports":[1,2],"beat_ms":0}`, "(?s).*beat_ms: .*"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := agentsettings.Parse([]byte(test.document))
-			qt.Assert(t, err, qt.ErrorMatches, test.mistakes)
+			qt.Assert(t, err, qt.ErrorMatches, test.problems)
 		})
 	}
 }
