--- a/internal/router/transport/link.go
+++ b/internal/router/transport/link.go
@@ -19,8 +19,8 @@
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 150 * time.Millisecond
 	// minDialTimeout is the timeout of the first attempt to connect; it doubles up to maxDialTimeout. The kernel
-	// retransmits a lost SYN only after a second, so that a new attempt before then reaches a machine that has
-	// just started sooner.
+	// retransmits a lost SYN only after a second, so a new attempt before then shortens the time to reach a
+	// machine that has just started.
 	minDialTimeout = 175 * time.Millisecond
 	maxDialTimeout = 700 * time.Millisecond
 )
