--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -93,7 +93,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle {
-		c.socket.Wake()
+		c.socket.InterruptRead()
 	}
 }
 
--- a/internal/router/dataplane/disconnect.go
+++ b/internal/router/dataplane/disconnect.go
@@ -51,7 +51,7 @@
 // stop ends the watch. Once it has returned onDisconnect is not called any more.
 func (w *disconnectWatcher) stop() {
 	close(w.stopping)
-	w.socket.Wake()
+	w.socket.InterruptRead()
 	<-w.done
 	w.socket.SetReadDeadline(time.Time{})
 }
--- a/internal/router/dataplane/upload.go
+++ b/internal/router/dataplane/upload.go
@@ -25,7 +25,7 @@
 		}
 	}()
 	return func() {
-		conn.Wake()
+		conn.InterruptRead()
 		<-done
 	}
 }
--- a/internal/stallclock/conn.go
+++ b/internal/stallclock/conn.go
@@ -12,7 +12,7 @@
 // Conn is a TCP connection whose deadlines count only the time in which this process runs. Reads and writes
 // continue after their deadline for as long as the process did not run since the deadline began. A read whose
 // deadline has passed still returns input that the kernel has already received: bytes or the end of the
-// connection. Wake ends a read at once.
+// connection. InterruptRead ends a read at once.
 type Conn struct {
 	net.Conn
 	clock *Clock
@@ -21,7 +21,7 @@
 	mu    sync.Mutex // also held while a deadline of the wrapped connection is changed
 	read  Deadline
 	write Deadline
-	woken bool // Wake was called; no read continues until the next read deadline is set
+	interrupted bool // InterruptRead was called; no read continues until the next read deadline is set
 	// writeExpired says that a write was the last operation that its deadline ended.
 	writeExpired bool
 }
@@ -75,7 +75,7 @@
 func (c *Conn) SetRead(d Deadline) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.read, c.woken, c.writeExpired = d, false, false
+	c.read, c.interrupted, c.writeExpired = d, false, false
 	return c.Conn.SetReadDeadline(d.At)
 }
 
@@ -90,12 +90,12 @@
 // pastDeadline ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Wake ends the current read, and each further one until the next read deadline is set, with
+// InterruptRead ends the current read, and each further one until the next read deadline is set, with
 // os.ErrDeadlineExceeded.
-func (c *Conn) Wake() error {
+func (c *Conn) InterruptRead() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.woken = true
+	c.interrupted = true
 	return c.Conn.SetReadDeadline(pastDeadline)
 }
 
@@ -124,7 +124,7 @@
 func (c *Conn) ExtendRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.woken || c.read.At.IsZero() {
+	if c.interrupted || c.read.At.IsZero() {
 		return false
 	}
 	left := c.clock.Remaining(c.read.From, c.read.At.Sub(c.read.From))
@@ -151,15 +151,15 @@
 
 // TimedOut reports, after a read or write has ended with os.ErrDeadlineExceeded, whether the peer had all of
 // the time until the deadline while this process was running. Otherwise the operation was ended by the limit
-// or by Wake, which proves nothing about the peer.
+// or by InterruptRead, which proves nothing about the peer.
 func (c *Conn) TimedOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d, woken := c.read, c.woken
+	d, interrupted := c.read, c.interrupted
 	if c.writeExpired {
-		d, woken = c.write, false
+		d, interrupted = c.write, false
 	}
-	return !woken && c.clock.Remaining(d.From, d.At.Sub(d.From)) <= 0
+	return !interrupted && c.clock.Remaining(d.From, d.At.Sub(d.From)) <= 0
 }
 
 // bound reduces the remaining time to that until the limit, if there is one.
--- a/internal/stallclock/conn_test.go
+++ b/internal/stallclock/conn_test.go
@@ -113,15 +113,16 @@
 	}
 }
 
-// TestWakeEndsReads: Wake ends a read even if input has arrived, and however long the process did not run.
-func TestWakeEndsReads(t *testing.T) {
+// TestInterruptReadEndsReads: InterruptRead ends a read even if input has arrived, and however long the
+// process did not run.
+func TestInterruptReadEndsReads(t *testing.T) {
 	local, remote := tcpPair(t, stalledClock(time.Minute))
 	if _, err := remote.Write([]byte("response")); err != nil {
 		t.Fatal(err)
 	}
 	awaitInput(t, local)
 	local.SetRead(deadlineAgo(time.Second, 0))
-	local.Wake()
+	local.InterruptRead()
 	if got, err := readString(local); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
