--- a/internal/router/dataplane/readstate.go
+++ b/internal/router/dataplane/readstate.go
@@ -59,7 +59,7 @@
 		switch {
 		case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
 			return readClosed
-		case state != notReadable || !s.ExtendRead():
+		case state != notReadable || !s.ExtendReadDeadline():
 			return state
 		}
 	}
--- a/internal/stallclock/conn.go
+++ b/internal/stallclock/conn.go
@@ -18,9 +18,9 @@
 	clock *Clock
 	raw   syscall.RawConn // nil if the connection has no file descriptor
 
-	mu    sync.Mutex // also held while a deadline of the wrapped connection is changed
-	read  Deadline
-	write Deadline
+	mu          sync.Mutex // also held while a deadline of the wrapped connection is changed
+	read        Deadline
+	write       Deadline
 	interrupted bool // InterruptRead was called; no read continues until the next read deadline is set
 	// writeExpired says that a write was the last operation that its deadline ended.
 	writeExpired bool
@@ -102,7 +102,7 @@
 // Read reads until the deadline, and continues after it for as long as the process did not run.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.ExtendRead() {
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.ExtendReadDeadline() {
 		n, err = c.Conn.Read(p)
 	}
 	return n, err
@@ -113,15 +113,15 @@
 	for {
 		n, err := c.Conn.Write(p[written:])
 		written += n
-		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || !c.extendWrite() {
+		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || !c.extendWriteDeadline() {
 			return written, err
 		}
 	}
 }
 
-// ExtendRead reports whether to read again after the read deadline has passed, because input has arrived or
-// because this process did not run for part of the time. In that case it has set a later deadline.
-func (c *Conn) ExtendRead() bool {
+// ExtendReadDeadline reports whether to read again after the read deadline has passed, because input has
+// arrived or because this process did not run for part of the time. In that case it has set a later deadline.
+func (c *Conn) ExtendReadDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.interrupted || c.read.At.IsZero() {
@@ -140,8 +140,8 @@
 	return c.Conn.SetReadDeadline(time.Now().Add(left)) == nil
 }
 
-// extendWrite is ExtendRead for writes.
-func (c *Conn) extendWrite() bool {
+// extendWriteDeadline is ExtendReadDeadline for writes.
+func (c *Conn) extendWriteDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left := c.write.bound(c.clock.Remaining(c.write.From, c.write.At.Sub(c.write.From)))
