--- a/internal/router/catalog/table.go
+++ b/internal/router/catalog/table.go
@@ -5,15 +5,15 @@
 	"maps"
 )
 
-// Table is an immutable list of the servers that may get new requests, in the indexes that the choice of a
-// server needs. It may be read by any goroutine. A table has no version: a reader that holds a pointer to
-// one tells a newer one by its other address.
+// Table is an immutable list of the servers that may get new requests, indexed for the choice of a server.
+// Any goroutine may read it. A table has no version: a reader that holds a pointer to a table recognizes a
+// newer one by its different address.
 type Table struct {
 	byService map[string][]*Server
 	byID      map[string]*Server
 }
 
-// NewTable returns a table of servers, which must be sorted by id.
+// NewTable returns a table of the given servers, which must be sorted by id.
 func NewTable(servers []*Server) *Table {
 	t := &Table{
 		byService: map[string][]*Server{},
@@ -29,8 +29,8 @@
 // Service returns the servers of a service, sorted by id. The caller must not change the slice.
 func (t *Table) Service(name string) []*Server { return t.byService[name] }
 
-// ByID returns the server of an id, nil if the table has none.
+// ByID returns the server with an id, nil if the table has none.
 func (t *Table) ByID(id string) *Server { return t.byID[id] }
 
-// All returns the servers, in no order.
+// All returns the servers in random order.
 func (t *Table) All() iter.Seq[*Server] { return maps.Values(t.byID) }
