--- a/internal/router/roleplan/choose.go
+++ b/internal/router/roleplan/choose.go
@@ -7,9 +7,10 @@
 	"cresshub/internal/router/catalog"
 )
 
-// chooseServers returns the orders of a change, for fewer servers where not as many can be ordered: those
-// that change already get no second order. Each server is of the zone that has the most servers of its role
-// left; of equals it is the one with the lowest ID.
+// chooseServers returns the orders for a change. There are fewer orders than the change asks for if too few
+// servers are available, because servers that are changing already get no second order. It chooses each
+// server from the zone that has the most servers of the old role left, and the one with the lowest ID on a
+// tie.
 func chooseServers(servers []Server, change roleChange) []Order {
 	remaining := countByZone(servers, change.from)
 	candidates := slices.DeleteFunc(slices.Clone(servers), func(server Server) bool {
--- a/internal/router/roleplan/plan_test.go
+++ b/internal/router/roleplan/plan_test.go
@@ -38,7 +38,7 @@
 		{"many without traffic", 600, Demand{}, 180},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Check(t, wantedDecodeServers(test.servers, 64, test.demand), qt.Equals, test.want)
+			qt.Check(t, desiredDecodeServers(test.servers, 64, test.demand), qt.Equals, test.want)
 		})
 	}
 }
