--- a/internal/router/scheduler/arrivals_test.go
+++ b/internal/router/scheduler/arrivals_test.go
@@ -39,7 +39,7 @@
 
 func TestArrivalsAreAgeTimesUtilizationTimesServers(t *testing.T) {
 	p := newServicePool(plainService())
-	p.plainTime, p.serveUtilization = movingMean{100, 1}, movingMean{0.6, 1}
+	p.plainServiceTime, p.serveUtilization = movingMean{100, 1}, movingMean{0.6, 1}
 	now := 10 * second
 	reported := candidate{serverState: testServer(0, now-50*time.Millisecond)}
 	qt.Check(t, expectedArrivals(now, p, Serve, []candidate{reported, reported}, 2), isNear, 50*0.75*2, 1e-6)
--- a/internal/router/scheduler/basic_li.go
+++ b/internal/router/scheduler/basic_li.go
@@ -6,9 +6,9 @@
 	"cresshub/balance"
 )
 
-// draw selects one candidate at random with the probabilities of Basic LI: the water levels of the
-// candidates, weighted by their speeds, are filled up with the arrivals. It makes one random draw, or none
-// if there is only one candidate.
+// draw selects one candidate at random with the probabilities of Basic LI, which result from water-filling:
+// arrivalsMs, in ms of work, is poured over the water levels of the candidates, weighted by their speeds. It
+// makes one random draw, or none if there is only one candidate.
 func (s *Scheduler) draw(now time.Duration, candidates []candidate, arrivalsMs float64) *candidate {
 	if len(candidates) == 1 {
 		return &candidates[0]
@@ -24,10 +24,10 @@
 			return &candidates[i]
 		}
 	}
-	return &candidates[indexOfMin(s.levels)] // the probabilities add up to less by rounding
+	return &candidates[indexOfMin(s.levels)] // rounding left the sum of the probabilities too low
 }
 
-// indexOfMin returns the index of the lowest level, of equals the first.
+// indexOfMin returns the index of the lowest level, the first one of equal levels.
 func indexOfMin(levels []float64) int {
 	minimum := 0
 	for i := range levels {
--- a/internal/router/scheduler/estimates.go
+++ b/internal/router/scheduler/estimates.go
@@ -7,15 +7,18 @@
 )
 
 const (
-	minSpeedCertainty = 0.9 // of a prefill's tokens, from which on its time says how fast the server is
-	minPaceTokens     = 4   // output tokens from which on a stream says how long a token takes
+	// minSpeedCertainty is the ratio of the lower to the upper bound of a prefill's uncached tokens above
+	// which its time counts as a sample of the server's speed.
+	minSpeedCertainty = 0.9
+	minTimedTokens    = 4 // output tokens from which a stream counts as a sample of the time per token
 )
 
-// ownTime returns the time in ms that a call takes until the first byte of its answer, without queueing.
-func (p *servicePool) ownTime(call *Call) float64 {
+// unqueuedFirstByteMs returns the expected time in ms from the beginning of a call to the first byte of its
+// response, without the time in the server's queue.
+func (p *servicePool) unqueuedFirstByteMs(call *Call) float64 {
 	switch {
 	case p.service.Engine == nil:
-		return p.plainTime.value
+		return p.plainServiceTime.value
 	case call.Role == Prefill:
 		return p.prefillTime.at(float64(call.uncachedTokens))
 	case call.Role == Serve:
@@ -25,18 +28,19 @@
 	return p.transferTime(call.chain.tokens, true) + p.timePerToken.at(call.inFlight)
 }
 
-// recordUtilization adds a server's newest report to u of arrivals.go.
+// recordUtilization adds a server's newest report to the observed utilization (u in arrivals.go).
 func (p *servicePool) recordUtilization(server *serverState) {
 	if server.Server.Role == catalog.Prefill {
-		p.prefillUtilization.add(min(server.reportedOthers, 1), meanWindow)
+		p.prefillUtilization.add(min(server.reportedOtherCalls, 1), meanWindow)
 		return
 	}
 	atServer := float64(server.reported.Running + server.reported.Waiting)
 	p.serveUtilization.add(min(atServer/server.slots(), 1), meanWindow)
 }
 
-// peerAnsweredSince reports whether another server has served a call of the same role since the call began.
-func (p *servicePool) peerAnsweredSince(call *Call) bool {
+// otherServerSucceededSince reports whether another server has completed a call of the same role successfully
+// since the call began.
+func (p *servicePool) otherServerSucceededSince(call *Call) bool {
 	for _, server := range p.serversFor(call.Role) {
 		if server != call.state && server.outliers.lastSuccess > call.startedAt {
 			return true
@@ -45,50 +49,51 @@
 	return false
 }
 
-// learn adjusts the estimates by a served call that has just ended, unless this process did not run for a
-// part of it: how long its server took is not known then.
-func (p *servicePool) learn(now time.Duration, call *Call) {
-	if call.stalled > 0 {
+// updateEstimates adjusts the estimates by a successful call that has just ended. It ignores a call during
+// which this process did not run for some time, because it is not known how long the server took.
+func (p *servicePool) updateEstimates(now time.Duration, call *Call) {
+	if call.stallTime > 0 {
 		return
 	}
-	tookMs := ms(now - call.startedAt)
+	elapsedMs := ms(now - call.startedAt)
 	switch {
 	case p.service.Engine == nil:
-		p.learnPlainTime(call, tookMs)
+		p.updatePlainServiceTime(call, elapsedMs)
 	case call.Role == Prefill:
-		p.learnPrefillTime(call, tookMs)
+		p.updatePrefillTime(call, elapsedMs)
 	default:
-		p.learnTimePerToken(now, call)
+		p.updateTimePerToken(now, call)
 	}
 }
 
-// learnPlainTime leaves out calls that have probably waited for a slot.
-func (p *servicePool) learnPlainTime(call *Call, tookMs float64) {
-	expectedMs := p.plainTime.value
-	if call.inFlight < call.state.slots() || tookMs < expectedMs {
-		p.plainTime.add(tookMs, meanWindow)
-		call.state.observeSpeed(expectedMs, tookMs)
+// updatePlainServiceTime adds the time of a call to a service without a model, unless the call has probably
+// waited for a slot: all slots were in use when it began, and it took longer than expected.
+func (p *servicePool) updatePlainServiceTime(call *Call, elapsedMs float64) {
+	expectedMs := p.plainServiceTime.value
+	if call.inFlight < call.state.slots() || elapsedMs < expectedMs {
+		p.plainServiceTime.add(elapsedMs, meanWindow)
+		call.state.observeSpeed(expectedMs, elapsedMs)
 	}
 }
 
-// learnPrefillTime adds a sample at the mean of the minimum and the maximum of tokens that the prefill may
-// have had. They differ if other proxies may have sent the shared prefix there; the sample then has less
-// weight.
-func (p *servicePool) learnPrefillTime(call *Call, tookMs float64) {
+// updatePrefillTime adds the time of a prefill, as a sample at the mean of the lower and the upper bound of
+// its uncached tokens. The bounds differ if other proxies may have sent the shared prefix to the server; the
+// sample then has less weight.
+func (p *servicePool) updatePrefillTime(call *Call, elapsedMs float64) {
 	p.prefillTokens.add(float64(call.uncachedTokens), meanWindow)
-	tokens := float64(call.minUncached+call.maxUncached) / 2
-	certainty := float64(max(call.minUncached, 1)) / float64(max(call.maxUncached, 1))
+	tokens := float64(call.minUncachedTokens+call.maxUncachedTokens) / 2
+	certainty := float64(max(call.minUncachedTokens, 1)) / float64(max(call.maxUncachedTokens, 1))
 	expectedMs := p.prefillTime.at(tokens)
-	p.prefillTime.add(tokens, tookMs, certainty*certainty)
+	p.prefillTime.add(tokens, elapsedMs, certainty*certainty)
 	if call.serverIdle && certainty > minSpeedCertainty {
-		call.state.observeSpeed(expectedMs, tookMs)
+		call.state.observeSpeed(expectedMs, elapsedMs)
 	}
 }
 
-// learnTimePerToken takes the time per token of a stream, from its first event to its end.
-func (p *servicePool) learnTimePerToken(now time.Duration, call *Call) {
+// updateTimePerToken adds the mean time per token of a stream from its first event to its end.
+func (p *servicePool) updateTimePerToken(now time.Duration, call *Call) {
 	p.outputTokens.add(float64(call.outputTokens), meanWindow)
-	if !call.answered || call.outputTokens < minPaceTokens {
+	if !call.answered || call.outputTokens < minTimedTokens {
 		return
 	}
 	perTokenMs := ms(now-call.firstEventAt) / float64(call.outputTokens-1)
@@ -97,8 +102,8 @@
 	call.state.observeSpeed(expectedMs, perTokenMs)
 }
 
-// observeDirectPrefill follows the prefill work that this proxy's own calls have at a decode server, and the
-// number of those calls.
+// observeDirectPrefill adds samples of the prefill work and of the number of this proxy's own calls at a
+// decode server, averaged over the decode servers.
 func (p *servicePool) observeDirectPrefill(now time.Duration) {
 	if len(p.decodeServers) == 0 {
 		return
@@ -113,9 +118,10 @@
 	p.directCalls.add(calls/servers, meanWindow)
 }
 
-// peerDirectPrefillMs returns the prefill work in ms that other proxies have at a decode server on average.
-// No server reports it: other proxies are assumed to send what this one sends, in proportion to their calls.
+// peerDirectPrefillMs returns the mean prefill work in ms that other proxies have at a decode server with
+// peerCalls of their calls. As no server reports this work, their calls are assumed to bring as much of it as
+// this proxy's own calls.
 func (p *servicePool) peerDirectPrefillMs(peerCalls float64) float64 {
-	const minCalls = 0.02 // below, nothing follows from so few
+	const minCalls = 0.02 // bounds the divisor: fewer own calls per server allow no estimate
 	return p.directPrefillMs.value * peerCalls / max(p.directCalls.value, minCalls)
 }
--- a/internal/router/scheduler/lateness_test.go
+++ b/internal/router/scheduler/lateness_test.go
@@ -13,8 +13,8 @@
 	l.add(second, 30, 100)
 	c.Check(l.now(second), qt.Equals, 0.0, qt.Commentf("within the tolerance"))
 	l.add(second, 250, 100)
-	c.Check(l.now(second), isNear, lateGain*200, 1e-9)
-	c.Check(l.now(second+lateDecay), isNear, lateGain*200/2.718281828, 1e-6)
+	c.Check(l.now(second), isNear, latenessGain*200, 1e-9)
+	c.Check(l.now(second+latenessDecayTime), isNear, latenessGain*200/2.718281828, 1e-6)
 }
 
 func TestLateDecodeServersGetLess(t *testing.T) {
--- a/internal/router/scheduler/outlier_detection.go
+++ b/internal/router/scheduler/outlier_detection.go
@@ -2,61 +2,64 @@
 
 import "time"
 
-// Outlier detection after Envoy's, by the outcomes of this proxy's own calls. There is no configuration: the
-// values below hold for all services.
+// Outlier detection follows Envoy's and uses the outcomes of this proxy's own calls. It is not configurable:
+// the values below apply to all services.
 const (
-	// consecutiveFailuresToEject is how many calls in a row must fail before a server is ejected. A server
-	// that cannot be reached at all, or that answers nothing while others do, is ejected by the first one.
+	// consecutiveFailuresToEject is the number of consecutive failures after which a server is ejected. A
+	// server that cannot be reached at all, or whose call times out while another server succeeds, is ejected
+	// after the first failure.
 	consecutiveFailuresToEject = 2
 
-	// The first ejection lasts for a base time, each further one without a success between for twice as long.
+	// The first ejection lasts for a base time. Each further ejection without a success in between lasts
+	// twice as long as the previous one, up to maxEjectionTime.
 	baseEjectionTime            = 500 * time.Millisecond
-	unreachableBaseEjectionTime = time.Second // base time of a server that cannot be reached
+	unreachableBaseEjectionTime = time.Second // base time after the failures that eject at once
 	maxEjectionTime             = 10 * time.Second
 
-	// nonIdempotentProbeDelay is how long after its ejection a half-open server gets requests that must not
-	// run twice, where no other request has probed it before.
+	// nonIdempotentProbeDelay is the time after the end of the ejection from which a half-open server gets
+	// requests that must not run twice too, if no idempotent request has probed it before.
 	nonIdempotentProbeDelay = 3 * time.Second
 
-	// rejectedFullTime is how long a server that rejected a request counts as full.
-	rejectedFullTime = 100 * time.Millisecond
+	// fullAfterRejectionTime is how long a server counts as full after it rejected a request.
+	fullAfterRejectionTime = 100 * time.Millisecond
 
-	// A server is stuck, and avoided, while its oldest unanswered call has taken stuckExpectedFactor times
-	// the expected time, and at least minStuckTime.
+	// A server counts as stuck, and is avoided, while its oldest unanswered call has been in flight for more
+	// than stuckExpectedFactor times its expected time and for more than minStuckTime.
 	stuckExpectedFactor = 6.0
 	minStuckTime        = time.Second
 
-	// failedTransferLatenessMs counts as lateness of a decode server that could not fetch a prefix cache.
+	// failedTransferLatenessMs is the lateness sample in ms for a decode server that could not fetch a prefix
+	// cache.
 	failedTransferLatenessMs = 500.0
 )
 
-// outlierDetector ejects a server from the candidates after failures. Its states: closed, in which the server
-// gets requests; ejected, in which it gets none; and half-open after the ejection, in which it gets one
-// idempotent request at a time until one of them succeeds (closed) or fails (ejected for longer).
+// outlierDetector ejects a server from the candidates after failures. It has three states: closed, in which
+// the server gets requests; ejected, in which it gets none; and half-open after the ejection, in which it
+// gets one idempotent request at a time until a request succeeds (closed) or fails (ejected for longer).
 type outlierDetector struct {
-	consecutiveFailures int
-	ejections           int // since the last success
-	ejectedUntil        time.Duration
-	fullUntil           time.Duration // the server rejected a request and counts as full
-	lastSuccess         time.Duration
+	consecutiveFailures   int
+	ejectionsSinceSuccess int
+	ejectedUntil          time.Duration
+	fullUntil             time.Duration // until when the server counts as full after it rejected a request
+	lastSuccess           time.Duration
 }
 
 // ejected reports whether the server is in the ejected state.
 func (d *outlierDetector) ejected(now time.Duration) bool { return now < d.ejectedUntil }
 
-// halfOpen reports whether the server has been ejected and not succeeded since.
-func (d *outlierDetector) halfOpen() bool { return d.ejections > 0 }
+// halfOpen reports whether the server has been ejected and has not succeeded since then.
+func (d *outlierDetector) halfOpen() bool { return d.ejectionsSinceSuccess > 0 }
 
-// recordSuccess closes the detector.
+// recordSuccess resets the detector to the closed state.
 func (d *outlierDetector) recordSuccess(now time.Duration) { *d = outlierDetector{lastSuccess: now} }
 
-// recordFailure counts a failed call against the server. peerAnswered says that another server of its kind
-// has succeeded since the call began, so that a timeout is the server's own fault. It reports whether that
-// has ejected the server.
-func (d *outlierDetector) recordFailure(now time.Duration, outcome Outcome, peerAnswered bool) bool {
+// recordFailure counts a failed call against the server and reports whether that ejects the server.
+// otherServerSucceeded says that another server for the same role has succeeded since the call began, so that
+// a timeout is the fault of this server.
+func (d *outlierDetector) recordFailure(now time.Duration, outcome Outcome, otherServerSucceeded bool) bool {
 	d.consecutiveFailures++
 	switch {
-	case outcome == Misdirected || outcome == Unreachable || outcome == TimedOut && peerAnswered:
+	case outcome == Misdirected || outcome == Unreachable || outcome == TimedOut && otherServerSucceeded:
 		return d.eject(now, unreachableBaseEjectionTime)
 	case d.consecutiveFailures >= consecutiveFailuresToEject || d.halfOpen():
 		return d.eject(now, baseEjectionTime)
@@ -64,18 +67,19 @@
 	return false
 }
 
-// eject ejects the server, unless it is ejected already: calls that were in flight together fail together.
+// eject ejects the server and reports whether it has. It does nothing if the server is ejected already, as
+// calls that were in flight at the same time often fail together.
 func (d *outlierDetector) eject(now, base time.Duration) bool {
 	if d.ejected(now) {
 		return false
 	}
 	const maxDoublings = 8 // far beyond maxEjectionTime; bounds the shift
-	d.ejectedUntil = now + min(base<<min(d.ejections, maxDoublings), maxEjectionTime)
-	d.ejections++
+	d.ejectedUntil = now + min(base<<min(d.ejectionsSinceSuccess, maxDoublings), maxEjectionTime)
+	d.ejectionsSinceSuccess++
 	return true
 }
 
-// available reports whether the server may get a request: it is not ejected, and while it is half-open, the
+// available reports whether the server may get a request: it is not ejected and, if it is half-open, the
 // request may probe it.
 func (s *serverState) available(now time.Duration, idempotent bool) bool {
 	if now < s.ejectedUntil() {
@@ -87,22 +91,22 @@
 	return len(s.calls) == 0 && (idempotent || now > s.ejectedUntil()+nonIdempotentProbeDelay)
 }
 
-// ejectedUntil returns the end of the later of the server's two ejections.
+// ejectedUntil returns when the server's ejections end: the later end of its two detectors.
 func (s *serverState) ejectedUntil() time.Duration {
 	return max(s.outliers.ejectedUntil, s.transferOutliers.ejectedUntil)
 }
 
-// stuck reports whether the oldest unanswered call has waited for unusually long.
+// stuck reports whether the oldest unanswered call has waited unusually long for its first event.
 func (s *serverState) stuck(now time.Duration) bool {
 	for _, call := range s.calls {
 		if !call.answered {
-			return now-call.startedAt-call.stalled > max(duration(stuckExpectedFactor*call.expectedMs), minStuckTime)
+			return now-call.startedAt-call.stallTime > max(duration(stuckExpectedFactor*call.expectedMs), minStuckTime)
 		}
 	}
 	return false
 }
 
-// recordSuccess records a success of the server of the call, and of the one whose prefix cache it fetched.
+// recordSuccess records a success of the call's server and of the server whose prefix cache it fetched.
 func (c *Call) recordSuccess(now time.Duration) {
 	c.state.outliers.recordSuccess(now)
 	if c.prefillServer != nil {
@@ -110,19 +114,19 @@
 	}
 }
 
-// recordFailure counts an outcome against the server that is to blame for it.
+// recordFailure records an unsuccessful outcome for the server that caused it.
 func (c *Call) recordFailure(now time.Duration, outcome Outcome) {
 	switch outcome {
 	case Rejected:
-		c.state.outliers.fullUntil = now + rejectedFullTime
+		c.state.outliers.fullUntil = now + fullAfterRejectionTime
 	case Abandoned:
-	case HandleFailed: // the prefill server evicted the prefix, or the decode server's transfers queue up
+	case HandleFailed: // the prefill server evicted the prefix, or transfers queue at the decode server
 		c.state.lateness.add(now, failedTransferLatenessMs, c.expectedMs)
 		if c.prefillServer != nil && c.prefillServer.transferOutliers.recordFailure(now, outcome, false) {
 			c.pool.ejections++
 		}
 	default:
-		if c.state.outliers.recordFailure(now, outcome, c.pool.peerAnsweredSince(c)) {
+		if c.state.outliers.recordFailure(now, outcome, c.pool.otherServerSucceededSince(c)) {
 			c.pool.ejections++
 		}
 	}
--- a/internal/router/scheduler/outlier_detection_test.go
+++ b/internal/router/scheduler/outlier_detection_test.go
@@ -105,7 +105,7 @@
 	scheduler := plainScheduler(3)
 	scheduler.Done(second, callAt(scheduler, second, "a"), Rejected)
 	c.Check(countRequestsTo(scheduler, second, "a", true), qt.Equals, 0)
-	c.Check(countRequestsTo(scheduler, second+rejectedFullTime, "a", true) > 0, qt.IsTrue)
+	c.Check(countRequestsTo(scheduler, second+fullAfterRejectionTime, "a", true) > 0, qt.IsTrue)
 }
 
 func TestStuckServerIsAvoided(t *testing.T) {
@@ -142,7 +142,7 @@
 	scheduler := plainScheduler(3)
 	scheduler.Done(second+10*time.Millisecond, callAt(scheduler, second, "a"), Served)
 	server, pool := scheduler.servers["a"], scheduler.pools["plain"]
-	speed, plainTime, lateness := server.speed, pool.plainTime, server.lateness
+	speed, plainTime, lateness := server.speed, pool.plainServiceTime, server.lateness
 
 	call := callAt(scheduler, 2*second, "a")
 	scheduler.RecordStall(minStuckTime)
@@ -150,14 +150,14 @@
 	c.Check(server.stuck(2*second+2*minStuckTime+1), qt.IsTrue, qt.Commentf("it ran for that long"))
 	scheduler.Done(2*second+2*minStuckTime, call, Served)
 	c.Check(server.speed, qt.Equals, speed)
-	c.Check(pool.plainTime, qt.Equals, plainTime)
+	c.Check(pool.plainServiceTime, qt.Equals, plainTime)
 	c.Check(server.lateness, qt.Equals, lateness)
 
 	// A call that begins later knows nothing of it.
 	call = callAt(scheduler, 9*second, "a")
 	c.Check(server.stuck(9*second+minStuckTime+1), qt.IsTrue)
 	scheduler.Done(9*second+minStuckTime, call, Served)
-	c.Check(pool.plainTime, qt.Not(qt.Equals), plainTime)
+	c.Check(pool.plainServiceTime, qt.Not(qt.Equals), plainTime)
 	c.Check(scheduler.Ejections(), qt.Equals, int64(0))
 	scheduler.Done(11*second, callAt(scheduler, 10*second, "b"), Unreachable)
 	c.Check(scheduler.Ejections(), qt.Equals, int64(1))
--- a/internal/router/scheduler/prefix_affinity.go
+++ b/internal/router/scheduler/prefix_affinity.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	// minAffinityServers is the least k, the number of servers that a prompt with a shared prefix may go to.
-	// One more would take load off the others for a moment and bring them a second prefill of the same prefix
+	// minAffinityServers is the minimum of k, the number of servers that a prompt with a shared prefix may go
+	// to. One more server would relieve the others briefly and bring them a second prefill of the same prefix
 	// later.
 	minAffinityServers = 2
-	// firstPrefillDivisor sets k for a prefix that no prefill server has cached: the number of prefill
-	// servers divided by it. Any server has to prefill such a prefix completely, so that more choices cost
-	// nothing except a second prefill by a proxy to which the first one is not reported yet. With eight
-	// servers or fewer, k is minAffinityServers.
+	// firstPrefillDivisor determines k for a prefix that no prefill server has cached: k is the number of
+	// prefill servers divided by firstPrefillDivisor, rounded up. Any server has to prefill such a prefix
+	// completely, so that a larger k costs nothing, except for a second prefill by a proxy that has no report
+	// of the first one yet. With eight servers or fewer, k is minAffinityServers.
 	firstPrefillDivisor = 4
 )
 
 // prefixAffinity returns the k servers that a prompt may go to, with their costs, and the number of servers
-// whose arrivals compete for them (n in arrivals.go). A prompt that shares nothing may go to any server. All
-// proxies rank the servers alike, by rendezvous hashing of the shared prefix.
+// whose arrivals compete for them (n in arrivals.go). A prompt without a shared prefix may go to any server.
+// All proxies rank the servers identically, by rendezvous hashing of the shared prefix.
 //
-// Prefill: the servers of the first ranks, those first that have cached the prefix by the reports of the
-// proxies. If none has, one in firstPrefillDivisor of all; other new prefixes are prefilled there too, so
-// that the arrivals grow with the number of these servers. If this proxy may have missed reports, the
-// servers of the first ranks are assumed to have cached it.
+// For Prefill, these are the k servers that rank first; servers that have cached the prefix, by the reports
+// of the proxies, rank before all others. If none has cached it, k grows with the fleet
+// (firstPrefillDivisor); because other new prefixes are prefilled at these servers too, the arrivals grow
+// with their number. If this proxy may have missed reports, the servers that rank first, except the last of
+// the k, are assumed to have cached the prefix.
 //
-// Serve, at decode servers, which get prefixes by transfers as well: the servers of the first ranks, and
-// those that are known to have cached nearly all of the prompt.
+// For Serve, which goes to decode servers, these are the servers that rank first and those that are known to
+// have cached nearly all of the prompt, as decode servers receive prefixes by transfers too.
 func (s *Scheduler) prefixAffinity(
 	now time.Duration, pool *servicePool, role Role, candidates []candidate, chain *prefixChain,
 ) (chosen []candidate, arrivalServers int) {
@@ -33,7 +34,7 @@
 		pool.estimateCost(role, candidates)
 		return candidates, len(candidates)
 	}
-	count := pool.popularity.affinityServers(shared.hash, len(candidates)) // k
+	count := pool.popularity.affinityServerCount(shared.hash, len(candidates)) // k
 	arrivalServers = 1
 	switch {
 	case role != Prefill:
@@ -53,19 +54,19 @@
 	return candidates[:count], arrivalServers
 }
 
-// markCached marks the servers that are known to hold a prompt but for maxUncached tokens, and reports
-// whether there are any.
-func markCached(all []candidate, maxUncached int) bool {
+// markCached marks the servers that are known to have cached all of a prompt except at most maxUncachedTokens
+// tokens, and reports whether there are any.
+func markCached(all []candidate, maxUncachedTokens int) bool {
 	anyCached := false
 	for i := range all {
-		all[i].cachesPrefix = all[i].uncachedTokens <= maxUncached
+		all[i].cachesPrefix = all[i].uncachedTokens <= maxUncachedTokens
 		anyCached = anyCached || all[i].cachesPrefix
 	}
 	return anyCached
 }
 
-// rank moves the servers that rank first for a prefix to the front, as many as count, in their order: those
-// marked by markCached, then those with the highest scores.
+// rank moves the count servers that rank first for a prefix to the front, in rank order: those marked by
+// markCached first, then by descending score.
 func rank(all []candidate, prefix uint64, count int) {
 	for i := range all {
 		all[i].score = rendezvousScore(all[i].hash, prefix)
@@ -75,7 +76,8 @@
 	}
 }
 
-// ranksBefore reports whether a server ranks before another one: by the mark of markCached, then by score.
+// ranksBefore reports whether the server ranks before another one, by the mark of markCached and then by
+// score.
 func (c *candidate) ranksBefore(other *candidate) bool {
 	if c.cachesPrefix != other.cachesPrefix {
 		return c.cachesPrefix
@@ -83,7 +85,7 @@
 	return c.score > other.score
 }
 
-// selectBest swaps the server that ranks first of all[from:] to index from.
+// selectBest swaps the server that ranks first in all[from:] to index from.
 func selectBest(all []candidate, from int) {
 	best := from
 	for i := from + 1; i < len(all); i++ {
@@ -94,19 +96,20 @@
 	all[from], all[best] = all[best], all[from]
 }
 
-// assumeCached assumes that servers hold the shared prefix. Other proxies have probably sent it there, and
-// where none has, a prefill there is of use to the next request, and anywhere else it is not.
+// assumeCached lowers uncachedTokens of the given servers as if they had cached the shared prefix. Other
+// proxies have probably sent it there. If none has, prefilling it at these servers helps the next request
+// with the same prefix, which prefilling it at any other server does not.
 func assumeCached(first []candidate, chain *prefixChain, sharedTokens int) {
 	for i := range first {
 		first[i].uncachedTokens = min(first[i].uncachedTokens, chain.tokens-sharedTokens)
 	}
 }
 
-// appendCached moves the servers that are known to have cached nearly all of the prompt to the positions
-// after the chosen ones, and returns how many are chosen then.
+// appendCached moves the servers that are known to have cached nearly all of the prompt behind the first
+// chosen ones, and returns the new number of chosen servers.
 func appendCached(all []candidate, chosen int) int {
 	for i := chosen; i < len(all); i++ {
-		if all[i].uncachedTokens <= maxDirectUncached {
+		if all[i].uncachedTokens <= maxDirectUncachedTokens {
 			all[i], all[chosen] = all[chosen], all[i]
 			chosen++
 		}
@@ -114,8 +117,8 @@
 	return chosen
 }
 
-// estimateCost sets prefillMs and costMs of each server: how long the prefill of the prompt takes there, and
-// what it adds to the water level.
+// estimateCost sets prefillMs and costMs of each candidate: how long the prefill of the prompt takes there,
+// and what it adds to the candidate's water level.
 func (p *servicePool) estimateCost(role Role, all []candidate) {
 	for i := range all {
 		candidate := &all[i]
--- a/internal/router/scheduler/prefix_chain.go
+++ b/internal/router/scheduler/prefix_chain.go
@@ -2,15 +2,16 @@
 
 import "github.com/cespare/xxhash/v2"
 
-const maxChainSegments = 16 // segments of a prompt that are looked at; later ones count as the request's own
+const maxChainSegments = 16 // segments of a prompt in its chain; later ones count as the request's own
 
-// prefixChain is a prompt as the chain of its prefixes. A segment can be reused only with all before it, so
-// that a prefix is identified by a hash over all its segments.
+// prefixChain represents a prompt as the chain of its prefixes. The cache of a segment can be reused only
+// together with those of all segments before it, so that a prefix is identified by a hash over all its
+// segments.
 type prefixChain struct {
 	hashes           [maxChainSegments]uint64 // of the prefix up to each segment
 	cumulativeTokens [maxChainSegments]int    // of the prefix up to each segment
-	length           int                      // segments
-	tokens           int                      // of the prompt
+	length           int                      // number of segments
+	tokens           int                      // of the whole prompt
 }
 
 // newPrefixChain returns the chain of a request's prompt. Prefixes of different services never match.
@@ -33,8 +34,7 @@
 	tokens int
 }
 
-// shared returns the prefix that other requests share: all segments but the last. It is false if there is
-// none.
+// shared returns the shared prefix, which consists of all segments except the last, and whether there is one.
 func (p *prefixChain) shared() (sharedPrefix, bool) {
 	if p.length < 2 {
 		return sharedPrefix{}, false
@@ -43,7 +43,7 @@
 	return sharedPrefix{hash: p.hashes[last], tokens: p.cumulativeTokens[last]}, true
 }
 
-// mix spreads the bits of a number (the finalizer of splitmix64).
+// mix hashes a number with the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -52,6 +52,6 @@
 	return x ^ x>>31
 }
 
-// rendezvousScore returns a server's score for a prefix by rendezvous hashing: all proxies rank servers
-// alike, and a change of the servers moves only the prefixes of those that came or went.
+// rendezvousScore returns a server's score for a prefix by rendezvous hashing, from the hashes of both. All
+// proxies rank the servers identically, and when servers join or leave, only the prefixes of these move.
 func rendezvousScore(server, prefix uint64) uint64 { return mix(mix(server) ^ prefix) }
--- a/internal/router/scheduler/prefix_index.go
+++ b/internal/router/scheduler/prefix_index.go
@@ -1,20 +1,20 @@
 package scheduler
 
-const maxPrefixEntries = 8192 // pairs of a server and a prefix that a proxy remembers
+const maxPrefixEntries = 8192 // maximum number of pairs of a server and a prefix in a proxy's index
 
 // prefixKey identifies a prefix that a server has cached.
-type prefixKey struct{ server, prefix uint64 } // hashes
+type prefixKey struct{ server, prefix uint64 } // hashes of both
 
-// prefixEntry is one entry of the list, linked by the indexes of its neighbours.
+// prefixEntry is one entry of the LRU list, linked to its neighbors by their positions.
 type prefixEntry struct {
 	prefixKey
-	newer, older int32 // indexes of entries
+	newer, older int32 // positions in prefixIndex.entries
 }
 
-// prefixIndex records which servers have cached which prefixes, as an LRU cache. Its entries form a doubly
-// linked list from the newest to the oldest, in a ring around entry 0, which has no prefix.
+// prefixIndex records which servers have cached which prefixes, as an LRU cache. Its entries form a circular
+// doubly linked list from the most to the least recently used one. Entry 0 is the sentinel and has no prefix.
 type prefixIndex struct {
-	index   map[prefixKey]int32
+	index   map[prefixKey]int32 // positions in entries
 	entries []prefixEntry
 	limit   int
 }
@@ -34,8 +34,8 @@
 	return 0
 }
 
-// record records that a server has cached a prompt, and returns how many of its segments were recorded
-// before.
+// record records that a server has cached a prompt, and returns how many of the prompt's leading segments
+// were recorded before.
 func (x *prefixIndex) record(server uint64, chain *prefixChain) (cachedBefore int) {
 	for i := range chain.length {
 		key := prefixKey{server, chain.hashes[i]}
@@ -47,7 +47,8 @@
 	return cachedBefore
 }
 
-// drop removes what record has added for a prompt; the segments that were recorded before it stay.
+// drop removes what record has added for a prompt. The first cachedBefore segments, which were recorded
+// earlier, stay.
 func (x *prefixIndex) drop(server uint64, chain *prefixChain, cachedBefore int) {
 	for i := cachedBefore; i < chain.length; i++ {
 		if at, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
@@ -56,7 +57,7 @@
 	}
 }
 
-// newest returns the most recently used entries, at most limit.
+// newest returns the keys of at most limit most recently used entries, the newest first.
 func (x *prefixIndex) newest(limit int) []prefixKey {
 	var keys []prefixKey
 	for at := x.entries[0].older; at != 0 && len(keys) < limit; at = x.entries[at].older {
@@ -65,7 +66,8 @@
 	return keys
 }
 
-// touch makes an entry the newest. A new one replaces the oldest where the index is full.
+// touch makes the entry of a key the most recently used one. A new entry replaces the least recently used one
+// if the index is full.
 func (x *prefixIndex) touch(key prefixKey) {
 	at, ok := x.index[key]
 	switch {
@@ -75,7 +77,7 @@
 		at = int32(len(x.entries))
 		x.entries = append(x.entries, prefixEntry{})
 	default:
-		at = x.entries[0].newer // of the ring's entry 0: the oldest
+		at = x.entries[0].newer // the sentinel's newer neighbor is the least recently used entry
 		x.unlink(at)
 		delete(x.index, x.entries[at].prefixKey)
 	}
@@ -84,7 +86,7 @@
 	x.link(0, at, x.entries[0].older)
 }
 
-// remove empties an entry and makes it the oldest, so that it is reused next.
+// remove clears an entry and makes it the least recently used one, so that it is reused next.
 func (x *prefixIndex) remove(at int32) {
 	entry := &x.entries[at]
 	delete(x.index, entry.prefixKey)
@@ -93,14 +95,14 @@
 	x.link(x.entries[0].newer, at, 0)
 }
 
-// link inserts an entry between two neighbours.
+// link inserts an entry between two neighbors.
 func (x *prefixIndex) link(newer, at, older int32) {
 	x.entries[at].newer, x.entries[at].older = newer, older
 	x.entries[newer].older = at
 	x.entries[older].newer = at
 }
 
-// unlink takes an entry out of the list.
+// unlink removes an entry from the list.
 func (x *prefixIndex) unlink(at int32) {
 	entry := &x.entries[at]
 	x.entries[entry.newer].older = entry.older
--- a/internal/router/scheduler/prefix_popularity.go
+++ b/internal/router/scheduler/prefix_popularity.go
@@ -3,28 +3,30 @@
 import "math"
 
 const (
-	// recentPrompts is over how many prompts a proxy measures how popular a prefix is. All proxies get prompts
-	// of the same mix, so that they come to like answers without an exchange.
-	recentPrompts = 64
-	// popularMargin is how many times its fraction of the servers a popular prefix may go to.
-	popularMargin = 2.0
+	// popularityWindow is the number of recent prompts over which a proxy measures how popular a prefix is.
+	// All proxies get the same mix of prompts, so that their results are similar without an exchange.
+	popularityWindow = 64
+	// popularityMargin is the ratio of the fraction of the servers that a popular prefix may go to, to the
+	// fraction of the prompts that have the prefix.
+	popularityMargin = 2.0
 )
 
-// prefixPopularity remembers the shared prefixes of the last prompts of a service.
+// prefixPopularity counts the shared prefixes of the last prompts of a service.
 type prefixPopularity struct {
-	recent [recentPrompts]uint64 // hashes, as a ring
-	count  int                   // of all prompts recorded
+	recent [popularityWindow]uint64 // ring buffer of prefix hashes
+	count  int                      // number of all prompts recorded so far
 }
 
-// record adds the shared prefix of a prompt, in place of the oldest one.
+// record adds the shared prefix of a prompt and replaces the oldest one.
 func (p *prefixPopularity) record(prefix uint64) {
-	p.recent[p.count%recentPrompts] = prefix
+	p.recent[p.count%popularityWindow] = prefix
 	p.count++
 }
 
-// fraction returns the fraction of the last prompts that had the prefix, 0 until there are enough of them.
+// fraction returns the fraction of the last prompts that had the prefix, 0 until popularityWindow prompts are
+// recorded.
 func (p *prefixPopularity) fraction(prefix uint64) float64 {
-	if p.count < recentPrompts {
+	if p.count < popularityWindow {
 		return 0
 	}
 	same := 0
@@ -33,13 +35,13 @@
 			same++
 		}
 	}
-	return float64(same) / recentPrompts
+	return float64(same) / popularityWindow
 }
 
-// affinityServers returns how many of so many servers a prompt with the prefix may go to (k of
-// prefix_affinity.go). A prefix of a
-// large part of all prompts needs as large a part of the servers.
-func (p *prefixPopularity) affinityServers(prefix uint64, servers int) int {
-	wanted := int(math.Ceil(popularMargin * p.fraction(prefix) * float64(servers)))
+// affinityServerCount returns how many of the given number of servers a prompt with the prefix may go to (k
+// in prefix_affinity.go). A prefix that a large fraction of all prompts share needs as large a fraction of
+// the servers.
+func (p *prefixPopularity) affinityServerCount(prefix uint64, servers int) int {
+	wanted := int(math.Ceil(popularityMargin * p.fraction(prefix) * float64(servers)))
 	return min(max(minAffinityServers, wanted), servers)
 }
--- a/internal/router/scheduler/queue_delay.go
+++ b/internal/router/scheduler/queue_delay.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// SlotDelay is how soon a request would get a slot if it were sent now. It is zero if no server may take the
-// request.
+// SlotDelay is the estimated time until a request that is sent now would get a slot. It is the zero value if
+// no server may take the request.
 type SlotDelay struct {
 	// Wait is the shortest time until a server has a free slot, not counting the request's own work.
 	Wait time.Duration
-	// HasFreeSlot says that a server has a free slot now.
+	// HasFreeSlot means that a server has a free slot now.
 	HasFreeSlot bool
 }
 
-// StartsWithin reports whether a request would begin within a time, as far as the delay tells.
+// StartsWithin reports whether a request would start within the time left according to the estimated delay.
 func (d SlotDelay) StartsWithin(left time.Duration) bool { return d.HasFreeSlot || d.Wait < left }
 
-// Alternative says whether another server could answer a request.
+// Alternative describes whether another server could handle a request.
 type Alternative struct {
 	Exists      bool // a server may take the request
-	HasFreeSlot bool // such a server has a free slot
+	HasFreeSlot bool // at least one such server has a free slot
 }
 
-// QueueDelay estimates how long a request would wait for a free slot if it were sent now. The delays of a
-// request that would be split between a prefill and a decode server add up, and both need a free slot.
+// QueueDelay estimates how long a request that is sent now would wait for a free slot. If the request would
+// be split between a prefill and a decode server, their delays are added, and both need a free slot.
 func (s *Scheduler) QueueDelay(now time.Duration, request *Request) SlotDelay {
 	pool, chain := s.pool(now, request.Service), newPrefixChain(request)
 	serve := s.slotDelay(now, pool, request, Serve, &chain)
@@ -36,7 +36,7 @@
 	return SlotDelay{serve.Wait + prefill.Wait, serve.HasFreeSlot && prefill.HasFreeSlot}
 }
 
-// Alternative looks for a server other than the one of an id that could answer the request.
+// Alternative reports whether a server other than the one with serverID could handle the request.
 func (s *Scheduler) Alternative(now time.Duration, request *Request, serverID string) Alternative {
 	elsewhere := *request
 	elsewhere.Excluded = append(slices.Clone(request.Excluded), serverID)
@@ -45,7 +45,7 @@
 	return Alternative{Exists: len(s.candidates) > 0, HasFreeSlot: delay.HasFreeSlot}
 }
 
-// slotDelay returns the shortest delay at the servers of a role. It leaves those servers in s.candidates.
+// slotDelay returns the shortest delay at the servers for a role. It leaves these servers in s.candidates.
 func (s *Scheduler) slotDelay(
 	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain,
 ) SlotDelay {
--- a/internal/router/scheduler/queue_delay_test.go
+++ b/internal/router/scheduler/queue_delay_test.go
@@ -55,7 +55,7 @@
 		{"alone", 1, func(*Scheduler, *Request) {}, false, false},
 		{"another one has a free slot", 2, func(*Scheduler, *Request) {}, true, true},
 		{"the other one is full", 2, func(scheduler *Scheduler, _ *Request) {
-			scheduler.pool(10*second, plainService()).plainTime = movingMean{80, 1}
+			scheduler.pool(10*second, plainService()).plainServiceTime = movingMean{80, 1}
 			scheduler.ObserveLoad(10*second, "a", Load{Running: 4, Waiting: 3, Slots: 4})
 			scheduler.ObserveLoad(10*second, "b", Load{Running: 4, Waiting: 3, Slots: 4})
 		}, true, false},
@@ -78,7 +78,7 @@
 func TestQueueDelayCountsServiceTimes(t *testing.T) {
 	scheduler := plainScheduler(2)
 	countRequestsTo(scheduler, 0, "a", true)
-	scheduler.pools["plain"].plainTime = movingMean{80, 1}
+	scheduler.pools["plain"].plainServiceTime = movingMean{80, 1}
 	for _, id := range []string{"a", "b"} {
 		scheduler.ObserveLoad(10*second, id, Load{Running: 4, Waiting: 3, Slots: 4})
 	}
--- a/internal/router/scheduler/scheduler.go
+++ b/internal/router/scheduler/scheduler.go
@@ -16,20 +16,22 @@
 	servers  map[string]*serverState // by id
 	pools    map[string]*servicePool // by name of the service
 	prefixes *prefixIndex
-	// newPrefixes are hashes of shared prefixes that are not yet reported to the peers, by id of their server.
+	// newPrefixes holds the hashes of shared prefixes that have not been reported to the other proxies yet,
+	// by server id.
 	newPrefixes map[string][]uint64
 
-	// assumeCachedUntil is until when servers may have cached prefixes that were not reported to this proxy.
+	// assumeCachedUntil is the time until which servers may have cached prefixes that this proxy got no
+	// report of.
 	assumeCachedUntil time.Duration
-	// peerLoadAt is when the other proxies last reported what they have in flight, 0 if they never did.
+	// peerLoadAt is when the other proxies last reported their in-flight load, 0 if they never did.
 	peerLoadAt time.Duration
 
-	// Buffers of the decision being made, reused by the next one.
+	// Buffers of the current decision, reused by the next one.
 	candidates      []candidate
 	levels, weights []float64
 }
 
-// New returns a Scheduler of a proxy in a zone. The seed determines all its random draws.
+// New returns the Scheduler of a proxy in the given zone. The seed determines all its random draws.
 func New(zone string, seed uint64) *Scheduler {
 	return &Scheduler{
 		zone: zone, random: rand.New(rand.NewPCG(seed, 1)), table: catalog.NewTable(nil),
@@ -38,12 +40,12 @@
 	}
 }
 
-// Update replaces the table of servers. What is known of a server that is not listed any more is dropped.
+// Update replaces the table of servers and drops the state of servers that are no longer listed.
 func (s *Scheduler) Update(now time.Duration, table *catalog.Table) {
 	s.table = table
 	for id := range s.servers {
 		if table.ByID(id) == nil {
-			delete(s.servers, id) // its prefixes stay in the index: it may be missing for a moment only
+			delete(s.servers, id) // its prefixes stay indexed, as it may be listed again soon
 		}
 	}
 	for _, pool := range s.pools {
@@ -51,7 +53,7 @@
 	}
 }
 
-// pool returns the state of a service, with the lists of the newest table.
+// pool returns the state of a service, with its server lists from the newest table.
 func (s *Scheduler) pool(now time.Duration, service *fleetconfig.Service) *servicePool {
 	pool := s.pools[service.Name]
 	if pool == nil {
@@ -65,9 +67,9 @@
 	return pool
 }
 
-// Choose draws the server for a call of a role and begins the call there; Done must end it. It returns nil
-// where no server may take the call. For Decode, prefillServer is the server that holds the prefix cache of
-// the prompt; it is nil for the other roles.
+// Choose selects the server for a call of a role and counts the call as in flight there until Done. It
+// returns nil if no server may take the call. For Decode, prefillServer is the server that holds the prompt's
+// prefix cache; for the other roles it is nil.
 func (s *Scheduler) Choose(
 	now time.Duration, request *Request, role Role, prefillServer *catalog.Server,
 ) *Call {
@@ -95,22 +97,23 @@
 	return call
 }
 
-// begin counts a call as in flight at the server that was drawn for it.
+// begin creates the call at the candidate that was drawn for it and counts it as in flight there.
 func (s *Scheduler) begin(
 	now time.Duration, pool *servicePool, request *Request, role Role, chain *prefixChain, drawn *candidate,
 ) *Call {
-	const idleBelow = 0.5 // requests, as their number is an estimate
+	const idleThreshold = 0.5 // requests; the number in flight is an estimate and needn't be whole
 	server := drawn.serverState
 	call := &Call{
 		Server: server.Server, Role: role, state: server, pool: pool, chain: *chain,
-		uncachedTokens: drawn.uncachedTokens, minUncached: drawn.minUncached, maxUncached: drawn.maxUncached,
+		uncachedTokens:    drawn.uncachedTokens,
+		minUncachedTokens: drawn.minUncachedTokens, maxUncachedTokens: drawn.maxUncachedTokens,
 		outputTokens: max(request.OutputTokens, 1),
-		serverIdle:   drawn.inFlight < idleBelow, inFlight: drawn.inFlight, prefillMs: drawn.prefillMs,
+		serverIdle:   drawn.inFlight < idleThreshold, inFlight: drawn.inFlight, prefillMs: drawn.prefillMs,
 		startedAt: now,
 	}
-	call.expectedMs = drawn.queueMs + pool.ownTime(call)
+	call.expectedMs = drawn.queueMs + pool.unqueuedFirstByteMs(call)
 	if role == Prefill {
-		call.uncachedMs = drawn.queueMs + pool.prefillTime.at(float64(chain.tokens))/drawn.speed
+		call.expectedUncachedMs = drawn.queueMs + pool.prefillTime.at(float64(chain.tokens))/drawn.speed
 	}
 	server.beginCall(call)
 	if pool.service.Engine != nil {
@@ -120,13 +123,13 @@
 	return call
 }
 
-// ObserveLoad records the load that a server, named by its id, reported with an answer that has just come.
+// ObserveLoad records the load that the server of an id reported in a response that has just arrived.
 func (s *Scheduler) ObserveLoad(now time.Duration, id string, load Load) {
 	s.ObserveLoadAt(now, id, load)
 }
 
-// ObserveLoadAt records the load that a server reported at an earlier time: to another proxy, or in a report
-// of its own. A report that is older than one that is known changes nothing.
+// ObserveLoadAt records the load that a server reported at an earlier time, either to another proxy or in a
+// report of its own, without a response. It ignores a report that is older than the newest known one.
 func (s *Scheduler) ObserveLoadAt(at time.Duration, id string, load Load) {
 	server := s.servers[id]
 	if server == nil {
@@ -140,17 +143,17 @@
 	}
 }
 
-// RecordStall records that this process has not run for that long until now: what calls in flight took says
-// nothing of their servers.
+// RecordStall records that this process did not run for the given time until now. The durations of the calls
+// in flight then say nothing about their servers.
 func (s *Scheduler) RecordStall(length time.Duration) {
 	for _, server := range s.servers {
 		for _, call := range server.calls {
-			call.stalled += length
+			call.stallTime += length
 		}
 	}
 }
 
-// Ejections returns how often servers were ejected so far.
+// Ejections returns the number of times that servers have been ejected.
 func (s *Scheduler) Ejections() (total int64) {
 	for _, pool := range s.pools {
 		total += pool.ejections
@@ -158,13 +161,13 @@
 	return total
 }
 
-// LastSuccess is the newest call of this proxy that a server served.
+// LastSuccess describes the newest call of this proxy that a server completed successfully.
 type LastSuccess struct {
-	Exists bool          // the server has served one
-	At     time.Duration // when it ended
+	Exists bool          // the server has completed a call successfully
+	At     time.Duration // when that call ended
 }
 
-// LastSuccess returns the newest call that a server, named by its id, served.
+// LastSuccess returns the newest successful call at the server of an id.
 func (s *Scheduler) LastSuccess(id string) LastSuccess {
 	server := s.servers[id]
 	if server == nil || server.outliers.lastSuccess == 0 {
@@ -173,23 +176,24 @@
 	return LastSuccess{Exists: true, At: server.outliers.lastSuccess}
 }
 
-// FirstEvent records that the server of a call has begun to answer.
+// FirstEvent records that the server of a call has begun its response. Only the first one of a call counts.
 func (s *Scheduler) FirstEvent(now time.Duration, call *Call) {
 	if call.answered {
 		return
 	}
 	call.answered, call.firstEventAt = true, now
 	call.state.endPrefill(now, call)
-	if call.stalled > 0 {
+	if call.stallTime > 0 {
 		return
 	}
-	tookMs := ms(now - call.startedAt)
-	// A server that has cached less of the prompt than assumed is not late for that.
-	expectedMs := max(call.expectedMs, call.uncachedMs)
-	call.state.lateness.add(now, tookMs-expectedMs, expectedMs)
+	elapsedMs := ms(now - call.startedAt)
+	// A server that has cached less of the prompt than this proxy assumed does not count as late for that.
+	expectedMs := max(call.expectedMs, call.expectedUncachedMs)
+	call.state.lateness.add(now, elapsedMs-expectedMs, expectedMs)
 }
 
-// Done ends a call and learns from its outcome. A second Done of a call does nothing.
+// Done ends a call and updates the estimates and the outlier detection by its outcome. A second Done for the
+// same call does nothing.
 func (s *Scheduler) Done(now time.Duration, call *Call, outcome Outcome) {
 	if call.ended {
 		return
@@ -199,7 +203,7 @@
 	if outcome == Served {
 		s.FirstEvent(now, call)
 		call.recordSuccess(now)
-		call.pool.learn(now, call)
+		call.pool.updateEstimates(now, call)
 		return
 	}
 	call.recordFailure(now, outcome)
--- a/internal/router/scheduler/server_state_test.go
+++ b/internal/router/scheduler/server_state_test.go
@@ -14,11 +14,11 @@
 	s.beginCall(early)
 	s.beginCall(late)
 	s.recordReport(2*second, Load{Running: 3, Waiting: 1, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 3.0, qt.Commentf("four reported, one of them this proxy's"))
+	c.Check(s.reportedOtherCalls, qt.Equals, 3.0, qt.Commentf("four reported, one of them this proxy's"))
 	s.recordReport(4*second, Load{Running: 1, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("fewer reported than this proxy has"))
+	c.Check(s.reportedOtherCalls, qt.Equals, 0.0, qt.Commentf("fewer reported than this proxy has"))
 	s.recordReport(3*second, Load{Running: 9, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("an older report"))
+	c.Check(s.reportedOtherCalls, qt.Equals, 0.0, qt.Commentf("an older report"))
 	s.endCall(5*second, early)
 	c.Check(s.calls, qt.HasLen, 1)
 }
@@ -63,7 +63,7 @@
 		{"just listed", &serverState{speed: 1, listedAt: time.Minute}, time.Minute, slowStartMinWeight},
 		{"half way", &serverState{speed: 1, listedAt: time.Minute}, time.Minute + slowStartWindow/2,
 			(1 + slowStartMinWeight) / 2},
-		{"warming up", &serverState{speed: 1, warmAt: 2 * time.Minute}, time.Minute, warmUpWeight},
+		{"warming up", &serverState{speed: 1, warmUpEndsAt: 2 * time.Minute}, time.Minute, warmUpWeight},
 	}
 	for _, test := range tests {
 		qt.Check(t, test.s.weight(test.now), isNear, test.want, 1e-6, qt.Commentf(test.name))
--- a/internal/router/scheduler/service_pool.go
+++ b/internal/router/scheduler/service_pool.go
@@ -7,58 +7,58 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// Estimates that hold until own calls have shown better ones; each counts for a few samples.
+// Initial estimates, which the measurements of own calls replace. Each has the weight of a few samples.
 const (
-	initialPrefillMsPerToken    = 1.0 / 30
-	initialPrefillSetupMs       = 10.0   // of a prefill, beside its tokens
-	initialPrefillTokens        = 4000.0 // uncached tokens of a prefill
-	initialDecodeMsPerToken     = 8.0    // of a request that runs alone
-	initialDecodeMsPerNeighbour = 0.1    // that each other running request adds to a token
-	initialOutputTokens         = 16.0
-	initialServiceMs            = 60.0 // of a request to a service without a model
+	initialPrefillMsPerToken            = 1.0 / 30
+	initialPrefillSetupMs               = 10.0   // fixed part of a prefill's time
+	initialPrefillTokens                = 4000.0 // uncached tokens of a prefill
+	initialDecodeMsPerToken             = 8.0    // for a request that runs alone
+	initialDecodeMsPerConcurrentRequest = 0.1    // added to the time per token by each other running request
+	initialOutputTokens                 = 16.0
+	initialServiceMs                    = 60.0 // of a request to a service without a model
 )
 
-// queuedSampleWeight is the weight of a prefill that took longer than its estimate: it has probably waited
-// in a queue that was not reported, and a wait can only lengthen it.
+// queuedSampleWeight is the weight of a prefill that took longer than its estimate. It has probably waited in
+// a queue that was not reported, and such a wait can only lengthen its time.
 const queuedSampleWeight = 0.05
 
-// servicePool is what this proxy knows about all servers of a service together. Its servers' own states are
-// in Scheduler.servers, which the lists here share.
+// servicePool is what this proxy knows about all servers of a service together. Its lists point to the states
+// of the single servers in Scheduler.servers.
 type servicePool struct {
 	service *fleetconfig.Service
 
-	table          *catalog.Table // that the lists below were made from
+	table          *catalog.Table // from which the lists below were built
 	plainServers   []*serverState // of a service without a model
 	prefillServers []*serverState
 	decodeServers  []*serverState
 
 	peerLoadKnown bool    // the other proxies report what they have in flight
-	peerLoadAgeMs float64 // T of expectedArrivals where they do
+	peerLoadAgeMs float64 // T in arrivals.go if peerLoadKnown
 	popularity    prefixPopularity
 
-	prefillTime        *linearFit // ms of a prefill, by its uncached tokens
-	timePerToken       *linearFit // ms of an output token, by the requests that the server runs
-	plainTime          movingMean // ms of a request to a service without a model, beside waiting
+	prefillTime        *linearFit // ms of a prefill as a function of its uncached tokens
+	timePerToken       *linearFit // ms per output token as a function of the server's requests in flight
+	plainServiceTime   movingMean // ms of a request to a service without a model, without queueing
 	prefillTokens      movingMean // uncached tokens of a prefill
-	outputTokens       movingMean // of a request
-	prefillUtilization movingMean // u of the prefill servers: the fraction of time in which they have work
+	outputTokens       movingMean // output tokens of a request
+	prefillUtilization movingMean // u of the prefill servers: the fraction of time in which they are busy
 	serveUtilization   movingMean // u of the others: the fraction of their slots in use
 
-	directPrefillMs movingMean // that a decode server still has to work on this proxy's own prompts
-	directCalls     movingMean // own calls at a decode server
+	directPrefillMs movingMean // ms of prefill work that this proxy's own calls have at a decode server
+	directCalls     movingMean // this proxy's own calls at a decode server
 
-	ejections int64 // of servers, so far
+	ejections int64 // number of ejections of servers so far
 }
 
-// newServicePool returns a pool without servers and with the initial estimates.
+// newServicePool returns a pool with the initial estimates and no servers.
 func newServicePool(service *fleetconfig.Service) *servicePool {
 	return &servicePool{
 		service: service,
 		prefillTime: newLinearFit(initialPrefillSetupMs, initialPrefillMsPerToken, initialPrefillTokens,
 			queuedSampleWeight),
-		timePerToken: newLinearFit(initialDecodeMsPerToken, initialDecodeMsPerNeighbour, initialOutputTokens,
-			1),
-		plainTime:          movingMean{initialServiceMs, 1},
+		timePerToken: newLinearFit(initialDecodeMsPerToken, initialDecodeMsPerConcurrentRequest,
+			initialOutputTokens, 1),
+		plainServiceTime:   movingMean{initialServiceMs, 1},
 		prefillTokens:      movingMean{initialPrefillTokens, 1},
 		outputTokens:       movingMean{initialOutputTokens, 1},
 		prefillUtilization: movingMean{1, 1},
@@ -66,7 +66,7 @@
 	}
 }
 
-// setTable fills the lists of servers from a table.
+// setTable rebuilds the lists of servers from a table and adds states for servers that are new.
 func (p *servicePool) setTable(now time.Duration, table *catalog.Table, servers map[string]*serverState) {
 	p.table = table
 	p.plainServers, p.prefillServers, p.decodeServers =
@@ -89,7 +89,8 @@
 	}
 }
 
-// serversFor returns the servers that take calls of a role; a model's Serve calls go to decode servers.
+// serversFor returns the servers that take calls of a role. Serve calls of a model service go to decode
+// servers.
 func (p *servicePool) serversFor(role Role) []*serverState {
 	switch {
 	case p.service.Engine == nil:
@@ -100,7 +101,7 @@
 	return p.decodeServers
 }
 
-// utilization returns u of arrivals.go for a role.
+// utilization returns the observed utilization (u in arrivals.go) of the servers for a role.
 func (p *servicePool) utilization(role Role) *movingMean {
 	if role == Prefill {
 		return &p.prefillUtilization
@@ -108,19 +109,19 @@
 	return &p.serveUtilization
 }
 
-// serviceTime returns the mean ms that a request of a role takes at a server with that many in flight.
+// serviceTime returns the mean time in ms of a call of a role at a server with inFlight requests in flight.
 func (p *servicePool) serviceTime(role Role, inFlight float64) float64 {
 	switch {
 	case p.service.Engine == nil:
-		return p.plainTime.value
+		return p.plainServiceTime.value
 	case role == Prefill:
 		return p.prefillTime.at(p.prefillTokens.value)
 	}
 	return p.outputTokens.value * p.timePerToken.at(inFlight)
 }
 
-// transferTime returns the ms that the prefix cache of a prompt takes to a decode server, 0 if the speed
-// of links is unknown.
+// transferTime returns the time in ms of the transfer of a prompt's prefix cache to a decode server. It
+// returns 0 if the speed of the links is unknown.
 func (p *servicePool) transferTime(tokens int, crossZone bool) float64 {
 	engine := p.service.Engine
 	if engine == nil || engine.LinkMbps <= 0 {
@@ -135,4 +136,4 @@
 	return transferMs
 }
 
-const crossZoneFactor = 2 // transfers between zones take that many times as long
+const crossZoneFactor = 2 // a transfer between zones takes this many times as long as one within a zone
--- a/internal/router/scheduler/water_level_test.go
+++ b/internal/router/scheduler/water_level_test.go
@@ -12,7 +12,7 @@
 
 func testServer(others float64, reportedAt time.Duration) *serverState {
 	s := newServerState(0, &catalog.Server{ID: "a", Slots: 10, Role: catalog.Decode})
-	s.reportedOthers, s.baselineOthers = others, movingMean{others, 1}
+	s.reportedOtherCalls, s.baselineOtherCalls = others, movingMean{others, 1}
 	s.reportedAt, s.hasReport = reportedAt, true
 	return s
 }
@@ -32,7 +32,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.age.String(), func(t *testing.T) {
-			got := testServer(8, second).estimatedOthers(second+test.age, average, parallel, service)
+			got := testServer(8, second).estimatedOtherCalls(second+test.age, average, parallel, service)
 			qt.Check(t, got, isNear, test.want, 1e-6)
 		})
 	}
@@ -42,9 +42,9 @@
 	c := qt.New(t)
 	unknown := newServerState(0, &catalog.Server{ID: "b"})
 	all := []*serverState{testServer(2, 0), testServer(4, 0), unknown}
-	c.Check(meanReportedOthers(all), qt.Equals, 3.0)
-	c.Check(unknown.estimatedOthers(second, meanReportedOthers(all), 1, 100), qt.Equals, 3.0)
-	c.Check(meanReportedOthers([]*serverState{unknown}), qt.Equals, 0.0)
+	c.Check(meanReportedOtherCalls(all), qt.Equals, 3.0)
+	c.Check(unknown.estimatedOtherCalls(second, meanReportedOtherCalls(all), 1, 100), qt.Equals, 3.0)
+	c.Check(meanReportedOtherCalls([]*serverState{unknown}), qt.Equals, 0.0)
 }
 
 func TestQueueEstimates(t *testing.T) {
@@ -83,7 +83,7 @@
 
 func TestQueueEstimateWithoutModel(t *testing.T) {
 	p := newServicePool(plainService())
-	p.plainTime = movingMean{40, 1}
+	p.plainServiceTime = movingMean{40, 1}
 	x := candidate{serverState: testServer(5, second)}
 	p.estimateQueue(second, Serve, 0, &x)
 	qt.Check(t, x.queueMs, isNear, 40.0*5/10, 1e-6)
--- a/internal/router/scheduler/zone_preference.go
+++ b/internal/router/scheduler/zone_preference.go
@@ -2,13 +2,14 @@
 
 import "cresshub/internal/router/catalog"
 
-// zoneMargin is by how many mean request times the mean water level in the preferred zone must exceed that of
-// the other zones before these join in.
+// zoneMargin is the difference, in mean request times, by which the mean water level in the preferred zone
+// must exceed that in the other zones before servers of these are used too.
 const zoneMargin = 0.5
 
 // preferZone returns the decode servers in the zone of the prefill server, so that the prefix cache need not
-// cross zones. It returns all where the zone has fewer than two, or where these have more to do than the
-// others by more than zoneMargin. It sets the cost of each to the time of the transfer.
+// be transferred between zones. It returns all servers if the zone has fewer than two, or if their mean water
+// level exceeds that of the others by more than zoneMargin. It sets the cost of each server to the transfer
+// time.
 func (s *Scheduler) preferZone(
 	pool *servicePool, all []candidate, chain *prefixChain, prefillServer *catalog.Server,
 ) []candidate {
@@ -31,7 +32,7 @@
 		return all
 	}
 	for i := range all {
-		all[i].avoid = all[i].Zone != zone
+		all[i].avoided = all[i].Zone != zone
 	}
 	return dropAvoided(all)
 }
