--- a/internal/router/roleplan/plan_test.go
+++ b/internal/router/roleplan/plan_test.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// fleet returns servers of which the first decode and the others prefill, in three zones in turn.
+// fleet returns decode servers followed by prefill servers, assigned to three zones in turn.
 func fleet(decoding, prefilling int) []Server {
 	servers := make([]Server, decoding+prefilling)
 	for i := range servers {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestWithoutTrafficAllChangeAtOnce(t *testing.T) {
+func TestWithoutTrafficAllServersChangeAtOnce(t *testing.T) {
 	orders := Plan(fleet(11, 7), Demand{})
 	qt.Assert(t, orders, qt.HasLen, 5)
 	for _, order := range orders {
@@ -59,11 +59,11 @@
 	servers := fleet(11, 7)
 	servers[0].Changing, servers[1].Changing = true, true
 	qt.Check(t, Plan(servers, busy), qt.HasLen, 0, qt.Commentf("as many as allowed are changing"))
-	qt.Check(t, Plan(fleet(1, 0), busy), qt.HasLen, 0, qt.Commentf("one server serves alone"))
+	qt.Check(t, Plan(fleet(1, 0), busy), qt.HasLen, 0, qt.Commentf("a single server keeps its role"))
 }
 
 func TestChangesAreBalancedOverZones(t *testing.T) {
-	left := map[string]int{}
+	remaining := map[string]int{}
 	servers := fleet(11, 7)
 	changed := map[string]bool{}
 	for _, order := range Plan(servers, Demand{}) {
@@ -71,14 +71,14 @@
 	}
 	for _, s := range servers {
 		if s.Role == catalog.Decode && !changed[s.ID] {
-			left[s.Zone]++
+			remaining[s.Zone]++
 		}
 	}
-	qt.Assert(t, left, qt.DeepEquals, map[string]int{"0": 2, "1": 2, "2": 2})
+	qt.Assert(t, remaining, qt.DeepEquals, map[string]int{"0": 2, "1": 2, "2": 2})
 }
 
-// TestBusyPrefillServersKeepTheirRole: while prompts wait for prefill no server changes to decode, whatever
-// the demand for tokens; a change to prefill is allowed.
+// TestBusyPrefillServersKeepTheirRole: while prompts wait for prefill, no server changes to decode, whatever
+// the demand for decode. A change to prefill is still allowed.
 func TestBusyPrefillServersKeepTheirRole(t *testing.T) {
 	servers := fleet(60, 80)
 	demand := Demand{HasTraffic: true, DecodeCalls: 1e6, PrefillCalls: 100}
--- a/internal/router/scheduler/call.go
+++ b/internal/router/scheduler/call.go
@@ -9,7 +9,7 @@
 
 // Segment is a part of a prompt that other requests may share.
 type Segment struct {
-	ID     string // the same for equal segments of different prompts
+	ID     string // identifies the segment's content
 	Tokens int
 }
 
--- a/internal/router/scheduler/prefix_index.go
+++ b/internal/router/scheduler/prefix_index.go
@@ -14,20 +14,20 @@
 // prefixIndex records which servers have cached which prefixes, as an LRU cache. Its entries form a circular
 // doubly linked list from the most to the least recently used one. Entry 0 is the sentinel and has no prefix.
 type prefixIndex struct {
-	index   map[prefixKey]int32 // positions in entries
-	entries []prefixEntry
-	limit   int
+	positions map[prefixKey]int32 // positions in entries
+	entries   []prefixEntry
+	limit     int
 }
 
 // newPrefixIndex returns an empty index of at most limit entries.
 func newPrefixIndex(limit int) *prefixIndex {
-	return &prefixIndex{index: map[prefixKey]int32{}, entries: make([]prefixEntry, 1), limit: limit}
+	return &prefixIndex{positions: map[prefixKey]int32{}, entries: make([]prefixEntry, 1), limit: limit}
 }
 
 // cachedTokens returns how many tokens of a prompt a server is known to have cached.
 func (x *prefixIndex) cachedTokens(server uint64, chain *prefixChain) int {
 	for i := chain.length - 1; i >= 0; i-- {
-		if _, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
+		if _, ok := x.positions[prefixKey{server, chain.hashes[i]}]; ok {
 			return chain.cumulativeTokens[i]
 		}
 	}
@@ -39,7 +39,7 @@
 func (x *prefixIndex) record(server uint64, chain *prefixChain) (cachedBefore int) {
 	for i := range chain.length {
 		key := prefixKey{server, chain.hashes[i]}
-		if _, ok := x.index[key]; ok {
+		if _, ok := x.positions[key]; ok {
 			cachedBefore = i + 1
 		}
 		x.touch(key)
@@ -51,8 +51,8 @@
 // earlier, stay.
 func (x *prefixIndex) drop(server uint64, chain *prefixChain, cachedBefore int) {
 	for i := cachedBefore; i < chain.length; i++ {
-		if at, ok := x.index[prefixKey{server, chain.hashes[i]}]; ok {
-			x.remove(at)
+		if position, ok := x.positions[prefixKey{server, chain.hashes[i]}]; ok {
+			x.remove(position)
 		}
 	}
 }
@@ -60,8 +60,8 @@
 // newest returns the keys of at most limit most recently used entries, the newest first.
 func (x *prefixIndex) newest(limit int) []prefixKey {
 	var keys []prefixKey
-	for at := x.entries[0].older; at != 0 && len(keys) < limit; at = x.entries[at].older {
-		keys = append(keys, x.entries[at].prefixKey)
+	for position := x.entries[0].older; position != 0 && len(keys) < limit; position = x.entries[position].older {
+		keys = append(keys, x.entries[position].prefixKey)
 	}
 	return keys
 }
@@ -69,42 +69,42 @@
 // touch makes the entry of a key the most recently used one. A new entry replaces the least recently used one
 // if the index is full.
 func (x *prefixIndex) touch(key prefixKey) {
-	at, ok := x.index[key]
+	position, ok := x.positions[key]
 	switch {
 	case ok:
-		x.unlink(at)
+		x.unlink(position)
 	case len(x.entries) <= x.limit:
-		at = int32(len(x.entries))
+		position = int32(len(x.entries))
 		x.entries = append(x.entries, prefixEntry{})
 	default:
-		at = x.entries[0].newer // the sentinel's newer neighbor is the least recently used entry
-		x.unlink(at)
-		delete(x.index, x.entries[at].prefixKey)
+		position = x.entries[0].newer // the sentinel's newer neighbor is the least recently used entry
+		x.unlink(position)
+		delete(x.positions, x.entries[position].prefixKey)
 	}
-	x.entries[at].prefixKey = key
-	x.index[key] = at
-	x.link(0, at, x.entries[0].older)
+	x.entries[position].prefixKey = key
+	x.positions[key] = position
+	x.link(0, position, x.entries[0].older)
 }
 
-// remove clears an entry and makes it the least recently used one, so that it is reused next.
-func (x *prefixIndex) remove(at int32) {
-	entry := &x.entries[at]
-	delete(x.index, entry.prefixKey)
-	x.unlink(at)
+// remove clears an entry and makes it the least recently used one, so that it is the next to be replaced.
+func (x *prefixIndex) remove(position int32) {
+	entry := &x.entries[position]
+	delete(x.positions, entry.prefixKey)
+	x.unlink(position)
 	entry.prefixKey = prefixKey{}
-	x.link(x.entries[0].newer, at, 0)
+	x.link(x.entries[0].newer, position, 0)
 }
 
 // link inserts an entry between two neighbors.
-func (x *prefixIndex) link(newer, at, older int32) {
-	x.entries[at].newer, x.entries[at].older = newer, older
-	x.entries[newer].older = at
-	x.entries[older].newer = at
+func (x *prefixIndex) link(newer, position, older int32) {
+	x.entries[position].newer, x.entries[position].older = newer, older
+	x.entries[newer].older = position
+	x.entries[older].newer = position
 }
 
 // unlink removes an entry from the list.
-func (x *prefixIndex) unlink(at int32) {
-	entry := &x.entries[at]
+func (x *prefixIndex) unlink(position int32) {
+	entry := &x.entries[position]
 	x.entries[entry.newer].older = entry.older
 	x.entries[entry.older].newer = entry.newer
 }
--- a/internal/router/scheduler/prefix_index_test.go
+++ b/internal/router/scheduler/prefix_index_test.go
@@ -11,24 +11,25 @@
 
 func TestPrefixIndexRecordsAndDrops(t *testing.T) {
 	c := qt.New(t)
-	h := newPrefixIndex(100)
-	c.Check(h.record(1, chainOfSegments("a", "b")), qt.Equals, 0)
-	c.Check(h.cachedTokens(1, chainOfSegments("a", "c")), qt.Equals, 100)
-	c.Check(h.cachedTokens(1, chainOfSegments("a", "b")), qt.Equals, 200)
-	c.Check(h.cachedTokens(2, chainOfSegments("a", "b")), qt.Equals, 0)
-	before := h.record(1, chainOfSegments("a", "d"))
+	index := newPrefixIndex(100)
+	c.Check(index.record(1, chainOfSegments("a", "b")), qt.Equals, 0)
+	c.Check(index.cachedTokens(1, chainOfSegments("a", "c")), qt.Equals, 100)
+	c.Check(index.cachedTokens(1, chainOfSegments("a", "b")), qt.Equals, 200)
+	c.Check(index.cachedTokens(2, chainOfSegments("a", "b")), qt.Equals, 0)
+	before := index.record(1, chainOfSegments("a", "d"))
 	c.Check(before, qt.Equals, 1)
-	h.drop(1, chainOfSegments("a", "d"), before)
-	c.Check(h.cachedTokens(1, chainOfSegments("a", "d")), qt.Equals, 100,
-		qt.Commentf("it held the first segment before"))
-	h.record(2, chainOfSegments("a", "b"))
-	h.drop(1, chainOfSegments("a", "b"), 0)
-	c.Check(h.cachedTokens(1, chainOfSegments("a", "b")), qt.Equals, 0)
-	c.Check(h.cachedTokens(2, chainOfSegments("a", "b")), qt.Equals, 200)
+	index.drop(1, chainOfSegments("a", "d"), before)
+	c.Check(index.cachedTokens(1, chainOfSegments("a", "d")), qt.Equals, 100,
+		qt.Commentf("the first segment was recorded before"))
+	index.record(2, chainOfSegments("a", "b"))
+	index.drop(1, chainOfSegments("a", "b"), 0)
+	c.Check(index.cachedTokens(1, chainOfSegments("a", "b")), qt.Equals, 0)
+	c.Check(index.cachedTokens(2, chainOfSegments("a", "b")), qt.Equals, 200)
 }
 
-// TestServersThatComeBackKeepTheirPrefixes: a server that was lost for a moment has lost nothing.
-func TestServersThatComeBackKeepTheirPrefixes(t *testing.T) {
+// TestReturningServersKeepTheirPrefixes: a server that was missing from the table for a short time has not
+// lost its cache.
+func TestReturningServersKeepTheirPrefixes(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
 	call := scheduler.Choose(10*second, promptRequest("a", 1), Prefill, nil)
@@ -42,26 +43,26 @@
 
 func TestPrefixIndexIsBoundedAndKeepsTheNewest(t *testing.T) {
 	c := qt.New(t)
-	h := newPrefixIndex(10)
+	index := newPrefixIndex(10)
 	for i := range 1000 {
-		h.record(1, chainOfSegments("kept"))
-		h.record(1, chainOfSegments(fmt.Sprint(i)))
+		index.record(1, chainOfSegments("kept"))
+		index.record(1, chainOfSegments(fmt.Sprint(i)))
 		if i%7 == 0 {
-			h.drop(1, chainOfSegments(fmt.Sprint(i)), 0)
+			index.drop(1, chainOfSegments(fmt.Sprint(i)), 0)
 		}
 	}
-	c.Check(len(h.index) <= 10, qt.IsTrue)
-	c.Check(len(h.entries) <= 11, qt.IsTrue)
-	c.Check(h.cachedTokens(1, chainOfSegments("kept")), qt.Equals, 100)
-	c.Check(h.cachedTokens(1, chainOfSegments("998")), qt.Equals, 100)
-	c.Check(h.cachedTokens(1, chainOfSegments("900")), qt.Equals, 0)
+	c.Check(len(index.positions) <= 10, qt.IsTrue)
+	c.Check(len(index.entries) <= 11, qt.IsTrue)
+	c.Check(index.cachedTokens(1, chainOfSegments("kept")), qt.Equals, 100)
+	c.Check(index.cachedTokens(1, chainOfSegments("998")), qt.Equals, 100)
+	c.Check(index.cachedTokens(1, chainOfSegments("900")), qt.Equals, 0)
 }
 
-func TestRanksMoveOnlyWithTheirServers(t *testing.T) {
+func TestRemovingAServerMovesOnlyItsPrefixes(t *testing.T) {
 	c := qt.New(t)
-	first := func(servers []candidate, name uint64) uint64 {
+	first := func(servers []candidate, prefix uint64) uint64 {
 		all := append([]candidate{}, servers...)
-		rank(all, name, 1)
+		rank(all, prefix, 1)
 		return all[0].hash
 	}
 	var seven []candidate
@@ -69,12 +70,12 @@
 		seven = append(seven, candidate{serverState: &serverState{hash: mix(uint64(i + 1))}})
 	}
 	moved, load := 0, map[uint64]int{}
-	for name := range uint64(7000) {
-		was := first(seven, name)
-		load[was]++
-		if now := first(seven[:6], name); now != was {
+	for prefix := range uint64(7000) {
+		before := first(seven, prefix)
+		load[before]++
+		if after := first(seven[:6], prefix); after != before {
 			moved++
-			c.Assert(was, qt.Equals, seven[6].hash, qt.Commentf("only prefixes of the server that left move"))
+			c.Assert(before, qt.Equals, seven[6].hash, qt.Commentf("only prefixes of the removed server move"))
 		}
 	}
 	c.Check(float64(moved), isNear, 1000.0, 150)
