--- a/internal/router/scheduler/arrivals_test.go
+++ b/internal/router/scheduler/arrivals_test.go
@@ -8,32 +8,35 @@
 )
 
 func TestMeanReportAgeIsBounded(t *testing.T) {
-	const service = 100.0 // ms
+	const serviceMs = 100.0
 	now := 10 * second
-	at := func(age time.Duration) candidate { return candidate{serverState: testServer(0, now-age)} }
+	reportedAgo := func(age time.Duration) candidate { return candidate{serverState: testServer(0, now-age)} }
 	unknown := candidate{serverState: &serverState{}}
 	tests := []struct {
 		name string
 		all  []candidate
 		want float64
 	}{
-		{"none", nil, 0},
-		{"just reported", []candidate{at(0), at(0)}, 0},
-		{"the mean of the ages", []candidate{at(20 * time.Millisecond), at(60 * time.Millisecond)}, 40},
-		{"at most a few service times", []candidate{at(5 * second), at(0)}, maxAgeServiceTimes * service / 2},
-		{"no report is an old one", []candidate{unknown}, maxAgeServiceTimes * service},
+		{"no candidates", nil, 0},
+		{"just reported", []candidate{reportedAgo(0), reportedAgo(0)}, 0},
+		{"the mean of the ages", []candidate{
+			reportedAgo(20 * time.Millisecond), reportedAgo(60 * time.Millisecond),
+		}, 40},
+		{"at most maxAgeServiceTimes service times", []candidate{reportedAgo(5 * second), reportedAgo(0)},
+			maxAgeServiceTimes * serviceMs / 2},
+		{"a server without a report has the maximum age", []candidate{unknown}, maxAgeServiceTimes * serviceMs},
 	}
 	for _, test := range tests {
-		qt.Check(t, meanReportAge(now, service, test.all), isNear, test.want, 1e-6, qt.Commentf(test.name))
+		qt.Check(t, meanReportAge(now, serviceMs, test.all), isNear, test.want, 1e-6, qt.Commentf(test.name))
 	}
 }
 
-func TestUtilizationIsAssumedHigh(t *testing.T) {
-	tests := []struct{ use, want float64 }{
+func TestAssumedUtilizationIsAnOverestimate(t *testing.T) {
+	tests := []struct{ observed, want float64 }{
 		{0, minUtilization}, {0.1, minUtilization}, {0.6, 0.6 * utilizationMargin}, {0.9, 1}, {1, 1},
 	}
 	for _, test := range tests {
-		qt.Check(t, assumedUtilization(&movingMean{test.use, 1}), isNear, test.want, 1e-9)
+		qt.Check(t, assumedUtilization(&movingMean{test.observed, 1}), isNear, test.want, 1e-9)
 	}
 }
 
--- a/internal/router/scheduler/basic_li_test.go
+++ b/internal/router/scheduler/basic_li_test.go
@@ -10,31 +10,31 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// drawCounts counts how often each candidate is drawn.
-func drawCounts(levels []float64, arrive float64, n int) []float64 {
+// drawCounts returns how often each candidate is drawn in n draws.
+func drawCounts(levelsMs []float64, arrivalsMs float64, n int) []float64 {
 	scheduler := New("z0", 7)
 	var all []candidate
-	for _, level := range levels {
-		all = append(all, candidate{serverState: &serverState{speed: 1, listedAt: -time.Hour}, queueMs: level})
+	for _, levelMs := range levelsMs {
+		all = append(all, candidate{serverState: &serverState{speed: 1, listedAt: -time.Hour}, queueMs: levelMs})
 	}
-	seen := make([]float64, len(levels))
+	counts := make([]float64, len(levelsMs))
 	for range n {
-		picked := scheduler.draw(0, all, arrive)
+		drawn := scheduler.draw(0, all, arrivalsMs)
 		for i := range all {
-			if &all[i] == picked {
-				seen[i]++
+			if &all[i] == drawn {
+				counts[i]++
 			}
 		}
 	}
-	return seen
+	return counts
 }
 
 func TestDrawsFollowTheProbabilitiesOfBasicLI(t *testing.T) {
 	const n = 20000
 	tests := []struct {
-		name   string
-		levels []float64
-		arrive float64
+		name       string
+		levelsMs   []float64
+		arrivalsMs float64
 	}{
 		{"equal", []float64{10, 10, 10}, 30},
 		{"nothing arrives", []float64{10, 5, 20}, 0},
@@ -44,15 +44,16 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			weights := []float64{1, 1, 1}
-			seen := drawCounts(test.levels, test.arrive, n)
-			for i, share := range balance.WaterFill(test.levels, weights, test.arrive) {
-				qt.Check(t, seen[i]/n, isNear, share, 0.015)
+			counts := drawCounts(test.levelsMs, test.arrivalsMs, n)
+			for i, probability := range balance.WaterFill(test.levelsMs, weights, test.arrivalsMs) {
+				qt.Check(t, counts[i]/n, isNear, probability, 0.015)
 			}
 		})
 	}
 }
 
-// TestStaleReportsAreDrawnEvenly: a report of 5 s ago with large differences says little now.
+// TestStaleReportsAreDrawnEvenly: reports that are 5 s old have lost their weight, so that servers get
+// requests evenly although the reported loads differ widely.
 func TestStaleReportsAreDrawnEvenly(t *testing.T) {
 	scheduler := plainScheduler(4)
 	scheduler.Split(0, &Request{Service: plainService()})
@@ -75,17 +76,17 @@
 }
 
 func TestShortQueuesArePreferredLessWithAge(t *testing.T) {
-	last := 1.0
+	previous := 1.0
 	for _, age := range []time.Duration{0, 30 * time.Millisecond, 100 * time.Millisecond, second} {
 		scheduler := plainScheduler(2)
 		countRequestsTo(scheduler, 0, "a", true)
 		scheduler.ObserveLoad(10*second, "a", Load{Running: 0, Slots: 4})
 		scheduler.ObserveLoad(10*second, "b", Load{Running: 3, Slots: 4})
-		part := float64(countRequestsTo(scheduler, 10*second+age, "a", true)) / 100
-		qt.Check(t, part <= last+0.1, qt.IsTrue, qt.Commentf("%v: %v after %v", age, part, last))
-		last = part
+		fraction := float64(countRequestsTo(scheduler, 10*second+age, "a", true)) / 100
+		qt.Check(t, fraction <= previous+0.1, qt.IsTrue, qt.Commentf("%v: %v after %v", age, fraction, previous))
+		previous = fraction
 	}
-	qt.Check(t, last, isNear, 0.5, 0.2)
+	qt.Check(t, previous, isNear, 0.5, 0.2)
 }
 
 func TestNewServersStartSlowly(t *testing.T) {
--- a/internal/router/scheduler/candidates_test.go
+++ b/internal/router/scheduler/candidates_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestFullServers(t *testing.T) {
-	const service = 100.0
-	reported := func(busy float64, age time.Duration) *candidate {
-		return &candidate{serverState: testServer(busy, 10*second-age)}
+	const serviceMs = 100.0
+	reported := func(otherCalls float64, age time.Duration) *candidate {
+		return &candidate{serverState: testServer(otherCalls, 10*second-age)}
 	}
 	rejecting := reported(0, 0)
 	rejecting.outliers.fullUntil = 10*second + 1
@@ -24,12 +24,12 @@
 		want bool
 	}{
 		{"free", reported(9, 0), false},
-		{"full just now", reported(10, 90*time.Millisecond), true},
-		{"full long ago", reported(10, 5*second), false},
+		{"full by a fresh report", reported(10, 90*time.Millisecond), true},
+		{"full by an old report", reported(10, 5*second), false},
 		{"it has just rejected a request", rejecting, true},
 		{"own calls take all slots", own, true},
 	}
 	for _, test := range tests {
-		qt.Check(t, test.c.full(10*second, service), qt.Equals, test.want, qt.Commentf(test.name))
+		qt.Check(t, test.c.full(10*second, serviceMs), qt.Equals, test.want, qt.Commentf(test.name))
 	}
 }
--- a/internal/router/scheduler/estimates_test.go
+++ b/internal/router/scheduler/estimates_test.go
@@ -6,12 +6,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestDirectPrefillsOfPeers(t *testing.T) {
+func TestPrefillWorkOfPeersAtDecodeServers(t *testing.T) {
 	p := newServicePool(modelService())
 	p.directPrefillMs, p.directCalls = movingMean{30, 1}, movingMean{0.5, 1}
-	tests := []struct{ others, want float64 }{{0, 0}, {0.5, 30}, {4.5, 270}}
+	tests := []struct{ peerCalls, want float64 }{{0, 0}, {0.5, 30}, {4.5, 270}}
 	for _, test := range tests {
-		qt.Check(t, p.peerDirectPrefillMs(test.others), isNear, test.want, 1e-6)
+		qt.Check(t, p.peerDirectPrefillMs(test.peerCalls), isNear, test.want, 1e-6)
 	}
 }
 
@@ -21,7 +21,7 @@
 	scheduler.Split(0, promptRequest("a", 0))
 	p := scheduler.pools["model"]
 	p.prefillUtilization, p.serveUtilization = movingMean{}, movingMean{}
-	for i := range 4 { // every other read leaves another behind
+	for i := range 4 { // the prefill server has other calls in every second report
 		scheduler.ObserveLoad(second, "r0", Load{Running: i % 2 * 3, Slots: 32})
 		scheduler.ObserveLoad(second, "w0", Load{Running: 8, Slots: 32})
 	}
--- a/internal/router/scheduler/helpers_test.go
+++ b/internal/router/scheduler/helpers_test.go
@@ -16,7 +16,7 @@
 	}}
 }
 
-// modelServers returns prefill servers r0... and decode servers w0..., spread over three zones.
+// modelServers returns prefill servers r0, r1, ... and decode servers w0, w1, ..., spread over three zones.
 func modelServers(prefillServers, decodeServers int) []*catalog.Server {
 	var all []*catalog.Server
 	add := func(n int, role catalog.Role) {
@@ -38,7 +38,8 @@
 	return scheduler
 }
 
-// warmUp reports all servers idle, so that they are known and past their slow start at 10 s.
+// warmUp makes all servers known and reports them idle at the given time. Servers that are listed at 0 are
+// past their slow start at 10 s.
 func warmUp(scheduler *Scheduler, now time.Duration) *Scheduler {
 	scheduler.Split(0, promptRequest("warm", 0))
 	for id := range scheduler.servers {
@@ -47,16 +48,18 @@
 	return scheduler
 }
 
-func promptRequest(thing string, own int) *Request {
+// promptRequest returns a request with a prompt of 12000 tokens that all prompts with the same sharedID
+// share, and 2000 tokens of its own, identified by ownNumber.
+func promptRequest(sharedID string, ownNumber int) *Request {
 	return &Request{
 		Service: modelService(), PromptTokens: 14000, OutputTokens: 20, Idempotent: true,
-		Segments: []Segment{{thing, 12000}, {fmt.Sprint(thing, "-", own), 2000}},
+		Segments: []Segment{{sharedID, 12000}, {fmt.Sprint(sharedID, "-", ownNumber), 2000}},
 	}
 }
 
 func plainService() *fleetconfig.Service { return &fleetconfig.Service{Name: "plain"} }
 
-// warmScheduler returns a scheduler whose servers at 10 s are known, idle and as fast as the initial
+// warmScheduler returns a scheduler whose servers are, at 10 s, known, idle and as fast as the initial
 // estimates.
 func warmScheduler(seed uint64, prefillServers, decodeServers int) *Scheduler {
 	return warmUp(modelScheduler(seed, prefillServers, decodeServers), 0)
@@ -71,7 +74,7 @@
 	}
 }
 
-// rankedPrefillServers returns the ids of the prefill servers in the order in which a prompt prefers them.
+// rankedPrefillServers returns the ids of the prefill servers in the order of their ranks for a prompt.
 func rankedPrefillServers(scheduler *Scheduler, r *Request) []string {
 	chain := newPrefixChain(r)
 	shared, _ := chain.shared()
@@ -87,7 +90,8 @@
 	return ids
 }
 
-// destinations counts to which servers 200 proxies that know the same would send a request.
+// destinations returns to which servers 200 proxies with the same state would send a request, and how many of
+// them to each.
 func destinations(now time.Duration, r *Request, role Role, prepare func(*Scheduler)) map[string]int {
 	counts := map[string]int{}
 	for seed := range uint64(200) {
@@ -110,7 +114,7 @@
 	return scheduler
 }
 
-// callAt begins a call at a server.
+// callAt begins a call at the server of an id.
 func callAt(scheduler *Scheduler, now time.Duration, id string) *Call {
 	r := &Request{Service: plainService(), Idempotent: true}
 	for _, s := range scheduler.table.Service("plain") {
@@ -121,7 +125,7 @@
 	return scheduler.Choose(now, r, Serve, nil)
 }
 
-// countRequestsTo counts how many of 100 requests a server gets.
+// countRequestsTo returns how many of 100 requests the server of an id gets.
 func countRequestsTo(scheduler *Scheduler, now time.Duration, id string, idempotent bool) int {
 	n := 0
 	for range 100 {
--- a/internal/router/scheduler/is_near_test.go
+++ b/internal/router/scheduler/is_near_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// isNear checks that a number lies within a distance of another.
+// isNear checks that a float64 differs from the wanted value by at most the given tolerance.
 var isNear qt.Checker = &nearChecker{}
 
 type nearChecker struct{}
@@ -23,7 +23,7 @@
 		within = float64(x)
 	}
 	if x, ok := got.(float64); !ok || math.IsNaN(x) || math.Abs(x-want) > within {
-		return fmt.Errorf("not near")
+		return fmt.Errorf("the difference exceeds the tolerance")
 	}
 	return nil
 }
--- a/internal/router/scheduler/lateness_test.go
+++ b/internal/router/scheduler/lateness_test.go
@@ -17,25 +17,25 @@
 	c.Check(l.now(second+latenessDecayTime), isNear, latenessGain*200/2.718281828, 1e-6)
 }
 
-func TestLateDecodeServersGetLess(t *testing.T) {
+func TestLateDecodeServersGetFewerRequests(t *testing.T) {
 	scheduler := warmScheduler(1, 3, 6)
 	now := 10 * second
 	prefillServer := scheduler.servers["r0"].Server
-	slow := ""
-	seen := map[string]int{}
+	slowID := ""
+	counts := map[string]int{}
 	for range 300 {
 		now += 20 * time.Millisecond
 		call := scheduler.Choose(now, promptRequest("a", 1), Decode, prefillServer)
-		if slow == "" {
-			slow = call.Server.ID
+		if slowID == "" {
+			slowID = call.Server.ID
 		}
-		seen[call.Server.ID]++
-		first := now + 30*time.Millisecond
-		if call.Server.ID == slow {
-			first = now + 900*time.Millisecond
+		counts[call.Server.ID]++
+		firstEventAt := now + 30*time.Millisecond
+		if call.Server.ID == slowID {
+			firstEventAt = now + 900*time.Millisecond
 		}
-		scheduler.FirstEvent(first, call)
-		scheduler.Done(first, call, Served)
+		scheduler.FirstEvent(firstEventAt, call)
+		scheduler.Done(firstEventAt, call, Served)
 	}
-	qt.Check(t, seen[slow] < 60, qt.IsTrue, qt.Commentf("%s: %v", slow, seen))
+	qt.Check(t, counts[slowID] < 60, qt.IsTrue, qt.Commentf("%s: %v", slowID, counts))
 }
--- a/internal/router/scheduler/linear_fit_test.go
+++ b/internal/router/scheduler/linear_fit_test.go
@@ -9,18 +9,19 @@
 
 func TestLinearFitFindsTheLine(t *testing.T) {
 	tests := []struct {
-		name               string
-		base, slope, above float64
+		name                     string
+		base, slope, aboveWeight float64
 	}{
-		{"as guessed", 10, 1.0 / 30, 1}, {"three times as fast", 20, 0.01, 1},
-		{"three times as slow", 20, 0.1, 1}, {"fast, with prefills that wait", 20, 0.01, queuedSampleWeight},
-		{"slow, with prefills that wait", 20, 0.1, queuedSampleWeight},
+		{"like the initial guess", 10, 1.0 / 30, 1}, {"three times as fast", 20, 0.01, 1},
+		{"three times as slow", 20, 0.1, 1}, {"fast, with queued prefills", 20, 0.01, queuedSampleWeight},
+		{"slow, with queued prefills", 20, 0.1, queuedSampleWeight},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			random := rand.New(rand.NewPCG(1, 1))
-			f := newLinearFit(initialPrefillSetupMs, initialPrefillMsPerToken, initialPrefillTokens, test.above)
+			f := newLinearFit(
+				initialPrefillSetupMs, initialPrefillMsPerToken, initialPrefillTokens, test.aboveWeight)
 			for range 400 {
 				x := 500 + 4000*random.Float64()
 				f.add(x, test.base+test.slope*x, 1)
@@ -32,22 +33,22 @@
 	}
 }
 
-func TestLinearFitFollowsTheQuickestSamples(t *testing.T) {
+func TestLinearFitFollowsTheFastestSamples(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	f := newLinearFit(initialPrefillSetupMs, initialPrefillMsPerToken, initialPrefillTokens, queuedSampleWeight)
 	for range 300 {
 		x := 500 + 4000*random.Float64()
-		waited := 0.0
+		queueMs := 0.0
 		if random.IntN(2) == 0 {
-			waited = 300 * random.ExpFloat64()
+			queueMs = 300 * random.ExpFloat64()
 		}
-		f.add(x, 20+x/50+waited, 1)
+		f.add(x, 20+x/50+queueMs, 1)
 	}
 	c.Check(f.at(3000), isNear, 80.0, 16)
 }
 
-func TestLinearFitKeepsItsGuessWithoutSpread(t *testing.T) {
+func TestLinearFitKeepsItsInitialSlopeWithoutSpread(t *testing.T) {
 	c := qt.New(t)
 	f := newLinearFit(10, 0.1, 100, 1)
 	for range 200 {
--- a/internal/router/scheduler/outlier_detection_test.go
+++ b/internal/router/scheduler/outlier_detection_test.go
@@ -17,12 +17,12 @@
 		{"abandoned by the caller", []Outcome{Abandoned, Abandoned, Abandoned}, 0},
 		{"another incarnation", []Outcome{Misdirected}, unreachableBaseEjectionTime},
 		{"no connection", []Outcome{Unreachable}, unreachableBaseEjectionTime},
-		{"timeout while another answered", []Outcome{TimedOut}, unreachableBaseEjectionTime},
+		{"timeout while another server succeeded", []Outcome{TimedOut}, unreachableBaseEjectionTime},
 		{"one failure", []Outcome{Failed}, 0},
 		{"two failures", []Outcome{Failed, Failed}, baseEjectionTime},
-		{"two failures, a success between", []Outcome{Failed, Served, Failed}, 0},
-		{"one broken answer", []Outcome{Broken}, 0},
-		{"two broken answers", []Outcome{Broken, Broken}, baseEjectionTime},
+		{"two failures with a success between", []Outcome{Failed, Served, Failed}, 0},
+		{"one incomplete response", []Outcome{Broken}, 0},
+		{"two incomplete responses", []Outcome{Broken, Broken}, baseEjectionTime},
 		{"prefix cache that could not be fetched", []Outcome{HandleFailed, HandleFailed}, 0},
 	}
 	for _, test := range tests {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestTimeoutIsNoFaultWhileNoPeerAnswers(t *testing.T) {
+func TestTimeoutEjectsOnlyIfAnotherServerSucceeds(t *testing.T) {
 	scheduler := plainScheduler(3)
 	scheduler.Done(2*second, callAt(scheduler, second, "a"), TimedOut)
 	qt.Check(t, scheduler.servers["a"].ejectedUntil(), qt.Equals, time.Duration(0))
@@ -52,17 +52,19 @@
 	c := qt.New(t)
 	scheduler := plainScheduler(3)
 	scheduler.Done(second, callAt(scheduler, second, "a"), Unreachable)
-	over := second + unreachableBaseEjectionTime
-	c.Check(countRequestsTo(scheduler, over-1, "a", true), qt.Equals, 0)
-	c.Check(countRequestsTo(scheduler, over, "a", false), qt.Equals, 0, qt.Commentf("it must not run twice"))
-	c.Check(countRequestsTo(scheduler, over+nonIdempotentProbeDelay+1, "a", false) > 0, qt.IsTrue,
-		qt.Commentf("no probe has been made"))
-	c.Check(countRequestsTo(scheduler, over, "a", true) > 0, qt.IsTrue)
+	ejectionEnd := second + unreachableBaseEjectionTime
+	c.Check(countRequestsTo(scheduler, ejectionEnd-1, "a", true), qt.Equals, 0)
+	c.Check(countRequestsTo(scheduler, ejectionEnd, "a", false), qt.Equals, 0,
+		qt.Commentf("a request that must not run twice is no probe"))
+	c.Check(countRequestsTo(scheduler, ejectionEnd+nonIdempotentProbeDelay+1, "a", false) > 0, qt.IsTrue,
+		qt.Commentf("no idempotent request has probed the server"))
+	c.Check(countRequestsTo(scheduler, ejectionEnd, "a", true) > 0, qt.IsTrue)
 
-	probe := callAt(scheduler, over, "a")
-	c.Check(countRequestsTo(scheduler, over, "a", true), qt.Equals, 0, qt.Commentf("one request at a time"))
-	scheduler.Done(over+1, probe, Served)
-	c.Check(countRequestsTo(scheduler, over+1, "a", false) > 0, qt.IsTrue)
+	probe := callAt(scheduler, ejectionEnd, "a")
+	c.Check(countRequestsTo(scheduler, ejectionEnd, "a", true), qt.Equals, 0,
+		qt.Commentf("one request at a time"))
+	scheduler.Done(ejectionEnd+1, probe, Served)
+	c.Check(countRequestsTo(scheduler, ejectionEnd+1, "a", false) > 0, qt.IsTrue)
 }
 
 func TestEjectionTimeDoublesUpToItsMaximum(t *testing.T) {
@@ -88,7 +90,7 @@
 	qt.Check(t, scheduler.servers["a"].ejectedUntil(), qt.Equals, second+unreachableBaseEjectionTime)
 }
 
-func TestOfAllEjectedTheOneThatEndsFirstIsTaken(t *testing.T) {
+func TestIfAllAreEjectedTheEjectionThatEndsFirstIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	scheduler := plainScheduler(3)
 	for _, id := range []string{"a", "b", "c"} {
@@ -135,29 +137,30 @@
 	c.Check(scheduler.servers["r1"].available(11*second, false), qt.IsTrue)
 }
 
-// A stall of this process makes no server stuck or slow: what a call took beyond it counts, and what the call
-// taught otherwise is not known.
-func TestStallOfThisProcessIsNoFaultOfAServer(t *testing.T) {
+// TestStallOfThisProcessDoesNotCountAgainstServers: only the time of a call beyond the stall counts towards a
+// stuck server, and the duration of a call that a stall interrupted changes no estimate.
+func TestStallOfThisProcessDoesNotCountAgainstServers(t *testing.T) {
 	c := qt.New(t)
 	scheduler := plainScheduler(3)
 	scheduler.Done(second+10*time.Millisecond, callAt(scheduler, second, "a"), Served)
 	server, pool := scheduler.servers["a"], scheduler.pools["plain"]
-	speed, plainTime, lateness := server.speed, pool.plainServiceTime, server.lateness
+	speed, plainServiceTime, lateness := server.speed, pool.plainServiceTime, server.lateness
 
 	call := callAt(scheduler, 2*second, "a")
 	scheduler.RecordStall(minStuckTime)
 	c.Check(server.stuck(2*second+2*minStuckTime), qt.IsFalse)
-	c.Check(server.stuck(2*second+2*minStuckTime+1), qt.IsTrue, qt.Commentf("it ran for that long"))
+	c.Check(server.stuck(2*second+2*minStuckTime+1), qt.IsTrue,
+		qt.Commentf("the time without the stall exceeds minStuckTime"))
 	scheduler.Done(2*second+2*minStuckTime, call, Served)
 	c.Check(server.speed, qt.Equals, speed)
-	c.Check(pool.plainServiceTime, qt.Equals, plainTime)
+	c.Check(pool.plainServiceTime, qt.Equals, plainServiceTime)
 	c.Check(server.lateness, qt.Equals, lateness)
 
-	// A call that begins later knows nothing of it.
+	// The stall does not apply to a call that begins later.
 	call = callAt(scheduler, 9*second, "a")
 	c.Check(server.stuck(9*second+minStuckTime+1), qt.IsTrue)
 	scheduler.Done(9*second+minStuckTime, call, Served)
-	c.Check(pool.plainServiceTime, qt.Not(qt.Equals), plainTime)
+	c.Check(pool.plainServiceTime, qt.Not(qt.Equals), plainServiceTime)
 	c.Check(scheduler.Ejections(), qt.Equals, int64(0))
 	scheduler.Done(11*second, callAt(scheduler, 10*second, "b"), Unreachable)
 	c.Check(scheduler.Ejections(), qt.Equals, int64(1))
--- a/internal/router/scheduler/peer_load_test.go
+++ b/internal/router/scheduler/peer_load_test.go
@@ -15,9 +15,10 @@
 	b.set(0, 1000)
 	c.Check(b.remainingAt(0), isNear, 1000.0, 1e-6)
 	c.Check(b.remainingAt(600*time.Millisecond), isNear, 400.0, 1e-6)
-	c.Check(b.remainingAt(5*second), isNear, 250.0, 1e-6, qt.Commentf("a quarter counts until its end is known"))
+	c.Check(b.remainingAt(5*second), isNear, 250.0, 1e-6,
+		qt.Commentf("a quarter counts until its end is reported"))
 	b.set(600*time.Millisecond, 1100)
-	c.Check(b.remainingAt(600*time.Millisecond), isNear, 500.0, 1e-6, qt.Commentf("new work comes on top"))
+	c.Check(b.remainingAt(600*time.Millisecond), isNear, 500.0, 1e-6, qt.Commentf("new work is added"))
 	b.set(600*time.Millisecond, 100)
 	c.Check(b.remainingAt(600*time.Millisecond), isNear, 100.0, 1e-6,
 		qt.Commentf("no more remains than is in flight"))
@@ -25,24 +26,25 @@
 	c.Check(b.remainingAt(second), qt.Equals, 0.0)
 }
 
-// TestPrefillServersThatPeersFillAreAvoided sends prompts that share nothing where other proxies have nothing
-// in flight.
-func TestPrefillServersThatPeersFillAreAvoided(t *testing.T) {
+// TestPrefillServersBusyWithPeerLoadAreAvoided: prompts without a shared prefix go to the only server at
+// which the other proxies have nothing in flight.
+func TestPrefillServersBusyWithPeerLoadAreAvoided(t *testing.T) {
 	r := promptRequest("a", 1)
 	r.Segments = r.Segments[:1]
 	seen := destinations(10*second, r, Prefill, func(scheduler *Scheduler) {
-		var others []InFlightLoad
+		var peerLoad []InFlightLoad
 		for _, s := range scheduler.table.Service(r.Service.Name) {
 			if s.Role == catalog.Prefill && s.ID != "r3" {
-				others = append(others, InFlightLoad{Server: s.ID, Prefill: 2 * second, Calls: 2})
+				peerLoad = append(peerLoad, InFlightLoad{Server: s.ID, Prefill: 2 * second, Calls: 2})
 			}
 		}
-		scheduler.SetPeerLoad(10*second, others, AllServers)
+		scheduler.SetPeerLoad(10*second, peerLoad, AllServers)
 	})
 	qt.Check(t, seen, qt.DeepEquals, map[string]int{"r3": 200})
 }
 
-// TestPeerLoadExpires falls back to the servers' own reports when the other proxies time out.
+// TestPeerLoadExpires: peerLoadTTL after the last report of the other proxies, the scheduler falls back to
+// the servers' own load reports.
 func TestPeerLoadExpires(t *testing.T) {
 	scheduler := warmScheduler(1, 7, 11)
 	scheduler.SetPeerLoad(10*second, nil, AllServers)
@@ -52,7 +54,8 @@
 	qt.Check(t, ok, qt.IsFalse)
 }
 
-// TestInFlightChangesAreTakenOnce: a server is reported where a call began or ended since the last time.
+// TestInFlightChangesAreTakenOnce: a server is reported as changed if a call began or ended there since the
+// last report, and only once.
 func TestInFlightChangesAreTakenOnce(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
@@ -69,23 +72,24 @@
 	c.Check(scheduler.TakeInFlightLoads(ChangedServers), qt.DeepEquals, []InFlightLoad{{call.Server.ID, 0, 0}})
 }
 
-// TestUncachedPromptsGoToTheShorterQueue: where no server caches the shared prefix, the first rank has no
-// advantage; once another proxy has reported that it sent the prefix to a server, that one has.
+// TestUncachedPromptsGoToTheShorterQueue: if no server has cached the shared prefix, the server that ranks
+// first has no advantage. Once another proxy has reported that it sent the prefix to a server, that server
+// has one.
 func TestUncachedPromptsGoToTheShorterQueue(t *testing.T) {
 	c := qt.New(t)
 	r := promptRequest("a", 1)
 	order := rankedPrefillServers(warmScheduler(1, 7, 11), r)
-	busy := []InFlightLoad{{Server: order[0], Prefill: second, Calls: 1}}
-	know := func(scheduler *Scheduler) {
+	peerLoad := []InFlightLoad{{Server: order[0], Prefill: second, Calls: 1}}
+	applyReports := func(scheduler *Scheduler) {
 		scheduler.MarkFleetStart(10 * second)
-		scheduler.SetPeerLoad(10*second, busy, AllServers)
+		scheduler.SetPeerLoad(10*second, peerLoad, AllServers)
 	}
-	seen := destinations(10*second, r, Prefill, know)
+	seen := destinations(10*second, r, Prefill, applyReports)
 	c.Check(seen, qt.DeepEquals, map[string]int{order[1]: 200})
 	chain := newPrefixChain(r)
 	shared, _ := chain.shared()
 	seen = destinations(10*second, r, Prefill, func(scheduler *Scheduler) {
-		know(scheduler)
+		applyReports(scheduler)
 		scheduler.AddCachedPrefixes([]CachedPrefixes{{order[0], []uint64{shared.hash}}})
 	})
 	c.Check(seen, qt.DeepEquals, map[string]int{order[0]: 200})
--- a/internal/router/scheduler/prefix_affinity_test.go
+++ b/internal/router/scheduler/prefix_affinity_test.go
@@ -24,12 +24,12 @@
 	order := rankedPrefillServers(warmScheduler(1, 7, 11), r)
 	tests := []struct {
 		name    string
-		running int // at the first rank
-		min     int // of 200 calls that go there
+		running int // requests at the server that ranks first
+		min     int // minimum of 200 calls that go there
 		max     int
 	}{
-		{"a shorter queue", 4, 200, 200},
-		{"a far longer one", 30, 0, 20},
+		{"a short queue", 4, 200, 200},
+		{"a much longer queue", 30, 0, 20},
 	}
 	for _, test := range tests {
 		seen := destinations(10*second, r, Prefill, func(scheduler *Scheduler) {
@@ -41,9 +41,10 @@
 	}
 }
 
-// TestBothRanksBusyForAMomentKeepTheirPrompt leaves a prompt where its prefix is unless the queues there are
-// longer by far than elsewhere; at a third server it would be prefilled again by whoever does not know of it.
-func TestBothRanksBusyForAMomentKeepTheirPrompt(t *testing.T) {
+// TestBrieflyBusyServersKeepTheirPrompt: a prompt goes to the two servers that have cached its prefix unless
+// the queues there are much longer than elsewhere. A prefill at a third server would be repeated by every
+// proxy that does not know of it.
+func TestBrieflyBusyServersKeepTheirPrompt(t *testing.T) {
 	r := promptRequest("a", 1)
 	order := rankedPrefillServers(warmScheduler(1, 7, 11), r)
 	seen := destinations(10*second, r, Prefill, func(scheduler *Scheduler) {
@@ -55,9 +56,9 @@
 	qt.Check(t, seen[order[0]]+seen[order[1]], qt.Equals, 200, qt.Commentf("%v", seen))
 }
 
-// TestPrefixKnownToThisProxyAloneIsNotFollowed does not follow a copy that only this proxy knows of, because
-// all others keep to the ranks.
-func TestPrefixKnownToThisProxyAloneIsNotFollowed(t *testing.T) {
+// TestPrefixKnownToThisProxyAloneDoesNotChangeTheRanks: a copy that only this proxy knows of attracts no
+// prompts, because all other proxies use the ranks.
+func TestPrefixKnownToThisProxyAloneDoesNotChangeTheRanks(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
 	r := promptRequest("a", 1)
@@ -71,8 +72,8 @@
 	chain := newPrefixChain(again)
 	p := scheduler.pool(11*second, again.Service)
 	eligible := scheduler.eligible(11*second, p, again, Prefill, &chain)
-	candidates, n := scheduler.prefixAffinity(11*second, p, Prefill, eligible, &chain)
-	c.Check(n, qt.Equals, 1)
+	candidates, arrivalServers := scheduler.prefixAffinity(11*second, p, Prefill, eligible, &chain)
+	c.Check(arrivalServers, qt.Equals, 1)
 	c.Assert(candidates, qt.HasLen, minAffinityServers)
 	c.Check([]string{candidates[0].ID, candidates[1].ID}, qt.DeepEquals, order[:minAffinityServers])
 }
@@ -97,8 +98,8 @@
 	scheduler := warmScheduler(1, 7, 11)
 	now, cached, prefills := 10*second, map[string]bool{}, 0
 	crashed := ""
-	for own := range 12 {
-		r := promptRequest("a", own)
+	for ownNumber := range 12 {
+		r := promptRequest("a", ownNumber)
 		call := scheduler.Choose(now, r, Prefill, nil)
 		if call.Server.ID == crashed {
 			scheduler.Done(now, call, Unreachable)
@@ -112,7 +113,7 @@
 		now += 300 * time.Millisecond
 		scheduler.ObserveLoad(now, call.Server.ID, Load{Slots: 32})
 		scheduler.Done(now, call, Served)
-		switch own {
+		switch ownNumber {
 		case 5:
 			crashed = call.Server.ID
 		case 8:
@@ -126,36 +127,37 @@
 	return slices.DeleteFunc(servers, func(s *catalog.Server) bool { return s.ID == id })
 }
 
-func TestRollingReleaseKeepsTheOtherPromptsInPlace(t *testing.T) {
+func TestRollingUpdateMovesOnlyPromptsOfReplacedServers(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 10, 4)
 	before := map[string]string{}
-	for thing := range 60 {
-		r := promptRequest(fmt.Sprint(thing), 0)
-		before[fmt.Sprint(thing)] = rankedPrefillServers(scheduler, r)[0]
+	for prompt := range 60 {
+		r := promptRequest(fmt.Sprint(prompt), 0)
+		before[fmt.Sprint(prompt)] = rankedPrefillServers(scheduler, r)[0]
 	}
 	servers := modelServers(10, 4)
 	replaced := map[string]bool{}
 	for i := range servers[:4] {
 		replaced[servers[i].ID] = true
-		younger := *servers[i]
-		younger.ID += "-new"
-		servers[i] = &younger
+		replacement := *servers[i]
+		replacement.ID += "-new"
+		servers[i] = &replacement
 	}
 	slices.SortFunc(servers, func(x, y *catalog.Server) int { return strings.Compare(x.ID, y.ID) })
 	scheduler.Update(20*second, catalog.NewTable(servers))
-	for thing, was := range before {
-		r := promptRequest(thing, 1)
-		now := rankedPrefillServers(scheduler, r)[0]
-		moved := now != was && !replaced[was] && !strings.HasSuffix(now, "-new")
-		c.Check(moved, qt.IsFalse, qt.Commentf("%s: %s to %s", thing, was, now))
+	for prompt, oldServer := range before {
+		r := promptRequest(prompt, 1)
+		newServer := rankedPrefillServers(scheduler, r)[0]
+		moved := newServer != oldServer && !replaced[oldServer] && !strings.HasSuffix(newServer, "-new")
+		c.Check(moved, qt.IsFalse, qt.Commentf("%s: %s to %s", prompt, oldServer, newServer))
 		call := scheduler.Choose(21*second, r, Prefill, nil)
 		c.Check(replaced[call.Server.ID], qt.IsFalse)
 		scheduler.Done(21*second, call, Abandoned)
 	}
 }
 
-// syncedScheduler returns the scheduler of a proxy that gets the reports of others, which know of no prefix.
+// syncedScheduler returns the scheduler of a proxy that receives the reports of the other proxies, which know
+// no cached prefix.
 func syncedScheduler(prefillServers, decodeServers int) *Scheduler {
 	scheduler := warmScheduler(1, prefillServers, decodeServers)
 	scheduler.MarkFleetStart(10 * second)
@@ -163,34 +165,34 @@
 	return scheduler
 }
 
-// affinityServers returns the prefill servers that a prompt may go to, and the servers that its arrivals
-// stand for.
+// affinityServers returns the prefill servers that a prompt may go to, and the number of servers whose
+// arrivals compete for them.
 func affinityServers(scheduler *Scheduler, r *Request) ([]string, int) {
 	chain := newPrefixChain(r)
 	p := scheduler.pool(10*second, r.Service)
 	eligible := scheduler.eligible(10*second, p, r, Prefill, &chain)
-	candidates, n := scheduler.prefixAffinity(10*second, p, Prefill, eligible, &chain)
+	candidates, arrivalServers := scheduler.prefixAffinity(10*second, p, Prefill, eligible, &chain)
 	ids := make([]string, len(candidates))
 	for i := range candidates {
 		ids[i] = candidates[i].ID
 	}
-	return ids, n
+	return ids, arrivalServers
 }
 
-// TestFirstPrefillsMayGoToAFractionOfTheServers: where no server caches the shared prefix, the
-// prefill servers that rank first for it may prefill it, more of them in a larger fleet.
+// TestFirstPrefillsMayGoToAFractionOfTheServers: if no server has cached the shared prefix, any of the
+// prefill servers that rank first for it may prefill it, and their number grows with the fleet.
 func TestFirstPrefillsMayGoToAFractionOfTheServers(t *testing.T) {
 	for prefillServers, want := range map[int]int{2: 2, 6: 2, 8: 2, 9: 3, 20: 5, 97: 25} {
 		scheduler, r := syncedScheduler(prefillServers, prefillServers+5), promptRequest("a", 1)
-		ids, n := affinityServers(scheduler, r)
+		ids, arrivalServers := affinityServers(scheduler, r)
 		qt.Check(t, ids, qt.DeepEquals, rankedPrefillServers(scheduler, r)[:want])
-		qt.Check(t, n, qt.Equals, want-1)
+		qt.Check(t, arrivalServers, qt.Equals, want-1)
 	}
 }
 
-// TestCachingServersRankBeforeOthers: a prompt goes to the prefill servers that are reported to cache its
-// shared prefix, wherever these rank; of many, to those that all proxies rank first, so that the other copies
-// fall out of use.
+// TestCachingServersRankBeforeOthers: a prompt goes to the prefill servers that are reported to have cached
+// its shared prefix, whatever their scores. If there are many, it goes to those that all proxies rank first,
+// so that the other copies are no longer used.
 func TestCachingServersRankBeforeOthers(t *testing.T) {
 	c := qt.New(t)
 	r := promptRequest("a", 1)
@@ -206,8 +208,8 @@
 		for _, id := range test.holders {
 			scheduler.AddCachedPrefixes([]CachedPrefixes{{id, []uint64{shared.hash}}})
 		}
-		ids, n := affinityServers(scheduler, r)
+		ids, arrivalServers := affinityServers(scheduler, r)
 		c.Check(ids, qt.DeepEquals, test.want)
-		c.Check(n, qt.Equals, 1)
+		c.Check(arrivalServers, qt.Equals, 1)
 	}
 }
--- a/internal/router/scheduler/prefix_chain_test.go
+++ b/internal/router/scheduler/prefix_chain_test.go
@@ -21,7 +21,7 @@
 	ab, ac, cb := chainOfSegments("a", "b"), chainOfSegments("a", "c"), chainOfSegments("c", "b")
 	c.Check(ab.hashes[0], qt.Equals, ac.hashes[0])
 	c.Check(ab.hashes[1], qt.Not(qt.Equals), ac.hashes[1])
-	c.Check(ab.hashes[1], qt.Not(qt.Equals), cb.hashes[1], qt.Commentf("the same segment behind another one"))
+	c.Check(ab.hashes[1], qt.Not(qt.Equals), cb.hashes[1], qt.Commentf("the same segment after a different one"))
 }
 
 func TestSharedPrefixIsAllButTheLastSegment(t *testing.T) {
--- a/internal/router/scheduler/prefix_exchange_test.go
+++ b/internal/router/scheduler/prefix_exchange_test.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// TestNewPrefixesAreReportedOnce reports a prefix when it is first sent to a server, and not again.
+// TestNewPrefixesAreReportedOnce: a prefix is reported when it is first sent to a server, and not again.
 func TestNewPrefixesAreReportedOnce(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
@@ -22,12 +22,13 @@
 	c.Check(scheduler.TakeNewPrefixes(), qt.HasLen, 0)
 }
 
-// TestPrefixesAreAssumedAfterAGapInReports assumes that the first rank caches a prefix after a gap in the
-// peers' reports.
+// TestPrefixesAreAssumedAfterAGapInReports: after a gap in the other proxies' reports, this proxy may have
+// missed prefixes until prefixCatchUpTime has passed, and assumes that the servers that rank first have
+// cached them.
 func TestPrefixesAreAssumedAfterAGapInReports(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
-	c.Check(scheduler.prefixesKnown(10*second), qt.IsFalse, qt.Commentf("started after others"))
+	c.Check(scheduler.prefixesKnown(10*second), qt.IsFalse, qt.Commentf("this proxy started after the others"))
 	scheduler.MarkFleetStart(10 * second)
 	scheduler.SetPeerLoad(11*second, nil, AllServers)
 	c.Check(scheduler.prefixesKnown(11*second), qt.IsTrue)
@@ -40,8 +41,8 @@
 	c.Check(scheduler.prefixesKnown(late), qt.IsTrue)
 }
 
-// TestKnownPrefixesBringALateProxyUpToDate brings a proxy that starts late up to date.
-func TestKnownPrefixesBringALateProxyUpToDate(t *testing.T) {
+// TestKnownPrefixesInitializeALateProxy: a proxy that starts late gets the known prefixes from another one.
+func TestKnownPrefixesInitializeALateProxy(t *testing.T) {
 	c := qt.New(t)
 	early, late := warmScheduler(1, 7, 11), warmScheduler(2, 7, 11)
 	r := promptRequest("a", 1)
@@ -54,8 +55,8 @@
 	c.Check(early.KnownPrefixes(0), qt.HasLen, 0)
 }
 
-// TestKnownPrefixesIncludeThoseOfPeersBeforeTheFirstDecision passes on what a proxy got from others, as after
-// a loss of all processes, where it knows the servers and has not had a request yet.
+// TestKnownPrefixesIncludeThoseOfPeersBeforeTheFirstDecision: a proxy passes on the prefixes that it got from
+// others as soon as it knows the servers, even before its first request, as after a loss of all processes.
 func TestKnownPrefixesIncludeThoseOfPeersBeforeTheFirstDecision(t *testing.T) {
 	c := qt.New(t)
 	known := warmScheduler(1, 7, 11)
@@ -70,8 +71,8 @@
 	c.Check(restarted.KnownPrefixes(100), qt.DeepEquals, prefixes)
 }
 
-// TestKnownPrefixesKeepTheOrderOfUse: a proxy that got them from another one, or from its disk, forgets those
-// first that were used the longest ago.
+// TestKnownPrefixesKeepTheOrderOfUse: a proxy that got the prefixes from another one, or from its disk,
+// evicts the least recently used ones first.
 func TestKnownPrefixesKeepTheOrderOfUse(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
@@ -82,13 +83,13 @@
 	c.Check(scheduler.KnownPrefixes(2), qt.DeepEquals, []CachedPrefixes{{server, []uint64{1, 2}}})
 }
 
-// TestPrefixesOfAServerThatLeftTheTableAreReported: it may be missing for a moment only.
+// TestPrefixesOfAServerThatLeftTheTableAreReported: the server may return soon, with its cache.
 func TestPrefixesOfAServerThatLeftTheTableAreReported(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
 	call := scheduler.Choose(10*second, promptRequest("a", 1), Prefill, nil)
-	isIts := func(s *catalog.Server) bool { return s.ID == call.Server.ID }
-	scheduler.Update(10*second, catalog.NewTable(slices.DeleteFunc(modelServers(7, 11), isIts)))
+	isCalled := func(s *catalog.Server) bool { return s.ID == call.Server.ID }
+	scheduler.Update(10*second, catalog.NewTable(slices.DeleteFunc(modelServers(7, 11), isCalled)))
 	prefixes := scheduler.TakeNewPrefixes()
 	c.Assert(prefixes, qt.HasLen, 1)
 	c.Check(prefixes[0].Server, qt.Equals, call.Server.ID)
--- a/internal/router/scheduler/prefix_popularity_test.go
+++ b/internal/router/scheduler/prefix_popularity_test.go
@@ -8,7 +8,7 @@
 
 func TestPopularPrefixesMayGoToMoreServers(t *testing.T) {
 	for _, test := range []struct {
-		every   int // one prompt in so many has the name
+		every   int // one in this many prompts has the prefix
 		servers int
 		want    int
 	}{
@@ -16,11 +16,11 @@
 	} {
 		var p prefixPopularity
 		for i := range 10 * popularityWindow {
-			name := uint64(1000 + i)
+			prefix := uint64(1000 + i)
 			if i%test.every == 0 {
-				name = 7
+				prefix = 7
 			}
-			p.record(name)
+			p.record(prefix)
 		}
 		qt.Check(t, p.affinityServerCount(7, test.servers), qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
--- a/internal/router/scheduler/queue_delay_test.go
+++ b/internal/router/scheduler/queue_delay_test.go
@@ -66,11 +66,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			scheduler, r := plainScheduler(test.servers), &Request{Service: plainService()}
 			test.prepare(scheduler, r)
-			tried := len(r.Excluded)
+			excluded := len(r.Excluded)
 			alternative := scheduler.Alternative(10*second, r, "a")
 			qt.Check(t, alternative.Exists, qt.Equals, test.exists)
 			qt.Check(t, alternative.HasFreeSlot, qt.Equals, test.free)
-			qt.Check(t, r.Excluded, qt.HasLen, tried)
+			qt.Check(t, r.Excluded, qt.HasLen, excluded)
 		})
 	}
 }
@@ -84,7 +84,7 @@
 	}
 	delay := scheduler.QueueDelay(10*second, &Request{Service: plainService()})
 	qt.Check(t, delay.HasFreeSlot, qt.IsFalse)
-	qt.Check(t, ms(delay.Wait), isNear, 80.0*4/4, 1e-3, qt.Commentf("three before it and its own turn"))
+	qt.Check(t, ms(delay.Wait), isNear, 80.0*4/4, 1e-3, qt.Commentf("the fourth to wait for one of four slots"))
 }
 
 func TestRequestStartsWithinADelay(t *testing.T) {
--- a/internal/router/scheduler/scheduler_test.go
+++ b/internal/router/scheduler/scheduler_test.go
@@ -15,19 +15,19 @@
 	scheduler := warmUp(modelScheduler(1, 3, 3), 10*second)
 	r := promptRequest("a", 1)
 	c.Assert(scheduler.Split(10*second, r), qt.IsTrue)
-	read := scheduler.Choose(10*second, r, Prefill, nil)
-	c.Assert(read.Server.Role, qt.Equals, catalog.Prefill)
-	write := scheduler.Choose(10*second, r, Decode, read.Server)
-	c.Assert(write.Server.Role, qt.Equals, catalog.Decode)
+	prefillCall := scheduler.Choose(10*second, r, Prefill, nil)
+	c.Assert(prefillCall.Server.Role, qt.Equals, catalog.Prefill)
+	decodeCall := scheduler.Choose(10*second, r, Decode, prefillCall.Server)
+	c.Assert(decodeCall.Server.Role, qt.Equals, catalog.Decode)
 }
 
-// TestExpectationCountsUncachedTokens: a second prompt with the same shared prefix is expected to prefill its
-// own tokens alone, and to be answered sooner.
+// TestExpectationCountsUncachedTokens: for a second prompt with the same shared prefix, only the tokens of
+// its own are expected to be prefilled, and an earlier response is expected.
 func TestExpectationCountsUncachedTokens(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmUp(modelScheduler(1, 1, 1), 10*second)
-	prefill := func(own int) Expectation {
-		call := scheduler.Choose(10*second, promptRequest("a", own), Prefill, nil)
+	prefill := func(ownNumber int) Expectation {
+		call := scheduler.Choose(10*second, promptRequest("a", ownNumber), Prefill, nil)
 		scheduler.Done(10*second+time.Millisecond, call, Served)
 		return call.Expected()
 	}
@@ -47,7 +47,7 @@
 	c.Assert(scheduler.LastSuccess("b"), qt.Equals, LastSuccess{Exists: true, At: 4 * second})
 }
 
-// prefillDuration is what a prefill server of these tests takes.
+// prefillDuration returns how long a prefill server of these tests takes for that many tokens.
 func prefillDuration(tokens int) time.Duration {
 	return 15*time.Millisecond + time.Duration(tokens)*time.Millisecond/40
 }
@@ -58,14 +58,14 @@
 	proxies := []*Scheduler{warmUp(modelScheduler(1, 7, 11), 10*second), warmUp(modelScheduler(2, 7, 11),
 		10*second)}
 	now := 10 * second
-	for thing := range 30 {
+	for prompt := range 30 {
 		seen := map[string]int{}
-		for own := range 6 {
-			scheduler := proxies[own%2]
-			r := promptRequest(fmt.Sprint("thing", thing), own)
+		for ownNumber := range 6 {
+			scheduler := proxies[ownNumber%2]
+			r := promptRequest(fmt.Sprint("thing", prompt), ownNumber)
 			call := scheduler.Choose(now, r, Prefill, nil)
 			seen[call.Server.ID]++
-			tokens, key := 2000, fmt.Sprint(call.Server.ID, thing)
+			tokens, key := 2000, fmt.Sprint(call.Server.ID, prompt)
 			if !cached[key] {
 				cached[key], tokens = true, 14000
 			}
@@ -75,17 +75,17 @@
 			scheduler.Done(now, call, Served)
 			now += 300 * time.Millisecond
 		}
-		c.Check(seen, qt.HasLen, 1, qt.Commentf("thing %d", thing))
+		c.Check(seen, qt.HasLen, 1, qt.Commentf("prompt %d", prompt))
 	}
 }
 
-func TestNoServerOnlyWhereAllAreExcluded(t *testing.T) {
+func TestChooseReturnsNilOnlyIfAllServersAreExcluded(t *testing.T) {
 	c := qt.New(t)
 	scheduler := modelScheduler(1, 1, 2)
 	r := promptRequest("a", 1)
 	for _, id := range []string{"w0", "w1"} {
 		for range 3 {
-			call := scheduler.Choose(second, &Request{Service: r.Service, Excluded: other(id)}, Decode, nil)
+			call := scheduler.Choose(second, &Request{Service: r.Service, Excluded: otherThan(id)}, Decode, nil)
 			c.Assert(call.Server.ID, qt.Equals, id)
 			scheduler.Done(second, call, Unreachable)
 		}
@@ -95,7 +95,8 @@
 	c.Assert(scheduler.Choose(second, r, Decode, nil), qt.IsNil)
 }
 
-func other(id string) []string {
+// otherThan returns the id of the other one of two decode servers.
+func otherThan(id string) []string {
 	if id == "w0" {
 		return []string{"w1"}
 	}
@@ -127,11 +128,11 @@
 		now += time.Millisecond
 		r := requests[i%len(requests)]
 		scheduler.Split(now, r)
-		read := scheduler.Choose(now, r, Prefill, nil)
-		write := scheduler.Choose(now, r, Decode, read.Server)
-		scheduler.Done(now, read, Served)
-		scheduler.FirstEvent(now, write)
-		scheduler.Done(now, write, Served)
+		prefillCall := scheduler.Choose(now, r, Prefill, nil)
+		decodeCall := scheduler.Choose(now, r, Decode, prefillCall.Server)
+		scheduler.Done(now, prefillCall, Served)
+		scheduler.FirstEvent(now, decodeCall)
+		scheduler.Done(now, decodeCall, Served)
 	}
 }
 
--- a/internal/router/scheduler/server_state_test.go
+++ b/internal/router/scheduler/server_state_test.go
@@ -36,11 +36,11 @@
 		want  float64
 	}{
 		{"at once", 0, nil, 400},
-		{"after a while", 60 * time.Millisecond, nil, 340},
-		{"no less than a quarter", 900 * time.Millisecond, nil, 100},
-		{"one has ended", time.Second, first, 300},
-		{"the next runs", 1100 * time.Millisecond, nil, 200},
-		{"it has ended", 1200 * time.Millisecond, second, 100},
+		{"after 60 ms", 60 * time.Millisecond, nil, 340},
+		{"not less than a quarter", 900 * time.Millisecond, nil, 100},
+		{"the first has ended", time.Second, first, 300},
+		{"the second runs", 1100 * time.Millisecond, nil, 200},
+		{"the second has ended", 1200 * time.Millisecond, second, 100},
 		{"all have ended", 1300 * time.Millisecond, third, 0},
 		{"long after", time.Minute, nil, 0},
 	}
@@ -61,8 +61,8 @@
 	}{
 		{"listed long ago", &serverState{speed: 1.5}, time.Minute, 1.5},
 		{"just listed", &serverState{speed: 1, listedAt: time.Minute}, time.Minute, slowStartMinWeight},
-		{"half way", &serverState{speed: 1, listedAt: time.Minute}, time.Minute + slowStartWindow/2,
-			(1 + slowStartMinWeight) / 2},
+		{"halfway through the slow start", &serverState{speed: 1, listedAt: time.Minute},
+			time.Minute + slowStartWindow/2, (1 + slowStartMinWeight) / 2},
 		{"warming up", &serverState{speed: 1, warmUpEndsAt: 2 * time.Minute}, time.Minute, warmUpWeight},
 	}
 	for _, test := range tests {
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestOlderReportsChangeNothing: a report that is overtaken counts neither as the load nor towards the
+// TestOlderReportsChangeNothing: a report that arrives after a newer one changes neither the load nor the
 // utilization.
 func TestOlderReportsChangeNothing(t *testing.T) {
 	c := qt.New(t)
--- a/internal/router/scheduler/split_test.go
+++ b/internal/router/scheduler/split_test.go
@@ -49,8 +49,8 @@
 	qt.Check(t, New("z0", 1).Split(0, &Request{Service: plainService()}), qt.IsFalse)
 }
 
-// TestDecodeServerThatCachesNearlyAllServes: a session's next request finds its memory where the last one
-// ran.
+// TestDecodeServerThatCachesNearlyAllServes: the next request of a session goes to the decode server that ran
+// the previous one and has cached nearly all of its prompt.
 func TestDecodeServerThatCachesNearlyAllServes(t *testing.T) {
 	c := qt.New(t)
 	scheduler := warmScheduler(1, 7, 11)
--- a/internal/router/scheduler/water_level_test.go
+++ b/internal/router/scheduler/water_level_test.go
@@ -10,35 +10,36 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func testServer(others float64, reportedAt time.Duration) *serverState {
+// testServer returns a server with 10 slots that reported otherCalls calls of other proxies.
+func testServer(otherCalls float64, reportedAt time.Duration) *serverState {
 	s := newServerState(0, &catalog.Server{ID: "a", Slots: 10, Role: catalog.Decode})
-	s.reportedOtherCalls, s.baselineOtherCalls = others, movingMean{others, 1}
+	s.reportedOtherCalls, s.baselineOtherCalls = otherCalls, movingMean{otherCalls, 1}
 	s.reportedAt, s.hasReport = reportedAt, true
 	return s
 }
 
-func TestOthersDecayTowardsTheBaseline(t *testing.T) {
-	const service, parallel, average = 100.0, 1.0, 2.0
-	usual := (average*baselinePrior + 8*1) / (baselinePrior + 1)
-	tau := decayServiceTimes * (1 + 8.0) * service
+func TestEstimatedOtherCallsDecayTowardsTheBaseline(t *testing.T) {
+	const serviceMs, slots, meanOtherCalls = 100.0, 1.0, 2.0
+	baseline := (meanOtherCalls*baselinePrior + 8*1) / (baselinePrior + 1)
+	tauMs := decayServiceTimes * (1 + 8.0) * serviceMs
 	tests := []struct {
 		age  time.Duration
 		want float64
 	}{
 		{0, 8},
-		{duration(tau), usual + (8-usual)/math.E},
-		{duration(2 * tau), usual + (8-usual)/math.E/math.E},
-		{time.Hour, usual},
+		{duration(tauMs), baseline + (8-baseline)/math.E},
+		{duration(2 * tauMs), baseline + (8-baseline)/math.E/math.E},
+		{time.Hour, baseline},
 	}
 	for _, test := range tests {
 		t.Run(test.age.String(), func(t *testing.T) {
-			got := testServer(8, second).estimatedOtherCalls(second+test.age, average, parallel, service)
+			got := testServer(8, second).estimatedOtherCalls(second+test.age, meanOtherCalls, slots, serviceMs)
 			qt.Check(t, got, isNear, test.want, 1e-6)
 		})
 	}
 }
 
-func TestServerWithoutReportHasTheMeanOfTheOthers(t *testing.T) {
+func TestServerWithoutReportHasTheMeanOfReportedServers(t *testing.T) {
 	c := qt.New(t)
 	unknown := newServerState(0, &catalog.Server{ID: "b"})
 	all := []*serverState{testServer(2, 0), testServer(4, 0), unknown}
@@ -52,11 +53,11 @@
 	p.prefillTime, p.timePerToken = newLinearFit(10, 0.02, 1000, 1), newLinearFit(5, 0.5, 10, 1)
 	p.prefillTokens, p.outputTokens = movingMean{2000, 1}, movingMean{20, 1}
 	const now = second
-	reading, running := testServer(2, now), testServer(4, now)
+	prefilling, decoding := testServer(2, now), testServer(4, now)
 	late, direct := testServer(0, now), testServer(0, now)
-	reading.beginCall(&Call{prefillMs: 80, startedAt: now})
-	reading.ownPrefillAt = now
-	running.beginCall(&Call{startedAt: now})
+	prefilling.beginCall(&Call{prefillMs: 80, startedAt: now})
+	prefilling.ownPrefillAt = now
+	decoding.beginCall(&Call{startedAt: now})
 	late.lateness = lateness{50, now}
 	direct.beginCall(&Call{prefillMs: 70, startedAt: now})
 	direct.ownPrefillAt = now
@@ -66,17 +67,17 @@
 		s    *serverState
 		want float64
 	}{
-		{"prefill: own work and others' calls", Prefill, reading, 80 + 2*(10+0.02*2000)},
-		{"decode: calls over slots, each as slow as they are many", Decode, running, 20 * (5 + 0.5*5) * 5 / 10},
+		{"prefill: own work and other proxies' calls", Prefill, prefilling, 80 + 2*(10+0.02*2000)},
+		{"decode: calls over slots, each slower with more calls", Decode, decoding, 20 * (5 + 0.5*5) * 5 / 10},
 		{"decode: lateness", Decode, late, 50},
-		{"decode: prefills there do not count", Decode, direct, 20 * (5 + 0.5*1) / 10},
-		{"serve: prefills there do", Serve, direct, 70 + 20*(5+0.5*1)/10},
+		{"decode: direct prefills do not count", Decode, direct, 20 * (5 + 0.5*1) / 10},
+		{"serve: direct prefills count", Serve, direct, 70 + 20*(5+0.5*1)/10},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			x := candidate{serverState: test.s}
-			p.estimateQueue(now, test.role, 0, &x)
-			qt.Check(t, x.queueMs, isNear, test.want, 1e-6)
+			c := candidate{serverState: test.s}
+			p.estimateQueue(now, test.role, 0, &c)
+			qt.Check(t, c.queueMs, isNear, test.want, 1e-6)
 		})
 	}
 }
@@ -84,7 +85,7 @@
 func TestQueueEstimateWithoutModel(t *testing.T) {
 	p := newServicePool(plainService())
 	p.plainServiceTime = movingMean{40, 1}
-	x := candidate{serverState: testServer(5, second)}
-	p.estimateQueue(second, Serve, 0, &x)
-	qt.Check(t, x.queueMs, isNear, 40.0*5/10, 1e-6)
+	c := candidate{serverState: testServer(5, second)}
+	p.estimateQueue(second, Serve, 0, &c)
+	qt.Check(t, c.queueMs, isNear, 40.0*5/10, 1e-6)
 }
--- a/internal/router/scheduler/zone_preference_test.go
+++ b/internal/router/scheduler/zone_preference_test.go
@@ -11,12 +11,12 @@
 
 func TestDecodeServersInTheZoneArePreferred(t *testing.T) {
 	tests := []struct {
-		name    string
-		zone    string // of the prefill server
-		servers int
-		inside  int // calls at each decode server of the zone
-		outside int // calls at each other one
-		only    bool
+		name     string
+		zone     string // of the prefill server
+		servers  int
+		inside   int // calls at each decode server in the zone
+		outside  int // calls at each decode server outside the zone
+		onlyZone bool
 	}{
 		{"idle", "z1", 11, 0, 0, true},
 		{"zone a little busier", "z1", 11, 4, 0, true},
@@ -40,8 +40,8 @@
 				call := scheduler.Choose(10*second+100*time.Millisecond, promptRequest("a", 1), Decode, prefillServer)
 				zones[call.Server.Zone]++
 			}
-			only := len(zones) == 1 && zones[test.zone] > 0
-			qt.Check(t, only, qt.Equals, test.only, qt.Commentf("%v", zones))
+			onlyZone := len(zones) == 1 && zones[test.zone] > 0
+			qt.Check(t, onlyZone, qt.Equals, test.onlyZone, qt.Commentf("%v", zones))
 		})
 	}
 }
@@ -49,8 +49,8 @@
 func TestTransferCostsMoreAcrossZones(t *testing.T) {
 	scheduler := warmScheduler(1, 1, 2)
 	p, chain := scheduler.pool(10*second, modelService()), newPrefixChain(promptRequest("a", 1))
-	eligible := scheduler.eligible(10*second, p, promptRequest("a", 1), Decode, &chain)
-	all := scheduler.preferZone(p, eligible, &chain, &catalog.Server{Zone: "z1"})
+	candidates := scheduler.eligible(10*second, p, promptRequest("a", 1), Decode, &chain)
+	all := scheduler.preferZone(p, candidates, &chain, &catalog.Server{Zone: "z1"})
 	for i := range all {
 		want := p.transferTime(14000, all[i].Zone != "z1")
 		qt.Check(t, all[i].costMs, isNear, want, 1e-9)
