--- a/internal/router/scheduler/arrivals_test.go
+++ b/internal/router/scheduler/arrivals_test.go
@@ -17,7 +17,7 @@
 		all  []candidate
 		want float64
 	}{
-		{"no candidates", nil, 0},
+		{"none", nil, 0},
 		{"just reported", []candidate{reportedAgo(0), reportedAgo(0)}, 0},
 		{"the mean of the ages", []candidate{
 			reportedAgo(20 * time.Millisecond), reportedAgo(60 * time.Millisecond),
