--- a/internal/router/scheduler/server_state_test.go
+++ b/internal/router/scheduler/server_state_test.go
@@ -14,11 +14,11 @@
 	s.beginCall(early)
 	s.beginCall(late)
 	s.recordReport(2*second, Load{Running: 3, Waiting: 1, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 3.0, qt.Commentf("four reported, one of them this proxy's"))
+	c.Check(s.reportedOtherCalls, qt.Equals, 3.0, qt.Commentf("four reported, one of them this proxy's"))
 	s.recordReport(4*second, Load{Running: 1, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("fewer reported than this proxy has"))
+	c.Check(s.reportedOtherCalls, qt.Equals, 0.0, qt.Commentf("fewer reported than this proxy has"))
 	s.recordReport(3*second, Load{Running: 9, Slots: 10})
-	c.Check(s.reportedOthers, qt.Equals, 0.0, qt.Commentf("an older report"))
+	c.Check(s.reportedOtherCalls, qt.Equals, 0.0, qt.Commentf("an older report"))
 	s.endCall(5*second, early)
 	c.Check(s.calls, qt.HasLen, 1)
 }
@@ -36,11 +36,11 @@
 		want  float64
 	}{
 		{"at once", 0, nil, 400},
-		{"after a while", 60 * time.Millisecond, nil, 340},
-		{"no less than a quarter", 900 * time.Millisecond, nil, 100},
-		{"one has ended", time.Second, first, 300},
-		{"the next runs", 1100 * time.Millisecond, nil, 200},
-		{"it has ended", 1200 * time.Millisecond, second, 100},
+		{"after 60 ms", 60 * time.Millisecond, nil, 340},
+		{"not less than a quarter", 900 * time.Millisecond, nil, 100},
+		{"the first has ended", time.Second, first, 300},
+		{"the second runs", 1100 * time.Millisecond, nil, 200},
+		{"the second has ended", 1200 * time.Millisecond, second, 100},
 		{"all have ended", 1300 * time.Millisecond, third, 0},
 		{"long after", time.Minute, nil, 0},
 	}
@@ -61,16 +61,16 @@
 	}{
 		{"listed long ago", &serverState{speed: 1.5}, time.Minute, 1.5},
 		{"just listed", &serverState{speed: 1, listedAt: time.Minute}, time.Minute, slowStartMinWeight},
-		{"half way", &serverState{speed: 1, listedAt: time.Minute}, time.Minute + slowStartWindow/2,
-			(1 + slowStartMinWeight) / 2},
-		{"warming up", &serverState{speed: 1, warmAt: 2 * time.Minute}, time.Minute, warmUpWeight},
+		{"halfway through the slow start", &serverState{speed: 1, listedAt: time.Minute},
+			time.Minute + slowStartWindow/2, (1 + slowStartMinWeight) / 2},
+		{"warming up", &serverState{speed: 1, warmUpEndsAt: 2 * time.Minute}, time.Minute, warmUpWeight},
 	}
 	for _, test := range tests {
 		qt.Check(t, test.s.weight(test.now), isNear, test.want, 1e-6, qt.Commentf(test.name))
 	}
 }
 
-// TestOlderReportsChangeNothing: a report that is overtaken counts neither as the load nor towards the
+// TestOlderReportsChangeNothing: a report that arrives after a newer one changes neither the load nor the
 // utilization.
 func TestOlderReportsChangeNothing(t *testing.T) {
 	c := qt.New(t)
