--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -91,7 +91,7 @@
 	agent.state.learnView(2, []peerproto.MemberInfo{{ID: "m", Address: "127.0.0.9"}})
 	agent.hubs.links["127.0.0.9"] = &hub{ip: "127.0.0.9"}
 	c.Assert(agent.quorum.awaitMajority(1, 0), qt.IsFalse)
-	agent.hubs.links["127.0.0.9"].state.replicatedTo = 1
+	agent.hubs.links["127.0.0.9"].state.replicatedOffset = 1
 	c.Assert(agent.quorum.awaitMajority(1, 0), qt.IsTrue)
 }
 
--- a/internal/router/agent/anti_entropy.go
+++ b/internal/router/agent/anti_entropy.go
@@ -17,40 +17,43 @@
 	// initialAntiEntropyInterval is the same for a hub that is not synced yet.
 	initialAntiEntropyInterval = 100 * time.Millisecond
 	antiEntropyTimeout         = time.Second
-	// maxFruitlessDoublings bounds how often the interval doubles after comparisons in which ranges differed and
-	// nothing new came. Processes of releases whose digests are made otherwise differ so until the end of an
-	// upgrade, and would send all their records each time.
-	maxFruitlessDoublings = 4
-	// hubSyncHeartbeats is after how many intervals of heartbeats since its start a hub counts as synced, even
-	// if no other hub is: by then the servers have called.
+	// maxIntervalDoublings bounds the exponential backoff of the interval after comparisons in which ranges
+	// differed but no record was newer. The backoff limits the traffic of a rolling upgrade: until it ends,
+	// processes whose releases compute digests differently find differences in every comparison, and send all
+	// their records each time.
+	maxIntervalDoublings = 4
+	// hubSyncHeartbeats is the uptime, in heartbeat intervals, after which a hub counts as synced even if no
+	// other hub is synced: by then the servers have sent heartbeats.
 	hubSyncHeartbeats = 2
 )
 
-// antiEntropy repairs the differences between the directory and those of the hubs: it compares range digests
-// and exchanges the records of the ranges that differ. It has no state but the directory, which is in the
-// state. One goroutine compares, in run; handleCompare is safe for concurrent use.
+// antiEntropy repairs the differences between this process's directory and those of the hubs: it compares
+// range digests and exchanges the records of the ranges that differ. The directory itself is in the state.
+// One goroutine starts comparisons, in run; handleCompare is safe for concurrent use.
 type antiEntropy struct {
 	*process
 	state *state
 	hubs  *hubSet
 	self  *selfRecord
 
-	fruitless int // comparisons in a row with differences of which nothing was new; only run's goroutine uses it
+	// unproductiveRounds counts consecutive comparisons that found differences but changed nothing here. Only
+	// the goroutine of run uses it.
+	unproductiveRounds int
 }
 
-// run compares the directory with those of the hubs, one after the other, until done closes.
+// run compares the directory with those of the hubs, in turn, until done closes.
 func (e *antiEntropy) run(done <-chan struct{}) {
-	for turn := 0; ; turn++ {
+	for round := 0; ; round++ {
 		select {
 		case <-done:
 			return
-		case <-time.After(e.interval() << min(e.fruitless, maxFruitlessDoublings)):
+		case <-time.After(e.interval() << min(e.unproductiveRounds, maxIntervalDoublings)):
 		}
 		if hubs := e.hubs.all(); len(hubs) > 0 {
-			e.recordOutcome(e.reconcileWith(hubs[turn%len(hubs)]))
+			e.recordOutcome(e.reconcileWith(hubs[round%len(hubs)]))
 		}
-		hasHeardServers := e.now() > hubSyncHeartbeats*e.settings.HeartbeatInterval
-		if e.hubs.includesSelf() && (e.settings.FirstStart || hasHeardServers) {
+		serversHaveReported := e.now() > hubSyncHeartbeats*e.settings.HeartbeatInterval
+		if e.hubs.includesSelf() && (e.settings.FirstStart || serversHaveReported) {
 			e.state.setSynced()
 		}
 	}
@@ -67,25 +70,25 @@
 	return antiEntropyInterval
 }
 
-// reconciliation is what came of one comparison.
-type reconciliation struct {
-	differed bool // some range
-	changed  bool // this process's directory
+// reconcileResult is the outcome of one comparison.
+type reconcileResult struct {
+	differed bool // at least one range differed
+	changed  bool // this process's directory changed
 }
 
-// recordOutcome counts comparisons that differed in vain. An equal one, or one that brought something new,
-// ends the count.
-func (e *antiEntropy) recordOutcome(outcome reconciliation) {
+// recordOutcome counts consecutive comparisons that differed but changed nothing here. A comparison without
+// differences, or one that changed the directory, resets the count.
+func (e *antiEntropy) recordOutcome(outcome reconcileResult) {
 	if outcome.differed && !outcome.changed {
-		e.fruitless++
+		e.unproductiveRounds++
 		return
 	}
-	e.fruitless = 0
+	e.unproductiveRounds = 0
 }
 
-// reconcileWith exchanges the records of the ranges in which the directory and a hub's differ, so that each
-// has the newer ones. A hub is synced once it has done so with a hub that is.
-func (e *antiEntropy) reconcileWith(h *hub) (outcome reconciliation) {
+// reconcileWith exchanges the records of the ranges in which the directory and a hub's differ, so that both
+// have the newer ones. A hub that has compared its directory with that of a synced hub is synced as well.
+func (e *antiEntropy) reconcileWith(h *hub) (outcome reconcileResult) {
 	request := &peerproto.Comparison{Digest: e.digest()}
 	frame, err := h.link.Call(peerproto.KindCompare, peerproto.Encode(request), antiEntropyTimeout)
 	if err != nil {
@@ -107,7 +110,7 @@
 	var own []directory.Record
 	e.state.read(func(d *directory.Directory) { own = copyRecords(d.InRanges(answer.Ranges)) })
 	upsert := peerproto.Encode(&peerproto.Records{Records: own})
-	// What does not arrive is sent again after the next comparison.
+	// A lost update needs no retry: the next comparison finds the difference again.
 	_, _ = h.link.Call(peerproto.KindUpsert, upsert, antiEntropyTimeout)
 	return outcome
 }
--- a/internal/router/agent/anti_entropy_test.go
+++ b/internal/router/agent/anti_entropy_test.go
@@ -6,19 +6,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Comparisons that differ and bring nothing new become rarer: two releases whose digests are made otherwise
-// differ in each. One that is equal, or brings something, ends that.
-func TestFruitlessComparisonsBecomeRarer(t *testing.T) {
+// TestUnproductiveComparisonsAreCounted: comparisons that find differences but change nothing are counted, so
+// that they back off, as between two releases that compute digests differently. A comparison without
+// differences, or one that changes the directory, resets the count.
+func TestUnproductiveComparisonsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	e := &antiEntropy{}
-	inVain := reconciliation{differed: true}
+	unproductive := reconcileResult{differed: true}
 	for range 20 {
-		e.recordOutcome(inVain)
+		e.recordOutcome(unproductive)
 	}
-	c.Check(e.fruitless, qt.Equals, 20)
-	for _, ending := range []reconciliation{{}, {differed: true, changed: true}} {
-		e.recordOutcome(inVain)
-		e.recordOutcome(ending)
-		c.Check(e.fruitless, qt.Equals, 0)
+	c.Check(e.unproductiveRounds, qt.Equals, 20)
+	for _, resetting := range []reconcileResult{{}, {differed: true, changed: true}} {
+		e.recordOutcome(unproductive)
+		e.recordOutcome(resetting)
+		c.Check(e.unproductiveRounds, qt.Equals, 0)
 	}
 }
--- a/internal/router/agent/broadcast.go
+++ b/internal/router/agent/broadcast.go
@@ -10,14 +10,15 @@
 
 func newBroadcast() *broadcast { return &broadcast{event: make(chan struct{})} }
 
-// next returns a channel that closes at the next event. A waiter calls it before it checks the state that it
-// waits for, so that it misses no event.
+// next returns a channel that closes at the next event. To miss no event, a waiter must call next before it
+// checks the condition that it waits for.
 func (b *broadcast) next() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.event
 }
 
+// notify signals an event: it wakes all goroutines that wait on the channel of next.
 func (b *broadcast) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/agent/demand.go
+++ b/internal/router/agent/demand.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// demandInterval is how often this process measures its demand. Each ping reports the last measurement.
+	// demandInterval is how often this process measures its demand. Each ping carries the last measurement.
 	demandInterval = 500 * time.Millisecond
-	// demandTimeout is how long the demand that a proxy has reported counts.
+	// demandTimeout is how long a proxy's reported demand stays valid.
 	demandTimeout = 3 * time.Second
 )
 
-// demandTable holds the demand of each proxy at the services with model servers. Its methods are safe for
-// concurrent use.
+// demandTable holds the last reported demand of each proxy, including this one, for the services with model
+// servers. Its methods are safe for concurrent use.
 type demandTable struct {
 	*process
 	workload Workload
 
 	mu        sync.Mutex
 	ownDemand *peerproto.Demands
-	proxies   map[string]reportedDemand // by id of the proxy's record
+	proxies   map[string]reportedDemand // by the id of the proxy's record
 }
 
 type reportedDemand struct {
@@ -69,7 +69,8 @@
 	t.proxies[peer] = reportedDemand{now, &demands}
 }
 
-// total sums up the demand for a service over the proxies that have reported within demandTimeout.
+// total returns the sum of the demand for a service over the proxies that have reported within demandTimeout,
+// and removes the reports that are older.
 func (t *demandTable) total(service string, now time.Duration) roleplan.Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/router/agent/feed.go
+++ b/internal/router/agent/feed.go
@@ -14,12 +14,12 @@
 
 // feedPosition is how far a follower has received a feed.
 type feedPosition struct {
-	offset  uint64 // in the directory's numbering of changes, 0 for nothing
+	offset  uint64 // of the last change of the hub's directory that it has received, 0 for none
 	version int64  // of the configuration
 	epoch   int64  // of the view, -1 for none received yet
 }
 
-// feedServer serves feeds to followers, at most one for a connection, each on a goroutine of its own. Its
+// feedServer serves feeds to followers, at most one per connection, each on a goroutine of its own. Its
 // methods are safe for concurrent use. No other lock is taken while its lock is held.
 type feedServer struct {
 	*process
@@ -28,7 +28,7 @@
 	load       *loadTable
 
 	mu     sync.Mutex
-	cancel map[*transport.Conn]chan struct{} // closing one ends the feed
+	cancel map[*transport.Conn]chan struct{} // closing a channel ends the feed of its connection
 }
 
 func newFeedServer(p *process, state *state, configSync *configSync, load *loadTable) *feedServer {
@@ -46,8 +46,8 @@
 	s.load.sendPrefixIndex(c)
 }
 
-// begin adds a feed, in place of an earlier one on the connection, and returns the channel that closes when
-// it is to end.
+// begin registers a feed on a connection, ends an earlier one there, and returns the channel whose closing
+// ends the new feed.
 func (s *feedServer) begin(c *transport.Conn) (cancel <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,13 +56,14 @@
 	return s.cancel[c]
 }
 
-// end ends the feed of a connection, where there is one.
+// end ends the feed of a connection, if there is one.
 func (s *feedServer) end(c *transport.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLocked(c)
 }
 
+// endLocked does the work of end; the lock is held.
 func (s *feedServer) endLocked(c *transport.Conn) {
 	if cancel := s.cancel[c]; cancel != nil {
 		close(cancel)
@@ -71,34 +72,35 @@
 }
 
 // serve sends the changes of the directory, the configuration and the view to a follower, until its
-// connection ends or cancel closes. A follower of another feed begins with a snapshot.
+// connection ends or cancel closes. A follower whose offset is that of another hub's feed first gets a
+// snapshot.
 func (s *feedServer) serve(c *transport.Conn, request *peerproto.Follow, cancel <-chan struct{}) {
-	at := feedPosition{offset: uint64(request.Offset), version: request.Version, epoch: -1}
+	position := feedPosition{offset: uint64(request.Offset), version: request.Version, epoch: -1}
 	if request.Feed != s.id {
-		at.offset = 0
+		position.offset = 0
 	}
 	keepalive := time.NewTicker(feedKeepaliveInterval)
 	defer keepalive.Stop()
 	for {
 		changed := s.state.changed.next()
-		feed := s.next(at.offset, at.epoch)
-		if config := s.state.Config(); config != nil && config.Version > at.version {
-			feed.Config, feed.Version = s.configSync.updateSince(config, at.version), config.Version
+		feed := s.next(position.offset, position.epoch)
+		if config := s.state.Config(); config != nil && config.Version > position.version {
+			feed.Config, feed.Version = s.configSync.updateSince(config, position.version), config.Version
 		}
 		if !c.Send(peerproto.Frame{Kind: peerproto.KindFeed, Body: peerproto.Encode(feed)}) {
 			return
 		}
-		at = feedPosition{offset: uint64(feed.To), version: feed.Version, epoch: feed.Epoch}
-		if !s.awaitUpdate(c, cancel, changed, keepalive.C, at) {
+		position = feedPosition{offset: uint64(feed.To), version: feed.Version, epoch: feed.Epoch}
+		if !s.awaitUpdate(c, cancel, changed, keepalive.C, position) {
 			return
 		}
 	}
 }
 
-// awaitUpdate returns true once there is something that a follower has not received, or the next keepalive is
-// due, and false once the feed is to end.
+// awaitUpdate waits until there is an update that a follower has not received, or the next keepalive is due,
+// and then returns true. It returns false once the connection has ended or the feed is canceled.
 func (s *feedServer) awaitUpdate(c *transport.Conn, cancel, changed <-chan struct{},
-	keepalive <-chan time.Time, at feedPosition) bool {
+	keepalive <-chan time.Time, position feedPosition) bool {
 	for {
 		select {
 		case <-c.Closed():
@@ -109,22 +111,22 @@
 			return true
 		case <-changed:
 			changed = s.state.changed.next()
-			if s.hasUpdate(at) {
+			if s.hasUpdate(position) {
 				return true
 			}
 		}
 	}
 }
 
-// hasUpdate reports whether there is something that a follower has not received.
-func (s *feedServer) hasUpdate(at feedPosition) bool { return at != s.state.feedPosition() }
+// hasUpdate reports whether there is an update that a follower at a position has not received.
+func (s *feedServer) hasUpdate(position feedPosition) bool { return position != s.state.feedPosition() }
 
-// next returns the records and the view that a follower has not received.
+// next returns the records, and the view, that a follower with an offset and an epoch has not received.
 func (s *feedServer) next(offset uint64, epoch int64) *peerproto.Feed {
 	return s.state.feedSince(s.id, offset, epoch)
 }
 
-// copyRecords returns the records themselves, which don't change under the reader.
+// copyRecords returns copies of the records, which do not change while they are read without the lock.
 func copyRecords(records []*directory.Record) []directory.Record {
 	copies := make([]directory.Record, len(records))
 	for i, r := range records {
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// feedTimeout is how long after its last message a feed counts as broken, so that another hub is followed.
+	// feedTimeout is how long after the last message of a feed this process switches to another hub.
 	feedTimeout = 1200 * time.Millisecond
-	// sourceCheckInterval is how often the hubs and the source of the feed are checked.
+	// sourceCheckInterval is how often the links to the hubs and the source of the feed are checked.
 	sourceCheckInterval = 100 * time.Millisecond
 )
 
-// subscription is the hub whose feed this process follows, and how far it has received it; a process that is
-// a hub itself follows none. Its methods are safe for concurrent use, but for those whose comment says that
-// the lock is held. The lock may be taken before that of the hubs, that of this process's own record and that
-// of the state, never after one of them.
+// subscription holds which hub's feed this process follows, and how far it has received that feed; a process
+// that is a hub itself follows none. Its methods are safe for concurrent use, except those whose comment says
+// that the lock is held. The lock may be taken before that of the hubs, that of this process's own record and
+// that of the state, never after one of them.
 type subscription struct {
 	*process
 	state      *state
@@ -30,14 +30,14 @@
 
 	mu           sync.Mutex
 	source       *hub          // nil for none
-	feed         string        // id of the process that numbers the changes
-	offset       uint64        // in that numbering
-	lastReceived time.Duration // when the last message of the feed came, or the source was chosen
+	feed         string        // id of the process whose feed offset belongs to
+	offset       uint64        // of the last change received
+	lastReceived time.Duration // when the last message of the feed was received, or the source was chosen
 }
 
-// run follows the feed of one hub until done closes, unless this process is a hub itself: every process sends
-// its changes to each hub, and hubs repair their directories by anti-entropy. It also opens and closes the
-// links to the hubs.
+// run follows the feed of one hub until done closes, unless this process is a hub itself. Hubs need no feed:
+// every process sends its changes to each hub, and hubs repair their directories by anti-entropy. run also
+// opens and closes the links to the hubs.
 func (s *subscription) run(done <-chan struct{}) {
 	runEvery(sourceCheckInterval, done, func() {
 		s.hubs.update()
@@ -54,14 +54,15 @@
 
 func (s *subscription) isActive() bool { return s.followedHub() != nil }
 
-// sendToSource sends a frame to the hub that this process follows, where there is one.
+// sendToSource sends a frame to the hub that this process follows, if there is one.
 func (s *subscription) sendToSource(kind peerproto.Kind, body []byte) {
 	if source := s.followedHub(); source != nil {
 		source.link.Send(kind, body)
 	}
 }
 
-// updateSource chooses a source where there is none, or the present one is not usable any more.
+// updateSource chooses a hub to follow if there is none, if its feed has timed out, or if it is no longer
+// usable.
 func (s *subscription) updateSource() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,15 +88,15 @@
 	s.self.announce(func(self *directory.Record) { self.Watcher = watcher })
 }
 
-// isUsable reports whether a hub may still be followed. One that does not reach a majority may miss what the
-// others acknowledge.
+// isUsable reports whether a hub may still be followed. A hub that does not reach a majority may miss changes
+// that the others acknowledge.
 func (s *subscription) isUsable(source *hub) bool {
 	state := source.current()
 	return state.hasSnapshot && state.reachesMajority && source.link.Connected() &&
-		s.hubs.at(source.ip) == source
+		s.hubs.get(source.ip) == source
 }
 
-// unsubscribe ends the subscription, where there is one; the lock is held.
+// unsubscribe ends the subscription, if there is one; the lock is held.
 func (s *subscription) unsubscribe() {
 	if s.source == nil {
 		return
@@ -104,15 +105,15 @@
 	s.self.announce(func(self *directory.Record) { self.Watcher = "" })
 }
 
-// sendFollow asks the source for its feed from the present offset on; the lock is held.
+// sendFollow requests the source's feed from the current offset on; the lock is held.
 func (s *subscription) sendFollow() {
 	request := peerproto.Follow{Feed: s.feed, Offset: int64(s.offset), Version: s.state.version()}
 	s.source.link.Send(peerproto.KindFollow, peerproto.Encode(&request))
 }
 
-// chooseSource returns the hub to follow, by rendezvous hashing over those that respond and reach a majority;
-// the one to avoid comes last. If none reaches a majority, a process without a connected source takes one
-// that does not.
+// chooseSource returns the hub to follow, by rendezvous hashing over the connected, synced hubs that have
+// answered a ping and reach a majority; the one to avoid ranks last. If none of them reaches a majority, a
+// process whose source is not connected, or that has none, chooses among those that do not.
 func (s *subscription) chooseSource(avoid *hub) *hub {
 	var inMajority, others []*hub
 	for _, h := range s.hubs.all() {
@@ -132,7 +133,7 @@
 	return s.firstByRank(inMajority, avoid)
 }
 
-// firstByRank returns the hub that ranks first for this process, nil for none; the one to avoid ranks last.
+// firstByRank returns the hub that ranks first for this process, nil for none. The hub to avoid ranks last.
 func (s *subscription) firstByRank(hubs []*hub, avoid *hub) *hub {
 	var best *hub
 	var bestRank uint64
@@ -148,8 +149,8 @@
 	return best
 }
 
-// handleFeed applies a message of the feed. Where messages are missing before it, the feed is requested again
-// from the last offset on.
+// handleFeed applies a message of the feed. If the message neither is a snapshot nor continues from the
+// current offset, the feed is requested again from there.
 func (s *subscription) handleFeed(h *hub, feed *peerproto.Feed) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -18,9 +18,9 @@
 	"cresshub/internal/router/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenPath returns where a golden file is.
+// goldenPath returns the path of a golden file.
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
 // readGolden returns the content of a golden file.
@@ -31,7 +31,7 @@
 	return golden
 }
 
-// checkGolden compares what was written with a golden file byte for byte.
+// checkGolden compares encoded bytes with a golden file, which it rewrites first under -update.
 func checkGolden(c *qt.C, name string, written []byte) {
 	c.Helper()
 	if *update {
@@ -41,7 +41,7 @@
 	c.Assert(written, qt.DeepEquals, readGolden(c, name), qt.Commentf("%s", name))
 }
 
-// goldenAgent is the agent of a process whose id, view and directory are always the same.
+// goldenAgent returns the agent of a process with a fixed id, view and directory.
 func goldenAgent(t *testing.T) *Agent {
 	t.Helper()
 	agent := newTestAgent(t)
@@ -51,12 +51,12 @@
 	return agent
 }
 
-// goldenMembers are the members of the golden view.
+// goldenMembers returns the members of the golden view.
 func goldenMembers() []peerproto.MemberInfo {
 	return []peerproto.MemberInfo{{ID: "m0", Address: "127.0.0.1"}, {ID: "m1", Address: "10.0.0.2"}}
 }
 
-// goldenRecords are the records of the process's directory, of each kind.
+// goldenRecords returns the records of the golden directory, one of each kind.
 func goldenRecords() []directory.Record {
 	return []directory.Record{goldenServer(),
 		{Kind: directory.KindProxy, ID: "proxy-2", Sequence: 4, State: directory.Ready, Address: "10.0.0.2",
@@ -65,14 +65,14 @@
 			Watcher: "proxy-2", Role: "writing"}}
 }
 
-// goldenServer is the record of a server with all fields set.
+// goldenServer returns the record of a server with all the fields set that servers have.
 func goldenServer() directory.Record {
 	return directory.Record{Kind: directory.KindServer, ID: "server-1", Sequence: 3, State: directory.Draining,
 		Watcher: "proxy-2", Service: "chat", Address: "10.0.0.9:80", Zone: "zone-b", Version: "v3", Slots: 6,
 		Role: "reading", WarmUpMs: 1500}
 }
 
-// goldenChainMessage is a message of the chain with all fields set.
+// goldenChainMessage returns a message of the chain with all fields set.
 func goldenChainMessage(kind chain.Kind, outcome chain.Outcome) *chain.Message {
 	past := chain.PastEntry{Version: 13}
 	for i := range past.Digest {
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestGoldenChainMessagesAreReadAndWrittenByteForByte: one file for each kind of message, all outcomes among
-// them.
+// TestGoldenChainMessagesAreReadAndWrittenByteForByte: there is one file for each kind of message; together
+// they have all outcomes.
 func TestGoldenChainMessagesAreReadAndWrittenByteForByte(t *testing.T) {
 	kinds := []struct {
 		file string
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestGoldenDirectoryFramesAreReadAndWrittenByteForByte: what a process makes of its directory and its view,
-// and another one's copy of it.
+// TestGoldenDirectoryFramesAreReadAndWrittenByteForByte covers the frames that a process sends from its
+// directory and its view, and the replica of the directory that another process builds from them.
 func TestGoldenDirectoryFramesAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	agent := goldenAgent(t)
@@ -150,7 +150,7 @@
 	c.Assert(follower.antiEntropy.digest(), qt.DeepEquals, request.Digest)
 }
 
-// recordingWorkload records the load of the others that a process was sent.
+// recordingWorkload records the load and the prefixes of other processes that it was given last.
 type recordingWorkload struct {
 	noWorkload
 	others   []scheduler.InFlightLoad
@@ -159,31 +159,32 @@
 }
 
 func (w *recordingWorkload) SetPeerLoad(others []scheduler.InFlightLoad, scope scheduler.LoadScope,
-	prompts []scheduler.CachedPrefixes) {
-	w.others, w.scope, w.prefixes = others, scope, prompts
+	prefixes []scheduler.CachedPrefixes) {
+	w.others, w.scope, w.prefixes = others, scope, prefixes
 }
 
-// TestGoldenWorkIsReadAndWrittenByteForByte: what is under way, in the forms for the hub, for other hubs and
-// for the process itself. There is one server in the sums, as these have no order.
-func TestGoldenWorkIsReadAndWrittenByteForByte(t *testing.T) {
+// TestGoldenLoadReportsAreReadAndWrittenByteForByte covers load reports in the forms for the hub, for other
+// hubs and for the data plane of the process itself. The sums have only one server, because they list
+// servers in no fixed order.
+func TestGoldenLoadReportsAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	changes := []scheduler.InFlightLoad{{Server: "server-1", Prefill: 250 * time.Millisecond, Calls: 3},
 		{Server: "server-2", Prefill: time.Hour, Calls: 70}}
-	prompts := []scheduler.CachedPrefixes{{Server: "server-1", Hashes: []uint64{1, 1<<64 - 3}},
+	prefixes := []scheduler.CachedPrefixes{{Server: "server-1", Hashes: []uint64{1, 1<<64 - 3}},
 		{Server: "server-2", Hashes: []uint64{1 << 63}}}
 	checkGolden(c, "work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true, Servers: encodeLoad(changes),
-		FullIndex: true, Prefixes: encodePrefixes(prompts)}))
-	var work peerproto.LoadReport
-	c.Assert(peerproto.Decode(readGolden(c, "work.bin"), &work), qt.IsNil)
-	c.Assert(work.Full && work.FullIndex, qt.IsTrue)
-	c.Assert(decodeLoad(work.Servers), qt.DeepEquals, changes)
-	c.Assert(decodePrefixes(work.Prefixes), qt.DeepEquals, prompts)
+		FullIndex: true, Prefixes: encodePrefixes(prefixes)}))
+	var report peerproto.LoadReport
+	c.Assert(peerproto.Decode(readGolden(c, "work.bin"), &report), qt.IsNil)
+	c.Assert(report.Full && report.FullIndex, qt.IsTrue)
+	c.Assert(decodeLoad(report.Servers), qt.DeepEquals, changes)
+	c.Assert(decodePrefixes(report.Prefixes), qt.DeepEquals, prefixes)
 
 	agent := goldenAgent(t)
 	recorded := &recordingWorkload{}
 	agent.load.workload = recorded
 	agent.load.applyOwn(&peerproto.LoadReport{Servers: encodeLoad(changes[:1]),
-		Prefixes: encodePrefixes(prompts[:1])})
+		Prefixes: encodePrefixes(prefixes[:1])})
 	local := agent.load.localLoad()
 	checkGolden(c, "hub_work.bin", peerproto.Encode(&peerproto.LoadReport{Full: true,
 		Servers: agent.load.loadExcept(local, nil, scheduler.AllServers), Prefixes: agent.load.localPrefixes}))
@@ -194,10 +195,10 @@
 	other.load.distribute(scheduler.AllServers)
 	c.Assert(recorded.others, qt.DeepEquals, changes[:1])
 	c.Assert(recorded.scope, qt.Equals, scheduler.AllServers)
-	c.Assert(recorded.prefixes, qt.DeepEquals, prompts[:1])
+	c.Assert(recorded.prefixes, qt.DeepEquals, prefixes[:1])
 }
 
-// TestGoldenDemandsAreRead records the demand that another proxy reports with a ping.
+// TestGoldenDemandsAreRead covers the demand that another proxy reports with a ping.
 func TestGoldenDemandsAreRead(t *testing.T) {
 	c := qt.New(t)
 	agent := goldenAgent(t)
@@ -208,16 +209,17 @@
 		roleplan.Demand{HasTraffic: true, PrefillCalls: 1.5, DecodeCalls: 2.25})
 }
 
-// The documents of two versions, and the patch that makes the second of the first.
+// These are the documents of two versions, and the patch that turns the first into the second.
 const (
 	goldenDocument = `{"edition":40,"routes":[],"depots_list":[{"name":"s"}]}`
 	goldenPatch    = `{"edition":41,"deliver":{"depots_list":[{"name":"t"}]}}`
 	goldenPatched  = `{"edition":41,"routes":[],"depots_list":[{"name":"s"},{"name":"t"}]}`
 )
 
-// TestGoldenConfigurationsAreReadAndWrittenByteForByte: packed whole in a result, as patches in a feed, and
-// as the control state stores it. The packed ones also depend on compress/flate: where a new release of Go
-// deflates in another way, only their writing fails, and the files may be written anew.
+// TestGoldenConfigurationsAreReadAndWrittenByteForByte covers a configuration packed whole in a result, as
+// patches in a feed, and as the chain stores it. The packed files also depend on compress/flate: if a new
+// release of Go compresses differently, only their comparison with the written bytes fails, and the files may
+// be rewritten.
 func TestGoldenConfigurationsAreReadAndWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	agent := goldenAgent(t)
--- a/internal/router/agent/hub_exchange.go
+++ b/internal/router/agent/hub_exchange.go
@@ -10,14 +10,16 @@
 
 const (
 	pingInterval = 400 * time.Millisecond
-	// eagerPingInterval is the interval while this process follows no hub, or is a hub without a majority.
+	// eagerPingInterval is the interval while this process follows no hub, or is a hub that does not reach a
+	// majority.
 	eagerPingInterval = 100 * time.Millisecond
 	pingTimeout       = time.Second
 )
 
-// hubExchange is what this process and a hub exchange on the link between them: pings with the demand of this
-// process, answered by the state of the hub; the records of this process (hub_replication.go); and what the
-// hub sends unasked. It has no state of its own. The goroutines of each link run its methods.
+// hubExchange runs the exchange of messages on the link to a hub: pings, which carry the demand of this
+// process and which the hub answers with its status; the replication of records to the hub
+// (hub_replication.go); and the frames that the hub sends without a request. It has no state of its own. The
+// goroutines of each link run its methods.
 type hubExchange struct {
 	*process
 	state        *state
@@ -29,8 +31,8 @@
 	load         *loadTable
 }
 
-// runPings pings a hub until its link is closed. A ping carries the demand of this process, its answer the
-// state of the hub. It is sent at once whenever the connection has opened or ended.
+// runPings pings a hub until its link is closed. A ping carries the demand of this process, and its answer
+// the status of the hub. A ping is also sent as soon as the connection has been opened or has ended.
 func (e *hubExchange) runPings(h *hub, stateChanged <-chan struct{}) {
 	for {
 		frame, err := h.link.Call(peerproto.KindPing, peerproto.Encode(e.demand.own()), pingTimeout)
@@ -49,7 +51,7 @@
 	}
 }
 
-// untilPing returns the interval until the next ping.
+// untilPing returns the interval until the next ping of a hub.
 func (e *hubExchange) untilPing() time.Duration {
 	established := e.subscription.isActive()
 	if e.hubs.includesSelf() {
@@ -61,7 +63,8 @@
 	return eagerPingInterval
 }
 
-// decodeOrReset decodes a message of a hub. A connection that carries a malformed one is reset.
+// decodeOrReset decodes a message of a hub and reports whether it could. If the message is malformed, it
+// resets the connection.
 func decodeOrReset(h *hub, body []byte, message peerproto.Message) bool {
 	if peerproto.Decode(body, message) != nil {
 		h.link.Reset()
@@ -70,7 +73,7 @@
 	return true
 }
 
-// handleFrame handles a frame of a hub that answers no call: a message of the feed, or a load report.
+// handleFrame handles a frame that a hub sends without a request: a message of the feed, or a load report.
 func (e *hubExchange) handleFrame(h *hub, frame peerproto.Frame) {
 	switch frame.Kind {
 	case peerproto.KindLoadReport:
@@ -83,18 +86,18 @@
 	}
 }
 
-// handleStatus records the state of a hub that has answered a ping.
+// handleStatus handles the status with which a hub has answered a ping.
 func (e *hubExchange) handleStatus(h *hub, frame peerproto.Frame) {
 	var status peerproto.Status
 	if !decodeOrReset(h, frame.Body, &status) {
 		return
 	}
 	now := e.now()
-	h.record(&status, now)
+	h.recordStatus(&status, now)
 	e.hubs.recordAnswer(now)
 	e.hubs.learnView(&status)
 	if !e.subscription.isActive() {
-		e.subscription.updateSource() // at once, instead of with the next check
+		e.subscription.updateSource() // do not wait for the next check
 	}
 	if status.Version > e.state.version() {
 		go e.configSync.fetch(h)
--- a/internal/router/agent/hub_link.go
+++ b/internal/router/agent/hub_link.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/router/transport"
 )
 
-// hub is the link to one hub, with the goroutines that ping it and send it the records of this process.
+// hub is the link to one hub. Its goroutines ping the hub and replicate this process's records to it.
 type hub struct {
 	ip   string
 	link *transport.Link
@@ -20,11 +20,11 @@
 
 // hubState is the last known state of a hub.
 type hubState struct {
-	id              string        // of the process that answers there
-	replicatedTo    uint64        // offset of this process's directory up to which it has the records
-	lastSeen        time.Duration // when it last answered a ping, 0 for never on this connection
-	hasSnapshot     bool          // it is synced, so that its feed may be followed
-	reachesMajority bool          // more than half of the members answer it
+	id               string        // of the process that answers there
+	replicatedOffset uint64        // offset of this process's directory up to which the hub has its records
+	lastSeen         time.Duration // when it last answered a ping, 0 for never on this connection
+	hasSnapshot      bool          // the hub is synced, so that its feed may be followed
+	reachesMajority  bool          // more than half of the members of the view answer the hub
 }
 
 func (h *hub) close() {
@@ -38,21 +38,22 @@
 	return h.state
 }
 
-func (h *hub) record(status *peerproto.Status, now time.Duration) {
+// recordStatus records the status with which the hub has answered a ping.
+func (h *hub) recordStatus(status *peerproto.Status, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.state.id != "" && h.state.id != status.ID {
-		h.state.replicatedTo = 0 // another process, which has none of the records yet
+		h.state.replicatedOffset = 0 // a new process, which has none of the records yet
 	}
 	h.state.id, h.state.lastSeen = status.ID, now
 	h.state.hasSnapshot, h.state.reachesMajority = status.HasSnapshot, status.ReachesMajority
 }
 
-// forgetConnection forgets what was known of the hub over the last connection.
-func (h *hub) forgetConnection() {
+// resetConnectionState resets the state that holds only for one connection, when it has opened or ended.
+func (h *hub) resetConnectionState() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.state.replicatedTo, h.state.lastSeen = 0, 0
+	h.state.replicatedOffset, h.state.lastSeen = 0, 0
 }
 
 // isResponsive reports whether the hub has answered a ping within contactTimeout.
--- a/internal/router/agent/hub_replication.go
+++ b/internal/router/agent/hub_replication.go
@@ -10,12 +10,12 @@
 const (
 	// pushTimeout bounds one call that sends records to a hub.
 	pushTimeout = time.Second
-	// pushRetryInterval is the interval of attempts until a hub has the records.
+	// pushRetryInterval is the interval between attempts until a hub has all records.
 	pushRetryInterval = pingInterval / 8
 )
 
-// runPushes replicates the records that this process answers for to a hub whenever they change, until the
-// link is closed.
+// runPushes replicates the records that this process is responsible for to a hub whenever they change, until
+// the link is closed. These are its own record and those of the processes whose watcher it is.
 func (e *hubExchange) runPushes(h *hub) {
 	for {
 		changed := e.state.changed.next()
@@ -24,7 +24,7 @@
 			case <-h.stop:
 				return
 			case <-changed:
-			case <-time.After(pingInterval): // the connection may be a new one, on which nothing was sent
+			case <-time.After(pingInterval): // the connection may be new, which resets replicatedOffset
 			}
 			continue
 		}
@@ -36,14 +36,15 @@
 	}
 }
 
-// pushOnce sends the records of this process that the hub lacks, and reports whether it then has all.
+// pushOnce sends a hub the records of this process that it lacks, and reports whether it then has all of
+// them.
 func (e *hubExchange) pushOnce(h *hub) bool {
-	replicatedTo := h.current().replicatedTo
+	replicatedOffset := h.current().replicatedOffset
 	var records []directory.Record
 	var offset uint64
 	e.state.read(func(d *directory.Directory) {
 		offset = d.Offset()
-		for _, r := range d.Since(replicatedTo) {
+		for _, r := range d.Since(replicatedOffset) {
 			if r.ID == e.id || r.Watcher == e.id {
 				records = append(records, *r)
 			}
@@ -59,10 +60,10 @@
 		}
 	}
 	h.mu.Lock()
-	if h.state.replicatedTo == replicatedTo { // else the connection was reopened meanwhile
-		h.state.replicatedTo = max(offset, 1)
+	if h.state.replicatedOffset == replicatedOffset { // otherwise the connection or its peer changed
+		h.state.replicatedOffset = max(offset, 1)
 	}
-	complete := h.state.replicatedTo >= offset
+	complete := h.state.replicatedOffset >= offset
 	h.mu.Unlock()
 	e.quorum.replicated.notify()
 	return complete
--- a/internal/router/agent/hubs.go
+++ b/internal/router/agent/hubs.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// isolatedAfter is how long after the last answer of a hub this process counts as isolated, so that it calls
-	// its seeds and some known proxies as well.
-	isolatedAfter = 1500 * time.Millisecond
-	// maxIsolatedContacts bounds the known proxies that an isolated process calls.
-	maxIsolatedContacts = 3
+	// isolationTimeout is how long after the last answer of a hub this process counts as isolated. It then
+	// also opens links to its seeds and some of the proxies in its directory.
+	isolationTimeout = 1500 * time.Millisecond
+	// maxContactsWhenIsolated bounds the proxies of the directory to which an isolated process opens links.
+	maxContactsWhenIsolated = 3
 )
 
-// hubSet holds the links to the hubs: the processes that all others send their records to and follow. They
-// are the members of the view, and the seeds as long as no view is known or no member of it can be reached.
-// Each link has goroutines of its own, which run the methods of hubExchange.
+// hubSet holds the links to the hubs: the processes to which all others send their records and whose feeds
+// they follow. The hubs are the members of the view; the seeds are added while no view is known or no hub
+// answers. Each link has goroutines of its own, which run the methods of hubExchange.
 //
-// Its methods are safe for concurrent use, but for open. The lock guards the set, not the links in it. It may
+// Its methods are safe for concurrent use, except open. The lock guards the set, not the links in it. It may
 // be taken after the locks of the subscription and the load table, and never while that of the state is held.
 type hubSet struct {
 	*process
@@ -32,10 +32,10 @@
 	endpoint *transport.Endpoint
 	exchange *hubExchange // set before the first link is opened, not changed later
 
-	mu          sync.Mutex
-	links       map[string]*hub // by IP
-	closed      bool            // for good
-	lastContact time.Duration   // when a hub last answered a ping
+	mu           sync.Mutex
+	links        map[string]*hub // by IP
+	closed       bool            // no more links are opened
+	lastAnswerAt time.Duration   // when a hub last answered a ping
 }
 
 func newHubSet(p *process, state *state, endpoint *transport.Endpoint) *hubSet {
@@ -51,7 +51,9 @@
 	return view.hasMember(s.settings.IP)
 }
 
-// addresses returns the IPs of the hubs, without this machine's own.
+// addresses returns the IPs to which this process keeps links, without this machine's own: those of the
+// members of the view, of the seeds if there are no other members or this process is isolated, and in the
+// latter case also of some proxies of the directory.
 func (s *hubSet) addresses() []string {
 	var ips []string
 	add := func(ip string) {
@@ -73,7 +75,7 @@
 	if s.isIsolated() {
 		s.state.read(func(d *directory.Directory) {
 			proxies := d.Proxies()
-			for _, proxy := range proxies[:min(len(proxies), maxIsolatedContacts)] {
+			for _, proxy := range proxies[:min(len(proxies), maxContactsWhenIsolated)] {
 				add(proxy.Address)
 			}
 		})
@@ -81,11 +83,11 @@
 	return ips
 }
 
-// isIsolated reports whether no hub has answered for isolatedAfter.
+// isIsolated reports whether no hub has answered a ping within isolationTimeout.
 func (s *hubSet) isIsolated() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now()-s.lastContact > isolatedAfter
+	return s.now()-s.lastAnswerAt > isolationTimeout
 }
 
 // all returns the links to all hubs, sorted by address.
@@ -100,14 +102,14 @@
 	return hubs
 }
 
-// at returns the link to a hub, nil if there is none.
-func (s *hubSet) at(ip string) *hub {
+// get returns the link to the hub at an IP, nil if there is none.
+func (s *hubSet) get(ip string) *hub {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.links[ip]
 }
 
-// update opens links to new hubs and closes those to processes that are not hubs any more.
+// update opens the links that are missing and closes those to machines that are no longer in addresses.
 func (s *hubSet) update() {
 	wanted := s.addresses()
 	s.mu.Lock()
@@ -136,7 +138,7 @@
 		Hello:              s.hello,
 		OnUnsolicitedFrame: func(frame peerproto.Frame) { s.exchange.handleFrame(h, frame) },
 		OnStateChange: func(bool) {
-			h.forgetConnection()
+			h.resetConnectionState()
 			select {
 			case stateChanged <- struct{}{}:
 			default:
@@ -148,28 +150,28 @@
 	return h
 }
 
-// responds reports whether a machine is a hub that has answered this process within contactTimeout.
+// responds reports whether there is a link to a machine, and it has answered a ping within contactTimeout.
 func (s *hubSet) responds(ip string) bool {
-	h := s.at(ip)
+	h := s.get(ip)
 	return h != nil && h.isResponsive(s.now())
 }
 
-// recordAnswer records that a hub has just answered a ping.
+// recordAnswer records the time at which a hub answered a ping.
 func (s *hubSet) recordAnswer(now time.Duration) {
 	s.mu.Lock()
-	s.lastContact = now
+	s.lastAnswerAt = now
 	s.mu.Unlock()
 }
 
-// learnView learns the view that another process knows. If it is a newer one, links to its members are
-// opened.
+// learnView adopts the view in another process's status if it is newer than the known one, and then opens
+// links to its members.
 func (s *hubSet) learnView(status *peerproto.Status) {
 	if s.state.learnView(status.Epoch, status.Members) {
 		s.update()
 	}
 }
 
-// close closes the links to all hubs for good.
+// close closes the links to all hubs and prevents new ones.
 func (s *hubSet) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/agent/known_proxies.go
+++ b/internal/router/agent/known_proxies.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// proxyRetention is how long the address of a proxy is retained after it was last live.
+	// proxyRetention is how long the address of a proxy is retained after the proxy was last live.
 	proxyRetention = 10 * time.Minute
 	// maxKnownProxies bounds the known addresses; the most recently live ones are retained.
 	maxKnownProxies = 2048
 )
 
-// knownProxies are the addresses of the proxies that were live within proxyRetention. Machines with a disk
-// persist them, so that after a loss of all processes these find the others whatever the seeds are. Its
-// methods are safe for concurrent use.
+// knownProxies holds the addresses of the proxies that were live within proxyRetention. A machine with a disk
+// persists them, so that after an outage of the whole fleet its process finds the others even if the seeds
+// have changed. Its methods are safe for concurrent use.
 type knownProxies struct {
 	mu       sync.Mutex
 	lastLive map[string]time.Duration // by IP
-	changed  bool                     // since the last call of resetChanged
+	changed  bool                     // since the last call of takeChanged
 }
 
 func newKnownProxies() *knownProxies { return &knownProxies{lastLive: map[string]time.Duration{}} }
 
-// record adds the proxies that are live now, and removes those whose retention is over.
+// record adds the proxies that are live now, and removes those that were last live before proxyRetention.
 func (k *knownProxies) record(now time.Duration, live []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +45,7 @@
 	k.evictOldest()
 }
 
-// evictOldest removes the addresses beyond maxKnownProxies; the lock is held.
+// evictOldest removes the least recently live addresses beyond maxKnownProxies; the lock is held.
 func (k *knownProxies) evictOldest() {
 	excess := len(k.lastLive) - maxKnownProxies
 	if excess <= 0 {
@@ -60,22 +60,22 @@
 	k.changed = true
 }
 
-// addresses returns all of them, sorted.
+// addresses returns all known addresses, sorted.
 func (k *knownProxies) addresses() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Sorted(maps.Keys(k.lastLive))
 }
 
-// setChanged has the addresses saved again, after saving them failed.
-func (k *knownProxies) setChanged() {
+// markChanged marks the addresses as changed, so that they are saved again after a failed attempt.
+func (k *knownProxies) markChanged() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.changed = true
 }
 
-// resetChanged reports whether the addresses have changed since the last call.
-func (k *knownProxies) resetChanged() bool {
+// takeChanged reports whether the addresses have changed since its last call, and resets that.
+func (k *knownProxies) takeChanged() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed := k.changed
--- a/internal/router/agent/load_report.go
+++ b/internal/router/agent/load_report.go
@@ -8,22 +8,23 @@
 	"cresshub/internal/router/transport"
 )
 
-// Proxies report to each other their in-flight load, so that each one knows the queues of the model servers
-// as they are now: a follower reports its own load to its hub, hubs report to each other the sum over
-// themselves and their followers, and each hub reports to its followers the load of all others. The same
-// messages carry which prefixes have been sent to servers and are now cached there.
+// Proxies report their in-flight load to each other, so that each knows the current queues of the model
+// servers. A follower reports its own load to its hub, hubs report to each other the sum over themselves and
+// their followers, and each hub reports to each of its followers the sum over all other proxies. The same
+// messages name the prefixes that have been sent to servers and are now in their prefix caches.
 
 const (
-	// loadReportMinInterval is the least time between two reports.
+	// loadReportMinInterval is the minimum interval between two reports.
 	loadReportMinInterval = 25 * time.Millisecond
 	// fullSyncInterval is how often a report names all servers, and not only those whose load has changed.
 	fullSyncInterval = 400 * time.Millisecond
-	// maxFullSyncServers bounds the servers of such a report of a hub; with more of them, it reports changes.
+	// maxFullSyncServers bounds the servers of a full report of a hub. With load at more servers than that, the
+	// hub reports only changes.
 	maxFullSyncServers = 64
 )
 
-// report reports the load of this process whenever it changes, and all of it in each fullSyncInterval, until
-// done closes.
+// report reports the load of this process whenever it changes, and in full once in each fullSyncInterval,
+// until done closes.
 func (t *loadTable) report(done <-chan struct{}) {
 	var lastFullSync time.Duration
 	for {
@@ -54,7 +55,7 @@
 	}
 }
 
-// handleReport hands a report of the source to the data plane.
+// handleReport passes a load report to the data plane if it comes from the hub that this process follows.
 func (t *loadTable) handleReport(h *hub, frame peerproto.Frame) {
 	var report peerproto.LoadReport
 	if t.subscription.followedHub() != h || peerproto.Decode(frame.Body, &report) != nil {
@@ -67,7 +68,7 @@
 	t.workload.SetPeerLoad(decodeLoad(report.Servers), scopeOf(&report), decodePrefixes(report.Prefixes))
 }
 
-// scopeOf returns which servers a report names.
+// scopeOf returns whether a report names all servers or only those whose load has changed.
 func scopeOf(report *peerproto.LoadReport) scheduler.LoadScope {
 	if report.Full {
 		return scheduler.AllServers
@@ -75,7 +76,8 @@
 	return scheduler.ChangedServers
 }
 
-// sendPrefixIndex sends a new follower which prefixes are known to be cached where.
+// sendPrefixIndex sends a new follower the prefix index: which prefixes are known to be cached at which
+// servers.
 func (t *loadTable) sendPrefixIndex(c *transport.Conn) {
 	if !t.state.isSynced() {
 		return
@@ -119,7 +121,8 @@
 	return index
 }
 
-// convertHashes converts hashes between their type and the one of the schema, which has no unsigned numbers.
+// convertHashes converts hashes between uint64 and the int64 of the Avro schema, which has no unsigned
+// numbers.
 func convertHashes[To, From int64 | uint64](hashes []From) []To {
 	var converted []To
 	for _, hash := range hashes {
--- a/internal/router/agent/load_table.go
+++ b/internal/router/agent/load_table.go
@@ -9,10 +9,10 @@
 	"cresshub/internal/router/transport"
 )
 
-// loadByServer is the in-flight load of one process or of several together, by server.
+// loadByServer is the in-flight load of one process, or the sum over several, by server.
 type loadByServer map[string]peerproto.ServerLoad
 
-// apply applies a report of the same processes.
+// apply applies a report of the processes whose load this is.
 func (l loadByServer) apply(report *peerproto.LoadReport) {
 	if report.Full {
 		clear(l)
@@ -26,6 +26,7 @@
 	}
 }
 
+// add adds another load to this one.
 func (l loadByServer) add(other loadByServer) {
 	for server, load := range other {
 		sum := l[server]
@@ -34,10 +35,10 @@
 	}
 }
 
-// peerLoads is the load of the processes that report here, by their connections.
+// peerLoads is the load of each process that reports to this one, by its connection.
 type peerLoads map[*transport.Conn]loadByServer
 
-// addedTo returns the sum of a load and these.
+// addedTo returns the sum of a load and the loads of all peers.
 func (p peerLoads) addedTo(load loadByServer) loadByServer {
 	sum := maps.Clone(load)
 	for _, peer := range p {
@@ -46,8 +47,8 @@
 	return sum
 }
 
-// loadTable holds the in-flight load of this process and, on a hub, of those that report to it. Its methods
-// are safe for concurrent use, but for those whose comment says that the lock is held. While it is held, the
+// loadTable holds, on a hub, the in-flight load of this process and of those that report to it. Its methods
+// are safe for concurrent use, except those whose comment says that the lock is held. While it is held, the
 // lock of the hubs and those of the data plane may be taken.
 type loadTable struct {
 	*process
@@ -61,8 +62,8 @@
 	followerLoads peerLoads
 	hubLoads      peerLoads
 	changed       map[string]bool // servers whose load has changed since the last distribution
-	// Prefixes that have become known since the last distribution: those of this process and its followers,
-	// which go to hubs and followers, and those of other hubs, which go to followers only.
+	// Prefixes received since the last distribution: those of this process and its followers, which are sent to
+	// hubs and followers, and those of other hubs, which are sent to followers only.
 	localPrefixes, hubPrefixes []peerproto.ServerPrefixes
 }
 
@@ -90,6 +91,7 @@
 	t.applyPeer(t.hubLoads, &t.hubPrefixes, c, body)
 }
 
+// applyPeer applies the report of another process to its load and appends its prefixes.
 func (t *loadTable) applyPeer(peers peerLoads, prefixes *[]peerproto.ServerPrefixes, c *transport.Conn,
 	body []byte) {
 	var report peerproto.LoadReport
@@ -116,7 +118,7 @@
 	load.apply(report)
 }
 
-// markChanged records that the load changes at all servers of a load; the lock is held.
+// markChanged records that the load has changed at each server of a load; the lock is held.
 func (t *loadTable) markChanged(load loadByServer) {
 	for server := range load {
 		t.changed[server] = true
@@ -133,9 +135,10 @@
 	}
 }
 
-// distribute reports to the other hubs the load of this process and its followers, and to each follower and
-// to the data plane of this process the load of all others, at the servers in the scope. Changes are those
-// since the last distribution; at more than maxFullSyncServers, only they are reported.
+// distribute reports the load at the servers in the scope: to the other hubs that of this process and its
+// followers, and to each follower, and to the data plane of this process, that of all other processes.
+// Servers count as changed if their load has changed since the last distribution. With load at more than
+// maxFullSyncServers servers, only changed servers are reported.
 func (t *loadTable) distribute(scope scheduler.LoadScope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,13 +172,13 @@
 // localLoad returns the load of this process and its followers; the lock is held.
 func (t *loadTable) localLoad() loadByServer { return t.followerLoads.addedTo(t.own) }
 
-// loadExcept returns a total less the part of one process, at the servers in the scope. The lock is held.
+// loadExcept returns a total minus the part of one process, at the servers in the scope. The lock is held.
 func (t *loadTable) loadExcept(total, part loadByServer, scope scheduler.LoadScope) []peerproto.ServerLoad {
 	servers := []peerproto.ServerLoad{}
 	add := func(server string) {
-		sum, less := total[server], part[server]
+		sum, excluded := total[server], part[server]
 		servers = append(servers, peerproto.ServerLoad{Server: server,
-			PrefillMs: max(sum.PrefillMs-less.PrefillMs, 0), Calls: max(sum.Calls-less.Calls, 0)})
+			PrefillMs: max(sum.PrefillMs-excluded.PrefillMs, 0), Calls: max(sum.Calls-excluded.Calls, 0)})
 	}
 	if scope == scheduler.AllServers {
 		for server := range total {
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -5,14 +5,13 @@
 	"cresshub/internal/router/transport"
 )
 
-// peerHandler handles the frames that other processes send on connections that they have opened, and hands
-// each to the part of the agent that it concerns. It has no state of its own. The
-// frames of one connection are handled one after the other, on its goroutine; those of different connections
-// at the same time.
+// peerHandler handles the frames that other processes send on connections that they have opened, and passes
+// each to the part of the agent that it concerns. It has no state of its own. The frames of one connection
+// are handled sequentially, on its goroutine; those of different connections concurrently.
 type peerHandler struct {
 	*process
 	lastSeen    *lastSeen
-	status      func() *peerproto.Status // what this process answers
+	status      func() *peerproto.Status // of this process, the answer to pings and announcements
 	hubs        *hubSet
 	self        *selfRecord
 	feeds       *feedServer
@@ -27,7 +26,7 @@
 var _ transport.Handler = (*peerHandler)(nil)
 
 // Handle handles a frame of another process. It implements transport.Handler and runs on the goroutine of the
-// connection, so that only calls that may take long are given a goroutine of their own.
+// connection. Only calls on the configuration, which may take long, get a goroutine of their own.
 func (p *peerHandler) Handle(c *transport.Conn, frame peerproto.Frame) {
 	p.lastSeen.record(c.Peer(), p.now())
 	switch frame.Kind {
@@ -55,13 +54,15 @@
 	}
 }
 
-// Closed ends what depends on the connection of another process. It implements transport.Handler.
+// Closed removes the load that was reported on a connection and ends its feed. It implements
+// transport.Handler.
 func (p *peerHandler) Closed(c *transport.Conn) {
 	p.load.removePeer(c)
 	p.feeds.end(c)
 }
 
-// decodeOrClose decodes a message of another process. A connection that carries a malformed one is closed.
+// decodeOrClose decodes a message of another process and reports whether it could. If the message is
+// malformed, it closes the connection.
 func decodeOrClose(c *transport.Conn, body []byte, message peerproto.Message) bool {
 	if peerproto.Decode(body, message) != nil {
 		c.Close()
@@ -70,7 +71,7 @@
 	return true
 }
 
-// handleAnnounce learns the view from a process that announces it.
+// handleAnnounce adopts the view that another process announces, if it is newer than the known one.
 func (p *peerHandler) handleAnnounce(c *transport.Conn, frame peerproto.Frame) {
 	var status peerproto.Status
 	if !decodeOrClose(c, frame.Body, &status) {
@@ -80,7 +81,8 @@
 	c.Answer(frame, peerproto.KindPong, peerproto.Encode(p.status()))
 }
 
-// handleUpsert merges the records that a process answers for, or that anti-entropy found to be newer there.
+// handleUpsert merges the records that a process replicates to this one, or that it sends because
+// anti-entropy found differences.
 func (p *peerHandler) handleUpsert(c *transport.Conn, frame peerproto.Frame) {
 	var upsert peerproto.Records
 	if !decodeOrClose(c, frame.Body, &upsert) {
@@ -91,7 +93,8 @@
 	c.Answer(frame, peerproto.KindAck, nil)
 }
 
-// serveConfigCall runs another process's call on the configuration in this member.
+// serveConfigCall runs another process's read or change of the configuration, if this process is a member of
+// the chain.
 func (p *peerHandler) serveConfigCall(c *transport.Conn, frame peerproto.Frame) {
 	result := unavailableResult("this machine does not keep the configuration")
 	var proposal peerproto.Proposal
--- a/internal/router/agent/peer_handler_test.go
+++ b/internal/router/agent/peer_handler_test.go
@@ -8,9 +8,10 @@
 	"cresshub/internal/router/directory"
 )
 
-// TestLateMessagesOfAPredecessorEndNobody: what an earlier process of a machine sent may come after its
-// successor is known, as when a partition delayed it. The successor must be able to refute that it is lost.
-func TestLateMessagesOfAPredecessorEndNobody(t *testing.T) {
+// TestDelayedMessageOfAPredecessorIsRefutable: a message that an earlier process of a machine has sent may
+// arrive after its successor is known, for example when a partition has delayed it. It marks the successor
+// lost, which the successor must be able to refute.
+func TestDelayedMessageOfAPredecessorIsRefutable(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
 	earlier := directory.Record{Kind: directory.KindProxy, ID: "p1", Sequence: 3, State: directory.Ready,
@@ -18,7 +19,7 @@
 	successor := earlier
 	successor.ID, successor.Sequence = "p2", 1
 	agent.state.merge(agent.now(), []directory.Record{earlier, successor})
-	agent.failures.markPredecessorsLost("p1") // it called before it ended, and the call arrives only now
+	agent.failures.markPredecessorsLost("p1") // a delayed call of the earlier process
 	successor.Sequence++                      // the successor learns that it is marked lost, and refutes it
 	agent.state.merge(agent.now(), []directory.Record{successor})
 	agent.failures.markPredecessorsLost("p2")
--- a/internal/router/agent/persister.go
+++ b/internal/router/agent/persister.go
@@ -94,7 +94,7 @@
 // saveProxies saves the addresses of known proxies, where they have changed.
 func (p *persister) saveProxies() {
 	p.recordLiveProxies()
-	if !p.knownProxies.resetChanged() {
+	if !p.knownProxies.takeChanged() {
 		return
 	}
 	var records []directory.Record
@@ -102,7 +102,7 @@
 		records = append(records, directory.Record{Kind: directory.KindProxy, Address: address})
 	}
 	if err := p.saved().writeRecords(proxiesFile, records); err != nil {
-		p.knownProxies.setChanged()
+		p.knownProxies.markChanged()
 		p.log.Debug().Err(err).Msg("proxies: saving failed; retrying")
 	}
 }
--- a/internal/router/agent/recent_patches.go
+++ b/internal/router/agent/recent_patches.go
@@ -7,20 +7,22 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// The bounds of the patches that are cached for followers. One that is further behind gets the full document.
+// These constants bound the number and the total size of the patches that are cached for followers. A
+// follower that is further behind gets the full document.
 const (
 	recentPatchCount = 64
 	recentPatchBytes = 256 << 10
 )
 
-// recentPatches are the patches that led to the configuration in force, the oldest first. Each builds on the
-// one before.
+// recentPatches holds the newest patches that led to the configuration in force, the oldest first. Each
+// applies to the version that the one before it produces.
 type recentPatches struct {
 	patches []peerproto.Patch
 	bytes   int
 }
 
-// record records that a configuration came into force in place of another one, which may be nil.
+// record adds the patch of a configuration that has come into force in place of another one, which may be
+// nil. If the configuration is not a patch of that one, or its patch is too large, it clears the cache.
 func (r *recentPatches) record(before, config *fleetconfig.Config) {
 	patch := config.Patch()
 	if before == nil || patch == nil || patch.Base != before.Version || len(patch.Body) > recentPatchBytes {
@@ -35,7 +37,7 @@
 	}
 }
 
-// since returns the patches that lead from a version to the one in force, none where they are not cached.
+// since returns the patches that lead from a version to the one in force, none if they are not cached.
 func (r *recentPatches) since(version int64) []peerproto.Patch {
 	first := slices.IndexFunc(r.patches, func(p peerproto.Patch) bool { return p.Base == version })
 	if first < 0 {
--- a/internal/router/agent/recent_patches_test.go
+++ b/internal/router/agent/recent_patches_test.go
@@ -11,7 +11,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// firstDocument returns a configuration of so many routes.
+// firstDocument returns a configuration with a number of routes.
 func firstDocument(routes int) []byte {
 	all := make([]string, routes)
 	for i := range all {
@@ -21,15 +21,15 @@
 	return []byte(`{"edition":1,"routes":[` + strings.Join(all, ",") + `],"depots_list":[{"name":"s"}]}`)
 }
 
-// adoptPatch has a process adopt a patch of what is in force there.
+// adoptPatch applies a patch to the configuration that is in force at an agent.
 func adoptPatch(c *qt.C, agent *Agent, body string) {
 	next, err := agent.state.Config().ParseAndApply([]byte(body))
 	c.Assert(err, qt.IsNil)
 	agent.configSync.apply(next)
 }
 
-// TestSmallChangesAreSentAsPatches: what followers are sent for a small change does not grow with the
-// configuration, and they come to the same one.
+// TestSmallChangesAreSentAsPatches: the update that a follower gets for a small change does not grow with the
+// size of the configuration, and produces the same configuration.
 func TestSmallChangesAreSentAsPatches(t *testing.T) {
 	c := qt.New(t)
 	hub, follower := newTestAgent(t), newTestAgent(t)
@@ -42,21 +42,22 @@
 		adoptPatch(c, hub, fmt.Sprintf(`{"edition":%d,"deliver":{"routes":[{"name":"r%d","town":"new%d.example",
 			"street_prefix":"/","timeout_ms":5,"depot":"s"}]}}`, version, version, version))
 		if version%3 == 0 {
-			continue // the follower receives two changes at once
+			continue // the next update has two patches
 		}
-		news := hub.configSync.updateSince(hub.state.Config(), known)
-		c.Assert(len(news) < 600, qt.IsTrue, qt.Commentf("%d bytes", len(news)))
-		follower.configSync.applyPacked(news)
+		update := hub.configSync.updateSince(hub.state.Config(), known)
+		c.Assert(len(update) < 600, qt.IsTrue, qt.Commentf("%d bytes", len(update)))
+		follower.configSync.applyPacked(update)
 		c.Assert(follower.state.version(), qt.Equals, version)
 	}
 	c.Assert(string(follower.state.Config().Raw()), qt.Equals, string(hub.state.Config().Raw()))
 	c.Assert(follower.state.Config().Match("new11.example", "/").Name, qt.Equals, "r11")
-	follower.configSync.applyPacked(hub.configSync.updateSince(hub.state.Config(), 5)) // again what it has
+	follower.configSync.applyPacked(hub.configSync.updateSince(hub.state.Config(), 5)) // patches it already has
 	c.Assert(follower.state.version(), qt.Equals, int64(11))
 }
 
-// TestFollowersThatAreFarBehindGetTheDocument: one that is further behind than the cached patches, or has
-// another version than they build on, is sent the full document.
+// TestFollowersThatAreFarBehindGetTheDocument: a follower whose version is older than the oldest cached
+// patch, or is not the base of any, is sent the full document. A patch that is too large, or a full document
+// in force, clears the cache.
 func TestFollowersThatAreFarBehindGetTheDocument(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
@@ -81,7 +82,8 @@
 	c.Assert(peerproto.ArePatches(agent.configSync.updateSince(full, 500)), qt.IsFalse)
 }
 
-// TestCorruptPatchesAreIgnored applies neither truncated patches nor those that build on another version.
+// TestCorruptPatchesAreIgnored: truncated patches, patches of another base version and those that don't parse
+// are not applied.
 func TestCorruptPatchesAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
--- a/internal/router/agent/self_record.go
+++ b/internal/router/agent/self_record.go
@@ -6,10 +6,10 @@
 	"cresshub/internal/router/directory"
 )
 
-// selfRecord is this process's own record, which only this process may change: it announces changes under
-// higher sequence numbers, and refutes that it is lost. Its methods are safe for concurrent use. The lock may
-// be taken after that of the subscription and before that of the state. It orders the announcements, so it is
-// held until the record is in the directory.
+// selfRecord is this process's own record. Other processes may only mark it lost; all other changes are made
+// here. It announces them under increasing sequence numbers, and refutes that this process is lost. Its
+// methods are safe for concurrent use. The lock may be taken after that of the subscription and before that
+// of the state. It serializes the announcements, so it is held until the record is in the directory.
 type selfRecord struct {
 	*process
 	state *state
@@ -25,7 +25,7 @@
 	}}
 }
 
-// mergeRemote merges records of another process, and refutes them if they say that this one is lost.
+// mergeRemote merges records from another process, and refutes that this process is lost if they say so.
 func (r *selfRecord) mergeRemote(records []directory.Record) {
 	if len(records) == 0 {
 		return
@@ -34,7 +34,8 @@
 	r.refute()
 }
 
-// refute announces this process again if its record says that it is lost, as in SWIM.
+// refute announces this process again, under a higher sequence number, if its record in the directory is
+// marked lost, as in SWIM.
 func (r *selfRecord) refute() {
 	var isLost bool
 	r.state.read(func(d *directory.Directory) {
@@ -46,8 +47,8 @@
 	}
 }
 
-// announce changes this process's own record, gives it the next sequence number and merges it into the
-// directory, from where it is replicated to the hubs.
+// announce applies a change to this process's own record, increments its sequence number and merges it into
+// the directory, from where it is replicated to the hubs.
 func (r *selfRecord) announce(change func(*directory.Record)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/agent/state.go
+++ b/internal/router/agent/state.go
@@ -13,12 +13,12 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// proxyCountWindow is how long a higher count of live proxies counts, because those that are partitioned or
-// restarting still spend their shares of common budgets.
+// proxyCountWindow is how long a higher number of live proxies stays in effect after it has fallen. Proxies
+// that are partitioned or restarting still spend their shares of the budgets that all proxies divide up.
 const proxyCountWindow = time.Minute
 
-// view is the newest view of the chain that this process knows: the machines that replicate the
-// configuration.
+// view is the newest view of the chain that this process knows. Its members are the machines that replicate
+// the configuration.
 type view struct {
 	epoch   int64 // 0 for none
 	members []peerproto.MemberInfo
@@ -30,19 +30,19 @@
 }
 
 // state is what a process knows of the fleet: the directory, the configuration in force and the view. Its
-// methods are safe for concurrent use. The path of requests reads immutable snapshots without a lock.
+// methods are safe for concurrent use. The request path reads immutable snapshots without a lock.
 type state struct {
 	config     atomic.Pointer[fleetconfig.Config]
 	table      atomic.Pointer[catalog.Table]
 	proxyCount atomic.Int32 // the highest number of live proxies within proxyCountWindow
-	changed    *broadcast   // of the directory, the configuration, the view or synced
+	changed    *broadcast   // notified of changes of the directory, the configuration, the view and synced
 
 	mu           sync.Mutex
 	directory    *directory.Directory
 	patches      recentPatches
 	view         view
-	synced       bool          // this process knows the fleet well enough to take clients
-	proxyCountAt time.Duration // when proxyCount was last reached
+	synced       bool          // this process knows the fleet well enough to serve clients
+	proxyCountAt time.Duration // when proxyCount was last set or reached
 }
 
 func newState() *state {
@@ -58,7 +58,7 @@
 // Servers returns the servers that may get new requests.
 func (s *state) Servers() *catalog.Table { return s.table.Load() }
 
-// Proxies returns how many proxies were live at the same time within proxyCountWindow, at least 1.
+// Proxies returns the highest number of live proxies within proxyCountWindow, at least 1.
 func (s *state) Proxies() int { return int(s.proxyCount.Load()) }
 
 // version returns the version of the configuration in force, 0 for none.
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// update runs f on the directory with the lock held, and publishes the changes. f must not call methods of
-// the state.
+// update runs f on the directory with the lock held, and publishes the changes that f makes. f must not call
+// methods of the state that take its lock.
 func (s *state) update(now time.Duration, f func(*directory.Directory)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,6 +93,8 @@
 	})
 }
 
+// updateProxyCount sets the number of proxies to that of the live ones, unless a higher one was reached
+// within proxyCountWindow; the lock is held.
 func (s *state) updateProxyCount(now time.Duration) {
 	count := int32(max(len(s.directory.Proxies()), 1))
 	if count >= s.proxyCount.Load() || now-s.proxyCountAt > proxyCountWindow {
@@ -101,7 +103,7 @@
 	}
 }
 
-// raiseProxyCount raises the number of proxies to a count that was live until now.
+// raiseProxyCount raises the number of proxies to a count that was live until now, as saved on disk.
 func (s *state) raiseProxyCount(now time.Duration, count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,15 +114,15 @@
 }
 
 // read runs f on the directory with the lock held. f must neither change the directory nor call methods of
-// the state.
+// the state that take its lock.
 func (s *state) read(f func(*directory.Directory)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.directory)
 }
 
-// applyConfig puts a committed configuration in force and returns true, unless one at least as new is in
-// force.
+// applyConfig puts a committed configuration in force and returns true, unless one of the same or a newer
+// version is in force.
 func (s *state) applyConfig(config *fleetconfig.Config) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,15 +137,15 @@
 	return true
 }
 
-// patchesSince returns the patches that lead from a version to the one in force, none where they are not
-// cached.
+// patchesSince returns the patches that lead from a version to the one in force, none if they are not cached.
 func (s *state) patchesSince(version int64) []peerproto.Patch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.patches.since(version)
 }
 
-// learnView takes a view in and returns true, unless one at least as new is known.
+// learnView adopts a view and returns true, unless it has no members or one of the same or a newer epoch is
+// known.
 func (s *state) learnView(epoch int64, members []peerproto.MemberInfo) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,15 +163,16 @@
 	return s.view
 }
 
-// feedPosition returns the position of a follower that has received everything.
+// feedPosition returns the position of a follower that has received all changes.
 func (s *state) feedPosition() feedPosition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return feedPosition{offset: s.directory.Offset(), version: s.version(), epoch: s.view.epoch}
 }
 
-// feedSince returns the message of the feed of a process with the records that came after an offset, and with
-// the view if its epoch is another one. An offset that the directory has not reached counts as none.
+// feedSince returns a message of the feed of a process, with the records that have changed after an offset,
+// and with the members of the view if its epoch differs from the follower's. An offset that the directory
+// has not reached counts as 0, so that the message is a snapshot.
 func (s *state) feedSince(feedID string, offset uint64, epoch int64) *peerproto.Feed {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,8 +189,9 @@
 	return feed
 }
 
-// setSynced records that this process knows the fleet well enough to take clients: it has received a snapshot
-// of a feed, or is a hub that has reconciled with another one or has been up long enough.
+// setSynced records that this process knows the fleet well enough to serve clients: it has received a
+// snapshot of a feed, or is a hub that has compared its directory with that of a synced hub, has been up for
+// long enough or took part in the first start of the fleet.
 func (s *state) setSynced() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/agent/ticker.go
+++ b/internal/router/agent/ticker.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// runEvery calls f once in each interval until done closes. A call that takes longer than the interval delays
-// the next one.
+// runEvery calls f once per interval until done closes. A call that takes longer than the interval delays the
+// next one.
 func runEvery(interval time.Duration, done <-chan struct{}, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/router/agent/view_announcer_test.go
+++ b/internal/router/agent/view_announcer_test.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// membersAt returns members m0, m1 and so on at these addresses.
+// membersAt returns members with the ids m0, m1 and so on at the given IPs.
 func membersAt(ips ...string) []peerproto.MemberInfo {
 	var members []peerproto.MemberInfo
 	for i, ip := range ips {
@@ -21,8 +21,8 @@
 	return members
 }
 
-// TestViewIsAnnouncedToSeedsAndProxiesThatDoNotCall: a member announces the view to its seeds and to the
-// known proxies that do not call, another process to its seeds until these know a view.
+// TestViewIsAnnouncedToSeedsAndProxiesThatDoNotCall: a hub announces the view to its seeds and to the known
+// proxies that do not call it; any other process announces it to its seeds until these know a view.
 func TestViewIsAnnouncedToSeedsAndProxiesThatDoNotCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -43,8 +43,9 @@
 	})
 }
 
-// TestAMemberWithoutAMajorityIsNotFollowed: it may miss what the others acknowledged meanwhile.
-func TestAMemberWithoutAMajorityIsNotFollowed(t *testing.T) {
+// TestStatusReportsWhetherAMajorityIsReached: a member that does not reach a majority may miss changes that
+// the others acknowledge, so its status must say so, and it is not followed.
+func TestStatusReportsWhetherAMajorityIsReached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		agent := newTestAgent(t)
@@ -62,8 +63,8 @@
 	})
 }
 
-// TestHeartbeatsAreRejectedWithoutAView: a process that started later and knows no view sends servers to
-// others.
+// TestHeartbeatsAreRejectedWithoutAView: a process that knows no view sends servers to other proxies, unless
+// it takes part in the first start of the fleet.
 func TestHeartbeatsAreRejectedWithoutAView(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
@@ -74,15 +75,15 @@
 	c.Check(agent.quorum.awaitMajority(0, 0), qt.IsFalse, qt.Commentf("no view, no majority of it"))
 }
 
-// TestHeartbeatsAreRejectedWithoutAMajority: they are merged here, but a server that was acknowledged would
-// stay with a proxy from which the others receive nothing.
+// TestHeartbeatsAreRejectedWithoutAMajority: a proxy that reaches no majority merges heartbeats, but does not
+// acknowledge them. Otherwise servers would stay with a proxy whose changes do not reach the fleet.
 func TestHeartbeatsAreRejectedWithoutAMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		agent := newTestAgent(t)
 		agent.state.learnView(2, membersAt("10.9.0.1", "10.9.0.2", "10.9.0.3"))
 		c.Check(agent.handleCall(heartbeat("ready", "1")).Status, qt.Equals, 503)
-		c.Check(agent.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it is known here all the same"))
+		c.Check(agent.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("the heartbeat is merged"))
 		agent.hubs.links["10.9.0.1"], agent.hubs.links["10.9.0.2"] = &hub{state: hubState{lastSeen: 1}},
 			&hub{state: hubState{lastSeen: 1}}
 		c.Check(agent.handleCall(heartbeat("ready", "2")).Status, qt.Equals, 200)
@@ -96,17 +97,18 @@
 		proxies.record(time.Duration(i), []string{fmt.Sprint("10.0.", i/256, ".", i%256)})
 	}
 	c.Assert(proxies.addresses(), qt.HasLen, maxKnownProxies)
-	c.Assert(proxies.addresses()[0], qt.Equals, "10.0.0.10", qt.Commentf("those live last stay"))
-	c.Assert(proxies.resetChanged(), qt.IsTrue)
+	c.Assert(proxies.addresses()[0], qt.Equals, "10.0.0.10", qt.Commentf("the least recently live are evicted"))
+	c.Assert(proxies.takeChanged(), qt.IsTrue)
 	proxies.record(proxyRetention/2, []string{"10.0.0.99"})
-	c.Assert(proxies.resetChanged(), qt.IsFalse)
+	c.Assert(proxies.takeChanged(), qt.IsFalse)
 	proxies.record(proxyRetention+time.Minute, nil)
 	c.Assert(proxies.addresses(), qt.DeepEquals, []string{"10.0.0.99"})
-	c.Assert(proxies.resetChanged(), qt.IsTrue)
+	c.Assert(proxies.takeChanged(), qt.IsTrue)
 }
 
-// TestKnownProxiesOutliveTheProcess saves addresses and reads them as another process of the machine does.
-func TestKnownProxiesOutliveTheProcess(t *testing.T) {
+// TestKnownProxiesArePersisted: the addresses that one process saves are loaded by the next process of the
+// machine.
+func TestKnownProxiesArePersisted(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
 	agent.settings.DataDir = t.TempDir()
@@ -116,5 +118,5 @@
 	next.settings.DataDir = agent.settings.DataDir
 	next.persister.loadProxies()
 	c.Assert(next.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.5", "10.0.0.6"})
-	c.Assert(next.state.Proxies(), qt.Equals, 2, qt.Commentf("they share the retry budget"))
+	c.Assert(next.state.Proxies(), qt.Equals, 2, qt.Commentf("saved proxies count as sharing the retry budget"))
 }
--- a/internal/router/agent/workload.go
+++ b/internal/router/agent/workload.go
@@ -5,25 +5,26 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// Workload is the data plane as far as the other processes need to know it: its in-flight load and what it
-// has observed of the prefix caches of the model servers. Its methods are safe for concurrent use.
+// Workload is the part of the data plane whose state is shared with the other processes: its in-flight load
+// and demand, and what it has observed of the model servers and their prefix caches. Its methods are safe
+// for concurrent use.
 type Workload interface {
-	// InFlightChanged returns a channel that holds a token when calls to model servers have begun or ended.
+	// InFlightChanged returns a channel that receives a token when calls to model servers have begun or ended.
 	InFlightChanged() <-chan struct{}
 	// TakeInFlightLoads returns the load at the servers in the scope; changes are those since the last call.
 	TakeInFlightLoads(scope scheduler.LoadScope) []scheduler.InFlightLoad
-	// SetPeerLoad sets the load of all other processes together at the servers in the scope, and adds the
+	// SetPeerLoad sets the sum of the load of all other processes at the servers in the scope, and adds the
 	// prefixes that they have sent to servers for the first time.
 	SetPeerLoad(others []scheduler.InFlightLoad, scope scheduler.LoadScope, prefixes []scheduler.CachedPrefixes)
 	// TakeNewPrefixes returns the prefixes that were sent to servers for the first time since the last call.
 	TakeNewPrefixes() []scheduler.CachedPrefixes
 	// KnownPrefixes returns the prefix index: which prefixes are known to be cached at which servers.
 	KnownPrefixes() []scheduler.CachedPrefixes
-	// SyncPrefixes adds the prefix index of another process, or of the previous one of this machine.
+	// SyncPrefixes adds the prefix index of another process, or of the previous process of this machine.
 	SyncPrefixes(known []scheduler.CachedPrefixes)
-	// LastSuccess returns the newest request that a server answered with success.
+	// LastSuccess returns the most recent request that a server has answered successfully.
 	LastSuccess(server string) dataplane.LastSuccess
-	// Demands returns the calls under way at each service with model servers, as means over the last seconds.
+	// Demands returns the calls in flight at each service with model servers, averaged over the last seconds.
 	Demands() []dataplane.Demand
 }
 
