--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -7,30 +7,32 @@
 	"cresshub/internal/router/directory"
 )
 
-// Each process monitors the servers that call it and the proxies that follow it: it is their watcher, as the
-// records name it. Hubs monitor each other. A process that has not called within its timeout is marked lost,
-// which it can refute. This detector decides what the directory has; the members of the chain detect each
-// other's failures by heartbeats of their own (chain/peers.go).
+// Each process monitors the servers that send it heartbeats and the proxies that follow its feed: it is their
+// watcher, and their records name it as such. Hubs monitor each other. A process that has not called its
+// watcher within its timeout is marked lost, which it can refute. This detector only decides which processes
+// the directory lists as lost; the members of the chain detect each other's failures by heartbeats of their
+// own (chain/peers.go).
 
 const (
 	// failureCheckInterval is how often the monitored processes are checked.
 	failureCheckInterval = 250 * time.Millisecond
-	// proxyTimeout is how long after its last call a proxy counts as lost, hubTimeout a hub. These timeouts
-	// count the time in which this process runs: what was sent while it stalled is still to be read.
+	// proxyTimeout is how long after its last call a proxy counts as lost, and hubTimeout a hub. These timeouts
+	// leave out the time in which this process stalled: messages that arrived meanwhile are not read yet.
 	proxyTimeout = 1600 * time.Millisecond
 	hubTimeout   = 2500 * time.Millisecond
-	// maxMissedHeartbeats is the same for a server, in intervals of heartbeats.
+	// maxMissedHeartbeats is the timeout of a server, in heartbeat intervals.
 	maxMissedHeartbeats = 1.9
-	// divertingStall is how long this process has to stall for servers to call other proxies: a heartbeat that
-	// is not acknowledged within a second goes elsewhere, and one may have been under way for a while.
-	divertingStall = 500 * time.Millisecond
+	// minFailoverStall is the shortest stall of this process after which servers may have failed over to other
+	// proxies. A server does so if a heartbeat is not acknowledged within a second. A shorter stall suffices,
+	// because a heartbeat may have been in flight for a while when the stall began.
+	minFailoverStall = 500 * time.Millisecond
 )
 
-// failureDetector marks processes lost that do not call any more (this file), and probes servers whose
-// watcher is gone (unwatched.go). Its methods belong to the goroutine of run, with two exceptions: a probe
-// has a goroutine of its own, which calls probeServer and markUnwatchedLost; the goroutines of connections
-// call markPredecessorsLost. Methods that have the directory as a parameter are called with the lock of the
-// state held.
+// failureDetector marks processes lost that have stopped calling (this file), and probes servers whose
+// watcher is lost or unknown (unwatched.go). Its methods belong to the goroutine of run, with two exceptions:
+// a probe has a goroutine of its own, which calls probeServer and markUnwatchedLost; the goroutines of
+// connections call markPredecessorsLost. Methods that take the directory as a parameter are called with the
+// lock of the state held.
 type failureDetector struct {
 	*process
 	state    *state
@@ -41,11 +43,12 @@
 	probes   probeSet
 
 	// State of the goroutine of run.
-	reachesFleet  bool
-	lastSeenPrune time.Duration
+	reachesFleet bool
+	lastPruneAt  time.Duration
 
-	// observingSince is since when this process takes the calls of servers: silence before it proves nothing. It
-	// is guarded by the lock of the state, because probes read it too.
+	// observingSince is when this process last began to accept the heartbeats of servers. Not having received
+	// any before then is no sign of a failure. It is guarded by the lock of the state, because probes read it
+	// too.
 	observingSince time.Duration
 }
 
@@ -55,8 +58,8 @@
 	runEvery(failureCheckInterval, done, f.check)
 }
 
-// check marks the processes lost whose timeout is over. Timeouts begin anew while this process sends servers
-// elsewhere because it does not reach the fleet.
+// check marks the processes lost whose timeout has expired. While this process does not reach the fleet, and
+// so redirects servers to other proxies, the timeouts restart.
 func (f *failureDetector) check() {
 	reaches := f.quorum.reachesFleet()
 	if reaches != f.reachesFleet {
@@ -66,8 +69,8 @@
 	f.markTimedOut(f.now(), !reaches)
 }
 
-// markTimedOut marks the monitored processes lost whose timeout is over. With restartTimeouts, all timeouts
-// begin anew.
+// markTimedOut marks the monitored processes lost whose timeout has expired. With restartTimeouts, all
+// timeouts restart first.
 func (f *failureDetector) markTimedOut(now time.Duration, restartTimeouts bool) {
 	isHub := f.hubs.includesSelf()
 	f.state.update(now, func(d *directory.Directory) {
@@ -88,13 +91,14 @@
 	if isHub && f.quorum.reachesMajority() {
 		f.checkUnwatched()
 	}
-	if now-f.lastSeenPrune > lastSeenRetention {
-		f.lastSeenPrune = now
+	if now-f.lastPruneAt > lastSeenRetention {
+		f.lastPruneAt = now
 		f.pruneLastSeen()
 	}
 }
 
-// pruneLastSeen forgets the contacts with processes whose records the directory does not have any more.
+// pruneLastSeen removes the last contacts with processes whose records are no longer in the directory, once
+// they are older than lastSeenRetention.
 func (f *failureDetector) pruneLastSeen() {
 	stale := f.lastSeen.snapshot()
 	now := f.now()
@@ -106,19 +110,20 @@
 	f.lastSeen.remove(stale)
 }
 
-// isTimedOut reports whether a process has neither called this one nor answered its requests for a timeout in
-// which this process ran.
+// isTimedOut reports whether, for a timeout, a process has neither called this one nor answered a request of
+// it, and its record has not changed. The timeout starts at observingSince at the earliest, and leaves out
+// the time in which this process stalled.
 func (f *failureDetector) isTimedOut(d *directory.Directory, record *directory.Record,
 	timeout time.Duration) bool {
 	modifiedAt, ok := d.ModifiedAt(record.ID)
 	if !ok {
-		return false // it has expired
+		return false // the record has expired
 	}
-	lastSign := max(f.observingSince, modifiedAt)
-	if lastSeen, ok := f.lastSeen.of(record.ID); ok {
-		lastSign = max(lastSign, lastSeen)
+	lastActivity := max(f.observingSince, modifiedAt)
+	if lastSeen, ok := f.lastSeen.get(record.ID); ok {
+		lastActivity = max(lastActivity, lastSeen)
 	}
-	if f.left(lastSign, timeout) > 0 {
+	if f.left(lastActivity, timeout) > 0 {
 		return false
 	}
 	return record.Kind != directory.KindServer || f.left(f.lastAnswerAt(record.ID), timeout) <= 0
@@ -133,23 +138,25 @@
 	return max(f.now()-success.Age, 0)
 }
 
-// timeoutOf returns how long after its last call a process counts as lost at its watcher. A server that calls
-// other proxies has the time of one without a watcher, which is what it needs to find the next.
+// timeoutOf returns how long after its last call the watcher of a process considers it lost. A server that
+// may have failed over to another proxy gets the longer timeout of an unwatched one, so that it can find
+// another watcher.
 func (f *failureDetector) timeoutOf(record *directory.Record) time.Duration {
 	switch {
 	case record.Kind == directory.KindProxy:
 		return proxyTimeout
-	case f.lastSeen.wasRedirected(record.ID), f.divertedServers():
+	case f.lastSeen.wasRedirected(record.ID), f.causedFailover():
 		return f.unwatchedTimeout()
 	}
 	return time.Duration(maxMissedHeartbeats * float64(f.settings.HeartbeatInterval))
 }
 
-// divertedServers reports whether a stall of this process that ended less than unwatchedTimeout ago has made
-// servers call other proxies. Those may have stalled too.
-func (f *failureDetector) divertedServers() bool {
-	from := time.Now().Add(-f.unwatchedTimeout() - divertingStall)
-	return f.clock.StalledSince(from) >= divertingStall
+// causedFailover reports whether this process has recently stalled for so long that servers may have failed
+// over to other proxies, within the last unwatchedTimeout and minFailoverStall. Those proxies may have
+// stalled too.
+func (f *failureDetector) causedFailover() bool {
+	from := time.Now().Add(-f.unwatchedTimeout() - minFailoverStall)
+	return f.clock.StalledSince(from) >= minFailoverStall
 }
 
 // unwatchedTimeout is how long an unwatched process has to find another watcher.
@@ -157,41 +164,42 @@
 	return unwatchedHeartbeats * f.settings.HeartbeatInterval
 }
 
-// expireOrders ends orders that should have been carried out or rejected long ago, so that their servers get
-// requests again.
+// expireOrders marks orders lost that have been in force for longer than their lifetime, so that their
+// servers get requests again.
 func (f *failureDetector) expireOrders(now time.Duration, d *directory.Directory) {
 	for _, order := range d.Orders() {
-		if given, ok := d.ModifiedAt(order.ID); ok && now-given > f.orderExpiry(order.Service) {
+		if announcedAt, ok := d.ModifiedAt(order.ID); ok && now-announcedAt > f.orderLifetime(order.Service) {
 			markLost(f.process, now, d, order, "an order took too long")
 		}
 	}
 }
 
-// orderExpiry is how long an order to a server of a service may be under way.
-func (f *failureDetector) orderExpiry(service string) time.Duration {
+// orderLifetime returns how long an order to a server of a service may stay in force.
+func (f *failureDetector) orderLifetime(service string) time.Duration {
 	config := f.state.Config()
 	if config == nil || config.Services[service] == nil || config.Services[service].Engine == nil {
-		return minOrderExpiry
+		return minOrderLifetime
 	}
-	return max(minOrderExpiry, beforeSwitch+config.Services[service].Engine.RoleSwitchTime)
+	return max(minOrderLifetime, roleSwitchDrainTimeout+config.Services[service].Engine.RoleSwitchTime)
 }
 
-// markTimedOutHubs marks the other hubs lost that have not called for hubTimeout.
+// markTimedOutHubs marks the other hubs lost that have not called this process for hubTimeout.
 func (f *failureDetector) markTimedOutHubs(now time.Duration, d *directory.Directory) {
 	for _, record := range d.Proxies() {
 		if record.ID == f.id || record.Watcher != "" {
 			continue
 		}
-		lastSeen, ok := f.lastSeen.of(record.ID)
+		lastSeen, ok := f.lastSeen.get(record.ID)
 		if ok && f.left(max(lastSeen, f.observingSince), hubTimeout) <= 0 {
 			markLost(f.process, now, d, record, "hub timed out")
 		}
 	}
 }
 
-// markPredecessorsLost marks earlier processes of the same machine as lost, now that this one has called.
-// That is a guess: a message of an earlier process may arrive after its successor is known, as when a
-// partition delayed it. So they are marked lost, which they can refute, and not ended.
+// markPredecessorsLost marks the other processes at the caller's address lost, because the caller has
+// probably replaced them. This may be wrong: a message of an earlier process may arrive after its successor
+// is known, for example when a partition has delayed it. So they are marked lost, which a running process
+// refutes, and not ended, which is final.
 func (f *failureDetector) markPredecessorsLost(peer string) {
 	now := f.now()
 	f.state.update(now, func(d *directory.Directory) {
@@ -207,8 +215,8 @@
 	})
 }
 
-// markLost marks a process lost. The lock of the state is held, by any goroutine. The reason goes to the
-// metrics and the log of this process.
+// markLost marks a process or an order lost. It is called by several goroutines, with the lock of the state
+// held. The reason goes to the metrics and the log of this process.
 func markLost(p *process, now time.Duration, d *directory.Directory, record *directory.Record,
 	reason string) {
 	d.Merge(now, asLost(record))
@@ -217,7 +225,7 @@
 		Msg("directory: marked lost")
 }
 
-// asLost returns a record with the state Lost.
+// asLost returns a copy of a record with the state Lost.
 func asLost(record *directory.Record) directory.Record {
 	lost := *record
 	lost.State = directory.Lost
--- a/internal/router/agent/failure_detector_test.go
+++ b/internal/router/agent/failure_detector_test.go
@@ -13,7 +13,7 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// slowLog is a log whose writes take so long that other goroutines run meanwhile.
+// slowLog is a log writer that blocks for a millisecond, so that other goroutines run meanwhile.
 type slowLog struct{}
 
 func (slowLog) Write(line []byte) (int, error) {
@@ -21,10 +21,10 @@
 	return len(line), nil
 }
 
-// TestProbesEndWhileTheDetectorFindsAStall has probes end, each on a goroutine of its own, while the
-// detector finds and logs stalls, and begins its timeouts anew. The race detector is the check: both use the
-// time since when this process takes calls.
-func TestProbesEndWhileTheDetectorFindsAStall(t *testing.T) {
+// TestProbesDoNotRaceWithTheDetector guards against a data race on observingSince: a probe reads it on a
+// goroutine of its own while the detector logs a stall and restarts its timeouts. Only the race detector
+// finds the fault.
+func TestProbesDoNotRaceWithTheDetector(t *testing.T) {
 	agent := newTestAgent(t)
 	agent.log = zerolog.New(slowLog{})
 	agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindServer, ID: "a", Sequence: 1,
@@ -53,9 +53,9 @@
 	probes.Wait()
 }
 
-// TestOrdersExpireAfterTheSwitch: an order is given up once it has been under way for longer than its server
-// needs, by the service's own time for a change of role.
-func TestOrdersExpireAfterTheSwitch(t *testing.T) {
+// TestOrdersExpireAfterTheRoleSwitchTime: an order expires once it has been in force for longer than its
+// server needs to change its role, which is a setting of the service (RoleSwitchTime).
+func TestOrdersExpireAfterTheRoleSwitchTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		agent := newTestAgent(t)
@@ -69,7 +69,7 @@
 			agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindOrder,
 				ID: directory.OrderID(service), Sequence: 1, State: directory.Ready, Service: service}})
 		}
-		underWay := func() (servers []string) {
+		inForce := func() (servers []string) {
 			agent.failures.markTimedOut(agent.now(), false)
 			agent.state.read(func(d *directory.Directory) {
 				for _, order := range d.Orders() {
@@ -78,29 +78,30 @@
 			})
 			return servers
 		}
-		time.Sleep(minOrderExpiry)
-		c.Check(underWay(), qt.DeepEquals, []string{"quick", "slow", "unknown"})
+		time.Sleep(minOrderLifetime)
+		c.Check(inForce(), qt.DeepEquals, []string{"quick", "slow", "unknown"})
 		time.Sleep(time.Second)
-		c.Check(underWay(), qt.DeepEquals, []string{"slow"})
-		time.Sleep(beforeSwitch + 30*time.Second)
-		c.Check(underWay(), qt.HasLen, 0)
+		c.Check(inForce(), qt.DeepEquals, []string{"slow"})
+		time.Sleep(roleSwitchDrainTimeout + 30*time.Second)
+		c.Check(inForce(), qt.HasLen, 0)
 	})
 }
 
-// TestServersHaveTimeToFindAnotherProxyAfterAStall: a server whose heartbeats this process did not
-// acknowledge while it stalled calls other proxies, which may stall too. It is not lost while it looks for
-// one.
-func TestServersHaveTimeToFindAnotherProxyAfterAStall(t *testing.T) {
-	const beforeLoss = 1900 * time.Millisecond // maxMissedHeartbeats of one second
+// TestServersGetTimeToFailOverAfterAStall: a server whose heartbeats this process did not acknowledge during
+// a stall fails over to other proxies, which may stall too. It must not be marked lost before it has had the
+// time to find one.
+func TestServersGetTimeToFailOverAfterAStall(t *testing.T) {
+	const serverTimeout = 1900 * time.Millisecond // maxMissedHeartbeats at an interval of one second
 	for _, test := range []struct {
 		name   string
 		stall  time.Duration
 		lostAt time.Duration // after the last heartbeat
 	}{
-		{"no stall", 0, beforeLoss},
-		{"too short for a heartbeat to go elsewhere", divertingStall - time.Millisecond,
-			beforeLoss + divertingStall - time.Millisecond},
-		{"long", divertingStall, unwatchedHeartbeats*time.Second + divertingStall},
+		{"no stall", 0, serverTimeout},
+		{"a stall too short for servers to fail over", minFailoverStall - time.Millisecond,
+			serverTimeout + minFailoverStall - time.Millisecond},
+		{"a stall long enough for servers to fail over", minFailoverStall,
+			unwatchedHeartbeats*time.Second + minFailoverStall},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/router/agent/last_seen.go
+++ b/internal/router/agent/last_seen.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// lastSeenRetention is how long the last contact with a process is remembered whose record is not known.
+// lastSeenRetention is how long the last contact with a process is kept if the directory has no record of it.
 const lastSeenRetention = 10 * time.Second
 
-// lastSeen holds when each process and server last called this one, by id of its record. Its methods are safe
-// for concurrent use.
+// lastSeen holds when each process and server last called this process, by the id of its record. Its methods
+// are safe for concurrent use.
 type lastSeen struct {
 	mu       sync.Mutex
 	contacts map[string]contact
@@ -18,7 +18,7 @@
 // contact is the last call of a process or server.
 type contact struct {
 	at         time.Duration
-	redirected bool // it was sent to another proxy
+	redirected bool // the answer sent the caller to another proxy
 }
 
 func newLastSeen() *lastSeen { return &lastSeen{contacts: map[string]contact{}} }
@@ -30,30 +30,30 @@
 	l.contacts[id] = contact{at: now}
 }
 
-// recordRedirect records a call that was answered by sending the caller to another proxy, so that none is
-// expected of it here for a while.
+// recordRedirect records a call whose answer sent the caller to another proxy, so that no further call is
+// expected of it for a while.
 func (l *lastSeen) recordRedirect(id string, now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.contacts[id] = contact{at: now, redirected: true}
 }
 
-// of returns when a process last called.
-func (l *lastSeen) of(id string) (at time.Duration, ok bool) {
+// get returns when a process or server last called; ok is false if that is not known.
+func (l *lastSeen) get(id string) (at time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	last, ok := l.contacts[id]
 	return last.at, ok
 }
 
-// wasRedirected reports whether the last call of a process was answered by sending it to another proxy.
+// wasRedirected reports whether the answer to the last call of a process sent it to another proxy.
 func (l *lastSeen) wasRedirected(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.contacts[id].redirected
 }
 
-// snapshot returns when each process last called.
+// snapshot returns a copy of the times of the last calls, by id.
 func (l *lastSeen) snapshot() map[string]time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,6 +64,7 @@
 	return at
 }
 
+// remove removes the last contacts with the processes whose ids are the keys.
 func (l *lastSeen) remove(ids map[string]time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/router/agent/pending_orders.go
+++ b/internal/router/agent/pending_orders.go
@@ -14,25 +14,25 @@
 	address string
 }
 
-// pendingOrder is an order of which it is not known whether its server carries it out.
+// pendingOrder is an order to retry, because its server has not confirmed that it carries it out.
 type pendingOrder struct {
 	order  addressedOrder
 	sentAt time.Duration
 }
 
-// pendingOrders are the orders that are to be sent again, by server, and the servers that none could be sent
-// to. It is safe for concurrent use.
+// pendingOrders holds the orders to retry and the servers that could not be connected to. It is safe for
+// concurrent use.
 type pendingOrders struct {
 	mu          sync.Mutex
-	orders      map[string]pendingOrder
-	unreachable map[string]time.Duration // when an order could not be sent
+	orders      map[string]pendingOrder  // by server
+	unreachable map[string]time.Duration // by server, when the last connection attempt failed
 }
 
 func newPendingOrders() *pendingOrders {
 	return &pendingOrders{orders: map[string]pendingOrder{}, unreachable: map[string]time.Duration{}}
 }
 
-// add adds an order that was sent at a time.
+// add adds an order with the time at which it was last sent, in place of an earlier one to its server.
 func (p *pendingOrders) add(order addressedOrder, sentAt time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,30 +46,34 @@
 	delete(p.orders, server)
 }
 
-// due returns the orders that are to be sent again at a time.
+// due returns the orders that were last sent at least orderRetryInterval ago.
 func (p *pendingOrders) due(now time.Duration) (due []addressedOrder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pending := range p.orders {
-		if now-pending.sentAt >= orderRepeatInterval {
+		if now-pending.sentAt >= orderRetryInterval {
 			due = append(due, pending.order)
 		}
 	}
 	return due
 }
 
-// addUnreachable adds a server that an order could not be sent to, and forgets those of unreachableTime ago.
-func (p *pendingOrders) addUnreachable(server string, now time.Duration) {
+// markUnreachable records a server to which an order could not be sent, and removes those whose
+// unreachableCooldown is over.
+func (p *pendingOrders) markUnreachable(server string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.unreachable, func(_ string, at time.Duration) bool { return now-at >= unreachableTime })
+	maps.DeleteFunc(p.unreachable, func(_ string, at time.Duration) bool {
+		return now-at >= unreachableCooldown
+	})
 	p.unreachable[server] = now
 }
 
-// isUnreachable reports whether an order to a server could not be sent less than unreachableTime ago.
+// isUnreachable reports whether a server is in its cooldown: within the last unreachableCooldown, an order
+// could not be sent to it.
 func (p *pendingOrders) isUnreachable(server string, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at, ok := p.unreachable[server]
-	return ok && now-at < unreachableTime
+	return ok && now-at < unreachableCooldown
 }
--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -19,62 +19,66 @@
 const (
 	// roleAssignInterval is how often the roles of the model servers are planned.
 	roleAssignInterval = 300 * time.Millisecond
-	// confirmTimeout bounds the read that confirms that this process is still the head of the chain, and
-	// confirmValidity how long after the start of that read an order may be sent.
+	// confirmTimeout bounds the read that confirms that this process is still the head of the chain.
+	// confirmValidity is how long after the start of that read an order may be sent.
 	confirmTimeout  = 300 * time.Millisecond
 	confirmValidity = 500 * time.Millisecond
 	orderTimeout    = 700 * time.Millisecond
-	// minOrderExpiry is how long an order may be under way at least; later its server gets requests again.
-	minOrderExpiry = 9 * time.Second
-	// beforeSwitch is how long the requests that a server runs when it takes the order may go on; then it needs
-	// the service's RoleSwitchTime.
-	beforeSwitch = 6 * time.Second
-	// orderRepeatInterval is how long after an order that was not answered, or conflicts with another one, it is
-	// sent again.
-	orderRepeatInterval = time.Second
-	// unreachableTime is how long a server that an order could not be sent to gets no other one.
-	unreachableTime = 3 * time.Second
-	// leaseMargin is added to the time in which orders of the previous head may still arrive.
+	// minOrderLifetime is the least time that an order may be in force before it expires and its server gets
+	// requests again.
+	minOrderLifetime = 9 * time.Second
+	// roleSwitchDrainTimeout is how long requests that are in flight at a server when it accepts an order may
+	// go on. The change itself then takes the service's RoleSwitchTime.
+	roleSwitchDrainTimeout = 6 * time.Second
+	// orderRetryInterval is how long after it was sent an order is sent again if it was not answered, or if its
+	// server is carrying out another one.
+	orderRetryInterval = time.Second
+	// unreachableCooldown is how long a server to which an order could not be sent gets no new one.
+	unreachableCooldown = 3 * time.Second
+	// leaseMargin is added to the lease of the previous head, during which its orders may still arrive.
 	leaseMargin = 700 * time.Millisecond
 
 	orderPath = "/api/order"
-	// expectServerHeader names the incarnation that a call is meant for; another one at its address answers 421.
+	// expectServerHeader names the server incarnation that a call is meant for; any other one at the address
+	// answers 421.
 	expectServerHeader = "Cresshub-Expect-Server"
 )
 
-// roleAssigner orders model servers to take the prefill or the decode role (the pages call it a stage). This
-// is a singleton role of the head of the chain. The epoch of its view is the fencing token of its orders:
-// epochs rise, and each has one head. A new head waits until orders of the previous one can't arrive any
-// more, and each order follows a read through the chain, which confirms that this process is still the head.
+// roleAssigner orders model servers to take the prefill or the decode role, which the body of an order calls
+// a stage. Only the head of the chain does this. The epoch of its view is the fencing token of its orders:
+// epochs rise, and each has one head. A new head waits until orders of the previous one can no longer
+// arrive, and sends orders only after a read through the chain has confirmed that it is still the head.
 type roleAssigner struct {
 	*process
-	state  *state
-	quorum *quorum
-	demand *demandTable
-	read   func(timeout time.Duration) *peerproto.Result // through the chain
-	fence  func() uint64                                 // the fencing token, 0 while this is not the head
-	holder string                                        // identity of the disk, names the issuer of orders
+	state     *state
+	quorum    *quorum
+	demand    *demandTable
+	chainRead func(timeout time.Duration) *peerproto.Result // reads the configuration through the chain
+	fence     func() uint64                                 // the fencing token, 0 while this is not the head
+	issuer    string                                        // of orders: the identity of this machine's disk
 
 	// State of the goroutine of run.
 	currentFence    uint64        // the fencing token as last read
-	ordersAllowedAt time.Duration // when the orders of the previous head can't arrive any more
+	ordersAllowedAt time.Duration // from then on, no orders of the previous head can arrive
 	pending         *pendingOrders
 
-	// rejectedFence is a token that a server rejected, because it had received a higher one. No more orders are
-	// sent with it.
+	// rejectedFence is the fencing token that a server has rejected, because it had received a higher one. No
+	// more orders are sent with it.
 	rejectedFence atomic.Uint64
 }
 
 // run assigns roles until done closes.
 func (r *roleAssigner) run(done <-chan struct{}) { runEvery(roleAssignInterval, done, r.assignRoles) }
 
+// assignRoles plans the roles of the servers of each service that has an engine, and sends and retries
+// orders. It does nothing while this process may not send orders, has no configuration or is shutting down.
 func (r *roleAssigner) assignRoles() {
 	config := r.state.Config()
 	if !r.maySendOrders() || config == nil || r.isShuttingDown() {
 		return
 	}
 	r.closeCompletedOrders()
-	r.repeatOrders()
+	r.retryOrders()
 	for _, service := range config.Services {
 		if service.Engine != nil {
 			r.rebalance(service)
@@ -96,8 +100,8 @@
 	return now >= r.ordersAllowedAt && fence != r.rejectedFence.Load()
 }
 
-// closeCompletedOrders ends the records of orders that were carried out or whose servers are not live any
-// more.
+// closeCompletedOrders marks the records of those orders lost that were carried out, or whose servers are no
+// longer live.
 func (r *roleAssigner) closeCompletedOrders() {
 	now := r.now()
 	r.state.update(now, func(d *directory.Directory) {
@@ -110,7 +114,7 @@
 	})
 }
 
-// rebalance plans the roles of the servers of a service and sends the orders that this takes.
+// rebalance plans the roles of the servers of a service, and announces and sends the orders of the plan.
 func (r *roleAssigner) rebalance(service *fleetconfig.Service) {
 	servers, addresses := r.assignableServers(service.Name)
 	orders := roleplan.Plan(servers, r.demand.total(service.Name, r.now()))
@@ -129,9 +133,8 @@
 	r.sendOrders(addressed, confirmedAt)
 }
 
-// repeatOrders sends those orders again of which it is not known whether their servers carry them out, and
-// forgets those that are not in force any more.
-func (r *roleAssigner) repeatOrders() {
+// retryOrders sends the pending orders that are due for a retry, and drops those that are no longer in force.
+func (r *roleAssigner) retryOrders() {
 	var inForce []addressedOrder
 	for _, order := range r.pending.due(r.now()) {
 		if r.isInForce(order.Order) {
@@ -148,7 +151,7 @@
 	}
 }
 
-// isInForce reports whether the directory has an order of this process.
+// isInForce reports whether the directory has a live record of an order, issued by this process.
 func (r *roleAssigner) isInForce(order roleplan.Order) (inForce bool) {
 	r.state.read(func(d *directory.Directory) {
 		record := d.Get(directory.OrderID(order.Server))
@@ -157,7 +160,7 @@
 	return inForce
 }
 
-// sendOrders sends orders to their servers at the same time, and waits for the answers.
+// sendOrders sends orders to their servers concurrently, and waits for the answers.
 func (r *roleAssigner) sendOrders(orders []addressedOrder, confirmedAt time.Duration) {
 	var sending sync.WaitGroup
 	for _, order := range orders {
@@ -167,7 +170,7 @@
 }
 
 // assignableServers returns the ready servers of a service that have a role, and their addresses by id. A
-// server under an order counts with the role that it is to take.
+// server that is carrying out an order counts with its new role, and as changing.
 func (r *roleAssigner) assignableServers(service string) (servers []roleplan.Server,
 	addresses map[string]string) {
 	addresses = map[string]string{}
@@ -188,15 +191,15 @@
 	return servers, addresses
 }
 
-// confirmHead confirms, by a read through the chain, that this process is still the head in the epoch of the
-// fencing token.
+// confirmHead reports whether a read through the chain confirms that this process is still the head, in the
+// epoch of the fencing token.
 func (r *roleAssigner) confirmHead() bool {
-	return r.read(confirmTimeout).Outcome == peerproto.OutcomeAccepted &&
+	return r.chainRead(confirmTimeout).Outcome == peerproto.OutcomeAccepted &&
 		r.fence() == r.currentFence
 }
 
-// announceOrders puts orders into the directory, so that proxies send their servers nothing new, and waits
-// for a majority to know, for confirmTimeout at most.
+// announceOrders merges orders into the directory, so that proxies send their servers no new requests, and
+// waits until a majority of the members has them, for confirmTimeout at most.
 func (r *roleAssigner) announceOrders(service *fleetconfig.Service, orders []roleplan.Order) {
 	now := r.now()
 	var offset uint64
@@ -214,7 +217,7 @@
 	r.quorum.awaitMajority(offset, confirmTimeout)
 }
 
-// orderBody is the body of a call that orders a server to take a role.
+// orderBody is the body of the call that orders a server to take a role.
 type orderBody struct {
 	Order  string `json:"order"`
 	Stage  string `json:"stage"`
@@ -222,14 +225,14 @@
 	Fence  uint64 `json:"fence"`
 }
 
-// sendOrder sends an order to its server, unless the confirmation that this process is the head is too old by
-// now.
+// sendOrder sends an order to its server and handles the answer. If the confirmation that this process is the
+// head is older than confirmValidity, it withdraws the order instead.
 func (r *roleAssigner) sendOrder(order addressedOrder, confirmedAt time.Duration) {
 	lastFence := r.metrics.lastOrderFence.Load()
 	invariant.Assert(r.currentFence > 0 && r.currentFence >= lastFence, invariant.FenceRises,
 		"an order under fence %d follows one under %d", r.currentFence, lastFence)
 	r.metrics.lastOrderFence.Store(r.currentFence)
-	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.holder, r.currentFence})
+	body, err := json.Marshal(orderBody{"stage", string(order.Role), r.issuer, r.currentFence})
 	if err != nil || r.now()-confirmedAt > confirmValidity {
 		r.withdrawOrder(order.Order)
 		return
@@ -248,9 +251,10 @@
 	r.handleOrderAnswer(order, status, errors.Is(err, errNotConnected))
 }
 
-// handleOrderAnswer handles the status of an answer to an order, 0 for none. Without an answer, and while the
-// server carries out another order, the order stays in force and is sent again; a server that has it answers
-// that it does. unsent is true if nothing can have reached the server.
+// handleOrderAnswer handles the status of the answer to an order, 0 for no answer. Without an answer, and
+// while the server carries out another order, the order stays in force and is retried; a server that has
+// already received it answers the retry accordingly. unsent is true if the server could not be connected to,
+// so that it cannot have received the order.
 func (r *roleAssigner) handleOrderAnswer(order addressedOrder, status int, unsent bool) {
 	r.pending.remove(order.Server)
 	switch status {
@@ -259,7 +263,7 @@
 			r.pending.add(order, r.now())
 			return
 		}
-		r.pending.addUnreachable(order.Server, r.now())
+		r.pending.markUnreachable(order.Server, r.now())
 		r.withdrawOrder(order.Order)
 	case http1.StatusConflict:
 		r.pending.add(order, r.now())
@@ -271,7 +275,8 @@
 	}
 }
 
-// withdrawOrder ends the record of an order that is not carried out, so that its server gets requests again.
+// withdrawOrder marks the record of an order lost that will not be carried out, so that its server gets
+// requests again.
 func (r *roleAssigner) withdrawOrder(order roleplan.Order) {
 	now := r.now()
 	r.state.update(now, func(d *directory.Directory) {
--- a/internal/router/agent/role_assigner_test.go
+++ b/internal/router/agent/role_assigner_test.go
@@ -19,21 +19,21 @@
 	"cresshub/internal/router/roleplan"
 )
 
-// orderNetwork reaches one server, which answers orders with a status in turn, the last one time and again.
-// Status 0 closes the connection without an answer; without statuses the server can't be connected to.
+// orderNetwork connects to one server, which answers successive orders with the statuses in turn and repeats
+// the last one. Status 0 closes the connection without an answer; without statuses, connecting fails.
 type orderNetwork struct {
 	mu       sync.Mutex
 	statuses []int
 	orders   []*http1.Request
 }
 
-func (n *orderNetwork) Listen(string) (net.Listener, error) { return nil, errNothingThere }
+func (n *orderNetwork) Listen(string) (net.Listener, error) { return nil, errNoListener }
 
 func (n *orderNetwork) Dial(string, time.Duration) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.statuses) == 0 {
-		return nil, errNothingThere
+		return nil, errNoListener
 	}
 	here, there := net.Pipe()
 	go n.answer(there)
@@ -61,13 +61,14 @@
 	out.Flush()
 }
 
-func (n *orderNetwork) got() []*http1.Request {
+// received returns the orders that the server has received.
+func (n *orderNetwork) received() []*http1.Request {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.orders
 }
 
-// newTestAssigner returns a role assigner that is the head of the chain, and an agent whose directory has a
+// newTestAssigner returns a role assigner of the head of the chain, and its agent, whose directory has the
 // prefill server i-1 of a service with an engine.
 func newTestAssigner(t *testing.T, network *orderNetwork) (*roleAssigner, *Agent) {
 	t.Helper()
@@ -80,18 +81,18 @@
 		return &peerproto.Result{Outcome: peerproto.OutcomeAccepted}
 	}
 	return &roleAssigner{process: agent.process, state: agent.state, quorum: agent.quorum, demand: agent.demand,
-		read:  confirm,
-		fence: func() uint64 { return 1 }, holder: "d1", pending: newPendingOrders()}, agent
+		chainRead: confirm,
+		fence:     func() uint64 { return 1 }, issuer: "d1", pending: newPendingOrders()}, agent
 }
 
-// reportRole merges a heartbeat of i-1 that has its role.
+// reportRole merges a heartbeat in which i-1 reports its role.
 func reportRole(agent *Agent, sequence int64, role catalog.Role) {
 	agent.state.merge(agent.now(), []directory.Record{{Kind: directory.KindServer, ID: "i-1",
 		Sequence: sequence, State: directory.Ready, Service: "s", Address: "10.0.0.1:80", Role: string(role),
 		Slots: 1, Watcher: agent.id}})
 }
 
-// order announces an order to i-1 to decode, and sends it.
+// order announces an order for i-1 to decode, and sends it.
 func (r *roleAssigner) order() {
 	order := roleplan.Order{Server: "i-1", Role: catalog.Decode}
 	r.announceOrders(&fleetconfig.Service{Name: "s"}, []roleplan.Order{order})
@@ -105,8 +106,8 @@
 		assigner, _ := newTestAssigner(t, network)
 		c.Assert(assigner.maySendOrders(), qt.IsTrue)
 		assigner.order()
-		c.Assert(network.got(), qt.HasLen, 1)
-		sent := network.got()[0]
+		c.Assert(network.received(), qt.HasLen, 1)
+		sent := network.received()[0]
 		c.Check(sent.Method, qt.Equals, "POST")
 		c.Check(sent.Target, qt.Equals, "/api/order")
 		c.Check(sent.Header.Get("Cresshub-Expect-Server"), qt.Equals, "i-1")
@@ -117,22 +118,23 @@
 	})
 }
 
-// TestWhatFollowsTheAnswerToAnOrder: a server that may be carrying out an order gets no requests until it has
-// its role; one that does not do so gets requests again at once. What is unclear is sent again.
-func TestWhatFollowsTheAnswerToAnOrder(t *testing.T) {
+// TestOrderAnswersAreHandled: a server that may be carrying out an order gets no requests until it has the
+// role; one that has rejected the order gets requests again at once. An order whose outcome is unknown is
+// retried.
+func TestOrderAnswersAreHandled(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		statuses []int
 		inForce  bool // right after the first answer
 		orders   int  // that reach the server within five seconds
 	}{
-		{"it is being done", []int{202}, true, 1},
+		{"the server carries out the order", []int{202}, true, 1},
 		{"the server has the role", []int{200}, true, 1},
-		{"another is under way", []int{409, 409, 202}, true, 3},
-		{"no answer, as the order was taken", []int{0, 409, 200}, true, 3},
-		{"no answer, as the order was lost", []int{0, 202}, true, 2},
-		{"a higher fence was seen", []int{412}, false, 1},
-		{"no such order", []int{400}, false, 1},
+		{"the server carries out another order", []int{409, 409, 202}, true, 3},
+		{"no answer, but the order was accepted", []int{0, 409, 200}, true, 3},
+		{"no answer, and the order was lost", []int{0, 202}, true, 2},
+		{"the server has received a higher fence", []int{412}, false, 1},
+		{"the server rejects the order as invalid", []int{400}, false, 1},
 		{"the server was restarted", []int{421}, false, 1},
 		{"the server can't be connected to", nil, false, 0},
 	} {
@@ -146,17 +148,19 @@
 			served := len(agent.state.Servers().Service("s")) == 1
 			c.Check(served, qt.Equals, !test.inForce, comment)
 			for range 10 {
-				time.Sleep(orderRepeatInterval / 2)
+				time.Sleep(orderRetryInterval / 2)
 				assigner.assignRoles()
 			}
-			c.Check(network.got(), qt.HasLen, test.orders, comment)
-			c.Check(assigner.maySendOrders(), qt.Equals, test.name != "a higher fence was seen", comment)
+			c.Check(network.received(), qt.HasLen, test.orders, comment)
+			c.Check(assigner.maySendOrders(), qt.Equals,
+				test.name != "the server has received a higher fence", comment)
 		})
 	}
 }
 
-// TestCompletedOrdersAreNotRepeated: once a server has its role, or is gone, its order is over.
-func TestCompletedOrdersAreNotRepeated(t *testing.T) {
+// TestCompletedOrdersAreNotRetried: an unanswered order is not sent again once its server reports the role,
+// and the server gets requests again.
+func TestCompletedOrdersAreNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		network := &orderNetwork{statuses: []int{0}}
@@ -164,16 +168,16 @@
 		c.Assert(assigner.maySendOrders(), qt.IsTrue)
 		assigner.order()
 		reportRole(agent, 2, catalog.Decode)
-		time.Sleep(2 * orderRepeatInterval)
+		time.Sleep(2 * orderRetryInterval)
 		assigner.assignRoles()
-		c.Check(network.got(), qt.HasLen, 1)
+		c.Check(network.received(), qt.HasLen, 1)
 		c.Check(agent.state.Servers().Service("s"), qt.HasLen, 1)
 	})
 }
 
-// TestServersThatOrdersCannotReachAreLeftAlone: they count with the role they have, and get no order for a
-// while.
-func TestServersThatOrdersCannotReachAreLeftAlone(t *testing.T) {
+// TestUnreachableServersGetNoOrdersDuringTheirCooldown: a server to which an order could not be sent counts
+// as changing for unreachableCooldown, so that the planner orders nothing of it.
+func TestUnreachableServersGetNoOrdersDuringTheirCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		assigner, _ := newTestAssigner(t, &orderNetwork{})
@@ -185,7 +189,7 @@
 		c.Check(changing(), qt.IsFalse)
 		assigner.order()
 		c.Check(changing(), qt.IsTrue)
-		time.Sleep(unreachableTime)
+		time.Sleep(unreachableCooldown)
 		c.Check(changing(), qt.IsFalse)
 	})
 }
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -12,21 +12,22 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// A process whose watcher is lost or unknown is unwatched. A server then calls another proxy once its next
-// heartbeat has failed, and a proxy follows another hub, so that both are soon watched again. One that stays
-// unwatched either does not run any more, or calls proxies that no hub knows. The loss of its watcher does
-// not tell which: a hub that has just started would mark all servers lost. So the hub that ranks first for a
-// server probes it, and marks it lost only if it does not answer.
+// A process whose watcher is lost or unknown is unwatched. A server then fails over to another proxy once
+// its next heartbeat has failed, and a proxy follows another hub, so that both soon have a watcher again. A
+// process that stays unwatched either no longer runs, or calls proxies that no hub knows. That it has no
+// watcher does not tell which of the two holds; by that alone, a hub that has just started would mark all
+// servers lost. So the hub that ranks first for an unwatched server probes it, and marks it lost only if it
+// does not answer.
 
 const (
-	// unwatchedHeartbeats is how many intervals of heartbeats an unwatched process has to find another watcher.
+	// unwatchedHeartbeats is how many heartbeat intervals an unwatched process has to find another watcher.
 	unwatchedHeartbeats = 4
 	probeTimeout        = 500 * time.Millisecond
-	// probeAttempts is how often a server is probed before it is marked lost.
+	// probeAttempts is how many probes a server must leave unanswered before it is marked lost.
 	probeAttempts = 2
 	// maxConcurrentProbes bounds the servers that are probed at the same time.
 	maxConcurrentProbes = 8
-	// serverIDHeader names the incarnation that answers a health check.
+	// serverIDHeader names the server incarnation that answers a health check.
 	serverIDHeader = "Cresshub-Server-Id"
 )
 
@@ -51,8 +52,8 @@
 	}
 }
 
-// isUnwatched reports whether a process has no live watcher, and has not called here either, for so long that
-// it should have found another one.
+// isUnwatched reports whether a process has had no live watcher, and has not called this process either, for
+// so long that it should have found another watcher.
 func (f *failureDetector) isUnwatched(d *directory.Directory, record *directory.Record) bool {
 	isHub := record.Kind == directory.KindProxy && record.Watcher == ""
 	if record.ID == f.id || isHub {
@@ -78,6 +79,7 @@
 	})
 }
 
+// probeRank returns the rank of the hub with an IP for probing the server with an id.
 func probeRank(id, ip string) uint64 { return xxhash.Sum64String(id + "/" + ip) }
 
 // probeSet holds the servers that are being probed. It is safe for concurrent use.
@@ -88,7 +90,8 @@
 
 func newProbeSet() probeSet { return probeSet{ids: map[string]bool{}} }
 
-// begin adds a probe and returns true, unless the server is being probed or maxConcurrentProbes others are.
+// begin adds a probe and returns true, unless the server is already being probed or maxConcurrentProbes
+// others are.
 func (p *probeSet) begin(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,8 +108,8 @@
 	delete(p.ids, id)
 }
 
-// startProbe probes a server in the background, unless that is under way or too many probes are. A server
-// that does not answer is marked lost.
+// startProbe probes a server on a goroutine of its own, unless a probe of it or maxConcurrentProbes others
+// are in flight. It marks the server lost if it does not answer.
 func (f *failureDetector) startProbe(record *directory.Record) {
 	if !f.probes.begin(record.ID) {
 		return
@@ -117,13 +120,13 @@
 		switch {
 		case f.probeServer(record):
 			f.lastSeen.record(record.ID, f.now())
-		case f.clock.StalledSince(started) == 0: // else it may have answered in vain; the next check probes it
+		case f.clock.StalledSince(started) == 0: // else an answer may be unread; the next check retries
 			f.markUnwatchedLost(record, "its watcher is gone and it does not answer")
 		}
 	}()
 }
 
-// probeServer reports whether the incarnation that a record names answers at its address.
+// probeServer reports whether the server incarnation that a record describes answers at its address.
 func (f *failureDetector) probeServer(record *directory.Record) bool {
 	for range probeAttempts {
 		id, err := f.probeServerID(record)
@@ -148,7 +151,8 @@
 	return answer.Header.Get(serverIDHeader), nil
 }
 
-// markUnwatchedLost marks a process lost, unless its record has changed since, or it is watched again.
+// markUnwatchedLost marks a process lost, unless its record has changed since it was read, or the process is
+// no longer unwatched.
 func (f *failureDetector) markUnwatchedLost(record *directory.Record, reason string) {
 	now := f.now()
 	f.state.update(now, func(d *directory.Directory) {
--- a/internal/router/agent/unwatched_test.go
+++ b/internal/router/agent/unwatched_test.go
@@ -15,30 +15,31 @@
 	"cresshub/internal/router/directory"
 )
 
-// healthNetwork reaches servers by their addresses. Each answers a health check with its id; one without an
-// id takes connections and says nothing.
+// healthNetwork connects to servers by their addresses; its values are their ids. Each server answers a
+// health check with its id; one with an empty id accepts connections and does not answer.
 type healthNetwork map[string]string
 
-var errNothingThere = errors.New("nothing listens there")
+var errNoListener = errors.New("nothing listens at the address")
 
-func (h healthNetwork) Listen(string) (net.Listener, error) { return nil, errNothingThere }
+func (h healthNetwork) Listen(string) (net.Listener, error) { return nil, errNoListener }
 
 func (h healthNetwork) Dial(address string, _ time.Duration) (net.Conn, error) {
 	id, ok := h[address]
 	if !ok {
-		return nil, errNothingThere
+		return nil, errNoListener
 	}
 	here, there := net.Pipe()
 	go answerHealth(there, id)
 	return here, nil
 }
 
-// answerHealth answers one health check with an id; without one it waits for the caller to give up.
+// answerHealth answers one health check with an id. If the id is empty, it waits until the caller closes the
+// connection.
 func answerHealth(conn net.Conn, id string) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	if _, err := in.ReadString('\n'); err != nil || id == "" {
-		in.ReadByte() // until the caller gives up
+		in.ReadByte() // blocks until the caller closes the connection
 		return
 	}
 	for line := "-"; line != "\r\n"; line, _ = in.ReadString('\n') {
@@ -49,8 +50,9 @@
 	out.Flush()
 }
 
-// TestUnwatchedServersAreProbedBeforeTheyAreLost has the watcher of four servers vanish: one server answers,
-// at the address of one another answers, one does not answer and one does not run.
+// TestUnwatchedServersAreProbedBeforeTheyAreLost: of four servers whose watcher is unknown, only the one that
+// answers its probe is not marked lost. At the address of the second, another server answers; the third does
+// not answer, and the fourth can't be connected to.
 func TestUnwatchedServersAreProbedBeforeTheyAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -64,7 +66,7 @@
 		}
 		agent.failures.markTimedOut(agent.now(), false)
 		synctest.Wait()
-		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 4, qt.Commentf("they may find another watcher"))
+		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 4, qt.Commentf("still time to find a watcher"))
 
 		for range 3 {
 			time.Sleep((unwatchedHeartbeats + 1) * agent.settings.HeartbeatInterval)
@@ -78,8 +80,8 @@
 	})
 }
 
-// TestUnwatchedServersAreNotLostWithoutAMajority: a hub that reaches no majority is likely to be the one at
-// fault.
+// TestUnwatchedServersAreNotLostWithoutAMajority: a hub that does not reach a majority marks no unwatched
+// server lost, because it is likely to be partitioned itself.
 func TestUnwatchedServersAreNotLostWithoutAMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -103,7 +105,8 @@
 	return dataplane.LastSuccess{Exists: true}
 }
 
-// TestServersThatAnswerRequestsAreNotLost: a server without heartbeats is not lost while it answers requests.
+// TestServersThatAnswerRequestsAreNotLost: a server whose heartbeats are missing is not marked lost while it
+// answers requests.
 func TestServersThatAnswerRequestsAreNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/agent/view_announcer.go
+++ b/internal/router/agent/view_announcer.go
@@ -10,34 +10,35 @@
 	"cresshub/internal/router/transport"
 )
 
-// A process that starts knows only its seeds, and these may know no more than itself: they may have no disk
-// and have started at the same moment. So a process that knows the view announces it to those that may not.
-// Every process announces it to its seeds. Members announce it also to all known proxies that do not call;
-// the addresses of those are persisted. A process that receives an announcement learns the view, and from
-// then on calls the members.
+// A process that starts knows only its seeds, and these may not know the view either: they may have no disk
+// and have started at the same time. So a process that knows the view announces it to those that may not.
+// Every process announces it to its seeds. Hubs announce it also to all known proxies that do not call them;
+// the addresses of known proxies are persisted. A process that receives an announcement adopts the view, and
+// from then on calls the members of the view.
 
 const (
-	// announceInterval is how often the targets that are due are looked for.
+	// announceInterval is how often the due announcements are started.
 	announceInterval = 100 * time.Millisecond
 	announceTimeout  = 700 * time.Millisecond
-	// minAnnounceBackoff is the first interval of announcements to a process that does not answer. It doubles
-	// up to maxAnnounceBackoff, which also follows an answer as long as the process does not call.
+	// minAnnounceBackoff is the first interval between announcements to a process that does not answer. The
+	// interval doubles up to maxAnnounceBackoff, which is also the interval after an answer of a process that
+	// knows a view, for as long as the process remains a target.
 	minAnnounceBackoff = 100 * time.Millisecond
 	maxAnnounceBackoff = 1600 * time.Millisecond
-	// maxConcurrentAnnouncements bounds the announcements under way.
+	// maxConcurrentAnnouncements bounds the announcements in flight.
 	maxConcurrentAnnouncements = 16
 )
 
 // announcementTarget is a machine to which the view is announced.
 type announcementTarget struct {
 	inFlight  bool
-	knowsView bool          // its process has answered, and knows a view
+	knowsView bool          // its process has answered the last announcement, and knows a view
 	nextAt    time.Duration // the earliest time of the next announcement
 	backoff   time.Duration
 }
 
 // viewAnnouncer announces the view to processes that may not know it. Its fields belong to the goroutine of
-// run; announcements under way report through results.
+// run; announcements in flight send their outcomes to results.
 type viewAnnouncer struct {
 	*process
 	state        *state
@@ -54,10 +55,10 @@
 
 type announcementResult struct {
 	ip        string
-	knowsView bool // the process that answered
+	knowsView bool // the process has answered, and knows a view
 }
 
-// run announces the view, once one is known, until done closes.
+// run announces the view, as soon as one is known, until done closes.
 func (v *viewAnnouncer) run(done <-chan struct{}) {
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
@@ -75,7 +76,7 @@
 	}
 }
 
-// startDue starts the announcements that are due.
+// startDue starts the announcements that are due, and drops the targets that are no longer wanted.
 func (v *viewAnnouncer) startDue(targetIPs []string) {
 	now := v.now()
 	for ip, target := range v.targets {
@@ -98,7 +99,7 @@
 	}
 }
 
-// announce announces the view to one process.
+// announce announces the view to one process, and adopts the view in the answer if that is newer.
 func (v *viewAnnouncer) announce(ip string) {
 	body := peerproto.Encode(v.status())
 	frame, err := v.endpoint.CallOnce(v.peerAddress(ip), v.hello(), peerproto.KindAnnounce, body,
@@ -112,7 +113,7 @@
 	v.results <- result
 }
 
-// recordResult ends an announcement and schedules the next one to its target.
+// recordResult records the outcome of an announcement and schedules the next one to its target.
 func (v *viewAnnouncer) recordResult(result announcementResult) {
 	v.inFlight--
 	target := v.targets[result.ip]
@@ -125,7 +126,8 @@
 	target.backoff = min(2*target.backoff, maxAnnounceBackoff)
 }
 
-// targetIPs returns the IPs of the machines to which the view is to be announced.
+// targetIPs returns the IPs of the machines to which the view is to be announced: seeds that may not know it,
+// and at a hub also the known proxies that have not called it within contactTimeout.
 func (v *viewAnnouncer) targetIPs() []string {
 	isHub := v.hubs.includesSelf()
 	calling := v.callingAddresses()
@@ -158,7 +160,7 @@
 	calling := map[string]bool{}
 	v.state.read(func(d *directory.Directory) {
 		for _, proxy := range d.Proxies() {
-			if lastSeen, ok := v.lastSeen.of(proxy.ID); ok && now-lastSeen <= contactTimeout {
+			if lastSeen, ok := v.lastSeen.get(proxy.ID); ok && now-lastSeen <= contactTimeout {
 				calling[proxy.Address] = true
 			}
 		}
--- a/internal/router/agent/wiring.go
+++ b/internal/router/agent/wiring.go
@@ -119,7 +119,7 @@
 // newRoleAssigner returns what assigns roles while the member is the head of the chain.
 func (a *Agent) newRoleAssigner(member *chainMember) *roleAssigner {
 	return &roleAssigner{process: a.process, state: a.state, quorum: a.quorum, demand: a.demand,
-		read: member.read, fence: member.published.fence, holder: member.identity, pending: newPendingOrders()}
+		chainRead: member.read, fence: member.published.fence, issuer: member.identity, pending: newPendingOrders()}
 }
 
 // newViewAnnouncer returns what announces the view.
