--- a/internal/router/agent/chain_encoding.go
+++ b/internal/router/agent/chain_encoding.go
@@ -5,8 +5,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// encodeChain encodes a message of the chain for the peer protocol.
-func encodeChain(m *chain.Message) []byte {
+// encodeChainMessage encodes a message of the chain for the peer protocol.
+func encodeChainMessage(m *chain.Message) []byte {
 	return peerproto.Encode(&peerproto.ChainMessage{
 		Kind: int(m.Kind), From: string(m.From), Epoch: int64(m.Epoch), Address: m.Address, HasDisk: m.HasDisk,
 		EntryEpoch: int64(m.EntryEpoch), Open: m.Open, Draining: m.Draining, Stalled: m.Stalled, Sealed: m.Sealed,
@@ -19,8 +19,8 @@
 	})
 }
 
-// decodeChain decodes a message of the chain.
-func decodeChain(body []byte) (chain.Message, error) {
+// decodeChainMessage decodes a message of the chain.
+func decodeChainMessage(body []byte) (chain.Message, error) {
 	var m peerproto.ChainMessage
 	if err := peerproto.Decode(body, &m); err != nil {
 		return chain.Message{}, err
--- a/internal/router/agent/chain_encoding_test.go
+++ b/internal/router/agent/chain_encoding_test.go
@@ -15,7 +15,7 @@
 	var message chain.Message
 	next := 1
 	fillWithNonZero(reflect.ValueOf(&message).Elem(), &next)
-	decoded, err := decodeChain(encodeChain(&message))
+	decoded, err := decodeChainMessage(encodeChainMessage(&message))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, decoded, qt.DeepEquals, message)
 }
--- a/internal/router/agent/chain_links.go
+++ b/internal/router/agent/chain_links.go
@@ -28,7 +28,7 @@
 	for i := range messages {
 		envelope := &messages[i]
 		if envelope.To.Address != "" && envelope.To.Address != l.settings.IP {
-			l.to(envelope.To.Address).Send(peerproto.KindChain, encodeChain(&envelope.Message))
+			l.to(envelope.To.Address).Send(peerproto.KindChain, encodeChainMessage(&envelope.Message))
 		}
 	}
 }
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -64,7 +64,7 @@
 func (m *chainMember) read(timeout time.Duration) *peerproto.Result { return m.requests.read(timeout) }
 
 func (m *chainMember) receive(body []byte) {
-	message, err := decodeChain(body)
+	message, err := decodeChainMessage(body)
 	if err != nil {
 		return
 	}
--- a/internal/router/agent/config_sync.go
+++ b/internal/router/agent/config_sync.go
@@ -18,16 +18,16 @@
 	fetchTimeout = 700 * time.Millisecond
 )
 
-// packedConfig caches the newest configuration in the form in which it is sent to followers, so that it is
-// packed once for all of them.
-type packedConfig struct {
+// packedConfigCache caches the newest configuration in the form in which it is sent to followers, so that it
+// is packed once for all of them.
+type packedConfigCache struct {
 	mu      sync.Mutex
 	version int64
 	packed  []byte
 }
 
 // of returns the packed document of a configuration.
-func (p *packedConfig) of(config *fleetconfig.Config) []byte {
+func (p *packedConfigCache) of(config *fleetconfig.Config) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.packed == nil || p.version != config.Version {
@@ -43,12 +43,12 @@
 type configSync struct {
 	state    *state
 	log      zerolog.Logger
-	packed   packedConfig
+	packed   packedConfigCache
 	fetching atomic.Bool // a configuration is being fetched from a hub
 }
 
-// inForce returns the configuration in force, packed.
-func (s *configSync) inForce() *peerproto.Result {
+// fetchResult returns the configuration in force, packed.
+func (s *configSync) fetchResult() *peerproto.Result {
 	config := s.state.Config()
 	if config == nil {
 		return unavailableResult("no configuration is known here")
--- a/internal/router/agent/control_endpoint.go
+++ b/internal/router/agent/control_endpoint.go
@@ -13,7 +13,7 @@
 	case strings.HasPrefix(call.Path, serversPath) && call.Path != serversPath:
 		return a.serverEndpoint.handle(call)
 	case call.Path == metricsPath:
-		return a.metricsEndpoint.show(call)
+		return a.metricsEndpoint.handle(call)
 	case call.Path == membersPath:
 		return a.listEndpoint.members(call)
 	case call.Path == serverListPath:
--- a/internal/router/agent/doc.go
+++ b/internal/router/agent/doc.go
@@ -84,8 +84,8 @@
 //  3. selfRecord: this process's own record
 //  4. state: the directory, the view and the cached patches; it also orders the writes of the atomic fields
 //     and guards, outside of its struct, failureDetector.observingSince and dataplaneState.lossReports
-//  5. hub (one link), lastSeen, knownProxies, demandTable, feedServer, probeSet, packedConfig, broadcast,
-//     chainLinks and pendingRequests
+//  5. hub (one link), lastSeen, knownProxies, demandTable, feedServer, probeSet, packedConfigCache,
+//     broadcast, chainLinks and pendingRequests
 //  6. those of the data plane and of packages transport, metrics and segmentlog
 //
 // The functions given to update and read of the state run with its lock held. They must not take it again,
--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -118,10 +118,10 @@
 	if lastSeen, ok := f.lastSeen.of(record.ID); ok {
 		lastSign = max(lastSign, lastSeen)
 	}
-	if f.left(lastSign, timeout) > 0 {
+	if f.remaining(lastSign, timeout) > 0 {
 		return false
 	}
-	return record.Kind != directory.KindServer || f.left(f.lastAnswerAt(record.ID), timeout) <= 0
+	return record.Kind != directory.KindServer || f.remaining(f.lastAnswerAt(record.ID), timeout) <= 0
 }
 
 // lastAnswerAt returns when a server last answered a request of this process, 0 for never.
@@ -183,7 +183,7 @@
 			continue
 		}
 		lastSeen, ok := f.lastSeen.of(record.ID)
-		if ok && f.left(max(lastSeen, f.observingSince), hubTimeout) <= 0 {
+		if ok && f.remaining(max(lastSeen, f.observingSince), hubTimeout) <= 0 {
 			markLost(f.process, now, d, record, "hub timed out")
 		}
 	}
--- a/internal/router/agent/feed_subscription.go
+++ b/internal/router/agent/feed_subscription.go
@@ -70,7 +70,7 @@
 		s.unsubscribe()
 		return
 	}
-	if s.source != nil && s.left(s.lastReceived, feedTimeout) > 0 && s.isUsable(s.source) {
+	if s.source != nil && s.remaining(s.lastReceived, feedTimeout) > 0 && s.isUsable(s.source) {
 		return
 	}
 	next := s.chooseSource(s.source)
@@ -78,7 +78,7 @@
 		return
 	}
 	if s.source != next {
-		s.metrics.sourceChanges.Add(1)
+		s.metrics.feedSubscriptions.Add(1)
 		s.log.Info().Str("hub", next.ip).Msg("feed: subscribed")
 	}
 	s.source, s.lastReceived = next, now
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -113,8 +113,8 @@
 	for i, golden := range kinds {
 		message := goldenChainMessage(golden.kind, outcomes[i%len(outcomes)])
 		file := "chain/" + golden.file + ".bin"
-		checkGolden(c, file, encodeChain(message))
-		read, err := decodeChain(readGolden(c, file))
+		checkGolden(c, file, encodeChainMessage(message))
+		read, err := decodeChainMessage(readGolden(c, file))
 		c.Assert(err, qt.IsNil)
 		c.Assert(&read, qt.DeepEquals, message, qt.Commentf("%s", file))
 	}
@@ -222,7 +222,7 @@
 	c := qt.New(t)
 	agent := goldenAgent(t)
 	agent.configSync.applyDocument([]byte(goldenDocument))
-	checkGolden(c, "config_result.bin", peerproto.Encode(agent.configSync.inForce()))
+	checkGolden(c, "config_result.bin", peerproto.Encode(agent.configSync.fetchResult()))
 	adoptPatch(c, agent, goldenPatch)
 	config := agent.state.Config()
 	checkGolden(c, "config_patches.bin", agent.configSync.updateSince(config, 40))
--- a/internal/router/agent/listeners.go
+++ b/internal/router/agent/listeners.go
@@ -67,7 +67,7 @@
 		a.log.Warn().Err(err).Msg("metrics: listening failed; call /metrics at the control address")
 		return func() {}
 	}
-	go a.serveCalls(listener, a.metricsEndpoint.show, 0)
+	go a.serveCalls(listener, a.metricsEndpoint.handle, 0)
 	return func() { listener.Close() }
 }
 
--- a/internal/router/agent/metrics.go
+++ b/internal/router/agent/metrics.go
@@ -12,21 +12,21 @@
 // agentMetrics are the metrics of the control side; those of the data plane are its own. They are safe for
 // concurrent use and take no lock of the agent, so that they may be counted with any lock held.
 type agentMetrics struct {
-	heartbeats      metrics.CounterFamily // by answer
-	configCalls     metrics.CounterFamily // by call and outcome
-	lostProcesses   metrics.CounterFamily // processes marked lost here, by kind and reason
-	orders          metrics.CounterFamily // to model servers, by status
-	sourceChanges   metrics.Counter       // of the hub that is followed
-	stalls          metrics.Counter       // of this process
-	stalledTime     metrics.Counter       // of all of them, in milliseconds
-	diskErrors      metrics.Counter       // steps of the chain that could not be persisted
-	failedDiskOpens metrics.Counter
-	droppedEvents   metrics.Counter // of the chain
-	reloadErrors    metrics.Counter // of the settings file
-	acceptErrors    metrics.Counter
-	handlerPanics   metrics.Counter
-	diskWrites      metrics.Histogram // time of synced writes of the chain
-	lastOrderFence  atomic.Uint64     // fencing token of the last order, for its invariant
+	heartbeats        metrics.CounterFamily // by answer
+	configCalls       metrics.CounterFamily // by call and outcome
+	lostProcesses     metrics.CounterFamily // processes marked lost here, by kind and reason
+	orders            metrics.CounterFamily // to model servers, by status
+	feedSubscriptions metrics.Counter       // of the hub that is followed
+	stalls            metrics.Counter       // of this process
+	stalledTime       metrics.Counter       // of all of them, in milliseconds
+	diskErrors        metrics.Counter       // steps of the chain that could not be persisted
+	failedDiskOpens   metrics.Counter
+	droppedEvents     metrics.Counter // of the chain
+	reloadErrors      metrics.Counter // of the settings file
+	acceptErrors      metrics.Counter
+	handlerPanics     metrics.Counter
+	diskWrites        metrics.Histogram // time of synced writes of the chain
+	lastOrderFence    atomic.Uint64     // fencing token of the last order, for its invariant
 }
 
 func (m *agentMetrics) countHeartbeat(answer string) {
--- a/internal/router/agent/metrics_endpoint.go
+++ b/internal/router/agent/metrics_endpoint.go
@@ -27,8 +27,8 @@
 	proxy       *dataplane.Proxy // nil if the role does not serve clients
 }
 
-// show handles a call for the metrics.
-func (e *metricsEndpoint) show(call *controlserver.Call) *http1.Response {
+// handle handles a call for the metrics.
+func (e *metricsEndpoint) handle(call *controlserver.Call) *http1.Response {
 	if call.Path != metricsPath {
 		return controlserver.Text(http1.StatusNotFound, "call "+metricsPath)
 	}
@@ -90,7 +90,7 @@
 	page.Family("cresshub_stage_orders_total",
 		"Role orders sent to servers, by response status; 0 for no response.", &m.orders)
 	page.Counter("cresshub_feeds_followed_total", "Subscriptions to the feed of a hub.",
-		m.sourceChanges.Value())
+		m.feedSubscriptions.Value())
 	page.Counter("cresshub_stood_still_total", "Stalls of this process: intervals in which it did not run.",
 		m.stalls.Value())
 	page.Counter("cresshub_stalled_milliseconds_total", "Time in which this process did not run.",
--- a/internal/router/agent/peer_handler.go
+++ b/internal/router/agent/peer_handler.go
@@ -43,7 +43,7 @@
 	case peerproto.KindCompare:
 		p.antiEntropy.handleCompare(c, frame)
 	case peerproto.KindConfigFetch:
-		c.Answer(frame, peerproto.KindResult, peerproto.Encode(p.configSync.inForce()))
+		c.Answer(frame, peerproto.KindResult, peerproto.Encode(p.configSync.fetchResult()))
 	case peerproto.KindPropose, peerproto.KindPatch, peerproto.KindRead:
 		go p.serveConfigCall(c, frame)
 	case peerproto.KindLoadReport:
--- a/internal/router/agent/process.go
+++ b/internal/router/agent/process.go
@@ -57,9 +57,9 @@
 // minLoggedStall is the shortest stall that is logged.
 const minLoggedStall = 800 * time.Millisecond
 
-// left returns what is left of a timeout that began at from: until this process has run for that long, and
-// for a moment after a stall, in which it takes in what has come.
-func (p *process) left(from, timeout time.Duration) time.Duration {
+// remaining returns what is left of a timeout that began at from: until this process has run for that long,
+// and for a moment after a stall, in which it takes in what has come.
+func (p *process) remaining(from, timeout time.Duration) time.Duration {
 	return p.clock.Left(p.started.Add(from), timeout)
 }
 
--- a/internal/router/agent/unwatched.go
+++ b/internal/router/agent/unwatched.go
@@ -62,7 +62,7 @@
 	if watcher != nil && watcher.Live() {
 		return false
 	}
-	if lostAt, ok := d.ModifiedAt(record.Watcher); ok && f.left(lostAt, f.unwatchedTimeout()) > 0 {
+	if lostAt, ok := d.ModifiedAt(record.Watcher); ok && f.remaining(lostAt, f.unwatchedTimeout()) > 0 {
 		return false
 	}
 	return f.isTimedOut(d, record, f.unwatchedTimeout())
