--- a/internal/router/agent/shutdown.go
+++ b/internal/router/agent/shutdown.go
@@ -7,8 +7,8 @@
 	"cresshub/internal/router/directory"
 )
 
-// shutdown drains the clients, hands off the replica of the configuration and announces the end, within the
-// grace period. It returns when the process may exit.
+// shutdown drains the clients, hands off the replica of the configuration and announces that this process has
+// ended, all within the grace period. It returns when the process may exit.
 func (a *Agent) shutdown(l *listeners) {
 	signalled, plan := time.Now(), planShutdown(a.settings.Bounds.Grace)
 	a.shuttingDown.Store(true)
@@ -17,14 +17,14 @@
 		a.proxy.Drain()
 	}
 	go a.configStore.drain()
-	time.Sleep(plan.closeListener)
-	if l.front != nil {
-		l.front.Close()
-		a.proxy.Wait(signalled.Add(plan.abortRequests), signalled.Add(plan.finishAnswers))
+	time.Sleep(plan.closeListenerAt)
+	if l.clients != nil {
+		l.clients.Close()
+		a.proxy.Wait(signalled.Add(plan.abortRequestsAt), signalled.Add(plan.finalResponsesBy))
 	}
-	a.awaitHandoff(signalled.Add(plan.finishAnswers))
-	a.announceShutdown(plan.notice)
-	for _, listener := range []net.Listener{l.peers, l.control, l.ready} {
+	a.awaitHandoff(signalled.Add(plan.finalResponsesBy))
+	a.announceShutdown(plan.announceTimeout)
+	for _, listener := range []net.Listener{l.peers, l.control, l.readiness} {
 		if listener != nil {
 			listener.Close()
 		}
@@ -32,8 +32,9 @@
 	a.log.Info().Msg("agent: stopped")
 }
 
-// awaitHandoff waits until the others have all that this process has accepted of the configuration, which may
-// be one of the last replicas of what was acknowledged, or until a deadline.
+// awaitHandoff waits until the other members have everything of the configuration that this process has
+// accepted, or until a deadline. It waits because this may be one of the last replicas of acknowledged
+// changes.
 func (a *Agent) awaitHandoff(deadline time.Time) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -44,8 +45,8 @@
 	}
 }
 
-// announceShutdown announces that this process has ended, and waits until a majority of the hubs knows it, or
-// for a timeout.
+// announceShutdown announces that this process has ended, and waits until a majority of the hubs knows it or
+// the timeout has passed.
 func (a *Agent) announceShutdown(timeout time.Duration) {
 	a.self.announce(func(self *directory.Record) { self.State = directory.Ended })
 	var offset uint64
--- a/internal/router/agent/shutdown_plan.go
+++ b/internal/router/agent/shutdown_plan.go
@@ -3,38 +3,39 @@
 import "time"
 
 const (
-	// acceptAfterSignal is how long new clients are accepted after SIGTERM: the platform checks every second
-	// whether this process is ready, and sends clients until the second check that fails.
+	// acceptAfterSignal is how long new clients are accepted after SIGTERM. The platform checks the readiness of
+	// this process every second, and stops sending clients at the second check that fails.
 	acceptAfterSignal = 2300 * time.Millisecond
-	// abortReserve is how long before the end of a long grace period requests are aborted.
-	abortReserve = 1300 * time.Millisecond
-	// finalAnswerTime bounds how long the clients of aborted requests have to receive an answer.
-	finalAnswerTime = 300 * time.Millisecond
-	// shutdownNoticeTimeout bounds the announcement of the end.
-	shutdownNoticeTimeout = 300 * time.Millisecond
-	// graceMargin is the fraction of the grace period by which requests go on into its last sixth: the platform
-	// and this process begin to count at slightly different moments.
-	graceMargin = 0.02
+	// abortBeforeGraceEnd is how long before the end of a long grace period requests are aborted.
+	abortBeforeGraceEnd = 1300 * time.Millisecond
+	// finalResponseTime bounds how long the clients of aborted requests have to receive a response.
+	finalResponseTime = 300 * time.Millisecond
+	// shutdownAnnounceTime bounds the announcement that this process has ended.
+	shutdownAnnounceTime = 300 * time.Millisecond
+	// Requests are aborted no sooner than graceMarginFraction of the grace period after its last sixth has
+	// begun, because the platform and this process start to measure the grace period at slightly different
+	// times.
+	graceMarginFraction = 0.02
 )
 
-// shutdownPlan is the schedule of a shutdown. All but notice are times since SIGTERM.
+// shutdownPlan is the schedule of a shutdown. The times count from SIGTERM.
 type shutdownPlan struct {
-	closeListener time.Duration // no new clients are accepted from here on
-	abortRequests time.Duration // requests still under way are aborted
-	finishAnswers time.Duration // their clients have had the time to receive an answer
-	notice        time.Duration // how long the announcement of the end may take, after that
+	closeListenerAt  time.Duration // no new clients are accepted from then on
+	abortRequestsAt  time.Duration // requests that are still in flight are aborted
+	finalResponsesBy time.Duration // deadline for the responses to the aborted requests
+	announceTimeout  time.Duration // of the announcement that this process has ended, which follows
 }
 
-// planShutdown returns the schedule for a grace period. The operators require that no request which a server
-// still works on is aborted before the last sixth of the grace period.
+// planShutdown returns the schedule for a grace period. The operators require that no request that a server
+// is still processing is aborted before the last sixth of the grace period.
 func planShutdown(grace time.Duration) shutdownPlan {
-	lastSixth := grace*5/6 + time.Duration(graceMargin*float64(grace))
-	abortRequests := max(grace-abortReserve, lastSixth)
-	finishAnswers := abortRequests + min(finalAnswerTime, (grace-abortRequests)/2)
+	lastSixth := grace*5/6 + time.Duration(graceMarginFraction*float64(grace))
+	abortRequestsAt := max(grace-abortBeforeGraceEnd, lastSixth)
+	finalResponsesBy := abortRequestsAt + min(finalResponseTime, (grace-abortRequestsAt)/2)
 	return shutdownPlan{
-		closeListener: min(acceptAfterSignal, grace/3),
-		abortRequests: abortRequests,
-		finishAnswers: finishAnswers,
-		notice:        min(shutdownNoticeTimeout, (grace-finishAnswers)/2),
+		closeListenerAt:  min(acceptAfterSignal, grace/3),
+		abortRequestsAt:  abortRequestsAt,
+		finalResponsesBy: finalResponsesBy,
+		announceTimeout:  min(shutdownAnnounceTime, (grace-finalResponsesBy)/2),
 	}
 }
--- a/internal/router/agent/shutdown_test.go
+++ b/internal/router/agent/shutdown_test.go
@@ -10,20 +10,21 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// neededMember has accepted what the others do not have until needed closes.
-type neededMember struct {
+// unreplicatedStore is a configStore that has accepted changes which other members lack until replicated
+// closes.
+type unreplicatedStore struct {
 	noConfigStore
-	needed chan struct{}
+	replicated chan struct{}
 }
 
-func (m neededMember) drained() <-chan struct{} { return m.needed }
+func (s unreplicatedStore) drained() <-chan struct{} { return s.replicated }
 
-// TestShutdownWaitsForTheHandoff: a process that is one of the last replicas goes on until others have all
-// that it accepted, or its time is over.
+// TestShutdownWaitsForTheHandoff checks that a process that is one of the last replicas keeps running until
+// the others have all that it has accepted, or until the deadline.
 func TestShutdownWaitsForTheHandoff(t *testing.T) {
 	for _, test := range []struct {
-		name                  string
-		release, grace, waits time.Duration
+		name                          string
+		replicatedAfter, grace, waits time.Duration
 	}{
 		{"the others have it in time", time.Second, 5 * time.Second, time.Second},
 		{"the time is over", 9 * time.Second, 5 * time.Second, 5 * time.Second},
@@ -32,23 +33,24 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				agent := newTestAgent(t)
-				member := neededMember{needed: make(chan struct{})}
-				agent.configStore = member
+				store := unreplicatedStore{replicated: make(chan struct{})}
+				agent.configStore = store
 				go func() {
-					time.Sleep(test.release)
-					close(member.needed)
+					time.Sleep(test.replicatedAfter)
+					close(store.replicated)
 				}()
-				began := time.Now()
-				agent.awaitHandoff(began.Add(test.grace))
-				qt.Check(t, time.Since(began), qt.Equals, test.waits)
-				<-member.needed
+				start := time.Now()
+				agent.awaitHandoff(start.Add(test.grace))
+				qt.Check(t, time.Since(start), qt.Equals, test.waits)
+				<-store.replicated
 			})
 		})
 	}
 }
 
-// TestShutdownMakesTheProcessUnreadyAtOnce: the platform counts a process as ready that still says so
-// four seconds after SIGTERM, so the next check has to fail, while clients are still served.
+// TestShutdownMakesTheProcessUnreadyAtOnce checks that the first readiness check after SIGTERM fails, while
+// clients are still served. The platform treats a process as ready if it still reports that four seconds
+// after SIGTERM.
 func TestShutdownMakesTheProcessUnreadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := newTestAgent(t)
