--- a/internal/router/agent/control_endpoint.go
+++ b/internal/router/agent/control_endpoint.go
@@ -7,7 +7,7 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// handleCall routes a call at the control address to its endpoint.
+// handleCall routes a call at the control address to the endpoint of its path.
 func (a *Agent) handleCall(call *controlserver.Call) *http1.Response {
 	switch {
 	case strings.HasPrefix(call.Path, serversPath) && call.Path != serversPath:
@@ -15,7 +15,7 @@
 	case call.Path == metricsPath:
 		return a.metricsEndpoint.handle(call)
 	case call.Path == membersPath:
-		return a.listEndpoint.members(call)
+		return a.listEndpoint.processes(call)
 	case call.Path == serverListPath:
 		return a.listEndpoint.servers(call)
 	case call.Path == configPath:
--- a/internal/router/agent/list_endpoint.go
+++ b/internal/router/agent/list_endpoint.go
@@ -16,30 +16,30 @@
 	serverListPath = "/api/servers"
 )
 
-// memberList is the answer to GET /api/members.
-type memberList struct {
-	Asked   string         `json:"asked"`
-	Version int64          `json:"edition"`
-	Epoch   int64          `json:"epoch"`
-	Members []listedMember `json:"members"`
+// processList is the answer to GET /api/members, which lists the processes of the fleet.
+type processList struct {
+	Responder string          `json:"asked"` // id of the process that answers
+	Version   int64           `json:"edition"`
+	Epoch     int64           `json:"epoch"`
+	Processes []listedProcess `json:"members"`
 }
 
-type listedMember struct {
-	ID       string `json:"id"`
-	Name     string `json:"office"`
-	IP       string `json:"ip"`
-	Control  string `json:"control"`
-	Zone     string `json:"district,omitempty"`
-	State    string `json:"state"`
-	HasDisk  bool   `json:"has_disk"`
-	IsMember bool   `json:"keeps_configuration"`
-	Follows  string `json:"follows,omitempty"`
+type listedProcess struct {
+	ID            string `json:"id"`
+	Name          string `json:"office"`
+	IP            string `json:"ip"`
+	Control       string `json:"control"`
+	Zone          string `json:"district,omitempty"`
+	State         string `json:"state"`
+	HasDisk       bool   `json:"has_disk"`
+	IsChainMember bool   `json:"keeps_configuration"`
+	Follows       string `json:"follows,omitempty"`
 }
 
 // serverList is the answer to GET /api/servers.
 type serverList struct {
-	Asked   string         `json:"asked"`
-	Servers []listedServer `json:"servers"`
+	Responder string         `json:"asked"` // id of the process that answers
+	Servers   []listedServer `json:"servers"`
 }
 
 type listedServer struct {
@@ -60,43 +60,44 @@
 	directory.Ready: "ready", directory.Draining: "draining", directory.Lost: "lost", directory.Ended: "ended",
 }
 
-// listEndpoint lists what this process knows. It changes nothing, calls no other process, has no state of its
-// own and is safe for concurrent use.
+// listEndpoint lists the processes and servers in the directory of this process. It changes nothing, calls no
+// other process, has no state of its own and is safe for concurrent use.
 type listEndpoint struct {
 	*process
 	state *state
 }
 
-func (e *listEndpoint) members(call *controlserver.Call) *http1.Response {
+func (e *listEndpoint) processes(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
-		return onlyGet()
+		return methodNotAllowed()
 	}
 	view := e.state.currentView()
-	list := memberList{Asked: e.id, Version: e.state.version(), Epoch: view.epoch, Members: []listedMember{}}
+	list := processList{Responder: e.id, Version: e.state.version(), Epoch: view.epoch,
+		Processes: []listedProcess{}}
 	e.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindProxy) {
-			list.Members = append(list.Members, listMember(record, &view))
+			list.Processes = append(list.Processes, listProcess(record, &view))
 		}
 	})
 	return jsonResponse(list)
 }
 
-func listMember(record *directory.Record, view *view) listedMember {
-	isMember := record.Member != "" && slices.ContainsFunc(view.members, func(m peerproto.MemberInfo) bool {
+func listProcess(record *directory.Record, view *view) listedProcess {
+	isChainMember := record.Member != "" && slices.ContainsFunc(view.members, func(m peerproto.MemberInfo) bool {
 		return m.ID == record.Member
 	})
-	return listedMember{
+	return listedProcess{
 		ID: record.ID, Name: record.Name, IP: record.Address, Control: record.Control, Zone: record.Zone,
-		State: stateNames[record.State], HasDisk: record.Member != "", IsMember: isMember,
+		State: stateNames[record.State], HasDisk: record.Member != "", IsChainMember: isChainMember,
 		Follows: record.Watcher,
 	}
 }
 
 func (e *listEndpoint) servers(call *controlserver.Call) *http1.Response {
 	if call.Method != "GET" {
-		return onlyGet()
+		return methodNotAllowed()
 	}
-	list := serverList{Asked: e.id, Servers: []listedServer{}}
+	list := serverList{Responder: e.id, Servers: []listedServer{}}
 	e.state.read(func(d *directory.Directory) {
 		for _, record := range recordsOf(d, directory.KindServer) {
 			list.Servers = append(list.Servers, listServer(d, record))
@@ -132,6 +133,6 @@
 	return controlserver.JSON(http1.StatusOK, document)
 }
 
-func onlyGet() *http1.Response {
+func methodNotAllowed() *http1.Response {
 	return controlserver.Text(http1.StatusMethodNotAllowed, "use GET to read the list")
 }
--- a/internal/router/agent/list_endpoint_test.go
+++ b/internal/router/agent/list_endpoint_test.go
@@ -13,7 +13,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// agentWithRecords returns the agent of a process that knows some records and does nothing.
+// agentWithRecords returns an agent that does not run and whose directory has some records.
 func agentWithRecords(c *qt.C, records ...directory.Record) *Agent {
 	settings, err := agentsettings.Parse([]byte(`{"office":"front-a","ip":"127.0.0.1","inner_ports":[1,2],
 		"counters":{"control":"127.0.0.1:3"}}`))
@@ -24,7 +24,7 @@
 	return agent
 }
 
-// getList requests a list and decodes it into a value.
+// getList calls the endpoint of a list and decodes the response into a value.
 func getList(c *qt.C, agent *Agent, path string, into any) {
 	response := agent.handleCall(&controlserver.Call{Method: "GET", Path: path})
 	c.Assert(response.Status, qt.Equals, 200)
@@ -32,7 +32,7 @@
 	c.Assert(json.Unmarshal(response.Body, into), qt.IsNil)
 }
 
-func TestMembersAreListedWithTheirRoles(t *testing.T) {
+func TestProcessesAreListedWithTheirRoles(t *testing.T) {
 	c := qt.New(t)
 	agent := agentWithRecords(c,
 		directory.Record{Kind: directory.KindProxy, ID: "p2", Sequence: 1, State: directory.Lost,
@@ -41,11 +41,11 @@
 			Address: "127.0.0.2", Name: "front-b", Control: "127.0.0.2:3", Member: "disk-1"},
 		directory.Record{Kind: directory.KindServer, ID: "i-1", Sequence: 1, State: directory.Ready})
 	agent.state.learnView(4, []peerproto.MemberInfo{{ID: "disk-1", Address: "127.0.0.2"}})
-	var list memberList
+	var list processList
 	getList(c, agent, "/api/members", &list)
-	c.Assert(list, qt.DeepEquals, memberList{Asked: agent.id, Epoch: 4, Members: []listedMember{
+	c.Assert(list, qt.DeepEquals, processList{Responder: agent.id, Epoch: 4, Processes: []listedProcess{
 		{ID: "p1", Name: "front-b", IP: "127.0.0.2", Control: "127.0.0.2:3", State: "ready", HasDisk: true,
-			IsMember: true},
+			IsChainMember: true},
 		{ID: "p2", Name: "front-c", IP: "127.0.0.3", Control: "127.0.0.3:3", Zone: "kopli", State: "lost",
 			Follows: "p1"},
 	}})
@@ -62,7 +62,7 @@
 			State: directory.Ready, Role: "reading"})
 	var list serverList
 	getList(c, agent, "/api/servers", &list)
-	c.Assert(list, qt.DeepEquals, serverList{Asked: agent.id, Servers: []listedServer{
+	c.Assert(list, qt.DeepEquals, serverList{Responder: agent.id, Servers: []listedServer{
 		{ID: "i-1", Service: "model", Address: "127.0.0.8:80", Zone: "kopli", Version: "v1", Slots: 8,
 			State: "ready", Stage: "writing", ChangingTo: "reading", Sequence: 7},
 		{ID: "i-2", Service: "lookup", Address: "127.0.0.9:80", Slots: 6, State: "draining", Sequence: 9,
