--- a/internal/router/agent/config_endpoint.go
+++ b/internal/router/agent/config_endpoint.go
@@ -22,9 +22,9 @@
 	errVersionOrder = errors.New("edition: is not above If-Match; count on from the current version")
 )
 
-// configEndpoint serves the calls of operators on the configuration. It has the members of the chain run each
-// call (callMembers), and is itself no part of the replication. Its methods run on the goroutine of the call
-// and are safe for concurrent use; shown is atomic, so there is no lock.
+// configEndpoint serves the calls of operators on the configuration. It forwards each call to members of the
+// chain (callMembers) and takes no part in the replication itself. Its methods run on the goroutine of the
+// call and are safe for concurrent use; shown is atomic, so there is no lock.
 type configEndpoint struct {
 	*process
 	store configStore
@@ -32,12 +32,13 @@
 	shown shownVersion
 }
 
-// shownVersion is the highest version of the configuration that this process has acknowledged or shown to an
-// operator. A later read must not return an older one.
+// shownVersion is the highest version of the configuration that this process has acknowledged to an operator
+// or returned to one. Reads are monotonic: a read that starts later must not return an older version.
 type shownVersion struct{ version atomic.Int64 }
 
 func (s *shownVersion) highest() int64 { return s.version.Load() }
 
+// raise raises the highest version to version, unless it is at least that high.
 func (s *shownVersion) raise(version int64) {
 	for highest := s.version.Load(); version > highest; highest = s.version.Load() {
 		if s.version.CompareAndSwap(highest, version) {
@@ -69,15 +70,15 @@
 }
 
 func (e *configEndpoint) patch(call *controlserver.Call) *http1.Response {
-	patch, err := fleetconfig.ParsePatch(0, call.Body) // its base is read with If-Match
+	patch, err := fleetconfig.ParsePatch(0, call.Body) // change reads the base from If-Match
 	if err != nil {
 		return controlserver.Text(http1.StatusBadRequest, err.Error())
 	}
 	return e.change(call, peerproto.KindPatch, patch.Version)
 }
 
-// change has a member propose the change that a call asks for, and waits until it is committed. The kind is
-// KindPropose or KindPatch, version the one that the change makes.
+// change has a member propose the change that a call requests, and waits until it is committed. The kind is
+// KindPropose or KindPatch, and version is the version that the change results in.
 func (e *configEndpoint) change(call *controlserver.Call, kind peerproto.Kind,
 	version int64) *http1.Response {
 	expected, err := expectedVersion(call, version)
@@ -98,10 +99,10 @@
 	case peerproto.OutcomeInvalid:
 		return controlserver.Text(http1.StatusBadRequest, result.Reason)
 	}
-	return callAnotherProxy()
+	return tryAnotherProxy()
 }
 
-// expectedVersion returns the version that a change builds on, which If-Match names.
+// expectedVersion returns the version that a change builds on, which the header If-Match names.
 func expectedVersion(call *controlserver.Call, version int64) (int64, error) {
 	expected, err := strconv.ParseInt(call.Header.Get("If-Match"), 10, 64)
 	if err != nil {
@@ -134,7 +135,7 @@
 	result := e.callMembers(peerproto.KindRead, nil)
 	e.metrics.countConfigCall("get", result)
 	if result.Outcome != peerproto.OutcomeAccepted {
-		return callAnotherProxy()
+		return tryAnotherProxy()
 	}
 	invariant.Assert(result.Version >= shownBefore, invariant.ReadsNotOlder,
 		"a read shows version %d, %d was shown before", result.Version, shownBefore)
--- a/internal/router/agent/config_hedging.go
+++ b/internal/router/agent/config_hedging.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// configCallTimeout bounds a call on the configuration; the operator gives up after a second.
+	// configCallTimeout bounds a call on the configuration. It is shorter than the timeout of the operator's
+	// client, which is one second.
 	configCallTimeout = 900 * time.Millisecond
-	// hedgeDelay is how long one member has to answer a call on the configuration until the next one is called
-	// as well. The same call may run at several members at once: a change is committed once.
+	// hedgeDelay is how long a call on the configuration waits for the answer of one member before the next
+	// member is called as well. The same call may run at several members at once: a change is committed once.
 	hedgeDelay = 250 * time.Millisecond
 )
 
-// configAttempt has one member run a call.
+// configAttempt has one member run a call and returns its result.
 type configAttempt func() *peerproto.Result
 
-// callMembers has the members run a call, this process first where it is one. The kind is KindPropose,
-// KindPatch or KindRead, which has no proposal. A member that hangs, as one does whose disk hangs, delays the
-// call by hedgeDelay only.
+// callMembers has members of the chain run a call, beginning with this process if it is a member. The kind is
+// KindPropose, KindPatch or KindRead; KindRead has no proposal. A member that does not answer, for example
+// because its disk hangs, delays the call only by hedgeDelay.
 func (e *configEndpoint) callMembers(kind peerproto.Kind, proposal *peerproto.Proposal) *peerproto.Result {
 	attempts := e.attempts(kind, proposal)
 	if len(attempts) == 0 {
 		return unavailableResult("no machine that keeps the configuration is reached")
 	}
-	return firstDefiniteAnswer(attempts)
+	return firstDefiniteResult(attempts)
 }
 
-// attempts returns an attempt for each member that is reached, in the order in which they are started.
+// attempts returns an attempt for this process, if it is a member, and for each hub that responds, in the
+// order in which they are to be started.
 func (e *configEndpoint) attempts(kind peerproto.Kind, proposal *peerproto.Proposal) []configAttempt {
 	var attempts []configAttempt
 	if e.store.isMember() {
@@ -47,7 +49,7 @@
 	return attempts
 }
 
-// runLocally runs a call in the member of this process.
+// runLocally runs a call in this process, which is a member.
 func runLocally(store configStore, kind peerproto.Kind, proposal *peerproto.Proposal) *peerproto.Result {
 	switch kind {
 	case peerproto.KindRead:
@@ -72,10 +74,11 @@
 	return &answer
 }
 
-// firstDefiniteAnswer starts attempts one after the other, each when the one before has not answered within
-// hedgeDelay or has answered that it is unavailable. It returns the first answer that is definite, or the
-// last one once all have answered or configCallTimeout is over.
-func firstDefiniteAnswer(attempts []configAttempt) *peerproto.Result {
+// firstDefiniteResult starts the first attempt, and each further one when hedgeDelay has passed since the
+// previous start or when an attempt has ended as unavailable. It returns the first result that is not
+// unavailable. If there is none, it returns the last result once all attempts have ended, or once
+// configCallTimeout has passed.
+func firstDefiniteResult(attempts []configAttempt) *peerproto.Result {
 	answers := make(chan *peerproto.Result, len(attempts))
 	deadline := time.NewTimer(configCallTimeout)
 	defer deadline.Stop()
--- a/internal/router/agent/config_hedging_test.go
+++ b/internal/router/agent/config_hedging_test.go
@@ -10,7 +10,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// TestHangingMembersDelayCallsByTheHedgeDelay calls members of which some hang or are unavailable.
+// TestHangingMembersDelayCallsByTheHedgeDelay checks the outcome and the duration of calls in which some
+// members hang or are unavailable.
 func TestHangingMembersDelayCallsByTheHedgeDelay(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -42,10 +43,10 @@
 						return &peerproto.Result{Outcome: outcome}
 					})
 				}
-				began := time.Now()
-				result := firstDefiniteAnswer(attempts)
+				start := time.Now()
+				result := firstDefiniteResult(attempts)
 				qt.Check(t, result.Outcome, qt.Equals, test.outcome)
-				qt.Check(t, time.Since(began), qt.Equals, test.took)
+				qt.Check(t, time.Since(start), qt.Equals, test.took)
 			})
 		})
 	}
--- a/internal/router/agent/config_store.go
+++ b/internal/router/agent/config_store.go
@@ -6,31 +6,31 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// configStore is this process's replica of the chain-replicated configuration. The implementations are
-// chainMember, which runs the state machine of package chain, deferredStore, which opens the disk of a
-// chainMember in the background, and noConfigStore, for a machine without a disk. Its methods are safe for
+// configStore is this process's replica of the chain-replicated configuration. It is implemented by
+// chainMember, which runs the state machine of package chain; by deferredStore, which opens the disk of a
+// chainMember in the background; and by noConfigStore, for a machine without a disk. Its methods are safe for
 // concurrent use.
 type configStore interface {
-	// propose asks for a full configuration to be committed and returns how that ended.
+	// propose requests the commit of a full configuration and returns the outcome.
 	propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result
-	// patch asks for a change of named items to be committed and returns how that ended.
+	// patch requests the commit of a change of named items and returns the outcome.
 	patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result
-	// read returns the newest committed configuration, by a read through the chain.
+	// read returns the newest committed configuration, by a linearizable read through the chain.
 	read(timeout time.Duration) *peerproto.Result
-	// receive handles a message of another member.
+	// receive handles a message from another member.
 	receive(body []byte)
 	// start runs the replica until done closes.
 	start(done <-chan struct{})
-	// opened returns a channel that closes once the disk is open, where there is one.
+	// opened returns a channel that closes once the disk is open. It is closed already if there is no disk.
 	opened() <-chan struct{}
 	// isMember reports whether this process is in the chain now.
 	isMember() bool
-	// drain asks the other members to take this process out of the chain, before it stops.
+	// drain asks the other members to remove this process from the chain, before it stops.
 	drain()
-	// drained returns a channel that closes once the others have all that this replica has accepted, so that
-	// the process may stop after drain.
+	// drained returns a channel that closes after drain, once the other members have everything that this
+	// replica has accepted, so that the process may stop.
 	drained() <-chan struct{}
-	// close releases the disk and the links, after the channel that start was given has closed.
+	// close releases the disk and the links. It is called after the channel passed to start has closed.
 	close()
 }
 
@@ -61,7 +61,7 @@
 func (noConfigStore) opened() <-chan struct{}  { return closedChannel }
 func (noConfigStore) drained() <-chan struct{} { return closedChannel }
 
-// closedChannel is returned where there is nothing to wait for.
+// closedChannel is returned by methods whose callers have nothing to wait for.
 var closedChannel = func() <-chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
--- a/internal/router/agent/config_sync.go
+++ b/internal/router/agent/config_sync.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// fetchDelay is how long a process that has a configuration waits for its feed to bring a newer one, before
+	// fetchDelay is how long a process that has a configuration waits for its feed to deliver a newer one before
 	// it fetches that from a hub.
 	fetchDelay   = 150 * time.Millisecond
 	fetchTimeout = 700 * time.Millisecond
 )
 
-// packedConfigCache caches the newest configuration in the form in which it is sent to followers, so that it
-// is packed once for all of them.
+// packedConfigCache caches the newest configuration in the compressed form that is sent to followers, so that
+// it is compressed once for all of them.
 type packedConfigCache struct {
 	mu      sync.Mutex
 	version int64
 	packed  []byte
 }
 
-// of returns the packed document of a configuration.
-func (p *packedConfigCache) of(config *fleetconfig.Config) []byte {
+// get returns the compressed document of a configuration.
+func (p *packedConfigCache) get(config *fleetconfig.Config) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.packed == nil || p.version != config.Version {
@@ -36,39 +36,41 @@
 	return p.packed
 }
 
-// configSync brings the configuration in force here up to the one of the fleet, and hands it on: it applies
-// what the chain commits, what the feed brings and what it fetches from hubs, and serves followers and hubs.
-// The configuration itself is in the state, which decides by the version what comes into force. The methods
-// are safe for concurrent use; several goroutines may apply configurations at the same time.
+// configSync keeps the configuration in force in this process up to date with the rest of the fleet and sends
+// it to others. It applies the configurations that the chain commits, that the feed delivers and that it
+// fetches from hubs, and it serves followers and hubs. The configuration itself is in the state, which puts
+// only newer versions in force. The methods are safe for concurrent use; several goroutines may apply
+// configurations at the same time.
 type configSync struct {
 	state    *state
 	log      zerolog.Logger
 	packed   packedConfigCache
-	fetching atomic.Bool // a configuration is being fetched from a hub
+	fetching atomic.Bool // a fetch from a hub is in flight
 }
 
-// fetchResult returns the configuration in force, packed.
+// fetchResult returns the answer to another process that fetches the configuration: the one in force here, in
+// compressed form.
 func (s *configSync) fetchResult() *peerproto.Result {
 	config := s.state.Config()
 	if config == nil {
 		return unavailableResult("no configuration is known here")
 	}
 	return &peerproto.Result{Outcome: peerproto.OutcomeAccepted, Version: config.Version,
-		Body: s.packed.of(config)}
+		Body: s.packed.get(config)}
 }
 
-// updateSince returns what a follower with a version needs to get the one in force: patches, whose size does
-// not grow with the document, or else the full document.
+// updateSince returns what a follower that has a version needs in order to get the configuration in force:
+// the patches since that version, whose size does not grow with the document, or else the full document.
 func (s *configSync) updateSince(config *fleetconfig.Config, version int64) []byte {
 	patches := s.state.patchesSince(version)
 	if len(patches) == 0 || patches[len(patches)-1].Version != config.Version {
-		return s.packed.of(config)
+		return s.packed.get(config)
 	}
 	return peerproto.PackPatches(&peerproto.Patches{Patches: patches})
 }
 
-// fetch fetches a newer configuration from a hub. It is how a hub that is no replica gets it, and a
-// follower whose feed has not brought it. Only one fetch is in flight at a time.
+// fetch fetches a newer configuration from a hub. A hub that is not a replica gets configurations in this
+// way, and so does a follower whose feed has not delivered one. Only one fetch is in flight at a time.
 func (s *configSync) fetch(h *hub) {
 	if s.state.Config() != nil {
 		time.Sleep(fetchDelay)
@@ -89,8 +91,8 @@
 	}
 }
 
-// applyPacked applies what another process sent of the configuration in force there: a packed document, or
-// patches.
+// applyPacked applies the configuration that is in force at another process, which sent it as a compressed
+// document or as patches.
 func (s *configSync) applyPacked(packed []byte) {
 	if len(packed) == 0 {
 		return
@@ -107,8 +109,9 @@
 	s.applyDocument(document)
 }
 
-// applyPatches applies the patches that build on the version in force here. It skips the others: a hub names
-// its version in each answer to a ping, and fetch then fetches the full document.
+// applyPatches applies the patches that build on the version in force here and skips the others. If that
+// leaves an old version in force, it is updated later: a hub states its version in each answer to a ping, and
+// fetch then fetches the full document.
 func (s *configSync) applyPatches(packed []byte) {
 	received, err := peerproto.UnpackPatches(packed)
 	if err != nil {
@@ -142,7 +145,7 @@
 	s.apply(config)
 }
 
-// applyStored applies a committed configuration, in the form in which the chain stores it.
+// applyStored applies a committed configuration, given in the form in which the chain stores it.
 func (s *configSync) applyStored(stored []byte) {
 	if len(stored) == 0 {
 		return
@@ -155,7 +158,7 @@
 	s.apply(config)
 }
 
-// apply puts a committed configuration in force, unless a newer one is.
+// apply puts a committed configuration in force, unless one at least as new is in force.
 func (s *configSync) apply(config *fleetconfig.Config) {
 	if s.state.applyConfig(config) {
 		s.log.Info().Int64("version", config.Version).Msg("config: in force")
--- a/internal/router/agent/dataplane_state.go
+++ b/internal/router/agent/dataplane_state.go
@@ -9,20 +9,21 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// A data plane in which many servers fail at once is likely to be the one at fault. So it may report at most
-// maxLossReports servers lost in each lossReportWindow.
+// A data plane for which many servers fail at once is likely to be at fault itself. So it may report at most
+// maxLossReports servers as lost in each lossReportWindow.
 const (
 	lossReportWindow = 2 * time.Second
 	maxLossReports   = 4
 )
 
-// dataplaneState is what the data plane reads of this process, and where it reports lost servers. Its methods
-// are safe for concurrent use. Config, Servers and Proxies are called for each request; they take no lock.
+// dataplaneState is the state of this process that the data plane reads, and the place where it reports lost
+// servers. Its methods are safe for concurrent use. Config, Servers and Proxies are called for each request
+// and take no lock.
 type dataplaneState struct {
 	*process
-	state       *state
-	hubs        *hubSet
-	lossReports lossReports // guarded by the lock of the state
+	state             *state
+	hubs              *hubSet
+	lossReportLimiter lossReportLimiter // guarded by the lock of the state
 }
 
 var _ dataplane.State = (*dataplaneState)(nil)
@@ -33,17 +34,17 @@
 // Servers returns the servers that may get new requests.
 func (s *dataplaneState) Servers() *catalog.Table { return s.state.Servers() }
 
-// Proxies returns how many proxies share common budgets.
+// Proxies returns the number of proxies among which fleet-wide budgets are divided.
 func (s *dataplaneState) Proxies() int { return s.state.Proxies() }
 
-// ReportReplaced reports that another incarnation answers at a server's address, so that the server has
-// ended.
+// ReportReplaced reports that another incarnation answers at a server's address, which means that the server
+// has ended.
 func (s *dataplaneState) ReportReplaced(server string) {
 	s.reportLost(server, "its address has another server")
 }
 
-// Suspect reports that a server's machine does not answer. The next heartbeat of the server refutes
-// it. It does nothing while no hub answers either, because then this machine is likely to be the one that is
+// Suspect marks a server lost whose machine does not answer. The next heartbeat of the server refutes that.
+// Suspect does nothing while no hub answers either, because then this machine is likely to be the one that is
 // partitioned.
 func (s *dataplaneState) Suspect(server string) {
 	if !s.hubs.isIsolated() {
@@ -51,12 +52,12 @@
 	}
 }
 
-// reportLost marks a server lost, within the bound of reports.
+// reportLost marks a server lost, unless the limit of reports is reached.
 func (s *dataplaneState) reportLost(server, reason string) {
 	now := s.now()
 	s.state.update(now, func(d *directory.Directory) {
 		known := d.Get(server)
-		if known == nil || !known.Live() || !s.lossReports.allow(now) {
+		if known == nil || !known.Live() || !s.lossReportLimiter.allow(now) {
 			return
 		}
 		lost := *known
@@ -65,14 +66,14 @@
 	})
 }
 
-// lossReports counts the reports in the present window.
-type lossReports struct {
-	count int
-	since time.Duration
+// lossReportLimiter limits the reports in each window of lossReportWindow to maxLossReports.
+type lossReportLimiter struct {
+	count int           // reports in the current window
+	since time.Duration // start of the current window
 }
 
-// allow counts a report and reports whether it is within the bound.
-func (l *lossReports) allow(now time.Duration) bool {
+// allow counts a report and returns whether it is within the limit.
+func (l *lossReportLimiter) allow(now time.Duration) bool {
 	if now-l.since > lossReportWindow {
 		l.since, l.count = now, 0
 	}
--- a/internal/router/agent/server_call.go
+++ b/internal/router/agent/server_call.go
@@ -11,12 +11,13 @@
 	"cresshub/internal/router/transport"
 )
 
-// errNotConnected says that nothing of a call was sent, as its server could not be connected to.
+// errNotConnected is the error for a call of which nothing was sent, because the connection to its server
+// could not be established.
 var errNotConnected = errors.New("not connected")
 
-// callServer makes one call to a server on a connection of its own. A failed call resets the connection, so
-// that the kernel does not deliver unsent bytes when a partition heals: an order that was given up must not
-// arrive later.
+// callServer makes one call to a server on a connection of its own. After a failed call it resets the
+// connection, so that the kernel does not deliver unsent bytes when a partition heals: an order that was
+// abandoned must not arrive later.
 func callServer(network transport.Network, address string, request *http1.Request,
 	timeout time.Duration) (*http1.Response, error) {
 	deadline := time.Now().Add(timeout)
@@ -28,15 +29,15 @@
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	answer, err := exchange(conn, address, request)
+	response, err := roundTrip(conn, address, request)
 	if err != nil {
 		resetOnClose(conn)
 	}
-	return answer, err
+	return response, err
 }
 
-// exchange sends a request and reads the response.
-func exchange(conn net.Conn, address string, request *http1.Request) (*http1.Response, error) {
+// roundTrip sends a request and reads the response.
+func roundTrip(conn net.Conn, address string, request *http1.Request) (*http1.Response, error) {
 	request.Close = true
 	request.Header = append(http1.Header{{Name: "Host", Value: address}}, request.Header...)
 	out := bufio.NewWriter(conn)
@@ -49,12 +50,13 @@
 	return http1.ReadResponse(bufio.NewReader(conn))
 }
 
-// lingerer is a connection whose handling of unsent bytes at its close can be set, as that of TCP can.
-type lingerer interface{ SetLinger(seconds int) error }
+// lingerSetter is a connection, such as *net.TCPConn, for which the handling of unsent bytes on close can be
+// set.
+type lingerSetter interface{ SetLinger(seconds int) error }
 
-// resetOnClose has a connection drop its unsent bytes when it closes.
+// resetOnClose has a connection discard its unsent bytes when it is closed.
 func resetOnClose(conn net.Conn) {
-	if tcp, ok := conn.(lingerer); ok {
-		_ = tcp.SetLinger(0) // it fails only where the connection has ended already
+	if tcp, ok := conn.(lingerSetter); ok {
+		_ = tcp.SetLinger(0) // fails only if the connection has ended already
 	}
 }
--- a/internal/router/agent/server_endpoint.go
+++ b/internal/router/agent/server_endpoint.go
@@ -16,15 +16,15 @@
 	// serversPath is the prefix of the endpoint at which servers send heartbeats and deregister; their id
 	// follows.
 	serversPath = "/api/servers/"
-	// drainAckTimeout bounds how long the acknowledgement of a drain waits for the hubs; a server gives up after
-	// a second and calls another proxy.
+	// drainAckTimeout bounds how long the acknowledgement of a drain or a deregistration waits for the hubs. It
+	// is shorter than the timeout of the server, which calls another proxy after one second.
 	drainAckTimeout = 800 * time.Millisecond
 )
 
-// serverEndpoint serves the heartbeats and the deregistrations of model servers: it merges them into the
-// directory and acknowledges them once the rest of the fleet learns them. It has no state of its own. Its
-// methods run on the goroutine of the call, are safe for concurrent use, and may wait for a majority of the
-// hubs for drainAckTimeout.
+// serverEndpoint serves the heartbeats and the deregistrations of model servers. It merges them into the
+// directory and acknowledges them if they reach the rest of the fleet. It has no state of its own. Its
+// methods run on the goroutine of the call, are safe for concurrent use, and may wait up to drainAckTimeout
+// for a majority of the hubs.
 type serverEndpoint struct {
 	*process
 	state    *state
@@ -75,20 +75,21 @@
 	return record, document.Err()
 }
 
-// handleHeartbeat merges the record of a server, and acknowledges it if the rest of the fleet will learn it;
-// otherwise the server is to call another proxy. A drain is acknowledged only once a majority of the hubs has
-// it, because from then on proxies have a bounded time to send the server nothing more.
+// handleHeartbeat merges the record of a server, and acknowledges it if it will reach the rest of the fleet;
+// otherwise the response sends the server to another proxy. A drain is acknowledged only once a majority of
+// the hubs has it, because the acknowledgement starts the bounded time after which no proxy may send the
+// server a request.
 func (e *serverEndpoint) handleHeartbeat(record *directory.Record) *http1.Response {
 	switch {
 	case e.isShuttingDown():
 		return e.reject(record.ID, "shutting_down")
-	case !e.knowsFleet():
+	case !e.knowsHubs():
 		return e.reject(record.ID, "no_view")
 	}
 	now := e.now()
 	e.lastSeen.record(record.ID, e.now())
 	if !e.quorum.reachesFleet() {
-		e.mergeHeartbeat(now, record) // known on this side of the partition; its watcher is on the other one
+		e.mergeHeartbeat(now, record) // this side of the partition learns it; its watcher is on the other side
 		return e.reject(record.ID, "no_majority")
 	}
 	record.Watcher = e.id
@@ -100,21 +101,22 @@
 	if late {
 		return controlserver.JSON(http1.StatusOK, []byte("{}"))
 	}
-	answer, err := json.Marshal(map[string]string{"forward_to": e.settings.Control})
+	response, err := json.Marshal(map[string]string{"forward_to": e.settings.Control})
 	if err != nil {
 		return controlserver.Text(http1.StatusInternalServerError, err.Error())
 	}
-	return controlserver.JSON(http1.StatusOK, answer)
+	return controlserver.JSON(http1.StatusOK, response)
 }
 
-// knowsFleet reports whether this process knows its hubs. Until the first view is decided, the seeds take its
-// place; a process that starts later has to learn the view.
-func (e *serverEndpoint) knowsFleet() bool {
+// knowsHubs reports whether this process knows the hubs. At the first start of the fleet, the seeds are the
+// hubs until the first view is decided; a process that starts later has to learn the view first.
+func (e *serverEndpoint) knowsHubs() bool {
 	return e.settings.FirstStart || e.state.currentView().epoch > 0
 }
 
-// mergeHeartbeat merges a heartbeat. It returns the offset of the directory that hubs must have to know it,
-// and whether it is late: a later one of the same server has been received before.
+// mergeHeartbeat merges a heartbeat. It returns the offset of the directory up to which a hub must have its
+// changes to know the heartbeat, and whether the heartbeat is late, that is, a later one of the same server
+// has been received before.
 func (e *serverEndpoint) mergeHeartbeat(now time.Duration,
 	record *directory.Record) (offset uint64, late bool) {
 	e.state.update(now, func(d *directory.Directory) {
@@ -131,7 +133,8 @@
 	return offset, late
 }
 
-// deregister ends the incarnation of a server, and acknowledges that once a majority of the hubs knows it.
+// deregister marks the incarnation of a server ended, and acknowledges that once a majority of the hubs has
+// it.
 func (e *serverEndpoint) deregister(id string) *http1.Response {
 	now := e.now()
 	var offset uint64
@@ -152,18 +155,18 @@
 	return controlserver.JSON(http1.StatusOK, []byte("{}"))
 }
 
-// reject sends a server to another proxy. The reason goes to the metrics and the log.
+// reject responds that a server is to call another proxy. The reason goes to the metrics and the log.
 func (e *serverEndpoint) reject(server, reason string) *http1.Response {
 	e.lastSeen.recordRedirect(server, e.now())
 	e.metrics.countHeartbeat(reason)
 	e.log.Debug().Str("server", server).Str("reason", reason).Msg("servers: heartbeat rejected")
-	return callAnotherProxy()
+	return tryAnotherProxy()
 }
 
-// callAnotherProxy answers that the caller is to call another proxy.
-func callAnotherProxy() *http1.Response {
-	answer := controlserver.Text(http1.StatusServiceUnavailable, "not now; call another proxy")
-	answer.Header = append(answer.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
-	answer.Close = true
-	return answer
+// tryAnotherProxy returns the response that asks the caller to call another proxy.
+func tryAnotherProxy() *http1.Response {
+	response := controlserver.Text(http1.StatusServiceUnavailable, "not now; call another proxy")
+	response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: "0.2"})
+	response.Close = true
+	return response
 }
