--- a/internal/router/agent/accessors.go
+++ b/internal/router/agent/accessors.go
@@ -7,10 +7,10 @@
 	"cresshub/internal/router/transport"
 )
 
-// The accessors serve a program that runs many agents and observes them, such as a simulation. They are safe
+// The accessors are for programs that run many agents and observe them, such as a simulation. They are safe
 // for concurrent use.
 
-// WriteMetrics writes the metrics of the control side and, where there is one, of the data plane.
+// WriteMetrics writes the metrics of the control side and of the data plane, if there is one.
 func (a *Agent) WriteMetrics(page *metrics.Page) { a.metricsEndpoint.write(page) }
 
 // ID returns the id of this process's record in the directory.
@@ -25,10 +25,10 @@
 // Servers returns the servers that may get new requests.
 func (a *Agent) Servers() *catalog.Table { return a.state.Servers() }
 
-// Synced reports whether the process knows the fleet well enough to take clients.
+// Synced reports whether the directory is complete enough for this process to serve clients.
 func (a *Agent) Synced() bool { return a.state.isSynced() }
 
-// IsHub reports whether this process is a hub: others send it their records.
+// IsHub reports whether this process is a hub, to which the others send their records.
 func (a *Agent) IsHub() bool { return a.hubs.includesSelf() }
 
 // FollowedHub returns the IP of the hub whose feed this process follows, "" for none.
@@ -42,8 +42,8 @@
 // Traffic returns the frames and bytes that this process has exchanged with others.
 func (a *Agent) Traffic() transport.Traffic { return a.endpoint.Traffic() }
 
-// Records returns how many records of servers, processes and orders the directory has, and how many of them
-// are live.
+// Records returns the number of records in the directory (servers, processes and role orders), and how many
+// of them are live.
 func (a *Agent) Records() (all, live int) {
 	a.state.read(func(d *directory.Directory) {
 		for _, record := range d.Since(0) {
--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// maxAcceptLogLines is how many lines a second are logged of connections that could not be accepted.
-	maxAcceptLogLines = 2
-	// diskOpenTimeout bounds how long the start waits for the disk, so that the first status that is sent to
-	// others normally reflects what is on it.
+	// maxAcceptLogLinesPerSecond bounds the log lines about connections that could not be accepted.
+	maxAcceptLogLinesPerSecond = 2
+	// diskOpenTimeout bounds how long the start waits for the disk. The wait is there so that the first status
+	// that is sent to other processes normally reflects what is on the disk.
 	diskOpenTimeout = 300 * time.Millisecond
 )
 
 // Agent is one process of the router fleet. It starts its parts, which do the work, and shuts them down. Each
-// part is a type of its own that holds its state and its lock, and has as fields what it needs: the process
-// and the parts that it calls. doc.go tells how they run at the same time.
+// part is a type of its own that holds its state and its lock, and has as fields what it depends on: the
+// process and the parts that it calls. doc.go describes their goroutines and the order of their locks.
 type Agent struct {
 	*process
 
 	// Set by New and not changed later.
-	acceptLog    zerolog.Logger // bounded by maxAcceptLogLines
+	acceptLog    zerolog.Logger // limited to maxAcceptLogLinesPerSecond
 	endpoint     *transport.Endpoint
 	proxy        *dataplane.Proxy // nil if the role does not serve clients
 	workload     Workload         // the proxy, where there is one
-	assignsRoles bool             // to model servers, while this process is the head of the chain
+	assignsRoles bool             // of model servers, while this process is the head of the chain
 	metricsPort  int              // 0 for none
 
 	// What the process knows.
 	state        *state        // the directory, the configuration in force and the view
 	self         *selfRecord   // its own record in the directory
-	status       *ownStatus    // what it tells others of itself
+	status       *ownStatus    // the status that it sends to other processes
 	lastSeen     *lastSeen     // when others last called it
-	knownProxies *knownProxies // addresses that outlive the process
-	persister    *persister    // what is saved on disk; runs on a machine with a disk only
+	knownProxies *knownProxies // addresses of proxies that are or were recently live
+	persister    *persister    // saves the state to disk; runs only on a machine with a disk
 
 	// Its exchange with the other processes.
 	peers        *peerHandler     // frames on connections that others have opened
@@ -49,15 +49,15 @@
 	subscription *subscription    // the feed that it follows
 	feeds        *feedServer      // the feeds that it serves
 	antiEntropy  *antiEntropy     // repairs differences between directories
-	failures     *failureDetector // marks other processes lost
+	failures     *failureDetector // marks servers and other processes lost
 	demand       *demandTable     // the demand at each service
 	load         *loadTable       // the in-flight load at each server
 
 	// The configuration.
 	configStore configStore // its replica, where the machine has a disk
-	configSync  *configSync // the configuration in force, from and to other processes
+	configSync  *configSync // receives and sends the configuration in force
 
-	// The calls of operators and servers, and of the data plane.
+	// The endpoints that operators and servers call, and the state that the data plane reads.
 	configEndpoint  *configEndpoint
 	serverEndpoint  *serverEndpoint
 	listEndpoint    *listEndpoint
@@ -65,11 +65,11 @@
 	dataplaneState  *dataplaneState
 }
 
-// New returns a process that does nothing yet. Run starts it.
+// New returns an Agent that is not running yet. Run starts it.
 func New(settings *agentsettings.Settings, log zerolog.Logger, options ...Option) (*Agent, error) {
 	a := &Agent{
 		process:   newProcess(settings, log),
-		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLines, Period: time.Second}),
+		acceptLog: log.Sample(&zerolog.BurstSampler{Burst: maxAcceptLogLinesPerSecond, Period: time.Second}),
 		workload:  noWorkload{},
 	}
 	for _, option := range options {
@@ -81,11 +81,11 @@
 	return a, nil
 }
 
-// Clock returns the clock of this process's stalls.
+// Clock returns the clock that measures the stalls of this process.
 func (a *Agent) Clock() *stallclock.Clock { return a.clock }
 
-// Run serves until stop closes, then shuts down and returns. The error is that of a listener that could not
-// be opened; nothing was started then.
+// Run serves until stop closes, then shuts down and returns. It returns an error, before it starts anything,
+// if a listener can't be opened.
 func (a *Agent) Run(stop <-chan struct{}) error {
 	listeners, err := a.listen()
 	if err != nil {
--- a/internal/router/agent/agent_test.go
+++ b/internal/router/agent/agent_test.go
@@ -15,8 +15,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// newTestAgent returns the agent of a process that was not run: it listens to nobody and calls nobody. It is
-// the only member of the view that it knows.
+// newTestAgent returns an agent that does not run: it neither listens nor calls other processes. It is the
+// only member of the view that it knows.
 func newTestAgent(t *testing.T) *Agent {
 	t.Helper()
 	settings := &agentsettings.Settings{
@@ -30,13 +30,14 @@
 	return agent
 }
 
-// heartbeat returns a heartbeat of server a in a state; postmark is its sequence number.
-func heartbeat(state string, postmark string) *controlserver.Call {
+// heartbeat returns a heartbeat of server a with a state and a sequence number.
+func heartbeat(state string, sequence string) *controlserver.Call {
 	return &controlserver.Call{Method: "PUT", Path: serversPath + "a", Body: []byte(
-		`{"depot":"s","address":"10.0.0.1:80","bays":4,"state":"` + state + `","postmark":` + postmark + `}`)}
+		`{"depot":"s","address":"10.0.0.1:80","bays":4,"state":"` + state + `","postmark":` + sequence + `}`)}
 }
 
-// TestLateHeartbeatsChangeNothing follows a server by its calls, of which one is late.
+// TestLateHeartbeatsChangeNothing checks that a heartbeat with a lower sequence number than the last one, or
+// after the deregistration, does not return a server to the table.
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestDrainWithoutHubsIsNotAcknowledged: a process that reaches no hub can't promise that all keep off a
-// server.
+// TestDrainWithoutHubsIsNotAcknowledged checks that a process that reaches no hub does not acknowledge a
+// drain: it can't guarantee that all proxies stop sending requests to the server.
 func TestDrainWithoutHubsIsNotAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
@@ -95,8 +96,8 @@
 	c.Assert(agent.quorum.awaitMajority(1, 0), qt.IsTrue)
 }
 
-// TestFeedContinuesFromAnOffset gives a follower what it has not received, and a snapshot where its offset is
-// unknown.
+// TestFeedContinuesFromAnOffset checks that a follower receives the records after its offset, or a snapshot
+// if its offset is unknown.
 func TestFeedContinuesFromAnOffset(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
@@ -112,8 +113,8 @@
 	c.Assert(agent.feeds.next(99, 0).From, qt.Equals, int64(0))
 }
 
-// runClock has an agent that does not run notice that its process does, until the function that it returns is
-// called or the test ends.
+// runClock runs the stall clock of an agent that does not run otherwise, until the returned function is
+// called or the test ends. From then on the process appears to stall.
 func runClock(t *testing.T, agent *Agent) (stall func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -123,8 +124,8 @@
 	return stall
 }
 
-// TestTimedOutServersAreLostUntilTheirNextHeartbeat marks a server lost that does not call any more, unless
-// this process took no calls meanwhile.
+// TestTimedOutServersAreLostUntilTheirNextHeartbeat checks that a server is marked lost when its heartbeats
+// stop, unless this process did not accept heartbeats in that time.
 func TestTimedOutServersAreLostUntilTheirNextHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -134,7 +135,8 @@
 		time.Sleep(time.Duration(2 * maxMissedHeartbeats * float64(agent.settings.HeartbeatInterval)))
 		agent.failures.observingSince = agent.now()
 		agent.failures.markTimedOut(agent.now(), false)
-		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 1, qt.Commentf("it did not take calls until now"))
+		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 1,
+			qt.Commentf("the process accepted no heartbeats until now"))
 		agent.failures.observingSince = 0
 		agent.failures.markTimedOut(agent.now(), false)
 		c.Assert(agent.state.Servers().Service("s"), qt.HasLen, 0)
@@ -143,9 +145,10 @@
 	})
 }
 
-// TestStalledProcessLosesNoServer counts the time in which the process runs alone: a server is not lost for
-// that in which the process stalled, however often, and is as soon as the process has run for as long as
-// servers that called it in vain have to find another.
+// TestStalledProcessLosesNoServer checks that timeouts count only the time in which the process runs. A
+// server is not marked lost for the time in which the process stalled, however often that was. It is once the
+// process has run for unwatchedTimeout, which servers whose heartbeats it did not answer have to find another
+// proxy.
 func TestStalledProcessLosesNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -161,7 +164,7 @@
 			time.Sleep(200 * time.Millisecond)
 			c.Assert(servers(), qt.Equals, 1)
 			stall()
-			time.Sleep(2 * time.Second) // of which the clock takes the first 100 ms for time in which it ran
+			time.Sleep(2 * time.Second) // the clock counts the first 100 ms of it as running time
 			c.Assert(servers(), qt.Equals, 1)
 		}
 		runClock(t, agent)
@@ -172,8 +175,8 @@
 	})
 }
 
-// TestRedirectedServersGetTimeToFindAnotherWatcher: a server that was sent to another proxy calls here no
-// more, which is no sign that it is lost.
+// TestRedirectedServersGetTimeToFindAnotherWatcher checks that a server that was sent to another proxy is
+// marked lost only after unwatchedHeartbeats intervals: that its heartbeats stop here is no sign of its loss.
 func TestRedirectedServersGetTimeToFindAnotherWatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -191,8 +194,8 @@
 	})
 }
 
-// TestReportsOfLostServersAreBounded: a proxy that loses many servers at once is likely to be the one at
-// fault.
+// TestReportsOfLostServersAreBounded checks the limit of loss reports: a proxy for which many servers fail at
+// once is likely to be at fault itself.
 func TestReportsOfLostServersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -211,8 +214,8 @@
 	})
 }
 
-// TestEarlierProcessOfAMachineIsLost marks processes lost that another one at their address has
-// replaced. They might be the later ones, and could refute it.
+// TestEarlierProcessOfAMachineIsLost checks that a process is marked lost when another process at its address
+// calls. It is not marked ended, as it might be the later of the two and must be able to refute that.
 func TestEarlierProcessOfAMachineIsLost(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
@@ -232,7 +235,8 @@
 	})
 }
 
-// TestOrdersWaitForThePreviousHead: a new head waits until orders of the previous one have arrived.
+// TestOrdersWaitForThePreviousHead checks that a new head sends no orders until those of the previous head
+// can't arrive any more.
 func TestOrdersWaitForThePreviousHead(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
@@ -247,11 +251,12 @@
 	published.headFence.Store(0)
 	c.Check(assigner.maySendOrders(), qt.IsFalse)
 	published.headFence.Store(3)
-	c.Check(assigner.maySendOrders(), qt.IsFalse, qt.Commentf("another one may have been the head meanwhile"))
+	c.Check(assigner.maySendOrders(), qt.IsFalse, qt.Commentf("another may have been the head meanwhile"))
 }
 
-// TestHeartbeatsAreAnsweredInTime: a server takes an acknowledgement that comes within a second and has at
-// most 4 KiB. It names this proxy for later heartbeats, except in the answer to one that came late.
+// TestHeartbeatsAreAnsweredInTime checks that heartbeats and deregistrations are answered within the timeout
+// of a server, one second, and within the 4 KiB that it reads. An acknowledgement names this proxy for later
+// heartbeats, except in the answer to a late heartbeat.
 func TestHeartbeatsAreAnsweredInTime(t *testing.T) {
 	const acknowledgedWithin, maxAnswerBytes = time.Second, 4 << 10
 	synctest.Test(t, func(t *testing.T) {
@@ -266,16 +271,16 @@
 		c.Check(string(late.Body), qt.Equals, "{}")
 
 		agent.state.learnView(2, membersAt(agent.settings.IP, "10.9.0.1", "10.9.0.2"))
-		for _, ip := range []string{"10.9.0.1", "10.9.0.2"} { // they respond, and replicate nothing
+		for _, ip := range []string{"10.9.0.1", "10.9.0.2"} { // they respond but replicate nothing
 			agent.hubs.links[ip] = &hub{ip: ip}
 			agent.hubs.links[ip].state.lastSeen = agent.now() + 1
 		}
 		for _, call := range []*controlserver.Call{heartbeat("draining", "3"),
 			{Method: "DELETE", Path: serversPath + "a"}} {
-			began := time.Now()
+			start := time.Now()
 			answer := agent.handleCall(call)
 			c.Check(answer.Status, qt.Equals, 503)
-			c.Check(time.Since(began) < acknowledgedWithin, qt.IsTrue)
+			c.Check(time.Since(start) < acknowledgedWithin, qt.IsTrue)
 			c.Check(len(answer.Body) <= maxAnswerBytes, qt.IsTrue)
 		}
 	})
--- a/internal/router/agent/chain_bootstrap.go
+++ b/internal/router/agent/chain_bootstrap.go
@@ -8,9 +8,11 @@
 )
 
 const (
-	// bootstrapDelay is how long after its start the bootstrapper waits for machines with a disk at least.
+	// bootstrapDelay is the minimum time for which the bootstrapper waits, from its start on, for machines with
+	// a disk to announce themselves.
 	bootstrapDelay = 1500 * time.Millisecond
-	// bootstrapStablePeriod is how long their number has to stay the same. It is also the interval of retries.
+	// bootstrapStablePeriod is how long the number of machines with a disk has to be unchanged before the first
+	// view is proposed. It is also the interval between retries of the proposal.
 	bootstrapStablePeriod = 800 * time.Millisecond
 )
 
@@ -19,12 +21,12 @@
 type bootstrapper struct {
 	state       *state
 	now         func() time.Duration
-	candidates  int           // machines with a disk that are known
-	stableSince time.Duration // when their number last changed, or a view was last proposed
+	candidates  int           // number of known machines with a disk
+	stableSince time.Duration // when that number last changed, or a view was last proposed
 }
 
 // dueMembers returns the members of the first view if it is to be proposed now: all machines with a disk,
-// once no new one has appeared for bootstrapStablePeriod. Until then it returns none.
+// once their number has not changed for bootstrapStablePeriod. Until then it returns none.
 func (b *bootstrapper) dueMembers() []chain.Member {
 	members := b.machinesWithDisk()
 	now := b.now()
--- a/internal/router/agent/chain_encoding.go
+++ b/internal/router/agent/chain_encoding.go
@@ -5,7 +5,7 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// encodeChainMessage encodes a message of the chain for the peer protocol.
+// encodeChainMessage encodes a message between members of the chain for the peer protocol.
 func encodeChainMessage(m *chain.Message) []byte {
 	return peerproto.Encode(&peerproto.ChainMessage{
 		Kind: int(m.Kind), From: string(m.From), Epoch: int64(m.Epoch), Address: m.Address, HasDisk: m.HasDisk,
@@ -19,7 +19,7 @@
 	})
 }
 
-// decodeChainMessage decodes a message of the chain.
+// decodeChainMessage decodes a message between members of the chain.
 func decodeChainMessage(body []byte) (chain.Message, error) {
 	var m peerproto.ChainMessage
 	if err := peerproto.Decode(body, &m); err != nil {
--- a/internal/router/agent/chain_encoding_test.go
+++ b/internal/router/agent/chain_encoding_test.go
@@ -9,8 +9,8 @@
 	"cresshub/internal/router/chain"
 )
 
-// TestChainMessagesKeepEveryField fills every field of a message by reflection, so that a new field that is
-// not carried between processes fails here.
+// TestChainMessagesKeepEveryField fills every field of a message by reflection, so that it fails if a new
+// field is not encoded or decoded.
 func TestChainMessagesKeepEveryField(t *testing.T) {
 	var message chain.Message
 	next := 1
--- a/internal/router/agent/chain_links.go
+++ b/internal/router/agent/chain_links.go
@@ -8,33 +8,33 @@
 	"cresshub/internal/router/transport"
 )
 
-// chainLinks holds the links to the other members of the chain, which carry its messages only. A link is
-// opened for the first message. The methods are safe for concurrent use.
+// chainLinks holds the links to the other members of the chain. These links carry only messages of the chain.
+// A link is opened when the first message to its member is sent. The methods are safe for concurrent use.
 type chainLinks struct {
 	*process
 	endpoint *transport.Endpoint
 
 	mu   sync.Mutex
-	byIP map[string]*transport.Link // of another member
+	byIP map[string]*transport.Link // by the IP of the other member
 }
 
 func newChainLinks(p *process, endpoint *transport.Endpoint) *chainLinks {
 	return &chainLinks{process: p, endpoint: endpoint, byIP: map[string]*transport.Link{}}
 }
 
-// send sends messages to the members on other machines. A message is lost where there is no connection; the
-// state machine repeats what has to arrive.
+// send sends messages to the members on other machines. A message is dropped if the link is not connected;
+// the state machine resends what has to arrive.
 func (l *chainLinks) send(messages []chain.Envelope) {
 	for i := range messages {
 		envelope := &messages[i]
 		if envelope.To.Address != "" && envelope.To.Address != l.settings.IP {
-			l.to(envelope.To.Address).Send(peerproto.KindChain, encodeChainMessage(&envelope.Message))
+			l.linkTo(envelope.To.Address).Send(peerproto.KindChain, encodeChainMessage(&envelope.Message))
 		}
 	}
 }
 
-// to returns the link to the member on a machine, and opens it where there is none.
-func (l *chainLinks) to(ip string) *transport.Link {
+// linkTo returns the link to the member on a machine, and opens it if there is none.
+func (l *chainLinks) linkTo(ip string) *transport.Link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	link := l.byIP[ip]
@@ -45,7 +45,7 @@
 	return link
 }
 
-// close closes the links. Nothing may be sent any more.
+// close closes the links. send must not be called afterwards.
 func (l *chainLinks) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/router/agent/chain_member.go
+++ b/internal/router/agent/chain_member.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// chainTick is how often the state machine of the chain is given the time.
-	chainTick = 50 * time.Millisecond
-	// chainHeartbeat is the interval of heartbeats between the members of the chain.
-	chainHeartbeat = 150 * time.Millisecond
-	// chainQueue is the capacity of the queue of events in front of the chain goroutine. Events that find it
-	// full are dropped and counted.
-	chainQueue = 256
-	// closeTimeout bounds how long the shutdown waits for a disk that hangs.
-	closeTimeout = 200 * time.Millisecond
+	// chainTickInterval is how often the state machine of the chain gets a tick.
+	chainTickInterval = 50 * time.Millisecond
+	// chainHeartbeatInterval is the interval of heartbeats between the members of the chain.
+	chainHeartbeatInterval = 150 * time.Millisecond
+	// chainQueueCapacity is the capacity of the event queue of the chain goroutine. Events are dropped and
+	// counted while the queue is full.
+	chainQueueCapacity = 256
+	// chainCloseTimeout bounds how long the shutdown waits for the chain goroutine, which a disk that hangs may
+	// block.
+	chainCloseTimeout = 200 * time.Millisecond
 )
 
-// chainEvent is a step of the state machine. It runs on the chain goroutine, which gives it the machine: no
-// other goroutine has access to that.
-type chainEvent func(machine *chain.Node, now time.Duration) chain.Effects
+// chainEvent is a step of the state machine. It runs on the chain goroutine, which passes it the node: no
+// other goroutine has access to the node.
+type chainEvent func(node *chain.Node, now time.Duration) chain.Effects
 
 // chainMember is the configStore of a machine with an open disk. One goroutine, the chain goroutine, steps
-// the state machine of package chain, persists the records that a step returns, and only then sends its
-// messages, completes its requests and publishes its state. Other goroutines hand it events with post.
+// the state machine of package chain, persists the records that a step returns, and only then sends the
+// messages, completes the requests and publishes the state of that step. Other goroutines queue events for it
+// with post.
 //
-// Each of these jobs is a type of its own: chainLog persists, chainLinks sends, chainRequests has the callers
-// who wait for a reply, chainPublisher shows the state to other goroutines, and bootstrapper proposes the
-// first view of a new fleet.
+// Each of these tasks has a type of its own: chainLog persists, chainLinks sends, chainRequests tracks the
+// callers that wait for a reply, chainPublisher publishes the state to other goroutines, and bootstrapper
+// decides when to propose the first view of a new fleet.
 type chainMember struct {
 	*process
-	identity string // of this machine's disk; role orders name their issuer by it
+	identity string // of this machine's disk; role orders carry it as the identity of their issuer
 	hubs     *hubSet
 
 	// Safe for concurrent use.
@@ -44,11 +46,11 @@
 	requests  *chainRequests
 	published *chainPublisher
 
-	// State of the chain goroutine alone. Before that starts, it belongs to the one that opens the member.
-	machine   *chain.Node
+	// Owned by the chain goroutine; before that starts, by the goroutine that opens the member.
+	node      *chain.Node
 	disk      *chainLog
-	bootstrap *bootstrapper // nil if this process does not bootstrap the fleet, or once it has a view
-	drainSent bool          // the state machine knows that this process is shutting down
+	bootstrap *bootstrapper // nil if this process does not bootstrap the fleet, or once a view is known
+	drainSent bool          // the state machine was told that this process is shutting down
 }
 
 var _ configStore = (*chainMember)(nil)
@@ -68,7 +70,7 @@
 	if err != nil {
 		return
 	}
-	m.post(func(machine *chain.Node, now time.Duration) chain.Effects { return machine.Receive(now, message) })
+	m.post(func(node *chain.Node, now time.Duration) chain.Effects { return node.Receive(now, message) })
 }
 
 func (m *chainMember) start(done <-chan struct{}) {
@@ -80,39 +82,40 @@
 
 func (m *chainMember) isMember() bool { return m.published.isMember() }
 
-// drain bypasses the queue of events, which may be full: a dropped message is sent again, but drain is called
-// only once.
+// drain bypasses the event queue, which may be full. Unlike messages, which are resent after they were
+// dropped, drain is called only once.
 func (m *chainMember) drain() { m.draining.Store(true) }
 
 func (m *chainMember) drained() <-chan struct{} { return m.published.drained() }
 
-// close waits for the chain goroutine, unless the disk hangs, and closes the links and the log.
+// close waits until the chain goroutine has ended and closes the links and the log. If the goroutine has not
+// ended within chainCloseTimeout, as when the disk hangs, nothing is closed.
 func (m *chainMember) close() {
 	select {
 	case <-m.ended:
-	case <-time.After(closeTimeout):
+	case <-time.After(chainCloseTimeout):
 		return
 	}
 	m.links.close()
 	m.disk.close()
 }
 
-// post queues an event for the chain goroutine and reports whether there was capacity. An event may be
-// dropped, so it has to be one that is repeated, or whose loss the caller reports.
+// post queues an event for the chain goroutine and reports whether the queue had capacity. As an event may be
+// dropped, it has to be one that is repeated, or whose loss the caller reports.
 func (m *chainMember) post(event chainEvent) bool {
 	select {
 	case m.events <- event:
 		return true
 	default:
-		m.metrics.droppedEvents.Add(1)
+		m.metrics.droppedChainEvents.Add(1)
 		return false
 	}
 }
 
-// run is the chain goroutine. All methods below run on it.
+// run is the main function of the chain goroutine. All methods below run on it.
 func (m *chainMember) run(done <-chan struct{}) {
 	defer close(m.ended)
-	ticker := time.NewTicker(chainTick)
+	ticker := time.NewTicker(chainTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -122,7 +125,7 @@
 			m.step(event)
 		case <-ticker.C:
 			m.startDrain()
-			m.machine.SetContacts(m.contacts())
+			m.node.SetContacts(m.contacts())
 			m.step((*chain.Node).Tick)
 			m.tryBootstrap()
 		}
@@ -132,15 +135,15 @@
 // step runs one event, persists its records, and only then executes the other effects. If the disk fails,
 // the state machine decides what may still be sent.
 func (m *chainMember) step(event chainEvent) {
-	effects := event(m.machine, m.now())
+	effects := event(m.node, m.now())
 	for len(effects.Persist) > 0 {
-		err := m.disk.persist(effects.Persist, m.machine.SnapshotRecords)
+		err := m.disk.persist(effects.Persist, m.node.SnapshotRecords)
 		if err == nil {
 			break
 		}
-		m.metrics.diskErrors.Add(1)
+		m.metrics.chainPersistErrors.Add(1)
 		m.log.Warn().Err(err).Msg("chain: persisting failed")
-		effects = m.machine.PersistFailed(m.now())
+		effects = m.node.PersistFailed(m.now())
 	}
 	m.execute(&effects)
 }
@@ -150,7 +153,7 @@
 func (m *chainMember) execute(effects *chain.Effects) {
 	m.links.send(effects.Messages)
 	m.requests.complete(effects.Replies)
-	m.published.publish(m.machine)
+	m.published.publish(m.node)
 }
 
 // startDrain announces to the other members, once, that this process is shutting down.
@@ -161,7 +164,7 @@
 	}
 }
 
-// contacts returns the machines that may know the view: the hubs.
+// contacts returns the machines that the state machine may ask for the view: the hubs.
 func (m *chainMember) contacts() []chain.Member {
 	var contacts []chain.Member
 	for _, ip := range m.hubs.addresses() {
@@ -170,13 +173,13 @@
 	return contacts
 }
 
-// tryBootstrap proposes the first view once it is due. It does nothing where this process is not the
-// bootstrapper.
+// tryBootstrap proposes the first view once it is due. It does nothing unless this process is the
+// bootstrapper and knows no view yet.
 func (m *chainMember) tryBootstrap() {
 	if m.bootstrap == nil {
 		return
 	}
-	if m.machine.View().Epoch > 0 {
+	if m.node.View().Epoch > 0 {
 		m.bootstrap = nil
 		return
 	}
@@ -185,5 +188,5 @@
 		return
 	}
 	m.log.Info().Int("members", len(members)).Msg("chain: bootstrapping")
-	m.step(func(machine *chain.Node, now time.Duration) chain.Effects { return machine.Bootstrap(now, members) })
+	m.step(func(node *chain.Node, now time.Duration) chain.Effects { return node.Bootstrap(now, members) })
 }
--- a/internal/router/agent/chain_patch.go
+++ b/internal/router/agent/chain_patch.go
@@ -12,16 +12,16 @@
 // errNotCurrent is the error for a version of the configuration that is not the current one.
 var errNotCurrent = errors.New("the version is not current")
 
-// storedDigest returns the digest of the change that an entry of the chain came from, by which a change that
-// is sent again is recognized.
+// storedDigest returns the digest of the change that made an entry of the chain. The chain recognizes a
+// change that is sent again by this digest.
 func storedDigest(body []byte) chain.Digest { return fleetconfig.StoredDigest(body) }
 
-// patch applies a patch to the version that it builds on, and proposes the full configuration that results.
-// If that version is not current any more, the patch was either committed before or is rejected.
+// patch applies a patch to its base version and proposes the full configuration that results. If the base
+// version is not current any more, the patch is accepted if it was committed before, and else rejected.
 func (r *chainRequests) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	patch, err := fleetconfig.ParsePatch(change.Expected, change.Body)
 	if err != nil {
-		return invalidChange(err)
+		return invalidResult(err)
 	}
 	deadline := r.now() + timeout
 	base, err := r.configAtVersion(patch.Base, timeout)
@@ -37,14 +37,14 @@
 		err = config.CheckSize()
 	}
 	if err != nil {
-		return invalidChange(err)
+		return invalidResult(err)
 	}
 	return r.propose(&peerproto.Proposal{Expected: patch.Base, Version: patch.Version,
 		Body: fleetconfig.EncodeStored(patch, config.Raw())}, left)
 }
 
-// configAtVersion returns the configuration of a version if it is in force here or current. The error is
-// errNotCurrent where it is neither.
+// configAtVersion returns the configuration of a version if that is in force here or is the current one of
+// the chain. The error is errNotCurrent if it is neither.
 func (r *chainRequests) configAtVersion(version int64, timeout time.Duration) (*fleetconfig.Config, error) {
 	if config := r.state.Config(); config != nil && config.Version == version {
 		return config, nil
@@ -63,13 +63,13 @@
 
 // confirm asks the chain whether a patch was committed before.
 func (r *chainRequests) confirm(patch *fleetconfig.Patch, timeout time.Duration) *peerproto.Result {
-	name := chain.ChangeID{Expected: patch.Base, Version: patch.Version,
+	id := chain.ChangeID{Expected: patch.Base, Version: patch.Version,
 		Digest: storedDigest(fleetconfig.EncodeStoredPatch(patch))}
-	return r.request(timeout, func(machine *chain.Node, now time.Duration, number uint64) chain.Effects {
-		return machine.Confirm(now, number, name)
+	return r.request(timeout, func(node *chain.Node, now time.Duration, number uint64) chain.Effects {
+		return node.Confirm(now, number, id)
 	})
 }
 
-func invalidChange(err error) *peerproto.Result {
+func invalidResult(err error) *peerproto.Result {
 	return &peerproto.Result{Outcome: peerproto.OutcomeInvalid, Reason: err.Error()}
 }
--- a/internal/router/agent/chain_publish.go
+++ b/internal/router/agent/chain_publish.go
@@ -9,21 +9,21 @@
 	"cresshub/internal/router/chain"
 )
 
-// chainPublisher shows the other goroutines the state of the state machine after each step: whether this
+// chainPublisher publishes the state of the state machine to other goroutines after each step: whether this
 // process is in the chain, its fencing token as the head, the view, and the newest committed configuration.
-// Epochs, versions and committed sequence numbers never fall. publish belongs to the chain goroutine, and
-// applyCommitted is a goroutine of its own; the other methods are safe for concurrent use.
+// Epochs, versions and committed sequence numbers never decrease. publish runs on the chain goroutine, and
+// applyCommitted on a goroutine of its own; the other methods are safe for concurrent use.
 type chainPublisher struct {
 	state      *state
 	configSync *configSync
 	log        zerolog.Logger
 
 	inChain   atomic.Bool
-	headFence atomic.Uint64 // epoch in which this member is the head and the chain is open, 0 if it is not
+	headFence atomic.Uint64 // the epoch while this member is the head of an open chain, else 0
 	handedOff chan struct{} // closed once this member has left and the others have all that it has accepted
-	committed chan []byte   // the newest committed configuration that is not yet applied, as it is stored
+	committed chan []byte   // the newest committed configuration that is not applied yet, in stored form
 
-	// What the chain goroutine has published so far.
+	// The last published values; they belong to the chain goroutine.
 	isHandedOff bool // handedOff is closed
 	sequence    uint64
 	version     int64
@@ -37,25 +37,25 @@
 
 func (p *chainPublisher) isMember() bool { return p.inChain.Load() }
 
-// fence returns the fencing token of this process, 0 while it is not the head of an open chain.
+// fence returns the fencing token of this process, or 0 while it is not the head of an open chain.
 func (p *chainPublisher) fence() uint64 { return p.headFence.Load() }
 
 func (p *chainPublisher) drained() <-chan struct{} { return p.handedOff }
 
 // publish publishes the state of the state machine after a step.
-func (p *chainPublisher) publish(machine *chain.Node) {
-	p.inChain.Store(machine.InChain())
+func (p *chainPublisher) publish(node *chain.Node) {
+	p.inChain.Store(node.InChain())
 	fence := uint64(0)
-	if machine.IsOpenHead() {
-		fence = machine.View().Epoch
+	if node.IsOpenHead() {
+		fence = node.View().Epoch
 	}
 	p.headFence.Store(fence)
-	if !p.isHandedOff && machine.Drained() {
+	if !p.isHandedOff && node.Drained() {
 		p.isHandedOff = true
 		close(p.handedOff)
 	}
-	p.publishView(machine.View())
-	if entry, ok := machine.Committed(); ok {
+	p.publishView(node.View())
+	if entry, ok := node.Committed(); ok {
 		p.publishCommitted(&entry)
 	}
 }
@@ -70,8 +70,8 @@
 		Int("replicas", len(view.Chain)).Msg("chain: new view")
 }
 
-// publishCommitted hands the committed configuration to applyCommitted, in place of one still waiting there.
-// It never blocks: only the chain goroutine sends.
+// publishCommitted passes the committed configuration to applyCommitted, in place of one that is still
+// waiting in the channel. It never blocks, because only the chain goroutine sends to the channel.
 func (p *chainPublisher) publishCommitted(entry *chain.Entry) {
 	invariant.Assert(entry.Sequence >= p.sequence, invariant.CommittedSequenceRises,
 		"entry %d is committed after entry %d", entry.Sequence, p.sequence)
@@ -87,8 +87,8 @@
 	p.committed <- entry.Body
 }
 
-// applyCommitted applies committed configurations until done closes. It is a goroutine of its own, because
-// parsing a large configuration takes longer than the other members wait for the chain goroutine.
+// applyCommitted applies committed configurations until done closes. It runs on a goroutine of its own,
+// because parsing a large configuration takes longer than the other members wait for the chain goroutine.
 func (p *chainPublisher) applyCommitted(done <-chan struct{}) {
 	for {
 		select {
--- a/internal/router/agent/chain_requests.go
+++ b/internal/router/agent/chain_requests.go
@@ -12,7 +12,8 @@
 
 // chainRequests runs the calls on the configuration (propose, patch and read): it posts each as an event,
 // which the chain goroutine runs on the state machine, and waits for the reply. The calls are safe for
-// concurrent use, but the chain goroutine must not make them: it would wait for itself. It calls complete.
+// concurrent use, but the chain goroutine must not make them, as it would wait for itself; it calls only
+// complete.
 type chainRequests struct {
 	now     func() time.Duration
 	state   *state
@@ -26,8 +27,8 @@
 
 func (r *chainRequests) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
 	change := chain.Proposal{Expected: proposal.Expected, Version: proposal.Version, Body: proposal.Body}
-	return r.request(timeout, func(machine *chain.Node, now time.Duration, number uint64) chain.Effects {
-		return machine.Propose(now, number, change)
+	return r.request(timeout, func(node *chain.Node, now time.Duration, number uint64) chain.Effects {
+		return node.Propose(now, number, change)
 	})
 }
 
@@ -35,12 +36,12 @@
 	return r.request(timeout, (*chain.Node).Read)
 }
 
-// request runs a call on the state machine and waits for its reply, or for timeout.
+// request runs a call on the state machine and waits for its reply, but no longer than timeout.
 func (r *chainRequests) request(timeout time.Duration,
-	call func(machine *chain.Node, now time.Duration, number uint64) chain.Effects) *peerproto.Result {
+	call func(node *chain.Node, now time.Duration, number uint64) chain.Effects) *peerproto.Result {
 	number, answer := r.pending.add()
 	defer r.pending.remove(number)
-	event := func(machine *chain.Node, now time.Duration) chain.Effects { return call(machine, now, number) }
+	event := func(node *chain.Node, now time.Duration) chain.Effects { return call(node, now, number) }
 	if !r.post(event) {
 		return unavailableResult("too many calls wait for the disk")
 	}
@@ -54,7 +55,7 @@
 	}
 }
 
-// complete gives replies of the state machine to the callers that wait for them.
+// complete passes replies of the state machine to the callers that wait for them.
 func (r *chainRequests) complete(replies []chain.Reply) {
 	for _, reply := range replies {
 		r.pending.complete(reply)
@@ -65,12 +66,12 @@
 // safe for concurrent use.
 type pendingRequests struct {
 	mu      sync.Mutex
-	replies map[uint64]chan chain.Reply // by number of the request
+	replies map[uint64]chan chain.Reply // by request number
 	last    uint64                      // number of the last request
 }
 
-// newPendingRequests draws the number from which requests are counted at random: replies to an earlier
-// process must not be taken for this one's.
+// newPendingRequests starts the request numbers at a random value, so that a reply to a request of an earlier
+// process is not mistaken for a reply to one of this process.
 func newPendingRequests() *pendingRequests {
 	return &pendingRequests{replies: map[uint64]chan chain.Reply{}, last: uint64(rand.Int63())}
 }
@@ -85,14 +86,14 @@
 	return p.last, reply
 }
 
-// remove removes a request whose caller does not wait any more.
+// remove removes a request for whose reply the caller no longer waits.
 func (p *pendingRequests) remove(number uint64) {
 	p.mu.Lock()
 	delete(p.replies, number)
 	p.mu.Unlock()
 }
 
-// complete gives a request its reply, where the caller still waits for it.
+// complete passes a reply to the caller of its request, if the caller still waits for it.
 func (p *pendingRequests) complete(reply chain.Reply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// resultOf translates a reply of the state machine to the result that operators and other processes get.
+// resultOf converts a reply of the state machine to the result that operators and other processes get.
 func resultOf(reply *chain.Reply) *peerproto.Result {
 	result := &peerproto.Result{Version: reply.Entry.Version}
 	switch reply.Outcome {
--- a/internal/router/agent/config_store.go
+++ b/internal/router/agent/config_store.go
@@ -21,14 +21,14 @@
 	receive(body []byte)
 	// start runs the replica until done closes.
 	start(done <-chan struct{})
-	// opened returns a channel that closes once the disk is open. It is closed already if there is no disk.
+	// opened returns a channel that closes once the disk is open, if there is one.
 	opened() <-chan struct{}
 	// isMember reports whether this process is in the chain now.
 	isMember() bool
 	// drain asks the other members to remove this process from the chain, before it stops.
 	drain()
 	// drained returns a channel that closes after drain, once the other members have everything that this
-	// replica has accepted, so that the process may stop.
+	// replica has accepted, so that the process may stop. Without a replica the channel is closed already.
 	drained() <-chan struct{}
 	// close releases the disk and the links. It is called after the channel passed to start has closed.
 	close()
--- a/internal/router/agent/deferred_store.go
+++ b/internal/router/agent/deferred_store.go
@@ -8,19 +8,19 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// diskRetryInterval is the interval between two attempts to open the disk.
+// diskRetryInterval is the wait between two attempts to open the disk.
 const diskRetryInterval = 500 * time.Millisecond
 
 // deferredStore is the configStore of a machine with a disk. It opens the disk in the background, because
-// that may hang or fail: until the disk is open, the process serves like one without a disk.
+// opening may hang or fail. Until the disk is open, the process serves like one without a disk.
 type deferredStore struct {
 	*process
 	self        *selfRecord
 	openMember  func() (*chainMember, error)     // may hang
-	newAssigner func(*chainMember) *roleAssigner // nil where this process assigns no roles
+	newAssigner func(*chainMember) *roleAssigner // nil if this process assigns no roles
 
 	member   atomic.Pointer[chainMember] // nil until the disk is open
-	ready    chan struct{}               // closed once it is
+	diskOpen chan struct{}               // closed once the disk is open
 	draining atomic.Bool                 // this process is shutting down
 }
 
@@ -35,17 +35,17 @@
 	}
 	d.self.announce(func(self *directory.Record) { self.Member = member.identity })
 	d.member.Store(member)
-	if d.draining.Load() { // since before there was a member that could record it
+	if d.draining.Load() { // drain may have been called before there was a member
 		member.drain()
 	}
 	member.start(done)
 	if d.newAssigner != nil {
 		go d.newAssigner(member).run(done)
 	}
-	close(d.ready)
+	close(d.diskOpen)
 }
 
-// open retries until the disk is open. It returns nil if done closes before.
+// open retries until the disk is open. It returns nil if done closes first.
 func (d *deferredStore) open(done <-chan struct{}) *chainMember {
 	for {
 		member, err := d.openMember()
@@ -62,8 +62,8 @@
 	}
 }
 
-// store returns the member once the disk is open.
-func (d *deferredStore) store() configStore {
+// delegate returns the store that handles calls: the member once the disk is open, noConfigStore before.
+func (d *deferredStore) delegate() configStore {
 	if member := d.member.Load(); member != nil {
 		return member
 	}
@@ -71,26 +71,28 @@
 }
 
 func (d *deferredStore) propose(proposal *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
-	return d.store().propose(proposal, timeout)
+	return d.delegate().propose(proposal, timeout)
 }
 
 func (d *deferredStore) patch(change *peerproto.Proposal, timeout time.Duration) *peerproto.Result {
-	return d.store().patch(change, timeout)
+	return d.delegate().patch(change, timeout)
 }
 
-func (d *deferredStore) read(timeout time.Duration) *peerproto.Result { return d.store().read(timeout) }
+func (d *deferredStore) read(timeout time.Duration) *peerproto.Result {
+	return d.delegate().read(timeout)
+}
 
-func (d *deferredStore) receive(body []byte) { d.store().receive(body) }
+func (d *deferredStore) receive(body []byte) { d.delegate().receive(body) }
 
-func (d *deferredStore) isMember() bool { return d.store().isMember() }
+func (d *deferredStore) isMember() bool { return d.delegate().isMember() }
 
-func (d *deferredStore) opened() <-chan struct{} { return d.ready }
+func (d *deferredStore) opened() <-chan struct{} { return d.diskOpen }
 
 func (d *deferredStore) drain() {
 	d.draining.Store(true)
-	d.store().drain()
+	d.delegate().drain()
 }
 
-func (d *deferredStore) drained() <-chan struct{} { return d.store().drained() }
+func (d *deferredStore) drained() <-chan struct{} { return d.delegate().drained() }
 
-func (d *deferredStore) close() { d.store().close() }
+func (d *deferredStore) close() { d.delegate().close() }
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -15,15 +15,16 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// The golden data directory is that of a machine with a disk, as testdata/golden/data holds it.
+// The golden data directory, testdata/golden/data, is that of a machine with a disk.
 const (
 	goldenData      = "data"
 	goldenSegment   = "0000000000000001.segment"
 	goldenCompacted = "0000000000000002.segment"
 )
 
-// diskAgent is a process with a front and with a data directory, which is a copy of the golden one or empty.
-func diskAgent(t *testing.T, c *qt.C, golden bool) *Agent {
+// newAgentWithDataDir returns an agent with a data plane and a data directory, which is a copy of the golden
+// one or empty.
+func newAgentWithDataDir(t *testing.T, c *qt.C, golden bool) *Agent {
 	t.Helper()
 	agent := newTestAgent(t)
 	agent.id = "proxy-1"
@@ -36,7 +37,7 @@
 	return agent
 }
 
-// checkWritten compares a file of a process's data directory with a golden one.
+// checkWritten compares a file in the data directory of an agent with a golden file.
 func checkWritten(c *qt.C, agent *Agent, name, golden string) {
 	c.Helper()
 	written, err := os.ReadFile(filepath.Join(agent.settings.DataDir, name))
@@ -52,11 +53,11 @@
 	return record
 }
 
-// TestGoldenDataDirectoryIsWrittenByteForByte writes each file of the directory with the code that the
-// process writes it with.
+// TestGoldenDataDirectoryIsWrittenByteForByte writes each file of the data directory with the code of the
+// process and compares it with the golden file.
 func TestGoldenDataDirectoryIsWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	agent := diskAgent(t, c, false)
+	agent := newAgentWithDataDir(t, c, false)
 	log := newChainLog(agent.process)
 	_, err := log.open()
 	c.Assert(err, qt.IsNil)
@@ -68,7 +69,7 @@
 	c.Assert(log.persist(records, nil), qt.IsNil)
 	c.Assert(log.persist([][]byte{chainRecord(c, "successor")}, nil), qt.IsNil)
 	c.Assert(log.segments.Close(), qt.IsNil)
-	segment := filepath.Join(chainFolder, goldenSegment)
+	segment := filepath.Join(chainDir, goldenSegment)
 	checkWritten(c, agent, segment, filepath.Join(goldenData, segment))
 
 	agent.state.merge(agent.now(), goldenDiskRecords())
@@ -78,12 +79,13 @@
 	checkWritten(c, agent, "servers", filepath.Join(goldenData, "servers"))
 	agent.persister.saveProxies()
 	checkWritten(c, agent, "proxies", filepath.Join(goldenData, "proxies"))
-	agent.proxy.SyncPrefixes(promptsAt(1<<64-3, 7))
+	agent.proxy.SyncPrefixes(prefixesAtServer2(1<<64-3, 7))
 	agent.persister.savePrefixIndex()
 	checkWritten(c, agent, "prompts", filepath.Join(goldenData, "prompts"))
 }
 
-// goldenDiskRecords are two servers that run, one that is lost, which is not saved, and two proxies.
+// goldenDiskRecords returns the records of two live servers, of a lost one, which is not saved, and of two
+// proxies, and a role order.
 func goldenDiskRecords() []directory.Record {
 	second, lost := goldenServer(), goldenServer()
 	second.ID, second.Address, second.State = "server-2", "10.0.0.8:80", directory.Ready
@@ -93,54 +95,55 @@
 		Sequence: 1, State: directory.Ready, Address: "10.0.0.3"})
 }
 
-// promptsAt are prompts at one server, as the front tells those of more in no order.
-func promptsAt(names ...uint64) []scheduler.CachedPrefixes {
-	return []scheduler.CachedPrefixes{{Server: "server-2", Hashes: names}}
+// prefixesAtServer2 returns a prefix index of one server: the order of several servers is not defined.
+func prefixesAtServer2(hashes ...uint64) []scheduler.CachedPrefixes {
+	return []scheduler.CachedPrefixes{{Server: "server-2", Hashes: hashes}}
 }
 
-// TestGoldenChainFolderIsRead opens the folder of the control state as the process does at its start, and
-// begins the log anew with a snapshot.
-func TestGoldenChainFolderIsRead(t *testing.T) {
+// TestGoldenChainDirIsRead opens the directory of the chain log as the process does at its start. It then
+// compacts the log to a snapshot, compares that with the golden one, and opens that too.
+func TestGoldenChainDirIsRead(t *testing.T) {
 	c := qt.New(t)
-	agent := diskAgent(t, c, true)
+	agent := newAgentWithDataDir(t, c, true)
 	member, err := agent.openChainMember()
 	c.Assert(err, qt.IsNil)
 	defer member.disk.close()
 	c.Assert(member.identity, qt.Equals, "m0")
-	c.Assert(member.machine.View(), qt.DeepEquals, chain.View{Epoch: 300,
+	c.Assert(member.node.View(), qt.DeepEquals, chain.View{Epoch: 300,
 		Members: []chain.Member{{ID: "m0", Address: "127.0.0.1"}, {ID: "m1", Address: "10.0.0.2"},
 			{ID: "m2", Address: "10.0.0.3"}},
 		Chain: []chain.MemberID{"m1", "m0"}, Fresh: []chain.MemberID{"m0"},
 		Sources: []chain.MemberID{"m1", "m2"},
 		Unopened: []chain.PastChain{{Epoch: 298, Chain: []chain.MemberID{"m1", "m0", "m2"}},
 			{Epoch: 299, Chain: []chain.MemberID{"m2"}}}})
-	entry, known := member.machine.Committed()
+	entry, known := member.node.Committed()
 	c.Assert(known, qt.IsTrue)
 	c.Assert(entry, qt.DeepEquals, chain.Entry{Epoch: 299, Sequence: 200, Version: 40,
 		Body: []byte(goldenDocument)})
 	agent.configSync.applyStored(<-member.published.committed)
 	checkConfig(c, agent, 40, goldenDocument)
 
-	c.Assert(member.disk.segments.Compact(member.machine.SnapshotRecords()), qt.IsNil)
-	checkWritten(c, agent, filepath.Join(chainFolder, goldenCompacted), goldenCompacted)
-	c.Assert(os.Remove(filepath.Join(agent.settings.DataDir, chainFolder, goldenCompacted)), qt.IsNil)
+	c.Assert(member.disk.segments.Compact(member.node.SnapshotRecords()), qt.IsNil)
+	checkWritten(c, agent, filepath.Join(chainDir, goldenCompacted), goldenCompacted)
+	c.Assert(os.Remove(filepath.Join(agent.settings.DataDir, chainDir, goldenCompacted)), qt.IsNil)
 
-	compacted := diskAgent(t, c, false)
-	folder := filepath.Join(compacted.settings.DataDir, chainFolder)
-	c.Assert(os.Mkdir(folder, 0o700), qt.IsNil)
+	compacted := newAgentWithDataDir(t, c, false)
+	dir := filepath.Join(compacted.settings.DataDir, chainDir)
+	c.Assert(os.Mkdir(dir, 0o700), qt.IsNil)
 	snapshot := readGolden(c, goldenCompacted)
-	c.Assert(os.WriteFile(filepath.Join(folder, goldenCompacted), snapshot, 0o600), qt.IsNil)
+	c.Assert(os.WriteFile(filepath.Join(dir, goldenCompacted), snapshot, 0o600), qt.IsNil)
 	again, err := compacted.openChainMember()
 	c.Assert(err, qt.IsNil)
 	defer again.disk.close()
-	c.Assert(again.machine.View(), qt.DeepEquals, member.machine.View())
-	c.Assert(again.machine.SnapshotRecords(), qt.DeepEquals, member.machine.SnapshotRecords())
+	c.Assert(again.node.View(), qt.DeepEquals, member.node.View())
+	c.Assert(again.node.SnapshotRecords(), qt.DeepEquals, member.node.SnapshotRecords())
 }
 
-// TestGoldenSavedFilesAreRead loads the files as the process does at its start, and writes them again.
+// TestGoldenSavedFilesAreRead loads the golden files as the process does at its start, writes them again and
+// compares them with the golden files.
 func TestGoldenSavedFilesAreRead(t *testing.T) {
 	c := qt.New(t)
-	agent := diskAgent(t, c, true)
+	agent := newAgentWithDataDir(t, c, true)
 	records := goldenDiskRecords()
 	servers, err := agent.persister.saved().readRecords(serversFile)
 	c.Assert(err, qt.IsNil)
@@ -150,26 +153,26 @@
 	agent.state.read(func(d *directory.Directory) { live = copyRecords(d.LiveServers()) })
 	c.Assert(live, qt.DeepEquals, servers)
 	c.Assert(agent.state.Servers().ByID("server-2"), qt.DeepEquals, servers[1].Server())
-	// the last one taken in is the newest
-	c.Assert(agent.proxy.KnownPrefixes(), qt.DeepEquals, promptsAt(1<<64-3, 7))
+	// The last prefix that was added is the most recent one.
+	c.Assert(agent.proxy.KnownPrefixes(), qt.DeepEquals, prefixesAtServer2(1<<64-3, 7))
 	proxies, err := agent.persister.saved().readRecords(proxiesFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(proxies, qt.DeepEquals, []directory.Record{{Kind: directory.KindProxy, Address: "10.0.0.2"},
 		{Kind: directory.KindProxy, Address: "10.0.0.3"}})
 	agent.persister.loadProxies()
 	c.Assert(agent.knownProxies.addresses(), qt.DeepEquals, []string{"10.0.0.2", "10.0.0.3"})
-	prompts, err := agent.persister.saved().read(promptsFile)
+	prefixes, err := agent.persister.saved().read(prefixIndexFile)
 	c.Assert(err, qt.IsNil)
-	var work peerproto.LoadReport
-	c.Assert(peerproto.Decode(prompts, &work), qt.IsNil)
-	c.Assert(work.FullIndex, qt.IsTrue)
-	c.Assert(decodePrefixes(work.Prefixes), qt.DeepEquals, promptsAt(1<<64-3, 7))
+	var index peerproto.LoadReport
+	c.Assert(peerproto.Decode(prefixes, &index), qt.IsNil)
+	c.Assert(index.FullIndex, qt.IsTrue)
+	c.Assert(decodePrefixes(index.Prefixes), qt.DeepEquals, prefixesAtServer2(1<<64-3, 7))
 
 	for _, name := range []string{"servers", "prompts", "proxies"} {
 		c.Assert(os.Remove(filepath.Join(agent.settings.DataDir, name)), qt.IsNil)
 	}
 	agent.persister.saveProxies()
-	c.Assert(agent.persister.saved().write(promptsFile, peerproto.Encode(&work)), qt.IsNil)
+	c.Assert(agent.persister.saved().write(prefixIndexFile, peerproto.Encode(&index)), qt.IsNil)
 	checkWritten(c, agent, "proxies", filepath.Join(goldenData, "proxies"))
 	checkWritten(c, agent, "prompts", filepath.Join(goldenData, "prompts"))
 	c.Assert(agent.persister.saved().writeRecords(serversFile, servers), qt.IsNil)
--- a/internal/router/agent/invariants_test.go
+++ b/internal/router/agent/invariants_test.go
@@ -7,7 +7,7 @@
 	"cresshub/internal/invariant"
 )
 
-// TestMain has a broken invariant fail the tests.
+// TestMain makes the violation of an invariant fail the tests.
 func TestMain(m *testing.M) {
 	invariant.PanicOnViolation()
 	os.Exit(m.Run())
--- a/internal/router/agent/metrics.go
+++ b/internal/router/agent/metrics.go
@@ -9,24 +9,24 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// agentMetrics are the metrics of the control side; those of the data plane are its own. They are safe for
-// concurrent use and take no lock of the agent, so that they may be counted with any lock held.
+// agentMetrics are the metrics of the control side; the data plane has metrics of its own. They are safe for
+// concurrent use and take no lock of the agent, so they may be updated while any lock is held.
 type agentMetrics struct {
-	heartbeats        metrics.CounterFamily // by answer
-	configCalls       metrics.CounterFamily // by call and outcome
-	lostProcesses     metrics.CounterFamily // processes marked lost here, by kind and reason
-	orders            metrics.CounterFamily // to model servers, by status
-	feedSubscriptions metrics.Counter       // of the hub that is followed
-	stalls            metrics.Counter       // of this process
-	stalledTime       metrics.Counter       // of all of them, in milliseconds
-	diskErrors        metrics.Counter       // steps of the chain that could not be persisted
-	failedDiskOpens   metrics.Counter
-	droppedEvents     metrics.Counter // of the chain
-	reloadErrors      metrics.Counter // of the settings file
-	acceptErrors      metrics.Counter
-	handlerPanics     metrics.Counter
-	diskWrites        metrics.Histogram // time of synced writes of the chain
-	lastOrderFence    atomic.Uint64     // fencing token of the last order, for its invariant
+	heartbeats         metrics.CounterFamily // received from servers, by answer
+	configCalls        metrics.CounterFamily // by call and outcome
+	recordsMarkedLost  metrics.CounterFamily // by this process, by kind and reason
+	orders             metrics.CounterFamily // role orders to model servers, by status of the response
+	feedSubscriptions  metrics.Counter       // to the feed of a hub
+	stalls             metrics.Counter       // of this process
+	stalledMs          metrics.Counter       // total time of the stalls, in milliseconds
+	chainPersistErrors metrics.Counter       // steps of the chain that could not be persisted
+	failedDiskOpens    metrics.Counter
+	droppedChainEvents metrics.Counter // events that found the queue of the chain goroutine full
+	reloadErrors       metrics.Counter // of the settings file
+	acceptErrors       metrics.Counter
+	handlerPanics      metrics.Counter
+	diskWriteTimes     metrics.Histogram // durations of synced writes of the chain
+	lastOrderFence     atomic.Uint64     // not a metric: token of the last order, for invariant.FenceRises
 }
 
 func (m *agentMetrics) countHeartbeat(answer string) {
@@ -34,7 +34,7 @@
 }
 
 func (m *agentMetrics) countLost(record *directory.Record, reason string) {
-	m.lostProcesses.With(metrics.Label{Name: "kind", Value: kindNames[record.Kind]},
+	m.recordsMarkedLost.With(metrics.Label{Name: "kind", Value: kindNames[record.Kind]},
 		metrics.Label{Name: "reason", Value: reason}).Add(1)
 }
 
--- a/internal/router/agent/metrics_endpoint.go
+++ b/internal/router/agent/metrics_endpoint.go
@@ -16,7 +16,7 @@
 // metricsPath is the endpoint of the metrics, at the control address and at the port for metrics.
 const metricsPath = "/metrics"
 
-// metricsEndpoint shows the metrics of the process. It has no state of its own and is safe for concurrent
+// metricsEndpoint serves the metrics of the process. It has no state of its own and is safe for concurrent
 // use.
 type metricsEndpoint struct {
 	*process
@@ -41,14 +41,14 @@
 	return &http1.Response{Status: http1.StatusOK, Header: header, Body: page.Text()}
 }
 
-// write writes the metrics of the control side and, where there is one, of the data plane.
+// write writes the metrics of the control side and of the data plane, if there is one.
 func (e *metricsEndpoint) write(page *metrics.Page) {
 	for _, count := range invariant.Counts() {
 		page.Counter("cresshub_invariant_violations_total", "Invariant violations seen by this process.",
 			count.Violations, metrics.Label{Name: "check", Value: count.Check.String()})
 	}
 	e.writeState(page)
-	e.writeCounts(page)
+	e.writeCounters(page)
 	e.writeProcess(page)
 	if e.proxy != nil {
 		e.proxy.WriteMetrics(page)
@@ -57,7 +57,7 @@
 
 func (e *metricsEndpoint) writeState(page *metrics.Page) {
 	view := e.state.currentView()
-	page.Flag("cresshub_ready", "Whether the readiness check succeeds.", unready(e.process, e.state) == "")
+	page.Flag("cresshub_ready", "Whether the readiness check succeeds.", unreadyReason(e.process, e.state) == "")
 	page.Gauge("cresshub_config_version", "Version of the configuration in force, 0 for none.",
 		float64(e.state.version()))
 	page.Gauge("cresshub_view_epoch", "Epoch of the chain's view, 0 for none.", float64(view.epoch))
@@ -81,12 +81,12 @@
 	page.Gauge("cresshub_proxies", "Router processes that this process considers live.", float64(proxies))
 }
 
-func (e *metricsEndpoint) writeCounts(page *metrics.Page) {
+func (e *metricsEndpoint) writeCounters(page *metrics.Page) {
 	m := &e.metrics
 	page.Family("cresshub_heartbeats_total", "Heartbeats received from servers, by answer.", &m.heartbeats)
 	page.Family("cresshub_config_calls_total", "Configuration calls, by call and outcome.", &m.configCalls)
 	page.Family("cresshub_marked_lost_total", "Records that this process marked lost, by kind and reason.",
-		&m.lostProcesses)
+		&m.recordsMarkedLost)
 	page.Family("cresshub_stage_orders_total",
 		"Role orders sent to servers, by response status; 0 for no response.", &m.orders)
 	page.Counter("cresshub_feeds_followed_total", "Subscriptions to the feed of a hub.",
@@ -94,13 +94,13 @@
 	page.Counter("cresshub_stood_still_total", "Stalls of this process: intervals in which it did not run.",
 		m.stalls.Value())
 	page.Counter("cresshub_stalled_milliseconds_total", "Time in which this process did not run.",
-		m.stalledTime.Value())
+		m.stalledMs.Value())
 	page.Counter("cresshub_disk_errors_total", "Steps of the chain that could not be persisted.",
-		m.diskErrors.Value())
+		m.chainPersistErrors.Value())
 	page.Counter("cresshub_disk_openings_failed_total", "Failed attempts to open the chain's store.",
 		m.failedDiskOpens.Value())
 	page.Counter("cresshub_chain_events_dropped_total", "Events dropped because the chain's queue was full.",
-		m.droppedEvents.Value())
+		m.droppedChainEvents.Value())
 	page.Counter("cresshub_reload_errors_total", "Failed reloads of the settings file.",
 		m.reloadErrors.Value())
 	page.Counter("cresshub_accept_errors_total",
@@ -108,7 +108,7 @@
 	page.Counter("cresshub_call_mistakes_total", "Panics of handlers, each recovered.",
 		m.handlerPanics.Value())
 	page.Histogram("cresshub_disk_write_duration_seconds", "Time to write and sync a step of the chain.",
-		&m.diskWrites)
+		&m.diskWriteTimes)
 	traffic := e.endpoint.Traffic()
 	for kind, volume := range traffic.Sent {
 		if volume.Frames > 0 {
--- a/internal/router/agent/metrics_test.go
+++ b/internal/router/agent/metrics_test.go
@@ -8,8 +8,8 @@
 	"cresshub/internal/router/controlserver"
 )
 
-// TestMetricsCountRejectedHeartbeats: the reason why a server was sent to another proxy can be read
-// afterwards.
+// TestMetricsCountRejectedHeartbeats checks that the metrics count rejected heartbeats by reason, so that one
+// can see later why a server was sent to another proxy.
 func TestMetricsCountRejectedHeartbeats(t *testing.T) {
 	c := qt.New(t)
 	agent := newTestAgent(t)
--- a/internal/router/agent/options.go
+++ b/internal/router/agent/options.go
@@ -8,14 +8,14 @@
 // Option changes an Agent before it runs.
 type Option func(*Agent)
 
-// WithNetwork replaces the network of the machine.
+// WithNetwork replaces the network of the machine, for example by a simulated one.
 func WithNetwork(network transport.Network) Option { return func(a *Agent) { a.network = network } }
 
-// WithFiles replaces the file system of the machine.
+// WithFiles replaces the file system of the machine, for example by a simulated one.
 func WithFiles(files segmentlog.FS) Option { return func(a *Agent) { a.files = files } }
 
-// WithMetricsPort has the metrics served at a port of their own too, 0 for none.
+// WithMetricsPort has the metrics served at a port of their own as well. Port 0 means no such port.
 func WithMetricsPort(port int) Option { return func(a *Agent) { a.metricsPort = port } }
 
-// WithRoleAssignment has an Agent without a data plane assign the roles of model servers too.
+// WithRoleAssignment has an Agent assign the roles of model servers even if it has no data plane.
 func WithRoleAssignment() Option { return func(a *Agent) { a.assignsRoles = true } }
--- a/internal/router/agent/persister.go
+++ b/internal/router/agent/persister.go
@@ -11,39 +11,39 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// A machine with a disk persists the records of servers, the addresses of proxies and the prefix index, so
-// that after a loss of all processes the first requests find servers before these have called again. The
-// saved state may be stale: every request names the incarnation that it expects, and servers that do not call
-// again are soon marked lost.
+// A machine with a disk persists the records of servers, the addresses of proxies and the prefix index. After
+// a loss of all processes, the first requests are thus routed before the servers have sent heartbeats again.
+// That the saved state may be stale is harmless: every request names the incarnation that it expects, and
+// servers that send no heartbeats are soon marked lost.
 
 const (
-	serversFile = "servers"
-	proxiesFile = "proxies"
-	promptsFile = "prompts" // the prefix index
-	// saveInterval is how often the files are saved whose content has changed.
+	serversFile     = "servers"
+	proxiesFile     = "proxies"
+	prefixIndexFile = "prompts" // the prefix index
+	// saveInterval is how often files are saved whose content has changed.
 	saveInterval = time.Second
-	// prefixOrderSaveInterval is how often the prefix index is saved where only the order of use, or which
-	// prefixes they are, has changed, but not their number.
+	// prefixOrderSaveInterval is how often the prefix index is saved while its prefixes or their order of use
+	// change, but not the number of prefixes.
 	prefixOrderSaveInterval = 10 * time.Second
 )
 
-// persister loads the saved state at the start and saves its changes. Its methods belong to the goroutine of
-// run, which is a goroutine of its own because the disk may hang; run is started only on a machine with a
-// disk. What it reads and writes in memory (the state, the known proxies, the prefix index) is safe for
-// concurrent use, so it has no lock.
+// persister loads the saved state at the start and saves its changes. Its methods run on the goroutine of
+// run, which is separate because the disk may hang; run is started only on a machine with a disk. The data
+// that it reads and writes in memory (the state, the known proxies, the prefix index) is safe for concurrent
+// use, so the persister has no lock.
 type persister struct {
 	*process
 	state         *state
 	knownProxies  *knownProxies
-	workload      Workload // has the prefix index
+	workload      Workload // holds the prefix index
 	savedPrefixes savedPrefixIndex
 }
 
 // savedPrefixIndex describes the prefix index that was last saved.
 type savedPrefixIndex struct {
-	count    int
+	count    int // number of prefixes
 	checksum uint64
-	at       time.Duration
+	savedAt  time.Duration
 }
 
 func (p *persister) saved() savedFiles { return savedFiles{p.files, p.settings.DataDir} }
@@ -58,7 +58,8 @@
 	p.saveChanges(done)
 }
 
-// loadServers loads the servers that were live, with the prefix index, and reports whether there were any.
+// loadServers loads the servers that were live when they were saved, and the prefix index. It reports whether
+// there were any such servers.
 func (p *persister) loadServers() bool {
 	records, err := p.saved().readRecords(serversFile)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return len(records) > 0
 }
 
-// loadProxies loads the addresses of the proxies that were known to the previous process of this machine.
+// loadProxies loads the addresses of the proxies that the previous process of this machine knew.
 func (p *persister) loadProxies() {
 	records, err := p.saved().readRecords(proxiesFile)
 	if err != nil {
@@ -91,7 +92,7 @@
 	p.log.Info().Int("proxies", len(addresses)).Msg("proxies: loaded")
 }
 
-// saveProxies saves the addresses of known proxies, where they have changed.
+// saveProxies saves the addresses of the known proxies, if they have changed since they were last saved.
 func (p *persister) saveProxies() {
 	p.recordLiveProxies()
 	if !p.knownProxies.resetChanged() {
@@ -107,7 +108,7 @@
 	}
 }
 
-// recordLiveProxies adds the proxies that are live now to the known ones.
+// recordLiveProxies adds the proxies that are live now to the known proxies.
 func (p *persister) recordLiveProxies() {
 	var live []string
 	p.state.read(func(d *directory.Directory) {
@@ -118,7 +119,7 @@
 	p.knownProxies.record(p.now(), live)
 }
 
-// saveChanges saves the state once in each saveInterval, where it has changed, until done closes.
+// saveChanges saves the files whose content has changed, once in each saveInterval, until done closes.
 func (p *persister) saveChanges(done <-chan struct{}) {
 	saved := p.state.Servers()
 	for {
@@ -148,7 +149,7 @@
 
 // loadPrefixIndex loads which prefixes were cached at which servers.
 func (p *persister) loadPrefixIndex() {
-	body, err := p.saved().read(promptsFile)
+	body, err := p.saved().read(prefixIndexFile)
 	var index peerproto.LoadReport
 	if err != nil || peerproto.Decode(body, &index) != nil {
 		return
@@ -156,16 +157,17 @@
 	p.workload.SyncPrefixes(decodePrefixes(index.Prefixes))
 }
 
-// savePrefixIndex saves which prefixes are known to be cached at which servers, where that has changed: at
-// once if their number has, as while the index is not full, and else after prefixOrderSaveInterval.
+// savePrefixIndex saves which prefixes are known to be cached at which servers, if that has changed. It saves
+// at once if the number of prefixes has changed, as it does until the index is full. If only the prefixes or
+// their order have changed, it saves no sooner than prefixOrderSaveInterval after the last time.
 func (p *persister) savePrefixIndex() {
 	known := p.workload.KnownPrefixes()
 	count := 0
-	for _, at := range known {
-		count += len(at.Hashes)
+	for _, cached := range known {
+		count += len(cached.Hashes)
 	}
 	now := p.now()
-	if count == p.savedPrefixes.count && now-p.savedPrefixes.at < prefixOrderSaveInterval {
+	if count == p.savedPrefixes.count && now-p.savedPrefixes.savedAt < prefixOrderSaveInterval {
 		return
 	}
 	body := peerproto.Encode(&peerproto.LoadReport{FullIndex: true, Prefixes: encodePrefixes(known)})
@@ -173,7 +175,7 @@
 	if checksum == p.savedPrefixes.checksum {
 		return
 	}
-	if p.saved().write(promptsFile, body) == nil {
-		p.savedPrefixes = savedPrefixIndex{count: count, checksum: checksum, at: now}
+	if p.saved().write(prefixIndexFile, body) == nil {
+		p.savedPrefixes = savedPrefixIndex{count: count, checksum: checksum, savedAt: now}
 	}
 }
--- a/internal/router/agent/process.go
+++ b/internal/router/agent/process.go
@@ -17,9 +17,9 @@
 	"cresshub/internal/stallclock"
 )
 
-// process is what a part of the agent may need to know of the process itself, whatever its job: who this is,
-// its settings and clock, the machine that it runs on, and where it logs and counts. It knows no part. Its
-// methods and its metrics are safe for concurrent use and take no lock.
+// process holds what every part of the agent may need: the identity, settings and clock of this process, the
+// network and files of its machine, its log and its metrics. It depends on no part. Its methods and its
+// metrics are safe for concurrent use and take no lock.
 type process struct {
 	// Set by New and not changed later.
 	settings *agentsettings.Settings
@@ -28,7 +28,7 @@
 	network  transport.Network
 	files    segmentlog.FS
 	log      zerolog.Logger
-	clock    *stallclock.Clock // of the stalls of this process
+	clock    *stallclock.Clock // measures the stalls of this process
 
 	// Safe for concurrent use without a lock.
 	seedList     atomic.Pointer[[]string]
@@ -36,7 +36,7 @@
 	metrics      agentMetrics
 }
 
-// newProcess draws the id of a new process.
+// newProcess returns a process with a new random id.
 func newProcess(settings *agentsettings.Settings, log zerolog.Logger) *process {
 	p := &process{settings: settings, log: log, network: transport.HostNetwork{}, files: segmentlog.OSFS{},
 		id: settings.IP + "-" + randomID(), started: time.Now()}
@@ -45,10 +45,10 @@
 	return p
 }
 
-// recordStall records that this process has run again after a stall.
+// recordStall records a stall of this process that has ended.
 func (p *process) recordStall(length time.Duration) {
 	p.metrics.stalls.Add(1)
-	p.metrics.stalledTime.Add(length.Milliseconds())
+	p.metrics.stalledMs.Add(length.Milliseconds())
 	if length >= minLoggedStall {
 		p.log.Warn().Dur("gap_ms", length).Msg("agent: process stalled")
 	}
@@ -57,8 +57,9 @@
 // minLoggedStall is the shortest stall that is logged.
 const minLoggedStall = 800 * time.Millisecond
 
-// remaining returns what is left of a timeout that began at from: until this process has run for that long,
-// and for a moment after a stall, in which it takes in what has come.
+// remaining returns the rest of a timeout that began at from, a time on the clock of now. The timeout counts
+// only time in which this process runs, and does not end within a short time after a stall, in which the
+// process reads what has arrived meanwhile.
 func (p *process) remaining(from, timeout time.Duration) time.Duration {
 	return p.clock.Left(p.started.Add(from), timeout)
 }
@@ -66,22 +67,22 @@
 // now returns the time on the monotonic clock since the process started.
 func (p *process) now() time.Duration { return time.Since(p.started) }
 
-// seeds returns the control addresses of some proxies, as last read from the settings file.
+// seeds returns the seeds, as last read from the settings file: the control addresses of some proxies.
 func (p *process) seeds() []string { return *p.seedList.Load() }
 
 func (p *process) isShuttingDown() bool { return p.shuttingDown.Load() }
 
-// isBootstrapper reports whether this process proposes the first view of a new fleet: the first seed does.
+// isBootstrapper reports whether this process proposes the first view of a new fleet. The first seed does so.
 func (p *process) isBootstrapper() bool {
 	return p.settings.FirstStart && len(p.settings.Seeds) > 0 && hostOf(p.settings.Seeds[0]) == p.settings.IP
 }
 
-// peerAddress returns the address at which the process of a machine listens for other processes.
+// peerAddress returns the address at which the process on a machine listens for other processes.
 func (p *process) peerAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(p.settings.InnerPorts[0]))
 }
 
-// hello returns the first message of a connection to another process.
+// hello returns the message that identifies this process at the start of a connection to another process.
 func (p *process) hello() []byte { return peerproto.Encode(&peerproto.Hello{ID: p.id}) }
 
 func hostOf(address string) string {
--- a/internal/router/agent/ready_endpoint.go
+++ b/internal/router/agent/ready_endpoint.go
@@ -8,19 +8,19 @@
 // readyPath is the endpoint of the platform's readiness checks.
 const readyPath = "/api/ready"
 
-// handleReady answers the platform's readiness check: whether clients may be sent here.
+// handleReady answers the platform's readiness check, which asks whether to send clients here.
 func (a *Agent) handleReady(call *controlserver.Call) *http1.Response {
 	if call.Path != readyPath {
 		return controlserver.Text(http1.StatusNotFound, "call "+readyPath)
 	}
-	if reason := unready(a.process, a.state); reason != "" {
+	if reason := unreadyReason(a.process, a.state); reason != "" {
 		return controlserver.Text(http1.StatusServiceUnavailable, reason)
 	}
 	return controlserver.Text(http1.StatusOK, "ready")
 }
 
-// unready returns why no clients are to be sent here, "" if they are.
-func unready(p *process, s *state) string {
+// unreadyReason returns the reason why this process is not ready for clients, "" if it is ready.
+func unreadyReason(p *process, s *state) string {
 	switch {
 	case p.isShuttingDown():
 		return "shutting down"
--- a/internal/router/agent/saved_files.go
+++ b/internal/router/agent/saved_files.go
@@ -12,13 +12,15 @@
 	"cresshub/internal/segmentlog"
 )
 
-// checksumBytes is the length of the checksum in front of a saved file's content, in bytes.
+// checksumBytes is the length, in bytes, of the checksum that precedes the content of a saved file.
 const checksumBytes = 8
 
-// errSavedCorrupt is the error for a saved file that can't be used; its content is learned anew.
-var errSavedCorrupt = errors.New("the saved state is corrupt; it is learned anew")
+// errSavedFileCorrupt is the error for a saved file that can't be used. The process then starts without its
+// content and learns it from servers and other processes.
+var errSavedFileCorrupt = errors.New("saved file is corrupt; starting without its content")
 
-// savedFiles are small files in one folder, each replaced atomically. A checksum precedes the content.
+// savedFiles are small files in one directory. Each is replaced atomically and begins with a checksum of its
+// content.
 type savedFiles struct {
 	files segmentlog.FS
 	dir   string
@@ -33,7 +35,7 @@
 	}
 	var records peerproto.Records
 	if err := peerproto.Decode(body, &records); err != nil {
-		return nil, fmt.Errorf("%w: %w", errSavedCorrupt, err)
+		return nil, fmt.Errorf("%w: %w", errSavedFileCorrupt, err)
 	}
 	return records.Records, nil
 }
@@ -42,20 +44,20 @@
 	return s.write(name, peerproto.Encode(&peerproto.Records{Records: records}))
 }
 
-// read returns the content of a file. The error is fs.ErrNotExist where there is none, and errSavedCorrupt
-// where the checksum is wrong.
+// read returns the content of a file. The error is fs.ErrNotExist if there is no such file, and
+// errSavedFileCorrupt if the checksum is wrong.
 func (s savedFiles) read(name string) ([]byte, error) {
 	raw, err := s.files.ReadFile(s.path(name))
 	if err != nil {
 		return nil, err
 	}
 	if len(raw) < checksumBytes || binary.LittleEndian.Uint64(raw) != xxhash.Sum64(raw[checksumBytes:]) {
-		return nil, errSavedCorrupt
+		return nil, errSavedFileCorrupt
 	}
 	return raw[checksumBytes:], nil
 }
 
-// write replaces a file atomically: the new one is durable before it takes the name.
+// write replaces a file atomically: the new content is durable before it is renamed to the name of the file.
 func (s savedFiles) write(name string, body []byte) error {
 	raw := binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(body))
 	raw = append(raw, body...)
--- a/internal/router/agent/saved_files_test.go
+++ b/internal/router/agent/saved_files_test.go
@@ -32,11 +32,11 @@
 	for i := range full {
 		qt.Assert(t, os.WriteFile(path, full[:i], 0o600), qt.IsNil)
 		_, err = saved.readRecords(serversFile)
-		qt.Assert(t, err, qt.ErrorIs, errSavedCorrupt)
+		qt.Assert(t, err, qt.ErrorIs, errSavedFileCorrupt)
 		flipped := append([]byte(nil), full...)
 		flipped[i] ^= 1
 		qt.Assert(t, os.WriteFile(path, flipped, 0o600), qt.IsNil)
 		_, err = saved.readRecords(serversFile)
-		qt.Assert(t, err, qt.ErrorIs, errSavedCorrupt)
+		qt.Assert(t, err, qt.ErrorIs, errSavedFileCorrupt)
 	}
 }
--- a/internal/router/agent/shutdown_plan.go
+++ b/internal/router/agent/shutdown_plan.go
@@ -18,12 +18,12 @@
 	graceMarginFraction = 0.02
 )
 
-// shutdownPlan is the schedule of a shutdown. The times count from SIGTERM.
+// shutdownPlan is the schedule of a shutdown. All fields but announceTimeout are times since SIGTERM.
 type shutdownPlan struct {
 	closeListenerAt  time.Duration // no new clients are accepted from then on
 	abortRequestsAt  time.Duration // requests that are still in flight are aborted
 	finalResponsesBy time.Duration // deadline for the responses to the aborted requests
-	announceTimeout  time.Duration // of the announcement that this process has ended, which follows
+	announceTimeout  time.Duration // bounds the announcement that this process has ended, the last step
 }
 
 // planShutdown returns the schedule for a grace period. The operators require that no request that a server
--- a/internal/router/agent/wiring.go
+++ b/internal/router/agent/wiring.go
@@ -6,9 +6,11 @@
 	"cresshub/internal/router/dataplane"
 )
 
-// This file puts the parts of an Agent together, each with what it needs; no part knows the Agent.
+// This file creates the parts of an Agent and passes to each what it depends on; no part has a reference to
+// the Agent.
 
-// createParts creates the parts of the agent, each after those that it calls. None of them runs yet.
+// createParts creates the parts of the agent, each after the parts that it calls. The hubs and their exchange
+// refer to each other, so the exchange is set afterwards. None of the parts runs yet.
 func (a *Agent) createParts() {
 	p := a.process
 	a.state = newState()
@@ -38,7 +40,7 @@
 	a.createEndpoints()
 }
 
-// createProxy creates the data plane, where the role of the process has one.
+// createProxy creates the data plane, if this process serves clients.
 func (a *Agent) createProxy() {
 	if a.settings.Front == "" {
 		return
@@ -50,7 +52,7 @@
 	a.workload, a.assignsRoles = a.proxy, true
 }
 
-// createEndpoints creates the handlers of the calls of operators and servers.
+// createEndpoints creates the handlers of calls of operators and servers.
 func (a *Agent) createEndpoints() {
 	p := a.process
 	a.configEndpoint = &configEndpoint{process: p, store: a.configStore, hubs: a.hubs}
@@ -60,15 +62,15 @@
 		configStore: a.configStore, endpoint: a.endpoint, proxy: a.proxy}
 }
 
-// newPeerHandler returns the handler of the frames of other processes.
+// newPeerHandler returns the handler of frames of other processes.
 func (a *Agent) newPeerHandler() *peerHandler {
 	return &peerHandler{process: a.process, lastSeen: a.lastSeen, status: a.status.get, hubs: a.hubs,
 		self: a.self, feeds: a.feeds, antiEntropy: a.antiEntropy, failures: a.failures, demand: a.demand,
 		load: a.load, configSync: a.configSync, configStore: a.configStore}
 }
 
-// newConfigStore returns noConfigStore for a machine without a disk, unless it is the one that bootstraps the
-// fleet: that one proposes the first view without being a member of it.
+// newConfigStore returns the store of this process. A machine without a disk gets a noConfigStore, unless it
+// bootstraps the fleet: then it runs the chain only to propose the first view, of which it is not a member.
 func (a *Agent) newConfigStore() configStore {
 	if a.settings.DataDir == "" && !a.isBootstrapper() {
 		return noConfigStore{}
@@ -76,9 +78,9 @@
 	return a.newDeferredStore()
 }
 
-// newDeferredStore returns the configStore of a machine with a disk.
+// newDeferredStore returns the configStore of a process that runs the chain.
 func (a *Agent) newDeferredStore() *deferredStore {
-	d := &deferredStore{process: a.process, self: a.self, ready: make(chan struct{}),
+	d := &deferredStore{process: a.process, self: a.self, diskOpen: make(chan struct{}),
 		openMember: a.openChainMember}
 	if a.assignsRoles {
 		d.newAssigner = a.newRoleAssigner
@@ -86,25 +88,25 @@
 	return d
 }
 
-// openChainMember opens the disk, where there is one, and the state machine from the records on it.
+// openChainMember opens the disk, if there is one, and restores the state machine from the records on it.
 func (a *Agent) openChainMember() (*chainMember, error) {
 	m := a.newChainMember()
 	records, err := m.disk.open()
 	if err == nil {
-		err = m.openMachine(records)
+		err = m.openNode(records)
 	}
 	if err != nil {
 		m.disk.close()
-		return nil, fmt.Errorf("control state: %w", err)
+		return nil, fmt.Errorf("opening the chain's state: %w", err)
 	}
 	return m, nil
 }
 
-// newChainMember returns a member of the chain whose disk is not open.
+// newChainMember returns a member of the chain whose disk is not open yet.
 func (a *Agent) newChainMember() *chainMember {
 	m := &chainMember{
 		process: a.process, hubs: a.hubs,
-		events: make(chan chainEvent, chainQueue), ended: make(chan struct{}),
+		events: make(chan chainEvent, chainQueueCapacity), ended: make(chan struct{}),
 		links:     newChainLinks(a.process, a.endpoint),
 		published: newChainPublisher(a.process, a.state, a.configSync),
 		disk:      newChainLog(a.process),
@@ -116,13 +118,14 @@
 	return m
 }
 
-// newRoleAssigner returns what assigns roles while the member is the head of the chain.
+// newRoleAssigner returns the roleAssigner of a member, which assigns roles while the member is the head of
+// the chain.
 func (a *Agent) newRoleAssigner(member *chainMember) *roleAssigner {
 	return &roleAssigner{process: a.process, state: a.state, quorum: a.quorum, demand: a.demand,
 		read: member.read, fence: member.published.fence, holder: member.identity, pending: newPendingOrders()}
 }
 
-// newViewAnnouncer returns what announces the view.
+// newViewAnnouncer returns the viewAnnouncer of this process.
 func (a *Agent) newViewAnnouncer() *viewAnnouncer {
 	return &viewAnnouncer{process: a.process, state: a.state, hubs: a.hubs, endpoint: a.endpoint,
 		knownProxies: a.knownProxies, lastSeen: a.lastSeen, status: a.status.get,
