--- a/internal/router/agent/agent.go
+++ b/internal/router/agent/agent.go
@@ -30,7 +30,7 @@
 	acceptLog    zerolog.Logger // limited to maxAcceptLogLinesPerSecond
 	endpoint     *transport.Endpoint
 	proxy        *dataplane.Proxy // nil if the role does not serve clients
-	workload     Workload         // the proxy, where there is one
+	workload     Workload         // the proxy, or noWorkload if there is none
 	assignsRoles bool             // of model servers, while this process is the head of the chain
 	metricsPort  int              // 0 for none
 
@@ -54,7 +54,7 @@
 	load         *loadTable       // the in-flight load at each server
 
 	// The configuration.
-	configStore configStore // its replica, where the machine has a disk
+	configStore configStore // its replica, or noConfigStore if the machine has no disk
 	configSync  *configSync // receives and sends the configuration in force
 
 	// The endpoints that operators and servers call, and the state that the data plane reads.
--- a/internal/router/agent/doc.go
+++ b/internal/router/agent/doc.go
@@ -9,7 +9,7 @@
 // the current view, and the seeds until a view is known, are the hubs: every process sends them its own
 // record and those of the servers that call it, and hubs repair differences between their directories by
 // anti-entropy. Every process that is not a hub follows the feed of one hub, which begins with a snapshot and
-// goes on with numbered changes, as Consul's watches do. The head of the chain also assigns the prefill and
+// continues with numbered changes, like a Consul watch. The head of the chain also assigns the prefill and
 // decode roles of model servers (roleAssigner).
 //
 // Failures are detected as in SWIM: each record names the watcher that monitors its process by heartbeats, a
--- a/internal/router/agent/persister.go
+++ b/internal/router/agent/persister.go
@@ -19,7 +19,7 @@
 const (
 	serversFile     = "servers"
 	proxiesFile     = "proxies"
-	prefixIndexFile = "prompts" // the prefix index
+	prefixIndexFile = "prompts"
 	// saveInterval is how often files are saved whose content has changed.
 	saveInterval = time.Second
 	// prefixOrderSaveInterval is how often the prefix index is saved while its prefixes or their order of use
