--- a/internal/router/agent/persister.go
+++ b/internal/router/agent/persister.go
@@ -95,7 +95,7 @@
 // saveProxies saves the addresses of the known proxies, if they have changed since they were last saved.
 func (p *persister) saveProxies() {
 	p.recordLiveProxies()
-	if !p.knownProxies.resetChanged() {
+	if !p.knownProxies.takeChanged() {
 		return
 	}
 	var records []directory.Record
@@ -103,7 +103,7 @@
 		records = append(records, directory.Record{Kind: directory.KindProxy, Address: address})
 	}
 	if err := p.saved().writeRecords(proxiesFile, records); err != nil {
-		p.knownProxies.setChanged()
+		p.knownProxies.markChanged()
 		p.log.Debug().Err(err).Msg("proxies: saving failed; retrying")
 	}
 }
