--- a/internal/proxy/dispatch/call.go
+++ b/internal/proxy/dispatch/call.go
@@ -59,7 +59,7 @@
 	ClientGone                 // don't respond; drop the response of attempt Attempt, unless that is -1
 )
 
-// Step is what Pick returns.
+// Step is what NextStep returns.
 type Step struct {
 	Kind       StepKind
 	Server     ServerID
--- a/internal/proxy/dispatch/decider.go
+++ b/internal/proxy/dispatch/decider.go
@@ -1,5 +1,5 @@
 // Package dispatch makes the decisions of package balance available as blocking calls. The goroutine of a
-// request opens a Call, asks Pick what to do next and Reports how its attempts end; Run lets time pass.
+// request opens a Call, asks NextStep what to do next and Reports how its attempts end; Run lets time pass.
 // Events, actions, timers, ids and the clock of balance stay in here, and nothing in here knows which
 // protocol a request came by.
 //
@@ -81,9 +81,9 @@
 	return c
 }
 
-// Pick returns the next step of a call and sleeps until there is one. Only the call's own goroutine calls it.
+// NextStep returns the next step of a call and sleeps until there is one. Only the call's own goroutine calls it.
 // Before a Send it checks whether the client has disconnected: for such a client nothing is sent any more.
-func (d *Decider) Pick(c *Call) Step {
+func (d *Decider) NextStep(c *Call) Step {
 	for checked := false; ; {
 		s, ok := d.next(c, checked)
 		switch {
--- a/internal/proxy/dispatch/decider_test.go
+++ b/internal/proxy/dispatch/decider_test.go
@@ -66,7 +66,7 @@
 
 func kinds(d *Decider, c *Call, n int) (got []StepKind) {
 	for range n {
-		got = append(got, d.Pick(c).Kind)
+		got = append(got, d.NextStep(c).Kind)
 	}
 	return got
 }
@@ -104,7 +104,7 @@
 func TestNothingWakesAnEndedCall(t *testing.T) {
 	d, p := newDecider(t, nil)
 	call := d.Open(atMostOnceRequest(), p)
-	d.Pick(call)
+	d.NextStep(call)
 	p.gone <- true
 	<-p.wake
 	if got := kinds(d, call, 2); !cmp.Equal(got, []StepKind{Cancel, ClientGone}) {
@@ -137,7 +137,7 @@
 	d, p := newDecider(t, nil)
 	q := atMostOnceRequest()
 	q.Deadline = time.Now().Add(time.Minute)
-	if s := d.Pick(d.Open(q, p)); !s.GiveUpAt.Equal(q.Deadline.Add(-d.responseMargin)) {
+	if s := d.NextStep(d.Open(q, p)); !s.GiveUpAt.Equal(q.Deadline.Add(-d.responseMargin)) {
 		t.Errorf("waits until %v of %v", s.GiveUpAt, q.Deadline)
 	}
 }
@@ -160,7 +160,7 @@
 	if s := <-p.probes; s != 7 {
 		t.Fatalf("probe of %d", s)
 	}
-	if got := d.Pick(call).Kind; got != Send { // no probe ever comes back
+	if got := d.NextStep(call).Kind; got != Send { // no probe ever comes back
 		t.Error(got)
 	}
 	d.ListFailed()
@@ -174,18 +174,18 @@
 		d, p := newDecider(t, nil)
 		c := d.Open(atMostOnceRequest(), p)
 		for i := range before {
-			if s := d.Pick(c); s.Kind != Send {
+			if s := d.NextStep(c); s.Kind != Send {
 				t.Fatalf("attempt %d: %+v", i, s)
 			}
 			d.Report(c, i, Rejected, nil)
 		}
 		p.left = true
-		if s := d.Pick(c); s.Kind != ClientGone {
+		if s := d.NextStep(c); s.Kind != ClientGone {
 			t.Errorf("after %d attempts: %+v", before, s)
 		}
 		p.left = false
 		next := d.Open(atMostOnceRequest(), p) // an attempt that was not made does not count as load
-		if s := d.Pick(next); s.Kind != Send {
+		if s := d.NextStep(next); s.Kind != Send {
 			t.Errorf("another client: %+v", s)
 		}
 		if len(d.calls) != 1 {
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -119,7 +119,7 @@
 		}
 	}()
 	for {
-		switch step := s.Decider.Pick(call); step.Kind {
+		switch step := s.Decider.NextStep(call); step.Kind {
 		case dispatch.Send:
 			attempts = append(attempts, s.startAttempt(call, step, id, message, u))
 		case dispatch.Cancel:
