--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -50,7 +50,7 @@
 func (d *Decider) advance(c *Call, now time.Duration, a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
-		c.addStep(Step{Kind: Send, Server: a.Server, Attempt: len(c.sentAt), GiveUpAt: d.giveUpAt(c, now, a.Wait),
+		c.addStep(Step{Kind: Send, Server: a.Server, Attempt: len(c.sentAt), Deadline: d.giveUpAt(c, now, a.Wait),
 			StartBy: d.fromClock(now + a.StartWithin)})
 		c.sentAt, c.timeouts = append(c.sentAt, now), append(c.timeouts, a.Wait)
 	case balance.Cancel:
--- a/internal/proxy/dispatch/call.go
+++ b/internal/proxy/dispatch/call.go
@@ -65,7 +65,7 @@
 	Server     ServerID
 	Attempt    int           // position among the attempts of the call, from 0
 	StartBy    time.Time     // of a Send: its first byte must be written before
-	GiveUpAt   time.Time     // of a Send: when it has timed out
+	Deadline   time.Time     // of a Send: when it has timed out
 	RetryAfter time.Duration // of a Reject; 0 if there is no advice
 }
 
--- a/internal/proxy/dispatch/decider_test.go
+++ b/internal/proxy/dispatch/decider_test.go
@@ -137,8 +137,8 @@
 	d, p := newDecider(t, nil)
 	q := atMostOnceRequest()
 	q.Deadline = time.Now().Add(time.Minute)
-	if s := d.NextStep(d.Open(q, p)); !s.GiveUpAt.Equal(q.Deadline.Add(-d.responseMargin)) {
-		t.Errorf("waits until %v of %v", s.GiveUpAt, q.Deadline)
+	if s := d.NextStep(d.Open(q, p)); !s.Deadline.Equal(q.Deadline.Add(-d.responseMargin)) {
+		t.Errorf("waits until %v of %v", s.Deadline, q.Deadline)
 	}
 }
 
