--- a/internal/proxy/serverlist/serverlist.go
+++ b/internal/proxy/serverlist/serverlist.go
@@ -1,12 +1,12 @@
-// Package serverlist is the JSON format of lists of servers. Discovery sends it, the configuration's
-// [[server]] tables are converted to it, and a process passes its list to its successor in it.
+// Package serverlist defines the JSON format of server lists. Discovery sends it, the configuration's
+// [[server]] tables are converted to it, and a process hands its list over to its successor in it.
 package serverlist
 
-// Document is one message: a list of servers, or changes of a list.
+// Document is one message: a full server list, or the changes of a list.
 type Document struct {
-	// Index is the number of changes that discovery has made so far; a later document has a higher one.
+	// Index is the number of changes that discovery has made so far; it is higher in a later document.
 	Index int64 `json:"index"`
-	// Snapshot says that Endpoints are all servers, not only those that changed.
+	// Snapshot states that Endpoints has all servers, not only those that changed.
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
@@ -15,13 +15,13 @@
 type Endpoint struct {
 	Name    string `json:"name"`
 	Address string `json:"address"` // host:port
-	Zone    string `json:"zone"`    // hall that it stands in
+	Zone    string `json:"zone"`    // hall where the server stands
 	Type    string `json:"type"`    // kind of machine
-	Group   int    `json:"group"`   // cell, whose servers share what they have cached of keys
+	Group   int    `json:"group"`   // cell; the servers of a cell share cached keys
 	// Status is in_service, terminating (draining) or terminated.
 	Status string `json:"status"`
-	// Weight is its capacity relative to other servers.
+	// Weight is the capacity relative to other servers.
 	Weight float64 `json:"weight"`
-	// SinceMS is its last start in milliseconds since the Unix epoch, 0 for long ago.
+	// SinceMS is the time of the last start, in milliseconds since the Unix epoch; 0 means long ago.
 	SinceMS float64 `json:"since_ms"`
 }
