--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -6,14 +6,14 @@
 	"cresshub/balance"
 )
 
-// lock takes the lock for one event and reads the clock.
+// lock takes the lock for one event and returns the reading of the clock.
 func (d *Decider) lock() time.Duration {
 	d.mu.Lock()
 	return d.now()
 }
 
-// unlock releases the lock and only then starts what the event asks of the network, which has locks of its
-// own and may call back.
+// unlock releases the lock and then starts the network operations that the event requested. The network has
+// its own locks and may call back, so it is called without the lock.
 func (d *Decider) unlock() {
 	probes, follow := d.pendingProbes, d.pendingFollow
 	d.pendingProbes, d.pendingFollow = nil, false
@@ -26,8 +26,8 @@
 	}
 }
 
-// execute turns the actions that balance asks for into steps of the calls that they name, timers, and work
-// for the network. The lock is held.
+// execute carries out the actions of balance: it adds steps to the calls that they name, sets timers, and
+// records network operations for unlock. The lock must be held.
 func (d *Decider) execute(now time.Duration, actions []balance.Action) {
 	d.actions = actions
 	for i := range actions {
@@ -39,19 +39,19 @@
 		case balance.FollowList:
 			d.pendingFollow = true
 		default:
-			if c := d.calls[a.ID]; c != nil { // else it has ended; its other attempts end by themselves
-				d.advance(c, now, a)
+			if c := d.calls[a.ID]; c != nil { // otherwise the call has ended, and its other attempts end on their own
+				d.executeCallAction(c, now, a)
 			}
 		}
 	}
 }
 
-// advance adds to a call the step that an action asks for.
-func (d *Decider) advance(c *Call, now time.Duration, a *balance.Action) {
+// executeCallAction adds to a call the step that an action requests.
+func (d *Decider) executeCallAction(c *Call, now time.Duration, a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
-		c.addStep(Step{Kind: Send, Server: a.Server, Attempt: len(c.sentAt), Deadline: d.giveUpAt(c, now, a.Wait),
-			StartBy: d.fromClock(now + a.StartWithin)})
+		c.addStep(Step{Kind: Send, Server: a.Server, Attempt: len(c.sentAt),
+			Deadline: d.attemptDeadline(c, now, a.Wait), StartBy: d.fromClock(now + a.StartWithin)})
 		c.sentAt, c.timeouts = append(c.sentAt, now), append(c.timeouts, a.Wait)
 	case balance.Cancel:
 		c.addStep(Step{Kind: Cancel, Attempt: a.Attempt})
@@ -62,8 +62,9 @@
 	}
 }
 
-// finish gives a call its last step; only ClientGone may follow another last step, which was not picked then.
-// Nothing wakes the call's goroutine after that, so that it may turn to the next request on its connection.
+// finish gives a call its last step. After a last step only ClientGone may follow, in place of a last step
+// that was not picked. After finish nothing wakes the call's goroutine, which may serve the next request on
+// its connection.
 func (d *Decider) finish(c *Call, last Step) {
 	if c.closed && last.Kind != ClientGone {
 		return
@@ -73,12 +74,12 @@
 	delete(d.calls, c.id)
 }
 
-// giveUpAt is when an attempt that is sent now has timed out: after timeout, where that is above 0, and in
-// any case responseMargin before the client's deadline.
-func (d *Decider) giveUpAt(c *Call, now, timeout time.Duration) time.Time {
-	until := c.deadline.Add(-d.responseMargin)
-	if t := d.fromClock(now + timeout); timeout > 0 && t.Before(until) {
-		until = t
+// attemptDeadline returns the time at which an attempt that is sent now times out: after timeout, if that is
+// above 0, but at the latest responseMargin before the client's deadline.
+func (d *Decider) attemptDeadline(c *Call, now, timeout time.Duration) time.Time {
+	deadline := c.deadline.Add(-d.responseMargin)
+	if t := d.fromClock(now + timeout); timeout > 0 && t.Before(deadline) {
+		deadline = t
 	}
-	return until
+	return deadline
 }
--- a/internal/proxy/dispatch/clock.go
+++ b/internal/proxy/dispatch/clock.go
@@ -7,19 +7,19 @@
 	"cresshub/balance"
 )
 
-// now reads the clock of the decisions, which is monotonic.
+// now returns the reading of balance's clock, which is monotonic.
 func (d *Decider) now() time.Duration { return d.clockBase + time.Since(d.startTime) }
 
-// toClock converts a time to a reading of that clock.
+// toClock converts a time to a reading of balance's clock.
 func (d *Decider) toClock(t time.Time) time.Duration { return d.clockBase + t.Sub(d.startTime) }
 
-// fromClock converts a reading of that clock to a time.
+// fromClock converts a reading of balance's clock to a time.
 func (d *Decider) fromClock(t time.Duration) time.Time { return d.startTime.Add(t - d.clockBase) }
 
-// setTimer has Run call back balance with the token of a SetTimer action.
+// setTimer schedules a call of balance's Timer, with the token of a SetTimer action, by Run.
 func (d *Decider) setTimer(now time.Duration, a *balance.Action) {
 	heap.Push(&d.timers, timer{now + a.Wait, a.Token})
-	if d.timers[0].at == now+a.Wait { // sooner than what Run sleeps for
+	if d.timers[0].at == now+a.Wait { // earlier than the timer that Run sleeps for
 		select {
 		case d.wakeRun <- struct{}{}:
 		default:
@@ -27,11 +27,11 @@
 	}
 }
 
-// maxTickInterval is how long Run sleeps where no timer is set.
+// maxTickInterval is how long Run sleeps while no timer is set.
 const maxTickInterval = time.Hour
 
-// Tick fires the timers that are due and returns the time until the next, maxTickInterval where there is
-// none.
+// Tick fires all timers that are due and returns the time until the next timer, or maxTickInterval if there
+// is none.
 func (d *Decider) Tick() time.Duration {
 	now := d.lock()
 	defer d.unlock()
@@ -45,7 +45,7 @@
 	return d.timers[0].at - now
 }
 
-// Run ticks whenever a timer is due, until stop is closed.
+// Run calls Tick whenever a timer is due, until stop is closed.
 func (d *Decider) Run(stop <-chan struct{}) {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -60,13 +60,13 @@
 	}
 }
 
-// timer is the wait of a SetTimer action.
+// timer is a pending SetTimer action.
 type timer struct {
-	at    time.Duration // by the clock of the decisions
+	at    time.Duration // when it is due, on balance's clock
 	token uint64
 }
 
-// timers is a heap with the next timer first.
+// timers is a heap ordered by due time.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/proxy/dispatch/decider.go
+++ b/internal/proxy/dispatch/decider.go
@@ -1,12 +1,12 @@
-// Package dispatch makes the decisions of package balance available as blocking calls. The goroutine of a
-// request opens a Call, asks NextStep what to do next and Reports how its attempts end; Run lets time pass.
-// Events, actions, timers, ids and the clock of balance stay in here, and nothing in here knows which
-// protocol a request came by.
+// Package dispatch is a blocking interface to the decisions of package balance for concurrent callers. The
+// goroutine of a request opens a Call, gets its steps from NextStep and calls Report when an attempt ends;
+// Run fires the timers. The events, actions, timers, request ids and the clock of balance are internal to
+// this package, which does not depend on the protocol of a request.
 //
-// A Decider may be used from any goroutine: one lock orders all events. A Call goes through attempts (Send,
-// Cancel) to one last step (Answer, Reject, Fail or ClientGone); Report may still be called after it, for the
-// attempts that end later. Steps wait in the call until its own goroutine picks them, and what balance asks
-// of the network starts after the lock is released.
+// A Decider may be used from any goroutine: one lock orders all events. A Call consists of attempts (Send,
+// Cancel) and one last step (Answer, Reject, Fail or ClientGone); Report may still be called after it, for
+// attempts that end later. Steps are queued in the call until its own goroutine picks them, and the network
+// operations that balance requests start after the lock is released.
 package dispatch
 
 import (
@@ -17,17 +17,17 @@
 	"cresshub/balance"
 )
 
-// ServerID is balance's number of a zone server.
+// ServerID identifies a server, as in package balance.
 type ServerID = balance.ServerID
 
-// Server is a zone server as balance knows it.
+// Server is a listed server, as balance defines it.
 type Server = balance.Server
 
 // Result is how an attempt or a probe ended.
 type Result = balance.Result
 
-// Network is what the decisions need beside the goroutines of requests. Its methods return at once; what
-// comes of them is reported with Probed, and with UpdateList or ListFailed.
+// Network carries out the network operations that don't belong to the goroutine of a request. Its methods
+// don't block; their results are reported with Probed, UpdateList and ListFailed.
 type Network interface {
 	Probe(ServerID)
 	Follow() // ask discovery for changes from now on
@@ -38,24 +38,24 @@
 	network        Network
 	responseMargin time.Duration
 	startTime      time.Time
-	clockBase      time.Duration // what the clock reads at startTime
-	wakeRun        chan struct{} // holds a token when the next timer is due before Run expects one
+	clockBase      time.Duration // the clock's reading at startTime
+	wakeRun        chan struct{} // holds a token when the next timer is due earlier than Run expects
 
 	mu            sync.Mutex
 	balancer      *balance.Balancer
 	calls         map[string]*Call
 	lastID        uint64
 	timers        timers
-	actions       []balance.Action // reused
-	pendingProbes []ServerID       // to be started when the lock is released
-	pendingFollow bool             // likewise
+	actions       []balance.Action // buffer, reused
+	pendingProbes []ServerID       // servers to probe once the lock is released
+	pendingFollow bool             // whether to follow discovery once the lock is released
 }
 
-// New returns a Decider that knows no server yet. A request is answered responseMargin before its deadline at
-// the latest, so that the response reaches the client in time also when the machine is busy.
+// New returns a Decider without servers. Each request is answered at the latest responseMargin before its
+// deadline, so that the response reaches the client in time even on a busy machine.
 func New(settings balance.Settings, responseMargin time.Duration, network Network) (*Decider, error) {
-	// The clock is monotonic and reads as Unix time at the start: discovery gives the starts of servers as Unix
-	// time, and by a clock from 0 a server that started before this process would look long started.
+	// The clock is monotonic and starts at the Unix time: discovery states the starts of servers in Unix time,
+	// and on a clock that starts at 0 a server started before this process would look as if started long ago.
 	startTime := time.Now()
 	d := &Decider{
 		network: network, responseMargin: responseMargin,
@@ -67,7 +67,7 @@
 	return d, err
 }
 
-// Open begins a call for a request, which gets exactly one final step.
+// Open starts a call for a request. The call gets exactly one last step.
 func (d *Decider) Open(request Request, w Waiter) *Call {
 	now := d.lock()
 	defer d.unlock()
@@ -81,11 +81,12 @@
 	return c
 }
 
-// NextStep returns the next step of a call and sleeps until there is one. Only the call's own goroutine calls it.
-// Before a Send it checks whether the client has disconnected: for such a client nothing is sent any more.
+// NextStep returns the next step of a call and blocks until there is one. Only the call's own goroutine may
+// call it. Before it returns a Send it checks whether the client has disconnected: nothing more is sent for
+// such a client.
 func (d *Decider) NextStep(c *Call) Step {
 	for checked := false; ; {
-		s, ok := d.next(c, checked)
+		s, ok := d.takeStep(c, checked)
 		switch {
 		case ok && s.Kind == Send && !checked:
 			checked = true
@@ -100,9 +101,9 @@
 	}
 }
 
-// next takes the next step of a call; ok is false if there is none. A Send is returned but not taken before
-// the client was checked.
-func (d *Decider) next(c *Call, checked bool) (s Step, ok bool) {
+// takeStep removes and returns the next step of a call; ok is false if there is none. Unless checked, a
+// Send is returned but not removed, so that the client can be checked first.
+func (d *Decider) takeStep(c *Call, checked bool) (s Step, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(c.steps) == 0 {
@@ -115,8 +116,8 @@
 	return s, true
 }
 
-// clientGone ends a call whose client has disconnected. If a response was decided on meanwhile, the last step
-// has its attempt, so that the caller can drop it.
+// clientGone ends a call whose client has disconnected. If the response of an attempt was chosen meanwhile,
+// the last step names that attempt, so that the caller can discard the response.
 func (d *Decider) clientGone(c *Call) {
 	now := d.lock()
 	defer d.unlock()
@@ -129,7 +130,7 @@
 		if s.Kind == Answer {
 			responseAttempt = s.Attempt
 		}
-		if s.Kind == Send { // balance counts it as outstanding until its outcome is reported
+		if s.Kind == Send { // balance counts the attempt as outstanding until its outcome is reported
 			d.execute(now, d.balancer.Outcome(now, balance.Outcome{
 				ID: c.id, Attempt: s.Attempt, Result: Skipped, Final: true,
 			}, d.actions[:0]))
@@ -139,28 +140,29 @@
 	d.finish(c, Step{Kind: ClientGone, Attempt: responseAttempt})
 }
 
-// BodyConsumed reports that a call's request can't be sent again: the attempt that is under way is the last
-// one. The request's time does not run until BodySent.
+// BodyConsumed reports that the request of a call can't be sent again: its current attempt is the last one.
+// Its latency target counts from BodySent.
 func (d *Decider) BodyConsumed(c *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.balancer.BodyConsumed(c.id)
 }
 
-// BodySent reports that an attempt has written the last byte of a request that can't be sent again, and sets
-// the request's deadline anew. It returns until when the response to that attempt is waited for.
+// BodySent reports that an attempt has written the last byte of a request that can't be sent again, and
+// sets a new deadline of the request. It returns the time at which the attempt times out.
 func (d *Decider) BodySent(c *Call, attempt int, deadline time.Time) time.Time {
 	now := d.lock()
 	defer d.unlock()
 	c.deadline = deadline
 	c.sentAt[attempt] = now
 	d.balancer.BodySent(now, c.id, d.toClock(deadline))
-	return d.giveUpAt(c, now, c.timeouts[attempt])
+	return d.attemptDeadline(c, now, c.timeouts[attempt])
 }
 
-// Report records how an attempt ended, or that its response has begun, with its server's load report, nil if
-// there was none. It is called once for each Send that was picked, also after the last step. The response of
-// the first attempt that was served answers the call, and chosen is true; any other the caller drops.
+// Report records how an attempt ended, or that its response has begun, with the load report of its server,
+// nil if there was none. It must be called once for each Send that was picked, even after the last step.
+// The response of the first attempt that was served answers the call, and chosen is true; the caller
+// discards any other response.
 func (d *Decider) Report(c *Call, attempt int, result Result, load []float64) (chosen bool) {
 	now := d.lock()
 	defer d.unlock()
@@ -175,7 +177,7 @@
 	return chosen
 }
 
-// Probed records how a probe ended, how long it took, and the load report, nil if there was none.
+// Probed records how a probe ended, its duration, and the load report, nil if there was none.
 func (d *Decider) Probed(s ServerID, result Result, took time.Duration, load []float64) {
 	now := d.lock()
 	defer d.unlock()
@@ -184,10 +186,10 @@
 	}, d.actions[:0]))
 }
 
-// RestoreList applies the list of servers that was saved before the start of this process.
+// RestoreList applies the server list that was saved before this process started.
 func (d *Decider) RestoreList(list []Server) { d.applyList(balance.ListCached, list) }
 
-// UpdateList applies a list from discovery: the full one, or only the servers that changed.
+// UpdateList applies a server list from discovery: a full one, or only the servers that changed.
 func (d *Decider) UpdateList(full bool, list []Server) {
 	if full {
 		d.applyList(balance.ListFull, list)
@@ -205,7 +207,7 @@
 	d.execute(now, d.balancer.List(now, kind, list, d.actions[:0]))
 }
 
-// Ejected is the number of listed servers in service that get no traffic now.
+// Ejected returns the number of listed servers that are up and get no traffic now.
 func (d *Decider) Ejected() int {
 	now := d.lock()
 	defer d.unlock()
--- a/internal/proxy/dispatch/decider_test.go
+++ b/internal/proxy/dispatch/decider_test.go
@@ -10,13 +10,13 @@
 	"cresshub/balance"
 )
 
-// fakeClient is a client and the network in one.
+// fakeClient is both the client of the calls and the network of the Decider.
 type fakeClient struct {
-	probes chan ServerID
-	follow chan bool
-	wake   chan bool
-	gone   chan bool
-	left   bool
+	probes       chan ServerID
+	follow       chan bool
+	wake         chan bool
+	gone         chan bool
+	disconnected bool
 }
 
 func (p *fakeClient) Probe(s ServerID) { p.probes <- s }
@@ -37,7 +37,7 @@
 	}
 }
 
-func (p *fakeClient) PeerClosed() bool { return p.left }
+func (p *fakeClient) PeerClosed() bool { return p.disconnected }
 
 func newDecider(t *testing.T, set func(*balance.Settings)) (*Decider, *fakeClient) {
 	t.Helper()
@@ -64,7 +64,7 @@
 
 func atMostOnceRequest() Request { return Request{Class: 1, Deadline: time.Now().Add(time.Hour)} }
 
-func kinds(d *Decider, c *Call, n int) (got []StepKind) {
+func nextKinds(d *Decider, c *Call, n int) (got []StepKind) {
 	for range n {
 		got = append(got, d.NextStep(c).Kind)
 	}
@@ -79,19 +79,19 @@
 		want    []StepKind
 	}{
 		{"served", 1, []Result{Served}, []StepKind{Send, Answer}},
-		{"unsafe and broken", 1, []Result{Reset}, []StepKind{Send, Fail}},
+		{"at most once, connection reset", 1, []Result{Reset}, []StepKind{Send, Fail}},
 		{"never ran, then served", 1, []Result{Rejected, Served}, []StepKind{Send, Send, Answer}},
-		{"safe and nothing sent", 0, []Result{Skipped}, []StepKind{Send, Reject}},
+		{"idempotent, nothing sent", 0, []Result{Skipped}, []StepKind{Send, Reject}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, p := newDecider(t, nil)
 			q := atMostOnceRequest()
 			q.Class = c.class
 			call := d.Open(q, p)
-			got := kinds(d, call, 1)
+			got := nextKinds(d, call, 1)
 			for i, res := range c.results {
 				d.Report(call, i, res, nil)
-				got = append(got, kinds(d, call, 1)...)
+				got = append(got, nextKinds(d, call, 1)...)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
@@ -100,14 +100,14 @@
 	}
 }
 
-// After the last step of a call its goroutine serves another request: no Wake may reach that one.
-func TestNothingWakesAnEndedCall(t *testing.T) {
+// After the last step of a call its goroutine serves another request, which no Wake of the first may reach.
+func TestFinishedCallIsNotWoken(t *testing.T) {
 	d, p := newDecider(t, nil)
 	call := d.Open(atMostOnceRequest(), p)
 	d.NextStep(call)
 	p.gone <- true
 	<-p.wake
-	if got := kinds(d, call, 2); !cmp.Equal(got, []StepKind{Cancel, ClientGone}) {
+	if got := nextKinds(d, call, 2); !cmp.Equal(got, []StepKind{Cancel, ClientGone}) {
 		t.Fatal(got)
 	}
 	for len(p.wake) > 0 {
@@ -115,17 +115,17 @@
 	}
 	d.Report(call, 0, Served, nil)
 	if len(p.wake) > 0 {
-		t.Error("woken after the end")
+		t.Error("call was woken after its last step")
 	}
 }
 
-// A Send that its goroutine never picked must not stay counted as under way at its server. Nor is it
-// cancelled: the caller knows only attempts that it started.
+// A Send that was never picked must not stay counted as outstanding at its server, nor be cancelled: the
+// caller knows only the attempts that it started.
 func TestClientGoneBeforeAttemptStarted(t *testing.T) {
 	d, p := newDecider(t, nil)
 	call := d.Open(atMostOnceRequest(), p)
 	d.clientGone(call)
-	if got := kinds(d, call, 1); !cmp.Equal(got, []StepKind{ClientGone}) {
+	if got := nextKinds(d, call, 1); !cmp.Equal(got, []StepKind{ClientGone}) {
 		t.Error(got)
 	}
 	if len(d.calls) != 0 {
@@ -133,16 +133,17 @@
 	}
 }
 
-func TestAttemptGivenUpBeforeDeadline(t *testing.T) {
+func TestAttemptTimesOutBeforeClientDeadline(t *testing.T) {
 	d, p := newDecider(t, nil)
 	q := atMostOnceRequest()
 	q.Deadline = time.Now().Add(time.Minute)
 	if s := d.NextStep(d.Open(q, p)); !s.Deadline.Equal(q.Deadline.Add(-d.responseMargin)) {
-		t.Errorf("waits until %v of %v", s.Deadline, q.Deadline)
+		t.Errorf("attempt times out at %v, client deadline %v", s.Deadline, q.Deadline)
 	}
 }
 
-// A server that started after this process, by Unix time, is warming up, not one started long ago.
+// The clock must read as Unix time, so that a server started after this process is in slow start rather
+// than counted as started long ago.
 func TestClockReadsAsUnixTime(t *testing.T) {
 	d, _ := newDecider(t, nil)
 	if off := time.Duration(time.Now().UnixNano()) - d.now(); off < -time.Minute || off > time.Minute {
@@ -155,21 +156,21 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go d.Run(stop)
-	<-p.follow // the cached list is old: discovery is asked
+	<-p.follow // the cached list is old, so discovery is asked
 	call := d.Open(atMostOnceRequest(), p)
 	if s := <-p.probes; s != 7 {
 		t.Fatalf("probe of %d", s)
 	}
-	if got := d.NextStep(call).Kind; got != Send { // no probe ever comes back
+	if got := d.NextStep(call).Kind; got != Send { // although the probe never ends
 		t.Error(got)
 	}
 	d.ListFailed()
 	<-p.follow
 }
 
-// A Send, the first one or one after an attempt, may cross with the client's going away: it is not picked,
-// and the decisions learn that the attempt was not made.
-func TestNothingIsSentForAClientThatLeft(t *testing.T) {
+// A Send, the first one or a retry, may be decided just as the client disconnects. It must not be picked,
+// and balance must not count the attempt as outstanding.
+func TestNothingIsSentForDisconnectedClient(t *testing.T) {
 	for _, before := range []int{0, 1} {
 		d, p := newDecider(t, nil)
 		c := d.Open(atMostOnceRequest(), p)
@@ -179,12 +180,12 @@
 			}
 			d.Report(c, i, Rejected, nil)
 		}
-		p.left = true
+		p.disconnected = true
 		if s := d.NextStep(c); s.Kind != ClientGone {
 			t.Errorf("after %d attempts: %+v", before, s)
 		}
-		p.left = false
-		next := d.Open(atMostOnceRequest(), p) // an attempt that was not made does not count as load
+		p.disconnected = false
+		next := d.Open(atMostOnceRequest(), p) // an attempt that was not made is not outstanding
 		if s := d.NextStep(next); s.Kind != Send {
 			t.Errorf("another client: %+v", s)
 		}
--- a/internal/proxy/dispatch/interleaving_test.go
+++ b/internal/proxy/dispatch/interleaving_test.go
@@ -7,7 +7,7 @@
 	"cresshub/balance"
 )
 
-// permutations calls f with every order of the numbers below n.
+// permutations calls f with every permutation of the numbers below n.
 func permutations(n int, f func([]int)) {
 	var extend func(done []int)
 	extend = func(done []int) {
@@ -28,11 +28,11 @@
 	extend(nil)
 }
 
-// Whatever the order of an attempt's end, the client's going away, a change of the list and a Pick: a call
-// has one last step, one response counts, what must not run twice is sent again or refused only where the
-// attempt before it never ran, and nothing is retained afterwards.
+// In every order of the end of an attempt, the client's disconnect, a list change and NextStep: a call has
+// exactly one last step, at most one response is chosen, a request that must not run twice is retried or
+// rejected only if no earlier attempt may have run, and no call is retained.
 func TestEveryOrderOfEvents(t *testing.T) {
-	for class, effect := range []string{"may run again", "must not"} {
+	for class, effect := range []string{"idempotent", "at most once"} {
 		for res := range Result(len(ResultNames)) {
 			permutations(4, func(order []int) {
 				d, p := newDecider(t, func(s *balance.Settings) { s.MayHedge = true })
@@ -45,16 +45,16 @@
 				ran := false // whether an attempt that ended may have run
 				take := func() {
 					for len(c.steps) > 0 {
-						s, _ := d.next(c, true)
+						s, _ := d.takeStep(c, true)
 						switch {
 						case last > 0:
 							t.Errorf("%s: step %d after the last one", name, s.Kind)
 						case s.Kind == Send:
 							if sends++; sends > 1 && class == 1 && ran {
-								t.Errorf("%s: sent again", name)
+								t.Errorf("%s: retried after an attempt that may have run", name)
 							}
 						case s.Kind == Reject && class == 1 && ran:
-							t.Errorf("%s: refused", name)
+							t.Errorf("%s: rejected after an attempt that may have run", name)
 						}
 						if s.Kind >= Answer {
 							last++
@@ -73,7 +73,7 @@
 					case 0:
 						end(0, res)
 					case 1:
-						if last == 0 { // a goroutine does not Wait after its last step
+						if last == 0 { // a goroutine does not call Wait after its last step
 							d.clientGone(c)
 						}
 					case 2:
@@ -83,12 +83,12 @@
 					}
 				}
 				take()
-				for i := 1; i < sends; i++ { // the other attempts are served, and late
+				for i := 1; i < sends; i++ { // the other attempts are served later
 					end(i, Served)
 					take()
 				}
 				if last != 1 || answers > 1 || len(d.calls) != 0 {
-					t.Errorf("%s: %d last steps, %d answers, %d calls held", name, last, answers, len(d.calls))
+					t.Errorf("%s: %d last steps, %d answers, %d calls open", name, last, answers, len(d.calls))
 				}
 			})
 		}
