--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// initialConcurrency is how many requests a server is taken to work on at once before any were observed.
+	// initialConcurrency is how many requests a server is assumed to process at once before any latency is
+	// measured.
 	initialConcurrency = 2
-	// initialServiceTimeDivisor of a class's latency target is its service time before any were observed: a
-	// target leaves time for some queueing.
+	// initialServiceTimeDivisor divides the latency target of a class; the quotient is its assumed service
+	// time before any latency is measured: a target leaves time for some queueing.
 	initialServiceTimeDivisor = 5
 )
 
-// New returns a Balancer that knows no server yet, or an error that says which setting is invalid. now is the
-// reading of the clock that all later calls use; it must not run backwards.
+// New returns a Balancer without servers, or an error that names the invalid setting. now is the current
+// reading of the clock that all later calls use; the clock must not run backwards.
 func New(settings Settings, now time.Duration) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	classes := len(settings.Classes)
 	b := &Balancer{
-		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, goldenRatio)),
+		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, fibonacciMultiplier)),
 		byID: map[ServerID]*server{}, requests: map[string]*request{}, bySeq: map[uint64]*request{},
 		serviceTimes: make([]estimate, classes), serviceTimesByKind: make([][]estimate, classes),
-		hintedWork: make([]estimate, classes), concurrency: initialConcurrency,
+		expectedWork: make([]estimate, classes), concurrency: initialConcurrency,
 		retryBudget: retryBudgetBurst, busyFraction: fullProbingBusyFraction,
 	}
 	for i, c := range settings.Classes {
@@ -33,7 +34,7 @@
 	return b, nil
 }
 
-// Timer reports that the wait of a SetTimer action is over; token is the one of the action.
+// Timer reports that the wait of a SetTimer action is over; token is the Token of the action.
 func (b *Balancer) Timer(now time.Duration, token uint64, actions []Action) []Action {
 	kind, seq := token&timerKindMask, token>>timerKindBits
 	if kind == timerFollow {
@@ -58,7 +59,7 @@
 		return actions
 	}
 	if r.pendingProbes > 0 {
-		r.pendingProbes = 0 // the probes took too long; go by what is known
+		r.pendingProbes = 0 // the probes took too long; continue with the reports at hand
 		return b.startAttempt(now, r, actions)
 	}
 	return b.nextAttempt(now, r, actions)
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// fleet lists n servers with ids from 1 on, each changed by the function given.
-func fleet(n int, each func(i int, s *Server)) []Server {
+// serverList returns n servers with the IDs 1 to n, each modified by the given function.
+func serverList(n int, each func(i int, s *Server)) []Server {
 	list := make([]Server, n)
 	for i := range list {
 		list[i] = Server{ID: ServerID(i + 1), Rating: 1}
@@ -19,7 +19,7 @@
 	return list
 }
 
-// newBalancer is a Balancer that knows the servers.
+// newBalancer returns a Balancer with the given server list.
 func newBalancer(t *testing.T, settings Settings, now time.Duration, servers []Server) *Balancer {
 	t.Helper()
 	b, err := New(settings, now)
@@ -30,14 +30,15 @@
 	return b
 }
 
-// plainSettings are ruleSettings without probes, key affinity and a registry to follow.
+// plainSettings returns ruleSettings without probes, key affinity or a registry to follow.
 func plainSettings() Settings {
 	settings := ruleSettings()
 	settings.MayProbe, settings.KeyAffinity, settings.MustFollow = false, false, false
 	return settings
 }
 
-// costlyProbeSettings price a probe as a large fleet does; servers share what they know of keys by cells.
+// costlyProbeSettings returns settings in which probes are costly, as in a large fleet, and servers share
+// cached keys by cell.
 func costlyProbeSettings() Settings {
 	settings := ruleSettings()
 	settings.MustFollow, settings.KeyAffinity, settings.Peers, settings.Costs.Probe = false, true, 80, 0.08
@@ -46,8 +47,8 @@
 	return settings
 }
 
-// sendTo makes one request of a class and returns where it went, 0 if nowhere.
-func sendTo(b *Balancer, now time.Duration, id string, class int) ServerID {
+// sendRequest starts one request of a class and returns the server it was sent to, 0 if it was not sent.
+func sendRequest(b *Balancer, now time.Duration, id string, class int) ServerID {
 	for _, a := range b.Request(now, Request{ID: id, Class: class, Deadline: now + time.Second}, nil) {
 		if a.Kind == Send {
 			return a.Server
@@ -56,15 +57,16 @@
 	return 0
 }
 
-// refuseConnections has a connection to each of the servers refused.
+// refuseConnections records a refused connection for each of the servers.
 func refuseConnections(b *Balancer, now time.Duration, ids ...ServerID) {
 	for _, id := range ids {
 		b.recordHealth(now, b.byID[id], ConnRefused)
 	}
 }
 
-// requestWithProbes makes request i, answers each probe with inFlight, and ends the attempt after latency. It
-// returns where the request went, 0 if nowhere, and how many servers were probed.
+// requestWithProbes starts request i, answers each probe with inFlight, and ends the attempt after latency.
+// It returns the server that the request was sent to, 0 if it was not sent, and the number of servers
+// probed.
 func requestWithProbes(b *Balancer, now time.Duration, i, key int, inFlight float64,
 	latency time.Duration) (ServerID, int) {
 	id, probes := fmt.Sprint("r", i), 0
@@ -83,7 +85,7 @@
 	return 0, probes
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for name, corrupt := range map[string]func(*Settings){
 		"no classes":        func(s *Settings) { s.Classes = nil },
 		"negative time":     func(s *Settings) { s.SlowStartWindow = -1 },
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// eligible lists the servers that may take a next attempt of r. The list is valid until the next call.
+// eligible returns the servers that may get the next attempt of r. The slice is valid until the next call.
 //
-// The strict pass leaves out servers that are unresponsive or were attempted before and, for what must not
-// run twice, half open ones. Where that leaves none, the lax pass takes them, and inside a dedup scope also
-// ejected ones.
+// The strict pass excludes servers that are unresponsive or that already had an attempt of r and, if r must
+// not run twice, half-open ones. If it finds none, the lax pass includes these and, if r is limited to a
+// dedup scope, also ejected ones.
 func (b *Balancer) eligible(now time.Duration, r *request) []*server {
 	fleet := b.fleetHealth(now)
 	dedupServer := b.dedupServer(r)
@@ -33,8 +33,8 @@
 	return servers
 }
 
-// dedupServer is the first server where a deduplicated request may have run; further attempts must stay in
-// its scope. It is nil if there is none.
+// dedupServer returns the first server where a deduplicated request may have run; further attempts must
+// stay in its scope. It returns nil if there is none.
 func (b *Balancer) dedupServer(r *request) *server {
 	if b.settings.Classes[r.Class].Effect != Deduplicated {
 		return nil
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// ratingSamples is the weight of a server's rating among measured latencies, in samples.
+	// ratingSamples is the weight of a server's rating relative to measured latencies, in samples.
 	ratingSamples = 4
 	// concurrencyGain is the weight of one latency in the moving average of 1/concurrency.
 	concurrencyGain = 0.05
-	// minSlowStartFactor bounds a divisor: a server can be listed as starting with no capacity.
+	// minSlowStartFactor is the lower bound of the slow start factor, a divisor: SlowStartMin may be 0.
 	minSlowStartFactor = 0.01
 )
 
-// unusualLatency is the latency, in seconds, that a response of s seldom exceeds with its present load.
-func (b *Balancer) unusualLatency(r *request, s *server) float64 {
+// slowResponseThreshold returns the latency, in seconds, that a response of s to r seldom exceeds under the
+// server's present load.
+func (b *Balancer) slowResponseThreshold(r *request, s *server) float64 {
 	serviceTimesToWait := max(s.reportedLoad()/b.concurrency, 1)
-	return unresponsiveAfter * serviceTimesToWait * b.serviceTime(r.Class, s.Kind).mean
+	return slowResponseFactor * serviceTimesToWait * b.serviceTime(r.Class, s.Kind).mean
 }
 
-// recordLatency records the latency of an attempt of r, if its result makes the latency meaningful. A timeout
-// bounds the latency from below, which is enough for the queue delay but not for the service time.
+// recordLatency records the latency of an attempt of r that was served or timed out. A timeout gives only a
+// lower bound of the latency, which is enough for the queue delay but not for the service time.
 func (b *Balancer) recordLatency(now time.Duration, r *request, a *attempt, latency time.Duration,
 	result Result) {
 	if result != Done && result != TimedOut {
@@ -28,48 +29,49 @@
 		b.recordQueueDelay(now, (latency - b.expectedServiceTime(r)).Seconds(), measuredDelayGain)
 	}
 	if a.freshReport {
-		b.compareToReport(r, a, latency, result)
+		b.updateForecastMissRate(r, a, latency, result)
 	}
 	if result == Done {
 		if r.Work > 0 {
-			// Service times are those of a request with the usual expected work.
-			latency = time.Duration(float64(latency) * b.hintedWork[r.Class].mean / r.Work.Seconds())
+			// Service times are those of a request with the mean expected work, so scale the latency to it.
+			latency = time.Duration(float64(latency) * b.expectedWork[r.Class].mean / r.Work.Seconds())
 		}
 		b.recordServiceTime(r.Class, a, latency)
 	}
 }
 
-// recordServiceTime learns from the latency of a served attempt the service time of its class, and how many
-// requests servers work on at once.
+// recordServiceTime updates the service time of a class and the concurrency of servers from the latency of
+// a served attempt.
 func (b *Balancer) recordServiceTime(class int, a *attempt, latency time.Duration) {
 	seconds := latency.Seconds()
 	if !(seconds > 0) {
 		return
 	}
 	b.serviceTimes[class].add(seconds, a.uncontended)
-	kindTime := b.serviceTime(class, a.server.Kind)
-	kindTime.add(seconds, a.uncontended)
-	// A server with more in flight than it works on at once answers them all in inFlight/concurrency service
-	// times; below that the latency says nothing of how many it works on.
+	kindEstimate := b.serviceTime(class, a.server.Kind)
+	kindEstimate.add(seconds, a.uncontended)
+	// A server with more requests in flight than its concurrency takes inFlight/concurrency service times for
+	// all of them. With fewer in flight the latency does not depend on the concurrency.
 	if a.requestsAhead+1 > b.concurrency {
-		// What is averaged is 1/concurrency, not concurrency: a few very short responses would raise the latter
-		// above what servers do, and the more so the more they are loaded.
-		inverse := min(max(seconds/kindTime.mean/(a.requestsAhead+1), 1/(a.requestsAhead+1)), 1)
+		// The moving average is of 1/concurrency. An average of concurrency itself would rise above the actual
+		// value with a few very short responses, and the more so the higher the load.
+		inverse := min(max(seconds/kindEstimate.mean/(a.requestsAhead+1), 1/(a.requestsAhead+1)), 1)
 		b.concurrency = 1 / (1/b.concurrency + concurrencyGain*(inverse-1/b.concurrency))
 	}
 }
 
-// capacity is what a server past its slow start can do for a class, relative to the others, about 1 on
-// average: by its rating at first, and the more latencies of its kind of machine are known the more by those.
+// capacity returns the capacity of a server for a class, relative to the others and as if past slow start;
+// it is about 1 on average. It is the server's rating at first; the more latencies of its kind of machine
+// are measured, the more weight they have.
 func (b *Balancer) capacity(class int, s *server) float64 {
 	rated := s.Rating / b.meanRating
-	kindTime := b.serviceTime(class, s.Kind)
-	measured := b.serviceTimes[class].mean / kindTime.mean
-	return (ratingSamples*rated + kindTime.samples*measured) / (ratingSamples + kindTime.samples)
+	kindEstimate := b.serviceTime(class, s.Kind)
+	measured := b.serviceTimes[class].mean / kindEstimate.mean
+	return (ratingSamples*rated + kindEstimate.samples*measured) / (ratingSamples + kindEstimate.samples)
 }
 
-// slowStartFactor is the fraction of its capacity that a server has now: it rises linearly from SlowStartMin
-// at the server's start to 1 after SlowStartWindow.
+// slowStartFactor returns the fraction of its capacity that a server has now. It rises linearly from
+// SlowStartMin at the server's start to 1 after SlowStartWindow.
 func (b *Balancer) slowStartFactor(now time.Duration, s *server) float64 {
 	if s.Started <= 0 || now >= s.Started+b.settings.SlowStartWindow {
 		return 1
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Where many requests share a core nothing is queued long after the cores are busy; such latencies must not
-// count as uncontended, or the service time grows with load.
-func TestSharedCoresAreNotUncontended(t *testing.T) {
+// Where many requests share a core, the queue stays empty long after the cores are busy. Latencies of such
+// a server must not count as uncontended, or the service time estimate grows with the load.
+func TestBusySharedCoresAreNotUncontended(t *testing.T) {
 	for inFlight, want := range map[float64]bool{0: true, 1: true, 7: false} {
-		b := newBalancer(t, plainSettings(), 0, fleet(1, nil))
+		b := newBalancer(t, plainSettings(), 0, serverList(1, nil))
 		s := b.servers[0]
 		s.hasReport, s.inFlight = true, inFlight
 		r := &request{Request: Request{ID: "a", Deadline: time.Second}}
-		for len(r.attempts) == 0 { // the limit of rejection is soft
+		for len(r.attempts) == 0 { // startAttempt may reject the request, as the limit is soft
 			b.startAttempt(0, r, nil)
 		}
 		if r.attempts[0].uncontended != want {
@@ -22,14 +22,14 @@
 	}
 }
 
-// Short responses, as of cached keys, must not make servers look as if they worked on more at once.
-func TestConcurrencyIsNotTheMeanOfInverses(t *testing.T) {
-	b := newBalancer(t, costlyProbeSettings(), 0, fleet(1, nil))
+// Short responses, such as those for cached keys, must not raise the estimated concurrency of servers.
+func TestShortResponsesDoNotRaiseConcurrency(t *testing.T) {
+	b := newBalancer(t, costlyProbeSettings(), 0, serverList(1, nil))
 	s := b.servers[0]
 	b.serviceTime(0, 0).mean, b.concurrency = 0.060, 2
 	for i := range 2000 {
 		b.serviceTime(0, 0).mean = 0.060
-		x := 0.018 // of six on two cores every other is short: 180 ms on average
+		x := 0.018 // six requests on two cores, every other one short: 180 ms on average
 		if i%2 == 0 {
 			x = 0.342
 		}
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -3,28 +3,30 @@
 import "time"
 
 const (
-	// maxEstimateSamples bounds the weight of the past in an estimate.
+	// maxEstimateSamples bounds the weight of past latencies in an estimate.
 	maxEstimateSamples = 20
-	// minEstimateGain is the weight of one latency in an estimate, at least.
+	// minEstimateGain is the minimum weight of a new latency in an estimate.
 	minEstimateGain = 0.05
 	// queuedGainDivisor reduces the weight of a latency that queueing may have lengthened.
 	queuedGainDivisor = 5
-	// priorSamples of each class are assumed in averages over classes, so that they are defined from the start.
+	// priorSamples is the number of samples assumed for each class in averages over classes, so that the
+	// averages are defined before any latency is measured.
 	priorSamples = 0.1
-	// minValueRate bounds a divisor: classes can be without value.
+	// minValueRate is the lower bound of the mean value rate, a divisor: all classes may have the value 0.
 	minValueRate = 1e-9
 )
 
-// estimate is a moving average of a latency without queueing. The zero value knows nothing; a mean without
-// samples is a guess, which the first samples outweigh.
+// estimate is a moving average of a latency without queueing. The zero value has no data; a mean without
+// samples is an initial guess, which the first samples outweigh.
 type estimate struct {
 	mean    float64 // seconds
 	samples float64 // up to maxEstimateSamples
 }
 
-// add adds a latency in seconds. A latency of a server known to be uncontended has full weight. Of the
-// others, low ones count most: queueing can only lengthen a latency, and an estimate that grew with it
-// would make reports look younger just when they age.
+// add adds a latency in seconds. The latency of a server known to be uncontended has full weight. Any other
+// has less weight if it is above the mean, because queueing only lengthens latencies. Report ages are
+// measured in service times, so an estimate that grew with queueing would make reports look fresher just
+// when they become stale.
 func (e *estimate) add(latency float64, uncontended bool) {
 	if e.mean == 0 {
 		e.mean = latency
@@ -37,8 +39,8 @@
 	e.mean += gain * (latency - e.mean)
 }
 
-// serviceTime is the estimate for a class on a kind of machine. The first call for a kind adds it, with the
-// mean of the class as a guess. The pointer is valid until the next call.
+// serviceTime returns the estimate for a class on a kind of machine. The first call for a kind adds its
+// estimate, with the mean of the class as initial guess. The pointer is valid until the next call.
 func (b *Balancer) serviceTime(class, kind int) *estimate {
 	for len(b.serviceTimesByKind[class]) <= kind {
 		b.serviceTimesByKind[class] = append(b.serviceTimesByKind[class],
@@ -47,18 +49,17 @@
 	return &b.serviceTimesByKind[class][kind]
 }
 
-// expectedServiceTime is the service time of one request: its class's, in proportion to its hint if it has
-// one.
+// expectedServiceTime returns the service time of r: the mean of its class, scaled by its expected work if
+// that is known.
 func (b *Balancer) expectedServiceTime(r *request) time.Duration {
 	mean := b.serviceTimes[r.Class].mean
-	if h := &b.hintedWork[r.Class]; r.Work > 0 && h.mean > 0 {
+	if h := &b.expectedWork[r.Class]; r.Work > 0 && h.mean > 0 {
 		mean *= r.Work.Seconds() / h.mean
 	}
 	return time.Duration(mean * 1e9)
 }
 
-// meanServiceTime is the service time of a request, in seconds: the mean over the classes, weighted by their
-// samples.
+// meanServiceTime returns the mean service time over the classes, in seconds, weighted by their samples.
 func (b *Balancer) meanServiceTime() float64 {
 	sum, totalWeight := 0.0, 0.0
 	for i := range b.serviceTimes {
@@ -69,8 +70,8 @@
 	return sum / totalWeight
 }
 
-// valueRate is what a request of a class earns for a second of work: its value over its service time, unless
-// the settings give the value by work already.
+// valueRate returns the value that a request of a class earns per second of work: its value divided by its
+// service time, or its value alone where the settings already state it per unit of work.
 func (b *Balancer) valueRate(class int) float64 {
 	if b.settings.ValuePerWork {
 		return b.settings.Classes[class].Value
@@ -78,7 +79,7 @@
 	return b.settings.Classes[class].Value / b.serviceTimes[class].mean
 }
 
-// meanValueRate is the mean of valueRate over the classes, weighted by the work that was observed of each.
+// meanValueRate returns the mean of valueRate over the classes, weighted by the work observed in each.
 func (b *Balancer) meanValueRate() float64 {
 	sum, totalWork := 0.0, 1e-9 // above 0, as all service times may be 0
 	for class, s := range b.serviceTimes {
--- a/balance/events.go
+++ b/balance/events.go
@@ -8,7 +8,7 @@
 // ServerState is the state of a server in the registry.
 type ServerState uint8
 
-// The states of a listed server; only one that is Up gets attempts.
+// The states of a listed server; only servers that are Up get attempts.
 const (
 	Up ServerState = iota
 	Draining
@@ -19,26 +19,26 @@
 type Server struct {
 	ID      ServerID
 	Zone    int
-	Kind    int // of machine
-	Cell    int // group of servers that share what they cache of keys
+	Kind    int // kind of machine
+	Cell    int // group of servers that share cached keys
 	State   ServerState
-	Rating  float64       // capacity in relation to other servers
+	Rating  float64       // capacity relative to other servers
 	Started time.Duration // on the caller's clock; 0 means long ago
 }
 
-// ListKind says how a list relates to the one before.
+// ListKind is the relation of a server list to the previous one.
 type ListKind uint8
 
 // The kinds of lists.
 const (
-	ListCached ListKind = iota // complete, from before a restart
+	ListCached ListKind = iota // complete, saved before a restart
 	ListFull                   // complete
-	ListDelta                  // the changed entries
-	ListFailed                 // following or asking failed; no entries
+	ListDelta                  // only the changed entries
+	ListFailed                 // the registry could not be asked or followed; no entries
 )
 
-// Request is one request of a client; a client's own retry is a request of its own. No decision reads Tenant
-// and ClientRetry.
+// Request is one request of a client; a retry by the client itself is a new request. No decision reads
+// Tenant and ClientRetry.
 type Request struct {
 	ID          string
 	Class       int
@@ -60,7 +60,7 @@
 	Rejected                  // rejected by the server before it began
 	TimedOut                  // may have run
 	ConnRefused               // no connection; never ran
-	Reset                     // connection broke; may have run
+	Reset                     // the connection broke; may have run
 	Cancelled                 // may have run
 	Skipped                   // never sent
 )
@@ -87,21 +87,21 @@
 	Report  []float64
 }
 
-// ActionKind says what an Action asks for.
+// ActionKind is what an Action asks the caller to do.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
 	Send       ActionKind = iota // start an attempt of ID on Server within StartWithin; timeout Wait, 0 for none
 	Cancel                       // stop waiting for attempt Attempt of ID
-	Reject                       // final response of ID: rejected, a retry is harmless, after Wait
-	Fail                         // final response of ID: failed, it may have run
-	Probe                        // ask Server for its load
+	Reject                       // final response of ID: rejected; a retry after Wait is harmless
+	Fail                         // final response of ID: failed, may have run
+	Probe                        // ask Server for a load report
 	SetTimer                     // call Timer with Token after Wait
 	FollowList                   // ask the registry for its changes from now on
 )
 
-// Action is one thing for the caller to do, in the order given.
+// Action is one thing that the caller must do, in the order of the buffer.
 type Action struct {
 	Kind        ActionKind
 	ID          string
--- a/balance/health.go
+++ b/balance/health.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// failuresToEject failures in a row eject a server, or a class on a server: an error or a timeout alone
-	// happens to healthy ones too. Refused and broken connections eject at once.
+	// failuresToEject is the number of consecutive failures that eject a server, or a class on a server: a
+	// single error or timeout happens to healthy servers too. A refused or broken connection ejects at
+	// once.
 	failuresToEject = 3
-	// baseEjectionTime doubles with each ejection in a row, up to maxEjectionDoublings times, with jitter.
+	// baseEjectionTime is the duration of a first ejection. It doubles with each consecutive ejection, up
+	// to maxEjectionDoublings times, and has jitter.
 	baseEjectionTime, maxEjectionDoublings = time.Second, 4
-	// errorEjectionTime is the base after an error where probes are costly.
+	// errorEjectionTime replaces baseEjectionTime after an error where probes are costly.
 	errorEjectionTime = 10 * time.Second
-	// unresponsiveAfter times its expected latency without a response, a server counts as unresponsive.
-	unresponsiveAfter = 4
-	// panicThreshold is the fraction of the reachable servers that must be healthy. Below it ejected ones are
-	// used too: when so many look unhealthy the cause is rarely the servers, and the others could not carry the
-	// load.
+	// slowResponseFactor times the expected latency is when a response counts as unusually slow and, if
+	// none of its class was served meanwhile, the server as unresponsive for the class.
+	slowResponseFactor = 4
+	// panicThreshold is the fraction of the reachable servers that must be healthy. Below it ejected
+	// servers are used too: when so many look unhealthy the servers are rarely the cause, and the healthy
+	// ones could not carry the load.
 	panicThreshold = 0.5
-	// halfOpenWeight multiplies the weight of a server that had no success since its ejection.
-	halfOpenWeight = 0.1
+	// halfOpenWeightFactor multiplies the weight of a server that had no success since its ejection.
+	halfOpenWeightFactor = 0.1
 )
 
-// recordHealth updates the health of s by the result of an attempt or a probe: outlier detection as in Envoy,
-// with an ejection time that grows with each ejection in a row.
+// recordHealth updates the health of s with the result of an attempt or a probe: outlier detection as in
+// Envoy, with an ejection time that grows with each consecutive ejection.
 func (b *Balancer) recordHealth(now time.Duration, s *server, result Result) {
 	threshold, ejectionTime := failuresToEject, baseEjectionTime
 	switch result {
@@ -29,9 +32,9 @@
 		s.failures, s.ejections, s.halfOpen, s.unreachable = 0, 0, false, false
 		return
 	case Cancelled, Skipped, Rejected:
-		return // a server that rejects some requests takes others, and its ejection would overload the rest
+		return // a server that rejects some requests accepts others, and ejecting it would overload the rest
 	case Error:
-		// A balancer of many sees few requests: it would observe three errors in a row too late.
+		// One balancer of many sends a server few requests, so it would observe three consecutive errors too late.
 		if b.probesAreCostly() {
 			threshold, ejectionTime = 1, errorEjectionTime
 		}
@@ -47,7 +50,7 @@
 	}
 }
 
-// recordClassHealth updates the health of a class on a server by the result of an attempt.
+// recordClassHealth updates the health of a class on a server with the result of an attempt.
 func (b *Balancer) recordClassHealth(now time.Duration, class *classHealth, result Result) {
 	switch result {
 	case Done:
@@ -62,15 +65,15 @@
 	}
 }
 
-// fleetHealth is the health of all listed servers at one moment.
+// fleetHealth is the health of all listed servers at one time.
 type fleetHealth struct {
-	panicking bool // so few servers are healthy that ejected ones are used
-	reachable int  // servers that are reachable, or are to be tried again
+	panicMode bool // so few servers are healthy that ejected ones are used
+	reachable int  // servers that are reachable or due for another attempt
 }
 
-// fleetHealth counts the healthy and the reachable servers. What is unreachable does not count towards
-// panicThreshold: a balancer in a partitioned zone can't reach most of the list, and has to do with the
-// servers near it.
+// fleetHealth counts the healthy and the reachable servers. Unreachable servers don't count towards
+// panicThreshold: a balancer in a partitioned zone can't reach most listed servers and has to use those
+// near it.
 func (b *Balancer) fleetHealth(now time.Duration) fleetHealth {
 	healthy, reachable := 0, 0
 	for _, s := range b.servers {
@@ -81,15 +84,15 @@
 			reachable++
 		}
 	}
-	return fleetHealth{panicking: float64(healthy) < panicThreshold*float64(reachable), reachable: reachable}
+	return fleetHealth{panicMode: float64(healthy) < panicThreshold*float64(reachable), reachable: reachable}
 }
 
-// isEjected reports whether s gets no traffic at all, by the health of the fleet at the same moment.
+// isEjected reports whether s gets no traffic at all, given the health of the fleet at the same time.
 func (s *server) isEjected(now time.Duration, fleet fleetHealth) bool {
-	return now < s.ejectedUntil && (!fleet.panicking || s.unreachable && fleet.reachable > 0)
+	return now < s.ejectedUntil && (!fleet.panicMode || s.unreachable && fleet.reachable > 0)
 }
 
-// Ejected is how many of the listed servers that are up get no traffic now.
+// Ejected returns how many of the listed servers that are up get no traffic now.
 func (b *Balancer) Ejected(now time.Duration) int {
 	fleet := b.fleetHealth(now)
 	n := 0
@@ -101,9 +104,10 @@
 	return n
 }
 
-// unresponsive reports whether s leaves the class of r unanswered: some unhealthy servers do, while they
-// serve other classes and probes. At first only the missing responses show it; after failuresToEject failures
-// the server gets a single attempt of the class at a time.
+// unresponsive reports whether s fails to answer requests of the class of r, as some unhealthy servers do
+// while they serve other classes and probes, or has not answered a probe in time. At first only missing
+// responses show that a class is not answered; after failuresToEject failures the server gets a single
+// attempt of the class at a time.
 func (b *Balancer) unresponsive(now time.Duration, r *request, s *server) bool {
 	class := &s.classes[r.Class]
 	if s.probing && now-s.probedAt > b.probeTimeout() && !b.probesAreQueued() {
@@ -113,13 +117,13 @@
 		return now < class.ejectedUntil
 	}
 	return now < class.ejectedUntil || class.failures >= failuresToEject ||
-		(now-class.unservedSince).Seconds() > b.unusualLatency(r, s)
+		(now-class.unservedSince).Seconds() > b.slowResponseThreshold(r, s)
 }
 
 // halfOpenFactor reduces the traffic to a server that was ejected, until its first success.
 func (s *server) halfOpenFactor() float64 {
 	if s.halfOpen {
-		return halfOpenWeight
+		return halfOpenWeightFactor
 	}
 	return 1
 }
--- a/balance/hotkeys.go
+++ b/balance/hotkeys.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// keyDecayFactor multiplies all counts every keyDecayInterval: they halve in about ten seconds.
+	// keyDecayFactor multiplies all counts every keyDecayInterval, so that they halve in about ten seconds.
 	keyDecayInterval, keyDecayFactor = time.Second, 0.93
-	// minKeyCount is the count below which a key is no longer counted, maxKeys how many keys are counted at
+	// minKeyCount is the count below which a key is dropped, maxKeys the maximum number of keys counted at
 	// once.
 	minKeyCount, maxKeys = 0.3, 4096
-	// priorRequests of other keys are assumed before the first request, so that one early repeat makes no key
-	// hot.
+	// priorRequests is the number of requests for other keys assumed before the first request, so that one
+	// early repeat does not make a key hot.
 	priorRequests = 30
 )
 
-// keyCounter finds the keys that are requested most, over the last seconds and in bounded memory.
+// keyCounter counts the requests of the last seconds by key, in bounded memory, to find the hot keys.
 type keyCounter struct {
 	counts    map[uint64]float64 // by key, decaying
 	total     float64            // of all keys
 	decayedAt time.Duration
 }
 
-// record counts a request for a key and returns the fraction of all requests that the key had before.
+// record counts a request for a key and returns which fraction of the requests before it were for this key.
 func (c *keyCounter) record(now time.Duration, key uint64) float64 {
 	if c.counts == nil {
 		c.counts, c.decayedAt = map[uint64]float64{}, now
--- a/balance/parsereport.go
+++ b/balance/parsereport.go
@@ -1,17 +1,17 @@
 package balance
 
-// maxReportedValue is the highest value that a report can have.
+// maxReportedValue is the highest valid value in a load report.
 const maxReportedValue = 1e9
 
-// loadReport is what is used of a load report.
+// loadReport has the values of a load report that decisions use.
 type loadReport struct {
 	inFlight float64 // requests in flight, queued ones included
 	queued   float64 // requests queued
 }
 
-// parseReport finds the requests in flight and queued in a load report. ok is false where the report is short
-// of values, has neither, or has any value that is negative, NaN or above maxReportedValue. With only the
-// requests queued these are used as the requests in flight too.
+// parseReport extracts the requests in flight and queued from a load report. ok is false if the report has
+// too few values, has neither of the two, or has any value that is negative, NaN or above maxReportedValue.
+// If it has only the requests queued, these also serve as the requests in flight.
 func parseReport(fields []ReportField, values []float64) (report loadReport, ok bool) {
 	if len(values) < len(fields) {
 		return loadReport{}, false
--- a/balance/rejection_test.go
+++ b/balance/rejection_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Where every queue takes up much of a latency target all requests are rejected, however many come, and where
-// only the selected server's does, few are.
-func TestOverloadRejectsEverything(t *testing.T) {
+// If the reported queues take up much of a latency target and such a queue delay was observed, all requests
+// are rejected, however many arrive. If only the reports show it, few are.
+func TestOverloadRejectsAllRequests(t *testing.T) {
 	for _, overload := range []bool{true, false} {
-		b := newBalancer(t, plainSettings(), 0, fleet(4, nil))
+		b := newBalancer(t, plainSettings(), 0, serverList(4, nil))
 		for _, s := range b.servers {
 			s.hasReport, s.inFlight = true, 9
 		}
@@ -19,7 +19,7 @@
 		}
 		accepted := 0
 		for i := range 200 {
-			if sendTo(b, 0, fmt.Sprint(i), 0) != 0 {
+			if sendRequest(b, 0, fmt.Sprint(i), 0) != 0 {
 				accepted++
 			}
 		}
@@ -29,30 +29,32 @@
 	}
 }
 
-// Delays that only one server causes, as reports show, are no reason to reject requests for others.
-func TestOneUnhealthyServerIsNoOverload(t *testing.T) {
+// Delays at a single server, which the reports of the others don't confirm, are no reason to reject
+// requests for the others.
+func TestOneUnhealthyServerIsNotAnOverload(t *testing.T) {
 	for inFlight, want := range map[float64]bool{0: false, 20: true} {
-		b := newBalancer(t, plainSettings(), 0, fleet(4, nil))
+		b := newBalancer(t, plainSettings(), 0, serverList(4, nil))
 		for _, s := range b.servers {
 			s.hasReport, s.inFlight = true, inFlight
 		}
 		b.queueDelay = 0.2
 		if got := b.fleetQueueDelay(0) > 0.1; got != want {
-			t.Errorf("%v in flight everywhere: a queue delay of %v s", inFlight, b.fleetQueueDelay(0))
+			t.Errorf("%v in flight at every server: queue delay %v s", inFlight, b.fleetQueueDelay(0))
 		}
 		r, a := &request{}, &attempt{server: b.servers[0], freshReport: true}
 		for range 20 {
-			b.compareToReport(r, a, time.Second, Done)
+			b.updateForecastMissRate(r, a, time.Second, Done)
 		}
 		if b.reportLag() != 0 {
-			t.Errorf("one server alone makes all reports look %v s old", b.reportLag())
+			t.Errorf("one slow server raised the report lag to %v s", b.reportLag())
 		}
 	}
 }
 
-// A balancer that probes one server at a time must not reject requests for the delay of one unhealthy server.
-func TestCostlyProbesRejectByProbedDelay(t *testing.T) {
-	b := newBalancer(t, costlyProbeSettings(), 0, fleet(60, nil))
+// A balancer that probes servers one at a time must not reject requests because of the delay of one
+// unhealthy server.
+func TestCostlyProbesRejectByReportedDelay(t *testing.T) {
+	b := newBalancer(t, costlyProbeSettings(), 0, serverList(60, nil))
 	rejected := 0
 	for i := range 300 {
 		latency := 50 * time.Millisecond
@@ -68,8 +70,7 @@
 	}
 }
 
-// A rejection says when to come back, where clients receive it and no later than they would heed; a failure
-// promises nothing.
+// A rejection has a retry delay of at most MaxRetryAfter where clients receive it; a failure has none.
 func TestRejectionSendsRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -93,7 +94,7 @@
 		}
 		b.queueDelay = c.queueDelay
 		r := &request{Request: Request{ID: "x"}, attempts: []attempt{{mayHaveRun: c.mayHaveRun}}}
-		a := b.giveUp(0, r, nil)[0]
+		a := b.rejectOrFail(0, r, nil)[0]
 		if a.Kind != c.kind || a.Wait < c.min || a.Wait > c.max {
 			t.Errorf("%s: %v after %v", c.name, a.Kind, a.Wait)
 		}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// checker checks the actions of one Balancer against the rules that one balancer alone can keep.
+// checker checks the actions of one Balancer against the rules that a single balancer can keep.
 type checker struct {
 	settings   Settings
 	requests   map[string]*checkedRequest
@@ -36,33 +36,33 @@
 		drainedAt: map[ServerID]time.Duration{}, listed: map[ServerID]Server{}}
 }
 
-func (c *checker) fail(format string, args ...any) {
+func (c *checker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// action checks one action.
-func (c *checker) action(now time.Duration, a Action) {
+// checkAction checks one action against the rules.
+func (c *checker) checkAction(now time.Duration, a Action) {
 	if a.Kind == Probe && (!c.settings.MayProbe || c.listed[a.Server].ID == 0) {
-		c.fail("probe of %d not allowed", a.Server)
+		c.addViolation("probe of server %d is not allowed", a.Server)
 	}
 	if a.Kind != Send && a.Kind != Reject && a.Kind != Fail {
 		return
 	}
 	r := c.requests[a.ID]
 	if r == nil {
-		c.fail("%s names a request never taken", a.ID)
+		c.addViolation("%s: action for a request that was never started", a.ID)
 		return
 	}
 	if r.final {
-		c.fail("%s: action %d after its final response", a.ID, a.Kind)
+		c.addViolation("%s: action %d after its final response", a.ID, a.Kind)
 		return
 	}
 	class := c.settings.Classes[r.class]
-	allowed := true // what may follow the earlier attempts: for Send a retry, for Reject a rejection
+	allowed := true // whether the earlier attempts allow a: for Send a retry, for Reject a rejection
 	for _, s := range r.sends {
 		mayHaveRun := !s.ended || !s.result.neverRan()
 		if !s.ended && a.Kind == Send && !c.settings.MayHedge {
-			c.fail("%s: two attempts outstanding at once", a.ID)
+			c.addViolation("%s: two attempts outstanding at once", a.ID)
 		}
 		if !s.ended && a.Kind == Reject {
 			allowed = class.Effect == Idempotent
@@ -84,55 +84,55 @@
 		}
 	}
 	if !allowed && a.Kind != Fail {
-		c.fail("%s: action %d may repeat an effect", a.ID, a.Kind)
+		c.addViolation("%s: action %d may run the request twice", a.ID, a.Kind)
 	}
 	if a.Kind != Send {
 		r.final = true
 		if now > r.deadline+c.settings.ResponseGrace {
-			c.fail("%s: final response too late", a.ID)
+			c.addViolation("%s: final response too late", a.ID)
 		}
 		return
 	}
 	s, known := c.listed[a.Server]
 	if !known {
-		c.fail("%s sent to %d, never listed", a.ID, a.Server)
+		c.addViolation("%s sent to server %d, which was never listed", a.ID, a.Server)
 	}
 	if at, drains := c.drainedAt[a.Server]; drains && now > at+c.settings.DrainGrace {
-		c.fail("%s sent to %d, drained %v ago", a.ID, a.Server, now-at)
+		c.addViolation("%s sent to server %d, which was drained %v ago", a.ID, a.Server, now-at)
 	}
 	if len(r.sends) >= c.settings.MaxAttempts {
-		c.fail("%s: too many attempts", a.ID)
+		c.addViolation("%s: too many attempts", a.ID)
 	}
 	r.sends = append(r.sends, checkedSend{to: s, at: now})
 }
 
-// overdue finds requests without a final response after their deadline.
-func (c *checker) overdue(now time.Duration) {
+// checkDeadlines adds a violation for each request without a final response after its deadline.
+func (c *checker) checkDeadlines(now time.Duration) {
 	for id, r := range c.requests {
 		if !r.final && now > r.deadline+c.settings.ResponseGrace {
 			r.final = true
-			c.fail("%s got no response in time", id)
+			c.addViolation("%s: no final response in time", id)
 		}
 	}
 }
 
-func TestCheckerCatches(t *testing.T) {
+func TestCheckerDetectsViolations(t *testing.T) {
 	settings := ruleSettings()
 	a, b := Server{ID: 1, Zone: 0, Cell: 1}, Server{ID: 2, Zone: 0, Cell: 2}
 	send := func(id string, to Server) Action { return Action{Kind: Send, ID: id, Server: to.ID} }
 	for name, actions := range map[string][]Action{
-		"two final responses":           {{Kind: Fail, ID: "c0"}, {Kind: Reject, ID: "c0"}},
-		"an attempt after the response": {{Kind: Fail, ID: "c0"}, send("c0", a)},
-		"an effect twice":               {send("c1", a), send("c1", b)},
-		"a rejection that may have run": {send("c1", a), {Kind: Reject, ID: "c1"}},
-		"a repeat in another cell":      {send("c2", a), send("c2", b)},
-		"a request never taken":         {send("c9", a)},
-		"a server never listed":         {send("c0", Server{ID: 77})},
-		"a server that drains":          {send("c0", Server{ID: 3})},
-		"a probe of nobody":             {{Kind: Probe, Server: 77}},
-		"an attempt too many": {send("c0", a), send("c0", a), send("c0", a), send("c0", a),
+		"two final responses":                            {{Kind: Fail, ID: "c0"}, {Kind: Reject, ID: "c0"}},
+		"an attempt after the response":                  {{Kind: Fail, ID: "c0"}, send("c0", a)},
+		"a request that runs twice":                      {send("c1", a), send("c1", b)},
+		"a rejection after an attempt that may have run": {send("c1", a), {Kind: Reject, ID: "c1"}},
+		"a repeat in another cell":                       {send("c2", a), send("c2", b)},
+		"a request never started":                        {send("c9", a)},
+		"a server never listed":                          {send("c0", Server{ID: 77})},
+		"a draining server":                              {send("c0", Server{ID: 3})},
+		"a probe of an unlisted server":                  {{Kind: Probe, Server: 77}},
+		"too many attempts": {send("c0", a), send("c0", a), send("c0", a), send("c0", a),
 			send("c0", a)},
-		"a response too late, or never": nil,
+		"a late or missing response": nil,
 	} {
 		c := newChecker(settings)
 		for i := range settings.Classes {
@@ -141,18 +141,18 @@
 		c.listed = map[ServerID]Server{1: a, 2: b, 3: {ID: 3}}
 		c.drainedAt[3] = 0
 		for _, act := range actions {
-			c.action(2*time.Second, act)
+			c.checkAction(2*time.Second, act)
 		}
 		if actions == nil {
-			c.overdue(6 * time.Second)
+			c.checkDeadlines(6 * time.Second)
 		}
 		if len(c.violations) == 0 {
-			t.Errorf("%s: not caught", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
 
-// ruleSettings have one class of each effect, and all that a balancer may do.
+// ruleSettings returns settings with one class of each effect in which a balancer may use every feature.
 func ruleSettings() Settings {
 	class := func(e Effect, g DedupScope) Class {
 		return Class{LatencyTarget: 200 * time.Millisecond, Deadline: time.Second, Effect: e, DedupScope: g,
@@ -169,8 +169,9 @@
 	}
 }
 
-// play feeds one Balancer a legal stream of events that next chooses, and returns the rules violated.
-func play(settings Settings, steps int, next func() int) []string {
+// runRandomEvents feeds one Balancer valid events, which the numbers from next choose, and returns the
+// violations of the rules.
+func runRandomEvents(settings Settings, steps int, next func() int) []string {
 	c := newChecker(settings)
 	b, err := New(settings, 0)
 	if err != nil {
@@ -193,7 +194,7 @@
 	var probes []ServerID
 	apply := func(actions []Action) {
 		for _, a := range actions {
-			c.action(now, a)
+			c.checkAction(now, a)
 			switch a.Kind {
 			case Send:
 				if r := c.requests[a.ID]; r != nil {
@@ -270,7 +271,7 @@
 			list(ListDelta, []Server{entry()})
 		case 12:
 			list([]ListKind{ListFailed, ListDelta}[next()%2], nil)
-		case 14: // things unknown, repeated or over
+		case 14: // unknown, repeated or late events
 			apply(b.Outcome(now, Outcome{ID: "r1", Attempt: next() - 2, Result: Error}, nil))
 			apply(b.Timer(now, uint64(next()), nil))
 			apply(b.Probed(now, ProbeResult{Server: 99, Report: []float64{-1}}, nil))
@@ -294,19 +295,19 @@
 				k--
 			}
 		}
-		c.overdue(now)
+		c.checkDeadlines(now)
 	}
 	return c.violations
 }
 
-func TestRulesUnderRandomStreams(t *testing.T) {
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		settings := ruleSettings()
 		settings.Seed = seed
 		settings.MayHedge, settings.MayProbe, settings.KeyAffinity = seed%2 == 0, seed%3 != 0, seed%5 == 0
 		settings.ReportsInResponses = !settings.MayProbe
-		if violations := play(settings, 600, func() int { return rng.IntN(256) }); len(violations) > 0 {
+		if violations := runRandomEvents(settings, 600, func() int { return rng.IntN(256) }); len(violations) > 0 {
 			t.Fatalf("seed %d: %v", seed, violations)
 		}
 	}
@@ -323,7 +324,7 @@
 			}
 			return at % 7
 		}
-		if violations := play(ruleSettings(), min(len(data), 400), next); len(violations) > 0 {
+		if violations := runRandomEvents(ruleSettings(), min(len(data), 400), next); len(violations) > 0 {
 			t.Fatal(violations)
 		}
 	})
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestDrawFollowsProbabilities(t *testing.T) {
-	b := newBalancer(t, plainSettings(), 0, fleet(3, nil))
+	b := newBalancer(t, plainSettings(), 0, serverList(3, nil))
 	b.candidates = []candidate{{server: b.servers[0], probability: .5}, {server: b.servers[1], probability: .3},
 		{server: b.servers[2], probability: .2}}
 	const n = 20000
@@ -16,15 +16,15 @@
 	for range n {
 		got[b.draw().server.ID] += 1. / n
 	}
-	for i, want := range []float64{.5, .3, .2} { // four standard deviations are 0.014
+	for i, want := range []float64{.5, .3, .2} { // 0.014 is four standard deviations
 		if math.Abs(got[i+1]-want) > 0.014 {
 			t.Errorf("server %d: probability %v, want %v", i+1, got[i+1], want)
 		}
 	}
 }
 
-func TestUnknownLoadIsSelectedUniformly(t *testing.T) {
-	b := newBalancer(t, plainSettings(), 0, fleet(4, nil))
+func TestServersWithoutReportsAreSelectedUniformly(t *testing.T) {
+	b := newBalancer(t, plainSettings(), 0, serverList(4, nil))
 	servers := b.eligible(0, &request{})
 	waterFill(b.candidates, b.weighCandidates(0, &request{}, servers, fleetCapacity{4, 4}, false))
 	for _, x := range b.candidates {
@@ -34,9 +34,9 @@
 	}
 }
 
-// All balancers of a fleet act alike, so a server in slow start gets its part of all arrivals. Even when it
-// has just reported an empty queue and arrivals are 2.5 times what the fleet can do, with a fifth of retries,
-// it must get less than CollapseMultiple times its present capacity.
+// All balancers of a fleet act alike, so a server in slow start gets the same fraction of all arrivals as
+// of one balancer's. It must get less than CollapseMultiple times its present capacity even after it reported
+// an empty queue, with arrivals at 2.5 times the fleet's capacity and a fifth more for retries.
 func TestSlowStartKeepsServerFromCollapse(t *testing.T) {
 	for _, start := range []float64{0.16, 0.31} {
 		for _, multiple := range []float64{3, 4} {
@@ -44,7 +44,7 @@
 			settings.SlowStartMin, settings.CollapseMultiple = start, multiple
 			now := 100 * time.Second
 			for _, starting := range []int{1, 2, 8, 16} {
-				b := newBalancer(t, settings, now, fleet(16, func(i int, s *Server) {
+				b := newBalancer(t, settings, now, serverList(16, func(i int, s *Server) {
 					if i < starting {
 						s.Started = now - time.Second
 					}
@@ -65,7 +65,7 @@
 				for _, x := range b.candidates {
 					if warm := b.slowStartFactor(now, x.server); warm < 1 {
 						if rate := x.probability * 16 * 2.5 * (1 + retryBudgetRatio); rate >= multiple*warm {
-							t.Errorf("start %v, multiple %v, %d in slow start: %.2f times its capacity",
+							t.Errorf("start %v, multiple %v, %d in slow start: %.2f times its present capacity",
 								start, multiple, starting, rate/warm)
 						}
 					}
@@ -75,35 +75,35 @@
 	}
 }
 
-// Within reportTTL the age of a report softens nothing: of servers probed just now the least loaded is taken.
-// Beyond, the probabilities even out.
-func TestLoadCountsForTheReportTTL(t *testing.T) {
+// Within reportTTL the age of reports has no effect: the least loaded of the probed servers is selected.
+// Beyond it the selection probabilities even out.
+func TestSelectionEvensOutBeyondReportTTL(t *testing.T) {
 	for age, maxCount := range map[time.Duration]int{reportTTL: 0, 100 * reportTTL: 200} {
-		b := newBalancer(t, plainSettings(), time.Second, fleet(2, nil))
+		b := newBalancer(t, plainSettings(), time.Second, serverList(2, nil))
 		got := 0
 		for i := range 400 {
 			for j, s := range b.servers {
 				s.hasReport, s.inFlight, s.reportedAt, s.sentSinceReport = true, float64(4*j), time.Second, 0
 			}
 			id, now := fmt.Sprint(i), time.Second+age
-			to := sendTo(b, now, id, 1)
+			to := sendRequest(b, now, id, 1)
 			if to == 2 {
 				got++
 			}
 			b.Outcome(now, Outcome{ID: id, Server: to, Result: Skipped, Final: true}, nil)
 		}
 		if got > maxCount || maxCount > 0 && got < 100 {
-			t.Errorf("reports of %v ago: %d of 400 to the server with more in flight", age, got)
+			t.Errorf("report age %v: %d of 400 requests went to the server with more in flight", age, got)
 		}
 	}
 }
 
-// Servers that have just started, and that all find idle, get no more than they can do, also where no other
-// is left.
-func TestProbedServersInSlowStartStayWithinTheirPart(t *testing.T) {
+// Servers in slow start, which probes show idle, get no more requests than their present capacity, even
+// where no other servers are left.
+func TestProbedServersInSlowStartStayWithinCapacity(t *testing.T) {
 	for _, n := range []int{36, 60} {
 		now, fraction := 100*time.Second, 0.0
-		b := newBalancer(t, costlyProbeSettings(), 0, fleet(60, func(i int, s *Server) {
+		b := newBalancer(t, costlyProbeSettings(), 0, serverList(60, func(i int, s *Server) {
 			if i < n {
 				s.Started = now
 			}
@@ -114,9 +114,9 @@
 				fraction += 1. / 6000
 			}
 		}
-		// With arrivals at what all 60 can do, this part takes each to its present capacity.
+		// If arrivals equal the full capacity of all 60, this fraction loads each to its present capacity.
 		if expected := float64(n) * 0.12 / 60; fraction > 1.2*expected || fraction < expected/4 {
-			t.Errorf("%d in slow start got %.3f of all requests, want a part of %.3f", n, fraction, expected)
+			t.Errorf("%d servers in slow start got %.3f of requests, want about %.3f", n, fraction, expected)
 		}
 	}
 }
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -7,20 +7,24 @@
 )
 
 const (
-	// followRetryDivisor of the registry interval is the base of the wait before the registry is asked again
-	// after a failure. It doubles with each failure in a row, up to maxFollowDoublings times.
+	// followRetryDivisor divides the registry interval; the quotient is the base of the backoff before the
+	// registry is asked again after a failure. It doubles with each consecutive failure, up to
+	// maxFollowDoublings times.
 	followRetryDivisor, maxFollowDoublings = 20, 2
-	// firstFollowDivisor of the registry interval is the time over which balancers that start with a cached
-	// list spread their first calls, which is emptyListDivisor times shorter where that list is empty.
+	// firstFollowDivisor divides the registry interval; the quotient is the time over which balancers that
+	// start with a cached list spread their first calls. If that list is empty, emptyListDivisor divides
+	// this time again.
 	firstFollowDivisor, emptyListDivisor = 5, 20
 )
 
-// List updates the servers from a list of the registry, or records that following the list failed.
+// List updates the servers with a list from the registry, or schedules a retry if the registry could not be
+// asked or followed.
 func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server, actions []Action) []Action {
 	if kind == ListFailed {
 		b.listFailures++
 		// Jitter and backoff keep balancers from asking an overloaded registry all at once. The backoff is short
-		// because drains and removals count from when the registry reported them, even if nobody could ask it.
+		// because the time allowed after a drain or removal runs from when the registry reported it, even while
+		// the registry can't be reached.
 		backoff := time.Duration(1 << min(b.listFailures, maxFollowDoublings))
 		wait := b.settings.RegistryInterval / followRetryDivisor * backoff
 		return append(actions, b.timer(b.jitter(wait), timerFollow, 0))
@@ -45,8 +49,8 @@
 	return actions
 }
 
-// updateServers adds, updates and removes the servers of entries, and removes those not among them unless
-// entries are a delta.
+// updateServers adds, updates and removes servers according to entries. Unless entries are a delta, it also
+// removes the servers that are not among them.
 func (b *Balancer) updateServers(entries []Server, delta bool) {
 	listed := make(map[ServerID]bool, len(entries))
 	for _, s := range entries {
@@ -59,7 +63,7 @@
 			b.byID[s.ID] = b.newServer(s)
 			b.servers = append(b.servers, b.byID[s.ID])
 		case old.Started != s.Started:
-			// A new process under the old id is in slow start, and no observation of the old one holds for it.
+			// A new process with the same id is in slow start, and observations of the old process don't apply to it.
 			b.byID[s.ID] = b.newServer(s)
 			b.servers[slices.Index(b.servers, old)] = b.byID[s.ID]
 		default:
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file has the state of a Balancer and small operations on it; the decisions are in other files.
+// This file defines the state of a Balancer and small operations on it; the decisions are in other files.
 
 import (
 	"math/rand/v2"
@@ -8,71 +8,71 @@
 	"time"
 )
 
-// goldenRatio is 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
-const goldenRatio = 0x9e3779b97f4a7c15
+// fibonacciMultiplier is 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
+const fibonacciMultiplier = 0x9e3779b97f4a7c15
 
-// Balancer decides for one client proxy. It is not safe for concurrent use.
+// Balancer makes the decisions of one client proxy. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
 	servers  []*server // listed and up, in the order they were first listed
 	byID     map[ServerID]*server
 	requests map[string]*request
-	bySeq    map[uint64]*request // those without a final response
-	seq      uint64              // of the last request
-
-	serviceTimes       []estimate   // by class
-	serviceTimesByKind [][]estimate // by class and kind of machine
-	hintedWork         []estimate   // expected work that requests were given, by class
-	concurrency        float64      // requests a server works on at once
-	meanRating         float64      // of the servers listed
-	retryBudget        float64      // retries and hedged attempts allowed now
-	queueDelay         float64      // recent latency beyond the service time, in seconds
-	queueDelayAt       time.Duration
-	probeTime          float64 // how long probes take, in seconds
-	lastForecastMiss   *server // the last server with a latency far above the forecast of its fresh report
-	forecastMissRate   float64 // fraction of outcomes with such latencies
-	listFailures       int     // calls to the registry that failed in a row
+	bySeq    map[uint64]*request // requests without a final response, by sequence number
+	seq      uint64              // sequence number of the last request
+
+	serviceTimes       []estimate    // by class
+	serviceTimesByKind [][]estimate  // by class and kind of machine
+	expectedWork       []estimate    // expected work that requests state, by class
+	concurrency        float64       // requests that a server processes at once
+	meanRating         float64       // mean Rating of the listed servers
+	retryBudget        float64       // retries and hedged attempts allowed now
+	queueDelay         float64       // moving average of the latency beyond the service time, in seconds
+	queueDelayAt       time.Duration // when queueDelay was last updated
+	probeTime          float64       // moving average of the duration of probes, in seconds
+	lastForecastMiss   *server       // server of the last latency far above the forecast from its fresh report
+	forecastMissRate   float64       // fraction of outcomes with such latencies
+	listFailures       int           // consecutive calls to the registry that failed
 
 	hotKeys      keyCounter
-	busyFraction float64 // of the servers probed lately, those that were not idle
+	busyFraction float64 // moving average of the fraction of probed servers that were not idle
 
 	eligibleBuf []*server   // result of eligible, reused
-	candidates  []candidate // of the selection at hand, reused
+	candidates  []candidate // of the current selection, reused
 }
 
-// server is one entry of the list with what this balancer has observed of it.
+// server is a listed server with this balancer's observations of it.
 type server struct {
 	Server
-	inFlight, queued float64       // at the last report
-	reportedAt       time.Duration // when it came
+	inFlight, queued float64       // as of the last report
+	reportedAt       time.Duration // when the last report came
 	hasReport        bool
-	reportSeq        int // number of reports, which shows which attempts the last one can't include
+	reportSeq        int // number of reports so far; the last one excludes attempts with this reportSeq
 	sentSinceReport  int // outstanding attempts of this balancer that were sent after the last report
-	outstanding      int // attempts of this balancer
+	outstanding      int // outstanding attempts of this balancer
 
-	failures     int           // in a row
-	ejections    int           // in a row without a success between
+	failures     int           // consecutive
+	ejections    int           // consecutive, without a success between them
 	ejectedUntil time.Duration // no traffic until then
-	halfOpen     bool          // ejected before, and no success since
-	unreachable  bool          // the last attempt found no connection
+	halfOpen     bool          // was ejected, and no attempt or probe has succeeded since
+	unreachable  bool          // the last connection was refused, or a probe timed out
 	classes      []classHealth // by class
 
 	probing  bool
-	probedAt time.Duration // when its probe was sent
-	waiters  []*request    // requests deferred until its probe returns
+	probedAt time.Duration // when its last probe was sent
+	waiters  []*request    // requests deferred until its probe ends
 }
 
-// classHealth is how a server serves one class.
+// classHealth is the health of a server for one class.
 type classHealth struct {
-	outstanding   int           // attempts of this balancer
-	unservedSince time.Duration // since when none was served, while some were outstanding
-	failures      int           // in a row
-	ejections     int           // in a row without a success between
-	ejectedUntil  time.Duration // none of this class until then
+	outstanding   int           // outstanding attempts of this balancer
+	unservedSince time.Duration // start of the period in which attempts were outstanding and none was served
+	failures      int           // consecutive
+	ejections     int           // consecutive, without a success between them
+	ejectedUntil  time.Duration // no attempt of this class until then
 }
 
-// attemptStarted counts one more outstanding attempt.
+// attemptStarted counts a new outstanding attempt.
 func (h *classHealth) attemptStarted(now time.Duration) {
 	h.outstanding++
 	if h.outstanding == 1 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// newServer is a server of which nothing is known yet.
+// newServer returns a server without observations.
 func (b *Balancer) newServer(s Server) *server {
 	return &server{Server: s, classes: make([]classHealth, len(b.settings.Classes))}
 }
@@ -92,30 +92,30 @@
 	}
 }
 
-// request is one that has no final response yet, or whose attempts are still outstanding.
+// request is a request that has no final response yet, or whose attempts are still outstanding.
 type request struct {
 	Request
 	seq         uint64
 	receivedAt  time.Duration
 	attempts    []attempt
 	outstanding int // attempts without an outcome
-	deferrals   int // times it was deferred for lack of servers
+	deferrals   int // how often it was deferred because no server was eligible
 	finished    bool
-	rejectDraw  float64 // in (0, 1], 0 before the draw; the less, the sooner it is rejected
+	rejectDraw  float64 // in (0, 1], 0 before it is drawn; the lower, the sooner the request is rejected
 
 	sample         []*server // servers to select from, probed or with fresh reports
-	pendingProbes  int       // probes it waits for
-	probingDecided bool      // for the next attempt
-	withoutProbe   bool      // sent without a probe though probes are allowed
-	affinityServer *server   // where its key is likeliest cached, where probes are not costly
-	affinityCell   int       // the same where they are
-	affinityBoost  float64   // multiplies the weights of that cell in samples; 0 if there is none
+	pendingProbes  int       // number of probes that it waits for
+	probingDecided bool      // whether to probe for the next attempt was decided
+	withoutProbe   bool      // it is sent without a probe though probes are allowed
+	affinityServer *server   // most likely to have its key cached; set where probes are not costly
+	affinityCell   int       // most likely to have its key cached; set where probes are costly
+	affinityBoost  float64   // factor by which samples prefer affinityCell; 0 for no preference
 	keyFraction    float64   // fraction of all requests that have its key
-	bodyConsumed   bool      // its body is not retained any more, so there can be no other attempt
+	bodyConsumed   bool      // its body is no longer retained, so it can't be sent again
 }
 
-// isRejectedByDraw reports whether a request is among the fraction to be rejected. It draws once for each
-// request, so that one which is rejected at some fraction is rejected at every higher one.
+// isRejectedByDraw reports whether r is in the fraction of requests to be rejected. It draws once for each
+// request, so that a request which is rejected at some fraction is rejected at every higher one.
 func (r *request) isRejectedByDraw(rng *rand.Rand, fraction float64) bool {
 	if r.rejectDraw == 0 {
 		r.rejectDraw = 1 - rng.Float64()
@@ -123,7 +123,7 @@
 	return r.rejectDraw < fraction
 }
 
-// hasAttempted reports whether an attempt went to s.
+// hasAttempted reports whether an attempt of r was sent to s.
 func (r *request) hasAttempted(s *server) bool {
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
@@ -142,58 +142,58 @@
 	}
 }
 
-// attempt is one sending of a request to a server.
+// attempt is one attempt to have a request served by a server.
 type attempt struct {
 	server        *server
 	sentAt        time.Duration
-	reportSeq     int     // of the server's last report when it was sent
-	requestsAhead float64 // in flight at the server when it was sent, as far as known
-	freshReport   bool    // requestsAhead is from a fresh report
-	uncontended   bool    // a fresh report shows the server nearly idle, so the latency has no queueing in it
+	reportSeq     int     // reportSeq of the server when it was sent
+	requestsAhead float64 // requests in flight at the server when it was sent, as far as known
+	freshReport   bool    // requestsAhead comes from a fresh report
+	uncontended   bool    // a fresh report showed the server nearly idle, so the latency includes no queueing
 	ended         bool
-	mayHaveRun    bool // as far as is known: true until a result proves otherwise
-	uploading     bool // its body is not complete yet, and it does not count in its class's health
+	mayHaveRun    bool // true until a result proves that the server did not start it
+	uploading     bool // its body is not complete yet, so it does not count in the health of its class
 }
 
 // candidate is a server that an attempt or a probe may be sent to.
 type candidate struct {
 	server         *server
-	weight         float64 // capacity now, relative to the other servers
+	weight         float64 // present capacity relative to the other servers
 	level          float64 // requests in flight there, divided by weight
-	maxProbability float64 // cap of probability
-	probability    float64 // of its selection
-	capped         bool    // its probability is at the maximum
+	maxProbability float64 // upper bound of probability
+	probability    float64 // of being selected
+	capped         bool    // probability is at maxProbability
 	index          int     // position before sorting; set by WaterFill only
 }
 
-// fleetCapacity is the capacity of all servers eligible for a request, the sum of their relative capacities.
+// fleetCapacity is the sum of the relative capacities of all servers eligible for a request.
 type fleetCapacity struct {
 	full float64 // as if all were past their slow start
-	now  float64 // as they are
+	now  float64 // with their present slow start factors
 }
 
 // The kinds of timers.
 const (
 	timerDeferred = iota // a request waits for probes or for servers
-	timerFollow          // the registry is to be followed
+	timerFollow          // the registry is due to be asked for changes
 	timerHedge           // an attempt takes unusually long
 )
 
-// The token of a timer has its kind in the lowest bits, and above them the sequence number of its request, 0
-// if it has none.
+// The token of a timer has its kind in the lowest bits and, above them, the sequence number of its request,
+// 0 if there is none.
 const (
 	timerKindBits = 2
 	timerKindMask = 1<<timerKindBits - 1
 )
 
-// timer is the action that sets a timer. A wait shorter than a tick is one tick.
+// timer returns the action that sets a timer. A wait shorter than a tick is extended to one tick.
 func (b *Balancer) timer(wait time.Duration, kind int, seq uint64) Action {
 	return Action{
 		Kind: SetTimer, Wait: max(wait, b.settings.Tick), Token: seq<<timerKindBits | uint64(kind),
 	}
 }
 
-// jitter is a random time from half of d to one and a half of it.
+// jitter returns a random duration from half of d to one and a half times d.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + b.rng.Float64()) * float64(d))
 }
--- a/balance/upload.go
+++ b/balance/upload.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// BodyConsumed reports that the body of a request is not retained any more: a part of it was sent to the
-// server of the outstanding attempt, and no other attempt can send it. Until BodySent no response is due, so
-// the attempt does not make the server count as unresponsive for the class.
+// BodyConsumed reports that the body of a request is no longer retained: a part of it was sent to the
+// server of the outstanding attempt, and no other attempt can send it. Until BodySent no response is due,
+// so the attempt does not make the server count as unresponsive for the class.
 func (b *Balancer) BodyConsumed(id string) {
 	r := b.requests[id]
 	if r == nil || r.bodyConsumed {
@@ -19,8 +19,8 @@
 	}
 }
 
-// BodySent reports that the last byte of a request's body was sent, after BodyConsumed. The request counts as
-// received now, with a new deadline.
+// BodySent reports, after BodyConsumed, that the last byte of a request's body was sent. The request counts
+// as received now, with a new deadline.
 func (b *Balancer) BodySent(now time.Duration, id string, deadline time.Duration) {
 	r := b.requests[id]
 	if r == nil {
--- a/balance/waterfill.go
+++ b/balance/waterfill.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// WaterFill returns for each server the probability with which it takes the next request, by equation 4 of
-// Dahlin, "Interpreting Stale Load Information", with weights. The servers are vessels, as wide as their
-// weight and filled up to their level; the arrivals are poured over them and fill the lowest first. The
-// part of the arrivals that a server takes is its probability. Levels are in requests by weight, arrivals
-// in requests, and a weight is a server's speed relative to the others.
+// WaterFill returns for each server the probability with which it is selected for the next request, by
+// equation 4 of Dahlin, "Interpreting Stale Load Information", extended by weights. Each server is a vessel
+// as wide as its weight and filled up to its level. The arrivals are poured over the vessels and fill the
+// lowest first; the fraction of the arrivals that a server takes is its probability. A level is requests in
+// flight divided by weight, arrivals are a number of requests, and a weight is a server's speed relative to
+// the others.
 func WaterFill(levels, weights []float64, arrivals float64) []float64 {
 	candidates := make([]candidate, len(levels))
 	for i := range candidates {
@@ -24,18 +25,19 @@
 }
 
 const (
-	// minArrivals bounds a divisor. With hardly any arrivals the lowest candidate gets all.
+	// minArrivals is the lower bound of the arrivals, a divisor. With so few arrivals the candidate of the
+	// lowest level gets all of them.
 	minArrivals = 1e-9
-	// minRemaining is the part of the arrivals below which nothing is left to spread but a rounding error.
+	// minRemaining is the fraction of the arrivals below which the remainder is only a rounding error.
 	minRemaining = 1e-12
 )
 
-// waterFill sorts the candidates by level and sets their probabilities as WaterFill does. A probability above
-// its maximum is cut to that, and what is cut off is poured over the other candidates.
+// waterFill sorts the candidates by level and sets their probabilities as WaterFill does. A probability
+// above its maximum is reduced to the maximum, and the excess is spread over the other candidates.
 func waterFill(candidates []candidate, arrivals float64) {
 	slices.SortStableFunc(candidates, func(x, y candidate) int { return cmp.Compare(x.level, y.level) })
 	arrivals = max(arrivals, minArrivals)
-	remaining := 1.0 // the part of the arrivals that no capped candidate takes
+	remaining := 1.0 // the fraction of the arrivals that no capped candidate takes
 	for capExceeded := true; capExceeded && remaining > minRemaining; {
 		volume := arrivals * remaining
 		surface := waterSurface(candidates, volume)
@@ -55,8 +57,8 @@
 	}
 }
 
-// waterSurface is the level up to which a volume of arrivals fills the candidates that are not capped. The
-// candidates are sorted by level; volume is in requests.
+// waterSurface returns the level up to which a volume of arrivals, in requests, fills the candidates that
+// are not capped. The candidates must be sorted by level.
 func waterSurface(candidates []candidate, volume float64) float64 {
 	weight, load, surface := 0.0, 0.0, 0.0
 	for i := range candidates {
--- a/balance/waterfill_test.go
+++ b/balance/waterfill_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// filledProbabilities are those of candidates of equal weight, in the order of levels.
+// filledProbabilities returns the probabilities of candidates of equal weight, in the order of levels.
 func filledProbabilities(arrivals float64, levels ...float64) []float64 {
 	servers := make([]candidate, len(levels))
 	for i, l := range levels {
@@ -20,9 +20,10 @@
 	return p
 }
 
-// The values are worked by hand from equation 4: with l the largest count for which the l least
-// loaded can all be raised to the l-th level, P_i = ((L_l - L_i) + (A - sum(L_l - L_j)) / l) / A.
-func TestWaterFillIsEquation4(t *testing.T) {
+// The expected values are calculated by hand from equation 4: with l the largest count for which the l least
+// loaded servers can all be raised to the l-th level,
+// P_i = ((L_l - L_i) + (A - sum(L_l - L_j)) / l) / A.
+func TestWaterFillMatchesEquation4(t *testing.T) {
 	for name, c := range map[string]struct {
 		arrivals float64
 		levels   []float64
@@ -54,8 +55,8 @@
 }
 
 func TestWaterFillByWeight(t *testing.T) {
-	// Levels are loads by weight: 2 at weight 2 and 1 at weight 1 are alike, and water
-	// rises over both; the candidate of weight 2 takes two parts of three.
+	// Levels are loads divided by weight: a load of 2 at weight 2 equals a load of 1 at weight 1, and the
+	// water rises over both. The candidate of weight 2 takes two thirds.
 	a, b := &server{}, &server{}
 	servers := []candidate{{server: a, weight: 2, level: 1, maxProbability: 1},
 		{server: b, weight: 1, level: 1, maxProbability: 1}}
@@ -67,14 +68,14 @@
 	}
 }
 
-func TestWaterFillKeepsMaximums(t *testing.T) {
+func TestWaterFillRespectsMaximums(t *testing.T) {
 	servers := []candidate{
 		{weight: .2, level: 0, maxProbability: .05},
 		{weight: 1, level: 4, maxProbability: 1},
 		{weight: 1, level: 5, maxProbability: 1},
 	}
 	waterFill(servers, 1)
-	// The first may take 0.05; of the rest all fits below level 5.
+	// The first is capped at 0.05; the rest fits below level 5.
 	for i, want := range []float64{.05, .95, 0} {
 		if math.Abs(servers[i].probability-want) > 1e-9 {
 			t.Errorf("candidate %d: probability %v, want %v", i, servers[i].probability, want)
