--- a/balance/doc.go
+++ b/balance/doc.go
@@ -9,7 +9,7 @@
 //
 // # Events
 //
-//   - Request, ClientGone: a client's request, and the client's disconnect before the response.
+//   - Request, ClientDisconnected: a client's request, and its end by the client before the response.
 //   - Outcome, StreamStarted: the end of an attempt, and the beginning of a streamed response.
 //   - BodyConsumed, BodySent: a body is no longer retained for another attempt, and its last byte was sent.
 //   - Probed: the end of a health probe, with a load report.
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -246,8 +246,8 @@
 	return actions
 }
 
-// ClientGone reports that the client of a request no longer waits for the response.
-func (b *Balancer) ClientGone(now time.Duration, id string, actions []Action) []Action {
+// ClientDisconnected reports that the client of a request no longer waits for the response.
+func (b *Balancer) ClientDisconnected(now time.Duration, id string, actions []Action) []Action {
 	if r := b.requests[id]; r != nil && !r.finished {
 		b.finish(r)
 		return b.cancelOutstanding(r, actions)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -278,7 +278,7 @@
 		case 15:
 			if r := c.requests[fmt.Sprint("r", id)]; r != nil && !r.final {
 				r.final = true
-				apply(b.ClientGone(now, fmt.Sprint("r", id), nil))
+				apply(b.ClientDisconnected(now, fmt.Sprint("r", id), nil))
 			}
 		}
 		now += time.Duration(next()%8) * settings.Tick
--- a/internal/proxy/dispatch/decider.go
+++ b/internal/proxy/dispatch/decider.go
@@ -124,7 +124,7 @@
 	unpicked, responseAttempt := c.steps, -1
 	c.steps = nil
 	if !c.closed {
-		d.execute(now, d.balancer.ClientGone(now, c.id, d.actions[:0]))
+		d.execute(now, d.balancer.ClientDisconnected(now, c.id, d.actions[:0]))
 	}
 	for _, s := range unpicked {
 		if s.Kind == Answer {
--- a/internal/proxy/simwire/host.go
+++ b/internal/proxy/simwire/host.go
@@ -64,7 +64,7 @@
 	case Established:
 		actions = b.StreamStarted(now, ev.Outcome.ID, ev.Outcome.Attempt, actions)
 	case TimedOutClient:
-		actions = b.ClientGone(now, ev.Outcome.ID, actions)
+		actions = b.ClientDisconnected(now, ev.Outcome.ID, actions)
 	case Datagram: // client proxies share nothing
 	default:
 		return errors.New("no handler")
--- a/internal/simulation/proxysim/agent.go
+++ b/internal/simulation/proxysim/agent.go
@@ -14,5 +14,5 @@
 	Outcome(now time.Duration, o balance.Outcome, acts []balance.Action) []balance.Action
 	Probed(now time.Duration, r balance.ProbeResult, acts []balance.Action) []balance.Action
 	Timer(now time.Duration, token uint64, acts []balance.Action) []balance.Action
-	ClientGone(now time.Duration, id string, acts []balance.Action) []balance.Action
+	ClientDisconnected(now time.Duration, id string, acts []balance.Action) []balance.Action
 }
--- a/internal/simulation/proxysim/requests.go
+++ b/internal/simulation/proxysim/requests.go
@@ -229,7 +229,7 @@
 	id := s.requestID(requestIndex)
 	s.answerRequest(requestIndex, failed, 0)
 	if proxy.alive && proxy.incarnation == req.incarnation {
-		s.apply(req.proxy, proxy.agent.ClientGone(time.Duration(s.now), id, s.actions[:0]))
+		s.apply(req.proxy, proxy.agent.ClientDisconnected(time.Duration(s.now), id, s.actions[:0]))
 	}
 }
 
--- a/internal/simulation/proxysim/sim_test.go
+++ b/internal/simulation/proxysim/sim_test.go
@@ -180,7 +180,7 @@
 	return a
 }
 func (r *reckless) Timer(_ time.Duration, _ uint64, a []balance.Action) []balance.Action { return a }
-func (r *reckless) ClientGone(_ time.Duration, _ string, a []balance.Action) []balance.Action {
+func (r *reckless) ClientDisconnected(_ time.Duration, _ string, a []balance.Action) []balance.Action {
 	return a
 }
 
