--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -62,11 +62,11 @@
 	}
 }
 
-// finish gives a call its last step. After a last step only ClientGone may follow, in place of a last step
-// that was not picked. After finish nothing wakes the call's goroutine, which may serve the next request on
-// its connection.
+// finish gives a call its last step. After a last step only ClientDisconnected may follow, in place of a
+// last step that was not picked. After finish nothing wakes the call's goroutine, which may serve the next
+// request on its connection.
 func (d *Decider) finish(c *Call, last Step) {
-	if c.closed && last.Kind != ClientGone {
+	if c.closed && last.Kind != ClientDisconnected {
 		return
 	}
 	c.addStep(last)
--- a/internal/proxy/dispatch/call.go
+++ b/internal/proxy/dispatch/call.go
@@ -52,12 +52,12 @@
 
 // The kinds of steps. All but the first two end the request.
 const (
-	Send       StepKind = iota // send attempt Attempt to Server
-	Cancel                     // abort attempt Attempt
-	Answer                     // forward the response of attempt Attempt to the client
-	Reject                     // respond that a retry after RetryAfter is harmless
-	Fail                       // respond that it failed
-	ClientGone                 // send no response; discard the response of attempt Attempt, unless that is -1
+	Send               StepKind = iota // send attempt Attempt to Server
+	Cancel                             // abort attempt Attempt
+	Answer                             // forward the response of attempt Attempt to the client
+	Reject                             // respond that a retry after RetryAfter is harmless
+	Fail                               // respond that it failed
+	ClientDisconnected                 // send no response; drop the response of attempt Attempt unless that is -1
 )
 
 // Step is the next step of a call, as NextStep returns it.
--- a/internal/proxy/dispatch/decider.go
+++ b/internal/proxy/dispatch/decider.go
@@ -4,9 +4,9 @@
 // this package, which does not depend on the protocol of a request.
 //
 // A Decider may be used from any goroutine: one lock orders all events. A Call consists of attempts (Send,
-// Cancel) and one last step (Answer, Reject, Fail or ClientGone); Report may still be called after it, for
-// attempts that end later. Steps are queued in the call until its own goroutine picks them, and the network
-// operations that balance requests start after the lock is released.
+// Cancel) and one last step (Answer, Reject, Fail or ClientDisconnected); Report may still be called after
+// it, for attempts that end later. Steps are queued in the call until its own goroutine picks them, and the
+// network operations that balance requests start after the lock is released.
 package dispatch
 
 import (
@@ -91,12 +91,12 @@
 		case ok && s.Kind == Send && !checked:
 			checked = true
 			if c.waiter.PeerClosed() {
-				d.clientGone(c)
+				d.clientDisconnected(c)
 			}
 		case ok:
 			return s
 		case c.waiter.Wait() != nil:
-			d.clientGone(c)
+			d.clientDisconnected(c)
 		}
 	}
 }
@@ -116,9 +116,9 @@
 	return s, true
 }
 
-// clientGone ends a call whose client has disconnected. If the response of an attempt was chosen meanwhile,
-// the last step names that attempt, so that the caller can discard the response.
-func (d *Decider) clientGone(c *Call) {
+// clientDisconnected ends a call whose client has disconnected. If the response of an attempt was chosen
+// meanwhile, the last step names that attempt, so that the caller can discard the response.
+func (d *Decider) clientDisconnected(c *Call) {
 	now := d.lock()
 	defer d.unlock()
 	unpicked, responseAttempt := c.steps, -1
@@ -137,7 +137,7 @@
 			c.dropCancel(s.Attempt) // the caller never started it
 		}
 	}
-	d.finish(c, Step{Kind: ClientGone, Attempt: responseAttempt})
+	d.finish(c, Step{Kind: ClientDisconnected, Attempt: responseAttempt})
 }
 
 // BodyConsumed reports that the request of a call can't be sent again: its current attempt is the last one.
--- a/internal/proxy/dispatch/decider_test.go
+++ b/internal/proxy/dispatch/decider_test.go
@@ -107,7 +107,7 @@
 	d.NextStep(call)
 	p.gone <- true
 	<-p.wake
-	if got := nextKinds(d, call, 2); !cmp.Equal(got, []StepKind{Cancel, ClientGone}) {
+	if got := nextKinds(d, call, 2); !cmp.Equal(got, []StepKind{Cancel, ClientDisconnected}) {
 		t.Fatal(got)
 	}
 	for len(p.wake) > 0 {
@@ -121,11 +121,11 @@
 
 // A Send that was never picked must not stay counted as outstanding at its server, nor be cancelled: the
 // caller knows only the attempts that it started.
-func TestClientGoneBeforeAttemptStarted(t *testing.T) {
+func TestClientDisconnectedBeforeAttemptStarted(t *testing.T) {
 	d, p := newDecider(t, nil)
 	call := d.Open(atMostOnceRequest(), p)
-	d.clientGone(call)
-	if got := nextKinds(d, call, 1); !cmp.Equal(got, []StepKind{ClientGone}) {
+	d.clientDisconnected(call)
+	if got := nextKinds(d, call, 1); !cmp.Equal(got, []StepKind{ClientDisconnected}) {
 		t.Error(got)
 	}
 	if len(d.calls) != 0 {
@@ -181,7 +181,7 @@
 			d.Report(c, i, Rejected, nil)
 		}
 		p.disconnected = true
-		if s := d.NextStep(c); s.Kind != ClientGone {
+		if s := d.NextStep(c); s.Kind != ClientDisconnected {
 			t.Errorf("after %d attempts: %+v", before, s)
 		}
 		p.disconnected = false
--- a/internal/proxy/dispatch/interleaving_test.go
+++ b/internal/proxy/dispatch/interleaving_test.go
@@ -74,7 +74,7 @@
 						end(0, res)
 					case 1:
 						if last == 0 { // a goroutine does not call Wait after its last step
-							d.clientGone(c)
+							d.clientDisconnected(c)
 						}
 					case 2:
 						d.UpdateList(false, []Server{{ID: 7, State: balance.Draining}})
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -171,7 +171,7 @@
 			response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: wait})
 		}
 		return finalResponse{response: response, class: class, answer: answerDropped}
-	case dispatch.ClientGone:
+	case dispatch.ClientDisconnected:
 		s.Stats.ClientGone.Add()
 		s.recordOutcome(c, outcomeClientGone, 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
--- a/internal/proxy/ingress/stalls_test.go
+++ b/internal/proxy/ingress/stalls_test.go
@@ -53,7 +53,7 @@
 // A client that stalls in the middle of its large body counts as gone, whichever is noticed first: the end
 // of its body or that of the attempt which reads it.
 func TestUploadThatBreaksOffCountsAsGone(t *testing.T) {
-	gone := dispatch.Step{Kind: dispatch.ClientGone, Attempt: -1}
+	gone := dispatch.Step{Kind: dispatch.ClientDisconnected, Attempt: -1}
 	answer := dispatch.Step{Kind: dispatch.Answer, Attempt: 1}
 	rejected := dispatch.Step{Kind: dispatch.Reject}
 	ended := func(err error) *upload {
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -99,7 +99,7 @@
 	if step.Kind == dispatch.Answer || !u.brokeOff() {
 		return step
 	}
-	return dispatch.Step{Kind: dispatch.ClientGone, Attempt: -1}
+	return dispatch.Step{Kind: dispatch.ClientDisconnected, Attempt: -1}
 }
 
 // brokeOff reports whether the client disconnected, or stalled for too long, before the body was complete.
