--- a/internal/proxy/dispatch/call.go
+++ b/internal/proxy/dispatch/call.go
@@ -57,7 +57,7 @@
 	Answer                             // forward the response of attempt Attempt to the client
 	Reject                             // respond that a retry after RetryAfter is harmless
 	Fail                               // respond that it failed
-	ClientDisconnected                 // send no response; drop the response of attempt Attempt unless that is -1
+	ClientDisconnected                 // send no response; drop the response of attempt Attempt, -1 for none
 )
 
 // Step is the next step of a call, as NextStep returns it.
