--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,5 +1,5 @@
-// Package balance decides, for one client proxy, which server each request is sent to, and with it retries,
-// hedged attempts, rejections, health probes and the ejection of servers.
+// Package balance makes the decisions of one client proxy: which server each request is sent to, and its
+// retries, hedged attempts and rejections, as well as health probes and the ejection of servers.
 //
 // A Balancer is a deterministic state machine without I/O, clock or goroutines, like the core of etcd's raft.
 // The caller reports each event (a request, the outcome of an attempt or a probe, a server list, a timer)
@@ -16,8 +16,8 @@
 //   - List: a server list of the registry, or the failure to get one.
 //   - Timer: the end of the wait of a SetTimer action.
 //
-// Each request gets exactly one final response, unless its client leaves first: that of an attempt, reported
-// with Outcome.Final, or one of the actions Reject and Fail.
+// Each request gets exactly one final response, unless its client disconnects first: that of an attempt,
+// reported with Outcome.Final, or one of the actions Reject and Fail.
 //
 // # Selection
 //
--- a/balance/health.go
+++ b/balance/health.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// failuresToEject is the number of consecutive failures that eject a server, or a class on a server: a
-	// single error or timeout happens to healthy servers too. A refused or broken connection ejects at
-	// once.
+	// failuresToEject is the number of consecutive failures that eject a server, or a class on a server:
+	// healthy servers have single errors and timeouts too. A refused or broken connection ejects
+	// immediately.
 	failuresToEject = 3
 	// baseEjectionTime is the duration of a first ejection. It doubles with each consecutive ejection, up
 	// to maxEjectionDoublings times, and has jitter.
--- a/balance/reports.go
+++ b/balance/reports.go
@@ -49,7 +49,8 @@
 	return lagSecondsPerMissRate * max(0, b.forecastMissRate-toleratedMissRate)
 }
 
-// updateForecastMissRate compares the latency of an attempt with the forecast from the report before it.
+// updateForecastMissRate updates the rate of missed forecasts by comparing the latency of an attempt with
+// the forecast from the report before it.
 func (b *Balancer) updateForecastMissRate(r *request, a *attempt, latency time.Duration, result Result) {
 	forecast := max((a.requestsAhead+1)/b.concurrency/b.capacity(r.Class, a.server), 1) *
 		float64(b.expectedServiceTime(r))
--- a/balance/state.go
+++ b/balance/state.go
@@ -105,7 +105,7 @@
 
 	sample         []*server // servers to select from, probed or with fresh reports
 	pendingProbes  int       // number of probes that it waits for
-	probingDecided bool      // whether to probe for the next attempt was decided
+	probingDecided bool      // it was decided whether to probe for the next attempt
 	withoutProbe   bool      // it is sent without a probe though probes are allowed
 	affinityServer *server   // most likely to have its key cached; set where probes are not costly
 	affinityCell   int       // most likely to have its key cached; set where probes are costly
