--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -100,8 +100,8 @@
 		file string
 		kind chain.Kind
 	}{
-		{"heartbeat", chain.Heartbeat}, {"view_notice", chain.ViewNotice}, {"genesis", chain.Genesis},
-		{"genesis_reply", chain.GenesisReply}, {"prepare", chain.Prepare}, {"promise", chain.PrepareReply},
+		{"heartbeat", chain.Heartbeat}, {"view_notice", chain.ViewNotice}, {"genesis", chain.BootstrapAccept},
+		{"genesis_reply", chain.BootstrapAcceptReply}, {"prepare", chain.Prepare}, {"promise", chain.PrepareReply},
 		{"accept", chain.Accept}, {"accepted", chain.AcceptReply}, {"nack", chain.Nack}, {"seal", chain.Seal},
 		{"append", chain.Append}, {"ask_body", chain.FetchBody}, {"ack", chain.Ack}, {"commit", chain.Commit},
 		{"forward", chain.Forward}, {"forward_read", chain.ForwardRead}, {"forward_reply", chain.ForwardReply},
--- a/internal/router/chain/bootstrap.go
+++ b/internal/router/chain/bootstrap.go
@@ -10,8 +10,8 @@
 const retriesBeforeShrinking = 4
 
 // bootstrapState is the volatile state of a node that tries to have a first view agreed on. An attempt is a
-// first view that is proposed by Genesis; it is decided once all of its members have accepted it. One that
-// doesn't get there is followed by an attempt of a later epoch, which names the earlier ones in
+// first view that is proposed by BootstrapAccept; it is decided once all of its members have accepted it. One
+// that doesn't get there is followed by an attempt of a later epoch, which names the earlier ones in
 // View.Unopened. What a member has accepted is durable, in durableState.genesis.
 //
 // At most one attempt can ever be used, because of three invariants, which mayAcceptGenesis and hasRevoked
@@ -35,7 +35,7 @@
 	candidates []Member
 	// competing are attempts of other nodes that view doesn't name.
 	competing []PastChain
-	// startedAt is when the attempt or its last retry began. sentAt is when Genesis was sent last.
+	// startedAt is when the attempt or its last retry began. sentAt is when BootstrapAccept was sent last.
 	startedAt, sentAt time.Duration
 }
 
@@ -86,7 +86,7 @@
 func (n *Node) sendGenesis() {
 	n.bootstrap.sentAt = n.now
 	for _, member := range n.bootstrap.view.Members {
-		n.sendTo(member, Message{Kind: Genesis, Address: n.config.Self.Address, View: n.bootstrap.view})
+		n.sendTo(member, Message{Kind: BootstrapAccept, Address: n.config.Self.Address, View: n.bootstrap.view})
 	}
 }
 
@@ -192,7 +192,7 @@
 	}
 	// The sender need not be a member, and its address is known only from the message.
 	n.sendTo(Member{m.From, m.Address}, Message{
-		Kind: GenesisReply, Address: n.config.Self.Address, View: n.state.genesis,
+		Kind: BootstrapAcceptReply, Address: n.config.Self.Address, View: n.state.genesis,
 	})
 }
 
@@ -285,7 +285,7 @@
 	}
 }
 
-// recordReply adds the sender of a GenesisReply to those that have replied.
+// recordReply adds the sender of a BootstrapAcceptReply to those that have replied.
 func (b *bootstrapState) recordReply(m *Message) {
 	member, ok := b.view.member(m.From)
 	if !ok {
--- a/internal/router/chain/bootstrap_test.go
+++ b/internal/router/chain/bootstrap_test.go
@@ -52,7 +52,7 @@
 		cluster.start(member.ID, member.Address, true, 3)
 	}
 	cluster.run(3 * time.Second) // the bootstrapper waits for a third
-	cluster.drop = dropKind(GenesisReply, "a")
+	cluster.drop = dropKind(BootstrapAcceptReply, "a")
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members[:2]) })
 	cluster.run(100 * time.Millisecond)
 	cluster.drop = nil
@@ -74,19 +74,20 @@
 	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(0))
 }
 
-// TestGenesisReplyGoesToTheBootstrappersAddress: a machine that knows the sender only by its Genesis replies
-// to the address that the message names.
-func TestGenesisReplyGoesToTheBootstrappersAddress(t *testing.T) {
+// TestBootstrapAcceptReplyGoesToTheBootstrappersAddress: a machine that knows the sender only by its
+// BootstrapAccept replies to the address that the message names.
+func TestBootstrapAcceptReplyGoesToTheBootstrappersAddress(t *testing.T) {
 	c := qt.New(t)
 	config := Config{Self: Member{"b", "10.0.0.2"}, HasDisk: true, AllowBootstrap: true,
 		Random: rand.New(rand.NewSource(1))}
 	node, _, err := Open(config, 0, nil)
 	c.Assert(err, qt.IsNil)
 	view := firstView(1, []Member{{"a", "10.0.0.1"}, {"b", "10.0.0.2"}}, nil)
-	effects := node.Receive(time.Second, Message{Kind: Genesis, From: "f", Address: "10.0.0.9", View: view})
+	effects := node.Receive(time.Second,
+		Message{Kind: BootstrapAccept, From: "f", Address: "10.0.0.9", View: view})
 	c.Assert(effects.Messages, qt.HasLen, 1)
 	c.Check(effects.Messages[0].To, qt.Equals, Member{"f", "10.0.0.9"})
-	c.Check(effects.Messages[0].Message.Kind, qt.Equals, GenesisReply)
+	c.Check(effects.Messages[0].Message.Kind, qt.Equals, BootstrapAcceptReply)
 }
 
 // newBootstrapCluster starts machines without a first view.
@@ -116,7 +117,7 @@
 func TestBootstrapCompletesWhenADiskIsLostAfterItsConsent(t *testing.T) {
 	for _, lost := range []MemberID{"b", "c"} {
 		cluster, members := newBootstrapCluster(t, "a", "b", "c")
-		cluster.drop = dropKind(GenesisReply, "a")
+		cluster.drop = dropKind(BootstrapAcceptReply, "a")
 		cluster.keepBootstrapping("a", members, time.Second)
 		for _, id := range cluster.order {
 			cluster.c.Assert(cluster.machines[id].node.state.genesis.Epoch, qt.Equals, uint64(1))
@@ -137,7 +138,7 @@
 func TestConsentingMembersContinueWithoutTheirBootstrapper(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c", "f")
 	cluster.drop = func(_, to MemberID, m *Message) bool {
-		return to == "f" || m.Kind == Genesis && to == "c"
+		return to == "f" || m.Kind == BootstrapAccept && to == "c"
 	}
 	cluster.keepBootstrapping("f", members[:3], time.Second)
 	cluster.machines["f"].down = true
@@ -187,15 +188,15 @@
 		cluster.do(id, func(n *Node) Effects { return n.Receive(cluster.now, m) })
 	}
 	for _, id := range cluster.order {
-		tell(id, Message{Kind: Genesis, View: first})
+		tell(id, Message{Kind: BootstrapAccept, View: first})
 	}
-	tell("a", Message{Kind: Genesis, View: second})
+	tell("a", Message{Kind: BootstrapAccept, View: second})
 	cluster.c.Assert(cluster.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(2))
 	for _, id := range cluster.order {
 		tell(id, Message{Kind: ViewNotice, View: first})
 	}
 	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
-	tell("b", Message{Kind: Genesis, View: second})
+	tell("b", Message{Kind: BootstrapAccept, View: second})
 	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Epoch, qt.Equals,
 		uint64(1)) // it is in the first one
 	cluster.run(5 * time.Second)
@@ -252,7 +253,9 @@
 // TestUnresponsiveMemberIsNotDroppedEarly: an attempt of two could not survive the loss of one of them.
 func TestUnresponsiveMemberIsNotDroppedEarly(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c")
-	cluster.drop = func(from, _ MemberID, m *Message) bool { return m.Kind == GenesisReply && from == "c" }
+	cluster.drop = func(from, _ MemberID, m *Message) bool {
+		return m.Kind == BootstrapAcceptReply && from == "c"
+	}
 	cluster.keepBootstrapping("a", members, 5*time.Second)
 	cluster.c.Assert(cluster.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(1))
 	cluster.machines["b"].down = true
--- a/internal/router/chain/config.go
+++ b/internal/router/chain/config.go
@@ -49,8 +49,8 @@
 	// ReproposeAfter is how long an acceptor waits for the decision on a view that it accepted before it
 	// proposes that view itself; the default is 500 ms.
 	ReproposeAfter time.Duration
-	// ResendAfter is how long an entry, marker or Genesis goes unacknowledged before it is sent again; the
-	// default is 200 ms.
+	// ResendAfter is how long an entry, marker or BootstrapAccept goes unacknowledged before it is sent again;
+	// the default is 200 ms.
 	ResendAfter time.Duration
 	// RequestTimeout is how long a request waits before it is answered Unavailable; the default is 2 s.
 	RequestTimeout time.Duration
--- a/internal/router/chain/doc.go
+++ b/internal/router/chain/doc.go
@@ -23,7 +23,7 @@
 // that promise never to open it prove that nothing was committed in it.
 //
 // The first view is agreed on without a view before it: a bootstrapping node asks all members to accept a
-// Genesis, see Node.Bootstrap.
+// BootstrapAccept, see Node.Bootstrap.
 //
 // # Use
 //
--- a/internal/router/chain/message.go
+++ b/internal/router/chain/message.go
@@ -10,10 +10,10 @@
 	Heartbeat Kind = iota + 1
 	// ViewNotice announces a decided view: View.
 	ViewNotice
-	// Genesis asks a machine without a view to accept the first one: Address (of the sender), View.
-	Genesis
-	// GenesisReply reports the latest first view that a machine has accepted: Address, View.
-	GenesisReply
+	// BootstrapAccept asks a machine without a view to accept the first one: Address (of the sender), View.
+	BootstrapAccept
+	// BootstrapAcceptReply reports the latest first view that a machine has accepted: Address, View.
+	BootstrapAcceptReply
 	// Prepare starts a proposal for the view after Epoch: ProposalNumber, View (the current one).
 	Prepare
 	// PrepareReply promises to accept no lower proposal: ProposalNumber, AcceptedNumber, View (accepted).
--- a/internal/router/chain/receive.go
+++ b/internal/router/chain/receive.go
@@ -32,9 +32,9 @@
 	switch m.Kind {
 	case Heartbeat:
 		n.onHeartbeat(m)
-	case Genesis:
+	case BootstrapAccept:
 		n.onGenesis(m)
-	case GenesisReply:
+	case BootstrapAcceptReply:
 		n.onGenesisReply(m)
 	case Prepare:
 		n.onPrepare(m)
