--- a/internal/router/agent/chain_encoding.go
+++ b/internal/router/agent/chain_encoding.go
@@ -59,7 +59,7 @@
 
 func encodeView(v *chain.View) peerproto.ChainView {
 	encoded := peerproto.ChainView{Epoch: int64(v.Epoch), Members: memberInfos(v.Members),
-		Chain: idStrings(v.Chain), Fresh: idStrings(v.Fresh), Sources: idStrings(v.Sources)}
+		Chain: idStrings(v.Chain), Fresh: idStrings(v.CatchingUp), Sources: idStrings(v.Sources)}
 	for _, past := range v.Unopened {
 		encoded.Unopened = append(encoded.Unopened,
 			peerproto.PastChain{Epoch: int64(past.Epoch), Chain: idStrings(past.Chain)})
@@ -68,7 +68,7 @@
 }
 
 func decodeView(v *peerproto.ChainView) chain.View {
-	view := chain.View{Epoch: uint64(v.Epoch), Chain: memberIDs(v.Chain), Fresh: memberIDs(v.Fresh),
+	view := chain.View{Epoch: uint64(v.Epoch), Chain: memberIDs(v.Chain), CatchingUp: memberIDs(v.Fresh),
 		Sources: memberIDs(v.Sources)}
 	for _, member := range v.Members {
 		view.Members = append(view.Members, chain.Member{ID: chain.MemberID(member.ID), Address: member.Address})
--- a/internal/router/agent/golden_disk_test.go
+++ b/internal/router/agent/golden_disk_test.go
@@ -110,7 +110,7 @@
 	c.Assert(member.machine.View(), qt.DeepEquals, chain.View{Epoch: 300,
 		Members: []chain.Member{{ID: "m0", Address: "127.0.0.1"}, {ID: "m1", Address: "10.0.0.2"},
 			{ID: "m2", Address: "10.0.0.3"}},
-		Chain: []chain.MemberID{"m1", "m0"}, Fresh: []chain.MemberID{"m0"},
+		Chain: []chain.MemberID{"m1", "m0"}, CatchingUp: []chain.MemberID{"m0"},
 		Sources: []chain.MemberID{"m1", "m2"},
 		Unopened: []chain.PastChain{{Epoch: 298, Chain: []chain.MemberID{"m1", "m0", "m2"}},
 			{Epoch: 299, Chain: []chain.MemberID{"m2"}}}})
--- a/internal/router/agent/golden_test.go
+++ b/internal/router/agent/golden_test.go
@@ -83,7 +83,7 @@
 		Draining: true, Stalled: true, Sealed: true, ReceivesFrom: []chain.MemberID{"m1", "m2"},
 		View: chain.View{Epoch: 4, Members: []chain.Member{{ID: "m0", Address: "127.0.0.1"},
 			{ID: "m1", Address: "10.0.0.2"}}, Chain: []chain.MemberID{"m1", "m0"},
-			Fresh: []chain.MemberID{"m0"}, Sources: []chain.MemberID{"m1"},
+			CatchingUp: []chain.MemberID{"m0"}, Sources: []chain.MemberID{"m1"},
 			Unopened: []chain.PastChain{{Epoch: 5, Chain: []chain.MemberID{"m2", "m3"}}}},
 		ProposalNumber: chain.ProposalNumber{Counter: 6, Proposer: "m4"},
 		AcceptedNumber: chain.ProposalNumber{Counter: 7, Proposer: "m5"}, Sequence: 8, Version: 9,
--- a/internal/router/chain/codec.go
+++ b/internal/router/chain/codec.go
@@ -36,7 +36,7 @@
 		e.text(member.Address)
 	}
 	e.ids(view.Chain)
-	e.ids(view.Fresh)
+	e.ids(view.CatchingUp)
 	e.ids(view.Sources)
 	e.number(uint64(len(view.Unopened)))
 	for _, past := range view.Unopened {
@@ -121,7 +121,7 @@
 	for remaining := d.count(); remaining > 0; remaining-- {
 		view.Members = append(view.Members, Member{MemberID(d.text()), d.text()})
 	}
-	view.Chain, view.Fresh, view.Sources = d.ids(), d.ids(), d.ids()
+	view.Chain, view.CatchingUp, view.Sources = d.ids(), d.ids(), d.ids()
 	for remaining := d.count(); remaining > 0; remaining-- {
 		view.Unopened = append(view.Unopened, PastChain{d.number(), d.ids()})
 	}
--- a/internal/router/chain/golden_test.go
+++ b/internal/router/chain/golden_test.go
@@ -22,7 +22,7 @@
 
 func goldenView(epoch uint64) View {
 	return View{Epoch: epoch, Members: []Member{{"m0", "127.0.0.1"}, {"m1", "10.0.0.2"}, {"m2", "10.0.0.3"}},
-		Chain: []MemberID{"m1", "m0"}, Fresh: []MemberID{"m0"}, Sources: []MemberID{"m1", "m2"},
+		Chain: []MemberID{"m1", "m0"}, CatchingUp: []MemberID{"m0"}, Sources: []MemberID{"m1", "m2"},
 		Unopened: []PastChain{{Epoch: epoch - 2, Chain: []MemberID{"m1", "m0", "m2"}},
 			{Epoch: epoch - 1, Chain: []MemberID{"m2"}}}}
 }
--- a/internal/router/chain/plan_sources.go
+++ b/internal/router/chain/plan_sources.go
@@ -65,7 +65,7 @@
 	}
 	for _, id := range chain {
 		if !p.isSource(id) {
-			next.Fresh = append(next.Fresh, id)
+			next.CatchingUp = append(next.CatchingUp, id)
 		}
 	}
 	var sources []MemberID
--- a/internal/router/chain/plan_test.go
+++ b/internal/router/chain/plan_test.go
@@ -89,7 +89,7 @@
 
 func TestPlan(t *testing.T) {
 	c := qt.New(t)
-	fresh := func(view View, ids ...MemberID) View { view.Fresh = ids; return view }
+	fresh := func(view View, ids ...MemberID) View { view.CatchingUp = ids; return view }
 	nodes := func(options ...any) map[MemberID][]peerOption {
 		all := map[MemberID][]peerOption{"a": nil, "b": nil, "c": nil}
 		for i := 0; i < len(options); i += 2 {
@@ -188,7 +188,7 @@
 			next, changed := Plan(test.view, observation(test.observed), testRules)
 			got := ""
 			if changed {
-				got = fmt.Sprint(memberIDs(next.Members), next.Chain, next.Fresh)
+				got = fmt.Sprint(memberIDs(next.Members), next.Chain, next.CatchingUp)
 				c.Check(next.Epoch, qt.Equals, test.view.Epoch+1)
 			}
 			c.Check(got, qt.Equals, test.want)
@@ -228,7 +228,7 @@
 func TestSealIsRequestedOnlyIfItHelps(t *testing.T) {
 	c := qt.New(t)
 	view := testView("b", "a")
-	view.Fresh = []MemberID{"a"}
+	view.CatchingUp = []MemberID{"a"}
 	nodes := func(ofC ...peerOption) Observation {
 		return observation(map[MemberID][]peerOption{"a": {entryOf(4)}, "b": {timedOut(time.Second)}, "c": ofC})
 	}
@@ -283,7 +283,7 @@
 		}
 		view.Unopened = append(view.Unopened, PastChain{10 + epoch, chain})
 	}
-	view.Fresh = []MemberID{"x"}
+	view.CatchingUp = []MemberID{"x"}
 	nodes := observation(map[MemberID][]peerOption{
 		"a": {entryOf(100)}, "b": {entryOf(5), notReported}, "c": {entryOf(12)},
 	})
@@ -298,7 +298,7 @@
 func TestEpochsWithoutCommitsAreForgottenFirst(t *testing.T) {
 	c := qt.New(t)
 	view := testView("a", "x")
-	view.Epoch, view.Fresh, view.Sources = 100, []MemberID{"x"}, []MemberID{"a", "b"}
+	view.Epoch, view.CatchingUp, view.Sources = 100, []MemberID{"x"}, []MemberID{"a", "b"}
 	view.Unopened = append(view.Unopened,
 		PastChain{10, []MemberID{"a", "lost"}}, PastChain{11, []MemberID{"a", "b", "c"}})
 	for epoch := range uint64(maxUnopened - 2) {
--- a/internal/router/chain/view.go
+++ b/internal/router/chain/view.go
@@ -18,17 +18,17 @@
 // shared. The zero View, of epoch 0, means that no view has been decided.
 //
 // What Plan and the bootstrap keep of every view: the chain has at least a majority of the members; its head
-// is a source; fresh replicas are in the chain and the head isn't one of them; of each chain in Unopened, a
-// first view has a majority among its members.
+// is a source; catching-up replicas are in the chain and the head isn't one of them; of each chain in
+// Unopened, a first view has a majority among its members.
 type View struct {
 	Epoch uint64
 	// Members are the acceptors that decide the next view by a majority.
 	Members []Member
 	// Chain are the replicas from head to tail, all of them members.
 	Chain []MemberID
-	// Fresh are the replicas that were no source (see Sources) when this view was planned. Each may lack the
-	// committed entry until it accepts one in this epoch.
-	Fresh []MemberID
+	// CatchingUp are the replicas that were no source (see Sources) when this view was planned. Each may lack
+	// the committed entry until it accepts one in this epoch.
+	CatchingUp []MemberID
 	// Sources have every entry that was committed before the first epoch of Unopened, or before this one if
 	// Unopened is empty. One of them may become head if nothing is known to have been committed since.
 	Sources []MemberID
@@ -81,7 +81,7 @@
 func (v View) inChain(id MemberID) bool { return slices.Contains(v.Chain, id) }
 
 // isFresh reports whether a replica may lack the committed entry.
-func (v View) isFresh(id MemberID) bool { return slices.Contains(v.Fresh, id) }
+func (v View) isFresh(id MemberID) bool { return slices.Contains(v.CatchingUp, id) }
 
 // member returns the member with an identity.
 func (v View) member(id MemberID) (Member, bool) {
@@ -159,7 +159,7 @@
 // equal reports whether two views are the same.
 func (v View) equal(other View) bool {
 	return v.Epoch == other.Epoch && slices.Equal(v.Members, other.Members) &&
-		slices.Equal(v.Chain, other.Chain) && slices.Equal(v.Fresh, other.Fresh) &&
+		slices.Equal(v.Chain, other.Chain) && slices.Equal(v.CatchingUp, other.CatchingUp) &&
 		slices.Equal(v.Sources, other.Sources) &&
 		slices.EqualFunc(v.Unopened, other.Unopened, PastChain.equal)
 }
--- a/internal/router/chain/view_change_test.go
+++ b/internal/router/chain/view_change_test.go
@@ -286,7 +286,7 @@
 		cluster.mustWrite("a", 0, 1, "one")
 		cluster.run(time.Second)
 		members := []Member{{"a", "10.0.0.1"}, {"b", "10.0.0.2"}, {"d", "10.0.0.4"}}
-		chosen := View{Epoch: 2, Members: members, Chain: []MemberID{"a", "b", "d"}, Fresh: []MemberID{"d"},
+		chosen := View{Epoch: 2, Members: members, Chain: []MemberID{"a", "b", "d"}, CatchingUp: []MemberID{"d"},
 			Sources: []MemberID{"a", "b"}}
 		cluster.do("b", func(n *Node) Effects {
 			return n.Receive(cluster.now, Message{Kind: Accept, From: "a", Epoch: 1, ProposalNumber: ProposalNumber{1,
